--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -8,8 +8,8 @@
 	"os"
 	"time"
 
-	"fernvane/internal/node"
-	"fernvane/internal/wire"
+	"fernvane/internal/proxy/engine"
+	"fernvane/internal/simwire"
 	"fernvane/policy"
 )
 
@@ -22,8 +22,8 @@
 
 func run(in io.Reader, out, errs io.Writer) error {
 	complain := func(what string) { fmt.Fprintln(errs, "adapter:", what) }
-	r, w := wire.NewReader(in, complain), wire.NewWriter(out)
-	instances := instances{nodes: map[int]*node.Node[uint32]{}, out: w, complain: complain}
+	r, w := simwire.NewReader(in, complain), simwire.NewWriter(out)
+	instances := instances{nodes: map[int]*engine.Node[uint32]{}, out: w, complain: complain}
 	for {
 		b, err := r.Read()
 		if errors.Is(err, io.EOF) {
@@ -45,24 +45,24 @@
 
 // instances are the nodes that the simulator runs, by their numbers on its wire.
 type instances struct {
-	nodes    map[int]*node.Node[uint32]
-	members  []node.Member[uint32] // reused from list to list
-	out      *wire.Writer
+	nodes    map[int]*engine.Node[uint32]
+	members  []engine.Member[uint32] // reused from list to list
+	out      *simwire.Writer
 	complain func(string)
 }
 
 // handle starts or ends an instance, or hands it what befalls it.
-func (s *instances) handle(now time.Duration, e *wire.Event) {
+func (s *instances) handle(now time.Duration, e *simwire.Event) {
 	switch e.Kind {
-	case wire.PowerOn:
+	case simwire.PowerOn:
 		if e.Err != nil {
 			s.out.Broken(e.Err.Error())
 			delete(s.nodes, e.Instance)
 			return
 		}
-		s.nodes[e.Instance] = node.New[uint32](now, policy.New(e.Settings, e.Seed), s.out)
+		s.nodes[e.Instance] = engine.New[uint32](now, policy.New(e.Settings, e.Seed), s.out)
 		return
-	case wire.Killed:
+	case simwire.Killed:
 		delete(s.nodes, e.Instance)
 		return
 	}
@@ -77,22 +77,22 @@
 }
 
 // deliver hands an event to its instance; it is false where the event names what the instance doesn't know.
-func (s *instances) deliver(now time.Duration, n *node.Node[uint32], e *wire.Event) bool {
+func (s *instances) deliver(now time.Duration, n *engine.Node[uint32], e *simwire.Event) bool {
 	switch e.Kind {
-	case wire.Discovery:
+	case simwire.Discovery:
 		s.members = s.members[:0]
 		for _, l := range e.Entries {
-			s.members = append(s.members, node.Member[uint32]{Server: l.Server, Line: policy.Member{Rank: l.Server, Zone: l.Zone,
+			s.members = append(s.members, engine.Member[uint32]{Server: l.Server, Line: policy.Member{Rank: l.Server, Zone: l.Zone,
 				Kind: l.Kind, Cell: l.Cell, Condition: l.Condition, Scale: l.Scale, Started: l.Start, HasStart: l.HasStart}})
 		}
 		n.List(now, e.Scope, s.members, s.out)
-	case wire.Arrival:
+	case simwire.Arrival:
 		return n.Arrive(now, e.Job, policy.Input{Type: e.Type, Tenant: e.Tenant, Key: e.Key, Again: e.Again, Budget: e.Budget}, s.out)
-	case wire.Verdict:
+	case simwire.Verdict:
 		return n.HopEnded(now, e.Job, e.Server, policy.Input{Hop: e.Hop, Outcome: e.Outcome, Spent: e.Spent, Final: e.Final}, s.out)
-	case wire.Left:
+	case simwire.Left:
 		n.Left(now, e.Job, s.out)
-	case wire.DeadlineHit:
+	case simwire.DeadlineHit:
 		n.Woken(now, s.out)
 	}
 	return true
--- a/cmd/fernvane/bindings.go
+++ b/cmd/fernvane/bindings.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"fernvane/internal/bindings"
-	"fernvane/internal/bindlog"
-	"fernvane/internal/dockets"
+	"fernvane/internal/journal/execution"
+	"fernvane/internal/journal/intent"
+	"fernvane/internal/journal/wal"
 )
 
 var errDamaged = errors.New("the journal is damaged")
@@ -45,7 +45,7 @@
 			fmt.Fprintln(t, "id\tat\ttype\ttenant\tstate\ttold\thops")
 		}
 		n := 0
-		_, err := from.entries(q.from, q.id, c.ErrOrStderr(), func(entry *bindings.Entry) error {
+		_, err := from.entries(q.from, q.id, c.ErrOrStderr(), func(entry *intent.Entry) error {
 			if !q.fits(entry) {
 				return nil
 			}
@@ -79,7 +79,7 @@
 			return err
 		}
 		out, found := c.OutOrStdout(), false
-		_, err := from.entries(time.Time{}, args[0], c.ErrOrStderr(), func(e *bindings.Entry) error {
+		_, err := from.entries(time.Time{}, args[0], c.ErrOrStderr(), func(e *intent.Entry) error {
 			if e.ID != args[0] && e.Repeats != args[0] {
 				return nil
 			}
@@ -118,10 +118,10 @@
 		if err := where(); err != nil {
 			return err
 		}
-		states := map[bindings.State]int{}
+		states := map[intent.State]int{}
 		conflicts := 0
 		began := time.Now()
-		r, err := from.entries(time.Time{}, "", c.ErrOrStderr(), func(e *bindings.Entry) error {
+		r, err := from.entries(time.Time{}, "", c.ErrOrStderr(), func(e *intent.Entry) error {
 			states[e.State()]++
 			conflicts += e.Conflicts
 			return nil
@@ -130,7 +130,7 @@
 			return err
 		}
 		fmt.Fprintf(c.OutOrStdout(), "%d segments, %d records, %d bytes in %s: %d ran, %d not sent, %d possibly sent, %d contradictions\n", r.Segments, r.Records,
-			r.Bytes, time.Since(began).Round(time.Millisecond), states[bindings.HasRun], states[bindings.NotSent], states[bindings.PossiblySent], conflicts)
+			r.Bytes, time.Since(began).Round(time.Millisecond), states[intent.HasRun], states[intent.NotSent], states[intent.PossiblySent], conflicts)
 		if r.Corrupt() > 0 {
 			return errDamaged
 		}
@@ -154,7 +154,7 @@
 		default:
 			return fmt.Errorf("--format %q: csv or jsonl", format)
 		}
-		_, err := from.entries(q.from, q.id, c.ErrOrStderr(), func(e *bindings.Entry) error {
+		_, err := from.entries(q.from, q.id, c.ErrOrStderr(), func(e *intent.Entry) error {
 			if !q.fits(e) {
 				return nil
 			}
@@ -179,9 +179,9 @@
 		if err := where(); err != nil {
 			return err
 		}
-		all := map[string]*bindings.Dockets{}
+		all := map[string]*intent.Dockets{}
 		for _, a := range against {
-			if err := dockets.Load(a, all); err != nil {
+			if err := execution.Load(a, all); err != nil {
 				return err
 			}
 		}
@@ -205,23 +205,23 @@
 }
 
 // reconcile adds what the dockets settle, in a segment of its own; nothing is edited.
-func reconcile(from *source, all map[string]*bindings.Dockets, slack time.Duration, errs io.Writer) (n settled, err error) {
-	var records []bindings.Record
+func reconcile(from *source, all map[string]*intent.Dockets, slack time.Duration, errs io.Writer) (n settled, err error) {
+	var records []intent.Record
 	now := time.Now().UnixNano()
-	_, err = from.entries(time.Time{}, "", errs, func(e *bindings.Entry) error {
-		if e.State() != bindings.PossiblySent {
+	_, err = from.entries(time.Time{}, "", errs, func(e *intent.Entry) error {
+		if e.State() != intent.PossiblySent {
 			return nil
 		}
-		found := bindings.Reconcile(e, all, int64(slack), now)
+		found := intent.Reconcile(e, all, int64(slack), now)
 		open := 0
 		for _, h := range e.Hops {
-			if h.Proof() == bindings.Possibly {
+			if h.Proof() == intent.Possibly {
 				open++
 			}
 		}
 		ran := false
 		for _, r := range found {
-			if r.Proof == bindings.Ran {
+			if r.Proof == intent.Ran {
 				n.ran++
 				ran = true
 			} else {
@@ -237,7 +237,7 @@
 	if err != nil || len(records) == 0 {
 		return n, err
 	}
-	log, err := bindlog.Open(bindlog.Options{Dir: from.dir, Files: bindlog.OS{}, Machine: true, SegmentBytes: 1 << 30})
+	log, err := wal.Open(wal.Options{Dir: from.dir, Files: wal.OS{}, Machine: true, SegmentBytes: 1 << 30})
 	if err != nil {
 		return n, err
 	}
--- a/cmd/fernvane/bindings_test.go
+++ b/cmd/fernvane/bindings_test.go
@@ -11,23 +11,23 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/bindings"
-	"fernvane/internal/bindlog"
+	"fernvane/internal/journal/intent"
+	"fernvane/internal/journal/wal"
 )
 
 // kept writes a journal: one binding that ran, one not sent, two possibly sent.
 func kept(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	l, err := bindlog.Open(bindlog.Options{Dir: dir, Files: bindlog.OS{}, SegmentBytes: 1 << 20})
+	l, err := wal.Open(wal.Options{Dir: dir, Files: wal.OS{}, SegmentBytes: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
 	at := time.Date(2026, 1, 31, 9, 0, 0, 0, time.UTC).UnixNano()
-	for op, proof := range []bindings.Proof{bindings.Ran, bindings.Never, bindings.Possibly, bindings.Possibly} {
-		l.Append(false, bindings.Record{Kind: bindings.Intent, Run: 1, Op: uint64(op), At: at, ID: fmt.Sprint("id-", op), Tenant: "dairy", Type: "hire-book", Server: fmt.Sprint("s", op%2)},
-			bindings.Record{Kind: bindings.Ended, Run: 1, Op: uint64(op), At: at, How: "an end", Proof: proof},
-			bindings.Record{Kind: bindings.Told, Run: 1, Op: uint64(op), At: at, How: "something", N: 1})
+	for op, proof := range []intent.Proof{intent.Ran, intent.Never, intent.Possibly, intent.Possibly} {
+		l.Append(false, intent.Record{Kind: intent.Intent, Run: 1, Op: uint64(op), At: at, ID: fmt.Sprint("id-", op), Tenant: "dairy", Type: "hire-book", Server: fmt.Sprint("s", op%2)},
+			intent.Record{Kind: intent.Ended, Run: 1, Op: uint64(op), At: at, How: "an end", Proof: proof},
+			intent.Record{Kind: intent.Told, Run: 1, Op: uint64(op), At: at, How: "something", N: 1})
 	}
 	l.Close()
 	return dir
--- a/cmd/fernvane/check.go
+++ b/cmd/fernvane/check.go
@@ -10,15 +10,15 @@
 
 	"github.com/spf13/cobra"
 
-	"fernvane/internal/bindlog"
-	"fernvane/internal/distribution/client"
-	"fernvane/internal/peers"
-	"fernvane/internal/plancfg"
-	"fernvane/internal/registry"
+	"fernvane/internal/cluster/peer"
+	"fernvane/internal/config/settings"
+	"fernvane/internal/controlplane/distribution/client"
+	"fernvane/internal/controlplane/planconfig"
+	"fernvane/internal/discovery/snapshot"
+	"fernvane/internal/discovery/zookeeper"
+	"fernvane/internal/journal/wal"
+	"fernvane/internal/proxy"
 	"fernvane/internal/route"
-	"fernvane/internal/serve"
-	"fernvane/internal/settings"
-	"fernvane/internal/snapshot"
 )
 
 // example is settings of this project's own, as a configuration holds them, to try files against.
@@ -100,19 +100,19 @@
 		all = errors.Join(all, checkOperator(out, f.operator, set))
 	}
 	if f.planners != "" {
-		p, err := plancfg.LoadForwarder(f.planners)
+		p, err := planconfig.LoadForwarder(f.planners)
 		if all = errors.Join(all, err); err == nil {
 			tellPlanners(out, p)
 		}
 	}
 	if f.bindings != "" {
-		b, err := bindlog.Load(f.bindings)
+		b, err := wal.Load(f.bindings)
 		if all = errors.Join(all, err); err == nil {
 			tellBindings(out, b)
 		}
 	}
 	if f.registries != "" {
-		r, err := registry.Load(f.registries)
+		r, err := zookeeper.Load(f.registries)
 		if all = errors.Join(all, err); err == nil {
 			tellRegistry(out, r)
 		}
@@ -124,7 +124,7 @@
 		}
 	}
 	if f.peers != "" {
-		p, err := peers.Load(f.peers)
+		p, err := peer.Load(f.peers)
 		if all = errors.Join(all, err); err == nil {
 			tellPeers(out, p)
 		}
@@ -136,7 +136,7 @@
 		}
 	}
 	if planFile != "" {
-		p, err := plancfg.LoadPlanner(planFile)
+		p, err := planconfig.LoadPlanner(planFile)
 		if all = errors.Join(all, err); err == nil {
 			fmt.Fprintf(out, "%s listens on %s and plans every %s\n", p.Name, p.ListenAt, p.Every.D())
 		}
@@ -173,7 +173,7 @@
 		known, err := settings.Decode(example)
 		return &known, "Against the settings that this program brings as an example.", err
 	}
-	known, err := serve.ReadSettings(set)
+	known, err := proxy.ReadSettings(set)
 	return &known, "", err
 }
 
@@ -195,7 +195,7 @@
 			}
 			routes, s, note, err := (*route.Set)(nil), (*settings.Settings)(nil), "", error(nil)
 			if f.config != "" {
-				var cfg serve.Config
+				var cfg proxy.Config
 				cfg, err = f.load()
 				routes, s = cfg.Routes, &cfg.Settings
 			} else if s, note, err = settingsFor(f.operator, set); err == nil {
@@ -218,13 +218,13 @@
 	return c
 }
 
-func tellPlanners(out io.Writer, p *plancfg.Forwarder) {
+func tellPlanners(out io.Writer, p *planconfig.Forwarder) {
 	if p != nil {
 		fmt.Fprintf(out, "follows the planners %s, TLS %v\n", strings.Join(p.Planners, ", "), p.Keys != nil)
 	}
 }
 
-func tellBindings(out io.Writer, b *bindlog.Config) {
+func tellBindings(out io.Writer, b *wal.Config) {
 	if b != nil {
 		fmt.Fprintf(out, "keeps bindings in %s against the %s's death; while it cannot they are: %s\n", b.Dir, b.Promise,
 			map[bool]string{true: "denied", false: "served"}[b.Deny()])
@@ -237,7 +237,7 @@
 	}
 }
 
-func tellPeers(out io.Writer, p *peers.Config) {
+func tellPeers(out io.Writer, p *peer.Config) {
 	if p != nil {
 		fmt.Fprintf(out, "meets other nodes of %s on %s, TLS %v; holds replicas in %s, %d of each record on other machines\n", p.Deployment, p.Listen, p.Keys != nil, p.Held, p.Replicas)
 	}
@@ -250,7 +250,7 @@
 	}
 }
 
-func tellRegistry(out io.Writer, r *registry.Config) {
+func tellRegistry(out io.Writer, r *zookeeper.Config) {
 	if r != nil {
 		fmt.Fprintf(out, "reads servers under %s%s of the registry at %s\n", strings.TrimSuffix(r.Chroot, "/"), r.Path, strings.Join(r.Servers, ", "))
 	}
--- a/cmd/fernvane/config.go
+++ b/cmd/fernvane/config.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/client"
-	"fernvane/internal/distribution/tree"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/client"
+	"fernvane/internal/controlplane/distribution/tree"
 )
 
 const entryMost = distribution.ValueMost + 1 // bytes that are read of one entry's text
--- a/cmd/fernvane/config_status.go
+++ b/cmd/fernvane/config_status.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/client"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/client"
 )
 
 const (
--- a/cmd/fernvane/config_test.go
+++ b/cmd/fernvane/config_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/distribution"
+	"fernvane/internal/controlplane/distribution"
 )
 
 // Who counts as current, by what a control process tells.
--- a/cmd/fernvane/control.go
+++ b/cmd/fernvane/control.go
@@ -5,7 +5,7 @@
 
 	"github.com/spf13/cobra"
 
-	"fernvane/internal/distribution/control"
+	"fernvane/internal/controlplane/distribution/control"
 )
 
 func controlCommand(errs io.Writer, getenv func(string) string) *cobra.Command {
--- a/cmd/fernvane/crowded_test.go
+++ b/cmd/fernvane/crowded_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/standin/address"
+	"fernvane/internal/testbed/standin/address"
 )
 
 // crowd keeps so many idle connections to an address, of each kind in turn: nothing asked, asked once, half a request. One
--- a/cmd/fernvane/distribution_test.go
+++ b/cmd/fernvane/distribution_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/standin/address"
+	"fernvane/internal/testbed/standin/address"
 )
 
 const fleetPatience = 30 * time.Second
--- a/cmd/fernvane/journalshow.go
+++ b/cmd/fernvane/journalshow.go
@@ -4,7 +4,7 @@
 	"strings"
 	"time"
 
-	"fernvane/internal/bindings"
+	"fernvane/internal/journal/intent"
 )
 
 func clock(ns int64) string {
@@ -38,7 +38,7 @@
 	Settled bool   `json:"settled,omitempty"`
 }
 
-func show(e *bindings.Entry) shown {
+func show(e *intent.Entry) shown {
 	s := shown{Run: e.Run, Op: e.Op, ID: e.ID, Type: e.Type, Tenant: e.Tenant, Repeats: e.Repeats, Retry: e.Retry, At: clock(e.At),
 		State: e.State().String(), Told: e.Told, Hops: []hop{}}
 	for _, h := range e.Hops {
--- a/cmd/fernvane/journalsource.go
+++ b/cmd/fernvane/journalsource.go
@@ -13,9 +13,9 @@
 
 	"github.com/spf13/cobra"
 
-	"fernvane/internal/bindings"
-	"fernvane/internal/bindlog"
-	"fernvane/internal/peers"
+	"fernvane/internal/cluster/peer"
+	"fernvane/internal/journal/intent"
+	"fernvane/internal/journal/wal"
 )
 
 const barEvery = 200 * time.Millisecond // between two looks of the progress bar
@@ -28,7 +28,7 @@
 	tenant   string
 	since    string
 	from     time.Time
-	want     bindings.State
+	want     intent.State
 	anyState bool
 }
 
@@ -37,7 +37,7 @@
 	q.anyState = q.state == ""
 	if !q.anyState {
 		var ok bool
-		if q.want, ok = bindings.StateOf(q.state); !ok {
+		if q.want, ok = intent.StateOf(q.state); !ok {
 			return fmt.Errorf("--state %q: not-sent, possibly-sent, ran or not-known", q.state)
 		}
 	}
@@ -55,7 +55,7 @@
 	return nil
 }
 
-func (q *query) fits(e *bindings.Entry) bool {
+func (q *query) fits(e *intent.Entry) bool {
 	if q.id != "" && e.ID != q.id && e.Repeats != q.id || q.tenant != "" && e.Tenant != q.tenant || e.At < q.from.UnixNano() && !q.from.IsZero() ||
 		!q.anyState && e.State() != q.want {
 		return false
@@ -90,7 +90,7 @@
 	if path == "" {
 		return errors.New("which journal? --dir FOLDER")
 	}
-	cfg, err := bindlog.Load(path)
+	cfg, err := wal.Load(path)
 	if err == nil {
 		s.dir = cfg.Dir
 	}
@@ -99,13 +99,13 @@
 
 // entries calls each for all entries, or for those of one id: those of a folder that are whole as they are read, the
 // others at the end.
-func (s *source) entries(since time.Time, id string, errs io.Writer, each func(*bindings.Entry) error) (bindlog.Report, error) {
+func (s *source) entries(since time.Time, id string, errs io.Writer, each func(*intent.Entry) error) (wal.Report, error) {
 	if s.tier {
-		return bindlog.Report{}, s.asked(since, id, errs, each)
+		return wal.Report{}, s.asked(since, id, errs, each)
 	}
-	fold := bindings.NewFold()
+	fold := intent.NewFold()
 	bar, done := progress(errs)
-	report, err := bindlog.Scan(bindlog.OS{}, s.dir, since, func(r *bindings.Record) error {
+	report, err := wal.Scan(wal.OS{}, s.dir, since, func(r *intent.Record) error {
 		if e := fold.Add(r); e != nil {
 			return each(e)
 		}
@@ -128,7 +128,7 @@
 	return report, nil
 }
 
-func tellGaps(errs io.Writer, gaps []bindings.Record) {
+func tellGaps(errs io.Writer, gaps []intent.Record) {
 	for _, g := range gaps {
 		fmt.Fprintf(errs, "from %s to %s %d words were not kept\n", clock(g.From), clock(g.At), g.N)
 	}
@@ -139,15 +139,15 @@
 
 // asked puts together what all nodes of a tier hold. Which could not be asked is told; where they are more than may be
 // lost, nothing counts as not sent.
-func (s *source) asked(since time.Time, id string, errs io.Writer, each func(*bindings.Entry) error) error {
-	cfg, err := peers.Load(s.peers)
+func (s *source) asked(since time.Time, id string, errs io.Writer, each func(*intent.Entry) error) error {
+	cfg, err := peer.Load(s.peers)
 	if err != nil {
 		return err
 	}
-	tier := peers.Ask(context.Background(), cfg, false)
-	union := bindings.NewUnion()
-	var all []*bindings.Entry
-	corrupt, err := tier.Records(context.Background(), since, id, func(r *bindings.Record) error {
+	tier := peer.Ask(context.Background(), cfg, false)
+	union := intent.NewUnion()
+	var all []*intent.Entry
+	corrupt, err := tier.Records(context.Background(), since, id, func(r *intent.Record) error {
 		if e := union.Add(r); e != nil {
 			all = append(all, e)
 		}
--- a/cmd/fernvane/main.go
+++ b/cmd/fernvane/main.go
@@ -12,16 +12,16 @@
 
 	"github.com/spf13/cobra"
 
-	"fernvane/internal/distribution/client"
-	"fernvane/internal/serve"
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/config/tomlfile"
+	"fernvane/internal/controlplane/distribution/client"
+	"fernvane/internal/proxy"
 )
 
 const exitUsage = 2 // also for a configuration of no use
 
 func main() {
 	if len(os.Args) > 1 && os.Args[1] == "serve" {
-		serve.Hear() // ahead of all else, or a reload that is asked for as the node starts would end it
+		proxy.Hear() // ahead of all else, or a reload that is asked for as the node starts would end it
 	}
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr, os.Getenv))
 }
--- a/cmd/fernvane/main_test.go
+++ b/cmd/fernvane/main_test.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"testing"
 
-	"fernvane/internal/standin/address"
+	"fernvane/internal/testbed/standin/address"
 )
 
 // TestMain lets a test start this very program as a process of its own.
--- a/cmd/fernvane/pages_test.go
+++ b/cmd/fernvane/pages_test.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/bindlog"
-	"fernvane/internal/peers"
-	"fernvane/internal/snapshot"
-	"fernvane/internal/standin/address"
+	"fernvane/internal/cluster/peer"
+	"fernvane/internal/discovery/snapshot"
+	"fernvane/internal/journal/wal"
+	"fernvane/internal/testbed/standin/address"
 )
 
 // written finds commands in pages: a line of a block of code, a comment of an example file, or a span of code.
@@ -42,7 +42,7 @@
 	}
 	operator := filepath.Join(root, "deploy", "operator.example.toml")
 	lists := t.TempDir()
-	store, err := snapshot.Open(lists, 3, bindlog.OS{})
+	store, err := snapshot.Open(lists, 3, wal.OS{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,13 +77,13 @@
 	}
 	stands["control.toml"] = put("control.toml", fmt.Sprintf("name = \"c\"\nlisten = %q\ndisk = %q\nplaintext = true\n", address.Free(t), filepath.Join(dir, "control.db")))
 	first, _ := node(t, "n0")
-	tier, err := peers.Load(first)
+	tier, err := peer.Load(first)
 	if err != nil {
 		t.Fatal(err)
 	}
 	stands["peers.toml"], _ = node(t, "n1", fmt.Sprintf("%q", tier.Listen))
 	whole := func() bool {
-		t := peers.Ask(context.Background(), tier, false)
+		t := peer.Ask(context.Background(), tier, false)
 		return len(t.Asked) == 2 && t.Lacking() == ""
 	}
 	for by := time.Now().Add(20 * time.Second); !whole() && time.Now().Before(by); {
--- a/cmd/fernvane/replicas.go
+++ b/cmd/fernvane/replicas.go
@@ -14,7 +14,7 @@
 
 	"github.com/spf13/cobra"
 
-	"fernvane/internal/peers"
+	"fernvane/internal/cluster/peer"
 )
 
 const repairLook = time.Second // between two looks at a tier that is being made whole
@@ -28,15 +28,15 @@
 		Example: "  fernvane replicas --peers peers.toml status\n  fernvane replicas --peers peers.toml repair --for 5m"}
 	root.PersistentFlags().StringVar(&path, "peers", getenv("PROXY_PEERS"), "the tier's TOML `file`; or PROXY_PEERS")
 	root.PersistentFlags().BoolVar(&lines, "json", false, "JSON lines, one for each node, for programs")
-	look := func(c *cobra.Command, verify bool) (*peers.Client, error) {
+	look := func(c *cobra.Command, verify bool) (*peer.Client, error) {
 		if path == "" {
 			return nil, errors.New("which tier? --peers FILE")
 		}
-		cfg, err := peers.Load(path)
+		cfg, err := peer.Load(path)
 		if err != nil {
 			return nil, err
 		}
-		return peers.Ask(c.Context(), cfg, verify), nil
+		return peer.Ask(c.Context(), cfg, verify), nil
 	}
 	var most time.Duration
 	repair := &cobra.Command{Use: "repair", Short: "Have all nodes read what they hold, and wait until it stands as often as it should", Args: cobra.NoArgs,
@@ -78,7 +78,7 @@
 }
 
 // verdict is an error where something lacks, or a node could not be asked.
-func verdict(t *peers.Client) error {
+func verdict(t *peer.Client) error {
 	if t.Lacking() != "" || len(t.Missed) > 0 || len(t.Asked) == 0 {
 		return errLacking
 	}
@@ -86,7 +86,7 @@
 }
 
 // tellTier writes how each node stands, and what lacks.
-func tellTier(out io.Writer, t *peers.Client, lines bool) {
+func tellTier(out io.Writer, t *peer.Client, lines bool) {
 	if lines {
 		e := json.NewEncoder(out)
 		for _, name := range slices.Sorted(maps.Keys(t.Asked)) {
--- a/cmd/fernvane/replicas_test.go
+++ b/cmd/fernvane/replicas_test.go
@@ -15,10 +15,10 @@
 
 	"github.com/rs/zerolog"
 
-	"fernvane/internal/bindings"
-	"fernvane/internal/bindlog"
-	"fernvane/internal/peers"
-	"fernvane/internal/standin/address"
+	"fernvane/internal/cluster/peer"
+	"fernvane/internal/journal/intent"
+	"fernvane/internal/journal/wal"
+	"fernvane/internal/testbed/standin/address"
 )
 
 // node runs a node's part in a tier and keeps one booking; its file comes back.
@@ -36,11 +36,11 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := peers.Load(file)
+	cfg, err := peer.Load(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := peers.New(cfg, name, nil, zerolog.New(io.Discard))
+	p, err := peer.New(cfg, name, nil, zerolog.New(io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,15 +49,15 @@
 	go func() { done <- p.Run(ctx) }()
 	run := uint64(p.Join(ctx, 5*time.Second))
 	p.Keep(filepath.Join(dir, "journal"), true)
-	log, err := bindlog.Open(bindlog.Options{Dir: filepath.Join(dir, "journal"), Files: bindlog.OS{}, Machine: true, SegmentBytes: 1 << 20, Run: run, Copy: p.Copy, Stored: p.Stored})
+	log, err := wal.Open(wal.Options{Dir: filepath.Join(dir, "journal"), Files: wal.OS{}, Machine: true, SegmentBytes: 1 << 20, Run: run, Copy: p.Copy, Stored: p.Stored})
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Now().UnixNano()
-	log.Append(true, bindings.Record{Kind: bindings.Intent, Run: run, Op: 1, At: now, ID: name + "-sent", Type: "book", Server: "s"})
-	log.Append(true, bindings.Record{Kind: bindings.Intent, Run: run, Op: 3, At: now, ID: "id-1", Type: "book", Server: "t"})
-	log.Append(true, bindings.Record{Kind: bindings.Unsent, Run: run, Op: 2, At: now, ID: name + "-unsent", Type: "book"},
-		bindings.Record{Kind: bindings.Told, Run: run, Op: 2, At: now, ID: name + "-unsent", Type: "book", How: "denied"})
+	log.Append(true, intent.Record{Kind: intent.Intent, Run: run, Op: 1, At: now, ID: name + "-sent", Type: "book", Server: "s"})
+	log.Append(true, intent.Record{Kind: intent.Intent, Run: run, Op: 3, At: now, ID: "id-1", Type: "book", Server: "t"})
+	log.Append(true, intent.Record{Kind: intent.Unsent, Run: run, Op: 2, At: now, ID: name + "-unsent", Type: "book"},
+		intent.Record{Kind: intent.Told, Run: run, Op: 2, At: now, ID: name + "-unsent", Type: "book", How: "denied"})
 	stopped := false
 	stop = func() {
 		if !stopped {
@@ -74,7 +74,7 @@
 // What is asked of a tier of three with one other holder for each record, with all there, one lost and two.
 func TestTierCommands(t *testing.T) {
 	a, stopA := node(t, "n0")
-	cfg, err := peers.Load(a)
+	cfg, err := peer.Load(a)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fernvane/serve.go
+++ b/cmd/fernvane/serve.go
@@ -7,9 +7,9 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
-	"fernvane/internal/plancfg"
-	"fernvane/internal/planner"
-	"fernvane/internal/serve"
+	"fernvane/internal/controlplane/planconfig"
+	"fernvane/internal/controlplane/planner"
+	"fernvane/internal/proxy"
 )
 
 // files are what a node is told by, each by its flag or its variable.
@@ -38,8 +38,8 @@
 	}
 }
 
-func (f *files) load() (serve.Config, error) {
-	cfg, err := serve.Load(f.config, func(name string) string {
+func (f *files) load() (proxy.Config, error) {
+	cfg, err := proxy.Load(f.config, func(name string) string {
 		switch name {
 		case "PROXY_OPERATOR":
 			return f.operator
@@ -87,7 +87,7 @@
 			if verbose {
 				level = zerolog.DebugLevel
 			}
-			return ended(serve.Process(cfg, errs, level))
+			return ended(proxy.Process(cfg, errs, level))
 		}}
 	f.flags(c.Flags())
 	c.Flags().BoolVar(&verbose, "verbose", false, "log each hop that does not end with a whole answer")
@@ -98,7 +98,7 @@
 	var path string
 	c := &cobra.Command{Use: "plan", Short: "Run a planner until SIGTERM", Example: "  fernvane plan --file planner.toml",
 		Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-			cfg, err := plancfg.LoadPlanner(path)
+			cfg, err := planconfig.LoadPlanner(path)
 			if err != nil {
 				return unusable{err}
 			}
--- a/cmd/fernvane/snapshot.go
+++ b/cmd/fernvane/snapshot.go
@@ -12,10 +12,10 @@
 
 	"github.com/spf13/cobra"
 
-	"fernvane/internal/bindlog"
-	"fernvane/internal/life"
-	"fernvane/internal/snapshot"
-	"fernvane/internal/trust"
+	"fernvane/internal/discovery/incarnation"
+	"fernvane/internal/discovery/snapshot"
+	"fernvane/internal/discovery/staleness"
+	"fernvane/internal/journal/wal"
 )
 
 var errSpoilt = errors.New("a generation cannot be gone by")
@@ -48,7 +48,7 @@
 		}
 		g.dir = cfg.Dir
 	}
-	store, err := snapshot.Open(g.dir, 1, bindlog.OS{})
+	store, err := snapshot.Open(g.dir, 1, wal.OS{})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -143,7 +143,7 @@
 	return prune
 }
 
-var conditionNames = [...]string{life.Up: "up", life.Draining: "draining", life.Gone: "gone"}
+var conditionNames = [...]string{incarnation.Up: "up", incarnation.Draining: "draining", incarnation.Gone: "gone"}
 
 func conditionName(c uint8) string {
 	if int(c) < len(conditionNames) {
@@ -153,10 +153,10 @@
 }
 
 func tellList(out io.Writer, s *snapshot.Snapshot, now time.Time) {
-	k := trust.Known{Age: now.Sub(time.UnixMilli(s.Confirmed)), Clean: s.Clean}
+	k := staleness.Known{Age: now.Sub(time.UnixMilli(s.Confirmed)), Clean: s.Clean}
 	fmt.Fprintf(out, "node %s of %s, revision %d, %d servers, written %s, confirmed %s ago, ended in good order: %v\n", s.Node, s.Deployment, s.Revision,
 		len(s.Servers), clock(s.Written*1e6), k.Age.Round(time.Second), s.Clean)
-	fmt.Fprintf(out, "a start now would take it with suspicion %d of %d\n", k.Grade(), trust.Grades-1)
+	fmt.Fprintf(out, "a start now would take it with suspicion %d of %d\n", k.Grade(), staleness.Grades-1)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "server\taddress\tzone\tcondition\theard\tran")
 	for _, one := range s.Servers {
--- a/cmd/fernvane/snapshot_test.go
+++ b/cmd/fernvane/snapshot_test.go
@@ -7,15 +7,15 @@
 	"strings"
 	"testing"
 
-	"fernvane/internal/bindlog"
-	"fernvane/internal/snapshot"
+	"fernvane/internal/discovery/snapshot"
+	"fernvane/internal/journal/wal"
 )
 
 // What each command on kept lists says, and its exit code.
 func TestSnapshotCommands(t *testing.T) {
 	dir, spoilt := t.TempDir(), t.TempDir()
 	for _, d := range []string{dir, spoilt} {
-		store, err := snapshot.Open(d, 9, bindlog.OS{})
+		store, err := snapshot.Open(d, 9, wal.OS{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/fernlab/capacity.go
+++ b/cmd/testbed/capacity.go
@@ -5,16 +5,16 @@
 
 	"github.com/spf13/cobra"
 
-	"fernvane/internal/capacity"
-	"fernvane/internal/scale"
-	"fernvane/internal/scale/parts"
+	"fernvane/internal/testbed/capacity"
+	"fernvane/internal/testbed/scale"
+	"fernvane/internal/testbed/scale/component"
 )
 
 func capacityCommand() *cobra.Command {
 	var results, target string
 	c := &cobra.Command{Use: "capacity", Short: "Print the tables of docs/CAPACITY.md from committed results and a target",
 		Long: `capacity fits how each measured figure grows, works it out at the size of the target file and sets it beside the budget.
-Results are the files of ` + "`fernlab scale --json`, named PLANE-DIMENSION-SIZE.json or PLANE-EVENT-SIZE.json, of `fernlab capacity\nmeasure` and of `fernlab bench --json`.",
+Results are the files of ` + "`testbed scale --json`, named PLANE-DIMENSION-SIZE.json or PLANE-EVENT-SIZE.json, of `testbed capacity\nmeasure` and of `testbed bench --json`.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			r, err := capacity.LoadResults(results)
@@ -42,8 +42,8 @@
 			if err != nil {
 				return err
 			}
-			r := parts.Result{Command: told(c), At: time.Now().UTC().Truncate(time.Second), Cores: machine.Cores, Load: machine.Load}
-			if r.Parts, err = parts.Measure(c.OutOrStdout(), only...); err != nil || json == "" {
+			r := component.Result{Command: told(c), At: time.Now().UTC().Truncate(time.Second), Cores: machine.Cores, Load: machine.Load}
+			if r.Parts, err = component.Measure(c.OutOrStdout(), only...); err != nil || json == "" {
 				return err
 			}
 			return capacity.Save(json, r)
--- a/cmd/fernlab/distribution.go
+++ b/cmd/testbed/distribution.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"fernvane/internal/lab"
+	"fernvane/internal/testbed"
 )
 
 const (
@@ -18,13 +18,13 @@
 )
 
 func distributionCommand() *cobra.Command {
-	d := lab.Distribution{}
+	d := testbed.Distribution{}
 	c := &cobra.Command{Use: "distribution", Short: "Play nodes under control processes that end, lose disks and are cut off, and time changes until in force",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			if d.Nodes < 1 || d.Nodes > distributedMost || d.Relays < 2 || d.Changes < 1 {
 				return fmt.Errorf("from 1 to %d nodes, 2 relays at least and 1 change", distributedMost)
 			}
-			dir, err := os.MkdirTemp("", "fernlab-distribution-")
+			dir, err := os.MkdirTemp("", "testbed-distribution-")
 			if err != nil {
 				return err
 			}
@@ -33,7 +33,7 @@
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "fault\tin force at the last node, median\tslowest change\twent back")
 			failed := false
-			err = d.Run(c.Context(), func(r lab.DistributionRow) {
+			err = d.Run(c.Context(), func(r testbed.DistributionRow) {
 				fmt.Fprintf(c.ErrOrStderr(), "%s: %s\n", r.Fault, r.Last.Round(time.Millisecond))
 				fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", r.Fault, r.Median.Round(time.Millisecond), r.Last.Round(time.Millisecond), r.Back)
 				failed = failed || r.Last > distributedWithin || r.Back > 0
--- a/cmd/fernlab/journal.go
+++ b/cmd/testbed/journal.go
@@ -10,9 +10,9 @@
 
 	"github.com/spf13/cobra"
 
-	"fernvane/internal/lab"
-	"fernvane/internal/load"
-	"fernvane/internal/scenario"
+	"fernvane/internal/testbed"
+	"fernvane/internal/testbed/load"
+	"fernvane/internal/testbed/scenario"
 )
 
 func self() ([]string, error) {
@@ -45,7 +45,7 @@
 				s.Faults = append(s.Faults, scenario.Fault{Kind: "kill-nodes", At: scenario.Span(at[node]), For: scenario.Span(down), Nodes: []int{node}})
 				s.Length = max(s.Length, scenario.Span(at[node]+time.Second))
 			}
-			out, err := lab.Run(c.Context(), lab.Options{Scenario: s, Ops: load.Plan(s), Command: command})
+			out, err := testbed.Run(c.Context(), testbed.Options{Scenario: s, Ops: load.Plan(s), Command: command})
 			if err != nil {
 				return err
 			}
@@ -88,7 +88,7 @@
 				if one.Journal.Promise = promise; promise == "machines" {
 					one.Peers.Replicas = 2
 				}
-				out, err := lab.Run(c.Context(), lab.Options{Scenario: &one, Ops: load.Plan(&one), Command: command})
+				out, err := testbed.Run(c.Context(), testbed.Options{Scenario: &one, Ops: load.Plan(&one), Command: command})
 				if err != nil {
 					return err
 				}
@@ -142,7 +142,7 @@
 			for _, before := range []int{0, n} {
 				one := *s
 				one.Peers.Before = before
-				out, err := lab.Run(c.Context(), lab.Options{Scenario: &one, Ops: load.Plan(&one), Command: command})
+				out, err := testbed.Run(c.Context(), testbed.Options{Scenario: &one, Ops: load.Plan(&one), Command: command})
 				if err != nil {
 					return err
 				}
--- a/cmd/fernlab/losses.go
+++ b/cmd/testbed/losses.go
@@ -10,9 +10,9 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sync/errgroup"
 
-	"fernvane/internal/lab"
-	"fernvane/internal/load"
-	"fernvane/internal/scenario"
+	"fernvane/internal/testbed"
+	"fernvane/internal/testbed/load"
+	"fernvane/internal/testbed/scenario"
 )
 
 // lossesCommand loses machines with their disks again and again, in several tiers at a time.
@@ -54,7 +54,7 @@
 
 	mu     sync.Mutex
 	runs   uint64
-	sum    lab.Journal
+	sum    testbed.Journal
 	broken map[string]int
 	worst  map[string]string
 	fault  error
@@ -67,7 +67,7 @@
 		if s == nil || err != nil {
 			return err
 		}
-		out, err := lab.Run(ctx, lab.Options{Scenario: s, Ops: load.Plan(s), Command: l.command})
+		out, err := testbed.Run(ctx, testbed.Options{Scenario: s, Ops: load.Plan(s), Command: l.command})
 		if err := l.add(s, out, err); err != nil {
 			return err
 		}
@@ -96,7 +96,7 @@
 }
 
 // add counts a run.
-func (l *losses) add(s *scenario.Scenario, out *lab.Outcome, err error) error {
+func (l *losses) add(s *scenario.Scenario, out *testbed.Outcome, err error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
--- a/cmd/fernlab/main.go
+++ b/cmd/testbed/main.go
@@ -1,4 +1,4 @@
-// Command fernlab plays scenarios with real nodes on loopback sockets against stand-ins, and says how the nodes did.
+// Command testbed plays scenarios with real nodes on loopback sockets against stand-ins, and says how the nodes did.
 package main
 
 import (
@@ -14,12 +14,12 @@
 	"github.com/rs/zerolog"
 	"github.com/spf13/cobra"
 
-	"fernvane/internal/baseline"
-	"fernvane/internal/lab"
-	"fernvane/internal/plancfg"
-	"fernvane/internal/planner"
-	"fernvane/internal/scale"
-	"fernvane/internal/serve"
+	"fernvane/internal/controlplane/planconfig"
+	"fernvane/internal/controlplane/planner"
+	"fernvane/internal/proxy"
+	"fernvane/internal/testbed"
+	"fernvane/internal/testbed/baseline"
+	"fernvane/internal/testbed/scale"
 )
 
 // Exit codes.
@@ -57,8 +57,8 @@
 
 // node is what `fernvane serve` is, in this binary, so that the lab needs no build beside it; the policy may be another.
 func node(errs io.Writer, getenv func(string) string) int {
-	serve.Hear() // as the node's own command does
-	cfg, err := serve.Load(getenv("PROXY_CONFIG"), getenv)
+	proxy.Hear() // as the node's own command does
+	cfg, err := proxy.Load(getenv("PROXY_CONFIG"), getenv)
 	if err != nil {
 		fmt.Fprintf(errs, "the configuration cannot be used: %v\n", err)
 		return exitBadInput
@@ -72,7 +72,7 @@
 	_, cfg.Unguarded = baseline.Broken[getenv(policyVar)]
 	cfg.Deaf = baseline.Broken[getenv(policyVar)] == "leavers"
 	cfg.Hoards = baseline.Broken[getenv(policyVar)] == "closing"
-	cfg.Disk = lab.Disk(getenv)
+	cfg.Disk = testbed.Disk(getenv)
 	if path := getenv(profileVar); path != "" {
 		f, err := os.Create(path)
 		if err == nil {
@@ -85,12 +85,12 @@
 		defer f.Close()
 		defer pprof.StopCPUProfile()
 	}
-	return serve.Process(cfg, errs, zerolog.InfoLevel)
+	return proxy.Process(cfg, errs, zerolog.InfoLevel)
 }
 
 // plans is what `fernvane plan` is.
 func plans(errs io.Writer, getenv func(string) string) int {
-	cfg, err := plancfg.LoadPlanner(getenv("PROXY_PLAN"))
+	cfg, err := planconfig.LoadPlanner(getenv("PROXY_PLAN"))
 	if err != nil {
 		fmt.Fprintf(errs, "the planner's file cannot be used: %v\n", err)
 		return exitBadInput
@@ -102,9 +102,9 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	root := &cobra.Command{
-		Use:   "fernlab",
+		Use:   "testbed",
 		Short: "Plays deployments on loopback with real nodes and stand-ins, and audits the four rules",
-		Long: `fernlab starts real node processes on loopback sockets, with stand-ins for servers, discovery, the front and
+		Long: `testbed starts real node processes on loopback sockets, with stand-ins for servers, discovery, the front and
 clients, sends them a load whose moments are fixed ahead, and brings troubles at stated times. It reports service
 and latency beside plain policies in the same world, and whether the rules were kept.
 
--- a/cmd/fernlab/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"fernvane/internal/report"
+	"fernvane/internal/testbed/report"
 )
 
 // TestMain lets this very program run as a node, as the command does.
--- a/cmd/fernlab/run.go
+++ b/cmd/testbed/run.go
@@ -13,11 +13,11 @@
 
 	"github.com/spf13/cobra"
 
-	"fernvane/internal/baseline"
-	"fernvane/internal/lab"
-	"fernvane/internal/load"
-	"fernvane/internal/report"
-	"fernvane/internal/scenario"
+	"fernvane/internal/testbed"
+	"fernvane/internal/testbed/baseline"
+	"fernvane/internal/testbed/load"
+	"fernvane/internal/testbed/report"
+	"fernvane/internal/testbed/scenario"
 )
 
 type runFlags struct {
@@ -40,7 +40,7 @@
 	var f runFlags
 	c := &cobra.Command{
 		Use:   "run SCENARIO",
-		Short: "Play a scenario: one of `fernlab list`, or a TOML file",
+		Short: "Play a scenario: one of `testbed list`, or a TOML file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := scenario.Load(args[0])
@@ -151,7 +151,7 @@
 }
 
 // options of the node's own run, and its name in the report.
-func (f *runFlags) options(s *scenario.Scenario) (o lab.Options, name string, err error) {
+func (f *runFlags) options(s *scenario.Scenario) (o testbed.Options, name string, err error) {
 	if _, ok := baseline.Find(f.policy); !ok {
 		return o, "", fmt.Errorf("no policy %q", f.policy)
 	}
@@ -172,12 +172,12 @@
 	if f.policy != "" {
 		name = f.policy
 	}
-	return lab.Options{Scenario: s, Ops: ops, Command: command, Planner: []string{self, planCommand}, Keep: f.keep,
+	return testbed.Options{Scenario: s, Ops: ops, Command: command, Planner: []string{self, planCommand}, Keep: f.keep,
 		Env: []string{policyVar + "=" + f.policy}}, name, nil
 }
 
 // variants plays the scenario without what it is about: planners, the registry, or the kept list.
-func variants(ctx context.Context, o lab.Options, r *report.Report) error {
+func variants(ctx context.Context, o testbed.Options, r *report.Report) error {
 	s := o.Scenario
 	play := func(other *scenario.Scenario, suffix, name string) error {
 		o := o
@@ -248,7 +248,7 @@
 }
 
 // pairings plays the scenario in the other pairings of protocols, side by side.
-func pairings(ctx context.Context, o lab.Options, r *report.Report) error {
+func pairings(ctx context.Context, o testbed.Options, r *report.Report) error {
 	names := []string{"FastCGI to HTTP", "HTTP to FastCGI", "FastCGI to FastCGI"}
 	reports, faults := make([]report.Report, len(names)), make([]error, len(names))
 	var wg sync.WaitGroup
@@ -265,8 +265,8 @@
 	return errors.Join(faults...)
 }
 
-func once(ctx context.Context, o lab.Options, name string) (report.Report, error) {
-	out, err := lab.Run(ctx, o)
+func once(ctx context.Context, o testbed.Options, name string) (report.Report, error) {
+	out, err := testbed.Run(ctx, o)
 	if err != nil {
 		return report.Report{}, err
 	}
@@ -274,7 +274,7 @@
 }
 
 // beside plays policies at the same time, each in a world of its own.
-func beside(ctx context.Context, o lab.Options, policies []string) ([]report.Report, error) {
+func beside(ctx context.Context, o testbed.Options, policies []string) ([]report.Report, error) {
 	reports, faults := make([]report.Report, len(policies)), make([]error, len(policies))
 	self, err := os.Executable()
 	if err != nil {
--- a/cmd/fernlab/scale.go
+++ b/cmd/testbed/scale.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"fernvane/internal/scale"
+	"fernvane/internal/testbed/scale"
 )
 
 func scaleCommand() *cobra.Command {
--- a/cmd/fernlab/steps.go
+++ b/cmd/testbed/steps.go
@@ -11,9 +11,9 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sync/errgroup"
 
-	"fernvane/internal/lab"
-	"fernvane/internal/load"
-	"fernvane/internal/scenario"
+	"fernvane/internal/testbed"
+	"fernvane/internal/testbed/load"
+	"fernvane/internal/testbed/scenario"
 )
 
 // stepsCommand takes a machine or a process away at each step of copying and of copying on.
@@ -88,7 +88,7 @@
 }
 
 func (r *stepRow) play(ctx context.Context, command []string) error {
-	out, err := lab.Run(ctx, lab.Options{Scenario: r.s, Ops: load.Plan(r.s), Command: command})
+	out, err := testbed.Run(ctx, testbed.Options{Scenario: r.s, Ops: load.Plan(r.s), Command: command})
 	if err != nil {
 		return err
 	}
--- a/cmd/fernlab/tools.go
+++ b/cmd/testbed/tools.go
@@ -10,13 +10,13 @@
 
 	"github.com/spf13/cobra"
 
-	"fernvane/internal/baseline"
-	"fernvane/internal/capacity"
-	"fernvane/internal/lab"
-	"fernvane/internal/load"
-	"fernvane/internal/report"
-	"fernvane/internal/scale"
-	"fernvane/internal/scenario"
+	"fernvane/internal/testbed"
+	"fernvane/internal/testbed/baseline"
+	"fernvane/internal/testbed/capacity"
+	"fernvane/internal/testbed/load"
+	"fernvane/internal/testbed/report"
+	"fernvane/internal/testbed/scale"
+	"fernvane/internal/testbed/scenario"
 )
 
 func listCommand() *cobra.Command {
@@ -93,7 +93,7 @@
 		}}
 }
 
-// loadFlags are those of `fernlab load`.
+// loadFlags are those of `testbed load`.
 type loadFlags struct {
 	to     string
 	name   string
@@ -171,7 +171,7 @@
 	s.Nodes.Count, s.Boxes = 0, nil
 	to := l.to
 	if to == "self" {
-		address, stop, err := lab.Instant()
+		address, stop, err := testbed.Instant()
 		defer stop()
 		if err != nil {
 			return err
@@ -180,7 +180,7 @@
 	}
 	g := &load.Generator{Scenario: s, Ops: ops, Progress: progress(c.ErrOrStderr(), s.Length.D())}
 	late := g.Run(c.Context(), time.Now(), load.Fixed(to), load.Nobody{})
-	r := report.New(s, to, ops, &lab.Outcome{Result: g.Result, Late: late})
+	r := report.New(s, to, ops, &testbed.Outcome{Result: g.Result, Late: late})
 	r.Text(c.OutOrStdout())
 	if l.json != "" {
 		if err := r.Save(l.json); err != nil {
@@ -209,7 +209,7 @@
 				return err
 			}
 			r := capacity.Path{Command: told(c), At: time.Now().UTC().Truncate(time.Second), Machine: machine}
-			r.Rows, err = lab.Bench(c.Context(), lab.BenchOptions{Command: []string{self, nodeCommand}, Each: each,
+			r.Rows, err = testbed.Bench(c.Context(), testbed.BenchOptions{Command: []string{self, nodeCommand}, Each: each,
 				Env: []string{profileVar + "=" + profile}, Connections: conns, Rates: rates})
 			if err != nil {
 				return err
@@ -268,7 +268,7 @@
 		wg.Go(func() {
 			atOnce <- struct{}{}
 			defer func() { <-atOnce }()
-			r, fault := once(ctx, lab.Options{Scenario: s, Ops: ops, Command: []string{self, nodeCommand}, Env: []string{policyVar + "=" + name}}, name)
+			r, fault := once(ctx, testbed.Options{Scenario: s, Ops: ops, Command: []string{self, nodeCommand}, Env: []string{policyVar + "=" + name}}, name)
 			mu.Lock()
 			defer mu.Unlock()
 			if fault != nil {
--- a/internal/frames/frames.go
+++ b/internal/cluster/framing/frames.go
@@ -1,6 +1,6 @@
-// Package frames carries messages between processes of this program: frames of a length, a kind and a CBOR body, in both
+// Package framing carries messages between processes of this program: frames of a length, a kind and a CBOR body, in both
 // directions on one connection. Each protocol of frames names its version, its kinds and its bounds.
-package frames
+package framing
 
 import (
 	"bufio"
--- a/internal/neighbours/member.go
+++ b/internal/cluster/membership/member.go
@@ -1,11 +1,11 @@
-// Package neighbours decides which nodes of a tier live, from what each hears of the others. It is free of I/O: whoever
+// Package membership decides which nodes of a tier live, from what each hears of the others. It is free of I/O: whoever
 // runs it leads connections, hands in what came on them, and sends what it is told to send.
 //
 // Each node watches the few that stand before it on rings of hashed names, and is watched by the few behind it, so that
 // the price of watching does not grow with the tier. One that falls silent is asked about at its other watchers: if one of
 // them hears it, the way between is cut and the node lives; if none does, it is suspected before all, may refute that
 // itself, and is dead when it does not. Lives of one name are ordered by their starts and cannot go back.
-package neighbours
+package membership
 
 import (
 	"cmp"
--- a/internal/neighbours/table.go
+++ b/internal/cluster/membership/table.go
@@ -1,4 +1,4 @@
-package neighbours
+package membership
 
 import (
 	"cmp"
--- a/internal/neighbours/transitions.go
+++ b/internal/cluster/membership/transitions.go
@@ -1,4 +1,4 @@
-package neighbours
+package membership
 
 // state is how a watched node is seen.
 type state uint8
--- a/internal/mtls/config.go
+++ b/internal/cluster/mtls/config.go
@@ -3,7 +3,7 @@
 import (
 	"net/netip"
 
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/config/tomlfile"
 )
 
 // Configured loads the keys that an operator's file names under cert, key and ca, or none where it says plaintext: then all
--- a/internal/mtls/mtls_test.go
+++ b/internal/cluster/mtls/mtls_test.go
@@ -9,19 +9,19 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/standin/keys"
+	"fernvane/internal/testbed/standin/certauthority"
 )
 
-func authority(t *testing.T) *keys.Authority {
+func authority(t *testing.T) *certauthority.Authority {
 	t.Helper()
-	a, err := keys.New("authority")
+	a, err := certauthority.New("authority")
 	if err != nil {
 		t.Fatal(err)
 	}
 	return a
 }
 
-func load(t *testing.T, a *keys.Authority, name string, until time.Duration) *Keys {
+func load(t *testing.T, a *certauthority.Authority, name string, until time.Duration) *Keys {
 	t.Helper()
 	cert, key, ca, err := a.Write(t.TempDir(), name, time.Now().Add(until))
 	if err != nil {
--- a/internal/peers/command.go
+++ b/internal/cluster/peer/command.go
@@ -1,4 +1,4 @@
-package peers
+package peer
 
 import (
 	"context"
@@ -9,11 +9,11 @@
 	"sync"
 	"time"
 
-	"fernvane/internal/bindings"
-	"fernvane/internal/bindlog"
-	"fernvane/internal/frames"
-	"fernvane/internal/neighbours"
-	"fernvane/internal/replicas"
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/cluster/membership"
+	"fernvane/internal/cluster/replication"
+	"fernvane/internal/journal/intent"
+	"fernvane/internal/journal/wal"
 )
 
 const (
@@ -24,7 +24,7 @@
 )
 
 // command answers a caller that is no node.
-func (p *Peers) command(ctx context.Context, c *frames.Conn) error {
+func (p *Peers) command(ctx context.Context, c *framing.Conn) error {
 	for {
 		k, body, err := c.Receive(time.Now().Add(askMost))
 		if err != nil {
@@ -33,7 +33,7 @@
 		switch k {
 		case queryKind:
 			var q query
-			if err := frames.Decode(body, &q); err != nil {
+			if err := framing.Decode(body, &q); err != nil {
 				return c.Refuse(err)
 			}
 			var faults []string
@@ -47,7 +47,7 @@
 			}
 		case pullKind:
 			var q pull
-			if err := frames.Decode(body, &q); err != nil {
+			if err := framing.Decode(body, &q); err != nil {
 				return c.Refuse(err)
 			}
 			if err := p.pulled(ctx, c, &q); err != nil {
@@ -71,7 +71,7 @@
 }
 
 // pulled sends all records that stand here.
-func (p *Peers) pulled(ctx context.Context, c *frames.Conn, q *pull) error {
+func (p *Peers) pulled(ctx context.Context, c *framing.Conn, q *pull) error {
 	p.mu.Lock()
 	journal := p.journal
 	p.mu.Unlock()
@@ -91,8 +91,8 @@
 	}
 	mine := map[[2]uint64]bool{} // operations of the id; what settles a stream stands behind it
 	for _, dir := range dirs {
-		report, scanned := bindlog.Scan(p.files, dir, time.Unix(0, q.Since), func(r *bindings.Record) error {
-			if q.ID != "" && r.Kind != bindings.Gap {
+		report, scanned := wal.Scan(p.files, dir, time.Unix(0, q.Since), func(r *intent.Record) error {
+			if q.ID != "" && r.Kind != intent.Gap {
 				op := [2]uint64{r.Run, r.Op}
 				if r.ID == q.ID || r.Repeats == q.ID {
 					mine[op] = true
@@ -100,11 +100,11 @@
 					return nil
 				}
 			}
-			if r.Kind == bindings.Numbered {
+			if r.Kind == intent.Numbered {
 				return nil
 			}
 			var err error
-			if out.Body, err = bindlog.AppendFrame(out.Body, r); err != nil {
+			if out.Body, err = wal.AppendFrame(out.Body, r); err != nil {
 				return err
 			}
 			if len(out.Body) > pulledBytes {
@@ -127,14 +127,14 @@
 type Client struct {
 	cfg *Config
 	// Members are those that were found; Asked those that answered, by name, and Missed why the others did not.
-	Members map[string]neighbours.Member
+	Members map[string]membership.Member
 	Asked   map[string]*Status
 	Missed  map[string]error
 }
 
 // Ask finds the nodes of a tier, by the addresses of a file and by what those tell, and asks each how it stands.
 func Ask(ctx context.Context, cfg *Config, verify bool) *Client {
-	t := &Client{cfg: cfg, Members: map[string]neighbours.Member{}, Asked: map[string]*Status{}, Missed: map[string]error{}}
+	t := &Client{cfg: cfg, Members: map[string]membership.Member{}, Asked: map[string]*Status{}, Missed: map[string]error{}}
 	var mu sync.Mutex
 	tried := map[string]bool{}
 	next := append(slices.Clone(cfg.Peers), cfg.Advertise)
@@ -158,7 +158,7 @@
 				}
 				t.Asked[s.Self.Name] = s
 				for _, m := range append(s.Members, s.Self) {
-					if was, ok := t.Members[m.Name]; !ok || neighbours.Compare(was, m) < 0 {
+					if was, ok := t.Members[m.Name]; !ok || membership.Compare(was, m) < 0 {
 						t.Members[m.Name] = m
 					}
 				}
@@ -167,7 +167,7 @@
 		wg.Wait()
 		next = nil
 		for _, m := range t.Members {
-			if m.Condition != neighbours.Left && !tried[m.Address] {
+			if m.Condition != membership.Left && !tried[m.Address] {
 				next = append(next, m.Address)
 			}
 		}
@@ -181,7 +181,7 @@
 func (t *Client) name() {
 	missed := map[string]error{}
 	for _, m := range t.Members {
-		if err := t.Missed[m.Address]; err != nil && t.Asked[m.Name] == nil && m.Condition != neighbours.Left {
+		if err := t.Missed[m.Address]; err != nil && t.Asked[m.Name] == nil && m.Condition != membership.Left {
 			missed[m.Name] = err
 			delete(t.Missed, m.Address)
 		}
@@ -215,7 +215,7 @@
 }
 
 func status(ctx context.Context, cfg *Config, at string, verify bool) (*Status, error) {
-	c, _, err := dial(ctx, cfg, netip.Addr{}, at, "command", neighbours.Member{})
+	c, _, err := dial(ctx, cfg, netip.Addr{}, at, "command", membership.Member{})
 	if err != nil {
 		return nil, err
 	}
@@ -231,18 +231,18 @@
 	switch {
 	case err != nil:
 		return nil, err
-	case k == frames.Refusals:
-		return nil, frames.Refused(body)
+	case k == framing.Refusals:
+		return nil, framing.Refused(body)
 	case k != statusKind:
 		return nil, fmt.Errorf("a frame of kind %d in place of an answer", k)
 	}
 	s := &Status{}
-	return s, frames.Decode(body, s)
+	return s, framing.Decode(body, s)
 }
 
 // Records has each node that answers tell all its records, or those of one operation; one is called for each, by one node
 // at a time. What stands at several nodes comes several times. Who does not answer to its end counts as missed.
-func (t *Client) Records(ctx context.Context, since time.Time, id string, each func(*bindings.Record) error) (corrupt int, err error) {
+func (t *Client) Records(ctx context.Context, since time.Time, id string, each func(*intent.Record) error) (corrupt int, err error) {
 	for name := range t.Asked {
 		n, err := t.records(ctx, t.Members[name].Address, pull{Since: since.UnixNano(), ID: id}, each)
 		corrupt += n
@@ -263,8 +263,8 @@
 // ownError is one of the caller's, not of a node.
 type ownError struct{ error }
 
-func (t *Client) records(ctx context.Context, at string, q pull, each func(*bindings.Record) error) (corrupt int, err error) {
-	c, _, err := dial(ctx, t.cfg, netip.Addr{}, at, "command", neighbours.Member{})
+func (t *Client) records(ctx context.Context, at string, q pull, each func(*intent.Record) error) (corrupt int, err error) {
+	c, _, err := dial(ctx, t.cfg, netip.Addr{}, at, "command", membership.Member{})
 	if err != nil {
 		return 0, err
 	}
@@ -281,10 +281,10 @@
 		if k != pulledKind {
 			return corrupt, fmt.Errorf("a frame of kind %d in place of records", k)
 		}
-		if err := frames.Decode(body, &part); err != nil {
+		if err := framing.Decode(body, &part); err != nil {
 			return corrupt, err
 		}
-		if err := bindlog.ReadFrames(part.Body, func(r *bindings.Record) error {
+		if err := wal.ReadFrames(part.Body, func(r *intent.Record) error {
 			if err := each(r); err != nil {
 				return ownError{err}
 			}
@@ -302,8 +302,8 @@
 }
 
 // whole finds which nodes have each stream whole, as far as any node has it. The origin's own disk counts where it answers.
-func (t *Client) whole() map[replicas.Stream][]string {
-	all := map[replicas.Stream]replicas.Ranges{}
+func (t *Client) whole() map[replication.Stream][]string {
+	all := map[replication.Stream]replication.Ranges{}
 	for _, s := range t.Asked {
 		for _, h := range s.Holdings {
 			for _, x := range h.Ranges {
@@ -311,10 +311,10 @@
 			}
 		}
 	}
-	at := map[replicas.Stream][]string{}
+	at := map[replication.Stream][]string{}
 	for stream, whole := range all {
 		for name, s := range t.Asked {
-			if s.Stream == stream || slices.ContainsFunc(s.Holdings, func(h replicas.Holding) bool {
+			if s.Stream == stream || slices.ContainsFunc(s.Holdings, func(h replication.Holding) bool {
 				return h.Stream == stream && len(whole.Without(h.Ranges)) == 0
 			}) {
 				at[stream] = append(at[stream], name)
@@ -325,8 +325,8 @@
 }
 
 // Copies counts on how many machines each stream stands whole.
-func (t *Client) Copies() map[replicas.Stream]int {
-	counts := map[replicas.Stream]int{}
+func (t *Client) Copies() map[replication.Stream]int {
+	counts := map[replication.Stream]int{}
 	for stream, names := range t.whole() {
 		machines := map[string]bool{}
 		for _, name := range names {
@@ -346,7 +346,7 @@
 	if own == nil {
 		return false
 	}
-	if gone(name) && own.Stream.Up != 0 && !slices.ContainsFunc(own.Holders, func(h replicas.Holder) bool {
+	if gone(name) && own.Stream.Up != 0 && !slices.ContainsFunc(own.Holders, func(h replication.Holder) bool {
 		return h.Stand == "level" && h.Lacks == 0 && !gone(h.Name)
 	}) {
 		return false
@@ -389,7 +389,7 @@
 func (t *Client) HeldBy(name string) []string {
 	all := []string{name}
 	for other, s := range t.Asked {
-		if slices.ContainsFunc(s.Holdings, func(h replicas.Holding) bool { return h.Name == name }) && other != name {
+		if slices.ContainsFunc(s.Holdings, func(h replication.Holding) bool { return h.Name == name }) && other != name {
 			all = append(all, other)
 		}
 	}
--- a/internal/peers/config.go
+++ b/internal/cluster/peer/config.go
@@ -1,6 +1,6 @@
-// Package peers runs what a node shares with the other nodes of its tier: connections between them, who lives, and the
+// Package peer runs what a node shares with the other nodes of its tier: connections between them, who lives, and the
 // replicas of what each keeps. What is decided is in neighbours and replicas; here are sockets, disks and clocks.
-package peers
+package peer
 
 import (
 	"net/netip"
@@ -9,8 +9,8 @@
 	"strconv"
 	"time"
 
-	"fernvane/internal/mtls"
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/cluster/mtls"
+	"fernvane/internal/config/tomlfile"
 )
 
 const (
--- a/internal/peers/frames.go
+++ b/internal/cluster/peer/frames.go
@@ -1,11 +1,11 @@
-package peers
+package peer
 
 import (
 	"fmt"
 
-	"fernvane/internal/frames"
-	"fernvane/internal/neighbours"
-	"fernvane/internal/replicas"
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/cluster/membership"
+	"fernvane/internal/cluster/replication"
 )
 
 // version of what nodes say to each other. One of another is refused.
@@ -14,7 +14,7 @@
 const frameMost = 1 << 20 // bytes: a part of 1,024 records of 250 bytes, and slack
 
 const (
-	introKind = frames.First + iota
+	introKind = framing.First + iota
 	beatKind
 	newsKind
 	askKind
@@ -32,14 +32,14 @@
 	kinds
 )
 
-var protocol = frames.Protocol{Version: version, Kinds: kinds, Most: frameMost, Sums: true}
+var protocol = framing.Protocol{Version: version, Kinds: kinds, Most: frameMost, Sums: true}
 
 // intro is who a caller is, behind the greeting. One without a life is a command, not a node.
 type intro struct {
 	_ struct{} `cbor:",toarray"`
 
 	Deployment string
-	Member     neighbours.Member
+	Member     membership.Member
 }
 
 // query asks a node how it stands.
@@ -53,16 +53,16 @@
 type Status struct {
 	_ struct{} `cbor:",toarray"`
 
-	Self     neighbours.Member
-	Members  []neighbours.Member
+	Self     membership.Member
+	Members  []membership.Member
 	Ready    bool // it has read what it holds
 	Replicas int
-	Stream   replicas.Stream // its running life's own; none where it keeps no journal
+	Stream   replication.Stream // its running life's own; none where it keeps no journal
 	Next     uint64
 	Kept     uint64
 	Waits    int
-	Holders  []replicas.Holder
-	Holdings []replicas.Holding
+	Holders  []replication.Holder
+	Holdings []replication.Holding
 	Bytes    int64
 	Most     int64
 	Faults   []string // of what was read
@@ -99,23 +99,23 @@
 }
 
 // kindOf is the frame that carries something.
-func kindOf(what any) frames.Kind {
+func kindOf(what any) framing.Kind {
 	switch what.(type) {
-	case *neighbours.Beat:
+	case *membership.Beat:
 		return beatKind
-	case *neighbours.News:
+	case *membership.News:
 		return newsKind
-	case *neighbours.Ask:
+	case *membership.Ask:
 		return askKind
-	case *neighbours.Tell:
+	case *membership.Tell:
 		return tellKind
-	case *replicas.Offer:
+	case *replication.Offer:
 		return offerKind
-	case *replicas.Have:
+	case *replication.Have:
 		return haveKind
-	case *replicas.Batch:
+	case *replication.Batch:
 		return batchKind
-	case *replicas.Ack:
+	case *replication.Ack:
 		return ackKind
 	case *listAsk:
 		return listAskKind
@@ -126,42 +126,42 @@
 }
 
 // read decodes a frame from a node.
-func read(k frames.Kind, body []byte) (what any, err error) {
+func read(k framing.Kind, body []byte) (what any, err error) {
 	switch k {
 	case beatKind:
-		what = &neighbours.Beat{}
+		what = &membership.Beat{}
 	case newsKind:
-		what = &neighbours.News{}
+		what = &membership.News{}
 	case askKind:
-		what = &neighbours.Ask{}
+		what = &membership.Ask{}
 	case tellKind:
-		what = &neighbours.Tell{}
+		what = &membership.Tell{}
 	case offerKind:
-		what = &replicas.Offer{}
+		what = &replication.Offer{}
 	case haveKind:
-		what = &replicas.Have{}
+		what = &replication.Have{}
 	case batchKind:
-		what = &replicas.Batch{}
+		what = &replication.Batch{}
 	case ackKind:
-		what = &replicas.Ack{}
+		what = &replication.Ack{}
 	case listAskKind:
 		what = &listAsk{}
 	case listKind:
 		what = &list{}
-	case frames.Refusals:
-		return nil, frames.Refused(body)
+	case framing.Refusals:
+		return nil, framing.Refused(body)
 	default:
 		return nil, fmt.Errorf("a frame of kind %d from a node", k)
 	}
-	return what, frames.Decode(body, what)
+	return what, framing.Decode(body, what)
 }
 
 // size is about what something takes while it waits to be sent.
 func size(what any) int {
 	switch w := what.(type) {
-	case *replicas.Batch:
+	case *replication.Batch:
 		return len(w.Body) + 64
-	case *neighbours.News:
+	case *membership.News:
 		return 128 * len(w.Members)
 	case *list:
 		return len(w.Text) + 64
@@ -171,6 +171,6 @@
 
 // Step is the kind of a frame by the name that scenarios of the lab use; 0 for none.
 func Step(name string) byte {
-	return byte(map[string]frames.Kind{"beat": beatKind, "news": newsKind, "ask": askKind, "tell": tellKind, "offer": offerKind, "have": haveKind,
+	return byte(map[string]framing.Kind{"beat": beatKind, "news": newsKind, "ask": askKind, "tell": tellKind, "offer": offerKind, "have": haveKind,
 		"batch": batchKind, "ack": ackKind}[name])
 }
--- a/internal/peers/held.go
+++ b/internal/cluster/peer/held.go
@@ -1,4 +1,4 @@
-package peers
+package peer
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"fernvane/internal/bindlog"
-	"fernvane/internal/holdings"
-	"fernvane/internal/neighbours"
-	"fernvane/internal/replicas"
+	"fernvane/internal/cluster/membership"
+	"fernvane/internal/cluster/replicastore"
+	"fernvane/internal/cluster/replication"
+	"fernvane/internal/journal/wal"
 )
 
 const (
@@ -25,12 +25,12 @@
 var errLost = errors.New("the node is gone, or has all")
 
 // read reads the parts of a stream that stand here: those held, and for an earlier life of this node its own journal.
-func (p *Peers) read(s replicas.Stream, each func(bindlog.Part) error) (report bindlog.Report, err error) {
+func (p *Peers) read(s replication.Stream, each func(wal.Part) error) (report wal.Report, err error) {
 	p.mu.Lock()
 	journal := p.journal
 	p.mu.Unlock()
 	if s.Name == p.name && journal != "" {
-		report, err = holdings.ReadDir(p.files, journal, uint64(s.Up), each)
+		report, err = replicastore.ReadDir(p.files, journal, uint64(s.Up), each)
 		if err != nil {
 			return report, err
 		}
@@ -58,7 +58,7 @@
 	}
 	records := 0
 	for _, s := range streams {
-		report, err := p.store.Read(s, func(part bindlog.Part) error {
+		report, err := p.store.Read(s, func(part wal.Part) error {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
@@ -80,14 +80,14 @@
 	p.mu.Unlock()
 	if journal != "" {
 		own := map[int64]bool{}
-		holdings.ReadDir(p.files, journal, 0, func(part bindlog.Part) error {
+		replicastore.ReadDir(p.files, journal, 0, func(part wal.Part) error {
 			if int64(part.Run) >= up || ctx.Err() != nil {
 				return ctx.Err()
 			}
 			own[int64(part.Run)] = true
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.keeper.Found(replicas.Stream{Name: p.name, Up: int64(part.Run)}, part.First, part.First+uint64(part.N), 0, part.At)
+			p.keeper.Found(replication.Stream{Name: p.name, Up: int64(part.Run)}, part.First, part.First+uint64(part.N), 0, part.At)
 			return nil
 		})
 	}
@@ -111,8 +111,8 @@
 	}
 	s, had := o.Stream(), o.Ranges()
 	p.mu.Unlock()
-	var found replicas.Ranges
-	report, err := p.read(s, func(part bindlog.Part) error {
+	var found replication.Ranges
+	report, err := p.read(s, func(part wal.Part) error {
 		found = found.With(part.First, part.First+uint64(part.N))
 		return ctx.Err()
 	})
@@ -142,8 +142,8 @@
 		p.mu.Lock()
 		p.keeper.Read(s)
 		p.mu.Unlock()
-		var found replicas.Ranges
-		report, err := p.read(s, func(part bindlog.Part) error {
+		var found replication.Ranges
+		report, err := p.read(s, func(part wal.Part) error {
 			found = found.With(part.First, part.First+uint64(part.N))
 			return ctx.Err()
 		})
@@ -164,14 +164,14 @@
 
 // copies starts what is to be copied to others now, each beside the serving.
 func (p *Peers) copies(ctx context.Context, g *errgroup.Group, now time.Duration) {
-	var jobs []replicas.Job
+	var jobs []replication.Job
 	if p.ready {
 		jobs = p.keeper.Jobs(now)
 	}
 	if p.origin != nil {
 		for _, name := range p.origin.Wanted() {
 			if len(p.origin.Lacks(name)) > 0 {
-				jobs = append(jobs, replicas.Job{Stream: p.origin.Stream(), To: name})
+				jobs = append(jobs, replication.Job{Stream: p.origin.Stream(), To: name})
 			}
 		}
 	}
@@ -196,7 +196,7 @@
 }
 
 // lacks is what a job's receiver does not have.
-func (p *Peers) lacks(j replicas.Job) replicas.Ranges {
+func (p *Peers) lacks(j replication.Job) replication.Ranges {
 	if p.origin != nil && j.Stream == p.origin.Stream() {
 		return p.origin.Lacks(j.To)
 	}
@@ -206,20 +206,20 @@
 // copying is one stream on its way from this node's disk to another node.
 type copying struct {
 	p       *Peers
-	job     replicas.Job
-	live    bool            // it is this life's own stream
-	onWay   chan struct{}   // holds one for each batch that is not acknowledged
-	batch   *replicas.Batch // parts one behind the other go together
-	records int             // sent so far
+	job     replication.Job
+	live    bool               // it is this life's own stream
+	onWay   chan struct{}      // holds one for each batch that is not acknowledged
+	batch   *replication.Batch // parts one behind the other go together
+	records int                // sent so far
 }
 
 // copy sends from disk what a node lacks of a stream, at the rate that all copying of this node keeps to.
-func (p *Peers) copy(ctx context.Context, j replicas.Job, onWay chan struct{}) (records int, err error) {
+func (p *Peers) copy(ctx context.Context, j replication.Job, onWay chan struct{}) (records int, err error) {
 	c := &copying{p: p, job: j, onWay: onWay}
 	p.mu.Lock()
 	c.live = p.origin != nil && j.Stream == p.origin.Stream()
 	p.mu.Unlock()
-	_, err = p.read(j.Stream, func(part bindlog.Part) error { return c.add(ctx, part) })
+	_, err = p.read(j.Stream, func(part wal.Part) error { return c.add(ctx, part) })
 	if err == nil {
 		err = c.flush(ctx)
 	}
@@ -233,7 +233,7 @@
 }
 
 // add takes a part into the batch, if the other node lacks it, after sending the batch where the part doesn't fit it.
-func (c *copying) add(ctx context.Context, part bindlog.Part) error {
+func (c *copying) add(ctx context.Context, part wal.Part) error {
 	c.p.mu.Lock()
 	lacks, there := c.p.lacks(c.job), len(c.p.links[c.job.To]) > 0
 	c.p.mu.Unlock()
@@ -241,7 +241,7 @@
 		return errLost
 	}
 	end := part.First + uint64(part.N)
-	if (replicas.Ranges{{From: part.First, To: end}}).Without(lacks).Has(part.First, end) { // it has that one
+	if (replication.Ranges{{From: part.First, To: end}}).Without(lacks).Has(part.First, end) { // it has that one
 		return nil
 	}
 	if b := c.batch; b != nil && (b.First+uint64(b.N) != part.First || len(b.Body)+len(part.Body) > copyBytes) {
@@ -250,7 +250,7 @@
 		}
 	}
 	if c.batch == nil {
-		c.batch = &replicas.Batch{Stream: c.job.Stream, First: part.First, Origin: c.live}
+		c.batch = &replication.Batch{Stream: c.job.Stream, First: part.First, Origin: c.live}
 	}
 	c.batch.N, c.batch.Body = c.batch.N+part.N, append(c.batch.Body, part.Body...)
 	return nil
@@ -276,7 +276,7 @@
 	}
 	c.records += b.N
 	c.p.mu.Lock()
-	c.p.send(c.p.now(), []neighbours.Out{{To: c.job.To, What: b}})
+	c.p.send(c.p.now(), []membership.Out{{To: c.job.To, What: b}})
 	c.p.mu.Unlock()
 	c.batch = nil
 	return nil
@@ -296,7 +296,7 @@
 		p.mu.Lock()
 		old := p.keeper.Old(time.Now().UnixNano())
 		p.mu.Unlock()
-		old = slices.DeleteFunc(old, func(s replicas.Stream) bool { // what is open is kept beyond its time, until it is settled
+		old = slices.DeleteFunc(old, func(s replication.Stream) bool { // what is open is kept beyond its time, until it is settled
 			open, err := p.open(s)
 			return err != nil || len(open) > 0
 		})
@@ -304,7 +304,7 @@
 		for _, s := range old {
 			p.keeper.Gone(s)
 		}
-		floors := map[replicas.Stream]uint64{}
+		floors := map[replication.Stream]uint64{}
 		for _, s := range p.keeper.Streams() {
 			if f := p.keeper.Floor(s); f > 1 {
 				floors[s] = f
@@ -336,14 +336,14 @@
 	if o == nil {
 		return
 	}
-	segments, err := bindlog.Segments(p.files, dir)
+	segments, err := wal.Segments(p.files, dir)
 	if err != nil || len(segments) == 0 {
 		return
 	}
 	errFirst := errors.New("the first is found") // of each segment: it is one life's
 	for _, s := range segments {
-		first := bindlog.Part{}
-		_, err := bindlog.Parts(p.files, s, func(part bindlog.Part) error {
+		first := wal.Part{}
+		_, err := wal.Parts(p.files, s, func(part wal.Part) error {
 			first = part
 			return errFirst
 		})
--- a/internal/peers/keep.go
+++ b/internal/cluster/peer/keep.go
@@ -1,10 +1,10 @@
-package peers
+package peer
 
 import (
 	"slices"
 	"time"
 
-	"fernvane/internal/replicas"
+	"fernvane/internal/cluster/replication"
 )
 
 // Kept is for a record to be held by enough.
@@ -32,7 +32,7 @@
 	}
 	if p.journal = dir; stream {
 		now := p.now()
-		p.origin = replicas.NewOrigin(now, replicas.Stream{Name: p.name, Up: p.table.Self().Up}, p.candidate(), p.cfg.Replicas, p.cfg.SlowAfter.D())
+		p.origin = replication.NewOrigin(now, replication.Stream{Name: p.name, Up: p.table.Self().Up}, p.candidate(), p.cfg.Replicas, p.cfg.SlowAfter.D())
 		p.sum = 0 // members are handed on to it
 		p.after(now)
 	}
--- a/internal/peers/link.go
+++ b/internal/cluster/peer/link.go
@@ -1,4 +1,4 @@
-package peers
+package peer
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"fernvane/internal/bindlog"
-	"fernvane/internal/frames"
-	"fernvane/internal/neighbours"
-	"fernvane/internal/replicas"
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/cluster/membership"
+	"fernvane/internal/cluster/replication"
+	"fernvane/internal/journal/wal"
 )
 
 const (
@@ -27,7 +27,7 @@
 
 // link is one connection with a node.
 type link struct {
-	conn   *frames.Conn
+	conn   *framing.Conn
 	name   string
 	dialed bool
 
@@ -42,13 +42,13 @@
 
 // stored is a part that is on its way to the disk.
 type stored struct {
-	batch *replicas.Batch
+	batch *replication.Batch
 	at    int64
-	wait  *bindlog.Wait
+	wait  *wal.Wait
 	err   error
 }
 
-func newLink(conn *frames.Conn, name string, dialed bool) *link {
+func newLink(conn *framing.Conn, name string, dialed bool) *link {
 	return &link{conn: conn, name: name, dialed: dialed, wake: make(chan struct{}, 1), stored: make(chan stored, ackMost)}
 }
 
@@ -137,7 +137,7 @@
 	if _, err := c.Greeted(by); err != nil {
 		return err
 	}
-	if err := c.Send(frames.Greeting, frames.Hello{Version: version, Name: p.name}); err != nil {
+	if err := c.Send(framing.Greeting, framing.Hello{Version: version, Name: p.name}); err != nil {
 		return err
 	}
 	k, body, err := c.Receive(by)
@@ -145,7 +145,7 @@
 		return err
 	}
 	var who intro
-	if k != introKind || frames.Decode(body, &who) != nil {
+	if k != introKind || framing.Decode(body, &who) != nil {
 		return c.Refuse(errors.New("a caller that does not say who it is"))
 	}
 	if who.Deployment != p.cfg.Deployment {
@@ -167,7 +167,7 @@
 }
 
 // dial opens a connection to an address and says who this is.
-func dial(ctx context.Context, cfg *Config, from netip.Addr, at, name string, me neighbours.Member) (c *frames.Conn, who intro, err error) {
+func dial(ctx context.Context, cfg *Config, from netip.Addr, at, name string, me membership.Member) (c *framing.Conn, who intro, err error) {
 	by := time.Now().Add(dialMost)
 	d := net.Dialer{Deadline: by}
 	if from.IsValid() && !from.IsUnspecified() { // the address by which the others know this node
@@ -203,18 +203,18 @@
 	k, body, err := c.Receive(by)
 	switch {
 	case err != nil:
-	case k == frames.Refusals:
-		err = frames.Refused(body)
+	case k == framing.Refusals:
+		err = framing.Refused(body)
 	case k != introKind:
 		err = errors.New("a peer that does not say who it is")
 	default:
-		err = frames.Decode(body, &who)
+		err = framing.Decode(body, &who)
 	}
 	return c, who, err
 }
 
 // lead is the life of a connection with a node.
-func (p *Peers) lead(ctx context.Context, l *link, who neighbours.Member) error {
+func (p *Peers) lead(ctx context.Context, l *link, who membership.Member) error {
 	defer l.end()
 	if l.name == "" || l.name == p.name && who.Up == p.self().Up {
 		return errors.New("this node itself")
@@ -242,7 +242,7 @@
 		if err != nil {
 			return err
 		}
-		if b, ok := what.(*replicas.Batch); ok {
+		if b, ok := what.(*replication.Batch); ok {
 			if err := p.batch(l, b); err != nil {
 				return err
 			}
@@ -253,8 +253,8 @@
 }
 
 // batch has a part of a stream written, if it is taken.
-func (p *Peers) batch(l *link, b *replicas.Batch) error {
-	part, records, err := bindlog.ReadParts(b.Body)
+func (p *Peers) batch(l *link, b *replication.Batch) error {
+	part, records, err := wal.ReadParts(b.Body)
 	if err != nil {
 		return err
 	}
@@ -286,7 +286,7 @@
 			<-s.wait.Done()
 			s.err = s.wait.Err()
 		}
-		ack := &replicas.Ack{Stream: s.batch.Stream, First: s.batch.First, N: s.batch.N}
+		ack := &replication.Ack{Stream: s.batch.Stream, First: s.batch.First, N: s.batch.N}
 		p.mu.Lock()
 		if s.err == nil {
 			p.keeper.Found(ack.Stream, ack.First, ack.First+uint64(ack.N), int64(len(s.batch.Body)), s.at)
--- a/internal/peers/links.go
+++ b/internal/cluster/peer/links.go
@@ -1,4 +1,4 @@
-package peers
+package peer
 
 import (
 	"context"
@@ -6,13 +6,13 @@
 	"slices"
 	"time"
 
-	"fernvane/internal/neighbours"
-	"fernvane/internal/replicas"
+	"fernvane/internal/cluster/membership"
+	"fernvane/internal/cluster/replication"
 )
 
 type early struct {
 	from  string
-	offer *replicas.Offer
+	offer *replication.Offer
 }
 
 type try struct {
@@ -53,7 +53,7 @@
 }
 
 // met takes in a connection; l is nil for one that is not kept.
-func (p *Peers) met(l *link, who neighbours.Member, keep *link) {
+func (p *Peers) met(l *link, who membership.Member, keep *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -67,9 +67,9 @@
 		delete(p.letters, l.name)
 		delete(p.tries, l.name)
 	}
-	p.table.Joined(now, l.name, []neighbours.Member{who})
+	p.table.Joined(now, l.name, []membership.Member{who})
 	if who.Name == p.name {
-		l.put(&neighbours.News{Members: []neighbours.Member{p.table.Self()}})
+		l.put(&membership.News{Members: []membership.Member{p.table.Self()}})
 	}
 	p.after(now)
 }
@@ -92,7 +92,7 @@
 }
 
 // send puts words on their connections. For one without, a connection is wanted, and the word waits for it.
-func (p *Peers) send(now time.Duration, out []neighbours.Out) {
+func (p *Peers) send(now time.Duration, out []membership.Out) {
 	for _, o := range out {
 		if all := p.links[o.To]; len(all) > 0 {
 			all[len(all)-1].put(o.What)
@@ -102,7 +102,7 @@
 			continue
 		}
 		p.wants[o.To] = now + wantFor
-		if _, part := o.What.(*replicas.Batch); !part && len(p.letters[o.To]) < 8 {
+		if _, part := o.What.(*replication.Batch); !part && len(p.letters[o.To]) < 8 {
 			p.letters[o.To] = append(p.letters[o.To], o.What)
 		}
 	}
--- a/internal/peers/lists.go
+++ b/internal/cluster/peer/lists.go
@@ -1,4 +1,4 @@
-package peers
+package peer
 
 import (
 	"time"
--- a/internal/peers/peers.go
+++ b/internal/cluster/peer/peers.go
@@ -1,4 +1,4 @@
-package peers
+package peer
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 	"golang.org/x/sync/errgroup"
 	"golang.org/x/time/rate"
 
-	"fernvane/internal/bindlog"
-	"fernvane/internal/holdings"
-	"fernvane/internal/neighbours"
-	"fernvane/internal/replicas"
+	"fernvane/internal/cluster/membership"
+	"fernvane/internal/cluster/replicastore"
+	"fernvane/internal/cluster/replication"
+	"fernvane/internal/journal/wal"
 )
 
 const (
@@ -45,22 +45,22 @@
 	cfg      *Config
 	name     string
 	log      zerolog.Logger
-	files    bindlog.Files
+	files    wal.Files
 	began    time.Time
 	ln       net.Listener
-	store    *holdings.Store
+	store    *replicastore.Store
 	limit    *rate.Limiter
 	replaced chan struct{}
 	news     chan struct{} // closed when the first news have come
 	begun    chan struct{} // closed when it is known whether there is a journal
 
 	mu      sync.Mutex
-	table   *neighbours.Table
-	keeper  *replicas.Keeper
-	origin  *replicas.Origin // nil: the node keeps no journal
-	journal string           // its folder
-	ready   bool             // what is on disk is known
-	sum     uint64           // of the members when they were last handed on
+	table   *membership.Table
+	keeper  *replication.Keeper
+	origin  *replication.Origin // nil: the node keeps no journal
+	journal string              // its folder
+	ready   bool                // what is on disk is known
+	sum     uint64              // of the members when they were last handed on
 	links   map[string][]*link
 	wants   map[string]time.Duration // until when
 	letters map[string][]any         // for those to which there is no connection yet
@@ -68,7 +68,7 @@
 	dialing map[string]bool
 	tries   map[string]try
 	waiters []*Kept
-	jobs    map[replicas.Job]chan struct{} // parts of each that are on their way
+	jobs    map[replication.Job]chan struct{} // parts of each that are on their way
 	looked  time.Duration
 	joined  bool          // this life's start is settled
 	told    bool          // that it was replaced
@@ -79,7 +79,7 @@
 }
 
 // New listens for other nodes. files is the disk beneath what is held, nil for the system's.
-func New(cfg *Config, name string, files bindlog.Files, log zerolog.Logger) (*Peers, error) {
+func New(cfg *Config, name string, files wal.Files, log zerolog.Logger) (*Peers, error) {
 	if cfg.Name != "" {
 		name = cfg.Name
 	}
@@ -87,32 +87,32 @@
 		return nil, errors.New("the node's name " + name + " cannot be one of a tier: letters, digits, dots and dashes, 64 at most")
 	}
 	if files == nil {
-		files = bindlog.OS{}
+		files = wal.OS{}
 	}
 	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return nil, err
 	}
-	candidate := replicas.Candidate{Name: name, Site: cfg.Site, Machine: cfg.Machine, Well: true}
+	candidate := replication.Candidate{Name: name, Site: cfg.Site, Machine: cfg.Machine, Well: true}
 	return &Peers{cfg: cfg, name: name, log: log, files: files, began: time.Now().Add(-time.Second), ln: ln,
-		store: holdings.Open(cfg.Held, files, segmentBytes), limit: rate.NewLimiter(rate.Limit(cfg.RepairBytes), frameMost),
+		store: replicastore.Open(cfg.Held, files, segmentBytes), limit: rate.NewLimiter(rate.Limit(cfg.RepairBytes), frameMost),
 		replaced: make(chan struct{}), news: make(chan struct{}), begun: make(chan struct{}),
-		table:  neighbours.New(neighbours.Member{Name: name, Up: time.Now().UnixNano(), Address: cfg.Advertise, Site: cfg.Site, Machine: cfg.Machine}),
-		keeper: replicas.NewKeeper(candidate, cfg.Replicas, cfg.HeldBytes, cfg.KeepFor.D()),
+		table:  membership.New(membership.Member{Name: name, Up: time.Now().UnixNano(), Address: cfg.Advertise, Site: cfg.Site, Machine: cfg.Machine}),
+		keeper: replication.NewKeeper(candidate, cfg.Replicas, cfg.HeldBytes, cfg.KeepFor.D()),
 		links:  map[string][]*link{}, wants: map[string]time.Duration{}, letters: map[string][]any{}, dialing: map[string]bool{}, tries: map[string]try{},
-		jobs: map[replicas.Job]chan struct{}{}}, nil
+		jobs: map[replication.Job]chan struct{}{}}, nil
 }
 
 func (p *Peers) now() time.Duration { return time.Since(p.began) }
 
-func (p *Peers) self() neighbours.Member {
+func (p *Peers) self() membership.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.Self()
 }
 
-func (p *Peers) candidate() replicas.Candidate {
-	return replicas.Candidate{Name: p.name, Site: p.cfg.Site, Machine: p.cfg.Machine, Well: true}
+func (p *Peers) candidate() replication.Candidate {
+	return replication.Candidate{Name: p.name, Site: p.cfg.Site, Machine: p.cfg.Machine, Well: true}
 }
 
 // Replaced is closed when another process has been started under this node's name since.
@@ -190,19 +190,19 @@
 	now := p.now()
 	p.table.Heard(now, l.name)
 	switch w := what.(type) {
-	case *replicas.Offer:
+	case *replication.Offer:
 		if p.ready {
 			p.send(now, p.keeper.Offered(now, l.name, w))
 		} else if len(p.early) < earlyMost {
 			p.early = append(p.early, early{l.name, w})
 		}
-	case *replicas.Have, *replicas.Ack:
+	case *replication.Have, *replication.Ack:
 		if p.origin != nil {
 			p.send(now, p.origin.Got(now, l.name, w))
 		}
 		p.keeper.Got(now, l.name, w)
-		if a, ok := w.(*replicas.Ack); ok {
-			if onWay := p.jobs[replicas.Job{Stream: a.Stream, To: l.name}]; onWay != nil {
+		if a, ok := w.(*replication.Ack); ok {
+			if onWay := p.jobs[replication.Job{Stream: a.Stream, To: l.name}]; onWay != nil {
 				select {
 				case <-onWay:
 				default:
@@ -218,7 +218,7 @@
 		p.send(now, p.table.Got(now, l.name, w))
 	}
 	p.after(now)
-	if _, ok := what.(*neighbours.News); ok {
+	if _, ok := what.(*membership.News); ok {
 		select {
 		case <-p.news:
 		default:
@@ -241,10 +241,10 @@
 	}
 	if sum := p.table.Digest(); sum != p.sum {
 		p.sum = sum
-		var lives []replicas.Incarnation
-		var candidates []replicas.Candidate
+		var lives []replication.Incarnation
+		var candidates []replication.Candidate
 		for _, m := range p.table.All() {
-			l := replicas.Incarnation{Candidate: replicas.Candidate{Name: m.Name, Site: m.Site, Machine: m.Machine, Well: m.Condition == neighbours.Alive}, Up: m.Up, Lives: m.Condition.Lives()}
+			l := replication.Incarnation{Candidate: replication.Candidate{Name: m.Name, Site: m.Site, Machine: m.Machine, Well: m.Condition == membership.Alive}, Up: m.Up, Lives: m.Condition.Lives()}
 			if m.Name != p.name {
 				candidates = append(candidates, l.Candidate)
 			}
--- a/internal/peers/peers_test.go
+++ b/internal/cluster/peer/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package peer
 
 import (
 	"context"
@@ -15,13 +15,13 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"fernvane/internal/bindings"
-	"fernvane/internal/bindlog"
-	"fernvane/internal/frames"
-	"fernvane/internal/neighbours"
-	"fernvane/internal/replicas"
-	"fernvane/internal/standin/keys"
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/cluster/membership"
+	"fernvane/internal/cluster/replication"
+	"fernvane/internal/config/tomlfile"
+	"fernvane/internal/journal/intent"
+	"fernvane/internal/journal/wal"
+	"fernvane/internal/testbed/standin/certauthority"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -31,7 +31,7 @@
 	*Peers
 	cfg    *Config
 	dir    string
-	log    *bindlog.Log
+	log    *wal.Log
 	cancel func()
 	done   chan error
 }
@@ -85,7 +85,7 @@
 	go func() { m.done <- p.Run(ctx) }()
 	up := p.Join(ctx, 2*time.Second)
 	p.Keep(filepath.Join(dir, "journal"), true)
-	m.log, err = bindlog.Open(bindlog.Options{Dir: filepath.Join(dir, "journal"), Files: bindlog.OS{}, Machine: true, SegmentBytes: 64 << 10, Run: uint64(up), Copy: p.Copy, Stored: p.Stored})
+	m.log, err = wal.Open(wal.Options{Dir: filepath.Join(dir, "journal"), Files: wal.OS{}, Machine: true, SegmentBytes: 64 << 10, Run: uint64(up), Copy: p.Copy, Stored: p.Stored})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 func (m *member) keep(t *testing.T, op uint64) {
 	t.Helper()
 	eventually(t, "an intent is kept", func() bool {
-		w, err := m.log.Append(true, bindings.Record{Kind: bindings.Intent, Run: uint64(m.self().Up), Op: op, At: time.Now().UnixNano(), ID: fmt.Sprint(m.name, "-", op), Type: "book", Server: "s"})
+		w, err := m.log.Append(true, intent.Record{Kind: intent.Intent, Run: uint64(m.self().Up), Op: op, At: time.Now().UnixNano(), ID: fmt.Sprint(m.name, "-", op), Type: "book", Server: "s"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -136,7 +136,7 @@
 	t.Helper()
 	client := Ask(context.Background(), cfg, false)
 	ids = map[string]bool{}
-	if _, err := client.Records(context.Background(), time.Time{}, "", func(r *bindings.Record) error {
+	if _, err := client.Records(context.Background(), time.Time{}, "", func(r *intent.Record) error {
 		if r.ID != "" {
 			ids[r.ID] = true
 		}
@@ -226,7 +226,7 @@
 			}
 			stream := tier[0].origin.Stream()
 			at, path := dir(tier)
-			segments, err := bindlog.Segments(bindlog.OS{}, path)
+			segments, err := wal.Segments(wal.OS{}, path)
 			if err != nil || len(segments) == 0 {
 				t.Fatal(segments, err)
 			}
@@ -244,8 +244,8 @@
 			eventually(t, "the stream stands whole on three machines again", func() bool {
 				whole := 0
 				for _, m := range tier {
-					var found replicas.Ranges
-					m.read(stream, func(p bindlog.Part) error {
+					var found replication.Ranges
+					m.read(stream, func(p wal.Part) error {
 						found = found.With(p.First, p.First+uint64(p.N))
 						return nil
 					})
@@ -303,10 +303,10 @@
 		}
 		return by
 	}
-	state := func(id string) (s bindings.State) {
-		union := bindings.NewUnion()
-		var all []*bindings.Entry
-		if _, err := Ask(context.Background(), any().cfg, false).Records(context.Background(), time.Time{}, id, func(r *bindings.Record) error {
+	state := func(id string) (s intent.State) {
+		union := intent.NewUnion()
+		var all []*intent.Entry
+		if _, err := Ask(context.Background(), any().cfg, false).Records(context.Background(), time.Time{}, id, func(r *intent.Record) error {
 			if e := union.Add(r); e != nil {
 				all = append(all, e)
 			}
@@ -319,7 +319,7 @@
 		}
 		return s
 	}
-	eventually(t, "what dockets tell is settled", func() bool { return state("n0-0") == bindings.HasRun && state("n0-1") == bindings.PossiblySent })
+	eventually(t, "what dockets tell is settled", func() bool { return state("n0-0") == intent.HasRun && state("n0-1") == intent.PossiblySent })
 	by := settlers()
 	if len(by) != 1 {
 		t.Fatalf("settled by %v", by)
@@ -334,7 +334,7 @@
 	tier[first].die()
 	delete(tier, first)
 	tell("n0-0", "n0-1")
-	eventually(t, "the next one settles the rest", func() bool { return state("n0-1") == bindings.HasRun })
+	eventually(t, "the next one settles the rest", func() bool { return state("n0-1") == intent.HasRun })
 	if by := settlers(); len(by) != 2 || by[first] != 1 {
 		t.Errorf("settled by %v, at first by %s", by, first)
 	}
@@ -366,7 +366,7 @@
 	b.die()
 	later := time.Now().Add(time.Hour).UnixNano()
 	a.mu.Lock()
-	a.table.Joined(a.now(), "", []neighbours.Member{{Name: "n1", Up: later, Condition: neighbours.Dead}})
+	a.table.Joined(a.now(), "", []membership.Member{{Name: "n1", Up: later, Condition: membership.Dead}})
 	a.mu.Unlock()
 	again := start(t, "n1", "", a.cfg.Listen)
 	if up := again.self().Up; up <= later {
@@ -378,12 +378,12 @@
 func TestStrangers(t *testing.T) {
 	t.Parallel()
 	a := start(t, "n0", "")
-	hello, _ := protocol.Append(nil, frames.Greeting, frames.Hello{Version: version, Name: "x"})
-	old, _ := protocol.Append(nil, frames.Greeting, frames.Hello{Version: version + 1, Name: "x"})
-	other, _ := protocol.Append(slices.Clone(hello), introKind, intro{Deployment: "other", Member: neighbours.Member{Name: "x", Up: 1}})
-	node, _ := protocol.Append(slices.Clone(hello), introKind, intro{Deployment: "d", Member: neighbours.Member{Name: "x", Up: 1}})
-	beat, _ := protocol.Append(slices.Clone(hello), beatKind, neighbours.Beat{})
-	part, _ := protocol.Append(slices.Clone(node), batchKind, replicas.Batch{Stream: replicas.Stream{Name: "../x", Up: 1}, First: 1, N: 1, Body: []byte("no part")})
+	hello, _ := protocol.Append(nil, framing.Greeting, framing.Hello{Version: version, Name: "x"})
+	old, _ := protocol.Append(nil, framing.Greeting, framing.Hello{Version: version + 1, Name: "x"})
+	other, _ := protocol.Append(slices.Clone(hello), introKind, intro{Deployment: "other", Member: membership.Member{Name: "x", Up: 1}})
+	node, _ := protocol.Append(slices.Clone(hello), introKind, intro{Deployment: "d", Member: membership.Member{Name: "x", Up: 1}})
+	beat, _ := protocol.Append(slices.Clone(hello), beatKind, membership.Beat{})
+	part, _ := protocol.Append(slices.Clone(node), batchKind, replication.Batch{Stream: replication.Stream{Name: "../x", Up: 1}, First: 1, N: 1, Body: []byte("no part")})
 	for name, c := range map[string]struct {
 		sends []byte
 		told  string
@@ -417,7 +417,7 @@
 // its own name is known, and stop (so it was in the lab, on links that garble one piece in twenty).
 func TestGarbled(t *testing.T) {
 	t.Parallel()
-	whole, err := protocol.Append(nil, newsKind, &neighbours.News{Members: []neighbours.Member{{Name: "n1", Up: 1_800_000_000_000_000_000, Address: "127.0.0.1:1"}}})
+	whole, err := protocol.Append(nil, newsKind, &membership.News{Members: []membership.Member{{Name: "n1", Up: 1_800_000_000_000_000_000, Address: "127.0.0.1:1"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -434,7 +434,7 @@
 func TestKeys(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	file := func(name string, sign *keys.Authority, listen string, seeds ...string) *Config {
+	file := func(name string, sign *certauthority.Authority, listen string, seeds ...string) *Config {
 		own := filepath.Join(dir, name)
 		os.MkdirAll(filepath.Join(own, "held"), 0o700)
 		cert, key, ca, err := sign.Write(own, "tier", time.Now().Add(time.Hour))
@@ -453,11 +453,11 @@
 		}
 		return cfg
 	}
-	ours, err := keys.New("ours")
+	ours, err := certauthority.New("ours")
 	if err != nil {
 		t.Fatal(err)
 	}
-	theirs, err := keys.New("theirs")
+	theirs, err := certauthority.New("theirs")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -486,26 +486,26 @@
 
 // Which journals stand past the loss of nodes: those that one who is left has whole, not some of.
 func TestSurvives(t *testing.T) {
-	now, before := replicas.Stream{Name: "a", Up: 2}, replicas.Stream{Name: "a", Up: 1}
-	holding := func(s replicas.Stream, to uint64) replicas.Holding {
-		return replicas.Holding{Stream: s, Ranges: replicas.Ranges{{From: 1, To: to}}}
+	now, before := replication.Stream{Name: "a", Up: 2}, replication.Stream{Name: "a", Up: 1}
+	holding := func(s replication.Stream, to uint64) replication.Holding {
+		return replication.Holding{Stream: s, Ranges: replication.Ranges{{From: 1, To: to}}}
 	}
-	level := replicas.Holder{Name: "b", Stand: "level"}
+	level := replication.Holder{Name: "b", Stand: "level"}
 	for name, c := range map[string]struct {
-		holders []replicas.Holder
-		b, c    []replicas.Holding
+		holders []replication.Holder
+		b, c    []replication.Holding
 		lost    []string
 		want    bool
 	}{
 		"nothing is lost":                    {nil, nil, nil, nil, true},
 		"another one":                        {nil, nil, nil, []string{"c"}, true},
-		"held by one who is left":            {[]replicas.Holder{level}, []replicas.Holding{holding(now, 9)}, nil, []string{"a"}, true},
-		"with all holders":                   {[]replicas.Holder{level}, []replicas.Holding{holding(now, 9)}, nil, []string{"a", "b"}, false},
-		"a part is left":                     {[]replicas.Holder{level}, []replicas.Holding{holding(now, 9)}, []replicas.Holding{holding(now, 3)}, []string{"a", "b"}, false},
-		"one is left who still lacks some":   {[]replicas.Holder{{Name: "b", Stand: "level", Lacks: 2}}, nil, nil, []string{"a"}, false},
-		"one who was only offered it":        {[]replicas.Holder{{Name: "b", Stand: "offered"}}, nil, nil, []string{"a"}, false},
-		"an earlier life with its holder":    {nil, []replicas.Holding{holding(before, 9)}, []replicas.Holding{holding(before, 3)}, []string{"b"}, false},
-		"an earlier life that another has":   {nil, []replicas.Holding{holding(before, 9)}, []replicas.Holding{holding(before, 9)}, []string{"b"}, true},
+		"held by one who is left":            {[]replication.Holder{level}, []replication.Holding{holding(now, 9)}, nil, []string{"a"}, true},
+		"with all holders":                   {[]replication.Holder{level}, []replication.Holding{holding(now, 9)}, nil, []string{"a", "b"}, false},
+		"a part is left":                     {[]replication.Holder{level}, []replication.Holding{holding(now, 9)}, []replication.Holding{holding(now, 3)}, []string{"a", "b"}, false},
+		"one is left who still lacks some":   {[]replication.Holder{{Name: "b", Stand: "level", Lacks: 2}}, nil, nil, []string{"a"}, false},
+		"one who was only offered it":        {[]replication.Holder{{Name: "b", Stand: "offered"}}, nil, nil, []string{"a"}, false},
+		"an earlier life with its holder":    {nil, []replication.Holding{holding(before, 9)}, []replication.Holding{holding(before, 3)}, []string{"b"}, false},
+		"an earlier life that another has":   {nil, []replication.Holding{holding(before, 9)}, []replication.Holding{holding(before, 9)}, []string{"b"}, true},
 		"nobody knows who holds its journal": {nil, nil, nil, []string{"unasked"}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -522,25 +522,25 @@
 }
 
 func FuzzFrames(f *testing.F) {
-	for _, w := range []any{&neighbours.News{Members: []neighbours.Member{{Name: "a", Up: 1}}}, &replicas.Offer{Ranges: replicas.Ranges{{From: 1, To: 2}}}, &replicas.Have{}, &replicas.Ack{}, &neighbours.Tell{}} {
+	for _, w := range []any{&membership.News{Members: []membership.Member{{Name: "a", Up: 1}}}, &replication.Offer{Ranges: replication.Ranges{{From: 1, To: 2}}}, &replication.Have{}, &replication.Ack{}, &membership.Tell{}} {
 		b, _ := protocol.Append(nil, kindOf(w), w)
 		f.Add(b[4], b[5:len(b)-4]) // the kind, and the body without its length and sum
 	}
 	f.Fuzz(func(t *testing.T, k byte, body []byte) {
-		what, err := read(frames.Kind(k), body)
+		what, err := read(framing.Kind(k), body)
 		if err != nil {
 			return
 		}
-		table, keeper := neighbours.New(neighbours.Member{Name: "n", Up: 1}), replicas.NewKeeper(replicas.Candidate{Name: "n"}, 2, 1<<20, 0)
-		origin := replicas.NewOrigin(0, replicas.Stream{Name: "n", Up: 1}, replicas.Candidate{Name: "n"}, 1, time.Millisecond)
-		origin.SetCandidates(0, []replicas.Candidate{{Name: "a", Machine: "a", Well: true}})
+		table, keeper := membership.New(membership.Member{Name: "n", Up: 1}), replication.NewKeeper(replication.Candidate{Name: "n"}, 2, 1<<20, 0)
+		origin := replication.NewOrigin(0, replication.Stream{Name: "n", Up: 1}, replication.Candidate{Name: "n"}, 1, time.Millisecond)
+		origin.SetCandidates(0, []replication.Candidate{{Name: "a", Machine: "a", Well: true}})
 		origin.Connected(0, "a")
 		table.Connected(time.Second, "a")
 		switch w := what.(type) {
-		case *replicas.Offer:
+		case *replication.Offer:
 			keeper.Offered(time.Second, "a", w)
-		case *replicas.Batch:
-			bindlog.ReadParts(w.Body)
+		case *replication.Batch:
+			wal.ReadParts(w.Body)
 			keeper.Takes("a", w, 0, 0)
 		default:
 			table.Got(time.Second, "a", w)
--- a/internal/peers/settle.go
+++ b/internal/cluster/peer/settle.go
@@ -1,4 +1,4 @@
-package peers
+package peer
 
 import (
 	"context"
@@ -6,10 +6,10 @@
 	"os"
 	"time"
 
-	"fernvane/internal/bindings"
-	"fernvane/internal/bindlog"
-	"fernvane/internal/dockets"
-	"fernvane/internal/replicas"
+	"fernvane/internal/cluster/replication"
+	"fernvane/internal/journal/execution"
+	"fernvane/internal/journal/intent"
+	"fernvane/internal/journal/wal"
 )
 
 const settleSlack = 5 * time.Second // a hop that began so shortly before a list of dockets ends may still run
@@ -22,7 +22,7 @@
 	}
 	tick := time.NewTicker(max(p.cfg.GoneAfter.D()/4, time.Second))
 	defer tick.Stop()
-	done := map[replicas.Stream]uint64{} // with so many records nothing was left open
+	done := map[replication.Stream]uint64{} // with so many records nothing was left open
 	for {
 		select {
 		case <-ctx.Done():
@@ -30,14 +30,14 @@
 		case <-tick.C:
 		}
 		p.mu.Lock()
-		var mine []replicas.Stream
+		var mine []replication.Stream
 		for _, s := range p.keeper.Streams() {
 			if p.ready && p.keeper.Adopts(p.now(), s, p.cfg.GoneAfter.D()) && done[s] != p.keeper.Ranges(s).Count() {
 				mine = append(mine, s)
 			}
 		}
 		p.mu.Unlock()
-		var all map[string]*bindings.Dockets // read when the first entry is open
+		var all map[string]*intent.Dockets // read when the first entry is open
 		for _, s := range mine {
 			open, err := p.open(s)
 			if err != nil {
@@ -45,17 +45,17 @@
 				continue
 			}
 			if len(open) > 0 && all == nil {
-				all = map[string]*bindings.Dockets{}
+				all = map[string]*intent.Dockets{}
 				for _, from := range p.cfg.Dockets {
-					if err := dockets.Load(from, all); err != nil {
+					if err := execution.Load(from, all); err != nil {
 						p.log.Warn().Err(err).Str("from", from).Msg("dockets not read")
 					}
 				}
 			}
-			var records []bindings.Record
+			var records []intent.Record
 			left := 0
 			for _, e := range open {
-				found := bindings.Reconcile(e, all, int64(settleSlack), time.Now().UnixNano())
+				found := intent.Reconcile(e, all, int64(settleSlack), time.Now().UnixNano())
 				if records = append(records, found...); len(found) == 0 {
 					left++
 				}
@@ -77,7 +77,7 @@
 }
 
 // open are the entries of a stream that may have run, by all that this node has of it and of who settled it before.
-func (p *Peers) open(s replicas.Stream) (open []*bindings.Entry, err error) {
+func (p *Peers) open(s replication.Stream) (open []*intent.Entry, err error) {
 	p.mu.Lock()
 	dirs := []string{p.store.Dir(s)}
 	for _, x := range p.keeper.Settlements(s) {
@@ -87,9 +87,9 @@
 		dirs = append(dirs, p.journal)
 	}
 	p.mu.Unlock()
-	union := bindings.NewUnion()
+	union := intent.NewUnion()
 	for _, dir := range dirs {
-		r, err := bindlog.Scan(p.files, dir, time.Time{}, func(r *bindings.Record) error {
+		r, err := wal.Scan(p.files, dir, time.Time{}, func(r *intent.Record) error {
 			if int64(r.Run) == s.Up {
 				union.Add(r)
 			}
@@ -101,7 +101,7 @@
 		union.Damaged = union.Damaged || r.Corrupt() > 0
 	}
 	for _, e := range union.Rest() {
-		if e.State() == bindings.PossiblySent {
+		if e.State() == intent.PossiblySent {
 			open = append(open, e)
 		}
 	}
@@ -109,9 +109,9 @@
 }
 
 // settled keeps what settles entries of a stream, in a stream of its own beside it, which is copied like any other.
-func (p *Peers) settled(s replicas.Stream, records []bindings.Record) error {
+func (p *Peers) settled(s replication.Stream, records []intent.Record) error {
 	for len(records) > 0 {
-		part := records[:min(len(records), bindlog.PartMost)]
+		part := records[:min(len(records), wal.PartMost)]
 		records = records[len(part):]
 		p.mu.Lock()
 		mine := p.keeper.Settlement(s)
@@ -121,8 +121,8 @@
 		}
 		p.mu.Unlock()
 		now := time.Now().UnixNano()
-		mark := bindings.Record{Kind: bindings.Numbered, Run: uint64(s.Up), At: now, From: int64(first), N: len(part)}
-		w, err := p.store.Put(mine, append([]bindings.Record{mark}, part...))
+		mark := intent.Record{Kind: intent.Numbered, Run: uint64(s.Up), At: now, From: int64(first), N: len(part)}
+		w, err := p.store.Put(mine, append([]intent.Record{mark}, part...))
 		if err != nil {
 			return err
 		}
--- a/internal/holdings/holdings.go
+++ b/internal/cluster/replicastore/holdings.go
@@ -1,6 +1,6 @@
-// Package holdings keeps replicas of other nodes' streams on disk: a folder for each stream, in it segments as a journal of
+// Package replicastore keeps replicas of other nodes' streams on disk: a folder for each stream, in it segments as a journal of
 // bindings has them, so that whoever reads a journal reads a replica.
-package holdings
+package replicastore
 
 import (
 	"errors"
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
-	"fernvane/internal/bindings"
-	"fernvane/internal/bindlog"
-	"fernvane/internal/replicas"
+	"fernvane/internal/cluster/replication"
+	"fernvane/internal/journal/intent"
+	"fernvane/internal/journal/wal"
 )
 
 const (
@@ -26,38 +26,38 @@
 // Store is a folder of replicas.
 type Store struct {
 	dir     string
-	files   bindlog.Files
+	files   wal.Files
 	segment int64
 
 	mu     sync.Mutex
-	open   map[replicas.Stream]*stream
+	open   map[replication.Stream]*stream
 	closed bool
 }
 
 type stream struct {
 	ready chan struct{} // closed when log or err is there
-	log   *bindlog.Log
+	log   *wal.Log
 	err   error
 	used  time.Time
 }
 
 // Open is a store in a folder that is there.
-func Open(dir string, files bindlog.Files, segmentBytes int64) *Store {
-	return &Store{dir: dir, files: files, segment: segmentBytes, open: map[replicas.Stream]*stream{}}
+func Open(dir string, files wal.Files, segmentBytes int64) *Store {
+	return &Store{dir: dir, files: files, segment: segmentBytes, open: map[replication.Stream]*stream{}}
 }
 
 // Dir is the folder of one stream.
-func (s *Store) Dir(of replicas.Stream) string {
+func (s *Store) Dir(of replication.Stream) string {
 	return filepath.Join(s.dir, fmt.Sprintf("%s@%d", of.Name, of.Up))
 }
 
 // Streams are those that have a folder.
-func (s *Store) Streams() (all []replicas.Stream, err error) {
+func (s *Store) Streams() (all []replication.Stream, err error) {
 	entries, err := os.ReadDir(s.dir)
 	for _, e := range entries {
 		name, up, ok := strings.Cut(e.Name(), "@")
 		n, bad := strconv.ParseInt(up, 10, 64)
-		if of := (replicas.Stream{Name: name, Up: n}); ok && bad == nil && e.IsDir() && s.Dir(of) == filepath.Join(s.dir, e.Name()) {
+		if of := (replication.Stream{Name: name, Up: n}); ok && bad == nil && e.IsDir() && s.Dir(of) == filepath.Join(s.dir, e.Name()) {
 			all = append(all, of)
 		}
 	}
@@ -65,7 +65,7 @@
 }
 
 // Read reads the whole parts of a stream, with what they take on disk.
-func (s *Store) Read(of replicas.Stream, each func(bindlog.Part) error) (bindlog.Report, error) {
+func (s *Store) Read(of replication.Stream, each func(wal.Part) error) (wal.Report, error) {
 	return ReadDir(s.files, s.Dir(of), 0, each)
 }
 
@@ -73,13 +73,13 @@
 var errOther = errors.New("a segment of another life")
 
 // ReadDir reads the whole parts in a folder of segments, of one life or, with 0, of all. A segment is one life's.
-func ReadDir(files bindlog.Files, dir string, run uint64, each func(bindlog.Part) error) (all bindlog.Report, err error) {
-	segments, err := bindlog.Segments(files, dir)
+func ReadDir(files wal.Files, dir string, run uint64, each func(wal.Part) error) (all wal.Report, err error) {
+	segments, err := wal.Segments(files, dir)
 	if err != nil {
 		return all, err
 	}
 	for _, segment := range segments {
-		r, err := bindlog.Parts(files, segment, func(p bindlog.Part) error {
+		r, err := wal.Parts(files, segment, func(p wal.Part) error {
 			if run != 0 && p.Run != run {
 				return errOther
 			}
@@ -97,11 +97,11 @@
 }
 
 // Put has records last; they are to be waited for.
-func (s *Store) Put(of replicas.Stream, records []bindings.Record) (*bindlog.Wait, error) {
+func (s *Store) Put(of replication.Stream, records []intent.Record) (*wal.Wait, error) {
 	s.mu.Lock()
 	if s.closed {
 		s.mu.Unlock()
-		return nil, bindlog.ErrClosed
+		return nil, wal.ErrClosed
 	}
 	x := s.open[of]
 	mine := x == nil
@@ -124,14 +124,14 @@
 		return nil, x.err
 	}
 	w, err := x.log.Append(true, records...)
-	for by := time.Now().Add(fullFor); errors.Is(err, bindlog.ErrFull) && time.Now().Before(by); {
+	for by := time.Now().Add(fullFor); errors.Is(err, wal.ErrFull) && time.Now().Before(by); {
 		time.Sleep(fullAgain) // who sends more than the disk takes waits with it
 		w, err = x.log.Append(true, records...)
 	}
 	return w, err
 }
 
-func (s *Store) begin(of replicas.Stream) (*bindlog.Log, error) {
+func (s *Store) begin(of replication.Stream) (*wal.Log, error) {
 	if err := os.Mkdir(s.Dir(of), 0o700); err == nil {
 		if err := s.files.SyncDir(s.dir); err != nil {
 			return nil, err
@@ -139,23 +139,25 @@
 	} else if !errors.Is(err, os.ErrExist) {
 		return nil, err
 	}
-	return bindlog.Open(bindlog.Options{Dir: s.Dir(of), Files: s.files, Machine: true, SegmentBytes: s.segment, Run: uint64(of.Up), NoGaps: true})
+	return wal.Open(wal.Options{Dir: s.Dir(of), Files: s.files, Machine: true, SegmentBytes: s.segment, Run: uint64(of.Up), NoGaps: true})
 }
 
 // Idle closes streams that got nothing for a while; what comes later begins a segment.
-func (s *Store) Idle() { s.end(time.Now().Add(-idleFor), func(replicas.Stream) bool { return true }) }
+func (s *Store) Idle() {
+	s.end(time.Now().Add(-idleFor), func(replication.Stream) bool { return true })
+}
 
 // Close ends all.
 func (s *Store) Close() {
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.end(time.Now(), func(replicas.Stream) bool { return true })
+	s.end(time.Now(), func(replication.Stream) bool { return true })
 }
 
-func (s *Store) end(before time.Time, which func(replicas.Stream) bool) {
+func (s *Store) end(before time.Time, which func(replication.Stream) bool) {
 	s.mu.Lock()
-	var logs []*bindlog.Log
+	var logs []*wal.Log
 	for of, x := range s.open {
 		select {
 		case <-x.ready:
@@ -175,20 +177,20 @@
 }
 
 // Remove removes a stream.
-func (s *Store) Remove(of replicas.Stream) error {
-	s.end(time.Now(), func(o replicas.Stream) bool { return o == of })
+func (s *Store) Remove(of replication.Stream) error {
+	s.end(time.Now(), func(o replication.Stream) bool { return o == of })
 	return os.RemoveAll(s.Dir(of))
 }
 
 // Trim removes segments that hold nothing from a record on.
-func (s *Store) Trim(of replicas.Stream, from uint64) error {
-	segments, err := bindlog.Segments(s.files, s.Dir(of))
+func (s *Store) Trim(of replication.Stream, from uint64) error {
+	segments, err := wal.Segments(s.files, s.Dir(of))
 	if err != nil || len(segments) < 2 {
 		return err
 	}
 	for _, segment := range segments[:len(segments)-1] { // the last may be written to
 		needed := false
-		if _, err := bindlog.Parts(s.files, segment, func(p bindlog.Part) error {
+		if _, err := wal.Parts(s.files, segment, func(p wal.Part) error {
 			needed = needed || p.First+uint64(p.N) > from
 			return nil
 		}); err != nil {
--- a/internal/holdings/holdings_test.go
+++ b/internal/cluster/replicastore/holdings_test.go
@@ -1,29 +1,29 @@
-package holdings
+package replicastore
 
 import (
 	"errors"
 	"testing"
 	"time"
 
-	"fernvane/internal/bindings"
-	"fernvane/internal/bindlog"
-	"fernvane/internal/replicas"
-	"fernvane/internal/standin/disk"
+	"fernvane/internal/cluster/replication"
+	"fernvane/internal/journal/intent"
+	"fernvane/internal/journal/wal"
+	"fernvane/internal/testbed/standin/memdisk"
 )
 
 // More comes at once than waits for a slow disk: it waits with it, all stands in the end, and nothing speaks of a gap. (In
 // the lab a queue that was full was told as one: 3 million words in 553 cycles, all of which stood at other holders.)
 func TestMoreThanTheDiskTakes(t *testing.T) {
 	dir := t.TempDir()
-	slow := disk.Slowed{Takes: func() time.Duration { return 30 * time.Millisecond }, Full: func() bool { return false }}
+	slow := memdisk.Slowed{Takes: func() time.Duration { return 30 * time.Millisecond }, Full: func() bool { return false }}
 	s := Open(dir, slow, 1<<20)
-	of := replicas.Stream{Name: "n0", Up: 7}
+	of := replication.Stream{Name: "n0", Up: 7}
 	next := uint64(1)
-	var waits []*bindlog.Wait
+	var waits []*wal.Wait
 	for range 40 {
-		part := []bindings.Record{{Kind: bindings.Numbered, Run: 7, From: int64(next), N: 999}}
+		part := []intent.Record{{Kind: intent.Numbered, Run: 7, From: int64(next), N: 999}}
 		for range 999 {
-			part = append(part, bindings.Record{Kind: bindings.Intent, Run: 7, Op: next, ID: "x", Server: "s"})
+			part = append(part, intent.Record{Kind: intent.Intent, Run: 7, Op: next, ID: "x", Server: "s"})
 			next++
 		}
 		w, err := s.Put(of, part)
@@ -38,19 +38,19 @@
 		}
 	}
 	s.Close()
-	if _, err := s.Put(of, nil); !errors.Is(err, bindlog.ErrClosed) {
+	if _, err := s.Put(of, nil); !errors.Is(err, wal.ErrClosed) {
 		t.Errorf("after the end: %v", err)
 	}
-	var found replicas.Ranges
-	if _, err := s.Read(of, func(p bindlog.Part) error {
+	var found replication.Ranges
+	if _, err := s.Read(of, func(p wal.Part) error {
 		found = found.With(p.First, p.First+uint64(p.N))
 		return nil
 	}); err != nil || !found.Has(1, next) {
 		t.Errorf("%v of %d stand, %v", found, next-1, err)
 	}
 	gaps := 0
-	bindlog.Scan(bindlog.OS{}, s.Dir(of), time.Time{}, func(r *bindings.Record) error {
-		if r.Kind == bindings.Gap {
+	wal.Scan(wal.OS{}, s.Dir(of), time.Time{}, func(r *intent.Record) error {
+		if r.Kind == intent.Gap {
 			gaps++
 		}
 		return nil
@@ -61,7 +61,7 @@
 	if err := s.Trim(of, next); err != nil {
 		t.Fatal(err)
 	}
-	if segments, _ := bindlog.Segments(slow, s.Dir(of)); len(segments) != 1 {
+	if segments, _ := wal.Segments(slow, s.Dir(of)); len(segments) != 1 {
 		t.Errorf("%d segments are left of what is no longer needed", len(segments))
 	}
 	if err := s.Remove(of); err != nil {
--- a/internal/replicas/keeper_test.go
+++ b/internal/cluster/replication/keeper_test.go
@@ -1,4 +1,4 @@
-package replicas
+package replication
 
 import (
 	"testing"
--- a/internal/replicas/replicas.go
+++ b/internal/cluster/replication/replicas.go
@@ -1,4 +1,4 @@
-// Package replicas decides where what a node keeps is copied to, and when an entry counts as kept. It is free of I/O:
+// Package replication decides where what a node keeps is copied to, and when an entry counts as kept. It is free of I/O:
 // whoever runs it has records written and sent, and hands in what came back.
 //
 // What one life of a node keeps is a stream of numbered records. Its origin sends each record to a few holders, one after
@@ -7,7 +7,7 @@
 // from disk, beside the serving. When the origin is gone the holders see to it that there are enough again.
 //
 // (A second copy of an operation is another thing; what is held elsewhere is called a replica throughout.)
-package replicas
+package replication
 
 import (
 	"cmp"
--- a/internal/decay/table.go
+++ b/internal/collections/decay/table.go
@@ -3,14 +3,14 @@
 import (
 	"slices"
 
-	"fernvane/internal/activeset"
-	"fernvane/internal/columns"
+	"fernvane/internal/collections/columns"
+	"fernvane/internal/collections/indexset"
 )
 
 // Table holds records by number, and fades those only that something is left of. The zero value is an empty table.
 type Table struct {
 	records []Record
-	active  activeset.Set
+	active  indexset.Set
 }
 
 // Reset starts an empty record.
@@ -23,7 +23,7 @@
 func (t *Table) At(i int) *Record { return &t.records[i] }
 
 // Active is the set of records that fade.
-func (t *Table) Active() *activeset.Set { return &t.active }
+func (t *Table) Active() *indexset.Set { return &t.active }
 
 // Add counts one end in a record.
 func (t *Table) Add(i int, failed, memory float64) {
--- a/internal/activeset/activeset.go
+++ b/internal/collections/indexset/activeset.go
@@ -1,6 +1,6 @@
-// Package activeset keeps sets of small integers, such as the indices of what is in use just now, so that a walk over
+// Package indexset keeps sets of small integers, such as the indices of what is in use just now, so that a walk over
 // them costs what they hold and not the range that they are from.
-package activeset
+package indexset
 
 import (
 	"iter"
--- a/internal/activeset/activeset_test.go
+++ b/internal/collections/indexset/activeset_test.go
@@ -1,4 +1,4 @@
-package activeset
+package indexset
 
 import (
 	"slices"
--- a/internal/bag/bag.go
+++ b/internal/collections/intset/bag.go
@@ -1,5 +1,5 @@
-// Package bag keeps small integers in no order of their own, with insertion and removal in constant time.
-package bag
+// Package intset keeps small integers in no order of their own, with insertion and removal in constant time.
+package intset
 
 import "slices"
 
--- a/internal/bag/bag_test.go
+++ b/internal/collections/intset/bag_test.go
@@ -1,4 +1,4 @@
-package bag
+package intset
 
 import (
 	"slices"
--- a/internal/ordered/ordered.go
+++ b/internal/collections/ranktree/ordered.go
@@ -1,6 +1,6 @@
-// Package ordered keeps items in the order of their keys and finds an item's place, and the item at a place, in a time
+// Package ranktree keeps items in the order of their keys and finds an item's place, and the item at a place, in a time
 // that grows with the logarithm of their number.
-package ordered
+package ranktree
 
 import (
 	"iter"
--- a/internal/ordered/ordered_test.go
+++ b/internal/collections/ranktree/ordered_test.go
@@ -1,4 +1,4 @@
-package ordered
+package ranktree
 
 import (
 	"math/bits"
--- a/internal/distribution/client/bad_test.go
+++ b/internal/controlplane/distribution/client/bad_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/wire"
-	"fernvane/internal/frames"
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/wire"
 )
 
 // Whatever comes in place of a frame ends that connection with one line, and the next control process is followed.
@@ -21,15 +21,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	greeting, err := wire.Protocol.Append(nil, frames.Greeting, frames.Hello{Version: wire.Version, Name: "evil"})
+	greeting, err := wire.Protocol.Append(nil, framing.Greeting, framing.Hello{Version: wire.Version, Name: "evil"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := wire.Protocol.Append(nil, frames.Greeting, frames.Hello{Version: wire.Version + 1, Name: "evil"})
+	other, err := wire.Protocol.Append(nil, framing.Greeting, framing.Hello{Version: wire.Version + 1, Name: "evil"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	refusal, err := wire.Protocol.Append(nil, frames.Refusals, frames.Refusal{Reason: "no room"})
+	refusal, err := wire.Protocol.Append(nil, framing.Refusals, framing.Refusal{Reason: "no room"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/distribution/client/client.go
+++ b/internal/controlplane/distribution/client/client.go
@@ -11,9 +11,9 @@
 
 	"github.com/rs/zerolog"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/disk"
-	"fernvane/internal/distribution/wire"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/disk"
+	"fernvane/internal/controlplane/distribution/wire"
 )
 
 const (
--- a/internal/distribution/client/client_test.go
+++ b/internal/controlplane/distribution/client/client_test.go
@@ -10,8 +10,8 @@
 
 	"go.uber.org/goleak"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/wire"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/wire"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/distribution/client/config.go
+++ b/internal/controlplane/distribution/client/config.go
@@ -11,9 +11,9 @@
 	"strconv"
 	"time"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/mtls"
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/cluster/mtls"
+	"fernvane/internal/config/tomlfile"
+	"fernvane/internal/controlplane/distribution"
 )
 
 const (
--- a/internal/distribution/client/control_test.go
+++ b/internal/controlplane/distribution/client/control_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/rs/zerolog"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/wire"
-	"fernvane/internal/frames"
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/wire"
 )
 
 const patience = 20 * time.Second
@@ -40,7 +40,7 @@
 }
 
 type peer struct {
-	conn *frames.Conn
+	conn *framing.Conn
 	name string
 }
 
@@ -135,7 +135,7 @@
 	}
 }
 
-func (c *control) take(id distribution.SubscriptionID, conn *frames.Conn, m wire.Message) {
+func (c *control) take(id distribution.SubscriptionID, conn *framing.Conn, m wire.Message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch m := m.(type) {
--- a/internal/distribution/client/faults_test.go
+++ b/internal/controlplane/distribution/client/faults_test.go
@@ -11,10 +11,10 @@
 
 	"github.com/rs/zerolog"
 
-	"fernvane/internal/distribution"
-	process "fernvane/internal/distribution/control"
-	"fernvane/internal/standin/address"
-	"fernvane/internal/standin/cable"
+	"fernvane/internal/controlplane/distribution"
+	process "fernvane/internal/controlplane/distribution/control"
+	"fernvane/internal/testbed/standin/address"
+	"fernvane/internal/testbed/standin/faultproxy"
 )
 
 // running is a control process of the program within this one.
@@ -90,18 +90,18 @@
 // Whatever happens to the control process that a node follows, or to the way there, what is written at the other is in
 // force, and so is what is written when all is well again.
 func TestFaultsBetween(t *testing.T) {
-	for name, c := range map[string]struct{ fault, mend func(*cable.Cable) }{
-		"cut towards the node": {func(w *cable.Cable) { w.Cut(cable.Down, true) }, func(w *cable.Cable) { w.Cut(cable.Down, false) }},
-		"cut towards control":  {func(w *cable.Cable) { w.Cut(cable.Up, true) }, func(w *cable.Cable) { w.Cut(cable.Up, false) }},
-		"cut both ways": {func(w *cable.Cable) { w.Cut(cable.Up, true); w.Cut(cable.Down, true) },
-			func(w *cable.Cable) { w.Cut(cable.Up, false); w.Cut(cable.Down, false) }},
-		"garbled":    {func(w *cable.Cable) { w.Garble(cable.Down, 3) }, func(*cable.Cable) {}},
-		"broken off": {func(w *cable.Cable) { w.Break() }, func(*cable.Cable) {}},
+	for name, c := range map[string]struct{ fault, mend func(*faultproxy.Cable) }{
+		"cut towards the node": {func(w *faultproxy.Cable) { w.Cut(faultproxy.Down, true) }, func(w *faultproxy.Cable) { w.Cut(faultproxy.Down, false) }},
+		"cut towards control":  {func(w *faultproxy.Cable) { w.Cut(faultproxy.Up, true) }, func(w *faultproxy.Cable) { w.Cut(faultproxy.Up, false) }},
+		"cut both ways": {func(w *faultproxy.Cable) { w.Cut(faultproxy.Up, true); w.Cut(faultproxy.Down, true) },
+			func(w *faultproxy.Cable) { w.Cut(faultproxy.Up, false); w.Cut(faultproxy.Down, false) }},
+		"garbled":    {func(w *faultproxy.Cable) { w.Garble(faultproxy.Down, 3) }, func(*faultproxy.Cable) {}},
+		"broken off": {func(w *faultproxy.Cable) { w.Break() }, func(*faultproxy.Cable) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			a, b := pair(t)
-			wires, err := cable.Listen(a.at)
+			wires, err := faultproxy.Listen(a.at)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/distribution/client/link.go
+++ b/internal/controlplane/distribution/client/link.go
@@ -9,9 +9,9 @@
 
 	"github.com/rs/zerolog"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/wire"
-	"fernvane/internal/frames"
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/wire"
 )
 
 const (
@@ -139,7 +139,7 @@
 	return err
 }
 
-func (l *link) write(ctx context.Context, conn *frames.Conn) {
+func (l *link) write(ctx context.Context, conn *framing.Conn) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -156,14 +156,14 @@
 	}
 }
 
-func (l *link) read(ctx context.Context, conn *frames.Conn, events chan<- event) error {
+func (l *link) read(ctx context.Context, conn *framing.Conn, events chan<- event) error {
 	for {
 		kind, body, err := conn.Receive(time.Now().Add(silentMost))
 		if err != nil {
 			return err
 		}
-		if kind == frames.Refusals {
-			return frames.Refused(body)
+		if kind == framing.Refusals {
+			return framing.Refused(body)
 		}
 		m, err := wire.Decode(kind, body)
 		if err != nil {
@@ -194,7 +194,7 @@
 
 // Dial opens a connection to a control process, with its TLS and greeting. An error that is errKeys comes with a
 // connection that is good.
-func Dial(ctx context.Context, config *Config, at netip.AddrPort, name string) (*frames.Conn, error) {
+func Dial(ctx context.Context, config *Config, at netip.AddrPort, name string) (*framing.Conn, error) {
 	by := time.Now().Add(dialWithin)
 	dialer := net.Dialer{Deadline: by, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: keepAliveCount}}
 	connection, err := dialer.DialContext(ctx, "tcp", at.String())
--- a/internal/distribution/client/listener_test.go
+++ b/internal/controlplane/distribution/client/listener_test.go
@@ -4,7 +4,7 @@
 	"maps"
 	"sync"
 
-	"fernvane/internal/distribution"
+	"fernvane/internal/controlplane/distribution"
 )
 
 // listener notes what is in force. Values that begin with "bad" cannot be used.
--- a/internal/distribution/client/mark.go
+++ b/internal/controlplane/distribution/client/mark.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/disk"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/disk"
 )
 
 const markFile = "held.json"
--- a/internal/distribution/client/offer.go
+++ b/internal/controlplane/distribution/client/offer.go
@@ -4,8 +4,8 @@
 	"errors"
 	"time"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/wire"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/wire"
 )
 
 // wanted gives a control process what it lacks, as after it lost its disk: in batches of a bounded rate, which it
--- a/internal/distribution/client/preferred_test.go
+++ b/internal/controlplane/distribution/client/preferred_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/config/tomlfile"
+	"fernvane/internal/controlplane/distribution"
 )
 
 // A node goes back to the control process that its file names first once that one answers again, and no change is missed on the way.
--- a/internal/distribution/client/session.go
+++ b/internal/controlplane/distribution/client/session.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"time"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/wire"
-	"fernvane/internal/frames"
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/wire"
 )
 
 const (
@@ -30,7 +30,7 @@
 // Session is a command's connection to the first control process that answers.
 type Session struct {
 	Control string // its address
-	conn    *frames.Conn
+	conn    *framing.Conn
 	last    uint64
 }
 
@@ -69,8 +69,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if kind == frames.Refusals {
-		return nil, frames.Refused(body)
+	if kind == framing.Refusals {
+		return nil, framing.Refused(body)
 	}
 	return wire.Decode(kind, body)
 }
--- a/internal/distribution/control/command_test.go
+++ b/internal/controlplane/distribution/control/command_test.go
@@ -7,14 +7,14 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/wire"
-	"fernvane/internal/frames"
-	"fernvane/internal/mtls"
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/cluster/mtls"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/wire"
 )
 
 // command is a connection of an operator's.
-func command(t *testing.T, at string, keys *mtls.Keys) *frames.Conn {
+func command(t *testing.T, at string, keys *mtls.Keys) *framing.Conn {
 	t.Helper()
 	conn, err := greeted(at, "operator", keys)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return conn
 }
 
-func greeted(at, name string, keys *mtls.Keys) (*frames.Conn, error) {
+func greeted(at, name string, keys *mtls.Keys) (*framing.Conn, error) {
 	nc, err := net.DialTimeout("tcp", at, time.Second)
 	if err != nil {
 		return nil, err
@@ -41,13 +41,13 @@
 }
 
 // next is a message, but signs of life.
-func next(conn *frames.Conn, within time.Duration) (wire.Message, error) {
+func next(conn *framing.Conn, within time.Duration) (wire.Message, error) {
 	kind, body, err := conn.Receive(time.Now().Add(within))
 	if err != nil {
 		return nil, err
 	}
-	if kind == frames.Refusals {
-		return nil, frames.Refused(body)
+	if kind == framing.Refusals {
+		return nil, framing.Refused(body)
 	}
 	return wire.Decode(kind, body)
 }
--- a/internal/distribution/control/config.go
+++ b/internal/controlplane/distribution/control/config.go
@@ -11,10 +11,10 @@
 	"strconv"
 	"time"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/mtls"
-	"fernvane/internal/registry"
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/cluster/mtls"
+	"fernvane/internal/config/tomlfile"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/discovery/zookeeper"
 )
 
 const (
@@ -53,11 +53,11 @@
 	CA          string        `toml:"ca"`
 	Plaintext   bool          `toml:"plaintext"` // without TLS, on loopback only
 
-	ListenAt    netip.AddrPort   `toml:"-"`
-	UpstreamsAt []netip.AddrPort `toml:"-"`
-	DiscoveryAt netip.AddrPort   `toml:"-"`
-	Ensemble    *registry.Config `toml:"-"`
-	Keys        *mtls.Keys       `toml:"-"` // nil: plaintext
+	ListenAt    netip.AddrPort    `toml:"-"`
+	UpstreamsAt []netip.AddrPort  `toml:"-"`
+	DiscoveryAt netip.AddrPort    `toml:"-"`
+	Ensemble    *zookeeper.Config `toml:"-"`
+	Keys        *mtls.Keys        `toml:"-"` // nil: plaintext
 }
 
 // The two ways to follow several upstreams.
@@ -162,7 +162,7 @@
 	case c.Discovery != "" && c.Registry != "":
 		f.Wrong("registry", "either discovery or a registry")
 	case c.Registry != "":
-		if c.Ensemble, err = registry.Load(c.Registry); err != nil {
+		if c.Ensemble, err = zookeeper.Load(c.Registry); err != nil {
 			f.Wrong("registry", "%v", err)
 		}
 	case c.Discovery != "":
--- a/internal/distribution/control/config_test.go
+++ b/internal/controlplane/distribution/control/config_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/standin/keys"
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/config/tomlfile"
+	"fernvane/internal/testbed/standin/certauthority"
 )
 
 // Each fault of a file is told by its line.
@@ -61,11 +61,11 @@
 // The example file is taken as it stands, but for what must be there on this machine.
 func TestExampleFile(t *testing.T) {
 	t.Parallel()
-	text, err := os.ReadFile(filepath.Join("..", "..", "..", "deploy", "control.example.toml"))
+	text, err := os.ReadFile(filepath.Join("..", "..", "..", "..", "deploy", "control.example.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	authority, err := keys.New("authority")
+	authority, err := certauthority.New("authority")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/distribution/control/control_test.go
+++ b/internal/controlplane/distribution/control/control_test.go
@@ -9,10 +9,10 @@
 
 	"github.com/rs/zerolog"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/frames"
-	"fernvane/internal/standin/address"
-	"fernvane/internal/standin/cable"
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/testbed/standin/address"
+	"fernvane/internal/testbed/standin/faultproxy"
 )
 
 // tree is two roots that follow each other and a relay below them.
@@ -277,14 +277,14 @@
 	first, second := settings(t, "a", at, disk("a"), bt), settings(t, "b", bt, disk("b"), at)
 	a, b := start(t, first), start(t, second)
 	wait(t, "current", func() bool { return a.isCurrent() && b.isCurrent() })
-	wires, err := cable.Listen(at)
+	wires, err := faultproxy.Listen(at)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer wires.Close()
 	r := start(t, settings(t, "r", address.Free(t), disk("r"), wires.Address(), bt))
 	wait(t, "it follows", r.isCurrent)
-	wires.Cut(cable.Down, true)
+	wires.Cut(faultproxy.Down, true)
 	write(t, a.at, route("s", "x"))
 	wait(t, "it comes by the other", func() bool { return r.holds("x") })
 	agree(t, a, b, r)
@@ -296,10 +296,10 @@
 	t.Parallel()
 	disk := disks(t)
 	at, bt := address.Free(t), address.Free(t)
-	var wires [2]*cable.Cable
+	var wires [2]*faultproxy.Cable
 	for i, to := range []string{bt, at} {
 		var err error
-		if wires[i], err = cable.Listen(to); err != nil {
+		if wires[i], err = faultproxy.Listen(to); err != nil {
 			t.Fatal(err)
 		}
 		defer wires[i].Close()
@@ -310,8 +310,8 @@
 	write(t, a.at, route("s", "both"))
 	agree(t, a, b)
 	for _, w := range wires {
-		w.Cut(cable.Up, true)
-		w.Cut(cable.Down, true)
+		w.Cut(faultproxy.Up, true)
+		w.Cut(faultproxy.Down, true)
 	}
 	of := func(value string) distribution.Change {
 		c := route("s", "both")
@@ -324,8 +324,8 @@
 		t.Fatal("not apart")
 	}
 	for _, w := range wires {
-		w.Cut(cable.Up, false)
-		w.Cut(cable.Down, false)
+		w.Cut(faultproxy.Up, false)
+		w.Cut(faultproxy.Down, false)
 	}
 	agree(t, a, b)
 	for _, m := range []*member{a, b} {
@@ -368,7 +368,7 @@
 	disk, at := disks(t), address.Free(t)
 	m := start(t, settings(t, "a", at, disk("a")))
 	wait(t, "current", m.isCurrent)
-	conns := []*frames.Conn{command(t, at, nil), command(t, at, nil)}
+	conns := []*framing.Conn{command(t, at, nil), command(t, at, nil)}
 	n := node("n", "s")
 	n.subscribe(t, at)
 	write(t, at, routes("s", 0, 100)...)
--- a/internal/distribution/control/faults_test.go
+++ b/internal/controlplane/distribution/control/faults_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/standin/cable"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/testbed/standin/faultproxy"
 )
 
 const (
@@ -22,7 +22,7 @@
 // acknowledged is lost, and no node was led back.
 func TestFaults(t *testing.T) {
 	t.Parallel()
-	cut := func(span time.Duration, directions []cable.Direction, names ...string) func(*testing.T, *fleet) {
+	cut := func(span time.Duration, directions []faultproxy.Direction, names ...string) func(*testing.T, *fleet) {
 		return func(t *testing.T, f *fleet) {
 			for _, cut := range []bool{true, false} {
 				for _, name := range names {
@@ -36,7 +36,7 @@
 			}
 		}
 	}
-	both := []cable.Direction{cable.Up, cable.Down}
+	both := []faultproxy.Direction{faultproxy.Up, faultproxy.Down}
 	stopped := func(of func(*fleet) *process, span time.Duration) func(*testing.T, *fleet) {
 		return func(t *testing.T, f *fleet) {
 			of(f).signal(syscall.SIGSTOP)
@@ -183,13 +183,13 @@
 
 func garbledWire(t *testing.T, f *fleet) {
 	for _, name := range []string{"ra", "rb", "ab", "ba", "nr", "mb"} {
-		f.cables[name].Garble(cable.Up, 3)
-		f.cables[name].Garble(cable.Down, 3)
+		f.cables[name].Garble(faultproxy.Up, 3)
+		f.cables[name].Garble(faultproxy.Down, 3)
 	}
-	wait(t, "garbled", func() bool { return f.cables["ab"].Garbled(cable.Up) && f.cables["ab"].Garbled(cable.Down) })
+	wait(t, "garbled", func() bool { return f.cables["ab"].Garbled(faultproxy.Up) && f.cables["ab"].Garbled(faultproxy.Down) })
 	for _, c := range f.cables {
-		c.Garble(cable.Up, 0)
-		c.Garble(cable.Down, 0)
+		c.Garble(faultproxy.Up, 0)
+		c.Garble(faultproxy.Down, 0)
 	}
 }
 
@@ -216,8 +216,8 @@
 	f.settle(t, "before")
 	alone := []string{"ab", "ba", "ra"}
 	for _, name := range alone {
-		f.cables[name].Cut(cable.Up, true)
-		f.cables[name].Cut(cable.Down, true)
+		f.cables[name].Cut(faultproxy.Up, true)
+		f.cables[name].Cut(faultproxy.Down, true)
 	}
 	changes := routes("alone", 0, 20)
 	for _, c := range changes {
@@ -232,8 +232,8 @@
 	f.a.start(t)
 	for _, name := range alone {
 		f.cables[name].Break() // what was on its way went with the process
-		f.cables[name].Cut(cable.Up, false)
-		f.cables[name].Cut(cable.Down, false)
+		f.cables[name].Cut(faultproxy.Up, false)
+		f.cables[name].Cut(faultproxy.Down, false)
 	}
 	f.settle(t, "after the kill")
 	all := f.holdings(t, f.b)
--- a/internal/distribution/control/follow.go
+++ b/internal/controlplane/distribution/control/follow.go
@@ -6,9 +6,9 @@
 	"net/netip"
 	"time"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/wire"
-	"fernvane/internal/frames"
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/wire"
 )
 
 const (
@@ -183,7 +183,7 @@
 	return probe{upstream, err == nil}
 }
 
-func (f *follower) greet(ctx context.Context, nc net.Conn, by time.Time) (*frames.Conn, string, error) {
+func (f *follower) greet(ctx context.Context, nc net.Conn, by time.Time) (*framing.Conn, string, error) {
 	config := f.server.config
 	if config.Keys != nil {
 		t := config.Keys.Client(nc, config.TLSName)
--- a/internal/distribution/control/helpers_test.go
+++ b/internal/controlplane/distribution/control/helpers_test.go
@@ -14,10 +14,10 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/wire"
-	"fernvane/internal/frames"
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/config/tomlfile"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/wire"
 )
 
 func TestMain(m *testing.M) {
@@ -166,7 +166,7 @@
 	complete  bool
 	err       error
 
-	conn *frames.Conn
+	conn *framing.Conn
 	send sync.Mutex
 	done chan struct{}
 }
--- a/internal/distribution/control/link.go
+++ b/internal/controlplane/distribution/control/link.go
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/wire"
-	"fernvane/internal/frames"
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/wire"
 )
 
 const (
@@ -37,7 +37,7 @@
 // link is one connection with a subscriber, an upstream or a command.
 type link struct {
 	server *Server
-	conn   *frames.Conn
+	conn   *framing.Conn
 	peer   string
 	from   string
 	via    *follower // of an upstream's; nil for a connection that was accepted
@@ -61,7 +61,7 @@
 	reported     map[string]distribution.NodeStatus
 }
 
-func newLink(s *Server, conn *frames.Conn, peer string, via *follower) *link {
+func newLink(s *Server, conn *framing.Conn, peer string, via *follower) *link {
 	return &link{server: s, conn: conn, peer: peer, from: conn.RemoteAddr().String(), via: via, wake: make(chan struct{}, 1),
 		reported: map[string]distribution.NodeStatus{}}
 }
@@ -191,7 +191,7 @@
 }
 
 // greet has an accepted connection's TLS and greeting done.
-func (s *Server) greet(ctx context.Context, nc net.Conn) (*frames.Conn, string, error) {
+func (s *Server) greet(ctx context.Context, nc net.Conn) (*framing.Conn, string, error) {
 	by := time.Now().Add(greetMost)
 	if s.config.Keys != nil {
 		t := s.config.Keys.Server(nc)
@@ -261,12 +261,12 @@
 	for {
 		kind, body, err := l.conn.Receive(time.Now().Add(silentMost))
 		switch {
-		case errors.Is(err, frames.ErrSum), errors.Is(err, frames.ErrKind), errors.Is(err, frames.ErrTooLong):
+		case errors.Is(err, framing.ErrSum), errors.Is(err, framing.ErrKind), errors.Is(err, framing.ErrTooLong):
 			return l.refuse(err)
 		case err != nil:
 			return err
-		case kind == frames.Refusals:
-			return frames.Refused(body)
+		case kind == framing.Refusals:
+			return framing.Refused(body)
 		}
 		l.heard.Store(int64(l.server.now()))
 		m, err := wire.Decode(kind, body)
--- a/internal/distribution/control/peers_test.go
+++ b/internal/controlplane/distribution/control/peers_test.go
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/wire"
-	"fernvane/internal/frames"
-	"fernvane/internal/mtls"
-	"fernvane/internal/standin/address"
-	"fernvane/internal/standin/cable"
-	"fernvane/internal/standin/keys"
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/cluster/mtls"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/wire"
+	"fernvane/internal/testbed/standin/address"
+	"fernvane/internal/testbed/standin/certauthority"
+	"fernvane/internal/testbed/standin/faultproxy"
 )
 
 // Who takes nothing is cut off, and others are served meanwhile.
@@ -73,9 +73,9 @@
 		"a second subscription": {"x", sent(subscribe, subscribe), errSubscribed.Error()},
 		"a batch":               {"x", sent(&wire.Batch{}), errUnasked.Error()},
 		"an answer":             {"x", sent(&wire.Answer{}), "Answer"},
-		"a changed byte":        {"x", garbled, frames.ErrSum.Error()},
-		"an unknown kind":       {"x", []byte{0, 0, 0, 4, 99, 0, 0, 0, 0}, frames.ErrKind.Error()},
-		"a long frame":          {"x", []byte{255, 0, 0, 4, 5, 0, 0, 0, 0}, frames.ErrTooLong.Error()},
+		"a changed byte":        {"x", garbled, framing.ErrSum.Error()},
+		"an unknown kind":       {"x", []byte{0, 0, 0, 4, 99, 0, 0, 0, 0}, framing.ErrKind.Error()},
+		"a long frame":          {"x", []byte{255, 0, 0, 4, 5, 0, 0, 0, 0}, framing.ErrTooLong.Error()},
 		"its own name": {"a", sent(&wire.Subscribe{Subscription: distribution.Subscription{Name: "a", Role: distribution.Control, All: true}}),
 			errSelf.Error()},
 	} {
@@ -171,15 +171,15 @@
 // Over TLS, with keys of one authority; others come to nothing.
 func TestKeys(t *testing.T) {
 	t.Parallel()
-	authority := func() *keys.Authority {
-		a, err := keys.New("authority")
+	authority := func() *certauthority.Authority {
+		a, err := certauthority.New("authority")
 		if err != nil {
 			t.Fatal(err)
 		}
 		return a
 	}
 	ours, theirs := authority(), authority()
-	load := func(a *keys.Authority, name string) *mtls.Keys {
+	load := func(a *certauthority.Authority, name string) *mtls.Keys {
 		cert, key, ca, err := a.Write(t.TempDir(), name, time.Now().Add(time.Hour))
 		if err != nil {
 			t.Fatal(err)
@@ -243,7 +243,7 @@
 	t.Parallel()
 	disk, at := disks(t), address.Free(t)
 	a := start(t, settings(t, "a", at, disk("a")))
-	wires, err := cable.Listen(at)
+	wires, err := faultproxy.Listen(at)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -258,7 +258,7 @@
 	}
 	write(t, r.at, route("s", "from below"))
 	agree(t, a, r)
-	if up, down := wires.Bytes(cable.Up), wires.Bytes(cable.Down); down < 300_000 || up > 30_000 {
+	if up, down := wires.Bytes(faultproxy.Up), wires.Bytes(faultproxy.Down); down < 300_000 || up > 30_000 {
 		t.Errorf("%d bytes went up, %d down", up, down)
 	}
 	r.stop(t)
--- a/internal/distribution/control/preferred_test.go
+++ b/internal/controlplane/distribution/control/preferred_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/standin/address"
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/config/tomlfile"
+	"fernvane/internal/testbed/standin/address"
 )
 
 // A relay goes back to the root that its file names first once that one answers again.
--- a/internal/distribution/control/process_test.go
+++ b/internal/controlplane/distribution/control/process_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/standin/address"
-	"fernvane/internal/standin/cable"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/testbed/standin/address"
+	"fernvane/internal/testbed/standin/faultproxy"
 )
 
 // fernvane is the program, built once for all tests that need it; the folder that it is in goes with them.
@@ -129,7 +129,7 @@
 // second root. Cables stand between all processes.
 type fleet struct {
 	a, b, r   *process
-	cables    map[string]*cable.Cable // by who dials and whom: "ra"
+	cables    map[string]*faultproxy.Cable // by who dials and whom: "ra"
 	near, far *subscriber
 	writer    *writer
 	stop      chan struct{}
@@ -140,7 +140,7 @@
 	t.Helper()
 	turns <- struct{}{}
 	t.Cleanup(func() { <-turns })
-	f := &fleet{cables: map[string]*cable.Cable{}, stop: make(chan struct{})}
+	f := &fleet{cables: map[string]*faultproxy.Cable{}, stop: make(chan struct{})}
 	dir := t.TempDir()
 	processes := map[string]*process{}
 	for _, name := range []string{"a", "b", "r"} {
@@ -148,7 +148,7 @@
 	}
 	f.a, f.b, f.r = processes["a"], processes["b"], processes["r"]
 	for _, ends := range []string{"ab", "ba", "ra", "rb", "nr", "mb"} {
-		c, err := cable.Listen(processes[ends[1:]].at)
+		c, err := faultproxy.Listen(processes[ends[1:]].at)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/distribution/control/publish.go
+++ b/internal/controlplane/distribution/control/publish.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/wire"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/wire"
 )
 
 const (
--- a/internal/distribution/control/receive.go
+++ b/internal/controlplane/distribution/control/receive.go
@@ -3,8 +3,8 @@
 import (
 	"errors"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/wire"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/wire"
 )
 
 var (
--- a/internal/distribution/control/server.go
+++ b/internal/controlplane/distribution/control/server.go
@@ -11,8 +11,8 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/disk"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/disk"
 )
 
 const (
--- a/internal/distribution/control/source.go
+++ b/internal/controlplane/distribution/control/source.go
@@ -6,11 +6,11 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/http1"
-	"fernvane/internal/life"
-	"fernvane/internal/registry"
-	"fernvane/internal/watch"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/discovery/incarnation"
+	"fernvane/internal/discovery/watch"
+	"fernvane/internal/discovery/zookeeper"
+	"fernvane/internal/protocol/http1"
 )
 
 const (
@@ -20,7 +20,7 @@
 
 // source writes what discovery or a registry tells of servers. Only one control process does so for a source.
 func (s *Server) source(ctx context.Context) error {
-	told := &sourced{server: s, servers: map[string]life.Entry{}, wake: make(chan struct{}, 1)}
+	told := &sourced{server: s, servers: map[string]incarnation.Entry{}, wake: make(chan struct{}, 1)}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -31,9 +31,9 @@
 		s.watchDiscovery(ctx, told)
 		return nil
 	}
-	return registry.Follow(ctx, s.config.Ensemble, registry.Listener{
+	return zookeeper.Follow(ctx, s.config.Ensemble, zookeeper.Listener{
 		Now:     s.now,
-		Changed: func(changed []life.Entry, _ bool) { told.listed(changed, false) },
+		Changed: func(changed []incarnation.Entry, _ bool) { told.listed(changed, false) },
 		Fault:   func(err error) { s.log.Warn().Err(err).Msg("registry") },
 		Doubted: func(is bool) {
 			s.log.Error().Bool("doubted", is).Msg("most servers have vanished from the registry together, or are back")
@@ -60,13 +60,13 @@
 	wake   chan struct{}
 
 	// under the server's lock
-	servers map[string]life.Entry
+	servers map[string]incarnation.Entry
 	whole   bool            // all of them were told: others of the service are gone
 	changed map[string]bool // names to be looked at; nil for all
 }
 
 // listed takes in what a source tells.
-func (t *sourced) listed(entries []life.Entry, whole bool) {
+func (t *sourced) listed(entries []incarnation.Entry, whole bool) {
 	s := t.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,11 +145,11 @@
 	held, ok := t.server.store.Entry(c.Key)
 	ok = ok && !held.Deleted
 	told, known := t.servers[name]
-	if !known || told.Condition == life.Gone {
+	if !known || told.Condition == incarnation.Gone {
 		c.Deleted = true
 		return c, ok
 	}
-	var before life.Entry
+	var before incarnation.Entry
 	if ok && cbor.Unmarshal(held.Value, &before) == nil {
 		told = turned(before, told)
 		before.Revision = told.Revision // a list that is told again is no change
@@ -170,7 +170,7 @@
 
 // turned is a source's word about a server as a later one than what was written before: within one start a server goes
 // back, as when a drain is called off, by a new turn.
-func turned(before, told life.Entry) life.Entry {
+func turned(before, told incarnation.Entry) incarnation.Entry {
 	if told.Up > before.Up {
 		return told
 	}
--- a/internal/distribution/control/source_test.go
+++ b/internal/controlplane/distribution/control/source_test.go
@@ -7,10 +7,10 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/life"
-	"fernvane/internal/standin/address"
-	"fernvane/internal/standin/discovery"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/discovery/incarnation"
+	"fernvane/internal/testbed/standin/address"
+	"fernvane/internal/testbed/standin/discovery"
 )
 
 type deaf struct{}
@@ -35,7 +35,7 @@
 }
 
 // server is what the store holds of one.
-func (m *member) server(t *testing.T, name string) (e life.Entry, held distribution.Entry) {
+func (m *member) server(t *testing.T, name string) (e incarnation.Entry, held distribution.Entry) {
 	t.Helper()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -53,29 +53,29 @@
 func TestDiscoveryIsWritten(t *testing.T) {
 	t.Parallel()
 	list, m := listed(t)
-	is := func(name string, condition life.Condition, turn bool) func() bool {
+	is := func(name string, condition incarnation.Condition, turn bool) func() bool {
 		return func() bool {
 			e, held := m.server(t, name)
 			return e.ID == name && !held.Deleted && e.Condition == condition && (e.Turn > 0) == turn && e.Address == "127.0.0.1:1"
 		}
 	}
-	wait(t, "both servers", func() bool { return is("s1", life.Up, false)() && is("s2", life.Up, false)() })
+	wait(t, "both servers", func() bool { return is("s1", incarnation.Up, false)() && is("s2", incarnation.Up, false)() })
 	set := func(id, phase string) {
 		list.Set(discovery.Entry{ID: id, Phase: phase, Addresses: []string{"127.0.0.1:1"}})
 	}
 	set("s1", discovery.Draining)
-	wait(t, "a drain", is("s1", life.Draining, false))
+	wait(t, "a drain", is("s1", incarnation.Draining, false))
 	set("s1", discovery.Serving)
-	wait(t, "the drain called off", is("s1", life.Up, true))
+	wait(t, "the drain called off", is("s1", incarnation.Up, true))
 	set("s2", discovery.Deleted)
 	wait(t, "a server gone", func() bool { _, held := m.server(t, "s2"); return held.Deleted })
 	set("s2", discovery.Serving)
-	wait(t, "it is back", is("s2", life.Up, true))
+	wait(t, "it is back", is("s2", incarnation.Up, true))
 	_, held := m.server(t, "s2")
 	list.Down(true)
 	list.Down(false)
 	set("s3", discovery.Serving)
-	wait(t, "another one", is("s3", life.Up, false))
+	wait(t, "another one", is("s3", incarnation.Up, false))
 	if _, again := m.server(t, "s2"); again.Clock != held.Clock {
 		t.Error("a server that was told again is written again")
 	}
--- a/internal/distribution/control/status.go
+++ b/internal/controlplane/distribution/control/status.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/wire"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/wire"
 )
 
 const (
--- a/internal/distribution/control/write.go
+++ b/internal/controlplane/distribution/control/write.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/wire"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/wire"
 )
 
 const errorMost = 256 // bytes of what a writer is told
--- a/internal/distribution/disk/disk.go
+++ b/internal/controlplane/distribution/disk/disk.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"fernvane/internal/distribution"
+	"fernvane/internal/controlplane/distribution"
 )
 
 const (
--- a/internal/distribution/disk/disk_test.go
+++ b/internal/controlplane/distribution/disk/disk_test.go
@@ -17,7 +17,7 @@
 	"go.etcd.io/bbolt"
 	"go.uber.org/goleak"
 
-	"fernvane/internal/distribution"
+	"fernvane/internal/controlplane/distribution"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/distribution/disk/file.go
+++ b/internal/controlplane/distribution/disk/file.go
@@ -14,7 +14,7 @@
 	"go.etcd.io/bbolt"
 	bbolterrors "go.etcd.io/bbolt/errors"
 
-	"fernvane/internal/distribution"
+	"fernvane/internal/controlplane/distribution"
 )
 
 const (
--- a/internal/distribution/disk/record.go
+++ b/internal/controlplane/distribution/disk/record.go
@@ -7,7 +7,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"fernvane/internal/distribution"
+	"fernvane/internal/controlplane/distribution"
 )
 
 const sumBytes = 4 // of a checksum ahead of each value
--- a/internal/distribution/disk/writer.go
+++ b/internal/controlplane/distribution/disk/writer.go
@@ -12,7 +12,7 @@
 
 	bbolterrors "go.etcd.io/bbolt/errors"
 
-	"fernvane/internal/distribution"
+	"fernvane/internal/controlplane/distribution"
 )
 
 // batch is what one transaction writes.
--- a/internal/distribution/tree/difference.go
+++ b/internal/controlplane/distribution/tree/difference.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/value"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/value"
 )
 
 // Difference is a change that is to be made, with what is held before it.
--- a/internal/distribution/tree/tree.go
+++ b/internal/controlplane/distribution/tree/tree.go
@@ -15,11 +15,11 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/value"
-	"fernvane/internal/life"
+	"fernvane/internal/config/tomlfile"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/value"
+	"fernvane/internal/discovery/incarnation"
 	"fernvane/internal/route"
-	"fernvane/internal/tomlfile"
 )
 
 // Server is an entry of [[servers]].
@@ -174,7 +174,7 @@
 
 // encode is the server's value.
 func (s Server) encode(sized bool) ([]byte, error) {
-	e := life.Entry{ID: s.ID, Address: s.Address, Zone: s.Zone, Flavor: s.Flavor, Cell: s.Cell, Size: s.Size}
+	e := incarnation.Entry{ID: s.ID, Address: s.Address, Zone: s.Zone, Flavor: s.Flavor, Cell: s.Cell, Size: s.Size}
 	if !sized {
 		e.Size = 1
 	}
@@ -182,7 +182,7 @@
 		e.Up = s.Started.UnixMilli()
 	}
 	if s.Draining {
-		e.Condition = life.Draining
+		e.Condition = incarnation.Draining
 	}
 	return value.EncodeServer(e)
 }
--- a/internal/distribution/tree/tree_test.go
+++ b/internal/controlplane/distribution/tree/tree_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/value"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/value"
 )
 
 func write(t *testing.T, path, text string) {
--- a/internal/distribution/value/value.go
+++ b/internal/controlplane/distribution/value/value.go
@@ -10,8 +10,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/life"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/discovery/incarnation"
 )
 
 // Tenant is what a tenant's entry holds.
@@ -34,7 +34,7 @@
 }
 
 // EncodeServer writes a server's value. Its revision is that of the entry, so it is left out.
-func EncodeServer(e life.Entry) ([]byte, error) {
+func EncodeServer(e incarnation.Entry) ([]byte, error) {
 	e.Revision = 0
 	if err := checkServer(e); err != nil {
 		return nil, err
@@ -43,9 +43,9 @@
 }
 
 // DecodeServer reads a server's entry, a deletion too, as a life at the entry's revision.
-func DecodeServer(e distribution.Entry) (life.Entry, error) {
+func DecodeServer(e distribution.Entry) (incarnation.Entry, error) {
 	if e.Deleted {
-		return life.Entry{ID: e.Key.Name, Condition: life.Gone, Revision: e.Clock}, nil
+		return incarnation.Entry{ID: e.Key.Name, Condition: incarnation.Gone, Revision: e.Clock}, nil
 	}
 	server, err := DecodeServerValue(e.Value)
 	if err == nil && server.ID != e.Key.Name {
@@ -56,25 +56,25 @@
 }
 
 // DecodeServerValue reads a server's value alone.
-func DecodeServerValue(v []byte) (server life.Entry, err error) {
+func DecodeServerValue(v []byte) (server incarnation.Entry, err error) {
 	if err := decoding.Unmarshal(v, &server); err != nil {
 		return server, errors.New("the value of a server cannot be read")
 	}
 	return server, checkServer(server)
 }
 
-func checkServer(e life.Entry) error {
+func checkServer(e incarnation.Entry) error {
 	switch {
 	case e.ID == "":
 		return errors.New("a server without an id")
-	case e.Condition > life.Gone:
+	case e.Condition > incarnation.Gone:
 		return fmt.Errorf("unknown condition %d", e.Condition)
 	case math.IsNaN(e.Size) || math.IsInf(e.Size, 0) || e.Size < 0:
 		return fmt.Errorf("size %v: a number of 0 or more is wanted", e.Size)
 	case e.Up < 0:
 		return fmt.Errorf("up %d: Unix time in ms is wanted", e.Up)
 	}
-	if at, err := netip.ParseAddrPort(e.Address); (err != nil || at.Port() == 0) && e.Condition == life.Up {
+	if at, err := netip.ParseAddrPort(e.Address); (err != nil || at.Port() == 0) && e.Condition == incarnation.Up {
 		return fmt.Errorf("address %.60q: an address and a port are wanted", e.Address)
 	}
 	return nil
--- a/internal/distribution/wire/batch.go
+++ b/internal/controlplane/distribution/wire/batch.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/frames"
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/controlplane/distribution"
 )
 
 // packed is a batch as it stands on the wire: its entries name services and origins by their places in the lists.
@@ -61,7 +61,7 @@
 // unpack reads a batch. Its entries are checked where they are merged, which refuses one and takes the others.
 func unpack(text []byte, b *distribution.Batch) error {
 	var p packed
-	if err := frames.Decode(text, &p); err != nil {
+	if err := framing.Decode(text, &p); err != nil {
 		return err
 	}
 	*b = distribution.Batch{Number: p.Number, Reset: p.Reset, ResetAll: p.ResetAll, Complete: p.Complete, Through: p.Through, Pruned: p.Pruned}
--- a/internal/distribution/wire/check.go
+++ b/internal/controlplane/distribution/wire/check.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"unicode/utf8"
 
-	"fernvane/internal/distribution"
+	"fernvane/internal/controlplane/distribution"
 )
 
 func (m *Subscribe) check() error {
--- a/internal/distribution/wire/wire.go
+++ b/internal/controlplane/distribution/wire/wire.go
@@ -6,8 +6,8 @@
 	"errors"
 	"fmt"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/frames"
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/controlplane/distribution"
 )
 
 // Version of the protocol.
@@ -15,7 +15,7 @@
 
 // Kinds of frames.
 const (
-	subscribeKind = frames.First + iota
+	subscribeKind = framing.First + iota
 	batchKind
 	acknowledgeKind
 	digestsKind
@@ -36,11 +36,11 @@
 )
 
 // Protocol of the connections. Each frame carries a sum.
-var Protocol = &frames.Protocol{Version: Version, Kinds: kindsEnd, Most: bodyMost, Sums: true}
+var Protocol = &framing.Protocol{Version: Version, Kinds: kindsEnd, Most: bodyMost, Sums: true}
 
 // Message is one of Subscribe, Batch, Acknowledge, Digests, Want, Report, Write, Written, Query and Answer, as a pointer.
 type Message interface {
-	kind() frames.Kind
+	kind() framing.Kind
 	check() error
 }
 
@@ -127,7 +127,7 @@
 }
 
 // Send writes a message.
-func Send(c *frames.Conn, m Message) error { return c.Send(m.kind(), body(m)) }
+func Send(c *framing.Conn, m Message) error { return c.Send(m.kind(), body(m)) }
 
 // Append writes a message's frame behind others.
 func Append(b []byte, m Message) ([]byte, error) { return Protocol.Append(b, m.kind(), body(m)) }
@@ -140,16 +140,16 @@
 }
 
 // Decode reads a message strictly.
-func Decode(k frames.Kind, text []byte) (Message, error) {
+func Decode(k framing.Kind, text []byte) (Message, error) {
 	m := empty(k)
 	if m == nil {
-		return nil, fmt.Errorf("%w: %d", frames.ErrKind, k)
+		return nil, fmt.Errorf("%w: %d", framing.ErrKind, k)
 	}
 	var err error
 	if b, ok := m.(*Batch); ok {
 		err = unpack(text, &b.Batch)
 	} else {
-		err = frames.Decode(text, m)
+		err = framing.Decode(text, m)
 	}
 	if err == nil {
 		err = m.check()
@@ -160,7 +160,7 @@
 	return m, nil
 }
 
-func empty(k frames.Kind) Message {
+func empty(k framing.Kind) Message {
 	switch k {
 	case subscribeKind:
 		return &Subscribe{}
@@ -186,13 +186,13 @@
 	return nil
 }
 
-func (*Subscribe) kind() frames.Kind   { return subscribeKind }
-func (*Batch) kind() frames.Kind       { return batchKind }
-func (*Acknowledge) kind() frames.Kind { return acknowledgeKind }
-func (*Digests) kind() frames.Kind     { return digestsKind }
-func (*Want) kind() frames.Kind        { return wantKind }
-func (*Report) kind() frames.Kind      { return reportKind }
-func (*Write) kind() frames.Kind       { return writeKind }
-func (*Written) kind() frames.Kind     { return writtenKind }
-func (*Query) kind() frames.Kind       { return queryKind }
-func (*Answer) kind() frames.Kind      { return answerKind }
+func (*Subscribe) kind() framing.Kind   { return subscribeKind }
+func (*Batch) kind() framing.Kind       { return batchKind }
+func (*Acknowledge) kind() framing.Kind { return acknowledgeKind }
+func (*Digests) kind() framing.Kind     { return digestsKind }
+func (*Want) kind() framing.Kind        { return wantKind }
+func (*Report) kind() framing.Kind      { return reportKind }
+func (*Write) kind() framing.Kind       { return writeKind }
+func (*Written) kind() framing.Kind     { return writtenKind }
+func (*Query) kind() framing.Kind       { return queryKind }
+func (*Answer) kind() framing.Kind      { return answerKind }
--- a/internal/distribution/wire/wire_test.go
+++ b/internal/controlplane/distribution/wire/wire_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/frames"
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/controlplane/distribution"
 )
 
 const origin = distribution.Origin("root/0000000000000001")
@@ -92,7 +92,7 @@
 			}
 		})
 	}
-	if _, err := Decode(kindsEnd, nil); !errors.Is(err, frames.ErrKind) {
+	if _, err := Decode(kindsEnd, nil); !errors.Is(err, framing.ErrKind) {
 		t.Errorf("an unknown kind: %v", err)
 	}
 	body, _ := Append(nil, &Batch{distribution.Batch{Entries: []distribution.Entry{anEntry("a")}}})
@@ -111,11 +111,11 @@
 	frame, _ := Append(nil, &Batch{distribution.Batch{Number: 1, Entries: []distribution.Entry{anEntry("a")}}})
 	f.Add(uint8(batchKind), frame[5:len(frame)-4])
 	f.Fuzz(func(t *testing.T, k uint8, text []byte) {
-		m, err := Decode(frames.Kind(k), text)
+		m, err := Decode(framing.Kind(k), text)
 		if err != nil {
 			return
 		}
-		if _, err := Append(nil, m); err != nil && !errors.Is(err, frames.ErrTooLong) {
+		if _, err := Append(nil, m); err != nil && !errors.Is(err, framing.ErrTooLong) {
 			t.Fatalf("%T was read and cannot be written: %v", m, err)
 		}
 	})
--- a/internal/plan/api.go
+++ b/internal/controlplane/plan/api.go
@@ -7,7 +7,7 @@
 import (
 	"time"
 
-	"fernvane/internal/life"
+	"fernvane/internal/discovery/incarnation"
 )
 
 // Report is what one forwarder tells of a span of time: digests by server and type, never single operations.
@@ -21,8 +21,8 @@
 	Types   []Type
 	Tenants []Tenant // those with traffic; one that is not named had none
 	Servers []Server
-	Held    []Held       // the shares that it follows now
-	Above   []life.Entry // lives of which it knows more than this planner has told
+	Held    []Held              // the shares that it follows now
+	Above   []incarnation.Entry // lives of which it knows more than this planner has told
 }
 
 // Figures are those of its settings that a planner needs.
@@ -94,7 +94,7 @@
 	Admit   float64
 	Within  []Within
 	Servers []Share
-	Lives   []life.Entry // all that it knows, those gone of late too
+	Lives   []incarnation.Entry // all that it knows, those gone of late too
 }
 
 // Within is the share of a tenant's operations within its allowance.
--- a/internal/plan/change.go
+++ b/internal/controlplane/plan/change.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"fernvane/internal/life"
+	"fernvane/internal/discovery/incarnation"
 )
 
 const worthTelling = 0.02 // by which a figure must differ to be told again
@@ -23,7 +23,7 @@
 	Within  []Within // all, if any differs
 	Servers []Share  // new or other
 	Dropped []string // servers that it says nothing of any more
-	Lives   []life.Entry
+	Lives   []incarnation.Entry
 }
 
 // Diff is the change from one plan to the next; told is what the other side holds after it, which need not be all of
@@ -57,7 +57,7 @@
 }
 
 // lives are those of next that before has not; both are sorted by id, and one that is forgotten is not told.
-func lives(before, next []life.Entry) (other []life.Entry) {
+func lives(before, next []incarnation.Entry) (other []incarnation.Entry) {
 	i := 0
 	for _, e := range next {
 		for i < len(before) && before[i].ID < e.ID {
--- a/internal/plan/plan_test.go
+++ b/internal/controlplane/plan/plan_test.go
@@ -10,8 +10,8 @@
 
 	"pgregory.net/rapid"
 
-	"fernvane/internal/life"
-	"fernvane/internal/planline"
+	"fernvane/internal/controlplane/planwire"
+	"fernvane/internal/discovery/incarnation"
 )
 
 const ms = time.Millisecond
@@ -30,10 +30,10 @@
 	for f := range forwarders {
 		w.names = append(w.names, fmt.Sprintf("n%03d", f))
 	}
-	var list []life.Entry
+	var list []incarnation.Entry
 	for s := range servers {
 		w.ids = append(w.ids, fmt.Sprintf("s%03d", s))
-		list = append(list, life.Entry{ID: w.ids[s], Size: 1, Revision: 1})
+		list = append(list, incarnation.Entry{ID: w.ids[s], Size: 1, Revision: 1})
 	}
 	w.p.Listed(w.now, list, true)
 	return w
@@ -236,7 +236,7 @@
 		for range 8 {
 			w.step(well)
 		}
-		w.p.Listed(w.now, []life.Entry{{ID: "s003", Size: 1, Up: w.now.Milliseconds(), Revision: 2}}, false)
+		w.p.Listed(w.now, []incarnation.Entry{{ID: "s003", Size: 1, Up: w.now.Milliseconds(), Revision: 2}}, false)
 		whole := w.step(well)
 		sum, rate := 0.0, 0.0
 		for _, n := range w.names {
@@ -265,7 +265,7 @@
 	for _, f := range w.p.forwarders {
 		f.figures.Nodes = 20
 	}
-	w.p.Listed(w.now, []life.Entry{{ID: "s003", Size: 1, Up: w.now.Milliseconds(), Revision: 2}}, false)
+	w.p.Listed(w.now, []incarnation.Entry{{ID: "s003", Size: 1, Up: w.now.Milliseconds(), Revision: 2}}, false)
 	whole := w.p.Plan(w.now)
 	sum := 0.0
 	for _, n := range w.names {
@@ -303,7 +303,7 @@
 func TestChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var told, held Plan
-		lives := life.NewTable()
+		lives := incarnation.NewTable()
 		for n := range rapid.IntRange(1, 12).Draw(t, "plans") {
 			next := Plan{Number: uint64(n + 1), Nodes: n, Admit: 0.5}
 			for s := range 6 {
@@ -312,7 +312,7 @@
 						Rest: time.Duration(rapid.IntRange(0, 1).Draw(t, "rest")), Avoid: rapid.Bool().Draw(t, "avoid")})
 				}
 				if rapid.Bool().Draw(t, "lives") {
-					next.Lives = append(next.Lives, life.Entry{ID: fmt.Sprint(s), Turn: uint32(rapid.IntRange(0, n).Draw(t, "turn"))})
+					next.Lives = append(next.Lives, incarnation.Entry{ID: fmt.Sprint(s), Turn: uint32(rapid.IntRange(0, n).Draw(t, "turn"))})
 				}
 			}
 			var c Change
@@ -332,7 +332,7 @@
 				t.Fatalf("%d servers, not %d", len(held.Servers), len(next.Servers))
 			}
 			for _, e := range next.Lives {
-				if h, ok := lives.Get(e.ID); !ok || life.Compare(h, e) < 0 {
+				if h, ok := lives.Get(e.ID); !ok || incarnation.Compare(h, e) < 0 {
 					t.Fatalf("the life %+v was not told", e)
 				}
 			}
@@ -403,8 +403,8 @@
 			next := whole.For(n)
 			var c Change
 			c, told[n] = Diff(told[n], next)
-			text, _ := planline.Append(nil, planline.ChangeKind, c)
-			all, _ := planline.Append(nil, planline.ChangeKind, next)
+			text, _ := planwire.Append(nil, planwire.ChangeKind, c)
+			all, _ := planwire.Append(nil, planwire.ChangeKind, next)
 			if steps > 0 { // the first is whole
 				changes += len(text)
 			}
--- a/internal/plan/planner.go
+++ b/internal/controlplane/plan/planner.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"fernvane/internal/life"
+	"fernvane/internal/discovery/incarnation"
 )
 
 const (
@@ -54,7 +54,7 @@
 }
 
 type server struct {
-	life           life.Entry
+	life           incarnation.Entry
 	answers        float64 // fading
 	slow           float64 // the sum of their latency over the usual
 	long           float64 // answers over the longer span
@@ -85,7 +85,7 @@
 type Planner struct {
 	start      int64
 	number     uint64
-	lives      *life.Table
+	lives      *incarnation.Table
 	forwarders map[string]*forwarder
 	servers    map[string]*server
 	kinds      map[string]*kind
@@ -99,12 +99,12 @@
 
 // New starts a planner; start is the Unix time in ms, by which its plans are told from others'.
 func New(start int64) *Planner {
-	return &Planner{start: start, lives: life.NewTable(), forwarders: map[string]*forwarder{}, servers: map[string]*server{},
+	return &Planner{start: start, lives: incarnation.NewTable(), forwarders: map[string]*forwarder{}, servers: map[string]*server{},
 		kinds: map[string]*kind{}, tenants: map[string]*tenant{}, admit: 1}
 }
 
 // Listed takes in what discovery tells.
-func (p *Planner) Listed(now time.Duration, list []life.Entry, whole bool) {
+func (p *Planner) Listed(now time.Duration, list []incarnation.Entry, whole bool) {
 	p.lives.Told(now, list, whole)
 }
 
@@ -249,7 +249,7 @@
 	p.lives.Forget(now)
 	known := map[string]bool{}
 	for _, e := range p.lives.All() {
-		if e.Condition != life.Up {
+		if e.Condition != incarnation.Up {
 			continue
 		}
 		known[e.ID] = true
--- a/internal/plancfg/plancfg.go
+++ b/internal/controlplane/planconfig/plancfg.go
@@ -1,14 +1,14 @@
-// Package plancfg reads the files of the two levels: a forwarder's, which names its planners, and a planner's.
-package plancfg
+// Package planconfig reads the files of the two levels: a forwarder's, which names its planners, and a planner's.
+package planconfig
 
 import (
 	"net/netip"
 	"strconv"
 	"time"
 
-	"fernvane/internal/mtls"
-	"fernvane/internal/registry"
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/cluster/mtls"
+	"fernvane/internal/config/tomlfile"
+	"fernvane/internal/discovery/zookeeper"
 )
 
 const (
@@ -44,10 +44,10 @@
 	Every     tomlfile.Span `toml:"every"`    // between two plans
 	TLS
 
-	ListenAt    netip.AddrPort   `toml:"-"`
-	DiscoveryAt netip.AddrPort   `toml:"-"`
-	Ensemble    *registry.Config `toml:"-"` // nil: discovery tells of servers
-	Keys        *mtls.Keys       `toml:"-"` // nil: plaintext
+	ListenAt    netip.AddrPort    `toml:"-"`
+	DiscoveryAt netip.AddrPort    `toml:"-"`
+	Ensemble    *zookeeper.Config `toml:"-"` // nil: discovery tells of servers
+	Keys        *mtls.Keys        `toml:"-"` // nil: plaintext
 }
 
 // LoadForwarder reads a forwarder's file; each fault is named by file and line.
@@ -98,7 +98,7 @@
 	if c.Registry != "" && c.Discovery != "" {
 		f.Wrong("registry", "either discovery or a registry")
 	} else if c.Registry != "" {
-		if c.Ensemble, err = registry.Load(c.Registry); err != nil {
+		if c.Ensemble, err = zookeeper.Load(c.Registry); err != nil {
 			f.Wrong("registry", "%v", err)
 		}
 	} else if c.DiscoveryAt, err = netip.ParseAddrPort(c.Discovery); err != nil {
--- a/internal/follow/follow.go
+++ b/internal/controlplane/planfollower/follow.go
@@ -1,13 +1,13 @@
-// Package follow decides, at a forwarder, which planner's plan holds, how its shares move, how it fades when planners are
+// Package planfollower decides, at a forwarder, which planner's plan holds, how its shares move, how it fades when planners are
 // heard no more, and when the forwarder asks discovery itself. It is free of I/O.
-package follow
+package planfollower
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"fernvane/internal/plan"
+	"fernvane/internal/controlplane/plan"
 )
 
 const (
--- a/internal/follow/follow_test.go
+++ b/internal/controlplane/planfollower/follow_test.go
@@ -1,4 +1,4 @@
-package follow
+package planfollower
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"fernvane/internal/plan"
+	"fernvane/internal/controlplane/plan"
 )
 
 const ms = time.Millisecond
--- a/internal/planner/planner.go
+++ b/internal/controlplane/planner/planner.go
@@ -12,13 +12,13 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"fernvane/internal/http1"
-	"fernvane/internal/life"
-	"fernvane/internal/plan"
-	"fernvane/internal/plancfg"
-	"fernvane/internal/planline"
-	"fernvane/internal/registry"
-	"fernvane/internal/watch"
+	"fernvane/internal/controlplane/plan"
+	"fernvane/internal/controlplane/planconfig"
+	"fernvane/internal/controlplane/planwire"
+	"fernvane/internal/discovery/incarnation"
+	"fernvane/internal/discovery/watch"
+	"fernvane/internal/discovery/zookeeper"
+	"fernvane/internal/protocol/http1"
 )
 
 const (
@@ -31,13 +31,13 @@
 
 // Server is a running planner.
 type Server struct {
-	cfg   *plancfg.Planner
+	cfg   *planconfig.Planner
 	log   zerolog.Logger
 	start time.Time
 
 	mu    sync.Mutex // never held over a socket
 	plan  *plan.Planner
-	said  map[string]life.Entry // what discovery has told, as it told it
+	said  map[string]incarnation.Entry // what discovery has told, as it told it
 	heard map[string]*forwarder
 	conns int
 	ready bool // discovery has told a whole list
@@ -55,13 +55,13 @@
 
 // forwarder is one connection.
 type forwarder struct {
-	conn *planline.Conn
+	conn *planwire.Conn
 	told plan.Plan
 	next chan plan.Plan // the latest that it has not been sent
 }
 
 // Run serves until the context ends.
-func Run(ctx context.Context, cfg *plancfg.Planner, log zerolog.Logger) error {
+func Run(ctx context.Context, cfg *planconfig.Planner, log zerolog.Logger) error {
 	ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(cfg.ListenAt))
 	if err != nil {
 		return err
@@ -69,9 +69,9 @@
 	return run(ctx, cfg, log, ln)
 }
 
-func run(ctx context.Context, cfg *plancfg.Planner, log zerolog.Logger, ln *net.TCPListener) error {
+func run(ctx context.Context, cfg *planconfig.Planner, log zerolog.Logger, ln *net.TCPListener) error {
 	now := time.Now()
-	s := &Server{cfg: cfg, log: log, start: now, plan: plan.New(now.UnixMilli()), said: map[string]life.Entry{}, heard: map[string]*forwarder{}}
+	s := &Server{cfg: cfg, log: log, start: now, plan: plan.New(now.UnixMilli()), said: map[string]incarnation.Entry{}, heard: map[string]*forwarder{}}
 	log.Info().Str("planner", cfg.Name).Stringer("listen", cfg.ListenAt).Bool("tls", cfg.Keys != nil).Msg("planning")
 	g, ctx := errgroup.WithContext(ctx)
 	if cfg.Ensemble != nil {
@@ -137,9 +137,9 @@
 // registered follows a registry in place of discovery. Planners send no hops: what forwarders find out about a server
 // comes by their reports.
 func (s *Server) registered(ctx context.Context) error {
-	return registry.Follow(ctx, s.cfg.Ensemble, registry.Listener{
+	return zookeeper.Follow(ctx, s.cfg.Ensemble, zookeeper.Listener{
 		Now: s.now,
-		Changed: func(changed []life.Entry, _ bool) {
+		Changed: func(changed []incarnation.Entry, _ bool) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for _, e := range changed {
@@ -217,7 +217,7 @@
 		}
 		nc = t
 	}
-	c := planline.New(nc)
+	c := planwire.New(nc)
 	name, err := c.Greet(s.cfg.Name, by)
 	if err != nil {
 		s.refused(from, err)
@@ -263,7 +263,7 @@
 		case next := <-f.next:
 			change, told := plan.Diff(f.told, next)
 			before := f.conn.Sent
-			if err := f.conn.Send(planline.ChangeKind, change); err != nil {
+			if err := f.conn.Send(planwire.ChangeKind, change); err != nil {
 				f.conn.Close()
 				return err
 			}
@@ -284,14 +284,14 @@
 		}
 		var r plan.Report
 		switch {
-		case k == planline.RefusalKind:
-			var why planline.Refusal
-			planline.Decode(body, &why)
+		case k == planwire.RefusalKind:
+			var why planwire.Refusal
+			planwire.Decode(body, &why)
 			return fmt.Errorf("refused by the forwarder: %.200s", why.Reason)
-		case k != planline.ReportKind:
+		case k != planwire.ReportKind:
 			err = fmt.Errorf("a frame of kind %d from a forwarder", k)
 		default:
-			if err = planline.Decode(body, &r); err == nil && len(r.Servers) > serversMost {
+			if err = planwire.Decode(body, &r); err == nil && len(r.Servers) > serversMost {
 				err = fmt.Errorf("a report of %d servers", len(r.Servers))
 			}
 		}
@@ -302,7 +302,7 @@
 		s.mu.Lock()
 		now := s.now()
 		s.plan.Reported(now, name, &r)
-		var again []life.Entry // discovery may have had a later word on what the forwarder knows of
+		var again []incarnation.Entry // discovery may have had a later word on what the forwarder knows of
 		for _, e := range r.Above {
 			if said, ok := s.said[e.ID]; ok {
 				again = append(again, said)
--- a/internal/planner/planner_test.go
+++ b/internal/controlplane/planner/planner_test.go
@@ -12,16 +12,16 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"fernvane/internal/life"
-	"fernvane/internal/mtls"
-	"fernvane/internal/plan"
-	"fernvane/internal/plancfg"
-	"fernvane/internal/planline"
-	"fernvane/internal/registry"
-	"fernvane/internal/standin/discovery"
-	"fernvane/internal/standin/keys"
-	standin "fernvane/internal/standin/registry"
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/cluster/mtls"
+	"fernvane/internal/config/tomlfile"
+	"fernvane/internal/controlplane/plan"
+	"fernvane/internal/controlplane/planconfig"
+	"fernvane/internal/controlplane/planwire"
+	"fernvane/internal/discovery/incarnation"
+	"fernvane/internal/discovery/zookeeper"
+	"fernvane/internal/testbed/standin/certauthority"
+	"fernvane/internal/testbed/standin/discovery"
+	standin "fernvane/internal/testbed/standin/zookeeper"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -46,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := &plancfg.Planner{Name: "p", Every: tomlfile.Span(50 * time.Millisecond), DiscoveryAt: netip.MustParseAddrPort(free.Addr().String()), Keys: k}
+	cfg := &planconfig.Planner{Name: "p", Every: tomlfile.Span(50 * time.Millisecond), DiscoveryAt: netip.MustParseAddrPort(free.Addr().String()), Keys: k}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- run(ctx, cfg, zerolog.Nop(), ln.(*net.TCPListener)) }()
@@ -67,9 +67,9 @@
 // peer is a forwarder by hand.
 type peer struct {
 	t *testing.T
-	*planline.Conn
+	*planwire.Conn
 	held  plan.Plan
-	lives *life.Table
+	lives *incarnation.Table
 }
 
 func join(t *testing.T, at, name string) *peer {
@@ -79,7 +79,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	p := &peer{t: t, Conn: planline.New(nc), lives: life.NewTable()}
+	p := &peer{t: t, Conn: planwire.New(nc), lives: incarnation.NewTable()}
 	if _, err := p.Greet(name, time.Now().Add(5*time.Second)); err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 
 func (p *peer) report(r plan.Report) {
 	p.t.Helper()
-	if err := p.Send(planline.ReportKind, r); err != nil {
+	if err := p.Send(planwire.ReportKind, r); err != nil {
 		p.t.Fatal(err)
 	}
 }
@@ -102,14 +102,14 @@
 			p.t.Fatalf("%s: %v", what, err)
 		}
 		var c plan.Change
-		if k == planline.ChangeKind && planline.Decode(body, &c) == nil {
+		if k == planwire.ChangeKind && planwire.Decode(body, &c) == nil {
 			p.held = plan.Apply(p.held, c)
 			p.lives.Join(0, c.Lives)
 		}
 	}
 }
 
-func (p *peer) condition(id string) life.Condition {
+func (p *peer) condition(id string) incarnation.Condition {
 	e, ok := p.lives.Get(id)
 	if !ok {
 		return 99
@@ -132,7 +132,7 @@
 		p.until("a part of its own", func() bool { return p.held.Seen == 2 && len(p.held.Servers) >= 6 && p.held.Heard == 7*time.Second })
 	}
 	list.Set(entry("s3", discovery.Draining))
-	a.until("the drain", func() bool { return a.condition("s3") == life.Draining })
+	a.until("the drain", func() bool { return a.condition("s3") == incarnation.Draining })
 	a.until("no part of it", func() bool {
 		for _, s := range a.held.Servers {
 			if s.ID == "s3" {
@@ -142,11 +142,11 @@
 		return true
 	})
 	// a knows of an end that discovery has not told this planner yet; b comes to hear of it.
-	report.Above = []life.Entry{{ID: "s4", Condition: life.Gone, Revision: 100}}
+	report.Above = []incarnation.Entry{{ID: "s4", Condition: incarnation.Gone, Revision: 100}}
 	a.report(report)
-	b.until("what a knows", func() bool { return b.condition("s4") == life.Gone })
+	b.until("what a knows", func() bool { return b.condition("s4") == incarnation.Gone })
 	list.Set(entry("s3", discovery.Serving))
-	b.until("the drain called off", func() bool { e, _ := b.lives.Get("s3"); return e.Condition == life.Up && e.Turn == 1 })
+	b.until("the drain called off", func() bool { e, _ := b.lives.Get("s3"); return e.Condition == incarnation.Up && e.Turn == 1 })
 }
 
 // A planner on a registry tells of boxes as they register, drain and vanish.
@@ -163,8 +163,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := &plancfg.Planner{Name: "p", Every: tomlfile.Span(50 * time.Millisecond),
-		Ensemble: &registry.Config{Servers: []string{server.Address()}, Path: "/hire", Session: tomlfile.Span(time.Second)}}
+	cfg := &planconfig.Planner{Name: "p", Every: tomlfile.Span(50 * time.Millisecond),
+		Ensemble: &zookeeper.Config{Servers: []string{server.Address()}, Path: "/hire", Session: tomlfile.Span(time.Second)}}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- run(ctx, cfg, zerolog.Nop(), ln.(*net.TCPListener)) }()
@@ -174,11 +174,11 @@
 		r.Close()
 	})
 	p := join(t, ln.Addr().String(), "f")
-	p.until("both", func() bool { return p.condition("a") == life.Up && p.condition("b") == life.Up })
+	p.until("both", func() bool { return p.condition("a") == incarnation.Up && p.condition("b") == incarnation.Up })
 	own.Set("/hire/a", []byte(`{"address":"127.0.0.1","port":1,"status":"DRAINING"}`))
-	p.until("the drain", func() bool { return p.condition("a") == life.Draining })
+	p.until("the drain", func() bool { return p.condition("a") == incarnation.Draining })
 	own.End()
-	p.until("the end", func() bool { return p.condition("a") == life.Gone })
+	p.until("the end", func() bool { return p.condition("a") == incarnation.Gone })
 }
 
 // What no forwarder says ends its connection with a reason, and no other's.
@@ -191,8 +191,8 @@
 		send func(p *peer)
 		why  string
 	}{
-		"a plan":             {func(p *peer) { p.Send(planline.ChangeKind, plan.Change{}) }, "a frame of kind 4"},
-		"no report":          {func(p *peer) { p.Send(planline.ReportKind, "report") }, "cannot unmarshal"},
+		"a plan":             {func(p *peer) { p.Send(planwire.ChangeKind, plan.Change{}) }, "a frame of kind 4"},
+		"no report":          {func(p *peer) { p.Send(planwire.ReportKind, "report") }, "cannot unmarshal"},
 		"an oversized frame": {func(p *peer) { p.Write([]byte{0xff, 0xff, 0xff, 0xff, 3}) }, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -200,9 +200,9 @@
 			c.send(p)
 			for {
 				k, body, err := p.Receive(time.Now().Add(5 * time.Second))
-				if k == planline.RefusalKind {
-					var r planline.Refusal
-					if planline.Decode(body, &r); !strings.Contains(r.Reason, c.why) {
+				if k == planwire.RefusalKind {
+					var r planwire.Refusal
+					if planwire.Decode(body, &r); !strings.Contains(r.Reason, c.why) {
 						t.Errorf("%q", r.Reason)
 					}
 					return
@@ -244,7 +244,7 @@
 // Over TLS only forwarders of the same authority are let in.
 func TestTLS(t *testing.T) {
 	t.Parallel()
-	load := func(a *keys.Authority, name string) *mtls.Keys {
+	load := func(a *certauthority.Authority, name string) *mtls.Keys {
 		cert, key, ca, err := a.Write(t.TempDir(), name, time.Now().Add(time.Hour))
 		if err != nil {
 			t.Fatal(err)
@@ -255,8 +255,8 @@
 		}
 		return k
 	}
-	ours, _ := keys.New("ours")
-	theirs, _ := keys.New("theirs")
+	ours, _ := certauthority.New("ours")
+	theirs, _ := certauthority.New("theirs")
 	at, list := start(t, load(ours, "planner"))
 	list.Set(entry("s", discovery.Serving))
 	for name, c := range map[string]struct {
@@ -273,7 +273,7 @@
 				nc = c.keys.Client(nc, "planner")
 			}
 			nc.SetDeadline(time.Now().Add(5 * time.Second))
-			peer, err := planline.New(nc).Greet("n", time.Now().Add(5*time.Second))
+			peer, err := planwire.New(nc).Greet("n", time.Now().Add(5*time.Second))
 			if (err == nil && peer == "p") != c.well {
 				t.Errorf("%q, %v", peer, err)
 			}
--- a/internal/planner/process.go
+++ b/internal/controlplane/planner/process.go
@@ -8,11 +8,11 @@
 
 	"github.com/rs/zerolog"
 
-	"fernvane/internal/plancfg"
+	"fernvane/internal/controlplane/planconfig"
 )
 
 // Process runs a planner as the life of this process, until SIGTERM or SIGINT. It returns the exit code.
-func Process(cfg *plancfg.Planner, errs io.Writer) int {
+func Process(cfg *planconfig.Planner, errs io.Writer) int {
 	log := zerolog.New(errs).With().Timestamp().Logger()
 	signal.Ignore(syscall.SIGPIPE) // or the planner would end with the reader of its log
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
--- a/internal/planline/line.go
+++ b/internal/controlplane/planwire/line.go
@@ -1,11 +1,11 @@
-// Package planline is the protocol of frames between forwarders and planners, on one connection that the forwarder opens.
-package planline
+// Package planwire is the protocol of frames between forwarders and planners, on one connection that the forwarder opens.
+package planwire
 
 import (
 	"io"
 	"net"
 
-	"fernvane/internal/frames"
+	"fernvane/internal/cluster/framing"
 )
 
 // Version of the frames. A peer of another is refused.
@@ -14,29 +14,29 @@
 const frameMost = 1 << 20 // bytes of a body: 4,000 lives of 200 bytes, and slack
 
 // Kind of a frame.
-type Kind = frames.Kind
+type Kind = framing.Kind
 
 const (
-	HelloKind   = frames.Greeting         // the first frame of either side
-	RefusalKind = frames.Refusals         // why a side ends the connection
-	ReportKind  = frames.First + iota - 2 // a forwarder's
-	ChangeKind                            // a planner's
+	HelloKind   = framing.Greeting         // the first frame of either side
+	RefusalKind = framing.Refusals         // why a side ends the connection
+	ReportKind  = framing.First + iota - 2 // a forwarder's
+	ChangeKind                             // a planner's
 	kinds
 )
 
-var protocol = frames.Protocol{Version: Version, Kinds: kinds, Most: frameMost}
+var protocol = framing.Protocol{Version: Version, Kinds: kinds, Most: frameMost}
 
 // What both sides and those between them use of frames.
 type (
-	Hello   = frames.Hello
-	Refusal = frames.Refusal
-	Conn    = frames.Conn
+	Hello   = framing.Hello
+	Refusal = framing.Refusal
+	Conn    = framing.Conn
 )
 
 // Why a frame cannot be taken.
 var (
-	ErrTooLong = frames.ErrTooLong
-	ErrKind    = frames.ErrKind
+	ErrTooLong = framing.ErrTooLong
+	ErrKind    = framing.ErrKind
 )
 
 // New leads a connection.
@@ -49,4 +49,4 @@
 func Read(r io.Reader, buffer []byte) (Kind, []byte, error) { return protocol.Read(r, buffer) }
 
 // Decode reads a body strictly.
-func Decode(body []byte, into any) error { return frames.Decode(body, into) }
+func Decode(body []byte, into any) error { return framing.Decode(body, into) }
--- a/internal/planline/line_test.go
+++ b/internal/controlplane/planwire/line_test.go
@@ -1,4 +1,4 @@
-package planline
+package planwire
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/life"
-	"fernvane/internal/plan"
+	"fernvane/internal/controlplane/plan"
+	"fernvane/internal/discovery/incarnation"
 )
 
 func framed(k Kind, body any) []byte {
@@ -64,7 +64,7 @@
 // A report comes through as it was, and small: bytes by what it tells.
 func TestReportSize(t *testing.T) {
 	r := plan.Report{Sent: time.Hour, Span: 500 * time.Millisecond, Types: []plan.Type{{Name: "hire-check", Target: 200 * time.Millisecond, Asked: 7}},
-		Held: []plan.Held{{ID: "fast-1", Share: 0.25}}, Above: []life.Entry{{ID: "fast-1", Up: 1 << 40, Address: "127.0.0.1:1", Size: 1}}}
+		Held: []plan.Held{{ID: "fast-1", Share: 0.25}}, Above: []incarnation.Entry{{ID: "fast-1", Up: 1 << 40, Address: "127.0.0.1:1", Size: 1}}}
 	for range 8 {
 		r.Servers = append(r.Servers, plan.Server{ID: "fast-1", Answered: []plan.Answered{{N: 3, Sum: 40 * time.Millisecond}}})
 	}
@@ -85,7 +85,7 @@
 // Whatever comes, a frame is read or refused, within its bounds.
 func FuzzRead(f *testing.F) {
 	f.Add(framed(ReportKind, plan.Report{Servers: []plan.Server{{ID: "s"}}}))
-	f.Add(framed(ChangeKind, plan.Change{Lives: []life.Entry{{ID: "s"}}}))
+	f.Add(framed(ChangeKind, plan.Change{Lives: []incarnation.Entry{{ID: "s"}}}))
 	f.Add([]byte{0, 0, 0, 9, 3, 0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		k, body, err := Read(bytes.NewReader(b), nil)
--- a/internal/roster/bench_test.go
+++ b/internal/discovery/endpoints/bench_test.go
@@ -1,18 +1,18 @@
-package roster
+package endpoints
 
 import (
 	"fmt"
 	"net/netip"
 	"testing"
 
-	"fernvane/internal/life"
+	"fernvane/internal/discovery/incarnation"
 )
 
 func words(from, to int) []Word {
 	var list []Word
 	for i := from; i < to; i++ {
 		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)
-		list = append(list, Word{ID: fmt.Sprint("server-", i), Address: at, Condition: life.Up})
+		list = append(list, Word{ID: fmt.Sprint("server-", i), Address: at, Condition: incarnation.Up})
 	}
 	return list
 }
@@ -36,7 +36,7 @@
 			book.Told(0, Discovery, words(0, servers), true)
 			drained := words(0, servers/10)
 			for i := range drained {
-				drained[i].Condition = life.Draining
+				drained[i].Condition = incarnation.Draining
 			}
 			book.Told(0, Discovery, drained, false)
 			list := words(servers, servers+1)
--- a/internal/roster/book.go
+++ b/internal/discovery/endpoints/book.go
@@ -1,11 +1,11 @@
-package roster
+package endpoints
 
 import (
 	"net/netip"
 	"slices"
 	"time"
 
-	"fernvane/internal/life"
+	"fernvane/internal/discovery/incarnation"
 )
 
 // Source is who tells of servers.
@@ -32,7 +32,7 @@
 	Cell             int
 	Size             float64
 	Up               int64 // when it started, Unix time in ms; 0: not told
-	Condition        life.Condition
+	Condition        incarnation.Condition
 }
 
 // Line is what a node goes by for one server.
@@ -93,12 +93,12 @@
 	for _, w := range words {
 		b.visits++
 		l := b.lines[w.ID]
-		if l == nil && w.Condition == life.Up {
+		if l == nil && w.Condition == incarnation.Up {
 			u.Lines = b.displaced(now, w.Address, u.Lines, moved)
 		}
 		if l == nil {
 			l = &Line{}
-			if w.Condition != life.Gone { // one that has gone and is not known is not worth keeping
+			if w.Condition != incarnation.Gone { // one that has gone and is not known is not worth keeping
 				b.lines[w.ID] = l
 			}
 		}
@@ -109,9 +109,9 @@
 			b.place(w.ID, l.Address, w.Address)
 		}
 		l.Word, l.From, l.Heard = w, from, now
-		if w.Condition == life.Up {
+		if w.Condition == incarnation.Up {
 			l.Used, l.Lost = true, false
-		} else if w.Condition == life.Draining || !b.OnlyDraining {
+		} else if w.Condition == incarnation.Draining || !b.OnlyDraining {
 			l.leave(now)
 		}
 		u.Lines = append(u.Lines, *l)
@@ -153,7 +153,7 @@
 			l.leave(now)
 			l.Lost = true
 			gone := *l
-			gone.Condition = life.Gone
+			gone.Condition = incarnation.Gone
 			lines = append(lines, gone)
 		}
 	}
--- a/internal/roster/book_test.go
+++ b/internal/discovery/endpoints/book_test.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"fmt"
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/life"
+	"fernvane/internal/discovery/incarnation"
 )
 
-func word(id string, port uint16, c life.Condition) Word {
+func word(id string, port uint16, c incarnation.Condition) Word {
 	w := Word{ID: id, Condition: c}
 	if port > 0 {
 		w.Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port)
@@ -24,7 +24,7 @@
 		words []Word
 		whole bool
 	}
-	up := func(id string, port uint16) Word { return word(id, port, life.Up) }
+	up := func(id string, port uint16) Word { return word(id, port, incarnation.Up) }
 	for name, c := range map[string]struct {
 		steps []step
 		lines string // of the last step
@@ -35,14 +35,14 @@
 		"the same again":         {[]step{{[]Word{up("a", 1)}, true}, {[]Word{up("a", 1)}, true}}, "a0", nil, []string{"a"}},
 		"not named":              {[]step{{[]Word{up("a", 1), up("b", 2)}, true}, {[]Word{up("b", 2)}, true}}, "b0", []string{"a"}, []string{"b"}},
 		"not changed":            {[]step{{[]Word{up("a", 1), up("b", 2)}, true}, {[]Word{up("b", 2)}, false}}, "b0", nil, []string{"a", "b"}},
-		"drains":                 {[]step{{[]Word{up("a", 1)}, true}, {[]Word{word("a", 0, life.Draining)}, false}}, "a1", []string{"a"}, nil},
-		"gone, and never known":  {[]step{{[]Word{word("a", 1, life.Gone)}, false}}, "a2", nil, nil},
+		"drains":                 {[]step{{[]Word{up("a", 1)}, true}, {[]Word{word("a", 0, incarnation.Draining)}, false}}, "a1", []string{"a"}, nil},
+		"gone, and never known":  {[]step{{[]Word{word("a", 1, incarnation.Gone)}, false}}, "a2", nil, nil},
 		"moved":                  {[]step{{[]Word{up("a", 1)}, true}, {[]Word{up("a", 2)}, false}}, "a0", []string{"a"}, []string{"a"}},
 		"at another's address":   {[]step{{[]Word{up("a", 1)}, true}, {[]Word{up("b", 1)}, false}}, "a2 b0", []string{"a", "b"}, []string{"b"}},
-		"and the other is told":  {[]step{{[]Word{up("a", 1)}, true}, {[]Word{up("b", 1)}, false}, {[]Word{word("a", 1, life.Gone)}, false}}, "a2", []string{"a"}, []string{"b"}},
-		"at a drained address":   {[]step{{[]Word{up("a", 1)}, true}, {[]Word{word("a", 1, life.Draining)}, false}, {[]Word{up("b", 1)}, false}}, "b0", []string{"a", "b"}, []string{"b"}},
-		"told gone":              {[]step{{[]Word{up("a", 1), up("b", 2)}, true}, {[]Word{word("a", 1, life.Gone)}, false}}, "a2", []string{"a"}, []string{"b"}},
-		"drained, then gone":     {[]step{{[]Word{up("a", 1)}, true}, {[]Word{word("a", 1, life.Draining)}, false}, {[]Word{word("a", 1, life.Gone)}, false}}, "a2", []string{"a"}, nil},
+		"and the other is told":  {[]step{{[]Word{up("a", 1)}, true}, {[]Word{up("b", 1)}, false}, {[]Word{word("a", 1, incarnation.Gone)}, false}}, "a2", []string{"a"}, []string{"b"}},
+		"at a drained address":   {[]step{{[]Word{up("a", 1)}, true}, {[]Word{word("a", 1, incarnation.Draining)}, false}, {[]Word{up("b", 1)}, false}}, "b0", []string{"a", "b"}, []string{"b"}},
+		"told gone":              {[]step{{[]Word{up("a", 1), up("b", 2)}, true}, {[]Word{word("a", 1, incarnation.Gone)}, false}}, "a2", []string{"a"}, []string{"b"}},
+		"drained, then gone":     {[]step{{[]Word{up("a", 1)}, true}, {[]Word{word("a", 1, incarnation.Draining)}, false}, {[]Word{word("a", 1, incarnation.Gone)}, false}}, "a2", []string{"a"}, nil},
 		"in a whole list itself": {[]step{{[]Word{up("a", 1)}, true}, {[]Word{up("b", 1)}, true}}, "b0", []string{"a", "b"}, []string{"b"}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -85,8 +85,8 @@
 	}
 	var events []event
 	for _, id := range []string{"a", "b", "c"} {
-		events = append(events, event{word(id, 1, life.Up), false}, event{word(id, 2, life.Up), false}, event{word(id, 0, life.Draining), false},
-			event{word(id, 0, life.Gone), false}, event{word(id, 1, life.Up), true})
+		events = append(events, event{word(id, 1, incarnation.Up), false}, event{word(id, 2, incarnation.Up), false}, event{word(id, 0, incarnation.Draining), false},
+			event{word(id, 0, incarnation.Gone), false}, event{word(id, 1, incarnation.Up), true})
 	}
 	type believed struct {
 		up   bool
@@ -116,17 +116,17 @@
 				m = &believed{}
 				model[e.word.ID] = m
 			}
-			if e.word.Condition == life.Up && !m.seen {
+			if e.word.Condition == incarnation.Up && !m.seen {
 				for _, o := range model {
 					if o != m && o.up && o.port == e.word.Address.Port() {
 						o.up = false
 					}
 				}
 			}
-			if m.up = e.word.Condition == life.Up; e.word.Address.IsValid() {
+			if m.up = e.word.Condition == incarnation.Up; e.word.Address.IsValid() {
 				m.port = e.word.Address.Port()
 			}
-			m.seen = m.seen || e.word.Condition != life.Gone
+			m.seen = m.seen || e.word.Condition != incarnation.Gone
 			for id, m := range model {
 				if l, _ := b.Line(id); l.Used != m.up || m.seen && l.Address.Port() != m.port {
 					t.Fatalf("after %v: %s is %+v, not %+v", path[:i+1], id, l, *m)
@@ -145,7 +145,7 @@
 		list := words(0, servers)
 		b.Told(0, Discovery, list, true)
 		for i := range servers / 10 {
-			list[i].Condition = life.Draining
+			list[i].Condition = incarnation.Draining
 		}
 		from := b.visits
 		b.Told(0, Discovery, list, true)
@@ -168,7 +168,7 @@
 	b := NewBook()
 	for i := range 3_000 {
 		id, port := fmt.Sprint(i*7%13), uint16(i*11%9)
-		b.Told(time.Duration(i), Discovery, []Word{word(id, port, life.Condition(i*5%3))}, i%17 == 0)
+		b.Told(time.Duration(i), Discovery, []Word{word(id, port, incarnation.Condition(i*5%3))}, i%17 == 0)
 		if i%5 == 0 {
 			b.Forget(fmt.Sprint(i % 13))
 		}
--- a/internal/roster/roster.go
+++ b/internal/discovery/endpoints/roster.go
@@ -1,7 +1,7 @@
-// Package roster makes a list of servers out of what a registry of ephemeral nodes lists and of how hops end. Who is not
+// Package endpoints makes a list of servers out of what a registry of ephemeral nodes lists and of how hops end. Who is not
 // listed any more gets nothing new at once; who comes back within a while, alive all along, keeps its place; and where
 // most vanish together it is the registry that is doubted. It is free of I/O.
-package roster
+package endpoints
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"fernvane/internal/life"
+	"fernvane/internal/discovery/incarnation"
 )
 
 const (
@@ -109,7 +109,7 @@
 type server struct {
 	state    State
 	listed   Listed
-	life     life.Entry
+	life     incarnation.Entry
 	since    time.Duration // of the state
 	answered time.Duration
 	failed   time.Duration // last
@@ -121,7 +121,7 @@
 type Roster struct {
 	servers  map[string]*server
 	revision uint64
-	changed  []life.Entry
+	changed  []incarnation.Entry
 	heldNow  bool
 	seen     time.Duration
 }
@@ -130,7 +130,7 @@
 func New() *Roster { return &Roster{servers: map[string]*server{}} }
 
 // Seen takes in all that the registry lists now, and returns what has changed for the node.
-func (r *Roster) Seen(now time.Duration, all []Listed) []life.Entry {
+func (r *Roster) Seen(now time.Duration, all []Listed) []incarnation.Entry {
 	r.begin(now)
 	named := make(map[string]bool, len(all))
 	for _, l := range all {
@@ -212,7 +212,7 @@
 func (r *Roster) Suspicious() bool { return r.heldNow }
 
 // Failed tells that an operation found no connection to a server.
-func (r *Roster) Failed(now time.Duration, id string) []life.Entry {
+func (r *Roster) Failed(now time.Duration, id string) []incarnation.Entry {
 	r.begin(now)
 	if s := r.servers[id]; s != nil {
 		if now-s.failed > failsWithin || s.answered > s.failed {
@@ -228,7 +228,7 @@
 }
 
 // Answered tells that a server has answered.
-func (r *Roster) Answered(now time.Duration, id string) []life.Entry {
+func (r *Roster) Answered(now time.Duration, id string) []incarnation.Entry {
 	r.begin(now)
 	if s := r.servers[id]; s != nil {
 		s.answered, s.fails = now, 0
@@ -241,7 +241,7 @@
 }
 
 // Passed looks at what time changes.
-func (r *Roster) Passed(now time.Duration) []life.Entry {
+func (r *Roster) Passed(now time.Duration) []incarnation.Entry {
 	r.begin(now)
 	for _, id := range r.ids() {
 		s := r.servers[id]
@@ -261,7 +261,7 @@
 
 func (r *Roster) begin(now time.Duration) { r.seen, r.changed = now, nil }
 
-func (r *Roster) end() []life.Entry { return r.changed }
+func (r *Roster) end() []incarnation.Entry { return r.changed }
 
 func (r *Roster) step(s *server, in input) {
 	m := moves[s.state][in]
@@ -288,16 +288,16 @@
 			up++
 		}
 	case tellBack:
-		if e.Condition != life.Up {
+		if e.Condition != incarnation.Up {
 			turn++
 		}
 	}
-	*e = life.Entry{ID: l.ID, Up: up, Turn: turn, Revision: r.revision, Address: l.Address, Zone: l.Zone, Flavor: l.Flavor, Cell: l.Cell, Size: l.Size}
+	*e = incarnation.Entry{ID: l.ID, Up: up, Turn: turn, Revision: r.revision, Address: l.Address, Zone: l.Zone, Flavor: l.Flavor, Cell: l.Cell, Size: l.Size}
 	switch do {
 	case tellDraining:
-		e.Condition = life.Draining
+		e.Condition = incarnation.Draining
 	case tellGone:
-		e.Condition = life.Gone
+		e.Condition = incarnation.Gone
 	}
 	r.changed = append(r.changed, *e)
 }
--- a/internal/roster/roster_test.go
+++ b/internal/discovery/endpoints/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"fernvane/internal/life"
+	"fernvane/internal/discovery/incarnation"
 )
 
 const ms = time.Millisecond
@@ -19,9 +19,9 @@
 }
 
 // view is what a node makes of the entries that it is told, by the lattice.
-type view struct{ table *life.Table }
+type view struct{ table *incarnation.Table }
 
-func (v view) take(changed []life.Entry) { v.table.Join(0, changed) }
+func (v view) take(changed []incarnation.Entry) { v.table.Join(0, changed) }
 func (v view) condition(id string) string {
 	e, ok := v.table.Get(id)
 	if !ok {
@@ -64,7 +64,7 @@
 		"all but it come back":          {[]happening{{2 * s, "all gone"}, {4 * s, "others back"}}, "draining", true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, v := New(), view{life.NewTable()}
+			r, v := New(), view{incarnation.NewTable()}
 			list := func(which ...Listed) []Listed { return which }
 			others := list(box("b", 2), box("c", 3), box("d", 4), box("e", 5))
 			it := box("a", 1)
@@ -161,7 +161,7 @@
 }
 
 func play(t interface{ Fatalf(string, ...any) }, next func(i int) ([2]string, bool)) {
-	r, v := New(), view{life.NewTable()}
+	r, v := New(), view{incarnation.NewTable()}
 	now, owner := time.Duration(0), int64(10)
 	state := map[string]Listed{}
 	there, draining := map[string]bool{}, map[string]bool{}
--- a/internal/life/life.go
+++ b/internal/discovery/incarnation/life.go
@@ -1,7 +1,7 @@
-// Package life keeps what is known of servers in a form that cannot go back: the life of a server is ordered by its
+// Package incarnation keeps what is known of servers in a form that cannot go back: the life of a server is ordered by its
 // incarnation and, within one, up < draining < gone. Joining is the greater of two, so it commutes, repeats without harm,
 // and comes out alike in whatever order planners, discovery and forwarders tell it. It is free of I/O.
-package life
+package incarnation
 
 import (
 	"cmp"
--- a/internal/life/life_test.go
+++ b/internal/discovery/incarnation/life_test.go
@@ -1,4 +1,4 @@
-package life
+package incarnation
 
 import (
 	"fmt"
--- a/internal/snapshot/config.go
+++ b/internal/discovery/snapshot/config.go
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/config/tomlfile"
 )
 
 // Config is an operator's file of the snapshot.
