--- a/internal/lab/faults.go
+++ b/internal/testbed/faults.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -9,12 +9,12 @@
 	"syscall"
 	"time"
 
-	"fernvane/internal/audit"
-	"fernvane/internal/scenario"
-	"fernvane/internal/standin/box"
-	"fernvane/internal/standin/discovery"
-	"fernvane/internal/standin/registry"
-	"fernvane/internal/standin/wires"
+	"fernvane/internal/testbed/audit"
+	"fernvane/internal/testbed/scenario"
+	"fernvane/internal/testbed/standin/discovery"
+	"fernvane/internal/testbed/standin/mesh"
+	"fernvane/internal/testbed/standin/server"
+	"fernvane/internal/testbed/standin/zookeeper"
 )
 
 // schedule has every fault come at its moment. Which boxes and nodes a share means follows from the seed.
@@ -48,7 +48,7 @@
 		for i, d := range []time.Duration{wait, m.kind.PauseFor.D()} {
 			select {
 			case <-time.After(d):
-				m.Model(func(b *box.Model, now time.Duration, tell func(box.Event)) {
+				m.Model(func(b *server.Model, now time.Duration, tell func(server.Event)) {
 					if i == 0 {
 						b.Pause(now, tell)
 					} else {
@@ -67,15 +67,15 @@
 var faults = map[string]func(*world, context.Context, *scenario.Fault, *rand.Rand){
 	"slow": each(func(w *world, f *scenario.Fault, m *machine) {
 		slow := func(by float64) {
-			m.Model(func(b *box.Model, _ time.Duration, _ func(box.Event)) { b.Slow(by) })
+			m.Model(func(b *server.Model, _ time.Duration, _ func(server.Event)) { b.Slow(by) })
 		}
 		slow(f.Size)
 		w.after(f.For.D(), func() { slow(1) })
 	}),
 	"hang": each(func(w *world, f *scenario.Fault, m *machine) {
-		m.Model(func(b *box.Model, now time.Duration, tell func(box.Event)) { b.Pause(now, tell) })
+		m.Model(func(b *server.Model, now time.Duration, tell func(server.Event)) { b.Pause(now, tell) })
 		w.after(f.For.D(), func() {
-			m.Model(func(b *box.Model, now time.Duration, tell func(box.Event)) { b.Resume(now, tell) })
+			m.Model(func(b *server.Model, now time.Duration, tell func(server.Event)) { b.Resume(now, tell) })
 		})
 	}),
 	"pause": each(func(w *world, f *scenario.Fault, m *machine) {
@@ -86,12 +86,12 @@
 		m.Crash()
 		w.dies(m, f.For.D())
 	}),
-	"cut-before": share(func(b *box.Faults, s float64) { b.CutBefore = s }),
-	"cut-within": share(func(b *box.Faults, s float64) { b.CutWithin = s }),
-	"cut-after":  share(func(b *box.Faults, s float64) { b.CutAfter = s }),
-	"refuse":     share(func(b *box.Faults, s float64) { b.Refuse = s }),
-	"error":      share(func(b *box.Faults, s float64) { b.Err = s }),
-	"spoil":      share(func(b *box.Faults, s float64) { b.Spoil = s }),
+	"cut-before": share(func(b *server.Faults, s float64) { b.CutBefore = s }),
+	"cut-within": share(func(b *server.Faults, s float64) { b.CutWithin = s }),
+	"cut-after":  share(func(b *server.Faults, s float64) { b.CutAfter = s }),
+	"refuse":     share(func(b *server.Faults, s float64) { b.Refuse = s }),
+	"error":      share(func(b *server.Faults, s float64) { b.Err = s }),
+	"spoil":      share(func(b *server.Faults, s float64) { b.Spoil = s }),
 	"cut-site": func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		cut := slices.Index(w.Scenario.Sites, f.Site)
 		boxes := slices.Clone(w.boxes)
@@ -228,13 +228,13 @@
 			w.pause(ctx, n, f.For.D())
 		}
 	},
-	"cut-links":     linkFault(true, true, func(way *wires.Way, _ float64) { way.Cut = true }),
-	"cut-links-out": linkFault(true, false, func(way *wires.Way, _ float64) { way.Cut = true }),
-	"cut-links-in":  linkFault(false, true, func(way *wires.Way, _ float64) { way.Cut = true }),
-	"late-links":    linkFault(true, true, func(way *wires.Way, size float64) { way.Delay = time.Duration(size * float64(time.Second)) }),
-	"narrow-links":  linkFault(true, true, func(way *wires.Way, size float64) { way.PerS = size * 1000 }),
-	"garbled-links": linkFault(true, true, func(way *wires.Way, size float64) { way.Garble = size }),
-	"lossy-links":   linkFault(true, true, func(way *wires.Way, size float64) { way.Lose, way.Twice, way.Reorder = size, size, size }),
+	"cut-links":     linkFault(true, true, func(way *mesh.Way, _ float64) { way.Cut = true }),
+	"cut-links-out": linkFault(true, false, func(way *mesh.Way, _ float64) { way.Cut = true }),
+	"cut-links-in":  linkFault(false, true, func(way *mesh.Way, _ float64) { way.Cut = true }),
+	"late-links":    linkFault(true, true, func(way *mesh.Way, size float64) { way.Delay = time.Duration(size * float64(time.Second)) }),
+	"narrow-links":  linkFault(true, true, func(way *mesh.Way, size float64) { way.PerS = size * 1000 }),
+	"garbled-links": linkFault(true, true, func(way *mesh.Way, size float64) { way.Garble = size }),
+	"lossy-links":   linkFault(true, true, func(way *mesh.Way, size float64) { way.Lose, way.Twice, way.Reorder = size, size, size }),
 	"split-site": func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		var those []int
 		for n := range w.nodes {
@@ -242,7 +242,7 @@
 				those = append(those, n)
 			}
 		}
-		w.links(those, f.For.D(), true, true, func(way *wires.Way) { way.Cut = true })
+		w.links(those, f.For.D(), true, true, func(way *mesh.Way) { way.Cut = true })
 	},
 	"losses": func(w *world, ctx context.Context, f *scenario.Fault, chance *rand.Rand) { w.loseAgain(ctx, f, chance) },
 	"losses-beyond": func(w *world, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
@@ -254,20 +254,20 @@
 		w.flap(&share, chance)
 	},
 	"registry-lag": ensembleFault(
-		func(_ *world, f *scenario.Fault, s *registry.Server) { s.Set(seconds(f), 0, false) },
-		func(_ *world, _ *scenario.Fault, s *registry.Server) { s.Set(0, 0, false) }),
+		func(_ *world, f *scenario.Fault, s *zookeeper.Server) { s.Set(seconds(f), 0, false) },
+		func(_ *world, _ *scenario.Fault, s *zookeeper.Server) { s.Set(0, 0, false) }),
 	"registry-slow-events": ensembleFault(
-		func(_ *world, f *scenario.Fault, s *registry.Server) { s.Set(0, seconds(f), false) },
-		func(_ *world, _ *scenario.Fault, s *registry.Server) { s.Set(0, 0, false) }),
+		func(_ *world, f *scenario.Fault, s *zookeeper.Server) { s.Set(0, seconds(f), false) },
+		func(_ *world, _ *scenario.Fault, s *zookeeper.Server) { s.Set(0, 0, false) }),
 	"registry-break": ensembleFault(
-		func(w *world, _ *scenario.Fault, s *registry.Server) { w.registry.Refuse(true); s.Break() },
-		func(w *world, _ *scenario.Fault, _ *registry.Server) { w.registry.Refuse(false) }),
+		func(w *world, _ *scenario.Fault, s *zookeeper.Server) { w.registry.Refuse(true); s.Break() },
+		func(w *world, _ *scenario.Fault, _ *zookeeper.Server) { w.registry.Refuse(false) }),
 	"registry-silent": ensembleFault(
-		func(_ *world, _ *scenario.Fault, s *registry.Server) { s.Set(0, 0, true) },
-		func(_ *world, _ *scenario.Fault, s *registry.Server) { s.Set(0, 0, false) }),
+		func(_ *world, _ *scenario.Fault, s *zookeeper.Server) { s.Set(0, 0, true) },
+		func(_ *world, _ *scenario.Fault, s *zookeeper.Server) { s.Set(0, 0, false) }),
 	"registry-garbled": ensembleFault(
-		func(_ *world, f *scenario.Fault, s *registry.Server) { s.Garble(max(int(1/f.Size), 1)) },
-		func(_ *world, _ *scenario.Fault, s *registry.Server) { s.Garble(0) }),
+		func(_ *world, f *scenario.Fault, s *zookeeper.Server) { s.Garble(max(int(1/f.Size), 1)) },
+		func(_ *world, _ *scenario.Fault, s *zookeeper.Server) { s.Garble(0) }),
 	"registry-records": func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) { w.badRecords(f) },
 	"registry-late": func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		w.registry.Late(seconds(f))
@@ -294,14 +294,14 @@
 }
 
 // share has a share of the requests at the boxes named meet something, at all boxes where none is named.
-func share(set func(*box.Faults, float64)) func(*world, context.Context, *scenario.Fault, *rand.Rand) {
+func share(set func(*server.Faults, float64)) func(*world, context.Context, *scenario.Fault, *rand.Rand) {
 	return func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		for _, m := range w.boxes {
 			if len(f.Boxes) > 0 && !slices.Contains(f.Boxes, m.Name) {
 				continue
 			}
-			m.Set(func(b *box.Faults) { set(b, f.Share) })
-			w.after(f.For.D(), func() { m.Set(func(b *box.Faults) { set(b, 0) }) })
+			m.Set(func(b *server.Faults) { set(b, f.Share) })
+			w.after(f.For.D(), func() { m.Set(func(b *server.Faults) { set(b, 0) }) })
 		}
 	}
 }
--- a/internal/lab/journal.go
+++ b/internal/testbed/journal.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"sync/atomic"
 	"time"
 
-	"fernvane/internal/audit"
-	"fernvane/internal/bindings"
-	"fernvane/internal/bindlog"
-	"fernvane/internal/load"
-	"fernvane/internal/standin/disk"
+	"fernvane/internal/journal/intent"
+	"fernvane/internal/journal/wal"
+	"fernvane/internal/testbed/audit"
+	"fernvane/internal/testbed/load"
+	"fernvane/internal/testbed/standin/memdisk"
 )
 
 // diskVar names the file that says how long each write of a node's journal takes.
@@ -25,7 +25,7 @@
 const fullDisk = "full" // in that file: no write succeeds
 
 // Disk is the disk beneath what a node keeps in the lab, slow or full when a fault says so; nil without one.
-func Disk(getenv func(string) string) bindlog.Files {
+func Disk(getenv func(string) string) wal.Files {
 	path := getenv(diskVar)
 	if path == "" {
 		return nil
@@ -42,7 +42,7 @@
 			full.Store(word == fullDisk)
 		}
 	}
-	return disk.Slowed{Takes: func() time.Duration { look(); return time.Duration(takes.Load()) }, Full: func() bool { look(); return full.Load() }}
+	return memdisk.Slowed{Takes: func() time.Duration { look(); return time.Duration(takes.Load()) }, Full: func() bool { look(); return full.Load() }}
 }
 
 func (w *world) diskFile(n int) string { return w.nodes[n].file("disk", "txt") }
@@ -90,16 +90,16 @@
 		return err
 	}
 	const run = 1
-	log, err := bindlog.Open(bindlog.Options{Dir: dir, Files: bindlog.OS{}, SegmentBytes: 16 << 20, Run: run, Copy: func(uint64, int, []byte, bool) {}, Stored: func(uint64, int) {}})
+	log, err := wal.Open(wal.Options{Dir: dir, Files: wal.OS{}, SegmentBytes: 16 << 20, Run: run, Copy: func(uint64, int, []byte, bool) {}, Stored: func(uint64, int) {}})
 	if err != nil {
 		return err
 	}
 	defer log.Close()
 	at := time.Now().UnixNano()
 	for op := uint64(1); op <= uint64(n); op++ {
-		r := bindings.Record{Run: run, Op: op, At: at, ID: fmt.Sprintf("before-%d", op), Tenant: "dairy", Type: "hire-book", Server: "quick-1", N: 1, Proof: bindings.Ran, How: "answered"}
-		three := [3]bindings.Record{r, r, r}
-		for i, kind := range []bindings.Kind{bindings.Intent, bindings.Ended, bindings.Told} {
+		r := intent.Record{Run: run, Op: op, At: at, ID: fmt.Sprintf("before-%d", op), Tenant: "dairy", Type: "hire-book", Server: "quick-1", N: 1, Proof: intent.Ran, How: "answered"}
+		three := [3]intent.Record{r, r, r}
+		for i, kind := range []intent.Kind{intent.Intent, intent.Ended, intent.Told} {
 			three[i].Kind = kind
 		}
 		three[0].How, three[0].Proof, three[0].N = "", 0, 0
@@ -162,7 +162,7 @@
 	if w.Scenario.Journal.Promise == "" {
 		return sum, nil
 	}
-	all := map[entryKey]*bindings.Entry{}
+	all := map[entryKey]*intent.Entry{}
 	gaps := map[int]bool{}
 	dirs := w.journalDirs()
 	for n := range w.nodes {
@@ -178,17 +178,17 @@
 		sum.Linked = w.fabric.Bytes()
 	}
 	sum.Entries = len(all)
-	dockets := map[string]*bindings.Dockets{}
+	dockets := map[string]*intent.Dockets{}
 	for _, b := range w.boxes {
-		dockets[b.Name] = &bindings.Dockets{Server: b.Name, From: 0, To: time.Now().Add(time.Hour).UnixNano(), IDs: map[string]bool{}}
+		dockets[b.Name] = &intent.Dockets{Server: b.Name, From: 0, To: time.Now().Add(time.Hour).UnixNano(), IDs: map[string]bool{}}
 	}
 	w.observer.record(func(a *audit.Audit, _ time.Duration) {
 		ran := w.compareWithRun(a, all, gaps, dockets, &sum)
 		for k, e := range all {
-			if e.State() == bindings.HasRun && !ran[k] && e.Run != 1 {
+			if e.State() == intent.HasRun && !ran[k] && e.Run != 1 {
 				a.BrokenPromise(fmt.Sprintf("node %d's journal says that %s ran, and no box has run it", k.node, e.ID))
 			}
-			if e.State() == bindings.PossiblySent {
+			if e.State() == intent.PossiblySent {
 				sum.Possibly++
 				if !settles(e, dockets) {
 					sum.Open++
@@ -216,14 +216,14 @@
 }
 
 // readJournal adds one node's entries, and notes where it says that some are missing.
-func readJournal(n int, dirs []string, all map[entryKey]*bindings.Entry, gaps map[int]bool, sum *Journal) error {
-	fold := bindings.NewUnion()
-	keep := func(e *bindings.Entry) {
+func readJournal(n int, dirs []string, all map[entryKey]*intent.Entry, gaps map[int]bool, sum *Journal) error {
+	fold := intent.NewUnion()
+	keep := func(e *intent.Entry) {
 		id, _ := strconv.ParseUint(e.ID, 16, 64)
 		all[entryKey{n, id}] = e
 	}
 	for _, dir := range dirs {
-		r, err := bindlog.Scan(bindlog.OS{}, dir, time.Time{}, func(rec *bindings.Record) error {
+		r, err := wal.Scan(wal.OS{}, dir, time.Time{}, func(rec *intent.Record) error {
 			if e := fold.Add(rec); e != nil {
 				keep(e)
 			}
@@ -246,7 +246,7 @@
 }
 
 // compareWithRun fills the dockets with what the boxes have run, and tells the audit what the journals lack of it.
-func (w *world) compareWithRun(a *audit.Audit, all map[entryKey]*bindings.Entry, gaps map[int]bool, dockets map[string]*bindings.Dockets, sum *Journal) map[entryKey]bool {
+func (w *world) compareWithRun(a *audit.Audit, all map[entryKey]*intent.Entry, gaps map[int]bool, dockets map[string]*intent.Dockets, sum *Journal) map[entryKey]bool {
 	ran := map[entryKey]bool{}
 	a.EachRan(func(kind int) bool { return w.Scenario.Types[kind].Repeat == "binding" }, func(id uint64, node, box int) {
 		sum.Ran++
@@ -259,7 +259,7 @@
 			sum.Lost++
 		case e == nil && !gaps[node]:
 			a.BrokenPromise(fmt.Sprintf("%s ran at %s, and node %d's journal has no entry of it", name, w.boxes[box].Name, node))
-		case e != nil && e.State() == bindings.NotSent:
+		case e != nil && e.State() == intent.NotSent:
 			a.BrokenPromise(fmt.Sprintf("%s ran at %s, and node %d's journal says that it was not sent", name, w.boxes[box].Name, node))
 		}
 	})
@@ -267,10 +267,10 @@
 }
 
 // settles tells whether dockets settle all that is open of an entry.
-func settles(e *bindings.Entry, dockets map[string]*bindings.Dockets) bool {
+func settles(e *intent.Entry, dockets map[string]*intent.Dockets) bool {
 	settled := 0
-	for _, r := range bindings.Reconcile(e, dockets, 0, time.Now().UnixNano()) {
-		if r.Proof == bindings.Ran {
+	for _, r := range intent.Reconcile(e, dockets, 0, time.Now().UnixNano()) {
+		if r.Proof == intent.Ran {
 			settled = len(e.Hops)
 		} else {
 			settled++
@@ -278,7 +278,7 @@
 	}
 	open := 0
 	for _, h := range e.Hops {
-		if h.Proof() == bindings.Possibly {
+		if h.Proof() == intent.Possibly {
 			open++
 		}
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -11,13 +11,13 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"fernvane/internal/audit"
-	"fernvane/internal/baseline"
-	"fernvane/internal/load"
-	"fernvane/internal/plancfg"
-	"fernvane/internal/planner"
-	"fernvane/internal/scenario"
-	"fernvane/internal/serve"
+	"fernvane/internal/controlplane/planconfig"
+	"fernvane/internal/controlplane/planner"
+	"fernvane/internal/proxy"
+	"fernvane/internal/testbed/audit"
+	"fernvane/internal/testbed/baseline"
+	"fernvane/internal/testbed/load"
+	"fernvane/internal/testbed/scenario"
 )
 
 const policyVar = "LAB_TEST_POLICY"
@@ -25,15 +25,15 @@
 // TestMain lets this very program run as a node, so that the tests play with processes as the command does.
 func TestMain(m *testing.M) {
 	if path := os.Getenv("PROXY_PLAN"); path != "" {
-		cfg, err := plancfg.LoadPlanner(path)
+		cfg, err := planconfig.LoadPlanner(path)
 		if err != nil {
 			os.Exit(2)
 		}
 		os.Exit(planner.Process(cfg, os.Stderr))
 	}
 	if os.Getenv("PROXY_CONFIG") != "" {
-		serve.Hear() // as the node's own command does
-		cfg, err := serve.Load(os.Getenv("PROXY_CONFIG"), os.Getenv)
+		proxy.Hear() // as the node's own command does
+		cfg, err := proxy.Load(os.Getenv("PROXY_CONFIG"), os.Getenv)
 		if err != nil {
 			os.Exit(2)
 		}
@@ -42,7 +42,7 @@
 		_, cfg.Unguarded = baseline.Broken[os.Getenv(policyVar)]
 		cfg.Deaf = baseline.Broken[os.Getenv(policyVar)] == "leavers"
 		cfg.Hoards = baseline.Broken[os.Getenv(policyVar)] == "closing"
-		os.Exit(serve.Process(cfg, os.Stderr, zerolog.InfoLevel))
+		os.Exit(proxy.Process(cfg, os.Stderr, zerolog.InfoLevel))
 	}
 	goleak.VerifyTestMain(m)
 }
--- a/internal/lab/lists.go
+++ b/internal/testbed/lists.go
@@ -1,11 +1,11 @@
-package lab
+package testbed
 
 import (
 	"fmt"
 	"os"
 
-	"fernvane/internal/bindlog"
-	"fernvane/internal/snapshot"
+	"fernvane/internal/discovery/snapshot"
+	"fernvane/internal/journal/wal"
 )
 
 // keepLists has each node keep its list of servers on a disk of its own, where the scenario says so.
@@ -31,7 +31,7 @@
 	if w.Scenario.Lists.Start != "kept" || by == 0 {
 		return nil
 	}
-	store, err := snapshot.Open(w.nodes[n].lists(), 3, bindlog.OS{})
+	store, err := snapshot.Open(w.nodes[n].lists(), 3, wal.OS{})
 	if err != nil {
 		return err
 	}
--- a/internal/load/client.go
+++ b/internal/testbed/load/client.go
@@ -11,9 +11,9 @@
 	"syscall"
 	"time"
 
-	"fernvane/internal/fastcgi"
-	"fernvane/internal/http1"
-	"fernvane/internal/message"
+	"fernvane/internal/protocol/fastcgi"
+	"fernvane/internal/protocol/http1"
+	"fernvane/internal/protocol/message"
 )
 
 // Way is where a connection of a client leads, by the protocol that it speaks.
--- a/internal/load/generator.go
+++ b/internal/testbed/load/generator.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"fernvane/internal/scenario"
+	"fernvane/internal/testbed/scenario"
 )
 
 // Watcher is told of each try. Its methods are called from many goroutines.
--- a/internal/load/load_test.go
+++ b/internal/testbed/load/load_test.go
@@ -13,8 +13,8 @@
 
 	"go.uber.org/goleak"
 
-	"fernvane/internal/http1"
-	"fernvane/internal/scenario"
+	"fernvane/internal/protocol/http1"
+	"fernvane/internal/testbed/scenario"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/load/result.go
+++ b/internal/testbed/load/result.go
@@ -6,7 +6,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"fernvane/internal/scenario"
+	"fernvane/internal/testbed/scenario"
 )
 
 const (
--- a/internal/load/schedule.go
+++ b/internal/testbed/load/schedule.go
@@ -9,7 +9,7 @@
 	"sort"
 	"time"
 
-	"fernvane/internal/scenario"
+	"fernvane/internal/testbed/scenario"
 )
 
 // Operation is one that a client begins at a moment that was fixed ahead.
--- a/internal/load/trace.go
+++ b/internal/testbed/load/trace.go
@@ -16,7 +16,7 @@
 	"strings"
 	"time"
 
-	"fernvane/internal/scenario"
+	"fernvane/internal/testbed/scenario"
 )
 
 // header is the first line of a trace in CSV: moments in ms since the start, names as in the scenario, work in ms.
--- a/internal/lab/node.go
+++ b/internal/testbed/node.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"fernvane/internal/scenario"
+	"fernvane/internal/testbed/scenario"
 )
 
 const (
--- a/internal/lab/observer.go
+++ b/internal/testbed/observer.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"sync"
 	"time"
 
-	"fernvane/internal/audit"
-	"fernvane/internal/life"
-	"fernvane/internal/load"
-	"fernvane/internal/scenario"
-	"fernvane/internal/standin/box"
-	"fernvane/internal/standin/discovery"
+	"fernvane/internal/discovery/incarnation"
+	"fernvane/internal/testbed/audit"
+	"fernvane/internal/testbed/load"
+	"fernvane/internal/testbed/scenario"
+	"fernvane/internal/testbed/standin/discovery"
+	"fernvane/internal/testbed/standin/server"
 )
 
 // observer tells the audit what clients, boxes, discovery and planners see; it is safe for concurrent use. All times count since
@@ -111,13 +111,13 @@
 	})
 }
 
-func (o *observer) Asked(id uint64) (box.Asked, bool) {
+func (o *observer) Asked(id uint64) (server.Asked, bool) {
 	op, number := load.FromID(id)
 	if op < 0 || op >= len(o.ops) || number > o.s.Clients.Retries {
-		return box.Asked{}, false
+		return server.Asked{}, false
 	}
 	operation := &o.ops[op]
-	return box.Asked{Work: operation.Work, Key: operation.Key}, true
+	return server.Asked{Work: operation.Work, Key: operation.Key}, true
 }
 
 func (o *observer) Attempt(id uint64, b int, first, last time.Duration) {
@@ -163,10 +163,10 @@
 // discovered is what discovery tells.
 type discovered struct{ *observer }
 
-var lives = [...]audit.Condition{life.Up: audit.Serving, life.Draining: audit.Draining, life.Gone: audit.Gone}
+var lives = [...]audit.Condition{incarnation.Up: audit.Serving, incarnation.Draining: audit.Draining, incarnation.Gone: audit.Gone}
 
 // Planned tells what a planner has told a node.
-func (o *observer) Planned(forwarder string, told []life.Entry, at time.Time) {
+func (o *observer) Planned(forwarder string, told []incarnation.Entry, at time.Time) {
 	var node int
 	if _, err := fmt.Sscanf(forwarder, "n%d", &node); err != nil {
 		return
--- a/internal/lab/planner.go
+++ b/internal/testbed/planner.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"syscall"
 	"time"
 
-	"fernvane/internal/audit"
-	"fernvane/internal/scenario"
-	"fernvane/internal/standin/relay"
+	"fernvane/internal/testbed/audit"
+	"fernvane/internal/testbed/scenario"
+	"fernvane/internal/testbed/standin/plannerproxy"
 )
 
 func (w *world) plannerAddress(n int) string {
@@ -30,9 +30,9 @@
 	}
 	var through [2][]string
 	for n := range s.Planners.Count {
-		var halves [2]*relay.Relay
+		var halves [2]*plannerproxy.Relay
 		for half := range halves {
-			r, err := relay.Listen(w.relayAddress(n, half), w.plannerAddress(n), w.observer)
+			r, err := plannerproxy.Listen(w.relayAddress(n, half), w.plannerAddress(n), w.observer)
 			if err != nil {
 				return err
 			}
--- a/internal/lab/registry.go
+++ b/internal/testbed/registry.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bytes"
@@ -11,10 +11,10 @@
 	"strings"
 	"time"
 
-	"fernvane/internal/audit"
-	"fernvane/internal/scenario"
-	"fernvane/internal/standin/discovery"
-	"fernvane/internal/standin/registry"
+	"fernvane/internal/testbed/audit"
+	"fernvane/internal/testbed/scenario"
+	"fernvane/internal/testbed/standin/discovery"
+	"fernvane/internal/testbed/standin/zookeeper"
 )
 
 const longUp = time.Hour // how long boxes have run that are there from the start
@@ -34,7 +34,7 @@
 	if s.Registry.Addresses == 0 {
 		return nil
 	}
-	w.registry = registry.New(w.observer)
+	w.registry = zookeeper.New(w.observer)
 	for n, p := range w.nodes {
 		var addresses []string
 		for which := range s.Registry.Addresses {
@@ -96,7 +96,7 @@
 }
 
 // Told tells what the registry has told a node of who is there.
-func (o *observer) Told(reader int, at string, children []registry.Child, when time.Time) {
+func (o *observer) Told(reader int, at string, children []zookeeper.Child, when time.Time) {
 	o.record(func(a *audit.Audit, _ time.Duration) {
 		there := map[int]bool{}
 		for _, c := range children {
@@ -152,7 +152,7 @@
 }
 
 // ensembleFault has all addresses of the registry behave in some way for a while.
-func ensembleFault(begin, end func(w *world, f *scenario.Fault, s *registry.Server)) func(*world, context.Context, *scenario.Fault, *rand.Rand) {
+func ensembleFault(begin, end func(w *world, f *scenario.Fault, s *zookeeper.Server)) func(*world, context.Context, *scenario.Fault, *rand.Rand) {
 	return func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		for _, s := range w.ensemble {
 			begin(w, f, s)
--- a/internal/report/report.go
+++ b/internal/testbed/report/report.go
@@ -13,10 +13,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"fernvane/internal/audit"
-	"fernvane/internal/lab"
-	"fernvane/internal/load"
-	"fernvane/internal/scenario"
+	"fernvane/internal/testbed"
+	"fernvane/internal/testbed/audit"
+	"fernvane/internal/testbed/load"
+	"fernvane/internal/testbed/scenario"
 )
 
 // Report is one run. Latencies are in ms, from the scheduled moment.
@@ -45,7 +45,7 @@
 	NodeUse          Use                `json:"nodes_use"`
 	PlannerUse       Use                `json:"planners_use"`
 	PlanBytes        int                `json:"plan_bytes"` // that planners sent to nodes
-	Journal          *lab.Journal       `json:"journal,omitempty"`
+	Journal          *testbed.Journal   `json:"journal,omitempty"`
 	Seconds          []audit.Second     `json:"seconds,omitempty"`
 	BadClients       int                `json:"bad_clients"`
 	Series           []Point            `json:"series"`
@@ -107,7 +107,7 @@
 }
 
 // New sums a run up.
-func New(s *scenario.Scenario, policy string, ops []load.Operation, o *lab.Outcome) Report {
+func New(s *scenario.Scenario, policy string, ops []load.Operation, o *testbed.Outcome) Report {
 	r := Report{Scenario: s.Name, Seed: s.Seed, Policy: policy, Nodes: s.Nodes.Count, Boxes: len(s.BoxNames()), Offered: len(ops),
 		Service: round(o.Service()), AnsweredInTarget: o.Outcomes[load.InTarget], Handled: o.Outcomes[load.Handled], Denied: o.Outcomes[load.Denied],
 		WrittenOff: o.Outcomes[load.WrittenOff], Unanswered: o.Outcomes[load.NoAnswer], Unreached: o.Outcomes[load.Unreached], LeftEarly: o.Outcomes[load.LeftEarly], Tries: o.Tries, Rules: o.Rules,
--- a/internal/scale/change_test.go
+++ b/internal/testbed/scale/change_test.go
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/fleet"
-	"fernvane/internal/http1"
-	"fernvane/internal/node"
-	"fernvane/internal/roster"
-	"fernvane/internal/settings"
-	"fernvane/internal/watch"
+	"fernvane/internal/config/settings"
+	"fernvane/internal/discovery/endpoints"
+	"fernvane/internal/discovery/watch"
+	"fernvane/internal/protocol/http1"
+	"fernvane/internal/proxy/dispatch"
+	"fernvane/internal/proxy/engine"
 	"fernvane/policy"
 )
 
@@ -77,20 +77,20 @@
 		l := layoutOf(t, servers)
 		r := newRecorder(l)
 		s := settings.Settings{Settings: policy.Settings{Nodes: 1, MostHops: 1, Types: []policy.TrafficType{{TargetTime: time.Second, AbandonTime: time.Second}}}, TypeNames: []string{"a"}}
-		f := fleet.New(s, 1, fleet.Limits{MemoryMB: 128, Sockets: 256}, r.observe(0, node.Policy))
+		f := dispatch.New(s, 1, dispatch.Limits{MemoryMB: 128, Sockets: 256}, r.observe(0, engine.Policy))
 		defer f.Stop()
 		all := http1.List{Revision: 1, Complete: true}
 		for i := range servers {
 			all.Hosts = append(all.Hosts, http1.Host{ID: serverID(1, i), Address: parsed(l.address(0, 1, 1024+i)), Size: 1})
 		}
-		f.Listed(all, roster.Discovery)
+		f.Listed(all, endpoints.Discovery)
 		records, whole := r.take()
 		if whole.Elements != servers || len(records) == 0 || records[0].Kind != wholeTaken {
 			t.Fatalf("%d servers: handed %+v", servers, whole)
 		}
 		drained := all.Hosts[0]
 		drained.Phase = http1.Draining
-		f.Listed(http1.List{Revision: 2, Hosts: []http1.Host{drained}}, roster.Discovery)
+		f.Listed(http1.List{Revision: 2, Hosts: []http1.Host{drained}}, endpoints.Discovery)
 		records, after := r.take()
 		if n := after.Elements - whole.Elements; n != 1 {
 			t.Errorf("%d servers: %d lines for one change", servers, n)
--- a/internal/scale/parts/files.go
+++ b/internal/testbed/scale/component/files.go
@@ -1,14 +1,14 @@
-package parts
+package component
 
 import (
 	"bytes"
 	"encoding/json"
 	"fmt"
 
-	"fernvane/internal/plan"
-	"fernvane/internal/planline"
+	"fernvane/internal/config/settings"
+	"fernvane/internal/controlplane/plan"
+	"fernvane/internal/controlplane/planwire"
 	"fernvane/internal/route"
-	"fernvane/internal/settings"
 )
 
 type object = map[string]any
@@ -104,7 +104,7 @@
 				if err != nil {
 					return 0, err
 				}
-				frame, err := planline.Append(nil, planline.ReportKind, r)
+				frame, err := planwire.Append(nil, planwire.ReportKind, r)
 				return float64(len(frame)), err
 			}},
 	}
--- a/internal/scale/parts/lists.go
+++ b/internal/testbed/scale/component/lists.go
@@ -1,16 +1,16 @@
-package parts
+package component
 
 import (
 	"fmt"
 	"math"
 	"time"
 
-	"fernvane/internal/fleet"
-	"fernvane/internal/http1"
-	"fernvane/internal/node"
-	"fernvane/internal/roster"
-	"fernvane/internal/snapshot"
-	"fernvane/internal/standin/discovery"
+	"fernvane/internal/discovery/endpoints"
+	"fernvane/internal/discovery/snapshot"
+	"fernvane/internal/protocol/http1"
+	"fernvane/internal/proxy/dispatch"
+	"fernvane/internal/proxy/engine"
+	"fernvane/internal/testbed/standin/discovery"
 )
 
 const (
@@ -48,19 +48,19 @@
 	return l
 }
 
-func newFleet(tenants int) (*fleet.Fleet, error) {
+func newFleet(tenants int) (*dispatch.Fleet, error) {
 	s, err := decoded(tenants)
 	if err != nil {
 		return nil, err
 	}
-	return fleet.New(s, 1, fleet.Limits{MemoryMB: 128, Sockets: 256}, node.Policy), nil
+	return dispatch.New(s, 1, dispatch.Limits{MemoryMB: 128, Sockets: 256}, engine.Policy), nil
 }
 
 // filled is a node's fleet that knows so many servers.
-func filled(l http1.List) (*fleet.Fleet, error) {
+func filled(l http1.List) (*dispatch.Fleet, error) {
 	f, err := newFleet(4)
 	if err == nil {
-		f.Listed(l, roster.Discovery)
+		f.Listed(l, endpoints.Discovery)
 	}
 	return f, err
 }
@@ -82,7 +82,7 @@
 				if err != nil {
 					return 0, err
 				}
-				least = min(least, timed(1, func() { f.Listed(l, roster.Discovery) }))
+				least = min(least, timed(1, func() { f.Listed(l, endpoints.Discovery) }))
 				f.Stop()
 			}
 			return least, nil
@@ -99,13 +99,13 @@
 			return timed(3, func() {
 				for i := range rounds {
 					one.Hosts[0].Phase = http1.Phase(i % 2)
-					f.Listed(one, roster.Discovery)
+					f.Listed(one, endpoints.Discovery)
 				}
 			}) / rounds, nil
 		}},
 		{Series{Name: "list-memory", About: "a node's book and module of so many servers", By: "servers", Unit: "B"}, sizes, func(n int) (float64, error) {
 			l := list(n)
-			var f *fleet.Fleet
+			var f *dispatch.Fleet
 			var err error
 			bytes := held(func() any {
 				f, err = filled(l)
--- a/internal/scale/parts/parts.go
+++ b/internal/testbed/scale/component/parts.go
@@ -1,7 +1,7 @@
-// Package parts measures what the parts of the control side cost by themselves, without a process or a socket: the bytes
+// Package component measures what the parts of the control side cost by themselves, without a process or a socket: the bytes
 // of lists, files, reports and plans, and the time and memory that taking them in needs, at sizes that no run of whole
 // nodes reaches.
-package parts
+package component
 
 import (
 	"cmp"
--- a/internal/scale/parts/parts_test.go
+++ b/internal/testbed/scale/component/parts_test.go
@@ -1,4 +1,4 @@
-package parts
+package component
 
 import (
 	"math"
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/http1"
-	"fernvane/internal/plan"
-	"fernvane/internal/planline"
-	"fernvane/internal/roster"
+	"fernvane/internal/controlplane/plan"
+	"fernvane/internal/controlplane/planwire"
+	"fernvane/internal/discovery/endpoints"
+	"fernvane/internal/protocol/http1"
 )
 
 // nLogN is by how much an n log n cost grows from one size to another, with a tenth for what rounds up, as maps do.
@@ -78,7 +78,7 @@
 	next := told
 	next.Number++
 	change, _ := plan.Diff(told, next)
-	frame, err := planline.Append(nil, planline.ChangeKind, change)
+	frame, err := planwire.Append(nil, planwire.ChangeKind, change)
 	return float64(len(frame)), err
 }
 
@@ -93,7 +93,7 @@
 	return testing.AllocsPerRun(100, func() {
 		one.Hosts[0].Phase = http1.Phase(i % 2)
 		i++
-		f.Listed(one, roster.Discovery)
+		f.Listed(one, endpoints.Discovery)
 	}), nil
 }
 
@@ -111,7 +111,7 @@
 	defer f.Stop()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	f.Listed(l, roster.Discovery)
+	f.Listed(l, endpoints.Discovery)
 	runtime.ReadMemStats(&after)
 	return float64(after.Mallocs - before.Mallocs), nil
 }
--- a/internal/scale/parts/plans.go
+++ b/internal/testbed/scale/component/plans.go
@@ -1,12 +1,12 @@
-package parts
+package component
 
 import (
 	"fmt"
 	"time"
 
-	"fernvane/internal/life"
-	"fernvane/internal/plan"
-	"fernvane/internal/planline"
+	"fernvane/internal/controlplane/plan"
+	"fernvane/internal/controlplane/planwire"
+	"fernvane/internal/discovery/incarnation"
 )
 
 const (
@@ -18,17 +18,17 @@
 
 func nodeName(i int) string { return fmt.Sprintf("n%05d", i) }
 
-func lives(servers int) (all []life.Entry) {
+func lives(servers int) (all []incarnation.Entry) {
 	for i := range servers {
 		e := entry(i, "")
-		all = append(all, life.Entry{ID: e.ID, Up: e.UpSince.UnixMilli(), Revision: uint64(i), Address: e.Addresses[0], Zone: e.Site, Flavor: e.Flavor,
+		all = append(all, incarnation.Entry{ID: e.ID, Up: e.UpSince.UnixMilli(), Revision: uint64(i), Address: e.Addresses[0], Zone: e.Site, Flavor: e.Flavor,
 			Cell: e.Cell, Size: 1})
 	}
 	return all
 }
 
 // planned is a planner that has heard a report of each of its nodes.
-func planned(nodes, servers int) (*plan.Planner, []life.Entry) {
+func planned(nodes, servers int) (*plan.Planner, []incarnation.Entry) {
 	p, known := plan.New(plannedAt), lives(servers)
 	p.Listed(0, known, true)
 	for i := range nodes {
@@ -56,21 +56,21 @@
 func changeBytes(nodes, servers int) (first, next float64, err error) {
 	p, known := planned(nodes, servers)
 	change, told := plan.Diff(plan.Plan{}, p.Plan(time.Second).For(nodeName(0)))
-	frame, err := planline.Append(nil, planline.ChangeKind, change)
+	frame, err := planwire.Append(nil, planwire.ChangeKind, change)
 	if err != nil {
 		return 0, 0, err
 	}
 	first = float64(len(frame))
 	// One of the servers that the node has no part of: who holds parts of it is another matter than the word of it.
 	changed := known[len(known)-1]
-	changed.Condition, changed.Revision = life.Draining, uint64(servers)
+	changed.Condition, changed.Revision = incarnation.Draining, uint64(servers)
 	before := p.Plan(1500 * time.Millisecond).For(nodeName(0))
 	_, told = plan.Diff(told, before)
-	p.Listed(1500*time.Millisecond, []life.Entry{changed}, false)
+	p.Listed(1500*time.Millisecond, []incarnation.Entry{changed}, false)
 	after := before
 	after.Lives = p.Plan(2 * time.Second).For(nodeName(0)).Lives
 	change, _ = plan.Diff(told, after)
-	frame, err = planline.Append(nil, planline.ChangeKind, change)
+	frame, err = planwire.Append(nil, planwire.ChangeKind, change)
 	return first, float64(len(frame)), err
 }
 
--- a/internal/scale/conductor.go
+++ b/internal/testbed/scale/conductor.go
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	defer held.Close()
-	dir, err := os.MkdirTemp("", "fernlab-scale-")
+	dir, err := os.MkdirTemp("", "testbed-scale-")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scale/cut.go
+++ b/internal/testbed/scale/cut.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"fernvane/internal/standin/link"
+	"fernvane/internal/testbed/standin/link"
 )
 
 // ways are the connections from nodes to control processes of other regions, which can be cut without a word to either
--- a/internal/scale/distribution.go
+++ b/internal/testbed/scale/distribution.go
@@ -10,13 +10,13 @@
 
 	"github.com/rs/zerolog"
 
-	"fernvane/internal/distribution"
-	"fernvane/internal/distribution/client"
-	"fernvane/internal/distribution/control"
-	"fernvane/internal/distribution/value"
-	"fernvane/internal/life"
-	"fernvane/internal/serve"
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/config/tomlfile"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/client"
+	"fernvane/internal/controlplane/distribution/control"
+	"fernvane/internal/controlplane/distribution/value"
+	"fernvane/internal/discovery/incarnation"
+	"fernvane/internal/proxy"
 )
 
 const (
@@ -96,7 +96,7 @@
 	return control.Run(ctx, cfg, zerolog.New(os.Stderr).With().Timestamp().Logger())
 }
 
-func (distributionPlane) Configure(l *Layout, node int, cfg *serve.Config) error {
+func (distributionPlane) Configure(l *Layout, node int, cfg *proxy.Config) error {
 	dir := filepath.Join(l.Dir, "entries", fmt.Sprint(node))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -154,7 +154,7 @@
 	for first := 0; first < l.Size.Servers; first += writesAtOnce {
 		var changes []distribution.Change
 		for i := first; i < min(first+writesAtOnce, l.Size.Servers); i++ {
-			c, err := w.server(i, life.Up)
+			c, err := w.server(i, incarnation.Up)
 			if err != nil {
 				return nil, err
 			}
@@ -167,9 +167,9 @@
 	return w, nil
 }
 
-func (w *writer) server(i int, condition life.Condition) (distribution.Change, error) {
+func (w *writer) server(i int, condition incarnation.Condition) (distribution.Change, error) {
 	e := (&standin{layout: w.layout}).entry(i, "")
-	v, err := value.EncodeServer(life.Entry{ID: e.ID, Up: e.UpSince.UnixMilli(), Condition: condition, Address: e.Addresses[0], Zone: e.Site,
+	v, err := value.EncodeServer(incarnation.Entry{ID: e.ID, Up: e.UpSince.UnixMilli(), Condition: condition, Address: e.Addresses[0], Zone: e.Site,
 		Flavor: e.Flavor, Cell: e.Cell, Size: 1})
 	key := distribution.Key{Service: serviceName(i % w.layout.Size.Services), Kind: distribution.Server, Name: e.ID}
 	return distribution.Change{Key: key, Value: v}, err
@@ -197,9 +197,9 @@
 }
 
 func (w *writer) Change(server int, draining bool) (time.Time, error) {
-	condition := life.Up
+	condition := incarnation.Up
 	if draining {
-		condition = life.Draining
+		condition = incarnation.Draining
 	}
 	c, err := w.server(server, condition)
 	if err != nil {
--- a/internal/scale/hollow.go
+++ b/internal/testbed/scale/hollow.go
@@ -7,12 +7,12 @@
 
 	"github.com/rs/zerolog"
 
-	"fernvane/internal/bindlog"
-	"fernvane/internal/node"
-	"fernvane/internal/peers"
-	"fernvane/internal/serve"
-	"fernvane/internal/snapshot"
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/cluster/peer"
+	"fernvane/internal/config/tomlfile"
+	"fernvane/internal/discovery/snapshot"
+	"fernvane/internal/journal/wal"
+	"fernvane/internal/proxy"
+	"fernvane/internal/proxy/engine"
 )
 
 // Shared is what hollow nodes lack or share, beside nodes that stand alone. The page and each result tell it.
@@ -49,13 +49,13 @@
 	if l.Size.Routes > 0 {
 		env["PROXY_OPERATOR"] = l.operatorPath()
 	}
-	cfg, err := serve.Load(l.configPath(), func(name string) string { return env[name] })
+	cfg, err := proxy.Load(l.configPath(), func(name string) string { return env[name] })
 	if err != nil {
 		return nil, err
 	}
 	cfg.Settings.Me = number
 	cfg.Seed = uint32(l.Size.Seed) + uint32(number)
-	cfg.Module = r.observe(number, node.Policy)
+	cfg.Module = r.observe(number, engine.Policy)
 	// The limit that a node sets for its runtime is the process's, which all its nodes share.
 	cfg.Limits.MemoryMB *= len(l.nodesOf(l.workerOf(number)))
 	cfg.Limits.Sockets = hollowSockets
@@ -68,19 +68,19 @@
 	h := &hollow{number: number, reload: make(chan os.Signal, 1), stop: make(chan struct{}), done: make(chan error, 1)}
 	log := zerolog.New(os.Stderr).Level(logLevelOfNodes).With().Str("node", cfg.Name).Timestamp().Logger()
 	r.started(number)
-	go func() { h.done <- serve.Run(serve.Signals{Reload: h.reload, Stop: h.stop}, cfg, log) }()
+	go func() { h.done <- proxy.Run(proxy.Signals{Reload: h.reload, Stop: h.stop}, cfg, log) }()
 	return h, nil
 }
 
 // beside sets up what a node has beside its list: its copy on disk, and other nodes.
-func (l *Layout) beside(cfg *serve.Config, number int) error {
+func (l *Layout) beside(cfg *proxy.Config, number int) error {
 	if l.Size.Snapshots {
 		dir := l.snapshotDir(number)
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return err
 		}
 		cfg.Snapshot = &snapshot.Config{Dir: dir, Deployment: "scale", Every: tomlfile.Span(snapshotEvery), Keep: 2, Oldest: tomlfile.Span(time.Hour)}
-		cfg.Disk = bindlog.OS{}
+		cfg.Disk = wal.OS{}
 	}
 	if !l.Size.Membership {
 		return nil
@@ -95,7 +95,7 @@
 		// Spread over the fleet, so that the first nodes are not asked by all.
 		first = append(first, l.nodeAddress((number+1+i*l.Size.Nodes/membersAtFirst)%l.Size.Nodes, memberPort))
 	}
-	cfg.Peers = &peers.Config{Name: cfg.Name, Listen: at, Advertise: at, ListenAt: parsed(at), Peers: first, Deployment: "scale",
+	cfg.Peers = &peer.Config{Name: cfg.Name, Listen: at, Advertise: at, ListenAt: parsed(at), Peers: first, Deployment: "scale",
 		Site: zoneName(l, l.zone(l.workerOf(number))), Machine: cfg.Name, Replicas: 1, Held: dir, HeldBytes: 16 << 20,
 		KeepFor: tomlfile.Span(time.Hour), RepairBytes: 1 << 20, SlowAfter: tomlfile.Span(50 * time.Millisecond),
 		GoneAfter: tomlfile.Span(time.Hour), Plaintext: true}
--- a/internal/scale/plane.go
+++ b/internal/testbed/scale/plane.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"fernvane/internal/serve"
+	"fernvane/internal/proxy"
 )
 
 // Plane is a mechanism that carries changes of servers to nodes. Everything else of a run, the hollow nodes, the events,
@@ -30,7 +30,7 @@
 	// are starting beside it; it is there once all servers are listed.
 	Source(l *Layout) (Source, error)
 	// Configure has a node take part, by the configuration that it has loaded.
-	Configure(l *Layout, node int, cfg *serve.Config) error
+	Configure(l *Layout, node int, cfg *proxy.Config) error
 }
 
 // Source is where servers change. It lives in the process of discovery's side.
@@ -64,7 +64,7 @@
 func (discoveryPlane) Prepare(*Layout) error                       { return nil }
 func (discoveryPlane) Control(context.Context, *Layout, int) error { return nil }
 func (discoveryPlane) Source(l *Layout) (Source, error)            { return newStandin(l) }
-func (discoveryPlane) Configure(*Layout, int, *serve.Config) error { return nil }
+func (discoveryPlane) Configure(*Layout, int, *proxy.Config) error { return nil }
 
 // plannersPlane has planners watch discovery, and nodes follow the planners.
 type plannersPlane struct{ discoveryPlane }
--- a/internal/scale/records.go
+++ b/internal/testbed/scale/records.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"fernvane/internal/node"
+	"fernvane/internal/proxy/engine"
 	"fernvane/policy"
 )
 
@@ -72,7 +72,7 @@
 
 // observed is the shipped module, and notes what it has taken in once it has.
 type observed struct {
-	node.Module
+	engine.Module
 	recorder *recorder
 	node     int
 	servers  int          // that it is to know
@@ -80,8 +80,8 @@
 	whole    bool
 }
 
-func (r *recorder) observe(number int, maker node.Maker) node.Maker {
-	return func(s policy.Settings, seed uint32) node.Module {
+func (r *recorder) observe(number int, maker engine.Maker) engine.Maker {
+	return func(s policy.Settings, seed uint32) engine.Module {
 		return &observed{Module: maker(s, seed), recorder: r, node: number, servers: r.layout.serversOf(number), known: map[int]bool{}}
 	}
 }
--- a/internal/scale/standin.go
+++ b/internal/testbed/scale/standin.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"fernvane/internal/standin/discovery"
+	"fernvane/internal/testbed/standin/discovery"
 )
 
 // listsPerS is far above what any size needs: the stand-in's modelled capacity is a deployment's figure, not the project's.
--- a/internal/scale/worker.go
+++ b/internal/testbed/scale/worker.go
@@ -76,7 +76,7 @@
 	signal.Ignore(syscall.SIGINT, syscall.SIGPIPE) // the tool ends its processes, not the terminal
 	w := &worker{encode: json.NewEncoder(out), orders: json.NewDecoder(bufio.NewReader(in))}
 	if err := w.orders.Decode(&w.task); err != nil || w.Layout == nil {
-		fmt.Fprintln(errs, "a process of `fernlab scale` is started by it alone")
+		fmt.Fprintln(errs, "a process of `testbed scale` is started by it alone")
 		return 2
 	}
 	if err := w.run(); err != nil {
--- a/internal/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/config/tomlfile"
 )
 
 const (
--- a/internal/scenario/faults.go
+++ b/internal/testbed/scenario/faults.go
@@ -98,7 +98,7 @@
 	x, key := &s.Faults[i], "faults."+strconv.Itoa(i)
 	k, ok := KindOf(x.Kind)
 	if !ok {
-		c.Wrong(key+".kind", "no fault %q; `fernlab faults` lists them", x.Kind)
+		c.Wrong(key+".kind", "no fault %q; `testbed faults` lists them", x.Kind)
 		return
 	}
 	if x.At < 0 || x.At >= s.Length {
--- a/internal/scenario/load.go
+++ b/internal/testbed/scenario/load.go
@@ -9,7 +9,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/config/tomlfile"
 )
 
 //go:embed embedded/*.toml
--- a/internal/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"fernvane/internal/tomlfile"
+	"fernvane/internal/config/tomlfile"
 )
 
 // Span is a duration as files write it.
--- a/internal/standin/keys/keys.go
+++ b/internal/testbed/standin/certauthority/keys.go
@@ -1,5 +1,5 @@
-// Package keys is a stand-in for an operator's authority: it writes certificates and keys for trials on one machine.
-package keys
+// Package certauthority is a stand-in for an operator's authority: it writes certificates and keys for trials on one machine.
+package certauthority
 
 import (
 	"crypto/ecdsa"
--- a/internal/standin/front/front.go
+++ b/internal/testbed/standin/connbalancer/front.go
@@ -1,6 +1,6 @@
-// Package front is a stand-in for the plain layer before the nodes: it deals out connections among those of a site that
+// Package connbalancer is a stand-in for the plain layer before the nodes: it deals out connections among those of a site that
 // it holds for alive, takes one in when it says that it can serve, and notices late that one has died.
-package front
+package connbalancer
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"fernvane/internal/http1"
-	"fernvane/internal/load"
+	"fernvane/internal/protocol/http1"
+	"fernvane/internal/testbed/load"
 )
 
 const (
--- a/internal/standin/pair/pair.go
+++ b/internal/testbed/standin/connpair/pair.go
@@ -1,5 +1,5 @@
-// Package pair gives tests both ends of a connection on loopback.
-package pair
+// Package connpair gives tests both ends of a connection on loopback.
+package connpair
 
 import (
 	"net"
--- a/internal/standin/discovery/discovery.go
+++ b/internal/testbed/standin/discovery/discovery.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"fernvane/internal/http1"
-	"fernvane/internal/standin/link"
+	"fernvane/internal/protocol/http1"
+	"fernvane/internal/testbed/standin/link"
 )
 
 const (
--- a/internal/standin/discovery/discovery_test.go
+++ b/internal/testbed/standin/discovery/discovery_test.go
@@ -10,7 +10,7 @@
 
 	"go.uber.org/goleak"
 
-	"fernvane/internal/http1"
+	"fernvane/internal/protocol/http1"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/standin/cable/cable.go
+++ b/internal/testbed/standin/faultproxy/cable.go
@@ -1,6 +1,6 @@
-// Package cable stands between two processes as the network does: it passes bytes on, in either direction not at all or
+// Package faultproxy stands between two processes as the network does: it passes bytes on, in either direction not at all or
 // changed where it is told so. Nothing that is cut is lost: it waits, as with the system's own retries.
-package cable
+package faultproxy
 
 import (
 	"net"
--- a/internal/standin/cable/cable_test.go
+++ b/internal/testbed/standin/faultproxy/cable_test.go
@@ -1,4 +1,4 @@
-package cable
+package faultproxy
 
 import (
 	"io"
--- a/internal/standin/link/link_test.go
+++ b/internal/testbed/standin/link/link_test.go
@@ -11,7 +11,7 @@
 
 	"go.uber.org/goleak"
 
-	"fernvane/internal/standin/pair"
+	"fernvane/internal/testbed/standin/connpair"
 )
 
 func echo(c *Conn) { io.Copy(c, struct{ io.Reader }{c}) }
@@ -111,7 +111,7 @@
 		"into it": func(c *Conn, other net.Conn) { io.Copy(c, other) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			near, far := pair.TCP(t)
+			near, far := connpair.TCP(t)
 			l, err := Listen("127.0.0.1:0", func(c *Conn) { copying(c, near) })
 			if err != nil {
 				t.Fatal(err)
--- a/internal/standin/disk/disk.go
+++ b/internal/testbed/standin/memdisk/disk.go
@@ -1,6 +1,6 @@
-// Package disk is a disk in memory beneath a journal. It fails as it is told: short writes, errors, a death of the
+// Package memdisk is a disk in memory beneath a journal. It fails as it is told: short writes, errors, a death of the
 // machine that loses what was not synced, bits that flip.
-package disk
+package memdisk
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"fernvane/internal/bindlog"
+	"fernvane/internal/journal/wal"
 )
 
 // Trouble of one operation on the disk.
@@ -83,7 +83,7 @@
 }
 
 // Create makes a file.
-func (d *Disk) Create(path string) (bindlog.File, error) {
+func (d *Disk) Create(path string) (wal.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.files[path] != nil {
@@ -109,12 +109,12 @@
 }
 
 // List tells of all files.
-func (d *Disk) List(dir string) (all []bindlog.Info, err error) {
+func (d *Disk) List(dir string) (all []wal.Info, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for path, f := range d.files {
 		if strings.HasPrefix(path, dir) {
-			all = append(all, bindlog.Info{Name: filepath.Base(path), Size: int64(len(f.text)), Changed: time.Now()})
+			all = append(all, wal.Info{Name: filepath.Base(path), Size: int64(len(f.text)), Changed: time.Now()})
 		}
 	}
 	return all, nil
@@ -228,13 +228,13 @@
 
 // Slowed is the system's disk, on which each write takes as long as told when it begins, or fails.
 type Slowed struct {
-	bindlog.OS
+	wal.OS
 	Takes func() time.Duration
 	Full  func() bool
 }
 
 // Create makes a file that is slow.
-func (s Slowed) Create(path string) (bindlog.File, error) {
+func (s Slowed) Create(path string) (wal.File, error) {
 	if s.Full() {
 		return nil, ErrDisk
 	}
@@ -243,7 +243,7 @@
 }
 
 type slow struct {
-	bindlog.File
+	wal.File
 	of Slowed
 }
 
--- a/internal/standin/wires/wires.go
+++ b/internal/testbed/standin/mesh/wires.go
@@ -1,7 +1,7 @@
-// Package wires are the links between the processes of a tier: each process is reached by the others at a place of this
+// Package mesh are the links between the processes of a tier: each process is reached by the others at a place of this
 // package's, which passes on what they send, late, spoilt or not at all where it is told so. Who sends is known by the
 // address from which it does. Each direction between each two has its own troubles.
-package wires
+package mesh
 
 import (
 	"encoding/binary"
--- a/internal/standin/wires/wires_test.go
+++ b/internal/testbed/standin/mesh/wires_test.go
@@ -1,4 +1,4 @@
-package wires
+package mesh
 
 import (
 	"bytes"
--- a/internal/standin/relay/relay.go
+++ b/internal/testbed/standin/plannerproxy/relay.go
@@ -1,6 +1,6 @@
-// Package relay stands between forwarders and a planner: it passes their frames on, late or not at all where it is told
+// Package plannerproxy stands between forwarders and a planner: it passes their frames on, late or not at all where it is told
 // so, and tells what each forwarder has been told of servers.
-package relay
+package plannerproxy
 
 import (
 	"bufio"
@@ -8,16 +8,16 @@
 	"sync"
 	"time"
 
-	"fernvane/internal/life"
-	"fernvane/internal/plan"
-	"fernvane/internal/planline"
+	"fernvane/internal/controlplane/plan"
+	"fernvane/internal/controlplane/planwire"
+	"fernvane/internal/discovery/incarnation"
 )
 
 const queued = 256 // frames on their way in one direction; more wait with their sender
 
 // Watcher is told what a forwarder has been told, once it has been written whole.
 type Watcher interface {
-	Planned(forwarder string, lives []life.Entry, at time.Time)
+	Planned(forwarder string, lives []incarnation.Entry, at time.Time)
 }
 
 // Relay listens for forwarders and leads each to the planner.
@@ -133,9 +133,9 @@
 	var mu sync.Mutex
 	var both sync.WaitGroup
 	both.Go(func() {
-		r.pass(down, up, func(k planline.Kind, body []byte) {
-			var h planline.Hello
-			if k == planline.HelloKind && planline.Decode(body, &h) == nil {
+		r.pass(down, up, func(k planwire.Kind, body []byte) {
+			var h planwire.Hello
+			if k == planwire.HelloKind && planwire.Decode(body, &h) == nil {
 				mu.Lock()
 				name = h.Name
 				mu.Unlock()
@@ -145,12 +145,12 @@
 		up.Close()
 	})
 	both.Go(func() {
-		r.pass(up, down, func(k planline.Kind, body []byte) {
+		r.pass(up, down, func(k planwire.Kind, body []byte) {
 			r.mu.Lock()
 			r.bytes += len(body)
 			r.mu.Unlock()
 			var c plan.Change
-			if k != planline.ChangeKind || planline.Decode(body, &c) != nil || len(c.Lives) == 0 {
+			if k != planwire.ChangeKind || planwire.Decode(body, &c) != nil || len(c.Lives) == 0 {
 				return
 			}
 			mu.Lock()
@@ -164,13 +164,13 @@
 }
 
 type frame struct {
-	kind planline.Kind
+	kind planwire.Kind
 	body []byte
 	due  time.Time
 }
 
 // pass hands frames on in one direction, each at its time; written is called behind each.
-func (r *Relay) pass(from, to net.Conn, written func(planline.Kind, []byte)) {
+func (r *Relay) pass(from, to net.Conn, written func(planwire.Kind, []byte)) {
 	frames, in := make(chan frame, queued), bufio.NewReader(from)
 	var writing sync.WaitGroup
 	writing.Go(func() {
@@ -193,7 +193,7 @@
 		}
 	})
 	for {
-		k, body, err := planline.Read(in, nil)
+		k, body, err := planwire.Read(in, nil)
 		if err != nil {
 			break
 		}
--- a/internal/standin/box/model.go
+++ b/internal/testbed/standin/server/model.go
@@ -1,6 +1,6 @@
-// Package box is a stand-in for a server of the fleet: a model of its queue and cores, free of I/O, and a listener that
+// Package server is a stand-in for a server of the fleet: a model of its queue and cores, free of I/O, and a listener that
 // speaks to nodes for it. Work is timed, not burnt, so that many boxes fit on one machine.
-package box
+package server
 
 import (
 	"slices"
--- a/internal/standin/box/model_test.go
+++ b/internal/testbed/standin/server/model_test.go
@@ -1,4 +1,4 @@
-package box
+package server
 
 import (
 	"math"
--- a/internal/standin/box/peer.go
+++ b/internal/testbed/standin/server/peer.go
@@ -1,14 +1,14 @@
-package box
+package server
 
 import (
 	"time"
 
-	"fernvane/internal/ends"
-	"fernvane/internal/fastcgi"
-	"fernvane/internal/http1"
-	"fernvane/internal/message"
-	"fernvane/internal/sock"
-	"fernvane/internal/standin/link"
+	"fernvane/internal/protocol/connclose"
+	"fernvane/internal/protocol/fastcgi"
+	"fernvane/internal/protocol/http1"
+	"fernvane/internal/protocol/message"
+	"fernvane/internal/protocol/sockpeek"
+	"fernvane/internal/testbed/standin/link"
 )
 
 // peer is one request's caller, in either protocol.
@@ -67,7 +67,7 @@
 
 // gone takes anything that comes for an end: an abort, or the close behind it.
 func (p cgiPeer) gone() bool {
-	_, err := sock.Peek(p.nc, true)
+	_, err := sockpeek.Peek(p.nc, true)
 	return err == nil
 }
 
@@ -95,9 +95,9 @@
 	return k.nc.SetReadDeadline(time.Now().Add(idleMost))
 }
 
-func (cgiKeeper) Begun(bool) ends.Effect { return ends.Take }
-func (cgiKeeper) Refused()               {}
-func (cgiKeeper) Failed()                {}
+func (cgiKeeper) Begun(bool) connclose.Effect { return connclose.Take }
+func (cgiKeeper) Refused()                    {}
+func (cgiKeeper) Failed()                     {}
 
 // leadCGI is the life of one connection that speaks FastCGI; its caller asks one request at a time.
 func (b *Box) leadCGI(nc *link.Conn, way time.Duration, full bool) {
--- a/internal/standin/box/request.go
+++ b/internal/testbed/standin/server/request.go
@@ -1,4 +1,4 @@
-package box
+package server
 
 import (
 	"bytes"
@@ -7,9 +7,9 @@
 	"strconv"
 	"time"
 
-	"fernvane/internal/http1"
-	"fernvane/internal/message"
-	"fernvane/internal/standin/link"
+	"fernvane/internal/protocol/http1"
+	"fernvane/internal/protocol/message"
+	"fernvane/internal/testbed/standin/link"
 )
 
 // lead is the life of one connection.
--- a/internal/standin/box/server.go
+++ b/internal/testbed/standin/server/server.go
@@ -1,10 +1,10 @@
-package box
+package server
 
 import (
 	"sync"
 	"time"
 
-	"fernvane/internal/standin/link"
+	"fernvane/internal/testbed/standin/link"
 )
 
 const (
--- a/internal/standin/box/server_test.go
+++ b/internal/testbed/standin/server/server_test.go
@@ -1,4 +1,4 @@
-package box
+package server
 
 import (
 	"errors"
@@ -13,7 +13,7 @@
 
 	"go.uber.org/goleak"
 
-	"fernvane/internal/http1"
+	"fernvane/internal/protocol/http1"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/standin/registry/jute.go
+++ b/internal/testbed/standin/zookeeper/jute.go
@@ -1,6 +1,6 @@
-// Package registry is a stand-in for a ZooKeeper-style registry, written from its published wire protocol: jute records in
+// Package zookeeper is a stand-in for a ZooKeeper-style registry, written from its published wire protocol: jute records in
 // frames, sessions with time-outs and passwords, ephemeral nodes, watches that fire once, several addresses with lag.
-package registry
+package zookeeper
 
 import (
 	"encoding/binary"
--- a/internal/standin/registry/owned.go
+++ b/internal/testbed/standin/zookeeper/owned.go
@@ -1,4 +1,4 @@
-package registry
+package zookeeper
 
 import (
 	"maps"
--- a/internal/lab/tier.go
+++ b/internal/testbed/tier.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 	"syscall"
 	"time"
 
-	"fernvane/internal/audit"
-	"fernvane/internal/peers"
-	"fernvane/internal/scenario"
-	"fernvane/internal/standin/wires"
+	"fernvane/internal/cluster/peer"
+	"fernvane/internal/testbed/audit"
+	"fernvane/internal/testbed/scenario"
+	"fernvane/internal/testbed/standin/mesh"
 )
 
 const (
@@ -67,7 +67,7 @@
 	if s.Peers.Replicas == 0 {
 		return nil
 	}
-	w.fabric = wires.New()
+	w.fabric = mesh.New()
 	w.fabric.Frame = w.passes
 	for n, p := range w.nodes {
 		ip, _, _ := net.SplitHostPort(w.peerListen(n))
@@ -117,12 +117,12 @@
 func (w *world) step(f *scenario.Fault, do func()) {
 	w.steps.mu.Lock()
 	defer w.steps.mu.Unlock()
-	w.steps.wait = append(w.steps.wait, &waiting{peers.Step(f.When), f.Nodes[0], f.Nth, do})
+	w.steps.wait = append(w.steps.wait, &waiting{peer.Step(f.When), f.Nodes[0], f.Nth, do})
 }
 
 // links changes what befalls the links between nodes and all others, for a while.
-func (w *world) links(nodes []int, lasts time.Duration, out, in bool, change func(*wires.Way)) {
-	set := func(change func(*wires.Way)) {
+func (w *world) links(nodes []int, lasts time.Duration, out, in bool, change func(*mesh.Way)) {
+	set := func(change func(*mesh.Way)) {
 		for _, n := range nodes {
 			for other := range w.nodes {
 				if slices.Contains(nodes, other) {
@@ -138,12 +138,12 @@
 		}
 	}
 	set(change)
-	w.after(lasts, func() { set(func(way *wires.Way) { *way = wires.Way{} }) })
+	w.after(lasts, func() { set(func(way *mesh.Way) { *way = mesh.Way{} }) })
 }
 
-func linkFault(out, in bool, change func(*wires.Way, float64)) func(*world, context.Context, *scenario.Fault, *rand.Rand) {
+func linkFault(out, in bool, change func(*mesh.Way, float64)) func(*world, context.Context, *scenario.Fault, *rand.Rand) {
 	return func(w *world, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
-		w.links(w.chosenNodes(f, chance), f.For.D(), out, in, func(way *wires.Way) { change(way, f.Size) })
+		w.links(w.chosenNodes(f, chance), f.For.D(), out, in, func(way *mesh.Way) { change(way, f.Size) })
 	}
 }
 
@@ -212,12 +212,12 @@
 }
 
 // ask finds out how the tier stands, as the command does.
-func (w *world) ask(ctx context.Context) *peers.Client {
-	cfg := &peers.Config{Deployment: "lab", Plaintext: true, Advertise: w.peerPlace(0), Replicas: w.Scenario.Peers.Replicas}
+func (w *world) ask(ctx context.Context) *peer.Client {
+	cfg := &peer.Config{Deployment: "lab", Plaintext: true, Advertise: w.peerPlace(0), Replicas: w.Scenario.Peers.Replicas}
 	for n := range min(len(w.nodes), seedsMost+1) {
 		cfg.Peers = append(cfg.Peers, w.peerPlace(n))
 	}
-	return peers.Ask(ctx, cfg, false)
+	return peer.Ask(ctx, cfg, false)
 }
 
 // whole waits until all nodes are there and all that they hold stands as often as it should.
@@ -280,11 +280,11 @@
 			if w.fabric != nil {
 				switch chance.IntN(6) {
 				case 0:
-					w.links(others[:1], lasts, true, true, func(way *wires.Way) { way.Cut = true })
+					w.links(others[:1], lasts, true, true, func(way *mesh.Way) { way.Cut = true })
 				case 1:
-					w.links(others[:1], lasts, chance.IntN(2) == 0, chance.IntN(2) == 0, func(way *wires.Way) { way.Cut = true })
+					w.links(others[:1], lasts, chance.IntN(2) == 0, chance.IntN(2) == 0, func(way *mesh.Way) { way.Cut = true })
 				case 2:
-					w.links(others[:2], lasts, true, true, func(way *wires.Way) { way.Delay = 50 * time.Millisecond })
+					w.links(others[:2], lasts, true, true, func(way *mesh.Way) { way.Delay = 50 * time.Millisecond })
 				case 3:
 					w.disks(others[:1], "300ms")
 					w.after(lasts, func() { w.disks(others[:1], "0s") })
--- a/internal/lab/world.go
+++ b/internal/testbed/world.go
@@ -1,5 +1,5 @@
-// Package lab plays a scenario with real node processes on loopback sockets against the stand-ins of this repository.
-package lab
+// Package testbed plays a scenario with real node processes on loopback sockets against the stand-ins of this repository.
+package testbed
 
 import (
 	"context"
@@ -12,15 +12,15 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"fernvane/internal/audit"
-	"fernvane/internal/load"
-	"fernvane/internal/scenario"
-	"fernvane/internal/standin/box"
-	"fernvane/internal/standin/discovery"
-	"fernvane/internal/standin/front"
-	"fernvane/internal/standin/registry"
-	"fernvane/internal/standin/relay"
-	"fernvane/internal/standin/wires"
+	"fernvane/internal/testbed/audit"
+	"fernvane/internal/testbed/load"
+	"fernvane/internal/testbed/scenario"
+	"fernvane/internal/testbed/standin/connbalancer"
+	"fernvane/internal/testbed/standin/discovery"
+	"fernvane/internal/testbed/standin/mesh"
+	"fernvane/internal/testbed/standin/plannerproxy"
+	"fernvane/internal/testbed/standin/server"
+	"fernvane/internal/testbed/standin/zookeeper"
 )
 
 const (
@@ -78,13 +78,13 @@
 	discovery  *discovery.Service
 	mu         sync.Mutex
 	places     int // where discovery listens, counted by its moves
-	front      *front.Front
+	front      *connbalancer.Front
 	nodes      []*process
 	planners   []*process
-	registry   *registry.Registry // nil: discovery tells
-	ensemble   []*registry.Server
-	relays     [][2]*relay.Relay // by planner and half of the nodes
-	fabric     *wires.Fabric     // nil: nodes know nothing of each other
+	registry   *zookeeper.Registry // nil: discovery tells
+	ensemble   []*zookeeper.Server
+	relays     [][2]*plannerproxy.Relay // by planner and half of the nodes
+	fabric     *mesh.Fabric             // nil: nodes know nothing of each other
 	losses     losses
 	steps      steps
 	badClients badClients
@@ -95,13 +95,13 @@
 
 // machine is a box as the world keeps it.
 type machine struct {
-	*box.Box
+	*server.Box
 	kind  *scenario.Boxes
 	mu    sync.Mutex
-	owned *registry.Owned // its session at the registry
-	up    time.Time       // when it started, for the registry; zero: for long
-	gone  bool            // for good
-	life  int             // counts what befalls it, so that news overtaken by others are not told
+	owned *zookeeper.Owned // its session at the registry
+	up    time.Time        // when it started, for the registry; zero: for long
+	gone  bool             // for good
+	life  int              // counts what befalls it, so that news overtaken by others are not told
 }
 
 // Run plays a scenario once.
@@ -109,7 +109,7 @@
 	w := &world{Options: o, keeper: newKeeper(), stopped: make(chan struct{})}
 	defer close(w.keeper.starts)
 	if w.Keep == "" {
-		dir, err := os.MkdirTemp("", "fernlab-")
+		dir, err := os.MkdirTemp("", "testbed-")
 		if err != nil {
 			return nil, err
 		}
--- a/internal/failures/failures.go
+++ b/policy/internal/failures/failures.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"fernvane/internal/activeset"
-	"fernvane/internal/columns"
+	"fernvane/internal/collections/columns"
+	"fernvane/internal/collections/indexset"
 )
 
 // AllTypes stands for every type where a moment holds for all of them.
@@ -25,7 +25,7 @@
 type Table struct {
 	entries [][]Entry       // by server, in no order
 	until   []time.Duration // by server, for all types
-	active  activeset.Set   // servers of which there may be something
+	active  indexset.Set    // servers of which there may be something
 }
 
 // Add starts a server without entries, also under the number of an earlier one.
@@ -36,7 +36,7 @@
 }
 
 // Active is the set of servers with entries or a moment that may lie ahead, for walks.
-func (t *Table) Active() *activeset.Set { return &t.active }
+func (t *Table) Active() *indexset.Set { return &t.active }
 
 // Len is how many entries a server has.
 func (t *Table) Len(server int) int { return len(t.entries[server]) }
--- a/internal/membership/membership.go
+++ b/policy/internal/readiness/membership.go
@@ -1,13 +1,13 @@
-// Package membership keeps which servers are ready and which are listed, with counts that are in step with each change,
+// Package readiness keeps which servers are ready and which are listed, with counts that are in step with each change,
 // so that nothing has to walk all servers.
-package membership
+package readiness
 
 import (
 	"math/bits"
 	"slices"
 
-	"fernvane/internal/activeset"
-	"fernvane/internal/columns"
+	"fernvane/internal/collections/columns"
+	"fernvane/internal/collections/indexset"
 )
 
 // wordBits is how many labels and placements there are: the bits of a word.
@@ -20,7 +20,7 @@
 	placements    counted // that servers meet
 	readyCount    int
 	listedCount   int
-	unlisted      activeset.Set // ready and not listed
+	unlisted      indexset.Set // ready and not listed
 
 	lists  int    // begun so far
 	before []bool // whether a server was listed before the list numbered in heard
@@ -62,7 +62,7 @@
 func (t *Table) ListedCount() int { return t.listedCount }
 
 // Unlisted is the set of servers that are ready and not listed, for walks.
-func (t *Table) Unlisted() *activeset.Set { return &t.unlisted }
+func (t *Table) Unlisted() *indexset.Set { return &t.unlisted }
 
 // LabelCount is how many of some labels ready servers have: each counts once for each that it has.
 func (t *Table) LabelCount(labels uint64) int { return t.labels.count(labels) }
--- a/internal/membership/membership_test.go
+++ b/policy/internal/readiness/membership_test.go
@@ -1,4 +1,4 @@
-package membership
+package readiness
 
 import (
 	"math/bits"
--- a/internal/tenants/tenants.go
+++ b/policy/internal/tenants/tenants.go
@@ -4,7 +4,7 @@
 import (
 	"slices"
 
-	"fernvane/internal/decay"
+	"fernvane/internal/collections/decay"
 )
 
 // Unknown stands for all tenants without a number.
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/failures"
+	"fernvane/policy/internal/failures"
 )
 
 const bound = 0 // the traffic type of the tests below that is bound to a placement
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -13,12 +13,12 @@
 	"slices"
 	"time"
 
-	"fernvane/internal/columns"
-	"fernvane/internal/decay"
-	"fernvane/internal/failures"
-	"fernvane/internal/leastsquares"
-	"fernvane/internal/membership"
-	"fernvane/internal/tenants"
+	"fernvane/internal/collections/columns"
+	"fernvane/internal/collections/decay"
+	"fernvane/policy/internal/failures"
+	"fernvane/policy/internal/leastsquares"
+	"fernvane/policy/internal/readiness"
+	"fernvane/policy/internal/tenants"
 )
 
 const (
@@ -707,7 +707,7 @@
 	for other := range p.failures.Active().All() {
 		if p.members.Ready(other) && p.members.Listed(other) && p.now < p.failures.Until(other, kind) {
 			n++
-			membership.Count(&among, bound&p.members.Placements(other), 1)
+			readiness.Count(&among, bound&p.members.Placements(other), 1)
 		}
 		p.forgetFailures(other)
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/failures"
+	"fernvane/policy/internal/failures"
 )
 
 const ms = time.Millisecond
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -7,15 +7,15 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/activeset"
-	"fernvane/internal/columns"
-	"fernvane/internal/failures"
+	"fernvane/internal/collections/columns"
+	"fernvane/internal/collections/indexset"
+	"fernvane/policy/internal/failures"
 )
 
 // visits is how many elements of the module's sets and steps of its rotation were come to.
 func visits(p *Policy) int {
 	sum := p.rotation.Steps() + p.tenants.Visits()
-	for _, s := range []*activeset.Set{&p.cold, p.members.Unlisted(), &p.shared, p.failures.Active(), p.records.Active(), &p.busy} {
+	for _, s := range []*indexset.Set{&p.cold, p.members.Unlisted(), &p.shared, p.failures.Active(), p.records.Active(), &p.busy} {
 		sum += s.Visits()
 	}
 	return sum
--- a/policy/state.go
+++ b/policy/state.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"fernvane/internal/activeset"
-	"fernvane/internal/bag"
-	"fernvane/internal/columns"
-	"fernvane/internal/decay"
-	"fernvane/internal/failures"
-	"fernvane/internal/membership"
-	"fernvane/internal/ordered"
-	"fernvane/internal/tenants"
+	"fernvane/internal/collections/columns"
+	"fernvane/internal/collections/decay"
+	"fernvane/internal/collections/indexset"
+	"fernvane/internal/collections/intset"
+	"fernvane/internal/collections/ranktree"
+	"fernvane/policy/internal/failures"
+	"fernvane/policy/internal/readiness"
+	"fernvane/policy/internal/tenants"
 )
 
 // state of an operation.
@@ -69,14 +69,14 @@
 	effects     []Effect
 
 	ops   []operation
-	open  bag.Bag // operations in hand
-	order []int   // buckets, the cheapest first
+	open  intset.Bag // operations in hand
+	order []int      // buckets, the cheapest first
 
 	// Servers, in parallel arrays under their index.
-	members                       membership.Table // which may be sent to, which are listed
-	failures                      failures.Table   // by type; servers rest for one, or for all
-	member, lost                  []bool           // member: taken in; lost: a connect failed
-	rank, zone, machine, cell     []int            // machine: its kind
+	members                       readiness.Table // which may be sent to, which are listed
+	failures                      failures.Table  // by type; servers rest for one, or for all
+	member, lost                  []bool          // member: taken in; lost: a connect failed
+	rank, zone, machine, cell     []int           // machine: its kind
 	inFlight, streak, pauses      []int
 	strikes, soft, refused        []int     // failures in a row; what softRun counts; refusals in a row
 	doubt                         []int     // steps down since the list dropped it
@@ -98,9 +98,9 @@
 	overall, turned, unconnected  decay.Record   // how often all failed; were turned away as full; got no connection
 
 	// What a walk over all servers would find.
-	cold, shared activeset.Set // shared: a plan names them
-	leaving      activeset.Set // connections to them are to be closed once more
-	rotation     ordered.Index // all, in the order that all nodes share
+	cold, shared indexset.Set   // shared: a plan names them
+	leaving      indexset.Set   // connections to them are to be closed once more
+	rotation     ranktree.Index // all, in the order that all nodes share
 
 	pool                               []int   // the servers taken in
 	next, listedMost                   int     // place in rotation where the next joins; servers listed at a time
@@ -111,13 +111,13 @@
 	samples                            []float64       // answers by type, since the start
 	answers                            bool            // to any type
 
-	finished, grown           float64       // hops that would finish in time; answers made room for
-	strain, blocked           float64       // time of hops over what they may take; share of time full
-	admit, admitMost          float64       // share of the offered work let in; the most by a plan, or 0
-	denyShare                 []float64     // by bucket: type, within or beyond its tenant's share
-	rates, within             []float64     // arrivals per second by bucket; by a plan, by tenant
-	busy                      activeset.Set // types that time changes something of: they had traffic lately
-	shed                      []shed        // by the last tick, the cheapest first
+	finished, grown           float64      // hops that would finish in time; answers made room for
+	strain, blocked           float64      // time of hops over what they may take; share of time full
+	admit, admitMost          float64      // share of the offered work let in; the most by a plan, or 0
+	denyShare                 []float64    // by bucket: type, within or beyond its tenant's share
+	rates, within             []float64    // arrivals per second by bucket; by a plan, by tenant
+	busy                      indexset.Set // types that time changes something of: they had traffic lately
+	shed                      []shed       // by the last tick, the cheapest first
 	tenants                   tenants.Table
 	allowances                float64   // of all tenants
 	named                     int       // tenants from here on are unknown
--- a/policy/trouble_test.go
+++ b/policy/trouble_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"fernvane/internal/failures"
+	"fernvane/policy/internal/failures"
 )
 
 // A list that drops servers that serve. The old code took it for proof: 99% denied while all serve (red-puntos rough-2).
--- a/policy/whatif.go
+++ b/policy/whatif.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"fernvane/internal/columns"
+	"fernvane/internal/collections/columns"
 )
 
 // WhatIf tells what an instance that knows all that this one knows would decide on an input under other
