--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -41,9 +41,11 @@
 }
 
 const (
-	bad  = "a TestBad: the fault is not mended (issue 1)\n"
-	part = "a TestPart/bad: a part is at fault (issue 2)\n"
-	good = "a TestGood: was at fault (issue 3)\n"
+	bad  = "a TestBad | go test -run TestBad ./a | seed none | a fault | issue 1\n"
+	part = "a TestPart/bad | go test -run TestPart ./a | seed 7 | a fault of a part | issue 2\n"
+	good = "a TestGood | go test -run TestGood ./a | seed none | was at fault | issue 3\n"
+
+	malformed = "not 'package Test | command | seed N | what was seen | issue N'"
 )
 
 func TestOnlyListedTestsMayFail(t *testing.T) {
@@ -69,12 +71,16 @@
 		{name: "the same name in another package fails", list: bad + part, env: "SCRATCH_B_FAILS=1", last: "FAIL",
 			says: []string{"a fault of b"}},
 		{name: "four lines", list: bad + part + good + bad, says: []string{"KNOWN-RED.txt: 4 lines, 3 at most"}},
-		{name: "no issue", list: "a TestBad: the fault is not mended\n", says: []string{"not 'package Test: cause (issue N)'"}},
-		{name: "no cause", list: "a TestBad (issue 1)\n", says: []string{"not 'package Test: cause (issue N)'"}},
-		{name: "a pattern", list: "a Test.*: everything (issue 1)\n", says: []string{"not 'package Test: cause (issue N)'"}},
-		{name: "no such test", list: "a TestNone: gone (issue 1)\n", says: []string{"./a has no test TestNone that runs"}},
-		{name: "no such subtest", list: "a TestPart/none: gone (issue 1)\n", says: []string{"./a has no test TestPart/none that runs"}},
-		{name: "a package that does not build", list: "c TestBroken: does not build (issue 1)\n", with: "c/c_test.go",
+		{name: "no issue", list: "a TestBad | go test ./a | seed none | a fault\n", says: []string{malformed}},
+		{name: "issue without a number", list: "a TestBad | go test ./a | seed none | a fault | issue\n", says: []string{malformed}},
+		{name: "nothing seen", list: "a TestBad | go test ./a | seed none |  | issue 1\n", says: []string{malformed}},
+		{name: "no command", list: "a TestBad |  | seed none | a fault | issue 1\n", says: []string{malformed}},
+		{name: "no seed", list: "a TestBad | go test ./a | a fault | issue 1\n", says: []string{malformed}},
+		{name: "the form before", list: "a TestBad: a fault (issue 1)\n", says: []string{malformed}},
+		{name: "a pattern", list: "a Test.* | go test ./a | seed none | everything | issue 1\n", says: []string{malformed}},
+		{name: "no such test", list: "a TestNone | go test ./a | seed none | gone | issue 1\n", says: []string{"./a has no test TestNone that runs"}},
+		{name: "no such subtest", list: "a TestPart/none | go test ./a | seed none | gone | issue 1\n", says: []string{"./a has no test TestPart/none that runs"}},
+		{name: "a package that does not build", list: "c TestBroken | go test ./c | seed none | does not build | issue 1\n", with: "c/c_test.go",
 			says: []string{"./c TestBroken did not run"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
