--- /dev/null
+++ b/internal/proxy/storedformat_test.go
@@ -0,0 +1,125 @@
+package proxy
+
+import (
+	"bytes"
+	"context"
+	"encoding/hex"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/rs/zerolog"
+
+	"fernvane/internal/config/tomlfile"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/journal/intent"
+	"fernvane/internal/journal/wal"
+	"fernvane/internal/protocol/http1"
+	"fernvane/internal/protocol/message"
+	"fernvane/internal/proxy/dispatch"
+	"fernvane/internal/testbed/standin/memdisk"
+)
+
+// The file in testdata was written by an earlier version. It is read as that version meant it, and written alike.
+func TestLastGoodFileOfEarlierVersion(t *testing.T) {
+	earlier, err := os.ReadFile(filepath.Join("testdata", lastGoodFile))
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, lastGoodFile), earlier, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	_, entries, err := openLastGood(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := []distribution.Entry{
+		{Key: distribution.Key{Service: "hire", Kind: distribution.Route, Name: "a"}, Clock: 1 << 40, Origin: "root/1", Sequence: 7, Value: []byte("type = \"check\"")},
+		{Key: distribution.Key{Service: "hire", Kind: distribution.Pool, Name: "p"}, Clock: 3, Origin: "root/2", Sequence: 8, Value: []byte("servers = [\"s*\"]")},
+		{Key: distribution.Key{Service: "yard", Kind: distribution.Tenant, Name: "dairy"}, Clock: 4, Origin: "root/1", Sequence: 9, Value: []byte("\x81\xf9\x49\x00")},
+	}
+	if !reflect.DeepEqual(entries, want) {
+		t.Errorf("read %+v", entries)
+	}
+	empty := t.TempDir()
+	file, _, err := openLastGood(empty)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := file.keep(entries); err != nil {
+		t.Fatal(err)
+	}
+	if written, err := os.ReadFile(filepath.Join(empty, lastGoodFile)); err != nil || !bytes.Equal(written, earlier) {
+		t.Errorf("written %x, %v", written, err)
+	}
+}
+
+// What the journal says of each end of an attempt and of each final answer is stored, and read by operators' tools. The lines in
+// testdata are the records of an earlier version, without the run and the times.
+func TestJournalRecordsOfEarlierVersion(t *testing.T) {
+	cfg := config()
+	disk := memdisk.New()
+	cfg.Disk = disk
+	cfg.Bindings = &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", WaitMost: tomlfile.Span(time.Minute), SegmentBytes: 1 << 20, RepeatsField: "Repeats"}
+	j, err := newJournal(cfg, zerolog.Nop(), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	req := &http1.Request{Fields: []http1.Field{{Name: []byte("Client-Retry"), Value: []byte("1")}, {Name: []byte("Repeats"), Value: []byte("77")}}}
+	begin := func(id string) *kept {
+		return j.begin(1, &message.Operation{ID: []byte(id), Tenant: []byte("dairy")}, req)
+	}
+	attempts := begin("attempts")
+	for how := dispatch.Answered; how <= dispatch.GivenUp; how++ {
+		hop, err := attempts.intend(context.Background(), "s", time.Now().Add(time.Minute))
+		if err != nil {
+			t.Fatal(err)
+		}
+		attempts.ended(hop, how)
+	}
+	for _, told := range []string{"handled", "denied", "written off", "nothing: it had left"} {
+		begin(told).tell(told)
+	}
+	j.close()
+	var lines []string
+	if _, err := wal.Scan(disk, "j", time.Time{}, func(r *intent.Record) error {
+		r.Run, r.At = 0, 0
+		text, err := cbor.Marshal(r)
+		lines = append(lines, hex.EncodeToString(text)+fmt.Sprintf(" %d %q", r.Kind, r.How))
+		return err
+	}, nil); err != nil {
+		t.Fatal(err)
+	}
+	got := strings.Join(lines, "\n") + "\n"
+	want, err := os.ReadFile(filepath.Join("testdata", "journal-records.golden"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("recorded\n%s", got)
+	}
+}
+
+// Every key of the platform's configuration that a node reads.
+func TestConfigurationKeys(t *testing.T) {
+	cfg, err := Load(filepath.Join("testdata", "config.json"), func(string) string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := fmt.Sprintf("%s %s %s %d %v %+v %v", cfg.Name, cfg.Listen, cfg.Discovery, cfg.Seed, cfg.Cores, cfg.Limits, cfg.KnownErr)
+	if want := "node-1 127.0.0.1:8080 127.0.0.1:9090 2363233923 1.5 {MemoryMB:64 Sockets:256} <nil>"; got != want {
+		t.Errorf("read %s", got)
+	}
+	if n := len(cfg.Known.Hosts); cfg.Known.Revision != 12 || !cfg.Known.Complete || n != 1 || cfg.Known.Hosts[0].ID != "s-1" {
+		t.Errorf("list %+v", cfg.Known)
+	}
+	if s := cfg.Settings; s.MostHops != 2 || len(s.TypeNames) != 1 || s.TypeNames[0] != "check" {
+		t.Errorf("settings %+v", s)
+	}
+}
