--- /dev/null
+++ b/internal/discovery/endpoints/source_test.go
@@ -0,0 +1,22 @@
+package endpoints
+
+import (
+	"slices"
+	"testing"
+)
+
+// TestSourceValues compares the numbers of sources, which list snapshots hold, and their names in the log.
+func TestSourceValues(t *testing.T) {
+	sources := []Source{Saved, Disk, Discovery, Registry, Planners, Distribution}
+	want := []string{"the saved list", "the disk", "discovery", "a registry", "planners", "the distribution"}
+	var got []string
+	for i, s := range sources {
+		if int(s) != i {
+			t.Errorf("%s is %d, not %d", s, s, i)
+		}
+		got = append(got, s.String())
+	}
+	if !slices.Equal(got, want) {
+		t.Errorf("the names are %q", got)
+	}
+}
--- /dev/null
+++ b/internal/discovery/snapshot/format_test.go
@@ -0,0 +1,99 @@
+package snapshot
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"fernvane/internal/config/tomlfile"
+	"fernvane/internal/journal/wal"
+)
+
+// storedFiles are the files in testdata, written by the first build with this format, and what each of them holds.
+func storedFiles() map[string]*Snapshot {
+	return map[string]*Snapshot{
+		"all-fields.snap": {
+			Node: "node-7", Deployment: "hire-northeast", Written: 1_764_742_800_123, Confirmed: 1_764_742_799_456, Clean: true, Revision: 1 << 40,
+			Servers: []Server{
+				{ID: "server-a", Up: 1_764_700_000_001, Condition: 0, Address: "10.1.2.3:8080", Zone: "north", Flavor: "large", Cell: 3, Size: 2.5,
+					From: 2, Heard: 1_764_742_799_001, Ran: 1_764_742_799_002},
+				{ID: "server-b", Up: 1_764_700_000_002, Condition: 1, Address: "[2001:db8::1]:9", Zone: "south", Flavor: "small", Cell: 1, Size: 1,
+					From: 3, Heard: 1_764_742_799_003, Ran: 1_764_742_799_004},
+				{ID: "server-c", Up: 0, Condition: 2, Address: "", Zone: "", Flavor: "", Cell: 0, Size: 0.25, From: 5, Heard: 1, Ran: 0},
+			},
+		},
+		"after-crash.snap": {
+			Node: "n", Deployment: "d", Written: 2, Confirmed: 1, Clean: false, Revision: 7,
+			Servers: []Server{{ID: "only", Address: "127.0.0.1:1", Size: 1, From: 4, Heard: 1}},
+		},
+		"no-servers.snap": {Node: "n", Deployment: "d", Written: 2, Confirmed: 1, Servers: []Server{}},
+	}
+}
+
+// TestStoredFilesAreRead reads files that an earlier build wrote and compares each field.
+func TestStoredFilesAreRead(t *testing.T) {
+	for name, want := range storedFiles() {
+		t.Run(name, func(t *testing.T) {
+			stored, err := os.ReadFile(filepath.Join("testdata", name))
+			if err != nil {
+				t.Fatal(err)
+			}
+			got, err := Decode(stored)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(got, want) {
+				t.Errorf("read\n%+v, written was\n%+v", got, want)
+			}
+		})
+	}
+}
+
+// TestStoredFilesAreWrittenAlike writes what the files of the earlier build hold and compares the bytes.
+func TestStoredFilesAreWrittenAlike(t *testing.T) {
+	for name, snapshot := range storedFiles() {
+		t.Run(name, func(t *testing.T) {
+			stored, err := os.ReadFile(filepath.Join("testdata", name))
+			if err != nil {
+				t.Fatal(err)
+			}
+			dir := t.TempDir()
+			store, err := Open(dir, 3, wal.OS{})
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := store.Write(snapshot); err != nil {
+				t.Fatal(err)
+			}
+			written, err := os.ReadFile(filepath.Join(dir, "list-000000000001.snap"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !bytes.Equal(written, stored) {
+				t.Errorf("written\n%x, stored is\n%x", written, stored)
+			}
+		})
+	}
+}
+
+// TestConfigKeys reads every key of the file by the name that operators' files have.
+func TestConfigKeys(t *testing.T) {
+	dir := t.TempDir()
+	path := filepath.Join(dir, "snapshot.toml")
+	text := fmt.Sprintf("dir = %q\ndeployment = \"hire\"\nevery = \"3s\"\nkeep = 5\noldest = \"48h\"\n", dir)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	got, err := Load(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Config{Dir: dir, Deployment: "hire", Every: tomlfile.Span(3 * time.Second), Keep: 5, Oldest: tomlfile.Span(48 * time.Hour)}
+	if *got != want {
+		t.Errorf("read %+v, want %+v", *got, want)
+	}
+}
--- /dev/null
+++ b/internal/discovery/watch/format_test.go
@@ -0,0 +1,100 @@
+package watch
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/netip"
+	"reflect"
+	"strings"
+	"testing"
+
+	"fernvane/internal/discovery/incarnation"
+	"fernvane/internal/protocol/http1"
+)
+
+// TestCallsSent compares the bytes of calls to discovery with those of the first build that made them.
+func TestCallsSent(t *testing.T) {
+	const answer = `{"revision":1099511627776,"complete":true,"members":[]}`
+	for _, c := range []struct {
+		name     string
+		whole    bool
+		revision uint64
+		want     string // of the second call on a connection, whose wait is longer
+		first    string // of the first one
+	}{
+		{"whole list", true, 7, "GET /discovery/hosts HTTP/1.1\r\nHost: %s\r\n\r\n", "GET /discovery/hosts HTTP/1.1\r\nHost: %s\r\n\r\n"},
+		{"changes after a revision", false, 1 << 40, "GET /discovery/hosts?index=1099511627776&wait=2000 HTTP/1.1\r\nHost: %s\r\n\r\n",
+			"GET /discovery/hosts?index=1099511627776&wait=100 HTTP/1.1\r\nHost: %s\r\n\r\n"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			ln, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			calls, done := make(chan string, 8), make(chan struct{})
+			go func() {
+				defer close(done)
+				answerCalls(ln, answer, calls)
+			}()
+			at := netip.MustParseAddrPort(ln.Addr().String())
+			w := Watcher{Place: NewPlace(at), Whole: c.whole, Revision: c.revision}
+			t.Cleanup(func() {
+				w.Close()
+				ln.Close()
+				<-done
+			})
+			for _, want := range []string{c.first, c.want} {
+				if _, err := w.Call(context.Background()); err != nil {
+					t.Fatal(err)
+				}
+				if got, want := <-calls, fmt.Sprintf(want, at); got != want {
+					t.Errorf("sent\n%q, want\n%q", got, want)
+				}
+			}
+		})
+	}
+}
+
+// answerCalls accepts one connection and answers each call on it alike, until it is closed.
+func answerCalls(ln net.Listener, answer string, calls chan<- string) {
+	conn, err := ln.Accept()
+	if err != nil {
+		return
+	}
+	defer conn.Close()
+	var sent strings.Builder
+	r := bufio.NewReader(io.TeeReader(conn, &sent))
+	for {
+		if _, err := http.ReadRequest(r); err != nil {
+			return
+		}
+		calls <- sent.String()
+		sent.Reset()
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
+	}
+}
+
+// TestEntriesOfAList turns a list with every field into entries and back.
+func TestEntriesOfAList(t *testing.T) {
+	list := http1.List{Revision: 9, Hosts: []http1.Host{
+		{ID: "a", Address: netip.MustParseAddrPort("127.0.0.1:80"), Zone: "north", Flavor: "large", Cell: 3, Size: 2.5, UpSinceMS: 7, Phase: http1.Serving},
+		{ID: "b", Address: netip.MustParseAddrPort("127.0.0.1:81"), Phase: http1.Draining},
+		{ID: "c", Phase: http1.Deleted},
+	}}
+	want := []incarnation.Entry{
+		{ID: "a", Up: 7, Condition: incarnation.Up, Revision: 9, Address: "127.0.0.1:80", Zone: "north", Flavor: "large", Cell: 3, Size: 2.5},
+		{ID: "b", Condition: incarnation.Draining, Revision: 9, Address: "127.0.0.1:81"},
+		{ID: "c", Condition: incarnation.Gone, Revision: 9},
+	}
+	entries := Entries(list)
+	if !reflect.DeepEqual(entries, want) {
+		t.Errorf("entries %+v, want %+v", entries, want)
+	}
+	if back := List(entries); !reflect.DeepEqual(back, list) {
+		t.Errorf("back as %+v, want %+v", back, list)
+	}
+}
--- /dev/null
+++ b/internal/discovery/zookeeper/format_test.go
@@ -0,0 +1,205 @@
+package zookeeper
+
+import (
+	"bytes"
+	"context"
+	"encoding/binary"
+	"encoding/hex"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"fernvane/internal/config/tomlfile"
+	"fernvane/internal/discovery/endpoints"
+	standin "fernvane/internal/testbed/standin/zookeeper"
+)
+
+// TestEntryKeys reads every key that an entry's JSON may have.
+func TestEntryKeys(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		data string
+		want endpoints.Listed
+	}{
+		{"Curator with a payload", `{"address":"127.0.0.1","port":80,"enabled":false,
+			"payload":{"zone":"north","flavor":"large","cell":3,"size":2.5,"started_ms":1764742800123}}`,
+			endpoints.Listed{ID: "id", Address: "127.0.0.1:80", Zone: "north", Flavor: "large", Cell: 3, Size: 2.5, Draining: true, Started: 1_764_742_800_123}},
+		{"server set with the keys in the entry itself", `{"serviceEndpoint":{"host":"127.0.0.2","port":81},"status":"ALIVE",
+			"zone":"south","flavor":"small","cell":4,"size":0.5,"started_ms":7}`,
+			endpoints.Listed{ID: "id", Address: "127.0.0.2:81", Zone: "south", Flavor: "small", Cell: 4, Size: 0.5, Started: 7}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			got, err := Parse("id", []byte(c.data))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got != c.want {
+				t.Errorf("read %+v, want %+v", got, c.want)
+			}
+		})
+	}
+}
+
+// TestConfigKeys reads every key of the file by the name that operators' files have.
+func TestConfigKeys(t *testing.T) {
+	dir := t.TempDir()
+	secret, path := filepath.Join(dir, "secret"), filepath.Join(dir, "registry.toml")
+	if err := os.WriteFile(secret, []byte("user:password\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	text := "servers = [\"127.0.0.1:2181\", \"127.0.0.2:2181\"]\nchroot = \"/services\"\npath = \"/hire\"\nsession = \"7s\"\nauth_file = \"" + secret + "\"\n"
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	got, err := Load(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := &Config{Servers: []string{"127.0.0.1:2181", "127.0.0.2:2181"}, Chroot: "/services", Path: "/hire", Session: tomlfile.Span(7 * time.Second),
+		AuthFile: secret, Auth: "user:password"}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v", got, want)
+	}
+}
+
+// recorder relays connections to a registry and keeps what clients send.
+type recorder struct {
+	mu   sync.Mutex
+	sent bytes.Buffer
+}
+
+func (r *recorder) Write(b []byte) (int, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.sent.Write(b)
+}
+
+// frames are the whole frames that were sent so far, without their lengths.
+func (r *recorder) frames() (all [][]byte) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	b := bytes.Clone(r.sent.Bytes())
+	for len(b) >= 4 {
+		n := int(binary.BigEndian.Uint32(b))
+		if len(b) < 4+n {
+			break
+		}
+		all = append(all, b[4:4+n])
+		b = b[4+n:]
+	}
+	return all
+}
+
+// relay accepts one connection and copies it to and from a registry until the client closes it.
+func relay(t *testing.T, to string) (r *recorder, address string) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	r = &recorder{}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		client, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		defer client.Close()
+		server, err := net.Dial("tcp", to)
+		if err != nil {
+			return
+		}
+		answers := make(chan struct{})
+		go func() {
+			defer close(answers)
+			io.Copy(client, server)
+			client.Close()
+		}()
+		io.Copy(io.MultiWriter(r, server), client)
+		server.Close()
+		<-answers
+	}()
+	t.Cleanup(func() {
+		ln.Close()
+		<-done
+	})
+	return r, ln.Addr().String()
+}
+
+// TestFramesSent compares the frames that a reader of one entry sends with those of the first build that read a registry.
+func TestFramesSent(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		auth string
+		want []string // by operation code, since the credentials are sent beside the rest; the number of the call is left out
+	}{
+		{"without credentials", "", []string{
+			"00000000000000000000000000009c4000000000000000000000001000000000000000000000000000000000", // begin a session of 40 s
+			"00000004000000102f73657276696365732f686972652f6101",                                       // get data of /services/hire/a, and watch it
+			"0000000c0000000e2f73657276696365732f6869726501",                                           // get children of /services/hire, and watch them
+		}},
+		{"with credentials", "user:password", []string{
+			"00000000000000000000000000009c4000000000000000000000001000000000000000000000000000000000",
+			"00000004000000102f73657276696365732f686972652f6101",                     // get data of /services/hire/a, and watch it
+			"0000000c0000000e2f73657276696365732f6869726501",                         // get children of /services/hire, and watch them
+			"0000006400000000000000066469676573740000000d757365723a70617373776f7264", // digest, user:password
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			registry := standin.New(nil)
+			t.Cleanup(registry.Close)
+			server, err := registry.Listen("127.0.0.1:0", 0)
+			if err != nil {
+				t.Fatal(err)
+			}
+			registry.Own(time.Hour, map[string][]byte{"/services/hire/a": data(1)})
+			sent, address := relay(t, server.Address())
+			cfg := &Config{Servers: []string{address}, Path: "/hire", Chroot: "/services", Session: tomlfile.Span(40 * time.Second), Auth: c.auth}
+			conn, err := Dial(cfg)
+			if err != nil {
+				t.Fatal(err)
+			}
+			ctx, cancel := context.WithCancel(context.Background())
+			listed := make(chan []endpoints.Listed, 8)
+			reader := New(conn, cfg, func(all []endpoints.Listed) { listed <- all }, func(err error) { t.Log(err) })
+			done := make(chan error, 1)
+			go func() { done <- reader.Run(ctx) }()
+			if all := <-listed; len(all) != 1 || all[0].ID != "a" {
+				t.Errorf("listed %+v", all)
+			}
+			var got []string
+			for by := time.Now().Add(20 * time.Second); len(got) < len(c.want) && time.Now().Before(by); time.Sleep(5 * time.Millisecond) {
+				got = withoutNumbers(sent.frames())
+			}
+			cancel()
+			if err := <-done; err != nil {
+				t.Error(err)
+			}
+			if !reflect.DeepEqual(got, c.want) {
+				t.Errorf("sent\n%q, want\n%q", got, c.want)
+			}
+		})
+	}
+}
+
+// withoutNumbers are frames in hexadecimal: the first, which begins the session, and the others without the number of the
+// call, in the order of their operation codes.
+func withoutNumbers(frames [][]byte) (all []string) {
+	for i, f := range frames {
+		if i > 0 {
+			f = f[4:]
+		}
+		all = append(all, hex.EncodeToString(f))
+	}
+	if len(all) > 2 {
+		slices.Sort(all[1:])
+	}
+	return all
+}
