--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -23,7 +23,7 @@
 func run(in io.Reader, out, errs io.Writer) error {
 	complain := func(what string) { fmt.Fprintln(errs, "adapter:", what) }
 	r, w := simwire.NewReader(in, complain), simwire.NewWriter(out)
-	instances := instances{nodes: map[int]*engine.Node[uint32]{}, out: w, complain: complain}
+	instances := instances{nodes: map[int]*engine.Engine[uint32]{}, out: w, complain: complain}
 	for {
 		b, err := r.Read()
 		if errors.Is(err, io.EOF) {
@@ -34,7 +34,7 @@
 		}
 		for i := range b.Events {
 			e := &b.Events[i]
-			w.For(e.Instance)
+			w.ForInstance(e.Instance)
 			instances.handle(b.Now, e)
 		}
 		if err := w.Flush(); err != nil {
@@ -45,8 +45,8 @@
 
 // instances are the nodes that the simulator runs, by their numbers on its wire.
 type instances struct {
-	nodes    map[int]*engine.Node[uint32]
-	members  []engine.Member[uint32] // reused from list to list
+	nodes    map[int]*engine.Engine[uint32]
+	members  []engine.Endpoint[uint32] // reused from list to list
 	out      *simwire.Writer
 	complain func(string)
 }
@@ -54,7 +54,7 @@
 // handle starts or ends an instance, or hands it what befalls it.
 func (s *instances) handle(now time.Duration, e *simwire.Event) {
 	switch e.Kind {
-	case simwire.PowerOn:
+	case simwire.InstanceStarted:
 		if e.Err != nil {
 			s.out.Broken(e.Err.Error())
 			delete(s.nodes, e.Instance)
@@ -62,7 +62,7 @@
 		}
 		s.nodes[e.Instance] = engine.New[uint32](now, policy.New(e.Settings, e.Seed), s.out)
 		return
-	case simwire.Killed:
+	case simwire.InstanceKilled:
 		delete(s.nodes, e.Instance)
 		return
 	}
@@ -77,23 +77,23 @@
 }
 
 // deliver hands an event to its instance; it is false where the event names what the instance doesn't know.
-func (s *instances) deliver(now time.Duration, n *engine.Node[uint32], e *simwire.Event) bool {
+func (s *instances) deliver(now time.Duration, n *engine.Engine[uint32], e *simwire.Event) bool {
 	switch e.Kind {
-	case simwire.Discovery:
+	case simwire.EndpointsUpdated:
 		s.members = s.members[:0]
-		for _, l := range e.Entries {
-			s.members = append(s.members, engine.Member[uint32]{Server: l.Server, Line: policy.Member{Rank: l.Server, Zone: l.Zone,
-				Kind: l.Kind, Cell: l.Cell, Condition: l.Condition, Scale: l.Scale, Started: l.Start, HasStart: l.HasStart}})
+		for _, l := range e.Endpoints {
+			s.members = append(s.members, engine.Endpoint[uint32]{Server: l.Server, Info: policy.Endpoint{Rank: l.Server, Zone: l.Zone,
+				MachineKind: l.MachineKind, Cell: l.Cell, Condition: l.Condition, Weight: l.Weight, StartedAt: l.StartedAt, HasStartTime: l.HasStartTime}})
 		}
-		n.List(now, e.Scope, s.members, s.out)
-	case simwire.Arrival:
-		return n.Arrive(now, e.Job, policy.Input{Type: e.Type, Tenant: e.Tenant, Key: e.Key, Again: e.Again, Budget: e.Budget}, s.out)
-	case simwire.Verdict:
-		return n.HopEnded(now, e.Job, e.Server, policy.Input{Hop: e.Hop, Outcome: e.Outcome, Spent: e.Spent, Final: e.Final}, s.out)
-	case simwire.Left:
-		n.Left(now, e.Job, s.out)
-	case simwire.DeadlineHit:
-		n.Woken(now, s.out)
+		n.EndpointsUpdated(now, e.Scope, s.members, s.out)
+	case simwire.RequestArrived:
+		return n.RequestArrived(now, e.Request, policy.Input{TrafficType: e.TrafficType, Tenant: e.Tenant, Key: e.Key, IsClientRetry: e.IsClientRetry, Timeout: e.Timeout}, s.out)
+	case simwire.AttemptEnded:
+		return n.AttemptEnded(now, e.Request, e.Server, policy.Input{Attempt: e.Attempt, Outcome: e.Outcome, Elapsed: e.Elapsed, ClientAnswered: e.ClientAnswered}, s.out)
+	case simwire.ClientLeft:
+		n.ClientLeft(now, e.Request, s.out)
+	case simwire.TimerFired:
+		n.TimerFired(now, s.out)
 	}
 	return true
 }
--- a/cmd/fernvane/bindings.go
+++ b/cmd/fernvane/bindings.go
@@ -80,7 +80,7 @@
 		}
 		out, found := c.OutOrStdout(), false
 		_, err := from.entries(time.Time{}, args[0], c.ErrOrStderr(), func(e *intent.Entry) error {
-			if e.ID != args[0] && e.Repeats != args[0] {
+			if e.RequestID != args[0] && e.RepeatOf != args[0] {
 				return nil
 			}
 			found = true
@@ -99,7 +99,7 @@
 			if s.Told == "" {
 				s.Told = "(nothing is known)"
 			}
-			_, err := fmt.Fprintf(out, "  the client was told: %s, at %s\n", s.Told, clock(e.ToldAt))
+			_, err := fmt.Fprintf(out, "  the client was told: %s, at %s\n", s.Told, clock(e.NotifiedAtUnixNano))
 			return err
 		})
 		if err == nil && !found {
@@ -131,7 +131,7 @@
 		}
 		fmt.Fprintf(c.OutOrStdout(), "%d segments, %d records, %d bytes in %s: %d ran, %d not sent, %d possibly sent, %d contradictions\n", r.Segments, r.Records,
 			r.Bytes, time.Since(began).Round(time.Millisecond), states[intent.HasRun], states[intent.NotSent], states[intent.PossiblySent], conflicts)
-		if r.Corrupt() > 0 {
+		if r.CorruptCount() > 0 {
 			return errDamaged
 		}
 		return nil
@@ -179,7 +179,7 @@
 		if err := where(); err != nil {
 			return err
 		}
-		all := map[string]*intent.Dockets{}
+		all := map[string]*intent.ExecutionRecord{}
 		for _, a := range against {
 			if err := execution.Load(a, all); err != nil {
 				return err
@@ -205,7 +205,7 @@
 }
 
 // reconcile adds what the dockets settle, in a segment of its own; nothing is edited.
-func reconcile(from *source, all map[string]*intent.Dockets, slack time.Duration, errs io.Writer) (n settled, err error) {
+func reconcile(from *source, all map[string]*intent.ExecutionRecord, slack time.Duration, errs io.Writer) (n settled, err error) {
 	var records []intent.Record
 	now := time.Now().UnixNano()
 	_, err = from.entries(time.Time{}, "", errs, func(e *intent.Entry) error {
@@ -214,8 +214,8 @@
 		}
 		found := intent.Reconcile(e, all, int64(slack), now)
 		open := 0
-		for _, h := range e.Hops {
-			if h.Proof() == intent.Possibly {
+		for _, h := range e.Attempts {
+			if h.Proof() == intent.PossiblyRan {
 				open++
 			}
 		}
@@ -237,7 +237,7 @@
 	if err != nil || len(records) == 0 {
 		return n, err
 	}
-	log, err := wal.Open(wal.Options{Dir: from.dir, Files: wal.OS{}, Machine: true, SegmentBytes: 1 << 30})
+	log, err := wal.Open(wal.Options{Dir: from.dir, FileSystem: wal.OSFileSystem{}, Fsync: true, MaxSegmentBytes: 1 << 30})
 	if err != nil {
 		return n, err
 	}
--- a/cmd/fernvane/bindings_json_test.go
+++ b/cmd/fernvane/bindings_json_test.go
@@ -18,20 +18,20 @@
 func fullJournal(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	l, err := wal.Open(wal.Options{Dir: dir, Files: wal.OS{}, SegmentBytes: 1 << 20})
+	l, err := wal.Open(wal.Options{Dir: dir, FileSystem: wal.OSFileSystem{}, MaxSegmentBytes: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
 	at := time.Date(2026, 1, 31, 9, 0, 0, 0, time.UTC).UnixNano()
 	ms := int64(time.Millisecond)
 	l.Append(false,
-		intent.Record{Kind: intent.Intent, Run: 7, Op: 3, Hop: 0, At: at, ID: "id-3", Tenant: "dairy", Type: "hire-book", Server: "s1", Repeats: "id-0", Retry: true},
-		intent.Record{Kind: intent.Ended, Run: 7, Op: 3, Hop: 0, At: at + 5*ms, How: "cut off", Proof: intent.Possibly},
-		intent.Record{Kind: intent.Intent, Run: 7, Op: 3, Hop: 1, At: at + 6*ms, ID: "id-3", Tenant: "dairy", Type: "hire-book", Server: "s2", Repeats: "id-0", Retry: true},
-		intent.Record{Kind: intent.Ended, Run: 7, Op: 3, Hop: 1, At: at + 9*ms, How: "answered", Proof: intent.Ran},
-		intent.Record{Kind: intent.Settled, Run: 7, Op: 3, Hop: 0, At: at + 99*ms, Server: "s1", Proof: intent.Never},
-		intent.Record{Kind: intent.Told, Run: 7, Op: 3, At: at + 10*ms, How: "handled", N: 2},
-		intent.Record{Kind: intent.Unsent, Run: 8, Op: 4, At: at + 20*ms, ID: "id-4", Type: "hire-pay"})
+		intent.Record{Kind: intent.Intent, Incarnation: 7, RequestNumber: 3, Attempt: 0, AtUnixNano: at, RequestID: "id-3", Tenant: "dairy", Type: "hire-book", Server: "s1", RepeatOf: "id-0", IsRetry: true},
+		intent.Record{Kind: intent.AttemptEnded, Incarnation: 7, RequestNumber: 3, Attempt: 0, AtUnixNano: at + 5*ms, Outcome: "cut off", Proof: intent.PossiblyRan},
+		intent.Record{Kind: intent.Intent, Incarnation: 7, RequestNumber: 3, Attempt: 1, AtUnixNano: at + 6*ms, RequestID: "id-3", Tenant: "dairy", Type: "hire-book", Server: "s2", RepeatOf: "id-0", IsRetry: true},
+		intent.Record{Kind: intent.AttemptEnded, Incarnation: 7, RequestNumber: 3, Attempt: 1, AtUnixNano: at + 9*ms, Outcome: "answered", Proof: intent.Ran},
+		intent.Record{Kind: intent.Reconciled, Incarnation: 7, RequestNumber: 3, Attempt: 0, AtUnixNano: at + 99*ms, Server: "s1", Proof: intent.NeverRan},
+		intent.Record{Kind: intent.ClientNotified, Incarnation: 7, RequestNumber: 3, AtUnixNano: at + 10*ms, Outcome: "handled", Count: 2},
+		intent.Record{Kind: intent.Unsent, Incarnation: 8, RequestNumber: 4, AtUnixNano: at + 20*ms, RequestID: "id-4", Type: "hire-pay"})
 	l.Close()
 	return dir
 }
@@ -61,14 +61,14 @@
 
 // A cluster as `fernvane replicas --json` prints it.
 func TestReplicasPrinted(t *testing.T) {
-	member := membership.Member{Name: "n1", Up: 11, Turn: 7, Condition: membership.Dead, Address: "127.0.0.1:81", Site: "east", Machine: "m-4"}
-	tier := &peer.Client{Asked: map[string]*peer.Status{"n1": {
-		Self: member, Members: []membership.Member{member}, Ready: true, Replicas: 2,
-		Stream: replication.Stream{Name: "n1", Up: 11}, Next: 31, Kept: 29, Waits: 3,
-		Holders: []replication.Holder{{Name: "n2", Stand: "late", Refusal: "no room is left", Acked: 28, Lacks: 4}},
-		Holdings: []replication.Holding{{Stream: replication.Stream{Name: "n3~n2", Up: 5}, Ranges: replication.Ranges{{From: 1, To: 6}},
-			Bytes: 640, Last: 13, Orphan: true, Lacks: map[string]uint64{"n4": 11}}},
-		Bytes: 641, Most: 1 << 30, Faults: []string{"a file"},
+	member := membership.Member{Name: "n1", Incarnation: 11, Refutations: 7, Condition: membership.Dead, Address: "127.0.0.1:81", Site: "east", Machine: "m-4"}
+	tier := &peer.Client{Answered: map[string]*peer.Status{"n1": {
+		Self: member, Members: []membership.Member{member}, IsReady: true, Replicas: 2,
+		Stream: replication.Stream{Name: "n1", Incarnation: 11}, Next: 31, Committed: 29, Uncommitted: 3,
+		Holders: []replication.Holder{{Name: "n2", State: "late", RejectReason: "no room is left", Acked: 28, MissingRecords: 4}},
+		StoredReplicas: []replication.StoredReplica{{Stream: replication.Stream{Name: "n3~n2", Incarnation: 5}, Ranges: replication.Ranges{{From: 1, To: 6}},
+			Bytes: 640, LastRecordUnixNano: 13, IsOrphan: true, MissingRecords: map[string]uint64{"n4": 11}}},
+		StoredBytes: 641, MaxBytes: 1 << 30, Damage: []string{"a file"},
 	}}}
 	var out bytes.Buffer
 	tellTier(&out, tier, true)
--- a/cmd/fernvane/bindings_test.go
+++ b/cmd/fernvane/bindings_test.go
@@ -19,15 +19,15 @@
 func kept(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	l, err := wal.Open(wal.Options{Dir: dir, Files: wal.OS{}, SegmentBytes: 1 << 20})
+	l, err := wal.Open(wal.Options{Dir: dir, FileSystem: wal.OSFileSystem{}, MaxSegmentBytes: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
 	at := time.Date(2026, 1, 31, 9, 0, 0, 0, time.UTC).UnixNano()
-	for op, proof := range []intent.Proof{intent.Ran, intent.Never, intent.Possibly, intent.Possibly} {
-		l.Append(false, intent.Record{Kind: intent.Intent, Run: 1, Op: uint64(op), At: at, ID: fmt.Sprint("id-", op), Tenant: "dairy", Type: "hire-book", Server: fmt.Sprint("s", op%2)},
-			intent.Record{Kind: intent.Ended, Run: 1, Op: uint64(op), At: at, How: "an end", Proof: proof},
-			intent.Record{Kind: intent.Told, Run: 1, Op: uint64(op), At: at, How: "something", N: 1})
+	for op, proof := range []intent.Proof{intent.Ran, intent.NeverRan, intent.PossiblyRan, intent.PossiblyRan} {
+		l.Append(false, intent.Record{Kind: intent.Intent, Incarnation: 1, RequestNumber: uint64(op), AtUnixNano: at, RequestID: fmt.Sprint("id-", op), Tenant: "dairy", Type: "hire-book", Server: fmt.Sprint("s", op%2)},
+			intent.Record{Kind: intent.AttemptEnded, Incarnation: 1, RequestNumber: uint64(op), AtUnixNano: at, Outcome: "an end", Proof: proof},
+			intent.Record{Kind: intent.ClientNotified, Incarnation: 1, RequestNumber: uint64(op), AtUnixNano: at, Outcome: "something", Count: 1})
 	}
 	l.Close()
 	return dir
--- a/cmd/fernvane/check.go
+++ b/cmd/fernvane/check.go
@@ -73,22 +73,22 @@
 	if err != nil {
 		return err
 	}
-	if cfg.KnownErr != nil {
-		fmt.Fprintf(errs, "fernvane: the saved list cannot be used: %v\n", cfg.KnownErr)
+	if cfg.SavedListErr != nil {
+		fmt.Fprintf(errs, "fernvane: the saved list cannot be used: %v\n", cfg.SavedListErr)
 	}
 	fmt.Fprintf(out, "%s listens on %s, follows %s, knows %d servers, has room for %d connections\n",
-		cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.Known.Hosts), cfg.Limits.Connections())
+		cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.SavedList.Hosts), cfg.Limits.MaxConnections())
 	tellPlanners(out, cfg.Planners)
-	tellBindings(out, cfg.Bindings)
+	tellBindings(out, cfg.Journal)
 	tellRegistry(out, cfg.Registry)
 	tellSnapshot(out, cfg.Snapshot)
 	tellPeers(out, cfg.Peers)
 	tellDistribution(out, cfg.Distribution)
-	if cfg.Watch != nil {
+	if cfg.Shadow != nil {
 		fmt.Fprintln(out, "watches other settings beside its own; decides by its own")
 	}
 	if cfg.Routes != nil {
-		cfg.Routes.Table(out, &cfg.Settings)
+		cfg.Routes.PrintTable(out, &cfg.Settings)
 	}
 	return nil
 }
@@ -106,7 +106,7 @@
 		}
 	}
 	if f.bindings != "" {
-		b, err := wal.Load(f.bindings)
+		b, err := wal.LoadConfig(f.bindings)
 		if all = errors.Join(all, err); err == nil {
 			tellBindings(out, b)
 		}
@@ -124,7 +124,7 @@
 		}
 	}
 	if f.peers != "" {
-		p, err := peer.Load(f.peers)
+		p, err := peer.LoadConfig(f.peers)
 		if all = errors.Join(all, err); err == nil {
 			tellPeers(out, p)
 		}
@@ -138,7 +138,7 @@
 	if planFile != "" {
 		p, err := planconfig.LoadPlanner(planFile)
 		if all = errors.Join(all, err); err == nil {
-			fmt.Fprintf(out, "%s listens on %s and plans every %s\n", p.Name, p.ListenAt, p.Every.D())
+			fmt.Fprintf(out, "%s listens on %s and plans every %s\n", p.Name, p.ListenAddress, p.Interval.Std())
 		}
 	}
 	if all != nil {
@@ -156,7 +156,7 @@
 	if err != nil {
 		return err
 	}
-	routes.Table(out, s)
+	routes.PrintTable(out, s)
 	if note != "" {
 		fmt.Fprintln(out, note)
 	}
@@ -167,8 +167,8 @@
 func settingsFor(operator, set string) (s *settings.Settings, note string, err error) {
 	switch set {
 	case "":
-		s, err = route.Alone(operator)
-		return s, "Without settings: " + route.Unchecked + ". Name --config FILE, --settings FILE or --settings " + exampleName + ".", err
+		s, err = route.LoosestSettings(operator)
+		return s, "Without settings: " + route.UncheckedNotice + ". Name --config FILE, --settings FILE or --settings " + exampleName + ".", err
 	case exampleName:
 		known, err := settings.Decode(example)
 		return &known, "Against the settings that this program brings as an example.", err
@@ -193,7 +193,7 @@
 			if f.operator == "" {
 				return errors.New("explain wants an operator's file: --operator FILE")
 			}
-			routes, s, note, err := (*route.Set)(nil), (*settings.Settings)(nil), "", error(nil)
+			routes, s, note, err := (*route.Table)(nil), (*settings.Settings)(nil), "", error(nil)
 			if f.config != "" {
 				var cfg proxy.Config
 				cfg, err = f.load()
@@ -205,7 +205,7 @@
 				return unusable{err}
 			}
 			target, _, _ := strings.Cut(args[1], "?")
-			routes.Explain(out, &route.Request{Method: []byte(args[0]), Path: []byte(target), Tenant: []byte(tenant), Fields: fields}, s)
+			routes.Explain(out, &route.Request{Method: []byte(args[0]), Path: []byte(target), Tenant: []byte(tenant), Headers: fields}, s)
 			if note != "" {
 				fmt.Fprintln(out, note)
 			}
@@ -227,26 +227,26 @@
 func tellBindings(out io.Writer, b *wal.Config) {
 	if b != nil {
 		fmt.Fprintf(out, "keeps bindings in %s against the %s's death; while it cannot they are: %s\n", b.Dir, b.Promise,
-			map[bool]string{true: "denied", false: "served"}[b.Deny()])
+			map[bool]string{true: "denied", false: "served"}[b.RejectsWhenFailing()])
 	}
 }
 
 func tellSnapshot(out io.Writer, s *snapshot.Config) {
 	if s != nil {
-		fmt.Fprintf(out, "keeps its list of servers in %s for %s, %d generations, one each %s at most\n", s.Dir, s.Deployment, s.Keep, s.Every.D())
+		fmt.Fprintf(out, "keeps its list of servers in %s for %s, %d generations, one each %s at most\n", s.Dir, s.Deployment, s.MaxGenerations, s.WriteInterval.Std())
 	}
 }
 
 func tellPeers(out io.Writer, p *peer.Config) {
 	if p != nil {
-		fmt.Fprintf(out, "meets other nodes of %s on %s, TLS %v; holds replicas in %s, %d of each record on other machines\n", p.Deployment, p.Listen, p.Keys != nil, p.Held, p.Replicas)
+		fmt.Fprintf(out, "meets other nodes of %s on %s, TLS %v; holds replicas in %s, %d of each record on other machines\n", p.Deployment, p.Listen, p.Keys != nil, p.ReplicaDir, p.Replicas)
 	}
 }
 
 func tellDistribution(out io.Writer, d *client.Config) {
 	if d != nil {
 		fmt.Fprintf(out, "follows the control processes %s for %d services, TLS %v; holds entries in %s, waits %s at a start to be current\n",
-			strings.Join(d.Control, ", "), len(d.Services), d.Keys != nil, d.Directory, d.StartWithin.D())
+			strings.Join(d.Control, ", "), len(d.Services), d.Keys != nil, d.Directory, d.StartTimeout.Std())
 	}
 }
 
--- a/cmd/fernvane/config.go
+++ b/cmd/fernvane/config.go
@@ -16,7 +16,7 @@
 	"fernvane/internal/controlplane/distribution/tree"
 )
 
-const entryMost = distribution.ValueMost + 1 // bytes that are read of one entry's text
+const entryMost = distribution.MaxValueBytes + 1 // bytes that are read of one entry's text
 
 // errNotHeld says that what is to be deleted is not there.
 var errNotHeld = errors.New("nothing of that name is held")
@@ -77,7 +77,7 @@
 	if f.name == "" {
 		return key, errors.New("which entry? --name NAME")
 	}
-	return key, key.Check()
+	return key, key.Validate()
 }
 
 func configPut(a *configAccess) *cobra.Command {
@@ -93,12 +93,12 @@
 			if err != nil {
 				return err
 			}
-			value, err := tree.One(args[0], text, key)
+			value, err := tree.ParseEntry(args[0], text, key)
 			if err != nil {
 				return err
 			}
 			change := distribution.Change{Key: key, Value: value}
-			if err := change.Check(); err != nil {
+			if err := change.Validate(); err != nil {
 				return err
 			}
 			return writeChanges(c, a, []distribution.Change{change})
@@ -173,9 +173,9 @@
 // kindsOf are the kinds of entries that files are to be equal in.
 func kindsOf(named []string, files *tree.Tree) ([]distribution.Kind, error) {
 	if len(named) == 0 {
-		kinds := []distribution.Kind{distribution.Route, distribution.Pool, distribution.Tenant}
-		if files.Servers {
-			kinds = append(kinds, distribution.Server)
+		kinds := []distribution.Kind{distribution.KindRoute, distribution.KindPool, distribution.KindTenant}
+		if files.HasServers {
+			kinds = append(kinds, distribution.KindServer)
 		}
 		return kinds, nil
 	}
@@ -211,7 +211,7 @@
 	}
 	text, err := io.ReadAll(io.LimitReader(in, entryMost))
 	if err == nil && len(text) == entryMost {
-		err = fmt.Errorf("%s: larger than %d bytes", path, distribution.ValueMost)
+		err = fmt.Errorf("%s: larger than %d bytes", path, distribution.MaxValueBytes)
 	}
 	return text, err
 }
--- a/cmd/fernvane/config_status.go
+++ b/cmd/fernvane/config_status.go
@@ -131,24 +131,24 @@
 // viewOf judges each node. A control process must hold what the one asked holds; a node must have put in force all that
 // its control process has for it.
 func viewOf(control string, self distribution.NodeStatus, nodes []distribution.NodeStatus, asked statusAsked) *view {
-	v := &view{Control: control, Revision: self.Revision, Current: !self.CatchingUp}
+	v := &view{Control: control, Revision: self.Revision, Current: !self.IsCatchingUp}
 	count := 0
 	for _, s := range nodes {
 		if s.Name == self.Name {
 			continue
 		}
 		n := nodeView{Name: s.Name, Role: s.Role.String(), Region: s.Region, Zone: s.Zone, Via: s.Via, State: stateOf(self, s), Revision: s.Revision,
-			LagSeconds: s.Lag.Round(time.Millisecond).Seconds(), Pending: s.Pending}
+			LagSeconds: s.Lag.Round(time.Millisecond).Seconds(), Pending: s.PendingKeys}
 		for _, r := range s.Rejected {
 			n.Rejected = append(n.Rejected, r.Key.String()+": "+r.Reason)
 		}
-		if !s.Connected && s.Lost > 0 {
-			n.Unreachable = time.UnixMilli(s.Lost).UTC().Format(time.RFC3339)
+		if !s.IsConnected && s.DisconnectedMs > 0 {
+			n.Unreachable = time.UnixMilli(s.DisconnectedMs).UTC().Format(time.RFC3339)
 		}
-		if s.Role == distribution.Node && n.State == "current" {
+		if s.Role == distribution.RoleNode && n.State == "current" {
 			count++
 		}
-		if s.Connected || !asked.reachable {
+		if s.IsConnected || !asked.reachable {
 			v.Current = v.Current && n.State == "current"
 		}
 		v.Nodes = append(v.Nodes, n)
@@ -160,9 +160,9 @@
 
 func stateOf(self, s distribution.NodeStatus) string {
 	switch {
-	case !s.Connected:
+	case !s.IsConnected:
 		return "unreachable"
-	case s.CatchingUp, !s.Acknowledged, s.Pending > 0, s.Unconfirmed > 0, s.Role == distribution.Control && s.Revision < self.Revision:
+	case s.IsCatchingUp, !s.HasAcknowledged, s.PendingKeys > 0, s.UnacknowledgedBytes > 0, s.Role == distribution.RoleControl && s.Revision < self.Revision:
 		return "behind"
 	case len(s.Rejected) > 0:
 		return "rejecting"
--- a/cmd/fernvane/config_status_golden_test.go
+++ b/cmd/fernvane/config_status_golden_test.go
@@ -13,15 +13,15 @@
 
 // TestStatusGolden pins what fernvane config status prints, as JSON for programs and as text.
 func TestStatusGolden(t *testing.T) {
-	self := distribution.NodeStatus{Name: "root-1", Role: distribution.Control, Revision: 31, Acknowledged: true, Connected: true}
+	self := distribution.NodeStatus{Name: "root-1", Role: distribution.RoleControl, Revision: 31, HasAcknowledged: true, IsConnected: true}
 	nodes := []distribution.NodeStatus{
-		{Name: "n2", Role: distribution.Node, Region: "north", Zone: "z1", Via: "relay-1", Revision: 31, Acknowledged: true, Connected: true},
-		{Name: "n1", Role: distribution.Node, Region: "south", Zone: "z2", Via: "relay-2", Revision: 30, Lag: 1250 * time.Millisecond, Pending: 4,
-			Acknowledged: true, Connected: true},
-		{Name: "n3", Role: distribution.Node, Region: "east", Zone: "z3", Via: "relay-3", Revision: 29, Acknowledged: true, Connected: true,
-			Rejected: []distribution.Rejection{{Key: distribution.Key{Service: "ferries", Kind: distribution.Route, Name: "checks"}, Reason: "no pool"}}},
-		{Name: "relay-1", Role: distribution.Control, Region: "north", Revision: 28, Acknowledged: true,
-			Lost: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC).UnixMilli()},
+		{Name: "n2", Role: distribution.RoleNode, Region: "north", Zone: "z1", Via: "relay-1", Revision: 31, HasAcknowledged: true, IsConnected: true},
+		{Name: "n1", Role: distribution.RoleNode, Region: "south", Zone: "z2", Via: "relay-2", Revision: 30, Lag: 1250 * time.Millisecond, PendingKeys: 4,
+			HasAcknowledged: true, IsConnected: true},
+		{Name: "n3", Role: distribution.RoleNode, Region: "east", Zone: "z3", Via: "relay-3", Revision: 29, HasAcknowledged: true, IsConnected: true,
+			Rejected: []distribution.Rejection{{Key: distribution.Key{Service: "ferries", Kind: distribution.KindRoute, Name: "checks"}, Reason: "no pool"}}},
+		{Name: "relay-1", Role: distribution.RoleControl, Region: "north", Revision: 28, HasAcknowledged: true,
+			DisconnectedMs: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC).UnixMilli()},
 	}
 	v := viewOf("127.0.0.1:7100", self, nodes, statusAsked{})
 	var asJSON, asText strings.Builder
--- a/cmd/fernvane/config_test.go
+++ b/cmd/fernvane/config_test.go
@@ -9,15 +9,15 @@
 
 // Who counts as current, by what a control process tells.
 func TestViewOf(t *testing.T) {
-	self := distribution.NodeStatus{Name: "a", Role: distribution.Control, Revision: 9, Acknowledged: true, Connected: true}
-	node := distribution.NodeStatus{Name: "n", Role: distribution.Node, Via: "a", Revision: 7, Acknowledged: true, Connected: true}
+	self := distribution.NodeStatus{Name: "a", Role: distribution.RoleControl, Revision: 9, HasAcknowledged: true, IsConnected: true}
+	node := distribution.NodeStatus{Name: "n", Role: distribution.RoleNode, Via: "a", Revision: 7, HasAcknowledged: true, IsConnected: true}
 	with := func(s distribution.NodeStatus, change func(*distribution.NodeStatus)) distribution.NodeStatus {
 		change(&s)
 		return s
 	}
-	relay := with(node, func(s *distribution.NodeStatus) { s.Name, s.Role, s.Revision = "r", distribution.Control, 9 })
+	relay := with(node, func(s *distribution.NodeStatus) { s.Name, s.Role, s.Revision = "r", distribution.RoleControl, 9 })
 	lost := with(node, func(s *distribution.NodeStatus) {
-		s.Connected, s.Lost = false, time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC).UnixMilli()
+		s.IsConnected, s.DisconnectedMs = false, time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC).UnixMilli()
 	})
 	for name, c := range map[string]struct {
 		self    distribution.NodeStatus
@@ -31,18 +31,18 @@
 		"one":                  {self, []distribution.NodeStatus{node, self}, statusAsked{expect: 1}, "current", true},
 		"a relay is no node":   {self, []distribution.NodeStatus{relay}, statusAsked{expect: 1}, "current", false},
 		"a relay behind":       {self, []distribution.NodeStatus{with(relay, func(s *distribution.NodeStatus) { s.Revision = 8 })}, statusAsked{}, "behind", false},
-		"something waits":      {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) { s.Pending = 1 })}, statusAsked{}, "behind", false},
-		"something is under way": {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) { s.Unconfirmed = 1 })}, statusAsked{}, "behind",
+		"something waits":      {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) { s.PendingKeys = 1 })}, statusAsked{}, "behind", false},
+		"something is under way": {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) { s.UnacknowledgedBytes = 1 })}, statusAsked{}, "behind",
 			false},
-		"catching up":      {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) { s.CatchingUp = true })}, statusAsked{}, "behind", false},
-		"nothing was told": {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) { s.Acknowledged = false })}, statusAsked{}, "behind", false},
+		"catching up":      {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) { s.IsCatchingUp = true })}, statusAsked{}, "behind", false},
+		"nothing was told": {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) { s.HasAcknowledged = false })}, statusAsked{}, "behind", false},
 		"one rejects": {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) {
-			s.Rejected = []distribution.Rejection{{Key: distribution.Key{Service: "s", Kind: distribution.Route, Name: "r"}, Reason: "no"}}
+			s.Rejected = []distribution.Rejection{{Key: distribution.Key{Service: "s", Kind: distribution.KindRoute, Name: "r"}, Reason: "no"}}
 		})}, statusAsked{}, "rejecting", false},
 		"one is gone":                     {self, []distribution.NodeStatus{lost}, statusAsked{}, "unreachable", false},
 		"one is gone, and is left out":    {self, []distribution.NodeStatus{lost}, statusAsked{reachable: true}, "unreachable", true},
 		"one that is left out, but wants": {self, []distribution.NodeStatus{lost}, statusAsked{reachable: true, expect: 1}, "unreachable", false},
-		"the one asked is not current":    {with(self, func(s *distribution.NodeStatus) { s.CatchingUp = true }), []distribution.NodeStatus{node}, statusAsked{}, "current", false},
+		"the one asked is not current":    {with(self, func(s *distribution.NodeStatus) { s.IsCatchingUp = true }), []distribution.NodeStatus{node}, statusAsked{}, "current", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := viewOf("at", c.self, c.nodes, c.asked)
--- a/cmd/fernvane/journalshow.go
+++ b/cmd/fernvane/journalshow.go
@@ -39,11 +39,11 @@
 }
 
 func show(e *intent.Entry) shown {
-	s := shown{Run: e.Run, Op: e.Op, ID: e.ID, Type: e.Type, Tenant: e.Tenant, Repeats: e.Repeats, Retry: e.Retry, At: clock(e.At),
-		State: e.State().String(), Told: e.Told, Hops: []hop{}}
-	for _, h := range e.Hops {
-		s.Hops = append(s.Hops, hop{h.Server, clock(h.At), clock(h.EndedAt), h.How,
-			[]string{"possibly sent", "ran", "never ran"}[h.Proof()], h.Settled})
+	s := shown{Run: e.Incarnation, Op: e.RequestNumber, ID: e.RequestID, Type: e.Type, Tenant: e.Tenant, Repeats: e.RepeatOf, Retry: e.IsRetry, At: clock(e.AtUnixNano),
+		State: e.State().String(), Told: e.ClientOutcome, Hops: []hop{}}
+	for _, h := range e.Attempts {
+		s.Hops = append(s.Hops, hop{h.Server, clock(h.AtUnixNano), clock(h.EndedAtUnixNano), h.Outcome,
+			[]string{"possibly sent", "ran", "never ran"}[h.Proof()], h.IsReconciled})
 	}
 	return s
 }
--- a/cmd/fernvane/journalsource.go
+++ b/cmd/fernvane/journalsource.go
@@ -37,7 +37,7 @@
 	q.anyState = q.state == ""
 	if !q.anyState {
 		var ok bool
-		if q.want, ok = intent.StateOf(q.state); !ok {
+		if q.want, ok = intent.ParseState(q.state); !ok {
 			return fmt.Errorf("--state %q: not-sent, possibly-sent, ran or not-known", q.state)
 		}
 	}
@@ -56,14 +56,14 @@
 }
 
 func (q *query) fits(e *intent.Entry) bool {
-	if q.id != "" && e.ID != q.id && e.Repeats != q.id || q.tenant != "" && e.Tenant != q.tenant || e.At < q.from.UnixNano() && !q.from.IsZero() ||
+	if q.id != "" && e.RequestID != q.id && e.RepeatOf != q.id || q.tenant != "" && e.Tenant != q.tenant || e.AtUnixNano < q.from.UnixNano() && !q.from.IsZero() ||
 		!q.anyState && e.State() != q.want {
 		return false
 	}
 	if q.server == "" {
 		return true
 	}
-	for _, h := range e.Hops {
+	for _, h := range e.Attempts {
 		if h.Server == q.server {
 			return true
 		}
@@ -90,7 +90,7 @@
 	if path == "" {
 		return errors.New("which journal? --dir FOLDER")
 	}
-	cfg, err := wal.Load(path)
+	cfg, err := wal.LoadConfig(path)
 	if err == nil {
 		s.dir = cfg.Dir
 	}
@@ -99,13 +99,13 @@
 
 // entries calls each for all entries, or for those of one id: those of a folder that are whole as they are read, the
 // others at the end.
-func (s *source) entries(since time.Time, id string, errs io.Writer, each func(*intent.Entry) error) (wal.Report, error) {
+func (s *source) entries(since time.Time, id string, errs io.Writer, each func(*intent.Entry) error) (wal.ScanReport, error) {
 	if s.tier {
-		return wal.Report{}, s.asked(since, id, errs, each)
+		return wal.ScanReport{}, s.asked(since, id, errs, each)
 	}
-	fold := intent.NewFold()
+	fold := intent.NewAssembler()
 	bar, done := progress(errs)
-	report, err := wal.Scan(wal.OS{}, s.dir, since, func(r *intent.Record) error {
+	report, err := wal.Scan(wal.OSFileSystem{}, s.dir, since, func(r *intent.Record) error {
 		if e := fold.Add(r); e != nil {
 			return each(e)
 		}
@@ -115,13 +115,13 @@
 	if err != nil {
 		return report, err
 	}
-	fold.Damaged = report.Corrupt() > 0
-	for _, e := range fold.Rest() {
+	fold.HasDamage = report.CorruptCount() > 0
+	for _, e := range fold.Incomplete() {
 		if err := each(e); err != nil {
 			return report, err
 		}
 	}
-	for _, f := range report.Faults {
+	for _, f := range report.Unreadable {
 		fmt.Fprintln(errs, f)
 	}
 	tellGaps(errs, fold.Gaps)
@@ -130,7 +130,7 @@
 
 func tellGaps(errs io.Writer, gaps []intent.Record) {
 	for _, g := range gaps {
-		fmt.Fprintf(errs, "from %s to %s %d words were not kept\n", clock(g.From), clock(g.At), g.N)
+		fmt.Fprintf(errs, "from %s to %s %d words were not kept\n", clock(g.From), clock(g.AtUnixNano), g.Count)
 	}
 }
 
@@ -140,12 +140,12 @@
 // asked puts together what all nodes of a tier hold. Which could not be asked is told; where they are more than may be
 // lost, nothing counts as not sent.
 func (s *source) asked(since time.Time, id string, errs io.Writer, each func(*intent.Entry) error) error {
-	cfg, err := peer.Load(s.peers)
+	cfg, err := peer.LoadConfig(s.peers)
 	if err != nil {
 		return err
 	}
-	tier := peer.Ask(context.Background(), cfg, false)
-	union := intent.NewUnion()
+	tier := peer.Query(context.Background(), cfg, false)
+	union := intent.NewMerger()
 	var all []*intent.Entry
 	corrupt, err := tier.Records(context.Background(), since, id, func(r *intent.Record) error {
 		if e := union.Add(r); e != nil {
@@ -156,18 +156,18 @@
 	if err != nil {
 		return err
 	}
-	union.Damaged = corrupt > 0
-	enough := tier.Enough()
-	for _, e := range append(all, union.Rest()...) {
-		e.TooFew = !enough
+	union.HasDamage = corrupt > 0
+	enough := tier.HasEnoughAnswers()
+	for _, e := range append(all, union.Incomplete()...) {
+		e.TooFewNodesAsked = !enough
 		if err := each(e); err != nil {
 			return err
 		}
 	}
 	tellGaps(errs, union.Gaps)
-	fmt.Fprintf(errs, "%d nodes answered\n", len(tier.Asked))
-	for _, name := range slices.Sorted(maps.Keys(tier.Missed)) {
-		fmt.Fprintf(errs, "could not be asked: %s: %v\n", name, tier.Missed[name])
+	fmt.Fprintf(errs, "%d nodes answered\n", len(tier.Answered))
+	for _, name := range slices.Sorted(maps.Keys(tier.Unanswered)) {
+		fmt.Fprintf(errs, "could not be asked: %s: %v\n", name, tier.Unanswered[name])
 	}
 	if !enough {
 		return errTooFew
--- a/cmd/fernvane/main.go
+++ b/cmd/fernvane/main.go
@@ -21,7 +21,7 @@
 
 func main() {
 	if len(os.Args) > 1 && os.Args[1] == "serve" {
-		proxy.Hear() // ahead of all else, or a reload that is asked for as the node starts would end it
+		proxy.CatchSignals() // ahead of all else, or a reload that is asked for as the node starts would end it
 	}
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr, os.Getenv))
 }
@@ -71,7 +71,7 @@
 	case errors.As(err, &code):
 		return int(code)
 	case errors.Is(err, errDamaged), errors.Is(err, errSpoilt), errors.Is(err, errTooFew), errors.Is(err, errLacking),
-		errors.Is(err, errBehind), errors.Is(err, errNotHeld), errors.As(err, new(*client.RefusedError)):
+		errors.Is(err, errBehind), errors.Is(err, errNotHeld), errors.As(err, new(*client.WriteRefusedError)):
 		fmt.Fprintf(errs, "fernvane: %v\n", err)
 		return 1
 	case errors.As(err, &faults): // each with its own file and line
--- a/cmd/fernvane/pages_test.go
+++ b/cmd/fernvane/pages_test.go
@@ -42,12 +42,12 @@
 	}
 	operator := filepath.Join(root, "deploy", "operator.example.toml")
 	lists := t.TempDir()
-	store, err := snapshot.Open(lists, 3, wal.OS{})
+	store, err := snapshot.Open(lists, 3, wal.OSFileSystem{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range uint64(2) {
-		if err := store.Write(&snapshot.Snapshot{Node: "n", Deployment: "d", Revision: i, Confirmed: time.Now().UnixMilli(), Clean: true,
+		if err := store.Write(&snapshot.Snapshot{Node: "n", Deployment: "d", Revision: i, ConfirmedUnixMS: time.Now().UnixMilli(), IsCleanShutdown: true,
 			Servers: []snapshot.Server{{ID: fmt.Sprint("s", i), Address: "127.0.0.1:1"}}}); err != nil {
 			t.Fatal(err)
 		}
@@ -77,14 +77,14 @@
 	}
 	stands["control.toml"] = put("control.toml", fmt.Sprintf("name = \"c\"\nlisten = %q\ndisk = %q\nplaintext = true\n", address.Free(t), filepath.Join(dir, "control.db")))
 	first, _ := node(t, "n0")
-	tier, err := peer.Load(first)
+	tier, err := peer.LoadConfig(first)
 	if err != nil {
 		t.Fatal(err)
 	}
 	stands["peers.toml"], _ = node(t, "n1", fmt.Sprintf("%q", tier.Listen))
 	whole := func() bool {
-		t := peer.Ask(context.Background(), tier, false)
-		return len(t.Asked) == 2 && t.Lacking() == ""
+		t := peer.Query(context.Background(), tier, false)
+		return len(t.Answered) == 2 && t.Shortfall() == ""
 	}
 	for by := time.Now().Add(20 * time.Second); !whole() && time.Now().Before(by); {
 		time.Sleep(20 * time.Millisecond)
--- a/cmd/fernvane/replicas.go
+++ b/cmd/fernvane/replicas.go
@@ -32,11 +32,11 @@
 		if path == "" {
 			return nil, errors.New("which tier? --peers FILE")
 		}
-		cfg, err := peer.Load(path)
+		cfg, err := peer.LoadConfig(path)
 		if err != nil {
 			return nil, err
 		}
-		return peer.Ask(c.Context(), cfg, verify), nil
+		return peer.Query(c.Context(), cfg, verify), nil
 	}
 	var most time.Duration
 	repair := &cobra.Command{Use: "repair", Short: "Have all nodes read what they hold, and wait until it stands as often as it should", Args: cobra.NoArgs,
@@ -47,7 +47,7 @@
 			}
 			tellTier(c.OutOrStdout(), t, lines)
 			for by := time.Now().Add(most); verdict(t) != nil && time.Now().Before(by); {
-				fmt.Fprintln(c.ErrOrStderr(), t.Lacking())
+				fmt.Fprintln(c.ErrOrStderr(), t.Shortfall())
 				time.Sleep(repairLook)
 				if t, err = look(c, false); err != nil {
 					return err
@@ -79,7 +79,7 @@
 
 // verdict is an error where something lacks, or a node could not be asked.
 func verdict(t *peer.Client) error {
-	if t.Lacking() != "" || len(t.Missed) > 0 || len(t.Asked) == 0 {
+	if t.Shortfall() != "" || len(t.Unanswered) > 0 || len(t.Answered) == 0 {
 		return errLacking
 	}
 	return nil
@@ -89,8 +89,8 @@
 func tellTier(out io.Writer, t *peer.Client, lines bool) {
 	if lines {
 		e := json.NewEncoder(out)
-		for _, name := range slices.Sorted(maps.Keys(t.Asked)) {
-			e.Encode(t.Asked[name])
+		for _, name := range slices.Sorted(maps.Keys(t.Answered)) {
+			e.Encode(t.Answered[name])
 		}
 		return
 	}
@@ -98,10 +98,10 @@
 	fmt.Fprintln(w, "node\tcondition\tsite\tmachine\tkept of its own\theld by\tholds for others\tMB")
 	for _, name := range slices.Sorted(maps.Keys(t.Members)) {
 		m := t.Members[name]
-		s := t.Asked[name]
+		s := t.Answered[name]
 		if s == nil {
 			why := "it was not asked"
-			if err := t.Missed[name]; err != nil {
+			if err := t.Unanswered[name]; err != nil {
 				why = err.Error()
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t-\t%s\t-\t-\n", name, m.Condition, m.Site, m.Machine, why)
@@ -109,25 +109,25 @@
 		}
 		var holders []string
 		for _, h := range s.Holders {
-			holders = append(holders, fmt.Sprintf("%s %s", h.Name, strings.TrimSpace(h.Stand+" "+h.Refusal)))
+			holders = append(holders, fmt.Sprintf("%s %s", h.Name, strings.TrimSpace(h.State+" "+h.RejectReason)))
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d of %d\t%s\t%d streams\t%d of %d\n", name, m.Condition, m.Site, m.Machine, max(s.Kept, 1)-1, max(s.Next, 1)-1,
-			strings.Join(holders, ", "), len(s.Holdings), s.Bytes>>20, s.Most>>20)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d of %d\t%s\t%d streams\t%d of %d\n", name, m.Condition, m.Site, m.Machine, max(s.Committed, 1)-1, max(s.Next, 1)-1,
+			strings.Join(holders, ", "), len(s.StoredReplicas), s.StoredBytes>>20, s.MaxBytes>>20)
 	}
 	w.Flush()
-	for _, name := range slices.Sorted(maps.Keys(t.Missed)) {
+	for _, name := range slices.Sorted(maps.Keys(t.Unanswered)) {
 		if _, known := t.Members[name]; !known {
-			fmt.Fprintf(out, "nobody answers at %s: %v\n", name, t.Missed[name])
+			fmt.Fprintf(out, "nobody answers at %s: %v\n", name, t.Unanswered[name])
 		}
 	}
-	for name, s := range t.Asked {
-		for _, f := range s.Faults {
+	for name, s := range t.Answered {
+		for _, f := range s.Damage {
 			fmt.Fprintf(out, "damaged at %s: %s\n", name, f)
 		}
 	}
-	if why := t.Lacking(); why != "" {
+	if why := t.Shortfall(); why != "" {
 		fmt.Fprintln(out, "lacking:", why)
-	} else if len(t.Asked) > 0 {
+	} else if len(t.Answered) > 0 {
 		fmt.Fprintln(out, "all that these nodes keep stands as often as it should")
 	}
 }
--- a/cmd/fernvane/replicas_test.go
+++ b/cmd/fernvane/replicas_test.go
@@ -36,7 +36,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := peer.Load(file)
+	cfg, err := peer.LoadConfig(file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,16 +48,16 @@
 	done := make(chan error, 1)
 	go func() { done <- p.Run(ctx) }()
 	run := uint64(p.Join(ctx, 5*time.Second))
-	p.Keep(filepath.Join(dir, "journal"), true)
-	log, err := wal.Open(wal.Options{Dir: filepath.Join(dir, "journal"), Files: wal.OS{}, Machine: true, SegmentBytes: 1 << 20, Run: run, Copy: p.Copy, Stored: p.Stored})
+	p.StartJournal(filepath.Join(dir, "journal"), true)
+	log, err := wal.Open(wal.Options{Dir: filepath.Join(dir, "journal"), FileSystem: wal.OSFileSystem{}, Fsync: true, MaxSegmentBytes: 1 << 20, Incarnation: run, OnChunk: p.ReplicateChunk, OnStored: p.RecordsStored})
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Now().UnixNano()
-	log.Append(true, intent.Record{Kind: intent.Intent, Run: run, Op: 1, At: now, ID: name + "-sent", Type: "book", Server: "s"})
-	log.Append(true, intent.Record{Kind: intent.Intent, Run: run, Op: 3, At: now, ID: "id-1", Type: "book", Server: "t"})
-	log.Append(true, intent.Record{Kind: intent.Unsent, Run: run, Op: 2, At: now, ID: name + "-unsent", Type: "book"},
-		intent.Record{Kind: intent.Told, Run: run, Op: 2, At: now, ID: name + "-unsent", Type: "book", How: "denied"})
+	log.Append(true, intent.Record{Kind: intent.Intent, Incarnation: run, RequestNumber: 1, AtUnixNano: now, RequestID: name + "-sent", Type: "book", Server: "s"})
+	log.Append(true, intent.Record{Kind: intent.Intent, Incarnation: run, RequestNumber: 3, AtUnixNano: now, RequestID: "id-1", Type: "book", Server: "t"})
+	log.Append(true, intent.Record{Kind: intent.Unsent, Incarnation: run, RequestNumber: 2, AtUnixNano: now, RequestID: name + "-unsent", Type: "book"},
+		intent.Record{Kind: intent.ClientNotified, Incarnation: run, RequestNumber: 2, AtUnixNano: now, RequestID: name + "-unsent", Type: "book", Outcome: "denied"})
 	stopped := false
 	stop = func() {
 		if !stopped {
@@ -74,7 +74,7 @@
 // What is asked of a tier of three with one other holder for each record, with all there, one lost and two.
 func TestTierCommands(t *testing.T) {
 	a, stopA := node(t, "n0")
-	cfg, err := peer.Load(a)
+	cfg, err := peer.LoadConfig(a)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fernvane/serve.go
+++ b/cmd/fernvane/serve.go
@@ -39,7 +39,7 @@
 }
 
 func (f *files) load() (proxy.Config, error) {
-	cfg, err := proxy.Load(f.config, func(name string) string {
+	cfg, err := proxy.LoadConfig(f.config, func(name string) string {
 		switch name {
 		case "PROXY_OPERATOR":
 			return f.operator
@@ -87,7 +87,7 @@
 			if verbose {
 				level = zerolog.DebugLevel
 			}
-			return ended(proxy.Process(cfg, errs, level))
+			return ended(proxy.RunProcess(cfg, errs, level))
 		}}
 	f.flags(c.Flags())
 	c.Flags().BoolVar(&verbose, "verbose", false, "log each hop that does not end with a whole answer")
--- a/cmd/fernvane/snapshot.go
+++ b/cmd/fernvane/snapshot.go
@@ -48,7 +48,7 @@
 		}
 		g.dir = cfg.Dir
 	}
-	store, err := snapshot.Open(g.dir, 1, wal.OS{})
+	store, err := snapshot.Open(g.dir, 1, wal.OSFileSystem{})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -67,14 +67,14 @@
 			if err != nil {
 				return err
 			}
-			i := slices.IndexFunc(all, func(g snapshot.Generation) bool { return g.Snap != nil })
+			i := slices.IndexFunc(all, func(g snapshot.Generation) bool { return g.Snapshot != nil })
 			if i < 0 {
 				return fmt.Errorf("%s: %w", all[0].Path, all[0].Err)
 			}
 			if lines {
-				return json.NewEncoder(c.OutOrStdout()).Encode(shownList(all[i].Snap))
+				return json.NewEncoder(c.OutOrStdout()).Encode(shownList(all[i].Snapshot))
 			}
-			tellList(c.OutOrStdout(), all[i].Snap, time.Now())
+			tellList(c.OutOrStdout(), all[i].Snapshot, time.Now())
 			return nil
 		}}
 	show.Flags().BoolVar(&lines, "json", false, "for programs")
@@ -112,8 +112,8 @@
 			}
 			var whole []*snapshot.Snapshot
 			for _, one := range all {
-				if one.Snap != nil && len(whole) < 2 {
-					whole = append(whole, one.Snap)
+				if one.Snapshot != nil && len(whole) < 2 {
+					whole = append(whole, one.Snapshot)
 				}
 			}
 			if len(whole) < 2 {
@@ -153,14 +153,14 @@
 }
 
 func tellList(out io.Writer, s *snapshot.Snapshot, now time.Time) {
-	k := staleness.Known{Age: now.Sub(time.UnixMilli(s.Confirmed)), Clean: s.Clean}
+	k := staleness.CachedList{Age: now.Sub(time.UnixMilli(s.ConfirmedUnixMS)), IsCleanShutdown: s.IsCleanShutdown}
 	fmt.Fprintf(out, "node %s of %s, revision %d, %d servers, written %s, confirmed %s ago, ended in good order: %v\n", s.Node, s.Deployment, s.Revision,
-		len(s.Servers), clock(s.Written*1e6), k.Age.Round(time.Second), s.Clean)
-	fmt.Fprintf(out, "a start now would take it with suspicion %d of %d\n", k.Grade(), staleness.Grades-1)
+		len(s.Servers), clock(s.WrittenUnixMS*1e6), k.Age.Round(time.Second), s.IsCleanShutdown)
+	fmt.Fprintf(out, "a start now would take it with suspicion %d of %d\n", k.Level(), staleness.LevelCount-1)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "server\taddress\tzone\tcondition\theard\tran")
 	for _, one := range s.Servers {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", one.ID, one.Address, one.Zone, conditionName(one.Condition), clock(one.Heard*1e6), clock(one.Ran*1e6))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", one.ID, one.Address, one.Zone, conditionName(one.Condition), clock(one.AnnouncedUnixMS*1e6), clock(one.ExecutedUnixMS*1e6))
 	}
 	t.Flush()
 }
@@ -177,7 +177,7 @@
 		switch {
 		case !known:
 			lines = append(lines, fmt.Sprintf("+ %s %s %s", s.ID, s.Address, conditionName(s.Condition)))
-		case b.Condition != s.Condition || b.Address != s.Address || b.Up != s.Up:
+		case b.Condition != s.Condition || b.Address != s.Address || b.StartedUnixMS != s.StartedUnixMS:
 			lines = append(lines, fmt.Sprintf("~ %s %s %s, was %s %s", s.ID, s.Address, conditionName(s.Condition), b.Address, conditionName(b.Condition)))
 		}
 	}
@@ -212,9 +212,9 @@
 }
 
 func shownList(s *snapshot.Snapshot) listJSON {
-	l := listJSON{s.Node, s.Deployment, s.Revision, clock(s.Written * 1e6), clock(s.Confirmed * 1e6), s.Clean, []serverJSON{}}
+	l := listJSON{s.Node, s.Deployment, s.Revision, clock(s.WrittenUnixMS * 1e6), clock(s.ConfirmedUnixMS * 1e6), s.IsCleanShutdown, []serverJSON{}}
 	for _, one := range s.Servers {
-		l.Servers = append(l.Servers, serverJSON{one.ID, one.Address, one.Zone, conditionName(one.Condition), clock(one.Heard * 1e6), clock(one.Ran * 1e6)})
+		l.Servers = append(l.Servers, serverJSON{one.ID, one.Address, one.Zone, conditionName(one.Condition), clock(one.AnnouncedUnixMS * 1e6), clock(one.ExecutedUnixMS * 1e6)})
 	}
 	return l
 }
--- a/cmd/fernvane/snapshot_test.go
+++ b/cmd/fernvane/snapshot_test.go
@@ -15,7 +15,7 @@
 func TestSnapshotCommands(t *testing.T) {
 	dir, spoilt := t.TempDir(), t.TempDir()
 	for _, d := range []string{dir, spoilt} {
-		store, err := snapshot.Open(d, 9, wal.OS{})
+		store, err := snapshot.Open(d, 9, wal.OSFileSystem{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/testbed/journal.go
+++ b/cmd/testbed/journal.go
@@ -51,7 +51,7 @@
 			}
 			j := out.Journal
 			fmt.Fprintf(c.OutOrStdout(), "%d kills in %s, promise %s: %d entries, %d dockets, %d possibly sent, %d of them not settled by dockets, %d words in gaps\n",
-				n, s.Length.D(), promise, j.Entries, j.Ran, j.Possibly, j.Open, j.Gaps)
+				n, s.Length.Std(), promise, j.Entries, j.Ran, j.Possibly, j.Open, j.Gaps)
 			for _, r := range out.Rules {
 				if r.Broken > 0 {
 					fmt.Fprintf(c.OutOrStdout(), "broken %d times: %s: %s\n", r.Broken, r.Name, r.Worst)
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -57,8 +57,8 @@
 
 // node is what `fernvane serve` is, in this binary, so that the lab needs no build beside it; the policy may be another.
 func node(errs io.Writer, getenv func(string) string) int {
-	proxy.Hear() // as the node's own command does
-	cfg, err := proxy.Load(getenv("PROXY_CONFIG"), getenv)
+	proxy.CatchSignals() // as the node's own command does
+	cfg, err := proxy.LoadConfig(getenv("PROXY_CONFIG"), getenv)
 	if err != nil {
 		fmt.Fprintf(errs, "the configuration cannot be used: %v\n", err)
 		return exitBadInput
@@ -68,11 +68,11 @@
 		fmt.Fprintf(errs, "no policy %q\n", getenv(policyVar))
 		return exitBadInput
 	}
-	cfg.Module = maker
+	cfg.NewPolicy = maker
 	_, cfg.Unguarded = baseline.Broken[getenv(policyVar)]
 	cfg.Deaf = baseline.Broken[getenv(policyVar)] == "leavers"
 	cfg.Hoards = baseline.Broken[getenv(policyVar)] == "closing"
-	cfg.Disk = testbed.Disk(getenv)
+	cfg.Filesystem = testbed.Disk(getenv)
 	if path := getenv(profileVar); path != "" {
 		f, err := os.Create(path)
 		if err == nil {
@@ -85,7 +85,7 @@
 		defer f.Close()
 		defer pprof.StopCPUProfile()
 	}
-	return proxy.Process(cfg, errs, zerolog.InfoLevel)
+	return proxy.RunProcess(cfg, errs, zerolog.InfoLevel)
 }
 
 // plans is what `fernvane plan` is.
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -112,7 +112,7 @@
 	}
 	if !f.quiet {
 		fmt.Fprintf(errs, "%s: starting %d nodes and %d boxes\n", s.Name, s.Nodes.Count, len(s.BoxNames()))
-		o.Progress = progress(errs, s.Length.D())
+		o.Progress = progress(errs, s.Length.Std())
 	}
 	r, err := once(ctx, o, name)
 	if err != nil {
--- a/cmd/testbed/tools.go
+++ b/cmd/testbed/tools.go
@@ -28,7 +28,7 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(t, "%s\t%s\t%d nodes, %d boxes\t%s\n", name, s.Length.D(), s.Nodes.Count, len(s.BoxNames()), s.About)
+				fmt.Fprintf(t, "%s\t%s\t%d nodes, %d boxes\t%s\n", name, s.Length.Std(), s.Nodes.Count, len(s.BoxNames()), s.About)
 			}
 			return t.Flush()
 		}}
@@ -56,7 +56,7 @@
 					bad = true
 					continue
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s: %s, %d nodes, %d boxes, %d operations, %d faults\n", name, s.Length.D(), s.Nodes.Count,
+				fmt.Fprintf(c.OutOrStdout(), "%s: %s, %d nodes, %d boxes, %d operations, %d faults\n", name, s.Length.Std(), s.Nodes.Count,
 					len(s.BoxNames()), len(load.Plan(s)), len(s.Faults))
 			}
 			if bad {
@@ -178,7 +178,7 @@
 		}
 		to = address
 	}
-	g := &load.Generator{Scenario: s, Ops: ops, Progress: progress(c.ErrOrStderr(), s.Length.D())}
+	g := &load.Generator{Scenario: s, Ops: ops, Progress: progress(c.ErrOrStderr(), s.Length.Std())}
 	late := g.Run(c.Context(), time.Now(), load.Fixed(to), load.Nobody{})
 	r := report.New(s, to, ops, &testbed.Outcome{Result: g.Result, Late: late})
 	r.Text(c.OutOrStdout())
--- a/internal/cluster/framing/format_test.go
+++ b/internal/cluster/framing/format_test.go
@@ -8,19 +8,19 @@
 
 // Frames as the build of 7af5c59 wrote them.
 func TestFrameBytes(t *testing.T) {
-	plain := Protocol{Version: 3, Kinds: 9, Most: 1 << 10}
-	summed := Protocol{Version: 3, Kinds: 9, Most: 1 << 10, Sums: true}
+	plain := Protocol{Version: 3, KindLimit: 9, MaxBodyBytes: 1 << 10}
+	summed := Protocol{Version: 3, KindLimit: 9, MaxBodyBytes: 1 << 10, HasChecksums: true}
 	for name, c := range map[string]struct {
 		protocol *Protocol
 		kind     Kind
 		body     any
 		want     string
 	}{
-		"hello":                    {&plain, Greeting, Hello{Version: 3, Name: "n1"}, "00000005018203626e31"},
-		"hello with a checksum":    {&summed, Greeting, Hello{Version: 3, Name: "n1"}, "00000009018203626e311b39c050"},
-		"refusal":                  {&plain, Refusals, Refusal{Reason: "why"}, "00000005028163776879"},
-		"refusal with a checksum":  {&summed, Refusals, Refusal{Reason: "why"}, "00000009028163776879f265afbd"},
-		"first kind of a protocol": {&plain, First, []float64{1.5, 0.1}, "0000000d0382f93e00fb3fb999999999999a"},
+		"hello":                    {&plain, HelloKind, Hello{Version: 3, Name: "n1"}, "00000005018203626e31"},
+		"hello with a checksum":    {&summed, HelloKind, Hello{Version: 3, Name: "n1"}, "00000009018203626e311b39c050"},
+		"refusal":                  {&plain, RejectionKind, Rejection{Reason: "why"}, "00000005028163776879"},
+		"refusal with a checksum":  {&summed, RejectionKind, Rejection{Reason: "why"}, "00000009028163776879f265afbd"},
+		"first kind of a protocol": {&plain, FirstProtocolKind, []float64{1.5, 0.1}, "0000000d0382f93e00fb3fb999999999999a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := c.protocol.Append(nil, c.kind, c.body)
@@ -37,8 +37,8 @@
 				if err := Decode(body, &h); err != nil || h != want {
 					t.Errorf("read as %+v, %v", h, err)
 				}
-			case Refusal:
-				var r Refusal
+			case Rejection:
+				var r Rejection
 				if err := Decode(body, &r); err != nil || r != want {
 					t.Errorf("read as %+v, %v", r, err)
 				}
--- a/internal/cluster/framing/frames.go
+++ b/internal/cluster/framing/frames.go
@@ -28,18 +28,18 @@
 type Kind uint8
 
 const (
-	Greeting Kind = 1 + iota // each side's first
-	Refusals                 // why a connection is ended
-	First                    // of a protocol's own kinds
+	HelloKind         Kind = 1 + iota // each side's first
+	RejectionKind                     // why a connection is ended
+	FirstProtocolKind                 // of a protocol's own kinds
 )
 
 // Protocol is what two ends have to agree on.
 type Protocol struct {
-	Version int  // a peer of another is refused
-	Kinds   Kind // one behind the last
-	Most    int  // bytes of a body
+	Version      int  // a peer of another is refused
+	KindLimit    Kind // one behind the last
+	MaxBodyBytes int  // bytes of a body
 	// Sums has each frame carry a checksum, for ends that may meet without TLS what a link makes of their words.
-	Sums bool
+	HasChecksums bool
 }
 
 // Hello is the first frame of each side.
@@ -50,8 +50,8 @@
 	Name    string
 }
 
-// Refusal is the last frame to a peer that is refused.
-type Refusal struct {
+// Rejection is the last frame to a peer that is refused.
+type Rejection struct {
 	_ struct{} `cbor:",toarray"`
 
 	Reason string
@@ -59,9 +59,9 @@
 
 // Why a frame cannot be taken.
 var (
-	ErrTooLong = errors.New("a frame is longer than any may be")
-	ErrKind    = errors.New("a frame of an unknown kind")
-	ErrSum     = errors.New("a frame came as something else than was sent")
+	ErrFrameTooLong = errors.New("a frame is longer than any may be")
+	ErrUnknownKind  = errors.New("a frame of an unknown kind")
+	ErrChecksum     = errors.New("a frame came as something else than was sent")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -85,16 +85,16 @@
 	if err != nil {
 		return b, err
 	}
-	if len(text) > p.Most {
-		return b, ErrTooLong
+	if len(text) > p.MaxBodyBytes {
+		return b, ErrFrameTooLong
 	}
 	n := len(text)
-	if p.Sums {
+	if p.HasChecksums {
 		n += sumBytes
 	}
 	b = binary.BigEndian.AppendUint32(b, uint32(n))
 	b = append(append(b, byte(k)), text...)
-	if p.Sums {
+	if p.HasChecksums {
 		b = binary.BigEndian.AppendUint32(b, sum(k, text))
 	}
 	return b, nil
@@ -111,29 +111,29 @@
 		return 0, buffer, err
 	}
 	n, k := binary.BigEndian.Uint32(head[:4]), Kind(head[4])
-	most := uint32(p.Most)
-	if p.Sums {
+	most := uint32(p.MaxBodyBytes)
+	if p.HasChecksums {
 		most += sumBytes
 	}
 	if n > most {
-		return 0, buffer, ErrTooLong
+		return 0, buffer, ErrFrameTooLong
 	}
-	if p.Sums && n < sumBytes {
-		return 0, buffer, ErrSum
+	if p.HasChecksums && n < sumBytes {
+		return 0, buffer, ErrChecksum
 	}
-	if k == 0 || k >= p.Kinds {
-		return 0, buffer, ErrKind
+	if k == 0 || k >= p.KindLimit {
+		return 0, buffer, ErrUnknownKind
 	}
 	if buffer = buffer[:0]; cap(buffer) < int(n) {
 		buffer = make([]byte, 0, n)
 	}
 	buffer = buffer[:n]
-	if _, err := io.ReadFull(r, buffer); err != nil || !p.Sums {
+	if _, err := io.ReadFull(r, buffer); err != nil || !p.HasChecksums {
 		return k, buffer, err
 	}
 	text := buffer[:n-sumBytes]
 	if binary.BigEndian.Uint32(buffer[len(text):]) != sum(k, text) {
-		return 0, buffer, ErrSum
+		return 0, buffer, ErrChecksum
 	}
 	return k, text, nil
 }
@@ -144,16 +144,16 @@
 // Conn is one connection. One goroutine may send while another receives.
 type Conn struct {
 	net.Conn
-	p      *Protocol
-	r      *bufio.Reader
-	in     []byte
-	out    []byte
-	Sent   int // bytes
-	Frames int // sent
+	p          *Protocol
+	r          *bufio.Reader
+	in         []byte
+	out        []byte
+	SentBytes  int // bytes
+	SentFrames int // sent
 }
 
-// New leads a connection.
-func (p *Protocol) New(nc net.Conn) *Conn { return &Conn{Conn: nc, p: p, r: bufio.NewReader(nc)} }
+// NewConn leads a connection.
+func (p *Protocol) NewConn(nc net.Conn) *Conn { return &Conn{Conn: nc, p: p, r: bufio.NewReader(nc)} }
 
 // Send writes a frame; a peer that does not take it in time has ended.
 func (c *Conn) Send(k Kind, body any) (err error) {
@@ -162,7 +162,7 @@
 	}
 	c.SetWriteDeadline(time.Now().Add(sendMost))
 	n, err := c.Write(c.out)
-	c.Sent, c.Frames = c.Sent+n, c.Frames+1
+	c.SentBytes, c.SentFrames = c.SentBytes+n, c.SentFrames+1
 	return err
 }
 
@@ -174,50 +174,50 @@
 	return k, body, err
 }
 
-// Greet sends this side's Hello and reads the other's. A peer of another version is told so before the end.
-func (c *Conn) Greet(name string, by time.Time) (peer string, err error) {
-	if err := c.Send(Greeting, Hello{Version: c.p.Version, Name: name}); err != nil {
+// Handshake sends this side's Hello and reads the other's. A peer of another version is told so before the end.
+func (c *Conn) Handshake(name string, by time.Time) (peer string, err error) {
+	if err := c.Send(HelloKind, Hello{Version: c.p.Version, Name: name}); err != nil {
 		return "", err
 	}
-	return c.Greeted(by)
+	return c.ReceiveHello(by)
 }
 
-// Greeted reads the other side's Hello.
-func (c *Conn) Greeted(by time.Time) (peer string, err error) {
+// ReceiveHello reads the other side's Hello.
+func (c *Conn) ReceiveHello(by time.Time) (peer string, err error) {
 	k, body, err := c.Receive(by)
 	if err != nil {
 		return "", err
 	}
 	switch k {
-	case Refusals:
-		return "", Refused(body)
-	case Greeting:
+	case RejectionKind:
+		return "", RejectionError(body)
+	case HelloKind:
 		var h Hello
 		if err := Decode(body, &h); err != nil {
-			return "", c.Refuse(fmt.Errorf("a greeting that cannot be read: %v", err))
+			return "", c.Reject(fmt.Errorf("a greeting that cannot be read: %v", err))
 		}
 		if h.Version != c.p.Version {
-			return "", c.Refuse(fmt.Errorf("version %d is spoken here, not %d", c.p.Version, h.Version))
+			return "", c.Reject(fmt.Errorf("version %d is spoken here, not %d", c.p.Version, h.Version))
 		}
 		if h.Name == "" || len(h.Name) > nameMost {
-			return "", c.Refuse(errors.New("a peer without a name"))
+			return "", c.Reject(errors.New("a peer without a name"))
 		}
 		return h.Name, nil
 	}
-	return "", c.Refuse(errors.New("a frame before the greeting"))
+	return "", c.Reject(errors.New("a frame before the greeting"))
 }
 
-// Refused is why a peer has ended a connection, from its last frame.
-func Refused(body []byte) error {
-	var r Refusal
+// RejectionError is why a peer has ended a connection, from its last frame.
+func RejectionError(body []byte) error {
+	var r Rejection
 	if err := Decode(body, &r); err != nil {
 		return err
 	}
 	return fmt.Errorf("refused by the peer: %.200s", r.Reason)
 }
 
-// Refuse tells the peer why the connection ends, and returns that reason.
-func (c *Conn) Refuse(why error) error {
-	c.Send(Refusals, Refusal{Reason: why.Error()})
+// Reject tells the peer why the connection ends, and returns that reason.
+func (c *Conn) Reject(why error) error {
+	c.Send(RejectionKind, Rejection{Reason: why.Error()})
 	return why
 }
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -32,51 +32,51 @@
 	return conditionNames[c]
 }
 
-// Lives tells that a node is counted on: it has neither left nor been given up.
-func (c Condition) Lives() bool { return c <= Suspected }
+// IsLive tells that a node is counted on: it has neither left nor been given up.
+func (c Condition) IsLive() bool { return c <= Suspected }
 
 // Member is one node. Only the node itself raises its turn, to refute what is said of it.
 type Member struct {
 	_ struct{} `cbor:",toarray"`
 
-	Name      string
-	Up        int64 // Unix time in ns of its start; a later start is another life
-	Turn      uint32
-	Condition Condition
-	Address   string // where it is reached
-	Site      string
-	Machine   string // nodes on one machine are lost together
+	Name        string
+	Incarnation int64  `json:"Up"` // Unix time in ns of its start; a later start is another life
+	Refutations uint32 `json:"Turn"`
+	Condition   Condition
+	Address     string // where it is reached
+	Site        string
+	Machine     string // nodes on one machine are lost together
 }
 
 // Compare orders two words of one node: the greater one holds.
 func Compare(a, b Member) int {
-	return cmp.Or(cmp.Compare(a.Up, b.Up), cmp.Compare(a.Turn, b.Turn), cmp.Compare(a.Condition, b.Condition),
+	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Refutations, b.Refutations), cmp.Compare(a.Condition, b.Condition),
 		cmp.Compare(a.Address, b.Address), cmp.Compare(a.Site, b.Site), cmp.Compare(a.Machine, b.Machine))
 }
 
 // What nodes tell each other. Any frame at all tells that its sender lives.
 type (
-	// Beat tells nothing else.
-	Beat struct {
+	// Heartbeat tells nothing else.
+	Heartbeat struct {
 		_ struct{} `cbor:",toarray"`
 		// Digest of all that the sender knows of members: who differs for long is told all.
 		Digest uint64
 	}
-	// News are words of members that the receiver may not have.
-	News struct {
+	// Update are words of members that the receiver may not have.
+	Update struct {
 		_       struct{} `cbor:",toarray"`
 		Members []Member
 	}
-	// Ask asks whether a node is heard.
-	Ask struct {
-		_  struct{} `cbor:",toarray"`
-		Of string
+	// LivenessQuery asks whether a node is heard.
+	LivenessQuery struct {
+		_    struct{} `cbor:",toarray"`
+		Name string
 	}
-	// Tell answers it.
-	Tell struct {
-		_     struct{} `cbor:",toarray"`
-		Of    string
-		Heard bool
+	// LivenessReply answers it.
+	LivenessReply struct {
+		_       struct{} `cbor:",toarray"`
+		Name    string
+		IsHeard bool
 	}
 )
 
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -11,24 +11,24 @@
 
 // Times and bounds. Silence is a few beats, so that one that is late or lost blames nobody; all others follow from it.
 const (
-	BeatEvery    = 250 * time.Millisecond
-	silentAfter  = time.Second            // four beats
-	askFor       = 500 * time.Millisecond // for the other watchers to answer
-	deadAfter    = 2 * time.Second        // for a suspected node to hear of it and refute it
-	cutAgain     = 2 * time.Second        // between two rounds of asking about a node that others hear
-	knockEvery   = time.Second            // between two tries to reach one that was given up, as after a cut
-	differsFor   = 2 * time.Second        // until one whose table differs is told all of it
-	tombstoneFor = 10 * time.Minute       // how long one that is gone is remembered
-	rings        = 5                      // so many watch a node, and it watches so many
-	askMost      = 3                      // others that are asked about one
-	membersMost  = 8192                   // of a table; more are not taken in, whatever a peer says
-	newsMost     = 512                    // members in one word: 60 kB
+	HeartbeatInterval = 250 * time.Millisecond
+	silentAfter       = time.Second            // four beats
+	askFor            = 500 * time.Millisecond // for the other watchers to answer
+	deadAfter         = 2 * time.Second        // for a suspected node to hear of it and refute it
+	cutAgain          = 2 * time.Second        // between two rounds of asking about a node that others hear
+	knockEvery        = time.Second            // between two tries to reach one that was given up, as after a cut
+	differsFor        = 2 * time.Second        // until one whose table differs is told all of it
+	tombstoneFor      = 10 * time.Minute       // how long one that is gone is remembered
+	rings             = 5                      // so many watch a node, and it watches so many
+	askMost           = 3                      // others that are asked about one
+	membersMost       = 8192                   // of a table; more are not taken in, whatever a peer says
+	newsMost          = 512                    // members in one word: 60 kB
 )
 
-// Out is something to send. It is sent to one that is connected, or for which a connection is wanted.
-type Out = struct {
-	To   string
-	What any
+// Outgoing is something to send. It is sent to one that is connected, or for which a connection is wanted.
+type Outgoing = struct {
+	To      string
+	Message any
 }
 
 // peer is what this node sees of another by itself.
@@ -79,8 +79,8 @@
 	return m, ok
 }
 
-// All are the members in the order of their names.
-func (t *Table) All() []Member {
+// Members are the members in the order of their names.
+func (t *Table) Members() []Member {
 	return slices.SortedFunc(maps.Values(t.members), func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 }
 
@@ -88,8 +88,8 @@
 
 func digest(m Member) uint64 {
 	b := append([]byte(m.Name), 0)
-	b = binary.LittleEndian.AppendUint64(b, uint64(m.Up))
-	b = binary.LittleEndian.AppendUint32(b, m.Turn)
+	b = binary.LittleEndian.AppendUint64(b, uint64(m.Incarnation))
+	b = binary.LittleEndian.AppendUint32(b, m.Refutations)
 	return crc64.Checksum(append(b, byte(m.Condition)), table64)
 }
 
@@ -103,19 +103,19 @@
 	}
 	t.sum += digest(m)
 	t.members[m.Name] = m
-	if !known || was.Condition != m.Condition || was.Up != m.Up {
+	if !known || was.Condition != m.Condition || was.Incarnation != m.Incarnation {
 		t.since[m.Name] = now
 	}
 	for i := range t.rings {
-		if m.Condition.Lives() {
+		if m.Condition.IsLive() {
 			t.rings[i].put(m.Name)
 		} else {
 			t.rings[i].take(m.Name)
 		}
 	}
-	if p := t.peers[m.Name]; p != nil && known && (was.Up != m.Up || was.Turn < m.Turn) {
+	if p := t.peers[m.Name]; p != nil && known && (was.Incarnation != m.Incarnation || was.Refutations < m.Refutations) {
 		t.sees(p, m.Name, refuted, now)
-		if was.Up != m.Up {
+		if was.Incarnation != m.Incarnation {
 			p.state, p.heard = hearing, now
 		}
 	}
@@ -127,8 +127,8 @@
 	p.connected, p.heard, p.whole, p.state = true, now, true, hearing
 }
 
-// Closed tells that no connection to or from a node is left.
-func (t *Table) Closed(name string) {
+// Disconnected tells that no connection to or from a node is left.
+func (t *Table) Disconnected(name string) {
 	if p := t.peers[name]; p != nil {
 		p.connected = false
 		clear(p.pending)
@@ -144,45 +144,45 @@
 	return p
 }
 
-// Heard tells that something came from a node.
-func (t *Table) Heard(now time.Duration, name string) {
+// HeardFrom tells that something came from a node.
+func (t *Table) HeardFrom(now time.Duration, name string) {
 	if p := t.peers[name]; p != nil {
 		p.heard = now
 		t.sees(p, name, heard, now)
 	}
 }
 
-// Hears tells whether this node hears another now.
-func (t *Table) Hears(now time.Duration, name string) bool {
+// CanHear tells whether this node hears another now.
+func (t *Table) CanHear(now time.Duration, name string) bool {
 	p := t.peers[name]
 	return p != nil && p.connected && now-p.heard < silentAfter
 }
 
-// Got takes in a word of another node and returns what is to be answered.
-func (t *Table) Got(now time.Duration, from string, what any) (out []Out) {
-	t.Heard(now, from)
+// HandleMessage takes in a word of another node and returns what is to be answered.
+func (t *Table) HandleMessage(now time.Duration, from string, what any) (out []Outgoing) {
+	t.HeardFrom(now, from)
 	p := t.at(from)
 	switch w := what.(type) {
-	case *Beat:
+	case *Heartbeat:
 		if p.digest = w.Digest; w.Digest == t.sum {
 			p.differs = 0
 		} else if p.differs == 0 {
 			p.differs = now
 		}
-	case *News:
-		t.Joined(now, from, w.Members)
-	case *Ask:
-		return []Out{{from, &Tell{Of: w.Of, Heard: t.Hears(now, w.Of)}}}
-	case *Tell:
-		if q := t.peers[w.Of]; q != nil && w.Heard {
-			t.sees(q, w.Of, vouched, now)
+	case *Update:
+		t.MergeMembers(now, from, w.Members)
+	case *LivenessQuery:
+		return []Outgoing{{from, &LivenessReply{Name: w.Name, IsHeard: t.CanHear(now, w.Name)}}}
+	case *LivenessReply:
+		if q := t.peers[w.Name]; q != nil && w.IsHeard {
+			t.sees(q, w.Name, vouched, now)
 		}
 	}
 	return nil
 }
 
-// Joined takes in words of members, from a peer or, with from "", from elsewhere.
-func (t *Table) Joined(now time.Duration, from string, members []Member) {
+// MergeMembers takes in words of members, from a peer or, with from "", from elsewhere.
+func (t *Table) MergeMembers(now time.Duration, from string, members []Member) {
 	for _, m := range members {
 		if m.Condition >= conditions || m.Name == "" {
 			continue
@@ -203,23 +203,23 @@
 // own takes in what others say of this node.
 func (t *Table) own(now time.Duration, m Member) {
 	switch {
-	case m.Up > t.self.Up:
-		t.later = max(t.later, m.Up)
-	case m.Up == t.self.Up && t.self.Condition != Left && Compare(m, t.self) > 0: // refute it
-		t.self.Turn = m.Turn + 1
+	case m.Incarnation > t.self.Incarnation:
+		t.later = max(t.later, m.Incarnation)
+	case m.Incarnation == t.self.Incarnation && t.self.Condition != Left && Compare(m, t.self) > 0: // refute it
+		t.self.Refutations = m.Refutations + 1
 		t.set(t.self, now)
 		t.spread(t.self.Name, "")
-	case m.Up < t.self.Up || Compare(m, t.self) < 0:
+	case m.Incarnation < t.self.Incarnation || Compare(m, t.self) < 0:
 		t.spread(t.self.Name, "") // who said so has an older word
 	}
 }
 
-// Replaced tells whether a later life of this node's own name was heard of.
-func (t *Table) Replaced() bool { return t.later > t.self.Up }
+// IsReplaced tells whether a later life of this node's own name was heard of.
+func (t *Table) IsReplaced() bool { return t.later > t.self.Incarnation }
 
-// Outlive begins a life behind all that were heard of, for a node that has only started: clocks are set back.
-func (t *Table) Outlive(now time.Duration) {
-	t.self.Up = t.later + 1
+// StartLaterIncarnation begins a life behind all that were heard of, for a node that has only started: clocks are set back.
+func (t *Table) StartLaterIncarnation(now time.Duration) {
+	t.self.Incarnation = t.later + 1
 	t.set(t.self, now)
 	t.spread(t.self.Name, "")
 }
@@ -241,7 +241,7 @@
 }
 
 // Tick moves on by time and returns what is to be sent.
-func (t *Table) Tick(now time.Duration) (out []Out) {
+func (t *Table) Tick(now time.Duration) (out []Outgoing) {
 	if now-t.ticked > silentAfter { // this process stood still: what it has not heard says nothing of the others
 		for _, p := range t.peers {
 			p.heard, p.since = now, now
@@ -267,7 +267,7 @@
 			m.Condition = Dead
 			t.set(m, now)
 			t.spread(name, "")
-		case !m.Condition.Lives() && now-t.since[name] > tombstoneFor && name != t.self.Name:
+		case !m.Condition.IsLive() && now-t.since[name] > tombstoneFor && name != t.self.Name:
 			t.sum -= digest(m)
 			delete(t.members, name)
 			delete(t.since, name)
@@ -278,8 +278,8 @@
 }
 
 // tell sends beats and news to all that are connected.
-func (t *Table) tell(now time.Duration, out []Out) []Out {
-	beat := now-t.beat >= BeatEvery
+func (t *Table) tell(now time.Duration, out []Outgoing) []Outgoing {
+	beat := now-t.beat >= HeartbeatInterval
 	if beat {
 		t.beat = now
 	}
@@ -300,18 +300,18 @@
 			names := slices.Sorted(maps.Keys(p.pending))
 			clear(p.pending)
 			for part := range slices.Chunk(names, newsMost) {
-				news := &News{}
+				news := &Update{}
 				for _, name := range part {
 					if m, ok := t.members[name]; ok {
 						news.Members = append(news.Members, m)
 					}
 				}
-				out = append(out, Out{other, news})
+				out = append(out, Outgoing{other, news})
 			}
 		} else if beat {
-			out = append(out, Out{other, &Beat{Digest: t.sum}})
+			out = append(out, Outgoing{other, &Heartbeat{Digest: t.sum}})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Out) int { return cmp.Compare(a.To, b.To) })
+	slices.SortStableFunc(out, func(a, b Outgoing) int { return cmp.Compare(a.To, b.To) })
 	return out
 }
--- a/internal/cluster/membership/table_test.go
+++ b/internal/cluster/membership/table_test.go
@@ -71,7 +71,7 @@
 
 // start has a node begin that knows of some others by their addresses.
 func (s *sim) start(name string, seeds ...string) {
-	n := &simNode{t: New(Member{Name: name, Up: int64(s.now), Address: name, Machine: name}), up: true, links: map[string]bool{}}
+	n := &simNode{t: New(Member{Name: name, Incarnation: int64(s.now), Address: name, Machine: name}), up: true, links: map[string]bool{}}
 	if s.nodes[name] == nil {
 		s.names = append(s.names, name)
 	}
@@ -88,7 +88,7 @@
 	}
 	s.send(name, n, n.t.Tick(s.now))
 	wanted := n.t.Watched()
-	if knock := n.t.Knock(s.now); knock != "" {
+	if knock := n.t.ReconnectCandidate(s.now); knock != "" {
 		wanted = append(wanted, knock)
 	}
 	if len(n.links) == 0 {
@@ -112,8 +112,8 @@
 		n.links[other], o.links[name] = true, true
 		n.t.Connected(s.now, other)
 		o.t.Connected(s.now, name)
-		n.t.Joined(s.now, other, []Member{o.t.Self()})
-		o.t.Joined(s.now, name, []Member{n.t.Self()})
+		n.t.MergeMembers(s.now, other, []Member{o.t.Self()})
+		o.t.MergeMembers(s.now, name, []Member{n.t.Self()})
 	})
 }
 
@@ -124,25 +124,25 @@
 	for other := range n.links {
 		if reset {
 			delete(s.nodes[other].links, name)
-			s.nodes[other].t.Closed(name)
+			s.nodes[other].t.Disconnected(name)
 		}
 	}
 }
 
-func (s *sim) send(name string, n *simNode, out []Out) {
+func (s *sim) send(name string, n *simNode, out []Outgoing) {
 	for _, o := range out {
 		if !n.links[o.To] {
-			if _, ask := o.What.(*Ask); ask { // a connection is made for it
+			if _, ask := o.Message.(*LivenessQuery); ask { // a connection is made for it
 				s.dial(name, n, o.To)
 				s.after(5*time.Millisecond, func() {
 					if n.links[o.To] {
-						s.send(name, n, []Out{o})
+						s.send(name, n, []Outgoing{o})
 					}
 				})
 			}
 			continue
 		}
-		text, err := cbor.Marshal(o.What)
+		text, err := cbor.Marshal(o.Message)
 		if err != nil {
 			panic(err)
 		}
@@ -152,7 +152,7 @@
 		}
 		s.after(time.Duration(1+s.chance.IntN(3))*time.Millisecond, func() {
 			if to := s.nodes[o.To]; to != nil && to.up && to.links[name] && s.nodes[name] == n {
-				s.send(o.To, to, to.t.Got(s.now, name, o.What))
+				s.send(o.To, to, to.t.HandleMessage(s.now, name, o.Message))
 			}
 		})
 	}
@@ -249,33 +249,33 @@
 // A life cannot go back, whatever order words come in; only the node itself refutes what is said of it.
 func TestLivesCannotGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := New(Member{Name: "a", Up: 1}), New(Member{Name: "b", Up: 1})
+		a, b := New(Member{Name: "a", Incarnation: 1}), New(Member{Name: "b", Incarnation: 1})
 		words := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Member {
-			return Member{Name: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name"), Up: int64(rapid.IntRange(1, 3).Draw(t, "up")),
-				Turn: uint32(rapid.IntRange(0, 2).Draw(t, "turn")), Condition: Condition(rapid.IntRange(0, 3).Draw(t, "condition"))}
+			return Member{Name: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name"), Incarnation: int64(rapid.IntRange(1, 3).Draw(t, "up")),
+				Refutations: uint32(rapid.IntRange(0, 2).Draw(t, "turn")), Condition: Condition(rapid.IntRange(0, 3).Draw(t, "condition"))}
 		}), 1, 12).Draw(t, "words")
 		for _, w := range words {
 			was, ok := a.Get(w.Name)
-			a.Joined(time.Second, "", []Member{w})
+			a.MergeMembers(time.Second, "", []Member{w})
 			if is, _ := a.Get(w.Name); ok && Compare(is, was) < 0 {
 				t.Fatalf("%+v went back to %+v", was, is)
 			}
 		}
 		for _, i := range rapid.Permutation(words).Draw(t, "order") {
-			b.Joined(time.Second, "", []Member{i})
+			b.MergeMembers(time.Second, "", []Member{i})
 		}
 		for _, name := range []string{"x", "y"} {
 			if x, y := a.members[name], b.members[name]; Compare(x, y) != 0 {
 				t.Fatalf("%+v or %+v, by the order", x, y)
 			}
 		}
-		self := New(Member{Name: "x", Up: 2})
-		self.Joined(time.Second, "", words)
+		self := New(Member{Name: "x", Incarnation: 2})
+		self.MergeMembers(time.Second, "", words)
 		for _, w := range words {
-			if w.Name == "x" && w.Up == 2 && Compare(w, self.Self()) > 0 {
+			if w.Name == "x" && w.Incarnation == 2 && Compare(w, self.Self()) > 0 {
 				t.Fatalf("%+v is not refuted by %+v", w, self.Self())
 			}
-			if w.Name == "x" && w.Up > 2 && !self.Replaced() {
+			if w.Name == "x" && w.Incarnation > 2 && !self.IsReplaced() {
 				t.Fatal("a later life was not noticed")
 			}
 		}
@@ -334,7 +334,7 @@
 			t.Errorf("%d nodes: a death takes %v, calm %.0f bytes a second", n, dead, calm)
 		}
 		for name, x := range s.nodes {
-			for _, m := range x.t.All() {
+			for _, m := range x.t.Members() {
 				if m.Name != "n5" && m.Condition != Alive {
 					t.Fatalf("%s holds %s for %v, and it lives", name, m.Name, m.Condition)
 				}
--- a/internal/cluster/membership/watch.go
+++ b/internal/cluster/membership/watch.go
@@ -29,8 +29,8 @@
 	return names
 }
 
-// Knock is a node that was given up and is tried once more, "" for none: after a cut nobody else would find back.
-func (t *Table) Knock(now time.Duration) string {
+// ReconnectCandidate is a node that was given up and is tried once more, "" for none: after a cut nobody else would find back.
+func (t *Table) ReconnectCandidate(now time.Duration) string {
 	if now-t.knocked < knockEvery {
 		return ""
 	}
@@ -50,7 +50,7 @@
 }
 
 // watch looks at one that this node watches.
-func (t *Table) watch(now time.Duration, name string, out []Out) []Out {
+func (t *Table) watch(now time.Duration, name string, out []Outgoing) []Outgoing {
 	p := t.at(name)
 	if p.since == 0 && p.heard == 0 { // newly watched: it has the time of a silence to be connected
 		p.heard, p.since = now, now
@@ -76,7 +76,7 @@
 		asked := 0
 		for _, other := range t.Watchers(name) {
 			if m := t.members[other]; other != t.self.Name && m.Condition == Alive && asked < askMost {
-				out = append(out, Out{other, &Ask{Of: name}})
+				out = append(out, Outgoing{other, &LivenessQuery{Name: name}})
 				asked++
 			}
 		}
--- a/internal/cluster/mtls/config.go
+++ b/internal/cluster/mtls/config.go
@@ -6,12 +6,12 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// Configured loads the keys that an operator's file names under cert, key and ca, or none where it says plaintext: then all
+// KeysFromConfig loads the keys that an operator's file names under cert, key and ca, or none where it says plaintext: then all
 // addresses must stay on this machine. What is wrong is noted by its line.
-func Configured(f *tomlfile.File, files Files, plaintext bool, addresses []netip.AddrPort) *Keys {
+func KeysFromConfig(f *tomlfile.File, files Files, plaintext bool, addresses []netip.AddrPort) *Keys {
 	if plaintext {
 		for _, at := range addresses {
-			if err := Plain(at); at.IsValid() && err != nil {
+			if err := CheckLoopback(at); at.IsValid() && err != nil {
 				f.Wrong("plaintext", "%s: %v", at, err)
 			}
 		}
@@ -26,7 +26,7 @@
 			return nil
 		}
 	}
-	keys, err := Load(files)
+	keys, err := LoadKeys(files)
 	if err != nil {
 		f.Wrong("cert", "%v", err)
 		return nil
--- a/internal/cluster/mtls/mtls.go
+++ b/internal/cluster/mtls/mtls.go
@@ -34,8 +34,8 @@
 	fault  error // of the last try to read them again
 }
 
-// Load reads the files.
-func Load(f Files) (*Keys, error) {
+// LoadKeys reads the files.
+func LoadKeys(f Files) (*Keys, error) {
 	k := &Keys{files: f}
 	return k, k.read()
 }
@@ -87,15 +87,15 @@
 	return k.cert, k.pool
 }
 
-// Fault is what was wrong with the files when they had changed; nil if nothing was.
-func (k *Keys) Fault() error {
+// ReloadError is what was wrong with the files when they had changed; nil if nothing was.
+func (k *Keys) ReloadError() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.fault
 }
 
-// Server is the end that listens.
-func (k *Keys) Server(nc net.Conn) *tls.Conn {
+// ServerConn is the end that listens.
+func (k *Keys) ServerConn(nc net.Conn) *tls.Conn {
 	return tls.Server(nc, &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		cert, pool := k.now()
 		return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, ClientCAs: pool,
@@ -103,19 +103,19 @@
 	}})
 }
 
-// Client is the end that dials; name is what the other's certificate must be for.
-func (k *Keys) Client(nc net.Conn, name string) *tls.Conn {
+// ClientConn is the end that dials; name is what the other's certificate must be for.
+func (k *Keys) ClientConn(nc net.Conn, name string) *tls.Conn {
 	cert, pool := k.now()
 	return tls.Client(nc, &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, RootCAs: pool, ServerName: name})
 }
 
-// ErrPlain says that a connection without TLS may only stay on this machine.
-var ErrPlain = errors.New("plaintext is for loopback addresses only: name cert, key and ca")
+// ErrPlaintextNotLoopback says that a connection without TLS may only stay on this machine.
+var ErrPlaintextNotLoopback = errors.New("plaintext is for loopback addresses only: name cert, key and ca")
 
-// Plain checks that an address may be used without TLS.
-func Plain(at netip.AddrPort) error {
+// CheckLoopback checks that an address may be used without TLS.
+func CheckLoopback(at netip.AddrPort) error {
 	if !at.Addr().IsLoopback() {
-		return ErrPlain
+		return ErrPlaintextNotLoopback
 	}
 	return nil
 }
--- a/internal/cluster/mtls/mtls_test.go
+++ b/internal/cluster/mtls/mtls_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := Load(Files{cert, key, ca})
+	k, err := LoadKeys(Files{cert, key, ca})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 	defer a.Close()
 	done := make(chan error, 1)
 	go func() {
-		s := server.Server(a)
+		s := server.ServerConn(a)
 		s.SetDeadline(time.Now().Add(5 * time.Second))
 		err := s.Handshake()
 		if err == nil {
@@ -62,7 +62,7 @@
 		a.Close()
 		done <- err
 	}()
-	c := client.Client(b, name)
+	c := client.ClientConn(b, name)
 	c.SetDeadline(time.Now().Add(5 * time.Second))
 	if here = c.Handshake(); here == nil {
 		_, here = io.ReadFull(c, make([]byte, 1))
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server, err := Load(Files{cert, key, ca})
+	server, err := LoadKeys(Files{cert, key, ca})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,8 +118,8 @@
 		t.Fatal(err)
 	}
 	touch()
-	if there, here := meet(server, node, "planner"); there != nil || here != nil || server.Fault() == nil {
-		t.Errorf("%v, %v, fault %v", there, here, server.Fault())
+	if there, here := meet(server, node, "planner"); there != nil || here != nil || server.ReloadError() == nil {
+		t.Errorf("%v, %v, fault %v", there, here, server.ReloadError())
 	}
 	if _, _, _, err := next.Write(dir, "planner", time.Now().Add(time.Hour)); err != nil {
 		t.Fatal(err)
@@ -127,8 +127,8 @@
 	later := time.Now().Add(2 * time.Minute)
 	os.Chtimes(cert, later, later)
 	server.looked = time.Time{}
-	if there, here := meet(server, nodeNext, "planner"); there != nil || here != nil || server.Fault() != nil {
-		t.Errorf("with new keys: %v, %v, fault %v", there, here, server.Fault())
+	if there, here := meet(server, nodeNext, "planner"); there != nil || here != nil || server.ReloadError() != nil {
+		t.Errorf("with new keys: %v, %v, fault %v", there, here, server.ReloadError())
 	}
 	if there, here := meet(server, node, "planner"); there == nil && here == nil {
 		t.Error("the old authority is still taken")
@@ -143,12 +143,12 @@
 	empty := filepath.Join(t.TempDir(), "empty")
 	os.WriteFile(empty, nil, 0o600)
 	for _, f := range []Files{{}, {cert, key, "/nowhere"}, {key, cert, ca}, {cert, key, empty}} {
-		if _, err := Load(f); err == nil {
+		if _, err := LoadKeys(f); err == nil {
 			t.Errorf("%+v is taken", f)
 		}
 	}
 	for at, well := range map[string]bool{"127.0.0.1:1": true, "[::1]:1": true, "10.0.0.1:1": false, "0.0.0.0:1": false} {
-		if err := Plain(netip.MustParseAddrPort(at)); (err == nil) != well {
+		if err := CheckLoopback(netip.MustParseAddrPort(at)); (err == nil) != well {
 			t.Errorf("%s: %v", at, err)
 		}
 	}
--- a/internal/cluster/peer/command.go
+++ b/internal/cluster/peer/command.go
@@ -24,7 +24,7 @@
 )
 
 // command answers a caller that is no node.
-func (p *Peers) command(ctx context.Context, c *framing.Conn) error {
+func (p *Node) command(ctx context.Context, c *framing.Conn) error {
 	for {
 		k, body, err := c.Receive(time.Now().Add(askMost))
 		if err != nil {
@@ -34,44 +34,44 @@
 		case queryKind:
 			var q query
 			if err := framing.Decode(body, &q); err != nil {
-				return c.Refuse(err)
+				return c.Reject(err)
 			}
 			var faults []string
 			if q.Verify {
 				faults = p.verify(ctx)
 			}
 			s := p.Status()
-			s.Faults = faults
+			s.Damage = faults
 			if err := c.Send(statusKind, s); err != nil {
 				return err
 			}
 		case pullKind:
 			var q pull
 			if err := framing.Decode(body, &q); err != nil {
-				return c.Refuse(err)
+				return c.Reject(err)
 			}
 			if err := p.pulled(ctx, c, &q); err != nil {
 				return err
 			}
 		default:
-			return c.Refuse(fmt.Errorf("a frame of kind %d from a command", k))
+			return c.Reject(fmt.Errorf("a frame of kind %d from a command", k))
 		}
 	}
 }
 
 // Status is how the node stands.
-func (p *Peers) Status() *Status {
+func (p *Node) Status() *Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := &Status{Self: p.table.Self(), Members: p.table.All(), Ready: p.ready, Replicas: p.cfg.Replicas, Holdings: p.keeper.Holdings(), Bytes: p.keeper.Bytes(), Most: p.cfg.HeldBytes}
+	s := &Status{Self: p.table.Self(), Members: p.table.Members(), IsReady: p.ready, Replicas: p.cfg.Replicas, StoredReplicas: p.keeper.StoredReplicas(), StoredBytes: p.keeper.StoredBytes(), MaxBytes: p.cfg.MaxReplicaBytes}
 	if p.origin != nil {
-		s.Stream, s.Next, s.Kept, s.Waits, s.Holders = p.origin.Stream(), p.origin.Next(), p.origin.Kept(), p.origin.Waits(), p.origin.Holders()
+		s.Stream, s.Next, s.Committed, s.Uncommitted, s.Holders = p.origin.Stream(), p.origin.NextNumber(), p.origin.Committed(), p.origin.UncommittedCount(), p.origin.Holders()
 	}
 	return s
 }
 
 // pulled sends all records that stand here.
-func (p *Peers) pulled(ctx context.Context, c *framing.Conn, q *pull) error {
+func (p *Node) pulled(ctx context.Context, c *framing.Conn, q *pull) error {
 	p.mu.Lock()
 	journal := p.journal
 	p.mu.Unlock()
@@ -81,7 +81,7 @@
 		dirs = append(dirs, journal)
 	}
 	for _, s := range streams {
-		dirs = append(dirs, p.store.Dir(s))
+		dirs = append(dirs, p.store.StreamDir(s))
 	}
 	out := pulled{}
 	send := func() error {
@@ -93,14 +93,14 @@
 	for _, dir := range dirs {
 		report, scanned := wal.Scan(p.files, dir, time.Unix(0, q.Since), func(r *intent.Record) error {
 			if q.ID != "" && r.Kind != intent.Gap {
-				op := [2]uint64{r.Run, r.Op}
-				if r.ID == q.ID || r.Repeats == q.ID {
+				op := [2]uint64{r.Incarnation, r.RequestNumber}
+				if r.RequestID == q.ID || r.RepeatOf == q.ID {
 					mine[op] = true
 				} else if !mine[op] {
 					return nil
 				}
 			}
-			if r.Kind == intent.Numbered {
+			if r.Kind == intent.ChunkHeader {
 				return nil
 			}
 			var err error
@@ -115,7 +115,7 @@
 		if scanned != nil {
 			err = errors.Join(err, scanned)
 		}
-		out.Corrupt += report.Corrupt()
+		out.Corrupt += report.CorruptCount()
 	}
 	if out.Last = true; err != nil {
 		out.Fault = err.Error()
@@ -127,14 +127,14 @@
 type Client struct {
 	cfg *Config
 	// Members are those that were found; Asked those that answered, by name, and Missed why the others did not.
-	Members map[string]membership.Member
-	Asked   map[string]*Status
-	Missed  map[string]error
+	Members    map[string]membership.Member
+	Answered   map[string]*Status
+	Unanswered map[string]error
 }
 
-// Ask finds the nodes of a tier, by the addresses of a file and by what those tell, and asks each how it stands.
-func Ask(ctx context.Context, cfg *Config, verify bool) *Client {
-	t := &Client{cfg: cfg, Members: map[string]membership.Member{}, Asked: map[string]*Status{}, Missed: map[string]error{}}
+// Query finds the nodes of a tier, by the addresses of a file and by what those tell, and asks each how it stands.
+func Query(ctx context.Context, cfg *Config, verify bool) *Client {
+	t := &Client{cfg: cfg, Members: map[string]membership.Member{}, Answered: map[string]*Status{}, Unanswered: map[string]error{}}
 	var mu sync.Mutex
 	tried := map[string]bool{}
 	next := append(slices.Clone(cfg.Peers), cfg.Advertise)
@@ -153,10 +153,10 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
-					t.Missed[at] = err
+					t.Unanswered[at] = err
 					return
 				}
-				t.Asked[s.Self.Name] = s
+				t.Answered[s.Self.Name] = s
 				for _, m := range append(s.Members, s.Self) {
 					if was, ok := t.Members[m.Name]; !ok || membership.Compare(was, m) < 0 {
 						t.Members[m.Name] = m
@@ -181,30 +181,30 @@
 func (t *Client) name() {
 	missed := map[string]error{}
 	for _, m := range t.Members {
-		if err := t.Missed[m.Address]; err != nil && t.Asked[m.Name] == nil && m.Condition != membership.Left {
+		if err := t.Unanswered[m.Address]; err != nil && t.Answered[m.Name] == nil && m.Condition != membership.Left {
 			missed[m.Name] = err
-			delete(t.Missed, m.Address)
+			delete(t.Unanswered, m.Address)
 		}
 	}
-	for at, err := range t.Missed {
+	for at, err := range t.Unanswered {
 		missed[at] = err
 	}
-	t.Missed = missed
+	t.Unanswered = missed
 }
 
-// Enough tells whether those that answered hold all that was ever kept: no more are missing than may be lost.
-func (t *Client) Enough() bool {
-	if len(t.Asked) == 0 {
+// HasEnoughAnswers tells whether those that answered hold all that was ever kept: no more are missing than may be lost.
+func (t *Client) HasEnoughAnswers() bool {
+	if len(t.Answered) == 0 {
 		return false
 	}
 	machines, most := map[string]bool{}, 0
-	for _, s := range t.Asked {
+	for _, s := range t.Answered {
 		most = max(most, s.Replicas)
-		if !s.Ready {
+		if !s.IsReady {
 			return false
 		}
 	}
-	for name := range t.Missed {
+	for name := range t.Unanswered {
 		machine := name
 		if m, ok := t.Members[name]; ok {
 			machine = m.Machine
@@ -231,8 +231,8 @@
 	switch {
 	case err != nil:
 		return nil, err
-	case k == framing.Refusals:
-		return nil, framing.Refused(body)
+	case k == framing.RejectionKind:
+		return nil, framing.RejectionError(body)
 	case k != statusKind:
 		return nil, fmt.Errorf("a frame of kind %d in place of an answer", k)
 	}
@@ -243,7 +243,7 @@
 // Records has each node that answers tell all its records, or those of one operation; one is called for each, by one node
 // at a time. What stands at several nodes comes several times. Who does not answer to its end counts as missed.
 func (t *Client) Records(ctx context.Context, since time.Time, id string, each func(*intent.Record) error) (corrupt int, err error) {
-	for name := range t.Asked {
+	for name := range t.Answered {
 		n, err := t.records(ctx, t.Members[name].Address, pull{Since: since.UnixNano(), ID: id}, each)
 		corrupt += n
 		var mine ownError
@@ -251,11 +251,11 @@
 			return corrupt, mine.error
 		}
 		if err != nil {
-			t.Missed[name] = err
+			t.Unanswered[name] = err
 		}
 	}
-	for name := range t.Missed {
-		delete(t.Asked, name)
+	for name := range t.Unanswered {
+		delete(t.Answered, name)
 	}
 	return corrupt, nil
 }
@@ -284,7 +284,7 @@
 		if err := framing.Decode(body, &part); err != nil {
 			return corrupt, err
 		}
-		if err := wal.ReadFrames(part.Body, func(r *intent.Record) error {
+		if err := wal.DecodeFrames(part.Body, func(r *intent.Record) error {
 			if err := each(r); err != nil {
 				return ownError{err}
 			}
@@ -304,8 +304,8 @@
 // whole finds which nodes have each stream whole, as far as any node has it. The origin's own disk counts where it answers.
 func (t *Client) whole() map[replication.Stream][]string {
 	all := map[replication.Stream]replication.Ranges{}
-	for _, s := range t.Asked {
-		for _, h := range s.Holdings {
+	for _, s := range t.Answered {
+		for _, h := range s.StoredReplicas {
 			for _, x := range h.Ranges {
 				all[h.Stream] = all[h.Stream].With(x.From, x.To)
 			}
@@ -313,8 +313,8 @@
 	}
 	at := map[replication.Stream][]string{}
 	for stream, whole := range all {
-		for name, s := range t.Asked {
-			if s.Stream == stream || slices.ContainsFunc(s.Holdings, func(h replication.Holding) bool {
+		for name, s := range t.Answered {
+			if s.Stream == stream || slices.ContainsFunc(s.StoredReplicas, func(h replication.StoredReplica) bool {
 				return h.Stream == stream && len(whole.Without(h.Ranges)) == 0
 			}) {
 				at[stream] = append(at[stream], name)
@@ -324,30 +324,30 @@
 	return at
 }
 
-// Copies counts on how many machines each stream stands whole.
-func (t *Client) Copies() map[replication.Stream]int {
+// CopyCounts counts on how many machines each stream stands whole.
+func (t *Client) CopyCounts() map[replication.Stream]int {
 	counts := map[replication.Stream]int{}
 	for stream, names := range t.whole() {
 		machines := map[string]bool{}
 		for _, name := range names {
-			machines[t.Asked[name].Self.Machine] = true
+			machines[t.Answered[name].Self.Machine] = true
 		}
 		counts[stream] = len(machines)
 	}
 	return counts
 }
 
-// Survives tells whether a node's journal, its running life's and earlier ones', stands whole past the loss of some nodes
+// SurvivesLoss tells whether a node's journal, its running life's and earlier ones', stands whole past the loss of some nodes
 // with their disks. Who has only a part of it, from a time when others did not answer, does not count. It is false where
 // the node does not say who holds it.
-func (t *Client) Survives(name string, lost []string) bool {
+func (t *Client) SurvivesLoss(name string, lost []string) bool {
 	gone := func(n string) bool { return slices.Contains(lost, n) }
-	own := t.Asked[name]
+	own := t.Answered[name]
 	if own == nil {
 		return false
 	}
-	if gone(name) && own.Stream.Up != 0 && !slices.ContainsFunc(own.Holders, func(h replication.Holder) bool {
-		return h.Stand == "level" && h.Lacks == 0 && !gone(h.Name)
+	if gone(name) && own.Stream.Incarnation != 0 && !slices.ContainsFunc(own.Holders, func(h replication.Holder) bool {
+		return h.State == "level" && h.MissingRecords == 0 && !gone(h.Name)
 	}) {
 		return false
 	}
@@ -359,25 +359,25 @@
 	return true
 }
 
-// Lacking is what of the tier does not stand as often as it should, "" where all does: each stream without a life on as
+// Shortfall is what of the tier does not stand as often as it should, "" where all does: each stream without a life on as
 // many machines as replicas and one, each living one at its holders up to what is on its way.
-func (t *Client) Lacking() string {
-	copies := t.Copies()
-	for name, s := range t.Asked {
-		if !s.Ready {
+func (t *Client) Shortfall() string {
+	copies := t.CopyCounts()
+	for name, s := range t.Answered {
+		if !s.IsReady {
 			return name + " is still reading what it holds"
 		}
 		level := 0
 		for _, h := range s.Holders {
-			if h.Stand == "level" && h.Lacks == 0 {
+			if h.State == "level" && h.MissingRecords == 0 {
 				level++
 			}
 		}
-		if s.Stream.Up != 0 && level < s.Replicas {
+		if s.Stream.Incarnation != 0 && level < s.Replicas {
 			return fmt.Sprintf("%s is held by %d of %d others: %+v", name, level, s.Replicas, s.Holders)
 		}
-		for _, h := range s.Holdings {
-			if h.Orphan && copies[h.Stream] < s.Replicas+1 {
+		for _, h := range s.StoredReplicas {
+			if h.IsOrphan && copies[h.Stream] < s.Replicas+1 {
 				return fmt.Sprintf("%s stands on %d of %d machines", h.Stream, copies[h.Stream], s.Replicas+1)
 			}
 		}
@@ -385,11 +385,11 @@
 	return ""
 }
 
-// HeldBy are the nodes that have some of a node's journal, its running life's or an earlier one's, itself first.
-func (t *Client) HeldBy(name string) []string {
+// HoldersOf are the nodes that have some of a node's journal, its running life's or an earlier one's, itself first.
+func (t *Client) HoldersOf(name string) []string {
 	all := []string{name}
-	for other, s := range t.Asked {
-		if slices.ContainsFunc(s.Holdings, func(h replication.Holding) bool { return h.Name == name }) && other != name {
+	for other, s := range t.Answered {
+		if slices.ContainsFunc(s.StoredReplicas, func(h replication.StoredReplica) bool { return h.Name == name }) && other != name {
 			all = append(all, other)
 		}
 	}
--- a/internal/cluster/peer/format_test.go
+++ b/internal/cluster/peer/format_test.go
@@ -23,42 +23,42 @@
 }
 
 func sampleMember(name string) membership.Member {
-	return membership.Member{Name: name, Up: 1_800_000_000_000_000_001, Turn: 7, Condition: membership.Suspected, Address: "127.0.0.1:81", Site: "east", Machine: "m-4"}
+	return membership.Member{Name: name, Incarnation: 1_800_000_000_000_000_001, Refutations: 7, Condition: membership.Suspected, Address: "127.0.0.1:81", Site: "east", Machine: "m-4"}
 }
 
 func sampleStatus() *Status {
-	s := replication.Stream{Name: "n1", Up: 1_800_000_000_000_000_002}
+	s := replication.Stream{Name: "n1", Incarnation: 1_800_000_000_000_000_002}
 	return &Status{
-		Self:     sampleMember("n1"),
-		Members:  []membership.Member{sampleMember("n1"), sampleMember("n2")},
-		Ready:    true,
-		Replicas: 2,
-		Stream:   s,
-		Next:     31,
-		Kept:     29,
-		Waits:    3,
-		Holders:  []replication.Holder{{Name: "n2", Stand: "late", Refusal: "no room is left", Acked: 28, Lacks: 4}},
-		Holdings: []replication.Holding{{Stream: replication.Stream{Name: "n3~n2", Up: 5}, Ranges: replication.Ranges{{From: 1, To: 6}, {From: 8, To: 9}},
-			Bytes: 640, Last: 1_800_000_000_000_000_003, Orphan: true, Lacks: map[string]uint64{"n4": 11}}},
-		Bytes:  641,
-		Most:   4 << 30,
-		Faults: []string{"a file"},
+		Self:        sampleMember("n1"),
+		Members:     []membership.Member{sampleMember("n1"), sampleMember("n2")},
+		IsReady:     true,
+		Replicas:    2,
+		Stream:      s,
+		Next:        31,
+		Committed:   29,
+		Uncommitted: 3,
+		Holders:     []replication.Holder{{Name: "n2", State: "late", RejectReason: "no room is left", Acked: 28, MissingRecords: 4}},
+		StoredReplicas: []replication.StoredReplica{{Stream: replication.Stream{Name: "n3~n2", Incarnation: 5}, Ranges: replication.Ranges{{From: 1, To: 6}, {From: 8, To: 9}},
+			Bytes: 640, LastRecordUnixNano: 1_800_000_000_000_000_003, IsOrphan: true, MissingRecords: map[string]uint64{"n4": 11}}},
+		StoredBytes: 641,
+		MaxBytes:    4 << 30,
+		Damage:      []string{"a file"},
 	}
 }
 
 func frameSamples() []frameSample {
-	s := replication.Stream{Name: "n1", Up: 1_800_000_000_000_000_002}
+	s := replication.Stream{Name: "n1", Incarnation: 1_800_000_000_000_000_002}
 	ranges := replication.Ranges{{From: 1, To: 6}, {From: 8, To: 9}}
 	return []frameSample{
 		{"intro", introKind, &intro{Deployment: "d", Member: sampleMember("n1")}},
-		{"beat", beatKind, &membership.Beat{Digest: 1<<63 + 5}},
-		{"news", newsKind, &membership.News{Members: []membership.Member{sampleMember("n1"), {Name: "n9"}}}},
-		{"ask", askKind, &membership.Ask{Of: "n4"}},
-		{"tell", tellKind, &membership.Tell{Of: "n4", Heard: true}},
-		{"offer", offerKind, &replication.Offer{Stream: s, Origin: true, Ranges: ranges}},
-		{"have", haveKind, &replication.Have{Stream: s, Ranges: ranges, Refused: replication.LaterLife}},
-		{"batch", batchKind, &replication.Batch{Stream: s, First: 41, N: 3, Origin: true, Body: []byte{1, 2, 3}}},
-		{"ack", ackKind, &replication.Ack{Stream: s, First: 41, N: 3, Refused: "older than what is kept"}},
+		{"beat", beatKind, &membership.Heartbeat{Digest: 1<<63 + 5}},
+		{"news", newsKind, &membership.Update{Members: []membership.Member{sampleMember("n1"), {Name: "n9"}}}},
+		{"ask", askKind, &membership.LivenessQuery{Name: "n4"}},
+		{"tell", tellKind, &membership.LivenessReply{Name: "n4", IsHeard: true}},
+		{"offer", offerKind, &replication.Offer{Stream: s, FromOrigin: true, Ranges: ranges}},
+		{"have", haveKind, &replication.Inventory{Stream: s, Ranges: ranges, RejectReason: replication.ReasonLaterIncarnation}},
+		{"batch", batchKind, &replication.Batch{Stream: s, First: 41, Count: 3, FromOrigin: true, Frames: []byte{1, 2, 3}}},
+		{"ack", ackKind, &replication.Ack{Stream: s, First: 41, Count: 3, RejectReason: "older than what is kept"}},
 		{"query", queryKind, &query{Verify: true}},
 		{"status", statusKind, sampleStatus()},
 		{"pull", pullKind, &pull{Since: 1_800_000_000_000_000_004, ID: "id-7"}},
@@ -91,8 +91,8 @@
 func TestFrameBytes(t *testing.T) {
 	want := storedFrames(t)
 	samples := frameSamples()
-	if len(want) != len(samples) || int(kinds) != int(framing.First)+len(samples) {
-		t.Fatalf("%d frames are stored, %d messages sampled, of %d kinds", len(want), len(samples), kinds-framing.First)
+	if len(want) != len(samples) || int(kinds) != int(framing.FirstProtocolKind)+len(samples) {
+		t.Fatalf("%d frames are stored, %d messages sampled, of %d kinds", len(want), len(samples), kinds-framing.FirstProtocolKind)
 	}
 	for _, s := range samples {
 		t.Run(s.name, func(t *testing.T) {
@@ -116,8 +116,8 @@
 func TestFrameKinds(t *testing.T) {
 	named := map[string]byte{"beat": 4, "news": 5, "ask": 6, "tell": 7, "offer": 8, "have": 9, "batch": 10, "ack": 11}
 	for _, s := range frameSamples() {
-		if Step(s.name) != named[s.name] {
-			t.Errorf("%s is kind %d for scenarios", s.name, Step(s.name))
+		if FrameKindByName(s.name) != named[s.name] {
+			t.Errorf("%s is kind %d for scenarios", s.name, FrameKindByName(s.name))
 		}
 		if named[s.name] == 0 && s.name != "list" && s.name != "listAsk" {
 			continue // a command's, or the introduction
--- a/internal/cluster/peer/frames.go
+++ b/internal/cluster/peer/frames.go
@@ -14,7 +14,7 @@
 const frameMost = 1 << 20 // bytes: a part of 1,024 records of 250 bytes, and slack
 
 const (
-	introKind = framing.First + iota
+	introKind = framing.FirstProtocolKind + iota
 	beatKind
 	newsKind
 	askKind
@@ -32,7 +32,7 @@
 	kinds
 )
 
-var protocol = framing.Protocol{Version: version, Kinds: kinds, Most: frameMost, Sums: true}
+var protocol = framing.Protocol{Version: version, KindLimit: kinds, MaxBodyBytes: frameMost, HasChecksums: true}
 
 // intro is who a caller is, behind the greeting. One without a life is a command, not a node.
 type intro struct {
@@ -53,19 +53,19 @@
 type Status struct {
 	_ struct{} `cbor:",toarray"`
 
-	Self     membership.Member
-	Members  []membership.Member
-	Ready    bool // it has read what it holds
-	Replicas int
-	Stream   replication.Stream // its running life's own; none where it keeps no journal
-	Next     uint64
-	Kept     uint64
-	Waits    int
-	Holders  []replication.Holder
-	Holdings []replication.Holding
-	Bytes    int64
-	Most     int64
-	Faults   []string // of what was read
+	Self           membership.Member
+	Members        []membership.Member
+	IsReady        bool `json:"Ready"` // it has read what it holds
+	Replicas       int
+	Stream         replication.Stream // its running life's own; none where it keeps no journal
+	Next           uint64
+	Committed      uint64 `json:"Kept"`
+	Uncommitted    int    `json:"Waits"`
+	Holders        []replication.Holder
+	StoredReplicas []replication.StoredReplica `json:"Holdings"`
+	StoredBytes    int64                       `json:"Bytes"`
+	MaxBytes       int64                       `json:"Most"`
+	Damage         []string                    `json:"Faults"` // of what was read
 }
 
 // pull asks for all records that a node has, of its own and of others.
@@ -101,17 +101,17 @@
 // kindOf is the frame that carries something.
 func kindOf(what any) framing.Kind {
 	switch what.(type) {
-	case *membership.Beat:
+	case *membership.Heartbeat:
 		return beatKind
-	case *membership.News:
+	case *membership.Update:
 		return newsKind
-	case *membership.Ask:
+	case *membership.LivenessQuery:
 		return askKind
-	case *membership.Tell:
+	case *membership.LivenessReply:
 		return tellKind
 	case *replication.Offer:
 		return offerKind
-	case *replication.Have:
+	case *replication.Inventory:
 		return haveKind
 	case *replication.Batch:
 		return batchKind
@@ -129,17 +129,17 @@
 func read(k framing.Kind, body []byte) (what any, err error) {
 	switch k {
 	case beatKind:
-		what = &membership.Beat{}
+		what = &membership.Heartbeat{}
 	case newsKind:
-		what = &membership.News{}
+		what = &membership.Update{}
 	case askKind:
-		what = &membership.Ask{}
+		what = &membership.LivenessQuery{}
 	case tellKind:
-		what = &membership.Tell{}
+		what = &membership.LivenessReply{}
 	case offerKind:
 		what = &replication.Offer{}
 	case haveKind:
-		what = &replication.Have{}
+		what = &replication.Inventory{}
 	case batchKind:
 		what = &replication.Batch{}
 	case ackKind:
@@ -148,8 +148,8 @@
 		what = &listAsk{}
 	case listKind:
 		what = &list{}
-	case framing.Refusals:
-		return nil, framing.Refused(body)
+	case framing.RejectionKind:
+		return nil, framing.RejectionError(body)
 	default:
 		return nil, fmt.Errorf("a frame of kind %d from a node", k)
 	}
@@ -160,8 +160,8 @@
 func size(what any) int {
 	switch w := what.(type) {
 	case *replication.Batch:
-		return len(w.Body) + 64
-	case *membership.News:
+		return len(w.Frames) + 64
+	case *membership.Update:
 		return 128 * len(w.Members)
 	case *list:
 		return len(w.Text) + 64
@@ -169,8 +169,8 @@
 	return 64
 }
 
-// Step is the kind of a frame by the name that scenarios of the lab use; 0 for none.
-func Step(name string) byte {
+// FrameKindByName is the kind of a frame by the name that scenarios of the lab use; 0 for none.
+func FrameKindByName(name string) byte {
 	return byte(map[string]framing.Kind{"beat": beatKind, "news": newsKind, "ask": askKind, "tell": tellKind, "offer": offerKind, "have": haveKind,
 		"batch": batchKind, "ack": ackKind}[name])
 }
--- a/internal/cluster/peer/held.go
+++ b/internal/cluster/peer/held.go
@@ -25,27 +25,27 @@
 var errLost = errors.New("the node is gone, or has all")
 
 // read reads the parts of a stream that stand here: those held, and for an earlier life of this node its own journal.
-func (p *Peers) read(s replication.Stream, each func(wal.Part) error) (report wal.Report, err error) {
+func (p *Node) read(s replication.Stream, each func(wal.Chunk) error) (report wal.ScanReport, err error) {
 	p.mu.Lock()
 	journal := p.journal
 	p.mu.Unlock()
 	if s.Name == p.name && journal != "" {
-		report, err = replicastore.ReadDir(p.files, journal, uint64(s.Up), each)
+		report, err = replicastore.ReadDir(p.files, journal, uint64(s.Incarnation), each)
 		if err != nil {
 			return report, err
 		}
 	}
-	held, err := p.store.Read(s, each)
+	held, err := p.store.ReadStream(s, each)
 	if errors.Is(err, os.ErrNotExist) {
 		err = nil
 	}
-	report.Faults = append(report.Faults, held.Faults...)
+	report.Unreadable = append(report.Unreadable, held.Unreadable...)
 	report.Segments, report.Records, report.Bytes = report.Segments+held.Segments, report.Records+held.Records, report.Bytes+held.Bytes
 	return report, err
 }
 
 // scan finds out what is held on disk. Until then no offer is answered.
-func (p *Peers) scan(ctx context.Context) {
+func (p *Node) scan(ctx context.Context) {
 	select {
 	case <-p.begun:
 	case <-ctx.Done():
@@ -58,43 +58,43 @@
 	}
 	records := 0
 	for _, s := range streams {
-		report, err := p.store.Read(s, func(part wal.Part) error {
+		report, err := p.store.ReadStream(s, func(part wal.Chunk) error {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.keeper.Found(s, part.First, part.First+uint64(part.N), int64(len(part.Body)), part.At)
+			p.keeper.RecordsStored(s, part.First, part.First+uint64(part.Count), int64(len(part.Frames)), part.AtUnixNano)
 			return nil
 		})
 		records += report.Records
-		for _, f := range report.Faults {
-			p.log.Warn().Str("file", f.Path).Int64("offset", f.Offset).Int64("bytes", f.Bytes).Bool("torn", f.Torn).Msg("replica damaged")
+		for _, f := range report.Unreadable {
+			p.log.Warn().Str("file", f.Path).Int64("offset", f.Offset).Int64("bytes", f.Bytes).Bool("torn", f.IsTorn).Msg("replica damaged")
 		}
 		if err != nil && ctx.Err() == nil {
 			p.log.Error().Err(err).Stringer("stream", s).Msg("replica not read")
 		}
 	}
 	p.mu.Lock()
-	journal, up := p.journal, p.table.Self().Up
+	journal, up := p.journal, p.table.Self().Incarnation
 	p.mu.Unlock()
 	if journal != "" {
 		own := map[int64]bool{}
-		replicastore.ReadDir(p.files, journal, 0, func(part wal.Part) error {
-			if int64(part.Run) >= up || ctx.Err() != nil {
+		replicastore.ReadDir(p.files, journal, 0, func(part wal.Chunk) error {
+			if int64(part.Incarnation) >= up || ctx.Err() != nil {
 				return ctx.Err()
 			}
-			own[int64(part.Run)] = true
+			own[int64(part.Incarnation)] = true
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.keeper.Found(replication.Stream{Name: p.name, Up: int64(part.Run)}, part.First, part.First+uint64(part.N), 0, part.At)
+			p.keeper.RecordsStored(replication.Stream{Name: p.name, Incarnation: int64(part.Incarnation)}, part.First, part.First+uint64(part.Count), 0, part.AtUnixNano)
 			return nil
 		})
 	}
 	p.mu.Lock()
 	p.ready = true
 	for _, e := range p.early {
-		p.send(p.now(), p.keeper.Offered(p.now(), e.from, e.offer))
+		p.send(p.now(), p.keeper.HandleOffer(p.now(), e.from, e.offer))
 	}
 	p.early = nil
 	p.mu.Unlock()
@@ -102,60 +102,60 @@
 }
 
 // own reads the running life's journal again. What is damaged of it comes back from its holders, beside it.
-func (p *Peers) own(ctx context.Context) (faults []string) {
+func (p *Node) own(ctx context.Context) (faults []string) {
 	p.mu.Lock()
 	o := p.origin
 	if o == nil {
 		p.mu.Unlock()
 		return nil
 	}
-	s, had := o.Stream(), o.Ranges()
+	s, had := o.Stream(), o.StoredRanges()
 	p.mu.Unlock()
 	var found replication.Ranges
-	report, err := p.read(s, func(part wal.Part) error {
-		found = found.With(part.First, part.First+uint64(part.N))
+	report, err := p.read(s, func(part wal.Chunk) error {
+		found = found.With(part.First, part.First+uint64(part.Count))
 		return ctx.Err()
 	})
 	if err != nil {
 		return []string{fmt.Sprintf("%s: %v", s, err)}
 	}
-	for _, f := range report.Faults {
-		if !f.Torn { // its end may be under way
+	for _, f := range report.Unreadable {
+		if !f.IsTorn { // its end may be under way
 			faults = append(faults, f.String())
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if lost := had.Without(found); len(lost) > 0 {
-		p.send(p.now(), o.Lost(p.now(), lost))
+		p.send(p.now(), o.RecordsLost(p.now(), lost))
 	}
 	return faults
 }
 
 // verify reads all that is held again. What is damaged no longer counts, and who would copy it anew is told.
-func (p *Peers) verify(ctx context.Context) (faults []string) {
+func (p *Node) verify(ctx context.Context) (faults []string) {
 	faults = p.own(ctx)
 	p.mu.Lock()
 	streams := p.keeper.Streams()
 	p.mu.Unlock()
 	for _, s := range streams {
 		p.mu.Lock()
-		p.keeper.Read(s)
+		p.keeper.BeginVerification(s)
 		p.mu.Unlock()
 		var found replication.Ranges
-		report, err := p.read(s, func(part wal.Part) error {
-			found = found.With(part.First, part.First+uint64(part.N))
+		report, err := p.read(s, func(part wal.Chunk) error {
+			found = found.With(part.First, part.First+uint64(part.Count))
 			return ctx.Err()
 		})
 		if err != nil {
 			faults = append(faults, fmt.Sprintf("%s: %v", s, err))
 		}
-		for _, f := range report.Faults {
+		for _, f := range report.Unreadable {
 			faults = append(faults, f.String())
 		}
 		p.mu.Lock()
 		if err == nil {
-			p.send(p.now(), p.keeper.Reread(s, found))
+			p.send(p.now(), p.keeper.EndVerification(s, found))
 		}
 		p.mu.Unlock()
 	}
@@ -163,15 +163,15 @@
 }
 
 // copies starts what is to be copied to others now, each beside the serving.
-func (p *Peers) copies(ctx context.Context, g *errgroup.Group, now time.Duration) {
-	var jobs []replication.Job
+func (p *Node) copies(ctx context.Context, g *errgroup.Group, now time.Duration) {
+	var jobs []replication.CopyJob
 	if p.ready {
-		jobs = p.keeper.Jobs(now)
+		jobs = p.keeper.CopyJobs(now)
 	}
 	if p.origin != nil {
-		for _, name := range p.origin.Wanted() {
-			if len(p.origin.Lacks(name)) > 0 {
-				jobs = append(jobs, replication.Job{Stream: p.origin.Stream(), To: name})
+		for _, name := range p.origin.WantedConnections() {
+			if len(p.origin.MissingAt(name)) > 0 {
+				jobs = append(jobs, replication.CopyJob{Stream: p.origin.Stream(), To: name})
 			}
 		}
 	}
@@ -196,17 +196,17 @@
 }
 
 // lacks is what a job's receiver does not have.
-func (p *Peers) lacks(j replication.Job) replication.Ranges {
+func (p *Node) lacks(j replication.CopyJob) replication.Ranges {
 	if p.origin != nil && j.Stream == p.origin.Stream() {
-		return p.origin.Lacks(j.To)
+		return p.origin.MissingAt(j.To)
 	}
-	return p.keeper.Lacks(j.Stream, j.To)
+	return p.keeper.MissingAt(j.Stream, j.To)
 }
 
 // copying is one stream on its way from this node's disk to another node.
 type copying struct {
-	p       *Peers
-	job     replication.Job
+	p       *Node
+	job     replication.CopyJob
 	live    bool               // it is this life's own stream
 	onWay   chan struct{}      // holds one for each batch that is not acknowledged
 	batch   *replication.Batch // parts one behind the other go together
@@ -214,12 +214,12 @@
 }
 
 // copy sends from disk what a node lacks of a stream, at the rate that all copying of this node keeps to.
-func (p *Peers) copy(ctx context.Context, j replication.Job, onWay chan struct{}) (records int, err error) {
+func (p *Node) copy(ctx context.Context, j replication.CopyJob, onWay chan struct{}) (records int, err error) {
 	c := &copying{p: p, job: j, onWay: onWay}
 	p.mu.Lock()
 	c.live = p.origin != nil && j.Stream == p.origin.Stream()
 	p.mu.Unlock()
-	_, err = p.read(j.Stream, func(part wal.Part) error { return c.add(ctx, part) })
+	_, err = p.read(j.Stream, func(part wal.Chunk) error { return c.add(ctx, part) })
 	if err == nil {
 		err = c.flush(ctx)
 	}
@@ -233,26 +233,26 @@
 }
 
 // add takes a part into the batch, if the other node lacks it, after sending the batch where the part doesn't fit it.
-func (c *copying) add(ctx context.Context, part wal.Part) error {
+func (c *copying) add(ctx context.Context, part wal.Chunk) error {
 	c.p.mu.Lock()
 	lacks, there := c.p.lacks(c.job), len(c.p.links[c.job.To]) > 0
 	c.p.mu.Unlock()
 	if len(lacks) == 0 || !there {
 		return errLost
 	}
-	end := part.First + uint64(part.N)
-	if (replication.Ranges{{From: part.First, To: end}}).Without(lacks).Has(part.First, end) { // it has that one
+	end := part.First + uint64(part.Count)
+	if (replication.Ranges{{From: part.First, To: end}}).Without(lacks).Contains(part.First, end) { // it has that one
 		return nil
 	}
-	if b := c.batch; b != nil && (b.First+uint64(b.N) != part.First || len(b.Body)+len(part.Body) > copyBytes) {
+	if b := c.batch; b != nil && (b.First+uint64(b.Count) != part.First || len(b.Frames)+len(part.Frames) > copyBytes) {
 		if err := c.flush(ctx); err != nil {
 			return err
 		}
 	}
 	if c.batch == nil {
-		c.batch = &replication.Batch{Stream: c.job.Stream, First: part.First, Origin: c.live}
+		c.batch = &replication.Batch{Stream: c.job.Stream, First: part.First, FromOrigin: c.live}
 	}
-	c.batch.N, c.batch.Body = c.batch.N+part.N, append(c.batch.Body, part.Body...)
+	c.batch.Count, c.batch.Frames = c.batch.Count+part.Count, append(c.batch.Frames, part.Frames...)
 	return nil
 }
 
@@ -262,7 +262,7 @@
 	if b == nil {
 		return nil
 	}
-	if err := c.p.limit.WaitN(ctx, len(b.Body)); err != nil {
+	if err := c.p.limit.WaitN(ctx, len(b.Frames)); err != nil {
 		return err
 	}
 	wait := time.NewTimer(ackWait)
@@ -274,16 +274,16 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	c.records += b.N
+	c.records += b.Count
 	c.p.mu.Lock()
-	c.p.send(c.p.now(), []membership.Out{{To: c.job.To, What: b}})
+	c.p.send(c.p.now(), []membership.Outgoing{{To: c.job.To, Message: b}})
 	c.p.mu.Unlock()
 	c.batch = nil
 	return nil
 }
 
 // tidy closes and removes what is no longer needed.
-func (p *Peers) tidy(ctx context.Context) error {
+func (p *Node) tidy(ctx context.Context) error {
 	tick := time.NewTicker(tidyEvery)
 	defer tick.Stop()
 	for {
@@ -292,9 +292,9 @@
 			return nil
 		case <-tick.C:
 		}
-		p.store.Idle()
+		p.store.CloseIdle()
 		p.mu.Lock()
-		old := p.keeper.Old(time.Now().UnixNano())
+		old := p.keeper.ExpiredStreams(time.Now().UnixNano())
 		p.mu.Unlock()
 		old = slices.DeleteFunc(old, func(s replication.Stream) bool { // what is open is kept beyond its time, until it is settled
 			open, err := p.open(s)
@@ -302,11 +302,11 @@
 		})
 		p.mu.Lock()
 		for _, s := range old {
-			p.keeper.Gone(s)
+			p.keeper.StreamRemoved(s)
 		}
 		floors := map[replication.Stream]uint64{}
 		for _, s := range p.keeper.Streams() {
-			if f := p.keeper.Floor(s); f > 1 {
+			if f := p.keeper.FirstRecord(s); f > 1 {
 				floors[s] = f
 			}
 		}
@@ -320,7 +320,7 @@
 			}
 		}
 		for s, from := range floors {
-			if err := p.store.Trim(s, from); err != nil && !errors.Is(err, os.ErrNotExist) {
+			if err := p.store.TrimBefore(s, from); err != nil && !errors.Is(err, os.ErrNotExist) {
 				p.log.Error().Err(err).Stringer("stream", s).Msg("replica not trimmed")
 			}
 		}
@@ -329,27 +329,27 @@
 }
 
 // forget notes what of the running journal has become too old here.
-func (p *Peers) forget() {
+func (p *Node) forget() {
 	p.mu.Lock()
 	o, dir := p.origin, p.journal
 	p.mu.Unlock()
 	if o == nil {
 		return
 	}
-	segments, err := wal.Segments(p.files, dir)
+	segments, err := wal.ListSegments(p.files, dir)
 	if err != nil || len(segments) == 0 {
 		return
 	}
 	errFirst := errors.New("the first is found") // of each segment: it is one life's
 	for _, s := range segments {
-		first := wal.Part{}
-		_, err := wal.Parts(p.files, s, func(part wal.Part) error {
+		first := wal.Chunk{}
+		_, err := wal.ScanChunks(p.files, s, func(part wal.Chunk) error {
 			first = part
 			return errFirst
 		})
-		if errors.Is(err, errFirst) && int64(first.Run) == o.Stream().Up {
+		if errors.Is(err, errFirst) && int64(first.Incarnation) == o.Stream().Incarnation {
 			p.mu.Lock()
-			o.Forgot(first.First)
+			o.RecordsExpired(first.First)
 			p.mu.Unlock()
 			return
 		}
--- a/internal/cluster/peer/link.go
+++ b/internal/cluster/peer/link.go
@@ -44,7 +44,7 @@
 type stored struct {
 	batch *replication.Batch
 	at    int64
-	wait  *wal.Wait
+	wait  *wal.Commit
 	err   error
 }
 
@@ -101,7 +101,7 @@
 }
 
 // accept takes connections of other nodes and of commands.
-func (p *Peers) accept(ctx context.Context, ln net.Listener) error {
+func (p *Node) accept(ctx context.Context, ln net.Listener) error {
 	var all sync.WaitGroup
 	defer all.Wait()
 	for {
@@ -127,17 +127,17 @@
 	}
 }
 
-func (p *Peers) accepted(ctx context.Context, nc net.Conn) error {
+func (p *Node) accepted(ctx context.Context, nc net.Conn) error {
 	by := time.Now().Add(greetMost)
 	nc.SetDeadline(by)
 	if p.cfg.Keys != nil {
-		nc = p.cfg.Keys.Server(nc)
+		nc = p.cfg.Keys.ServerConn(nc)
 	}
-	c := protocol.New(nc)
-	if _, err := c.Greeted(by); err != nil {
+	c := protocol.NewConn(nc)
+	if _, err := c.ReceiveHello(by); err != nil {
 		return err
 	}
-	if err := c.Send(framing.Greeting, framing.Hello{Version: version, Name: p.name}); err != nil {
+	if err := c.Send(framing.HelloKind, framing.Hello{Version: version, Name: p.name}); err != nil {
 		return err
 	}
 	k, body, err := c.Receive(by)
@@ -146,19 +146,19 @@
 	}
 	var who intro
 	if k != introKind || framing.Decode(body, &who) != nil {
-		return c.Refuse(errors.New("a caller that does not say who it is"))
+		return c.Reject(errors.New("a caller that does not say who it is"))
 	}
 	if who.Deployment != p.cfg.Deployment {
-		return c.Refuse(fmt.Errorf("this is deployment %q", p.cfg.Deployment))
+		return c.Reject(fmt.Errorf("this is deployment %q", p.cfg.Deployment))
 	}
-	if who.Member.Up == 0 {
+	if who.Member.Incarnation == 0 {
 		return p.command(ctx, c)
 	}
 	p.mu.Lock()
 	crowded := len(p.links) >= linksMost && p.links[who.Member.Name] == nil
 	p.mu.Unlock()
 	if crowded {
-		return c.Refuse(errCrowded)
+		return c.Reject(errCrowded)
 	}
 	if err := c.Send(introKind, intro{Deployment: p.cfg.Deployment, Member: p.self()}); err != nil {
 		return err
@@ -188,23 +188,23 @@
 	nc.SetDeadline(by)
 	wrapped := nc
 	if cfg.Keys != nil {
-		wrapped = cfg.Keys.Client(nc, cfg.TLSName)
+		wrapped = cfg.Keys.ClientConn(nc, cfg.TLSName)
 	}
-	c = protocol.New(wrapped)
-	if _, err = c.Greet(name, by); err != nil {
+	c = protocol.NewConn(wrapped)
+	if _, err = c.Handshake(name, by); err != nil {
 		return nil, who, err
 	}
 	if err = c.Send(introKind, intro{Deployment: cfg.Deployment, Member: me}); err != nil {
 		return nil, who, err
 	}
-	if me.Up == 0 {
+	if me.Incarnation == 0 {
 		return c, who, nil
 	}
 	k, body, err := c.Receive(by)
 	switch {
 	case err != nil:
-	case k == framing.Refusals:
-		err = framing.Refused(body)
+	case k == framing.RejectionKind:
+		err = framing.RejectionError(body)
 	case k != introKind:
 		err = errors.New("a peer that does not say who it is")
 	default:
@@ -214,9 +214,9 @@
 }
 
 // lead is the life of a connection with a node.
-func (p *Peers) lead(ctx context.Context, l *link, who membership.Member) error {
+func (p *Node) lead(ctx context.Context, l *link, who membership.Member) error {
 	defer l.end()
-	if l.name == "" || l.name == p.name && who.Up == p.self().Up {
+	if l.name == "" || l.name == p.name && who.Incarnation == p.self().Incarnation {
 		return errors.New("this node itself")
 	}
 	ended := make(chan struct{})
@@ -253,18 +253,18 @@
 }
 
 // batch has a part of a stream written, if it is taken.
-func (p *Peers) batch(l *link, b *replication.Batch) error {
-	part, records, err := wal.ReadParts(b.Body)
+func (p *Node) batch(l *link, b *replication.Batch) error {
+	part, records, err := wal.DecodeChunks(b.Frames)
 	if err != nil {
 		return err
 	}
-	if int64(part.Run) != b.Up || part.First != b.First || part.N != b.N || !streamNames.MatchString(b.Name) {
+	if int64(part.Incarnation) != b.Incarnation || part.First != b.First || part.Count != b.Count || !streamNames.MatchString(b.Name) {
 		return fmt.Errorf("a part of %s that is another", b.Stream)
 	}
 	p.mu.Lock()
 	now := p.now()
-	p.table.Heard(now, l.name)
-	ok, out := p.keeper.Takes(l.name, b, part.At, time.Now().UnixNano())
+	p.table.HeardFrom(now, l.name)
+	ok, out := p.keeper.AdmitBatch(l.name, b, part.AtUnixNano, time.Now().UnixNano())
 	if !p.ready {
 		ok, out = false, nil // what it holds is not known yet; it is sent again
 	}
@@ -273,28 +273,28 @@
 	if !ok {
 		return nil
 	}
-	s := stored{batch: b, at: part.At}
-	s.wait, s.err = p.store.Put(b.Stream, records)
+	s := stored{batch: b, at: part.AtUnixNano}
+	s.wait, s.err = p.store.Append(b.Stream, records)
 	l.stored <- s
 	return nil
 }
 
 // store1 answers for parts in the order in which they came, each when it lasts.
-func (p *Peers) store1(l *link) {
+func (p *Node) store1(l *link) {
 	for s := range l.stored {
 		if s.err == nil {
 			<-s.wait.Done()
 			s.err = s.wait.Err()
 		}
-		ack := &replication.Ack{Stream: s.batch.Stream, First: s.batch.First, N: s.batch.N}
+		ack := &replication.Ack{Stream: s.batch.Stream, First: s.batch.First, Count: s.batch.Count}
 		p.mu.Lock()
 		if s.err == nil {
-			p.keeper.Found(ack.Stream, ack.First, ack.First+uint64(ack.N), int64(len(s.batch.Body)), s.at)
+			p.keeper.RecordsStored(ack.Stream, ack.First, ack.First+uint64(ack.Count), int64(len(s.batch.Frames)), s.at)
 			if p.origin != nil && ack.Stream == p.origin.Stream() { // what was damaged here has come back
-				p.origin.Stored(ack.First, ack.First+uint64(ack.N))
+				p.origin.RecordsStored(ack.First, ack.First+uint64(ack.Count))
 			}
 		} else {
-			ack.Refused = "the disk takes nothing"
+			ack.RejectReason = "the disk takes nothing"
 		}
 		p.mu.Unlock()
 		if s.err != nil {
--- a/internal/cluster/peer/links.go
+++ b/internal/cluster/peer/links.go
@@ -21,13 +21,13 @@
 }
 
 // seek keeps on asking at an address of the file while no node is known there.
-func (p *Peers) seek(ctx context.Context, at string) {
+func (p *Node) seek(ctx context.Context, at string) {
 	for wait := redialFirst; ctx.Err() == nil; wait = min(2*wait, redialMost) {
 		p.mu.Lock()
 		known := at == p.cfg.Advertise
 		for name, all := range p.links {
 			m, _ := p.table.Get(name)
-			known = known || len(all) > 0 && m.Address == at && m.Condition.Lives()
+			known = known || len(all) > 0 && m.Address == at && m.Condition.IsLive()
 		}
 		p.mu.Unlock()
 		if !known {
@@ -41,8 +41,8 @@
 }
 
 // call leads a connection to an address.
-func (p *Peers) call(ctx context.Context, at string) {
-	c, who, err := dial(ctx, p.cfg, p.cfg.ListenAt.Addr(), at, p.name, p.self())
+func (p *Node) call(ctx context.Context, at string) {
+	c, who, err := dial(ctx, p.cfg, p.cfg.ListenAddress.Addr(), at, p.name, p.self())
 	if err == nil {
 		defer context.AfterFunc(ctx, func() { c.Close() })()
 		err = p.lead(ctx, newLink(c, who.Member.Name, true), who.Member)
@@ -53,7 +53,7 @@
 }
 
 // met takes in a connection; l is nil for one that is not kept.
-func (p *Peers) met(l *link, who membership.Member, keep *link) {
+func (p *Node) met(l *link, who membership.Member, keep *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -67,15 +67,15 @@
 		delete(p.letters, l.name)
 		delete(p.tries, l.name)
 	}
-	p.table.Joined(now, l.name, []membership.Member{who})
+	p.table.MergeMembers(now, l.name, []membership.Member{who})
 	if who.Name == p.name {
-		l.put(&membership.News{Members: []membership.Member{p.table.Self()}})
+		l.put(&membership.Update{Members: []membership.Member{p.table.Self()}})
 	}
 	p.after(now)
 }
 
 // lost lets go of a connection.
-func (p *Peers) lost(l *link) {
+func (p *Node) lost(l *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -84,7 +84,7 @@
 		return
 	}
 	delete(p.links, l.name)
-	p.table.Closed(l.name)
+	p.table.Disconnected(l.name)
 	if p.origin != nil {
 		p.send(now, p.origin.Disconnected(now, l.name))
 	}
@@ -92,32 +92,32 @@
 }
 
 // send puts words on their connections. For one without, a connection is wanted, and the word waits for it.
-func (p *Peers) send(now time.Duration, out []membership.Out) {
+func (p *Node) send(now time.Duration, out []membership.Outgoing) {
 	for _, o := range out {
 		if all := p.links[o.To]; len(all) > 0 {
-			all[len(all)-1].put(o.What)
+			all[len(all)-1].put(o.Message)
 			continue
 		}
-		if m, ok := p.table.Get(o.To); !ok || !m.Condition.Lives() {
+		if m, ok := p.table.Get(o.To); !ok || !m.Condition.IsLive() {
 			continue
 		}
 		p.wants[o.To] = now + wantFor
-		if _, part := o.What.(*replication.Batch); !part && len(p.letters[o.To]) < 8 {
-			p.letters[o.To] = append(p.letters[o.To], o.What)
+		if _, part := o.Message.(*replication.Batch); !part && len(p.letters[o.To]) < 8 {
+			p.letters[o.To] = append(p.letters[o.To], o.Message)
 		}
 	}
 }
 
 // look notes which connections are wanted, and ends those that have not been for a while.
-func (p *Peers) look(now time.Duration) {
+func (p *Node) look(now time.Duration) {
 	wanted := p.table.Watched()
 	if p.origin != nil {
-		wanted = append(wanted, p.origin.Wanted()...)
+		wanted = append(wanted, p.origin.WantedConnections()...)
 	}
 	if p.ready {
-		wanted = append(wanted, p.keeper.Wanted()...)
+		wanted = append(wanted, p.keeper.WantedConnections()...)
 	}
-	if knock := p.table.Knock(now); knock != "" {
+	if knock := p.table.ReconnectCandidate(now); knock != "" {
 		wanted = append(wanted, knock)
 	}
 	for _, name := range wanted {
--- a/internal/cluster/peer/lists.go
+++ b/internal/cluster/peer/lists.go
@@ -4,15 +4,15 @@
 	"time"
 )
 
-// Lists tells how to get the list of servers as this node keeps it, for those who ask.
-func (p *Peers) Lists(newest func() []byte) {
+// SetEndpointList tells how to get the list of servers as this node keeps it, for those who ask.
+func (p *Node) SetEndpointList(newest func() []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lists = newest
 }
 
-// Fetch asks a few other nodes for the lists of servers that they keep, and returns what came in time.
-func (p *Peers) Fetch(most time.Duration) (texts [][]byte) {
+// FetchEndpointLists asks a few other nodes for the lists of servers that they keep, and returns what came in time.
+func (p *Node) FetchEndpointLists(most time.Duration) (texts [][]byte) {
 	by := time.NewTimer(most)
 	defer by.Stop()
 	listed := make(chan []byte, fetchMost)
--- a/internal/cluster/peer/peers.go
+++ b/internal/cluster/peer/peers.go
@@ -35,17 +35,17 @@
 
 // Why a record is not kept by others.
 var (
-	ErrBehind   = errors.New("too many records wait for holders")
-	ErrReplaced = errors.New("a later life of this node's name is known: two processes run under it")
-	ErrStopped  = errors.New("the node stops")
+	ErrQueueOverflow = errors.New("too many records wait for holders")
+	ErrReplaced      = errors.New("a later life of this node's name is known: two processes run under it")
+	ErrStopped       = errors.New("the node stops")
 )
 
-// Peers is a running node's part in its tier.
-type Peers struct {
+// Node is a running node's part in its tier.
+type Node struct {
 	cfg      *Config
 	name     string
 	log      zerolog.Logger
-	files    wal.Files
+	files    wal.FileSystem
 	began    time.Time
 	ln       net.Listener
 	store    *replicastore.Store
@@ -56,7 +56,7 @@
 
 	mu      sync.Mutex
 	table   *membership.Table
-	keeper  *replication.Keeper
+	keeper  *replication.ReplicaTable
 	origin  *replication.Origin // nil: the node keeps no journal
 	journal string              // its folder
 	ready   bool                // what is on disk is known
@@ -67,8 +67,8 @@
 	early   []early                  // offers that came before it was known what is held here
 	dialing map[string]bool
 	tries   map[string]try
-	waiters []*Kept
-	jobs    map[replication.Job]chan struct{} // parts of each that are on their way
+	waiters []*Commit
+	jobs    map[replication.CopyJob]chan struct{} // parts of each that are on their way
 	looked  time.Duration
 	joined  bool          // this life's start is settled
 	told    bool          // that it was replaced
@@ -79,7 +79,7 @@
 }
 
 // New listens for other nodes. files is the disk beneath what is held, nil for the system's.
-func New(cfg *Config, name string, files wal.Files, log zerolog.Logger) (*Peers, error) {
+func New(cfg *Config, name string, files wal.FileSystem, log zerolog.Logger) (*Node, error) {
 	if cfg.Name != "" {
 		name = cfg.Name
 	}
@@ -87,40 +87,40 @@
 		return nil, errors.New("the node's name " + name + " cannot be one of a tier: letters, digits, dots and dashes, 64 at most")
 	}
 	if files == nil {
-		files = wal.OS{}
+		files = wal.OSFileSystem{}
 	}
 	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return nil, err
 	}
-	candidate := replication.Candidate{Name: name, Site: cfg.Site, Machine: cfg.Machine, Well: true}
-	return &Peers{cfg: cfg, name: name, log: log, files: files, began: time.Now().Add(-time.Second), ln: ln,
-		store: replicastore.Open(cfg.Held, files, segmentBytes), limit: rate.NewLimiter(rate.Limit(cfg.RepairBytes), frameMost),
+	candidate := replication.Candidate{Name: name, Site: cfg.Site, Machine: cfg.Machine, IsHealthy: true}
+	return &Node{cfg: cfg, name: name, log: log, files: files, began: time.Now().Add(-time.Second), ln: ln,
+		store: replicastore.Open(cfg.ReplicaDir, files, segmentBytes), limit: rate.NewLimiter(rate.Limit(cfg.RepairBytesPerSecond), frameMost),
 		replaced: make(chan struct{}), news: make(chan struct{}), begun: make(chan struct{}),
-		table:  membership.New(membership.Member{Name: name, Up: time.Now().UnixNano(), Address: cfg.Advertise, Site: cfg.Site, Machine: cfg.Machine}),
-		keeper: replication.NewKeeper(candidate, cfg.Replicas, cfg.HeldBytes, cfg.KeepFor.D()),
+		table:  membership.New(membership.Member{Name: name, Incarnation: time.Now().UnixNano(), Address: cfg.Advertise, Site: cfg.Site, Machine: cfg.Machine}),
+		keeper: replication.NewReplicaTable(candidate, cfg.Replicas, cfg.MaxReplicaBytes, cfg.RetentionAge.Std()),
 		links:  map[string][]*link{}, wants: map[string]time.Duration{}, letters: map[string][]any{}, dialing: map[string]bool{}, tries: map[string]try{},
-		jobs: map[replication.Job]chan struct{}{}}, nil
+		jobs: map[replication.CopyJob]chan struct{}{}}, nil
 }
 
-func (p *Peers) now() time.Duration { return time.Since(p.began) }
+func (p *Node) now() time.Duration { return time.Since(p.began) }
 
-func (p *Peers) self() membership.Member {
+func (p *Node) self() membership.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.Self()
 }
 
-func (p *Peers) candidate() replication.Candidate {
-	return replication.Candidate{Name: p.name, Site: p.cfg.Site, Machine: p.cfg.Machine, Well: true}
+func (p *Node) candidate() replication.Candidate {
+	return replication.Candidate{Name: p.name, Site: p.cfg.Site, Machine: p.cfg.Machine, IsHealthy: true}
 }
 
 // Replaced is closed when another process has been started under this node's name since.
-func (p *Peers) Replaced() <-chan struct{} { return p.replaced }
+func (p *Node) Replaced() <-chan struct{} { return p.replaced }
 
 // Join waits until another node is met, for so long at most, and returns when this life is said to have begun: after all
 // others of its name, whatever the clock says.
-func (p *Peers) Join(ctx context.Context, most time.Duration) int64 {
+func (p *Node) Join(ctx context.Context, most time.Duration) int64 {
 	if len(p.cfg.Peers) > 0 {
 		select {
 		case <-p.news:
@@ -132,11 +132,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.joined = true
-	return p.table.Self().Up
+	return p.table.Self().Incarnation
 }
 
 // Run takes part in the tier until the context ends.
-func (p *Peers) Run(ctx context.Context) error {
+func (p *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer p.store.Close()
@@ -166,7 +166,7 @@
 }
 
 // got takes in what a node says.
-func (p *Peers) got(l *link, what any) {
+func (p *Node) got(l *link, what any) {
 	if w, ok := what.(*list); ok {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -188,21 +188,21 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	p.table.Heard(now, l.name)
+	p.table.HeardFrom(now, l.name)
 	switch w := what.(type) {
 	case *replication.Offer:
 		if p.ready {
-			p.send(now, p.keeper.Offered(now, l.name, w))
+			p.send(now, p.keeper.HandleOffer(now, l.name, w))
 		} else if len(p.early) < earlyMost {
 			p.early = append(p.early, early{l.name, w})
 		}
-	case *replication.Have, *replication.Ack:
+	case *replication.Inventory, *replication.Ack:
 		if p.origin != nil {
-			p.send(now, p.origin.Got(now, l.name, w))
+			p.send(now, p.origin.HandleMessage(now, l.name, w))
 		}
-		p.keeper.Got(now, l.name, w)
+		p.keeper.HandleMessage(now, l.name, w)
 		if a, ok := w.(*replication.Ack); ok {
-			if onWay := p.jobs[replication.Job{Stream: a.Stream, To: l.name}]; onWay != nil {
+			if onWay := p.jobs[replication.CopyJob{Stream: a.Stream, To: l.name}]; onWay != nil {
 				select {
 				case <-onWay:
 				default:
@@ -215,10 +215,10 @@
 		}
 		l.put(&list{Text: text})
 	default:
-		p.send(now, p.table.Got(now, l.name, w))
+		p.send(now, p.table.HandleMessage(now, l.name, w))
 	}
 	p.after(now)
-	if _, ok := what.(*membership.News); ok {
+	if _, ok := what.(*membership.Update); ok {
 		select {
 		case <-p.news:
 		default:
@@ -229,34 +229,34 @@
 
 // after is done behind whatever has changed something: who lives is handed on, connections that stand are told to those
 // who want them, and what has been waited for ends.
-func (p *Peers) after(now time.Duration) {
-	if p.table.Replaced() && !p.told {
+func (p *Node) after(now time.Duration) {
+	if p.table.IsReplaced() && !p.told {
 		if p.joined {
 			p.told = true
 			close(p.replaced)
 			p.log.Error().Err(ErrReplaced).Msg("this node stops")
 		} else {
-			p.table.Outlive(now)
+			p.table.StartLaterIncarnation(now)
 		}
 	}
 	if sum := p.table.Digest(); sum != p.sum {
 		p.sum = sum
-		var lives []replication.Incarnation
+		var lives []replication.Node
 		var candidates []replication.Candidate
-		for _, m := range p.table.All() {
-			l := replication.Incarnation{Candidate: replication.Candidate{Name: m.Name, Site: m.Site, Machine: m.Machine, Well: m.Condition == membership.Alive}, Up: m.Up, Lives: m.Condition.Lives()}
+		for _, m := range p.table.Members() {
+			l := replication.Node{Candidate: replication.Candidate{Name: m.Name, Site: m.Site, Machine: m.Machine, IsHealthy: m.Condition == membership.Alive}, Incarnation: m.Incarnation, IsLive: m.Condition.IsLive()}
 			if m.Name != p.name {
 				candidates = append(candidates, l.Candidate)
 			}
 			lives = append(lives, l)
 		}
-		p.keeper.SetIncarnations(now, lives)
+		p.keeper.SetNodes(now, lives)
 		if p.origin != nil {
 			p.send(now, p.origin.SetCandidates(now, candidates))
 		}
 	}
 	if p.origin != nil {
-		for _, name := range p.origin.Wanted() {
+		for _, name := range p.origin.WantedConnections() {
 			if len(p.links[name]) > 0 {
 				p.send(now, p.origin.Connected(now, name))
 			} else {
@@ -268,7 +268,7 @@
 }
 
 // tick moves all on by time, and opens connections that are wanted.
-func (p *Peers) tick(ctx context.Context, g *errgroup.Group) {
+func (p *Node) tick(ctx context.Context, g *errgroup.Group) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -281,9 +281,9 @@
 	}
 	p.after(now)
 	if p.origin != nil {
-		if stalled := p.origin.Stalled(now); stalled > p.cfg.SlowAfter.D() != p.short {
+		if stalled := p.origin.StalledFor(now); stalled > p.cfg.SlowAfter.Std() != p.short {
 			if p.short = !p.short; p.short {
-				p.log.Warn().Interface("holders", p.origin.Holders()).Int("waits", p.origin.Waits()).Msg("too few hold what is kept")
+				p.log.Warn().Interface("holders", p.origin.Holders()).Int("waits", p.origin.UncommittedCount()).Msg("too few hold what is kept")
 			} else {
 				p.log.Info().Msg("enough hold what is kept")
 			}
@@ -320,11 +320,11 @@
 }
 
 // Leave tells the others that this node goes in good order, once they have what is still on its way.
-func (p *Peers) Leave() {
+func (p *Node) Leave() {
 	by := time.Now().Add(flushFor)
 	for time.Now().Before(by) {
 		p.mu.Lock()
-		waits := p.origin != nil && p.origin.Kept() < p.origin.Next()
+		waits := p.origin != nil && p.origin.Committed() < p.origin.NextNumber()
 		p.mu.Unlock()
 		if !waits {
 			break
--- a/internal/cluster/peer/peers_test.go
+++ b/internal/cluster/peer/peers_test.go
@@ -28,7 +28,7 @@
 
 // member is one node of a tier in this process.
 type member struct {
-	*Peers
+	*Node
 	cfg    *Config
 	dir    string
 	log    *wal.Log
@@ -69,23 +69,23 @@
 			t.Fatal(err)
 		}
 	}
-	cfg := &Config{Listen: "127.0.0.1:0", Peers: seeds, Deployment: "d", Machine: name, Replicas: 2, Held: filepath.Join(dir, "held"), HeldBytes: 1 << 30,
-		RepairBytes: 64 << 20, SlowAfter: tomlfile.Span(100 * time.Millisecond), KeepFor: tomlfile.Span(time.Hour), Plaintext: true}
+	cfg := &Config{Listen: "127.0.0.1:0", Peers: seeds, Deployment: "d", Machine: name, Replicas: 2, ReplicaDir: filepath.Join(dir, "held"), MaxReplicaBytes: 1 << 30,
+		RepairBytesPerSecond: 64 << 20, SlowAfter: tomlfile.Duration(100 * time.Millisecond), RetentionAge: tomlfile.Duration(time.Hour), Plaintext: true}
 	cfg.Listen = address(t)
 	cfg.Advertise = cfg.Listen
 	if file != "" {
-		cfg.Dockets = []string{file}
+		cfg.ExecutionRecords = []string{file}
 	}
 	p, err := New(cfg, name, nil, zerolog.New(io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	m := &member{Peers: p, cfg: cfg, dir: dir, cancel: cancel, done: make(chan error, 1)}
+	m := &member{Node: p, cfg: cfg, dir: dir, cancel: cancel, done: make(chan error, 1)}
 	go func() { m.done <- p.Run(ctx) }()
 	up := p.Join(ctx, 2*time.Second)
-	p.Keep(filepath.Join(dir, "journal"), true)
-	m.log, err = wal.Open(wal.Options{Dir: filepath.Join(dir, "journal"), Files: wal.OS{}, Machine: true, SegmentBytes: 64 << 10, Run: uint64(up), Copy: p.Copy, Stored: p.Stored})
+	p.StartJournal(filepath.Join(dir, "journal"), true)
+	m.log, err = wal.Open(wal.Options{Dir: filepath.Join(dir, "journal"), FileSystem: wal.OSFileSystem{}, Fsync: true, MaxSegmentBytes: 64 << 10, Incarnation: uint64(up), OnChunk: p.ReplicateChunk, OnStored: p.RecordsStored})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,12 +116,12 @@
 func (m *member) keep(t *testing.T, op uint64) {
 	t.Helper()
 	eventually(t, "an intent is kept", func() bool {
-		w, err := m.log.Append(true, intent.Record{Kind: intent.Intent, Run: uint64(m.self().Up), Op: op, At: time.Now().UnixNano(), ID: fmt.Sprint(m.name, "-", op), Type: "book", Server: "s"})
+		w, err := m.log.Append(true, intent.Record{Kind: intent.Intent, Incarnation: uint64(m.self().Incarnation), RequestNumber: op, AtUnixNano: time.Now().UnixNano(), RequestID: fmt.Sprint(m.name, "-", op), Type: "book", Server: "s"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		<-w.Done()
-		k := m.Wait(w.Number())
+		k := m.CommitOf(w.SequenceNumber())
 		select {
 		case <-k.Done():
 			return k.Err() == nil
@@ -134,17 +134,17 @@
 // found are the ids that the nodes of a tier tell, and whether what they tell is all.
 func found(t *testing.T, cfg *Config) (ids map[string]bool, enough bool) {
 	t.Helper()
-	client := Ask(context.Background(), cfg, false)
+	client := Query(context.Background(), cfg, false)
 	ids = map[string]bool{}
 	if _, err := client.Records(context.Background(), time.Time{}, "", func(r *intent.Record) error {
-		if r.ID != "" {
-			ids[r.ID] = true
+		if r.RequestID != "" {
+			ids[r.RequestID] = true
 		}
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	return ids, client.Enough()
+	return ids, client.HasEnoughAnswers()
 }
 
 // A machine is lost with its disk, then another; what they kept is found in what is left, and is soon held often enough.
@@ -163,14 +163,14 @@
 	}
 	whole := func(of *member, nodes, streams int) func() bool {
 		return func() bool {
-			c := Ask(context.Background(), of.cfg, false)
+			c := Query(context.Background(), of.cfg, false)
 			n := 0
-			for _, copies := range c.Copies() {
+			for _, copies := range c.CopyCounts() {
 				if copies >= 3 {
 					n++
 				}
 			}
-			return len(c.Asked) == nodes && n >= streams
+			return len(c.Answered) == nodes && n >= streams
 		}
 	}
 	eventually(t, "all streams stand on three machines", whole(tier[0], 5, 5))
@@ -212,7 +212,9 @@
 func TestDamaged(t *testing.T) {
 	t.Parallel()
 	for name, dir := range map[string]func(tier []*member) (*member, string){
-		"a replica":         func(tier []*member) (*member, string) { return tier[1], tier[1].store.Dir(tier[0].origin.Stream()) },
+		"a replica": func(tier []*member) (*member, string) {
+			return tier[1], tier[1].store.StreamDir(tier[0].origin.Stream())
+		},
 		"a running journal": func(tier []*member) (*member, string) { return tier[0], tier[0].journal },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -226,7 +228,7 @@
 			}
 			stream := tier[0].origin.Stream()
 			at, path := dir(tier)
-			segments, err := wal.Segments(wal.OS{}, path)
+			segments, err := wal.ListSegments(wal.OSFileSystem{}, path)
 			if err != nil || len(segments) == 0 {
 				t.Fatal(segments, err)
 			}
@@ -237,19 +239,19 @@
 			if err := os.WriteFile(segments[0].Path, text, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			c := Ask(context.Background(), tier[0].cfg, true)
-			if s := c.Asked[at.name]; s == nil || len(s.Faults) == 0 {
-				t.Fatalf("the damage was not found: %+v", c.Asked)
+			c := Query(context.Background(), tier[0].cfg, true)
+			if s := c.Answered[at.name]; s == nil || len(s.Damage) == 0 {
+				t.Fatalf("the damage was not found: %+v", c.Answered)
 			}
 			eventually(t, "the stream stands whole on three machines again", func() bool {
 				whole := 0
 				for _, m := range tier {
 					var found replication.Ranges
-					m.read(stream, func(p wal.Part) error {
-						found = found.With(p.First, p.First+uint64(p.N))
+					m.read(stream, func(p wal.Chunk) error {
+						found = found.With(p.First, p.First+uint64(p.Count))
 						return nil
 					})
-					if found.Has(1, 9) {
+					if found.Contains(1, 9) {
 						whole++
 					}
 				}
@@ -294,8 +296,8 @@
 	delete(tier, "n0")
 	settlers := func() (by map[string]uint64) {
 		by = map[string]uint64{}
-		for _, s := range Ask(context.Background(), any().cfg, false).Asked {
-			for _, h := range s.Holdings {
+		for _, s := range Query(context.Background(), any().cfg, false).Answered {
+			for _, h := range s.StoredReplicas {
 				if base, who, ok := strings.Cut(h.Name, "~"); ok && base == "n0" {
 					by[who] = max(by[who], h.Ranges.Count())
 				}
@@ -304,9 +306,9 @@
 		return by
 	}
 	state := func(id string) (s intent.State) {
-		union := intent.NewUnion()
+		union := intent.NewMerger()
 		var all []*intent.Entry
-		if _, err := Ask(context.Background(), any().cfg, false).Records(context.Background(), time.Time{}, id, func(r *intent.Record) error {
+		if _, err := Query(context.Background(), any().cfg, false).Records(context.Background(), time.Time{}, id, func(r *intent.Record) error {
 			if e := union.Add(r); e != nil {
 				all = append(all, e)
 			}
@@ -314,7 +316,7 @@
 		}); err != nil {
 			t.Fatal(err)
 		}
-		for _, e := range append(all, union.Rest()...) {
+		for _, e := range append(all, union.Incomplete()...) {
 			s = e.State()
 		}
 		return s
@@ -328,8 +330,8 @@
 	for first = range by {
 	}
 	eventually(t, "the settlement is copied", func() bool {
-		c := Ask(context.Background(), any().cfg, false)
-		return len(c.Asked) == 5 && c.Lacking() == ""
+		c := Query(context.Background(), any().cfg, false)
+		return len(c.Answered) == 5 && c.Shortfall() == ""
 	})
 	tier[first].die()
 	delete(tier, first)
@@ -366,10 +368,10 @@
 	b.die()
 	later := time.Now().Add(time.Hour).UnixNano()
 	a.mu.Lock()
-	a.table.Joined(a.now(), "", []membership.Member{{Name: "n1", Up: later, Condition: membership.Dead}})
+	a.table.MergeMembers(a.now(), "", []membership.Member{{Name: "n1", Incarnation: later, Condition: membership.Dead}})
 	a.mu.Unlock()
 	again := start(t, "n1", "", a.cfg.Listen)
-	if up := again.self().Up; up <= later {
+	if up := again.self().Incarnation; up <= later {
 		t.Errorf("it began a life at %d, behind one at %d", up, later)
 	}
 }
@@ -378,12 +380,12 @@
 func TestStrangers(t *testing.T) {
 	t.Parallel()
 	a := start(t, "n0", "")
-	hello, _ := protocol.Append(nil, framing.Greeting, framing.Hello{Version: version, Name: "x"})
-	old, _ := protocol.Append(nil, framing.Greeting, framing.Hello{Version: version + 1, Name: "x"})
-	other, _ := protocol.Append(slices.Clone(hello), introKind, intro{Deployment: "other", Member: membership.Member{Name: "x", Up: 1}})
-	node, _ := protocol.Append(slices.Clone(hello), introKind, intro{Deployment: "d", Member: membership.Member{Name: "x", Up: 1}})
-	beat, _ := protocol.Append(slices.Clone(hello), beatKind, membership.Beat{})
-	part, _ := protocol.Append(slices.Clone(node), batchKind, replication.Batch{Stream: replication.Stream{Name: "../x", Up: 1}, First: 1, N: 1, Body: []byte("no part")})
+	hello, _ := protocol.Append(nil, framing.HelloKind, framing.Hello{Version: version, Name: "x"})
+	old, _ := protocol.Append(nil, framing.HelloKind, framing.Hello{Version: version + 1, Name: "x"})
+	other, _ := protocol.Append(slices.Clone(hello), introKind, intro{Deployment: "other", Member: membership.Member{Name: "x", Incarnation: 1}})
+	node, _ := protocol.Append(slices.Clone(hello), introKind, intro{Deployment: "d", Member: membership.Member{Name: "x", Incarnation: 1}})
+	beat, _ := protocol.Append(slices.Clone(hello), beatKind, membership.Heartbeat{})
+	part, _ := protocol.Append(slices.Clone(node), batchKind, replication.Batch{Stream: replication.Stream{Name: "../x", Incarnation: 1}, First: 1, Count: 1, Frames: []byte("no part")})
 	for name, c := range map[string]struct {
 		sends []byte
 		told  string
@@ -408,7 +410,7 @@
 			}
 		})
 	}
-	if entries, _ := os.ReadDir(a.cfg.Held); len(entries) > 0 {
+	if entries, _ := os.ReadDir(a.cfg.ReplicaDir); len(entries) > 0 {
 		t.Errorf("%v is held", entries)
 	}
 }
@@ -417,7 +419,7 @@
 // its own name is known, and stop (so it was in the lab, on links that garble one piece in twenty).
 func TestGarbled(t *testing.T) {
 	t.Parallel()
-	whole, err := protocol.Append(nil, newsKind, &membership.News{Members: []membership.Member{{Name: "n1", Up: 1_800_000_000_000_000_000, Address: "127.0.0.1:1"}}})
+	whole, err := protocol.Append(nil, newsKind, &membership.Update{Members: []membership.Member{{Name: "n1", Incarnation: 1_800_000_000_000_000_000, Address: "127.0.0.1:1"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -447,7 +449,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		cfg, err := Load(path)
+		cfg, err := LoadConfig(path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -462,7 +464,7 @@
 		t.Fatal(err)
 	}
 	at := address(t)
-	run := func(cfg *Config, name string) *Peers {
+	run := func(cfg *Config, name string) *Node {
 		p, err := New(cfg, name, nil, zerolog.New(io.Discard))
 		if err != nil {
 			t.Fatal(err)
@@ -471,7 +473,7 @@
 		done := make(chan error, 1)
 		go func() { done <- p.Run(ctx) }()
 		t.Cleanup(func() { cancel(); <-done })
-		p.Keep("", false)
+		p.StartJournal("", false)
 		return p
 	}
 	a := run(file("a", ours, at), "a")
@@ -486,35 +488,35 @@
 
 // Which journals stand past the loss of nodes: those that one who is left has whole, not some of.
 func TestSurvives(t *testing.T) {
-	now, before := replication.Stream{Name: "a", Up: 2}, replication.Stream{Name: "a", Up: 1}
-	holding := func(s replication.Stream, to uint64) replication.Holding {
-		return replication.Holding{Stream: s, Ranges: replication.Ranges{{From: 1, To: to}}}
+	now, before := replication.Stream{Name: "a", Incarnation: 2}, replication.Stream{Name: "a", Incarnation: 1}
+	holding := func(s replication.Stream, to uint64) replication.StoredReplica {
+		return replication.StoredReplica{Stream: s, Ranges: replication.Ranges{{From: 1, To: to}}}
 	}
-	level := replication.Holder{Name: "b", Stand: "level"}
+	level := replication.Holder{Name: "b", State: "level"}
 	for name, c := range map[string]struct {
 		holders []replication.Holder
-		b, c    []replication.Holding
+		b, c    []replication.StoredReplica
 		lost    []string
 		want    bool
 	}{
 		"nothing is lost":                    {nil, nil, nil, nil, true},
 		"another one":                        {nil, nil, nil, []string{"c"}, true},
-		"held by one who is left":            {[]replication.Holder{level}, []replication.Holding{holding(now, 9)}, nil, []string{"a"}, true},
-		"with all holders":                   {[]replication.Holder{level}, []replication.Holding{holding(now, 9)}, nil, []string{"a", "b"}, false},
-		"a part is left":                     {[]replication.Holder{level}, []replication.Holding{holding(now, 9)}, []replication.Holding{holding(now, 3)}, []string{"a", "b"}, false},
-		"one is left who still lacks some":   {[]replication.Holder{{Name: "b", Stand: "level", Lacks: 2}}, nil, nil, []string{"a"}, false},
-		"one who was only offered it":        {[]replication.Holder{{Name: "b", Stand: "offered"}}, nil, nil, []string{"a"}, false},
-		"an earlier life with its holder":    {nil, []replication.Holding{holding(before, 9)}, []replication.Holding{holding(before, 3)}, []string{"b"}, false},
-		"an earlier life that another has":   {nil, []replication.Holding{holding(before, 9)}, []replication.Holding{holding(before, 9)}, []string{"b"}, true},
+		"held by one who is left":            {[]replication.Holder{level}, []replication.StoredReplica{holding(now, 9)}, nil, []string{"a"}, true},
+		"with all holders":                   {[]replication.Holder{level}, []replication.StoredReplica{holding(now, 9)}, nil, []string{"a", "b"}, false},
+		"a part is left":                     {[]replication.Holder{level}, []replication.StoredReplica{holding(now, 9)}, []replication.StoredReplica{holding(now, 3)}, []string{"a", "b"}, false},
+		"one is left who still lacks some":   {[]replication.Holder{{Name: "b", State: "level", MissingRecords: 2}}, nil, nil, []string{"a"}, false},
+		"one who was only offered it":        {[]replication.Holder{{Name: "b", State: "offered"}}, nil, nil, []string{"a"}, false},
+		"an earlier life with its holder":    {nil, []replication.StoredReplica{holding(before, 9)}, []replication.StoredReplica{holding(before, 3)}, []string{"b"}, false},
+		"an earlier life that another has":   {nil, []replication.StoredReplica{holding(before, 9)}, []replication.StoredReplica{holding(before, 9)}, []string{"b"}, true},
 		"nobody knows who holds its journal": {nil, nil, nil, []string{"unasked"}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			asked := map[string]*Status{"a": {Stream: now, Holders: c.holders}, "b": {Holdings: c.b}, "c": {Holdings: c.c}}
+			asked := map[string]*Status{"a": {Stream: now, Holders: c.holders}, "b": {StoredReplicas: c.b}, "c": {StoredReplicas: c.c}}
 			of := "a"
 			if slices.Contains(c.lost, "unasked") {
 				of = "unasked"
 			}
-			if got := (&Client{Asked: asked}).Survives(of, c.lost); got != c.want {
+			if got := (&Client{Answered: asked}).SurvivesLoss(of, c.lost); got != c.want {
 				t.Errorf("survives %v", got)
 			}
 		})
@@ -522,7 +524,7 @@
 }
 
 func FuzzFrames(f *testing.F) {
-	for _, w := range []any{&membership.News{Members: []membership.Member{{Name: "a", Up: 1}}}, &replication.Offer{Ranges: replication.Ranges{{From: 1, To: 2}}}, &replication.Have{}, &replication.Ack{}, &membership.Tell{}} {
+	for _, w := range []any{&membership.Update{Members: []membership.Member{{Name: "a", Incarnation: 1}}}, &replication.Offer{Ranges: replication.Ranges{{From: 1, To: 2}}}, &replication.Inventory{}, &replication.Ack{}, &membership.LivenessReply{}} {
 		b, _ := protocol.Append(nil, kindOf(w), w)
 		f.Add(b[4], b[5:len(b)-4]) // the kind, and the body without its length and sum
 	}
@@ -531,25 +533,25 @@
 		if err != nil {
 			return
 		}
-		table, keeper := membership.New(membership.Member{Name: "n", Up: 1}), replication.NewKeeper(replication.Candidate{Name: "n"}, 2, 1<<20, 0)
-		origin := replication.NewOrigin(0, replication.Stream{Name: "n", Up: 1}, replication.Candidate{Name: "n"}, 1, time.Millisecond)
-		origin.SetCandidates(0, []replication.Candidate{{Name: "a", Machine: "a", Well: true}})
+		table, keeper := membership.New(membership.Member{Name: "n", Incarnation: 1}), replication.NewReplicaTable(replication.Candidate{Name: "n"}, 2, 1<<20, 0)
+		origin := replication.NewOrigin(0, replication.Stream{Name: "n", Incarnation: 1}, replication.Candidate{Name: "n"}, 1, time.Millisecond)
+		origin.SetCandidates(0, []replication.Candidate{{Name: "a", Machine: "a", IsHealthy: true}})
 		origin.Connected(0, "a")
 		table.Connected(time.Second, "a")
 		switch w := what.(type) {
 		case *replication.Offer:
-			keeper.Offered(time.Second, "a", w)
+			keeper.HandleOffer(time.Second, "a", w)
 		case *replication.Batch:
-			wal.ReadParts(w.Body)
-			keeper.Takes("a", w, 0, 0)
+			wal.DecodeChunks(w.Frames)
+			keeper.AdmitBatch("a", w, 0, 0)
 		default:
-			table.Got(time.Second, "a", w)
-			keeper.Got(time.Second, "a", w)
-			origin.Got(time.Second, "a", w)
+			table.HandleMessage(time.Second, "a", w)
+			keeper.HandleMessage(time.Second, "a", w)
+			origin.HandleMessage(time.Second, "a", w)
 		}
 		table.Tick(2 * time.Second)
 		keeper.Tick(2 * time.Second)
 		origin.Tick(2 * time.Second)
-		origin.Add(2*time.Second, 1, []byte{1}, true)
+		origin.Append(2*time.Second, 1, []byte{1}, true)
 	})
 }
--- a/internal/cluster/peer/settle.go
+++ b/internal/cluster/peer/settle.go
@@ -16,11 +16,11 @@
 
 // settles has entries of machines that are gone settled by the servers' dockets, where the file names any: each stream by
 // the one node that stands first of its holders, and by the next if that one dies.
-func (p *Peers) settles(ctx context.Context) error {
-	if len(p.cfg.Dockets) == 0 {
+func (p *Node) settles(ctx context.Context) error {
+	if len(p.cfg.ExecutionRecords) == 0 {
 		return nil
 	}
-	tick := time.NewTicker(max(p.cfg.GoneAfter.D()/4, time.Second))
+	tick := time.NewTicker(max(p.cfg.ReconcileAfter.Std()/4, time.Second))
 	defer tick.Stop()
 	done := map[replication.Stream]uint64{} // with so many records nothing was left open
 	for {
@@ -32,12 +32,12 @@
 		p.mu.Lock()
 		var mine []replication.Stream
 		for _, s := range p.keeper.Streams() {
-			if p.ready && p.keeper.Adopts(p.now(), s, p.cfg.GoneAfter.D()) && done[s] != p.keeper.Ranges(s).Count() {
+			if p.ready && p.keeper.ShouldReconcile(p.now(), s, p.cfg.ReconcileAfter.Std()) && done[s] != p.keeper.Ranges(s).Count() {
 				mine = append(mine, s)
 			}
 		}
 		p.mu.Unlock()
-		var all map[string]*intent.Dockets // read when the first entry is open
+		var all map[string]*intent.ExecutionRecord // read when the first entry is open
 		for _, s := range mine {
 			open, err := p.open(s)
 			if err != nil {
@@ -45,8 +45,8 @@
 				continue
 			}
 			if len(open) > 0 && all == nil {
-				all = map[string]*intent.Dockets{}
-				for _, from := range p.cfg.Dockets {
+				all = map[string]*intent.ExecutionRecord{}
+				for _, from := range p.cfg.ExecutionRecords {
 					if err := execution.Load(from, all); err != nil {
 						p.log.Warn().Err(err).Str("from", from).Msg("dockets not read")
 					}
@@ -77,20 +77,20 @@
 }
 
 // open are the entries of a stream that may have run, by all that this node has of it and of who settled it before.
-func (p *Peers) open(s replication.Stream) (open []*intent.Entry, err error) {
+func (p *Node) open(s replication.Stream) (open []*intent.Entry, err error) {
 	p.mu.Lock()
-	dirs := []string{p.store.Dir(s)}
-	for _, x := range p.keeper.Settlements(s) {
-		dirs = append(dirs, p.store.Dir(x))
+	dirs := []string{p.store.StreamDir(s)}
+	for _, x := range p.keeper.ReconciliationStreams(s) {
+		dirs = append(dirs, p.store.StreamDir(x))
 	}
 	if s.Name == p.name && p.journal != "" {
 		dirs = append(dirs, p.journal)
 	}
 	p.mu.Unlock()
-	union := intent.NewUnion()
+	union := intent.NewMerger()
 	for _, dir := range dirs {
 		r, err := wal.Scan(p.files, dir, time.Time{}, func(r *intent.Record) error {
-			if int64(r.Run) == s.Up {
+			if int64(r.Incarnation) == s.Incarnation {
 				union.Add(r)
 			}
 			return nil
@@ -98,9 +98,9 @@
 		if err != nil && !errors.Is(err, os.ErrNotExist) {
 			return nil, err
 		}
-		union.Damaged = union.Damaged || r.Corrupt() > 0
+		union.HasDamage = union.HasDamage || r.CorruptCount() > 0
 	}
-	for _, e := range union.Rest() {
+	for _, e := range union.Incomplete() {
 		if e.State() == intent.PossiblySent {
 			open = append(open, e)
 		}
@@ -109,20 +109,20 @@
 }
 
 // settled keeps what settles entries of a stream, in a stream of its own beside it, which is copied like any other.
-func (p *Peers) settled(s replication.Stream, records []intent.Record) error {
+func (p *Node) settled(s replication.Stream, records []intent.Record) error {
 	for len(records) > 0 {
-		part := records[:min(len(records), wal.PartMost)]
+		part := records[:min(len(records), wal.MaxChunkRecords)]
 		records = records[len(part):]
 		p.mu.Lock()
-		mine := p.keeper.Settlement(s)
+		mine := p.keeper.ReconciliationStream(s)
 		first := uint64(1)
 		if have := p.keeper.Ranges(mine); len(have) > 0 {
 			first = have[len(have)-1].To
 		}
 		p.mu.Unlock()
 		now := time.Now().UnixNano()
-		mark := intent.Record{Kind: intent.Numbered, Run: uint64(s.Up), At: now, From: int64(first), N: len(part)}
-		w, err := p.store.Put(mine, append([]intent.Record{mark}, part...))
+		mark := intent.Record{Kind: intent.ChunkHeader, Incarnation: uint64(s.Incarnation), AtUnixNano: now, From: int64(first), Count: len(part)}
+		w, err := p.store.Append(mine, append([]intent.Record{mark}, part...))
 		if err != nil {
 			return err
 		}
@@ -130,7 +130,7 @@
 			return w.Err()
 		}
 		p.mu.Lock()
-		p.keeper.Found(mine, first, first+uint64(len(part)), int64(64*len(part)), now)
+		p.keeper.RecordsStored(mine, first, first+uint64(len(part)), int64(64*len(part)), now)
 		p.mu.Unlock()
 	}
 	return nil
--- a/internal/cluster/replicastore/format_test.go
+++ b/internal/cluster/replicastore/format_test.go
@@ -22,49 +22,49 @@
 // another node has settled of it.
 func storedStreams() map[replication.Stream][][]intent.Record {
 	return map[replication.Stream][][]intent.Record{
-		{Name: "n0", Up: storedRun}: {
+		{Name: "n0", Incarnation: storedRun}: {
 			{
-				{Kind: intent.Numbered, Run: storedRun, At: storedAt, From: 1, N: 2},
-				{Kind: intent.Intent, Run: storedRun, Op: 2, Hop: 1, At: storedAt + 2, ID: "id-2", Tenant: "mill", Type: "hire-pay", Server: "s-17", Repeats: "id-0", Retry: true},
-				{Kind: intent.Ended, Run: storedRun, Op: 2, Hop: 1, At: storedAt + 3, Server: "s-17", How: "answered", Proof: intent.Ran},
+				{Kind: intent.ChunkHeader, Incarnation: storedRun, AtUnixNano: storedAt, From: 1, Count: 2},
+				{Kind: intent.Intent, Incarnation: storedRun, RequestNumber: 2, Attempt: 1, AtUnixNano: storedAt + 2, RequestID: "id-2", Tenant: "mill", Type: "hire-pay", Server: "s-17", RepeatOf: "id-0", IsRetry: true},
+				{Kind: intent.AttemptEnded, Incarnation: storedRun, RequestNumber: 2, Attempt: 1, AtUnixNano: storedAt + 3, Server: "s-17", Outcome: "answered", Proof: intent.Ran},
 			},
 			{
-				{Kind: intent.Numbered, Run: storedRun, At: storedAt + 9, From: 3, N: 1},
-				{Kind: intent.Told, Run: storedRun, Op: 2, At: storedAt + 4, How: "handled", N: 2},
+				{Kind: intent.ChunkHeader, Incarnation: storedRun, AtUnixNano: storedAt + 9, From: 3, Count: 1},
+				{Kind: intent.ClientNotified, Incarnation: storedRun, RequestNumber: 2, AtUnixNano: storedAt + 4, Outcome: "handled", Count: 2},
 			},
 		},
-		{Name: "n0~n1", Up: storedRun}: {
+		{Name: "n0~n1", Incarnation: storedRun}: {
 			{
-				{Kind: intent.Numbered, Run: storedRun, At: storedAt + 20, From: 1, N: 1},
-				{Kind: intent.Settled, Run: storedRun, Op: 5, Hop: 3, At: storedAt + 19, Server: "s-18", Proof: intent.Never},
+				{Kind: intent.ChunkHeader, Incarnation: storedRun, AtUnixNano: storedAt + 20, From: 1, Count: 1},
+				{Kind: intent.Reconciled, Incarnation: storedRun, RequestNumber: 5, Attempt: 3, AtUnixNano: storedAt + 19, Server: "s-18", Proof: intent.NeverRan},
 			},
 		},
 	}
 }
 
 func TestStoredReplicasAreRead(t *testing.T) {
-	s := Open("testdata", wal.OS{}, 1<<20)
+	s := Open("testdata", wal.OSFileSystem{}, 1<<20)
 	defer s.Close()
 	streams, err := s.Streams()
-	if err != nil || !reflect.DeepEqual(streams, []replication.Stream{{Name: "n0", Up: storedRun}, {Name: "n0~n1", Up: storedRun}}) {
+	if err != nil || !reflect.DeepEqual(streams, []replication.Stream{{Name: "n0", Incarnation: storedRun}, {Name: "n0~n1", Incarnation: storedRun}}) {
 		t.Fatalf("%v, %v", streams, err)
 	}
 	for of, want := range storedStreams() {
 		t.Run(of.String(), func(t *testing.T) {
 			var got [][]intent.Record
-			report, err := s.Read(of, func(p wal.Part) error {
-				all, records, err := wal.ReadParts(p.Body)
+			report, err := s.ReadStream(of, func(p wal.Chunk) error {
+				all, records, err := wal.DecodeChunks(p.Frames)
 				if err != nil {
 					return err
 				}
 				first := records[0]
-				if all.Run != p.Run || p.Run != storedRun || p.First != uint64(first.From) || p.N != first.N || p.At != first.At {
+				if all.Incarnation != p.Incarnation || p.Incarnation != storedRun || p.First != uint64(first.From) || p.Count != first.Count || p.AtUnixNano != first.AtUnixNano {
 					t.Errorf("%+v, and its records are %+v", p, all)
 				}
 				got = append(got, records)
 				return nil
 			})
-			if err != nil || len(report.Faults) > 0 || report.Segments != 1 {
+			if err != nil || len(report.Unreadable) > 0 || report.Segments != 1 {
 				t.Fatalf("%+v, %v", report, err)
 			}
 			if !reflect.DeepEqual(got, want) {
@@ -76,10 +76,10 @@
 
 func TestReplicaBytes(t *testing.T) {
 	dir := t.TempDir()
-	s := Open(dir, wal.OS{}, 1<<20)
+	s := Open(dir, wal.OSFileSystem{}, 1<<20)
 	for of, chunks := range storedStreams() {
 		for _, records := range chunks {
-			w, err := s.Put(of, records)
+			w, err := s.Append(of, records)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/cluster/replicastore/holdings.go
+++ b/internal/cluster/replicastore/holdings.go
@@ -26,7 +26,7 @@
 // Store is a folder of replicas.
 type Store struct {
 	dir     string
-	files   wal.Files
+	files   wal.FileSystem
 	segment int64
 
 	mu     sync.Mutex
@@ -42,13 +42,13 @@
 }
 
 // Open is a store in a folder that is there.
-func Open(dir string, files wal.Files, segmentBytes int64) *Store {
+func Open(dir string, files wal.FileSystem, segmentBytes int64) *Store {
 	return &Store{dir: dir, files: files, segment: segmentBytes, open: map[replication.Stream]*stream{}}
 }
 
-// Dir is the folder of one stream.
-func (s *Store) Dir(of replication.Stream) string {
-	return filepath.Join(s.dir, fmt.Sprintf("%s@%d", of.Name, of.Up))
+// StreamDir is the folder of one stream.
+func (s *Store) StreamDir(of replication.Stream) string {
+	return filepath.Join(s.dir, fmt.Sprintf("%s@%d", of.Name, of.Incarnation))
 }
 
 // Streams are those that have a folder.
@@ -57,30 +57,30 @@
 	for _, e := range entries {
 		name, up, ok := strings.Cut(e.Name(), "@")
 		n, bad := strconv.ParseInt(up, 10, 64)
-		if of := (replication.Stream{Name: name, Up: n}); ok && bad == nil && e.IsDir() && s.Dir(of) == filepath.Join(s.dir, e.Name()) {
+		if of := (replication.Stream{Name: name, Incarnation: n}); ok && bad == nil && e.IsDir() && s.StreamDir(of) == filepath.Join(s.dir, e.Name()) {
 			all = append(all, of)
 		}
 	}
 	return all, err
 }
 
-// Read reads the whole parts of a stream, with what they take on disk.
-func (s *Store) Read(of replication.Stream, each func(wal.Part) error) (wal.Report, error) {
-	return ReadDir(s.files, s.Dir(of), 0, each)
+// ReadStream reads the whole parts of a stream, with what they take on disk.
+func (s *Store) ReadStream(of replication.Stream, each func(wal.Chunk) error) (wal.ScanReport, error) {
+	return ReadDir(s.files, s.StreamDir(of), 0, each)
 }
 
 // errOther ends the reading of a segment of another life.
 var errOther = errors.New("a segment of another life")
 
 // ReadDir reads the whole parts in a folder of segments, of one life or, with 0, of all. A segment is one life's.
-func ReadDir(files wal.Files, dir string, run uint64, each func(wal.Part) error) (all wal.Report, err error) {
-	segments, err := wal.Segments(files, dir)
+func ReadDir(files wal.FileSystem, dir string, run uint64, each func(wal.Chunk) error) (all wal.ScanReport, err error) {
+	segments, err := wal.ListSegments(files, dir)
 	if err != nil {
 		return all, err
 	}
 	for _, segment := range segments {
-		r, err := wal.Parts(files, segment, func(p wal.Part) error {
-			if run != 0 && p.Run != run {
+		r, err := wal.ScanChunks(files, segment, func(p wal.Chunk) error {
+			if run != 0 && p.Incarnation != run {
 				return errOther
 			}
 			return each(p)
@@ -88,7 +88,7 @@
 		if errors.Is(err, errOther) {
 			continue
 		}
-		all.Segments, all.Records, all.Bytes, all.Faults = all.Segments+1, all.Records+r.Records, all.Bytes+r.Bytes, append(all.Faults, r.Faults...)
+		all.Segments, all.Records, all.Bytes, all.Unreadable = all.Segments+1, all.Records+r.Records, all.Bytes+r.Bytes, append(all.Unreadable, r.Unreadable...)
 		if err != nil && !errors.Is(err, os.ErrNotExist) { // one that was removed meanwhile is none
 			return all, err
 		}
@@ -96,8 +96,8 @@
 	return all, nil
 }
 
-// Put has records last; they are to be waited for.
-func (s *Store) Put(of replication.Stream, records []intent.Record) (*wal.Wait, error) {
+// Append has records last; they are to be waited for.
+func (s *Store) Append(of replication.Stream, records []intent.Record) (*wal.Commit, error) {
 	s.mu.Lock()
 	if s.closed {
 		s.mu.Unlock()
@@ -124,7 +124,7 @@
 		return nil, x.err
 	}
 	w, err := x.log.Append(true, records...)
-	for by := time.Now().Add(fullFor); errors.Is(err, wal.ErrFull) && time.Now().Before(by); {
+	for by := time.Now().Add(fullFor); errors.Is(err, wal.ErrQueueFull) && time.Now().Before(by); {
 		time.Sleep(fullAgain) // who sends more than the disk takes waits with it
 		w, err = x.log.Append(true, records...)
 	}
@@ -132,18 +132,18 @@
 }
 
 func (s *Store) begin(of replication.Stream) (*wal.Log, error) {
-	if err := os.Mkdir(s.Dir(of), 0o700); err == nil {
+	if err := os.Mkdir(s.StreamDir(of), 0o700); err == nil {
 		if err := s.files.SyncDir(s.dir); err != nil {
 			return nil, err
 		}
 	} else if !errors.Is(err, os.ErrExist) {
 		return nil, err
 	}
-	return wal.Open(wal.Options{Dir: s.Dir(of), Files: s.files, Machine: true, SegmentBytes: s.segment, Run: uint64(of.Up), NoGaps: true})
+	return wal.Open(wal.Options{Dir: s.StreamDir(of), FileSystem: s.files, Fsync: true, MaxSegmentBytes: s.segment, Incarnation: uint64(of.Incarnation), OmitGaps: true})
 }
 
-// Idle closes streams that got nothing for a while; what comes later begins a segment.
-func (s *Store) Idle() {
+// CloseIdle closes streams that got nothing for a while; what comes later begins a segment.
+func (s *Store) CloseIdle() {
 	s.end(time.Now().Add(-idleFor), func(replication.Stream) bool { return true })
 }
 
@@ -179,19 +179,19 @@
 // Remove removes a stream.
 func (s *Store) Remove(of replication.Stream) error {
 	s.end(time.Now(), func(o replication.Stream) bool { return o == of })
-	return os.RemoveAll(s.Dir(of))
+	return os.RemoveAll(s.StreamDir(of))
 }
 
-// Trim removes segments that hold nothing from a record on.
-func (s *Store) Trim(of replication.Stream, from uint64) error {
-	segments, err := wal.Segments(s.files, s.Dir(of))
+// TrimBefore removes segments that hold nothing from a record on.
+func (s *Store) TrimBefore(of replication.Stream, from uint64) error {
+	segments, err := wal.ListSegments(s.files, s.StreamDir(of))
 	if err != nil || len(segments) < 2 {
 		return err
 	}
 	for _, segment := range segments[:len(segments)-1] { // the last may be written to
 		needed := false
-		if _, err := wal.Parts(s.files, segment, func(p wal.Part) error {
-			needed = needed || p.First+uint64(p.N) > from
+		if _, err := wal.ScanChunks(s.files, segment, func(p wal.Chunk) error {
+			needed = needed || p.First+uint64(p.Count) > from
 			return nil
 		}); err != nil {
 			return err
--- a/internal/cluster/replicastore/holdings_test.go
+++ b/internal/cluster/replicastore/holdings_test.go
@@ -17,16 +17,16 @@
 	dir := t.TempDir()
 	slow := memdisk.Slowed{Takes: func() time.Duration { return 30 * time.Millisecond }, Full: func() bool { return false }}
 	s := Open(dir, slow, 1<<20)
-	of := replication.Stream{Name: "n0", Up: 7}
+	of := replication.Stream{Name: "n0", Incarnation: 7}
 	next := uint64(1)
-	var waits []*wal.Wait
+	var waits []*wal.Commit
 	for range 40 {
-		part := []intent.Record{{Kind: intent.Numbered, Run: 7, From: int64(next), N: 999}}
+		part := []intent.Record{{Kind: intent.ChunkHeader, Incarnation: 7, From: int64(next), Count: 999}}
 		for range 999 {
-			part = append(part, intent.Record{Kind: intent.Intent, Run: 7, Op: next, ID: "x", Server: "s"})
+			part = append(part, intent.Record{Kind: intent.Intent, Incarnation: 7, RequestNumber: next, RequestID: "x", Server: "s"})
 			next++
 		}
-		w, err := s.Put(of, part)
+		w, err := s.Append(of, part)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,18 +38,18 @@
 		}
 	}
 	s.Close()
-	if _, err := s.Put(of, nil); !errors.Is(err, wal.ErrClosed) {
+	if _, err := s.Append(of, nil); !errors.Is(err, wal.ErrClosed) {
 		t.Errorf("after the end: %v", err)
 	}
 	var found replication.Ranges
-	if _, err := s.Read(of, func(p wal.Part) error {
-		found = found.With(p.First, p.First+uint64(p.N))
+	if _, err := s.ReadStream(of, func(p wal.Chunk) error {
+		found = found.With(p.First, p.First+uint64(p.Count))
 		return nil
-	}); err != nil || !found.Has(1, next) {
+	}); err != nil || !found.Contains(1, next) {
 		t.Errorf("%v of %d stand, %v", found, next-1, err)
 	}
 	gaps := 0
-	wal.Scan(wal.OS{}, s.Dir(of), time.Time{}, func(r *intent.Record) error {
+	wal.Scan(wal.OSFileSystem{}, s.StreamDir(of), time.Time{}, func(r *intent.Record) error {
 		if r.Kind == intent.Gap {
 			gaps++
 		}
@@ -58,10 +58,10 @@
 	if streams, err := s.Streams(); gaps > 0 || err != nil || len(streams) != 1 || streams[0] != of {
 		t.Errorf("%d gaps, streams %v, %v", gaps, streams, err)
 	}
-	if err := s.Trim(of, next); err != nil {
+	if err := s.TrimBefore(of, next); err != nil {
 		t.Fatal(err)
 	}
-	if segments, _ := wal.Segments(slow, s.Dir(of)); len(segments) != 1 {
+	if segments, _ := wal.ListSegments(slow, s.StreamDir(of)); len(segments) != 1 {
 		t.Errorf("%d segments are left of what is no longer needed", len(segments))
 	}
 	if err := s.Remove(of); err != nil {
--- a/internal/cluster/replication/candidate.go
+++ b/internal/cluster/replication/candidate.go
@@ -12,10 +12,10 @@
 
 // Candidate is a node that may hold a replica.
 type Candidate struct {
-	Name    string
-	Site    string
-	Machine string
-	Well    bool // it can be counted on now
+	Name      string
+	Site      string
+	Machine   string
+	IsHealthy bool // it can be counted on now
 }
 
 // rank orders candidates for a stream, alike at all nodes (rendezvous): a node more or less moves only what it holds itself.
@@ -46,7 +46,7 @@
 	}
 	take := func(fits func(Candidate) bool) {
 		for _, p := range ranked {
-			if len(chosen) < n && p.Well && !machines[p.Machine] && fits(p) {
+			if len(chosen) < n && p.IsHealthy && !machines[p.Machine] && fits(p) {
 				machines[p.Machine], sites[p.Site] = true, true
 				chosen = append(chosen, p)
 			}
--- a/internal/cluster/replication/choose.go
+++ b/internal/cluster/replication/choose.go
@@ -7,14 +7,14 @@
 )
 
 // SetCandidates tells which nodes there are, without this one.
-func (o *Origin) SetCandidates(now time.Duration, candidates []Candidate) []Out {
+func (o *Origin) SetCandidates(now time.Duration, candidates []Candidate) []Outgoing {
 	o.candidates = rank(o.stream.Name, candidates)
 	return o.choose(now, nil)
 }
 
 // choose sees to it that enough holders are called: first of those that nothing speaks against, then, where these are too
 // few, of all that do not refuse.
-func (o *Origin) choose(now time.Duration, out []Out) []Out {
+func (o *Origin) choose(now time.Duration, out []Outgoing) []Outgoing {
 	kept := map[string]bool{}
 	fits := func(strict bool) []Candidate {
 		usable := slices.Clone(o.candidates)
@@ -24,9 +24,9 @@
 			kept[usable[i].Name] = h != nil && h.state <= level
 			switch {
 			case h != nil && h.state == refused:
-				usable[i].Well = usable[i].Well && !lately
+				usable[i].IsHealthy = usable[i].IsHealthy && !lately
 			case strict:
-				usable[i].Well = usable[i].Well && !lately && (h == nil || h.state != late)
+				usable[i].IsHealthy = usable[i].IsHealthy && !lately && (h == nil || h.state != late)
 			}
 		}
 		return usable
@@ -58,7 +58,7 @@
 func (o *Origin) release(now time.Duration, wanted map[string]bool) {
 	whole := 0
 	for name := range wanted {
-		if h := o.holders[name]; h.state == level && h.acked >= o.kept && len(o.Lacks(name)) == 0 {
+		if h := o.holders[name]; h.state == level && h.acked >= o.kept && len(o.MissingAt(name)) == 0 {
 			whole++
 		}
 	}
@@ -87,7 +87,7 @@
 }
 
 // moves leads a holder on by an event.
-func (o *Origin) moves(now time.Duration, h *holder, e event, out []Out) []Out {
+func (o *Origin) moves(now time.Duration, h *holder, e event, out []Outgoing) []Outgoing {
 	move := transitions[h.state][e]
 	if move.next != h.state {
 		h.state, h.since = move.next, now
@@ -95,9 +95,9 @@
 	switch move.do {
 	case offer:
 		h.offered = now
-		out = append(out, Out{h.candidate.Name, &Offer{Stream: o.stream, Origin: true, Ranges: o.ranges}})
+		out = append(out, Outgoing{h.candidate.Name, &Offer{Stream: o.stream, FromOrigin: true, Ranges: o.ranges}})
 	case send:
-		h.acked = h.ranges.After(max(o.base, o.kept))
+		h.acked = h.ranges.EndOfRange(max(o.base, o.kept))
 		h.next = max(o.base, o.kept)
 		clear(h.out)
 		out = o.feed(h, out)
@@ -111,7 +111,7 @@
 }
 
 // Connected tells that a connection to a node stands.
-func (o *Origin) Connected(now time.Duration, name string) []Out {
+func (o *Origin) Connected(now time.Duration, name string) []Outgoing {
 	if h := o.holders[name]; h != nil && !h.connected {
 		h.connected = true
 		return o.moves(now, h, connected, nil)
@@ -120,7 +120,7 @@
 }
 
 // Disconnected tells that none does any more.
-func (o *Origin) Disconnected(now time.Duration, name string) []Out {
+func (o *Origin) Disconnected(now time.Duration, name string) []Outgoing {
 	if h := o.holders[name]; h != nil && h.connected {
 		h.connected = false
 		return o.moves(now, h, disconnected, nil)
@@ -128,10 +128,10 @@
 	return nil
 }
 
-func (o *Origin) turned(now time.Duration, h *holder, why string) []Out {
+func (o *Origin) turned(now time.Duration, h *holder, why string) []Outgoing {
 	h.refusal = why
-	if why == LaterLife {
-		o.Later = true
+	if why == ReasonLaterIncarnation {
+		o.SawLaterIncarnation = true
 	}
 	return o.moves(now, h, turned, nil)
 }
@@ -146,5 +146,5 @@
 	return true
 }
 
-// Wanted are the nodes to which a connection is to be kept.
-func (o *Origin) Wanted() []string { return slices.Sorted(maps.Keys(o.holders)) }
+// WantedConnections are the nodes to which a connection is to be kept.
+func (o *Origin) WantedConnections() []string { return slices.Sorted(maps.Keys(o.holders)) }
--- a/internal/cluster/replication/copies.go
+++ b/internal/cluster/replication/copies.go
@@ -9,14 +9,14 @@
 
 // desired are the nodes that should hold a stream whose life is gone: a later life of its node, and as many others as make
 // enough, in order.
-func (k *Keeper) desired(s Stream, h *held) []Candidate {
+func (k *ReplicaTable) desired(s Stream, h *held) []Candidate {
 	if h.by == k.looks && h.wanted != nil {
 		return h.wanted
 	}
 	all := append(slices.Clone(k.candidates), k.self)
 	for i := range all {
 		t := h.targets[all[i].Name]
-		all[i].Well = t == nil || t.refused == 0
+		all[i].IsHealthy = t == nil || t.refused == 0
 	}
 	ranked := rank(s.Name, all)
 	name, _, _ := strings.Cut(s.Name, settledBy)
@@ -28,12 +28,12 @@
 	return h.wanted
 }
 
-// Wanted are the nodes to which a connection is needed for streams without a life.
-func (k *Keeper) Wanted() []string {
+// WantedConnections are the nodes to which a connection is needed for streams without a life.
+func (k *ReplicaTable) WantedConnections() []string {
 	wanted := map[string]bool{}
 	for s, h := range k.streams {
 		for name, t := range h.targets {
-			if h.orphan >= 0 && t.refused == 0 && (!t.answers || len(k.Lacks(s, name)) > 0) {
+			if h.orphan >= 0 && t.refused == 0 && (!t.answers || len(k.MissingAt(s, name)) > 0) {
 				wanted[name] = true
 			}
 		}
@@ -41,8 +41,8 @@
 	return slices.Sorted(maps.Keys(wanted))
 }
 
-// Lacks is what is held here of a stream and not at a node that should hold it.
-func (k *Keeper) Lacks(s Stream, name string) Ranges {
+// MissingAt is what is held here of a stream and not at a node that should hold it.
+func (k *ReplicaTable) MissingAt(s Stream, name string) Ranges {
 	h := k.streams[s]
 	if h == nil {
 		return nil
@@ -60,18 +60,18 @@
 	return h.ranges.Without(t.ranges)
 }
 
-// Job is a stream to be copied to a node.
-type Job struct {
+// CopyJob is a stream to be copied to a node.
+type CopyJob struct {
 	Stream
 	To string
 }
 
-// Jobs are those that are this node's to do now: the holders of a stream begin one after the other.
-func (k *Keeper) Jobs(now time.Duration) (jobs []Job) {
+// CopyJobs are those that are this node's to do now: the holders of a stream begin one after the other.
+func (k *ReplicaTable) CopyJobs(now time.Duration) (jobs []CopyJob) {
 	for _, s := range k.Streams() {
 		h := k.streams[s]
-		if h.orphan < 0 && len(k.Lacks(s, s.Name)) > 0 {
-			jobs = append(jobs, Job{s, s.Name})
+		if h.orphan < 0 && len(k.MissingAt(s, s.Name)) > 0 {
+			jobs = append(jobs, CopyJob{s, s.Name})
 		}
 		if h.orphan < 0 || now-h.orphan < orphanFor {
 			continue
@@ -87,19 +87,19 @@
 			continue
 		}
 		for _, name := range slices.Sorted(maps.Keys(h.targets)) {
-			if len(k.Lacks(s, name)) > 0 {
-				jobs = append(jobs, Job{s, name})
+			if len(k.MissingAt(s, name)) > 0 {
+				jobs = append(jobs, CopyJob{s, name})
 			}
 		}
 	}
 	return jobs
 }
 
-// Adopts tells whether a stream without a life is this node's to settle: it stands first of those that should hold it, and
+// ShouldReconcile tells whether a stream without a life is this node's to settle: it stands first of those that should hold it, and
 // lacks nothing that another was seen to have.
-func (k *Keeper) Adopts(now time.Duration, s Stream, after time.Duration) bool {
+func (k *ReplicaTable) ShouldReconcile(now time.Duration, s Stream, after time.Duration) bool {
 	h := k.streams[s]
-	if h == nil || h.orphan < 0 || now-h.orphan < max(after, orphanFor) || s.Settles() {
+	if h == nil || h.orphan < 0 || now-h.orphan < max(after, orphanFor) || s.IsReconciliation() {
 		return false
 	}
 	for _, t := range h.targets {
--- a/internal/cluster/replication/holders.go
+++ b/internal/cluster/replication/holders.go
@@ -71,11 +71,11 @@
 type Holder struct {
 	_ struct{} `cbor:",toarray"`
 
-	Name    string
-	Stand   string
-	Refusal string
-	Acked   uint64
-	Lacks   uint64 // records that are still to be copied to it from disk
+	Name           string
+	State          string `json:"Stand"`
+	RejectReason   string `json:"Refusal"`
+	Acked          uint64
+	MissingRecords uint64 `json:"Lacks"` // records that are still to be copied to it from disk
 }
 
 var stateNames = [states]string{"called", "offered", "level", "late", "refused"}
@@ -84,7 +84,7 @@
 func (o *Origin) Holders() (all []Holder) {
 	for _, name := range slices.Sorted(maps.Keys(o.holders)) {
 		h := o.holders[name]
-		all = append(all, Holder{Name: name, Stand: stateNames[h.state], Refusal: h.refusal, Acked: h.acked, Lacks: o.ranges.Without(h.ranges).Without(Ranges{{From: o.base, To: max(o.next, o.base)}}).Count()})
+		all = append(all, Holder{Name: name, State: stateNames[h.state], RejectReason: h.refusal, Acked: h.acked, MissingRecords: o.ranges.Without(h.ranges).Without(Ranges{{From: o.base, To: max(o.next, o.base)}}).Count()})
 	}
 	return all
 }
--- a/internal/cluster/replication/keeper.go
+++ b/internal/cluster/replication/keeper.go
@@ -13,11 +13,11 @@
 	streamsMost = 4096             // that a node holds
 )
 
-// Incarnation is what is known of a node that may have streams.
-type Incarnation struct {
+// Node is what is known of a node that may have streams.
+type Node struct {
 	Candidate
-	Up    int64
-	Lives bool
+	Incarnation int64
+	IsLive      bool
 }
 
 // target is one that should hold a stream whose life is gone.
@@ -43,12 +43,12 @@
 	by      int             // the look at the candidates by which they were found
 }
 
-// Keeper is what a node holds of others' streams, and of earlier lives of its own.
-type Keeper struct {
+// ReplicaTable is what a node holds of others' streams, and of earlier lives of its own.
+type ReplicaTable struct {
 	self       Candidate
 	need       int
 	streams    map[Stream]*held
-	lives      map[string]Incarnation
+	lives      map[string]Node
 	later      map[string]int64 // the latest life of a name that was heard of
 	candidates []Candidate
 	looks      int // at the candidates: each change of them, and of refusals, is one
@@ -58,13 +58,13 @@
 	at         time.Duration // of the last look at streams
 }
 
-// NewKeeper holds nothing. need is how many machines beside the origin's hold each stream.
-func NewKeeper(self Candidate, need int, bytesMost int64, keepFor time.Duration) *Keeper {
-	return &Keeper{self: self, need: need, streams: map[Stream]*held{}, lives: map[string]Incarnation{}, later: map[string]int64{}, most: bytesMost, keepFor: keepFor}
+// NewReplicaTable holds nothing. need is how many machines beside the origin's hold each stream.
+func NewReplicaTable(self Candidate, need int, bytesMost int64, keepFor time.Duration) *ReplicaTable {
+	return &ReplicaTable{self: self, need: need, streams: map[Stream]*held{}, lives: map[string]Node{}, later: map[string]int64{}, most: bytesMost, keepFor: keepFor}
 }
 
-// Found tells what of a stream lasts on this node's disk.
-func (k *Keeper) Found(s Stream, from, to uint64, bytes, last int64) {
+// RecordsStored tells what of a stream lasts on this node's disk.
+func (k *ReplicaTable) RecordsStored(s Stream, from, to uint64, bytes, last int64) {
 	h := k.stream(s)
 	h.ranges = h.ranges.With(from, to)
 	if h.reading {
@@ -75,7 +75,7 @@
 	k.bytes += bytes
 }
 
-func (k *Keeper) stream(s Stream) *held {
+func (k *ReplicaTable) stream(s Stream) *held {
 	h := k.streams[s]
 	if h == nil {
 		h = &held{orphan: -1, targets: map[string]*target{}, others: map[string]bool{}}
@@ -85,15 +85,15 @@
 	return h
 }
 
-// Read begins a reading of a stream from disk; what comes meanwhile counts to it.
-func (k *Keeper) Read(s Stream) {
+// BeginVerification begins a reading of a stream from disk; what comes meanwhile counts to it.
+func (k *ReplicaTable) BeginVerification(s Stream) {
 	if h := k.streams[s]; h != nil {
 		h.reading, h.again = true, nil
 	}
 }
 
-// Reread ends it with what was found whole, and returns who is to be told where that is less than was thought.
-func (k *Keeper) Reread(s Stream, found Ranges) (out []Out) {
+// EndVerification ends it with what was found whole, and returns who is to be told where that is less than was thought.
+func (k *ReplicaTable) EndVerification(s Stream, found Ranges) (out []Outgoing) {
 	h := k.streams[s]
 	if h == nil || !h.reading {
 		return nil
@@ -108,29 +108,29 @@
 		names[s.Name] = true
 		for _, name := range slices.Sorted(maps.Keys(names)) {
 			if name != k.self.Name {
-				out = append(out, Out{name, &Have{Stream: s, Ranges: h.ranges}})
+				out = append(out, Outgoing{name, &Inventory{Stream: s, Ranges: h.ranges}})
 			}
 		}
 	}
 	return out
 }
 
-// Gone tells that a stream is no longer on this node's disk.
-func (k *Keeper) Gone(s Stream) {
+// StreamRemoved tells that a stream is no longer on this node's disk.
+func (k *ReplicaTable) StreamRemoved(s Stream) {
 	if h := k.streams[s]; h != nil {
 		k.bytes -= h.bytes
 		delete(k.streams, s)
 	}
 }
 
-// SetIncarnations tells which nodes there are. The keeper's own life counts as well: streams of its earlier ones are orphans.
-func (k *Keeper) SetIncarnations(now time.Duration, lives []Incarnation) {
+// SetNodes tells which nodes there are. The keeper's own life counts as well: streams of its earlier ones are orphans.
+func (k *ReplicaTable) SetNodes(now time.Duration, lives []Node) {
 	k.candidates = k.candidates[:0]
 	k.looks++
 	for _, l := range lives {
 		k.lives[l.Name] = l
-		k.later[l.Name] = max(k.later[l.Name], l.Up)
-		if l.Lives {
+		k.later[l.Name] = max(k.later[l.Name], l.Incarnation)
+		if l.IsLive {
 			k.candidates = append(k.candidates, l.Candidate)
 		}
 	}
@@ -140,13 +140,13 @@
 }
 
 // bury notes whether the life of a stream is gone.
-func (k *Keeper) bury(s Stream, h *held, now time.Duration) {
-	if s.Settles() { // it is nobody's running life's
+func (k *ReplicaTable) bury(s Stream, h *held, now time.Duration) {
+	if s.IsReconciliation() { // it is nobody's running life's
 		h.orphan = max(h.orphan, 0)
 		return
 	}
 	l, known := k.lives[s.Name]
-	switch lives := known && l.Lives && l.Up <= s.Up; {
+	switch lives := known && l.IsLive && l.Incarnation <= s.Incarnation; {
 	case lives:
 		h.orphan = -1
 	case h.orphan < 0 && (known || now > orphanFor): // of one that nobody has named yet nothing is known right after the start
@@ -155,11 +155,11 @@
 }
 
 // reason is why records of a stream are not taken; "" where they are.
-func (k *Keeper) reason(s Stream, origin bool) string {
+func (k *ReplicaTable) reason(s Stream, origin bool) string {
 	_, known := k.streams[s]
 	switch {
-	case origin && s.Up < k.later[s.Name]:
-		return LaterLife
+	case origin && s.Incarnation < k.later[s.Name]:
+		return ReasonLaterIncarnation
 	case k.bytes >= k.most || !known && k.bytes >= k.most/10*9:
 		return "no room is left"
 	case !known && len(k.streams) >= streamsMost:
@@ -168,56 +168,56 @@
 	return ""
 }
 
-// Offered answers one who tells what it has of a stream.
-func (k *Keeper) Offered(now time.Duration, from string, o *Offer) []Out {
+// HandleOffer answers one who tells what it has of a stream.
+func (k *ReplicaTable) HandleOffer(now time.Duration, from string, o *Offer) []Outgoing {
 	if o.Name == "" || !o.Ranges.sound() {
 		return nil
 	}
-	if o.Origin {
-		k.later[o.Name] = max(k.later[o.Name], o.Up)
+	if o.FromOrigin {
+		k.later[o.Name] = max(k.later[o.Name], o.Incarnation)
 	}
 	h := k.streams[o.Stream]
-	if h != nil && !o.Origin {
+	if h != nil && !o.FromOrigin {
 		h.others[from] = true
 	}
-	answer := &Have{Stream: o.Stream, Refused: k.reason(o.Stream, o.Origin)}
+	answer := &Inventory{Stream: o.Stream, RejectReason: k.reason(o.Stream, o.FromOrigin)}
 	if h != nil {
 		answer.Ranges = h.ranges
-		if o.Origin && len(o.Ranges) > 0 && answer.Refused == "" { // what its life lets go of is let go of here
+		if o.FromOrigin && len(o.Ranges) > 0 && answer.RejectReason == "" { // what its life lets go of is let go of here
 			h.ranges = h.ranges.Without(Ranges{{From: 0, To: o.Ranges[0].From}})
 			h.returns = Ranges{{From: o.Ranges[0].From, To: o.Ranges[len(o.Ranges)-1].To}}.Without(o.Ranges)
 		}
 	}
-	return []Out{{from, answer}}
+	return []Outgoing{{from, answer}}
 }
 
-// Takes tells whether records are to be written; if not, it answers. at is when the last of them was, Unix time in ns, and
+// AdmitBatch tells whether records are to be written; if not, it answers. at is when the last of them was, Unix time in ns, and
 // clock the time now.
-func (k *Keeper) Takes(from string, b *Batch, at, clock int64) (ok bool, out []Out) {
-	why := k.reason(b.Stream, b.Origin)
+func (k *ReplicaTable) AdmitBatch(from string, b *Batch, at, clock int64) (ok bool, out []Outgoing) {
+	why := k.reason(b.Stream, b.FromOrigin)
 	if why == "" && k.keepFor > 0 && clock-at > int64(k.keepFor) {
 		why = "older than what is kept"
 	}
 	if why != "" {
-		return false, []Out{{from, &Ack{Stream: b.Stream, First: b.First, N: b.N, Refused: why}}}
+		return false, []Outgoing{{from, &Ack{Stream: b.Stream, First: b.First, Count: b.Count, RejectReason: why}}}
 	}
-	if h := k.streams[b.Stream]; h != nil && h.ranges.Has(b.First, b.First+uint64(b.N)) {
-		return false, []Out{{from, &Ack{Stream: b.Stream, First: b.First, N: b.N}}}
+	if h := k.streams[b.Stream]; h != nil && h.ranges.Contains(b.First, b.First+uint64(b.Count)) {
+		return false, []Outgoing{{from, &Ack{Stream: b.Stream, First: b.First, Count: b.Count}}}
 	}
 	return true, nil
 }
 
-// Got takes in what another says of a stream that is offered to it.
-func (k *Keeper) Got(now time.Duration, from string, what any) {
+// HandleMessage takes in what another says of a stream that is offered to it.
+func (k *ReplicaTable) HandleMessage(now time.Duration, from string, what any) {
 	switch w := what.(type) {
-	case *Have:
+	case *Inventory:
 		h := k.streams[w.Stream]
 		if h == nil || h.targets[from] == nil || !w.Ranges.sound() {
 			return
 		}
 		t := h.targets[from]
 		t.answers, t.ranges, t.refused = true, w.Ranges, 0 // also unasked, of one that has found a part damaged
-		if w.Refused != "" {
+		if w.RejectReason != "" {
 			t.refused = max(now, 1)
 			k.looks++
 		}
@@ -225,23 +225,23 @@
 			h.others[from] = true
 		}
 	case *Ack:
-		if h := k.streams[w.Stream]; h != nil && h.targets[from] != nil && w.N > 0 {
+		if h := k.streams[w.Stream]; h != nil && h.targets[from] != nil && w.Count > 0 {
 			t := h.targets[from]
-			if w.Refused != "" {
+			if w.RejectReason != "" {
 				t.refused = max(now, 1)
 				k.looks++
 				return
 			}
-			t.ranges = t.ranges.With(w.First, w.First+uint64(w.N))
+			t.ranges = t.ranges.With(w.First, w.First+uint64(w.Count))
 			h.others[from] = true
-		} else if h != nil && from == w.Name && w.N > 0 {
-			h.returns = h.returns.Without(Ranges{{From: w.First, To: w.First + uint64(w.N)}})
+		} else if h != nil && from == w.Name && w.Count > 0 {
+			h.returns = h.returns.Without(Ranges{{From: w.First, To: w.First + uint64(w.Count)}})
 		}
 	}
 }
 
 // Tick has streams without a life offered where they should be.
-func (k *Keeper) Tick(now time.Duration) (out []Out) {
+func (k *ReplicaTable) Tick(now time.Duration) (out []Outgoing) {
 	if now-k.at < time.Second {
 		return nil
 	}
@@ -257,7 +257,7 @@
 				continue
 			}
 			wanted[p.Name] = true
-			t, up := h.targets[p.Name], k.lives[p.Name].Up
+			t, up := h.targets[p.Name], k.lives[p.Name].Incarnation
 			if t == nil || t.up != up {
 				t = &target{up: up}
 				h.targets[p.Name] = t
@@ -265,7 +265,7 @@
 			whole := t.answers && len(h.ranges.Without(t.ranges)) == 0
 			if t.asked == 0 || !t.answers && now-t.asked > offerAgain || !whole && now-t.asked > settleFor || now-t.asked > offerEvery {
 				t.asked = max(now, 1)
-				out = append(out, Out{p.Name, &Offer{Stream: s, Ranges: h.ranges}})
+				out = append(out, Outgoing{p.Name, &Offer{Stream: s, Ranges: h.ranges}})
 			}
 		}
 		for name, t := range h.targets {
--- a/internal/cluster/replication/messages.go
+++ b/internal/cluster/replication/messages.go
@@ -8,11 +8,11 @@
 type Stream struct {
 	_ struct{} `cbor:",toarray"`
 
-	Name string
-	Up   int64 // Unix time in ns of the life's start
+	Name        string
+	Incarnation int64 `json:"Up"` // Unix time in ns of the life's start
 }
 
-func (s Stream) String() string { return fmt.Sprintf("%s@%d", s.Name, s.Up) }
+func (s Stream) String() string { return fmt.Sprintf("%s@%d", s.Name, s.Incarnation) }
 
 // What nodes tell each other of streams.
 type (
@@ -20,31 +20,31 @@
 	Offer struct {
 		_ struct{} `cbor:",toarray"`
 		Stream
-		Origin bool // the sender is the life whose stream it is
-		Ranges Ranges
+		FromOrigin bool // the sender is the life whose stream it is
+		Ranges     Ranges
 	}
-	// Have answers it. With a reason for a refusal nothing is taken.
-	Have struct {
+	// Inventory answers it. With a reason for a refusal nothing is taken.
+	Inventory struct {
 		_ struct{} `cbor:",toarray"`
 		Stream
-		Ranges  Ranges
-		Refused string
+		Ranges       Ranges
+		RejectReason string
 	}
 	// Batch are records one behind the other, in frames as they stand on disk, with their sums.
 	Batch struct {
 		_ struct{} `cbor:",toarray"`
 		Stream
-		First  uint64
-		N      int
-		Origin bool
-		Body   []byte
+		First      uint64
+		Count      int
+		FromOrigin bool
+		Frames     []byte
 	}
 	// Ack tells that they last, or why they do not.
 	Ack struct {
 		_ struct{} `cbor:",toarray"`
 		Stream
-		First   uint64
-		N       int
-		Refused string
+		First        uint64
+		Count        int
+		RejectReason string
 	}
 )
--- a/internal/cluster/replication/ranges.go
+++ b/internal/cluster/replication/ranges.go
@@ -54,8 +54,8 @@
 	return rest
 }
 
-// Has tells whether all of a run is in the ranges.
-func (r Ranges) Has(from, to uint64) bool {
+// Contains tells whether all of a run is in the ranges.
+func (r Ranges) Contains(from, to uint64) bool {
 	for _, x := range r {
 		if x.From <= from && to <= x.To {
 			return true
@@ -64,8 +64,8 @@
 	return from >= to
 }
 
-// After is the end of the run that holds a record, or the record itself where none does.
-func (r Ranges) After(from uint64) uint64 {
+// EndOfRange is the end of the run that holds a record, or the record itself where none does.
+func (r Ranges) EndOfRange(from uint64) uint64 {
 	for _, x := range r {
 		if x.From <= from && from < x.To {
 			return x.To
