--- a/internal/cluster/replication/replicas.go
+++ b/internal/cluster/replication/replicas.go
@@ -28,10 +28,10 @@
 	waitingMost = 64               // batches on their way to one holder; more wait here
 )
 
-// Out is something to send.
-type Out = struct {
-	To   string
-	What any
+// Outgoing is something to send.
+type Outgoing = struct {
+	To      string
+	Message any
 }
 
 type waiting struct {
@@ -59,7 +59,7 @@
 	bad        map[string]time.Duration // when a holder was last late, lost or refusing
 	short      time.Duration            // since when too few holders are sent what comes; -1: there are enough
 	// Later is set when a holder knows of a later life of this name.
-	Later bool
+	SawLaterIncarnation bool
 }
 
 // NewOrigin begins a stream. need is how many other machines have to hold a record until it is kept.
@@ -70,20 +70,20 @@
 // Stream that it is.
 func (o *Origin) Stream() Stream { return o.stream }
 
-// Kept is the record up to and without which all are held by enough.
-func (o *Origin) Kept() uint64 { return o.kept }
+// Committed is the record up to and without which all are held by enough.
+func (o *Origin) Committed() uint64 { return o.kept }
 
-// Base is the first record that is still waited for: what is older and not kept waits on disk for a holder.
-func (o *Origin) Base() uint64 { return o.base }
+// FirstQueued is the first record that is still waited for: what is older and not kept waits on disk for a holder.
+func (o *Origin) FirstQueued() uint64 { return o.base }
 
-// Next is the number that the next record gets.
-func (o *Origin) Next() uint64 { return o.next }
+// NextNumber is the number that the next record gets.
+func (o *Origin) NextNumber() uint64 { return o.next }
 
-// Waits are the records that are not kept.
-func (o *Origin) Waits() int { return int(o.next - max(o.kept, o.base)) }
+// UncommittedCount are the records that are not kept.
+func (o *Origin) UncommittedCount() int { return int(o.next - max(o.kept, o.base)) }
 
-// Stalled tells for how long the oldest record has waited to be kept, or for how long there have been too few holders.
-func (o *Origin) Stalled(now time.Duration) (stalled time.Duration) {
+// StalledFor tells for how long the oldest record has waited to be kept, or for how long there have been too few holders.
+func (o *Origin) StalledFor(now time.Duration) (stalled time.Duration) {
 	if o.short >= 0 {
 		stalled = now - o.short
 	}
@@ -98,8 +98,8 @@
 	return slices.IndexFunc(o.queue, func(w waiting) bool { return w.next > o.kept })
 }
 
-// Add numbers records and has them sent, at once if somebody waits for them. They are in frames as they go to disk.
-func (o *Origin) Add(now time.Duration, n int, body []byte, waited bool) (first uint64, out []Out) {
+// Append numbers records and has them sent, at once if somebody waits for them. They are in frames as they go to disk.
+func (o *Origin) Append(now time.Duration, n int, body []byte, waited bool) (first uint64, out []Outgoing) {
 	first = o.next
 	o.next += uint64(n)
 	o.queue = append(o.queue, waiting{first, o.next, now, body})
@@ -113,7 +113,7 @@
 	return first, out
 }
 
-func (o *Origin) feedAll(out []Out) []Out {
+func (o *Origin) feedAll(out []Outgoing) []Outgoing {
 	for _, name := range slices.Sorted(maps.Keys(o.holders)) {
 		out = o.feed(o.holders[name], out)
 	}
@@ -129,7 +129,7 @@
 }
 
 // feed sends a holder what it has not been sent.
-func (o *Origin) feed(h *holder, out []Out) []Out {
+func (o *Origin) feed(h *holder, out []Outgoing) []Outgoing {
 	if h.state != level && h.state != late {
 		return out
 	}
@@ -140,70 +140,72 @@
 		i--
 	}
 	for i < len(o.queue) && len(h.out) < waitingMost {
-		b := &Batch{Stream: o.stream, First: o.queue[i].first, Origin: true, Body: o.queue[i].body}
+		b := &Batch{Stream: o.stream, First: o.queue[i].first, FromOrigin: true, Frames: o.queue[i].body}
 		end := o.queue[i].next
-		for i++; i < len(o.queue) && len(b.Body)+len(o.queue[i].body) <= batchBytes; i++ {
-			b.Body = append(b.Body[:len(b.Body):len(b.Body)], o.queue[i].body...)
+		for i++; i < len(o.queue) && len(b.Frames)+len(o.queue[i].body) <= batchBytes; i++ {
+			b.Frames = append(b.Frames[:len(b.Frames):len(b.Frames)], o.queue[i].body...)
 			end = o.queue[i].next
 		}
-		b.N = int(end - b.First)
-		out = append(out, Out{h.candidate.Name, b})
+		b.Count = int(end - b.First)
+		out = append(out, Outgoing{h.candidate.Name, b})
 		h.next = end
 		h.out[b.First] = true
 	}
 	return out
 }
 
-// Stored tells that records last on this node's own disk.
-func (o *Origin) Stored(from, to uint64) { o.ranges = o.ranges.With(from, to) }
+// RecordsStored tells that records last on this node's own disk.
+func (o *Origin) RecordsStored(from, to uint64) { o.ranges = o.ranges.With(from, to) }
 
-// Ranges are the records that last on this node's own disk.
-func (o *Origin) Ranges() Ranges { return o.ranges }
+// StoredRanges are the records that last on this node's own disk.
+func (o *Origin) StoredRanges() Ranges { return o.ranges }
 
-// Lost tells that records were found to be damaged here: holders are told what is left, and send what lacks.
-func (o *Origin) Lost(now time.Duration, lost Ranges) (out []Out) {
+// RecordsLost tells that records were found to be damaged here: holders are told what is left, and send what lacks.
+func (o *Origin) RecordsLost(now time.Duration, lost Ranges) (out []Outgoing) {
 	o.ranges = o.ranges.Without(lost)
 	for _, name := range slices.Sorted(maps.Keys(o.holders)) {
 		if h := o.holders[name]; h.connected {
-			out = append(out, Out{name, &Offer{Stream: o.stream, Origin: true, Ranges: o.ranges}})
+			out = append(out, Outgoing{name, &Offer{Stream: o.stream, FromOrigin: true, Ranges: o.ranges}})
 		}
 	}
 	return out
 }
 
-// Forgot tells that records are no longer on it, as when a segment became too old.
-func (o *Origin) Forgot(before uint64) { o.ranges = o.ranges.Without(Ranges{{From: 0, To: before}}) }
+// RecordsExpired tells that records are no longer on it, as when a segment became too old.
+func (o *Origin) RecordsExpired(before uint64) {
+	o.ranges = o.ranges.Without(Ranges{{From: 0, To: before}})
+}
 
-// Got takes in what a holder says.
-func (o *Origin) Got(now time.Duration, from string, what any) []Out {
+// HandleMessage takes in what a holder says.
+func (o *Origin) HandleMessage(now time.Duration, from string, what any) []Outgoing {
 	h := o.holders[from]
 	if h == nil {
 		return nil
 	}
 	switch w := what.(type) {
-	case *Have:
+	case *Inventory:
 		if w.Stream != o.stream || !w.Ranges.sound() {
 			return nil
 		}
-		if w.Refused != "" {
-			return o.turned(now, h, w.Refused)
+		if w.RejectReason != "" {
+			return o.turned(now, h, w.RejectReason)
 		}
 		h.ranges = w.Ranges
 		return o.moves(now, h, answered, nil)
 	case *Ack:
-		if w.Stream != o.stream || w.N <= 0 || w.First >= o.next {
+		if w.Stream != o.stream || w.Count <= 0 || w.First >= o.next {
 			return nil
 		}
-		if w.Refused != "" {
-			return o.turned(now, h, w.Refused)
+		if w.RejectReason != "" {
+			return o.turned(now, h, w.RejectReason)
 		}
-		to := min(w.First+uint64(w.N), o.next)
+		to := min(w.First+uint64(w.Count), o.next)
 		h.ranges = h.ranges.With(w.First, to)
 		if h.state != level && h.state != late {
 			return nil
 		}
 		delete(h.out, w.First)
-		h.acked = max(h.acked, h.ranges.After(h.acked))
+		h.acked = max(h.acked, h.ranges.EndOfRange(h.acked))
 		o.count()
 		out := o.feed(h, nil)
 		if h.state == late && h.acked >= o.next {
@@ -214,8 +216,8 @@
 	return nil
 }
 
-// LaterLife is the reason of a holder that knows of a later life of the same name.
-const LaterLife = "a later life of this name is known"
+// ReasonLaterIncarnation is the reason of a holder that knows of a later life of the same name.
+const ReasonLaterIncarnation = "a later life of this name is known"
 
 // count finds up to where enough holders have all.
 func (o *Origin) count() {
@@ -241,7 +243,7 @@
 }
 
 // Tick moves on by time.
-func (o *Origin) Tick(now time.Duration) (out []Out) {
+func (o *Origin) Tick(now time.Duration) (out []Outgoing) {
 	i := o.oldest()
 	for _, name := range slices.Sorted(maps.Keys(o.holders)) {
 		h := o.holders[name]
@@ -255,7 +257,7 @@
 		}
 		if h.state == offered && now-h.offered > offerAgain {
 			h.offered = now
-			out = append(out, Out{name, &Offer{Stream: o.stream, Origin: true, Ranges: o.ranges}})
+			out = append(out, Outgoing{name, &Offer{Stream: o.stream, FromOrigin: true, Ranges: o.ranges}})
 		}
 	}
 	out = o.feedAll(out) // what nobody waits for, together
@@ -266,8 +268,8 @@
 	return out
 }
 
-// Lacks is what of this node's own disk a holder does not have, where it is to have it.
-func (o *Origin) Lacks(name string) Ranges {
+// MissingAt is what of this node's own disk a holder does not have, where it is to have it.
+func (o *Origin) MissingAt(name string) Ranges {
 	h := o.holders[name]
 	if h == nil || h.state != level {
 		return nil
--- a/internal/cluster/replication/replicas_test.go
+++ b/internal/cluster/replication/replicas_test.go
@@ -12,9 +12,9 @@
 
 // What nodes say of streams comes back as it was said.
 func TestWords(t *testing.T) {
-	s := Stream{Name: "n1", Up: 7}
-	for _, w := range []any{&Offer{Stream: s, Origin: true, Ranges: Ranges{{From: 1, To: 5}}}, &Have{Stream: s, Refused: "x"},
-		&Batch{Stream: s, First: 3, N: 2, Body: []byte{1}}, &Ack{Stream: s, First: 3, N: 2}} {
+	s := Stream{Name: "n1", Incarnation: 7}
+	for _, w := range []any{&Offer{Stream: s, FromOrigin: true, Ranges: Ranges{{From: 1, To: 5}}}, &Inventory{Stream: s, RejectReason: "x"},
+		&Batch{Stream: s, First: 3, Count: 2, Frames: []byte{1}}, &Ack{Stream: s, First: 3, Count: 2}} {
 		text, err := cbor.Marshal(w)
 		if err != nil {
 			t.Fatal(err)
@@ -23,8 +23,8 @@
 		switch w.(type) {
 		case *Offer:
 			back = &Offer{}
-		case *Have:
-			back = &Have{}
+		case *Inventory:
+			back = &Inventory{}
 		case *Batch:
 			back = &Batch{}
 		case *Ack:
@@ -60,7 +60,7 @@
 			}
 		}
 		for x := uint64(1); x < 40; x++ {
-			if a.Has(x, x+1) != inA[x] || rest.Has(x, x+1) != (inA[x] && !inB[x]) {
+			if a.Contains(x, x+1) != inA[x] || rest.Contains(x, x+1) != (inA[x] && !inB[x]) {
 				t.Fatalf("%d of %v without %v: %v", x, a, b, rest)
 			}
 		}
@@ -72,7 +72,7 @@
 
 func candidates(n int) (all []Candidate) {
 	for i := range n {
-		all = append(all, Candidate{Name: fmt.Sprint("n", i), Site: fmt.Sprint("s", i%3), Machine: fmt.Sprint("m", i/2), Well: true})
+		all = append(all, Candidate{Name: fmt.Sprint("n", i), Site: fmt.Sprint("s", i%3), Machine: fmt.Sprint("m", i/2), IsHealthy: true})
 	}
 	return all
 }
@@ -111,11 +111,11 @@
 	candidates []Candidate
 	origin     *Origin
 	disk       map[string]Ranges // what lasts at each node, by its disk
-	keeper     map[string]*Keeper
+	keeper     map[string]*ReplicaTable
 	connected  map[string]bool
 	alive      map[string]bool
 	cut        map[string]bool
-	flight     []Out // from the origin to holders
+	flight     []Outgoing // from the origin to holders
 	back       []struct {
 		from string
 		what any
@@ -128,8 +128,8 @@
 	for i := range all {
 		all[i].Machine = all[i].Name
 	}
-	w := &tape{candidates: all, disk: map[string]Ranges{}, keeper: map[string]*Keeper{}, connected: map[string]bool{}, alive: map[string]bool{}, cut: map[string]bool{}, life: map[string]int64{}}
-	w.origin = NewOrigin(0, Stream{Name: "n0", Up: 1}, all[0], need, 50*time.Millisecond)
+	w := &tape{candidates: all, disk: map[string]Ranges{}, keeper: map[string]*ReplicaTable{}, connected: map[string]bool{}, alive: map[string]bool{}, cut: map[string]bool{}, life: map[string]int64{}}
+	w.origin = NewOrigin(0, Stream{Name: "n0", Incarnation: 1}, all[0], need, 50*time.Millisecond)
 	for _, p := range all[1:] {
 		w.start(p)
 	}
@@ -140,9 +140,9 @@
 func (w *tape) start(p Candidate) {
 	w.alive[p.Name] = true
 	w.life[p.Name]++
-	k := NewKeeper(p, w.origin.need, 1<<40, 0)
+	k := NewReplicaTable(p, w.origin.need, 1<<40, 0)
 	for _, r := range w.disk[p.Name] {
-		k.Found(w.origin.stream, r.From, r.To, 0, 0)
+		k.RecordsStored(w.origin.stream, r.From, r.To, 0, 0)
 	}
 	w.keeper[p.Name] = k
 }
@@ -150,19 +150,19 @@
 func (w *tape) placed() {
 	var others []Candidate
 	for _, p := range w.candidates[1:] {
-		p.Well = w.alive[p.Name] && !w.cut[p.Name]
+		p.IsHealthy = w.alive[p.Name] && !w.cut[p.Name]
 		others = append(others, p)
 	}
 	w.send(w.origin.SetCandidates(w.now, others))
 }
 
-func (w *tape) send(out []Out) { w.flight = append(w.flight, out...) }
+func (w *tape) send(out []Outgoing) { w.flight = append(w.flight, out...) }
 
 // part ends the connection with a node: what was on its way is lost.
 func (w *tape) part(name string) {
 	if w.connected[name] {
 		delete(w.connected, name)
-		w.flight = slices.DeleteFunc(w.flight, func(o Out) bool { return o.To == name })
+		w.flight = slices.DeleteFunc(w.flight, func(o Outgoing) bool { return o.To == name })
 		w.back = slices.DeleteFunc(w.back, func(b struct {
 			from string
 			what any
@@ -176,7 +176,7 @@
 // step lets time pass; connections come up, and what is on its way arrives.
 func (w *tape) step(d time.Duration, deliver bool) {
 	w.now += d
-	for _, name := range w.origin.Wanted() {
+	for _, name := range w.origin.WantedConnections() {
 		if w.alive[name] && !w.cut[name] {
 			w.connected[name] = true
 			w.send(w.origin.Connected(w.now, name))
@@ -197,34 +197,34 @@
 			continue
 		}
 		k := w.keeper[o.To]
-		switch m := o.What.(type) {
+		switch m := o.Message.(type) {
 		case *Offer:
-			for _, a := range k.Offered(w.now, "n0", m) {
-				w.answer(o.To, a.What)
+			for _, a := range k.HandleOffer(w.now, "n0", m) {
+				w.answer(o.To, a.Message)
 			}
 		case *Batch:
-			ok, out := k.Takes("n0", m, 0, 0)
+			ok, out := k.AdmitBatch("n0", m, 0, 0)
 			for _, a := range out {
-				w.answer(o.To, a.What)
+				w.answer(o.To, a.Message)
 			}
 			if ok {
-				w.disk[o.To] = w.disk[o.To].With(m.First, m.First+uint64(m.N))
-				k.Found(m.Stream, m.First, m.First+uint64(m.N), 0, 0)
-				w.answer(o.To, &Ack{Stream: m.Stream, First: m.First, N: m.N})
+				w.disk[o.To] = w.disk[o.To].With(m.First, m.First+uint64(m.Count))
+				k.RecordsStored(m.Stream, m.First, m.First+uint64(m.Count), 0, 0)
+				w.answer(o.To, &Ack{Stream: m.Stream, First: m.First, Count: m.Count})
 			}
 		}
 	}
 	back := w.back
 	w.back = nil
 	for _, b := range back {
-		w.send(w.origin.Got(w.now, b.from, b.what))
+		w.send(w.origin.HandleMessage(w.now, b.from, b.what))
 	}
-	for _, name := range w.origin.Wanted() { // what is copied from disk beside the serving
-		for _, r := range w.origin.Lacks(name) {
+	for _, name := range w.origin.WantedConnections() { // what is copied from disk beside the serving
+		for _, r := range w.origin.MissingAt(name) {
 			if w.connected[name] && !w.cut[name] {
 				w.disk[name] = w.disk[name].With(r.From, r.To)
-				w.keeper[name].Found(w.origin.stream, r.From, r.To, 0, 0)
-				w.send(w.origin.Got(w.now, name, &Ack{Stream: w.origin.stream, First: r.From, N: int(r.To - r.From)}))
+				w.keeper[name].RecordsStored(w.origin.stream, r.From, r.To, 0, 0)
+				w.send(w.origin.HandleMessage(w.now, name, &Ack{Stream: w.origin.stream, First: r.From, Count: int(r.To - r.From)}))
 			}
 		}
 	}
@@ -240,7 +240,7 @@
 // holders counts the disks on which a record stands.
 func (w *tape) holders(n uint64) (count int) {
 	for _, r := range w.disk {
-		if r.Has(n, n+1) {
+		if r.Contains(n, n+1) {
 			count++
 		}
 	}
@@ -254,23 +254,23 @@
 		need := rapid.IntRange(1, 3).Draw(t, "need")
 		w := newTape(rapid.IntRange(need+1, 7).Draw(t, "nodes"), need)
 		stored := uint64(1)
-		was := w.origin.Kept()
+		was := w.origin.Committed()
 		check := func() {
-			for n := was; n < w.origin.Kept(); n++ {
+			for n := was; n < w.origin.Committed(); n++ {
 				if w.holders(n) < need {
 					t.Fatalf("record %d is kept by %d, not %d", n, w.holders(n), need)
 				}
 			}
-			was = w.origin.Kept()
+			was = w.origin.Committed()
 		}
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			name := rapid.SampledFrom(w.candidates[1:]).Draw(t, "node").Name
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2:
 				n := rapid.IntRange(1, 5).Draw(t, "n")
-				first, out := w.origin.Add(w.now, n, []byte{1}, rapid.Bool().Draw(t, "waited"))
+				first, out := w.origin.Append(w.now, n, []byte{1}, rapid.Bool().Draw(t, "waited"))
 				w.send(out)
-				w.origin.Stored(first, first+uint64(n))
+				w.origin.RecordsStored(first, first+uint64(n))
 				stored = first + uint64(n)
 			case 3, 4, 5:
 				w.step(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms"))*time.Millisecond, true)
@@ -287,7 +287,7 @@
 				w.part(name)
 				delete(w.alive, name)
 				w.placed()
-				was = w.origin.Kept()
+				was = w.origin.Committed()
 			case 8:
 				if p := w.candidates[slices.IndexFunc(w.candidates, func(p Candidate) bool { return p.Name == name })]; !w.alive[name] {
 					w.start(p)
@@ -317,8 +317,8 @@
 				t.Fatalf("30 s after all is well record %d of %d stands on %d of %d disks: %+v", n, stored-1, w.holders(n), need, w.origin.Holders())
 			}
 		}
-		if w.origin.Kept() < stored {
-			t.Fatalf("30 s after all is well %d are kept of %d: %+v", w.origin.Kept(), stored, w.origin.Holders())
+		if w.origin.Committed() < stored {
+			t.Fatalf("30 s after all is well %d are kept of %d: %+v", w.origin.Committed(), stored, w.origin.Holders())
 		}
 	})
 }
@@ -329,21 +329,21 @@
 	for range 20 {
 		w.step(10*time.Millisecond, true)
 	}
-	silent := w.origin.Wanted()[0]
+	silent := w.origin.WantedConnections()[0]
 	w.cut[silent] = true // nobody knows
-	first, out := w.origin.Add(w.now, 1, []byte{1}, true)
+	first, out := w.origin.Append(w.now, 1, []byte{1}, true)
 	w.send(out)
 	began := w.now
-	for w.origin.Kept() <= first && w.now < began+time.Second {
+	for w.origin.Committed() <= first && w.now < began+time.Second {
 		w.step(5*time.Millisecond, true)
 	}
 	if took := w.now - began; took > 100*time.Millisecond {
 		t.Errorf("a record was kept after %v, behind %s: %+v", took, silent, w.origin.Holders())
 	}
-	if n := len(w.origin.Wanted()); n != 3 {
+	if n := len(w.origin.WantedConnections()); n != 3 {
 		t.Errorf("%d holders", n)
 	}
-	if s := w.origin.Stalled(w.now); s > 0 {
+	if s := w.origin.StalledFor(w.now); s > 0 {
 		t.Errorf("stalled for %v", s)
 	}
 }
--- a/internal/collections/decay/decay_test.go
+++ b/internal/collections/decay/decay_test.go
@@ -24,24 +24,24 @@
 		"many successes hide an old fault": {append([]float64{1}, make([]float64, 500)...), 10, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var r Record
+			var r FailureRate
 			for _, failed := range c.ends {
-				r.Add(failed, c.memory)
+				r.Observe(failed, c.memory)
 			}
 			if got := r.Rate(c.prior); !near(got, c.want) {
 				t.Errorf("rate %g, want %g", got, c.want)
 			}
-			if r.All > c.memory {
-				t.Errorf("%g count, at most %g", r.All, c.memory)
+			if r.Total > c.memory {
+				t.Errorf("%g count, at most %g", r.Total, c.memory)
 			}
 		})
 	}
 }
 
 func TestFadeKeepsNothingBelowTheLeast(t *testing.T) {
-	r := Record{Failed: 1, All: 8, Last: 3}
-	r.Fade(0.5, 1)
-	if want := (Record{Failed: 0, All: 4, Last: 3}); r != want {
+	r := FailureRate{Failed: 1, Total: 8, LastSource: 3}
+	r.Decay(0.5, 1)
+	if want := (FailureRate{Failed: 0, Total: 4, LastSource: 3}); r != want {
 		t.Errorf("%v, want %v", r, want)
 	}
 }
@@ -52,25 +52,25 @@
 	for i := range 1_000 {
 		table.Reset(i)
 	}
-	table.Add(7, 1, 10)
-	table.Add(500, 0, 10)
-	table.At(9).All = 1 // not through Add: no walk comes to it
+	table.Observe(7, 1, 10)
+	table.Observe(500, 0, 10)
+	table.At(9).Total = 1 // not through Add: no walk comes to it
 	before := table.Clone()
-	table.Fade(0.5, 0.4)
-	if got := slices.Collect(table.Active().All()); !slices.Equal(got, []int{7, 500}) || table.At(9).All != 1 || table.At(7).Failed != 0.5 {
+	table.Decay(0.5, 0.4)
+	if got := slices.Collect(table.Active().All()); !slices.Equal(got, []int{7, 500}) || table.At(9).Total != 1 || table.At(7).Failed != 0.5 {
 		t.Errorf("active %v, %v, %v", got, table.At(9), table.At(7))
 	}
 	if before.At(7).Failed != 1 {
 		t.Error("a clone changes with the table")
 	}
 	from := table.Active().Visits()
-	table.Fade(0.5, 0.4)
-	if visited := table.Active().Visits() - from; table.Active().Len() != 0 || visited != 2 || *table.At(7) != (Record{}) {
+	table.Decay(0.5, 0.4)
+	if visited := table.Active().Visits() - from; table.Active().Len() != 0 || visited != 2 || *table.At(7) != (FailureRate{}) {
 		t.Errorf("%d active after all has faded, %d come to", table.Active().Len(), visited)
 	}
-	table.Add(3, 1, 10)
+	table.Observe(3, 1, 10)
 	table.Reset(3)
-	if !reflect.DeepEqual(*table.At(3), Record{}) || table.Active().Has(3) {
+	if !reflect.DeepEqual(*table.At(3), FailureRate{}) || table.Active().Has(3) {
 		t.Error("something is left after Reset")
 	}
 }
--- a/internal/collections/intset/bag.go
+++ b/internal/collections/intset/bag.go
@@ -3,20 +3,20 @@
 
 import "slices"
 
-// Bag holds each integer once at most. The zero value is empty.
-type Bag struct {
+// Set holds each integer once at most. The zero value is empty.
+type Set struct {
 	items []int
 	place []int // in items, and one, by item; 0: not there
 }
 
 // Len is the number of items.
-func (b *Bag) Len() int { return len(b.items) }
+func (b *Set) Len() int { return len(b.items) }
 
 // Items is all of them. It holds until the next call of Add or Remove.
-func (b *Bag) Items() []int { return b.items }
+func (b *Set) Items() []int { return b.items }
 
 // Add puts in an item that is not there, behind all others.
-func (b *Bag) Add(item int) {
+func (b *Set) Add(item int) {
 	if missing := item + 1 - len(b.place); missing > 0 {
 		b.place = append(b.place, make([]int, missing)...)
 	}
@@ -25,7 +25,7 @@
 }
 
 // Remove takes out an item that is there. The last one takes its place.
-func (b *Bag) Remove(item int) {
+func (b *Set) Remove(item int) {
 	last := len(b.items) - 1
 	moved := b.items[last]
 	b.items[b.place[item]-1] = moved
@@ -35,4 +35,4 @@
 }
 
 // Clone shares no memory with the bag.
-func (b *Bag) Clone() Bag { return Bag{items: slices.Clone(b.items), place: slices.Clone(b.place)} }
+func (b *Set) Clone() Set { return Set{items: slices.Clone(b.items), place: slices.Clone(b.place)} }
--- a/internal/collections/intset/bag_test.go
+++ b/internal/collections/intset/bag_test.go
@@ -10,7 +10,7 @@
 // A bag does as a slice whose last element fills each gap.
 func TestBagIsAsASlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var b Bag
+		var b Set
 		var model []int
 		for range rapid.IntRange(0, 100).Draw(t, "steps") {
 			item := rapid.IntRange(0, 20).Draw(t, "item")
--- a/internal/collections/ranktree/ordered.go
+++ b/internal/collections/ranktree/ordered.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Index is an order-statistic treap over items that are small integers from zero on. The zero value is empty.
-type Index struct {
+// Tree is an order-statistic treap over items that are small integers from zero on. The zero value is empty.
+type Tree struct {
 	nodes []node // by item, from one on; 0 stands for none
 	root  int32
 	steps int
@@ -22,15 +22,15 @@
 }
 
 // Len is the number of items.
-func (x *Index) Len() int { return int(x.size(x.root)) }
+func (x *Tree) Len() int { return int(x.size(x.root)) }
 
 // Steps is how many nodes were come to so far: what the index has cost, for tests that count.
-func (x *Index) Steps() int { return x.steps }
+func (x *Tree) Steps() int { return x.steps }
 
 // Has tells whether an item is in.
-func (x *Index) Has(item int) bool { return item+1 < len(x.nodes) && x.nodes[item+1].size > 0 }
+func (x *Tree) Has(item int) bool { return item+1 < len(x.nodes) && x.nodes[item+1].size > 0 }
 
-func (x *Index) size(n int32) int32 {
+func (x *Tree) size(n int32) int32 {
 	if n == 0 {
 		return 0
 	}
@@ -38,7 +38,7 @@
 }
 
 // Insert puts in an item that is not there, before others of the same key, and returns its place.
-func (x *Index) Insert(item, key int) int {
+func (x *Tree) Insert(item, key int) int {
 	if missing := item + 2 - len(x.nodes); missing > 0 {
 		x.nodes = append(x.nodes, make([]node, missing)...)
 	}
@@ -72,8 +72,8 @@
 }
 
 // Delete takes out an item that is there and returns the place that it had.
-func (x *Index) Delete(item int) int {
-	place, n := x.Place(item), int32(item+1)
+func (x *Tree) Delete(item int) int {
+	place, n := x.Rank(item), int32(item+1)
 	for x.nodes[n].left != 0 || x.nodes[n].right != 0 { // down until it is a leaf
 		child := x.nodes[n].left
 		if right := x.nodes[n].right; child == 0 || right != 0 && x.nodes[right].priority > x.nodes[child].priority {
@@ -91,7 +91,7 @@
 }
 
 // rotate lifts a node above its parent.
-func (x *Index) rotate(n int32) {
+func (x *Tree) rotate(n int32) {
 	x.steps++
 	p := x.nodes[n].parent
 	x.replace(x.nodes[p].parent, p, n)
@@ -112,7 +112,7 @@
 }
 
 // replace has another child stand where one stood.
-func (x *Index) replace(parent, was, child int32) {
+func (x *Tree) replace(parent, was, child int32) {
 	switch {
 	case parent == 0:
 		x.root = child
@@ -123,8 +123,8 @@
 	}
 }
 
-// Place is the place of an item that is there, from zero on.
-func (x *Index) Place(item int) int {
+// Rank is the place of an item that is there, from zero on.
+func (x *Tree) Rank(item int) int {
 	n := int32(item + 1)
 	place := int(x.size(x.nodes[n].left))
 	for p := x.nodes[n].parent; p != 0; n, p = p, x.nodes[p].parent {
@@ -137,7 +137,7 @@
 }
 
 // At is the item at a place, which must be less than Len.
-func (x *Index) At(place int) int {
+func (x *Tree) At(place int) int {
 	n := x.root
 	for {
 		x.steps++
@@ -155,7 +155,7 @@
 }
 
 // next is the node behind one, or 0.
-func (x *Index) next(n int32) int32 {
+func (x *Tree) next(n int32) int32 {
 	if down := x.nodes[n].right; down != 0 {
 		for x.nodes[down].left != 0 {
 			x.steps++
@@ -171,7 +171,7 @@
 }
 
 // From walks all items once, from a place on and round to it.
-func (x *Index) From(place int) iter.Seq[int] {
+func (x *Tree) From(place int) iter.Seq[int] {
 	return func(yield func(int) bool) {
 		length := x.Len()
 		if length == 0 {
@@ -191,7 +191,7 @@
 }
 
 // Clone shares no memory with the index.
-func (x *Index) Clone() Index {
+func (x *Tree) Clone() Tree {
 	c := *x
 	c.nodes = slices.Clone(c.nodes)
 	return c
--- a/internal/collections/ranktree/ordered_test.go
+++ b/internal/collections/ranktree/ordered_test.go
@@ -11,7 +11,7 @@
 // An index does as a sorted slice does.
 func TestIndexIsAsASortedSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var x Index
+		var x Tree
 		var model []int
 		keys := map[int]int{}
 		for range rapid.IntRange(0, 120).Draw(t, "steps") {
@@ -38,8 +38,8 @@
 			}
 		}
 		for place, item := range model {
-			if x.At(place) != item || x.Place(item) != place {
-				t.Fatalf("at %d stands %d, want %d, whose place is %d", place, x.At(place), item, x.Place(item))
+			if x.At(place) != item || x.Rank(item) != place {
+				t.Fatalf("at %d stands %d, want %d, whose place is %d", place, x.At(place), item, x.Rank(item))
 			}
 		}
 		if start := 3; len(model) > start {
@@ -64,12 +64,12 @@
 		"spread":     func(i int) int { return int(uint32(i) * 2654435761) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			var x Index
+			var x Tree
 			for i := range items {
 				x.Insert(i, key(i))
 			}
 			for i := range items {
-				x.At(x.Place(i))
+				x.At(x.Rank(i))
 			}
 			for i := range items {
 				x.Delete(i)
--- a/internal/config/settings/placement.go
+++ b/internal/config/settings/placement.go
@@ -21,7 +21,7 @@
 	if *ms < 0 {
 		return 0, fmt.Errorf("rules.drainClose is %g, a time of 0 ms or more is wanted", *ms)
 	}
-	return Span(*ms), nil
+	return FromMillis(*ms), nil
 }
 
 // place reads where the traffic type at a place of the list may be sent, and returns the bit of that placement. Types
@@ -38,14 +38,14 @@
 	if err != nil {
 		return 0, fmt.Errorf("traffic type %d: allowedOn %w", i, err)
 	}
-	placement := policy.Placement{Zones: zones, Kinds: kinds}
+	placement := policy.Placement{Zones: zones, MachineKinds: kinds}
 	at := slices.IndexFunc(s.Placements, func(p policy.Placement) bool { return reflect.DeepEqual(p, placement) })
 	if at < 0 {
 		at = len(s.Placements)
 		s.Placements = append(s.Placements, placement)
 	}
-	if at >= policy.PlacementsMost {
-		return 0, fmt.Errorf("traffic type %d: dcsOnly and allowedOn bind types in more than %d different ways", i, policy.PlacementsMost)
+	if at >= policy.MaxPlacements {
+		return 0, fmt.Errorf("traffic type %d: dcsOnly and allowedOn bind types in more than %d different ways", i, policy.MaxPlacements)
 	}
 	return 1 << at, nil
 }
--- a/internal/config/settings/placement_test.go
+++ b/internal/config/settings/placement_test.go
@@ -24,8 +24,8 @@
 	}{
 		"absent is free":      {"", 0, nil, []string{"north", "south"}},
 		"zones by place":      {`,"dcsOnly":[1,0,1]`, 1, []policy.Placement{{Zones: []int{0, 1}}}, []string{"north", "south"}},
-		"kinds by place":      {`,"allowedOn":[1]`, 1, []policy.Placement{{Kinds: []int{1}}}, []string{"north", "south"}},
-		"both":                {`,"dcsOnly":[0],"allowedOn":[1]`, 1, []policy.Placement{{Zones: []int{0}, Kinds: []int{1}}}, []string{"north", "south"}},
+		"kinds by place":      {`,"allowedOn":[1]`, 1, []policy.Placement{{MachineKinds: []int{1}}}, []string{"north", "south"}},
+		"both":                {`,"dcsOnly":[0],"allowedOn":[1]`, 1, []policy.Placement{{Zones: []int{0}, MachineKinds: []int{1}}}, []string{"north", "south"}},
 		"zones by name":       {`,"dcsOnly":["south"]`, 1, []policy.Placement{{Zones: []int{1}}}, []string{"north", "south"}},
 		"a name of no server": {`,"dcsOnly":["west"]`, 1, []policy.Placement{{Zones: []int{2}}}, []string{"north", "south", "west"}},
 		"a place of no name":  {`,"dcsOnly":[7]`, 1, []policy.Placement{{Zones: []int{7}}}, []string{"north", "south"}},
@@ -36,8 +36,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if s.Types[0].Placement != c.bit || !reflect.DeepEqual(s.Placements, c.want) || !reflect.DeepEqual(s.Zones, c.zones) {
-				t.Errorf("bit %d of %+v, zones %q", s.Types[0].Placement, s.Placements, s.Zones)
+			if s.TrafficTypes[0].PlacementBit != c.bit || !reflect.DeepEqual(s.Placements, c.want) || !reflect.DeepEqual(s.Zones, c.zones) {
+				t.Errorf("bit %d of %+v, zones %q", s.TrafficTypes[0].PlacementBit, s.Placements, s.Zones)
 			}
 		})
 	}
@@ -54,11 +54,11 @@
 		return `{"limits":{"mostHops":2},"trafficTypes":[` + strings.Join(all, ",") + `]}`
 	}
 	s, err := Decode([]byte(types("4 5 4")))
-	if err != nil || s.Types[0].Placement != 1 || s.Types[1].Placement != 2 || s.Types[2].Placement != 1 || len(s.Placements) != 2 {
-		t.Errorf("%+v, %v", s.Types, err)
+	if err != nil || s.TrafficTypes[0].PlacementBit != 1 || s.TrafficTypes[1].PlacementBit != 2 || s.TrafficTypes[2].PlacementBit != 1 || len(s.Placements) != 2 {
+		t.Errorf("%+v, %v", s.TrafficTypes, err)
 	}
 	many := "0 1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16 17 18 19 20 21 22 23 24 25 26 27 28 29 30 31"
-	if s, err = Decode([]byte(types(many))); err != nil || len(s.Placements) != policy.PlacementsMost {
+	if s, err = Decode([]byte(types(many))); err != nil || len(s.Placements) != policy.MaxPlacements {
 		t.Errorf("%d placements, %v", len(s.Placements), err)
 	}
 	if _, err = Decode([]byte(types(many + " 32"))); err == nil || !strings.Contains(err.Error(), "32 different ways") {
@@ -79,8 +79,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, err := Decode([]byte(with("", c.rules)))
-			if err != nil || s.CloseOnDrain != c.closes || s.DrainClose != c.within {
-				t.Errorf("%v, %s, %v", s.CloseOnDrain, s.DrainClose, err)
+			if err != nil || s.CloseOnDrain != c.closes || s.DrainCloseTimeout != c.within {
+				t.Errorf("%v, %s, %v", s.CloseOnDrain, s.DrainCloseTimeout, err)
 			}
 		})
 	}
@@ -120,8 +120,8 @@
 	for weights, live := range map[string]bool{"live": true, "nominal": false, "rough": false, "none": false} {
 		t.Run(weights, func(t *testing.T) {
 			s, err := Decode([]byte(strings.Replace(plain, `"groupSize"`, `"weights":"`+weights+`","groupSize"`, 1)))
-			if err != nil || s.LiveWeights != live {
-				t.Errorf("%v, %v", s.LiveWeights, err)
+			if err != nil || s.WeightsFollowLoad != live {
+				t.Errorf("%v, %v", s.WeightsFollowLoad, err)
 			}
 		})
 	}
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -24,9 +24,9 @@
 	DrainGrace  time.Duration // for which a server that is told to leave may still be sent to; below 0: not said
 }
 
-// Fits tells why settings cannot be watched beside these: they must name the same traffic types and tenants, and where
+// CheckCompatible tells why settings cannot be watched beside these: they must name the same traffic types and tenants, and where
 // they bind types also the same zones and kinds of machine, for servers have these by their numbers here.
-func (s *Settings) Fits(other *Settings) error {
+func (s *Settings) CheckCompatible(other *Settings) error {
 	if !slices.Equal(s.TypeNames, other.TypeNames) {
 		return fmt.Errorf("settings name the traffic types %q, the node's own %q: both must name the same", other.TypeNames, s.TypeNames)
 	}
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// Span turns milliseconds into a duration.
-func Span(ms float64) time.Duration {
+// FromMillis turns milliseconds into a duration.
+func FromMillis(ms float64) time.Duration {
 	return time.Duration(math.Round(ms * float64(time.Millisecond)))
 }
 
@@ -100,9 +100,9 @@
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return Settings{}, fmt.Errorf("settings cannot be read: %v", err)
 	}
-	s := Settings{Zones: raw.Dcs, Kinds: raw.Skus, ConnIdle: Span(raw.Limits.ConnIdle), DrainGrace: -1}
+	s := Settings{Zones: raw.Dcs, Kinds: raw.Skus, ConnIdle: FromMillis(raw.Limits.ConnIdle), DrainGrace: -1}
 	if raw.Rules.StopSendingWithin != nil {
-		s.DrainGrace = max(Span(*raw.Rules.StopSendingWithin), 0)
+		s.DrainGrace = max(FromMillis(*raw.Rules.StopSendingWithin), 0)
 	}
 	s.Settings = raw.figures()
 	if raw.Rules.DrainClose != nil {
@@ -110,31 +110,31 @@
 		if err != nil {
 			return s, err
 		}
-		s.CloseOnDrain, s.DrainClose = true, within
+		s.CloseOnDrain, s.DrainCloseTimeout = true, within
 	}
 	if raw.Limits.RetryAfter {
-		s.MaxRetryIn = Span(raw.Limits.MaxRetryAfter)
+		s.MaxRetryAfter = FromMillis(raw.Limits.MaxRetryAfter)
 	}
 	if len(raw.TrafficTypes) == 0 {
 		return s, errors.New("settings name no traffic types")
 	}
-	if s.MostHops < 1 {
+	if s.MaxAttempts < 1 {
 		return s, errors.New("settings allow no hop")
 	}
 	for _, t := range raw.Tenants {
 		s.TenantNames = append(s.TenantNames, t.Name)
-		s.AllowancePerS = append(s.AllowancePerS, t.AllowancePerS)
+		s.TenantQuotas = append(s.TenantQuotas, t.AllowancePerS)
 	}
 	for i, t := range raw.TrafficTypes {
 		decoded, err := t.decode(i)
 		if err != nil {
 			return s, err
 		}
-		if decoded.Placement, err = s.place(i, &t); err != nil {
+		if decoded.PlacementBit, err = s.place(i, &t); err != nil {
 			return s, err
 		}
 		s.TypeNames = append(s.TypeNames, t.Name)
-		s.Types = append(s.Types, decoded)
+		s.TrafficTypes = append(s.TrafficTypes, decoded)
 	}
 	return s, nil
 }
@@ -142,25 +142,25 @@
 // figures are those that stand in the object as the module wants them.
 func (raw *object) figures() policy.Settings {
 	return policy.Settings{
-		Nodes: max(raw.GroupSize, 1), Me: max(raw.Me, 0), Zone: raw.Zone, Tick: Span(raw.Granularity),
-		OverageRevenue: raw.OverageRevenue,
-		OnRequest:      raw.Discovery == "on_request",
-		LiveWeights:    raw.Weights == "live",
-		MostHops:       raw.Limits.MostHops,
-		Copies:         raw.Limits.SecondCopies,
-		WarmKeys:       raw.Extra.WarmKeys,
-		ConnectTimeout: Span(raw.Limits.ConnectTimeout),
-		AskWithin:      Span(raw.Rules.AskWithin), ColdFor: Span(raw.Rules.Cold),
-		ColdStart: raw.Rules.StartCapacity, FallMultiple: raw.Rules.FallMultiple,
-		OnlyDraining: raw.Rules.OnlyDrainingBinds,
+		NodeCount: max(raw.GroupSize, 1), NodeIndex: max(raw.Me, 0), Zone: raw.Zone, TimerGranularity: FromMillis(raw.Granularity),
+		OverQuotaWeightShare:   raw.OverageRevenue,
+		MustRequestEndpoints:   raw.Discovery == "on_request",
+		WeightsFollowLoad:      raw.Weights == "live",
+		MaxAttempts:            raw.Limits.MostHops,
+		HedgingAllowed:         raw.Limits.SecondCopies,
+		ServersCacheKeys:       raw.Extra.WarmKeys,
+		ConnectTimeout:         FromMillis(raw.Limits.ConnectTimeout),
+		RequestEndpointsWithin: FromMillis(raw.Rules.AskWithin), SlowStartDuration: FromMillis(raw.Rules.Cold),
+		SlowStartInitialCapacity: raw.Rules.StartCapacity, CrashLoadFactor: raw.Rules.FallMultiple,
+		UnlistedUsable: raw.Rules.OnlyDrainingBinds,
 	}
 }
 
 // decode reads the type that stands at a place of the list.
 func (t *trafficType) decode(i int) (policy.TrafficType, error) {
-	tt := policy.TrafficType{TargetTime: Span(t.TargetTime), AbandonTime: Span(t.AbandonTime),
-		Window: Span(t.Window), Revenue: t.Revenue, LateRevenue: t.TardyRevenue}
-	if tt.TargetTime <= 0 {
+	tt := policy.TrafficType{LatencyObjective: FromMillis(t.TargetTime), ClientTimeout: FromMillis(t.AbandonTime),
+		KeyRetention: FromMillis(t.Window), PriorityWeight: t.Revenue, LateWeightShare: t.TardyRevenue}
+	if tt.LatencyObjective <= 0 {
 		return tt, fmt.Errorf("traffic type %d has no target time", i)
 	}
 	if t.TardyRevenue < 0 || t.TardyRevenue > 1 {
@@ -168,21 +168,21 @@
 	}
 	switch t.Idempotency {
 	case "safe":
-		tt.Repeat = policy.Retriable
+		tt.Idempotency = policy.Idempotent
 	case "keyed":
-		tt.Repeat = policy.Fingerprinted
+		tt.Idempotency = policy.IdempotentWithKey
 	case "unsafe":
-		tt.Repeat = policy.Binding
+		tt.Idempotency = policy.NonIdempotent
 	default:
 		return tt, fmt.Errorf("traffic type %d: unknown idempotency %q", i, t.Idempotency)
 	}
 	switch t.KeyScope {
 	case "all", "":
-		tt.Group = policy.GroupAll
+		tt.KeyScope = policy.KeyScopeAll
 	case "zone":
-		tt.Group = policy.GroupZone
+		tt.KeyScope = policy.KeyScopeZone
 	case "cell":
-		tt.Group = policy.GroupCell
+		tt.KeyScope = policy.KeyScopeCell
 	default:
 		return tt, fmt.Errorf("traffic type %d: unknown keyScope %q", i, t.KeyScope)
 	}
--- a/internal/config/settings/settings_test.go
+++ b/internal/config/settings/settings_test.go
@@ -63,7 +63,7 @@
 		"no tenants":     {[]string{"a"}, nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if err := own.Fits(&Settings{TypeNames: c.types, TenantNames: c.tenants}); (err == nil) != c.fits {
+			if err := own.CheckCompatible(&Settings{TypeNames: c.types, TenantNames: c.tenants}); (err == nil) != c.fits {
 				t.Errorf("said %v", err)
 			}
 		})
@@ -92,7 +92,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := own.Fits(&other); (err == nil) != c.fits || err != nil && strings.Contains(err.Error(), "\n") {
+			if err := own.CheckCompatible(&other); (err == nil) != c.fits || err != nil && strings.Contains(err.Error(), "\n") {
 				t.Errorf("said %v", err)
 			}
 		})
--- a/internal/config/tomlfile/tomlfile.go
+++ b/internal/config/tomlfile/tomlfile.go
@@ -66,24 +66,24 @@
 	return os.ReadFile(path)
 }
 
-// Span is a duration as files write it: "250ms".
-type Span time.Duration
+// Duration is a duration as files write it: "250ms".
+type Duration time.Duration
 
 // UnmarshalText reads the form of time.ParseDuration.
-func (s *Span) UnmarshalText(b []byte) error {
+func (s *Duration) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
 	if err != nil {
 		return fmt.Errorf("%q is no time with a unit, such as 250ms", b)
 	}
-	*s = Span(d)
+	*s = Duration(d)
 	return nil
 }
 
 // MarshalText writes that form.
-func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// D is the span as a duration.
-func (s Span) D() time.Duration { return time.Duration(s) }
+// Std is the span as a duration.
+func (s Duration) Std() time.Duration { return time.Duration(s) }
 
 // Parse reads a text. Keys that the struct does not have and values of the wrong type are noted, each by its line, and
 // the rest is read, for the caller to look at before it asks for Err. An error is a text that cannot be read on.
--- a/internal/controlplane/distribution/client/apply.go
+++ b/internal/controlplane/distribution/client/apply.go
@@ -46,7 +46,7 @@
 // putHeld puts in force what the disk holds.
 func (c *Client) putHeld() {
 	c.mu.Lock()
-	servers := c.held(distribution.Server)
+	servers := c.held(distribution.KindServer)
 	entries, _ := c.store.Size()
 	c.mu.Unlock()
 	if entries == 0 {
@@ -60,7 +60,7 @@
 // held is all live entries of some kinds; the lock is held.
 func (c *Client) held(kinds ...distribution.Kind) (all []distribution.Entry) {
 	for _, name := range c.config.scope() {
-		for _, e := range c.store.Service(name) {
+		for _, e := range c.store.LiveEntries(name) {
 			if slices.Contains(kinds, e.Key.Kind) {
 				all = append(all, e)
 			}
@@ -73,16 +73,16 @@
 func (c *Client) batch(b distribution.Batch, at time.Time) {
 	now := c.now()
 	c.mu.Lock()
-	got := c.link.receiver.Receive(b)
-	c.subscriber.Received(now, got.Complete)
+	got := c.link.receiver.ReceiveBatch(b)
+	c.subscriber.MessageReceived(now, got.IsComplete)
 	var vector distribution.Vector
-	if got.Complete {
+	if got.IsComplete {
 		vector = c.store.Vector().Clone()
 	}
 	var servers []distribution.Entry
-	whole := got.Complete && !c.pending.whole
+	whole := got.IsComplete && !c.pending.whole
 	if whole {
-		servers = c.held(distribution.Server)
+		servers = c.held(distribution.KindServer)
 	}
 	c.mu.Unlock()
 	var removed []distribution.Key
@@ -97,11 +97,11 @@
 	}
 	for _, e := range changed {
 		switch e.Key.Kind {
-		case distribution.Server:
+		case distribution.KindServer:
 			if !whole {
 				servers = append(servers, e)
 			}
-		case distribution.Tenant:
+		case distribution.KindTenant:
 			c.pending.tenants = true
 		default:
 			c.pending.routes = true
@@ -109,7 +109,7 @@
 	}
 	c.putServers(servers, whole)
 	c.rejectUnheld(got.Rejected)
-	c.pending.batch, c.pending.at, c.pending.open = b.Number, at, !got.Complete
+	c.pending.batch, c.pending.at, c.pending.open = b.Number, at, !got.IsComplete
 }
 
 // putServers puts servers in force: those that changed, or all that are held.
@@ -117,12 +117,12 @@
 	if len(servers) == 0 && !whole {
 		return
 	}
-	rejected := c.listener.Servers(servers, whole)
+	rejected := c.listener.ApplyServers(servers, whole)
 	c.pending.whole = c.pending.whole || whole
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if whole {
-		maps.DeleteFunc(c.rejections, func(k distribution.Key, _ rejectedEntry) bool { return k.Kind == distribution.Server })
+		maps.DeleteFunc(c.rejections, func(k distribution.Key, _ rejectedEntry) bool { return k.Kind == distribution.KindServer })
 	}
 	for _, e := range servers {
 		delete(c.rejections, e.Key)
@@ -133,8 +133,8 @@
 // digests compares what is held with what the control process holds.
 func (c *Client) digests(d distribution.Digests) {
 	c.mu.Lock()
-	services, _, advanced := c.link.receiver.Compare(d)
-	c.subscriber.Received(c.now(), len(services) == 0)
+	services, _, advanced := c.link.receiver.CompareDigests(d)
+	c.subscriber.MessageReceived(c.now(), len(services) == 0)
 	vector := c.store.Vector().Clone()
 	c.mu.Unlock()
 	if advanced {
@@ -143,7 +143,7 @@
 	}
 	if len(services) > 0 {
 		c.log.Warn().Strs("services", services).Msg("distribution: digests differ: services are asked for whole")
-		c.link.send(&wire.Want{Services: services})
+		c.link.send(&wire.Pull{Services: services})
 	}
 }
 
@@ -151,7 +151,7 @@
 // yet to wait; 0 for nothing.
 func (c *Client) flush(now time.Duration) time.Duration {
 	c.mu.Lock()
-	serves := c.subscriber.Serves()
+	serves := c.subscriber.CanServe()
 	c.mu.Unlock()
 	if c.pending.open && !serves { // whoever does not serve yet puts what it catches up with in force at once
 		c.acknowledge(false)
@@ -173,17 +173,17 @@
 	c.mu.Lock()
 	var routes, tenants []distribution.Entry
 	if c.pending.routes {
-		routes = byVersion(c.held(distribution.Route, distribution.Pool))
+		routes = byVersion(c.held(distribution.KindRoute, distribution.KindPool))
 	}
 	if c.pending.tenants {
-		tenants = c.held(distribution.Tenant)
+		tenants = c.held(distribution.KindTenant)
 	}
 	c.mu.Unlock()
 	if c.pending.routes {
-		c.replaceRejected(c.listener.Routes(routes), distribution.Route, distribution.Pool)
+		c.replaceRejected(c.listener.ApplyRoutes(routes), distribution.KindRoute, distribution.KindPool)
 	}
 	if c.pending.tenants {
-		c.replaceRejected(c.listener.Tenants(tenants), distribution.Tenant)
+		c.replaceRejected(c.listener.ApplyTenants(tenants), distribution.KindTenant)
 	}
 	c.pending.routes, c.pending.tenants = false, false
 }
@@ -251,19 +251,19 @@
 		c.lost(errQueue, true)
 		return
 	}
-	a := distribution.Acknowledgement{Batch: c.pending.batch}
+	a := distribution.Acknowledgement{BatchNumber: c.pending.batch}
 	lag := int64(0)
 	if inForce && !c.pending.open {
 		c.mu.Lock()
-		a.InForce = c.store.Vector().Beyond(c.link.told)
+		a.Applied = c.store.Vector().AheadOf(c.link.told)
 		a.Rejected = c.link.newlyRejected(c.rejections)
 		c.mu.Unlock()
-		c.link.told.Join(a.InForce)
+		c.link.told.Join(a.Applied)
 		if !c.pending.at.IsZero() {
 			lag = time.Since(c.pending.at).Milliseconds()
 		}
 	}
-	c.link.send(&wire.Acknowledge{Acknowledgement: a, LagMs: lag})
+	c.link.send(&wire.Acknowledge{Acknowledgement: a, ApplyLagMs: lag})
 	c.pending.batch, c.pending.digest = 0, false
 }
 
--- a/internal/controlplane/distribution/client/bad_test.go
+++ b/internal/controlplane/distribution/client/bad_test.go
@@ -16,24 +16,24 @@
 
 // Whatever comes in place of a frame ends that connection with one line, and the next control process is followed.
 func TestGarbledFrames(t *testing.T) {
-	frame, err := wire.Append(nil, &wire.Batch{Batch: distribution.Batch{Number: 1, Entries: []distribution.Entry{{Key: key("hire", distribution.Server, "evil"),
-		Clock: 1 << 60, Origin: "evil/1", Sequence: 1, Value: []byte("x")}}, Complete: true}})
+	frame, err := wire.Append(nil, &wire.Batch{Batch: distribution.Batch{Number: 1, Entries: []distribution.Entry{{Key: key("hire", distribution.KindServer, "evil"),
+		Clock: 1 << 60, Origin: "evil/1", Sequence: 1, Value: []byte("x")}}, IsComplete: true}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	greeting, err := wire.Protocol.Append(nil, framing.Greeting, framing.Hello{Version: wire.Version, Name: "evil"})
+	greeting, err := wire.Protocol.Append(nil, framing.HelloKind, framing.Hello{Version: wire.Version, Name: "evil"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := wire.Protocol.Append(nil, framing.Greeting, framing.Hello{Version: wire.Version + 1, Name: "evil"})
+	other, err := wire.Protocol.Append(nil, framing.HelloKind, framing.Hello{Version: wire.Version + 1, Name: "evil"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	refusal, err := wire.Protocol.Append(nil, framing.Refusals, framing.Refusal{Reason: "no room"})
+	refusal, err := wire.Protocol.Append(nil, framing.RejectionKind, framing.Rejection{Reason: "no room"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	write, err := wire.Append(nil, &wire.Write{ID: 1, Changes: []distribution.Change{put("hire", distribution.Server, "evil", "x")}})
+	write, err := wire.Append(nil, &wire.Write{ID: 1, Changes: []distribution.Change{put("hire", distribution.KindServer, "evil", "x")}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,10 +72,10 @@
 				}
 			}()
 			good := newControl(t, "root/1")
-			good.write(put("hire", distribution.Server, "s1", "up"))
+			good.write(put("hire", distribution.KindServer, "s1", "up"))
 			n := startNode(t, config(t, "n", []string{"hire"}, ln.Addr().String(), good.address()))
 			started(t, n)
-			if n.size() != 1 || n.value(key("hire", distribution.Server, "s1")) != "up" {
+			if n.size() != 1 || n.value(key("hire", distribution.KindServer, "s1")) != "up" {
 				t.Errorf("in force: %v", n.all())
 			}
 			n.log.mu.Lock()
@@ -107,7 +107,7 @@
 	c.quiet = true
 	c.mu.Unlock()
 	until(t, func() bool { return n.Status().Upstream == next.address() }, "the next is followed")
-	next.write(put("hire", distribution.Server, "s1", "up"))
+	next.write(put("hire", distribution.KindServer, "s1", "up"))
 	next.inForce("n")
 }
 
--- a/internal/controlplane/distribution/client/client.go
+++ b/internal/controlplane/distribution/client/client.go
@@ -24,32 +24,32 @@
 	markEvery   = 10 * time.Second       // between two notes of when the node was current
 )
 
-// Listener puts entries in force. Each call returns those of the entries in force or to be so that cannot be used; the
+// Applier puts entries in force. Each call returns those of the entries in force or to be so that cannot be used; the
 // last good value of such a key stays. Calls come one at a time.
-type Listener interface {
+type Applier interface {
 	// Servers takes servers that changed, deletions too, or all that are held.
-	Servers(changed []distribution.Entry, whole bool) []distribution.Rejection
+	ApplyServers(changed []distribution.Entry, whole bool) []distribution.Rejection
 	// Routes takes all routes and pools that are held, the oldest version first.
-	Routes(all []distribution.Entry) []distribution.Rejection
+	ApplyRoutes(all []distribution.Entry) []distribution.Rejection
 	// Tenants takes all tenants that are held.
-	Tenants(all []distribution.Entry) []distribution.Rejection
+	ApplyTenants(all []distribution.Entry) []distribution.Rejection
 }
 
 // Status of a node as it knows it itself.
 type Status struct {
-	State    distribution.State
-	Revision uint64 // total of the vector
-	Newest   time.Time
-	Upstream string        // the control process followed; "" for none
-	Behind   time.Duration // since it was last current
-	Known    bool          // whether it ever was
-	Rejected []distribution.Rejection
+	State            distribution.State
+	Revision         uint64 // total of the vector
+	NewestChange     time.Time
+	Upstream         string        // the control process followed; "" for none
+	Staleness        time.Duration // since it was last current
+	IsStalenessKnown bool          // whether it ever was
+	Rejected         []distribution.Rejection
 }
 
 // Client is a node's end.
 type Client struct {
 	config   *Config
-	listener Listener
+	listener Applier
 	log      zerolog.Logger
 	disk     *disk.Disk
 	begun    time.Time
@@ -76,32 +76,32 @@
 }
 
 // New opens what the node holds. The name is its own.
-func New(config *Config, listener Listener, log zerolog.Logger) (*Client, error) {
+func New(config *Config, listener Applier, log zerolog.Logger) (*Client, error) {
 	c := &Client{config: config, listener: listener, log: log, begun: time.Now(), started: make(chan struct{}), events: make(chan event),
 		store: distribution.NewStore("", distribution.Limits{}), rejections: rejectedTable{}}
-	opened, loaded, err := disk.Open(filepath.Join(config.Directory, diskFile), disk.Options{Every: diskEvery,
-		Fault: func(err error) {
+	opened, loaded, err := disk.Open(filepath.Join(config.Directory, diskFile), disk.Options{WriteInterval: diskEvery,
+		OnFault: func(err error) {
 			if err != nil {
 				log.Error().Err(err).Msg("distribution: entries not kept on disk")
 			} else {
 				log.Info().Msg("distribution: entries kept on disk again")
 			}
 		},
-		SetAside: func(path string, why error) {
+		OnQuarantine: func(path string, why error) {
 			log.Error().Err(why).Str("set_aside", path).Msg("distribution: the disk's file is damaged: entries are told anew")
 		},
-		Whole: c.whole})
+		Snapshot: c.whole})
 	if err != nil {
 		return nil, err
 	}
 	c.disk = opened
 	c.restore(loaded)
-	within := config.StartWithin.D()
+	within := config.StartTimeout.Std()
 	if within == 0 {
 		within = time.Nanosecond
 	}
-	c.subscriber = distribution.NewSubscriber(c.now(), distribution.Following{Upstreams: len(config.Addresses), StartWithin: within, Seed: config.Name,
-		ReturnAfter: config.ReturnAfter.D()})
+	c.subscriber = distribution.NewSubscriber(c.now(), distribution.SubscriberOptions{UpstreamCount: len(config.Addresses), StartTimeout: within, JitterSeed: config.Name,
+		FailbackDelay: config.FailbackDelay.Std()})
 	return c, nil
 }
 
@@ -112,7 +112,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var all []distribution.Entry
-	for _, k := range c.store.Since(nil, c.config.scope(), false) {
+	for _, k := range c.store.KeysSince(nil, c.config.scope(), false) {
 		e, _ := c.store.Entry(k)
 		all = append(all, e)
 	}
@@ -161,20 +161,20 @@
 func (c *Client) look(ctx context.Context) time.Duration {
 	now := c.now()
 	c.mu.Lock()
-	do, again := c.subscriber.Passed(now)
-	state, serves := c.subscriber.State(), c.subscriber.Serves()
+	do, again := c.subscriber.Tick(now)
+	state, serves := c.subscriber.State(), c.subscriber.CanServe()
 	c.mu.Unlock()
 	switch {
-	case do.Returns:
+	case do.IsFailback:
 		c.log.Info().Str("control", c.config.Control[do.Upstream]).Msg("distribution: a preferred control process answers again")
 		c.drop()
-	case do.Drop:
+	case do.ShouldDisconnect:
 		c.lost(errors.New("it does not answer"), false)
 	}
-	if do.Probe {
-		c.probe(ctx, do.Preferred)
+	if do.ShouldProbe {
+		c.probe(ctx, do.ProbeUpstream)
 	}
-	if do.Dial {
+	if do.ShouldDial {
 		c.dial(ctx, do.Upstream)
 	}
 	wait := again - now
@@ -203,7 +203,7 @@
 	c.serving = true
 	s := c.Status()
 	line := c.log.Info()
-	if s.State != distribution.Current {
+	if s.State != distribution.StateCurrent {
 		line = c.log.Warn()
 	}
 	line.Stringer("state", s.State).Uint64("revision", s.Revision).Str("behind", c.behind(s)).Msg("distribution: serving starts")
@@ -213,10 +213,10 @@
 // behind is by how much the node is behind, as far as that is known.
 func (c *Client) behind(s Status) string {
 	switch {
-	case s.State == distribution.Current:
+	case s.State == distribution.StateCurrent:
 		return "nothing"
-	case s.Known:
-		return s.Behind.Round(time.Second / 10).String()
+	case s.IsStalenessKnown:
+		return s.Staleness.Round(time.Second / 10).String()
 	case s.Revision == 0:
 		return "unknown: nothing is held"
 	}
@@ -235,12 +235,12 @@
 func (c *Client) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := Status{State: c.subscriber.State(), Revision: c.store.Vector().Total(), Newest: distribution.ClockTime(c.store.Clock()),
+	s := Status{State: c.subscriber.State(), Revision: c.store.Vector().Total(), NewestChange: distribution.ClockTime(c.store.Clock()),
 		Upstream: c.upstream, Rejected: c.rejections.all()}
-	if age, known := c.subscriber.Age(c.now()); known {
-		s.Behind, s.Known = age, true
+	if age, known := c.subscriber.Staleness(c.now()); known {
+		s.Staleness, s.IsStalenessKnown = age, true
 	} else if !c.mark.Current.IsZero() {
-		s.Behind, s.Known = max(time.Since(c.mark.Current), 0), true
+		s.Staleness, s.IsStalenessKnown = max(time.Since(c.mark.Current), 0), true
 	}
 	return s
 }
@@ -249,7 +249,7 @@
 func (c *Client) handle(e event) {
 	if e.probed {
 		c.mu.Lock()
-		c.subscriber.Probed(c.now(), e.upstream, e.err == nil)
+		c.subscriber.ProbeEnded(c.now(), e.upstream, e.err == nil)
 		c.mu.Unlock()
 		return
 	}
@@ -277,7 +277,7 @@
 		return
 	}
 	c.mu.Lock()
-	c.subscriber.Lost(c.now())
+	c.subscriber.UpstreamLost(c.now())
 	c.mu.Unlock()
 }
 
@@ -299,10 +299,10 @@
 // connected subscribes, as a control process has answered.
 func (c *Client) connected() {
 	c.mu.Lock()
-	c.subscriber.Connected(c.now())
+	c.subscriber.UpstreamConnected(c.now())
 	c.upstream = c.config.Control[c.link.upstream]
-	asked := distribution.Subscription{Name: c.config.Name, Role: distribution.Node, Region: c.config.Region, Zone: c.config.Zone,
-		Services: c.config.scope(), Vector: c.store.Vector().Clone(), Missing: c.store.Missing()}
+	asked := distribution.Subscription{Name: c.config.Name, Role: distribution.RoleNode, Region: c.config.Region, Zone: c.config.Zone,
+		Services: c.config.scope(), Vector: c.store.Vector().Clone(), UnsyncedServices: c.store.UnsyncedServices()}
 	c.link.receiver = distribution.NewReceiver(c.store)
 	c.link.told = asked.Vector.Clone()
 	c.mu.Unlock()
@@ -319,7 +319,7 @@
 		c.batch(m.Batch, at)
 	case *wire.Digests:
 		c.digests(m.Digests)
-	case *wire.Want:
+	case *wire.Pull:
 		c.wanted(m)
 	case *wire.Acknowledge:
 		c.link.acknowledged(c, m.Acknowledgement)
--- a/internal/controlplane/distribution/client/client_test.go
+++ b/internal/controlplane/distribution/client/client_test.go
@@ -35,7 +35,7 @@
 // What is written at a control process is in force at all nodes of the service, and seen there to be so.
 func TestChangesComeInForce(t *testing.T) {
 	c := newControl(t, "root/1")
-	c.write(put("hire", distribution.Server, "s1", "up"), put("hire", distribution.Route, "r1", "first"), put("", distribution.Tenant, "dairy", "5"))
+	c.write(put("hire", distribution.KindServer, "s1", "up"), put("hire", distribution.KindRoute, "r1", "first"), put("", distribution.KindTenant, "dairy", "5"))
 	var nodes []*node
 	names := []string{"n1", "n2", "n3"}
 	for _, name := range names {
@@ -43,19 +43,19 @@
 	}
 	for _, n := range nodes {
 		started(t, n)
-		if s := n.Status(); s.State != distribution.Current || s.Revision != 3 {
+		if s := n.Status(); s.State != distribution.StateCurrent || s.Revision != 3 {
 			t.Errorf("starts as %+v", s)
 		}
-		if n.value(key("hire", distribution.Server, "s1")) != "up" || n.value(key("hire", distribution.Route, "r1")) != "first" ||
-			n.value(key("", distribution.Tenant, "dairy")) != "5" || n.count("whole") != 1 {
+		if n.value(key("hire", distribution.KindServer, "s1")) != "up" || n.value(key("hire", distribution.KindRoute, "r1")) != "first" ||
+			n.value(key("", distribution.KindTenant, "dairy")) != "5" || n.count("whole") != 1 {
 			t.Errorf("at its start holds %v", n.all())
 		}
 	}
-	c.write(put("hire", distribution.Route, "r1", "second"), distribution.Change{Key: key("hire", distribution.Server, "s1"), Deleted: true},
-		put("hire", distribution.Server, "s2", "up"), distribution.Change{Key: key("", distribution.Tenant, "dairy"), Deleted: true})
+	c.write(put("hire", distribution.KindRoute, "r1", "second"), distribution.Change{Key: key("hire", distribution.KindServer, "s1"), Deleted: true},
+		put("hire", distribution.KindServer, "s2", "up"), distribution.Change{Key: key("", distribution.KindTenant, "dairy"), Deleted: true})
 	for i, n := range nodes {
 		c.inForce(names[i])
-		if n.value(key("hire", distribution.Route, "r1")) != "second" || n.value(key("hire", distribution.Server, "s2")) != "up" || n.size() != 2 {
+		if n.value(key("hire", distribution.KindRoute, "r1")) != "second" || n.value(key("hire", distribution.KindServer, "s2")) != "up" || n.size() != 2 {
 			t.Errorf("%s has in force %v", names[i], n.all())
 		}
 		if s, _ := c.status(names[i]); s.Region != "r" || s.Zone != "z" || len(s.Rejected) > 0 || s.Lag > 0 {
@@ -68,11 +68,11 @@
 func TestNodesGetTheirServicesOnly(t *testing.T) {
 	c := newControl(t, "root/1")
 	const size = 40 << 10
-	c.write(put("hire", distribution.Route, "small", "x"), put("yard", distribution.Route, "large", strings.Repeat("y", size)))
+	c.write(put("hire", distribution.KindRoute, "small", "x"), put("yard", distribution.KindRoute, "large", strings.Repeat("y", size)))
 	small, large := startNode(t, config(t, "small", []string{"hire"}, c.address())), startNode(t, config(t, "large", []string{"yard"}, c.address()))
 	started(t, small)
 	started(t, large)
-	c.write(put("yard", distribution.Route, "large", strings.Repeat("z", size)))
+	c.write(put("yard", distribution.KindRoute, "large", strings.Repeat("z", size)))
 	c.inForce("large")
 	c.mu.Lock()
 	few, many := c.names["small"], c.names["large"]
@@ -80,7 +80,7 @@
 	if few > 1<<10 || many < 2*size {
 		t.Errorf("%d bytes to the one, %d to the other", few, many)
 	}
-	if small.value(key("yard", distribution.Route, "large")) != "" || large.value(key("hire", distribution.Route, "small")) != "" {
+	if small.value(key("yard", distribution.KindRoute, "large")) != "" || large.value(key("hire", distribution.KindRoute, "small")) != "" {
 		t.Error("a node holds what is not of its services")
 	}
 }
@@ -88,7 +88,7 @@
 // An entry that cannot be used is left out by itself, told upstream and logged once; the last good value stays, others hold,
 // and a value that can be used ends it.
 func TestBadEntries(t *testing.T) {
-	for name, kind := range map[string]distribution.Kind{"server": distribution.Server, "route": distribution.Route, "tenant": distribution.Tenant} {
+	for name, kind := range map[string]distribution.Kind{"server": distribution.KindServer, "route": distribution.KindRoute, "tenant": distribution.KindTenant} {
 		t.Run(name, func(t *testing.T) {
 			c := newControl(t, "root/1")
 			c.write(put("hire", kind, "a", "good"))
@@ -96,7 +96,7 @@
 			started(t, n)
 			c.write(put("hire", kind, "a", "bad"), put("hire", kind, "b", "good"))
 			c.inForce("n")
-			c.write(put("hire", distribution.Pool, "p", "more")) // what else comes does not tell of it again
+			c.write(put("hire", distribution.KindPool, "p", "more")) // what else comes does not tell of it again
 			c.inForce("n")
 			if n.value(key("hire", kind, "a")) != "good" || n.value(key("hire", kind, "b")) != "good" {
 				t.Errorf("in force: %v", n.all())
@@ -129,7 +129,7 @@
 	started(t, n)
 	before, began := n.count("routes"), time.Now()
 	for range 100 {
-		c.write(put("hire", distribution.Route, "a", time.Now().String()))
+		c.write(put("hire", distribution.KindRoute, "a", time.Now().String()))
 		time.Sleep(5 * time.Millisecond)
 	}
 	c.inForce("n")
@@ -142,7 +142,7 @@
 // process that is there later brings it on.
 func TestStartsFromDisk(t *testing.T) {
 	c := newControl(t, "root/1")
-	c.write(put("hire", distribution.Server, "s1", "up"), put("hire", distribution.Route, "r1", "first"))
+	c.write(put("hire", distribution.KindServer, "s1", "up"), put("hire", distribution.KindRoute, "r1", "first"))
 	cfg := config(t, "n", []string{"hire"}, c.address())
 	n := startNode(t, cfg)
 	started(t, n)
@@ -150,13 +150,13 @@
 	store, at := c.store, c.address()
 	c.die()
 
-	cfg.StartWithin = 0
+	cfg.StartTimeout = 0
 	n = startNode(t, cfg)
 	started(t, n)
-	if s := n.Status(); s.State != distribution.Isolated || s.Revision != 2 || !s.Known || s.Upstream != "" {
+	if s := n.Status(); s.State != distribution.StateIsolated || s.Revision != 2 || !s.IsStalenessKnown || s.Upstream != "" {
 		t.Errorf("starts as %+v", s)
 	}
-	if n.value(key("hire", distribution.Server, "s1")) != "up" || n.value(key("hire", distribution.Route, "r1")) != "first" {
+	if n.value(key("hire", distribution.KindServer, "s1")) != "up" || n.value(key("hire", distribution.KindRoute, "r1")) != "first" {
 		t.Errorf("in force: %v", n.all())
 	}
 	ln, err := net.Listen("tcp", at)
@@ -164,9 +164,9 @@
 		t.Fatal(err)
 	}
 	c = controlAt(t, ln, store)
-	c.write(put("hire", distribution.Route, "r1", "second"))
+	c.write(put("hire", distribution.KindRoute, "r1", "second"))
 	c.inForce("n")
-	if n.value(key("hire", distribution.Route, "r1")) != "second" || n.Status().State != distribution.Current {
+	if n.value(key("hire", distribution.KindRoute, "r1")) != "second" || n.Status().State != distribution.StateCurrent {
 		t.Errorf("in force: %v, %+v", n.force, n.Status())
 	}
 	if c.names["n"] > 500 { // what its disk holds is not sent again
@@ -177,12 +177,12 @@
 // A control process with an older state, and one that calls old entries whole, do not bring a node back.
 func TestNeverBack(t *testing.T) {
 	early := newControl(t, "root/1")
-	early.write(put("hire", distribution.Server, "s1", "v1"))
+	early.write(put("hire", distribution.KindServer, "s1", "v1"))
 	late := newControl(t, "other/1")
-	first, _ := early.store.Entry(key("hire", distribution.Server, "s1"))
+	first, _ := early.store.Entry(key("hire", distribution.KindServer, "s1"))
 	late.store.Merge([]distribution.Entry{first})
-	late.store.Advance(early.store.Vector())
-	second, err := late.store.Write(time.Now(), []distribution.Change{put("hire", distribution.Server, "s1", "v2"), put("hire", distribution.Server, "s2", "v1")})
+	late.store.AdvanceVector(early.store.Vector())
+	second, err := late.store.Write(time.Now(), []distribution.Change{put("hire", distribution.KindServer, "s1", "v2"), put("hire", distribution.KindServer, "s2", "v1")})
 	if err != nil || len(second) != 2 {
 		t.Fatal(err)
 	}
@@ -191,12 +191,12 @@
 	started(t, n)
 	late.die()
 	until(t, func() bool { return n.Status().Upstream == early.address() }, "the older one is followed")
-	early.write(put("hire", distribution.Route, "after", "x"))
-	until(t, func() bool { return n.value(key("hire", distribution.Route, "after")) == "x" }, "it is told of what comes after")
+	early.write(put("hire", distribution.KindRoute, "after", "x"))
+	until(t, func() bool { return n.value(key("hire", distribution.KindRoute, "after")) == "x" }, "it is told of what comes after")
 	const last = 90 // number of a batch that is the last
 	early.mu.Lock()
 	for _, p := range early.conns {
-		wire.Send(p.conn, &wire.Batch{Batch: distribution.Batch{Number: last, Entries: []distribution.Entry{first}, Reset: []string{"hire"}, Complete: true,
+		wire.Send(p.conn, &wire.Batch{Batch: distribution.Batch{Number: last, Entries: []distribution.Entry{first}, ResetServices: []string{"hire"}, IsComplete: true,
 			Through: distribution.Vector{first.Origin: 1}}})
 	}
 	early.mu.Unlock()
@@ -205,7 +205,7 @@
 		defer early.mu.Unlock()
 		return early.acknowledged == last
 	}, "the last batch is in force")
-	if n.value(key("hire", distribution.Server, "s1")) != "v2" || n.value(key("hire", distribution.Server, "s2")) != "v1" || n.Status().Revision < 3 {
+	if n.value(key("hire", distribution.KindServer, "s1")) != "v2" || n.value(key("hire", distribution.KindServer, "s2")) != "v1" || n.Status().Revision < 3 {
 		t.Errorf("in force: %v, %+v", n.force, n.Status())
 	}
 }
@@ -238,23 +238,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctl := newControl(t, "root/1")
-			ctl.write(put("hire", distribution.Server, "s1", "v1"), put("hire", distribution.Server, "s2", "v1"))
+			ctl.write(put("hire", distribution.KindServer, "s1", "v1"), put("hire", distribution.KindServer, "s2", "v1"))
 			cfg, old := config(t, "n", []string{"hire"}, ctl.address()), t.TempDir()
 			n := startNode(t, cfg)
 			started(t, n)
 			n.stop()
 			copyOf(t, filepath.Join(cfg.Directory, diskFile), filepath.Join(old, diskFile))
-			ctl.write(put("hire", distribution.Server, "s1", "v2"), distribution.Change{Key: key("hire", distribution.Server, "s2"), Deleted: true})
+			ctl.write(put("hire", distribution.KindServer, "s1", "v2"), distribution.Change{Key: key("hire", distribution.KindServer, "s2"), Deleted: true})
 			n = startNode(t, cfg)
 			ctl.inForce("n")
 			n.stop()
 			c.damage(t, cfg.Directory, old)
-			ctl.write(put("hire", distribution.Server, "s3", "v1"))
+			ctl.write(put("hire", distribution.KindServer, "s3", "v1"))
 			n = startNode(t, cfg)
 			started(t, n)
 			ctl.inForce("n")
-			if n.value(key("hire", distribution.Server, "s1")) != "v2" || n.value(key("hire", distribution.Server, "s2")) != "" ||
-				n.value(key("hire", distribution.Server, "s3")) != "v1" {
+			if n.value(key("hire", distribution.KindServer, "s1")) != "v2" || n.value(key("hire", distribution.KindServer, "s2")) != "" ||
+				n.value(key("hire", distribution.KindServer, "s3")) != "v1" {
 				t.Errorf("in force: %v", n.all())
 			}
 			files, _ := filepath.Glob(filepath.Join(cfg.Directory, diskFile+".damaged-*"))
@@ -268,7 +268,7 @@
 // A node that comes to serve another service is sent that one whole, and drops what it does not serve any more.
 func TestServicesChange(t *testing.T) {
 	c := newControl(t, "root/1")
-	c.write(put("hire", distribution.Server, "s1", "up"), put("yard", distribution.Server, "s2", "up"))
+	c.write(put("hire", distribution.KindServer, "s1", "up"), put("yard", distribution.KindServer, "s2", "up"))
 	cfg := config(t, "n", []string{"hire"}, c.address())
 	n := startNode(t, cfg)
 	started(t, n)
@@ -288,7 +288,7 @@
 // A control process that is ahead in nothing is asked for nothing; one that lost its disk is given what the node holds.
 func TestGivesWhatAnEmptiedControlLacks(t *testing.T) {
 	c := newControl(t, "root/1")
-	c.write(put("hire", distribution.Server, "s1", "up"), put("", distribution.Tenant, "dairy", "5"), distribution.Change{Key: key("hire", distribution.Route, "r"), Deleted: true})
+	c.write(put("hire", distribution.KindServer, "s1", "up"), put("", distribution.KindTenant, "dairy", "5"), distribution.Change{Key: key("hire", distribution.KindRoute, "r"), Deleted: true})
 	emptied := newControl(t, "root/2")
 	n := startNode(t, config(t, "n", []string{"hire"}, c.address(), emptied.address()))
 	started(t, n)
@@ -296,14 +296,14 @@
 	until(t, func() bool {
 		emptied.mu.Lock()
 		defer emptied.mu.Unlock()
-		_, server := emptied.store.Entry(key("hire", distribution.Server, "s1"))
-		_, tenant := emptied.store.Entry(key("", distribution.Tenant, "dairy"))
-		gone, known := emptied.store.Entry(key("hire", distribution.Route, "r"))
+		_, server := emptied.store.Entry(key("hire", distribution.KindServer, "s1"))
+		_, tenant := emptied.store.Entry(key("", distribution.KindTenant, "dairy"))
+		gone, known := emptied.store.Entry(key("hire", distribution.KindRoute, "r"))
 		return server && tenant && known && gone.Deleted
 	}, "the emptied one holds all")
-	emptied.write(put("hire", distribution.Server, "s2", "up"))
-	until(t, func() bool { return n.value(key("hire", distribution.Server, "s2")) == "up" }, "its own changes are in force")
-	if n.value(key("hire", distribution.Server, "s1")) != "up" {
+	emptied.write(put("hire", distribution.KindServer, "s2", "up"))
+	until(t, func() bool { return n.value(key("hire", distribution.KindServer, "s2")) == "up" }, "its own changes are in force")
+	if n.value(key("hire", distribution.KindServer, "s1")) != "up" {
 		t.Errorf("in force: %v", n.all())
 	}
 }
@@ -311,17 +311,17 @@
 // Digests that differ bring a service whole.
 func TestDigestsMend(t *testing.T) {
 	c := newControl(t, "root/1")
-	c.write(put("hire", distribution.Server, "s1", "up"))
+	c.write(put("hire", distribution.KindServer, "s1", "up"))
 	n := startNode(t, config(t, "n", []string{"hire"}, c.address()))
 	started(t, n)
 	c.mu.Lock() // an entry that was lost on the way, as by a fault of either side
-	lost := distribution.Entry{Key: key("hire", distribution.Server, "s2"), Clock: 1 << 40, Origin: "other/1", Sequence: 1, Value: []byte("up")}
+	lost := distribution.Entry{Key: key("hire", distribution.KindServer, "s2"), Clock: 1 << 40, Origin: "other/1", Sequence: 1, Value: []byte("up")}
 	c.store.Merge([]distribution.Entry{lost})
-	c.store.Advance(distribution.Vector{"other/1": 1})
+	c.store.AdvanceVector(distribution.Vector{"other/1": 1})
 	for _, p := range c.conns {
-		wire.Send(p.conn, &wire.Digests{Digests: distribution.Digests{Services: map[string]uint64{"": c.store.Digest(""), "hire": c.store.Digest("hire")},
+		wire.Send(p.conn, &wire.Digests{Digests: distribution.Digests{Services: map[string]uint64{"": c.store.ServiceDigest(""), "hire": c.store.ServiceDigest("hire")},
 			Through: c.store.Vector().Clone()}})
 	}
 	c.mu.Unlock()
-	until(t, func() bool { return n.value(key("hire", distribution.Server, "s2")) == "up" }, "the lost one is in force")
+	until(t, func() bool { return n.value(key("hire", distribution.KindServer, "s2")) == "up" }, "the lost one is in force")
 }
--- a/internal/controlplane/distribution/client/config.go
+++ b/internal/controlplane/distribution/client/config.go
@@ -27,18 +27,18 @@
 
 // Config is an operator's file of the distribution, of a node or of a command.
 type Config struct {
-	Control     []string      `toml:"control"`      // addresses of control processes, the preferred one first
-	Services    []string      `toml:"services"`     // that the node serves
-	Region      string        `toml:"region"`       // where it stands, for the status
-	Zone        string        `toml:"zone"`         // likewise
-	Directory   string        `toml:"directory"`    // a folder that is there, for what the node holds
-	StartWithin tomlfile.Span `toml:"start_within"` // how long a start waits to be current
-	ReturnAfter tomlfile.Span `toml:"return_after"` // until a control process that is preferred to the one followed is tried; 0: never
-	TLSName     string        `toml:"tls_name"`     // that the control processes' certificates are for
-	Cert        string        `toml:"cert"`
-	Key         string        `toml:"key"`
-	CA          string        `toml:"ca"`
-	Plaintext   bool          `toml:"plaintext"` // without TLS, on loopback only
+	Control       []string          `toml:"control"`      // addresses of control processes, the preferred one first
+	Services      []string          `toml:"services"`     // that the node serves
+	Region        string            `toml:"region"`       // where it stands, for the status
+	Zone          string            `toml:"zone"`         // likewise
+	Directory     string            `toml:"directory"`    // a folder that is there, for what the node holds
+	StartTimeout  tomlfile.Duration `toml:"start_within"` // how long a start waits to be current
+	FailbackDelay tomlfile.Duration `toml:"return_after"` // until a control process that is preferred to the one followed is tried; 0: never
+	TLSName       string            `toml:"tls_name"`     // that the control processes' certificates are for
+	Cert          string            `toml:"cert"`
+	Key           string            `toml:"key"`
+	CA            string            `toml:"ca"`
+	Plaintext     bool              `toml:"plaintext"` // without TLS, on loopback only
 
 	Name      string           `toml:"-"` // of the node
 	Addresses []netip.AddrPort `toml:"-"`
@@ -56,8 +56,8 @@
 	}
 	for i, name := range c.Services {
 		switch {
-		case name == "" || len(name) > distribution.NameMost:
-			f.Wrong("services."+strconv.Itoa(i), "service %.40q: a name of 1 to %d bytes is wanted", name, distribution.NameMost)
+		case name == "" || len(name) > distribution.MaxNameBytes:
+			f.Wrong("services."+strconv.Itoa(i), "service %.40q: a name of 1 to %d bytes is wanted", name, distribution.MaxNameBytes)
 		case slices.Contains(c.Services[:i], name):
 			f.Wrong("services."+strconv.Itoa(i), "service %q is named twice", name)
 		}
@@ -65,10 +65,10 @@
 	if st, err := os.Stat(c.Directory); c.Directory == "" || err != nil || !st.IsDir() {
 		f.Wrong("directory", "directory %q is no folder that is there", c.Directory)
 	}
-	if d := c.StartWithin.D(); d < 0 || d > startWithinMost {
+	if d := c.StartTimeout.Std(); d < 0 || d > startWithinMost {
 		f.Wrong("start_within", "start_within %s: from 0s to %s", d, startWithinMost)
 	}
-	if d := c.ReturnAfter.D(); d < 0 || d > returnAfterMost {
+	if d := c.FailbackDelay.Std(); d < 0 || d > returnAfterMost {
 		f.Wrong("return_after", "return_after %s: from 0s to %s", d, returnAfterMost)
 	}
 	return c, f.Err()
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	c := &Config{StartWithin: tomlfile.Span(startWithinBase), ReturnAfter: tomlfile.Span(returnAfterBase)}
+	c := &Config{StartTimeout: tomlfile.Duration(startWithinBase), FailbackDelay: tomlfile.Duration(returnAfterBase)}
 	f, err := tomlfile.Parse(path, text, c)
 	if err != nil {
 		return nil, nil, err
@@ -106,7 +106,7 @@
 	if !c.Plaintext && c.TLSName == "" {
 		f.Wrong("tls_name", "tls_name says what the control processes' certificates are for")
 	}
-	c.Keys = mtls.Configured(f, mtls.Files{Cert: c.Cert, Key: c.Key, CA: c.CA}, c.Plaintext, c.Addresses)
+	c.Keys = mtls.KeysFromConfig(f, mtls.Files{Cert: c.Cert, Key: c.Key, CA: c.CA}, c.Plaintext, c.Addresses)
 	return c, f, nil
 }
 
@@ -119,8 +119,8 @@
 	if c.Keys == nil {
 		return connection, nil
 	}
-	secured := c.Keys.Client(connection, c.TLSName)
-	if err := c.Keys.Fault(); err != nil {
+	secured := c.Keys.ClientConn(connection, c.TLSName)
+	if err := c.Keys.ReloadError(); err != nil {
 		return secured, errors.Join(errKeys, err)
 	}
 	return secured, nil
--- a/internal/controlplane/distribution/client/control_test.go
+++ b/internal/controlplane/distribution/client/control_test.go
@@ -29,7 +29,7 @@
 	publisher *distribution.Publisher
 	conns     map[distribution.SubscriptionID]*peer
 	names     map[string]int // bytes sent, by node
-	wants     []wire.Want
+	wants     []wire.Pull
 	offered   []distribution.Entry
 
 	acknowledged uint64 // newest batch that any node has
@@ -56,7 +56,7 @@
 
 func controlAt(t *testing.T, ln net.Listener, store *distribution.Store) *control {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &control{t: t, ln: ln, begun: time.Now(), store: store, publisher: distribution.NewPublisher(store, distribution.Budget{NodeBytes: 1 << 20}),
+	c := &control{t: t, ln: ln, begun: time.Now(), store: store, publisher: distribution.NewPublisher(store, distribution.Budget{NodeBytesPerSecond: 1 << 20}),
 		conns: map[distribution.SubscriptionID]*peer{}, names: map[string]int{}, wake: make(chan struct{}, 1), stop: cancel}
 	c.done.Go(c.accept)
 	c.done.Go(func() { c.pump(ctx) })
@@ -94,9 +94,9 @@
 }
 
 func (c *control) lead(nc net.Conn) {
-	conn := wire.Protocol.New(nc)
+	conn := wire.Protocol.NewConn(nc)
 	by := time.Now().Add(patience)
-	if _, err := conn.Greet("control", by); err != nil {
+	if _, err := conn.Handshake("control", by); err != nil {
 		return
 	}
 	kind, body, err := conn.Receive(by)
@@ -111,8 +111,8 @@
 	c.mu.Lock()
 	id := c.publisher.Subscribe(c.now(), asked.Subscription)
 	c.conns[id] = &peer{conn, asked.Subscription.Name}
-	if c.store.Lacks(asked.Subscription.Vector) {
-		wire.Send(conn, &wire.Want{Follow: true, Vector: c.store.Vector().Clone()})
+	if c.store.IsBehind(asked.Subscription.Vector) {
+		wire.Send(conn, &wire.Pull{IsContinuous: true, Vector: c.store.Vector().Clone()})
 	}
 	c.mu.Unlock()
 	c.signal()
@@ -140,19 +140,19 @@
 	defer c.mu.Unlock()
 	switch m := m.(type) {
 	case *wire.Acknowledge:
-		c.publisher.Acknowledged(c.now(), id, m.Acknowledgement)
-		c.acknowledged = max(c.acknowledged, m.Acknowledgement.Batch)
-	case *wire.Want:
+		c.publisher.BatchAcknowledged(c.now(), id, m.Acknowledgement)
+		c.acknowledged = max(c.acknowledged, m.Acknowledgement.BatchNumber)
+	case *wire.Pull:
 		c.wants = append(c.wants, *m)
-		c.publisher.Whole(c.now(), id, m.Services)
-		if !m.Follow && len(m.Services) == 0 && !c.quiet {
+		c.publisher.ResyncSubscriber(c.now(), id, m.Services)
+		if !m.IsContinuous && len(m.Services) == 0 && !c.quiet {
 			wire.Send(conn, &wire.Acknowledge{})
 		}
 	case *wire.Batch:
 		c.offered = append(c.offered, m.Entries...)
 		changed, _ := c.store.Merge(m.Entries)
-		c.publisher.Changed(c.now(), changed)
-		wire.Send(conn, &wire.Acknowledge{Acknowledgement: distribution.Acknowledgement{Batch: m.Number}})
+		c.publisher.EntriesChanged(c.now(), changed)
+		wire.Send(conn, &wire.Acknowledge{Acknowledgement: distribution.Acknowledgement{BatchNumber: m.Number}})
 	}
 }
 
@@ -183,14 +183,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
-		id, b, ok, wait := c.publisher.Next(c.now())
+		id, b, ok, wait := c.publisher.NextBatch(c.now())
 		if !ok {
 			return wait
 		}
 		p := c.conns[id]
-		before := p.conn.Sent
+		before := p.conn.SentBytes
 		wire.Send(p.conn, &wire.Batch{Batch: b})
-		c.names[p.name] += p.conn.Sent - before
+		c.names[p.name] += p.conn.SentBytes - before
 	}
 }
 
@@ -200,7 +200,7 @@
 	c.mu.Lock()
 	entries, err := c.store.Write(time.Now(), changes)
 	if err == nil {
-		c.publisher.Changed(c.now(), entries)
+		c.publisher.EntriesChanged(c.now(), entries)
 	}
 	c.mu.Unlock()
 	if err != nil {
@@ -213,7 +213,7 @@
 func (c *control) status(name string) (distribution.NodeStatus, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, s := range c.publisher.Status(c.now()) {
+	for _, s := range c.publisher.AllStatuses(c.now()) {
 		if s.Name == name {
 			return s, true
 		}
@@ -228,7 +228,7 @@
 		s, ok := c.status(name)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return ok && s.Revision >= c.store.Vector().Total() && s.Pending == 0 && s.Unconfirmed == 0 && !s.CatchingUp
+		return ok && s.Revision >= c.store.Vector().Total() && s.PendingKeys == 0 && s.UnacknowledgedBytes == 0 && !s.IsCatchingUp
 	}, "%s has all in force", name)
 }
 
--- a/internal/controlplane/distribution/client/faults_test.go
+++ b/internal/controlplane/distribution/client/faults_test.go
@@ -106,21 +106,21 @@
 				t.Fatal(err)
 			}
 			defer wires.Close()
-			b.write(put("hire", distribution.Server, "s", "v1"), put("hire", distribution.Route, "r", "v1"))
+			b.write(put("hire", distribution.KindServer, "s", "v1"), put("hire", distribution.KindRoute, "r", "v1"))
 			n := startNode(t, config(t, "n", []string{"hire"}, wires.Address(), b.at))
 			started(t, n)
 			holds := func(v string) {
 				t.Helper()
 				until(t, func() bool {
-					return n.value(key("hire", distribution.Server, "s")) == v && n.value(key("hire", distribution.Route, "r")) == v
+					return n.value(key("hire", distribution.KindServer, "s")) == v && n.value(key("hire", distribution.KindRoute, "r")) == v
 				}, "%s is in force", v)
 			}
 			holds("v1")
 			c.fault(wires)
-			b.write(put("hire", distribution.Server, "s", "v2"), put("hire", distribution.Route, "r", "v2"))
+			b.write(put("hire", distribution.KindServer, "s", "v2"), put("hire", distribution.KindRoute, "r", "v2"))
 			holds("v2")
 			c.mend(wires)
-			a.write(put("hire", distribution.Server, "s", "v3"), put("hire", distribution.Route, "r", "v3"))
+			a.write(put("hire", distribution.KindServer, "s", "v3"), put("hire", distribution.KindRoute, "r", "v3"))
 			holds("v3")
 			n.listener.mu.Lock()
 			defer n.listener.mu.Unlock()
@@ -137,7 +137,7 @@
 func TestControlProcessesLoseTheirDisks(t *testing.T) {
 	dir, at := t.TempDir(), address.Free(t)
 	a := startControl(t, "a", at, dir)
-	a.write(put("hire", distribution.Server, "s", "v1"), put("", distribution.Tenant, "dairy", "5"))
+	a.write(put("hire", distribution.KindServer, "s", "v1"), put("", distribution.KindTenant, "dairy", "5"))
 	n := startNode(t, config(t, "n", []string{"hire"}, at))
 	started(t, n)
 	until(t, func() bool { return n.size() == 2 }, "all is in force")
@@ -148,10 +148,12 @@
 	a.start()
 	other := startNode(t, config(t, "other", []string{"hire"}, at))
 	started(t, other)
-	until(t, func() bool { return other.size() == 2 && other.value(key("hire", distribution.Server, "s")) == "v1" }, "another node gets what the first held")
-	a.write(put("hire", distribution.Server, "s", "v2"))
+	until(t, func() bool {
+		return other.size() == 2 && other.value(key("hire", distribution.KindServer, "s")) == "v1"
+	}, "another node gets what the first held")
+	a.write(put("hire", distribution.KindServer, "s", "v2"))
 	for _, m := range []*node{n, other} {
-		until(t, func() bool { return m.value(key("hire", distribution.Server, "s")) == "v2" }, "the next change is in force")
+		until(t, func() bool { return m.value(key("hire", distribution.KindServer, "s")) == "v2" }, "the next change is in force")
 		if m.size() != 2 {
 			t.Errorf("in force: %v", m.all())
 		}
@@ -162,7 +164,7 @@
 func TestStatusAtControl(t *testing.T) {
 	a, b := pair(t)
 	n := startNode(t, config(t, "n", []string{"hire"}, a.at))
-	a.write(put("hire", distribution.Route, "r", "bad"))
+	a.write(put("hire", distribution.KindRoute, "r", "bad"))
 	started(t, n)
 	for _, r := range []*running{a, b} {
 		until(t, func() bool {
@@ -173,7 +175,7 @@
 			defer s.Close()
 			_, nodes, err := s.Status()
 			for _, status := range nodes {
-				if status.Name == "n" && status.Connected && len(status.Rejected) == 1 && status.Rejected[0].Reason == "a bad value" && status.Via == "a" {
+				if status.Name == "n" && status.IsConnected && len(status.Rejected) == 1 && status.Rejected[0].Reason == "a bad value" && status.Via == "a" {
 					return err == nil
 				}
 			}
@@ -189,8 +191,8 @@
 		defer s.Close()
 		self, nodes, err := s.Status()
 		for _, status := range nodes {
-			if status.Name == "n" && !status.Connected && time.Since(time.UnixMilli(status.Lost)) < patience && len(nodes) == 2 {
-				return err == nil && self.Acknowledged
+			if status.Name == "n" && !status.IsConnected && time.Since(time.UnixMilli(status.DisconnectedMs)) < patience && len(nodes) == 2 {
+				return err == nil && self.HasAcknowledged
 			}
 		}
 		return false
@@ -202,10 +204,10 @@
 	a := startControl(t, "a", address.Free(t), t.TempDir())
 	var changes []distribution.Change
 	for i := range 5000 {
-		changes = append(changes, put("hire", distribution.Route, fmt.Sprint("r", i), fmt.Sprintf("%0100d", i)))
+		changes = append(changes, put("hire", distribution.KindRoute, fmt.Sprint("r", i), fmt.Sprintf("%0100d", i)))
 	}
 	a.write(changes...)
-	a.write(put("yard", distribution.Route, "r", "x"), distribution.Change{Key: key("hire", distribution.Route, "r7"), Deleted: true})
+	a.write(put("yard", distribution.KindRoute, "r", "x"), distribution.Change{Key: key("hire", distribution.KindRoute, "r7"), Deleted: true})
 	s, err := Open(context.Background(), accessTo(t, a.at))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/distribution/client/link.go
+++ b/internal/controlplane/distribution/client/link.go
@@ -145,7 +145,7 @@
 		case <-ctx.Done():
 			return
 		case why := <-l.refusal:
-			conn.Refuse(why)
+			conn.Reject(why)
 			l.cancel()
 			return
 		case m := <-l.out:
@@ -162,8 +162,8 @@
 		if err != nil {
 			return err
 		}
-		if kind == framing.Refusals {
-			return framing.Refused(body)
+		if kind == framing.RejectionKind {
+			return framing.RejectionError(body)
 		}
 		m, err := wire.Decode(kind, body)
 		if err != nil {
@@ -205,8 +205,8 @@
 	stop := context.AfterFunc(ctx, func() { connection.Close() })
 	defer stop()
 	secured.SetDeadline(by)
-	conn := wire.Protocol.New(secured)
-	if _, err := conn.Greet(name, by); err != nil {
+	conn := wire.Protocol.NewConn(secured)
+	if _, err := conn.Handshake(name, by); err != nil {
 		connection.Close()
 		return nil, err
 	}
--- a/internal/controlplane/distribution/client/listener_test.go
+++ b/internal/controlplane/distribution/client/listener_test.go
@@ -21,14 +21,14 @@
 
 func bad(e distribution.Entry) bool { return len(e.Value) >= 3 && string(e.Value[:3]) == "bad" }
 
-func (l *listener) Servers(changed []distribution.Entry, whole bool) (rejected []distribution.Rejection) {
+func (l *listener) ApplyServers(changed []distribution.Entry, whole bool) (rejected []distribution.Rejection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls["servers"]++
 	if whole {
 		l.calls["whole"]++
 		for k := range l.force {
-			if k.Kind == distribution.Server {
+			if k.Kind == distribution.KindServer {
 				delete(l.force, k)
 			}
 		}
@@ -47,12 +47,12 @@
 	return rejected
 }
 
-func (l *listener) Routes(all []distribution.Entry) []distribution.Rejection {
-	return l.replace("routes", all, distribution.Route, distribution.Pool)
+func (l *listener) ApplyRoutes(all []distribution.Entry) []distribution.Rejection {
+	return l.replace("routes", all, distribution.KindRoute, distribution.KindPool)
 }
 
-func (l *listener) Tenants(all []distribution.Entry) []distribution.Rejection {
-	return l.replace("tenants", all, distribution.Tenant)
+func (l *listener) ApplyTenants(all []distribution.Entry) []distribution.Rejection {
+	return l.replace("tenants", all, distribution.KindTenant)
 }
 
 func (l *listener) replace(call string, all []distribution.Entry, kinds ...distribution.Kind) (rejected []distribution.Rejection) {
--- a/internal/controlplane/distribution/client/mark.go
+++ b/internal/controlplane/distribution/client/mark.go
@@ -35,7 +35,7 @@
 	}
 	c.mark.Current = m.Current
 	if len(loaded.Entries) > 0 || len(loaded.Vector) > 0 {
-		c.store.MarkMissing(slices.DeleteFunc(services, func(name string) bool { return slices.Contains(m.Services, name) }))
+		c.store.MarkUnsynced(slices.DeleteFunc(services, func(name string) bool { return slices.Contains(m.Services, name) }))
 	}
 	c.mark.Services = c.markable()
 	c.keepMark() // ahead of whatever raises the vector
@@ -43,7 +43,7 @@
 
 // markable are the services for which the vector holds.
 func (c *Client) markable() []string {
-	missing := c.store.Missing()
+	missing := c.store.UnsyncedServices()
 	return slices.DeleteFunc(c.config.scope(), func(name string) bool { return slices.Contains(missing, name) })
 }
 
@@ -54,7 +54,7 @@
 		return
 	}
 	c.marked = time.Now()
-	if c.disk.Pending() > 0 || c.disk.Fault() != nil || c.pending.open {
+	if c.disk.PendingCount() > 0 || c.disk.Fault() != nil || c.pending.open {
 		c.onDisk = nil
 		return
 	}
@@ -71,7 +71,7 @@
 
 // noteCurrent is for who holds the lock.
 func (c *Client) noteCurrent() {
-	if c.subscriber.State() == distribution.Current {
+	if c.subscriber.State() == distribution.StateCurrent {
 		c.mark.Current = time.Now()
 	}
 }
--- a/internal/controlplane/distribution/client/offer.go
+++ b/internal/controlplane/distribution/client/offer.go
@@ -10,8 +10,8 @@
 
 // wanted gives a control process what it lacks, as after it lost its disk: in batches of a bounded rate, which it
 // acknowledges.
-func (c *Client) wanted(m *wire.Want) {
-	if !m.Follow && len(m.Services) == 0 { // a sign of life
+func (c *Client) wanted(m *wire.Pull) {
+	if !m.IsContinuous && len(m.Services) == 0 { // a sign of life
 		return
 	}
 	now := c.now()
@@ -19,14 +19,14 @@
 	defer c.mu.Unlock()
 	l := c.link
 	if l.publisher == nil {
-		l.publisher = distribution.NewPublisher(c.store, distribution.Budget{OutBytes: offerBudget, ControlBytes: offerBudget})
+		l.publisher = distribution.NewPublisher(c.store, distribution.Budget{TotalBytesPerSecond: offerBudget, ControlBytesPerSecond: offerBudget})
 	}
 	vector, services := m.Vector, m.Services
-	if m.Follow {
+	if m.IsContinuous {
 		services = c.config.scope()
 	}
 	l.publisher.Unsubscribe(l.offered)
-	l.offered = l.publisher.Offer(now, distribution.Subscription{Name: "upstream", Role: distribution.Control, Services: services, Vector: vector})
+	l.offered = l.publisher.SubscribePartial(now, distribution.Subscription{Name: "upstream", Role: distribution.RoleControl, Services: services, Vector: vector})
 	c.log.Info().Str("control", c.upstream).Msg("distribution: the control process lacks what this node holds: it is sent")
 }
 
@@ -39,9 +39,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
-		_, b, ok, wait := l.publisher.Next(now)
+		_, b, ok, wait := l.publisher.NextBatch(now)
 		if !ok {
-			if wait == distribution.Never {
+			if wait == distribution.WaitForever {
 				return 0
 			}
 			return max(wait, time.Millisecond)
@@ -57,7 +57,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l.publisher.Acknowledged(c.now(), l.offered, a)
+	l.publisher.BatchAcknowledged(c.now(), l.offered, a)
 }
 
 // ping asks a control process that has been silent for a while whether it is there, and leaves one that does not answer. It
@@ -74,7 +74,7 @@
 		return time.Millisecond
 	case silent >= pingAfter && !l.pinged:
 		l.pinged = true
-		l.send(&wire.Want{})
+		l.send(&wire.Pull{})
 	}
 	if l.pinged {
 		return pingAfter + pingWithin - silent
--- a/internal/controlplane/distribution/client/preferred_test.go
+++ b/internal/controlplane/distribution/client/preferred_test.go
@@ -13,23 +13,23 @@
 	t.Parallel()
 	a, b := pair(t)
 	c := config(t, "n", []string{"hire"}, a.at, b.at)
-	c.ReturnAfter = tomlfile.Span(50 * time.Millisecond)
+	c.FailbackDelay = tomlfile.Duration(50 * time.Millisecond)
 	n := startNode(t, c)
 	follows := func(r *running, value string) {
 		t.Helper()
 		until(t, func() bool { return n.Status().Upstream == r.at }, "%s is followed", r.at)
-		until(t, func() bool { return n.value(key("hire", distribution.Server, "s")) == value }, "%s is in force", value)
+		until(t, func() bool { return n.value(key("hire", distribution.KindServer, "s")) == value }, "%s is in force", value)
 	}
-	a.write(put("hire", distribution.Server, "s", "v1"))
+	a.write(put("hire", distribution.KindServer, "s", "v1"))
 	started(t, n)
 	follows(a, "v1")
 	for _, value := range []string{"v2", "v3"} { // and once more
 		a.stop()
-		b.write(put("hire", distribution.Server, "s", value))
+		b.write(put("hire", distribution.KindServer, "s", value))
 		follows(b, value)
 		a.start()
 		follows(a, value)
 	}
-	b.write(put("hire", distribution.Server, "s", "v4"))
+	b.write(put("hire", distribution.KindServer, "s", "v4"))
 	follows(a, "v4")
 }
--- a/internal/controlplane/distribution/client/session.go
+++ b/internal/controlplane/distribution/client/session.go
@@ -19,13 +19,13 @@
 	writeChanges = 2000            // in one write
 )
 
-// ErrNobody says that no control process has answered.
-var ErrNobody = errors.New("no control process answers")
+// ErrNoControlProcess says that no control process has answered.
+var ErrNoControlProcess = errors.New("no control process answers")
 
-// RefusedError is a control process's answer to a write that it did not take, or that is not on its disk.
-type RefusedError struct{ Reason string }
+// WriteRefusedError is a control process's answer to a write that it did not take, or that is not on its disk.
+type WriteRefusedError struct{ Reason string }
 
-func (e *RefusedError) Error() string { return "the control process answers: " + e.Reason }
+func (e *WriteRefusedError) Error() string { return "the control process answers: " + e.Reason }
 
 // Session is a command's connection to the first control process that answers.
 type Session struct {
@@ -57,7 +57,7 @@
 			text += "; " + err.Error()
 		}
 	}
-	return fmt.Errorf("%w%s", ErrNobody, text)
+	return fmt.Errorf("%w%s", ErrNoControlProcess, text)
 }
 
 // Close ends the connection.
@@ -69,14 +69,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if kind == framing.Refusals {
-		return nil, framing.Refused(body)
+	if kind == framing.RejectionKind {
+		return nil, framing.RejectionError(body)
 	}
 	return wire.Decode(kind, body)
 }
 
 // Write makes changes, in as many writes as they need, and returns the last answer. Each write is made whole or not at all.
-func (s *Session) Write(changes []distribution.Change) (written *wire.Written, err error) {
+func (s *Session) Write(changes []distribution.Change) (written *wire.WriteResult, err error) {
 	for len(changes) > 0 {
 		n, size := 0, 0
 		for n < len(changes) && n < writeChanges && (n == 0 || size+len(changes[n].Value) <= writeBytes) {
@@ -91,7 +91,7 @@
 	return written, nil
 }
 
-func (s *Session) write(changes []distribution.Change) (*wire.Written, error) {
+func (s *Session) write(changes []distribution.Change) (*wire.WriteResult, error) {
 	s.last++
 	if err := wire.Send(s.conn, &wire.Write{ID: s.last, Changes: changes}); err != nil {
 		return nil, s.unanswered(err)
@@ -101,9 +101,9 @@
 		if err != nil {
 			return nil, s.unanswered(err)
 		}
-		if answer, ok := m.(*wire.Written); ok && answer.ID == s.last {
+		if answer, ok := m.(*wire.WriteResult); ok && answer.ID == s.last {
 			if answer.Error != "" {
-				return nil, &RefusedError{answer.Error}
+				return nil, &WriteRefusedError{answer.Error}
 			}
 			return answer, nil
 		}
@@ -112,26 +112,26 @@
 
 // unanswered is a write of which nobody knows whether it was made.
 func (s *Session) unanswered(err error) error {
-	return fmt.Errorf("%w: %s took the change and did not answer (%v): it may hold; to write it once more does no harm", ErrNobody, s.Control, err)
+	return fmt.Errorf("%w: %s took the change and did not answer (%v): it may hold; to write it once more does no harm", ErrNoControlProcess, s.Control, err)
 }
 
 // Status asks for the state of all nodes that are known.
 func (s *Session) Status() (self distribution.NodeStatus, nodes []distribution.NodeStatus, err error) {
 	s.last++
-	if err := wire.Send(s.conn, &wire.Query{ID: s.last}); err != nil {
-		return self, nil, fmt.Errorf("%w; %s: %v", ErrNobody, s.Control, err)
+	if err := wire.Send(s.conn, &wire.StatusQuery{ID: s.last}); err != nil {
+		return self, nil, fmt.Errorf("%w; %s: %v", ErrNoControlProcess, s.Control, err)
 	}
 	for {
 		m, err := s.receive()
 		if err != nil {
-			return self, nil, fmt.Errorf("%w; %s: %v", ErrNobody, s.Control, err)
+			return self, nil, fmt.Errorf("%w; %s: %v", ErrNoControlProcess, s.Control, err)
 		}
-		answer, ok := m.(*wire.Answer)
+		answer, ok := m.(*wire.StatusAnswer)
 		if !ok || answer.ID != s.last {
 			continue
 		}
 		self, nodes = answer.Self, append(nodes, answer.Nodes...)
-		if answer.Last {
+		if answer.IsLast {
 			return self, nodes, nil
 		}
 	}
@@ -142,33 +142,33 @@
 	store := distribution.NewStore("", distribution.Limits{})
 	store.SetScope(services)
 	receiver := distribution.NewReceiver(store)
-	asked := distribution.Subscription{Name: "reader", Role: distribution.Reader, Services: services}
+	asked := distribution.Subscription{Name: "reader", Role: distribution.RoleReader, Services: services}
 	if err := wire.Send(s.conn, &wire.Subscribe{Subscription: asked}); err != nil {
-		return nil, fmt.Errorf("%w; %s: %v", ErrNobody, s.Control, err)
+		return nil, fmt.Errorf("%w; %s: %v", ErrNoControlProcess, s.Control, err)
 	}
 	for {
 		m, err := s.receive()
 		if err != nil {
-			return nil, fmt.Errorf("%w; %s: %v", ErrNobody, s.Control, err)
+			return nil, fmt.Errorf("%w; %s: %v", ErrNoControlProcess, s.Control, err)
 		}
 		batch, ok := m.(*wire.Batch)
 		if !ok {
 			continue
 		}
-		got := receiver.Receive(batch.Batch)
+		got := receiver.ReceiveBatch(batch.Batch)
 		if len(got.Rejected) > 0 {
 			return nil, fmt.Errorf("%s: %s", got.Rejected[0].Key, got.Rejected[0].Reason)
 		}
-		if got.Complete {
+		if got.IsComplete {
 			break
 		}
-		if err := wire.Send(s.conn, &wire.Acknowledge{Acknowledgement: distribution.Acknowledgement{Batch: batch.Number}}); err != nil {
-			return nil, fmt.Errorf("%w; %s: %v", ErrNobody, s.Control, err)
+		if err := wire.Send(s.conn, &wire.Acknowledge{Acknowledgement: distribution.Acknowledgement{BatchNumber: batch.Number}}); err != nil {
+			return nil, fmt.Errorf("%w; %s: %v", ErrNoControlProcess, s.Control, err)
 		}
 	}
 	var all []distribution.Entry
 	for _, name := range services {
-		all = append(all, store.Service(name)...)
+		all = append(all, store.LiveEntries(name)...)
 	}
 	return all, nil
 }
--- a/internal/controlplane/distribution/control/command_test.go
+++ b/internal/controlplane/distribution/control/command_test.go
@@ -30,10 +30,10 @@
 		return nil, err
 	}
 	if keys != nil {
-		nc = keys.Client(nc, "control")
+		nc = keys.ClientConn(nc, "control")
 	}
-	conn := wire.Protocol.New(nc)
-	if _, err := conn.Greet(name, time.Now().Add(2*time.Second)); err != nil {
+	conn := wire.Protocol.NewConn(nc)
+	if _, err := conn.Handshake(name, time.Now().Add(2*time.Second)); err != nil {
 		nc.Close()
 		return nil, err
 	}
@@ -46,18 +46,18 @@
 	if err != nil {
 		return nil, err
 	}
-	if kind == framing.Refusals {
-		return nil, framing.Refused(body)
+	if kind == framing.RejectionKind {
+		return nil, framing.RejectionError(body)
 	}
 	return wire.Decode(kind, body)
 }
 
 // tryWrite writes at an address and returns what it was told.
-func tryWrite(at string, changes ...distribution.Change) (*wire.Written, error) {
+func tryWrite(at string, changes ...distribution.Change) (*wire.WriteResult, error) {
 	return tryWriteWithin(at, 10*time.Second, changes...)
 }
 
-func tryWriteWithin(at string, within time.Duration, changes ...distribution.Change) (*wire.Written, error) {
+func tryWriteWithin(at string, within time.Duration, changes ...distribution.Change) (*wire.WriteResult, error) {
 	conn, err := greeted(at, "operator", nil)
 	if err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	written, ok := m.(*wire.Written)
+	written, ok := m.(*wire.WriteResult)
 	if !ok || written.ID != 7 {
 		return nil, fmt.Errorf("answered by %T", m)
 	}
@@ -80,7 +80,7 @@
 	return written, nil
 }
 
-func write(t *testing.T, at string, changes ...distribution.Change) *wire.Written {
+func write(t *testing.T, at string, changes ...distribution.Change) *wire.WriteResult {
 	t.Helper()
 	written, err := tryWrite(at, changes...)
 	if err != nil {
@@ -96,7 +96,7 @@
 		return self, nil, err
 	}
 	defer conn.Close()
-	if err := wire.Send(conn, &wire.Query{ID: 3}); err != nil {
+	if err := wire.Send(conn, &wire.StatusQuery{ID: 3}); err != nil {
 		return self, nil, err
 	}
 	nodes = map[string]distribution.NodeStatus{}
@@ -105,14 +105,14 @@
 		if err != nil {
 			return self, nil, err
 		}
-		answer, ok := m.(*wire.Answer)
+		answer, ok := m.(*wire.StatusAnswer)
 		if !ok {
 			return self, nil, fmt.Errorf("answered by %T", m)
 		}
 		for _, status := range answer.Nodes {
 			nodes[status.Name] = status
 		}
-		if answer.Last {
+		if answer.IsLast {
 			return answer.Self, nodes, nil
 		}
 	}
@@ -125,7 +125,7 @@
 		return nil, err
 	}
 	defer conn.Close()
-	if err := wire.Send(conn, &wire.Want{Digests: true}); err != nil {
+	if err := wire.Send(conn, &wire.Pull{WantsDigests: true}); err != nil {
 		return nil, err
 	}
 	m, err := next(conn, 2*time.Second)
--- a/internal/controlplane/distribution/control/config.go
+++ b/internal/controlplane/distribution/control/config.go
@@ -30,34 +30,34 @@
 
 // Config is a control process's file.
 type Config struct {
-	Name        string        `toml:"name"`
-	Region      string        `toml:"region"`
-	Zone        string        `toml:"zone"`
-	Listen      string        `toml:"listen"`
-	Disk        string        `toml:"disk"`       // file of what this process holds
-	DiskBytes   int           `toml:"disk_bytes"` // largest size of it; 0 for any
-	Upstreams   []string      `toml:"upstreams"`
-	Follow      string        `toml:"follow"` // all upstreams, or one at a time
-	OutBytes    int           `toml:"out_bytes"`
-	NodeBytes   int           `toml:"node_bytes"`
-	PeerBytes   int           `toml:"control_bytes"`
-	Connections int           `toml:"connections"`
-	KeepDeleted tomlfile.Span `toml:"keep_deleted"`
-	ReturnAfter tomlfile.Span `toml:"return_after"` // until an upstream preferred to the one followed is tried; 0: never
-	Discovery   string        `toml:"discovery"`    // servers come from here
-	Registry    string        `toml:"registry"`     // or from the registry that this file names
-	Service     string        `toml:"service"`      // and are of this service
-	TLSName     string        `toml:"tls_name"`     // that the upstreams' certificates are for
-	Cert        string        `toml:"cert"`
-	Key         string        `toml:"key"`
-	CA          string        `toml:"ca"`
-	Plaintext   bool          `toml:"plaintext"` // without TLS, on loopback only
+	Name                  string            `toml:"name"`
+	Region                string            `toml:"region"`
+	Zone                  string            `toml:"zone"`
+	Listen                string            `toml:"listen"`
+	Disk                  string            `toml:"disk"`       // file of what this process holds
+	DiskBytes             int               `toml:"disk_bytes"` // largest size of it; 0 for any
+	Upstreams             []string          `toml:"upstreams"`
+	Follow                string            `toml:"follow"` // all upstreams, or one at a time
+	TotalBytesPerSecond   int               `toml:"out_bytes"`
+	NodeBytesPerSecond    int               `toml:"node_bytes"`
+	ControlBytesPerSecond int               `toml:"control_bytes"`
+	MaxConnections        int               `toml:"connections"`
+	DeletionRetention     tomlfile.Duration `toml:"keep_deleted"`
+	FailbackDelay         tomlfile.Duration `toml:"return_after"` // until an upstream preferred to the one followed is tried; 0: never
+	Discovery             string            `toml:"discovery"`    // servers come from here
+	Registry              string            `toml:"registry"`     // or from the registry that this file names
+	Service               string            `toml:"service"`      // and are of this service
+	TLSName               string            `toml:"tls_name"`     // that the upstreams' certificates are for
+	Cert                  string            `toml:"cert"`
+	Key                   string            `toml:"key"`
+	CA                    string            `toml:"ca"`
+	Plaintext             bool              `toml:"plaintext"` // without TLS, on loopback only
 
-	ListenAt    netip.AddrPort    `toml:"-"`
-	UpstreamsAt []netip.AddrPort  `toml:"-"`
-	DiscoveryAt netip.AddrPort    `toml:"-"`
-	Ensemble    *zookeeper.Config `toml:"-"`
-	Keys        *mtls.Keys        `toml:"-"` // nil: plaintext
+	ListenAddress     netip.AddrPort    `toml:"-"`
+	UpstreamAddresses []netip.AddrPort  `toml:"-"`
+	DiscoveryAddress  netip.AddrPort    `toml:"-"`
+	Ensemble          *zookeeper.Config `toml:"-"`
+	Keys              *mtls.Keys        `toml:"-"` // nil: plaintext
 }
 
 // The two ways to follow several upstreams.
@@ -74,8 +74,8 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{Follow: followOne, OutBytes: 8 << 20, NodeBytes: 16 << 10, PeerBytes: 4 << 20, Connections: 8192,
-		KeepDeleted: tomlfile.Span(24 * time.Hour), ReturnAfter: tomlfile.Span(time.Minute)}
+	c := &Config{Follow: followOne, TotalBytesPerSecond: 8 << 20, NodeBytesPerSecond: 16 << 10, ControlBytesPerSecond: 4 << 20, MaxConnections: 8192,
+		DeletionRetention: tomlfile.Duration(24 * time.Hour), FailbackDelay: tomlfile.Duration(time.Minute)}
 	f, err := tomlfile.Parse(path, text, c)
 	if err != nil {
 		return nil, err
@@ -104,27 +104,27 @@
 
 func (c *Config) checkAddresses(f *tomlfile.File) {
 	var err error
-	if c.ListenAt, err = netip.ParseAddrPort(c.Listen); err != nil {
+	if c.ListenAddress, err = netip.ParseAddrPort(c.Listen); err != nil {
 		f.Wrong("listen", "listen %q: an address and a port are wanted", c.Listen)
 	}
 	if len(c.Upstreams) > upstreamsMost {
 		f.Wrong("upstreams", "%d upstreams: %d at most", len(c.Upstreams), upstreamsMost)
 	}
-	addresses := []netip.AddrPort{c.ListenAt}
+	addresses := []netip.AddrPort{c.ListenAddress}
 	for i, text := range c.Upstreams {
 		at, err := netip.ParseAddrPort(text)
 		switch {
 		case err != nil:
 			f.Wrong("upstreams."+strconv.Itoa(i), "upstream %q: an address and a port are wanted", text)
-		case at == c.ListenAt:
+		case at == c.ListenAddress:
 			f.Wrong("upstreams."+strconv.Itoa(i), "upstream %q is this process itself", text)
 		}
-		c.UpstreamsAt = append(c.UpstreamsAt, at)
+		c.UpstreamAddresses = append(c.UpstreamAddresses, at)
 	}
 	if !c.Plaintext && c.TLSName == "" && len(c.Upstreams) > 0 {
 		f.Wrong("tls_name", "tls_name says what the upstreams' certificates are for")
 	}
-	c.Keys = mtls.Configured(f, mtls.Files{Cert: c.Cert, Key: c.Key, CA: c.CA}, c.Plaintext, append(addresses, c.UpstreamsAt...))
+	c.Keys = mtls.KeysFromConfig(f, mtls.Files{Cert: c.Cert, Key: c.Key, CA: c.CA}, c.Plaintext, append(addresses, c.UpstreamAddresses...))
 }
 
 func (c *Config) checkDisk(f *tomlfile.File) {
@@ -136,23 +136,23 @@
 	if c.DiskBytes != 0 && c.DiskBytes < leastDisk {
 		f.Wrong("disk_bytes", "disk_bytes %d: %d at least, or 0 for any size", c.DiskBytes, leastDisk)
 	}
-	if d := c.ReturnAfter.D(); d < 0 || d > mostReturn {
+	if d := c.FailbackDelay.Std(); d < 0 || d > mostReturn {
 		f.Wrong("return_after", "return_after %s: from 0s to %s", d, mostReturn)
 	}
-	if c.KeepDeleted.D() < leastDeleted {
-		f.Wrong("keep_deleted", "keep_deleted %s: %s at least, longer than any process is away", c.KeepDeleted.D(), leastDeleted)
+	if c.DeletionRetention.Std() < leastDeleted {
+		f.Wrong("keep_deleted", "keep_deleted %s: %s at least, longer than any process is away", c.DeletionRetention.Std(), leastDeleted)
 	}
 }
 
 func (c *Config) checkBudgets(f *tomlfile.File) {
-	for key, b := range map[string]struct{ bytes, least int }{"out_bytes": {c.OutBytes, leastOut}, "node_bytes": {c.NodeBytes, leastOne},
-		"control_bytes": {c.PeerBytes, leastOne}} {
+	for key, b := range map[string]struct{ bytes, least int }{"out_bytes": {c.TotalBytesPerSecond, leastOut}, "node_bytes": {c.NodeBytesPerSecond, leastOne},
+		"control_bytes": {c.ControlBytesPerSecond, leastOne}} {
 		if b.bytes < b.least || b.bytes > mostOut {
 			f.Wrong(key, "%s %d: from %d to %d a second", key, b.bytes, b.least, mostOut)
 		}
 	}
-	if c.Connections < 1 || c.Connections > connectionsMost {
-		f.Wrong("connections", "connections %d: from 1 to %d", c.Connections, connectionsMost)
+	if c.MaxConnections < 1 || c.MaxConnections > connectionsMost {
+		f.Wrong("connections", "connections %d: from 1 to %d", c.MaxConnections, connectionsMost)
 	}
 }
 
@@ -166,14 +166,14 @@
 			f.Wrong("registry", "%v", err)
 		}
 	case c.Discovery != "":
-		if c.DiscoveryAt, err = netip.ParseAddrPort(c.Discovery); err != nil {
+		if c.DiscoveryAddress, err = netip.ParseAddrPort(c.Discovery); err != nil {
 			f.Wrong("discovery", "discovery %q: an address and a port are wanted", c.Discovery)
 		}
 	case c.Service != "":
 		f.Wrong("service", "service says whose servers discovery or a registry lists, and neither is named")
 	}
-	if c.sourced() && (c.Service == "" || len(c.Service) > distribution.NameMost) {
-		f.Wrong("service", "service %q: whose servers the source lists, %d bytes at most", c.Service, distribution.NameMost)
+	if c.sourced() && (c.Service == "" || len(c.Service) > distribution.MaxNameBytes) {
+		f.Wrong("service", "service %q: whose servers the source lists, %d bytes at most", c.Service, distribution.MaxNameBytes)
 	}
 }
 
@@ -181,5 +181,5 @@
 func (c *Config) sourced() bool { return c.Discovery != "" || c.Registry != "" }
 
 func (c *Config) budget() distribution.Budget {
-	return distribution.Budget{OutBytes: c.OutBytes, NodeBytes: c.NodeBytes, ControlBytes: c.PeerBytes}
+	return distribution.Budget{TotalBytesPerSecond: c.TotalBytesPerSecond, NodeBytesPerSecond: c.NodeBytesPerSecond, ControlBytesPerSecond: c.ControlBytesPerSecond}
 }
--- a/internal/controlplane/distribution/control/config_test.go
+++ b/internal/controlplane/distribution/control/config_test.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "root-1" || c.Follow != followAll || len(c.UpstreamsAt) != 2 || c.Keys == nil || c.budget().NodeBytes != 16<<10 {
+	if c.Name != "root-1" || c.Follow != followAll || len(c.UpstreamAddresses) != 2 || c.Keys == nil || c.budget().NodeBytesPerSecond != 16<<10 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/controlplane/distribution/control/control_test.go
+++ b/internal/controlplane/distribution/control/control_test.go
@@ -61,10 +61,10 @@
 	a, _, _ := tree(t)
 	before := a.state()
 	for name, changes := range map[string][]distribution.Change{
-		"no name":         {{Key: distribution.Key{Service: "s", Kind: distribution.Route}}},
+		"no name":         {{Key: distribution.Key{Service: "s", Kind: distribution.KindRoute}}},
 		"no kind":         {{Key: distribution.Key{Service: "s", Name: "x"}}},
 		"one of two":      {route("s", "good"), {Key: distribution.Key{Kind: 99, Name: "x"}}},
-		"a large value":   {{Key: route("s", "x").Key, Value: make([]byte, distribution.ValueMost+1)}},
+		"a large value":   {{Key: route("s", "x").Key, Value: make([]byte, distribution.MaxValueBytes+1)}},
 		"a value deleted": {{Key: route("s", "x").Key, Value: []byte("v"), Deleted: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -87,7 +87,7 @@
 	if _, err := tryWrite(m.at, route("s", "x")); err == nil || err.Error() != errNotCurrent.Error() {
 		t.Errorf("a write: %v", err)
 	}
-	if self, _, err := query(m.at); err != nil || !self.CatchingUp || self.Acknowledged {
+	if self, _, err := query(m.at); err != nil || !self.IsCatchingUp || self.HasAcknowledged {
 		t.Errorf("it says that it is %+v, %v", self, err)
 	}
 	early := false
@@ -229,8 +229,8 @@
 		wait(t, "the node's state at "+m.config.Name, func() bool {
 			self, nodes, err := query(m.at)
 			status := nodes["n"]
-			return err == nil && self.Acknowledged && status.Connected && status.Via == "r" && status.Clock == written.Clock && status.Lag == 0 &&
-				status.Role == distribution.Node && status.Revision == self.Revision && (m == r || nodes["r"].Role == distribution.Control)
+			return err == nil && self.HasAcknowledged && status.IsConnected && status.Via == "r" && status.AcknowledgedClock == written.Clock && status.Lag == 0 &&
+				status.Role == distribution.RoleNode && status.Revision == self.Revision && (m == r || nodes["r"].Role == distribution.RoleControl)
 		})
 	}
 	n.leave()
@@ -238,7 +238,7 @@
 		wait(t, "it has gone at "+m.config.Name, func() bool {
 			_, nodes, err := query(m.at)
 			status, known := nodes["n"]
-			return err == nil && known && !status.Connected
+			return err == nil && known && !status.IsConnected
 		})
 	}
 }
@@ -251,7 +251,7 @@
 	write(t, a.at, routes("other", 0, 50)...)
 	agree(t, a, b, r)
 	r.mu.Lock()
-	r.store.Reset([]string{"s"}, nil, r.store.Vector()) // as a fault of the disk or of this program might
+	r.store.ReplaceServices([]string{"s"}, nil, r.store.Vector()) // as a fault of the disk or of this program might
 	received := r.Entries
 	r.mu.Unlock()
 	if r.state() == a.state() {
--- a/internal/controlplane/distribution/control/faults_test.go
+++ b/internal/controlplane/distribution/control/faults_test.go
@@ -197,7 +197,7 @@
 func killedInAChange(t *testing.T, f *fleet) {
 	done := make(chan error, 1)
 	go func() {
-		_, err := tryWriteWithin(f.a.at, 5*time.Second, routes("large", 0, distribution.ChangesMost)...)
+		_, err := tryWriteWithin(f.a.at, 5*time.Second, routes("large", 0, distribution.MaxChanges)...)
 		done <- err
 	}()
 	wait(t, "part of it is elsewhere", func() bool {
@@ -251,14 +251,14 @@
 	f.settle(t, "after the kill")
 	n := 0
 	all := f.holdings(t, f.b)
-	for _, c := range routes("large", 0, distribution.ChangesMost) {
+	for _, c := range routes("large", 0, distribution.MaxChanges) {
 		if all.holds(c) {
 			n++
 		}
 	}
-	t.Logf("acknowledged %t, %d of %d changes hold", acknowledged, n, distribution.ChangesMost)
-	if acknowledged && n != distribution.ChangesMost {
-		t.Errorf("%d of %d acknowledged changes hold", n, distribution.ChangesMost)
+	t.Logf("acknowledged %t, %d of %d changes hold", acknowledged, n, distribution.MaxChanges)
+	if acknowledged && n != distribution.MaxChanges {
+		t.Errorf("%d of %d acknowledged changes hold", n, distribution.MaxChanges)
 	}
 	f.writer.begin()
 }
--- a/internal/controlplane/distribution/control/follow.go
+++ b/internal/controlplane/distribution/control/follow.go
@@ -39,18 +39,18 @@
 // follow makes the followers that the file asks for.
 func (s *Server) follow() []*follower {
 	add := func(upstreams []netip.AddrPort) {
-		following := distribution.Following{Upstreams: len(upstreams), Seed: s.config.Name, BackOffMost: backOffMost,
-			ReturnAfter: s.config.ReturnAfter.D()}
+		following := distribution.SubscriberOptions{UpstreamCount: len(upstreams), JitterSeed: s.config.Name, MaxBackoff: backOffMost,
+			FailbackDelay: s.config.FailbackDelay.Std()}
 		s.followers = append(s.followers, &follower{server: s, upstreams: upstreams, subscriber: distribution.NewSubscriber(s.now(), following)})
 	}
 	switch {
-	case len(s.config.UpstreamsAt) == 0:
+	case len(s.config.UpstreamAddresses) == 0:
 	case s.config.Follow == followAll:
-		for _, at := range s.config.UpstreamsAt {
+		for _, at := range s.config.UpstreamAddresses {
 			add([]netip.AddrPort{at})
 		}
 	default:
-		add(s.config.UpstreamsAt)
+		add(s.config.UpstreamAddresses)
 	}
 	return s.followers
 }
@@ -62,15 +62,15 @@
 	probes := make(chan probe, 1) // the subscriber asks for one at a time
 	for {
 		do, wait := f.passed(a)
-		if do.Drop && a != none {
+		if do.ShouldDisconnect && a != none {
 			f.ended(a, <-a.done)
 			a = none
 		}
-		if do.Dial {
+		if do.ShouldDial {
 			a = f.dial(ctx, f.upstreams[do.Upstream])
 		}
-		if do.Probe {
-			go func() { probes <- f.probe(ctx, do.Preferred) }()
+		if do.ShouldProbe {
+			go func() { probes <- f.probe(ctx, do.ProbeUpstream) }()
 		}
 		t := time.NewTimer(min(wait, followLook))
 		select {
@@ -82,13 +82,13 @@
 			return
 		case err := <-a.done:
 			f.server.mu.Lock()
-			f.subscriber.Lost(f.server.now())
+			f.subscriber.UpstreamLost(f.server.now())
 			f.server.mu.Unlock()
 			f.ended(a, err)
 			a = none
 		case p := <-probes:
 			f.server.mu.Lock()
-			f.subscriber.Probed(f.server.now(), p.upstream, p.answered)
+			f.subscriber.ProbeEnded(f.server.now(), p.upstream, p.answered)
 			f.server.mu.Unlock()
 		case <-t.C:
 			f.ping()
@@ -98,13 +98,13 @@
 }
 
 // passed asks the subscriber what is to be done.
-func (f *follower) passed(a *attempt) (distribution.Attempt, time.Duration) {
+func (f *follower) passed(a *attempt) (distribution.Action, time.Duration) {
 	s := f.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	do, again := f.subscriber.Passed(now)
-	if do.Drop {
+	do, again := f.subscriber.Tick(now)
+	if do.ShouldDisconnect {
 		a.cancel()
 	}
 	return do, again - now
@@ -186,18 +186,18 @@
 func (f *follower) greet(ctx context.Context, nc net.Conn, by time.Time) (*framing.Conn, string, error) {
 	config := f.server.config
 	if config.Keys != nil {
-		t := config.Keys.Client(nc, config.TLSName)
+		t := config.Keys.ClientConn(nc, config.TLSName)
 		t.SetDeadline(by)
 		if err := t.HandshakeContext(ctx); err != nil {
 			return nil, "", err
 		}
-		if err := config.Keys.Fault(); err != nil {
+		if err := config.Keys.ReloadError(); err != nil {
 			f.server.log.Error().Err(err).Msg("keys not read again")
 		}
 		nc = t
 	}
-	conn := wire.Protocol.New(nc)
-	peer, err := conn.Greet(config.Name, by)
+	conn := wire.Protocol.NewConn(nc)
+	peer, err := conn.Handshake(config.Name, by)
 	return conn, peer, err
 }
 
@@ -209,12 +209,12 @@
 	if ctx.Err() != nil {
 		return false
 	}
-	f.subscriber.Connected(s.now())
+	f.subscriber.UpstreamConnected(s.now())
 	l.heard.Store(int64(s.now()))
 	f.link, f.fault = l, ""
 	l.receiver = distribution.NewReceiver(s.store)
-	l.put(&wire.Subscribe{Subscription: distribution.Subscription{Name: s.config.Name, Role: distribution.Control, Region: s.config.Region,
-		Zone: s.config.Zone, All: true, Vector: s.store.Vector().Clone(), Missing: s.store.Missing()}})
+	l.put(&wire.Subscribe{Subscription: distribution.Subscription{Name: s.config.Name, Role: distribution.RoleControl, Region: s.config.Region,
+		Zone: s.config.Zone, AllServices: true, Vector: s.store.Vector().Clone(), UnsyncedServices: s.store.UnsyncedServices()}})
 	s.log.Info().Str("upstream", l.peer).Str("at", l.from).Msg("upstream followed")
 	return true
 }
@@ -235,6 +235,6 @@
 		l.end(errSilent)
 	case f.pinged <= heard && now-heard >= pingAfter:
 		f.pinged = now
-		l.put(&wire.Want{})
+		l.put(&wire.Pull{})
 	}
 }
--- a/internal/controlplane/distribution/control/helpers_test.go
+++ b/internal/controlplane/distribution/control/helpers_test.go
@@ -56,10 +56,10 @@
 // settings of a member, as its file would have them.
 func settings(t *testing.T, name, at, path string, upstreams ...string) *Config {
 	t.Helper()
-	c := &Config{Name: name, Region: "region", Zone: "zone-" + name, Disk: path, Follow: followOne, OutBytes: 8 << 20, NodeBytes: 1 << 20,
-		PeerBytes: 4 << 20, Connections: 100, KeepDeleted: tomlfile.Span(time.Hour), ListenAt: netip.MustParseAddrPort(at)}
+	c := &Config{Name: name, Region: "region", Zone: "zone-" + name, Disk: path, Follow: followOne, TotalBytesPerSecond: 8 << 20, NodeBytesPerSecond: 1 << 20,
+		ControlBytesPerSecond: 4 << 20, MaxConnections: 100, DeletionRetention: tomlfile.Duration(time.Hour), ListenAddress: netip.MustParseAddrPort(at)}
 	for _, upstream := range upstreams {
-		c.UpstreamsAt = append(c.UpstreamsAt, netip.MustParseAddrPort(upstream))
+		c.UpstreamAddresses = append(c.UpstreamAddresses, netip.MustParseAddrPort(upstream))
 	}
 	return c
 }
@@ -72,7 +72,7 @@
 // startAlone has one wait for upstreams at its start as long as told.
 func startAlone(t *testing.T, config *Config, log zerolog.Logger, alone time.Duration) *member {
 	t.Helper()
-	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(config.ListenAt))
+	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(config.ListenAddress))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 	}
 	s.alone = alone
 	ctx, cancel := context.WithCancel(context.Background())
-	m := &member{Server: s, at: config.ListenAt.String(), cancel: cancel, done: make(chan error, 1)}
+	m := &member{Server: s, at: config.ListenAddress.String(), cancel: cancel, done: make(chan error, 1)}
 	go func() { m.done <- s.run(ctx, listener) }()
 	t.Cleanup(func() { m.stop(t) })
 	return m
@@ -142,7 +142,7 @@
 
 // route is a change of one entry.
 func route(service, name string) distribution.Change {
-	return distribution.Change{Key: distribution.Key{Service: service, Kind: distribution.Route, Name: name}, Value: []byte("value of " + name)}
+	return distribution.Change{Key: distribution.Key{Service: service, Kind: distribution.KindRoute, Name: name}, Value: []byte("value of " + name)}
 }
 
 func routes(service string, from, to int) (all []distribution.Change) {
@@ -172,7 +172,7 @@
 }
 
 func node(name string, services ...string) *subscriber {
-	s := &subscriber{name: name, role: distribution.Node, services: services, store: distribution.NewStore("", distribution.Limits{})}
+	s := &subscriber{name: name, role: distribution.RoleNode, services: services, store: distribution.NewStore("", distribution.Limits{})}
 	s.store.SetScope(services)
 	s.publisher = distribution.NewPublisher(s.store, distribution.Budget{})
 	return s
@@ -195,8 +195,8 @@
 	s.conn, s.done = conn, make(chan struct{})
 	s.mu.Lock()
 	s.complete, s.err = false, nil
-	subscription := distribution.Subscription{Name: s.name, Role: s.role, Services: s.services, All: s.services == nil, Vector: s.store.Vector().Clone(),
-		Missing: s.store.Missing()}
+	subscription := distribution.Subscription{Name: s.name, Role: s.role, Services: s.services, AllServices: s.services == nil, Vector: s.store.Vector().Clone(),
+		UnsyncedServices: s.store.UnsyncedServices()}
 	receiver := distribution.NewReceiver(s.store)
 	s.mu.Unlock()
 	s.tell(&wire.Subscribe{Subscription: subscription})
@@ -234,21 +234,21 @@
 	defer s.mu.Unlock()
 	switch m := m.(type) {
 	case *wire.Batch:
-		got := receiver.Receive(m.Batch)
+		got := receiver.ReceiveBatch(m.Batch)
 		s.note(got.Changed)
-		s.complete = s.complete || got.Complete
-		a := distribution.Acknowledgement{Batch: m.Number}
-		if got.Complete {
-			a.InForce = s.store.Vector().Clone()
+		s.complete = s.complete || got.IsComplete
+		a := distribution.Acknowledgement{BatchNumber: m.Number}
+		if got.IsComplete {
+			a.Applied = s.store.Vector().Clone()
 		}
 		s.tell(&wire.Acknowledge{Acknowledgement: a})
-	case *wire.Want:
-		if m.Follow {
+	case *wire.Pull:
+		if m.IsContinuous {
 			s.offer(m)
 		}
 	case *wire.Digests:
-		if services, _, _ := receiver.Compare(m.Digests); len(services) > 0 {
-			s.tell(&wire.Want{Services: services})
+		if services, _, _ := receiver.CompareDigests(m.Digests); len(services) > 0 {
+			s.tell(&wire.Pull{Services: services})
 		}
 	}
 }
@@ -267,10 +267,10 @@
 }
 
 // offer sends at once all that the other side lacks.
-func (s *subscriber) offer(m *wire.Want) {
-	s.publisher.Offer(0, distribution.Subscription{Name: "upstream", Role: distribution.Control, Services: s.services, Vector: m.Vector})
+func (s *subscriber) offer(m *wire.Pull) {
+	s.publisher.SubscribePartial(0, distribution.Subscription{Name: "upstream", Role: distribution.RoleControl, Services: s.services, Vector: m.Vector})
 	for {
-		_, batch, ok, _ := s.publisher.Next(0)
+		_, batch, ok, _ := s.publisher.NextBatch(0)
 		if !ok {
 			return
 		}
--- a/internal/controlplane/distribution/control/link.go
+++ b/internal/controlplane/distribution/control/link.go
@@ -56,7 +56,7 @@
 	subscription distribution.Subscription
 	sending      distribution.SubscriptionID // what this process sends; 0 for nothing
 	receiver     *distribution.Receiver      // of what it gets; nil until it has asked for something
-	wanted       *wire.Want                  // of an upstream, until this process has caught up with it
+	wanted       *wire.Pull                  // of an upstream, until this process has caught up with it
 	complete     bool                        // it has, once
 	reported     map[string]distribution.NodeStatus
 }
@@ -126,7 +126,7 @@
 		}
 		for _, m := range queue {
 			if _, refusal := m.(error); refusal {
-				l.conn.Refuse(m.(error))
+				l.conn.Reject(m.(error))
 				return
 			}
 			if !l.send(m.(wire.Message)) {
@@ -138,13 +138,13 @@
 }
 
 func (l *link) send(m wire.Message) bool {
-	before := l.conn.Sent
+	before := l.conn.SentBytes
 	if err := wire.Send(l.conn, m); err != nil {
 		return false
 	}
 	l.server.mu.Lock()
 	defer l.server.mu.Unlock()
-	l.server.Bytes += l.conn.Sent - before
+	l.server.Bytes += l.conn.SentBytes - before
 	if _, ok := m.(*wire.Batch); ok {
 		l.server.Batches++
 	}
@@ -167,7 +167,7 @@
 	from := nc.RemoteAddr().String()
 	s.mu.Lock()
 	s.connections++
-	full := s.connections > s.config.Connections
+	full := s.connections > s.config.MaxConnections
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
@@ -176,7 +176,7 @@
 	}()
 	if full {
 		s.refused(from, errCrowded)
-		wire.Protocol.New(nc).Refuse(errCrowded)
+		wire.Protocol.NewConn(nc).Reject(errCrowded)
 		drain(nc)
 		return
 	}
@@ -194,18 +194,18 @@
 func (s *Server) greet(ctx context.Context, nc net.Conn) (*framing.Conn, string, error) {
 	by := time.Now().Add(greetMost)
 	if s.config.Keys != nil {
-		t := s.config.Keys.Server(nc)
+		t := s.config.Keys.ServerConn(nc)
 		t.SetDeadline(by)
 		if err := t.HandshakeContext(ctx); err != nil {
 			return nil, "", err
 		}
-		if err := s.config.Keys.Fault(); err != nil {
+		if err := s.config.Keys.ReloadError(); err != nil {
 			s.log.Error().Err(err).Msg("keys not read again")
 		}
 		nc = t
 	}
-	conn := wire.Protocol.New(nc)
-	peer, err := conn.Greet(s.config.Name, by)
+	conn := wire.Protocol.NewConn(nc)
+	peer, err := conn.Handshake(s.config.Name, by)
 	return conn, peer, err
 }
 
@@ -261,12 +261,12 @@
 	for {
 		kind, body, err := l.conn.Receive(time.Now().Add(silentMost))
 		switch {
-		case errors.Is(err, framing.ErrSum), errors.Is(err, framing.ErrKind), errors.Is(err, framing.ErrTooLong):
+		case errors.Is(err, framing.ErrChecksum), errors.Is(err, framing.ErrUnknownKind), errors.Is(err, framing.ErrFrameTooLong):
 			return l.refuse(err)
 		case err != nil:
 			return err
-		case kind == framing.Refusals:
-			return framing.Refused(body)
+		case kind == framing.RejectionKind:
+			return framing.RejectionError(body)
 		}
 		l.heard.Store(int64(l.server.now()))
 		m, err := wire.Decode(kind, body)
@@ -316,13 +316,13 @@
 		s.acknowledged(l, m.Acknowledgement)
 	case *wire.Digests:
 		s.compare(l, m)
-	case *wire.Want:
+	case *wire.Pull:
 		s.want(l, m)
 	case *wire.Report:
 		s.nodesReported(l, m.Nodes)
 	case *wire.Write:
 		s.write(l, m)
-	case *wire.Query:
+	case *wire.StatusQuery:
 		s.answer(l, m)
 	default:
 		return l.refuse(fmt.Errorf("a control process is not sent a %T", m))
--- a/internal/controlplane/distribution/control/peers_test.go
+++ b/internal/controlplane/distribution/control/peers_test.go
@@ -23,7 +23,7 @@
 	m := start(t, settings(t, "a", address.Free(t), disks(t)("a")))
 	wait(t, "current", m.isCurrent)
 	conn := command(t, m.at, nil)
-	wire.Send(conn, &wire.Subscribe{Subscription: distribution.Subscription{Name: "operator", Role: distribution.Node, Services: []string{"s"}}})
+	wire.Send(conn, &wire.Subscribe{Subscription: distribution.Subscription{Name: "operator", Role: distribution.RoleNode, Services: []string{"s"}}})
 	n := node("n", "s")
 	n.subscribe(t, m.at)
 	wait(t, "two subscribers", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return len(m.subscribers) == 2 })
@@ -53,7 +53,7 @@
 	wait(t, "current", m.isCurrent)
 	n := node("n", "s")
 	n.subscribe(t, m.at)
-	subscribe := &wire.Subscribe{Subscription: distribution.Subscription{Name: "x", Role: distribution.Node, Services: []string{"s"}}}
+	subscribe := &wire.Subscribe{Subscription: distribution.Subscription{Name: "x", Role: distribution.RoleNode, Services: []string{"s"}}}
 	sent := func(messages ...wire.Message) (b []byte) {
 		for _, m := range messages {
 			var err error
@@ -72,11 +72,11 @@
 	}{
 		"a second subscription": {"x", sent(subscribe, subscribe), errSubscribed.Error()},
 		"a batch":               {"x", sent(&wire.Batch{}), errUnasked.Error()},
-		"an answer":             {"x", sent(&wire.Answer{}), "Answer"},
-		"a changed byte":        {"x", garbled, framing.ErrSum.Error()},
-		"an unknown kind":       {"x", []byte{0, 0, 0, 4, 99, 0, 0, 0, 0}, framing.ErrKind.Error()},
-		"a long frame":          {"x", []byte{255, 0, 0, 4, 5, 0, 0, 0, 0}, framing.ErrTooLong.Error()},
-		"its own name": {"a", sent(&wire.Subscribe{Subscription: distribution.Subscription{Name: "a", Role: distribution.Control, All: true}}),
+		"an answer":             {"x", sent(&wire.StatusAnswer{}), "Answer"},
+		"a changed byte":        {"x", garbled, framing.ErrChecksum.Error()},
+		"an unknown kind":       {"x", []byte{0, 0, 0, 4, 99, 0, 0, 0, 0}, framing.ErrUnknownKind.Error()},
+		"a long frame":          {"x", []byte{255, 0, 0, 4, 5, 0, 0, 0, 0}, framing.ErrFrameTooLong.Error()},
+		"its own name": {"a", sent(&wire.Subscribe{Subscription: distribution.Subscription{Name: "a", Role: distribution.RoleControl, AllServices: true}}),
 			errSelf.Error()},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -119,7 +119,7 @@
 func TestConnectionsAreBounded(t *testing.T) {
 	t.Parallel()
 	config := settings(t, "a", address.Free(t), disks(t)("a"))
-	config.Connections = 2
+	config.MaxConnections = 2
 	m := start(t, config)
 	wait(t, "current", m.isCurrent)
 	n := node("n", "s")
@@ -184,7 +184,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		k, err := mtls.Load(mtls.Files{Cert: cert, Key: key, CA: ca})
+		k, err := mtls.LoadKeys(mtls.Files{Cert: cert, Key: key, CA: ca})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -216,13 +216,13 @@
 	wait(t, "current", m.isCurrent)
 	m.mu.Lock()
 	for n := range 2000 {
-		m.nodes.own(distribution.NodeStatus{Name: fmt.Sprint("node-", n), Role: distribution.Node, Connected: true})
+		m.nodes.own(distribution.NodeStatus{Name: fmt.Sprint("node-", n), Role: distribution.RoleNode, IsConnected: true})
 	}
 	m.mu.Unlock()
 	conn := command(t, m.at, nil)
 	var err error
 	for n := 0; err == nil && n < 100_000; n++ {
-		err = wire.Send(conn, &wire.Query{ID: uint64(n)})
+		err = wire.Send(conn, &wire.StatusQuery{ID: uint64(n)})
 		m.mu.Lock()
 		for l := range m.links {
 			l.mu.Lock()
--- a/internal/controlplane/distribution/control/preferred_test.go
+++ b/internal/controlplane/distribution/control/preferred_test.go
@@ -14,8 +14,8 @@
 	dir := t.TempDir()
 	first := settings(t, "first", address.Free(t), filepath.Join(dir, "first.db"))
 	second := start(t, settings(t, "second", address.Free(t), filepath.Join(dir, "second.db")))
-	config := settings(t, "relay", address.Free(t), filepath.Join(dir, "relay.db"), first.ListenAt.String(), second.at)
-	config.ReturnAfter = tomlfile.Span(50 * time.Millisecond)
+	config := settings(t, "relay", address.Free(t), filepath.Join(dir, "relay.db"), first.ListenAddress.String(), second.at)
+	config.FailbackDelay = tomlfile.Duration(50 * time.Millisecond)
 	root := start(t, first)
 	start(t, config)
 	follows := func(upstream *member) {
--- a/internal/controlplane/distribution/control/process_test.go
+++ b/internal/controlplane/distribution/control/process_test.go
@@ -236,7 +236,7 @@
 		for _, p := range f.all() {
 			other, fault := digests(p.at)
 			self, _, unasked := query(p.at)
-			if err = errors.Join(err, fault, unasked); err != nil || !self.Acknowledged || !maps.Equal(first, other) {
+			if err = errors.Join(err, fault, unasked); err != nil || !self.HasAcknowledged || !maps.Equal(first, other) {
 				return false
 			}
 		}
@@ -248,7 +248,7 @@
 // holdings is all that a process holds, as a new subscriber of everything is sent it.
 func (f *fleet) holdings(t *testing.T, p *process) *subscriber {
 	t.Helper()
-	all := &subscriber{name: "auditor", role: distribution.Node, store: distribution.NewStore("", distribution.Limits{})}
+	all := &subscriber{name: "auditor", role: distribution.RoleNode, store: distribution.NewStore("", distribution.Limits{})}
 	if err := all.connect(p.at); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/distribution/control/publish.go
+++ b/internal/controlplane/distribution/control/publish.go
@@ -34,7 +34,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for range batchesHeld {
-		id, batch, ok, wait := s.publisher.Next(s.now())
+		id, batch, ok, wait := s.publisher.NextBatch(s.now())
 		if !ok {
 			s.idle()
 			return wait
@@ -49,7 +49,7 @@
 // idle sends the digests that are due, and cuts off who is slow.
 func (s *Server) idle() {
 	for {
-		id, digests, ok := s.publisher.Digests(s.now())
+		id, digests, ok := s.publisher.NextDigests(s.now())
 		if !ok {
 			break
 		}
@@ -57,7 +57,7 @@
 			l.put(&wire.Digests{Digests: digests})
 		}
 	}
-	for _, id := range s.publisher.Slow(s.now()) {
+	for _, id := range s.publisher.SlowSubscribers(s.now()) {
 		l := s.publishing[id]
 		if l == nil {
 			continue
@@ -91,7 +91,7 @@
 	if l.via != nil || l.subscribed {
 		return l.refuse(errSubscribed)
 	}
-	if asked.Role == distribution.Control && l.peer == s.config.Name {
+	if asked.Role == distribution.RoleControl && l.peer == s.config.Name {
 		return l.refuse(errSelf)
 	}
 	asked.Name = l.peer
@@ -104,7 +104,7 @@
 	l.subscribed, l.subscription = true, asked
 	s.subscribers[l.peer] = l
 	s.log.Info().Str("subscriber", l.peer).Str("from", l.from).Stringer("role", asked.Role).Int("services", len(asked.Services)).Msg("subscriber came")
-	if asked.Role == distribution.Control || s.store.Lacks(asked.Vector) {
+	if asked.Role == distribution.RoleControl || s.store.IsBehind(asked.Vector) {
 		s.ask(l)
 	}
 	if s.current {
@@ -119,7 +119,7 @@
 func (s *Server) ask(l *link) {
 	l.receiver = distribution.NewReceiver(s.store)
 	s.Wants++
-	l.put(&wire.Want{Follow: true, Vector: s.store.Vector().Clone()})
+	l.put(&wire.Pull{IsContinuous: true, Vector: s.store.Vector().Clone()})
 }
 
 // lookAtStart has this process go by what it holds when no upstream has sent anything for a while.
@@ -147,14 +147,14 @@
 
 // renew takes another origin where others have shown this disk to be an old one. For who holds the lock.
 func (s *Server) renew() {
-	if !s.store.Stale() {
+	if !s.store.IsStale() {
 		return
 	}
 	before := s.store.Origin()
-	again := s.store.Renew(time.Now(), s.drawn())
+	again := s.store.RenewOrigin(time.Now(), s.drawn())
 	s.disk.SetOrigin(s.store.Origin())
 	s.disk.Save(again, nil, s.store.Vector())
-	s.publisher.Changed(s.now(), again)
+	s.publisher.EntriesChanged(s.now(), again)
 	s.log.Warn().Str("before", string(before)).Str("origin", string(s.store.Origin())).Int("written_again", len(again)).
 		Msg("others hold more of this origin than its disk: going on under another")
 }
--- a/internal/controlplane/distribution/control/receive.go
+++ b/internal/controlplane/distribution/control/receive.go
@@ -20,38 +20,38 @@
 		return l.refuse(errUnasked)
 	}
 	s.Received++
-	got := l.receiver.Receive(b)
+	got := l.receiver.ReceiveBatch(b)
 	s.Entries += len(got.Changed)
-	if got.Complete && l.sending != 0 {
-		s.publisher.Known(l.sending, b.Through)
+	if got.IsComplete && l.sending != 0 {
+		s.publisher.VectorLearned(l.sending, b.Through)
 	}
 	s.spread(got)
 	s.rejected(l, got.Rejected)
-	acknowledgement := distribution.Acknowledgement{Batch: b.Number, Rejected: got.Rejected}
-	if got.Complete {
-		acknowledgement.InForce = s.store.Vector().Clone()
+	acknowledgement := distribution.Acknowledgement{BatchNumber: b.Number, Rejected: got.Rejected}
+	if got.IsComplete {
+		acknowledgement.Applied = s.store.Vector().Clone()
 	}
 	l.put(&wire.Acknowledge{Acknowledgement: acknowledgement})
 	if l.via != nil {
-		s.followed(l, got.Complete)
+		s.followed(l, got.IsComplete)
 	}
 	s.renew()
 	return nil
 }
 
 // spread saves what a batch has brought and passes it on.
-func (s *Server) spread(got distribution.Received) {
+func (s *Server) spread(got distribution.BatchResult) {
 	now := s.now()
-	s.publisher.Changed(now, got.Changed)
+	s.publisher.EntriesChanged(now, got.Changed)
 	var removed []distribution.Key
 	for _, e := range got.Removed {
 		removed = append(removed, e.Key)
 	}
-	if len(got.Resync) > 0 {
-		s.publisher.Resync(now, got.Resync)
+	if len(got.ResyncServices) > 0 {
+		s.publisher.ResyncServices(now, got.ResyncServices)
 	}
 	var vector distribution.Vector
-	if got.Complete {
+	if got.IsComplete {
 		vector = s.store.Vector()
 	}
 	if vector != nil || len(got.Changed)+len(removed) > 0 {
@@ -63,7 +63,7 @@
 // followed notes a batch of an upstream.
 func (s *Server) followed(l *link, complete bool) {
 	s.heard = s.now()
-	l.via.subscriber.Received(s.heard, complete)
+	l.via.subscriber.MessageReceived(s.heard, complete)
 	if !complete {
 		return
 	}
@@ -89,7 +89,7 @@
 	if l.sending == 0 {
 		return
 	}
-	s.publisher.Acknowledged(s.now(), l.sending, a)
+	s.publisher.BatchAcknowledged(s.now(), l.sending, a)
 	s.renew()
 	s.signal()
 }
@@ -101,44 +101,44 @@
 	if l.receiver == nil {
 		return
 	}
-	services, total, advanced := l.receiver.Compare(m.Digests)
+	services, total, advanced := l.receiver.CompareDigests(m.Digests)
 	if advanced {
 		s.disk.Save(nil, nil, s.store.Vector())
 	}
 	if l.via != nil {
-		l.via.subscriber.Received(s.now(), true)
+		l.via.subscriber.MessageReceived(s.now(), true)
 	}
 	if total || len(services) > 0 {
 		s.Wants++
-		l.put(&wire.Want{Services: services, Digests: total})
+		l.put(&wire.Pull{Services: services, WantsDigests: total})
 	}
 }
 
 // want gives a peer what it asks for.
-func (s *Server) want(l *link, m *wire.Want) {
+func (s *Server) want(l *link, m *wire.Pull) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case m.Follow && l.via == nil:
+	case m.IsContinuous && l.via == nil:
 		// a subscriber has subscribed already
-	case m.Follow:
-		if l.complete || !m.Vector.AtLeast(s.store.Vector()) {
+	case m.IsContinuous:
+		if l.complete || !m.Vector.CoversAll(s.store.Vector()) {
 			s.offer(l, m)
 		} else {
 			l.wanted = m // what the upstream is about to send need not go back to it
 		}
-	case m.Digests:
-		l.put(&wire.Digests{Digests: distribution.Digests{Services: s.publisher.ServiceDigests()}, All: true})
+	case m.WantsDigests:
+		l.put(&wire.Digests{Digests: distribution.Digests{Services: s.publisher.ServiceDigests()}, IsAllServices: true})
 	case len(m.Services) > 0:
-		s.publisher.Whole(s.now(), l.sending, m.Services)
+		s.publisher.ResyncSubscriber(s.now(), l.sending, m.Services)
 		s.signal()
 	case l.via == nil:
-		l.put(&wire.Want{}) // the peer asks for a sign of life
+		l.put(&wire.Pull{}) // the peer asks for a sign of life
 	}
 }
 
 // offer sends an upstream what it lacks, and from then on what changes.
-func (s *Server) offer(l *link, m *wire.Want) {
+func (s *Server) offer(l *link, m *wire.Pull) {
 	l.wanted = nil
-	s.serve(l, distribution.Subscription{Name: l.peer, Role: distribution.Control, All: true, Vector: m.Vector})
+	s.serve(l, distribution.Subscription{Name: l.peer, Role: distribution.RoleControl, AllServices: true, Vector: m.Vector})
 }
--- a/internal/controlplane/distribution/control/server.go
+++ b/internal/controlplane/distribution/control/server.go
@@ -64,7 +64,7 @@
 
 // Run serves until the context ends.
 func Run(ctx context.Context, config *Config, log zerolog.Logger) error {
-	ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(config.ListenAt))
+	ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(config.ListenAddress))
 	if err != nil {
 		return err
 	}
@@ -81,15 +81,15 @@
 	s := &Server{config: config, log: log, start: time.Now(), wake: make(chan struct{}, 1), alone: aloneMost,
 		publishing: map[distribution.SubscriptionID]*link{}, subscribers: map[string]*link{}, links: map[*link]bool{},
 		waiting: map[*link]bool{}, nodes: nodeTable{}}
-	opened, loaded, err := disk.Open(config.Disk, disk.Options{MostBytes: config.DiskBytes, Whole: s.whole,
-		Fault: func(err error) {
+	opened, loaded, err := disk.Open(config.Disk, disk.Options{MaxBytes: config.DiskBytes, Snapshot: s.whole,
+		OnFault: func(err error) {
 			if err != nil {
 				log.Error().Err(err).Msg("disk cannot be written: going on from memory")
 			} else {
 				log.Info().Msg("disk is written again")
 			}
 		},
-		SetAside: func(path string, why error) {
+		OnQuarantine: func(path string, why error) {
 			log.Error().Err(why).Str("set_aside", path).Msg("disk damaged: its file is set aside")
 		}})
 	if err != nil {
@@ -109,9 +109,9 @@
 	s.store.Restore(loaded.Entries, loaded.Vector, loaded.Pruned)
 	s.disk.SetOrigin(s.store.Origin())
 	s.publisher = distribution.NewPublisher(s.store, s.config.budget())
-	s.current = loaded.Clean && len(s.config.UpstreamsAt) == 0
-	s.log.Info().Str("control", s.config.Name).Stringer("listen", s.config.ListenAt).Bool("tls", s.config.Keys != nil).
-		Str("origin", string(s.store.Origin())).Int("entries", len(loaded.Entries)).Bool("clean", loaded.Clean).
+	s.current = loaded.IsClean && len(s.config.UpstreamAddresses) == 0
+	s.log.Info().Str("control", s.config.Name).Stringer("listen", s.config.ListenAddress).Bool("tls", s.config.Keys != nil).
+		Str("origin", string(s.store.Origin())).Int("entries", len(loaded.Entries)).Bool("clean", loaded.IsClean).
 		Bool("current", s.current).Msg("controlling")
 }
 
@@ -123,7 +123,7 @@
 func (s *Server) whole() ([]distribution.Entry, distribution.Vector) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	keys := s.store.Since(nil, nil, true)
+	keys := s.store.KeysSince(nil, nil, true)
 	all := make([]distribution.Entry, 0, len(keys))
 	for _, k := range keys {
 		e, _ := s.store.Entry(k)
@@ -242,18 +242,18 @@
 	s.log.Info().Bool("current", current).Uint64("revision", revision).Int("entries", entries).Int("entry_bytes", size).
 		Int("subscribers", subscribers).Int("upstreams", connected).Int("batches", c.Batches).Int("bytes", c.Bytes).
 		Int("received", c.Received).Int("merged", c.Entries).Int("writes", c.Writes).Int("changes", c.Changes).Int("wants", c.Wants).
-		Int("refused", c.Refused).Int("cut_off", c.CutOff).Int("disk_pending", s.disk.Pending()).Msg("counts")
+		Int("refused", c.Refused).Int("cut_off", c.CutOff).Int("disk_pending", s.disk.PendingCount()).Msg("counts")
 }
 
 // prune forgets deletions that everybody has heard of or is to be told whole services without.
 func (s *Server) prune() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	keys := s.store.Prune(distribution.ClockAt(time.Now().Add(-s.config.KeepDeleted.D())))
+	keys := s.store.PruneDeletions(distribution.ClockAt(time.Now().Add(-s.config.DeletionRetention.Std())))
 	if len(keys) == 0 {
 		return
 	}
-	s.publisher.Pruned(s.now(), keys)
+	s.publisher.DeletionsPruned(s.now(), keys)
 	s.disk.Prune(keys, s.store.Pruned())
 }
 
--- a/internal/controlplane/distribution/control/source.go
+++ b/internal/controlplane/distribution/control/source.go
@@ -32,10 +32,10 @@
 		return nil
 	}
 	return zookeeper.Follow(ctx, s.config.Ensemble, zookeeper.Listener{
-		Now:     s.now,
-		Changed: func(changed []incarnation.Entry, _ bool) { told.listed(changed, false) },
-		Fault:   func(err error) { s.log.Warn().Err(err).Msg("registry") },
-		Doubted: func(is bool) {
+		Now:      s.now,
+		OnChange: func(changed []incarnation.Entry, _ bool) { told.listed(changed, false) },
+		OnError:  func(err error) { s.log.Warn().Err(err).Msg("registry") },
+		OnMassRemoval: func(is bool) {
 			s.log.Error().Bool("doubted", is).Msg("most servers have vanished from the registry together, or are back")
 		},
 	})
@@ -43,13 +43,13 @@
 
 // watchDiscovery follows discovery's list, whole at first.
 func (s *Server) watchDiscovery(ctx context.Context, told *sourced) {
-	watch.Follow(ctx, watch.NewPlace(s.config.DiscoveryAt), watch.Listener{
-		Failed: func(err error) { s.log.Warn().Err(err).Msg("discovery failed") },
-		Told: func(list http1.List) {
+	watch.Follow(ctx, watch.NewTarget(s.config.DiscoveryAddress), watch.Listener{
+		OnError: func(err error) { s.log.Warn().Err(err).Msg("discovery failed") },
+		OnList: func(list http1.EndpointList) {
 			for _, err := range list.Skipped {
 				s.log.Warn().Err(err).Msg("list entry skipped")
 			}
-			told.listed(watch.Entries(list), list.Complete)
+			told.listed(watch.EntriesFromList(list), list.Complete)
 		},
 	})
 }
@@ -120,8 +120,8 @@
 		for name := range t.servers {
 			t.changed[name] = true
 		}
-		for _, e := range s.store.Service(s.config.Service) {
-			if e.Key.Kind == distribution.Server && t.whole {
+		for _, e := range s.store.LiveEntries(s.config.Service) {
+			if e.Key.Kind == distribution.KindServer && t.whole {
 				t.changed[e.Key.Name] = true
 			}
 		}
@@ -141,7 +141,7 @@
 
 // change is what brings a server's entry to what the source tells.
 func (t *sourced) change(name string) (distribution.Change, bool) {
-	c := distribution.Change{Key: distribution.Key{Service: t.server.config.Service, Kind: distribution.Server, Name: name}}
+	c := distribution.Change{Key: distribution.Key{Service: t.server.config.Service, Kind: distribution.KindServer, Name: name}}
 	held, ok := t.server.store.Entry(c.Key)
 	ok = ok && !held.Deleted
 	told, known := t.servers[name]
@@ -157,7 +157,7 @@
 			return c, false
 		}
 	} else if held.Deleted { // it is back: a turn beyond all that it had
-		told.Turn = max(told.Turn, uint32(distribution.ClockTime(held.Clock).Unix()))
+		told.Generation = max(told.Generation, uint32(distribution.ClockTime(held.Clock).Unix()))
 	}
 	value, err := cbor.Marshal(told)
 	if err != nil {
@@ -171,12 +171,12 @@
 // turned is a source's word about a server as a later one than what was written before: within one start a server goes
 // back, as when a drain is called off, by a new turn.
 func turned(before, told incarnation.Entry) incarnation.Entry {
-	if told.Up > before.Up {
+	if told.StartedUnixMS > before.StartedUnixMS {
 		return told
 	}
-	told.Up, told.Turn = before.Up, before.Turn
+	told.StartedUnixMS, told.Generation = before.StartedUnixMS, before.Generation
 	if told.Condition < before.Condition {
-		told.Turn++
+		told.Generation++
 	}
 	return told
 }
--- a/internal/controlplane/distribution/control/source_test.go
+++ b/internal/controlplane/distribution/control/source_test.go
@@ -30,7 +30,7 @@
 		list.Set(discovery.Entry{ID: id, Phase: discovery.Serving, Addresses: []string{"127.0.0.1:1"}})
 	}
 	config := settings(t, "a", address.Free(t), disks(t)("a"))
-	config.DiscoveryAt, config.Discovery, config.Service = netip.MustParseAddrPort(at), at, "hire"
+	config.DiscoveryAddress, config.Discovery, config.Service = netip.MustParseAddrPort(at), at, "hire"
 	return list, start(t, config)
 }
 
@@ -39,7 +39,7 @@
 	t.Helper()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	held, ok := m.store.Entry(distribution.Key{Service: "hire", Kind: distribution.Server, Name: name})
+	held, ok := m.store.Entry(distribution.Key{Service: "hire", Kind: distribution.KindServer, Name: name})
 	if ok && !held.Deleted {
 		if err := cbor.Unmarshal(held.Value, &e); err != nil {
 			t.Fatal(err)
@@ -56,7 +56,7 @@
 	is := func(name string, condition incarnation.Condition, turn bool) func() bool {
 		return func() bool {
 			e, held := m.server(t, name)
-			return e.ID == name && !held.Deleted && e.Condition == condition && (e.Turn > 0) == turn && e.Address == "127.0.0.1:1"
+			return e.ID == name && !held.Deleted && e.Condition == condition && (e.Generation > 0) == turn && e.Address == "127.0.0.1:1"
 		}
 	}
 	wait(t, "both servers", func() bool { return is("s1", incarnation.Up, false)() && is("s2", incarnation.Up, false)() })
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	rest.Set(discovery.Entry{ID: "s2", Phase: discovery.Serving, Addresses: []string{"127.0.0.1:1"}})
-	config.DiscoveryAt = netip.MustParseAddrPort(at)
+	config.DiscoveryAddress = netip.MustParseAddrPort(at)
 	m = start(t, &config)
 	wait(t, "one is gone", func() bool { _, held := m.server(t, "s1"); return held.Deleted })
 	e, held := m.server(t, "s2")
--- a/internal/controlplane/distribution/control/status.go
+++ b/internal/controlplane/distribution/control/status.go
@@ -34,7 +34,7 @@
 // reported notes another process's word of a subscriber. Who is connected here is known better here, and a word that one
 // has left says nothing of where it has gone.
 func (t nodeTable) reported(by *link, status distribution.NodeStatus) {
-	if held := t[status.Name]; held != nil && held.status.Connected && held.by != by && (held.by == nil || !status.Connected) {
+	if held := t[status.Name]; held != nil && held.status.IsConnected && held.by != by && (held.by == nil || !status.IsConnected) {
 		return
 	}
 	t.put(&nodeRecord{status: status, by: by})
@@ -44,9 +44,9 @@
 	if _, held := t[r.status.Name]; !held && len(t) >= nodesMost {
 		return
 	}
-	if !r.status.Connected {
+	if !r.status.IsConnected {
 		r.lost = time.Now()
-		r.status.Lost = cmp.Or(r.status.Lost, r.lost.UnixMilli())
+		r.status.DisconnectedMs = cmp.Or(r.status.DisconnectedMs, r.lost.UnixMilli())
 	}
 	t[r.status.Name] = r
 }
@@ -57,7 +57,7 @@
 		if r.by == l || r.by == nil && own && name == l.peer {
 			status := r.status
 			now := time.Now()
-			status.Connected, status.Lost = false, now.UnixMilli()
+			status.IsConnected, status.DisconnectedMs = false, now.UnixMilli()
 			t[name] = &nodeRecord{status: status, lost: now}
 		}
 	}
@@ -65,7 +65,7 @@
 
 // forget drops those that have been away for long.
 func (t nodeTable) forget() {
-	maps.DeleteFunc(t, func(_ string, r *nodeRecord) bool { return !r.status.Connected && time.Since(r.lost) > forgetAfter })
+	maps.DeleteFunc(t, func(_ string, r *nodeRecord) bool { return !r.status.IsConnected && time.Since(r.lost) > forgetAfter })
 }
 
 // nodesReported takes in a report from below or beside.
@@ -101,13 +101,13 @@
 // look notes how this process's own subscribers are.
 func (s *Server) look() {
 	for name, l := range s.subscribers {
-		if l.subscription.Role == distribution.Reader {
+		if l.subscription.Role == distribution.RoleReader {
 			continue
 		}
-		status, ok := s.publisher.StatusOf(s.now(), l.sending)
+		status, ok := s.publisher.SubscriberStatus(s.now(), l.sending)
 		if !ok {
 			status = distribution.NodeStatus{Role: l.subscription.Role, Region: l.subscription.Region, Zone: l.subscription.Zone,
-				Revision: l.subscription.Vector.Total(), CatchingUp: true, Connected: true}
+				Revision: l.subscription.Vector.Total(), IsCatchingUp: true, IsConnected: true}
 		}
 		status.Name, status.Via = name, s.config.Name
 		s.nodes.own(status)
@@ -140,18 +140,18 @@
 	}
 	a.Rejected, b.Rejected = nil, nil
 	return a.Name == b.Name && a.Role == b.Role && a.Region == b.Region && a.Zone == b.Zone && a.Via == b.Via && a.Revision == b.Revision &&
-		a.Clock == b.Clock && a.Lag == b.Lag && a.Pending == b.Pending && a.Unconfirmed == b.Unconfirmed && a.Acknowledged == b.Acknowledged &&
-		a.CatchingUp == b.CatchingUp && a.Connected == b.Connected && a.Lost == b.Lost
+		a.AcknowledgedClock == b.AcknowledgedClock && a.Lag == b.Lag && a.PendingKeys == b.PendingKeys && a.UnacknowledgedBytes == b.UnacknowledgedBytes && a.HasAcknowledged == b.HasAcknowledged &&
+		a.IsCatchingUp == b.IsCatchingUp && a.IsConnected == b.IsConnected && a.DisconnectedMs == b.DisconnectedMs
 }
 
 // self is this process's own state.
 func (s *Server) self() distribution.NodeStatus {
-	return distribution.NodeStatus{Name: s.config.Name, Role: distribution.Control, Region: s.config.Region, Zone: s.config.Zone,
-		Revision: s.store.Vector().Total(), Clock: s.store.Clock(), Acknowledged: s.current, CatchingUp: !s.current, Connected: true}
+	return distribution.NodeStatus{Name: s.config.Name, Role: distribution.RoleControl, Region: s.config.Region, Zone: s.config.Zone,
+		Revision: s.store.Vector().Total(), AcknowledgedClock: s.store.Clock(), HasAcknowledged: s.current, IsCatchingUp: !s.current, IsConnected: true}
 }
 
 // answer tells a command of all nodes that are known here.
-func (s *Server) answer(l *link, m *wire.Query) {
+func (s *Server) answer(l *link, m *wire.StatusQuery) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.look()
@@ -161,7 +161,7 @@
 	}
 	for {
 		n := min(len(all), statusesMost)
-		l.put(&wire.Answer{ID: m.ID, Self: s.self(), Nodes: all[:n], Last: n == len(all)})
+		l.put(&wire.StatusAnswer{ID: m.ID, Self: s.self(), Nodes: all[:n], IsLast: n == len(all)})
 		if all = all[n:]; len(all) == 0 {
 			return
 		}
--- a/internal/controlplane/distribution/control/write.go
+++ b/internal/controlplane/distribution/control/write.go
@@ -16,7 +16,7 @@
 
 // write makes an operator's changes and answers when they last.
 func (s *Server) write(l *link, m *wire.Write) {
-	written := &wire.Written{ID: m.ID}
+	written := &wire.WriteResult{ID: m.ID}
 	entries, err := s.change(m.Changes)
 	if n := len(entries); n > 0 {
 		written.Origin, written.Clock, written.Sequence = entries[n-1].Origin, entries[n-1].Clock, entries[n-1].Sequence
@@ -47,8 +47,8 @@
 	}
 	s.Writes++
 	s.Changes += len(entries)
-	kept := s.disk.Keep(entries, s.store.Vector())
-	s.publisher.Changed(s.now(), entries) // the vector covers them from now on, so they are not held back
+	kept := s.disk.SaveDurably(entries, s.store.Vector())
+	s.publisher.EntriesChanged(s.now(), entries) // the vector covers them from now on, so they are not held back
 	s.mu.Unlock()
 	s.signal()
 	if err = <-kept; err != nil {
--- a/internal/controlplane/distribution/converge_test.go
+++ b/internal/controlplane/distribution/converge_test.go
@@ -16,12 +16,12 @@
 func twoRegions(w *world) {
 	var roots []*holder
 	for _, region := range []string{"east", "west"} {
-		root := w.add(region+"-root", region, Control)
-		relay := w.add(region+"-relay", region, Control)
+		root := w.add(region+"-root", region, RoleControl)
+		relay := w.add(region+"-relay", region, RoleControl)
 		roots = append(roots, root)
 		w.connectable(relay, root)
-		w.connectable(w.add(region+"-node-1", region, Node, "", "a"), relay, root)
-		w.connectable(w.add(region+"-node-2", region, Node, "", "a", "b"), relay)
+		w.connectable(w.add(region+"-node-1", region, RoleNode, "", "a"), relay, root)
+		w.connectable(w.add(region+"-node-2", region, RoleNode, "", "a", "b"), relay)
 	}
 	w.connectable(roots[0], roots[1])
 	w.connectable(roots[1], roots[0])
@@ -38,12 +38,12 @@
 	return all[rapid.IntRange(0, len(all)-1).Draw(t, "holder")]
 }
 
-func isControl(h *holder) bool { return h.role == Control }
-func isNode(h *holder) bool    { return h.role == Node }
+func isControl(h *holder) bool { return h.role == RoleControl }
+func isNode(h *holder) bool    { return h.role == RoleNode }
 func isAny(*holder) bool       { return true }
 
 func drawKey(t *rapid.T) Key {
-	return Key{Service: rapid.SampledFrom(worldServices).Draw(t, "service"), Kind: Server, Name: rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "name")}
+	return Key{Service: rapid.SampledFrom(worldServices).Draw(t, "service"), Kind: KindServer, Name: rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "name")}
 }
 
 // actions are what happens in a world. The regions are apart while cut is true.
@@ -155,7 +155,7 @@
 func (w *world) keepCoveredDisks() {
 	vector := Vector{}
 	for _, h := range w.holders {
-		if h.role == Control {
+		if h.role == RoleControl {
 			vector.Join(h.store.Vector())
 		}
 	}
--- a/internal/controlplane/distribution/disk/disk.go
+++ b/internal/controlplane/distribution/disk/disk.go
@@ -21,8 +21,8 @@
 	batchBytes   = 1 << 20
 )
 
-// ErrNewer says that a file is of a format that this version of the program does not know.
-var ErrNewer = errors.New("it was written by a newer version of this program")
+// ErrNewerFormat says that a file is of a format that this version of the program does not know.
+var ErrNewerFormat = errors.New("it was written by a newer version of this program")
 
 // ErrInUse says that another process has the file open.
 var ErrInUse = errors.New("another process has it open")
@@ -33,15 +33,15 @@
 // Options of a file.
 type Options struct {
 	// Every is the least time between two transactions; 100 ms where it is 0.
-	Every time.Duration
+	WriteInterval time.Duration
 	// MostBytes is the largest size of the file; 0 for any.
-	MostBytes int
+	MaxBytes int
 	// Fault is told once when the file can no longer be written, and again with nil when it can.
-	Fault func(error)
+	OnFault func(error)
 	// SetAside is told where a damaged file has gone, and why.
-	SetAside func(path string, why error)
+	OnQuarantine func(path string, why error)
 	// Whole gives everything that the file should hold, for a new file in place of one found to be damaged in use.
-	Whole func() ([]distribution.Entry, distribution.Vector)
+	Snapshot func() ([]distribution.Entry, distribution.Vector)
 }
 
 // Loaded is what a file held.
@@ -49,7 +49,7 @@
 	// Origin is the name under which the file's owner wrote; empty for a new file.
 	Origin distribution.Origin
 	// Clean says that the last process to write it had all it knew in it when it ended.
-	Clean   bool
+	IsClean bool
 	Entries []distribution.Entry
 	Vector  distribution.Vector
 	Pruned  distribution.Vector
@@ -100,24 +100,24 @@
 // process's file or a folder that is not there. A damaged file is set aside and counts as empty; on a file that cannot be
 // written the Disk goes on trying.
 func Open(path string, o Options) (*Disk, Loaded, error) {
-	if o.Every <= 0 {
-		o.Every = defaultEvery
+	if o.WriteInterval <= 0 {
+		o.WriteInterval = defaultEvery
 	}
-	if o.Fault == nil {
-		o.Fault = func(error) {}
+	if o.OnFault == nil {
+		o.OnFault = func(error) {}
 	}
-	if o.SetAside == nil {
-		o.SetAside = func(string, error) {}
+	if o.OnQuarantine == nil {
+		o.OnQuarantine = func(string, error) {}
 	}
 	d := &Disk{path: path, options: o, wake: make(chan struct{}, 1), stop: make(chan struct{}), stopped: make(chan struct{}),
 		pending: map[distribution.Key]change{}}
-	d.limit.Store(int64(o.MostBytes))
-	f, loaded, err := openFile(path, o.MostBytes)
+	d.limit.Store(int64(o.MaxBytes))
+	f, loaded, err := openFile(path, o.MaxBytes)
 	if errors.Is(err, errSpoilt) {
 		if err := d.setAside(err); err != nil {
 			return nil, Loaded{}, err
 		}
-		f, loaded, err = openFile(path, o.MostBytes)
+		f, loaded, err = openFile(path, o.MaxBytes)
 	}
 	switch {
 	case err == nil:
@@ -170,9 +170,9 @@
 	d.pending[k] = c
 }
 
-// Keep has entries written ahead of all that Save has been told, and tells when they last or why they do not. What
+// SaveDurably has entries written ahead of all that Save has been told, and tells when they last or why they do not. What
 // failed is tried again all the same.
-func (d *Disk) Keep(entries []distribution.Entry, vector distribution.Vector) <-chan error {
+func (d *Disk) SaveDurably(entries []distribution.Entry, vector distribution.Vector) <-chan error {
 	done := make(chan error, 1)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -208,15 +208,15 @@
 	}
 }
 
-// Pending counts what waits to be written.
-func (d *Disk) Pending() int {
+// PendingCount counts what waits to be written.
+func (d *Disk) PendingCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.pending)
 }
 
-// Transactions counts those that were written.
-func (d *Disk) Transactions() uint64 { return d.transactions.Load() }
+// TransactionCount counts those that were written.
+func (d *Disk) TransactionCount() uint64 { return d.transactions.Load() }
 
 // Fault is why the file cannot be written at present, nil if it can.
 func (d *Disk) Fault() error {
--- a/internal/controlplane/distribution/disk/disk_test.go
+++ b/internal/controlplane/distribution/disk/disk_test.go
@@ -44,13 +44,13 @@
 }
 
 func (t *told) options() Options {
-	return Options{Every: time.Millisecond,
-		Fault: func(err error) {
+	return Options{WriteInterval: time.Millisecond,
+		OnFault: func(err error) {
 			t.mu.Lock()
 			defer t.mu.Unlock()
 			t.faults = append(t.faults, err)
 		},
-		SetAside: func(path string, _ error) {
+		OnQuarantine: func(path string, _ error) {
 			t.mu.Lock()
 			defer t.mu.Unlock()
 			t.aside = append(t.aside, path)
@@ -109,7 +109,7 @@
 // kept makes a file that was closed in good order.
 func kept(t *testing.T, path string, all []distribution.Entry, v distribution.Vector) {
 	t.Helper()
-	d, _ := open(t, path, Options{Every: time.Millisecond})
+	d, _ := open(t, path, Options{WriteInterval: time.Millisecond})
 	d.SetOrigin("a/1")
 	d.Save(all, nil, v)
 	if err := end(t, d); err != nil {
@@ -120,8 +120,8 @@
 // What was saved is there at the next start: the latest of each key, without what was removed, with the vector.
 func TestNextStart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entries.db")
-	d, loaded := open(t, path, Options{Every: time.Millisecond})
-	if loaded.Origin != "" || loaded.Clean || len(loaded.Entries) > 0 {
+	d, loaded := open(t, path, Options{WriteInterval: time.Millisecond})
+	if loaded.Origin != "" || loaded.IsClean || len(loaded.Entries) > 0 {
 		t.Errorf("a new file holds %+v", loaded)
 	}
 	d.SetOrigin("a/1")
@@ -139,16 +139,16 @@
 	want = slices.Delete(want, 24, 25)
 	want = slices.Delete(want, 17, 18)
 	same(t, loaded.Entries, want)
-	if loaded.Origin != "a/1" || !loaded.Clean || loaded.Vector["a/1"] != 5000 || loaded.Pruned["a/1"] != 25 {
-		t.Errorf("origin %q, clean %t, vector %v, pruned %v", loaded.Origin, loaded.Clean, loaded.Vector, loaded.Pruned)
+	if loaded.Origin != "a/1" || !loaded.IsClean || loaded.Vector["a/1"] != 5000 || loaded.Pruned["a/1"] != 25 {
+		t.Errorf("origin %q, clean %t, vector %v, pruned %v", loaded.Origin, loaded.IsClean, loaded.Vector, loaded.Pruned)
 	}
-	if err := <-d.Keep([]distribution.Entry{changed}, nil); err != nil {
+	if err := <-d.SaveDurably([]distribution.Entry{changed}, nil); err != nil {
 		t.Error(err)
 	}
 	if err := end(t, d); err != nil {
 		t.Error(err)
 	}
-	if err := <-d.Keep([]distribution.Entry{changed}, nil); !errors.Is(err, ErrClosed) {
+	if err := <-d.SaveDurably([]distribution.Entry{changed}, nil); !errors.Is(err, ErrClosed) {
 		t.Errorf("kept after the end: %v", err)
 	}
 }
@@ -168,20 +168,20 @@
 	}
 	_, loaded := open(t, copied, Options{})
 	same(t, loaded.Entries, entries(1, 10))
-	if loaded.Clean || loaded.Origin != "a/1" {
-		t.Errorf("clean %t, origin %q", loaded.Clean, loaded.Origin)
+	if loaded.IsClean || loaded.Origin != "a/1" {
+		t.Errorf("clean %t, origin %q", loaded.IsClean, loaded.Origin)
 	}
 }
 
 // What somebody waits for goes ahead of a long queue, and is told once it is in the file.
 func TestKeepGoesAhead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entries.db")
-	d, _ := open(t, path, Options{Every: time.Hour})
+	d, _ := open(t, path, Options{WriteInterval: time.Hour})
 	d.Save(entries(1, 1), nil, nil)
-	wait(t, "the first batch", func() bool { return d.Pending() == 0 })
+	wait(t, "the first batch", func() bool { return d.PendingCount() == 0 })
 	d.Save(entries(2, 3*batchEntries), nil, distribution.Vector{"a/1": 3 * batchEntries})
 	urgent := entry(100_000)
-	d.Keep([]distribution.Entry{urgent}, nil)
+	d.SaveDurably([]distribution.Entry{urgent}, nil)
 	b, more := d.take()
 	if b.keys[0] != urgent.Key || !more || b.vector != nil || b.through != 1 {
 		t.Errorf("first %v, more %t, vector %v, through %d", b.keys[0], more, b.vector, b.through)
@@ -195,7 +195,7 @@
 	kept(t, path, entries(1, 10), distribution.Vector{"a/1": 10})
 	var said told
 	o := said.options()
-	o.MostBytes = 1 << 20
+	o.MaxBytes = 1 << 20
 	d, _ := open(t, path, o)
 	d.Save(entries(11, 30_000), nil, distribution.Vector{"a/1": 30_000})
 	wait(t, "a full disk", func() bool { return d.Fault() != nil })
@@ -203,8 +203,8 @@
 		t.Error("the end is well on a full disk")
 	}
 	_, loaded := open(t, path, Options{})
-	if n := len(loaded.Entries); n <= 10 || n >= 30_000 || loaded.Vector["a/1"] != 10 || loaded.Clean {
-		t.Errorf("%d entries, vector %v, clean %t", n, loaded.Vector, loaded.Clean)
+	if n := len(loaded.Entries); n <= 10 || n >= 30_000 || loaded.Vector["a/1"] != 10 || loaded.IsClean {
+		t.Errorf("%d entries, vector %v, clean %t", n, loaded.Vector, loaded.IsClean)
 	}
 }
 
@@ -213,18 +213,18 @@
 	path := filepath.Join(t.TempDir(), "entries.db")
 	var said told
 	o := said.options()
-	o.MostBytes = 128 << 10
+	o.MaxBytes = 128 << 10
 	d, _ := open(t, path, o)
 	d.Save(entries(1, 5000), nil, distribution.Vector{"a/1": 5000})
 	wait(t, "a fault", func() bool { return d.Fault() != nil })
-	if err := <-d.Keep(entries(5001, 5001), nil); err == nil {
+	if err := <-d.SaveDurably(entries(5001, 5001), nil); err == nil {
 		t.Error("kept on a full disk")
 	}
 	if faults, aside := said.counts(); faults != 1 || aside != 0 {
 		t.Errorf("%d faults are told, %d files set aside", faults, aside)
 	}
 	d.limit.Store(0)
-	wait(t, "all written", func() bool { return d.Pending() == 0 && d.Fault() == nil })
+	wait(t, "all written", func() bool { return d.PendingCount() == 0 && d.Fault() == nil })
 	if faults, _ := said.counts(); faults != 2 || said.faults[1] != nil {
 		t.Errorf("told: %v", said.faults)
 	}
@@ -233,8 +233,8 @@
 	}
 	_, loaded := open(t, path, Options{})
 	same(t, loaded.Entries, entries(1, 5001))
-	if loaded.Vector["a/1"] != 5000 || !loaded.Clean {
-		t.Errorf("vector %v, clean %t", loaded.Vector, loaded.Clean)
+	if loaded.Vector["a/1"] != 5000 || !loaded.IsClean {
+		t.Errorf("vector %v, clean %t", loaded.Vector, loaded.IsClean)
 	}
 }
 
@@ -243,13 +243,13 @@
 	path := filepath.Join(t.TempDir(), "entries.db")
 	var said told
 	o := said.options()
-	o.MostBytes = 4096
+	o.MaxBytes = 4096
 	d, _ := open(t, path, o)
 	d.SetOrigin("a/1")
 	d.Save(entries(1, 10), nil, distribution.Vector{"a/1": 10})
 	wait(t, "a fault", func() bool { return d.Fault() != nil })
 	d.limit.Store(0)
-	wait(t, "all written", func() bool { return d.Pending() == 0 && d.Fault() == nil })
+	wait(t, "all written", func() bool { return d.PendingCount() == 0 && d.Fault() == nil })
 	end(t, d)
 	_, loaded := open(t, path, Options{})
 	same(t, loaded.Entries, entries(1, 10))
@@ -362,7 +362,7 @@
 		}
 		if _, n := said.counts(); n > 0 {
 			aside++
-		} else if len(loaded.Entries) > 0 || loaded.Clean || loaded.Vector["a/1"] > 0 {
+		} else if len(loaded.Entries) > 0 || loaded.IsClean || loaded.Vector["a/1"] > 0 {
 			same(t, loaded.Entries, entries(1, 300))
 		}
 		d.Save(entries(301, 400), nil, nil)
@@ -381,7 +381,7 @@
 	kept(t, path, entries(1, 5000), distribution.Vector{"a/1": 5000})
 	var said told
 	o := said.options()
-	o.Whole = func() ([]distribution.Entry, distribution.Vector) {
+	o.Snapshot = func() ([]distribution.Entry, distribution.Vector) {
 		return entries(1, 5001), distribution.Vector{"a/1": 5001}
 	}
 	d, _ := open(t, path, o)
@@ -403,7 +403,7 @@
 	f.Close()
 	d.Save(entries(5001, 5001), nil, distribution.Vector{"a/1": 5001})
 	wait(t, "a new file", func() bool { _, n := said.counts(); return n == 1 })
-	wait(t, "all written", func() bool { return d.Pending() == 0 && d.Fault() == nil })
+	wait(t, "all written", func() bool { return d.PendingCount() == 0 && d.Fault() == nil })
 	if err := end(t, d); err != nil {
 		t.Fatal(err)
 	}
@@ -434,7 +434,7 @@
 		path string
 		want error
 	}{
-		"newer":     {newer, ErrNewer},
+		"newer":     {newer, ErrNewerFormat},
 		"in use":    {busy, ErrInUse},
 		"no folder": {filepath.Join(dir, "nowhere", "entries.db"), os.ErrNotExist},
 		"a folder":  {dir, nil},
@@ -459,13 +459,13 @@
 func TestBoundedRate(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entries.db")
 	const every = 20 * time.Millisecond
-	d, _ := open(t, path, Options{Every: every})
+	d, _ := open(t, path, Options{WriteInterval: every})
 	began := time.Now()
 	for n := 1; n <= 300; n++ {
 		d.Save(entries(n, n), nil, nil)
 		time.Sleep(time.Millisecond)
 	}
-	batches := int(d.Transactions())
+	batches := int(d.TransactionCount())
 	if most := int(time.Since(began)/every) + 2; batches > most || batches == 0 {
 		t.Errorf("%d transactions, %d at most", batches, most)
 	}
--- a/internal/controlplane/distribution/disk/file.go
+++ b/internal/controlplane/distribution/disk/file.go
@@ -103,7 +103,7 @@
 	}
 	err = f.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(stateTable).Delete(cleanName) })
 	if err != nil { // it can be read all the same, but must not look whole after what this process does
-		loaded.Clean = false
+		loaded.IsClean = false
 	}
 	return nil
 }
@@ -132,7 +132,7 @@
 		return fmt.Errorf("%w: its format cannot be read", errSpoilt)
 	}
 	if n := binary.BigEndian.Uint16(number); n > format {
-		return fmt.Errorf("%w: format %d, %d is known here", ErrNewer, n, format)
+		return fmt.Errorf("%w: format %d, %d is known here", ErrNewerFormat, n, format)
 	}
 	var expected totals
 	if err := get(state, totalsName, &expected); err != nil {
@@ -151,7 +151,7 @@
 			return err
 		}
 	}
-	loaded.Clean = state.Get(cleanName) != nil
+	loaded.IsClean = state.Get(cleanName) != nil
 	loaded.Entries = make([]distribution.Entry, 0, min(expected.Count, 1<<16))
 	err = entries.ForEach(func(name, sealed []byte) error {
 		e, err := decode(name, sealed)
--- a/internal/controlplane/distribution/disk/golden_test.go
+++ b/internal/controlplane/distribution/disk/golden_test.go
@@ -29,14 +29,14 @@
 
 // golden is what the golden file holds. Vectors hold one origin: the order of a map's pairs in the file is not fixed.
 var golden = Loaded{
-	Origin: "root/00000000000000a1",
-	Clean:  true,
+	Origin:  "root/00000000000000a1",
+	IsClean: true,
 	Entries: []distribution.Entry{
-		{Key: distribution.Key{Service: "", Kind: distribution.Tenant, Name: "big"}, Clock: 1700000000001 << 16, Origin: "root/00000000000000a1",
+		{Key: distribution.Key{Service: "", Kind: distribution.KindTenant, Name: "big"}, Clock: 1700000000001 << 16, Origin: "root/00000000000000a1",
 			Sequence: 1, Value: []byte("a tenant")},
-		{Key: distribution.Key{Service: "trams", Kind: distribution.Pool, Name: "old"}, Clock: 1700000000003<<16 | 5, Origin: "relay/00000000000000b2",
+		{Key: distribution.Key{Service: "trams", Kind: distribution.KindPool, Name: "old"}, Clock: 1700000000003<<16 | 5, Origin: "relay/00000000000000b2",
 			Sequence: 3, Deleted: true},
-		{Key: distribution.Key{Service: "ferries", Kind: distribution.Route, Name: "checks"}, Clock: 1700000000002 << 16, Origin: "root/00000000000000a1",
+		{Key: distribution.Key{Service: "ferries", Kind: distribution.KindRoute, Name: "checks"}, Clock: 1700000000002 << 16, Origin: "root/00000000000000a1",
 			Sequence: 2, Value: []byte("a route")},
 	},
 	Vector: distribution.Vector{"root/00000000000000a1": 2},
@@ -46,13 +46,13 @@
 // writeGolden writes a file that holds all that golden does.
 func writeGolden(t *testing.T, path string) {
 	t.Helper()
-	d, _, err := Open(path, Options{Every: time.Millisecond})
+	d, _, err := Open(path, Options{WriteInterval: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.SetOrigin(golden.Origin)
 	d.Save(golden.Entries, nil, golden.Vector)
-	d.Prune([]distribution.Key{{Service: "ferries", Kind: distribution.Route, Name: "never held"}}, golden.Pruned)
+	d.Prune([]distribution.Key{{Service: "ferries", Kind: distribution.KindRoute, Name: "never held"}}, golden.Pruned)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	if err := d.Close(ctx); err != nil {
@@ -123,7 +123,7 @@
 // openForTest opens a file and closes it at the end of the test.
 func openForTest(t *testing.T, path string) (*Disk, Loaded, error) {
 	t.Helper()
-	d, loaded, err := Open(path, Options{Every: time.Millisecond})
+	d, loaded, err := Open(path, Options{WriteInterval: time.Millisecond})
 	if err == nil {
 		t.Cleanup(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
--- a/internal/controlplane/distribution/disk/writer.go
+++ b/internal/controlplane/distribution/disk/writer.go
@@ -37,7 +37,7 @@
 			closing = true
 			continue
 		}
-		pause := d.options.Every
+		pause := d.options.WriteInterval
 		if d.step() != nil {
 			pause = retryEvery
 		}
@@ -50,12 +50,12 @@
 
 // finish writes all that waits, marks the file as whole and closes it.
 func (d *Disk) finish() {
-	for d.Pending() > 0 {
+	for d.PendingCount() > 0 {
 		if d.step() != nil {
 			break
 		}
 	}
-	if d.file != nil && d.Pending() == 0 {
+	if d.file != nil && d.PendingCount() == 0 {
 		b := batch{clean: true, vector: d.lastVector()}
 		d.clean = d.commit(b) == nil
 	}
@@ -198,7 +198,7 @@
 	d.fault = nil
 	d.mu.Unlock()
 	if mended {
-		d.options.Fault(nil)
+		d.options.OnFault(nil)
 	}
 }
 
@@ -215,7 +215,7 @@
 	d.queue = slices.Collect(maps.Keys(d.pending))
 	d.mu.Unlock()
 	if first {
-		d.options.Fault(fmt.Errorf("%s: %w", d.path, why))
+		d.options.OnFault(fmt.Errorf("%s: %w", d.path, why))
 	}
 }
 
@@ -244,8 +244,8 @@
 	if err := d.reopen(); err != nil {
 		return err
 	}
-	if d.options.Whole != nil {
-		d.fill(d.options.Whole())
+	if d.options.Snapshot != nil {
+		d.fill(d.options.Snapshot())
 	}
 	return why
 }
@@ -271,7 +271,7 @@
 	if err := os.Rename(d.path, to); err != nil {
 		return err
 	}
-	d.options.SetAside(to, why)
+	d.options.OnQuarantine(to, why)
 	return nil
 }
 
--- a/internal/controlplane/distribution/distribution.go
+++ b/internal/controlplane/distribution/distribution.go
@@ -18,14 +18,14 @@
 
 // The kinds, as they stand on the wire and on disk.
 const (
-	Server Kind = 1 + iota
-	Route
-	Tenant
-	Pool
+	KindServer Kind = 1 + iota
+	KindRoute
+	KindTenant
+	KindPool
 	kindsEnd
 )
 
-var kindNames = [kindsEnd]string{Server: "server", Route: "route", Tenant: "tenant", Pool: "pool"}
+var kindNames = [kindsEnd]string{KindServer: "server", KindRoute: "route", KindTenant: "tenant", KindPool: "pool"}
 
 // String is the kind's name in commands and pages.
 func (k Kind) String() string {
@@ -37,7 +37,7 @@
 
 // ParseKind reads a kind's name.
 func ParseKind(text string) (Kind, error) {
-	for k := Server; k < kindsEnd; k++ {
+	for k := KindServer; k < kindsEnd; k++ {
 		if kindNames[k] == text {
 			return k, nil
 		}
@@ -135,8 +135,8 @@
 	return grown
 }
 
-// AtLeast tells whether the vector covers all that another covers.
-func (v Vector) AtLeast(other Vector) bool {
+// CoversAll tells whether the vector covers all that another covers.
+func (v Vector) CoversAll(other Vector) bool {
 	for origin, sequence := range other {
 		if v[origin] < sequence {
 			return false
@@ -159,8 +159,8 @@
 	return true
 }
 
-// Beyond is the part of the vector that another does not cover.
-func (v Vector) Beyond(other Vector) Vector {
+// AheadOf is the part of the vector that another does not cover.
+func (v Vector) AheadOf(other Vector) Vector {
 	beyond := Vector{}
 	for origin, sequence := range v {
 		if sequence > other[origin] {
--- a/internal/controlplane/distribution/forgotten_test.go
+++ b/internal/controlplane/distribution/forgotten_test.go
@@ -24,7 +24,7 @@
 func wantOnly(t *testing.T, w *world, name string) {
 	t.Helper()
 	for _, h := range w.holders {
-		if got := h.store.Service("a"); len(got) != 1 || got[0].Key.Name != name {
+		if got := h.store.LiveEntries("a"); len(got) != 1 || got[0].Key.Name != name {
 			t.Errorf("%s holds %+v, want %s alone", h.name, got, name)
 		}
 	}
@@ -56,7 +56,7 @@
 	up := w.links[0]
 	w.links = w.links[1:]
 	w.settle()
-	if len(node.store.Service("a")) != 2 {
+	if len(node.store.LiveEntries("a")) != 2 {
 		t.Fatal("the node is not yet to know")
 	}
 	w.links = append(w.links, up)
@@ -67,8 +67,8 @@
 // A service that its sender no longer holds anything of gets a change while all is sent whole: it is named too.
 func TestChangeWhileAllIsSentWhole(t *testing.T) {
 	w := newWorld(t.Fatalf)
-	root := w.add("root", "", Control)
-	relay := w.add("relay", "", Control)
+	root := w.add("root", "", RoleControl)
+	relay := w.add("relay", "", RoleControl)
 	w.connectable(relay, root)
 	forgets(w, root)
 	root.write(Change{Key: key("a", "2"), Deleted: true})
@@ -100,14 +100,14 @@
 	node.store.SetScope(node.services)
 	w.links = w.links[1:]
 	w.settle()
-	if missing := node.store.Missing(); len(missing) != 1 {
+	if missing := node.store.UnsyncedServices(); len(missing) != 1 {
 		t.Fatalf("missing %v, want b", missing)
 	}
 	w.close(down)
 	w.links = append(w.links, up)
 	w.settle()
-	if len(node.store.Service("b")) != 1 || len(node.store.Missing()) != 0 {
-		t.Fatalf("holds %v, missing %v", node.store.Service("b"), node.store.Missing())
+	if len(node.store.LiveEntries("b")) != 1 || len(node.store.UnsyncedServices()) != 0 {
+		t.Fatalf("holds %v, missing %v", node.store.LiveEntries("b"), node.store.UnsyncedServices())
 	}
 }
 
@@ -118,12 +118,12 @@
 	entry := func(name string, sequence uint64) []Entry {
 		return []Entry{{Key: key("a", name), Clock: 5, Origin: "x/1", Sequence: sequence}}
 	}
-	first := Batch{Number: 1, Reset: []string{"a"}, Entries: entry("1", 1)}
-	r.Receive(first)
-	r.Receive(Batch{Number: 2, Entries: entry("2", 2), Complete: true, Through: Vector{"x/1": 2}})
-	r.Receive(first)
-	r.Receive(Batch{Number: 3, Complete: true, Through: Vector{"x/1": 2}})
-	if got := s.Service("a"); len(got) != 2 {
+	first := Batch{Number: 1, ResetServices: []string{"a"}, Entries: entry("1", 1)}
+	r.ReceiveBatch(first)
+	r.ReceiveBatch(Batch{Number: 2, Entries: entry("2", 2), IsComplete: true, Through: Vector{"x/1": 2}})
+	r.ReceiveBatch(first)
+	r.ReceiveBatch(Batch{Number: 3, IsComplete: true, Through: Vector{"x/1": 2}})
+	if got := s.LiveEntries("a"); len(got) != 2 {
 		t.Fatalf("holds %+v", got)
 	}
 }
--- a/internal/controlplane/distribution/limits.go
+++ b/internal/controlplane/distribution/limits.go
@@ -10,42 +10,42 @@
 
 // Bounds of every entry, the same at each holder so that what one takes all can take.
 const (
-	NameMost     = 256       // bytes of a service's or an entry's name
-	OriginMost   = 128       // bytes of an origin's name
-	ValueMost    = 64 << 10  // bytes of a value
-	ChangesMost  = 4096      // in one write
-	OriginsMost  = 4096      // in a vector
-	ServicesMost = 8192      // of a store, so that their digests go into one message
-	entryBytes   = 128       // of an entry in memory beside its name and value, measured by BenchmarkStoreMemory
-	bytesMost    = 512 << 20 // of a store, unless its limits say otherwise
-	entriesMost  = 2 << 20   // of a store, unless its limits say otherwise
+	MaxNameBytes   = 256       // bytes of a service's or an entry's name
+	MaxOriginBytes = 128       // bytes of an origin's name
+	MaxValueBytes  = 64 << 10  // bytes of a value
+	MaxChanges     = 4096      // in one write
+	MaxOrigins     = 4096      // in a vector
+	MaxServices    = 8192      // of a store, so that their digests go into one message
+	entryBytes     = 128       // of an entry in memory beside its name and value, measured by BenchmarkStoreMemory
+	bytesMost      = 512 << 20 // of a store, unless its limits say otherwise
+	entriesMost    = 2 << 20   // of a store, unless its limits say otherwise
 
 	clockAhead = 10 * time.Second // that a write's clock may be ahead of the wall, unless limits say otherwise
 )
 
 // Limits bound a store; a zero one is the default.
 type Limits struct {
-	Bytes      int
-	Entries    int
-	ClockAhead time.Duration // of the newest clock held before the wall, beyond which writes are refused
+	MaxBytes      int
+	MaxEntries    int
+	MaxClockAhead time.Duration // of the newest clock held before the wall, beyond which writes are refused
 }
 
 func (l Limits) withDefaults() Limits {
-	l.Bytes = cmp.Or(l.Bytes, bytesMost)
-	l.Entries = cmp.Or(l.Entries, entriesMost)
-	l.ClockAhead = cmp.Or(l.ClockAhead, clockAhead)
+	l.MaxBytes = cmp.Or(l.MaxBytes, bytesMost)
+	l.MaxEntries = cmp.Or(l.MaxEntries, entriesMost)
+	l.MaxClockAhead = cmp.Or(l.MaxClockAhead, clockAhead)
 	return l
 }
 
 // Why an entry or a write is refused.
 var (
-	ErrKey    = errors.New("key not allowed")
-	ErrValue  = errors.New("value not allowed")
-	ErrOrigin = errors.New("origin not allowed")
-	ErrCount  = errors.New("too many or no changes in one write")
-	ErrFull   = errors.New("store is full")
-	ErrClock  = errors.New("clock is too far ahead")
-	ErrStale  = errors.New("others may hold more of this origin than this disk")
+	ErrInvalidKey    = errors.New("key not allowed")
+	ErrInvalidValue  = errors.New("value not allowed")
+	ErrInvalidOrigin = errors.New("origin not allowed")
+	ErrChangeCount   = errors.New("too many or no changes in one write")
+	ErrStoreFull     = errors.New("store is full")
+	ErrClockAhead    = errors.New("clock is too far ahead")
+	ErrStaleOrigin   = errors.New("others may hold more of this origin than this disk")
 )
 
 // EntryError says why an entry is refused; it wraps one of the errors above.
@@ -62,67 +62,67 @@
 
 // LimitError says which limit of a store would be passed; it wraps ErrFull.
 type LimitError struct {
-	What string
-	Need int
-	Most int
+	Resource string
+	Needed   int
+	Max      int
 }
 
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("%v: %d of at most %d %s", ErrFull, e.Need, e.Most, e.What)
+	return fmt.Sprintf("%v: %d of at most %d %s", ErrStoreFull, e.Needed, e.Max, e.Resource)
 }
 
 // Unwrap is ErrFull.
-func (e *LimitError) Unwrap() error { return ErrFull }
+func (e *LimitError) Unwrap() error { return ErrStoreFull }
 
 // ClockError says by how much the newest clock held is ahead of the wall; it wraps ErrClock.
 type ClockError struct{ Ahead time.Duration }
 
 func (e *ClockError) Error() string {
-	return fmt.Sprintf("%v: the newest change held is %v ahead of this machine's clock", ErrClock, e.Ahead.Round(time.Millisecond))
+	return fmt.Sprintf("%v: the newest change held is %v ahead of this machine's clock", ErrClockAhead, e.Ahead.Round(time.Millisecond))
 }
 
 // Unwrap is ErrClock.
-func (e *ClockError) Unwrap() error { return ErrClock }
+func (e *ClockError) Unwrap() error { return ErrClockAhead }
 
-// Check tells whether a key may be of an entry.
-func (k Key) Check() error {
+// Validate tells whether a key may be of an entry.
+func (k Key) Validate() error {
 	switch {
 	case k.Kind == 0 || k.Kind >= kindsEnd:
-		return &EntryError{k, ErrKey, "unknown kind"}
+		return &EntryError{k, ErrInvalidKey, "unknown kind"}
 	case k.Name == "":
-		return &EntryError{k, ErrKey, "no name"}
-	case len(k.Name) > NameMost || len(k.Service) > NameMost:
-		return &EntryError{k, ErrKey, fmt.Sprintf("a name of more than %d bytes", NameMost)}
+		return &EntryError{k, ErrInvalidKey, "no name"}
+	case len(k.Name) > MaxNameBytes || len(k.Service) > MaxNameBytes:
+		return &EntryError{k, ErrInvalidKey, fmt.Sprintf("a name of more than %d bytes", MaxNameBytes)}
 	case !utf8.ValidString(k.Name) || !utf8.ValidString(k.Service):
-		return &EntryError{k, ErrKey, "a name that is not UTF-8"}
+		return &EntryError{k, ErrInvalidKey, "a name that is not UTF-8"}
 	}
 	return nil
 }
 
-// Check tells whether an entry may be held.
-func (e Entry) Check() error {
-	if err := (Change{Key: e.Key, Value: e.Value, Deleted: e.Deleted}).Check(); err != nil {
+// Validate tells whether an entry may be held.
+func (e Entry) Validate() error {
+	if err := (Change{Key: e.Key, Value: e.Value, Deleted: e.Deleted}).Validate(); err != nil {
 		return err
 	}
 	switch {
-	case e.Origin == "" || len(e.Origin) > OriginMost || !utf8.ValidString(string(e.Origin)):
-		return &EntryError{e.Key, ErrOrigin, "none, too long or not UTF-8"}
+	case e.Origin == "" || len(e.Origin) > MaxOriginBytes || !utf8.ValidString(string(e.Origin)):
+		return &EntryError{e.Key, ErrInvalidOrigin, "none, too long or not UTF-8"}
 	case e.Sequence == 0 || e.Clock == 0:
-		return &EntryError{e.Key, ErrOrigin, "no sequence or no clock"}
+		return &EntryError{e.Key, ErrInvalidOrigin, "no sequence or no clock"}
 	}
 	return nil
 }
 
-// Check tells whether a change may be written.
-func (c Change) Check() error {
-	if err := c.Key.Check(); err != nil {
+// Validate tells whether a change may be written.
+func (c Change) Validate() error {
+	if err := c.Key.Validate(); err != nil {
 		return err
 	}
 	switch {
-	case len(c.Value) > ValueMost:
-		return &EntryError{c.Key, ErrValue, fmt.Sprintf("more than %d bytes", ValueMost)}
+	case len(c.Value) > MaxValueBytes:
+		return &EntryError{c.Key, ErrInvalidValue, fmt.Sprintf("more than %d bytes", MaxValueBytes)}
 	case c.Deleted && len(c.Value) > 0:
-		return &EntryError{c.Key, ErrValue, "a deletion with a value"}
+		return &EntryError{c.Key, ErrInvalidValue, "a deletion with a value"}
 	}
 	return nil
 }
--- a/internal/controlplane/distribution/merge.go
+++ b/internal/controlplane/distribution/merge.go
@@ -15,10 +15,10 @@
 // merge takes forgotten entries too for services that are mended from a sender who covers all that this store covers.
 func (s *Store) merge(entries []Entry, mended map[string]bool) (changed []Entry, refused []Rejection) {
 	for _, e := range entries {
-		if !s.InScope(e.Key.Service) {
+		if !s.IsInScope(e.Key.Service) {
 			continue
 		}
-		if err := e.Check(); err != nil {
+		if err := e.Validate(); err != nil {
 			refused = append(refused, Rejection{Key: e.Key, Reason: err.Error()})
 			continue
 		}
@@ -32,7 +32,7 @@
 			continue
 		}
 		if err := s.roomFor(e); err != nil {
-			refused = append(refused, Rejection{Key: e.Key, Reason: err.Error(), Full: true})
+			refused = append(refused, Rejection{Key: e.Key, Reason: err.Error(), IsStoreFull: true})
 			continue
 		}
 		s.put(e)
@@ -50,8 +50,8 @@
 	return s.room(entries, size, services)
 }
 
-// Reset ends a service that was sent whole: what is held of it, was not named and is covered by the sender is gone.
-func (s *Store) Reset(services []string, named map[Key]bool, through Vector) (removed []Entry) {
+// ReplaceServices ends a service that was sent whole: what is held of it, was not named and is covered by the sender is gone.
+func (s *Store) ReplaceServices(services []string, named map[Key]bool, through Vector) (removed []Entry) {
 	for _, name := range services {
 		of := s.services[name]
 		if of == nil {
@@ -71,23 +71,23 @@
 	return removed
 }
 
-// Advance raises the vector by what a sender has said to be whole.
-func (s *Store) Advance(v Vector) {
-	s.Observe(v)
+// AdvanceVector raises the vector by what a sender has said to be whole.
+func (s *Store) AdvanceVector(v Vector) {
+	s.ObserveVector(v)
 	s.vector.Join(v)
 }
 
 // AdvancePruned takes in which deletions a sender may have forgotten.
 func (s *Store) AdvancePruned(v Vector) { s.pruned.Join(v) }
 
-// Lacks tells whether another holder covers something that this one does not.
-func (s *Store) Lacks(v Vector) bool { return !s.vector.AtLeast(v) }
+// IsBehind tells whether another holder covers something that this one does not.
+func (s *Store) IsBehind(v Vector) bool { return !s.vector.CoversAll(v) }
 
-// Behind tells whether deletions that a holder of a vector lacks may be forgotten here, so that it is to be sent all.
-func (s *Store) Behind(v Vector) bool { return !v.AtLeast(s.pruned) }
+// NeedsReset tells whether deletions that a holder of a vector lacks may be forgotten here, so that it is to be sent all.
+func (s *Store) NeedsReset(v Vector) bool { return !v.CoversAll(s.pruned) }
 
-// Observe looks whether another's vector shows this disk to be an old one.
-func (s *Store) Observe(v Vector) { s.observe(s.origin, v[s.origin]) }
+// ObserveVector looks whether another's vector shows this disk to be an old one.
+func (s *Store) ObserveVector(v Vector) { s.observe(s.origin, v[s.origin]) }
 
 func (s *Store) observe(o Origin, sequence uint64) {
 	if o == s.origin && s.origin != "" && sequence > s.sequence {
@@ -95,13 +95,13 @@
 	}
 }
 
-// Stale tells that others hold or may hold more of this origin than this store, as after an old copy of a disk was put back:
+// IsStale tells that others hold or may hold more of this origin than this store, as after an old copy of a disk was put back:
 // what it would write has numbers that others take for known. No write is taken until Renew.
-func (s *Store) Stale() bool { return s.stale }
+func (s *Store) IsStale() bool { return s.stale }
 
-// Renew gives the store another origin, and writes again under it what was written under the old one since the disk was
+// RenewOrigin gives the store another origin, and writes again under it what was written under the old one since the disk was
 // read. What it returns is to be put on disk and told as by a Write.
-func (s *Store) Renew(wall time.Time, origin Origin) []Entry {
+func (s *Store) RenewOrigin(wall time.Time, origin Origin) []Entry {
 	before, loaded := s.origin, s.loaded
 	s.origin, s.sequence, s.loaded, s.stale = origin, 0, 0, false
 	if loaded > 0 {
@@ -131,9 +131,9 @@
 	return again
 }
 
-// Prune forgets deletions with clocks before one, and returns their keys. Those that the vector does not cover are kept:
+// PruneDeletions forgets deletions with clocks before one, and returns their keys. Those that the vector does not cover are kept:
 // nobody could be told to be behind them.
-func (s *Store) Prune(olderThan uint64) []Key {
+func (s *Store) PruneDeletions(olderThan uint64) []Key {
 	var dropped []Key
 	for k, clock := range s.deleted {
 		e, _ := s.Entry(k)
@@ -177,15 +177,15 @@
 	return removed
 }
 
-// InScope tells whether a service is one of this store's.
-func (s *Store) InScope(name string) bool { return s.scope == nil || s.scope[name] }
+// IsInScope tells whether a service is one of this store's.
+func (s *Store) IsInScope(name string) bool { return s.scope == nil || s.scope[name] }
 
-// Missing are the services for which the vector does not hold yet, in order.
-func (s *Store) Missing() []string { return slices.Sorted(maps.Keys(s.missing)) }
+// UnsyncedServices are the services for which the vector does not hold yet, in order.
+func (s *Store) UnsyncedServices() []string { return slices.Sorted(maps.Keys(s.missing)) }
 
-// MarkMissing says that the vector does not hold for some services of the scope, as after a restart before they came. A
+// MarkUnsynced says that the vector does not hold for some services of the scope, as after a restart before they came. A
 // control process, part of whose disk was damaged, restores what is left without a vector instead.
-func (s *Store) MarkMissing(services []string) {
+func (s *Store) MarkUnsynced(services []string) {
 	for _, name := range services {
 		if s.scope[name] && s.missing[name] == nil {
 			s.missing[name] = Vector{}
@@ -208,7 +208,7 @@
 	if !missing {
 		return
 	}
-	if v.Join(through); v.AtLeast(s.vector) {
+	if v.Join(through); v.CoversAll(s.vector) {
 		delete(s.missing, name)
 	}
 }
--- a/internal/controlplane/distribution/messages.go
+++ b/internal/controlplane/distribution/messages.go
@@ -7,19 +7,19 @@
 
 // The roles, as they stand on the wire.
 const (
-	Node Role = 1 + iota
-	Control
-	Reader // a command that reads what is held, and is in no status
+	RoleNode Role = 1 + iota
+	RoleControl
+	RoleReader // a command that reads what is held, and is in no status
 )
 
 // String is the role's name.
 func (r Role) String() string {
 	switch r {
-	case Node:
+	case RoleNode:
 		return "node"
-	case Control:
+	case RoleControl:
 		return "control"
-	case Reader:
+	case RoleReader:
 		return "reader"
 	}
 	return "unknown"
@@ -29,45 +29,45 @@
 type Subscription struct {
 	_ struct{} `cbor:",toarray"`
 
-	Name     string
-	Role     Role
-	Region   string
-	Zone     string
-	Services []string
-	All      bool
-	Vector   Vector   // what it holds of them
-	Missing  []string // services for which the vector does not hold: they are sent whole
+	Name             string
+	Role             Role
+	Region           string
+	Zone             string
+	Services         []string
+	AllServices      bool
+	Vector           Vector   // what it holds of them
+	UnsyncedServices []string // services for which the vector does not hold: they are sent whole
 }
 
 // Batch is what a subscriber is sent. Batches of a subscription are numbered from 1.
 type Batch struct {
 	_ struct{} `cbor:",toarray"`
 
-	Number   uint64
-	Entries  []Entry
-	Reset    []string // services that are sent whole, from this batch until the next complete one
-	ResetAll bool     // all subscribed services are
-	Complete bool     // all up to Through in the subscribed services was sent, by this batch or earlier ones
-	Through  Vector   // with Complete, those origins that have moved on since the last one; all of them at first and after a Reset
-	Pruned   Vector   // with Complete, deletions up to which may be forgotten at the sender, as far as new
+	Number        uint64
+	Entries       []Entry
+	ResetServices []string // services that are sent whole, from this batch until the next complete one
+	ResetsAll     bool     // all subscribed services are
+	IsComplete    bool     // all up to Through in the subscribed services was sent, by this batch or earlier ones
+	Through       Vector   // with Complete, those origins that have moved on since the last one; all of them at first and after a Reset
+	Pruned        Vector   // with Complete, deletions up to which may be forgotten at the sender, as far as new
 }
 
 // Rejection is an entry that a subscriber could not put in force or hold.
 type Rejection struct {
 	_ struct{} `cbor:",toarray"`
 
-	Key    Key
-	Reason string
-	Full   bool // for want of room
+	Key         Key
+	Reason      string
+	IsStoreFull bool // for want of room
 }
 
 // Acknowledgement says up to which batch a subscriber has put in force what it was sent.
 type Acknowledgement struct {
 	_ struct{} `cbor:",toarray"`
 
-	Batch    uint64
-	InForce  Vector // may be left out where it has not grown
-	Rejected []Rejection
+	BatchNumber uint64
+	Applied     Vector // may be left out where it has not grown
+	Rejected    []Rejection
 }
 
 // Digests let a subscriber see whether it holds what its server holds. It compares where it covers no more than the server.
@@ -83,21 +83,21 @@
 type NodeStatus struct {
 	_ struct{} `cbor:",toarray"`
 
-	Name         string
-	Role         Role
-	Region       string
-	Zone         string
-	Via          string // control process that it is subscribed to
-	Revision     uint64 // total of the vector in force
-	Clock        uint64 // newest clock of what it has acknowledged
-	Lag          time.Duration
-	Pending      int // keys that wait
-	Unconfirmed  int // bytes sent and not acknowledged
-	Acknowledged bool
-	CatchingUp   bool
-	Connected    bool
-	Lost         int64 // Unix time in ms when its connection ended; 0 while it is connected, or where nobody saw it end
-	Rejected     []Rejection
+	Name                string
+	Role                Role
+	Region              string
+	Zone                string
+	Via                 string // control process that it is subscribed to
+	Revision            uint64 // total of the vector in force
+	AcknowledgedClock   uint64 // newest clock of what it has acknowledged
+	Lag                 time.Duration
+	PendingKeys         int // keys that wait
+	UnacknowledgedBytes int // bytes sent and not acknowledged
+	HasAcknowledged     bool
+	IsCatchingUp        bool
+	IsConnected         bool
+	DisconnectedMs      int64 // Unix time in ms when its connection ended; 0 while it is connected, or where nobody saw it end
+	Rejected            []Rejection
 }
 
 const (
@@ -119,7 +119,7 @@
 // Size is about what the batch takes on the wire, as budgets count it.
 func (b Batch) Size() int {
 	n := batchOnWire + b.Through.size() + b.Pruned.size()
-	for _, name := range b.Reset {
+	for _, name := range b.ResetServices {
 		n += nameOnWire + len(name)
 	}
 	for _, e := range b.Entries {
--- a/internal/controlplane/distribution/next.go
+++ b/internal/controlplane/distribution/next.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// Next is a batch to be sent now and to whom, or how long to wait: until then, or until the publisher was told something
+// NextBatch is a batch to be sent now and to whom, or how long to wait: until then, or until the publisher was told something
 // else. Never means that nothing waits.
-func (p *Publisher) Next(now time.Duration) (id SubscriptionID, b Batch, ok bool, wait time.Duration) {
+func (p *Publisher) NextBatch(now time.Duration) (id SubscriptionID, b Batch, ok bool, wait time.Duration) {
 	p.wake(now)
 	for {
 		lane, some := p.choose()
@@ -25,7 +25,7 @@
 
 func (p *Publisher) sleep(now time.Duration) time.Duration {
 	if len(p.asleep) == 0 {
-		return Never
+		return WaitForever
 	}
 	return p.asleep[0].at - now
 }
@@ -76,7 +76,7 @@
 		p.takeCatchUp(s, b, &sent)
 	}
 	if s.resetAll {
-		b.ResetAll, s.resetAll, s.resetting = true, false, true
+		b.ResetsAll, s.resetAll, s.resetting = true, false, true
 	}
 	if len(s.fresh) == 0 && len(s.keys) == 0 && len(s.scan) == 0 && !p.resetForgotten(s) {
 		p.complete(s, b, &sent)
@@ -129,7 +129,7 @@
 	lacks := s.Vector
 	if s.sendsWhole(name) {
 		lacks = nil
-		b.Reset = append(b.Reset, name)
+		b.ResetServices = append(b.ResetServices, name)
 		sent.size += nameOnWire + len(name)
 	}
 	s.keys = p.store.sinceOf(lacks, name)
@@ -153,17 +153,17 @@
 	if s.partial {
 		return
 	}
-	b.Complete = true
-	b.Through = p.store.Vector().Beyond(s.told)
+	b.IsComplete = true
+	b.Through = p.store.Vector().AheadOf(s.told)
 	if len(s.whole) > 0 || s.resetting {
 		b.Through = p.store.Vector().Clone()
 	}
-	b.Pruned = p.store.Pruned().Beyond(s.pruned)
+	b.Pruned = p.store.Pruned().AheadOf(s.pruned)
 	s.told.Join(b.Through)
 	s.pruned.Join(b.Pruned)
 	sent.size += b.Through.size() + b.Pruned.size()
 	s.resetting = false
-	if p.store.Vector().AtLeast(s.Vector) { // else what the vector tells may still come here, and is to be sent on
+	if p.store.Vector().CoversAll(s.Vector) { // else what the vector tells may still come here, and is to be sent on
 		clear(s.whole)
 	}
 }
--- a/internal/controlplane/distribution/pace.go
+++ b/internal/controlplane/distribution/pace.go
@@ -25,23 +25,23 @@
 
 // Budget is what may leave a control process, in bytes a second; a zero one is the default.
 type Budget struct {
-	OutBytes     int // in all
-	NodeBytes    int // to one node
-	ControlBytes int // to one control process, or a command that reads
+	TotalBytesPerSecond   int // in all
+	NodeBytesPerSecond    int // to one node
+	ControlBytesPerSecond int // to one control process, or a command that reads
 }
 
 func (b Budget) withDefaults() Budget {
-	b.OutBytes = cmp.Or(b.OutBytes, outBytes)
-	b.NodeBytes = cmp.Or(b.NodeBytes, nodeBytes)
-	b.ControlBytes = cmp.Or(b.ControlBytes, controlBytes)
+	b.TotalBytesPerSecond = cmp.Or(b.TotalBytesPerSecond, outBytes)
+	b.NodeBytesPerSecond = cmp.Or(b.NodeBytesPerSecond, nodeBytes)
+	b.ControlBytesPerSecond = cmp.Or(b.ControlBytesPerSecond, controlBytes)
 	return b
 }
 
 func (b Budget) of(r Role) int {
-	if r == Control || r == Reader {
-		return b.ControlBytes
+	if r == RoleControl || r == RoleReader {
+		return b.ControlBytesPerSecond
 	}
-	return b.NodeBytes
+	return b.NodeBytesPerSecond
 }
 
 // bucket holds a budget that time fills. It may be overdrawn by one batch.
