--- a/internal/controlplane/distribution/preferred.go
+++ b/internal/controlplane/distribution/preferred.go
@@ -27,7 +27,7 @@
 
 // left takes in that the connection or the attempt in hand has ended: a return that lasted makes up for those that did not.
 func (s *Subscriber) left(now time.Duration) {
-	if s.connected && s.preferred.back && now-s.begun >= s.following.ReturnAfter {
+	if s.connected && s.preferred.back && now-s.begun >= s.following.FailbackDelay {
 		s.preferred.returns = 0
 	}
 	s.preferred.back = false
@@ -35,22 +35,22 @@
 
 // returnWait is spread by half to both sides, so that subscribers that moved together do not return together.
 func (s *Subscriber) returnWait() time.Duration {
-	wait := s.following.ReturnAfter << min(s.preferred.returns, returnGrowth)
+	wait := s.following.FailbackDelay << min(s.preferred.returns, returnGrowth)
 	return wait/2 + time.Duration(s.chance()*float64(wait))
 }
 
 // probe says whether a preferred upstream is to be probed now, and which.
 func (s *Subscriber) probe(now time.Duration) (upstream int, due bool) {
 	p := &s.preferred
-	if s.following.ReturnAfter <= 0 || p.probing || s.state != Current || s.upstream == 0 || now < p.probeAt {
+	if s.following.FailbackDelay <= 0 || p.probing || s.state != StateCurrent || s.upstream == 0 || now < p.probeAt {
 		return 0, false
 	}
 	p.probing = true
 	return p.next % s.upstream, true
 }
 
-// Probed tells how a probe has ended: whether that upstream has answered.
-func (s *Subscriber) Probed(now time.Duration, upstream int, answered bool) {
+// ProbeEnded tells how a probe has ended: whether that upstream has answered.
+func (s *Subscriber) ProbeEnded(now time.Duration, upstream int, answered bool) {
 	p := &s.preferred
 	p.probing = false
 	if answered && s.connected && upstream < s.upstream {
@@ -68,7 +68,7 @@
 		return false
 	}
 	p.answers = false
-	s.Lost(now)
+	s.UpstreamLost(now)
 	s.upstream, s.failures, s.retryAt = p.found, 0, now
 	p.back = true
 	p.returns++
--- a/internal/controlplane/distribution/preferred_test.go
+++ b/internal/controlplane/distribution/preferred_test.go
@@ -9,17 +9,17 @@
 // away is a subscriber that has lost its preferred upstreams and is current at the last one.
 func away(t *testing.T, upstreams int, seed string) *Subscriber {
 	t.Helper()
-	s := NewSubscriber(0, Following{Upstreams: upstreams, Seed: seed, ReturnAfter: time.Minute})
+	s := NewSubscriber(0, SubscriberOptions{UpstreamCount: upstreams, JitterSeed: seed, FailbackDelay: time.Minute})
 	for want := range upstreams {
-		if do, _ := s.Passed(0); !do.Dial || do.Upstream != want {
+		if do, _ := s.Tick(0); !do.ShouldDial || do.Upstream != want {
 			t.Fatalf("%+v, want upstream %d dialled", do, want)
 		}
 		if want < upstreams-1 {
-			s.Lost(0)
+			s.UpstreamLost(0)
 		}
 	}
-	s.Connected(0)
-	s.Received(0, true)
+	s.UpstreamConnected(0)
+	s.MessageReceived(0, true)
 	return s
 }
 
@@ -27,13 +27,13 @@
 func probeDue(t *testing.T, s *Subscriber, from time.Duration) (at time.Duration, upstream int) {
 	t.Helper()
 	for at = from; at < from+time.Hour; at += time.Second {
-		s.Received(at, true) // digests come
-		do, again := s.Passed(at)
-		if do.Drop || do.Dial || again > at+lookEvery {
+		s.MessageReceived(at, true) // digests come
+		do, again := s.Tick(at)
+		if do.ShouldDisconnect || do.ShouldDial || again > at+lookEvery {
 			t.Fatalf("at %v: %+v, again at %v", at, do, again)
 		}
-		if do.Probe {
-			return at, do.Preferred
+		if do.ShouldProbe {
+			return at, do.ProbeUpstream
 		}
 	}
 	t.Fatal("no probe within an hour")
@@ -48,33 +48,33 @@
 	if upstream != 0 || at < 30*time.Second || at > 91*time.Second {
 		t.Fatalf("upstream %d is probed at %v", upstream, at)
 	}
-	if do, _ := s.Passed(at + time.Second); do.Probe {
+	if do, _ := s.Tick(at + time.Second); do.ShouldProbe {
 		t.Error("two probes at a time")
 	}
-	s.Probed(at, 0, false)
+	s.ProbeEnded(at, 0, false)
 	at, upstream = probeDue(t, s, at)
 	if upstream != 1 {
 		t.Fatalf("then %d is probed", upstream)
 	}
-	s.Probed(at, 1, true)
-	do, _ := s.Passed(at)
-	if !do.Drop || !do.Returns || !do.Dial || do.Upstream != 1 || s.State() != Behind || !s.Serves() {
+	s.ProbeEnded(at, 1, true)
+	do, _ := s.Tick(at)
+	if !do.ShouldDisconnect || !do.IsFailback || !do.ShouldDial || do.Upstream != 1 || s.State() != StateBehind || !s.CanServe() {
 		t.Fatalf("%+v, %v", do, s.State())
 	}
-	s.Connected(at)
-	s.Received(at, true)
+	s.UpstreamConnected(at)
+	s.MessageReceived(at, true)
 	if at, upstream = probeDue(t, s, at); upstream != 0 {
 		t.Fatalf("from 1, %d is probed", upstream)
 	}
-	s.Probed(at, 0, true)
-	if do, _ := s.Passed(at); !do.Returns || do.Upstream != 0 {
+	s.ProbeEnded(at, 0, true)
+	if do, _ := s.Tick(at); !do.IsFailback || do.Upstream != 0 {
 		t.Fatalf("%+v", do)
 	}
-	s.Connected(at)
-	s.Received(at, true)
+	s.UpstreamConnected(at)
+	s.MessageReceived(at, true)
 	for end := at + time.Hour; at < end; at += time.Second {
-		s.Received(at, true)
-		if do, _ := s.Passed(at); do != (Attempt{}) {
+		s.MessageReceived(at, true)
+		if do, _ := s.Tick(at); do != (Action{}) {
 			t.Fatalf("at the first of all: %+v", do)
 		}
 	}
@@ -85,18 +85,18 @@
 	t.Run("lost as the probe is under way", func(t *testing.T) {
 		s := away(t, 2, "n")
 		at, _ := probeDue(t, s, 0)
-		s.Lost(at)
-		s.Probed(at, 0, true)
-		if do, _ := s.Passed(at); do.Returns || !do.Dial || do.Upstream != 0 {
+		s.UpstreamLost(at)
+		s.ProbeEnded(at, 0, true)
+		if do, _ := s.Tick(at); do.IsFailback || !do.ShouldDial || do.Upstream != 0 {
 			t.Errorf("%+v", do)
 		}
 	})
 	t.Run("never", func(t *testing.T) {
 		s := away(t, 2, "n")
-		s.following.ReturnAfter = 0
+		s.following.FailbackDelay = 0
 		for at := time.Duration(0); at < 10*time.Minute; at += time.Second {
-			s.Received(at, true)
-			if do, _ := s.Passed(at); do != (Attempt{}) {
+			s.MessageReceived(at, true)
+			if do, _ := s.Tick(at); do != (Action{}) {
 				t.Fatalf("%+v", do)
 			}
 		}
@@ -106,18 +106,18 @@
 		at, returns := time.Duration(0), 0
 		for at < 2*time.Hour {
 			at, _ = probeDue(t, s, at)
-			s.Probed(at, 0, true)
-			if do, _ := s.Passed(at); !do.Returns {
+			s.ProbeEnded(at, 0, true)
+			if do, _ := s.Tick(at); !do.IsFailback {
 				t.Fatalf("%+v", do)
 			}
 			returns++
-			s.Connected(at)
-			s.Lost(at)
-			if do, _ := s.Passed(at); !do.Dial || do.Upstream != 1 {
+			s.UpstreamConnected(at)
+			s.UpstreamLost(at)
+			if do, _ := s.Tick(at); !do.ShouldDial || do.Upstream != 1 {
 				t.Fatalf("%+v", do)
 			}
-			s.Connected(at)
-			s.Received(at, true)
+			s.UpstreamConnected(at)
+			s.MessageReceived(at, true)
 		}
 		if returns < 6 || returns > 20 {
 			t.Errorf("%d returns in two hours", returns)
--- a/internal/controlplane/distribution/publisher.go
+++ b/internal/controlplane/distribution/publisher.go
@@ -11,8 +11,8 @@
 // SubscriptionID names a subscription at one publisher.
 type SubscriptionID uint64
 
-// Never is how long Next has to wait where nothing waits to be sent.
-const Never = time.Duration(math.MaxInt64)
+// WaitForever is how long Next has to wait where nothing waits to be sent.
+const WaitForever = time.Duration(math.MaxInt64)
 
 const (
 	batchBytes  = 32 << 10         // of a batch, unless one entry is larger
@@ -87,7 +87,7 @@
 func NewPublisher(store *Store, budget Budget) *Publisher {
 	p := &Publisher{store: store, budget: budget.withDefaults(), subscriptions: map[SubscriptionID]*subscription{},
 		byService: map[string]map[SubscriptionID]*subscription{}, ofAll: map[SubscriptionID]*subscription{}, idle: list.New()}
-	p.total = newBucket(p.budget.OutBytes, totalDepth)
+	p.total = newBucket(p.budget.TotalBytesPerSecond, totalDepth)
 	return p
 }
 
@@ -97,14 +97,14 @@
 	return p.subscribe(now, asked, false)
 }
 
-// Offer sends what lacks to another holder that has asked for it, from a store of some services only. As that says nothing
+// SubscribePartial sends what lacks to another holder that has asked for it, from a store of some services only. As that says nothing
 // about others, no batch is complete and no digests are told.
-func (p *Publisher) Offer(now time.Duration, asked Subscription) SubscriptionID {
+func (p *Publisher) SubscribePartial(now time.Duration, asked Subscription) SubscriptionID {
 	return p.subscribe(now, asked, true)
 }
 
 func (p *Publisher) subscribe(now time.Duration, asked Subscription, partial bool) SubscriptionID {
-	p.store.Observe(asked.Vector)
+	p.store.ObserveVector(asked.Vector)
 	p.last++
 	asked.Vector = asked.Vector.Clone()
 	s := &subscription{Subscription: asked, id: p.last, partial: partial, owed: true, since: now, moved: now, digestAt: now + digestEvery,
@@ -125,14 +125,14 @@
 // index has the subscription told of changes of its services, and these looked through.
 func (p *Publisher) index(s *subscription) {
 	names := s.Services
-	if s.All {
+	if s.AllServices {
 		p.ofAll[s.id] = s
 		s.Services = nil
 		names = p.store.Services()
 	}
 	for _, name := range sortedSet(names) {
 		s.look(name)
-		if s.All {
+		if s.AllServices {
 			continue
 		}
 		s.services[name] = true
@@ -147,8 +147,8 @@
 
 // resetAtStart has sent whole what the vector does not hold for, or all where deletions that it lacks may be forgotten here.
 func (p *Publisher) resetAtStart(s *subscription) {
-	for _, name := range s.Missing {
-		if s.All || s.services[name] {
+	for _, name := range s.UnsyncedServices {
+		if s.AllServices || s.services[name] {
 			s.reset(name)
 		}
 	}
@@ -165,7 +165,7 @@
 	s.resetFor = pruned.Clone()
 	s.resetAll, s.owed = true, true
 	names := s.Services
-	if s.All {
+	if s.AllServices {
 		names = p.store.Services()
 	}
 	s.keys = nil
@@ -207,8 +207,8 @@
 	p.idle.Remove(s.due)
 }
 
-// Changed tells of new winners of the store: they wait for the subscribers of their services.
-func (p *Publisher) Changed(now time.Duration, entries []Entry) {
+// EntriesChanged tells of new winners of the store: they wait for the subscribers of their services.
+func (p *Publisher) EntriesChanged(now time.Duration, entries []Entry) {
 	for _, e := range entries {
 		for _, s := range p.byService[e.Key.Service] {
 			p.mark(now, s, e)
@@ -237,28 +237,28 @@
 	return s.resetAll || s.resetting || s.whole[name]
 }
 
-// Known says what a subscriber holds as it was learnt otherwise, as from its own batches in the other direction: that need
+// VectorLearned says what a subscriber holds as it was learnt otherwise, as from its own batches in the other direction: that need
 // not be sent.
-func (p *Publisher) Known(id SubscriptionID, v Vector) {
+func (p *Publisher) VectorLearned(id SubscriptionID, v Vector) {
 	if s := p.subscriptions[id]; s != nil {
 		s.Vector.Join(v)
 	}
 }
 
-// Resync has services sent whole to those of their subscribers, as after entries were removed here without a deletion.
-func (p *Publisher) Resync(now time.Duration, services []string) {
+// ResyncServices has services sent whole to those of their subscribers, as after entries were removed here without a deletion.
+func (p *Publisher) ResyncServices(now time.Duration, services []string) {
 	for _, name := range services {
 		for _, s := range p.byService[name] {
-			p.Whole(now, s.id, []string{name})
+			p.ResyncSubscriber(now, s.id, []string{name})
 		}
 		for _, s := range p.ofAll {
-			p.Whole(now, s.id, []string{name})
+			p.ResyncSubscriber(now, s.id, []string{name})
 		}
 	}
 }
 
-// Pruned tells that the store has forgotten deletions of some keys. Who has not been told of them gets all whole.
-func (p *Publisher) Pruned(now time.Duration, keys []Key) {
+// DeletionsPruned tells that the store has forgotten deletions of some keys. Who has not been told of them gets all whole.
+func (p *Publisher) DeletionsPruned(now time.Duration, keys []Key) {
 	if len(keys) == 0 {
 		return
 	}
@@ -269,14 +269,14 @@
 	}
 }
 
-// Whole has services sent whole to a subscriber, who has asked for them or seen that its digests differ.
-func (p *Publisher) Whole(now time.Duration, id SubscriptionID, services []string) {
+// ResyncSubscriber has services sent whole to a subscriber, who has asked for them or seen that its digests differ.
+func (p *Publisher) ResyncSubscriber(now time.Duration, id SubscriptionID, services []string) {
 	s := p.subscriptions[id]
 	if s == nil || s.partial {
 		return
 	}
 	for _, name := range services {
-		if !s.All && !s.services[name] {
+		if !s.AllServices && !s.services[name] {
 			continue
 		}
 		if !s.owed {
@@ -287,16 +287,16 @@
 	p.place(now, s)
 }
 
-// Acknowledged takes in what a subscriber says, and tells of rejections that are new.
-func (p *Publisher) Acknowledged(now time.Duration, id SubscriptionID, a Acknowledgement) {
+// BatchAcknowledged takes in what a subscriber says, and tells of rejections that are new.
+func (p *Publisher) BatchAcknowledged(now time.Duration, id SubscriptionID, a Acknowledgement) {
 	s := p.subscriptions[id]
 	if s == nil {
 		return
 	}
-	p.store.Observe(a.InForce)
-	s.Vector.Join(a.InForce)
+	p.store.ObserveVector(a.Applied)
+	s.Vector.Join(a.Applied)
 	n := 0
-	for n < len(s.sent) && s.sent[n].number <= a.Batch {
+	for n < len(s.sent) && s.sent[n].number <= a.BatchNumber {
 		s.inFlight -= s.sent[n].size
 		s.clock = max(s.clock, s.sent[n].clock)
 		n++
@@ -322,9 +322,9 @@
 	}
 }
 
-// Slow are the subscribers to be cut off: what was sent to them has not been acknowledged for too long. They come back with
+// SlowSubscribers are the subscribers to be cut off: what was sent to them has not been acknowledged for too long. They come back with
 // their vectors.
-func (p *Publisher) Slow(now time.Duration) (slow []SubscriptionID) {
+func (p *Publisher) SlowSubscribers(now time.Duration) (slow []SubscriptionID) {
 	for id, s := range p.subscriptions {
 		if len(s.sent) > 0 && now-s.moved >= slowAfter {
 			slow = append(slow, id)
@@ -334,8 +334,8 @@
 	return slow
 }
 
-// Digests are of the next subscriber for whom nothing waits and whose digests are due.
-func (p *Publisher) Digests(now time.Duration) (id SubscriptionID, d Digests, ok bool) {
+// NextDigests are of the next subscriber for whom nothing waits and whose digests are due.
+func (p *Publisher) NextDigests(now time.Duration) (id SubscriptionID, d Digests, ok bool) {
 	for e := p.idle.Front(); e != nil; e = p.idle.Front() {
 		s := e.Value.(*subscription)
 		if s.digestAt > now {
@@ -358,12 +358,12 @@
 
 // digestsOf tells a subscriber of all one sum, others one of each service.
 func (p *Publisher) digestsOf(s *subscription) Digests {
-	d := Digests{Total: p.store.TotalDigest(), Through: p.store.Vector().Beyond(s.told)}
+	d := Digests{Total: p.store.TotalDigest(), Through: p.store.Vector().AheadOf(s.told)}
 	s.told.Join(d.Through)
-	if !s.All {
+	if !s.AllServices {
 		d.Services = make(map[string]uint64, len(s.services))
 		for name := range s.services {
-			d.Services[name] = p.store.Digest(name)
+			d.Services[name] = p.store.ServiceDigest(name)
 		}
 	}
 	return d
@@ -378,8 +378,8 @@
 	return digests
 }
 
-// Subscribers counts the subscriptions.
-func (p *Publisher) Subscribers() int { return len(p.subscriptions) }
+// SubscriberCount counts the subscriptions.
+func (p *Publisher) SubscriberCount() int { return len(p.subscriptions) }
 
 // sortedSet is names in order, each once.
 func sortedSet(names []string) []string {
--- a/internal/controlplane/distribution/publisher_test.go
+++ b/internal/controlplane/distribution/publisher_test.go
@@ -17,7 +17,7 @@
 }
 
 func nodeOf(services ...string) Subscription {
-	return Subscription{Name: "n", Role: Node, Services: services}
+	return Subscription{Name: "n", Role: RoleNode, Services: services}
 }
 
 func TestCatchUpKeepsToTheBudgetOfANode(t *testing.T) {
@@ -25,9 +25,9 @@
 	id := p.Subscribe(0, nodeOf("s0"))
 	now, sum, batches := time.Duration(0), 0, 0
 	for {
-		to, b, ok, wait := p.Next(now)
+		to, b, ok, wait := p.NextBatch(now)
 		if !ok {
-			if wait == Never {
+			if wait == WaitForever {
 				break
 			}
 			now += wait
@@ -38,8 +38,8 @@
 		}
 		sum += b.Size()
 		batches++
-		p.Acknowledged(now, to, Acknowledgement{Batch: b.Number})
-		if b.Complete {
+		p.BatchAcknowledged(now, to, Acknowledgement{BatchNumber: b.Number})
+		if b.IsComplete {
 			break
 		}
 		if allowed := float64(nodeBytes) * (now.Seconds() + 1.6); float64(sum) > allowed {
@@ -49,7 +49,7 @@
 	if rate := float64(sum) / now.Seconds(); rate < 0.9*nodeBytes || sum < 4000*60 {
 		t.Fatalf("%d bytes in %v by %d batches: the budget is not used", sum, now, batches)
 	}
-	if st, _ := p.StatusOf(now, id); st.CatchingUp || st.Lag != 0 || !st.Acknowledged {
+	if st, _ := p.SubscriberStatus(now, id); st.IsCatchingUp || st.Lag != 0 || !st.HasAcknowledged {
 		t.Fatalf("status %+v", st)
 	}
 }
@@ -57,7 +57,7 @@
 // A fresh change does not wait for the catch-ups of all others, nor for that of its own node.
 func TestFreshChangesGoBeforeCatchUps(t *testing.T) {
 	store := filled(t, 50, 1000, 60)
-	p := NewPublisher(store, Budget{OutBytes: 256 << 10})
+	p := NewPublisher(store, Budget{TotalBytesPerSecond: 256 << 10})
 	late := map[SubscriptionID]time.Duration{}
 	for i := range 50 {
 		p.Subscribe(0, nodeOf("", "s"+strconv.Itoa(i)))
@@ -67,14 +67,14 @@
 	for now < 10*time.Second {
 		if !written && now >= wrote {
 			wrote, written = now, true
-			p.Changed(now, []Entry{writeOne(t, store, wall, key("", "all"), "v")})
+			p.EntriesChanged(now, []Entry{writeOne(t, store, wall, key("", "all"), "v")})
 		}
-		id, b, ok, wait := p.Next(now)
+		id, b, ok, wait := p.NextBatch(now)
 		if !ok {
 			now += min(wait, 10*time.Millisecond)
 			continue
 		}
-		p.Acknowledged(now, id, Acknowledgement{Batch: b.Number})
+		p.BatchAcknowledged(now, id, Acknowledgement{BatchNumber: b.Number})
 		for _, e := range b.Entries {
 			if e.Key.Name == "all" {
 				late[id] = now - wrote
@@ -103,13 +103,13 @@
 	p := NewPublisher(store, Budget{})
 	p.Subscribe(0, nodeOf("", "s0"))
 	for now := time.Duration(0); now < 5*time.Second; {
-		id, b, ok, wait := p.Next(now)
+		id, b, ok, wait := p.NextBatch(now)
 		if ok {
-			p.Acknowledged(now, id, Acknowledgement{Batch: b.Number})
+			p.BatchAcknowledged(now, id, Acknowledgement{BatchNumber: b.Number})
 			continue
 		}
-		p.Changed(now, []Entry{writeOne(t, store, wall, key("", "all"), now.String())})
-		if _, b, ok, _ := p.Next(now); !ok || len(b.Entries) != 1 || b.Entries[0].Key.Name != "all" {
+		p.EntriesChanged(now, []Entry{writeOne(t, store, wall, key("", "all"), now.String())})
+		if _, b, ok, _ := p.NextBatch(now); !ok || len(b.Entries) != 1 || b.Entries[0].Key.Name != "all" {
 			t.Fatalf("at %v: sent %v, %+v", now, ok, b)
 		}
 		now += wait
@@ -120,21 +120,21 @@
 func TestCatchUpsGoOnBesideFreshChanges(t *testing.T) {
 	const out = 64 << 10
 	store := filled(t, 1, 20_000, 60)
-	p := NewPublisher(store, Budget{OutBytes: out, ControlBytes: 1 << 20})
-	fresh := p.Subscribe(0, Subscription{Name: "busy", Role: Control, Services: []string{"busy"}})
-	caught := p.Subscribe(0, Subscription{Name: "new", Role: Control, Services: []string{"s0"}})
+	p := NewPublisher(store, Budget{TotalBytesPerSecond: out, ControlBytesPerSecond: 1 << 20})
+	fresh := p.Subscribe(0, Subscription{Name: "busy", Role: RoleControl, Services: []string{"busy"}})
+	caught := p.Subscribe(0, Subscription{Name: "new", Role: RoleControl, Services: []string{"s0"}})
 	sent := map[SubscriptionID]int{}
 	for now := time.Duration(0); now < 10*time.Second; {
 		for i := range 200 {
-			p.Changed(now, []Entry{writeOne(t, store, wall, key("busy", strconv.Itoa(i)), string(make([]byte, 100)))})
+			p.EntriesChanged(now, []Entry{writeOne(t, store, wall, key("busy", strconv.Itoa(i)), string(make([]byte, 100)))})
 		}
-		id, b, ok, wait := p.Next(now)
+		id, b, ok, wait := p.NextBatch(now)
 		if !ok {
 			now += wait
 			continue
 		}
 		sent[id] += b.Size()
-		p.Acknowledged(now, id, Acknowledgement{Batch: b.Number})
+		p.BatchAcknowledged(now, id, Acknowledgement{BatchNumber: b.Number})
 	}
 	share := float64(sent[caught]) / float64(sent[caught]+sent[fresh])
 	if share < 0.2 || share > 0.3 {
@@ -144,19 +144,19 @@
 
 func TestTurnsAreFair(t *testing.T) {
 	store := filled(t, 2, 20_000, 60)
-	p := NewPublisher(store, Budget{OutBytes: 64 << 10, NodeBytes: 64 << 10, ControlBytes: 64 << 10})
+	p := NewPublisher(store, Budget{TotalBytesPerSecond: 64 << 10, NodeBytesPerSecond: 64 << 10, ControlBytesPerSecond: 64 << 10})
 	p.Subscribe(0, nodeOf("s0"))
 	p.Subscribe(0, nodeOf("s1"))
-	p.Subscribe(0, Subscription{Name: "c", Role: Control, All: true})
+	p.Subscribe(0, Subscription{Name: "c", Role: RoleControl, AllServices: true})
 	sent := map[SubscriptionID]int{}
 	for now := time.Duration(0); now < 20*time.Second; {
-		id, b, ok, wait := p.Next(now)
+		id, b, ok, wait := p.NextBatch(now)
 		if !ok {
 			now += wait
 			continue
 		}
 		sent[id] += b.Size()
-		p.Acknowledged(now, id, Acknowledgement{Batch: b.Number})
+		p.BatchAcknowledged(now, id, Acknowledgement{BatchNumber: b.Number})
 	}
 	least, most := min(sent[1], sent[2], sent[3]), max(sent[1], sent[2], sent[3])
 	if float64(least) < 0.8*float64(most) {
@@ -172,10 +172,10 @@
 	id := p.Subscribe(0, nodeOf("s0"))
 	send(t, p, r, id, 0)
 	for i := range 1000 {
-		p.Changed(time.Duration(i), []Entry{writeOne(t, store, wall, key("s0", "0"), strconv.Itoa(i))})
+		p.EntriesChanged(time.Duration(i), []Entry{writeOne(t, store, wall, key("s0", "0"), strconv.Itoa(i))})
 	}
-	if st, _ := p.StatusOf(time.Second, id); st.Pending != 1 || st.Lag != time.Second {
-		t.Fatalf("pending %d, lag %v", st.Pending, st.Lag)
+	if st, _ := p.SubscriberStatus(time.Second, id); st.PendingKeys != 1 || st.Lag != time.Second {
+		t.Fatalf("pending %d, lag %v", st.PendingKeys, st.Lag)
 	}
 	if got := send(t, p, r, id, time.Second); len(got) != 1 || string(got[0].Changed[0].Value) != "999" {
 		t.Fatalf("sent %+v", got)
@@ -185,41 +185,41 @@
 func TestSlowSubscribersAreCutOff(t *testing.T) {
 	p := NewPublisher(filled(t, 1, 1, 1), Budget{})
 	id := p.Subscribe(0, nodeOf("s0"))
-	_, b, _, _ := p.Next(time.Second)
-	if slow := p.Slow(time.Second + slowAfter - 1); len(slow) != 0 {
+	_, b, _, _ := p.NextBatch(time.Second)
+	if slow := p.SlowSubscribers(time.Second + slowAfter - 1); len(slow) != 0 {
 		t.Fatalf("%v are slow too early", slow)
 	}
-	if slow := p.Slow(time.Second + slowAfter); len(slow) != 1 || slow[0] != id {
+	if slow := p.SlowSubscribers(time.Second + slowAfter); len(slow) != 1 || slow[0] != id {
 		t.Fatalf("slow are %v", slow)
 	}
-	if st, _ := p.StatusOf(7*time.Second, id); st.Acknowledged || st.Lag < 6*time.Second || st.Unconfirmed == 0 {
+	if st, _ := p.SubscriberStatus(7*time.Second, id); st.HasAcknowledged || st.Lag < 6*time.Second || st.UnacknowledgedBytes == 0 {
 		t.Fatalf("status %+v", st)
 	}
-	p.Acknowledged(8*time.Second, id, Acknowledgement{Batch: b.Number, Rejected: []Rejection{{Key: key("s0", "0"), Reason: "no"}}})
-	if slow := p.Slow(time.Minute); len(slow) != 0 {
+	p.BatchAcknowledged(8*time.Second, id, Acknowledgement{BatchNumber: b.Number, Rejected: []Rejection{{Key: key("s0", "0"), Reason: "no"}}})
+	if slow := p.SlowSubscribers(time.Minute); len(slow) != 0 {
 		t.Fatalf("%v are slow with nothing sent", slow)
 	}
-	if st, _ := p.StatusOf(time.Minute, id); !st.Acknowledged || len(st.Rejected) != 1 || st.Lag != 0 {
+	if st, _ := p.SubscriberStatus(time.Minute, id); !st.HasAcknowledged || len(st.Rejected) != 1 || st.Lag != 0 {
 		t.Fatalf("status %+v", st)
 	}
 	p.Unsubscribe(id)
-	p.Changed(time.Minute, []Entry{{Key: key("s0", "0"), Clock: 1, Origin: "x/1", Sequence: 1}})
-	if _, _, ok, wait := p.Next(time.Minute); ok || wait != Never || len(p.byService) != 0 {
+	p.EntriesChanged(time.Minute, []Entry{{Key: key("s0", "0"), Clock: 1, Origin: "x/1", Sequence: 1}})
+	if _, _, ok, wait := p.NextBatch(time.Minute); ok || wait != WaitForever || len(p.byService) != 0 {
 		t.Fatal("something is left of a subscription")
 	}
 }
 
 func TestWhoDoesNotAcknowledgeIsSentNoMoreThanAWindow(t *testing.T) {
-	p := NewPublisher(filled(t, 1, 8000, 100), Budget{ControlBytes: 64 << 20})
-	p.Subscribe(0, Subscription{Name: "c", Role: Control, All: true})
+	p := NewPublisher(filled(t, 1, 8000, 100), Budget{ControlBytesPerSecond: 64 << 20})
+	p.Subscribe(0, Subscription{Name: "c", Role: RoleControl, AllServices: true})
 	sum := 0
 	for now := time.Duration(0); ; {
-		_, b, ok, wait := p.Next(now)
+		_, b, ok, wait := p.NextBatch(now)
 		if ok {
 			sum += b.Size()
 			continue
 		}
-		if wait == Never {
+		if wait == WaitForever {
 			break
 		}
 		now += wait
@@ -232,15 +232,15 @@
 // A server that has lost its disk never has a subscriber go back, and gets from it what it lacks.
 func TestSubscriberAheadOfItsServer(t *testing.T) {
 	w := newWorld(t.Fatalf)
-	root := w.add("root", "", Control)
-	node := w.add("node", "", Node, "a")
+	root := w.add("root", "", RoleControl)
+	node := w.add("node", "", RoleNode, "a")
 	w.connectable(node, root)
 	root.write(Change{Key: key("a", "1"), Value: []byte("first")}, Change{Key: key("a", "2"), Value: []byte("second")})
 	w.settle()
 	root.restart(nil)
 	w.settle()
 	for _, h := range w.holders {
-		if got := h.store.Service("a"); len(got) != 2 || string(got[0].Value) != "first" {
+		if got := h.store.LiveEntries("a"); len(got) != 2 || string(got[0].Value) != "first" {
 			t.Fatalf("%s holds %+v", h.name, got)
 		}
 	}
@@ -253,20 +253,20 @@
 
 func TestFurtherServiceIsSentWhole(t *testing.T) {
 	w := newWorld(t.Fatalf)
-	root := w.add("root", "", Control)
-	node := w.add("node", "", Node, "a")
+	root := w.add("root", "", RoleControl)
+	node := w.add("node", "", RoleNode, "a")
 	w.connectable(node, root)
 	root.write(Change{Key: key("a", "1")}, Change{Key: key("b", "1")})
 	w.settle()
 	w.close(w.links[0])
 	node.services = []string{"a", "b"}
 	node.store.SetScope(node.services)
-	if missing := node.store.Missing(); len(missing) != 1 || missing[0] != "b" {
+	if missing := node.store.UnsyncedServices(); len(missing) != 1 || missing[0] != "b" {
 		t.Fatalf("missing %v", missing)
 	}
 	w.settle()
-	if len(node.store.Service("b")) != 1 || len(node.store.Missing()) != 0 {
-		t.Fatalf("holds %v, missing %v", node.store.Service("b"), node.store.Missing())
+	if len(node.store.LiveEntries("b")) != 1 || len(node.store.UnsyncedServices()) != 0 {
+		t.Fatalf("holds %v, missing %v", node.store.LiveEntries("b"), node.store.UnsyncedServices())
 	}
 }
 
@@ -274,13 +274,13 @@
 func TestMissingServiceFromAServerThatIsCaughtUp(t *testing.T) {
 	store := NewStore(NewOrigin("root", 2), Limits{})
 	p := NewPublisher(store, Budget{})
-	p.Subscribe(0, Subscription{Name: "n", Role: Node, Services: []string{"b"}, Missing: []string{"b"}, Vector: Vector{"x/1": 5}})
-	if _, b, ok, _ := p.Next(0); !ok || !b.Complete {
+	p.Subscribe(0, Subscription{Name: "n", Role: RoleNode, Services: []string{"b"}, UnsyncedServices: []string{"b"}, Vector: Vector{"x/1": 5}})
+	if _, b, ok, _ := p.NextBatch(0); !ok || !b.IsComplete {
 		t.Fatalf("sent %+v", b)
 	}
 	changed, _ := store.Merge([]Entry{{Key: key("b", "1"), Clock: 5, Origin: "x/1", Sequence: 3}})
-	p.Changed(0, changed)
-	if _, b, ok, _ := p.Next(0); !ok || len(b.Entries) != 1 {
+	p.EntriesChanged(0, changed)
+	if _, b, ok, _ := p.NextBatch(0); !ok || len(b.Entries) != 1 {
 		t.Fatalf("sent %+v", b)
 	}
 }
@@ -290,16 +290,16 @@
 	store := filled(t, 1, 1, 1)
 	p := NewPublisher(store, Budget{})
 	id := p.Subscribe(0, nodeOf("s0"))
-	_, b, _, _ := p.Next(0)
+	_, b, _, _ := p.NextBatch(0)
 	if len(b.Through) != 1 {
 		t.Fatalf("told %v", b.Through)
 	}
-	p.Acknowledged(0, id, Acknowledgement{Batch: b.Number})
-	if _, d, ok := p.Digests(digestEvery); !ok || len(d.Through) != 0 || len(d.Services) != 1 {
+	p.BatchAcknowledged(0, id, Acknowledgement{BatchNumber: b.Number})
+	if _, d, ok := p.NextDigests(digestEvery); !ok || len(d.Through) != 0 || len(d.Services) != 1 {
 		t.Fatalf("digests %+v", d)
 	}
 	writeOne(t, store, wall, key("other", "1"), "v")
-	if _, d, ok := p.Digests(2 * digestEvery); !ok || d.Through[store.Origin()] != 2 {
+	if _, d, ok := p.NextDigests(2 * digestEvery); !ok || d.Through[store.Origin()] != 2 {
 		t.Fatalf("digests %+v", d)
 	}
 }
@@ -320,13 +320,13 @@
 			}
 			w.settle()
 			for _, h := range w.holders {
-				if len(h.store.Service("a")) != 2 {
-					t.Errorf("%s holds %v", h.name, h.store.Service("a"))
+				if len(h.store.LiveEntries("a")) != 2 {
+					t.Errorf("%s holds %v", h.name, h.store.LiveEntries("a"))
 				}
 			}
 			node.store.put(Entry{Key: key("a", "3"), Clock: 1, Origin: root.store.Origin(), Sequence: 1})
 			w.settle()
-			if held := node.store.Service("a"); len(held) != 2 {
+			if held := node.store.LiveEntries("a"); len(held) != 2 {
 				t.Errorf("the node keeps %v", held)
 			}
 		})
@@ -337,7 +337,7 @@
 func TestAChangeCostsItsService(t *testing.T) {
 	cost := func(otherNodes, otherServices int) (touched, allocs float64) {
 		store := filled(t, 1+otherServices, 20, 20)
-		p := NewPublisher(store, Budget{OutBytes: 1 << 30, NodeBytes: 1 << 30})
+		p := NewPublisher(store, Budget{TotalBytesPerSecond: 1 << 30, NodeBytesPerSecond: 1 << 30})
 		for i := range otherNodes {
 			p.Subscribe(0, nodeOf("s"+strconv.Itoa(1+i%otherServices)))
 		}
@@ -348,18 +348,18 @@
 		drain := func() {
 			for {
 				now += time.Millisecond
-				id, b, ok, wait := p.Next(now)
-				if !ok && wait == Never {
+				id, b, ok, wait := p.NextBatch(now)
+				if !ok && wait == WaitForever {
 					return
 				}
-				p.Acknowledged(now, id, Acknowledgement{Batch: b.Number})
+				p.BatchAcknowledged(now, id, Acknowledgement{BatchNumber: b.Number})
 			}
 		}
 		drain()
 		p.touched = 0
 		const changes = 100
 		allocs = testing.AllocsPerRun(changes-1, func() {
-			p.Changed(now, []Entry{writeOne(t, store, wall, key("s0", "0"), "v")})
+			p.EntriesChanged(now, []Entry{writeOne(t, store, wall, key("s0", "0"), "v")})
 			drain()
 		})
 		return float64(p.touched) / changes, allocs
@@ -380,15 +380,15 @@
 		store := filled(t, 10, entries/10, 20)
 		allocs = testing.AllocsPerRun(1, func() {
 			sent = 0
-			p := NewPublisher(store, Budget{OutBytes: 1 << 40, ControlBytes: 1 << 40})
-			p.Subscribe(0, Subscription{Name: "c", Role: Control, All: true})
+			p := NewPublisher(store, Budget{TotalBytesPerSecond: 1 << 40, ControlBytesPerSecond: 1 << 40})
+			p.Subscribe(0, Subscription{Name: "c", Role: RoleControl, AllServices: true})
 			for {
-				id, b, ok, _ := p.Next(0)
+				id, b, ok, _ := p.NextBatch(0)
 				if !ok {
 					return
 				}
 				sent += len(b.Entries)
-				p.Acknowledged(0, id, Acknowledgement{Batch: b.Number})
+				p.BatchAcknowledged(0, id, Acknowledgement{BatchNumber: b.Number})
 			}
 		})
 		return sent, allocs
--- a/internal/controlplane/distribution/receiver.go
+++ b/internal/controlplane/distribution/receiver.go
@@ -20,33 +20,33 @@
 	full     bool            // something found no room: the vector does not advance any more
 }
 
-// Received is what a batch has done.
-type Received struct {
-	Changed  []Entry  // new winners, deletions included
-	Removed  []Entry  // what ended without a deletion being told: for the listener as deleted
-	Resync   []string // services in which something came or ended that vectors do not tell of: for Publisher.Resync
-	Rejected []Rejection
-	Complete bool // the vector has been advanced; it and the entries are to be on disk in one step or in the order entries, vector
+// BatchResult is what a batch has done.
+type BatchResult struct {
+	Changed        []Entry  // new winners, deletions included
+	Removed        []Entry  // what ended without a deletion being told: for the listener as deleted
+	ResyncServices []string // services in which something came or ended that vectors do not tell of: for Publisher.Resync
+	Rejected       []Rejection
+	IsComplete     bool // the vector has been advanced; it and the entries are to be on disk in one step or in the order entries, vector
 }
 
 // NewReceiver is for a subscription that begins now.
 func NewReceiver(store *Store) *Receiver {
 	r := &Receiver{store: store, services: map[string]bool{}, resets: map[string]bool{}, named: map[Key]bool{},
 		mended: map[string]bool{}, tries: map[string]int{}, through: Vector{}}
-	for _, name := range store.Missing() {
+	for _, name := range store.UnsyncedServices() {
 		r.services[name] = true
 	}
 	return r
 }
 
-// Receive merges a batch, and with a complete one advances the vector.
-func (r *Receiver) Receive(b Batch) (got Received) {
+// ReceiveBatch merges a batch, and with a complete one advances the vector.
+func (r *Receiver) ReceiveBatch(b Batch) (got BatchResult) {
 	if b.Number <= r.last {
-		return Received{} // taken before
+		return BatchResult{} // taken before
 	}
 	r.last = b.Number
-	r.all = r.all || b.ResetAll
-	for _, name := range b.Reset {
+	r.all = r.all || b.ResetsAll
+	for _, name := range b.ResetServices {
 		r.resets[name] = true
 	}
 	for _, e := range b.Entries {
@@ -57,23 +57,23 @@
 	got.Changed, got.Rejected = r.store.merge(b.Entries, r.mended)
 	for _, e := range got.Changed {
 		if r.mended[e.Key.Service] {
-			got.Resync = append(got.Resync, e.Key.Service)
+			got.ResyncServices = append(got.ResyncServices, e.Key.Service)
 		}
 	}
 	for _, refused := range got.Rejected {
-		r.full = r.full || refused.Full
+		r.full = r.full || refused.IsStoreFull
 	}
-	if !b.Complete || r.full {
+	if !b.IsComplete || r.full {
 		return got
 	}
 	r.through.Join(b.Through)
 	services := r.replaced()
-	got.Removed = r.store.Reset(services, r.named, b.Through)
+	got.Removed = r.store.ReplaceServices(services, r.named, b.Through)
 	for _, e := range got.Removed {
-		got.Resync = append(got.Resync, e.Key.Service)
+		got.ResyncServices = append(got.ResyncServices, e.Key.Service)
 	}
-	got.Resync = sortedSet(got.Resync)
-	r.store.Advance(b.Through)
+	got.ResyncServices = sortedSet(got.ResyncServices)
+	r.store.AdvanceVector(b.Through)
 	r.store.AdvancePruned(b.Pruned)
 	for name := range r.services {
 		r.store.arrived(name, r.through)
@@ -81,7 +81,7 @@
 	r.all = false
 	clear(r.resets)
 	clear(r.named)
-	got.Complete = true
+	got.IsComplete = true
 	return got
 }
 
@@ -103,24 +103,24 @@
 	return services
 }
 
-// Compare takes in digests, which a server sends when nothing waits, so that the vector advances by them; it says which
+// CompareDigests takes in digests, which a server sends when nothing waits, so that the vector advances by them; it says which
 // services are to be asked for whole, or for a subscriber of all that the services' digests are to be asked for. A store
 // that covers what its server does not cannot be compared.
-func (r *Receiver) Compare(d Digests) (services []string, total, advanced bool) {
+func (r *Receiver) CompareDigests(d Digests) (services []string, total, advanced bool) {
 	if r.full || r.all || len(r.resets) > 0 {
 		return nil, false, false
 	}
 	r.through.Join(d.Through)
-	advanced = r.store.Lacks(d.Through)
-	r.store.Advance(d.Through)
-	if !r.through.AtLeast(r.store.Vector()) {
+	advanced = r.store.IsBehind(d.Through)
+	r.store.AdvanceVector(d.Through)
+	if !r.through.CoversAll(r.store.Vector()) {
 		return nil, false, advanced
 	}
 	if d.Services == nil {
 		return nil, d.Total != r.store.TotalDigest(), advanced
 	}
 	for _, name := range r.compared(d) {
-		if d.Services[name] == r.store.Digest(name) {
+		if d.Services[name] == r.store.ServiceDigest(name) {
 			r.store.arrived(name, r.through)
 			delete(r.tries, name)
 			continue
--- a/internal/controlplane/distribution/scale_test.go
+++ b/internal/controlplane/distribution/scale_test.go
@@ -97,7 +97,7 @@
 // pump sends all that may be sent now, and comes back when the publisher says.
 func (c *control) pump() {
 	for {
-		id, b, ok, wait := c.pub.Next(c.f.now)
+		id, b, ok, wait := c.pub.NextBatch(c.f.now)
 		if ok {
 			second := int(c.f.now / time.Second)
 			for len(c.out) <= second {
@@ -107,7 +107,7 @@
 			c.receive[id](id, b)
 			continue
 		}
-		if wait == Never || c.pumpSet && c.pumpAt <= c.f.now+wait {
+		if wait == WaitForever || c.pumpSet && c.pumpAt <= c.f.now+wait {
 			return
 		}
 		at := c.f.now + wait
@@ -125,15 +125,15 @@
 // follow has one control process subscribe to another.
 func (c *control) follow(up *control, latency time.Duration) {
 	c.receiver = NewReceiver(c.store)
-	id := up.pub.Subscribe(c.f.now, Subscription{Name: string(c.store.Origin()), Role: Control, All: true, Vector: c.store.Vector().Clone()})
+	id := up.pub.Subscribe(c.f.now, Subscription{Name: string(c.store.Origin()), Role: RoleControl, AllServices: true, Vector: c.store.Vector().Clone()})
 	up.receive[id] = func(id SubscriptionID, b Batch) {
 		c.f.after(latency, func() {
-			got := c.receiver.Receive(b)
-			c.pub.Changed(c.f.now, got.Changed)
+			got := c.receiver.ReceiveBatch(b)
+			c.pub.EntriesChanged(c.f.now, got.Changed)
 			c.pump()
 			vector := c.store.Vector().Clone()
 			c.f.after(latency+putInForce, func() {
-				up.pub.Acknowledged(c.f.now, id, Acknowledgement{Batch: b.Number, InForce: vector})
+				up.pub.BatchAcknowledged(c.f.now, id, Acknowledgement{BatchNumber: b.Number, Applied: vector})
 				up.pump()
 			})
 		})
@@ -142,14 +142,14 @@
 }
 
 func (n *hollow) follow(f *fleet, up *control, vector Vector) {
-	id := up.pub.Subscribe(f.now, Subscription{Name: fmt.Sprintf("node %p", n), Role: Node, Services: n.services, Vector: vector})
+	id := up.pub.Subscribe(f.now, Subscription{Name: fmt.Sprintf("node %p", n), Role: RoleNode, Services: n.services, Vector: vector})
 	up.receive[id] = func(id SubscriptionID, b Batch) {
 		f.after(withinZone, func() {
 			n.in[int(f.now/time.Second)] += b.Size()
 			n.entries += len(b.Entries)
 			f.after(putInForce, func() { n.inForce(f, b) })
 			f.after(putInForce+withinZone, func() {
-				up.pub.Acknowledged(f.now, id, Acknowledgement{Batch: b.Number})
+				up.pub.BatchAcknowledged(f.now, id, Acknowledgement{BatchNumber: b.Number})
 				up.pump()
 			})
 		})
@@ -158,7 +158,7 @@
 }
 
 func (n *hollow) inForce(f *fleet, b Batch) {
-	if b.Complete && n.current == 0 {
+	if b.IsComplete && n.current == 0 {
 		n.current = f.now
 	}
 	for _, e := range b.Entries {
@@ -179,7 +179,7 @@
 		}
 	}
 	f.wrote[e.Sequence] = w
-	root.pub.Changed(f.now, []Entry{e})
+	root.pub.EntriesChanged(f.now, []Entry{e})
 	root.pump()
 }
 
--- a/internal/controlplane/distribution/status.go
+++ b/internal/controlplane/distribution/status.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Status is of all subscribers, by name.
-func (p *Publisher) Status(now time.Duration) []NodeStatus {
+// AllStatuses is of all subscribers, by name.
+func (p *Publisher) AllStatuses(now time.Duration) []NodeStatus {
 	all := make([]NodeStatus, 0, len(p.subscriptions))
 	for _, s := range p.subscriptions {
 		all = append(all, s.status(now))
@@ -16,8 +16,8 @@
 	return all
 }
 
-// StatusOf is of one subscriber.
-func (p *Publisher) StatusOf(now time.Duration, id SubscriptionID) (NodeStatus, bool) {
+// SubscriberStatus is of one subscriber.
+func (p *Publisher) SubscriberStatus(now time.Duration, id SubscriptionID) (NodeStatus, bool) {
 	s := p.subscriptions[id]
 	if s == nil {
 		return NodeStatus{}, false
@@ -26,8 +26,8 @@
 }
 
 func (s *subscription) status(now time.Duration) NodeStatus {
-	return NodeStatus{Name: s.Name, Role: s.Role, Region: s.Region, Zone: s.Zone, Revision: s.Vector.Total(), Clock: s.clock, Lag: s.lag(now),
-		Pending: len(s.fresh) + len(s.keys), Unconfirmed: s.inFlight, Acknowledged: s.acknowledged, CatchingUp: s.owed, Connected: true,
+	return NodeStatus{Name: s.Name, Role: s.Role, Region: s.Region, Zone: s.Zone, Revision: s.Vector.Total(), AcknowledgedClock: s.clock, Lag: s.lag(now),
+		PendingKeys: len(s.fresh) + len(s.keys), UnacknowledgedBytes: s.inFlight, HasAcknowledged: s.acknowledged, IsCatchingUp: s.owed, IsConnected: true,
 		Rejected: slices.Clone(s.rejected)}
 }
 
--- a/internal/controlplane/distribution/store.go
+++ b/internal/controlplane/distribution/store.go
@@ -57,7 +57,7 @@
 // first write under it. Where the store's own origin is found on the disk it is stale, and takes no write until Renew.
 func (s *Store) Restore(entries []Entry, vector, pruned Vector) {
 	for _, e := range entries {
-		if e.Check() == nil {
+		if e.Validate() == nil {
 			s.put(e)
 		}
 		if e.Origin == s.origin {
@@ -96,21 +96,21 @@
 
 func (s *Store) mayWrite(wall time.Time, changes []Change) error {
 	if s.origin == "" {
-		return fmt.Errorf("%w: a holder without one does not write", ErrOrigin)
+		return fmt.Errorf("%w: a holder without one does not write", ErrInvalidOrigin)
 	}
 	if s.stale {
-		return ErrStale
+		return ErrStaleOrigin
 	}
-	if len(changes) == 0 || len(changes) > ChangesMost {
-		return fmt.Errorf("%w: %d of at most %d", ErrCount, len(changes), ChangesMost)
+	if len(changes) == 0 || len(changes) > MaxChanges {
+		return fmt.Errorf("%w: %d of at most %d", ErrChangeCount, len(changes), MaxChanges)
 	}
-	if ahead := ClockTime(s.clock).Sub(wall); s.clock > 0 && ahead > s.limits.ClockAhead {
+	if ahead := ClockTime(s.clock).Sub(wall); s.clock > 0 && ahead > s.limits.MaxClockAhead {
 		return &ClockError{ahead}
 	}
 	entries, size := 0, 0
 	fresh := map[string]bool{}
 	for _, c := range changes {
-		if err := c.Check(); err != nil {
+		if err := c.Validate(); err != nil {
 			return err
 		}
 		n, b := s.growth(c.Key, len(c.Value))
@@ -131,14 +131,14 @@
 }
 
 func (s *Store) room(entries, size, services int) error {
-	if services > 0 && len(s.services)+services > ServicesMost {
-		return &LimitError{"services", len(s.services) + services, ServicesMost}
+	if services > 0 && len(s.services)+services > MaxServices {
+		return &LimitError{"services", len(s.services) + services, MaxServices}
 	}
-	if entries > 0 && s.entries+entries > s.limits.Entries {
-		return &LimitError{"entries", s.entries + entries, s.limits.Entries}
+	if entries > 0 && s.entries+entries > s.limits.MaxEntries {
+		return &LimitError{"entries", s.entries + entries, s.limits.MaxEntries}
 	}
-	if size > 0 && s.bytes+size > s.limits.Bytes {
-		return &LimitError{"bytes", s.bytes + size, s.limits.Bytes}
+	if size > 0 && s.bytes+size > s.limits.MaxBytes {
+		return &LimitError{"bytes", s.bytes + size, s.limits.MaxBytes}
 	}
 	return nil
 }
@@ -229,8 +229,8 @@
 	return s.entry(k.Service, itemID{k.Name, k.Kind}, it), true
 }
 
-// Service is all live entries of a service, by key.
-func (s *Store) Service(name string) []Entry {
+// LiveEntries is all live entries of a service, by key.
+func (s *Store) LiveEntries(name string) []Entry {
 	of := s.services[name]
 	if of == nil {
 		return nil
@@ -255,9 +255,9 @@
 	return names
 }
 
-// Since is the keys of those entries that a holder of a vector lacks, deletions included, by service and key. It costs what
+// KeysSince is the keys of those entries that a holder of a vector lacks, deletions included, by service and key. It costs what
 // the services hold.
-func (s *Store) Since(v Vector, services []string, all bool) []Key {
+func (s *Store) KeysSince(v Vector, services []string, all bool) []Key {
 	if all {
 		services = s.Services()
 	}
@@ -286,8 +286,8 @@
 	return keys
 }
 
-// Digest of a service's live entries; 0 where there are none.
-func (s *Store) Digest(name string) uint64 {
+// ServiceDigest of a service's live entries; 0 where there are none.
+func (s *Store) ServiceDigest(name string) uint64 {
 	if of := s.services[name]; of != nil {
 		return of.digest
 	}
--- a/internal/controlplane/distribution/store_test.go
+++ b/internal/controlplane/distribution/store_test.go
@@ -14,7 +14,7 @@
 // wall is where the tests' clocks begin.
 var wall = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-func key(service, name string) Key { return Key{Service: service, Kind: Server, Name: name} }
+func key(service, name string) Key { return Key{Service: service, Kind: KindServer, Name: name} }
 
 // writeOne writes one change that must be taken.
 func writeOne(t testing.TB, s *Store, at time.Time, k Key, value string) Entry {
@@ -27,11 +27,11 @@
 }
 
 // send has a publisher send all that waits for one subscriber, in virtual time, and the receiver take it in.
-func send(t testing.TB, p *Publisher, r *Receiver, id SubscriptionID, now time.Duration) (all []Received) {
+func send(t testing.TB, p *Publisher, r *Receiver, id SubscriptionID, now time.Duration) (all []BatchResult) {
 	t.Helper()
 	for range 100_000 {
-		to, b, ok, wait := p.Next(now)
-		if !ok && wait == Never {
+		to, b, ok, wait := p.NextBatch(now)
+		if !ok && wait == WaitForever {
 			return all
 		}
 		if !ok {
@@ -41,9 +41,9 @@
 		if to != id {
 			t.Fatalf("batch for subscription %d, want %d", to, id)
 		}
-		got := r.Receive(b)
+		got := r.ReceiveBatch(b)
 		all = append(all, got)
-		p.Acknowledged(now, id, Acknowledgement{Batch: b.Number, InForce: r.store.Vector().Clone()})
+		p.BatchAcknowledged(now, id, Acknowledgement{BatchNumber: b.Number, Applied: r.store.Vector().Clone()})
 	}
 	t.Fatal("it never ends")
 	return nil
@@ -56,30 +56,30 @@
 	p := NewPublisher(server, Budget{})
 	node := NewStore("", Limits{})
 	node.SetScope([]string{"a", ""})
-	id := p.Subscribe(0, Subscription{Name: "n", Role: Node, Services: []string{"a", ""}, Vector: node.Vector()})
+	id := p.Subscribe(0, Subscription{Name: "n", Role: RoleNode, Services: []string{"a", ""}, Vector: node.Vector()})
 	r := NewReceiver(node)
 	got := send(t, p, r, id, 0)
-	if len(got) != 1 || !got[0].Complete || len(got[0].Changed) != 1 {
+	if len(got) != 1 || !got[0].IsComplete || len(got[0].Changed) != 1 {
 		t.Fatalf("received %+v, want one complete batch of one entry", got)
 	}
 	e := writeOne(t, server, wall, key("a", "1"), "two")
-	p.Changed(0, []Entry{e})
+	p.EntriesChanged(0, []Entry{e})
 	send(t, p, r, id, 0)
 	if held, _ := node.Entry(key("a", "1")); string(held.Value) != "two" {
 		t.Fatalf("holds %q, want two", held.Value)
 	}
-	if !node.Vector().AtLeast(server.Vector()) {
+	if !node.Vector().CoversAll(server.Vector()) {
 		t.Fatalf("vector %v, want %v", node.Vector(), server.Vector())
 	}
-	if node.Digest("a") != server.Digest("a") || node.Digest("a") == 0 {
+	if node.ServiceDigest("a") != server.ServiceDigest("a") || node.ServiceDigest("a") == 0 {
 		t.Fatal("digests differ")
 	}
 }
 
 func TestWriteIsAllOrNone(t *testing.T) {
-	full := Limits{Entries: 2}
+	full := Limits{MaxEntries: 2}
 	good := Change{Key: key("a", "1"), Value: []byte("v")}
-	long := Key{Service: "a", Kind: Server, Name: strings.Repeat("x", NameMost+1)}
+	long := Key{Service: "a", Kind: KindServer, Name: strings.Repeat("x", MaxNameBytes+1)}
 	tests := []struct {
 		name    string
 		limits  Limits
@@ -87,17 +87,17 @@
 		at      time.Time
 		want    error
 	}{
-		{"none", Limits{}, nil, wall, ErrCount},
-		{"too many", Limits{}, make([]Change, ChangesMost+1), wall, ErrCount},
-		{"no name", Limits{}, []Change{good, {Key: key("a", "")}}, wall, ErrKey},
-		{"no kind", Limits{}, []Change{good, {Key: Key{Service: "a", Name: "1"}}}, wall, ErrKey},
-		{"a long name", Limits{}, []Change{good, {Key: long}}, wall, ErrKey},
-		{"not UTF-8", Limits{}, []Change{good, {Key: key("\xff", "1")}}, wall, ErrKey},
-		{"a long value", Limits{}, []Change{good, {Key: key("a", "2"), Value: make([]byte, ValueMost+1)}}, wall, ErrValue},
-		{"a deletion with a value", Limits{}, []Change{good, {Key: key("a", "2"), Deleted: true, Value: []byte("v")}}, wall, ErrValue},
-		{"too many entries", full, []Change{good, {Key: key("a", "2")}, {Key: key("a", "3")}}, wall, ErrFull},
-		{"too many bytes", Limits{Bytes: 300}, []Change{good, {Key: key("a", "2"), Value: make([]byte, 200)}}, wall, ErrFull},
-		{"a clock ahead", Limits{}, []Change{good}, wall.Add(-11 * time.Second), ErrClock},
+		{"none", Limits{}, nil, wall, ErrChangeCount},
+		{"too many", Limits{}, make([]Change, MaxChanges+1), wall, ErrChangeCount},
+		{"no name", Limits{}, []Change{good, {Key: key("a", "")}}, wall, ErrInvalidKey},
+		{"no kind", Limits{}, []Change{good, {Key: Key{Service: "a", Name: "1"}}}, wall, ErrInvalidKey},
+		{"a long name", Limits{}, []Change{good, {Key: long}}, wall, ErrInvalidKey},
+		{"not UTF-8", Limits{}, []Change{good, {Key: key("\xff", "1")}}, wall, ErrInvalidKey},
+		{"a long value", Limits{}, []Change{good, {Key: key("a", "2"), Value: make([]byte, MaxValueBytes+1)}}, wall, ErrInvalidValue},
+		{"a deletion with a value", Limits{}, []Change{good, {Key: key("a", "2"), Deleted: true, Value: []byte("v")}}, wall, ErrInvalidValue},
+		{"too many entries", full, []Change{good, {Key: key("a", "2")}, {Key: key("a", "3")}}, wall, ErrStoreFull},
+		{"too many bytes", Limits{MaxBytes: 300}, []Change{good, {Key: key("a", "2"), Value: make([]byte, 200)}}, wall, ErrStoreFull},
+		{"a clock ahead", Limits{}, []Change{good}, wall.Add(-11 * time.Second), ErrClockAhead},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -113,16 +113,16 @@
 		})
 	}
 	t.Run("a holder that never writes", func(t *testing.T) {
-		if _, err := NewStore("", Limits{}).Write(wall, []Change{good}); !errors.Is(err, ErrOrigin) {
+		if _, err := NewStore("", Limits{}).Write(wall, []Change{good}); !errors.Is(err, ErrInvalidOrigin) {
 			t.Fatalf("error %v", err)
 		}
 	})
 	t.Run("too many services", func(t *testing.T) {
 		s := NewStore(NewOrigin("root", 1), Limits{})
-		for i := range ServicesMost {
+		for i := range MaxServices {
 			writeOne(t, s, wall, key(strconv.Itoa(i), "1"), "")
 		}
-		if _, err := s.Write(wall, []Change{{Key: key("one more", "1")}}); !errors.Is(err, ErrFull) {
+		if _, err := s.Write(wall, []Change{{Key: key("one more", "1")}}); !errors.Is(err, ErrStoreFull) {
 			t.Fatalf("error %v", err)
 		}
 	})
@@ -157,12 +157,12 @@
 	}
 	sum := uint64(0)
 	for _, name := range s.Services() {
-		sum += s.Digest(name)
+		sum += s.ServiceDigest(name)
 	}
 	if sum != s.TotalDigest() || sum == 0 {
 		t.Errorf("services' digests sum up to %x, in all %x", sum, s.TotalDigest())
 	}
-	s.Prune(^uint64(0))
+	s.PruneDeletions(^uint64(0))
 	if s.TotalDigest() != other.TotalDigest() {
 		t.Error("forgetting deletions changes the digest")
 	}
@@ -182,7 +182,7 @@
 		{Key: key("a", "2"), Clock: 5, Origin: "x/1", Sequence: 1},
 		{Key: key("a1", "1"), Clock: 5, Origin: "x/1", Sequence: 1},
 		{Key: key("a", "11"), Clock: 5, Origin: "x/1", Sequence: 1},
-		{Key: Key{Service: "a", Kind: Route, Name: "1"}, Clock: 5, Origin: "x/1", Sequence: 1},
+		{Key: Key{Service: "a", Kind: KindRoute, Name: "1"}, Clock: 5, Origin: "x/1", Sequence: 1},
 		{Key: key("a", "1"), Clock: 6, Origin: "x/1", Sequence: 1},
 		{Key: key("a", "1"), Clock: 5, Origin: "x/2", Sequence: 1},
 		{Key: key("a", "1"), Clock: 5, Origin: "x/1", Sequence: 2},
@@ -213,14 +213,14 @@
 }
 
 func TestMergeRefusesWhatBreaksBounds(t *testing.T) {
-	s := NewStore("", Limits{Entries: 1})
+	s := NewStore("", Limits{MaxEntries: 1})
 	good := Entry{Key: key("a", "1"), Clock: 5, Origin: "x/1", Sequence: 1}
 	second := good
 	second.Key.Name = "2"
 	unnumbered := good
 	unnumbered.Sequence = 0
 	changed, refused := s.Merge([]Entry{good, second, unnumbered})
-	if len(changed) != 1 || len(refused) != 2 || !refused[0].Full || refused[1].Full {
+	if len(changed) != 1 || len(refused) != 2 || !refused[0].IsStoreFull || refused[1].IsStoreFull {
 		t.Fatalf("changed %v, refused %+v", changed, refused)
 	}
 }
@@ -230,9 +230,9 @@
 	server := NewStore(NewOrigin("root", 1), Limits{})
 	writeOne(t, server, wall, key("a", "1"), "v")
 	writeOne(t, server, wall, key("a", "2"), "v")
-	node := NewStore("", Limits{Entries: 1})
+	node := NewStore("", Limits{MaxEntries: 1})
 	p := NewPublisher(server, Budget{})
-	id := p.Subscribe(0, Subscription{Name: "n", Role: Node, Services: []string{"a"}})
+	id := p.Subscribe(0, Subscription{Name: "n", Role: RoleNode, Services: []string{"a"}})
 	send(t, p, NewReceiver(node), id, 0)
 	if node.Vector().Total() != 0 {
 		t.Fatalf("vector %v without room for all", node.Vector())
@@ -256,7 +256,7 @@
 	elsewhere := entry("4", 1)
 	elsewhere.Key.Service = "b"
 	s.Merge([]Entry{entry("1", 1), entry("2", 2), entry("3", 3), elsewhere})
-	removed := s.Reset([]string{"a"}, map[Key]bool{key("a", "1"): true}, Vector{"x/1": 2})
+	removed := s.ReplaceServices([]string{"a"}, map[Key]bool{key("a", "1"): true}, Vector{"x/1": 2})
 	if len(removed) != 1 || removed[0].Key.Name != "2" {
 		t.Fatalf("removed %+v, want 2", removed)
 	}
@@ -271,21 +271,21 @@
 	if _, err := s.Write(wall, []Change{{Key: key("a", "1"), Deleted: true}}); err != nil {
 		t.Fatal(err)
 	}
-	if dropped := s.Prune(ClockAt(wall)); len(dropped) != 0 {
+	if dropped := s.PruneDeletions(ClockAt(wall)); len(dropped) != 0 {
 		t.Fatalf("forgot %v too early", dropped)
 	}
-	if dropped := s.Prune(ClockAt(wall.Add(time.Second))); len(dropped) != 1 {
+	if dropped := s.PruneDeletions(ClockAt(wall.Add(time.Second))); len(dropped) != 1 {
 		t.Fatalf("forgot %v", dropped)
 	}
 	if changed, _ := s.Merge([]Entry{e}); len(changed) != 0 {
 		t.Fatalf("%v is back", changed)
 	}
-	if !s.Behind(Vector{s.Origin(): 1}) || s.Behind(s.Vector()) {
+	if !s.NeedsReset(Vector{s.Origin(): 1}) || s.NeedsReset(s.Vector()) {
 		t.Fatal("who lacks the deletion is behind, who has it is not")
 	}
 	foreign := NewStore("", Limits{}) // it holds a deletion beyond its vector
 	foreign.Merge([]Entry{{Key: key("a", "1"), Clock: 5, Origin: "x/1", Sequence: 1, Deleted: true}})
-	if dropped := foreign.Prune(^uint64(0)); len(dropped) != 0 {
+	if dropped := foreign.PruneDeletions(^uint64(0)); len(dropped) != 0 {
 		t.Fatalf("forgot %v, which its vector does not cover", dropped)
 	}
 }
@@ -296,10 +296,10 @@
 	e := writeOne(t, s, wall, key("a", "1"), "v")
 	old := NewStore(origin, Limits{})
 	old.Restore([]Entry{e}, s.Vector(), nil)
-	if _, err := old.Write(wall, []Change{{Key: key("a", "2")}}); !errors.Is(err, ErrStale) {
+	if _, err := old.Write(wall, []Change{{Key: key("a", "2")}}); !errors.Is(err, ErrStaleOrigin) {
 		t.Fatalf("a write by an origin that was on the disk: %v", err)
 	}
-	old.Renew(wall, NewOrigin("root", 2))
+	old.RenewOrigin(wall, NewOrigin("root", 2))
 	if e := writeOne(t, old, wall, key("a", "2"), "v"); e.Origin == origin || e.Sequence != 1 {
 		t.Fatalf("written as %s %d", e.Origin, e.Sequence)
 	}
@@ -309,11 +309,11 @@
 	// A copy that wrote before it was known: its writes are told anew.
 	blind := NewStore(origin, Limits{})
 	writeOne(t, blind, wall, key("a", "3"), "mine")
-	blind.Observe(Vector{origin: 5})
-	if !blind.Stale() {
+	blind.ObserveVector(Vector{origin: 5})
+	if !blind.IsStale() {
 		t.Fatal("not stale though others hold more")
 	}
-	again := blind.Renew(wall, NewOrigin("root", 3))
+	again := blind.RenewOrigin(wall, NewOrigin("root", 3))
 	if len(again) != 1 || again[0].Origin == origin || string(again[0].Value) != "mine" || blind.Vector()[origin] != 0 {
 		t.Fatalf("again %+v, vector %v", again, blind.Vector())
 	}
@@ -327,11 +327,11 @@
 	}
 	node := NewStore("", Limits{})
 	p := NewPublisher(server, Budget{})
-	got := send(t, p, NewReceiver(node), p.Subscribe(0, Subscription{Name: "n", Role: Node, Services: []string{"a"}}), 0)
+	got := send(t, p, NewReceiver(node), p.Subscribe(0, Subscription{Name: "n", Role: RoleNode, Services: []string{"a"}}), 0)
 	if len(got[0].Changed) != 1 || node.Vector()[server.Origin()] != 10 {
 		t.Fatalf("%d entries, vector %v", len(got[0].Changed), node.Vector())
 	}
-	if keys := server.Since(node.Vector(), []string{"a"}, false); len(keys) != 0 {
+	if keys := server.KeysSince(node.Vector(), []string{"a"}, false); len(keys) != 0 {
 		t.Fatalf("lacks %v", keys)
 	}
 }
--- a/internal/controlplane/distribution/subscriber.go
+++ b/internal/controlplane/distribution/subscriber.go
@@ -26,11 +26,11 @@
 
 // The states.
 const (
-	Starting   State = iota // no upstream has answered yet; it does not serve yet
-	CatchingUp              // one has, and sends what lacks; it does not serve yet
-	Current                 // it has all that its upstream has
-	Behind                  // it serves from what it holds while it reconnects or catches up
-	Isolated                // it serves from what it holds, and no upstream has answered for a while
+	StateStarting   State = iota // no upstream has answered yet; it does not serve yet
+	StateCatchingUp              // one has, and sends what lacks; it does not serve yet
+	StateCurrent                 // it has all that its upstream has
+	StateBehind                  // it serves from what it holds while it reconnects or catches up
+	StateIsolated                // it serves from what it holds, and no upstream has answered for a while
 	statesEnd
 )
 
@@ -54,35 +54,35 @@
 // transitions is the whole of what a subscriber decides about its state. Whoever serves never stops: only Starting and
 // CatchingUp do not, and nothing leads back to them from the others.
 var transitions = [statesEnd][inputsEnd]State{
-	Starting:   {connected: CatchingUp, complete: Current, lost: Starting, startEnds: Isolated, longAlone: Isolated, fellBehind: Starting},
-	CatchingUp: {connected: CatchingUp, complete: Current, lost: Starting, startEnds: Behind, longAlone: CatchingUp, fellBehind: CatchingUp},
-	Current:    {connected: Behind, complete: Current, lost: Behind, startEnds: Current, longAlone: Behind, fellBehind: Behind},
-	Behind:     {connected: Behind, complete: Current, lost: Behind, startEnds: Behind, longAlone: Isolated, fellBehind: Behind},
-	Isolated:   {connected: Behind, complete: Current, lost: Isolated, startEnds: Isolated, longAlone: Isolated, fellBehind: Isolated},
+	StateStarting:   {connected: StateCatchingUp, complete: StateCurrent, lost: StateStarting, startEnds: StateIsolated, longAlone: StateIsolated, fellBehind: StateStarting},
+	StateCatchingUp: {connected: StateCatchingUp, complete: StateCurrent, lost: StateStarting, startEnds: StateBehind, longAlone: StateCatchingUp, fellBehind: StateCatchingUp},
+	StateCurrent:    {connected: StateBehind, complete: StateCurrent, lost: StateBehind, startEnds: StateCurrent, longAlone: StateBehind, fellBehind: StateBehind},
+	StateBehind:     {connected: StateBehind, complete: StateCurrent, lost: StateBehind, startEnds: StateBehind, longAlone: StateIsolated, fellBehind: StateBehind},
+	StateIsolated:   {connected: StateBehind, complete: StateCurrent, lost: StateIsolated, startEnds: StateIsolated, longAlone: StateIsolated, fellBehind: StateIsolated},
 }
 
-// Following is what a subscriber goes by; zero ones are the defaults.
-type Following struct {
-	Upstreams   int // how many there are, in the order in which they are tried
-	StartWithin time.Duration
-	Seed        string // of the spread of back-offs: the subscriber's name
-	BackOffMost time.Duration
-	ReturnAfter time.Duration // until a preferred upstream, one earlier in the order, is probed; 0: never
+// SubscriberOptions is what a subscriber goes by; zero ones are the defaults.
+type SubscriberOptions struct {
+	UpstreamCount int // how many there are, in the order in which they are tried
+	StartTimeout  time.Duration
+	JitterSeed    string // of the spread of back-offs: the subscriber's name
+	MaxBackoff    time.Duration
+	FailbackDelay time.Duration // until a preferred upstream, one earlier in the order, is probed; 0: never
 }
 
-// Attempt is what the caller is to do about connections.
-type Attempt struct {
-	Dial      bool // connect to Upstream now; its end is told by Connected or Lost
-	Drop      bool // the connection or the attempt in hand is to be ended first; that is not told again
-	Upstream  int  // index of the one to connect to
-	Returns   bool // it is preferred to the one that is dropped, which was good
-	Probe     bool // see whether Preferred answers, beside the connection in hand; the end is told by Probed
-	Preferred int  // index of the one to probe
+// Action is what the caller is to do about connections.
+type Action struct {
+	ShouldDial       bool // connect to Upstream now; its end is told by Connected or Lost
+	ShouldDisconnect bool // the connection or the attempt in hand is to be ended first; that is not told again
+	Upstream         int  // index of the one to connect to
+	IsFailback       bool // it is preferred to the one that is dropped, which was good
+	ShouldProbe      bool // see whether Preferred answers, beside the connection in hand; the end is told by Probed
+	ProbeUpstream    int  // index of the one to probe
 }
 
 // Subscriber decides which upstream is followed, and when to serve.
 type Subscriber struct {
-	following Following
+	following SubscriberOptions
 	state     State
 	started   time.Duration
 	upstream  int  // followed, tried, or to be tried next
@@ -102,40 +102,40 @@
 }
 
 // NewSubscriber begins at a moment.
-func NewSubscriber(now time.Duration, f Following) *Subscriber {
-	f.StartWithin = cmp.Or(f.StartWithin, startWithin)
-	f.BackOffMost = cmp.Or(f.BackOffMost, backOffMost)
-	f.Upstreams = max(f.Upstreams, 1)
+func NewSubscriber(now time.Duration, f SubscriberOptions) *Subscriber {
+	f.StartTimeout = cmp.Or(f.StartTimeout, startWithin)
+	f.MaxBackoff = cmp.Or(f.MaxBackoff, backOffMost)
+	f.UpstreamCount = max(f.UpstreamCount, 1)
 	return &Subscriber{following: f, started: now, alone: now, retryAt: now}
 }
 
 // State is the subscriber's.
 func (s *Subscriber) State() State { return s.state }
 
-// Serves tells whether it may serve from what it holds.
-func (s *Subscriber) Serves() bool { return s.state != Starting && s.state != CatchingUp }
+// CanServe tells whether it may serve from what it holds.
+func (s *Subscriber) CanServe() bool { return s.state != StateStarting && s.state != StateCatchingUp }
 
 // Upstream is the index of the one followed or tried, and whether it is connected.
 func (s *Subscriber) Upstream() (index int, connected bool) { return s.upstream, s.connected }
 
-// Age is how long ago it was current last; known is false where it never was since its start.
-func (s *Subscriber) Age(now time.Duration) (age time.Duration, known bool) {
-	if s.state == Current {
+// Staleness is how long ago it was current last; known is false where it never was since its start.
+func (s *Subscriber) Staleness(now time.Duration) (age time.Duration, known bool) {
+	if s.state == StateCurrent {
 		return 0, true
 	}
 	return now - s.current, s.was
 }
 
-// Connected tells that the upstream in hand has answered.
-func (s *Subscriber) Connected(now time.Duration) {
+// UpstreamConnected tells that the upstream in hand has answered.
+func (s *Subscriber) UpstreamConnected(now time.Duration) {
 	s.dialing, s.connected = false, true
 	s.heard, s.begun = now, now
 	s.settled(now)
 	s.step(connected)
 }
 
-// Received tells that the upstream has sent something; complete that all it has was received.
-func (s *Subscriber) Received(now time.Duration, all bool) {
+// MessageReceived tells that the upstream has sent something; complete that all it has was received.
+func (s *Subscriber) MessageReceived(now time.Duration, all bool) {
 	if !s.connected {
 		return
 	}
@@ -151,8 +151,8 @@
 	s.step(complete)
 }
 
-// Lost tells that the connection or the attempt in hand has ended, by a refusal too.
-func (s *Subscriber) Lost(now time.Duration) {
+// UpstreamLost tells that the connection or the attempt in hand has ended, by a refusal too.
+func (s *Subscriber) UpstreamLost(now time.Duration) {
 	if !s.connected && !s.dialing {
 		return
 	}
@@ -164,10 +164,10 @@
 	}
 	s.left(now)
 	s.dialing, s.connected, s.open = false, false, false
-	s.upstream = (s.upstream + 1) % s.following.Upstreams // not back to the one that was just lost
+	s.upstream = (s.upstream + 1) % s.following.UpstreamCount // not back to the one that was just lost
 	s.failures++
 	s.retryAt = now
-	if rounds := s.failures / s.following.Upstreams; s.failures%s.following.Upstreams == 0 {
+	if rounds := s.failures / s.following.UpstreamCount; s.failures%s.following.UpstreamCount == 0 {
 		s.retryAt = now + s.backOff(rounds)
 	}
 	s.step(lost)
@@ -175,27 +175,27 @@
 
 // backOff after so many rounds of all upstreams, spread by chance over its upper half.
 func (s *Subscriber) backOff(rounds int) time.Duration {
-	most := min(backOffFirst<<min(rounds, backOffGrowth), s.following.BackOffMost)
+	most := min(backOffFirst<<min(rounds, backOffGrowth), s.following.MaxBackoff)
 	return most/2 + time.Duration(s.chance()*float64(most/2))
 }
 
 // chance draws a number from 0 to 1.
 func (s *Subscriber) chance() float64 {
 	s.counter++
-	return float64(crc32.ChecksumIEEE([]byte(s.following.Seed+" "+strconv.Itoa(s.counter)))) / spreadOf
+	return float64(crc32.ChecksumIEEE([]byte(s.following.JitterSeed+" "+strconv.Itoa(s.counter)))) / spreadOf
 }
 
-// Passed looks at what time changes and says what is to be done, and when to look again at the latest.
-func (s *Subscriber) Passed(now time.Duration) (do Attempt, again time.Duration) {
-	if now-s.started >= s.following.StartWithin {
+// Tick looks at what time changes and says what is to be done, and when to look again at the latest.
+func (s *Subscriber) Tick(now time.Duration) (do Action, again time.Duration) {
+	if now-s.started >= s.following.StartTimeout {
 		s.step(startEnds)
 	}
 	switch {
 	case s.dialing && now-s.begun >= answerWithin, s.connected && now-s.heard >= silentAfter:
-		do.Drop = true
-		s.Lost(now)
+		do.ShouldDisconnect = true
+		s.UpstreamLost(now)
 	case s.leave(now):
-		do.Drop, do.Returns = true, true
+		do.ShouldDisconnect, do.IsFailback = true, true
 	}
 	if s.open && now-s.opened >= behindAfter {
 		s.step(fellBehind)
@@ -204,17 +204,17 @@
 		s.step(longAlone)
 	}
 	if !s.connected && !s.dialing && now >= s.retryAt {
-		do.Dial, do.Upstream = true, s.upstream
+		do.ShouldDial, do.Upstream = true, s.upstream
 		s.dialing, s.begun = true, now
 	}
-	do.Preferred, do.Probe = s.probe(now)
+	do.ProbeUpstream, do.ShouldProbe = s.probe(now)
 	return do, s.next(now)
 }
 
 func (s *Subscriber) next(now time.Duration) time.Duration {
 	again := now + lookEvery
-	if !s.Serves() {
-		again = min(again, s.started+s.following.StartWithin)
+	if !s.CanServe() {
+		again = min(again, s.started+s.following.StartTimeout)
 	}
 	switch {
 	case s.dialing:
--- a/internal/controlplane/distribution/subscriber_test.go
+++ b/internal/controlplane/distribution/subscriber_test.go
@@ -17,40 +17,40 @@
 		name  string
 		steps []step
 	}{
-		{"current at the start", []step{{0, "passed", Starting, false}, {10 * ms, "connected", CatchingUp, false}, {20 * ms, "received", CatchingUp, false},
-			{30 * ms, "complete", Current, true}, {3 * time.Second, "passed", Current, true}}},
-		{"serves from what it holds when nobody answers", []step{{0, "passed", Starting, false}, {10 * ms, "lost", Starting, false},
-			{1999 * ms, "passed", Starting, false}, {2000 * ms, "passed", Isolated, true}, {2100 * ms, "connected", Behind, true}, {2200 * ms, "complete", Current, true}}},
-		{"serves while it is caught up for long", []step{{0, "passed", Starting, false}, {10 * ms, "connected", CatchingUp, false},
-			{2000 * ms, "passed", Behind, true}, {2500 * ms, "complete", Current, true}}},
-		{"lost while it is caught up", []step{{0, "passed", Starting, false}, {10 * ms, "connected", CatchingUp, false}, {20 * ms, "lost", Starting, false},
-			{30 * ms, "passed", Starting, false}, {40 * ms, "connected", CatchingUp, false}}},
-		{"loses its upstream", []step{{0, "passed", Starting, false}, {0, "connected", CatchingUp, false}, {0, "complete", Current, true},
-			{50 * ms, "lost", Behind, true}, {9 * time.Second, "passed", Behind, true}, {9100 * ms, "lost", Behind, true}, {10050 * ms, "passed", Isolated, true},
-			{10060 * ms, "connected", Behind, true}, {10070 * ms, "complete", Current, true}}},
-		{"falls behind what it is sent", []step{{0, "passed", Starting, false}, {0, "connected", CatchingUp, false}, {0, "complete", Current, true},
-			{1 * ms, "received", Current, true}, {2000 * ms, "passed", Current, true}, {2001 * ms, "passed", Behind, true}, {2002 * ms, "complete", Current, true}}},
-		{"an upstream that says nothing is left", []step{{0, "passed", Starting, false}, {0, "connected", CatchingUp, false}, {0, "complete", Current, true},
-			{24 * time.Second, "passed", Current, true}, {25 * time.Second, "passed", Behind, true}}},
+		{"current at the start", []step{{0, "passed", StateStarting, false}, {10 * ms, "connected", StateCatchingUp, false}, {20 * ms, "received", StateCatchingUp, false},
+			{30 * ms, "complete", StateCurrent, true}, {3 * time.Second, "passed", StateCurrent, true}}},
+		{"serves from what it holds when nobody answers", []step{{0, "passed", StateStarting, false}, {10 * ms, "lost", StateStarting, false},
+			{1999 * ms, "passed", StateStarting, false}, {2000 * ms, "passed", StateIsolated, true}, {2100 * ms, "connected", StateBehind, true}, {2200 * ms, "complete", StateCurrent, true}}},
+		{"serves while it is caught up for long", []step{{0, "passed", StateStarting, false}, {10 * ms, "connected", StateCatchingUp, false},
+			{2000 * ms, "passed", StateBehind, true}, {2500 * ms, "complete", StateCurrent, true}}},
+		{"lost while it is caught up", []step{{0, "passed", StateStarting, false}, {10 * ms, "connected", StateCatchingUp, false}, {20 * ms, "lost", StateStarting, false},
+			{30 * ms, "passed", StateStarting, false}, {40 * ms, "connected", StateCatchingUp, false}}},
+		{"loses its upstream", []step{{0, "passed", StateStarting, false}, {0, "connected", StateCatchingUp, false}, {0, "complete", StateCurrent, true},
+			{50 * ms, "lost", StateBehind, true}, {9 * time.Second, "passed", StateBehind, true}, {9100 * ms, "lost", StateBehind, true}, {10050 * ms, "passed", StateIsolated, true},
+			{10060 * ms, "connected", StateBehind, true}, {10070 * ms, "complete", StateCurrent, true}}},
+		{"falls behind what it is sent", []step{{0, "passed", StateStarting, false}, {0, "connected", StateCatchingUp, false}, {0, "complete", StateCurrent, true},
+			{1 * ms, "received", StateCurrent, true}, {2000 * ms, "passed", StateCurrent, true}, {2001 * ms, "passed", StateBehind, true}, {2002 * ms, "complete", StateCurrent, true}}},
+		{"an upstream that says nothing is left", []step{{0, "passed", StateStarting, false}, {0, "connected", StateCatchingUp, false}, {0, "complete", StateCurrent, true},
+			{24 * time.Second, "passed", StateCurrent, true}, {25 * time.Second, "passed", StateBehind, true}}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s := NewSubscriber(0, Following{Upstreams: 2, Seed: "n"})
+			s := NewSubscriber(0, SubscriberOptions{UpstreamCount: 2, JitterSeed: "n"})
 			for i, step := range test.steps {
 				switch step.do {
 				case "connected":
-					s.Connected(step.at)
+					s.UpstreamConnected(step.at)
 				case "received":
-					s.Received(step.at, false)
+					s.MessageReceived(step.at, false)
 				case "complete":
-					s.Received(step.at, true)
+					s.MessageReceived(step.at, true)
 				case "lost":
-					s.Lost(step.at)
+					s.UpstreamLost(step.at)
 				case "passed":
-					s.Passed(step.at)
+					s.Tick(step.at)
 				}
-				if s.State() != step.state || s.Serves() != step.serves {
-					t.Fatalf("step %d, %s at %v: %v, serves %v; want %v, %v", i, step.do, step.at, s.State(), s.Serves(), step.state, step.serves)
+				if s.State() != step.state || s.CanServe() != step.serves {
+					t.Fatalf("step %d, %s at %v: %v, serves %v; want %v, %v", i, step.do, step.at, s.State(), s.CanServe(), step.state, step.serves)
 				}
 			}
 		})
@@ -59,9 +59,9 @@
 
 // Nothing leads back from a state that serves to one that does not.
 func TestWhoServesGoesOn(t *testing.T) {
-	for state := Current; state < statesEnd; state++ {
+	for state := StateCurrent; state < statesEnd; state++ {
 		for in := range inputsEnd {
-			if next := transitions[state][in]; next < Current {
+			if next := transitions[state][in]; next < StateCurrent {
 				t.Errorf("%v leads to %v", state, next)
 			}
 		}
@@ -69,36 +69,36 @@
 }
 
 func TestUpstreamsAreTriedInOrderAndKept(t *testing.T) {
-	s := NewSubscriber(0, Following{Upstreams: 3, Seed: "n"})
+	s := NewSubscriber(0, SubscriberOptions{UpstreamCount: 3, JitterSeed: "n"})
 	dial := func(at time.Duration, want int) {
 		t.Helper()
-		if do, _ := s.Passed(at); !do.Dial || do.Upstream != want {
+		if do, _ := s.Tick(at); !do.ShouldDial || do.Upstream != want {
 			t.Fatalf("at %v: %+v, want upstream %d", at, do, want)
 		}
 	}
 	dial(0, 0)
-	s.Lost(1)
+	s.UpstreamLost(1)
 	dial(1, 1)
-	if do, again := s.Passed(500 * time.Millisecond); do.Dial || again > 1*time.Second+1 {
+	if do, again := s.Tick(500 * time.Millisecond); do.ShouldDial || again > 1*time.Second+1 {
 		t.Fatalf("an attempt in hand: %+v, again %v", do, again)
 	}
-	if do, _ := s.Passed(1*time.Second + 1); !do.Drop || !do.Dial || do.Upstream != 2 {
+	if do, _ := s.Tick(1*time.Second + 1); !do.ShouldDisconnect || !do.ShouldDial || do.Upstream != 2 {
 		t.Fatalf("an attempt without an answer: %+v", do)
 	}
-	s.Connected(1100 * time.Millisecond)
-	s.Received(1200*time.Millisecond, true)
-	if do, _ := s.Passed(20 * time.Second); do.Dial || do.Drop {
+	s.UpstreamConnected(1100 * time.Millisecond)
+	s.MessageReceived(1200*time.Millisecond, true)
+	if do, _ := s.Tick(20 * time.Second); do.ShouldDial || do.ShouldDisconnect {
 		t.Fatalf("it is left for another: %+v", do)
 	}
-	s.Lost(21 * time.Second)
-	do, again := s.Passed(21 * time.Second) // the third failure in a row: a round of all is over
-	if do.Dial || again <= 21*time.Second || again > 21*time.Second+2*backOffFirst {
+	s.UpstreamLost(21 * time.Second)
+	do, again := s.Tick(21 * time.Second) // the third failure in a row: a round of all is over
+	if do.ShouldDial || again <= 21*time.Second || again > 21*time.Second+2*backOffFirst {
 		t.Fatalf("%+v, again %v: no back-off after a round", do, again)
 	}
 	dial(again, 0)
 	for range 100 {
-		s.Lost(again)
-		_, again = s.Passed(again)
+		s.UpstreamLost(again)
+		_, again = s.Tick(again)
 	}
 	if waited := s.backOff(100); waited > backOffMost || waited < backOffMost/2 {
 		t.Fatalf("backs off for %v", waited)
--- a/internal/controlplane/distribution/tree/difference.go
+++ b/internal/controlplane/distribution/tree/difference.go
@@ -14,8 +14,8 @@
 // Difference is a change that is to be made, with what is held before it.
 type Difference struct {
 	distribution.Change
-	Before []byte
-	Held   bool
+	HeldValue []byte
+	IsHeld    bool
 }
 
 // Differences are the changes of some kinds that bring what is held of the tree's services to what the tree says, in the
@@ -29,7 +29,7 @@
 		}
 		before[e.Key] = e.Value
 		if _, stays := t.Values[e.Key]; !stays {
-			all = append(all, Difference{Change: distribution.Change{Key: e.Key, Deleted: true}, Before: e.Value, Held: true})
+			all = append(all, Difference{Change: distribution.Change{Key: e.Key, Deleted: true}, HeldValue: e.Value, IsHeld: true})
 		}
 	}
 	for key, v := range t.Values {
@@ -37,7 +37,7 @@
 		if !slices.Contains(kinds, key.Kind) || is && same(key.Kind, was, v) {
 			continue
 		}
-		all = append(all, Difference{Change: distribution.Change{Key: key, Value: v}, Before: was, Held: is})
+		all = append(all, Difference{Change: distribution.Change{Key: key, Value: v}, HeldValue: was, IsHeld: is})
 	}
 	slices.SortFunc(all, func(a, b Difference) int { return distribution.CompareKeys(a.Key, b.Key) })
 	return all
@@ -45,12 +45,12 @@
 
 // same tells whether two values say the same. What a source notes of its own revisions and turns is nothing that a tree says.
 func same(kind distribution.Kind, a, b []byte) bool {
-	if kind != distribution.Server {
+	if kind != distribution.KindServer {
 		return bytes.Equal(a, b)
 	}
 	one, errOne := value.DecodeServerValue(a)
 	other, errOther := value.DecodeServerValue(b)
-	one.Revision, other.Revision, one.Turn, other.Turn = 0, 0, 0, 0
+	one.Revision, other.Revision, one.Generation, other.Generation = 0, 0, 0, 0
 	return errOne == nil && errOther == nil && one == other
 }
 
@@ -69,14 +69,14 @@
 	switch {
 	case d.Deleted:
 		sign = "-"
-	case d.Held:
+	case d.IsHeld:
 		sign = "~"
 	}
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s %s\n", sign, d.Key)
 	before, after := []string(nil), []string(nil)
-	if d.Held {
-		before = Lines(d.Key.Kind, d.Before)
+	if d.IsHeld {
+		before = Lines(d.Key.Kind, d.HeldValue)
 	}
 	if !d.Deleted {
 		after = Lines(d.Key.Kind, d.Value)
@@ -98,19 +98,19 @@
 func Lines(kind distribution.Kind, v []byte) []string {
 	e := distribution.Entry{Value: v}
 	switch kind {
-	case distribution.Tenant:
+	case distribution.KindTenant:
 		t, err := value.DecodeTenant(e)
 		if err != nil {
 			return []string{err.Error()}
 		}
 		return []string{fmt.Sprintf("allowance = %v", t.Allowance)}
-	case distribution.Server:
+	case distribution.KindServer:
 		s, err := value.DecodeServerValue(v)
 		if err != nil {
 			return []string{err.Error()}
 		}
-		lines := []string{fmt.Sprintf("address = %q", s.Address), fmt.Sprintf("size = %v", s.Size), "condition = " + [...]string{"up", "draining", "gone"}[s.Condition]}
-		for name, text := range map[string]string{"zone": s.Zone, "flavor": s.Flavor} {
+		lines := []string{fmt.Sprintf("address = %q", s.Address), fmt.Sprintf("size = %v", s.Weight), "condition = " + [...]string{"up", "draining", "gone"}[s.Condition]}
+		for name, text := range map[string]string{"zone": s.Zone, "flavor": s.MachineKind} {
 			if text != "" {
 				lines = append(lines, fmt.Sprintf("%s = %q", name, text))
 			}
@@ -118,8 +118,8 @@
 		if s.Cell != 0 {
 			lines = append(lines, fmt.Sprintf("cell = %d", s.Cell))
 		}
-		if s.Up > 0 {
-			lines = append(lines, "started = "+time.UnixMilli(s.Up).UTC().Format(time.RFC3339Nano))
+		if s.StartedUnixMS > 0 {
+			lines = append(lines, "started = "+time.UnixMilli(s.StartedUnixMS).UTC().Format(time.RFC3339Nano))
 		}
 		slices.Sort(lines)
 		return lines
--- a/internal/controlplane/distribution/tree/tree.go
+++ b/internal/controlplane/distribution/tree/tree.go
@@ -53,9 +53,9 @@
 
 // Tree is what files say in all.
 type Tree struct {
-	Services []string // that the files are of, in order
-	Values   Values
-	Servers  bool // some file names servers
+	Services   []string // that the files are of, in order
+	Values     Values
+	HasServers bool // some file names servers
 }
 
 const suffix = ".toml"
@@ -113,7 +113,7 @@
 		f.Wrong("service", "service %q stands in another file too", service)
 	}
 	t.Services = append(t.Services, service)
-	t.Servers = t.Servers || f.Has("servers.0")
+	t.HasServers = t.HasServers || f.Has("servers.0")
 	if err := f.Err(); err != nil {
 		return err
 	}
@@ -134,25 +134,25 @@
 	for i, s := range file.Servers {
 		at := "servers." + strconv.Itoa(i)
 		v, err := s.encode(f.Has(at + ".size"))
-		put(at, distribution.Server, s.ID, v, err)
+		put(at, distribution.KindServer, s.ID, v, err)
 	}
 	for i, p := range file.Pools {
 		v, err := canonical(raw.Pools[i])
 		if err == nil {
 			_, err = route.ParsePool(service, p.Name, v)
 		}
-		put("pools."+strconv.Itoa(i), distribution.Pool, p.Name, v, err)
+		put("pools."+strconv.Itoa(i), distribution.KindPool, p.Name, v, err)
 	}
 	for i, r := range file.Routes {
 		v, err := canonical(raw.Routes[i])
 		if err == nil {
 			_, err = route.ParseRoute(service, r.Name, v)
 		}
-		put("routes."+strconv.Itoa(i), distribution.Route, r.Name, v, err)
+		put("routes."+strconv.Itoa(i), distribution.KindRoute, r.Name, v, err)
 	}
 	for _, name := range slices.Sorted(maps.Keys(file.Tenants)) {
 		v, err := value.EncodeTenant(value.Tenant{Allowance: file.Tenants[name]})
-		put("tenants."+name, distribution.Tenant, name, v, err)
+		put("tenants."+name, distribution.KindTenant, name, v, err)
 	}
 	return f.Err()
 }
@@ -165,8 +165,8 @@
 		f.Wrong(at, "%v", err)
 	case twice:
 		f.Wrong(at, "a second %s %q", change.Key.Kind, change.Key.Name)
-	case change.Check() != nil:
-		f.Wrong(at, "%v", change.Check())
+	case change.Validate() != nil:
+		f.Wrong(at, "%v", change.Validate())
 	default:
 		t.Values[change.Key] = change.Value
 	}
@@ -174,12 +174,12 @@
 
 // encode is the server's value.
 func (s Server) encode(sized bool) ([]byte, error) {
-	e := incarnation.Entry{ID: s.ID, Address: s.Address, Zone: s.Zone, Flavor: s.Flavor, Cell: s.Cell, Size: s.Size}
+	e := incarnation.Entry{ID: s.ID, Address: s.Address, Zone: s.Zone, MachineKind: s.Flavor, Cell: s.Cell, Weight: s.Size}
 	if !sized {
-		e.Size = 1
+		e.Weight = 1
 	}
 	if !s.Started.IsZero() {
-		e.Up = s.Started.UnixMilli()
+		e.StartedUnixMS = s.Started.UnixMilli()
 	}
 	if s.Draining {
 		e.Condition = incarnation.Draining
@@ -195,10 +195,10 @@
 	return toml.Marshal(table)
 }
 
-// One reads the text of one entry.
-func One(path string, text []byte, key distribution.Key) ([]byte, error) {
+// ParseEntry reads the text of one entry.
+func ParseEntry(path string, text []byte, key distribution.Key) ([]byte, error) {
 	switch key.Kind {
-	case distribution.Server:
+	case distribution.KindServer:
 		s := Server{Size: 1}
 		f, err := tomlfile.Parse(path, text, &s)
 		if err != nil {
@@ -213,7 +213,7 @@
 			f.Wrong("", "%v", err)
 		}
 		return v, f.Err()
-	case distribution.Tenant:
+	case distribution.KindTenant:
 		var t Tenant
 		f, err := tomlfile.Parse(path, text, &t)
 		if err != nil {
@@ -234,7 +234,7 @@
 // oneText reads the text of one route or pool.
 func oneText(path string, text []byte, key distribution.Key) ([]byte, error) {
 	parse, list := route.ParseRoute, "routes"
-	if key.Kind == distribution.Pool {
+	if key.Kind == distribution.KindPool {
 		parse, list = route.ParsePool, "pools"
 	}
 	if _, err := parse(key.Service, key.Name, text); err != nil {
--- a/internal/controlplane/distribution/tree/tree_test.go
+++ b/internal/controlplane/distribution/tree/tree_test.go
@@ -62,7 +62,7 @@
 		"hire/server/s2: address = \"127.0.0.1:81\", condition = draining, size = 0.5",
 		"hire/tenant/dairy: allowance = 40.5",
 	}
-	if !slices.Equal(got, want) || !slices.Equal(tr.Services, []string{"", "hire"}) || !tr.Servers {
+	if !slices.Equal(got, want) || !slices.Equal(tr.Services, []string{"", "hire"}) || !tr.HasServers {
 		t.Errorf("%q of %q", got, tr.Services)
 	}
 }
@@ -122,12 +122,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := []distribution.Kind{distribution.Server, distribution.Route, distribution.Tenant, distribution.Pool}
+	all := []distribution.Kind{distribution.KindServer, distribution.KindRoute, distribution.KindTenant, distribution.KindPool}
 	entry := func(service string, kind distribution.Kind, name string, v []byte) distribution.Entry {
 		return distribution.Entry{Key: distribution.Key{Service: service, Kind: kind, Name: name}, Value: v}
 	}
 	one := func(kind distribution.Kind, name, text string) distribution.Entry {
-		v, err := One("f", []byte(text), distribution.Key{Service: "hire", Kind: kind, Name: name})
+		v, err := ParseEntry("f", []byte(text), distribution.Key{Service: "hire", Kind: kind, Name: name})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -137,11 +137,11 @@
 	for key, v := range tr.Values {
 		held = append(held, distribution.Entry{Key: key, Value: v})
 	}
-	turned, err := value.DecodeServerValue(tr.Values[distribution.Key{Service: "hire", Kind: distribution.Server, Name: "s1"}])
+	turned, err := value.DecodeServerValue(tr.Values[distribution.Key{Service: "hire", Kind: distribution.KindServer, Name: "s1"}])
 	if err != nil {
 		t.Fatal(err)
 	}
-	turned.Turn = 3
+	turned.Generation = 3
 	back, err := value.EncodeServer(turned)
 	if err != nil {
 		t.Fatal(err)
@@ -153,21 +153,21 @@
 	}{
 		"nothing": {func(h []distribution.Entry) []distribution.Entry { return h }, all, ""},
 		"another form of the same": {func(h []distribution.Entry) []distribution.Entry {
-			return append(without(h, "checks"), one(distribution.Route, "checks", "[[routes]]\nheaders = {\"x\"=\"1\"}\nhop_time=\"250ms\"\ntype=\"check\""))
+			return append(without(h, "checks"), one(distribution.KindRoute, "checks", "[[routes]]\nheaders = {\"x\"=\"1\"}\nhop_time=\"250ms\"\ntype=\"check\""))
 		}, all, ""},
 		"a server's turns": {func(h []distribution.Entry) []distribution.Entry {
-			return append(without(h, "s1"), entry("hire", distribution.Server, "s1", back))
+			return append(without(h, "s1"), entry("hire", distribution.KindServer, "s1", back))
 		}, all, ""},
 		"another value": {func(h []distribution.Entry) []distribution.Entry {
-			return append(without(h, "dairy"), one(distribution.Tenant, "dairy", "allowance = 7.0"))
+			return append(without(h, "dairy"), one(distribution.KindTenant, "dairy", "allowance = 7.0"))
 		}, all, "~ hire/tenant/dairy\n    - allowance = 7\n    + allowance = 40.5\n"},
 		"one that lacks": {func(h []distribution.Entry) []distribution.Entry { return without(h, "quick") }, all,
 			"+ hire/pool/quick\n    + sites = ['north']\n"},
 		"one too many": {func(h []distribution.Entry) []distribution.Entry {
-			return append(h, one(distribution.Route, "old", "type = \"book\""))
+			return append(h, one(distribution.KindRoute, "old", "type = \"book\""))
 		}, all, "- hire/route/old\n    - type = 'book'\n"},
 		"of another service": {func(h []distribution.Entry) []distribution.Entry {
-			return append(h, entry("yard", distribution.Route, "old", nil))
+			return append(h, entry("yard", distribution.KindRoute, "old", nil))
 		}, all, ""},
 		"of another kind": {func(h []distribution.Entry) []distribution.Entry { return without(h, "s1") }, all[1:], ""},
 	} {
@@ -194,20 +194,20 @@
 		text, want string
 		fault      string
 	}{
-		"a route":                 {distribution.Route, "type = \"check\"\nhops = 2", "hops = 2, type = 'check'", ""},
-		"a route with its header": {distribution.Route, "[[routes]]\nname = \"n\"\ntype = \"check\"", "type = 'check'", ""},
-		"another's":               {distribution.Route, "name = \"m\"", "", "f: its text names it \"m\""},
-		"an unknown key":          {distribution.Route, "type = \"check\"\nhop = 2", "", "f:2: unknown key"},
-		"a pool":                  {distribution.Pool, "servers = [\"s*\"]", "servers = ['s*']", ""},
-		"a tenant":                {distribution.Tenant, "allowance = 0", "allowance = 0", ""},
-		"a tenant of nothing":     {distribution.Tenant, "", "", "f: allowance is missing"},
-		"a tenant below 0":        {distribution.Tenant, "\nallowance = -2.0", "", "f:2: allowance -2"},
-		"a server":                {distribution.Server, "address = \"127.0.0.1:1\"", "address = \"127.0.0.1:1\", condition = up, size = 1", ""},
-		"a server without":        {distribution.Server, "size = 2.0", "", "f: address \"\""},
-		"another's server":        {distribution.Server, "id = \"m\"\naddress = \"127.0.0.1:1\"", "", "f:1: the text is of server \"m\", not \"n\""},
+		"a route":                 {distribution.KindRoute, "type = \"check\"\nhops = 2", "hops = 2, type = 'check'", ""},
+		"a route with its header": {distribution.KindRoute, "[[routes]]\nname = \"n\"\ntype = \"check\"", "type = 'check'", ""},
+		"another's":               {distribution.KindRoute, "name = \"m\"", "", "f: its text names it \"m\""},
+		"an unknown key":          {distribution.KindRoute, "type = \"check\"\nhop = 2", "", "f:2: unknown key"},
+		"a pool":                  {distribution.KindPool, "servers = [\"s*\"]", "servers = ['s*']", ""},
+		"a tenant":                {distribution.KindTenant, "allowance = 0", "allowance = 0", ""},
+		"a tenant of nothing":     {distribution.KindTenant, "", "", "f: allowance is missing"},
+		"a tenant below 0":        {distribution.KindTenant, "\nallowance = -2.0", "", "f:2: allowance -2"},
+		"a server":                {distribution.KindServer, "address = \"127.0.0.1:1\"", "address = \"127.0.0.1:1\", condition = up, size = 1", ""},
+		"a server without":        {distribution.KindServer, "size = 2.0", "", "f: address \"\""},
+		"another's server":        {distribution.KindServer, "id = \"m\"\naddress = \"127.0.0.1:1\"", "", "f:1: the text is of server \"m\", not \"n\""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v, err := One("f", []byte(c.text), distribution.Key{Service: "s", Kind: c.kind, Name: "n"})
+			v, err := ParseEntry("f", []byte(c.text), distribution.Key{Service: "s", Kind: c.kind, Name: "n"})
 			if c.fault != "" {
 				if err == nil || !strings.HasPrefix(err.Error(), c.fault) {
 					t.Errorf("%v, not %q", err, c.fault)
--- a/internal/controlplane/distribution/value/golden_test.go
+++ b/internal/controlplane/distribution/value/golden_test.go
@@ -10,8 +10,8 @@
 
 // TestGoldenValues pins the bytes of servers' and tenants' values, which are on disk, on the wire and compared with each other.
 func TestGoldenValues(t *testing.T) {
-	server := incarnation.Entry{ID: "fast-1", Up: 1700000000123, Turn: 2, Condition: incarnation.Draining, Revision: 41,
-		Address: "127.0.0.1:8081", Zone: "z1", Flavor: "large", Cell: 7, Size: 1.5}
+	server := incarnation.Entry{ID: "fast-1", StartedUnixMS: 1700000000123, Generation: 2, Condition: incarnation.Draining, Revision: 41,
+		Address: "127.0.0.1:8081", Zone: "z1", MachineKind: "large", Cell: 7, Weight: 1.5}
 	tenant := Tenant{Allowance: 12.25}
 	const (
 		goldenServer = "8a66666173742d311b0000018bcfe5687b0201006e3132372e302e302e313a38303831627a31656c6172676507f93e00"
@@ -29,7 +29,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := distribution.Entry{Key: distribution.Key{Kind: distribution.Server, Name: "fast-1"}, Clock: 41, Value: golden}
+		e := distribution.Entry{Key: distribution.Key{Kind: distribution.KindServer, Name: "fast-1"}, Clock: 41, Value: golden}
 		if got, err := DecodeServer(e); err != nil || got != server {
 			t.Errorf("read as %+v, %v", got, err)
 		}
--- a/internal/controlplane/distribution/value/value.go
+++ b/internal/controlplane/distribution/value/value.go
@@ -69,10 +69,10 @@
 		return errors.New("a server without an id")
 	case e.Condition > incarnation.Gone:
 		return fmt.Errorf("unknown condition %d", e.Condition)
-	case math.IsNaN(e.Size) || math.IsInf(e.Size, 0) || e.Size < 0:
-		return fmt.Errorf("size %v: a number of 0 or more is wanted", e.Size)
-	case e.Up < 0:
-		return fmt.Errorf("up %d: Unix time in ms is wanted", e.Up)
+	case math.IsNaN(e.Weight) || math.IsInf(e.Weight, 0) || e.Weight < 0:
+		return fmt.Errorf("size %v: a number of 0 or more is wanted", e.Weight)
+	case e.StartedUnixMS < 0:
+		return fmt.Errorf("up %d: Unix time in ms is wanted", e.StartedUnixMS)
 	}
 	if at, err := netip.ParseAddrPort(e.Address); (err != nil || at.Port() == 0) && e.Condition == incarnation.Up {
 		return fmt.Errorf("address %.60q: an address and a port are wanted", e.Address)
--- a/internal/controlplane/distribution/wire/batch.go
+++ b/internal/controlplane/distribution/wire/batch.go
@@ -47,7 +47,7 @@
 }
 
 func pack(b *distribution.Batch) *packed {
-	p := &packed{Number: b.Number, Reset: b.Reset, ResetAll: b.ResetAll, Complete: b.Complete, Through: b.Through, Pruned: b.Pruned}
+	p := &packed{Number: b.Number, Reset: b.ResetServices, ResetAll: b.ResetsAll, Complete: b.IsComplete, Through: b.Through, Pruned: b.Pruned}
 	services, origins := map[string]int{}, map[distribution.Origin]int{}
 	p.Entries = make([]packedEntry, 0, len(b.Entries))
 	for i := range b.Entries {
@@ -64,14 +64,14 @@
 	if err := framing.Decode(text, &p); err != nil {
 		return err
 	}
-	*b = distribution.Batch{Number: p.Number, Reset: p.Reset, ResetAll: p.ResetAll, Complete: p.Complete, Through: p.Through, Pruned: p.Pruned}
+	*b = distribution.Batch{Number: p.Number, ResetServices: p.Reset, ResetsAll: p.ResetAll, IsComplete: p.Complete, Through: p.Through, Pruned: p.Pruned}
 	if len(p.Entries) > 0 {
 		b.Entries = make([]distribution.Entry, 0, len(p.Entries))
 	}
 	for i := range p.Entries {
 		e := &p.Entries[i]
 		if e.Service < 0 || e.Service >= len(p.Services) || e.Origin < 0 || e.Origin >= len(p.Origins) {
-			return fmt.Errorf("%w: an entry of no service or origin", ErrBounds)
+			return fmt.Errorf("%w: an entry of no service or origin", ErrOutOfBounds)
 		}
 		b.Entries = append(b.Entries, distribution.Entry{Key: distribution.Key{Service: p.Services[e.Service], Kind: e.Kind, Name: e.Name},
 			Clock: e.Clock, Origin: p.Origins[e.Origin], Sequence: e.Sequence, Deleted: e.Deleted, Value: e.Value})
--- a/internal/controlplane/distribution/wire/check.go
+++ b/internal/controlplane/distribution/wire/check.go
@@ -9,8 +9,8 @@
 
 func (m *Subscribe) check() error {
 	s := &m.Subscription
-	if s.Name == "" || s.Role < distribution.Node || s.Role > distribution.Reader {
-		return fmt.Errorf("%w: a subscriber without a name or a role", ErrBounds)
+	if s.Name == "" || s.Role < distribution.RoleNode || s.Role > distribution.RoleReader {
+		return fmt.Errorf("%w: a subscriber without a name or a role", ErrOutOfBounds)
 	}
 	if err := texts("name", s.Name, s.Region, s.Zone); err != nil {
 		return err
@@ -18,14 +18,14 @@
 	if err := services(s.Services); err != nil {
 		return err
 	}
-	if err := services(s.Missing); err != nil {
+	if err := services(s.UnsyncedServices); err != nil {
 		return err
 	}
 	return vector(s.Vector)
 }
 
 func (m *Batch) check() error {
-	if err := services(m.Reset); err != nil {
+	if err := services(m.ResetServices); err != nil {
 		return err
 	}
 	if err := vector(m.Through); err != nil {
@@ -38,7 +38,7 @@
 	if err := rejections(m.Acknowledgement.Rejected); err != nil {
 		return err
 	}
-	return vector(m.Acknowledgement.InForce)
+	return vector(m.Acknowledgement.Applied)
 }
 
 func (m *Digests) check() error {
@@ -50,7 +50,7 @@
 	return vector(m.Digests.Through)
 }
 
-func (m *Want) check() error {
+func (m *Pull) check() error {
 	if err := services(m.Services); err != nil {
 		return err
 	}
@@ -60,17 +60,17 @@
 func (m *Report) check() error { return statuses(m.Nodes) }
 
 func (m *Write) check() error {
-	if len(m.Changes) == 0 || len(m.Changes) > distribution.ChangesMost {
-		return fmt.Errorf("%w: %d changes, 1 to %d may be", ErrBounds, len(m.Changes), distribution.ChangesMost)
+	if len(m.Changes) == 0 || len(m.Changes) > distribution.MaxChanges {
+		return fmt.Errorf("%w: %d changes, 1 to %d may be", ErrOutOfBounds, len(m.Changes), distribution.MaxChanges)
 	}
 	return nil // each change is checked by the store, which answers with its own error
 }
 
-func (m *Written) check() error { return texts("text", m.Error, string(m.Origin)) }
+func (m *WriteResult) check() error { return texts("text", m.Error, string(m.Origin)) }
 
-func (m *Query) check() error { return nil }
+func (m *StatusQuery) check() error { return nil }
 
-func (m *Answer) check() error {
+func (m *StatusAnswer) check() error {
 	if err := statuses([]distribution.NodeStatus{m.Self}); err != nil {
 		return err
 	}
@@ -80,31 +80,31 @@
 func texts(what string, all ...string) error {
 	for _, text := range all {
 		if len(text) > textMost || !utf8.ValidString(text) {
-			return fmt.Errorf("%w: a %s of more than %d bytes or not UTF-8", ErrBounds, what, textMost)
+			return fmt.Errorf("%w: a %s of more than %d bytes or not UTF-8", ErrOutOfBounds, what, textMost)
 		}
 	}
 	return nil
 }
 
 func services(names []string) error {
-	if len(names) > distribution.ServicesMost {
-		return fmt.Errorf("%w: %d services, at most %d may be", ErrBounds, len(names), distribution.ServicesMost)
+	if len(names) > distribution.MaxServices {
+		return fmt.Errorf("%w: %d services, at most %d may be", ErrOutOfBounds, len(names), distribution.MaxServices)
 	}
 	for _, name := range names {
-		if len(name) > distribution.NameMost || !utf8.ValidString(name) {
-			return fmt.Errorf("%w: a service's name of more than %d bytes or not UTF-8", ErrBounds, distribution.NameMost)
+		if len(name) > distribution.MaxNameBytes || !utf8.ValidString(name) {
+			return fmt.Errorf("%w: a service's name of more than %d bytes or not UTF-8", ErrOutOfBounds, distribution.MaxNameBytes)
 		}
 	}
 	return nil
 }
 
 func vector(v distribution.Vector) error {
-	if len(v) > distribution.OriginsMost {
-		return fmt.Errorf("%w: %d origins, at most %d may be", ErrBounds, len(v), distribution.OriginsMost)
+	if len(v) > distribution.MaxOrigins {
+		return fmt.Errorf("%w: %d origins, at most %d may be", ErrOutOfBounds, len(v), distribution.MaxOrigins)
 	}
 	for origin := range v {
-		if origin == "" || len(origin) > distribution.OriginMost || !utf8.ValidString(string(origin)) {
-			return fmt.Errorf("%w: an origin's name of none or more than %d bytes, or not UTF-8", ErrBounds, distribution.OriginMost)
+		if origin == "" || len(origin) > distribution.MaxOriginBytes || !utf8.ValidString(string(origin)) {
+			return fmt.Errorf("%w: an origin's name of none or more than %d bytes, or not UTF-8", ErrOutOfBounds, distribution.MaxOriginBytes)
 		}
 	}
 	return nil
@@ -112,7 +112,7 @@
 
 func rejections(rejected []distribution.Rejection) error {
 	if len(rejected) > rejectedMost {
-		return fmt.Errorf("%w: %d rejections, at most %d may be", ErrBounds, len(rejected), rejectedMost)
+		return fmt.Errorf("%w: %d rejections, at most %d may be", ErrOutOfBounds, len(rejected), rejectedMost)
 	}
 	for _, r := range rejected {
 		if err := texts("text", r.Key.Service, r.Key.Name, r.Reason); err != nil {
@@ -124,7 +124,7 @@
 
 func statuses(all []distribution.NodeStatus) error {
 	if len(all) > nodesMost {
-		return fmt.Errorf("%w: %d nodes, at most %d may be", ErrBounds, len(all), nodesMost)
+		return fmt.Errorf("%w: %d nodes, at most %d may be", ErrOutOfBounds, len(all), nodesMost)
 	}
 	for i := range all {
 		s := &all[i]
--- a/internal/controlplane/distribution/wire/golden_test.go
+++ b/internal/controlplane/distribution/wire/golden_test.go
@@ -20,32 +20,32 @@
 // Vectors hold one origin: the order of a map's pairs on the wire is not fixed.
 var (
 	goldenVector    = distribution.Vector{"root/00000000000000a1": 9}
-	goldenKey       = distribution.Key{Service: "ferries", Kind: distribution.Route, Name: "checks"}
-	goldenRejection = distribution.Rejection{Key: goldenKey, Reason: "no room", Full: true}
-	goldenStatus    = distribution.NodeStatus{Name: "n1", Role: distribution.Control, Region: "north", Zone: "z1", Via: "root-2", Revision: 31,
-		Clock: 1700000000123 << 16, Lag: 1500 * time.Millisecond, Pending: 4, Unconfirmed: 2048, Acknowledged: true, CatchingUp: true, Connected: true,
-		Lost: 1700000000456, Rejected: []distribution.Rejection{goldenRejection}}
+	goldenKey       = distribution.Key{Service: "ferries", Kind: distribution.KindRoute, Name: "checks"}
+	goldenRejection = distribution.Rejection{Key: goldenKey, Reason: "no room", IsStoreFull: true}
+	goldenStatus    = distribution.NodeStatus{Name: "n1", Role: distribution.RoleControl, Region: "north", Zone: "z1", Via: "root-2", Revision: 31,
+		AcknowledgedClock: 1700000000123 << 16, Lag: 1500 * time.Millisecond, PendingKeys: 4, UnacknowledgedBytes: 2048, HasAcknowledged: true, IsCatchingUp: true, IsConnected: true,
+		DisconnectedMs: 1700000000456, Rejected: []distribution.Rejection{goldenRejection}}
 )
 
 // goldenMessages has each message with every field set to a value of its own.
 var goldenMessages = []Message{
-	&Subscribe{Subscription: distribution.Subscription{Name: "n1", Role: distribution.Reader, Region: "north", Zone: "z1", Services: []string{"", "ferries"},
-		All: true, Vector: goldenVector, Missing: []string{"trams"}}},
+	&Subscribe{Subscription: distribution.Subscription{Name: "n1", Role: distribution.RoleReader, Region: "north", Zone: "z1", Services: []string{"", "ferries"},
+		AllServices: true, Vector: goldenVector, UnsyncedServices: []string{"trams"}}},
 	&Batch{distribution.Batch{Number: 4,
 		Entries: []distribution.Entry{
 			{Key: goldenKey, Clock: 1700000000123<<16 | 5, Origin: "root/00000000000000a1", Sequence: 7, Value: []byte("value")},
-			{Key: distribution.Key{Service: "trams", Kind: distribution.Pool, Name: "old"}, Clock: 1700000000124 << 16, Origin: "relay/00000000000000b2",
+			{Key: distribution.Key{Service: "trams", Kind: distribution.KindPool, Name: "old"}, Clock: 1700000000124 << 16, Origin: "relay/00000000000000b2",
 				Sequence: 8, Deleted: true},
 		},
-		Reset: []string{"ferries"}, ResetAll: true, Complete: true, Through: goldenVector, Pruned: distribution.Vector{"root/00000000000000a1": 3}}},
-	&Acknowledge{Acknowledgement: distribution.Acknowledgement{Batch: 4, InForce: goldenVector, Rejected: []distribution.Rejection{goldenRejection}}, LagMs: 35},
-	&Digests{Digests: distribution.Digests{Total: 1 << 63, Services: map[string]uint64{"ferries": 1<<64 - 1}, Through: goldenVector}, All: true},
-	&Want{Follow: true, Vector: goldenVector, Services: []string{"ferries"}, Digests: true},
+		ResetServices: []string{"ferries"}, ResetsAll: true, IsComplete: true, Through: goldenVector, Pruned: distribution.Vector{"root/00000000000000a1": 3}}},
+	&Acknowledge{Acknowledgement: distribution.Acknowledgement{BatchNumber: 4, Applied: goldenVector, Rejected: []distribution.Rejection{goldenRejection}}, ApplyLagMs: 35},
+	&Digests{Digests: distribution.Digests{Total: 1 << 63, Services: map[string]uint64{"ferries": 1<<64 - 1}, Through: goldenVector}, IsAllServices: true},
+	&Pull{IsContinuous: true, Vector: goldenVector, Services: []string{"ferries"}, WantsDigests: true},
 	&Report{Nodes: []distribution.NodeStatus{goldenStatus}},
 	&Write{ID: 11, Changes: []distribution.Change{{Key: goldenKey, Value: []byte("value"), Deleted: true}}},
-	&Written{ID: 12, Error: "refused", Origin: "root/00000000000000a1", Clock: 1700000000125 << 16, Sequence: 13},
-	&Query{ID: 14},
-	&Answer{ID: 15, Self: goldenStatus, Nodes: []distribution.NodeStatus{goldenStatus}, Last: true},
+	&WriteResult{ID: 12, Error: "refused", Origin: "root/00000000000000a1", Clock: 1700000000125 << 16, Sequence: 13},
+	&StatusQuery{ID: 14},
+	&StatusAnswer{ID: 15, Self: goldenStatus, Nodes: []distribution.NodeStatus{goldenStatus}, IsLast: true},
 }
 
 // goldenNames are the golden files' names, in the order of the messages.
--- a/internal/controlplane/distribution/wire/wire.go
+++ b/internal/controlplane/distribution/wire/wire.go
@@ -15,7 +15,7 @@
 
 // Kinds of frames.
 const (
-	subscribeKind = framing.First + iota
+	subscribeKind = framing.FirstProtocolKind + iota
 	batchKind
 	acknowledgeKind
 	digestsKind
@@ -36,7 +36,7 @@
 )
 
 // Protocol of the connections. Each frame carries a sum.
-var Protocol = &framing.Protocol{Version: Version, Kinds: kindsEnd, Most: bodyMost, Sums: true}
+var Protocol = &framing.Protocol{Version: Version, KindLimit: kindsEnd, MaxBodyBytes: bodyMost, HasChecksums: true}
 
 // Message is one of Subscribe, Batch, Acknowledge, Digests, Want, Report, Write, Written, Query and Answer, as a pointer.
 type Message interface {
@@ -44,8 +44,8 @@
 	check() error
 }
 
-// ErrBounds says that a message breaks a bound.
-var ErrBounds = errors.New("a message breaks a bound")
+// ErrOutOfBounds says that a message breaks a bound.
+var ErrOutOfBounds = errors.New("a message breaks a bound")
 
 // Subscribe is a subscriber's first message.
 type Subscribe struct {
@@ -62,25 +62,25 @@
 	_ struct{} `cbor:",toarray"`
 
 	Acknowledgement distribution.Acknowledgement
-	LagMs           int64 // from receipt to in force, of the last batch
+	ApplyLagMs      int64 // from receipt to in force, of the last batch
 }
 
 // Digests of a server whose subscriber has had all.
 type Digests struct {
 	_ struct{} `cbor:",toarray"`
 
-	Digests distribution.Digests
-	All     bool // services are all there are, as an answer to Want
+	Digests       distribution.Digests
+	IsAllServices bool // services are all there are, as an answer to Want
 }
 
-// Want asks the other side for what lacks here.
-type Want struct {
+// Pull asks the other side for what lacks here.
+type Pull struct {
 	_ struct{} `cbor:",toarray"`
 
-	Follow   bool                // send what Vector lacks, and from then on what changes, in batches as to a subscriber
-	Vector   distribution.Vector // with Follow, what the asking side covers
-	Services []string            // these whole
-	Digests  bool                // the digests of all services
+	IsContinuous bool                // send what Vector lacks, and from then on what changes, in batches as to a subscriber
+	Vector       distribution.Vector // with Follow, what the asking side covers
+	Services     []string            // these whole
+	WantsDigests bool                // the digests of all services
 }
 
 // Report tells an upstream of the nodes that are seen here, as far as changed.
@@ -98,8 +98,8 @@
 	Changes []distribution.Change
 }
 
-// Written answers a Write: by an error, or the last entry's clock and sequence.
-type Written struct {
+// WriteResult answers a Write: by an error, or the last entry's clock and sequence.
+type WriteResult struct {
 	_ struct{} `cbor:",toarray"`
 
 	ID       uint64
@@ -109,21 +109,21 @@
 	Sequence uint64
 }
 
-// Query asks for the state of all nodes that are known.
-type Query struct {
+// StatusQuery asks for the state of all nodes that are known.
+type StatusQuery struct {
 	_ struct{} `cbor:",toarray"`
 
 	ID uint64
 }
 
-// Answer answers a Query, in several where there are many nodes; the last one says so.
-type Answer struct {
+// StatusAnswer answers a Query, in several where there are many nodes; the last one says so.
+type StatusAnswer struct {
 	_ struct{} `cbor:",toarray"`
 
-	ID    uint64
-	Self  distribution.NodeStatus
-	Nodes []distribution.NodeStatus
-	Last  bool
+	ID     uint64
+	Self   distribution.NodeStatus
+	Nodes  []distribution.NodeStatus
+	IsLast bool
 }
 
 // Send writes a message.
@@ -143,7 +143,7 @@
 func Decode(k framing.Kind, text []byte) (Message, error) {
 	m := empty(k)
 	if m == nil {
-		return nil, fmt.Errorf("%w: %d", framing.ErrKind, k)
+		return nil, fmt.Errorf("%w: %d", framing.ErrUnknownKind, k)
 	}
 	var err error
 	if b, ok := m.(*Batch); ok {
@@ -171,28 +171,28 @@
 	case digestsKind:
 		return &Digests{}
 	case wantKind:
-		return &Want{}
+		return &Pull{}
 	case reportKind:
 		return &Report{}
 	case writeKind:
 		return &Write{}
 	case writtenKind:
-		return &Written{}
+		return &WriteResult{}
 	case queryKind:
-		return &Query{}
+		return &StatusQuery{}
 	case answerKind:
-		return &Answer{}
+		return &StatusAnswer{}
 	}
 	return nil
 }
 
-func (*Subscribe) kind() framing.Kind   { return subscribeKind }
-func (*Batch) kind() framing.Kind       { return batchKind }
-func (*Acknowledge) kind() framing.Kind { return acknowledgeKind }
-func (*Digests) kind() framing.Kind     { return digestsKind }
-func (*Want) kind() framing.Kind        { return wantKind }
-func (*Report) kind() framing.Kind      { return reportKind }
-func (*Write) kind() framing.Kind       { return writeKind }
-func (*Written) kind() framing.Kind     { return writtenKind }
-func (*Query) kind() framing.Kind       { return queryKind }
-func (*Answer) kind() framing.Kind      { return answerKind }
+func (*Subscribe) kind() framing.Kind    { return subscribeKind }
+func (*Batch) kind() framing.Kind        { return batchKind }
+func (*Acknowledge) kind() framing.Kind  { return acknowledgeKind }
+func (*Digests) kind() framing.Kind      { return digestsKind }
+func (*Pull) kind() framing.Kind         { return wantKind }
+func (*Report) kind() framing.Kind       { return reportKind }
+func (*Write) kind() framing.Kind        { return writeKind }
+func (*WriteResult) kind() framing.Kind  { return writtenKind }
+func (*StatusQuery) kind() framing.Kind  { return queryKind }
+func (*StatusAnswer) kind() framing.Kind { return answerKind }
--- a/internal/controlplane/distribution/wire/wire_test.go
+++ b/internal/controlplane/distribution/wire/wire_test.go
@@ -14,30 +14,30 @@
 const origin = distribution.Origin("root/0000000000000001")
 
 func anEntry(name string) distribution.Entry {
-	return distribution.Entry{Key: distribution.Key{Service: "ferries", Kind: distribution.Server, Name: name}, Clock: 7 << 16, Origin: origin,
+	return distribution.Entry{Key: distribution.Key{Service: "ferries", Kind: distribution.KindServer, Name: name}, Clock: 7 << 16, Origin: origin,
 		Sequence: 3, Value: []byte("value")}
 }
 
 func status() distribution.NodeStatus {
-	return distribution.NodeStatus{Name: "n", Role: distribution.Node, Region: "r", Zone: "z", Revision: 4, Lag: 5, Rejected: []distribution.Rejection{{Reason: "no"}}}
+	return distribution.NodeStatus{Name: "n", Role: distribution.RoleNode, Region: "r", Zone: "z", Revision: 4, Lag: 5, Rejected: []distribution.Rejection{{Reason: "no"}}}
 }
 
 func TestMessagesComeAsTheyWereSent(t *testing.T) {
 	vector := distribution.Vector{origin: 9}
 	for _, m := range []Message{
-		&Subscribe{Subscription: distribution.Subscription{Name: "n", Role: distribution.Node, Region: "r", Zone: "z", Services: []string{"", "a"},
-			Vector: vector, Missing: []string{"a"}}},
-		&Batch{distribution.Batch{Number: 4, Entries: []distribution.Entry{anEntry("a"), anEntry("b")}, Reset: []string{"a"}, ResetAll: true, Complete: true,
+		&Subscribe{Subscription: distribution.Subscription{Name: "n", Role: distribution.RoleNode, Region: "r", Zone: "z", Services: []string{"", "a"},
+			Vector: vector, UnsyncedServices: []string{"a"}}},
+		&Batch{distribution.Batch{Number: 4, Entries: []distribution.Entry{anEntry("a"), anEntry("b")}, ResetServices: []string{"a"}, ResetsAll: true, IsComplete: true,
 			Through: vector, Pruned: vector}},
 		&Batch{distribution.Batch{Number: 5}},
-		&Acknowledge{Acknowledgement: distribution.Acknowledgement{Batch: 4, InForce: vector, Rejected: []distribution.Rejection{{Reason: "r"}}}, LagMs: 3},
-		&Digests{Digests: distribution.Digests{Total: 1 << 63, Services: map[string]uint64{"a": 1<<64 - 1}, Through: vector}, All: true},
-		&Want{Follow: true, Vector: vector, Services: []string{"a"}, Digests: true},
+		&Acknowledge{Acknowledgement: distribution.Acknowledgement{BatchNumber: 4, Applied: vector, Rejected: []distribution.Rejection{{Reason: "r"}}}, ApplyLagMs: 3},
+		&Digests{Digests: distribution.Digests{Total: 1 << 63, Services: map[string]uint64{"a": 1<<64 - 1}, Through: vector}, IsAllServices: true},
+		&Pull{IsContinuous: true, Vector: vector, Services: []string{"a"}, WantsDigests: true},
 		&Report{Nodes: []distribution.NodeStatus{status()}},
 		&Write{ID: 1, Changes: []distribution.Change{{Key: anEntry("a").Key, Value: []byte("v")}}},
-		&Written{ID: 1, Error: "no", Origin: origin, Clock: 5, Sequence: 6},
-		&Query{ID: 3},
-		&Answer{ID: 3, Self: status(), Nodes: []distribution.NodeStatus{status()}, Last: true},
+		&WriteResult{ID: 1, Error: "no", Origin: origin, Clock: 5, Sequence: 6},
+		&StatusQuery{ID: 3},
+		&StatusAnswer{ID: 3, Self: status(), Nodes: []distribution.NodeStatus{status()}, IsLast: true},
 	} {
 		frame, err := Append(nil, m)
 		if err != nil {
@@ -59,22 +59,22 @@
 
 func TestMessagesOutOfBoundsAreRefused(t *testing.T) {
 	long := strings.Repeat("x", 400)
-	many := make([]string, distribution.ServicesMost)
+	many := make([]string, distribution.MaxServices)
 	tests := []struct {
 		name string
 		m    Message
 	}{
-		{"a subscriber without a name", &Subscribe{Subscription: distribution.Subscription{Role: distribution.Node}}},
+		{"a subscriber without a name", &Subscribe{Subscription: distribution.Subscription{Role: distribution.RoleNode}}},
 		{"a subscriber without a role", &Subscribe{Subscription: distribution.Subscription{Name: "n"}}},
-		{"a long name", &Subscribe{Subscription: distribution.Subscription{Name: long, Role: distribution.Node}}},
-		{"too many services", &Want{Services: append(many, "one more")}},
-		{"a long service", &Want{Services: []string{long}}},
-		{"a long origin", &Want{Vector: distribution.Vector{distribution.Origin(long): 1}}},
+		{"a long name", &Subscribe{Subscription: distribution.Subscription{Name: long, Role: distribution.RoleNode}}},
+		{"too many services", &Pull{Services: append(many, "one more")}},
+		{"a long service", &Pull{Services: []string{long}}},
+		{"a long origin", &Pull{Vector: distribution.Vector{distribution.Origin(long): 1}}},
 		{"no origin", &Batch{distribution.Batch{Through: distribution.Vector{"": 1}}}},
 		{"a write of nothing", &Write{ID: 1}},
 		{"a long reason", &Acknowledge{Acknowledgement: distribution.Acknowledgement{Rejected: []distribution.Rejection{{Reason: long}}}}},
 		{"a long name in a report", &Report{Nodes: []distribution.NodeStatus{{Name: long}}}},
-		{"a long region in an answer", &Answer{Self: distribution.NodeStatus{Region: long}}},
+		{"a long region in an answer", &StatusAnswer{Self: distribution.NodeStatus{Region: long}}},
 		{"a long service in digests", &Digests{Digests: distribution.Digests{Services: map[string]uint64{long: 1}}}},
 	}
 	for _, test := range tests {
@@ -92,7 +92,7 @@
 			}
 		})
 	}
-	if _, err := Decode(kindsEnd, nil); !errors.Is(err, framing.ErrKind) {
+	if _, err := Decode(kindsEnd, nil); !errors.Is(err, framing.ErrUnknownKind) {
 		t.Errorf("an unknown kind: %v", err)
 	}
 	body, _ := Append(nil, &Batch{distribution.Batch{Entries: []distribution.Entry{anEntry("a")}}})
@@ -115,7 +115,7 @@
 		if err != nil {
 			return
 		}
-		if _, err := Append(nil, m); err != nil && !errors.Is(err, framing.ErrTooLong) {
+		if _, err := Append(nil, m); err != nil && !errors.Is(err, framing.ErrFrameTooLong) {
 			t.Fatalf("%T was read and cannot be written: %v", m, err)
 		}
 	})
@@ -124,7 +124,7 @@
 // What budgets count of a batch is near what it takes on the wire.
 func TestSizeIsAsOnTheWire(t *testing.T) {
 	for _, entries := range []int{1, 50, 200} {
-		b := distribution.Batch{Number: 9, Complete: true, Through: distribution.Vector{origin: 1 << 40}, Reset: []string{"ferries"}}
+		b := distribution.Batch{Number: 9, IsComplete: true, Through: distribution.Vector{origin: 1 << 40}, ResetServices: []string{"ferries"}}
 		for i := range entries {
 			e := anEntry("server-" + strings.Repeat("9", i%10))
 			e.Clock, e.Sequence, e.Value = 116153804390400000, uint64(100_000+i), make([]byte, 60)
--- a/internal/controlplane/distribution/world_test.go
+++ b/internal/controlplane/distribution/world_test.go
@@ -95,9 +95,9 @@
 // chain is a root, a relay that follows it and a node of service a that follows the relay.
 func chain(t *testing.T) (w *world, root, relay, node *holder) {
 	w = newWorld(t.Fatalf)
-	root = w.add("root", "", Control)
-	relay = w.add("relay", "", Control)
-	node = w.add("node", "", Node, "a")
+	root = w.add("root", "", RoleControl)
+	relay = w.add("relay", "", RoleControl)
+	node = w.add("node", "", RoleNode, "a")
 	w.connectable(relay, root)
 	w.connectable(node, relay)
 	return w, root, relay, node
@@ -106,7 +106,7 @@
 // start begins a process on a disk, or on a new one.
 func (h *holder) start(d *disk) {
 	origin := Origin("")
-	if h.role == Control {
+	if h.role == RoleControl {
 		h.w.drawn++
 		origin = NewOrigin(h.name, h.w.drawn)
 	}
@@ -115,10 +115,10 @@
 	if d != nil {
 		h.store.Restore(d.entries, d.vector, d.pruned)
 	}
-	if h.role == Node {
+	if h.role == RoleNode {
 		if d != nil {
 			h.store.SetScope(d.services)
-			h.store.MarkMissing(d.missing)
+			h.store.MarkUnsynced(d.missing)
 		}
 		h.store.SetScope(h.services)
 	}
@@ -130,7 +130,7 @@
 }
 
 func (h *holder) disk() *disk {
-	d := &disk{vector: h.store.Vector().Clone(), pruned: h.store.Pruned().Clone(), missing: h.store.Missing(),
+	d := &disk{vector: h.store.Vector().Clone(), pruned: h.store.Pruned().Clone(), missing: h.store.UnsyncedServices(),
 		services: slices.Clone(h.services)}
 	d.entries = held(h.store)
 	return d
@@ -138,7 +138,7 @@
 
 // held is all entries of a store, deletions included.
 func held(s *Store) (entries []Entry) {
-	for _, k := range s.Since(nil, nil, true) {
+	for _, k := range s.KeysSince(nil, nil, true) {
 		e, _ := s.Entry(k)
 		entries = append(entries, e)
 	}
@@ -161,8 +161,8 @@
 	l.open = true
 	s := l.subscriber
 	l.down.receiver = NewReceiver(s.store)
-	l.toServer = append(l.toServer, message{body: Subscription{Name: s.name, Role: s.role, Services: s.services, All: s.role == Control,
-		Vector: s.store.Vector().Clone(), Missing: s.store.Missing()}})
+	l.toServer = append(l.toServer, message{body: Subscription{Name: s.name, Role: s.role, Services: s.services, AllServices: s.role == RoleControl,
+		Vector: s.store.Vector().Clone(), UnsyncedServices: s.store.UnsyncedServices()}})
 }
 
 func (w *world) close(l *link) {
@@ -184,14 +184,14 @@
 		return
 	}
 	h.w.writes = append(h.w.writes, entries...)
-	h.took(Received{Changed: entries})
+	h.took(BatchResult{Changed: entries})
 }
 
 // hasWhatItCovers looks whether the vector tells the truth: of each write that it covers the holder has that version or a
 // greater one, or it covers a later deletion.
 func (h *holder) hasWhatItCovers() {
 	for _, e := range h.w.writes {
-		if !h.store.InScope(e.Key.Service) || !h.store.covers(e) {
+		if !h.store.IsInScope(e.Key.Service) || !h.store.covers(e) {
 			continue
 		}
 		if got, ok := h.store.Entry(e.Key); ok && Compare(got, e) >= 0 || e.Deleted && !ok {
@@ -204,7 +204,7 @@
 }
 
 // took is what a process does with what has changed in its store.
-func (h *holder) took(got Received) {
+func (h *holder) took(got BatchResult) {
 	for _, e := range got.Changed {
 		before, ok := h.floor[e.Key]
 		if c := Compare(before, e); ok && (c > 0 || c == 0 && !e.Deleted) { // a forgotten deletion may be told again
@@ -212,12 +212,12 @@
 		}
 		h.floor[e.Key] = e
 	}
-	h.pub.Changed(h.w.now, got.Changed)
-	h.pub.Resync(h.w.now, got.Resync)
-	if got.Complete {
+	h.pub.EntriesChanged(h.w.now, got.Changed)
+	h.pub.ResyncServices(h.w.now, got.ResyncServices)
+	if got.IsComplete {
 		h.hasWhatItCovers()
 	}
-	if h.store.Stale() {
+	if h.store.IsStale() {
 		h.w.fail("%s: its origin was drawn at its start, and somebody knows more of it", h.name)
 	}
 }
@@ -228,19 +228,19 @@
 	for _, e := range held(h.store) {
 		before[e.Key] = e
 	}
-	keys := h.store.Prune(olderThan)
+	keys := h.store.PruneDeletions(olderThan)
 	for _, k := range keys {
 		if e := before[k]; Compare(h.w.pruned[k], e) < 0 {
 			h.w.pruned[k] = e
 		}
 	}
-	h.pub.Pruned(h.w.now, keys)
+	h.pub.DeletionsPruned(h.w.now, keys)
 }
 
 // pump has a holder hand out up to some batches, and its digests.
 func (h *holder) pump(most int) (moved bool) {
 	for range most {
-		id, b, ok, _ := h.pub.Next(h.w.now)
+		id, b, ok, _ := h.pub.NextBatch(h.w.now)
 		if !ok {
 			break
 		}
@@ -248,7 +248,7 @@
 		moved = true
 	}
 	for {
-		id, d, ok := h.pub.Digests(h.w.now)
+		id, d, ok := h.pub.NextDigests(h.w.now)
 		if !ok {
 			return moved
 		}
@@ -306,29 +306,29 @@
 	case follow:
 		w.followed(l, at, other, body)
 	case Batch:
-		got := way.receiver.Receive(body)
-		if body.Complete {
+		got := way.receiver.ReceiveBatch(body)
+		if body.IsComplete {
 			back := l.up.id
 			if m.up {
 				back = l.down.id
 			}
-			at.pub.Known(back, body.Through)
+			at.pub.VectorLearned(back, body.Through)
 		}
 		at.took(got)
-		answer(Acknowledgement{Batch: body.Number, InForce: at.store.Vector().Clone()})
+		answer(Acknowledgement{BatchNumber: body.Number, Applied: at.store.Vector().Clone()})
 	case Acknowledgement:
-		at.pub.Acknowledged(w.now, way.id, body)
-		at.took(Received{})
+		at.pub.BatchAcknowledged(w.now, way.id, body)
+		at.took(BatchResult{})
 	case Digests:
-		services, total, _ := way.receiver.Compare(body)
-		at.took(Received{})
+		services, total, _ := way.receiver.CompareDigests(body)
+		at.took(BatchResult{})
 		if total {
 			answer(askDigests{})
 		} else if len(services) > 0 {
 			answer(services)
 		}
 	case []string:
-		at.pub.Whole(w.now, way.id, body)
+		at.pub.ResyncSubscriber(w.now, way.id, body)
 	case askDigests:
 		answer(Digests{Services: at.pub.ServiceDigests()})
 	}
@@ -337,8 +337,8 @@
 func (w *world) subscribed(l *link, at, other *holder, asked Subscription) {
 	l.down.id = at.pub.Subscribe(w.now, asked)
 	at.routes[l.down.id] = route{l, false}
-	at.took(Received{})
-	if asked.Role == Node && !at.store.Lacks(asked.Vector) {
+	at.took(BatchResult{})
+	if asked.Role == RoleNode && !at.store.IsBehind(asked.Vector) {
 		return
 	}
 	l.up.receiver = NewReceiver(at.store)
@@ -346,14 +346,14 @@
 }
 
 func (w *world) followed(l *link, at, other *holder, asked follow) {
-	s := Subscription{Name: other.name, Role: Control, All: true, Vector: asked.vector}
-	if at.role == Node {
-		l.up.id = at.pub.Offer(w.now, s)
+	s := Subscription{Name: other.name, Role: RoleControl, AllServices: true, Vector: asked.vector}
+	if at.role == RoleNode {
+		l.up.id = at.pub.SubscribePartial(w.now, s)
 	} else {
 		l.up.id = at.pub.Subscribe(w.now, s)
 	}
 	at.routes[l.up.id] = route{l, true}
-	at.took(Received{})
+	at.took(BatchResult{})
 }
 
 // settle connects all and goes on until nobody has anything to say and all digests agree.
@@ -427,14 +427,14 @@
 }
 
 func (w *world) covered(e Entry) bool {
-	return slices.ContainsFunc(w.holders, func(h *holder) bool { return h.role == Control && h.store.Vector().Covers(e) })
+	return slices.ContainsFunc(w.holders, func(h *holder) bool { return h.role == RoleControl && h.store.Vector().Covers(e) })
 }
 
 // check has each holder hold just the winners of its services.
 func (w *world) check(expected map[Key]Entry) {
 	for _, h := range w.holders {
 		for k, e := range expected {
-			if h.role == Node && !slices.Contains(h.services, k.Service) {
+			if h.role == RoleNode && !slices.Contains(h.services, k.Service) {
 				continue
 			}
 			got, ok := h.store.Entry(k)
@@ -449,7 +449,7 @@
 			}
 		}
 		for _, e := range held(h.store) {
-			if h.role == Node && !slices.Contains(h.services, e.Key.Service) {
+			if h.role == RoleNode && !slices.Contains(h.services, e.Key.Service) {
 				w.fail("%s: holds %s of another's", h.name, e.Key)
 			}
 			if _, ok := expected[e.Key]; !ok {
--- a/internal/controlplane/plan/api.go
+++ b/internal/controlplane/plan/api.go
@@ -14,68 +14,68 @@
 type Report struct {
 	_ struct{} `cbor:",toarray"`
 
-	Sent    time.Duration // by the forwarder's clock, which the plan sends back
-	Span    time.Duration
-	Figures Figures
-	Flying  int // hops out now
-	Types   []Type
-	Tenants []Tenant // those with traffic; one that is not named had none
-	Servers []Server
-	Held    []Held              // the shares that it follows now
-	Above   []incarnation.Entry // lives of which it knows more than this planner has told
+	SentAt            time.Duration // by the forwarder's clock, which the plan sends back
+	Interval          time.Duration
+	Settings          ForwarderSettings
+	InFlight          int // hops out now
+	Types             []TypeReport
+	Tenants           []TenantReport // those with traffic; one that is not named had none
+	Servers           []ServerReport
+	CurrentShares     []CurrentShare      // the shares that it follows now
+	NewerIncarnations []incarnation.Entry // lives of which it knows more than this planner has told
 }
 
-// Figures are those of its settings that a planner needs.
-type Figures struct {
+// ForwarderSettings are those of its settings that a planner needs.
+type ForwarderSettings struct {
 	_ struct{} `cbor:",toarray"`
 
-	Nodes        int // as its settings count them
-	ColdFor      time.Duration
-	ColdStart    float64
-	FallMultiple float64
-	Allowances   float64 // of all tenants together, a second over all nodes
+	Nodes             int // as its settings count them
+	SlowStartDuration time.Duration
+	InitialCapacity   float64
+	FallMultiple      float64
+	TotalAllowance    float64 // of all tenants together, a second over all nodes
 }
 
-// Type is a traffic type at one forwarder.
-type Type struct {
+// TypeReport is a traffic type at one forwarder.
+type TypeReport struct {
 	_ struct{} `cbor:",toarray"`
 
-	Name   string
-	Target time.Duration
-	Asked  int
-	Denied int
+	Name       string
+	TargetTime time.Duration
+	Requests   int
+	Rejected   int
 }
 
-// Tenant is one tenant's traffic there.
-type Tenant struct {
+// TenantReport is one tenant's traffic there.
+type TenantReport struct {
 	_ struct{} `cbor:",toarray"`
 
 	Name      string
 	Allowance float64 // a second, over all nodes
-	Asked     int
+	Requests  int
 }
 
-// Server is how hops to one server ended.
-type Server struct {
+// ServerReport is how hops to one server ended.
+type ServerReport struct {
 	_ struct{} `cbor:",toarray"`
 
-	ID       string
-	Answered []Answered
-	TimedOut int
-	Failed   int // errors, and connections that did not come up
+	ID          string
+	Completions []Completions
+	TimedOut    int
+	Failed      int // errors, and connections that did not come up
 }
 
-// Answered are the answers of one type, by its place in the report's types.
-type Answered struct {
+// Completions are the answers of one type, by its place in the report's types.
+type Completions struct {
 	_ struct{} `cbor:",toarray"`
 
-	Type int
-	N    int
-	Sum  time.Duration // of the time that they took
+	TypeIndex    int
+	Count        int
+	TotalLatency time.Duration // of the time that they took
 }
 
-// Held is a share that a forwarder follows.
-type Held struct {
+// CurrentShare is a share that a forwarder follows.
+type CurrentShare struct {
 	_ struct{} `cbor:",toarray"`
 
 	ID    string
@@ -86,32 +86,32 @@
 type Plan struct {
 	_ struct{} `cbor:",toarray"`
 
-	Start   int64         // of the planner, Unix time in ms: two planners are told apart by it
-	Number  uint64        // counts its plans
-	Heard   time.Duration // Sent of the last report that it rests on: its age, whatever delayed it; 0: none yet
-	Seen    int           // forwarders that it hears
-	Nodes   int           // that share the load
-	Admit   float64
-	Within  []Within
-	Servers []Share
-	Lives   []incarnation.Entry // all that it knows, those gone of late too
+	PlannerStartMs      int64         // of the planner, Unix time in ms: two planners are told apart by it
+	Number              uint64        // counts its plans
+	ReportSentAt        time.Duration // Sent of the last report that it rests on: its age, whatever delayed it; 0: none yet
+	ReportingForwarders int           // forwarders that it hears
+	Nodes               int           // that share the load
+	AdmittedShare       float64
+	WithinAllowance     []TenantShare
+	Servers             []ServerShare
+	Incarnations        []incarnation.Entry // all that it knows, those gone of late too
 }
 
-// Within is the share of a tenant's operations within its allowance.
-type Within struct {
+// TenantShare is the share of a tenant's operations within its allowance.
+type TenantShare struct {
 	_ struct{} `cbor:",toarray"`
 
 	Tenant string
 	Share  float64
 }
 
-// Share is what the plan says of one server.
-type Share struct {
+// ServerShare is what the plan says of one server.
+type ServerShare struct {
 	_ struct{} `cbor:",toarray"`
 
-	ID    string
-	Share float64       // of the forwarder's part; all add up to 1
-	Avoid bool          // it is much slower than its rule, as all together see it
-	Pace  float64       // hops a second while it is cold, were it warm; 0: it is not cold
-	Rest  time.Duration // from the plan's making
+	ID                string
+	Share             float64       // of the forwarder's part; all add up to 1
+	IsAvoided         bool          // it is much slower than its rule, as all together see it
+	SlowStartRate     float64       // hops a second while it is cold, were it warm; 0: it is not cold
+	EjectionRemaining time.Duration // from the plan's making
 }
--- a/internal/controlplane/plan/plan_test.go
+++ b/internal/controlplane/plan/plan_test.go
@@ -20,22 +20,22 @@
 type world struct {
 	p     *Planner
 	now   time.Duration
-	held  map[string][]Held
+	held  map[string][]CurrentShare
 	names []string
 	ids   []string
 }
 
 func newWorld(forwarders, servers int) *world {
-	w := &world{p: New(0), now: time.Second, held: map[string][]Held{}}
+	w := &world{p: NewPlanner(0), now: time.Second, held: map[string][]CurrentShare{}}
 	for f := range forwarders {
 		w.names = append(w.names, fmt.Sprintf("n%03d", f))
 	}
 	var list []incarnation.Entry
 	for s := range servers {
 		w.ids = append(w.ids, fmt.Sprintf("s%03d", s))
-		list = append(list, incarnation.Entry{ID: w.ids[s], Size: 1, Revision: 1})
+		list = append(list, incarnation.Entry{ID: w.ids[s], Weight: 1, Revision: 1})
 	}
-	w.p.Listed(w.now, list, true)
+	w.p.EndpointsUpdated(w.now, list, true)
 	return w
 }
 
@@ -46,24 +46,24 @@
 }
 
 // step has each forwarder report half a second, by what meet says of each server, and returns the plan.
-func (w *world) step(meet func(f, s int) digest) *Whole {
+func (w *world) step(meet func(f, s int) digest) *FleetPlan {
 	w.now += 500 * ms
 	for f, name := range w.names {
-		r := Report{Sent: w.now, Span: 500 * ms, Flying: 1, Held: w.held[name], Figures: Figures{Nodes: len(w.names), ColdFor: 5 * time.Second, ColdStart: 0.4, FallMultiple: 2.5},
-			Types: []Type{{Name: "check", Target: 200 * ms}}}
+		r := Report{SentAt: w.now, Interval: 500 * ms, InFlight: 1, CurrentShares: w.held[name], Settings: ForwarderSettings{Nodes: len(w.names), SlowStartDuration: 5 * time.Second, InitialCapacity: 0.4, FallMultiple: 2.5},
+			Types: []TypeReport{{Name: "check", TargetTime: 200 * ms}}}
 		for s, id := range w.ids {
 			if d := meet(f, s); d != (digest{}) {
-				r.Servers = append(r.Servers, Server{ID: id, TimedOut: d.timedOut, Failed: d.failed, Answered: []Answered{{Type: 0, N: d.n, Sum: time.Duration(d.n) * d.took}}})
+				r.Servers = append(r.Servers, ServerReport{ID: id, TimedOut: d.timedOut, Failed: d.failed, Completions: []Completions{{TypeIndex: 0, Count: d.n, TotalLatency: time.Duration(d.n) * d.took}}})
 			}
 		}
-		w.p.Reported(w.now, name, &r)
+		w.p.ReportReceived(w.now, name, &r)
 	}
-	whole := w.p.Plan(w.now)
+	whole := w.p.ComputePlans(w.now)
 	for _, name := range w.names {
-		var held []Held
-		for _, s := range whole.For(name).Servers {
+		var held []CurrentShare
+		for _, s := range whole.ForForwarder(name).Servers {
 			if s.Share > 0 {
-				held = append(held, Held{ID: s.ID, Share: s.Share})
+				held = append(held, CurrentShare{ID: s.ID, Share: s.Share})
 			}
 		}
 		w.held[name] = held
@@ -79,13 +79,13 @@
 }
 
 // loads are what each server gets by the shares, over its even part.
-func (w *world) loads(whole *Whole) []float64 {
+func (w *world) loads(whole *FleetPlan) []float64 {
 	loads, at := make([]float64, len(w.ids)), map[string]int{}
 	for i, id := range w.ids {
 		at[id] = i
 	}
 	for _, name := range w.names {
-		for _, s := range whole.For(name).Servers {
+		for _, s := range whole.ForForwarder(name).Servers {
 			loads[at[s.ID]] += s.Share * float64(len(w.ids)) / float64(len(w.names))
 		}
 	}
@@ -95,18 +95,18 @@
 // The same reports at the same times give the same plan, and a planner that starts anew goes on from what forwarders hold.
 func TestSamePlan(t *testing.T) {
 	a, b := newWorld(40, 12), newWorld(40, 12)
-	var x, y *Whole
+	var x, y *FleetPlan
 	for range 6 {
 		x, y = a.step(well), b.step(well)
 	}
-	if p, q := text(t, x.For("n007")), text(t, y.For("n007")); p != q {
+	if p, q := text(t, x.ForForwarder("n007")), text(t, y.ForForwarder("n007")); p != q {
 		t.Errorf("%s\n%s", p, q)
 	}
-	b.p = New(0)
-	b.p.Listed(b.now, a.p.lives.All(), true)
+	b.p = NewPlanner(0)
+	b.p.EndpointsUpdated(b.now, a.p.lives.All(), true)
 	moved := 0
 	before := b.held
-	b.held = map[string][]Held{}
+	b.held = map[string][]CurrentShare{}
 	for n, h := range before {
 		b.held[n] = h
 	}
@@ -140,12 +140,12 @@
 	for _, c := range []struct{ forwarders, servers int }{{1, 1}, {1, 40}, {3, 13}, {16, 13}, {220, 52}, {557, 192}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			w := newWorld(c.forwarders, c.servers)
-			var whole *Whole
+			var whole *FleetPlan
 			for range 4 {
 				whole = w.step(well)
 			}
 			for _, n := range w.names {
-				sum, part := 0.0, whole.For(n).Servers
+				sum, part := 0.0, whole.ForForwarder(n).Servers
 				for _, s := range part {
 					sum += s.Share
 				}
@@ -188,24 +188,24 @@
 			for range 20 {
 				w.step(well)
 			}
-			var whole *Whole
+			var whole *FleetPlan
 			for range 2 {
 				whole = w.step(c.meet)
 			}
 			rest, avoided := map[string]bool{}, map[string]bool{}
 			for _, n := range w.names {
-				for _, s := range whole.For(n).Servers {
-					if s.Rest > 0 {
+				for _, s := range whole.ForForwarder(n).Servers {
+					if s.EjectionRemaining > 0 {
 						rest[s.ID] = true
 					}
-					if s.Avoid {
+					if s.IsAvoided {
 						avoided[s.ID] = true
 					}
 				}
 			}
-			p := whole.For(w.names[0])
-			if len(rest) != c.rest || len(avoided) != c.avoided || c.admits != (p.Admit == 1) {
-				t.Errorf("%d rest, %d are avoided, %.2f is let in", len(rest), len(avoided), p.Admit)
+			p := whole.ForForwarder(w.names[0])
+			if len(rest) != c.rest || len(avoided) != c.avoided || c.admits != (p.AdmittedShare == 1) {
+				t.Errorf("%d rest, %d are avoided, %.2f is let in", len(rest), len(avoided), p.AdmittedShare)
 			}
 		})
 	}
@@ -236,16 +236,16 @@
 		for range 8 {
 			w.step(well)
 		}
-		w.p.Listed(w.now, []incarnation.Entry{{ID: "s003", Size: 1, Up: w.now.Milliseconds(), Revision: 2}}, false)
+		w.p.EndpointsUpdated(w.now, []incarnation.Entry{{ID: "s003", Weight: 1, StartedUnixMS: w.now.Milliseconds(), Revision: 2}}, false)
 		whole := w.step(well)
 		sum, rate := 0.0, 0.0
 		for _, n := range w.names {
-			for _, s := range whole.For(n).Servers {
+			for _, s := range whole.ForForwarder(n).Servers {
 				if s.ID == "s003" {
-					if s.Pace <= 0 {
+					if s.SlowStartRate <= 0 {
 						t.Fatalf("%s may feed it as it likes", n)
 					}
-					sum += s.Pace
+					sum += s.SlowStartRate
 				}
 			}
 			rate += w.p.forwarders[n].rate
@@ -265,13 +265,13 @@
 	for _, f := range w.p.forwarders {
 		f.figures.Nodes = 20
 	}
-	w.p.Listed(w.now, []incarnation.Entry{{ID: "s003", Size: 1, Up: w.now.Milliseconds(), Revision: 2}}, false)
-	whole := w.p.Plan(w.now)
+	w.p.EndpointsUpdated(w.now, []incarnation.Entry{{ID: "s003", Weight: 1, StartedUnixMS: w.now.Milliseconds(), Revision: 2}}, false)
+	whole := w.p.ComputePlans(w.now)
 	sum := 0.0
 	for _, n := range w.names {
-		for _, s := range whole.For(n).Servers {
+		for _, s := range whole.ForForwarder(n).Servers {
 			if s.ID == "s003" {
-				sum += s.Pace
+				sum += s.SlowStartRate
 			}
 		}
 	}
@@ -282,14 +282,14 @@
 
 // A tenant is within its allowance by what all forwarders saw of it, unless the others leave room.
 func TestWithin(t *testing.T) {
-	p := New(0)
+	p := NewPlanner(0)
 	for i := range 60 {
 		now := time.Duration(i) * 500 * ms
 		for f := range 10 {
-			r := Report{Span: 500 * ms, Tenants: []Tenant{{Name: "big", Allowance: 100, Asked: 10}, {Name: "small", Allowance: 100, Asked: 5}}}
-			p.Reported(now, fmt.Sprint(f), &r)
+			r := Report{Interval: 500 * ms, Tenants: []TenantReport{{Name: "big", Allowance: 100, Requests: 10}, {Name: "small", Allowance: 100, Requests: 5}}}
+			p.ReportReceived(now, fmt.Sprint(f), &r)
 		}
-		p.Plan(now)
+		p.ComputePlans(now)
 	}
 	for _, w := range p.within() {
 		want := map[string]float64{"big": 0.5, "small": 1}[w.Tenant] // 200 and 100 a second
@@ -305,33 +305,33 @@
 		var told, held Plan
 		lives := incarnation.NewTable()
 		for n := range rapid.IntRange(1, 12).Draw(t, "plans") {
-			next := Plan{Number: uint64(n + 1), Nodes: n, Admit: 0.5}
+			next := Plan{Number: uint64(n + 1), Nodes: n, AdmittedShare: 0.5}
 			for s := range 6 {
 				if rapid.Bool().Draw(t, "there") {
-					next.Servers = append(next.Servers, Share{ID: fmt.Sprint(s), Share: rapid.Float64Range(0, 1).Draw(t, "share"),
-						Rest: time.Duration(rapid.IntRange(0, 1).Draw(t, "rest")), Avoid: rapid.Bool().Draw(t, "avoid")})
+					next.Servers = append(next.Servers, ServerShare{ID: fmt.Sprint(s), Share: rapid.Float64Range(0, 1).Draw(t, "share"),
+						EjectionRemaining: time.Duration(rapid.IntRange(0, 1).Draw(t, "rest")), IsAvoided: rapid.Bool().Draw(t, "avoid")})
 				}
 				if rapid.Bool().Draw(t, "lives") {
-					next.Lives = append(next.Lives, incarnation.Entry{ID: fmt.Sprint(s), Turn: uint32(rapid.IntRange(0, n).Draw(t, "turn"))})
+					next.Incarnations = append(next.Incarnations, incarnation.Entry{ID: fmt.Sprint(s), Generation: uint32(rapid.IntRange(0, n).Draw(t, "turn"))})
 				}
 			}
 			var c Change
 			c, told = Diff(told, next)
 			held = Apply(held, c)
-			lives.Join(0, c.Lives)
-			got := map[string]Share{}
+			lives.Join(0, c.Incarnations)
+			got := map[string]ServerShare{}
 			for _, s := range held.Servers {
 				got[s.ID] = s
 			}
 			for _, s := range next.Servers {
-				if g, ok := got[s.ID]; !ok || !near(g.Share, s.Share) || g.Rest != s.Rest || g.Avoid != s.Avoid {
+				if g, ok := got[s.ID]; !ok || !near(g.Share, s.Share) || g.EjectionRemaining != s.EjectionRemaining || g.IsAvoided != s.IsAvoided {
 					t.Fatalf("%+v is held as %+v", s, g)
 				}
 			}
 			if len(got) != len(next.Servers) || len(held.Servers) != len(got) || held.Number != next.Number {
 				t.Fatalf("%d servers, not %d", len(held.Servers), len(next.Servers))
 			}
-			for _, e := range next.Lives {
+			for _, e := range next.Incarnations {
 				if h, ok := lives.Get(e.ID); !ok || incarnation.Compare(h, e) < 0 {
 					t.Fatalf("the life %+v was not told", e)
 				}
@@ -344,13 +344,13 @@
 func TestNonsense(t *testing.T) {
 	w := newWorld(5, 6)
 	w.step(well)
-	huge := Report{Span: -1, Flying: -9, Types: []Type{{}}, Held: []Held{{ID: "s000", Share: math.NaN()}, {ID: "s001", Share: 1e300}},
-		Servers: []Server{{ID: "s000", TimedOut: -5, Failed: -5, Answered: []Answered{{Type: 9, N: 1}, {Type: -1, N: 1}, {Type: 0, N: -7, Sum: 1}}}}}
-	w.p.Reported(w.now, "odd", &huge)
+	huge := Report{Interval: -1, InFlight: -9, Types: []TypeReport{{}}, CurrentShares: []CurrentShare{{ID: "s000", Share: math.NaN()}, {ID: "s001", Share: 1e300}},
+		Servers: []ServerReport{{ID: "s000", TimedOut: -5, Failed: -5, Completions: []Completions{{TypeIndex: 9, Count: 1}, {TypeIndex: -1, Count: 1}, {TypeIndex: 0, Count: -7, TotalLatency: 1}}}}}
+	w.p.ReportReceived(w.now, "odd", &huge)
 	whole := w.step(well)
 	for _, n := range w.names {
-		for _, s := range whole.For(n).Servers {
-			if !(s.Share >= 0 && s.Share <= 1) || math.IsNaN(s.Pace) {
+		for _, s := range whole.ForForwarder(n).Servers {
+			if !(s.Share >= 0 && s.Share <= 1) || math.IsNaN(s.SlowStartRate) {
 				t.Errorf("%s: %+v", n, s)
 			}
 		}
@@ -365,7 +365,7 @@
 	}
 	b.ResetTimer()
 	for b.Loop() {
-		w.p.Plan(w.now)
+		w.p.ComputePlans(w.now)
 	}
 }
 
@@ -379,7 +379,7 @@
 			f.held = nil
 		}
 		b.StartTimer()
-		w.p.Plan(w.now)
+		w.p.ComputePlans(w.now)
 	}
 }
 
@@ -400,7 +400,7 @@
 	for b.Loop() {
 		whole := w.step(meet)
 		for _, n := range w.names {
-			next := whole.For(n)
+			next := whole.ForForwarder(n)
 			var c Change
 			c, told[n] = Diff(told[n], next)
 			text, _ := planwire.Append(nil, planwire.ChangeKind, c)
@@ -422,18 +422,18 @@
 	share := func(named bool, now *time.Duration, p *Planner, asked int) (busy float64, told bool) {
 		for range 60 {
 			*now += 500 * ms
-			r := Report{Span: 500 * ms, Figures: Figures{Allowances: (idle + 2) * allowance}}
+			r := Report{Interval: 500 * ms, Settings: ForwarderSettings{TotalAllowance: (idle + 2) * allowance}}
 			if asked > 0 || named {
-				r.Tenants = append(r.Tenants, Tenant{Name: "busy", Allowance: allowance, Asked: asked})
+				r.Tenants = append(r.Tenants, TenantReport{Name: "busy", Allowance: allowance, Requests: asked})
 			}
-			r.Tenants = append(r.Tenants, Tenant{Name: "other", Allowance: allowance, Asked: 70}) // beyond its allowance too
+			r.Tenants = append(r.Tenants, TenantReport{Name: "other", Allowance: allowance, Requests: 70}) // beyond its allowance too
 			for i := range idle {
 				if named {
-					r.Tenants = append(r.Tenants, Tenant{Name: fmt.Sprint("idle", i), Allowance: allowance})
+					r.Tenants = append(r.Tenants, TenantReport{Name: fmt.Sprint("idle", i), Allowance: allowance})
 				}
 			}
-			p.Reported(*now, "f", &r)
-			p.Plan(*now)
+			p.ReportReceived(*now, "f", &r)
+			p.ComputePlans(*now)
 		}
 		for _, w := range p.within() {
 			if w.Tenant == "busy" {
@@ -444,7 +444,7 @@
 	}
 	shares := map[bool]float64{}
 	for _, named := range []bool{true, false} {
-		p, now := New(0), time.Duration(0)
+		p, now := NewPlanner(0), time.Duration(0)
 		shares[named], _ = share(named, &now, p, 100)
 		for range 3 {
 			share(named, &now, p, 0)
--- a/internal/controlplane/plan/planner.go
+++ b/internal/controlplane/plan/planner.go
@@ -47,7 +47,7 @@
 	name     string
 	heard    time.Duration
 	sent     time.Duration // by its own clock
-	figures  Figures
+	figures  ForwarderSettings
 	rate     float64 // hops a second
 	inFlight float64
 	held     map[string]float64
@@ -97,19 +97,19 @@
 	admit      float64
 }
 
-// New starts a planner; start is the Unix time in ms, by which its plans are told from others'.
-func New(start int64) *Planner {
+// NewPlanner starts a planner; start is the Unix time in ms, by which its plans are told from others'.
+func NewPlanner(start int64) *Planner {
 	return &Planner{start: start, lives: incarnation.NewTable(), forwarders: map[string]*forwarder{}, servers: map[string]*server{},
 		kinds: map[string]*kind{}, tenants: map[string]*tenant{}, admit: 1}
 }
 
-// Listed takes in what discovery tells.
-func (p *Planner) Listed(now time.Duration, list []incarnation.Entry, whole bool) {
-	p.lives.Told(now, list, whole)
+// EndpointsUpdated takes in what discovery tells.
+func (p *Planner) EndpointsUpdated(now time.Duration, list []incarnation.Entry, whole bool) {
+	p.lives.ApplyDiscovery(now, list, whole)
 }
 
-// Reported takes in a forwarder's report. One forwarder too many is not heard.
-func (p *Planner) Reported(now time.Duration, name string, r *Report) {
+// ReportReceived takes in a forwarder's report. One forwarder too many is not heard.
+func (p *Planner) ReportReceived(now time.Duration, name string, r *Report) {
 	f := p.forwarders[name]
 	if f == nil {
 		if len(p.forwarders) >= forwarderTop {
@@ -118,14 +118,14 @@
 		f = &forwarder{name: name}
 		p.forwarders[name] = f
 	}
-	p.lives.Join(now, r.Above)
-	f.heard, f.sent, f.figures, f.held = now, r.Sent, r.Figures, make(map[string]float64, len(r.Held))
-	for _, h := range r.Held {
+	p.lives.Join(now, r.NewerIncarnations)
+	f.heard, f.sent, f.figures, f.held = now, r.SentAt, r.Settings, make(map[string]float64, len(r.CurrentShares))
+	for _, h := range r.CurrentShares {
 		if h.Share > 0 && h.Share <= 1 {
 			f.held[h.ID] = h.Share
 		}
 	}
-	span := min(max(r.Span, 50*time.Millisecond), rateSpan)
+	span := min(max(r.Interval, 50*time.Millisecond), rateSpan)
 	keep := math.Exp(-span.Seconds() / rateSpan.Seconds())
 	hops := 0
 	for _, s := range r.Servers {
@@ -134,7 +134,7 @@
 	if f.rate = keep*f.rate + (1-keep)*float64(hops)/span.Seconds(); f.rate < 1e-3 {
 		f.rate = 0
 	}
-	f.inFlight = keep*f.inFlight + (1-keep)*float64(max(r.Flying, 0))
+	f.inFlight = keep*f.inFlight + (1-keep)*float64(max(r.InFlight, 0))
 	for _, t := range r.Tenants {
 		k := p.tenants[t.Name]
 		if k == nil {
@@ -145,12 +145,12 @@
 			p.tenants[t.Name] = k
 		}
 		k.allowance = max(k.allowance, t.Allowance)
-		k.rate += float64(max(t.Asked, 0)) / rateSpan.Seconds()
+		k.rate += float64(max(t.Requests, 0)) / rateSpan.Seconds()
 	}
 }
 
 // judge books what one forwarder tells of one server; it returns how many hops ended.
-func (p *Planner) judge(now time.Duration, name string, r *Report, told *Server) (hops int) {
+func (p *Planner) judge(now time.Duration, name string, r *Report, told *ServerReport) (hops int) {
 	s := p.servers[told.ID]
 	if s == nil {
 		if len(p.servers) >= serversTop {
@@ -159,16 +159,16 @@
 		s = &server{seen: map[string]time.Duration{}, cold: 1}
 		p.servers[told.ID] = s
 	}
-	for _, a := range told.Answered {
-		if a.Type < 0 || a.Type >= len(r.Types) || a.N <= 0 || a.Sum < 0 {
+	for _, a := range told.Completions {
+		if a.TypeIndex < 0 || a.TypeIndex >= len(r.Types) || a.Count <= 0 || a.TotalLatency < 0 {
 			continue
 		}
-		hops += a.N
-		k := p.kind(&r.Types[a.Type])
-		n, spent := float64(a.N), a.Sum.Seconds()/float64(a.N)
+		hops += a.Count
+		k := p.kind(&r.Types[a.TypeIndex])
+		n, spent := float64(a.Count), a.TotalLatency.Seconds()/float64(a.Count)
 		s.n += n
 		s.sum += n * spent / max(k.usual, 1e-6)
-		k.answers, k.sum = k.answers+n, k.sum+a.Sum.Seconds()
+		k.answers, k.sum = k.answers+n, k.sum+a.TotalLatency.Seconds()
 		p.strain += n * spent / k.allowed()
 		p.ended += n
 		s.ejectionsInRow = 0
@@ -187,16 +187,16 @@
 	return hops + max(told.TimedOut, 0) + max(told.Failed, 0)
 }
 
-func (p *Planner) kind(t *Type) *kind {
+func (p *Planner) kind(t *TypeReport) *kind {
 	k := p.kinds[t.Name]
 	if k == nil {
-		first := max(t.Target, time.Millisecond).Seconds() / 4 // as in the module, until answers tell
+		first := max(t.TargetTime, time.Millisecond).Seconds() / 4 // as in the module, until answers tell
 		k = &kind{usual: first, base: first}
 		if len(p.kinds) < serversTop {
 			p.kinds[t.Name] = k
 		}
 	}
-	k.target = max(t.Target, time.Millisecond)
+	k.target = max(t.TargetTime, time.Millisecond)
 	return k
 }
 
@@ -246,7 +246,7 @@
 	p.admission(passed)
 	keep := fade(judgeSpan)
 	p.ended, p.late, p.strain = p.ended*keep, p.late*keep, p.strain*keep
-	p.lives.Forget(now)
+	p.lives.ExpireTombstones(now)
 	known := map[string]bool{}
 	for _, e := range p.lives.All() {
 		if e.Condition != incarnation.Up {
@@ -256,7 +256,7 @@
 		if p.servers[e.ID] == nil {
 			p.servers[e.ID] = &server{seen: map[string]time.Duration{}, cold: 1}
 		}
-		if s := p.servers[e.ID]; s.life.Up != e.Up || s.life.Turn != e.Turn {
+		if s := p.servers[e.ID]; s.life.StartedUnixMS != e.StartedUnixMS || s.life.Generation != e.Generation {
 			*s = server{seen: map[string]time.Duration{}, cold: 1, life: e} // another life: what was known was of the one before
 		} else {
 			s.life = e
--- a/internal/controlplane/plan/scenario_test.go
+++ b/internal/controlplane/plan/scenario_test.go
@@ -16,21 +16,21 @@
 
 // describePlan is one forwarder's plan as text. Numbers are rounded: some sums run over maps.
 func describePlan(out *strings.Builder, name string, p Plan) {
-	fmt.Fprintf(out, "%s: number %d, heard %v, seen %d, nodes %d, admit %.6g\n", name, p.Number, p.Heard, p.Seen, p.Nodes, p.Admit)
-	for _, w := range p.Within {
+	fmt.Fprintf(out, "%s: number %d, heard %v, seen %d, nodes %d, admit %.6g\n", name, p.Number, p.ReportSentAt, p.ReportingForwarders, p.Nodes, p.AdmittedShare)
+	for _, w := range p.WithinAllowance {
 		fmt.Fprintf(out, "  tenant %s %.6g\n", w.Tenant, w.Share)
 	}
 	for _, s := range p.Servers {
-		fmt.Fprintf(out, "  server %s share %.6g avoid %t pace %.6g rest %v\n", s.ID, s.Share, s.Avoid, s.Pace, s.Rest)
+		fmt.Fprintf(out, "  server %s share %.6g avoid %t pace %.6g rest %v\n", s.ID, s.Share, s.IsAvoided, s.SlowStartRate, s.EjectionRemaining)
 	}
-	fmt.Fprintf(out, "  %d lives\n", len(p.Lives))
+	fmt.Fprintf(out, "  %d lives\n", len(p.Incarnations))
 }
 
 // TestScenario pins the plans of a fixed course of events: a calm start, failing and slow servers, a start and a drain,
 // overload, forwarders that leave.
 func TestScenario(t *testing.T) {
 	w := newWorld(20, 12)
-	tenants := []Tenant{{Name: "big", Allowance: 100, Asked: 40}, {Name: "small", Allowance: 50, Asked: 5}}
+	tenants := []TenantReport{{Name: "big", Allowance: 100, Requests: 40}, {Name: "small", Allowance: 50, Requests: 5}}
 	overload := func(f, s int) digest {
 		if d := well(f, s); d.n > 0 {
 			return digest{n: 1, took: 190 * ms, timedOut: 3}
@@ -49,13 +49,13 @@
 		{"calm again", nil, 12, well},
 		{"two servers are slow", nil, 4, func(f, s int) digest { return slow(f, s, 2) }},
 		{"a server starts, another drains", func() {
-			w.p.Listed(w.now, []incarnation.Entry{{ID: "s003", Size: 2, Up: w.now.Milliseconds(), Revision: 2},
-				{ID: "s004", Size: 1, Condition: incarnation.Draining, Revision: 2}}, false)
+			w.p.EndpointsUpdated(w.now, []incarnation.Entry{{ID: "s003", Weight: 2, StartedUnixMS: w.now.Milliseconds(), Revision: 2},
+				{ID: "s004", Weight: 1, Condition: incarnation.Draining, Revision: 2}}, false)
 		}, 4, well},
 		{"tenants", func() {
 			for _, name := range w.names {
-				w.p.Reported(w.now, name, &Report{Sent: w.now, Span: 500 * ms, Flying: 3, Held: w.held[name], Tenants: tenants,
-					Figures: Figures{Nodes: 24, ColdFor: 5 * time.Second, ColdStart: 0.4, FallMultiple: 2.5, Allowances: 200}})
+				w.p.ReportReceived(w.now, name, &Report{SentAt: w.now, Interval: 500 * ms, InFlight: 3, CurrentShares: w.held[name], Tenants: tenants,
+					Settings: ForwarderSettings{Nodes: 24, SlowStartDuration: 5 * time.Second, InitialCapacity: 0.4, FallMultiple: 2.5, TotalAllowance: 200}})
 			}
 		}, 2, well},
 		{"overload", nil, 6, overload},
@@ -64,13 +64,13 @@
 		if phase.begin != nil {
 			phase.begin()
 		}
-		var whole *Whole
+		var whole *FleetPlan
 		for range phase.steps {
 			whole = w.step(phase.meet)
 		}
 		fmt.Fprintf(&out, "# %s\n", phase.name)
 		for _, name := range []string{"n000", "n007", "unknown"} {
-			describePlan(&out, name, whole.For(name))
+			describePlan(&out, name, whole.ForForwarder(name))
 		}
 	}
 	compareGolden(t, filepath.Join("testdata", "scenario.txt"), out.String())
--- a/internal/controlplane/plan/whole.go
+++ b/internal/controlplane/plan/whole.go
@@ -9,29 +9,29 @@
 
 const grain = 2048 // shares are told in parts of this: two bytes on the wire hold them
 
-// Whole is one plan for all forwarders.
-type Whole struct {
+// FleetPlan is one plan for all forwarders.
+type FleetPlan struct {
 	common Plan
 	names  map[string]int
 	heard  []time.Duration
-	parts  [][]Share
-	cold   []Share // what is said of servers to those outside whose part they are
-	alone  Plan    // for one that has not reported
+	parts  [][]ServerShare
+	cold   []ServerShare // what is said of servers to those outside whose part they are
+	alone  Plan          // for one that has not reported
 }
 
-// Plan works out the plan that holds from now.
-func (p *Planner) Plan(now time.Duration) *Whole {
+// ComputePlans works out the plan that holds from now.
+func (p *Planner) ComputePlans(now time.Duration) *FleetPlan {
 	p.advance(now)
 	p.number++
-	w := &Whole{names: map[string]int{}}
-	w.common = Plan{Start: p.start, Number: p.number, Seen: len(p.forwarders), Nodes: max(len(p.forwarders), 1),
-		Admit: p.admit, Within: p.within(), Lives: p.lives.All()}
+	w := &FleetPlan{names: map[string]int{}}
+	w.common = Plan{PlannerStartMs: p.start, Number: p.number, ReportingForwarders: len(p.forwarders), Nodes: max(len(p.forwarders), 1),
+		AdmittedShare: p.admit, WithinAllowance: p.within(), Incarnations: p.lives.All()}
 	names, servers := ids(p.forwarders), ids(p.servers)
 	var coldFor time.Duration
 	coldStart, fall, counted := 1.0, math.Inf(1), len(names)
 	for _, n := range names {
 		f := p.forwarders[n].figures
-		coldFor, coldStart, counted = max(coldFor, f.ColdFor), min(coldStart, f.ColdStart), max(counted, min(f.Nodes, forwarderTop))
+		coldFor, coldStart, counted = max(coldFor, f.SlowStartDuration), min(coldStart, f.InitialCapacity), max(counted, min(f.Nodes, forwarderTop))
 		if f.FallMultiple > 0 {
 			fall = min(fall, f.FallMultiple)
 		}
@@ -50,26 +50,26 @@
 	}
 	g.deal()
 	g.fit()
-	w.parts = make([][]Share, len(names))
+	w.parts = make([][]ServerShare, len(names))
 	holders := make([]int, len(servers))
 	for i, part := range g.parts {
 		for _, c := range part {
 			holders[c.server]++
-			w.parts[i] = append(w.parts[i], Share{ID: servers[c.server], Share: math.Round(c.share*grain) / grain})
+			w.parts[i] = append(w.parts[i], ServerShare{ID: servers[c.server], Share: math.Round(c.share*grain) / grain})
 		}
 	}
 	paces := p.paces(servers, fall, holders, float64(counted)/float64(max(len(names), 1)))
 	for i, part := range g.parts {
 		for j, c := range part {
-			w.parts[i][j].Pace, w.parts[i][j].Rest = paces[c.server], ejections[servers[c.server]]
-			w.parts[i][j].Avoid = p.servers[servers[c.server]].avoided
+			w.parts[i][j].SlowStartRate, w.parts[i][j].EjectionRemaining = paces[c.server], ejections[servers[c.server]]
+			w.parts[i][j].IsAvoided = p.servers[servers[c.server]].avoided
 		}
 	}
 	for i, id := range servers {
 		if avoided := p.servers[id].avoided; paces[i] > 0 || ejections[id] > 0 || avoided {
-			s := Share{ID: id, Rest: ejections[id], Avoid: avoided}
+			s := ServerShare{ID: id, EjectionRemaining: ejections[id], IsAvoided: avoided}
 			if paces[i] > 0 {
-				s.Pace = paceNone
+				s.SlowStartRate = paceNone
 			}
 			w.cold = append(w.cold, s)
 		}
@@ -78,15 +78,15 @@
 	return w
 }
 
-// For is one forwarder's plan; one that has not reported yet gets no part.
-func (w *Whole) For(name string) Plan {
+// ForForwarder is one forwarder's plan; one that has not reported yet gets no part.
+func (w *FleetPlan) ForForwarder(name string) Plan {
 	i, ok := w.names[name]
 	if !ok {
 		return w.alone
 	}
 	pl := w.common
-	pl.Heard = w.heard[i]
-	pl.Servers = append([]Share(nil), w.parts[i]...)
+	pl.ReportSentAt = w.heard[i]
+	pl.Servers = append([]ServerShare(nil), w.parts[i]...)
 	for _, c := range w.cold {
 		in := false
 		for _, s := range w.parts[i] {
@@ -101,14 +101,14 @@
 
 // within is each tenant's share within its allowance. As in the module, it goes with the others' traffic where that is
 // above their allowances, also of those that have no traffic: a surplus of all is nobody's.
-func (p *Planner) within() (all []Within) {
+func (p *Planner) within() (all []TenantShare) {
 	allowances, rates := 0.0, 0.0
 	for _, name := range ids(p.tenants) { // in their order, so that plans come out alike
 		t := p.tenants[name]
 		allowances, rates = allowances+t.allowance, rates+t.rate
 	}
 	for _, f := range p.forwarders {
-		allowances = max(allowances, f.figures.Allowances)
+		allowances = max(allowances, f.figures.TotalAllowance)
 	}
 	for _, name := range ids(p.tenants) {
 		t := p.tenants[name]
@@ -116,7 +116,7 @@
 			continue
 		}
 		fair := t.allowance * max(1, (rates-t.rate)/max(allowances-t.allowance, 1e-9))
-		all = append(all, Within{Tenant: name, Share: min(1, fair/max(t.rate, 1e-9))})
+		all = append(all, TenantShare{Tenant: name, Share: min(1, fair/max(t.rate, 1e-9))})
 	}
 	return all
 }
@@ -158,11 +158,11 @@
 	for _, id := range servers {
 		s := p.servers[id]
 		s.cold = 1
-		if age := now - time.Duration(s.life.Up-p.start)*time.Millisecond; s.life.Up > 0 && age < coldFor {
+		if age := now - time.Duration(s.life.StartedUnixMS-p.start)*time.Millisecond; s.life.StartedUnixMS > 0 && age < coldFor {
 			s.cold = coldStart + (1-coldStart)*max(age.Seconds(), 0)/max(coldFor.Seconds(), 1e-9)
 		}
 		rule, sudden := s.slowness()
-		s.weight = max(s.life.Size, 0)
+		s.weight = max(s.life.Weight, 0)
 		if s.weight == 0 {
 			s.weight = 1
 		}
@@ -199,7 +199,7 @@
 		rate += f.rate
 	}
 	for _, id := range servers {
-		sizes += max(p.servers[id].life.Size, 0)
+		sizes += max(p.servers[id].life.Weight, 0)
 	}
 	for _, k := range p.kinds {
 		usual = max(usual, k.usual)
@@ -210,7 +210,7 @@
 		if s.cold >= 1 {
 			continue
 		}
-		whole := rate * max(s.life.Size, 0) / max(sizes, 1e-9)
+		whole := rate * max(s.life.Weight, 0) / max(sizes, 1e-9)
 		if !math.IsInf(fall, 1) && usual > 0 {
 			whole = max(whole, paceFloor*fall/usual)
 		}
--- a/internal/controlplane/planconfig/plancfg.go
+++ b/internal/controlplane/planconfig/plancfg.go
@@ -37,17 +37,17 @@
 
 // Planner is a planner's file.
 type Planner struct {
-	Name      string        `toml:"name"`
-	Listen    string        `toml:"listen"`
-	Discovery string        `toml:"discovery"`
-	Registry  string        `toml:"registry"` // a registry's file, in place of discovery
-	Every     tomlfile.Span `toml:"every"`    // between two plans
+	Name      string            `toml:"name"`
+	Listen    string            `toml:"listen"`
+	Discovery string            `toml:"discovery"`
+	Registry  string            `toml:"registry"` // a registry's file, in place of discovery
+	Interval  tomlfile.Duration `toml:"every"`    // between two plans
 	TLS
 
-	ListenAt    netip.AddrPort    `toml:"-"`
-	DiscoveryAt netip.AddrPort    `toml:"-"`
-	Ensemble    *zookeeper.Config `toml:"-"` // nil: discovery tells of servers
-	Keys        *mtls.Keys        `toml:"-"` // nil: plaintext
+	ListenAddress    netip.AddrPort    `toml:"-"`
+	DiscoveryAddress netip.AddrPort    `toml:"-"`
+	Ensemble         *zookeeper.Config `toml:"-"` // nil: discovery tells of servers
+	Keys             *mtls.Keys        `toml:"-"` // nil: plaintext
 }
 
 // LoadForwarder reads a forwarder's file; each fault is named by file and line.
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Planner{Every: tomlfile.Span(500 * time.Millisecond)}
+	c := &Planner{Interval: tomlfile.Duration(500 * time.Millisecond)}
 	f, err := tomlfile.Parse(path, text, c)
 	if err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 	if c.Name == "" {
 		f.Wrong("name", "a planner needs a name")
 	}
-	if c.ListenAt, err = netip.ParseAddrPort(c.Listen); err != nil {
+	if c.ListenAddress, err = netip.ParseAddrPort(c.Listen); err != nil {
 		f.Wrong("listen", "listen %q: an address and a port are wanted", c.Listen)
 	}
 	if c.Registry != "" && c.Discovery != "" {
@@ -101,17 +101,17 @@
 		if c.Ensemble, err = zookeeper.Load(c.Registry); err != nil {
 			f.Wrong("registry", "%v", err)
 		}
-	} else if c.DiscoveryAt, err = netip.ParseAddrPort(c.Discovery); err != nil {
+	} else if c.DiscoveryAddress, err = netip.ParseAddrPort(c.Discovery); err != nil {
 		f.Wrong("discovery", "discovery %q: an address and a port are wanted", c.Discovery)
 	}
-	if c.Every.D() < leastEvery || c.Every.D() > mostEvery {
-		f.Wrong("every", "every %s: from %s to %s", c.Every.D(), leastEvery, mostEvery)
+	if c.Interval.Std() < leastEvery || c.Interval.Std() > mostEvery {
+		f.Wrong("every", "every %s: from %s to %s", c.Interval.Std(), leastEvery, mostEvery)
 	}
-	c.Keys = c.keys(f, []netip.AddrPort{c.ListenAt})
+	c.Keys = c.keys(f, []netip.AddrPort{c.ListenAddress})
 	return c, f.Err()
 }
 
 // keys loads what the file names; without TLS all addresses must stay on this machine.
 func (t TLS) keys(f *tomlfile.File, addresses []netip.AddrPort) *mtls.Keys {
-	return mtls.Configured(f, mtls.Files{Cert: t.Cert, Key: t.Key, CA: t.CA}, t.Plaintext, addresses)
+	return mtls.KeysFromConfig(f, mtls.Files{Cert: t.Cert, Key: t.Key, CA: t.CA}, t.Plaintext, addresses)
 }
--- a/internal/controlplane/planfollower/follow.go
+++ b/internal/controlplane/planfollower/follow.go
@@ -20,11 +20,11 @@
 	seesEnough = 0.9              // of the forwarders that the best planner hears: then the first one named goes before
 )
 
-// Figures of a forwarder.
-type Figures struct {
-	Planners int
-	Nodes    int     // as its settings count them, for when no plan holds
-	Draw     float64 // of chance, from 0 to 1: its place in the spread
+// Options of a forwarder.
+type Options struct {
+	PlannerCount    int
+	ConfiguredNodes int     // as its settings count them, for when no plan holds
+	PollJitter      float64 // of chance, from 0 to 1: its place in the spread
 }
 
 type source struct {
@@ -35,7 +35,7 @@
 
 // Follower is the module of one forwarder.
 type Follower struct {
-	f       Figures
+	f       Options
 	sources []source
 	from    int                // the planner followed, -1: none
 	shares  map[string]float64 // held now; they add up to 1
@@ -47,33 +47,33 @@
 
 // Effective is what holds now.
 type Effective struct {
-	Planned bool // else the forwarder is a node of its own
-	From    int  // the planner that is followed, -1 while the last plan fades
-	Age     time.Duration
-	Nodes   int
-	Admit   float64
-	Within  []plan.Within // none: by own figures
-	Servers []plan.Share
-	Ask     bool // discovery itself
+	HasPlan             bool // else the forwarder is a node of its own
+	Planner             int  // the planner that is followed, -1 while the last plan fades
+	PlanAge             time.Duration
+	Nodes               int
+	AdmittedShare       float64
+	WithinAllowance     []plan.TenantShare // none: by own figures
+	Servers             []plan.ServerShare
+	ShouldPollDiscovery bool // discovery itself
 }
 
 // New starts without a plan.
-func New(f Figures) *Follower {
-	return &Follower{f: f, sources: make([]source, f.Planners), from: -1, shares: map[string]float64{}}
+func New(f Options) *Follower {
+	return &Follower{f: f, sources: make([]source, f.PlannerCount), from: -1, shares: map[string]float64{}}
 }
 
-// Told takes in a planner's plan, whole.
-func (f *Follower) Told(now time.Duration, planner int, p plan.Plan) {
+// PlanReceived takes in a planner's plan, whole.
+func (f *Follower) PlanReceived(now time.Duration, planner int, p plan.Plan) {
 	f.sources[planner] = source{plan: p, told: true, at: now}
 }
 
 // age of a planner's plan: since the forwarder sent the report that it rests on, so that neither clocks nor a slow way
 // make it look newer.
 func (s *source) age(now time.Duration) time.Duration {
-	if !s.told || s.plan.Heard <= 0 {
+	if !s.told || s.plan.ReportSentAt <= 0 {
 		return expires
 	}
-	return now - s.plan.Heard
+	return now - s.plan.ReportSentAt
 }
 
 // choose takes the first planner named among those that are fresh and hear nearly as many forwarders as any: all
@@ -82,16 +82,16 @@
 	most := 0
 	for i := range f.sources {
 		if s := &f.sources[i]; s.age(now) < freshFor {
-			most = max(most, s.plan.Seen)
+			most = max(most, s.plan.ReportingForwarders)
 		}
 	}
 	return slices.IndexFunc(f.sources, func(s source) bool {
-		return s.age(now) < freshFor && float64(s.plan.Seen) >= seesEnough*float64(most)
+		return s.age(now) < freshFor && float64(s.plan.ReportingForwarders) >= seesEnough*float64(most)
 	})
 }
 
-// Step looks at all that time changes. up tells which servers may be used.
-func (f *Follower) Step(now time.Duration, up func(id string) bool) Effective {
+// Advance looks at all that time changes. up tells which servers may be used.
+func (f *Follower) Advance(now time.Duration, up func(id string) bool) Effective {
 	passed := now - f.last
 	f.last = now
 	if f.from = f.choose(now); f.from >= 0 {
@@ -106,35 +106,35 @@
 	} else {
 		f.age += passed
 	}
-	e := Effective{From: f.from, Age: f.age, Ask: now-f.unheard > askAfter+time.Duration(f.f.Draw*float64(askSpread))}
+	e := Effective{Planner: f.from, PlanAge: f.age, ShouldPollDiscovery: now-f.unheard > askAfter+time.Duration(f.f.PollJitter*float64(askSpread))}
 	if f.held.Number == 0 || f.age >= expires {
 		f.shares = map[string]float64{}
 		f.held = plan.Plan{}
-		e.Nodes, e.From = f.f.Nodes, -1
+		e.Nodes, e.Planner = f.f.ConfiguredNodes, -1
 		return e
 	}
-	e.Planned, e.Nodes, e.Admit = true, max(f.held.Nodes, 1), f.held.Admit
+	e.HasPlan, e.Nodes, e.AdmittedShare = true, max(f.held.Nodes, 1), f.held.AdmittedShare
 	if f.from >= 0 {
-		e.Within = f.held.Within
+		e.WithinAllowance = f.held.WithinAllowance
 	} else { // admission fades: what is not known to be too much is let in
 		gone := float64(f.age-freshFor) / float64(expires-freshFor)
-		e.Admit += (1 - e.Admit) * min(max(gone, 0), 1)
+		e.AdmittedShare += (1 - e.AdmittedShare) * min(max(gone, 0), 1)
 	}
 	f.move(passed, up)
 	for _, s := range f.held.Servers {
-		out := plan.Share{ID: s.ID, Share: f.shares[s.ID], Pace: s.Pace}
+		out := plan.ServerShare{ID: s.ID, Share: f.shares[s.ID], SlowStartRate: s.SlowStartRate}
 		if f.from >= 0 {
-			out.Avoid = s.Avoid
-			out.Rest = max(s.Rest-(now-f.sources[f.from].at), 0)
+			out.IsAvoided = s.IsAvoided
+			out.EjectionRemaining = max(s.EjectionRemaining-(now-f.sources[f.from].at), 0)
 		}
 		e.Servers = append(e.Servers, out)
 	}
 	for id, share := range f.shares { // still held, though the plan has left them
-		if !slices.ContainsFunc(f.held.Servers, func(s plan.Share) bool { return s.ID == id }) {
-			e.Servers = append(e.Servers, plan.Share{ID: id, Share: share})
+		if !slices.ContainsFunc(f.held.Servers, func(s plan.ServerShare) bool { return s.ID == id }) {
+			e.Servers = append(e.Servers, plan.ServerShare{ID: id, Share: share})
 		}
 	}
-	slices.SortFunc(e.Servers, func(a, b plan.Share) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(e.Servers, func(a, b plan.ServerShare) int { return cmp.Compare(a.ID, b.ID) })
 	return e
 }
 
@@ -143,7 +143,7 @@
 func (f *Follower) move(passed time.Duration, up func(id string) bool) {
 	goal, sum := map[string]float64{}, 0.0
 	for _, s := range f.held.Servers {
-		if s.Share > 0 && up(s.ID) && (f.from < 0 || s.Rest == 0) {
+		if s.Share > 0 && up(s.ID) && (f.from < 0 || s.EjectionRemaining == 0) {
 			goal[s.ID] = s.Share
 			sum += s.Share
 		}
@@ -204,12 +204,12 @@
 
 func abs(v float64) float64 { return max(v, -v) }
 
-// Held are the shares as a report tells them.
-func (f *Follower) Held() []plan.Held {
-	held := make([]plan.Held, 0, len(f.shares))
+// CurrentShares are the shares as a report tells them.
+func (f *Follower) CurrentShares() []plan.CurrentShare {
+	held := make([]plan.CurrentShare, 0, len(f.shares))
 	for id, share := range f.shares {
-		held = append(held, plan.Held{ID: id, Share: share})
+		held = append(held, plan.CurrentShare{ID: id, Share: share})
 	}
-	slices.SortFunc(held, func(a, b plan.Held) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(held, func(a, b plan.CurrentShare) int { return cmp.Compare(a.ID, b.ID) })
 	return held
 }
--- a/internal/controlplane/planfollower/follow_test.go
+++ b/internal/controlplane/planfollower/follow_test.go
@@ -16,9 +16,9 @@
 
 // made is a plan that rests on a report of a moment.
 func made(heard time.Duration, seen int, shares ...float64) plan.Plan {
-	p := plan.Plan{Start: 1, Number: 1, Heard: heard, Seen: seen, Nodes: seen, Admit: 0.4, Within: []plan.Within{{Tenant: "a", Share: 0.5}}}
+	p := plan.Plan{PlannerStartMs: 1, Number: 1, ReportSentAt: heard, ReportingForwarders: seen, Nodes: seen, AdmittedShare: 0.4, WithinAllowance: []plan.TenantShare{{Tenant: "a", Share: 0.5}}}
 	for i, s := range shares {
-		p.Servers = append(p.Servers, plan.Share{ID: fmt.Sprint(i), Share: s, Pace: 3})
+		p.Servers = append(p.Servers, plan.ServerShare{ID: fmt.Sprint(i), Share: s, SlowStartRate: 3})
 	}
 	return p
 }
@@ -54,18 +54,18 @@
 		"back after long":                      {[]word{{s, 0, made(s, 20)}, {20 * s, 1, made(20*s, 20)}}, 20 * s, true, 1, 20, 0.4, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := New(Figures{Planners: 2, Nodes: 9, Draw: 0.5})
+			f := New(Options{PlannerCount: 2, ConfiguredNodes: 9, PollJitter: 0.5})
 			var e Effective
 			for now := 250 * ms; now <= c.at; now += 250 * ms {
 				for _, w := range c.words {
 					if w.at == now {
-						f.Told(now, w.planner, w.plan)
+						f.PlanReceived(now, w.planner, w.plan)
 					}
 				}
-				e = f.Step(now, all)
+				e = f.Advance(now, all)
 			}
-			if e.Planned != c.planned || e.From != c.from || e.Nodes != c.nodes || e.Ask != c.ask || len(e.Within) > 0 != c.within ||
-				e.Admit < c.admit-0.05 || e.Admit > c.admit+0.05 {
+			if e.HasPlan != c.planned || e.Planner != c.from || e.Nodes != c.nodes || e.ShouldPollDiscovery != c.ask || len(e.WithinAllowance) > 0 != c.within ||
+				e.AdmittedShare < c.admit-0.05 || e.AdmittedShare > c.admit+0.05 {
 				t.Errorf("%+v", e)
 			}
 		})
@@ -76,7 +76,7 @@
 // servers that must not be used any more; and the shares always add up to 1.
 func TestNoJump(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := New(Figures{Planners: 3, Nodes: 9})
+		f := New(Options{PlannerCount: 3, ConfiguredNodes: 9})
 		up := map[string]bool{"0": true, "1": true, "2": true, "3": true}
 		var before map[string]float64
 		for i := range rapid.IntRange(2, 50).Draw(t, "steps") {
@@ -87,26 +87,26 @@
 					shares = append(shares, rapid.Float64Range(0, 1).Draw(t, "share"))
 				}
 				heard := now - time.Duration(rapid.IntRange(0, 5000).Draw(t, "late"))*ms
-				f.Told(now, rapid.IntRange(0, 2).Draw(t, "planner"), made(heard, rapid.IntRange(1, 20).Draw(t, "seen"), shares...))
+				f.PlanReceived(now, rapid.IntRange(0, 2).Draw(t, "planner"), made(heard, rapid.IntRange(1, 20).Draw(t, "seen"), shares...))
 			}
 			fell := false
 			if rapid.IntRange(0, 9).Draw(t, "falls") == 0 {
 				up["3"], fell = !up["3"], true
 			}
-			e := f.Step(now, func(id string) bool { return up[id] })
+			e := f.Advance(now, func(id string) bool { return up[id] })
 			after, sum, rise := map[string]float64{}, 0.0, 0.0
 			for _, s := range e.Servers {
 				after[s.ID] = s.Share
 				sum += s.Share
 				rise += max(s.Share-before[s.ID], 0)
 			}
-			if e.Planned && sum > 0 && (sum < 0.99 || sum > 1.01) {
+			if e.HasPlan && sum > 0 && (sum < 0.99 || sum > 1.01) {
 				t.Fatalf("shares add up to %f", sum)
 			}
-			if before != nil && !fell && e.Planned && rise > movePerS*0.25+0.001 {
+			if before != nil && !fell && e.HasPlan && rise > movePerS*0.25+0.001 {
 				t.Fatalf("%.3f of the turns moved at once: %v to %v", rise, before, after)
 			}
-			if before = after; !e.Planned || sum == 0 {
+			if before = after; !e.HasPlan || sum == 0 {
 				before = nil
 			}
 			if up["3"] == false && after["3"] > 0 {
--- a/internal/controlplane/planfollower/scenario_test.go
+++ b/internal/controlplane/planfollower/scenario_test.go
@@ -17,29 +17,29 @@
 // TestScenario pins what holds in a fixed course of events: two planners, a server that goes down, an ejection, a planner that
 // falls silent and both of them lost for good.
 func TestScenario(t *testing.T) {
-	f := New(Figures{Planners: 2, Nodes: 9, Draw: 0.5})
+	f := New(Options{PlannerCount: 2, ConfiguredNodes: 9, PollJitter: 0.5})
 	down := map[string]bool{}
 	var out strings.Builder
 	for step := 1; step <= 100; step++ {
 		now := time.Duration(step) * 250 * ms
 		switch {
 		case step >= 4 && step < 30 && step%2 == 0:
-			f.Told(now, 0, made(now-100*ms, 20, 0.5, 0.3, 0.2))
+			f.PlanReceived(now, 0, made(now-100*ms, 20, 0.5, 0.3, 0.2))
 		case step >= 30 && step < 44 && step%2 == 0:
 			p := made(now-100*ms, 19, 0, 0.1, 0.4, 0.5)
-			p.Servers[1].Rest, p.Servers[2].Avoid = 2*time.Second, true
-			f.Told(now, 1, p)
+			p.Servers[1].EjectionRemaining, p.Servers[2].IsAvoided = 2*time.Second, true
+			f.PlanReceived(now, 1, p)
 		case step == 46:
-			f.Told(now, 0, made(now-9*time.Second, 30, 1))
+			f.PlanReceived(now, 0, made(now-9*time.Second, 30, 1))
 		}
 		down["2"] = step >= 20 && step < 26
-		e := f.Step(now, func(id string) bool { return !down[id] })
-		fmt.Fprintf(&out, "%v: planned %t, from %d, age %v, nodes %d, admit %.6g, within %d, ask %t\n", now, e.Planned, e.From, e.Age, e.Nodes, e.Admit,
-			len(e.Within), e.Ask)
+		e := f.Advance(now, func(id string) bool { return !down[id] })
+		fmt.Fprintf(&out, "%v: planned %t, from %d, age %v, nodes %d, admit %.6g, within %d, ask %t\n", now, e.HasPlan, e.Planner, e.PlanAge, e.Nodes, e.AdmittedShare,
+			len(e.WithinAllowance), e.ShouldPollDiscovery)
 		for _, s := range e.Servers {
-			fmt.Fprintf(&out, "  %s share %.6g avoid %t pace %.6g rest %v\n", s.ID, s.Share, s.Avoid, s.Pace, s.Rest)
+			fmt.Fprintf(&out, "  %s share %.6g avoid %t pace %.6g rest %v\n", s.ID, s.Share, s.IsAvoided, s.SlowStartRate, s.EjectionRemaining)
 		}
-		fmt.Fprintf(&out, "  held%s\n", describeHeld(f.Held()))
+		fmt.Fprintf(&out, "  held%s\n", describeHeld(f.CurrentShares()))
 	}
 	path := filepath.Join("testdata", "scenario.txt")
 	if *update {
@@ -62,7 +62,7 @@
 	}
 }
 
-func describeHeld(held []plan.Held) (text string) {
+func describeHeld(held []plan.CurrentShare) (text string) {
 	for _, h := range held {
 		text += fmt.Sprintf(" %s %.6g", h.ID, h.Share)
 	}
--- a/internal/controlplane/planner/planner.go
+++ b/internal/controlplane/planner/planner.go
@@ -62,7 +62,7 @@
 
 // Run serves until the context ends.
 func Run(ctx context.Context, cfg *planconfig.Planner, log zerolog.Logger) error {
-	ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(cfg.ListenAt))
+	ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(cfg.ListenAddress))
 	if err != nil {
 		return err
 	}
@@ -71,8 +71,8 @@
 
 func run(ctx context.Context, cfg *planconfig.Planner, log zerolog.Logger, ln *net.TCPListener) error {
 	now := time.Now()
-	s := &Server{cfg: cfg, log: log, start: now, plan: plan.New(now.UnixMilli()), said: map[string]incarnation.Entry{}, heard: map[string]*forwarder{}}
-	log.Info().Str("planner", cfg.Name).Stringer("listen", cfg.ListenAt).Bool("tls", cfg.Keys != nil).Msg("planning")
+	s := &Server{cfg: cfg, log: log, start: now, plan: plan.NewPlanner(now.UnixMilli()), said: map[string]incarnation.Entry{}, heard: map[string]*forwarder{}}
+	log.Info().Str("planner", cfg.Name).Stringer("listen", cfg.ListenAddress).Bool("tls", cfg.Keys != nil).Msg("planning")
 	g, ctx := errgroup.WithContext(ctx)
 	if cfg.Ensemble != nil {
 		g.Go(func() error { return s.registered(ctx) })
@@ -109,28 +109,28 @@
 
 // follow watches discovery, whole at first.
 func (s *Server) follow(ctx context.Context) error {
-	watch.Follow(ctx, watch.NewPlace(s.cfg.DiscoveryAt), watch.Listener{
-		Failed: func(err error) { s.log.Warn().Err(err).Msg("discovery failed") },
-		Told:   s.listed,
+	watch.Follow(ctx, watch.NewTarget(s.cfg.DiscoveryAddress), watch.Listener{
+		OnError: func(err error) { s.log.Warn().Err(err).Msg("discovery failed") },
+		OnList:  s.listed,
 	})
 	return nil
 }
 
 // listed takes in what discovery tells.
-func (s *Server) listed(list http1.List) {
+func (s *Server) listed(list http1.EndpointList) {
 	for _, err := range list.Skipped {
 		s.log.Warn().Err(err).Msg("list entry skipped")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	entries := watch.Entries(list)
+	entries := watch.EntriesFromList(list)
 	if list.Complete {
 		clear(s.said)
 	}
 	for _, e := range entries {
 		s.said[e.ID] = e
 	}
-	s.plan.Listed(s.now(), entries, list.Complete)
+	s.plan.EndpointsUpdated(s.now(), entries, list.Complete)
 	s.ready = s.ready || list.Complete
 }
 
@@ -139,17 +139,17 @@
 func (s *Server) registered(ctx context.Context) error {
 	return zookeeper.Follow(ctx, s.cfg.Ensemble, zookeeper.Listener{
 		Now: s.now,
-		Changed: func(changed []incarnation.Entry, _ bool) {
+		OnChange: func(changed []incarnation.Entry, _ bool) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for _, e := range changed {
 				s.said[e.ID] = e
 			}
-			s.plan.Listed(s.now(), changed, false)
+			s.plan.EndpointsUpdated(s.now(), changed, false)
 			s.ready = true
 		},
-		Fault: func(err error) { s.log.Warn().Err(err).Msg("registry") },
-		Doubted: func(is bool) {
+		OnError: func(err error) { s.log.Warn().Err(err).Msg("registry") },
+		OnMassRemoval: func(is bool) {
 			s.log.Error().Bool("doubted", is).Msg("most servers have vanished from the registry together, or are back")
 		},
 	})
@@ -157,7 +157,7 @@
 
 // make works out a plan again and again, and leaves each forwarder's with its connection.
 func (s *Server) make(ctx context.Context) error {
-	tick := time.NewTicker(s.cfg.Every.D())
+	tick := time.NewTicker(s.cfg.Interval.Std())
 	defer tick.Stop()
 	for {
 		select {
@@ -168,13 +168,13 @@
 		s.mu.Lock()
 		if s.ready {
 			began := time.Now()
-			whole := s.plan.Plan(s.now())
+			whole := s.plan.ComputePlans(s.now())
 			for name, f := range s.heard {
 				select {
 				case <-f.next:
 				default:
 				}
-				f.next <- whole.For(name)
+				f.next <- whole.ForForwarder(name)
 			}
 			s.Plans++
 			s.Slowest = max(s.Slowest, time.Since(began))
@@ -206,19 +206,19 @@
 	}
 	by := time.Now().Add(greetMost)
 	if s.cfg.Keys != nil {
-		t := s.cfg.Keys.Server(nc)
+		t := s.cfg.Keys.ServerConn(nc)
 		t.SetDeadline(by)
 		if err := t.HandshakeContext(ctx); err != nil {
 			s.refused(from, err)
 			return
 		}
-		if err := s.cfg.Keys.Fault(); err != nil {
+		if err := s.cfg.Keys.ReloadError(); err != nil {
 			s.log.Error().Err(err).Msg("keys not read again")
 		}
 		nc = t
 	}
-	c := planwire.New(nc)
-	name, err := c.Greet(s.cfg.Name, by)
+	c := planwire.NewConn(nc)
+	name, err := c.Handshake(s.cfg.Name, by)
 	if err != nil {
 		s.refused(from, err)
 		return
@@ -262,14 +262,14 @@
 			return nil
 		case next := <-f.next:
 			change, told := plan.Diff(f.told, next)
-			before := f.conn.Sent
+			before := f.conn.SentBytes
 			if err := f.conn.Send(planwire.ChangeKind, change); err != nil {
 				f.conn.Close()
 				return err
 			}
 			f.told = told
 			s.mu.Lock()
-			s.Bytes += f.conn.Sent - before
+			s.Bytes += f.conn.SentBytes - before
 			s.mu.Unlock()
 		}
 	}
@@ -297,19 +297,19 @@
 		}
 		if err != nil {
 			s.refused(name, err)
-			return f.conn.Refuse(err)
+			return f.conn.Reject(err)
 		}
 		s.mu.Lock()
 		now := s.now()
-		s.plan.Reported(now, name, &r)
+		s.plan.ReportReceived(now, name, &r)
 		var again []incarnation.Entry // discovery may have had a later word on what the forwarder knows of
-		for _, e := range r.Above {
+		for _, e := range r.NewerIncarnations {
 			if said, ok := s.said[e.ID]; ok {
 				again = append(again, said)
 			}
 		}
 		if len(again) > 0 {
-			s.plan.Listed(now, again, false)
+			s.plan.EndpointsUpdated(now, again, false)
 		}
 		s.Reports++
 		s.mu.Unlock()
--- a/internal/controlplane/planner/planner_test.go
+++ b/internal/controlplane/planner/planner_test.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := &planconfig.Planner{Name: "p", Every: tomlfile.Span(50 * time.Millisecond), DiscoveryAt: netip.MustParseAddrPort(free.Addr().String()), Keys: k}
+	cfg := &planconfig.Planner{Name: "p", Interval: tomlfile.Duration(50 * time.Millisecond), DiscoveryAddress: netip.MustParseAddrPort(free.Addr().String()), Keys: k}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- run(ctx, cfg, zerolog.Nop(), ln.(*net.TCPListener)) }()
@@ -79,8 +79,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	p := &peer{t: t, Conn: planwire.New(nc), lives: incarnation.NewTable()}
-	if _, err := p.Greet(name, time.Now().Add(5*time.Second)); err != nil {
+	p := &peer{t: t, Conn: planwire.NewConn(nc), lives: incarnation.NewTable()}
+	if _, err := p.Handshake(name, time.Now().Add(5*time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	return p
@@ -104,7 +104,7 @@
 		var c plan.Change
 		if k == planwire.ChangeKind && planwire.Decode(body, &c) == nil {
 			p.held = plan.Apply(p.held, c)
-			p.lives.Join(0, c.Lives)
+			p.lives.Join(0, c.Incarnations)
 		}
 	}
 }
@@ -125,11 +125,13 @@
 		list.Set(entry(fmt.Sprint("s", i), discovery.Serving))
 	}
 	a, b := join(t, at, "a"), join(t, at, "b")
-	report := plan.Report{Sent: 7 * time.Second, Span: 500 * time.Millisecond}
+	report := plan.Report{SentAt: 7 * time.Second, Interval: 500 * time.Millisecond}
 	a.report(report)
 	b.report(report)
 	for _, p := range []*peer{a, b} {
-		p.until("a part of its own", func() bool { return p.held.Seen == 2 && len(p.held.Servers) >= 6 && p.held.Heard == 7*time.Second })
+		p.until("a part of its own", func() bool {
+			return p.held.ReportingForwarders == 2 && len(p.held.Servers) >= 6 && p.held.ReportSentAt == 7*time.Second
+		})
 	}
 	list.Set(entry("s3", discovery.Draining))
 	a.until("the drain", func() bool { return a.condition("s3") == incarnation.Draining })
@@ -142,11 +144,11 @@
 		return true
 	})
 	// a knows of an end that discovery has not told this planner yet; b comes to hear of it.
-	report.Above = []incarnation.Entry{{ID: "s4", Condition: incarnation.Gone, Revision: 100}}
+	report.NewerIncarnations = []incarnation.Entry{{ID: "s4", Condition: incarnation.Gone, Revision: 100}}
 	a.report(report)
 	b.until("what a knows", func() bool { return b.condition("s4") == incarnation.Gone })
 	list.Set(entry("s3", discovery.Serving))
-	b.until("the drain called off", func() bool { e, _ := b.lives.Get("s3"); return e.Condition == incarnation.Up && e.Turn == 1 })
+	b.until("the drain called off", func() bool { e, _ := b.lives.Get("s3"); return e.Condition == incarnation.Up && e.Generation == 1 })
 }
 
 // A planner on a registry tells of boxes as they register, drain and vanish.
@@ -163,8 +165,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := &planconfig.Planner{Name: "p", Every: tomlfile.Span(50 * time.Millisecond),
-		Ensemble: &zookeeper.Config{Servers: []string{server.Address()}, Path: "/hire", Session: tomlfile.Span(time.Second)}}
+	cfg := &planconfig.Planner{Name: "p", Interval: tomlfile.Duration(50 * time.Millisecond),
+		Ensemble: &zookeeper.Config{Servers: []string{server.Address()}, Path: "/hire", SessionTimeout: tomlfile.Duration(time.Second)}}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- run(ctx, cfg, zerolog.Nop(), ln.(*net.TCPListener)) }()
@@ -216,7 +218,7 @@
 			}
 		})
 	}
-	well.report(plan.Report{Sent: 1, Span: time.Second})
+	well.report(plan.Report{SentAt: 1, Interval: time.Second})
 	well.until("a plan all the same", func() bool { return len(well.held.Servers) == 1 })
 }
 
@@ -226,11 +228,11 @@
 	at, list := start(t, nil)
 	list.Set(entry("s", discovery.Serving))
 	older := join(t, at, "a")
-	older.report(plan.Report{Sent: 1, Span: time.Second})
+	older.report(plan.Report{SentAt: 1, Interval: time.Second})
 	older.until("a plan", func() bool { return len(older.held.Servers) == 1 }) // it is let in: connections may overtake each other
 	newer := join(t, at, "a")
-	newer.report(plan.Report{Sent: 1, Span: time.Second})
-	newer.until("a plan", func() bool { return newer.held.Seen == 1 && len(newer.held.Servers) == 1 })
+	newer.report(plan.Report{SentAt: 1, Interval: time.Second})
+	newer.until("a plan", func() bool { return newer.held.ReportingForwarders == 1 && len(newer.held.Servers) == 1 })
 	for {
 		if _, _, err := older.Receive(time.Now().Add(5 * time.Second)); err != nil {
 			if strings.Contains(err.Error(), "timeout") {
@@ -249,7 +251,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		k, err := mtls.Load(mtls.Files{Cert: cert, Key: key, CA: ca})
+		k, err := mtls.LoadKeys(mtls.Files{Cert: cert, Key: key, CA: ca})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -270,10 +272,10 @@
 			}
 			defer nc.Close()
 			if c.keys != nil {
-				nc = c.keys.Client(nc, "planner")
+				nc = c.keys.ClientConn(nc, "planner")
 			}
 			nc.SetDeadline(time.Now().Add(5 * time.Second))
-			peer, err := planwire.New(nc).Greet("n", time.Now().Add(5*time.Second))
+			peer, err := planwire.NewConn(nc).Handshake("n", time.Now().Add(5*time.Second))
 			if (err == nil && peer == "p") != c.well {
 				t.Errorf("%q, %v", peer, err)
 			}
--- a/internal/controlplane/planwire/golden_test.go
+++ b/internal/controlplane/planwire/golden_test.go
@@ -17,8 +17,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew; only for a new version of the protocol")
 
-var goldenIncarnation = incarnation.Entry{ID: "fast-1", Up: 1700000000123, Turn: 2, Condition: incarnation.Draining, Revision: 41,
-	Address: "127.0.0.1:8081", Zone: "z1", Flavor: "large", Cell: 7, Size: 1.5}
+var goldenIncarnation = incarnation.Entry{ID: "fast-1", StartedUnixMS: 1700000000123, Generation: 2, Condition: incarnation.Draining, Revision: 41,
+	Address: "127.0.0.1:8081", Zone: "z1", MachineKind: "large", Cell: 7, Weight: 1.5}
 
 // goldenFrames has one frame of each kind, with every field set to a value of its own.
 var goldenFrames = []struct {
@@ -29,21 +29,21 @@
 	{"hello", HelloKind, &Hello{Version: Version, Name: "n1"}},
 	{"refusal", RefusalKind, &Refusal{Reason: "too many"}},
 	{"report", ReportKind, &plan.Report{
-		Sent: 90 * time.Second, Span: 500 * time.Millisecond,
-		Figures: plan.Figures{Nodes: 12, ColdFor: 8 * time.Second, ColdStart: 0.25, FallMultiple: 2.5, Allowances: 300},
-		Flying:  5,
-		Types:   []plan.Type{{Name: "hire-check", Target: 200 * time.Millisecond, Asked: 31, Denied: 3}},
-		Tenants: []plan.Tenant{{Name: "big", Allowance: 120, Asked: 17}},
-		Servers: []plan.Server{{ID: "fast-1", Answered: []plan.Answered{{Type: 1, N: 23, Sum: 460 * time.Millisecond}}, TimedOut: 2, Failed: 4}},
-		Held:    []plan.Held{{ID: "fast-2", Share: 0.75}},
-		Above:   []incarnation.Entry{goldenIncarnation},
+		SentAt: 90 * time.Second, Interval: 500 * time.Millisecond,
+		Settings:          plan.ForwarderSettings{Nodes: 12, SlowStartDuration: 8 * time.Second, InitialCapacity: 0.25, FallMultiple: 2.5, TotalAllowance: 300},
+		InFlight:          5,
+		Types:             []plan.TypeReport{{Name: "hire-check", TargetTime: 200 * time.Millisecond, Requests: 31, Rejected: 3}},
+		Tenants:           []plan.TenantReport{{Name: "big", Allowance: 120, Requests: 17}},
+		Servers:           []plan.ServerReport{{ID: "fast-1", Completions: []plan.Completions{{TypeIndex: 1, Count: 23, TotalLatency: 460 * time.Millisecond}}, TimedOut: 2, Failed: 4}},
+		CurrentShares:     []plan.CurrentShare{{ID: "fast-2", Share: 0.75}},
+		NewerIncarnations: []incarnation.Entry{goldenIncarnation},
 	}},
 	{"change", ChangeKind, &plan.Change{
-		Start: 1700000000000, Number: 9, Heard: 91 * time.Second, Seen: 20, Nodes: 22, Admit: 0.875,
-		Within:  []plan.Within{{Tenant: "big", Share: 0.5}},
-		Servers: []plan.Share{{ID: "fast-1", Share: 0.125, Avoid: true, Pace: 3.5, Rest: 4 * time.Second}},
-		Dropped: []string{"slow-3"},
-		Lives:   []incarnation.Entry{goldenIncarnation},
+		PlannerStartMs: 1700000000000, Number: 9, ReportSentAt: 91 * time.Second, ReportingForwarders: 20, Nodes: 22, AdmittedShare: 0.875,
+		WithinAllowance: []plan.TenantShare{{Tenant: "big", Share: 0.5}},
+		Servers:         []plan.ServerShare{{ID: "fast-1", Share: 0.125, IsAvoided: true, SlowStartRate: 3.5, EjectionRemaining: 4 * time.Second}},
+		RemovedServers:  []string{"slow-3"},
+		Incarnations:    []incarnation.Entry{goldenIncarnation},
 	}},
 }
 
--- a/internal/controlplane/planwire/line.go
+++ b/internal/controlplane/planwire/line.go
@@ -17,30 +17,30 @@
 type Kind = framing.Kind
 
 const (
-	HelloKind   = framing.Greeting         // the first frame of either side
-	RefusalKind = framing.Refusals         // why a side ends the connection
-	ReportKind  = framing.First + iota - 2 // a forwarder's
-	ChangeKind                             // a planner's
+	HelloKind   = framing.HelloKind                    // the first frame of either side
+	RefusalKind = framing.RejectionKind                // why a side ends the connection
+	ReportKind  = framing.FirstProtocolKind + iota - 2 // a forwarder's
+	ChangeKind                                         // a planner's
 	kinds
 )
 
-var protocol = framing.Protocol{Version: Version, Kinds: kinds, Most: frameMost}
+var protocol = framing.Protocol{Version: Version, KindLimit: kinds, MaxBodyBytes: frameMost}
 
 // What both sides and those between them use of frames.
 type (
 	Hello   = framing.Hello
-	Refusal = framing.Refusal
+	Refusal = framing.Rejection
 	Conn    = framing.Conn
 )
 
 // Why a frame cannot be taken.
 var (
-	ErrTooLong = framing.ErrTooLong
-	ErrKind    = framing.ErrKind
+	ErrTooLong = framing.ErrFrameTooLong
+	ErrKind    = framing.ErrUnknownKind
 )
 
-// New leads a connection.
-func New(nc net.Conn) *Conn { return protocol.New(nc) }
+// NewConn leads a connection.
+func NewConn(nc net.Conn) *Conn { return protocol.NewConn(nc) }
 
 // Append writes a frame.
 func Append(b []byte, k Kind, body any) ([]byte, error) { return protocol.Append(b, k, body) }
--- a/internal/controlplane/planwire/line_test.go
+++ b/internal/controlplane/planwire/line_test.go
@@ -49,7 +49,7 @@
 				b.Write(c.sends)
 				b.Close()
 			}()
-			peer, err := New(a).Greet("p", time.Now().Add(5*time.Second))
+			peer, err := NewConn(a).Handshake("p", time.Now().Add(5*time.Second))
 			if c.why == "" {
 				if err != nil || peer != "n1" {
 					t.Errorf("%q, %v", peer, err)
@@ -63,10 +63,10 @@
 
 // A report comes through as it was, and small: bytes by what it tells.
 func TestReportSize(t *testing.T) {
-	r := plan.Report{Sent: time.Hour, Span: 500 * time.Millisecond, Types: []plan.Type{{Name: "hire-check", Target: 200 * time.Millisecond, Asked: 7}},
-		Held: []plan.Held{{ID: "fast-1", Share: 0.25}}, Above: []incarnation.Entry{{ID: "fast-1", Up: 1 << 40, Address: "127.0.0.1:1", Size: 1}}}
+	r := plan.Report{SentAt: time.Hour, Interval: 500 * time.Millisecond, Types: []plan.TypeReport{{Name: "hire-check", TargetTime: 200 * time.Millisecond, Requests: 7}},
+		CurrentShares: []plan.CurrentShare{{ID: "fast-1", Share: 0.25}}, NewerIncarnations: []incarnation.Entry{{ID: "fast-1", StartedUnixMS: 1 << 40, Address: "127.0.0.1:1", Weight: 1}}}
 	for range 8 {
-		r.Servers = append(r.Servers, plan.Server{ID: "fast-1", Answered: []plan.Answered{{N: 3, Sum: 40 * time.Millisecond}}})
+		r.Servers = append(r.Servers, plan.ServerReport{ID: "fast-1", Completions: []plan.Completions{{Count: 3, TotalLatency: 40 * time.Millisecond}}})
 	}
 	b := framed(ReportKind, r)
 	k, body, err := Read(bytes.NewReader(b), nil)
@@ -74,7 +74,7 @@
 	if err == nil {
 		err = Decode(body, &back)
 	}
-	if err != nil || k != ReportKind || len(back.Servers) != 8 || back.Above[0] != r.Above[0] || back.Servers[0].Answered[0] != r.Servers[0].Answered[0] {
+	if err != nil || k != ReportKind || len(back.Servers) != 8 || back.NewerIncarnations[0] != r.NewerIncarnations[0] || back.Servers[0].Completions[0] != r.Servers[0].Completions[0] {
 		t.Errorf("%+v, %v", back, err)
 	}
 	if len(b) > 400 {
@@ -84,8 +84,8 @@
 
 // Whatever comes, a frame is read or refused, within its bounds.
 func FuzzRead(f *testing.F) {
-	f.Add(framed(ReportKind, plan.Report{Servers: []plan.Server{{ID: "s"}}}))
-	f.Add(framed(ChangeKind, plan.Change{Lives: []incarnation.Entry{{ID: "s"}}}))
+	f.Add(framed(ReportKind, plan.Report{Servers: []plan.ServerReport{{ID: "s"}}}))
+	f.Add(framed(ChangeKind, plan.Change{Incarnations: []incarnation.Entry{{ID: "s"}}}))
 	f.Add([]byte{0, 0, 0, 9, 3, 0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		k, body, err := Read(bytes.NewReader(b), nil)
@@ -99,9 +99,9 @@
 		case ReportKind:
 			var r plan.Report
 			if Decode(body, &r) == nil {
-				p := plan.New(0)
-				p.Reported(time.Second, "f", &r)
-				p.Plan(time.Second).For("f")
+				p := plan.NewPlanner(0)
+				p.ReportReceived(time.Second, "f", &r)
+				p.ComputePlans(time.Second).ForForwarder("f")
 			}
 		case ChangeKind:
 			var c plan.Change
--- a/internal/discovery/endpoints/bench_test.go
+++ b/internal/discovery/endpoints/bench_test.go
@@ -8,11 +8,11 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-func words(from, to int) []Word {
-	var list []Word
+func words(from, to int) []Endpoint {
+	var list []Endpoint
 	for i := from; i < to; i++ {
 		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)
-		list = append(list, Word{ID: fmt.Sprint("server-", i), Address: at, Condition: incarnation.Up})
+		list = append(list, Endpoint{ID: fmt.Sprint("server-", i), Address: at, Condition: incarnation.Up})
 	}
 	return list
 }
@@ -22,7 +22,7 @@
 		list := words(0, servers)
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			for b.Loop() {
-				NewBook().Told(0, Discovery, list, true)
+				NewView().Apply(0, SourceDiscovery, list, true)
 			}
 		})
 	}
@@ -32,16 +32,16 @@
 func BenchmarkOneChange(b *testing.B) {
 	for _, servers := range []int{200, 2_000, 20_000, 200_000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			book := NewBook()
-			book.Told(0, Discovery, words(0, servers), true)
+			book := NewView()
+			book.Apply(0, SourceDiscovery, words(0, servers), true)
 			drained := words(0, servers/10)
 			for i := range drained {
 				drained[i].Condition = incarnation.Draining
 			}
-			book.Told(0, Discovery, drained, false)
+			book.Apply(0, SourceDiscovery, drained, false)
 			list := words(servers, servers+1)
 			for b.Loop() {
-				book.Told(0, Discovery, list, false)
+				book.Apply(0, SourceDiscovery, list, false)
 				book.Forget(list[0].ID)
 			}
 		})
