--- a/internal/discovery/endpoints/book_test.go
+++ b/internal/discovery/endpoints/book_test.go
@@ -10,8 +10,8 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-func word(id string, port uint16, c incarnation.Condition) Word {
-	w := Word{ID: id, Condition: c}
+func word(id string, port uint16, c incarnation.Condition) Endpoint {
+	w := Endpoint{ID: id, Condition: c}
 	if port > 0 {
 		w.Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port)
 	}
@@ -21,43 +21,43 @@
 // What lists change, step by step.
 func TestBook(t *testing.T) {
 	type step struct {
-		words []Word
+		words []Endpoint
 		whole bool
 	}
-	up := func(id string, port uint16) Word { return word(id, port, incarnation.Up) }
+	up := func(id string, port uint16) Endpoint { return word(id, port, incarnation.Up) }
 	for name, c := range map[string]struct {
 		steps []step
 		lines string // of the last step
 		idle  []string
 		used  []string
 	}{
-		"two":                    {[]step{{[]Word{up("a", 1), up("b", 2)}, true}}, "a0 b0", []string{"a", "b"}, []string{"a", "b"}},
-		"the same again":         {[]step{{[]Word{up("a", 1)}, true}, {[]Word{up("a", 1)}, true}}, "a0", nil, []string{"a"}},
-		"not named":              {[]step{{[]Word{up("a", 1), up("b", 2)}, true}, {[]Word{up("b", 2)}, true}}, "b0", []string{"a"}, []string{"b"}},
-		"not changed":            {[]step{{[]Word{up("a", 1), up("b", 2)}, true}, {[]Word{up("b", 2)}, false}}, "b0", nil, []string{"a", "b"}},
-		"drains":                 {[]step{{[]Word{up("a", 1)}, true}, {[]Word{word("a", 0, incarnation.Draining)}, false}}, "a1", []string{"a"}, nil},
-		"gone, and never known":  {[]step{{[]Word{word("a", 1, incarnation.Gone)}, false}}, "a2", nil, nil},
-		"moved":                  {[]step{{[]Word{up("a", 1)}, true}, {[]Word{up("a", 2)}, false}}, "a0", []string{"a"}, []string{"a"}},
-		"at another's address":   {[]step{{[]Word{up("a", 1)}, true}, {[]Word{up("b", 1)}, false}}, "a2 b0", []string{"a", "b"}, []string{"b"}},
-		"and the other is told":  {[]step{{[]Word{up("a", 1)}, true}, {[]Word{up("b", 1)}, false}, {[]Word{word("a", 1, incarnation.Gone)}, false}}, "a2", []string{"a"}, []string{"b"}},
-		"at a drained address":   {[]step{{[]Word{up("a", 1)}, true}, {[]Word{word("a", 1, incarnation.Draining)}, false}, {[]Word{up("b", 1)}, false}}, "b0", []string{"a", "b"}, []string{"b"}},
-		"told gone":              {[]step{{[]Word{up("a", 1), up("b", 2)}, true}, {[]Word{word("a", 1, incarnation.Gone)}, false}}, "a2", []string{"a"}, []string{"b"}},
-		"drained, then gone":     {[]step{{[]Word{up("a", 1)}, true}, {[]Word{word("a", 1, incarnation.Draining)}, false}, {[]Word{word("a", 1, incarnation.Gone)}, false}}, "a2", []string{"a"}, nil},
-		"in a whole list itself": {[]step{{[]Word{up("a", 1)}, true}, {[]Word{up("b", 1)}, true}}, "b0", []string{"a", "b"}, []string{"b"}},
+		"two":                    {[]step{{[]Endpoint{up("a", 1), up("b", 2)}, true}}, "a0 b0", []string{"a", "b"}, []string{"a", "b"}},
+		"the same again":         {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("a", 1)}, true}}, "a0", nil, []string{"a"}},
+		"not named":              {[]step{{[]Endpoint{up("a", 1), up("b", 2)}, true}, {[]Endpoint{up("b", 2)}, true}}, "b0", []string{"a"}, []string{"b"}},
+		"not changed":            {[]step{{[]Endpoint{up("a", 1), up("b", 2)}, true}, {[]Endpoint{up("b", 2)}, false}}, "b0", nil, []string{"a", "b"}},
+		"drains":                 {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{word("a", 0, incarnation.Draining)}, false}}, "a1", []string{"a"}, nil},
+		"gone, and never known":  {[]step{{[]Endpoint{word("a", 1, incarnation.Gone)}, false}}, "a2", nil, nil},
+		"moved":                  {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("a", 2)}, false}}, "a0", []string{"a"}, []string{"a"}},
+		"at another's address":   {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("b", 1)}, false}}, "a2 b0", []string{"a", "b"}, []string{"b"}},
+		"and the other is told":  {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("b", 1)}, false}, {[]Endpoint{word("a", 1, incarnation.Gone)}, false}}, "a2", []string{"a"}, []string{"b"}},
+		"at a drained address":   {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{word("a", 1, incarnation.Draining)}, false}, {[]Endpoint{up("b", 1)}, false}}, "b0", []string{"a", "b"}, []string{"b"}},
+		"told gone":              {[]step{{[]Endpoint{up("a", 1), up("b", 2)}, true}, {[]Endpoint{word("a", 1, incarnation.Gone)}, false}}, "a2", []string{"a"}, []string{"b"}},
+		"drained, then gone":     {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{word("a", 1, incarnation.Draining)}, false}, {[]Endpoint{word("a", 1, incarnation.Gone)}, false}}, "a2", []string{"a"}, nil},
+		"in a whole list itself": {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("b", 1)}, true}}, "b0", []string{"a", "b"}, []string{"b"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, only := NewBook(), NewBook()
-			only.OnlyDraining = true
+			b, only := NewView(), NewView()
+			only.IgnoreRemovals = true
 			var u Update
 			for i, s := range c.steps {
-				u = b.Told(time.Duration(i), Discovery, s.words, s.whole)
-				only.Told(time.Duration(i), Discovery, s.words, s.whole)
+				u = b.Apply(time.Duration(i), SourceDiscovery, s.words, s.whole)
+				only.Apply(time.Duration(i), SourceDiscovery, s.words, s.whole)
 			}
-			if l, _ := only.Line("a"); l.Used != (slices.Contains(c.used, "a") || name == "not named" || name == "told gone") {
-				t.Errorf("where only draining binds, a is used: %v", l.Used)
+			if l, _ := only.Get("a"); l.IsUsable != (slices.Contains(c.used, "a") || name == "not named" || name == "told gone") {
+				t.Errorf("where only draining binds, a is used: %v", l.IsUsable)
 			}
 			lines := ""
-			for i, l := range u.Lines {
+			for i, l := range u.Changed {
 				if i > 0 {
 					lines += " "
 				}
@@ -65,12 +65,12 @@
 			}
 			var used []string
 			for _, id := range b.ids() {
-				if l, _ := b.Line(id); l.Used {
+				if l, _ := b.Get(id); l.IsUsable {
 					used = append(used, id)
 				}
 			}
-			if lines != c.lines || !slices.Equal(u.Idle, c.idle) || !slices.Equal(used, c.used) {
-				t.Errorf("lines %q, idle %v, used %v", lines, u.Idle, used)
+			if lines != c.lines || !slices.Equal(u.CloseIdle, c.idle) || !slices.Equal(used, c.used) {
+				t.Errorf("lines %q, idle %v, used %v", lines, u.CloseIdle, used)
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 // been followed by a whole one without it, and no other has come new to its address since.
 func TestBookAllWays(t *testing.T) {
 	type event struct {
-		word  Word
+		word  Endpoint
 		whole bool
 	}
 	var events []event
@@ -103,9 +103,9 @@
 			return
 		}
 		played++
-		b, model := NewBook(), map[string]*believed{}
+		b, model := NewView(), map[string]*believed{}
 		for i, e := range path {
-			b.Told(time.Duration(i), Registry, []Word{e.word}, e.whole)
+			b.Apply(time.Duration(i), SourceRegistry, []Endpoint{e.word}, e.whole)
 			m := model[e.word.ID]
 			if e.whole {
 				for _, o := range model {
@@ -128,7 +128,7 @@
 			}
 			m.seen = m.seen || e.word.Condition != incarnation.Gone
 			for id, m := range model {
-				if l, _ := b.Line(id); l.Used != m.up || m.seen && l.Address.Port() != m.port {
+				if l, _ := b.Get(id); l.IsUsable != m.up || m.seen && l.Address.Port() != m.port {
 					t.Fatalf("after %v: %s is %+v, not %+v", path[:i+1], id, l, *m)
 				}
 			}
@@ -141,18 +141,18 @@
 // What one change costs the book does not grow with the servers, nor with those that drain; a whole list costs each once.
 func TestBookCostsWhatItTouches(t *testing.T) {
 	cost := func(servers int) (change, whole int) {
-		b := NewBook()
+		b := NewView()
 		list := words(0, servers)
-		b.Told(0, Discovery, list, true)
+		b.Apply(0, SourceDiscovery, list, true)
 		for i := range servers / 10 {
 			list[i].Condition = incarnation.Draining
 		}
 		from := b.visits
-		b.Told(0, Discovery, list, true)
+		b.Apply(0, SourceDiscovery, list, true)
 		whole, from = b.visits-from, b.visits
-		u := b.Told(0, Discovery, words(servers, servers+1), false)
-		if len(u.Lines) != 1 || len(u.Idle) != 1 {
-			t.Errorf("%d lines, %d idle", len(u.Lines), len(u.Idle))
+		u := b.Apply(0, SourceDiscovery, words(servers, servers+1), false)
+		if len(u.Changed) != 1 || len(u.CloseIdle) != 1 {
+			t.Errorf("%d lines, %d idle", len(u.Changed), len(u.CloseIdle))
 		}
 		return b.visits - from, whole
 	}
@@ -165,10 +165,10 @@
 
 // The index by address knows each server by the address that it was last told at, and only those that are known.
 func TestBookKnowsAddresses(t *testing.T) {
-	b := NewBook()
+	b := NewView()
 	for i := range 3_000 {
 		id, port := fmt.Sprint(i*7%13), uint16(i*11%9)
-		b.Told(time.Duration(i), Discovery, []Word{word(id, port, incarnation.Condition(i*5%3))}, i%17 == 0)
+		b.Apply(time.Duration(i), SourceDiscovery, []Endpoint{word(id, port, incarnation.Condition(i*5%3))}, i%17 == 0)
 		if i%5 == 0 {
 			b.Forget(fmt.Sprint(i % 13))
 		}
@@ -185,7 +185,7 @@
 			}
 		}
 		for id, l := range b.lines {
-			if l.Used && !seen[id] {
+			if l.IsUsable && !seen[id] {
 				t.Fatalf("step %d: %s is used and not found by its address", i, id)
 			}
 		}
--- a/internal/discovery/endpoints/roster.go
+++ b/internal/discovery/endpoints/roster.go
@@ -24,39 +24,39 @@
 	doubtMost   = 8 * time.Second
 )
 
-// Listed is a server as the registry lists it.
-type Listed struct {
-	ID       string
-	Address  string
-	Zone     string
-	Flavor   string
-	Cell     int
-	Size     float64
-	Draining bool
-	Owner    int64 // session of its node
-	Czxid    int64 // when the node was made, in the registry's count
-	Ctime    int64 // the same as Unix time in ms
-	Started  int64 // the process's own word of its start, Unix time in ms; 0: none
+// RegistryEntry is a server as the registry lists it.
+type RegistryEntry struct {
+	ID            string
+	Address       string
+	Zone          string
+	MachineKind   string
+	Cell          int
+	Weight        float64
+	IsDraining    bool
+	OwnerSession  int64 // session of its node
+	CreatedZxid   int64 // when the node was made, in the registry's count
+	CreatedUnixMS int64 // the same as Unix time in ms
+	StartedUnixMS int64 // the process's own word of its start, Unix time in ms; 0: none
 }
 
-// Evidence of a server: it answered, or an operation found no connection to it.
-type Evidence struct {
-	Server   string
-	Answered bool
-	Ran      bool // and it has run what it answered to
-	Another  bool // and says that it is another server
+// Observation of a server: it answered, or an operation found no connection to it.
+type Observation struct {
+	Server        string
+	HasResponded  bool
+	HasExecuted   bool // and it has run what it answered to
+	IsOtherServer bool // and says that it is another server
 }
 
 // State of a server.
 type State uint8
 
 const (
-	Absent  State = iota // not known, or gone
-	Present              // listed and used
-	Doubted              // listed, but hops find nobody there
-	Leaving              // listed as draining
-	Missing              // not listed any more; kept for a while, for it may be a flap
-	Held                 // not listed any more with most others; used, with suspicion
+	StateAbsent    State = iota // not known, or gone
+	StatePresent                // listed and used
+	StateSuspected              // listed, but hops find nobody there
+	StateDraining               // listed as draining
+	StateMissing                // not listed any more; kept for a while, for it may be a flap
+	StateRetained               // not listed any more with most others; used, with suspicion
 	states
 )
 
@@ -92,23 +92,23 @@
 
 // moves is the whole of what the roster decides.
 var moves = [states][inputs]move{
-	Absent: {listed: {Present, tellNew}, listedNew: {Present, tellNew}, drains: {Leaving, tellDraining}, unlisted: {Absent, nothing},
-		vanished: {Absent, nothing}, fails: {Absent, nothing}, answers: {Absent, nothing}, timeUp: {Absent, nothing}},
-	Present: {listed: {Present, nothing}, listedNew: {Present, tellNew}, drains: {Leaving, tellDraining}, unlisted: {Missing, tellDraining},
-		vanished: {Held, nothing}, fails: {Doubted, tellDraining}, answers: {Present, nothing}, timeUp: {Present, nothing}},
-	Doubted: {listed: {Doubted, nothing}, listedNew: {Present, tellNew}, drains: {Leaving, nothing}, unlisted: {Missing, nothing},
-		vanished: {Missing, nothing}, fails: {Doubted, nothing}, answers: {Present, tellBack}, timeUp: {Present, tellBack}},
-	Leaving: {listed: {Present, tellBack}, listedNew: {Present, tellNew}, drains: {Leaving, nothing}, unlisted: {Absent, tellGone},
-		vanished: {Absent, tellGone}, fails: {Leaving, nothing}, answers: {Leaving, nothing}, timeUp: {Leaving, nothing}},
-	Missing: {listed: {Present, tellBack}, listedNew: {Present, tellNew}, drains: {Leaving, nothing}, unlisted: {Missing, nothing},
-		vanished: {Held, tellBack}, fails: {Missing, nothing}, answers: {Missing, nothing}, timeUp: {Absent, tellGone}},
-	Held: {listed: {Present, nothing}, listedNew: {Present, tellNew}, drains: {Leaving, tellDraining}, unlisted: {Missing, tellDraining},
-		vanished: {Held, nothing}, fails: {Missing, tellDraining}, answers: {Held, nothing}, timeUp: {Held, nothing}},
+	StateAbsent: {listed: {StatePresent, tellNew}, listedNew: {StatePresent, tellNew}, drains: {StateDraining, tellDraining}, unlisted: {StateAbsent, nothing},
+		vanished: {StateAbsent, nothing}, fails: {StateAbsent, nothing}, answers: {StateAbsent, nothing}, timeUp: {StateAbsent, nothing}},
+	StatePresent: {listed: {StatePresent, nothing}, listedNew: {StatePresent, tellNew}, drains: {StateDraining, tellDraining}, unlisted: {StateMissing, tellDraining},
+		vanished: {StateRetained, nothing}, fails: {StateSuspected, tellDraining}, answers: {StatePresent, nothing}, timeUp: {StatePresent, nothing}},
+	StateSuspected: {listed: {StateSuspected, nothing}, listedNew: {StatePresent, tellNew}, drains: {StateDraining, nothing}, unlisted: {StateMissing, nothing},
+		vanished: {StateMissing, nothing}, fails: {StateSuspected, nothing}, answers: {StatePresent, tellBack}, timeUp: {StatePresent, tellBack}},
+	StateDraining: {listed: {StatePresent, tellBack}, listedNew: {StatePresent, tellNew}, drains: {StateDraining, nothing}, unlisted: {StateAbsent, tellGone},
+		vanished: {StateAbsent, tellGone}, fails: {StateDraining, nothing}, answers: {StateDraining, nothing}, timeUp: {StateDraining, nothing}},
+	StateMissing: {listed: {StatePresent, tellBack}, listedNew: {StatePresent, tellNew}, drains: {StateDraining, nothing}, unlisted: {StateMissing, nothing},
+		vanished: {StateRetained, tellBack}, fails: {StateMissing, nothing}, answers: {StateMissing, nothing}, timeUp: {StateAbsent, tellGone}},
+	StateRetained: {listed: {StatePresent, nothing}, listedNew: {StatePresent, tellNew}, drains: {StateDraining, tellDraining}, unlisted: {StateMissing, tellDraining},
+		vanished: {StateRetained, nothing}, fails: {StateMissing, tellDraining}, answers: {StateRetained, nothing}, timeUp: {StateRetained, nothing}},
 }
 
 type server struct {
 	state    State
-	listed   Listed
+	listed   RegistryEntry
 	life     incarnation.Entry
 	since    time.Duration // of the state
 	answered time.Duration
@@ -117,8 +117,8 @@
 	doubts   int
 }
 
-// Roster is what one node knows of the servers.
-type Roster struct {
+// Set is what one node knows of the servers.
+type Set struct {
 	servers  map[string]*server
 	revision uint64
 	changed  []incarnation.Entry
@@ -126,11 +126,11 @@
 	seen     time.Duration
 }
 
-// New knows nothing.
-func New() *Roster { return &Roster{servers: map[string]*server{}} }
+// NewSet knows nothing.
+func NewSet() *Set { return &Set{servers: map[string]*server{}} }
 
-// Seen takes in all that the registry lists now, and returns what has changed for the node.
-func (r *Roster) Seen(now time.Duration, all []Listed) []incarnation.Entry {
+// ApplyList takes in all that the registry lists now, and returns what has changed for the node.
+func (r *Set) ApplyList(now time.Duration, all []RegistryEntry) []incarnation.Entry {
 	r.begin(now)
 	named := make(map[string]bool, len(all))
 	for _, l := range all {
@@ -143,19 +143,19 @@
 		before := s.listed
 		s.listed = l
 		switch {
-		case l.Draining:
+		case l.IsDraining:
 			r.step(s, drains)
-		case s.state != Absent && r.another(s, before, l):
+		case s.state != StateAbsent && r.another(s, before, l):
 			r.step(s, listedNew)
 		default:
 			r.step(s, listed)
 		}
-		if s.life.Address != l.Address && s.state == Present { // the same life elsewhere is none
+		if s.life.Address != l.Address && s.state == StatePresent { // the same life elsewhere is none
 			r.tell(s, tellNew)
 		}
 	}
 	for _, id := range r.ids() {
-		if s := r.servers[id]; !named[id] && s.state != Held {
+		if s := r.servers[id]; !named[id] && s.state != StateRetained {
 			r.step(s, unlisted)
 		}
 	}
@@ -164,14 +164,14 @@
 }
 
 // another life: the process says so, or it was made anew by another session and was not seen to be alive all along.
-func (r *Roster) another(s *server, before, l Listed) bool {
-	if l.Started != 0 && before.Started != 0 {
-		return l.Started != before.Started
+func (r *Set) another(s *server, before, l RegistryEntry) bool {
+	if l.StartedUnixMS != 0 && before.StartedUnixMS != 0 {
+		return l.StartedUnixMS != before.StartedUnixMS
 	}
-	if l.Owner == before.Owner && l.Czxid == before.Czxid {
+	if l.OwnerSession == before.OwnerSession && l.CreatedZxid == before.CreatedZxid {
 		return false
 	}
-	if s.state != Missing && s.state != Held { // an end that was not seen: sessions changed between two looks
+	if s.state != StateMissing && s.state != StateRetained { // an end that was not seen: sessions changed between two looks
 		return r.seen-s.answered > aliveBefore || s.failed > s.answered
 	}
 	return r.seen-s.since > flapFor || s.since-s.answered > aliveBefore || s.failed >= s.since
@@ -179,19 +179,19 @@
 
 // doubtRegistry holds the last list when most of it has vanished together; and gives up those that stay away once most of
 // the others are listed again.
-func (r *Roster) doubtRegistry(named map[string]bool) {
+func (r *Set) doubtRegistry(named map[string]bool) {
 	missing, used := 0, 0
 	for _, s := range r.servers {
 		switch s.state {
-		case Missing:
+		case StateMissing:
 			if r.seen-s.since <= mostWithin {
 				missing++
 			}
 			used++
-		case Held:
+		case StateRetained:
 			missing++
 			used++
-		case Present:
+		case StatePresent:
 			used++
 		}
 	}
@@ -199,20 +199,20 @@
 	for _, id := range r.ids() {
 		s := r.servers[id]
 		switch {
-		case most && s.state == Missing && r.seen-s.since <= mostWithin && s.failed < s.since:
+		case most && s.state == StateMissing && r.seen-s.since <= mostWithin && s.failed < s.since:
 			r.step(s, vanished)
-		case !most && s.state == Held && !named[id]:
+		case !most && s.state == StateRetained && !named[id]:
 			r.step(s, unlisted)
 		}
 	}
 	r.heldNow = most
 }
 
-// Suspicious tells that most servers have vanished from the registry together, and that the last list holds.
-func (r *Roster) Suspicious() bool { return r.heldNow }
+// IsMassRemovalSuspected tells that most servers have vanished from the registry together, and that the last list holds.
+func (r *Set) IsMassRemovalSuspected() bool { return r.heldNow }
 
-// Failed tells that an operation found no connection to a server.
-func (r *Roster) Failed(now time.Duration, id string) []incarnation.Entry {
+// ConnectFailed tells that an operation found no connection to a server.
+func (r *Set) ConnectFailed(now time.Duration, id string) []incarnation.Entry {
 	r.begin(now)
 	if s := r.servers[id]; s != nil {
 		if now-s.failed > failsWithin || s.answered > s.failed {
@@ -227,12 +227,12 @@
 	return r.end()
 }
 
-// Answered tells that a server has answered.
-func (r *Roster) Answered(now time.Duration, id string) []incarnation.Entry {
+// ResponseReceived tells that a server has answered.
+func (r *Set) ResponseReceived(now time.Duration, id string) []incarnation.Entry {
 	r.begin(now)
 	if s := r.servers[id]; s != nil {
 		s.answered, s.fails = now, 0
-		if s.state == Present {
+		if s.state == StatePresent {
 			s.doubts = 0
 		}
 		r.step(s, answers)
@@ -240,51 +240,51 @@
 	return r.end()
 }
 
-// Passed looks at what time changes.
-func (r *Roster) Passed(now time.Duration) []incarnation.Entry {
+// Tick looks at what time changes.
+func (r *Set) Tick(now time.Duration) []incarnation.Entry {
 	r.begin(now)
 	for _, id := range r.ids() {
 		s := r.servers[id]
 		limit := flapFor
-		if s.state == Doubted {
+		if s.state == StateSuspected {
 			limit = min(doubtFirst<<min(s.doubts-1, 10), doubtMost)
 		}
-		if (s.state == Missing || s.state == Doubted) && now-s.since >= limit {
+		if (s.state == StateMissing || s.state == StateSuspected) && now-s.since >= limit {
 			r.step(s, timeUp)
 		}
-		if s.state == Absent {
+		if s.state == StateAbsent {
 			delete(r.servers, id)
 		}
 	}
 	return r.end()
 }
 
-func (r *Roster) begin(now time.Duration) { r.seen, r.changed = now, nil }
+func (r *Set) begin(now time.Duration) { r.seen, r.changed = now, nil }
 
-func (r *Roster) end() []incarnation.Entry { return r.changed }
+func (r *Set) end() []incarnation.Entry { return r.changed }
 
-func (r *Roster) step(s *server, in input) {
+func (r *Set) step(s *server, in input) {
 	m := moves[s.state][in]
 	if m.next != s.state {
 		s.state, s.since = m.next, r.seen
-		if m.next == Doubted {
+		if m.next == StateSuspected {
 			s.doubts++
 		}
 	}
 	r.tell(s, m.do)
 }
 
-func (r *Roster) tell(s *server, do effect) {
+func (r *Set) tell(s *server, do effect) {
 	if do == nothing {
 		return
 	}
 	l, e := &s.listed, &s.life
 	r.revision++
-	up, turn := e.Up, e.Turn
+	up, turn := e.StartedUnixMS, e.Generation
 	switch do {
 	case tellNew:
-		up, turn = max(cmp.Or(l.Started, l.Ctime), e.Up), 0
-		if e.ID != "" && up == e.Up { // two lives within a millisecond, or by clocks that differ
+		up, turn = max(cmp.Or(l.StartedUnixMS, l.CreatedUnixMS), e.StartedUnixMS), 0
+		if e.ID != "" && up == e.StartedUnixMS { // two lives within a millisecond, or by clocks that differ
 			up++
 		}
 	case tellBack:
@@ -292,7 +292,7 @@
 			turn++
 		}
 	}
-	*e = incarnation.Entry{ID: l.ID, Up: up, Turn: turn, Revision: r.revision, Address: l.Address, Zone: l.Zone, Flavor: l.Flavor, Cell: l.Cell, Size: l.Size}
+	*e = incarnation.Entry{ID: l.ID, StartedUnixMS: up, Generation: turn, Revision: r.revision, Address: l.Address, Zone: l.Zone, MachineKind: l.MachineKind, Cell: l.Cell, Weight: l.Weight}
 	switch do {
 	case tellDraining:
 		e.Condition = incarnation.Draining
@@ -302,12 +302,12 @@
 	r.changed = append(r.changed, *e)
 }
 
-func (r *Roster) ids() []string { return slices.Sorted(maps.Keys(r.servers)) }
+func (r *Set) ids() []string { return slices.Sorted(maps.Keys(r.servers)) }
 
 // State of a server, for those who look.
-func (r *Roster) State(id string) State {
+func (r *Set) State(id string) State {
 	if s := r.servers[id]; s != nil {
 		return s.state
 	}
-	return Absent
+	return StateAbsent
 }
--- a/internal/discovery/endpoints/roster_test.go
+++ b/internal/discovery/endpoints/roster_test.go
@@ -14,8 +14,8 @@
 
 const ms = time.Millisecond
 
-func box(id string, owner int64) Listed {
-	return Listed{ID: id, Address: "127.0.0.1:9", Owner: owner, Czxid: owner, Ctime: owner, Size: 1}
+func box(id string, owner int64) RegistryEntry {
+	return RegistryEntry{ID: id, Address: "127.0.0.1:9", OwnerSession: owner, CreatedZxid: owner, CreatedUnixMS: owner, Weight: 1}
 }
 
 // view is what a node makes of the entries that it is told, by the lattice.
@@ -64,55 +64,55 @@
 		"all but it come back":          {[]happening{{2 * s, "all gone"}, {4 * s, "others back"}}, "draining", true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, v := New(), view{incarnation.NewTable()}
-			list := func(which ...Listed) []Listed { return which }
+			r, v := NewSet(), view{incarnation.NewTable()}
+			list := func(which ...RegistryEntry) []RegistryEntry { return which }
 			others := list(box("b", 2), box("c", 3), box("d", 4), box("e", 5))
 			it := box("a", 1)
-			v.take(r.Seen(0, append(list(it), others...)))
+			v.take(r.ApplyList(0, append(list(it), others...)))
 			first, _ := v.table.Get("a")
 			for at, i := 50*ms, 0; i < len(c.all); at += 50 * ms {
-				v.take(r.Passed(at))
+				v.take(r.Tick(at))
 				for ; i < len(c.all) && c.all[i].at <= at; i++ {
 					switch c.all[i].what {
 					case "gone":
-						v.take(r.Seen(at, others))
+						v.take(r.ApplyList(at, others))
 					case "all gone":
-						v.take(r.Seen(at, nil))
+						v.take(r.ApplyList(at, nil))
 					case "others back":
-						v.take(r.Seen(at, others))
+						v.take(r.ApplyList(at, others))
 					case "back":
-						it.Owner, it.Czxid, it.Ctime = 99, 99, 99
-						v.take(r.Seen(at, append(list(it), others...)))
+						it.OwnerSession, it.CreatedZxid, it.CreatedUnixMS = 99, 99, 99
+						v.take(r.ApplyList(at, append(list(it), others...)))
 					case "drain", "undrain":
-						it.Draining = c.all[i].what == "drain"
-						v.take(r.Seen(at, append(list(it), others...)))
+						it.IsDraining = c.all[i].what == "drain"
+						v.take(r.ApplyList(at, append(list(it), others...)))
 					case "fail":
-						v.take(r.Failed(at, "a"))
+						v.take(r.ConnectFailed(at, "a"))
 					case "answer":
-						v.take(r.Answered(at, "a"))
+						v.take(r.ResponseReceived(at, "a"))
 					}
 				}
 			}
 			last, _ := v.table.Get("a")
-			if v.condition("a") != c.want || (last.Up == first.Up) != c.same {
-				t.Errorf("%s, up %d, %d at first", v.condition("a"), last.Up, first.Up)
+			if v.condition("a") != c.want || (last.StartedUnixMS == first.StartedUnixMS) != c.same {
+				t.Errorf("%s, up %d, %d at first", v.condition("a"), last.StartedUnixMS, first.StartedUnixMS)
 			}
 		})
 	}
 }
 
 // model is what a list must keep to, told without the roster's own states.
-func check(t interface{ Fatalf(string, ...any) }, r *Roster, v view, listedNow map[string]bool, draining map[string]bool, history string) {
+func check(t interface{ Fatalf(string, ...any) }, r *Set, v view, listedNow map[string]bool, draining map[string]bool, history string) {
 	for _, id := range []string{"a", "b", "c"} {
 		c := v.condition(id)
 		switch {
 		case draining[id] && c == "up":
 			t.Fatalf("%s: %s was told to drain, and is up", history, id)
-		case !listedNow[id] && c == "up" && r.State(id) != Held:
+		case !listedNow[id] && c == "up" && r.State(id) != StateRetained:
 			t.Fatalf("%s: %s is not listed, and is up", history, id)
-		case !listedNow[id] && c == "up" && !r.Suspicious():
+		case !listedNow[id] && c == "up" && !r.IsMassRemovalSuspected():
 			t.Fatalf("%s: %s is held without suspicion", history, id)
-		case r.State(id) == Present && c != "up", r.State(id) == Leaving && c == "up":
+		case r.State(id) == StatePresent && c != "up", r.State(id) == StateDraining && c == "up":
 			t.Fatalf("%s: %s is %s in state %d", history, id, c, r.State(id))
 		}
 	}
@@ -161,12 +161,12 @@
 }
 
 func play(t interface{ Fatalf(string, ...any) }, next func(i int) ([2]string, bool)) {
-	r, v := New(), view{incarnation.NewTable()}
+	r, v := NewSet(), view{incarnation.NewTable()}
 	now, owner := time.Duration(0), int64(10)
-	state := map[string]Listed{}
+	state := map[string]RegistryEntry{}
 	there, draining := map[string]bool{}, map[string]bool{}
-	list := func() []Listed {
-		var all []Listed
+	list := func() []RegistryEntry {
+		var all []RegistryEntry
 		for _, id := range []string{"a", "b", "c"} {
 			if there[id] {
 				all = append(all, state[id])
@@ -177,7 +177,7 @@
 	for i, id := range []string{"a", "b", "c"} {
 		state[id], there[id] = box(id, int64(i+1)), true
 	}
-	v.take(r.Seen(now, list()))
+	v.take(r.ApplyList(now, list()))
 	history := ""
 	for i := 0; ; i++ {
 		m, more := next(i)
@@ -187,7 +187,7 @@
 		id := m[0]
 		history += fmt.Sprint(" ", id, " ", m[1])
 		now += 300 * ms
-		v.take(r.Passed(now))
+		v.take(r.Tick(now))
 		switch m[1] {
 		case "gone":
 			there[id] = false
@@ -199,21 +199,21 @@
 		case "drain":
 			if there[id] {
 				l := state[id]
-				l.Draining = true
+				l.IsDraining = true
 				state[id], draining[id] = l, true
 			}
 		case "fails":
 			for range failsLeast {
-				v.take(r.Failed(now, id))
+				v.take(r.ConnectFailed(now, id))
 			}
 		case "answer":
-			v.take(r.Answered(now, id))
+			v.take(r.ResponseReceived(now, id))
 		case "wait":
 			now += 6 * time.Second
-			v.take(r.Passed(now))
+			v.take(r.Tick(now))
 		}
 		if m[1] == "gone" || m[1] == "back" || m[1] == "drain" {
-			v.take(r.Seen(now, list()))
+			v.take(r.ApplyList(now, list()))
 		}
 		check(t, r, v, there, draining, history)
 	}
--- a/internal/discovery/endpoints/source_test.go
+++ b/internal/discovery/endpoints/source_test.go
@@ -7,7 +7,7 @@
 
 // TestSourceValues compares the numbers of sources, which list snapshots hold, and their names in the log.
 func TestSourceValues(t *testing.T) {
-	sources := []Source{Saved, Disk, Discovery, Registry, Planners, Distribution}
+	sources := []Source{SourceConfig, SourceSnapshot, SourceDiscovery, SourceRegistry, SourcePlanners, SourceDistribution}
 	want := []string{"the saved list", "the disk", "discovery", "a registry", "planners", "the distribution"}
 	var got []string
 	for i, s := range sources {
--- a/internal/discovery/incarnation/format_test.go
+++ b/internal/discovery/incarnation/format_test.go
@@ -15,8 +15,8 @@
 		entry Entry
 		want  string
 	}{
-		{"all fields", Entry{ID: "s", Up: 1_764_742_800_123, Turn: 2, Condition: Draining, Revision: 1 << 40, Address: "127.0.0.1:80", Zone: "north",
-			Flavor: "large", Cell: 3, Size: 2.5}, "8a61731b0000019ae2de22fb02011b00000100000000006c3132372e302e302e313a3830656e6f727468656c6172676503fb4004000000000000"},
+		{"all fields", Entry{ID: "s", StartedUnixMS: 1_764_742_800_123, Generation: 2, Condition: Draining, Revision: 1 << 40, Address: "127.0.0.1:80", Zone: "north",
+			MachineKind: "large", Cell: 3, Weight: 2.5}, "8a61731b0000019ae2de22fb02011b00000100000000006c3132372e302e302e313a3830656e6f727468656c6172676503fb4004000000000000"},
 		{"zero", Entry{}, "8a600000000060606000fb0000000000000000"},
 		{"gone", Entry{ID: "t", Condition: Gone}, "8a61740000020060606000fb0000000000000000"},
 	} {
--- a/internal/discovery/incarnation/life.go
+++ b/internal/discovery/incarnation/life.go
@@ -27,23 +27,23 @@
 type Entry struct {
 	_ struct{} `cbor:",toarray"`
 
-	ID        string
-	Up        int64     // when it started, Unix time in ms; 0: not told, long ago
-	Turn      uint32    // how often it was seen to come back within that start, as when a drain is called off
-	Condition Condition // within the incarnation, which is Up and Turn
-	Revision  uint64    // of discovery, when it told this
-	Address   string
-	Zone      string
-	Flavor    string
-	Cell      int
-	Size      float64
+	ID            string
+	StartedUnixMS int64     // when it started, Unix time in ms; 0: not told, long ago
+	Generation    uint32    // how often it was seen to come back within that start, as when a drain is called off
+	Condition     Condition // within the incarnation, which is Up and Turn
+	Revision      uint64    // of discovery, when it told this
+	Address       string
+	Zone          string
+	MachineKind   string
+	Cell          int
+	Weight        float64
 }
 
 // Compare orders two entries of one server: the greater one holds.
 func Compare(a, b Entry) int {
-	return cmp.Or(cmp.Compare(a.Up, b.Up), cmp.Compare(a.Turn, b.Turn), cmp.Compare(a.Condition, b.Condition),
+	return cmp.Or(cmp.Compare(a.StartedUnixMS, b.StartedUnixMS), cmp.Compare(a.Generation, b.Generation), cmp.Compare(a.Condition, b.Condition),
 		cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.Address, b.Address), cmp.Compare(a.Zone, b.Zone),
-		cmp.Compare(a.Flavor, b.Flavor), cmp.Compare(a.Cell, b.Cell), cmp.Compare(a.Size, b.Size))
+		cmp.Compare(a.MachineKind, b.MachineKind), cmp.Compare(a.Cell, b.Cell), cmp.Compare(a.Weight, b.Weight))
 }
 
 // Join is the greater of two entries of one server.
@@ -91,23 +91,23 @@
 	return changed
 }
 
-// Told takes in what discovery says, at a revision of its own. Within one start a server goes back only by discovery's
+// ApplyDiscovery takes in what discovery says, at a revision of its own. Within one start a server goes back only by discovery's
 // word at a later revision than that at which it was told to drain or to be gone: that is a new turn. An older word,
 // as of a replica that lags, changes nothing. Of a whole list, a server that it does not name is gone, if the list is
 // not older than what is known of that server.
-func (t *Table) Told(now time.Duration, list []Entry, whole bool) (changed []Entry) {
+func (t *Table) ApplyDiscovery(now time.Duration, list []Entry, whole bool) (changed []Entry) {
 	revision := uint64(0)
 	named := make(map[string]bool, len(list))
 	var heard []Entry
 	for _, e := range list {
 		named[e.ID], revision = true, max(revision, e.Revision)
-		if was, ok := t.entries[e.ID]; ok && e.Up <= was.Up {
-			e.Up, e.Turn = was.Up, was.Turn // one that tells no start, or an older one, tells of this incarnation
+		if was, ok := t.entries[e.ID]; ok && e.StartedUnixMS <= was.StartedUnixMS {
+			e.StartedUnixMS, e.Generation = was.StartedUnixMS, was.Generation // one that tells no start, or an older one, tells of this incarnation
 			if e.Condition < was.Condition {
 				if e.Revision <= was.Revision {
 					continue
 				}
-				e.Turn++
+				e.Generation++
 			}
 		}
 		heard = append(heard, e)
@@ -123,8 +123,8 @@
 	return t.Join(now, heard)
 }
 
-// Above are the entries, most at most, in which this table is ahead of what another was seen to hold.
-func (t *Table) Above(other map[string]Entry, most int) (above []Entry) {
+// NewerThan are the entries, most at most, in which this table is ahead of what another was seen to hold.
+func (t *Table) NewerThan(other map[string]Entry, most int) (above []Entry) {
 	for _, id := range t.ids() {
 		e := t.entries[id]
 		if o, ok := other[id]; ok && Compare(e, o) <= 0 || !ok && e.Condition == Gone {
@@ -146,8 +146,8 @@
 	return all
 }
 
-// Forget lets go of servers that have been gone for long.
-func (t *Table) Forget(now time.Duration) {
+// ExpireTombstones lets go of servers that have been gone for long.
+func (t *Table) ExpireTombstones(now time.Duration) {
 	for id, since := range t.gone {
 		if now-since > tombstoneFor {
 			delete(t.gone, id)
--- a/internal/discovery/incarnation/life_test.go
+++ b/internal/discovery/incarnation/life_test.go
@@ -11,7 +11,7 @@
 
 func entry(t *rapid.T, id string) Entry {
 	n := func(most int, what string) int { return rapid.IntRange(0, most).Draw(t, what) }
-	return Entry{ID: id, Up: int64(n(2, "up")), Turn: uint32(n(1, "turn")), Condition: Condition(n(2, "condition")),
+	return Entry{ID: id, StartedUnixMS: int64(n(2, "up")), Generation: uint32(n(1, "turn")), Condition: Condition(n(2, "condition")),
 		Revision: uint64(n(3, "revision")), Address: fmt.Sprint("127.0.0.1:", n(1, "port")+1)}
 }
 
@@ -58,18 +58,18 @@
 		t.Run(name, func(t *testing.T) {
 			table := NewTable()
 			for _, w := range c.words {
-				e := Entry{ID: "s", Condition: w.cond, Up: w.up, Revision: w.revision}
+				e := Entry{ID: "s", Condition: w.cond, StartedUnixMS: w.up, Revision: w.revision}
 				switch w.by {
 				case "peer":
 					table.Join(0, []Entry{e})
 				case "whole":
-					table.Told(0, []Entry{{ID: "other", Revision: w.revision}}, true)
+					table.ApplyDiscovery(0, []Entry{{ID: "other", Revision: w.revision}}, true)
 				default:
-					table.Told(0, []Entry{e}, false)
+					table.ApplyDiscovery(0, []Entry{e}, false)
 				}
 			}
 			e, _ := table.Get("s")
-			if got := fmt.Sprint([]string{"up", "draining", "gone"}[e.Condition], " ", e.Turn); got != c.want {
+			if got := fmt.Sprint([]string{"up", "draining", "gone"}[e.Condition], " ", e.Generation); got != c.want {
 				t.Errorf("%s", got)
 			}
 		})
@@ -85,7 +85,7 @@
 	if table.Len() != entriesMost {
 		t.Errorf("%d entries", table.Len())
 	}
-	if table.Forget(tombstoneFor + time.Second); table.Len() != 0 {
+	if table.ExpireTombstones(tombstoneFor + time.Second); table.Len() != 0 {
 		t.Errorf("%d are remembered", table.Len())
 	}
 }
@@ -102,7 +102,7 @@
 			e := Entry{ID: "s"}
 			truth := NewTable()
 			for _, h := range history {
-				truth.Told(0, []Entry{h}, false)
+				truth.ApplyDiscovery(0, []Entry{h}, false)
 			}
 			if len(history) > 0 {
 				e, _ = truth.Get("s")
@@ -110,7 +110,7 @@
 			return e
 		}
 		say := func(c Condition, up int64) {
-			history = append(history, Entry{ID: "s", Condition: c, Up: up, Revision: uint64(len(history) + 1)})
+			history = append(history, Entry{ID: "s", Condition: c, StartedUnixMS: up, Revision: uint64(len(history) + 1)})
 		}
 		say(Up, 0)
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
@@ -123,7 +123,7 @@
 				case last.Condition == Up:
 					say(Draining, 0)
 				case last.Condition == Draining && rapid.Bool().Draw(t, "called back"):
-					say(Up, last.Up)
+					say(Up, last.StartedUnixMS)
 				case last.Condition == Draining:
 					say(Gone, 0)
 				default:
@@ -131,27 +131,27 @@
 				}
 			case 1: // a planner reads on
 				if read[p] < len(history) {
-					planners[p].Told(0, history[read[p]:read[p]+1], false)
+					planners[p].ApplyDiscovery(0, history[read[p]:read[p]+1], false)
 					read[p]++
 				}
 			case 2: // it starts anew, from a whole list that may lag
 				planners[p], read[p] = NewTable(), rapid.IntRange(1, len(history)).Draw(t, "lag")
-				planners[p].Told(0, history[read[p]-1:read[p]], true)
+				planners[p].ApplyDiscovery(0, history[read[p]-1:read[p]], true)
 			case 3, 4: // a forwarder hears it
 				forwarders[f].Join(0, planners[p].All())
 			case 5: // and it the forwarder
-				planners[p].Join(0, forwarders[f].Above(map[string]Entry{}, 9))
+				planners[p].Join(0, forwarders[f].NewerThan(map[string]Entry{}, 9))
 			case 6: // the forwarder asks discovery itself
-				forwarders[f].Told(0, history[len(history)-1:], false)
+				forwarders[f].ApplyDiscovery(0, history[len(history)-1:], false)
 			}
 			now, _ := forwarders[f].Get("s")
 			if Compare(now, was) < 0 {
 				t.Fatalf("went back from %+v to %+v", was, now)
 			}
-			if was.Condition != Up && now.Condition == Up && now.Up == was.Up && now.Turn == was.Turn {
+			if was.Condition != Up && now.Condition == Up && now.StartedUnixMS == was.StartedUnixMS && now.Generation == was.Generation {
 				t.Fatalf("a drain was undone: %+v to %+v", was, now)
 			}
-			if truth := newest(); now.ID != "" && now.Up > truth.Up {
+			if truth := newest(); now.ID != "" && now.StartedUnixMS > truth.StartedUnixMS {
 				t.Fatalf("holds %+v, which discovery has not told: %+v", now, truth)
 			}
 		}
--- a/internal/discovery/snapshot/config.go
+++ b/internal/discovery/snapshot/config.go
@@ -11,11 +11,11 @@
 
 // Config is an operator's file of the snapshot.
 type Config struct {
-	Dir        string        `toml:"dir"`
-	Deployment string        `toml:"deployment"` // a list of another one is refused
-	Every      tomlfile.Span `toml:"every"`      // least time between two generations
-	Keep       int           `toml:"keep"`       // generations
-	Oldest     tomlfile.Span `toml:"oldest"`     // a list that was confirmed so long ago is not used at all
+	Dir            string            `toml:"dir"`
+	Deployment     string            `toml:"deployment"` // a list of another one is refused
+	WriteInterval  tomlfile.Duration `toml:"every"`      // least time between two generations
+	MaxGenerations int               `toml:"keep"`       // generations
+	MaxAge         tomlfile.Duration `toml:"oldest"`     // a list that was confirmed so long ago is not used at all
 }
 
 // Load reads the file; each fault is named by file and line.
@@ -24,7 +24,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{Every: tomlfile.Span(2 * time.Second), Keep: 3, Oldest: tomlfile.Span(7 * 24 * time.Hour)}
+	c := &Config{WriteInterval: tomlfile.Duration(2 * time.Second), MaxGenerations: 3, MaxAge: tomlfile.Duration(7 * 24 * time.Hour)}
 	f, err := tomlfile.Parse(path, text, c)
 	if err != nil {
 		return nil, err
@@ -35,14 +35,14 @@
 	if c.Deployment == "" {
 		f.Wrong("deployment", "deployment is not named: a list of another one must not be taken for this one's")
 	}
-	if c.Every.D() < 100*time.Millisecond || c.Every.D() > time.Hour {
-		f.Wrong("every", "every %s: from 100ms to 1h", c.Every.D())
+	if c.WriteInterval.Std() < 100*time.Millisecond || c.WriteInterval.Std() > time.Hour {
+		f.Wrong("every", "every %s: from 100ms to 1h", c.WriteInterval.Std())
 	}
-	if c.Keep < 2 || c.Keep > 100 {
-		f.Wrong("keep", "keep %d: from 2 to 100 generations, so that one that is spoilt leaves another", c.Keep)
+	if c.MaxGenerations < 2 || c.MaxGenerations > 100 {
+		f.Wrong("keep", "keep %d: from 2 to 100 generations, so that one that is spoilt leaves another", c.MaxGenerations)
 	}
-	if c.Oldest.D() < time.Minute {
-		f.Wrong("oldest", "oldest %s: a minute at least", c.Oldest.D())
+	if c.MaxAge.Std() < time.Minute {
+		f.Wrong("oldest", "oldest %s: a minute at least", c.MaxAge.Std())
 	}
 	return c, f.Err()
 }
--- a/internal/discovery/snapshot/format_test.go
+++ b/internal/discovery/snapshot/format_test.go
@@ -17,20 +17,20 @@
 func storedFiles() map[string]*Snapshot {
 	return map[string]*Snapshot{
 		"all-fields.snap": {
-			Node: "node-7", Deployment: "hire-northeast", Written: 1_764_742_800_123, Confirmed: 1_764_742_799_456, Clean: true, Revision: 1 << 40,
+			Node: "node-7", Deployment: "hire-northeast", WrittenUnixMS: 1_764_742_800_123, ConfirmedUnixMS: 1_764_742_799_456, IsCleanShutdown: true, Revision: 1 << 40,
 			Servers: []Server{
-				{ID: "server-a", Up: 1_764_700_000_001, Condition: 0, Address: "10.1.2.3:8080", Zone: "north", Flavor: "large", Cell: 3, Size: 2.5,
-					From: 2, Heard: 1_764_742_799_001, Ran: 1_764_742_799_002},
-				{ID: "server-b", Up: 1_764_700_000_002, Condition: 1, Address: "[2001:db8::1]:9", Zone: "south", Flavor: "small", Cell: 1, Size: 1,
-					From: 3, Heard: 1_764_742_799_003, Ran: 1_764_742_799_004},
-				{ID: "server-c", Up: 0, Condition: 2, Address: "", Zone: "", Flavor: "", Cell: 0, Size: 0.25, From: 5, Heard: 1, Ran: 0},
+				{ID: "server-a", StartedUnixMS: 1_764_700_000_001, Condition: 0, Address: "10.1.2.3:8080", Zone: "north", MachineKind: "large", Cell: 3, Weight: 2.5,
+					Source: 2, AnnouncedUnixMS: 1_764_742_799_001, ExecutedUnixMS: 1_764_742_799_002},
+				{ID: "server-b", StartedUnixMS: 1_764_700_000_002, Condition: 1, Address: "[2001:db8::1]:9", Zone: "south", MachineKind: "small", Cell: 1, Weight: 1,
+					Source: 3, AnnouncedUnixMS: 1_764_742_799_003, ExecutedUnixMS: 1_764_742_799_004},
+				{ID: "server-c", StartedUnixMS: 0, Condition: 2, Address: "", Zone: "", MachineKind: "", Cell: 0, Weight: 0.25, Source: 5, AnnouncedUnixMS: 1, ExecutedUnixMS: 0},
 			},
 		},
 		"after-crash.snap": {
-			Node: "n", Deployment: "d", Written: 2, Confirmed: 1, Clean: false, Revision: 7,
-			Servers: []Server{{ID: "only", Address: "127.0.0.1:1", Size: 1, From: 4, Heard: 1}},
+			Node: "n", Deployment: "d", WrittenUnixMS: 2, ConfirmedUnixMS: 1, IsCleanShutdown: false, Revision: 7,
+			Servers: []Server{{ID: "only", Address: "127.0.0.1:1", Weight: 1, Source: 4, AnnouncedUnixMS: 1}},
 		},
-		"no-servers.snap": {Node: "n", Deployment: "d", Written: 2, Confirmed: 1, Servers: []Server{}},
+		"no-servers.snap": {Node: "n", Deployment: "d", WrittenUnixMS: 2, ConfirmedUnixMS: 1, Servers: []Server{}},
 	}
 }
 
@@ -62,7 +62,7 @@
 				t.Fatal(err)
 			}
 			dir := t.TempDir()
-			store, err := Open(dir, 3, wal.OS{})
+			store, err := Open(dir, 3, wal.OSFileSystem{})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -92,7 +92,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Config{Dir: dir, Deployment: "hire", Every: tomlfile.Span(3 * time.Second), Keep: 5, Oldest: tomlfile.Span(48 * time.Hour)}
+	want := Config{Dir: dir, Deployment: "hire", WriteInterval: tomlfile.Duration(3 * time.Second), MaxGenerations: 5, MaxAge: tomlfile.Duration(48 * time.Hour)}
 	if *got != want {
 		t.Errorf("read %+v, want %+v", *got, want)
 	}
--- a/internal/discovery/snapshot/snapshot.go
+++ b/internal/discovery/snapshot/snapshot.go
@@ -21,36 +21,36 @@
 type Snapshot struct {
 	_ struct{} `cbor:",toarray"`
 
-	Node       string // whose it is
-	Deployment string
-	Written    int64
-	Confirmed  int64  // when a source last told of servers, or that there is nothing new
-	Clean      bool   // written as the node ended in good order
-	Revision   uint64 // of the source, for going on from there
-	Servers    []Server
+	Node            string // whose it is
+	Deployment      string
+	WrittenUnixMS   int64
+	ConfirmedUnixMS int64  // when a source last told of servers, or that there is nothing new
+	IsCleanShutdown bool   // written as the node ended in good order
+	Revision        uint64 // of the source, for going on from there
+	Servers         []Server
 }
 
 // Server is one of them.
 type Server struct {
 	_ struct{} `cbor:",toarray"`
 
-	ID        string
-	Up        int64 // when it started; 0: not told
-	Condition uint8 // as life.Condition
-	Address   string
-	Zone      string
-	Flavor    string
-	Cell      int
-	Size      float64
-	From      uint8 // as roster.Source
-	Heard     int64
-	Ran       int64 // when it last answered this node with something that it had run; 0: never
+	ID              string
+	StartedUnixMS   int64 // when it started; 0: not told
+	Condition       uint8 // as life.Condition
+	Address         string
+	Zone            string
+	MachineKind     string
+	Cell            int
+	Weight          float64
+	Source          uint8 // as roster.Source
+	AnnouncedUnixMS int64
+	ExecutedUnixMS  int64 // when it last answered this node with something that it had run; 0: never
 }
 
 // Reasons for which a file is no snapshot to go by.
 var (
-	ErrCorrupt = errors.New("it is not whole")
-	ErrNewer   = errors.New("it is of a newer version of this program")
+	ErrCorrupt      = errors.New("it is not whole")
+	ErrNewerVersion = errors.New("it is of a newer version of this program")
 )
 
 // Encode writes one.
@@ -89,7 +89,7 @@
 		return nil, ErrCorrupt
 	}
 	if v := binary.BigEndian.Uint16(b[len(magic):]); v > version {
-		return nil, ErrNewer
+		return nil, ErrNewerVersion
 	} else if v == 0 {
 		return nil, ErrCorrupt
 	}
--- a/internal/discovery/snapshot/snapshot_test.go
+++ b/internal/discovery/snapshot/snapshot_test.go
@@ -15,8 +15,8 @@
 )
 
 func of(n int64) *Snapshot {
-	return &Snapshot{Node: "n", Deployment: "d", Written: n, Confirmed: n - 1, Revision: uint64(n),
-		Servers: []Server{{ID: "a", Up: n, Address: "127.0.0.1:1", Zone: "north", Size: 1, Heard: n, Ran: n}, {ID: "b", Condition: 1}}}
+	return &Snapshot{Node: "n", Deployment: "d", WrittenUnixMS: n, ConfirmedUnixMS: n - 1, Revision: uint64(n),
+		Servers: []Server{{ID: "a", StartedUnixMS: n, Address: "127.0.0.1:1", Zone: "north", Weight: 1, AnnouncedUnixMS: n, ExecutedUnixMS: n}, {ID: "b", Condition: 1}}}
 }
 
 // What is written is read again; what is corrupt, of a newer version or not a list at all is told.
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	s, err := Decode(good)
-	if err != nil || s.Written != 7 || len(s.Servers) != 2 || s.Servers[0] != of(7).Servers[0] {
+	if err != nil || s.WrittenUnixMS != 7 || len(s.Servers) != 2 || s.Servers[0] != of(7).Servers[0] {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	twice, _ := Encode(&Snapshot{Servers: []Server{{ID: "a"}, {ID: "a"}}})
@@ -39,7 +39,7 @@
 		want error
 	}{
 		"nothing": {nil, ErrCorrupt}, "noise": {[]byte(strings.Repeat("x", 99)), ErrCorrupt}, "cut off": {good[:len(good)-1], ErrCorrupt},
-		"longer": {append(bytes.Clone(good), 0), ErrCorrupt}, "a bit": {flipped, ErrCorrupt}, "newer": {newer, ErrNewer}, "named twice": {twice, ErrCorrupt},
+		"longer": {append(bytes.Clone(good), 0), ErrCorrupt}, "a bit": {flipped, ErrCorrupt}, "newer": {newer, ErrNewerVersion}, "named twice": {twice, ErrCorrupt},
 	} {
 		if _, err := Decode(c.text); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
@@ -108,13 +108,13 @@
 				t.Fatal(err)
 			}
 			got, _, err := again.Newest()
-			if err != nil || got == nil || got.Written < last || got.Written > last+1 {
+			if err != nil || got == nil || got.WrittenUnixMS < last || got.WrittenUnixMS > last+1 {
 				t.Fatalf("%s: %+v after %d, %v", name, got, last, err)
 			}
 			if err := again.Write(of(9)); err != nil {
 				t.Fatalf("%s: %v", name, err)
 			}
-			if got, _, _ := again.Newest(); got == nil || got.Written != 9 {
+			if got, _, _ := again.Newest(); got == nil || got.WrittenUnixMS != 9 {
 				t.Fatalf("%s: not written on: %+v", name, got)
 			}
 			if files, _ := d.List("dir"); len(files) != 2 {
@@ -127,7 +127,7 @@
 // A corrupt generation is passed over and named; one of a newer version ends the search.
 func TestNewest(t *testing.T) {
 	dir := t.TempDir()
-	s, err := Open(dir, 3, wal.OS{})
+	s, err := Open(dir, 3, wal.OSFileSystem{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +147,7 @@
 	}
 	spoil(files[2], func(b []byte) { b[len(b)-1] ^= 1 })
 	got, faults, err := s.Newest()
-	if err != nil || got == nil || got.Written != 4 || len(faults) != 1 || !strings.Contains(faults[0].Error(), files[2]) {
+	if err != nil || got == nil || got.WrittenUnixMS != 4 || len(faults) != 1 || !strings.Contains(faults[0].Error(), files[2]) {
 		t.Errorf("%+v, %v, %v", got, faults, err)
 	}
 	spoil(files[1], func(b []byte) { b[len(magic)+1] = version + 1 })
--- a/internal/discovery/snapshot/store.go
+++ b/internal/discovery/snapshot/store.go
@@ -21,21 +21,21 @@
 // Store is a folder with generations.
 type Store struct {
 	dir   string
-	files wal.Files
+	files wal.FileSystem
 	keep  int
 	next  uint64
 }
 
 // Generation is a file of a folder.
 type Generation struct {
-	Number uint64
-	Path   string
-	Snap   *Snapshot // nil: it cannot be gone by
-	Err    error
+	Number   uint64
+	Path     string
+	Snapshot *Snapshot // nil: it cannot be gone by
+	Err      error
 }
 
 // Open looks at a folder.
-func Open(dir string, keep int, files wal.Files) (*Store, error) {
+func Open(dir string, keep int, files wal.FileSystem) (*Store, error) {
 	s := &Store{dir: dir, files: files, keep: max(keep, 1), next: 1}
 	numbers, err := s.numbers()
 	if err != nil {
@@ -129,7 +129,7 @@
 	var all []Generation
 	for _, n := range numbers {
 		g := Generation{Number: n, Path: s.path(n)}
-		g.Snap, g.Err = s.read(g.Path)
+		g.Snapshot, g.Err = s.read(g.Path)
 		all = append(all, g)
 	}
 	return all, nil
@@ -144,10 +144,10 @@
 	}
 	for _, g := range all {
 		if g.Err == nil {
-			return g.Snap, faults, nil
+			return g.Snapshot, faults, nil
 		}
 		faults = append(faults, fmt.Errorf("%s: %w", g.Path, g.Err))
-		if errors.Is(g.Err, ErrNewer) {
+		if errors.Is(g.Err, ErrNewerVersion) {
 			break
 		}
 	}
--- a/internal/discovery/staleness/trust.go
+++ b/internal/discovery/staleness/trust.go
@@ -19,17 +19,17 @@
 	trialsFirst = 1 // that are always allowed
 )
 
-// Known is what a kept list says of itself.
-type Known struct {
-	Age   time.Duration // since a source confirmed it, by the clock; below 0: it comes from ahead
-	Clean bool          // the node that kept it ended in good order
+// CachedList is what a kept list says of itself.
+type CachedList struct {
+	Age             time.Duration // since a source confirmed it, by the clock; below 0: it comes from ahead
+	IsCleanShutdown bool          // the node that kept it ended in good order
 }
 
 // Server is one of a kept list.
 type Server struct {
-	ID     string
-	Up     bool // else it was told to drain or to be gone: it stays so until a source says otherwise
-	Served bool // it has answered the node that kept the list
+	ID          string
+	IsUp        bool // else it was told to drain or to be gone: it stays so until a source says otherwise
+	HasExecuted bool // it has answered the node that kept the list
 }
 
 // grade of suspicion, by the age of the list.
@@ -50,30 +50,30 @@
 	{upTo: math.MaxInt64, part: 0.05, least: 1, more: 1},
 }
 
-// Grades is how many there are.
-var Grades = len(grades)
+// LevelCount is how many there are.
+var LevelCount = len(grades)
 
-// Grade is how suspicious a list is, from 0: after a crash, one more than its age says; from ahead, the most.
-func (k Known) Grade() int {
+// Level is how suspicious a list is, from 0: after a crash, one more than its age says; from ahead, the most.
+func (k CachedList) Level() int {
 	if k.Age < -clockSlack {
 		return len(grades) - 1
 	}
 	g := slices.IndexFunc(grades, func(g grade) bool { return k.Age <= g.upTo })
-	if !k.Clean {
+	if !k.IsCleanShutdown {
 		g++
 	}
 	return min(g, len(grades)-1)
 }
 
-// Standing of a server.
-type Standing uint8
+// Status of a server.
+type Status uint8
 
 const (
-	Held     Standing = iota // not tried yet
-	Trial                    // may be sent to, but nothing that must not run twice
-	Proved                   // has served since the start
-	Doubted                  // found to be away; tried again later
-	Excluded                 // told to drain or gone before the start, or another server answers there
+	Untried   Status = iota // not tried yet
+	OnTrial                 // may be sent to, but nothing that must not run twice
+	Proven                  // has served since the start
+	Suspected               // found to be away; tried again later
+	Excluded                // told to drain or gone before the start, or another server answers there
 	standings
 )
 
@@ -90,29 +90,29 @@
 )
 
 type move struct {
-	next   Standing
+	next   Status
 	charge int // to the number of trials: what is won or lost
 }
 
 var moves = [standings][inputs]move{
-	Held:     {offered: {Trial, 0}, served: {Held, 0}, turnedAway: {Held, 0}, away: {Held, 0}, another: {Excluded, 0}, timeUp: {Held, 0}},
-	Trial:    {offered: {Trial, 0}, served: {Proved, 1}, turnedAway: {Trial, 0}, away: {Doubted, -1}, another: {Excluded, -1}, timeUp: {Trial, 0}},
-	Proved:   {offered: {Proved, 0}, served: {Proved, 0}, turnedAway: {Proved, 0}, away: {Doubted, 0}, another: {Excluded, -1}, timeUp: {Proved, 0}},
-	Doubted:  {offered: {Doubted, 0}, served: {Doubted, 0}, turnedAway: {Doubted, 0}, away: {Doubted, 0}, another: {Excluded, 0}, timeUp: {Held, 0}},
-	Excluded: {offered: {Excluded, 0}, served: {Excluded, 0}, turnedAway: {Excluded, 0}, away: {Excluded, 0}, another: {Excluded, 0}, timeUp: {Excluded, 0}},
+	Untried:   {offered: {OnTrial, 0}, served: {Untried, 0}, turnedAway: {Untried, 0}, away: {Untried, 0}, another: {Excluded, 0}, timeUp: {Untried, 0}},
+	OnTrial:   {offered: {OnTrial, 0}, served: {Proven, 1}, turnedAway: {OnTrial, 0}, away: {Suspected, -1}, another: {Excluded, -1}, timeUp: {OnTrial, 0}},
+	Proven:    {offered: {Proven, 0}, served: {Proven, 0}, turnedAway: {Proven, 0}, away: {Suspected, 0}, another: {Excluded, -1}, timeUp: {Proven, 0}},
+	Suspected: {offered: {Suspected, 0}, served: {Suspected, 0}, turnedAway: {Suspected, 0}, away: {Suspected, 0}, another: {Excluded, 0}, timeUp: {Untried, 0}},
+	Excluded:  {offered: {Excluded, 0}, served: {Excluded, 0}, turnedAway: {Excluded, 0}, away: {Excluded, 0}, another: {Excluded, 0}, timeUp: {Excluded, 0}},
 }
 
 type server struct {
 	Server
-	standing Standing
+	standing Status
 	order    uint32 // of trials, by chance of the node's own
 	since    time.Duration
 	fails    int
 	doubts   int
 }
 
-// Trust is one node's, for one kept list.
-type Trust struct {
+// Evaluator is one node's, for one kept list.
+type Evaluator struct {
 	grade   grade
 	level   int
 	servers map[string]*server
@@ -123,13 +123,13 @@
 
 // New judges a kept list. The order of trials differs by node, so that a tier which starts together on one list does not
 // fall on the same servers first.
-func New(k Known, node string, all []Server) *Trust {
-	t := &Trust{level: k.Grade(), servers: map[string]*server{}, changed: true}
+func New(k CachedList, node string, all []Server) *Evaluator {
+	t := &Evaluator{level: k.Level(), servers: map[string]*server{}, changed: true}
 	t.grade = grades[t.level]
 	up := 0
 	for _, s := range all {
 		one := &server{Server: s, order: crc32.ChecksumIEEE([]byte(node + "/" + s.ID))}
-		if !s.Up {
+		if !s.IsUp {
 			one.standing = Excluded
 		} else {
 			up++
@@ -146,47 +146,47 @@
 }
 
 func served01(s *server) int {
-	if s.Served {
+	if s.HasExecuted {
 		return 1
 	}
 	return 0
 }
 
-// Grade is the list's.
-func (t *Trust) Grade() int { return t.level }
+// Level is the list's.
+func (t *Evaluator) Level() int { return t.level }
 
-// Served tells that a server has run something and answered.
-func (t *Trust) Served(now time.Duration, id string) { t.step(now, id, served) }
+// RequestExecuted tells that a server has run something and answered.
+func (t *Evaluator) RequestExecuted(now time.Duration, id string) { t.step(now, id, served) }
 
-// TurnedAway tells that one answers and takes nothing: that it is there is no proof that it does not drain.
-func (t *Trust) TurnedAway(now time.Duration, id string) { t.step(now, id, turnedAway) }
+// RequestRejected tells that one answers and takes nothing: that it is there is no proof that it does not drain.
+func (t *Evaluator) RequestRejected(now time.Duration, id string) { t.step(now, id, turnedAway) }
 
-// Away tells that a hop found nobody there.
-func (t *Trust) Away(now time.Duration, id string) {
+// ConnectFailed tells that a hop found nobody there.
+func (t *Evaluator) ConnectFailed(now time.Duration, id string) {
 	s := t.servers[id]
 	if s == nil {
 		return
 	}
-	if s.fails++; s.standing == Proved && s.fails < failsLeast {
+	if s.fails++; s.standing == Proven && s.fails < failsLeast {
 		return
 	}
 	t.step(now, id, away)
 }
 
-// Another tells that another server answers at its address.
-func (t *Trust) Another(now time.Duration, id string) { t.step(now, id, another) }
+// WrongServer tells that another server answers at its address.
+func (t *Evaluator) WrongServer(now time.Duration, id string) { t.step(now, id, another) }
 
-// Passed looks at what time changes.
-func (t *Trust) Passed(now time.Duration) {
+// Tick looks at what time changes.
+func (t *Evaluator) Tick(now time.Duration) {
 	for _, s := range t.order {
-		if s.standing == Doubted && now-s.since >= min(doubtFirst<<min(s.doubts-1, 10), doubtMost) {
+		if s.standing == Suspected && now-s.since >= min(doubtFirst<<min(s.doubts-1, 10), doubtMost) {
 			t.move(now, s, timeUp)
 		}
 	}
 	t.offer(now)
 }
 
-func (t *Trust) step(now time.Duration, id string, in input) {
+func (t *Evaluator) step(now time.Duration, id string, in input) {
 	s := t.servers[id]
 	if s == nil {
 		return
@@ -198,7 +198,7 @@
 	t.offer(now)
 }
 
-func (t *Trust) move(now time.Duration, s *server, in input) {
+func (t *Evaluator) move(now time.Duration, s *server, in input) {
 	m := moves[s.standing][in]
 	switch {
 	case m.charge > 0:
@@ -207,7 +207,7 @@
 		t.trials = max(t.trials-1, trialsFirst)
 	}
 	if m.next != s.standing {
-		if m.next == Doubted {
+		if m.next == Suspected {
 			s.doubts++
 			s.fails = 0
 		}
@@ -216,16 +216,16 @@
 }
 
 // offer gives turns while there are trials left. One that was doubted comes behind those that were not tried.
-func (t *Trust) offer(now time.Duration) {
+func (t *Evaluator) offer(now time.Duration) {
 	on := 0
 	for _, s := range t.order {
-		if s.standing == Trial {
+		if s.standing == OnTrial {
 			on++
 		}
 	}
 	for _, again := range []bool{false, true} {
 		for _, s := range t.order {
-			if on < t.trials && s.standing == Held && (s.doubts > 0) == again {
+			if on < t.trials && s.standing == Untried && (s.doubts > 0) == again {
 				t.move(now, s, offered)
 				on++
 			}
@@ -233,34 +233,34 @@
 	}
 }
 
-// Use is a server that may be used now.
-type Use struct {
-	ID     string
-	Proved bool // also for what must not run twice
+// UsableServer is a server that may be used now.
+type UsableServer struct {
+	ID       string
+	IsProven bool // also for what must not run twice
 }
 
 // Usable is what may be used, by id, and whether that has changed since it was asked for last.
-func (t *Trust) Usable() (all []Use, changed bool) {
+func (t *Evaluator) Usable() (all []UsableServer, changed bool) {
 	for _, s := range t.order {
-		if s.standing == Trial || s.standing == Proved {
-			all = append(all, Use{s.ID, s.standing == Proved})
+		if s.standing == OnTrial || s.standing == Proven {
+			all = append(all, UsableServer{s.ID, s.standing == Proven})
 		}
 	}
-	slices.SortFunc(all, func(a, b Use) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(all, func(a, b UsableServer) int { return cmp.Compare(a.ID, b.ID) })
 	changed, t.changed = t.changed, false
 	return all, changed
 }
 
-// Count tells how many stand how, for those who look.
-func (t *Trust) Count() (by [standings]int) {
+// CountByStatus tells how many stand how, for those who look.
+func (t *Evaluator) CountByStatus() (by [standings]int) {
 	for _, s := range t.order {
 		by[s.standing]++
 	}
 	return by
 }
 
-// Standing of a server.
-func (t *Trust) Standing(id string) Standing {
+// Status of a server.
+func (t *Evaluator) Status(id string) Status {
 	if s := t.servers[id]; s != nil {
 		return s.standing
 	}
--- a/internal/discovery/staleness/trust_test.go
+++ b/internal/discovery/staleness/trust_test.go
@@ -11,7 +11,7 @@
 
 func many(n int) (all []Server) {
 	for i := range n {
-		all = append(all, Server{ID: fmt.Sprint("s", i), Up: true})
+		all = append(all, Server{ID: fmt.Sprint("s", i), IsUp: true})
 	}
 	return all
 }
@@ -19,25 +19,25 @@
 // How suspicious a list is, and how many of 40 servers it has tried at first.
 func TestGrades(t *testing.T) {
 	for name, c := range map[string]struct {
-		known  Known
+		known  CachedList
 		grade  int
 		trials int
 	}{
-		"just now":             {Known{time.Second, true}, 0, 40},
-		"just now, a crash":    {Known{time.Second, false}, 1, 20},
-		"a minute":             {Known{time.Minute, true}, 1, 20},
-		"ten minutes":          {Known{10 * time.Minute, true}, 2, 10},
-		"ten minutes, a crash": {Known{10 * time.Minute, false}, 3, 4},
-		"hours":                {Known{3 * time.Hour, true}, 3, 4},
-		"a week":               {Known{7 * 24 * time.Hour, true}, 4, 2},
-		"a week, a crash":      {Known{7 * 24 * time.Hour, false}, 4, 2},
-		"clocks differ":        {Known{-time.Second, true}, 0, 40},
-		"from ahead":           {Known{-time.Hour, true}, 4, 2},
+		"just now":             {CachedList{time.Second, true}, 0, 40},
+		"just now, a crash":    {CachedList{time.Second, false}, 1, 20},
+		"a minute":             {CachedList{time.Minute, true}, 1, 20},
+		"ten minutes":          {CachedList{10 * time.Minute, true}, 2, 10},
+		"ten minutes, a crash": {CachedList{10 * time.Minute, false}, 3, 4},
+		"hours":                {CachedList{3 * time.Hour, true}, 3, 4},
+		"a week":               {CachedList{7 * 24 * time.Hour, true}, 4, 2},
+		"a week, a crash":      {CachedList{7 * 24 * time.Hour, false}, 4, 2},
+		"clocks differ":        {CachedList{-time.Second, true}, 0, 40},
+		"from ahead":           {CachedList{-time.Hour, true}, 4, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tr := New(c.known, "n", many(40))
-			if all, changed := tr.Usable(); tr.Grade() != c.grade || len(all) != c.trials || !changed {
-				t.Errorf("grade %d, %d are tried", tr.Grade(), len(all))
+			if all, changed := tr.Usable(); tr.Level() != c.grade || len(all) != c.trials || !changed {
+				t.Errorf("grade %d, %d are tried", tr.Level(), len(all))
 			}
 		})
 	}
@@ -49,40 +49,40 @@
 	for name, c := range map[string]struct {
 		up    bool
 		steps []string
-		want  Standing
+		want  Status
 	}{
-		"tried":                        {true, nil, Trial},
+		"tried":                        {true, nil, OnTrial},
 		"told to drain before":         {false, nil, Excluded},
 		"and answers all the same":     {false, []string{serve, wait}, Excluded},
-		"serves":                       {true, []string{serve}, Proved},
-		"turns away":                   {true, []string{turn, turn}, Trial},
-		"serves, then turns away":      {true, []string{serve, turn}, Proved},
-		"nobody there":                 {true, []string{gone}, Doubted},
-		"and tried again":              {true, []string{gone, wait}, Trial},
-		"serves, one hop fails":        {true, []string{serve, gone}, Proved},
-		"serves, two fail":             {true, []string{serve, gone, gone}, Doubted},
-		"two, with an answer between":  {true, []string{serve, gone, serve, gone}, Proved},
+		"serves":                       {true, []string{serve}, Proven},
+		"turns away":                   {true, []string{turn, turn}, OnTrial},
+		"serves, then turns away":      {true, []string{serve, turn}, Proven},
+		"nobody there":                 {true, []string{gone}, Suspected},
+		"and tried again":              {true, []string{gone, wait}, OnTrial},
+		"serves, one hop fails":        {true, []string{serve, gone}, Proven},
+		"serves, two fail":             {true, []string{serve, gone, gone}, Suspected},
+		"two, with an answer between":  {true, []string{serve, gone, serve, gone}, Proven},
 		"another is there":             {true, []string{other}, Excluded},
 		"served, and now another does": {true, []string{serve, other, wait, serve}, Excluded},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tr, now := New(Known{10 * time.Minute, true}, "n", []Server{{ID: "a", Up: c.up}}), time.Duration(0)
+			tr, now := New(CachedList{10 * time.Minute, true}, "n", []Server{{ID: "a", IsUp: c.up}}), time.Duration(0)
 			for _, s := range c.steps {
 				switch s {
 				case serve:
-					tr.Served(now, "a")
+					tr.RequestExecuted(now, "a")
 				case turn:
-					tr.TurnedAway(now, "a")
+					tr.RequestRejected(now, "a")
 				case gone:
-					tr.Away(now, "a")
+					tr.ConnectFailed(now, "a")
 				case other:
-					tr.Another(now, "a")
+					tr.WrongServer(now, "a")
 				case wait:
 					now += time.Minute
-					tr.Passed(now)
+					tr.Tick(now)
 				}
 			}
-			if got := tr.Standing("a"); got != c.want {
+			if got := tr.Status("a"); got != c.want {
 				t.Errorf("it stands %d, not %d", got, c.want)
 			}
 		})
@@ -93,7 +93,7 @@
 func TestNodesBeginApart(t *testing.T) {
 	first := map[string]int{}
 	for n := range 100 {
-		all, _ := New(Known{time.Hour, true}, fmt.Sprint("n", n), many(50)).Usable()
+		all, _ := New(CachedList{time.Hour, true}, fmt.Sprint("n", n), many(50)).Usable()
 		for _, u := range all {
 			first[u.ID]++
 		}
@@ -114,41 +114,41 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Server
 		for i := range rapid.IntRange(1, 12).Draw(t, "servers") {
-			all = append(all, Server{ID: fmt.Sprint("s", i), Up: rapid.Bool().Draw(t, "up"), Served: rapid.Bool().Draw(t, "served")})
+			all = append(all, Server{ID: fmt.Sprint("s", i), IsUp: rapid.Bool().Draw(t, "up"), HasExecuted: rapid.Bool().Draw(t, "served")})
 		}
 		age := time.Duration(rapid.Int64Range(-1e12, 1e15).Draw(t, "age"))
-		tr, now := New(Known{age, rapid.Bool().Draw(t, "clean")}, "n", all), time.Duration(0)
+		tr, now := New(CachedList{age, rapid.Bool().Draw(t, "clean")}, "n", all), time.Duration(0)
 		ran, excluded := map[string]bool{}, map[string]bool{}
 		most := tr.trials // that were ever allowed
 		for _, s := range all {
-			excluded[s.ID] = !s.Up
+			excluded[s.ID] = !s.IsUp
 		}
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			id := all[rapid.IntRange(0, len(all)-1).Draw(t, "which")].ID
 			now += time.Duration(rapid.Int64Range(0, 3e9).Draw(t, "later"))
 			usable, _ := tr.Usable()
-			used := slices.ContainsFunc(usable, func(u Use) bool { return u.ID == id })
+			used := slices.ContainsFunc(usable, func(u UsableServer) bool { return u.ID == id })
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				tr.Served(now, id)
+				tr.RequestExecuted(now, id)
 				ran[id] = ran[id] || used
 			case 1:
-				tr.TurnedAway(now, id)
+				tr.RequestRejected(now, id)
 			case 2:
-				tr.Away(now, id)
+				tr.ConnectFailed(now, id)
 			case 3:
-				tr.Another(now, id)
+				tr.WrongServer(now, id)
 				excluded[id] = true
 			default:
-				tr.Passed(now)
+				tr.Tick(now)
 			}
 			usable, _ = tr.Usable()
 			on := 0
 			for _, u := range usable {
-				if excluded[u.ID] || u.Proved && !ran[u.ID] {
+				if excluded[u.ID] || u.IsProven && !ran[u.ID] {
 					t.Fatalf("%s is used, barred %v, has run %v", u.ID, excluded[u.ID], ran[u.ID])
 				}
-				if !u.Proved {
+				if !u.IsProven {
 					on++
 				}
 			}
@@ -158,15 +158,15 @@
 		}
 		for range 200 {
 			now += time.Minute
-			tr.Passed(now)
+			tr.Tick(now)
 			usable, _ := tr.Usable()
 			for _, u := range usable {
-				tr.Served(now, u.ID)
+				tr.RequestExecuted(now, u.ID)
 			}
 		}
 		for _, s := range all {
-			if want := map[bool]Standing{true: Excluded, false: Proved}[excluded[s.ID]]; tr.Standing(s.ID) != want {
-				t.Fatalf("%s ends as %d, not %d", s.ID, tr.Standing(s.ID), want)
+			if want := map[bool]Status{true: Excluded, false: Proven}[excluded[s.ID]]; tr.Status(s.ID) != want {
+				t.Fatalf("%s ends as %d, not %d", s.ID, tr.Status(s.ID), want)
 			}
 		}
 	})
--- a/internal/discovery/watch/follow.go
+++ b/internal/discovery/watch/follow.go
@@ -15,35 +15,35 @@
 
 // Listener is told what following discovery brings. Its functions are called one after another.
 type Listener struct {
-	Told   func(http1.List) // a whole list at first, then changes, or a whole list where discovery counts anew
-	Failed func(error)      // a call failed and is made again
+	OnList  func(http1.EndpointList) // a whole list at first, then changes, or a whole list where discovery counts anew
+	OnError func(error)              // a call failed and is made again
 }
 
 // Follow watches discovery's list for processes that ask it by themselves, as control processes and planners do, until the
 // context ends. Nodes have their decision module say when to ask.
-func Follow(ctx context.Context, place *Place, tell Listener) {
-	w := Watcher{Place: place, Whole: true}
+func Follow(ctx context.Context, place *Target, tell Listener) {
+	w := Watcher{Target: place, WantsFullList: true}
 	defer w.Close()
 	for wait := askFirst; ctx.Err() == nil; {
 		began := time.Now()
-		list, err := w.Call(ctx)
+		list, err := w.Poll(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			tell.Failed(err)
+			tell.OnError(err)
 			pause(ctx, time.Duration((0.5+rand.Float64())*float64(wait)))
 			wait = min(2*wait, askMost)
 			continue
 		}
 		wait = askFirst
 		if !list.Complete && list.Revision < w.Revision { // it counts from elsewhere now
-			w.Whole = true
+			w.WantsFullList = true
 			continue
 		}
-		w.Whole, w.Revision = false, list.Revision
-		tell.Told(list)
-		pause(ctx, Pace-time.Since(began))
+		w.WantsFullList, w.Revision = false, list.Revision
+		tell.OnList(list)
+		pause(ctx, MinPollInterval-time.Since(began))
 	}
 }
 
--- a/internal/discovery/watch/format_test.go
+++ b/internal/discovery/watch/format_test.go
@@ -41,14 +41,14 @@
 				answerCalls(ln, answer, calls)
 			}()
 			at := netip.MustParseAddrPort(ln.Addr().String())
-			w := Watcher{Place: NewPlace(at), Whole: c.whole, Revision: c.revision}
+			w := Watcher{Target: NewTarget(at), WantsFullList: c.whole, Revision: c.revision}
 			t.Cleanup(func() {
 				w.Close()
 				ln.Close()
 				<-done
 			})
 			for _, want := range []string{c.first, c.want} {
-				if _, err := w.Call(context.Background()); err != nil {
+				if _, err := w.Poll(context.Background()); err != nil {
 					t.Fatal(err)
 				}
 				if got, want := <-calls, fmt.Sprintf(want, at); got != want {
@@ -80,21 +80,21 @@
 
 // TestEntriesOfAList turns a list with every field into entries and back.
 func TestEntriesOfAList(t *testing.T) {
-	list := http1.List{Revision: 9, Hosts: []http1.Host{
+	list := http1.EndpointList{Revision: 9, Hosts: []http1.Endpoint{
 		{ID: "a", Address: netip.MustParseAddrPort("127.0.0.1:80"), Zone: "north", Flavor: "large", Cell: 3, Size: 2.5, UpSinceMS: 7, Phase: http1.Serving},
 		{ID: "b", Address: netip.MustParseAddrPort("127.0.0.1:81"), Phase: http1.Draining},
 		{ID: "c", Phase: http1.Deleted},
 	}}
 	want := []incarnation.Entry{
-		{ID: "a", Up: 7, Condition: incarnation.Up, Revision: 9, Address: "127.0.0.1:80", Zone: "north", Flavor: "large", Cell: 3, Size: 2.5},
+		{ID: "a", StartedUnixMS: 7, Condition: incarnation.Up, Revision: 9, Address: "127.0.0.1:80", Zone: "north", MachineKind: "large", Cell: 3, Weight: 2.5},
 		{ID: "b", Condition: incarnation.Draining, Revision: 9, Address: "127.0.0.1:81"},
 		{ID: "c", Condition: incarnation.Gone, Revision: 9},
 	}
-	entries := Entries(list)
+	entries := EntriesFromList(list)
 	if !reflect.DeepEqual(entries, want) {
 		t.Errorf("entries %+v, want %+v", entries, want)
 	}
-	if back := List(entries); !reflect.DeepEqual(back, list) {
+	if back := ListFromEntries(entries); !reflect.DeepEqual(back, list) {
 		t.Errorf("back as %+v, want %+v", back, list)
 	}
 }
--- a/internal/discovery/watch/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -25,7 +25,7 @@
 	longestList = 1 << 20                 // bytes
 
 	// Pace is the least time between two calls; a watch must be renewed within 200 ms.
-	Pace = 25 * time.Millisecond
+	MinPollInterval = 25 * time.Millisecond
 )
 
 // Whatever call failed, was refused or given up in between, a change counts as told 6 s after discovery had it and could
@@ -35,28 +35,28 @@
 
 var past = time.Unix(1, 0) // a deadline that ends what is under way
 
-// Place is an address of discovery; Left is done when another has been named.
-type Place struct {
-	At    netip.AddrPort
-	Left  context.Context
-	Leave context.CancelFunc
+// Target is an address of discovery; Left is done when another has been named.
+type Target struct {
+	Address  netip.AddrPort
+	Replaced context.Context
+	Replace  context.CancelFunc
 }
 
-// NewPlace is one that is not left yet.
-func NewPlace(at netip.AddrPort) *Place {
-	p := &Place{At: at}
-	p.Left, p.Leave = context.WithCancel(context.Background())
+// NewTarget is one that is not left yet.
+func NewTarget(at netip.AddrPort) *Target {
+	p := &Target{Address: at}
+	p.Replaced, p.Replace = context.WithCancel(context.Background())
 	return p
 }
 
 // Watcher holds the one connection to discovery.
 type Watcher struct {
-	Place    *Place
-	Moved    bool // and nothing heard at the new address yet
-	Whole    bool // the whole list is wanted
-	Pushed   bool // by an agent that has no queue: a call on a new connection is answered at once
-	Revision uint64
-	conn     *http1.Conn
+	Target        *Target
+	HasMoved      bool // and nothing heard at the new address yet
+	WantsFullList bool // the whole list is wanted
+	IsPushed      bool // by an agent that has no queue: a call on a new connection is answered at once
+	Revision      uint64
+	conn          *http1.Conn
 }
 
 // Close ends the connection; the next call opens another.
@@ -72,16 +72,16 @@
 	switch {
 	case w.conn != nil:
 		return wait, slack
-	case w.Pushed:
+	case w.IsPushed:
 		return firstWait, slack
 	}
 	return firstWait, queueSlack
 }
 
-// Call waits for changes; the first call on a new connection hardly does, so as to learn soon whether it is silent, and at
+// Poll waits for changes; the first call on a new connection hardly does, so as to learn soon whether it is silent, and at
 // a new address whether ours is a revision there.
-func (w *Watcher) Call(ctx context.Context) (http1.List, error) {
-	if w.conn != nil && !w.conn.Quiet() {
+func (w *Watcher) Poll(ctx context.Context) (http1.EndpointList, error) {
+	if w.conn != nil && !w.conn.IsIdle() {
 		w.Close()
 	}
 	wait, slack := w.patience()
@@ -90,18 +90,18 @@
 		d := net.Dialer{Timeout: dialMost}
 		dialing, cancel := context.WithCancel(ctx)
 		defer cancel()
-		defer context.AfterFunc(w.Place.Left, cancel)()
-		nc, err := d.DialContext(dialing, "tcp", w.Place.At.String())
+		defer context.AfterFunc(w.Target.Replaced, cancel)()
+		nc, err := d.DialContext(dialing, "tcp", w.Target.Address.String())
 		if err != nil {
-			return http1.List{}, err
+			return http1.EndpointList{}, err
 		}
 		w.conn = http1.NewConn(nc)
 	}
 	conn := w.conn
 	conn.SetDeadline(by)
 	defer context.AfterFunc(ctx, func() { conn.SetDeadline(past) })()
-	defer context.AfterFunc(w.Place.Left, func() { conn.SetDeadline(time.Now().Add(leaveMost)) })()
-	list, again, err := ask(conn, w.Place.At.String(), http1.ListCall{Whole: w.Whole, After: w.Revision, Wait: wait})
+	defer context.AfterFunc(w.Target.Replaced, func() { conn.SetDeadline(time.Now().Add(leaveMost)) })()
+	list, again, err := ask(conn, w.Target.Address.String(), http1.EndpointListCall{Whole: w.WantsFullList, After: w.Revision, Wait: wait})
 	if err != nil || !again {
 		w.Close()
 	}
@@ -109,8 +109,8 @@
 }
 
 // ask makes one call; again tells whether the connection can be used for the next.
-func ask(conn *http1.Conn, host string, call http1.ListCall) (l http1.List, again bool, err error) {
-	if _, err = conn.Send(http1.AppendListCall(conn.Scratch(), host, call)); err != nil {
+func ask(conn *http1.Conn, host string, call http1.EndpointListCall) (l http1.EndpointList, again bool, err error) {
+	if _, err = conn.Send(http1.AppendEndpointListCall(conn.Scratch(), host, call)); err != nil {
 		return l, false, err
 	}
 	var resp http1.Response
@@ -120,19 +120,19 @@
 	if resp.Status != 200 {
 		return l, false, fmt.Errorf("discovery answers %d", resp.Status)
 	}
-	l, err = http1.ParseList(resp.Body)
+	l, err = http1.ParseEndpointList(resp.Body)
 	return l, !resp.Close, err
 }
 
 var conditions = [...]incarnation.Condition{http1.Serving: incarnation.Up, http1.Draining: incarnation.Draining, http1.Deleted: incarnation.Gone}
-var phases = [...]http1.Phase{incarnation.Up: http1.Serving, incarnation.Draining: http1.Draining, incarnation.Gone: http1.Deleted}
+var phases = [...]http1.Condition{incarnation.Up: http1.Serving, incarnation.Draining: http1.Draining, incarnation.Gone: http1.Deleted}
 
-// Entries are the lives that a list of discovery tells.
-func Entries(l http1.List) []incarnation.Entry {
+// EntriesFromList are the lives that a list of discovery tells.
+func EntriesFromList(l http1.EndpointList) []incarnation.Entry {
 	entries := make([]incarnation.Entry, 0, len(l.Hosts))
 	for _, h := range l.Hosts {
-		e := incarnation.Entry{ID: h.ID, Up: h.UpSinceMS, Condition: conditions[h.Phase], Revision: l.Revision, Zone: h.Zone,
-			Flavor: h.Flavor, Cell: h.Cell, Size: h.Size}
+		e := incarnation.Entry{ID: h.ID, StartedUnixMS: h.UpSinceMS, Condition: conditions[h.Phase], Revision: l.Revision, Zone: h.Zone,
+			MachineKind: h.Flavor, Cell: h.Cell, Weight: h.Size}
 		if h.Address.IsValid() {
 			e.Address = h.Address.String()
 		}
@@ -141,11 +141,11 @@
 	return entries
 }
 
-// List is what a node takes lives in as: a change to its list. An entry of no use is told of as skipped.
-func List(entries []incarnation.Entry) http1.List {
-	l := http1.List{}
+// ListFromEntries is what a node takes lives in as: a change to its list. An entry of no use is told of as skipped.
+func ListFromEntries(entries []incarnation.Entry) http1.EndpointList {
+	l := http1.EndpointList{}
 	for _, e := range entries {
-		h := http1.Host{ID: e.ID, Zone: e.Zone, Flavor: e.Flavor, Cell: e.Cell, Size: e.Size, UpSinceMS: e.Up}
+		h := http1.Endpoint{ID: e.ID, Zone: e.Zone, Flavor: e.MachineKind, Cell: e.Cell, Size: e.Weight, UpSinceMS: e.StartedUnixMS}
 		if e.Condition > incarnation.Gone || e.ID == "" {
 			l.Skipped = append(l.Skipped, fmt.Errorf("server %.40q in unknown condition %d", e.ID, e.Condition))
 			continue
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -21,7 +21,7 @@
 	}{
 		"a watch that went on":                 {Watcher{conn: &http1.Conn{}}, 4 * time.Second},
 		"a new one":                            {Watcher{}, 4500 * time.Millisecond},
-		"a new one, of an agent with no queue": {Watcher{Pushed: true}, 2 * time.Second},
+		"a new one, of an agent with no queue": {Watcher{IsPushed: true}, 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if wait, slack := c.w.patience(); wait <= 0 || slack <= 0 || wait+slack > c.most {
@@ -46,8 +46,8 @@
 		askWithin time.Duration
 		w         Watcher
 	}{
-		"pushed":               {false, 0, Watcher{Pushed: true}},
-		"pushed, with a time":  {false, time.Minute, Watcher{Pushed: true}},
+		"pushed":               {false, 0, Watcher{IsPushed: true}},
+		"pushed, with a time":  {false, time.Minute, Watcher{IsPushed: true}},
 		"asked for often":      {true, 2 * time.Second, Watcher{}},
 		"asked for":            {true, 10 * time.Second, Watcher{}},
 		"asked for seldom":     {true, time.Hour, Watcher{}},
@@ -57,15 +57,15 @@
 			longest := time.Duration(0)
 			for seed := range uint32(seeds) {
 				synctest.Test(t, func(t *testing.T) {
-					f := dispatch.New(settings.Settings{Settings: policy.Settings{Nodes: 1, MostHops: 2, OnRequest: c.onRequest, AskWithin: c.askWithin,
-						Types: []policy.TrafficType{{TargetTime: time.Second, AbandonTime: time.Second, Revenue: 1}}}},
-						seed, dispatch.Limits{MemoryMB: 64, Sockets: 64}, engine.Policy)
+					f := dispatch.New(settings.Settings{Settings: policy.Settings{NodeCount: 1, MaxAttempts: 2, MustRequestEndpoints: c.onRequest, RequestEndpointsWithin: c.askWithin,
+						TrafficTypes: []policy.TrafficType{{LatencyObjective: time.Second, ClientTimeout: time.Second, PriorityWeight: 1}}}},
+						seed, dispatch.Limits{MemoryMB: 64, Sockets: 64}, engine.NewPolicy)
 					defer f.Stop()
-					<-f.Asked()
+					<-f.PollRequested()
 					for range failures {
-						f.Unlisted()
+						f.DiscoveryFailed()
 						began := time.Now()
-						<-f.Asked()
+						<-f.PollRequested()
 						longest = max(longest, time.Since(began))
 					}
 				})
--- a/internal/discovery/zookeeper/config.go
+++ b/internal/discovery/zookeeper/config.go
@@ -13,12 +13,12 @@
 
 // Config is an operator's file of the registry.
 type Config struct {
-	Servers  []string      `toml:"servers"` // the ensemble's addresses
-	Chroot   string        `toml:"chroot"`
-	Path     string        `toml:"path"` // under which servers stand
-	Session  tomlfile.Span `toml:"session"`
-	AuthFile string        `toml:"auth_file"` // with user:password, for digest
-	Auth     string        `toml:"-"`
+	Servers        []string          `toml:"servers"` // the ensemble's addresses
+	Chroot         string            `toml:"chroot"`
+	Path           string            `toml:"path"` // under which servers stand
+	SessionTimeout tomlfile.Duration `toml:"session"`
+	AuthFile       string            `toml:"auth_file"` // with user:password, for digest
+	Credentials    string            `toml:"-"`
 }
 
 // Load reads the file; each fault is named by file and line.
@@ -27,7 +27,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{Session: tomlfile.Span(6 * time.Second)}
+	c := &Config{SessionTimeout: tomlfile.Duration(6 * time.Second)}
 	f, err := tomlfile.Parse(file, text, c)
 	if err != nil {
 		return nil, err
@@ -48,12 +48,12 @@
 			f.Wrong(key, "%s %q: a whole path such as /services/hire", key, p)
 		}
 	}
-	if c.Session.D() < 500*time.Millisecond || c.Session.D() > 40*time.Second {
-		f.Wrong("session", "session %s: from 500ms to 40s", c.Session.D())
+	if c.SessionTimeout.Std() < 500*time.Millisecond || c.SessionTimeout.Std() > 40*time.Second {
+		f.Wrong("session", "session %s: from 500ms to 40s", c.SessionTimeout.Std())
 	}
 	if c.AuthFile != "" {
 		secret, err := os.ReadFile(c.AuthFile)
-		if c.Auth = strings.TrimSpace(string(secret)); err != nil || !strings.Contains(c.Auth, ":") {
+		if c.Credentials = strings.TrimSpace(string(secret)); err != nil || !strings.Contains(c.Credentials, ":") {
 			f.Wrong("auth_file", "%s holds no user:password", c.AuthFile)
 		}
 	}
--- a/internal/discovery/zookeeper/follow.go
+++ b/internal/discovery/zookeeper/follow.go
@@ -14,11 +14,11 @@
 
 // Listener is told what comes of a registry.
 type Listener struct {
-	Now      func() time.Duration
-	Evidence <-chan endpoints.Evidence                     // how hops end; nil for one that sends none
-	Changed  func(changed []incarnation.Entry, first bool) // lives that have changed; first: these are all
-	Fault    func(error)
-	Doubted  func(bool) // most servers have vanished together, or are back
+	Now           func() time.Duration
+	Observations  <-chan endpoints.Observation                  // how hops end; nil for one that sends none
+	OnChange      func(changed []incarnation.Entry, first bool) // lives that have changed; first: these are all
+	OnError       func(error)
+	OnMassRemoval func(bool) // most servers have vanished together, or are back
 }
 
 // Follow reads a registry until the context ends: what it lists, how hops end and time go through the roster, and what
@@ -28,18 +28,18 @@
 	if err != nil {
 		return err
 	}
-	lists := make(chan []endpoints.Listed, 1)
-	r := New(conn, c, func(all []endpoints.Listed) {
+	lists := make(chan []endpoints.RegistryEntry, 1)
+	r := NewReader(conn, c, func(all []endpoints.RegistryEntry) {
 		select {
 		case <-lists: // an older one
 		default:
 		}
 		lists <- all
-	}, l.Fault)
+	}, l.OnError)
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return r.Run(ctx) })
 	g.Go(func() error {
-		book, suspicious, first := endpoints.New(), false, true
+		book, suspicious, first := endpoints.NewSet(), false, true
 		tick := time.NewTicker(rosterLook)
 		defer tick.Stop()
 		for {
@@ -48,22 +48,22 @@
 			case <-ctx.Done():
 				return nil
 			case all := <-lists:
-				changed = book.Seen(l.Now(), all)
-			case e := <-l.Evidence:
-				if e.Answered {
-					changed = book.Answered(l.Now(), e.Server)
+				changed = book.ApplyList(l.Now(), all)
+			case e := <-l.Observations:
+				if e.HasResponded {
+					changed = book.ResponseReceived(l.Now(), e.Server)
 				} else {
-					changed = book.Failed(l.Now(), e.Server)
+					changed = book.ConnectFailed(l.Now(), e.Server)
 				}
 			case <-tick.C:
-				changed = book.Passed(l.Now())
+				changed = book.Tick(l.Now())
 			}
-			if book.Suspicious() != suspicious {
+			if book.IsMassRemovalSuspected() != suspicious {
 				suspicious = !suspicious
-				l.Doubted(suspicious)
+				l.OnMassRemoval(suspicious)
 			}
 			if len(changed) > 0 {
-				l.Changed(changed, first)
+				l.OnChange(changed, first)
 				first = false
 			}
 		}
--- a/internal/discovery/zookeeper/format.go
+++ b/internal/discovery/zookeeper/format.go
@@ -38,9 +38,9 @@
 	Started int64   `json:"started_ms"`
 }
 
-// Parse reads the data of a registered server, JSON or host:port plain.
-func Parse(id string, data []byte) (endpoints.Listed, error) {
-	l := endpoints.Listed{ID: id, Size: 1}
+// ParseEntry reads the data of a registered server, JSON or host:port plain.
+func ParseEntry(id string, data []byte) (endpoints.RegistryEntry, error) {
+	l := endpoints.RegistryEntry{ID: id, Weight: 1}
 	text := strings.TrimSpace(string(data[:min(len(data), dataMost+1)]))
 	switch {
 	case len(data) > dataMost:
@@ -72,15 +72,15 @@
 	if e.Payload != nil {
 		m = *e.Payload
 	}
-	l.Zone, l.Flavor, l.Cell, l.Started = m.Zone, m.Flavor, m.Cell, m.Started
+	l.Zone, l.MachineKind, l.Cell, l.StartedUnixMS = m.Zone, m.Flavor, m.Cell, m.Started
 	if m.Size > 0 {
-		l.Size = m.Size
+		l.Weight = m.Size
 	}
 	switch strings.ToUpper(e.Status) {
 	case "", "ALIVE", "UP", "SERVING":
-		l.Draining = e.Enabled != nil && !*e.Enabled
+		l.IsDraining = e.Enabled != nil && !*e.Enabled
 	case "DRAINING", "STOPPING", "DEAD", "VANISHED", "STOPPED":
-		l.Draining = true
+		l.IsDraining = true
 	default:
 		return l, fmt.Errorf("unknown status %.40q", e.Status)
 	}
--- a/internal/discovery/zookeeper/format_test.go
+++ b/internal/discovery/zookeeper/format_test.go
@@ -25,17 +25,17 @@
 	for _, c := range []struct {
 		name string
 		data string
-		want endpoints.Listed
+		want endpoints.RegistryEntry
 	}{
 		{"Curator with a payload", `{"address":"127.0.0.1","port":80,"enabled":false,
 			"payload":{"zone":"north","flavor":"large","cell":3,"size":2.5,"started_ms":1764742800123}}`,
-			endpoints.Listed{ID: "id", Address: "127.0.0.1:80", Zone: "north", Flavor: "large", Cell: 3, Size: 2.5, Draining: true, Started: 1_764_742_800_123}},
+			endpoints.RegistryEntry{ID: "id", Address: "127.0.0.1:80", Zone: "north", MachineKind: "large", Cell: 3, Weight: 2.5, IsDraining: true, StartedUnixMS: 1_764_742_800_123}},
 		{"server set with the keys in the entry itself", `{"serviceEndpoint":{"host":"127.0.0.2","port":81},"status":"ALIVE",
 			"zone":"south","flavor":"small","cell":4,"size":0.5,"started_ms":7}`,
-			endpoints.Listed{ID: "id", Address: "127.0.0.2:81", Zone: "south", Flavor: "small", Cell: 4, Size: 0.5, Started: 7}},
+			endpoints.RegistryEntry{ID: "id", Address: "127.0.0.2:81", Zone: "south", MachineKind: "small", Cell: 4, Weight: 0.5, StartedUnixMS: 7}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := Parse("id", []byte(c.data))
+			got, err := ParseEntry("id", []byte(c.data))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -61,8 +61,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Config{Servers: []string{"127.0.0.1:2181", "127.0.0.2:2181"}, Chroot: "/services", Path: "/hire", Session: tomlfile.Span(7 * time.Second),
-		AuthFile: secret, Auth: "user:password"}
+	want := &Config{Servers: []string{"127.0.0.1:2181", "127.0.0.2:2181"}, Chroot: "/services", Path: "/hire", SessionTimeout: tomlfile.Duration(7 * time.Second),
+		AuthFile: secret, Credentials: "user:password"}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v", got, want)
 	}
@@ -161,14 +161,14 @@
 			}
 			registry.Own(time.Hour, map[string][]byte{"/services/hire/a": data(1)})
 			sent, address := relay(t, server.Address())
-			cfg := &Config{Servers: []string{address}, Path: "/hire", Chroot: "/services", Session: tomlfile.Span(40 * time.Second), Auth: c.auth}
+			cfg := &Config{Servers: []string{address}, Path: "/hire", Chroot: "/services", SessionTimeout: tomlfile.Duration(40 * time.Second), Credentials: c.auth}
 			conn, err := Dial(cfg)
 			if err != nil {
 				t.Fatal(err)
 			}
 			ctx, cancel := context.WithCancel(context.Background())
-			listed := make(chan []endpoints.Listed, 8)
-			reader := New(conn, cfg, func(all []endpoints.Listed) { listed <- all }, func(err error) { t.Log(err) })
+			listed := make(chan []endpoints.RegistryEntry, 8)
+			reader := NewReader(conn, cfg, func(all []endpoints.RegistryEntry) { listed <- all }, func(err error) { t.Log(err) })
 			done := make(chan error, 1)
 			go func() { done <- reader.Run(ctx) }()
 			if all := <-listed; len(all) != 1 || all[0].ID != "a" {
--- a/internal/discovery/zookeeper/herd_test.go
+++ b/internal/discovery/zookeeper/herd_test.go
@@ -36,7 +36,7 @@
 	for i := range 50 {
 		own = append(own, put(i))
 	}
-	cfg := &Config{Servers: at, Path: "/hire", Session: tomlfile.Span(6 * time.Second)}
+	cfg := &Config{Servers: at, Path: "/hire", SessionTimeout: tomlfile.Duration(6 * time.Second)}
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	var told atomic.Int64
@@ -45,7 +45,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		reader := New(conn, cfg, func([]endpoints.Listed) { told.Add(1) }, func(error) {})
+		reader := NewReader(conn, cfg, func([]endpoints.RegistryEntry) { told.Add(1) }, func(error) {})
 		all.Go(func() { reader.Run(ctx) })
 	}
 	for told.Load() < 500 {
--- a/internal/discovery/zookeeper/reader.go
+++ b/internal/discovery/zookeeper/reader.go
@@ -29,9 +29,9 @@
 
 // Dial connects to the ensemble of a configuration.
 func Dial(c *Config) (Conn, error) {
-	conn, _, err := zk.Connect(c.Servers, c.Session.D(), zk.WithLogInfo(false), zk.WithLogger(silent{}), zk.WithMaxBufferSize(1<<20))
-	if err == nil && c.Auth != "" {
-		go conn.AddAuth("digest", []byte(c.Auth)) // waits for the first connection; the client repeats it on others
+	conn, _, err := zk.Connect(c.Servers, c.SessionTimeout.Std(), zk.WithLogInfo(false), zk.WithLogger(silent{}), zk.WithMaxBufferSize(1<<20))
+	if err == nil && c.Credentials != "" {
+		go conn.AddAuth("digest", []byte(c.Credentials)) // waits for the first connection; the client repeats it on others
 	}
 	return conn, err
 }
@@ -44,20 +44,20 @@
 type Reader struct {
 	conn Conn
 	path string
-	held map[string]endpoints.Listed
+	held map[string]endpoints.RegistryEntry
 	// skipped are entries that cannot be read, until their data changes. They are watched as the others, and not asked for
 	// again with each change of the children: each asking would leave a watch and who waits for it behind.
 	skipped map[string]bool
 	// watched are the entries on which a data watch stands; its goroutine ends with the one event that it gets.
 	watched map[string]bool
 	events  chan string // names of entries whose watch has fired; "" for the children's
-	out     func([]endpoints.Listed)
+	out     func([]endpoints.RegistryEntry)
 	fault   func(error)
 }
 
-// New makes a reader that tells out of all that is listed, whenever that changes, and fault of what cannot be read.
-func New(conn Conn, c *Config, out func([]endpoints.Listed), fault func(error)) *Reader {
-	return &Reader{conn: conn, path: c.full(), held: map[string]endpoints.Listed{}, skipped: map[string]bool{}, watched: map[string]bool{}, events: make(chan string, 64), out: out, fault: fault}
+// NewReader makes a reader that tells out of all that is listed, whenever that changes, and fault of what cannot be read.
+func NewReader(conn Conn, c *Config, out func([]endpoints.RegistryEntry), fault func(error)) *Reader {
+	return &Reader{conn: conn, path: c.full(), held: map[string]endpoints.RegistryEntry{}, skipped: map[string]bool{}, watched: map[string]bool{}, events: make(chan string, 64), out: out, fault: fault}
 }
 
 // Run follows until the context ends. Watches are set before what they watch is read, so none is missed: the client sets
@@ -81,7 +81,7 @@
 		}
 		wait = againMin
 		if changed {
-			all := make([]endpoints.Listed, 0, len(r.held))
+			all := make([]endpoints.RegistryEntry, 0, len(r.held))
 			for n, l := range r.held {
 				if !r.skipped[n] {
 					all = append(all, l)
@@ -168,7 +168,7 @@
 	for _, n := range names {
 		there[n] = true
 		if _, ok := r.held[n]; !ok {
-			r.held[n] = endpoints.Listed{ID: n}
+			r.held[n] = endpoints.RegistryEntry{ID: n}
 			delete(r.watched, n)
 		}
 	}
@@ -229,14 +229,14 @@
 	}
 	r.watched[a.name] = true
 	r.follow(ctx, a.name, a.events)
-	l, err := Parse(a.name, a.data)
+	l, err := ParseEntry(a.name, a.data)
 	if err != nil {
 		r.fault(fmt.Errorf("%s/%s: %w", r.path, a.name, err))
 		r.skipped[a.name] = true
 		return nil
 	}
 	delete(r.skipped, a.name)
-	l.Owner, l.Czxid, l.Ctime = a.stat.EphemeralOwner, a.stat.Czxid, a.stat.Ctime
+	l.OwnerSession, l.CreatedZxid, l.CreatedUnixMS = a.stat.EphemeralOwner, a.stat.Czxid, a.stat.Ctime
 	r.held[a.name] = l
 	return nil
 }
--- a/internal/discovery/zookeeper/reader_test.go
+++ b/internal/discovery/zookeeper/reader_test.go
@@ -38,9 +38,9 @@
 		`{"address":"127.0.0.1","port":80,"status":"ODD"}`: "! unknown status",
 		strings.Repeat("x", dataMost+1):                    "! bytes of data",
 	} {
-		l, err := Parse("id", []byte(data))
+		l, err := ParseEntry("id", []byte(data))
 		got := strings.TrimSpace(l.Address + " " + l.Zone)
-		if l.Draining {
+		if l.IsDraining {
 			got += " draining"
 		}
 		if why, bad := strings.CutPrefix(want, "! "); bad != (err != nil) || bad && !strings.Contains(err.Error(), why) || !bad && got != want {
@@ -71,18 +71,18 @@
 		e.servers, at = append(e.servers, s), append(at, s.Address())
 	}
 	e.r.Own(time.Hour, map[string][]byte{"/services/hire/.keep": []byte("127.0.0.1:1")})
-	cfg := &Config{Servers: at, Path: "/hire", Chroot: "/services", Session: tomlfile.Span(session)}
+	cfg := &Config{Servers: at, Path: "/hire", Chroot: "/services", SessionTimeout: tomlfile.Duration(session)}
 	conn, err := Dial(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	reader := New(conn, cfg, func(all []endpoints.Listed) {
+	reader := NewReader(conn, cfg, func(all []endpoints.RegistryEntry) {
 		var names []string
 		for _, l := range all {
 			name := l.ID
-			if l.Draining {
+			if l.IsDraining {
 				name += " draining"
 			}
 			if l.ID != ".keep" {
--- a/internal/journal/execution/dockets.go
+++ b/internal/journal/execution/dockets.go
@@ -29,10 +29,10 @@
 }
 
 // Read reads a text; name is said where it is wrong.
-func Read(name string, r io.Reader, into map[string]*intent.Dockets) error {
+func Read(name string, r io.Reader, into map[string]*intent.ExecutionRecord) error {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, lineMost)
-	var of *intent.Dockets
+	var of *intent.ExecutionRecord
 	n := 0
 	for s.Scan() {
 		n++
@@ -48,14 +48,14 @@
 		case l.Server != "" && (l.From == nil || l.To == nil):
 			err = fmt.Errorf("server %q: from and to say for what time its list is whole", l.Server)
 		case l.Server != "":
-			of = &intent.Dockets{Server: l.Server, From: l.From.UnixNano(), To: l.To.UnixNano(), IDs: map[string]bool{}}
+			of = &intent.ExecutionRecord{Server: l.Server, FromUnixNano: l.From.UnixNano(), ToUnixNano: l.To.UnixNano(), RequestIDs: map[string]bool{}}
 			into[l.Server] = of
 		case l.ID == "":
 			err = fmt.Errorf("neither a server nor an id")
 		case of == nil:
 			err = fmt.Errorf("an id before any server")
 		default:
-			of.IDs[l.ID] = true
+			of.RequestIDs[l.ID] = true
 		}
 		if err != nil {
 			return fmt.Errorf("%s:%d: %v", name, n, err)
@@ -68,7 +68,7 @@
 }
 
 // Load reads a file, or what a URL gives.
-func Load(from string, into map[string]*intent.Dockets) error {
+func Load(from string, into map[string]*intent.ExecutionRecord) error {
 	if !strings.HasPrefix(from, "http://") && !strings.HasPrefix(from, "https://") {
 		f, err := os.Open(from)
 		if err != nil {
--- a/internal/journal/execution/format_test.go
+++ b/internal/journal/execution/format_test.go
@@ -9,14 +9,14 @@
 )
 
 func TestFileIsRead(t *testing.T) {
-	got := map[string]*intent.Dockets{}
+	got := map[string]*intent.ExecutionRecord{}
 	if err := Load("testdata/executions.jsonl", got); err != nil {
 		t.Fatal(err)
 	}
 	at := func(hour int) int64 { return time.Date(2026, 1, 31, hour, 0, 0, 0, time.UTC).UnixNano() }
-	want := map[string]*intent.Dockets{
-		"s-1": {Server: "s-1", From: at(8), To: at(10) + int64(time.Second/2), IDs: map[string]bool{"id-1": true, "id-2": true}},
-		"s-2": {Server: "s-2", From: at(8), To: at(9), IDs: map[string]bool{}},
+	want := map[string]*intent.ExecutionRecord{
+		"s-1": {Server: "s-1", FromUnixNano: at(8), ToUnixNano: at(10) + int64(time.Second/2), RequestIDs: map[string]bool{"id-1": true, "id-2": true}},
+		"s-2": {Server: "s-2", FromUnixNano: at(8), ToUnixNano: at(9), RequestIDs: map[string]bool{}},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v", got)
--- a/internal/journal/intent/entry.go
+++ b/internal/journal/intent/entry.go
@@ -9,13 +9,13 @@
 type Kind uint8
 
 const (
-	Unsent   Kind = 1 + iota // an operation came to its end and no hop of it was ever about to be sent
-	Intent                   // a hop is about to be sent; it names the operation anew, so that no record needs another
-	Ended                    // how that went, and what it proves
-	Told                     // what the client was told, and after how many hops
-	Settled                  // what the server's dockets say of a hop
-	Gap                      // so many operations went on without the journal
-	Numbered                 // the N records behind it are those from number From on of their run's stream
+	Unsent         Kind = 1 + iota // an operation came to its end and no hop of it was ever about to be sent
+	Intent                         // a hop is about to be sent; it names the operation anew, so that no record needs another
+	AttemptEnded                   // how that went, and what it proves
+	ClientNotified                 // what the client was told, and after how many hops
+	Reconciled                     // what the server's dockets say of a hop
+	Gap                            // so many operations went on without the journal
+	ChunkHeader                    // the N records behind it are those from number From on of their run's stream
 	kinds
 )
 
@@ -23,30 +23,30 @@
 type Proof uint8
 
 const (
-	Possibly Proof = iota // it was sent, and may have run
-	Ran                   // it provably ran
-	Never                 // it provably never ran
+	PossiblyRan Proof = iota // it was sent, and may have run
+	Ran                      // it provably ran
+	NeverRan                 // it provably never ran
 )
 
 // Record is one line of the journal. Which fields it has follows from its kind.
 type Record struct {
 	_ struct{} `cbor:",toarray"`
 
-	Kind    Kind
-	Run     uint64 // of the node's process: Unix time in ns of its start
-	Op      uint64 // counts within the run
-	Hop     int
-	At      int64 // Unix time in ns
-	ID      string
-	Tenant  string
-	Type    string
-	Server  string
-	Repeats string // the id that the client names as repeated
-	Retry   bool   // the client marks it as a retry
-	How     string // the hop's end, or what the client was told
-	Proof   Proof
-	From    int64 // of a gap; number of a stream's record
-	N       int   // operations of a gap; hops before Told; records of a stream
+	Kind          Kind
+	Incarnation   uint64 // of the node's process: Unix time in ns of its start
+	RequestNumber uint64 // counts within the run
+	Attempt       int
+	AtUnixNano    int64 // Unix time in ns
+	RequestID     string
+	Tenant        string
+	Type          string
+	Server        string
+	RepeatOf      string // the id that the client names as repeated
+	IsRetry       bool   // the client marks it as a retry
+	Outcome       string // the hop's end, or what the client was told
+	Proof         Proof
+	From          int64 // of a gap; number of a stream's record
+	Count         int   // operations of a gap; hops before Told; records of a stream
 }
 
 // State of an entry.
@@ -56,7 +56,7 @@
 	NotSent      State = iota // no hop went out, or each provably never ran
 	PossiblySent              // some hop may have run
 	HasRun                    // some hop provably ran
-	NotKnown                  // nothing speaks for a hop, but too few were asked to say that there was none
+	Unknown                   // nothing speaks for a hop, but too few were asked to say that there was none
 	states
 )
 
@@ -64,72 +64,72 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// StateOf finds a state by its name.
-func StateOf(name string) (State, bool) {
+// ParseState finds a state by its name.
+func ParseState(name string) (State, bool) {
 	i := slices.Index(stateNames[:], name)
 	return State(max(i, 0)), i >= 0
 }
 
-// Hop of an entry.
-type Hop struct {
-	Server  string
-	At      int64
-	EndedAt int64
-	How     string
-	Settled bool // by the server's dockets
-	state   hopState
+// Attempt of an entry.
+type Attempt struct {
+	Server          string
+	AtUnixNano      int64
+	EndedAtUnixNano int64
+	Outcome         string
+	IsReconciled    bool // by the server's dockets
+	state           hopState
 }
 
 // Proof is what is known of the hop.
-func (h Hop) Proof() Proof { return proofs[h.state] }
+func (h Attempt) Proof() Proof { return proofs[h.state] }
 
 // Entry is one operation.
 type Entry struct {
-	Run       uint64
-	Op        uint64
-	ID        string
-	Tenant    string
-	Type      string
-	Repeats   string
-	Retry     bool
-	At        int64
-	Hops      []Hop  // those about to be sent, counted by the journal itself: one that is missing was lost to it
-	Told      string // "" where nothing is known of it
-	ToldAt    int64
-	Conflicts int  // words that contradict what was proven
-	Doubt     bool // records that cannot be read may have told of further hops
-	TooFew    bool // too few of those that may hold records were asked
-	toldHops  int
-	unsent    bool
+	Incarnation        uint64
+	RequestNumber      uint64
+	RequestID          string
+	Tenant             string
+	Type               string
+	RepeatOf           string
+	IsRetry            bool
+	AtUnixNano         int64
+	Attempts           []Attempt // those about to be sent, counted by the journal itself: one that is missing was lost to it
+	ClientOutcome      string    // "" where nothing is known of it
+	NotifiedAtUnixNano int64
+	Conflicts          int  // words that contradict what was proven
+	MayLackRecords     bool // records that cannot be read may have told of further hops
+	TooFewNodesAsked   bool // too few of those that may hold records were asked
+	toldHops           int
+	unsent             bool
 }
 
 // State of the entry by its hops.
 func (e *Entry) State() State {
 	s := NotSent
-	if lost := len(e.Hops) < e.toldHops || len(e.Hops) == 0 && e.Told == "" && !e.unsent; lost || e.Doubt {
+	if lost := len(e.Attempts) < e.toldHops || len(e.Attempts) == 0 && e.ClientOutcome == "" && !e.unsent; lost || e.MayLackRecords {
 		s = PossiblySent // never more than what was read
 	}
-	for _, h := range e.Hops {
+	for _, h := range e.Attempts {
 		switch h.Proof() {
 		case Ran:
 			return HasRun
-		case Possibly:
+		case PossiblyRan:
 			s = PossiblySent
 		}
 	}
-	if s == NotSent && e.TooFew {
-		return NotKnown
+	if s == NotSent && e.TooFewNodesAsked {
+		return Unknown
 	}
 	return s
 }
 
-// Done tells that nothing more can come for the entry: the client was told, and each hop is proven.
-func (e *Entry) Done() bool {
-	return e.Told != "" && e.State() != PossiblySent && !e.open() && len(e.Hops) >= e.toldHops
+// IsComplete tells that nothing more can come for the entry: the client was told, and each hop is proven.
+func (e *Entry) IsComplete() bool {
+	return e.ClientOutcome != "" && e.State() != PossiblySent && !e.open() && len(e.Attempts) >= e.toldHops
 }
 
 func (e *Entry) open() bool {
-	return slices.ContainsFunc(e.Hops, func(h Hop) bool { return h.Proof() == Possibly })
+	return slices.ContainsFunc(e.Attempts, func(h Attempt) bool { return h.Proof() == PossiblyRan })
 }
 
 type hopState uint8
@@ -143,7 +143,7 @@
 	hopStates
 )
 
-var proofs = [hopStates]Proof{ran: Ran, never: Never}
+var proofs = [hopStates]Proof{ran: Ran, never: NeverRan}
 
 type word uint8
 
@@ -170,34 +170,34 @@
 	never:    {sending: {never, false}, endedUnproven: {never, true}, endedRan: {ran, true}, endedNever: {never, false}, docketed: {ran, true}, undocketed: {never, false}},
 }
 
-var wordOf = map[Kind][3]word{Intent: {sending, sending, sending}, Ended: {Possibly: endedUnproven, Ran: endedRan, Never: endedNever},
-	Settled: {Possibly: endedUnproven, Ran: docketed, Never: undocketed}}
+var wordOf = map[Kind][3]word{Intent: {sending, sending, sending}, AttemptEnded: {PossiblyRan: endedUnproven, Ran: endedRan, NeverRan: endedNever},
+	Reconciled: {PossiblyRan: endedUnproven, Ran: docketed, NeverRan: undocketed}}
 
 const hopsMost = 64 // of an entry; a record of no sense must not take memory
 
 // add takes in a record of the entry.
 func (e *Entry) add(r *Record) {
-	if e.At == 0 || r.At < e.At {
-		e.At = r.At
+	if e.AtUnixNano == 0 || r.AtUnixNano < e.AtUnixNano {
+		e.AtUnixNano = r.AtUnixNano
 	}
-	if r.ID != "" {
-		e.ID, e.Tenant, e.Type, e.Repeats, e.Retry = r.ID, r.Tenant, r.Type, r.Repeats, r.Retry
+	if r.RequestID != "" {
+		e.RequestID, e.Tenant, e.Type, e.RepeatOf, e.IsRetry = r.RequestID, r.Tenant, r.Type, r.RepeatOf, r.IsRetry
 	}
 	switch r.Kind {
 	case Unsent:
 		e.unsent = true
 		return
-	case Told:
-		e.Told, e.ToldAt, e.toldHops = r.How, r.At, min(max(r.N, 0), hopsMost)
+	case ClientNotified:
+		e.ClientOutcome, e.NotifiedAtUnixNano, e.toldHops = r.Outcome, r.AtUnixNano, min(max(r.Count, 0), hopsMost)
 		return
 	}
-	if r.Hop < 0 || r.Hop >= hopsMost || r.Proof > Never {
+	if r.Attempt < 0 || r.Attempt >= hopsMost || r.Proof > NeverRan {
 		return
 	}
-	for len(e.Hops) <= r.Hop {
-		e.Hops = append(e.Hops, Hop{})
+	for len(e.Attempts) <= r.Attempt {
+		e.Attempts = append(e.Attempts, Attempt{})
 	}
-	h := &e.Hops[r.Hop]
+	h := &e.Attempts[r.Attempt]
 	if r.Server != "" {
 		h.Server = r.Server
 	}
@@ -208,10 +208,10 @@
 	}
 	switch r.Kind {
 	case Intent:
-		h.At = r.At
-	case Ended:
-		h.EndedAt, h.How = r.At, r.How
-	case Settled:
-		h.Settled = true
+		h.AtUnixNano = r.AtUnixNano
+	case AttemptEnded:
+		h.EndedAtUnixNano, h.Outcome = r.AtUnixNano, r.Outcome
+	case Reconciled:
+		h.IsReconciled = true
 	}
 }
--- a/internal/journal/wal/config.go
+++ b/internal/journal/wal/config.go
@@ -7,34 +7,34 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// Machines is the promise that an intent lasts past the loss of as many machines with their disks as there are replicas. It
+// PromiseMachines is the promise that an intent lasts past the loss of as many machines with their disks as there are replicas. It
 // needs other nodes to hold them.
-const Machines = "machines"
+const PromiseMachines = "machines"
 
 // Config is an operator's file of the journal.
 type Config struct {
-	Dir           string        `toml:"dir"`
-	Promise       string        `toml:"promise"`      // process, machine or machines
-	WhenFailing   string        `toml:"when_failing"` // deny or serve
-	WaitMost      tomlfile.Span `toml:"wait_most"`    // for an intent to last
-	Fingerprinted bool          `toml:"fingerprinted"`
-	RepeatsField  string        `toml:"repeats_field"` // of a request, with the id that it repeats
-	SegmentBytes  int64         `toml:"segment_bytes"`
-	KeepFor       tomlfile.Span `toml:"keep_for"`
-	KeepBytes     int64         `toml:"keep_bytes"`
+	Dir            string            `toml:"dir"`
+	Promise        string            `toml:"promise"`      // process, machine or machines
+	WhenFailing    string            `toml:"when_failing"` // deny or serve
+	MaxWait        tomlfile.Duration `toml:"wait_most"`    // for an intent to last
+	IncludesKeyed  bool              `toml:"fingerprinted"`
+	RepeatOfField  string            `toml:"repeats_field"` // of a request, with the id that it repeats
+	SegmentBytes   int64             `toml:"segment_bytes"`
+	RetentionAge   tomlfile.Duration `toml:"keep_for"`
+	RetentionBytes int64             `toml:"keep_bytes"`
 }
 
-// Deny tells what becomes of operations that the journal cannot keep: they are denied, or served and counted as a gap.
-func (c *Config) Deny() bool { return c.WhenFailing == "deny" }
+// RejectsWhenFailing tells what becomes of operations that the journal cannot keep: they are denied, or served and counted as a gap.
+func (c *Config) RejectsWhenFailing() bool { return c.WhenFailing == "deny" }
 
-// Load reads the file; each fault is named by file and line.
-func Load(path string) (*Config, error) {
+// LoadConfig reads the file; each fault is named by file and line.
+func LoadConfig(path string) (*Config, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{Promise: "process", WaitMost: tomlfile.Span(200 * time.Millisecond), SegmentBytes: 16 << 20,
-		KeepFor: tomlfile.Span(30 * 24 * time.Hour), KeepBytes: 4 << 30}
+	c := &Config{Promise: "process", MaxWait: tomlfile.Duration(200 * time.Millisecond), SegmentBytes: 16 << 20,
+		RetentionAge: tomlfile.Duration(30 * 24 * time.Hour), RetentionBytes: 4 << 30}
 	f, err := tomlfile.Parse(path, text, c)
 	if err != nil {
 		return nil, err
@@ -42,20 +42,20 @@
 	if st, err := os.Stat(c.Dir); c.Dir == "" || err != nil || !st.IsDir() {
 		f.Wrong("dir", "dir %q is no folder that is there", c.Dir)
 	}
-	if c.Promise != "process" && c.Promise != "machine" && c.Promise != Machines {
+	if c.Promise != "process" && c.Promise != "machine" && c.Promise != PromiseMachines {
 		f.Wrong("promise", "promise %q is none of process, machine and machines", c.Promise)
 	}
 	if c.WhenFailing != "deny" && c.WhenFailing != "serve" {
 		f.Wrong("when_failing", "when_failing %q: deny has bindings denied while the disk takes nothing, serve marks a gap; one must be chosen", c.WhenFailing)
 	}
-	if c.WaitMost.D() < time.Millisecond || c.WaitMost.D() > 10*time.Second {
-		f.Wrong("wait_most", "wait_most %s: from 1ms to 10s", c.WaitMost.D())
+	if c.MaxWait.Std() < time.Millisecond || c.MaxWait.Std() > 10*time.Second {
+		f.Wrong("wait_most", "wait_most %s: from 1ms to 10s", c.MaxWait.Std())
 	}
 	if c.SegmentBytes < 4<<10 || c.SegmentBytes > 1<<30 {
 		f.Wrong("segment_bytes", "segment_bytes %d: from 4096 to 1073741824", c.SegmentBytes)
 	}
-	if c.KeepBytes > 0 && c.KeepBytes < 2*c.SegmentBytes {
-		f.Wrong("keep_bytes", "keep_bytes %d holds no two segments", c.KeepBytes)
+	if c.RetentionBytes > 0 && c.RetentionBytes < 2*c.SegmentBytes {
+		f.Wrong("keep_bytes", "keep_bytes %d holds no two segments", c.RetentionBytes)
 	}
 	return c, f.Err()
 }
--- a/internal/journal/wal/flush.go
+++ b/internal/journal/wal/flush.go
@@ -35,7 +35,7 @@
 	batch := l.queue
 	l.queue = nil
 	if l.lost > 0 && len(batch) > 0 {
-		gap := pending{record: intent.Record{Kind: intent.Gap, Run: l.o.Run, At: time.Now().UnixNano(), From: l.lostAt.UnixNano(), N: l.lost}}
+		gap := pending{record: intent.Record{Kind: intent.Gap, Incarnation: l.o.Incarnation, AtUnixNano: time.Now().UnixNano(), From: l.lostAt.UnixNano(), Count: l.lost}}
 		batch = append([]pending{gap}, batch...)
 		l.lost = 0
 	}
@@ -74,7 +74,7 @@
 	l.mu.Unlock()
 	l.note(err)
 	for {
-		time.Sleep(cmp.Or(l.o.Again, againEvery))
+		time.Sleep(cmp.Or(l.o.RetryInterval, againEvery))
 		l.mu.Lock()
 		closed := l.closed
 		waiting := l.queue // that came before the fault was known
@@ -98,10 +98,10 @@
 			continue
 		}
 		l.mu.Lock()
-		gap := intent.Record{Kind: intent.Gap, Run: l.o.Run, At: time.Now().UnixNano(), From: l.lostAt.UnixNano(), N: l.lost}
+		gap := intent.Record{Kind: intent.Gap, Incarnation: l.o.Incarnation, AtUnixNano: time.Now().UnixNano(), From: l.lostAt.UnixNano(), Count: l.lost}
 		l.mu.Unlock()
-		again := []pending{{record: gap, wait: &Wait{}}}
-		if l.o.NoGaps || l.batch(again) == nil {
+		again := []pending{{record: gap, wait: &Commit{}}}
+		if l.o.OmitGaps || l.batch(again) == nil {
 			l.mu.Lock()
 			l.failing, l.lost = nil, 0
 			l.mu.Unlock()
@@ -112,8 +112,8 @@
 }
 
 func (l *Log) note(err error) {
-	if l.o.Note != nil {
-		l.o.Note(err)
+	if l.o.OnHealthChange != nil {
+		l.o.OnHealthChange(err)
 	}
 }
 
@@ -132,7 +132,7 @@
 	if err := l.frame(batch); err != nil {
 		return err
 	}
-	if l.size > 0 && l.size+int64(len(l.frames)) > l.o.SegmentBytes {
+	if l.size > 0 && l.size+int64(len(l.frames)) > l.o.MaxSegmentBytes {
 		if err := l.rotate(); err != nil {
 			return err
 		}
@@ -145,13 +145,13 @@
 	if n < len(l.frames) {
 		return fmt.Errorf("%d of %d bytes were written", n, len(l.frames))
 	}
-	if waited && l.o.Machine {
+	if waited && l.o.Fsync {
 		if err := l.file.Sync(); err != nil {
 			return err
 		}
 	}
 	for _, p := range l.parts {
-		l.o.Stored(p.first, p.n)
+		l.o.OnStored(p.first, p.n)
 	}
 	return nil
 }
@@ -160,7 +160,7 @@
 // anew after a fault keeps them.
 func (l *Log) frame(batch []pending) (err error) {
 	l.frames, l.parts = l.frames[:0], l.parts[:0]
-	if l.o.Copy == nil {
+	if l.o.OnChunk == nil {
 		for i := range batch {
 			if l.frames, err = appendFrame(l.frames, &batch[i].record); err != nil {
 				return err
@@ -169,7 +169,7 @@
 		return nil
 	}
 	for len(batch) > 0 {
-		these := batch[:min(len(batch), PartMost)]
+		these := batch[:min(len(batch), MaxChunkRecords)]
 		batch = batch[len(these):]
 		fresh := these[0].seq == 0
 		if fresh {
@@ -187,7 +187,7 @@
 			}
 		}
 		p := part{first: these[0].seq, n: len(these), from: len(l.frames)}
-		mark := intent.Record{Kind: intent.Numbered, Run: l.o.Run, At: these[0].at, From: int64(p.first), N: p.n}
+		mark := intent.Record{Kind: intent.ChunkHeader, Incarnation: l.o.Incarnation, AtUnixNano: these[0].at, From: int64(p.first), Count: p.n}
 		if l.frames, err = appendFrame(l.frames, &mark); err != nil {
 			return err
 		}
@@ -199,7 +199,7 @@
 		p.to = len(l.frames)
 		l.parts = append(l.parts, p)
 		if fresh {
-			l.o.Copy(p.first, p.n, bytes.Clone(l.frames[p.from:p.to]), waited)
+			l.o.OnChunk(p.first, p.n, bytes.Clone(l.frames[p.from:p.to]), waited)
 		}
 	}
 	return nil
--- a/internal/journal/wal/format_test.go
+++ b/internal/journal/wal/format_test.go
@@ -19,24 +19,24 @@
 func storedRecords() []intent.Record {
 	const run, at = 1_800_000_000_000_000_007, 1_800_000_000_000_000_100
 	return []intent.Record{
-		{Kind: intent.Unsent, Run: run, Op: 1, At: at, ID: "id-1", Tenant: "dairy", Type: "hire-book"},
-		{Kind: intent.Told, Run: run, Op: 1, At: at + 1, ID: "id-1", Tenant: "dairy", Type: "hire-book", How: "denied"},
-		{Kind: intent.Intent, Run: run, Op: 2, Hop: 1, At: at + 2, ID: "id-2", Tenant: "mill", Type: "hire-pay", Server: "s-17", Repeats: "id-0", Retry: true},
-		{Kind: intent.Ended, Run: run, Op: 2, Hop: 1, At: at + 3, Server: "s-17", How: "answered", Proof: intent.Ran},
-		{Kind: intent.Settled, Run: run, Op: 2, Hop: 3, At: at + 4, Server: "s-18", Proof: intent.Never},
-		{Kind: intent.Gap, Run: run, At: at + 5, From: at - 50, N: 12},
-		{Kind: intent.Numbered, Run: run, At: at + 6, From: 41, N: 1},
-		{Kind: intent.Intent, Run: run, Op: 70_000, Hop: 63, At: at + 7, ID: "id-3", Tenant: "t", Type: "y", Server: "s", Repeats: "r", Retry: true, How: "h", Proof: intent.Never, From: -9, N: 300},
+		{Kind: intent.Unsent, Incarnation: run, RequestNumber: 1, AtUnixNano: at, RequestID: "id-1", Tenant: "dairy", Type: "hire-book"},
+		{Kind: intent.ClientNotified, Incarnation: run, RequestNumber: 1, AtUnixNano: at + 1, RequestID: "id-1", Tenant: "dairy", Type: "hire-book", Outcome: "denied"},
+		{Kind: intent.Intent, Incarnation: run, RequestNumber: 2, Attempt: 1, AtUnixNano: at + 2, RequestID: "id-2", Tenant: "mill", Type: "hire-pay", Server: "s-17", RepeatOf: "id-0", IsRetry: true},
+		{Kind: intent.AttemptEnded, Incarnation: run, RequestNumber: 2, Attempt: 1, AtUnixNano: at + 3, Server: "s-17", Outcome: "answered", Proof: intent.Ran},
+		{Kind: intent.Reconciled, Incarnation: run, RequestNumber: 2, Attempt: 3, AtUnixNano: at + 4, Server: "s-18", Proof: intent.NeverRan},
+		{Kind: intent.Gap, Incarnation: run, AtUnixNano: at + 5, From: at - 50, Count: 12},
+		{Kind: intent.ChunkHeader, Incarnation: run, AtUnixNano: at + 6, From: 41, Count: 1},
+		{Kind: intent.Intent, Incarnation: run, RequestNumber: 70_000, Attempt: 63, AtUnixNano: at + 7, RequestID: "id-3", Tenant: "t", Type: "y", Server: "s", RepeatOf: "r", IsRetry: true, Outcome: "h", Proof: intent.NeverRan, From: -9, Count: 300},
 	}
 }
 
 func TestStoredSegmentIsRead(t *testing.T) {
 	var got []intent.Record
-	report, err := Scan(OS{}, "testdata", time.Time{}, func(r *intent.Record) error {
+	report, err := Scan(OSFileSystem{}, "testdata", time.Time{}, func(r *intent.Record) error {
 		got = append(got, *r)
 		return nil
 	}, nil)
-	if err != nil || report.Segments != 1 || len(report.Faults) > 0 {
+	if err != nil || report.Segments != 1 || len(report.Unreadable) > 0 {
 		t.Fatalf("%+v, %v", report, err)
 	}
 	if want := storedRecords(); !reflect.DeepEqual(got, want) {
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	l, err := Open(Options{Dir: dir, Files: OS{}, SegmentBytes: 1 << 20, Run: 1})
+	l, err := Open(Options{Dir: dir, FileSystem: OSFileSystem{}, MaxSegmentBytes: 1 << 20, Incarnation: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,9 +69,9 @@
 	const run = 1_800_000_000_000_000_007
 	dir := t.TempDir()
 	var copied []byte
-	l, err := Open(Options{Dir: dir, Files: OS{}, SegmentBytes: 1 << 20, Run: run,
-		Copy:   func(_ uint64, _ int, frames []byte, _ bool) { copied = append(copied, frames...) },
-		Stored: func(uint64, int) {}})
+	l, err := Open(Options{Dir: dir, FileSystem: OSFileSystem{}, MaxSegmentBytes: 1 << 20, Incarnation: run,
+		OnChunk:  func(_ uint64, _ int, frames []byte, _ bool) { copied = append(copied, frames...) },
+		OnStored: func(uint64, int) {}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,20 +80,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if <-w.Done(); w.Err() != nil || w.Number() != 5 {
-		t.Errorf("number %d, %v", w.Number(), w.Err())
+	if <-w.Done(); w.Err() != nil || w.SequenceNumber() != 5 {
+		t.Errorf("number %d, %v", w.SequenceNumber(), w.Err())
 	}
 	l.Close()
 	got, err := os.ReadFile(filepath.Join(dir, storedSegment))
 	if err != nil {
 		t.Fatal(err)
 	}
-	all, _, err := ReadParts(got)
-	if err != nil || all.Run != run || all.First != 1 || all.N != 5 || all.At == 0 {
+	all, _, err := DecodeChunks(got)
+	if err != nil || all.Incarnation != run || all.First != 1 || all.Count != 5 || all.AtUnixNano == 0 {
 		t.Fatalf("%+v, %v", all, err)
 	}
 	var want []byte
-	for _, r := range append([]intent.Record{{Kind: intent.Numbered, Run: run, At: all.At, From: 1, N: 5}}, records...) {
+	for _, r := range append([]intent.Record{{Kind: intent.ChunkHeader, Incarnation: run, AtUnixNano: all.AtUnixNano, From: 1, Count: 5}}, records...) {
 		if want, err = AppendFrame(want, &r); err != nil {
 			t.Fatal(err)
 		}
@@ -105,22 +105,22 @@
 
 // Kinds and proofs are stored as numbers; states are printed by name.
 func TestStoredNumbers(t *testing.T) {
-	for i, k := range []intent.Kind{intent.Unsent, intent.Intent, intent.Ended, intent.Told, intent.Settled, intent.Gap, intent.Numbered} {
+	for i, k := range []intent.Kind{intent.Unsent, intent.Intent, intent.AttemptEnded, intent.ClientNotified, intent.Reconciled, intent.Gap, intent.ChunkHeader} {
 		if int(k) != i+1 {
 			t.Errorf("kind %d is stored as %d", i+1, k)
 		}
 	}
-	for i, p := range []intent.Proof{intent.Possibly, intent.Ran, intent.Never} {
+	for i, p := range []intent.Proof{intent.PossiblyRan, intent.Ran, intent.NeverRan} {
 		if int(p) != i {
 			t.Errorf("proof %d is stored as %d", i, p)
 		}
 	}
-	for name, s := range map[string]intent.State{"not-sent": intent.NotSent, "possibly-sent": intent.PossiblySent, "ran": intent.HasRun, "not-known": intent.NotKnown} {
+	for name, s := range map[string]intent.State{"not-sent": intent.NotSent, "possibly-sent": intent.PossiblySent, "ran": intent.HasRun, "not-known": intent.Unknown} {
 		if s.String() != name {
 			t.Errorf("%q is printed as %q", name, s)
 		}
 	}
-	if PartMost != 1024 || Machines != "machines" {
-		t.Errorf("chunks of %d, promise %q", PartMost, Machines)
+	if MaxChunkRecords != 1024 || PromiseMachines != "machines" {
+		t.Errorf("chunks of %d, promise %q", MaxChunkRecords, PromiseMachines)
 	}
 }
--- a/internal/journal/wal/log.go
+++ b/internal/journal/wal/log.go
@@ -15,34 +15,34 @@
 	lately     = time.Second            // in which a slow write tells of the next one
 	numberTry  = 100                    // numbers taken by other processes before it is a fault
 	// PartMost is how many numbered records are handed on as one: 250 kB.
-	PartMost = 1024
+	MaxChunkRecords = 1024
 )
 
 // Why a record is not kept.
 var (
-	ErrFull    = errors.New("too many records wait for the disk")
-	ErrFailing = errors.New("the disk takes no records")
-	ErrClosed  = errors.New("the journal is closed")
+	ErrQueueFull   = errors.New("too many records wait for the disk")
+	ErrDiskFailing = errors.New("the disk takes no records")
+	ErrClosed      = errors.New("the journal is closed")
 )
 
 // Options of a journal that is written.
 type Options struct {
-	Dir          string
-	Files        Files
-	Machine      bool // a record lasts past the machine's death (fsync), not only past the process's
-	SegmentBytes int64
-	KeepFor      time.Duration
-	KeepBytes    int64
-	Run          uint64
-	Again        time.Duration // between two tries to go on after a fault; 0: half a second
+	Dir             string
+	FileSystem      FileSystem
+	Fsync           bool // a record lasts past the machine's death (fsync), not only past the process's
+	MaxSegmentBytes int64
+	RetentionAge    time.Duration
+	RetentionBytes  int64
+	Incarnation     uint64
+	RetryInterval   time.Duration // between two tries to go on after a fault; 0: half a second
 	// NoGaps leaves out what was not kept: whoever brought it is told, and brings it again.
-	NoGaps bool
+	OmitGaps bool
 	// Copy has records numbered and handed on, in frames as they are written, before they are; Stored then tells that they
 	// last. What nobody waits for may be handed on a little later. Without it records have no numbers. Both are called by the journal's writer and must wait for nothing.
-	Copy   func(first uint64, n int, frames []byte, waited bool)
-	Stored func(first uint64, n int)
+	OnChunk  func(first uint64, n int, frames []byte, waited bool)
+	OnStored func(first uint64, n int)
 	// Note is told when the journal begins to fail, and with nil when it goes on.
-	Note func(error)
+	OnHealthChange func(error)
 }
 
 // Log is a journal that is written. Appending waits for no disk.
@@ -72,26 +72,26 @@
 
 type pending struct {
 	record intent.Record
-	wait   *Wait
+	wait   *Commit
 	seq    uint64 // 0: it has no number yet
 	at     int64  // when its part was written first, Unix time in ns; of the first of a part
 }
 
-// Wait is for a record to last.
-type Wait struct {
+// Commit is for a record to last.
+type Commit struct {
 	done chan struct{}
 	err  error
 	seq  uint64
 }
 
-// Number is the record's own in the stream, once Done is closed; 0 where records have none.
-func (w *Wait) Number() uint64 { return w.seq }
+// SequenceNumber is the record's own in the stream, once Done is closed; 0 where records have none.
+func (w *Commit) SequenceNumber() uint64 { return w.seq }
 
 // Done is closed when the record lasts, or never will.
-func (w *Wait) Done() <-chan struct{} { return w.done }
+func (w *Commit) Done() <-chan struct{} { return w.done }
 
 // Err tells which, once Done is closed.
-func (w *Wait) Err() error { return w.err }
+func (w *Commit) Err() error { return w.err }
 
 // Open starts a segment of its own behind those that are there; nothing that is there is touched, so others may read or
 // even write beside it.
@@ -106,7 +106,7 @@
 
 // Append queues records, in order. With wait, the last of them can be waited for; without, nobody minds if they are lost
 // with the process.
-func (l *Log) Append(wait bool, records ...intent.Record) (*Wait, error) {
+func (l *Log) Append(wait bool, records ...intent.Record) (*Commit, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var err error
@@ -114,17 +114,17 @@
 	case l.closed:
 		err = ErrClosed
 	case l.failing != nil:
-		err = fmt.Errorf("%w: %w", ErrFailing, l.failing)
+		err = fmt.Errorf("%w: %w", ErrDiskFailing, l.failing)
 	case len(l.queue)+len(records) > queueMost:
-		err = ErrFull
+		err = ErrQueueFull
 	}
 	if err != nil {
 		l.lose(len(records))
 		return nil, err
 	}
-	var w *Wait
+	var w *Commit
 	if wait {
-		w = &Wait{done: make(chan struct{})}
+		w = &Commit{done: make(chan struct{})}
 	}
 	for i, r := range records {
 		p := pending{record: r}
@@ -140,9 +140,9 @@
 	return w, nil
 }
 
-// Stalled tells for how long the write that is under way has been so, or how long the last one took, if that was lately:
+// StalledFor tells for how long the write that is under way has been so, or how long the last one took, if that was lately:
 // a disk that was slow a moment ago is not trusted with the next ones all at once.
-func (l *Log) Stalled() time.Duration {
+func (l *Log) StalledFor() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	took := time.Duration(0)
@@ -155,22 +155,22 @@
 	return max(took, time.Since(l.busy))
 }
 
-// Failing is why nothing is kept now, nil where it is.
-func (l *Log) Failing() error {
+// Failure is why nothing is kept now, nil where it is.
+func (l *Log) Failure() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.failing
 }
 
-// Missed counts an operation that went on without the journal; a Gap tells of it when the disk takes records again.
-func (l *Log) Missed() {
+// CountMissed counts an operation that went on without the journal; a Gap tells of it when the disk takes records again.
+func (l *Log) CountMissed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lose(1)
 }
 
 func (l *Log) lose(n int) {
-	if l.o.NoGaps {
+	if l.o.OmitGaps {
 		return
 	}
 	if l.lost == 0 {
--- a/internal/journal/wal/log_test.go
+++ b/internal/journal/wal/log_test.go
@@ -25,9 +25,9 @@
 	sent, ran map[uint64]bool // sent: the intent was said to last, so the hop went out
 }
 
-func open(t testing.TB, d Files, segment int64) *Log {
+func open(t testing.TB, d FileSystem, segment int64) *Log {
 	t.Helper()
-	l, err := Open(Options{Dir: "j", Files: d, Machine: true, SegmentBytes: segment, Run: 1, Again: time.Millisecond})
+	l, err := Open(Options{Dir: "j", FileSystem: d, Fsync: true, MaxSegmentBytes: segment, Incarnation: 1, RetryInterval: time.Millisecond})
 	if err != nil {
 		return nil
 	}
@@ -42,40 +42,40 @@
 	}
 	for op := uint64(1); op <= uint64(n); op++ {
 		id := fmt.Sprintf("%016x", op)
-		w, err := l.Append(true, intent.Record{Kind: intent.Intent, Run: 1, Op: op, At: int64(op), ID: id, Type: "book", Server: "s"})
+		w, err := l.Append(true, intent.Record{Kind: intent.Intent, Incarnation: 1, RequestNumber: op, AtUnixNano: int64(op), RequestID: id, Type: "book", Server: "s"})
 		if err != nil {
 			continue
 		}
 		if <-w.Done(); w.Err() != nil {
-			l.Append(false, intent.Record{Kind: intent.Ended, Run: 1, Op: op, At: 2, How: "not kept", Proof: intent.Never})
+			l.Append(false, intent.Record{Kind: intent.AttemptEnded, Incarnation: 1, RequestNumber: op, AtUnixNano: 2, Outcome: "not kept", Proof: intent.NeverRan})
 			continue
 		}
 		tr.sent[op] = true
 		proof := intent.Proof(op % 3)
-		tr.ran[op] = proof != intent.Never
-		l.Append(false, intent.Record{Kind: intent.Ended, Run: 1, Op: op, At: 2, Proof: proof},
-			intent.Record{Kind: intent.Told, Run: 1, Op: op, At: 3, How: "handled", N: 1})
+		tr.ran[op] = proof != intent.NeverRan
+		l.Append(false, intent.Record{Kind: intent.AttemptEnded, Incarnation: 1, RequestNumber: op, AtUnixNano: 2, Proof: proof},
+			intent.Record{Kind: intent.ClientNotified, Incarnation: 1, RequestNumber: op, AtUnixNano: 3, Outcome: "handled", Count: 1})
 	}
 	return tr
 }
 
 // look reads a journal and checks that nothing is claimed that was not so.
-func look(t testing.TB, d Files, tr truth, what string) (r Report, all map[uint64]*intent.Entry) {
+func look(t testing.TB, d FileSystem, tr truth, what string) (r ScanReport, all map[uint64]*intent.Entry) {
 	t.Helper()
-	fold := intent.NewFold()
+	fold := intent.NewAssembler()
 	all = map[uint64]*intent.Entry{}
 	r, err := Scan(d, "j", time.Time{}, func(rec *intent.Record) error {
 		if e := fold.Add(rec); e != nil {
-			all[e.Op] = e
+			all[e.RequestNumber] = e
 		}
 		return nil
 	}, nil)
 	if err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
-	fold.Damaged = r.Corrupt() > 0
-	for _, e := range fold.Rest() {
-		all[e.Op] = e
+	fold.HasDamage = r.CorruptCount() > 0
+	for _, e := range fold.Incomplete() {
+		all[e.RequestNumber] = e
 	}
 	for op, e := range all {
 		switch s := e.State(); {
@@ -123,8 +123,8 @@
 						t.Fatalf("%s: the intent of %d was said to last, and is gone", what, op)
 					}
 				}
-				if r.Corrupt() > 0 && trouble != memdisk.Short {
-					t.Fatalf("%s: %v", what, r.Faults)
+				if r.CorruptCount() > 0 && trouble != memdisk.Short {
+					t.Fatalf("%s: %v", what, r.Unreadable)
 				}
 				d.Meet = func(int) memdisk.Trouble { return memdisk.None }
 				if again := open(t, d, 600); again == nil { // it goes on
@@ -150,7 +150,7 @@
 		flips := 1 + chance.IntN(4)
 		d.Flip(chance, flips)
 		r, _ := look(t, d, tr, fmt.Sprint("seed ", seed))
-		if len(r.Faults) == 0 {
+		if len(r.Unreadable) == 0 {
 			t.Fatalf("seed %d: nothing was found", seed)
 		}
 		if lost := whole.Records - r.Records; lost > 2*flips { // a length that was hit may take the next one with it
@@ -166,13 +166,13 @@
 		d := memdisk.New()
 		var want []string
 		for run := range rapid.IntRange(1, 4).Draw(t, "runs") {
-			l, err := Open(Options{Dir: "j", Files: d, Machine: rapid.Bool().Draw(t, "machine"), SegmentBytes: int64(rapid.IntRange(60, 900).Draw(t, "segment")), Run: uint64(run)})
+			l, err := Open(Options{Dir: "j", FileSystem: d, Fsync: rapid.Bool().Draw(t, "machine"), MaxSegmentBytes: int64(rapid.IntRange(60, 900).Draw(t, "segment")), Incarnation: uint64(run)})
 			if err != nil {
 				t.Fatal(err)
 			}
 			for op := range rapid.IntRange(0, 20).Draw(t, "ops") {
 				id := rapid.StringN(0, 20, 40).Draw(t, "id")
-				w, err := l.Append(true, intent.Record{Kind: intent.Intent, Run: uint64(run), Op: uint64(op), ID: id})
+				w, err := l.Append(true, intent.Record{Kind: intent.Intent, Incarnation: uint64(run), RequestNumber: uint64(op), RequestID: id})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -185,7 +185,7 @@
 		}
 		var got []string
 		if _, err := Scan(d, "j", time.Time{}, func(r *intent.Record) error {
-			got = append(got, fmt.Sprint(r.Run, r.Op, r.ID))
+			got = append(got, fmt.Sprint(r.Incarnation, r.RequestNumber, r.RequestID))
 			return nil
 		}, nil); err != nil || strings.Join(got, "|") != strings.Join(want, "|") {
 			t.Fatalf("%v: %q, not %q", err, got, want)
@@ -197,30 +197,30 @@
 func TestGap(t *testing.T) {
 	d := memdisk.New()
 	notes := make(chan error, 9)
-	l, err := Open(Options{Dir: "j", Files: d, SegmentBytes: 1 << 20, Again: time.Millisecond, Note: func(err error) { notes <- err }})
+	l, err := Open(Options{Dir: "j", FileSystem: d, MaxSegmentBytes: 1 << 20, RetryInterval: time.Millisecond, OnHealthChange: func(err error) { notes <- err }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	d.Fill(true)
-	w, err := l.Append(true, intent.Record{Kind: intent.Intent, Op: 1})
+	w, err := l.Append(true, intent.Record{Kind: intent.Intent, RequestNumber: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if <-w.Done(); !errors.Is(w.Err(), memdisk.ErrDisk) || <-notes == nil {
 		t.Errorf("%v", w.Err())
 	}
-	if _, err := l.Append(true, intent.Record{Kind: intent.Intent, Op: 2}); !errors.Is(err, ErrFailing) || l.Failing() == nil {
+	if _, err := l.Append(true, intent.Record{Kind: intent.Intent, RequestNumber: 2}); !errors.Is(err, ErrDiskFailing) || l.Failure() == nil {
 		t.Errorf("%v", err)
 	}
 	d.Fill(false)
-	if err := <-notes; err != nil || l.Failing() != nil {
-		t.Errorf("%v, %v", err, l.Failing())
+	if err := <-notes; err != nil || l.Failure() != nil {
+		t.Errorf("%v, %v", err, l.Failure())
 	}
 	gap := 0
 	Scan(d, "j", time.Time{}, func(r *intent.Record) error {
 		if r.Kind == intent.Gap {
-			gap += r.N
+			gap += r.Count
 		}
 		return nil
 	}, nil)
@@ -232,24 +232,24 @@
 // On the system's disk: rotation, retention, a torn end, and a reader beside the writer.
 func TestOnDisk(t *testing.T) {
 	dir := t.TempDir()
-	l, err := Open(Options{Dir: dir, Files: OS{}, SegmentBytes: 4 << 10, KeepBytes: 16 << 10})
+	l, err := Open(Options{Dir: dir, FileSystem: OSFileSystem{}, MaxSegmentBytes: 4 << 10, RetentionBytes: 16 << 10})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for op := range uint64(2000) {
-		w, err := l.Append(true, intent.Record{Kind: intent.Intent, Op: op, ID: "0123456789abcdef", Server: "server"})
+		w, err := l.Append(true, intent.Record{Kind: intent.Intent, RequestNumber: op, RequestID: "0123456789abcdef", Server: "server"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		<-w.Done()
 		if op == 1000 { // read meanwhile
-			if r, err := Scan(OS{}, dir, time.Time{}, func(*intent.Record) error { return nil }, nil); err != nil || len(r.Faults) > 0 || r.Records == 0 {
+			if r, err := Scan(OSFileSystem{}, dir, time.Time{}, func(*intent.Record) error { return nil }, nil); err != nil || len(r.Unreadable) > 0 || r.Records == 0 {
 				t.Errorf("%+v, %v", r, err)
 			}
 		}
 	}
 	l.Close()
-	segments, err := Segments(OS{}, dir)
+	segments, err := ListSegments(OSFileSystem{}, dir)
 	if err != nil || len(segments) < 3 || len(segments) > 6 {
 		t.Fatalf("%d segments, %v", len(segments), err)
 	}
@@ -258,9 +258,9 @@
 	os.WriteFile(last.Path, text[:len(text)-5], 0o600)
 	os.WriteFile(filepath.Join(dir, "notes.txt"), []byte("not ours"), 0o600)
 	newest := uint64(0)
-	r, err := Scan(OS{}, dir, time.Time{}, func(r *intent.Record) error { newest = r.Op; return nil }, nil)
-	if err != nil || newest != 1998 || len(r.Faults) != 1 || !r.Faults[0].Torn {
-		t.Errorf("up to %d, %v, %v", newest, r.Faults, err)
+	r, err := Scan(OSFileSystem{}, dir, time.Time{}, func(r *intent.Record) error { newest = r.RequestNumber; return nil }, nil)
+	if err != nil || newest != 1998 || len(r.Unreadable) != 1 || !r.Unreadable[0].IsTorn {
+		t.Errorf("up to %d, %v, %v", newest, r.Unreadable, err)
 	}
 }
 
@@ -279,7 +279,7 @@
 	} {
 		path := filepath.Join(dir, "f.toml")
 		os.WriteFile(path, []byte(strings.Replace(text, "DIR", dir, 1)), 0o600)
-		if _, err := Load(path); (err == nil) != (wrong == "") || err != nil && !strings.Contains(err.Error(), wrong) {
+		if _, err := LoadConfig(path); (err == nil) != (wrong == "") || err != nil && !strings.Contains(err.Error(), wrong) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
@@ -287,17 +287,17 @@
 
 // fill writes entries as a node does, three records each.
 func fill(b testing.TB, dir string, entries int) {
-	l, err := Open(Options{Dir: dir, Files: OS{}, SegmentBytes: 16 << 20})
+	l, err := Open(Options{Dir: dir, FileSystem: OSFileSystem{}, MaxSegmentBytes: 16 << 20})
 	if err != nil {
 		b.Fatal(err)
 	}
-	var w *Wait
+	var w *Commit
 	for op := range uint64(entries) {
 		id := fmt.Sprintf("%016x", op)
 		at := time.Now().UnixNano()
-		if w, err = l.Append(true, intent.Record{Kind: intent.Intent, Run: 1, Op: op, At: at, ID: id, Tenant: "dairy", Type: "hire-book", Server: "server-17"},
-			intent.Record{Kind: intent.Ended, Run: 1, Op: op, At: at, How: "answered", Proof: intent.Ran},
-			intent.Record{Kind: intent.Told, Run: 1, Op: op, At: at, How: "handled", N: 1}); err != nil {
+		if w, err = l.Append(true, intent.Record{Kind: intent.Intent, Incarnation: 1, RequestNumber: op, AtUnixNano: at, RequestID: id, Tenant: "dairy", Type: "hire-book", Server: "server-17"},
+			intent.Record{Kind: intent.AttemptEnded, Incarnation: 1, RequestNumber: op, AtUnixNano: at, Outcome: "answered", Proof: intent.Ran},
+			intent.Record{Kind: intent.ClientNotified, Incarnation: 1, RequestNumber: op, AtUnixNano: at, Outcome: "handled", Count: 1}); err != nil {
 			b.Fatal(err)
 		}
 		if op%500 == 0 {
@@ -313,8 +313,8 @@
 	fill(b, dir, 1_000_000)
 	b.ResetTimer()
 	for b.Loop() {
-		fold, n := intent.NewFold(), 0
-		r, err := Scan(OS{}, dir, time.Time{}, func(r *intent.Record) error {
+		fold, n := intent.NewAssembler(), 0
+		r, err := Scan(OSFileSystem{}, dir, time.Time{}, func(r *intent.Record) error {
 			if fold.Add(r) != nil {
 				n++
 			}
--- a/internal/journal/wal/read.go
+++ b/internal/journal/wal/read.go
@@ -21,44 +21,44 @@
 type Segment struct {
 	Number uint64
 	Path   string
-	Info
+	FileInfo
 }
 
-// Fault is a place that cannot be read.
-type Fault struct {
+// UnreadableRange is a place that cannot be read.
+type UnreadableRange struct {
 	Path   string
 	Offset int64
 	Bytes  int64
-	Torn   bool // the end of the file: a write that was not finished
+	IsTorn bool // the end of the file: a write that was not finished
 }
 
-func (f Fault) String() string {
-	if f.Torn {
+func (f UnreadableRange) String() string {
+	if f.IsTorn {
 		return fmt.Sprintf("%s: %d bytes at %d are the start of a record that was not written whole", f.Path, f.Bytes, f.Offset)
 	}
 	return fmt.Sprintf("%s: %d bytes at %d cannot be read; records behind them were read", f.Path, f.Bytes, f.Offset)
 }
 
-// Report is what was read.
-type Report struct {
-	Segments int
-	Records  int
-	Bytes    int64
-	Faults   []Fault
+// ScanReport is what was read.
+type ScanReport struct {
+	Segments   int
+	Records    int
+	Bytes      int64
+	Unreadable []UnreadableRange
 }
 
-// Corrupt counts the faults that are no torn ends.
-func (r *Report) Corrupt() (n int) {
-	for _, f := range r.Faults {
-		if !f.Torn {
+// CorruptCount counts the faults that are no torn ends.
+func (r *ScanReport) CorruptCount() (n int) {
+	for _, f := range r.Unreadable {
+		if !f.IsTorn {
 			n++
 		}
 	}
 	return n
 }
 
-// Segments are the files of a journal, in their order.
-func Segments(files Files, dir string) ([]Segment, error) {
+// ListSegments are the files of a journal, in their order.
+func ListSegments(files FileSystem, dir string) ([]Segment, error) {
 	all, err := files.List(dir)
 	if err != nil {
 		return nil, err
@@ -78,14 +78,14 @@
 
 // Scan reads all records of the segments that were changed since a moment, in order, in little memory. progress is told
 // of the bytes read and in all.
-func Scan(files Files, dir string, since time.Time, each func(*intent.Record) error, progress func(read, all int64)) (Report, error) {
-	var r Report
-	segments, err := Segments(files, dir)
+func Scan(files FileSystem, dir string, since time.Time, each func(*intent.Record) error, progress func(read, all int64)) (ScanReport, error) {
+	var r ScanReport
+	segments, err := ListSegments(files, dir)
 	if err != nil {
 		return r, err
 	}
 	all := int64(0)
-	segments = slices.DeleteFunc(segments, func(s Segment) bool { return s.Changed.Before(since) })
+	segments = slices.DeleteFunc(segments, func(s Segment) bool { return s.ModTime.Before(since) })
 	for _, s := range segments {
 		all += s.Size
 	}
@@ -103,7 +103,7 @@
 }
 
 // scan reads one segment. Behind what cannot be read it looks for the next frame that can.
-func scan(files Files, s Segment, r *Report, each func(*intent.Record) error, progress func(int64)) error {
+func scan(files FileSystem, s Segment, r *ScanReport, each func(*intent.Record) error, progress func(int64)) error {
 	f, err := files.Open(s.Path)
 	if err != nil {
 		return err
@@ -115,7 +115,7 @@
 	ended := false
 	fault := func(until int64, torn bool) {
 		if bad >= 0 {
-			r.Faults = append(r.Faults, Fault{s.Path, bad, until - bad, torn})
+			r.Unreadable = append(r.Unreadable, UnreadableRange{s.Path, bad, until - bad, torn})
 			bad = -1
 		}
 	}
--- a/internal/journal/wal/segments.go
+++ b/internal/journal/wal/segments.go
@@ -9,7 +9,7 @@
 )
 
 func (l *Log) rotate() error {
-	if l.o.Machine {
+	if l.o.Fsync {
 		if err := l.file.Sync(); err != nil {
 			return err
 		}
@@ -27,7 +27,7 @@
 
 // next makes a segment with the next free number.
 func (l *Log) next() error {
-	segments, err := Segments(l.o.Files, l.o.Dir)
+	segments, err := ListSegments(l.o.FileSystem, l.o.Dir)
 	if err != nil {
 		return err
 	}
@@ -36,15 +36,15 @@
 	}
 	for range numberTry {
 		l.number++
-		f, err := l.o.Files.Create(filepath.Join(l.o.Dir, name(l.number)))
+		f, err := l.o.FileSystem.Create(filepath.Join(l.o.Dir, name(l.number)))
 		if errors.Is(err, os.ErrExist) {
 			continue // another process's
 		}
 		if err != nil {
 			return err
 		}
-		if l.o.Machine {
-			if err := l.o.Files.SyncDir(l.o.Dir); err != nil {
+		if l.o.Fsync {
+			if err := l.o.FileSystem.SyncDir(l.o.Dir); err != nil {
 				f.Close()
 				return err
 			}
@@ -57,7 +57,7 @@
 
 // retain removes segments that are too old or too many, the oldest first, never the one that is written.
 func (l *Log) retain() {
-	segments, err := Segments(l.o.Files, l.o.Dir)
+	segments, err := ListSegments(l.o.FileSystem, l.o.Dir)
 	if err != nil {
 		return
 	}
@@ -66,11 +66,11 @@
 		all += s.Size
 	}
 	for _, s := range segments {
-		tooOld := l.o.KeepFor > 0 && time.Since(s.Changed) > l.o.KeepFor
-		if s.Number >= l.number || !tooOld && (l.o.KeepBytes <= 0 || all <= l.o.KeepBytes) {
+		tooOld := l.o.RetentionAge > 0 && time.Since(s.ModTime) > l.o.RetentionAge
+		if s.Number >= l.number || !tooOld && (l.o.RetentionBytes <= 0 || all <= l.o.RetentionBytes) {
 			return
 		}
-		if l.o.Files.Remove(s.Path) != nil {
+		if l.o.FileSystem.Remove(s.Path) != nil {
 			return
 		}
 		all -= s.Size
--- a/internal/journal/wal/stream_test.go
+++ b/internal/journal/wal/stream_test.go
@@ -28,8 +28,8 @@
 				var mu sync.Mutex
 				handed, stored := map[uint64][]byte{}, map[uint64]bool{}
 				next := uint64(1)
-				o := Options{Dir: "j", Files: d, Machine: true, SegmentBytes: 600, Run: 7, Again: time.Millisecond,
-					Copy: func(first uint64, n int, frames []byte, _ bool) {
+				o := Options{Dir: "j", FileSystem: d, Fsync: true, MaxSegmentBytes: 600, Incarnation: 7, RetryInterval: time.Millisecond,
+					OnChunk: func(first uint64, n int, frames []byte, _ bool) {
 						mu.Lock()
 						defer mu.Unlock()
 						if first != next {
@@ -38,7 +38,7 @@
 						next = first + uint64(n)
 						handed[first] = frames
 					},
-					Stored: func(first uint64, _ int) {
+					OnStored: func(first uint64, _ int) {
 						mu.Lock()
 						defer mu.Unlock()
 						stored[first] = true
@@ -49,7 +49,7 @@
 				}
 				lasts := map[uint64]bool{} // operations
 				for op := uint64(1); op <= 10; op++ {
-					w, err := l.Append(true, intent.Record{Kind: intent.Intent, Run: 7, Op: op, ID: fmt.Sprint(op), Server: "s"})
+					w, err := l.Append(true, intent.Record{Kind: intent.Intent, Incarnation: 7, RequestNumber: op, RequestID: fmt.Sprint(op), Server: "s"})
 					if err != nil {
 						time.Sleep(2 * time.Millisecond)
 						continue
@@ -61,21 +61,21 @@
 				}
 				l.Close()
 				read := map[uint64]bool{}
-				segments, err := Segments(d, "j")
+				segments, err := ListSegments(d, "j")
 				if err != nil {
 					t.Fatal(err)
 				}
 				for _, s := range segments {
-					if _, err := Parts(d, s, func(p Part) error {
-						if !bytes.Equal(p.Body, handed[p.First]) {
+					if _, err := ScanChunks(d, s, func(p Chunk) error {
+						if !bytes.Equal(p.Frames, handed[p.First]) {
 							t.Errorf("part %d stands as another than was handed on", p.First)
 						}
-						all, records, err := ReadParts(p.Body)
-						if err != nil || all.First != p.First || all.N != p.N || all.Run != 7 {
+						all, records, err := DecodeChunks(p.Frames)
+						if err != nil || all.First != p.First || all.Count != p.Count || all.Incarnation != 7 {
 							t.Errorf("%+v read as %+v, %v", p, all, err)
 						}
 						for _, r := range records {
-							read[r.Op] = true
+							read[r.RequestNumber] = true
 						}
 						delete(stored, p.First)
 						return nil
@@ -109,9 +109,9 @@
 		return b
 	}
 	mark := func(run uint64, from int64, n int) []byte {
-		return frame(intent.Record{Kind: intent.Numbered, Run: run, From: from, N: n})
+		return frame(intent.Record{Kind: intent.ChunkHeader, Incarnation: run, From: from, Count: n})
 	}
-	one := frame(intent.Record{Kind: intent.Intent, Run: 1, Op: 1, ID: "x"})
+	one := frame(intent.Record{Kind: intent.Intent, Incarnation: 1, RequestNumber: 1, RequestID: "x"})
 	join := func(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
 	for name, c := range map[string]struct {
 		body []byte
@@ -130,9 +130,9 @@
 		"from 0":                    {join(mark(1, 0, 1), one), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, _, err := ReadParts(c.body)
-			if (err == nil) != (c.n > 0) || err == nil && p.N != c.n {
-				t.Errorf("%d records, %v", p.N, err)
+			p, _, err := DecodeChunks(c.body)
+			if (err == nil) != (c.n > 0) || err == nil && p.Count != c.n {
+				t.Errorf("%d records, %v", p.Count, err)
 			}
 		})
 	}
--- a/internal/protocol/connclose/ends.go
+++ b/internal/protocol/connclose/ends.go
@@ -6,10 +6,10 @@
 type State uint8
 
 const (
-	Open     State = iota // takes what comes
-	Last                  // takes what comes, and ends as soon as nothing is open
-	Refusing              // takes nothing new, and ends as soon as all that was taken has its answer
-	Ended                 // nothing is written any more
+	Open            State = iota // takes what comes
+	ClosingWhenIdle              // takes what comes, and ends as soon as nothing is open
+	Draining                     // takes nothing new, and ends as soon as all that was taken has its answer
+	Closed                       // nothing is written any more
 	states
 )
 
@@ -17,15 +17,15 @@
 type Input uint8
 
 const (
-	Begun    Input = iota // a request has begun to come
-	Whole                 // it has come whole
-	Failed                // one that had begun will not become whole, and its client was told so
-	Answered              // one that was taken has its answer
-	LastCall              // the connection is to end: its client has said so, or the node stops
-	NoMore                // nothing new can be taken: the stop is near, a request stalls, what comes cannot be read. All
+	RequestStarted  Input = iota // a request has begun to come
+	RequestReceived              // it has come whole
+	RequestAborted               // one that had begun will not become whole, and its client was told so
+	RequestAnswered              // one that was taken has its answer
+	CloseRequested               // the connection is to end: its client has said so, or the node stops
+	IntakeStopped                // nothing new can be taken: the stop is near, a request stalls, what comes cannot be read. All
 	// that were on their way were told that they never ran
-	Quiet // the time for the next request is over, and none has begun to come
-	Gone  // the client has closed or broken the connection
+	IdleTimeout  // the time for the next request is over, and none has begun to come
+	Disconnected // the client has closed or broken the connection
 	inputs
 )
 
@@ -33,11 +33,11 @@
 type Effect uint8
 
 const (
-	Nothing Effect = iota // goes on as before
-	Take                  // the request goes on
-	Refuse                // it is told that it never ran
-	End                   // say that nothing more is written, and read on for a while, so that no reset overtakes an answer
-	Close                 // nobody is there to be answered
+	NoEffect   Effect = iota // goes on as before
+	Admit                    // the request goes on
+	Reject                   // it is told that it never ran
+	CloseWrite               // say that nothing more is written, and read on for a while, so that no reset overtakes an answer
+	Close                    // nobody is there to be answered
 )
 
 type row struct {
@@ -47,55 +47,55 @@
 
 // table is all that is decided; what has nothing left to do is ended behind it, by Next.
 var table = [states][inputs]row{
-	Open: {Begun: {Open, Take}, Whole: {Open, Take}, Failed: {Open, Nothing}, Answered: {Open, Nothing}, LastCall: {Last, Nothing},
-		NoMore: {Refusing, Nothing}, Quiet: {Ended, End}, Gone: {Ended, Close}},
-	Last: {Begun: {Last, Take}, Whole: {Last, Take}, Failed: {Last, Nothing}, Answered: {Last, Nothing}, LastCall: {Last, Nothing},
-		NoMore: {Refusing, Nothing}, Quiet: {Ended, End}, Gone: {Ended, Close}},
-	Refusing: {Begun: {Refusing, Refuse}, Whole: {Refusing, Refuse}, Failed: {Refusing, Nothing}, Answered: {Refusing, Nothing},
-		LastCall: {Refusing, Nothing}, NoMore: {Refusing, Nothing}, Quiet: {Ended, End}, Gone: {Ended, Close}},
-	Ended: {Begun: {Ended, Nothing}, Whole: {Ended, Nothing}, Failed: {Ended, Nothing}, Answered: {Ended, Nothing}, LastCall: {Ended, Nothing},
-		NoMore: {Ended, Nothing}, Quiet: {Ended, Nothing}, Gone: {Ended, Nothing}},
+	Open: {RequestStarted: {Open, Admit}, RequestReceived: {Open, Admit}, RequestAborted: {Open, NoEffect}, RequestAnswered: {Open, NoEffect}, CloseRequested: {ClosingWhenIdle, NoEffect},
+		IntakeStopped: {Draining, NoEffect}, IdleTimeout: {Closed, CloseWrite}, Disconnected: {Closed, Close}},
+	ClosingWhenIdle: {RequestStarted: {ClosingWhenIdle, Admit}, RequestReceived: {ClosingWhenIdle, Admit}, RequestAborted: {ClosingWhenIdle, NoEffect}, RequestAnswered: {ClosingWhenIdle, NoEffect}, CloseRequested: {ClosingWhenIdle, NoEffect},
+		IntakeStopped: {Draining, NoEffect}, IdleTimeout: {Closed, CloseWrite}, Disconnected: {Closed, Close}},
+	Draining: {RequestStarted: {Draining, Reject}, RequestReceived: {Draining, Reject}, RequestAborted: {Draining, NoEffect}, RequestAnswered: {Draining, NoEffect},
+		CloseRequested: {Draining, NoEffect}, IntakeStopped: {Draining, NoEffect}, IdleTimeout: {Closed, CloseWrite}, Disconnected: {Closed, Close}},
+	Closed: {RequestStarted: {Closed, NoEffect}, RequestReceived: {Closed, NoEffect}, RequestAborted: {Closed, NoEffect}, RequestAnswered: {Closed, NoEffect}, CloseRequested: {Closed, NoEffect},
+		IntakeStopped: {Closed, NoEffect}, IdleTimeout: {Closed, NoEffect}, Disconnected: {Closed, NoEffect}},
 }
 
-// Life is a connection's.
-type Life struct {
+// Lifecycle is a connection's.
+type Lifecycle struct {
 	state  State
 	coming int // requests that have begun to come
 	open   int // that were taken and wait for their answer
 }
 
 // State is where it stands.
-func (l *Life) State() State { return l.state }
+func (l *Lifecycle) State() State { return l.state }
 
-// Coming and Open are how many requests have begun to come, and how many were taken and wait for their answer.
-func (l *Life) Coming() int { return l.coming }
+// Receiving and Open are how many requests have begun to come, and how many were taken and wait for their answer.
+func (l *Lifecycle) Receiving() int { return l.coming }
 
-// Open is told with Coming.
-func (l *Life) Open() int { return l.open }
+// InFlight is told with Coming.
+func (l *Lifecycle) InFlight() int { return l.open }
 
-// Next takes what happens and says what is to be done. Where the last answer ends the connection that is End.
-func (l *Life) Next(in Input) Effect {
-	if in == Quiet && l.coming+l.open > 0 { // the time was that of an idle connection, and crossed a request
-		return Nothing
+// Handle takes what happens and says what is to be done. Where the last answer ends the connection that is End.
+func (l *Lifecycle) Handle(in Input) Effect {
+	if in == IdleTimeout && l.coming+l.open > 0 { // the time was that of an idle connection, and crossed a request
+		return NoEffect
 	}
 	r := table[l.state][in]
 	l.state = r.next
 	switch {
-	case in == Begun && r.effect == Take:
+	case in == RequestStarted && r.effect == Admit:
 		l.coming++
-	case in == Whole && r.effect == Take:
+	case in == RequestReceived && r.effect == Admit:
 		l.coming--
 		l.open++
-	case in == Failed:
+	case in == RequestAborted:
 		l.coming--
-	case in == Answered:
+	case in == RequestAnswered:
 		l.open--
-	case in == NoMore:
+	case in == IntakeStopped:
 		l.coming = 0
 	}
-	if l.open+l.coming == 0 && (l.state == Last || l.state == Refusing) {
-		l.state = Ended
-		return End
+	if l.open+l.coming == 0 && (l.state == ClosingWhenIdle || l.state == Draining) {
+		l.state = Closed
+		return CloseWrite
 	}
 	return r.effect
 }
--- a/internal/protocol/connclose/ends_test.go
+++ b/internal/protocol/connclose/ends_test.go
@@ -7,7 +7,7 @@
 
 // world is what a client and a node believe, kept beside a life.
 type world struct {
-	Life
+	Lifecycle
 	coming, open int // as the caller counts them
 	over         bool
 	gone         bool
@@ -18,9 +18,9 @@
 // can tells which inputs may come: a caller does not tell of the end of what has not begun.
 func (w *world) can(in Input) bool {
 	switch in {
-	case Whole, Failed:
+	case RequestReceived, RequestAborted:
 		return w.coming > 0
-	case Answered:
+	case RequestAnswered:
 		return w.open > 0
 	}
 	return true
@@ -28,44 +28,44 @@
 
 func (w *world) step(in Input) (wrong string) {
 	quiet := w.coming+w.open == 0
-	effect := w.Next(in)
-	took := effect == Take
+	effect := w.Handle(in)
+	took := effect == Admit
 	switch in {
-	case Begun:
+	case RequestStarted:
 		if took {
 			w.coming++
 		}
-	case Whole:
+	case RequestReceived:
 		if w.coming--; took {
 			w.open++
 		}
-	case Failed:
+	case RequestAborted:
 		w.coming--
-	case Answered:
+	case RequestAnswered:
 		w.open--
-	case LastCall:
+	case CloseRequested:
 		w.last = true
-	case NoMore:
+	case IntakeStopped:
 		w.noMore, w.coming = true, 0
-	case Gone:
+	case Disconnected:
 		w.gone, w.coming = true, 0
 	}
-	ends := effect == End || effect == Close
-	due := w.open+w.coming == 0 && (w.last || w.noMore) || in == Quiet && quiet
+	ends := effect == CloseWrite || effect == Close
+	due := w.open+w.coming == 0 && (w.last || w.noMore) || in == IdleTimeout && quiet
 	switch {
-	case w.over && effect != Nothing:
+	case w.over && effect != NoEffect:
 		return "something is done after the end"
 	case w.noMore && took:
 		return "taken when nothing more is"
-	case (in == Begun || in == Whole) && !w.over && !took && !w.noMore:
+	case (in == RequestStarted || in == RequestReceived) && !w.over && !took && !w.noMore:
 		return "not taken without a reason"
-	case effect == End && w.open > 0:
+	case effect == CloseWrite && w.open > 0:
 		return "ended with an answer owed"
-	case effect == End && w.coming > 0:
+	case effect == CloseWrite && w.coming > 0:
 		return "ended with a request on its way"
 	case !ends && !w.over && due && !w.gone:
 		return "not ended when nothing is left to do"
-	case ends && !due && in != Gone:
+	case ends && !due && in != Disconnected:
 		return "ended too early"
 	}
 	w.over = w.over || ends
--- a/internal/protocol/fastcgi/back.go
+++ b/internal/protocol/fastcgi/back.go
@@ -18,48 +18,48 @@
 	mostStderr = 64 << 10             // bytes of one request's that are read; a responder that goes on is garbled
 )
 
-// Back is a connection to a responder. It carries one request at a time.
-type Back struct {
+// ServerConn is a connection to a responder. It carries one request at a time.
+type ServerConn struct {
 	net.Conn
 	records  reader
 	out      []byte
 	again    bool
-	pool     *message.Pool
+	pool     *message.BufferBudget
 	borrowed int
 	stderr   func(text []byte)
 }
 
-// NewBack wraps a connection that nothing was read from. What responders write to STDERR is told to stderr.
-func NewBack(c net.Conn, p *message.Pool, stderr func(text []byte)) *Back {
-	return &Back{Conn: c, records: newReader(c), pool: p, stderr: stderr}
+// NewServerConn wraps a connection that nothing was read from. What responders write to STDERR is told to stderr.
+func NewServerConn(c net.Conn, p *message.BufferBudget, stderr func(text []byte)) *ServerConn {
+	return &ServerConn{Conn: c, records: newReader(c), pool: p, stderr: stderr}
 }
 
-// Quiet tells that an idle connection is open and that nothing has come on it.
-func (b *Back) Quiet() bool { return b.records.r.Buffered() == 0 && sockpeek.Quiet(b.Conn) }
+// IsIdle tells that an idle connection is open and that nothing has come on it.
+func (b *ServerConn) IsIdle() bool { return b.records.r.Buffered() == 0 && sockpeek.IsIdle(b.Conn) }
 
-// Waiting tells that something has come that was not read yet.
-func (b *Back) Waiting() bool { return sockpeek.Waiting(b.Conn) }
+// HasUnread tells that something has come that was not read yet.
+func (b *ServerConn) HasUnread() bool { return sockpeek.HasUnread(b.Conn) }
 
-// More tells that something lies behind the answer just read.
-func (b *Back) More() bool { return b.records.r.Buffered() > 0 || b.Waiting() }
+// HasMore tells that something lies behind the answer just read.
+func (b *ServerConn) HasMore() bool { return b.records.r.Buffered() > 0 || b.HasUnread() }
 
-// Reusable tells whether another request may be asked: only behind a whole END_REQUEST.
-func (b *Back) Reusable(*message.Response) bool { return b.again }
+// IsReusable tells whether another request may be asked: only behind a whole END_REQUEST.
+func (b *ServerConn) IsReusable(*message.Response) bool { return b.again }
 
-// Trim gives back memory that a large answer took.
-func (b *Back) Trim() {
+// ReleaseBuffers gives back memory that a large answer took.
+func (b *ServerConn) ReleaseBuffers() {
 	if cap(b.out) > keptBuffer {
 		b.out = nil
 	}
 	if cap(b.records.content) > keptBuffer {
 		b.records.content = nil
 	}
-	b.pool.Give(b.borrowed)
+	b.pool.Release(b.borrowed)
 	b.borrowed = 0
 }
 
-// Ask writes a request whole, and tells whether its last byte, that of the empty STDIN record, was written.
-func (b *Back) Ask(r *message.Request, left time.Duration, from string) (whole bool, err error) {
+// SendRequest writes a request whole, and tells whether its last byte, that of the empty STDIN record, was written.
+func (b *ServerConn) SendRequest(r *message.Request, left time.Duration, from string) (whole bool, err error) {
 	b.again = false
 	time := strconv.FormatFloat(float64(max(left.Milliseconds(), 1))/1000, 'f', 3, 64)
 	buf := appendBegin(b.out[:0], backID, flagKeep)
@@ -71,21 +71,21 @@
 }
 
 // Abort asks the responder to give the request up. What comes of it is not waited for.
-func (b *Back) Abort() {
+func (b *ServerConn) Abort() {
 	b.SetWriteDeadline(time.Now().Add(abortMost))
 	b.Write(appendRecord(nil, typeAbort, backID, nil))
 }
 
-// Reply reads the whole answer. A responder that says in END_REQUEST that it did not take the request is answered for
+// ReceiveResponse reads the whole answer. A responder that says in END_REQUEST that it did not take the request is answered for
 // with 503 and Not-Started, as a server of HTTP says it.
-func (b *Back) Reply(r *message.Response) error {
+func (b *ServerConn) ReceiveResponse(r *message.Response) error {
 	b.out = b.out[:0]
 	logged := 0
 	for {
 		rec, err := b.records.next()
 		switch {
 		case err == errRecord:
-			return message.ErrGarbled
+			return message.ErrMalformedResponse
 		case err == io.EOF:
 			return io.ErrUnexpectedEOF
 		case err != nil:
@@ -93,7 +93,7 @@
 		case rec.kind == typeValues, rec.kind == typeUnknown:
 			continue // of the connection, and asked for by nobody; the hop's time bounds how many come
 		case rec.id != backID:
-			return message.ErrGarbled
+			return message.ErrMalformedResponse
 		}
 		switch rec.kind {
 		case typeStdout:
@@ -102,29 +102,29 @@
 			}
 		case typeStderr:
 			if logged += len(rec.content); logged > mostStderr {
-				return message.ErrGarbled
+				return message.ErrMalformedResponse
 			}
 			if b.stderr != nil && len(rec.content) > 0 {
 				b.stderr(rec.content)
 			}
 		case typeEnd:
 			if len(rec.content) != 8 {
-				return message.ErrGarbled
+				return message.ErrMalformedResponse
 			}
 			return b.end(r, binary.BigEndian.Uint32(rec.content), rec.content[4])
 		default:
-			return message.ErrGarbled
+			return message.ErrMalformedResponse
 		}
 	}
 }
 
-func (b *Back) keep(content []byte) error {
+func (b *ServerConn) keep(content []byte) error {
 	if len(b.out)+len(content) > message.MaxHead+message.MaxAnswer {
-		return message.ErrGarbled
+		return message.ErrMalformedResponse
 	}
 	if more := len(b.out) + len(content) - keptBuffer - b.borrowed; more > 0 {
-		if !b.pool.Take(more) {
-			return message.ErrGarbled // no memory for it now; it may have run all the same
+		if !b.pool.Reserve(more) {
+			return message.ErrMalformedResponse // no memory for it now; it may have run all the same
 		}
 		b.borrowed += more
 	}
@@ -132,7 +132,7 @@
 	return nil
 }
 
-func (b *Back) end(r *message.Response, app uint32, status byte) error {
+func (b *ServerConn) end(r *message.Response, app uint32, status byte) error {
 	switch status {
 	case statusComplete:
 		if err := response(b.out, r); err != nil {
@@ -144,11 +144,11 @@
 		return nil
 	case statusOverloaded, statusCantMPX, statusUnknownRole:
 		if len(b.out) > 0 { // it has begun all the same
-			return message.ErrGarbled
+			return message.ErrMalformedResponse
 		}
 		b.again = true
 		*r = message.Response{Status: 503, Fields: append(r.Fields[:0], message.Field{Name: []byte(message.NotStarted), Value: []byte("1")})}
 		return nil
 	}
-	return message.ErrGarbled
+	return message.ErrMalformedResponse
 }
--- a/internal/protocol/fastcgi/fastcgi_test.go
+++ b/internal/protocol/fastcgi/fastcgi_test.go
@@ -65,8 +65,8 @@
 	f.Add(appendStream(appendStream(appendBegin(nil, 1, 1), typeParams, 1, appendPair(nil, "REQUEST_URI", "/a")), typeStdin, 1, nil))
 	f.Add(appendEnd(appendStream(nil, typeStdout, 1, []byte("Status: 200\r\n\r\nx")), 1, 0, 0))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		pool := message.NewPool(1 << 20)
-		front := NewFront(&script{in: bytes.NewReader(in)}, pool)
+		pool := message.NewBufferBudget(1 << 20)
+		front := NewClientConn(&script{in: bytes.NewReader(in)}, pool)
 		for {
 			call, err := front.Next(nil)
 			if err != nil {
@@ -75,12 +75,12 @@
 			front.Answer(call, call.Append(nil, message.Answer{Status: 200}))
 		}
 		front.Hangup()
-		if free := pool.Free(); free != 1<<20 {
+		if free := pool.Available(); free != 1<<20 {
 			t.Errorf("%d bytes are not given back", 1<<20-free)
 		}
-		back := NewBack(&script{in: bytes.NewReader(in)}, pool, nil)
-		back.Reply(&message.Response{})
-		back.Trim()
+		back := NewServerConn(&script{in: bytes.NewReader(in)}, pool, nil)
+		back.ReceiveResponse(&message.Response{})
+		back.ReleaseBuffers()
 	})
 }
 
@@ -121,35 +121,35 @@
 		"overloaded":                   {end(nil, 0, statusOverloaded), 503, "", nil, true, true},
 		"cannot share":                 {end(nil, 0, statusCantMPX), 503, "", nil, true, true},
 		"another role":                 {end(nil, 0, statusUnknownRole), 503, "", nil, true, true},
-		"overloaded, but it has begun": {end(out("Status: 200\r\n\r\nx"), 0, statusOverloaded), 0, "", message.ErrGarbled, false, false},
-		"a status of nobody":           {end(nil, 0, 9), 0, "", message.ErrGarbled, false, false},
+		"overloaded, but it has begun": {end(out("Status: 200\r\n\r\nx"), 0, statusOverloaded), 0, "", message.ErrMalformedResponse, false, false},
+		"a status of nobody":           {end(nil, 0, 9), 0, "", message.ErrMalformedResponse, false, false},
 		"it failed behind its answer":  {end(out("Status: 200\r\n\r\nx"), 3, 0), 500, "x", nil, false, true},
 		"a redirect":                   {end(out("Location: /x\r\n\r\n"), 0, 0), 302, "", nil, false, true},
 		"in many records":              {end(append(out("Status: 2"), out("00\r\n\r\nhello")...), 0, 0), 200, "hello", nil, false, true},
 		"padding of 255":               {end(padded(out("Status: 200\r\n\r\nhello")), 0, 0), 200, "hello!", nil, false, true},
 		"STDERR between":               {end(append(appendStream(nil, typeStderr, 1, []byte("oh")), out("Status: 200\r\n\r\nx")...), 0, 0), 200, "x", nil, false, true},
-		"endless STDERR":               {appendStream(nil, typeStderr, 1, make([]byte, mostStderr+1)), 0, "", message.ErrGarbled, false, false},
-		"shorter than it says":         {end(out("Content-Length: 9\r\n\r\nhello"), 0, 0), 0, "", message.ErrGarbled, false, false},
-		"longer than it says":          {end(out("Content-Length: 2\r\n\r\nhello"), 0, 0), 0, "", message.ErrGarbled, false, false},
-		"END before the head is whole": {end(out("Status: 200\r\n"), 0, 0), 0, "", message.ErrGarbled, false, false},
-		"nothing but END":              {end(nil, 0, 0), 0, "", message.ErrGarbled, false, false},
-		"another's id":                 {appendEnd(nil, 2, 0, 0), 0, "", message.ErrGarbled, false, false},
-		"HTTP":                         {[]byte("HTTP/1.1 400 Bad Request\r\n\r\n"), 0, "", message.ErrGarbled, false, false},
+		"endless STDERR":               {appendStream(nil, typeStderr, 1, make([]byte, mostStderr+1)), 0, "", message.ErrMalformedResponse, false, false},
+		"shorter than it says":         {end(out("Content-Length: 9\r\n\r\nhello"), 0, 0), 0, "", message.ErrMalformedResponse, false, false},
+		"longer than it says":          {end(out("Content-Length: 2\r\n\r\nhello"), 0, 0), 0, "", message.ErrMalformedResponse, false, false},
+		"END before the head is whole": {end(out("Status: 200\r\n"), 0, 0), 0, "", message.ErrMalformedResponse, false, false},
+		"nothing but END":              {end(nil, 0, 0), 0, "", message.ErrMalformedResponse, false, false},
+		"another's id":                 {appendEnd(nil, 2, 0, 0), 0, "", message.ErrMalformedResponse, false, false},
+		"HTTP":                         {[]byte("HTTP/1.1 400 Bad Request\r\n\r\n"), 0, "", message.ErrMalformedResponse, false, false},
 		"cut within a record":          {out("Status: 200\r\n\r\nhello")[:12], 0, "", io.ErrUnexpectedEOF, false, false},
 		"cut behind a record":          {appendRecord(nil, typeStdout, 1, []byte("Status: 200\r\n\r\nx")), 0, "", io.ErrUnexpectedEOF, false, false},
 		"cut within the END":           {end(out("Status: 200\r\n\r\nx"), 0, 0)[:44], 0, "", io.ErrUnexpectedEOF, false, false},
 		"closed with no word":          {nil, 0, "", io.ErrUnexpectedEOF, false, false},
 		"a head without end":           {out("X: " + strings.Repeat("x", message.MaxHead+9)), 0, "", io.ErrUnexpectedEOF, false, false},
-		"too large":                    {out(strings.Repeat("x", message.MaxHead+message.MaxAnswer+1)), 0, "", message.ErrGarbled, false, false},
+		"too large":                    {out(strings.Repeat("x", message.MaxHead+message.MaxAnswer+1)), 0, "", message.ErrMalformedResponse, false, false},
 		"an unknown record, of none":   {end(append(appendRecord(nil, typeUnknown, 0, make([]byte, 8)), out("Status: 200\r\n\r\nx")...), 0, 0), 200, "x", nil, false, true},
-		"an unknown record":            {appendRecord(nil, 77, 1, nil), 0, "", message.ErrGarbled, false, false},
+		"an unknown record":            {appendRecord(nil, 77, 1, nil), 0, "", message.ErrMalformedResponse, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewBack(&script{in: iotest.OneByteReader(bytes.NewReader(c.says))}, nil, nil)
+			b := NewServerConn(&script{in: iotest.OneByteReader(bytes.NewReader(c.says))}, nil, nil)
 			var r message.Response
-			err := b.Reply(&r)
-			if !errors.Is(err, c.err) || err == nil && (r.Status != c.status || string(r.Body) != c.body || r.NeverRan() != c.never) || b.Reusable(&r) != c.again {
-				t.Errorf("%d %q, never ran %v, again %v, %v", r.Status, r.Body, r.NeverRan(), b.Reusable(&r), err)
+			err := b.ReceiveResponse(&r)
+			if !errors.Is(err, c.err) || err == nil && (r.Status != c.status || string(r.Body) != c.body || r.NotStarted() != c.never) || b.IsReusable(&r) != c.again {
+				t.Errorf("%d %q, never ran %v, again %v, %v", r.Status, r.Body, r.NotStarted(), b.IsReusable(&r), err)
 			}
 		})
 	}
@@ -175,26 +175,26 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	b := NewBack(nc, nil, nil)
+	b := NewServerConn(nc, nil, nil)
 	nc.SetDeadline(time.Now().Add(10 * time.Second))
 	for _, target := range []string{"/hire-book/1?a=b", "/hire-book/no", "/hire-book/" + strings.Repeat("x", 9000)} { // on one connection
 		q := &message.Request{Method: []byte("POST"), Target: []byte(target), Body: bytes.Repeat([]byte("y"), 60000),
 			Fields: []message.Field{{Name: []byte("Host"), Value: []byte("h")}, {Name: []byte("Request-Id"), Value: []byte("0a")}}}
-		if whole, err := b.Ask(q, 250*time.Millisecond, "1.2.3.4"); !whole {
+		if whole, err := b.SendRequest(q, 250*time.Millisecond, "1.2.3.4"); !whole {
 			t.Fatal(err)
 		}
 		var r message.Response
-		if err := b.Reply(&r); err != nil {
+		if err := b.ReceiveResponse(&r); err != nil {
 			t.Fatal(err)
 		}
 		want := 200
 		if target == "/hire-book/no" {
 			want = 500
 		}
-		if r.Status != want || string(r.Body) != "POST "+target+" "+string(q.Body) || string(message.Find(r.Fields, "X-Seen")) != "0a 0.250" || !b.Reusable(&r) {
+		if r.Status != want || string(r.Body) != "POST "+target+" "+string(q.Body) || string(message.Find(r.Fields, "X-Seen")) != "0a 0.250" || !b.IsReusable(&r) {
 			t.Errorf("%s: %d, %.60q, %s", target, r.Status, r.Body, message.Find(r.Fields, "X-Seen"))
 		}
-		b.Trim()
+		b.ReleaseBuffers()
 	}
 }
 
@@ -236,11 +236,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn := &script{in: iotest.OneByteReader(bytes.NewReader(c.sends))}
-			f := NewFront(conn, message.NewPool(1<<20))
+			f := NewClientConn(conn, message.NewBufferBudget(1<<20))
 			var calls []string
 			var err error
 			for {
-				var call *Call
+				var call *Request
 				if call, err = f.Next(nil); err != nil {
 					break
 				}
@@ -285,12 +285,12 @@
 func TestIdIsFreeBehindItsEnd(t *testing.T) {
 	one := appendStream(appendStream(appendBegin(nil, 1, flagKeep), typeParams, 1, appendPair(appendPair(nil, paramMethod, "GET"), paramURI, "/a")), typeStdin, 1, nil)
 	conn := &echoing{script: script{in: bytes.NewReader(append(one, one...))}}
-	f := NewFront(conn, nil)
+	f := NewClientConn(conn, nil)
 	call, err := f.Next(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var second *Call
+	var second *Request
 	conn.next = func() { second, err = f.Next(nil) }
 	f.Answer(call, call.Append(nil, message.Answer{Status: 200}))
 	if second == nil || err != nil {
--- a/internal/protocol/fastcgi/front.go
+++ b/internal/protocol/fastcgi/front.go
@@ -22,8 +22,8 @@
 // ErrPeer is a client that does not keep to the protocol. Nothing more can be read from its connection.
 var ErrPeer = errors.New("the client does not keep to the protocol")
 
-// Keeper decides over a connection while it is read.
-type Keeper interface {
+// Handler decides over a connection while it is read.
+type Handler interface {
 	// Wait returns when something can be read, and says why nothing more is. half: a record has come in part.
 	Wait(half bool) error
 	// Begun says what becomes of a request that begins: ends.Take, ends.Refuse (it is told that it never ran), or nothing
@@ -35,27 +35,27 @@
 	Failed()
 }
 
-// Front is a client's connection, which many requests may share.
-type Front struct {
+// ClientConn is a client's connection, which many requests may share.
+type ClientConn struct {
 	net.Conn
 	records reader
-	pool    *message.Pool
-	keeper  Keeper
+	pool    *message.BufferBudget
+	keeper  Handler
 	got     int // bytes read, and those of whole records
 	used    int
 
 	mu    sync.Mutex
-	calls map[uint16]*Call
+	calls map[uint16]*Request
 
 	writing sync.Mutex
 }
 
-// Call is one request on a connection.
-type Call struct {
+// Request is one request on a connection.
+type Request struct {
 	ID      uint16
 	Request *message.Request
-	Bad     *message.Malformed // why it cannot be taken; nil for a good one
-	Came    time.Time          // its first record
+	Bad     *message.RequestError // why it cannot be taken; nil for a good one
+	Came    time.Time             // its first record
 
 	left     chan struct{}
 	gone     bool
@@ -65,21 +65,21 @@
 	params   []byte
 	body     []byte
 	borrowed int
-	large    *message.Malformed // it is read to its end, and kept no more
+	large    *message.RequestError // it is read to its end, and kept no more
 }
 
-// Left is closed when the client has aborted the request, or its connection has ended.
-func (c *Call) Left() <-chan struct{} { return c.left }
+// Disconnected is closed when the client has aborted the request, or its connection has ended.
+func (c *Request) Disconnected() <-chan struct{} { return c.left }
 
-// NewFront wraps a connection that nothing was read from.
-func NewFront(c net.Conn, p *message.Pool) *Front {
-	f := &Front{Conn: c, pool: p, calls: map[uint16]*Call{}}
+// NewClientConn wraps a connection that nothing was read from.
+func NewClientConn(c net.Conn, p *message.BufferBudget) *ClientConn {
+	f := &ClientConn{Conn: c, pool: p, calls: map[uint16]*Request{}}
 	f.records = newReader(source{f})
 	return f
 }
 
 // source is the connection as it is read: not before the keeper says so.
-type source struct{ f *Front }
+type source struct{ f *ClientConn }
 
 func (s source) Read(b []byte) (n int, err error) {
 	if s.f.keeper != nil {
@@ -92,11 +92,11 @@
 	return n, err
 }
 
-// Waiting tells that something has come that was not read yet.
-func (f *Front) Waiting() bool { return sockpeek.Waiting(f.Conn) }
+// HasUnread tells that something has come that was not read yet.
+func (f *ClientConn) HasUnread() bool { return sockpeek.HasUnread(f.Conn) }
 
 // Await returns once something has come, which it leaves where it is, and io.EOF where the client has closed.
-func (f *Front) Await() error {
+func (f *ClientConn) Await() error {
 	switch n, err := sockpeek.Peek(f.Conn, true); {
 	case err == syscall.ENOTSUP: // of a kind that cannot be looked at
 		return nil
@@ -108,7 +108,7 @@
 }
 
 // Oldest is when the oldest request began that has not come whole; zero: there is none.
-func (f *Front) Oldest() (oldest time.Time) {
+func (f *ClientConn) Oldest() (oldest time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range f.calls {
@@ -121,7 +121,7 @@
 
 // Next returns the next whole request. What else comes is dealt with: questions, requests that are not taken, aborts.
 // A nil keeper takes all.
-func (f *Front) Next(k Keeper) (*Call, error) {
+func (f *ClientConn) Next(k Handler) (*Request, error) {
 	f.keeper = k
 	for {
 		rec, err := f.records.next()
@@ -139,7 +139,7 @@
 	}
 }
 
-func (f *Front) take(rec record) (whole *Call, err error) {
+func (f *ClientConn) take(rec record) (whole *Request, err error) {
 	if rec.id == 0 {
 		return nil, f.manage(rec)
 	}
@@ -158,8 +158,8 @@
 		}
 		if f.keeper != nil {
 			switch f.keeper.Begun(rec.content[2]&flagKeep == 0) {
-			case connclose.Take:
-			case connclose.Refuse:
+			case connclose.Admit:
+			case connclose.Reject:
 				err := f.refuse(rec.id)
 				f.keeper.Refused()
 				return nil, err
@@ -167,7 +167,7 @@
 				return nil, nil
 			}
 		}
-		c = &Call{ID: rec.id, Came: time.Now(), left: make(chan struct{})}
+		c = &Request{ID: rec.id, Came: time.Now(), left: make(chan struct{})}
 		f.mu.Lock()
 		f.calls[rec.id] = c
 		f.mu.Unlock()
@@ -195,7 +195,7 @@
 }
 
 // stream takes a part of a request; the one that ends its STDIN makes it whole.
-func (f *Front) stream(c *Call, rec record) (*Call, error) {
+func (f *ClientConn) stream(c *Request, rec record) (*Request, error) {
 	switch {
 	case rec.kind == typeData: // of another role
 	case rec.kind == typeParams && c.headed, rec.kind == typeStdin && !c.headed:
@@ -222,29 +222,29 @@
 }
 
 // add keeps a part of a stream, as long as it is not too large.
-func (f *Front) add(c *Call, to *[]byte, content []byte, most, status int, why string) *message.Malformed {
+func (f *ClientConn) add(c *Request, to *[]byte, content []byte, most, status int, why string) *message.RequestError {
 	switch {
 	case c.large != nil:
 		return c.large
 	case len(*to)+len(content) > most:
 		f.free(c)
-		return message.Bad(status, why)
-	case !f.pool.Take(len(content)):
+		return message.NewRequestError(status, why)
+	case !f.pool.Reserve(len(content)):
 		f.free(c)
-		return message.Bad(503, "no memory for so large a message now")
+		return message.NewRequestError(503, "no memory for so large a message now")
 	}
 	c.borrowed += len(content)
 	*to = append(*to, content...)
 	return nil
 }
 
-func (f *Front) free(c *Call) {
-	f.pool.Give(c.borrowed)
+func (f *ClientConn) free(c *Request) {
+	f.pool.Release(c.borrowed)
 	c.params, c.body, c.borrowed = nil, nil, 0
 }
 
 // manage answers records of the connection itself.
-func (f *Front) manage(rec record) error {
+func (f *ClientConn) manage(rec record) error {
 	if rec.kind != typeGetValues {
 		return f.write(appendRecord(nil, typeUnknown, 0, []byte{rec.kind, 0, 0, 0, 0, 0, 0, 0}))
 	}
@@ -267,7 +267,7 @@
 	return f.write(appendRecord(nil, typeValues, 0, values))
 }
 
-func (f *Front) leave(c *Call) {
+func (f *ClientConn) leave(c *Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !c.gone {
@@ -277,7 +277,7 @@
 }
 
 // Hangup tells all that wait for an answer that their client has gone, and forgets what had not come whole.
-func (f *Front) Hangup() {
+func (f *ClientConn) Hangup() {
 	for _, c := range f.all(nil) {
 		if f.leave(c); !c.whole {
 			f.done(c)
@@ -286,10 +286,10 @@
 }
 
 // all are the calls that are open, but for some.
-func (f *Front) all(but func(*Call) bool) []*Call {
+func (f *ClientConn) all(but func(*Request) bool) []*Request {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	calls := make([]*Call, 0, len(f.calls))
+	calls := make([]*Request, 0, len(f.calls))
 	for _, c := range f.calls {
 		if but == nil || !but(c) {
 			calls = append(calls, c)
@@ -299,27 +299,27 @@
 }
 
 // RefuseComing tells all requests that have not come whole that they never ran. Only the reader may call it.
-func (f *Front) RefuseComing() error {
+func (f *ClientConn) RefuseComing() error {
 	var errs error
-	for _, c := range f.all(func(c *Call) bool { return c.whole }) {
+	for _, c := range f.all(func(c *Request) bool { return c.whole }) {
 		errs = errors.Join(errs, f.Refuse(c))
 	}
 	return errs
 }
 
 // Refuse tells a request that it never ran.
-func (f *Front) Refuse(c *Call) error {
+func (f *ClientConn) Refuse(c *Request) error {
 	f.done(c)
 	return f.refuse(c.ID)
 }
 
-func (f *Front) refuse(id uint16) error {
+func (f *ClientConn) refuse(id uint16) error {
 	return f.write(appendEnd(nil, id, 0, statusOverloaded))
 }
 
 // done forgets a call. Its id is free from then on, so that is before its end is written: behind that its client may use
 // it again at once.
-func (f *Front) done(c *Call) {
+func (f *ClientConn) done(c *Request) {
 	f.free(c)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -330,10 +330,10 @@
 }
 
 // Append writes an answer to a call, with its END_REQUEST.
-func (c *Call) Append(b []byte, a message.Answer) []byte {
+func (c *Request) Append(b []byte, a message.Answer) []byte {
 	head := append(strconv.AppendInt([]byte("Status: "), int64(a.Status), 10), "\r\n"...)
 	for _, f := range a.Fields {
-		if message.Passes(f, a.Fields) && !f.Is("Status") {
+		if message.IsEndToEnd(f, a.Fields) && !f.Is("Status") {
 			head = append(append(append(head, f.Name...), ": "...), f.Value...)
 			head = append(head, "\r\n"...)
 		}
@@ -349,7 +349,7 @@
 }
 
 // Answer writes what Append has put together, whole, and ends the call. What a client aborted gets its END alone.
-func (f *Front) Answer(c *Call, answer []byte) error {
+func (f *ClientConn) Answer(c *Request, answer []byte) error {
 	f.mu.Lock()
 	aborted := c.gone
 	f.mu.Unlock()
@@ -361,13 +361,13 @@
 }
 
 // End ends a call that its client has aborted.
-func (f *Front) End(c *Call) error {
+func (f *ClientConn) End(c *Request) error {
 	f.done(c)
 	return f.write(appendEnd(nil, c.ID, 0, statusComplete))
 }
 
 // write puts records on the connection whole, one caller at a time.
-func (f *Front) write(b []byte) error {
+func (f *ClientConn) write(b []byte) error {
 	f.writing.Lock()
 	defer f.writing.Unlock()
 	f.SetWriteDeadline(time.Now().Add(writeMost))
--- a/internal/protocol/fastcgi/params.go
+++ b/internal/protocol/fastcgi/params.go
@@ -47,7 +47,7 @@
 	}
 	for _, f := range r.Fields {
 		switch {
-		case f.Is(message.RequestTimeout), f.Is(message.ForwardedFor), bytes.IndexByte(f.Name, '_') >= 0, !message.Passes(f, r.Fields):
+		case f.Is(message.RequestTimeout), f.Is(message.ForwardedFor), bytes.IndexByte(f.Name, '_') >= 0, !message.IsEndToEnd(f, r.Fields):
 		case f.Is("Content-Type"):
 			b = appendPair(b, paramType, string(f.Value))
 		default:
@@ -77,23 +77,23 @@
 func request(params []byte, body []byte) (*message.Request, error) {
 	pairs, err := parsePairs(params, nil)
 	if err != nil {
-		return nil, message.Bad(400, "the params cannot be read")
+		return nil, message.NewRequestError(400, "the params cannot be read")
 	}
 	r := &message.Request{Method: []byte("GET"), Body: body}
 	in := reading{request: r, length: -1}
 	for _, p := range pairs {
 		if !message.IsText(p.value) {
-			return nil, message.Bad(400, "a param cannot be read")
+			return nil, message.NewRequestError(400, "a param cannot be read")
 		}
 		if err := in.take(string(p.name), p.value); err != nil {
 			return nil, err
 		}
 		if len(r.Fields) > message.MaxFields {
-			return nil, message.Bad(431, "too many fields")
+			return nil, message.NewRequestError(431, "too many fields")
 		}
 	}
 	if in.length >= 0 && in.length != len(body) { // what one side takes for the body is not what the other has sent
-		return nil, message.Bad(400, "the body is not as long as it is said to be")
+		return nil, message.NewRequestError(400, "the body is not as long as it is said to be")
 	}
 	if len(r.Target) == 0 {
 		r.Target = append(append([]byte(nil), in.script...), in.info...)
@@ -102,7 +102,7 @@
 		}
 	}
 	if !message.IsToken(r.Method) || !message.IsTarget(r.Target) {
-		return nil, message.Bad(400, "the request line cannot be read")
+		return nil, message.NewRequestError(400, "the request line cannot be read")
 	}
 	return r, nil
 }
@@ -135,9 +135,9 @@
 		}
 		f := message.Field{Name: []byte(strings.ReplaceAll(field, "_", "-")), Value: value}
 		if !message.IsToken(f.Name) {
-			return message.Bad(400, "a param cannot be read")
+			return message.NewRequestError(400, "a param cannot be read")
 		}
-		if message.Passes(f, nil) {
+		if message.IsEndToEnd(f, nil) {
 			r.Fields = append(r.Fields, f)
 		}
 	}
@@ -151,7 +151,7 @@
 	}
 	n, err := strconv.ParseUint(string(value), 10, 31)
 	if err != nil || in.length >= 0 && in.length != int(n) {
-		return message.Bad(400, "the length of the body is not clear")
+		return message.NewRequestError(400, "the length of the body is not clear")
 	}
 	in.length = int(n)
 	return nil
@@ -164,7 +164,7 @@
 	for lines := 0; ; lines++ {
 		i := bytes.IndexByte(out, '\n')
 		if i < 0 || i > message.MaxHead || lines > message.MaxFields {
-			return message.ErrGarbled
+			return message.ErrMalformedResponse
 		}
 		line := bytes.TrimSuffix(out[:i], []byte{'\r'})
 		out = out[i+1:]
@@ -174,7 +174,7 @@
 		name, value, ok := bytes.Cut(line, []byte{':'})
 		value = bytes.Trim(value, " \t")
 		if !ok || !message.IsToken(name) || !message.IsText(value) {
-			return message.ErrGarbled
+			return message.ErrMalformedResponse
 		}
 		f := message.Field{Name: name, Value: value}
 		switch {
@@ -182,7 +182,7 @@
 			code, _, _ := bytes.Cut(value, []byte{' '})
 			n, err := strconv.ParseUint(string(code), 10, 16)
 			if err != nil || len(code) != 3 || n < 200 || n > 599 {
-				return message.ErrGarbled
+				return message.ErrMalformedResponse
 			}
 			r.Status = int(n)
 		case f.Is("Location") && r.Status == 200:
@@ -191,7 +191,7 @@
 		case f.Is("Content-Length"):
 			n, err := strconv.ParseUint(string(value), 10, 31)
 			if err != nil {
-				return message.ErrGarbled
+				return message.ErrMalformedResponse
 			}
 			stated = int(n)
 		default:
@@ -199,7 +199,7 @@
 		}
 	}
 	if r.Body = out; stated >= 0 && stated != len(out) { // cut off, or more than belongs to it
-		return message.ErrGarbled
+		return message.ErrMalformedResponse
 	}
 	return nil
 }
--- a/internal/protocol/fastcgi/wire.go
+++ b/internal/protocol/fastcgi/wire.go
@@ -16,19 +16,19 @@
 // AppendAbort writes that a client wants no answer any more.
 func AppendAbort(b []byte, id uint16) []byte { return appendRecord(b, typeAbort, id, nil) }
 
-// Answers reads answers of requests that share a connection, whichever comes first.
-type Answers struct {
+// ResponseReader reads answers of requests that share a connection, whichever comes first.
+type ResponseReader struct {
 	records reader
 	out     map[uint16][]byte
 }
 
-// NewAnswers reads from a connection that nothing was read from.
-func NewAnswers(r io.Reader) *Answers {
-	return &Answers{records: newReader(r), out: map[uint16][]byte{}}
+// NewResponseReader reads from a connection that nothing was read from.
+func NewResponseReader(r io.Reader) *ResponseReader {
+	return &ResponseReader{records: newReader(r), out: map[uint16][]byte{}}
 }
 
 // Next reads the next that ends. One of which nothing but its end came has status 0.
-func (a *Answers) Next() (id uint16, r message.Response, err error) {
+func (a *ResponseReader) Next() (id uint16, r message.Response, err error) {
 	for {
 		rec, err := a.records.next()
 		if err != nil {
--- a/internal/protocol/http1/ahead.go
+++ b/internal/protocol/http1/ahead.go
@@ -20,16 +20,16 @@
 	spilt int          // bytes that were dropped: what follows cannot be read as messages
 }
 
-// Gone waits until the other side has closed or broken the connection, and tells so, whatever it has sent before. It is
+// WaitDisconnected waits until the other side has closed or broken the connection, and tells so, whatever it has sent before. It is
 // false when the read deadline passed or the connection is of a kind that cannot be looked at.
-func (c *Conn) Gone() bool { return c.gone(true) }
+func (c *Conn) WaitDisconnected() bool { return c.gone(true) }
 
-// Left is Gone without the wait. It must not be asked beside Gone.
-func (c *Conn) Left() bool { return c.gone(false) }
+// Disconnected is Gone without the wait. It must not be asked beside Gone.
+func (c *Conn) Disconnected() bool { return c.gone(false) }
 
-// Parting is a first look at what Left tells, which may be asked beside Gone: with unread bytes before it a leaving is
+// PeekDisconnected is a first look at what Left tells, which may be asked beside Gone: with unread bytes before it a leaving is
 // not seen.
-func (c *Conn) Parting() bool {
+func (c *Conn) PeekDisconnected() bool {
 	n, err := sockpeek.Peek(c.Conn, false)
 	return err == nil && n == 0 || err != nil && err != syscall.EAGAIN && err != syscall.ENOTSUP
 }
@@ -67,8 +67,8 @@
 	return err
 }
 
-// Spilt tells that more came while a request was open than is held: nothing further can be read.
-func (c *Conn) Spilt() bool { return c.ahead.spilt > 0 }
+// Overflowed tells that more came while a request was open than is held: nothing further can be read.
+func (c *Conn) Overflowed() bool { return c.ahead.spilt > 0 }
 
 // take moves what was read ahead to where messages are read.
 func (a *ahead) take(b []byte) int {
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -36,21 +36,21 @@
 	pool    *Pool
 	lent    int
 	ahead   ahead
-	rests   Rests // nil: nobody is told
+	rests   ReadObserver // nil: nobody is told
 }
 
-// Rests is told of the waits of a connection's reader, as sock.Waits is. half: part of a message is in hand.
-type Rests interface {
-	Wait(half bool)
-	Came() bool
+// ReadObserver is told of the waits of a connection's reader, as sock.Waits is. half: part of a message is in hand.
+type ReadObserver interface {
+	ReadBlocked(half bool)
+	ReadReady() bool
 }
 
-// Tell has the connection's reader tell of its waits.
-func (c *Conn) Tell(r Rests) { c.rests = r }
+// ObserveReads has the connection's reader tell of its waits.
+func (c *Conn) ObserveReads(r ReadObserver) { c.rests = r }
 
-// Wait and Came are what sock.Read tells.
-func (c *Conn) Wait()      { c.rests.Wait(c.end > 0) }
-func (c *Conn) Came() bool { return c.rests.Came() }
+// ReadBlocked and Came are what sock.Read tells.
+func (c *Conn) ReadBlocked()    { c.rests.ReadBlocked(c.end > 0) }
+func (c *Conn) ReadReady() bool { return c.rests.ReadReady() }
 
 // NewConn wraps a connection that nothing was read from.
 func NewConn(c net.Conn) *Conn { return &Conn{Conn: c} }
@@ -58,17 +58,17 @@
 // NewPooled is NewConn for one that shares memory with others.
 func NewPooled(c net.Conn, p *Pool) *Conn { return &Conn{Conn: c, pool: p} }
 
-// Trim gives back a buffer grown by a large message. What was read is not valid after it.
-func (c *Conn) Trim() {
+// ReleaseBuffers gives back a buffer grown by a large message. What was read is not valid after it.
+func (c *Conn) ReleaseBuffers() {
 	if len(c.buf) > KeptBuffer {
 		c.buf, c.at, c.end = nil, 0, 0
-		c.pool.Give(c.lent)
+		c.pool.Release(c.lent)
 		c.lent = 0
 	}
 }
 
-// Await returns once a message has begun to arrive.
-func (c *Conn) Await() error {
+// AwaitMessage returns once a message has begun to arrive.
+func (c *Conn) AwaitMessage() error {
 	c.begin()
 	for c.at == c.end {
 		if err := c.fill(MaxHead); err != nil {
@@ -85,7 +85,7 @@
 		c.at = 0
 	}
 	if c.end == 0 {
-		c.Trim()
+		c.ReleaseBuffers()
 	}
 }
 
@@ -97,7 +97,7 @@
 		}
 		size := min(max(2*len(c.buf), firstBuffer), limit)
 		if more := size - KeptBuffer - c.lent; more > 0 {
-			if !c.pool.Take(more) {
+			if !c.pool.Reserve(more) {
 				return errNoMemory
 			}
 			c.lent += more
@@ -170,14 +170,14 @@
 	return c.buf[:0]
 }
 
-// Quiet tells that an idle connection is open and that nothing has come on it.
-func (c *Conn) Quiet() bool {
+// IsIdle tells that an idle connection is open and that nothing has come on it.
+func (c *Conn) IsIdle() bool {
 	_, err := sockpeek.Peek(c.Conn, false)
 	return err == syscall.EAGAIN && c.at == c.end
 }
 
-// Waiting tells that something has come that was not read yet. It may be asked from anywhere.
-func (c *Conn) Waiting() bool {
+// HasUnread tells that something has come that was not read yet. It may be asked from anywhere.
+func (c *Conn) HasUnread() bool {
 	if c.ahead.count.Load() > 0 {
 		return true
 	}
@@ -185,5 +185,5 @@
 	return err == nil && n > 0
 }
 
-// More tells that something lies behind the message just read.
-func (c *Conn) More() bool { return c.at < c.end || c.Waiting() }
+// HasMore tells that something lies behind the message just read.
+func (c *Conn) HasMore() bool { return c.at < c.end || c.HasUnread() }
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -173,7 +173,7 @@
 	if got != want {
 		t.Errorf("sent %q", got)
 	}
-	o, err := r.Operation()
+	o, err := r.Info()
 	if err != nil || string(o.Type) != "book" || string(o.Tenant) != "acme" || o.Timeout != 480*time.Millisecond {
 		t.Errorf("read %+v, %v", o, err)
 	}
@@ -224,7 +224,7 @@
 			if err := NewConn(&script{in: "GET / HTTP/1.1\r\nHost: h\r\n" + c.fields + "\r\n", step: 99}).ReadRequest(&r); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := r.Operation(); (err == nil) != c.ok {
+			if _, err := r.Info(); (err == nil) != c.ok {
 				t.Error(err)
 			}
 		})
@@ -251,7 +251,7 @@
 		"nothing":             {``, 0, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, err := ParseList([]byte(c.in))
+			l, err := ParseEndpointList([]byte(c.in))
 			if (err == nil) != c.ok || len(l.Hosts) != c.hosts || len(l.Skipped) != c.skipped {
 				t.Errorf("%d hosts, %d skipped, %v", len(l.Hosts), len(l.Skipped), err)
 			}
@@ -279,11 +279,11 @@
 			if !c.gone {
 				near.SetReadDeadline(time.Unix(1, 0)) // nothing more will come: do not wait for it
 			}
-			if gone := conn.Gone(); gone != c.gone {
+			if gone := conn.WaitDisconnected(); gone != c.gone {
 				t.Errorf("gone %v", gone)
 			}
 			// A deadline that has passed, as after a hop, says nothing about the other side.
-			if quiet, waiting := conn.Quiet(), conn.Waiting(); quiet != c.quiet || waiting != c.waiting {
+			if quiet, waiting := conn.IsIdle(), conn.HasUnread(); quiet != c.quiet || waiting != c.waiting {
 				t.Errorf("quiet %v, waiting %v", quiet, waiting)
 			}
 		})
@@ -296,7 +296,7 @@
 
 // What cannot be looked at counts as open, or each of its operations would be dropped.
 func TestOtherKindOfConnection(t *testing.T) {
-	if NewConn(&script{end: io.EOF}).Gone() {
+	if NewConn(&script{end: io.EOF}).WaitDisconnected() {
 		t.Error("gone")
 	}
 }
@@ -309,7 +309,7 @@
 		for _, step := range steps {
 			var r Request
 			if NewConn(&script{in: string(in), step: step, end: io.EOF}).ReadRequest(&r) == nil {
-				r.Operation()
+				r.Info()
 				if len(r.Body) > MaxBody {
 					t.Error("a body beyond the bound")
 				}
@@ -317,7 +317,7 @@
 			var a Response
 			NewConn(&script{in: string(in), step: step, end: io.EOF}).ReadResponse(&a, MaxBody)
 		}
-		ParseList(in)
+		ParseEndpointList(in)
 	})
 }
 
@@ -339,9 +339,9 @@
 	if !errors.As(err, &bad) || bad.Status != 503 {
 		t.Errorf("two at once: %v", err)
 	}
-	first.Trim()
-	second.Trim()
-	if free := p.Free(); free != 48<<10 {
+	first.ReleaseBuffers()
+	second.ReleaseBuffers()
+	if free := p.Available(); free != 48<<10 {
 		t.Errorf("%d bytes free", free)
 	}
 	if _, err := read(); err != nil {
--- a/internal/protocol/http1/names.go
+++ b/internal/protocol/http1/names.go
@@ -8,9 +8,9 @@
 	Request   = message.Request
 	Response  = message.Response
 	Answer    = message.Answer
-	Operation = message.Operation
-	Malformed = message.Malformed
-	Pool      = message.Pool
+	Operation = message.RequestInfo
+	Malformed = message.RequestError
+	Pool      = message.BufferBudget
 )
 
 // Bounds and names that all protocols share.
@@ -23,4 +23,4 @@
 )
 
 // NewPool makes memory of so many bytes that connections share.
-func NewPool(bytes int) *Pool { return message.NewPool(bytes) }
+func NewPool(bytes int) *Pool { return message.NewBufferBudget(bytes) }
--- a/internal/protocol/http1/protocol.go
+++ b/internal/protocol/http1/protocol.go
@@ -11,49 +11,49 @@
 
 const listPath = "/discovery/hosts"
 
-// Phase of a listed server.
-type Phase uint8
+// Condition of a listed server.
+type Condition uint8
 
 const (
-	Serving Phase = iota
+	Serving Condition = iota
 	Draining
 	Deleted
 )
 
-// Host is a line of discovery's list.
-type Host struct {
+// Endpoint is a line of discovery's list.
+type Endpoint struct {
 	ID        string
 	Address   netip.AddrPort
 	Zone      string
 	Flavor    string // kind of machine
 	Cell      int
-	Phase     Phase
+	Phase     Condition
 	Size      float64
 	UpSinceMS int64 // Unix time; 0 for long ago
 }
 
-// List is an answer of discovery.
-type List struct {
+// EndpointList is an answer of discovery.
+type EndpointList struct {
 	Revision uint64
 	Complete bool // the whole list, not what has changed
-	Hosts    []Host
+	Hosts    []Endpoint
 	Skipped  []error // entries that cannot be read
 }
 
-// ParseList reads discovery's form; an entry that cannot be read does not spoil the others.
-func ParseList(body []byte) (List, error) {
+// ParseEndpointList reads discovery's form; an entry that cannot be read does not spoil the others.
+func ParseEndpointList(body []byte) (EndpointList, error) {
 	var raw struct {
 		Revision *uint64
 		Complete bool
 		Members  []json.RawMessage
 	}
 	if err := json.Unmarshal(body, &raw); err != nil {
-		return List{}, fmt.Errorf("the list cannot be read: %w", err)
+		return EndpointList{}, fmt.Errorf("the list cannot be read: %w", err)
 	}
 	if raw.Revision == nil {
-		return List{}, errors.New("the list has no revision")
+		return EndpointList{}, errors.New("the list has no revision")
 	}
-	l := List{Revision: *raw.Revision, Complete: raw.Complete}
+	l := EndpointList{Revision: *raw.Revision, Complete: raw.Complete}
 	for i, m := range raw.Members {
 		h, err := parseHost(m)
 		if err != nil {
@@ -65,7 +65,7 @@
 	return l, nil
 }
 
-func parseHost(b []byte) (Host, error) {
+func parseHost(b []byte) (Endpoint, error) {
 	var raw struct {
 		ID        string
 		HostPort  string `json:"host_port"`
@@ -77,9 +77,9 @@
 		UpSinceMS float64 `json:"up_since_ms"`
 	}
 	if err := json.Unmarshal(b, &raw); err != nil {
-		return Host{}, err
+		return Endpoint{}, err
 	}
-	h := Host{ID: raw.ID, Zone: raw.Locality, Flavor: raw.Flavor, Cell: raw.Cell, Size: raw.Size, UpSinceMS: int64(raw.UpSinceMS)}
+	h := Endpoint{ID: raw.ID, Zone: raw.Locality, Flavor: raw.Flavor, Cell: raw.Cell, Size: raw.Size, UpSinceMS: int64(raw.UpSinceMS)}
 	if h.ID == "" {
 		return h, errors.New("no id")
 	}
@@ -99,15 +99,15 @@
 	return h, nil
 }
 
-// ListCall asks discovery for the whole list, or for the changes after a revision, which it may wait for.
-type ListCall struct {
+// EndpointListCall asks discovery for the whole list, or for the changes after a revision, which it may wait for.
+type EndpointListCall struct {
 	Whole bool
 	After uint64
 	Wait  time.Duration
 }
 
-// AppendListCall writes a call.
-func AppendListCall(b []byte, host string, l ListCall) []byte {
+// AppendEndpointListCall writes a call.
+func AppendEndpointListCall(b []byte, host string, l EndpointListCall) []byte {
 	b = append(b, "GET "+listPath...)
 	if !l.Whole {
 		b = strconv.AppendUint(append(b, "?index="...), l.After, 10)
