--- a/internal/protocol/http1/request.go
+++ b/internal/protocol/http1/request.go
@@ -14,9 +14,9 @@
 	head, err := c.head("")
 	switch err {
 	case errTooLarge:
-		return message.Bad(431, "the head is too large")
+		return message.NewRequestError(431, "the head is too large")
 	case errNoMemory:
-		return message.Bad(503, err.Error())
+		return message.NewRequestError(503, err.Error())
 	}
 	if err != nil {
 		return err
@@ -32,29 +32,29 @@
 	}
 	*r = Request{Method: method, Target: target, Fields: r.Fields[:0]}
 	if !message.IsToken(method) || !message.IsTarget(target) {
-		return message.Bad(400, "the request line cannot be read")
+		return message.NewRequestError(400, "the request line cannot be read")
 	}
 	old := string(version) == "HTTP/1.0"
 	if !old && string(version) != "HTTP/1.1" {
-		return message.Bad(400, errVersion.Error())
+		return message.NewRequestError(400, errVersion.Error())
 	}
 	if r.Fields, err = parseFields(lines, r.Fields, false); err == errFields {
-		return message.Bad(431, err.Error())
+		return message.NewRequestError(431, err.Error())
 	} else if err != nil {
-		return message.Bad(400, err.Error())
+		return message.NewRequestError(400, err.Error())
 	}
 	if !old && !r.Has("Host") {
-		return message.Bad(400, "no host is named")
+		return message.NewRequestError(400, "no host is named")
 	}
-	r.Close = old || message.Lists(r.Fields, "Connection", "close")
+	r.Close = old || message.HasToken(r.Fields, "Connection", "close")
 	length, err := framing(r.Fields)
 	if err != nil {
-		return message.Bad(400, err.Error())
+		return message.NewRequestError(400, err.Error())
 	}
 	if length == unstated {
 		length = 0
 	}
-	if !old && length != 0 && c.at == c.end && message.Lists(r.Fields, "Expect", "100-continue") {
+	if !old && length != 0 && c.at == c.end && message.HasToken(r.Fields, "Expect", "100-continue") {
 		if _, err := c.Send([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 			return err
 		}
@@ -62,11 +62,11 @@
 	r.Body, err = c.body(length, MaxBody)
 	switch {
 	case err == errTooLarge:
-		return message.Bad(413, "the body is too large")
+		return message.NewRequestError(413, "the body is too large")
 	case err == errNoMemory:
-		return message.Bad(503, err.Error())
+		return message.NewRequestError(503, err.Error())
 	case errors.Is(err, errChunk):
-		return message.Bad(400, err.Error())
+		return message.NewRequestError(400, err.Error())
 	case err == io.EOF:
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/protocol/http1/response.go
+++ b/internal/protocol/http1/response.go
@@ -10,7 +10,7 @@
 )
 
 // ErrGarbled is an answer that is no HTTP, or larger than allowed.
-var ErrGarbled = message.ErrGarbled
+var ErrGarbled = message.ErrMalformedResponse
 
 // ReadResponse reads a whole answer with a body of at most so many bytes.
 func (c *Conn) ReadResponse(r *Response, most int) error {
@@ -48,7 +48,7 @@
 			length = 0
 		}
 		r.Body, err = c.body(length, most)
-		r.Close = length == untilClose || old || message.Lists(r.Fields, "Connection", "close") || c.at < c.end
+		r.Close = length == untilClose || old || message.HasToken(r.Fields, "Connection", "close") || c.at < c.end
 		switch {
 		case err == errTooLarge, err == errChunk:
 			return ErrGarbled
@@ -59,13 +59,13 @@
 	}
 }
 
-// Ask writes a request as it goes on to a server, and tells whether its last byte was written.
-func (c *Conn) Ask(r *Request, left time.Duration, from string) (whole bool, err error) {
+// SendRequest writes a request as it goes on to a server, and tells whether its last byte was written.
+func (c *Conn) SendRequest(r *Request, left time.Duration, from string) (whole bool, err error) {
 	return c.Send(AppendRequest(c.Scratch(), r, left, from))
 }
 
-// Reply reads the whole answer to what was asked.
-func (c *Conn) Reply(r *Response) error { return c.ReadResponse(r, MaxAnswer) }
+// ReceiveResponse reads the whole answer to what was asked.
+func (c *Conn) ReceiveResponse(r *Response) error { return c.ReadResponse(r, MaxAnswer) }
 
-// Reusable tells whether another request may be asked after a whole answer.
-func (c *Conn) Reusable(r *Response) bool { return !r.Close }
+// IsReusable tells whether another request may be asked after a whole answer.
+func (c *Conn) IsReusable(r *Response) bool { return !r.Close }
--- a/internal/protocol/http1/write.go
+++ b/internal/protocol/http1/write.go
@@ -32,7 +32,7 @@
 	b = append(append(append(b, r.Method...), ' '), r.Target...)
 	b = append(b, " HTTP/1.1\r\n"...)
 	for _, f := range r.Fields {
-		if f.Is(RequestTimeout) || !message.Passes(f, r.Fields) {
+		if f.Is(RequestTimeout) || !message.IsEndToEnd(f, r.Fields) {
 			continue
 		}
 		b = append(append(append(b, f.Name...), ": "...), f.Value...)
@@ -61,7 +61,7 @@
 	}
 	b = append(b, "\r\n"...)
 	for _, f := range a.Fields {
-		if message.Passes(f, a.Fields) {
+		if message.IsEndToEnd(f, a.Fields) {
 			b = append(append(append(b, f.Name...), ": "...), f.Value...)
 			b = append(b, "\r\n"...)
 		}
--- a/internal/protocol/message/message.go
+++ b/internal/protocol/message/message.go
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// Lists tells whether a field that is a list of words holds this one.
-func Lists(fields []Field, name, word string) bool {
+// HasToken tells whether a field that is a list of words holds this one.
+func HasToken(fields []Field, name, word string) bool {
 	for _, f := range fields {
 		if !f.Is(name) {
 			continue
@@ -92,27 +92,29 @@
 	return false
 }
 
-// Passes tells whether a field belongs to the message and not to the connection that it came on.
-func Passes(f Field, all []Field) bool {
+// IsEndToEnd tells whether a field belongs to the message and not to the connection that it came on.
+func IsEndToEnd(f Field, all []Field) bool {
 	for _, own := range []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 		"Proxy-Authorization", "TE", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"} {
 		if f.Is(own) {
 			return false
 		}
 	}
-	return !Lists(all, "Connection", string(f.Name))
+	return !HasToken(all, "Connection", string(f.Name))
 }
 
-// Malformed is a request that cannot be taken, with the status to answer it with.
-type Malformed struct {
+// RequestError is a request that cannot be taken, with the status to answer it with.
+type RequestError struct {
 	Status int
 	Why    string
 }
 
-// Bad makes one.
-func Bad(status int, why string) *Malformed { return &Malformed{Status: status, Why: why} }
+// NewRequestError makes one.
+func NewRequestError(status int, why string) *RequestError {
+	return &RequestError{Status: status, Why: why}
+}
 
-func (m *Malformed) Error() string { return m.Why }
+func (m *RequestError) Error() string { return m.Why }
 
 // Request is a whole request; its parts lie in the connection's buffer.
 type Request struct {
@@ -166,8 +168,8 @@
 	readyPath      = "/up"
 )
 
-// Operation is what a request says of itself.
-type Operation struct {
+// RequestInfo is what a request says of itself.
+type RequestInfo struct {
 	ID      []byte
 	Type    []byte
 	Tenant  []byte
@@ -177,39 +179,39 @@
 // IsReadiness tells whether a request asks if the node can serve.
 func (r *Request) IsReadiness() bool { return string(r.Path()) == readyPath }
 
-// Operation reads the parts of a request that decisions need.
-func (r *Request) Operation() (Operation, error) {
-	o := Operation{ID: r.Get(RequestID), Tenant: r.Get(tenantField), Timeout: -1}
+// Info reads the parts of a request that decisions need.
+func (r *Request) Info() (RequestInfo, error) {
+	o := RequestInfo{ID: r.Get(RequestID), Tenant: r.Get(tenantField), Timeout: -1}
 	if string(r.Method) == "HEAD" || string(r.Method) == "CONNECT" {
-		return o, &Malformed{405, "this method is not served"} // their answers have no body to pass on
+		return o, &RequestError{405, "this method is not served"} // their answers have no body to pass on
 	}
 	if len(o.ID) == 0 {
-		return o, &Malformed{400, "the request has no id"}
+		return o, &RequestError{400, "the request has no id"}
 	}
 	o.Type, _, _ = bytes.Cut(r.Path()[1:], []byte{'/'})
 	if v := r.Get(RequestTimeout); r.Has(RequestTimeout) {
 		s, err := strconv.ParseFloat(string(v), 64)
 		if err != nil || math.IsNaN(s) || s < 0 || s > 1e6 {
-			return o, &Malformed{400, "the time-out cannot be read"}
+			return o, &RequestError{400, "the time-out cannot be read"}
 		}
 		o.Timeout = time.Duration(s * float64(time.Second))
 	}
 	return o, nil
 }
 
-// NeverRan tells whether a server's answer says that it has not begun the request.
-func (r *Response) NeverRan() bool {
+// NotStarted tells whether a server's answer says that it has not begun the request.
+func (r *Response) NotStarted() bool {
 	return (r.Status == 503 || r.Status == 504) && string(Find(r.Fields, NotStarted)) == "1"
 }
 
-// Blames tells whether a server's answer finds fault with the request. Too slow (408) and too many (429) say
+// RejectsRequest tells whether a server's answer finds fault with the request. Too slow (408) and too many (429) say
 // something of the server's state, and 429 would tell a client that trying again is harmless.
-func (r *Response) Blames() bool {
+func (r *Response) RejectsRequest() bool {
 	return r.Status >= 400 && r.Status < 500 && r.Status != 408 && r.Status != 429
 }
 
-// ErrGarbled is an answer that cannot be read, or is larger than allowed.
-var ErrGarbled = errors.New("the answer cannot be read")
+// ErrMalformedResponse is an answer that cannot be read, or is larger than allowed.
+var ErrMalformedResponse = errors.New("the answer cannot be read")
 
 // Response is a whole answer; its parts lie in the connection's buffer.
 type Response struct {
--- a/internal/protocol/sockpeek/peek.go
+++ b/internal/protocol/sockpeek/peek.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// Accept takes a connection that stands in a listener's queue, whatever its deadline says, and waits for none.
-func Accept(ln *net.TCPListener) (*net.TCPConn, error) {
+// AcceptQueued takes a connection that stands in a listener's queue, whatever its deadline says, and waits for none.
+func AcceptQueued(ln *net.TCPListener) (*net.TCPConn, error) {
 	rc, err := ln.SyscallConn()
 	if err != nil {
 		return nil, err
@@ -67,16 +67,16 @@
 	return n, got
 }
 
-// Waits is told of the waits of a connection's reader: Wait before one, with nothing in hand that was read since the last,
+// ReadObserver is told of the waits of a connection's reader: Wait before one, with nothing in hand that was read since the last,
 // Came behind it and before anything is read. Came is false where the connection was closed meanwhile.
-type Waits interface {
-	Wait()
-	Came() bool
+type ReadObserver interface {
+	ReadBlocked()
+	ReadReady() bool
 }
 
 // Read reads from a connection that may be closed from outside only while its reader waits: what was read is never met
 // by such a close.
-func Read(c net.Conn, b []byte, w Waits) (n int, err error) {
+func Read(c net.Conn, b []byte, w ReadObserver) (n int, err error) {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
 		return c.Read(b)
@@ -89,7 +89,7 @@
 	waits, closed := false, false
 	err = rc.Read(func(fd uintptr) bool {
 		if waits {
-			if waits = false; !w.Came() {
+			if waits = false; !w.ReadReady() {
 				closed = true
 				return true
 			}
@@ -99,12 +99,12 @@
 		}
 		if got == syscall.EAGAIN {
 			waits = true
-			w.Wait()
+			w.ReadBlocked()
 		}
 		return !waits
 	})
 	switch {
-	case closed, waits && !w.Came():
+	case closed, waits && !w.ReadReady():
 		return 0, net.ErrClosed
 	case err != nil:
 		return 0, err
@@ -116,14 +116,14 @@
 	return n, nil
 }
 
-// Quiet tells that a connection is open and that nothing has come on it.
-func Quiet(c net.Conn) bool {
+// IsIdle tells that a connection is open and that nothing has come on it.
+func IsIdle(c net.Conn) bool {
 	_, err := Peek(c, false)
 	return err == syscall.EAGAIN
 }
 
-// Waiting tells that something has come that was not read yet.
-func Waiting(c net.Conn) bool {
+// HasUnread tells that something has come that was not read yet.
+func HasUnread(c net.Conn) bool {
 	n, err := Peek(c, false)
 	return err == nil && n > 0
 }
--- a/internal/protocol/sockpeek/peek_test.go
+++ b/internal/protocol/sockpeek/peek_test.go
@@ -20,12 +20,12 @@
 	closed bool
 }
 
-func (w *waits) Wait() {
+func (w *waits) ReadBlocked() {
 	w.steps = append(w.steps, "wait")
 	w.do()
 }
 
-func (w *waits) Came() bool {
+func (w *waits) ReadReady() bool {
 	w.steps = append(w.steps, "came")
 	return !w.closed
 }
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -26,7 +26,7 @@
 				return
 			}
 			go func() {
-				for f := fastcgi.NewFront(nc, nil); ; {
+				for f := fastcgi.NewClientConn(nc, nil); ; {
 					call, err := f.Next(nil)
 					if err != nil {
 						return
@@ -61,7 +61,7 @@
 				if back == "cgi" {
 					at = cgiServer.Addr()
 				}
-				cfg := config(http1.Host{ID: "s", Size: 1, Flavor: back, Address: at.(*net.TCPAddr).AddrPort()})
+				cfg := config(http1.Endpoint{ID: "s", Size: 1, Flavor: back, Address: at.(*net.TCPAddr).AddrPort()})
 				text := fmt.Sprintf("[fastcgi]\nlisten = %q\nflavors = [\"cgi\"]", free.Addr())
 				free.Close()
 				cfg.Routes = routes(b, &cfg, text)
@@ -69,17 +69,17 @@
 				go func() { done <- run(Signals{Stop: stop}, cfg, zerolog.Nop(), ln.(*net.TCPListener)) }()
 				nc, _ := net.Dial("tcp", ln.Addr().String())
 				var l line = http1.NewConn(nc)
-				l.Ask(&message.Request{Method: []byte("GET"), Target: []byte("/up")}, time.Second, "")
-				l.Reply(&message.Response{})
+				l.SendRequest(&message.Request{Method: []byte("GET"), Target: []byte("/up")}, time.Second, "")
+				l.ReceiveResponse(&message.Response{})
 				if front == "cgi" {
 					nc, _ = net.Dial("tcp", free.Addr().String())
-					l = fastcgi.NewBack(nc, nil, nil)
+					l = fastcgi.NewServerConn(nc, nil, nil)
 				}
 				b.ReportAllocs()
 				for b.Loop() {
 					var r message.Response
-					l.Ask(post(fmt.Sprint(ids.Add(1))), time.Second, "1.2.3.4")
-					if err := l.Reply(&r); err != nil || r.Status != 200 {
+					l.SendRequest(post(fmt.Sprint(ids.Add(1))), time.Second, "1.2.3.4")
+					if err := l.ReceiveResponse(&r); err != nil || r.Status != 200 {
 						b.Fatal(r.Status, err)
 					}
 				}
--- a/internal/proxy/bindings.go
+++ b/internal/proxy/bindings.go
@@ -23,12 +23,12 @@
 // journal keeps what becomes of operations that must not run twice. No lock of the node is held while it waits.
 type journal struct {
 	cfg   *wal.Config
-	files wal.Files
+	files wal.FileSystem
 	log   zerolog.Logger
 	run   uint64
 	kept  *wal.Log
-	peers *peer.Peers // hold what is kept; nil: it stands on this machine's disk alone
-	types []string    // by traffic type; "" for those that are not kept
+	peers *peer.Node // hold what is kept; nil: it stands on this machine's disk alone
+	types []string   // by traffic type; "" for those that are not kept
 	ops   atomic.Uint64
 
 	reading sync.WaitGroup
@@ -43,33 +43,33 @@
 var errUnkept = errors.New("the journal has not kept the intent in time")
 
 // newJournal begins a segment and looks through the others beside the serving.
-func newJournal(cfg Config, log zerolog.Logger, others *peer.Peers) (*journal, error) {
-	j := &journal{cfg: cfg.Bindings, files: cfg.Disk, log: log, run: uint64(time.Now().UnixNano())}
+func newJournal(cfg Config, log zerolog.Logger, others *peer.Node) (*journal, error) {
+	j := &journal{cfg: cfg.Journal, files: cfg.Filesystem, log: log, run: uint64(time.Now().UnixNano())}
 	if j.files == nil {
-		j.files = wal.OS{}
+		j.files = wal.OSFileSystem{}
 	}
 	for k, name := range cfg.Settings.TypeNames {
-		repeat := cfg.Settings.Types[k].Repeat
-		if repeat != policy.Binding && !(cfg.Bindings.Fingerprinted && repeat == policy.Fingerprinted) {
+		repeat := cfg.Settings.TrafficTypes[k].Idempotency
+		if repeat != policy.NonIdempotent && !(cfg.Journal.IncludesKeyed && repeat == policy.IdempotentWithKey) {
 			name = ""
 		}
 		j.types = append(j.types, name)
 	}
 	began := time.Now()
-	segments, err := wal.Segments(j.files, cfg.Bindings.Dir)
+	segments, err := wal.ListSegments(j.files, cfg.Journal.Dir)
 	if err != nil {
 		return nil, err
 	}
-	o := wal.Options{Dir: cfg.Bindings.Dir, Files: j.files, Machine: cfg.Bindings.Promise != "process",
-		SegmentBytes: cfg.Bindings.SegmentBytes, KeepFor: cfg.Bindings.KeepFor.D(), KeepBytes: cfg.Bindings.KeepBytes, Note: j.note}
+	o := wal.Options{Dir: cfg.Journal.Dir, FileSystem: j.files, Fsync: cfg.Journal.Promise != "process",
+		MaxSegmentBytes: cfg.Journal.SegmentBytes, RetentionAge: cfg.Journal.RetentionAge.Std(), RetentionBytes: cfg.Journal.RetentionBytes, OnHealthChange: j.note}
 	if others != nil {
 		j.run = uint64(others.Join(context.Background(), joinMost))
-		others.Keep(cfg.Bindings.Dir, cfg.Bindings.Promise == wal.Machines)
-		if cfg.Bindings.Promise == wal.Machines {
-			j.peers, o.Copy, o.Stored = others, others.Copy, others.Stored
+		others.StartJournal(cfg.Journal.Dir, cfg.Journal.Promise == wal.PromiseMachines)
+		if cfg.Journal.Promise == wal.PromiseMachines {
+			j.peers, o.OnChunk, o.OnStored = others, others.ReplicateChunk, others.RecordsStored
 		}
 	}
-	o.Run = j.run
+	o.Incarnation = j.run
 	if j.kept, err = wal.Open(o); err != nil {
 		return nil, err
 	}
@@ -81,7 +81,7 @@
 
 func (j *journal) note(err error) {
 	if err != nil {
-		j.log.Error().Err(err).Str("bindings_are", map[bool]string{true: "denied", false: "served, and a gap marked"}[j.cfg.Deny()]).Msg("journal fails")
+		j.log.Error().Err(err).Str("bindings_are", map[bool]string{true: "denied", false: "served, and a gap marked"}[j.cfg.RejectsWhenFailing()]).Msg("journal fails")
 		return
 	}
 	j.log.Info().Msg("journal goes on")
@@ -89,12 +89,12 @@
 
 // recover tells what earlier runs have left open, by server.
 func (j *journal) recover(began time.Time) {
-	fold := intent.NewFold()
+	fold := intent.NewAssembler()
 	report, err := wal.Scan(j.files, j.cfg.Dir, time.Time{}, func(r *intent.Record) error {
 		if j.ended.Load() {
 			return wal.ErrClosed
 		}
-		if r.Run != j.run {
+		if r.Incarnation != j.run {
 			fold.Add(r)
 		}
 		return nil
@@ -105,18 +105,18 @@
 		}
 		return
 	}
-	for _, f := range report.Faults {
-		j.log.Warn().Str("file", f.Path).Int64("offset", f.Offset).Int64("bytes", f.Bytes).Bool("torn", f.Torn).Msg("journal damaged")
+	for _, f := range report.Unreadable {
+		j.log.Warn().Str("file", f.Path).Int64("offset", f.Offset).Int64("bytes", f.Bytes).Bool("torn", f.IsTorn).Msg("journal damaged")
 	}
-	fold.Damaged = report.Corrupt() > 0
+	fold.HasDamage = report.CorruptCount() > 0
 	servers, open := map[string]int{}, 0
-	for _, e := range fold.Rest() {
+	for _, e := range fold.Incomplete() {
 		if e.State() != intent.PossiblySent {
 			continue
 		}
 		open++
-		for _, h := range e.Hops {
-			if h.Proof() == intent.Possibly {
+		for _, h := range e.Attempts {
+			if h.Proof() == intent.PossiblyRan {
 				servers[h.Server]++
 			}
 		}
@@ -130,14 +130,14 @@
 
 // takes tells whether an operation of a type may be taken now: while nothing can be kept, that is the operator's choice.
 func (j *journal) takes(kind int) bool {
-	return j == nil || kind >= len(j.types) || j.types[kind] == "" || !j.cfg.Deny() ||
-		j.kept.Failing() == nil && !j.slow()
+	return j == nil || kind >= len(j.types) || j.types[kind] == "" || !j.cfg.RejectsWhenFailing() ||
+		j.kept.Failure() == nil && !j.slow()
 }
 
 // slow: the disk or the holders take so long that waits would fill the node's window, which other operations need.
 func (j *journal) slow() bool {
-	most := time.Duration(stallShare * float64(j.cfg.WaitMost.D()))
-	return j.kept.Stalled() > most || j.peers != nil && j.peers.Stalled() > most
+	most := time.Duration(stallShare * float64(j.cfg.MaxWait.Std()))
+	return j.kept.StalledFor() > most || j.peers != nil && j.peers.StalledFor() > most
 }
 
 // kept is one operation in the journal; nil is one that is not kept.
@@ -152,21 +152,21 @@
 }
 
 // begin has an operation kept, if its type is.
-func (j *journal) begin(kind int, o *message.Operation, req *message.Request) *kept {
+func (j *journal) begin(kind int, o *message.RequestInfo, req *message.Request) *kept {
 	if j == nil || kind >= len(j.types) || j.types[kind] == "" {
 		return nil
 	}
 	k := &kept{j: j, op: j.ops.Add(1)}
-	k.record = intent.Record{Run: j.run, Op: k.op, ID: string(o.ID), Tenant: string(o.Tenant), Type: j.types[kind], Retry: len(req.Get(clientRetry)) > 0}
-	if f := j.cfg.RepeatsField; f != "" {
-		k.record.Repeats = string(req.Get(f))
+	k.record = intent.Record{Incarnation: j.run, RequestNumber: k.op, RequestID: string(o.ID), Tenant: string(o.Tenant), Type: j.types[kind], IsRetry: len(req.Get(clientRetry)) > 0}
+	if f := j.cfg.RepeatOfField; f != "" {
+		k.record.RepeatOf = string(req.Get(f))
 	}
 	return k
 }
 
 func (k *kept) line(kind intent.Kind, hop int) intent.Record {
 	r := k.record
-	r.Kind, r.Hop, r.At = kind, hop, time.Now().UnixNano()
+	r.Kind, r.Attempt, r.AtUnixNano = kind, hop, time.Now().UnixNano()
 	return r
 }
 
@@ -182,27 +182,27 @@
 	k.mu.Unlock()
 	r := k.line(intent.Intent, hop)
 	r.Server = server
-	serve, slow := !k.j.cfg.Deny(), k.j.slow()
+	serve, slow := !k.j.cfg.RejectsWhenFailing(), k.j.slow()
 	w, err := k.j.kept.Append(!serve || !slow, r)
 	if err == nil && w == nil { // it is served without a wait
-		k.j.kept.Missed()
+		k.j.kept.CountMissed()
 		return hop, nil
 	}
 	if err == nil {
-		err = k.j.lasts(ctx, w, min(k.j.cfg.WaitMost.D(), time.Until(until)))
+		err = k.j.lasts(ctx, w, min(k.j.cfg.MaxWait.Std(), time.Until(until)))
 	}
-	if err == nil || ctx.Err() == nil && !k.j.cfg.Deny() {
+	if err == nil || ctx.Err() == nil && !k.j.cfg.RejectsWhenFailing() {
 		if err != nil && w != nil { // one that was refused at once is counted already
-			k.j.kept.Missed()
+			k.j.kept.CountMissed()
 		}
 		return hop, nil
 	}
-	k.ended(hop, dispatch.Unkept) // if the intent comes to last after all, this stands behind it
+	k.ended(hop, dispatch.JournalFailed) // if the intent comes to last after all, this stands behind it
 	return hop, err
 }
 
 // lasts waits until a record lasts as promised: on this disk, and at enough holders. Both have it from the same moment.
-func (j *journal) lasts(ctx context.Context, w *wal.Wait, most time.Duration) error {
+func (j *journal) lasts(ctx context.Context, w *wal.Commit, most time.Duration) error {
 	by := time.NewTimer(most)
 	defer by.Stop()
 	await := func(done <-chan struct{}) error {
@@ -220,7 +220,7 @@
 	if err := w.Err(); err != nil || j.peers == nil {
 		return err
 	}
-	held := j.peers.Wait(w.Number())
+	held := j.peers.CommitOf(w.SequenceNumber())
 	if err := await(held.Done()); err != nil {
 		return err
 	}
@@ -228,24 +228,24 @@
 }
 
 // proof is what the end of a hop proves.
-func proof(how dispatch.End) intent.Proof {
+func proof(how dispatch.AttemptResult) intent.Proof {
 	switch how.Outcome() {
 	case policy.Success:
 		return intent.Ran
-	case policy.Overloaded, policy.Unreachable, policy.Void:
-		return intent.Never
+	case policy.Overloaded, policy.Unreachable, policy.NotStarted:
+		return intent.NeverRan
 	}
-	return intent.Possibly
+	return intent.PossiblyRan
 }
 
 // ended tells how a hop went. Nobody waits for it: without it the hop counts as possibly sent.
-func (k *kept) ended(hop int, how dispatch.End) {
+func (k *kept) ended(hop int, how dispatch.AttemptResult) {
 	if k == nil {
 		return
 	}
-	r := k.line(intent.Ended, hop)
-	r.ID, r.Tenant, r.Type, r.Repeats = "", "", "", "" // its intent names them
-	r.How, r.Proof = how.String(), proof(how)
+	r := k.line(intent.AttemptEnded, hop)
+	r.RequestID, r.Tenant, r.Type, r.RepeatOf = "", "", "", "" // its intent names them
+	r.Outcome, r.Proof = how.String(), proof(how)
 	k.j.kept.Append(false, r)
 }
 
@@ -261,8 +261,8 @@
 	if again {
 		return
 	}
-	told := k.line(intent.Told, 0)
-	told.How, told.N = what, hops
+	told := k.line(intent.ClientNotified, 0)
+	told.Outcome, told.Count = what, hops
 	if hops == 0 {
 		k.j.kept.Append(false, k.line(intent.Unsent, 0), told)
 		return
--- a/internal/proxy/bindings_test.go
+++ b/internal/proxy/bindings_test.go
@@ -19,9 +19,9 @@
 )
 
 // kept is what a journal holds of all operations.
-func entries(t *testing.T, d wal.Files) (all []*intent.Entry, gaps int) {
+func entries(t *testing.T, d wal.FileSystem) (all []*intent.Entry, gaps int) {
 	t.Helper()
-	fold := intent.NewFold()
+	fold := intent.NewAssembler()
 	if _, err := wal.Scan(d, "j", time.Time{}, func(r *intent.Record) error {
 		if e := fold.Add(r); e != nil {
 			all = append(all, e)
@@ -30,7 +30,7 @@
 	}, nil); err != nil {
 		t.Fatal(err)
 	}
-	return append(all, fold.Rest()...), len(fold.Gaps)
+	return append(all, fold.Incomplete()...), len(fold.Gaps)
 }
 
 func book(t *testing.T, at string, fields string) int {
@@ -63,7 +63,7 @@
 			hosts, _ := servers(t, 3, c.script...)
 			cfg := config(hosts...)
 			d := memdisk.New()
-			cfg.Disk, cfg.Bindings = d, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", WaitMost: tomlfile.Span(time.Second), SegmentBytes: 1 << 20, RepeatsField: "Repeats"}
+			cfg.Filesystem, cfg.Journal = d, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
 			at, stop := startNode(t, cfg)
 			book(t, at, "Client-Retry: 1\r\nRepeats: 77\r\n")
 			ask1(t, dial(t, at), "/check/1") // is not kept
@@ -74,7 +74,7 @@
 			if len(all) != 1 {
 				t.Fatalf("%d entries", len(all))
 			}
-			if e := all[0]; e.State() != c.state || e.Told != c.told || c.hops > 0 && len(e.Hops) != c.hops || e.Type != "book" || !e.Retry || e.Repeats != "77" {
+			if e := all[0]; e.State() != c.state || e.ClientOutcome != c.told || c.hops > 0 && len(e.Attempts) != c.hops || e.Type != "book" || !e.IsRetry || e.RepeatOf != "77" {
 				t.Errorf("%v: %+v", e.State(), e)
 			}
 		})
@@ -89,14 +89,14 @@
 	at := standIn(t, func(nc net.Conn) {
 		defer nc.Close()
 		for c := http1.NewConn(nc); c.ReadRequest(&http1.Request{}) == nil; {
-			if all, _ := entries(t, d); len(all) != 1 || len(all[0].Hops) != 1 || all[0].Told != "" {
+			if all, _ := entries(t, d); len(all) != 1 || len(all[0].Attempts) != 1 || all[0].ClientOutcome != "" {
 				late.Add(1)
 			}
 			io.WriteString(nc, whole)
 		}
 	})
-	cfg := config(http1.Host{ID: "s", Address: at, Size: 1})
-	cfg.Disk, cfg.Bindings = d, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", WaitMost: tomlfile.Span(time.Second), SegmentBytes: 1 << 20}
+	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
+	cfg.Filesystem, cfg.Journal = d, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20}
 	node, _ := startNode(t, cfg)
 	if got := book(t, node, ""); got != 200 || late.Load() > 0 {
 		t.Errorf("answered %d, %d hops came before their intent", got, late.Load())
@@ -113,12 +113,12 @@
 			d := memdisk.New()
 			hosts, taken := servers(t, 3, whole)
 			cfg := config(hosts...)
-			cfg.Disk, cfg.Bindings = d, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: choice, WaitMost: tomlfile.Span(100 * time.Millisecond), SegmentBytes: 1 << 20}
+			cfg.Filesystem, cfg.Journal = d, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: choice, MaxWait: tomlfile.Duration(100 * time.Millisecond), SegmentBytes: 1 << 20}
 			at, stop := startNode(t, cfg)
 			if got := book(t, at, ""); got != 200 {
 				t.Fatalf("answered %d", got)
 			}
-			await(t, "end of the first", func() bool { all, _ := entries(t, d); return len(all) == 1 && all[0].Told != "" })
+			await(t, "end of the first", func() bool { all, _ := entries(t, d); return len(all) == 1 && all[0].ClientOutcome != "" })
 			d.Fill(true)
 			before := taken.Load()
 			want := map[string]int{"deny": 503, "serve": 200}[choice]
@@ -152,14 +152,14 @@
 func TestIntentNotWaitedForToItsEnd(t *testing.T) {
 	t.Parallel()
 	cfg := config()
-	cfg.Disk = memdisk.Slowed{Full: func() bool { return false }, Takes: func() time.Duration { return 20 * time.Millisecond }}
-	cfg.Bindings = &wal.Config{Dir: t.TempDir(), Promise: "process", WhenFailing: "deny", SegmentBytes: 1 << 20}
+	cfg.Filesystem = memdisk.Slowed{Full: func() bool { return false }, Takes: func() time.Duration { return 20 * time.Millisecond }}
+	cfg.Journal = &wal.Config{Dir: t.TempDir(), Promise: "process", WhenFailing: "deny", SegmentBytes: 1 << 20}
 	j, err := newJournal(cfg, zerolog.Nop(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer j.close()
-	w, err := j.kept.Append(true, intent.Record{Kind: intent.Intent, Run: j.run, Op: 1, Server: "s"})
+	w, err := j.kept.Append(true, intent.Record{Kind: intent.Intent, Incarnation: j.run, RequestNumber: 1, Server: "s"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 	<-w.Done()
 }
 
-func gaps(t *testing.T, d wal.Files) int {
+func gaps(t *testing.T, d wal.FileSystem) int {
 	_, n := entries(t, d)
 	return n
 }
--- a/internal/proxy/cgi.go
+++ b/internal/proxy/cgi.go
@@ -17,16 +17,16 @@
 // cgiClient leads one client's connection that speaks FastCGI. Requests share it: each is led by itself. When it may end
 // is decided in ends: nothing that was taken loses its answer to it.
 func (s *Server) cgiClient(nc *net.TCPConn) {
-	f := fastcgi.NewFront(nc, s.fleet.Pool())
-	c := &cgiConn{s: s, nc: nc, f: f, place: s.fleet.Client(f), first: time.Now().Add(requestMost)}
-	defer c.place.Vacate()
+	f := fastcgi.NewClientConn(nc, s.fleet.MessageBudget())
+	c := &cgiConn{s: s, nc: nc, f: f, place: s.fleet.AddClient(f), first: time.Now().Add(requestMost)}
+	defer c.place.Release()
 	defer nc.Close()
 	defer f.Hangup()
 	for {
 		call, err := f.Next(c)
 		if err != nil {
 			if !errors.Is(err, fastcgi.ErrPeer) {
-				c.step(connclose.Gone)
+				c.step(connclose.Disconnected)
 				return
 			}
 			c.Refused()
@@ -48,12 +48,12 @@
 type cgiConn struct {
 	s     *Server
 	nc    *net.TCPConn
-	f     *fastcgi.Front
+	f     *fastcgi.ClientConn
 	place *dispatch.Client
 	calls sync.WaitGroup
 
 	mu    sync.Mutex
-	life  connclose.Life
+	life  connclose.Lifecycle
 	first time.Time // when the first request must have come; zero: it has
 	half  time.Time // when a record began to come that is not whole
 	ended time.Time // when nothing that still comes is read any more, once it has ended
@@ -67,8 +67,8 @@
 }
 
 func (c *cgiConn) next(in connclose.Input) connclose.Effect {
-	effect := c.life.Next(in)
-	if effect == connclose.End {
+	effect := c.life.Handle(in)
+	if effect == connclose.CloseWrite {
 		c.nc.CloseWrite()
 		c.ended = time.Now().Add(lingerMost)
 		c.nc.SetReadDeadline(c.ended)
@@ -80,12 +80,12 @@
 func (c *cgiConn) Begun(last bool) connclose.Effect {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.s.late.Load() && c.life.State() != connclose.Ended {
-		return connclose.Refuse
+	if c.s.late.Load() && c.life.State() != connclose.Closed {
+		return connclose.Reject
 	}
-	effect := c.next(connclose.Begun)
-	if effect == connclose.Take && last {
-		c.next(connclose.LastCall)
+	effect := c.next(connclose.RequestStarted)
+	if effect == connclose.Admit && last {
+		c.next(connclose.CloseRequested)
 	}
 	return effect
 }
@@ -93,29 +93,29 @@
 // Refused comes behind the word that a request never ran; where that was the last to be said, the connection ends.
 func (c *cgiConn) Refused() {
 	c.f.RefuseComing()
-	c.step(connclose.NoMore)
+	c.step(connclose.IntakeStopped)
 }
 
 func (c *cgiConn) took() {
 	c.calls.Add(1)
-	c.place.Taken()
+	c.place.RequestStarted()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.first = time.Time{}
-	c.next(connclose.Whole)
+	c.next(connclose.RequestReceived)
 }
 
 // Failed tells that a request was aborted on its way.
-func (c *cgiConn) Failed() { c.step(connclose.Failed) }
+func (c *cgiConn) Failed() { c.step(connclose.RequestAborted) }
 
 func (c *cgiConn) answered() {
-	c.place.Answered()
+	c.place.RequestFinished()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.s.draining.Load() {
-		c.next(connclose.LastCall)
+		c.next(connclose.CloseRequested)
 	}
-	if c.next(connclose.Answered) == connclose.Nothing && c.life.Open()+c.life.Coming() == 0 {
+	if c.next(connclose.RequestAnswered) == connclose.NoEffect && c.life.InFlight()+c.life.Receiving() == 0 {
 		c.nc.SetReadDeadline(time.Now().Add(idleMost))
 	}
 }
@@ -125,12 +125,12 @@
 	for {
 		c.until(half)
 		err := c.f.Await()
-		if !c.place.Came() {
+		if !c.place.ReadReady() {
 			return net.ErrClosed
 		}
 		late := errors.Is(err, os.ErrDeadlineExceeded)
 		switch {
-		case err == nil, late && c.f.Waiting(): // it may have crossed the end of the time, which must not end the reading
+		case err == nil, late && c.f.HasUnread(): // it may have crossed the end of the time, which must not end the reading
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			if c.ended.IsZero() {
@@ -161,7 +161,7 @@
 	case !c.ended.IsZero():
 		c.nc.SetReadDeadline(c.ended)
 		return
-	case c.life.State() == connclose.Refusing: // what is on its way was told so
+	case c.life.State() == connclose.Draining: // what is on its way was told so
 		c.nc.SetReadDeadline(time.Time{})
 	case !oldest.IsZero():
 		by := oldest.Add(requestMost)
@@ -169,22 +169,22 @@
 			by = c.first
 		}
 		c.nc.SetReadDeadline(by)
-	case c.life.Open() > 0:
+	case c.life.InFlight() > 0:
 		c.nc.SetReadDeadline(time.Time{})
 	case !c.first.IsZero():
 		c.nc.SetReadDeadline(c.first)
 	default:
 		c.nc.SetReadDeadline(time.Now().Add(idleMost))
 	}
-	c.place.Wait(!oldest.IsZero())
+	c.place.ReadBlocked(!oldest.IsZero())
 }
 
 // late deals with a time that is over, and tells whether nothing more is to be read.
 func (c *cgiConn) late(half bool) bool {
 	c.mu.Lock()
-	over, stalled := !c.ended.IsZero(), c.life.Coming() > 0 || half
+	over, stalled := !c.ended.IsZero(), c.life.Receiving() > 0 || half
 	if !over && !stalled {
-		c.next(connclose.Quiet)
+		c.next(connclose.IdleTimeout)
 	}
 	c.mu.Unlock()
 	if over {
@@ -197,7 +197,7 @@
 }
 
 // call leads one request to its answer.
-func (s *Server) call(f *fastcgi.Front, c *fastcgi.Call) {
+func (s *Server) call(f *fastcgi.ClientConn, c *fastcgi.Request) {
 	front := cgiFront{f, c}
 	defer func() {
 		if p := recover(); p != nil { // a fault of this program must not take the other requests with it
@@ -215,7 +215,7 @@
 	} else {
 		err = s.operation(front, c.Request, c.Came)
 	}
-	var bad *message.Malformed
+	var bad *message.RequestError
 	switch {
 	case errors.As(err, &bad):
 		s.rejectCall(front, bad)
@@ -224,15 +224,15 @@
 	}
 }
 
-func (s *Server) rejectCall(f cgiFront, bad *message.Malformed) {
+func (s *Server) rejectCall(f cgiFront, bad *message.RequestError) {
 	s.log.Warn().Str("client", f.From()).Int("status", bad.Status).Str("why", bad.Why).Msg("request rejected")
 	s.answer(f, message.Answer{Status: bad.Status, Body: []byte(bad.Why + "\n")})
 }
 
 // cgiFront is one request on a client's connection that speaks FastCGI.
 type cgiFront struct {
-	f *fastcgi.Front
-	c *fastcgi.Call
+	f *fastcgi.ClientConn
+	c *fastcgi.Request
 }
 
 func (f cgiFront) Append(b []byte, a message.Answer) []byte { return f.c.Append(b, a) }
@@ -246,20 +246,20 @@
 
 func (f cgiFront) Parting() bool {
 	select {
-	case <-f.c.Left():
+	case <-f.c.Disconnected():
 		return true
 	default:
 		return false
 	}
 }
 
-func (f cgiFront) Watch(op *dispatch.Operation) (end func()) {
+func (f cgiFront) Watch(op *dispatch.Request) (end func()) {
 	done, over := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(over)
 		select {
-		case <-f.c.Left():
-			op.Left()
+		case <-f.c.Disconnected():
+			op.ClientDisconnected()
 		case <-done:
 		}
 	}()
--- a/internal/proxy/cgi_test.go
+++ b/internal/proxy/cgi_test.go
@@ -23,7 +23,7 @@
 func responder(t *testing.T, answer func(*message.Request) *message.Answer) netip.AddrPort {
 	return standIn(t, func(nc net.Conn) {
 		defer nc.Close()
-		f := fastcgi.NewFront(nc, nil)
+		f := fastcgi.NewClientConn(nc, nil)
 		defer f.Hangup()
 		for {
 			call, err := f.Next(nil)
@@ -38,11 +38,11 @@
 }
 
 // cgiNode runs a node that clients reach in both protocols, in front of servers in both.
-func cgiNode(t *testing.T, hosts ...http1.Host) (http, cgi string, stop func() error) {
+func cgiNode(t *testing.T, hosts ...http1.Endpoint) (http, cgi string, stop func() error) {
 	return cgiNodeWith(t, unhurried{}, hosts...)
 }
 
-func cgiNodeWith(t *testing.T, u unhurried, hosts ...http1.Host) (http, cgi string, stop func() error) {
+func cgiNodeWith(t *testing.T, u unhurried, hosts ...http1.Endpoint) (http, cgi string, stop func() error) {
 	t.Helper()
 	// An address of its own: between its choice and its use a port of 127.0.0.1 may be dealt out to anybody's connection.
 	pid := os.Getpid()
@@ -54,8 +54,8 @@
 	ln.Close()
 	cfg := config(hosts...)
 	cfg.stop = u
-	for i := range cfg.Settings.Types { // so that a busy machine changes no verdict
-		cfg.Settings.Types[i].TargetTime, cfg.Settings.Types[i].AbandonTime = 2*time.Second+u.more, 4*time.Second+u.more
+	for i := range cfg.Settings.TrafficTypes { // so that a busy machine changes no verdict
+		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = 2*time.Second+u.more, 4*time.Second+u.more
 	}
 	cfg.Routes = routes(t, &cfg, fmt.Sprintf("[fastcgi]\nlisten = %q\nflavors = [\"cgi\"]", cgi))
 	http, stop = startNode(t, cfg)
@@ -108,9 +108,9 @@
 					mu.Unlock()
 					return c.answer(r)
 				}
-				var hosts []http1.Host
+				var hosts []http1.Endpoint
 				for i := range 2 {
-					h := http1.Host{ID: fmt.Sprint("s", i), Size: 1, Flavor: back}
+					h := http1.Endpoint{ID: fmt.Sprint("s", i), Size: 1, Flavor: back}
 					if back == "cgi" {
 						h.Address = responder(t, counted)
 					} else {
@@ -130,7 +130,7 @@
 				http, cgi, _ := cgiNode(t, hosts...)
 				var l line = http1.NewConn(dial(t, http).Conn)
 				if front == "cgi" {
-					l = fastcgi.NewBack(dial(t, cgi).Conn, nil, nil)
+					l = fastcgi.NewServerConn(dial(t, cgi).Conn, nil, nil)
 				}
 				l.SetDeadline(time.Now().Add(10 * time.Second))
 				for range 2 { // the second on the connection that was kept
@@ -138,10 +138,10 @@
 					hops = 0
 					mu.Unlock()
 					var r message.Response
-					if whole, err := l.Ask(post(fmt.Sprint(ids.Add(1))), 5*time.Second, "1.2.3.4"); !whole {
+					if whole, err := l.SendRequest(post(fmt.Sprint(ids.Add(1))), 5*time.Second, "1.2.3.4"); !whole {
 						t.Fatal(err)
 					}
-					if err := l.Reply(&r); err != nil {
+					if err := l.ReceiveResponse(&r); err != nil {
 						t.Fatal(err)
 					}
 					mu.Lock()
@@ -169,7 +169,7 @@
 		}
 		return echoed(r)
 	})
-	_, cgi, stop := cgiNode(t, http1.Host{ID: "s", Size: 1, Flavor: "cgi", Address: at})
+	_, cgi, stop := cgiNode(t, http1.Endpoint{ID: "s", Size: 1, Flavor: "cgi", Address: at})
 	nc := dial(t, cgi).Conn
 	nc.SetDeadline(time.Now().Add(10 * time.Second))
 	const n = 100
@@ -188,7 +188,7 @@
 	if _, err := nc.Write(wire); err != nil {
 		t.Fatal(err)
 	}
-	answers, read := map[uint16]message.Response{}, fastcgi.NewAnswers(nc)
+	answers, read := map[uint16]message.Response{}, fastcgi.NewResponseReader(nc)
 	for len(answers) < n {
 		id, r, err := read.Next()
 		if err != nil {
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -25,12 +25,12 @@
 
 // client leads one client's connection, request by request.
 func (s *Server) client(nc *net.TCPConn) {
-	c := http1.NewPooled(nc, s.fleet.Pool())
+	c := http1.NewPooled(nc, s.fleet.MessageBudget())
 	f := httpFront{s, c}
-	defer c.Trim()
-	place := s.fleet.Client(c)
-	c.Tell(place) // it may be closed for room only while nothing of it was read that is not dealt with
-	defer place.Vacate()
+	defer c.ReleaseBuffers()
+	place := s.fleet.AddClient(c)
+	c.ObserveReads(place) // it may be closed for room only while nothing of it was read that is not dealt with
+	defer place.Release()
 	defer nc.Close()
 	defer func() {
 		if p := recover(); p != nil { // a fault of this program must not take the other clients with it
@@ -47,10 +47,10 @@
 			by = time.Now().Add(idleMost)
 		}
 		nc.SetReadDeadline(by)
-		err := c.Await()
-		if errors.Is(err, http1.ErrTimeout) && c.Waiting() { // it crossed the end of the time
+		err := c.AwaitMessage()
+		if errors.Is(err, http1.ErrTimeout) && c.HasUnread() { // it crossed the end of the time
 			nc.SetReadDeadline(time.Now().Add(stall))
-			err = c.Await()
+			err = c.AwaitMessage()
 		}
 		if err != nil {
 			return
@@ -65,12 +65,12 @@
 			s.reject(f, err)
 			return
 		}
-		place.Taken()
+		place.RequestStarted()
 		nc.SetReadDeadline(time.Time{})
-		req.Close = req.Close || s.fleet.Crowded() && !c.More()
+		req.Close = req.Close || s.fleet.HasTooManyIdleClients() && !c.HasMore()
 		if req.IsReadiness() {
 			err = s.answer(f, message.Answer{Status: s.readiness(), Close: req.Close})
-		} else if c.Left() && !s.cfg.Deaf { // behind its request, which waited here or before it was accepted
+		} else if c.Disconnected() && !s.cfg.Deaf { // behind its request, which waited here or before it was accepted
 			return
 		} else {
 			err = s.operation(f, &req, came)
@@ -79,9 +79,9 @@
 			s.reject(f, err)
 			return
 		}
-		place.Answered()
-		if req.Close || s.draining.Load() || c.Spilt() {
-			if c.More() { // the client has sent on before it could read that this is the last answer
+		place.RequestFinished()
+		if req.Close || s.draining.Load() || c.Overflowed() {
+			if c.HasMore() { // the client has sent on before it could read that this is the last answer
 				s.discard(nc)
 			}
 			return
@@ -92,7 +92,7 @@
 // readiness is the status that tells whether clients should be led here. A node that knows of no server would turn them all
 // away while others can serve them; it waits for its list, but not for long, for discovery may be crowded or away.
 func (s *Server) readiness() int {
-	if s.draining.Load() || time.Since(s.began) > listMost || s.fleet.Ready() {
+	if s.draining.Load() || time.Since(s.began) > listMost || s.fleet.IsReady() {
 		return 200
 	}
 	return 503
@@ -146,15 +146,15 @@
 	}
 }
 
-func (f httpFront) Parting() bool { return f.c.Parting() }
+func (f httpFront) Parting() bool { return f.c.PeekDisconnected() }
 
-func (f httpFront) Watch(op *dispatch.Operation) (end func()) {
+func (f httpFront) Watch(op *dispatch.Request) (end func()) {
 	c := f.c
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if c.Gone() {
-			op.Left()
+		if c.WaitDisconnected() {
+			op.ClientDisconnected()
 		}
 	}()
 	return func() {
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -39,23 +39,23 @@
 	Seed         uint32
 	Cores        float64
 	Limits       dispatch.Limits
-	Known        http1.List
-	KnownErr     error // a saved list of no use; the node starts without
+	SavedList    http1.EndpointList
+	SavedListErr error // a saved list of no use; the node starts without
 	Settings     settings.Settings
-	Operator     string                // the operator's file; "" for none
-	Routes       *route.Set            // what it says; nil for none
-	Module       engine.Maker          // nil: the project's own
+	OperatorFile string                // the operator's file; "" for none
+	Routes       *route.Table          // what it says; nil for none
+	NewPolicy    engine.DeciderFactory // nil: the project's own
 	Unguarded    bool                  // what the module decides is sent as it is: for modules that are broken on purpose
 	Deaf         bool                  // clients' leaving is not looked at: likewise
 	Hoards       bool                  // idle connections to servers that leave are kept: likewise
 	Planners     *planconfig.Forwarder // nil: the node decides by itself
-	Bindings     *wal.Config           // nil: no journal of bindings is kept
+	Journal      *wal.Config           // nil: no journal of bindings is kept
 	Registry     *zookeeper.Config     // nil: discovery tells of servers
 	Snapshot     *snapshot.Config      // nil: no list is kept on disk
 	Peers        *peer.Config          // nil: the node knows of no other one
 	Distribution *client.Config        // nil: the list and the limits come from elsewhere
-	Watch        *shadow.Watch         // nil: no other settings are watched beside the node's own
-	Disk         wal.Files             // beneath it; nil: the system's
+	Shadow       *shadow.Candidate     // nil: no other settings are watched beside the node's own
+	Filesystem   wal.FileSystem        // beneath it; nil: the system's
 	path         string
 	getenv       func(string) string
 	told         string // discovery's address as the file names it
@@ -70,12 +70,12 @@
 	linger time.Duration // more than the usual time for a client to read its last answer
 }
 
-// Load reads a configuration; variables of the environment go before the file. The operator's file and the
+// LoadConfig reads a configuration; variables of the environment go before the file. The operator's file and the
 // planners' file, which two of them may name, are read with it.
-func Load(path string, getenv func(string) string) (Config, error) {
+func LoadConfig(path string, getenv func(string) string) (Config, error) {
 	c, err := read(path, getenv)
-	if err == nil && c.Operator != "" {
-		c.Routes, err = route.Load(c.Operator, &c.Settings)
+	if err == nil && c.OperatorFile != "" {
+		c.Routes, err = route.Load(c.OperatorFile, &c.Settings)
 	}
 	if path := getenv("PROXY_PLANNERS"); err == nil && path != "" {
 		c.Planners, err = planconfig.LoadForwarder(path)
@@ -87,14 +87,14 @@
 		c.Snapshot, err = snapshot.Load(path)
 	}
 	if path := getenv("PROXY_BINDINGS"); err == nil && path != "" {
-		c.Bindings, err = wal.Load(path)
+		c.Journal, err = wal.LoadConfig(path)
 	}
 	if path := getenv("PROXY_PEERS"); err == nil && path != "" {
-		if c.Peers, err = peer.Load(path); err == nil {
+		if c.Peers, err = peer.LoadConfig(path); err == nil {
 			c.Limits.Sockets = max(c.Limits.Sockets-peerSockets, c.Limits.Sockets/2)
 		}
 	}
-	if err == nil && c.Bindings != nil && c.Bindings.Promise == wal.Machines && c.Peers == nil {
+	if err == nil && c.Journal != nil && c.Journal.Promise == wal.PromiseMachines && c.Peers == nil {
 		err = errors.New("the promise machines needs other nodes to hold what is kept: name them with --peers FILE")
 	}
 	if path := getenv("PROXY_DISTRIBUTION"); err == nil && path != "" {
@@ -105,7 +105,7 @@
 	if path := getenv("PROXY_WATCH"); err == nil && path != "" {
 		var s *settings.Settings
 		if s, err = readWatch(path, &c.Settings); err == nil {
-			c.Watch = shadow.NewWatch(s)
+			c.Shadow = shadow.NewCandidate(s)
 		}
 	}
 	return c, err
@@ -127,14 +127,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := own.Fits(&s); err != nil {
+	if err := own.CheckCompatible(&s); err != nil {
 		return nil, fmt.Errorf("%s: %v", path, err)
 	}
 	return &s, nil
 }
 
 func read(path string, getenv func(string) string) (Config, error) {
-	c := Config{path: path, getenv: getenv, Operator: getenv("PROXY_OPERATOR")}
+	c := Config{path: path, getenv: getenv, OperatorFile: getenv("PROXY_OPERATOR")}
 	if path == "" {
 		return c, errors.New("no configuration is named")
 	}
@@ -177,14 +177,14 @@
 		return c, fmt.Errorf("%s: %v", path, err)
 	}
 	if len(raw.Known) > 0 {
-		c.Known, c.KnownErr = http1.ParseList(raw.Known)
+		c.SavedList, c.SavedListErr = http1.ParseEndpointList(raw.Known)
 	}
 	return c, nil
 }
 
-// Again reads the configuration anew from where it was read. The environment is that of the start, so an address
+// Reload reads the configuration anew from where it was read. The environment is that of the start, so an address
 // of discovery that the file has come to name since then goes before it.
-func (c Config) Again() (Config, error) {
+func (c Config) Reload() (Config, error) {
 	next, err := read(c.path, c.getenv)
 	if err != nil {
 		return c, err
@@ -217,14 +217,16 @@
 	return s, nil
 }
 
-func (c Config) module() engine.Maker {
+func (c Config) module() engine.DeciderFactory {
 	switch {
-	case c.Module != nil:
-		return c.Module
-	case c.Watch != nil:
-		return func(s policy.Settings, seed uint32) engine.Module { return shadow.New(policy.New(s, seed), c.Watch) }
+	case c.NewPolicy != nil:
+		return c.NewPolicy
+	case c.Shadow != nil:
+		return func(s policy.Settings, seed uint32) engine.Decider {
+			return shadow.NewModule(policy.New(s, seed), c.Shadow)
+		}
 	}
-	return engine.Policy
+	return engine.NewPolicy
 }
 
 // openFiles is the system's own limit, which may be lower than what the configuration names.
--- a/internal/proxy/connections_test.go
+++ b/internal/proxy/connections_test.go
@@ -39,9 +39,9 @@
 			io.WriteString(nc, whole)
 		}
 	}()
-	cfg := config(http1.Host{ID: "s", Address: ln.Addr().(*net.TCPAddr).AddrPort(), Size: 1})
-	for i := range cfg.Settings.Types {
-		cfg.Settings.Types[i].TargetTime, cfg.Settings.Types[i].AbandonTime = time.Minute, time.Hour
+	cfg := config(http1.Endpoint{ID: "s", Address: ln.Addr().(*net.TCPAddr).AddrPort(), Size: 1})
+	for i := range cfg.Settings.TrafficTypes {
+		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Hour
 	}
 	cfg.Settings.ConnectTimeout, cfg.Settings.ConnIdle = time.Minute, time.Hour
 	at, _ := startNode(t, cfg)
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -11,24 +11,24 @@
 )
 
 // moveTo has discovery followed at another address, at once.
-func (s *Server) moveTo(at netip.AddrPort) { s.discovery.Swap(watch.NewPlace(at)).Leave() }
+func (s *Server) moveTo(at netip.AddrPort) { s.discovery.Swap(watch.NewTarget(at)).Replace() }
 
 // follow watches discovery's list whenever the module asks for it, until a call fails. Under planners it waits until
 // they have been silent for long enough.
 func (s *Server) follow(ctx context.Context) error {
-	w := watch.Watcher{Place: s.discovery.Load(), Revision: s.cfg.Known.Revision, Pushed: !s.cfg.Settings.OnRequest}
+	w := watch.Watcher{Target: s.discovery.Load(), Revision: s.cfg.SavedList.Revision, IsPushed: !s.cfg.Settings.MustRequestEndpoints}
 	defer w.Close()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-s.fleet.Asked():
-		case <-w.Place.Left.Done():
+		case <-s.fleet.PollRequested():
+		case <-w.Target.Replaced.Done():
 		}
 		for {
-			if w.Place.Left.Err() != nil {
+			if w.Target.Replaced.Err() != nil {
 				w.Close()
-				w.Place, w.Moved = s.discovery.Load(), true
+				w.Target, w.HasMoved = s.discovery.Load(), true
 			}
 			if s.planners != nil {
 				if !s.planners.needed() {
@@ -49,25 +49,25 @@
 				}
 			}
 			began := time.Now()
-			list, err := w.Call(ctx)
+			list, err := w.Poll(ctx)
 			if ctx.Err() != nil {
 				return nil
 			}
-			if err != nil && w.Place.Left.Err() != nil {
+			if err != nil && w.Target.Replaced.Err() != nil {
 				continue
 			}
 			if err != nil {
 				s.log.Warn().Err(err).Msg("discovery failed")
-				s.fleet.Unlisted()
+				s.fleet.DiscoveryFailed()
 				break
 			}
-			if w.Moved && !list.Complete && list.Revision < w.Revision { // it counts from elsewhere: ours says nothing there
-				w.Whole = true
+			if w.HasMoved && !list.Complete && list.Revision < w.Revision { // it counts from elsewhere: ours says nothing there
+				w.WantsFullList = true
 				continue
 			}
-			w.Moved, w.Whole, w.Revision = false, false, list.Revision
+			w.HasMoved, w.WantsFullList, w.Revision = false, false, list.Revision
 			if !s.listed(list) { // what was told is not believed yet
-				w.Whole = true
+				w.WantsFullList = true
 				select {
 				case <-ctx.Done():
 				case <-time.After(askAgain):
@@ -77,7 +77,7 @@
 			if len(list.Hosts) > 0 {
 				s.log.Info().Uint64("revision", list.Revision).Bool("whole", list.Complete).Int("entries", len(list.Hosts)).Msg("list told")
 			}
-			if early := watch.Pace - time.Since(began); early > 0 {
+			if early := watch.MinPollInterval - time.Since(began); early > 0 {
 				time.Sleep(early)
 			}
 		}
@@ -85,11 +85,11 @@
 }
 
 // listed hands over what discovery has told, joined with what planners have. It is false for a list that is not believed.
-func (s *Server) listed(list http1.List) bool {
+func (s *Server) listed(list http1.EndpointList) bool {
 	s.skipped(list)
 	if s.kept != nil {
 		var ok bool
-		if list, ok = s.kept.believe(list, endpoints.Discovery); !ok {
+		if list, ok = s.kept.believe(list, endpoints.SourceDiscovery); !ok {
 			return false
 		}
 	}
@@ -98,7 +98,7 @@
 	} else if s.distribution != nil {
 		s.distribution.discovered(list)
 	} else {
-		s.fleet.Listed(list, endpoints.Discovery)
+		s.fleet.ApplyList(list, endpoints.SourceDiscovery)
 	}
 	return true
 }
--- a/internal/proxy/dispatch/allowances.go
+++ b/internal/proxy/dispatch/allowances.go
@@ -7,16 +7,16 @@
 	"fernvane/policy"
 )
 
-// SetAllowances has tenants' allowances, in requests a second over all nodes, be others from now on. A name that is not
+// SetQuotas has tenants' allowances, in requests a second over all nodes, be others from now on. A name that is not
 // known yet is a tenant from now on; those that are not named keep theirs. What is negative or no number is left out.
-func (f *Fleet) SetAllowances(perS map[string]float64) {
+func (f *Dispatcher) SetQuotas(perS map[string]float64) {
 	f.mu.Lock()
 	defer f.unlock()
 	if !f.reallowed { // the settings stay as they were read
-		f.set.TenantNames, f.set.AllowancePerS = slices.Clone(f.set.TenantNames), slices.Clone(f.set.AllowancePerS)
+		f.set.TenantNames, f.set.TenantQuotas = slices.Clone(f.set.TenantNames), slices.Clone(f.set.TenantQuotas)
 		f.reallowed = true
 	}
-	changed := make([]policy.Allowance, 0, len(perS))
+	changed := make([]policy.Quota, 0, len(perS))
 	for name, allowance := range perS {
 		if !(allowance >= 0) || math.IsInf(allowance, 1) {
 			continue
@@ -25,26 +25,26 @@
 		if !known {
 			tenant = len(f.tenants)
 			f.tenants[name] = tenant
-			f.set.TenantNames, f.set.AllowancePerS = append(f.set.TenantNames, name), append(f.set.AllowancePerS, 0)
+			f.set.TenantNames, f.set.TenantQuotas = append(f.set.TenantNames, name), append(f.set.TenantQuotas, 0)
 		}
-		if !known || f.set.AllowancePerS[tenant] != allowance {
-			f.allowances += allowance - f.set.AllowancePerS[tenant]
-			f.set.AllowancePerS[tenant] = allowance
-			changed = append(changed, policy.Allowance{Tenant: tenant, PerS: allowance})
+		if !known || f.set.TenantQuotas[tenant] != allowance {
+			f.allowances += allowance - f.set.TenantQuotas[tenant]
+			f.set.TenantQuotas[tenant] = allowance
+			changed = append(changed, policy.Quota{Tenant: tenant, PerSecond: allowance})
 		}
 	}
 	f.digests.grow(len(f.set.TenantNames))
 	if len(changed) > 0 {
-		f.door.SetAllowances(f.now(), changed, (*hands)(f))
+		f.door.QuotasChanged(f.now(), changed, (*hands)(f))
 	}
 }
 
-// Allowance is what a tenant may ask for, in requests a second over all nodes, as it holds now; 0 where none is set.
-func (f *Fleet) Allowance(tenant string) float64 {
+// Quota is what a tenant may ask for, in requests a second over all nodes, as it holds now; 0 where none is set.
+func (f *Dispatcher) Quota(tenant string) float64 {
 	f.mu.Lock()
 	defer f.unlock()
 	if t, known := f.tenants[tenant]; known {
-		return f.set.AllowancePerS[t]
+		return f.set.TenantQuotas[t]
 	}
 	return 0
 }
--- a/internal/proxy/dispatch/allowances_test.go
+++ b/internal/proxy/dispatch/allowances_test.go
@@ -16,17 +16,17 @@
 
 // told notes what the module is told of allowances, and of whom requests are.
 type told struct {
-	engine.Module
-	changed []policy.Allowance
+	engine.Decider
+	changed []policy.Quota
 	tenants []int
 }
 
 func (m *told) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
-	m.changed = append(m.changed, in.Allowances...)
-	if in.Kind == policy.Arrival {
+	m.changed = append(m.changed, in.Quotas...)
+	if in.Kind == policy.RequestArrived {
 		m.tenants = append(m.tenants, in.Tenant)
 	}
-	return m.Module.Handle(now, in, effects)
+	return m.Decider.Handle(now, in, effects)
 }
 
 // Names stand for indices: a known one for its own, a new one for the next; reports to planners name all of them, and the
@@ -34,31 +34,31 @@
 func TestSetAllowances(t *testing.T) {
 	var module *told
 	s := settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, TenantNames: []string{"a", "b"},
-		Settings: policy.Settings{Nodes: 1, MostHops: 1, AllowancePerS: []float64{1, 2},
-			Types: []policy.TrafficType{{TargetTime: time.Minute, AbandonTime: time.Hour, Revenue: 1}}}}
-	f := New(s, 1, limits, func(s policy.Settings, seed uint32) engine.Module {
-		module = &told{Module: policy.New(s, seed)}
+		Settings: policy.Settings{NodeCount: 1, MaxAttempts: 1, TenantQuotas: []float64{1, 2},
+			TrafficTypes: []policy.TrafficType{{LatencyObjective: time.Minute, ClientTimeout: time.Hour, PriorityWeight: 1}}}}
+	f := New(s, 1, limits, func(s policy.Settings, seed uint32) engine.Decider {
+		module = &told{Decider: policy.New(s, seed)}
 		return module
 	})
 	t.Cleanup(f.Stop)
-	f.Listed(listed(host("server", 1)), endpoints.Saved)
-	f.Digest()
+	f.ApplyList(listed(host("server", 1)), endpoints.SourceConfig)
+	f.EnableReports()
 	arrive := func(tenant string) int {
 		lastID++
-		f.Arrive(Arrival{ID: fmt.Append(nil, lastID), Tenant: []byte(tenant), Route: -1, Budget: time.Hour})
+		f.Submit(Arrival{ID: fmt.Append(nil, lastID), Tenant: []byte(tenant), RouteIndex: -1, Timeout: time.Hour})
 		return module.tenants[len(module.tenants)-1]
 	}
-	f.SetAllowances(map[string]float64{"b": 3})
-	if !slices.Equal(module.changed, []policy.Allowance{{Tenant: 1, PerS: 3}}) || s.AllowancePerS[1] != 2 {
-		t.Errorf("told %v, the settings are %v", module.changed, s.AllowancePerS)
+	f.SetQuotas(map[string]float64{"b": 3})
+	if !slices.Equal(module.changed, []policy.Quota{{Tenant: 1, PerSecond: 3}}) || s.TenantQuotas[1] != 2 {
+		t.Errorf("told %v, the settings are %v", module.changed, s.TenantQuotas)
 	}
 	module.changed = nil
 	before := arrive("c")
-	f.SetAllowances(map[string]float64{"b": 5, "a": 1, "c": 7, "bad": -1, "worse": math.NaN(), "worst": math.Inf(1)})
+	f.SetQuotas(map[string]float64{"b": 5, "a": 1, "c": 7, "bad": -1, "worse": math.NaN(), "worst": math.Inf(1)})
 	want := map[int]float64{1: 5, 2: 7} // a's has not changed
 	got := map[int]float64{}
 	for _, c := range module.changed {
-		got[c.Tenant] = c.PerS
+		got[c.Tenant] = c.PerSecond
 	}
 	if !maps.Equal(got, want) || len(module.changed) != 2 {
 		t.Errorf("told %v, want %v", module.changed, want)
@@ -66,7 +66,7 @@
 	if at := []int{arrive("a"), arrive("b"), arrive("c"), arrive("bad")}; before != 2 || !slices.Equal(at, []int{0, 1, 2, 3}) {
 		t.Errorf("an unknown tenant was %d; then they are %v", before, at)
 	}
-	f.SetAllowances(map[string]float64{"b": 5})
+	f.SetQuotas(map[string]float64{"b": 5})
 	if len(module.changed) != 2 {
 		t.Error("told what has not changed")
 	}
@@ -77,8 +77,8 @@
 	if !maps.Equal(reported, map[string]float64{"a": 1, "b": 5, "c": 7}) {
 		t.Errorf("reported %v", reported)
 	}
-	f.Planned(1, 0, map[string]float64{"c": 0.5}, nil)
-	if !slices.Equal(s.AllowancePerS, []float64{1, 2}) || len(s.TenantNames) != 2 {
-		t.Errorf("the settings are %v of %v", s.AllowancePerS, s.TenantNames)
+	f.ApplyPlan(1, 0, map[string]float64{"c": 0.5}, nil)
+	if !slices.Equal(s.TenantQuotas, []float64{1, 2}) || len(s.TenantNames) != 2 {
+		t.Errorf("the settings are %v of %v", s.TenantQuotas, s.TenantNames)
 	}
 }
--- a/internal/proxy/dispatch/bench_test.go
+++ b/internal/proxy/dispatch/bench_test.go
@@ -13,18 +13,18 @@
 	"fernvane/policy"
 )
 
-func benchFleet(b *testing.B) *Fleet {
-	f := New(settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, Settings: policy.Settings{Nodes: 5800, MostHops: 4,
-		ConnectTimeout: time.Second, ColdFor: 8 * time.Second, Types: []policy.TrafficType{{TargetTime: time.Minute, AbandonTime: time.Hour,
-			Revenue: 1}}}}, 1, limits, engine.Policy)
+func benchFleet(b *testing.B) *Dispatcher {
+	f := New(settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, Settings: policy.Settings{NodeCount: 5800, MaxAttempts: 4,
+		ConnectTimeout: time.Second, SlowStartDuration: 8 * time.Second, TrafficTypes: []policy.TrafficType{{LatencyObjective: time.Minute, ClientTimeout: time.Hour,
+			PriorityWeight: 1}}}}, 1, limits, engine.NewPolicy)
 	b.Cleanup(f.Stop)
 	return f
 }
 
-func benchHosts(from, to int) (hosts []http1.Host) {
+func benchHosts(from, to int) (hosts []http1.Endpoint) {
 	for i := from; i < to; i++ {
 		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)
-		hosts = append(hosts, http1.Host{ID: fmt.Sprint("server-", i), Address: at, Zone: fmt.Sprint("zone-", i%18), Size: 1, UpSinceMS: 1})
+		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("server-", i), Address: at, Zone: fmt.Sprint("zone-", i%18), Size: 1, UpSinceMS: 1})
 	}
 	return hosts
 }
@@ -35,7 +35,7 @@
 		hosts := benchHosts(0, servers)
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			for b.Loop() {
-				benchFleet(b).Listed(http1.List{Complete: true, Hosts: hosts}, endpoints.Discovery)
+				benchFleet(b).ApplyList(http1.EndpointList{Complete: true, Hosts: hosts}, endpoints.SourceDiscovery)
 			}
 		})
 	}
@@ -45,13 +45,13 @@
 func BenchmarkOneChange(b *testing.B) {
 	for _, servers := range []int{200, 2_000, 20_000, 200_000} {
 		f := benchFleet(b)
-		f.Listed(http1.List{Complete: true, Hosts: benchHosts(0, servers)}, endpoints.Discovery)
+		f.ApplyList(http1.EndpointList{Complete: true, Hosts: benchHosts(0, servers)}, endpoints.SourceDiscovery)
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			last := servers
 			for b.Loop() {
 				hosts := benchHosts(last-1, last+1)
 				hosts[0].Phase = http1.Deleted
-				f.Listed(http1.List{Hosts: hosts}, endpoints.Discovery)
+				f.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceDiscovery)
 				last++
 			}
 		})
--- a/internal/proxy/dispatch/copy_test.go
+++ b/internal/proxy/dispatch/copy_test.go
@@ -17,22 +17,22 @@
 
 func (m *copier) Handle(_ time.Duration, in *policy.Input, e []policy.Effect) []policy.Effect {
 	switch in.Kind {
-	case policy.Arrival:
+	case policy.RequestArrived:
 		m.out = append(m.out, []bool{true})
-		return append(e, policy.Effect{Kind: policy.SendHop, Op: in.Op, Server: 0, For: time.Hour})
-	case policy.Woken:
+		return append(e, policy.Effect{Kind: policy.SendAttempt, Request: in.Request, Server: 0, Duration: time.Hour})
+	case policy.TimerFired:
 		for op := range m.out {
 			if len(m.out[op]) == 1 && m.out[op][0] {
 				m.out[op] = append(m.out[op], true)
-				e = append(e, policy.Effect{Kind: policy.SendHop, Op: op, Server: 1, For: time.Hour})
+				e = append(e, policy.Effect{Kind: policy.SendAttempt, Request: op, Server: 1, Duration: time.Hour})
 			}
 		}
-	case policy.HopEnded:
-		if m.out[in.Op][in.Hop] = false; !in.Final && !slices.Contains(m.out[in.Op], true) {
-			return append(e, policy.Effect{Kind: policy.WriteOff, Op: in.Op})
+	case policy.AttemptEnded:
+		if m.out[in.Request][in.Attempt] = false; !in.ClientAnswered && !slices.Contains(m.out[in.Request], true) {
+			return append(e, policy.Effect{Kind: policy.Fail, Request: in.Request})
 		}
-	case policy.Left:
-		clear(m.out[in.Op])
+	case policy.ClientLeft:
+		clear(m.out[in.Request])
 	}
 	return e
 }
@@ -43,61 +43,61 @@
 	const first, copied, leave = 0, 1, 2
 	type step struct {
 		what int
-		how  End
+		how  AttemptResult
 	}
 	for name, c := range map[string]struct {
 		steps  []step
-		want   DecisionKind
+		want   Action
 		answer string
 		gaveUp [2]bool // the first, the copy
 	}{
-		"the copy answers":              {[]step{{copied, Answered}, {first, GivenUp}}, Handled, "copy", [2]bool{true, false}},
-		"the first answers":             {[]step{{first, Answered}, {copied, GivenUp}}, Handled, "first", [2]bool{false, true}},
-		"both answer, the copy before":  {[]step{{copied, Answered}, {first, Answered}}, Handled, "copy", [2]bool{true, false}},
-		"both answer, the first before": {[]step{{first, Answered}, {copied, Answered}}, Handled, "first", [2]bool{false, true}},
-		"the first breaks":              {[]step{{first, CutOff}, {copied, Answered}}, Handled, "copy", [2]bool{}},
-		"the copy breaks":               {[]step{{copied, CutOff}, {first, Answered}}, Handled, "first", [2]bool{}},
-		"both break":                    {[]step{{copied, CutOff}, {first, CutOff}}, WriteOff, "", [2]bool{}},
-		"the copy is declined":          {[]step{{copied, Declined}, {first, GivenUp}}, WriteOff, "copy", [2]bool{true, false}},
-		"the client leaves":             {[]step{{leave, 0}, {copied, Answered}, {first, Answered}}, Drop, "", [2]bool{}},
-		"it leaves when one is broken":  {[]step{{first, CutOff}, {leave, 0}, {copied, Answered}}, Drop, "", [2]bool{}},
+		"the copy answers":              {[]step{{copied, Succeeded}, {first, Abandoned}}, Respond, "copy", [2]bool{true, false}},
+		"the first answers":             {[]step{{first, Succeeded}, {copied, Abandoned}}, Respond, "first", [2]bool{false, true}},
+		"both answer, the copy before":  {[]step{{copied, Succeeded}, {first, Succeeded}}, Respond, "copy", [2]bool{true, false}},
+		"both answer, the first before": {[]step{{first, Succeeded}, {copied, Succeeded}}, Respond, "first", [2]bool{false, true}},
+		"the first breaks":              {[]step{{first, ConnectionLost}, {copied, Succeeded}}, Respond, "copy", [2]bool{}},
+		"the copy breaks":               {[]step{{copied, ConnectionLost}, {first, Succeeded}}, Respond, "first", [2]bool{}},
+		"both break":                    {[]step{{copied, ConnectionLost}, {first, ConnectionLost}}, Fail, "", [2]bool{}},
+		"the copy is declined":          {[]step{{copied, RequestFault}, {first, Abandoned}}, Fail, "copy", [2]bool{true, false}},
+		"the client leaves":             {[]step{{leave, 0}, {copied, Succeeded}, {first, Succeeded}}, Drop, "", [2]bool{}},
+		"it leaves when one is broken":  {[]step{{first, ConnectionLost}, {leave, 0}, {copied, Succeeded}}, Drop, "", [2]bool{}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := settings.Settings{TypeNames: []string{"check"}, Settings: policy.Settings{Types: []policy.TrafficType{{AbandonTime: time.Hour}}}}
-			f := New(s, 1, Limits{MemoryMB: 64, Sockets: 64}, func(policy.Settings, uint32) engine.Module { return &copier{} })
+			s := settings.Settings{TypeNames: []string{"check"}, Settings: policy.Settings{TrafficTypes: []policy.TrafficType{{ClientTimeout: time.Hour}}}}
+			f := New(s, 1, Limits{MemoryMB: 64, Sockets: 64}, func(policy.Settings, uint32) engine.Decider { return &copier{} })
 			t.Cleanup(f.Stop)
-			f.Listed(listed(host("a", 1), host("b", 2)), endpoints.Saved)
+			f.ApplyList(listed(host("a", 1), host("b", 2)), endpoints.SourceConfig)
 			var copyHop Decision
 			var gaveUp [2]bool
-			op, err := f.Arrive(Arrival{ID: []byte("x"), Route: -1, Budget: time.Hour, Copying: func(_ *Operation, d Decision) { copyHop = d }})
+			op, err := f.Submit(Arrival{ID: []byte("x"), RouteIndex: -1, Timeout: time.Hour, StartHedge: func(_ *Request, d Decision) { copyHop = d }})
 			if err != nil {
 				t.Fatal(err)
 			}
-			d := op.Next(func() { gaveUp[first] = true })
+			d := op.NextDecision(func() { gaveUp[first] = true })
 			f.woken()
-			if copyHop.Kind != Send || copyHop.Hop != 1 || copyHop.Server != "b" {
+			if copyHop.Action != SendAttempt || copyHop.Attempt != 1 || copyHop.Server != "b" {
 				t.Fatalf("the copy: %+v", copyHop)
 			}
-			op.Copying(copyHop, func() { gaveUp[copied] = true })
-			if !op.Writing(d.Hop) || !op.Writing(copyHop.Hop) {
+			op.HedgeStarted(copyHop, func() { gaveUp[copied] = true })
+			if !op.BeginWrite(d.Attempt) || !op.BeginWrite(copyHop.Attempt) {
 				t.Fatal("not to be written")
 			}
 			for _, s := range c.steps {
 				switch s.what {
 				case leave:
-					op.Left()
+					op.ClientDisconnected()
 				case first:
-					op.Ended(d.Hop, s.how, []byte("first"))
+					op.AttemptEnded(d.Attempt, s.how, []byte("first"))
 				case copied:
-					op.Ended(copyHop.Hop, s.how, []byte("copy"))
+					op.AttemptEnded(copyHop.Attempt, s.how, []byte("copy"))
 				}
 			}
-			last := op.Next(func() {})
-			if last.Kind != c.want || string(last.Answer) != c.answer || gaveUp != c.gaveUp {
-				t.Errorf("ended with %d, %q, given up %v", last.Kind, last.Answer, gaveUp)
+			last := op.NextDecision(func() {})
+			if last.Action != c.want || string(last.Answer) != c.answer || gaveUp != c.gaveUp {
+				t.Errorf("ended with %d, %q, given up %v", last.Action, last.Answer, gaveUp)
 			}
 			n := f.Counts()
-			if n.Handled+n.WrittenOff+n.Left != 1 || n.Copies != 1 || n.Open != 0 || len(f.open) != 0 {
+			if n.Responded+n.Failed+n.Disconnected != 1 || n.Hedges != 1 || n.OpenRequests != 0 || len(f.open) != 0 {
 				t.Errorf("counted %+v", n)
 			}
 		})
@@ -106,22 +106,22 @@
 
 // A copy that is decided on when the answer is already there is given up before it is sent.
 func TestCopyAfterTheAnswer(t *testing.T) {
-	f := New(settings.Settings{TypeNames: []string{"check"}, Settings: policy.Settings{Types: []policy.TrafficType{{}}}}, 1,
-		Limits{MemoryMB: 64, Sockets: 64}, func(policy.Settings, uint32) engine.Module { return &copier{} })
+	f := New(settings.Settings{TypeNames: []string{"check"}, Settings: policy.Settings{TrafficTypes: []policy.TrafficType{{}}}}, 1,
+		Limits{MemoryMB: 64, Sockets: 64}, func(policy.Settings, uint32) engine.Decider { return &copier{} })
 	t.Cleanup(f.Stop)
-	f.Listed(listed(host("a", 1), host("b", 2)), endpoints.Saved)
+	f.ApplyList(listed(host("a", 1), host("b", 2)), endpoints.SourceConfig)
 	var copyHop Decision
-	op, _ := f.Arrive(Arrival{ID: []byte("x"), Route: -1, Budget: time.Hour, Copying: func(_ *Operation, d Decision) { copyHop = d }})
-	d := op.Next(func() {})
+	op, _ := f.Submit(Arrival{ID: []byte("x"), RouteIndex: -1, Timeout: time.Hour, StartHedge: func(_ *Request, d Decision) { copyHop = d }})
+	d := op.NextDecision(func() {})
 	f.woken()
-	op.Ended(d.Hop, Answered, nil)
+	op.AttemptEnded(d.Attempt, Succeeded, nil)
 	gaveUp := false
-	if op.Copying(copyHop, func() { gaveUp = true }); !gaveUp || !op.Settled() {
+	if op.HedgeStarted(copyHop, func() { gaveUp = true }); !gaveUp || !op.IsSettled() {
 		t.Error("it is sent all the same")
 	}
-	op.Next(func() {})
-	op.Ended(copyHop.Hop, GivenUp, nil)
-	if n := f.Counts(); n.Open != 0 || n.Ends[GivenUp] != 1 {
+	op.NextDecision(func() {})
+	op.AttemptEnded(copyHop.Attempt, Abandoned, nil)
+	if n := f.Counts(); n.OpenRequests != 0 || n.AttemptResults[Abandoned] != 1 {
 		t.Errorf("counted %+v", n)
 	}
 }
@@ -129,7 +129,7 @@
 // What is written late to a server that leaves stays well within the grace of the settings, however short.
 func TestLateWithinTheGrace(t *testing.T) {
 	for grace, want := range map[time.Duration]time.Duration{-1: lateMost, 0: 0, 100 * time.Millisecond: 60 * time.Millisecond, time.Minute: lateMost} {
-		f := Fleet{set: settings.Settings{DrainGrace: grace}}
+		f := Dispatcher{set: settings.Settings{DrainGrace: grace}}
 		if got := f.lateFor(); got != want {
 			t.Errorf("grace %v: %v, not %v", grace, got, want)
 		}
@@ -140,32 +140,32 @@
 func TestNothingNewToWhoLeft(t *testing.T) {
 	gone, drains := host("a", 1), host("a", 1)
 	gone.Phase, drains.Phase = http1.Deleted, http1.Draining
-	for name, l := range map[string]http1.List{
-		"gone": {Hosts: []http1.Host{gone}}, "drains": {Hosts: []http1.Host{drains}}, "not named": listed(host("b", 2)),
-		"another at its address": {Hosts: []http1.Host{host("c", 1)}},
+	for name, l := range map[string]http1.EndpointList{
+		"gone": {Hosts: []http1.Endpoint{gone}}, "drains": {Hosts: []http1.Endpoint{drains}}, "not named": listed(host("b", 2)),
+		"another at its address": {Hosts: []http1.Endpoint{host("c", 1)}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, Settings: policy.Settings{Nodes: 1, MostHops: 4, Copies: true,
-				ConnectTimeout: time.Second, Types: []policy.TrafficType{{TargetTime: time.Minute, AbandonTime: time.Hour, Revenue: 1,
-					CopyAfter: time.Nanosecond, CopyShare: 1}}}}
-			f := New(s, 1, limits, engine.Policy)
+			s := settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, Settings: policy.Settings{NodeCount: 1, MaxAttempts: 4, HedgingAllowed: true,
+				ConnectTimeout: time.Second, TrafficTypes: []policy.TrafficType{{LatencyObjective: time.Minute, ClientTimeout: time.Hour, PriorityWeight: 1,
+					HedgeDelay: time.Nanosecond, HedgeRatio: 1}}}}
+			f := New(s, 1, limits, engine.NewPolicy)
 			t.Cleanup(f.Stop)
-			f.Listed(listed(host("a", 1), host("b", 2)), endpoints.Saved)
-			f.Reserve()
-			f.Keep("a", false, http1.NewConn(&closer{closed: make(chan string, 1)}))
-			var waiting []*Operation
+			f.ApplyList(listed(host("a", 1), host("b", 2)), endpoints.SourceConfig)
+			f.AcquireServerDescriptor()
+			f.PutIdle("a", false, http1.NewConn(&closer{closed: make(chan string, 1)}))
+			var waiting []*Request
 			for range 40 { // more than are sent at once
 				if op := arrive(f); op != nil {
 					waiting = append(waiting, op)
 				}
 			}
-			f.Listed(l, endpoints.Discovery)
-			if f.Take("a") != nil {
+			f.ApplyList(l, endpoints.SourceDiscovery)
+			if f.TakeIdle("a") != nil {
 				t.Error("a kept connection is used")
 			}
 			to := func(d Decision) {
-				if d.Kind == Send && d.Server == "a" {
-					t.Errorf("hop %d is sent there", d.Hop)
+				if d.Action == SendAttempt && d.Server == "a" {
+					t.Errorf("hop %d is sent there", d.Attempt)
 				}
 			}
 			first := 0
@@ -176,9 +176,9 @@
 						first++
 					}
 					op.ready <- struct{}{}
-					d := op.Next(func() {})
+					d := op.NextDecision(func() {})
 					f.woken() // a copy, if any
-					op.Ended(d.Hop, Refused, nil)
+					op.AttemptEnded(d.Attempt, ConnectRefused, nil)
 				default:
 				}
 			}
@@ -189,16 +189,16 @@
 				for range 4 {
 					select {
 					case <-op.ready:
-						if op.next.Kind == undecided {
+						if op.next.Action == undecided {
 							break // it waits for a connection; what it is sent then is looked at below
 						}
 						op.ready <- struct{}{}
-						d := op.Next(func() {})
-						if to(d); d.Kind != Send {
+						d := op.NextDecision(func() {})
+						if to(d); d.Action != SendAttempt {
 							break
 						}
 						f.woken()
-						op.Ended(d.Hop, Refused, nil)
+						op.AttemptEnded(d.Attempt, ConnectRefused, nil)
 					default:
 					}
 				}
--- a/internal/proxy/dispatch/digest.go
+++ b/internal/proxy/dispatch/digest.go
@@ -33,8 +33,8 @@
 	failed   int
 }
 
-// Digest has reports gathered from now on.
-func (f *Fleet) Digest() {
+// EnableReports has reports gathered from now on.
+func (f *Dispatcher) EnableReports() {
 	f.mu.Lock()
 	defer f.unlock()
 	f.digests.reset(f.now(), len(f.set.TypeNames))
@@ -78,7 +78,7 @@
 }
 
 // ended books a hop's end. What says nothing of its server, or of the request alone, is left out.
-func (d *digests) ended(server string, kind int, how End, spent time.Duration) {
+func (d *digests) ended(server string, kind int, how AttemptResult, spent time.Duration) {
 	if !d.on || kind >= len(d.asked) {
 		return
 	}
@@ -99,50 +99,50 @@
 }
 
 // Report is what has happened since the last one.
-func (f *Fleet) Report() plan.Report {
+func (f *Dispatcher) Report() plan.Report {
 	f.mu.Lock()
 	defer f.unlock()
 	now, d := f.now(), &f.digests
-	r := plan.Report{Sent: now, Span: now - d.since, Figures: plan.Figures{Nodes: f.set.Nodes, ColdFor: f.set.ColdFor,
-		ColdStart: f.set.ColdStart, FallMultiple: f.set.FallMultiple, Allowances: f.allowances}}
+	r := plan.Report{SentAt: now, Interval: now - d.since, Settings: plan.ForwarderSettings{Nodes: f.set.NodeCount, SlowStartDuration: f.set.SlowStartDuration,
+		InitialCapacity: f.set.SlowStartInitialCapacity, FallMultiple: f.set.CrashLoadFactor, TotalAllowance: f.allowances}}
 	for _, o := range f.ops {
-		r.Flying += len(o.outs)
+		r.InFlight += len(o.outs)
 	}
 	for k, name := range f.set.TypeNames {
-		r.Types = append(r.Types, plan.Type{Name: name, Target: f.set.Types[k].TargetTime, Asked: d.asked[k], Denied: d.denied[k]})
+		r.Types = append(r.Types, plan.TypeReport{Name: name, TargetTime: f.set.TrafficTypes[k].LatencyObjective, Requests: d.asked[k], Rejected: d.denied[k]})
 	}
 	r.Tenants = f.reportTenants()
 	for id, s := range d.servers {
-		told := plan.Server{ID: id, TimedOut: s.timedOut, Failed: s.failed}
+		told := plan.ServerReport{ID: id, TimedOut: s.timedOut, Failed: s.failed}
 		for k, n := range s.answered {
 			if n > 0 {
-				told.Answered = append(told.Answered, plan.Answered{Type: k, N: n, Sum: s.spent[k]})
+				told.Completions = append(told.Completions, plan.Completions{TypeIndex: k, Count: n, TotalLatency: s.spent[k]})
 			}
 		}
 		r.Servers = append(r.Servers, told)
 	}
-	slices.SortFunc(r.Servers, func(a, b plan.Server) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(r.Servers, func(a, b plan.ServerReport) int { return cmp.Compare(a.ID, b.ID) })
 	d.reset(now, len(f.set.TypeNames))
 	return r
 }
 
 // reportTenants tells of those tenants only that have an allowance and had traffic since the last report.
-func (f *Fleet) reportTenants() (told []plan.Tenant) {
+func (f *Dispatcher) reportTenants() (told []plan.TenantReport) {
 	d := &f.digests
 	for t := range d.active.All() {
-		if allowance := f.set.AllowancePerS[t]; allowance > 0 {
-			told = append(told, plan.Tenant{Name: f.set.TenantNames[t], Allowance: allowance, Asked: d.tenants[t]})
+		if allowance := f.set.TenantQuotas[t]; allowance > 0 {
+			told = append(told, plan.TenantReport{Name: f.set.TenantNames[t], Allowance: allowance, Requests: d.tenants[t]})
 		}
 	}
 	if len(told) <= reportedTenants {
 		return told
 	}
-	slices.SortStableFunc(told, func(a, b plan.Tenant) int { return cmp.Compare(b.Asked, a.Asked) })
+	slices.SortStableFunc(told, func(a, b plan.TenantReport) int { return cmp.Compare(b.Requests, a.Requests) })
 	return told[:reportedTenants]
 }
 
 // Now is the fleet's clock, which Report tells.
-func (f *Fleet) Now() time.Duration { return f.now() }
+func (f *Dispatcher) Now() time.Duration { return f.now() }
 
 // tenantShares are the shares of operations within the allowance, by tenant, that the last plan tells. The module holds
 // the slice, which changes only under the fleet's lock and before it is told of a plan.
@@ -170,25 +170,25 @@
 	return t.shares
 }
 
-// Planned has the module follow what a plan says. within is by tenant name; nil leaves tenants to the module.
-func (f *Fleet) Planned(nodes int, admit float64, within map[string]float64, servers []plan.Share) {
+// ApplyPlan has the module follow what a plan says. within is by tenant name; nil leaves tenants to the module.
+func (f *Dispatcher) ApplyPlan(nodes int, admit float64, within map[string]float64, servers []plan.ServerShare) {
 	f.mu.Lock()
 	defer f.unlock()
-	in := policy.Input{Nodes: max(nodes, 1), Admit: admit}
+	in := policy.Input{NodeCount: max(nodes, 1), MaxAdmittedShare: admit}
 	if within != nil {
-		in.Within = f.within.follow(within, f.tenants, f.set.AllowancePerS)
+		in.WithinQuotaShares = f.within.follow(within, f.tenants, f.set.TenantQuotas)
 	}
 	most := 0.0
 	for _, s := range servers {
 		most = max(most, s.Share)
 	}
-	shares := make([]engine.Share[string], 0, len(servers))
+	shares := make([]engine.Assignment[string], 0, len(servers))
 	for _, s := range servers {
-		line := policy.Share{Part: s.Share / max(most, 1e-9), Pace: s.Pace, Rest: s.Rest}
-		if s.Avoid {
-			line.Part = -1
+		line := policy.Assignment{Preference: s.Share / max(most, 1e-9), SlowStartRate: s.SlowStartRate, EjectFor: s.EjectionRemaining}
+		if s.IsAvoided {
+			line.Preference = -1
 		}
-		shares = append(shares, engine.Share[string]{Server: s.ID, Line: line})
+		shares = append(shares, engine.Assignment[string]{Server: s.ID, Info: line})
 	}
-	f.door.Planned(f.now(), in, shares, (*hands)(f))
+	f.door.PlanChanged(f.now(), in, shares, (*hands)(f))
 }
--- a/internal/proxy/dispatch/digest_test.go
+++ b/internal/proxy/dispatch/digest_test.go
@@ -16,34 +16,34 @@
 )
 
 // withTenants is a fleet with so many tenants of one request a second each, but for the first, which has no allowance.
-func withTenants(t *testing.T, tenants int) (f *Fleet, seen *within) {
+func withTenants(t *testing.T, tenants int) (f *Dispatcher, seen *within) {
 	s := settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"},
-		Settings: policy.Settings{Nodes: 1, MostHops: 1, Types: []policy.TrafficType{{TargetTime: time.Minute, AbandonTime: time.Hour, Revenue: 1}}}}
+		Settings: policy.Settings{NodeCount: 1, MaxAttempts: 1, TrafficTypes: []policy.TrafficType{{LatencyObjective: time.Minute, ClientTimeout: time.Hour, PriorityWeight: 1}}}}
 	for tenant := range tenants {
 		s.TenantNames = append(s.TenantNames, fmt.Sprint("t", tenant))
-		s.AllowancePerS = append(s.AllowancePerS, min(float64(tenant), 1))
+		s.TenantQuotas = append(s.TenantQuotas, min(float64(tenant), 1))
 	}
 	seen = &within{}
-	f = New(s, 1, limits, func(s policy.Settings, seed uint32) engine.Module {
-		seen.Module = policy.New(s, seed)
+	f = New(s, 1, limits, func(s policy.Settings, seed uint32) engine.Decider {
+		seen.Decider = policy.New(s, seed)
 		return seen
 	})
 	t.Cleanup(f.Stop)
-	f.Digest()
+	f.EnableReports()
 	return f, seen
 }
 
 // within notes what a plan tells the module of tenants.
 type within struct {
-	engine.Module
+	engine.Decider
 	shares []float64
 }
 
 func (m *within) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
-	if in.Kind == policy.Planned {
-		m.shares = slices.Clone(in.Within)
+	if in.Kind == policy.PlanChanged {
+		m.shares = slices.Clone(in.WithinQuotaShares)
 	}
-	return m.Module.Handle(now, in, effects)
+	return m.Decider.Handle(now, in, effects)
 }
 
 // A report names the tenants with traffic since the last one, however many others there are.
@@ -51,18 +51,18 @@
 	const tenants, most = 50_000, 200 // bytes of a report of three tenants
 	f, _ := withTenants(t, tenants)
 	for i, tenant := range []int{7, 40_000, 7, 0, 12, tenants} { // the first has no allowance, the last is not known
-		f.Arrive(Arrival{ID: fmt.Append(nil, "r", i), Tenant: fmt.Append(nil, "t", tenant), Route: -1, Budget: time.Hour})
+		f.Submit(Arrival{ID: fmt.Append(nil, "r", i), Tenant: fmt.Append(nil, "t", tenant), RouteIndex: -1, Timeout: time.Hour})
 	}
 	r := f.Report()
 	told := map[string]int{}
 	for _, tenant := range r.Tenants {
-		told[tenant.Name] = tenant.Asked
+		told[tenant.Name] = tenant.Requests
 	}
 	if !maps.Equal(told, map[string]int{"t7": 2, "t12": 1, "t40000": 1}) {
 		t.Errorf("%d tenants are named", len(r.Tenants))
 	}
-	if r.Figures.Allowances != tenants-1 {
-		t.Errorf("the allowances of all are %g", r.Figures.Allowances)
+	if r.Settings.TotalAllowance != tenants-1 {
+		t.Errorf("the allowances of all are %g", r.Settings.TotalAllowance)
 	}
 	if frame, err := planwire.Append(nil, planwire.ReportKind, r); err != nil || len(frame) > most {
 		t.Errorf("%d bytes, %v", len(frame), err)
@@ -70,8 +70,8 @@
 	if r := f.Report(); len(r.Tenants) != 0 {
 		t.Errorf("%d tenants are named without traffic", len(r.Tenants))
 	}
-	f.SetAllowances(map[string]float64{"t7": 3, "another": 5})
-	if got := f.Report().Figures.Allowances; got != tenants-1+2+5 {
+	f.SetQuotas(map[string]float64{"t7": 3, "another": 5})
+	if got := f.Report().Settings.TotalAllowance; got != tenants-1+2+5 {
 		t.Errorf("the allowances of all are %g after a change", got)
 	}
 }
@@ -107,7 +107,7 @@
 	const tenants = 50_000
 	f, seen := withTenants(t, tenants)
 	for _, named := range []map[string]float64{{"t7": 0.5, "t0": 0.5, "unknown": 0.5}, {"t9": 0.25}, {}} {
-		f.Planned(1, 0, named, nil)
+		f.ApplyPlan(1, 0, named, nil)
 		want := slices.Repeat([]float64{1}, tenants)
 		for name, share := range named {
 			if tenant, known := f.tenants[name]; known && tenant > 0 {
@@ -118,15 +118,15 @@
 			t.Errorf("%v is followed otherwise", named)
 		}
 	}
-	if f.Planned(1, 0, nil, nil); seen.shares != nil {
+	if f.ApplyPlan(1, 0, nil, nil); seen.shares != nil {
 		t.Error("tenants are judged by a plan that says nothing of them")
 	}
 	before := &f.within.shares[0]
-	if f.Planned(1, 0, map[string]float64{"t7": 0.5}, nil); before != &f.within.shares[0] {
+	if f.ApplyPlan(1, 0, map[string]float64{"t7": 0.5}, nil); before != &f.within.shares[0] {
 		t.Error("all tenants are copied for a plan")
 	}
-	f.SetAllowances(map[string]float64{"new": 1})
-	if f.Planned(1, 0, map[string]float64{"new": 0.5}, nil); len(seen.shares) != tenants+1 || seen.shares[tenants] != 0.5 || seen.shares[7] != 1 {
+	f.SetQuotas(map[string]float64{"new": 1})
+	if f.ApplyPlan(1, 0, map[string]float64{"new": 0.5}, nil); len(seen.shares) != tenants+1 || seen.shares[tenants] != 0.5 || seen.shares[7] != 1 {
 		t.Errorf("one that has come to be known: %d, %v", len(seen.shares), seen.shares[len(seen.shares)-1])
 	}
 }
--- a/internal/proxy/dispatch/evidence.go
+++ b/internal/proxy/dispatch/evidence.go
@@ -7,24 +7,24 @@
 
 const evidenceMost = 1024 // pieces that wait to be looked at; more say nothing new
 
-// Evidence has hops' ends told from now on, to each that asks for it. A reader that is slow costs some of them, never an
+// Observations has hops' ends told from now on, to each that asks for it. A reader that is slow costs some of them, never an
 // operation.
-func (f *Fleet) Evidence() <-chan endpoints.Evidence {
+func (f *Dispatcher) Observations() <-chan endpoints.Observation {
 	f.mu.Lock()
 	defer f.unlock()
-	c := make(chan endpoints.Evidence, evidenceMost)
+	c := make(chan endpoints.Observation, evidenceMost)
 	f.evidence = append(f.evidence, c)
 	return c
 }
 
-func (f *Fleet) tell(server string, how End) {
-	e := endpoints.Evidence{Server: server}
+func (f *Dispatcher) tell(server string, how AttemptResult) {
+	e := endpoints.Observation{Server: server}
 	switch how.Outcome() {
-	case policy.Success, policy.Declined:
-		e.Answered, e.Ran = true, true
-		f.book.Ran(f.now(), server)
+	case policy.Success, policy.ClientError:
+		e.HasResponded, e.HasExecuted = true, true
+		f.book.MarkExecuted(f.now(), server)
 	case policy.Failure, policy.Overloaded:
-		e.Answered = true
+		e.HasResponded = true
 	case policy.Unreachable:
 	default:
 		return
@@ -32,14 +32,14 @@
 	f.pass(e)
 }
 
-// Mistaken tells that another server answers where one was looked for.
-func (f *Fleet) Mistaken(server string) {
+// WrongServer tells that another server answers where one was looked for.
+func (f *Dispatcher) WrongServer(server string) {
 	f.mu.Lock()
 	defer f.unlock()
-	f.pass(endpoints.Evidence{Server: server, Another: true})
+	f.pass(endpoints.Observation{Server: server, IsOtherServer: true})
 }
 
-func (f *Fleet) pass(e endpoints.Evidence) {
+func (f *Dispatcher) pass(e endpoints.Observation) {
 	for _, c := range f.evidence {
 		select {
 		case c <- e:
--- a/internal/proxy/dispatch/fleet.go
+++ b/internal/proxy/dispatch/fleet.go
@@ -27,18 +27,18 @@
 	askPauseShare = 4 // the module's pause is at most this part of the time that settings give for asking
 )
 
-// Fleet is the memory of one node. All its methods may be called from anywhere; none waits on a socket.
-type Fleet struct {
+// Dispatcher is the memory of one node. All its methods may be called from anywhere; none waits on a socket.
+type Dispatcher struct {
 	mu      sync.Mutex
-	door    *engine.Node[string]
+	door    *engine.Engine[string]
 	set     settings.Settings
-	routes  *route.Live
-	routed  atomic.Pointer[route.Set] // that of routes, to be matched with outside the lock
+	routes  *route.Router
+	routed  atomic.Pointer[route.Table] // that of routes, to be matched with outside the lock
 	started time.Time
 	wake    *time.Timer
 	asked   chan struct{}
 
-	ops        map[uint64]*Operation
+	ops        map[uint64]*Request
 	open       map[string]bool // the clients' ids of those that are not settled
 	lastOp     uint64
 	types      map[string]int
@@ -51,42 +51,42 @@
 	servers    map[string]*server
 	idlers     map[*server]struct{} // those with idle connections, and perhaps others
 	visits     int                  // servers come to by what is not about one of them, for tests that count
-	book       *endpoints.Book      // what is known of them
+	book       *endpoints.View      // what is known of them
 	closing    []io.Closer          // to be closed when the lock is given back
 	room       room
 	counts     Counts
 	digests    digests
-	evidence   []chan endpoints.Evidence // of those who ask for it
-	wary       bool                      // what must not run twice goes to servers that are proved only
+	evidence   []chan endpoints.Observation // of those who ask for it
+	wary       bool                         // what must not run twice goes to servers that are proved only
 	proved     map[string]bool
 	hoards     bool // idle connections to servers that leave are kept
 }
 
 // Hoard has idle connections to servers that leave be kept, for modules that are broken on purpose.
-func (f *Fleet) Hoard() {
+func (f *Dispatcher) Hoard() {
 	f.mu.Lock()
 	defer f.unlock()
 	f.hoards = true
 }
 
 type server struct {
-	line policy.Member // as the module was last told
-	cgi  bool          // speaks FastCGI
-	idle []idleConn    // the latest used last
+	line policy.Endpoint // as the module was last told
+	cgi  bool            // speaks FastCGI
+	idle []idleConn      // the latest used last
 }
 
 // New starts the module that a maker makes.
-func New(s settings.Settings, seed uint32, limits Limits, module engine.Maker) *Fleet {
+func New(s settings.Settings, seed uint32, limits Limits, module engine.DeciderFactory) *Dispatcher {
 	// On sockets nothing is pushed: also where the settings say so, the list comes only to a node that asks.
-	if !s.OnRequest {
-		s.OnRequest, s.AskWithin = true, 0 // an agent that is silent is asked again soon: what it gets at its return is told at once
+	if !s.MustRequestEndpoints {
+		s.MustRequestEndpoints, s.RequestEndpointsWithin = true, 0 // an agent that is silent is asked again soon: what it gets at its return is told at once
 	}
-	s.AskWithin = min(s.AskWithin, askPauseShare*askPauseMost)
-	f := &Fleet{set: s, routes: route.NewLive(&s), started: time.Now(), asked: make(chan struct{}, 1), ops: map[uint64]*Operation{}, open: map[string]bool{},
-		allowances: columns.Sum(s.AllowancePerS),
+	s.RequestEndpointsWithin = min(s.RequestEndpointsWithin, askPauseShare*askPauseMost)
+	f := &Dispatcher{set: s, routes: route.NewRouter(&s), started: time.Now(), asked: make(chan struct{}, 1), ops: map[uint64]*Request{}, open: map[string]bool{},
+		allowances: columns.Sum(s.TenantQuotas),
 		types:      index(s.TypeNames), tenants: index(s.TenantNames), zones: index(s.Zones), kinds: index(s.Kinds),
-		servers: map[string]*server{}, idlers: map[*server]struct{}{}, book: endpoints.NewBook(), room: newRoom(limits)}
-	f.book.OnlyDraining = s.OnlyDraining
+		servers: map[string]*server{}, idlers: map[*server]struct{}{}, book: endpoints.NewView(), room: newRoom(limits)}
+	f.book.IgnoreRemovals = s.UnlistedUsable
 	f.mu.Lock()
 	defer f.unlock()
 	f.wake = time.AfterFunc(time.Hour, f.woken)
@@ -95,7 +95,7 @@
 }
 
 // Stop ends the module's timer.
-func (f *Fleet) Stop() { f.wake.Stop() }
+func (f *Dispatcher) Stop() { f.wake.Stop() }
 
 func index(names []string) map[string]int {
 	m := make(map[string]int, len(names))
@@ -105,10 +105,10 @@
 	return m
 }
 
-func (f *Fleet) now() time.Duration { return time.Since(f.started) }
+func (f *Dispatcher) now() time.Duration { return time.Since(f.started) }
 
 // unlock gives the lock back and then closes what was to be closed, so that no socket is waited on under it.
-func (f *Fleet) unlock() {
+func (f *Dispatcher) unlock() {
 	closing := f.closing
 	f.closing = nil
 	f.mu.Unlock()
@@ -117,29 +117,29 @@
 	}
 }
 
-func (f *Fleet) woken() {
+func (f *Dispatcher) woken() {
 	f.mu.Lock()
 	defer f.unlock()
-	f.door.Woken(f.now(), (*hands)(f))
+	f.door.TimerFired(f.now(), (*hands)(f))
 	f.retire()
 }
 
-// Asked is sent to when the module wants the list of servers watched.
-func (f *Fleet) Asked() <-chan struct{} { return f.asked }
+// PollRequested is sent to when the module wants the list of servers watched.
+func (f *Dispatcher) PollRequested() <-chan struct{} { return f.asked }
 
-// Unlisted tells that discovery has failed.
-func (f *Fleet) Unlisted() {
+// DiscoveryFailed tells that discovery has failed.
+func (f *Dispatcher) DiscoveryFailed() {
 	f.mu.Lock()
 	defer f.unlock()
-	f.door.List(f.now(), policy.Unavailable, nil, (*hands)(f))
+	f.door.EndpointsUpdated(f.now(), policy.Unavailable, nil, (*hands)(f))
 }
 
-// Listed takes a list of servers from a source.
-func (f *Fleet) Listed(l http1.List, from endpoints.Source) {
-	words := make([]endpoints.Word, 0, len(l.Hosts))
+// ApplyList takes a list of servers from a source.
+func (f *Dispatcher) ApplyList(l http1.EndpointList, from endpoints.Source) {
+	words := make([]endpoints.Endpoint, 0, len(l.Hosts))
 	for _, h := range l.Hosts {
-		words = append(words, endpoints.Word{ID: h.ID, Address: h.Address, Zone: h.Zone, Flavor: h.Flavor, Cell: h.Cell, Size: h.Size,
-			Up: h.UpSinceMS, Condition: lives[h.Phase]})
+		words = append(words, endpoints.Endpoint{ID: h.ID, Address: h.Address, Zone: h.Zone, MachineKind: h.Flavor, Cell: h.Cell, Weight: h.Size,
+			StartedUnixMS: h.UpSinceMS, Condition: lives[h.Phase]})
 	}
 	f.mu.Lock()
 	defer f.unlock()
@@ -147,47 +147,47 @@
 }
 
 // take has the book and the module take in what a source says.
-func (f *Fleet) take(words []endpoints.Word, from endpoints.Source, whole bool) {
-	scope := policy.Changes
-	if from == endpoints.Saved || from == endpoints.Disk {
-		scope = policy.Saved
+func (f *Dispatcher) take(words []endpoints.Endpoint, from endpoints.Source, whole bool) {
+	scope := policy.Incremental
+	if from == endpoints.SourceConfig || from == endpoints.SourceSnapshot {
+		scope = policy.Cached
 	} else if whole {
-		scope = policy.Whole
+		scope = policy.Full
 	}
 	now, clock := f.now(), time.Now().UnixMilli()
-	u := f.book.Told(now, from, words, scope != policy.Changes)
-	lines := make([]engine.Member[string], 0, len(u.Lines))
-	for _, w := range u.Lines {
-		line := policy.Member{Rank: crc32.ChecksumIEEE([]byte(w.ID)), Zone: number(f.zones, w.Zone), Kind: number(f.kinds, w.Flavor), Cell: w.Cell,
-			Condition: conditions[w.Condition], Scale: w.Size, HasStart: w.Up > 0, Labels: f.labels(w.ID, w.Zone, w.Flavor)}
-		line.Replaced = w.Lost
-		if line.HasStart {
-			line.Started = now + time.Duration(w.Up-clock)*time.Millisecond
+	u := f.book.Apply(now, from, words, scope != policy.Incremental)
+	lines := make([]engine.Endpoint[string], 0, len(u.Changed))
+	for _, w := range u.Changed {
+		line := policy.Endpoint{Rank: crc32.ChecksumIEEE([]byte(w.ID)), Zone: number(f.zones, w.Zone), MachineKind: number(f.kinds, w.MachineKind), Cell: w.Cell,
+			Condition: conditions[w.Condition], Weight: w.Weight, HasStartTime: w.StartedUnixMS > 0, Labels: f.labels(w.ID, w.Zone, w.MachineKind)}
+		line.AddressReassigned = w.IsReplaced
+		if line.HasStartTime {
+			line.StartedAt = now + time.Duration(w.StartedUnixMS-clock)*time.Millisecond
 		}
-		f.note(w.Word, line)
-		lines = append(lines, engine.Member[string]{Server: w.ID, Line: line})
+		f.note(w.Endpoint, line)
+		lines = append(lines, engine.Endpoint[string]{Server: w.ID, Info: line})
 	}
-	for _, id := range u.Idle {
+	for _, id := range u.CloseIdle {
 		f.release(f.servers[id])
 	}
-	f.door.List(now, scope, lines, (*hands)(f))
+	f.door.EndpointsUpdated(now, scope, lines, (*hands)(f))
 }
 
-// Lines are all that is known of servers, by whom and when it was told last, and a count that changes with every list.
+// Endpoints are all that is known of servers, by whom and when it was told last, and a count that changes with every list.
 // Times are the fleet's.
-func (f *Fleet) Lines() (all []endpoints.Line, from endpoints.Source, heard time.Duration, lists int) {
+func (f *Dispatcher) Endpoints() (all []endpoints.Record, from endpoints.Source, heard time.Duration, lists int) {
 	f.mu.Lock()
 	defer f.unlock()
-	all, lists = f.book.Lines()
-	from, heard = f.book.Heard()
+	all, lists = f.book.All()
+	from, heard = f.book.LastAnnouncement()
 	return all, from, heard, lists
 }
 
-// List is who told of servers last, and how long ago.
-func (f *Fleet) List() (from endpoints.Source, age time.Duration) {
+// LastAnnouncement is who told of servers last, and how long ago.
+func (f *Dispatcher) LastAnnouncement() (from endpoints.Source, age time.Duration) {
 	f.mu.Lock()
 	defer f.unlock()
-	from, heard := f.book.Heard()
+	from, heard := f.book.LastAnnouncement()
 	return from, f.now() - heard
 }
 
@@ -198,67 +198,67 @@
 	lateShare = 0.6
 )
 
-func (f *Fleet) lateFor() time.Duration {
+func (f *Dispatcher) lateFor() time.Duration {
 	if f.set.DrainGrace < 0 {
 		return lateMost
 	}
 	return min(lateMost, time.Duration(lateShare*float64(f.set.DrainGrace)))
 }
 
-// Parted tells that a server left so long ago that nothing may be written to it any more, whenever it was decided: a
+// IsPastDrainGrace tells that a server left so long ago that nothing may be written to it any more, whenever it was decided: a
 // connection or the journal may have kept the hop waiting.
-func (f *Fleet) Parted(server string) bool {
+func (f *Dispatcher) IsPastDrainGrace(server string) bool {
 	f.mu.Lock()
 	defer f.unlock()
-	return f.book.Parted(f.now(), server, f.lateFor())
+	return f.book.HasLeft(f.now(), server, f.lateFor())
 }
 
 // Routes is the set of routes that holds now, nil for none.
-func (f *Fleet) Routes() *route.Set { return f.routed.Load() }
+func (f *Dispatcher) Routes() *route.Table { return f.routed.Load() }
 
-// Reroute has another set of routes hold from now on. What is in hand ends under the figures that it began with.
-func (f *Fleet) Reroute(set *route.Set) {
+// SetRoutes has another set of routes hold from now on. What is in hand ends under the figures that it began with.
+func (f *Dispatcher) SetRoutes(set *route.Table) {
 	f.mu.Lock()
 	defer f.unlock()
 	f.retype(set)
 }
 
-func (f *Fleet) retype(set *route.Set) {
+func (f *Dispatcher) retype(set *route.Table) {
 	now := f.now()
-	u := f.routes.Swap(now, set)
+	u := f.routes.Replace(now, set)
 	f.routed.Store(set)
-	f.door.Retype(now, policy.Input{Types: f.wariness(u.Types), Like: u.Like, Rooms: u.Rooms}, (*hands)(f))
-	if u.Chooses {
+	f.door.TrafficTypesChanged(now, policy.Input{TrafficTypes: f.wariness(u.Types), LearnFrom: u.InheritFrom, RouteLimits: u.MaxInFlight}, (*hands)(f))
+	if u.SelectionChanged {
 		f.relabel()
 	}
 }
 
 // relabel has servers have the labels, and speak the protocol, that the routes and the suspicion of the list now ask for.
-func (f *Fleet) relabel() {
-	set := f.routes.Set()
-	var lines []engine.Member[string]
+func (f *Dispatcher) relabel() {
+	set := f.routes.Table()
+	var lines []engine.Endpoint[string]
 	for id, s := range f.servers {
 		f.visits++
-		l, _ := f.book.Line(id)
-		if cgi := set.SpeaksFastCGI(id, l.Zone, l.Flavor); cgi != s.cgi {
+		l, _ := f.book.Get(id)
+		if cgi := set.SpeaksFastCGI(id, l.Zone, l.MachineKind); cgi != s.cgi {
 			f.release(s) // what stands idle speaks the other protocol
 			s.cgi = cgi
 		}
-		if labels := f.labels(id, l.Zone, l.Flavor); labels != s.line.Labels {
+		if labels := f.labels(id, l.Zone, l.MachineKind); labels != s.line.Labels {
 			s.line.Labels = labels
-			lines = append(lines, engine.Member[string]{Server: id, Line: s.line})
+			lines = append(lines, engine.Endpoint[string]{Server: id, Info: s.line})
 		}
 	}
 	if len(lines) > 0 {
-		f.door.List(f.now(), policy.Changes, lines, (*hands)(f))
+		f.door.EndpointsUpdated(f.now(), policy.Incremental, lines, (*hands)(f))
 	}
 }
 
-var conditions = [...]policy.Condition{incarnation.Up: policy.Up, incarnation.Draining: policy.Draining, incarnation.Gone: policy.Gone}
+var conditions = [...]policy.Condition{incarnation.Up: policy.Up, incarnation.Draining: policy.Draining, incarnation.Gone: policy.Removed}
 var lives = [...]incarnation.Condition{http1.Serving: incarnation.Up, http1.Draining: incarnation.Draining, http1.Deleted: incarnation.Gone}
 
 // note keeps what the module is told of a server that is worth keeping.
-func (f *Fleet) note(w endpoints.Word, line policy.Member) {
+func (f *Dispatcher) note(w endpoints.Endpoint, line policy.Endpoint) {
 	s := f.servers[w.ID]
 	if s == nil {
 		if w.Condition == incarnation.Gone {
@@ -268,7 +268,7 @@
 		f.servers[w.ID] = s
 	}
 	s.line = line
-	if cgi := f.routes.Set().SpeaksFastCGI(w.ID, w.Zone, w.Flavor); cgi != s.cgi {
+	if cgi := f.routes.Table().SpeaksFastCGI(w.ID, w.Zone, w.MachineKind); cgi != s.cgi {
 		f.release(s)
 		s.cgi = cgi
 	}
--- a/internal/proxy/dispatch/fleet_test.go
+++ b/internal/proxy/dispatch/fleet_test.go
@@ -18,38 +18,40 @@
 
 var limits = Limits{MemoryMB: 192, Sockets: 1024}
 
-func listed(hosts ...http1.Host) http1.List { return http1.List{Complete: true, Hosts: hosts} }
+func listed(hosts ...http1.Endpoint) http1.EndpointList {
+	return http1.EndpointList{Complete: true, Hosts: hosts}
+}
 
-func host(id string, port uint16) http1.Host {
-	return http1.Host{ID: id, Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port), Size: 1}
+func host(id string, port uint16) http1.Endpoint {
+	return http1.Endpoint{ID: id, Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port), Size: 1}
 }
 
-func fleet(t *testing.T, repeat policy.Repeat, l Limits, hosts ...http1.Host) *Fleet {
-	s := settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, Settings: policy.Settings{Nodes: 1, MostHops: 4,
-		ConnectTimeout: time.Second, Types: []policy.TrafficType{{Repeat: repeat, TargetTime: time.Minute,
-			AbandonTime: time.Hour, Revenue: 1}}}}
-	f := New(s, 1, l, engine.Policy)
+func fleet(t *testing.T, repeat policy.Idempotency, l Limits, hosts ...http1.Endpoint) *Dispatcher {
+	s := settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, Settings: policy.Settings{NodeCount: 1, MaxAttempts: 4,
+		ConnectTimeout: time.Second, TrafficTypes: []policy.TrafficType{{Idempotency: repeat, LatencyObjective: time.Minute,
+			ClientTimeout: time.Hour, PriorityWeight: 1}}}}
+	f := New(s, 1, l, engine.NewPolicy)
 	t.Cleanup(f.Stop)
-	f.Listed(listed(hosts...), endpoints.Saved)
+	f.ApplyList(listed(hosts...), endpoints.SourceConfig)
 	return f
 }
 
 var lastID int
 
 // arrive has a fleet take an operation under an id of its own, nil if it does not.
-func arrive(f *Fleet) *Operation {
+func arrive(f *Dispatcher) *Request {
 	lastID++
-	op, _ := f.Arrive(Arrival{ID: fmt.Append(nil, lastID), Route: -1, Budget: time.Hour})
+	op, _ := f.Submit(Arrival{ID: fmt.Append(nil, lastID), RouteIndex: -1, Timeout: time.Hour})
 	return op
 }
 
 func TestEnds(t *testing.T) {
 	// What the module takes for proof that nothing has run.
-	proofs := []policy.Outcome{policy.Overloaded, policy.Unreachable, policy.Void}
-	for end, c := range map[End]struct{ proof, handled bool }{
-		Answered: {false, true}, Erred: {}, CutOff: {}, Garbled: {}, Silent: {}, GivenUp: {},
-		Declined: {}, TurnedAway: {proof: true}, Refused: {proof: true}, NeverUp: {proof: true}, Unsent: {proof: true}, Stale: {proof: true},
-		NoRoom: {proof: true}, NoTime: {proof: true},
+	proofs := []policy.Outcome{policy.Overloaded, policy.Unreachable, policy.NotStarted}
+	for end, c := range map[AttemptResult]struct{ proof, handled bool }{
+		Succeeded: {false, true}, ErrorResponse: {}, ConnectionLost: {}, MalformedResponse: {}, ResponseTimeout: {}, Abandoned: {},
+		RequestFault: {}, NotStarted: {proof: true}, ConnectRefused: {proof: true}, ConnectTimeout: {proof: true}, WriteFailed: {proof: true}, StaleConnection: {proof: true},
+		NoDescriptor: {proof: true}, ExpiredUnsent: {proof: true},
 	} {
 		t.Run(end.String(), func(t *testing.T) {
 			if slices.Contains(proofs, end.Outcome()) != c.proof || (end.Outcome() == policy.Success) != c.handled {
@@ -63,62 +65,62 @@
 func TestOneAnswer(t *testing.T) {
 	const lose, deny, leave, settle = 100, 101, 102, 103
 	for name, c := range map[string]struct {
-		repeat policy.Repeat
+		repeat policy.Idempotency
 		steps  []int // an End, or one of the above from elsewhere
-		want   DecisionKind
+		want   Action
 	}{
-		"handled":                          {policy.Binding, []int{int(Answered)}, Handled},
-		"left, then handled":               {policy.Binding, []int{leave, int(Answered)}, Drop},
-		"left twice":                       {policy.Binding, []int{leave, leave, int(CutOff)}, Drop},
-		"handled, then left":               {policy.Binding, []int{int(Answered), leave}, Handled},
-		"reset":                            {policy.Binding, []int{int(CutOff)}, WriteOff},
-		"reset, then left":                 {policy.Binding, []int{int(CutOff), leave}, WriteOff},
-		"garbled":                          {policy.Binding, []int{int(Garbled)}, WriteOff},
-		"denied while the hop is out":      {policy.Retriable, []int{deny, int(Answered)}, Deny},
-		"written off while the hop is out": {policy.Binding, []int{lose, int(GivenUp)}, WriteOff},
-		"denied, then left":                {policy.Retriable, []int{deny, leave, int(Silent)}, Deny},
-		"left, then denied":                {policy.Retriable, []int{leave, deny, int(Silent)}, Drop},
-		"never ran, then handled":          {policy.Binding, []int{int(TurnedAway), int(Answered)}, Handled},
-		"unsent, then reset":               {policy.Binding, []int{int(Unsent), int(CutOff)}, WriteOff},
-		"never ran, no server left":        {policy.Binding, []int{int(Refused), int(Refused), int(Refused), int(Refused)}, Deny},
+		"handled":                          {policy.NonIdempotent, []int{int(Succeeded)}, Respond},
+		"left, then handled":               {policy.NonIdempotent, []int{leave, int(Succeeded)}, Drop},
+		"left twice":                       {policy.NonIdempotent, []int{leave, leave, int(ConnectionLost)}, Drop},
+		"handled, then left":               {policy.NonIdempotent, []int{int(Succeeded), leave}, Respond},
+		"reset":                            {policy.NonIdempotent, []int{int(ConnectionLost)}, Fail},
+		"reset, then left":                 {policy.NonIdempotent, []int{int(ConnectionLost), leave}, Fail},
+		"garbled":                          {policy.NonIdempotent, []int{int(MalformedResponse)}, Fail},
+		"denied while the hop is out":      {policy.Idempotent, []int{deny, int(Succeeded)}, Reject},
+		"written off while the hop is out": {policy.NonIdempotent, []int{lose, int(Abandoned)}, Fail},
+		"denied, then left":                {policy.Idempotent, []int{deny, leave, int(ResponseTimeout)}, Reject},
+		"left, then denied":                {policy.Idempotent, []int{leave, deny, int(ResponseTimeout)}, Drop},
+		"never ran, then handled":          {policy.NonIdempotent, []int{int(NotStarted), int(Succeeded)}, Respond},
+		"unsent, then reset":               {policy.NonIdempotent, []int{int(WriteFailed), int(ConnectionLost)}, Fail},
+		"never ran, no server left":        {policy.NonIdempotent, []int{int(ConnectRefused), int(ConnectRefused), int(ConnectRefused), int(ConnectRefused)}, Reject},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := fleet(t, c.repeat, limits, host("a", 1), host("b", 2), host("c", 3), host("d", 4))
 			op := arrive(f)
 			given := false
-			d := op.Next(func() { given = true })
+			d := op.NextDecision(func() { given = true })
 			for _, s := range c.steps {
 				switch s {
 				case leave:
-					op.Left()
+					op.ClientDisconnected()
 				case deny, lose:
 					f.mu.Lock()
 					if h := (*hands)(f); s == deny {
-						h.TurnAway(op.id, 0)
+						h.Reject(op.id, 0)
 					} else {
-						h.Lose(op.id)
+						h.Fail(op.id)
 					}
 					f.unlock()
 					if !given && !op.settled {
 						t.Error("the hop was not given up")
 					}
 				default:
-					if d.Kind != Send {
-						t.Fatalf("no hop where one was due, but %d", d.Kind)
+					if d.Action != SendAttempt {
+						t.Fatalf("no hop where one was due, but %d", d.Action)
 					}
-					op.Ended(d.Hop, End(s), nil)
-					if !op.settled && op.next.Kind == Send {
-						d = op.Next(func() {})
+					op.AttemptEnded(d.Attempt, AttemptResult(s), nil)
+					if !op.settled && op.next.Action == SendAttempt {
+						d = op.NextDecision(func() {})
 					}
 				}
 			}
-			if d = op.Next(func() {}); d.Kind != c.want {
-				t.Errorf("ended with %d", d.Kind)
+			if d = op.NextDecision(func() {}); d.Action != c.want {
+				t.Errorf("ended with %d", d.Action)
 			}
-			if n := f.Counts(); n.Handled+n.Denied+n.WrittenOff+n.Left != 1 || n.Open != 0 {
+			if n := f.Counts(); n.Responded+n.Rejected+n.Failed+n.Disconnected != 1 || n.OpenRequests != 0 {
 				t.Errorf("counted %+v", n)
 			}
-			if len(op.outs) > 0 || op.next.Kind != undecided || len(f.ops) != 0 {
+			if len(op.outs) > 0 || op.next.Action != undecided || len(f.ops) != 0 {
 				t.Error("something is left of it")
 			}
 		})
@@ -127,27 +129,31 @@
 
 // A hop that was decided on and overtaken by the client's leaving is never sent, and its server is free.
 func TestOvertakenHop(t *testing.T) {
-	f := fleet(t, policy.Binding, limits, host("a", 1))
+	f := fleet(t, policy.NonIdempotent, limits, host("a", 1))
 	op := arrive(f)
-	op.Left()
-	if d := op.Next(func() {}); d.Kind != Drop || len(op.outs) > 0 {
-		t.Errorf("decided %d, hops out %v", d.Kind, op.outs)
+	op.ClientDisconnected()
+	if d := op.NextDecision(func() {}); d.Action != Drop || len(op.outs) > 0 {
+		t.Errorf("decided %d, hops out %v", d.Action, op.outs)
 	}
 }
 
 func TestClose(t *testing.T) {
-	for name, steps := range map[string]func(*Operation){
-		"before a hop":    func(*Operation) {},
-		"during a hop":    func(op *Operation) { op.Next(func() {}) },
-		"after its end":   func(op *Operation) { op.Next(func() {}); op.Ended(0, Answered, nil); op.Next(func() {}) },
-		"after the leave": func(op *Operation) { op.Next(func() {}); op.Left() },
+	for name, steps := range map[string]func(*Request){
+		"before a hop": func(*Request) {},
+		"during a hop": func(op *Request) { op.NextDecision(func() {}) },
+		"after its end": func(op *Request) {
+			op.NextDecision(func() {})
+			op.AttemptEnded(0, Succeeded, nil)
+			op.NextDecision(func() {})
+		},
+		"after the leave": func(op *Request) { op.NextDecision(func() {}); op.ClientDisconnected() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := fleet(t, policy.Binding, limits, host("a", 1))
+			f := fleet(t, policy.NonIdempotent, limits, host("a", 1))
 			op := arrive(f)
 			steps(op)
 			op.Close()
-			if n := f.Counts(); n.Open != 0 || len(op.outs) > 0 || n.Handled+n.Left != 1 {
+			if n := f.Counts(); n.OpenRequests != 0 || len(op.outs) > 0 || n.Responded+n.Disconnected != 1 {
 				t.Errorf("hops out %v, counted %+v", op.outs, n)
 			}
 		})
@@ -155,32 +161,32 @@
 }
 
 func TestListedServers(t *testing.T) {
-	with := func(h http1.Host, change func(*http1.Host)) http1.Host {
+	with := func(h http1.Endpoint, change func(*http1.Endpoint)) http1.Endpoint {
 		change(&h)
 		return h
 	}
 	// These two ids have the same checksum.
 	one, two := host("plumless", 1), host("buckeroo", 2)
 	for name, c := range map[string]struct {
-		lists []http1.List
+		lists []http1.EndpointList
 		want  []uint16 // ports that hops go to
 	}{
-		"both":            {[]http1.List{listed(one, two)}, []uint16{1, 2}},
-		"one drains":      {[]http1.List{listed(one, two), {Hosts: []http1.Host{with(one, func(h *http1.Host) { h.Phase = http1.Draining })}}}, []uint16{2}},
-		"one is gone":     {[]http1.List{listed(one, two), {Hosts: []http1.Host{{ID: one.ID, Phase: http1.Deleted}}}}, []uint16{2}},
-		"one is not told": {[]http1.List{listed(one, two), listed(two)}, []uint16{2}},
-		"one has moved":   {[]http1.List{listed(one, two), {Hosts: []http1.Host{with(one, func(h *http1.Host) { h.Address = host("", 9).Address })}}}, []uint16{2, 9}},
-		"no changes":      {[]http1.List{listed(one, two), {}}, []uint16{1, 2}},
+		"both":            {[]http1.EndpointList{listed(one, two)}, []uint16{1, 2}},
+		"one drains":      {[]http1.EndpointList{listed(one, two), {Hosts: []http1.Endpoint{with(one, func(h *http1.Endpoint) { h.Phase = http1.Draining })}}}, []uint16{2}},
+		"one is gone":     {[]http1.EndpointList{listed(one, two), {Hosts: []http1.Endpoint{{ID: one.ID, Phase: http1.Deleted}}}}, []uint16{2}},
+		"one is not told": {[]http1.EndpointList{listed(one, two), listed(two)}, []uint16{2}},
+		"one has moved":   {[]http1.EndpointList{listed(one, two), {Hosts: []http1.Endpoint{with(one, func(h *http1.Endpoint) { h.Address = host("", 9).Address })}}}, []uint16{2, 9}},
+		"no changes":      {[]http1.EndpointList{listed(one, two), {}}, []uint16{1, 2}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := fleet(t, policy.Retriable, limits)
+			f := fleet(t, policy.Idempotent, limits)
 			for _, l := range c.lists {
-				f.Listed(l, endpoints.Discovery)
+				f.ApplyList(l, endpoints.SourceDiscovery)
 			}
 			got := map[uint16]bool{}
 			for range 4 { // at the same time, so that one server is not enough
 				op := arrive(f)
-				if d := op.Next(func() {}); d.Kind == Send {
+				if d := op.NextDecision(func() {}); d.Action == SendAttempt {
 					got[d.Address.Port()] = true
 				}
 			}
@@ -195,11 +201,11 @@
 
 // Nodes that were told of the same servers in another order walk them alike.
 func TestRotationIsShared(t *testing.T) {
-	hosts := []http1.Host{host("a", 1), host("b", 2), host("c", 3), host("d", 4), host("e", 5)}
-	order := func(hosts []http1.Host) (ports []uint16) {
-		f := fleet(t, policy.Retriable, limits, hosts...)
+	hosts := []http1.Endpoint{host("a", 1), host("b", 2), host("c", 3), host("d", 4), host("e", 5)}
+	order := func(hosts []http1.Endpoint) (ports []uint16) {
+		f := fleet(t, policy.Idempotent, limits, hosts...)
 		for range hosts {
-			d := arrive(f).Next(func() {})
+			d := arrive(f).NextDecision(func() {})
 			ports = append(ports, d.Address.Port())
 		}
 		return ports
@@ -212,10 +218,10 @@
 }
 
 func TestAskedAgain(t *testing.T) {
-	f := fleet(t, policy.Retriable, limits, host("a", 1)) // its settings do not say that the list must be asked for
-	<-f.Asked()                                           // at the start
-	f.Unlisted()
-	<-f.Asked() // and after a failure, when the module says so
+	f := fleet(t, policy.Idempotent, limits, host("a", 1)) // its settings do not say that the list must be asked for
+	<-f.PollRequested()                                    // at the start
+	f.DiscoveryFailed()
+	<-f.PollRequested() // and after a failure, when the module says so
 }
 
 type closer struct {
@@ -232,29 +238,31 @@
 func TestIdleConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		idle time.Duration // the settings' idle time
-		do   func(*Fleet)
+		do   func(*Dispatcher)
 		back bool
 	}{
-		"used again":             {time.Hour, func(*Fleet) {}, true},
-		"old":                    {0, func(*Fleet) {}, false},
-		"old, and swept":         {0, (*Fleet).woken, false},
-		"released by the module": {time.Hour, func(f *Fleet) { (*hands)(f).Release("a") }, false},
-		"its server drains": {time.Hour, func(f *Fleet) {
-			f.Listed(http1.List{Hosts: []http1.Host{{ID: "a", Phase: http1.Draining}}}, endpoints.Discovery)
+		"used again":             {time.Hour, func(*Dispatcher) {}, true},
+		"old":                    {0, func(*Dispatcher) {}, false},
+		"old, and swept":         {0, (*Dispatcher).woken, false},
+		"released by the module": {time.Hour, func(f *Dispatcher) { (*hands)(f).CloseIdle("a") }, false},
+		"its server drains": {time.Hour, func(f *Dispatcher) {
+			f.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "a", Phase: http1.Draining}}}, endpoints.SourceDiscovery)
+		}, false},
+		"its server has moved": {time.Hour, func(f *Dispatcher) {
+			f.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{host("a", 7)}}, endpoints.SourceDiscovery)
 		}, false},
-		"its server has moved":    {time.Hour, func(f *Fleet) { f.Listed(http1.List{Hosts: []http1.Host{host("a", 7)}}, endpoints.Discovery) }, false},
-		"the same list once more": {time.Hour, func(f *Fleet) { f.Listed(listed(host("a", 1)), endpoints.Discovery) }, true},
+		"the same list once more": {time.Hour, func(f *Dispatcher) { f.ApplyList(listed(host("a", 1)), endpoints.SourceDiscovery) }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := fleet(t, policy.Retriable, limits, host("a", 1))
+			f := fleet(t, policy.Idempotent, limits, host("a", 1))
 			f.set.ConnIdle = c.idle
 			free := f.room.free
-			f.Reserve()
+			f.AcquireServerDescriptor()
 			conn := &closer{closed: make(chan string, 1)}
-			f.Keep("a", false, http1.NewConn(conn))
+			f.PutIdle("a", false, http1.NewConn(conn))
 			c.do(f)
-			got := f.Take("a")
-			if f.Unlisted(); (got != nil) != c.back || (len(conn.closed) == 0) != c.back || (f.room.free == free) == c.back {
+			got := f.TakeIdle("a")
+			if f.DiscoveryFailed(); (got != nil) != c.back || (len(conn.closed) == 0) != c.back || (f.room.free == free) == c.back {
 				t.Errorf("taken %v, closed %d times, %d of %d descriptors free", got != nil, len(conn.closed), f.room.free, free)
 			}
 		})
@@ -271,7 +279,7 @@
 		{MemoryMB: 1, Sockets: 1}:      leastSockets,
 	} {
 		t.Run(fmt.Sprint(l), func(t *testing.T) {
-			if got := l.Connections(); got != want {
+			if got := l.MaxConnections(); got != want {
 				t.Errorf("%d", got)
 			}
 		})
@@ -290,19 +298,19 @@
 		"nor what is theirs":     {0, 0, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := fleet(t, policy.Retriable, l, host("a", 1))
+			f := fleet(t, policy.Idempotent, l, host("a", 1))
 			closed := make(chan string, leastSockets)
 			for i := range c.servers {
-				if !f.Reserve() {
+				if !f.AcquireServerDescriptor() {
 					t.Fatal("no room for a server")
 				}
-				f.Keep("a", false, http1.NewConn(&closer{name: fmt.Sprint("server ", i), closed: closed}))
+				f.PutIdle("a", false, http1.NewConn(&closer{name: fmt.Sprint("server ", i), closed: closed}))
 			}
 			var first *Client
 			for i := range leastSockets - 3 { // the others are servers'
-				f.Admit()
-				if p := f.Client(http1.NewConn(&closer{name: fmt.Sprint("client ", i), closed: closed})); i < c.idle {
-					p.Wait(false)
+				f.AcquireClientDescriptor()
+				if p := f.AddClient(http1.NewConn(&closer{name: fmt.Sprint("client ", i), closed: closed})); i < c.idle {
+					p.ReadBlocked(false)
 					p.used = true
 					if i == 0 {
 						first = p
@@ -311,19 +319,19 @@
 			}
 			admitted := make(chan struct{})
 			go func() {
-				f.Admit()
+				f.AcquireClientDescriptor()
 				close(admitted)
 			}()
 			if c.evicted == "" {
-				f.Vacate() // one of the busy ends
+				f.ReleaseClientDescriptor() // one of the busy ends
 			} else if got := <-closed; got != c.evicted {
 				t.Errorf("closed %s", got)
 			}
 			if first != nil {
-				if first.Came() {
+				if first.ReadReady() {
 					t.Error("a closed connection may be used")
 				}
-				first.Vacate() // as its goroutine does
+				first.Release() // as its goroutine does
 			}
 			<-admitted
 			if len(closed) != 0 {
@@ -335,21 +343,21 @@
 
 // What waits for a descriptor gets one as soon as a busy client has its answer, not only when one leaves.
 func TestRoomByIdling(t *testing.T) {
-	f := fleet(t, policy.Retriable, Limits{MemoryMB: 192, Sockets: 1})
+	f := fleet(t, policy.Idempotent, Limits{MemoryMB: 192, Sockets: 1})
 	closed := make(chan string, 1)
 	var busy *Client
 	for range leastSockets - 3 {
-		f.Admit()
-		busy = f.Client(http1.NewConn(&closer{closed: closed}))
+		f.AcquireClientDescriptor()
+		busy = f.AddClient(http1.NewConn(&closer{closed: closed}))
 	}
 	admitted := make(chan struct{})
 	go func() {
-		f.Admit()
+		f.AcquireClientDescriptor()
 		close(admitted)
 	}()
-	busy.Taken()
-	busy.Answered()
-	busy.Wait(false)
+	busy.RequestStarted()
+	busy.RequestFinished()
+	busy.ReadBlocked(false)
 	<-closed
 	<-admitted
 }
@@ -367,22 +375,22 @@
 		"a later, and young": {true, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := fleet(t, policy.Retriable, limits)
-			p := f.Client(http1.NewConn(&closer{closed: make(chan string, 1)}))
-			if p.Wait(false); c.before {
-				p.Came()
-				p.Taken()
-				p.Answered()
-				p.Wait(false)
-			}
-			p.Came()
-			if p.Wait(true); c.old {
+			f := fleet(t, policy.Idempotent, limits)
+			p := f.AddClient(http1.NewConn(&closer{closed: make(chan string, 1)}))
+			if p.ReadBlocked(false); c.before {
+				p.ReadReady()
+				p.RequestStarted()
+				p.RequestFinished()
+				p.ReadBlocked(false)
+			}
+			p.ReadReady()
+			if p.ReadBlocked(true); c.old {
 				p.since -= time.Minute
 			}
 			f.mu.Lock()
 			got := f.evictClient(settled)
 			f.unlock()
-			if got != c.want || p.Came() == c.want {
+			if got != c.want || p.ReadReady() == c.want {
 				t.Errorf("closed for room %v, may go on %v", got, !c.want)
 			}
 		})
@@ -394,17 +402,17 @@
 func TestRoomNotFromWhatWasRead(t *testing.T) {
 	for name, before := range map[string]bool{"a first request": false, "a later one": true} {
 		t.Run(name, func(t *testing.T) {
-			f := fleet(t, policy.Retriable, limits)
+			f := fleet(t, policy.Idempotent, limits)
 			nc, client := connpair.TCP(t)
-			c := http1.NewPooled(nc, f.Pool())
-			p := f.Client(c)
-			c.Tell(p)
-			p.Wait(false) // it has stood for long
-			if p.used = before; p.Came() {
+			c := http1.NewPooled(nc, f.MessageBudget())
+			p := f.AddClient(c)
+			c.ObserveReads(p)
+			p.ReadBlocked(false) // it has stood for long
+			if p.used = before; p.ReadReady() {
 				p.since -= time.Minute
 			}
 			fmt.Fprint(client, "GET /a/1 HTTP/1.1\r\nHost: h\r\n\r\n")
-			if err := c.Await(); err != nil {
+			if err := c.AwaitMessage(); err != nil {
 				t.Fatal(err)
 			}
 			f.mu.Lock() // the reader has its bytes, and nothing of them is done yet
@@ -421,22 +429,22 @@
 // asked counts the looks at a connection on which something has come.
 type asked struct{ looks, closed int }
 
-func (a *asked) Close() error  { a.closed++; return nil }
-func (a *asked) Waiting() bool { a.looks++; return true }
+func (a *asked) Close() error    { a.closed++; return nil }
+func (a *asked) HasUnread() bool { a.looks++; return true }
 
 // A node that stood still has hundreds of connections with requests that its readers have not come to. Looking at all of
 // them for each further one that is let in took half of its time, and it did not catch up.
 func TestRoomLooksOnce(t *testing.T) {
-	f := fleet(t, policy.Retriable, limits)
+	f := fleet(t, policy.Idempotent, limits)
 	conn := &asked{}
-	p := f.Client(conn)
+	p := f.AddClient(conn)
 	for wait := 1; wait <= 2; wait++ {
-		p.Wait(false)
+		p.ReadBlocked(false)
 		p.since -= time.Minute
 		for range 3 {
-			f.MakeRoom()
+			f.EvictIdle()
 		}
-		if conn.looks != wait || conn.closed > 0 || !p.Came() {
+		if conn.looks != wait || conn.closed > 0 || !p.ReadReady() {
 			t.Errorf("looked at %d times in %d waits, closed %d times", conn.looks, wait, conn.closed)
 		}
 	}
@@ -462,25 +470,25 @@
 		"a later one in part":             {[]string{wait, came, taken, wait, answered, came, half}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := fleet(t, policy.Retriable, limits)
-			p := f.Client(http1.NewConn(&closer{closed: make(chan string, 1)}))
+			f := fleet(t, policy.Idempotent, limits)
+			p := f.AddClient(http1.NewConn(&closer{closed: make(chan string, 1)}))
 			for _, step := range c.steps {
 				switch step {
 				case wait, half:
-					p.Wait(step == half)
+					p.ReadBlocked(step == half)
 				case came:
-					p.Came()
+					p.ReadReady()
 				case taken:
-					p.Taken()
+					p.RequestStarted()
 				case answered:
-					p.Answered()
+					p.RequestFinished()
 				}
 			}
 			p.since -= time.Minute
 			f.mu.Lock()
 			got := f.evictClient(settled)
 			f.unlock()
-			if got != c.want || p.Came() == c.want {
+			if got != c.want || p.ReadReady() == c.want {
 				t.Errorf("closed for room %v", got)
 			}
 		})
@@ -489,57 +497,57 @@
 
 // At a stop nothing presses: a client that is slow to ask for the first time is waited for longer than when room is wanted.
 func TestStopIsPatient(t *testing.T) {
-	f := fleet(t, policy.Retriable, limits)
+	f := fleet(t, policy.Idempotent, limits)
 	closed := make(chan string, 2)
-	p := f.Client(http1.NewConn(&closer{closed: closed}))
-	p.Wait(false)
+	p := f.AddClient(http1.NewConn(&closer{closed: closed}))
+	p.ReadBlocked(false)
 	p.since -= 5 * settled
-	if f.CloseIdle(); len(closed) > 0 {
+	if f.CloseIdleClients(); len(closed) > 0 {
 		t.Error("closed at once")
 	}
 	p.since -= patient
-	if f.CloseIdle(); len(closed) != 1 {
+	if f.CloseIdleClients(); len(closed) != 1 {
 		t.Error("never closed")
 	}
 }
 
 // A client that leaves while it is idle gives its descriptor back once.
 func TestRoomGivenBackOnce(t *testing.T) {
-	f := fleet(t, policy.Retriable, limits)
-	f.Admit()
-	p := f.Client(http1.NewConn(&closer{closed: make(chan string, 1)}))
-	p.Wait(false)
+	f := fleet(t, policy.Idempotent, limits)
+	f.AcquireClientDescriptor()
+	p := f.AddClient(http1.NewConn(&closer{closed: make(chan string, 1)}))
+	p.ReadBlocked(false)
 	p.used = true
-	p.Vacate()
-	if f.MakeRoom(); f.room.free != f.room.most {
+	p.Release()
+	if f.EvictIdle(); f.room.free != f.room.most {
 		t.Errorf("%d free of %d", f.room.free, f.room.most)
 	}
 }
 
 // Servers replaced for ever, each at the address of the one before, which discovery tells to have gone only later.
 func TestReplacedServers(t *testing.T) {
-	f := fleet(t, policy.Retriable, limits, host("first", 1))
+	f := fleet(t, policy.Idempotent, limits, host("first", 1))
 	closed := make(chan string, 100)
 	for i := range 100 {
 		id, before := fmt.Sprint("next ", i), "first"
 		if i > 0 {
 			before = fmt.Sprint("next ", i-1)
 		}
-		f.Reserve()
-		f.Keep(before, false, http1.NewConn(&closer{name: before, closed: closed}))
-		f.Listed(http1.List{Hosts: []http1.Host{host(id, 1)}}, endpoints.Discovery)
-		if got := <-closed; got != before || f.Take(before) != nil {
+		f.AcquireServerDescriptor()
+		f.PutIdle(before, false, http1.NewConn(&closer{name: before, closed: closed}))
+		f.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{host(id, 1)}}, endpoints.SourceDiscovery)
+		if got := <-closed; got != before || f.TakeIdle(before) != nil {
 			t.Fatalf("closed %s, not %s", got, before)
 		}
 		op := arrive(f)
-		if d := op.Next(func() {}); d.Server != id {
+		if d := op.NextDecision(func() {}); d.Server != id {
 			t.Fatalf("sent to %s after %s came", d.Server, id)
 		}
-		op.Ended(0, Answered, nil)
-		op.Next(nil)
+		op.AttemptEnded(0, Succeeded, nil)
+		op.NextDecision(nil)
 		gone := host(before, 1)
 		gone.Phase = http1.Deleted
-		f.Listed(http1.List{Hosts: []http1.Host{gone}}, endpoints.Discovery)
+		f.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{gone}}, endpoints.SourceDiscovery)
 	}
 	if len(f.servers) != 1 {
 		t.Errorf("%d servers are known", len(f.servers))
@@ -548,25 +556,25 @@
 
 // Clients that ask once and stay do not use up what others need.
 func TestCrowded(t *testing.T) {
-	f := fleet(t, policy.Retriable, Limits{MemoryMB: 192, Sockets: ownDescriptors + leastSockets})
+	f := fleet(t, policy.Idempotent, Limits{MemoryMB: 192, Sockets: ownDescriptors + leastSockets})
 	var clients []*Client
 	for i := range 5 {
-		p := f.Client(http1.NewConn(&closer{closed: make(chan string, 1)}))
-		p.Wait(false)
+		p := f.AddClient(http1.NewConn(&closer{closed: make(chan string, 1)}))
+		p.ReadBlocked(false)
 		if i > 0 { // the first has asked nothing yet
-			p.Came()
-			p.Taken()
-			p.Answered()
-			p.Wait(false)
+			p.ReadReady()
+			p.RequestStarted()
+			p.RequestFinished()
+			p.ReadBlocked(false)
 		}
-		if clients = append(clients, p); f.Crowded() != (i > leastSockets/keptShare) {
-			t.Errorf("crowded %v after %d", f.Crowded(), i)
+		if clients = append(clients, p); f.HasTooManyIdleClients() != (i > leastSockets/keptShare) {
+			t.Errorf("crowded %v after %d", f.HasTooManyIdleClients(), i)
 		}
 	}
-	clients[1].Came()
-	clients[2].Vacate()
-	clients[3].Came()
-	if f.room.kept != 1 || f.Crowded() {
+	clients[1].ReadReady()
+	clients[2].Release()
+	clients[3].ReadReady()
+	if f.room.kept != 1 || f.HasTooManyIdleClients() {
 		t.Errorf("%d are kept", f.room.kept)
 	}
 }
@@ -583,13 +591,13 @@
 		"one just used, but alone": {[]time.Duration{0}, "0"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := fleet(t, policy.Retriable, limits, host("a", 1))
+			f := fleet(t, policy.Idempotent, limits, host("a", 1))
 			for i, age := range c.ages {
-				f.Reserve()
-				f.Keep("a", false, http1.NewConn(&closer{name: fmt.Sprint(i)}))
+				f.AcquireServerDescriptor()
+				f.PutIdle("a", false, http1.NewConn(&closer{name: fmt.Sprint(i)}))
 				f.servers["a"].idle[i].since -= age
 			}
-			if got := f.Take("a").(*http1.Conn).Conn.(*closer).name; got != c.want {
+			if got := f.TakeIdle("a").(*http1.Conn).Conn.(*closer).name; got != c.want {
 				t.Errorf("took %s", got)
 			}
 		})
@@ -601,19 +609,19 @@
 func TestLeavingGivesUpWhatIsNotWritten(t *testing.T) {
 	for name, written := range map[string]bool{"on its way": false, "written": true} {
 		t.Run(name, func(t *testing.T) {
-			f := fleet(t, policy.Binding, Limits{}, host("a", 1))
+			f := fleet(t, policy.NonIdempotent, Limits{}, host("a", 1))
 			given := 0
 			var hops []int
-			var ops []*Operation
+			var ops []*Request
 			for op := arrive(f); op != nil; op = arrive(f) {
-				d := op.Next(func() { given++ })
-				if written && (d.Kind != Send || !op.Writing(d.Hop)) {
-					t.Fatalf("decided %d, not to be written", d.Kind)
+				d := op.NextDecision(func() { given++ })
+				if written && (d.Action != SendAttempt || !op.BeginWrite(d.Attempt)) {
+					t.Fatalf("decided %d, not to be written", d.Action)
 				}
-				ops, hops = append(ops, op), append(hops, d.Hop)
+				ops, hops = append(ops, op), append(hops, d.Attempt)
 			}
 			for _, op := range ops {
-				op.Left()
+				op.ClientDisconnected()
 			}
 			if want := map[bool]int{true: 0, false: len(ops)}[written]; given != want {
 				t.Errorf("%d hops of %d given up", given, len(ops))
@@ -622,12 +630,12 @@
 				t.Errorf("with no place for another, %d hops of %d are given up", given, len(ops))
 			}
 			for i, op := range ops {
-				if op.Writing(hops[i]) {
+				if op.BeginWrite(hops[i]) {
 					t.Error("still to be written")
 				}
-				op.Ended(hops[i], GivenUp, nil)
-				if d := op.Next(func() {}); d.Kind != Drop {
-					t.Errorf("decided %d", d.Kind)
+				op.AttemptEnded(hops[i], Abandoned, nil)
+				if d := op.NextDecision(func() {}); d.Action != Drop {
+					t.Errorf("decided %d", d.Action)
 				}
 			}
 			if arrive(f) == nil {
@@ -639,19 +647,19 @@
 
 // An id is free again as soon as its operation is answered, also while a hop is out.
 func TestOpenIDs(t *testing.T) {
-	f := fleet(t, policy.Binding, limits, host("a", 1))
-	take := func(id string) (*Operation, error) {
-		return f.Arrive(Arrival{ID: []byte(id), Route: -1, Budget: time.Hour})
+	f := fleet(t, policy.NonIdempotent, limits, host("a", 1))
+	take := func(id string) (*Request, error) {
+		return f.Submit(Arrival{ID: []byte(id), RouteIndex: -1, Timeout: time.Hour})
 	}
 	first, _ := take("x")
-	first.Next(func() {})
-	if _, err := take("x"); err != ErrOpen {
+	first.NextDecision(func() {})
+	if _, err := take("x"); err != ErrDuplicateID {
 		t.Errorf("taken twice: %v", err)
 	}
 	if _, err := take("y"); err != nil {
 		t.Errorf("another is not taken: %v", err)
 	}
-	first.Left()
+	first.ClientDisconnected()
 	if _, err := take("x"); err != nil {
 		t.Errorf("not taken again: %v", err)
 	}
@@ -659,12 +667,12 @@
 
 // Operations and connections to servers are bounded, so that there is room to accept and to deny.
 func TestShares(t *testing.T) {
-	f := fleet(t, policy.Retriable, Limits{MemoryMB: 192, Sockets: ownDescriptors + 10}, host("a", 1))
+	f := fleet(t, policy.Idempotent, Limits{MemoryMB: 192, Sockets: ownDescriptors + 10}, host("a", 1))
 	n := 0
-	for f.Reserve() {
+	for f.AcquireServerDescriptor() {
 		n++
 	}
-	var op *Operation
+	var op *Request
 	for range 4 {
 		if op = arrive(f); op == nil {
 			t.Fatal("not taken")
@@ -673,12 +681,12 @@
 	if n != 4 || arrive(f) != nil {
 		t.Errorf("%d connections, or one operation too many", n)
 	}
-	op.Left()
-	op.Next(func() {})
+	op.ClientDisconnected()
+	op.NextDecision(func() {})
 	if arrive(f) == nil {
 		t.Error("not taken after another's end")
 	}
-	if f.Forgo(); !f.Reserve() {
+	if f.ReleaseServerDescriptor(); !f.AcquireServerDescriptor() {
 		t.Error("what was given back cannot be had")
 	}
 }
--- a/internal/proxy/dispatch/names_test.go
+++ b/internal/proxy/dispatch/names_test.go
@@ -18,7 +18,7 @@
 	if !slices.Equal(got, want) {
 		t.Errorf("the names are %q", got)
 	}
-	if values := fmt.Sprintf("%d %d %d", Answered, TurnedAway, GivenUp); values != "0 3 14" {
+	if values := fmt.Sprintf("%d %d %d", Succeeded, NotStarted, Abandoned); values != "0 3 14" {
 		t.Errorf("the values are %s", values)
 	}
 }
--- a/internal/proxy/dispatch/placement_test.go
+++ b/internal/proxy/dispatch/placement_test.go
@@ -14,7 +14,7 @@
 )
 
 // placed is a host in a zone and of a kind of machine.
-func placed(id string, port uint16, zone, kind string) http1.Host {
+func placed(id string, port uint16, zone, kind string) http1.Endpoint {
 	h := host(id, port)
 	h.Zone, h.Flavor, h.UpSinceMS = zone, kind, 1 // long warm
 	return h
@@ -30,12 +30,12 @@
 }
 
 // ports has operations come, all at the same time, and tells which servers they are sent to.
-func ports(f *Fleet, n int) (to []uint16) {
+func ports(f *Dispatcher, n int) (to []uint16) {
 	for range n {
 		op := arrive(f)
 		select {
 		case <-op.ready:
-			if d := op.Next(func() {}); d.Kind == Send && !slices.Contains(to, d.Address.Port()) {
+			if d := op.NextDecision(func() {}); d.Action == SendAttempt && !slices.Contains(to, d.Address.Port()) {
 				to = append(to, d.Address.Port())
 			}
 		default:
@@ -47,12 +47,12 @@
 
 // What a node's settings bind to zones and kinds of machine, by place or by name, goes to no other servers of its list.
 func TestPlacement(t *testing.T) {
-	hosts := []http1.Host{placed("a", 1, "north", "small"), placed("b", 2, "south", "small"), placed("c", 3, "south", "large"),
+	hosts := []http1.Endpoint{placed("a", 1, "north", "small"), placed("b", 2, "south", "small"), placed("c", 3, "south", "large"),
 		placed("d", 4, "west", "large")}
 	moved := placed("a", 1, "south", "small")
 	for name, c := range map[string]struct {
 		bound string
-		then  []http1.Host // changes
+		then  []http1.Endpoint // changes
 		want  []uint16
 	}{
 		"free":                       {`"window":0`, nil, []uint16{1, 2, 3, 4}},
@@ -64,21 +64,21 @@
 		"a place beyond the list":    {`"dcsOnly":[2,3,4,5,6]`, nil, nil},
 		"a zone that no server has":  {`"dcsOnly":["east"]`, nil, nil},
 		"none":                       {`"dcsOnly":[]`, nil, nil},
-		"a server that comes up":     {`"dcsOnly":["east"]`, []http1.Host{placed("e", 5, "east", "large")}, []uint16{5}},
-		"a server that moves in":     {`"dcsOnly":["south"]`, []http1.Host{moved}, []uint16{1, 2, 3}},
-		"a server that moves out":    {`"dcsOnly":["north"]`, []http1.Host{moved}, nil},
-		"a server of another kind":   {`"allowedOn":["small"]`, []http1.Host{placed("a", 1, "north", "large")}, []uint16{2}},
-		"a kind that is not listed":  {`"allowedOn":["huge"]`, []http1.Host{placed("f", 6, "north", "huge")}, []uint16{6}},
+		"a server that comes up":     {`"dcsOnly":["east"]`, []http1.Endpoint{placed("e", 5, "east", "large")}, []uint16{5}},
+		"a server that moves in":     {`"dcsOnly":["south"]`, []http1.Endpoint{moved}, []uint16{1, 2, 3}},
+		"a server that moves out":    {`"dcsOnly":["north"]`, []http1.Endpoint{moved}, nil},
+		"a server of another kind":   {`"allowedOn":["small"]`, []http1.Endpoint{placed("a", 1, "north", "large")}, []uint16{2}},
+		"a kind that is not listed":  {`"allowedOn":["huge"]`, []http1.Endpoint{placed("f", 6, "north", "huge")}, []uint16{6}},
 		"a zone spelt in other case": {`"dcsOnly":["South"]`, nil, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := decoded(t, `{"dcs":["north","south"],"skus":["small","large"],"limits":{"mostHops":4,"connectTimeout":1000,"connIdle":1000},
 				"trafficTypes":[{"name":"check","targetTime":60000,"abandonTime":60000,"idempotency":"safe","revenue":1,`+c.bound+`}]}`)
-			f := New(s, 1, limits, engine.Policy)
+			f := New(s, 1, limits, engine.NewPolicy)
 			t.Cleanup(f.Stop)
-			f.Listed(listed(hosts...), endpoints.Saved)
+			f.ApplyList(listed(hosts...), endpoints.SourceConfig)
 			if len(c.then) > 0 {
-				f.Listed(http1.List{Hosts: c.then}, endpoints.Discovery)
+				f.ApplyList(http1.EndpointList{Hosts: c.then}, endpoints.SourceDiscovery)
 			}
 			if got := ports(f, 16); !slices.Equal(got, c.want) {
 				t.Errorf("sent to %v, want %v", got, c.want)
@@ -89,38 +89,46 @@
 
 // A connection to a server that drains is closed, whenever it comes to stand idle; the far end sees that on its socket.
 func TestCloseOnDrain(t *testing.T) {
-	drain := func(f *Fleet) {
-		f.Listed(http1.List{Hosts: []http1.Host{{ID: "a", Phase: http1.Draining}}}, endpoints.Discovery)
+	drain := func(f *Dispatcher) {
+		f.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "a", Phase: http1.Draining}}}, endpoints.SourceDiscovery)
 	}
 	for name, c := range map[string]struct {
-		day    func(f *Fleet, c Line)
+		day    func(f *Dispatcher, c ServerConn)
 		closed bool
 	}{
-		"idle at the notice":                 {func(f *Fleet, c Line) { f.Keep("a", false, c); drain(f) }, true},
-		"answered on after the notice":       {func(f *Fleet, c Line) { f.Keep("a", false, c); f.Take("a"); drain(f); f.Keep("a", false, c) }, true},
-		"a connect that ends after it":       {func(f *Fleet, c Line) { drain(f); f.Keep("a", false, c) }, true},
-		"after a second notice":              {func(f *Fleet, c Line) { drain(f); drain(f); f.Keep("a", false, c) }, true},
-		"left out of the list":               {func(f *Fleet, c Line) { f.Keep("a", false, c); f.Listed(listed(host("b", 2)), endpoints.Discovery) }, true},
-		"in use at the notice, not yet idle": {func(f *Fleet, c Line) { f.Keep("a", false, c); f.Take("a"); drain(f) }, false},
-		"another server drains": {func(f *Fleet, c Line) {
-			f.Keep("a", false, c)
-			f.Listed(http1.List{Hosts: []http1.Host{{ID: "b", Phase: http1.Draining}}}, endpoints.Discovery)
+		"idle at the notice": {func(f *Dispatcher, c ServerConn) { f.PutIdle("a", false, c); drain(f) }, true},
+		"answered on after the notice": {func(f *Dispatcher, c ServerConn) {
+			f.PutIdle("a", false, c)
+			f.TakeIdle("a")
+			drain(f)
+			f.PutIdle("a", false, c)
+		}, true},
+		"a connect that ends after it": {func(f *Dispatcher, c ServerConn) { drain(f); f.PutIdle("a", false, c) }, true},
+		"after a second notice":        {func(f *Dispatcher, c ServerConn) { drain(f); drain(f); f.PutIdle("a", false, c) }, true},
+		"left out of the list": {func(f *Dispatcher, c ServerConn) {
+			f.PutIdle("a", false, c)
+			f.ApplyList(listed(host("b", 2)), endpoints.SourceDiscovery)
+		}, true},
+		"in use at the notice, not yet idle": {func(f *Dispatcher, c ServerConn) { f.PutIdle("a", false, c); f.TakeIdle("a"); drain(f) }, false},
+		"another server drains": {func(f *Dispatcher, c ServerConn) {
+			f.PutIdle("a", false, c)
+			f.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "b", Phase: http1.Draining}}}, endpoints.SourceDiscovery)
 		}, false},
-		"it serves again": {func(f *Fleet, c Line) {
+		"it serves again": {func(f *Dispatcher, c ServerConn) {
 			drain(f)
-			f.Listed(listed(host("a", 1), host("b", 2)), endpoints.Discovery)
-			f.Keep("a", false, c)
+			f.ApplyList(listed(host("a", 1), host("b", 2)), endpoints.SourceDiscovery)
+			f.PutIdle("a", false, c)
 		}, false},
 	} {
 		for _, within := range []string{"", `"rules":{"drainClose":300},`} {
 			t.Run(fmt.Sprintf("%s, %d", name, len(within)), func(t *testing.T) {
 				s := decoded(t, `{"limits":{"mostHops":4,"connectTimeout":1000,"connIdle":3600000},`+within+
 					`"trafficTypes":[{"name":"check","targetTime":60000,"abandonTime":60000,"idempotency":"safe","revenue":1}]}`)
-				f := New(s, 1, limits, engine.Policy)
+				f := New(s, 1, limits, engine.NewPolicy)
 				t.Cleanup(f.Stop)
-				f.Listed(listed(host("a", 1), host("b", 2)), endpoints.Saved)
+				f.ApplyList(listed(host("a", 1), host("b", 2)), endpoints.SourceConfig)
 				near, far := connpair.TCP(t)
-				f.Reserve()
+				f.AcquireServerDescriptor()
 				c.day(f, http1.NewConn(near))
 				f.woken()
 				if !c.closed { // shown by a byte that arrives
--- a/internal/proxy/dispatch/ready.go
+++ b/internal/proxy/dispatch/ready.go
@@ -1,11 +1,11 @@
 package dispatch
 
-// Ready tells that there is a server to send to, as far as this node knows.
-func (f *Fleet) Ready() bool {
+// IsReady tells that there is a server to send to, as far as this node knows.
+func (f *Dispatcher) IsReady() bool {
 	f.mu.Lock()
 	defer f.unlock()
 	for id := range f.servers {
-		if l, ok := f.book.Line(id); ok && l.Used {
+		if l, ok := f.book.Get(id); ok && l.IsUsable {
 			return true
 		}
 	}
--- a/internal/proxy/dispatch/room.go
+++ b/internal/proxy/dispatch/room.go
@@ -35,8 +35,8 @@
 
 func (l Limits) left() float64 { return max(float64(l.MemoryMB<<20-baseMemory), 0) }
 
-// Connections is how many connections the limits leave room for.
-func (l Limits) Connections() int {
+// MaxConnections is how many connections the limits leave room for.
+func (l Limits) MaxConnections() int {
 	byMemory := int(connShare * l.left() / perConnection)
 	return max(min(l.Sockets-ownDescriptors, byMemory), leastSockets)
 }
@@ -51,14 +51,14 @@
 	servers    int // that connections to servers may still take
 	idle       list.List
 	kept       int // of the idle, after a request
-	pool       *message.Pool
+	pool       *message.BufferBudget
 	changed    chan struct{} // something has become free or idle
 }
 
 func newRoom(l Limits) room {
-	n := l.Connections()
+	n := l.MaxConnections()
 	share := (n - max(n/spareShare, spareLeast)) / 2
-	pool := message.NewPool(max(int(largeShare*l.left()), message.MaxHead+message.MaxBody))
+	pool := message.NewBufferBudget(max(int(largeShare*l.left()), message.MaxHead+message.MaxBody))
 	return room{most: n, free: n, share: share, servers: share, pool: pool, changed: make(chan struct{}, 1)}
 }
 
@@ -73,15 +73,15 @@
 type ClientConn interface {
 	io.Closer
 	// Waiting tells that something has come that was not read yet. It may be asked from anywhere.
-	Waiting() bool
+	HasUnread() bool
 }
 
-// Line is a connection to a server, in whichever protocol.
-type Line interface{ io.Closer }
+// ServerConn is a connection to a server, in whichever protocol.
+type ServerConn interface{ io.Closer }
 
 // Client is a client's connection.
 type Client struct {
-	f       *Fleet
+	f       *Dispatcher
 	conn    ClientConn
 	place   *list.Element // among those on which no whole request is open
 	since   time.Duration // there
@@ -92,11 +92,11 @@
 	half    bool // a request has come in part
 }
 
-// Pool is the memory for large messages.
-func (f *Fleet) Pool() *message.Pool { return f.room.pool }
+// MessageBudget is the memory for large messages.
+func (f *Dispatcher) MessageBudget() *message.BufferBudget { return f.room.pool }
 
-// Admit waits until there is a descriptor to accept a connection with, closing idle clients' for it.
-func (f *Fleet) Admit() {
+// AcquireClientDescriptor waits until there is a descriptor to accept a connection with, closing idle clients' for it.
+func (f *Dispatcher) AcquireClientDescriptor() {
 	for {
 		f.mu.Lock()
 		if f.room.free > f.room.servers {
@@ -113,20 +113,20 @@
 	}
 }
 
-// Vacate gives back a descriptor that no connection came for.
-func (f *Fleet) Vacate() {
+// ReleaseClientDescriptor gives back a descriptor that no connection came for.
+func (f *Dispatcher) ReleaseClientDescriptor() {
 	f.mu.Lock()
 	defer f.unlock()
 	f.vacate()
 }
 
-func (f *Fleet) vacate() {
+func (f *Dispatcher) vacate() {
 	f.room.free++
 	f.room.tell()
 }
 
-// Vacate gives back the connection's descriptor, once: what is closed must not be closed for room as well.
-func (c *Client) Vacate() {
+// Release gives back the connection's descriptor, once: what is closed must not be closed for room as well.
+func (c *Client) Release() {
 	c.f.mu.Lock()
 	defer c.f.unlock()
 	c.leave()
@@ -138,7 +138,7 @@
 // evictClient closes the connection that has been idle for longest. A new one, whose request is on its way,
 // or one on which a request has come that is not read yet is passed over, for its client may not send it again. new is
 // how long a first request may be on its way.
-func (f *Fleet) evictClient(new time.Duration) bool {
+func (f *Dispatcher) evictClient(new time.Duration) bool {
 	for e := f.room.idle.Front(); e != nil; {
 		c := e.Value.(*Client)
 		e = e.Next()
@@ -146,7 +146,7 @@
 			continue
 		}
 		c.leave()
-		if c.conn.Waiting() { // its reader is about to say so; with many such, each look at all of them again costs a system call
+		if c.conn.HasUnread() { // its reader is about to say so; with many such, each look at all of them again costs a system call
 			continue
 		}
 		c.evicted = true
@@ -157,8 +157,8 @@
 	return false
 }
 
-// MakeRoom closes a connection that is idle, where the system has less room than it was taken to have.
-func (f *Fleet) MakeRoom() {
+// EvictIdle closes a connection that is idle, where the system has less room than it was taken to have.
+func (f *Dispatcher) EvictIdle() {
 	f.mu.Lock()
 	defer f.unlock()
 	if !f.evictClient(settled) {
@@ -166,8 +166,8 @@
 	}
 }
 
-// Client takes in an accepted connection.
-func (f *Fleet) Client(conn ClientConn) *Client { return &Client{f: f, conn: conn} }
+// AddClient takes in an accepted connection.
+func (f *Dispatcher) AddClient(conn ClientConn) *Client { return &Client{f: f, conn: conn} }
 
 func (c *Client) rest() {
 	if c.place != nil {
@@ -180,10 +180,10 @@
 	c.f.room.tell() // or what the system has accepted would wait unread until some connection ends
 }
 
-// Wait tells that a connection is read no further until Came is told. half: a request has come in part. It may be closed
+// ReadBlocked tells that a connection is read no further until Came is told. half: a request has come in part. It may be closed
 // for room only while it waits and nothing that was taken is open. Until the first request is whole it may be closed with
 // a part of it, after a while, or clients that send halves would hold all places; a later one has shown that it can end.
-func (c *Client) Wait(half bool) {
+func (c *Client) ReadBlocked(half bool) {
 	c.f.mu.Lock()
 	defer c.f.unlock()
 	if half != c.half || c.since == 0 {
@@ -193,9 +193,9 @@
 	c.settle()
 }
 
-// Came tells that something has come and is about to be read. It is false if the connection was closed before; then
+// ReadReady tells that something has come and is about to be read. It is false if the connection was closed before; then
 // nothing was read that is not dealt with.
-func (c *Client) Came() bool {
+func (c *Client) ReadReady() bool {
 	c.f.mu.Lock()
 	defer c.f.unlock()
 	c.waits = false
@@ -203,8 +203,8 @@
 	return !c.evicted
 }
 
-// Taken tells that a request has come whole and is led to its answer, beside others.
-func (c *Client) Taken() {
+// RequestStarted tells that a request has come whole and is led to its answer, beside others.
+func (c *Client) RequestStarted() {
 	c.f.mu.Lock()
 	defer c.f.unlock()
 	c.open++
@@ -212,8 +212,8 @@
 	c.used = true
 }
 
-// Answered tells that one which was taken has its answer.
-func (c *Client) Answered() {
+// RequestFinished tells that one which was taken has its answer.
+func (c *Client) RequestFinished() {
 	c.f.mu.Lock()
 	defer c.f.unlock()
 	if c.open--; c.open == 0 {
@@ -241,16 +241,16 @@
 	}
 }
 
-// Crowded tells that so many connections stand idle after a request that another one more is not worth keeping:
+// HasTooManyIdleClients tells that so many connections stand idle after a request that another one more is not worth keeping:
 // its client, or the front before it, has only so many, and clients that ask once and stay use them all up.
-func (f *Fleet) Crowded() bool {
+func (f *Dispatcher) HasTooManyIdleClients() bool {
 	f.mu.Lock()
 	defer f.unlock()
 	return f.room.kept > f.room.most/keptShare
 }
 
-// CloseIdle closes all clients' connections that are between requests.
-func (f *Fleet) CloseIdle() {
+// CloseIdleClients closes all clients' connections that are between requests.
+func (f *Dispatcher) CloseIdleClients() {
 	f.mu.Lock()
 	defer f.unlock()
 	for f.evictClient(patient) {
@@ -258,12 +258,12 @@
 }
 
 type idleConn struct {
-	conn  Line
+	conn  ServerConn
 	since time.Duration
 }
 
-// Reserve takes a descriptor for a new connection to a server.
-func (f *Fleet) Reserve() bool {
+// AcquireServerDescriptor takes a descriptor for a new connection to a server.
+func (f *Dispatcher) AcquireServerDescriptor() bool {
 	f.mu.Lock()
 	defer f.unlock()
 	if f.room.servers == 0 && !f.evictServer() {
@@ -274,21 +274,21 @@
 	return true
 }
 
-// Forgo gives back the descriptor of a connection to a server.
-func (f *Fleet) Forgo() {
+// ReleaseServerDescriptor gives back the descriptor of a connection to a server.
+func (f *Dispatcher) ReleaseServerDescriptor() {
 	f.mu.Lock()
 	defer f.unlock()
 	f.forgo()
 }
 
-func (f *Fleet) forgo() {
+func (f *Dispatcher) forgo() {
 	f.room.servers++
 	f.vacate()
 }
 
-// Take returns an idle connection to a server, nil if there is none. The latest used comes first, so that
+// TakeIdle returns an idle connection to a server, nil if there is none. The latest used comes first, so that
 // those not needed grow old, but for those just answered on: a server may close behind its answer.
-func (f *Fleet) Take(id string) Line {
+func (f *Dispatcher) TakeIdle(id string) ServerConn {
 	f.mu.Lock()
 	defer f.unlock()
 	s := f.servers[id]
@@ -308,11 +308,11 @@
 	return c.conn
 }
 
-// Keep puts a connection by for later use, if its server is still one to be used.
-func (f *Fleet) Keep(id string, cgi bool, c Line) {
+// PutIdle puts a connection by for later use, if its server is still one to be used.
+func (f *Dispatcher) PutIdle(id string, cgi bool, c ServerConn) {
 	f.mu.Lock()
 	defer f.unlock()
-	if l, _ := f.book.Line(id); (l.Used || f.hoards && f.servers[id] != nil) && f.servers[id].cgi == cgi {
+	if l, _ := f.book.Get(id); (l.IsUsable || f.hoards && f.servers[id] != nil) && f.servers[id].cgi == cgi {
 		s := f.servers[id]
 		s.idle = append(s.idle, idleConn{c, f.now()})
 		f.idlers[s] = struct{}{}
@@ -322,16 +322,16 @@
 	f.shut(idleConn{conn: c})
 }
 
-func (f *Fleet) old(c idleConn) bool {
+func (f *Dispatcher) old(c idleConn) bool {
 	return f.now()-c.since > time.Duration(idleShare*float64(f.set.ConnIdle))
 }
 
-func (f *Fleet) shut(c idleConn) {
+func (f *Dispatcher) shut(c idleConn) {
 	f.closing = append(f.closing, c.conn)
 	f.forgo()
 }
 
-func (f *Fleet) release(s *server) {
+func (f *Dispatcher) release(s *server) {
 	if s == nil || f.hoards {
 		return
 	}
@@ -343,7 +343,7 @@
 }
 
 // retire closes connections well before the server may, so that no request meets the server's own closing.
-func (f *Fleet) retire() {
+func (f *Dispatcher) retire() {
 	for s := range f.idlers {
 		f.visits++
 		n := 0
@@ -358,7 +358,7 @@
 }
 
 // evictServer closes the connection to a server that has been idle for longest.
-func (f *Fleet) evictServer() bool {
+func (f *Dispatcher) evictServer() bool {
 	var oldest *server
 	for s := range f.idlers {
 		f.visits++
--- a/internal/proxy/dispatch/scale_test.go
+++ b/internal/proxy/dispatch/scale_test.go
@@ -18,7 +18,7 @@
 	for i := range servers {
 		list.Hosts = append(list.Hosts, host(fmt.Sprint("server-", i), uint16(1+i)))
 	}
-	f.Listed(list, endpoints.Discovery)
+	f.ApplyList(list, endpoints.SourceDiscovery)
 	ticks := func() int { // under the lock, so that the timer's own do not come between
 		f.mu.Lock()
 		defer f.unlock()
@@ -31,24 +31,24 @@
 	if got := ticks(); got != 0 {
 		t.Errorf("%d servers come to where nothing stands idle", got)
 	}
-	set := func(site string) *route.Set {
-		return &route.Set{Pools: []route.Pool{{Name: "pool", Sites: []string{site}}}}
+	set := func(site string) *route.Table {
+		return &route.Table{Pools: []route.Pool{{Name: "pool", Sites: []string{site}}}}
 	}
 	for _, c := range []struct {
 		name string
-		set  *route.Set
+		set  *route.Table
 		want int
 	}{{"the first", set("a"), servers}, {"as before", set("a"), 0}, {"another site", set("b"), servers}, {"none", nil, servers}, {"none again", nil, 0}} {
 		from := f.visits // no tick comes to any before a connection stands idle
-		if f.Reroute(c.set); f.visits-from != c.want {
+		if f.SetRoutes(c.set); f.visits-from != c.want {
 			t.Errorf("%s: %d servers come to, want %d", c.name, f.visits-from, c.want)
 		}
 	}
-	f.Keep("server-7", false, http1.NewConn(&closer{closed: make(chan string, 1)}))
+	f.PutIdle("server-7", false, http1.NewConn(&closer{closed: make(chan string, 1)}))
 	if got := ticks(); got != 10 {
 		t.Errorf("%d servers come to for one connection and ten ticks", got)
 	}
-	f.Listed(http1.List{Hosts: []http1.Host{{ID: "server-7", Phase: http1.Deleted}}}, endpoints.Discovery)
+	f.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "server-7", Phase: http1.Deleted}}}, endpoints.SourceDiscovery)
 	if got := ticks(); got != 0 || len(f.idlers) != 0 {
 		t.Errorf("%d servers come to when that one has gone, %d held", got, len(f.idlers))
 	}
--- a/internal/proxy/dispatch/wary.go
+++ b/internal/proxy/dispatch/wary.go
@@ -11,53 +11,53 @@
 // Labels of the module, while a kept list is not to be believed in whole: the lower ones are pools, the upper ones the
 // same pools of servers that are proved, and the last is any server that is.
 const (
-	pooled      = route.PoolsBeside
+	pooled      = route.MaxPools
 	provedLabel = 1 << 63
 )
 
-// Suspected has servers of a kept list be used as far as they are believed: only these, and for what must not run twice
+// ApplySuspectList has servers of a kept list be used as far as they are believed: only these, and for what must not run twice
 // only those that are proved.
-func (f *Fleet) Suspected(words []endpoints.Word, proved map[string]bool) {
+func (f *Dispatcher) ApplySuspectList(words []endpoints.Endpoint, proved map[string]bool) {
 	f.mu.Lock()
 	f.proved = proved
 	if !f.wary {
 		f.wary = true
-		f.retype(f.routes.Set())
+		f.retype(f.routes.Table())
 		f.relabel()
 	}
-	f.take(words, endpoints.Disk, true)
+	f.take(words, endpoints.SourceSnapshot, true)
 	f.unlock()
 }
 
-// Believed ends that.
-func (f *Fleet) Believed() {
+// EndSuspicion ends that.
+func (f *Dispatcher) EndSuspicion() {
 	f.mu.Lock()
 	defer f.unlock()
 	if f.wary {
 		f.wary, f.proved = false, nil
-		f.retype(f.routes.Set())
+		f.retype(f.routes.Table())
 		f.relabel()
 	}
 }
 
 // wariness has what must not run twice ask for servers that are proved.
-func (f *Fleet) wariness(types []policy.TrafficType) []policy.TrafficType {
+func (f *Dispatcher) wariness(types []policy.TrafficType) []policy.TrafficType {
 	if !f.wary {
 		return types
 	}
 	types = slices.Clone(types)
 	for i := range types {
-		if t := &types[i]; t.Repeat == policy.Binding && t.Pool == 0 {
-			t.Pool = provedLabel
-		} else if t.Repeat == policy.Binding {
-			t.Pool <<= pooled
+		if t := &types[i]; t.Idempotency == policy.NonIdempotent && t.PoolLabels == 0 {
+			t.PoolLabels = provedLabel
+		} else if t.Idempotency == policy.NonIdempotent {
+			t.PoolLabels <<= pooled
 		}
 	}
 	return types
 }
 
 // labels are those of a server, as the module has them.
-func (f *Fleet) labels(id, zone, flavor string) uint64 {
+func (f *Dispatcher) labels(id, zone, flavor string) uint64 {
 	pools := f.routes.Labels(id, zone, flavor)
 	if f.wary && f.proved[id] {
 		return pools | pools<<pooled | provedLabel
--- a/internal/proxy/distribution.go
+++ b/internal/proxy/distribution.go
@@ -26,14 +26,14 @@
 // distributed puts in force what the node is told of the distribution: servers, routes and pools, tenants.
 type distributed struct {
 	client   *client.Client
-	fleet    *dispatch.Fleet
+	fleet    *dispatch.Dispatcher
 	settings *settings.Settings
 	log      zerolog.Logger
 
 	mu    sync.Mutex // never held over a socket or the disk; may be held while the fleet's lock is taken
 	lives *incarnation.Table
 	told  bool                       // the fleet has been told of servers from here
-	own   *route.Set                 // what the operator's file says; nil for none
+	own   *route.Table               // what the operator's file says; nil for none
 	held  []distribution.Entry       // routes and pools
 	parts map[distribution.Key]parts // what was made of them
 
@@ -47,13 +47,13 @@
 // parts is what became of one entry.
 type parts struct {
 	version distribution.Entry
-	part    route.Part
+	part    route.Fragment
 	err     error              // why it could not be read
-	last    *route.Part        // that holds, of this version or an earlier one
+	last    *route.Fragment    // that holds, of this version or an earlier one
 	good    distribution.Entry // that last is of
 }
 
-func newDistributed(cfg Config, f *dispatch.Fleet, log zerolog.Logger) (*distributed, error) {
+func newDistributed(cfg Config, f *dispatch.Dispatcher, log zerolog.Logger) (*distributed, error) {
 	d := &distributed{fleet: f, settings: &cfg.Settings, log: log, lives: incarnation.NewTable(), own: cfg.Routes, parts: map[distribution.Key]parts{},
 		tenants: map[distribution.Key]distribution.Entry{}}
 	config := *cfg.Distribution
@@ -71,7 +71,7 @@
 // restore takes in what held before the start in place of newer versions.
 func (d *distributed) restore(good []distribution.Entry) {
 	for _, e := range good {
-		if e.Key.Kind == distribution.Tenant {
+		if e.Key.Kind == distribution.KindTenant {
 			d.tenants[e.Key] = e
 			continue
 		}
@@ -81,8 +81,8 @@
 	}
 }
 
-func parsePart(e distribution.Entry) (route.Part, error) {
-	if e.Key.Kind == distribution.Pool {
+func parsePart(e distribution.Entry) (route.Fragment, error) {
+	if e.Key.Kind == distribution.KindPool {
 		return route.ParsePool(e.Key.Service, e.Key.Name, e.Value)
 	}
 	return route.ParseRoute(e.Key.Service, e.Key.Name, e.Value)
@@ -112,7 +112,7 @@
 }
 
 // Servers has the fleet take servers in; one that was told to drain or to be gone does not come back by an older word.
-func (d *distributed) Servers(changed []distribution.Entry, whole bool) (rejected []distribution.Rejection) {
+func (d *distributed) ApplyServers(changed []distribution.Entry, whole bool) (rejected []distribution.Rejection) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	entries, keys := make([]incarnation.Entry, 0, len(changed)), make([]distribution.Key, 0, len(changed))
@@ -125,8 +125,8 @@
 		entries, keys = append(entries, server), append(keys, e.Key)
 	}
 	now := d.fleet.Now()
-	d.lives.Forget(now)
-	news := d.lives.Told(now, entries, false)
+	d.lives.ExpireTombstones(now)
+	news := d.lives.ApplyDiscovery(now, entries, false)
 	for i, e := range entries {
 		if _, known := d.lives.Get(e.ID); !known {
 			rejected = append(rejected, distribution.Rejection{Key: keys[i], Reason: "more servers than a node takes"})
@@ -138,12 +138,12 @@
 	if len(news) == 0 && !whole {
 		return rejected
 	}
-	l := watch.List(news)
+	l := watch.ListFromEntries(news)
 	l.Complete = whole
 	for _, err := range l.Skipped {
 		d.log.Warn().Err(err).Msg("list entry skipped")
 	}
-	d.fleet.Listed(l, endpoints.Distribution)
+	d.fleet.ApplyList(l, endpoints.SourceDistribution)
 	d.told = true
 	return rejected
 }
@@ -159,7 +159,7 @@
 }
 
 // Routes has the fleet go by the operator's file and all routes and pools that can be used.
-func (d *distributed) Routes(all []distribution.Entry) []distribution.Rejection {
+func (d *distributed) ApplyRoutes(all []distribution.Entry) []distribution.Rejection {
 	defer d.keep()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -168,7 +168,7 @@
 }
 
 // reroute has another operator's file beneath the entries, nil for none.
-func (d *distributed) reroute(own *route.Set) {
+func (d *distributed) reroute(own *route.Table) {
 	defer d.keep()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -190,7 +190,7 @@
 			p.part, p.err = parsePart(e)
 		}
 		next[e.Key] = p
-		candidates[i] = route.Candidate{Part: p.part, Last: p.last}
+		candidates[i] = route.Candidate{Fragment: p.part, Previous: p.last}
 	}
 	assembled, err := route.Assemble(d.own, d.settings, candidates)
 	if err != nil {
@@ -220,14 +220,14 @@
 	}
 	d.parts = next
 	if err == nil {
-		d.fleet.Reroute(assembled.Set)
+		d.fleet.SetRoutes(assembled.Table)
 	}
 	return rejected
 }
 
 // Tenants has the fleet go by the allowances that are told beside those of the settings. One that several services name
 // may use the sum.
-func (d *distributed) Tenants(all []distribution.Entry) (rejected []distribution.Rejection) {
+func (d *distributed) ApplyTenants(all []distribution.Entry) (rejected []distribution.Rejection) {
 	defer d.keep()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -266,14 +266,14 @@
 	}
 	d.sums = sums
 	if len(changed) > 0 {
-		d.fleet.SetAllowances(changed)
+		d.fleet.SetQuotas(changed)
 	}
 }
 
 // settled is a tenant's allowance by the settings, 0 where they do not name it.
 func (d *distributed) settled(name string) float64 {
 	if i := slices.Index(d.settings.TenantNames, name); i >= 0 {
-		return d.settings.AllowancePerS[i]
+		return d.settings.TenantQuotas[i]
 	}
 	return 0
 }
@@ -284,15 +284,15 @@
 	d.mu.Lock()
 	told := d.told
 	d.mu.Unlock()
-	return !told && d.client.Status().State == distribution.Isolated
+	return !told && d.client.Status().State == distribution.StateIsolated
 }
 
 // discovered takes in what discovery has told, unless control processes have told of servers meanwhile.
-func (d *distributed) discovered(l http1.List) {
+func (d *distributed) discovered(l http1.EndpointList) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.told {
-		d.fleet.Listed(l, endpoints.Discovery)
+		d.fleet.ApplyList(l, endpoints.SourceDiscovery)
 	}
 }
 
@@ -323,8 +323,8 @@
 func (d *distributed) report(line *zerolog.Event) {
 	s := d.client.Status()
 	of := zerolog.Dict().Stringer("state", s.State).Uint64("revision", s.Revision).Int("rejected", len(s.Rejected))
-	if s.Known {
-		of.Float64("lag_s", s.Behind.Round(time.Second/10).Seconds())
+	if s.IsStalenessKnown {
+		of.Float64("lag_s", s.Staleness.Round(time.Second/10).Seconds())
 	}
 	line.Dict("distribution", of)
 }
--- a/internal/proxy/distribution_pieces_test.go
+++ b/internal/proxy/distribution_pieces_test.go
@@ -18,29 +18,29 @@
 // and what drains stays so.
 func TestServersInPieces(t *testing.T) {
 	cfg := config()
-	f := dispatch.New(cfg.Settings, 1, cfg.Limits, engine.Policy)
+	f := dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)
 	defer f.Stop()
 	d := &distributed{fleet: f, settings: &cfg.Settings, log: zerolog.Nop(), lives: incarnation.NewTable(), parts: map[distribution.Key]parts{}}
 	entry := func(id string, clock uint64, condition incarnation.Condition) distribution.Entry {
-		v, err := value.EncodeServer(incarnation.Entry{ID: id, Address: fmt.Sprint("127.0.0.1:", clock), Size: 1, Condition: condition})
+		v, err := value.EncodeServer(incarnation.Entry{ID: id, Address: fmt.Sprint("127.0.0.1:", clock), Weight: 1, Condition: condition})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return distribution.Entry{Key: distribution.Key{Service: "s", Kind: distribution.Server, Name: id}, Clock: clock, Origin: "o", Sequence: clock, Value: v}
+		return distribution.Entry{Key: distribution.Key{Service: "s", Kind: distribution.KindServer, Name: id}, Clock: clock, Origin: "o", Sequence: clock, Value: v}
 	}
 	a, b, drained := entry("a", 1, incarnation.Up), entry("b", 2, incarnation.Up), entry("c", 3, incarnation.Draining)
 	for _, piece := range []struct {
 		entries []distribution.Entry
 		whole   bool
 	}{{[]distribution.Entry{a}, false}, {[]distribution.Entry{drained}, false}, {[]distribution.Entry{a, b, drained}, true}} {
-		if rejected := d.Servers(piece.entries, piece.whole); len(rejected) > 0 {
+		if rejected := d.ApplyServers(piece.entries, piece.whole); len(rejected) > 0 {
 			t.Fatal(rejected)
 		}
 	}
 	var used []string
-	lines, _, _, _ := f.Lines()
+	lines, _, _, _ := f.Endpoints()
 	for _, l := range lines {
-		if l.Used {
+		if l.IsUsable {
 			used = append(used, l.ID)
 		}
 	}
--- a/internal/proxy/distribution_test.go
+++ b/internal/proxy/distribution_test.go
@@ -33,7 +33,7 @@
 func distributedTo(t *testing.T) *distributed {
 	t.Helper()
 	cfg := config()
-	f := dispatch.New(cfg.Settings, 1, cfg.Limits, engine.Policy)
+	f := dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)
 	t.Cleanup(f.Stop)
 	return &distributed{fleet: f, settings: &cfg.Settings, log: zerolog.Nop(), lives: incarnation.NewTable(), parts: map[distribution.Key]parts{}}
 }
@@ -49,16 +49,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return entryOf(distribution.Server, e.ID, clock, val)
+	return entryOf(distribution.KindServer, e.ID, clock, val)
 }
 
 // What comes of servers, in the order in which it is told; clocks are those of the writes.
 func TestDistributedServers(t *testing.T) {
-	up := incarnation.Entry{ID: "s", Address: "127.0.0.1:80", Up: 1000, Size: 1}
+	up := incarnation.Entry{ID: "s", Address: "127.0.0.1:80", StartedUnixMS: 1000, Weight: 1}
 	draining := up
 	draining.Condition = incarnation.Draining
 	restarted := up
-	restarted.Up = 2000
+	restarted.StartedUnixMS = 2000
 	moved := up
 	moved.Address = "127.0.0.1:81"
 	for name, c := range map[string]struct {
@@ -72,23 +72,23 @@
 		"draining":                     {[]distribution.Entry{serverEntry(t, 1, up), serverEntry(t, 2, draining)}, false, incarnation.Draining, "127.0.0.1:80"},
 		"an older up after the drain":  {[]distribution.Entry{serverEntry(t, 1, up), serverEntry(t, 3, draining), serverEntry(t, 2, up)}, false, incarnation.Draining, "127.0.0.1:80"},
 		"the drain is called off":      {[]distribution.Entry{serverEntry(t, 1, up), serverEntry(t, 2, draining), serverEntry(t, 3, up)}, true, incarnation.Up, "127.0.0.1:80"},
-		"deleted":                      {[]distribution.Entry{serverEntry(t, 1, up), entryOf(distribution.Server, "s", 2, nil)}, false, incarnation.Gone, "127.0.0.1:80"},
-		"an older up after the end":    {[]distribution.Entry{serverEntry(t, 1, up), entryOf(distribution.Server, "s", 3, nil), serverEntry(t, 2, up)}, false, incarnation.Gone, "127.0.0.1:80"},
-		"written again":                {[]distribution.Entry{serverEntry(t, 1, up), entryOf(distribution.Server, "s", 2, nil), serverEntry(t, 3, up)}, true, incarnation.Up, "127.0.0.1:80"},
+		"deleted":                      {[]distribution.Entry{serverEntry(t, 1, up), entryOf(distribution.KindServer, "s", 2, nil)}, false, incarnation.Gone, "127.0.0.1:80"},
+		"an older up after the end":    {[]distribution.Entry{serverEntry(t, 1, up), entryOf(distribution.KindServer, "s", 3, nil), serverEntry(t, 2, up)}, false, incarnation.Gone, "127.0.0.1:80"},
+		"written again":                {[]distribution.Entry{serverEntry(t, 1, up), entryOf(distribution.KindServer, "s", 2, nil), serverEntry(t, 3, up)}, true, incarnation.Up, "127.0.0.1:80"},
 		"the next start":               {[]distribution.Entry{serverEntry(t, 1, draining), serverEntry(t, 2, restarted)}, true, incarnation.Up, "127.0.0.1:80"},
-		"a bad value, what was stands": {[]distribution.Entry{serverEntry(t, 1, up), entryOf(distribution.Server, "s", 2, []byte("bad"))}, true, incarnation.Up, "127.0.0.1:80"},
+		"a bad value, what was stands": {[]distribution.Entry{serverEntry(t, 1, up), entryOf(distribution.KindServer, "s", 2, []byte("bad"))}, true, incarnation.Up, "127.0.0.1:80"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := distributedTo(t)
-			d.Servers(nil, true)
+			d.ApplyServers(nil, true)
 			for _, e := range c.told {
-				d.Servers([]distribution.Entry{e}, false)
+				d.ApplyServers([]distribution.Entry{e}, false)
 			}
-			lines, from, _, _ := d.fleet.Lines()
+			lines, from, _, _ := d.fleet.Endpoints()
 			if len(lines) == 0 && c.condition == incarnation.Gone { // it is forgotten
 				return
 			}
-			if len(lines) != 1 || lines[0].Used != c.used || lines[0].Condition != c.condition || lines[0].Address.String() != c.at || from != endpoints.Distribution {
+			if len(lines) != 1 || lines[0].IsUsable != c.used || lines[0].Condition != c.condition || lines[0].Address.String() != c.at || from != endpoints.SourceDistribution {
 				t.Errorf("%+v by %v", lines, from)
 			}
 		})
@@ -98,16 +98,16 @@
 // The first whole list takes out what an earlier source had told.
 func TestDistributedServersWhole(t *testing.T) {
 	d := distributedTo(t)
-	d.fleet.Listed(http1.List{Hosts: []http1.Host{{ID: "old", Address: netip.MustParseAddrPort("127.0.0.1:9"), Size: 1}}, Complete: true}, endpoints.Saved)
-	d.Servers([]distribution.Entry{serverEntry(t, 1, incarnation.Entry{ID: "s", Address: "127.0.0.1:80", Size: 1})}, true)
-	lines, _, _, _ := d.fleet.Lines()
+	d.fleet.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "old", Address: netip.MustParseAddrPort("127.0.0.1:9"), Size: 1}}, Complete: true}, endpoints.SourceConfig)
+	d.ApplyServers([]distribution.Entry{serverEntry(t, 1, incarnation.Entry{ID: "s", Address: "127.0.0.1:80", Weight: 1})}, true)
+	lines, _, _, _ := d.fleet.Endpoints()
 	for _, l := range lines {
-		if l.Used != (l.ID == "s") {
+		if l.IsUsable != (l.ID == "s") {
 			t.Errorf("%+v", l)
 		}
 	}
-	d.discovered(http1.List{Hosts: []http1.Host{{ID: "late", Address: netip.MustParseAddrPort("127.0.0.1:10"), Size: 1}}})
-	if lines, from, _, _ := d.fleet.Lines(); from != endpoints.Distribution || len(lines) > 2 {
+	d.discovered(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "late", Address: netip.MustParseAddrPort("127.0.0.1:10"), Size: 1}}})
+	if lines, from, _, _ := d.fleet.Endpoints(); from != endpoints.SourceDistribution || len(lines) > 2 {
 		t.Errorf("discovery's word counts beside: %+v by %v", lines, from)
 	}
 }
@@ -118,7 +118,7 @@
 		return entryOf(kind, name, clock, []byte(text))
 	}
 	tenant := func(name string, clock uint64, allowance string) distribution.Entry {
-		return text(distribution.Tenant, name, clock, allowance)
+		return text(distribution.KindTenant, name, clock, allowance)
 	}
 	const ten, minus = "\x81\xf9\x49\x00", "\x81\xf9\xc9\x00" // [10.0], [-10.0]
 	d := distributedTo(t)
@@ -129,30 +129,32 @@
 		want     string // routes in force
 	}{
 		{"servers", func() []distribution.Rejection {
-			return d.Servers([]distribution.Entry{text(distribution.Server, "s", 1, "x"), serverEntry(t, 1, incarnation.Entry{ID: "t", Address: "127.0.0.1:80", Size: 1})}, true)
+			return d.ApplyServers([]distribution.Entry{text(distribution.KindServer, "s", 1, "x"), serverEntry(t, 1, incarnation.Entry{ID: "t", Address: "127.0.0.1:80", Weight: 1})}, true)
 		}, "hire/server/s: the value of a server cannot be read", ""},
 		{"a server of another name", func() []distribution.Rejection {
-			e := serverEntry(t, 1, incarnation.Entry{ID: "t", Address: "127.0.0.1:80", Size: 1})
+			e := serverEntry(t, 1, incarnation.Entry{ID: "t", Address: "127.0.0.1:80", Weight: 1})
 			e.Key.Name = "u"
-			return d.Servers([]distribution.Entry{e}, false)
+			return d.ApplyServers([]distribution.Entry{e}, false)
 		}, "hire/server/u: its value is of server \"t\"", ""},
 		{"routes", func() []distribution.Rejection {
-			return d.Routes([]distribution.Entry{text(distribution.Route, "a", 1, "type = \"check\"\nhops = 2"), text(distribution.Route, "b", 2, "type = \"dance\""),
-				text(distribution.Pool, "p", 3, "servers = [\"s*\"]")})
+			return d.ApplyRoutes([]distribution.Entry{text(distribution.KindRoute, "a", 1, "type = \"check\"\nhops = 2"), text(distribution.KindRoute, "b", 2, "type = \"dance\""),
+				text(distribution.KindPool, "p", 3, "servers = [\"s*\"]")})
 		}, "hire/route/b: no traffic type \"dance\": there are check, book", "hire/a"},
 		{"a route's next value", func() []distribution.Rejection {
-			return d.Routes([]distribution.Entry{text(distribution.Route, "a", 4, "type = \"check\"\nhops = 9"), text(distribution.Route, "b", 5, "type = \"book\"")})
+			return d.ApplyRoutes([]distribution.Entry{text(distribution.KindRoute, "a", 4, "type = \"check\"\nhops = 9"), text(distribution.KindRoute, "b", 5, "type = \"book\"")})
 		}, "hire/route/a: route \"hire/a\", type check: 9 hops, but the settings allow 4", "hire/a hire/b"},
 		{"the same again", func() []distribution.Rejection {
-			return d.Routes([]distribution.Entry{text(distribution.Route, "a", 4, "type = \"check\"\nhops = 9"), text(distribution.Route, "b", 6, "hops = ")})
+			return d.ApplyRoutes([]distribution.Entry{text(distribution.KindRoute, "a", 4, "type = \"check\"\nhops = 9"), text(distribution.KindRoute, "b", 6, "hops = ")})
 		}, "hire/route/a: route \"hire/a\", type check: 9 hops, but the settings allow 4; hire/route/b: route hire/b:1: ", "hire/a hire/b"},
 		{"deleted", func() []distribution.Rejection {
-			return d.Routes([]distribution.Entry{text(distribution.Route, "b", 7, "type = \"book\"")})
+			return d.ApplyRoutes([]distribution.Entry{text(distribution.KindRoute, "b", 7, "type = \"book\"")})
 		}, "", "hire/b"},
 		{"tenants", func() []distribution.Rejection {
-			return d.Tenants([]distribution.Entry{tenant("dairy", 1, ten), tenant("orchards", 1, minus), tenant("mill", 1, "x")})
+			return d.ApplyTenants([]distribution.Entry{tenant("dairy", 1, ten), tenant("orchards", 1, minus), tenant("mill", 1, "x")})
 		}, "hire/tenant/orchards: allowance -10: a number of 0 or more is wanted; hire/tenant/mill: the value of a tenant cannot be read", "hire/b"},
-		{"a tenant's next value", func() []distribution.Rejection { return d.Tenants([]distribution.Entry{tenant("dairy", 2, minus)}) },
+		{"a tenant's next value", func() []distribution.Rejection {
+			return d.ApplyTenants([]distribution.Entry{tenant("dairy", 2, minus)})
+		},
 			"hire/tenant/dairy: allowance -10", "hire/b"},
 	} {
 		var got []string
@@ -181,7 +183,7 @@
 // The operator's file lies beneath the entries, also after it has changed.
 func TestDistributedOverTheFile(t *testing.T) {
 	d := distributedTo(t)
-	file := func(text string) *route.Set {
+	file := func(text string) *route.Table {
 		set, err := route.Parse("f", []byte(text), d.settings)
 		if err != nil {
 			t.Fatal(err)
@@ -189,7 +191,7 @@
 		return set
 	}
 	d.own = file("[defaults]\nbody_bytes = 7\n[[routes]]\nname = \"own\"\ntype = \"book\"\n")
-	d.Routes([]distribution.Entry{entryOf(distribution.Route, "a", 1, []byte("type = \"check\""))})
+	d.ApplyRoutes([]distribution.Entry{entryOf(distribution.KindRoute, "a", 1, []byte("type = \"check\""))})
 	most := func() string {
 		set, sizes := d.fleet.Routes(), []string{}
 		for i, r := range set.Routes {
@@ -197,7 +199,7 @@
 			if r.Type == "book" {
 				kind = 1
 			}
-			sizes = append(sizes, fmt.Sprint(r.Name, " ", set.BodyMost(i, kind, 99)))
+			sizes = append(sizes, fmt.Sprint(r.Name, " ", set.MaxBodyBytes(i, kind, 99)))
 		}
 		return strings.Join(sizes, ", ")
 	}
@@ -232,14 +234,14 @@
 		return entryOf(kind, name, clock, []byte(v))
 	}
 	const ten, minus = "\x81\xf9\x49\x00", "\x81\xf9\xc9\x00" // [10.0], [-10.0]
-	first := []distribution.Entry{entry(distribution.Route, "a", 1, "type = \"check\"\nbody_bytes = 7"), entry(distribution.Route, "b", 2, "type = \"book\"")}
-	second := []distribution.Entry{first[1], entry(distribution.Route, "a", 3, "type = \"dance\"")}
+	first := []distribution.Entry{entry(distribution.KindRoute, "a", 1, "type = \"check\"\nbody_bytes = 7"), entry(distribution.KindRoute, "b", 2, "type = \"book\"")}
+	second := []distribution.Entry{first[1], entry(distribution.KindRoute, "a", 3, "type = \"dance\"")}
 	check := func(d *distributed, what string, want int) {
 		t.Helper()
 		set, most := d.fleet.Routes(), 0
 		for i, r := range set.Routes {
 			if r.Name == "hire/a" {
-				most = set.BodyMost(i, 0, 99)
+				most = set.MaxBodyBytes(i, 0, 99)
 			}
 		}
 		if most != want || want > 0 && d.sums["dairy"] != 10 {
@@ -247,25 +249,25 @@
 		}
 	}
 	d := begin()
-	d.Routes(first)
-	d.Tenants([]distribution.Entry{entry(distribution.Tenant, "dairy", 1, ten)})
-	d.Routes(second)
-	d.Tenants([]distribution.Entry{entry(distribution.Tenant, "dairy", 2, minus)})
+	d.ApplyRoutes(first)
+	d.ApplyTenants([]distribution.Entry{entry(distribution.KindTenant, "dairy", 1, ten)})
+	d.ApplyRoutes(second)
+	d.ApplyTenants([]distribution.Entry{entry(distribution.KindTenant, "dairy", 2, minus)})
 	check(d, "before", 7)
 	for range 2 {
 		d = begin()
-		if n := len(d.Routes(second)) + len(d.Tenants([]distribution.Entry{entry(distribution.Tenant, "dairy", 2, minus)})); n != 2 {
+		if n := len(d.ApplyRoutes(second)) + len(d.ApplyTenants([]distribution.Entry{entry(distribution.KindTenant, "dairy", 2, minus)})); n != 2 {
 			t.Errorf("%d rejections", n)
 		}
 		check(d, "after a restart", 7)
 	}
-	d.Routes(first[1:])
-	d.Tenants(nil)
+	d.ApplyRoutes(first[1:])
+	d.ApplyTenants(nil)
 	if _, err := os.Stat(filepath.Join(dir, lastGoodFile)); !os.IsNotExist(err) {
 		t.Errorf("it is still kept: %v", err)
 	}
 	d = begin()
-	d.Routes(second)
+	d.ApplyRoutes(second)
 	check(d, "after its end", 0)
 	if err := os.WriteFile(filepath.Join(dir, lastGoodFile), []byte("garbled"), 0o600); err != nil {
 		t.Fatal(err)
@@ -290,17 +292,17 @@
 // Allowances come in force in place of the settings', add up over services, and end with their entries.
 func TestDistributedTenants(t *testing.T) {
 	d := distributedTo(t)
-	d.settings.TenantNames, d.settings.AllowancePerS = []string{"dairy"}, []float64{5}
+	d.settings.TenantNames, d.settings.TenantQuotas = []string{"dairy"}, []float64{5}
 	cfg := config()
-	cfg.Settings.TenantNames, cfg.Settings.AllowancePerS = d.settings.TenantNames, d.settings.AllowancePerS
-	d.fleet = dispatch.New(cfg.Settings, 1, cfg.Limits, engine.Policy)
+	cfg.Settings.TenantNames, cfg.Settings.TenantQuotas = d.settings.TenantNames, d.settings.TenantQuotas
+	d.fleet = dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)
 	t.Cleanup(d.fleet.Stop)
 	of := func(service, name string, allowance float64) distribution.Entry {
 		v, err := value.EncodeTenant(value.Tenant{Allowance: allowance})
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := entryOf(distribution.Tenant, name, 1, v)
+		e := entryOf(distribution.KindTenant, name, 1, v)
 		e.Key.Service = service
 		return e
 	}
@@ -314,12 +316,12 @@
 		{[]distribution.Entry{of("hire", "mill", 4)}, "dairy 5, mill 4"},
 		{nil, "dairy 5"},
 	} {
-		if rejected := d.Tenants(c.told); len(rejected) > 0 {
+		if rejected := d.ApplyTenants(c.told); len(rejected) > 0 {
 			t.Error(rejected)
 		}
 		var got []string
 		for _, tenant := range []string{"dairy", "mill"} { // Report names those with traffic only
-			if allowance := d.fleet.Allowance(tenant); allowance > 0 {
+			if allowance := d.fleet.Quota(tenant); allowance > 0 {
 				got = append(got, fmt.Sprint(tenant, " ", allowance))
 			}
 		}
@@ -359,8 +361,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
-		done <- control.Run(ctx, &control.Config{Name: "c", ListenAt: at, Disk: filepath.Join(t.TempDir(), "c.db"), Follow: "one", OutBytes: 1 << 20,
-			NodeBytes: 1 << 20, PeerBytes: 1 << 20, Connections: 9, KeepDeleted: tomlfile.Span(time.Hour)}, zerolog.Nop())
+		done <- control.Run(ctx, &control.Config{Name: "c", ListenAddress: at, Disk: filepath.Join(t.TempDir(), "c.db"), Follow: "one", TotalBytesPerSecond: 1 << 20,
+			NodeBytesPerSecond: 1 << 20, ControlBytesPerSecond: 1 << 20, MaxConnections: 9, DeletionRetention: tomlfile.Duration(time.Hour)}, zerolog.Nop())
 	}()
 	defer func() {
 		cancel()
@@ -368,7 +370,7 @@
 			t.Error(err)
 		}
 	}()
-	entry := serverEntry(t, 1, incarnation.Entry{ID: hosts[0].ID, Address: hosts[0].Address.String(), Size: 1})
+	entry := serverEntry(t, 1, incarnation.Entry{ID: hosts[0].ID, Address: hosts[0].Address.String(), Weight: 1})
 	for by := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		s, err := client.Open(ctx, cfg.Distribution)
 		if err == nil {
--- a/internal/proxy/ends_test.go
+++ b/internal/proxy/ends_test.go
@@ -31,9 +31,9 @@
 			c.Send(http1.AppendAnswer(nil, *echoed(&r)))
 		}
 	})
-	var hosts []http1.Host // one server under many names, so that many hops may be out
+	var hosts []http1.Endpoint // one server under many names, so that many hops may be out
 	for i := range 100 {
-		hosts = append(hosts, http1.Host{ID: fmt.Sprint("s", i), Size: 1, Address: at})
+		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("s", i), Size: 1, Address: at})
 	}
 	http, cgi, stop = cgiNodeWith(t, u, hosts...)
 	return http, cgi, stop, begun, release
@@ -52,13 +52,13 @@
 // cgiClient is a client whose requests share a connection.
 type cgiClient struct {
 	net.Conn
-	*fastcgi.Answers
+	*fastcgi.ResponseReader
 }
 
 func dialCGI(t *testing.T, at string) cgiClient {
 	nc := dial(t, at).Conn
 	nc.SetDeadline(time.Now().Add(time.Minute))
-	return cgiClient{nc, fastcgi.NewAnswers(nc)}
+	return cgiClient{nc, fastcgi.NewResponseReader(nc)}
 }
 
 // answer reads until a request has its answer; each other that comes before is given to others.
@@ -184,7 +184,7 @@
 	t.Parallel()
 	body := strings.Repeat("x", 60<<10)
 	at := responder(t, func(*message.Request) *message.Answer { return &message.Answer{Status: 200, Body: []byte(body)} })
-	http, cgi, _ := cgiNode(t, http1.Host{ID: "s", Size: 1, Flavor: "cgi", Address: at})
+	http, cgi, _ := cgiNode(t, http1.Endpoint{ID: "s", Size: 1, Flavor: "cgi", Address: at})
 	narrow := net.Dialer{Control: func(_, _ string, rc syscall.RawConn) error { // the answer waits at the node
 		return rc.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 	}}
@@ -202,7 +202,7 @@
 			}},
 		"FastCGI, what cannot be read": {cgi, append(toNode(1, post("reset-3")), strings.Repeat("no record at all", 2000)...),
 			func(nc net.Conn) (int, error) {
-				_, r, err := fastcgi.NewAnswers(nc).Next()
+				_, r, err := fastcgi.NewResponseReader(nc).Next()
 				return len(r.Body), err
 			}},
 	} {
@@ -226,7 +226,7 @@
 func TestRequestCrossesTheEndOfTheTime(t *testing.T) {
 	t.Parallel()
 	s := &Server{cfg: config()}
-	s.fleet = dispatch.New(s.cfg.Settings, 1, s.cfg.Limits, engine.Policy)
+	s.fleet = dispatch.New(s.cfg.Settings, 1, s.cfg.Limits, engine.NewPolicy)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -238,12 +238,12 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	f := fastcgi.NewFront(nc, s.fleet.Pool())
+	f := fastcgi.NewClientConn(nc, s.fleet.MessageBudget())
 	client.Write(toNode(1, post("crossing")))
-	for !f.Waiting() {
+	for !f.HasUnread() {
 		time.Sleep(time.Millisecond)
 	}
-	c := &cgiConn{s: s, nc: nc.(*net.TCPConn), f: f, place: s.fleet.Client(f), first: past}
+	c := &cgiConn{s: s, nc: nc.(*net.TCPConn), f: f, place: s.fleet.AddClient(f), first: past}
 	if call, err := f.Next(c); err != nil || string(call.Request.Body) != "body" {
 		t.Errorf("%v", err)
 	}
--- a/internal/proxy/engine/bench_test.go
+++ b/internal/proxy/engine/bench_test.go
@@ -13,8 +13,8 @@
 
 func (still) Handle(time.Duration, *policy.Input, []policy.Effect) []policy.Effect { return nil }
 
-func lines(servers int) []Member[uint32] {
-	list := make([]Member[uint32], servers)
+func lines(servers int) []Endpoint[uint32] {
+	list := make([]Endpoint[uint32], servers)
 	for i := range list {
 		list[i].Server = uint32(i)
 	}
@@ -26,10 +26,10 @@
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			r := &record{}
 			n := New[uint32](0, still{}, r)
-			n.List(0, policy.Whole, lines(servers), r)
+			n.EndpointsUpdated(0, policy.Full, lines(servers), r)
 			one := lines(1)
 			for b.Loop() {
-				n.List(0, policy.Changes, one, r)
+				n.EndpointsUpdated(0, policy.Incremental, one, r)
 			}
 		})
 	}
--- a/internal/proxy/engine/golden_test.go
+++ b/internal/proxy/engine/golden_test.go
@@ -69,7 +69,7 @@
 type history struct {
 	rand     *rand.Rand
 	set      policy.Settings
-	node     *Node[uint32]
+	node     *Engine[uint32]
 	hash     hash.Hash64
 	now      time.Duration
 	wakeAt   time.Duration
@@ -79,7 +79,7 @@
 	servers  []uint32       // listed now
 	nextID   uint32
 	kinds    [8]int // effects by kind
-	inner    Module
+	inner    Decider
 	rankMod  uint32
 	sparse   bool
 	rooms    int     // beside the one without a limit
@@ -92,43 +92,43 @@
 	effects = h.inner.Handle(now, in, effects)
 	for _, e := range effects[from:] {
 		h.kinds[e.Kind]++
-		fmt.Fprintln(h.hash, e.Kind, e.Op, e.Server, int64(e.For))
+		fmt.Fprintln(h.hash, e.Kind, e.Request, e.Server, int64(e.Duration))
 	}
 	return effects
 }
 
-func (h *history) Forward(job uint64, server uint32, _ time.Duration) {
+func (h *history) SendAttempt(job uint64, server uint32, _ time.Duration) {
 	fmt.Fprintln(h.hash, "forward", job, server)
 	h.attempts = append(h.attempts, attempt{job, h.count[job], server, h.now})
 	h.count[job]++
 }
-func (h *history) TurnAway(job uint64, _ time.Duration) { fmt.Fprintln(h.hash, "reject", job) }
-func (h *history) Lose(job uint64)                      { fmt.Fprintln(h.hash, "abandon", job) }
-func (h *history) Schedule(after time.Duration)         { h.wakeAt = h.now + after }
-func (h *history) Listen()                              { fmt.Fprintln(h.hash, "listen") }
-func (h *history) Release(server uint32)                { fmt.Fprintln(h.hash, "release", server) }
-func (h *history) Forget(server uint32)                 { fmt.Fprintln(h.hash, "forget", server) }
+func (h *history) Reject(job uint64, _ time.Duration) { fmt.Fprintln(h.hash, "reject", job) }
+func (h *history) Fail(job uint64)                    { fmt.Fprintln(h.hash, "abandon", job) }
+func (h *history) SetTimer(after time.Duration)       { h.wakeAt = h.now + after }
+func (h *history) Subscribe()                         { fmt.Fprintln(h.hash, "listen") }
+func (h *history) CloseIdle(server uint32)            { fmt.Fprintln(h.hash, "release", server) }
+func (h *history) Forget(server uint32)               { fmt.Fprintln(h.hash, "forget", server) }
 
 func newHistory(seed uint64) *history {
 	r := rand.New(rand.NewPCG(seed, 47))
 	h := &history{rand: r, hash: fnv.New64a(), count: map[uint64]int{}, sick: map[uint32]time.Duration{}}
 	ms := time.Millisecond
-	h.set = policy.Settings{Nodes: 1 + r.IntN(6), Me: r.IntN(3), Zone: r.IntN(3), Tick: time.Duration(r.IntN(3)) * 10 * ms,
-		MostHops: 1 + r.IntN(4), ColdFor: time.Duration(2+r.IntN(8)) * time.Second, ColdStart: 0.2, FallMultiple: 3,
-		AskWithin: 10 * time.Second, OverageRevenue: 0.1, OnRequest: seed%2 == 0, OnlyDraining: seed%3 == 0,
-		WarmKeys: seed%4 == 1, Copies: seed%5 < 3, MaxRetryIn: time.Duration(seed%2) * time.Second, ConnectTimeout: 100 * ms}
+	h.set = policy.Settings{NodeCount: 1 + r.IntN(6), NodeIndex: r.IntN(3), Zone: r.IntN(3), TimerGranularity: time.Duration(r.IntN(3)) * 10 * ms,
+		MaxAttempts: 1 + r.IntN(4), SlowStartDuration: time.Duration(2+r.IntN(8)) * time.Second, SlowStartInitialCapacity: 0.2, CrashLoadFactor: 3,
+		RequestEndpointsWithin: 10 * time.Second, OverQuotaWeightShare: 0.1, MustRequestEndpoints: seed%2 == 0, UnlistedUsable: seed%3 == 0,
+		ServersCacheKeys: seed%4 == 1, HedgingAllowed: seed%5 < 3, MaxRetryAfter: time.Duration(seed%2) * time.Second, ConnectTimeout: 100 * ms}
 	for k := range 3 + r.IntN(4) {
-		h.set.Types = append(h.set.Types, h.trafficType(k))
+		h.set.TrafficTypes = append(h.set.TrafficTypes, h.trafficType(k))
 	}
 	for range int(seed%7) * 6 {
-		h.set.AllowancePerS = append(h.set.AllowancePerS, float64(r.IntN(12)))
+		h.set.TenantQuotas = append(h.set.TenantQuotas, float64(r.IntN(12)))
 	}
 	if seed >= sparseFrom {
-		for len(h.set.Types) < 150 {
-			h.set.Types = append(h.set.Types, h.trafficType(len(h.set.Types)))
+		for len(h.set.TrafficTypes) < 150 {
+			h.set.TrafficTypes = append(h.set.TrafficTypes, h.trafficType(len(h.set.TrafficTypes)))
 		}
 		for range 500 {
-			h.set.AllowancePerS = append(h.set.AllowancePerS, float64(r.IntN(12)))
+			h.set.TenantQuotas = append(h.set.TenantQuotas, float64(r.IntN(12)))
 		}
 		h.sparse = true
 	}
@@ -136,31 +136,31 @@
 	h.load = 10 + float64(r.IntN(60))
 	h.inner = policy.New(h.set, uint32(seed))
 	h.node = New[uint32](0, h, h)
-	h.list(policy.Saved, h.fresh(5+r.IntN(20)*int(1+seed%4)))
+	h.list(policy.Cached, h.fresh(5+r.IntN(20)*int(1+seed%4)))
 	return h
 }
 
 func (h *history) trafficType(k int) policy.TrafficType {
 	r, ms := h.rand, time.Millisecond
-	t := policy.TrafficType{Repeat: policy.Repeat(k % 3), Group: policy.Group(r.IntN(3)), TargetTime: time.Duration(200+r.IntN(400)) * ms,
-		AbandonTime: 2 * time.Second, Window: time.Second, Revenue: float64(1 + r.IntN(9))}
+	t := policy.TrafficType{Idempotency: policy.Idempotency(k % 3), KeyScope: policy.KeyScope(r.IntN(3)), LatencyObjective: time.Duration(200+r.IntN(400)) * ms,
+		ClientTimeout: 2 * time.Second, KeyRetention: time.Second, PriorityWeight: float64(1 + r.IntN(9))}
 	if r.IntN(3) == 0 {
-		t.RetryShare, t.RetryFloor = 0.2, float64(r.IntN(2))
+		t.RetryRatio, t.MinRetriesPerSecond = 0.2, float64(r.IntN(2))
 	}
 	if r.IntN(3) == 0 {
-		t.CopyAfter, t.CopyShare = 60*ms, 0.1
+		t.HedgeDelay, t.HedgeRatio = 60*ms, 0.1
 	}
 	if r.IntN(4) == 0 {
-		t.Pool = 1 << r.IntN(3)
+		t.PoolLabels = 1 << r.IntN(3)
 	}
 	if r.IntN(4) == 0 {
-		t.LateRevenue = 0.3
+		t.LateWeightShare = 0.3
 	}
 	return t
 }
 
 // fresh makes lines of servers that were not there before.
-func (h *history) fresh(n int) (lines []Member[uint32]) {
+func (h *history) fresh(n int) (lines []Endpoint[uint32]) {
 	for range n {
 		h.nextID++
 		h.servers = append(h.servers, h.nextID)
@@ -169,43 +169,43 @@
 	return lines
 }
 
-func (h *history) line(id uint32, condition policy.Condition) Member[uint32] {
+func (h *history) line(id uint32, condition policy.Condition) Endpoint[uint32] {
 	sum := crc32.ChecksumIEEE([]byte(fmt.Sprint(id)))
-	l := policy.Member{Rank: sum % h.rankMod, Zone: int(sum>>3) % 3, Cell: int(sum>>5) % 6, Condition: condition,
-		Scale: float64(1 + sum>>7%3), Labels: uint64(sum >> 9 % 8)}
+	l := policy.Endpoint{Rank: sum % h.rankMod, Zone: int(sum>>3) % 3, Cell: int(sum>>5) % 6, Condition: condition,
+		Weight: float64(1 + sum>>7%3), Labels: uint64(sum >> 9 % 8)}
 	switch h.rand.IntN(4) {
 	case 0:
-		l.HasStart, l.Started = true, h.now-time.Duration(h.rand.IntN(12))*time.Second
+		l.HasStartTime, l.StartedAt = true, h.now-time.Duration(h.rand.IntN(12))*time.Second
 	case 1:
-		l.HasStart, l.Started = true, -time.Hour
+		l.HasStartTime, l.StartedAt = true, -time.Hour
 	}
-	return Member[uint32]{Server: id, Line: l}
+	return Endpoint[uint32]{Server: id, Info: l}
 }
 
-func (h *history) list(scope policy.Scope, lines []Member[uint32]) {
-	h.node.List(h.now, scope, lines, h)
+func (h *history) list(scope policy.UpdateScope, lines []Endpoint[uint32]) {
+	h.node.EndpointsUpdated(h.now, scope, lines, h)
 }
 
 func (h *history) change() {
 	switch r := h.rand.IntN(20); {
 	case r < 6:
-		h.list(policy.Changes, h.fresh(1+h.rand.IntN(3)))
+		h.list(policy.Incremental, h.fresh(1+h.rand.IntN(3)))
 	case r < 12 && len(h.servers) > 3:
 		i := h.rand.IntN(len(h.servers))
 		id := h.servers[i]
 		h.servers = append(h.servers[:i], h.servers[i+1:]...)
 		l := h.line(id, policy.Condition(1+h.rand.IntN(2)))
-		l.Line.Replaced = h.rand.IntN(3) == 0
-		lines := []Member[uint32]{l}
+		l.Info.AddressReassigned = h.rand.IntN(3) == 0
+		lines := []Endpoint[uint32]{l}
 		if h.rand.IntN(2) == 0 {
 			lines = append(lines, h.fresh(1)...)
 		}
-		h.list(policy.Changes, lines)
+		h.list(policy.Incremental, lines)
 	case r < 15:
 		id := h.servers[h.rand.IntN(len(h.servers))]
-		h.list(policy.Changes, []Member[uint32]{h.line(id, policy.Draining), h.line(id, policy.Up)})
+		h.list(policy.Incremental, []Endpoint[uint32]{h.line(id, policy.Draining), h.line(id, policy.Up)})
 	case r < 18:
-		var lines []Member[uint32]
+		var lines []Endpoint[uint32]
 		kept := h.servers[:0:0]
 		drop := h.rand.Float64() * 0.5
 		for _, id := range h.servers {
@@ -215,47 +215,47 @@
 			}
 		}
 		h.servers = kept
-		h.list(policy.Whole, append(lines, h.fresh(h.rand.IntN(4))...))
+		h.list(policy.Full, append(lines, h.fresh(h.rand.IntN(4))...))
 	default:
 		h.list(policy.Unavailable, nil)
 	}
 }
 
 func (h *history) plan() {
-	in := policy.Input{Nodes: 1 + h.rand.IntN(6)}
+	in := policy.Input{NodeCount: 1 + h.rand.IntN(6)}
 	if h.rand.IntN(3) == 0 {
-		in.Admit = 0.5 + h.rand.Float64()/2
+		in.MaxAdmittedShare = 0.5 + h.rand.Float64()/2
 	}
 	if h.rand.IntN(2) == 0 {
-		for range h.set.AllowancePerS {
-			in.Within = append(in.Within, h.rand.Float64()*1.5)
+		for range h.set.TenantQuotas {
+			in.WithinQuotaShares = append(in.WithinQuotaShares, h.rand.Float64()*1.5)
 		}
 	}
-	var shares []Share[uint32]
+	var shares []Assignment[uint32]
 	for _, id := range h.servers {
 		if h.rand.IntN(3) == 0 {
-			s := policy.Share{Part: float64(h.rand.IntN(4)-1) / 2, Pace: float64(h.rand.IntN(3))}
+			s := policy.Assignment{Preference: float64(h.rand.IntN(4)-1) / 2, SlowStartRate: float64(h.rand.IntN(3))}
 			if h.rand.IntN(8) == 0 {
-				s.Rest = time.Second
+				s.EjectFor = time.Second
 			}
-			shares = append(shares, Share[uint32]{Server: id, Line: s})
+			shares = append(shares, Assignment[uint32]{Server: id, Info: s})
 		}
 	}
-	h.node.Planned(h.now, in, shares, h)
+	h.node.PlanChanged(h.now, in, shares, h)
 }
 
 func (h *history) retype() {
-	like := make([]int, len(h.set.Types))
+	like := make([]int, len(h.set.TrafficTypes))
 	for k := range like {
 		like[k] = k
 	}
-	types := append([]policy.TrafficType(nil), h.set.Types...)
+	types := append([]policy.TrafficType(nil), h.set.TrafficTypes...)
 	if len(types) < 9 {
 		like = append(like, h.rand.IntN(len(types)+1)-1)
 		types = append(types, h.trafficType(len(types)))
 	}
-	h.set.Types, h.rooms = types, 1
-	h.node.Retype(h.now, policy.Input{Types: types, Like: like, Rooms: []int{0, 5 + h.rand.IntN(30)}}, h)
+	h.set.TrafficTypes, h.rooms = types, 1
+	h.node.TrafficTypesChanged(h.now, policy.Input{TrafficTypes: types, LearnFrom: like, RouteLimits: []int{0, 5 + h.rand.IntN(30)}}, h)
 }
 
 // end ends an attempt by what its server is worth just now.
@@ -265,11 +265,11 @@
 	h.attempts = h.attempts[:len(h.attempts)-1]
 	how := policy.Success
 	if h.now < h.sick[a.server] {
-		how = []policy.Outcome{policy.Failure, policy.Overloaded, policy.TimedOut, policy.Unreachable, policy.Broken}[int(a.server)%5]
+		how = []policy.Outcome{policy.Failure, policy.Overloaded, policy.TimedOut, policy.Unreachable, policy.ConnectionBroken}[int(a.server)%5]
 	} else if h.rand.IntN(40) == 0 {
 		how = policy.Outcome(h.rand.IntN(9))
 	}
-	h.node.HopEnded(h.now, a.request, a.server, policy.Input{Hop: a.index, Outcome: how, Final: how == policy.Success}, h)
+	h.node.AttemptEnded(h.now, a.request, a.server, policy.Input{Attempt: a.index, Outcome: how, ClientAnswered: how == policy.Success}, h)
 }
 
 func (h *history) step() {
@@ -279,7 +279,7 @@
 		h.now += time.Duration(r.IntN(int(2 * time.Second)))
 	}
 	if h.now >= h.wakeAt {
-		h.node.Woken(h.now, h)
+		h.node.TimerFired(h.now, h)
 	}
 	for range 2 {
 		if len(h.attempts) > 0 && r.Float64() < 0.2+float64(len(h.attempts))/h.load {
@@ -296,12 +296,12 @@
 	case n < 10 && len(h.servers) > 0:
 		h.sick[h.servers[r.IntN(len(h.servers))]] = h.now + time.Duration(r.IntN(int(6*time.Second)))
 	case n < 20 && h.requests > 0:
-		h.node.Left(h.now, h.requests-uint64(r.IntN(int(min(h.requests, 20)))), h)
+		h.node.ClientLeft(h.now, h.requests-uint64(r.IntN(int(min(h.requests, 20)))), h)
 	case n < 500:
 		h.requests++
-		h.node.Arrive(h.now, h.requests, policy.Input{Type: h.some(len(h.set.Types)), Tenant: h.some(len(h.set.AllowancePerS) + 1),
-			Room: r.IntN(1 + h.rooms), Key: uint32(r.IntN(40)), Again: r.IntN(10) == 0,
-			Budget: time.Duration(300+r.IntN(2000)) * time.Millisecond}, h)
+		h.node.RequestArrived(h.now, h.requests, policy.Input{TrafficType: h.some(len(h.set.TrafficTypes)), Tenant: h.some(len(h.set.TenantQuotas) + 1),
+			RouteLimit: r.IntN(1 + h.rooms), Key: uint32(r.IntN(40)), IsClientRetry: r.IntN(10) == 0,
+			Timeout: time.Duration(300+r.IntN(2000)) * time.Millisecond}, h)
 	}
 }
 
