--- a/internal/proxy/engine/node_test.go
+++ b/internal/proxy/engine/node_test.go
@@ -12,36 +12,36 @@
 	forgotten         []uint32
 }
 
-func (r *record) Forward(uint64, uint32, time.Duration) { r.forwards++ }
-func (r *record) TurnAway(uint64, time.Duration)        { r.answers++ }
-func (r *record) Lose(uint64)                           { r.answers++ }
-func (r *record) Schedule(time.Duration)                {}
-func (r *record) Release(uint32)                        {}
-func (r *record) Forget(s uint32)                       { r.forgotten = append(r.forgotten, s) }
-func (r *record) Listen()                               {}
+func (r *record) SendAttempt(uint64, uint32, time.Duration) { r.forwards++ }
+func (r *record) Reject(uint64, time.Duration)              { r.answers++ }
+func (r *record) Fail(uint64)                               { r.answers++ }
+func (r *record) SetTimer(time.Duration)                    {}
+func (r *record) CloseIdle(uint32)                          {}
+func (r *record) Forget(s uint32)                           { r.forgotten = append(r.forgotten, s) }
+func (r *record) Subscribe()                                {}
 
 func TestIndicesAreReleased(t *testing.T) {
-	settings := policy.Settings{Nodes: 1, MostHops: 1, Types: []policy.TrafficType{
-		{TargetTime: 400 * time.Millisecond, AbandonTime: time.Second, Revenue: 1}}}
+	settings := policy.Settings{NodeCount: 1, MaxAttempts: 1, TrafficTypes: []policy.TrafficType{
+		{LatencyObjective: 400 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1}}}
 	for name, c := range map[string]struct {
-		do   func(*Node[uint32], *record)
+		do   func(*Engine[uint32], *record)
 		held int
 	}{
-		"handled": {func(n *Node[uint32], r *record) {
-			n.HopEnded(0, 7, 5, policy.Input{Outcome: policy.Success, Final: true}, r)
+		"handled": {func(n *Engine[uint32], r *record) {
+			n.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.Success, ClientAnswered: true}, r)
 		}, 0},
-		"left, the hop still out": {func(n *Node[uint32], r *record) { n.Left(0, 7, r) }, 1},
-		"left, then the hop ends": {func(n *Node[uint32], r *record) {
-			n.Left(0, 7, r)
-			n.HopEnded(0, 7, 5, policy.Input{Outcome: policy.TimedOut, Final: true}, r)
+		"left, the hop still out": {func(n *Engine[uint32], r *record) { n.ClientLeft(0, 7, r) }, 1},
+		"left, then the hop ends": {func(n *Engine[uint32], r *record) {
+			n.ClientLeft(0, 7, r)
+			n.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.TimedOut, ClientAnswered: true}, r)
 		}, 0},
-		"an unknown server's verdict is dropped": {func(n *Node[uint32], r *record) {
-			if n.HopEnded(0, 7, 6, policy.Input{Outcome: policy.Success, Final: true}, r) {
+		"an unknown server's verdict is dropped": {func(n *Engine[uint32], r *record) {
+			if n.AttemptEnded(0, 7, 6, policy.Input{Outcome: policy.Success, ClientAnswered: true}, r) {
 				t.Error("taken")
 			}
 		}, 1},
-		"the same id again is not taken": {func(n *Node[uint32], r *record) {
-			if n.Arrive(0, 7, policy.Input{Budget: time.Second}, r) {
+		"the same id again is not taken": {func(n *Engine[uint32], r *record) {
+			if n.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r) {
 				t.Error("taken")
 			}
 		}, 1},
@@ -49,8 +49,8 @@
 		t.Run(name, func(t *testing.T) {
 			r := &record{}
 			n := New[uint32](0, policy.New(settings, 1), r)
-			n.List(0, policy.Saved, []Member[uint32]{{Server: 5, Line: policy.Member{Scale: 1}}}, r)
-			n.Arrive(0, 7, policy.Input{Budget: time.Second}, r)
+			n.EndpointsUpdated(0, policy.Cached, []Endpoint[uint32]{{Server: 5, Info: policy.Endpoint{Weight: 1}}}, r)
+			n.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r)
 			if r.forwards != 1 {
 				t.Fatal("not sent")
 			}
@@ -65,30 +65,30 @@
 // Servers come and go under ever new ids: their indices are used again, but none that an operation still names.
 func TestServersAreForgotten(t *testing.T) {
 	r := &record{}
-	n := New[uint32](0, policy.New(policy.Settings{Nodes: 1, MostHops: 1, Types: []policy.TrafficType{
-		{TargetTime: 400 * time.Millisecond, AbandonTime: time.Second, Revenue: 1}}}, 1), r)
-	list := func(scope policy.Scope, server uint32, c policy.Condition) {
-		n.List(0, scope, []Member[uint32]{{Server: server, Line: policy.Member{Scale: 1, Condition: c, HasStart: true}}}, r)
+	n := New[uint32](0, policy.New(policy.Settings{NodeCount: 1, MaxAttempts: 1, TrafficTypes: []policy.TrafficType{
+		{LatencyObjective: 400 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1}}}, 1), r)
+	list := func(scope policy.UpdateScope, server uint32, c policy.Condition) {
+		n.EndpointsUpdated(0, scope, []Endpoint[uint32]{{Server: server, Info: policy.Endpoint{Weight: 1, Condition: c, HasStartTime: true}}}, r)
 	}
-	list(policy.Whole, 5, policy.Up)
-	n.Arrive(0, 7, policy.Input{Budget: time.Second}, r) // its hop is out at server 5
-	list(policy.Changes, 5, policy.Gone)
-	list(policy.Changes, 6, policy.Up)
+	list(policy.Full, 5, policy.Up)
+	n.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r) // its hop is out at server 5
+	list(policy.Incremental, 5, policy.Removed)
+	list(policy.Incremental, 6, policy.Up)
 	if len(r.forgotten) > 0 || len(n.ids) != 2 {
 		t.Fatalf("forgot %v, %d indices", r.forgotten, len(n.ids))
 	}
-	n.HopEnded(0, 7, 5, policy.Input{Outcome: policy.Success, Final: true}, r)
+	n.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.Success, ClientAnswered: true}, r)
 	if len(r.forgotten) != 1 || r.forgotten[0] != 5 {
 		t.Fatalf("forgot %v", r.forgotten)
 	}
 	for id := range uint32(100) {
-		list(policy.Whole, 10+id, policy.Up)
-		list(policy.Changes, 200+id, policy.Gone) // never known
+		list(policy.Full, 10+id, policy.Up)
+		list(policy.Incremental, 200+id, policy.Removed) // never known
 	}
 	if len(n.ids) > 3 || len(n.servers) != 1 || n.servers[109] >= len(n.ids) {
 		t.Errorf("%d indices, %d ids", len(n.ids), len(n.servers))
 	}
-	n.Arrive(0, 8, policy.Input{Budget: time.Second}, r)
+	n.RequestArrived(0, 8, policy.Input{Timeout: time.Second}, r)
 	if r.forwards != 2 {
 		t.Error("not sent to the server that is left")
 	}
@@ -97,16 +97,16 @@
 // A server that the list drops keeps its index while the module may still send to it, and no longer.
 func TestDroppedServersAreKept(t *testing.T) {
 	r := &record{}
-	n := New[uint32](0, policy.New(policy.Settings{Nodes: 1, MostHops: 1, OnlyDraining: true, Types: []policy.TrafficType{
-		{TargetTime: 400 * time.Millisecond, AbandonTime: time.Second, Revenue: 1}}}, 1), r)
+	n := New[uint32](0, policy.New(policy.Settings{NodeCount: 1, MaxAttempts: 1, UnlistedUsable: true, TrafficTypes: []policy.TrafficType{
+		{LatencyObjective: 400 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1}}}, 1), r)
 	for id := range uint32(200) { // ever new ones, each dropped by the next list; the last by three empty ones
-		n.List(0, policy.Whole, []Member[uint32]{{Server: id, Line: policy.Member{HasStart: true, Started: -time.Hour}}}, r)
-		n.Woken(0, r)
+		n.EndpointsUpdated(0, policy.Full, []Endpoint[uint32]{{Server: id, Info: policy.Endpoint{HasStartTime: true, StartedAt: -time.Hour}}}, r)
+		n.TimerFired(0, r)
 	}
 	for range 3 {
-		n.List(0, policy.Whole, nil, r)
+		n.EndpointsUpdated(0, policy.Full, nil, r)
 	}
-	n.Arrive(0, 7, policy.Input{Budget: time.Second}, r)
+	n.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r)
 	if _, known := n.servers[199]; r.forwards != 1 || !known || len(n.ids) > 4 {
 		t.Fatalf("%d sent, the last known: %v, %d indices", r.forwards, known, len(n.ids))
 	}
@@ -117,9 +117,9 @@
 	cost := func(servers int) (visits int, allocs float64) {
 		r := &record{}
 		n := New[uint32](0, still{}, r)
-		n.List(0, policy.Whole, lines(servers), r)
+		n.EndpointsUpdated(0, policy.Full, lines(servers), r)
 		from, one := n.gone.Visits(), lines(1)
-		allocs = testing.AllocsPerRun(100, func() { n.List(0, policy.Changes, one, r) })
+		allocs = testing.AllocsPerRun(100, func() { n.EndpointsUpdated(0, policy.Incremental, one, r) })
 		return n.gone.Visits() - from, allocs
 	}
 	few, fewAllocs := cost(1_000)
@@ -131,15 +131,15 @@
 
 // Allowances reach the module as they are.
 func TestAllowancesReachTheModule(t *testing.T) {
-	var got []policy.Allowance
+	var got []policy.Quota
 	r := &record{}
 	n := New[uint32](0, asked(func(in *policy.Input) {
-		if in.Kind == policy.AllowancesChanged {
-			got = in.Allowances
+		if in.Kind == policy.QuotasChanged {
+			got = in.Quotas
 		}
 	}), r)
-	n.SetAllowances(time.Second, []policy.Allowance{{Tenant: 7, PerS: 3}}, r)
-	if len(got) != 1 || got[0].Tenant != 7 || got[0].PerS != 3 {
+	n.QuotasChanged(time.Second, []policy.Quota{{Tenant: 7, PerSecond: 3}}, r)
+	if len(got) != 1 || got[0].Tenant != 7 || got[0].PerSecond != 3 {
 		t.Errorf("told %v", got)
 	}
 }
--- a/internal/proxy/floods_test.go
+++ b/internal/proxy/floods_test.go
@@ -51,7 +51,7 @@
 					nc.(*net.TCPConn).SetLinger(0)
 				}
 			}
-			at, _ := startNode(t, config(http1.Host{ID: "a", Address: standIn(t, lead), Size: 1}, http1.Host{ID: "b", Address: standIn(t, lead), Size: 1}))
+			at, _ := startNode(t, config(http1.Endpoint{ID: "a", Address: standIn(t, lead), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, lead), Size: 1}))
 			if r := ask1(t, dial(t, at), "/book/1"); r.Status != 502 && r.Status != 504 || taken.Load() != 1 {
 				t.Errorf("answered %d after %d attempts", r.Status, taken.Load())
 			}
@@ -84,10 +84,10 @@
 					io.WriteString(nc, whole)
 				}
 			}
-			cfg := config(http1.Host{ID: "a", Address: standIn(t, lead), Size: 1}, http1.Host{ID: "b", Address: standIn(t, lead), Size: 1})
-			kind := &cfg.Settings.Types[0]
-			kind.Repeat, kind.Group, kind.Window = policy.Fingerprinted, policy.GroupAll, c.window
-			kind.TargetTime, kind.AbandonTime = time.Minute, time.Minute
+			cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, lead), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, lead), Size: 1})
+			kind := &cfg.Settings.TrafficTypes[0]
+			kind.Idempotency, kind.KeyScope, kind.KeyRetention = policy.IdempotentWithKey, policy.KeyScopeAll, c.window
+			kind.LatencyObjective, kind.ClientTimeout = time.Minute, time.Minute
 			at, _ := startNode(t, cfg)
 			if r := ask1(t, dial(t, at), "/check/1"); r.Status != c.status || taken.Load() != c.sent {
 				t.Errorf("answered %d after %d attempts", r.Status, taken.Load())
@@ -107,8 +107,8 @@
 	hosts, _ := servers(t, 2, whole)
 	cfg := config(hosts...)
 	cfg.Limits.Sockets = 64
-	for i := range cfg.Settings.Types {
-		cfg.Settings.Types[i].TargetTime, cfg.Settings.Types[i].AbandonTime = time.Minute, time.Minute
+	for i := range cfg.Settings.TrafficTypes {
+		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
 	}
 	at, _ := startNode(t, cfg)
 	kinds := []struct {
--- a/internal/proxy/hop.go
+++ b/internal/proxy/hop.go
@@ -21,7 +21,7 @@
 
 // exchanged is what hops of one operation have in common.
 type exchanged struct {
-	op      *dispatch.Operation
+	op      *dispatch.Request
 	req     *http1.Request
 	from    string                      // the client's address
 	parting func() bool                 // a look at whether the client has left; nil: there is none
@@ -34,68 +34,68 @@
 	io.Closer
 	SetDeadline(time.Time) error
 	// Quiet tells that an idle connection is open and that nothing has come on it.
-	Quiet() bool
+	IsIdle() bool
 	// Trim gives back memory that a large message took; what was read is not valid after it.
-	Trim()
+	ReleaseBuffers()
 	// Ask writes a request whole, or tells that it did not.
-	Ask(r *message.Request, left time.Duration, from string) (whole bool, err error)
+	SendRequest(r *message.Request, left time.Duration, from string) (whole bool, err error)
 	// Reply reads the whole answer; message.ErrGarbled is one that cannot be read.
-	Reply(r *message.Response) error
+	ReceiveResponse(r *message.Response) error
 	// Reusable tells whether another request may be asked after a whole answer.
-	Reusable(r *message.Response) bool
+	IsReusable(r *message.Response) bool
 }
 
 // hop sends an operation to one server, once, and tells how that ended. Where the server has answered, the
 // client's answer is put together in room of its own, so that the server's connection is free again.
-func (s *Server) hop(ctx context.Context, d dispatch.Decision, x *exchanged) (dispatch.End, []byte) {
-	until := time.Now().Add(d.For)
+func (s *Server) hop(ctx context.Context, d dispatch.Decision, x *exchanged) (dispatch.AttemptResult, []byte) {
+	until := time.Now().Add(d.Duration)
 	conn, kept, end := s.connect(ctx, d, until)
 	if conn == nil {
 		return end, nil
 	}
-	if x.kept != nil && (x.op.Settled() || s.parted(d.Server)) { // what will not be sent is not kept
-		s.fleet.Keep(d.Server, d.FastCGI, conn)
-		return dispatch.NoTime, nil
+	if x.kept != nil && (x.op.IsSettled() || s.parted(d.Server)) { // what will not be sent is not kept
+		s.fleet.PutIdle(d.Server, d.IsFastCGI, conn)
+		return dispatch.ExpiredUnsent, nil
 	}
 	hop, err := x.kept.intend(ctx, d.Server, until)
 	if err != nil || !s.writing(d, x) {
-		end = dispatch.Unkept
+		end = dispatch.JournalFailed
 		if err == nil {
-			end = dispatch.NoTime
+			end = dispatch.ExpiredUnsent
 			x.kept.ended(hop, end)
 		}
-		s.fleet.Keep(d.Server, d.FastCGI, conn)
+		s.fleet.PutIdle(d.Server, d.IsFastCGI, conn)
 		return end, nil
 	}
 	conn.SetDeadline(until)
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(past) })
 	var resp message.Response
 	end = exchange(ctx, conn, x, time.Until(until), &resp)
-	if end == dispatch.Unsent && kept {
-		end = dispatch.Stale
+	if end == dispatch.WriteFailed && kept {
+		end = dispatch.StaleConnection
 	}
 	x.kept.ended(hop, end)
 	if id := message.Find(resp.Fields, message.ServerID); s.kept != nil && len(id) > 0 && string(id) != d.Server {
-		s.fleet.Mistaken(d.Server)
+		s.fleet.WrongServer(d.Server)
 	}
 	var answer []byte
-	if end == dispatch.Answered || end == dispatch.Declined {
+	if end == dispatch.Succeeded || end == dispatch.RequestFault {
 		answer = x.compose(message.Answer{Status: resp.Status, Fields: resp.Fields,
 			Body: resp.Body, Close: x.req.Close || s.draining.Load()})
 	}
-	again := end <= dispatch.TurnedAway && conn.Reusable(&resp)
-	conn.Trim()
-	whole := end <= dispatch.TurnedAway
+	again := end <= dispatch.NotStarted && conn.IsReusable(&resp)
+	conn.ReleaseBuffers()
+	whole := end <= dispatch.NotStarted
 	if stop() && again {
-		s.fleet.Keep(d.Server, d.FastCGI, conn)
+		s.fleet.PutIdle(d.Server, d.IsFastCGI, conn)
 	} else { // given up, broken or used up: closing it is what tells the server
 		if a, ok := conn.(interface{ Abort() }); ok && !whole {
 			a.Abort()
 		}
 		conn.Close()
-		s.fleet.Forgo()
+		s.fleet.ReleaseServerDescriptor()
 	}
-	if !whole || end == dispatch.TurnedAway {
+	if !whole || end == dispatch.NotStarted {
 		s.log.Debug().Str("server", d.Server).Stringer("end", end).Msg("hop ended")
 	}
 	return end, answer
@@ -106,30 +106,32 @@
 // have run yet.
 func (s *Server) writing(d dispatch.Decision, x *exchanged) bool {
 	if !s.cfg.Deaf && x.parting != nil && x.parting() {
-		x.op.Left()
+		x.op.ClientDisconnected()
 	}
-	return !s.parted(d.Server) && x.op.Writing(d.Hop)
+	return !s.parted(d.Server) && x.op.BeginWrite(d.Attempt)
 }
 
 // parted tells that a server left too long ago for anything to be written to it.
-func (s *Server) parted(server string) bool { return !s.cfg.Unguarded && s.fleet.Parted(server) }
+func (s *Server) parted(server string) bool {
+	return !s.cfg.Unguarded && s.fleet.IsPastDrainGrace(server)
+}
 
 // copying leads a second copy beside the hop that is out. The client's buffer is the first one's, so the copy has the
 // request and its answer in memory of its own.
-func (s *Server) copying(f front, req *message.Request, k *kept) func(*dispatch.Operation, dispatch.Decision) {
+func (s *Server) copying(f front, req *message.Request, k *kept) func(*dispatch.Request, dispatch.Decision) {
 	req = req.Clone()
-	return func(op *dispatch.Operation, d dispatch.Decision) {
+	return func(op *dispatch.Request, d dispatch.Decision) {
 		s.clients.Go(func() error {
 			ctx, giveUp := context.WithCancel(context.Background())
 			defer giveUp()
-			end, answer := dispatch.GivenUp, []byte(nil)
+			end, answer := dispatch.Abandoned, []byte(nil)
 			defer func() {
 				if p := recover(); p != nil {
 					s.log.Error().Interface("panic", p).Bytes("stack", debug.Stack()).Msg("copy dropped")
 				}
-				op.Ended(d.Hop, end, answer)
+				op.AttemptEnded(d.Attempt, end, answer)
 			}()
-			op.Copying(d, giveUp)
+			op.HedgeStarted(d, giveUp)
 			end, answer = s.hop(ctx, d, &exchanged{op: op, req: req, from: f.From(), parting: f.Parting, kept: k, compose: func(a message.Answer) []byte { return f.Append(nil, a) }})
 			return nil
 		})
@@ -137,16 +139,16 @@
 }
 
 // connect finds a connection that stands idle, or opens one.
-func (s *Server) connect(ctx context.Context, d dispatch.Decision, until time.Time) (c line, kept bool, end dispatch.End) {
-	for k := s.fleet.Take(d.Server); k != nil; k = s.fleet.Take(d.Server) {
-		if c := k.(line); c.Quiet() {
-			return c, true, dispatch.Answered
+func (s *Server) connect(ctx context.Context, d dispatch.Decision, until time.Time) (c line, kept bool, end dispatch.AttemptResult) {
+	for k := s.fleet.TakeIdle(d.Server); k != nil; k = s.fleet.TakeIdle(d.Server) {
+		if c := k.(line); c.IsIdle() {
+			return c, true, dispatch.Succeeded
 		}
 		k.Close()
-		s.fleet.Forgo()
+		s.fleet.ReleaseServerDescriptor()
 	}
-	if !s.fleet.Reserve() {
-		return nil, false, dispatch.NoRoom
+	if !s.fleet.AcquireServerDescriptor() {
+		return nil, false, dispatch.NoDescriptor
 	}
 	by := time.Now().Add(s.cfg.Settings.ConnectTimeout)
 	if by.After(until) {
@@ -155,65 +157,65 @@
 	ctx, cancel := context.WithDeadline(ctx, by)
 	defer cancel()
 	nc, err := s.dialer.DialContext(ctx, "tcp", d.Address.String())
-	if err == nil && d.FastCGI {
-		return fastcgi.NewBack(nc, s.fleet.Pool(), func(text []byte) {
+	if err == nil && d.IsFastCGI {
+		return fastcgi.NewServerConn(nc, s.fleet.MessageBudget(), func(text []byte) {
 			s.log.Warn().Str("server", d.Server).Bytes("stderr", text[:min(len(text), logText)]).Msg("responder complains")
-		}), false, dispatch.Answered
+		}), false, dispatch.Succeeded
 	}
 	if err == nil {
-		return http1.NewPooled(nc, s.fleet.Pool()), false, dispatch.Answered
+		return http1.NewPooled(nc, s.fleet.MessageBudget()), false, dispatch.Succeeded
 	}
-	s.fleet.Forgo()
+	s.fleet.ReleaseServerDescriptor()
 	return nil, false, connectEnd(err, by.Equal(until))
 }
 
-func connectEnd(err error, timeUp bool) dispatch.End {
+func connectEnd(err error, timeUp bool) dispatch.AttemptResult {
 	for _, short := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, short) {
-			return dispatch.NoRoom
+			return dispatch.NoDescriptor
 		}
 	}
 	var late interface{ Timeout() bool }
 	switch {
 	case errors.Is(err, context.Canceled):
-		return dispatch.NoTime
+		return dispatch.ExpiredUnsent
 	case errors.As(err, &late) && late.Timeout():
 		if timeUp {
-			return dispatch.NoTime
+			return dispatch.ExpiredUnsent
 		}
-		return dispatch.NeverUp
+		return dispatch.ConnectTimeout
 	}
-	return dispatch.Refused
+	return dispatch.ConnectRefused
 }
 
 // exchange writes the request and reads the answer whole. Only before the last byte is written is it sure
 // that the server has not begun.
-func exchange(ctx context.Context, conn line, x *exchanged, left time.Duration, resp *message.Response) dispatch.End {
-	whole, err := conn.Ask(x.req, left, x.from)
+func exchange(ctx context.Context, conn line, x *exchanged, left time.Duration, resp *message.Response) dispatch.AttemptResult {
+	whole, err := conn.SendRequest(x.req, left, x.from)
 	if !whole {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return dispatch.NoTime
+			return dispatch.ExpiredUnsent
 		}
-		return dispatch.Unsent
+		return dispatch.WriteFailed
 	}
-	switch err = conn.Reply(resp); {
+	switch err = conn.ReceiveResponse(resp); {
 	case err == nil:
 	case errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() != nil:
-		return dispatch.GivenUp
+		return dispatch.Abandoned
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return dispatch.Silent
-	case err == message.ErrGarbled:
-		return dispatch.Garbled
+		return dispatch.ResponseTimeout
+	case err == message.ErrMalformedResponse:
+		return dispatch.MalformedResponse
 	default:
-		return dispatch.CutOff
+		return dispatch.ConnectionLost
 	}
 	switch {
 	case resp.Status == 200:
-		return dispatch.Answered
-	case resp.NeverRan():
-		return dispatch.TurnedAway
-	case resp.Blames():
-		return dispatch.Declined
+		return dispatch.Succeeded
+	case resp.NotStarted():
+		return dispatch.NotStarted
+	case resp.RejectsRequest():
+		return dispatch.RequestFault
 	}
-	return dispatch.Erred
+	return dispatch.ErrorResponse
 }
--- a/internal/proxy/instants_test.go
+++ b/internal/proxy/instants_test.go
@@ -62,9 +62,9 @@
 	l := newLed(t, config(hosts...))
 	op := booked(l.fleet)
 	defer op.Close()
-	d := op.Next(func() {})
+	d := op.NextDecision(func() {})
 	conn, _, end := l.connect(t.Context(), d, time.Now().Add(time.Minute))
-	if end != dispatch.Answered || !noDelay(t, conn.(*http1.Conn).Conn.(*net.TCPConn)) {
+	if end != dispatch.Succeeded || !noDelay(t, conn.(*http1.Conn).Conn.(*net.TCPConn)) {
 		t.Errorf("a server's connection (%s) holds small writes back", end)
 	}
 	conn.Close()
@@ -105,7 +105,7 @@
 					close(sent)
 				}
 			})
-			node, _ := startNode(t, config(http1.Host{ID: "s", Address: at, Size: 1}))
+			node, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: at, Size: 1}))
 			client := dial(t, node)
 			if r := ask1(t, client, "/book/1"); r.Status != 200 || string(r.Body) != "ok" {
 				t.Errorf("answered %d %q", r.Status, r.Body)
@@ -148,7 +148,7 @@
 			})
 			coming := make(chan struct{})
 			u := unhurried{coming: func() { <-coming }, more: time.Minute}
-			http, cgi, stop := cgiNodeWith(t, u, http1.Host{ID: "s", Size: 1, Address: at})
+			http, cgi, stop := cgiNodeWith(t, u, http1.Endpoint{ID: "s", Size: 1, Address: at})
 			done := make(chan error, 1)
 			if c.stops {
 				go func() { done <- stop() }()
@@ -200,9 +200,9 @@
 			io.WriteString(nc, whole)
 		}
 	})
-	cfg := config(http1.Host{ID: "s", Address: at, Size: 1})
-	for i := range cfg.Settings.Types {
-		cfg.Settings.Types[i].TargetTime, cfg.Settings.Types[i].AbandonTime = time.Minute, time.Minute
+	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
+	for i := range cfg.Settings.TrafficTypes {
+		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
 	}
 	cfg.stop = unhurried{coming: func() {}, more: time.Minute, quiet: -quietFor}
 	node, stop := startNode(t, cfg)
@@ -263,8 +263,8 @@
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size))
 		}
 	})
-	cfg := config(http1.Host{ID: "s", Address: at, Size: 1})
-	cfg.Settings.Types[0].TargetTime, cfg.Settings.Types[0].AbandonTime = time.Minute, time.Minute
+	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
+	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = time.Minute, time.Minute
 	cfg.stop.linger = time.Minute
 	l := newLed(t, cfg)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -293,7 +293,7 @@
 	fmt.Fprintf(client, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", ids.Add(1))
 	<-begun
 	io.WriteString(client, strings.Repeat("y", 40<<10))
-	await(t, "all that was sent is read", func() bool { return sockpeek.Quiet(near) })
+	await(t, "all that was sent is read", func() bool { return sockpeek.IsIdle(near) })
 	close(release)
 	first := make([]byte, 1)
 	if _, err := io.ReadFull(client, first); err != nil {
--- a/internal/proxy/kept.go
+++ b/internal/proxy/kept.go
@@ -34,27 +34,27 @@
 type listKeeper struct {
 	cfg   *snapshot.Config
 	name  string
-	fleet *dispatch.Fleet
+	fleet *dispatch.Dispatcher
 	log   zerolog.Logger
 	store *snapshot.Store
 	begun time.Time
-	peers *peer.Peers // who may have a list where this node has none; nil: nobody
+	peers *peer.Node // who may have a list where this node has none; nil: nobody
 
 	writing sync.Mutex // one generation at a time
 
 	mu      sync.Mutex // never held over a file or a socket
-	trust   *staleness.Trust
-	words   map[string]endpoints.Word
+	trust   *staleness.Evaluator
+	words   map[string]endpoints.Endpoint
 	doubted time.Time // since when a list is not believed; zero: none was
 	listed  uint64    // revision of what was told last
 }
 
-func newKept(cfg Config, f *dispatch.Fleet, log zerolog.Logger) (*listKeeper, error) {
-	files := cfg.Disk
+func newKept(cfg Config, f *dispatch.Dispatcher, log zerolog.Logger) (*listKeeper, error) {
+	files := cfg.Filesystem
 	if files == nil {
-		files = wal.OS{}
+		files = wal.OSFileSystem{}
 	}
-	store, err := snapshot.Open(cfg.Snapshot.Dir, cfg.Snapshot.Keep, files)
+	store, err := snapshot.Open(cfg.Snapshot.Dir, cfg.Snapshot.MaxGenerations, files)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", cfg.Snapshot.Dir, err)
 	}
@@ -63,7 +63,7 @@
 
 // start goes by the newest list on disk, if that is of use and no older than the one that the configuration brings, which
 // says nothing of its age. It returns the list to go on from.
-func (k *listKeeper) start(known http1.List) (l http1.List, use bool) {
+func (k *listKeeper) start(known http1.EndpointList) (l http1.EndpointList, use bool) {
 	snap, faults, err := k.store.Newest()
 	own := snap != nil
 	if !own && k.peers != nil {
@@ -78,13 +78,13 @@
 		return known, false
 	}
 	now := time.Now()
-	age := now.Sub(time.UnixMilli(snap.Confirmed))
+	age := now.Sub(time.UnixMilli(snap.ConfirmedUnixMS))
 	switch {
 	case snap.Deployment != k.cfg.Deployment:
 		err = fmt.Errorf("it is of deployment %.60q, not %q", snap.Deployment, k.cfg.Deployment)
 	case own && snap.Node != k.name:
 		err = fmt.Errorf("it is of node %.60q, not %q", snap.Node, k.name)
-	case age > k.cfg.Oldest.D():
+	case age > k.cfg.MaxAge.Std():
 		err = fmt.Errorf("it was confirmed %s ago", age.Round(time.Minute))
 	case len(known.Hosts) > 0 && known.Revision >= snap.Revision:
 		err = errors.New("the configuration brings one that is as new")
@@ -94,22 +94,22 @@
 		return known, false
 	}
 	k.listed = snap.Revision
-	k.words = map[string]endpoints.Word{}
+	k.words = map[string]endpoints.Endpoint{}
 	var servers []staleness.Server
-	l = http1.List{Revision: snap.Revision}
+	l = http1.EndpointList{Revision: snap.Revision}
 	for _, s := range snap.Servers {
-		w := endpoints.Word{ID: s.ID, Zone: s.Zone, Flavor: s.Flavor, Cell: s.Cell, Size: s.Size, Up: s.Up, Condition: incarnation.Condition(s.Condition)}
+		w := endpoints.Endpoint{ID: s.ID, Zone: s.Zone, MachineKind: s.MachineKind, Cell: s.Cell, Weight: s.Weight, StartedUnixMS: s.StartedUnixMS, Condition: incarnation.Condition(s.Condition)}
 		w.Address, err = netip.ParseAddrPort(s.Address)
 		if w.Condition > incarnation.Gone || err != nil && w.Condition == incarnation.Up {
 			l.Skipped = append(l.Skipped, fmt.Errorf("kept server %.40q cannot be used", s.ID))
 			continue
 		}
 		k.words[s.ID] = w
-		servers = append(servers, staleness.Server{ID: s.ID, Up: w.Condition == incarnation.Up, Served: s.Ran > 0})
+		servers = append(servers, staleness.Server{ID: s.ID, IsUp: w.Condition == incarnation.Up, HasExecuted: s.ExecutedUnixMS > 0})
 		l.Hosts = append(l.Hosts, hostOf(w))
 	}
-	k.trust = staleness.New(staleness.Known{Age: age, Clean: snap.Clean && own}, k.name, servers)
-	k.log.Info().Str("of", snap.Node).Float64("age_s", age.Round(time.Second/10).Seconds()).Bool("clean", snap.Clean).Int("grade", k.trust.Grade()).
+	k.trust = staleness.New(staleness.CachedList{Age: age, IsCleanShutdown: snap.IsCleanShutdown && own}, k.name, servers)
+	k.log.Info().Str("of", snap.Node).Float64("age_s", age.Round(time.Second/10).Seconds()).Bool("clean", snap.IsCleanShutdown).Int("grade", k.trust.Level()).
 		Int("servers", len(servers)).Msg("kept list used")
 	k.offer()
 	return l, true
@@ -118,12 +118,12 @@
 // fetched is the newest list that a neighbour keeps, for a node whose own disk has none: believed by its age, and as that of
 // a node that crashed, for nobody tells what happened since.
 func (k *listKeeper) fetched() (newest *snapshot.Snapshot) {
-	for _, text := range k.peers.Fetch(fetchMost) {
+	for _, text := range k.peers.FetchEndpointLists(fetchMost) {
 		snap, err := snapshot.Decode(text)
 		switch {
 		case err != nil:
 			k.log.Warn().Err(err).Msg("a neighbour's list passed over")
-		case snap.Deployment == k.cfg.Deployment && (newest == nil || snap.Confirmed > newest.Confirmed):
+		case snap.Deployment == k.cfg.Deployment && (newest == nil || snap.ConfirmedUnixMS > newest.ConfirmedUnixMS):
 			newest = snap
 		}
 	}
@@ -143,10 +143,10 @@
 	return text
 }
 
-var phaseOf = [...]http1.Phase{incarnation.Up: http1.Serving, incarnation.Draining: http1.Draining, incarnation.Gone: http1.Deleted}
+var phaseOf = [...]http1.Condition{incarnation.Up: http1.Serving, incarnation.Draining: http1.Draining, incarnation.Gone: http1.Deleted}
 
-func hostOf(w endpoints.Word) http1.Host {
-	return http1.Host{ID: w.ID, Address: w.Address, Zone: w.Zone, Flavor: w.Flavor, Cell: w.Cell, Size: w.Size, UpSinceMS: w.Up, Phase: phaseOf[w.Condition]}
+func hostOf(w endpoints.Endpoint) http1.Endpoint {
+	return http1.Endpoint{ID: w.ID, Address: w.Address, Zone: w.Zone, Flavor: w.MachineKind, Cell: w.Cell, Size: w.Weight, UpSinceMS: w.StartedUnixMS, Phase: phaseOf[w.Condition]}
 }
 
 // offer hands to the fleet what may be used now.
@@ -155,17 +155,17 @@
 	if !changed {
 		return
 	}
-	words, proved := make([]endpoints.Word, 0, len(usable)), map[string]bool{}
+	words, proved := make([]endpoints.Endpoint, 0, len(usable)), map[string]bool{}
 	for _, u := range usable {
 		words = append(words, k.words[u.ID])
-		proved[u.ID] = u.Proved
+		proved[u.ID] = u.IsProven
 	}
-	k.fleet.Suspected(words, proved)
+	k.fleet.ApplySuspectList(words, proved)
 }
 
 // believe ends the suspicion, for a source has told. What it tells as changes is told of the list that was kept, which
 // holds with it.
-func (k *listKeeper) believe(l http1.List, from endpoints.Source) (out http1.List, ok bool) {
+func (k *listKeeper) believe(l http1.EndpointList, from endpoints.Source) (out http1.EndpointList, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.listed = max(k.listed, l.Revision)
@@ -175,28 +175,28 @@
 	if l.Complete && k.short(l) {
 		return l, false
 	}
-	if !l.Complete && from == endpoints.Discovery {
-		hosts := make([]http1.Host, 0, len(k.words)+len(l.Hosts))
+	if !l.Complete && from == endpoints.SourceDiscovery {
+		hosts := make([]http1.Endpoint, 0, len(k.words)+len(l.Hosts))
 		for _, w := range k.words {
 			hosts = append(hosts, hostOf(w))
 		}
 		l.Hosts = append(hosts, l.Hosts...)
 	}
 	k.trust, k.words = nil, nil
-	k.fleet.Believed()
+	k.fleet.EndSuspicion()
 	k.log.Info().Stringer("from", from).Dur("after", time.Since(k.begun)).Msg("kept list over: servers are told of")
 	return l, true
 }
 
 // short tells whether a whole list lacks most of the servers that have shown since the start that they serve: a source
 // that has started anew may tell of none at first.
-func (k *listKeeper) short(l http1.List) bool {
+func (k *listKeeper) short(l http1.EndpointList) bool {
 	named, proved, missing := map[string]bool{}, 0, 0
 	for _, h := range l.Hosts {
 		named[h.ID] = true // also one that is told to drain
 	}
 	for id := range k.words {
-		if k.trust.Standing(id) == staleness.Proved {
+		if k.trust.Status(id) == staleness.Proven {
 			if proved++; !named[id] {
 				missing++
 			}
@@ -215,7 +215,7 @@
 
 // run follows what hops find out while the list is suspect, and writes it while it is not.
 func (k *listKeeper) run(ctx context.Context) error {
-	evidence := k.fleet.Evidence()
+	evidence := k.fleet.Observations()
 	tick := time.NewTicker(trustLook)
 	defer tick.Stop()
 	for {
@@ -226,14 +226,14 @@
 			k.mu.Lock()
 			if now := k.fleet.Now(); k.trust != nil {
 				switch {
-				case e.Another:
-					k.trust.Another(now, e.Server)
-				case e.Ran:
-					k.trust.Served(now, e.Server)
-				case e.Answered:
-					k.trust.TurnedAway(now, e.Server)
+				case e.IsOtherServer:
+					k.trust.WrongServer(now, e.Server)
+				case e.HasExecuted:
+					k.trust.RequestExecuted(now, e.Server)
+				case e.HasResponded:
+					k.trust.RequestRejected(now, e.Server)
 				default:
-					k.trust.Away(now, e.Server)
+					k.trust.ConnectFailed(now, e.Server)
 				}
 				k.offer()
 			}
@@ -242,7 +242,7 @@
 			k.mu.Lock()
 			over := k.trust == nil
 			if !over {
-				k.trust.Passed(k.fleet.Now())
+				k.trust.Tick(k.fleet.Now())
 				k.offer()
 			}
 			k.mu.Unlock()
@@ -256,7 +256,7 @@
 // keep writes the list whenever it has changed, and now and then, for its age. A disk that takes nothing costs the list
 // only.
 func (k *listKeeper) keep(ctx context.Context) error {
-	tick := time.NewTicker(k.cfg.Every.D())
+	tick := time.NewTicker(k.cfg.WriteInterval.Std())
 	defer tick.Stop()
 	lists, wrote, failing := -1, time.Time{}, false
 	for {
@@ -303,24 +303,24 @@
 	k.mu.Lock()
 	suspect, revision := k.trust != nil, k.listed
 	k.mu.Unlock()
-	lines, from, heard, lists := k.fleet.Lines()
-	if suspect || len(lines) == 0 || from == endpoints.Saved {
+	lines, from, heard, lists := k.fleet.Endpoints()
+	if suspect || len(lines) == 0 || from == endpoints.SourceConfig {
 		return nil, lists
 	}
 	now, clock := time.Now(), k.fleet.Now()
 	wall := func(at time.Duration) int64 { return now.Add(at - clock).UnixMilli() }
-	s = &snapshot.Snapshot{Node: k.name, Deployment: k.cfg.Deployment, Written: now.UnixMilli(), Confirmed: wall(heard), Clean: clean, Revision: revision}
+	s = &snapshot.Snapshot{Node: k.name, Deployment: k.cfg.Deployment, WrittenUnixMS: now.UnixMilli(), ConfirmedUnixMS: wall(heard), IsCleanShutdown: clean, Revision: revision}
 	for _, l := range lines {
-		one := snapshot.Server{ID: l.ID, Up: l.Up, Condition: uint8(l.Condition), Zone: l.Zone, Flavor: l.Flavor, Cell: l.Cell, Size: l.Size,
-			From: uint8(l.From), Heard: wall(l.Heard)}
-		if !l.Used && l.Condition == incarnation.Up { // taken out by a whole list, or by another at its address
+		one := snapshot.Server{ID: l.ID, StartedUnixMS: l.StartedUnixMS, Condition: uint8(l.Condition), Zone: l.Zone, MachineKind: l.MachineKind, Cell: l.Cell, Weight: l.Weight,
+			Source: uint8(l.Source), AnnouncedUnixMS: wall(l.AnnouncedAt)}
+		if !l.IsUsable && l.Condition == incarnation.Up { // taken out by a whole list, or by another at its address
 			one.Condition = uint8(incarnation.Gone)
 		}
 		if l.Address.IsValid() {
 			one.Address = l.Address.String()
 		}
-		if l.HasRun {
-			one.Ran = wall(l.Ran)
+		if l.HasExecuted {
+			one.ExecutedUnixMS = wall(l.ExecutedAt)
 		}
 		s.Servers = append(s.Servers, one)
 	}
--- a/internal/proxy/kept_test.go
+++ b/internal/proxy/kept_test.go
@@ -21,19 +21,19 @@
 func keptIn(t *testing.T, change func(*snapshot.Snapshot), servers ...snapshot.Server) *snapshot.Config {
 	t.Helper()
 	dir := t.TempDir()
-	store, err := snapshot.Open(dir, 3, wal.OS{})
+	store, err := snapshot.Open(dir, 3, wal.OSFileSystem{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Now().UnixMilli()
-	s := &snapshot.Snapshot{Node: "n", Deployment: "d", Written: now, Confirmed: now, Revision: 7, Servers: servers}
+	s := &snapshot.Snapshot{Node: "n", Deployment: "d", WrittenUnixMS: now, ConfirmedUnixMS: now, Revision: 7, Servers: servers}
 	if change != nil {
 		change(s)
 	}
 	if err := store.Write(s); err != nil {
 		t.Fatal(err)
 	}
-	return &snapshot.Config{Dir: dir, Deployment: "d", Every: tomlfile.Span(20 * time.Millisecond), Keep: 3, Oldest: tomlfile.Span(time.Hour)}
+	return &snapshot.Config{Dir: dir, Deployment: "d", WriteInterval: tomlfile.Duration(20 * time.Millisecond), MaxGenerations: 3, MaxAge: tomlfile.Duration(time.Hour)}
 }
 
 // asked is a stand-in server that counts what comes, by the first part of the path.
@@ -65,7 +65,7 @@
 }
 
 func (a *asked) server(id string, c incarnation.Condition) snapshot.Server {
-	return snapshot.Server{ID: id, Condition: uint8(c), Address: a.at.String(), Size: 1}
+	return snapshot.Server{ID: id, Condition: uint8(c), Address: a.at.String(), Weight: 1}
 }
 
 // crowd asks several times at once, so that one server is not enough.
@@ -101,7 +101,7 @@
 	t.Parallel()
 	up, drained, other := counting(t, ""), counting(t, ""), counting(t, "Server-Id: else\r\n")
 	cfg := config()
-	cfg.Snapshot = keptIn(t, func(s *snapshot.Snapshot) { s.Confirmed -= (10 * time.Minute).Milliseconds() },
+	cfg.Snapshot = keptIn(t, func(s *snapshot.Snapshot) { s.ConfirmedUnixMS -= (10 * time.Minute).Milliseconds() },
 		up.server("up", incarnation.Up), drained.server("drained", incarnation.Draining), drained.server("gone", incarnation.Gone), other.server("other", incarnation.Up))
 	at, stop := startNode(t, cfg)
 	if status := booking(t, at); status != 503 || up.count("book")+other.count("book") > 0 {
@@ -125,7 +125,7 @@
 	if err := stop(); err != nil {
 		t.Error(err)
 	}
-	store, _ := snapshot.Open(cfg.Snapshot.Dir, 3, wal.OS{})
+	store, _ := snapshot.Open(cfg.Snapshot.Dir, 3, wal.OSFileSystem{})
 	if all, _ := store.All(); len(all) != 1 { // it was never confirmed, so writing it would make it look new
 		t.Errorf("%d generations", len(all))
 	}
@@ -142,8 +142,8 @@
 		"good":               {nil, 0, true},
 		"another deployment": {func(s *snapshot.Snapshot) { s.Deployment = "e" }, 0, false},
 		"another node":       {func(s *snapshot.Snapshot) { s.Node = "m" }, 0, false},
-		"too old":            {func(s *snapshot.Snapshot) { s.Confirmed -= (2 * time.Hour).Milliseconds() }, 0, false},
-		"from ahead":         {func(s *snapshot.Snapshot) { s.Confirmed += (2 * time.Hour).Milliseconds() }, 0, true},
+		"too old":            {func(s *snapshot.Snapshot) { s.ConfirmedUnixMS -= (2 * time.Hour).Milliseconds() }, 0, false},
+		"from ahead":         {func(s *snapshot.Snapshot) { s.ConfirmedUnixMS += (2 * time.Hour).Milliseconds() }, 0, true},
 		"a newer one known":  {nil, 8, false},
 		"an older one known": {nil, 6, true},
 		"no address":         {func(s *snapshot.Snapshot) { s.Servers[0].Address = "" }, 0, false},
@@ -154,7 +154,7 @@
 			cfg := config()
 			cfg.Snapshot = keptIn(t, c.change, server.server("s", incarnation.Up))
 			if c.known > 0 {
-				cfg.Known = http1.List{Revision: c.known, Hosts: []http1.Host{{ID: "gone", Phase: http1.Deleted}}}
+				cfg.SavedList = http1.EndpointList{Revision: c.known, Hosts: []http1.Endpoint{{ID: "gone", Phase: http1.Deleted}}}
 			}
 			at, _ := startNode(t, cfg)
 			if status := ask1(t, dial(t, at), "/check/1").Status; (status == 200) != c.used {
@@ -174,7 +174,7 @@
 		return fmt.Sprintf(`{"id":%q,"host_port":%q,"phase":%q,"size":1}`, id, a.at, phase)
 	}
 	cfg := config()
-	cfg.Snapshot = keptIn(t, func(s *snapshot.Snapshot) { s.Confirmed -= (10 * time.Minute).Milliseconds() },
+	cfg.Snapshot = keptIn(t, func(s *snapshot.Snapshot) { s.ConfirmedUnixMS -= (10 * time.Minute).Milliseconds() },
 		one.server("one", incarnation.Up), two.server("two", incarnation.Up), one.server("old", incarnation.Draining))
 	cfg.Discovery = standIn(t, func(nc net.Conn) {
 		defer nc.Close()
@@ -196,7 +196,7 @@
 	}
 	lists <- `{"revision":9,"complete":true,"members":[]}` // a source that has lost its mind
 	lists <- `{"revision":9,"complete":false,"members":[` + line("two", two, "DRAINING") + `]}`
-	store, _ := snapshot.Open(cfg.Snapshot.Dir, 3, wal.OS{})
+	store, _ := snapshot.Open(cfg.Snapshot.Dir, 3, wal.OSFileSystem{})
 	var got *snapshot.Snapshot
 	for got == nil || got.Revision != 9 { // until what was told is on disk
 		time.Sleep(5 * time.Millisecond)
@@ -219,7 +219,7 @@
 	for _, s := range got.Servers {
 		states[s.ID] = s.Condition
 	}
-	if !got.Clean || got.Node != "n" || fmt.Sprint(states) != "map[old:1 one:0 two:1]" || got.Servers[1].Ran == 0 || time.Since(time.UnixMilli(got.Confirmed)) > time.Minute {
+	if !got.IsCleanShutdown || got.Node != "n" || fmt.Sprint(states) != "map[old:1 one:0 two:1]" || got.Servers[1].ExecutedUnixMS == 0 || time.Since(time.UnixMilli(got.ConfirmedUnixMS)) > time.Minute {
 		t.Errorf("kept in the end: %+v", got)
 	}
 }
@@ -229,8 +229,8 @@
 	t.Parallel()
 	hosts, _ := servers(t, 1, whole)
 	cfg := config(hosts...)
-	cfg.Snapshot = &snapshot.Config{Dir: t.TempDir(), Deployment: "d", Every: tomlfile.Span(time.Millisecond), Keep: 2, Oldest: tomlfile.Span(time.Hour)}
-	cfg.Disk = noDisk{}
+	cfg.Snapshot = &snapshot.Config{Dir: t.TempDir(), Deployment: "d", WriteInterval: tomlfile.Duration(time.Millisecond), MaxGenerations: 2, MaxAge: tomlfile.Duration(time.Hour)}
+	cfg.Filesystem = noDisk{}
 	at, stop := startNode(t, cfg)
 	for range 20 {
 		if status := ask1(t, dial(t, at), "/check/1").Status; status != 200 {
@@ -242,6 +242,6 @@
 	}
 }
 
-type noDisk struct{ wal.OS }
+type noDisk struct{ wal.OSFileSystem }
 
 func (noDisk) Create(string) (wal.File, error) { return nil, io.ErrShortWrite }
--- a/internal/proxy/lastgood.go
+++ b/internal/proxy/lastgood.go
@@ -38,7 +38,7 @@
 	if err := cbor.Unmarshal(text, &entries); err != nil {
 		return g, nil, fmt.Errorf("%s cannot be read: %v", g.path, err)
 	}
-	entries = slices.DeleteFunc(entries, func(e distribution.Entry) bool { return e.Check() != nil || e.Deleted })
+	entries = slices.DeleteFunc(entries, func(e distribution.Entry) bool { return e.Validate() != nil || e.Deleted })
 	g.wrote = text
 	return g, entries, nil
 }
--- a/internal/proxy/leavers_test.go
+++ b/internal/proxy/leavers_test.go
@@ -27,12 +27,12 @@
 }
 
 func newLed(t *testing.T, cfg Config) *led {
-	l := &led{Server: &Server{cfg: cfg, fleet: dispatch.New(cfg.Settings, 1, cfg.Limits, engine.Policy)}}
+	l := &led{Server: &Server{cfg: cfg, fleet: dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)}}
 	t.Cleanup(l.fleet.Stop)
 	if cfg.Routes != nil {
-		l.fleet.Reroute(cfg.Routes)
+		l.fleet.SetRoutes(cfg.Routes)
 	}
-	l.fleet.Listed(cfg.Known, endpoints.Saved)
+	l.fleet.ApplyList(cfg.SavedList, endpoints.SourceConfig)
 	return l
 }
 
@@ -51,7 +51,7 @@
 // count is what happened up to now.
 func (l *led) count() *led {
 	c := l.fleet.Counts()
-	l.left, l.open = l.left+c.Left, c.Open
+	l.left, l.open = l.left+c.Disconnected, c.OpenRequests
 	return l
 }
 
@@ -148,11 +148,11 @@
 						<-said
 					}
 				}
-				cfg := config(http1.Host{ID: "a", Address: standIn(t, lead), Size: 1}, http1.Host{ID: "b", Address: standIn(t, lead), Size: 1})
-				for i := range cfg.Settings.Types {
-					cfg.Settings.Types[i].TargetTime, cfg.Settings.Types[i].AbandonTime = time.Minute, time.Minute
+				cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, lead), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, lead), Size: 1})
+				for i := range cfg.Settings.TrafficTypes {
+					cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
 				}
-				cfg.Settings.ConnectTimeout, cfg.Settings.Copies = time.Minute, true
+				cfg.Settings.ConnectTimeout, cfg.Settings.HedgingAllowed = time.Minute, true
 				if what == "a second copy's connection" {
 					cfg.Routes = routes(t, &cfg, checks+"copy_after = \"1ms\"\ncopy_share = 1.0")
 				}
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -17,7 +17,7 @@
 	quietFor := quietFor + s.cfg.stop.quiet
 	var quiet time.Time // since when none has come, once the node stops
 	for {
-		s.fleet.Admit()
+		s.fleet.AcquireClientDescriptor()
 		last := s.closing.Load()
 		if last {
 			if time.Now().After(s.enough) { // they never cease
@@ -31,7 +31,7 @@
 		nc, err := ln.AcceptTCP()
 		over := last && errors.Is(err, os.ErrDeadlineExceeded) && time.Since(quiet) >= quietFor
 		if over { // the time may have run out with one in the queue that nobody has looked at
-			nc, err = sockpeek.Accept(ln)
+			nc, err = sockpeek.AcceptQueued(ln)
 		}
 		if err == nil {
 			quiet = time.Now()
@@ -41,7 +41,7 @@
 			})
 			continue
 		}
-		s.fleet.Vacate()
+		s.fleet.ReleaseClientDescriptor()
 		if over {
 			return ln.Close()
 		}
@@ -52,7 +52,7 @@
 			return err
 		}
 		s.log.Warn().Err(err).Msg("accept failed")
-		s.fleet.MakeRoom()
+		s.fleet.EvictIdle()
 		time.Sleep(acceptPause)
 	}
 }
--- a/internal/proxy/log.go
+++ b/internal/proxy/log.go
@@ -15,8 +15,8 @@
 	logFlush  = 100 * time.Millisecond // for what is left to be written at the end, so that a stop does not hang on it
 )
 
-// NewLog writes to w without ever waiting for it. The function it returns writes out what is left.
-func NewLog(w io.Writer, level zerolog.Level) (zerolog.Logger, func()) {
+// NewLogger writes to w without ever waiting for it. The function it returns writes out what is left.
+func NewLogger(w io.Writer, level zerolog.Level) (zerolog.Logger, func()) {
 	var log zerolog.Logger
 	out := diode.NewWriter(w, logQueued, 0, func(missed int) {
 		log.Warn().Int("lines", missed).Msg("log lines dropped")
--- a/internal/proxy/moments_test.go
+++ b/internal/proxy/moments_test.go
@@ -18,7 +18,7 @@
 )
 
 // holding is a server that takes requests and answers none until it is released.
-func holding(t *testing.T) (h http1.Host, begun chan struct{}, release func()) {
+func holding(t *testing.T) (h http1.Endpoint, begun chan struct{}, release func()) {
 	begun = make(chan struct{}, 16)
 	until := make(chan struct{})
 	at := standIn(t, func(nc net.Conn) {
@@ -29,7 +29,7 @@
 			io.WriteString(nc, whole)
 		}
 	})
-	return http1.Host{ID: "s", Address: at, Size: 1}, begun, func() { close(until) }
+	return http1.Endpoint{ID: "s", Address: at, Size: 1}, begun, func() { close(until) }
 }
 
 // A client that sends on behind its request and stays gets its answers, as long as what it sends can be held.
@@ -43,7 +43,7 @@
 			t.Parallel()
 			h, begun, release := holding(t)
 			cfg := config(h)
-			cfg.Settings.Types[0].TargetTime, cfg.Settings.Types[0].AbandonTime = time.Minute, time.Minute
+			cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = time.Minute, time.Minute
 			at, _ := startNode(t, cfg)
 			client := dial(t, at)
 			fmt.Fprintf(client, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", ids.Add(1))
@@ -68,10 +68,10 @@
 	near, client := connpair.TCP(t)
 	fmt.Fprintf(client, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\nGET ", ids.Add(1))
 	client.Close()
-	s := &Server{cfg: config(), fleet: dispatch.New(config().Settings, 1, config().Limits, engine.Policy)}
+	s := &Server{cfg: config(), fleet: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.fleet.Stop()
 	s.client(near)
-	if n := s.fleet.Counts(); n.Left+n.Denied+n.Handled+n.WrittenOff > 0 {
+	if n := s.fleet.Counts(); n.Disconnected+n.Rejected+n.Responded+n.Failed > 0 {
 		t.Errorf("taken: %+v", n)
 	}
 }
@@ -86,7 +86,7 @@
 func (w *watched) From() string                           { return "" }
 func (w *watched) Parting() bool                          { return false }
 func (w *watched) Send([]byte) error                      { w.asSent = w.now; return nil }
-func (w *watched) Watch(*dispatch.Operation) func() {
+func (w *watched) Watch(*dispatch.Request) func() {
 	w.now = true
 	return func() { w.now = false }
 }
@@ -95,10 +95,10 @@
 func TestNotWatchedBehindItsAnswer(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, whole)
-	s := &Server{cfg: config(), fleet: dispatch.New(config().Settings, 1, config().Limits, engine.Policy)}
+	s := &Server{cfg: config(), fleet: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.fleet.Stop()
-	for name, listed := range map[string][]http1.Host{"denied": nil, "handled": hosts} {
-		s.fleet.Listed(http1.List{Hosts: listed}, endpoints.Saved)
+	for name, listed := range map[string][]http1.Endpoint{"denied": nil, "handled": hosts} {
+		s.fleet.ApplyList(http1.EndpointList{Hosts: listed}, endpoints.SourceConfig)
 		req := &http1.Request{Method: []byte("GET"), Target: []byte("/check/1"), Fields: []http1.Field{{Name: []byte("Request-Id"), Value: []byte(name)}}}
 		w := &watched{asSent: true}
 		if err := s.operation(w, req, time.Now()); err != nil || w.asSent {
@@ -115,7 +115,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	s := &Server{cfg: config(), fleet: dispatch.New(config().Settings, 1, config().Limits, engine.Policy)}
+	s := &Server{cfg: config(), fleet: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.fleet.Stop()
 	s.cfg.stop.quiet = -quietFor // each look is too late
 	s.enough = time.Now().Add(time.Minute)
@@ -136,8 +136,8 @@
 	t.Parallel()
 	h, begun, release := holding(t)
 	cfg := config(h)
-	for i := range cfg.Settings.Types {
-		cfg.Settings.Types[i].TargetTime, cfg.Settings.Types[i].AbandonTime = time.Minute, time.Minute
+	for i := range cfg.Settings.TrafficTypes {
+		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
 	}
 	coming := make(chan struct{})
 	cfg.stop = unhurried{coming: func() { <-coming }, more: -time.Hour}
@@ -171,20 +171,20 @@
 // What discovery was just telling as another address was named counts as told.
 func TestToldAsItMoves(t *testing.T) {
 	t.Parallel()
-	var place *watch.Place
+	var place *watch.Target
 	named := make(chan struct{})
 	at := standIn(t, func(nc net.Conn) {
 		defer nc.Close()
 		<-named
 		http1.NewConn(nc).ReadRequest(&http1.Request{})
-		place.Leave()
+		place.Replace()
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 27\r\n\r\n{\"revision\":9,\"members\":[]}")
 	})
-	place = watch.NewPlace(at)
+	place = watch.NewTarget(at)
 	close(named)
-	w := watch.Watcher{Place: place}
+	w := watch.Watcher{Target: place}
 	defer w.Close()
-	if l, err := w.Call(context.Background()); err != nil || l.Revision != 9 {
+	if l, err := w.Poll(context.Background()); err != nil || l.Revision != 9 {
 		t.Errorf("told %d, %v", l.Revision, err)
 	}
 }
--- a/internal/proxy/operation.go
+++ b/internal/proxy/operation.go
@@ -30,7 +30,7 @@
 	// Parting is a look at whether the client has left, which may be asked beside Watch.
 	Parting() bool
 	// Watch looks for the client's leaving while the operation is open; the function it returns ends that.
-	Watch(op *dispatch.Operation) (end func())
+	Watch(op *dispatch.Request) (end func())
 }
 
 // answer writes a whole answer; the connection ends with it while the node stops.
@@ -41,24 +41,24 @@
 
 // operation is the life of one operation, from its whole request to its one answer.
 func (s *Server) operation(f front, req *message.Request, came time.Time) error {
-	o, err := req.Operation()
+	o, err := req.Info()
 	if err != nil {
 		return err
 	}
 	op, k, err := s.take(&o, req, came, f)
-	var bad *message.Malformed
+	var bad *message.RequestError
 	switch {
 	case err == errNoType:
 		return s.answer(f, message.Answer{Status: 404, Body: []byte("no such traffic type\n"), Close: req.Close})
-	case err == dispatch.ErrNoRoom:
+	case err == dispatch.ErrNoCapacity:
 		req.Close = true // makes room for the next one
 		return s.answer(f, message.Answer{Status: 503, Close: true})
 	case err == errNoDisk:
 		return s.answer(f, message.Answer{Status: 503, Close: req.Close})
-	case err == dispatch.ErrRoute:
+	case err == dispatch.ErrRouteLimit:
 		return s.answer(f, message.Answer{Status: 503, Close: req.Close})
-	case err == dispatch.ErrOpen:
-		return &message.Malformed{Status: 409, Why: err.Error()}
+	case err == dispatch.ErrDuplicateID:
+		return &message.RequestError{Status: 409, Why: err.Error()}
 	case errors.As(err, &bad):
 		return bad
 	}
@@ -71,26 +71,26 @@
 	ctx, giveUp := context.WithCancel(context.Background())
 	defer giveUp()
 	x := &exchanged{op: op, req: req, from: f.From(), parting: f.Parting, kept: k, compose: func(a message.Answer) []byte { return f.Append(f.Scratch(), a) }}
-	var last dispatch.End
+	var last dispatch.AttemptResult
 	for {
-		d := op.Next(giveUp)
-		if d.Kind != dispatch.Send {
+		d := op.NextDecision(giveUp)
+		if d.Action != dispatch.SendAttempt {
 			unwatch() // ahead of the answer: what its client sends behind that is the next request, for the connection's reader
 		}
-		switch d.Kind {
-		case dispatch.Send:
+		switch d.Action {
+		case dispatch.SendAttempt:
 			var answer []byte
 			last, answer = s.hop(ctx, d, x)
-			op.Ended(d.Hop, last, answer)
-		case dispatch.Handled:
+			op.AttemptEnded(d.Attempt, last, answer)
+		case dispatch.Respond:
 			err := f.Send(d.Answer)
 			x.kept.tell("handled")
 			return err
-		case dispatch.Deny:
-			err := s.answer(f, message.Answer{Status: 503, RetryAfter: d.For, Close: req.Close})
+		case dispatch.Reject:
+			err := s.answer(f, message.Answer{Status: 503, RetryAfter: d.Duration, Close: req.Close})
 			x.kept.tell("denied")
 			return err
-		case dispatch.WriteOff:
+		case dispatch.Fail:
 			defer x.kept.tell("written off")
 			if d.Answer != nil { // a server finds fault with the request, and says what
 				return f.Send(d.Answer)
@@ -108,49 +108,49 @@
 
 // take finds the operation's route and hands it over. A reload that comes between has it matched again, so that route
 // and figures are always of one file.
-func (s *Server) take(o *message.Operation, req *message.Request, came time.Time, f front) (*dispatch.Operation, *kept, error) {
+func (s *Server) take(o *message.RequestInfo, req *message.Request, came time.Time, f front) (*dispatch.Request, *kept, error) {
 	for {
-		a := dispatch.Arrival{ID: o.ID, Tenant: o.Tenant, Key: req.Get(affinityKey), Routes: s.fleet.Routes(), Route: -1, Kind: -1}
-		a.Again = len(req.Get(clientRetry)) > 0
-		if kind, known := s.fleet.Type(o.Type); known {
-			a.Kind = kind
+		a := dispatch.Arrival{ID: o.ID, Tenant: o.Tenant, Key: req.Get(affinityKey), Routes: s.fleet.Routes(), RouteIndex: -1, TrafficType: -1}
+		a.IsRetry = len(req.Get(clientRetry)) > 0
+		if kind, known := s.fleet.TrafficType(o.Type); known {
+			a.TrafficType = kind
 		}
 		if a.Routes != nil {
-			a.Route, a.Kind = a.Routes.Match(&route.Request{Method: req.Method, Path: req.Path(), Tenant: o.Tenant, Fields: req})
+			a.RouteIndex, a.TrafficType = a.Routes.Match(&route.Request{Method: req.Method, Path: req.Path(), Tenant: o.Tenant, Headers: req})
 		}
-		if a.Kind < 0 {
+		if a.TrafficType < 0 {
 			return nil, nil, errNoType
 		}
-		if !s.journal.takes(a.Kind) {
+		if !s.journal.takes(a.TrafficType) {
 			return nil, nil, errNoDisk
 		}
-		k := s.journal.begin(a.Kind, o, req)
-		if a.Route >= 0 {
-			if len(req.Body) > a.Routes.BodyMost(a.Route, a.Kind, message.MaxBody) {
-				return nil, nil, &message.Malformed{Status: 413, Why: "the body is larger than its route takes"}
+		k := s.journal.begin(a.TrafficType, o, req)
+		if a.RouteIndex >= 0 {
+			if len(req.Body) > a.Routes.MaxBodyBytes(a.RouteIndex, a.TrafficType, message.MaxBody) {
+				return nil, nil, &message.RequestError{Status: 413, Why: "the body is larger than its route takes"}
 			}
-			if a.Routes.Copies(a.Route, a.Kind) {
-				a.Copying = s.copying(f, req, k)
+			if a.Routes.AllowsHedging(a.RouteIndex, a.TrafficType) {
+				a.StartHedge = s.copying(f, req, k)
 			}
 		}
-		if a.Budget = o.Timeout; a.Budget < 0 {
-			a.Budget = s.fleet.AbandonTime(a.Kind)
+		if a.Timeout = o.Timeout; a.Timeout < 0 {
+			a.Timeout = s.fleet.DefaultTimeout(a.TrafficType)
 		}
-		if a.Budget -= time.Since(came); a.Budget <= 0 {
-			return nil, nil, &message.Malformed{Status: 408, Why: "the request took all of its time to come"}
+		if a.Timeout -= time.Since(came); a.Timeout <= 0 {
+			return nil, nil, &message.RequestError{Status: 408, Why: "the request took all of its time to come"}
 		}
 		if s.draining.Load() { // its answer comes before the node must be gone
-			a.Budget = max(min(a.Budget, time.Until(s.gone)), time.Millisecond)
+			a.Timeout = max(min(a.Timeout, time.Until(s.gone)), time.Millisecond)
 		}
-		op, err := s.fleet.Arrive(a)
-		if err != dispatch.ErrMoved {
+		op, err := s.fleet.Submit(a)
+		if err != dispatch.ErrRoutesChanged {
 			return op, k, err
 		}
 	}
 }
 
-func writeOffStatus(last dispatch.End) int {
-	if last == dispatch.Silent {
+func writeOffStatus(last dispatch.AttemptResult) int {
+	if last == dispatch.ResponseTimeout {
 		return 504
 	}
 	return 502
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -28,8 +28,8 @@
 	}
 	at := ln.Addr().String()
 	ln.Close()
-	return &peer.Config{Name: name, Listen: at, Advertise: at, Peers: seeds, Deployment: "d", Machine: name, Replicas: 2, Held: t.TempDir(), HeldBytes: 1 << 30,
-		RepairBytes: 8 << 20, SlowAfter: tomlfile.Span(50 * time.Millisecond), KeepFor: tomlfile.Span(time.Hour), GoneAfter: tomlfile.Span(time.Minute), Plaintext: true}
+	return &peer.Config{Name: name, Listen: at, Advertise: at, Peers: seeds, Deployment: "d", Machine: name, Replicas: 2, ReplicaDir: t.TempDir(), MaxReplicaBytes: 1 << 30,
+		RepairBytesPerSecond: 8 << 20, SlowAfter: tomlfile.Duration(50 * time.Millisecond), RetentionAge: tomlfile.Duration(time.Hour), ReconcileAfter: tomlfile.Duration(time.Minute), Plaintext: true}
 }
 
 // holder is another node of the tier; stop ends it without a word.
@@ -42,7 +42,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- p.Run(ctx) }()
-	p.Keep("", false)
+	p.StartJournal("", false)
 	var once atomic.Bool
 	stop = func() {
 		if !once.Swap(true) {
@@ -57,19 +57,19 @@
 // heldOf are the entries that stand in the folders held by a node.
 func heldOf(t *testing.T, cfg *peer.Config) (all []*intent.Entry) {
 	t.Helper()
-	dirs, err := filepath.Glob(filepath.Join(cfg.Held, "*"))
+	dirs, err := filepath.Glob(filepath.Join(cfg.ReplicaDir, "*"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, dir := range dirs {
-		fold := intent.NewFold()
-		wal.Scan(wal.OS{}, dir, time.Time{}, func(r *intent.Record) error {
+		fold := intent.NewAssembler()
+		wal.Scan(wal.OSFileSystem{}, dir, time.Time{}, func(r *intent.Record) error {
 			if e := fold.Add(r); e != nil {
 				all = append(all, e)
 			}
 			return nil
 		}, nil)
-		all = append(all, fold.Rest()...)
+		all = append(all, fold.Incomplete()...)
 	}
 	return all
 }
@@ -97,7 +97,7 @@
 						for _, other := range []*peer.Config{a, b} {
 							found := false
 							for _, e := range heldOf(t, other) {
-								found = found || e.ID == string(r.Get("Request-Id"))
+								found = found || e.RequestID == string(r.Get("Request-Id"))
 							}
 							if !found {
 								early.Add(1)
@@ -107,8 +107,8 @@
 					io.WriteString(nc, whole)
 				}
 			})
-			cfg := config(http1.Host{ID: "s", Address: box, Size: 1})
-			cfg.Bindings = &wal.Config{Dir: t.TempDir(), Promise: wal.Machines, WhenFailing: choice, WaitMost: tomlfile.Span(400 * time.Millisecond), SegmentBytes: 1 << 20}
+			cfg := config(http1.Endpoint{ID: "s", Address: box, Size: 1})
+			cfg.Journal = &wal.Config{Dir: t.TempDir(), Promise: wal.PromiseMachines, WhenFailing: choice, MaxWait: tomlfile.Duration(400 * time.Millisecond), SegmentBytes: 1 << 20}
 			cfg.Peers = tierOf(t, "n", a.Listen, b.Listen)
 			at, _ := startNode(t, cfg)
 			await(t, "binding kept", func() bool { return book(t, at, "") == 200 })
--- a/internal/proxy/planners.go
+++ b/internal/proxy/planners.go
@@ -41,7 +41,7 @@
 type planners struct {
 	cfg   *planconfig.Forwarder
 	name  string
-	fleet *dispatch.Fleet
+	fleet *dispatch.Dispatcher
 	kept  *listKeeper // nil: no list is kept on disk
 	log   zerolog.Logger
 
@@ -63,14 +63,14 @@
 	reports chan plan.Report             // the next to be sent
 }
 
-func newPlanners(cfg *planconfig.Forwarder, name string, f *dispatch.Fleet, nodes int, log zerolog.Logger) *planners {
+func newPlanners(cfg *planconfig.Forwarder, name string, f *dispatch.Dispatcher, nodes int, log zerolog.Logger) *planners {
 	draw := float64(crc32.ChecksumIEEE([]byte(name))) / (1 << 32)
 	p := &planners{cfg: cfg, name: name, fleet: f, log: log, lives: incarnation.NewTable(), needs: make(chan struct{}), from: -1,
-		follow: planfollower.New(planfollower.Figures{Planners: len(cfg.Addresses), Nodes: nodes, Draw: draw})}
+		follow: planfollower.New(planfollower.Options{PlannerCount: len(cfg.Addresses), ConfiguredNodes: nodes, PollJitter: draw})}
 	for range cfg.Addresses {
 		p.sources = append(p.sources, source{told: map[string]incarnation.Entry{}, reports: make(chan plan.Report, 1)})
 	}
-	f.Digest()
+	f.EnableReports()
 	return p
 }
 
@@ -103,36 +103,36 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.fleet.Now()
-	p.lives.Forget(now)
-	e := p.follow.Step(now, func(id string) bool {
+	p.lives.ExpireTombstones(now)
+	e := p.follow.Advance(now, func(id string) bool {
 		l, ok := p.lives.Get(id)
 		return ok && l.Condition == incarnation.Up
 	})
-	if ask := e.Ask || p.lives.Len() == 0 && now > startAlone; ask != p.open {
+	if ask := e.ShouldPollDiscovery || p.lives.Len() == 0 && now > startAlone; ask != p.open {
 		if p.open = ask; ask {
 			close(p.needs)
-			p.log.Warn().Dur("plan_age", e.Age).Msg("no planner is heard: discovery is asked")
+			p.log.Warn().Dur("plan_age", e.PlanAge).Msg("no planner is heard: discovery is asked")
 		} else {
 			p.needs = make(chan struct{})
 			p.log.Info().Msg("planners are heard: discovery is not asked")
 		}
 	}
-	if e.From != p.from {
-		p.log.Info().Int("planner", e.From).Int("before", p.from).Msg("plan followed")
-		p.from = e.From
+	if e.Planner != p.from {
+		p.log.Info().Int("planner", e.Planner).Int("before", p.from).Msg("plan followed")
+		p.from = e.Planner
 	}
-	if !e.Planned && !p.planned {
+	if !e.HasPlan && !p.planned {
 		return
 	}
-	p.planned = e.Planned
+	p.planned = e.HasPlan
 	var within map[string]float64
-	if len(e.Within) > 0 {
-		within = make(map[string]float64, len(e.Within))
-		for _, w := range e.Within {
+	if len(e.WithinAllowance) > 0 {
+		within = make(map[string]float64, len(e.WithinAllowance))
+		for _, w := range e.WithinAllowance {
 			within[w.Tenant] = w.Share
 		}
 	}
-	p.fleet.Planned(e.Nodes, e.Admit, within, e.Servers)
+	p.fleet.ApplyPlan(e.Nodes, e.AdmittedShare, within, e.Servers)
 }
 
 // report hands what has happened to each planner's connection; what one has not sent yet is older, and is dropped.
@@ -140,11 +140,11 @@
 	r := p.fleet.Report()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r.Held = p.follow.Held()
+	r.CurrentShares = p.follow.CurrentShares()
 	for i := range p.sources {
 		s := &p.sources[i]
 		mine := r
-		mine.Above = p.lives.Above(s.told, aboveMost)
+		mine.NewerIncarnations = p.lives.NewerThan(s.told, aboveMost)
 		select {
 		case <-s.reports:
 		default:
@@ -186,15 +186,15 @@
 	}
 	defer nc.Close()
 	if p.cfg.Keys != nil {
-		nc = p.cfg.Keys.Client(nc, p.cfg.Name)
-		if err := p.cfg.Keys.Fault(); err != nil {
+		nc = p.cfg.Keys.ClientConn(nc, p.cfg.Name)
+		if err := p.cfg.Keys.ReloadError(); err != nil {
 			p.log.Error().Err(err).Msg("keys not read again")
 		}
 	}
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
-	c := planwire.New(nc)
+	c := planwire.NewConn(nc)
 	nc.SetDeadline(by)
-	if _, err := c.Greet(p.name, by); err != nil {
+	if _, err := c.Handshake(p.name, by); err != nil {
 		return err
 	}
 	p.mu.Lock()
@@ -237,11 +237,11 @@
 		case planwire.ChangeKind:
 			var change plan.Change
 			if err := planwire.Decode(body, &change); err != nil {
-				return c.Refuse(fmt.Errorf("a plan that cannot be read: %v", err))
+				return c.Reject(fmt.Errorf("a plan that cannot be read: %v", err))
 			}
 			p.told(i, change)
 		default:
-			return c.Refuse(fmt.Errorf("a frame of kind %d from a planner", k))
+			return c.Reject(fmt.Errorf("a frame of kind %d from a planner", k))
 		}
 	}
 }
@@ -251,14 +251,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, now := &p.sources[i], p.fleet.Now()
-	for _, e := range change.Lives {
+	for _, e := range change.Incarnations {
 		s.told[e.ID] = e
 	}
 	s.held = plan.Apply(s.held, change)
-	if changed := p.lives.Join(now, change.Lives); len(change.Lives) > 0 {
+	if changed := p.lives.Join(now, change.Incarnations); len(change.Incarnations) > 0 {
 		p.join(changed)
 	}
-	p.follow.Told(now, i, s.held)
+	p.follow.PlanReceived(now, i, s.held)
 }
 
 // join hands to the fleet what has changed in the lives. It is done under the lock, so that what is newer comes later.
@@ -271,33 +271,33 @@
 	if len(changed) == 0 {
 		return
 	}
-	l := watch.List(changed)
+	l := watch.ListFromEntries(changed)
 	for _, err := range l.Skipped {
 		p.log.Warn().Err(err).Msg("list entry skipped")
 	}
 	if p.kept != nil {
-		l, _ = p.kept.believe(l, endpoints.Planners)
+		l, _ = p.kept.believe(l, endpoints.SourcePlanners)
 	}
-	p.fleet.Listed(l, endpoints.Planners)
+	p.fleet.ApplyList(l, endpoints.SourcePlanners)
 }
 
 // discovered takes in what discovery itself has told.
-func (p *planners) discovered(l http1.List) {
+func (p *planners) discovered(l http1.EndpointList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.join(p.lives.Told(p.fleet.Now(), watch.Entries(l), l.Complete))
+	p.join(p.lives.ApplyDiscovery(p.fleet.Now(), watch.EntriesFromList(l), l.Complete))
 }
 
 // saved takes in the list that the node last had. Of a suspect one, kept on disk, only servers that had left are taken in: what
 // planners tell of the others is a change then, which confirms it, and no report tells planners of servers that nobody has
 // confirmed.
-func (p *planners) saved(l http1.List, suspect bool) {
+func (p *planners) saved(l http1.EndpointList, suspect bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.suspect = suspect; suspect {
-		l.Hosts = slices.DeleteFunc(slices.Clone(l.Hosts), func(h http1.Host) bool { return h.Phase == http1.Serving })
+		l.Hosts = slices.DeleteFunc(slices.Clone(l.Hosts), func(h http1.Endpoint) bool { return h.Phase == http1.Serving })
 	}
-	p.lives.Told(p.fleet.Now(), watch.Entries(l), false)
+	p.lives.ApplyDiscovery(p.fleet.Now(), watch.EntriesFromList(l), false)
 }
 
 // needed tells whether discovery is to be asked now.
--- a/internal/proxy/planners_test.go
+++ b/internal/proxy/planners_test.go
@@ -43,8 +43,8 @@
 			if err != nil {
 				return
 			}
-			c := planwire.New(nc)
-			if _, err := c.Greet("p", time.Now().Add(5*time.Second)); err != nil {
+			c := planwire.NewConn(nc)
+			if _, err := c.Handshake("p", time.Now().Add(5*time.Second)); err != nil {
 				continue
 			}
 			u.mu.Lock()
@@ -81,7 +81,7 @@
 func (u *upper) say(c plan.Change) {
 	u.t.Helper()
 	r := <-u.reports
-	c.Number, c.Heard, c.Seen, c.Nodes, c.Admit = 1, r.Sent, 1, 1, 1
+	c.Number, c.ReportSentAt, c.ReportingForwarders, c.Nodes, c.AdmittedShare = 1, r.SentAt, 1, 1, 1
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if err := u.conn.Send(planwire.ChangeKind, c); err != nil {
@@ -92,7 +92,7 @@
 func (u *upper) at() netip.AddrPort { return netip.MustParseAddrPort(u.ln.Addr().String()) }
 
 func serving(id string, at netip.AddrPort) incarnation.Entry {
-	return incarnation.Entry{ID: id, Address: at.String(), Size: 1, Revision: 5}
+	return incarnation.Entry{ID: id, Address: at.String(), Weight: 1, Revision: 5}
 }
 
 // A forwarder that knows nothing gets its servers from a planner, without a word to discovery; a stale planner undoes no
@@ -121,20 +121,20 @@
 	<-first.met
 	<-second.met
 	a, b := serving(hosts[0].ID, hosts[0].Address), serving(hosts[1].ID, hosts[1].Address)
-	first.say(plan.Change{Lives: []incarnation.Entry{a, b}, Servers: []plan.Share{{ID: a.ID, Share: 0.5}, {ID: b.ID, Share: 0.5}}})
+	first.say(plan.Change{Incarnations: []incarnation.Entry{a, b}, Servers: []plan.ServerShare{{ID: a.ID, Share: 0.5}, {ID: b.ID, Share: 0.5}}})
 	await(t, "an answer", func() bool { return ask1(t, dial(t, at), "/check/1").Status == 200 })
 	if len(calls) > 0 {
 		t.Errorf("discovery was asked: %s", <-calls)
 	}
 	drained := a
 	drained.Condition, drained.Revision = incarnation.Draining, 6
-	first.say(plan.Change{Lives: []incarnation.Entry{drained}})
-	second.say(plan.Change{Lives: []incarnation.Entry{b}})
+	first.say(plan.Change{Incarnations: []incarnation.Entry{drained}})
+	second.say(plan.Change{Incarnations: []incarnation.Entry{b}})
 	// The second one has not heard of the drain; what it says of it is old, whatever its plan is.
-	await(t, "word of the drain to the second planner", func() bool { return slices.Contains((<-second.reports).Above, drained) })
-	second.say(plan.Change{Lives: []incarnation.Entry{a}, Servers: []plan.Share{{ID: a.ID, Share: 1}}})
+	await(t, "word of the drain to the second planner", func() bool { return slices.Contains((<-second.reports).NewerIncarnations, drained) })
+	second.say(plan.Change{Incarnations: []incarnation.Entry{a}, Servers: []plan.ServerShare{{ID: a.ID, Share: 1}}})
 	first.die()
-	second.say(plan.Change{Lives: []incarnation.Entry{a}})
+	second.say(plan.Change{Incarnations: []incarnation.Entry{a}})
 	before := taken.Load()
 	for range 20 {
 		if r := ask1(t, dial(t, at), "/check/1"); r.Status != 200 {
@@ -181,9 +181,9 @@
 	a, b := serving("a", one[0].Address), serving("b", two[0].Address)
 	drained := a
 	drained.Condition = incarnation.Draining
-	u.say(plan.Change{Lives: []incarnation.Entry{drained, b}})
+	u.say(plan.Change{Incarnations: []incarnation.Entry{drained, b}})
 	await(t, "an answer", func() bool { return ask1(t, dial(t, at), "/check/1").Status == 200 })
-	u.say(plan.Change{Lives: []incarnation.Entry{a}, Servers: []plan.Share{{ID: "a", Share: 1}}})
+	u.say(plan.Change{Incarnations: []incarnation.Entry{a}, Servers: []plan.ServerShare{{ID: "a", Share: 1}}})
 	for range 3 { // reports: the plan is followed by now
 		<-u.reports
 	}
@@ -214,24 +214,24 @@
 	u := newUpper(t)
 	cfg := config()
 	cfg.Planners = &planconfig.Forwarder{Addresses: []netip.AddrPort{u.at()}}
-	cfg.Snapshot = keptIn(t, func(s *snapshot.Snapshot) { s.Confirmed -= (10 * time.Minute).Milliseconds() }, listed...)
+	cfg.Snapshot = keptIn(t, func(s *snapshot.Snapshot) { s.ConfirmedUnixMS -= (10 * time.Minute).Milliseconds() }, listed...)
 	at, _ := startNode(t, cfg)
 	<-u.met
-	if above := (<-u.reports).Above; len(above) > 1 || len(above) == 1 && above[0].Condition == incarnation.Up {
+	if above := (<-u.reports).NewerIncarnations; len(above) > 1 || len(above) == 1 && above[0].Condition == incarnation.Up {
 		t.Errorf("the planner is told of %d servers that nobody has confirmed", len(above))
 	}
-	u.say(plan.Change{Lives: told})
-	store, err := snapshot.Open(cfg.Snapshot.Dir, 3, wal.OS{})
+	u.say(plan.Change{Incarnations: told})
+	store, err := snapshot.Open(cfg.Snapshot.Dir, 3, wal.OSFileSystem{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	await(t, "confirmed list on disk", func() bool {
 		kept, _, err := store.Newest()
-		return err == nil && time.Since(time.UnixMilli(kept.Confirmed)) < time.Minute
+		return err == nil && time.Since(time.UnixMilli(kept.ConfirmedUnixMS)) < time.Minute
 	})
 	drained := told[0]
 	drained.Condition, drained.Revision = incarnation.Draining, 9
-	u.say(plan.Change{Lives: []incarnation.Entry{drained}})
+	u.say(plan.Change{Incarnations: []incarnation.Entry{drained}})
 	await(t, "list on disk with two servers that drain and all others in use", func() bool {
 		kept, _, err := store.Newest()
 		conditions := map[uint8]int{}
--- a/internal/proxy/process.go
+++ b/internal/proxy/process.go
@@ -10,9 +10,9 @@
 	"github.com/rs/zerolog"
 )
 
-// Hear takes the process's signals from now on. It comes before the configuration is read: a reload that is asked for
+// CatchSignals takes the process's signals from now on. It comes before the configuration is read: a reload that is asked for
 // meanwhile would end a process that does not hear it, and may be of a file that was just read.
-var Hear = sync.OnceValue(func() Signals {
+var CatchSignals = sync.OnceValue(func() Signals {
 	signal.Ignore(syscall.SIGPIPE)    // or the node would end with the reader of its log
 	reload := make(chan os.Signal, 1) // one that waits is enough: the file is read after it
 	signal.Notify(reload, syscall.SIGHUP)
@@ -26,12 +26,12 @@
 	return Signals{Reload: reload, Stop: stop}
 })
 
-// Process runs a node as the life of this process, which signals lead: SIGTERM or SIGINT ends it, SIGHUP has it read
+// RunProcess runs a node as the life of this process, which signals lead: SIGTERM or SIGINT ends it, SIGHUP has it read
 // its configuration again. It returns the exit code.
-func Process(cfg Config, errs io.Writer, level zerolog.Level) int {
-	log, flush := NewLog(errs, level)
+func RunProcess(cfg Config, errs io.Writer, level zerolog.Level) int {
+	log, flush := NewLogger(errs, level)
 	defer flush()
-	if err := Run(Hear(), cfg, log); err != nil {
+	if err := Run(CatchSignals(), cfg, log); err != nil {
 		log.Error().Err(err).Msg("cannot serve")
 		return 1
 	}
--- a/internal/proxy/ready_test.go
+++ b/internal/proxy/ready_test.go
@@ -18,7 +18,7 @@
 	draining := hosts[0]
 	draining.Phase = http1.Draining
 	for name, c := range map[string]struct {
-		known   []http1.Host
+		known   []http1.Endpoint
 		script  []string // of discovery, which is silent after it
 		waited  bool     // its time for a list is over
 		first   int
@@ -32,7 +32,7 @@
 		"none is known, discovery is silent":     {nil, []string{""}, false, 503, 503, true},
 		"none is known for long":                 {nil, []string{""}, true, 200, 200, true},
 		"none is known, busy, then told":         {nil, []string{busy, busy, listed(9, true, member(hosts[0], "SERVING")), ""}, false, 503, 200, true},
-		"the known ones drain, then one is told": {[]http1.Host{draining}, []string{listed(9, false, member(hosts[0], "SERVING")), ""}, false, 503, 200, true},
+		"the known ones drain, then one is told": {[]http1.Endpoint{draining}, []string{listed(9, false, member(hosts[0], "SERVING")), ""}, false, 503, 200, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -53,7 +53,7 @@
 			if c.listens {
 				at, calls = scripted(t, false, c.script...)
 			}
-			l.discovery.Store(watch.NewPlace(at))
+			l.discovery.Store(watch.NewTarget(at))
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan error)
 			go func() { done <- l.follow(ctx) }()
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -22,7 +22,7 @@
 		}
 		s.reroute()
 		s.rewatch()
-		next, err := cfg.Again()
+		next, err := cfg.Reload()
 		if err != nil {
 			s.log.Error().Err(err).Msg("configuration not reloaded")
 			continue
@@ -40,13 +40,13 @@
 
 // rewatch reads the watched settings again; those of no use leave the old ones watched.
 func (s *Server) rewatch() {
-	if s.cfg.Watch == nil {
+	if s.cfg.Shadow == nil {
 		return
 	}
 	if next, err := readWatch(s.cfg.getenv("PROXY_WATCH"), &s.cfg.Settings); err != nil {
 		s.log.Error().Err(err).Msg("watched settings not reloaded")
 	} else {
-		s.cfg.Watch.Set(next)
+		s.cfg.Shadow.SetSettings(next)
 		s.log.Info().Msg("watched settings reloaded")
 	}
 }
@@ -54,10 +54,10 @@
 // reroute reads the operator's file again, against the settings that the node runs under. A file of no use leaves the
 // routes as they are.
 func (s *Server) reroute() {
-	if s.cfg.Operator == "" {
+	if s.cfg.OperatorFile == "" {
 		return
 	}
-	routes, err := route.Load(s.cfg.Operator, &s.cfg.Settings)
+	routes, err := route.Load(s.cfg.OperatorFile, &s.cfg.Settings)
 	var faults tomlfile.Faults
 	switch {
 	case errors.As(err, &faults):
@@ -70,7 +70,7 @@
 		if s.distribution != nil {
 			s.distribution.reroute(routes)
 		} else {
-			s.fleet.Reroute(routes)
+			s.fleet.SetRoutes(routes)
 		}
 		s.log.Info().Int("routes", len(routes.Routes)).Msg("routes reloaded")
 	}
--- a/internal/proxy/route_test.go
+++ b/internal/proxy/route_test.go
@@ -21,7 +21,7 @@
 	"fernvane/policy"
 )
 
-func routes(t testing.TB, cfg *Config, text string) *route.Set {
+func routes(t testing.TB, cfg *Config, text string) *route.Table {
 	t.Helper()
 	set, err := route.Parse("f", []byte(text), &cfg.Settings)
 	if err != nil {
@@ -80,15 +80,15 @@
 		var r http1.Request
 		for c.ReadRequest(&r) == nil {
 			if asked.Add(1) == 1 {
-				left <- c.Gone()
+				left <- c.WaitDisconnected()
 				return
 			}
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s%s", len(r.Target)+len(r.Body), r.Target, r.Body)
 		}
 	}
-	cfg := config(http1.Host{ID: "a", Address: standIn(t, lead), Size: 1}, http1.Host{ID: "b", Address: standIn(t, lead), Size: 1})
-	cfg.Settings.Copies = true
-	cfg.Settings.Types[0].TargetTime, cfg.Settings.Types[0].AbandonTime = 20*time.Second, 30*time.Second
+	cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, lead), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, lead), Size: 1})
+	cfg.Settings.HedgingAllowed = true
+	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = 20*time.Second, 30*time.Second
 	cfg.Routes = routes(t, &cfg, checks+"copy_after = \"60ms\"\ncopy_share = 1.0")
 	at, _ := startNode(t, cfg)
 	conn := dial(t, at)
@@ -119,25 +119,25 @@
 			io.WriteString(nc, whole)
 		}
 	})
-	cfg := config(http1.Host{ID: "s", Address: at, Size: 1})
-	for i := range cfg.Settings.Types {
-		cfg.Settings.Types[i].TargetTime, cfg.Settings.Types[i].AbandonTime = 20*time.Second, 30*time.Second
+	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
+	for i := range cfg.Settings.TrafficTypes {
+		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = 20*time.Second, 30*time.Second
 	}
-	cfg.Operator = filepath.Join(t.TempDir(), "operator.toml")
+	cfg.OperatorFile = filepath.Join(t.TempDir(), "operator.toml")
 	file := func(text string) {
-		if err := os.WriteFile(cfg.Operator, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(cfg.OperatorFile, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	const held = 20
 	file(checks + fmt.Sprintf("at_once = 1\nwaiting = %d\nwait = \"10s\"", held-1))
 	var err error
-	if cfg.Routes, err = route.Load(cfg.Operator, &cfg.Settings); err != nil {
+	if cfg.Routes, err = route.Load(cfg.OperatorFile, &cfg.Settings); err != nil {
 		t.Fatal(err)
 	}
-	s := &Server{cfg: cfg, log: zerolog.Nop(), fleet: dispatch.New(cfg.Settings, 1, cfg.Limits, engine.Policy)}
+	s := &Server{cfg: cfg, log: zerolog.Nop(), fleet: dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)}
 	defer s.fleet.Stop()
-	s.fleet.Reroute(cfg.Routes)
+	s.fleet.SetRoutes(cfg.Routes)
 	s.known()
 	statuses := make(chan int, held)
 	ask := func() int {
@@ -147,7 +147,7 @@
 	for range held {
 		go func() { statuses <- ask() }()
 	}
-	for s.fleet.Counts().Open < held { // all are in hand: one is sent, the others wait
+	for s.fleet.Counts().OpenRequests < held { // all are in hand: one is sent, the others wait
 		time.Sleep(time.Millisecond)
 	}
 	if got := ask(); got != 503 {
@@ -186,13 +186,13 @@
 
 func (m *figures) Handle(_ time.Duration, in *policy.Input, e []policy.Effect) []policy.Effect {
 	switch in.Kind {
-	case policy.Retyped:
-		m.types = in.Types
-	case policy.Arrival:
-		if got := m.types[in.Type].MostHops; got != int(in.Budget/time.Hour) {
-			m.t.Errorf("an operation matched under %d hops is under %d", in.Budget/time.Hour, got)
+	case policy.TrafficTypesChanged:
+		m.types = in.TrafficTypes
+	case policy.RequestArrived:
+		if got := m.types[in.TrafficType].MaxAttempts; got != int(in.Timeout/time.Hour) {
+			m.t.Errorf("an operation matched under %d hops is under %d", in.Timeout/time.Hour, got)
 		}
-		return append(e, policy.Effect{Kind: policy.Deny, Op: in.Op})
+		return append(e, policy.Effect{Kind: policy.Reject, Request: in.Request})
 	}
 	return e
 }
@@ -201,15 +201,15 @@
 func TestNoMixedLimits(t *testing.T) {
 	t.Parallel()
 	cfg := config()
-	f := dispatch.New(cfg.Settings, 1, cfg.Limits, func(s policy.Settings, _ uint32) engine.Module { return &figures{t: t, types: s.Types} })
+	f := dispatch.New(cfg.Settings, 1, cfg.Limits, func(s policy.Settings, _ uint32) engine.Decider { return &figures{t: t, types: s.TrafficTypes} })
 	defer f.Stop()
-	var sets []*route.Set
-	hops := map[*route.Set]int{}
+	var sets []*route.Table
+	hops := map[*route.Table]int{}
 	for n := 1; n <= 4; n++ {
 		set := routes(t, &cfg, checks+fmt.Sprintf("hops = %d", n))
 		sets, hops[set] = append(sets, set), n
 	}
-	f.Reroute(sets[0])
+	f.SetRoutes(sets[0])
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	moved := atomic.Int64{}
@@ -218,11 +218,11 @@
 			for n := 0; n < 3000; n++ {
 				set := f.Routes()
 				r, k := set.Match(&route.Request{Path: []byte("/check/1")})
-				op, err := f.Arrive(dispatch.Arrival{ID: fmt.Append(nil, ids.Add(1)), Routes: set, Route: r, Kind: k, Budget: time.Duration(hops[set]) * time.Hour})
-				if err == dispatch.ErrMoved {
+				op, err := f.Submit(dispatch.Arrival{ID: fmt.Append(nil, ids.Add(1)), Routes: set, RouteIndex: r, TrafficType: k, Timeout: time.Duration(hops[set]) * time.Hour})
+				if err == dispatch.ErrRoutesChanged {
 					moved.Add(1)
 				} else if err == nil {
-					op.Next(func() {})
+					op.NextDecision(func() {})
 				}
 			}
 		})
@@ -234,7 +234,7 @@
 			t.Logf("%d files, %d operations had to be matched again", i, moved.Load())
 			return
 		default:
-			f.Reroute(sets[i%len(sets)])
+			f.SetRoutes(sets[i%len(sets)])
 		}
 	}
 }
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -39,12 +39,12 @@
 type Server struct {
 	cfg          Config
 	log          zerolog.Logger
-	fleet        *dispatch.Fleet
-	discovery    atomic.Pointer[watch.Place]
+	fleet        *dispatch.Dispatcher
+	discovery    atomic.Pointer[watch.Target]
 	planners     *planners    // nil: there are none
 	journal      *journal     // nil: none is kept
 	kept         *listKeeper  // nil: no list of servers is kept on disk
-	peers        *peer.Peers  // nil: no other node is known
+	peers        *peer.Node   // nil: no other node is known
 	distribution *distributed // nil: nothing is distributed to this node
 	dialer       net.Dialer
 	began        time.Time
@@ -92,7 +92,7 @@
 		defer end()
 		replaced = s.peers.Replaced()
 	}
-	if cfg.Bindings != nil {
+	if cfg.Journal != nil {
 		var err error
 		if s.journal, err = newJournal(cfg, log, s.peers); err != nil {
 			return err
@@ -100,7 +100,7 @@
 		defer s.journal.close()
 	} else if s.peers != nil {
 		s.peers.Join(context.Background(), joinMost)
-		s.peers.Keep("", false)
+		s.peers.StartJournal("", false)
 	}
 	var cgi *net.TCPListener
 	if cfg.Routes != nil && cfg.Routes.Listen.IsValid() {
@@ -110,12 +110,12 @@
 		}
 		defer cgi.Close()
 	}
-	s.discovery.Store(watch.NewPlace(cfg.Discovery))
+	s.discovery.Store(watch.NewTarget(cfg.Discovery))
 	if cfg.Planners != nil {
-		s.planners = newPlanners(cfg.Planners, cfg.Name, s.fleet, cfg.Settings.Nodes, log)
+		s.planners = newPlanners(cfg.Planners, cfg.Name, s.fleet, cfg.Settings.NodeCount, log)
 	}
 	if cfg.Routes != nil {
-		s.fleet.Reroute(cfg.Routes)
+		s.fleet.SetRoutes(cfg.Routes)
 	}
 	if cfg.Snapshot != nil {
 		var err error
@@ -124,7 +124,7 @@
 		}
 		if s.peers != nil {
 			s.kept.peers = s.peers
-			s.peers.Lists(s.kept.text)
+			s.peers.SetEndpointList(s.kept.text)
 		}
 	}
 	if s.planners != nil {
@@ -157,8 +157,8 @@
 		g.Go(func() error { return s.kept.run(ctx) })
 		g.Go(func() error { return s.kept.keep(ctx) })
 	}
-	log.Info().Str("node", cfg.Name).Stringer("listen", cfg.Listen).Int("connections", cfg.Limits.Connections()).
-		Int("servers", len(cfg.Known.Hosts)).Msg("serving")
+	log.Info().Str("node", cfg.Name).Stringer("listen", cfg.Listen).Int("connections", cfg.Limits.MaxConnections()).
+		Int("servers", len(cfg.SavedList.Hosts)).Msg("serving")
 	g.Go(func() error { return s.report(ctx) })
 	g.Go(func() error { return s.reload(ctx, tell.Reload) })
 	g.Go(func() error {
@@ -193,7 +193,7 @@
 
 // meet has the node take part in its tier, until end is called.
 func (s *Server) meet() (end func(), err error) {
-	if s.peers, err = peer.New(s.cfg.Peers, s.cfg.Name, s.cfg.Disk, s.log); err != nil {
+	if s.peers, err = peer.New(s.cfg.Peers, s.cfg.Name, s.cfg.Filesystem, s.log); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -210,23 +210,23 @@
 
 // known hands over the list that this node last had.
 func (s *Server) known() {
-	if s.cfg.KnownErr != nil {
-		s.log.Warn().Err(s.cfg.KnownErr).Msg("saved list unreadable")
+	if s.cfg.SavedListErr != nil {
+		s.log.Warn().Err(s.cfg.SavedListErr).Msg("saved list unreadable")
 	}
 	suspect := false
 	if s.kept != nil {
-		s.cfg.Known, suspect = s.kept.start(s.cfg.Known)
+		s.cfg.SavedList, suspect = s.kept.start(s.cfg.SavedList)
 	}
-	s.skipped(s.cfg.Known)
+	s.skipped(s.cfg.SavedList)
 	if s.planners != nil {
-		s.planners.saved(s.cfg.Known, suspect)
+		s.planners.saved(s.cfg.SavedList, suspect)
 	}
 	if !suspect {
-		s.fleet.Listed(s.cfg.Known, endpoints.Saved)
+		s.fleet.ApplyList(s.cfg.SavedList, endpoints.SourceConfig)
 	}
 }
 
-func (s *Server) skipped(l http1.List) {
+func (s *Server) skipped(l http1.EndpointList) {
 	for _, err := range l.Skipped {
 		s.log.Warn().Err(err).Msg("list entry skipped")
 	}
@@ -269,7 +269,7 @@
 	again := time.NewTicker(10 * time.Millisecond)
 	defer again.Stop()
 	for time.Now().Before(s.over) {
-		s.fleet.CloseIdle()
+		s.fleet.CloseIdleClients()
 		select {
 		case <-done:
 			s.log.Info().Msg("stopped")
@@ -283,8 +283,8 @@
 // longest is the longest abandon time.
 func (s *Server) longest() time.Duration {
 	longest := time.Duration(0)
-	for _, t := range s.cfg.Settings.Types {
-		longest = max(longest, t.AbandonTime)
+	for _, t := range s.cfg.Settings.TrafficTypes {
+		longest = max(longest, t.ClientTimeout)
 	}
 	return longest
 }
@@ -300,26 +300,26 @@
 		case <-tick.C:
 		}
 		c := s.fleet.Counts()
-		from, age := s.fleet.List()
+		from, age := s.fleet.LastAnnouncement()
 		hops := zerolog.Dict()
-		c.Each(func(e dispatch.End, n int) { hops.Int(e.String(), n) })
+		c.EachAttemptResult(func(e dispatch.AttemptResult, n int) { hops.Int(e.String(), n) })
 		line := s.log.Info()
-		if s.cfg.Watch != nil {
-			seen := s.cfg.Watch.Take()
-			watched := zerolog.Dict().Int("compared", seen.Compared).Bool("failed", seen.Failed)
-			seen.Each(func(k shadow.Kind, n int) { watched.Int(k.String(), n) })
+		if s.cfg.Shadow != nil {
+			seen := s.cfg.Shadow.TakeCounts()
+			watched := zerolog.Dict().Int("compared", seen.Compared).Bool("failed", seen.HasFailed)
+			seen.Each(func(k shadow.Difference, n int) { watched.Int(k.String(), n) })
 			line.Dict("watch", watched)
 		}
 		if s.distribution != nil {
 			s.distribution.report(line)
 		}
-		line.Int("handled", c.Handled).Int("denied", c.Denied).Int("written_off", c.WrittenOff).
-			Int("left", c.Left).Int("no_room", c.NoRoom).Int("limited", c.Limited).Int("copies", c.Copies).Dict("hops", hops).
-			Int("open", c.Open).Int("clients", c.Clients).Int("servers", c.Servers).
+		line.Int("handled", c.Responded).Int("denied", c.Rejected).Int("written_off", c.Failed).
+			Int("left", c.Disconnected).Int("no_room", c.NoCapacity).Int("limited", c.RouteLimited).Int("copies", c.Hedges).Dict("hops", hops).
+			Int("open", c.OpenRequests).Int("clients", c.ClientConnections).Int("servers", c.ServerConnections).
 			Stringer("list_from", from).Float64("list_age_s", age.Round(time.Second/10).Seconds()).Msg("counts")
 		s.fleet.RouteCounts(func(name string, inHand int, c route.GateCounts) {
-			s.log.Info().Str("route", name).Int("in_hand", inHand).Int("taken", c.Taken).Int("over_rate", c.OverRate).
-				Int("no_place", c.NoPlace).Int("over_tenant", c.OverTenant).Msg("route")
+			s.log.Info().Str("route", name).Int("in_hand", inHand).Int("taken", c.Admitted).Int("over_rate", c.RateExceeded).
+				Int("no_place", c.QueueFull).Int("over_tenant", c.TenantShareExceeded).Msg("route")
 		})
 	}
 }
--- a/internal/proxy/serve_test.go
+++ b/internal/proxy/serve_test.go
@@ -53,7 +53,7 @@
 }
 
 // servers are some that together say the lines of a script, one for each request.
-func servers(t *testing.T, n int, script ...string) (hosts []http1.Host, taken *atomic.Int32) {
+func servers(t *testing.T, n int, script ...string) (hosts []http1.Endpoint, taken *atomic.Int32) {
 	taken = new(atomic.Int32)
 	for i := range n {
 		at := standIn(t, func(nc net.Conn) {
@@ -67,19 +67,19 @@
 				}
 			}
 		})
-		hosts = append(hosts, http1.Host{ID: fmt.Sprint("s-", i), Address: at, Size: 1})
+		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("s-", i), Address: at, Size: 1})
 	}
 	return hosts, taken
 }
 
-func config(hosts ...http1.Host) Config {
-	kind := policy.TrafficType{TargetTime: 500 * time.Millisecond, AbandonTime: time.Second, Revenue: 1}
+func config(hosts ...http1.Endpoint) Config {
+	kind := policy.TrafficType{LatencyObjective: 500 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1}
 	binding := kind
-	binding.Repeat = policy.Binding
+	binding.Idempotency = policy.NonIdempotent
 	return Config{Name: "n", Limits: dispatch.Limits{MemoryMB: 192, Sockets: 1024},
-		Discovery: netip.MustParseAddrPort("127.0.0.1:1"), Known: http1.List{Complete: true, Hosts: hosts},
+		Discovery: netip.MustParseAddrPort("127.0.0.1:1"), SavedList: http1.EndpointList{Complete: true, Hosts: hosts},
 		Settings: settings.Settings{ConnIdle: time.Second, TypeNames: []string{"check", "book"}, Settings: policy.Settings{
-			Nodes: 1, MostHops: 4, ConnectTimeout: 100 * time.Millisecond, Types: []policy.TrafficType{kind, binding}}}}
+			NodeCount: 1, MaxAttempts: 4, ConnectTimeout: 100 * time.Millisecond, TrafficTypes: []policy.TrafficType{kind, binding}}}}
 }
 
 // node runs one until the test ends, or until stop.
@@ -191,16 +191,16 @@
 	for name, c := range map[string]struct {
 		conn part
 		ctx  context.Context
-		want dispatch.End
+		want dispatch.AttemptResult
 	}{
-		"nothing written":            {part{write: syscall.EPIPE}, nil, dispatch.Unsent},
-		"all but a little written":   {part{takes: 40, write: syscall.ECONNRESET}, nil, dispatch.Unsent},
-		"no time to write":           {part{takes: 40, write: http1.ErrTimeout}, nil, dispatch.NoTime},
-		"written, then reset":        {part{takes: 1 << 20, read: syscall.ECONNRESET}, nil, dispatch.CutOff},
-		"written, then closed":       {part{takes: 1 << 20, read: io.EOF}, nil, dispatch.CutOff},
-		"written, then silence":      {part{takes: 1 << 20, read: http1.ErrTimeout}, nil, dispatch.Silent},
-		"written, then called off":   {part{takes: 1 << 20, read: http1.ErrTimeout}, canceled, dispatch.GivenUp},
-		"written whole, and a reset": {part{takes: 1 << 20, write: syscall.ECONNRESET, read: syscall.ECONNRESET}, nil, dispatch.CutOff},
+		"nothing written":            {part{write: syscall.EPIPE}, nil, dispatch.WriteFailed},
+		"all but a little written":   {part{takes: 40, write: syscall.ECONNRESET}, nil, dispatch.WriteFailed},
+		"no time to write":           {part{takes: 40, write: http1.ErrTimeout}, nil, dispatch.ExpiredUnsent},
+		"written, then reset":        {part{takes: 1 << 20, read: syscall.ECONNRESET}, nil, dispatch.ConnectionLost},
+		"written, then closed":       {part{takes: 1 << 20, read: io.EOF}, nil, dispatch.ConnectionLost},
+		"written, then silence":      {part{takes: 1 << 20, read: http1.ErrTimeout}, nil, dispatch.ResponseTimeout},
+		"written, then called off":   {part{takes: 1 << 20, read: http1.ErrTimeout}, canceled, dispatch.Abandoned},
+		"written whole, and a reset": {part{takes: 1 << 20, write: syscall.ECONNRESET, read: syscall.ECONNRESET}, nil, dispatch.ConnectionLost},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c.ctx == nil {
@@ -217,16 +217,16 @@
 	for name, c := range map[string]struct {
 		err    error
 		timeUp bool
-		want   dispatch.End
+		want   dispatch.AttemptResult
 	}{
-		"refused":                    {&net.OpError{Err: syscall.ECONNREFUSED}, false, dispatch.Refused},
-		"no way there":               {&net.OpError{Err: syscall.EHOSTUNREACH}, false, dispatch.Refused},
-		"not in the time for it":     {&net.OpError{Err: http1.ErrTimeout}, false, dispatch.NeverUp},
-		"not in the hop's time":      {&net.OpError{Err: http1.ErrTimeout}, true, dispatch.NoTime},
-		"called off":                 {&net.OpError{Err: context.Canceled}, false, dispatch.NoTime},
-		"no descriptor":              {&net.OpError{Err: os.NewSyscallError("socket", syscall.EMFILE)}, false, dispatch.NoRoom},
-		"no port":                    {&net.OpError{Err: os.NewSyscallError("connect", syscall.EADDRNOTAVAIL)}, false, dispatch.NoRoom},
-		"an address that is not one": {&net.AddrError{Err: "missing port"}, false, dispatch.Refused},
+		"refused":                    {&net.OpError{Err: syscall.ECONNREFUSED}, false, dispatch.ConnectRefused},
+		"no way there":               {&net.OpError{Err: syscall.EHOSTUNREACH}, false, dispatch.ConnectRefused},
+		"not in the time for it":     {&net.OpError{Err: http1.ErrTimeout}, false, dispatch.ConnectTimeout},
+		"not in the hop's time":      {&net.OpError{Err: http1.ErrTimeout}, true, dispatch.ExpiredUnsent},
+		"called off":                 {&net.OpError{Err: context.Canceled}, false, dispatch.ExpiredUnsent},
+		"no descriptor":              {&net.OpError{Err: os.NewSyscallError("socket", syscall.EMFILE)}, false, dispatch.NoDescriptor},
+		"no port":                    {&net.OpError{Err: os.NewSyscallError("connect", syscall.EADDRNOTAVAIL)}, false, dispatch.NoDescriptor},
+		"an address that is not one": {&net.AddrError{Err: "missing port"}, false, dispatch.ConnectRefused},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := connectEnd(c.err, c.timeUp); got != c.want {
@@ -243,9 +243,9 @@
 	server := standIn(t, func(nc net.Conn) {
 		c := http1.NewConn(nc)
 		c.ReadRequest(&http1.Request{})
-		gone <- c.Gone()
+		gone <- c.WaitDisconnected()
 	})
-	at, _ := startNode(t, config(http1.Host{ID: "s", Address: server, Size: 1}))
+	at, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: server, Size: 1}))
 	if r := ask1(t, dial(t, at), "/book/1"); r.Status != 504 {
 		t.Errorf("answered %d", r.Status)
 	}
@@ -257,7 +257,7 @@
 func TestServerOutOfReach(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, whole)
-	hosts = append(hosts, http1.Host{ID: "closed", Address: netip.MustParseAddrPort("127.0.0.1:1"), Size: 1})
+	hosts = append(hosts, http1.Endpoint{ID: "closed", Address: netip.MustParseAddrPort("127.0.0.1:1"), Size: 1})
 	at, _ := startNode(t, config(hosts...))
 	for range 4 {
 		if r := ask1(t, dial(t, at), "/book/1"); r.Status != 200 {
@@ -278,7 +278,7 @@
 			closed <- struct{}{}
 		}
 	})
-	node, _ := startNode(t, config(http1.Host{ID: "s", Address: at, Size: 1}))
+	node, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: at, Size: 1}))
 	for range 3 {
 		if r := ask1(t, dial(t, node), "/book/1"); r.Status != 200 {
 			t.Errorf("answered %d", r.Status)
@@ -291,28 +291,28 @@
 func TestNothingToAServerThatLeft(t *testing.T) {
 	t.Parallel()
 	hosts, taken := servers(t, 1, whole)
-	s := &Server{cfg: config(), fleet: dispatch.New(config().Settings, 1, config().Limits, engine.Policy)}
+	s := &Server{cfg: config(), fleet: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	t.Cleanup(s.fleet.Stop)
-	s.fleet.Listed(http1.List{Hosts: hosts}, endpoints.Saved)
-	for _, phase := range []http1.Phase{http1.Draining, http1.Deleted} {
+	s.fleet.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
+	for _, phase := range []http1.Condition{http1.Draining, http1.Deleted} {
 		op := booked(s.fleet)
-		d := op.Next(func() {})
-		if d.Kind != dispatch.Send {
-			t.Fatalf("decided %d", d.Kind)
+		d := op.NextDecision(func() {})
+		if d.Action != dispatch.SendAttempt {
+			t.Fatalf("decided %d", d.Action)
 		}
 		left := hosts[0]
 		left.Phase = phase
-		s.fleet.Listed(http1.List{Hosts: []http1.Host{left}}, endpoints.Discovery)
-		for !s.fleet.Parted(left.ID) {
+		s.fleet.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{left}}, endpoints.SourceDiscovery)
+		for !s.fleet.IsPastDrainGrace(left.ID) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		req := &http1.Request{Method: []byte("POST"), Target: []byte("/book/1")}
 		end, _ := s.hop(context.Background(), d, &exchanged{op: op, req: req, compose: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }})
-		if end != dispatch.NoTime || taken.Load() > 0 {
+		if end != dispatch.ExpiredUnsent || taken.Load() > 0 {
 			t.Errorf("ended %v; %d were sent", end, taken.Load())
 		}
-		op.Ended(d.Hop, end, nil)
-		s.fleet.Listed(http1.List{Hosts: hosts}, endpoints.Discovery)
+		op.AttemptEnded(d.Attempt, end, nil)
+		s.fleet.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceDiscovery)
 	}
 }
 
@@ -320,18 +320,18 @@
 func TestStaleWrite(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, whole)
-	s := &Server{cfg: config(), fleet: dispatch.New(config().Settings, 1, config().Limits, engine.Policy)}
+	s := &Server{cfg: config(), fleet: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.fleet.Stop()
-	s.fleet.Listed(http1.List{Hosts: hosts}, endpoints.Saved)
+	s.fleet.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
 	held := make(chan net.Conn, 1)
 	kept := dial(t, standIn(t, func(c net.Conn) { held <- c }).String())
 	kept.Conn.(*net.TCPConn).CloseWrite()
-	s.fleet.Reserve()
-	s.fleet.Keep(hosts[0].ID, false, kept)
+	s.fleet.AcquireServerDescriptor()
+	s.fleet.PutIdle(hosts[0].ID, false, kept)
 	req := &http1.Request{Method: []byte("GET"), Target: []byte("/book/1")}
 	op := booked(s.fleet)
 	defer op.Close()
-	if end, _ := s.hop(context.Background(), op.Next(func() {}), &exchanged{op: op, req: req, compose: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }}); end != dispatch.Stale {
+	if end, _ := s.hop(context.Background(), op.NextDecision(func() {}), &exchanged{op: op, req: req, compose: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }}); end != dispatch.StaleConnection {
 		t.Errorf("ended %s", end)
 	}
 	(<-held).Close()
@@ -379,7 +379,7 @@
 func TestSlowClientsEnd(t *testing.T) {
 	t.Parallel()
 	cfg := config()
-	cfg.Settings.Types[0].AbandonTime = time.Hour
+	cfg.Settings.TrafficTypes[0].ClientTimeout = time.Hour
 	at, _ := startNode(t, cfg)
 	for name, c := range map[string]struct{ once, again string }{
 		"says nothing": {},
@@ -408,8 +408,8 @@
 }
 
 // booked has a fleet take a binding operation under an id of its own.
-func booked(f *dispatch.Fleet) *dispatch.Operation {
-	op, _ := f.Arrive(dispatch.Arrival{ID: fmt.Append(nil, ids.Add(1)), Route: -1, Kind: 1, Budget: time.Minute})
+func booked(f *dispatch.Dispatcher) *dispatch.Request {
+	op, _ := f.Submit(dispatch.Arrival{ID: fmt.Append(nil, ids.Add(1)), RouteIndex: -1, TrafficType: 1, Timeout: time.Minute})
 	return op
 }
 
@@ -421,12 +421,12 @@
 			gone := make(chan net.Conn, 1)
 			at := standIn(t, func(c net.Conn) { gone <- c })
 			near := dial(t, at.String())
-			s := &Server{fleet: dispatch.New(config().Settings, 1, config().Limits, engine.Policy)}
+			s := &Server{fleet: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 			defer s.fleet.Stop()
-			s.fleet.Listed(http1.List{Hosts: []http1.Host{{ID: "s", Address: at, Size: 1}}}, endpoints.Saved)
+			s.fleet.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "s", Address: at, Size: 1}}}, endpoints.SourceConfig)
 			op := booked(s.fleet)
-			if d := op.Next(func() {}); d.Kind != dispatch.Send {
-				t.Fatalf("decided %d", d.Kind)
+			if d := op.NextDecision(func() {}); d.Action != dispatch.SendAttempt {
+				t.Fatalf("decided %d", d.Action)
 			}
 			defer httpFront{s, near}.Watch(op)()
 			far := <-gone
@@ -434,8 +434,8 @@
 				far.Write(make([]byte, behind))
 				far.Close()
 			}()
-			if d := op.Next(func() {}); d.Kind != dispatch.Drop {
-				t.Errorf("decided %d", d.Kind)
+			if d := op.NextDecision(func() {}); d.Action != dispatch.Drop {
+				t.Errorf("decided %d", d.Action)
 			}
 		})
 	}
@@ -447,27 +447,27 @@
 	hosts, taken := servers(t, 1, whole)
 	cfg := config()
 	cfg.Settings.ConnectTimeout = time.Minute // a busy machine takes its time
-	s := &Server{cfg: cfg, fleet: dispatch.New(config().Settings, 1, config().Limits, engine.Policy)}
+	s := &Server{cfg: cfg, fleet: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.fleet.Stop()
-	s.fleet.Listed(http1.List{Hosts: hosts}, endpoints.Saved)
+	s.fleet.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
 	req := &http1.Request{Method: []byte("GET"), Target: []byte("/book/1")}
 	for name, c := range map[string]struct {
 		leave, seen bool // seen: only by a look at its connection, for nobody who waits for it has run
-		want        dispatch.End
-	}{"left": {true, false, dispatch.NoTime}, "left unnoticed": {true, true, dispatch.NoTime}, "still there": {false, false, dispatch.Answered}} {
+		want        dispatch.AttemptResult
+	}{"left": {true, false, dispatch.ExpiredUnsent}, "left unnoticed": {true, true, dispatch.ExpiredUnsent}, "still there": {false, false, dispatch.Succeeded}} {
 		t.Run(name, func(t *testing.T) {
 			before := taken.Load()
 			op := booked(s.fleet)
 			defer op.Close()
-			d := op.Next(func() {})
+			d := op.NextDecision(func() {})
 			if c.leave && !c.seen {
-				op.Left()
+				op.ClientDisconnected()
 			}
 			end, _ := s.hop(context.Background(), d, &exchanged{op: op, req: req, parting: func() bool { return c.seen }, compose: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }})
 			if sent := taken.Load() > before; end != c.want || sent == c.leave {
 				t.Errorf("ended %s, sent %v", end, sent)
 			}
-			op.Ended(d.Hop, end, nil)
+			op.AttemptEnded(d.Attempt, end, nil)
 		})
 	}
 }
@@ -478,7 +478,7 @@
 	cfg := config(hosts...)
 	cfg.Limits.Sockets = 1 // leaves room for the fewest connections
 	at, _ := startNode(t, cfg)
-	for i := range 4 * cfg.Limits.Connections() {
+	for i := range 4 * cfg.Limits.MaxConnections() {
 		if r := ask1(t, dial(t, at), "/check/1"); r.Status != 200 { // and stays, idle
 			t.Fatalf("the %d. client is answered %d", i, r.Status)
 		}
@@ -495,9 +495,9 @@
 			io.WriteString(nc, whole)
 		}
 	})
-	cfg := config(http1.Host{ID: "a", Address: server, Size: 1}, http1.Host{ID: "b", Address: server, Size: 1})
+	cfg := config(http1.Endpoint{ID: "a", Address: server, Size: 1}, http1.Endpoint{ID: "b", Address: server, Size: 1})
 	cfg.Limits.Sockets = 1
-	cfg.Settings.Types[0].TargetTime, cfg.Settings.Types[0].AbandonTime = time.Minute, time.Minute
+	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = time.Minute, time.Minute
 	at, _ := startNode(t, cfg)
 	answers := make(chan int)
 	const n = 20
@@ -538,8 +538,8 @@
 			io.WriteString(nc, whole)
 		}
 	})
-	cfg := config(http1.Host{ID: "s", Address: server, Size: 1})
-	cfg.Settings.Types[0].TargetTime, cfg.Settings.Types[0].AbandonTime = time.Minute, time.Minute
+	cfg := config(http1.Endpoint{ID: "s", Address: server, Size: 1})
+	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = time.Minute, time.Minute
 	coming := make(chan struct{})
 	cfg.stop = unhurried{coming: func() { <-coming }, more: time.Minute}
 	at, stop := startNode(t, cfg)
@@ -595,7 +595,7 @@
 				next <- s
 			}
 			cfg := config()
-			cfg.Known.Revision = 2
+			cfg.SavedList.Revision = 2
 			cfg.Discovery = standIn(t, func(nc net.Conn) {
 				defer nc.Close()
 				var r http1.Request
@@ -652,7 +652,7 @@
 			if err := os.WriteFile(path, []byte(strings.Replace(good, c.old, c.new, 1)), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			cfg, err := Load(path, func(name string) string {
+			cfg, err := LoadConfig(path, func(name string) string {
 				if name == "PROXY_LISTEN" {
 					return c.env
 				}
@@ -680,7 +680,7 @@
 func TestLogNeverBlocks(t *testing.T) {
 	t.Parallel()
 	w := stuck{make(chan struct{})}
-	log, flush := NewLog(w, zerolog.InfoLevel)
+	log, flush := NewLogger(w, zerolog.InfoLevel)
 	for range 10 * logQueued {
 		log.Warn().Msg("once more")
 	}
@@ -733,7 +733,7 @@
 			const text = `{"listen":"127.0.0.1:1","discovery":"%s","settings":{"limits":{"mostHops":1},
 				"trafficTypes":[{"name":"check","targetTime":5,"idempotency":"safe"}]}}`
 			file(fmt.Sprintf(text, "127.0.0.1:1"))
-			cfg, err := Load(path, func(name string) string {
+			cfg, err := LoadConfig(path, func(name string) string {
 				return map[string]string{"PROXY_DISCOVERY": before.String()}[name]
 			})
 			if err != nil {
--- a/internal/proxy/shadow/shadow.go
+++ b/internal/proxy/shadow/shadow.go
@@ -17,32 +17,32 @@
 // takes no more of a node with many servers.
 const serversEach = 1_000
 
-// Kind is in what the other settings would have decided otherwise.
-type Kind int
+// Difference is in what the other settings would have decided otherwise.
+type Difference int
 
 const (
-	Server       Kind = iota // sent to another server
-	HopTime                  // the hop given another time
-	Sent                     // sent, where it was denied or waits
-	Waited                   // waits, where it was sent or denied
-	Denied                   // denied, where it was sent, waits or is written off
-	ReturnTime               // denied too, with another time to come back
-	FurtherHop               // a further hop or a copy, where there was none
-	NoFurtherHop             // the reverse
-	WrittenOff               // written off, where it was not
-	LeftOpen                 // the hop still out waited for, where it was answered
+	ServerDiffers     Difference = iota // sent to another server
+	TimeoutDiffers                      // the hop given another time
+	WouldSend                           // sent, where it was denied or waits
+	WouldQueue                          // waits, where it was sent or denied
+	WouldReject                         // denied, where it was sent, waits or is written off
+	RetryAfterDiffers                   // denied too, with another time to come back
+	WouldRetry                          // a further hop or a copy, where there was none
+	WouldNotRetry                       // the reverse
+	WouldFail                           // written off, where it was not
+	WouldKeepWaiting                    // the hop still out waited for, where it was answered
 	kinds
 )
 
 var names = [kinds]string{"server", "hop_time", "sent", "waited", "denied", "return_time", "further_hop", "no_further_hop",
 	"written_off", "left_open"}
 
-func (k Kind) String() string { return names[k] }
+func (k Difference) String() string { return names[k] }
 
-// Watcher is a module that hands on what another decides, to the byte, and counts where settings would differ.
-type Watcher struct {
+// Module is a module that hands on what another decides, to the byte, and counts where settings would differ.
+type Module struct {
 	live     *policy.Policy
-	watch    *Watch
+	watch    *Candidate
 	left     float64 // comparisons that may still be made
 	last     time.Duration
 	effects  []policy.Effect
@@ -50,8 +50,8 @@
 	disabled bool
 }
 
-// Watch is what is watched and what was counted; both may be reached while the module decides.
-type Watch struct {
+// Candidate is what is watched and what was counted; both may be reached while the module decides.
+type Candidate struct {
 	set      atomic.Pointer[settings.Settings]
 	compared atomic.Int64
 	failed   atomic.Int64
@@ -60,48 +60,48 @@
 
 // Counts since the last call.
 type Counts struct {
-	Compared int
-	Failed   bool // the other decision could not be had; nothing is watched any more
-	By       [kinds]int
+	Compared     int
+	HasFailed    bool // the other decision could not be had; nothing is watched any more
+	ByDifference [kinds]int
 }
 
-// NewWatch watches settings, which must fit the node's own.
-func NewWatch(s *settings.Settings) *Watch {
-	w := new(Watch)
-	w.Set(s)
+// NewCandidate watches settings, which must fit the node's own.
+func NewCandidate(s *settings.Settings) *Candidate {
+	w := new(Candidate)
+	w.SetSettings(s)
 	return w
 }
 
-// Set has other settings watched from now on.
-func (t *Watch) Set(s *settings.Settings) { t.set.Store(s) }
+// SetSettings has other settings watched from now on.
+func (t *Candidate) SetSettings(s *settings.Settings) { t.set.Store(s) }
 
-// Watched are the settings that are watched now.
-func (t *Watch) Watched() *settings.Settings { return t.set.Load() }
+// Settings are the settings that are watched now.
+func (t *Candidate) Settings() *settings.Settings { return t.set.Load() }
 
-// Take returns the counts since the last call.
-func (t *Watch) Take() (c Counts) {
-	c.Compared, c.Failed = int(t.compared.Swap(0)), t.failed.Load() > 0
+// TakeCounts returns the counts since the last call.
+func (t *Candidate) TakeCounts() (c Counts) {
+	c.Compared, c.HasFailed = int(t.compared.Swap(0)), t.failed.Load() > 0
 	for k := range t.counts {
-		c.By[k] = int(t.counts[k].Swap(0))
+		c.ByDifference[k] = int(t.counts[k].Swap(0))
 	}
 	return c
 }
 
 // Each calls f for each kind, also for those that did not occur.
-func (c Counts) Each(f func(k Kind, n int)) {
-	for k, n := range c.By {
-		f(Kind(k), n)
+func (c Counts) Each(f func(k Difference, n int)) {
+	for k, n := range c.ByDifference {
+		f(Difference(k), n)
 	}
 }
 
-// New is a module that decides as live does.
-func New(live *policy.Policy, watch *Watch) *Watcher {
-	return &Watcher{live: live, watch: watch, left: perSecond, byOp: map[int]policy.Effect{}}
+// NewModule is a module that decides as live does.
+func NewModule(live *policy.Policy, watch *Candidate) *Module {
+	return &Module{live: live, watch: watch, left: perSecond, byOp: map[int]policy.Effect{}}
 }
 
 // Handle has the module decide. The other settings are asked before, on a copy, since the module then knows what it knows
 // as it decides.
-func (w *Watcher) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
+func (w *Module) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
 	asked := w.due(now, in) && w.ask(now, in)
 	from := len(effects)
 	effects = w.live.Handle(now, in, effects)
@@ -112,11 +112,11 @@
 }
 
 // due: it is a decision on operations, and fewer were compared than may be.
-func (w *Watcher) due(now time.Duration, in *policy.Input) bool {
-	price := max(float64(w.live.Servers())/serversEach, 1)
+func (w *Module) due(now time.Duration, in *policy.Input) bool {
+	price := max(float64(w.live.ServerCount())/serversEach, 1)
 	w.left, w.last = min(w.left+perSecond*(now-w.last).Seconds(), max(perSecond, price)), now
 	switch in.Kind {
-	case policy.List, policy.Retyped, policy.Planned, policy.AllowancesChanged:
+	case policy.EndpointsUpdated, policy.TrafficTypesChanged, policy.PlanChanged, policy.QuotasChanged:
 		return false
 	}
 	if w.disabled || w.left < price {
@@ -126,33 +126,33 @@
 	return true
 }
 
-func (w *Watcher) ask(now time.Duration, in *policy.Input) (ok bool) {
+func (w *Module) ask(now time.Duration, in *policy.Input) (ok bool) {
 	defer func() { // settings that are only watched must not end a node
 		if recover() != nil {
 			w.disabled, ok = true, false
 			w.watch.failed.Add(1)
 		}
 	}()
-	w.effects = w.live.WhatIf(&w.watch.Watched().Settings, now, in, w.effects[:0])
+	w.effects = w.live.WhatIf(&w.watch.Settings().Settings, now, in, w.effects[:0])
 	return true
 }
 
-func (w *Watcher) compare(live []policy.Effect) {
+func (w *Module) compare(live []policy.Effect) {
 	w.watch.compared.Add(1)
 	clear(w.byOp)
 	for _, e := range w.effects {
 		if decides(e.Kind) {
-			w.byOp[e.Op] = e
+			w.byOp[e.Request] = e
 		}
 	}
 	for _, e := range live {
 		if !decides(e.Kind) {
 			continue
 		}
-		other, both := w.byOp[e.Op]
-		delete(w.byOp, e.Op)
-		had := w.live.Hops(e.Op)
-		if e.Kind == policy.SendHop {
+		other, both := w.byOp[e.Request]
+		delete(w.byOp, e.Request)
+		had := w.live.AttemptCount(e.Request)
+		if e.Kind == policy.SendAttempt {
 			had--
 		}
 		if k, differs := differ(&e, &other, both, had > 0); differs {
@@ -160,42 +160,42 @@
 		}
 	}
 	for op, other := range w.byOp {
-		k, _ := differ(nil, &other, true, w.live.Hops(op) > 0)
+		k, _ := differ(nil, &other, true, w.live.AttemptCount(op) > 0)
 		w.watch.counts[k].Add(1)
 	}
 }
 
 func decides(k policy.EffectKind) bool {
-	return k == policy.SendHop || k == policy.Deny || k == policy.WriteOff
+	return k == policy.SendAttempt || k == policy.Reject || k == policy.Fail
 }
 
 // differ tells in what the other decision on an operation differs; further: it has had a hop before.
-func differ(live, other *policy.Effect, decided, further bool) (Kind, bool) {
-	either := func(first, again Kind) (Kind, bool) {
+func differ(live, other *policy.Effect, decided, further bool) (Difference, bool) {
+	either := func(first, again Difference) (Difference, bool) {
 		if further {
 			return again, true
 		}
 		return first, true
 	}
 	switch {
-	case !decided && live.Kind == policy.SendHop:
-		return either(Waited, NoFurtherHop)
+	case !decided && live.Kind == policy.SendAttempt:
+		return either(WouldQueue, WouldNotRetry)
 	case !decided:
-		return either(Waited, LeftOpen)
+		return either(WouldQueue, WouldKeepWaiting)
 	case live == nil || live.Kind != other.Kind:
 		switch other.Kind {
-		case policy.SendHop:
-			return either(Sent, FurtherHop)
-		case policy.Deny:
-			return Denied, true
+		case policy.SendAttempt:
+			return either(WouldSend, WouldRetry)
+		case policy.Reject:
+			return WouldReject, true
 		}
-		return WrittenOff, true
-	case live.Kind == policy.SendHop && live.Server != other.Server:
-		return Server, true
-	case live.Kind == policy.SendHop:
-		return HopTime, live.For != other.For
-	case live.Kind == policy.Deny:
-		return ReturnTime, live.For != other.For
+		return WouldFail, true
+	case live.Kind == policy.SendAttempt && live.Server != other.Server:
+		return ServerDiffers, true
+	case live.Kind == policy.SendAttempt:
+		return TimeoutDiffers, live.Duration != other.Duration
+	case live.Kind == policy.Reject:
+		return RetryAfterDiffers, live.Duration != other.Duration
 	}
 	return 0, false
 }
--- a/internal/proxy/shadow/shadow_test.go
+++ b/internal/proxy/shadow/shadow_test.go
@@ -14,9 +14,9 @@
 const ms = time.Millisecond
 
 func own() policy.Settings {
-	return policy.Settings{Nodes: 4, Tick: 5 * ms, MostHops: 4, MaxRetryIn: time.Second, Types: []policy.TrafficType{
-		{Repeat: policy.Retriable, TargetTime: 400 * ms, AbandonTime: 2 * time.Second, Revenue: 1},
-		{Repeat: policy.Binding, TargetTime: 400 * ms, AbandonTime: 2 * time.Second, Revenue: 1}}}
+	return policy.Settings{NodeCount: 4, TimerGranularity: 5 * ms, MaxAttempts: 4, MaxRetryAfter: time.Second, TrafficTypes: []policy.TrafficType{
+		{Idempotency: policy.Idempotent, LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second, PriorityWeight: 1},
+		{Idempotency: policy.NonIdempotent, LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second, PriorityWeight: 1}}}
 }
 
 // day plays one with slow answers, errors and silence to a module, at a pace that all is compared.
@@ -26,18 +26,18 @@
 	at := func(now time.Duration, in policy.Input) {
 		all = append(all, m.Handle(now, &in, nil)...)
 	}
-	var list []policy.Member
+	var list []policy.Endpoint
 	for s := range 8 {
-		list = append(list, policy.Member{Server: s, Rank: uint32(s), Scale: 1})
+		list = append(list, policy.Endpoint{Server: s, Rank: uint32(s), Weight: 1})
 	}
-	at(0, policy.Input{Kind: policy.List, Scope: policy.Saved, Members: list})
+	at(0, policy.Input{Kind: policy.EndpointsUpdated, Scope: policy.Cached, Endpoints: list})
 	ends := []policy.Outcome{policy.Success, policy.Failure, policy.Success, policy.TimedOut, policy.Overloaded, policy.Success}
 	for i := range 400 {
 		now := time.Duration(i) * 50 * ms
-		at(now, policy.Input{Kind: policy.Arrival, Op: i, Type: i % 2, Key: uint32(1 + i%5), Budget: time.Second})
-		at(now+20*ms, policy.Input{Kind: policy.Woken})
+		at(now, policy.Input{Kind: policy.RequestArrived, Request: i, TrafficType: i % 2, Key: uint32(1 + i%5), Timeout: time.Second})
+		at(now+20*ms, policy.Input{Kind: policy.TimerFired})
 		if how := ends[i%len(ends)]; i%7 > 0 {
-			at(now+30*ms, policy.Input{Kind: policy.HopEnded, Op: i, Outcome: how, Final: how == policy.Success})
+			at(now+30*ms, policy.Input{Kind: policy.AttemptEnded, Request: i, Outcome: how, ClientAnswered: how == policy.Success})
 		}
 	}
 	return all
@@ -47,34 +47,34 @@
 	alone := day(policy.New(own(), 7))
 	for name, c := range map[string]struct {
 		change func(*policy.Settings)
-		want   []Kind // all that must be counted; none: nothing may be
-		never  []Kind
+		want   []Difference // all that must be counted; none: nothing may be
+		never  []Difference
 	}{
 		"the same settings":         {func(*policy.Settings) {}, nil, nil},
-		"late answers earn":         {func(s *policy.Settings) { s.Types[1].LateRevenue = 0.5 }, []Kind{HopTime}, []Kind{Server, Denied, WrittenOff}},
-		"keys are remembered":       {func(s *policy.Settings) { s.WarmKeys = true }, []Kind{Server}, []Kind{WrittenOff, ReturnTime}},
-		"clients told nothing":      {func(s *policy.Settings) { s.MaxRetryIn = 0 }, []Kind{ReturnTime}, []Kind{Server, WrittenOff}},
-		"one hop only":              {func(s *policy.Settings) { s.MostHops = 1 }, []Kind{Denied}, []Kind{FurtherHop}},
-		"what may rerun is binding": {func(s *policy.Settings) { s.Types[0].Repeat = policy.Binding }, []Kind{WrittenOff}, []Kind{FurtherHop}},
-		"what is binding may rerun": {func(s *policy.Settings) { s.Types[1].Repeat = policy.Retriable }, []Kind{FurtherHop}, []Kind{WrittenOff}},
+		"late answers earn":         {func(s *policy.Settings) { s.TrafficTypes[1].LateWeightShare = 0.5 }, []Difference{TimeoutDiffers}, []Difference{ServerDiffers, WouldReject, WouldFail}},
+		"keys are remembered":       {func(s *policy.Settings) { s.ServersCacheKeys = true }, []Difference{ServerDiffers}, []Difference{WouldFail, RetryAfterDiffers}},
+		"clients told nothing":      {func(s *policy.Settings) { s.MaxRetryAfter = 0 }, []Difference{RetryAfterDiffers}, []Difference{ServerDiffers, WouldFail}},
+		"one hop only":              {func(s *policy.Settings) { s.MaxAttempts = 1 }, []Difference{WouldReject}, []Difference{WouldRetry}},
+		"what may rerun is binding": {func(s *policy.Settings) { s.TrafficTypes[0].Idempotency = policy.NonIdempotent }, []Difference{WouldFail}, []Difference{WouldRetry}},
+		"what is binding may rerun": {func(s *policy.Settings) { s.TrafficTypes[1].Idempotency = policy.Idempotent }, []Difference{WouldRetry}, []Difference{WouldFail}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			watched := own()
 			c.change(&watched)
-			watch := NewWatch(&settings.Settings{Settings: watched})
-			if got := day(New(policy.New(own(), 7), watch)); !reflect.DeepEqual(got, alone) {
+			watch := NewCandidate(&settings.Settings{Settings: watched})
+			if got := day(NewModule(policy.New(own(), 7), watch)); !reflect.DeepEqual(got, alone) {
 				t.Error("decided otherwise for being watched")
 			}
-			seen := watch.Take()
-			if seen.Compared < 1000 || seen.Failed {
+			seen := watch.TakeCounts()
+			if seen.Compared < 1000 || seen.HasFailed {
 				t.Errorf("%d compared", seen.Compared)
 			}
-			seen.Each(func(k Kind, n int) {
+			seen.Each(func(k Difference, n int) {
 				if n > 0 && (len(c.want) == 0 || slices.Contains(c.never, k)) || n == 0 && slices.Contains(c.want, k) {
 					t.Errorf("%s: %d", k, n)
 				}
 			})
-			if again := watch.Take(); again != (Counts{}) {
+			if again := watch.TakeCounts(); again != (Counts{}) {
 				t.Errorf("counted twice: %+v", again)
 			}
 		})
@@ -89,16 +89,16 @@
 		failed bool
 	}{"at one moment": {[]float64{1}, perSecond, false}, "of no use": {nil, 0, true}} {
 		t.Run(name, func(t *testing.T) {
-			s, watch := own(), new(Watch)
-			s.AllowancePerS = []float64{1}
-			w := New(policy.New(s, 7), watch)
-			s.AllowancePerS = c.shares
-			watch.Set(&settings.Settings{Settings: s})
+			s, watch := own(), new(Candidate)
+			s.TenantQuotas = []float64{1}
+			w := NewModule(policy.New(s, 7), watch)
+			s.TenantQuotas = c.shares
+			watch.SetSettings(&settings.Settings{Settings: s})
 			for i := range 10 * perSecond {
-				w.Handle(0, &policy.Input{Kind: policy.Arrival, Op: i, Budget: time.Second}, nil)
+				w.Handle(0, &policy.Input{Kind: policy.RequestArrived, Request: i, Timeout: time.Second}, nil)
 			}
-			if seen := watch.Take(); seen.Compared > c.most || seen.Failed != c.failed {
-				t.Errorf("%d compared, failed %v", seen.Compared, seen.Failed)
+			if seen := watch.TakeCounts(); seen.Compared > c.most || seen.HasFailed != c.failed {
+				t.Errorf("%d compared, failed %v", seen.Compared, seen.HasFailed)
 			}
 		})
 	}
@@ -108,17 +108,17 @@
 func TestManyServersAreComparedSeldom(t *testing.T) {
 	for _, c := range []struct{ servers, least, most int }{{1_000, 200, 300}, {20_000, 10, 15}, {200_000, 1, 1}} {
 		t.Run(fmt.Sprint(c.servers), func(t *testing.T) {
-			watch := NewWatch(&settings.Settings{Settings: own()})
-			w := New(policy.New(own(), 7), watch)
-			list := make([]policy.Member, c.servers)
+			watch := NewCandidate(&settings.Settings{Settings: own()})
+			w := NewModule(policy.New(own(), 7), watch)
+			list := make([]policy.Endpoint, c.servers)
 			for i := range list {
-				list[i] = policy.Member{Server: i, Rank: uint32(i), Scale: 1}
+				list[i] = policy.Endpoint{Server: i, Rank: uint32(i), Weight: 1}
 			}
-			w.Handle(0, &policy.Input{Kind: policy.List, Scope: policy.Whole, Members: list}, nil)
+			w.Handle(0, &policy.Input{Kind: policy.EndpointsUpdated, Scope: policy.Full, Endpoints: list}, nil)
 			for i := range 1_000 { // over two seconds
-				w.Handle(time.Duration(i)*2*time.Millisecond, &policy.Input{Kind: policy.Arrival, Op: i, Budget: time.Second}, nil)
+				w.Handle(time.Duration(i)*2*time.Millisecond, &policy.Input{Kind: policy.RequestArrived, Request: i, Timeout: time.Second}, nil)
 			}
-			if got := watch.Take().Compared; got < c.least || got > c.most {
+			if got := watch.TakeCounts().Compared; got < c.least || got > c.most {
 				t.Errorf("%d compared in two seconds", got)
 			}
 		})
--- a/internal/proxy/storedformat_test.go
+++ b/internal/proxy/storedformat_test.go
@@ -40,9 +40,9 @@
 		t.Fatal(err)
 	}
 	want := []distribution.Entry{
-		{Key: distribution.Key{Service: "hire", Kind: distribution.Route, Name: "a"}, Clock: 1 << 40, Origin: "root/1", Sequence: 7, Value: []byte("type = \"check\"")},
-		{Key: distribution.Key{Service: "hire", Kind: distribution.Pool, Name: "p"}, Clock: 3, Origin: "root/2", Sequence: 8, Value: []byte("servers = [\"s*\"]")},
-		{Key: distribution.Key{Service: "yard", Kind: distribution.Tenant, Name: "dairy"}, Clock: 4, Origin: "root/1", Sequence: 9, Value: []byte("\x81\xf9\x49\x00")},
+		{Key: distribution.Key{Service: "hire", Kind: distribution.KindRoute, Name: "a"}, Clock: 1 << 40, Origin: "root/1", Sequence: 7, Value: []byte("type = \"check\"")},
+		{Key: distribution.Key{Service: "hire", Kind: distribution.KindPool, Name: "p"}, Clock: 3, Origin: "root/2", Sequence: 8, Value: []byte("servers = [\"s*\"]")},
+		{Key: distribution.Key{Service: "yard", Kind: distribution.KindTenant, Name: "dairy"}, Clock: 4, Origin: "root/1", Sequence: 9, Value: []byte("\x81\xf9\x49\x00")},
 	}
 	if !reflect.DeepEqual(entries, want) {
 		t.Errorf("read %+v", entries)
@@ -65,18 +65,18 @@
 func TestJournalRecordsOfEarlierVersion(t *testing.T) {
 	cfg := config()
 	disk := memdisk.New()
-	cfg.Disk = disk
-	cfg.Bindings = &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", WaitMost: tomlfile.Span(time.Minute), SegmentBytes: 1 << 20, RepeatsField: "Repeats"}
+	cfg.Filesystem = disk
+	cfg.Journal = &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Minute), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
 	j, err := newJournal(cfg, zerolog.Nop(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	req := &http1.Request{Fields: []http1.Field{{Name: []byte("Client-Retry"), Value: []byte("1")}, {Name: []byte("Repeats"), Value: []byte("77")}}}
 	begin := func(id string) *kept {
-		return j.begin(1, &message.Operation{ID: []byte(id), Tenant: []byte("dairy")}, req)
+		return j.begin(1, &message.RequestInfo{ID: []byte(id), Tenant: []byte("dairy")}, req)
 	}
 	attempts := begin("attempts")
-	for how := dispatch.Answered; how <= dispatch.GivenUp; how++ {
+	for how := dispatch.Succeeded; how <= dispatch.Abandoned; how++ {
 		hop, err := attempts.intend(context.Background(), "s", time.Now().Add(time.Minute))
 		if err != nil {
 			t.Fatal(err)
@@ -89,9 +89,9 @@
 	j.close()
 	var lines []string
 	if _, err := wal.Scan(disk, "j", time.Time{}, func(r *intent.Record) error {
-		r.Run, r.At = 0, 0
+		r.Incarnation, r.AtUnixNano = 0, 0
 		text, err := cbor.Marshal(r)
-		lines = append(lines, hex.EncodeToString(text)+fmt.Sprintf(" %d %q", r.Kind, r.How))
+		lines = append(lines, hex.EncodeToString(text)+fmt.Sprintf(" %d %q", r.Kind, r.Outcome))
 		return err
 	}, nil); err != nil {
 		t.Fatal(err)
@@ -108,18 +108,18 @@
 
 // Every key of the platform's configuration that a node reads.
 func TestConfigurationKeys(t *testing.T) {
-	cfg, err := Load(filepath.Join("testdata", "config.json"), func(string) string { return "" })
+	cfg, err := LoadConfig(filepath.Join("testdata", "config.json"), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := fmt.Sprintf("%s %s %s %d %v %+v %v", cfg.Name, cfg.Listen, cfg.Discovery, cfg.Seed, cfg.Cores, cfg.Limits, cfg.KnownErr)
+	got := fmt.Sprintf("%s %s %s %d %v %+v %v", cfg.Name, cfg.Listen, cfg.Discovery, cfg.Seed, cfg.Cores, cfg.Limits, cfg.SavedListErr)
 	if want := "node-1 127.0.0.1:8080 127.0.0.1:9090 2363233923 1.5 {MemoryMB:64 Sockets:256} <nil>"; got != want {
 		t.Errorf("read %s", got)
 	}
-	if n := len(cfg.Known.Hosts); cfg.Known.Revision != 12 || !cfg.Known.Complete || n != 1 || cfg.Known.Hosts[0].ID != "s-1" {
-		t.Errorf("list %+v", cfg.Known)
+	if n := len(cfg.SavedList.Hosts); cfg.SavedList.Revision != 12 || !cfg.SavedList.Complete || n != 1 || cfg.SavedList.Hosts[0].ID != "s-1" {
+		t.Errorf("list %+v", cfg.SavedList)
 	}
-	if s := cfg.Settings; s.MostHops != 2 || len(s.TypeNames) != 1 || s.TypeNames[0] != "check" {
+	if s := cfg.Settings; s.MaxAttempts != 2 || len(s.TypeNames) != 1 || s.TypeNames[0] != "check" {
 		t.Errorf("settings %+v", s)
 	}
 }
--- a/internal/proxy/told_test.go
+++ b/internal/proxy/told_test.go
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func member(h http1.Host, phase string) string {
+func member(h http1.Endpoint, phase string) string {
 	return fmt.Sprintf(`{"id":"%s","host_port":"%s","phase":"%s","size":1}`, h.ID, h.Address, phase)
 }
 
@@ -102,7 +102,7 @@
 				c.tells = listed(9, false, "\n  "+strings.ReplaceAll(member(gone[0], "DRAINING"), ",", ",\n    "))
 			}
 			cfg := config(gone[0], kept)
-			cfg.Known.Revision, cfg.Settings.OnRequest = 2, c.asked
+			cfg.SavedList.Revision, cfg.Settings.MustRequestEndpoints = 2, c.asked
 			var calls chan string
 			cfg.Discovery, calls = scripted(t, c.pieces, append(c.before, c.tells)...)
 			at, _ := startNode(t, cfg)
@@ -155,7 +155,7 @@
 				}
 			}
 			file(before)
-			cfg, err := Load(path, func(string) string { return "" })
+			cfg, err := LoadConfig(path, func(string) string { return "" })
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -19,10 +19,10 @@
 	t.Parallel()
 	const failed = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 	script := []string{whole, failed, whole, denied, whole, hangUp, whole, failed, failed, whole}
-	run := func(t *testing.T, watch *shadow.Watch) (got []int) {
+	run := func(t *testing.T, watch *shadow.Candidate) (got []int) {
 		hosts, _ := servers(t, 1, slices.Concat(script, script, script)...)
 		cfg := config(hosts...)
-		cfg.Watch = watch
+		cfg.Shadow = watch
 		at, _ := startNode(t, cfg)
 		for i := range 12 {
 			conn := dial(t, at)
@@ -34,30 +34,30 @@
 	alone := run(t, nil)
 	for name, c := range map[string]struct {
 		change func(*policy.TrafficType)
-		want   shadow.Kind
+		want   shadow.Difference
 		none   bool
 	}{
 		"its own settings":    {func(*policy.TrafficType) {}, 0, true},
-		"late answers earn":   {func(k *policy.TrafficType) { k.LateRevenue = 0.5 }, shadow.HopTime, false},
-		"what was binding":    {func(k *policy.TrafficType) { k.Repeat = policy.Retriable }, shadow.FurtherHop, false},
-		"what could be rerun": {func(k *policy.TrafficType) { k.Repeat = policy.Binding }, shadow.WrittenOff, false},
+		"late answers earn":   {func(k *policy.TrafficType) { k.LateWeightShare = 0.5 }, shadow.TimeoutDiffers, false},
+		"what was binding":    {func(k *policy.TrafficType) { k.Idempotency = policy.Idempotent }, shadow.WouldRetry, false},
+		"what could be rerun": {func(k *policy.TrafficType) { k.Idempotency = policy.NonIdempotent }, shadow.WouldFail, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := config().Settings
-			for i := range s.Types {
-				c.change(&s.Types[i])
+			for i := range s.TrafficTypes {
+				c.change(&s.TrafficTypes[i])
 			}
-			watch := shadow.NewWatch(&s)
+			watch := shadow.NewCandidate(&s)
 			if got := run(t, watch); !slices.Equal(got, alone) {
 				t.Errorf("answered %v, alone %v", got, alone)
 			}
-			seen := watch.Take()
-			if seen.Compared == 0 || seen.Failed {
-				t.Errorf("compared %d, failed %v", seen.Compared, seen.Failed)
+			seen := watch.TakeCounts()
+			if seen.Compared == 0 || seen.HasFailed {
+				t.Errorf("compared %d, failed %v", seen.Compared, seen.HasFailed)
 			}
-			if c.none && seen.By != (shadow.Counts{}).By || !c.none && seen.By[c.want] == 0 {
-				t.Errorf("counted %v", seen.By)
+			if c.none && seen.ByDifference != (shadow.Counts{}).ByDifference || !c.none && seen.ByDifference[c.want] == 0 {
+				t.Errorf("counted %v", seen.ByDifference)
 			}
 		})
 	}
@@ -68,7 +68,7 @@
 	path := filepath.Join(t.TempDir(), "watch.json")
 	cfg := config()
 	cfg.getenv = func(string) string { return path }
-	cfg.Watch = shadow.NewWatch(&cfg.Settings)
+	cfg.Shadow = shadow.NewCandidate(&cfg.Settings)
 	s := &Server{cfg: cfg, log: zerolog.Nop()}
 	const text = `{"limits":{"mostHops":%d},"trafficTypes":[{"name":"check","targetTime":5,"idempotency":"safe"},{"name":"%s","targetTime":5,"idempotency":"safe"}]}`
 	for _, c := range []struct {
@@ -79,8 +79,8 @@
 			t.Fatal(err)
 		}
 		s.rewatch()
-		if got := cfg.Watch.Watched(); got.MostHops != c.hops {
-			t.Errorf("after %s: %d hops", c.text, got.MostHops)
+		if got := cfg.Shadow.Settings(); got.MaxAttempts != c.hops {
+			t.Errorf("after %s: %d hops", c.text, got.MaxAttempts)
 		}
 	}
 }
--- a/internal/route/alone.go
+++ b/internal/route/alone.go
@@ -13,13 +13,13 @@
 	anyHops = 1000
 )
 
-// Unchecked is what Alone cannot look at, for who is told of it.
-const Unchecked = "traffic types, tenants and sites are taken as the file names them; whether the settings have them, allow its times, hops " +
+// UncheckedNotice is what Alone cannot look at, for who is told of it.
+const UncheckedNotice = "traffic types, tenants and sites are taken as the file names them; whether the settings have them, allow its times, hops " +
 	"and copies, and which types may run again is left unchecked"
 
-// Alone is the loosest settings that an operator's file fits: all types, tenants and sites that it names, of which each
+// LoosestSettings is the loosest settings that an operator's file fits: all types, tenants and sites that it names, of which each
 // may run again, and limits above any. A file that is refused under these is wrong under all.
-func Alone(path string) (*settings.Settings, error) {
+func LoosestSettings(path string) (*settings.Settings, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
 		return nil, err
@@ -28,13 +28,13 @@
 	if _, err := tomlfile.Parse(path, text, &file); err != nil {
 		return nil, err
 	}
-	s := &settings.Settings{Settings: policy.Settings{Nodes: 1, MostHops: anyHops, Copies: true}}
+	s := &settings.Settings{Settings: policy.Settings{NodeCount: 1, MaxAttempts: anyHops, HedgingAllowed: true}}
 	seen := map[string]bool{}
 	kind := func(name string) {
 		if name != "" && name != "*" && name != "**" && !seen["type "+name] {
 			seen["type "+name] = true
 			s.TypeNames = append(s.TypeNames, name)
-			s.Types = append(s.Types, policy.TrafficType{TargetTime: anyTime, AbandonTime: anyTime, Revenue: 1})
+			s.TrafficTypes = append(s.TrafficTypes, policy.TrafficType{LatencyObjective: anyTime, ClientTimeout: anyTime, PriorityWeight: 1})
 		}
 	}
 	each := func(what string, into *[]string, names []string) {
@@ -73,8 +73,8 @@
 		each("tenant ", &s.TenantNames, r.Tenants)
 		shares(&r.Limits)
 	}
-	s.AllowancePerS = make([]float64, len(s.TenantNames))
-	if len(s.Types) == 0 { // only limits for all
+	s.TenantQuotas = make([]float64, len(s.TenantNames))
+	if len(s.TrafficTypes) == 0 { // only limits for all
 		kind("any")
 	}
 	return s, nil
--- a/internal/route/assemble.go
+++ b/internal/route/assemble.go
@@ -15,14 +15,14 @@
 
 // Candidate is a part that is to hold, with the one of its name that held before, if there was one.
 type Candidate struct {
-	Part
-	Last *Part
+	Fragment
+	Previous *Fragment
 }
 
 // Assembled is what Assemble has made.
 type Assembled struct {
-	Set      *Set
-	Used     []*Part       // by candidate: the part that holds; nil for none
+	Table    *Table
+	Used     []*Fragment   // by candidate: the part that holds; nil for none
 	Unusable map[int]error // by candidate: why it is not the one that holds
 }
 
@@ -31,11 +31,11 @@
 // Assemble makes one set of the operator's file, nil for none, and of parts. A part that cannot be used is left out, with
 // the reason, and the one that held before stays in its place. Of two parts that exclude each other the later one is
 // left out.
-func Assemble(own *Set, s *settings.Settings, candidates []Candidate) (Assembled, error) {
-	a := Assembled{Used: make([]*Part, len(candidates)), Unusable: map[int]error{}}
-	last := make([]*Part, len(candidates))
+func Assemble(own *Table, s *settings.Settings, candidates []Candidate) (Assembled, error) {
+	a := Assembled{Used: make([]*Fragment, len(candidates)), Unusable: map[int]error{}}
+	last := make([]*Fragment, len(candidates))
 	for i := range candidates {
-		a.Used[i], last[i] = &candidates[i].Part, candidates[i].Last
+		a.Used[i], last[i] = &candidates[i].Fragment, candidates[i].Previous
 		if candidates[i].route == nil && candidates[i].pool == nil { // could not even be read
 			a.Used[i], last[i] = last[i], nil
 		}
@@ -46,7 +46,7 @@
 			if err := faults.file.Err(); err != nil {
 				return a, err
 			}
-			a.Set = set
+			a.Table = set
 			return a, nil
 		}
 		for i, why := range faults.why {
@@ -103,7 +103,7 @@
 }
 
 // compileParts makes a set, and tells which parts keep it from being sound.
-func compileParts(own *Set, s *settings.Settings, parts []*Part) (*Set, *partFaults) {
+func compileParts(own *Table, s *settings.Settings, parts []*Fragment) (*Table, *partFaults) {
 	places, source := &tomlfile.File{Name: "distribution"}, &File{}
 	if own != nil {
 		copied, file := *own.source, *own.file
@@ -145,7 +145,7 @@
 }
 
 // nearest has the names that a service's routes use stand for parts of the same service, where it has them.
-func nearest(source *File, parts []*Part, faults *partFaults) {
+func nearest(source *File, parts []*Fragment, faults *partFaults) {
 	pools, routes := map[string]bool{}, map[string]bool{}
 	for _, p := range source.Pools {
 		pools[p.Name] = true
--- a/internal/route/assemble_test.go
+++ b/internal/route/assemble_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func routePart(t testing.TB, service, name, text string) Part {
+func routePart(t testing.TB, service, name, text string) Fragment {
 	t.Helper()
 	p, err := ParseRoute(service, name, []byte(text))
 	if err != nil {
@@ -15,7 +15,7 @@
 	return p
 }
 
-func poolPart(t testing.TB, service, name, text string) Part {
+func poolPart(t testing.TB, service, name, text string) Fragment {
 	t.Helper()
 	p, err := ParsePool(service, name, []byte(text))
 	if err != nil {
@@ -100,7 +100,7 @@
 		"one that cannot be read, and held before": {"", []part{{"route", "s", "a", "hops = ", "type = \"check\"\nhops = 2"}}, "s/a 2 -", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var own *Set
+			var own *Table
 			if c.file != "" {
 				var err error
 				if own, err = Parse("f", []byte(c.file), told()); err != nil {
@@ -114,10 +114,10 @@
 					parse = ParsePool
 				}
 				one := Candidate{}
-				one.Part, _ = parse(p.service, p.name, []byte(p.text))
+				one.Fragment, _ = parse(p.service, p.name, []byte(p.text))
 				if p.last != "" {
 					last := routePart(t, p.service, p.name, p.last)
-					one.Last = &last
+					one.Previous = &last
 				}
 				candidates = append(candidates, one)
 			}
@@ -125,7 +125,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := described(a.Set); got != c.holds {
+			if got := described(a.Table); got != c.holds {
 				t.Errorf("%q holds, not %q", got, c.holds)
 			}
 			if len(a.Unusable) != len(c.wrong) {
@@ -143,7 +143,7 @@
 	}
 }
 
-func described(s *Set) string {
+func described(s *Table) string {
 	var lines []string
 	for _, r := range s.Routes {
 		for k, p := range r.byKind {
@@ -154,7 +154,7 @@
 			if l.Rate != nil {
 				rate = fmt.Sprint(*l.Rate)
 			}
-			line := fmt.Sprintf("%s %d %s", r.Name, or(l.Hops, 0), rate)
+			line := fmt.Sprintf("%s %d %s", r.Name, or(l.MaxAttempts, 0), rate)
 			if l.Pool != nil {
 				line += " " + *l.Pool
 			}
@@ -171,19 +171,19 @@
 func TestAssembleBounds(t *testing.T) {
 	var candidates []Candidate
 	for i := range mostPools + 2 {
-		candidates = append(candidates, Candidate{Part: poolPart(t, "s", fmt.Sprint("p", i), "sites = [\"north\"]")})
+		candidates = append(candidates, Candidate{Fragment: poolPart(t, "s", fmt.Sprint("p", i), "sites = [\"north\"]")})
 	}
 	for i := range mostProfiles + 5 {
 		text := fmt.Sprintf("path = \"/check/%d\"\nkeep = %v", i, float64(i+1)/1000)
-		candidates = append(candidates, Candidate{Part: routePart(t, "s", fmt.Sprint("r", i), text)})
+		candidates = append(candidates, Candidate{Fragment: routePart(t, "s", fmt.Sprint("r", i), text)})
 	}
 	a, err := Assemble(nil, told(), candidates)
 	if err != nil {
 		t.Fatal(err)
 	}
-	base := len(told().Types)
-	if len(a.Set.Pools) != mostPools || len(a.Set.Profiles) != mostProfiles || len(a.Set.Routes) != mostProfiles-base {
-		t.Errorf("%d pools, %d profiles, %d routes", len(a.Set.Pools), len(a.Set.Profiles), len(a.Set.Routes))
+	base := len(told().TrafficTypes)
+	if len(a.Table.Pools) != mostPools || len(a.Table.Profiles) != mostProfiles || len(a.Table.Routes) != mostProfiles-base {
+		t.Errorf("%d pools, %d profiles, %d routes", len(a.Table.Pools), len(a.Table.Profiles), len(a.Table.Routes))
 	}
 	if len(a.Unusable) != 2+5+base {
 		t.Errorf("%d unusable", len(a.Unusable))
@@ -197,7 +197,7 @@
 			s := told()
 			candidates := make([]Candidate, n)
 			for i := range candidates {
-				candidates[i].Part = routePart(b, fmt.Sprint("s", i%50), fmt.Sprint("r", i), fmt.Sprintf("path = \"/check/%d/**\"\nrate = 100.0", i))
+				candidates[i].Fragment = routePart(b, fmt.Sprint("s", i%50), fmt.Sprint("r", i), fmt.Sprintf("path = \"/check/%d/**\"\nrate = 100.0", i))
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/route/check.go
+++ b/internal/route/check.go
@@ -13,19 +13,19 @@
 )
 
 // outcomes are the file's words for how a hop may end.
-var outcomes = map[string]policy.Outcomes{
+var outcomes = map[string]policy.OutcomeSet{
 	"refused":     1 << policy.Overloaded,
-	"unreachable": 1<<policy.Unreachable | 1<<policy.Void,
+	"unreachable": 1<<policy.Unreachable | 1<<policy.NotStarted,
 	"error":       1 << policy.Failure,
 	"timeout":     1 << policy.TimedOut,
-	"broken":      1 << policy.Broken,
+	"broken":      1 << policy.ConnectionBroken,
 }
 
 // mayHaveRun are those after which a type that may not repeat gets no further hop anyway.
 var mayHaveRun = []string{"error", "timeout", "broken"}
 
 // Load reads the operator's file and tells all that is wrong with it, against the settings that the node runs under.
-func Load(path string, s *settings.Settings) (*Set, error) {
+func Load(path string, s *settings.Settings) (*Table, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
 		return nil, err
@@ -34,7 +34,7 @@
 }
 
 // Parse reads the text of an operator's file.
-func Parse(name string, text []byte, s *settings.Settings) (*Set, error) {
+func Parse(name string, text []byte, s *settings.Settings) (*Table, error) {
 	var file File
 	f, err := tomlfile.Parse(name, text, &file)
 	if err != nil {
@@ -76,12 +76,12 @@
 	return ""
 }
 
-func (c *checker) compile() *Set {
-	set := &Set{Name: c.Name, tree: &tree{}, types: map[string]int{}, tenants: map[string]int{},
+func (c *checker) compile() *Table {
+	set := &Table{Name: c.Name, tree: &tree{}, types: map[string]int{}, tenants: map[string]int{},
 		byFigures: map[Profile]int{}, byName: c.routes, file: c.File, source: c.file}
 	for i, name := range c.settings.TypeNames {
 		set.types[name] = i
-		set.profile(Profile{Kind: i, Type: c.settings.Types[i]}, -1)
+		set.profile(Profile{BaseType: i, Type: c.settings.TrafficTypes[i]}, -1)
 	}
 	for i, name := range c.settings.TenantNames {
 		set.tenants[name] = i
@@ -137,7 +137,7 @@
 
 func at(route int, key string) string { return "routes." + strconv.Itoa(route) + "." + key }
 
-func (c *checker) checkPools(set *Set) {
+func (c *checker) checkPools(set *Table) {
 	defer c.parts.own()
 	for i, p := range c.file.Pools {
 		c.parts.pool(i)
@@ -163,7 +163,7 @@
 }
 
 // route checks one and puts it into the set.
-func (c *checker) route(set *Set, i int) {
+func (c *checker) route(set *Table, i int) {
 	r := &c.file.Routes[i]
 	path, ok := c.path(r, i)
 	for _, m := range r.Methods {
@@ -188,7 +188,7 @@
 	if ok {
 		kinds = c.kinds(set, r, i, path)
 	}
-	byKind, limits := slices.Repeat([]int{-1}, len(c.settings.Types)), make([]Limits, len(c.settings.Types))
+	byKind, limits := slices.Repeat([]int{-1}, len(c.settings.TrafficTypes)), make([]Limits, len(c.settings.TrafficTypes))
 	for _, k := range kinds {
 		p, l := c.profile(r, i, k)
 		byKind[k], limits[k] = set.profile(p, i), l
@@ -254,7 +254,7 @@
 }
 
 // kinds are the traffic types whose operations may come to a route.
-func (c *checker) kinds(set *Set, r *Route, i int, path []string) []int {
+func (c *checker) kinds(set *Table, r *Route, i int, path []string) []int {
 	find := func(key, name string) []int {
 		if k, ok := set.types[name]; ok {
 			return []int{k}
@@ -270,7 +270,7 @@
 	case path[0] != one && path[0] != rest:
 		return find("path", path[0])
 	}
-	all := make([]int, len(c.settings.Types))
+	all := make([]int, len(c.settings.TrafficTypes))
 	for k := range all {
 		all[k] = k
 	}
--- a/internal/route/check_fallbacks.go
+++ b/internal/route/check_fallbacks.go
@@ -7,7 +7,7 @@
 )
 
 // checkFallbacks looks for those that lead nowhere, to another class, or back.
-func (c *checker) checkFallbacks(set *Set) {
+func (c *checker) checkFallbacks(set *Table) {
 	for i := range set.Routes {
 		c.parts.route(i)
 		l := c.fallback(i)
--- a/internal/route/check_limits.go
+++ b/internal/route/check_limits.go
@@ -37,7 +37,7 @@
 // profile works out the limits of a route for one traffic type, and checks them.
 func (c *checker) profile(r *Route, i, kind int) (Profile, Limits) {
 	name := c.settings.TypeNames[kind]
-	p := Profile{Kind: kind, Type: c.settings.Types[kind]}
+	p := Profile{BaseType: kind, Type: c.settings.TrafficTypes[kind]}
 	l := &limitsChecker{checker: c, route: r, index: i, name: name, base: p.Type, limit: &p.Type,
 		limits: r.Limits.over(c.file.Class[name]).over(c.file.Defaults)}
 	l.times()
@@ -49,7 +49,7 @@
 	l.pool()
 	l.worth()
 	l.tenantShares()
-	if p.Type.RetryShare > 0 || p.Type.CopyAfter > 0 {
+	if p.Type.RetryRatio > 0 || p.Type.HedgeDelay > 0 {
 		p.Owner = r.Name
 	}
 	return p, l.limits
@@ -72,78 +72,78 @@
 // times are how long a request and an attempt may take.
 func (l *limitsChecker) times() {
 	t := l.limit
-	if l.limits.Target != nil {
-		if t.TargetTime = l.limits.Target.D(); t.TargetTime <= 0 {
-			l.wrong("target", "a target of %s turns all away", t.TargetTime)
-		} else if t.TargetTime > l.base.AbandonTime {
-			l.wrong("target", "the target of %s lies past the client's give-up at %s", t.TargetTime, l.base.AbandonTime)
+	if l.limits.TargetTime != nil {
+		if t.LatencyObjective = l.limits.TargetTime.Std(); t.LatencyObjective <= 0 {
+			l.wrong("target", "a target of %s turns all away", t.LatencyObjective)
+		} else if t.LatencyObjective > l.base.ClientTimeout {
+			l.wrong("target", "the target of %s lies past the client's give-up at %s", t.LatencyObjective, l.base.ClientTimeout)
 		}
 	}
-	if l.limits.HopTime != nil {
-		if t.HopTime = l.limits.HopTime.D(); t.HopTime <= 0 {
-			l.wrong("hop_time", "a hop of %s turns all away", t.HopTime)
-		} else if t.HopTime > l.base.AbandonTime {
-			l.wrong("hop_time", "a hop of %s lasts past the client's give-up at %s", t.HopTime, l.base.AbandonTime)
+	if l.limits.AttemptTimeout != nil {
+		if t.AttemptTimeout = l.limits.AttemptTimeout.Std(); t.AttemptTimeout <= 0 {
+			l.wrong("hop_time", "a hop of %s turns all away", t.AttemptTimeout)
+		} else if t.AttemptTimeout > l.base.ClientTimeout {
+			l.wrong("hop_time", "a hop of %s lasts past the client's give-up at %s", t.AttemptTimeout, l.base.ClientTimeout)
 		}
 	}
 }
 
 // attempts are how many there may be, and after which outcomes.
 func (l *limitsChecker) attempts() {
-	t, most := l.limit, l.settings.MostHops
-	if l.limits.Hops != nil {
-		if t.MostHops = *l.limits.Hops; t.MostHops < 1 {
-			l.wrong("hops", "%d hops turn all away", t.MostHops)
-		} else if t.MostHops > most {
-			l.wrong("hops", "%d hops, but the settings allow %d", t.MostHops, most)
+	t, most := l.limit, l.settings.MaxAttempts
+	if l.limits.MaxAttempts != nil {
+		if t.MaxAttempts = *l.limits.MaxAttempts; t.MaxAttempts < 1 {
+			l.wrong("hops", "%d hops turn all away", t.MaxAttempts)
+		} else if t.MaxAttempts > most {
+			l.wrong("hops", "%d hops, but the settings allow %d", t.MaxAttempts, most)
 		}
 	}
-	for _, word := range l.limits.Further {
+	for _, word := range l.limits.RetryOn {
 		bits, ok := outcomes[word]
 		switch {
 		case !ok:
 			l.wrong("further", "%q is none of broken, error, refused, timeout, unreachable", word)
-		case l.base.Repeat == policy.Binding && slices.Contains(mayHaveRun, word):
+		case l.base.Idempotency == policy.NonIdempotent && slices.Contains(mayHaveRun, word):
 			l.wrong("further", "a binding type gets no further hop after %q: it may have run", word)
 		}
-		t.Further |= bits
+		t.RetryOn |= bits
 	}
-	if l.limits.Further != nil && len(l.limits.Further) == 0 { // none at all
-		t.MostHops = 1
+	if l.limits.RetryOn != nil && len(l.limits.RetryOn) == 0 { // none at all
+		t.MaxAttempts = 1
 	}
 }
 
 // retries are their budget.
 func (l *limitsChecker) retries() {
 	share, floor := l.limits.RetryShare, l.limits.RetryFloor
-	l.between("retry_share", share, 0, retryShareMost, &l.limit.RetryShare)
-	l.between("retry_floor", floor, 0, retryFloorMost, &l.limit.RetryFloor)
+	l.between("retry_share", share, 0, retryShareMost, &l.limit.RetryRatio)
+	l.between("retry_floor", floor, 0, retryFloorMost, &l.limit.MinRetriesPerSecond)
 	if floor != nil && share == nil {
 		l.wrong("retry_floor", "a floor without retry_share: there is no budget for it to be a floor of")
 	}
 	if share != nil && *share == 0 && or(floor, 0) == 0 { // a budget of nothing
-		l.limit.MostHops = 1
+		l.limit.MaxAttempts = 1
 	}
 }
 
 // places are how many requests may be out at once, and how many may wait for that, for how long.
 func (l *limitsChecker) places() {
-	t, atOnce := l.limit, l.limits.AtOnce
+	t, atOnce := l.limit, l.limits.MaxInFlight
 	if atOnce != nil && *atOnce < 1 {
 		l.wrong("at_once", "at_once of %d turns all away", *atOnce)
 	}
-	if n := or(l.limits.Waiting, 0); n < 0 || n > 0 && atOnce == nil {
+	if n := or(l.limits.MaxQueued, 0); n < 0 || n > 0 && atOnce == nil {
 		l.wrong("waiting", "%d may wait, but without at_once nothing waits for a place", n)
 	}
-	if l.limits.Wait == nil {
+	if l.limits.MaxQueueTime == nil {
 		return
 	}
-	if t.WaitMost = l.limits.Wait.D(); t.WaitMost < 0 {
+	if t.MaxQueueTime = l.limits.MaxQueueTime.Std(); t.MaxQueueTime < 0 {
 		l.wrong("wait", "a wait below 0")
-	} else if t.WaitMost+t.HopTime > l.base.AbandonTime {
-		l.wrong("wait", "a wait of %s with a hop of %s ends past the client's give-up at %s", t.WaitMost, t.HopTime, l.base.AbandonTime)
+	} else if t.MaxQueueTime+t.AttemptTimeout > l.base.ClientTimeout {
+		l.wrong("wait", "a wait of %s with a hop of %s ends past the client's give-up at %s", t.MaxQueueTime, t.AttemptTimeout, l.base.ClientTimeout)
 	}
-	t.WaitMost = max(t.WaitMost, time.Nanosecond) // none, not the module's own
+	t.MaxQueueTime = max(t.MaxQueueTime, time.Nanosecond) // none, not the module's own
 }
 
 // rates are how many requests a second are taken, and how large they may be.
@@ -156,7 +156,7 @@
 	if burst != nil && (*burst < 1 || rate == nil) {
 		l.wrong("burst", "a burst of %d with no rate, or below 1", *burst)
 	}
-	if body := l.limits.Body; body != nil && *body < 0 {
+	if body := l.limits.MaxBodyBytes; body != nil && *body < 0 {
 		l.wrong("body_bytes", "a body below 0 bytes")
 	}
 }
@@ -164,26 +164,26 @@
 // copies are second ones of a request whose first attempt takes long.
 func (l *limitsChecker) copies() {
 	t := l.limit
-	if l.limits.CopyAfter == nil {
-		if l.limits.CopyShare != nil {
+	if l.limits.HedgeAfter == nil {
+		if l.limits.HedgeShare != nil {
 			l.wrong("copy_share", "a share of copies, but no copy_after")
 		}
 		return
 	}
-	t.CopyAfter, t.CopyShare = l.limits.CopyAfter.D(), or(l.limits.CopyShare, defaultCopy)
-	l.between("copy_share", l.limits.CopyShare, copyShareLeast, 1, nil)
+	t.HedgeDelay, t.HedgeRatio = l.limits.HedgeAfter.Std(), or(l.limits.HedgeShare, defaultCopy)
+	l.between("copy_share", l.limits.HedgeShare, copyShareLeast, 1, nil)
 	switch {
-	case l.base.Repeat == policy.Binding:
+	case l.base.Idempotency == policy.NonIdempotent:
 		l.wrong("copy_after", "a binding type gets no second copy: it must never run twice")
-	case !l.settings.Copies:
+	case !l.settings.HedgingAllowed:
 		l.wrong("copy_after", "the settings bar second copies")
-	case t.CopyAfter <= 0:
-		l.wrong("copy_after", "a copy after %s is one for each operation", t.CopyAfter)
-	case t.CopyAfter >= t.TargetTime:
-		l.wrong("copy_after", "a copy after %s comes past the target of %s", t.CopyAfter, t.TargetTime)
-	case t.HopTime > 0 && t.CopyAfter >= t.HopTime:
-		l.wrong("copy_after", "a copy after %s comes when a hop of %s is over", t.CopyAfter, t.HopTime)
-	case cmp.Or(t.MostHops, l.settings.MostHops) < 2:
+	case t.HedgeDelay <= 0:
+		l.wrong("copy_after", "a copy after %s is one for each operation", t.HedgeDelay)
+	case t.HedgeDelay >= t.LatencyObjective:
+		l.wrong("copy_after", "a copy after %s comes past the target of %s", t.HedgeDelay, t.LatencyObjective)
+	case t.AttemptTimeout > 0 && t.HedgeDelay >= t.AttemptTimeout:
+		l.wrong("copy_after", "a copy after %s comes when a hop of %s is over", t.HedgeDelay, t.AttemptTimeout)
+	case cmp.Or(t.MaxAttempts, l.settings.MaxAttempts) < 2:
 		l.wrong("copy_after", "a copy is a second hop, and one is allowed")
 	}
 }
@@ -196,16 +196,16 @@
 	if !ok {
 		l.wrong("pool", "no pool %q", *l.limits.Pool)
 	}
-	l.limit.Pool = bits
+	l.limit.PoolLabels = bits
 }
 
 // worth is what a request earns, and which share of the requests is kept in any overload.
 func (l *limitsChecker) worth() {
-	l.between("revenue", l.limits.Revenue, revenueLeast, revenueMost, &l.limit.Revenue)
+	l.between("revenue", l.limits.Revenue, revenueLeast, revenueMost, &l.limit.PriorityWeight)
 	var keep float64
-	l.between("keep", l.limits.Keep, 0, 1, &keep)
-	if l.limits.Keep != nil {
-		l.limit.ShedMost = max(1-keep, shedLeast)
+	l.between("keep", l.limits.MinAdmitted, 0, 1, &keep)
+	if l.limits.MinAdmitted != nil {
+		l.limit.MaxShedShare = max(1-keep, shedLeast)
 	}
 }
 
@@ -223,7 +223,7 @@
 	if sum > 1+sumSlack {
 		l.wrong("tenant_shares", "the shares add up to %.3f: 1 at most", sum)
 	}
-	if len(l.limits.Tenants) > 0 && l.limits.Rate == nil && l.limits.AtOnce == nil {
+	if len(l.limits.Tenants) > 0 && l.limits.Rate == nil && l.limits.MaxInFlight == nil {
 		l.wrong("tenant_shares", "shares of what? neither rate nor at_once is set")
 	}
 }
--- a/internal/route/check_test.go
+++ b/internal/route/check_test.go
@@ -12,11 +12,11 @@
 
 // told is what the tests' nodes run under: a retriable, a binding and a fingerprinted type.
 func told() *settings.Settings {
-	t := func(r policy.Repeat) policy.TrafficType {
-		return policy.TrafficType{Repeat: r, TargetTime: 200 * time.Millisecond, AbandonTime: time.Second, Window: time.Second, Revenue: 1}
+	t := func(r policy.Idempotency) policy.TrafficType {
+		return policy.TrafficType{Idempotency: r, LatencyObjective: 200 * time.Millisecond, ClientTimeout: time.Second, KeyRetention: time.Second, PriorityWeight: 1}
 	}
 	return &settings.Settings{TypeNames: []string{"check", "book", "print"}, TenantNames: []string{"dairy", "orchards"}, Zones: []string{"north", "south"},
-		Settings: policy.Settings{MostHops: 4, Copies: true, Types: []policy.TrafficType{t(policy.Retriable), t(policy.Binding), t(policy.Fingerprinted)}}}
+		Settings: policy.Settings{MaxAttempts: 4, HedgingAllowed: true, TrafficTypes: []policy.TrafficType{t(policy.Idempotent), t(policy.NonIdempotent), t(policy.IdempotentWithKey)}}}
 }
 
 const one3 = "[[routes]]\nname = \"a\"\ntype = \"check\"\n" // three lines; what a case adds begins in the fourth
@@ -139,7 +139,7 @@
 		})
 	}
 	s := told()
-	s.Copies = false
+	s.HedgingAllowed = false
 	if _, err := Parse("f", []byte(route("copy_after = \"60ms\"")), s); err == nil || !strings.Contains(err.Error(), "f:4: route \"a\", type check: the settings bar second copies") {
 		t.Errorf("copies that the settings bar: %v", err)
 	}
@@ -179,12 +179,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	base := told().Types
+	base := told().TrafficTypes
 	checks, books, old := base[0], base[1], base[1]
-	checks.HopTime, checks.MostHops, checks.Further = 50*time.Millisecond, 3, 1<<policy.Overloaded|1<<policy.TimedOut
-	checks.CopyAfter, checks.CopyShare, checks.Pool, checks.ShedMost, checks.Revenue = 40*time.Millisecond, 0.05, 1, 0.75, 7
-	books.MostHops = 1
-	old.MostHops, old.WaitMost = 2, time.Nanosecond
+	checks.AttemptTimeout, checks.MaxAttempts, checks.RetryOn = 50*time.Millisecond, 3, 1<<policy.Overloaded|1<<policy.TimedOut
+	checks.HedgeDelay, checks.HedgeRatio, checks.PoolLabels, checks.MaxShedShare, checks.PriorityWeight = 40*time.Millisecond, 0.05, 1, 0.75, 7
+	books.MaxAttempts = 1
+	old.MaxAttempts, old.MaxQueueTime = 2, time.Nanosecond
 	for path, c := range map[string]struct {
 		route string
 		want  policy.TrafficType
@@ -200,7 +200,7 @@
 	}
 	var table strings.Builder
 	s := told()
-	set.Table(&table, s)
+	set.PrintTable(&table, s)
 	for _, want := range []string{"hops 3 (6)", "hop_time 50ms (14)", "rate 100 (4)", "3 routes"} {
 		if !strings.Contains(table.String(), want) {
 			t.Errorf("the table lacks %q:\n%s", want, table.String())
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -25,8 +25,8 @@
 		if v.IsNil() {
 			return "", false
 		}
-		if s, is := v.Interface().(*Span); is {
-			return s.D().String(), true
+		if s, is := v.Interface().(*Duration); is {
+			return s.Std().String(), true
 		}
 		return fmt.Sprint(v.Elem().Interface()), true
 	case reflect.Slice:
@@ -48,8 +48,8 @@
 	return "", false
 }
 
-// Table writes what each route gets for each traffic type, and from which line.
-func (s *Set) Table(w io.Writer, set *settings.Settings) {
+// PrintTable writes what each route gets for each traffic type, and from which line.
+func (s *Table) PrintTable(w io.Writer, set *settings.Settings) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "line\troute\tpath\ttype\tlimits (line)")
 	for i := range s.Routes {
@@ -84,7 +84,7 @@
 	return " (" + strings.Join(all, ", ") + ")"
 }
 
-func (s *Set) limits(route, kind int, typeName string) string {
+func (s *Table) limits(route, kind int, typeName string) string {
 	var all []string
 	l := reflect.ValueOf(s.Routes[route].limits[kind])
 	for _, f := range keys() {
@@ -102,7 +102,7 @@
 }
 
 // line is where a limit of a route is set.
-func (s *Set) line(route int, typeName, key string) int {
+func (s *Table) line(route int, typeName, key string) int {
 	for _, place := range []string{"routes." + strconv.Itoa(route), "class." + typeName, "defaults"} {
 		if s.file.Has(place + "." + key) {
 			return s.file.Line(place + "." + key)
@@ -112,7 +112,7 @@
 }
 
 // Explain says which route a request takes, which others fit and why they come after it, and what holds for it.
-func (s *Set) Explain(w io.Writer, q *Request, set *settings.Settings) {
+func (s *Table) Explain(w io.Writer, q *Request, set *settings.Settings) {
 	route, kind := s.Match(q)
 	if kind < 0 {
 		fmt.Fprintf(w, "no traffic type: the first part of %s is none, and no route sets one; such a request is answered 404\n", q.Path)
@@ -175,7 +175,7 @@
 		}
 		d := map[string]any{"description": f.Tag.Get("doc") + " (" + f.Tag.Get("unit") + ")"}
 		switch {
-		case kind == reflect.TypeFor[Span]():
+		case kind == reflect.TypeFor[Duration]():
 			d["type"], d["pattern"], d["examples"] = "string", `^[0-9.]+(ns|us|µs|ms|s|m|h)([0-9.]+(ns|us|µs|ms|s|m|h))*$`, []string{(250 * time.Millisecond).String()}
 		case kind.Kind() == reflect.Int:
 			d["type"] = "integer"
--- a/internal/route/file.go
+++ b/internal/route/file.go
@@ -7,28 +7,28 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// Span is a duration as the file writes it.
-type Span = tomlfile.Span
+// Duration is a duration as the file writes it.
+type Duration = tomlfile.Duration
 
 // Limits may stand in [defaults], [class.NAME] and [[routes]]; what is nearer to the route wins, key by key.
 type Limits struct {
-	Target     *Span    `toml:"target" unit:"time" doc:"answers after this are worth nothing"`
-	HopTime    *Span    `toml:"hop_time" unit:"time" doc:"for one hop, so that time is left for another"`
-	Hops       *int     `toml:"hops" unit:"number" doc:"most hops of an operation"`
-	Further    []string `toml:"further" unit:"list" doc:"what may be followed by a further hop: refused, unreachable, error, timeout, broken"`
-	RetryShare *float64 `toml:"retry_share" unit:"share" doc:"further hops for each first one; without it there is no budget"`
-	RetryFloor *float64 `toml:"retry_floor" unit:"a second" doc:"further hops that are allowed beside that share"`
-	AtOnce     *int     `toml:"at_once" unit:"number" doc:"operations with a hop out at a time"`
-	Waiting    *int     `toml:"waiting" unit:"number" doc:"operations that may wait beside them"`
-	Wait       *Span    `toml:"wait" unit:"time" doc:"how long one may wait for its turn"`
-	Rate       *float64 `toml:"rate" unit:"a second" doc:"operations taken"`
-	Burst      *int     `toml:"burst" unit:"number" doc:"operations taken at once when none came before; by default a tenth of rate"`
-	Body       *int     `toml:"body_bytes" unit:"bytes" doc:"most of a request's body"`
-	CopyAfter  *Span    `toml:"copy_after" unit:"time" doc:"a second copy goes out when the first hop has taken so long"`
-	CopyShare  *float64 `toml:"copy_share" unit:"share" doc:"copies for each operation; by default 0.05"`
-	Pool       *string  `toml:"pool" unit:"name" doc:"servers that may be used"`
-	Revenue    *float64 `toml:"revenue" unit:"number" doc:"of one operation; the dearer are kept longer under overload"`
-	Keep       *float64 `toml:"keep" unit:"share" doc:"of what is offered that overload does not deny by chance"`
+	TargetTime     *Duration `toml:"target" unit:"time" doc:"answers after this are worth nothing"`
+	AttemptTimeout *Duration `toml:"hop_time" unit:"time" doc:"for one hop, so that time is left for another"`
+	MaxAttempts    *int      `toml:"hops" unit:"number" doc:"most hops of an operation"`
+	RetryOn        []string  `toml:"further" unit:"list" doc:"what may be followed by a further hop: refused, unreachable, error, timeout, broken"`
+	RetryShare     *float64  `toml:"retry_share" unit:"share" doc:"further hops for each first one; without it there is no budget"`
+	RetryFloor     *float64  `toml:"retry_floor" unit:"a second" doc:"further hops that are allowed beside that share"`
+	MaxInFlight    *int      `toml:"at_once" unit:"number" doc:"operations with a hop out at a time"`
+	MaxQueued      *int      `toml:"waiting" unit:"number" doc:"operations that may wait beside them"`
+	MaxQueueTime   *Duration `toml:"wait" unit:"time" doc:"how long one may wait for its turn"`
+	Rate           *float64  `toml:"rate" unit:"a second" doc:"operations taken"`
+	Burst          *int      `toml:"burst" unit:"number" doc:"operations taken at once when none came before; by default a tenth of rate"`
+	MaxBodyBytes   *int      `toml:"body_bytes" unit:"bytes" doc:"most of a request's body"`
+	HedgeAfter     *Duration `toml:"copy_after" unit:"time" doc:"a second copy goes out when the first hop has taken so long"`
+	HedgeShare     *float64  `toml:"copy_share" unit:"share" doc:"copies for each operation; by default 0.05"`
+	Pool           *string   `toml:"pool" unit:"name" doc:"servers that may be used"`
+	Revenue        *float64  `toml:"revenue" unit:"number" doc:"of one operation; the dearer are kept longer under overload"`
+	MinAdmitted    *float64  `toml:"keep" unit:"share" doc:"of what is offered that overload does not deny by chance"`
 	// Tenants is the part of rate and of at_once with waiting that each tenant may use up; "other" is for unknown ones.
 	Tenants  map[string]float64 `toml:"tenant_shares" unit:"shares" doc:"the most of the route's rate and places that each tenant may use; \"other\" for those that the settings do not name"`
 	Fallback *string            `toml:"fallback" unit:"name" doc:"the route whose limits hold for what this one has no place for"`
@@ -71,13 +71,13 @@
 	Routes   []Route           `toml:"routes"`
 }
 
-// PoolsBeside is how many pools there may be: as many bits again tell of the same servers which are proved.
-const PoolsBeside = 31
+// MaxPools is how many pools there may be: as many bits again tell of the same servers which are proved.
+const MaxPools = 31
 
 const (
 	mostRoutes   = 10_000
 	mostProfiles = 250 // routes times traffic types with limits of their own; each costs the module some bytes a server
-	mostPools    = PoolsBeside
+	mostPools    = MaxPools
 	mostParts    = 32 // of a path
 	mostHeaders  = 8  // of a route
 	defaultCopy  = 0.05
@@ -93,25 +93,25 @@
 
 // over returns l with what it leaves out taken from below.
 func (l Limits) over(below Limits) Limits {
-	nearer(&l.Target, below.Target)
-	nearer(&l.HopTime, below.HopTime)
-	nearer(&l.Hops, below.Hops)
+	nearer(&l.TargetTime, below.TargetTime)
+	nearer(&l.AttemptTimeout, below.AttemptTimeout)
+	nearer(&l.MaxAttempts, below.MaxAttempts)
 	nearer(&l.RetryShare, below.RetryShare)
 	nearer(&l.RetryFloor, below.RetryFloor)
-	nearer(&l.AtOnce, below.AtOnce)
-	nearer(&l.Waiting, below.Waiting)
-	nearer(&l.Wait, below.Wait)
+	nearer(&l.MaxInFlight, below.MaxInFlight)
+	nearer(&l.MaxQueued, below.MaxQueued)
+	nearer(&l.MaxQueueTime, below.MaxQueueTime)
 	nearer(&l.Rate, below.Rate)
 	nearer(&l.Burst, below.Burst)
-	nearer(&l.Body, below.Body)
-	nearer(&l.CopyAfter, below.CopyAfter)
-	nearer(&l.CopyShare, below.CopyShare)
+	nearer(&l.MaxBodyBytes, below.MaxBodyBytes)
+	nearer(&l.HedgeAfter, below.HedgeAfter)
+	nearer(&l.HedgeShare, below.HedgeShare)
 	nearer(&l.Pool, below.Pool)
 	nearer(&l.Revenue, below.Revenue)
-	nearer(&l.Keep, below.Keep)
+	nearer(&l.MinAdmitted, below.MinAdmitted)
 	nearer(&l.Fallback, below.Fallback)
-	if l.Further == nil {
-		l.Further = below.Further
+	if l.RetryOn == nil {
+		l.RetryOn = below.RetryOn
 	}
 	if l.Tenants == nil {
 		l.Tenants = below.Tenants
--- a/internal/route/gates.go
+++ b/internal/route/gates.go
@@ -8,25 +8,25 @@
 	"golang.org/x/time/rate"
 )
 
-// Denial is why a route takes no more.
-type Denial uint8
+// Rejection is why a route takes no more.
+type Rejection uint8
 
 const (
-	Taken      Denial = iota // no denial: the route takes it
-	OverRate                 // more a second than the route takes
-	NoPlace                  // as many in hand as may have a hop out and wait
-	OverTenant               // the tenant has used up its part of either
+	Admitted            Rejection = iota // no denial: the route takes it
+	RateExceeded                         // more a second than the route takes
+	QueueFull                            // as many in hand as may have a hop out and wait
+	TenantShareExceeded                  // the tenant has used up its part of either
 )
 
-func (d Denial) String() string {
+func (d Rejection) String() string {
 	return [...]string{"taken", "over its rate", "no place left", "over its tenant's share"}[d]
 }
 
-// Grant is what an operation holds from its taking to its answer.
-type Grant struct {
-	Kind   int // as the module knows it
-	Room   int // likewise
-	tenant int
+// Admission is what an operation holds from its taking to its answer.
+type Admission struct {
+	Type       int // as the module knows it
+	LimitIndex int // likewise
+	tenant     int
 }
 
 // gate is what a route holds for one traffic type of the settings, under the name of both.
@@ -50,14 +50,14 @@
 
 // GateCounts is what became of operations at a gate.
 type GateCounts struct {
-	Taken      int
-	OverRate   int
-	NoPlace    int
-	OverTenant int
+	Admitted            int
+	RateExceeded        int
+	QueueFull           int
+	TenantShareExceeded int
 }
 
 // assignGates gives each route and type that has a limit of its own a gate, the same one as before by its name.
-func (l *Live) assignGates(now time.Duration, set *Set) {
+func (l *Router) assignGates(now time.Duration, set *Table) {
 	at := map[gateName]int{}
 	for i := 1; i < len(l.gates); i++ {
 		l.gates[i].used, l.gates[i].atOnce = false, 0 // one that is not used any more lets its last operations out
@@ -73,7 +73,7 @@
 		r := &set.Routes[i]
 		l.gateOf[i] = make([]int, len(r.byKind))
 		for k, p := range r.byKind {
-			if p < 0 || r.limits[k].Rate == nil && r.limits[k].AtOnce == nil {
+			if p < 0 || r.limits[k].Rate == nil && r.limits[k].MaxInFlight == nil {
 				continue
 			}
 			name := gateName{r.Name, k}
@@ -98,7 +98,7 @@
 }
 
 // freeGates are those that neither the set nor an operation in hand uses.
-func (l *Live) freeGates(set *Set) []int {
+func (l *Router) freeGates(set *Table) []int {
 	free := []int{}
 	for i := 1; i < len(l.gates); i++ {
 		g := &l.gates[i]
@@ -112,10 +112,10 @@
 var epoch = time.Unix(0, 0) // what the limiters count from
 
 // set takes over limits. What is left of a rate goes on, so that a reload gives nobody a burst anew.
-func (g *gate) set(now time.Duration, l *Limits, set *Set, tenants int) {
-	g.atOnce, g.places = or(l.AtOnce, 0), 0
+func (g *gate) set(now time.Duration, l *Limits, set *Table, tenants int) {
+	g.atOnce, g.places = or(l.MaxInFlight, 0), 0
 	if g.atOnce > 0 {
-		g.places = g.atOnce + or(l.Waiting, 0)
+		g.places = g.atOnce + or(l.MaxQueued, 0)
 	}
 	g.shares = make([]float64, tenants+1)
 	for name, share := range l.Tenants {
@@ -154,16 +154,16 @@
 }
 
 // Admit asks a route for a place, and its fallbacks after it. A route below 0 is none, and takes all.
-func (l *Live) Admit(now time.Duration, route, kind, tenant int) (Grant, Denial) {
+func (l *Router) Admit(now time.Duration, route, kind, tenant int) (Admission, Rejection) {
 	t := tenant
 	if t < 0 || t > l.tenants {
 		t = l.tenants
 	}
 	if route < 0 {
 		l.kinds[kind].inHand++
-		return Grant{Kind: kind, tenant: t}, Taken
+		return Admission{Type: kind, tenant: t}, Admitted
 	}
-	why := Taken
+	why := Admitted
 	for ; route >= 0; route = l.set.Routes[route].fallback {
 		r := &l.set.Routes[route]
 		if r.byKind[kind] < 0 {
@@ -171,19 +171,19 @@
 		}
 		g := &l.gates[l.gateOf[route][kind]]
 		denied := g.take(now, t)
-		if denied == Taken {
+		if denied == Admitted {
 			k := l.kindOf[r.byKind[kind]]
 			l.kinds[k].inHand++
-			return Grant{Kind: k, Room: l.gateOf[route][kind], tenant: t}, Taken
+			return Admission{Type: k, LimitIndex: l.gateOf[route][kind], tenant: t}, Admitted
 		}
 		why = cmp.Or(why, denied)
 	}
-	return Grant{}, why
+	return Admission{}, why
 }
 
-func (g *gate) take(now time.Duration, tenant int) (d Denial) {
+func (g *gate) take(now time.Duration, tenant int) (d Rejection) {
 	if !g.used { // no limits, no gate
-		return Taken
+		return Admitted
 	}
 	at := epoch.Add(now)
 	own := (*rate.Limiter)(nil)
@@ -193,42 +193,42 @@
 	share := g.shares[tenant]
 	switch {
 	case g.places > 0 && g.inHand >= g.places:
-		g.counts.NoPlace++
-		return NoPlace
+		g.counts.QueueFull++
+		return QueueFull
 	case g.places > 0 && share > 0 && float64(g.tenants[tenant]) >= max(share*float64(g.places), 1):
-		g.counts.OverTenant++
-		return OverTenant
+		g.counts.TenantShareExceeded++
+		return TenantShareExceeded
 	case own != nil && own.TokensAt(at) < 1:
-		g.counts.OverTenant++
-		return OverTenant
+		g.counts.TenantShareExceeded++
+		return TenantShareExceeded
 	case g.limiter != nil && !g.limiter.AllowN(at, 1):
-		g.counts.OverRate++
-		return OverRate
+		g.counts.RateExceeded++
+		return RateExceeded
 	}
 	if own != nil {
 		own.AllowN(at, 1)
 	}
 	g.inHand++
 	g.tenants[tenant]++
-	g.counts.Taken++
-	return Taken
+	g.counts.Admitted++
+	return Admitted
 }
 
-// Done gives back what an operation held.
-func (l *Live) Done(g Grant) {
-	k := &l.kinds[g.Kind]
-	if k.inHand--; k.inHand == 0 && !k.used && g.Kind >= l.base {
+// Release gives back what an operation held.
+func (l *Router) Release(g Admission) {
+	k := &l.kinds[g.Type]
+	if k.inHand--; k.inHand == 0 && !k.used && g.Type >= l.base {
 		k.free = true
 	}
-	if g.Room > 0 {
-		r := &l.gates[g.Room]
+	if g.LimitIndex > 0 {
+		r := &l.gates[g.LimitIndex]
 		r.inHand--
 		r.tenants[g.tenant]--
 	}
 }
 
 // Counts tells what became of operations at each gate since the last call, by route.
-func (l *Live) Counts(each func(route string, inHand int, c GateCounts)) {
+func (l *Router) Counts(each func(route string, inHand int, c GateCounts)) {
 	sums, hands, names := map[string]GateCounts{}, map[string]int{}, []string{}
 	for i := 1; i < len(l.gates); i++ {
 		g := &l.gates[i]
@@ -239,10 +239,10 @@
 		if !ok {
 			names = append(names, g.name.route)
 		}
-		s.Taken += g.counts.Taken
-		s.OverRate += g.counts.OverRate
-		s.NoPlace += g.counts.NoPlace
-		s.OverTenant += g.counts.OverTenant
+		s.Admitted += g.counts.Admitted
+		s.RateExceeded += g.counts.RateExceeded
+		s.QueueFull += g.counts.QueueFull
+		s.TenantShareExceeded += g.counts.TenantShareExceeded
 		sums[g.name.route], hands[g.name.route] = s, hands[g.name.route]+g.inHand
 		g.counts = GateCounts{}
 	}
--- a/internal/route/live.go
+++ b/internal/route/live.go
@@ -11,10 +11,10 @@
 
 // Update is what the module and the fleet must be told after a swap.
 type Update struct {
-	Types   []policy.TrafficType
-	Like    []int
-	Rooms   []int
-	Chooses bool // servers otherwise than before: their labels or what they speak may be others
+	Types            []policy.TrafficType
+	InheritFrom      []int
+	MaxInFlight      []int
+	SelectionChanged bool // servers otherwise than before: their labels or what they speak may be others
 }
 
 // kind is a traffic type of the module.
@@ -26,9 +26,9 @@
 	free    bool
 }
 
-// Live holds the routes of a running node over all reloads. It is for one caller at a time.
-type Live struct {
-	set     *Set
+// Router holds the routes of a running node over all reloads. It is for one caller at a time.
+type Router struct {
+	set     *Table
 	base    int // traffic types of the settings, which are the first kinds
 	tenants int // named ones; the number itself stands for the others
 	kinds   []kind
@@ -39,22 +39,22 @@
 	bitOf   []int    // by pool of the set
 }
 
-// NewLive starts with the settings' own types and no routes.
-func NewLive(s *settings.Settings) *Live {
-	l := &Live{base: len(s.Types), tenants: len(s.TenantNames), gates: make([]gate, 1), pools: make([]string, mostPools)}
-	for i, t := range s.Types {
-		l.kinds = append(l.kinds, kind{profile: Profile{Kind: i, Type: t}})
+// NewRouter starts with the settings' own types and no routes.
+func NewRouter(s *settings.Settings) *Router {
+	l := &Router{base: len(s.TrafficTypes), tenants: len(s.TenantNames), gates: make([]gate, 1), pools: make([]string, mostPools)}
+	for i, t := range s.TrafficTypes {
+		l.kinds = append(l.kinds, kind{profile: Profile{BaseType: i, Type: t}})
 	}
 	return l
 }
 
-// Set is the one that holds now, nil for none.
-func (l *Live) Set() *Set { return l.set }
+// Table is the one that holds now, nil for none.
+func (l *Router) Table() *Table { return l.set }
 
-// Swap has another set hold from now on, nil for none. Operations in hand keep the figures that they began with: what
+// Replace has another set hold from now on, nil for none. Operations in hand keep the figures that they began with: what
 // stays the same keeps its index, and what has changed gets another, whose old one is used again when its last
 // operation has its answer. Counters and what is left of rates go on under the route's name.
-func (l *Live) Swap(now time.Duration, set *Set) Update {
+func (l *Router) Replace(now time.Duration, set *Table) Update {
 	old := l.set
 	oldKindOf, oldBitOf := l.kindOf, l.bitOf
 	l.set = set
@@ -76,7 +76,7 @@
 			l.kindOf[i] = i
 			continue
 		}
-		pools := l.mapped(p.Type.Pool)
+		pools := l.mapped(p.Type.PoolLabels)
 		at := slices.IndexFunc(l.kinds, func(k kind) bool { return !k.free && k.profile == p && k.pools == pools })
 		if at < 0 {
 			if at = slices.IndexFunc(l.kinds, func(k kind) bool { return k.free }); at < 0 {
@@ -84,7 +84,7 @@
 				l.kinds, like = append(l.kinds, kind{}), append(like, 0)
 			}
 			l.kinds[at] = kind{profile: p, pools: pools}
-			like[at] = p.Kind
+			like[at] = p.BaseType
 			if from := ancestor(old, oldKindOf, set, i); from >= 0 && !l.kinds[from].free && from != at {
 				like[at] = from
 			}
@@ -93,21 +93,21 @@
 		l.kindOf[i] = at
 	}
 	l.assignGates(now, set)
-	u := Update{Like: like, Chooses: !slices.Equal(oldBitOf, l.bitOf) || !choosesAs(old, set)}
+	u := Update{InheritFrom: like, SelectionChanged: !slices.Equal(oldBitOf, l.bitOf) || !choosesAs(old, set)}
 	for i := range l.kinds {
 		l.kinds[i].free = !l.kinds[i].used && l.kinds[i].inHand == 0
 		t := l.kinds[i].profile.Type
-		t.Pool = l.kinds[i].pools
+		t.PoolLabels = l.kinds[i].pools
 		u.Types = append(u.Types, t)
 	}
 	for i := range l.gates {
-		u.Rooms = append(u.Rooms, l.gates[i].atOnce)
+		u.MaxInFlight = append(u.MaxInFlight, l.gates[i].atOnce)
 	}
 	return u
 }
 
 // choosesAs tells whether two sets put every server into the same pools, as they number them, and have it speak the same.
-func choosesAs(a, b *Set) bool {
+func choosesAs(a, b *Table) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
@@ -119,7 +119,7 @@
 }
 
 // ancestor is the module's index of what the first route of a profile was before, -1 for nothing.
-func ancestor(old *Set, kindOf []int, set *Set, profile int) int {
+func ancestor(old *Table, kindOf []int, set *Table, profile int) int {
 	if old == nil {
 		return -1
 	}
@@ -127,14 +127,14 @@
 	if !ok {
 		return -1
 	}
-	if p := old.Routes[was].byKind[set.Profiles[profile].Kind]; p >= 0 {
+	if p := old.Routes[was].byKind[set.Profiles[profile].BaseType]; p >= 0 {
 		return kindOf[p]
 	}
 	return -1
 }
 
 // assignPools gives each pool a bit that stays with its name as long as an operation may ask for it.
-func (l *Live) assignPools(set *Set) []int {
+func (l *Router) assignPools(set *Table) []int {
 	if set == nil {
 		return nil
 	}
@@ -164,7 +164,7 @@
 }
 
 // mapped turns pools as the set numbers them into the module's labels.
-func (l *Live) mapped(pools uint64) (labels uint64) {
+func (l *Router) mapped(pools uint64) (labels uint64) {
 	for i, bit := range l.bitOf {
 		if pools&(1<<i) != 0 {
 			labels |= 1 << bit
@@ -174,7 +174,7 @@
 }
 
 // Labels are the pools that a server is in, as policy.Member has them.
-func (l *Live) Labels(id, site, flavor string) uint64 {
+func (l *Router) Labels(id, site, flavor string) uint64 {
 	if l.set == nil {
 		return 0
 	}
--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -10,14 +10,14 @@
 
 // Request is what a matcher looks at.
 type Request struct {
-	Method []byte
-	Path   []byte
-	Tenant []byte
-	Fields Fields
+	Method  []byte
+	Path    []byte
+	Tenant  []byte
+	Headers HeaderGetter
 }
 
-// Fields finds the value of a header field, nil where it is not there.
-type Fields interface{ Get(name string) []byte }
+// HeaderGetter finds the value of a header field, nil where it is not there.
+type HeaderGetter interface{ Get(name string) []byte }
 
 const (
 	one  = "*"  // a part of a path that may be anything but empty
@@ -205,7 +205,7 @@
 
 func (e *entry) fits(r *Request) bool {
 	for _, h := range e.headers {
-		if r.Fields == nil || string(r.Fields.Get(h.name)) != h.value {
+		if r.Headers == nil || string(r.Headers.Get(h.name)) != h.value {
 			return false
 		}
 	}
@@ -225,7 +225,7 @@
 		return fmt.Sprintf("the tenant is none of %s", strings.Join(r.Tenants, ", "))
 	}
 	for name, value := range r.Headers {
-		if q.Fields == nil || string(q.Fields.Get(name)) != value {
+		if q.Headers == nil || string(q.Headers.Get(name)) != value {
 			return fmt.Sprintf("the field %s is not %q", name, value)
 		}
 	}
--- a/internal/route/match_test.go
+++ b/internal/route/match_test.go
@@ -66,7 +66,7 @@
 		for range 8 {
 			path := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "d", ""}), 1, 6).Draw(t, "asked")
 			q := Request{Path: []byte("/" + strings.Join(path, "/")), Method: []byte(rapid.SampledFrom([]string{"GET", "POST", "PUT"}).Draw(t, "method")),
-				Tenant: []byte(rapid.SampledFrom([]string{"", "x", "y", "z"}).Draw(t, "tenant")), Fields: fields{"H": rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "field")}}
+				Tenant: []byte(rapid.SampledFrom([]string{"", "x", "y", "z"}).Draw(t, "tenant")), Headers: fields{"H": rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "field")}}
 			got, want := root.match(q.Path, &q), naive(routes, &q)
 			if got != want {
 				t.Fatalf("%s %s for %q: route %d, the reference says %d of %+v", q.Method, q.Path, q.Tenant, got, want, routes)
@@ -99,7 +99,7 @@
 			}
 		}
 		set.Explain(&strings.Builder{}, q, s)
-		set.Table(&strings.Builder{}, s)
+		set.PrintTable(&strings.Builder{}, s)
 	})
 }
 
--- a/internal/route/part.go
+++ b/internal/route/part.go
@@ -7,9 +7,9 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// Part is a route or a pool that comes from outside the operator's file. It belongs to a service, or to all of them
+// Fragment is a route or a pool that comes from outside the operator's file. It belongs to a service, or to all of them
 // where the service is "".
-type Part struct {
+type Fragment struct {
 	Service, Name string
 	route         *Route
 	pool          *Pool
@@ -24,57 +24,57 @@
 }
 
 // ParseRoute reads the text of one route, as it stands in the operator's file; its [[routes]] line may be left out.
-func ParseRoute(service, name string, text []byte) (Part, error) {
+func ParseRoute(service, name string, text []byte) (Fragment, error) {
 	label := "route " + qualified(service, name)
 	var one Route
 	if !hasHeader(text, "[[routes]]") {
 		if err := parseAlone(label, text, &one); err != nil {
-			return Part{}, err
+			return Fragment{}, err
 		}
 	} else {
 		var file struct {
 			Routes []Route `toml:"routes"`
 		}
 		if err := parseAlone(label, text, &file); err != nil {
-			return Part{}, err
+			return Fragment{}, err
 		}
 		if len(file.Routes) != 1 {
-			return Part{}, tomlfile.Faults{{File: label, Why: fmt.Sprintf("%d routes: one is wanted", len(file.Routes))}}
+			return Fragment{}, tomlfile.Faults{{File: label, Why: fmt.Sprintf("%d routes: one is wanted", len(file.Routes))}}
 		}
 		one = file.Routes[0]
 	}
 	if err := named(label, name, one.Name); err != nil {
-		return Part{}, err
+		return Fragment{}, err
 	}
 	one.Name = qualified(service, name)
-	return Part{Service: service, Name: name, route: &one}, nil
+	return Fragment{Service: service, Name: name, route: &one}, nil
 }
 
 // ParsePool reads the text of one pool, as it stands in the operator's file; its [[pools]] line may be left out.
-func ParsePool(service, name string, text []byte) (Part, error) {
+func ParsePool(service, name string, text []byte) (Fragment, error) {
 	label := "pool " + qualified(service, name)
 	var one Pool
 	if !hasHeader(text, "[[pools]]") {
 		if err := parseAlone(label, text, &one); err != nil {
-			return Part{}, err
+			return Fragment{}, err
 		}
 	} else {
 		var file struct {
 			Pools []Pool `toml:"pools"`
 		}
 		if err := parseAlone(label, text, &file); err != nil {
-			return Part{}, err
+			return Fragment{}, err
 		}
 		if len(file.Pools) != 1 {
-			return Part{}, tomlfile.Faults{{File: label, Why: fmt.Sprintf("%d pools: one is wanted", len(file.Pools))}}
+			return Fragment{}, tomlfile.Faults{{File: label, Why: fmt.Sprintf("%d pools: one is wanted", len(file.Pools))}}
 		}
 		one = file.Pools[0]
 	}
 	if err := named(label, name, one.Name); err != nil {
-		return Part{}, err
+		return Fragment{}, err
 	}
 	one.Name = qualified(service, name)
-	return Part{Service: service, Name: name, pool: &one}, nil
+	return Fragment{Service: service, Name: name, pool: &one}, nil
 }
 
 // hasHeader tells whether a line of the text begins an entry of an array of tables.
@@ -107,10 +107,10 @@
 }
 
 // isPool tells a pool from a route.
-func (p Part) isPool() bool { return p.pool != nil }
+func (p Fragment) isPool() bool { return p.pool != nil }
 
 // String names the part as people know it.
-func (p Part) String() string {
+func (p Fragment) String() string {
 	if p.isPool() {
 		return "pool " + qualified(p.Service, p.Name)
 	}
--- a/internal/route/set.go
+++ b/internal/route/set.go
@@ -14,9 +14,9 @@
 // Profile is a traffic type of the module: the figures of one of the settings' types under the limits of a route, or of
 // all routes whose figures are alike. The first profiles are the settings' own types.
 type Profile struct {
-	Kind  int // traffic type of the settings
-	Type  policy.TrafficType
-	Owner string // the one route that it is for, where it has budgets of its own
+	BaseType int // traffic type of the settings
+	Type     policy.TrafficType
+	Owner    string // the one route that it is for, where it has budgets of its own
 }
 
 // compiled is a route with what was worked out.
@@ -29,8 +29,8 @@
 	fallback int      // route, or -1
 }
 
-// Set is a file that was read whole and found sound.
-type Set struct {
+// Table is a file that was read whole and found sound.
+type Table struct {
 	Name     string
 	Routes   []compiled
 	Profiles []Profile
@@ -49,7 +49,7 @@
 }
 
 // profile finds a profile with these figures, or adds it.
-func (s *Set) profile(p Profile, route int) int {
+func (s *Table) profile(p Profile, route int) int {
 	i, ok := s.byFigures[p]
 	if !ok {
 		i = len(s.Profiles)
@@ -61,7 +61,7 @@
 
 // Match finds the route of a request and the traffic type that it is taken for; route is -1 where none fits, and kind
 // is -1 where there is no such type.
-func (s *Set) Match(r *Request) (route, kind int) {
+func (s *Table) Match(r *Request) (route, kind int) {
 	route, kind = -1, -1
 	if len(r.Path) == 0 || r.Path[0] != '/' {
 		return -1, -1
@@ -82,17 +82,17 @@
 	return route, kind
 }
 
-// BodyMost is the largest body that a route takes, or most if it does not say.
-func (s *Set) BodyMost(route, kind, most int) int {
-	if route < 0 || s.Routes[route].limits[kind].Body == nil {
+// MaxBodyBytes is the largest body that a route takes, or most if it does not say.
+func (s *Table) MaxBodyBytes(route, kind, most int) int {
+	if route < 0 || s.Routes[route].limits[kind].MaxBodyBytes == nil {
 		return most
 	}
-	return min(*s.Routes[route].limits[kind].Body, most)
+	return min(*s.Routes[route].limits[kind].MaxBodyBytes, most)
 }
 
-// Copies tells whether operations of a route may get a second copy.
-func (s *Set) Copies(route, kind int) bool {
-	return route >= 0 && s.Routes[route].limits[kind].CopyAfter != nil
+// AllowsHedging tells whether operations of a route may get a second copy.
+func (s *Table) AllowsHedging(route, kind int) bool {
+	return route >= 0 && s.Routes[route].limits[kind].HedgeAfter != nil
 }
 
 // fits tells whether a server is among those that a choice names; what is left empty chooses all.
@@ -107,7 +107,7 @@
 }
 
 // labels are the pools that a server is in, a bit for each in the order of the file.
-func (s *Set) labels(id, site, flavor string) (labels uint64) {
+func (s *Table) labels(id, site, flavor string) (labels uint64) {
 	for i, p := range s.Pools {
 		if fits(p.Sites, p.Flavors, p.Servers, id, site, flavor) {
 			labels |= 1 << i
@@ -117,7 +117,7 @@
 }
 
 // SpeaksFastCGI tells whether a server does; those that the file does not name speak HTTP.
-func (s *Set) SpeaksFastCGI(id, site, flavor string) bool {
+func (s *Table) SpeaksFastCGI(id, site, flavor string) bool {
 	if s == nil {
 		return false
 	}
--- a/internal/simwire/parser.go
+++ b/internal/simwire/parser.go
@@ -65,7 +65,7 @@
 		p.fail(name + " is not a time")
 		return 0
 	}
-	return settings.Span(x)
+	return settings.FromMillis(x)
 }
 
 func (p *parser) span(name string, must bool) time.Duration {
@@ -98,12 +98,12 @@
 }
 
 // entry reads a line of a server list.
-func (p *parser) entry() Entry {
-	e := Entry{Server: p.server(), Zone: p.int("hall", false), Kind: p.int("classOfHost", false), Cell: p.int("unitGroup", false),
-		Condition: p.condition(), Scale: p.number("scale", 1)}
+func (p *parser) entry() Endpoint {
+	e := Endpoint{Server: p.server(), Zone: p.int("hall", false), MachineKind: p.int("classOfHost", false), Cell: p.int("unitGroup", false),
+		Condition: p.condition(), Weight: p.number("scale", 1)}
 	if at, ok := p.find("lastStart"); ok {
-		e.Start = p.parseSpan("lastStart", at)
-		e.HasStart = e.Start != 0
+		e.StartedAt = p.parseSpan("lastStart", at)
+		e.HasStartTime = e.StartedAt != 0
 	}
 	return e
 }
@@ -122,20 +122,20 @@
 	return uint32(u) ^ uint32(u>>32)
 }
 
-func (p *parser) scope() policy.Scope {
+func (p *parser) scope() policy.UpdateScope {
 	text, _ := p.find("scope")
 	switch string(text) {
 	case "INCREMENTAL":
-		return policy.Changes
+		return policy.Incremental
 	case "FULL":
-		return policy.Whole
+		return policy.Full
 	case "SAVED":
-		return policy.Saved
+		return policy.Cached
 	case "FAILED":
 		return policy.Unavailable
 	}
 	p.fail("unknown scope")
-	return policy.Changes
+	return policy.Incremental
 }
 
 func (p *parser) condition() policy.Condition {
@@ -146,10 +146,10 @@
 	case "draining":
 		return policy.Draining
 	case "removed":
-		return policy.Gone
+		return policy.Removed
 	}
 	p.fail("unknown condition")
-	return policy.Gone
+	return policy.Removed
 }
 
 func (p *parser) outcome() policy.Outcome {
@@ -166,12 +166,12 @@
 	case "unreachable":
 		return policy.Unreachable
 	case "broken":
-		return policy.Broken
+		return policy.ConnectionBroken
 	case "withdrawn":
-		return policy.Withdrawn
+		return policy.Canceled
 	case "void":
-		return policy.Void
+		return policy.NotStarted
 	}
 	p.fail("unknown verdict")
-	return policy.Broken
+	return policy.ConnectionBroken
 }
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -17,48 +17,48 @@
 type Kind uint8
 
 const (
-	PowerOn     Kind = iota // an instance starts, with its settings
-	Killed                  // an instance is no more
-	Discovery               // a server list, or that there is none
-	Arrival                 // a request
-	Verdict                 // how a hop ended
-	Left                    // the client has gone
-	DeadlineHit             // a wake-up that the module asked for
-	Ignored                 // read and valid, but of no use to the module
+	InstanceStarted  Kind = iota // an instance starts, with its settings
+	InstanceKilled               // an instance is no more
+	EndpointsUpdated             // a server list, or that there is none
+	RequestArrived               // a request
+	AttemptEnded                 // how a hop ended
+	ClientLeft                   // the client has gone
+	TimerFired                   // a wake-up that the module asked for
+	Ignored                      // read and valid, but of no use to the module
 )
 
-// Entry is a line of a server list, in the bench's own ids.
-type Entry struct {
-	Server    uint32
-	Zone      int
-	Kind      int // of machine
-	Cell      int
-	Condition policy.Condition
-	Scale     float64
-	Start     time.Duration
-	HasStart  bool
+// Endpoint is a line of a server list, in the bench's own ids.
+type Endpoint struct {
+	Server       uint32
+	Zone         int
+	MachineKind  int // of machine
+	Cell         int
+	Condition    policy.Condition
+	Weight       float64
+	StartedAt    time.Duration
+	HasStartTime bool
 }
 
 // Event is one line of a batch.
 type Event struct {
-	Kind     Kind
-	Instance int
-	Job      uint64
-	Server   uint32
-	Hop      int
-	Type     int
-	Tenant   int
-	Again    bool
-	Key      uint32
-	Budget   time.Duration
-	Spent    time.Duration
-	Outcome  policy.Outcome
-	Final    bool
-	Scope    policy.Scope
-	Entries  []Entry
-	Seed     uint32
-	Settings policy.Settings
-	Err      error // settings that cannot be used
+	Kind           Kind
+	Instance       int
+	Request        uint64
+	Server         uint32
+	Attempt        int
+	TrafficType    int
+	Tenant         int
+	IsClientRetry  bool
+	Key            uint32
+	Timeout        time.Duration
+	Elapsed        time.Duration
+	Outcome        policy.Outcome
+	ClientAnswered bool
+	Scope          policy.UpdateScope
+	Endpoints      []Endpoint
+	Seed           uint32
+	Settings       policy.Settings
+	Err            error // settings that cannot be used
 }
 
 // Batch is what arrived at one moment.
@@ -74,7 +74,7 @@
 type Reader struct {
 	in       *bufio.Reader
 	complain func(string)
-	lists    map[int][]Entry
+	lists    map[int][]Endpoint
 	batch    Batch
 	line     []byte
 	fields   []field
@@ -84,7 +84,7 @@
 
 // NewReader reads from r; complain is told of each line that cannot be read.
 func NewReader(r io.Reader, complain func(string)) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<16), complain: complain, lists: map[int][]Entry{}}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<16), complain: complain, lists: map[int][]Endpoint{}}
 }
 
 func (r *Reader) next() error {
@@ -195,7 +195,7 @@
 	case "manifest":
 		at.list, at.due = p.int("list", true), p.int("entries", true)
 		if p.err == nil {
-			r.lists[at.list] = make([]Entry, 0, min(max(at.due, 0), 4096))
+			r.lists[at.list] = make([]Endpoint, 0, min(max(at.due, 0), 4096))
 		} else {
 			at.list, at.due = -1, 0
 		}
@@ -219,38 +219,38 @@
 	e := &r.batch.Events[len(r.batch.Events)-1]
 	switch tag {
 	case "power_on":
-		e.Kind, e.Seed = PowerOn, p.seed()
+		e.Kind, e.Seed = InstanceStarted, p.seed()
 		env, _ := p.find("env")
 		decoded, err := settings.Decode(env)
 		e.Settings, e.Err = decoded.Settings, err
 	case "killed":
-		e.Kind = Killed
+		e.Kind = InstanceKilled
 	case "discovery":
-		e.Kind, e.Scope = Discovery, p.scope()
+		e.Kind, e.Scope = EndpointsUpdated, p.scope()
 		if e.Scope != policy.Unavailable {
 			entries, ok := r.lists[p.int("list", true)]
 			if !ok {
 				p.fail("unknown list")
 			}
-			e.Entries = entries
+			e.Endpoints = entries
 		}
 	case "arrival":
-		e.Kind, e.Job = Arrival, p.job()
-		e.Type, e.Tenant = p.int("service", false), p.int("project", false)
-		e.Budget = p.span("timeBudget", true)
+		e.Kind, e.Request = RequestArrived, p.job()
+		e.TrafficType, e.Tenant = p.int("service", false), p.int("project", false)
+		e.Timeout = p.span("timeBudget", true)
 		subject, _ := p.find("subject")
-		e.Key = policy.KeyOf(subject)
+		e.Key = policy.HashKey(subject)
 		again, _ := p.find("againByClient")
-		e.Again = string(again) == "1"
+		e.IsClientRetry = string(again) == "1"
 	case "verdict":
-		e.Kind, e.Job, e.Server, e.Hop = Verdict, p.job(), p.server(), p.int("n", false)
-		e.Outcome, e.Spent = p.outcome(), p.span("spent", false)
+		e.Kind, e.Request, e.Server, e.Attempt = AttemptEnded, p.job(), p.server(), p.int("n", false)
+		e.Outcome, e.Elapsed = p.outcome(), p.span("spent", false)
 		final, _ := p.find("final")
-		e.Final = string(final) == "1"
+		e.ClientAnswered = string(final) == "1"
 	case "left", "begun": // a stream that has begun is the client's: no answer is owed any more
-		e.Kind, e.Job = Left, p.job()
+		e.Kind, e.Request = ClientLeft, p.job()
 	case "deadline_hit":
-		e.Kind = DeadlineHit
+		e.Kind = TimerFired
 	case "health_result", "from_peer":
 	default:
 		p.fail("unknown message")
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -18,8 +18,8 @@
 // NewWriter writes replies to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(w, 1<<16), who: -1} }
 
-// For names the instance whose actions follow.
-func (w *Writer) For(instance int) {
+// ForInstance names the instance whose actions follow.
+func (w *Writer) ForInstance(instance int) {
 	if instance != w.who {
 		w.who = instance
 		w.buf = strconv.AppendInt(append(w.buf, "from\twho="...), int64(instance), 10)
@@ -45,16 +45,16 @@
 
 func (w *Writer) end() { w.buf = append(w.buf, '\n') }
 
-// Forward sends a hop.
-func (w *Writer) Forward(job uint64, server uint32, allow time.Duration) {
+// SendAttempt sends a hop.
+func (w *Writer) SendAttempt(job uint64, server uint32, allow time.Duration) {
 	w.job("forward", job)
 	w.uint("server", uint64(server))
 	w.span("allowFor", allow)
 	w.end()
 }
 
-// TurnAway denies an operation.
-func (w *Writer) TurnAway(job uint64, retryIn time.Duration) {
+// Reject denies an operation.
+func (w *Writer) Reject(job uint64, retryIn time.Duration) {
 	w.job("turn_away", job)
 	if retryIn > 0 {
 		w.span("retryIn", retryIn)
@@ -62,24 +62,24 @@
 	w.end()
 }
 
-// Lose writes an operation off.
-func (w *Writer) Lose(job uint64) {
+// Fail writes an operation off.
+func (w *Writer) Fail(job uint64) {
 	w.job("lose", job)
 	w.end()
 }
 
-// Schedule sets the timer.
-func (w *Writer) Schedule(after time.Duration) {
+// SetTimer sets the timer.
+func (w *Writer) SetTimer(after time.Duration) {
 	w.buf = append(w.buf, "schedule"...)
 	w.span("fromNow", after)
 	w.buf = append(w.buf, "\tcookie=w\n"...)
 }
 
-// Listen subscribes to the server list.
-func (w *Writer) Listen() { w.buf = append(w.buf, "listen\tenable=1\n"...) }
+// Subscribe subscribes to the server list.
+func (w *Writer) Subscribe() { w.buf = append(w.buf, "listen\tenable=1\n"...) }
 
-// Release closes idle connections to a server.
-func (w *Writer) Release(server uint32) {
+// CloseIdle closes idle connections to a server.
+func (w *Writer) CloseIdle(server uint32) {
 	w.buf = append(w.buf, "release"...)
 	w.uint("server", uint64(server))
 	w.end()
--- a/internal/testbed/badclients.go
+++ b/internal/testbed/badclients.go
@@ -47,7 +47,7 @@
 	w.wg.Go(func() {
 		every := time.NewTicker(time.Duration(float64(time.Second) / f.Size))
 		defer every.Stop()
-		until := time.After(f.For.D())
+		until := time.After(f.For.Std())
 		for i := 0; ; i++ {
 			select {
 			case <-w.stopped:
@@ -73,7 +73,7 @@
 	w.badClients.mu.Lock()
 	w.badClients.n++
 	w.badClients.mu.Unlock()
-	c.SetDeadline(began.Add(owedWithin + w.Scenario.Rules.Slack.D()))
+	c.SetDeadline(began.Add(owedWithin + w.Scenario.Rules.Slack.Std()))
 	text := r.text
 	if strings.Contains(text, "%") {
 		text = fmt.Sprintf(text, fmt.Sprintf("ffff%012x", i))
