--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -40,13 +40,13 @@
 }
 
 // Find returns the maker of a baseline, a broken one, or the project's own; ok is false for another name.
-func Find(name string) (m engine.Maker, ok bool) {
+func Find(name string) (m engine.DeciderFactory, ok bool) {
 	_, broken := Broken[name]
 	switch {
 	case name == "" || name == "fernvane":
-		return engine.Policy, true
+		return engine.NewPolicy, true
 	case broken || slices.Contains(Names, name):
-		return func(s policy.Settings, seed uint32) engine.Module {
+		return func(s policy.Settings, seed uint32) engine.Decider {
 			return &module{set: s, seed: seed, name: name, broken: broken}
 		}, true
 	}
@@ -102,30 +102,30 @@
 func (m *module) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
 	m.now, m.effects = now, effects
 	switch in.Kind {
-	case policy.Arrival:
+	case policy.RequestArrived:
 		m.arrive(in)
-	case policy.HopEnded:
+	case policy.AttemptEnded:
 		m.attemptEnded(in)
-	case policy.Left:
-		if in.Op < len(m.ops) {
-			m.ops[in.Op].open = false
+	case policy.ClientLeft:
+		if in.Request < len(m.ops) {
+			m.ops[in.Request].open = false
 		}
-	case policy.List:
+	case policy.EndpointsUpdated:
 		m.list(in)
-	case policy.Woken:
+	case policy.TimerFired:
 		m.sweep()
 	}
 	return m.effects
 }
 
 func (m *module) arrive(in *policy.Input) {
-	for in.Op >= len(m.ops) {
+	for in.Request >= len(m.ops) {
 		m.ops = append(m.ops, operation{})
 	}
-	t := &m.set.Types[in.Type]
-	o := &m.ops[in.Op]
-	*o = operation{open: true, kind: in.Type, attempts: o.attempts[:0], mayRun: -1, limit: m.now + in.Budget,
-		target: m.now + min(t.TargetTime, in.Budget)}
+	t := &m.set.TrafficTypes[in.TrafficType]
+	o := &m.ops[in.Request]
+	*o = operation{open: true, kind: in.TrafficType, attempts: o.attempts[:0], mayRun: -1, limit: m.now + in.Timeout,
+		target: m.now + min(t.LatencyObjective, in.Timeout)}
 	if m.is("silent") && m.chance() < 0.05 || m.is("late") && m.chance() < 0.05 {
 		o.out = true // as if an attempt were out, of which nothing is heard
 		return
@@ -134,19 +134,19 @@
 		o.target = o.limit
 		return // it waits for nearly all of its time, and then goes whether or not its client is there
 	}
-	if !m.send(in.Op) {
-		m.deny(in.Op)
+	if !m.send(in.Request) {
+		m.deny(in.Request)
 	}
 }
 
 func (m *module) deny(op int) {
 	m.ops[op].open = false
-	m.emit(policy.Effect{Kind: policy.Deny, Op: op})
+	m.emit(policy.Effect{Kind: policy.Reject, Request: op})
 }
 
 func (m *module) writeOff(op int) {
 	m.ops[op].open = false
-	m.emit(policy.Effect{Kind: policy.WriteOff, Op: op})
+	m.emit(policy.Effect{Kind: policy.Fail, Request: op})
 }
 
 // send puts an attempt out, if there is a server that the operation may go to.
@@ -165,15 +165,15 @@
 	o.attempts = append(o.attempts, s)
 	o.out = true
 	m.inFlight[s]++
-	m.emit(policy.Effect{Kind: policy.SendHop, Op: op, Server: s, For: max(o.target-m.now, time.Millisecond)})
+	m.emit(policy.Effect{Kind: policy.SendAttempt, Request: op, Server: s, Duration: max(o.target-m.now, time.Millisecond)})
 	return true
 }
 
 // open tells whether an operation's type may be sent to a server.
 func (m *module) open(o *operation, s int) bool {
 	for i, to := range m.set.Placements {
-		bound := m.set.Types[o.kind].Placement&(1<<i) != 0 && !m.is("misplaces")
-		if bound && (to.Zones != nil && !slices.Contains(to.Zones, m.zone[s]) || to.Kinds != nil && !slices.Contains(to.Kinds, m.machine[s])) {
+		bound := m.set.TrafficTypes[o.kind].PlacementBit&(1<<i) != 0 && !m.is("misplaces")
+		if bound && (to.Zones != nil && !slices.Contains(to.Zones, m.zone[s]) || to.MachineKinds != nil && !slices.Contains(to.MachineKinds, m.machine[s])) {
 			return false
 		}
 	}
@@ -181,13 +181,13 @@
 }
 
 func (m *module) inGroup(o *operation, s int) bool {
-	if o.mayRun < 0 || m.set.Types[o.kind].Repeat != policy.Fingerprinted || m.is("wrong-group") {
+	if o.mayRun < 0 || m.set.TrafficTypes[o.kind].Idempotency != policy.IdempotentWithKey || m.is("wrong-group") {
 		return true
 	}
-	switch m.set.Types[o.kind].Group {
-	case policy.GroupZone:
+	switch m.set.TrafficTypes[o.kind].KeyScope {
+	case policy.KeyScopeZone:
 		return m.zone[s] == m.zone[o.mayRun]
-	case policy.GroupCell:
+	case policy.KeyScopeCell:
 		return m.cell[s] == m.cell[o.mayRun]
 	}
 	return true
@@ -224,36 +224,36 @@
 
 func (m *module) attemptEnded(in *policy.Input) {
 	m.inFlight[in.Server]--
-	o := &m.ops[in.Op]
+	o := &m.ops[in.Request]
 	o.out = false
-	ran := in.Outcome != policy.Overloaded && in.Outcome != policy.Unreachable && in.Outcome != policy.Void
+	ran := in.Outcome != policy.Overloaded && in.Outcome != policy.Unreachable && in.Outcome != policy.NotStarted
 	if ran && o.mayRun < 0 {
-		o.mayRun, o.firstRun = in.Server, m.now-in.Spent
+		o.mayRun, o.firstRun = in.Server, m.now-in.Elapsed
 	}
-	if !o.open || in.Outcome == policy.Success || in.Final {
+	if !o.open || in.Outcome == policy.Success || in.ClientAnswered {
 		o.open = false
 		return
 	}
-	t := &m.set.Types[o.kind]
-	may := o.mayRun < 0 || t.Repeat == policy.Retriable || m.is("repeats-binding") ||
-		t.Repeat == policy.Fingerprinted && (m.now < o.firstRun+t.Window-2*sweepEvery || m.is("past-window"))
-	most := m.set.MostHops
+	t := &m.set.TrafficTypes[o.kind]
+	may := o.mayRun < 0 || t.Idempotency == policy.Idempotent || m.is("repeats-binding") ||
+		t.Idempotency == policy.IdempotentWithKey && (m.now < o.firstRun+t.KeyRetention-2*sweepEvery || m.is("past-window"))
+	most := m.set.MaxAttempts
 	if m.is("too-many-hops") {
 		most = 1 << 30
 	}
-	if may && len(o.attempts) < most && m.now < o.target && m.send(in.Op) {
+	if may && len(o.attempts) < most && m.now < o.target && m.send(in.Request) {
 		return
 	}
 	if m.harmless(o) || m.is("denies-after-run") {
-		m.deny(in.Op)
+		m.deny(in.Request)
 	} else {
-		m.writeOff(in.Op)
+		m.writeOff(in.Request)
 	}
 }
 
 func (m *module) harmless(o *operation) bool {
-	t := &m.set.Types[o.kind]
-	return o.mayRun < 0 && !o.out || t.Repeat == policy.Retriable || t.Repeat == policy.Fingerprinted && t.Group == policy.GroupAll
+	t := &m.set.TrafficTypes[o.kind]
+	return o.mayRun < 0 && !o.out || t.Idempotency == policy.Idempotent || t.Idempotency == policy.IdempotentWithKey && t.KeyScope == policy.KeyScopeAll
 }
 
 func (m *module) list(in *policy.Input) {
@@ -261,18 +261,18 @@
 		m.asked, m.askAt = false, m.now+askAgain
 		return
 	}
-	if in.Scope != policy.Changes && !m.is("ignores-drains") {
+	if in.Scope != policy.Incremental && !m.is("ignores-drains") {
 		clear(m.ready)
 	}
-	for _, l := range in.Members {
+	for _, l := range in.Endpoints {
 		for l.Server >= len(m.ready) {
 			m.ready, m.inFlight = append(m.ready, false), append(m.inFlight, 0)
 			m.zone, m.cell, m.machine = append(m.zone, 0), append(m.cell, 0), append(m.machine, 0)
 			m.started = append(m.started, 0)
 		}
-		m.zone[l.Server], m.cell[l.Server], m.machine[l.Server] = l.Zone, l.Cell, l.Kind
-		if l.HasStart {
-			m.started[l.Server] = l.Started
+		m.zone[l.Server], m.cell[l.Server], m.machine[l.Server] = l.Zone, l.Cell, l.MachineKind
+		if l.HasStartTime {
+			m.started[l.Server] = l.StartedAt
 		} else {
 			m.started[l.Server] = -time.Hour
 		}
@@ -283,7 +283,7 @@
 }
 
 func (m *module) sweep() {
-	m.emit(policy.Effect{Kind: policy.Wake, For: sweepEvery})
+	m.emit(policy.Effect{Kind: policy.SetTimer, Duration: sweepEvery})
 	for i := range m.ops {
 		o := &m.ops[i]
 		limit := o.limit - ahead - sweepEvery
--- a/internal/testbed/build.go
+++ b/internal/testbed/build.go
@@ -27,7 +27,7 @@
 	s := w.Scenario
 	w.observer = newObserver(s, w.Ops, w.start)
 	w.discovery = discovery.New(discovery.Figures{LinesPerS: s.Discovery.LinesPerS, CallLines: s.Discovery.CallLines,
-		Timeout: s.Discovery.Timeout.D(), Spread: s.Discovery.Spread.D()}, s.Seed, discovered{w.observer})
+		Timeout: s.Discovery.Timeout.Std(), Spread: s.Discovery.Spread.Std()}, s.Seed, discovered{w.observer})
 	for i := range s.Boxes {
 		for n := range s.Boxes[i].Count {
 			m, err := w.add(&s.Boxes[i], fmt.Sprintf("%s-%d", s.Boxes[i].Kind, n))
@@ -129,14 +129,14 @@
 	}
 	cross := func(from int) time.Duration {
 		if from == site {
-			return s.Net.Same.D()
+			return s.Net.Same.Std()
 		}
-		return s.Net.Cross.D()
+		return s.Net.Cross.Std()
 	}
 	id := server.Identity{Number: n, Name: name, Site: site, Cell: cell}
-	b, err := server.NewBox(id, server.Figures{Cores: k.Cores, Speed: k.Speed, Queue: k.Queue, ColdShare: k.ColdShare, ColdFor: k.ColdFor.D(),
-		KeyGain: k.KeyGain, KeyFor: k.KeyFor.D(), Keys: k.Keys, Drops: k.Drops, FallMultiple: s.Rules.FallMultiple,
-		FallWindow: s.Rules.FallWindow.D(), Handshake: k.Handshake.D(), Connections: k.Connections, FastCGI: k.FastCGI}, w.start, addresses, cross, w.observer)
+	b, err := server.NewBox(id, server.Figures{Cores: k.Cores, Speed: k.Speed, Queue: k.Queue, ColdShare: k.ColdShare, ColdFor: k.ColdFor.Std(),
+		KeyGain: k.KeyGain, KeyFor: k.KeyFor.Std(), Keys: k.Keys, Drops: k.Drops, FallMultiple: s.Rules.FallMultiple,
+		FallWindow: s.Rules.FallWindow.Std(), Handshake: k.Handshake.Std(), Connections: k.Connections, FastCGI: k.FastCGI}, w.start, addresses, cross, w.observer)
 	if err != nil {
 		return nil, err
 	}
@@ -207,7 +207,7 @@
 		cancel(fmt.Errorf("node %d has ended: %s", n, why))
 		w.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, why) })
 		w.observer.nodeDown(n, true)
-		w.front.Ended(n, w.Scenario.Nodes.Notice.D())
+		w.front.Ended(n, w.Scenario.Nodes.Notice.Std())
 	})
 	if err != nil {
 		return err
--- a/internal/testbed/cold_test.go
+++ b/internal/testbed/cold_test.go
@@ -55,7 +55,7 @@
 
 type coldNode struct {
 	f    *coldFleet
-	door *engine.Node[int]
+	door *engine.Engine[int]
 	woke int // wakes asked for
 	hops map[uint64]int
 }
@@ -64,15 +64,15 @@
 
 // allows is N, what the settings allow a server to be sent within the window now, in requests of mean work.
 func (f *coldFleet) allows(s *coldServer) float64 {
-	return f.set.FallMultiple * f.capacity(s) * f.window.Seconds() / f.work.Seconds()
+	return f.set.CrashLoadFactor * f.capacity(s) * f.window.Seconds() / f.work.Seconds()
 }
 
 func (f *coldFleet) capacity(s *coldServer) float64 {
-	age := float64(f.now-s.started) / float64(f.set.ColdFor)
+	age := float64(f.now-s.started) / float64(f.set.SlowStartDuration)
 	if s.started < 0 || age >= 1 {
 		return 1
 	}
-	return f.set.ColdStart + (1-f.set.ColdStart)*age
+	return f.set.SlowStartInitialCapacity + (1-f.set.SlowStartInitialCapacity)*age
 }
 
 // sent counts an attempt at a server that is cold: beyond N only twice its root and two more are chance.
@@ -93,55 +93,55 @@
 	}
 }
 
-func (n *coldNode) Forward(job uint64, server int, allow time.Duration) {
+func (n *coldNode) SendAttempt(job uint64, server int, allow time.Duration) {
 	f := n.f
 	f.sent(server)
 	hop := n.hops[job]
 	n.hops[job]++
 	c, sent := f.servers[server], f.now
 	c.free = max(c.free, f.now) + time.Duration(float64(f.work)/f.capacity(c)*f.chance.ExpFloat64())
-	in := policy.Input{Hop: hop, Outcome: policy.Success, Final: true}
+	in := policy.Input{Attempt: hop, Outcome: policy.Success, ClientAnswered: true}
 	took := c.free - f.now
 	if took > allow {
-		took, in.Outcome, in.Final = allow, policy.TimedOut, false
+		took, in.Outcome, in.ClientAnswered = allow, policy.TimedOut, false
 	}
 	f.after(took, func() {
-		in.Spent = f.now - sent
-		n.door.HopEnded(f.now, job, server, in, n)
+		in.Elapsed = f.now - sent
+		n.door.AttemptEnded(f.now, job, server, in, n)
 	})
 }
 
-func (n *coldNode) TurnAway(uint64, time.Duration) {}
-func (n *coldNode) Lose(uint64)                    {}
-func (n *coldNode) Listen()                        {}
-func (n *coldNode) Release(int)                    {}
-func (n *coldNode) Forget(int)                     {}
+func (n *coldNode) Reject(uint64, time.Duration) {}
+func (n *coldNode) Fail(uint64)                  {}
+func (n *coldNode) Subscribe()                   {}
+func (n *coldNode) CloseIdle(int)                {}
+func (n *coldNode) Forget(int)                   {}
 
-func (n *coldNode) Schedule(after time.Duration) {
+func (n *coldNode) SetTimer(after time.Duration) {
 	n.woke++
 	woke := n.woke
 	n.f.after(after, func() {
 		if n.woke == woke {
-			n.door.Woken(n.f.now, n)
+			n.door.TimerFired(n.f.now, n)
 		}
 	})
 }
 
 // list tells all nodes of servers.
-func (f *coldFleet) list(scope policy.Scope, servers ...policy.Member) {
-	members := make([]engine.Member[int], 0, len(servers))
+func (f *coldFleet) list(scope policy.UpdateScope, servers ...policy.Endpoint) {
+	members := make([]engine.Endpoint[int], 0, len(servers))
 	for _, m := range servers {
-		members = append(members, engine.Member[int]{Server: m.Server, Line: m})
+		members = append(members, engine.Endpoint[int]{Server: m.Server, Info: m})
 	}
 	for _, n := range f.nodes {
-		n.door.List(f.now, scope, members, n)
+		n.door.EndpointsUpdated(f.now, scope, members, n)
 	}
 }
 
-func (f *coldFleet) member(s int, c policy.Condition) policy.Member {
-	m := policy.Member{Server: s, Rank: uint32(s) * 2654435761, Scale: 1, Condition: c}
+func (f *coldFleet) member(s int, c policy.Condition) policy.Endpoint {
+	m := policy.Endpoint{Server: s, Rank: uint32(s) * 2654435761, Weight: 1, Condition: c}
 	if start := f.servers[s].started; start >= 0 {
-		m.Started, m.HasStart = start, true
+		m.StartedAt, m.HasStartTime = start, true
 	}
 	return m
 }
@@ -152,8 +152,8 @@
 		i := f.chance.IntN(len(f.nodes))
 		if keep := idle + (1-idle)*float64(i)/float64(len(f.nodes)); f.chance.Float64() < keep {
 			f.jobs++
-			n, t := f.nodes[i], f.set.Types[0]
-			n.door.Arrive(f.now, f.jobs, policy.Input{Budget: t.AbandonTime}, n)
+			n, t := f.nodes[i], f.set.TrafficTypes[0]
+			n.door.RequestArrived(f.now, f.jobs, policy.Input{Timeout: t.ClientTimeout}, n)
 		}
 		f.arrivals(idle, rate)
 	})
@@ -181,27 +181,27 @@
 		early  = time.Second // by which the burst begins before
 	)
 	f := &coldFleet{work: work, window: 2 * time.Second, chance: rand.New(rand.NewPCG(seed, uint64(nodes)))}
-	f.set = policy.Settings{Nodes: nodes, MostHops: 4, Tick: 2 * time.Millisecond, ConnectTimeout: 100 * time.Millisecond,
-		ColdFor: 8 * time.Second, ColdStart: 0.2, FallMultiple: 2,
-		Types: []policy.TrafficType{{TargetTime: 20 * work, AbandonTime: 40 * work, Revenue: 1}}}
-	var first, gone, back []policy.Member
+	f.set = policy.Settings{NodeCount: nodes, MaxAttempts: 4, TimerGranularity: 2 * time.Millisecond, ConnectTimeout: 100 * time.Millisecond,
+		SlowStartDuration: 8 * time.Second, SlowStartInitialCapacity: 0.2, CrashLoadFactor: 2,
+		TrafficTypes: []policy.TrafficType{{LatencyObjective: 20 * work, ClientTimeout: 40 * work, PriorityWeight: 1}}}
+	var first, gone, back []policy.Endpoint
 	for s := range count {
 		f.servers = append(f.servers, &coldServer{started: -1})
 		if s < count-cold || returns {
 			first = append(first, f.member(s, policy.Up))
 		}
 		if s >= count-cold {
-			gone = append(gone, f.member(s, policy.Gone))
+			gone = append(gone, f.member(s, policy.Removed))
 		}
 	}
 	for i := range nodes {
 		n := &coldNode{f: f, hops: map[uint64]int{}}
 		set := f.set
-		set.Me = i
+		set.NodeIndex = i
 		n.door = engine.New[int](0, policy.New(set, uint32(seed)<<8|uint32(i)), n)
 		f.nodes = append(f.nodes, n)
 	}
-	f.list(policy.Whole, first...)
+	f.list(policy.Full, first...)
 	f.arrivals(idle, func() float64 {
 		rate := load * count / work.Seconds() / mean
 		if f.now >= begins-early {
@@ -211,14 +211,14 @@
 	})
 	f.run(begins / 2)
 	if returns {
-		f.list(policy.Changes, gone...)
+		f.list(policy.Incremental, gone...)
 	}
 	f.run(begins)
 	for s := count - cold; s < count; s++ {
 		f.servers[s].started, f.servers[s].free = f.now, f.now
 		back = append(back, f.member(s, policy.Up))
 	}
-	f.list(policy.Changes, back...)
+	f.list(policy.Incremental, back...)
 	f.run(begins + lasts)
 	return f
 }
--- a/internal/testbed/distribution.go
+++ b/internal/testbed/distribution.go
@@ -69,13 +69,13 @@
 }
 
 // Servers takes what this trial never writes.
-func (n *playedNode) Servers([]distribution.Entry, bool) []distribution.Rejection { return nil }
+func (n *playedNode) ApplyServers([]distribution.Entry, bool) []distribution.Rejection { return nil }
 
 // Tenants takes what this trial never writes.
-func (n *playedNode) Tenants([]distribution.Entry) []distribution.Rejection { return nil }
+func (n *playedNode) ApplyTenants([]distribution.Entry) []distribution.Rejection { return nil }
 
 // Routes notes the newest change, and whether it is older than one before.
-func (n *playedNode) Routes(all []distribution.Entry) []distribution.Rejection {
+func (n *playedNode) ApplyRoutes(all []distribution.Entry) []distribution.Rejection {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, e := range all {
@@ -165,7 +165,7 @@
 // change writes one at the first root and waits until it is in force at all nodes.
 func (d *Distribution) change(ctx context.Context) (time.Duration, error) {
 	d.last++
-	change := distribution.Change{Key: distribution.Key{Service: distributedService, Kind: distribution.Route, Name: "checks"}, Value: []byte(strconv.Itoa(d.last))}
+	change := distribution.Change{Key: distribution.Key{Service: distributedService, Kind: distribution.KindRoute, Name: "checks"}, Value: []byte(strconv.Itoa(d.last))}
 	session, err := client.Open(ctx, asked(d.roots[0].wires.Address()))
 	if err != nil {
 		return 0, err
@@ -215,10 +215,10 @@
 	}
 	at := func(c *playedControl) netip.AddrPort { return netip.MustParseAddrPort(c.wires.Address()) }
 	for i, c := range d.roots {
-		c.config.Follow, c.config.UpstreamsAt = "all", []netip.AddrPort{at(d.roots[1-i])}
+		c.config.Follow, c.config.UpstreamAddresses = "all", []netip.AddrPort{at(d.roots[1-i])}
 	}
 	for i, c := range d.relays {
-		c.config.UpstreamsAt = []netip.AddrPort{at(d.roots[i%2]), at(d.roots[1-i%2])}
+		c.config.UpstreamAddresses = []netip.AddrPort{at(d.roots[i%2]), at(d.roots[1-i%2])}
 	}
 	for _, c := range slices.Concat(d.roots, d.relays) {
 		if err := c.start(ctx); err != nil {
@@ -232,7 +232,7 @@
 		first, second := d.relays[i%d.Relays], d.relays[(i+1)%d.Relays]
 		n := &playedNode{config: asked(first.wires.Address(), second.wires.Address())}
 		n.config.Name, n.config.Services = fmt.Sprint("node-", i), []string{distributedService}
-		n.config.StartWithin = tomlfile.Span(time.Second)
+		n.config.StartTimeout = tomlfile.Duration(time.Second)
 		n.config.Directory = filepath.Join(d.Dir, n.config.Name)
 		if err := os.Mkdir(n.config.Directory, 0o700); err != nil {
 			return err
@@ -267,9 +267,9 @@
 		return nil, err
 	}
 	name := fmt.Sprint("control-", i)
-	return &playedControl{wires: wires, stop: func() error { return nil }, config: &control.Config{Name: name, ListenAt: at,
-		Disk: filepath.Join(d.Dir, name+".db"), Follow: "one", OutBytes: 8 << 20, NodeBytes: 16 << 10, PeerBytes: 4 << 20, Connections: 8192,
-		KeepDeleted: tomlfile.Span(time.Hour)}}, nil
+	return &playedControl{wires: wires, stop: func() error { return nil }, config: &control.Config{Name: name, ListenAddress: at,
+		Disk: filepath.Join(d.Dir, name+".db"), Follow: "one", TotalBytesPerSecond: 8 << 20, NodeBytesPerSecond: 16 << 10, ControlBytesPerSecond: 4 << 20, MaxConnections: 8192,
+		DeletionRetention: tomlfile.Duration(time.Hour)}}, nil
 }
 
 func (c *playedControl) start(ctx context.Context) error {
@@ -291,7 +291,7 @@
 		if err == nil {
 			self, _, failed := session.Status()
 			session.Close()
-			if failed == nil && self.Acknowledged {
+			if failed == nil && self.HasAcknowledged {
 				return nil
 			}
 		}
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -24,9 +24,9 @@
 		f := &w.Scenario.Faults[i]
 		chance := rand.New(rand.NewPCG(w.Scenario.Seed, uint64(1000+i)))
 		if f.Kind == "old-disk" { // what it comes back with is taken before
-			w.after(time.Until(begin.Add(f.At.D()-seconds(f))), func() { w.keepDisks(f, chance) })
+			w.after(time.Until(begin.Add(f.At.Std()-seconds(f))), func() { w.keepDisks(f, chance) })
 		}
-		w.after(time.Until(begin.Add(f.At.D())), func() {
+		w.after(time.Until(begin.Add(f.At.Std())), func() {
 			if f.When != "" {
 				w.step(f, func() { w.fault(ctx, f, chance) })
 				return
@@ -43,9 +43,9 @@
 
 // pauses has a box stand still again and again, each at a moment of its own.
 func (w *world) pauses(m *machine) {
-	first := m.kind.PauseEvery.D() * time.Duration(m.Number%7) / 7
-	for wait := first; ; wait = m.kind.PauseEvery.D() - m.kind.PauseFor.D() {
-		for i, d := range []time.Duration{wait, m.kind.PauseFor.D()} {
+	first := m.kind.PauseEvery.Std() * time.Duration(m.Number%7) / 7
+	for wait := first; ; wait = m.kind.PauseEvery.Std() - m.kind.PauseFor.Std() {
+		for i, d := range []time.Duration{wait, m.kind.PauseFor.Std()} {
 			select {
 			case <-time.After(d):
 				m.Model(func(b *server.Model, now time.Duration, tell func(server.Event)) {
@@ -70,21 +70,21 @@
 			m.Model(func(b *server.Model, _ time.Duration, _ func(server.Event)) { b.Slow(by) })
 		}
 		slow(f.Size)
-		w.after(f.For.D(), func() { slow(1) })
+		w.after(f.For.Std(), func() { slow(1) })
 	}),
 	"hang": each(func(w *world, f *scenario.Fault, m *machine) {
 		m.Model(func(b *server.Model, now time.Duration, tell func(server.Event)) { b.Pause(now, tell) })
-		w.after(f.For.D(), func() {
+		w.after(f.For.Std(), func() {
 			m.Model(func(b *server.Model, now time.Duration, tell func(server.Event)) { b.Resume(now, tell) })
 		})
 	}),
 	"pause": each(func(w *world, f *scenario.Fault, m *machine) {
 		m.Stop(true)
-		w.after(f.For.D(), func() { m.Stop(false) })
+		w.after(f.For.Std(), func() { m.Stop(false) })
 	}),
 	"crash": each(func(w *world, f *scenario.Fault, m *machine) {
 		m.Crash()
-		w.dies(m, f.For.D())
+		w.dies(m, f.For.Std())
 	}),
 	"cut-before": share(func(b *server.Faults, s float64) { b.CutBefore = s }),
 	"cut-within": share(func(b *server.Faults, s float64) { b.CutWithin = s }),
@@ -105,20 +105,20 @@
 			}
 		}
 		both(func(m *machine, site int) { m.Hush(site) })
-		w.after(f.For.D(), func() { both(func(m *machine, site int) { m.Speak(site) }) })
+		w.after(f.For.Std(), func() { both(func(m *machine, site int) { m.Speak(site) }) })
 	},
 	"lose-site": func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		for _, m := range w.boxes {
 			if w.Scenario.Sites[m.Site] == f.Site {
 				m.Vanish()
-				w.dies(m, f.For.D())
+				w.dies(m, f.For.Std())
 			}
 		}
 	},
 	"shrink": func(w *world, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
 		leave := int(math.Round((1 - f.Size) * float64(len(w.boxes))))
 		for i, b := range chance.Perm(len(w.boxes))[:leave] {
-			w.after(f.For.D()*time.Duration(i)/time.Duration(max(leave, 1)), func() { w.drain(w.boxes[b]) })
+			w.after(f.For.Std()*time.Duration(i)/time.Duration(max(leave, 1)), func() { w.drain(w.boxes[b]) })
 		}
 	},
 	"replace": func(w *world, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
@@ -130,7 +130,7 @@
 				return
 			}
 			fresh.Crash() // until its turn
-			w.after(f.For.D()*time.Duration(i)/time.Duration(len(old)), func() {
+			w.after(f.For.Std()*time.Duration(i)/time.Duration(len(old)), func() {
 				w.drain(m)
 				w.starts(fresh)
 			})
@@ -138,7 +138,7 @@
 	},
 	"discovery-down": func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		w.discovery.Down(true)
-		w.after(f.For.D(), func() { w.discovery.Down(false) })
+		w.after(f.For.Std(), func() { w.discovery.Down(false) })
 	},
 	"discovery-move": func(w *world, _ context.Context, _ *scenario.Fault, _ *rand.Rand) {
 		w.mu.Lock()
@@ -158,7 +158,7 @@
 	},
 	"reload": func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		every := time.Duration(float64(time.Minute) / f.Size)
-		for i := 0; time.Duration(i)*every < f.For.D(); i++ {
+		for i := 0; time.Duration(i)*every < f.For.Std(); i++ {
 			w.after(time.Duration(i)*every, func() {
 				if err := w.operator(i + 1); err != nil {
 					w.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(-1, err.Error()) })
@@ -172,7 +172,7 @@
 	"kill-nodes": func(w *world, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
 		for _, n := range w.chosenNodes(f, chance) {
 			w.kill(n)
-			w.after(f.For.D(), func() { w.launch(ctx, n) })
+			w.after(f.For.Std(), func() { w.launch(ctx, n) })
 		}
 	},
 	"restart-nodes": func(w *world, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
@@ -203,29 +203,29 @@
 	"slow-disk": func(w *world, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
 		nodes := w.anyNodes(f, chance)
 		w.disks(nodes, seconds(f).String())
-		w.after(f.For.D(), func() { w.disks(nodes, "0s") })
+		w.after(f.For.Std(), func() { w.disks(nodes, "0s") })
 	},
 	"full-disk": func(w *world, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
 		nodes := w.anyNodes(f, chance)
 		w.disks(nodes, fullDisk)
-		w.after(f.For.D(), func() { w.disks(nodes, "0s") })
+		w.after(f.For.Std(), func() { w.disks(nodes, "0s") })
 	},
 	"lose-machines": func(w *world, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
 		for _, n := range w.chosenNodes(f, chance) {
 			w.lose(n)
-			w.after(f.For.D(), func() { w.launch(ctx, n) })
+			w.after(f.For.Std(), func() { w.launch(ctx, n) })
 		}
 	},
 	"old-disk": func(w *world, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
 		for _, n := range w.chosenNodes(f, chance) {
 			w.kill(n)
 			w.restoreDisk(n)
-			w.after(f.For.D(), func() { w.launch(ctx, n) })
+			w.after(f.For.Std(), func() { w.launch(ctx, n) })
 		}
 	},
 	"stop-nodes": func(w *world, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
 		for _, n := range w.chosenNodes(f, chance) {
-			w.pause(ctx, n, f.For.D())
+			w.pause(ctx, n, f.For.Std())
 		}
 	},
 	"cut-links":     linkFault(true, true, func(way *mesh.Way, _ float64) { way.Cut = true }),
@@ -242,7 +242,7 @@
 				those = append(those, n)
 			}
 		}
-		w.links(those, f.For.D(), true, true, func(way *mesh.Way) { way.Cut = true })
+		w.links(those, f.For.Std(), true, true, func(way *mesh.Way) { way.Cut = true })
 	},
 	"losses": func(w *world, ctx context.Context, f *scenario.Fault, chance *rand.Rand) { w.loseAgain(ctx, f, chance) },
 	"losses-beyond": func(w *world, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
@@ -271,7 +271,7 @@
 	"registry-records": func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) { w.badRecords(f) },
 	"registry-late": func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		w.registry.Late(seconds(f))
-		w.after(f.For.D(), func() { w.registry.Late(0) })
+		w.after(f.For.Std(), func() { w.registry.Late(0) })
 	},
 	"rude": func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) { w.sendMalformed(f) },
 	// The load's own: the schedule holds them.
@@ -301,7 +301,7 @@
 				continue
 			}
 			m.Set(func(b *server.Faults) { set(b, f.Share) })
-			w.after(f.For.D(), func() { m.Set(func(b *server.Faults) { set(b, 0) }) })
+			w.after(f.For.Std(), func() { m.Set(func(b *server.Faults) { set(b, 0) }) })
 		}
 	}
 }
@@ -337,7 +337,7 @@
 		m.owned.Silence()
 		m.mu.Unlock()
 	}
-	w.announce(m, discovery.Deleted, w.Scenario.Discovery.SilentNotice.D(), time.Time{})
+	w.announce(m, discovery.Deleted, w.Scenario.Discovery.SilentNotice.Std(), time.Time{})
 	w.after(back, func() { w.starts(m) })
 }
 
@@ -347,13 +347,13 @@
 		w.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(-1, err.Error()) })
 	}
 	if ok {
-		w.announce(m, discovery.Serving, w.Scenario.Discovery.Add.D(), time.Now())
+		w.announce(m, discovery.Serving, w.Scenario.Discovery.Add.Std(), time.Now())
 	}
 }
 
 // drain has a box leave in good order: discovery tells so, it turns away what is new a while later, and ends.
 func (w *world) drain(m *machine) {
-	notice := w.Scenario.Discovery.Notice.D()
+	notice := w.Scenario.Discovery.Notice.Std()
 	m.mu.Lock()
 	m.gone = true
 	m.mu.Unlock()
--- a/internal/testbed/journal.go
+++ b/internal/testbed/journal.go
@@ -25,7 +25,7 @@
 const fullDisk = "full" // in that file: no write succeeds
 
 // Disk is the disk beneath what a node keeps in the lab, slow or full when a fault says so; nil without one.
-func Disk(getenv func(string) string) wal.Files {
+func Disk(getenv func(string) string) wal.FileSystem {
 	path := getenv(diskVar)
 	if path == "" {
 		return nil
@@ -71,7 +71,7 @@
 		if err := os.MkdirAll(p.journal(), 0o755); err != nil {
 			return err
 		}
-		text := fmt.Sprintf("dir = %q\npromise = %q\nwhen_failing = %q\nwait_most = %q\n", p.journal(), j.Promise, j.WhenFailing, j.WaitMost.D())
+		text := fmt.Sprintf("dir = %q\npromise = %q\nwhen_failing = %q\nwait_most = %q\n", p.journal(), j.Promise, j.WhenFailing, j.WaitMost.Std())
 		if err := os.WriteFile(p.bindings(), []byte(text), 0o644); err != nil {
 			return err
 		}
@@ -90,20 +90,20 @@
 		return err
 	}
 	const run = 1
-	log, err := wal.Open(wal.Options{Dir: dir, Files: wal.OS{}, SegmentBytes: 16 << 20, Run: run, Copy: func(uint64, int, []byte, bool) {}, Stored: func(uint64, int) {}})
+	log, err := wal.Open(wal.Options{Dir: dir, FileSystem: wal.OSFileSystem{}, MaxSegmentBytes: 16 << 20, Incarnation: run, OnChunk: func(uint64, int, []byte, bool) {}, OnStored: func(uint64, int) {}})
 	if err != nil {
 		return err
 	}
 	defer log.Close()
 	at := time.Now().UnixNano()
 	for op := uint64(1); op <= uint64(n); op++ {
-		r := intent.Record{Run: run, Op: op, At: at, ID: fmt.Sprintf("before-%d", op), Tenant: "dairy", Type: "hire-book", Server: "quick-1", N: 1, Proof: intent.Ran, How: "answered"}
+		r := intent.Record{Incarnation: run, RequestNumber: op, AtUnixNano: at, RequestID: fmt.Sprintf("before-%d", op), Tenant: "dairy", Type: "hire-book", Server: "quick-1", Count: 1, Proof: intent.Ran, Outcome: "answered"}
 		three := [3]intent.Record{r, r, r}
-		for i, kind := range []intent.Kind{intent.Intent, intent.Ended, intent.Told} {
+		for i, kind := range []intent.Kind{intent.Intent, intent.AttemptEnded, intent.ClientNotified} {
 			three[i].Kind = kind
 		}
-		three[0].How, three[0].Proof, three[0].N = "", 0, 0
-		three[1].ID, three[1].Tenant, three[1].Type, three[1].N = "", "", "", 0
+		three[0].Outcome, three[0].Proof, three[0].Count = "", 0, 0
+		three[1].RequestID, three[1].Tenant, three[1].Type, three[1].Count = "", "", "", 0
 		wait, err := log.Append(op%1000 == 0, three[:]...)
 		if err != nil {
 			return err
@@ -125,7 +125,7 @@
 				return
 			case <-time.After(wholeLook):
 			}
-			if c := w.ask(ctx); len(c.Asked) == len(w.nodes) && c.Lacking() == "" {
+			if c := w.ask(ctx); len(c.Answered) == len(w.nodes) && c.Shortfall() == "" {
 				w.losses.mu.Lock()
 				*into = time.Since(began).Seconds()
 				w.losses.mu.Unlock()
@@ -178,15 +178,15 @@
 		sum.Linked = w.fabric.Bytes()
 	}
 	sum.Entries = len(all)
-	dockets := map[string]*intent.Dockets{}
+	dockets := map[string]*intent.ExecutionRecord{}
 	for _, b := range w.boxes {
-		dockets[b.Name] = &intent.Dockets{Server: b.Name, From: 0, To: time.Now().Add(time.Hour).UnixNano(), IDs: map[string]bool{}}
+		dockets[b.Name] = &intent.ExecutionRecord{Server: b.Name, FromUnixNano: 0, ToUnixNano: time.Now().Add(time.Hour).UnixNano(), RequestIDs: map[string]bool{}}
 	}
 	w.observer.record(func(a *audit.Audit, _ time.Duration) {
 		ran := w.compareWithRun(a, all, gaps, dockets, &sum)
 		for k, e := range all {
-			if e.State() == intent.HasRun && !ran[k] && e.Run != 1 {
-				a.BrokenPromise(fmt.Sprintf("node %d's journal says that %s ran, and no box has run it", k.node, e.ID))
+			if e.State() == intent.HasRun && !ran[k] && e.Incarnation != 1 {
+				a.BrokenPromise(fmt.Sprintf("node %d's journal says that %s ran, and no box has run it", k.node, e.RequestID))
 			}
 			if e.State() == intent.PossiblySent {
 				sum.Possibly++
@@ -217,13 +217,13 @@
 
 // readJournal adds one node's entries, and notes where it says that some are missing.
 func readJournal(n int, dirs []string, all map[entryKey]*intent.Entry, gaps map[int]bool, sum *Journal) error {
-	fold := intent.NewUnion()
+	fold := intent.NewMerger()
 	keep := func(e *intent.Entry) {
-		id, _ := strconv.ParseUint(e.ID, 16, 64)
+		id, _ := strconv.ParseUint(e.RequestID, 16, 64)
 		all[entryKey{n, id}] = e
 	}
 	for _, dir := range dirs {
-		r, err := wal.Scan(wal.OS{}, dir, time.Time{}, func(rec *intent.Record) error {
+		r, err := wal.Scan(wal.OSFileSystem{}, dir, time.Time{}, func(rec *intent.Record) error {
 			if e := fold.Add(rec); e != nil {
 				keep(e)
 			}
@@ -232,28 +232,28 @@
 		if err != nil {
 			return err
 		}
-		fold.Damaged = fold.Damaged || r.Corrupt() > 0
+		fold.HasDamage = fold.HasDamage || r.CorruptCount() > 0
 		sum.Bytes += r.Bytes
 	}
-	for _, e := range fold.Rest() {
+	for _, e := range fold.Incomplete() {
 		keep(e)
 	}
 	for _, g := range fold.Gaps {
-		sum.Gaps += g.N
+		sum.Gaps += g.Count
 		gaps[n] = true
 	}
 	return nil
 }
 
 // compareWithRun fills the dockets with what the boxes have run, and tells the audit what the journals lack of it.
-func (w *world) compareWithRun(a *audit.Audit, all map[entryKey]*intent.Entry, gaps map[int]bool, dockets map[string]*intent.Dockets, sum *Journal) map[entryKey]bool {
+func (w *world) compareWithRun(a *audit.Audit, all map[entryKey]*intent.Entry, gaps map[int]bool, dockets map[string]*intent.ExecutionRecord, sum *Journal) map[entryKey]bool {
 	ran := map[entryKey]bool{}
 	a.EachRan(func(kind int) bool { return w.Scenario.Types[kind].Repeat == "binding" }, func(id uint64, node, box int) {
 		sum.Ran++
 		k := entryKey{node, id}
 		ran[k] = true
 		name := string(load.AppendID(nil, id))
-		dockets[w.boxes[box].Name].IDs[name] = true
+		dockets[w.boxes[box].Name].RequestIDs[name] = true
 		switch e := all[k]; {
 		case e == nil && w.losses.told[node]:
 			sum.Lost++
@@ -267,18 +267,18 @@
 }
 
 // settles tells whether dockets settle all that is open of an entry.
-func settles(e *intent.Entry, dockets map[string]*intent.Dockets) bool {
+func settles(e *intent.Entry, dockets map[string]*intent.ExecutionRecord) bool {
 	settled := 0
 	for _, r := range intent.Reconcile(e, dockets, 0, time.Now().UnixNano()) {
 		if r.Proof == intent.Ran {
-			settled = len(e.Hops)
+			settled = len(e.Attempts)
 		} else {
 			settled++
 		}
 	}
 	open := 0
-	for _, h := range e.Hops {
-		if h.Proof() == intent.Possibly {
+	for _, h := range e.Attempts {
+		if h.Proof() == intent.PossiblyRan {
 			open++
 		}
 	}
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -32,17 +32,17 @@
 		os.Exit(planner.Process(cfg, os.Stderr))
 	}
 	if os.Getenv("PROXY_CONFIG") != "" {
-		proxy.Hear() // as the node's own command does
-		cfg, err := proxy.Load(os.Getenv("PROXY_CONFIG"), os.Getenv)
+		proxy.CatchSignals() // as the node's own command does
+		cfg, err := proxy.LoadConfig(os.Getenv("PROXY_CONFIG"), os.Getenv)
 		if err != nil {
 			os.Exit(2)
 		}
-		cfg.Disk = Disk(os.Getenv)
-		cfg.Module, _ = baseline.Find(os.Getenv(policyVar))
+		cfg.Filesystem = Disk(os.Getenv)
+		cfg.NewPolicy, _ = baseline.Find(os.Getenv(policyVar))
 		_, cfg.Unguarded = baseline.Broken[os.Getenv(policyVar)]
 		cfg.Deaf = baseline.Broken[os.Getenv(policyVar)] == "leavers"
 		cfg.Hoards = baseline.Broken[os.Getenv(policyVar)] == "closing"
-		os.Exit(proxy.Process(cfg, os.Stderr, zerolog.InfoLevel))
+		os.Exit(proxy.RunProcess(cfg, os.Stderr, zerolog.InfoLevel))
 	}
 	goleak.VerifyTestMain(m)
 }
--- a/internal/testbed/lists.go
+++ b/internal/testbed/lists.go
@@ -27,11 +27,11 @@
 
 // age makes what a node has kept look older than it is, by a generation that says so.
 func (w *world) age(n int) error {
-	by := w.Scenario.Lists.Age.D().Milliseconds()
+	by := w.Scenario.Lists.Age.Std().Milliseconds()
 	if w.Scenario.Lists.Start != "kept" || by == 0 {
 		return nil
 	}
-	store, err := snapshot.Open(w.nodes[n].lists(), 3, wal.OS{})
+	store, err := snapshot.Open(w.nodes[n].lists(), 3, wal.OSFileSystem{})
 	if err != nil {
 		return err
 	}
@@ -39,11 +39,11 @@
 	if err != nil || s == nil {
 		return err
 	}
-	s.Written -= by
-	s.Confirmed -= by
+	s.WrittenUnixMS -= by
+	s.ConfirmedUnixMS -= by
 	for i := range s.Servers {
-		s.Servers[i].Heard -= by
-		s.Servers[i].Ran -= min(by, s.Servers[i].Ran)
+		s.Servers[i].AnnouncedUnixMS -= by
+		s.Servers[i].ExecutedUnixMS -= min(by, s.Servers[i].ExecutedUnixMS)
 	}
 	return store.Write(s)
 }
--- a/internal/testbed/load/client.go
+++ b/internal/testbed/load/client.go
@@ -27,13 +27,13 @@
 type conn interface {
 	io.Closer
 	SetDeadline(time.Time) error
-	Quiet() bool
-	Waiting() bool
-	More() bool
-	Ask(r *message.Request, left time.Duration, from string) (whole bool, err error)
-	Reply(r *message.Response) error
-	Reusable(r *message.Response) bool
-	Trim()
+	IsIdle() bool
+	HasUnread() bool
+	HasMore() bool
+	SendRequest(r *message.Request, left time.Duration, from string) (whole bool, err error)
+	ReceiveResponse(r *message.Response) error
+	IsReusable(r *message.Response) bool
+	ReleaseBuffers()
 }
 
 // Door deals out connections, as the front before the nodes does.
@@ -230,7 +230,7 @@
 		}
 		g.watch.Sending(t)
 		k.heard.any = false
-		whole, err := k.conn.Ask(r.message(t.ID), left, "127.0.0.1")
+		whole, err := k.conn.SendRequest(r.message(t.ID), left, "127.0.0.1")
 		asked := time.Now()
 		if whole {
 			t.Sent = time.Since(g.start)
@@ -257,7 +257,7 @@
 		if k, old = g.pools[site].take(); !old {
 			break
 		}
-		if k.conn.Quiet() {
+		if k.conn.IsIdle() {
 			return k, true, true
 		}
 		g.dropStale(k)
@@ -282,7 +282,7 @@
 // answer reads the answer to a try and puts the connection by.
 func (g *Generator) answer(k kept, t *Try, pool *pool) error {
 	var resp message.Response
-	if err := k.conn.Reply(&resp); err != nil {
+	if err := k.conn.ReceiveResponse(&resp); err != nil {
 		return err
 	}
 	t.Ended = time.Since(g.start)
@@ -293,9 +293,9 @@
 	if resp.Status == 200 && g.Checked {
 		t.Foreign = !bytes.HasPrefix(resp.Body, AppendID(nil, t.ID))
 	}
-	t.Extra = k.conn.More()
-	again := k.conn.Reusable(&resp)
-	if k.conn.Trim(); !again || t.Extra {
+	t.Extra = k.conn.HasMore()
+	again := k.conn.IsReusable(&resp)
+	if k.conn.ReleaseBuffers(); !again || t.Extra {
 		k.conn.Close()
 		return nil
 	}
@@ -307,7 +307,7 @@
 // dropStale closes a connection that stood idle and is no longer quiet. Bytes on it are a second answer to its last
 // request.
 func (g *Generator) dropStale(k kept) {
-	if k.conn.Waiting() {
+	if k.conn.HasUnread() {
 		g.watch.Extra(k.way)
 	}
 	k.conn.Close()
@@ -335,7 +335,7 @@
 		}
 		h := &heard{TCPConn: nc.(*net.TCPConn)}
 		if g.FastCGI {
-			return kept{conn: fastcgi.NewBack(h, nil, nil), heard: h, way: way, since: since}, true
+			return kept{conn: fastcgi.NewServerConn(h, nil, nil), heard: h, way: way, since: since}, true
 		}
 		return kept{conn: http1.NewConn(h), heard: h, way: way, since: since}, true
 	}
--- a/internal/testbed/load/generator.go
+++ b/internal/testbed/load/generator.go
@@ -184,7 +184,7 @@
 	var t Try
 	for n := 0; ; n++ {
 		t = Try{ID: ID(i, n), Op: i, Number: n}
-		g.do(ctx, o.Site, &r, &t, s.Rules.Slack.D())
+		g.do(ctx, o.Site, &r, &t, s.Rules.Slack.Std())
 		g.watch.Ended(&t)
 		g.tried(&t)
 		denied := t.End == Answered && (t.Status == 429 || t.Status == 503) || t.End == Unsent
@@ -192,7 +192,7 @@
 		if handled || o.Leaves || n >= s.Clients.Retries || !denied && kind.Repeat == "binding" || ctx.Err() != nil {
 			break
 		}
-		wait := s.Clients.Backoff.D()
+		wait := s.Clients.Backoff.Std()
 		if s.Clients.Exponent {
 			wait <<= n
 		}
--- a/internal/testbed/load/result.go
+++ b/internal/testbed/load/result.go
@@ -127,7 +127,7 @@
 	case t.End == Answered && t.Status == 200:
 		r.Outcomes[Handled]++
 		timed = true
-		if latency <= r.scenario.Types[o.Type].Target.D() {
+		if latency <= r.scenario.Types[o.Type].Target.Std() {
 			r.Outcomes[InTarget]++
 			gained = worth
 		}
--- a/internal/testbed/load/schedule.go
+++ b/internal/testbed/load/schedule.go
@@ -70,7 +70,7 @@
 		o.Key = popular.draw()
 		chance := hot.Float64() // drawn always, so that a fault moves nothing else
 		for _, f := range s.Faults {
-			if f.Kind == "hot-key" && o.At >= f.At.D() && o.At < f.End() && chance < f.Share {
+			if f.Kind == "hot-key" && o.At >= f.At.Std() && o.At < f.End() && chance < f.Share {
 				o.Key = s.Load.Keys + 1
 			}
 		}
@@ -94,7 +94,7 @@
 func arrive(s *scenario.Scenario) []Operation {
 	var ops []Operation
 	r := stream(s, arrivals)
-	steps := int(s.Length.D() / grid)
+	steps := int(s.Length.Std() / grid)
 	sum, next := 0.0, 0.0
 	if s.Load.Shape != "constant" {
 		next = r.ExpFloat64()
@@ -118,7 +118,7 @@
 // Rate is how many operations a second the scenario wants at a moment.
 func Rate(s *scenario.Scenario, at time.Duration) float64 {
 	rate, swing := s.Load.Rate, s.Load.Swing
-	period := max(s.Load.Period.D(), grid)
+	period := max(s.Load.Period.Std(), grid)
 	switch s.Load.Shape {
 	case "bursts":
 		if at%period < period/2 {
@@ -127,12 +127,12 @@
 			rate *= 1 - swing
 		}
 	case "ramp":
-		rate *= 1 + swing*(2*at.Seconds()/s.Length.D().Seconds()-1)
+		rate *= 1 + swing*(2*at.Seconds()/s.Length.Std().Seconds()-1)
 	case "wave":
 		rate *= 1 + swing*math.Sin(2*math.Pi*at.Seconds()/period.Seconds())
 	}
 	for _, f := range s.Faults {
-		if at < f.At.D() {
+		if at < f.At.Std() {
 			continue
 		}
 		switch f.Kind {
@@ -141,7 +141,7 @@
 				rate *= f.Size
 			}
 		case "shrink": // falls evenly, and stays
-			gone := min((at-f.At.D()).Seconds()/f.For.D().Seconds(), 1)
+			gone := min((at-f.At.Std()).Seconds()/f.For.Std().Seconds(), 1)
 			rate *= 1 - (1-f.Size)*gone
 		}
 	}
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -179,7 +179,7 @@
 	}
 }
 
-func ms(d scenario.Span) float64 { return float64(d.D()) / float64(time.Millisecond) }
+func ms(d scenario.Span) float64 { return float64(d.Std()) / float64(time.Millisecond) }
 
 type object = map[string]any
 
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -33,14 +33,14 @@
 const never = time.Duration(1<<62 - 1)
 
 func newObserver(s *scenario.Scenario, ops []load.Operation, start time.Time) *observer {
-	f := audit.Figures{DrainGrace: s.Rules.DrainGrace.D(), Slack: s.Rules.Slack.D(), MostAttempts: s.Rules.MostHops, Copies: s.Rules.Copies,
-		Closes: s.Rules.DrainClose > 0, DrainClose: s.Rules.DrainClose.D()}
+	f := audit.Figures{DrainGrace: s.Rules.DrainGrace.Std(), Slack: s.Rules.Slack.Std(), MostAttempts: s.Rules.MostHops, Copies: s.Rules.Copies,
+		Closes: s.Rules.DrainClose > 0, DrainClose: s.Rules.DrainClose.Std()}
 	for _, t := range s.Types {
 		var sites []int
 		for _, site := range t.OnlySites {
 			sites = append(sites, slices.Index(s.Sites, site))
 		}
-		f.Types = append(f.Types, audit.Type{Name: t.Name, Window: t.Window.D(), Sites: sites, Kinds: t.OnlyKinds,
+		f.Types = append(f.Types, audit.Type{Name: t.Name, Window: t.Window.Std(), Sites: sites, Kinds: t.OnlyKinds,
 			Repeat: map[string]audit.Repeat{"fingerprinted": audit.Fingerprinted, "binding": audit.Binding}[t.Repeat],
 			Group:  map[string]audit.Group{"zone": audit.Zone, "cell": audit.Cell}[t.Group]})
 	}
@@ -174,7 +174,7 @@
 	o.record(func(a *audit.Audit, _ time.Duration) {
 		for _, l := range told {
 			if b, ok := o.boxes[l.ID]; ok {
-				a.Told(node, b, lives[l.Condition], l.Up, at.Sub(o.start))
+				a.Told(node, b, lives[l.Condition], l.StartedUnixMS, at.Sub(o.start))
 			}
 		}
 	})
--- a/internal/testbed/planner.go
+++ b/internal/testbed/planner.go
@@ -43,7 +43,7 @@
 		p := &process{kind: "planner-", number: n, command: w.Planner, env: w.Env, dir: w.Keep}
 		w.planners = append(w.planners, p)
 		text := fmt.Sprintf("name = \"p%d\"\nlisten = %q\ndiscovery = %q\nevery = %q\nplaintext = true\n",
-			n, w.plannerAddress(n), w.discoveryAddress(s.Nodes.Count+n, 0), s.Planners.Every.D())
+			n, w.plannerAddress(n), w.discoveryAddress(s.Nodes.Count+n, 0), s.Planners.Every.Std())
 		if err := os.WriteFile(p.plan(), []byte(text), 0o644); err != nil {
 			return err
 		}
@@ -100,7 +100,7 @@
 	return func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		for _, n := range w.chosenPlanners(f) {
 			begin(w, f, n)
-			w.after(f.For.D(), func() { end(w, f, n) })
+			w.after(f.For.Std(), func() { end(w, f, n) })
 		}
 	}
 }
--- a/internal/testbed/registry.go
+++ b/internal/testbed/registry.go
@@ -45,7 +45,7 @@
 			w.ensemble = append(w.ensemble, server)
 			addresses = append(addresses, fmt.Sprintf("%q", server.Address()))
 		}
-		text := fmt.Sprintf("servers = [%s]\npath = %q\nsession = %q\n", strings.Join(addresses, ", "), w.registryPath(n%len(s.Sites)), s.Registry.Session.D())
+		text := fmt.Sprintf("servers = [%s]\npath = %q\nsession = %q\n", strings.Join(addresses, ", "), w.registryPath(n%len(s.Sites)), s.Registry.Session.Std())
 		if err := os.WriteFile(p.registry(), []byte(text), 0o644); err != nil {
 			return err
 		}
@@ -78,7 +78,7 @@
 	for site := range w.Scenario.Sites {
 		nodes[path.Join(w.registryPath(site), m.Name)] = w.data(m, site, "ALIVE")
 	}
-	m.owned = w.registry.Own(w.Scenario.Registry.Session.D(), nodes)
+	m.owned = w.registry.Own(w.Scenario.Registry.Session.Std(), nodes)
 }
 
 // register has the registry learn of what befalls a box, as announce has discovery.
@@ -157,7 +157,7 @@
 		for _, s := range w.ensemble {
 			begin(w, f, s)
 		}
-		w.after(f.For.D(), func() {
+		w.after(f.For.Std(), func() {
 			for _, s := range w.ensemble {
 				end(w, f, s)
 			}
@@ -176,8 +176,8 @@
 			nodes[path.Join(w.registryPath(site), name)] = data
 		}
 	}
-	own := w.registry.Own(w.Scenario.Registry.Session.D(), nodes)
-	w.after(f.For.D(), own.End)
+	own := w.registry.Own(w.Scenario.Registry.Session.Std(), nodes)
+	w.after(f.For.Std(), own.End)
 }
 
 // flap ends the sessions of a share of the boxes and has them register anew after a while, alive all along.
@@ -191,6 +191,6 @@
 			}
 		}
 		again(func() { m.owned.End() })
-		w.after(f.For.D(), func() { again(func() { w.enrol(m, m.up) }) })
+		w.after(f.For.Std(), func() { again(func() { w.enrol(m, m.up) }) })
 	}
 }
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -131,7 +131,7 @@
 			quantile(p.Latency, 50), quantile(p.Latency, 99)})
 	}
 	for _, f := range s.Faults {
-		r.Faults = append(r.Faults, Fault{f.Kind, f.At.D().Seconds(), f.End().Seconds()})
+		r.Faults = append(r.Faults, Fault{f.Kind, f.At.Std().Seconds(), f.End().Seconds()})
 	}
 	if s.Journal.Promise != "" {
 		r.Journal = &o.Journal
--- a/internal/testbed/scale/change_test.go
+++ b/internal/testbed/scale/change_test.go
@@ -39,13 +39,13 @@
 	defer source.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	w := watch.Watcher{Place: watch.NewPlace(parsed(l.discoveryAddress(discoveryPort))), Whole: true}
+	w := watch.Watcher{Target: watch.NewTarget(parsed(l.discoveryAddress(discoveryPort))), WantsFullList: true}
 	defer w.Close()
-	list, err := w.Call(ctx)
+	list, err := w.Poll(ctx)
 	if err != nil || len(list.Hosts) != servers {
 		t.Fatalf("%d servers, %v", len(list.Hosts), err)
 	}
-	w.Whole, w.Revision = false, list.Revision
+	w.WantsFullList, w.Revision = false, list.Revision
 	m := newMeter(l.Net)
 	if err := m.read(nobodyElse); err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 	if _, err := source.Change(0, true); err != nil {
 		t.Fatal(err)
 	}
-	list, err = w.Call(ctx)
+	list, err = w.Poll(ctx)
 	if err := errors.Join(err, m.read(nobodyElse)); err != nil {
 		t.Fatal(err)
 	}
@@ -76,21 +76,21 @@
 	for _, servers := range []int{50, 2000} {
 		l := layoutOf(t, servers)
 		r := newRecorder(l)
-		s := settings.Settings{Settings: policy.Settings{Nodes: 1, MostHops: 1, Types: []policy.TrafficType{{TargetTime: time.Second, AbandonTime: time.Second}}}, TypeNames: []string{"a"}}
-		f := dispatch.New(s, 1, dispatch.Limits{MemoryMB: 128, Sockets: 256}, r.observe(0, engine.Policy))
+		s := settings.Settings{Settings: policy.Settings{NodeCount: 1, MaxAttempts: 1, TrafficTypes: []policy.TrafficType{{LatencyObjective: time.Second, ClientTimeout: time.Second}}}, TypeNames: []string{"a"}}
+		f := dispatch.New(s, 1, dispatch.Limits{MemoryMB: 128, Sockets: 256}, r.observe(0, engine.NewPolicy))
 		defer f.Stop()
-		all := http1.List{Revision: 1, Complete: true}
+		all := http1.EndpointList{Revision: 1, Complete: true}
 		for i := range servers {
-			all.Hosts = append(all.Hosts, http1.Host{ID: serverID(1, i), Address: parsed(l.address(0, 1, 1024+i)), Size: 1})
+			all.Hosts = append(all.Hosts, http1.Endpoint{ID: serverID(1, i), Address: parsed(l.address(0, 1, 1024+i)), Size: 1})
 		}
-		f.Listed(all, endpoints.Discovery)
+		f.ApplyList(all, endpoints.SourceDiscovery)
 		records, whole := r.take()
 		if whole.Elements != servers || len(records) == 0 || records[0].Kind != wholeTaken {
 			t.Fatalf("%d servers: handed %+v", servers, whole)
 		}
 		drained := all.Hosts[0]
 		drained.Phase = http1.Draining
-		f.Listed(http1.List{Revision: 2, Hosts: []http1.Host{drained}}, endpoints.Discovery)
+		f.ApplyList(http1.EndpointList{Revision: 2, Hosts: []http1.Endpoint{drained}}, endpoints.SourceDiscovery)
 		records, after := r.take()
 		if n := after.Elements - whole.Elements; n != 1 {
 			t.Errorf("%d servers: %d lines for one change", servers, n)
--- a/internal/testbed/scale/component/files.go
+++ b/internal/testbed/scale/component/files.go
@@ -44,7 +44,7 @@
 	return b.Bytes()
 }
 
-func routesOf(n int) (*route.Set, error) {
+func routesOf(n int) (*route.Table, error) {
 	s, err := decoded(4)
 	if err != nil {
 		return nil, err
@@ -59,7 +59,7 @@
 		return plan.Report{}, err
 	}
 	defer f.Stop()
-	f.Digest()
+	f.EnableReports()
 	return f.Report(), nil
 }
 
@@ -76,7 +76,7 @@
 		{Series{Name: "routes-memory", About: "what is made of it", By: "routes", Unit: "B"}, routes, func(n int) (float64, error) {
 			var err error
 			bytes := held(func() any {
-				var s *route.Set
+				var s *route.Table
 				s, err = routesOf(n)
 				return s
 			})
--- a/internal/testbed/scale/component/lists.go
+++ b/internal/testbed/scale/component/lists.go
@@ -40,27 +40,27 @@
 	return s.List(0)
 }
 
-func list(servers int) http1.List {
-	l, err := http1.ParseList(text(servers))
+func list(servers int) http1.EndpointList {
+	l, err := http1.ParseEndpointList(text(servers))
 	if err != nil {
 		panic(err) // the stand-in's own form
 	}
 	return l
 }
 
-func newFleet(tenants int) (*dispatch.Fleet, error) {
+func newFleet(tenants int) (*dispatch.Dispatcher, error) {
 	s, err := decoded(tenants)
 	if err != nil {
 		return nil, err
 	}
-	return dispatch.New(s, 1, dispatch.Limits{MemoryMB: 128, Sockets: 256}, engine.Policy), nil
+	return dispatch.New(s, 1, dispatch.Limits{MemoryMB: 128, Sockets: 256}, engine.NewPolicy), nil
 }
 
 // filled is a node's fleet that knows so many servers.
-func filled(l http1.List) (*dispatch.Fleet, error) {
+func filled(l http1.EndpointList) (*dispatch.Dispatcher, error) {
 	f, err := newFleet(4)
 	if err == nil {
-		f.Listed(l, endpoints.Discovery)
+		f.ApplyList(l, endpoints.SourceDiscovery)
 	}
 	return f, err
 }
@@ -72,7 +72,7 @@
 			func(n int) (float64, error) { return float64(len(text(n))), nil }},
 		{Series{Name: "list-parse", About: "reading it", By: "servers", Unit: "ms"}, sizes, func(n int) (float64, error) {
 			b := text(n)
-			return timed(3, func() { http1.ParseList(b) }), nil
+			return timed(3, func() { http1.ParseEndpointList(b) }), nil
 		}},
 		{Series{Name: "list-taken", About: "a whole list into the node's book and module", By: "servers", Unit: "ms"}, doubled(2048, 262_144), func(n int) (float64, error) {
 			l := list(n)
@@ -82,7 +82,7 @@
 				if err != nil {
 					return 0, err
 				}
-				least = min(least, timed(1, func() { f.Listed(l, endpoints.Discovery) }))
+				least = min(least, timed(1, func() { f.ApplyList(l, endpoints.SourceDiscovery) }))
 				f.Stop()
 			}
 			return least, nil
@@ -94,18 +94,18 @@
 				return 0, err
 			}
 			defer f.Stop()
-			one := http1.List{Revision: l.Revision + 1, Hosts: append([]http1.Host(nil), l.Hosts[0])}
+			one := http1.EndpointList{Revision: l.Revision + 1, Hosts: append([]http1.Endpoint(nil), l.Hosts[0])}
 			const rounds = 500
 			return timed(3, func() {
 				for i := range rounds {
-					one.Hosts[0].Phase = http1.Phase(i % 2)
-					f.Listed(one, endpoints.Discovery)
+					one.Hosts[0].Phase = http1.Condition(i % 2)
+					f.ApplyList(one, endpoints.SourceDiscovery)
 				}
 			}) / rounds, nil
 		}},
 		{Series{Name: "list-memory", About: "a node's book and module of so many servers", By: "servers", Unit: "B"}, sizes, func(n int) (float64, error) {
 			l := list(n)
-			var f *dispatch.Fleet
+			var f *dispatch.Dispatcher
 			var err error
 			bytes := held(func() any {
 				f, err = filled(l)
@@ -120,8 +120,8 @@
 			func(n int) (float64, error) {
 				s := &snapshot.Snapshot{Node: "n", Deployment: "d"}
 				for _, h := range list(n).Hosts {
-					s.Servers = append(s.Servers, snapshot.Server{ID: h.ID, Up: h.UpSinceMS, Address: h.Address.String(), Zone: h.Zone, Flavor: h.Flavor,
-						Cell: h.Cell, Size: h.Size, Heard: startedAt})
+					s.Servers = append(s.Servers, snapshot.Server{ID: h.ID, StartedUnixMS: h.UpSinceMS, Address: h.Address.String(), Zone: h.Zone, MachineKind: h.Flavor,
+						Cell: h.Cell, Weight: h.Size, AnnouncedUnixMS: startedAt})
 				}
 				b, err := snapshot.Encode(s)
 				return float64(len(b)), err
--- a/internal/testbed/scale/component/parts_test.go
+++ b/internal/testbed/scale/component/parts_test.go
@@ -74,7 +74,7 @@
 // idleBytes are those of a plan after one that a node holds, with nothing new.
 func idleBytes(nodes, servers int) (float64, error) {
 	p, _ := planned(nodes, servers)
-	_, told := plan.Diff(plan.Plan{}, p.Plan(time.Second).For(nodeName(0)))
+	_, told := plan.Diff(plan.Plan{}, p.ComputePlans(time.Second).ForForwarder(nodeName(0)))
 	next := told
 	next.Number++
 	change, _ := plan.Diff(told, next)
@@ -89,17 +89,17 @@
 		return 0, err
 	}
 	defer f.Stop()
-	one, i := http1.List{Revision: l.Revision + 1, Hosts: l.Hosts[:1:1]}, 0
+	one, i := http1.EndpointList{Revision: l.Revision + 1, Hosts: l.Hosts[:1:1]}, 0
 	return testing.AllocsPerRun(100, func() {
-		one.Hosts[0].Phase = http1.Phase(i % 2)
+		one.Hosts[0].Phase = http1.Condition(i % 2)
 		i++
-		f.Listed(one, endpoints.Discovery)
+		f.ApplyList(one, endpoints.SourceDiscovery)
 	}), nil
 }
 
 func parseAllocations(servers int) (float64, error) {
 	b := text(servers)
-	return testing.AllocsPerRun(3, func() { http1.ParseList(b) }), nil
+	return testing.AllocsPerRun(3, func() { http1.ParseEndpointList(b) }), nil
 }
 
 func takeAllocations(servers int) (float64, error) {
@@ -111,7 +111,7 @@
 	defer f.Stop()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	f.Listed(l, endpoints.Discovery)
+	f.ApplyList(l, endpoints.SourceDiscovery)
 	runtime.ReadMemStats(&after)
 	return float64(after.Mallocs - before.Mallocs), nil
 }
--- a/internal/testbed/scale/component/plans.go
+++ b/internal/testbed/scale/component/plans.go
@@ -21,23 +21,23 @@
 func lives(servers int) (all []incarnation.Entry) {
 	for i := range servers {
 		e := entry(i, "")
-		all = append(all, incarnation.Entry{ID: e.ID, Up: e.UpSince.UnixMilli(), Revision: uint64(i), Address: e.Addresses[0], Zone: e.Site, Flavor: e.Flavor,
-			Cell: e.Cell, Size: 1})
+		all = append(all, incarnation.Entry{ID: e.ID, StartedUnixMS: e.UpSince.UnixMilli(), Revision: uint64(i), Address: e.Addresses[0], Zone: e.Site, MachineKind: e.Flavor,
+			Cell: e.Cell, Weight: 1})
 	}
 	return all
 }
 
 // planned is a planner that has heard a report of each of its nodes.
 func planned(nodes, servers int) (*plan.Planner, []incarnation.Entry) {
-	p, known := plan.New(plannedAt), lives(servers)
-	p.Listed(0, known, true)
+	p, known := plan.NewPlanner(plannedAt), lives(servers)
+	p.EndpointsUpdated(0, known, true)
 	for i := range nodes {
-		r := plan.Report{Sent: time.Second, Span: 500 * time.Millisecond, Types: []plan.Type{{Name: "svc0001", Target: 200 * time.Millisecond, Asked: 100}},
-			Flying: 8, Figures: plan.Figures{Nodes: nodes, ColdFor: 5 * time.Second, ColdStart: 0.3, FallMultiple: 2}}
+		r := plan.Report{SentAt: time.Second, Interval: 500 * time.Millisecond, Types: []plan.TypeReport{{Name: "svc0001", TargetTime: 200 * time.Millisecond, Requests: 100}},
+			InFlight: 8, Settings: plan.ForwarderSettings{Nodes: nodes, SlowStartDuration: 5 * time.Second, InitialCapacity: 0.3, FallMultiple: 2}}
 		for j := range usedServers {
-			r.Servers = append(r.Servers, plan.Server{ID: known[(i*usedServers+j)%servers].ID, Answered: []plan.Answered{{N: 6, Sum: 300 * time.Millisecond}}})
+			r.Servers = append(r.Servers, plan.ServerReport{ID: known[(i*usedServers+j)%servers].ID, Completions: []plan.Completions{{Count: 6, TotalLatency: 300 * time.Millisecond}}})
 		}
-		p.Reported(time.Second, nodeName(i), &r)
+		p.ReportReceived(time.Second, nodeName(i), &r)
 	}
 	return p, known
 }
@@ -45,17 +45,17 @@
 func planTime(nodes, servers int) float64 {
 	p, _ := planned(nodes, servers)
 	now := time.Second
-	p.Plan(now) // the first one gives all parts at once
+	p.ComputePlans(now) // the first one gives all parts at once
 	return timed(3, func() {
 		now += 500 * time.Millisecond
-		p.Plan(now)
+		p.ComputePlans(now)
 	})
 }
 
 // changeBytes are those of what a node is sent of the first plan, and of the next one with one changed server.
 func changeBytes(nodes, servers int) (first, next float64, err error) {
 	p, known := planned(nodes, servers)
-	change, told := plan.Diff(plan.Plan{}, p.Plan(time.Second).For(nodeName(0)))
+	change, told := plan.Diff(plan.Plan{}, p.ComputePlans(time.Second).ForForwarder(nodeName(0)))
 	frame, err := planwire.Append(nil, planwire.ChangeKind, change)
 	if err != nil {
 		return 0, 0, err
@@ -64,11 +64,11 @@
 	// One of the servers that the node has no part of: who holds parts of it is another matter than the word of it.
 	changed := known[len(known)-1]
 	changed.Condition, changed.Revision = incarnation.Draining, uint64(servers)
-	before := p.Plan(1500 * time.Millisecond).For(nodeName(0))
+	before := p.ComputePlans(1500 * time.Millisecond).ForForwarder(nodeName(0))
 	_, told = plan.Diff(told, before)
-	p.Listed(1500*time.Millisecond, []incarnation.Entry{changed}, false)
+	p.EndpointsUpdated(1500*time.Millisecond, []incarnation.Entry{changed}, false)
 	after := before
-	after.Lives = p.Plan(2 * time.Second).For(nodeName(0)).Lives
+	after.Incarnations = p.ComputePlans(2 * time.Second).ForForwarder(nodeName(0)).Incarnations
 	change, _ = plan.Diff(told, after)
 	frame, err = planwire.Append(nil, planwire.ChangeKind, change)
 	return first, float64(len(frame)), err
--- a/internal/testbed/scale/distribution.go
+++ b/internal/testbed/scale/distribution.go
@@ -103,7 +103,7 @@
 	}
 	cfg.Snapshot = nil // what the node holds of the distribution stands on its disk anyway
 	c := &client.Config{Region: fmt.Sprint("region-", l.regionOf(node)), Zone: zoneName(l, l.zone(l.workerOf(node))), Directory: dir,
-		StartWithin: tomlfile.Span(startWithin), Plaintext: true}
+		StartTimeout: tomlfile.Duration(startWithin), Plaintext: true}
 	for _, s := range l.servicesOf(node) {
 		c.Services = append(c.Services, serviceName(s))
 	}
@@ -169,9 +169,9 @@
 
 func (w *writer) server(i int, condition incarnation.Condition) (distribution.Change, error) {
 	e := (&standin{layout: w.layout}).entry(i, "")
-	v, err := value.EncodeServer(incarnation.Entry{ID: e.ID, Up: e.UpSince.UnixMilli(), Condition: condition, Address: e.Addresses[0], Zone: e.Site,
-		Flavor: e.Flavor, Cell: e.Cell, Size: 1})
-	key := distribution.Key{Service: serviceName(i % w.layout.Size.Services), Kind: distribution.Server, Name: e.ID}
+	v, err := value.EncodeServer(incarnation.Entry{ID: e.ID, StartedUnixMS: e.UpSince.UnixMilli(), Condition: condition, Address: e.Addresses[0], Zone: e.Site,
+		MachineKind: e.Flavor, Cell: e.Cell, Weight: 1})
+	key := distribution.Key{Service: serviceName(i % w.layout.Size.Services), Kind: distribution.KindServer, Name: e.ID}
 	return distribution.Change{Key: key, Value: v}, err
 }
 
--- a/internal/testbed/scale/hollow.go
+++ b/internal/testbed/scale/hollow.go
@@ -49,13 +49,13 @@
 	if l.Size.Routes > 0 {
 		env["PROXY_OPERATOR"] = l.operatorPath()
 	}
-	cfg, err := proxy.Load(l.configPath(), func(name string) string { return env[name] })
+	cfg, err := proxy.LoadConfig(l.configPath(), func(name string) string { return env[name] })
 	if err != nil {
 		return nil, err
 	}
-	cfg.Settings.Me = number
+	cfg.Settings.NodeIndex = number
 	cfg.Seed = uint32(l.Size.Seed) + uint32(number)
-	cfg.Module = r.observe(number, engine.Policy)
+	cfg.NewPolicy = r.observe(number, engine.NewPolicy)
 	// The limit that a node sets for its runtime is the process's, which all its nodes share.
 	cfg.Limits.MemoryMB *= len(l.nodesOf(l.workerOf(number)))
 	cfg.Limits.Sockets = hollowSockets
@@ -79,8 +79,8 @@
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return err
 		}
-		cfg.Snapshot = &snapshot.Config{Dir: dir, Deployment: "scale", Every: tomlfile.Span(snapshotEvery), Keep: 2, Oldest: tomlfile.Span(time.Hour)}
-		cfg.Disk = wal.OS{}
+		cfg.Snapshot = &snapshot.Config{Dir: dir, Deployment: "scale", WriteInterval: tomlfile.Duration(snapshotEvery), MaxGenerations: 2, MaxAge: tomlfile.Duration(time.Hour)}
+		cfg.Filesystem = wal.OSFileSystem{}
 	}
 	if !l.Size.Membership {
 		return nil
@@ -95,9 +95,9 @@
 		// Spread over the fleet, so that the first nodes are not asked by all.
 		first = append(first, l.nodeAddress((number+1+i*l.Size.Nodes/membersAtFirst)%l.Size.Nodes, memberPort))
 	}
-	cfg.Peers = &peer.Config{Name: cfg.Name, Listen: at, Advertise: at, ListenAt: parsed(at), Peers: first, Deployment: "scale",
-		Site: zoneName(l, l.zone(l.workerOf(number))), Machine: cfg.Name, Replicas: 1, Held: dir, HeldBytes: 16 << 20,
-		KeepFor: tomlfile.Span(time.Hour), RepairBytes: 1 << 20, SlowAfter: tomlfile.Span(50 * time.Millisecond),
-		GoneAfter: tomlfile.Span(time.Hour), Plaintext: true}
+	cfg.Peers = &peer.Config{Name: cfg.Name, Listen: at, Advertise: at, ListenAddress: parsed(at), Peers: first, Deployment: "scale",
+		Site: zoneName(l, l.zone(l.workerOf(number))), Machine: cfg.Name, Replicas: 1, ReplicaDir: dir, MaxReplicaBytes: 16 << 20,
+		RetentionAge: tomlfile.Duration(time.Hour), RepairBytesPerSecond: 1 << 20, SlowAfter: tomlfile.Duration(50 * time.Millisecond),
+		ReconcileAfter: tomlfile.Duration(time.Hour), Plaintext: true}
 	return nil
 }
--- a/internal/testbed/scale/records.go
+++ b/internal/testbed/scale/records.go
@@ -72,7 +72,7 @@
 
 // observed is the shipped module, and notes what it has taken in once it has.
 type observed struct {
-	engine.Module
+	engine.Decider
 	recorder *recorder
 	node     int
 	servers  int          // that it is to know
@@ -80,27 +80,27 @@
 	whole    bool
 }
 
-func (r *recorder) observe(number int, maker engine.Maker) engine.Maker {
-	return func(s policy.Settings, seed uint32) engine.Module {
-		return &observed{Module: maker(s, seed), recorder: r, node: number, servers: r.layout.serversOf(number), known: map[int]bool{}}
+func (r *recorder) observe(number int, maker engine.DeciderFactory) engine.DeciderFactory {
+	return func(s policy.Settings, seed uint32) engine.Decider {
+		return &observed{Decider: maker(s, seed), recorder: r, node: number, servers: r.layout.serversOf(number), known: map[int]bool{}}
 	}
 }
 
 func (o *observed) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
-	effects = o.Module.Handle(now, in, effects)
-	if in.Kind != policy.List && in.Kind != policy.Retyped && in.Kind != policy.Planned {
+	effects = o.Decider.Handle(now, in, effects)
+	if in.Kind != policy.EndpointsUpdated && in.Kind != policy.TrafficTypesChanged && in.Kind != policy.PlanChanged {
 		return effects
 	}
 	r, at := o.recorder, time.Now().UnixNano()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch in.Kind {
-	case policy.Planned:
+	case policy.PlanChanged:
 		r.counts.Plans++
-	case policy.Retyped:
+	case policy.TrafficTypesChanged:
 		r.counts.Reroutes++
 		r.records = append(r.records, record{Kind: routesTaken, Node: o.node, At: at})
-	case policy.List:
+	case policy.EndpointsUpdated:
 		o.listed(in, at)
 	}
 	return effects
@@ -108,21 +108,21 @@
 
 func (o *observed) listed(in *policy.Input, at int64) {
 	r := o.recorder
-	if in.Scope == policy.Whole {
+	if in.Scope == policy.Full {
 		clear(o.known) // whom it does not name has gone
 	}
-	for _, m := range in.Members {
-		if m.Condition == policy.Gone {
+	for _, m := range in.Endpoints {
+		if m.Condition == policy.Removed {
 			delete(o.known, m.Server)
 		} else {
 			o.known[m.Server] = true
 		}
 	}
-	if in.Scope == policy.Saved || in.Scope == policy.Unavailable {
+	if in.Scope == policy.Cached || in.Scope == policy.Unavailable {
 		return
 	}
 	r.counts.Lists++
-	r.counts.Elements += len(in.Members)
+	r.counts.Elements += len(in.Endpoints)
 	if whole := len(o.known) >= o.servers; whole != o.whole {
 		o.whole = whole
 		kind := wholeTaken
@@ -131,7 +131,7 @@
 		}
 		r.records = append(r.records, record{Kind: kind, Node: o.node, At: at})
 	}
-	for _, m := range in.Members {
+	for _, m := range in.Endpoints {
 		if marker, ok := r.markers[m.Rank]; ok {
 			r.records = append(r.records, record{Kind: markerTaken, Node: o.node, Marker: marker, Draining: m.Condition == policy.Draining, At: at})
 		}
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -51,7 +51,7 @@
 	if s.Name == "" {
 		c.Wrong("name", "the scenario has no name")
 	}
-	c.within("length", s.Length.D().Seconds(), 0.1, mostLength.Seconds())
+	c.within("length", s.Length.Std().Seconds(), 0.1, mostLength.Seconds())
 	s.checkNodes(c)
 	s.checkLoad(c)
 	if len(s.Sites) == 0 || len(s.Sites) > 16 {
@@ -89,7 +89,7 @@
 	c.within("clients.leaves", s.Clients.Leaves, 0, 1)
 	c.within("clients.leaves_at", s.Clients.LeavesAt, 0.001, 1)
 	c.within("clients.retries", float64(s.Clients.Retries), 0, 10)
-	c.within("rules.drain_close", s.Rules.DrainClose.D().Seconds(), 0, mostLength.Seconds())
+	c.within("rules.drain_close", s.Rules.DrainClose.Std().Seconds(), 0, mostLength.Seconds())
 	c.within("rules.most_hops", float64(s.Rules.MostHops), 1, 16)
 }
 
@@ -150,7 +150,7 @@
 		c.within(key+".key_gain", b.KeyGain, 0, 0.95)
 		c.within(key+".error_rate", b.ErrorRate, 0, 1)
 		if b.PauseEvery > 0 && b.PauseFor >= b.PauseEvery {
-			c.Wrong(key+".pause_for", "a pause of %s every %s leaves no time to work", b.PauseFor.D(), b.PauseEvery.D())
+			c.Wrong(key+".pause_for", "a pause of %s every %s leaves no time to work", b.PauseFor.Std(), b.PauseEvery.Std())
 		}
 		if b.Kind == "" || slices.ContainsFunc(s.Boxes[:i], func(o Boxes) bool { return o.Kind == b.Kind }) {
 			c.Wrong(key+".kind", "each kind of boxes needs a name of its own")
--- a/internal/testbed/scenario/faults.go
+++ b/internal/testbed/scenario/faults.go
@@ -102,7 +102,7 @@
 		return
 	}
 	if x.At < 0 || x.At >= s.Length {
-		c.Wrong(key+".at", "at %s, but the scenario lasts %s", x.At.D(), s.Length.D())
+		c.Wrong(key+".at", "at %s, but the scenario lasts %s", x.At.Std(), s.Length.Std())
 	}
 	if k.lasts && x.For <= 0 {
 		c.Wrong(key+".for", "a fault %q must last for some time", x.Kind)
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -10,7 +10,7 @@
 )
 
 // Span is a duration as files write it.
-type Span = tomlfile.Span
+type Span = tomlfile.Duration
 
 // Scenario is one file.
 type Scenario struct {
@@ -215,7 +215,7 @@
 var Steps = []string{"beat", "news", "ask", "tell", "offer", "have", "batch", "ack"}
 
 // End is when the fault is over.
-func (f Fault) End() time.Duration { return f.At.D() + f.For.D() }
+func (f Fault) End() time.Duration { return f.At.Std() + f.For.Std() }
 
 // Scale makes the scenario so many times as long, with its faults at the same parts of it.
 func (s *Scenario) Scale(by float64) {
--- a/internal/testbed/standin/discovery/discovery.go
+++ b/internal/testbed/standin/discovery/discovery.go
@@ -268,7 +268,7 @@
 		case <-deadline.C:
 			return true
 		}
-		if !c.Quiet() {
+		if !c.IsIdle() {
 			return false
 		}
 	}
--- a/internal/testbed/standin/discovery/discovery_test.go
+++ b/internal/testbed/standin/discovery/discovery_test.go
@@ -47,14 +47,14 @@
 	return http1.NewConn(c)
 }
 
-func call(c *http1.Conn, query string) (http1.List, int, error) {
+func call(c *http1.Conn, query string) (http1.EndpointList, int, error) {
 	c.SetDeadline(time.Now().Add(5 * time.Second))
 	fmt.Fprintf(c, "GET /discovery/hosts%s HTTP/1.1\r\nHost: h\r\n\r\n", query)
 	var r http1.Response
 	if err := c.ReadResponse(&r, 1<<20); err != nil {
-		return http1.List{}, 0, err
+		return http1.EndpointList{}, 0, err
 	}
-	l, _ := http1.ParseList(r.Body)
+	l, _ := http1.ParseEndpointList(r.Body)
 	return l, r.Status, nil
 }
 
--- a/internal/testbed/standin/memdisk/disk.go
+++ b/internal/testbed/standin/memdisk/disk.go
@@ -109,12 +109,12 @@
 }
 
 // List tells of all files.
-func (d *Disk) List(dir string) (all []wal.Info, err error) {
+func (d *Disk) List(dir string) (all []wal.FileInfo, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for path, f := range d.files {
 		if strings.HasPrefix(path, dir) {
-			all = append(all, wal.Info{Name: filepath.Base(path), Size: int64(len(f.text)), Changed: time.Now()})
+			all = append(all, wal.FileInfo{Name: filepath.Base(path), Size: int64(len(f.text)), ModTime: time.Now()})
 		}
 	}
 	return all, nil
@@ -228,7 +228,7 @@
 
 // Slowed is the system's disk, on which each write takes as long as told when it begins, or fails.
 type Slowed struct {
-	wal.OS
+	wal.OSFileSystem
 	Takes func() time.Duration
 	Full  func() bool
 }
@@ -238,7 +238,7 @@
 	if s.Full() {
 		return nil, ErrDisk
 	}
-	f, err := s.OS.Create(path)
+	f, err := s.OSFileSystem.Create(path)
 	return slow{f, s}, err
 }
 
--- a/internal/testbed/standin/plannerproxy/relay.go
+++ b/internal/testbed/standin/plannerproxy/relay.go
@@ -150,12 +150,12 @@
 			r.bytes += len(body)
 			r.mu.Unlock()
 			var c plan.Change
-			if k != planwire.ChangeKind || planwire.Decode(body, &c) != nil || len(c.Lives) == 0 {
+			if k != planwire.ChangeKind || planwire.Decode(body, &c) != nil || len(c.Incarnations) == 0 {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			r.watch.Planned(name, c.Lives, time.Now())
+			r.watch.Planned(name, c.Incarnations, time.Now())
 		})
 		down.Close()
 		up.Close()
--- a/internal/testbed/standin/server/peer.go
+++ b/internal/testbed/standin/server/peer.go
@@ -33,7 +33,7 @@
 func (p httpPeer) encode(a message.Answer) []byte { return http1.AppendAnswer(nil, a) }
 func (p httpPeer) raw(b []byte)                   { p.c.Write(b) }
 func (p httpPeer) look(until time.Time)           { p.c.SetReadDeadline(until) }
-func (p httpPeer) gone() bool                     { return p.c.Gone() }
+func (p httpPeer) gone() bool                     { return p.c.WaitDisconnected() }
 func (p httpPeer) reset()                         { p.nc.Reset() }
 
 func (p httpPeer) answer(a message.Answer) bool {
@@ -55,8 +55,8 @@
 
 type cgiPeer struct {
 	nc *link.Conn
-	f  *fastcgi.Front
-	c  *fastcgi.Call
+	f  *fastcgi.ClientConn
+	c  *fastcgi.Request
 }
 
 func (p cgiPeer) encode(a message.Answer) []byte { return p.c.Append(nil, a) }
@@ -95,13 +95,13 @@
 	return k.nc.SetReadDeadline(time.Now().Add(idleMost))
 }
 
-func (cgiKeeper) Begun(bool) connclose.Effect { return connclose.Take }
+func (cgiKeeper) Begun(bool) connclose.Effect { return connclose.Admit }
 func (cgiKeeper) Refused()                    {}
 func (cgiKeeper) Failed()                     {}
 
 // leadCGI is the life of one connection that speaks FastCGI; its caller asks one request at a time.
 func (b *Box) leadCGI(nc *link.Conn, way time.Duration, full bool) {
-	f := fastcgi.NewFront(nc, nil)
+	f := fastcgi.NewClientConn(nc, nil)
 	defer f.Hangup()
 	last := uint64(0) // request on it
 	for fresh := true; ; fresh = false {
--- a/internal/testbed/standin/server/request.go
+++ b/internal/testbed/standin/server/request.go
@@ -34,7 +34,7 @@
 	for fresh := true; ; fresh = false {
 		c.SetReadDeadline(time.Now().Add(idleMost))
 		idle := b.now()
-		err := c.Await()
+		err := c.AwaitMessage()
 		b.idle(last, idle)
 		if err != nil {
 			return
--- a/internal/testbed/tier.go
+++ b/internal/testbed/tier.go
@@ -82,7 +82,7 @@
 			seeds = append(seeds, fmt.Sprintf("%q", w.peerPlace((n+i*i)%len(w.nodes))))
 		}
 		text := fmt.Sprintf("listen = %q\nadvertise = %q\npeers = [%s]\ndeployment = \"lab\"\nsite = %q\nmachine = \"m%d\"\nreplicas = %d\nheld = %q\nslow_after = %q\nrepair_bytes = %d\nplaintext = true\n",
-			w.peerListen(n), w.peerPlace(n), strings.Join(seeds, ", "), s.Sites[n%len(s.Sites)], n, s.Peers.Replicas, p.held(), s.Peers.SlowAfter.D(), s.Peers.RepairBytes)
+			w.peerListen(n), w.peerPlace(n), strings.Join(seeds, ", "), s.Sites[n%len(s.Sites)], n, s.Peers.Replicas, p.held(), s.Peers.SlowAfter.Std(), s.Peers.RepairBytes)
 		if err := os.WriteFile(p.peers(), []byte(text), 0o644); err != nil {
 			return err
 		}
@@ -117,7 +117,7 @@
 func (w *world) step(f *scenario.Fault, do func()) {
 	w.steps.mu.Lock()
 	defer w.steps.mu.Unlock()
-	w.steps.wait = append(w.steps.wait, &waiting{peer.Step(f.When), f.Nodes[0], f.Nth, do})
+	w.steps.wait = append(w.steps.wait, &waiting{peer.FrameKindByName(f.When), f.Nodes[0], f.Nth, do})
 }
 
 // links changes what befalls the links between nodes and all others, for a while.
@@ -143,7 +143,7 @@
 
 func linkFault(out, in bool, change func(*mesh.Way, float64)) func(*world, context.Context, *scenario.Fault, *rand.Rand) {
 	return func(w *world, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
-		w.links(w.chosenNodes(f, chance), f.For.D(), out, in, func(way *mesh.Way) { change(way, f.Size) })
+		w.links(w.chosenNodes(f, chance), f.For.Std(), out, in, func(way *mesh.Way) { change(way, f.Size) })
 	}
 }
 
@@ -159,7 +159,7 @@
 func (w *world) kill(n int) {
 	w.observer.nodeDown(n, true)
 	w.nodes[n].end(syscall.SIGKILL)
-	w.front.Ended(n, w.Scenario.Nodes.Notice.D())
+	w.front.Ended(n, w.Scenario.Nodes.Notice.Std())
 	w.configure(n)
 }
 
@@ -202,7 +202,7 @@
 // pause has a node stand still for a while.
 func (w *world) pause(ctx context.Context, n int, lasts time.Duration) {
 	w.observer.nodeStill(n)
-	w.front.Ended(n, w.Scenario.Nodes.Notice.D())
+	w.front.Ended(n, w.Scenario.Nodes.Notice.Std())
 	w.nodes[n].signal(syscall.SIGSTOP)
 	w.after(lasts, func() {
 		w.nodes[n].signal(syscall.SIGCONT)
@@ -217,7 +217,7 @@
 	for n := range min(len(w.nodes), seedsMost+1) {
 		cfg.Peers = append(cfg.Peers, w.peerPlace(n))
 	}
-	return peer.Ask(ctx, cfg, false)
+	return peer.Query(ctx, cfg, false)
 }
 
 // whole waits until all nodes are there and all that they hold stands as often as it should.
@@ -231,9 +231,9 @@
 	}
 	for by := time.Now().Add(wholeMost); ; {
 		c := w.ask(ctx)
-		why := c.Lacking()
-		if len(c.Asked) < len(w.nodes) {
-			why = fmt.Sprintf("%d of %d nodes answer", len(c.Asked), len(w.nodes))
+		why := c.Shortfall()
+		if len(c.Answered) < len(w.nodes) {
+			why = fmt.Sprintf("%d of %d nodes answer", len(c.Answered), len(w.nodes))
 		}
 		if why == "" || ctx.Err() != nil {
 			return ctx.Err()
@@ -253,7 +253,7 @@
 // loseAgain loses as many machines at once as there are replicas, lets them come back empty, and goes on when all is whole;
 // meanwhile other nodes are cut off, stand still or have slow disks.
 func (w *world) loseAgain(ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
-	until := time.Now().Add(f.For.D() - restLosses)
+	until := time.Now().Add(f.For.Std() - restLosses)
 	w.wg.Go(func() {
 		for time.Now().Before(until) && ctx.Err() == nil {
 			if err := w.whole(ctx); err != nil {
@@ -307,7 +307,7 @@
 
 // loseBeyond loses a node and all that hold its journal, at once. Which journals that may cost is found out before.
 func (w *world) loseBeyond(ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
-	until := time.Now().Add(f.For.D())
+	until := time.Now().Add(f.For.Std())
 	w.wg.Go(func() {
 		if err := w.whole(ctx); err != nil {
 			if !errors.Is(err, context.Canceled) {
@@ -320,9 +320,9 @@
 		if time.Now().After(until) { // the machine is slow, and the run would end within it
 			return
 		}
-		lost := c.HeldBy(fmt.Sprint("n", n))
+		lost := c.HoldersOf(fmt.Sprint("n", n))
 		for of := range w.nodes {
-			if !c.Survives(fmt.Sprint("n", of), lost) {
+			if !c.SurvivesLoss(fmt.Sprint("n", of), lost) {
 				w.losses.told[of] = true
 			}
 		}
--- a/policy/internal/failures/failures.go
+++ b/policy/internal/failures/failures.go
@@ -15,10 +15,10 @@
 
 // Entry is what a server has had of one type.
 type Entry struct {
-	Kind  int
-	Count int           // failures in a row
-	Last  time.Duration // when the last of them came
-	Until time.Duration // the server is left alone with the type until then
+	TrafficType  int
+	Consecutive  int           // failures in a row
+	LastAt       time.Duration // when the last of them came
+	EjectedUntil time.Duration // the server is left alone with the type until then
 }
 
 // Table holds the entries of all servers. The zero value is an empty table.
@@ -38,64 +38,64 @@
 // Active is the set of servers with entries or a moment that may lie ahead, for walks.
 func (t *Table) Active() *indexset.Set { return &t.active }
 
-// Len is how many entries a server has.
-func (t *Table) Len(server int) int { return len(t.entries[server]) }
+// EntryCount is how many entries a server has.
+func (t *Table) EntryCount(server int) int { return len(t.entries[server]) }
 
 // Get is a copy of a server's entry for a type, or an empty one.
 func (t *Table) Get(server, kind int) Entry {
 	for _, e := range t.entries[server] {
-		if e.Kind == kind {
+		if e.TrafficType == kind {
 			return e
 		}
 	}
-	return Entry{Kind: kind}
+	return Entry{TrafficType: kind}
 }
 
-// Of is a server's entry for a type, made if there is none, to be written to; it holds until the next call.
-func (t *Table) Of(server, kind int) *Entry {
-	i := slices.IndexFunc(t.entries[server], func(e Entry) bool { return e.Kind == kind })
+// GetOrCreate is a server's entry for a type, made if there is none, to be written to; it holds until the next call.
+func (t *Table) GetOrCreate(server, kind int) *Entry {
+	i := slices.IndexFunc(t.entries[server], func(e Entry) bool { return e.TrafficType == kind })
 	if i < 0 {
 		i = len(t.entries[server])
-		t.entries[server] = append(t.entries[server], Entry{Kind: kind})
+		t.entries[server] = append(t.entries[server], Entry{TrafficType: kind})
 		t.active.Add(server)
 	}
 	return &t.entries[server][i]
 }
 
-// Until is the moment up to which a server is left alone, with one type or AllTypes.
-func (t *Table) Until(server, kind int) time.Duration {
+// EjectedUntil is the moment up to which a server is left alone, with one type or AllTypes.
+func (t *Table) EjectedUntil(server, kind int) time.Duration {
 	if kind == AllTypes {
 		return t.until[server]
 	}
-	return t.Get(server, kind).Until
+	return t.Get(server, kind).EjectedUntil
 }
 
-// SetUntil sets that moment.
-func (t *Table) SetUntil(server, kind int, until time.Duration) {
+// SetEjectedUntil sets that moment.
+func (t *Table) SetEjectedUntil(server, kind int, until time.Duration) {
 	if kind == AllTypes {
 		t.active.Add(server)
 		t.until[server] = until
 		return
 	}
-	t.Of(server, kind).Until = until
+	t.GetOrCreate(server, kind).EjectedUntil = until
 }
 
-// ClearUntil has the moment for all types be past.
-func (t *Table) ClearUntil(server int) { t.until[server] = 0 }
+// ClearEjection has the moment for all types be past.
+func (t *Table) ClearEjection(server int) { t.until[server] = 0 }
 
-// Clear does the same and sets the failures in a row of every type to none. Moments of single types stay.
-func (t *Table) Clear(server int) {
-	t.ClearUntil(server)
+// Reset does the same and sets the failures in a row of every type to none. Moments of single types stay.
+func (t *Table) Reset(server int) {
+	t.ClearEjection(server)
 	for i := range t.entries[server] {
-		t.entries[server][i].Count = 0
+		t.entries[server][i].Consecutive = 0
 	}
 }
 
-// Succeed clears the failures in a row and the moment of one type.
-func (t *Table) Succeed(server, kind int) {
+// RecordSuccess clears the failures in a row and the moment of one type.
+func (t *Table) RecordSuccess(server, kind int) {
 	for i := range t.entries[server] {
-		if e := &t.entries[server][i]; e.Kind == kind {
-			e.Count, e.Until = 0, 0
+		if e := &t.entries[server][i]; e.TrafficType == kind {
+			e.Consecutive, e.EjectedUntil = 0, 0
 		}
 	}
 }
@@ -105,8 +105,8 @@
 	t.entries[server] = slices.DeleteFunc(t.entries[server], drop)
 }
 
-// Release takes a server without entries out of the walks.
-func (t *Table) Release(server int) {
+// Deactivate takes a server without entries out of the walks.
+func (t *Table) Deactivate(server int) {
 	t.entries[server] = nil // a clone's must not share what is left of it
 	t.active.Remove(server)
 }
--- a/policy/internal/leastsquares/leastsquares.go
+++ b/policy/internal/leastsquares/leastsquares.go
@@ -22,5 +22,5 @@
 	return Line{origin: x[0], meanX: sx / n, meanY: sy / n, Run: n*sxx - sx*sx, Rise: n*sxy - sx*sy}
 }
 
-// At is the x where a line that rises meets y.
-func (l Line) At(y float64) float64 { return l.origin + l.meanX + (y-l.meanY)*l.Run/l.Rise }
+// XAt is the x where a line that rises meets y.
+func (l Line) XAt(y float64) float64 { return l.origin + l.meanX + (y-l.meanY)*l.Run/l.Rise }
--- a/policy/internal/leastsquares/leastsquares_test.go
+++ b/policy/internal/leastsquares/leastsquares_test.go
@@ -28,7 +28,7 @@
 				return
 			}
 			n := float64(len(c.x))
-			if got := line.At(n); math.Abs(got-c.next) > 1e-9*c.next {
+			if got := line.XAt(n); math.Abs(got-c.next) > 1e-9*c.next {
 				t.Errorf("meets the next count at %g, want %g", got, c.next)
 			}
 		})
--- a/policy/internal/readiness/membership.go
+++ b/policy/internal/readiness/membership.go
@@ -61,22 +61,22 @@
 // ListedCount is how many servers are listed.
 func (t *Table) ListedCount() int { return t.listedCount }
 
-// Unlisted is the set of servers that are ready and not listed, for walks.
-func (t *Table) Unlisted() *indexset.Set { return &t.unlisted }
+// ReadyUnlisted is the set of servers that are ready and not listed, for walks.
+func (t *Table) ReadyUnlisted() *indexset.Set { return &t.unlisted }
 
-// LabelCount is how many of some labels ready servers have: each counts once for each that it has.
-func (t *Table) LabelCount(labels uint64) int { return t.labels.count(labels) }
+// ReadyWithLabels is how many of some labels ready servers have: each counts once for each that it has.
+func (t *Table) ReadyWithLabels(labels uint64) int { return t.labels.count(labels) }
 
-// PlacementCount is the same of placements.
-func (t *Table) PlacementCount(placements uint64) int { return t.placements.count(placements) }
+// ReadyWithPlacements is the same of placements.
+func (t *Table) ReadyWithPlacements(placements uint64) int { return t.placements.count(placements) }
 
 // SetReady has a server be ready or not, and tells whether it was.
 func (t *Table) SetReady(server int, ready bool) (was bool) {
 	was = t.ready[server]
 	if ready != was {
 		t.readyCount += sign(ready)
-		Count(&t.labels.ready, t.labels.words[server], sign(ready))
-		Count(&t.placements.ready, t.placements.words[server], sign(ready))
+		AddToBits(&t.labels.ready, t.labels.words[server], sign(ready))
+		AddToBits(&t.placements.ready, t.placements.words[server], sign(ready))
 	}
 	t.ready[server] = ready
 	t.unlisted.Put(server, ready && !t.listed[server])
@@ -110,8 +110,8 @@
 
 func (c *counted) set(server int, word uint64, ready bool) {
 	if ready {
-		Count(&c.ready, c.words[server], -1)
-		Count(&c.ready, word, 1)
+		AddToBits(&c.ready, c.words[server], -1)
+		AddToBits(&c.ready, word, 1)
 	}
 	c.words[server] = word
 }
@@ -123,8 +123,8 @@
 	return count
 }
 
-// Count changes the counts of a word's bits.
-func Count(counts *[wordBits]int, word uint64, change int) {
+// AddToBits changes the counts of a word's bits.
+func AddToBits(counts *[wordBits]int, word uint64, change int) {
 	for ; word != 0; word &= word - 1 {
 		counts[bits.TrailingZeros64(word)] += change
 	}
@@ -137,8 +137,8 @@
 	return -1
 }
 
-// BeginList starts the next list: WasListed tells of the moment before it.
-func (t *Table) BeginList() { t.lists++ }
+// BeginUpdate starts the next list: WasListed tells of the moment before it.
+func (t *Table) BeginUpdate() { t.lists++ }
 
 // UnlistAll has no server be listed.
 func (t *Table) UnlistAll() {
--- a/policy/internal/readiness/membership_test.go
+++ b/policy/internal/readiness/membership_test.go
@@ -45,7 +45,7 @@
 		t.Fatalf("%d servers, %d ready, %d listed, labels %v, open %v; want %d, %d, %d, %v, %v", table.Len(), table.ReadyCount(),
 			table.ListedCount(), table.labels.ready, table.placements.ready, len(model), ready, listed, labelled, open)
 	}
-	if got := slices.Collect(table.Unlisted().All()); !slices.Equal(got, unlisted) {
+	if got := slices.Collect(table.ReadyUnlisted().All()); !slices.Equal(got, unlisted) {
 		t.Fatalf("ready and not listed: %v, want %v", got, unlisted)
 	}
 }
@@ -82,7 +82,7 @@
 				model[s].met = rapid.SampledFrom([]uint64{0, 1, 1<<63 | 6, 4}).Draw(t, "placements")
 				table.SetPlacements(s, model[s].met)
 			default:
-				table.BeginList()
+				table.BeginUpdate()
 				table.UnlistAll()
 				for i := range model {
 					model[i].listed = false
@@ -102,7 +102,7 @@
 		table.SetLabels(s, labels)
 	}
 	for labels, want := range map[uint64]int{0: 0, 1: 2, 2: 2, 3: 4, 8: 0, 9: 2} {
-		if got := table.LabelCount(labels); got != want {
+		if got := table.ReadyWithLabels(labels); got != want {
 			t.Errorf("of labels %b: %d, want %d", labels, got, want)
 		}
 	}
@@ -128,7 +128,7 @@
 			var table Table
 			table.Add(0)
 			table.SetListed(0, c.before)
-			table.BeginList()
+			table.BeginUpdate()
 			if !c.first && table.WasListed(0) != c.before {
 				t.Errorf("as the list begins: %v", !c.before)
 			}
@@ -136,7 +136,7 @@
 				t.Errorf("%v, want %v", table.WasListed(0), c.want)
 			}
 			listed := table.Listed(0)
-			if table.BeginList(); table.WasListed(0) != listed || table.WasListed(1) {
+			if table.BeginUpdate(); table.WasListed(0) != listed || table.WasListed(1) {
 				t.Errorf("in the next list: %v, want %v", table.WasListed(0), listed)
 			}
 		})
--- a/policy/internal/tenants/tenants.go
+++ b/policy/internal/tenants/tenants.go
@@ -15,14 +15,14 @@
 	place   []int32 // in active, and one, by tenant; 0: not there
 	active  []entry
 	total   float64 // of the rates
-	unknown decay.Record
+	unknown decay.FailureRate
 	visits  int
 }
 
 type entry struct {
 	tenant int
 	rate   float64 // arrivals a second
-	ends   decay.Record
+	ends   decay.FailureRate
 }
 
 // Len is how many tenants the table has figures of.
@@ -31,27 +31,27 @@
 // Visits is how many entries Fade has come to so far: what it has cost, for tests that count.
 func (t *Table) Visits() int { return t.visits }
 
-// Total is the sum of all rates.
-func (t *Table) Total() float64 { return t.total }
+// TotalRate is the sum of all rates.
+func (t *Table) TotalRate() float64 { return t.total }
 
-// Rate is a tenant's arrivals a second.
-func (t *Table) Rate(tenant int) float64 {
+// ArrivalRate is a tenant's arrivals a second.
+func (t *Table) ArrivalRate(tenant int) float64 {
 	if tenant >= len(t.place) || t.place[tenant] == 0 {
 		return 0
 	}
 	return t.active[t.place[tenant]-1].rate
 }
 
-// Arrive adds to a tenant's rate and returns it.
-func (t *Table) Arrive(tenant int, rate float64) float64 {
+// RecordArrival adds to a tenant's rate and returns it.
+func (t *Table) RecordArrival(tenant int, rate float64) float64 {
 	e := t.of(tenant)
 	e.rate += rate
 	t.total += rate
 	return e.rate
 }
 
-// Record is how a tenant's attempts ended, to be written to; it holds until the next call.
-func (t *Table) Record(tenant int) *decay.Record {
+// FailureRate is how a tenant's attempts ended, to be written to; it holds until the next call.
+func (t *Table) FailureRate(tenant int) *decay.FailureRate {
 	if tenant == Unknown {
 		return &t.unknown
 	}
@@ -70,18 +70,18 @@
 	return &t.active[t.place[tenant]-1]
 }
 
-// Fade keeps a share of the rates and one of the records, nothing of what falls below its least, and drops tenants of
+// Decay keeps a share of the rates and one of the records, nothing of what falls below its least, and drops tenants of
 // whom nothing is left.
-func (t *Table) Fade(rates, leastRate, records, leastRecord float64) {
-	t.unknown.Fade(records, leastRecord)
+func (t *Table) Decay(rates, leastRate, records, leastRecord float64) {
+	t.unknown.Decay(records, leastRecord)
 	t.total = 0
 	for i := len(t.active) - 1; i >= 0; i-- {
 		t.visits++
 		e := &t.active[i]
-		e.rate = decay.Floor(e.rate*rates, leastRate)
-		e.ends.Fade(records, leastRecord)
+		e.rate = decay.ZeroBelow(e.rate*rates, leastRate)
+		e.ends.Decay(records, leastRecord)
 		t.total += e.rate
-		if e.rate == 0 && e.ends.All == 0 {
+		if e.rate == 0 && e.ends.Total == 0 {
 			t.remove(i)
 		}
 	}
--- a/policy/internal/tenants/tenants_test.go
+++ b/policy/internal/tenants/tenants_test.go
@@ -6,27 +6,27 @@
 func TestFadeDropsThoseWithoutTraffic(t *testing.T) {
 	const most, half, least = 389_999, 0.5, 0.2
 	var table Table
-	table.Arrive(most, 1)
-	table.Arrive(5, 0.25)
-	table.Record(7).Add(1, 10)
-	if got := table.Arrive(most, 1); got != 2 || table.Rate(most) != 2 || table.Total() != 2.25 || table.Len() != 3 {
-		t.Fatalf("rate %g, in all %g of %d tenants", got, table.Total(), table.Len())
+	table.RecordArrival(most, 1)
+	table.RecordArrival(5, 0.25)
+	table.FailureRate(7).Observe(1, 10)
+	if got := table.RecordArrival(most, 1); got != 2 || table.ArrivalRate(most) != 2 || table.TotalRate() != 2.25 || table.Len() != 3 {
+		t.Fatalf("rate %g, in all %g of %d tenants", got, table.TotalRate(), table.Len())
 	}
 	copied := table.Clone()
-	table.Fade(half, least, half, least)
-	if table.Rate(most) != 1 || table.Rate(5) != 0 || table.Total() != 1 || table.Len() != 2 || table.Visits() != 3 {
-		t.Errorf("%g and %g, in all %g of %d tenants, %d come to", table.Rate(most), table.Rate(5), table.Total(), table.Len(), table.Visits())
+	table.Decay(half, least, half, least)
+	if table.ArrivalRate(most) != 1 || table.ArrivalRate(5) != 0 || table.TotalRate() != 1 || table.Len() != 2 || table.Visits() != 3 {
+		t.Errorf("%g and %g, in all %g of %d tenants, %d come to", table.ArrivalRate(most), table.ArrivalRate(5), table.TotalRate(), table.Len(), table.Visits())
 	}
-	if got := table.Record(7).Failed; got != half {
+	if got := table.FailureRate(7).Failed; got != half {
 		t.Errorf("the record of one without arrivals: %g", got)
 	}
 	for range 3 {
-		table.Fade(half, least, half, least)
+		table.Decay(half, least, half, least)
 	}
-	if table.Len() != 0 || table.Total() != 0 || table.Rate(most) != 0 || table.Rate(most+1) != 0 {
-		t.Errorf("%d tenants are left, %g in all", table.Len(), table.Total())
+	if table.Len() != 0 || table.TotalRate() != 0 || table.ArrivalRate(most) != 0 || table.ArrivalRate(most+1) != 0 {
+		t.Errorf("%d tenants are left, %g in all", table.Len(), table.TotalRate())
 	}
-	if copied.Rate(most) != 2 || copied.Len() != 3 || copied.Record(7).Failed != 1 {
+	if copied.ArrivalRate(most) != 2 || copied.Len() != 3 || copied.FailureRate(7).Failed != 1 {
 		t.Error("a clone changes with the table")
 	}
 }
@@ -37,18 +37,18 @@
 	for drop := range tenants {
 		var table Table
 		for tenant := range tenants {
-			table.Arrive(tenant, 1+float64(tenant))
+			table.RecordArrival(tenant, 1+float64(tenant))
 			if tenant == drop {
-				table.Arrive(tenant, -float64(tenant)-1)
+				table.RecordArrival(tenant, -float64(tenant)-1)
 			}
 		}
-		table.Fade(1, 0.5, 1, 0.5)
+		table.Decay(1, 0.5, 1, 0.5)
 		for tenant := range tenants {
 			want := 1 + float64(tenant)
 			if tenant == drop {
 				want = 0
 			}
-			if got := table.Rate(tenant); got != want || table.Len() != tenants-1 {
+			if got := table.ArrivalRate(tenant); got != want || table.Len() != tenants-1 {
 				t.Errorf("without %d: the rate of %d is %g, want %g; %d held", drop, tenant, got, want, table.Len())
 			}
 		}
@@ -57,11 +57,11 @@
 
 func TestUnknownTenantsShareARecord(t *testing.T) {
 	var table Table
-	table.Record(Unknown).Add(1, 10)
-	if got := *table.Record(Unknown); got.Failed != 1 || table.Len() != 0 {
+	table.FailureRate(Unknown).Observe(1, 10)
+	if got := *table.FailureRate(Unknown); got.Failed != 1 || table.Len() != 0 {
 		t.Errorf("%v, %d tenants held", got, table.Len())
 	}
-	if table.Fade(0, 0, 0.5, 0); table.Record(Unknown).Failed != 0.5 {
+	if table.Decay(0, 0, 0.5, 0); table.FailureRate(Unknown).Failed != 0.5 {
 		t.Error("it does not fade")
 	}
 }
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -15,30 +15,30 @@
 	t.Helper()
 	r := newRig(t, 0, func(s *Settings) {
 		s.Placements = []Placement{to}
-		s.Types[bound].Placement = 1
+		s.TrafficTypes[bound].PlacementBit = 1
 		if change != nil {
 			change(s)
 		}
 	})
-	r.list(0, Saved, servers, func(*Member) {})
+	r.list(0, Cached, servers, func(*Endpoint) {})
 	return r
 }
 
 // list tells of servers; change alters each line.
-func (r *rig) list(now time.Duration, scope Scope, servers int, change func(*Member)) []Effect {
-	var list []Member
+func (r *rig) list(now time.Duration, scope UpdateScope, servers int, change func(*Endpoint)) []Effect {
+	var list []Endpoint
 	for i := range servers {
-		m := Member{Server: i, Rank: uint32(i), Zone: i % 2, Kind: i / 2 % 2, Cell: i / 2, Scale: 1}
+		m := Endpoint{Server: i, Rank: uint32(i), Zone: i % 2, MachineKind: i / 2 % 2, Cell: i / 2, Weight: 1}
 		change(&m)
 		list = append(list, m)
 	}
-	return r.at(now, Input{Kind: List, Scope: scope, Members: list})
+	return r.at(now, Input{Kind: EndpointsUpdated, Scope: scope, Endpoints: list})
 }
 
 // sentTo are the servers that effects send attempts to.
 func sentTo(effects []Effect) (servers []int) {
 	for _, e := range effects {
-		if e.Kind == SendHop {
+		if e.Kind == SendAttempt {
 			servers = append(servers, e.Server)
 		}
 	}
@@ -54,7 +54,7 @@
 		if len(sentTo(sent)) > 0 && i%2 == 0 {
 			effects = append(effects, r.end(at+2*ms, op, 0, how)...)
 		}
-		effects = append(effects, r.at(at+3*ms, Input{Kind: Woken})...)
+		effects = append(effects, r.at(at+3*ms, Input{Kind: TimerFired})...)
 	}
 	return effects
 }
@@ -75,37 +75,39 @@
 		none   bool // nothing is sent
 	}{
 		"a zone":                {north, nil, failing(Success), inNorth, false},
-		"a kind":                {Placement{Kinds: []int{1}}, nil, failing(Success), func(s int) bool { return s/2%2 == 1 }, false},
-		"a zone and a kind":     {Placement{Zones: []int{1}, Kinds: []int{1}}, nil, failing(Success), func(s int) bool { return s%4 == 3 }, false},
+		"a kind":                {Placement{MachineKinds: []int{1}}, nil, failing(Success), func(s int) bool { return s/2%2 == 1 }, false},
+		"a zone and a kind":     {Placement{Zones: []int{1}, MachineKinds: []int{1}}, nil, failing(Success), func(s int) bool { return s%4 == 3 }, false},
 		"two zones":             {Placement{Zones: []int{0, 1}}, nil, failing(Success), func(int) bool { return true }, false},
 		"a zone of no server":   {Placement{Zones: []int{5}}, nil, failing(Success), nowhere, true},
 		"an empty list":         {Placement{Zones: []int{}}, nil, failing(Success), nowhere, true},
 		"all taken in":          {north, nil, func(r *rig) []Effect { r.takeAll(); return r.flood(0, 60, Success) }, inNorth, false},
 		"repeats after errors":  {north, nil, failing(Failure), inNorth, false},
-		"repeats after breaks":  {north, nil, failing(Broken), inNorth, false},
+		"repeats after breaks":  {north, nil, failing(ConnectionBroken), inNorth, false},
 		"repeats where full":    {north, nil, failing(Overloaded), inNorth, false},
 		"none can be connected": {north, nil, failing(Unreachable), inNorth, false},
 		"none answers":          {north, nil, failing(TimedOut), inNorth, false},
-		"second copies": {north, func(s *Settings) { s.Copies, s.Types[bound].CopyAfter, s.Types[bound].CopyShare = true, 2*ms, 1 },
+		"second copies": {north, func(s *Settings) {
+			s.HedgingAllowed, s.TrafficTypes[bound].HedgeDelay, s.TrafficTypes[bound].HedgeRatio = true, 2*ms, 1
+		},
 			failing(Failure), inNorth, false},
-		"a pool of a route": {north, func(s *Settings) { s.Types[bound].Pool = 2 }, func(r *rig) []Effect {
-			r.list(0, Changes, 12, func(m *Member) { m.Labels = uint64(m.Server/4%2 + 1) })
+		"a pool of a route": {north, func(s *Settings) { s.TrafficTypes[bound].PoolLabels = 2 }, func(r *rig) []Effect {
+			r.list(0, Incremental, 12, func(m *Endpoint) { m.Labels = uint64(m.Server/4%2 + 1) })
 			return r.flood(0, 60, Failure)
 		}, func(s int) bool { return inNorth(s) && s/4%2 == 1 }, false},
-		"a pool elsewhere": {north, func(s *Settings) { s.Types[bound].Pool = 2 }, func(r *rig) []Effect {
-			r.list(0, Changes, 12, func(m *Member) { m.Labels = uint64(2 - m.Server%2) })
+		"a pool elsewhere": {north, func(s *Settings) { s.TrafficTypes[bound].PoolLabels = 2 }, func(r *rig) []Effect {
+			r.list(0, Incremental, 12, func(m *Endpoint) { m.Labels = uint64(2 - m.Server%2) })
 			return r.flood(0, 60, Success)
 		}, nowhere, true},
 		"a plan's part elsewhere": {north, nil, func(r *rig) []Effect {
-			r.at(0, Input{Kind: Planned, Nodes: 4, Shares: []Share{{Server: 0, Part: 1}, {Server: 2, Part: 1}}})
+			r.at(0, Input{Kind: PlanChanged, NodeCount: 4, Assignments: []Assignment{{Server: 0, Preference: 1}, {Server: 2, Preference: 1}}})
 			return r.flood(0, 60, Success)
 		}, inNorth, false},
 		"cold servers": {north, nil, func(r *rig) []Effect {
-			r.list(0, Changes, 12, func(m *Member) { m.HasStart = true })
+			r.list(0, Incremental, 12, func(m *Endpoint) { m.HasStartTime = true })
 			return r.flood(time.Second, 200, Success)
 		}, inNorth, false},
 		"all drain": {north, nil, func(r *rig) []Effect {
-			r.list(0, Changes, 12, func(m *Member) {
+			r.list(0, Incremental, 12, func(m *Endpoint) {
 				if inNorth(m.Server) {
 					m.Condition = Draining
 				}
@@ -114,15 +116,15 @@
 		}, nowhere, true},
 		"a zone that changes": {Placement{Zones: []int{0}}, nil, func(r *rig) []Effect {
 			r.flood(0, 20, Success)
-			r.list(100*ms, Changes, 12, func(m *Member) { m.Zone = 1 - m.Zone })
+			r.list(100*ms, Incremental, 12, func(m *Endpoint) { m.Zone = 1 - m.Zone })
 			return r.flood(100*ms, 60, Failure)
 		}, inNorth, false},
-		"a kind that changes": {Placement{Kinds: []int{1}}, nil, func(r *rig) []Effect {
+		"a kind that changes": {Placement{MachineKinds: []int{1}}, nil, func(r *rig) []Effect {
 			r.flood(0, 20, Success)
-			r.list(100*ms, Changes, 12, func(m *Member) { m.Kind = 1 - m.Kind })
+			r.list(100*ms, Incremental, 12, func(m *Endpoint) { m.MachineKind = 1 - m.MachineKind })
 			return r.flood(100*ms, 60, Failure)
 		}, func(s int) bool { return s/2%2 == 0 }, false},
-		"a mark kept to its group": {north, func(s *Settings) { s.Types[bound] = s.Types[1]; s.Types[bound].Placement = 1 },
+		"a mark kept to its group": {north, func(s *Settings) { s.TrafficTypes[bound] = s.TrafficTypes[1]; s.TrafficTypes[bound].PlacementBit = 1 },
 			failing(Failure), inNorth, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -152,20 +154,20 @@
 	}
 	var ends []Effect
 	for now := 20 * ms; now < time.Second; now += 20 * ms {
-		for _, e := range r.at(now, Input{Kind: Woken}) {
-			if e.Kind != Wake && e.Op == op {
+		for _, e := range r.at(now, Input{Kind: TimerFired}) {
+			if e.Kind != SetTimer && e.Request == op {
 				ends = append(ends, e)
 			}
 		}
 	}
-	if len(ends) != 1 || ends[0].Kind != Deny {
+	if len(ends) != 1 || ends[0].Kind != Reject {
 		t.Errorf("ended by %v", ends)
 	}
 }
 
 // That a bound operation finds no server does not keep others, that wait behind it, from theirs.
 func TestPlacementLeavesRoomToOthers(t *testing.T) {
-	r := placed(t, 6, Placement{Zones: []int{5}}, func(s *Settings) { s.Types[bound].Revenue = 1e6 })
+	r := placed(t, 6, Placement{Zones: []int{5}}, func(s *Settings) { s.TrafficTypes[bound].PriorityWeight = 1e6 })
 	var first int
 	for i := 0; !r.full(); i++ {
 		op, _ := r.arriveAt(0, 2, time.Second)
@@ -198,7 +200,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := placed(t, 16, Placement{Zones: []int{3}}, nil)
-			r.list(0, Changes, 16, func(m *Member) {
+			r.list(0, Incremental, 16, func(m *Endpoint) {
 				if m.Server < 4 {
 					m.Zone = 3
 				}
@@ -207,7 +209,7 @@
 			resting := 0
 			for s := range c.tried {
 				r.rest(s, c.kind, 0, c.share)
-				if r.now < r.failures.Until(s, c.kind) {
+				if r.now < r.failures.EjectedUntil(s, c.kind) {
 					resting++
 				}
 			}
@@ -221,22 +223,22 @@
 // A walk of the rotation for another server open to a type is spared when all of them are taken in, and only then.
 func TestPlacementCountsOpenServers(t *testing.T) {
 	r := placed(t, 12, Placement{Zones: []int{0}}, nil)
-	if open := r.members.PlacementCount(1); open != 6 || r.allTaken(&r.set.Types[bound]) {
+	if open := r.members.ReadyWithPlacements(1); open != 6 || r.allTaken(&r.set.TrafficTypes[bound]) {
 		t.Errorf("%d open", open)
 	}
 	for s := 0; s < 12; s += 2 {
 		r.admitServer(s)
 		r.weigh()
 	}
-	if !r.allTaken(&r.set.Types[bound]) || r.allTaken(&r.set.Types[2]) {
+	if !r.allTaken(&r.set.TrafficTypes[bound]) || r.allTaken(&r.set.TrafficTypes[2]) {
 		t.Error("not seen that all are taken in")
 	}
-	r.list(0, Changes, 4, func(m *Member) { m.Zone = 1 })
-	if open := r.members.PlacementCount(1); open != 4 {
+	r.list(0, Incremental, 4, func(m *Endpoint) { m.Zone = 1 })
+	if open := r.members.ReadyWithPlacements(1); open != 4 {
 		t.Errorf("%d open after two have moved", open)
 	}
-	r.list(0, Whole, 4, func(*Member) {})
-	if open := r.members.PlacementCount(1); open != 2 {
+	r.list(0, Full, 4, func(*Endpoint) {})
+	if open := r.members.ReadyWithPlacements(1); open != 2 {
 		t.Errorf("%d open after all but four have gone", open)
 	}
 }
@@ -253,12 +255,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			bit := func(p []Placement) uint64 { return uint64(len(p)) }
-			r := newRig(t, 12, func(s *Settings) { s.Placements, s.Types[bound].Placement = c.own, bit(c.own) })
+			r := newRig(t, 12, func(s *Settings) { s.Placements, s.TrafficTypes[bound].PlacementBit = c.own, bit(c.own) })
 			other := r.set
-			other.Types, other.Placements = slices.Clone(other.Types), c.other
-			other.Types[bound].Placement = bit(c.other)
+			other.TrafficTypes, other.Placements = slices.Clone(other.TrafficTypes), c.other
+			other.TrafficTypes[bound].PlacementBit = bit(c.other)
 			for op := range 20 {
-				in := Input{Kind: Arrival, Op: op, Type: bound, Budget: time.Second}
+				in := Input{Kind: RequestArrived, Request: op, TrafficType: bound, Timeout: time.Second}
 				sent := sentTo(r.WhatIf(&other, 0, &in, nil))
 				if len(sent) != 1 || sent[0]%2 != c.want {
 					t.Errorf("would send to %v", sent)
@@ -273,22 +275,22 @@
 // Idle connections to a server that drains or has gone are closed at once, when its attempts end, and once more in time.
 func TestCloseOnDrain(t *testing.T) {
 	const within = 300 * ms
-	closes := func(s *Settings) { s.CloseOnDrain, s.DrainClose = true, within }
+	closes := func(s *Settings) { s.CloseOnDrain, s.DrainCloseTimeout = true, within }
 	released := func(effects []Effect) (n int) {
 		for _, e := range effects {
-			if e.Kind == Release && e.Server == 0 {
+			if e.Kind == CloseIdle && e.Server == 0 {
 				n++
 			}
 		}
 		return n
 	}
 	drain := func(r *rig, now time.Duration, how Condition) []Effect {
-		return r.list(now, Changes, 1, func(m *Member) { m.Condition = how })
+		return r.list(now, Incremental, 1, func(m *Endpoint) { m.Condition = how })
 	}
 	// woken lets time pass and tells when the server's connections were released.
 	woken := func(r *rig, from, to time.Duration) (at []time.Duration) {
 		for now := from; now <= to; now += 10 * ms {
-			if released(r.at(now, Input{Kind: Woken})) > 0 {
+			if released(r.at(now, Input{Kind: TimerFired})) > 0 {
 				at = append(at, now)
 			}
 		}
@@ -307,7 +309,7 @@
 			}
 		}},
 		"gone": {closes, func(t *testing.T, r *rig) {
-			if got := released(drain(r, 0, Gone)); got != 1 {
+			if got := released(drain(r, 0, Removed)); got != 1 {
 				t.Errorf("released %d times", got)
 			}
 		}},
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -119,9 +119,9 @@
 	for _, r := range lifecycle() {
 		p.rows[r.in][r.on] = append(p.rows[r.in][r.on], r)
 	}
-	p.byKey = make([]decay.Record, causeKeys)
-	p.named, p.allowances = len(s.AllowancePerS), columns.Sum(s.AllowancePerS)
-	p.retype(&Input{Types: s.Types, Like: slices.Repeat([]int{-1}, len(s.Types)), Rooms: []int{0}})
+	p.byKey = make([]decay.FailureRate, causeKeys)
+	p.named, p.allowances = len(s.TenantQuotas), columns.Sum(s.TenantQuotas)
+	p.retype(&Input{TrafficTypes: s.TrafficTypes, LearnFrom: slices.Repeat([]int{-1}, len(s.TrafficTypes)), RouteLimits: []int{0}})
 	return p
 }
 
@@ -129,55 +129,55 @@
 func (p *Policy) Handle(now time.Duration, in *Input, effects []Effect) []Effect {
 	p.now, p.effects = now, effects
 	switch in.Kind {
-	case Arrival:
+	case RequestArrived:
 		p.arrive(in)
-	case HopEnded:
+	case AttemptEnded:
 		p.hopEnded(in)
-	case Left:
-		if in.Op < len(p.ops) {
-			p.step(in.Op, departed)
+	case ClientLeft:
+		if in.Request < len(p.ops) {
+			p.step(in.Request, departed)
 		}
-	case List:
+	case EndpointsUpdated:
 		p.follow(in)
-	case Woken:
+	case TimerFired:
 		p.sweep()
-	case Retyped:
+	case TrafficTypesChanged:
 		p.retype(in)
-	case Planned:
+	case PlanChanged:
 		p.planned(in)
-	case AllowancesChanged:
-		p.setAllowances(in.Allowances)
+	case QuotasChanged:
+		p.setAllowances(in.Quotas)
 	}
 	return p.effects
 }
 
 // setAllowances takes over allowances and their sum. The settings that the module was given stay as they are.
-func (p *Policy) setAllowances(changed []Allowance) {
+func (p *Policy) setAllowances(changed []Quota) {
 	if !p.reallowed {
-		p.set.AllowancePerS, p.reallowed = slices.Clone(p.set.AllowancePerS), true
+		p.set.TenantQuotas, p.reallowed = slices.Clone(p.set.TenantQuotas), true
 	}
 	for _, a := range changed {
-		columns.Extend(a.Tenant+1, &p.set.AllowancePerS)
-		p.allowances += a.PerS - p.set.AllowancePerS[a.Tenant]
-		p.set.AllowancePerS[a.Tenant] = a.PerS
+		columns.Extend(a.Tenant+1, &p.set.TenantQuotas)
+		p.allowances += a.PerSecond - p.set.TenantQuotas[a.Tenant]
+		p.set.TenantQuotas[a.Tenant] = a.PerSecond
 	}
-	p.named = len(p.set.AllowancePerS)
+	p.named = len(p.set.TenantQuotas)
 }
 
 // planned takes over a plan. A server that left the part or is to be avoided is let go while no hop is out.
 func (p *Policy) planned(in *Input) {
-	p.set.Nodes, p.within, p.admitMost = in.Nodes, in.Within, in.Admit
+	p.set.NodeCount, p.within, p.admitMost = in.NodeCount, in.WithinQuotaShares, in.MaxAdmittedShare
 	was := map[int]float64{}
 	for s := range p.shared.All() {
 		was[s], p.part[s], p.pace[s] = p.part[s], 0, 0
 		p.shared.Remove(s)
 	}
-	for _, s := range in.Shares {
-		p.part[s.Server], p.pace[s.Server] = s.Part, s.Pace
+	for _, s := range in.Assignments {
+		p.part[s.Server], p.pace[s.Server] = s.Preference, s.SlowStartRate
 		p.shared.Add(s.Server)
-		if s.Rest > 0 { // then one hop on trial, as after a rest of its own
-			until := max(p.failures.Until(s.Server, failures.AllTypes), p.now+s.Rest)
-			p.failures.SetUntil(s.Server, failures.AllTypes, until)
+		if s.EjectFor > 0 { // then one hop on trial, as after a rest of its own
+			until := max(p.failures.EjectedUntil(s.Server, failures.AllTypes), p.now+s.EjectFor)
+			p.failures.SetEjectedUntil(s.Server, failures.AllTypes, until)
 			p.strikes[s.Server] = max(p.strikes[s.Server], 1)
 		}
 	}
@@ -190,14 +190,14 @@
 
 // retype takes over traffic types; a new one starts with what was learned of the one that it is like.
 func (p *Policy) retype(in *Input) {
-	p.set.Types, p.roomMost, p.answers = in.Types, in.Rooms, false
-	p.rooms = append(p.rooms, make([]int, max(len(in.Rooms)-len(p.rooms), 0))...)
-	for k, from := range in.Like {
+	p.set.TrafficTypes, p.roomMost, p.answers = in.TrafficTypes, in.RouteLimits, false
+	p.rooms = append(p.rooms, make([]int, max(len(in.RouteLimits)-len(p.rooms), 0))...)
+	for k, from := range in.LearnFrom {
 		p.answers = p.answers || from >= 0 && p.samples[from] > 0
 		if from == k {
 			continue
 		}
-		usual, base, samples := in.Types[k].TargetTime/4, in.Types[k].TargetTime/4, 0.0
+		usual, base, samples := in.TrafficTypes[k].LatencyObjective/4, in.TrafficTypes[k].LatencyObjective/4, 0.0
 		if from >= 0 {
 			usual, base, samples = p.usual[from], p.base[from], p.samples[from]
 		}
@@ -206,14 +206,14 @@
 		columns.Put(k, samples, &p.samples)
 		p.activate(k)
 		columns.Put(k, 0, &p.retries, &p.copies)
-		columns.Put(k, decay.Record{}, &p.breaks)
-		p.dearest = max(p.dearest, in.Types[k].Revenue)
+		columns.Put(k, decay.FailureRate{}, &p.breaks)
+		p.dearest = max(p.dearest, in.TrafficTypes[k].PriorityWeight)
 		for b := 2 * k; b < 2*k+2; b++ {
 			columns.Put(b, 0, &p.denyShare, &p.rates)
-			columns.Put(b, decay.Record{}, &p.byType)
+			columns.Put(b, decay.FailureRate{}, &p.byType)
 		}
 		for s := range p.failures.Active().All() {
-			p.failures.DeleteFunc(s, func(e failures.Entry) bool { return e.Kind == k })
+			p.failures.DeleteFunc(s, func(e failures.Entry) bool { return e.TrafficType == k })
 		}
 	}
 }
@@ -260,21 +260,21 @@
 func (p *Policy) emit(e Effect) { p.effects = append(p.effects, e) }
 
 func (p *Policy) arrive(in *Input) {
-	columns.Extend(in.Op+1, &p.ops)
-	if in.Type >= len(p.set.Types) {
-		p.emit(Effect{Kind: Deny, Op: in.Op}) // an unknown type: nothing may be assumed, nothing has run
+	columns.Extend(in.Request+1, &p.ops)
+	if in.TrafficType >= len(p.set.TrafficTypes) {
+		p.emit(Effect{Kind: Reject, Request: in.Request}) // an unknown type: nothing may be assumed, nothing has run
 		return
 	}
-	t := &p.set.Types[in.Type]
-	o := &p.ops[in.Op]
-	*o = operation{kind: in.Type, key: in.Key, tenant: in.Tenant, again: in.Again,
-		room: in.Room, bucket: 2 * in.Type, hops: o.hops[:0], group: -1,
-		came: p.now, limit: p.now + in.Budget, target: p.now + min(t.TargetTime-2*p.set.Tick, in.Budget)}
-	p.activate(in.Type)
+	t := &p.set.TrafficTypes[in.TrafficType]
+	o := &p.ops[in.Request]
+	*o = operation{kind: in.TrafficType, key: in.Key, tenant: in.Tenant, again: in.IsClientRetry,
+		room: in.RouteLimit, bucket: 2 * in.TrafficType, hops: o.hops[:0], group: -1,
+		came: p.now, limit: p.now + in.Timeout, target: p.now + min(t.LatencyObjective-2*p.set.TimerGranularity, in.Timeout)}
+	p.activate(in.TrafficType)
 	if in.Tenant >= p.named {
 		o.tenant = tenants.Unknown
 	} else {
-		within := p.fair(in.Tenant) / p.tenants.Arrive(in.Tenant, 1/rateSpan.Seconds())
+		within := p.fair(in.Tenant) / p.tenants.RecordArrival(in.Tenant, 1/rateSpan.Seconds())
 		if in.Tenant < len(p.within) {
 			within = p.within[in.Tenant]
 		}
@@ -283,38 +283,38 @@
 		}
 	}
 	p.rates[o.bucket] += 1 / rateSpan.Seconds()
-	p.grant(in.Type, 1, 0)
-	p.step(in.Op, arrived)
+	p.grant(in.TrafficType, 1, 0)
+	p.step(in.Request, arrived)
 }
 
 // fair is a tenant's share at this node, per second. It goes with the others' traffic where that is above
 // their shares, for nodes do not get traffic alike, and has slack for the chance of a few arrivals.
 func (p *Policy) fair(tenant int) float64 {
-	nodes, own := float64(p.set.Nodes), p.set.AllowancePerS[tenant]
-	shares, others := (p.allowances-own)/nodes, p.tenants.Total()-p.tenants.Rate(tenant)
+	nodes, own := float64(p.set.NodeCount), p.set.TenantQuotas[tenant]
+	shares, others := (p.allowances-own)/nodes, p.tenants.TotalRate()-p.tenants.ArrivalRate(tenant)
 	fair := own / nodes * max(1, others/max(shares, 1e-9))
 	return fair + math.Sqrt(fair/rateSpan.Seconds())
 }
 
 // grant adds to the budgets of a type, by its first hops and by time, up to what comes in the span.
 func (p *Policy) grant(kind int, first, passed float64) {
-	t, rate := &p.set.Types[kind], p.rates[2*kind]+p.rates[2*kind+1]
-	most := budgetSpan * (t.RetryShare*rate + t.RetryFloor)
-	p.retries[kind] = min(p.retries[kind]+t.RetryShare*first+t.RetryFloor*passed, max(most, 1))
-	p.copies[kind] = min(p.copies[kind]+t.CopyShare*first, max(budgetSpan*t.CopyShare*rate, 1))
+	t, rate := &p.set.TrafficTypes[kind], p.rates[2*kind]+p.rates[2*kind+1]
+	most := budgetSpan * (t.RetryRatio*rate + t.MinRetriesPerSecond)
+	p.retries[kind] = min(p.retries[kind]+t.RetryRatio*first+t.MinRetriesPerSecond*passed, max(most, 1))
+	p.copies[kind] = min(p.copies[kind]+t.HedgeRatio*first, max(budgetSpan*t.HedgeRatio*rate, 1))
 }
 
 // allowed is how long hops of a type may take, in seconds: its unloaded latency and a share of what is
 // left of the target time.
 func (p *Policy) allowed(kind int) float64 {
-	base := min(p.base[kind], p.set.Types[kind].TargetTime)
-	return base.Seconds() + windowAim*(p.set.Types[kind].TargetTime-base).Seconds()
+	base := min(p.base[kind], p.set.TrafficTypes[kind].LatencyObjective)
+	return base.Seconds() + windowAim*(p.set.TrafficTypes[kind].LatencyObjective-base).Seconds()
 }
 
 // full: by the rate at which hops finish, those in flight will take longer than they may. This guards
 // against a queue that builds up at the servers faster than late answers tell of it.
 func (p *Policy) full() bool {
-	return p.flying >= max(p.window(), windowLeast*float64(p.readyCount)/float64(p.set.Nodes), 1)
+	return p.flying >= max(p.window(), windowLeast*float64(p.readyCount)/float64(p.set.NodeCount), 1)
 }
 
 // hasRoom: fewer operations of the route have a hop out than it allows.
@@ -358,47 +358,47 @@
 
 // canWait: for room in the window, a list, or a cold server's next turn, while it may still do.
 func (p *Policy) canWait(op int) bool {
-	o, t := &p.ops[op], &p.set.Types[p.ops[op].kind]
+	o, t := &p.ops[op], &p.set.TrafficTypes[p.ops[op].kind]
 	fits := p.now+time.Duration(waitFits*float64(p.usual[o.kind])) < o.target
-	return fits && p.now-o.came <= cmp.Or(t.WaitMost, time.Duration(waitShare*float64(t.TargetTime)))
+	return fits && p.now-o.came <= cmp.Or(t.MaxQueueTime, time.Duration(waitShare*float64(t.LatencyObjective)))
 }
 
 // noConnection: the hop got none, so nothing ran; the operation waits for a server that has one to spare.
 func (p *Policy) noConnection(op int) bool {
 	o := &p.ops[op]
-	return o.ended == Unreachable && !o.mayRun && len(o.hops) < p.mostHops(&p.set.Types[o.kind]) && p.canWait(op)
+	return o.ended == Unreachable && !o.mayRun && len(o.hops) < p.mostHops(&p.set.TrafficTypes[o.kind]) && p.canWait(op)
 }
 
 // harmless: a denial tells the client that trying again does no harm.
 func (p *Policy) harmless(op int) bool {
-	o, t := &p.ops[op], &p.set.Types[p.ops[op].kind]
-	return !o.mayRun || t.Repeat == Retriable || t.Repeat == Fingerprinted && t.Group == GroupAll
+	o, t := &p.ops[op], &p.set.TrafficTypes[p.ops[op].kind]
+	return !o.mayRun || t.Idempotency == Idempotent || t.Idempotency == IdempotentWithKey && t.KeyScope == KeyScopeAll
 }
 
 func (p *Policy) atLimit(op int) bool {
-	return p.now+max(p.set.Tick, 5*time.Millisecond) >= p.ops[op].limit
+	return p.now+max(p.set.TimerGranularity, 5*time.Millisecond) >= p.ops[op].limit
 }
 
 // overdue: the hop runs on for a late answer, and leaves the window. This guards against silent servers or
 // links, which would fill the window for seconds and have all else denied.
 func (p *Policy) overdue(op int) bool {
-	return p.now >= p.ops[op].target && p.set.Types[p.ops[op].kind].LateRevenue > 0
+	return p.now >= p.ops[op].target && p.set.TrafficTypes[p.ops[op].kind].LateWeightShare > 0
 }
 
 func (p *Policy) atLimitHarmless(op int) bool { return p.atLimit(op) && p.harmless(op) }
 
 // repeatable: another hop is allowed, can make the target time, and has somewhere to go.
 func (p *Policy) repeatable(op int) bool {
-	o, t := &p.ops[op], &p.set.Types[p.ops[op].kind]
+	o, t := &p.ops[op], &p.set.TrafficTypes[p.ops[op].kind]
 	if o.doomed || len(o.hops) >= p.mostHops(t) || p.now+p.usual[o.kind]/2 > o.target ||
-		t.Further != 0 && !t.Further.Holds(o.ended) || t.RetryShare > 0 && p.retries[o.kind] < 1 {
+		t.RetryOn != 0 && !t.RetryOn.Contains(o.ended) || t.RetryRatio > 0 && p.retries[o.kind] < 1 {
 		return false
 	}
-	expired := t.Repeat == Fingerprinted && p.now >= o.firstRun+t.Window-p.set.Tick
-	if o.mayRun && (t.Repeat == Binding || expired) {
+	expired := t.Idempotency == IdempotentWithKey && p.now >= o.firstRun+t.KeyRetention-p.set.TimerGranularity
+	if o.mayRun && (t.Idempotency == NonIdempotent || expired) {
 		return false
 	}
-	if first := len(o.hops) == 1 && t.Revenue >= p.dearest; !first && (o.mayRun && p.full() ||
+	if first := len(o.hops) == 1 && t.PriorityWeight >= p.dearest; !first && (o.mayRun && p.full() ||
 		o.ended == Overloaded && p.chance() < p.turned.Rate(causeLeast)) { // no load without room
 		return false
 	}
@@ -406,7 +406,7 @@
 }
 
 func (p *Policy) mostHops(t *TrafficType) int {
-	return min(cmp.Or(t.MostHops, p.set.MostHops), p.set.MostHops)
+	return min(cmp.Or(t.MaxAttempts, p.set.MaxAttempts), p.set.MaxAttempts)
 }
 
 // anotherOut: a second copy may still bring the answer.
@@ -417,12 +417,12 @@
 // worthCopying: the first hop takes longer than its type may, a copy is within the budget and the rules, and
 // there is room for it at a server that seems well.
 func (p *Policy) worthCopying(op int) bool {
-	o, t := &p.ops[op], &p.set.Types[p.ops[op].kind]
-	if t.CopyAfter == 0 || !p.set.Copies || t.Repeat == Binding || len(o.hops) != 1 || p.mostHops(t) < 2 ||
-		p.now-o.hops[0].sent < t.CopyAfter || p.copies[o.kind] < 1 || p.full() {
+	o, t := &p.ops[op], &p.set.TrafficTypes[p.ops[op].kind]
+	if t.HedgeDelay == 0 || !p.set.HedgingAllowed || t.Idempotency == NonIdempotent || len(o.hops) != 1 || p.mostHops(t) < 2 ||
+		p.now-o.hops[0].sent < t.HedgeDelay || p.copies[o.kind] < 1 || p.full() {
 		return false
 	}
-	expired := t.Repeat == Fingerprinted && p.now >= o.firstRun+t.Window-p.set.Tick
+	expired := t.Idempotency == IdempotentWithKey && p.now >= o.firstRun+t.KeyRetention-p.set.TimerGranularity
 	return !expired && p.routed(op) && !tried(o, p.pick) && !p.unwell(p.pick, o)
 }
 
@@ -433,11 +433,11 @@
 // deny tells the client when to come back: while it can still be served, for one that has this node only does
 // not try elsewhere, and after the longest wait it would come too late; spread, not all at once.
 func (p *Policy) deny(op int) {
-	o, back := &p.ops[op], time.Duration(float64(p.set.MaxRetryIn)*(0.9+0.1*p.chance()))
+	o, back := &p.ops[op], time.Duration(float64(p.set.MaxRetryAfter)*(0.9+0.1*p.chance()))
 	if left := o.target - p.now - 2*p.usual[o.kind]; left > 0 && back > 0 {
 		back = min(back, time.Duration(float64(left)*(0.3+0.7*p.chance())))
 	}
-	p.emit(Effect{Kind: Deny, Op: op, For: back})
+	p.emit(Effect{Kind: Reject, Request: op, Duration: back})
 }
 
 func (p *Policy) outlast(op int) {
@@ -455,7 +455,7 @@
 	p.send(op)
 }
 
-func (p *Policy) writeOff(op int) { p.emit(Effect{Kind: WriteOff, Op: op}) }
+func (p *Policy) writeOff(op int) { p.emit(Effect{Kind: Fail, Request: op}) }
 
 // send puts a hop out to the server that route picked.
 func (p *Policy) send(op int) {
@@ -463,11 +463,11 @@
 	if len(o.hops) > 0 {
 		p.retries[o.kind]--
 	}
-	t, allow := &p.set.Types[o.kind], max(o.target-p.now, time.Millisecond)
-	if t.LateRevenue > 0 { // else what is given up at the target time would have earned a share
+	t, allow := &p.set.TrafficTypes[o.kind], max(o.target-p.now, time.Millisecond)
+	if t.LateWeightShare > 0 { // else what is given up at the target time would have earned a share
 		allow = o.limit - p.now
 	}
-	allow = min(allow, cmp.Or(t.HopTime, allow))
+	allow = min(allow, cmp.Or(t.AttemptTimeout, allow))
 	o.hops = append(o.hops, hop{server: s, sent: p.now})
 	if o.group < 0 {
 		o.group, o.firstRun = s, p.now
@@ -476,8 +476,8 @@
 	if p.inFlight[s] == 0 {
 		p.answered[s] = p.now
 	}
-	if p.failures.Get(s, o.kind).Count > 0 {
-		p.failures.SetUntil(s, o.kind, o.target) // on trial, alone
+	if p.failures.Get(s, o.kind).Consecutive > 0 {
+		p.failures.SetEjectedUntil(s, o.kind, o.target) // on trial, alone
 	}
 	p.inFlight[s]++
 	if p.flying++; p.doom(o) > 0 { // takes none of the window from those that can be handled
@@ -486,29 +486,29 @@
 	if p.cold.Has(s) {
 		p.coldPace[s]--
 	}
-	p.emit(Effect{Kind: SendHop, Op: op, Server: s, For: allow})
+	p.emit(Effect{Kind: SendAttempt, Request: op, Server: s, Duration: allow})
 }
 
 // hopEnded books a hop's end under its server and lets the table answer for the operation.
 func (p *Policy) hopEnded(in *Input) {
-	if in.Op >= len(p.ops) || in.Hop >= len(p.ops[in.Op].hops) || p.ops[in.Op].hops[in.Hop].ended {
+	if in.Request >= len(p.ops) || in.Attempt >= len(p.ops[in.Request].hops) || p.ops[in.Request].hops[in.Attempt].ended {
 		return
 	}
-	o := &p.ops[in.Op]
-	h := &o.hops[in.Hop]
+	o := &p.ops[in.Request]
+	h := &o.hops[in.Attempt]
 	h.ended, o.ended = true, in.Outcome
 	p.inFlight[h.server]--
 	if !h.late {
 		p.flying--
 	}
 	p.closeIdle(h.server)
-	ran := in.Outcome != Overloaded && in.Outcome != Unreachable && in.Outcome != Void
+	ran := in.Outcome != Overloaded && in.Outcome != Unreachable && in.Outcome != NotStarted
 	p.learn(h.server, o, h.sent, in.Outcome)
 	if !ran {
 		// as if it had never been sent: the group is that of the first hop that may have run
 		o.mayRun, o.group = false, -1
 		for i, other := range o.hops {
-			if i != in.Hop && other.server >= 0 && o.group < 0 {
+			if i != in.Attempt && other.server >= 0 && o.group < 0 {
 				o.mayRun, o.group, o.firstRun = true, other.server, other.sent
 			}
 		}
@@ -517,11 +517,11 @@
 	switch {
 	case o.state == closed:
 	case in.Outcome == Success:
-		p.step(in.Op, won)
-	case in.Final:
-		p.step(in.Op, departed)
+		p.step(in.Request, won)
+	case in.ClientAnswered:
+		p.step(in.Request, departed)
 	default:
-		p.step(in.Op, lost)
+		p.step(in.Request, lost)
 	}
 	p.dispatch()
 }
@@ -529,12 +529,12 @@
 // learn keeps the figures about a server from the end of one hop.
 func (p *Policy) learn(s int, o *operation, sent time.Duration, how Outcome) {
 	spent, usual := p.now-sent, p.usual[o.kind]
-	p.turned.Add(0, 2*causeMemory)
-	p.unconnected.Add(0, 2*causeMemory)
+	p.turned.Observe(0, 2*causeMemory)
+	p.unconnected.Observe(0, 2*causeMemory)
 	if how == TimedOut { // the server may still work on it, and looks idle if that is not counted
 		p.abandoned[s], p.abandonedSent[s] = p.abandoned[s]+1, max(p.abandonedSent[s], sent)
 	}
-	if how == Success || how == Failure || how == TimedOut || how == Broken {
+	if how == Success || how == Failure || how == TimedOut || how == ConnectionBroken {
 		short := how == TimedOut && o.target-sent < 2*p.base[o.kind] // tells of the client only
 		if o.doomed = !short && p.blamed(s, o, how); o.doomed || short {
 			return
@@ -554,7 +554,7 @@
 		p.finished += p.allowed(o.kind) / windowSpan.Seconds()
 		p.alive(s)
 		p.refused[s] = 0
-		p.failures.Succeed(s, o.kind)
+		p.failures.RecordSuccess(s, o.kind)
 		if sent >= p.abandonedSent[s] {
 			p.abandoned[s] = 0 // servers work in turn: what was sent before this hop is done
 		}
@@ -566,16 +566,16 @@
 		p.answered[s] = p.now
 		p.strike(s, restStrikes)
 		p.fault(s, o.kind, sent)
-	case Declined, Broken: // neither nonsense from clients nor single connections must take servers out
+	case ClientError, ConnectionBroken: // neither nonsense from clients nor single connections must take servers out
 		if p.soft[s]++; p.soft[s] >= softRun {
 			p.strike(s, 1)
 		}
 	case Overloaded: // servers may refuse one type and serve the others: the rest is for that type only
 		p.answered[s] = p.now
-		p.failures.SetUntil(s, o.kind, p.now+restFirst)
+		p.failures.SetEjectedUntil(s, o.kind, p.now+restFirst)
 		p.turned.Failed++
 		p.slowness[s] += smoothing * (spikeFactor - p.slowness[s])
-		if p.refused[s]++; p.refused[s] >= restStrikes && p.now >= p.failures.Until(s, failures.AllTypes) {
+		if p.refused[s]++; p.refused[s] >= restStrikes && p.now >= p.failures.EjectedUntil(s, failures.AllTypes) {
 			p.rest(s, failures.AllTypes, p.refused[s]-restStrikes, restServers)
 		}
 	case Unreachable:
@@ -597,12 +597,12 @@
 }
 
 // sorts are the records of what an operation shares with others: type and repeat, tenant, key.
-func (p *Policy) sorts(o *operation) []*decay.Record {
+func (p *Policy) sorts(o *operation) []*decay.FailureRate {
 	kind := 2 * o.kind
 	if o.again {
 		kind++
 	}
-	all := [...]*decay.Record{&p.byType[kind], p.tenants.Record(o.tenant), &p.byKey[o.key%causeKeys]}
+	all := [...]*decay.FailureRate{&p.byType[kind], p.tenants.FailureRate(o.tenant), &p.byKey[o.key%causeKeys]}
 	if o.key == 0 {
 		return all[:2]
 	}
@@ -617,24 +617,24 @@
 		failed = 0
 	}
 	for _, c := range p.sorts(o) {
-		if failed == 0 || c.Last != s+1 { // of a row at one server one counts: it tells of the server
-			c.Add(failed, 3*causeMemory)
+		if failed == 0 || c.LastSource != s+1 { // of a row at one server one counts: it tells of the server
+			c.Observe(failed, 3*causeMemory)
 		}
 		if failed > 0 {
-			c.Last = s + 1
+			c.LastSource = s + 1
 		}
 		worst = max(worst, c.Rate(causeLeast))
 	}
-	if b := &p.breaks[o.kind]; how == Broken {
-		if b.Last != s+1 {
-			b.Failed, b.Last = b.Failed+1, s+1
+	if b := &p.breaks[o.kind]; how == ConnectionBroken {
+		if b.LastSource != s+1 {
+			b.Failed, b.LastSource = b.Failed+1, s+1
 		}
-		if b.Failed >= breaksMost && p.set.Types[o.kind].Revenue < p.dearest {
+		if b.Failed >= breaksMost && p.set.TrafficTypes[o.kind].PriorityWeight < p.dearest {
 			return true
 		}
 	}
-	p.records.Add(s, failed, causeMemory)
-	p.overall.Add(failed, 3*causeMemory)
+	p.records.Observe(s, failed, causeMemory)
+	p.overall.Observe(failed, 3*causeMemory)
 	return failed > 0 && worst > max(p.records.At(s).Rate(causeLeast)+causeServer, p.overall.Rate(causeLeast))
 }
 
@@ -645,7 +645,7 @@
 		best := -1
 		for _, op := range p.open.Items() {
 			if o := &p.ops[op]; o.state == waiting && o.dispatched != p.dispatches && p.hasRoom(o) &&
-				p.set.Types[o.kind].Placement&stuck == 0 &&
+				p.set.TrafficTypes[o.kind].PlacementBit&stuck == 0 &&
 				(best < 0 || p.worth(o.bucket) > p.worth(p.ops[best].bucket)) {
 				best = op
 			}
@@ -655,8 +655,8 @@
 		}
 		p.ops[best].dispatched = p.dispatches
 		p.step(best, swept)
-		if o, t := &p.ops[best], &p.set.Types[p.ops[best].kind]; o.state == waiting && t.Pool == 0 {
-			if stuck |= t.Placement; t.Placement == 0 {
+		if o, t := &p.ops[best], &p.set.TrafficTypes[p.ops[best].kind]; o.state == waiting && t.PoolLabels == 0 {
+			if stuck |= t.PlacementBit; t.PlacementBit == 0 {
 				return // nor would the others find a server
 			}
 		}
@@ -670,7 +670,7 @@
 		p.markCold(s, p.now)
 	}
 	p.answered[s], p.strikes[s], p.soft[s], p.lost[s] = p.now, 0, 0, false
-	p.failures.ClearUntil(s)
+	p.failures.ClearEjection(s)
 	p.doubt[s], p.droppedAt[s] = max(p.doubt[s]-1, 0), p.now
 }
 
@@ -680,7 +680,7 @@
 	if !p.members.Listed(s) {
 		p.doubt[s] = min(p.doubt[s]+1, doubtMost)
 	}
-	if p.strikes[s] >= enough && p.now >= p.failures.Until(s, failures.AllTypes) {
+	if p.strikes[s] >= enough && p.now >= p.failures.EjectedUntil(s, failures.AllTypes) {
 		p.rest(s, failures.AllTypes, p.strikes[s]-enough, restServers)
 	}
 }
@@ -688,46 +688,46 @@
 // fault counts the failures of one type; answers to others take a server's strikes back. One hop at a time
 // then tries it, and after a row it rests for that type. Of a queue that fails whole one counts.
 func (p *Policy) fault(s, kind int, sent time.Duration) {
-	if sent < p.failures.Get(s, kind).Last {
+	if sent < p.failures.Get(s, kind).LastAt {
 		return
 	}
-	t := p.failures.Of(s, kind)
-	t.Last = p.now
-	if t.Count++; t.Count >= typeStrikes {
-		p.rest(s, kind, t.Count-typeStrikes, restTypes)
+	t := p.failures.GetOrCreate(s, kind)
+	t.LastAt = p.now
+	if t.Consecutive++; t.Consecutive >= typeStrikes {
+		p.rest(s, kind, t.Consecutive-typeStrikes, restTypes)
 	}
 }
 
 // rest sets the end of a rest that doubles, unless too many ready servers, or of those open, would rest.
 func (p *Policy) rest(s, kind, doubled int, share float64) {
-	n, bound, among := 1.0, p.members.Placements(s), [2 * PlacementsMost]int{}
+	n, bound, among := 1.0, p.members.Placements(s), [2 * MaxPlacements]int{}
 	if kind != failures.AllTypes {
-		bound = p.set.Types[kind].Placement
+		bound = p.set.TrafficTypes[kind].PlacementBit
 	}
 	for other := range p.failures.Active().All() {
-		if p.members.Ready(other) && p.members.Listed(other) && p.now < p.failures.Until(other, kind) {
+		if p.members.Ready(other) && p.members.Listed(other) && p.now < p.failures.EjectedUntil(other, kind) {
 			n++
-			readiness.Count(&among, bound&p.members.Placements(other), 1)
+			readiness.AddToBits(&among, bound&p.members.Placements(other), 1)
 		}
 		p.forgetFailures(other)
 	}
 	few := n <= share*float64(p.readyCount) || kind != failures.AllTypes && bound != 0
 	for i, rest := range among {
-		few = few && (bound>>i&1 == 0 || float64(rest+1) <= share*float64(p.members.PlacementCount(1<<i)))
+		few = few && (bound>>i&1 == 0 || float64(rest+1) <= share*float64(p.members.ReadyWithPlacements(1<<i)))
 	}
 	if few || !p.members.Listed(s) { // for those dropped the list bears it out
 		wait := min(restFirst<<min(doubled, 3), restMost)
-		p.failures.SetUntil(s, kind, p.now+time.Duration(float64(wait)*(0.75+0.5*p.chance())))
+		p.failures.SetEjectedUntil(s, kind, p.now+time.Duration(float64(wait)*(0.75+0.5*p.chance())))
 	}
 }
 
 // forgetFailures drops those that bear on nothing now: when the last came matters to hops then out only.
 func (p *Policy) forgetFailures(s int) {
 	if p.inFlight[s] == 0 {
-		p.failures.DeleteFunc(s, func(e failures.Entry) bool { return e.Count == 0 && p.now >= e.Until })
+		p.failures.DeleteFunc(s, func(e failures.Entry) bool { return e.Consecutive == 0 && p.now >= e.EjectedUntil })
 	}
-	if p.failures.Len(s) == 0 && p.now >= p.failures.Until(s, failures.AllTypes) {
-		p.failures.Release(s)
+	if p.failures.EntryCount(s) == 0 && p.now >= p.failures.EjectedUntil(s, failures.AllTypes) {
+		p.failures.Deactivate(s)
 	}
 }
 
@@ -766,7 +766,7 @@
 	if line.Run <= 0 || line.Rise <= 0 {
 		return
 	}
-	at, interval := line.At(float64(n)), line.Run/line.Rise
+	at, interval := line.XAt(float64(n)), line.Run/line.Rise
 	if at > 0 && at < math.MaxInt32 && interval < math.MaxInt32 {
 		p.forecast[s] = time.Duration(at * float64(time.Second))
 		p.interval[s] = time.Duration(interval * float64(time.Second))
@@ -787,19 +787,19 @@
 
 // unwell: resting, be it for this type, or on trial with a hop out; binding operations go to none on trial.
 func (p *Policy) unwell(s int, o *operation) bool {
-	trial := p.strikes[s] > 0 && (p.inFlight[s] > 0 || p.set.Types[o.kind].Repeat == Binding)
-	return trial || p.now < max(p.failures.Until(s, failures.AllTypes), p.failures.Get(s, o.kind).Until)
+	trial := p.strikes[s] > 0 && (p.inFlight[s] > 0 || p.set.TrafficTypes[o.kind].Idempotency == NonIdempotent)
+	return trial || p.now < max(p.failures.EjectedUntil(s, failures.AllTypes), p.failures.Get(s, o.kind).EjectedUntil)
 }
 
 // excluded: the rules or the cold budget forbid this server for this operation.
 func (p *Policy) excluded(s int, o *operation) bool {
-	t := &p.set.Types[o.kind]
-	if !p.members.Ready(s) || t.Placement&^p.members.Placements(s) != 0 || p.cold.Has(s) && p.coldPace[s] < 1 {
+	t := &p.set.TrafficTypes[o.kind]
+	if !p.members.Ready(s) || t.PlacementBit&^p.members.Placements(s) != 0 || p.cold.Has(s) && p.coldPace[s] < 1 {
 		return true
 	}
-	kept := o.mayRun && t.Repeat == Fingerprinted // to its group
-	return t.Pool != 0 && t.Pool&p.members.Labels(s) == 0 || kept && (t.Group == GroupZone &&
-		p.zone[s] != p.zone[o.group] || t.Group == GroupCell && p.cell[s] != p.cell[o.group])
+	kept := o.mayRun && t.Idempotency == IdempotentWithKey // to its group
+	return t.PoolLabels != 0 && t.PoolLabels&p.members.Labels(s) == 0 || kept && (t.KeyScope == KeyScopeZone &&
+		p.zone[s] != p.zone[o.group] || t.KeyScope == KeyScopeCell && p.cell[s] != p.cell[o.group])
 }
 
 // routed walks the servers taken in, idle ones first; when all are busy or skipped the next of the rotation
@@ -841,7 +841,7 @@
 			earned += share
 			p.due[s] += share
 			first := p.due[s]
-			if p.set.WarmKeys && o.key != 0 && first >= -turnsAhead*share {
+			if p.set.ServersCacheKeys && o.key != 0 && first >= -turnsAhead*share {
 				first = math.MaxInt16 + hashed(o.key*uint32(p.rank[s]|1), 0)
 			}
 			if best < 0 || first > most+1e-9 { // what differs by less is rounding
@@ -861,7 +861,7 @@
 func (p *Policy) join(o *operation) bool {
 	n := p.rotation.Len()
 	if !p.started {
-		part := (float64(p.set.Me)*homeStep + p.chance()/float64(p.set.Nodes))
+		part := (float64(p.set.NodeIndex)*homeStep + p.chance()/float64(p.set.NodeCount))
 		p.next, p.started = int((part-math.Floor(part))*float64(n)), true
 	}
 	free := func(s int) bool {
@@ -876,7 +876,7 @@
 		}
 	}
 	home := p.chance() > p.strain
-	if t := &p.set.Types[o.kind]; best == 0 && t.Pool|t.Placement != 0 && p.allTaken(t) {
+	if t := &p.set.TrafficTypes[o.kind]; best == 0 && t.PoolLabels|t.PlacementBit != 0 && p.allTaken(t) {
 		return false
 	}
 	for _, anywhere := range []bool{!home, true} {
@@ -899,12 +899,12 @@
 
 // allTaken: every ready server of a type's pool or placement is taken in, so a walk for another finds none.
 func (p *Policy) allTaken(t *TrafficType) bool {
-	pooled, open := p.members.LabelCount(t.Pool), p.members.PlacementCount(t.Placement)
+	pooled, open := p.members.ReadyWithLabels(t.PoolLabels), p.members.ReadyWithPlacements(t.PlacementBit)
 	for _, s := range p.pool {
-		pooled -= bits.OnesCount64(p.members.Labels(s) & t.Pool)
-		open -= bits.OnesCount64(p.members.Placements(s) & t.Placement)
+		pooled -= bits.OnesCount64(p.members.Labels(s) & t.PoolLabels)
+		open -= bits.OnesCount64(p.members.Placements(s) & t.PlacementBit)
 	}
-	return t.Pool != 0 && pooled == 0 || t.Placement != 0 && open == 0
+	return t.PoolLabels != 0 && pooled == 0 || t.PlacementBit != 0 && open == 0
 }
 
 func (p *Policy) admitServer(s int) {
@@ -926,7 +926,7 @@
 func (p *Policy) drop(i int) {
 	s := p.pool[i]
 	p.pool, p.member[s] = slices.Delete(p.pool, i, i+1), false
-	p.emit(Effect{Kind: Release, Server: s})
+	p.emit(Effect{Kind: CloseIdle, Server: s})
 	if i < p.turn {
 		p.turn--
 	}
@@ -942,47 +942,47 @@
 	if in.Scope == Unavailable {
 		p.asked = false
 		p.askAt = p.now + time.Duration(float64(p.askWait)*(0.5+p.chance()))
-		p.askWait = min(2*p.askWait, askMost, max(p.set.AskWithin/4, askFirst))
+		p.askWait = min(2*p.askWait, askMost, max(p.set.RequestEndpointsWithin/4, askFirst))
 		return
 	}
-	if in.Scope != Saved {
+	if in.Scope != Cached {
 		p.askWait = askFirst
 	}
 	known := p.members.Len() > 0
-	p.members.BeginList()
-	if in.Scope != Changes { // absent from a full list: gone
+	p.members.BeginUpdate()
+	if in.Scope != Incremental { // absent from a full list: gone
 		p.members.UnlistAll()
 	}
-	for _, m := range in.Members {
+	for _, m := range in.Endpoints {
 		s := m.Server
-		isNew, wasListed := m.Other || s == p.members.Len(), p.members.WasListed(s)
+		isNew, wasListed := m.IndexReused || s == p.members.Len(), p.members.WasListed(s)
 		if isNew {
 			p.enrol(s)
 		}
 		if !p.rotation.Has(s) {
 			p.rotate(s, int(m.Rank))
 		}
-		p.zone[s], p.machine[s], p.cell[s], p.scale[s] = m.Zone, m.Kind, m.Cell, cmp.Or(max(m.Scale, 0), 1)
+		p.zone[s], p.machine[s], p.cell[s], p.scale[s] = m.Zone, m.MachineKind, m.Cell, cmp.Or(max(m.Weight, 0), 1)
 		p.place(s)
 		p.members.SetLabels(s, m.Labels)
-		p.setReady(s, m.Condition == Up || m.Condition == Gone && p.members.Ready(s) && !m.Replaced)
+		p.setReady(s, m.Condition == Up || m.Condition == Removed && p.members.Ready(s) && !m.AddressReassigned)
 		if m.Condition == Up && !wasListed && known && !p.member[s] &&
 			p.chance()*float64(p.readyCount+1) < float64(len(p.pool)) {
 			p.admitServer(s) // as often as it has any other: not left out, and not taken in by all at once
 			p.readyCount = p.members.ReadyCount()
 		}
-		p.members.SetListed(s, m.Condition != Gone)
+		p.members.SetListed(s, m.Condition != Removed)
 		switch {
-		case m.HasStart && p.now-m.Started < p.set.ColdFor:
-			if !p.cold.Has(s) || m.Started > p.coldSince[s] {
-				p.markCold(s, m.Started)
+		case m.HasStartTime && p.now-m.StartedAt < p.set.SlowStartDuration:
+			if !p.cold.Has(s) || m.StartedAt > p.coldSince[s] {
+				p.markCold(s, m.StartedAt)
 			}
-		case !m.HasStart && known && !wasListed && in.Scope != Saved && p.members.Ready(s) &&
-			(isNew || !p.set.OnlyDraining):
+		case !m.HasStartTime && known && !wasListed && in.Scope != Cached && p.members.Ready(s) &&
+			(isNew || !p.set.UnlistedUsable):
 			p.markCold(s, p.now) // no start time told, but it was not there before
 		}
 	}
-	for s := range p.members.Unlisted().All() {
+	for s := range p.members.ReadyUnlisted().All() {
 		p.unlist(s, p.members.WasListed(s))
 	}
 	p.listedMost = max(p.listedMost, p.members.ListedCount())
@@ -993,7 +993,7 @@
 	p.turn = min(p.turn, max(len(p.pool)-1, 0))
 	p.weigh()
 	if len(p.samples) > 0 && !p.answers {
-		p.grown = windowStart * float64(p.readyCount) / float64(p.set.Nodes)
+		p.grown = windowStart * float64(p.readyCount) / float64(p.set.NodeCount)
 	}
 	p.dispatch()
 }
@@ -1003,7 +1003,7 @@
 	met, zone, kind := uint64(0), p.zone[s], p.machine[s]
 	for i, to := range p.set.Placements {
 		free := to.Zones == nil || slices.Contains(to.Zones, zone)
-		if free && (to.Kinds == nil || slices.Contains(to.Kinds, kind)) {
+		if free && (to.MachineKinds == nil || slices.Contains(to.MachineKinds, kind)) {
 			met |= 1 << i
 		}
 	}
@@ -1022,7 +1022,7 @@
 // connect that was under way has ended by then. It costs nothing where all are closed.
 func (p *Policy) closeIdle(s int) {
 	if p.set.CloseOnDrain && !p.members.Ready(s) {
-		p.emit(Effect{Kind: Release, Server: s})
+		p.emit(Effect{Kind: CloseIdle, Server: s})
 		p.leaving.Add(s)
 		p.usedAt[s] = p.now
 	}
@@ -1031,20 +1031,20 @@
 // unlist answers that the list dropped a server. Where only draining binds, its turns go down by a step, then
 // by what its hops find, against lists that are wrong, old or cut short; the dead cost a few connects.
 func (p *Policy) unlist(s int, now bool) {
-	if p.setReady(s, p.set.OnlyDraining); !p.members.Ready(s) {
+	if p.setReady(s, p.set.UnlistedUsable); !p.members.Ready(s) {
 		return
 	}
 	if now {
 		p.doubt[s], p.droppedAt[s] = min(p.doubt[s]+1, doubtMost), p.now
 	}
-	p.emit(Effect{Kind: Keep, Server: s})
+	p.emit(Effect{Kind: Retain, Server: s})
 }
 
 // giveUpDropped lets go of servers that the list dropped and that have not answered for long, the longest
 // silent also when more are kept than are listed at most, so that what is kept stays bounded.
 func (p *Policy) giveUpDropped() {
-	kept, oldest := p.members.Unlisted().Len(), -1
-	for s := range p.members.Unlisted().All() {
+	kept, oldest := p.members.ReadyUnlisted().Len(), -1
+	for s := range p.members.ReadyUnlisted().All() {
 		if oldest < 0 || p.droppedAt[s] < p.droppedAt[oldest] {
 			oldest = s
 		}
@@ -1063,7 +1063,7 @@
 	p.cold.Add(s)
 	p.coldSince[s], p.coldPace[s] = since, 0
 	p.strikes[s], p.lost[s], p.soft[s] = 0, false, 0
-	p.failures.Clear(s)
+	p.failures.Reset(s)
 }
 
 // rotate puts a server into the rotation by its rank, which is the same at every node.
@@ -1105,14 +1105,14 @@
 
 // capacity is the share of its full capacity that a server surely has: it warms evenly at the slowest.
 func (p *Policy) capacity(s int) float64 {
-	age := float64(p.now-p.coldSince[s]) / float64(max(p.set.ColdFor, 1))
+	age := float64(p.now-p.coldSince[s]) / float64(max(p.set.SlowStartDuration, 1))
 	if age >= 1 {
 		p.cold.Remove(s)
 	}
 	if !p.cold.Has(s) {
 		return 1
 	}
-	return p.set.ColdStart + (1-p.set.ColdStart)*max(age, 0)
+	return p.set.SlowStartInitialCapacity + (1-p.set.SlowStartInitialCapacity)*max(age, 0)
 }
 
 func (p *Policy) weigh() {
@@ -1127,19 +1127,19 @@
 
 // sweep looks at all that time changes: rates, cold budgets, shedding, open operations, the list.
 func (p *Policy) sweep() {
-	period := max(sweepPeriod, p.set.Tick)
-	p.emit(Effect{Kind: Wake, For: period})
+	period := max(sweepPeriod, p.set.TimerGranularity)
+	p.emit(Effect{Kind: SetTimer, Duration: period})
 	passed := p.now - p.lastSweep
 	p.lastSweep = p.now
 	fade := math.Exp(-passed.Seconds() / rateSpan.Seconds())
 	p.successes *= fade
 	kept := math.Exp(-passed.Seconds() / causeFade.Seconds())
-	p.tenants.Fade(fade, rateLeast, kept, negligible)
-	p.turned.Fade(fade, negligible)
-	p.unconnected.Fade(fade, negligible)
-	p.records.Fade(kept, negligible)
+	p.tenants.Decay(fade, rateLeast, kept, negligible)
+	p.turned.Decay(fade, negligible)
+	p.unconnected.Decay(fade, negligible)
+	p.records.Decay(kept, negligible)
 	for i := range p.byKey {
-		p.byKey[i].Fade(kept, negligible)
+		p.byKey[i].Decay(kept, negligible)
 	}
 	relax := 1 - math.Exp(-passed.Seconds()/baseSpan.Seconds())
 	for kind := range p.busy.All() {
@@ -1154,9 +1154,9 @@
 		p.abandoned[s] *= math.Exp(-float64(passed) / (spikeFactor * float64(max(p.smoothed.At(s), 1))))
 	}
 	for s := range p.leaving.All() {
-		if p.now-p.usedAt[s] >= p.set.DrainClose/2 {
+		if p.now-p.usedAt[s] >= p.set.DrainCloseTimeout/2 {
 			p.leaving.Remove(s)
-			p.emit(Effect{Kind: Release, Server: s})
+			p.emit(Effect{Kind: CloseIdle, Server: s})
 		}
 	}
 	p.letGo(passed)
@@ -1168,7 +1168,7 @@
 			p.step(p.open.Items()[i], swept)
 		}
 	}
-	if p.set.OnRequest && !p.asked && p.now >= p.askAt {
+	if p.set.MustRequestEndpoints && !p.asked && p.now >= p.askAt {
 		p.asked = true
 		p.emit(Effect{Kind: Subscribe})
 	}
@@ -1178,16 +1178,16 @@
 func (p *Policy) age(kind int, passed time.Duration, fade, kept, relax float64) bool {
 	rates, records, breaks := p.rates[2*kind:2*kind+2], p.byType[2*kind:2*kind+2], &p.breaks[kind]
 	for i := range rates {
-		rates[i] = decay.Floor(rates[i]*fade, rateLeast)
-		records[i].Fade(kept, negligible)
+		rates[i] = decay.ZeroBelow(rates[i]*fade, rateLeast)
+		records[i].Decay(kept, negligible)
 	}
-	breaks.Fade(kept, negligible)
+	breaks.Decay(kept, negligible)
 	step := time.Duration(relax * float64(p.usual[kind]-p.base[kind]))
 	p.base[kind] += step
 	retries, copies := p.retries[kind], p.copies[kind]
 	p.grant(kind, 0, passed.Seconds())
 	still := step == 0 && p.retries[kind] == retries && p.copies[kind] == copies && passed > 0
-	return !still || rates[0]+rates[1]+records[0].All+records[1].All+breaks.Failed > 0
+	return !still || rates[0]+rates[1]+records[0].Total+records[1].Total+breaks.Failed > 0
 }
 
 // paceCold refills the cold budgets. The fall is counted over all nodes, so each node gives a cold
@@ -1196,13 +1196,13 @@
 	if p.cold.Len() == 0 {
 		return
 	}
-	floor := coldFloor * p.set.FallMultiple / max(slices.Max(p.usual), 1).Seconds() / float64(p.set.Nodes)
+	floor := coldFloor * p.set.CrashLoadFactor / max(slices.Max(p.usual), 1).Seconds() / float64(p.set.NodeCount)
 	for s := range p.cold.All() {
 		part := p.scale[s] / max(p.scales, 1e-9)
-		if p.set.LiveWeights { // which list a server that holds nothing yet for several that hold much
+		if p.set.WeightsFollowLoad { // which list a server that holds nothing yet for several that hold much
 			part = min(part, 1/max(float64(len(p.pool)), 1))
 		}
-		own := coldShare * p.set.FallMultiple * p.successes * part
+		own := coldShare * p.set.CrashLoadFactor * p.successes * part
 		pace := cmp.Or(p.pace[s], max(own, floor)) * p.capacity(s)
 		if p.chance() < pace*passed.Seconds() {
 			p.coldPace[s] = min(p.coldPace[s]+1, coldBurst)
@@ -1242,7 +1242,7 @@
 }
 
 func (p *Policy) denied(b int, cut, load float64) float64 {
-	return min(cut/max(load, 1e-9), cmp.Or(p.set.Types[b/2].ShedMost, shedMost))
+	return min(cut/max(load, 1e-9), cmp.Or(p.set.TrafficTypes[b/2].MaxShedShare, shedMost))
 }
 
 // activate has a type that had no traffic for long age again. Its buckets get the shares that they would
@@ -1264,6 +1264,6 @@
 }
 
 func (p *Policy) worth(bucket int) float64 {
-	share := [2]float64{1, p.set.OverageRevenue}[bucket%2]
-	return share * p.set.Types[bucket/2].Revenue / max(p.usual[bucket/2].Seconds(), 1e-6)
+	share := [2]float64{1, p.set.OverQuotaWeightShare}[bucket%2]
+	return share * p.set.TrafficTypes[bucket/2].PriorityWeight / max(p.usual[bucket/2].Seconds(), 1e-6)
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -21,24 +21,24 @@
 
 func newRig(t *testing.T, servers int, change func(*Settings)) *rig {
 	t.Helper()
-	s := Settings{Nodes: 4, Tick: 5 * ms, MostHops: 4, ColdFor: 8 * time.Second, ColdStart: 0.3,
-		FallMultiple: 3, AskWithin: 10 * time.Second, OverageRevenue: 0.1, Types: []TrafficType{
-			{Repeat: Retriable, TargetTime: 400 * ms, AbandonTime: 2 * time.Second, Revenue: 1},
-			{Repeat: Fingerprinted, Group: GroupZone, TargetTime: 400 * ms, AbandonTime: 2 * time.Second,
-				Window: time.Second, Revenue: 5},
-			{Repeat: Binding, TargetTime: 400 * ms, AbandonTime: 2 * time.Second, Revenue: 10},
-			{Repeat: Fingerprinted, Group: GroupAll, TargetTime: 400 * ms, AbandonTime: 2 * time.Second,
-				Window: time.Second, Revenue: 5}}}
+	s := Settings{NodeCount: 4, TimerGranularity: 5 * ms, MaxAttempts: 4, SlowStartDuration: 8 * time.Second, SlowStartInitialCapacity: 0.3,
+		CrashLoadFactor: 3, RequestEndpointsWithin: 10 * time.Second, OverQuotaWeightShare: 0.1, TrafficTypes: []TrafficType{
+			{Idempotency: Idempotent, LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second, PriorityWeight: 1},
+			{Idempotency: IdempotentWithKey, KeyScope: KeyScopeZone, LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second,
+				KeyRetention: time.Second, PriorityWeight: 5},
+			{Idempotency: NonIdempotent, LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second, PriorityWeight: 10},
+			{Idempotency: IdempotentWithKey, KeyScope: KeyScopeAll, LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second,
+				KeyRetention: time.Second, PriorityWeight: 5}}}
 	if change != nil {
 		change(&s)
 	}
 	r := &rig{Policy: New(s, 7), t: t}
-	r.at(0, Input{Kind: Woken})
-	var list []Member
+	r.at(0, Input{Kind: TimerFired})
+	var list []Endpoint
 	for i := range servers {
-		list = append(list, Member{Server: i, Rank: uint32(i), Zone: i % 2, Cell: i / 2, Scale: 1})
+		list = append(list, Endpoint{Server: i, Rank: uint32(i), Zone: i % 2, Cell: i / 2, Weight: 1})
 	}
-	r.at(0, Input{Kind: List, Scope: Saved, Members: list})
+	r.at(0, Input{Kind: EndpointsUpdated, Scope: Cached, Endpoints: list})
 	return r
 }
 
@@ -57,17 +57,17 @@
 
 func (r *rig) arriveAt(now time.Duration, kind int, budget time.Duration) (int, []Effect) {
 	r.ops++
-	return r.ops - 1, r.at(now, Input{Kind: Arrival, Op: r.ops - 1, Type: kind, Budget: budget})
+	return r.ops - 1, r.at(now, Input{Kind: RequestArrived, Request: r.ops - 1, TrafficType: kind, Timeout: budget})
 }
 
 func (r *rig) end(now time.Duration, op, hop int, how Outcome) []Effect {
-	return r.at(now, Input{Kind: HopEnded, Op: op, Hop: hop, Server: 0, Outcome: how, Final: how == Success})
+	return r.at(now, Input{Kind: AttemptEnded, Request: op, Attempt: hop, Server: 0, Outcome: how, ClientAnswered: how == Success})
 }
 
 func kinds(effects []Effect) []EffectKind {
 	var k []EffectKind
 	for _, e := range effects {
-		if e.Kind != Wake && e.Kind != Subscribe {
+		if e.Kind != SetTimer && e.Kind != Subscribe {
 			k = append(k, e.Kind)
 		}
 	}
@@ -189,7 +189,7 @@
 				}
 				if c.resting {
 					r.end(time.Second, r.ops-1, 0, Success)
-					r.failures.SetUntil(r.pool[0], failures.AllTypes, 2*time.Second)
+					r.failures.SetEjectedUntil(r.pool[0], failures.AllTypes, 2*time.Second)
 					r.arriveAt(time.Second, 0, time.Second)
 				}
 			}
@@ -203,12 +203,12 @@
 func TestLetsGoTheSlowest(t *testing.T) {
 	r := newRig(t, 6, nil).takeAll()
 	r.slowness[3] = 2
-	r.at(100*ms, Input{Kind: Woken})
+	r.at(100*ms, Input{Kind: TimerFired})
 	if r.member[3] || len(r.pool) != 5 {
 		t.Errorf("kept %v", r.pool)
 	}
 	for now := 200 * ms; now < time.Second; now += 20 * ms {
-		r.at(now, Input{Kind: Woken})
+		r.at(now, Input{Kind: TimerFired})
 	}
 	if len(r.pool) != poolSlack {
 		t.Errorf("%d taken in with nothing to do", len(r.pool))
@@ -225,7 +225,7 @@
 	const nodes, servers = 50, 20
 	met := make([]int, servers)
 	for me := range nodes {
-		r := newRig(t, servers, func(s *Settings) { s.Nodes, s.Me, s.Zone = nodes, me, me%2 })
+		r := newRig(t, servers, func(s *Settings) { s.NodeCount, s.NodeIndex, s.Zone = nodes, me, me%2 })
 		r.arriveAt(0, 0, time.Second)
 		if met[r.pool[0]]++; r.pool[0]%2 != me%2 {
 			t.Errorf("node %d starts at another location", me)
@@ -242,7 +242,7 @@
 	r := newRig(t, 2, nil)
 	r.smoothed.Set(0, 100*ms)
 	r.smoothed.Set(1, 300*ms)
-	r.at(time.Second, Input{Kind: List, Scope: Changes, Members: []Member{{Server: 2, Scale: 1}}})
+	r.at(time.Second, Input{Kind: EndpointsUpdated, Scope: Incremental, Endpoints: []Endpoint{{Server: 2, Weight: 1}}})
 	if r.smoothed.At(2) != 200*ms {
 		t.Errorf("starts at %v", r.smoothed.At(2))
 	}
@@ -258,25 +258,25 @@
 		want    []EffectKind
 	}{
 		"handled":                                {retriable, Success, 50 * ms, nil, nil},
-		"retriable error goes again":             {retriable, Failure, 50 * ms, nil, []EffectKind{SendHop}},
-		"retriable time-out at target is denied": {retriable, TimedOut, 390 * ms, nil, []EffectKind{Deny}},
-		"fingerprinted error goes again":         {fingerZone, Failure, 50 * ms, nil, []EffectKind{SendHop}},
-		"fingerprinted may have run, group zone": {fingerZone, TimedOut, 390 * ms, nil, []EffectKind{WriteOff}},
-		"fingerprinted may have run, group all":  {fingerAll, TimedOut, 390 * ms, nil, []EffectKind{Deny}},
-		"fingerprinted past its window":          {fingerAll, Broken, 60 * ms, func(s *Settings) { s.Types[3].Window = 50 * ms }, []EffectKind{Deny}},
-		"binding error is written off":           {binding, Failure, 50 * ms, nil, []EffectKind{WriteOff}},
-		"binding broken is written off":          {binding, Broken, 50 * ms, nil, []EffectKind{WriteOff}},
-		"binding recalled may have run":          {binding, Withdrawn, 50 * ms, nil, []EffectKind{WriteOff}},
-		"binding refused goes again":             {binding, Overloaded, 50 * ms, nil, []EffectKind{SendHop}},
-		"binding unreachable goes again":         {binding, Unreachable, 50 * ms, nil, []EffectKind{SendHop}},
-		"binding never sent, too late: denied":   {binding, Void, 390 * ms, nil, []EffectKind{Deny}},
-		"no hop left, never ran: denied":         {binding, Overloaded, 50 * ms, func(s *Settings) { s.MostHops = 1 }, []EffectKind{Deny}},
-		"no hop left, may have run":              {fingerZone, Failure, 50 * ms, func(s *Settings) { s.MostHops = 1 }, []EffectKind{WriteOff}},
+		"retriable error goes again":             {retriable, Failure, 50 * ms, nil, []EffectKind{SendAttempt}},
+		"retriable time-out at target is denied": {retriable, TimedOut, 390 * ms, nil, []EffectKind{Reject}},
+		"fingerprinted error goes again":         {fingerZone, Failure, 50 * ms, nil, []EffectKind{SendAttempt}},
+		"fingerprinted may have run, group zone": {fingerZone, TimedOut, 390 * ms, nil, []EffectKind{Fail}},
+		"fingerprinted may have run, group all":  {fingerAll, TimedOut, 390 * ms, nil, []EffectKind{Reject}},
+		"fingerprinted past its window":          {fingerAll, ConnectionBroken, 60 * ms, func(s *Settings) { s.TrafficTypes[3].KeyRetention = 50 * ms }, []EffectKind{Reject}},
+		"binding error is written off":           {binding, Failure, 50 * ms, nil, []EffectKind{Fail}},
+		"binding broken is written off":          {binding, ConnectionBroken, 50 * ms, nil, []EffectKind{Fail}},
+		"binding recalled may have run":          {binding, Canceled, 50 * ms, nil, []EffectKind{Fail}},
+		"binding refused goes again":             {binding, Overloaded, 50 * ms, nil, []EffectKind{SendAttempt}},
+		"binding unreachable goes again":         {binding, Unreachable, 50 * ms, nil, []EffectKind{SendAttempt}},
+		"binding never sent, too late: denied":   {binding, NotStarted, 390 * ms, nil, []EffectKind{Reject}},
+		"no hop left, never ran: denied":         {binding, Overloaded, 50 * ms, func(s *Settings) { s.MaxAttempts = 1 }, []EffectKind{Reject}},
+		"no hop left, may have run":              {fingerZone, Failure, 50 * ms, func(s *Settings) { s.MaxAttempts = 1 }, []EffectKind{Fail}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 4, c.change)
 			op, sent := r.arriveAt(time.Second, c.kind, 2*time.Second)
-			if len(sent) != 1 || sent[0].Kind != SendHop {
+			if len(sent) != 1 || sent[0].Kind != SendAttempt {
 				t.Fatalf("not sent: %v", sent)
 			}
 			got := r.end(time.Second+c.after, op, 0, c.outcome)
@@ -284,7 +284,7 @@
 				t.Fatalf("got %v, want %v", kinds(got), c.want)
 			}
 			for _, e := range got {
-				if e.Kind == SendHop && c.kind == fingerZone && r.zone[e.Server] != r.zone[sent[0].Server] {
+				if e.Kind == SendAttempt && c.kind == fingerZone && r.zone[e.Server] != r.zone[sent[0].Server] {
 					t.Errorf("left the group: server %d after %d", e.Server, sent[0].Server)
 				}
 			}
@@ -297,31 +297,31 @@
 
 func TestGroupAndWindowOfFingerprinted(t *testing.T) {
 	for name, c := range map[string]struct {
-		group  Group
+		group  KeyScope
 		first  Outcome // of the first hop, 50 ms after it is sent
 		window time.Duration
 		want   []EffectKind // after an error on the second hop, 40 ms later
 		same   bool         // second and third hop in one group
 	}{
-		"cell":                                {GroupCell, Failure, time.Second, []EffectKind{WriteOff}, true},
-		"zone":                                {GroupZone, Failure, time.Second, []EffectKind{SendHop}, true},
-		"all":                                 {GroupAll, Failure, time.Second, []EffectKind{SendHop}, false},
-		"window counts from the first send":   {GroupAll, Failure, 80 * ms, []EffectKind{Deny}, false},
-		"a hop that never ran does not count": {GroupAll, Unreachable, 80 * ms, []EffectKind{SendHop}, false},
+		"cell":                                {KeyScopeCell, Failure, time.Second, []EffectKind{Fail}, true},
+		"zone":                                {KeyScopeZone, Failure, time.Second, []EffectKind{SendAttempt}, true},
+		"all":                                 {KeyScopeAll, Failure, time.Second, []EffectKind{SendAttempt}, false},
+		"window counts from the first send":   {KeyScopeAll, Failure, 80 * ms, []EffectKind{Reject}, false},
+		"a hop that never ran does not count": {KeyScopeAll, Unreachable, 80 * ms, []EffectKind{SendAttempt}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, 8, func(s *Settings) { s.Types[1].Group, s.Types[1].Window = c.group, c.window })
-			if c.group == GroupCell { // two a cell: a third hop finds only those it has tried, resting
+			r := newRig(t, 8, func(s *Settings) { s.TrafficTypes[1].KeyScope, s.TrafficTypes[1].KeyRetention = c.group, c.window })
+			if c.group == KeyScopeCell { // two a cell: a third hop finds only those it has tried, resting
 				for s := range r.members.Len() {
 					r.members.SetReady(s, s < 2)
 				}
 			}
 			op, _ := r.arriveAt(time.Second, 1, 2*time.Second)
 			second := r.end(time.Second+50*ms, op, 0, c.first)
-			if len(second) != 1 || second[0].Kind != SendHop {
+			if len(second) != 1 || second[0].Kind != SendAttempt {
 				t.Fatalf("no second hop: %v", second)
 			}
-			if c.group == GroupCell {
+			if c.group == KeyScopeCell {
 				r.members.SetReady(0, false)
 				r.members.SetReady(1, false)
 				r.members.SetReady(4, true)
@@ -330,7 +330,7 @@
 			if got := kinds(third); !reflect.DeepEqual(got, c.want) {
 				t.Fatalf("got %v, want %v", got, c.want)
 			}
-			if c.same && third[0].Kind == SendHop && r.zone[third[0].Server] != r.zone[second[0].Server] {
+			if c.same && third[0].Kind == SendAttempt && r.zone[third[0].Server] != r.zone[second[0].Server] {
 				t.Error("left the group")
 			}
 		})
@@ -343,20 +343,20 @@
 		budget        time.Duration
 		want          EffectKind
 	}{
-		"no server, short budget":   {0, 0, 100 * ms, Deny},
-		"no server, long budget":    {0, 2, 2 * time.Second, Deny},
-		"never answered, binding":   {1, 2, 60 * ms, WriteOff},
-		"never answered, may rerun": {1, 0, 60 * ms, Deny},
+		"no server, short budget":   {0, 0, 100 * ms, Reject},
+		"no server, long budget":    {0, 2, 2 * time.Second, Reject},
+		"never answered, binding":   {1, 2, 60 * ms, Fail},
+		"never answered, may rerun": {1, 0, 60 * ms, Reject},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, c.servers, nil)
 			_, got := r.arriveAt(0, c.kind, c.budget)
 			answers := 0
 			for now := 5 * ms; now <= c.budget; now += 5 * ms {
-				got = append(got, r.at(now, Input{Kind: Woken})...)
+				got = append(got, r.at(now, Input{Kind: TimerFired})...)
 			}
 			for _, e := range got {
-				if e.Kind == Deny || e.Kind == WriteOff {
+				if e.Kind == Reject || e.Kind == Fail {
 					answers++
 					if e.Kind != c.want {
 						t.Errorf("answered %v", e.Kind)
@@ -371,20 +371,20 @@
 }
 
 func TestList(t *testing.T) {
-	up := func(s int) Member { return Member{Server: s, Scale: 1} }
+	up := func(s int) Endpoint { return Endpoint{Server: s, Weight: 1} }
 	for name, c := range map[string]struct {
 		in   Input
 		want []bool
 	}{
-		"draining":             {Input{Scope: Changes, Members: []Member{{Server: 1, Condition: Draining, Scale: 1}}}, []bool{true, false, true}},
-		"removed":              {Input{Scope: Changes, Members: []Member{{Server: 1, Condition: Gone, Scale: 1}}}, []bool{true, false, true}},
-		"absent from a whole":  {Input{Scope: Whole, Members: []Member{up(0), up(2)}}, []bool{true, false, true}},
+		"draining":             {Input{Scope: Incremental, Endpoints: []Endpoint{{Server: 1, Condition: Draining, Weight: 1}}}, []bool{true, false, true}},
+		"removed":              {Input{Scope: Incremental, Endpoints: []Endpoint{{Server: 1, Condition: Removed, Weight: 1}}}, []bool{true, false, true}},
+		"absent from a whole":  {Input{Scope: Full, Endpoints: []Endpoint{up(0), up(2)}}, []bool{true, false, true}},
 		"a failure keeps all":  {Input{Scope: Unavailable}, []bool{true, true, true}},
-		"an empty whole: none": {Input{Scope: Whole}, []bool{false, false, false}},
+		"an empty whole: none": {Input{Scope: Full}, []bool{false, false, false}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 3, nil)
-			c.in.Kind = List
+			c.in.Kind = EndpointsUpdated
 			r.at(time.Second, c.in)
 			var ready []bool
 			for s := range r.members.Len() {
@@ -398,14 +398,14 @@
 }
 
 func TestAsksForTheListAgain(t *testing.T) {
-	r := newRig(t, 1, func(s *Settings) { s.OnRequest = true })
-	r.at(0, Input{Kind: List, Scope: Unavailable})
+	r := newRig(t, 1, func(s *Settings) { s.MustRequestEndpoints = true })
+	r.at(0, Input{Kind: EndpointsUpdated, Scope: Unavailable})
 	var asked []time.Duration
 	for now := time.Duration(0); now < 30*time.Second; now += 20 * ms {
-		for _, e := range r.at(now, Input{Kind: Woken}) {
+		for _, e := range r.at(now, Input{Kind: TimerFired}) {
 			if e.Kind == Subscribe {
 				asked = append(asked, now)
-				r.at(now, Input{Kind: List, Scope: Unavailable})
+				r.at(now, Input{Kind: EndpointsUpdated, Scope: Unavailable})
 			}
 		}
 	}
@@ -413,7 +413,7 @@
 		t.Fatalf("asked %d times", len(asked))
 	}
 	for i := 1; i < len(asked); i++ {
-		if gap := asked[i] - asked[i-1]; gap > r.set.AskWithin {
+		if gap := asked[i] - asked[i-1]; gap > r.set.RequestEndpointsWithin {
 			t.Errorf("waited %v", gap)
 		}
 	}
@@ -424,23 +424,23 @@
 
 func TestColdServerGetsItsShareOnly(t *testing.T) {
 	for name, c := range map[string]struct {
-		member   Member
-		scope    Scope
+		member   Endpoint
+		scope    UpdateScope
 		most     int
 		unbarred time.Duration
 	}{
-		"told start":       {Member{Server: 2, Scale: 1, Started: 9 * time.Second, HasStart: true}, Changes, 20, 18 * time.Second},
-		"first appearance": {Member{Server: 2, Scale: 1}, Changes, 20, 19 * time.Second},
-		"started long ago": {Member{Server: 2, Scale: 1, Started: -60 * time.Second, HasStart: true}, Changes, 1000, 10 * time.Second},
+		"told start":       {Endpoint{Server: 2, Weight: 1, StartedAt: 9 * time.Second, HasStartTime: true}, Incremental, 20, 18 * time.Second},
+		"first appearance": {Endpoint{Server: 2, Weight: 1}, Incremental, 20, 19 * time.Second},
+		"started long ago": {Endpoint{Server: 2, Weight: 1, StartedAt: -60 * time.Second, HasStartTime: true}, Incremental, 1000, 10 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 2, nil).takeAll()
-			r.at(10*time.Second, Input{Kind: List, Scope: c.scope, Members: []Member{c.member}})
+			r.at(10*time.Second, Input{Kind: EndpointsUpdated, Scope: c.scope, Endpoints: []Endpoint{c.member}})
 			sent := 0
 			for now := 10 * time.Second; now < 12*time.Second; now += 10 * ms {
 				op, got := r.arriveAt(now, 0, time.Second)
-				for _, e := range append(got, r.at(now, Input{Kind: Woken})...) {
-					if e.Kind == SendHop && e.Server == 2 {
+				for _, e := range append(got, r.at(now, Input{Kind: TimerFired})...) {
+					if e.Kind == SendAttempt && e.Server == 2 {
 						sent++
 					}
 				}
@@ -449,7 +449,7 @@
 			if sent > c.most || sent == 0 {
 				t.Errorf("sent %d in two seconds, at most %d", sent, c.most)
 			}
-			r.at(c.unbarred, Input{Kind: Woken})
+			r.at(c.unbarred, Input{Kind: TimerFired})
 			if r.cold.Has(2) {
 				t.Error("still held for cold")
 			}
@@ -483,7 +483,7 @@
 		"a large group shares the servers": {40, 10, 1, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, c.servers, func(s *Settings) { s.Nodes = c.nodes })
+			r := newRig(t, c.servers, func(s *Settings) { s.NodeCount = c.nodes })
 			sent := 0
 			for range 100 {
 				_, got := r.arriveAt(0, 0, time.Second)
@@ -500,7 +500,7 @@
 	r := newRig(t, 2, nil).takeAll()
 	op, _ := r.arriveAt(0, 2, time.Second)
 	s := r.Policy.ops[op].hops[0].server
-	r.at(385*ms, Input{Kind: Woken})
+	r.at(385*ms, Input{Kind: TimerFired})
 	r.end(390*ms, op, 0, TimedOut)
 	r.flying = 1
 	if !r.crowded(s) {
@@ -526,13 +526,13 @@
 		t.Errorf("window %.1f at strain %.1f", w, r.strain)
 	}
 	r.strain, r.finished, r.grown = 1e6, 0, 0 // as after a slowness that all share
-	if _, got := r.arriveAt(0, 0, time.Second); len(got) != 1 || got[0].Kind != SendHop {
+	if _, got := r.arriveAt(0, 0, time.Second); len(got) != 1 || got[0].Kind != SendAttempt {
 		t.Errorf("nothing is sent any more: %v", got)
 	}
 }
 
 func TestCheaperDeniedMoreOften(t *testing.T) {
-	r := newRig(t, 4, func(s *Settings) { s.AllowancePerS = []float64{1e6, 4} })
+	r := newRig(t, 4, func(s *Settings) { s.TenantQuotas = []float64{1e6, 4} })
 	for b := range r.rates {
 		r.rates[b] = 10
 	}
@@ -560,7 +560,7 @@
 			t.Errorf("type %d: unwell %v", kind, got)
 		}
 	}
-	r.at(time.Second+restFirst, Input{Kind: Woken})
+	r.at(time.Second+restFirst, Input{Kind: TimerFired})
 	if r.unwell(s, &operation{kind: 0}) {
 		t.Error("still resting")
 	}
@@ -592,13 +592,13 @@
 		"all types":                      {[]end{a, {kind: 0, how: TimedOut}}, []bool{true, true, true, true}, false},
 		"one connection refused":         {no(1, Unreachable), []bool{false, false, true, false}, false},
 		"two refused":                    {no(2, Unreachable), []bool{true, true, true, true}, false},
-		"one connection broke":           {no(1, Broken), []bool{false, false, false, false}, false},
-		"breaks all that it is sent":     {no(softRun, Broken), []bool{true, true, true, true}, false},
-		"breaks between answers":         {append(append(no(softRun-1, Broken), b), no(1, Broken)...), []bool{false, false, false, false}, false},
-		"declined as clients erred":      {append(no(softRun-1, Declined), b), []bool{false, false, false, false}, false},
-		"declined again after an answer": {append(append(no(softRun-1, Declined), b), no(1, Declined)...), []bool{false, false, false, false}, false},
-		"declines all that it is sent":   {no(softRun, Declined), []bool{true, true, true, true}, false},
-		"all but one declined":           {no(softRun-1, Declined), []bool{false, false, false, false}, false},
+		"one connection broke":           {no(1, ConnectionBroken), []bool{false, false, false, false}, false},
+		"breaks all that it is sent":     {no(softRun, ConnectionBroken), []bool{true, true, true, true}, false},
+		"breaks between answers":         {append(append(no(softRun-1, ConnectionBroken), b), no(1, ConnectionBroken)...), []bool{false, false, false, false}, false},
+		"declined as clients erred":      {append(no(softRun-1, ClientError), b), []bool{false, false, false, false}, false},
+		"declined again after an answer": {append(append(no(softRun-1, ClientError), b), no(1, ClientError)...), []bool{false, false, false, false}, false},
+		"declines all that it is sent":   {no(softRun, ClientError), []bool{true, true, true, true}, false},
+		"all but one declined":           {no(softRun-1, ClientError), []bool{false, false, false, false}, false},
 		"turned two in a row away":       {[]end{{kind: 0, how: Overloaded}, {kind: 2, how: Overloaded}}, []bool{true, true, true, true}, false},
 		"turned away, answered, again":   {[]end{{kind: 0, how: Overloaded}, b, {kind: 2, how: Overloaded}}, []bool{false, false, true, false}, false},
 	} {
@@ -636,14 +636,14 @@
 func TestAnotherUnderTheSameIndex(t *testing.T) {
 	r := newRig(t, 3, nil).takeAll()
 	untouched := newRig(t, 3, nil).takeAll()
-	for _, how := range []Outcome{TimedOut, Broken, Unreachable, Overloaded, Success, TimedOut, Declined} {
+	for _, how := range []Outcome{TimedOut, ConnectionBroken, Unreachable, Overloaded, Success, TimedOut, ClientError} {
 		r.now += 100 * ms
 		r.learn(1, &operation{kind: 2}, r.now-90*ms, how)
 	}
 	r.markCold(1, r.now)
-	r.at(time.Second, Input{Kind: List, Members: []Member{{Server: 1, Rank: 1, Condition: Gone}}})
-	r.at(time.Second, Input{Kind: List, Members: []Member{{Server: 1, Other: true, Rank: 9, Cell: 5, Scale: 1, Started: -time.Minute, HasStart: true}}})
-	for kind := range r.set.Types {
+	r.at(time.Second, Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 1, Rank: 1, Condition: Removed}}})
+	r.at(time.Second, Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 1, IndexReused: true, Rank: 9, Cell: 5, Weight: 1, StartedAt: -time.Minute, HasStartTime: true}}})
+	for kind := range r.set.TrafficTypes {
 		if r.unwell(1, &operation{kind: kind}) {
 			t.Errorf("type %d: unwell", kind)
 		}
@@ -670,12 +670,12 @@
 		"many arrivals at one node among many": {[]float64{3, 0.1}, 50, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, 2, func(s *Settings) { s.Nodes, s.AllowancePerS = c.nodes, []float64{10, 10} })
+			r := newRig(t, 2, func(s *Settings) { s.NodeCount, s.TenantQuotas = c.nodes, []float64{10, 10} })
 			for tenant, rate := range c.rates {
-				r.tenants.Arrive(tenant, rate)
+				r.tenants.RecordArrival(tenant, rate)
 			}
-			if got := r.tenants.Rate(0) > r.fair(0); got != c.beyond {
-				t.Errorf("beyond %v: %.2f of %.2f", got, r.tenants.Rate(0), r.fair(0))
+			if got := r.tenants.ArrivalRate(0) > r.fair(0); got != c.beyond {
+				t.Errorf("beyond %v: %.2f of %.2f", got, r.tenants.ArrivalRate(0), r.fair(0))
 			}
 		})
 	}
@@ -696,7 +696,7 @@
 			}
 			resting := 0
 			for s := range r.members.Len() {
-				until := r.failures.Until(s, failures.AllTypes)
+				until := r.failures.EjectedUntil(s, failures.AllTypes)
 				if until > r.now {
 					resting++
 				}
@@ -714,7 +714,7 @@
 		for i := range 400 {
 			now := time.Duration(i) * 7 * ms
 			op, got := r.arriveAt(now, i%4, time.Second)
-			all = append(append(all, got...), r.at(now, Input{Kind: Woken})...)
+			all = append(append(all, got...), r.at(now, Input{Kind: TimerFired})...)
 			if i%3 > 0 {
 				all = append(all, r.end(now+5*ms, op, 0, Outcome(i%8))...)
 			}
@@ -732,9 +732,9 @@
 		"late answers earn nothing": {0, 0.39}, "late answers earn a share": {0.5, 1.5},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, 2, func(s *Settings) { s.Types[2].LateRevenue = c.late })
+			r := newRig(t, 2, func(s *Settings) { s.TrafficTypes[2].LateWeightShare = c.late })
 			op, got := r.arriveAt(time.Second, 2, 1500*ms)
-			if len(got) != 1 || math.Abs(got[0].For.Seconds()-c.want) > 0.001 {
+			if len(got) != 1 || math.Abs(got[0].Duration.Seconds()-c.want) > 0.001 {
 				t.Fatalf("sent %+v, want %.2f s", got, c.want)
 			}
 			if c.late > 0 {
@@ -758,11 +758,11 @@
 		"little is left": {250 * ms, 50 * ms, 10 * ms, 40 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, 2, func(s *Settings) { s.MaxRetryIn = time.Second })
+			r := newRig(t, 2, func(s *Settings) { s.MaxRetryAfter = time.Second })
 			r.usual[0], r.now, r.effects = c.usual, time.Second+c.past, nil
 			r.Policy.ops = append(r.Policy.ops, operation{target: 1390 * ms, limit: 2 * time.Second})
 			r.deny(0)
-			if back := r.effects[0].For; back < c.least || back > c.most {
+			if back := r.effects[0].Duration; back < c.least || back > c.most {
 				t.Errorf("told to come back in %s", back)
 			}
 		})
@@ -817,12 +817,12 @@
 		t.Run(name, func(t *testing.T) {
 			var met [2][]int
 			for me := range met {
-				r := newRig(t, servers, func(s *Settings) { s.WarmKeys, s.Me = c.warm, me }).takeAll()
+				r := newRig(t, servers, func(s *Settings) { s.ServersCacheKeys, s.NodeIndex = c.warm, me }).takeAll()
 				r.turn, r.need, r.grown = 2*me, servers, 1000
 				turns := make([]int, servers)
 				for i := range uint32(servers * each) {
 					r.ops++
-					r.at(r.now, Input{Kind: Arrival, Op: r.ops - 1, Key: 1 + i%c.keys*7919, Budget: time.Second})
+					r.at(r.now, Input{Kind: RequestArrived, Request: r.ops - 1, Key: 1 + i%c.keys*7919, Timeout: time.Second})
 					s := r.operation(r.ops - 1).hops[0].server
 					met[me] = append(met[me], s)
 					turns[s]++
@@ -854,14 +854,14 @@
 		want float64 // hops in the window once all are overdue
 	}{"late answers earn": {0.5, 0}, "they do not": {0, 3}} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, 8, func(s *Settings) { s.Types[2].LateRevenue = c.late })
+			r := newRig(t, 8, func(s *Settings) { s.TrafficTypes[2].LateWeightShare = c.late })
 			r.grown = 1000
 			for range 3 {
 				r.arriveAt(time.Second, 2, 2*time.Second)
 			}
 			r.grown = 0
 			for now := 1400 * ms; now < 1500*ms; now += 20 * ms {
-				r.at(now, Input{Kind: Woken})
+				r.at(now, Input{Kind: TimerFired})
 			}
 			if r.flying != c.want {
 				t.Errorf("%g hops in the window", r.flying)
--- a/policy/route_test.go
+++ b/policy/route_test.go
@@ -10,8 +10,8 @@
 // routed is a rig whose type 0 has other figures, and that may send copies.
 func routed(t *testing.T, servers, kind int, change func(*TrafficType)) *rig {
 	r := newRig(t, servers, func(s *Settings) {
-		s.Copies, s.Nodes = true, 1
-		change(&s.Types[kind])
+		s.HedgingAllowed, s.NodeCount = true, 1
+		change(&s.TrafficTypes[kind])
 	}).takeAll()
 	r.need = 99 // none is let go
 	return r
@@ -25,53 +25,56 @@
 		play   func(r *rig) []Effect
 		want   []EffectKind
 	}{
-		"a further hop": {0, func(*TrafficType) {}, func(r *rig) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{SendHop}},
-		"one hop only":  {0, func(t *TrafficType) { t.MostHops = 1 }, func(r *rig) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{Deny}},
-		"no more than the settings": {2, func(t *TrafficType) { t.MostHops = 9 }, func(r *rig) []Effect {
+		"a further hop": {0, func(*TrafficType) {}, func(r *rig) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{SendAttempt}},
+		"one hop only":  {0, func(t *TrafficType) { t.MaxAttempts = 1 }, func(r *rig) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{Reject}},
+		"no more than the settings": {2, func(t *TrafficType) { t.MaxAttempts = 9 }, func(r *rig) []Effect {
 			for i := range 3 {
 				r.end(time.Duration(10+i)*ms, 0, i, Unreachable)
 			}
 			return r.end(20*ms, 0, 3, Unreachable)
-		}, []EffectKind{Deny}},
-		"not after an error":      {0, func(t *TrafficType) { t.Further = 1 << Overloaded }, func(r *rig) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{Deny}},
-		"but after a refusal":     {0, func(t *TrafficType) { t.Further = 1 << Overloaded }, func(r *rig) []Effect { return r.end(50*ms, 0, 0, Overloaded) }, []EffectKind{SendHop}},
-		"a budget that is saved":  {0, func(t *TrafficType) { t.RetryShare = 1 }, func(r *rig) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{SendHop}},
-		"a budget that is used":   {0, func(t *TrafficType) { t.RetryShare = 0.1 }, func(r *rig) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{Deny}},
-		"the floor of a budget":   {0, func(t *TrafficType) { t.RetryShare, t.RetryFloor = 0.1, 100 }, func(r *rig) []Effect { r.at(40*ms, Input{Kind: Woken}); return r.end(50*ms, 0, 0, Failure) }, []EffectKind{SendHop}},
-		"no copy without a word":  {0, func(*TrafficType) {}, func(r *rig) []Effect { return r.at(200*ms, Input{Kind: Woken}) }, nil},
-		"a copy":                  {0, func(t *TrafficType) { t.CopyAfter, t.CopyShare = 50*ms, 1 }, func(r *rig) []Effect { return r.at(60*ms, Input{Kind: Woken}) }, []EffectKind{SendHop}},
-		"not before its time":     {0, func(t *TrafficType) { t.CopyAfter, t.CopyShare = 50*ms, 1 }, func(r *rig) []Effect { return r.at(40*ms, Input{Kind: Woken}) }, nil},
-		"not beyond its budget":   {0, func(t *TrafficType) { t.CopyAfter, t.CopyShare = 50*ms, 0.5 }, func(r *rig) []Effect { return r.at(60*ms, Input{Kind: Woken}) }, nil},
-		"one copy only":           {0, func(t *TrafficType) { t.CopyAfter, t.CopyShare = 50*ms, 1 }, func(r *rig) []Effect { r.at(60*ms, Input{Kind: Woken}); return r.at(160*ms, Input{Kind: Woken}) }, nil},
-		"never of a binding type": {2, func(t *TrafficType) { t.CopyAfter, t.CopyShare = 50*ms, 1 }, func(r *rig) []Effect { return r.at(60*ms, Input{Kind: Woken}) }, nil},
-		"the first fails, the copy is out": {0, func(t *TrafficType) { t.CopyAfter, t.CopyShare = 50*ms, 1 }, func(r *rig) []Effect {
-			r.at(60*ms, Input{Kind: Woken})
+		}, []EffectKind{Reject}},
+		"not after an error":     {0, func(t *TrafficType) { t.RetryOn = 1 << Overloaded }, func(r *rig) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{Reject}},
+		"but after a refusal":    {0, func(t *TrafficType) { t.RetryOn = 1 << Overloaded }, func(r *rig) []Effect { return r.end(50*ms, 0, 0, Overloaded) }, []EffectKind{SendAttempt}},
+		"a budget that is saved": {0, func(t *TrafficType) { t.RetryRatio = 1 }, func(r *rig) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{SendAttempt}},
+		"a budget that is used":  {0, func(t *TrafficType) { t.RetryRatio = 0.1 }, func(r *rig) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{Reject}},
+		"the floor of a budget":  {0, func(t *TrafficType) { t.RetryRatio, t.MinRetriesPerSecond = 0.1, 100 }, func(r *rig) []Effect { r.at(40*ms, Input{Kind: TimerFired}); return r.end(50*ms, 0, 0, Failure) }, []EffectKind{SendAttempt}},
+		"no copy without a word": {0, func(*TrafficType) {}, func(r *rig) []Effect { return r.at(200*ms, Input{Kind: TimerFired}) }, nil},
+		"a copy":                 {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *rig) []Effect { return r.at(60*ms, Input{Kind: TimerFired}) }, []EffectKind{SendAttempt}},
+		"not before its time":    {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *rig) []Effect { return r.at(40*ms, Input{Kind: TimerFired}) }, nil},
+		"not beyond its budget":  {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 0.5 }, func(r *rig) []Effect { return r.at(60*ms, Input{Kind: TimerFired}) }, nil},
+		"one copy only": {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *rig) []Effect {
+			r.at(60*ms, Input{Kind: TimerFired})
+			return r.at(160*ms, Input{Kind: TimerFired})
+		}, nil},
+		"never of a binding type": {2, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *rig) []Effect { return r.at(60*ms, Input{Kind: TimerFired}) }, nil},
+		"the first fails, the copy is out": {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *rig) []Effect {
+			r.at(60*ms, Input{Kind: TimerFired})
 			return r.end(70*ms, 0, 0, Failure)
 		}, nil},
-		"both fail": {0, func(t *TrafficType) { t.CopyAfter, t.CopyShare = 50*ms, 1 }, func(r *rig) []Effect {
-			r.at(60*ms, Input{Kind: Woken})
+		"both fail": {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *rig) []Effect {
+			r.at(60*ms, Input{Kind: TimerFired})
 			r.end(70*ms, 0, 0, Failure)
 			return r.end(75*ms, 0, 1, Failure)
-		}, []EffectKind{SendHop}},
-		"the copy answers, the first later": {0, func(t *TrafficType) { t.CopyAfter, t.CopyShare = 50*ms, 1 }, func(r *rig) []Effect {
-			r.at(60*ms, Input{Kind: Woken})
+		}, []EffectKind{SendAttempt}},
+		"the copy answers, the first later": {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *rig) []Effect {
+			r.at(60*ms, Input{Kind: TimerFired})
 			r.end(70*ms, 0, 1, Success)
-			return r.end(71*ms, 0, 0, Withdrawn)
+			return r.end(71*ms, 0, 0, Canceled)
 		}, nil},
-		"a copy of a mark in its group only": {1, func(t *TrafficType) { t.CopyAfter, t.CopyShare = 50*ms, 1 }, func(r *rig) []Effect {
-			e := r.at(60*ms, Input{Kind: Woken})
+		"a copy of a mark in its group only": {1, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *rig) []Effect {
+			e := r.at(60*ms, Input{Kind: TimerFired})
 			for _, x := range e {
-				if x.Kind == SendHop && r.zone[x.Server] != r.zone[r.operation(0).hops[0].server] {
+				if x.Kind == SendAttempt && r.zone[x.Server] != r.zone[r.operation(0).hops[0].server] {
 					r.t.Error("sent to another group")
 				}
 			}
 			return e
-		}, []EffectKind{SendHop}},
-		"no copy past the window": {1, func(t *TrafficType) { t.CopyAfter, t.CopyShare, t.Window = 50*ms, 1, 40*ms }, func(r *rig) []Effect { return r.at(60*ms, Input{Kind: Woken}) }, nil},
+		}, []EffectKind{SendAttempt}},
+		"no copy past the window": {1, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio, t.KeyRetention = 50*ms, 1, 40*ms }, func(r *rig) []Effect { return r.at(60*ms, Input{Kind: TimerFired}) }, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := routed(t, 6, c.kind, c.change)
-			if _, e := r.arriveAt(0, c.kind, 2*time.Second); !slices.Equal(kinds(e), []EffectKind{SendHop}) {
+			if _, e := r.arriveAt(0, c.kind, 2*time.Second); !slices.Equal(kinds(e), []EffectKind{SendAttempt}) {
 				t.Fatalf("on arrival: %v", e)
 			}
 			if got := kinds(c.play(r)); !slices.Equal(got, c.want) {
@@ -85,26 +88,26 @@
 
 // A hop may take as long as its route says, which leaves time for another.
 func TestHopTime(t *testing.T) {
-	r := routed(t, 6, 0, func(t *TrafficType) { t.HopTime = 90 * ms })
+	r := routed(t, 6, 0, func(t *TrafficType) { t.AttemptTimeout = 90 * ms })
 	_, e := r.arriveAt(0, 0, 2*time.Second)
-	if e[0].For != 90*ms {
-		t.Errorf("the first has %s", e[0].For)
+	if e[0].Duration != 90*ms {
+		t.Errorf("the first has %s", e[0].Duration)
 	}
-	if e = r.end(90*ms, 0, 0, TimedOut); len(e) == 0 || e[0].Kind != SendHop || e[0].For != 90*ms {
+	if e = r.end(90*ms, 0, 0, TimedOut); len(e) == 0 || e[0].Kind != SendAttempt || e[0].Duration != 90*ms {
 		t.Errorf("after it: %+v", e)
 	}
 }
 
 // Servers outside the pool get nothing; where the pool is empty the operation is denied in its time, and others go on.
 func TestPool(t *testing.T) {
-	r := routed(t, 6, 0, func(t *TrafficType) { t.Pool = 2 })
+	r := routed(t, 6, 0, func(t *TrafficType) { t.PoolLabels = 2 })
 	label := func(server int, labels uint64) {
-		r.at(r.now, Input{Kind: List, Members: []Member{{Server: server, Rank: uint32(server), Scale: 1, Labels: labels}}})
+		r.at(r.now, Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: server, Rank: uint32(server), Weight: 1, Labels: labels}}})
 	}
 	label(3, 2)
 	for range 5 {
 		op, e := r.arriveAt(r.now, 0, 2*time.Second)
-		if len(e) != 1 || e[0].Kind != SendHop || e[0].Server != 3 {
+		if len(e) != 1 || e[0].Kind != SendAttempt || e[0].Server != 3 {
 			t.Fatalf("sent as %+v", e)
 		}
 		r.end(r.now, op, 0, Success)
@@ -114,10 +117,10 @@
 	if len(e) != 0 {
 		t.Errorf("with an empty pool: %+v", e)
 	}
-	if _, e = r.arriveAt(r.now, 2, 2*time.Second); !slices.Equal(kinds(e), []EffectKind{SendHop}) {
+	if _, e = r.arriveAt(r.now, 2, 2*time.Second); !slices.Equal(kinds(e), []EffectKind{SendAttempt}) {
 		t.Errorf("another type: %+v", e)
 	}
-	if e = r.at(r.now+300*ms, Input{Kind: Woken}); !slices.ContainsFunc(e, func(e Effect) bool { return e.Kind == Deny && e.Op == waits }) {
+	if e = r.at(r.now+300*ms, Input{Kind: TimerFired}); !slices.ContainsFunc(e, func(e Effect) bool { return e.Kind == Reject && e.Request == waits }) {
 		t.Errorf("in the end: %+v", e)
 	}
 }
@@ -125,13 +128,13 @@
 // A room lets so many have a hop out, the next goes when one ends, and a smaller limit lets the others end first.
 func TestRoom(t *testing.T) {
 	r := routed(t, 6, 0, func(*TrafficType) {})
-	types := r.set.Types
+	types := r.set.TrafficTypes
 	limit := func(n int) {
-		r.at(r.now, Input{Kind: Retyped, Types: types, Like: []int{0, 1, 2, 3}, Rooms: []int{0, n}})
+		r.at(r.now, Input{Kind: TrafficTypesChanged, TrafficTypes: types, LearnFrom: []int{0, 1, 2, 3}, RouteLimits: []int{0, n}})
 	}
 	arrive := func() []EffectKind {
 		r.ops++
-		return kinds(r.at(r.now, Input{Kind: Arrival, Op: r.ops - 1, Type: 0, Room: 1, Budget: 2 * time.Second}))
+		return kinds(r.at(r.now, Input{Kind: RequestArrived, Request: r.ops - 1, TrafficType: 0, RouteLimit: 1, Timeout: 2 * time.Second}))
 	}
 	limit(3)
 	var got []int
@@ -157,17 +160,17 @@
 		r.end(r.now+30*ms, op, 0, Success)
 	}
 	held, _ := r.arriveAt(r.now, 0, 2*time.Second)
-	types := slices.Clone(r.set.Types)
+	types := slices.Clone(r.set.TrafficTypes)
 	short := types[0]
-	short.MostHops = 1
+	short.MaxAttempts = 1
 	types = append(types, short)
 	learned := r.usual[0]
-	r.at(r.now, Input{Kind: Retyped, Types: types, Like: []int{0, 1, 2, 3, 0}, Rooms: []int{0}})
+	r.at(r.now, Input{Kind: TrafficTypesChanged, TrafficTypes: types, LearnFrom: []int{0, 1, 2, 3, 0}, RouteLimits: []int{0}})
 	if r.usual[0] != learned || r.usual[4] != learned || r.samples[4] != r.samples[0] || len(r.order) != 10 {
 		t.Errorf("learned %s, kept %s, passed on %s, order %v", learned, r.usual[0], r.usual[4], r.order)
 	}
 	fresh, _ := r.arriveAt(r.now, 4, 2*time.Second)
-	for op, want := range map[int]EffectKind{held: SendHop, fresh: Deny} {
+	for op, want := range map[int]EffectKind{held: SendAttempt, fresh: Reject} {
 		if e := kinds(r.end(r.now+10*ms, op, 0, Failure)); !slices.Equal(e, []EffectKind{want}) {
 			t.Errorf("operation %d then gets %v", op, e)
 		}
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -15,7 +15,7 @@
 // visits is how many elements of the module's sets and steps of its rotation were come to.
 func visits(p *Policy) int {
 	sum := p.rotation.Steps() + p.tenants.Visits()
-	for _, s := range []*indexset.Set{&p.cold, p.members.Unlisted(), &p.shared, p.failures.Active(), p.records.Active(), &p.busy} {
+	for _, s := range []*indexset.Set{&p.cold, p.members.ReadyUnlisted(), &p.shared, p.failures.Active(), p.records.Active(), &p.busy} {
 		sum += s.Visits()
 	}
 	return sum
@@ -24,41 +24,41 @@
 // What one change costs does not grow with the fleet: a server replaced by another, one drained, one back, each by
 // elements come to and by memory taken.
 func TestOneChangeCostsWhatItTouches(t *testing.T) {
-	up := Member{Zone: 1, Scale: 1, Started: -time.Hour, HasStart: true}
-	for name, change := range map[string]func(i int) []Member{
-		"replaced": func(i int) []Member {
+	up := Endpoint{Zone: 1, Weight: 1, StartedAt: -time.Hour, HasStartTime: true}
+	for name, change := range map[string]func(i int) []Endpoint{
+		"replaced": func(i int) []Endpoint {
 			m := up
-			m.Server, m.Rank, m.Other = i, uint32(i)*2654435761, true
-			return []Member{m}
+			m.Server, m.Rank, m.IndexReused = i, uint32(i)*2654435761, true
+			return []Endpoint{m}
 		},
-		"drained and back": func(i int) []Member {
+		"drained and back": func(i int) []Endpoint {
 			m := up
 			m.Server, m.Condition = i, Draining
 			back := up
 			back.Server = i
-			return []Member{m, back}
+			return []Endpoint{m, back}
 		},
-		"gone and back": func(i int) []Member {
+		"gone and back": func(i int) []Endpoint {
 			m := up
-			m.Server, m.Condition = i, Gone
+			m.Server, m.Condition = i, Removed
 			back := up
 			back.Server = i
-			return []Member{m, back}
+			return []Endpoint{m, back}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const changes = 200
 			cost := func(servers int) (elements int, allocs float64) {
 				p := newFleet(3, 0, servers)
-				p.set.OnlyDraining = true
-				var lists [changes][]Member
+				p.set.UnlistedUsable = true
+				var lists [changes][]Endpoint
 				for i := range lists {
 					lists[i] = change(i * 4)
 				}
 				var effects []Effect
 				from, i := visits(p), 0
 				allocs = testing.AllocsPerRun(changes-1, func() {
-					effects = p.Handle(0, &Input{Kind: List, Scope: Changes, Members: lists[i]}, effects[:0])
+					effects = p.Handle(0, &Input{Kind: EndpointsUpdated, Scope: Incremental, Endpoints: lists[i]}, effects[:0])
 					i++
 				})
 				return (visits(p) - from) / changes, allocs
@@ -79,7 +79,7 @@
 func TestWholeListIsNotASquare(t *testing.T) {
 	cost := func(servers int) (elements int) {
 		p := newFleet(3, 0, servers)
-		p.Handle(0, &Input{Kind: List, Scope: Whole, Members: fleetList(servers)}, nil)
+		p.Handle(0, &Input{Kind: EndpointsUpdated, Scope: Full, Endpoints: fleetList(servers)}, nil)
 		return visits(p)
 	}
 	for _, servers := range []int{1_000, 20_000} {
@@ -95,16 +95,16 @@
 func TestCountsAreAsWalked(t *testing.T) {
 	for _, only := range []bool{false, true} {
 		t.Run(fmt.Sprintf("only draining binds: %v", only), func(t *testing.T) {
-			r := newRig(t, 40, func(s *Settings) { s.OnlyDraining = only }).takeAll()
+			r := newRig(t, 40, func(s *Settings) { s.UnlistedUsable = only }).takeAll()
 			for i := range 4_000 {
 				r.now += 20 * ms
-				scope, list := Changes, []Member{{Server: i * 7 % 40, Rank: uint32(i), Scale: 1, Condition: Condition(i % 3), Other: i%31 == 0,
+				scope, list := Incremental, []Endpoint{{Server: i * 7 % 40, Rank: uint32(i), Weight: 1, Condition: Condition(i % 3), IndexReused: i%31 == 0,
 					Labels: uint64(i * 5 % 16)}}
 				if i%50 == 49 {
-					scope = Whole
+					scope = Full
 				}
-				r.at(r.now, Input{Kind: List, Scope: scope, Members: list})
-				r.at(r.now, Input{Kind: Woken})
+				r.at(r.now, Input{Kind: EndpointsUpdated, Scope: scope, Endpoints: list})
+				r.at(r.now, Input{Kind: TimerFired})
 				op, _ := r.arriveAt(r.now, i%4, time.Second)
 				if len(r.Policy.ops[op].hops) > 0 {
 					r.end(r.now, op, 0, Outcome(i%8))
@@ -130,7 +130,7 @@
 		if r.members.Ready(s) && !r.members.Listed(s) {
 			dropped = append(dropped, s)
 		}
-		if (r.failures.Len(s) > 0 || r.failures.Until(s, failures.AllTypes) > r.now) && !r.failures.Active().Has(s) {
+		if (r.failures.EntryCount(s) > 0 || r.failures.EjectedUntil(s, failures.AllTypes) > r.now) && !r.failures.Active().Has(s) {
 			t.Fatalf("server %d has troubles that no walk comes to", s)
 		}
 		sum += r.smoothed.At(s)
@@ -141,13 +141,13 @@
 		}
 	}
 	for bit, want := range labelled {
-		if got := r.members.LabelCount(1 << bit); got != want {
+		if got := r.members.ReadyWithLabels(1 << bit); got != want {
 			t.Fatalf("at %v: %d with label %d, counted %d", r.now, want, bit, got)
 		}
 	}
-	if ready != r.members.ReadyCount() || listed != r.members.ListedCount() || sum != r.smoothed.Sum() || !slices.Equal(dropped, slices.Collect(r.members.Unlisted().All())) {
+	if ready != r.members.ReadyCount() || listed != r.members.ListedCount() || sum != r.smoothed.Sum() || !slices.Equal(dropped, slices.Collect(r.members.ReadyUnlisted().All())) {
 		t.Fatalf("at %v: %d ready, counted %d; %d listed, counted %d; sum %v, kept %v; dropped %v, kept %v", r.now,
-			ready, r.members.ReadyCount(), listed, r.members.ListedCount(), sum, r.smoothed.Sum(), dropped, slices.Collect(r.members.Unlisted().All()))
+			ready, r.members.ReadyCount(), listed, r.members.ListedCount(), sum, r.smoothed.Sum(), dropped, slices.Collect(r.members.ReadyUnlisted().All()))
 	}
 }
 
@@ -161,7 +161,7 @@
 		from := visits(p)
 		for range times {
 			now += 20 * ms
-			p.Handle(now, &Input{Kind: Woken}, nil)
+			p.Handle(now, &Input{Kind: TimerFired}, nil)
 		}
 		return visits(p) - from
 	}
@@ -170,25 +170,25 @@
 		t.Errorf("%d elements come to where nothing has had traffic", got)
 	}
 	for i := range inUse {
-		p.Handle(now, &Input{Kind: Arrival, Op: i, Type: i * 1_000, Tenant: i * 100_000, Budget: time.Second}, nil)
-		p.Handle(now+5*ms, &Input{Kind: HopEnded, Op: i, Outcome: Success, Final: true}, nil)
+		p.Handle(now, &Input{Kind: RequestArrived, Request: i, TrafficType: i * 1_000, Tenant: i * 100_000, Timeout: time.Second}, nil)
+		p.Handle(now+5*ms, &Input{Kind: AttemptEnded, Request: i, Outcome: Success, ClientAnswered: true}, nil)
 	}
 	if got := tick(1); got == 0 || got > 4*inUse { // tenants, servers, types twice
 		t.Errorf("%d elements come to for %d in use", got, inUse)
 	}
 	var effects []Effect
-	if got := testing.AllocsPerRun(20, func() { effects = p.Handle(now, &Input{Kind: Woken}, effects[:0]) }); got > 0 {
+	if got := testing.AllocsPerRun(20, func() { effects = p.Handle(now, &Input{Kind: TimerFired}, effects[:0]) }); got > 0 {
 		t.Errorf("%g allocations a tick", got)
 	}
 	const marked, idle = 0.5, 7 // what a tick walks, it fades
-	p.rates[2*idle], p.byType[2*idle].All, p.records.At(idle).All, p.base[idle+1] = marked, marked, marked, 1
+	p.rates[2*idle], p.byType[2*idle].Total, p.records.At(idle).Total, p.base[idle+1] = marked, marked, marked, 1
 	tick(1)
-	if p.rates[2*idle] != marked || p.byType[2*idle].All != marked || p.records.At(idle).All != marked || p.base[idle+1] != 1 {
+	if p.rates[2*idle] != marked || p.byType[2*idle].Total != marked || p.records.At(idle).Total != marked || p.base[idle+1] != 1 {
 		t.Error("a tick comes to a type or a server without traffic")
 	}
 	for range 300 { // a second each: what has had no traffic for five minutes is let go of
 		now += time.Second
-		p.Handle(now, &Input{Kind: Woken}, nil)
+		p.Handle(now, &Input{Kind: TimerFired}, nil)
 	}
 	if got := tick(10); got != 0 || p.tenants.Len() != 0 || p.records.Active().Len() != 0 || len(p.order) != 0 {
 		t.Errorf("%d elements come to long after, %d tenants, %d servers, %d buckets held", got, p.tenants.Len(), p.records.Active().Len(), len(p.order))
@@ -205,7 +205,10 @@
 		"dearer than others": {50, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, 4, func(s *Settings) { s.Types = append(s.Types, s.Types[0]); s.Types[4].Revenue = c.revenue })
+			r := newRig(t, 4, func(s *Settings) {
+				s.TrafficTypes = append(s.TrafficTypes, s.TrafficTypes[0])
+				s.TrafficTypes[4].PriorityWeight = c.revenue
+			})
 			r.busy.Remove(4)
 			for b := range r.rates[:8] {
 				r.rates[b] = 10
@@ -227,29 +230,29 @@
 // the module was given stay as they are, and what a watcher asks goes by those that hold.
 func TestAllowancesChange(t *testing.T) {
 	for name, c := range map[string]struct {
-		changed []Allowance
+		changed []Quota
 		tenant  int
 		beyond  bool // after ten arrivals in a second and a half
 	}{
 		"none":                          {nil, 0, true},
-		"raised":                        {[]Allowance{{0, 100}}, 0, false},
-		"another's raised":              {[]Allowance{{1, 100}}, 0, true},
-		"a new tenant's":                {[]Allowance{{5, 100}}, 5, false},
-		"a new tenant with little":      {[]Allowance{{5, 1}}, 5, true},
-		"a tenant that is not known":    {[]Allowance{{5, 1}}, 9, false},
-		"raised, and lowered in one":    {[]Allowance{{0, 100}, {0, 1}}, 0, true},
-		"a new tenant, then known none": {[]Allowance{{5, 1}}, 4, false},
+		"raised":                        {[]Quota{{0, 100}}, 0, false},
+		"another's raised":              {[]Quota{{1, 100}}, 0, true},
+		"a new tenant's":                {[]Quota{{5, 100}}, 5, false},
+		"a new tenant with little":      {[]Quota{{5, 1}}, 5, true},
+		"a tenant that is not known":    {[]Quota{{5, 1}}, 9, false},
+		"raised, and lowered in one":    {[]Quota{{0, 100}, {0, 1}}, 0, true},
+		"a new tenant, then known none": {[]Quota{{5, 1}}, 4, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			given := []float64{1, 1}
-			r := newRig(t, 2, func(s *Settings) { s.Nodes, s.AllowancePerS = 1, given })
-			r.at(0, Input{Kind: AllowancesChanged, Allowances: c.changed})
+			r := newRig(t, 2, func(s *Settings) { s.NodeCount, s.TenantQuotas = 1, given })
+			r.at(0, Input{Kind: QuotasChanged, Quotas: c.changed})
 			beyond := false
 			for i := range 10 {
 				now := time.Duration(i) * 150 * ms
-				in := Input{Kind: Arrival, Op: i, Tenant: c.tenant, Budget: time.Second}
+				in := Input{Kind: RequestArrived, Request: i, Tenant: c.tenant, Timeout: time.Second}
 				set := r.set
-				set.AllowancePerS = given
+				set.TenantQuotas = given
 				asked := r.WhatIf(&set, now, &in, nil)
 				if got := r.at(now, in); len(c.changed) > 0 && !slices.Equal(asked, got) {
 					t.Errorf("a watcher has %v, the module decides %v", asked, got)
@@ -259,7 +262,7 @@
 			if beyond != c.beyond {
 				t.Errorf("beyond its share: %v", beyond)
 			}
-			if got := columns.Sum(r.set.AllowancePerS); got != r.allowances || !slices.Equal(given, []float64{1, 1}) {
+			if got := columns.Sum(r.set.TenantQuotas); got != r.allowances || !slices.Equal(given, []float64{1, 1}) {
 				t.Errorf("the sum is %g, kept %g; given %v", got, r.allowances, given)
 			}
 		})
@@ -270,30 +273,30 @@
 func TestSmallPoolCostsNoWalkOfAllServers(t *testing.T) {
 	const servers, pooled, label = 20_000, 5, 1 << 9
 	p := New(fleetSettings(1, 0), 7)
-	p.set.Types[0].Pool = label
-	p.Handle(0, &Input{Kind: Woken}, nil)
+	p.set.TrafficTypes[0].PoolLabels = label
+	p.Handle(0, &Input{Kind: TimerFired}, nil)
 	list := fleetList(servers)
 	for i := range pooled {
 		list[i*1_000].Labels = label | 1
 	}
-	p.Handle(0, &Input{Kind: List, Scope: Whole, Members: list}, nil)
+	p.Handle(0, &Input{Kind: EndpointsUpdated, Scope: Full, Endpoints: list}, nil)
 	for op := range 2 * pooled { // the first ones take them in
-		p.Handle(0, &Input{Kind: Arrival, Op: op, Budget: time.Second}, nil)
+		p.Handle(0, &Input{Kind: RequestArrived, Request: op, Timeout: time.Second}, nil)
 	}
-	if len(p.pool) != pooled || p.members.LabelCount(label) != pooled {
-		t.Fatalf("%d of %d taken in, counted %d", len(p.pool), pooled, p.members.LabelCount(label))
+	if len(p.pool) != pooled || p.members.ReadyWithLabels(label) != pooled {
+		t.Fatalf("%d of %d taken in, counted %d", len(p.pool), pooled, p.members.ReadyWithLabels(label))
 	}
 	from := p.rotation.Steps()
-	effects := p.Handle(0, &Input{Kind: Arrival, Op: 2 * pooled, Budget: time.Second}, nil)
-	if got := p.rotation.Steps() - from; got != 0 || len(effects) != 1 || effects[0].Kind != SendHop {
+	effects := p.Handle(0, &Input{Kind: RequestArrived, Request: 2 * pooled, Timeout: time.Second}, nil)
+	if got := p.rotation.Steps() - from; got != 0 || len(effects) != 1 || effects[0].Kind != SendAttempt {
 		t.Errorf("%d steps of the rotation; %v", got, effects)
 	}
-	p.Handle(0, &Input{Kind: List, Members: []Member{{Server: 7, Rank: list[7].Rank, Labels: label, Started: -time.Hour, HasStart: true}}}, nil)
-	if p.Handle(0, &Input{Kind: Arrival, Op: 2*pooled + 1, Budget: time.Second}, nil); !p.member[7] {
+	p.Handle(0, &Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 7, Rank: list[7].Rank, Labels: label, StartedAt: -time.Hour, HasStartTime: true}}}, nil)
+	if p.Handle(0, &Input{Kind: RequestArrived, Request: 2*pooled + 1, Timeout: time.Second}, nil); !p.member[7] {
 		t.Error("one that has come to the pool is not taken in")
 	}
-	p.Handle(0, &Input{Kind: List, Members: []Member{{Server: 7, Condition: Draining, Labels: label}}}, nil)
-	if p.members.LabelCount(label) != pooled || !p.allTaken(&TrafficType{Pool: label}) {
-		t.Errorf("counted %d of the pool", p.members.LabelCount(label))
+	p.Handle(0, &Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 7, Condition: Draining, Labels: label}}}, nil)
+	if p.members.ReadyWithLabels(label) != pooled || !p.allTaken(&TrafficType{PoolLabels: label}) {
+		t.Errorf("counted %d of the pool", p.members.ReadyWithLabels(label))
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -69,7 +69,7 @@
 	effects     []Effect
 
 	ops   []operation
-	open  intset.Bag // operations in hand
+	open  intset.Set // operations in hand
 	order []int      // buckets, the cheapest first
 
 	// Servers, in parallel arrays under their index.
@@ -92,15 +92,15 @@
 	droppedAt                     []time.Duration // or its last answer since
 	usedAt                        []time.Duration // notice, last send or outcome of one that is leaving
 	onsets                        [][forecastWindow]float64
-	records                       decay.Table    // how often hops to it failed
-	byType, byKey                 []decay.Record // the same of a sort
-	breaks                        []decay.Record // by type: servers that broke off a hop
-	overall, turned, unconnected  decay.Record   // how often all failed; were turned away as full; got no connection
+	records                       decay.Table         // how often hops to it failed
+	byType, byKey                 []decay.FailureRate // the same of a sort
+	breaks                        []decay.FailureRate // by type: servers that broke off a hop
+	overall, turned, unconnected  decay.FailureRate   // how often all failed; were turned away as full; got no connection
 
 	// What a walk over all servers would find.
-	cold, shared indexset.Set   // shared: a plan names them
-	leaving      indexset.Set   // connections to them are to be closed once more
-	rotation     ranktree.Index // all, in the order that all nodes share
+	cold, shared indexset.Set  // shared: a plan names them
+	leaving      indexset.Set  // connections to them are to be closed once more
+	rotation     ranktree.Tree // all, in the order that all nodes share
 
 	pool                               []int   // the servers taken in
 	next, listedMost                   int     // place in rotation where the next joins; servers listed at a time
