--- a/policy/trouble_test.go
+++ b/policy/trouble_test.go
@@ -15,24 +15,24 @@
 		lists []map[int]Condition // whole ones, of servers in other conditions; the first server is looked at
 		ready bool
 	}{
-		"gone binds":                {false, []map[int]Condition{{0: Gone}}, false},
-		"all gone":                  {true, []map[int]Condition{{0: Gone, 1: Gone, 2: Gone, 3: Gone}}, true},
+		"gone binds":                {false, []map[int]Condition{{0: Removed}}, false},
+		"all gone":                  {true, []map[int]Condition{{0: Removed, 1: Removed, 2: Removed, 3: Removed}}, true},
 		"draining":                  {true, []map[int]Condition{{0: Draining}}, false},
-		"draining, then gone":       {true, []map[int]Condition{{0: Draining}, {0: Gone}}, false},
-		"gone, then draining":       {true, []map[int]Condition{{0: Gone}, {0: Draining}}, false},
-		"draining, gone, and anew":  {true, []map[int]Condition{{0: Draining}, {0: Gone}, nil}, true},
-		"gone twice, and yet there": {true, []map[int]Condition{{0: Gone}, {0: Gone}}, true},
+		"draining, then gone":       {true, []map[int]Condition{{0: Draining}, {0: Removed}}, false},
+		"gone, then draining":       {true, []map[int]Condition{{0: Removed}, {0: Draining}}, false},
+		"draining, gone, and anew":  {true, []map[int]Condition{{0: Draining}, {0: Removed}, nil}, true},
+		"gone twice, and yet there": {true, []map[int]Condition{{0: Removed}, {0: Removed}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, 4, func(s *Settings) { s.OnlyDraining = c.only }).takeAll()
+			r := newRig(t, 4, func(s *Settings) { s.UnlistedUsable = c.only }).takeAll()
 			for _, other := range c.lists {
-				var list []Member
+				var list []Endpoint
 				for i := range 4 {
-					if other[i] != Gone {
-						list = append(list, Member{Server: i, Rank: uint32(i), Scale: 1, Condition: other[i]})
+					if other[i] != Removed {
+						list = append(list, Endpoint{Server: i, Rank: uint32(i), Weight: 1, Condition: other[i]})
 					}
 				}
-				r.at(time.Second, Input{Kind: List, Scope: Whole, Members: list})
+				r.at(time.Second, Input{Kind: EndpointsUpdated, Scope: Full, Endpoints: list})
 			}
 			if r.members.Ready(0) != c.ready || r.excluded(0, &operation{group: -1}) == c.ready || r.cold.Has(0) && c.only {
 				t.Errorf("may be sent to: %v, cold %v", r.members.Ready(0), r.cold.Has(0))
@@ -43,12 +43,12 @@
 
 // Traffic to a dropped server shrinks and grows by steps, one for each end, also when it is named again, and ends after long.
 func TestDroppedServersBySteps(t *testing.T) {
-	r := newRig(t, 4, func(s *Settings) { s.OnlyDraining = true }).takeAll()
+	r := newRig(t, 4, func(s *Settings) { s.UnlistedUsable = true }).takeAll()
 	r.now, r.answered[0] = time.Second, time.Second
 	tell := func(c Condition) {
-		r.at(r.now, Input{Kind: List, Scope: Changes, Members: []Member{{Server: 0, Scale: 1, Condition: c}}})
+		r.at(r.now, Input{Kind: EndpointsUpdated, Scope: Incremental, Endpoints: []Endpoint{{Server: 0, Weight: 1, Condition: c}}})
 	}
-	tell(Gone)
+	tell(Removed)
 	for i, how := range []Outcome{Unreachable, Unreachable, Unreachable, Success, Success} {
 		r.now += 50 * ms
 		if r.learn(0, &operation{target: r.now + 400*ms}, r.now-10*ms, how); r.doubt[0] != [...]int{2, 3, 3, 2, 1}[i] {
@@ -60,8 +60,8 @@
 	if r.weigh(); r.weight[0] != r.weight[1]/4 || r.cold.Has(0) {
 		t.Errorf("weight %g beside %g, cold %v", r.weight[0], r.weight[1], r.cold.Has(0))
 	}
-	tell(Gone)
-	if r.at(r.now+dropKept+time.Second, Input{Kind: Woken}); r.members.Ready(0) {
+	tell(Removed)
+	if r.at(r.now+dropKept+time.Second, Input{Kind: TimerFired}); r.members.Ready(0) {
 		t.Error("kept for ever")
 	}
 }
@@ -81,25 +81,25 @@
 		"a server that answers nothing":  {func(_ *operation, s int) bool { return s == 0 }, TimedOut, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, 4, func(s *Settings) { s.AllowancePerS = []float64{1e6, 1e6} }).takeAll()
+			r := newRig(t, 4, func(s *Settings) { s.TenantQuotas = []float64{1e6, 1e6} }).takeAll()
 			rested := false
 			for i := range 400 {
 				r.now = time.Second + time.Duration(i)*10*ms
 				o := &operation{kind: i % 3, tenant: i / 4 % 2, target: r.now + 400*ms, key: uint32(1 + i/8%9)}
 				how := map[bool]Outcome{true: c.how}[c.bad(o, i*7/3%4)] // else Success
 				r.learn(i*7/3%4, o, r.now-40*ms, how)
-				rested = rested || i > 200 && r.now < r.failures.Until(0, failures.AllTypes)
+				rested = rested || i > 200 && r.now < r.failures.EjectedUntil(0, failures.AllTypes)
 			}
 			sent := [2]int{} // by tenant
 			for op := range 200 {
-				in := Input{Kind: Arrival, Op: op, Tenant: op % 2, Key: uint32(1 + op%2*8), Budget: time.Second}
-				if got := r.at(r.now, in); len(got) == 0 || got[0].Kind != SendHop {
+				in := Input{Kind: RequestArrived, Request: op, Tenant: op % 2, Key: uint32(1 + op%2*8), Timeout: time.Second}
+				if got := r.at(r.now, in); len(got) == 0 || got[0].Kind != SendAttempt {
 					continue
 				}
 				sent[op%2]++
 				if c.rests || op%2 == 0 {
 					r.end(r.now+20*ms, op, 0, Success)
-				} else if got := kinds(r.end(r.now+20*ms, op, 0, c.how)); len(got) != 1 || got[0] != Deny {
+				} else if got := kinds(r.end(r.now+20*ms, op, 0, c.how)); len(got) != 1 || got[0] != Reject {
 					t.Errorf("then %v", got)
 				}
 			}
@@ -123,24 +123,24 @@
 	}{
 		"no room":                 {0, Failure, true, nil, 0, false},
 		"no room, the dearest":    {3, Failure, true, nil, 0, true},
-		"one break":               {0, Broken, false, nil, 0, true},
-		"its server, twice":       {0, Broken, false, []int{0, 0}, 0, true},
-		"another server":          {0, Broken, false, []int{1}, 0, false},
-		"another, long ago":       {0, Broken, false, []int{1}, 20 * time.Second, true},
-		"another, of the dearest": {3, Broken, false, []int{1}, 0, true},
+		"one break":               {0, ConnectionBroken, false, nil, 0, true},
+		"its server, twice":       {0, ConnectionBroken, false, []int{0, 0}, 0, true},
+		"another server":          {0, ConnectionBroken, false, []int{1}, 0, false},
+		"another, long ago":       {0, ConnectionBroken, false, []int{1}, 20 * time.Second, true},
+		"another, of the dearest": {3, ConnectionBroken, false, []int{1}, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, 4, func(s *Settings) { s.Types[3].Revenue = 20 }).takeAll()
+			r := newRig(t, 4, func(s *Settings) { s.TrafficTypes[3].PriorityWeight = 20 }).takeAll()
 			for _, s := range c.broke {
-				r.learn(s, &operation{kind: c.kind, target: time.Minute}, r.now, Broken)
+				r.learn(s, &operation{kind: c.kind, target: time.Minute}, r.now, ConnectionBroken)
 			}
-			r.at(r.now+c.ago, Input{Kind: Woken})
+			r.at(r.now+c.ago, Input{Kind: TimerFired})
 			op, _ := r.arriveAt(r.now, c.kind, time.Second)
 			r.Policy.ops[op].hops[0].server = 0
 			if c.full {
 				r.flying += 100
 			}
-			if got := kinds(r.end(r.now+20*ms, op, 0, c.how)); (len(got) > 0 && got[0] == SendHop) != c.again {
+			if got := kinds(r.end(r.now+20*ms, op, 0, c.how)); (len(got) > 0 && got[0] == SendAttempt) != c.again {
 				t.Errorf("then %v", got)
 			}
 		})
@@ -155,7 +155,7 @@
 		t.Run(name, func(t *testing.T) {
 			granted, held, most, pace := 0.0, 0.0, 0.0, 0.0
 			for me := range 90 {
-				r := newRig(t, 18, func(s *Settings) { s.Nodes, s.Me, s.ColdFor = 90, me, 24*time.Second }).takeAll()
+				r := newRig(t, 18, func(s *Settings) { s.NodeCount, s.NodeIndex, s.SlowStartDuration = 90, me, 24*time.Second }).takeAll()
 				r.Policy.seed, r.now = uint32(1000+me), time.Second
 				for i := range 17 * refusals {
 					r.learn(1+i%17, &operation{}, r.now, Overloaded)
@@ -167,7 +167,7 @@
 					was := r.coldPace[0]
 					r.paceCold(20 * ms)
 					granted += max(r.coldPace[0]-was, 0)
-					pace = coldShare * r.set.FallMultiple * r.successes / 18 * r.capacity(0)
+					pace = coldShare * r.set.CrashLoadFactor * r.successes / 18 * r.capacity(0)
 					most += pace * 0.02
 				}
 				held += r.coldPace[0]
@@ -194,7 +194,9 @@
 		"nominal, as small as the others": {false, 0.1, 0.3, 1.6},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, 10, func(s *Settings) { s.LiveWeights, s.ColdStart, s.ColdFor = c.live, 0.1, time.Hour }).takeAll()
+			r := newRig(t, 10, func(s *Settings) {
+				s.WeightsFollowLoad, s.SlowStartInitialCapacity, s.SlowStartDuration = c.live, 0.1, time.Hour
+			}).takeAll()
 			for s := range r.scale {
 				r.scale[s] = 0.1
 			}
@@ -228,12 +230,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 4, nil)
-			r.failures.Of(0, kind).Last, r.inFlight[0], r.now = time.Second, c.inFlight, 2*time.Second
-			if r.forgetFailures(0); r.failures.Len(0) != c.entries || r.failures.Active().Has(0) != (c.entries > 0) {
-				t.Fatalf("%d entries, want %d", r.failures.Len(0), c.entries)
+			r.failures.GetOrCreate(0, kind).LastAt, r.inFlight[0], r.now = time.Second, c.inFlight, 2*time.Second
+			if r.forgetFailures(0); r.failures.EntryCount(0) != c.entries || r.failures.Active().Has(0) != (c.entries > 0) {
+				t.Fatalf("%d entries, want %d", r.failures.EntryCount(0), c.entries)
 			}
 			r.fault(0, kind, 500*ms)
-			if got := r.failures.Get(0, kind).Count; got != 1-c.entries {
+			if got := r.failures.Get(0, kind).Consecutive; got != 1-c.entries {
 				t.Errorf("%d failures counted", got)
 			}
 		})
@@ -242,7 +244,7 @@
 
 func sends(effects []Effect) (n int) {
 	for _, e := range effects {
-		if e.Kind == SendHop {
+		if e.Kind == SendAttempt {
 			n++
 		}
 	}
@@ -277,10 +279,10 @@
 				r.arriveAt(0, 0, time.Second)
 			}
 			for range c.unconnected {
-				r.unconnected.Add(1, 2*causeMemory)
+				r.unconnected.Observe(1, 2*causeMemory)
 			}
 			op, got := r.arriveAt(10*ms, 0, time.Second)
-			r.at(10*ms, Input{Kind: Woken})
+			r.at(10*ms, Input{Kind: TimerFired})
 			if c.lost {
 				got = r.end(20*ms, op, 0, Unreachable)
 			}
@@ -300,7 +302,7 @@
 	r := newRig(t, 8, connects).takeAll()
 	op, sent := r.arriveAt(0, 0, time.Second)
 	s := sent[0].Server
-	if got := kinds(r.end(5*ms, op, 0, Unreachable)); !slices.Equal(got, []EffectKind{Release, SendHop}) || r.member[s] || len(r.pool) != 7 {
+	if got := kinds(r.end(5*ms, op, 0, Unreachable)); !slices.Equal(got, []EffectKind{CloseIdle, SendAttempt}) || r.member[s] || len(r.pool) != 7 {
 		t.Errorf("server %d of %v, %v", s, r.pool, got)
 	}
 	r.grown = 100
--- a/policy/whatif.go
+++ b/policy/whatif.go
@@ -12,18 +12,18 @@
 // and not carried on: what the other decisions would have led to is not known. Types of an operator's routes
 // keep their figures.
 func (p *Policy) WhatIf(s *Settings, now time.Duration, in *Input, effects []Effect) []Effect {
-	c := p.copied(in.Op)
-	c.set, c.reallowed = *s, false                                // allowances are cloned ahead of a change
-	if c.allowances = columns.Sum(s.AllowancePerS); p.reallowed { // changed since the start: no setting
-		c.set.AllowancePerS, c.allowances = p.set.AllowancePerS, p.allowances
+	c := p.copied(in.Request)
+	c.set, c.reallowed = *s, false                               // allowances are cloned ahead of a change
+	if c.allowances = columns.Sum(s.TenantQuotas); p.reallowed { // changed since the start: no setting
+		c.set.TenantQuotas, c.allowances = p.set.TenantQuotas, p.allowances
 	}
-	c.set.OnRequest, c.set.Types = p.set.OnRequest, slices.Clone(p.set.Types)
+	c.set.MustRequestEndpoints, c.set.TrafficTypes = p.set.MustRequestEndpoints, slices.Clone(p.set.TrafficTypes)
 	c.set.Placements = append(slices.Clone(p.set.Placements), s.Placements...) // types of routes keep to the own ones
-	for k := range min(len(s.Types), len(c.set.Types)) {
-		pool := c.set.Types[k].Pool
-		c.set.Types[k] = s.Types[k]
-		c.set.Types[k].Pool = pool
-		c.set.Types[k].Placement <<= len(p.set.Placements)
+	for k := range min(len(s.TrafficTypes), len(c.set.TrafficTypes)) {
+		pool := c.set.TrafficTypes[k].PoolLabels
+		c.set.TrafficTypes[k] = s.TrafficTypes[k]
+		c.set.TrafficTypes[k].PoolLabels = pool
+		c.set.TrafficTypes[k].PlacementBit <<= len(p.set.Placements)
 	}
 	for server := range c.members.Len() {
 		c.place(server)
@@ -31,16 +31,16 @@
 	return c.Handle(now, in, effects)
 }
 
-// Hops tells how many hops an operation has had.
-func (p *Policy) Hops(op int) int {
+// AttemptCount tells how many hops an operation has had.
+func (p *Policy) AttemptCount(op int) int {
 	if op >= len(p.ops) {
 		return 0
 	}
 	return len(p.ops[op].hops)
 }
 
-// Servers is how many the instance keeps figures of.
-func (p *Policy) Servers() int { return p.members.Len() }
+// ServerCount is how many the instance keeps figures of.
+func (p *Policy) ServerCount() int { return p.members.Len() }
 
 // copied shares no memory with p that an input for the operation could write to; a test looks at each field.
 func (p *Policy) copied(op int) *Policy {
--- a/policy/whatif_test.go
+++ b/policy/whatif_test.go
@@ -10,7 +10,9 @@
 
 // played runs a day with failures in it; ask is called before each input.
 func played(t *testing.T, ask func(r *rig, now time.Duration, in *Input) []Effect) (all []Effect, differ int) {
-	r := newRig(t, 5, func(s *Settings) { s.MaxRetryIn, s.Copies, s.AllowancePerS = time.Second, true, []float64{40, 4} })
+	r := newRig(t, 5, func(s *Settings) {
+		s.MaxRetryAfter, s.HedgingAllowed, s.TenantQuotas = time.Second, true, []float64{40, 4}
+	})
 	give := func(now time.Duration, in Input) []Effect {
 		want := ask(r, now, &in)
 		got := r.at(now, in)
@@ -23,11 +25,11 @@
 		now := time.Duration(i) * 7 * ms
 		op := r.ops
 		r.ops++
-		all = append(all, give(now, Input{Kind: Arrival, Op: op, Type: i % 4, Tenant: i % 2, Key: uint32(i % 9), Budget: time.Second})...)
-		all = append(all, give(now, Input{Kind: Woken})...)
+		all = append(all, give(now, Input{Kind: RequestArrived, Request: op, TrafficType: i % 4, Tenant: i % 2, Key: uint32(i % 9), Timeout: time.Second})...)
+		all = append(all, give(now, Input{Kind: TimerFired})...)
 		if i%3 > 0 {
 			how := Outcome(i % 8)
-			all = append(all, give(now+5*ms, Input{Kind: HopEnded, Op: op, Outcome: how, Final: how == Success})...)
+			all = append(all, give(now+5*ms, Input{Kind: AttemptEnded, Request: op, Outcome: how, ClientAnswered: how == Success})...)
 		}
 	}
 	return all, differ
@@ -41,12 +43,14 @@
 		same   bool
 	}{
 		"the same settings": {func(*Settings) {}, true},
-		"others":            {func(s *Settings) { s.WarmKeys, s.MaxRetryIn, s.Types[2].LateRevenue, s.Nodes = true, 0, 0.5, 40 }, false},
+		"others": {func(s *Settings) {
+			s.ServersCacheKeys, s.MaxRetryAfter, s.TrafficTypes[2].LateWeightShare, s.NodeCount = true, 0, 0.5, 40
+		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			watched, differ := played(t, func(r *rig, now time.Duration, in *Input) []Effect {
 				s := r.set
-				s.Types = slices.Clone(s.Types)
+				s.TrafficTypes = slices.Clone(s.TrafficTypes)
 				c.change(&s)
 				return r.WhatIf(&s, now, in, nil)
 			})
@@ -62,18 +66,18 @@
 
 // Also a change of allowances that is asked beside, after some have changed, leaves those of the module alone.
 func TestWhatIfLeavesAllowances(t *testing.T) {
-	r := newRig(t, 1, func(s *Settings) { s.AllowancePerS = []float64{40, 4} })
-	r.at(0, Input{Kind: AllowancesChanged, Allowances: []Allowance{{Tenant: 0, PerS: 50}}})
+	r := newRig(t, 1, func(s *Settings) { s.TenantQuotas = []float64{40, 4} })
+	r.at(0, Input{Kind: QuotasChanged, Quotas: []Quota{{Tenant: 0, PerSecond: 50}}})
 	other := r.set
-	r.WhatIf(&other, 0, &Input{Kind: AllowancesChanged, Allowances: []Allowance{{Tenant: 0, PerS: 60}}}, nil)
-	if got := r.set.AllowancePerS[0]; got != 50 {
+	r.WhatIf(&other, 0, &Input{Kind: QuotasChanged, Quotas: []Quota{{Tenant: 0, PerSecond: 60}}}, nil)
+	if got := r.set.TenantQuotas[0]; got != 50 {
 		t.Errorf("the allowance is %v, not 50", got)
 	}
 }
 
 // A copy shares no memory that may be written to, whatever fields are added: a field forgotten in copied is found here.
 func TestCopiedSharesNothing(t *testing.T) {
-	r := newRig(t, 3, func(s *Settings) { s.AllowancePerS = []float64{1} }).takeAll()
+	r := newRig(t, 3, func(s *Settings) { s.TenantQuotas = []float64{1} }).takeAll()
 	r.within = []float64{1}
 	r.members.SetLabels(0, 1)
 	r.members.SetPlacements(0, 1)
@@ -112,6 +116,6 @@
 		r.arriveAt(0, 0, time.Hour)
 	}
 	for b.Loop() {
-		r.WhatIf(&r.set, time.Second, &Input{Kind: HopEnded, Outcome: Success, Final: true}, nil)
+		r.WhatIf(&r.set, time.Second, &Input{Kind: AttemptEnded, Outcome: Success, ClientAnswered: true}, nil)
 	}
 }
