--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -68,7 +68,7 @@
 				stop, done := make(chan struct{}), make(chan error, 1)
 				go func() { done <- run(Signals{Stop: stop}, cfg, zerolog.Nop(), ln.(*net.TCPListener)) }()
 				nc, _ := net.Dial("tcp", ln.Addr().String())
-				var l line = http1.NewConn(nc)
+				var l upstreamConn = http1.NewConn(nc)
 				l.SendRequest(&message.Request{Method: []byte("GET"), Target: []byte("/up")}, time.Second, "")
 				l.ReceiveResponse(&message.Response{})
 				if front == "cgi" {
--- a/internal/proxy/bindings.go
+++ b/internal/proxy/bindingjournal.go
@@ -18,33 +18,33 @@
 )
 
 // clientRetry is the field by which clients mark a retry, where they do.
-const clientRetry = "Client-Retry"
+const clientRetryField = "Client-Retry"
 
 // journal keeps what becomes of operations that must not run twice. No lock of the node is held while it waits.
-type journal struct {
-	cfg   *wal.Config
-	files wal.FileSystem
-	log   zerolog.Logger
-	run   uint64
-	kept  *wal.Log
-	peers *peer.Node // hold what is kept; nil: it stands on this machine's disk alone
-	types []string   // by traffic type; "" for those that are not kept
-	ops   atomic.Uint64
+type bindingJournal struct {
+	cfg            *wal.Config
+	files          wal.FileSystem
+	logger         zerolog.Logger
+	incarnation    uint64
+	wal            *wal.Log
+	peers          *peer.Node // hold what is kept; nil: it stands on this machine's disk alone
+	journaledTypes []string   // by traffic type; "" for those that are not kept
+	requestCount   atomic.Uint64
 
-	reading sync.WaitGroup
-	ended   atomic.Bool
+	recovery sync.WaitGroup
+	isClosed atomic.Bool
 }
 
 const (
-	stallShare = 0.25                   // of the longest wait: a write that takes longer has what comes denied, or served at once
-	joinMost   = 500 * time.Millisecond // at the start, for other nodes to say what they know of this one
+	maxStallShare = 0.25                   // of the longest wait: a write that takes longer has what comes denied, or served at once
+	joinTimeout   = 500 * time.Millisecond // at the start, for other nodes to say what they know of this one
 )
 
-var errUnkept = errors.New("the journal has not kept the intent in time")
+var errNotDurable = errors.New("the journal has not kept the intent in time")
 
 // newJournal begins a segment and looks through the others beside the serving.
-func newJournal(cfg Config, log zerolog.Logger, others *peer.Node) (*journal, error) {
-	j := &journal{cfg: cfg.Journal, files: cfg.Filesystem, log: log, run: uint64(time.Now().UnixNano())}
+func openJournal(cfg Config, log zerolog.Logger, others *peer.Node) (*bindingJournal, error) {
+	j := &bindingJournal{cfg: cfg.Journal, files: cfg.Filesystem, logger: log, incarnation: uint64(time.Now().UnixNano())}
 	if j.files == nil {
 		j.files = wal.OSFileSystem{}
 	}
@@ -53,7 +53,7 @@
 		if repeat != policy.NonIdempotent && !(cfg.Journal.IncludesKeyed && repeat == policy.IdempotentWithKey) {
 			name = ""
 		}
-		j.types = append(j.types, name)
+		j.journaledTypes = append(j.journaledTypes, name)
 	}
 	began := time.Now()
 	segments, err := wal.ListSegments(j.files, cfg.Journal.Dir)
@@ -61,52 +61,52 @@
 		return nil, err
 	}
 	o := wal.Options{Dir: cfg.Journal.Dir, FileSystem: j.files, Fsync: cfg.Journal.Promise != "process",
-		MaxSegmentBytes: cfg.Journal.SegmentBytes, RetentionAge: cfg.Journal.RetentionAge.Std(), RetentionBytes: cfg.Journal.RetentionBytes, OnHealthChange: j.note}
+		MaxSegmentBytes: cfg.Journal.SegmentBytes, RetentionAge: cfg.Journal.RetentionAge.Std(), RetentionBytes: cfg.Journal.RetentionBytes, OnHealthChange: j.logHealth}
 	if others != nil {
-		j.run = uint64(others.Join(context.Background(), joinMost))
+		j.incarnation = uint64(others.Join(context.Background(), joinTimeout))
 		others.StartJournal(cfg.Journal.Dir, cfg.Journal.Promise == wal.PromiseMachines)
 		if cfg.Journal.Promise == wal.PromiseMachines {
 			j.peers, o.OnChunk, o.OnStored = others, others.ReplicateChunk, others.RecordsStored
 		}
 	}
-	o.Incarnation = j.run
-	if j.kept, err = wal.Open(o); err != nil {
+	o.Incarnation = j.incarnation
+	if j.wal, err = wal.Open(o); err != nil {
 		return nil, err
 	}
 	if len(segments) > 0 {
-		j.reading.Go(func() { j.recover(began) })
+		j.recovery.Go(func() { j.logUnfinished(began) })
 	}
 	return j, nil
 }
 
-func (j *journal) note(err error) {
+func (j *bindingJournal) logHealth(err error) {
 	if err != nil {
-		j.log.Error().Err(err).Str("bindings_are", map[bool]string{true: "denied", false: "served, and a gap marked"}[j.cfg.RejectsWhenFailing()]).Msg("journal fails")
+		j.logger.Error().Err(err).Str("bindings_are", map[bool]string{true: "denied", false: "served, and a gap marked"}[j.cfg.RejectsWhenFailing()]).Msg("journal fails")
 		return
 	}
-	j.log.Info().Msg("journal goes on")
+	j.logger.Info().Msg("journal goes on")
 }
 
 // recover tells what earlier runs have left open, by server.
-func (j *journal) recover(began time.Time) {
+func (j *bindingJournal) logUnfinished(began time.Time) {
 	fold := intent.NewAssembler()
 	report, err := wal.Scan(j.files, j.cfg.Dir, time.Time{}, func(r *intent.Record) error {
-		if j.ended.Load() {
+		if j.isClosed.Load() {
 			return wal.ErrClosed
 		}
-		if r.Incarnation != j.run {
+		if r.Incarnation != j.incarnation {
 			fold.Add(r)
 		}
 		return nil
 	}, nil)
 	if err != nil {
-		if !j.ended.Load() {
-			j.log.Error().Err(err).Msg("journal not read")
+		if !j.isClosed.Load() {
+			j.logger.Error().Err(err).Msg("journal not read")
 		}
 		return
 	}
 	for _, f := range report.Unreadable {
-		j.log.Warn().Str("file", f.Path).Int64("offset", f.Offset).Int64("bytes", f.Bytes).Bool("torn", f.IsTorn).Msg("journal damaged")
+		j.logger.Warn().Str("file", f.Path).Int64("offset", f.Offset).Int64("bytes", f.Bytes).Bool("torn", f.IsTorn).Msg("journal damaged")
 	}
 	fold.HasDamage = report.CorruptCount() > 0
 	servers, open := map[string]int{}, 0
@@ -125,46 +125,46 @@
 	for s, n := range servers {
 		by.Int(s, n)
 	}
-	j.log.Info().Int("records", report.Records).Int("possibly_sent", open).Dict("by_server", by).Dur("took", time.Since(began)).Msg("journal read")
+	j.logger.Info().Int("records", report.Records).Int("possibly_sent", open).Dict("by_server", by).Dur("took", time.Since(began)).Msg("journal read")
 }
 
 // takes tells whether an operation of a type may be taken now: while nothing can be kept, that is the operator's choice.
-func (j *journal) takes(kind int) bool {
-	return j == nil || kind >= len(j.types) || j.types[kind] == "" || !j.cfg.RejectsWhenFailing() ||
-		j.kept.Failure() == nil && !j.slow()
+func (j *bindingJournal) accepts(kind int) bool {
+	return j == nil || kind >= len(j.journaledTypes) || j.journaledTypes[kind] == "" || !j.cfg.RejectsWhenFailing() ||
+		j.wal.Failure() == nil && !j.isSlow()
 }
 
 // slow: the disk or the holders take so long that waits would fill the node's window, which other operations need.
-func (j *journal) slow() bool {
-	most := time.Duration(stallShare * float64(j.cfg.MaxWait.Std()))
-	return j.kept.StalledFor() > most || j.peers != nil && j.peers.StalledFor() > most
+func (j *bindingJournal) isSlow() bool {
+	most := time.Duration(maxStallShare * float64(j.cfg.MaxWait.Std()))
+	return j.wal.StalledFor() > most || j.peers != nil && j.peers.StalledFor() > most
 }
 
 // kept is one operation in the journal; nil is one that is not kept.
-type kept struct {
-	j      *journal
-	op     uint64
-	record intent.Record // what each of its records names
+type journalEntry struct {
+	journal       *bindingJournal
+	requestNumber uint64
+	record        intent.Record // what each of its records names
 
-	mu   sync.Mutex
-	hops int
-	told bool
+	mu         sync.Mutex
+	attempts   int
+	isNotified bool
 }
 
 // begin has an operation kept, if its type is.
-func (j *journal) begin(kind int, o *message.RequestInfo, req *message.Request) *kept {
-	if j == nil || kind >= len(j.types) || j.types[kind] == "" {
+func (j *bindingJournal) begin(kind int, o *message.RequestInfo, req *message.Request) *journalEntry {
+	if j == nil || kind >= len(j.journaledTypes) || j.journaledTypes[kind] == "" {
 		return nil
 	}
-	k := &kept{j: j, op: j.ops.Add(1)}
-	k.record = intent.Record{Incarnation: j.run, RequestNumber: k.op, RequestID: string(o.ID), Tenant: string(o.Tenant), Type: j.types[kind], IsRetry: len(req.Get(clientRetry)) > 0}
+	k := &journalEntry{journal: j, requestNumber: j.requestCount.Add(1)}
+	k.record = intent.Record{Incarnation: j.incarnation, RequestNumber: k.requestNumber, RequestID: string(o.ID), Tenant: string(o.Tenant), Type: j.journaledTypes[kind], IsRetry: len(req.Get(clientRetryField)) > 0}
 	if f := j.cfg.RepeatOfField; f != "" {
 		k.record.RepeatOf = string(req.Get(f))
 	}
 	return k
 }
 
-func (k *kept) line(kind intent.Kind, hop int) intent.Record {
+func (k *journalEntry) newRecord(kind intent.Kind, hop int) intent.Record {
 	r := k.record
 	r.Kind, r.Attempt, r.AtUnixNano = kind, hop, time.Now().UnixNano()
 	return r
@@ -172,37 +172,37 @@
 
 // intend has the intent of a hop last before its first byte goes out, and returns the hop's number in the journal. An
 // error is a hop that must not be sent.
-func (k *kept) intend(ctx context.Context, server string, until time.Time) (hop int, err error) {
+func (k *journalEntry) recordIntent(ctx context.Context, server string, until time.Time) (hop int, err error) {
 	if k == nil {
 		return 0, nil
 	}
 	k.mu.Lock()
-	hop = k.hops
-	k.hops++
+	hop = k.attempts
+	k.attempts++
 	k.mu.Unlock()
-	r := k.line(intent.Intent, hop)
+	r := k.newRecord(intent.Intent, hop)
 	r.Server = server
-	serve, slow := !k.j.cfg.RejectsWhenFailing(), k.j.slow()
-	w, err := k.j.kept.Append(!serve || !slow, r)
+	serve, slow := !k.journal.cfg.RejectsWhenFailing(), k.journal.isSlow()
+	w, err := k.journal.wal.Append(!serve || !slow, r)
 	if err == nil && w == nil { // it is served without a wait
-		k.j.kept.CountMissed()
+		k.journal.wal.CountMissed()
 		return hop, nil
 	}
 	if err == nil {
-		err = k.j.lasts(ctx, w, min(k.j.cfg.MaxWait.Std(), time.Until(until)))
+		err = k.journal.awaitDurable(ctx, w, min(k.journal.cfg.MaxWait.Std(), time.Until(until)))
 	}
-	if err == nil || ctx.Err() == nil && !k.j.cfg.RejectsWhenFailing() {
+	if err == nil || ctx.Err() == nil && !k.journal.cfg.RejectsWhenFailing() {
 		if err != nil && w != nil { // one that was refused at once is counted already
-			k.j.kept.CountMissed()
+			k.journal.wal.CountMissed()
 		}
 		return hop, nil
 	}
-	k.ended(hop, dispatch.JournalFailed) // if the intent comes to last after all, this stands behind it
+	k.recordAttemptEnd(hop, dispatch.JournalFailed) // if the intent comes to last after all, this stands behind it
 	return hop, err
 }
 
 // lasts waits until a record lasts as promised: on this disk, and at enough holders. Both have it from the same moment.
-func (j *journal) lasts(ctx context.Context, w *wal.Commit, most time.Duration) error {
+func (j *bindingJournal) awaitDurable(ctx context.Context, w *wal.Commit, most time.Duration) error {
 	by := time.NewTimer(most)
 	defer by.Stop()
 	await := func(done <-chan struct{}) error {
@@ -212,7 +212,7 @@
 		case <-by.C:
 		case <-ctx.Done():
 		}
-		return errUnkept
+		return errNotDurable
 	}
 	if err := await(w.Done()); err != nil { // nothing is known of it yet: the disk may be writing it now
 		return err
@@ -228,7 +228,7 @@
 }
 
 // proof is what the end of a hop proves.
-func proof(how dispatch.AttemptResult) intent.Proof {
+func executionProof(how dispatch.AttemptResult) intent.Proof {
 	switch how.Outcome() {
 	case policy.Success:
 		return intent.Ran
@@ -239,41 +239,41 @@
 }
 
 // ended tells how a hop went. Nobody waits for it: without it the hop counts as possibly sent.
-func (k *kept) ended(hop int, how dispatch.AttemptResult) {
+func (k *journalEntry) recordAttemptEnd(hop int, how dispatch.AttemptResult) {
 	if k == nil {
 		return
 	}
-	r := k.line(intent.AttemptEnded, hop)
+	r := k.newRecord(intent.AttemptEnded, hop)
 	r.RequestID, r.Tenant, r.Type, r.RepeatOf = "", "", "", "" // its intent names them
-	r.Outcome, r.Proof = how.String(), proof(how)
-	k.j.kept.Append(false, r)
+	r.Outcome, r.Proof = how.String(), executionProof(how)
+	k.journal.wal.Append(false, r)
 }
 
 // tell keeps what the client was told; only the first word counts.
-func (k *kept) tell(what string) {
+func (k *journalEntry) recordAnswer(what string) {
 	if k == nil {
 		return
 	}
 	k.mu.Lock()
-	hops, again := k.hops, k.told
-	k.told = true
+	hops, again := k.attempts, k.isNotified
+	k.isNotified = true
 	k.mu.Unlock()
 	if again {
 		return
 	}
-	told := k.line(intent.ClientNotified, 0)
+	told := k.newRecord(intent.ClientNotified, 0)
 	told.Outcome, told.Count = what, hops
 	if hops == 0 {
-		k.j.kept.Append(false, k.line(intent.Unsent, 0), told)
+		k.journal.wal.Append(false, k.newRecord(intent.Unsent, 0), told)
 		return
 	}
-	k.j.kept.Append(false, told)
+	k.journal.wal.Append(false, told)
 }
 
-func (j *journal) close() {
+func (j *bindingJournal) close() {
 	if j != nil {
-		j.ended.Store(true)
-		j.reading.Wait()
-		j.kept.Close()
+		j.isClosed.Store(true)
+		j.recovery.Wait()
+		j.wal.Close()
 	}
 }
--- a/internal/proxy/bindings_test.go
+++ b/internal/proxy/bindingjournal_test.go
@@ -154,18 +154,18 @@
 	cfg := config()
 	cfg.Filesystem = memdisk.Slowed{Full: func() bool { return false }, Takes: func() time.Duration { return 20 * time.Millisecond }}
 	cfg.Journal = &wal.Config{Dir: t.TempDir(), Promise: "process", WhenFailing: "deny", SegmentBytes: 1 << 20}
-	j, err := newJournal(cfg, zerolog.Nop(), nil)
+	j, err := openJournal(cfg, zerolog.Nop(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer j.close()
-	w, err := j.kept.Append(true, intent.Record{Kind: intent.Intent, Incarnation: j.run, RequestNumber: 1, Server: "s"})
+	w, err := j.wal.Append(true, intent.Record{Kind: intent.Intent, Incarnation: j.incarnation, RequestNumber: 1, Server: "s"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := j.lasts(over, w, time.Minute); err != errUnkept && err != nil {
+	if err := j.awaitDurable(over, w, time.Minute); err != errNotDurable && err != nil {
 		t.Errorf("ended with %v", err)
 	}
 	<-w.Done()
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -26,54 +26,54 @@
 )
 
 const (
-	memoryMost  = 192  // MB, where the configuration names no limit, and at most
-	socketsMost = 1024 // descriptors, likewise
-	peerSockets = 64   // of them for other nodes and what is held for them, where there are any
+	maxMemoryMB         = 192  // MB, where the configuration names no limit, and at most
+	maxSockets          = 1024 // descriptors, likewise
+	reservedPeerSockets = 64   // of them for other nodes and what is held for them, where there are any
 )
 
 // Config is what a node is told at its start.
 type Config struct {
-	Name         string
-	Listen       netip.AddrPort
-	Discovery    netip.AddrPort
-	Seed         uint32
-	Cores        float64
-	Limits       dispatch.Limits
-	SavedList    http1.EndpointList
-	SavedListErr error // a saved list of no use; the node starts without
-	Settings     settings.Settings
-	OperatorFile string                // the operator's file; "" for none
-	Routes       *route.Table          // what it says; nil for none
-	NewPolicy    engine.DeciderFactory // nil: the project's own
-	Unguarded    bool                  // what the module decides is sent as it is: for modules that are broken on purpose
-	Deaf         bool                  // clients' leaving is not looked at: likewise
-	Hoards       bool                  // idle connections to servers that leave are kept: likewise
-	Planners     *planconfig.Forwarder // nil: the node decides by itself
-	Journal      *wal.Config           // nil: no journal of bindings is kept
-	Registry     *zookeeper.Config     // nil: discovery tells of servers
-	Snapshot     *snapshot.Config      // nil: no list is kept on disk
-	Peers        *peer.Config          // nil: the node knows of no other one
-	Distribution *client.Config        // nil: the list and the limits come from elsewhere
-	Shadow       *shadow.Candidate     // nil: no other settings are watched beside the node's own
-	Filesystem   wal.FileSystem        // beneath it; nil: the system's
-	path         string
-	getenv       func(string) string
-	told         string // discovery's address as the file names it
-	stop         unhurried
+	Name           string
+	Listen         netip.AddrPort
+	Discovery      netip.AddrPort
+	Seed           uint32
+	Cores          float64
+	Limits         dispatch.Limits
+	SavedList      http1.EndpointList
+	SavedListErr   error // a saved list of no use; the node starts without
+	Settings       settings.Settings
+	OperatorFile   string                // the operator's file; "" for none
+	Routes         *route.Table          // what it says; nil for none
+	NewPolicy      engine.DeciderFactory // nil: the project's own
+	Unguarded      bool                  // what the module decides is sent as it is: for modules that are broken on purpose
+	Deaf           bool                  // clients' leaving is not looked at: likewise
+	Hoards         bool                  // idle connections to servers that leave are kept: likewise
+	Planners       *planconfig.Forwarder // nil: the node decides by itself
+	Journal        *wal.Config           // nil: no journal of bindings is kept
+	Registry       *zookeeper.Config     // nil: discovery tells of servers
+	Snapshot       *snapshot.Config      // nil: no list is kept on disk
+	Peers          *peer.Config          // nil: the node knows of no other one
+	Distribution   *client.Config        // nil: the list and the limits come from elsewhere
+	Shadow         *shadow.Candidate     // nil: no other settings are watched beside the node's own
+	Filesystem     wal.FileSystem        // beneath it; nil: the system's
+	path           string
+	getenv         func(string) string
+	fileDiscovery  string // discovery's address as the file names it
+	shutdownDelays shutdownDelays
 }
 
 // unhurried has a stop wait for what a test does meanwhile; its zero is the usual haste.
-type unhurried struct {
-	coming func()        // returns when new connections are not waited for any more
-	more   time.Duration // than the usual time until all must be over
-	quiet  time.Duration // more than the usual time without a connection until listening ends
-	linger time.Duration // more than the usual time for a client to read its last answer
+type shutdownDelays struct {
+	awaitArrivals func()        // returns when new connections are not waited for any more
+	extraTime     time.Duration // than the usual time until all must be over
+	extraQuiet    time.Duration // more than the usual time without a connection until listening ends
+	extraLinger   time.Duration // more than the usual time for a client to read its last answer
 }
 
 // LoadConfig reads a configuration; variables of the environment go before the file. The operator's file and the
 // planners' file, which two of them may name, are read with it.
 func LoadConfig(path string, getenv func(string) string) (Config, error) {
-	c, err := read(path, getenv)
+	c, err := readConfig(path, getenv)
 	if err == nil && c.OperatorFile != "" {
 		c.Routes, err = route.Load(c.OperatorFile, &c.Settings)
 	}
@@ -91,7 +91,7 @@
 	}
 	if path := getenv("PROXY_PEERS"); err == nil && path != "" {
 		if c.Peers, err = peer.LoadConfig(path); err == nil {
-			c.Limits.Sockets = max(c.Limits.Sockets-peerSockets, c.Limits.Sockets/2)
+			c.Limits.Sockets = max(c.Limits.Sockets-reservedPeerSockets, c.Limits.Sockets/2)
 		}
 	}
 	if err == nil && c.Journal != nil && c.Journal.Promise == wal.PromiseMachines && c.Peers == nil {
@@ -99,12 +99,12 @@
 	}
 	if path := getenv("PROXY_DISTRIBUTION"); err == nil && path != "" {
 		if c.Distribution, err = client.Load(path); err == nil {
-			err = c.oneList()
+			err = c.checkSingleListSource()
 		}
 	}
 	if path := getenv("PROXY_WATCH"); err == nil && path != "" {
 		var s *settings.Settings
-		if s, err = readWatch(path, &c.Settings); err == nil {
+		if s, err = readShadowSettings(path, &c.Settings); err == nil {
 			c.Shadow = shadow.NewCandidate(s)
 		}
 	}
@@ -112,7 +112,7 @@
 }
 
 // oneList says why the distribution cannot go with another part that tells of servers.
-func (c *Config) oneList() error {
+func (c *Config) checkSingleListSource() error {
 	for name, told := range map[string]bool{"registry": c.Registry != nil, "planners": c.Planners != nil, "snapshot": c.Snapshot != nil} {
 		if told {
 			return fmt.Errorf("--distribution brings the list of servers and keeps it: it does not go with --%s", name)
@@ -122,7 +122,7 @@
 }
 
 // readWatch reads the settings that are to be watched beside a node's own.
-func readWatch(path string, own *settings.Settings) (*settings.Settings, error) {
+func readShadowSettings(path string, own *settings.Settings) (*settings.Settings, error) {
 	s, err := ReadSettings(path)
 	if err != nil {
 		return nil, err
@@ -133,7 +133,7 @@
 	return &s, nil
 }
 
-func read(path string, getenv func(string) string) (Config, error) {
+func readConfig(path string, getenv func(string) string) (Config, error) {
 	c := Config{path: path, getenv: getenv, OperatorFile: getenv("PROXY_OPERATOR")}
 	if path == "" {
 		return c, errors.New("no configuration is named")
@@ -154,7 +154,7 @@
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return c, fmt.Errorf("%s: %v", path, err)
 	}
-	c.told = raw.Discovery
+	c.fileDiscovery = raw.Discovery
 	for name, field := range map[string]*string{"PROXY_NAME": &raw.Name, "PROXY_LISTEN": &raw.Listen,
 		"PROXY_DISCOVERY": &raw.Discovery} {
 		if v := getenv(name); v != "" {
@@ -168,8 +168,8 @@
 	if c.Discovery, err = netip.ParseAddrPort(raw.Discovery); err != nil {
 		return c, fmt.Errorf("%s: discovery: %v", path, err)
 	}
-	c.Limits = dispatch.Limits{MemoryMB: limit(raw.Limits.MemoryMB, memoryMost),
-		Sockets: limit(raw.Limits.Sockets, min(socketsMost, openFiles()))}
+	c.Limits = dispatch.Limits{MemoryMB: limitOrMax(raw.Limits.MemoryMB, maxMemoryMB),
+		Sockets: limitOrMax(raw.Limits.Sockets, min(maxSockets, openFiles()))}
 	if len(raw.Settings) == 0 {
 		return c, fmt.Errorf("%s: there are no settings", path)
 	}
@@ -185,13 +185,13 @@
 // Reload reads the configuration anew from where it was read. The environment is that of the start, so an address
 // of discovery that the file has come to name since then goes before it.
 func (c Config) Reload() (Config, error) {
-	next, err := read(c.path, c.getenv)
+	next, err := readConfig(c.path, c.getenv)
 	if err != nil {
 		return c, err
 	}
-	if next.told == c.told {
+	if next.fileDiscovery == c.fileDiscovery {
 		next.Discovery = c.Discovery
-	} else if next.Discovery, err = netip.ParseAddrPort(next.told); err != nil {
+	} else if next.Discovery, err = netip.ParseAddrPort(next.fileDiscovery); err != nil {
 		return c, fmt.Errorf("%s: discovery: %v", c.path, err)
 	}
 	return next, nil
@@ -217,7 +217,7 @@
 	return s, nil
 }
 
-func (c Config) module() engine.DeciderFactory {
+func (c Config) policyMaker() engine.DeciderFactory {
 	switch {
 	case c.NewPolicy != nil:
 		return c.NewPolicy
@@ -233,12 +233,12 @@
 func openFiles() int {
 	var r syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &r); err != nil {
-		return socketsMost
+		return maxSockets
 	}
-	return int(min(r.Cur, socketsMost))
+	return int(min(r.Cur, maxSockets))
 }
 
-func limit(told float64, most int) int {
+func limitOrMax(told float64, most int) int {
 	if told <= 0 || told > float64(most) {
 		return most
 	}
--- a/internal/proxy/instants_test.go
+++ b/internal/proxy/connectionraces_test.go
@@ -42,8 +42,8 @@
 			t.Fatal(err)
 		}
 		defer ln.Close()
-		l.cfg.stop.quiet, l.enough = -quietFor, time.Now().Add(time.Minute) // each look is too late
-		l.closing.Store(closing)
+		l.cfg.shutdownDelays.extraQuiet, l.acceptUntil = -acceptQuietDuration, time.Now().Add(time.Minute) // each look is too late
+		l.isListenerClosing.Store(closing)
 		dial(t, ln.Addr().String())
 		got := make(chan bool, 1)
 		done := make(chan error, 1)
@@ -60,7 +60,7 @@
 		<-done
 	}
 	l := newLed(t, config(hosts...))
-	op := booked(l.fleet)
+	op := booked(l.dispatcher)
 	defer op.Close()
 	d := op.NextDecision(func() {})
 	conn, _, end := l.connect(t.Context(), d, time.Now().Add(time.Minute))
@@ -147,7 +147,7 @@
 				}
 			})
 			coming := make(chan struct{})
-			u := unhurried{coming: func() { <-coming }, more: time.Minute}
+			u := shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: time.Minute}
 			http, cgi, stop := cgiNodeWith(t, u, http1.Endpoint{ID: "s", Size: 1, Address: at})
 			done := make(chan error, 1)
 			if c.stops {
@@ -204,7 +204,7 @@
 	for i := range cfg.Settings.TrafficTypes {
 		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
 	}
-	cfg.stop = unhurried{coming: func() {}, more: time.Minute, quiet: -quietFor}
+	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() {}, extraTime: time.Minute, extraQuiet: -acceptQuietDuration}
 	node, stop := startNode(t, cfg)
 	var clients []*http1.Conn
 	for range resting {
@@ -265,7 +265,7 @@
 	})
 	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
 	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = time.Minute, time.Minute
-	cfg.stop.linger = time.Minute
+	cfg.shutdownDelays.extraLinger = time.Minute
 	l := newLed(t, cfg)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -287,7 +287,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l.client(near.(*net.TCPConn))
+		l.serveHTTPConn(near.(*net.TCPConn))
 	}()
 	client.SetDeadline(time.Now().Add(time.Minute))
 	fmt.Fprintf(client, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", ids.Add(1))
--- a/internal/proxy/leavers_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -27,12 +27,12 @@
 }
 
 func newLed(t *testing.T, cfg Config) *led {
-	l := &led{Server: &Server{cfg: cfg, fleet: dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)}}
-	t.Cleanup(l.fleet.Stop)
+	l := &led{Server: &Server{cfg: cfg, dispatcher: dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)}}
+	t.Cleanup(l.dispatcher.Stop)
 	if cfg.Routes != nil {
-		l.fleet.SetRoutes(cfg.Routes)
+		l.dispatcher.SetRoutes(cfg.Routes)
 	}
-	l.fleet.ApplyList(cfg.SavedList, endpoints.SourceConfig)
+	l.dispatcher.ApplyList(cfg.SavedList, endpoints.SourceConfig)
 	return l
 }
 
@@ -43,14 +43,14 @@
 	fmt.Fprintf(client, "GET %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", path, ids.Add(1))
 	go func() {
 		defer close(done)
-		l.client(near)
+		l.serveHTTPConn(near)
 	}()
 	return client, done
 }
 
 // count is what happened up to now.
 func (l *led) count() *led {
-	c := l.fleet.Counts()
+	c := l.dispatcher.Counts()
 	l.left, l.open = l.left+c.Disconnected, c.OpenRequests
 	return l
 }
@@ -176,7 +176,7 @@
 					}
 				}()
 				<-done
-				l.clients.Wait()
+				l.clientTasks.Wait()
 				if n := int(sent.Load()); n != before {
 					t.Errorf("%d attempts were sent after it had left", n-before)
 				}
--- a/internal/proxy/distribution.go
+++ b/internal/proxy/distribution.go
@@ -21,67 +21,67 @@
 	"fernvane/internal/route"
 )
 
-const fallbackLook = 500 * time.Millisecond // between two looks whether discovery is to be asked
+const fallbackCheckInterval = 500 * time.Millisecond // between two looks whether discovery is to be asked
 
 // distributed puts in force what the node is told of the distribution: servers, routes and pools, tenants.
-type distributed struct {
-	client   *client.Client
-	fleet    *dispatch.Dispatcher
-	settings *settings.Settings
-	log      zerolog.Logger
+type distributionApplier struct {
+	client     *client.Client
+	dispatcher *dispatch.Dispatcher
+	settings   *settings.Settings
+	logger     zerolog.Logger
 
-	mu    sync.Mutex // never held over a socket or the disk; may be held while the fleet's lock is taken
-	lives *incarnation.Table
-	told  bool                       // the fleet has been told of servers from here
-	own   *route.Table               // what the operator's file says; nil for none
-	held  []distribution.Entry       // routes and pools
-	parts map[distribution.Key]parts // what was made of them
+	mu                sync.Mutex // never held over a socket or the disk; may be held while the fleet's lock is taken
+	incarnations      *incarnation.Table
+	hasAppliedServers bool                                // the fleet has been told of servers from here
+	operatorRoutes    *route.Table                        // what the operator's file says; nil for none
+	fragments         []distribution.Entry                // routes and pools
+	parsed            map[distribution.Key]parsedFragment // what was made of them
 
-	tenants map[distribution.Key]distribution.Entry // in force
-	newer   map[distribution.Key]bool               // of them, those of which a newer version cannot be used
-	sums    map[string]float64                      // allowances in force, by tenant
+	tenantsInForce  map[distribution.Key]distribution.Entry // in force
+	rejectedTenants map[distribution.Key]bool               // of them, those of which a newer version cannot be used
+	quotas          map[string]float64                      // allowances in force, by tenant
 
-	kept *lastGood // what holds in place of newer versions; nil: it is not kept
+	lastGood *lastGoodFile // what holds in place of newer versions; nil: it is not kept
 }
 
 // parts is what became of one entry.
-type parts struct {
-	version distribution.Entry
-	part    route.Fragment
-	err     error              // why it could not be read
-	last    *route.Fragment    // that holds, of this version or an earlier one
-	good    distribution.Entry // that last is of
+type parsedFragment struct {
+	entry         distribution.Entry
+	fragment      route.Fragment
+	err           error              // why it could not be read
+	lastGood      *route.Fragment    // that holds, of this version or an earlier one
+	lastGoodEntry distribution.Entry // that last is of
 }
 
-func newDistributed(cfg Config, f *dispatch.Dispatcher, log zerolog.Logger) (*distributed, error) {
-	d := &distributed{fleet: f, settings: &cfg.Settings, log: log, lives: incarnation.NewTable(), own: cfg.Routes, parts: map[distribution.Key]parts{},
-		tenants: map[distribution.Key]distribution.Entry{}}
+func newDistributionApplier(cfg Config, f *dispatch.Dispatcher, log zerolog.Logger) (*distributionApplier, error) {
+	d := &distributionApplier{dispatcher: f, settings: &cfg.Settings, logger: log, incarnations: incarnation.NewTable(), operatorRoutes: cfg.Routes, parsed: map[distribution.Key]parsedFragment{},
+		tenantsInForce: map[distribution.Key]distribution.Entry{}}
 	config := *cfg.Distribution
 	config.Name = cfg.Name
 	var good []distribution.Entry
 	var err error
-	if d.kept, good, err = openLastGood(config.Directory); err != nil {
+	if d.lastGood, good, err = openLastGood(config.Directory); err != nil {
 		log.Error().Err(err).Msg("distribution: what held before cannot be read")
 	}
-	d.restore(good)
+	d.restoreLastGood(good)
 	d.client, err = client.New(&config, d, log)
 	return d, err
 }
 
 // restore takes in what held before the start in place of newer versions.
-func (d *distributed) restore(good []distribution.Entry) {
+func (d *distributionApplier) restoreLastGood(good []distribution.Entry) {
 	for _, e := range good {
 		if e.Key.Kind == distribution.KindTenant {
-			d.tenants[e.Key] = e
+			d.tenantsInForce[e.Key] = e
 			continue
 		}
-		if part, err := parsePart(e); err == nil {
-			d.parts[e.Key] = parts{last: &part, good: e}
+		if part, err := parseFragment(e); err == nil {
+			d.parsed[e.Key] = parsedFragment{lastGood: &part, lastGoodEntry: e}
 		}
 	}
 }
 
-func parsePart(e distribution.Entry) (route.Fragment, error) {
+func parseFragment(e distribution.Entry) (route.Fragment, error) {
 	if e.Key.Kind == distribution.KindPool {
 		return route.ParsePool(e.Key.Service, e.Key.Name, e.Value)
 	}
@@ -89,30 +89,30 @@
 }
 
 // keep has what holds in place of newer versions on disk.
-func (d *distributed) keep() {
-	if d.kept == nil {
+func (d *distributionApplier) saveLastGood() {
+	if d.lastGood == nil {
 		return
 	}
 	d.mu.Lock()
 	var good []distribution.Entry
-	for _, p := range d.parts {
-		if p.last != nil && distribution.Compare(p.good, p.version) != 0 {
-			good = append(good, p.good)
+	for _, p := range d.parsed {
+		if p.lastGood != nil && distribution.Compare(p.lastGoodEntry, p.entry) != 0 {
+			good = append(good, p.lastGoodEntry)
 		}
 	}
-	for key := range d.newer {
-		if e, holds := d.tenants[key]; holds {
+	for key := range d.rejectedTenants {
+		if e, holds := d.tenantsInForce[key]; holds {
 			good = append(good, e)
 		}
 	}
 	d.mu.Unlock()
-	if err := d.kept.keep(good); err != nil {
-		d.log.Error().Err(err).Msg("distribution: what holds in place of unusable entries is not kept")
+	if err := d.lastGood.replace(good); err != nil {
+		d.logger.Error().Err(err).Msg("distribution: what holds in place of unusable entries is not kept")
 	}
 }
 
 // Servers has the fleet take servers in; one that was told to drain or to be gone does not come back by an older word.
-func (d *distributed) ApplyServers(changed []distribution.Entry, whole bool) (rejected []distribution.Rejection) {
+func (d *distributionApplier) ApplyServers(changed []distribution.Entry, whole bool) (rejected []distribution.Rejection) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	entries, keys := make([]incarnation.Entry, 0, len(changed)), make([]distribution.Key, 0, len(changed))
@@ -124,16 +124,16 @@
 		}
 		entries, keys = append(entries, server), append(keys, e.Key)
 	}
-	now := d.fleet.Now()
-	d.lives.ExpireTombstones(now)
-	news := d.lives.ApplyDiscovery(now, entries, false)
+	now := d.dispatcher.Now()
+	d.incarnations.ExpireTombstones(now)
+	news := d.incarnations.ApplyDiscovery(now, entries, false)
 	for i, e := range entries {
-		if _, known := d.lives.Get(e.ID); !known {
+		if _, known := d.incarnations.Get(e.ID); !known {
 			rejected = append(rejected, distribution.Rejection{Key: keys[i], Reason: "more servers than a node takes"})
 		}
 	}
 	if whole { // what earlier pieces have told is of the list too
-		news = d.standing(entries)
+		news = d.currentIncarnations(entries)
 	}
 	if len(news) == 0 && !whole {
 		return rejected
@@ -141,17 +141,17 @@
 	l := watch.ListFromEntries(news)
 	l.Complete = whole
 	for _, err := range l.Skipped {
-		d.log.Warn().Err(err).Msg("list entry skipped")
+		d.logger.Warn().Err(err).Msg("list entry skipped")
 	}
-	d.fleet.ApplyList(l, endpoints.SourceDistribution)
-	d.told = true
+	d.dispatcher.ApplyList(l, endpoints.SourceDistribution)
+	d.hasAppliedServers = true
 	return rejected
 }
 
 // standing are the lives of some servers as they hold here.
-func (d *distributed) standing(servers []incarnation.Entry) (all []incarnation.Entry) {
+func (d *distributionApplier) currentIncarnations(servers []incarnation.Entry) (all []incarnation.Entry) {
 	for _, s := range servers {
-		if e, known := d.lives.Get(s.ID); known {
+		if e, known := d.incarnations.Get(s.ID); known {
 			all = append(all, e)
 		}
 	}
@@ -159,44 +159,44 @@
 }
 
 // Routes has the fleet go by the operator's file and all routes and pools that can be used.
-func (d *distributed) ApplyRoutes(all []distribution.Entry) []distribution.Rejection {
-	defer d.keep()
+func (d *distributionApplier) ApplyRoutes(all []distribution.Entry) []distribution.Rejection {
+	defer d.saveLastGood()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.held = all
-	return d.assemble()
+	d.fragments = all
+	return d.assembleRoutes()
 }
 
 // reroute has another operator's file beneath the entries, nil for none.
-func (d *distributed) reroute(own *route.Table) {
-	defer d.keep()
+func (d *distributionApplier) setOperatorRoutes(own *route.Table) {
+	defer d.saveLastGood()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.own = own
-	for _, r := range d.assemble() {
-		d.log.Error().Err(errors.New(r.Reason)).Stringer("entry", r.Key).Msg("distribution: entry does not fit the operator's file")
+	d.operatorRoutes = own
+	for _, r := range d.assembleRoutes() {
+		d.logger.Error().Err(errors.New(r.Reason)).Stringer("entry", r.Key).Msg("distribution: entry does not fit the operator's file")
 	}
 }
 
 // assemble makes one set of all and puts it in force. It costs what all routes of the node's services cost, 11 ms for a
 // thousand, and is therefore asked for at most every 200 ms. Texts that have not changed are not read again.
-func (d *distributed) assemble() (rejected []distribution.Rejection) {
-	next := make(map[distribution.Key]parts, len(d.held))
-	candidates := make([]route.Candidate, len(d.held))
-	for i, e := range d.held {
-		p := d.parts[e.Key]
-		if distribution.Compare(p.version, e) != 0 {
-			p.version = e
-			p.part, p.err = parsePart(e)
+func (d *distributionApplier) assembleRoutes() (rejected []distribution.Rejection) {
+	next := make(map[distribution.Key]parsedFragment, len(d.fragments))
+	candidates := make([]route.Candidate, len(d.fragments))
+	for i, e := range d.fragments {
+		p := d.parsed[e.Key]
+		if distribution.Compare(p.entry, e) != 0 {
+			p.entry = e
+			p.fragment, p.err = parseFragment(e)
 		}
 		next[e.Key] = p
-		candidates[i] = route.Candidate{Fragment: p.part, Previous: p.last}
+		candidates[i] = route.Candidate{Fragment: p.fragment, Previous: p.lastGood}
 	}
-	assembled, err := route.Assemble(d.own, d.settings, candidates)
+	assembled, err := route.Assemble(d.operatorRoutes, d.settings, candidates)
 	if err != nil {
-		d.log.Error().Err(err).Msg("distribution: routes cannot be put together: those before hold")
+		d.logger.Error().Err(err).Msg("distribution: routes cannot be put together: those before hold")
 	}
-	for i, e := range d.held {
+	for i, e := range d.fragments {
 		p := next[e.Key]
 		why := p.err
 		if why == nil {
@@ -209,26 +209,26 @@
 			rejected = append(rejected, distribution.Rejection{Key: e.Key, Reason: why.Error()})
 		}
 		if err == nil {
-			switch p.last = assembled.Used[i]; {
-			case p.last == nil:
-				p.good = distribution.Entry{}
+			switch p.lastGood = assembled.Used[i]; {
+			case p.lastGood == nil:
+				p.lastGoodEntry = distribution.Entry{}
 			case why == nil:
-				p.good = e
+				p.lastGoodEntry = e
 			}
 			next[e.Key] = p
 		}
 	}
-	d.parts = next
+	d.parsed = next
 	if err == nil {
-		d.fleet.SetRoutes(assembled.Table)
+		d.dispatcher.SetRoutes(assembled.Table)
 	}
 	return rejected
 }
 
 // Tenants has the fleet go by the allowances that are told beside those of the settings. One that several services name
 // may use the sum.
-func (d *distributed) ApplyTenants(all []distribution.Entry) (rejected []distribution.Rejection) {
-	defer d.keep()
+func (d *distributionApplier) ApplyTenants(all []distribution.Entry) (rejected []distribution.Rejection) {
+	defer d.saveLastGood()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	next, newer, sums := make(map[distribution.Key]distribution.Entry, len(all)), map[distribution.Key]bool{}, map[string]float64{}
@@ -237,7 +237,7 @@
 		if err != nil {
 			rejected = append(rejected, distribution.Rejection{Key: e.Key, Reason: err.Error()})
 			newer[e.Key] = true
-			before, held := d.tenants[e.Key]
+			before, held := d.tenantsInForce[e.Key]
 			if tenant, err = value.DecodeTenant(before); !held || err != nil {
 				continue
 			}
@@ -246,32 +246,32 @@
 		next[e.Key] = e
 		sums[e.Key.Name] += tenant.Allowance
 	}
-	d.tenants, d.newer = next, newer
-	d.allow(sums)
+	d.tenantsInForce, d.rejectedTenants = next, newer
+	d.applyQuotas(sums)
 	return rejected
 }
 
 // allow tells the fleet what has changed. A tenant of whom nothing is told any more has again what the settings say.
-func (d *distributed) allow(sums map[string]float64) {
+func (d *distributionApplier) applyQuotas(sums map[string]float64) {
 	changed := map[string]float64{}
 	for name, allowance := range sums {
-		if before, told := d.sums[name]; !told || before != allowance {
+		if before, told := d.quotas[name]; !told || before != allowance {
 			changed[name] = allowance
 		}
 	}
-	for name := range d.sums {
+	for name := range d.quotas {
 		if _, stays := sums[name]; !stays {
-			changed[name] = d.settled(name)
+			changed[name] = d.settingsQuota(name)
 		}
 	}
-	d.sums = sums
+	d.quotas = sums
 	if len(changed) > 0 {
-		d.fleet.SetQuotas(changed)
+		d.dispatcher.SetQuotas(changed)
 	}
 }
 
 // settled is a tenant's allowance by the settings, 0 where they do not name it.
-func (d *distributed) settled(name string) float64 {
+func (d *distributionApplier) settingsQuota(name string) float64 {
 	if i := slices.Index(d.settings.TenantNames, name); i >= 0 {
 		return d.settings.TenantQuotas[i]
 	}
@@ -280,27 +280,27 @@
 
 // lacks tells whether discovery is to be asked in place of control processes: none could be reached for a while, and no
 // server is held of an earlier time.
-func (d *distributed) lacks() bool {
+func (d *distributionApplier) needsDiscovery() bool {
 	d.mu.Lock()
-	told := d.told
+	told := d.hasAppliedServers
 	d.mu.Unlock()
 	return !told && d.client.Status().State == distribution.StateIsolated
 }
 
 // discovered takes in what discovery has told, unless control processes have told of servers meanwhile.
-func (d *distributed) discovered(l http1.EndpointList) {
+func (d *distributionApplier) applyDiscoveryList(l http1.EndpointList) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.told {
-		d.fleet.ApplyList(l, endpoints.SourceDiscovery)
+	if !d.hasAppliedServers {
+		d.dispatcher.ApplyList(l, endpoints.SourceDiscovery)
 	}
 }
 
 // await returns when discovery is to be asked.
-func (d *distributed) await(ctx context.Context) bool {
-	look := time.NewTicker(fallbackLook)
+func (d *distributionApplier) awaitDiscoveryNeeded(ctx context.Context) bool {
+	look := time.NewTicker(fallbackCheckInterval)
 	defer look.Stop()
-	for !d.lacks() {
+	for !d.needsDiscovery() {
 		select {
 		case <-ctx.Done():
 			return false
@@ -311,7 +311,7 @@
 }
 
 // awaitStart waits until the node may serve, or is told to stop.
-func (d *distributed) awaitStart(ctx context.Context, stop <-chan struct{}) {
+func (d *distributionApplier) awaitStart(ctx context.Context, stop <-chan struct{}) {
 	select {
 	case <-d.client.Started():
 	case <-ctx.Done():
@@ -320,7 +320,7 @@
 }
 
 // report adds to a line of counts how the node stands.
-func (d *distributed) report(line *zerolog.Event) {
+func (d *distributionApplier) addStatus(line *zerolog.Event) {
 	s := d.client.Status()
 	of := zerolog.Dict().Stringer("state", s.State).Uint64("revision", s.Revision).Int("rejected", len(s.Rejected))
 	if s.IsStalenessKnown {
--- a/internal/proxy/distribution_test.go
+++ b/internal/proxy/distribution_test.go
@@ -30,12 +30,12 @@
 )
 
 // distributedTo is the part of a node that takes entries, before any socket.
-func distributedTo(t *testing.T) *distributed {
+func distributedTo(t *testing.T) *distributionApplier {
 	t.Helper()
 	cfg := config()
 	f := dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)
 	t.Cleanup(f.Stop)
-	return &distributed{fleet: f, settings: &cfg.Settings, log: zerolog.Nop(), lives: incarnation.NewTable(), parts: map[distribution.Key]parts{}}
+	return &distributionApplier{dispatcher: f, settings: &cfg.Settings, logger: zerolog.Nop(), incarnations: incarnation.NewTable(), parsed: map[distribution.Key]parsedFragment{}}
 }
 
 func entryOf(kind distribution.Kind, name string, clock uint64, val []byte) distribution.Entry {
@@ -84,7 +84,7 @@
 			for _, e := range c.told {
 				d.ApplyServers([]distribution.Entry{e}, false)
 			}
-			lines, from, _, _ := d.fleet.Endpoints()
+			lines, from, _, _ := d.dispatcher.Endpoints()
 			if len(lines) == 0 && c.condition == incarnation.Gone { // it is forgotten
 				return
 			}
@@ -98,16 +98,16 @@
 // The first whole list takes out what an earlier source had told.
 func TestDistributedServersWhole(t *testing.T) {
 	d := distributedTo(t)
-	d.fleet.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "old", Address: netip.MustParseAddrPort("127.0.0.1:9"), Size: 1}}, Complete: true}, endpoints.SourceConfig)
+	d.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "old", Address: netip.MustParseAddrPort("127.0.0.1:9"), Size: 1}}, Complete: true}, endpoints.SourceConfig)
 	d.ApplyServers([]distribution.Entry{serverEntry(t, 1, incarnation.Entry{ID: "s", Address: "127.0.0.1:80", Weight: 1})}, true)
-	lines, _, _, _ := d.fleet.Endpoints()
+	lines, _, _, _ := d.dispatcher.Endpoints()
 	for _, l := range lines {
 		if l.IsUsable != (l.ID == "s") {
 			t.Errorf("%+v", l)
 		}
 	}
-	d.discovered(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "late", Address: netip.MustParseAddrPort("127.0.0.1:10"), Size: 1}}})
-	if lines, from, _, _ := d.fleet.Endpoints(); from != endpoints.SourceDistribution || len(lines) > 2 {
+	d.applyDiscoveryList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "late", Address: netip.MustParseAddrPort("127.0.0.1:10"), Size: 1}}})
+	if lines, from, _, _ := d.dispatcher.Endpoints(); from != endpoints.SourceDistribution || len(lines) > 2 {
 		t.Errorf("discovery's word counts beside: %+v by %v", lines, from)
 	}
 }
@@ -166,7 +166,7 @@
 			t.Errorf("%s: rejected %q, not %q", c.what, all, c.rejected)
 		}
 		var routes []string
-		if set := d.fleet.Routes(); set != nil {
+		if set := d.dispatcher.Routes(); set != nil {
 			for _, r := range set.Routes {
 				routes = append(routes, r.Name)
 			}
@@ -175,8 +175,8 @@
 			t.Errorf("%s: routes in force: %q, not %q", c.what, routes, c.want)
 		}
 	}
-	if d.sums["dairy"] != 10 || len(d.sums) != 1 {
-		t.Errorf("allowances in force: %v", d.sums)
+	if d.quotas["dairy"] != 10 || len(d.quotas) != 1 {
+		t.Errorf("allowances in force: %v", d.quotas)
 	}
 }
 
@@ -190,10 +190,10 @@
 		}
 		return set
 	}
-	d.own = file("[defaults]\nbody_bytes = 7\n[[routes]]\nname = \"own\"\ntype = \"book\"\n")
+	d.operatorRoutes = file("[defaults]\nbody_bytes = 7\n[[routes]]\nname = \"own\"\ntype = \"book\"\n")
 	d.ApplyRoutes([]distribution.Entry{entryOf(distribution.KindRoute, "a", 1, []byte("type = \"check\""))})
 	most := func() string {
-		set, sizes := d.fleet.Routes(), []string{}
+		set, sizes := d.dispatcher.Routes(), []string{}
 		for i, r := range set.Routes {
 			kind := 0
 			if r.Type == "book" {
@@ -206,11 +206,11 @@
 	if got := most(); got != "own 7, hire/a 7" {
 		t.Error(got)
 	}
-	d.reroute(file("[defaults]\nbody_bytes = 8\n"))
+	d.setOperatorRoutes(file("[defaults]\nbody_bytes = 8\n"))
 	if got := most(); got != "hire/a 8" {
 		t.Error(got)
 	}
-	d.reroute(nil)
+	d.setOperatorRoutes(nil)
 	if got := most(); got != "hire/a 99" {
 		t.Error(got)
 	}
@@ -219,15 +219,15 @@
 // What holds in place of a newer version that cannot be used holds after a restart too, and is forgotten with it.
 func TestLastGoodOutlivesARestart(t *testing.T) {
 	dir := t.TempDir()
-	begin := func() *distributed {
+	begin := func() *distributionApplier {
 		d := distributedTo(t)
 		var good []distribution.Entry
 		var err error
-		if d.kept, good, err = openLastGood(dir); err != nil {
+		if d.lastGood, good, err = openLastGood(dir); err != nil {
 			t.Fatal(err)
 		}
-		d.tenants = map[distribution.Key]distribution.Entry{}
-		d.restore(good)
+		d.tenantsInForce = map[distribution.Key]distribution.Entry{}
+		d.restoreLastGood(good)
 		return d
 	}
 	entry := func(kind distribution.Kind, name string, clock uint64, v string) distribution.Entry {
@@ -236,16 +236,16 @@
 	const ten, minus = "\x81\xf9\x49\x00", "\x81\xf9\xc9\x00" // [10.0], [-10.0]
 	first := []distribution.Entry{entry(distribution.KindRoute, "a", 1, "type = \"check\"\nbody_bytes = 7"), entry(distribution.KindRoute, "b", 2, "type = \"book\"")}
 	second := []distribution.Entry{first[1], entry(distribution.KindRoute, "a", 3, "type = \"dance\"")}
-	check := func(d *distributed, what string, want int) {
+	check := func(d *distributionApplier, what string, want int) {
 		t.Helper()
-		set, most := d.fleet.Routes(), 0
+		set, most := d.dispatcher.Routes(), 0
 		for i, r := range set.Routes {
 			if r.Name == "hire/a" {
 				most = set.MaxBodyBytes(i, 0, 99)
 			}
 		}
-		if most != want || want > 0 && d.sums["dairy"] != 10 {
-			t.Errorf("%s: a body of %d bytes, not %d; allowances %v", what, most, want, d.sums)
+		if most != want || want > 0 && d.quotas["dairy"] != 10 {
+			t.Errorf("%s: a body of %d bytes, not %d; allowances %v", what, most, want, d.quotas)
 		}
 	}
 	d := begin()
@@ -263,13 +263,13 @@
 	}
 	d.ApplyRoutes(first[1:])
 	d.ApplyTenants(nil)
-	if _, err := os.Stat(filepath.Join(dir, lastGoodFile)); !os.IsNotExist(err) {
+	if _, err := os.Stat(filepath.Join(dir, lastGoodFileName)); !os.IsNotExist(err) {
 		t.Errorf("it is still kept: %v", err)
 	}
 	d = begin()
 	d.ApplyRoutes(second)
 	check(d, "after its end", 0)
-	if err := os.WriteFile(filepath.Join(dir, lastGoodFile), []byte("garbled"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, lastGoodFileName), []byte("garbled"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, good, err := openLastGood(dir); err == nil || len(good) > 0 {
@@ -280,11 +280,11 @@
 // A node knows one teller of servers.
 func TestDistributionGoesAlone(t *testing.T) {
 	for name, c := range map[string]Config{"registry": {Registry: &zookeeper.Config{}}, "planners": {Planners: &planconfig.Forwarder{}}, "snapshot": {Snapshot: &snapshot.Config{}}} {
-		if err := c.oneList(); err == nil || !strings.Contains(err.Error(), "--"+name) {
+		if err := c.checkSingleListSource(); err == nil || !strings.Contains(err.Error(), "--"+name) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if err := (&Config{}).oneList(); err != nil {
+	if err := (&Config{}).checkSingleListSource(); err != nil {
 		t.Error(err)
 	}
 }
@@ -295,8 +295,8 @@
 	d.settings.TenantNames, d.settings.TenantQuotas = []string{"dairy"}, []float64{5}
 	cfg := config()
 	cfg.Settings.TenantNames, cfg.Settings.TenantQuotas = d.settings.TenantNames, d.settings.TenantQuotas
-	d.fleet = dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)
-	t.Cleanup(d.fleet.Stop)
+	d.dispatcher = dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)
+	t.Cleanup(d.dispatcher.Stop)
 	of := func(service, name string, allowance float64) distribution.Entry {
 		v, err := value.EncodeTenant(value.Tenant{Allowance: allowance})
 		if err != nil {
@@ -321,7 +321,7 @@
 		}
 		var got []string
 		for _, tenant := range []string{"dairy", "mill"} { // Report names those with traffic only
-			if allowance := d.fleet.Quota(tenant); allowance > 0 {
+			if allowance := d.dispatcher.Quota(tenant); allowance > 0 {
 				got = append(got, fmt.Sprint(tenant, " ", allowance))
 			}
 		}
--- a/internal/proxy/distribution_pieces_test.go
+++ b/internal/proxy/distributionpieces_test.go
@@ -20,7 +20,7 @@
 	cfg := config()
 	f := dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)
 	defer f.Stop()
-	d := &distributed{fleet: f, settings: &cfg.Settings, log: zerolog.Nop(), lives: incarnation.NewTable(), parts: map[distribution.Key]parts{}}
+	d := &distributionApplier{dispatcher: f, settings: &cfg.Settings, logger: zerolog.Nop(), incarnations: incarnation.NewTable(), parsed: map[distribution.Key]parsedFragment{}}
 	entry := func(id string, clock uint64, condition incarnation.Condition) distribution.Entry {
 		v, err := value.EncodeServer(incarnation.Entry{ID: id, Address: fmt.Sprint("127.0.0.1:", clock), Weight: 1, Condition: condition})
 		if err != nil {
--- a/internal/proxy/kept.go
+++ b/internal/proxy/endpointcache.go
@@ -21,35 +21,35 @@
 )
 
 const (
-	trustLook  = 50 * time.Millisecond  // between two looks at what time changes
-	renewAfter = 30 * time.Second       // a list without changes is written anew so often: its age is what it is believed by
-	doubtShort = 30 * time.Second       // a list that lacks most servers which answer is not believed for so long
-	doubtShare = 0.5                    // of them
-	doubtLeast = 2                      // servers
-	fetchMost  = 500 * time.Millisecond // for neighbours to tell the lists that they keep
-	askAgain   = time.Second            // until a source whose list was not believed is asked once more
+	evaluationInterval      = 50 * time.Millisecond  // between two looks at what time changes
+	renewInterval           = 30 * time.Second       // a list without changes is written anew so often: its age is what it is believed by
+	incompleteListDuration  = 30 * time.Second       // a list that lacks most servers which answer is not believed for so long
+	maxMissingShare         = 0.5                    // of them
+	minMissing              = 2                      // servers
+	fetchTimeout            = 500 * time.Millisecond // for neighbours to tell the lists that they keep
+	unconfirmedPollInterval = time.Second            // until a source whose list was not believed is asked once more
 )
 
 // listKeeper is the list of servers that a node keeps on its disk, and what it makes of the one before its start.
-type listKeeper struct {
-	cfg   *snapshot.Config
-	name  string
-	fleet *dispatch.Dispatcher
-	log   zerolog.Logger
-	store *snapshot.Store
-	begun time.Time
-	peers *peer.Node // who may have a list where this node has none; nil: nobody
+type endpointCache struct {
+	cfg        *snapshot.Config
+	nodeName   string
+	dispatcher *dispatch.Dispatcher
+	logger     zerolog.Logger
+	store      *snapshot.Store
+	startedAt  time.Time
+	peers      *peer.Node // who may have a list where this node has none; nil: nobody
 
-	writing sync.Mutex // one generation at a time
+	writeMu sync.Mutex // one generation at a time
 
-	mu      sync.Mutex // never held over a file or a socket
-	trust   *staleness.Evaluator
-	words   map[string]endpoints.Endpoint
-	doubted time.Time // since when a list is not believed; zero: none was
-	listed  uint64    // revision of what was told last
+	mu              sync.Mutex // never held over a file or a socket
+	evaluator       *staleness.Evaluator
+	endpoints       map[string]endpoints.Endpoint
+	incompleteSince time.Time // since when a list is not believed; zero: none was
+	lastRevision    uint64    // revision of what was told last
 }
 
-func newKept(cfg Config, f *dispatch.Dispatcher, log zerolog.Logger) (*listKeeper, error) {
+func newEndpointCache(cfg Config, f *dispatch.Dispatcher, log zerolog.Logger) (*endpointCache, error) {
 	files := cfg.Filesystem
 	if files == nil {
 		files = wal.OSFileSystem{}
@@ -58,20 +58,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", cfg.Snapshot.Dir, err)
 	}
-	return &listKeeper{cfg: cfg.Snapshot, name: cfg.Name, fleet: f, log: log, store: store, begun: time.Now()}, nil
+	return &endpointCache{cfg: cfg.Snapshot, nodeName: cfg.Name, dispatcher: f, logger: log, store: store, startedAt: time.Now()}, nil
 }
 
 // start goes by the newest list on disk, if that is of use and no older than the one that the configuration brings, which
 // says nothing of its age. It returns the list to go on from.
-func (k *listKeeper) start(known http1.EndpointList) (l http1.EndpointList, use bool) {
+func (k *endpointCache) load(known http1.EndpointList) (l http1.EndpointList, use bool) {
 	snap, faults, err := k.store.Newest()
 	own := snap != nil
 	if !own && k.peers != nil {
-		snap = k.fetched()
+		snap = k.fetchFromPeers()
 	}
 	for _, f := range append(faults, err) {
 		if f != nil {
-			k.log.Warn().Err(f).Msg("kept list passed over")
+			k.logger.Warn().Err(f).Msg("kept list passed over")
 		}
 	}
 	if snap == nil {
@@ -82,19 +82,19 @@
 	switch {
 	case snap.Deployment != k.cfg.Deployment:
 		err = fmt.Errorf("it is of deployment %.60q, not %q", snap.Deployment, k.cfg.Deployment)
-	case own && snap.Node != k.name:
-		err = fmt.Errorf("it is of node %.60q, not %q", snap.Node, k.name)
+	case own && snap.Node != k.nodeName:
+		err = fmt.Errorf("it is of node %.60q, not %q", snap.Node, k.nodeName)
 	case age > k.cfg.MaxAge.Std():
 		err = fmt.Errorf("it was confirmed %s ago", age.Round(time.Minute))
 	case len(known.Hosts) > 0 && known.Revision >= snap.Revision:
 		err = errors.New("the configuration brings one that is as new")
 	}
 	if err != nil {
-		k.log.Warn().Err(err).Msg("kept list not used")
+		k.logger.Warn().Err(err).Msg("kept list not used")
 		return known, false
 	}
-	k.listed = snap.Revision
-	k.words = map[string]endpoints.Endpoint{}
+	k.lastRevision = snap.Revision
+	k.endpoints = map[string]endpoints.Endpoint{}
 	var servers []staleness.Server
 	l = http1.EndpointList{Revision: snap.Revision}
 	for _, s := range snap.Servers {
@@ -104,25 +104,25 @@
 			l.Skipped = append(l.Skipped, fmt.Errorf("kept server %.40q cannot be used", s.ID))
 			continue
 		}
-		k.words[s.ID] = w
+		k.endpoints[s.ID] = w
 		servers = append(servers, staleness.Server{ID: s.ID, IsUp: w.Condition == incarnation.Up, HasExecuted: s.ExecutedUnixMS > 0})
-		l.Hosts = append(l.Hosts, hostOf(w))
+		l.Hosts = append(l.Hosts, listedEndpoint(w))
 	}
-	k.trust = staleness.New(staleness.CachedList{Age: age, IsCleanShutdown: snap.IsCleanShutdown && own}, k.name, servers)
-	k.log.Info().Str("of", snap.Node).Float64("age_s", age.Round(time.Second/10).Seconds()).Bool("clean", snap.IsCleanShutdown).Int("grade", k.trust.Level()).
+	k.evaluator = staleness.New(staleness.CachedList{Age: age, IsCleanShutdown: snap.IsCleanShutdown && own}, k.nodeName, servers)
+	k.logger.Info().Str("of", snap.Node).Float64("age_s", age.Round(time.Second/10).Seconds()).Bool("clean", snap.IsCleanShutdown).Int("grade", k.evaluator.Level()).
 		Int("servers", len(servers)).Msg("kept list used")
-	k.offer()
+	k.applyUsable()
 	return l, true
 }
 
 // fetched is the newest list that a neighbour keeps, for a node whose own disk has none: believed by its age, and as that of
 // a node that crashed, for nobody tells what happened since.
-func (k *listKeeper) fetched() (newest *snapshot.Snapshot) {
-	for _, text := range k.peers.FetchEndpointLists(fetchMost) {
+func (k *endpointCache) fetchFromPeers() (newest *snapshot.Snapshot) {
+	for _, text := range k.peers.FetchEndpointLists(fetchTimeout) {
 		snap, err := snapshot.Decode(text)
 		switch {
 		case err != nil:
-			k.log.Warn().Err(err).Msg("a neighbour's list passed over")
+			k.logger.Warn().Err(err).Msg("a neighbour's list passed over")
 		case snap.Deployment == k.cfg.Deployment && (newest == nil || snap.ConfirmedUnixMS > newest.ConfirmedUnixMS):
 			newest = snap
 		}
@@ -131,8 +131,8 @@
 }
 
 // text is the list as it stands, for neighbours; nil while it is suspect here.
-func (k *listKeeper) text() []byte {
-	snap, _ := k.snap(false)
+func (k *endpointCache) encode() []byte {
+	snap, _ := k.snapshot(false)
 	if snap == nil {
 		return nil
 	}
@@ -143,80 +143,80 @@
 	return text
 }
 
-var phaseOf = [...]http1.Condition{incarnation.Up: http1.Serving, incarnation.Draining: http1.Draining, incarnation.Gone: http1.Deleted}
+var listedCondition = [...]http1.Condition{incarnation.Up: http1.Serving, incarnation.Draining: http1.Draining, incarnation.Gone: http1.Deleted}
 
-func hostOf(w endpoints.Endpoint) http1.Endpoint {
-	return http1.Endpoint{ID: w.ID, Address: w.Address, Zone: w.Zone, Flavor: w.MachineKind, Cell: w.Cell, Size: w.Weight, UpSinceMS: w.StartedUnixMS, Phase: phaseOf[w.Condition]}
+func listedEndpoint(w endpoints.Endpoint) http1.Endpoint {
+	return http1.Endpoint{ID: w.ID, Address: w.Address, Zone: w.Zone, Flavor: w.MachineKind, Cell: w.Cell, Size: w.Weight, UpSinceMS: w.StartedUnixMS, Phase: listedCondition[w.Condition]}
 }
 
 // offer hands to the fleet what may be used now.
-func (k *listKeeper) offer() {
-	usable, changed := k.trust.Usable()
+func (k *endpointCache) applyUsable() {
+	usable, changed := k.evaluator.Usable()
 	if !changed {
 		return
 	}
 	words, proved := make([]endpoints.Endpoint, 0, len(usable)), map[string]bool{}
 	for _, u := range usable {
-		words = append(words, k.words[u.ID])
+		words = append(words, k.endpoints[u.ID])
 		proved[u.ID] = u.IsProven
 	}
-	k.fleet.ApplySuspectList(words, proved)
+	k.dispatcher.ApplySuspectList(words, proved)
 }
 
 // believe ends the suspicion, for a source has told. What it tells as changes is told of the list that was kept, which
 // holds with it.
-func (k *listKeeper) believe(l http1.EndpointList, from endpoints.Source) (out http1.EndpointList, ok bool) {
+func (k *endpointCache) confirm(l http1.EndpointList, from endpoints.Source) (out http1.EndpointList, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.listed = max(k.listed, l.Revision)
-	if k.trust == nil {
+	k.lastRevision = max(k.lastRevision, l.Revision)
+	if k.evaluator == nil {
 		return l, true
 	}
-	if l.Complete && k.short(l) {
+	if l.Complete && k.lacksProvenServers(l) {
 		return l, false
 	}
 	if !l.Complete && from == endpoints.SourceDiscovery {
-		hosts := make([]http1.Endpoint, 0, len(k.words)+len(l.Hosts))
-		for _, w := range k.words {
-			hosts = append(hosts, hostOf(w))
+		hosts := make([]http1.Endpoint, 0, len(k.endpoints)+len(l.Hosts))
+		for _, w := range k.endpoints {
+			hosts = append(hosts, listedEndpoint(w))
 		}
 		l.Hosts = append(hosts, l.Hosts...)
 	}
-	k.trust, k.words = nil, nil
-	k.fleet.EndSuspicion()
-	k.log.Info().Stringer("from", from).Dur("after", time.Since(k.begun)).Msg("kept list over: servers are told of")
+	k.evaluator, k.endpoints = nil, nil
+	k.dispatcher.EndSuspicion()
+	k.logger.Info().Stringer("from", from).Dur("after", time.Since(k.startedAt)).Msg("kept list over: servers are told of")
 	return l, true
 }
 
 // short tells whether a whole list lacks most of the servers that have shown since the start that they serve: a source
 // that has started anew may tell of none at first.
-func (k *listKeeper) short(l http1.EndpointList) bool {
+func (k *endpointCache) lacksProvenServers(l http1.EndpointList) bool {
 	named, proved, missing := map[string]bool{}, 0, 0
 	for _, h := range l.Hosts {
 		named[h.ID] = true // also one that is told to drain
 	}
-	for id := range k.words {
-		if k.trust.Status(id) == staleness.Proven {
+	for id := range k.endpoints {
+		if k.evaluator.Status(id) == staleness.Proven {
 			if proved++; !named[id] {
 				missing++
 			}
 		}
 	}
-	if missing < doubtLeast || float64(missing) <= doubtShare*float64(proved) {
+	if missing < minMissing || float64(missing) <= maxMissingShare*float64(proved) {
 		return false
 	}
 	now := time.Now()
-	if k.doubted.IsZero() {
-		k.doubted = now
-		k.log.Error().Int("missing", missing).Int("serving", proved).Msg("a list lacks most servers that answer: it is not believed yet")
+	if k.incompleteSince.IsZero() {
+		k.incompleteSince = now
+		k.logger.Error().Int("missing", missing).Int("serving", proved).Msg("a list lacks most servers that answer: it is not believed yet")
 	}
-	return now.Sub(k.doubted) < doubtShort
+	return now.Sub(k.incompleteSince) < incompleteListDuration
 }
 
 // run follows what hops find out while the list is suspect, and writes it while it is not.
-func (k *listKeeper) run(ctx context.Context) error {
-	evidence := k.fleet.Observations()
-	tick := time.NewTicker(trustLook)
+func (k *endpointCache) evaluate(ctx context.Context) error {
+	evidence := k.dispatcher.Observations()
+	tick := time.NewTicker(evaluationInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -224,26 +224,26 @@
 			return nil
 		case e := <-evidence:
 			k.mu.Lock()
-			if now := k.fleet.Now(); k.trust != nil {
+			if now := k.dispatcher.Now(); k.evaluator != nil {
 				switch {
 				case e.IsOtherServer:
-					k.trust.WrongServer(now, e.Server)
+					k.evaluator.WrongServer(now, e.Server)
 				case e.HasExecuted:
-					k.trust.RequestExecuted(now, e.Server)
+					k.evaluator.RequestExecuted(now, e.Server)
 				case e.HasResponded:
-					k.trust.RequestRejected(now, e.Server)
+					k.evaluator.RequestRejected(now, e.Server)
 				default:
-					k.trust.ConnectFailed(now, e.Server)
+					k.evaluator.ConnectFailed(now, e.Server)
 				}
-				k.offer()
+				k.applyUsable()
 			}
 			k.mu.Unlock()
 		case <-tick.C:
 			k.mu.Lock()
-			over := k.trust == nil
+			over := k.evaluator == nil
 			if !over {
-				k.trust.Tick(k.fleet.Now())
-				k.offer()
+				k.evaluator.Tick(k.dispatcher.Now())
+				k.applyUsable()
 			}
 			k.mu.Unlock()
 			if over {
@@ -255,7 +255,7 @@
 
 // keep writes the list whenever it has changed, and now and then, for its age. A disk that takes nothing costs the list
 // only.
-func (k *listKeeper) keep(ctx context.Context) error {
+func (k *endpointCache) writePeriodically(ctx context.Context) error {
 	tick := time.NewTicker(k.cfg.WriteInterval.Std())
 	defer tick.Stop()
 	lists, wrote, failing := -1, time.Time{}, false
@@ -265,16 +265,16 @@
 			return nil
 		case <-tick.C:
 		}
-		snap, now := k.snap(false)
-		if snap == nil || now == lists && time.Since(wrote) < renewAfter {
+		snap, now := k.snapshot(false)
+		if snap == nil || now == lists && time.Since(wrote) < renewInterval {
 			continue
 		}
 		err := k.write(snap)
 		if (err != nil) != failing {
 			if failing = err != nil; failing {
-				k.log.Error().Err(err).Msg("list not kept")
+				k.logger.Error().Err(err).Msg("list not kept")
 			} else {
-				k.log.Info().Msg("list kept again")
+				k.logger.Info().Msg("list kept again")
 			}
 		}
 		if err == nil {
@@ -283,33 +283,33 @@
 	}
 }
 
-func (k *listKeeper) write(snap *snapshot.Snapshot) error {
-	k.writing.Lock()
-	defer k.writing.Unlock()
+func (k *endpointCache) write(snap *snapshot.Snapshot) error {
+	k.writeMu.Lock()
+	defer k.writeMu.Unlock()
 	return k.store.Write(snap)
 }
 
 // final writes the list as the node ends in good order.
-func (k *listKeeper) final() {
-	if snap, _ := k.snap(true); snap != nil {
+func (k *endpointCache) writeFinal() {
+	if snap, _ := k.snapshot(true); snap != nil {
 		if err := k.write(snap); err != nil {
-			k.log.Error().Err(err).Msg("list not kept")
+			k.logger.Error().Err(err).Msg("list not kept")
 		}
 	}
 }
 
 // snap is the list as it stands; nil while it is suspect, for writing it would make it look confirmed, or empty.
-func (k *listKeeper) snap(clean bool) (s *snapshot.Snapshot, lists int) {
+func (k *endpointCache) snapshot(clean bool) (s *snapshot.Snapshot, lists int) {
 	k.mu.Lock()
-	suspect, revision := k.trust != nil, k.listed
+	suspect, revision := k.evaluator != nil, k.lastRevision
 	k.mu.Unlock()
-	lines, from, heard, lists := k.fleet.Endpoints()
+	lines, from, heard, lists := k.dispatcher.Endpoints()
 	if suspect || len(lines) == 0 || from == endpoints.SourceConfig {
 		return nil, lists
 	}
-	now, clock := time.Now(), k.fleet.Now()
+	now, clock := time.Now(), k.dispatcher.Now()
 	wall := func(at time.Duration) int64 { return now.Add(at - clock).UnixMilli() }
-	s = &snapshot.Snapshot{Node: k.name, Deployment: k.cfg.Deployment, WrittenUnixMS: now.UnixMilli(), ConfirmedUnixMS: wall(heard), IsCleanShutdown: clean, Revision: revision}
+	s = &snapshot.Snapshot{Node: k.nodeName, Deployment: k.cfg.Deployment, WrittenUnixMS: now.UnixMilli(), ConfirmedUnixMS: wall(heard), IsCleanShutdown: clean, Revision: revision}
 	for _, l := range lines {
 		one := snapshot.Server{ID: l.ID, StartedUnixMS: l.StartedUnixMS, Condition: uint8(l.Condition), Zone: l.Zone, MachineKind: l.MachineKind, Cell: l.Cell, Weight: l.Weight,
 			Source: uint8(l.Source), AnnouncedUnixMS: wall(l.AnnouncedAt)}
--- a/internal/proxy/cgi_test.go
+++ b/internal/proxy/fastcgi_test.go
@@ -39,10 +39,10 @@
 
 // cgiNode runs a node that clients reach in both protocols, in front of servers in both.
 func cgiNode(t *testing.T, hosts ...http1.Endpoint) (http, cgi string, stop func() error) {
-	return cgiNodeWith(t, unhurried{}, hosts...)
+	return cgiNodeWith(t, shutdownDelays{}, hosts...)
 }
 
-func cgiNodeWith(t *testing.T, u unhurried, hosts ...http1.Endpoint) (http, cgi string, stop func() error) {
+func cgiNodeWith(t *testing.T, u shutdownDelays, hosts ...http1.Endpoint) (http, cgi string, stop func() error) {
 	t.Helper()
 	// An address of its own: between its choice and its use a port of 127.0.0.1 may be dealt out to anybody's connection.
 	pid := os.Getpid()
@@ -53,9 +53,9 @@
 	cgi = ln.Addr().String()
 	ln.Close()
 	cfg := config(hosts...)
-	cfg.stop = u
+	cfg.shutdownDelays = u
 	for i := range cfg.Settings.TrafficTypes { // so that a busy machine changes no verdict
-		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = 2*time.Second+u.more, 4*time.Second+u.more
+		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = 2*time.Second+u.extraTime, 4*time.Second+u.extraTime
 	}
 	cfg.Routes = routes(t, &cfg, fmt.Sprintf("[fastcgi]\nlisten = %q\nflavors = [\"cgi\"]", cgi))
 	http, stop = startNode(t, cfg)
@@ -128,7 +128,7 @@
 					hosts = append(hosts, h)
 				}
 				http, cgi, _ := cgiNode(t, hosts...)
-				var l line = http1.NewConn(dial(t, http).Conn)
+				var l upstreamConn = http1.NewConn(dial(t, http).Conn)
 				if front == "cgi" {
 					l = fastcgi.NewServerConn(dial(t, cgi).Conn, nil, nil)
 				}
--- a/internal/proxy/ends_test.go
+++ b/internal/proxy/fastcgishutdown_test.go
@@ -17,7 +17,7 @@
 )
 
 // heldNode is a node whose server keeps requests for .../held until release is closed, and answers others at once.
-func heldNode(t *testing.T, u unhurried) (http, cgi string, stop func() error, begun, release chan struct{}) {
+func heldNode(t *testing.T, u shutdownDelays) (http, cgi string, stop func() error, begun, release chan struct{}) {
 	begun, release = make(chan struct{}, 200), make(chan struct{})
 	at := standIn(t, func(nc net.Conn) {
 		defer nc.Close()
@@ -106,7 +106,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, cgi, _, begun, release := heldNode(t, unhurried{more: time.Minute})
+			_, cgi, _, begun, release := heldNode(t, shutdownDelays{extraTime: time.Minute})
 			nc := dialCGI(t, cgi)
 			nc.Write(append(toNode(1, held("held "+name)), c.behind...)) // read at once, while the first is held
 			<-begun
@@ -129,7 +129,7 @@
 func TestStopSharedConnection(t *testing.T) {
 	t.Parallel()
 	coming := make(chan struct{})
-	http, cgi, stop, begun, release := heldNode(t, unhurried{coming: func() { <-coming }, more: time.Minute})
+	http, cgi, stop, begun, release := heldNode(t, shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: time.Minute})
 	nc, idle := dialCGI(t, cgi), dialCGI(t, cgi)
 	const n, mark = 99, 1000 // a hundred with the one that asks how it stands
 	var wire []byte
@@ -226,7 +226,7 @@
 func TestRequestCrossesTheEndOfTheTime(t *testing.T) {
 	t.Parallel()
 	s := &Server{cfg: config()}
-	s.fleet = dispatch.New(s.cfg.Settings, 1, s.cfg.Limits, engine.NewPolicy)
+	s.dispatcher = dispatch.New(s.cfg.Settings, 1, s.cfg.Limits, engine.NewPolicy)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -238,12 +238,12 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	f := fastcgi.NewClientConn(nc, s.fleet.MessageBudget())
+	f := fastcgi.NewClientConn(nc, s.dispatcher.MessageBudget())
 	client.Write(toNode(1, post("crossing")))
 	for !f.HasUnread() {
 		time.Sleep(time.Millisecond)
 	}
-	c := &cgiConn{s: s, nc: nc.(*net.TCPConn), f: f, place: s.fleet.AddClient(f), first: past}
+	c := &fastcgiClientConn{server: s, tcp: nc.(*net.TCPConn), conn: f, client: s.dispatcher.AddClient(f), firstRequestBy: pastDeadline}
 	if call, err := f.Next(c); err != nil || string(call.Request.Body) != "body" {
 		t.Errorf("%v", err)
 	}
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -9,18 +9,18 @@
 	"fernvane/internal/protocol/sockpeek"
 )
 
-const acceptPause = 5 * time.Millisecond // after a failed accept, so that shortage does not spin
+const acceptRetryInterval = 5 * time.Millisecond // after a failed accept, so that shortage does not spin
 
 // accept takes connections until the node stops and none comes any more. One that the system has taken
 // may hold a request already, so listening does not end while there are such.
 func (s *Server) accept(ln *net.TCPListener, lead func(*net.TCPConn)) error {
-	quietFor := quietFor + s.cfg.stop.quiet
+	quietFor := acceptQuietDuration + s.cfg.shutdownDelays.extraQuiet
 	var quiet time.Time // since when none has come, once the node stops
 	for {
-		s.fleet.AcquireClientDescriptor()
-		last := s.closing.Load()
+		s.dispatcher.AcquireClientDescriptor()
+		last := s.isListenerClosing.Load()
 		if last {
-			if time.Now().After(s.enough) { // they never cease
+			if time.Now().After(s.acceptUntil) { // they never cease
 				return ln.Close()
 			}
 			if quiet.IsZero() {
@@ -35,13 +35,13 @@
 		}
 		if err == nil {
 			quiet = time.Now()
-			s.clients.Go(func() error {
+			s.clientTasks.Go(func() error {
 				lead(nc)
 				return nil
 			})
 			continue
 		}
-		s.fleet.ReleaseClientDescriptor()
+		s.dispatcher.ReleaseClientDescriptor()
 		if over {
 			return ln.Close()
 		}
@@ -51,8 +51,8 @@
 		if errors.Is(err, net.ErrClosed) {
 			return err
 		}
-		s.log.Warn().Err(err).Msg("accept failed")
-		s.fleet.EvictIdle()
-		time.Sleep(acceptPause)
+		s.logger.Warn().Err(err).Msg("accept failed")
+		s.dispatcher.EvictIdle()
+		time.Sleep(acceptRetryInterval)
 	}
 }
--- a/internal/proxy/planners.go
+++ b/internal/proxy/planners.go
@@ -27,61 +27,61 @@
 )
 
 const (
-	stepEvery     = 250 * time.Millisecond // between two looks at plans
-	reportEach    = 2                      // steps: a report each half second
-	plannerDial   = time.Second            // for a connection to a planner, its TLS and its greeting
-	plannerSilent = 3 * time.Second        // without a frame, after which a planner's connection is ended
-	redialFirst   = 200 * time.Millisecond // doubles, and is spread by half
-	redialMost    = 3 * time.Second
-	aboveMost     = 64              // lives in a report of which the planner has told less
-	startAlone    = 1 * time.Second // a node that knows no server waits so long for planners, then asks discovery
+	stepInterval          = 250 * time.Millisecond // between two looks at plans
+	stepsPerReport        = 2                      // steps: a report each half second
+	plannerDialTimeout    = time.Second            // for a connection to a planner, its TLS and its greeting
+	plannerSilenceTimeout = 3 * time.Second        // without a frame, after which a planner's connection is ended
+	initialRedialBackoff  = 200 * time.Millisecond // doubles, and is spread by half
+	maxRedialBackoff      = 3 * time.Second
+	maxNewerIncarnations  = 64              // lives in a report of which the planner has told less
+	plannerStartTimeout   = 1 * time.Second // a node that knows no server waits so long for planners, then asks discovery
 )
 
 // planners is the forwarder's side of the two levels. Nothing of it is asked on the way of an operation.
-type planners struct {
-	cfg   *planconfig.Forwarder
-	name  string
-	fleet *dispatch.Dispatcher
-	kept  *listKeeper // nil: no list is kept on disk
-	log   zerolog.Logger
+type plannerClient struct {
+	cfg           *planconfig.Forwarder
+	nodeName      string
+	dispatcher    *dispatch.Dispatcher
+	endpointCache *endpointCache // nil: no list is kept on disk
+	logger        zerolog.Logger
 
-	mu      sync.Mutex // never held over a socket; may be held while the fleet's lock is taken
-	follow  *planfollower.Follower
-	lives   *incarnation.Table
-	sources []source
-	needs   chan struct{} // closed while discovery is to be asked
-	open    bool          // needs is closed
-	planned bool          // the fleet has been told a plan
-	suspect bool          // the list before the start is a kept one that nobody has confirmed yet
-	from    int           // the planner followed last
+	mu                sync.Mutex // never held over a socket; may be held while the fleet's lock is taken
+	follower          *planfollower.Follower
+	incarnations      *incarnation.Table
+	sources           []plannerState
+	discoveryNeeded   chan struct{} // closed while discovery is to be asked
+	isDiscoveryNeeded bool          // needs is closed
+	hasAppliedPlan    bool          // the fleet has been told a plan
+	isListSuspect     bool          // the list before the start is a kept one that nobody has confirmed yet
+	followedPlanner   int           // the planner followed last
 }
 
 // source is what is known of one planner's connection.
-type source struct {
-	told    map[string]incarnation.Entry // lives, as it has told them
-	held    plan.Plan                    // its plan as it stands after the last change
-	reports chan plan.Report             // the next to be sent
+type plannerState struct {
+	announced map[string]incarnation.Entry // lives, as it has told them
+	plan      plan.Plan                    // its plan as it stands after the last change
+	reports   chan plan.Report             // the next to be sent
 }
 
-func newPlanners(cfg *planconfig.Forwarder, name string, f *dispatch.Dispatcher, nodes int, log zerolog.Logger) *planners {
+func newPlannerClient(cfg *planconfig.Forwarder, name string, f *dispatch.Dispatcher, nodes int, log zerolog.Logger) *plannerClient {
 	draw := float64(crc32.ChecksumIEEE([]byte(name))) / (1 << 32)
-	p := &planners{cfg: cfg, name: name, fleet: f, log: log, lives: incarnation.NewTable(), needs: make(chan struct{}), from: -1,
-		follow: planfollower.New(planfollower.Options{PlannerCount: len(cfg.Addresses), ConfiguredNodes: nodes, PollJitter: draw})}
+	p := &plannerClient{cfg: cfg, nodeName: name, dispatcher: f, logger: log, incarnations: incarnation.NewTable(), discoveryNeeded: make(chan struct{}), followedPlanner: -1,
+		follower: planfollower.New(planfollower.Options{PlannerCount: len(cfg.Addresses), ConfiguredNodes: nodes, PollJitter: draw})}
 	for range cfg.Addresses {
-		p.sources = append(p.sources, source{told: map[string]incarnation.Entry{}, reports: make(chan plan.Report, 1)})
+		p.sources = append(p.sources, plannerState{announced: map[string]incarnation.Entry{}, reports: make(chan plan.Report, 1)})
 	}
 	f.EnableReports()
 	return p
 }
 
 // run leads the connections and looks at the plans until the node ends.
-func (p *planners) run(ctx context.Context) error {
+func (p *plannerClient) run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for i, at := range p.cfg.Addresses {
-		g.Go(func() error { p.lead(ctx, i, at); return nil })
+		g.Go(func() error { p.keepConnected(ctx, i, at); return nil })
 	}
 	g.Go(func() error {
-		tick := time.NewTicker(stepEvery)
+		tick := time.NewTicker(stepInterval)
 		defer tick.Stop()
 		for n := 1; ; n++ {
 			select {
@@ -89,8 +89,8 @@
 				return nil
 			case <-tick.C:
 				p.step()
-				if n%reportEach == 0 {
-					p.report()
+				if n%stepsPerReport == 0 {
+					p.queueReports()
 				}
 			}
 		}
@@ -99,32 +99,32 @@
 }
 
 // step has the module follow what holds now, and opens or closes the way to discovery.
-func (p *planners) step() {
+func (p *plannerClient) step() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := p.fleet.Now()
-	p.lives.ExpireTombstones(now)
-	e := p.follow.Advance(now, func(id string) bool {
-		l, ok := p.lives.Get(id)
+	now := p.dispatcher.Now()
+	p.incarnations.ExpireTombstones(now)
+	e := p.follower.Advance(now, func(id string) bool {
+		l, ok := p.incarnations.Get(id)
 		return ok && l.Condition == incarnation.Up
 	})
-	if ask := e.ShouldPollDiscovery || p.lives.Len() == 0 && now > startAlone; ask != p.open {
-		if p.open = ask; ask {
-			close(p.needs)
-			p.log.Warn().Dur("plan_age", e.PlanAge).Msg("no planner is heard: discovery is asked")
+	if ask := e.ShouldPollDiscovery || p.incarnations.Len() == 0 && now > plannerStartTimeout; ask != p.isDiscoveryNeeded {
+		if p.isDiscoveryNeeded = ask; ask {
+			close(p.discoveryNeeded)
+			p.logger.Warn().Dur("plan_age", e.PlanAge).Msg("no planner is heard: discovery is asked")
 		} else {
-			p.needs = make(chan struct{})
-			p.log.Info().Msg("planners are heard: discovery is not asked")
+			p.discoveryNeeded = make(chan struct{})
+			p.logger.Info().Msg("planners are heard: discovery is not asked")
 		}
 	}
-	if e.Planner != p.from {
-		p.log.Info().Int("planner", e.Planner).Int("before", p.from).Msg("plan followed")
-		p.from = e.Planner
+	if e.Planner != p.followedPlanner {
+		p.logger.Info().Int("planner", e.Planner).Int("before", p.followedPlanner).Msg("plan followed")
+		p.followedPlanner = e.Planner
 	}
-	if !e.HasPlan && !p.planned {
+	if !e.HasPlan && !p.hasAppliedPlan {
 		return
 	}
-	p.planned = e.HasPlan
+	p.hasAppliedPlan = e.HasPlan
 	var within map[string]float64
 	if len(e.WithinAllowance) > 0 {
 		within = make(map[string]float64, len(e.WithinAllowance))
@@ -132,19 +132,19 @@
 			within[w.Tenant] = w.Share
 		}
 	}
-	p.fleet.ApplyPlan(e.Nodes, e.AdmittedShare, within, e.Servers)
+	p.dispatcher.ApplyPlan(e.Nodes, e.AdmittedShare, within, e.Servers)
 }
 
 // report hands what has happened to each planner's connection; what one has not sent yet is older, and is dropped.
-func (p *planners) report() {
-	r := p.fleet.Report()
+func (p *plannerClient) queueReports() {
+	r := p.dispatcher.Report()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r.CurrentShares = p.follow.CurrentShares()
+	r.CurrentShares = p.follower.CurrentShares()
 	for i := range p.sources {
 		s := &p.sources[i]
 		mine := r
-		mine.NewerIncarnations = p.lives.NewerThan(s.told, aboveMost)
+		mine.NewerIncarnations = p.incarnations.NewerThan(s.announced, maxNewerIncarnations)
 		select {
 		case <-s.reports:
 		default:
@@ -154,31 +154,31 @@
 }
 
 // lead keeps a connection to one planner.
-func (p *planners) lead(ctx context.Context, i int, at netip.AddrPort) {
-	wait := redialFirst
+func (p *plannerClient) keepConnected(ctx context.Context, i int, at netip.AddrPort) {
+	wait := initialRedialBackoff
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := p.connected(ctx, i, at)
+		err := p.runConnection(ctx, i, at)
 		if ctx.Err() != nil {
 			return
 		}
-		if time.Since(began) > plannerSilent {
-			wait = redialFirst
+		if time.Since(began) > plannerSilenceTimeout {
+			wait = initialRedialBackoff
 		}
-		p.log.Warn().Err(err).Int("planner", i).Stringer("at", at).Msg("planner lost")
+		p.logger.Warn().Err(err).Int("planner", i).Stringer("at", at).Msg("planner lost")
 		pause := time.NewTimer(time.Duration((0.5 + rand.Float64()) * float64(wait)))
 		select {
 		case <-ctx.Done():
 		case <-pause.C:
 		}
 		pause.Stop()
-		wait = min(2*wait, redialMost)
+		wait = min(2*wait, maxRedialBackoff)
 	}
 }
 
 // connected is the life of one connection to a planner.
-func (p *planners) connected(ctx context.Context, i int, at netip.AddrPort) error {
-	by := time.Now().Add(plannerDial)
+func (p *plannerClient) runConnection(ctx context.Context, i int, at netip.AddrPort) error {
+	by := time.Now().Add(plannerDialTimeout)
 	d := net.Dialer{Deadline: by}
 	nc, err := d.DialContext(ctx, "tcp", at.String())
 	if err != nil {
@@ -188,19 +188,19 @@
 	if p.cfg.Keys != nil {
 		nc = p.cfg.Keys.ClientConn(nc, p.cfg.Name)
 		if err := p.cfg.Keys.ReloadError(); err != nil {
-			p.log.Error().Err(err).Msg("keys not read again")
+			p.logger.Error().Err(err).Msg("keys not read again")
 		}
 	}
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
 	c := planwire.NewConn(nc)
 	nc.SetDeadline(by)
-	if _, err := c.Handshake(p.name, by); err != nil {
+	if _, err := c.Handshake(p.nodeName, by); err != nil {
 		return err
 	}
 	p.mu.Lock()
-	p.sources[i].told, p.sources[i].held = map[string]incarnation.Entry{}, plan.Plan{}
+	p.sources[i].announced, p.sources[i].plan = map[string]incarnation.Entry{}, plan.Plan{}
 	p.mu.Unlock()
-	p.log.Info().Int("planner", i).Stringer("at", at).Msg("planner met")
+	p.logger.Info().Int("planner", i).Stringer("at", at).Msg("planner met")
 	ended := make(chan struct{})
 	sending := errgroup.Group{}
 	sending.Go(func() error {
@@ -221,9 +221,9 @@
 	return errors.Join(err, sending.Wait())
 }
 
-func (p *planners) receive(c *planwire.Conn, i int) error {
+func (p *plannerClient) receive(c *planwire.Conn, i int) error {
 	for {
-		k, body, err := c.Receive(time.Now().Add(plannerSilent))
+		k, body, err := c.Receive(time.Now().Add(plannerSilenceTimeout))
 		if err != nil {
 			return err
 		}
@@ -239,7 +239,7 @@
 			if err := planwire.Decode(body, &change); err != nil {
 				return c.Reject(fmt.Errorf("a plan that cannot be read: %v", err))
 			}
-			p.told(i, change)
+			p.applyChange(i, change)
 		default:
 			return c.Reject(fmt.Errorf("a frame of kind %d from a planner", k))
 		}
@@ -247,70 +247,70 @@
 }
 
 // told takes in a planner's change: its lives are joined at once, the rest holds by the follower's rules.
-func (p *planners) told(i int, change plan.Change) {
+func (p *plannerClient) applyChange(i int, change plan.Change) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s, now := &p.sources[i], p.fleet.Now()
+	s, now := &p.sources[i], p.dispatcher.Now()
 	for _, e := range change.Incarnations {
-		s.told[e.ID] = e
+		s.announced[e.ID] = e
 	}
-	s.held = plan.Apply(s.held, change)
-	if changed := p.lives.Join(now, change.Incarnations); len(change.Incarnations) > 0 {
-		p.join(changed)
+	s.plan = plan.Apply(s.plan, change)
+	if changed := p.incarnations.Join(now, change.Incarnations); len(change.Incarnations) > 0 {
+		p.applyIncarnations(changed)
 	}
-	p.follow.PlanReceived(now, i, s.held)
+	p.follower.PlanReceived(now, i, s.plan)
 }
 
 // join hands to the fleet what has changed in the lives. It is done under the lock, so that what is newer comes later.
 // What comes first after a kept list ends its suspicion: then all that is known is handed over, for of a server that had
 // left before the start the fleet has heard nothing yet.
-func (p *planners) join(changed []incarnation.Entry) {
-	if p.suspect {
-		p.suspect, changed = false, p.lives.All()
+func (p *plannerClient) applyIncarnations(changed []incarnation.Entry) {
+	if p.isListSuspect {
+		p.isListSuspect, changed = false, p.incarnations.All()
 	}
 	if len(changed) == 0 {
 		return
 	}
 	l := watch.ListFromEntries(changed)
 	for _, err := range l.Skipped {
-		p.log.Warn().Err(err).Msg("list entry skipped")
+		p.logger.Warn().Err(err).Msg("list entry skipped")
 	}
-	if p.kept != nil {
-		l, _ = p.kept.believe(l, endpoints.SourcePlanners)
+	if p.endpointCache != nil {
+		l, _ = p.endpointCache.confirm(l, endpoints.SourcePlanners)
 	}
-	p.fleet.ApplyList(l, endpoints.SourcePlanners)
+	p.dispatcher.ApplyList(l, endpoints.SourcePlanners)
 }
 
 // discovered takes in what discovery itself has told.
-func (p *planners) discovered(l http1.EndpointList) {
+func (p *plannerClient) applyDiscoveryList(l http1.EndpointList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.join(p.lives.ApplyDiscovery(p.fleet.Now(), watch.EntriesFromList(l), l.Complete))
+	p.applyIncarnations(p.incarnations.ApplyDiscovery(p.dispatcher.Now(), watch.EntriesFromList(l), l.Complete))
 }
 
 // saved takes in the list that the node last had. Of a suspect one, kept on disk, only servers that had left are taken in: what
 // planners tell of the others is a change then, which confirms it, and no report tells planners of servers that nobody has
 // confirmed.
-func (p *planners) saved(l http1.EndpointList, suspect bool) {
+func (p *plannerClient) applySavedList(l http1.EndpointList, suspect bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.suspect = suspect; suspect {
+	if p.isListSuspect = suspect; suspect {
 		l.Hosts = slices.DeleteFunc(slices.Clone(l.Hosts), func(h http1.Endpoint) bool { return h.Phase == http1.Serving })
 	}
-	p.lives.ApplyDiscovery(p.fleet.Now(), watch.EntriesFromList(l), false)
+	p.incarnations.ApplyDiscovery(p.dispatcher.Now(), watch.EntriesFromList(l), false)
 }
 
 // needed tells whether discovery is to be asked now.
-func (p *planners) needed() bool {
+func (p *plannerClient) needsDiscovery() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open
+	return p.isDiscoveryNeeded
 }
 
 // await returns when discovery is to be asked, with the revision that planners have told up to.
-func (p *planners) await(ctx context.Context) (revision uint64, ok bool) {
+func (p *plannerClient) awaitDiscoveryNeeded(ctx context.Context) (revision uint64, ok bool) {
 	p.mu.Lock()
-	needs := p.needs
+	needs := p.discoveryNeeded
 	p.mu.Unlock()
 	select {
 	case <-ctx.Done():
@@ -319,7 +319,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, e := range p.lives.All() {
+	for _, e := range p.incarnations.All() {
 		revision = max(revision, e.Revision)
 	}
 	return revision, true
--- a/internal/proxy/ready_test.go
+++ b/internal/proxy/readiness_test.go
@@ -38,8 +38,8 @@
 			t.Parallel()
 			cfg := config(c.known...)
 			l := newLed(t, cfg)
-			if l.began = time.Now().Add(time.Hour); c.waited { // never over, however slow the machine is
-				l.began = time.Now().Add(-listMost - time.Second)
+			if l.startedAt = time.Now().Add(time.Hour); c.waited { // never over, however slow the machine is
+				l.startedAt = time.Now().Add(-firstListTimeout - time.Second)
 			}
 			up := func() int {
 				client, _ := l.ask(t, "/up")
@@ -53,10 +53,10 @@
 			if c.listens {
 				at, calls = scripted(t, false, c.script...)
 			}
-			l.discovery.Store(watch.NewTarget(at))
+			l.discoveryTarget.Store(watch.NewTarget(at))
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan error)
-			go func() { done <- l.follow(ctx) }()
+			go func() { done <- l.followDiscovery(ctx) }()
 			for range c.script {
 				<-calls // the next one comes when what the last one told was taken in
 			}
--- a/internal/proxy/registry.go
+++ b/internal/proxy/registry.go
@@ -10,25 +10,25 @@
 )
 
 // registered follows a registry in place of discovery.
-func (s *Server) registered(ctx context.Context) error {
+func (s *Server) followRegistry(ctx context.Context) error {
 	return zookeeper.Follow(ctx, s.cfg.Registry, zookeeper.Listener{
-		Now: s.fleet.Now, Observations: s.fleet.Observations(),
+		Now: s.dispatcher.Now, Observations: s.dispatcher.Observations(),
 		OnChange: func(changed []incarnation.Entry, first bool) {
 			l := watch.ListFromEntries(changed)
 			l.Complete = first // what the saved list has beside has gone meanwhile
-			s.skipped(l)
-			if s.kept != nil {
-				l, _ = s.kept.believe(l, endpoints.SourceRegistry) // the registry's own roster doubts what it must
+			s.logSkippedEntries(l)
+			if s.endpointCache != nil {
+				l, _ = s.endpointCache.confirm(l, endpoints.SourceRegistry) // the registry's own roster doubts what it must
 			}
-			s.fleet.ApplyList(l, endpoints.SourceRegistry)
-			s.log.Info().Int("entries", len(changed)).Msg("list told")
+			s.dispatcher.ApplyList(l, endpoints.SourceRegistry)
+			s.logger.Info().Int("entries", len(changed)).Msg("list told")
 		},
-		OnError: func(err error) { s.log.Warn().Err(err).Msg("registry") },
+		OnError: func(err error) { s.logger.Warn().Err(err).Msg("registry") },
 		OnMassRemoval: func(is bool) {
 			if is {
-				s.log.Error().Msg("most servers have vanished from the registry together: the last list holds")
+				s.logger.Error().Msg("most servers have vanished from the registry together: the last list holds")
 			} else {
-				s.log.Info().Msg("the registry lists most servers again")
+				s.logger.Info().Msg("the registry lists most servers again")
 			}
 		},
 	})
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -12,7 +12,7 @@
 
 // reload reads the configuration again each time it is told to, beside the serving. One of no use is logged and
 // the old one kept; what the running parts stand on is not changed under them but told to need a restart.
-func (s *Server) reload(ctx context.Context, told <-chan os.Signal) error {
+func (s *Server) reloadOnSignal(ctx context.Context, told <-chan os.Signal) error {
 	cfg := s.cfg
 	for {
 		select {
@@ -20,40 +20,40 @@
 			return nil
 		case <-told:
 		}
-		s.reroute()
-		s.rewatch()
+		s.reloadRoutes()
+		s.reloadShadow()
 		next, err := cfg.Reload()
 		if err != nil {
-			s.log.Error().Err(err).Msg("configuration not reloaded")
+			s.logger.Error().Err(err).Msg("configuration not reloaded")
 			continue
 		}
-		if later := s.cfg.differs(next); len(later) > 0 {
-			s.log.Warn().Strs("keys", later).Msg("changes wait for a restart")
+		if later := s.cfg.changedKeys(next); len(later) > 0 {
+			s.logger.Warn().Strs("keys", later).Msg("changes wait for a restart")
 		}
 		if next.Discovery != cfg.Discovery {
-			s.moveTo(next.Discovery)
+			s.changeDiscovery(next.Discovery)
 		}
 		cfg = next
-		s.log.Info().Stringer("discovery", cfg.Discovery).Msg("configuration reloaded")
+		s.logger.Info().Stringer("discovery", cfg.Discovery).Msg("configuration reloaded")
 	}
 }
 
 // rewatch reads the watched settings again; those of no use leave the old ones watched.
-func (s *Server) rewatch() {
+func (s *Server) reloadShadow() {
 	if s.cfg.Shadow == nil {
 		return
 	}
-	if next, err := readWatch(s.cfg.getenv("PROXY_WATCH"), &s.cfg.Settings); err != nil {
-		s.log.Error().Err(err).Msg("watched settings not reloaded")
+	if next, err := readShadowSettings(s.cfg.getenv("PROXY_WATCH"), &s.cfg.Settings); err != nil {
+		s.logger.Error().Err(err).Msg("watched settings not reloaded")
 	} else {
 		s.cfg.Shadow.SetSettings(next)
-		s.log.Info().Msg("watched settings reloaded")
+		s.logger.Info().Msg("watched settings reloaded")
 	}
 }
 
 // reroute reads the operator's file again, against the settings that the node runs under. A file of no use leaves the
 // routes as they are.
-func (s *Server) reroute() {
+func (s *Server) reloadRoutes() {
 	if s.cfg.OperatorFile == "" {
 		return
 	}
@@ -62,22 +62,22 @@
 	switch {
 	case errors.As(err, &faults):
 		for _, f := range faults {
-			s.log.Error().Err(f).Msg("routes not reloaded")
+			s.logger.Error().Err(f).Msg("routes not reloaded")
 		}
 	case err != nil:
-		s.log.Error().Err(err).Msg("routes not reloaded")
+		s.logger.Error().Err(err).Msg("routes not reloaded")
 	default:
 		if s.distribution != nil {
-			s.distribution.reroute(routes)
+			s.distribution.setOperatorRoutes(routes)
 		} else {
-			s.fleet.SetRoutes(routes)
+			s.dispatcher.SetRoutes(routes)
 		}
-		s.log.Info().Int("routes", len(routes.Routes)).Msg("routes reloaded")
+		s.logger.Info().Int("routes", len(routes.Routes)).Msg("routes reloaded")
 	}
 }
 
 // differs names the keys whose new values a running node does not take up.
-func (c Config) differs(next Config) (keys []string) {
+func (c Config) changedKeys(next Config) (keys []string) {
 	for _, k := range []struct {
 		key  string
 		same bool
--- a/internal/proxy/operation.go
+++ b/internal/proxy/request.go
@@ -12,51 +12,51 @@
 )
 
 var (
-	errLeft   = errors.New("the client has left")
-	errNoType = errors.New("no such traffic type")
-	errNoDisk = errors.New("the journal keeps nothing now")
+	errClientDisconnected = errors.New("the client has left")
+	errUnknownType        = errors.New("no such traffic type")
+	errJournalUnavailable = errors.New("the journal keeps nothing now")
 )
 
 // front is what an operation came on, in the protocol that its client speaks.
-type front interface {
+type clientConn interface {
 	// Append writes an answer as the client reads it.
-	Append(b []byte, a message.Answer) []byte
+	AppendAnswer(b []byte, a message.Answer) []byte
 	// Scratch is room for an answer; what was read of the request may be overwritten.
-	Scratch() []byte
+	AnswerBuffer() []byte
 	// Send writes what Append has put together.
-	Send(answer []byte) error
+	SendAnswer(answer []byte) error
 	// From is the client's address.
-	From() string
+	ClientAddress() string
 	// Parting is a look at whether the client has left, which may be asked beside Watch.
-	Parting() bool
+	IsDisconnected() bool
 	// Watch looks for the client's leaving while the operation is open; the function it returns ends that.
-	Watch(op *dispatch.Request) (end func())
+	WatchDisconnect(op *dispatch.Request) (end func())
 }
 
 // answer writes a whole answer; the connection ends with it while the node stops.
-func (s *Server) answer(f front, a message.Answer) error {
-	a.Close = a.Close || s.draining.Load()
-	return f.Send(f.Append(f.Scratch(), a))
+func (s *Server) sendAnswer(f clientConn, a message.Answer) error {
+	a.Close = a.Close || s.isDraining.Load()
+	return f.SendAnswer(f.AppendAnswer(f.AnswerBuffer(), a))
 }
 
 // operation is the life of one operation, from its whole request to its one answer.
-func (s *Server) operation(f front, req *message.Request, came time.Time) error {
+func (s *Server) serveRequest(f clientConn, req *message.Request, came time.Time) error {
 	o, err := req.Info()
 	if err != nil {
 		return err
 	}
-	op, k, err := s.take(&o, req, came, f)
+	op, k, err := s.submit(&o, req, came, f)
 	var bad *message.RequestError
 	switch {
-	case err == errNoType:
-		return s.answer(f, message.Answer{Status: 404, Body: []byte("no such traffic type\n"), Close: req.Close})
+	case err == errUnknownType:
+		return s.sendAnswer(f, message.Answer{Status: 404, Body: []byte("no such traffic type\n"), Close: req.Close})
 	case err == dispatch.ErrNoCapacity:
 		req.Close = true // makes room for the next one
-		return s.answer(f, message.Answer{Status: 503, Close: true})
-	case err == errNoDisk:
-		return s.answer(f, message.Answer{Status: 503, Close: req.Close})
+		return s.sendAnswer(f, message.Answer{Status: 503, Close: true})
+	case err == errJournalUnavailable:
+		return s.sendAnswer(f, message.Answer{Status: 503, Close: req.Close})
 	case err == dispatch.ErrRouteLimit:
-		return s.answer(f, message.Answer{Status: 503, Close: req.Close})
+		return s.sendAnswer(f, message.Answer{Status: 503, Close: req.Close})
 	case err == dispatch.ErrDuplicateID:
 		return &message.RequestError{Status: 409, Why: err.Error()}
 	case errors.As(err, &bad):
@@ -65,12 +65,12 @@
 	defer op.Close()
 	unwatch := func() {}
 	if !s.cfg.Deaf {
-		unwatch = sync.OnceFunc(f.Watch(op))
+		unwatch = sync.OnceFunc(f.WatchDisconnect(op))
 	}
 	defer unwatch()
 	ctx, giveUp := context.WithCancel(context.Background())
 	defer giveUp()
-	x := &exchanged{op: op, req: req, from: f.From(), parting: f.Parting, kept: k, compose: func(a message.Answer) []byte { return f.Append(f.Scratch(), a) }}
+	x := &forwarding{request: op, message: req, clientAddress: f.ClientAddress(), isDisconnected: f.IsDisconnected, journalEntry: k, composeAnswer: func(a message.Answer) []byte { return f.AppendAnswer(f.AnswerBuffer(), a) }}
 	var last dispatch.AttemptResult
 	for {
 		d := op.NextDecision(giveUp)
@@ -80,49 +80,49 @@
 		switch d.Action {
 		case dispatch.SendAttempt:
 			var answer []byte
-			last, answer = s.hop(ctx, d, x)
+			last, answer = s.attempt(ctx, d, x)
 			op.AttemptEnded(d.Attempt, last, answer)
 		case dispatch.Respond:
-			err := f.Send(d.Answer)
-			x.kept.tell("handled")
+			err := f.SendAnswer(d.Answer)
+			x.journalEntry.recordAnswer("handled")
 			return err
 		case dispatch.Reject:
-			err := s.answer(f, message.Answer{Status: 503, RetryAfter: d.Duration, Close: req.Close})
-			x.kept.tell("denied")
+			err := s.sendAnswer(f, message.Answer{Status: 503, RetryAfter: d.Duration, Close: req.Close})
+			x.journalEntry.recordAnswer("denied")
 			return err
 		case dispatch.Fail:
-			defer x.kept.tell("written off")
+			defer x.journalEntry.recordAnswer("written off")
 			if d.Answer != nil { // a server finds fault with the request, and says what
-				return f.Send(d.Answer)
+				return f.SendAnswer(d.Answer)
 			}
-			return s.answer(f, message.Answer{Status: writeOffStatus(last), Close: req.Close})
+			return s.sendAnswer(f, message.Answer{Status: failureStatus(last), Close: req.Close})
 		case dispatch.Drop:
-			x.kept.tell("nothing: it had left")
-			return errLeft
+			x.journalEntry.recordAnswer("nothing: it had left")
+			return errClientDisconnected
 		}
 	}
 }
 
 // affinityKey is the field that tells what an operation is about.
-const affinityKey = "Affinity-Key"
+const affinityKeyField = "Affinity-Key"
 
 // take finds the operation's route and hands it over. A reload that comes between has it matched again, so that route
 // and figures are always of one file.
-func (s *Server) take(o *message.RequestInfo, req *message.Request, came time.Time, f front) (*dispatch.Request, *kept, error) {
+func (s *Server) submit(o *message.RequestInfo, req *message.Request, came time.Time, f clientConn) (*dispatch.Request, *journalEntry, error) {
 	for {
-		a := dispatch.Arrival{ID: o.ID, Tenant: o.Tenant, Key: req.Get(affinityKey), Routes: s.fleet.Routes(), RouteIndex: -1, TrafficType: -1}
-		a.IsRetry = len(req.Get(clientRetry)) > 0
-		if kind, known := s.fleet.TrafficType(o.Type); known {
+		a := dispatch.Arrival{ID: o.ID, Tenant: o.Tenant, Key: req.Get(affinityKeyField), Routes: s.dispatcher.Routes(), RouteIndex: -1, TrafficType: -1}
+		a.IsRetry = len(req.Get(clientRetryField)) > 0
+		if kind, known := s.dispatcher.TrafficType(o.Type); known {
 			a.TrafficType = kind
 		}
 		if a.Routes != nil {
 			a.RouteIndex, a.TrafficType = a.Routes.Match(&route.Request{Method: req.Method, Path: req.Path(), Tenant: o.Tenant, Headers: req})
 		}
 		if a.TrafficType < 0 {
-			return nil, nil, errNoType
+			return nil, nil, errUnknownType
 		}
-		if !s.journal.takes(a.TrafficType) {
-			return nil, nil, errNoDisk
+		if !s.journal.accepts(a.TrafficType) {
+			return nil, nil, errJournalUnavailable
 		}
 		k := s.journal.begin(a.TrafficType, o, req)
 		if a.RouteIndex >= 0 {
@@ -130,26 +130,26 @@
 				return nil, nil, &message.RequestError{Status: 413, Why: "the body is larger than its route takes"}
 			}
 			if a.Routes.AllowsHedging(a.RouteIndex, a.TrafficType) {
-				a.StartHedge = s.copying(f, req, k)
+				a.StartHedge = s.startHedge(f, req, k)
 			}
 		}
 		if a.Timeout = o.Timeout; a.Timeout < 0 {
-			a.Timeout = s.fleet.DefaultTimeout(a.TrafficType)
+			a.Timeout = s.dispatcher.DefaultTimeout(a.TrafficType)
 		}
 		if a.Timeout -= time.Since(came); a.Timeout <= 0 {
 			return nil, nil, &message.RequestError{Status: 408, Why: "the request took all of its time to come"}
 		}
-		if s.draining.Load() { // its answer comes before the node must be gone
-			a.Timeout = max(min(a.Timeout, time.Until(s.gone)), time.Millisecond)
+		if s.isDraining.Load() { // its answer comes before the node must be gone
+			a.Timeout = max(min(a.Timeout, time.Until(s.answerBy)), time.Millisecond)
 		}
-		op, err := s.fleet.Submit(a)
+		op, err := s.dispatcher.Submit(a)
 		if err != dispatch.ErrRoutesChanged {
 			return op, k, err
 		}
 	}
 }
 
-func writeOffStatus(last dispatch.AttemptResult) int {
+func failureStatus(last dispatch.AttemptResult) int {
 	if last == dispatch.ResponseTimeout {
 		return 504
 	}
--- a/internal/proxy/moments_test.go
+++ b/internal/proxy/requestraces_test.go
@@ -68,41 +68,41 @@
 	near, client := connpair.TCP(t)
 	fmt.Fprintf(client, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\nGET ", ids.Add(1))
 	client.Close()
-	s := &Server{cfg: config(), fleet: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
-	defer s.fleet.Stop()
-	s.client(near)
-	if n := s.fleet.Counts(); n.Disconnected+n.Rejected+n.Responded+n.Failed > 0 {
+	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
+	defer s.dispatcher.Stop()
+	s.serveHTTPConn(near)
+	if n := s.dispatcher.Counts(); n.Disconnected+n.Rejected+n.Responded+n.Failed > 0 {
 		t.Errorf("taken: %+v", n)
 	}
 }
 
 // watched is a client that notes whether it is still watched as its answer is sent.
-type watched struct {
-	now, asSent bool
+type watchedConn struct {
+	isWatched, isWatchedWhenSent bool
 }
 
-func (w *watched) Append(b []byte, a http1.Answer) []byte { return http1.AppendAnswer(b, a) }
-func (w *watched) Scratch() []byte                        { return nil }
-func (w *watched) From() string                           { return "" }
-func (w *watched) Parting() bool                          { return false }
-func (w *watched) Send([]byte) error                      { w.asSent = w.now; return nil }
-func (w *watched) Watch(*dispatch.Request) func() {
-	w.now = true
-	return func() { w.now = false }
+func (w *watchedConn) AppendAnswer(b []byte, a http1.Answer) []byte { return http1.AppendAnswer(b, a) }
+func (w *watchedConn) AnswerBuffer() []byte                         { return nil }
+func (w *watchedConn) ClientAddress() string                        { return "" }
+func (w *watchedConn) IsDisconnected() bool                         { return false }
+func (w *watchedConn) SendAnswer([]byte) error                      { w.isWatchedWhenSent = w.isWatched; return nil }
+func (w *watchedConn) WatchDisconnect(*dispatch.Request) func() {
+	w.isWatched = true
+	return func() { w.isWatched = false }
 }
 
 // Whoever waits for a client's leaving reads what comes. With the answer its next request may come, so that ends before.
 func TestNotWatchedBehindItsAnswer(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, whole)
-	s := &Server{cfg: config(), fleet: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
-	defer s.fleet.Stop()
+	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
+	defer s.dispatcher.Stop()
 	for name, listed := range map[string][]http1.Endpoint{"denied": nil, "handled": hosts} {
-		s.fleet.ApplyList(http1.EndpointList{Hosts: listed}, endpoints.SourceConfig)
+		s.dispatcher.ApplyList(http1.EndpointList{Hosts: listed}, endpoints.SourceConfig)
 		req := &http1.Request{Method: []byte("GET"), Target: []byte("/check/1"), Fields: []http1.Field{{Name: []byte("Request-Id"), Value: []byte(name)}}}
-		w := &watched{asSent: true}
-		if err := s.operation(w, req, time.Now()); err != nil || w.asSent {
-			t.Errorf("%s: still watched: %v, %v", name, w.asSent, err)
+		w := &watchedConn{isWatchedWhenSent: true}
+		if err := s.serveRequest(w, req, time.Now()); err != nil || w.isWatchedWhenSent {
+			t.Errorf("%s: still watched: %v, %v", name, w.isWatchedWhenSent, err)
 		}
 	}
 }
@@ -115,17 +115,17 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	s := &Server{cfg: config(), fleet: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
-	defer s.fleet.Stop()
-	s.cfg.stop.quiet = -quietFor // each look is too late
-	s.enough = time.Now().Add(time.Minute)
-	s.closing.Store(true)
+	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
+	defer s.dispatcher.Stop()
+	s.cfg.shutdownDelays.extraQuiet = -acceptQuietDuration // each look is too late
+	s.acceptUntil = time.Now().Add(time.Minute)
+	s.isListenerClosing.Store(true)
 	dial(t, ln.Addr().String())
 	led := make(chan struct{}, 1)
 	if err := s.accept(ln, func(nc *net.TCPConn) { nc.Close(); led <- struct{}{} }); err != nil {
 		t.Fatal(err)
 	}
-	s.clients.Wait()
+	s.clientTasks.Wait()
 	if len(led) == 0 {
 		t.Error("the connection was dropped with its listener")
 	}
@@ -140,7 +140,7 @@
 		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
 	}
 	coming := make(chan struct{})
-	cfg.stop = unhurried{coming: func() { <-coming }, more: -time.Hour}
+	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: -time.Hour}
 	at, stop := startNode(t, cfg)
 	before, kept := dial(t, at), dial(t, at)
 	ask1(t, kept, "/up")
--- a/internal/proxy/route_test.go
+++ b/internal/proxy/route_test.go
@@ -135,26 +135,26 @@
 	if cfg.Routes, err = route.Load(cfg.OperatorFile, &cfg.Settings); err != nil {
 		t.Fatal(err)
 	}
-	s := &Server{cfg: cfg, log: zerolog.Nop(), fleet: dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)}
-	defer s.fleet.Stop()
-	s.fleet.SetRoutes(cfg.Routes)
-	s.known()
+	s := &Server{cfg: cfg, logger: zerolog.Nop(), dispatcher: dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)}
+	defer s.dispatcher.Stop()
+	s.dispatcher.SetRoutes(cfg.Routes)
+	s.applyInitialList()
 	statuses := make(chan int, held)
 	ask := func() int {
-		server := standIn(t, func(nc net.Conn) { s.client(nc.(*net.TCPConn)) })
+		server := standIn(t, func(nc net.Conn) { s.serveHTTPConn(nc.(*net.TCPConn)) })
 		return ask1(t, dial(t, server.String()), "/check/1").Status
 	}
 	for range held {
 		go func() { statuses <- ask() }()
 	}
-	for s.fleet.Counts().OpenRequests < held { // all are in hand: one is sent, the others wait
+	for s.dispatcher.Counts().OpenRequests < held { // all are in hand: one is sent, the others wait
 		time.Sleep(time.Millisecond)
 	}
 	if got := ask(); got != 503 {
 		t.Errorf("one more than there are places for: %d", got)
 	}
 	file("[[routes]]\nname = ")
-	s.reroute()
+	s.reloadRoutes()
 	if got := ask(); got != 503 {
 		t.Errorf("after a file of no use: %d", got)
 	}
@@ -165,7 +165,7 @@
 		t.Errorf("%d were sent", n)
 	}
 	file("")
-	s.reroute()
+	s.reloadRoutes()
 	close(release)
 	for range held {
 		if got := <-statuses; got != 200 {
--- a/internal/proxy/serve_test.go
+++ b/internal/proxy/serve_test.go
@@ -187,7 +187,7 @@
 func TestExchange(t *testing.T) {
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	x := &exchanged{req: &http1.Request{Method: []byte("GET"), Target: []byte("/check/and/more/than/forty/bytes")}}
+	x := &forwarding{message: &http1.Request{Method: []byte("GET"), Target: []byte("/check/and/more/than/forty/bytes")}}
 	for name, c := range map[string]struct {
 		conn part
 		ctx  context.Context
@@ -229,7 +229,7 @@
 		"an address that is not one": {&net.AddrError{Err: "missing port"}, false, dispatch.ConnectRefused},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := connectEnd(c.err, c.timeUp); got != c.want {
+			if got := connectResult(c.err, c.timeUp); got != c.want {
 				t.Errorf("ended %s", got)
 			}
 		})
@@ -291,28 +291,28 @@
 func TestNothingToAServerThatLeft(t *testing.T) {
 	t.Parallel()
 	hosts, taken := servers(t, 1, whole)
-	s := &Server{cfg: config(), fleet: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
-	t.Cleanup(s.fleet.Stop)
-	s.fleet.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
+	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
+	t.Cleanup(s.dispatcher.Stop)
+	s.dispatcher.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
 	for _, phase := range []http1.Condition{http1.Draining, http1.Deleted} {
-		op := booked(s.fleet)
+		op := booked(s.dispatcher)
 		d := op.NextDecision(func() {})
 		if d.Action != dispatch.SendAttempt {
 			t.Fatalf("decided %d", d.Action)
 		}
 		left := hosts[0]
 		left.Phase = phase
-		s.fleet.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{left}}, endpoints.SourceDiscovery)
-		for !s.fleet.IsPastDrainGrace(left.ID) {
+		s.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{left}}, endpoints.SourceDiscovery)
+		for !s.dispatcher.IsPastDrainGrace(left.ID) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		req := &http1.Request{Method: []byte("POST"), Target: []byte("/book/1")}
-		end, _ := s.hop(context.Background(), d, &exchanged{op: op, req: req, compose: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }})
+		end, _ := s.attempt(context.Background(), d, &forwarding{request: op, message: req, composeAnswer: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }})
 		if end != dispatch.ExpiredUnsent || taken.Load() > 0 {
 			t.Errorf("ended %v; %d were sent", end, taken.Load())
 		}
 		op.AttemptEnded(d.Attempt, end, nil)
-		s.fleet.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceDiscovery)
+		s.dispatcher.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceDiscovery)
 	}
 }
 
@@ -320,18 +320,18 @@
 func TestStaleWrite(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, whole)
-	s := &Server{cfg: config(), fleet: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
-	defer s.fleet.Stop()
-	s.fleet.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
+	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
+	defer s.dispatcher.Stop()
+	s.dispatcher.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
 	held := make(chan net.Conn, 1)
 	kept := dial(t, standIn(t, func(c net.Conn) { held <- c }).String())
 	kept.Conn.(*net.TCPConn).CloseWrite()
-	s.fleet.AcquireServerDescriptor()
-	s.fleet.PutIdle(hosts[0].ID, false, kept)
+	s.dispatcher.AcquireServerDescriptor()
+	s.dispatcher.PutIdle(hosts[0].ID, false, kept)
 	req := &http1.Request{Method: []byte("GET"), Target: []byte("/book/1")}
-	op := booked(s.fleet)
+	op := booked(s.dispatcher)
 	defer op.Close()
-	if end, _ := s.hop(context.Background(), op.NextDecision(func() {}), &exchanged{op: op, req: req, compose: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }}); end != dispatch.StaleConnection {
+	if end, _ := s.attempt(context.Background(), op.NextDecision(func() {}), &forwarding{request: op, message: req, composeAnswer: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }}); end != dispatch.StaleConnection {
 		t.Errorf("ended %s", end)
 	}
 	(<-held).Close()
@@ -421,14 +421,14 @@
 			gone := make(chan net.Conn, 1)
 			at := standIn(t, func(c net.Conn) { gone <- c })
 			near := dial(t, at.String())
-			s := &Server{fleet: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
-			defer s.fleet.Stop()
-			s.fleet.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "s", Address: at, Size: 1}}}, endpoints.SourceConfig)
-			op := booked(s.fleet)
+			s := &Server{dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
+			defer s.dispatcher.Stop()
+			s.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "s", Address: at, Size: 1}}}, endpoints.SourceConfig)
+			op := booked(s.dispatcher)
 			if d := op.NextDecision(func() {}); d.Action != dispatch.SendAttempt {
 				t.Fatalf("decided %d", d.Action)
 			}
-			defer httpFront{s, near}.Watch(op)()
+			defer httpClientConn{s, near}.WatchDisconnect(op)()
 			far := <-gone
 			go func() { // while the hop is out
 				far.Write(make([]byte, behind))
@@ -447,9 +447,9 @@
 	hosts, taken := servers(t, 1, whole)
 	cfg := config()
 	cfg.Settings.ConnectTimeout = time.Minute // a busy machine takes its time
-	s := &Server{cfg: cfg, fleet: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
-	defer s.fleet.Stop()
-	s.fleet.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
+	s := &Server{cfg: cfg, dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
+	defer s.dispatcher.Stop()
+	s.dispatcher.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
 	req := &http1.Request{Method: []byte("GET"), Target: []byte("/book/1")}
 	for name, c := range map[string]struct {
 		leave, seen bool // seen: only by a look at its connection, for nobody who waits for it has run
@@ -457,13 +457,13 @@
 	}{"left": {true, false, dispatch.ExpiredUnsent}, "left unnoticed": {true, true, dispatch.ExpiredUnsent}, "still there": {false, false, dispatch.Succeeded}} {
 		t.Run(name, func(t *testing.T) {
 			before := taken.Load()
-			op := booked(s.fleet)
+			op := booked(s.dispatcher)
 			defer op.Close()
 			d := op.NextDecision(func() {})
 			if c.leave && !c.seen {
 				op.ClientDisconnected()
 			}
-			end, _ := s.hop(context.Background(), d, &exchanged{op: op, req: req, parting: func() bool { return c.seen }, compose: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }})
+			end, _ := s.attempt(context.Background(), d, &forwarding{request: op, message: req, isDisconnected: func() bool { return c.seen }, composeAnswer: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }})
 			if sent := taken.Load() > before; end != c.want || sent == c.leave {
 				t.Errorf("ended %s, sent %v", end, sent)
 			}
@@ -541,7 +541,7 @@
 	cfg := config(http1.Endpoint{ID: "s", Address: server, Size: 1})
 	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = time.Minute, time.Minute
 	coming := make(chan struct{})
-	cfg.stop = unhurried{coming: func() { <-coming }, more: time.Minute}
+	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: time.Minute}
 	at, stop := startNode(t, cfg)
 	before := dial(t, at)
 	kept := dial(t, at)
@@ -659,7 +659,7 @@
 				return ""
 			})
 			if c.wrong == "" {
-				if err != nil || cfg.Limits.Sockets < 1 || cfg.Limits.Sockets > socketsMost || c.env != "" && cfg.Listen.String() != c.env {
+				if err != nil || cfg.Limits.Sockets < 1 || cfg.Limits.Sockets > maxSockets || c.env != "" && cfg.Listen.String() != c.env {
 					t.Errorf("%+v, %v", cfg, err)
 				}
 			} else if err == nil || !strings.Contains(err.Error(), c.wrong) || strings.Contains(err.Error(), "\n") {
@@ -681,7 +681,7 @@
 	t.Parallel()
 	w := stuck{make(chan struct{})}
 	log, flush := NewLogger(w, zerolog.InfoLevel)
-	for range 10 * logQueued {
+	for range 10 * maxQueuedLogLines {
 		log.Warn().Msg("once more")
 	}
 	flush()
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/shadow_test.go
@@ -69,7 +69,7 @@
 	cfg := config()
 	cfg.getenv = func(string) string { return path }
 	cfg.Shadow = shadow.NewCandidate(&cfg.Settings)
-	s := &Server{cfg: cfg, log: zerolog.Nop()}
+	s := &Server{cfg: cfg, logger: zerolog.Nop()}
 	const text = `{"limits":{"mostHops":%d},"trafficTypes":[{"name":"check","targetTime":5,"idempotency":"safe"},{"name":"%s","targetTime":5,"idempotency":"safe"}]}`
 	for _, c := range []struct {
 		text string
@@ -78,7 +78,7 @@
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s.rewatch()
+		s.reloadShadow()
 		if got := cfg.Shadow.Settings(); got.MaxAttempts != c.hops {
 			t.Errorf("after %s: %d hops", c.text, got.MaxAttempts)
 		}
--- a/internal/proxy/storedformat_test.go
+++ b/internal/proxy/storedformat_test.go
@@ -27,12 +27,12 @@
 
 // The file in testdata was written by an earlier version. It is read as that version meant it, and written alike.
 func TestLastGoodFileOfEarlierVersion(t *testing.T) {
-	earlier, err := os.ReadFile(filepath.Join("testdata", lastGoodFile))
+	earlier, err := os.ReadFile(filepath.Join("testdata", lastGoodFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, lastGoodFile), earlier, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, lastGoodFileName), earlier, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	_, entries, err := openLastGood(dir)
@@ -52,10 +52,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := file.keep(entries); err != nil {
+	if err := file.replace(entries); err != nil {
 		t.Fatal(err)
 	}
-	if written, err := os.ReadFile(filepath.Join(empty, lastGoodFile)); err != nil || !bytes.Equal(written, earlier) {
+	if written, err := os.ReadFile(filepath.Join(empty, lastGoodFileName)); err != nil || !bytes.Equal(written, earlier) {
 		t.Errorf("written %x, %v", written, err)
 	}
 }
@@ -67,24 +67,24 @@
 	disk := memdisk.New()
 	cfg.Filesystem = disk
 	cfg.Journal = &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Minute), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
-	j, err := newJournal(cfg, zerolog.Nop(), nil)
+	j, err := openJournal(cfg, zerolog.Nop(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	req := &http1.Request{Fields: []http1.Field{{Name: []byte("Client-Retry"), Value: []byte("1")}, {Name: []byte("Repeats"), Value: []byte("77")}}}
-	begin := func(id string) *kept {
+	begin := func(id string) *journalEntry {
 		return j.begin(1, &message.RequestInfo{ID: []byte(id), Tenant: []byte("dairy")}, req)
 	}
 	attempts := begin("attempts")
 	for how := dispatch.Succeeded; how <= dispatch.Abandoned; how++ {
-		hop, err := attempts.intend(context.Background(), "s", time.Now().Add(time.Minute))
+		hop, err := attempts.recordIntent(context.Background(), "s", time.Now().Add(time.Minute))
 		if err != nil {
 			t.Fatal(err)
 		}
-		attempts.ended(hop, how)
+		attempts.recordAttemptEnd(hop, how)
 	}
 	for _, told := range []string{"handled", "denied", "written off", "nothing: it had left"} {
-		begin(told).tell(told)
+		begin(told).recordAnswer(told)
 	}
 	j.close()
 	var lines []string
