--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -18,7 +18,6 @@
 	"fernvane/internal/controlplane/planner"
 	"fernvane/internal/proxy"
 	"fernvane/internal/testbed"
-	"fernvane/internal/testbed/baseline"
 	"fernvane/internal/testbed/scale"
 )
 
@@ -63,15 +62,10 @@
 		fmt.Fprintf(errs, "the configuration cannot be used: %v\n", err)
 		return exitBadInput
 	}
-	maker, ok := baseline.Find(getenv(policyVar))
-	if !ok {
+	if !testbed.Configure(&cfg, getenv(policyVar)) {
 		fmt.Fprintf(errs, "no policy %q\n", getenv(policyVar))
 		return exitBadInput
 	}
-	cfg.NewPolicy = maker
-	_, cfg.Unguarded = baseline.Broken[getenv(policyVar)]
-	cfg.Deaf = baseline.Broken[getenv(policyVar)] == "leavers"
-	cfg.Hoards = baseline.Broken[getenv(policyVar)] == "closing"
 	cfg.Filesystem = testbed.Disk(getenv)
 	if path := getenv(profileVar); path != "" {
 		f, err := os.Create(path)
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -3,196 +3,111 @@
 import (
 	"context"
 	"errors"
-	"io"
 	"os"
-	"runtime/debug"
-	"syscall"
 	"time"
 
-	"fernvane/internal/protocol/fastcgi"
-	"fernvane/internal/protocol/http1"
 	"fernvane/internal/protocol/message"
 	"fernvane/internal/proxy/dispatch"
 )
 
-const maxLoggedTextBytes = 300 // bytes of a server's own words in a log line
-
-var pastDeadline = time.Unix(1, 0)
-
-// exchanged is what hops of one operation have in common.
+// forwarding is what the attempts of one request have in common. Its hedged attempt has one of its own, with its own buffers.
 type forwarding struct {
 	request        *dispatch.Request
-	message        *http1.Request
-	clientAddress  string                      // the client's address
-	isDisconnected func() bool                 // a look at whether the client has left; nil: there is none
-	journalEntry   *journalEntry               // in the journal; nil: it is not kept
-	composeAnswer  func(message.Answer) []byte // the client's answer, in room of its own
+	message        *message.Request
+	clientAddress  string
+	isDisconnected func() bool                 // whether the client has disconnected, without a wait; nil: not known
+	journalEntry   *journalEntry               // nil: none is kept
+	composeAnswer  func(message.Answer) []byte // for the client, in a buffer that the attempt's connection does not use
 }
 
-// line is a connection to a server, in the protocol that the server speaks.
-type upstreamConn interface {
-	io.Closer
-	SetDeadline(time.Time) error
-	// Quiet tells that an idle connection is open and that nothing has come on it.
-	IsIdle() bool
-	// Trim gives back memory that a large message took; what was read is not valid after it.
-	ReleaseBuffers()
-	// Ask writes a request whole, or tells that it did not.
-	SendRequest(r *message.Request, left time.Duration, from string) (whole bool, err error)
-	// Reply reads the whole answer; message.ErrGarbled is one that cannot be read.
-	ReceiveResponse(r *message.Response) error
-	// Reusable tells whether another request may be asked after a whole answer.
-	IsReusable(r *message.Response) bool
-}
+// hasCompleteResponse reports whether an attempt ended with a whole response, whatever it says.
+func hasCompleteResponse(result dispatch.AttemptResult) bool { return result <= dispatch.NotStarted }
 
-// hop sends an operation to one server, once, and tells how that ended. Where the server has answered, the
-// client's answer is put together in room of its own, so that the server's connection is free again.
-func (s *Server) attempt(ctx context.Context, d dispatch.Decision, x *forwarding) (dispatch.AttemptResult, []byte) {
-	until := time.Now().Add(d.Duration)
-	conn, kept, end := s.connect(ctx, d, until)
+// attempt sends a request to one server, once, and returns how that ended and the client's answer, nil where there is none to pass on.
+// The request is never sent again here: another attempt is the policy's decision.
+func (s *Server) attempt(ctx context.Context, d dispatch.Decision, f *forwarding) (dispatch.AttemptResult, []byte) {
+	deadline := time.Now().Add(d.Duration)
+	conn, isReused, result := s.connect(ctx, d, deadline)
 	if conn == nil {
-		return end, nil
-	}
-	if x.journalEntry != nil && (x.request.IsSettled() || s.isPastDrainGrace(d.Server)) { // what will not be sent is not kept
-		s.dispatcher.PutIdle(d.Server, d.IsFastCGI, conn)
-		return dispatch.ExpiredUnsent, nil
+		return result, nil
 	}
-	hop, err := x.journalEntry.recordIntent(ctx, d.Server, until)
-	if err != nil || !s.beginWrite(d, x) {
-		end = dispatch.JournalFailed
-		if err == nil {
-			end = dispatch.ExpiredUnsent
-			x.journalEntry.recordAttemptEnd(hop, end)
-		}
+	number, result := s.prepareWrite(ctx, d, f, deadline)
+	if result != dispatch.Succeeded {
 		s.dispatcher.PutIdle(d.Server, d.IsFastCGI, conn)
-		return end, nil
+		return result, nil
 	}
-	conn.SetDeadline(until)
-	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })
+	conn.SetDeadline(deadline)
+	stopCancel := context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })
 	var resp message.Response
-	end = exchange(ctx, conn, x, time.Until(until), &resp)
-	if end == dispatch.WriteFailed && kept {
-		end = dispatch.StaleConnection
+	result = exchange(ctx, conn, f, time.Until(deadline), &resp)
+	if result == dispatch.WriteFailed && isReused {
+		result = dispatch.StaleConnection
 	}
-	x.journalEntry.recordAttemptEnd(hop, end)
+	f.journalEntry.recordAttemptEnd(number, result)
 	if id := message.Find(resp.Fields, message.ServerID); s.endpointCache != nil && len(id) > 0 && string(id) != d.Server {
 		s.dispatcher.WrongServer(d.Server)
 	}
-	var answer []byte
-	if end == dispatch.Succeeded || end == dispatch.RequestFault {
-		answer = x.composeAnswer(message.Answer{Status: resp.Status, Fields: resp.Fields,
-			Body: resp.Body, Close: x.message.Close || s.isDraining.Load()})
-	}
-	again := end <= dispatch.NotStarted && conn.IsReusable(&resp)
+	answer := s.composeResponse(f, result, &resp)
+	isComplete := hasCompleteResponse(result)
+	mayReuse := isComplete && conn.IsReusable(&resp)
 	conn.ReleaseBuffers()
-	whole := end <= dispatch.NotStarted
-	if stop() && again {
+	if stopCancel() && mayReuse {
 		s.dispatcher.PutIdle(d.Server, d.IsFastCGI, conn)
-	} else { // given up, broken or used up: closing it is what tells the server
-		if a, ok := conn.(interface{ Abort() }); ok && !whole {
-			a.Abort()
-		}
-		conn.Close()
-		s.dispatcher.ReleaseServerDescriptor()
+	} else {
+		s.closeUpstream(conn, isComplete)
 	}
-	if !whole || end == dispatch.NotStarted {
-		s.logger.Debug().Str("server", d.Server).Stringer("end", end).Msg("hop ended")
+	if !isComplete || result == dispatch.NotStarted {
+		s.logger.Debug().Str("server", d.Server).Stringer("end", result).Msg("attempt ended")
 	}
-	return end, answer
+	return result, answer
 }
 
-// writing is the last look before a hop's first byte: whatever it waited for, nothing is sent for a client that has left
-// meanwhile, nor to a server that has. It looks at the client's connection itself, for who waits for its leaving may not
-// have run yet.
-func (s *Server) beginWrite(d dispatch.Decision, x *forwarding) bool {
-	if !s.cfg.Deaf && x.isDisconnected != nil && x.isDisconnected() {
-		x.request.ClientDisconnected()
+// prepareWrite makes the checks that come before an attempt's first byte, and has its intent journaled. It returns the attempt's number in
+// the journal, and Succeeded or why the attempt must not be written.
+func (s *Server) prepareWrite(ctx context.Context, d dispatch.Decision, f *forwarding, deadline time.Time) (number int, result dispatch.AttemptResult) {
+	if f.journalEntry != nil && (f.request.IsSettled() || s.isPastDrainGrace(d.Server)) { // no intent for what will not be sent
+		return 0, dispatch.ExpiredUnsent
 	}
-	return !s.isPastDrainGrace(d.Server) && x.request.BeginWrite(d.Attempt)
-}
-
-// parted tells that a server left too long ago for anything to be written to it.
-func (s *Server) isPastDrainGrace(server string) bool {
-	return !s.cfg.Unguarded && s.dispatcher.IsPastDrainGrace(server)
+	number, err := f.journalEntry.recordIntent(ctx, d.Server, deadline)
+	if err != nil {
+		return number, dispatch.JournalFailed
+	}
+	if !s.beginWrite(d, f) {
+		f.journalEntry.recordAttemptEnd(number, dispatch.ExpiredUnsent)
+		return number, dispatch.ExpiredUnsent
+	}
+	return number, dispatch.Succeeded
 }
 
-// copying leads a second copy beside the hop that is out. The client's buffer is the first one's, so the copy has the
-// request and its answer in memory of its own.
-func (s *Server) startHedge(f clientConn, req *message.Request, k *journalEntry) func(*dispatch.Request, dispatch.Decision) {
-	req = req.Clone()
-	return func(op *dispatch.Request, d dispatch.Decision) {
-		s.clientTasks.Go(func() error {
-			ctx, giveUp := context.WithCancel(context.Background())
-			defer giveUp()
-			end, answer := dispatch.Abandoned, []byte(nil)
-			defer func() {
-				if p := recover(); p != nil {
-					s.logger.Error().Interface("panic", p).Bytes("stack", debug.Stack()).Msg("copy dropped")
-				}
-				op.AttemptEnded(d.Attempt, end, answer)
-			}()
-			op.HedgeStarted(d, giveUp)
-			end, answer = s.attempt(ctx, d, &forwarding{request: op, message: req, clientAddress: f.ClientAddress(), isDisconnected: f.IsDisconnected, journalEntry: k, composeAnswer: func(a message.Answer) []byte { return f.AppendAnswer(nil, a) }})
-			return nil
-		})
+// beginWrite is the last check before an attempt's first byte. It is false, whatever the attempt waited for, when the client has
+// disconnected or the server has left meanwhile. It looks at the client's connection itself, for the goroutine that watches it may not
+// have run yet.
+func (s *Server) beginWrite(d dispatch.Decision, f *forwarding) bool {
+	if f.isDisconnected != nil && f.isDisconnected() {
+		f.request.ClientDisconnected()
 	}
+	return !s.isPastDrainGrace(d.Server) && f.request.BeginWrite(d.Attempt)
 }
 
-// connect finds a connection that stands idle, or opens one.
-func (s *Server) connect(ctx context.Context, d dispatch.Decision, until time.Time) (c upstreamConn, kept bool, end dispatch.AttemptResult) {
-	for k := s.dispatcher.TakeIdle(d.Server); k != nil; k = s.dispatcher.TakeIdle(d.Server) {
-		if c := k.(upstreamConn); c.IsIdle() {
-			return c, true, dispatch.Succeeded
-		}
-		k.Close()
-		s.dispatcher.ReleaseServerDescriptor()
-	}
-	if !s.dispatcher.AcquireServerDescriptor() {
-		return nil, false, dispatch.NoDescriptor
-	}
-	by := time.Now().Add(s.cfg.Settings.ConnectTimeout)
-	if by.After(until) {
-		by = until
-	}
-	ctx, cancel := context.WithDeadline(ctx, by)
-	defer cancel()
-	nc, err := s.dialer.DialContext(ctx, "tcp", d.Address.String())
-	if err == nil && d.IsFastCGI {
-		return fastcgi.NewServerConn(nc, s.dispatcher.MessageBudget(), func(text []byte) {
-			s.logger.Warn().Str("server", d.Server).Bytes("stderr", text[:min(len(text), maxLoggedTextBytes)]).Msg("responder complains")
-		}), false, dispatch.Succeeded
-	}
-	if err == nil {
-		return http1.NewPooled(nc, s.dispatcher.MessageBudget()), false, dispatch.Succeeded
-	}
-	s.dispatcher.ReleaseServerDescriptor()
-	return nil, false, connectResult(err, by.Equal(until))
+// DrainGuard reports whether the grace is over that follows the notification that a server drains or is gone. *dispatch.Dispatcher is one;
+// Config.DrainGuard may put another in its place.
+type DrainGuard interface {
+	IsPastDrainGrace(server string) bool
 }
 
-func connectResult(err error, timeUp bool) dispatch.AttemptResult {
-	for _, short := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
-		if errors.Is(err, short) {
-			return dispatch.NoDescriptor
-		}
-	}
-	var late interface{ Timeout() bool }
-	switch {
-	case errors.Is(err, context.Canceled):
-		return dispatch.ExpiredUnsent
-	case errors.As(err, &late) && late.Timeout():
-		if timeUp {
-			return dispatch.ExpiredUnsent
-		}
-		return dispatch.ConnectTimeout
+// isPastDrainGrace reports whether a server left too long ago for anything to be written to it.
+func (s *Server) isPastDrainGrace(server string) bool {
+	if guard := s.cfg.DrainGuard; guard != nil {
+		return guard.IsPastDrainGrace(server)
 	}
-	return dispatch.ConnectRefused
+	return s.dispatcher.IsPastDrainGrace(server)
 }
 
-// exchange writes the request and reads the answer whole. Only before the last byte is written is it sure
-// that the server has not begun.
-func exchange(ctx context.Context, conn upstreamConn, x *forwarding, left time.Duration, resp *message.Response) dispatch.AttemptResult {
-	whole, err := conn.SendRequest(x.message, left, x.clientAddress)
-	if !whole {
+// exchange writes the request and reads the whole response. Only before the last byte is written is it certain that the server has not
+// begun to execute it.
+func exchange(ctx context.Context, conn upstreamConn, f *forwarding, remaining time.Duration, resp *message.Response) dispatch.AttemptResult {
+	isWritten, err := conn.SendRequest(f.message, remaining, f.clientAddress)
+	if !isWritten {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return dispatch.ExpiredUnsent
 		}
@@ -200,15 +115,19 @@
 	}
 	switch err = conn.ReceiveResponse(resp); {
 	case err == nil:
+		return responseResult(resp)
 	case errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() != nil:
 		return dispatch.Abandoned
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return dispatch.ResponseTimeout
-	case err == message.ErrMalformedResponse:
+	case errors.Is(err, message.ErrMalformedResponse):
 		return dispatch.MalformedResponse
-	default:
-		return dispatch.ConnectionLost
 	}
+	return dispatch.ConnectionLost
+}
+
+// responseResult is what a whole response says of the attempt.
+func responseResult(resp *message.Response) dispatch.AttemptResult {
 	switch {
 	case resp.Status == 200:
 		return dispatch.Succeeded
@@ -219,3 +138,12 @@
 	}
 	return dispatch.ErrorResponse
 }
+
+// composeResponse composes the client's answer of a response that is passed on; nil for any other. It copies the response, so that the
+// server's connection is free for another request.
+func (s *Server) composeResponse(f *forwarding, result dispatch.AttemptResult, resp *message.Response) []byte {
+	if result != dispatch.Succeeded && result != dispatch.RequestFault {
+		return nil
+	}
+	return f.composeAnswer(message.Answer{Status: resp.Status, Fields: resp.Fields, Body: resp.Body, Close: f.message.Close || s.isDraining.Load()})
+}
--- a/internal/proxy/bindingjournal.go
+++ b/internal/proxy/bindingjournal.go
@@ -250,7 +250,7 @@
 }
 
 // tell keeps what the client was told; only the first word counts.
-func (k *journalEntry) recordAnswer(what string) {
+func (k *journalEntry) recordAnswer(what answerOutcome) {
 	if k == nil {
 		return
 	}
@@ -262,7 +262,7 @@
 		return
 	}
 	told := k.newRecord(intent.ClientNotified, 0)
-	told.Outcome, told.Count = what, hops
+	told.Outcome, told.Count = string(what), hops
 	if hops == 0 {
 		k.journal.wal.Append(false, k.newRecord(intent.Unsent, 0), told)
 		return
@@ -270,6 +270,16 @@
 	k.journal.wal.Append(false, told)
 }
 
+// answerOutcome names in the journal what the client of a request was answered. The texts are stored.
+type answerOutcome string
+
+const (
+	outcomeResponded    answerOutcome = "handled"
+	outcomeRejected     answerOutcome = "denied"
+	outcomeFailed       answerOutcome = "written off"
+	outcomeDisconnected answerOutcome = "nothing: it had left"
+)
+
 func (j *bindingJournal) close() {
 	if j != nil {
 		j.isClosed.Store(true)
--- a/internal/proxy/fastcgi.go
+++ b/internal/proxy/fastcgiclient.go
@@ -4,23 +4,21 @@
 	"errors"
 	"net"
 	"os"
-	"runtime/debug"
 	"sync"
 	"time"
 
 	"fernvane/internal/protocol/connclose"
 	"fernvane/internal/protocol/fastcgi"
-	"fernvane/internal/protocol/message"
 	"fernvane/internal/proxy/dispatch"
 )
 
 // cgiClient leads one client's connection that speaks FastCGI. Requests share it: each is led by itself. When it may end
 // is decided in ends: nothing that was taken loses its answer to it.
-func (s *Server) serveFastCGIConn(nc *net.TCPConn) {
-	f := fastcgi.NewClientConn(nc, s.dispatcher.MessageBudget())
-	c := &fastcgiClientConn{server: s, tcp: nc, conn: f, client: s.dispatcher.AddClient(f), firstRequestBy: time.Now().Add(requestTimeout)}
+func (s *Server) serveFastCGIConn(tcp *net.TCPConn) {
+	f := fastcgi.NewClientConn(tcp, s.dispatcher.MessageBudget())
+	c := &fastcgiClientConn{server: s, tcp: tcp, conn: f, client: s.dispatcher.AddClient(f), firstRequestBy: time.Now().Add(requestTimeout)}
 	defer c.client.Release()
-	defer nc.Close()
+	defer tcp.Close()
 	defer f.Hangup()
 	for {
 		call, err := f.Next(c)
@@ -31,7 +29,7 @@
 			}
 			c.Refused()
 			c.requests.Wait() // what was taken is answered all the same
-			s.discard(nc)
+			s.discardUnread(tcp)
 			return
 		}
 		c.requestReceived()
@@ -195,78 +193,3 @@
 	}
 	return false
 }
-
-// call leads one request to its answer.
-func (s *Server) serveFastCGIRequest(f *fastcgi.ClientConn, c *fastcgi.Request) {
-	front := fastcgiRequestConn{f, c}
-	defer func() {
-		if p := recover(); p != nil { // a fault of this program must not take the other requests with it
-			s.logger.Error().Interface("panic", p).Bytes("stack", debug.Stack()).Msg("request dropped")
-			s.sendAnswer(front, message.Answer{Status: 500})
-		}
-	}()
-	if c.Bad != nil {
-		s.rejectFastCGI(front, c.Bad)
-		return
-	}
-	var err error
-	if c.Request.IsReadiness() {
-		err = s.sendAnswer(front, message.Answer{Status: s.readiness()})
-	} else {
-		err = s.serveRequest(front, c.Request, c.Came)
-	}
-	var bad *message.RequestError
-	switch {
-	case errors.As(err, &bad):
-		s.rejectFastCGI(front, bad)
-	case errors.Is(err, errClientDisconnected):
-		f.End(c)
-	}
-}
-
-func (s *Server) rejectFastCGI(f fastcgiRequestConn, bad *message.RequestError) {
-	s.logger.Warn().Str("client", f.ClientAddress()).Int("status", bad.Status).Str("why", bad.Why).Msg("request rejected")
-	s.sendAnswer(f, message.Answer{Status: bad.Status, Body: []byte(bad.Why + "\n")})
-}
-
-// cgiFront is one request on a client's connection that speaks FastCGI.
-type fastcgiRequestConn struct {
-	conn    *fastcgi.ClientConn
-	request *fastcgi.Request
-}
-
-func (f fastcgiRequestConn) AppendAnswer(b []byte, a message.Answer) []byte {
-	return f.request.Append(b, a)
-}
-func (f fastcgiRequestConn) AnswerBuffer() []byte           { return nil }
-func (f fastcgiRequestConn) SendAnswer(answer []byte) error { return f.conn.Answer(f.request, answer) }
-
-func (f fastcgiRequestConn) ClientAddress() string {
-	from, _, _ := net.SplitHostPort(f.conn.RemoteAddr().String())
-	return from
-}
-
-func (f fastcgiRequestConn) IsDisconnected() bool {
-	select {
-	case <-f.request.Disconnected():
-		return true
-	default:
-		return false
-	}
-}
-
-func (f fastcgiRequestConn) WatchDisconnect(op *dispatch.Request) (end func()) {
-	done, over := make(chan struct{}), make(chan struct{})
-	go func() {
-		defer close(over)
-		select {
-		case <-f.request.Disconnected():
-			op.ClientDisconnected()
-		case <-done:
-		}
-	}()
-	return func() {
-		close(done)
-		<-over
-	}
-}
--- /dev/null
+++ b/internal/proxy/fastcgirequest.go
@@ -0,0 +1,90 @@
+package proxy
+
+import (
+	"errors"
+	"net"
+	"runtime/debug"
+
+	"fernvane/internal/protocol/fastcgi"
+	"fernvane/internal/protocol/message"
+)
+
+// serveFastCGIRequest serves one request of a connection that requests share, on a goroutine of its own.
+func (s *Server) serveFastCGIRequest(c *fastcgi.ClientConn, r *fastcgi.Request) {
+	conn := fastcgiRequestConn{c, r}
+	defer func() {
+		if p := recover(); p != nil { // a fault of this program must not end the connection's other requests too
+			s.logger.Error().Interface("panic", p).Bytes("stack", debug.Stack()).Msg("request dropped")
+			s.sendAnswer(conn, message.Answer{Status: 500})
+		}
+	}()
+	if r.Bad != nil {
+		s.rejectFastCGI(conn, r.Bad)
+		return
+	}
+	var err error
+	if r.Request.IsReadiness() {
+		err = s.sendAnswer(conn, message.Answer{Status: s.readiness()})
+	} else {
+		err = s.serveRequest(conn, r.Request, r.Came)
+	}
+	var bad *message.RequestError
+	switch {
+	case errors.As(err, &bad):
+		s.rejectFastCGI(conn, bad)
+	case errors.Is(err, errClientDisconnected):
+		c.End(r)
+	}
+}
+
+func (s *Server) rejectFastCGI(conn fastcgiRequestConn, bad *message.RequestError) {
+	s.logger.Warn().Str("client", conn.ClientAddress()).Int("status", bad.Status).Str("why", bad.Why).Msg("request rejected")
+	s.sendAnswer(conn, message.Answer{Status: bad.Status, Body: []byte(bad.Why + "\n")})
+}
+
+// fastcgiRequestConn is one request on a client's connection that speaks FastCGI.
+type fastcgiRequestConn struct {
+	conn    *fastcgi.ClientConn
+	request *fastcgi.Request
+}
+
+func (c fastcgiRequestConn) AppendAnswer(b []byte, a message.Answer) []byte {
+	return c.request.Append(b, a)
+}
+
+func (c fastcgiRequestConn) AnswerBuffer() []byte { return nil }
+
+func (c fastcgiRequestConn) SendAnswer(answer []byte) error { return c.conn.Answer(c.request, answer) }
+
+func (c fastcgiRequestConn) ClientAddress() string {
+	host, _, _ := net.SplitHostPort(c.conn.RemoteAddr().String())
+	return host
+}
+
+func (c fastcgiRequestConn) IsDisconnected() bool {
+	select {
+	case <-c.request.Disconnected():
+		return true
+	default:
+		return false
+	}
+}
+
+// IsDisconnectedBehindUnread is IsDisconnected: the connection is read all the while, also while requests are open.
+func (c fastcgiRequestConn) IsDisconnectedBehindUnread() bool { return c.IsDisconnected() }
+
+func (c fastcgiRequestConn) WatchDisconnect(onDisconnect func()) (stop func()) {
+	done, ended := make(chan struct{}), make(chan struct{})
+	go func() {
+		defer close(ended)
+		select {
+		case <-c.request.Disconnected():
+			onDisconnect()
+		case <-done:
+		}
+	}()
+	return func() {
+		close(done)
+		<-ended
+	}
+}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -8,147 +8,86 @@
 
 	"fernvane/internal/protocol/message"
 	"fernvane/internal/proxy/dispatch"
-	"fernvane/internal/route"
 )
 
-var (
-	errClientDisconnected = errors.New("the client has left")
-	errUnknownType        = errors.New("no such traffic type")
-	errJournalUnavailable = errors.New("the journal keeps nothing now")
-)
-
-// front is what an operation came on, in the protocol that its client speaks.
-type clientConn interface {
-	// Append writes an answer as the client reads it.
-	AppendAnswer(b []byte, a message.Answer) []byte
-	// Scratch is room for an answer; what was read of the request may be overwritten.
-	AnswerBuffer() []byte
-	// Send writes what Append has put together.
-	SendAnswer(answer []byte) error
-	// From is the client's address.
-	ClientAddress() string
-	// Parting is a look at whether the client has left, which may be asked beside Watch.
-	IsDisconnected() bool
-	// Watch looks for the client's leaving while the operation is open; the function it returns ends that.
-	WatchDisconnect(op *dispatch.Request) (end func())
-}
+// errClientDisconnected ends the serving of a request whose client has gone: nobody is there to be answered.
+var errClientDisconnected = errors.New("the client has left")
 
-// answer writes a whole answer; the connection ends with it while the node stops.
-func (s *Server) sendAnswer(f clientConn, a message.Answer) error {
-	a.Close = a.Close || s.isDraining.Load()
-	return f.SendAnswer(f.AppendAnswer(f.AnswerBuffer(), a))
-}
-
-// operation is the life of one operation, from its whole request to its one answer.
-func (s *Server) serveRequest(f clientConn, req *message.Request, came time.Time) error {
-	o, err := req.Info()
+// serveRequest serves one request, from when it was received whole to its one answer. It runs on a goroutine of its connection, or of
+// the request where requests share one. A *message.RequestError is a request that is to be rejected as malformed, and
+// errClientDisconnected one that gets no answer; any other error is that of the write.
+func (s *Server) serveRequest(conn clientConn, req *message.Request, receivedAt time.Time) error {
+	info, err := req.Info()
 	if err != nil {
 		return err
 	}
-	op, k, err := s.submit(&o, req, came, f)
-	var bad *message.RequestError
-	switch {
-	case err == errUnknownType:
-		return s.sendAnswer(f, message.Answer{Status: 404, Body: []byte("no such traffic type\n"), Close: req.Close})
-	case err == dispatch.ErrNoCapacity:
-		req.Close = true // makes room for the next one
-		return s.sendAnswer(f, message.Answer{Status: 503, Close: true})
-	case err == errJournalUnavailable:
-		return s.sendAnswer(f, message.Answer{Status: 503, Close: req.Close})
-	case err == dispatch.ErrRouteLimit:
-		return s.sendAnswer(f, message.Answer{Status: 503, Close: req.Close})
-	case err == dispatch.ErrDuplicateID:
-		return &message.RequestError{Status: 409, Why: err.Error()}
-	case errors.As(err, &bad):
-		return bad
-	}
-	defer op.Close()
-	unwatch := func() {}
-	if !s.cfg.Deaf {
-		unwatch = sync.OnceFunc(f.WatchDisconnect(op))
+	request, entry, err := s.submit(conn, req, &info, receivedAt)
+	if err != nil {
+		return s.answerUnsubmitted(conn, req, err)
 	}
-	defer unwatch()
-	ctx, giveUp := context.WithCancel(context.Background())
-	defer giveUp()
-	x := &forwarding{request: op, message: req, clientAddress: f.ClientAddress(), isDisconnected: f.IsDisconnected, journalEntry: k, composeAnswer: func(a message.Answer) []byte { return f.AppendAnswer(f.AnswerBuffer(), a) }}
+	defer request.Close()
+	watcher := s.disconnectWatcher(conn)
+	stopWatching := sync.OnceFunc(watcher.WatchDisconnect(request.ClientDisconnected))
+	defer stopWatching()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	f := &forwarding{request: request, message: req, clientAddress: conn.ClientAddress(), isDisconnected: watcher.IsDisconnected, journalEntry: entry,
+		composeAnswer: func(a message.Answer) []byte { return conn.AppendAnswer(conn.AnswerBuffer(), a) }}
 	var last dispatch.AttemptResult
 	for {
-		d := op.NextDecision(giveUp)
+		d := request.NextDecision(cancel)
 		if d.Action != dispatch.SendAttempt {
-			unwatch() // ahead of the answer: what its client sends behind that is the next request, for the connection's reader
-		}
-		switch d.Action {
-		case dispatch.SendAttempt:
-			var answer []byte
-			last, answer = s.attempt(ctx, d, x)
-			op.AttemptEnded(d.Attempt, last, answer)
-		case dispatch.Respond:
-			err := f.SendAnswer(d.Answer)
-			x.journalEntry.recordAnswer("handled")
-			return err
-		case dispatch.Reject:
-			err := s.sendAnswer(f, message.Answer{Status: 503, RetryAfter: d.Duration, Close: req.Close})
-			x.journalEntry.recordAnswer("denied")
-			return err
-		case dispatch.Fail:
-			defer x.journalEntry.recordAnswer("written off")
-			if d.Answer != nil { // a server finds fault with the request, and says what
-				return f.SendAnswer(d.Answer)
-			}
-			return s.sendAnswer(f, message.Answer{Status: failureStatus(last), Close: req.Close})
-		case dispatch.Drop:
-			x.journalEntry.recordAnswer("nothing: it had left")
-			return errClientDisconnected
+			stopWatching() // before the answer: what the client sends after it is its next request, for the connection's reader
+			return s.answerRequest(conn, f, d, last)
 		}
+		var answer []byte
+		last, answer = s.attempt(ctx, d, f)
+		request.AttemptEnded(d.Attempt, last, answer)
 	}
 }
 
-// affinityKey is the field that tells what an operation is about.
-const affinityKeyField = "Affinity-Key"
+// answerUnsubmitted answers a request that the dispatcher was not given or did not take.
+func (s *Server) answerUnsubmitted(conn clientConn, req *message.Request, err error) error {
+	switch {
+	case errors.Is(err, errUnknownType):
+		return s.sendAnswer(conn, message.Answer{Status: 404, Body: []byte("no such traffic type\n"), Close: req.Close})
+	case errors.Is(err, dispatch.ErrNoCapacity):
+		req.Close = true // frees a descriptor for the next client
+		return s.sendAnswer(conn, message.Answer{Status: 503, Close: true})
+	case errors.Is(err, errJournalUnavailable), errors.Is(err, dispatch.ErrRouteLimit):
+		return s.sendAnswer(conn, message.Answer{Status: 503, Close: req.Close})
+	case errors.Is(err, dispatch.ErrDuplicateID):
+		return &message.RequestError{Status: 409, Why: err.Error()}
+	}
+	return err
+}
 
-// take finds the operation's route and hands it over. A reload that comes between has it matched again, so that route
-// and figures are always of one file.
-func (s *Server) submit(o *message.RequestInfo, req *message.Request, came time.Time, f clientConn) (*dispatch.Request, *journalEntry, error) {
-	for {
-		a := dispatch.Arrival{ID: o.ID, Tenant: o.Tenant, Key: req.Get(affinityKeyField), Routes: s.dispatcher.Routes(), RouteIndex: -1, TrafficType: -1}
-		a.IsRetry = len(req.Get(clientRetryField)) > 0
-		if kind, known := s.dispatcher.TrafficType(o.Type); known {
-			a.TrafficType = kind
-		}
-		if a.Routes != nil {
-			a.RouteIndex, a.TrafficType = a.Routes.Match(&route.Request{Method: req.Method, Path: req.Path(), Tenant: o.Tenant, Headers: req})
-		}
-		if a.TrafficType < 0 {
-			return nil, nil, errUnknownType
-		}
-		if !s.journal.accepts(a.TrafficType) {
-			return nil, nil, errJournalUnavailable
-		}
-		k := s.journal.begin(a.TrafficType, o, req)
-		if a.RouteIndex >= 0 {
-			if len(req.Body) > a.Routes.MaxBodyBytes(a.RouteIndex, a.TrafficType, message.MaxBody) {
-				return nil, nil, &message.RequestError{Status: 413, Why: "the body is larger than its route takes"}
-			}
-			if a.Routes.AllowsHedging(a.RouteIndex, a.TrafficType) {
-				a.StartHedge = s.startHedge(f, req, k)
-			}
-		}
-		if a.Timeout = o.Timeout; a.Timeout < 0 {
-			a.Timeout = s.dispatcher.DefaultTimeout(a.TrafficType)
-		}
-		if a.Timeout -= time.Since(came); a.Timeout <= 0 {
-			return nil, nil, &message.RequestError{Status: 408, Why: "the request took all of its time to come"}
-		}
-		if s.isDraining.Load() { // its answer comes before the node must be gone
-			a.Timeout = max(min(a.Timeout, time.Until(s.answerBy)), time.Millisecond)
-		}
-		op, err := s.dispatcher.Submit(a)
-		if err != dispatch.ErrRoutesChanged {
-			return op, k, err
+// answerRequest carries out the decision that settles a request. last is how its last attempt ended.
+func (s *Server) answerRequest(conn clientConn, f *forwarding, d dispatch.Decision, last dispatch.AttemptResult) error {
+	var err error
+	outcome := outcomeResponded
+	switch d.Action {
+	case dispatch.Respond:
+		err = conn.SendAnswer(d.Answer)
+	case dispatch.Reject:
+		outcome = outcomeRejected
+		err = s.sendAnswer(conn, message.Answer{Status: 503, RetryAfter: d.Duration, Close: f.message.Close})
+	case dispatch.Fail:
+		outcome = outcomeFailed
+		if d.Answer != nil { // a server's own words about a fault of the request
+			err = conn.SendAnswer(d.Answer)
+		} else {
+			err = s.sendAnswer(conn, message.Answer{Status: failureStatus(last), Close: f.message.Close})
 		}
+	case dispatch.Drop:
+		outcome = outcomeDisconnected
+		err = errClientDisconnected
 	}
+	f.journalEntry.recordAnswer(outcome)
+	return err
 }
 
+// failureStatus is the status of a request that failed with unknown effect.
 func failureStatus(last dispatch.AttemptResult) int {
 	if last == dispatch.ResponseTimeout {
 		return 504
--- a/internal/proxy/requestraces_test.go
+++ b/internal/proxy/requestraces_test.go
@@ -86,7 +86,8 @@
 func (w *watchedConn) ClientAddress() string                        { return "" }
 func (w *watchedConn) IsDisconnected() bool                         { return false }
 func (w *watchedConn) SendAnswer([]byte) error                      { w.isWatchedWhenSent = w.isWatched; return nil }
-func (w *watchedConn) WatchDisconnect(*dispatch.Request) func() {
+func (w *watchedConn) IsDisconnectedBehindUnread() bool             { return false }
+func (w *watchedConn) WatchDisconnect(func()) func() {
 	w.isWatched = true
 	return func() { w.isWatched = false }
 }
--- a/internal/proxy/serve_test.go
+++ b/internal/proxy/serve_test.go
@@ -428,7 +428,7 @@
 			if d := op.NextDecision(func() {}); d.Action != dispatch.SendAttempt {
 				t.Fatalf("decided %d", d.Action)
 			}
-			defer httpClientConn{s, near}.WatchDisconnect(op)()
+			defer httpClientConn{s, near}.WatchDisconnect(op.ClientDisconnected)()
 			far := <-gone
 			go func() { // while the hop is out
 				far.Write(make([]byte, behind))
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -78,7 +78,7 @@
 
 func run(tell Signals, cfg Config, log zerolog.Logger, ln *net.TCPListener) error {
 	defer ln.Close()
-	s := &Server{cfg: cfg, logger: log, startedAt: time.Now(), dispatcher: dispatch.New(cfg.Settings, cfg.Seed, cfg.Limits, cfg.policyMaker())}
+	s := &Server{cfg: cfg, logger: log, startedAt: time.Now(), dispatcher: dispatch.New(cfg.Settings, cfg.Seed, cfg.Limits, cfg.newDecider())}
 	if cfg.Hoards {
 		s.dispatcher.Hoard()
 	}
--- a/internal/proxy/storedformat_test.go
+++ b/internal/proxy/storedformat_test.go
@@ -83,8 +83,8 @@
 		}
 		attempts.recordAttemptEnd(hop, how)
 	}
-	for _, told := range []string{"handled", "denied", "written off", "nothing: it had left"} {
-		begin(told).recordAnswer(told)
+	for _, outcome := range []answerOutcome{outcomeResponded, outcomeRejected, outcomeFailed, outcomeDisconnected} {
+		begin(string(outcome)).recordAnswer(outcome)
 	}
 	j.close()
 	var lines []string
--- /dev/null
+++ b/internal/proxy/submit.go
@@ -0,0 +1,67 @@
+package proxy
+
+import (
+	"errors"
+	"time"
+
+	"fernvane/internal/protocol/message"
+	"fernvane/internal/proxy/dispatch"
+	"fernvane/internal/route"
+)
+
+// affinityKeyField names what a request is about: requests with the same key go to the same servers where a route asks for that.
+const affinityKeyField = "Affinity-Key"
+
+var (
+	errUnknownType        = errors.New("no such traffic type")
+	errJournalUnavailable = errors.New("the journal keeps nothing now")
+)
+
+// submit hands a request over to the dispatcher under the route that it matches. Where routes are reloaded meanwhile it is matched
+// again, so that its route and its limits are of one file. It returns the request's journal entry too, nil where none is kept.
+func (s *Server) submit(conn clientConn, req *message.Request, info *message.RequestInfo, receivedAt time.Time) (*dispatch.Request, *journalEntry, error) {
+	for {
+		a := s.newArrival(req, info)
+		if a.TrafficType < 0 {
+			return nil, nil, errUnknownType
+		}
+		if !s.journal.accepts(a.TrafficType) {
+			return nil, nil, errJournalUnavailable
+		}
+		entry := s.journal.begin(a.TrafficType, info, req)
+		if a.RouteIndex >= 0 {
+			if len(req.Body) > a.Routes.MaxBodyBytes(a.RouteIndex, a.TrafficType, message.MaxBody) {
+				return nil, nil, &message.RequestError{Status: 413, Why: "the body is larger than its route takes"}
+			}
+			if a.Routes.AllowsHedging(a.RouteIndex, a.TrafficType) {
+				a.StartHedge = s.startHedge(conn, req, entry)
+			}
+		}
+		if a.Timeout = info.Timeout; a.Timeout < 0 {
+			a.Timeout = s.dispatcher.DefaultTimeout(a.TrafficType)
+		}
+		if a.Timeout -= time.Since(receivedAt); a.Timeout <= 0 {
+			return nil, nil, &message.RequestError{Status: 408, Why: "the request took all of its time to come"}
+		}
+		if s.isDraining.Load() {
+			a.Timeout = max(min(a.Timeout, time.Until(s.answerBy)), time.Millisecond)
+		}
+		request, err := s.dispatcher.Submit(a)
+		if !errors.Is(err, dispatch.ErrRoutesChanged) {
+			return request, entry, err
+		}
+	}
+}
+
+// newArrival says what a request is, under the routes as they are now. Its traffic type is -1 where there is none for it.
+func (s *Server) newArrival(req *message.Request, info *message.RequestInfo) dispatch.Arrival {
+	a := dispatch.Arrival{ID: info.ID, Tenant: info.Tenant, Key: req.Get(affinityKeyField), Routes: s.dispatcher.Routes(), RouteIndex: -1, TrafficType: -1}
+	a.IsRetry = len(req.Get(clientRetryField)) > 0
+	if t, isKnown := s.dispatcher.TrafficType(info.Type); isKnown {
+		a.TrafficType = t
+	}
+	if a.Routes != nil {
+		a.RouteIndex, a.TrafficType = a.Routes.Match(&route.Request{Method: req.Method, Path: req.Path(), Tenant: info.Tenant, Headers: req})
+	}
+	return a
+}
--- /dev/null
+++ b/internal/testbed/brokennode.go
@@ -0,0 +1,40 @@
+package testbed
+
+import (
+	"fernvane/internal/proxy"
+	"fernvane/internal/testbed/baseline"
+)
+
+// Configure puts a policy of package baseline in a node's configuration, by its name, and with one that breaks a rule on purpose the
+// parts of the node that would keep the rule. ok is false where there is no such policy.
+func Configure(cfg *proxy.Config, policyName string) (ok bool) {
+	if cfg.NewPolicy, ok = baseline.Find(policyName); !ok {
+		return false
+	}
+	rule, isBroken := baseline.Broken[policyName]
+	if isBroken {
+		cfg.DrainGuard = noDrainGuard{}
+	}
+	if rule == "leavers" {
+		cfg.WrapDisconnectWatcher = func(w proxy.DisconnectWatcher) proxy.DisconnectWatcher { return ignoredDisconnects{w} }
+	}
+	cfg.Hoards = rule == "closing"
+	return true
+}
+
+// noDrainGuard lets attempts go to servers that left long ago.
+type noDrainGuard struct{}
+
+func (noDrainGuard) IsPastDrainGrace(string) bool { return false }
+
+// ignoredDisconnects reports no client as disconnected.
+type ignoredDisconnects struct{ proxy.DisconnectWatcher }
+
+func (ignoredDisconnects) IsDisconnected() bool { return false }
+
+func (w ignoredDisconnects) IsDisconnectedBehindUnread() bool {
+	w.DisconnectWatcher.IsDisconnectedBehindUnread()
+	return false
+}
+
+func (ignoredDisconnects) WatchDisconnect(func()) (stop func()) { return func() {} }
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -38,10 +38,7 @@
 			os.Exit(2)
 		}
 		cfg.Filesystem = Disk(os.Getenv)
-		cfg.NewPolicy, _ = baseline.Find(os.Getenv(policyVar))
-		_, cfg.Unguarded = baseline.Broken[os.Getenv(policyVar)]
-		cfg.Deaf = baseline.Broken[os.Getenv(policyVar)] == "leavers"
-		cfg.Hoards = baseline.Broken[os.Getenv(policyVar)] == "closing"
+		Configure(&cfg, os.Getenv(policyVar))
 		os.Exit(proxy.RunProcess(cfg, os.Stderr, zerolog.InfoLevel))
 	}
 	goleak.VerifyTestMain(m)
