--- /dev/null
+++ b/internal/proxy/countslog.go
@@ -0,0 +1,54 @@
+package proxy
+
+import (
+	"context"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"fernvane/internal/proxy/dispatch"
+	"fernvane/internal/proxy/shadow"
+	"fernvane/internal/route"
+)
+
+const countsInterval = 10 * time.Second // between two log lines with counts
+
+// logCounts logs, until the node ends, how requests and attempts ended since its start.
+func (s *Server) logCounts(ctx context.Context) error {
+	tick := time.NewTicker(countsInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-tick.C:
+			s.logCountsOnce()
+		}
+	}
+}
+
+// logCountsOnce logs one line for the node and one for each route. The keys are read by operators' tools.
+func (s *Server) logCountsOnce() {
+	c := s.dispatcher.Counts()
+	source, age := s.dispatcher.LastAnnouncement()
+	attempts := zerolog.Dict()
+	c.EachAttemptResult(func(r dispatch.AttemptResult, n int) { attempts.Int(r.String(), n) })
+	line := s.logger.Info()
+	if s.cfg.Shadow != nil {
+		seen := s.cfg.Shadow.TakeCounts()
+		differences := zerolog.Dict().Int("compared", seen.Compared).Bool("failed", seen.HasFailed)
+		seen.Each(func(d shadow.Difference, n int) { differences.Int(d.String(), n) })
+		line.Dict("watch", differences)
+	}
+	if s.distribution != nil {
+		s.distribution.addStatus(line)
+	}
+	line.Int("handled", c.Responded).Int("denied", c.Rejected).Int("written_off", c.Failed).
+		Int("left", c.Disconnected).Int("no_room", c.NoCapacity).Int("limited", c.RouteLimited).Int("copies", c.Hedges).Dict("hops", attempts).
+		Int("open", c.OpenRequests).Int("clients", c.ClientConnections).Int("servers", c.ServerConnections).
+		Stringer("list_from", source).Float64("list_age_s", age.Round(time.Second/10).Seconds()).Msg("counts")
+	s.dispatcher.RouteCounts(func(name string, inFlight int, c route.GateCounts) {
+		s.logger.Info().Str("route", name).Int("in_hand", inFlight).Int("taken", c.Admitted).Int("over_rate", c.RateExceeded).
+			Int("no_place", c.QueueFull).Int("over_tenant", c.TenantShareExceeded).Msg("route")
+	})
+}
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -9,50 +9,49 @@
 	"fernvane/internal/protocol/sockpeek"
 )
 
-const acceptRetryInterval = 5 * time.Millisecond // after a failed accept, so that shortage does not spin
+const acceptRetryInterval = 5 * time.Millisecond // after an accept that failed for want of resources
 
-// accept takes connections until the node stops and none comes any more. One that the system has taken
-// may hold a request already, so listening does not end while there are such.
-func (s *Server) accept(ln *net.TCPListener, lead func(*net.TCPConn)) error {
-	quietFor := acceptQuietDuration + s.cfg.shutdownDelays.extraQuiet
-	var quiet time.Time // since when none has come, once the node stops
+// accept accepts connections and serves each on a goroutine of its own, until the node stops and none has come for acceptQuietDuration.
+// A connection in the system's queue may hold a request already, so the listener is closed only behind a look into the queue.
+func (s *Server) accept(ln *net.TCPListener, serveConn func(*net.TCPConn)) error {
+	quietDuration := acceptQuietDuration + s.cfg.shutdownDelays.extraQuiet
+	var quietSince time.Time // the last connection, or the begin of the closing; zero before that
 	for {
 		s.dispatcher.AcquireClientDescriptor()
-		last := s.isListenerClosing.Load()
-		if last {
-			if time.Now().After(s.acceptUntil) { // they never cease
+		isClosing := s.isListenerClosing.Load()
+		if isClosing {
+			if time.Now().After(s.acceptUntil) {
 				return ln.Close()
 			}
-			if quiet.IsZero() {
-				quiet = time.Now()
+			if quietSince.IsZero() {
+				quietSince = time.Now()
 			}
-			ln.SetDeadline(quiet.Add(quietFor))
+			ln.SetDeadline(quietSince.Add(quietDuration))
 		}
-		nc, err := ln.AcceptTCP()
-		over := last && errors.Is(err, os.ErrDeadlineExceeded) && time.Since(quiet) >= quietFor
-		if over { // the time may have run out with one in the queue that nobody has looked at
-			nc, err = sockpeek.AcceptQueued(ln)
+		tcp, err := ln.AcceptTCP()
+		isQuiet := isClosing && errors.Is(err, os.ErrDeadlineExceeded) && time.Since(quietSince) >= quietDuration
+		if isQuiet { // the deadline may have passed with a connection in the queue
+			tcp, err = sockpeek.AcceptQueued(ln)
 		}
 		if err == nil {
-			quiet = time.Now()
+			quietSince = time.Now()
 			s.clientTasks.Go(func() error {
-				lead(nc)
+				serveConn(tcp)
 				return nil
 			})
 			continue
 		}
 		s.dispatcher.ReleaseClientDescriptor()
-		if over {
+		switch {
+		case isQuiet:
 			return ln.Close()
-		}
-		if errors.Is(err, os.ErrDeadlineExceeded) { // woken: the node stops
-			continue
-		}
-		if errors.Is(err, net.ErrClosed) {
+		case errors.Is(err, os.ErrDeadlineExceeded): // woken by drain
+		case errors.Is(err, net.ErrClosed):
 			return err
+		default:
+			s.logger.Warn().Err(err).Msg("accept failed")
+			s.dispatcher.EvictIdle()
+			time.Sleep(acceptRetryInterval)
 		}
-		s.logger.Warn().Err(err).Msg("accept failed")
-		s.dispatcher.EvictIdle()
-		time.Sleep(acceptRetryInterval)
 	}
 }
--- a/internal/proxy/logger.go
+++ b/internal/proxy/logger.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	maxLogLinesPerInterval = 50                     // lines a second at most of each level; more would hide what matters
-	maxQueuedLogLines      = 256                    // lines that wait for a slow reader; what is beyond is dropped and counted
-	logInterval            = time.Second            // for which logBurst counts
-	logFlushTimeout        = 100 * time.Millisecond // for what is left to be written at the end, so that a stop does not hang on it
+	maxLogLinesPerInterval = 50 // of each level
+	logInterval            = time.Second
+	maxQueuedLogLines      = 256                    // for a slow reader; further lines are dropped and counted
+	logFlushTimeout        = 100 * time.Millisecond // so that a stop does not wait for the reader of the log
 )
 
-// NewLogger writes to w without ever waiting for it. The function it returns writes out what is left.
+// NewLogger returns a logger that never waits for w, and the function that writes out what is queued at the end.
 func NewLogger(w io.Writer, level zerolog.Level) (zerolog.Logger, func()) {
 	var log zerolog.Logger
 	out := diode.NewWriter(w, maxQueuedLogLines, 0, func(missed int) {
--- a/internal/proxy/signals.go
+++ b/internal/proxy/signals.go
@@ -10,11 +10,17 @@
 	"github.com/rs/zerolog"
 )
 
-// CatchSignals takes the process's signals from now on. It comes before the configuration is read: a reload that is asked for
-// meanwhile would end a process that does not hear it, and may be of a file that was just read.
+// Signals are what a node is told from outside: Reload has it read its configuration again, and the close of Stop has it stop.
+type Signals struct {
+	Reload <-chan os.Signal
+	Stop   <-chan struct{}
+}
+
+// CatchSignals takes the process's signals from its first call on. It is called before the configuration is read: a process that does not
+// handle SIGHUP would be ended by a reload that is asked for meanwhile.
 var CatchSignals = sync.OnceValue(func() Signals {
 	signal.Ignore(syscall.SIGPIPE)    // or the node would end with the reader of its log
-	reload := make(chan os.Signal, 1) // one that waits is enough: the file is read after it
+	reload := make(chan os.Signal, 1) // one is enough: the file is read after it
 	signal.Notify(reload, syscall.SIGHUP)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -26,8 +32,8 @@
 	return Signals{Reload: reload, Stop: stop}
 })
 
-// RunProcess runs a node as the life of this process, which signals lead: SIGTERM or SIGINT ends it, SIGHUP has it read
-// its configuration again. It returns the exit code.
+// RunProcess runs a node for as long as this process lives: SIGTERM or SIGINT stops it, SIGHUP has it read its configuration again. It
+// returns the process's exit code.
 func RunProcess(cfg Config, errs io.Writer, level zerolog.Level) int {
 	log, flush := NewLogger(errs, level)
 	defer flush()
