--- a/internal/discovery/endpoints/book.go
+++ b/internal/discovery/endpoints/book.go
@@ -55,12 +55,12 @@
 
 // View is the list of servers of one node, from whichever source it comes.
 type View struct {
-	lines     map[string]*Record
-	byAddress map[netip.AddrPort][]string // servers that were last told there, in the order of ids
-	visits    int                         // lines come to by lists so far, for tests that count
-	from      Source
-	heard     time.Duration
-	lists     int
+	records         map[string]*Record
+	byAddress       map[netip.AddrPort][]string // servers that were last told there, in the order of ids
+	recordVisits    int                         // lines come to by lists so far, for tests that count
+	lastSource      Source
+	lastAnnouncedAt time.Duration
+	listCount       int
 	// OnlyDraining: a server that is told gone or left out, without having been told draining, stays in use until it is
 	// forgotten.
 	IgnoreRemovals bool
@@ -68,7 +68,7 @@
 
 // NewView knows of no server.
 func NewView() *View {
-	return &View{lines: map[string]*Record{}, byAddress: map[netip.AddrPort][]string{}}
+	return &View{records: map[string]*Record{}, byAddress: map[netip.AddrPort][]string{}}
 }
 
 // Apply takes in what a source says: changes, or the whole list, of which those that it does not name have gone. A server
@@ -76,48 +76,48 @@
 // would reach the new one, for which it was not meant.
 func (b *View) Apply(now time.Duration, from Source, words []Endpoint, whole bool) Update {
 	u := Update{Changed: make([]Record, 0, len(words))}
-	b.from, b.heard = from, now
+	b.lastSource, b.lastAnnouncedAt = from, now
 	if len(words) > 0 || whole {
-		b.lists++
+		b.listCount++
 	}
 	moved := make(map[string]bool, len(words)) // by server that the list touches
 	if whole {
-		for id, l := range b.lines {
-			b.visits++
+		for id, l := range b.records {
+			b.recordVisits++
 			moved[id] = false
 			if !b.IgnoreRemovals {
-				l.leave(now)
+				l.markLeft(now)
 			}
 		}
 	}
 	for _, w := range words {
-		b.visits++
-		l := b.lines[w.ID]
+		b.recordVisits++
+		l := b.records[w.ID]
 		if l == nil && w.Condition == incarnation.Up {
-			u.Changed = b.displaced(now, w.Address, u.Changed, moved)
+			u.Changed = b.replaceAt(now, w.Address, u.Changed, moved)
 		}
 		if l == nil {
 			l = &Record{}
 			if w.Condition != incarnation.Gone { // one that has gone and is not known is not worth keeping
-				b.lines[w.ID] = l
+				b.records[w.ID] = l
 			}
 		}
 		if moved[w.ID] = moved[w.ID] || w.Address != l.Address; !w.Address.IsValid() {
 			w.Address = l.Address
 		}
-		if b.lines[w.ID] != nil {
-			b.place(w.ID, l.Address, w.Address)
+		if b.records[w.ID] != nil {
+			b.setAddress(w.ID, l.Address, w.Address)
 		}
 		l.Endpoint, l.Source, l.AnnouncedAt = w, from, now
 		if w.Condition == incarnation.Up {
 			l.IsUsable, l.IsReplaced = true, false
 		} else if w.Condition == incarnation.Draining || !b.IgnoreRemovals {
-			l.leave(now)
+			l.markLeft(now)
 		}
 		u.Changed = append(u.Changed, *l)
 	}
 	for id := range moved {
-		if l := b.lines[id]; l != nil && (!l.IsUsable || moved[id]) {
+		if l := b.records[id]; l != nil && (!l.IsUsable || moved[id]) {
 			u.CloseIdle = append(u.CloseIdle, id)
 		}
 	}
@@ -125,7 +125,7 @@
 	return u
 }
 
-func (l *Record) leave(now time.Duration) {
+func (l *Record) markLeft(now time.Duration) {
 	if l.IsUsable {
 		l.IsUsable, l.LeftAt = false, now
 	}
@@ -134,23 +134,23 @@
 // HasLeft tells that a server has not been used for a while, or is not known any more: what was decided before may not be
 // sent to it now.
 func (b *View) HasLeft(now time.Duration, id string, since time.Duration) bool {
-	l := b.lines[id]
+	l := b.records[id]
 	return l == nil || !l.IsUsable && now-l.LeftAt > since
 }
 
 // displaced takes out those that are used at an address, since another has come there. None of them is known by the
 // address any more; one that a list names again is.
-func (b *View) displaced(now time.Duration, at netip.AddrPort, lines []Record, moved map[string]bool) []Record {
+func (b *View) replaceAt(now time.Duration, at netip.AddrPort, lines []Record, moved map[string]bool) []Record {
 	ids := b.byAddress[at]
 	delete(b.byAddress, at)
 	slices.Sort(ids)
 	for _, id := range ids {
-		b.visits++
+		b.recordVisits++
 		if _, touched := moved[id]; !touched {
 			moved[id] = false
 		}
-		if l := b.lines[id]; l.IsUsable {
-			l.leave(now)
+		if l := b.records[id]; l.IsUsable {
+			l.markLeft(now)
 			l.IsReplaced = true
 			gone := *l
 			gone.Condition = incarnation.Gone
@@ -161,16 +161,16 @@
 }
 
 // place has a server be known by another address, or by the same again.
-func (b *View) place(id string, from, to netip.AddrPort) {
+func (b *View) setAddress(id string, from, to netip.AddrPort) {
 	if from != to {
-		b.remove(id, from)
+		b.removeAddress(id, from)
 	}
 	if ids := b.byAddress[to]; !slices.Contains(ids, id) {
 		b.byAddress[to] = append(ids, id)
 	}
 }
 
-func (b *View) remove(id string, from netip.AddrPort) {
+func (b *View) removeAddress(id string, from netip.AddrPort) {
 	ids := b.byAddress[from]
 	if i := slices.Index(ids, id); i >= 0 {
 		ids = slices.Delete(ids, i, i+1)
@@ -184,7 +184,7 @@
 
 // Get is what is known of a server.
 func (b *View) Get(id string) (Record, bool) {
-	if l := b.lines[id]; l != nil {
+	if l := b.records[id]; l != nil {
 		return *l, true
 	}
 	return Record{}, false
@@ -192,33 +192,33 @@
 
 // Forget lets go of a server that nothing names any more.
 func (b *View) Forget(id string) {
-	if l := b.lines[id]; l != nil {
-		b.remove(id, l.Address)
-		delete(b.lines, id)
+	if l := b.records[id]; l != nil {
+		b.removeAddress(id, l.Address)
+		delete(b.records, id)
 	}
 }
 
 // MarkExecuted tells that a server has answered with what it had run.
 func (b *View) MarkExecuted(now time.Duration, id string) {
-	if l := b.lines[id]; l != nil {
+	if l := b.records[id]; l != nil {
 		l.ExecutedAt, l.HasExecuted = now, true
 	}
 }
 
 // All are all that is known, in the order of ids, with a count that changes with every list.
 func (b *View) All() (all []Record, lists int) {
-	for _, id := range b.ids() {
-		all = append(all, *b.lines[id])
+	for _, id := range b.sortedIDs() {
+		all = append(all, *b.records[id])
 	}
-	return all, b.lists
+	return all, b.listCount
 }
 
 // LastAnnouncement is who told of servers last, and when.
-func (b *View) LastAnnouncement() (Source, time.Duration) { return b.from, b.heard }
+func (b *View) LastAnnouncement() (Source, time.Duration) { return b.lastSource, b.lastAnnouncedAt }
 
-func (b *View) ids() []string {
-	ids := make([]string, 0, len(b.lines))
-	for id := range b.lines {
+func (b *View) sortedIDs() []string {
+	ids := make([]string, 0, len(b.records))
+	for id := range b.records {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
--- a/internal/discovery/endpoints/book_test.go
+++ b/internal/discovery/endpoints/book_test.go
@@ -64,7 +64,7 @@
 				lines += fmt.Sprint(l.ID, l.Condition)
 			}
 			var used []string
-			for _, id := range b.ids() {
+			for _, id := range b.sortedIDs() {
 				if l, _ := b.Get(id); l.IsUsable {
 					used = append(used, id)
 				}
@@ -147,14 +147,14 @@
 		for i := range servers / 10 {
 			list[i].Condition = incarnation.Draining
 		}
-		from := b.visits
+		from := b.recordVisits
 		b.Apply(0, SourceDiscovery, list, true)
-		whole, from = b.visits-from, b.visits
+		whole, from = b.recordVisits-from, b.recordVisits
 		u := b.Apply(0, SourceDiscovery, words(servers, servers+1), false)
 		if len(u.Changed) != 1 || len(u.CloseIdle) != 1 {
 			t.Errorf("%d lines, %d idle", len(u.Changed), len(u.CloseIdle))
 		}
-		return b.visits - from, whole
+		return b.recordVisits - from, whole
 	}
 	few, _ := cost(1_000)
 	many, whole := cost(20_000)
@@ -175,7 +175,7 @@
 		seen := map[string]bool{}
 		for at, ids := range b.byAddress {
 			for _, id := range ids {
-				if l := b.lines[id]; l == nil || l.Address != at || seen[id] {
+				if l := b.records[id]; l == nil || l.Address != at || seen[id] {
 					t.Fatalf("step %d: %s is not at %s, or twice", i, id, at)
 				}
 				seen[id] = true
@@ -184,7 +184,7 @@
 				t.Fatalf("step %d: nothing is at %s", i, at)
 			}
 		}
-		for id, l := range b.lines {
+		for id, l := range b.records {
 			if l.IsUsable && !seen[id] {
 				t.Fatalf("step %d: %s is used and not found by its address", i, id)
 			}
--- a/internal/discovery/endpoints/roster.go
+++ b/internal/discovery/endpoints/roster.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	flapFor     = 5 * time.Second // a session lost and made anew within it is a flap
-	aliveBefore = 1 * time.Second // an answer so shortly before an end shows that the process was alive
-	mostWithin  = 2 * time.Second // ends that come within it are taken together
-	mostShare   = 0.5             // of the servers; when more vanish together the registry is doubted
-	mostLeast   = 3               // servers
-	failsLeast  = 3               // operations in a row that find no connection, before the registry tells
-	failsWithin = 1 * time.Second
-	doubtFirst  = 1 * time.Second // doubles; then the server is tried again
-	doubtMost   = 8 * time.Second
+	flapWindow           = 5 * time.Second // a session lost and made anew within it is a flap
+	maxAliveAge          = 1 * time.Second // an answer so shortly before an end shows that the process was alive
+	massRemovalWindow    = 2 * time.Second // ends that come within it are taken together
+	massRemovalShare     = 0.5             // of the servers; when more vanish together the registry is doubted
+	minMassRemoval       = 3               // servers
+	minConnectFailures   = 3               // operations in a row that find no connection, before the registry tells
+	connectFailureWindow = 1 * time.Second
+	initialSuspicion     = 1 * time.Second // doubles; then the server is tried again
+	maxSuspicion         = 8 * time.Second
 )
 
 // RegistryEntry is a server as the registry lists it.
@@ -57,73 +57,73 @@
 	StateDraining               // listed as draining
 	StateMissing                // not listed any more; kept for a while, for it may be a flap
 	StateRetained               // not listed any more with most others; used, with suspicion
-	states
+	stateCount
 )
 
 type input uint8
 
 const (
-	listed    input = iota
-	listedNew       // by another life
-	drains
-	unlisted
-	vanished // with most others
-	fails
-	answers
-	timeUp
-	inputs
+	entryListed          input = iota
+	newIncarnationListed       // by another life
+	drainListed
+	entryRemoved
+	massRemoved // with most others
+	connectFailed
+	responseReceived
+	timerExpired
+	inputCount
 )
 
 type effect uint8
 
 const (
-	nothing  effect = iota
-	tellUp          // the life that it had
-	tellBack        // the same, after it was told to drain: a new turn
-	tellNew
-	tellDraining
-	tellGone
+	noEffect           effect = iota
+	announceUp                // the life that it had
+	announceReinstated        // the same, after it was told to drain: a new turn
+	announceNewIncarnation
+	announceDraining
+	announceGone
 )
 
-type move struct {
-	next State
-	do   effect
+type transition struct {
+	next   State
+	effect effect
 }
 
 // moves is the whole of what the roster decides.
-var moves = [states][inputs]move{
-	StateAbsent: {listed: {StatePresent, tellNew}, listedNew: {StatePresent, tellNew}, drains: {StateDraining, tellDraining}, unlisted: {StateAbsent, nothing},
-		vanished: {StateAbsent, nothing}, fails: {StateAbsent, nothing}, answers: {StateAbsent, nothing}, timeUp: {StateAbsent, nothing}},
-	StatePresent: {listed: {StatePresent, nothing}, listedNew: {StatePresent, tellNew}, drains: {StateDraining, tellDraining}, unlisted: {StateMissing, tellDraining},
-		vanished: {StateRetained, nothing}, fails: {StateSuspected, tellDraining}, answers: {StatePresent, nothing}, timeUp: {StatePresent, nothing}},
-	StateSuspected: {listed: {StateSuspected, nothing}, listedNew: {StatePresent, tellNew}, drains: {StateDraining, nothing}, unlisted: {StateMissing, nothing},
-		vanished: {StateMissing, nothing}, fails: {StateSuspected, nothing}, answers: {StatePresent, tellBack}, timeUp: {StatePresent, tellBack}},
-	StateDraining: {listed: {StatePresent, tellBack}, listedNew: {StatePresent, tellNew}, drains: {StateDraining, nothing}, unlisted: {StateAbsent, tellGone},
-		vanished: {StateAbsent, tellGone}, fails: {StateDraining, nothing}, answers: {StateDraining, nothing}, timeUp: {StateDraining, nothing}},
-	StateMissing: {listed: {StatePresent, tellBack}, listedNew: {StatePresent, tellNew}, drains: {StateDraining, nothing}, unlisted: {StateMissing, nothing},
-		vanished: {StateRetained, tellBack}, fails: {StateMissing, nothing}, answers: {StateMissing, nothing}, timeUp: {StateAbsent, tellGone}},
-	StateRetained: {listed: {StatePresent, nothing}, listedNew: {StatePresent, tellNew}, drains: {StateDraining, tellDraining}, unlisted: {StateMissing, tellDraining},
-		vanished: {StateRetained, nothing}, fails: {StateMissing, tellDraining}, answers: {StateRetained, nothing}, timeUp: {StateRetained, nothing}},
+var transitions = [stateCount][inputCount]transition{
+	StateAbsent: {entryListed: {StatePresent, announceNewIncarnation}, newIncarnationListed: {StatePresent, announceNewIncarnation}, drainListed: {StateDraining, announceDraining}, entryRemoved: {StateAbsent, noEffect},
+		massRemoved: {StateAbsent, noEffect}, connectFailed: {StateAbsent, noEffect}, responseReceived: {StateAbsent, noEffect}, timerExpired: {StateAbsent, noEffect}},
+	StatePresent: {entryListed: {StatePresent, noEffect}, newIncarnationListed: {StatePresent, announceNewIncarnation}, drainListed: {StateDraining, announceDraining}, entryRemoved: {StateMissing, announceDraining},
+		massRemoved: {StateRetained, noEffect}, connectFailed: {StateSuspected, announceDraining}, responseReceived: {StatePresent, noEffect}, timerExpired: {StatePresent, noEffect}},
+	StateSuspected: {entryListed: {StateSuspected, noEffect}, newIncarnationListed: {StatePresent, announceNewIncarnation}, drainListed: {StateDraining, noEffect}, entryRemoved: {StateMissing, noEffect},
+		massRemoved: {StateMissing, noEffect}, connectFailed: {StateSuspected, noEffect}, responseReceived: {StatePresent, announceReinstated}, timerExpired: {StatePresent, announceReinstated}},
+	StateDraining: {entryListed: {StatePresent, announceReinstated}, newIncarnationListed: {StatePresent, announceNewIncarnation}, drainListed: {StateDraining, noEffect}, entryRemoved: {StateAbsent, announceGone},
+		massRemoved: {StateAbsent, announceGone}, connectFailed: {StateDraining, noEffect}, responseReceived: {StateDraining, noEffect}, timerExpired: {StateDraining, noEffect}},
+	StateMissing: {entryListed: {StatePresent, announceReinstated}, newIncarnationListed: {StatePresent, announceNewIncarnation}, drainListed: {StateDraining, noEffect}, entryRemoved: {StateMissing, noEffect},
+		massRemoved: {StateRetained, announceReinstated}, connectFailed: {StateMissing, noEffect}, responseReceived: {StateMissing, noEffect}, timerExpired: {StateAbsent, announceGone}},
+	StateRetained: {entryListed: {StatePresent, noEffect}, newIncarnationListed: {StatePresent, announceNewIncarnation}, drainListed: {StateDraining, announceDraining}, entryRemoved: {StateMissing, announceDraining},
+		massRemoved: {StateRetained, noEffect}, connectFailed: {StateMissing, announceDraining}, responseReceived: {StateRetained, noEffect}, timerExpired: {StateRetained, noEffect}},
 }
 
 type server struct {
-	state    State
-	listed   RegistryEntry
-	life     incarnation.Entry
-	since    time.Duration // of the state
-	answered time.Duration
-	failed   time.Duration // last
-	fails    int
-	doubts   int
+	state               State
+	listed              RegistryEntry
+	announced           incarnation.Entry
+	stateSince          time.Duration // of the state
+	lastResponseAt      time.Duration
+	lastFailureAt       time.Duration // last
+	consecutiveFailures int
+	suspicionCount      int
 }
 
 // Set is what one node knows of the servers.
 type Set struct {
-	servers  map[string]*server
-	revision uint64
-	changed  []incarnation.Entry
-	heldNow  bool
-	seen     time.Duration
+	servers              map[string]*server
+	revision             uint64
+	changed              []incarnation.Entry
+	massRemovalSuspected bool
+	now                  time.Duration
 }
 
 // NewSet knows nothing.
@@ -144,27 +144,27 @@
 		s.listed = l
 		switch {
 		case l.IsDraining:
-			r.step(s, drains)
-		case s.state != StateAbsent && r.another(s, before, l):
-			r.step(s, listedNew)
+			r.step(s, drainListed)
+		case s.state != StateAbsent && r.isNewIncarnation(s, before, l):
+			r.step(s, newIncarnationListed)
 		default:
-			r.step(s, listed)
+			r.step(s, entryListed)
 		}
-		if s.life.Address != l.Address && s.state == StatePresent { // the same life elsewhere is none
-			r.tell(s, tellNew)
+		if s.announced.Address != l.Address && s.state == StatePresent { // the same life elsewhere is none
+			r.announce(s, announceNewIncarnation)
 		}
 	}
-	for _, id := range r.ids() {
+	for _, id := range r.sortedIDs() {
 		if s := r.servers[id]; !named[id] && s.state != StateRetained {
-			r.step(s, unlisted)
+			r.step(s, entryRemoved)
 		}
 	}
-	r.doubtRegistry(named)
+	r.detectMassRemoval(named)
 	return r.end()
 }
 
 // another life: the process says so, or it was made anew by another session and was not seen to be alive all along.
-func (r *Set) another(s *server, before, l RegistryEntry) bool {
+func (r *Set) isNewIncarnation(s *server, before, l RegistryEntry) bool {
 	if l.StartedUnixMS != 0 && before.StartedUnixMS != 0 {
 		return l.StartedUnixMS != before.StartedUnixMS
 	}
@@ -172,19 +172,19 @@
 		return false
 	}
 	if s.state != StateMissing && s.state != StateRetained { // an end that was not seen: sessions changed between two looks
-		return r.seen-s.answered > aliveBefore || s.failed > s.answered
+		return r.now-s.lastResponseAt > maxAliveAge || s.lastFailureAt > s.lastResponseAt
 	}
-	return r.seen-s.since > flapFor || s.since-s.answered > aliveBefore || s.failed >= s.since
+	return r.now-s.stateSince > flapWindow || s.stateSince-s.lastResponseAt > maxAliveAge || s.lastFailureAt >= s.stateSince
 }
 
 // doubtRegistry holds the last list when most of it has vanished together; and gives up those that stay away once most of
 // the others are listed again.
-func (r *Set) doubtRegistry(named map[string]bool) {
+func (r *Set) detectMassRemoval(named map[string]bool) {
 	missing, used := 0, 0
 	for _, s := range r.servers {
 		switch s.state {
 		case StateMissing:
-			if r.seen-s.since <= mostWithin {
+			if r.now-s.stateSince <= massRemovalWindow {
 				missing++
 			}
 			used++
@@ -195,33 +195,33 @@
 			used++
 		}
 	}
-	most := missing >= mostLeast && float64(missing) > mostShare*float64(used)
-	for _, id := range r.ids() {
+	most := missing >= minMassRemoval && float64(missing) > massRemovalShare*float64(used)
+	for _, id := range r.sortedIDs() {
 		s := r.servers[id]
 		switch {
-		case most && s.state == StateMissing && r.seen-s.since <= mostWithin && s.failed < s.since:
-			r.step(s, vanished)
+		case most && s.state == StateMissing && r.now-s.stateSince <= massRemovalWindow && s.lastFailureAt < s.stateSince:
+			r.step(s, massRemoved)
 		case !most && s.state == StateRetained && !named[id]:
-			r.step(s, unlisted)
+			r.step(s, entryRemoved)
 		}
 	}
-	r.heldNow = most
+	r.massRemovalSuspected = most
 }
 
 // IsMassRemovalSuspected tells that most servers have vanished from the registry together, and that the last list holds.
-func (r *Set) IsMassRemovalSuspected() bool { return r.heldNow }
+func (r *Set) IsMassRemovalSuspected() bool { return r.massRemovalSuspected }
 
 // ConnectFailed tells that an operation found no connection to a server.
 func (r *Set) ConnectFailed(now time.Duration, id string) []incarnation.Entry {
 	r.begin(now)
 	if s := r.servers[id]; s != nil {
-		if now-s.failed > failsWithin || s.answered > s.failed {
-			s.fails = 0
+		if now-s.lastFailureAt > connectFailureWindow || s.lastResponseAt > s.lastFailureAt {
+			s.consecutiveFailures = 0
 		}
-		s.failed = now
-		if s.fails++; s.fails >= failsLeast {
-			r.step(s, fails)
-			s.fails = 0
+		s.lastFailureAt = now
+		if s.consecutiveFailures++; s.consecutiveFailures >= minConnectFailures {
+			r.step(s, connectFailed)
+			s.consecutiveFailures = 0
 		}
 	}
 	return r.end()
@@ -231,11 +231,11 @@
 func (r *Set) ResponseReceived(now time.Duration, id string) []incarnation.Entry {
 	r.begin(now)
 	if s := r.servers[id]; s != nil {
-		s.answered, s.fails = now, 0
+		s.lastResponseAt, s.consecutiveFailures = now, 0
 		if s.state == StatePresent {
-			s.doubts = 0
+			s.suspicionCount = 0
 		}
-		r.step(s, answers)
+		r.step(s, responseReceived)
 	}
 	return r.end()
 }
@@ -243,14 +243,14 @@
 // Tick looks at what time changes.
 func (r *Set) Tick(now time.Duration) []incarnation.Entry {
 	r.begin(now)
-	for _, id := range r.ids() {
+	for _, id := range r.sortedIDs() {
 		s := r.servers[id]
-		limit := flapFor
+		limit := flapWindow
 		if s.state == StateSuspected {
-			limit = min(doubtFirst<<min(s.doubts-1, 10), doubtMost)
+			limit = min(initialSuspicion<<min(s.suspicionCount-1, 10), maxSuspicion)
 		}
-		if (s.state == StateMissing || s.state == StateSuspected) && now-s.since >= limit {
-			r.step(s, timeUp)
+		if (s.state == StateMissing || s.state == StateSuspected) && now-s.stateSince >= limit {
+			r.step(s, timerExpired)
 		}
 		if s.state == StateAbsent {
 			delete(r.servers, id)
@@ -259,50 +259,50 @@
 	return r.end()
 }
 
-func (r *Set) begin(now time.Duration) { r.seen, r.changed = now, nil }
+func (r *Set) begin(now time.Duration) { r.now, r.changed = now, nil }
 
 func (r *Set) end() []incarnation.Entry { return r.changed }
 
 func (r *Set) step(s *server, in input) {
-	m := moves[s.state][in]
+	m := transitions[s.state][in]
 	if m.next != s.state {
-		s.state, s.since = m.next, r.seen
+		s.state, s.stateSince = m.next, r.now
 		if m.next == StateSuspected {
-			s.doubts++
+			s.suspicionCount++
 		}
 	}
-	r.tell(s, m.do)
+	r.announce(s, m.effect)
 }
 
-func (r *Set) tell(s *server, do effect) {
-	if do == nothing {
+func (r *Set) announce(s *server, do effect) {
+	if do == noEffect {
 		return
 	}
-	l, e := &s.listed, &s.life
+	l, e := &s.listed, &s.announced
 	r.revision++
 	up, turn := e.StartedUnixMS, e.Generation
 	switch do {
-	case tellNew:
+	case announceNewIncarnation:
 		up, turn = max(cmp.Or(l.StartedUnixMS, l.CreatedUnixMS), e.StartedUnixMS), 0
 		if e.ID != "" && up == e.StartedUnixMS { // two lives within a millisecond, or by clocks that differ
 			up++
 		}
-	case tellBack:
+	case announceReinstated:
 		if e.Condition != incarnation.Up {
 			turn++
 		}
 	}
 	*e = incarnation.Entry{ID: l.ID, StartedUnixMS: up, Generation: turn, Revision: r.revision, Address: l.Address, Zone: l.Zone, MachineKind: l.MachineKind, Cell: l.Cell, Weight: l.Weight}
 	switch do {
-	case tellDraining:
+	case announceDraining:
 		e.Condition = incarnation.Draining
-	case tellGone:
+	case announceGone:
 		e.Condition = incarnation.Gone
 	}
 	r.changed = append(r.changed, *e)
 }
 
-func (r *Set) ids() []string { return slices.Sorted(maps.Keys(r.servers)) }
+func (r *Set) sortedIDs() []string { return slices.Sorted(maps.Keys(r.servers)) }
 
 // State of a server, for those who look.
 func (r *Set) State(id string) State {
--- a/internal/discovery/endpoints/roster_test.go
+++ b/internal/discovery/endpoints/roster_test.go
@@ -203,7 +203,7 @@
 				state[id], draining[id] = l, true
 			}
 		case "fails":
-			for range failsLeast {
+			for range minConnectFailures {
 				v.take(r.ConnectFailed(now, id))
 			}
 		case "answer":
--- a/internal/discovery/incarnation/life.go
+++ b/internal/discovery/incarnation/life.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	tombstoneFor = 10 * time.Minute // how long a server that has gone is remembered; a planner away for longer is new
-	entriesMost  = 8192             // of a table; more are not taken in, whatever a peer says
+	tombstoneRetention = 10 * time.Minute // how long a server that has gone is remembered; a planner away for longer is new
+	maxEntries         = 8192             // of a table; more are not taken in, whatever a peer says
 )
 
 // Entry is what is known of one server. The order of entries is that of their fields from Up to Revision, and then any.
@@ -56,12 +56,14 @@
 
 // Table is what one planner or forwarder knows of all servers.
 type Table struct {
-	entries map[string]Entry
-	gone    map[string]time.Duration // since when
+	entries   map[string]Entry
+	goneSince map[string]time.Duration // since when
 }
 
 // NewTable knows nothing.
-func NewTable() *Table { return &Table{entries: map[string]Entry{}, gone: map[string]time.Duration{}} }
+func NewTable() *Table {
+	return &Table{entries: map[string]Entry{}, goneSince: map[string]time.Duration{}}
+}
 
 // Get finds an entry.
 func (t *Table) Get(id string) (Entry, bool) {
@@ -76,15 +78,15 @@
 func (t *Table) Join(now time.Duration, entries []Entry) (changed []Entry) {
 	for _, e := range entries {
 		was, known := t.entries[e.ID]
-		if !known && len(t.entries) >= entriesMost || known && Compare(was, e) >= 0 {
+		if !known && len(t.entries) >= maxEntries || known && Compare(was, e) >= 0 {
 			continue
 		}
 		if t.entries[e.ID] = e; e.Condition == Gone {
-			if _, ok := t.gone[e.ID]; !ok {
-				t.gone[e.ID] = now
+			if _, ok := t.goneSince[e.ID]; !ok {
+				t.goneSince[e.ID] = now
 			}
 		} else {
-			delete(t.gone, e.ID)
+			delete(t.goneSince, e.ID)
 		}
 		changed = append(changed, e)
 	}
@@ -113,7 +115,7 @@
 		heard = append(heard, e)
 	}
 	if whole {
-		for _, id := range t.ids() {
+		for _, id := range t.sortedIDs() {
 			if e := t.entries[id]; !named[id] && e.Condition != Gone && e.Revision <= revision {
 				e.Condition, e.Revision = Gone, revision
 				heard = append(heard, e)
@@ -125,7 +127,7 @@
 
 // NewerThan are the entries, most at most, in which this table is ahead of what another was seen to hold.
 func (t *Table) NewerThan(other map[string]Entry, most int) (above []Entry) {
-	for _, id := range t.ids() {
+	for _, id := range t.sortedIDs() {
 		e := t.entries[id]
 		if o, ok := other[id]; ok && Compare(e, o) <= 0 || !ok && e.Condition == Gone {
 			continue
@@ -140,7 +142,7 @@
 // All are the entries in the order of their ids.
 func (t *Table) All() []Entry {
 	all := make([]Entry, 0, len(t.entries))
-	for _, id := range t.ids() {
+	for _, id := range t.sortedIDs() {
 		all = append(all, t.entries[id])
 	}
 	return all
@@ -148,15 +150,15 @@
 
 // ExpireTombstones lets go of servers that have been gone for long.
 func (t *Table) ExpireTombstones(now time.Duration) {
-	for id, since := range t.gone {
-		if now-since > tombstoneFor {
-			delete(t.gone, id)
+	for id, since := range t.goneSince {
+		if now-since > tombstoneRetention {
+			delete(t.goneSince, id)
 			delete(t.entries, id)
 		}
 	}
 }
 
-func (t *Table) ids() []string {
+func (t *Table) sortedIDs() []string {
 	ids := make([]string, 0, len(t.entries))
 	for id := range t.entries {
 		ids = append(ids, id)
--- a/internal/discovery/incarnation/life_test.go
+++ b/internal/discovery/incarnation/life_test.go
@@ -79,13 +79,13 @@
 // A peer that says endless ids fills no memory, and what has gone is forgotten in time.
 func TestBounds(t *testing.T) {
 	table := NewTable()
-	for i := range 2 * entriesMost {
+	for i := range 2 * maxEntries {
 		table.Join(0, []Entry{{ID: fmt.Sprint(i), Condition: Gone}})
 	}
-	if table.Len() != entriesMost {
+	if table.Len() != maxEntries {
 		t.Errorf("%d entries", table.Len())
 	}
-	if table.ExpireTombstones(tombstoneFor + time.Second); table.Len() != 0 {
+	if table.ExpireTombstones(tombstoneRetention + time.Second); table.Len() != 0 {
 		t.Errorf("%d are remembered", table.Len())
 	}
 }
--- a/internal/discovery/snapshot/snapshot.go
+++ b/internal/discovery/snapshot/snapshot.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	magic       = "FVLIST"
-	version     = 1
-	headLen     = len(magic) + 2 + 4 + 4
-	bodyMost    = 16 << 20 // bytes
-	serversMost = 10_000
+	magic        = "FVLIST"
+	version      = 1
+	headerBytes  = len(magic) + 2 + 4 + 4
+	maxBodyBytes = 16 << 20 // bytes
+	maxServers   = 10_000
 )
 
 // Snapshot is a list of servers with what is known of its age. Times are Unix time in ms by the node's clock.
@@ -55,8 +55,8 @@
 
 // Encode writes one.
 func Encode(s *Snapshot) ([]byte, error) {
-	if len(s.Servers) > serversMost {
-		return nil, fmt.Errorf("%d servers: %d at most", len(s.Servers), serversMost)
+	if len(s.Servers) > maxServers {
+		return nil, fmt.Errorf("%d servers: %d at most", len(s.Servers), maxServers)
 	}
 	body, err := cbor.Marshal(s)
 	if err != nil {
@@ -75,8 +75,8 @@
 	return crc32.Update(crc32.Update(0, castagnoli, head), castagnoli, body)
 }
 
-var modes = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: serversMost, MaxNestedLevels: 4, MaxMapPairs: 16}.DecMode()
+var decodeMode = func() cbor.DecMode {
+	m, err := cbor.DecOptions{MaxArrayElements: maxServers, MaxNestedLevels: 4, MaxMapPairs: 16}.DecMode()
 	if err != nil {
 		panic(err) // options of this file
 	}
@@ -85,7 +85,7 @@
 
 // Decode reads one.
 func Decode(b []byte) (*Snapshot, error) {
-	if len(b) < headLen || string(b[:len(magic)]) != magic {
+	if len(b) < headerBytes || string(b[:len(magic)]) != magic {
 		return nil, ErrCorrupt
 	}
 	if v := binary.BigEndian.Uint16(b[len(magic):]); v > version {
@@ -93,13 +93,13 @@
 	} else if v == 0 {
 		return nil, ErrCorrupt
 	}
-	head, body := b[:headLen-4], b[headLen:]
-	if n := binary.LittleEndian.Uint32(head[len(head)-4:]); n > bodyMost || int(n) != len(body) ||
-		checksum(head, body) != binary.LittleEndian.Uint32(b[headLen-4:]) {
+	head, body := b[:headerBytes-4], b[headerBytes:]
+	if n := binary.LittleEndian.Uint32(head[len(head)-4:]); n > maxBodyBytes || int(n) != len(body) ||
+		checksum(head, body) != binary.LittleEndian.Uint32(b[headerBytes-4:]) {
 		return nil, ErrCorrupt
 	}
 	s := &Snapshot{}
-	if err := modes.Unmarshal(body, s); err != nil {
+	if err := decodeMode.Unmarshal(body, s); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
 	seen := make(map[string]bool, len(s.Servers))
--- a/internal/discovery/snapshot/snapshot_test.go
+++ b/internal/discovery/snapshot/snapshot_test.go
@@ -45,7 +45,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := Encode(&Snapshot{Servers: make([]Server, serversMost+1)}); err == nil {
+	if _, err := Encode(&Snapshot{Servers: make([]Server, maxServers+1)}); err == nil {
 		t.Error("too many servers are taken")
 	}
 }
--- a/internal/discovery/snapshot/store.go
+++ b/internal/discovery/snapshot/store.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	prefix  = "list-"
-	suffix  = ".snap"
-	partial = ".new"
+	filePrefix    = "list-"
+	fileSuffix    = ".snap"
+	partialSuffix = ".new"
 )
 
 // Store is a folder with generations.
 type Store struct {
-	dir   string
-	files wal.FileSystem
-	keep  int
-	next  uint64
+	dir            string
+	files          wal.FileSystem
+	maxGenerations int
+	nextNumber     uint64
 }
 
 // Generation is a file of a folder.
@@ -36,13 +36,13 @@
 
 // Open looks at a folder.
 func Open(dir string, keep int, files wal.FileSystem) (*Store, error) {
-	s := &Store{dir: dir, files: files, keep: max(keep, 1), next: 1}
+	s := &Store{dir: dir, files: files, maxGenerations: max(keep, 1), nextNumber: 1}
 	numbers, err := s.numbers()
 	if err != nil {
 		return nil, err
 	}
 	if n := len(numbers); n > 0 {
-		s.next = numbers[n-1] + 1
+		s.nextNumber = numbers[n-1] + 1
 	}
 	return s, nil
 }
@@ -54,8 +54,8 @@
 		return nil, err
 	}
 	for _, i := range infos {
-		text, ok := strings.CutPrefix(i.Name, prefix)
-		text, whole := strings.CutSuffix(text, suffix)
+		text, ok := strings.CutPrefix(i.Name, filePrefix)
+		text, whole := strings.CutSuffix(text, fileSuffix)
 		if n, err := strconv.ParseUint(text, 10, 64); ok && whole && err == nil {
 			all = append(all, n)
 		}
@@ -65,7 +65,7 @@
 }
 
 func (s *Store) path(n uint64) string {
-	return filepath.Join(s.dir, fmt.Sprintf("%s%012d%s", prefix, n, suffix))
+	return filepath.Join(s.dir, fmt.Sprintf("%s%012d%s", filePrefix, n, fileSuffix))
 }
 
 // Write makes the next generation: a file of its own, made to last before it gets its name, and the name before older
@@ -75,10 +75,10 @@
 	if err != nil {
 		return err
 	}
-	n := s.next
-	s.next++
+	n := s.nextNumber
+	s.nextNumber++
 	path := s.path(n)
-	f, err := s.files.Create(path + partial)
+	f, err := s.files.Create(path + partialSuffix)
 	if err != nil {
 		return err
 	}
@@ -87,16 +87,16 @@
 		err = f.Sync()
 	}
 	if err = errors.Join(err, f.Close()); err == nil {
-		err = s.files.Rename(path+partial, path)
+		err = s.files.Rename(path+partialSuffix, path)
 	}
 	if err != nil {
-		s.files.Remove(path + partial)
+		s.files.Remove(path + partialSuffix)
 		return err
 	}
 	if err := s.files.SyncDir(s.dir); err != nil {
 		return err
 	}
-	return s.Prune(s.keep)
+	return s.Prune(s.maxGenerations)
 }
 
 // Prune removes all but the newest generations, and what broke off before it had its name.
@@ -107,7 +107,7 @@
 	}
 	var errs error
 	for _, i := range infos {
-		if strings.HasPrefix(i.Name, prefix) && strings.HasSuffix(i.Name, suffix+partial) {
+		if strings.HasPrefix(i.Name, filePrefix) && strings.HasSuffix(i.Name, fileSuffix+partialSuffix) {
 			errs = errors.Join(errs, s.files.Remove(filepath.Join(s.dir, i.Name)))
 		}
 	}
@@ -160,7 +160,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	b, err := io.ReadAll(io.LimitReader(f, int64(headLen+bodyMost+1)))
+	b, err := io.ReadAll(io.LimitReader(f, int64(headerBytes+maxBodyBytes+1)))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/discovery/staleness/trust.go
+++ b/internal/discovery/staleness/trust.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	clockSlack  = 5 * time.Second // that clocks may differ; a list from further ahead says that one was set back
-	failsLeast  = 2               // hops in a row that find nobody, before a server that has served is doubted
-	doubtFirst  = 1 * time.Second // until one that was doubted is tried again; doubles
-	doubtMost   = 30 * time.Second
-	trialsFirst = 1 // that are always allowed
+	maxClockSkew       = 5 * time.Second // that clocks may differ; a list from further ahead says that one was set back
+	minConnectFailures = 2               // hops in a row that find nobody, before a server that has served is doubted
+	initialSuspicion   = 1 * time.Second // until one that was doubted is tried again; doubles
+	maxSuspicion       = 30 * time.Second
+	minTrials          = 1 // that are always allowed
 )
 
 // CachedList is what a kept list says of itself.
@@ -33,36 +33,36 @@
 }
 
 // grade of suspicion, by the age of the list.
-type grade struct {
-	upTo  time.Duration
-	part  float64 // of the servers that may be on trial at once ...
-	least int     // ... and so many at least
-	more  int     // trials for each that has shown that it serves
+type level struct {
+	maxAge          time.Duration
+	trialShare      float64 // of the servers that may be on trial at once ...
+	minTrials       int     // ... and so many at least
+	trialsPerProven int     // trials for each that has shown that it serves
 }
 
 // grades from none to the greatest. A running node goes on with its list for some seconds when its source fails; after
 // minutes a part of a fleet may have been replaced; after hours, most.
-var grades = []grade{
-	{upTo: 10 * time.Second, part: 1, least: 1, more: 1},
-	{upTo: 2 * time.Minute, part: 0.5, least: 4, more: 2},
-	{upTo: 20 * time.Minute, part: 0.25, least: 3, more: 2},
-	{upTo: 6 * time.Hour, part: 0.1, least: 2, more: 1},
-	{upTo: math.MaxInt64, part: 0.05, least: 1, more: 1},
+var levels = []level{
+	{maxAge: 10 * time.Second, trialShare: 1, minTrials: 1, trialsPerProven: 1},
+	{maxAge: 2 * time.Minute, trialShare: 0.5, minTrials: 4, trialsPerProven: 2},
+	{maxAge: 20 * time.Minute, trialShare: 0.25, minTrials: 3, trialsPerProven: 2},
+	{maxAge: 6 * time.Hour, trialShare: 0.1, minTrials: 2, trialsPerProven: 1},
+	{maxAge: math.MaxInt64, trialShare: 0.05, minTrials: 1, trialsPerProven: 1},
 }
 
 // LevelCount is how many there are.
-var LevelCount = len(grades)
+var LevelCount = len(levels)
 
 // Level is how suspicious a list is, from 0: after a crash, one more than its age says; from ahead, the most.
 func (k CachedList) Level() int {
-	if k.Age < -clockSlack {
-		return len(grades) - 1
+	if k.Age < -maxClockSkew {
+		return len(levels) - 1
 	}
-	g := slices.IndexFunc(grades, func(g grade) bool { return k.Age <= g.upTo })
+	g := slices.IndexFunc(levels, func(g level) bool { return k.Age <= g.maxAge })
 	if !k.IsCleanShutdown {
 		g++
 	}
-	return min(g, len(grades)-1)
+	return min(g, len(levels)-1)
 }
 
 // Status of a server.
@@ -74,63 +74,63 @@
 	Proven                  // has served since the start
 	Suspected               // found to be away; tried again later
 	Excluded                // told to drain or gone before the start, or another server answers there
-	standings
+	statusCount
 )
 
 type input uint8
 
 const (
-	offered    input = iota // its turn has come
-	served                  // it has run something and answered
-	turnedAway              // it answers, but takes nothing: it may drain
-	away                    // nobody is there
-	another                 // another server is there
-	timeUp
-	inputs
+	trialOffered    input = iota // its turn has come
+	requestExecuted              // it has run something and answered
+	requestRejected              // it answers, but takes nothing: it may drain
+	connectFailed                // nobody is there
+	wrongServer                  // another server is there
+	timerExpired
+	inputCount
 )
 
-type move struct {
-	next   Status
-	charge int // to the number of trials: what is won or lost
+type transition struct {
+	next        Status
+	trialChange int // to the number of trials: what is won or lost
 }
 
-var moves = [standings][inputs]move{
-	Untried:   {offered: {OnTrial, 0}, served: {Untried, 0}, turnedAway: {Untried, 0}, away: {Untried, 0}, another: {Excluded, 0}, timeUp: {Untried, 0}},
-	OnTrial:   {offered: {OnTrial, 0}, served: {Proven, 1}, turnedAway: {OnTrial, 0}, away: {Suspected, -1}, another: {Excluded, -1}, timeUp: {OnTrial, 0}},
-	Proven:    {offered: {Proven, 0}, served: {Proven, 0}, turnedAway: {Proven, 0}, away: {Suspected, 0}, another: {Excluded, -1}, timeUp: {Proven, 0}},
-	Suspected: {offered: {Suspected, 0}, served: {Suspected, 0}, turnedAway: {Suspected, 0}, away: {Suspected, 0}, another: {Excluded, 0}, timeUp: {Untried, 0}},
-	Excluded:  {offered: {Excluded, 0}, served: {Excluded, 0}, turnedAway: {Excluded, 0}, away: {Excluded, 0}, another: {Excluded, 0}, timeUp: {Excluded, 0}},
+var transitions = [statusCount][inputCount]transition{
+	Untried:   {trialOffered: {OnTrial, 0}, requestExecuted: {Untried, 0}, requestRejected: {Untried, 0}, connectFailed: {Untried, 0}, wrongServer: {Excluded, 0}, timerExpired: {Untried, 0}},
+	OnTrial:   {trialOffered: {OnTrial, 0}, requestExecuted: {Proven, 1}, requestRejected: {OnTrial, 0}, connectFailed: {Suspected, -1}, wrongServer: {Excluded, -1}, timerExpired: {OnTrial, 0}},
+	Proven:    {trialOffered: {Proven, 0}, requestExecuted: {Proven, 0}, requestRejected: {Proven, 0}, connectFailed: {Suspected, 0}, wrongServer: {Excluded, -1}, timerExpired: {Proven, 0}},
+	Suspected: {trialOffered: {Suspected, 0}, requestExecuted: {Suspected, 0}, requestRejected: {Suspected, 0}, connectFailed: {Suspected, 0}, wrongServer: {Excluded, 0}, timerExpired: {Untried, 0}},
+	Excluded:  {trialOffered: {Excluded, 0}, requestExecuted: {Excluded, 0}, requestRejected: {Excluded, 0}, connectFailed: {Excluded, 0}, wrongServer: {Excluded, 0}, timerExpired: {Excluded, 0}},
 }
 
 type server struct {
 	Server
-	standing Status
-	order    uint32 // of trials, by chance of the node's own
-	since    time.Duration
-	fails    int
-	doubts   int
+	status              Status
+	trialOrder          uint32 // of trials, by chance of the node's own
+	statusSince         time.Duration
+	consecutiveFailures int
+	suspicionCount      int
 }
 
 // Evaluator is one node's, for one kept list.
 type Evaluator struct {
-	grade   grade
-	level   int
-	servers map[string]*server
-	order   []*server
-	trials  int // that may go on at once
-	changed bool
+	level      level
+	levelIndex int
+	servers    map[string]*server
+	order      []*server
+	maxTrials  int // that may go on at once
+	changed    bool
 }
 
 // New judges a kept list. The order of trials differs by node, so that a tier which starts together on one list does not
 // fall on the same servers first.
 func New(k CachedList, node string, all []Server) *Evaluator {
-	t := &Evaluator{level: k.Level(), servers: map[string]*server{}, changed: true}
-	t.grade = grades[t.level]
+	t := &Evaluator{levelIndex: k.Level(), servers: map[string]*server{}, changed: true}
+	t.level = levels[t.levelIndex]
 	up := 0
 	for _, s := range all {
-		one := &server{Server: s, order: crc32.ChecksumIEEE([]byte(node + "/" + s.ID))}
+		one := &server{Server: s, trialOrder: crc32.ChecksumIEEE([]byte(node + "/" + s.ID))}
 		if !s.IsUp {
-			one.standing = Excluded
+			one.status = Excluded
 		} else {
 			up++
 		}
@@ -138,14 +138,14 @@
 		t.order = append(t.order, one)
 	}
 	slices.SortFunc(t.order, func(a, b *server) int {
-		return cmp.Or(cmp.Compare(served01(b), served01(a)), cmp.Compare(a.order, b.order), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(executedRank(b), executedRank(a)), cmp.Compare(a.trialOrder, b.trialOrder), cmp.Compare(a.ID, b.ID))
 	})
-	t.trials = max(t.grade.least, int(math.Ceil(t.grade.part*float64(up))))
-	t.offer(0)
+	t.maxTrials = max(t.level.minTrials, int(math.Ceil(t.level.trialShare*float64(up))))
+	t.startTrials(0)
 	return t
 }
 
-func served01(s *server) int {
+func executedRank(s *server) int {
 	if s.HasExecuted {
 		return 1
 	}
@@ -153,13 +153,13 @@
 }
 
 // Level is the list's.
-func (t *Evaluator) Level() int { return t.level }
+func (t *Evaluator) Level() int { return t.levelIndex }
 
 // RequestExecuted tells that a server has run something and answered.
-func (t *Evaluator) RequestExecuted(now time.Duration, id string) { t.step(now, id, served) }
+func (t *Evaluator) RequestExecuted(now time.Duration, id string) { t.step(now, id, requestExecuted) }
 
 // RequestRejected tells that one answers and takes nothing: that it is there is no proof that it does not drain.
-func (t *Evaluator) RequestRejected(now time.Duration, id string) { t.step(now, id, turnedAway) }
+func (t *Evaluator) RequestRejected(now time.Duration, id string) { t.step(now, id, requestRejected) }
 
 // ConnectFailed tells that a hop found nobody there.
 func (t *Evaluator) ConnectFailed(now time.Duration, id string) {
@@ -167,23 +167,23 @@
 	if s == nil {
 		return
 	}
-	if s.fails++; s.standing == Proven && s.fails < failsLeast {
+	if s.consecutiveFailures++; s.status == Proven && s.consecutiveFailures < minConnectFailures {
 		return
 	}
-	t.step(now, id, away)
+	t.step(now, id, connectFailed)
 }
 
 // WrongServer tells that another server answers at its address.
-func (t *Evaluator) WrongServer(now time.Duration, id string) { t.step(now, id, another) }
+func (t *Evaluator) WrongServer(now time.Duration, id string) { t.step(now, id, wrongServer) }
 
 // Tick looks at what time changes.
 func (t *Evaluator) Tick(now time.Duration) {
 	for _, s := range t.order {
-		if s.standing == Suspected && now-s.since >= min(doubtFirst<<min(s.doubts-1, 10), doubtMost) {
-			t.move(now, s, timeUp)
+		if s.status == Suspected && now-s.statusSince >= min(initialSuspicion<<min(s.suspicionCount-1, 10), maxSuspicion) {
+			t.apply(now, s, timerExpired)
 		}
 	}
-	t.offer(now)
+	t.startTrials(now)
 }
 
 func (t *Evaluator) step(now time.Duration, id string, in input) {
@@ -191,42 +191,42 @@
 	if s == nil {
 		return
 	}
-	if in == served {
-		s.fails = 0
+	if in == requestExecuted {
+		s.consecutiveFailures = 0
 	}
-	t.move(now, s, in)
-	t.offer(now)
+	t.apply(now, s, in)
+	t.startTrials(now)
 }
 
-func (t *Evaluator) move(now time.Duration, s *server, in input) {
-	m := moves[s.standing][in]
+func (t *Evaluator) apply(now time.Duration, s *server, in input) {
+	m := transitions[s.status][in]
 	switch {
-	case m.charge > 0:
-		t.trials += t.grade.more
-	case m.charge < 0:
-		t.trials = max(t.trials-1, trialsFirst)
+	case m.trialChange > 0:
+		t.maxTrials += t.level.trialsPerProven
+	case m.trialChange < 0:
+		t.maxTrials = max(t.maxTrials-1, minTrials)
 	}
-	if m.next != s.standing {
+	if m.next != s.status {
 		if m.next == Suspected {
-			s.doubts++
-			s.fails = 0
+			s.suspicionCount++
+			s.consecutiveFailures = 0
 		}
-		s.standing, s.since, t.changed = m.next, now, true
+		s.status, s.statusSince, t.changed = m.next, now, true
 	}
 }
 
 // offer gives turns while there are trials left. One that was doubted comes behind those that were not tried.
-func (t *Evaluator) offer(now time.Duration) {
+func (t *Evaluator) startTrials(now time.Duration) {
 	on := 0
 	for _, s := range t.order {
-		if s.standing == OnTrial {
+		if s.status == OnTrial {
 			on++
 		}
 	}
 	for _, again := range []bool{false, true} {
 		for _, s := range t.order {
-			if on < t.trials && s.standing == Untried && (s.doubts > 0) == again {
-				t.move(now, s, offered)
+			if on < t.maxTrials && s.status == Untried && (s.suspicionCount > 0) == again {
+				t.apply(now, s, trialOffered)
 				on++
 			}
 		}
@@ -242,8 +242,8 @@
 // Usable is what may be used, by id, and whether that has changed since it was asked for last.
 func (t *Evaluator) Usable() (all []UsableServer, changed bool) {
 	for _, s := range t.order {
-		if s.standing == OnTrial || s.standing == Proven {
-			all = append(all, UsableServer{s.ID, s.standing == Proven})
+		if s.status == OnTrial || s.status == Proven {
+			all = append(all, UsableServer{s.ID, s.status == Proven})
 		}
 	}
 	slices.SortFunc(all, func(a, b UsableServer) int { return cmp.Compare(a.ID, b.ID) })
@@ -252,9 +252,9 @@
 }
 
 // CountByStatus tells how many stand how, for those who look.
-func (t *Evaluator) CountByStatus() (by [standings]int) {
+func (t *Evaluator) CountByStatus() (by [statusCount]int) {
 	for _, s := range t.order {
-		by[s.standing]++
+		by[s.status]++
 	}
 	return by
 }
@@ -262,7 +262,7 @@
 // Status of a server.
 func (t *Evaluator) Status(id string) Status {
 	if s := t.servers[id]; s != nil {
-		return s.standing
+		return s.status
 	}
 	return Excluded
 }
--- a/internal/discovery/staleness/trust_test.go
+++ b/internal/discovery/staleness/trust_test.go
@@ -119,7 +119,7 @@
 		age := time.Duration(rapid.Int64Range(-1e12, 1e15).Draw(t, "age"))
 		tr, now := New(CachedList{age, rapid.Bool().Draw(t, "clean")}, "n", all), time.Duration(0)
 		ran, excluded := map[string]bool{}, map[string]bool{}
-		most := tr.trials // that were ever allowed
+		most := tr.maxTrials // that were ever allowed
 		for _, s := range all {
 			excluded[s.ID] = !s.IsUp
 		}
@@ -152,8 +152,8 @@
 					on++
 				}
 			}
-			if most = max(most, tr.trials); on > most || tr.trials < trialsFirst {
-				t.Fatalf("%d on trial, %d are allowed", on, tr.trials)
+			if most = max(most, tr.maxTrials); on > most || tr.maxTrials < minTrials {
+				t.Fatalf("%d on trial, %d are allowed", on, tr.maxTrials)
 			}
 		}
 		for range 200 {
--- a/internal/discovery/watch/follow.go
+++ b/internal/discovery/watch/follow.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	askFirst = 250 * time.Millisecond // after the first call that failed; doubles, for discovery has little capacity
-	askMost  = 4 * time.Second        // between two tries to reach it
+	initialRetryDelay = 250 * time.Millisecond // after the first call that failed; doubles, for discovery has little capacity
+	maxRetryDelay     = 4 * time.Second        // between two tries to reach it
 )
 
 // Listener is told what following discovery brings. Its functions are called one after another.
@@ -24,7 +24,7 @@
 func Follow(ctx context.Context, place *Target, tell Listener) {
 	w := Watcher{Target: place, WantsFullList: true}
 	defer w.Close()
-	for wait := askFirst; ctx.Err() == nil; {
+	for wait := initialRetryDelay; ctx.Err() == nil; {
 		began := time.Now()
 		list, err := w.Poll(ctx)
 		if ctx.Err() != nil {
@@ -32,22 +32,22 @@
 		}
 		if err != nil {
 			tell.OnError(err)
-			pause(ctx, time.Duration((0.5+rand.Float64())*float64(wait)))
-			wait = min(2*wait, askMost)
+			sleep(ctx, time.Duration((0.5+rand.Float64())*float64(wait)))
+			wait = min(2*wait, maxRetryDelay)
 			continue
 		}
-		wait = askFirst
+		wait = initialRetryDelay
 		if !list.Complete && list.Revision < w.Revision { // it counts from elsewhere now
 			w.WantsFullList = true
 			continue
 		}
 		w.WantsFullList, w.Revision = false, list.Revision
 		tell.OnList(list)
-		pause(ctx, MinPollInterval-time.Since(began))
+		sleep(ctx, MinPollInterval-time.Since(began))
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(max(d, 0))
 	defer t.Stop()
 	select {
--- a/internal/discovery/watch/watch.go
+++ b/internal/discovery/watch/watch.go
@@ -16,13 +16,13 @@
 	// A silent connection is noticed when an answer is overdue, and what discovery had to tell counts as told 6 s after it
 	// fell silent: a short wait finds out sooner, with time left for another connection, and going on with a watch costs
 	// discovery no call. A new call waits in discovery's queue, so the answer to it is not waited for beyond that.
-	wait        = 2 * time.Second
-	slack       = 1500 * time.Millisecond // beyond the wait, for an answer to a watch that goes on
-	firstWait   = 100 * time.Millisecond  // of a call on a new connection
-	queueSlack  = 4 * time.Second         // beyond it
-	leaveMost   = 300 * time.Millisecond  // after another address was named, for what this one is just telling
-	dialMost    = time.Second             // for a connection to discovery
-	longestList = 1 << 20                 // bytes
+	pollWait            = 2 * time.Second
+	responseSlack       = 1500 * time.Millisecond // beyond the wait, for an answer to a watch that goes on
+	firstPollWait       = 100 * time.Millisecond  // of a call on a new connection
+	queuedResponseSlack = 4 * time.Second         // beyond it
+	replacedSlack       = 300 * time.Millisecond  // after another address was named, for what this one is just telling
+	dialTimeout         = time.Second             // for a connection to discovery
+	maxListBytes        = 1 << 20                 // bytes
 
 	// Pace is the least time between two calls; a watch must be renewed within 200 ms.
 	MinPollInterval = 25 * time.Millisecond
@@ -33,7 +33,7 @@
 // (firstWait and queueSlack, the connect included: 4.1 s), the module pauses (fleet.askPauseMost: 1.125 s with its spread),
 // and 0.75 s are left for the call that is answered. A refused call costs its pause only, so there are at least four in 6 s.
 
-var past = time.Unix(1, 0) // a deadline that ends what is under way
+var pastDeadline = time.Unix(1, 0) // a deadline that ends what is under way
 
 // Target is an address of discovery; Left is done when another has been named.
 type Target struct {
@@ -68,14 +68,14 @@
 }
 
 // patience is how long discovery may wait with its answer, and how long beyond that it is waited for.
-func (w *Watcher) patience() (time.Duration, time.Duration) {
+func (w *Watcher) timeouts() (time.Duration, time.Duration) {
 	switch {
 	case w.conn != nil:
-		return wait, slack
+		return pollWait, responseSlack
 	case w.IsPushed:
-		return firstWait, slack
+		return firstPollWait, responseSlack
 	}
-	return firstWait, queueSlack
+	return firstPollWait, queuedResponseSlack
 }
 
 // Poll waits for changes; the first call on a new connection hardly does, so as to learn soon whether it is silent, and at
@@ -84,10 +84,10 @@
 	if w.conn != nil && !w.conn.IsIdle() {
 		w.Close()
 	}
-	wait, slack := w.patience()
+	wait, slack := w.timeouts()
 	by := time.Now().Add(wait + slack) // the connect is part of it
 	if w.conn == nil {
-		d := net.Dialer{Timeout: dialMost}
+		d := net.Dialer{Timeout: dialTimeout}
 		dialing, cancel := context.WithCancel(ctx)
 		defer cancel()
 		defer context.AfterFunc(w.Target.Replaced, cancel)()
@@ -99,9 +99,9 @@
 	}
 	conn := w.conn
 	conn.SetDeadline(by)
-	defer context.AfterFunc(ctx, func() { conn.SetDeadline(past) })()
-	defer context.AfterFunc(w.Target.Replaced, func() { conn.SetDeadline(time.Now().Add(leaveMost)) })()
-	list, again, err := ask(conn, w.Target.Address.String(), http1.EndpointListCall{Whole: w.WantsFullList, After: w.Revision, Wait: wait})
+	defer context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })()
+	defer context.AfterFunc(w.Target.Replaced, func() { conn.SetDeadline(time.Now().Add(replacedSlack)) })()
+	list, again, err := call(conn, w.Target.Address.String(), http1.EndpointListCall{Whole: w.WantsFullList, After: w.Revision, Wait: wait})
 	if err != nil || !again {
 		w.Close()
 	}
@@ -109,12 +109,12 @@
 }
 
 // ask makes one call; again tells whether the connection can be used for the next.
-func ask(conn *http1.Conn, host string, call http1.EndpointListCall) (l http1.EndpointList, again bool, err error) {
+func call(conn *http1.Conn, host string, call http1.EndpointListCall) (l http1.EndpointList, again bool, err error) {
 	if _, err = conn.Send(http1.AppendEndpointListCall(conn.Scratch(), host, call)); err != nil {
 		return l, false, err
 	}
 	var resp http1.Response
-	if err = conn.ReadResponse(&resp, longestList); err != nil {
+	if err = conn.ReadResponse(&resp, maxListBytes); err != nil {
 		return l, false, err
 	}
 	if resp.Status != 200 {
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -24,7 +24,7 @@
 		"a new one, of an agent with no queue": {Watcher{IsPushed: true}, 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if wait, slack := c.w.patience(); wait <= 0 || slack <= 0 || wait+slack > c.most {
+			if wait, slack := c.w.timeouts(); wait <= 0 || slack <= 0 || wait+slack > c.most {
 				t.Errorf("waits %v and %v more", wait, slack)
 			}
 		})
@@ -70,7 +70,7 @@
 					}
 				})
 			}
-			wait, slack := c.w.patience()
+			wait, slack := c.w.timeouts()
 			if sum := wait + slack + longest + answerIn; sum > toldAfter {
 				t.Errorf("%v: %v without an answer, a pause of %v, %v for the answer", sum, wait+slack, longest, answerIn)
 			}
--- a/internal/discovery/zookeeper/config.go
+++ b/internal/discovery/zookeeper/config.go
@@ -61,7 +61,7 @@
 }
 
 // full is the path with its root.
-func (c *Config) full() string {
+func (c *Config) fullPath() string {
 	if c.Chroot == "" || c.Chroot == "/" {
 		return c.Path
 	}
--- a/internal/discovery/zookeeper/follow.go
+++ b/internal/discovery/zookeeper/follow.go
@@ -10,7 +10,7 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-const rosterLook = 50 * time.Millisecond // between two looks at what time changes in the roster
+const tickInterval = 50 * time.Millisecond // between two looks at what time changes in the roster
 
 // Listener is told what comes of a registry.
 type Listener struct {
@@ -40,7 +40,7 @@
 	g.Go(func() error { return r.Run(ctx) })
 	g.Go(func() error {
 		book, suspicious, first := endpoints.NewSet(), false, true
-		tick := time.NewTicker(rosterLook)
+		tick := time.NewTicker(tickInterval)
 		defer tick.Stop()
 		for {
 			var changed []incarnation.Entry
--- a/internal/discovery/zookeeper/format.go
+++ b/internal/discovery/zookeeper/format.go
@@ -11,26 +11,26 @@
 	"fernvane/internal/discovery/endpoints"
 )
 
-const dataMost = 16 << 10 // bytes of an entry
+const maxDataBytes = 16 << 10 // bytes of an entry
 
 // entry is what JSON data may say; fields of the common recipes stand beside each other.
-type entry struct {
+type entryData struct {
 	// Of Curator's service discovery.
-	Address string `json:"address"`
-	Port    int    `json:"port"`
-	Enabled *bool  `json:"enabled"`
-	Payload *more  `json:"payload"`
+	Address string      `json:"address"`
+	Port    int         `json:"port"`
+	Enabled *bool       `json:"enabled"`
+	Payload *attributes `json:"payload"`
 	// Of server sets.
 	Endpoint *struct {
 		Host string `json:"host"`
 		Port int    `json:"port"`
 	} `json:"serviceEndpoint"`
 	Status string `json:"status"`
-	more
+	attributes
 }
 
 // more is what this project reads beside, in the entry itself or in its payload.
-type more struct {
+type attributes struct {
 	Zone    string  `json:"zone"`
 	Flavor  string  `json:"flavor"`
 	Cell    int     `json:"cell"`
@@ -41,10 +41,10 @@
 // ParseEntry reads the data of a registered server, JSON or host:port plain.
 func ParseEntry(id string, data []byte) (endpoints.RegistryEntry, error) {
 	l := endpoints.RegistryEntry{ID: id, Weight: 1}
-	text := strings.TrimSpace(string(data[:min(len(data), dataMost+1)]))
+	text := strings.TrimSpace(string(data[:min(len(data), maxDataBytes+1)]))
 	switch {
-	case len(data) > dataMost:
-		return l, fmt.Errorf("%d bytes of data: %d at most", len(data), dataMost)
+	case len(data) > maxDataBytes:
+		return l, fmt.Errorf("%d bytes of data: %d at most", len(data), maxDataBytes)
 	case text == "":
 		return l, errors.New("no data")
 	case !strings.HasPrefix(text, "{"):
@@ -55,7 +55,7 @@
 		l.Address = at.String()
 		return l, nil
 	}
-	var e entry
+	var e entryData
 	if err := json.Unmarshal([]byte(text), &e); err != nil {
 		return l, fmt.Errorf("its JSON cannot be read: %v", err)
 	}
@@ -68,7 +68,7 @@
 		return l, fmt.Errorf("no usable address in it: %.60q port %d", host, port)
 	}
 	l.Address = netip.AddrPortFrom(at, uint16(port)).String()
-	m := e.more
+	m := e.attributes
 	if e.Payload != nil {
 		m = *e.Payload
 	}
--- a/internal/discovery/zookeeper/herd_test.go
+++ b/internal/discovery/zookeeper/herd_test.go
@@ -61,7 +61,7 @@
 	took := time.Since(began).Seconds()
 	asked := float64(r.Calls()-calls) / took
 	t.Logf("%.0f calls a second by 500 readers at %.0f changes a second: %.1f each", asked, 200/took, asked/500)
-	if most := 500 * (1 / lookLeast.Seconds()) * 2; asked > most { // a look at the children and an entry, at the pace of looks
+	if most := 500 * (1 / minReadInterval.Seconds()) * 2; asked > most { // a look at the children and an entry, at the pace of looks
 		t.Errorf("more than %.0f", most)
 	}
 	cancel()
--- a/internal/discovery/zookeeper/reader.go
+++ b/internal/discovery/zookeeper/reader.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	lookLeast = 50 * time.Millisecond  // between two looks at the children: a storm of events is one look
-	lookMore  = 50 * time.Millisecond  // spread over which readers of one change come
-	againMost = 2 * time.Second        // between two tries while the registry is out of reach
-	againMin  = 100 * time.Millisecond // the first of them; doubles
-	atOnce    = 16                     // entries asked for at a time
+	minReadInterval    = 50 * time.Millisecond  // between two looks at the children: a storm of events is one look
+	readIntervalSpread = 50 * time.Millisecond  // spread over which readers of one change come
+	maxRetryDelay      = 2 * time.Second        // between two tries while the registry is out of reach
+	initialRetryDelay  = 100 * time.Millisecond // the first of them; doubles
+	maxConcurrentReads = 16                     // entries asked for at a time
 )
 
 // Conn is the part of a client that a reader needs.
@@ -29,35 +29,35 @@
 
 // Dial connects to the ensemble of a configuration.
 func Dial(c *Config) (Conn, error) {
-	conn, _, err := zk.Connect(c.Servers, c.SessionTimeout.Std(), zk.WithLogInfo(false), zk.WithLogger(silent{}), zk.WithMaxBufferSize(1<<20))
+	conn, _, err := zk.Connect(c.Servers, c.SessionTimeout.Std(), zk.WithLogInfo(false), zk.WithLogger(discardLogger{}), zk.WithMaxBufferSize(1<<20))
 	if err == nil && c.Credentials != "" {
 		go conn.AddAuth("digest", []byte(c.Credentials)) // waits for the first connection; the client repeats it on others
 	}
 	return conn, err
 }
 
-type silent struct{}
+type discardLogger struct{}
 
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // Reader follows the children of one path.
 type Reader struct {
-	conn Conn
-	path string
-	held map[string]endpoints.RegistryEntry
+	conn    Conn
+	path    string
+	entries map[string]endpoints.RegistryEntry
 	// skipped are entries that cannot be read, until their data changes. They are watched as the others, and not asked for
 	// again with each change of the children: each asking would leave a watch and who waits for it behind.
-	skipped map[string]bool
+	unreadable map[string]bool
 	// watched are the entries on which a data watch stands; its goroutine ends with the one event that it gets.
-	watched map[string]bool
-	events  chan string // names of entries whose watch has fired; "" for the children's
-	out     func([]endpoints.RegistryEntry)
-	fault   func(error)
+	watched  map[string]bool
+	events   chan string // names of entries whose watch has fired; "" for the children's
+	onChange func([]endpoints.RegistryEntry)
+	onError  func(error)
 }
 
 // NewReader makes a reader that tells out of all that is listed, whenever that changes, and fault of what cannot be read.
 func NewReader(conn Conn, c *Config, out func([]endpoints.RegistryEntry), fault func(error)) *Reader {
-	return &Reader{conn: conn, path: c.full(), held: map[string]endpoints.RegistryEntry{}, skipped: map[string]bool{}, watched: map[string]bool{}, events: make(chan string, 64), out: out, fault: fault}
+	return &Reader{conn: conn, path: c.fullPath(), entries: map[string]endpoints.RegistryEntry{}, unreadable: map[string]bool{}, watched: map[string]bool{}, events: make(chan string, 64), onChange: out, onError: fault}
 }
 
 // Run follows until the context ends. Watches are set before what they watch is read, so none is missed: the client sets
@@ -67,41 +67,41 @@
 	defer cancel()
 	defer r.conn.Close()
 	defer context.AfterFunc(ctx, r.conn.Close)()
-	wait := againMin
+	wait := initialRetryDelay
 	childrenWatched := false
 	for ctx.Err() == nil {
-		changed, err := r.look(ctx, &childrenWatched)
+		changed, err := r.read(ctx, &childrenWatched)
 		if err != nil && ctx.Err() == nil {
-			r.fault(err)
-			if !r.pause(ctx, time.Duration((0.5+rand.Float64())*float64(wait))) {
+			r.onError(err)
+			if !r.sleep(ctx, time.Duration((0.5+rand.Float64())*float64(wait))) {
 				return nil
 			}
-			wait = min(2*wait, againMost)
+			wait = min(2*wait, maxRetryDelay)
 			continue
 		}
-		wait = againMin
+		wait = initialRetryDelay
 		if changed {
-			all := make([]endpoints.RegistryEntry, 0, len(r.held))
-			for n, l := range r.held {
-				if !r.skipped[n] {
+			all := make([]endpoints.RegistryEntry, 0, len(r.entries))
+			for n, l := range r.entries {
+				if !r.unreadable[n] {
 					all = append(all, l)
 				}
 			}
-			r.out(all)
+			r.onChange(all)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
 		case name := <-r.events:
-			r.fired(name, &childrenWatched)
+			r.watchFired(name, &childrenWatched)
 		}
-		if !r.pause(ctx, lookLeast+time.Duration(rand.Int64N(int64(lookMore)))) {
+		if !r.sleep(ctx, minReadInterval+time.Duration(rand.Int64N(int64(readIntervalSpread)))) {
 			return nil
 		}
 		for more := true; more; {
 			select {
 			case name := <-r.events:
-				r.fired(name, &childrenWatched)
+				r.watchFired(name, &childrenWatched)
 			default:
 				more = false
 			}
@@ -110,7 +110,7 @@
 	return nil
 }
 
-func (r *Reader) fired(name string, children *bool) {
+func (r *Reader) watchFired(name string, children *bool) {
 	if name == "" {
 		*children = false
 		return
@@ -118,7 +118,7 @@
 	delete(r.watched, name)
 }
 
-func (r *Reader) pause(ctx context.Context, d time.Duration) bool {
+func (r *Reader) sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -130,7 +130,7 @@
 }
 
 // follow waits for the one event of a watch.
-func (r *Reader) follow(ctx context.Context, name string, events <-chan zk.Event) {
+func (r *Reader) awaitWatch(ctx context.Context, name string, events <-chan zk.Event) {
 	go func() {
 		select {
 		case <-events:
@@ -145,7 +145,7 @@
 }
 
 // look reads what is not watched: the children if their watch has fired, and each entry whose watch has.
-func (r *Reader) look(ctx context.Context, childrenWatched *bool) (changed bool, err error) {
+func (r *Reader) read(ctx context.Context, childrenWatched *bool) (changed bool, err error) {
 	if !*childrenWatched {
 		if err := r.readChildren(ctx); err != nil {
 			return false, err
@@ -163,26 +163,26 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", r.path, err)
 	}
-	r.follow(ctx, "", events)
+	r.awaitWatch(ctx, "", events)
 	there := make(map[string]bool, len(names))
 	for _, n := range names {
 		there[n] = true
-		if _, ok := r.held[n]; !ok {
-			r.held[n] = endpoints.RegistryEntry{ID: n}
+		if _, ok := r.entries[n]; !ok {
+			r.entries[n] = endpoints.RegistryEntry{ID: n}
 			delete(r.watched, n)
 		}
 	}
-	for n := range r.held {
+	for n := range r.entries {
 		if !there[n] {
-			delete(r.held, n)
-			delete(r.skipped, n)
+			delete(r.entries, n)
+			delete(r.unreadable, n)
 		}
 	}
 	return nil
 }
 
 // answer is what the registry says of one entry.
-type answer struct {
+type entryResult struct {
 	name   string
 	data   []byte
 	stat   *zk.Stat
@@ -193,24 +193,24 @@
 // readEntries asks for all entries that are not watched, some at a time.
 func (r *Reader) readEntries(ctx context.Context) (changed bool, fault error) {
 	var ask []string
-	for n := range r.held {
+	for n := range r.entries {
 		if !r.watched[n] {
 			ask = append(ask, n)
 		}
 	}
-	answers, slots := make(chan answer, len(ask)), make(chan struct{}, atOnce)
+	answers, slots := make(chan entryResult, len(ask)), make(chan struct{}, maxConcurrentReads)
 	for _, n := range ask {
 		slots <- struct{}{}
 		go func() {
 			defer func() { <-slots }()
 			data, stat, events, err := r.conn.GetW(r.path + "/" + n)
-			answers <- answer{n, data, stat, events, err}
+			answers <- entryResult{n, data, stat, events, err}
 		}()
 	}
 	for range ask {
 		a := <-answers
 		changed = true
-		if err := r.takeEntry(ctx, &a); err != nil {
+		if err := r.applyEntry(ctx, &a); err != nil {
 			fault = err
 		}
 	}
@@ -218,25 +218,25 @@
 }
 
 // takeEntry takes in an answer; an entry that cannot be read is skipped and is no error.
-func (r *Reader) takeEntry(ctx context.Context, a *answer) error {
+func (r *Reader) applyEntry(ctx context.Context, a *entryResult) error {
 	if errors.Is(a.err, zk.ErrNoNode) { // it went between the two calls; the children's watch tells
-		delete(r.held, a.name)
-		delete(r.skipped, a.name)
+		delete(r.entries, a.name)
+		delete(r.unreadable, a.name)
 		return nil
 	}
 	if a.err != nil {
 		return fmt.Errorf("%s/%s: %w", r.path, a.name, a.err)
 	}
 	r.watched[a.name] = true
-	r.follow(ctx, a.name, a.events)
+	r.awaitWatch(ctx, a.name, a.events)
 	l, err := ParseEntry(a.name, a.data)
 	if err != nil {
-		r.fault(fmt.Errorf("%s/%s: %w", r.path, a.name, err))
-		r.skipped[a.name] = true
+		r.onError(fmt.Errorf("%s/%s: %w", r.path, a.name, err))
+		r.unreadable[a.name] = true
 		return nil
 	}
-	delete(r.skipped, a.name)
+	delete(r.unreadable, a.name)
 	l.OwnerSession, l.CreatedZxid, l.CreatedUnixMS = a.stat.EphemeralOwner, a.stat.Czxid, a.stat.Ctime
-	r.held[a.name] = l
+	r.entries[a.name] = l
 	return nil
 }
--- a/internal/discovery/zookeeper/reader_test.go
+++ b/internal/discovery/zookeeper/reader_test.go
@@ -36,7 +36,7 @@
 		`{"address":"127.0.0.1","port":"x"`: "! cannot be read",
 		`{"address":"h","port":80}`:         "! no usable address",
 		`{"address":"127.0.0.1","port":80,"status":"ODD"}`: "! unknown status",
-		strings.Repeat("x", dataMost+1):                    "! bytes of data",
+		strings.Repeat("x", maxDataBytes+1):                "! bytes of data",
 	} {
 		l, err := ParseEntry("id", []byte(data))
 		got := strings.TrimSpace(l.Address + " " + l.Zone)
@@ -218,7 +218,7 @@
 	waiting, watches := 0, 0
 	for by := time.Now().Add(20 * time.Second); time.Now().Before(by); time.Sleep(20 * time.Millisecond) {
 		buf := make([]byte, 8<<20)
-		waiting = strings.Count(string(buf[:runtime.Stack(buf, true)]), "(*Reader).follow.func1(")
+		waiting = strings.Count(string(buf[:runtime.Stack(buf, true)]), "(*Reader).awaitWatch.func1(")
 		watches = 0
 		for _, e := range es {
 			watches += e.r.Watches()
--- a/internal/proxy/dispatch/allowances.go
+++ b/internal/proxy/dispatch/allowances.go
@@ -12,9 +12,9 @@
 func (f *Dispatcher) SetQuotas(perS map[string]float64) {
 	f.mu.Lock()
 	defer f.unlock()
-	if !f.reallowed { // the settings stay as they were read
-		f.set.TenantNames, f.set.TenantQuotas = slices.Clone(f.set.TenantNames), slices.Clone(f.set.TenantQuotas)
-		f.reallowed = true
+	if !f.hasOwnQuotas { // the settings stay as they were read
+		f.settings.TenantNames, f.settings.TenantQuotas = slices.Clone(f.settings.TenantNames), slices.Clone(f.settings.TenantQuotas)
+		f.hasOwnQuotas = true
 	}
 	changed := make([]policy.Quota, 0, len(perS))
 	for name, allowance := range perS {
@@ -25,17 +25,17 @@
 		if !known {
 			tenant = len(f.tenants)
 			f.tenants[name] = tenant
-			f.set.TenantNames, f.set.TenantQuotas = append(f.set.TenantNames, name), append(f.set.TenantQuotas, 0)
+			f.settings.TenantNames, f.settings.TenantQuotas = append(f.settings.TenantNames, name), append(f.settings.TenantQuotas, 0)
 		}
-		if !known || f.set.TenantQuotas[tenant] != allowance {
-			f.allowances += allowance - f.set.TenantQuotas[tenant]
-			f.set.TenantQuotas[tenant] = allowance
+		if !known || f.settings.TenantQuotas[tenant] != allowance {
+			f.quotaSum += allowance - f.settings.TenantQuotas[tenant]
+			f.settings.TenantQuotas[tenant] = allowance
 			changed = append(changed, policy.Quota{Tenant: tenant, PerSecond: allowance})
 		}
 	}
-	f.digests.grow(len(f.set.TenantNames))
+	f.report.grow(len(f.settings.TenantNames))
 	if len(changed) > 0 {
-		f.door.QuotasChanged(f.now(), changed, (*hands)(f))
+		f.engine.QuotasChanged(f.now(), changed, (*effectHandler)(f))
 	}
 }
 
@@ -44,7 +44,7 @@
 	f.mu.Lock()
 	defer f.unlock()
 	if t, known := f.tenants[tenant]; known {
-		return f.set.TenantQuotas[t]
+		return f.settings.TenantQuotas[t]
 	}
 	return 0
 }
--- a/internal/proxy/dispatch/copy_test.go
+++ b/internal/proxy/dispatch/copy_test.go
@@ -74,7 +74,7 @@
 				t.Fatal(err)
 			}
 			d := op.NextDecision(func() { gaveUp[first] = true })
-			f.woken()
+			f.onTimer()
 			if copyHop.Action != SendAttempt || copyHop.Attempt != 1 || copyHop.Server != "b" {
 				t.Fatalf("the copy: %+v", copyHop)
 			}
@@ -97,7 +97,7 @@
 				t.Errorf("ended with %d, %q, given up %v", last.Action, last.Answer, gaveUp)
 			}
 			n := f.Counts()
-			if n.Responded+n.Failed+n.Disconnected != 1 || n.Hedges != 1 || n.OpenRequests != 0 || len(f.open) != 0 {
+			if n.Responded+n.Failed+n.Disconnected != 1 || n.Hedges != 1 || n.OpenRequests != 0 || len(f.openClientIDs) != 0 {
 				t.Errorf("counted %+v", n)
 			}
 		})
@@ -113,7 +113,7 @@
 	var copyHop Decision
 	op, _ := f.Submit(Arrival{ID: []byte("x"), RouteIndex: -1, Timeout: time.Hour, StartHedge: func(_ *Request, d Decision) { copyHop = d }})
 	d := op.NextDecision(func() {})
-	f.woken()
+	f.onTimer()
 	op.AttemptEnded(d.Attempt, Succeeded, nil)
 	gaveUp := false
 	if op.HedgeStarted(copyHop, func() { gaveUp = true }); !gaveUp || !op.IsSettled() {
@@ -128,9 +128,9 @@
 
 // What is written late to a server that leaves stays well within the grace of the settings, however short.
 func TestLateWithinTheGrace(t *testing.T) {
-	for grace, want := range map[time.Duration]time.Duration{-1: lateMost, 0: 0, 100 * time.Millisecond: 60 * time.Millisecond, time.Minute: lateMost} {
-		f := Dispatcher{set: settings.Settings{DrainGrace: grace}}
-		if got := f.lateFor(); got != want {
+	for grace, want := range map[time.Duration]time.Duration{-1: maxLateWrite, 0: 0, 100 * time.Millisecond: 60 * time.Millisecond, time.Minute: maxLateWrite} {
+		f := Dispatcher{settings: settings.Settings{DrainGrace: grace}}
+		if got := f.maxWriteDelay(); got != want {
 			t.Errorf("grace %v: %v, not %v", grace, got, want)
 		}
 	}
@@ -172,12 +172,12 @@
 			for _, op := range waiting {
 				select { // what was decided before is on its way
 				case <-op.ready:
-					if op.next.Server == "a" {
+					if op.pending.Server == "a" {
 						first++
 					}
 					op.ready <- struct{}{}
 					d := op.NextDecision(func() {})
-					f.woken() // a copy, if any
+					f.onTimer() // a copy, if any
 					op.AttemptEnded(d.Attempt, ConnectRefused, nil)
 				default:
 				}
@@ -189,7 +189,7 @@
 				for range 4 {
 					select {
 					case <-op.ready:
-						if op.next.Action == undecided {
+						if op.pending.Action == undecided {
 							break // it waits for a connection; what it is sent then is looked at below
 						}
 						op.ready <- struct{}{}
@@ -197,27 +197,27 @@
 						if to(d); d.Action != SendAttempt {
 							break
 						}
-						f.woken()
+						f.onTimer()
 						op.AttemptEnded(d.Attempt, ConnectRefused, nil)
 					default:
 					}
 				}
-				for _, h := range op.outs {
-					if h.server == "a" && h.copy {
+				for _, h := range op.inFlight {
+					if h.server == "a" && h.isHedge {
 						t.Error("a copy is sent there")
 					}
 				}
 			}
 			for range 10 {
 				if op := arrive(f); op != nil {
-					to(op.next)
+					to(op.pending)
 				}
 			}
 			for range 10 { // those that wait get their turn
-				f.woken()
+				f.onTimer()
 			}
 			for _, op := range waiting {
-				to(op.next)
+				to(op.pending)
 			}
 		})
 	}
--- a/internal/proxy/dispatch/counts.go
+++ b/internal/proxy/dispatch/counts.go
@@ -8,7 +8,7 @@
 	NoCapacity                                         int // operations denied before the module was asked
 	RouteLimited                                       int // operations that their route did not take
 	Hedges                                             int // second copies
-	AttemptResults                                     [ends]int
+	AttemptResults                                     [attemptResultCount]int
 	OpenRequests, ClientConnections, ServerConnections int
 }
 
@@ -40,8 +40,8 @@
 	defer f.unlock()
 	c := f.counts
 	f.counts = Counts{}
-	c.OpenRequests, c.ServerConnections = len(f.ops), f.room.share-f.room.servers
-	c.ClientConnections = f.room.most - f.room.free - c.ServerConnections
+	c.OpenRequests, c.ServerConnections = len(f.requests), f.budget.perSide-f.budget.freeForServers
+	c.ClientConnections = f.budget.total - f.budget.free - c.ServerConnections
 	return c
 }
 
--- a/internal/proxy/dispatch/digest_test.go
+++ b/internal/proxy/dispatch/digest_test.go
@@ -78,14 +78,14 @@
 
 // A report that more tenants had traffic for than a planner keeps names the busiest, and can be read.
 func TestReportNamesTheBusiest(t *testing.T) {
-	const tenants = 3 * reportedTenants
+	const tenants = 3 * maxReportedTenants
 	f, _ := withTenants(t, tenants)
 	for tenant := range tenants {
-		f.digests.arrived(0, tenant)
+		f.report.recordArrival(0, tenant)
 	}
-	f.digests.arrived(0, tenants-1)
+	f.report.recordArrival(0, tenants-1)
 	r := f.Report()
-	if len(r.Tenants) != reportedTenants || r.Tenants[0].Name != fmt.Sprint("t", tenants-1) {
+	if len(r.Tenants) != maxReportedTenants || r.Tenants[0].Name != fmt.Sprint("t", tenants-1) {
 		t.Errorf("%d tenants, the first is %v", len(r.Tenants), r.Tenants[0])
 	}
 	frame, err := planwire.Append(nil, planwire.ReportKind, r)
@@ -121,8 +121,8 @@
 	if f.ApplyPlan(1, 0, nil, nil); seen.shares != nil {
 		t.Error("tenants are judged by a plan that says nothing of them")
 	}
-	before := &f.within.shares[0]
-	if f.ApplyPlan(1, 0, map[string]float64{"t7": 0.5}, nil); before != &f.within.shares[0] {
+	before := &f.planShares.shares[0]
+	if f.ApplyPlan(1, 0, map[string]float64{"t7": 0.5}, nil); before != &f.planShares.shares[0] {
 		t.Error("all tenants are copied for a plan")
 	}
 	f.SetQuotas(map[string]float64{"new": 1})
--- a/internal/proxy/dispatch/end.go
+++ b/internal/proxy/dispatch/end.go
@@ -21,10 +21,10 @@
 	ResponseTimeout                        // written, and no whole answer within the hop's time
 	JournalFailed                          // the journal has not kept that it was about to be sent, so it was not
 	Abandoned                              // the operation was answered otherwise while the hop was out
-	ends
+	attemptResultCount
 )
 
-var endings = [ends]struct {
+var attemptResults = [attemptResultCount]struct {
 	outcome policy.Outcome
 	name    string
 }{
@@ -46,6 +46,6 @@
 }
 
 // Outcome is what an end means to the module.
-func (e AttemptResult) Outcome() policy.Outcome { return endings[e].outcome }
+func (e AttemptResult) Outcome() policy.Outcome { return attemptResults[e].outcome }
 
-func (e AttemptResult) String() string { return endings[e].name }
+func (e AttemptResult) String() string { return attemptResults[e].name }
--- a/internal/proxy/dispatch/fleet.go
+++ b/internal/proxy/dispatch/fleet.go
@@ -23,43 +23,43 @@
 const (
 	// askPauseMost is the longest pause, but for its spread by half, between two calls to discovery that failed. A change counts
 	// as told 6 s after discovery could be reached, whatever had failed before: package watch has the sum.
-	askPauseMost  = 750 * time.Millisecond
-	askPauseShare = 4 // the module's pause is at most this part of the time that settings give for asking
+	maxPollPause     = 750 * time.Millisecond
+	pollPauseDivisor = 4 // the module's pause is at most this part of the time that settings give for asking
 )
 
 // Dispatcher is the memory of one node. All its methods may be called from anywhere; none waits on a socket.
 type Dispatcher struct {
-	mu      sync.Mutex
-	door    *engine.Engine[string]
-	set     settings.Settings
-	routes  *route.Router
-	routed  atomic.Pointer[route.Table] // that of routes, to be matched with outside the lock
-	started time.Time
-	wake    *time.Timer
-	asked   chan struct{}
+	mu            sync.Mutex
+	engine        *engine.Engine[string]
+	settings      settings.Settings
+	routes        *route.Router
+	activeRoutes  atomic.Pointer[route.Table] // that of routes, to be matched with outside the lock
+	started       time.Time
+	timer         *time.Timer
+	pollRequested chan struct{}
 
-	ops        map[uint64]*Request
-	open       map[string]bool // the clients' ids of those that are not settled
-	lastOp     uint64
-	types      map[string]int
-	tenants    map[string]int
-	reallowed  bool    // their allowances are not those of the settings any more
-	allowances float64 // the sum of them
-	within     tenantShares
-	zones      map[string]int
-	kinds      map[string]int // of machines
-	servers    map[string]*server
-	idlers     map[*server]struct{} // those with idle connections, and perhaps others
-	visits     int                  // servers come to by what is not about one of them, for tests that count
-	book       *endpoints.View      // what is known of them
-	closing    []io.Closer          // to be closed when the lock is given back
-	room       room
-	counts     Counts
-	digests    digests
-	evidence   []chan endpoints.Observation // of those who ask for it
-	wary       bool                         // what must not run twice goes to servers that are proved only
-	proved     map[string]bool
-	hoards     bool // idle connections to servers that leave are kept
+	requests        map[uint64]*Request
+	openClientIDs   map[string]bool // the clients' ids of those that are not settled
+	lastRequestID   uint64
+	trafficTypes    map[string]int
+	tenants         map[string]int
+	hasOwnQuotas    bool    // their allowances are not those of the settings any more
+	quotaSum        float64 // the sum of them
+	planShares      planShares
+	zones           map[string]int
+	machineKinds    map[string]int // of machines
+	servers         map[string]*server
+	serversWithIdle map[*server]struct{} // those with idle connections, and perhaps others
+	serverVisits    int                  // servers come to by what is not about one of them, for tests that count
+	view            *endpoints.View      // what is known of them
+	closing         []io.Closer          // to be closed when the lock is given back
+	budget          descriptorBudget
+	counts          Counts
+	report          reportCollector
+	observers       []chan endpoints.Observation // of those who ask for it
+	isCautious      bool                         // what must not run twice goes to servers that are proved only
+	proven          map[string]bool
+	hoards          bool // idle connections to servers that leave are kept
 }
 
 // Hoard has idle connections to servers that leave be kept, for modules that are broken on purpose.
@@ -70,9 +70,9 @@
 }
 
 type server struct {
-	line policy.Endpoint // as the module was last told
-	cgi  bool            // speaks FastCGI
-	idle []idleConn      // the latest used last
+	announced policy.Endpoint // as the module was last told
+	isFastCGI bool            // speaks FastCGI
+	idle      []idleConn      // the latest used last
 }
 
 // New starts the module that a maker makes.
@@ -81,23 +81,23 @@
 	if !s.MustRequestEndpoints {
 		s.MustRequestEndpoints, s.RequestEndpointsWithin = true, 0 // an agent that is silent is asked again soon: what it gets at its return is told at once
 	}
-	s.RequestEndpointsWithin = min(s.RequestEndpointsWithin, askPauseShare*askPauseMost)
-	f := &Dispatcher{set: s, routes: route.NewRouter(&s), started: time.Now(), asked: make(chan struct{}, 1), ops: map[uint64]*Request{}, open: map[string]bool{},
-		allowances: columns.Sum(s.TenantQuotas),
-		types:      index(s.TypeNames), tenants: index(s.TenantNames), zones: index(s.Zones), kinds: index(s.Kinds),
-		servers: map[string]*server{}, idlers: map[*server]struct{}{}, book: endpoints.NewView(), room: newRoom(limits)}
-	f.book.IgnoreRemovals = s.UnlistedUsable
+	s.RequestEndpointsWithin = min(s.RequestEndpointsWithin, pollPauseDivisor*maxPollPause)
+	f := &Dispatcher{settings: s, routes: route.NewRouter(&s), started: time.Now(), pollRequested: make(chan struct{}, 1), requests: map[uint64]*Request{}, openClientIDs: map[string]bool{},
+		quotaSum:     columns.Sum(s.TenantQuotas),
+		trafficTypes: indexByName(s.TypeNames), tenants: indexByName(s.TenantNames), zones: indexByName(s.Zones), machineKinds: indexByName(s.Kinds),
+		servers: map[string]*server{}, serversWithIdle: map[*server]struct{}{}, view: endpoints.NewView(), budget: newDescriptorBudget(limits)}
+	f.view.IgnoreRemovals = s.UnlistedUsable
 	f.mu.Lock()
 	defer f.unlock()
-	f.wake = time.AfterFunc(time.Hour, f.woken)
-	f.door = engine.New[string](f.now(), module(s.Settings, seed), (*hands)(f))
+	f.timer = time.AfterFunc(time.Hour, f.onTimer)
+	f.engine = engine.New[string](f.now(), module(s.Settings, seed), (*effectHandler)(f))
 	return f
 }
 
 // Stop ends the module's timer.
-func (f *Dispatcher) Stop() { f.wake.Stop() }
+func (f *Dispatcher) Stop() { f.timer.Stop() }
 
-func index(names []string) map[string]int {
+func indexByName(names []string) map[string]int {
 	m := make(map[string]int, len(names))
 	for i, n := range names {
 		m[n] = i
@@ -117,21 +117,21 @@
 	}
 }
 
-func (f *Dispatcher) woken() {
+func (f *Dispatcher) onTimer() {
 	f.mu.Lock()
 	defer f.unlock()
-	f.door.TimerFired(f.now(), (*hands)(f))
-	f.retire()
+	f.engine.TimerFired(f.now(), (*effectHandler)(f))
+	f.closeExpiredIdle()
 }
 
 // PollRequested is sent to when the module wants the list of servers watched.
-func (f *Dispatcher) PollRequested() <-chan struct{} { return f.asked }
+func (f *Dispatcher) PollRequested() <-chan struct{} { return f.pollRequested }
 
 // DiscoveryFailed tells that discovery has failed.
 func (f *Dispatcher) DiscoveryFailed() {
 	f.mu.Lock()
 	defer f.unlock()
-	f.door.EndpointsUpdated(f.now(), policy.Unavailable, nil, (*hands)(f))
+	f.engine.EndpointsUpdated(f.now(), policy.Unavailable, nil, (*effectHandler)(f))
 }
 
 // ApplyList takes a list of servers from a source.
@@ -139,15 +139,15 @@
 	words := make([]endpoints.Endpoint, 0, len(l.Hosts))
 	for _, h := range l.Hosts {
 		words = append(words, endpoints.Endpoint{ID: h.ID, Address: h.Address, Zone: h.Zone, MachineKind: h.Flavor, Cell: h.Cell, Weight: h.Size,
-			StartedUnixMS: h.UpSinceMS, Condition: lives[h.Phase]})
+			StartedUnixMS: h.UpSinceMS, Condition: incarnationConditions[h.Phase]})
 	}
 	f.mu.Lock()
 	defer f.unlock()
-	f.take(words, from, l.Complete)
+	f.applyEndpoints(words, from, l.Complete)
 }
 
 // take has the book and the module take in what a source says.
-func (f *Dispatcher) take(words []endpoints.Endpoint, from endpoints.Source, whole bool) {
+func (f *Dispatcher) applyEndpoints(words []endpoints.Endpoint, from endpoints.Source, whole bool) {
 	scope := policy.Incremental
 	if from == endpoints.SourceConfig || from == endpoints.SourceSnapshot {
 		scope = policy.Cached
@@ -155,22 +155,22 @@
 		scope = policy.Full
 	}
 	now, clock := f.now(), time.Now().UnixMilli()
-	u := f.book.Apply(now, from, words, scope != policy.Incremental)
+	u := f.view.Apply(now, from, words, scope != policy.Incremental)
 	lines := make([]engine.Endpoint[string], 0, len(u.Changed))
 	for _, w := range u.Changed {
-		line := policy.Endpoint{Rank: crc32.ChecksumIEEE([]byte(w.ID)), Zone: number(f.zones, w.Zone), MachineKind: number(f.kinds, w.MachineKind), Cell: w.Cell,
-			Condition: conditions[w.Condition], Weight: w.Weight, HasStartTime: w.StartedUnixMS > 0, Labels: f.labels(w.ID, w.Zone, w.MachineKind)}
+		line := policy.Endpoint{Rank: crc32.ChecksumIEEE([]byte(w.ID)), Zone: indexOrAdd(f.zones, w.Zone), MachineKind: indexOrAdd(f.machineKinds, w.MachineKind), Cell: w.Cell,
+			Condition: policyConditions[w.Condition], Weight: w.Weight, HasStartTime: w.StartedUnixMS > 0, Labels: f.serverLabels(w.ID, w.Zone, w.MachineKind)}
 		line.AddressReassigned = w.IsReplaced
 		if line.HasStartTime {
 			line.StartedAt = now + time.Duration(w.StartedUnixMS-clock)*time.Millisecond
 		}
-		f.note(w.Endpoint, line)
+		f.recordServer(w.Endpoint, line)
 		lines = append(lines, engine.Endpoint[string]{Server: w.ID, Info: line})
 	}
 	for _, id := range u.CloseIdle {
-		f.release(f.servers[id])
+		f.closeIdleConns(f.servers[id])
 	}
-	f.door.EndpointsUpdated(now, scope, lines, (*hands)(f))
+	f.engine.EndpointsUpdated(now, scope, lines, (*effectHandler)(f))
 }
 
 // Endpoints are all that is known of servers, by whom and when it was told last, and a count that changes with every list.
@@ -178,8 +178,8 @@
 func (f *Dispatcher) Endpoints() (all []endpoints.Record, from endpoints.Source, heard time.Duration, lists int) {
 	f.mu.Lock()
 	defer f.unlock()
-	all, lists = f.book.All()
-	from, heard = f.book.LastAnnouncement()
+	all, lists = f.view.All()
+	from, heard = f.view.LastAnnouncement()
 	return all, from, heard, lists
 }
 
@@ -187,22 +187,22 @@
 func (f *Dispatcher) LastAnnouncement() (from endpoints.Source, age time.Duration) {
 	f.mu.Lock()
 	defer f.unlock()
-	from, heard := f.book.LastAnnouncement()
+	from, heard := f.view.LastAnnouncement()
 	return from, f.now() - heard
 }
 
 const (
 	// lateMost is for how long a hop that was decided on before its server left may still be written to it, whatever the
 	// settings allow, and lateShare the part of what they allow: the rest is for the way there.
-	lateMost  = 300 * time.Millisecond
-	lateShare = 0.6
+	maxLateWrite   = 300 * time.Millisecond
+	lateWriteShare = 0.6
 )
 
-func (f *Dispatcher) lateFor() time.Duration {
-	if f.set.DrainGrace < 0 {
-		return lateMost
+func (f *Dispatcher) maxWriteDelay() time.Duration {
+	if f.settings.DrainGrace < 0 {
+		return maxLateWrite
 	}
-	return min(lateMost, time.Duration(lateShare*float64(f.set.DrainGrace)))
+	return min(maxLateWrite, time.Duration(lateWriteShare*float64(f.settings.DrainGrace)))
 }
 
 // IsPastDrainGrace tells that a server left so long ago that nothing may be written to it any more, whenever it was decided: a
@@ -210,55 +210,55 @@
 func (f *Dispatcher) IsPastDrainGrace(server string) bool {
 	f.mu.Lock()
 	defer f.unlock()
-	return f.book.HasLeft(f.now(), server, f.lateFor())
+	return f.view.HasLeft(f.now(), server, f.maxWriteDelay())
 }
 
 // Routes is the set of routes that holds now, nil for none.
-func (f *Dispatcher) Routes() *route.Table { return f.routed.Load() }
+func (f *Dispatcher) Routes() *route.Table { return f.activeRoutes.Load() }
 
 // SetRoutes has another set of routes hold from now on. What is in hand ends under the figures that it began with.
 func (f *Dispatcher) SetRoutes(set *route.Table) {
 	f.mu.Lock()
 	defer f.unlock()
-	f.retype(set)
+	f.applyRoutes(set)
 }
 
-func (f *Dispatcher) retype(set *route.Table) {
+func (f *Dispatcher) applyRoutes(set *route.Table) {
 	now := f.now()
 	u := f.routes.Replace(now, set)
-	f.routed.Store(set)
-	f.door.TrafficTypesChanged(now, policy.Input{TrafficTypes: f.wariness(u.Types), LearnFrom: u.InheritFrom, RouteLimits: u.MaxInFlight}, (*hands)(f))
+	f.activeRoutes.Store(set)
+	f.engine.TrafficTypesChanged(now, policy.Input{TrafficTypes: f.cautiousTypes(u.Types), LearnFrom: u.InheritFrom, RouteLimits: u.MaxInFlight}, (*effectHandler)(f))
 	if u.SelectionChanged {
-		f.relabel()
+		f.refreshLabels()
 	}
 }
 
 // relabel has servers have the labels, and speak the protocol, that the routes and the suspicion of the list now ask for.
-func (f *Dispatcher) relabel() {
+func (f *Dispatcher) refreshLabels() {
 	set := f.routes.Table()
 	var lines []engine.Endpoint[string]
 	for id, s := range f.servers {
-		f.visits++
-		l, _ := f.book.Get(id)
-		if cgi := set.SpeaksFastCGI(id, l.Zone, l.MachineKind); cgi != s.cgi {
-			f.release(s) // what stands idle speaks the other protocol
-			s.cgi = cgi
+		f.serverVisits++
+		l, _ := f.view.Get(id)
+		if cgi := set.SpeaksFastCGI(id, l.Zone, l.MachineKind); cgi != s.isFastCGI {
+			f.closeIdleConns(s) // what stands idle speaks the other protocol
+			s.isFastCGI = cgi
 		}
-		if labels := f.labels(id, l.Zone, l.MachineKind); labels != s.line.Labels {
-			s.line.Labels = labels
-			lines = append(lines, engine.Endpoint[string]{Server: id, Info: s.line})
+		if labels := f.serverLabels(id, l.Zone, l.MachineKind); labels != s.announced.Labels {
+			s.announced.Labels = labels
+			lines = append(lines, engine.Endpoint[string]{Server: id, Info: s.announced})
 		}
 	}
 	if len(lines) > 0 {
-		f.door.EndpointsUpdated(f.now(), policy.Incremental, lines, (*hands)(f))
+		f.engine.EndpointsUpdated(f.now(), policy.Incremental, lines, (*effectHandler)(f))
 	}
 }
 
-var conditions = [...]policy.Condition{incarnation.Up: policy.Up, incarnation.Draining: policy.Draining, incarnation.Gone: policy.Removed}
-var lives = [...]incarnation.Condition{http1.Serving: incarnation.Up, http1.Draining: incarnation.Draining, http1.Deleted: incarnation.Gone}
+var policyConditions = [...]policy.Condition{incarnation.Up: policy.Up, incarnation.Draining: policy.Draining, incarnation.Gone: policy.Removed}
+var incarnationConditions = [...]incarnation.Condition{http1.Serving: incarnation.Up, http1.Draining: incarnation.Draining, http1.Deleted: incarnation.Gone}
 
 // note keeps what the module is told of a server that is worth keeping.
-func (f *Dispatcher) note(w endpoints.Endpoint, line policy.Endpoint) {
+func (f *Dispatcher) recordServer(w endpoints.Endpoint, line policy.Endpoint) {
 	s := f.servers[w.ID]
 	if s == nil {
 		if w.Condition == incarnation.Gone {
@@ -267,22 +267,22 @@
 		s = &server{}
 		f.servers[w.ID] = s
 	}
-	s.line = line
-	if cgi := f.routes.Table().SpeaksFastCGI(w.ID, w.Zone, w.MachineKind); cgi != s.cgi {
-		f.release(s)
-		s.cgi = cgi
+	s.announced = line
+	if cgi := f.routes.Table().SpeaksFastCGI(w.ID, w.Zone, w.MachineKind); cgi != s.isFastCGI {
+		f.closeIdleConns(s)
+		s.isFastCGI = cgi
 	}
 }
 
 // unnamedFrom is the first number of a zone or kind that the settings do not name; they may bind traffic types to numbers
 // below that none of their names has.
-const unnamedFrom = math.MaxInt32 + 1
+const firstUnnamedIndex = math.MaxInt32 + 1
 
 // number is that of a zone or kind: those that the settings name have their places there, any other comes by its appearance.
-func number(known map[string]int, name string) int {
+func indexOrAdd(known map[string]int, name string) int {
 	n, ok := known[name]
 	if !ok {
-		n = unnamedFrom + len(known)
+		n = firstUnnamedIndex + len(known)
 		known[name] = n
 	}
 	return n
--- a/internal/proxy/dispatch/fleet_test.go
+++ b/internal/proxy/dispatch/fleet_test.go
@@ -95,13 +95,13 @@
 					op.ClientDisconnected()
 				case deny, lose:
 					f.mu.Lock()
-					if h := (*hands)(f); s == deny {
+					if h := (*effectHandler)(f); s == deny {
 						h.Reject(op.id, 0)
 					} else {
 						h.Fail(op.id)
 					}
 					f.unlock()
-					if !given && !op.settled {
+					if !given && !op.isSettled {
 						t.Error("the hop was not given up")
 					}
 				default:
@@ -109,7 +109,7 @@
 						t.Fatalf("no hop where one was due, but %d", d.Action)
 					}
 					op.AttemptEnded(d.Attempt, AttemptResult(s), nil)
-					if !op.settled && op.next.Action == SendAttempt {
+					if !op.isSettled && op.pending.Action == SendAttempt {
 						d = op.NextDecision(func() {})
 					}
 				}
@@ -120,7 +120,7 @@
 			if n := f.Counts(); n.Responded+n.Rejected+n.Failed+n.Disconnected != 1 || n.OpenRequests != 0 {
 				t.Errorf("counted %+v", n)
 			}
-			if len(op.outs) > 0 || op.next.Action != undecided || len(f.ops) != 0 {
+			if len(op.inFlight) > 0 || op.pending.Action != undecided || len(f.requests) != 0 {
 				t.Error("something is left of it")
 			}
 		})
@@ -132,8 +132,8 @@
 	f := fleet(t, policy.NonIdempotent, limits, host("a", 1))
 	op := arrive(f)
 	op.ClientDisconnected()
-	if d := op.NextDecision(func() {}); d.Action != Drop || len(op.outs) > 0 {
-		t.Errorf("decided %d, hops out %v", d.Action, op.outs)
+	if d := op.NextDecision(func() {}); d.Action != Drop || len(op.inFlight) > 0 {
+		t.Errorf("decided %d, hops out %v", d.Action, op.inFlight)
 	}
 }
 
@@ -153,8 +153,8 @@
 			op := arrive(f)
 			steps(op)
 			op.Close()
-			if n := f.Counts(); n.OpenRequests != 0 || len(op.outs) > 0 || n.Responded+n.Disconnected != 1 {
-				t.Errorf("hops out %v, counted %+v", op.outs, n)
+			if n := f.Counts(); n.OpenRequests != 0 || len(op.inFlight) > 0 || n.Responded+n.Disconnected != 1 {
+				t.Errorf("hops out %v, counted %+v", op.inFlight, n)
 			}
 		})
 	}
@@ -243,8 +243,8 @@
 	}{
 		"used again":             {time.Hour, func(*Dispatcher) {}, true},
 		"old":                    {0, func(*Dispatcher) {}, false},
-		"old, and swept":         {0, (*Dispatcher).woken, false},
-		"released by the module": {time.Hour, func(f *Dispatcher) { (*hands)(f).CloseIdle("a") }, false},
+		"old, and swept":         {0, (*Dispatcher).onTimer, false},
+		"released by the module": {time.Hour, func(f *Dispatcher) { (*effectHandler)(f).CloseIdle("a") }, false},
 		"its server drains": {time.Hour, func(f *Dispatcher) {
 			f.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "a", Phase: http1.Draining}}}, endpoints.SourceDiscovery)
 		}, false},
@@ -255,15 +255,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := fleet(t, policy.Idempotent, limits, host("a", 1))
-			f.set.ConnIdle = c.idle
-			free := f.room.free
+			f.settings.ConnIdle = c.idle
+			free := f.budget.free
 			f.AcquireServerDescriptor()
 			conn := &closer{closed: make(chan string, 1)}
 			f.PutIdle("a", false, http1.NewConn(conn))
 			c.do(f)
 			got := f.TakeIdle("a")
-			if f.DiscoveryFailed(); (got != nil) != c.back || (len(conn.closed) == 0) != c.back || (f.room.free == free) == c.back {
-				t.Errorf("taken %v, closed %d times, %d of %d descriptors free", got != nil, len(conn.closed), f.room.free, free)
+			if f.DiscoveryFailed(); (got != nil) != c.back || (len(conn.closed) == 0) != c.back || (f.budget.free == free) == c.back {
+				t.Errorf("taken %v, closed %d times, %d of %d descriptors free", got != nil, len(conn.closed), f.budget.free, free)
 			}
 		})
 	}
@@ -276,7 +276,7 @@
 		{MemoryMB: 64, Sockets: 1024}:  416, // memory binds
 		{MemoryMB: 32, Sockets: 256}:   160,
 		{MemoryMB: 24, Sockets: 32}:    18,
-		{MemoryMB: 1, Sockets: 1}:      leastSockets,
+		{MemoryMB: 1, Sockets: 1}:      minConnections,
 	} {
 		t.Run(fmt.Sprint(l), func(t *testing.T) {
 			if got := l.MaxConnections(); got != want {
@@ -288,7 +288,7 @@
 
 // With all descriptors taken, room to accept is made by closing what is idle, never what is busy.
 func TestRoom(t *testing.T) {
-	l := Limits{MemoryMB: 192, Sockets: ownDescriptors + leastSockets}
+	l := Limits{MemoryMB: 192, Sockets: reservedDescriptors + minConnections}
 	for name, c := range map[string]struct {
 		idle, servers int // idle clients' and servers' connections, of leastSockets
 		evicted       string
@@ -299,7 +299,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := fleet(t, policy.Idempotent, l, host("a", 1))
-			closed := make(chan string, leastSockets)
+			closed := make(chan string, minConnections)
 			for i := range c.servers {
 				if !f.AcquireServerDescriptor() {
 					t.Fatal("no room for a server")
@@ -307,11 +307,11 @@
 				f.PutIdle("a", false, http1.NewConn(&closer{name: fmt.Sprint("server ", i), closed: closed}))
 			}
 			var first *Client
-			for i := range leastSockets - 3 { // the others are servers'
+			for i := range minConnections - 3 { // the others are servers'
 				f.AcquireClientDescriptor()
 				if p := f.AddClient(http1.NewConn(&closer{name: fmt.Sprint("client ", i), closed: closed})); i < c.idle {
 					p.ReadBlocked(false)
-					p.used = true
+					p.hasSentRequest = true
 					if i == 0 {
 						first = p
 					}
@@ -346,7 +346,7 @@
 	f := fleet(t, policy.Idempotent, Limits{MemoryMB: 192, Sockets: 1})
 	closed := make(chan string, 1)
 	var busy *Client
-	for range leastSockets - 3 {
+	for range minConnections - 3 {
 		f.AcquireClientDescriptor()
 		busy = f.AddClient(http1.NewConn(&closer{closed: closed}))
 	}
@@ -385,10 +385,10 @@
 			}
 			p.ReadReady()
 			if p.ReadBlocked(true); c.old {
-				p.since -= time.Minute
+				p.idleSince -= time.Minute
 			}
 			f.mu.Lock()
-			got := f.evictClient(settled)
+			got := f.evictIdleClient(firstRequestGrace)
 			f.unlock()
 			if got != c.want || p.ReadReady() == c.want {
 				t.Errorf("closed for room %v, may go on %v", got, !c.want)
@@ -408,15 +408,15 @@
 			p := f.AddClient(c)
 			c.ObserveReads(p)
 			p.ReadBlocked(false) // it has stood for long
-			if p.used = before; p.ReadReady() {
-				p.since -= time.Minute
+			if p.hasSentRequest = before; p.ReadReady() {
+				p.idleSince -= time.Minute
 			}
 			fmt.Fprint(client, "GET /a/1 HTTP/1.1\r\nHost: h\r\n\r\n")
 			if err := c.AwaitMessage(); err != nil {
 				t.Fatal(err)
 			}
 			f.mu.Lock() // the reader has its bytes, and nothing of them is done yet
-			got := f.evictClient(settled)
+			got := f.evictIdleClient(firstRequestGrace)
 			f.unlock()
 			var req http1.Request
 			if err := c.ReadRequest(&req); got || err != nil {
@@ -440,7 +440,7 @@
 	p := f.AddClient(conn)
 	for wait := 1; wait <= 2; wait++ {
 		p.ReadBlocked(false)
-		p.since -= time.Minute
+		p.idleSince -= time.Minute
 		for range 3 {
 			f.EvictIdle()
 		}
@@ -484,9 +484,9 @@
 					p.RequestFinished()
 				}
 			}
-			p.since -= time.Minute
+			p.idleSince -= time.Minute
 			f.mu.Lock()
-			got := f.evictClient(settled)
+			got := f.evictIdleClient(firstRequestGrace)
 			f.unlock()
 			if got != c.want || p.ReadReady() == c.want {
 				t.Errorf("closed for room %v", got)
@@ -501,11 +501,11 @@
 	closed := make(chan string, 2)
 	p := f.AddClient(http1.NewConn(&closer{closed: closed}))
 	p.ReadBlocked(false)
-	p.since -= 5 * settled
+	p.idleSince -= 5 * firstRequestGrace
 	if f.CloseIdleClients(); len(closed) > 0 {
 		t.Error("closed at once")
 	}
-	p.since -= patient
+	p.idleSince -= firstRequestGraceAtStop
 	if f.CloseIdleClients(); len(closed) != 1 {
 		t.Error("never closed")
 	}
@@ -517,10 +517,10 @@
 	f.AcquireClientDescriptor()
 	p := f.AddClient(http1.NewConn(&closer{closed: make(chan string, 1)}))
 	p.ReadBlocked(false)
-	p.used = true
+	p.hasSentRequest = true
 	p.Release()
-	if f.EvictIdle(); f.room.free != f.room.most {
-		t.Errorf("%d free of %d", f.room.free, f.room.most)
+	if f.EvictIdle(); f.budget.free != f.budget.total {
+		t.Errorf("%d free of %d", f.budget.free, f.budget.total)
 	}
 }
 
@@ -556,7 +556,7 @@
 
 // Clients that ask once and stay do not use up what others need.
 func TestCrowded(t *testing.T) {
-	f := fleet(t, policy.Idempotent, Limits{MemoryMB: 192, Sockets: ownDescriptors + leastSockets})
+	f := fleet(t, policy.Idempotent, Limits{MemoryMB: 192, Sockets: reservedDescriptors + minConnections})
 	var clients []*Client
 	for i := range 5 {
 		p := f.AddClient(http1.NewConn(&closer{closed: make(chan string, 1)}))
@@ -567,15 +567,15 @@
 			p.RequestFinished()
 			p.ReadBlocked(false)
 		}
-		if clients = append(clients, p); f.HasTooManyIdleClients() != (i > leastSockets/keptShare) {
+		if clients = append(clients, p); f.HasTooManyIdleClients() != (i > minConnections/idleClientDivisor) {
 			t.Errorf("crowded %v after %d", f.HasTooManyIdleClients(), i)
 		}
 	}
 	clients[1].ReadReady()
 	clients[2].Release()
 	clients[3].ReadReady()
-	if f.room.kept != 1 || f.HasTooManyIdleClients() {
-		t.Errorf("%d are kept", f.room.kept)
+	if f.budget.idleAfterRequest != 1 || f.HasTooManyIdleClients() {
+		t.Errorf("%d are kept", f.budget.idleAfterRequest)
 	}
 }
 
@@ -667,7 +667,7 @@
 
 // Operations and connections to servers are bounded, so that there is room to accept and to deny.
 func TestShares(t *testing.T) {
-	f := fleet(t, policy.Idempotent, Limits{MemoryMB: 192, Sockets: ownDescriptors + 10}, host("a", 1))
+	f := fleet(t, policy.Idempotent, Limits{MemoryMB: 192, Sockets: reservedDescriptors + 10}, host("a", 1))
 	n := 0
 	for f.AcquireServerDescriptor() {
 		n++
--- a/internal/proxy/dispatch/names_test.go
+++ b/internal/proxy/dispatch/names_test.go
@@ -12,7 +12,7 @@
 	want := []string{"answered", "erred", "declined", "turned away", "refused", "never up", "unsent", "stale", "no room", "no time", "cut off",
 		"garbled", "silent", "not kept", "given up"}
 	var got []string
-	for e := range ends {
+	for e := range attemptResultCount {
 		got = append(got, e.String())
 	}
 	if !slices.Equal(got, want) {
--- a/internal/proxy/dispatch/operation.go
+++ b/internal/proxy/dispatch/operation.go
@@ -36,38 +36,38 @@
 // Request is one that a client waits for. One goroutine leads it from Next to Ended and back until a
 // decision other than Send; Left may be called from another, and each second copy is led by one of its own.
 type Request struct {
-	f       *Dispatcher
-	id      uint64
-	name    string // the client's id
-	base    int    // its traffic type by the settings
-	grant   route.Admission
-	next    Decision
-	ready   chan struct{}
-	hops    int
-	outs    []out
-	copying func(*Request, Decision) // leads a second copy, beside the hop that is out
-	settled bool                     // the client has its answer, or will get it by the decision at hand, or has left
+	dispatcher   *Dispatcher
+	id           uint64
+	clientID     string // the client's id
+	trafficType  int    // its traffic type by the settings
+	grant        route.Admission
+	pending      Decision
+	ready        chan struct{}
+	attemptCount int
+	inFlight     []attempt
+	startHedge   func(*Request, Decision) // leads a second copy, beside the hop that is out
+	isSettled    bool                     // the client has its answer, or will get it by the decision at hand, or has left
 }
 
 // out is a hop that has not ended.
-type out struct {
-	hop    int
-	server string
-	sent   time.Duration
-	copy   bool
-	giveUp func() // nil until it is led
-	begun  bool   // its first byte may have been written
+type attempt struct {
+	index      int
+	server     string
+	sentAt     time.Duration
+	isHedge    bool
+	cancel     func() // nil until it is led
+	writeBegun bool   // its first byte may have been written
 }
 
 // TrafficType finds a traffic type by name.
 func (f *Dispatcher) TrafficType(name []byte) (int, bool) {
-	t, ok := f.types[string(name)]
+	t, ok := f.trafficTypes[string(name)]
 	return t, ok
 }
 
 // DefaultTimeout is how long clients of a type wait where they do not say.
 func (f *Dispatcher) DefaultTimeout(kind int) time.Duration {
-	return f.set.TrafficTypes[kind].ClientTimeout
+	return f.settings.TrafficTypes[kind].ClientTimeout
 }
 
 // Why an operation is not taken.
@@ -98,15 +98,15 @@
 func (f *Dispatcher) Submit(a Arrival) (*Request, error) {
 	f.mu.Lock()
 	defer f.unlock()
-	if f.open[string(a.ID)] {
+	if f.openClientIDs[string(a.ID)] {
 		return nil, ErrDuplicateID
 	}
 	if a.Routes != f.routes.Table() {
 		return nil, ErrRoutesChanged
 	}
-	if len(f.ops) >= f.room.share {
+	if len(f.requests) >= f.budget.perSide {
 		f.counts.NoCapacity++
-		f.forsake()
+		f.abandonDisconnected()
 		return nil, ErrNoCapacity
 	}
 	t, ok := f.tenants[string(a.Tenant)]
@@ -119,21 +119,21 @@
 		f.counts.RouteLimited++
 		return nil, ErrRouteLimit
 	}
-	f.lastOp++
-	o := &Request{f: f, id: f.lastOp, name: string(a.ID), base: a.TrafficType, grant: grant, ready: make(chan struct{}, 1), copying: a.StartHedge}
-	f.ops[o.id], f.open[o.name] = o, true
-	f.digests.arrived(a.TrafficType, t)
-	f.door.RequestArrived(now, o.id, policy.Input{TrafficType: grant.Type, RouteLimit: grant.LimitIndex, Tenant: t,
-		Key: policy.HashKey(a.Key), IsClientRetry: a.IsRetry, Timeout: a.Timeout}, (*hands)(f))
+	f.lastRequestID++
+	o := &Request{dispatcher: f, id: f.lastRequestID, clientID: string(a.ID), trafficType: a.TrafficType, grant: grant, ready: make(chan struct{}, 1), startHedge: a.StartHedge}
+	f.requests[o.id], f.openClientIDs[o.clientID] = o, true
+	f.report.recordArrival(a.TrafficType, t)
+	f.engine.RequestArrived(now, o.id, policy.Input{TrafficType: grant.Type, RouteLimit: grant.LimitIndex, Tenant: t,
+		Key: policy.HashKey(a.Key), IsClientRetry: a.IsRetry, Timeout: a.Timeout}, (*effectHandler)(f))
 	return o, nil
 }
 
 // forsake gives up the hops of operations whose clients have left: places are short, and those that wait come first.
-func (f *Dispatcher) forsake() {
-	for _, o := range f.ops {
-		for _, hop := range o.outs {
-			if o.settled && hop.giveUp != nil {
-				hop.giveUp()
+func (f *Dispatcher) abandonDisconnected() {
+	for _, o := range f.requests {
+		for _, hop := range o.inFlight {
+			if o.isSettled && hop.cancel != nil {
+				hop.cancel()
 			}
 		}
 	}
@@ -143,159 +143,159 @@
 // operation gets its answer otherwise.
 func (o *Request) NextDecision(giveUp func()) Decision {
 	for {
-		o.f.mu.Lock()
-		d := o.next
-		o.next.Action = undecided
+		o.dispatcher.mu.Lock()
+		d := o.pending
+		o.pending.Action = undecided
 		if d.Action != undecided {
 			if d.Action == SendAttempt {
-				o.lead(d.Attempt, giveUp)
+				o.setCancel(d.Attempt, giveUp)
 			} else {
-				for _, hop := range slices.Clone(o.outs) { // one decided on and overtaken by the answer was never sent
-					if hop.giveUp == nil && !hop.copy {
-						o.end(hop.hop, ExpiredUnsent, nil)
+				for _, hop := range slices.Clone(o.inFlight) { // one decided on and overtaken by the answer was never sent
+					if hop.cancel == nil && !hop.isHedge {
+						o.endAttempt(hop.index, ExpiredUnsent, nil)
 					}
 				}
-				o.forget()
+				o.removeIfDone()
 			}
-			o.f.unlock()
+			o.dispatcher.unlock()
 			return d
 		}
-		o.f.unlock()
+		o.dispatcher.unlock()
 		<-o.ready
 	}
 }
 
 // TrafficType is the operation's traffic type by the settings, whatever its route made of it.
-func (o *Request) TrafficType() int { return o.base }
+func (o *Request) TrafficType() int { return o.trafficType }
 
 // lead notes how a hop is given up.
-func (o *Request) lead(hop int, giveUp func()) {
-	for i := range o.outs {
-		if o.outs[i].hop == hop {
-			o.outs[i].giveUp = giveUp
+func (o *Request) setCancel(hop int, giveUp func()) {
+	for i := range o.inFlight {
+		if o.inFlight[i].index == hop {
+			o.inFlight[i].cancel = giveUp
 		}
 	}
 }
 
 // HedgeStarted tells how a second copy is given up, which may be before it was sent.
 func (o *Request) HedgeStarted(d Decision, giveUp func()) {
-	o.f.mu.Lock()
-	defer o.f.unlock()
-	if o.settled {
+	o.dispatcher.mu.Lock()
+	defer o.dispatcher.unlock()
+	if o.isSettled {
 		giveUp()
 	}
-	o.lead(d.Attempt, giveUp)
+	o.setCancel(d.Attempt, giveUp)
 }
 
 // AttemptEnded tells how the hop ended that Next returned, or a copy, and what it brought for the client.
 func (o *Request) AttemptEnded(hop int, how AttemptResult, answer []byte) {
-	o.f.mu.Lock()
-	defer o.f.unlock()
-	o.end(hop, how, answer)
-	o.forget()
+	o.dispatcher.mu.Lock()
+	defer o.dispatcher.unlock()
+	o.endAttempt(hop, how, answer)
+	o.removeIfDone()
 }
 
 // forget lets go of an operation that has its answer and no hop out.
-func (o *Request) forget() {
-	if o.settled && len(o.outs) == 0 && o.next.Action == undecided {
-		delete(o.f.ops, o.id)
+func (o *Request) removeIfDone() {
+	if o.isSettled && len(o.inFlight) == 0 && o.pending.Action == undecided {
+		delete(o.dispatcher.requests, o.id)
 	}
 }
 
 // Close lets go of the operation. It does something only where a fault of this program kept it from its end,
 // and then what it held is free for others.
 func (o *Request) Close() {
-	o.f.mu.Lock()
-	defer o.f.unlock()
-	if o.f.ops[o.id] != o {
+	o.dispatcher.mu.Lock()
+	defer o.dispatcher.unlock()
+	if o.dispatcher.requests[o.id] != o {
 		return
 	}
-	if !o.settled {
+	if !o.isSettled {
 		o.settle(Decision{Action: Drop})
-		o.f.door.ClientLeft(o.f.now(), o.id, (*hands)(o.f))
+		o.dispatcher.engine.ClientLeft(o.dispatcher.now(), o.id, (*effectHandler)(o.dispatcher))
 	}
-	o.next.Action = undecided
-	for _, hop := range slices.Clone(o.outs) {
-		if !hop.copy { // copies end by themselves
-			o.end(hop.hop, Abandoned, nil)
+	o.pending.Action = undecided
+	for _, hop := range slices.Clone(o.inFlight) {
+		if !hop.isHedge { // copies end by themselves
+			o.endAttempt(hop.index, Abandoned, nil)
 		}
 	}
-	o.forget()
+	o.removeIfDone()
 }
 
-func (o *Request) end(hop int, how AttemptResult, answer []byte) {
-	i := slices.IndexFunc(o.outs, func(h out) bool { return h.hop == hop })
+func (o *Request) endAttempt(hop int, how AttemptResult, answer []byte) {
+	i := slices.IndexFunc(o.inFlight, func(h attempt) bool { return h.index == hop })
 	if i < 0 {
 		return
 	}
-	ended := o.outs[i]
-	o.outs = slices.Delete(o.outs, i, i+1)
-	o.f.counts.AttemptResults[how]++
+	ended := o.inFlight[i]
+	o.inFlight = slices.Delete(o.inFlight, i, i+1)
+	o.dispatcher.counts.AttemptResults[how]++
 	switch {
-	case o.settled:
+	case o.isSettled:
 	case how == Succeeded:
 		o.settle(Decision{Action: Respond, Answer: answer})
 	case how == RequestFault: // another server would say the same
 		o.settle(Decision{Action: Fail, Answer: answer})
 	}
-	now := o.f.now()
-	o.f.tell(ended.server, how)
-	o.f.digests.ended(ended.server, o.base, how, now-ended.sent)
-	o.f.door.AttemptEnded(now, o.id, ended.server, policy.Input{Attempt: hop, Outcome: how.Outcome(),
-		Elapsed: now - ended.sent, ClientAnswered: o.settled}, (*hands)(o.f))
+	now := o.dispatcher.now()
+	o.dispatcher.observe(ended.server, how)
+	o.dispatcher.report.recordAttempt(ended.server, o.trafficType, how, now-ended.sentAt)
+	o.dispatcher.engine.AttemptEnded(now, o.id, ended.server, policy.Input{Attempt: hop, Outcome: how.Outcome(),
+		Elapsed: now - ended.sentAt, ClientAnswered: o.isSettled}, (*effectHandler)(o.dispatcher))
 }
 
 // ClientDisconnected tells that the client has gone. An answer that crosses this is not sent; a hop that is out goes on,
 // for what it tells about its server.
 func (o *Request) ClientDisconnected() {
-	o.f.mu.Lock()
-	defer o.f.unlock()
-	if !o.settled {
+	o.dispatcher.mu.Lock()
+	defer o.dispatcher.unlock()
+	if !o.isSettled {
 		o.settle(Decision{Action: Drop})
-		o.f.door.ClientLeft(o.f.now(), o.id, (*hands)(o.f))
+		o.dispatcher.engine.ClientLeft(o.dispatcher.now(), o.id, (*effectHandler)(o.dispatcher))
 	}
 }
 
 // BeginWrite tells whether a hop may be written now: not once the operation is settled. From then on it goes on past its
 // client's leaving.
 func (o *Request) BeginWrite(hop int) bool {
-	o.f.mu.Lock()
-	defer o.f.unlock()
-	for i := range o.outs {
-		if o.outs[i].hop == hop && !o.settled {
-			o.outs[i].begun = true
+	o.dispatcher.mu.Lock()
+	defer o.dispatcher.unlock()
+	for i := range o.inFlight {
+		if o.inFlight[i].index == hop && !o.isSettled {
+			o.inFlight[i].writeBegun = true
 		}
 	}
-	return !o.settled
+	return !o.isSettled
 }
 
 // IsSettled tells that nothing more may be sent for the operation.
 func (o *Request) IsSettled() bool {
-	o.f.mu.Lock()
-	defer o.f.unlock()
-	return o.settled
+	o.dispatcher.mu.Lock()
+	defer o.dispatcher.unlock()
+	return o.isSettled
 }
 
 // settle sets the one final answer; whatever crosses it finds the operation settled. Hops that are out are given up,
 // but for a client that left and hops that are written: what they tell about their servers is still of use.
 func (o *Request) settle(d Decision) {
-	o.settled = true
-	delete(o.f.open, o.name)
-	o.f.routes.Release(o.grant)
-	o.f.counts.decided(d.Action)
+	o.isSettled = true
+	delete(o.dispatcher.openClientIDs, o.clientID)
+	o.dispatcher.routes.Release(o.grant)
+	o.dispatcher.counts.decided(d.Action)
 	if d.Action == Reject {
-		o.f.digests.turnedAway(o.base)
+		o.dispatcher.report.recordRejection(o.trafficType)
 	}
-	o.decide(d)
-	for _, hop := range o.outs {
-		if hop.giveUp != nil && (d.Action != Drop || !hop.begun) {
-			hop.giveUp()
+	o.setPending(d)
+	for _, hop := range o.inFlight {
+		if hop.cancel != nil && (d.Action != Drop || !hop.writeBegun) {
+			hop.cancel()
 		}
 	}
 }
 
-func (o *Request) decide(d Decision) {
-	o.next = d
+func (o *Request) setPending(d Decision) {
+	o.pending = d
 	select {
 	case o.ready <- struct{}{}:
 	default:
@@ -303,52 +303,52 @@
 }
 
 // hands carries out what the module decides; the lock is held.
-type hands Dispatcher
+type effectHandler Dispatcher
 
-func (h *hands) SendAttempt(job uint64, server string, allow time.Duration) {
-	o, s := h.ops[job], h.servers[server]
+func (h *effectHandler) SendAttempt(job uint64, server string, allow time.Duration) {
+	o, s := h.requests[job], h.servers[server]
 	if o == nil {
 		return
 	}
-	line, _ := h.book.Get(server)
-	d := Decision{Action: SendAttempt, Attempt: o.hops, Server: server, Address: line.Address, IsFastCGI: s.cgi, Duration: allow}
-	o.outs = append(o.outs, out{hop: o.hops, server: server, sent: time.Since(h.started), copy: len(o.outs) > 0})
-	o.hops++
+	line, _ := h.view.Get(server)
+	d := Decision{Action: SendAttempt, Attempt: o.attemptCount, Server: server, Address: line.Address, IsFastCGI: s.isFastCGI, Duration: allow}
+	o.inFlight = append(o.inFlight, attempt{index: o.attemptCount, server: server, sentAt: time.Since(h.started), isHedge: len(o.inFlight) > 0})
+	o.attemptCount++
 	switch {
-	case o.settled:
-	case len(o.outs) > 1:
+	case o.isSettled:
+	case len(o.inFlight) > 1:
 		h.counts.Hedges++
-		o.copying(o, d)
+		o.startHedge(o, d)
 	default:
-		o.decide(d)
+		o.setPending(d)
 	}
 }
 
-func (h *hands) answer(job uint64, d Decision) {
-	if o := h.ops[job]; o != nil && !o.settled {
+func (h *effectHandler) settle(job uint64, d Decision) {
+	if o := h.requests[job]; o != nil && !o.isSettled {
 		o.settle(d)
 	}
 }
 
-func (h *hands) Reject(job uint64, retryIn time.Duration) {
-	h.answer(job, Decision{Action: Reject, Duration: retryIn})
+func (h *effectHandler) Reject(job uint64, retryIn time.Duration) {
+	h.settle(job, Decision{Action: Reject, Duration: retryIn})
 }
 
-func (h *hands) Fail(job uint64) { h.answer(job, Decision{Action: Fail}) }
+func (h *effectHandler) Fail(job uint64) { h.settle(job, Decision{Action: Fail}) }
 
-func (h *hands) SetTimer(after time.Duration) { h.wake.Reset(after) }
+func (h *effectHandler) SetTimer(after time.Duration) { h.timer.Reset(after) }
 
-func (h *hands) Subscribe() {
+func (h *effectHandler) Subscribe() {
 	select {
-	case h.asked <- struct{}{}:
+	case h.pollRequested <- struct{}{}:
 	default:
 	}
 }
 
-func (h *hands) CloseIdle(server string) { (*Dispatcher)(h).release(h.servers[server]) }
+func (h *effectHandler) CloseIdle(server string) { (*Dispatcher)(h).closeIdleConns(h.servers[server]) }
 
-func (h *hands) Forget(server string) {
+func (h *effectHandler) Forget(server string) {
 	h.CloseIdle(server)
 	delete(h.servers, server)
-	h.book.Forget(server)
+	h.view.Forget(server)
 }
--- a/internal/proxy/dispatch/placement_test.go
+++ b/internal/proxy/dispatch/placement_test.go
@@ -130,7 +130,7 @@
 				near, far := connpair.TCP(t)
 				f.AcquireServerDescriptor()
 				c.day(f, http1.NewConn(near))
-				f.woken()
+				f.onTimer()
 				if !c.closed { // shown by a byte that arrives
 					if _, err := near.Write([]byte{'x'}); err != nil {
 						t.Fatalf("closed: %v", err)
--- a/internal/proxy/dispatch/ready.go
+++ b/internal/proxy/dispatch/ready.go
@@ -5,7 +5,7 @@
 	f.mu.Lock()
 	defer f.unlock()
 	for id := range f.servers {
-		if l, ok := f.book.Get(id); ok && l.IsUsable {
+		if l, ok := f.view.Get(id); ok && l.IsUsable {
 			return true
 		}
 	}
--- a/internal/proxy/dispatch/room.go
+++ b/internal/proxy/dispatch/room.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	ownDescriptors = 14       // standard streams, listener, discovery, poller: 10 were seen at most, and slack
-	leastSockets   = 8        // connections a node has whatever the limits say
-	baseMemory     = 12 << 20 // bytes of the run time and the module's own figures; 6 MB were seen
-	keptBuffer     = 8 << 10  // bytes that a connection may hold on to
-	perConnection  = keptBuffer + 24<<10
+	reservedDescriptors = 14       // standard streams, listener, discovery, poller: 10 were seen at most, and slack
+	minConnections      = 8        // connections a node has whatever the limits say
+	runtimeReserveBytes = 12 << 20 // bytes of the run time and the module's own figures; 6 MB were seen
+	connBufferBytes     = 8 << 10  // bytes that a connection may hold on to
+	connMemoryBytes     = connBufferBytes + 24<<10
 	// bytes: a buffer, two stacks, what leads it
-	connShare  = 0.25                   // of the memory left for connections
-	largeShare = 0.25                   // and for what large messages need beyond; the collector needs the other half
-	spareShare = 8                      // the part of all connections kept for clients that are only told to come back
-	spareLeast = 2                      // of them
-	keptShare  = 8                      // the part of all connections that clients may keep idle; half of the nodes may be away
-	settled    = 100 * time.Millisecond // in which a new connection's request must come, or it may be closed for room
-	patient    = time.Second            // the same while the node stops and nothing presses; a new client may be slow to ask
-	unsettled  = 5 * time.Millisecond   // in which a server may still close behind its answer: rather one idle for longer
-	idleShare  = 0.6                    // of the settings' idle time, after which a server's connection is not used again
+	connMemoryShare         = 0.25                   // of the memory left for connections
+	messageMemoryShare      = 0.25                   // and for what large messages need beyond; the collector needs the other half
+	spareDivisor            = 8                      // the part of all connections kept for clients that are only told to come back
+	minSpare                = 2                      // of them
+	idleClientDivisor       = 8                      // the part of all connections that clients may keep idle; half of the nodes may be away
+	firstRequestGrace       = 100 * time.Millisecond // in which a new connection's request must come, or it may be closed for room
+	firstRequestGraceAtStop = time.Second            // the same while the node stops and nothing presses; a new client may be slow to ask
+	justUsed                = 5 * time.Millisecond   // in which a server may still close behind its answer: rather one idle for longer
+	idleTimeoutShare        = 0.6                    // of the settings' idle time, after which a server's connection is not used again
 )
 
 // Limits of the machine.
@@ -33,36 +33,36 @@
 	Sockets  int
 }
 
-func (l Limits) left() float64 { return max(float64(l.MemoryMB<<20-baseMemory), 0) }
+func (l Limits) connMemory() float64 { return max(float64(l.MemoryMB<<20-runtimeReserveBytes), 0) }
 
 // MaxConnections is how many connections the limits leave room for.
 func (l Limits) MaxConnections() int {
-	byMemory := int(connShare * l.left() / perConnection)
-	return max(min(l.Sockets-ownDescriptors, byMemory), leastSockets)
+	byMemory := int(connMemoryShare * l.connMemory() / connMemoryBytes)
+	return max(min(l.Sockets-reservedDescriptors, byMemory), minConnections)
 }
 
 // room counts descriptors. Operations in hand and connections to servers are bounded alike, each by half of
 // what is left beside a few spare ones; what servers' may take is not given to clients. So each operation in hand can
 // be sent, and some clients' connections are always idle, to be closed for room, or hold an operation that is denied
 // at once: what the system has accepted is answered in time.
-type room struct {
-	most, free int
-	share      int // of operations, and of connections to servers
-	servers    int // that connections to servers may still take
-	idle       list.List
-	kept       int // of the idle, after a request
-	pool       *message.BufferBudget
-	changed    chan struct{} // something has become free or idle
+type descriptorBudget struct {
+	total, free      int
+	perSide          int // of operations, and of connections to servers
+	freeForServers   int // that connections to servers may still take
+	idleClients      list.List
+	idleAfterRequest int // of the idle, after a request
+	pool             *message.BufferBudget
+	changed          chan struct{} // something has become free or idle
 }
 
-func newRoom(l Limits) room {
+func newDescriptorBudget(l Limits) descriptorBudget {
 	n := l.MaxConnections()
-	share := (n - max(n/spareShare, spareLeast)) / 2
-	pool := message.NewBufferBudget(max(int(largeShare*l.left()), message.MaxHead+message.MaxBody))
-	return room{most: n, free: n, share: share, servers: share, pool: pool, changed: make(chan struct{}, 1)}
+	share := (n - max(n/spareDivisor, minSpare)) / 2
+	pool := message.NewBufferBudget(max(int(messageMemoryShare*l.connMemory()), message.MaxHead+message.MaxBody))
+	return descriptorBudget{total: n, free: n, perSide: share, freeForServers: share, pool: pool, changed: make(chan struct{}, 1)}
 }
 
-func (r *room) tell() {
+func (r *descriptorBudget) notify() {
 	select {
 	case r.changed <- struct{}{}:
 	default:
@@ -81,34 +81,34 @@
 
 // Client is a client's connection.
 type Client struct {
-	f       *Dispatcher
-	conn    ClientConn
-	place   *list.Element // among those on which no whole request is open
-	since   time.Duration // there
-	used    bool          // for a request before
-	evicted bool
-	open    int  // requests that were taken and are not answered
-	waits   bool // its reader waits for more, with nothing in hand that was not dealt with
-	half    bool // a request has come in part
+	dispatcher        *Dispatcher
+	conn              ClientConn
+	idleElement       *list.Element // among those on which no whole request is open
+	idleSince         time.Duration // there
+	hasSentRequest    bool          // for a request before
+	isEvicted         bool
+	openRequests      int  // requests that were taken and are not answered
+	isWaiting         bool // its reader waits for more, with nothing in hand that was not dealt with
+	hasPartialRequest bool // a request has come in part
 }
 
 // MessageBudget is the memory for large messages.
-func (f *Dispatcher) MessageBudget() *message.BufferBudget { return f.room.pool }
+func (f *Dispatcher) MessageBudget() *message.BufferBudget { return f.budget.pool }
 
 // AcquireClientDescriptor waits until there is a descriptor to accept a connection with, closing idle clients' for it.
 func (f *Dispatcher) AcquireClientDescriptor() {
 	for {
 		f.mu.Lock()
-		if f.room.free > f.room.servers {
-			f.room.free--
+		if f.budget.free > f.budget.freeForServers {
+			f.budget.free--
 			f.mu.Unlock()
 			return
 		}
-		f.evictClient(settled)
+		f.evictIdleClient(firstRequestGrace)
 		f.unlock()
 		select {
-		case <-f.room.changed:
-		case <-time.After(settled):
+		case <-f.budget.changed:
+		case <-time.After(firstRequestGrace):
 		}
 	}
 }
@@ -117,40 +117,40 @@
 func (f *Dispatcher) ReleaseClientDescriptor() {
 	f.mu.Lock()
 	defer f.unlock()
-	f.vacate()
+	f.releaseClientDescriptor()
 }
 
-func (f *Dispatcher) vacate() {
-	f.room.free++
-	f.room.tell()
+func (f *Dispatcher) releaseClientDescriptor() {
+	f.budget.free++
+	f.budget.notify()
 }
 
 // Release gives back the connection's descriptor, once: what is closed must not be closed for room as well.
 func (c *Client) Release() {
-	c.f.mu.Lock()
-	defer c.f.unlock()
-	c.leave()
-	if !c.evicted {
-		c.f.vacate()
+	c.dispatcher.mu.Lock()
+	defer c.dispatcher.unlock()
+	c.removeIdle()
+	if !c.isEvicted {
+		c.dispatcher.releaseClientDescriptor()
 	}
 }
 
 // evictClient closes the connection that has been idle for longest. A new one, whose request is on its way,
 // or one on which a request has come that is not read yet is passed over, for its client may not send it again. new is
 // how long a first request may be on its way.
-func (f *Dispatcher) evictClient(new time.Duration) bool {
-	for e := f.room.idle.Front(); e != nil; {
+func (f *Dispatcher) evictIdleClient(new time.Duration) bool {
+	for e := f.budget.idleClients.Front(); e != nil; {
 		c := e.Value.(*Client)
 		e = e.Next()
-		if !c.used && f.now()-c.since <= new {
+		if !c.hasSentRequest && f.now()-c.idleSince <= new {
 			continue
 		}
-		c.leave()
+		c.removeIdle()
 		if c.conn.HasUnread() { // its reader is about to say so; with many such, each look at all of them again costs a system call
 			continue
 		}
-		c.evicted = true
-		f.vacate() // it is closed as soon as the lock is given back
+		c.isEvicted = true
+		f.releaseClientDescriptor() // it is closed as soon as the lock is given back
 		f.closing = append(f.closing, c.conn)
 		return true
 	}
@@ -161,83 +161,83 @@
 func (f *Dispatcher) EvictIdle() {
 	f.mu.Lock()
 	defer f.unlock()
-	if !f.evictClient(settled) {
-		f.evictServer()
+	if !f.evictIdleClient(firstRequestGrace) {
+		f.evictIdleServerConn()
 	}
 }
 
 // AddClient takes in an accepted connection.
-func (f *Dispatcher) AddClient(conn ClientConn) *Client { return &Client{f: f, conn: conn} }
+func (f *Dispatcher) AddClient(conn ClientConn) *Client { return &Client{dispatcher: f, conn: conn} }
 
-func (c *Client) rest() {
-	if c.place != nil {
+func (c *Client) addIdle() {
+	if c.idleElement != nil {
 		return
 	}
-	c.place = c.f.room.idle.PushBack(c)
-	if c.used {
-		c.f.room.kept++
+	c.idleElement = c.dispatcher.budget.idleClients.PushBack(c)
+	if c.hasSentRequest {
+		c.dispatcher.budget.idleAfterRequest++
 	}
-	c.f.room.tell() // or what the system has accepted would wait unread until some connection ends
+	c.dispatcher.budget.notify() // or what the system has accepted would wait unread until some connection ends
 }
 
 // ReadBlocked tells that a connection is read no further until Came is told. half: a request has come in part. It may be closed
 // for room only while it waits and nothing that was taken is open. Until the first request is whole it may be closed with
 // a part of it, after a while, or clients that send halves would hold all places; a later one has shown that it can end.
 func (c *Client) ReadBlocked(half bool) {
-	c.f.mu.Lock()
-	defer c.f.unlock()
-	if half != c.half || c.since == 0 {
-		c.since = c.f.now()
+	c.dispatcher.mu.Lock()
+	defer c.dispatcher.unlock()
+	if half != c.hasPartialRequest || c.idleSince == 0 {
+		c.idleSince = c.dispatcher.now()
 	}
-	c.waits, c.half = true, half
-	c.settle()
+	c.isWaiting, c.hasPartialRequest = true, half
+	c.updateIdle()
 }
 
 // ReadReady tells that something has come and is about to be read. It is false if the connection was closed before; then
 // nothing was read that is not dealt with.
 func (c *Client) ReadReady() bool {
-	c.f.mu.Lock()
-	defer c.f.unlock()
-	c.waits = false
-	c.settle()
-	return !c.evicted
+	c.dispatcher.mu.Lock()
+	defer c.dispatcher.unlock()
+	c.isWaiting = false
+	c.updateIdle()
+	return !c.isEvicted
 }
 
 // RequestStarted tells that a request has come whole and is led to its answer, beside others.
 func (c *Client) RequestStarted() {
-	c.f.mu.Lock()
-	defer c.f.unlock()
-	c.open++
-	c.settle()
-	c.used = true
+	c.dispatcher.mu.Lock()
+	defer c.dispatcher.unlock()
+	c.openRequests++
+	c.updateIdle()
+	c.hasSentRequest = true
 }
 
 // RequestFinished tells that one which was taken has its answer.
 func (c *Client) RequestFinished() {
-	c.f.mu.Lock()
-	defer c.f.unlock()
-	if c.open--; c.open == 0 {
-		c.since = c.f.now()
+	c.dispatcher.mu.Lock()
+	defer c.dispatcher.unlock()
+	if c.openRequests--; c.openRequests == 0 {
+		c.idleSince = c.dispatcher.now()
 	}
-	c.settle()
+	c.updateIdle()
 }
 
-func (c *Client) settle() {
-	if c.waits && c.open == 0 && !(c.half && c.used) && !c.evicted {
-		c.rest()
+func (c *Client) updateIdle() {
+	if c.isWaiting && c.openRequests == 0 && !(c.hasPartialRequest && c.hasSentRequest) && !c.isEvicted {
+		c.addIdle()
 	} else {
-		c.leave()
+		c.removeIdle()
 	}
 }
 
-func (c *Client) leave() {
-	if c.place == nil {
+func (c *Client) removeIdle() {
+	if c.idleElement == nil {
 		return
 	}
-	c.f.room.idle.Remove(c.place)
-	c.place = nil
-	if c.used {
-		c.f.room.kept--
+	c.dispatcher.budget.idleClients.Remove(c.idleElement)
+	c.idleElement = nil
+	if c.hasSentRequest {
+		c.dispatcher.budget.idleAfterRequest--
 	}
 }
 
@@ -246,14 +246,14 @@
 func (f *Dispatcher) HasTooManyIdleClients() bool {
 	f.mu.Lock()
 	defer f.unlock()
-	return f.room.kept > f.room.most/keptShare
+	return f.budget.idleAfterRequest > f.budget.total/idleClientDivisor
 }
 
 // CloseIdleClients closes all clients' connections that are between requests.
 func (f *Dispatcher) CloseIdleClients() {
 	f.mu.Lock()
 	defer f.unlock()
-	for f.evictClient(patient) {
+	for f.evictIdleClient(firstRequestGraceAtStop) {
 	}
 }
 
@@ -266,11 +266,11 @@
 func (f *Dispatcher) AcquireServerDescriptor() bool {
 	f.mu.Lock()
 	defer f.unlock()
-	if f.room.servers == 0 && !f.evictServer() {
+	if f.budget.freeForServers == 0 && !f.evictIdleServerConn() {
 		return false
 	}
-	f.room.servers--
-	f.room.free--
+	f.budget.freeForServers--
+	f.budget.free--
 	return true
 }
 
@@ -278,12 +278,12 @@
 func (f *Dispatcher) ReleaseServerDescriptor() {
 	f.mu.Lock()
 	defer f.unlock()
-	f.forgo()
+	f.releaseServerDescriptor()
 }
 
-func (f *Dispatcher) forgo() {
-	f.room.servers++
-	f.vacate()
+func (f *Dispatcher) releaseServerDescriptor() {
+	f.budget.freeForServers++
+	f.releaseClientDescriptor()
 }
 
 // TakeIdle returns an idle connection to a server, nil if there is none. The latest used comes first, so that
@@ -296,13 +296,13 @@
 		return nil
 	}
 	i := len(s.idle) - 1
-	for i > 0 && f.now()-s.idle[i].since < unsettled {
+	for i > 0 && f.now()-s.idle[i].since < justUsed {
 		i--
 	}
 	c := s.idle[i]
 	s.idle = slices.Delete(s.idle, i, i+1)
-	if f.old(c) {
-		f.shut(c)
+	if f.isExpired(c) {
+		f.closeIdleConn(c)
 		return nil
 	}
 	return c.conn
@@ -312,56 +312,56 @@
 func (f *Dispatcher) PutIdle(id string, cgi bool, c ServerConn) {
 	f.mu.Lock()
 	defer f.unlock()
-	if l, _ := f.book.Get(id); (l.IsUsable || f.hoards && f.servers[id] != nil) && f.servers[id].cgi == cgi {
+	if l, _ := f.view.Get(id); (l.IsUsable || f.hoards && f.servers[id] != nil) && f.servers[id].isFastCGI == cgi {
 		s := f.servers[id]
 		s.idle = append(s.idle, idleConn{c, f.now()})
-		f.idlers[s] = struct{}{}
-		f.room.tell()
+		f.serversWithIdle[s] = struct{}{}
+		f.budget.notify()
 		return
 	}
-	f.shut(idleConn{conn: c})
+	f.closeIdleConn(idleConn{conn: c})
 }
 
-func (f *Dispatcher) old(c idleConn) bool {
-	return f.now()-c.since > time.Duration(idleShare*float64(f.set.ConnIdle))
+func (f *Dispatcher) isExpired(c idleConn) bool {
+	return f.now()-c.since > time.Duration(idleTimeoutShare*float64(f.settings.ConnIdle))
 }
 
-func (f *Dispatcher) shut(c idleConn) {
+func (f *Dispatcher) closeIdleConn(c idleConn) {
 	f.closing = append(f.closing, c.conn)
-	f.forgo()
+	f.releaseServerDescriptor()
 }
 
-func (f *Dispatcher) release(s *server) {
+func (f *Dispatcher) closeIdleConns(s *server) {
 	if s == nil || f.hoards {
 		return
 	}
 	for _, c := range s.idle {
-		f.shut(c)
+		f.closeIdleConn(c)
 	}
 	s.idle = s.idle[:0]
-	delete(f.idlers, s)
+	delete(f.serversWithIdle, s)
 }
 
 // retire closes connections well before the server may, so that no request meets the server's own closing.
-func (f *Dispatcher) retire() {
-	for s := range f.idlers {
-		f.visits++
+func (f *Dispatcher) closeExpiredIdle() {
+	for s := range f.serversWithIdle {
+		f.serverVisits++
 		n := 0
-		for n < len(s.idle) && f.old(s.idle[n]) {
-			f.shut(s.idle[n])
+		for n < len(s.idle) && f.isExpired(s.idle[n]) {
+			f.closeIdleConn(s.idle[n])
 			n++
 		}
 		if s.idle = append(s.idle[:0], s.idle[n:]...); len(s.idle) == 0 {
-			delete(f.idlers, s)
+			delete(f.serversWithIdle, s)
 		}
 	}
 }
 
 // evictServer closes the connection to a server that has been idle for longest.
-func (f *Dispatcher) evictServer() bool {
+func (f *Dispatcher) evictIdleServerConn() bool {
 	var oldest *server
-	for s := range f.idlers {
-		f.visits++
+	for s := range f.serversWithIdle {
+		f.serverVisits++
 		if len(s.idle) > 0 && (oldest == nil || s.idle[0].since < oldest.idle[0].since) {
 			oldest = s
 		}
@@ -369,7 +369,7 @@
 	if oldest == nil {
 		return false
 	}
-	f.shut(oldest.idle[0])
+	f.closeIdleConn(oldest.idle[0])
 	oldest.idle = append(oldest.idle[:0], oldest.idle[1:]...)
 	return true
 }
--- a/internal/proxy/shadow/shadow.go
+++ b/internal/proxy/shadow/shadow.go
@@ -11,11 +11,11 @@
 
 // perSecond bounds the decisions that are compared, and with them the time that watching takes: a comparison copies what
 // the module knows, some 50 microseconds with a hundred servers and as many operations.
-const perSecond = 100
+const maxComparisonsPerSecond = 100
 
 // serversEach is how many servers a comparison may copy at the price of one; more cost as many more, so that watching
 // takes no more of a node with many servers.
-const serversEach = 1_000
+const serversPerComparison = 1_000
 
 // Difference is in what the other settings would have decided otherwise.
 type Difference int
@@ -31,38 +31,38 @@
 	WouldNotRetry                       // the reverse
 	WouldFail                           // written off, where it was not
 	WouldKeepWaiting                    // the hop still out waited for, where it was answered
-	kinds
+	differenceCount
 )
 
-var names = [kinds]string{"server", "hop_time", "sent", "waited", "denied", "return_time", "further_hop", "no_further_hop",
+var differenceNames = [differenceCount]string{"server", "hop_time", "sent", "waited", "denied", "return_time", "further_hop", "no_further_hop",
 	"written_off", "left_open"}
 
-func (k Difference) String() string { return names[k] }
+func (k Difference) String() string { return differenceNames[k] }
 
 // Module is a module that hands on what another decides, to the byte, and counts where settings would differ.
 type Module struct {
-	live     *policy.Policy
-	watch    *Candidate
-	left     float64 // comparisons that may still be made
-	last     time.Duration
-	effects  []policy.Effect
-	byOp     map[int]policy.Effect
-	disabled bool
+	live       *policy.Policy
+	candidate  *Candidate
+	budget     float64 // comparisons that may still be made
+	budgetAt   time.Duration
+	effects    []policy.Effect
+	byRequest  map[int]policy.Effect
+	isDisabled bool
 }
 
 // Candidate is what is watched and what was counted; both may be reached while the module decides.
 type Candidate struct {
-	set      atomic.Pointer[settings.Settings]
+	settings atomic.Pointer[settings.Settings]
 	compared atomic.Int64
 	failed   atomic.Int64
-	counts   [kinds]atomic.Int64
+	counts   [differenceCount]atomic.Int64
 }
 
 // Counts since the last call.
 type Counts struct {
 	Compared     int
 	HasFailed    bool // the other decision could not be had; nothing is watched any more
-	ByDifference [kinds]int
+	ByDifference [differenceCount]int
 }
 
 // NewCandidate watches settings, which must fit the node's own.
@@ -73,10 +73,10 @@
 }
 
 // SetSettings has other settings watched from now on.
-func (t *Candidate) SetSettings(s *settings.Settings) { t.set.Store(s) }
+func (t *Candidate) SetSettings(s *settings.Settings) { t.settings.Store(s) }
 
 // Settings are the settings that are watched now.
-func (t *Candidate) Settings() *settings.Settings { return t.set.Load() }
+func (t *Candidate) Settings() *settings.Settings { return t.settings.Load() }
 
 // TakeCounts returns the counts since the last call.
 func (t *Candidate) TakeCounts() (c Counts) {
@@ -96,13 +96,13 @@
 
 // NewModule is a module that decides as live does.
 func NewModule(live *policy.Policy, watch *Candidate) *Module {
-	return &Module{live: live, watch: watch, left: perSecond, byOp: map[int]policy.Effect{}}
+	return &Module{live: live, candidate: watch, budget: maxComparisonsPerSecond, byRequest: map[int]policy.Effect{}}
 }
 
 // Handle has the module decide. The other settings are asked before, on a copy, since the module then knows what it knows
 // as it decides.
 func (w *Module) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
-	asked := w.due(now, in) && w.ask(now, in)
+	asked := w.shouldCompare(now, in) && w.evaluateCandidate(now, in)
 	from := len(effects)
 	effects = w.live.Handle(now, in, effects)
 	if asked {
@@ -112,65 +112,65 @@
 }
 
 // due: it is a decision on operations, and fewer were compared than may be.
-func (w *Module) due(now time.Duration, in *policy.Input) bool {
-	price := max(float64(w.live.ServerCount())/serversEach, 1)
-	w.left, w.last = min(w.left+perSecond*(now-w.last).Seconds(), max(perSecond, price)), now
+func (w *Module) shouldCompare(now time.Duration, in *policy.Input) bool {
+	price := max(float64(w.live.ServerCount())/serversPerComparison, 1)
+	w.budget, w.budgetAt = min(w.budget+maxComparisonsPerSecond*(now-w.budgetAt).Seconds(), max(maxComparisonsPerSecond, price)), now
 	switch in.Kind {
 	case policy.EndpointsUpdated, policy.TrafficTypesChanged, policy.PlanChanged, policy.QuotasChanged:
 		return false
 	}
-	if w.disabled || w.left < price {
+	if w.isDisabled || w.budget < price {
 		return false
 	}
-	w.left -= price
+	w.budget -= price
 	return true
 }
 
-func (w *Module) ask(now time.Duration, in *policy.Input) (ok bool) {
+func (w *Module) evaluateCandidate(now time.Duration, in *policy.Input) (ok bool) {
 	defer func() { // settings that are only watched must not end a node
 		if recover() != nil {
-			w.disabled, ok = true, false
-			w.watch.failed.Add(1)
+			w.isDisabled, ok = true, false
+			w.candidate.failed.Add(1)
 		}
 	}()
-	w.effects = w.live.WhatIf(&w.watch.Settings().Settings, now, in, w.effects[:0])
+	w.effects = w.live.WhatIf(&w.candidate.Settings().Settings, now, in, w.effects[:0])
 	return true
 }
 
 func (w *Module) compare(live []policy.Effect) {
-	w.watch.compared.Add(1)
-	clear(w.byOp)
+	w.candidate.compared.Add(1)
+	clear(w.byRequest)
 	for _, e := range w.effects {
-		if decides(e.Kind) {
-			w.byOp[e.Request] = e
+		if isDecision(e.Kind) {
+			w.byRequest[e.Request] = e
 		}
 	}
 	for _, e := range live {
-		if !decides(e.Kind) {
+		if !isDecision(e.Kind) {
 			continue
 		}
-		other, both := w.byOp[e.Request]
-		delete(w.byOp, e.Request)
+		other, both := w.byRequest[e.Request]
+		delete(w.byRequest, e.Request)
 		had := w.live.AttemptCount(e.Request)
 		if e.Kind == policy.SendAttempt {
 			had--
 		}
-		if k, differs := differ(&e, &other, both, had > 0); differs {
-			w.watch.counts[k].Add(1)
+		if k, differs := difference(&e, &other, both, had > 0); differs {
+			w.candidate.counts[k].Add(1)
 		}
 	}
-	for op, other := range w.byOp {
-		k, _ := differ(nil, &other, true, w.live.AttemptCount(op) > 0)
-		w.watch.counts[k].Add(1)
+	for op, other := range w.byRequest {
+		k, _ := difference(nil, &other, true, w.live.AttemptCount(op) > 0)
+		w.candidate.counts[k].Add(1)
 	}
 }
 
-func decides(k policy.EffectKind) bool {
+func isDecision(k policy.EffectKind) bool {
 	return k == policy.SendAttempt || k == policy.Reject || k == policy.Fail
 }
 
 // differ tells in what the other decision on an operation differs; further: it has had a hop before.
-func differ(live, other *policy.Effect, decided, further bool) (Difference, bool) {
+func difference(live, other *policy.Effect, decided, further bool) (Difference, bool) {
 	either := func(first, again Difference) (Difference, bool) {
 		if further {
 			return again, true
--- a/internal/proxy/shadow/shadow_test.go
+++ b/internal/proxy/shadow/shadow_test.go
@@ -87,14 +87,14 @@
 		shares []float64
 		most   int
 		failed bool
-	}{"at one moment": {[]float64{1}, perSecond, false}, "of no use": {nil, 0, true}} {
+	}{"at one moment": {[]float64{1}, maxComparisonsPerSecond, false}, "of no use": {nil, 0, true}} {
 		t.Run(name, func(t *testing.T) {
 			s, watch := own(), new(Candidate)
 			s.TenantQuotas = []float64{1}
 			w := NewModule(policy.New(s, 7), watch)
 			s.TenantQuotas = c.shares
 			watch.SetSettings(&settings.Settings{Settings: s})
-			for i := range 10 * perSecond {
+			for i := range 10 * maxComparisonsPerSecond {
 				w.Handle(0, &policy.Input{Kind: policy.RequestArrived, Request: i, Timeout: time.Second}, nil)
 			}
 			if seen := watch.TakeCounts(); seen.Compared > c.most || seen.HasFailed != c.failed {
