--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -71,7 +71,7 @@
 	cfg.NewPolicy = maker
 	_, cfg.Unguarded = baseline.Broken[getenv(policyVar)]
 	cfg.Deaf = baseline.Broken[getenv(policyVar)] == "leavers"
-	cfg.Hoards = baseline.Broken[getenv(policyVar)] == "closing"
+	cfg.Retention = baseline.IdleRetention(getenv(policyVar))
 	cfg.Filesystem = testbed.Disk(getenv)
 	if path := getenv(profileVar); path != "" {
 		f, err := os.Create(path)
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -47,7 +47,6 @@
 	NewPolicy    engine.DeciderFactory // nil: the project's own
 	Unguarded    bool                  // what the module decides is sent as it is: for modules that are broken on purpose
 	Deaf         bool                  // clients' leaving is not looked at: likewise
-	Hoards       bool                  // idle connections to servers that leave are kept: likewise
 	Planners     *planconfig.Forwarder // nil: the node decides by itself
 	Journal      *wal.Config           // nil: no journal of bindings is kept
 	Registry     *zookeeper.Config     // nil: discovery tells of servers
@@ -60,6 +59,8 @@
 	getenv       func(string) string
 	told         string // discovery's address as the file names it
 	stop         unhurried
+
+	Retention dispatch.IdleRetention // which idle connections to servers are kept; nil: the shipped rule
 }
 
 // unhurried has a stop wait for what a test does meanwhile; its zero is the usual haste.
--- a/internal/proxy/dispatch/copy_test.go
+++ b/internal/proxy/dispatch/copy_test.go
@@ -97,7 +97,7 @@
 				t.Errorf("ended with %d, %q, given up %v", last.Action, last.Answer, gaveUp)
 			}
 			n := f.Counts()
-			if n.Responded+n.Failed+n.Disconnected != 1 || n.Hedges != 1 || n.OpenRequests != 0 || len(f.openClientIDs) != 0 {
+			if n.Responded+n.Failed+n.Disconnected != 1 || n.Hedges != 1 || n.OpenRequests != 0 || len(f.requests.openClientIDs) != 0 {
 				t.Errorf("counted %+v", n)
 			}
 		})
--- a/internal/proxy/dispatch/counts.go
+++ b/internal/proxy/dispatch/counts.go
@@ -2,27 +2,38 @@
 
 import "fernvane/internal/route"
 
-// Counts is what became of operations and hops since it was last asked for, and what is open now.
+// Counts says what became of requests and attempts since the last call of Dispatcher.Counts, and what is open now.
 type Counts struct {
-	Responded, Rejected, Failed, Disconnected          int
-	NoCapacity                                         int // operations denied before the module was asked
-	RouteLimited                                       int // operations that their route did not take
-	Hedges                                             int // second copies
-	AttemptResults                                     [attemptResultCount]int
-	OpenRequests, ClientConnections, ServerConnections int
+	// Requests by their final answer.
+	Responded    int
+	Rejected     int
+	Failed       int // outcome unknown
+	Disconnected int // the client left before
+
+	// Requests that were not accepted.
+	NoCapacity   int // too many in flight
+	RouteLimited int // by a limit of their route
+
+	Hedges         int // hedged attempts
+	AttemptResults [attemptResultCount]int
+
+	// Open now.
+	OpenRequests      int
+	ClientConnections int
+	ServerConnections int
 }
 
-// EachAttemptResult calls f for the ends that occurred.
-func (c Counts) EachAttemptResult(f func(e AttemptResult, n int)) {
-	for e, n := range c.AttemptResults {
+// EachAttemptResult calls f for each result that occurred.
+func (c Counts) EachAttemptResult(f func(result AttemptResult, n int)) {
+	for result, n := range c.AttemptResults {
 		if n > 0 {
-			f(AttemptResult(e), n)
+			f(AttemptResult(result), n)
 		}
 	}
 }
 
-func (c *Counts) decided(k Action) {
-	switch k {
+func (c *Counts) recordFinal(action Action) {
+	switch action {
 	case Respond:
 		c.Responded++
 	case Reject:
@@ -35,19 +46,20 @@
 }
 
 // Counts returns the counts since the last call.
-func (f *Dispatcher) Counts() Counts {
-	f.mu.Lock()
-	defer f.unlock()
-	c := f.counts
-	f.counts = Counts{}
-	c.OpenRequests, c.ServerConnections = len(f.requests), f.budget.perSide-f.budget.freeForServers
-	c.ClientConnections = f.budget.total - f.budget.free - c.ServerConnections
+func (d *Dispatcher) Counts() Counts {
+	d.mu.Lock()
+	defer d.unlock()
+	c := d.counts
+	d.counts = Counts{}
+	c.OpenRequests = len(d.requests.byID)
+	c.ServerConnections = d.budget.perSide - d.budget.freeForServers
+	c.ClientConnections = d.budget.total - d.budget.free - c.ServerConnections
 	return c
 }
 
-// RouteCounts tells what became of operations at each route that has limits of its own since the last call.
-func (f *Dispatcher) RouteCounts(each func(route string, inHand int, c route.GateCounts)) {
-	f.mu.Lock()
-	defer f.unlock()
-	f.routes.Counts(each)
+// RouteCounts calls f for each route that has limits of its own, with what became of its requests since the last call.
+func (d *Dispatcher) RouteCounts(f func(route string, inFlight int, c route.GateCounts)) {
+	d.mu.Lock()
+	defer d.unlock()
+	d.routes.Counts(f)
 }
--- a/internal/proxy/dispatch/digest_test.go
+++ b/internal/proxy/dispatch/digest_test.go
@@ -110,7 +110,7 @@
 		f.ApplyPlan(1, 0, named, nil)
 		want := slices.Repeat([]float64{1}, tenants)
 		for name, share := range named {
-			if tenant, known := f.tenants[name]; known && tenant > 0 {
+			if tenant, known := f.names.tenants[name]; known && tenant > 0 {
 				want[tenant] = share
 			}
 		}
@@ -121,8 +121,8 @@
 	if f.ApplyPlan(1, 0, nil, nil); seen.shares != nil {
 		t.Error("tenants are judged by a plan that says nothing of them")
 	}
-	before := &f.planShares.shares[0]
-	if f.ApplyPlan(1, 0, map[string]float64{"t7": 0.5}, nil); before != &f.planShares.shares[0] {
+	before := &f.quotas.planShares.shares[0]
+	if f.ApplyPlan(1, 0, map[string]float64{"t7": 0.5}, nil); before != &f.quotas.planShares.shares[0] {
 		t.Error("all tenants are copied for a plan")
 	}
 	f.SetQuotas(map[string]float64{"new": 1})
--- /dev/null
+++ b/internal/proxy/dispatch/endpoints.go
@@ -0,0 +1,197 @@
+package dispatch
+
+import (
+	"hash/crc32"
+	"math"
+	"time"
+
+	"fernvane/internal/discovery/endpoints"
+	"fernvane/internal/discovery/incarnation"
+	"fernvane/internal/protocol/http1"
+	"fernvane/internal/proxy/engine"
+	"fernvane/policy"
+)
+
+const (
+	// maxLateWrite bounds for how long after a server has left an attempt that was decided on before may still be written
+	// to it.
+	maxLateWrite = 300 * time.Millisecond
+	// lateWriteShare is the share of Settings.DrainGrace within which it must be written; the rest is for the network.
+	lateWriteShare = 0.6
+)
+
+// firstUnnamedIndex is the first index of a zone or machine kind that the settings do not name. Traffic types may be bound
+// to any lower index, named or not.
+const firstUnnamedIndex = math.MaxInt32 + 1
+
+// serverTable holds the servers that are known, by ID.
+type serverTable struct {
+	byID     map[string]*server
+	withIdle map[*server]struct{} // includes every server with idle connections
+	visits   int                  // servers walked over by work that is not about one server, counted for tests
+}
+
+// server is what is kept of an upstream server beside its endpoint record.
+type server struct {
+	announced policy.Endpoint // as the decision module was last told
+	isFastCGI bool            // which protocol it speaks; else HTTP
+	idle      []idleConn      // in the order of last use
+}
+
+func newServerTable() serverTable {
+	return serverTable{byID: map[string]*server{}, withIdle: map[*server]struct{}{}}
+}
+
+var policyConditions = [...]policy.Condition{
+	incarnation.Up:       policy.Up,
+	incarnation.Draining: policy.Draining,
+	incarnation.Gone:     policy.Removed,
+}
+
+var incarnationConditions = [...]incarnation.Condition{
+	http1.Serving:  incarnation.Up,
+	http1.Draining: incarnation.Draining,
+	http1.Deleted:  incarnation.Gone,
+}
+
+// PollRequested returns the channel that receives whenever the decision module wants discovery to be polled.
+func (d *Dispatcher) PollRequested() <-chan struct{} { return d.pollRequested }
+
+// DiscoveryFailed reports that a poll of discovery failed. The decision module then requests the next one.
+func (d *Dispatcher) DiscoveryFailed() {
+	d.mu.Lock()
+	defer d.unlock()
+	d.engine.EndpointsUpdated(d.now(), policy.Unavailable, nil, d.effects())
+}
+
+// ApplyList takes over an endpoint list, whole or with changes only, from one of its sources.
+func (d *Dispatcher) ApplyList(list http1.EndpointList, source endpoints.Source) {
+	announced := make([]endpoints.Endpoint, 0, len(list.Hosts))
+	for _, h := range list.Hosts {
+		announced = append(announced, endpoints.Endpoint{
+			ID:            h.ID,
+			Address:       h.Address,
+			Zone:          h.Zone,
+			MachineKind:   h.Flavor,
+			Cell:          h.Cell,
+			Weight:        h.Size,
+			StartedUnixMS: h.UpSinceMS,
+			Condition:     incarnationConditions[h.Phase],
+		})
+	}
+	d.mu.Lock()
+	defer d.unlock()
+	d.applyEndpoints(announced, source, list.Complete)
+}
+
+// applyEndpoints merges what a source announced into the view and passes what that changes to the decision module.
+func (d *Dispatcher) applyEndpoints(announced []endpoints.Endpoint, source endpoints.Source, isFullList bool) {
+	scope := policy.Incremental
+	if source == endpoints.SourceConfig || source == endpoints.SourceSnapshot {
+		scope = policy.Cached
+	} else if isFullList {
+		scope = policy.Full
+	}
+	now, unixMS := d.now(), time.Now().UnixMilli()
+	update := d.view.Apply(now, source, announced, scope != policy.Incremental)
+	changed := make([]engine.Endpoint[string], 0, len(update.Changed))
+	for _, record := range update.Changed {
+		info := d.policyEndpoint(record, now, unixMS)
+		d.recordServer(record.Endpoint, info)
+		changed = append(changed, engine.Endpoint[string]{Server: record.ID, Info: info})
+	}
+	for _, id := range update.CloseIdle {
+		d.closeIdleConns(d.servers.byID[id])
+	}
+	d.engine.EndpointsUpdated(now, scope, changed, d.effects())
+}
+
+// policyEndpoint is an endpoint record in the decision module's terms.
+func (d *Dispatcher) policyEndpoint(record endpoints.Record, now time.Duration, unixMS int64) policy.Endpoint {
+	info := policy.Endpoint{
+		Rank:              crc32.ChecksumIEEE([]byte(record.ID)),
+		Zone:              indexOrAdd(d.names.zones, record.Zone),
+		MachineKind:       indexOrAdd(d.names.machineKinds, record.MachineKind),
+		Cell:              record.Cell,
+		Condition:         policyConditions[record.Condition],
+		Weight:            record.Weight,
+		HasStartTime:      record.StartedUnixMS > 0,
+		Labels:            d.serverLabels(record.ID, record.Zone, record.MachineKind),
+		AddressReassigned: record.IsReplaced,
+	}
+	if info.HasStartTime {
+		info.StartedAt = now + time.Duration(record.StartedUnixMS-unixMS)*time.Millisecond
+	}
+	return info
+}
+
+// recordServer keeps what the decision module is told of a server, unless the server is unknown and already gone.
+func (d *Dispatcher) recordServer(endpoint endpoints.Endpoint, info policy.Endpoint) {
+	s := d.servers.byID[endpoint.ID]
+	if s == nil {
+		if endpoint.Condition == incarnation.Gone {
+			return
+		}
+		s = &server{}
+		d.servers.byID[endpoint.ID] = s
+	}
+	s.announced = info
+	d.updateProtocol(s, endpoint)
+}
+
+// Endpoints returns all endpoint records, the source of the last announcement and its time by Now, and a count that grows
+// with every list.
+func (d *Dispatcher) Endpoints() (all []endpoints.Record, source endpoints.Source, announcedAt time.Duration, listCount int) {
+	d.mu.Lock()
+	defer d.unlock()
+	all, listCount = d.view.All()
+	source, announcedAt = d.view.LastAnnouncement()
+	return all, source, announcedAt, listCount
+}
+
+// LastAnnouncement returns which source announced endpoints last, and how long ago.
+func (d *Dispatcher) LastAnnouncement() (source endpoints.Source, age time.Duration) {
+	d.mu.Lock()
+	defer d.unlock()
+	source, announcedAt := d.view.LastAnnouncement()
+	return source, d.now() - announcedAt
+}
+
+// IsReady reports whether at least one known server is usable.
+func (d *Dispatcher) IsReady() bool {
+	d.mu.Lock()
+	defer d.unlock()
+	for id := range d.servers.byID {
+		if record, ok := d.view.Get(id); ok && record.IsUsable {
+			return true
+		}
+	}
+	return false
+}
+
+// IsPastDrainGrace reports whether a server left so long ago that nothing may be written to it any more, whenever the
+// attempt was decided on. It is asked right before an attempt is written: a connect or the journal may have taken long.
+func (d *Dispatcher) IsPastDrainGrace(server string) bool {
+	d.mu.Lock()
+	defer d.unlock()
+	return d.view.HasLeft(d.now(), server, d.maxWriteDelay())
+}
+
+// maxWriteDelay is for how long after a server has left an attempt may be written to it.
+func (d *Dispatcher) maxWriteDelay() time.Duration {
+	if d.settings.DrainGrace < 0 { // the settings name none
+		return maxLateWrite
+	}
+	return min(maxLateWrite, time.Duration(lateWriteShare*float64(d.settings.DrainGrace)))
+}
+
+// indexOrAdd returns the index of a zone or machine kind. Names from the settings have theirs from the start; any other
+// gets the next free one when it first appears.
+func indexOrAdd(index map[string]int, name string) int {
+	i, ok := index[name]
+	if !ok {
+		i = firstUnnamedIndex + len(index)
+		index[name] = i
+	}
+	return i
+}
--- a/internal/proxy/dispatch/fleet_test.go
+++ b/internal/proxy/dispatch/fleet_test.go
@@ -120,7 +120,7 @@
 			if n := f.Counts(); n.Responded+n.Rejected+n.Failed+n.Disconnected != 1 || n.OpenRequests != 0 {
 				t.Errorf("counted %+v", n)
 			}
-			if len(op.inFlight) > 0 || op.pending.Action != undecided || len(f.requests) != 0 {
+			if len(op.inFlight) > 0 || op.pending.Action != undecided || len(f.requests.byID) != 0 {
 				t.Error("something is left of it")
 			}
 		})
@@ -549,8 +549,8 @@
 		gone.Phase = http1.Deleted
 		f.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{gone}}, endpoints.SourceDiscovery)
 	}
-	if len(f.servers) != 1 {
-		t.Errorf("%d servers are known", len(f.servers))
+	if len(f.servers.byID) != 1 {
+		t.Errorf("%d servers are known", len(f.servers.byID))
 	}
 }
 
@@ -595,7 +595,7 @@
 			for i, age := range c.ages {
 				f.AcquireServerDescriptor()
 				f.PutIdle("a", false, http1.NewConn(&closer{name: fmt.Sprint(i)}))
-				f.servers["a"].idle[i].since -= age
+				f.servers.byID["a"].idle[i].since -= age
 			}
 			if got := f.TakeIdle("a").(*http1.Conn).Conn.(*closer).name; got != c.want {
 				t.Errorf("took %s", got)
--- /dev/null
+++ b/internal/proxy/dispatch/routes.go
@@ -0,0 +1,60 @@
+package dispatch
+
+import (
+	"fernvane/internal/discovery/endpoints"
+	"fernvane/internal/proxy/engine"
+	"fernvane/internal/route"
+	"fernvane/policy"
+)
+
+// Routes returns the table of routes that holds now; nil if there is none.
+func (d *Dispatcher) Routes() *route.Table { return d.activeRoutes.Load() }
+
+// SetRoutes replaces the table of routes. Requests that were accepted before keep the limits they were accepted under.
+func (d *Dispatcher) SetRoutes(table *route.Table) {
+	d.mu.Lock()
+	defer d.unlock()
+	d.applyRoutes(table)
+}
+
+func (d *Dispatcher) applyRoutes(table *route.Table) {
+	now := d.now()
+	update := d.routes.Replace(now, table)
+	d.activeRoutes.Store(table)
+	d.engine.TrafficTypesChanged(now, policy.Input{
+		TrafficTypes: d.cautiousTypes(update.Types),
+		LearnFrom:    update.InheritFrom,
+		RouteLimits:  update.MaxInFlight,
+	}, d.effects())
+	if update.SelectionChanged {
+		d.refreshLabels()
+	}
+}
+
+// refreshLabels gives every server the protocol and the labels that the routes and the cautious mode now ask for, and
+// passes changed labels to the decision module.
+func (d *Dispatcher) refreshLabels() {
+	var changed []engine.Endpoint[string]
+	for id, s := range d.servers.byID {
+		d.servers.visits++
+		record, _ := d.view.Get(id)
+		record.ID = id
+		d.updateProtocol(s, record.Endpoint)
+		if labels := d.serverLabels(id, record.Zone, record.MachineKind); labels != s.announced.Labels {
+			s.announced.Labels = labels
+			changed = append(changed, engine.Endpoint[string]{Server: id, Info: s.announced})
+		}
+	}
+	if len(changed) > 0 {
+		d.engine.EndpointsUpdated(d.now(), policy.Incremental, changed, d.effects())
+	}
+}
+
+// updateProtocol sets which protocol a server speaks. Its idle connections are closed when that changes.
+func (d *Dispatcher) updateProtocol(s *server, endpoint endpoints.Endpoint) {
+	isFastCGI := d.routes.Table().SpeaksFastCGI(endpoint.ID, endpoint.Zone, endpoint.MachineKind)
+	if isFastCGI != s.isFastCGI {
+		d.closeIdleConns(s)
+		s.isFastCGI = isFastCGI
+	}
+}
--- a/internal/proxy/dispatch/scale_test.go
+++ b/internal/proxy/dispatch/scale_test.go
@@ -22,11 +22,11 @@
 	ticks := func() int { // under the lock, so that the timer's own do not come between
 		f.mu.Lock()
 		defer f.unlock()
-		from := f.serverVisits
+		from := f.servers.visits
 		for range 10 {
 			f.closeExpiredIdle()
 		}
-		return f.serverVisits - from
+		return f.servers.visits - from
 	}
 	if got := ticks(); got != 0 {
 		t.Errorf("%d servers come to where nothing stands idle", got)
@@ -39,9 +39,9 @@
 		set  *route.Table
 		want int
 	}{{"the first", set("a"), servers}, {"as before", set("a"), 0}, {"another site", set("b"), servers}, {"none", nil, servers}, {"none again", nil, 0}} {
-		from := f.serverVisits // no tick comes to any before a connection stands idle
-		if f.SetRoutes(c.set); f.serverVisits-from != c.want {
-			t.Errorf("%s: %d servers come to, want %d", c.name, f.serverVisits-from, c.want)
+		from := f.servers.visits // no tick comes to any before a connection stands idle
+		if f.SetRoutes(c.set); f.servers.visits-from != c.want {
+			t.Errorf("%s: %d servers come to, want %d", c.name, f.servers.visits-from, c.want)
 		}
 	}
 	f.PutIdle("server-7", false, http1.NewConn(&closer{closed: make(chan string, 1)}))
@@ -49,7 +49,7 @@
 		t.Errorf("%d servers come to for one connection and ten ticks", got)
 	}
 	f.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "server-7", Phase: http1.Deleted}}}, endpoints.SourceDiscovery)
-	if got := ticks(); got != 0 || len(f.serversWithIdle) != 0 {
-		t.Errorf("%d servers come to when that one has gone, %d held", got, len(f.serversWithIdle))
+	if got := ticks(); got != 0 || len(f.servers.withIdle) != 0 {
+		t.Errorf("%d servers come to when that one has gone, %d held", got, len(f.servers.withIdle))
 	}
 }
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -78,10 +78,7 @@
 
 func run(tell Signals, cfg Config, log zerolog.Logger, ln *net.TCPListener) error {
 	defer ln.Close()
-	s := &Server{cfg: cfg, log: log, began: time.Now(), fleet: dispatch.New(cfg.Settings, cfg.Seed, cfg.Limits, cfg.module())}
-	if cfg.Hoards {
-		s.fleet.Hoard()
-	}
+	s := &Server{cfg: cfg, log: log, began: time.Now(), fleet: dispatch.New(cfg.Settings, cfg.Seed, cfg.Limits, cfg.module(), dispatch.WithIdleRetention(cfg.Retention))}
 	defer s.fleet.Stop()
 	var replaced <-chan struct{}
 	if cfg.Peers != nil {
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -41,7 +41,7 @@
 		cfg.NewPolicy, _ = baseline.Find(os.Getenv(policyVar))
 		_, cfg.Unguarded = baseline.Broken[os.Getenv(policyVar)]
 		cfg.Deaf = baseline.Broken[os.Getenv(policyVar)] == "leavers"
-		cfg.Hoards = baseline.Broken[os.Getenv(policyVar)] == "closing"
+		cfg.Retention = baseline.IdleRetention(os.Getenv(policyVar))
 		os.Exit(proxy.RunProcess(cfg, os.Stderr, zerolog.InfoLevel))
 	}
 	goleak.VerifyTestMain(m)
