--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -169,7 +169,7 @@
 func TestPlacementLeavesRoomToOthers(t *testing.T) {
 	r := placed(t, 6, Placement{Zones: []int{5}}, func(s *Settings) { s.TrafficTypes[bound].PriorityWeight = 1e6 })
 	var first int
-	for i := 0; !r.full(); i++ {
+	for i := 0; !r.isSaturated(); i++ {
 		op, _ := r.arriveAt(0, 2, time.Second)
 		if i == 0 {
 			first = op
@@ -177,7 +177,7 @@
 	}
 	r.arriveAt(1*ms, bound, time.Second)
 	r.arriveAt(1*ms, bound, time.Second)
-	if waits, got := r.arriveAt(1*ms, 2, time.Second); len(sentTo(got)) != 0 || r.Policy.ops[waits].state != waiting {
+	if waits, got := r.arriveAt(1*ms, 2, time.Second); len(sentTo(got)) != 0 || r.Policy.requests[waits].state != stateQueued {
 		t.Fatalf("the window is not full: %v", got)
 	}
 	if got := r.end(2*ms, first, 0, Success); len(sentTo(got)) != 1 {
@@ -193,10 +193,10 @@
 		tried int // servers that fail; of 16, the first 4 are open to the bound type
 		most  int
 	}{
-		"for the bound type":               {bound, restTypes, 4, 3},
-		"for all":                          {failures.AllTypes, restServers, 4, 2},
-		"for all, where others are open":   {failures.AllTypes, restServers, 16, 8},
-		"for a type that may go elsewhere": {2, restTypes, 4, 4},
+		"for the bound type":               {bound, maxTypeEjectedShare, 4, 3},
+		"for all":                          {failures.AllTypes, maxEjectedShare, 4, 2},
+		"for all, where others are open":   {failures.AllTypes, maxEjectedShare, 16, 8},
+		"for a type that may go elsewhere": {2, maxTypeEjectedShare, 4, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := placed(t, 16, Placement{Zones: []int{3}}, nil)
@@ -208,8 +208,8 @@
 			r.takeAll()
 			resting := 0
 			for s := range c.tried {
-				r.rest(s, c.kind, 0, c.share)
-				if r.now < r.failures.EjectedUntil(s, c.kind) {
+				r.eject(s, c.kind, 0, c.share)
+				if r.now < r.ejections.EjectedUntil(s, c.kind) {
 					resting++
 				}
 			}
@@ -223,22 +223,22 @@
 // A walk of the rotation for another server open to a type is spared when all of them are taken in, and only then.
 func TestPlacementCountsOpenServers(t *testing.T) {
 	r := placed(t, 12, Placement{Zones: []int{0}}, nil)
-	if open := r.members.ReadyWithPlacements(1); open != 6 || r.allTaken(&r.set.TrafficTypes[bound]) {
+	if open := r.readiness.ReadyWithPlacements(1); open != 6 || r.isAllInSubset(&r.settings.TrafficTypes[bound]) {
 		t.Errorf("%d open", open)
 	}
 	for s := 0; s < 12; s += 2 {
-		r.admitServer(s)
-		r.weigh()
+		r.addToSubset(s)
+		r.updateWeights()
 	}
-	if !r.allTaken(&r.set.TrafficTypes[bound]) || r.allTaken(&r.set.TrafficTypes[2]) {
+	if !r.isAllInSubset(&r.settings.TrafficTypes[bound]) || r.isAllInSubset(&r.settings.TrafficTypes[2]) {
 		t.Error("not seen that all are taken in")
 	}
 	r.list(0, Incremental, 4, func(m *Endpoint) { m.Zone = 1 })
-	if open := r.members.ReadyWithPlacements(1); open != 4 {
+	if open := r.readiness.ReadyWithPlacements(1); open != 4 {
 		t.Errorf("%d open after two have moved", open)
 	}
 	r.list(0, Full, 4, func(*Endpoint) {})
-	if open := r.members.ReadyWithPlacements(1); open != 2 {
+	if open := r.readiness.ReadyWithPlacements(1); open != 2 {
 		t.Errorf("%d open after all but four have gone", open)
 	}
 }
@@ -256,7 +256,7 @@
 		t.Run(name, func(t *testing.T) {
 			bit := func(p []Placement) uint64 { return uint64(len(p)) }
 			r := newRig(t, 12, func(s *Settings) { s.Placements, s.TrafficTypes[bound].PlacementBit = c.own, bit(c.own) })
-			other := r.set
+			other := r.settings
 			other.TrafficTypes, other.Placements = slices.Clone(other.TrafficTypes), c.other
 			other.TrafficTypes[bound].PlacementBit = bit(c.other)
 			for op := range 20 {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -15,8 +15,8 @@
 // rig drives one instance with the clock in its hand.
 type rig struct {
 	*Policy
-	t   *testing.T
-	ops int
+	t        *testing.T
+	arrivals int
 }
 
 func newRig(t *testing.T, servers int, change func(*Settings)) *rig {
@@ -44,10 +44,10 @@
 
 // takeAll takes in every server, in the order of their indices.
 func (r *rig) takeAll() *rig {
-	for s := range r.members.Len() {
-		if !r.member[s] {
-			r.admitServer(s)
-			r.weigh()
+	for s := range r.readiness.Len() {
+		if !r.inSubset[s] {
+			r.addToSubset(s)
+			r.updateWeights()
 		}
 	}
 	return r
@@ -56,8 +56,8 @@
 func (r *rig) at(now time.Duration, in Input) []Effect { return r.Handle(now, &in, nil) }
 
 func (r *rig) arriveAt(now time.Duration, kind int, budget time.Duration) (int, []Effect) {
-	r.ops++
-	return r.ops - 1, r.at(now, Input{Kind: RequestArrived, Request: r.ops - 1, TrafficType: kind, Timeout: budget})
+	r.arrivals++
+	return r.arrivals - 1, r.at(now, Input{Kind: RequestArrived, Request: r.arrivals - 1, TrafficType: kind, Timeout: budget})
 }
 
 func (r *rig) end(now time.Duration, op, hop int, how Outcome) []Effect {
@@ -88,18 +88,18 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 1, nil)
 			for _, at := range c.onsets {
-				r.answered[0] = 0
+				r.lastAnswerAt[0] = 0
 				sent := time.Duration(at * float64(time.Second))
 				r.now = sent + 300*ms
-				r.spike(0, sent, false)
-				r.spike(0, sent, true)
-				r.spike(0, sent, true)
+				r.recordPauseSample(0, sent, false)
+				r.recordPauseSample(0, sent, true)
+				r.recordPauseSample(0, sent, true)
 				r.lastSpike[0] = min(r.lastSpike[0], sent)
 			}
-			if got := r.forecast[0].Seconds(); math.Abs(got-c.want) > 0.01 {
+			if got := r.nextPause[0].Seconds(); math.Abs(got-c.want) > 0.01 {
 				t.Errorf("forecast %.2f, want %.2f", got, c.want)
 			}
-			if got := r.interval[0].Seconds(); c.want > 0 && math.Abs(got-c.spaces) > 0.01 {
+			if got := r.pauseInterval[0].Seconds(); c.want > 0 && math.Abs(got-c.spaces) > 0.01 {
 				t.Errorf("interval %.2f, want %.2f", got, c.spaces)
 			}
 		})
@@ -121,13 +121,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 1, nil)
-			r.smoothed.Set(0, 100*ms)
+			r.smoothedLatency.Set(0, 100*ms)
 			for i, is := range c.spikes {
 				r.now = time.Second + time.Duration(i)*c.gap
-				r.spike(0, r.now, is)
+				r.recordPauseSample(0, r.now, is)
 			}
-			if r.pauses[0] != c.want {
-				t.Errorf("%d pauses, want %d", r.pauses[0], c.want)
+			if r.pauseCount[0] != c.want {
+				t.Errorf("%d pauses, want %d", r.pauseCount[0], c.want)
 			}
 		})
 	}
@@ -151,17 +151,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 3, nil).takeAll()
-			r.grown, r.now = 1000, 10*second
-			copy(r.Policy.forecast, c.forecast[:])
-			copy(r.Policy.interval, c.interval[:])
+			r.grownLimit, r.now = 1000, 10*second
+			copy(r.Policy.nextPause, c.forecast[:])
+			copy(r.Policy.pauseInterval, c.interval[:])
 			for s, n := range c.inFlight {
-				r.Policy.inFlight[s], r.answered[s] = n, r.now
-				r.flying += float64(n)
+				r.Policy.inFlight[s], r.lastAnswerAt[s] = n, r.now
+				r.inFlightCount += float64(n)
 			}
-			r.Policy.ops = append(r.Policy.ops, operation{target: 20 * second})
+			r.Policy.requests = append(r.Policy.requests, request{objectiveAt: 20 * second})
 			for i, want := range c.want {
-				if !r.routed(0) || r.pick != want {
-					t.Errorf("turn %d went to %d, want %d", i, r.pick, want)
+				if !r.canSend(0) || r.picked != want {
+					t.Errorf("turn %d went to %d, want %d", i, r.picked, want)
 				}
 			}
 		})
@@ -182,19 +182,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, c.servers, nil)
-			r.grown = 1000
+			r.grownLimit = 1000
 			for range c.out {
 				if _, got := r.arriveAt(time.Second, 0, time.Second); len(got) != 1 {
 					t.Fatalf("not sent: %v", got)
 				}
 				if c.resting {
-					r.end(time.Second, r.ops-1, 0, Success)
-					r.failures.SetEjectedUntil(r.pool[0], failures.AllTypes, 2*time.Second)
+					r.end(time.Second, r.arrivals-1, 0, Success)
+					r.ejections.SetEjectedUntil(r.subset[0], failures.AllTypes, 2*time.Second)
 					r.arriveAt(time.Second, 0, time.Second)
 				}
 			}
-			if len(r.pool) != c.want {
-				t.Errorf("%d taken in, want %d", len(r.pool), c.want)
+			if len(r.subset) != c.want {
+				t.Errorf("%d taken in, want %d", len(r.subset), c.want)
 			}
 		})
 	}
@@ -204,20 +204,20 @@
 	r := newRig(t, 6, nil).takeAll()
 	r.slowness[3] = 2
 	r.at(100*ms, Input{Kind: TimerFired})
-	if r.member[3] || len(r.pool) != 5 {
-		t.Errorf("kept %v", r.pool)
+	if r.inSubset[3] || len(r.subset) != 5 {
+		t.Errorf("kept %v", r.subset)
 	}
 	for now := 200 * ms; now < time.Second; now += 20 * ms {
 		r.at(now, Input{Kind: TimerFired})
 	}
-	if len(r.pool) != poolSlack {
-		t.Errorf("%d taken in with nothing to do", len(r.pool))
+	if len(r.subset) != subsetSlack {
+		t.Errorf("%d taken in with nothing to do", len(r.subset))
 	}
 	r.takeAll()
-	r.successes = 6 * poolJudged // enough to judge all six
-	r.letGo(20 * ms)
-	if len(r.pool) != 6 {
-		t.Errorf("%d left of six that are all judged", len(r.pool))
+	r.successRate = 6 * judgingAnswersPerSecond // enough to judge all six
+	r.shrinkSubset(20 * ms)
+	if len(r.subset) != 6 {
+		t.Errorf("%d left of six that are all judged", len(r.subset))
 	}
 }
 
@@ -227,7 +227,7 @@
 	for me := range nodes {
 		r := newRig(t, servers, func(s *Settings) { s.NodeCount, s.NodeIndex, s.Zone = nodes, me, me%2 })
 		r.arriveAt(0, 0, time.Second)
-		if met[r.pool[0]]++; r.pool[0]%2 != me%2 {
+		if met[r.subset[0]]++; r.subset[0]%2 != me%2 {
 			t.Errorf("node %d starts at another location", me)
 		}
 	}
@@ -240,11 +240,11 @@
 
 func TestNewServerStartsAtTheOthersMean(t *testing.T) {
 	r := newRig(t, 2, nil)
-	r.smoothed.Set(0, 100*ms)
-	r.smoothed.Set(1, 300*ms)
+	r.smoothedLatency.Set(0, 100*ms)
+	r.smoothedLatency.Set(1, 300*ms)
 	r.at(time.Second, Input{Kind: EndpointsUpdated, Scope: Incremental, Endpoints: []Endpoint{{Server: 2, Weight: 1}}})
-	if r.smoothed.At(2) != 200*ms {
-		t.Errorf("starts at %v", r.smoothed.At(2))
+	if r.smoothedLatency.At(2) != 200*ms {
+		t.Errorf("starts at %v", r.smoothedLatency.At(2))
 	}
 }
 
@@ -312,8 +312,8 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 8, func(s *Settings) { s.TrafficTypes[1].KeyScope, s.TrafficTypes[1].KeyRetention = c.group, c.window })
 			if c.group == KeyScopeCell { // two a cell: a third hop finds only those it has tried, resting
-				for s := range r.members.Len() {
-					r.members.SetReady(s, s < 2)
+				for s := range r.readiness.Len() {
+					r.readiness.SetReady(s, s < 2)
 				}
 			}
 			op, _ := r.arriveAt(time.Second, 1, 2*time.Second)
@@ -322,9 +322,9 @@
 				t.Fatalf("no second hop: %v", second)
 			}
 			if c.group == KeyScopeCell {
-				r.members.SetReady(0, false)
-				r.members.SetReady(1, false)
-				r.members.SetReady(4, true)
+				r.readiness.SetReady(0, false)
+				r.readiness.SetReady(1, false)
+				r.readiness.SetReady(4, true)
 			}
 			third := r.end(time.Second+90*ms, op, 1, Failure)
 			if got := kinds(third); !reflect.DeepEqual(got, c.want) {
@@ -387,8 +387,8 @@
 			c.in.Kind = EndpointsUpdated
 			r.at(time.Second, c.in)
 			var ready []bool
-			for s := range r.members.Len() {
-				ready = append(ready, r.members.Ready(s))
+			for s := range r.readiness.Len() {
+				ready = append(ready, r.readiness.Ready(s))
 			}
 			if !reflect.DeepEqual(ready, c.want) {
 				t.Errorf("ready %v, want %v", ready, c.want)
@@ -413,7 +413,7 @@
 		t.Fatalf("asked %d times", len(asked))
 	}
 	for i := 1; i < len(asked); i++ {
-		if gap := asked[i] - asked[i-1]; gap > r.set.RequestEndpointsWithin {
+		if gap := asked[i] - asked[i-1]; gap > r.settings.RequestEndpointsWithin {
 			t.Errorf("waited %v", gap)
 		}
 	}
@@ -450,7 +450,7 @@
 				t.Errorf("sent %d in two seconds, at most %d", sent, c.most)
 			}
 			r.at(c.unbarred, Input{Kind: TimerFired})
-			if r.cold.Has(2) {
+			if r.slowStarting.Has(2) {
 				t.Error("still held for cold")
 			}
 		})
@@ -470,8 +470,8 @@
 			op, _ := r.arriveAt(time.Second, 0, time.Second)
 			r.end(time.Second, op, 0, Unreachable)
 			r.end(time.Second+c.lost, op, 1, Success) // it had been sent there again at once
-			if r.cold.Has(0) != c.cold {
-				t.Errorf("cold: %v", r.cold.Has(0))
+			if r.slowStarting.Has(0) != c.cold {
+				t.Errorf("cold: %v", r.slowStarting.Has(0))
 			}
 		})
 	}
@@ -499,15 +499,15 @@
 func TestGivenUpHopsKeepTheirRoom(t *testing.T) {
 	r := newRig(t, 2, nil).takeAll()
 	op, _ := r.arriveAt(0, 2, time.Second)
-	s := r.Policy.ops[op].hops[0].server
+	s := r.Policy.requests[op].attempts[0].server
 	r.at(385*ms, Input{Kind: TimerFired})
 	r.end(390*ms, op, 0, TimedOut)
-	r.flying = 1
-	if !r.crowded(s) {
+	r.inFlightCount = 1
+	if !r.isCrowded(s) {
 		t.Error("the server looks idle after a time-out")
 	}
-	r.Policy.ops[op].state = closed
-	r.learn(s, &r.Policy.ops[op], 395*ms, Success)
+	r.Policy.requests[op].state = stateDone
+	r.recordOutcome(s, &r.Policy.requests[op], 395*ms, Success)
 	if r.abandoned[s] != 0 {
 		t.Error("a later hop was answered, and the given-up one still counts")
 	}
@@ -515,17 +515,17 @@
 
 func TestStrainNarrowsTheWindow(t *testing.T) {
 	r := newRig(t, 8, nil)
-	r.finished, r.grown = 16, 40
-	if r.window() != 40 {
-		t.Errorf("window %.0f without strain", r.window())
+	r.finishedLoad, r.grownLimit = 16, 40
+	if r.concurrencyLimit() != 40 {
+		t.Errorf("window %.0f without strain", r.concurrencyLimit())
 	}
 	for range 20 { // each takes three times as long as it may
-		r.judge(3, 1)
+		r.adjustLimit(3, 1)
 	}
-	if w := r.window(); w > 20/r.strain || r.strain < 1.5 {
-		t.Errorf("window %.1f at strain %.1f", w, r.strain)
+	if w := r.concurrencyLimit(); w > 20/r.latencyRatio || r.latencyRatio < 1.5 {
+		t.Errorf("window %.1f at strain %.1f", w, r.latencyRatio)
 	}
-	r.strain, r.finished, r.grown = 1e6, 0, 0 // as after a slowness that all share
+	r.latencyRatio, r.finishedLoad, r.grownLimit = 1e6, 0, 0 // as after a slowness that all share
 	if _, got := r.arriveAt(0, 0, time.Second); len(got) != 1 || got[0].Kind != SendAttempt {
 		t.Errorf("nothing is sent any more: %v", got)
 	}
@@ -533,19 +533,19 @@
 
 func TestCheaperDeniedMoreOften(t *testing.T) {
 	r := newRig(t, 4, func(s *Settings) { s.TenantQuotas = []float64{1e6, 4} })
-	for b := range r.rates {
-		r.rates[b] = 10
+	for b := range r.arrivalRates {
+		r.arrivalRates[b] = 10
 	}
-	r.admit, r.blocked = 0.5, 1
+	r.admittedShare, r.saturatedShare = 0.5, 1
 	r.now = time.Second
-	r.adjustShed(100 * ms)
-	for i := 1; i < len(r.order); i++ {
-		a, b := r.order[i-1], r.order[i]
-		if r.denyShare[a] < r.denyShare[b] {
-			t.Errorf("bucket %d at %.2f, dearer %d at %.2f", a, r.denyShare[a], b, r.denyShare[b])
+	r.adjustAdmission(100 * ms)
+	for i := 1; i < len(r.classes); i++ {
+		a, b := r.classes[i-1], r.classes[i]
+		if r.rejectShare[a] < r.rejectShare[b] {
+			t.Errorf("bucket %d at %.2f, dearer %d at %.2f", a, r.rejectShare[a], b, r.rejectShare[b])
 		}
 	}
-	if r.denyShare[r.order[0]] == 0 || r.worth(1) >= r.worth(0) {
+	if r.rejectShare[r.classes[0]] == 0 || r.classWeight(1) >= r.classWeight(0) {
 		t.Error("nothing denied, or beyond its share worth as much")
 	}
 }
@@ -553,15 +553,15 @@
 func TestRefusalRestsTheServerForThatTypeOnly(t *testing.T) {
 	r := newRig(t, 4, nil).takeAll()
 	op, _ := r.arriveAt(time.Second, 0, time.Second)
-	s := r.Policy.ops[op].hops[0].server
+	s := r.Policy.requests[op].attempts[0].server
 	r.end(time.Second, op, 0, Overloaded)
 	for kind, want := range []bool{true, false, false, false} {
-		if got := r.unwell(s, &operation{kind: kind}); got != want {
+		if got := r.isUnhealthy(s, &request{trafficType: kind}); got != want {
 			t.Errorf("type %d: unwell %v", kind, got)
 		}
 	}
-	r.at(time.Second+restFirst, Input{Kind: TimerFired})
-	if r.unwell(s, &operation{kind: 0}) {
+	r.at(time.Second+initialEjection, Input{Kind: TimerFired})
+	if r.isUnhealthy(s, &request{trafficType: 0}) {
 		t.Error("still resting")
 	}
 }
@@ -593,12 +593,12 @@
 		"one connection refused":         {no(1, Unreachable), []bool{false, false, true, false}, false},
 		"two refused":                    {no(2, Unreachable), []bool{true, true, true, true}, false},
 		"one connection broke":           {no(1, ConnectionBroken), []bool{false, false, false, false}, false},
-		"breaks all that it is sent":     {no(softRun, ConnectionBroken), []bool{true, true, true, true}, false},
-		"breaks between answers":         {append(append(no(softRun-1, ConnectionBroken), b), no(1, ConnectionBroken)...), []bool{false, false, false, false}, false},
-		"declined as clients erred":      {append(no(softRun-1, ClientError), b), []bool{false, false, false, false}, false},
-		"declined again after an answer": {append(append(no(softRun-1, ClientError), b), no(1, ClientError)...), []bool{false, false, false, false}, false},
-		"declines all that it is sent":   {no(softRun, ClientError), []bool{true, true, true, true}, false},
-		"all but one declined":           {no(softRun-1, ClientError), []bool{false, false, false, false}, false},
+		"breaks all that it is sent":     {no(minSoftFailures, ConnectionBroken), []bool{true, true, true, true}, false},
+		"breaks between answers":         {append(append(no(minSoftFailures-1, ConnectionBroken), b), no(1, ConnectionBroken)...), []bool{false, false, false, false}, false},
+		"declined as clients erred":      {append(no(minSoftFailures-1, ClientError), b), []bool{false, false, false, false}, false},
+		"declined again after an answer": {append(append(no(minSoftFailures-1, ClientError), b), no(1, ClientError)...), []bool{false, false, false, false}, false},
+		"declines all that it is sent":   {no(minSoftFailures, ClientError), []bool{true, true, true, true}, false},
+		"all but one declined":           {no(minSoftFailures-1, ClientError), []bool{false, false, false, false}, false},
 		"turned two in a row away":       {[]end{{kind: 0, how: Overloaded}, {kind: 2, how: Overloaded}}, []bool{true, true, true, true}, false},
 		"turned away, answered, again":   {[]end{{kind: 0, how: Overloaded}, b, {kind: 2, how: Overloaded}}, []bool{false, false, true, false}, false},
 	} {
@@ -610,22 +610,22 @@
 				if r.now += 40 * ms; e.old {
 					sent -= 400 * ms
 				}
-				r.learn(1, &operation{kind: e.kind, target: sent + 400*ms}, sent, e.how)
+				r.recordOutcome(1, &request{trafficType: e.kind, objectiveAt: sent + 400*ms}, sent, e.how)
 			}
 			for kind, want := range c.want {
-				if got := r.unwell(1, &operation{kind: kind}); got != want {
+				if got := r.isUnhealthy(1, &request{trafficType: kind}); got != want {
 					t.Errorf("type %d: unwell %v", kind, got)
 				}
 			}
 			if !c.trial {
 				return
 			}
-			if r.now += 2 * restFirst; r.unwell(1, &operation{kind: 2}) {
+			if r.now += 2 * initialEjection; r.isUnhealthy(1, &request{trafficType: 2}) {
 				t.Error("still resting")
 			}
-			r.Policy.ops = append(r.Policy.ops, operation{kind: 2, target: r.now + 400*ms})
-			r.pick = 1
-			if r.send(len(r.Policy.ops) - 1); !r.unwell(1, &operation{kind: 2}) || r.unwell(1, &operation{kind: 0}) {
+			r.Policy.requests = append(r.Policy.requests, request{trafficType: 2, objectiveAt: r.now + 400*ms})
+			r.picked = 1
+			if r.sendAttempt(len(r.Policy.requests) - 1); !r.isUnhealthy(1, &request{trafficType: 2}) || r.isUnhealthy(1, &request{trafficType: 0}) {
 				t.Error("more than one on trial")
 			}
 		})
@@ -638,20 +638,20 @@
 	untouched := newRig(t, 3, nil).takeAll()
 	for _, how := range []Outcome{TimedOut, ConnectionBroken, Unreachable, Overloaded, Success, TimedOut, ClientError} {
 		r.now += 100 * ms
-		r.learn(1, &operation{kind: 2}, r.now-90*ms, how)
+		r.recordOutcome(1, &request{trafficType: 2}, r.now-90*ms, how)
 	}
-	r.markCold(1, r.now)
+	r.startSlowStart(1, r.now)
 	r.at(time.Second, Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 1, Rank: 1, Condition: Removed}}})
 	r.at(time.Second, Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 1, IndexReused: true, Rank: 9, Cell: 5, Weight: 1, StartedAt: -time.Minute, HasStartTime: true}}})
-	for kind := range r.set.TrafficTypes {
-		if r.unwell(1, &operation{kind: kind}) {
+	for kind := range r.settings.TrafficTypes {
+		if r.isUnhealthy(1, &request{trafficType: kind}) {
 			t.Errorf("type %d: unwell", kind)
 		}
 	}
-	if r.cold.Has(1) || r.slowness[1] != 1 || r.pauses[1] != 0 || r.cell[1] != 5 || !r.members.Ready(1) || r.soft[1] != 0 {
+	if r.slowStarting.Has(1) || r.slowness[1] != 1 || r.pauseCount[1] != 0 || r.cell[1] != 5 || !r.readiness.Ready(1) || r.softFailures[1] != 0 {
 		t.Error("something is left of the one before")
 	}
-	if want := []int{0, 2, 1}; !slices.Equal(slices.Collect(r.rotation.From(0)), want) || r.members.Len() != untouched.members.Len() {
+	if want := []int{0, 2, 1}; !slices.Equal(slices.Collect(r.rotation.From(0)), want) || r.readiness.Len() != untouched.readiness.Len() {
 		t.Errorf("rotation %v", slices.Collect(r.rotation.From(0)))
 	}
 }
@@ -674,8 +674,8 @@
 			for tenant, rate := range c.rates {
 				r.tenants.RecordArrival(tenant, rate)
 			}
-			if got := r.tenants.ArrivalRate(0) > r.fair(0); got != c.beyond {
-				t.Errorf("beyond %v: %.2f of %.2f", got, r.tenants.ArrivalRate(0), r.fair(0))
+			if got := r.tenants.ArrivalRate(0) > r.fairShare(0); got != c.beyond {
+				t.Errorf("beyond %v: %.2f of %.2f", got, r.tenants.ArrivalRate(0), r.fairShare(0))
 			}
 		})
 	}
@@ -692,11 +692,11 @@
 			r := newRig(t, c.ready, nil)
 			r.now = time.Second
 			for s := range c.failing {
-				r.strike(s, 1)
+				r.recordFailure(s, 1)
 			}
 			resting := 0
-			for s := range r.members.Len() {
-				until := r.failures.EjectedUntil(s, failures.AllTypes)
+			for s := range r.readiness.Len() {
+				until := r.ejections.EjectedUntil(s, failures.AllTypes)
 				if until > r.now {
 					resting++
 				}
@@ -759,9 +759,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 2, func(s *Settings) { s.MaxRetryAfter = time.Second })
-			r.usual[0], r.now, r.effects = c.usual, time.Second+c.past, nil
-			r.Policy.ops = append(r.Policy.ops, operation{target: 1390 * ms, limit: 2 * time.Second})
-			r.deny(0)
+			r.typicalLatency[0], r.now, r.effects = c.usual, time.Second+c.past, nil
+			r.Policy.requests = append(r.Policy.requests, request{objectiveAt: 1390 * ms, clientDeadline: 2 * time.Second})
+			r.reject(0)
 			if back := r.effects[0].Duration; back < c.least || back > c.most {
 				t.Errorf("told to come back in %s", back)
 			}
@@ -783,15 +783,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 3, nil).takeAll()
-			copy(r.scale, c.scale[:])
+			copy(r.listedWeight, c.scale[:])
 			copy(r.slowness, c.slowness[:])
-			r.weigh()
+			r.updateWeights()
 			var got [3]int
 			for range 60 {
-				if !r.walk(&operation{}, 2) {
+				if !r.pickFromSubset(&request{}, 2) {
 					t.Fatal("nobody's turn")
 				}
-				got[r.pick]++
+				got[r.picked]++
 			}
 			for s := range got {
 				if d := got[s] - c.want[s]; d < -1 || d > 1 {
@@ -818,18 +818,18 @@
 			var met [2][]int
 			for me := range met {
 				r := newRig(t, servers, func(s *Settings) { s.ServersCacheKeys, s.NodeIndex = c.warm, me }).takeAll()
-				r.turn, r.need, r.grown = 2*me, servers, 1000
+				r.position, r.needed, r.grownLimit = 2*me, servers, 1000
 				turns := make([]int, servers)
 				for i := range uint32(servers * each) {
-					r.ops++
-					r.at(r.now, Input{Kind: RequestArrived, Request: r.ops - 1, Key: 1 + i%c.keys*7919, Timeout: time.Second})
-					s := r.operation(r.ops - 1).hops[0].server
+					r.arrivals++
+					r.at(r.now, Input{Kind: RequestArrived, Request: r.arrivals - 1, Key: 1 + i%c.keys*7919, Timeout: time.Second})
+					s := r.operation(r.arrivals - 1).attempts[0].server
 					met[me] = append(met[me], s)
 					turns[s]++
-					r.end(r.now, r.ops-1, 0, Success)
+					r.end(r.now, r.arrivals-1, 0, Success)
 				}
 				for s, n := range turns {
-					if n < each-servers*turnsAhead || n > each+servers*turnsAhead {
+					if n < each-servers*maxTurnsAhead || n > each+servers*maxTurnsAhead {
 						t.Errorf("server %d had %d turns of %d: %v", s, n, each, turns)
 					}
 				}
@@ -855,22 +855,22 @@
 	}{"late answers earn": {0.5, 0}, "they do not": {0, 3}} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 8, func(s *Settings) { s.TrafficTypes[2].LateWeightShare = c.late })
-			r.grown = 1000
+			r.grownLimit = 1000
 			for range 3 {
 				r.arriveAt(time.Second, 2, 2*time.Second)
 			}
-			r.grown = 0
+			r.grownLimit = 0
 			for now := 1400 * ms; now < 1500*ms; now += 20 * ms {
 				r.at(now, Input{Kind: TimerFired})
 			}
-			if r.flying != c.want {
-				t.Errorf("%g hops in the window", r.flying)
+			if r.inFlightCount != c.want {
+				t.Errorf("%g hops in the window", r.inFlightCount)
 			}
 			for op := range 3 {
 				r.end(1600*ms, op, 0, Success)
 			}
-			if r.flying != 0 || r.inFlight[0] != 0 {
-				t.Errorf("%g hops in the window when none is out", r.flying)
+			if r.inFlightCount != 0 || r.inFlight[0] != 0 {
+				t.Errorf("%g hops in the window when none is out", r.inFlightCount)
 			}
 		})
 	}
--- a/policy/route_test.go
+++ b/policy/route_test.go
@@ -13,7 +13,7 @@
 		s.HedgingAllowed, s.NodeCount = true, 1
 		change(&s.TrafficTypes[kind])
 	}).takeAll()
-	r.need = 99 // none is let go
+	r.needed = 99 // none is let go
 	return r
 }
 
@@ -64,7 +64,7 @@
 		"a copy of a mark in its group only": {1, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *rig) []Effect {
 			e := r.at(60*ms, Input{Kind: TimerFired})
 			for _, x := range e {
-				if x.Kind == SendAttempt && r.zone[x.Server] != r.zone[r.operation(0).hops[0].server] {
+				if x.Kind == SendAttempt && r.zone[x.Server] != r.zone[r.operation(0).attempts[0].server] {
 					r.t.Error("sent to another group")
 				}
 			}
@@ -84,7 +84,7 @@
 	}
 }
 
-func (r *rig) operation(op int) *operation { return &r.Policy.ops[op] }
+func (r *rig) operation(op int) *request { return &r.Policy.requests[op] }
 
 // A hop may take as long as its route says, which leaves time for another.
 func TestHopTime(t *testing.T) {
@@ -128,13 +128,13 @@
 // A room lets so many have a hop out, the next goes when one ends, and a smaller limit lets the others end first.
 func TestRoom(t *testing.T) {
 	r := routed(t, 6, 0, func(*TrafficType) {})
-	types := r.set.TrafficTypes
+	types := r.settings.TrafficTypes
 	limit := func(n int) {
 		r.at(r.now, Input{Kind: TrafficTypesChanged, TrafficTypes: types, LearnFrom: []int{0, 1, 2, 3}, RouteLimits: []int{0, n}})
 	}
 	arrive := func() []EffectKind {
-		r.ops++
-		return kinds(r.at(r.now, Input{Kind: RequestArrived, Request: r.ops - 1, TrafficType: 0, RouteLimit: 1, Timeout: 2 * time.Second}))
+		r.arrivals++
+		return kinds(r.at(r.now, Input{Kind: RequestArrived, Request: r.arrivals - 1, TrafficType: 0, RouteLimit: 1, Timeout: 2 * time.Second}))
 	}
 	limit(3)
 	var got []int
@@ -160,14 +160,14 @@
 		r.end(r.now+30*ms, op, 0, Success)
 	}
 	held, _ := r.arriveAt(r.now, 0, 2*time.Second)
-	types := slices.Clone(r.set.TrafficTypes)
+	types := slices.Clone(r.settings.TrafficTypes)
 	short := types[0]
 	short.MaxAttempts = 1
 	types = append(types, short)
-	learned := r.usual[0]
+	learned := r.typicalLatency[0]
 	r.at(r.now, Input{Kind: TrafficTypesChanged, TrafficTypes: types, LearnFrom: []int{0, 1, 2, 3, 0}, RouteLimits: []int{0}})
-	if r.usual[0] != learned || r.usual[4] != learned || r.samples[4] != r.samples[0] || len(r.order) != 10 {
-		t.Errorf("learned %s, kept %s, passed on %s, order %v", learned, r.usual[0], r.usual[4], r.order)
+	if r.typicalLatency[0] != learned || r.typicalLatency[4] != learned || r.answerCount[4] != r.answerCount[0] || len(r.classes) != 10 {
+		t.Errorf("learned %s, kept %s, passed on %s, order %v", learned, r.typicalLatency[0], r.typicalLatency[4], r.classes)
 	}
 	fresh, _ := r.arriveAt(r.now, 4, 2*time.Second)
 	for op, want := range map[int]EffectKind{held: SendAttempt, fresh: Reject} {
@@ -175,8 +175,8 @@
 			t.Errorf("operation %d then gets %v", op, e)
 		}
 	}
-	order := slices.Clone(r.order)
+	order := slices.Clone(r.classes)
 	if slices.Sort(order); fmt.Sprint(order) != "[0 1 2 3 4 5 6 7 8 9]" {
-		t.Errorf("order %v", r.order)
+		t.Errorf("order %v", r.classes)
 	}
 }
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -15,7 +15,7 @@
 // visits is how many elements of the module's sets and steps of its rotation were come to.
 func visits(p *Policy) int {
 	sum := p.rotation.Steps() + p.tenants.Visits()
-	for _, s := range []*indexset.Set{&p.cold, p.members.ReadyUnlisted(), &p.shared, p.failures.Active(), p.records.Active(), &p.busy} {
+	for _, s := range []*indexset.Set{&p.slowStarting, p.readiness.ReadyUnlisted(), &p.assigned, p.ejections.Active(), p.serverFailures.Active(), &p.activeTypes} {
 		sum += s.Visits()
 	}
 	return sum
@@ -50,7 +50,7 @@
 			const changes = 200
 			cost := func(servers int) (elements int, allocs float64) {
 				p := newFleet(3, 0, servers)
-				p.set.UnlistedUsable = true
+				p.settings.UnlistedUsable = true
 				var lists [changes][]Endpoint
 				for i := range lists {
 					lists[i] = change(i * 4)
@@ -106,7 +106,7 @@
 				r.at(r.now, Input{Kind: EndpointsUpdated, Scope: scope, Endpoints: list})
 				r.at(r.now, Input{Kind: TimerFired})
 				op, _ := r.arriveAt(r.now, i%4, time.Second)
-				if len(r.Policy.ops[op].hops) > 0 {
+				if len(r.Policy.requests[op].attempts) > 0 {
 					r.end(r.now, op, 0, Outcome(i%8))
 				}
 				walked(t, r)
@@ -120,34 +120,34 @@
 	ready, listed, sum := 0, 0, time.Duration(0)
 	var dropped []int
 	var labelled [64]int
-	for s := range r.members.Len() {
-		if r.members.Ready(s) {
+	for s := range r.readiness.Len() {
+		if r.readiness.Ready(s) {
 			ready++
 		}
-		if r.members.Listed(s) {
+		if r.readiness.Listed(s) {
 			listed++
 		}
-		if r.members.Ready(s) && !r.members.Listed(s) {
+		if r.readiness.Ready(s) && !r.readiness.Listed(s) {
 			dropped = append(dropped, s)
 		}
-		if (r.failures.EntryCount(s) > 0 || r.failures.EjectedUntil(s, failures.AllTypes) > r.now) && !r.failures.Active().Has(s) {
+		if (r.ejections.EntryCount(s) > 0 || r.ejections.EjectedUntil(s, failures.AllTypes) > r.now) && !r.ejections.Active().Has(s) {
 			t.Fatalf("server %d has troubles that no walk comes to", s)
 		}
-		sum += r.smoothed.At(s)
+		sum += r.smoothedLatency.At(s)
 		for bit := range labelled {
-			if r.members.Ready(s) && r.members.Labels(s)&(1<<bit) != 0 {
+			if r.readiness.Ready(s) && r.readiness.Labels(s)&(1<<bit) != 0 {
 				labelled[bit]++
 			}
 		}
 	}
 	for bit, want := range labelled {
-		if got := r.members.ReadyWithLabels(1 << bit); got != want {
+		if got := r.readiness.ReadyWithLabels(1 << bit); got != want {
 			t.Fatalf("at %v: %d with label %d, counted %d", r.now, want, bit, got)
 		}
 	}
-	if ready != r.members.ReadyCount() || listed != r.members.ListedCount() || sum != r.smoothed.Sum() || !slices.Equal(dropped, slices.Collect(r.members.ReadyUnlisted().All())) {
+	if ready != r.readiness.ReadyCount() || listed != r.readiness.ListedCount() || sum != r.smoothedLatency.Sum() || !slices.Equal(dropped, slices.Collect(r.readiness.ReadyUnlisted().All())) {
 		t.Fatalf("at %v: %d ready, counted %d; %d listed, counted %d; sum %v, kept %v; dropped %v, kept %v", r.now,
-			ready, r.members.ReadyCount(), listed, r.members.ListedCount(), sum, r.smoothed.Sum(), dropped, slices.Collect(r.members.ReadyUnlisted().All()))
+			ready, r.readiness.ReadyCount(), listed, r.readiness.ListedCount(), sum, r.smoothedLatency.Sum(), dropped, slices.Collect(r.readiness.ReadyUnlisted().All()))
 	}
 }
 
@@ -181,17 +181,17 @@
 		t.Errorf("%g allocations a tick", got)
 	}
 	const marked, idle = 0.5, 7 // what a tick walks, it fades
-	p.rates[2*idle], p.byType[2*idle].Total, p.records.At(idle).Total, p.base[idle+1] = marked, marked, marked, 1
+	p.arrivalRates[2*idle], p.typeFailures[2*idle].Total, p.serverFailures.At(idle).Total, p.unloadedLatency[idle+1] = marked, marked, marked, 1
 	tick(1)
-	if p.rates[2*idle] != marked || p.byType[2*idle].Total != marked || p.records.At(idle).Total != marked || p.base[idle+1] != 1 {
+	if p.arrivalRates[2*idle] != marked || p.typeFailures[2*idle].Total != marked || p.serverFailures.At(idle).Total != marked || p.unloadedLatency[idle+1] != 1 {
 		t.Error("a tick comes to a type or a server without traffic")
 	}
 	for range 300 { // a second each: what has had no traffic for five minutes is let go of
 		now += time.Second
 		p.Handle(now, &Input{Kind: TimerFired}, nil)
 	}
-	if got := tick(10); got != 0 || p.tenants.Len() != 0 || p.records.Active().Len() != 0 || len(p.order) != 0 {
-		t.Errorf("%d elements come to long after, %d tenants, %d servers, %d buckets held", got, p.tenants.Len(), p.records.Active().Len(), len(p.order))
+	if got := tick(10); got != 0 || p.tenants.Len() != 0 || p.serverFailures.Active().Len() != 0 || len(p.classes) != 0 {
+		t.Errorf("%d elements come to long after, %d tenants, %d servers, %d buckets held", got, p.tenants.Len(), p.serverFailures.Active().Len(), len(p.classes))
 	}
 }
 
@@ -201,7 +201,7 @@
 		revenue float64
 		want    float64
 	}{
-		"the cheapest":       {0.05, shedMost},
+		"the cheapest":       {0.05, defaultMaxShedShare},
 		"dearer than others": {50, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -209,18 +209,18 @@
 				s.TrafficTypes = append(s.TrafficTypes, s.TrafficTypes[0])
 				s.TrafficTypes[4].PriorityWeight = c.revenue
 			})
-			r.busy.Remove(4)
-			for b := range r.rates[:8] {
-				r.rates[b] = 10
+			r.activeTypes.Remove(4)
+			for b := range r.arrivalRates[:8] {
+				r.arrivalRates[b] = 10
 			}
-			r.admit, r.blocked, r.now = 0.7, 1, time.Second
-			r.adjustShed(100 * ms)
-			if len(r.order) != 8 {
-				t.Fatalf("order %v", r.order)
+			r.admittedShare, r.saturatedShare, r.now = 0.7, 1, time.Second
+			r.adjustAdmission(100 * ms)
+			if len(r.classes) != 8 {
+				t.Fatalf("order %v", r.classes)
 			}
-			r.activate(4)
-			if got := r.denyShare[8]; got != c.want || len(r.order) != 10 {
-				t.Errorf("share %g, want %g; order %v", got, c.want, r.order)
+			r.activateType(4)
+			if got := r.rejectShare[8]; got != c.want || len(r.classes) != 10 {
+				t.Errorf("share %g, want %g; order %v", got, c.want, r.classes)
 			}
 		})
 	}
@@ -251,19 +251,19 @@
 			for i := range 10 {
 				now := time.Duration(i) * 150 * ms
 				in := Input{Kind: RequestArrived, Request: i, Tenant: c.tenant, Timeout: time.Second}
-				set := r.set
+				set := r.settings
 				set.TenantQuotas = given
 				asked := r.WhatIf(&set, now, &in, nil)
 				if got := r.at(now, in); len(c.changed) > 0 && !slices.Equal(asked, got) {
 					t.Errorf("a watcher has %v, the module decides %v", asked, got)
 				}
-				beyond = beyond || r.Policy.ops[i].bucket == 1
+				beyond = beyond || r.Policy.requests[i].class == 1
 			}
 			if beyond != c.beyond {
 				t.Errorf("beyond its share: %v", beyond)
 			}
-			if got := columns.Sum(r.set.TenantQuotas); got != r.allowances || !slices.Equal(given, []float64{1, 1}) {
-				t.Errorf("the sum is %g, kept %g; given %v", got, r.allowances, given)
+			if got := columns.Sum(r.settings.TenantQuotas); got != r.totalQuota || !slices.Equal(given, []float64{1, 1}) {
+				t.Errorf("the sum is %g, kept %g; given %v", got, r.totalQuota, given)
 			}
 		})
 	}
@@ -273,7 +273,7 @@
 func TestSmallPoolCostsNoWalkOfAllServers(t *testing.T) {
 	const servers, pooled, label = 20_000, 5, 1 << 9
 	p := New(fleetSettings(1, 0), 7)
-	p.set.TrafficTypes[0].PoolLabels = label
+	p.settings.TrafficTypes[0].PoolLabels = label
 	p.Handle(0, &Input{Kind: TimerFired}, nil)
 	list := fleetList(servers)
 	for i := range pooled {
@@ -283,8 +283,8 @@
 	for op := range 2 * pooled { // the first ones take them in
 		p.Handle(0, &Input{Kind: RequestArrived, Request: op, Timeout: time.Second}, nil)
 	}
-	if len(p.pool) != pooled || p.members.ReadyWithLabels(label) != pooled {
-		t.Fatalf("%d of %d taken in, counted %d", len(p.pool), pooled, p.members.ReadyWithLabels(label))
+	if len(p.subset) != pooled || p.readiness.ReadyWithLabels(label) != pooled {
+		t.Fatalf("%d of %d taken in, counted %d", len(p.subset), pooled, p.readiness.ReadyWithLabels(label))
 	}
 	from := p.rotation.Steps()
 	effects := p.Handle(0, &Input{Kind: RequestArrived, Request: 2 * pooled, Timeout: time.Second}, nil)
@@ -292,11 +292,11 @@
 		t.Errorf("%d steps of the rotation; %v", got, effects)
 	}
 	p.Handle(0, &Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 7, Rank: list[7].Rank, Labels: label, StartedAt: -time.Hour, HasStartTime: true}}}, nil)
-	if p.Handle(0, &Input{Kind: RequestArrived, Request: 2*pooled + 1, Timeout: time.Second}, nil); !p.member[7] {
+	if p.Handle(0, &Input{Kind: RequestArrived, Request: 2*pooled + 1, Timeout: time.Second}, nil); !p.inSubset[7] {
 		t.Error("one that has come to the pool is not taken in")
 	}
 	p.Handle(0, &Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 7, Condition: Draining, Labels: label}}}, nil)
-	if p.members.ReadyWithLabels(label) != pooled || !p.allTaken(&TrafficType{PoolLabels: label}) {
-		t.Errorf("counted %d of the pool", p.members.ReadyWithLabels(label))
+	if p.readiness.ReadyWithLabels(label) != pooled || !p.isAllInSubset(&TrafficType{PoolLabels: label}) {
+		t.Errorf("counted %d of the pool", p.readiness.ReadyWithLabels(label))
 	}
 }
--- a/policy/trouble_test.go
+++ b/policy/trouble_test.go
@@ -34,8 +34,8 @@
 				}
 				r.at(time.Second, Input{Kind: EndpointsUpdated, Scope: Full, Endpoints: list})
 			}
-			if r.members.Ready(0) != c.ready || r.excluded(0, &operation{group: -1}) == c.ready || r.cold.Has(0) && c.only {
-				t.Errorf("may be sent to: %v, cold %v", r.members.Ready(0), r.cold.Has(0))
+			if r.readiness.Ready(0) != c.ready || r.isExcluded(0, &request{keyServer: -1}) == c.ready || r.slowStarting.Has(0) && c.only {
+				t.Errorf("may be sent to: %v, cold %v", r.readiness.Ready(0), r.slowStarting.Has(0))
 			}
 		})
 	}
@@ -44,24 +44,24 @@
 // Traffic to a dropped server shrinks and grows by steps, one for each end, also when it is named again, and ends after long.
 func TestDroppedServersBySteps(t *testing.T) {
 	r := newRig(t, 4, func(s *Settings) { s.UnlistedUsable = true }).takeAll()
-	r.now, r.answered[0] = time.Second, time.Second
+	r.now, r.lastAnswerAt[0] = time.Second, time.Second
 	tell := func(c Condition) {
 		r.at(r.now, Input{Kind: EndpointsUpdated, Scope: Incremental, Endpoints: []Endpoint{{Server: 0, Weight: 1, Condition: c}}})
 	}
 	tell(Removed)
 	for i, how := range []Outcome{Unreachable, Unreachable, Unreachable, Success, Success} {
 		r.now += 50 * ms
-		if r.learn(0, &operation{target: r.now + 400*ms}, r.now-10*ms, how); r.doubt[0] != [...]int{2, 3, 3, 2, 1}[i] {
-			t.Errorf("end %d: %d steps down", i, r.doubt[0])
+		if r.recordOutcome(0, &request{objectiveAt: r.now + 400*ms}, r.now-10*ms, how); r.suspicion[0] != [...]int{2, 3, 3, 2, 1}[i] {
+			t.Errorf("end %d: %d steps down", i, r.suspicion[0])
 		}
 	}
 	tell(Up)
 	r.slowness[0] = 1
-	if r.weigh(); r.weight[0] != r.weight[1]/4 || r.cold.Has(0) {
-		t.Errorf("weight %g beside %g, cold %v", r.weight[0], r.weight[1], r.cold.Has(0))
+	if r.updateWeights(); r.turnWeight[0] != r.turnWeight[1]/4 || r.slowStarting.Has(0) {
+		t.Errorf("weight %g beside %g, cold %v", r.turnWeight[0], r.turnWeight[1], r.slowStarting.Has(0))
 	}
 	tell(Removed)
-	if r.at(r.now+dropKept+time.Second, Input{Kind: TimerFired}); r.members.Ready(0) {
+	if r.at(r.now+unlistedRetention+time.Second, Input{Kind: TimerFired}); r.readiness.Ready(0) {
 		t.Error("kept for ever")
 	}
 }
@@ -71,24 +71,24 @@
 // old code rested half of the servers (uusimaa-main rough-1) and denied all for one tenant (red-puntos big-1).
 func TestWhoseFault(t *testing.T) {
 	for name, c := range map[string]struct {
-		bad   func(o *operation, s int) bool
+		bad   func(o *request, s int) bool
 		how   Outcome
 		rests bool // server 0; else operations of tenant 1 and key 9 are at fault
 	}{
-		"a key that fails everywhere":    {func(o *operation, _ int) bool { return o.key == 9 }, Failure, false},
-		"a tenant that drags everywhere": {func(o *operation, _ int) bool { return o.tenant == 1 }, TimedOut, false},
-		"a server that fails all":        {func(_ *operation, s int) bool { return s == 0 }, Failure, true},
-		"a server that answers nothing":  {func(_ *operation, s int) bool { return s == 0 }, TimedOut, true},
+		"a key that fails everywhere":    {func(o *request, _ int) bool { return o.key == 9 }, Failure, false},
+		"a tenant that drags everywhere": {func(o *request, _ int) bool { return o.tenant == 1 }, TimedOut, false},
+		"a server that fails all":        {func(_ *request, s int) bool { return s == 0 }, Failure, true},
+		"a server that answers nothing":  {func(_ *request, s int) bool { return s == 0 }, TimedOut, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 4, func(s *Settings) { s.TenantQuotas = []float64{1e6, 1e6} }).takeAll()
 			rested := false
 			for i := range 400 {
 				r.now = time.Second + time.Duration(i)*10*ms
-				o := &operation{kind: i % 3, tenant: i / 4 % 2, target: r.now + 400*ms, key: uint32(1 + i/8%9)}
+				o := &request{trafficType: i % 3, tenant: i / 4 % 2, objectiveAt: r.now + 400*ms, key: uint32(1 + i/8%9)}
 				how := map[bool]Outcome{true: c.how}[c.bad(o, i*7/3%4)] // else Success
-				r.learn(i*7/3%4, o, r.now-40*ms, how)
-				rested = rested || i > 200 && r.now < r.failures.EjectedUntil(0, failures.AllTypes)
+				r.recordOutcome(i*7/3%4, o, r.now-40*ms, how)
+				rested = rested || i > 200 && r.now < r.ejections.EjectedUntil(0, failures.AllTypes)
 			}
 			sent := [2]int{} // by tenant
 			for op := range 200 {
@@ -132,13 +132,13 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 4, func(s *Settings) { s.TrafficTypes[3].PriorityWeight = 20 }).takeAll()
 			for _, s := range c.broke {
-				r.learn(s, &operation{kind: c.kind, target: time.Minute}, r.now, ConnectionBroken)
+				r.recordOutcome(s, &request{trafficType: c.kind, objectiveAt: time.Minute}, r.now, ConnectionBroken)
 			}
 			r.at(r.now+c.ago, Input{Kind: TimerFired})
 			op, _ := r.arriveAt(r.now, c.kind, time.Second)
-			r.Policy.ops[op].hops[0].server = 0
+			r.Policy.requests[op].attempts[0].server = 0
 			if c.full {
-				r.flying += 100
+				r.inFlightCount += 100
 			}
 			if got := kinds(r.end(r.now+20*ms, op, 0, c.how)); (len(got) > 0 && got[0] == SendAttempt) != c.again {
 				t.Errorf("then %v", got)
@@ -158,21 +158,21 @@
 				r := newRig(t, 18, func(s *Settings) { s.NodeCount, s.NodeIndex, s.SlowStartDuration = 90, me, 24*time.Second }).takeAll()
 				r.Policy.seed, r.now = uint32(1000+me), time.Second
 				for i := range 17 * refusals {
-					r.learn(1+i%17, &operation{}, r.now, Overloaded)
+					r.recordOutcome(1+i%17, &request{}, r.now, Overloaded)
 				}
-				r.markCold(0, r.now)
+				r.startSlowStart(0, r.now)
 				for range 700 {
-					r.now, r.successes = r.now+20*ms, 3
-					r.weigh()
-					was := r.coldPace[0]
-					r.paceCold(20 * ms)
-					granted += max(r.coldPace[0]-was, 0)
-					pace = coldShare * r.set.CrashLoadFactor * r.successes / 18 * r.capacity(0)
+					r.now, r.successRate = r.now+20*ms, 3
+					r.updateWeights()
+					was := r.slowStartTokens[0]
+					r.refillSlowStart(20 * ms)
+					granted += max(r.slowStartTokens[0]-was, 0)
+					pace = slowStartShare * r.settings.CrashLoadFactor * r.successRate / 18 * r.capacityShare(0)
 					most += pace * 0.02
 				}
-				held += r.coldPace[0]
+				held += r.slowStartTokens[0]
 			}
-			if held > 180*pace*coldLasts.Seconds() || granted > 1.2*most || granted < 0.5*most {
+			if held > 180*pace*slowStartTokenLifetime.Seconds() || granted > 1.2*most || granted < 0.5*most {
 				t.Errorf("%.0f granted, budget %.0f; %.0f held", granted, most, held)
 			}
 		})
@@ -197,22 +197,22 @@
 			r := newRig(t, 10, func(s *Settings) {
 				s.WeightsFollowLoad, s.SlowStartInitialCapacity, s.SlowStartDuration = c.live, 0.1, time.Hour
 			}).takeAll()
-			for s := range r.scale {
-				r.scale[s] = 0.1
+			for s := range r.listedWeight {
+				r.listedWeight[s] = 0.1
 			}
-			r.scale[0] = c.cold
-			r.markCold(0, 0)
-			for k := range r.usual { // so that the least pace does not count
-				r.usual[k] = time.Hour
+			r.listedWeight[0] = c.cold
+			r.startSlowStart(0, 0)
+			for k := range r.typicalLatency { // so that the least pace does not count
+				r.typicalLatency[k] = time.Hour
 			}
-			r.successes = 50
-			r.weigh()
+			r.successRate = 50
+			r.updateWeights()
 			granted := 0.0
 			for range seconds * int(time.Second/step) {
-				was := r.coldPace[0]
-				r.paceCold(step)
-				granted += max(r.coldPace[0]-was, 0)
-				r.coldPace[0] = 0
+				was := r.slowStartTokens[0]
+				r.refillSlowStart(step)
+				granted += max(r.slowStartTokens[0]-was, 0)
+				r.slowStartTokens[0] = 0
 			}
 			if rate := granted / seconds; rate < c.least || rate > c.most {
 				t.Errorf("%.2f tokens a second", rate)
@@ -230,12 +230,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 4, nil)
-			r.failures.GetOrCreate(0, kind).LastAt, r.inFlight[0], r.now = time.Second, c.inFlight, 2*time.Second
-			if r.forgetFailures(0); r.failures.EntryCount(0) != c.entries || r.failures.Active().Has(0) != (c.entries > 0) {
-				t.Fatalf("%d entries, want %d", r.failures.EntryCount(0), c.entries)
+			r.ejections.GetOrCreate(0, kind).LastAt, r.inFlight[0], r.now = time.Second, c.inFlight, 2*time.Second
+			if r.pruneEjections(0); r.ejections.EntryCount(0) != c.entries || r.ejections.Active().Has(0) != (c.entries > 0) {
+				t.Fatalf("%d entries, want %d", r.ejections.EntryCount(0), c.entries)
 			}
-			r.fault(0, kind, 500*ms)
-			if got := r.failures.Get(0, kind).Consecutive; got != 1-c.entries {
+			r.recordTypeFailure(0, kind, 500*ms)
+			if got := r.ejections.Get(0, kind).Consecutive; got != 1-c.entries {
 				t.Errorf("%d failures counted", got)
 			}
 		})
@@ -274,12 +274,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 4, nil).takeAll()
-			r.grown = 100
+			r.grownLimit = 100
 			for range c.busy {
 				r.arriveAt(0, 0, time.Second)
 			}
 			for range c.unconnected {
-				r.unconnected.Observe(1, 2*causeMemory)
+				r.connectFailures.Observe(1, 2*attributionMemory)
 			}
 			op, got := r.arriveAt(10*ms, 0, time.Second)
 			r.at(10*ms, Input{Kind: TimerFired})
@@ -302,19 +302,19 @@
 	r := newRig(t, 8, connects).takeAll()
 	op, sent := r.arriveAt(0, 0, time.Second)
 	s := sent[0].Server
-	if got := kinds(r.end(5*ms, op, 0, Unreachable)); !slices.Equal(got, []EffectKind{CloseIdle, SendAttempt}) || r.member[s] || len(r.pool) != 7 {
-		t.Errorf("server %d of %v, %v", s, r.pool, got)
+	if got := kinds(r.end(5*ms, op, 0, Unreachable)); !slices.Equal(got, []EffectKind{CloseIdle, SendAttempt}) || r.inSubset[s] || len(r.subset) != 7 {
+		t.Errorf("server %d of %v, %v", s, r.subset, got)
 	}
-	r.grown = 100
+	r.grownLimit = 100
 	for range 8 { // all others are busy
 		r.arriveAt(10*ms, 0, time.Second)
 	}
-	if !r.member[s] {
-		t.Errorf("server %d stays out of %v", s, r.pool)
+	if !r.inSubset[s] {
+		t.Errorf("server %d stays out of %v", s, r.subset)
 	}
 	few := newRig(t, 2, connects).takeAll()
 	op, sent = few.arriveAt(0, 0, time.Second)
-	if few.end(5*ms, op, 0, Unreachable); !few.member[sent[0].Server] {
+	if few.end(5*ms, op, 0, Unreachable); !few.inSubset[sent[0].Server] {
 		t.Error("one of two has left, though both are needed")
 	}
 }
--- a/policy/whatif_test.go
+++ b/policy/whatif_test.go
@@ -23,8 +23,8 @@
 	}
 	for i := range 400 {
 		now := time.Duration(i) * 7 * ms
-		op := r.ops
-		r.ops++
+		op := r.arrivals
+		r.arrivals++
 		all = append(all, give(now, Input{Kind: RequestArrived, Request: op, TrafficType: i % 4, Tenant: i % 2, Key: uint32(i % 9), Timeout: time.Second})...)
 		all = append(all, give(now, Input{Kind: TimerFired})...)
 		if i%3 > 0 {
@@ -49,7 +49,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			watched, differ := played(t, func(r *rig, now time.Duration, in *Input) []Effect {
-				s := r.set
+				s := r.settings
 				s.TrafficTypes = slices.Clone(s.TrafficTypes)
 				c.change(&s)
 				return r.WhatIf(&s, now, in, nil)
@@ -68,9 +68,9 @@
 func TestWhatIfLeavesAllowances(t *testing.T) {
 	r := newRig(t, 1, func(s *Settings) { s.TenantQuotas = []float64{40, 4} })
 	r.at(0, Input{Kind: QuotasChanged, Quotas: []Quota{{Tenant: 0, PerSecond: 50}}})
-	other := r.set
+	other := r.settings
 	r.WhatIf(&other, 0, &Input{Kind: QuotasChanged, Quotas: []Quota{{Tenant: 0, PerSecond: 60}}}, nil)
-	if got := r.set.TenantQuotas[0]; got != 50 {
+	if got := r.settings.TenantQuotas[0]; got != 50 {
 		t.Errorf("the allowance is %v, not 50", got)
 	}
 }
@@ -78,11 +78,11 @@
 // A copy shares no memory that may be written to, whatever fields are added: a field forgotten in copied is found here.
 func TestCopiedSharesNothing(t *testing.T) {
 	r := newRig(t, 3, func(s *Settings) { s.TenantQuotas = []float64{1} }).takeAll()
-	r.within = []float64{1}
-	r.members.SetLabels(0, 1)
-	r.members.SetPlacements(0, 1)
+	r.withinQuotaShares = []float64{1}
+	r.readiness.SetLabels(0, 1)
+	r.readiness.SetPlacements(0, 1)
 	op, _ := r.arriveAt(0, 0, time.Second)
-	c := r.copied(op)
+	c := r.clone(op)
 	var look func(name string, a, b reflect.Value)
 	look = func(name string, a, b reflect.Value) {
 		switch a.Kind() {
@@ -99,7 +99,7 @@
 			}
 		case reflect.Struct:
 			for i := range a.NumField() {
-				if f := a.Type().Field(i).Name; f != "set" && f != "rows" && f != "effects" { // read only, or set anew
+				if f := a.Type().Field(i).Name; f != "settings" && f != "transitions" && f != "effects" { // read only, or set anew
 					look(name+"."+f, a.Field(i), b.Field(i))
 				}
 			}
@@ -116,6 +116,6 @@
 		r.arriveAt(0, 0, time.Hour)
 	}
 	for b.Loop() {
-		r.WhatIf(&r.set, time.Second, &Input{Kind: AttemptEnded, Outcome: Success, ClientAnswered: true}, nil)
+		r.WhatIf(&r.settings, time.Second, &Input{Kind: AttemptEnded, Outcome: Success, ClientAnswered: true}, nil)
 	}
 }
