--- /dev/null
+++ b/policy/admission.go
@@ -0,0 +1,153 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"fernvane/internal/collections/columns"
+	"fernvane/internal/collections/decay"
+	"fernvane/internal/collections/indexset"
+)
+
+const (
+	maxSaturatedShare  = 0.8 // of the time, before less is admitted
+	maxOverloadedShare = 0.2 // of the attempts, before less is admitted
+	saturationMemory   = 500 * time.Millisecond
+	admissionSpeed     = 2.0  // a second, of the logarithm of the admitted share
+	minAdmittedShare   = 0.02 // enough to see an overload pass
+
+	defaultMaxShedShare = 0.95 // of one traffic type, so that some of each get through
+
+	rateMemory = 3 * time.Second // over which arrivals and answers are counted
+
+	// minArrivalRate is the rate, a second, below which a rate is cleared, so that it costs no tick any more. What is
+	// less changes no sum of loads by a bit.
+	minArrivalRate = 1e-24
+)
+
+// classesPerType is how many shed classes a traffic type has: requests within their tenant's quota, and beyond it.
+const classesPerType = 2
+
+// firstClass returns the class of a type's requests within quota; the one beyond follows it.
+func firstClass(trafficType int) int { return classesPerType * trafficType }
+
+// typeOfClass returns the traffic type of a class.
+func typeOfClass(class int) int { return class / classesPerType }
+
+// admission sheds load while the node is saturated: by chance, and the classes that are worth least for the time that
+// they take first.
+type admission struct {
+	saturated         float64 // share of the time
+	admitted          float64 // share of the offered load
+	maxAdmittedShare  float64 // by a plan; 0: all
+	overloaded        decay.FailureRate
+	maxPriorityWeight float64 // of all traffic types
+
+	activeTypes  indexset.Set // traffic types with traffic lately: others cost no tick
+	classes      []int        // of the active types, those worth least first
+	arrivalRates []float64    // a second, by class
+	rejectShare  []float64    // by class
+	shedEntries  []shedEntry  // of the last tick, in the order of classes
+}
+
+// shedEntry is what was left to shed when a class's turn came.
+type shedEntry struct {
+	class     int
+	weight    float64
+	remaining float64
+}
+
+func (a *admission) clone() admission {
+	c := *a
+	c.activeTypes = a.activeTypes.Clone()
+	c.classes = slices.Clone(a.classes)
+	columns.Clone(&c.arrivalRates, &c.rejectShare)
+	c.shedEntries = slices.Clone(a.shedEntries)
+	return c
+}
+
+// ratesOf returns the arrival rates of a traffic type's classes.
+func (a *admission) ratesOf(trafficType int) []float64 {
+	return a.arrivalRates[firstClass(trafficType) : firstClass(trafficType)+classesPerType]
+}
+
+// isShed reports whether a request is shed, by chance.
+func (p *Policy) isShed(request int) bool {
+	r := &p.requests.all[request]
+	share := max(p.admission.rejectShare[r.class], min(p.attributedShedShare(r), defaultMaxShedShare))
+	return share > 0 && p.chance() < share
+}
+
+// classWeight returns what a class is worth for the time that its requests take. Requests beyond a tenant's quota are
+// worth a share of the others.
+func (p *Policy) classWeight(class int) float64 {
+	share := [classesPerType]float64{1, p.settings.OverQuotaWeightShare}[class%classesPerType]
+	trafficType := typeOfClass(class)
+	return share * p.settings.TrafficTypes[trafficType].PriorityWeight / max(p.latency.typical[trafficType].Seconds(), 1e-6)
+}
+
+// classLoad returns the load that a class offers, in attempts in flight.
+func (p *Policy) classLoad(class int) float64 {
+	return p.admission.arrivalRates[class] * p.latency.typical[typeOfClass(class)].Seconds()
+}
+
+// adjustAdmission moves the admitted share of the offered load and spreads what is shed over the classes.
+func (p *Policy) adjustAdmission(elapsed time.Duration) {
+	a := &p.admission
+	p.adjustAdmitted(elapsed)
+	a.classes = slices.DeleteFunc(a.classes, func(class int) bool { return !a.activeTypes.Has(typeOfClass(class)) })
+	slices.SortFunc(a.classes, func(c, d int) int { return cmp.Or(cmp.Compare(p.classWeight(c), p.classWeight(d)), c-d) })
+	offered := 0.0
+	for trafficType := range a.activeTypes.All() {
+		for class := firstClass(trafficType); class < firstClass(trafficType)+classesPerType; class++ {
+			offered += p.classLoad(class)
+		}
+	}
+	remaining := (1 - a.admitted) * offered
+	a.shedEntries = a.shedEntries[:0]
+	for _, class := range a.classes {
+		a.shedEntries = append(a.shedEntries, shedEntry{class, p.classWeight(class), remaining})
+		load := p.classLoad(class)
+		a.rejectShare[class] = p.rejectShareFor(class, remaining, load)
+		remaining = max(remaining-a.rejectShare[class]*load, 0)
+	}
+	a.shedEntries = append(a.shedEntries, shedEntry{len(a.arrivalRates), math.Inf(1), remaining})
+}
+
+// adjustAdmitted lowers the admitted share while the node is saturated, or refused by servers, for more than the
+// largest share, and raises it otherwise.
+func (p *Policy) adjustAdmitted(elapsed time.Duration) {
+	a := &p.admission
+	kept := decayFactor(elapsed, saturationMemory)
+	if a.saturated *= kept; p.isSaturated() {
+		a.saturated += 1 - kept
+	}
+	room := max(1-max(a.saturated/maxSaturatedShare, a.overloaded.Rate(attributionPrior)/maxOverloadedShare), -2)
+	admitted := max(a.admitted*math.Exp(admissionSpeed*room*elapsed.Seconds()), minAdmittedShare)
+	a.admitted = min(admitted, cmp.Or(a.maxAdmittedShare, 1))
+}
+
+// rejectShareFor returns the share of a class to reject, out of the load that remains to be shed.
+func (p *Policy) rejectShareFor(class int, remaining, load float64) float64 {
+	return min(remaining/max(load, 1e-9), cmp.Or(p.settings.TrafficTypes[typeOfClass(class)].MaxShedShare, defaultMaxShedShare))
+}
+
+// activateType has a traffic type take part in ticks again. Its classes get the shares that they would have by now.
+func (p *Policy) activateType(trafficType int) {
+	a := &p.admission
+	if a.activeTypes.Has(trafficType) {
+		return
+	}
+	a.activeTypes.Add(trafficType)
+	for class := firstClass(trafficType); class < firstClass(trafficType)+classesPerType; class++ {
+		a.classes = append(a.classes, class)
+		if class < len(a.rejectShare) && len(a.shedEntries) > 0 {
+			i, _ := slices.BinarySearchFunc(a.shedEntries, class, func(e shedEntry, class int) int {
+				return cmp.Or(cmp.Compare(e.weight, p.classWeight(class)), e.class-class)
+			})
+			a.rejectShare[class] = p.rejectShareFor(class, a.shedEntries[i].remaining, 0)
+		}
+	}
+}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -77,8 +77,8 @@
 	} {
 		b.Run(fmt.Sprintf("types=%d/tenants=%d/servers=%d", c.types, c.tenants, c.servers), func(b *testing.B) {
 			p := newFleet(c.types, c.tenants, min(c.servers, 2_000))
-			for p.readyCount < c.servers { // by pieces, of which none costs a square
-				list := fleetList(p.readyCount + 2_000)[p.readyCount:]
+			for p.subset.readyCount < c.servers { // by pieces, of which none costs a square
+				list := fleetList(p.subset.readyCount + 2_000)[p.subset.readyCount:]
 				p.Handle(0, &Input{Kind: EndpointsUpdated, Scope: Incremental, Endpoints: list}, nil)
 			}
 			now := time.Duration(0)
--- /dev/null
+++ b/policy/effect.go
@@ -0,0 +1,33 @@
+package policy
+
+import "time"
+
+// EffectKind says what the caller must do.
+type EffectKind uint8
+
+const (
+	// SendAttempt sends a request to a server; Duration is the attempt's timeout.
+	SendAttempt EffectKind = iota
+	// Reject answers that the request has not run or may safely be retried; Duration is the Retry-After, or 0.
+	Reject
+	// Fail answers that the outcome of the request is unknown.
+	Fail
+	// SetTimer asks for TimerFired after Duration.
+	SetTimer
+	// Subscribe requests the endpoint list.
+	Subscribe
+	// CloseIdle closes idle connections to the server.
+	CloseIdle
+	// Retain says that the server stays in use although the list omits it.
+	Retain
+	// Forget says that the server is gone for good, unless it is listed again.
+	Forget
+)
+
+// Effect is one thing that the caller must do. Effects are carried out in the order given.
+type Effect struct {
+	Kind     EffectKind
+	Request  int
+	Server   int
+	Duration time.Duration
+}
--- /dev/null
+++ b/policy/endpoints.go
@@ -0,0 +1,138 @@
+package policy
+
+import (
+	"cmp"
+	"slices"
+
+	"fernvane/internal/collections/columns"
+)
+
+// serverTable holds what the endpoint list says of each server.
+type serverTable struct {
+	rank         []int
+	zone         []int
+	machineKind  []int
+	cell         []int
+	listedWeight []float64
+}
+
+func (t *serverTable) addServer(s int) {
+	columns.Put(s, 0, &t.rank, &t.zone, &t.machineKind, &t.cell)
+	columns.Put(s, 1.0, &t.listedWeight)
+}
+
+func (t *serverTable) clone() serverTable {
+	c := *t
+	columns.Clone(&c.rank, &c.zone, &c.machineKind, &c.cell)
+	c.listedWeight = slices.Clone(t.listedWeight)
+	return c
+}
+
+// endpointsUpdated takes over an endpoint list, or that there is none.
+func (p *Policy) endpointsUpdated(in *Input) {
+	if in.Scope == Unavailable {
+		p.backOffPolling()
+		return
+	}
+	if in.Scope != Cached {
+		p.poll.backoff = initialPollBackoff
+	}
+	isFirst := p.readiness.Len() == 0
+	p.readiness.BeginUpdate()
+	if in.Scope != Incremental {
+		p.readiness.UnlistAll()
+	}
+	for i := range in.Endpoints {
+		p.updateEndpoint(&in.Endpoints[i], in.Scope, isFirst)
+	}
+	for s := range p.readiness.ReadyUnlisted().All() {
+		p.unlistServer(s, p.readiness.WasListed(s))
+	}
+	p.suspicion.maxListed = max(p.suspicion.maxListed, p.readiness.ListedCount())
+	p.removeUnready()
+	p.updateWeights()
+	p.initLimit()
+	p.dequeue()
+}
+
+// updateEndpoint takes over one entry of a list; isFirst says that no list came before.
+func (p *Policy) updateEndpoint(e *Endpoint, scope UpdateScope, isFirst bool) {
+	s := e.Server
+	isNew, wasListed := e.IndexReused || s == p.readiness.Len(), p.readiness.WasListed(s)
+	if isNew {
+		p.addServer(s)
+	}
+	if !p.subset.rotation.Has(s) {
+		p.servers.rank[s] = int(e.Rank)
+		p.subset.insertIntoRotation(s, int(e.Rank))
+	}
+	p.servers.zone[s], p.servers.machineKind[s], p.servers.cell[s] = e.Zone, e.MachineKind, e.Cell
+	p.servers.listedWeight[s] = cmp.Or(max(e.Weight, 0), 1)
+	p.matchPlacements(s)
+	p.readiness.SetLabels(s, e.Labels)
+	isStillUsed := e.Condition == Removed && p.readiness.Ready(s) && !e.AddressReassigned // unlistServer decides
+	p.setReady(s, e.Condition == Up || isStillUsed)
+	if e.Condition == Up && !wasListed && !isFirst {
+		p.joinByChance(s)
+	}
+	p.readiness.SetListed(s, e.Condition != Removed)
+	appeared := !isFirst && !wasListed && scope != Cached && p.readiness.Ready(s) && (isNew || !p.settings.UnlistedUsable)
+	switch {
+	case e.HasStartTime && p.now-e.StartedAt < p.settings.SlowStartDuration:
+		if !p.slowStart.servers.Has(s) || e.StartedAt > p.slowStart.since[s] {
+			p.startSlowStart(s, e.StartedAt)
+		}
+	case !e.HasStartTime && appeared:
+		p.startSlowStart(s, p.now)
+	}
+}
+
+// joinByChance takes a server that appears into the subset as often as the subset holds any other, so that it is
+// neither left out nor taken in by all nodes at once.
+func (p *Policy) joinByChance(s int) {
+	if p.subset.contains[s] || p.chance()*float64(p.subset.readyCount+1) >= float64(len(p.subset.members)) {
+		return
+	}
+	p.addToSubset(s)
+	p.subset.readyCount = p.readiness.ReadyCount()
+}
+
+// addServer starts all figures of a server. Its index may have been another's.
+func (p *Policy) addServer(s int) {
+	p.readiness.Add(s)
+	p.servers.addServer(s)
+	p.subset.addServer(s)
+	p.picker.addServer(s)
+	p.pauses.addServer(s)
+	p.outliers.addServer(s)
+	p.suspicion.addServer(s)
+	p.attribution.servers.Reset(s)
+	p.latency.addServer(s)
+	p.load.addServer(s, p.now)
+	p.slowStart.addServer(s)
+	p.drain.addServer(s)
+	p.plan.addServer(s)
+}
+
+// matchPlacements works out which placements a server meets, when a list names it rather than at each attempt.
+func (p *Policy) matchPlacements(s int) {
+	matches := uint64(0)
+	for i, placement := range p.settings.Placements {
+		isZoneAllowed := placement.Zones == nil || slices.Contains(placement.Zones, p.servers.zone[s])
+		isKindAllowed := placement.MachineKinds == nil || slices.Contains(placement.MachineKinds, p.servers.machineKind[s])
+		if isZoneAllowed && isKindAllowed {
+			matches |= 1 << i
+		}
+	}
+	p.readiness.SetPlacements(s, matches)
+}
+
+// setReady has a server get new requests or not.
+func (p *Policy) setReady(s int, ready bool) {
+	wasReady := p.readiness.SetReady(s, ready)
+	if ready {
+		p.drain.closing.Remove(s)
+	} else if wasReady {
+		p.closeIdleConnections(s)
+	}
+}
--- /dev/null
+++ b/policy/outcome.go
@@ -0,0 +1,88 @@
+package policy
+
+import "time"
+
+// attemptEnded records the end of an attempt and moves its request on.
+func (p *Policy) attemptEnded(in *Input) {
+	if in.Request >= len(p.requests.all) {
+		return
+	}
+	r := &p.requests.all[in.Request]
+	if in.Attempt >= len(r.attempts) || r.attempts[in.Attempt].ended {
+		return
+	}
+	a := &r.attempts[in.Attempt]
+	a.ended, r.lastOutcome = true, in.Outcome
+	p.load.inFlight[a.server]--
+	if !a.uncounted {
+		p.concurrency.inFlight--
+	}
+	p.closeIdleConnections(a.server)
+	p.recordOutcome(a.server, r, a.sentAt, in.Outcome)
+	if in.Outcome == Overloaded || in.Outcome == Unreachable || in.Outcome == NotStarted {
+		r.forgetAttempt(in.Attempt)
+	}
+	switch {
+	case r.state == stateDone:
+	case in.Outcome == Success:
+		p.advance(in.Request, onSuccess)
+	case in.ClientAnswered:
+		p.advance(in.Request, onClientLeft)
+	default:
+		p.advance(in.Request, onFailure)
+	}
+	p.dequeue()
+}
+
+// recordOutcome learns from the end of an attempt at a server. Failures that belong to the request, and timeouts that
+// only tell of an impatient client, say nothing of the server.
+func (p *Policy) recordOutcome(s int, r *request, sentAt time.Duration, outcome Outcome) {
+	p.admission.overloaded.Observe(0, allAttemptsMemory)
+	p.subset.connectFailures.Observe(0, allAttemptsMemory)
+	if outcome == TimedOut {
+		p.load.abandon(s, sentAt)
+	}
+	switch outcome {
+	case Success, Failure, TimedOut, ConnectionBroken:
+		isImpatient := outcome == TimedOut && r.objectiveAt-sentAt < 2*p.latency.unloaded[r.trafficType]
+		r.failedByItself = !isImpatient && p.isAttributedToRequest(s, r, outcome)
+		if r.failedByItself || isImpatient {
+			return
+		}
+	}
+	elapsed, typical := p.now-sentAt, p.latency.typical[r.trafficType]
+	switch outcome {
+	case Success:
+		p.recordSuccess(s, r, sentAt)
+	case TimedOut:
+		p.recordPauseSample(s, sentAt, true)
+		p.recordFailure(s, minConsecutiveFailures)
+		p.recordTypeFailure(s, r.trafficType, sentAt)
+	case Failure:
+		p.load.lastAnswerAt[s] = p.now
+		p.recordFailure(s, minConsecutiveFailures)
+		p.recordTypeFailure(s, r.trafficType, sentAt)
+	case ClientError, ConnectionBroken:
+		p.recordSoftFailure(s)
+	case Overloaded:
+		p.recordOverload(s, r.trafficType)
+	case Unreachable:
+		p.recordUnreachable(s, elapsed)
+	}
+	if outcome == Success || outcome == TimedOut {
+		p.concurrency.adjust(elapsed.Seconds(), p.allowedSeconds(r.trafficType))
+		p.latency.recordSlowness(s, float64(elapsed)/float64(max(typical, 1)))
+	}
+}
+
+func (p *Policy) recordSuccess(s int, r *request, sentAt time.Duration) {
+	elapsed := p.now - sentAt
+	p.recordPauseSample(s, sentAt, float64(elapsed) > spikeFactor*float64(p.latency.smoothed.At(s)))
+	p.latency.record(s, r.trafficType, elapsed)
+	p.concurrency.successRate += 1 / rateMemory.Seconds()
+	p.concurrency.finished += p.allowedSeconds(r.trafficType) / finishedMemory.Seconds()
+	p.recordAnswer(s)
+	p.outliers.overloads[s] = 0
+	p.outliers.ejections.RecordSuccess(s, r.trafficType)
+	p.load.answered(s, sentAt)
+}
--- /dev/null
+++ b/policy/outlier.go
@@ -0,0 +1,184 @@
+package policy
+
+import (
+	"slices"
+	"time"
+
+	"fernvane/internal/collections/columns"
+	"fernvane/policy/internal/failures"
+	"fernvane/policy/internal/readiness"
+)
+
+const (
+	initialEjection = 500 * time.Millisecond // doubles each time
+	maxEjection     = 4 * time.Second
+
+	minConsecutiveFailures = 2    // one may be a heavy request
+	minTypeFailures        = 3    // of one traffic type, each sent after the last ended
+	minSoftFailures        = 5    // client errors and broken connections, which a server seldom causes
+	maxEjectedShare        = 0.5  // of the ready servers: more ejections would only overload the others
+	maxTypeEjectedShare    = 0.75 // for one traffic type: the servers still get the others
+
+	// minRestartSilence is how long a server must have been unreachable to count as restarted.
+	minRestartSilence = 1 * time.Second
+)
+
+// outliers counts failures of servers and ejects servers that fail. While a server has a failure count it gets one
+// attempt at a time, as a trial.
+type outliers struct {
+	ejections   failures.Table // for one traffic type or all
+	consecutive []int          // failures in a row
+	soft        []int          // soft failures in a row
+	overloads   []int          // Overloaded in a row
+	unreachable []bool         // failed to connect and has not answered since
+}
+
+func (o *outliers) addServer(s int) {
+	o.ejections.Add(s)
+	columns.Put(s, 0, &o.consecutive, &o.soft, &o.overloads)
+	columns.Put(s, false, &o.unreachable)
+}
+
+// reset ends a server's ejection for all types and its failures in a row.
+func (o *outliers) reset(s int) {
+	o.consecutive[s], o.soft[s], o.unreachable[s] = 0, 0, false
+	o.ejections.ClearEjection(s)
+}
+
+func (o *outliers) clone() outliers {
+	c := outliers{ejections: o.ejections.Clone(), unreachable: slices.Clone(o.unreachable)}
+	c.consecutive = slices.Clone(o.consecutive)
+	c.soft = slices.Clone(o.soft)
+	c.overloads = slices.Clone(o.overloads)
+	return c
+}
+
+// isUnhealthy reports whether a server is ejected for a request, or on trial with an attempt in flight. Servers on
+// trial get no non-idempotent requests.
+func (p *Policy) isUnhealthy(s int, r *request) bool {
+	isNonIdempotent := p.settings.TrafficTypes[r.trafficType].Idempotency == NonIdempotent
+	isOnTrial := p.outliers.consecutive[s] > 0 && (p.load.inFlight[s] > 0 || isNonIdempotent)
+	ejections := &p.outliers.ejections
+	return isOnTrial || p.now < max(ejections.EjectedUntil(s, failures.AllTypes), ejections.Get(s, r.trafficType).EjectedUntil)
+}
+
+// isEjected reports whether a server is ejected for all traffic types.
+func (p *Policy) isEjected(s int) bool {
+	return p.now < p.outliers.ejections.EjectedUntil(s, failures.AllTypes)
+}
+
+// recordAnswer ends a server's ejection. One that answers after it was unreachable may have restarted before the
+// endpoint list says so, and goes through slow start.
+func (p *Policy) recordAnswer(s int) {
+	if p.outliers.unreachable[s] && p.now-p.load.lastAnswerAt[s] > minRestartSilence {
+		p.startSlowStart(s, p.now)
+	}
+	p.load.lastAnswerAt[s] = p.now
+	p.outliers.reset(s)
+	p.suspicion.lower(s, p.now)
+}
+
+// recordFailure counts a failure and ejects the server after enough of them in a row.
+func (p *Policy) recordFailure(s, enough int) {
+	p.outliers.consecutive[s]++
+	if !p.readiness.Listed(s) {
+		p.suspicion.raise(s)
+	}
+	if p.outliers.consecutive[s] >= enough && !p.isEjected(s) {
+		p.eject(s, failures.AllTypes, p.outliers.consecutive[s]-enough, maxEjectedShare)
+	}
+}
+
+// recordSoftFailure counts a failure that bad clients or single connections may cause as well.
+func (p *Policy) recordSoftFailure(s int) {
+	if p.outliers.soft[s]++; p.outliers.soft[s] >= minSoftFailures {
+		p.recordFailure(s, 1)
+	}
+}
+
+// recordTypeFailure counts a failure of one traffic type; answers to others leave the count. After the first one, one
+// attempt of the type at a time is in flight there, and after enough the server is ejected for the type. Of attempts
+// that were in flight together one counts.
+func (p *Policy) recordTypeFailure(s, trafficType int, sentAt time.Duration) {
+	if sentAt < p.outliers.ejections.Get(s, trafficType).LastAt {
+		return
+	}
+	e := p.outliers.ejections.GetOrCreate(s, trafficType)
+	e.LastAt = p.now
+	if e.Consecutive++; e.Consecutive >= minTypeFailures {
+		p.eject(s, trafficType, e.Consecutive-minTypeFailures, maxTypeEjectedShare)
+	}
+}
+
+// recordOverload ejects a server for the type that it refused, since it may serve others, and for all types after
+// refusals in a row.
+func (p *Policy) recordOverload(s, trafficType int) {
+	p.load.lastAnswerAt[s] = p.now
+	p.outliers.ejections.SetEjectedUntil(s, trafficType, p.now+initialEjection)
+	p.admission.overloaded.Failed++
+	p.latency.recordSlowness(s, spikeFactor)
+	p.outliers.overloads[s]++
+	if p.outliers.overloads[s] >= minConsecutiveFailures && !p.isEjected(s) {
+		p.eject(s, failures.AllTypes, p.outliers.overloads[s]-minConsecutiveFailures, maxEjectedShare)
+	}
+}
+
+// recordUnreachable counts a failure to connect. A connection that was refused at once costs no time and may be one of
+// few, so it takes two to eject; the server leaves the subset if the rest of it suffices.
+func (p *Policy) recordUnreachable(s int, elapsed time.Duration) {
+	enough := 1
+	if elapsed < p.settings.ConnectTimeout/2 {
+		enough = minConsecutiveFailures
+		p.subset.connectFailures.Failed++
+		if i := slices.Index(p.subset.members, s); i >= 0 && float64(len(p.subset.members)) > p.subset.needed+subsetSlack {
+			p.removeFromSubset(i)
+		}
+	}
+	p.recordFailure(s, enough)
+	p.outliers.unreachable[s] = p.outliers.unreachable[s] || p.outliers.consecutive[s] >= enough
+}
+
+// eject ejects a server, for one traffic type or failures.AllTypes and for a time that doubles, unless more than the
+// share of the ready servers would then be ejected, or of the servers of one placement. A server that the list omits
+// is ejected in any case.
+func (p *Policy) eject(s, trafficType, doublings int, maxShare float64) {
+	if !p.canEject(s, trafficType, maxShare) && p.readiness.Listed(s) {
+		return
+	}
+	duration := float64(min(initialEjection<<min(doublings, 3), maxEjection))
+	until := p.now + time.Duration(duration*(0.75+0.5*p.chance()))
+	p.outliers.ejections.SetEjectedUntil(s, trafficType, until)
+}
+
+// canEject reports whether a share of the servers is still left without a server. It prunes the ejections that it meets.
+func (p *Policy) canEject(s, trafficType int, maxShare float64) bool {
+	placements := p.readiness.Placements(s)
+	if trafficType != failures.AllTypes {
+		placements = p.settings.TrafficTypes[trafficType].PlacementBit
+	}
+	ejected, ejectedByPlacement := 1.0, [2 * MaxPlacements]int{}
+	for other := range p.outliers.ejections.Active().All() {
+		if p.readiness.Ready(other) && p.readiness.Listed(other) && p.now < p.outliers.ejections.EjectedUntil(other, trafficType) {
+			ejected++
+			readiness.AddToBits(&ejectedByPlacement, placements&p.readiness.Placements(other), 1)
+		}
+		p.pruneEjections(other)
+	}
+	canEject := ejected <= maxShare*float64(p.subset.readyCount) || trafficType != failures.AllTypes && placements != 0
+	for bit, count := range ejectedByPlacement {
+		open := p.readiness.ReadyWithPlacements(1 << bit)
+		canEject = canEject && (placements>>bit&1 == 0 || float64(count+1) <= maxShare*float64(open))
+	}
+	return canEject
+}
+
+// pruneEjections drops a server's entries that have no effect any more. The time of the last failure matters only to
+// attempts that were in flight then.
+func (p *Policy) pruneEjections(s int) {
+	if p.load.inFlight[s] == 0 {
+		p.outliers.ejections.DeleteFunc(s, func(e failures.Entry) bool { return e.Consecutive == 0 && p.now >= e.EjectedUntil })
+	}
+	if p.outliers.ejections.EntryCount(s) == 0 && !p.isEjected(s) {
+		p.outliers.ejections.Deactivate(s)
+	}
+}
--- /dev/null
+++ b/policy/picker.go
@@ -0,0 +1,157 @@
+package policy
+
+import (
+	"math"
+	"slices"
+
+	"fernvane/internal/collections/columns"
+)
+
+const (
+	maxTurnsAhead      = 2.0 // turns that a server may take to get a key again; turns stay even over all keys
+	crowdedFactor      = 1.0 // times the mean in flight; a node has few attempts at a server
+	minSquaredSlowness = 0.1 // so that a fast server does not get everything
+
+	// maxConnectFailureShare is the share of attempts without a connection above which only idle servers get requests.
+	maxConnectFailureShare = 0.1
+
+	// creditRounding is the difference between credits that is taken for rounding.
+	creditRounding = 1e-9
+)
+
+// picker is the round robin over the active subset. Each server that is not passed over earns credit by its weight, and
+// the one with the most credit is next: with equal weights that is plain round robin.
+type picker struct {
+	position      int       // in the subset, of the next round
+	credit        []float64 // by server, in turns
+	weight        []float64 // by server: listed weight, less while it warms up, is slow or suspected
+	totalWeight   float64   // of the subset
+	totalCapacity float64   // of the subset: listed weights, less during slow start
+}
+
+func (k *picker) addServer(s int) {
+	columns.Put(s, 0.0, &k.credit)
+	columns.Put(s, 1.0, &k.weight)
+}
+
+func (k *picker) clone() picker {
+	c := *k
+	c.credit, c.weight = slices.Clone(k.credit), slices.Clone(k.weight)
+	return c
+}
+
+// care says which servers a walk of the subset passes over.
+type care int
+
+const (
+	careRules    care = iota // those that isExcluded names
+	careHealth               // also those tried for the request, and unhealthy ones
+	careForecast             // also those with a pause near, crowded ones, and those that a plan avoids
+	careIdle                 // also those with an attempt in flight
+)
+
+// canSend reports whether a request may have an attempt now, and picks the server for it. Idle servers of the subset
+// come first; when all are busy or passed over, the next of the rotation joins. When none is left to join, less care is
+// taken step by step. Where connections are scarce, idle servers are waited for.
+func (p *Policy) canSend(request int) bool {
+	r := &p.requests.all[request]
+	if r.state != stateInFlight && (p.isSaturated() || !p.routes.hasCapacity(r.routeLimit)) {
+		return false
+	}
+	canGrow := len(p.subset.members) < p.subset.readyCount
+	if failures := p.subset.connectFailures.Rate(attributionMemory); failures > maxConnectFailureShare {
+		return p.pickFromSubset(r, careIdle) || canGrow && p.chance() > math.Sqrt(failures) && p.growSubset(r)
+	}
+	if canGrow && (p.pickFromSubset(r, careIdle) || p.growSubset(r)) {
+		return true
+	}
+	for care := careForecast; care >= careRules; care-- {
+		if p.pickFromSubset(r, care) {
+			return true
+		}
+	}
+	return false
+}
+
+// pickFromSubset picks the server of the subset whose turn it is among those that are not passed over. Where servers
+// cache by key, the server that every node ranks first for the key goes before others whose turn is near, so that nodes
+// agree without messages.
+func (p *Policy) pickFromSubset(r *request, care care) bool {
+	members := p.subset.members
+	best, most, earned := -1, 0.0, 0.0
+	for i := range members {
+		s := members[(p.picker.position+i)%len(members)]
+		if p.isPassedOver(s, r, care) {
+			continue
+		}
+		share := math.Sqrt(p.picker.weight[s])
+		earned += share
+		p.picker.credit[s] += share
+		priority := p.picker.credit[s]
+		if p.settings.ServersCacheKeys && r.key != 0 && priority >= -maxTurnsAhead*share {
+			priority = math.MaxInt16 + hashToUnit(r.key*uint32(p.servers.rank[s]|1), 0)
+		}
+		if best < 0 || priority > most+creditRounding {
+			best, most = i, priority
+		}
+	}
+	if best < 0 {
+		return false
+	}
+	p.picked = members[(p.picker.position+best)%len(members)]
+	p.picker.position = (p.picker.position + best + 1) % len(members)
+	p.picker.credit[p.picked] -= earned
+	return true
+}
+
+// isPassedOver reports whether a walk that takes so much care passes over a server.
+func (p *Policy) isPassedOver(s int, r *request, care care) bool {
+	switch {
+	case p.isExcluded(s, r):
+		return true
+	case care >= careHealth && (r.wasTriedAt(s) || p.isUnhealthy(s, r)):
+		return true
+	case care >= careForecast && (p.pauses.isNear(s, p.now) || p.isCrowded(s) || p.plan.preference[s] < 0):
+		return true
+	case care >= careIdle && p.load.inFlight[s] > 0:
+		return true
+	}
+	return false
+}
+
+// isExcluded reports whether a rule forbids a server for a request: it is not ready, does not match the placement or
+// labels, is out of slow-start tokens, or is outside the key scope of a request that may have run.
+func (p *Policy) isExcluded(s int, r *request) bool {
+	t := &p.settings.TrafficTypes[r.trafficType]
+	if !p.readiness.Ready(s) || t.PlacementBit&^p.readiness.Placements(s) != 0 || p.slowStart.isOutOfTokens(s) {
+		return true
+	}
+	if t.PoolLabels != 0 && t.PoolLabels&p.readiness.Labels(s) == 0 {
+		return true
+	}
+	if !r.mayHaveRun || t.Idempotency != IdempotentWithKey {
+		return false
+	}
+	return t.KeyScope == KeyScopeZone && p.servers.zone[s] != p.servers.zone[r.keyServer] ||
+		t.KeyScope == KeyScopeCell && p.servers.cell[s] != p.servers.cell[r.keyServer]
+}
+
+// isCrowded reports whether a server has more in flight than the mean for its weight.
+func (p *Policy) isCrowded(s int) bool {
+	mean := crowdedFactor * p.concurrency.inFlight * p.picker.weight[s] / max(p.picker.totalWeight, 1e-9)
+	return float64(p.load.inFlight[s])+p.load.abandoned[s] > mean
+}
+
+// updateWeights works out what each server of the subset can take, and the number of ready servers. Each level of
+// suspicion halves a server's turns, which go by the root of its weight.
+func (p *Policy) updateWeights() {
+	k := &p.picker
+	k.totalWeight, k.totalCapacity, p.subset.readyCount = 0, 0, p.readiness.ReadyCount()
+	for _, s := range p.subset.members {
+		capacity := p.servers.listedWeight[s] * p.capacityShare(s)
+		slowness := p.latency.slowness[s]
+		k.weight[s] = capacity / max(slowness*slowness, minSquaredSlowness) / float64(int(1)<<(2*p.suspicion.level[s]))
+		k.totalCapacity += capacity
+		k.totalWeight += k.weight[s]
+	}
+}
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -177,7 +177,7 @@
 	}
 	r.arriveAt(1*ms, bound, time.Second)
 	r.arriveAt(1*ms, bound, time.Second)
-	if waits, got := r.arriveAt(1*ms, 2, time.Second); len(sentTo(got)) != 0 || r.Policy.requests[waits].state != stateQueued {
+	if waits, got := r.arriveAt(1*ms, 2, time.Second); len(sentTo(got)) != 0 || r.Policy.requests.all[waits].state != stateQueued {
 		t.Fatalf("the window is not full: %v", got)
 	}
 	if got := r.end(2*ms, first, 0, Success); len(sentTo(got)) != 1 {
@@ -209,7 +209,7 @@
 			resting := 0
 			for s := range c.tried {
 				r.eject(s, c.kind, 0, c.share)
-				if r.now < r.ejections.EjectedUntil(s, c.kind) {
+				if r.now < r.outliers.ejections.EjectedUntil(s, c.kind) {
 					resting++
 				}
 			}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -45,7 +45,7 @@
 // takeAll takes in every server, in the order of their indices.
 func (r *rig) takeAll() *rig {
 	for s := range r.readiness.Len() {
-		if !r.inSubset[s] {
+		if !r.subset.contains[s] {
 			r.addToSubset(s)
 			r.updateWeights()
 		}
@@ -88,18 +88,18 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 1, nil)
 			for _, at := range c.onsets {
-				r.lastAnswerAt[0] = 0
+				r.load.lastAnswerAt[0] = 0
 				sent := time.Duration(at * float64(time.Second))
 				r.now = sent + 300*ms
 				r.recordPauseSample(0, sent, false)
 				r.recordPauseSample(0, sent, true)
 				r.recordPauseSample(0, sent, true)
-				r.lastSpike[0] = min(r.lastSpike[0], sent)
+				r.pauses.lastSpike[0] = min(r.pauses.lastSpike[0], sent)
 			}
-			if got := r.nextPause[0].Seconds(); math.Abs(got-c.want) > 0.01 {
+			if got := r.pauses.next[0].Seconds(); math.Abs(got-c.want) > 0.01 {
 				t.Errorf("forecast %.2f, want %.2f", got, c.want)
 			}
-			if got := r.pauseInterval[0].Seconds(); c.want > 0 && math.Abs(got-c.spaces) > 0.01 {
+			if got := r.pauses.interval[0].Seconds(); c.want > 0 && math.Abs(got-c.spaces) > 0.01 {
 				t.Errorf("interval %.2f, want %.2f", got, c.spaces)
 			}
 		})
@@ -121,13 +121,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 1, nil)
-			r.smoothedLatency.Set(0, 100*ms)
+			r.latency.smoothed.Set(0, 100*ms)
 			for i, is := range c.spikes {
 				r.now = time.Second + time.Duration(i)*c.gap
 				r.recordPauseSample(0, r.now, is)
 			}
-			if r.pauseCount[0] != c.want {
-				t.Errorf("%d pauses, want %d", r.pauseCount[0], c.want)
+			if r.pauses.count[0] != c.want {
+				t.Errorf("%d pauses, want %d", r.pauses.count[0], c.want)
 			}
 		})
 	}
@@ -151,14 +151,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 3, nil).takeAll()
-			r.grownLimit, r.now = 1000, 10*second
-			copy(r.Policy.nextPause, c.forecast[:])
-			copy(r.Policy.pauseInterval, c.interval[:])
+			r.concurrency.grown, r.now = 1000, 10*second
+			copy(r.Policy.pauses.next, c.forecast[:])
+			copy(r.Policy.pauses.interval, c.interval[:])
 			for s, n := range c.inFlight {
-				r.Policy.inFlight[s], r.lastAnswerAt[s] = n, r.now
-				r.inFlightCount += float64(n)
+				r.Policy.load.inFlight[s], r.load.lastAnswerAt[s] = n, r.now
+				r.concurrency.inFlight += float64(n)
 			}
-			r.Policy.requests = append(r.Policy.requests, request{objectiveAt: 20 * second})
+			r.Policy.requests.all = append(r.Policy.requests.all, request{objectiveAt: 20 * second})
 			for i, want := range c.want {
 				if !r.canSend(0) || r.picked != want {
 					t.Errorf("turn %d went to %d, want %d", i, r.picked, want)
@@ -182,19 +182,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, c.servers, nil)
-			r.grownLimit = 1000
+			r.concurrency.grown = 1000
 			for range c.out {
 				if _, got := r.arriveAt(time.Second, 0, time.Second); len(got) != 1 {
 					t.Fatalf("not sent: %v", got)
 				}
 				if c.resting {
 					r.end(time.Second, r.arrivals-1, 0, Success)
-					r.ejections.SetEjectedUntil(r.subset[0], failures.AllTypes, 2*time.Second)
+					r.outliers.ejections.SetEjectedUntil(r.subset.members[0], failures.AllTypes, 2*time.Second)
 					r.arriveAt(time.Second, 0, time.Second)
 				}
 			}
-			if len(r.subset) != c.want {
-				t.Errorf("%d taken in, want %d", len(r.subset), c.want)
+			if len(r.subset.members) != c.want {
+				t.Errorf("%d taken in, want %d", len(r.subset.members), c.want)
 			}
 		})
 	}
@@ -202,22 +202,22 @@
 
 func TestLetsGoTheSlowest(t *testing.T) {
 	r := newRig(t, 6, nil).takeAll()
-	r.slowness[3] = 2
+	r.latency.slowness[3] = 2
 	r.at(100*ms, Input{Kind: TimerFired})
-	if r.inSubset[3] || len(r.subset) != 5 {
-		t.Errorf("kept %v", r.subset)
+	if r.subset.contains[3] || len(r.subset.members) != 5 {
+		t.Errorf("kept %v", r.subset.members)
 	}
 	for now := 200 * ms; now < time.Second; now += 20 * ms {
 		r.at(now, Input{Kind: TimerFired})
 	}
-	if len(r.subset) != subsetSlack {
-		t.Errorf("%d taken in with nothing to do", len(r.subset))
+	if len(r.subset.members) != subsetSlack {
+		t.Errorf("%d taken in with nothing to do", len(r.subset.members))
 	}
 	r.takeAll()
-	r.successRate = 6 * judgingAnswersPerSecond // enough to judge all six
+	r.concurrency.successRate = 6 * judgingAnswersPerSecond // enough to judge all six
 	r.shrinkSubset(20 * ms)
-	if len(r.subset) != 6 {
-		t.Errorf("%d left of six that are all judged", len(r.subset))
+	if len(r.subset.members) != 6 {
+		t.Errorf("%d left of six that are all judged", len(r.subset.members))
 	}
 }
 
@@ -227,7 +227,7 @@
 	for me := range nodes {
 		r := newRig(t, servers, func(s *Settings) { s.NodeCount, s.NodeIndex, s.Zone = nodes, me, me%2 })
 		r.arriveAt(0, 0, time.Second)
-		if met[r.subset[0]]++; r.subset[0]%2 != me%2 {
+		if met[r.subset.members[0]]++; r.subset.members[0]%2 != me%2 {
 			t.Errorf("node %d starts at another location", me)
 		}
 	}
@@ -240,11 +240,11 @@
 
 func TestNewServerStartsAtTheOthersMean(t *testing.T) {
 	r := newRig(t, 2, nil)
-	r.smoothedLatency.Set(0, 100*ms)
-	r.smoothedLatency.Set(1, 300*ms)
+	r.latency.smoothed.Set(0, 100*ms)
+	r.latency.smoothed.Set(1, 300*ms)
 	r.at(time.Second, Input{Kind: EndpointsUpdated, Scope: Incremental, Endpoints: []Endpoint{{Server: 2, Weight: 1}}})
-	if r.smoothedLatency.At(2) != 200*ms {
-		t.Errorf("starts at %v", r.smoothedLatency.At(2))
+	if r.latency.smoothed.At(2) != 200*ms {
+		t.Errorf("starts at %v", r.latency.smoothed.At(2))
 	}
 }
 
@@ -284,7 +284,7 @@
 				t.Fatalf("got %v, want %v", kinds(got), c.want)
 			}
 			for _, e := range got {
-				if e.Kind == SendAttempt && c.kind == fingerZone && r.zone[e.Server] != r.zone[sent[0].Server] {
+				if e.Kind == SendAttempt && c.kind == fingerZone && r.servers.zone[e.Server] != r.servers.zone[sent[0].Server] {
 					t.Errorf("left the group: server %d after %d", e.Server, sent[0].Server)
 				}
 			}
@@ -330,7 +330,7 @@
 			if got := kinds(third); !reflect.DeepEqual(got, c.want) {
 				t.Fatalf("got %v, want %v", got, c.want)
 			}
-			if c.same && third[0].Kind == SendAttempt && r.zone[third[0].Server] != r.zone[second[0].Server] {
+			if c.same && third[0].Kind == SendAttempt && r.servers.zone[third[0].Server] != r.servers.zone[second[0].Server] {
 				t.Error("left the group")
 			}
 		})
@@ -450,7 +450,7 @@
 				t.Errorf("sent %d in two seconds, at most %d", sent, c.most)
 			}
 			r.at(c.unbarred, Input{Kind: TimerFired})
-			if r.slowStarting.Has(2) {
+			if r.slowStart.servers.Has(2) {
 				t.Error("still held for cold")
 			}
 		})
@@ -470,8 +470,8 @@
 			op, _ := r.arriveAt(time.Second, 0, time.Second)
 			r.end(time.Second, op, 0, Unreachable)
 			r.end(time.Second+c.lost, op, 1, Success) // it had been sent there again at once
-			if r.slowStarting.Has(0) != c.cold {
-				t.Errorf("cold: %v", r.slowStarting.Has(0))
+			if r.slowStart.servers.Has(0) != c.cold {
+				t.Errorf("cold: %v", r.slowStart.servers.Has(0))
 			}
 		})
 	}
@@ -499,33 +499,33 @@
 func TestGivenUpHopsKeepTheirRoom(t *testing.T) {
 	r := newRig(t, 2, nil).takeAll()
 	op, _ := r.arriveAt(0, 2, time.Second)
-	s := r.Policy.requests[op].attempts[0].server
+	s := r.Policy.requests.all[op].attempts[0].server
 	r.at(385*ms, Input{Kind: TimerFired})
 	r.end(390*ms, op, 0, TimedOut)
-	r.inFlightCount = 1
+	r.concurrency.inFlight = 1
 	if !r.isCrowded(s) {
 		t.Error("the server looks idle after a time-out")
 	}
-	r.Policy.requests[op].state = stateDone
-	r.recordOutcome(s, &r.Policy.requests[op], 395*ms, Success)
-	if r.abandoned[s] != 0 {
+	r.Policy.requests.all[op].state = stateDone
+	r.recordOutcome(s, &r.Policy.requests.all[op], 395*ms, Success)
+	if r.load.abandoned[s] != 0 {
 		t.Error("a later hop was answered, and the given-up one still counts")
 	}
 }
 
 func TestStrainNarrowsTheWindow(t *testing.T) {
 	r := newRig(t, 8, nil)
-	r.finishedLoad, r.grownLimit = 16, 40
-	if r.concurrencyLimit() != 40 {
-		t.Errorf("window %.0f without strain", r.concurrencyLimit())
+	r.concurrency.finished, r.concurrency.grown = 16, 40
+	if r.concurrency.limit() != 40 {
+		t.Errorf("window %.0f without strain", r.concurrency.limit())
 	}
 	for range 20 { // each takes three times as long as it may
-		r.adjustLimit(3, 1)
+		r.concurrency.adjust(3, 1)
 	}
-	if w := r.concurrencyLimit(); w > 20/r.latencyRatio || r.latencyRatio < 1.5 {
-		t.Errorf("window %.1f at strain %.1f", w, r.latencyRatio)
+	if w := r.concurrency.limit(); w > 20/r.concurrency.latencyRatio || r.concurrency.latencyRatio < 1.5 {
+		t.Errorf("window %.1f at strain %.1f", w, r.concurrency.latencyRatio)
 	}
-	r.latencyRatio, r.finishedLoad, r.grownLimit = 1e6, 0, 0 // as after a slowness that all share
+	r.concurrency.latencyRatio, r.concurrency.finished, r.concurrency.grown = 1e6, 0, 0 // as after a slowness that all share
 	if _, got := r.arriveAt(0, 0, time.Second); len(got) != 1 || got[0].Kind != SendAttempt {
 		t.Errorf("nothing is sent any more: %v", got)
 	}
@@ -533,19 +533,19 @@
 
 func TestCheaperDeniedMoreOften(t *testing.T) {
 	r := newRig(t, 4, func(s *Settings) { s.TenantQuotas = []float64{1e6, 4} })
-	for b := range r.arrivalRates {
-		r.arrivalRates[b] = 10
+	for b := range r.admission.arrivalRates {
+		r.admission.arrivalRates[b] = 10
 	}
-	r.admittedShare, r.saturatedShare = 0.5, 1
+	r.admission.admitted, r.admission.saturated = 0.5, 1
 	r.now = time.Second
 	r.adjustAdmission(100 * ms)
-	for i := 1; i < len(r.classes); i++ {
-		a, b := r.classes[i-1], r.classes[i]
-		if r.rejectShare[a] < r.rejectShare[b] {
-			t.Errorf("bucket %d at %.2f, dearer %d at %.2f", a, r.rejectShare[a], b, r.rejectShare[b])
+	for i := 1; i < len(r.admission.classes); i++ {
+		a, b := r.admission.classes[i-1], r.admission.classes[i]
+		if r.admission.rejectShare[a] < r.admission.rejectShare[b] {
+			t.Errorf("bucket %d at %.2f, dearer %d at %.2f", a, r.admission.rejectShare[a], b, r.admission.rejectShare[b])
 		}
 	}
-	if r.rejectShare[r.classes[0]] == 0 || r.classWeight(1) >= r.classWeight(0) {
+	if r.admission.rejectShare[r.admission.classes[0]] == 0 || r.classWeight(1) >= r.classWeight(0) {
 		t.Error("nothing denied, or beyond its share worth as much")
 	}
 }
@@ -553,7 +553,7 @@
 func TestRefusalRestsTheServerForThatTypeOnly(t *testing.T) {
 	r := newRig(t, 4, nil).takeAll()
 	op, _ := r.arriveAt(time.Second, 0, time.Second)
-	s := r.Policy.requests[op].attempts[0].server
+	s := r.Policy.requests.all[op].attempts[0].server
 	r.end(time.Second, op, 0, Overloaded)
 	for kind, want := range []bool{true, false, false, false} {
 		if got := r.isUnhealthy(s, &request{trafficType: kind}); got != want {
@@ -623,9 +623,9 @@
 			if r.now += 2 * initialEjection; r.isUnhealthy(1, &request{trafficType: 2}) {
 				t.Error("still resting")
 			}
-			r.Policy.requests = append(r.Policy.requests, request{trafficType: 2, objectiveAt: r.now + 400*ms})
+			r.Policy.requests.all = append(r.Policy.requests.all, request{trafficType: 2, objectiveAt: r.now + 400*ms})
 			r.picked = 1
-			if r.sendAttempt(len(r.Policy.requests) - 1); !r.isUnhealthy(1, &request{trafficType: 2}) || r.isUnhealthy(1, &request{trafficType: 0}) {
+			if r.sendAttempt(len(r.Policy.requests.all) - 1); !r.isUnhealthy(1, &request{trafficType: 2}) || r.isUnhealthy(1, &request{trafficType: 0}) {
 				t.Error("more than one on trial")
 			}
 		})
@@ -648,11 +648,11 @@
 			t.Errorf("type %d: unwell", kind)
 		}
 	}
-	if r.slowStarting.Has(1) || r.slowness[1] != 1 || r.pauseCount[1] != 0 || r.cell[1] != 5 || !r.readiness.Ready(1) || r.softFailures[1] != 0 {
+	if r.slowStart.servers.Has(1) || r.latency.slowness[1] != 1 || r.pauses.count[1] != 0 || r.servers.cell[1] != 5 || !r.readiness.Ready(1) || r.outliers.soft[1] != 0 {
 		t.Error("something is left of the one before")
 	}
-	if want := []int{0, 2, 1}; !slices.Equal(slices.Collect(r.rotation.From(0)), want) || r.readiness.Len() != untouched.readiness.Len() {
-		t.Errorf("rotation %v", slices.Collect(r.rotation.From(0)))
+	if want := []int{0, 2, 1}; !slices.Equal(slices.Collect(r.subset.rotation.From(0)), want) || r.readiness.Len() != untouched.readiness.Len() {
+		t.Errorf("rotation %v", slices.Collect(r.subset.rotation.From(0)))
 	}
 }
 
@@ -672,10 +672,10 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 2, func(s *Settings) { s.NodeCount, s.TenantQuotas = c.nodes, []float64{10, 10} })
 			for tenant, rate := range c.rates {
-				r.tenants.RecordArrival(tenant, rate)
+				r.quotas.tenants.RecordArrival(tenant, rate)
 			}
-			if got := r.tenants.ArrivalRate(0) > r.fairShare(0); got != c.beyond {
-				t.Errorf("beyond %v: %.2f of %.2f", got, r.tenants.ArrivalRate(0), r.fairShare(0))
+			if got := r.quotas.tenants.ArrivalRate(0) > r.fairShare(0); got != c.beyond {
+				t.Errorf("beyond %v: %.2f of %.2f", got, r.quotas.tenants.ArrivalRate(0), r.fairShare(0))
 			}
 		})
 	}
@@ -696,7 +696,7 @@
 			}
 			resting := 0
 			for s := range r.readiness.Len() {
-				until := r.ejections.EjectedUntil(s, failures.AllTypes)
+				until := r.outliers.ejections.EjectedUntil(s, failures.AllTypes)
 				if until > r.now {
 					resting++
 				}
@@ -759,8 +759,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 2, func(s *Settings) { s.MaxRetryAfter = time.Second })
-			r.typicalLatency[0], r.now, r.effects = c.usual, time.Second+c.past, nil
-			r.Policy.requests = append(r.Policy.requests, request{objectiveAt: 1390 * ms, clientDeadline: 2 * time.Second})
+			r.latency.typical[0], r.now, r.effects = c.usual, time.Second+c.past, nil
+			r.Policy.requests.all = append(r.Policy.requests.all, request{objectiveAt: 1390 * ms, clientDeadline: 2 * time.Second})
 			r.reject(0)
 			if back := r.effects[0].Duration; back < c.least || back > c.most {
 				t.Errorf("told to come back in %s", back)
@@ -783,8 +783,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 3, nil).takeAll()
-			copy(r.listedWeight, c.scale[:])
-			copy(r.slowness, c.slowness[:])
+			copy(r.servers.listedWeight, c.scale[:])
+			copy(r.latency.slowness, c.slowness[:])
 			r.updateWeights()
 			var got [3]int
 			for range 60 {
@@ -818,7 +818,7 @@
 			var met [2][]int
 			for me := range met {
 				r := newRig(t, servers, func(s *Settings) { s.ServersCacheKeys, s.NodeIndex = c.warm, me }).takeAll()
-				r.position, r.needed, r.grownLimit = 2*me, servers, 1000
+				r.picker.position, r.subset.needed, r.concurrency.grown = 2*me, servers, 1000
 				turns := make([]int, servers)
 				for i := range uint32(servers * each) {
 					r.arrivals++
@@ -855,22 +855,22 @@
 	}{"late answers earn": {0.5, 0}, "they do not": {0, 3}} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 8, func(s *Settings) { s.TrafficTypes[2].LateWeightShare = c.late })
-			r.grownLimit = 1000
+			r.concurrency.grown = 1000
 			for range 3 {
 				r.arriveAt(time.Second, 2, 2*time.Second)
 			}
-			r.grownLimit = 0
+			r.concurrency.grown = 0
 			for now := 1400 * ms; now < 1500*ms; now += 20 * ms {
 				r.at(now, Input{Kind: TimerFired})
 			}
-			if r.inFlightCount != c.want {
-				t.Errorf("%g hops in the window", r.inFlightCount)
+			if r.concurrency.inFlight != c.want {
+				t.Errorf("%g hops in the window", r.concurrency.inFlight)
 			}
 			for op := range 3 {
 				r.end(1600*ms, op, 0, Success)
 			}
-			if r.inFlightCount != 0 || r.inFlight[0] != 0 {
-				t.Errorf("%g hops in the window when none is out", r.inFlightCount)
+			if r.concurrency.inFlight != 0 || r.load.inFlight[0] != 0 {
+				t.Errorf("%g hops in the window when none is out", r.concurrency.inFlight)
 			}
 		})
 	}
--- /dev/null
+++ b/policy/poll.go
@@ -0,0 +1,32 @@
+package policy
+
+import "time"
+
+const (
+	initialPollBackoff = 250 * time.Millisecond // doubles each time
+	maxPollBackoff     = 4 * time.Second
+)
+
+// poll requests the endpoint list where it only comes on request, with a backoff after failures, since the list
+// service has little capacity.
+type poll struct {
+	isRequested bool
+	nextAt      time.Duration
+	backoff     time.Duration
+}
+
+// backOffPolling takes in that the list was not to be had. The wait is spread, so that nodes do not ask together.
+func (p *Policy) backOffPolling() {
+	p.poll.isRequested = false
+	p.poll.nextAt = p.now + time.Duration(float64(p.poll.backoff)*(0.5+p.chance()))
+	longest := max(p.settings.RequestEndpointsWithin/4, initialPollBackoff)
+	p.poll.backoff = min(2*p.poll.backoff, maxPollBackoff, longest)
+}
+
+// requestEndpoints requests the list if it is time.
+func (p *Policy) requestEndpoints() {
+	if p.settings.MustRequestEndpoints && !p.poll.isRequested && p.now >= p.poll.nextAt {
+		p.poll.isRequested = true
+		p.emit(Effect{Kind: Subscribe})
+	}
+}
--- /dev/null
+++ b/policy/quota.go
@@ -0,0 +1,62 @@
+package policy
+
+import (
+	"math"
+	"slices"
+
+	"fernvane/internal/collections/columns"
+	"fernvane/policy/internal/tenants"
+)
+
+// quotas holds what tenants use of their quotas at this node. The quotas themselves are Settings.TenantQuotas.
+type quotas struct {
+	tenants           tenants.Table
+	total             float64   // of all quotas
+	known             int       // tenants below this number have a quota
+	changed           bool      // they are not those of the settings any more
+	withinQuotaShares []float64 // of a plan, by tenant; nil without one
+}
+
+func newQuotas(perSecond []float64) quotas {
+	return quotas{known: len(perSecond), total: columns.Sum(perSecond)}
+}
+
+func (q *quotas) clone() quotas {
+	c := *q
+	c.tenants = q.tenants.Clone()
+	c.withinQuotaShares = slices.Clone(q.withinQuotaShares)
+	return c
+}
+
+// updateQuotas takes over quotas that have changed. The slice that New was given stays as it is.
+func (p *Policy) updateQuotas(changed []Quota) {
+	if !p.quotas.changed {
+		p.settings.TenantQuotas, p.quotas.changed = slices.Clone(p.settings.TenantQuotas), true
+	}
+	for _, q := range changed {
+		columns.Extend(q.Tenant+1, &p.settings.TenantQuotas)
+		p.quotas.total += q.PerSecond - p.settings.TenantQuotas[q.Tenant]
+		p.settings.TenantQuotas[q.Tenant] = q.PerSecond
+	}
+	p.quotas.known = len(p.settings.TenantQuotas)
+}
+
+// isOverQuota counts an arrival of a tenant and reports whether it is taken to be beyond the tenant's quota: by chance,
+// as often as the tenant's rate is above its share.
+func (p *Policy) isOverQuota(tenant int) bool {
+	within := p.fairShare(tenant) / p.quotas.tenants.RecordArrival(tenant, 1/rateMemory.Seconds())
+	if tenant < len(p.quotas.withinQuotaShares) {
+		within = p.quotas.withinQuotaShares[tenant]
+	}
+	return within > 0 && within < 1 && p.chance() > within
+}
+
+// fairShare returns the requests a second of a tenant at this node that are within its quota. Nodes do not get traffic
+// alike, so the share rises with the other tenants' traffic above theirs; it has slack for the chance of few arrivals.
+func (p *Policy) fairShare(tenant int) float64 {
+	nodes, own := float64(p.settings.NodeCount), p.settings.TenantQuotas[tenant]
+	otherShares := (p.quotas.total - own) / nodes
+	otherRates := p.quotas.tenants.TotalRate() - p.quotas.tenants.ArrivalRate(tenant)
+	share := own / nodes * max(1, otherRates/max(otherShares, 1e-9))
+	return share + math.Sqrt(share/rateMemory.Seconds())
+}
--- /dev/null
+++ b/policy/request.go
@@ -0,0 +1,165 @@
+package policy
+
+import (
+	"slices"
+	"time"
+
+	"fernvane/internal/collections/columns"
+	"fernvane/internal/collections/intset"
+	"fernvane/policy/internal/tenants"
+)
+
+// minAnswerLead is how long before the client's deadline the final answer goes out at the latest.
+const minAnswerLead = 5 * time.Millisecond
+
+// neverRan stands for the server of an attempt that provably never ran, and for no server.
+const neverRan = -1
+
+// attempt is one sending of a request to one server.
+type attempt struct {
+	server    int // or neverRan
+	sentAt    time.Duration
+	ended     bool
+	uncounted bool // does not count toward the node's concurrency limit any more
+}
+
+// request is what a client asks for, over all of its attempts.
+type request struct {
+	state         state
+	trafficType   int
+	class         int // shed class, see admission
+	tenant        int // or tenants.Unknown
+	routeLimit    int
+	key           uint32
+	isClientRetry bool
+
+	arrivedAt      time.Duration
+	objectiveAt    time.Duration // an answer after it is late
+	clientDeadline time.Duration // the client gives up
+
+	attempts       []attempt
+	mayHaveRun     bool
+	keyServer      int           // server of the first attempt that may have run: repeats stay in its key scope
+	firstRunAt     time.Duration // when that attempt was sent
+	lastOutcome    Outcome
+	failedByItself bool // the last failure was attributed to the request
+
+	lastDequeue int // number of the last dequeueing that tried it
+}
+
+// wasTriedAt reports whether an attempt that may have run went to a server.
+func (r *request) wasTriedAt(s int) bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == s })
+}
+
+// forgetAttempt takes back that an attempt may have run: the first of the others that may have run comes in its place.
+func (r *request) forgetAttempt(number int) {
+	r.mayHaveRun, r.keyServer = false, neverRan
+	for i, a := range r.attempts {
+		if i != number && a.server >= 0 && r.keyServer < 0 {
+			r.mayHaveRun, r.keyServer, r.firstRunAt = true, a.server, a.sentAt
+		}
+	}
+	r.attempts[number].server = neverRan
+}
+
+// requestTable holds the requests by index. The index of one that is done is used again.
+type requestTable struct {
+	all  []request
+	open intset.Set // those without a final answer
+}
+
+// clone shares no memory that an input for the request could write to.
+func (t *requestTable) clone(request int) requestTable {
+	c := requestTable{all: slices.Clone(t.all), open: t.open.Clone()}
+	for _, open := range c.open.Items() {
+		columns.Clone(&c.all[open].attempts)
+	}
+	if request < len(c.all) && c.all[request].state == stateDone { // one of its attempts may still end
+		columns.Clone(&c.all[request].attempts)
+	}
+	return c
+}
+
+func (p *Policy) requestArrived(in *Input) {
+	columns.Extend(in.Request+1, &p.requests.all)
+	if in.TrafficType >= len(p.settings.TrafficTypes) {
+		p.emit(Effect{Kind: Reject, Request: in.Request})
+		return
+	}
+	t := &p.settings.TrafficTypes[in.TrafficType]
+	r := &p.requests.all[in.Request]
+	*r = request{
+		trafficType:    in.TrafficType,
+		class:          firstClass(in.TrafficType),
+		tenant:         in.Tenant,
+		routeLimit:     in.RouteLimit,
+		key:            in.Key,
+		isClientRetry:  in.IsClientRetry,
+		arrivedAt:      p.now,
+		objectiveAt:    p.now + min(t.LatencyObjective-2*p.settings.TimerGranularity, in.Timeout),
+		clientDeadline: p.now + in.Timeout,
+		attempts:       r.attempts[:0],
+		keyServer:      neverRan,
+	}
+	p.activateType(in.TrafficType)
+	if in.Tenant >= p.quotas.known {
+		r.tenant = tenants.Unknown
+	} else if p.isOverQuota(in.Tenant) {
+		r.class++
+	}
+	p.admission.arrivalRates[r.class] += 1 / rateMemory.Seconds()
+	p.refillBudgets(in.TrafficType, 1, 0)
+	p.advance(in.Request, onArrival)
+}
+
+func (p *Policy) clientLeft(in *Input) {
+	if in.Request < len(p.requests.all) {
+		p.advance(in.Request, onClientLeft)
+	}
+}
+
+// hasAttemptInFlight reports whether another attempt of the request may still bring the answer.
+func (p *Policy) hasAttemptInFlight(request int) bool {
+	return slices.ContainsFunc(p.requests.all[request].attempts, func(a attempt) bool { return !a.ended })
+}
+
+// isSafeToReject reports whether a rejected client may retry without harm: no attempt can have taken effect, or the
+// request may run again.
+func (p *Policy) isSafeToReject(request int) bool {
+	r := &p.requests.all[request]
+	t := &p.settings.TrafficTypes[r.trafficType]
+	return !r.mayHaveRun || t.Idempotency == Idempotent || t.Idempotency == IdempotentWithKey && t.KeyScope == KeyScopeAll
+}
+
+// isClientDeadlineNear reports whether the final answer must go out now to reach the client in time.
+func (p *Policy) isClientDeadlineNear(request int) bool {
+	return p.now+max(p.settings.TimerGranularity, minAnswerLead) >= p.requests.all[request].clientDeadline
+}
+
+func (p *Policy) isLateAndSafeToReject(request int) bool {
+	return p.isClientDeadlineNear(request) && p.isSafeToReject(request)
+}
+
+// isPastObjective reports whether the attempts in flight are past the latency objective and run on for a late answer.
+// They leave the concurrency limit, which silent servers or links would else fill.
+func (p *Policy) isPastObjective(request int) bool {
+	r := &p.requests.all[request]
+	return p.now >= r.objectiveAt && p.settings.TrafficTypes[r.trafficType].LateWeightShare > 0
+}
+
+// reject gives the final answer that the client may retry, and when. A client that can still be served in time is told
+// to return while it can; any other after the longest Retry-After, since sooner it would only meet the same overload.
+// Both are spread, so that clients do not return together.
+func (p *Policy) reject(request int) {
+	r := &p.requests.all[request]
+	after := time.Duration(float64(p.settings.MaxRetryAfter) * (0.9 + 0.1*p.chance()))
+	left := r.objectiveAt - p.now - 2*p.latency.typical[r.trafficType]
+	if left > 0 && after > 0 {
+		after = min(after, time.Duration(float64(left)*(0.3+0.7*p.chance())))
+	}
+	p.emit(Effect{Kind: Reject, Request: request, Duration: after})
+}
+
+// fail gives the final answer that the outcome is unknown.
+func (p *Policy) fail(request int) { p.emit(Effect{Kind: Fail, Request: request}) }
--- a/policy/route_test.go
+++ b/policy/route_test.go
@@ -13,7 +13,7 @@
 		s.HedgingAllowed, s.NodeCount = true, 1
 		change(&s.TrafficTypes[kind])
 	}).takeAll()
-	r.needed = 99 // none is let go
+	r.subset.needed = 99 // none is let go
 	return r
 }
 
@@ -64,7 +64,7 @@
 		"a copy of a mark in its group only": {1, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *rig) []Effect {
 			e := r.at(60*ms, Input{Kind: TimerFired})
 			for _, x := range e {
-				if x.Kind == SendAttempt && r.zone[x.Server] != r.zone[r.operation(0).attempts[0].server] {
+				if x.Kind == SendAttempt && r.servers.zone[x.Server] != r.servers.zone[r.operation(0).attempts[0].server] {
 					r.t.Error("sent to another group")
 				}
 			}
@@ -84,7 +84,7 @@
 	}
 }
 
-func (r *rig) operation(op int) *request { return &r.Policy.requests[op] }
+func (r *rig) operation(op int) *request { return &r.Policy.requests.all[op] }
 
 // A hop may take as long as its route says, which leaves time for another.
 func TestHopTime(t *testing.T) {
@@ -164,10 +164,10 @@
 	short := types[0]
 	short.MaxAttempts = 1
 	types = append(types, short)
-	learned := r.typicalLatency[0]
+	learned := r.latency.typical[0]
 	r.at(r.now, Input{Kind: TrafficTypesChanged, TrafficTypes: types, LearnFrom: []int{0, 1, 2, 3, 0}, RouteLimits: []int{0}})
-	if r.typicalLatency[0] != learned || r.typicalLatency[4] != learned || r.answerCount[4] != r.answerCount[0] || len(r.classes) != 10 {
-		t.Errorf("learned %s, kept %s, passed on %s, order %v", learned, r.typicalLatency[0], r.typicalLatency[4], r.classes)
+	if r.latency.typical[0] != learned || r.latency.typical[4] != learned || r.latency.answers[4] != r.latency.answers[0] || len(r.admission.classes) != 10 {
+		t.Errorf("learned %s, kept %s, passed on %s, order %v", learned, r.latency.typical[0], r.latency.typical[4], r.admission.classes)
 	}
 	fresh, _ := r.arriveAt(r.now, 4, 2*time.Second)
 	for op, want := range map[int]EffectKind{held: SendAttempt, fresh: Reject} {
@@ -175,8 +175,8 @@
 			t.Errorf("operation %d then gets %v", op, e)
 		}
 	}
-	order := slices.Clone(r.classes)
+	order := slices.Clone(r.admission.classes)
 	if slices.Sort(order); fmt.Sprint(order) != "[0 1 2 3 4 5 6 7 8 9]" {
-		t.Errorf("order %v", r.classes)
+		t.Errorf("order %v", r.admission.classes)
 	}
 }
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -14,8 +14,8 @@
 
 // visits is how many elements of the module's sets and steps of its rotation were come to.
 func visits(p *Policy) int {
-	sum := p.rotation.Steps() + p.tenants.Visits()
-	for _, s := range []*indexset.Set{&p.slowStarting, p.readiness.ReadyUnlisted(), &p.assigned, p.ejections.Active(), p.serverFailures.Active(), &p.activeTypes} {
+	sum := p.subset.rotation.Steps() + p.quotas.tenants.Visits()
+	for _, s := range []*indexset.Set{&p.slowStart.servers, p.readiness.ReadyUnlisted(), &p.plan.assigned, p.outliers.ejections.Active(), p.attribution.servers.Active(), &p.admission.activeTypes} {
 		sum += s.Visits()
 	}
 	return sum
@@ -106,7 +106,7 @@
 				r.at(r.now, Input{Kind: EndpointsUpdated, Scope: scope, Endpoints: list})
 				r.at(r.now, Input{Kind: TimerFired})
 				op, _ := r.arriveAt(r.now, i%4, time.Second)
-				if len(r.Policy.requests[op].attempts) > 0 {
+				if len(r.Policy.requests.all[op].attempts) > 0 {
 					r.end(r.now, op, 0, Outcome(i%8))
 				}
 				walked(t, r)
@@ -130,10 +130,10 @@
 		if r.readiness.Ready(s) && !r.readiness.Listed(s) {
 			dropped = append(dropped, s)
 		}
-		if (r.ejections.EntryCount(s) > 0 || r.ejections.EjectedUntil(s, failures.AllTypes) > r.now) && !r.ejections.Active().Has(s) {
+		if (r.outliers.ejections.EntryCount(s) > 0 || r.outliers.ejections.EjectedUntil(s, failures.AllTypes) > r.now) && !r.outliers.ejections.Active().Has(s) {
 			t.Fatalf("server %d has troubles that no walk comes to", s)
 		}
-		sum += r.smoothedLatency.At(s)
+		sum += r.latency.smoothed.At(s)
 		for bit := range labelled {
 			if r.readiness.Ready(s) && r.readiness.Labels(s)&(1<<bit) != 0 {
 				labelled[bit]++
@@ -145,9 +145,9 @@
 			t.Fatalf("at %v: %d with label %d, counted %d", r.now, want, bit, got)
 		}
 	}
-	if ready != r.readiness.ReadyCount() || listed != r.readiness.ListedCount() || sum != r.smoothedLatency.Sum() || !slices.Equal(dropped, slices.Collect(r.readiness.ReadyUnlisted().All())) {
+	if ready != r.readiness.ReadyCount() || listed != r.readiness.ListedCount() || sum != r.latency.smoothed.Sum() || !slices.Equal(dropped, slices.Collect(r.readiness.ReadyUnlisted().All())) {
 		t.Fatalf("at %v: %d ready, counted %d; %d listed, counted %d; sum %v, kept %v; dropped %v, kept %v", r.now,
-			ready, r.readiness.ReadyCount(), listed, r.readiness.ListedCount(), sum, r.smoothedLatency.Sum(), dropped, slices.Collect(r.readiness.ReadyUnlisted().All()))
+			ready, r.readiness.ReadyCount(), listed, r.readiness.ListedCount(), sum, r.latency.smoothed.Sum(), dropped, slices.Collect(r.readiness.ReadyUnlisted().All()))
 	}
 }
 
@@ -181,17 +181,17 @@
 		t.Errorf("%g allocations a tick", got)
 	}
 	const marked, idle = 0.5, 7 // what a tick walks, it fades
-	p.arrivalRates[2*idle], p.typeFailures[2*idle].Total, p.serverFailures.At(idle).Total, p.unloadedLatency[idle+1] = marked, marked, marked, 1
+	p.admission.arrivalRates[2*idle], p.attribution.types[2*idle].Total, p.attribution.servers.At(idle).Total, p.latency.unloaded[idle+1] = marked, marked, marked, 1
 	tick(1)
-	if p.arrivalRates[2*idle] != marked || p.typeFailures[2*idle].Total != marked || p.serverFailures.At(idle).Total != marked || p.unloadedLatency[idle+1] != 1 {
+	if p.admission.arrivalRates[2*idle] != marked || p.attribution.types[2*idle].Total != marked || p.attribution.servers.At(idle).Total != marked || p.latency.unloaded[idle+1] != 1 {
 		t.Error("a tick comes to a type or a server without traffic")
 	}
 	for range 300 { // a second each: what has had no traffic for five minutes is let go of
 		now += time.Second
 		p.Handle(now, &Input{Kind: TimerFired}, nil)
 	}
-	if got := tick(10); got != 0 || p.tenants.Len() != 0 || p.serverFailures.Active().Len() != 0 || len(p.classes) != 0 {
-		t.Errorf("%d elements come to long after, %d tenants, %d servers, %d buckets held", got, p.tenants.Len(), p.serverFailures.Active().Len(), len(p.classes))
+	if got := tick(10); got != 0 || p.quotas.tenants.Len() != 0 || p.attribution.servers.Active().Len() != 0 || len(p.admission.classes) != 0 {
+		t.Errorf("%d elements come to long after, %d tenants, %d servers, %d buckets held", got, p.quotas.tenants.Len(), p.attribution.servers.Active().Len(), len(p.admission.classes))
 	}
 }
 
@@ -209,18 +209,18 @@
 				s.TrafficTypes = append(s.TrafficTypes, s.TrafficTypes[0])
 				s.TrafficTypes[4].PriorityWeight = c.revenue
 			})
-			r.activeTypes.Remove(4)
-			for b := range r.arrivalRates[:8] {
-				r.arrivalRates[b] = 10
+			r.admission.activeTypes.Remove(4)
+			for b := range r.admission.arrivalRates[:8] {
+				r.admission.arrivalRates[b] = 10
 			}
-			r.admittedShare, r.saturatedShare, r.now = 0.7, 1, time.Second
+			r.admission.admitted, r.admission.saturated, r.now = 0.7, 1, time.Second
 			r.adjustAdmission(100 * ms)
-			if len(r.classes) != 8 {
-				t.Fatalf("order %v", r.classes)
+			if len(r.admission.classes) != 8 {
+				t.Fatalf("order %v", r.admission.classes)
 			}
 			r.activateType(4)
-			if got := r.rejectShare[8]; got != c.want || len(r.classes) != 10 {
-				t.Errorf("share %g, want %g; order %v", got, c.want, r.classes)
+			if got := r.admission.rejectShare[8]; got != c.want || len(r.admission.classes) != 10 {
+				t.Errorf("share %g, want %g; order %v", got, c.want, r.admission.classes)
 			}
 		})
 	}
@@ -257,13 +257,13 @@
 				if got := r.at(now, in); len(c.changed) > 0 && !slices.Equal(asked, got) {
 					t.Errorf("a watcher has %v, the module decides %v", asked, got)
 				}
-				beyond = beyond || r.Policy.requests[i].class == 1
+				beyond = beyond || r.Policy.requests.all[i].class == 1
 			}
 			if beyond != c.beyond {
 				t.Errorf("beyond its share: %v", beyond)
 			}
-			if got := columns.Sum(r.settings.TenantQuotas); got != r.totalQuota || !slices.Equal(given, []float64{1, 1}) {
-				t.Errorf("the sum is %g, kept %g; given %v", got, r.totalQuota, given)
+			if got := columns.Sum(r.settings.TenantQuotas); got != r.quotas.total || !slices.Equal(given, []float64{1, 1}) {
+				t.Errorf("the sum is %g, kept %g; given %v", got, r.quotas.total, given)
 			}
 		})
 	}
@@ -283,16 +283,16 @@
 	for op := range 2 * pooled { // the first ones take them in
 		p.Handle(0, &Input{Kind: RequestArrived, Request: op, Timeout: time.Second}, nil)
 	}
-	if len(p.subset) != pooled || p.readiness.ReadyWithLabels(label) != pooled {
-		t.Fatalf("%d of %d taken in, counted %d", len(p.subset), pooled, p.readiness.ReadyWithLabels(label))
+	if len(p.subset.members) != pooled || p.readiness.ReadyWithLabels(label) != pooled {
+		t.Fatalf("%d of %d taken in, counted %d", len(p.subset.members), pooled, p.readiness.ReadyWithLabels(label))
 	}
-	from := p.rotation.Steps()
+	from := p.subset.rotation.Steps()
 	effects := p.Handle(0, &Input{Kind: RequestArrived, Request: 2 * pooled, Timeout: time.Second}, nil)
-	if got := p.rotation.Steps() - from; got != 0 || len(effects) != 1 || effects[0].Kind != SendAttempt {
+	if got := p.subset.rotation.Steps() - from; got != 0 || len(effects) != 1 || effects[0].Kind != SendAttempt {
 		t.Errorf("%d steps of the rotation; %v", got, effects)
 	}
 	p.Handle(0, &Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 7, Rank: list[7].Rank, Labels: label, StartedAt: -time.Hour, HasStartTime: true}}}, nil)
-	if p.Handle(0, &Input{Kind: RequestArrived, Request: 2*pooled + 1, Timeout: time.Second}, nil); !p.inSubset[7] {
+	if p.Handle(0, &Input{Kind: RequestArrived, Request: 2*pooled + 1, Timeout: time.Second}, nil); !p.subset.contains[7] {
 		t.Error("one that has come to the pool is not taken in")
 	}
 	p.Handle(0, &Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 7, Condition: Draining, Labels: label}}}, nil)
--- a/policy/trouble_test.go
+++ b/policy/trouble_test.go
@@ -34,8 +34,8 @@
 				}
 				r.at(time.Second, Input{Kind: EndpointsUpdated, Scope: Full, Endpoints: list})
 			}
-			if r.readiness.Ready(0) != c.ready || r.isExcluded(0, &request{keyServer: -1}) == c.ready || r.slowStarting.Has(0) && c.only {
-				t.Errorf("may be sent to: %v, cold %v", r.readiness.Ready(0), r.slowStarting.Has(0))
+			if r.readiness.Ready(0) != c.ready || r.isExcluded(0, &request{keyServer: -1}) == c.ready || r.slowStart.servers.Has(0) && c.only {
+				t.Errorf("may be sent to: %v, cold %v", r.readiness.Ready(0), r.slowStart.servers.Has(0))
 			}
 		})
 	}
@@ -44,21 +44,21 @@
 // Traffic to a dropped server shrinks and grows by steps, one for each end, also when it is named again, and ends after long.
 func TestDroppedServersBySteps(t *testing.T) {
 	r := newRig(t, 4, func(s *Settings) { s.UnlistedUsable = true }).takeAll()
-	r.now, r.lastAnswerAt[0] = time.Second, time.Second
+	r.now, r.load.lastAnswerAt[0] = time.Second, time.Second
 	tell := func(c Condition) {
 		r.at(r.now, Input{Kind: EndpointsUpdated, Scope: Incremental, Endpoints: []Endpoint{{Server: 0, Weight: 1, Condition: c}}})
 	}
 	tell(Removed)
 	for i, how := range []Outcome{Unreachable, Unreachable, Unreachable, Success, Success} {
 		r.now += 50 * ms
-		if r.recordOutcome(0, &request{objectiveAt: r.now + 400*ms}, r.now-10*ms, how); r.suspicion[0] != [...]int{2, 3, 3, 2, 1}[i] {
-			t.Errorf("end %d: %d steps down", i, r.suspicion[0])
+		if r.recordOutcome(0, &request{objectiveAt: r.now + 400*ms}, r.now-10*ms, how); r.suspicion.level[0] != [...]int{2, 3, 3, 2, 1}[i] {
+			t.Errorf("end %d: %d steps down", i, r.suspicion.level[0])
 		}
 	}
 	tell(Up)
-	r.slowness[0] = 1
-	if r.updateWeights(); r.turnWeight[0] != r.turnWeight[1]/4 || r.slowStarting.Has(0) {
-		t.Errorf("weight %g beside %g, cold %v", r.turnWeight[0], r.turnWeight[1], r.slowStarting.Has(0))
+	r.latency.slowness[0] = 1
+	if r.updateWeights(); r.picker.weight[0] != r.picker.weight[1]/4 || r.slowStart.servers.Has(0) {
+		t.Errorf("weight %g beside %g, cold %v", r.picker.weight[0], r.picker.weight[1], r.slowStart.servers.Has(0))
 	}
 	tell(Removed)
 	if r.at(r.now+unlistedRetention+time.Second, Input{Kind: TimerFired}); r.readiness.Ready(0) {
@@ -88,7 +88,7 @@
 				o := &request{trafficType: i % 3, tenant: i / 4 % 2, objectiveAt: r.now + 400*ms, key: uint32(1 + i/8%9)}
 				how := map[bool]Outcome{true: c.how}[c.bad(o, i*7/3%4)] // else Success
 				r.recordOutcome(i*7/3%4, o, r.now-40*ms, how)
-				rested = rested || i > 200 && r.now < r.ejections.EjectedUntil(0, failures.AllTypes)
+				rested = rested || i > 200 && r.now < r.outliers.ejections.EjectedUntil(0, failures.AllTypes)
 			}
 			sent := [2]int{} // by tenant
 			for op := range 200 {
@@ -136,9 +136,9 @@
 			}
 			r.at(r.now+c.ago, Input{Kind: TimerFired})
 			op, _ := r.arriveAt(r.now, c.kind, time.Second)
-			r.Policy.requests[op].attempts[0].server = 0
+			r.Policy.requests.all[op].attempts[0].server = 0
 			if c.full {
-				r.inFlightCount += 100
+				r.concurrency.inFlight += 100
 			}
 			if got := kinds(r.end(r.now+20*ms, op, 0, c.how)); (len(got) > 0 && got[0] == SendAttempt) != c.again {
 				t.Errorf("then %v", got)
@@ -156,21 +156,21 @@
 			granted, held, most, pace := 0.0, 0.0, 0.0, 0.0
 			for me := range 90 {
 				r := newRig(t, 18, func(s *Settings) { s.NodeCount, s.NodeIndex, s.SlowStartDuration = 90, me, 24*time.Second }).takeAll()
-				r.Policy.seed, r.now = uint32(1000+me), time.Second
+				r.Policy.random.seed, r.now = uint32(1000+me), time.Second
 				for i := range 17 * refusals {
 					r.recordOutcome(1+i%17, &request{}, r.now, Overloaded)
 				}
 				r.startSlowStart(0, r.now)
 				for range 700 {
-					r.now, r.successRate = r.now+20*ms, 3
+					r.now, r.concurrency.successRate = r.now+20*ms, 3
 					r.updateWeights()
-					was := r.slowStartTokens[0]
+					was := r.slowStart.tokens[0]
 					r.refillSlowStart(20 * ms)
-					granted += max(r.slowStartTokens[0]-was, 0)
-					pace = slowStartShare * r.settings.CrashLoadFactor * r.successRate / 18 * r.capacityShare(0)
+					granted += max(r.slowStart.tokens[0]-was, 0)
+					pace = slowStartShare * r.settings.CrashLoadFactor * r.concurrency.successRate / 18 * r.capacityShare(0)
 					most += pace * 0.02
 				}
-				held += r.slowStartTokens[0]
+				held += r.slowStart.tokens[0]
 			}
 			if held > 180*pace*slowStartTokenLifetime.Seconds() || granted > 1.2*most || granted < 0.5*most {
 				t.Errorf("%.0f granted, budget %.0f; %.0f held", granted, most, held)
@@ -197,22 +197,22 @@
 			r := newRig(t, 10, func(s *Settings) {
 				s.WeightsFollowLoad, s.SlowStartInitialCapacity, s.SlowStartDuration = c.live, 0.1, time.Hour
 			}).takeAll()
-			for s := range r.listedWeight {
-				r.listedWeight[s] = 0.1
+			for s := range r.servers.listedWeight {
+				r.servers.listedWeight[s] = 0.1
 			}
-			r.listedWeight[0] = c.cold
+			r.servers.listedWeight[0] = c.cold
 			r.startSlowStart(0, 0)
-			for k := range r.typicalLatency { // so that the least pace does not count
-				r.typicalLatency[k] = time.Hour
+			for k := range r.latency.typical { // so that the least pace does not count
+				r.latency.typical[k] = time.Hour
 			}
-			r.successRate = 50
+			r.concurrency.successRate = 50
 			r.updateWeights()
 			granted := 0.0
 			for range seconds * int(time.Second/step) {
-				was := r.slowStartTokens[0]
+				was := r.slowStart.tokens[0]
 				r.refillSlowStart(step)
-				granted += max(r.slowStartTokens[0]-was, 0)
-				r.slowStartTokens[0] = 0
+				granted += max(r.slowStart.tokens[0]-was, 0)
+				r.slowStart.tokens[0] = 0
 			}
 			if rate := granted / seconds; rate < c.least || rate > c.most {
 				t.Errorf("%.2f tokens a second", rate)
@@ -230,12 +230,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 4, nil)
-			r.ejections.GetOrCreate(0, kind).LastAt, r.inFlight[0], r.now = time.Second, c.inFlight, 2*time.Second
-			if r.pruneEjections(0); r.ejections.EntryCount(0) != c.entries || r.ejections.Active().Has(0) != (c.entries > 0) {
-				t.Fatalf("%d entries, want %d", r.ejections.EntryCount(0), c.entries)
+			r.outliers.ejections.GetOrCreate(0, kind).LastAt, r.load.inFlight[0], r.now = time.Second, c.inFlight, 2*time.Second
+			if r.pruneEjections(0); r.outliers.ejections.EntryCount(0) != c.entries || r.outliers.ejections.Active().Has(0) != (c.entries > 0) {
+				t.Fatalf("%d entries, want %d", r.outliers.ejections.EntryCount(0), c.entries)
 			}
 			r.recordTypeFailure(0, kind, 500*ms)
-			if got := r.ejections.Get(0, kind).Consecutive; got != 1-c.entries {
+			if got := r.outliers.ejections.Get(0, kind).Consecutive; got != 1-c.entries {
 				t.Errorf("%d failures counted", got)
 			}
 		})
@@ -274,12 +274,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 4, nil).takeAll()
-			r.grownLimit = 100
+			r.concurrency.grown = 100
 			for range c.busy {
 				r.arriveAt(0, 0, time.Second)
 			}
 			for range c.unconnected {
-				r.connectFailures.Observe(1, 2*attributionMemory)
+				r.subset.connectFailures.Observe(1, 2*attributionMemory)
 			}
 			op, got := r.arriveAt(10*ms, 0, time.Second)
 			r.at(10*ms, Input{Kind: TimerFired})
@@ -302,19 +302,19 @@
 	r := newRig(t, 8, connects).takeAll()
 	op, sent := r.arriveAt(0, 0, time.Second)
 	s := sent[0].Server
-	if got := kinds(r.end(5*ms, op, 0, Unreachable)); !slices.Equal(got, []EffectKind{CloseIdle, SendAttempt}) || r.inSubset[s] || len(r.subset) != 7 {
-		t.Errorf("server %d of %v, %v", s, r.subset, got)
+	if got := kinds(r.end(5*ms, op, 0, Unreachable)); !slices.Equal(got, []EffectKind{CloseIdle, SendAttempt}) || r.subset.contains[s] || len(r.subset.members) != 7 {
+		t.Errorf("server %d of %v, %v", s, r.subset.members, got)
 	}
-	r.grownLimit = 100
+	r.concurrency.grown = 100
 	for range 8 { // all others are busy
 		r.arriveAt(10*ms, 0, time.Second)
 	}
-	if !r.inSubset[s] {
-		t.Errorf("server %d stays out of %v", s, r.subset)
+	if !r.subset.contains[s] {
+		t.Errorf("server %d stays out of %v", s, r.subset.members)
 	}
 	few := newRig(t, 2, connects).takeAll()
 	op, sent = few.arriveAt(0, 0, time.Second)
-	if few.end(5*ms, op, 0, Unreachable); !few.inSubset[sent[0].Server] {
+	if few.end(5*ms, op, 0, Unreachable); !few.subset.contains[sent[0].Server] {
 		t.Error("one of two has left, though both are needed")
 	}
 }
--- a/policy/whatif_test.go
+++ b/policy/whatif_test.go
@@ -78,7 +78,7 @@
 // A copy shares no memory that may be written to, whatever fields are added: a field forgotten in copied is found here.
 func TestCopiedSharesNothing(t *testing.T) {
 	r := newRig(t, 3, func(s *Settings) { s.TenantQuotas = []float64{1} }).takeAll()
-	r.withinQuotaShares = []float64{1}
+	r.quotas.withinQuotaShares = []float64{1}
 	r.readiness.SetLabels(0, 1)
 	r.readiness.SetPlacements(0, 1)
 	op, _ := r.arriveAt(0, 0, time.Second)
