--- /dev/null
+++ b/policy/concurrency_test.go
@@ -0,0 +1,102 @@
+package policy
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestInitialConcurrencyLimit(t *testing.T) {
+	for name, c := range map[string]struct{ nodes, servers, least, most int }{
+		"few nodes":                        {4, 10, 8, 20},
+		"a large group shares the servers": {40, 10, 1, 4},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := newHarness(t, c.servers, func(s *Settings) { s.NodeCount = c.nodes })
+			sent := 0
+			for range 100 {
+				_, got := r.arriveAt(0, 0, time.Second)
+				sent += len(got)
+			}
+			if sent < c.least || sent > c.most {
+				t.Errorf("%d hops out before any answer, want %d to %d", sent, c.least, c.most)
+			}
+		})
+	}
+}
+
+func TestSlowAnswersLowerConcurrencyLimit(t *testing.T) {
+	r := newHarness(t, 8, nil)
+	r.concurrency.finished, r.concurrency.grown = 16, 40
+	if r.concurrency.limit() != 40 {
+		t.Errorf("window %.0f without strain", r.concurrency.limit())
+	}
+	for range 20 { // each takes three times as long as it may
+		r.concurrency.adjust(3, 1)
+	}
+	if w := r.concurrency.limit(); w > 20/r.concurrency.latencyRatio || r.concurrency.latencyRatio < 1.5 {
+		t.Errorf("window %.1f at strain %.1f", w, r.concurrency.latencyRatio)
+	}
+	r.concurrency.latencyRatio, r.concurrency.finished, r.concurrency.grown = 1e6, 0, 0 // as after a slowness that all share
+	if _, got := r.arriveAt(0, 0, time.Second); len(got) != 1 || got[0].Kind != SendAttempt {
+		t.Errorf("nothing is sent any more: %v", got)
+	}
+}
+
+// TestLateAttemptsLeaveConcurrencyLimit checks that attempts that run on for a late answer leave the concurrency
+// limit, once each.
+func TestLateAttemptsLeaveConcurrencyLimit(t *testing.T) {
+	for name, c := range map[string]struct {
+		late float64
+		want float64 // hops in the window once all are overdue
+	}{"late answers earn": {0.5, 0}, "they do not": {0, 3}} {
+		t.Run(name, func(t *testing.T) {
+			r := newHarness(t, 8, func(s *Settings) { s.TrafficTypes[2].LateWeightShare = c.late })
+			r.concurrency.grown = 1000
+			for range 3 {
+				r.arriveAt(time.Second, 2, 2*time.Second)
+			}
+			r.concurrency.grown = 0
+			for now := 1400 * ms; now < 1500*ms; now += 20 * ms {
+				r.at(now, Input{Kind: TimerFired})
+			}
+			if r.concurrency.inFlight != c.want {
+				t.Errorf("%g hops in the window", r.concurrency.inFlight)
+			}
+			for op := range 3 {
+				r.end(1600*ms, op, 0, Success)
+			}
+			if r.concurrency.inFlight != 0 || r.load.inFlight[0] != 0 {
+				t.Errorf("%g hops in the window when none is out", r.concurrency.inFlight)
+			}
+		})
+	}
+}
+
+// TestRouteLimit checks that a route has as many requests in flight as its limit allows, and that others go out as
+// they end.
+func TestRouteLimit(t *testing.T) {
+	r := newRouteHarness(t, 6, 0, func(*TrafficType) {})
+	types := r.settings.TrafficTypes
+	limit := func(n int) {
+		r.at(r.now, Input{Kind: TrafficTypesChanged, TrafficTypes: types, LearnFrom: []int{0, 1, 2, 3}, RouteLimits: []int{0, n}})
+	}
+	arrive := func() []EffectKind {
+		r.arrivals++
+		return effectKinds(r.at(r.now, Input{Kind: RequestArrived, Request: r.arrivals - 1, TrafficType: 0, RouteLimit: 1, Timeout: 2 * time.Second}))
+	}
+	limit(3)
+	var got []int
+	for range 5 {
+		got = append(got, len(arrive()))
+	}
+	if !slices.Equal(got, []int{1, 1, 1, 0, 0}) {
+		t.Fatalf("sent at arrival: %v", got)
+	}
+	limit(2)
+	for op, want := range []int{0, 1, 1} { // of three out one must end before the next of two may go
+		if e := effectKinds(r.end(10*ms, op, 0, Success)); len(e) != want {
+			t.Errorf("after %d: %v", op, e)
+		}
+	}
+}
--- /dev/null
+++ b/policy/cost_test.go
@@ -0,0 +1,184 @@
+package policy
+
+import (
+	"fmt"
+	"math/bits"
+	"slices"
+	"testing"
+	"time"
+
+	"fernvane/policy/internal/failures"
+)
+
+// TestCostOfOneChange checks that one change costs the same, in visits and memory, however many servers there are.
+func TestCostOfOneChange(t *testing.T) {
+	up := Endpoint{Zone: 1, Weight: 1, StartedAt: -time.Hour, HasStartTime: true}
+	for name, change := range map[string]func(i int) []Endpoint{
+		"replaced": func(i int) []Endpoint {
+			m := up
+			m.Server, m.Rank, m.IndexReused = i, uint32(i)*2654435761, true
+			return []Endpoint{m}
+		},
+		"drained and back": func(i int) []Endpoint {
+			m := up
+			m.Server, m.Condition = i, Draining
+			back := up
+			back.Server = i
+			return []Endpoint{m, back}
+		},
+		"gone and back": func(i int) []Endpoint {
+			m := up
+			m.Server, m.Condition = i, Removed
+			back := up
+			back.Server = i
+			return []Endpoint{m, back}
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			const changes = 200
+			cost := func(servers int) (elements int, allocs float64) {
+				p := newLargePolicy(3, 0, servers)
+				p.settings.UnlistedUsable = true
+				var lists [changes][]Endpoint
+				for i := range lists {
+					lists[i] = change(i * 4)
+				}
+				var effects []Effect
+				from, i := visits(p), 0
+				allocs = testing.AllocsPerRun(changes-1, func() {
+					effects = p.Handle(0, &Input{Kind: EndpointsUpdated, Scope: Incremental, Endpoints: lists[i]}, effects[:0])
+					i++
+				})
+				return (visits(p) - from) / changes, allocs
+			}
+			few, fewAllocs := cost(1_000)
+			many, manyAllocs := cost(20_000)
+			if many > 2*few+8 || many > 16*bits.Len(20_000) { // by the logarithm: half as much again
+				t.Errorf("%d elements among 1,000 servers, %d among 20,000", few, many)
+			}
+			if fewAllocs > 0 || manyAllocs > 0 { // a copy of anything would be one, whatever its size
+				t.Errorf("%g allocations among 1,000 servers, %g among 20,000", fewAllocs, manyAllocs)
+			}
+		})
+	}
+}
+
+// TestCostOfFullList checks that a full list costs n log n at most, the first time and again.
+func TestCostOfFullList(t *testing.T) {
+	cost := func(servers int) (elements int) {
+		p := newLargePolicy(3, 0, servers)
+		p.Handle(0, &Input{Kind: EndpointsUpdated, Scope: Full, Endpoints: largeList(servers)}, nil)
+		return visits(p)
+	}
+	for _, servers := range []int{1_000, 20_000} {
+		t.Run(fmt.Sprint(servers), func(t *testing.T) {
+			if got, most := cost(servers), 4*servers*bits.Len(uint(servers)); got > most {
+				t.Errorf("%d elements for %d servers, at most %d", got, servers, most)
+			}
+		})
+	}
+}
+
+// TestCountsMatchWalk checks that counts and sets say what a walk of all servers would.
+func TestCountsMatchWalk(t *testing.T) {
+	for _, only := range []bool{false, true} {
+		t.Run(fmt.Sprintf("only draining binds: %v", only), func(t *testing.T) {
+			r := newHarness(t, 40, func(s *Settings) { s.UnlistedUsable = only }).fillSubset()
+			for i := range 4_000 {
+				r.now += 20 * ms
+				scope, list := Incremental, []Endpoint{{Server: i * 7 % 40, Rank: uint32(i), Weight: 1, Condition: Condition(i % 3), IndexReused: i%31 == 0,
+					Labels: uint64(i * 5 % 16)}}
+				if i%50 == 49 {
+					scope = Full
+				}
+				r.at(r.now, Input{Kind: EndpointsUpdated, Scope: scope, Endpoints: list})
+				r.at(r.now, Input{Kind: TimerFired})
+				op, _ := r.arriveAt(r.now, i%4, time.Second)
+				if len(r.Policy.requests.all[op].attempts) > 0 {
+					r.end(r.now, op, 0, Outcome(i%8))
+				}
+				checkCounts(t, r)
+			}
+		})
+	}
+}
+
+// checkCounts compares the counts with a walk.
+func checkCounts(t *testing.T, r *harness) {
+	t.Helper()
+	ready, listed, sum := 0, 0, time.Duration(0)
+	var dropped []int
+	var labelled [64]int
+	for s := range r.readiness.Len() {
+		if r.readiness.Ready(s) {
+			ready++
+		}
+		if r.readiness.Listed(s) {
+			listed++
+		}
+		if r.readiness.Ready(s) && !r.readiness.Listed(s) {
+			dropped = append(dropped, s)
+		}
+		if (r.outliers.ejections.EntryCount(s) > 0 || r.outliers.ejections.EjectedUntil(s, failures.AllTypes) > r.now) && !r.outliers.ejections.Active().Has(s) {
+			t.Fatalf("server %d has troubles that no walk comes to", s)
+		}
+		sum += r.latency.smoothed.At(s)
+		for bit := range labelled {
+			if r.readiness.Ready(s) && r.readiness.Labels(s)&(1<<bit) != 0 {
+				labelled[bit]++
+			}
+		}
+	}
+	for bit, want := range labelled {
+		if got := r.readiness.ReadyWithLabels(1 << bit); got != want {
+			t.Fatalf("at %v: %d with label %d, counted %d", r.now, want, bit, got)
+		}
+	}
+	if ready != r.readiness.ReadyCount() || listed != r.readiness.ListedCount() || sum != r.latency.smoothed.Sum() || !slices.Equal(dropped, slices.Collect(r.readiness.ReadyUnlisted().All())) {
+		t.Fatalf("at %v: %d ready, counted %d; %d listed, counted %d; sum %v, kept %v; dropped %v, kept %v", r.now,
+			ready, r.readiness.ReadyCount(), listed, r.readiness.ListedCount(), sum, r.latency.smoothed.Sum(), dropped, slices.Collect(r.readiness.ReadyUnlisted().All()))
+	}
+}
+
+// TestCostOfTick checks that a tick costs nothing for types, tenants and servers without traffic lately.
+func TestCostOfTick(t *testing.T) {
+	const types, tenants, servers, inUse = 10_000, 390_000, 20_000, 3
+	p := newLargePolicy(types, tenants, servers)
+	now := time.Duration(0)
+	tick := func(times int) (visited int) {
+		from := visits(p)
+		for range times {
+			now += 20 * ms
+			p.Handle(now, &Input{Kind: TimerFired}, nil)
+		}
+		return visits(p) - from
+	}
+	tick(200) // budgets of retries are full now
+	if got := tick(50); got != 0 {
+		t.Errorf("%d elements come to where nothing has had traffic", got)
+	}
+	for i := range inUse {
+		p.Handle(now, &Input{Kind: RequestArrived, Request: i, TrafficType: i * 1_000, Tenant: i * 100_000, Timeout: time.Second}, nil)
+		p.Handle(now+5*ms, &Input{Kind: AttemptEnded, Request: i, Outcome: Success, ClientAnswered: true}, nil)
+	}
+	if got := tick(1); got == 0 || got > 4*inUse { // tenants, servers, types twice
+		t.Errorf("%d elements come to for %d in use", got, inUse)
+	}
+	var effects []Effect
+	if got := testing.AllocsPerRun(20, func() { effects = p.Handle(now, &Input{Kind: TimerFired}, effects[:0]) }); got > 0 {
+		t.Errorf("%g allocations a tick", got)
+	}
+	const marked, idle = 0.5, 7 // what a tick walks, it fades
+	p.admission.arrivalRates[2*idle], p.attribution.types[2*idle].Total, p.attribution.servers.At(idle).Total, p.latency.unloaded[idle+1] = marked, marked, marked, 1
+	tick(1)
+	if p.admission.arrivalRates[2*idle] != marked || p.attribution.types[2*idle].Total != marked || p.attribution.servers.At(idle).Total != marked || p.latency.unloaded[idle+1] != 1 {
+		t.Error("a tick comes to a type or a server without traffic")
+	}
+	for range 300 { // a second each: what has had no traffic for five minutes is let go of
+		now += time.Second
+		p.Handle(now, &Input{Kind: TimerFired}, nil)
+	}
+	if got := tick(10); got != 0 || p.quotas.tenants.Len() != 0 || p.attribution.servers.Active().Len() != 0 || len(p.admission.classes) != 0 {
+		t.Errorf("%d elements come to long after, %d tenants, %d servers, %d buckets held", got, p.quotas.tenants.Len(), p.attribution.servers.Active().Len(), len(p.admission.classes))
+	}
+}
--- /dev/null
+++ b/policy/drain_test.go
@@ -0,0 +1,98 @@
+package policy
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// TestCloseOnDrain checks that idle connections to a server without new requests are closed at once, when its
+// attempts end, and once more in time.
+func TestCloseOnDrain(t *testing.T) {
+	const within = 300 * ms
+	closes := func(s *Settings) { s.CloseOnDrain, s.DrainCloseTimeout = true, within }
+	released := func(effects []Effect) (n int) {
+		for _, e := range effects {
+			if e.Kind == CloseIdle && e.Server == 0 {
+				n++
+			}
+		}
+		return n
+	}
+	drain := func(r *harness, now time.Duration, how Condition) []Effect {
+		return r.listServers(now, Incremental, 1, func(m *Endpoint) { m.Condition = how })
+	}
+	// woken lets time pass and tells when the server's connections were released.
+	woken := func(r *harness, from, to time.Duration) (at []time.Duration) {
+		for now := from; now <= to; now += 10 * ms {
+			if released(r.at(now, Input{Kind: TimerFired})) > 0 {
+				at = append(at, now)
+			}
+		}
+		return at
+	}
+	for name, c := range map[string]struct {
+		change func(*Settings)
+		day    func(t *testing.T, r *harness)
+	}{
+		"on the notice and once more": {closes, func(t *testing.T, r *harness) {
+			if got := released(drain(r, 0, Draining)); got != 1 {
+				t.Errorf("released %d times on the notice", got)
+			}
+			if at := woken(r, 10*ms, time.Second); len(at) != 1 || at[0] > within {
+				t.Errorf("released again at %v", at)
+			}
+		}},
+		"gone": {closes, func(t *testing.T, r *harness) {
+			if got := released(drain(r, 0, Removed)); got != 1 {
+				t.Errorf("released %d times", got)
+			}
+		}},
+		"after the last outcome": {closes, func(t *testing.T, r *harness) {
+			drain(r, 0, Draining)
+			woken(r, 10*ms, 400*ms)
+			if got := released(r.end(410*ms, 0, 0, Success)); got != 1 {
+				t.Errorf("released %d times on the outcome", got)
+			}
+			if at := woken(r, 420*ms, 2*time.Second); len(at) != 1 || at[0]-410*ms > within {
+				t.Errorf("released again at %v", at)
+			}
+		}},
+		"a connect given up after the notice": {closes, func(t *testing.T, r *harness) {
+			drain(r, 0, Draining)
+			if got := released(r.end(10*ms, 0, 0, Unreachable)); got != 1 {
+				t.Errorf("released %d times on the outcome", got)
+			}
+		}},
+		"told twice": {closes, func(t *testing.T, r *harness) {
+			drain(r, 0, Draining)
+			drain(r, 20*ms, Draining)
+			if at := woken(r, 30*ms, time.Second); len(at) != 1 || at[0] > within {
+				t.Errorf("released again at %v", at)
+			}
+		}},
+		"up again": {closes, func(t *testing.T, r *harness) {
+			drain(r, 0, Draining)
+			drain(r, 5*ms, Up)
+			if got := released(r.end(10*ms, 0, 0, Success)); got != 0 {
+				t.Errorf("released %d times though it serves again", got)
+			}
+			if at := woken(r, 20*ms, time.Second); len(at) != 0 {
+				t.Errorf("released at %v though it serves again", at)
+			}
+		}},
+		"not asked for": {nil, func(t *testing.T, r *harness) {
+			if got := released(drain(r, 0, Draining)) + released(r.end(10*ms, 0, 0, Success)) + len(woken(r, 20*ms, time.Second)); got != 0 {
+				t.Errorf("released %d times", got)
+			}
+		}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := newHarness(t, 1, c.change)
+			if _, got := r.arriveAt(0, 0, time.Second); !slices.Equal(serversSentTo(got), []int{0}) {
+				t.Fatalf("sent to %v", serversSentTo(got))
+			}
+			c.day(t, r)
+		})
+	}
+}
--- /dev/null
+++ b/policy/harness_test.go
@@ -0,0 +1,165 @@
+package policy
+
+import (
+	"testing"
+	"time"
+
+	"fernvane/internal/collections/indexset"
+)
+
+const ms = time.Millisecond
+
+// harness drives one policy with a clock of its own.
+type harness struct {
+	*Policy
+	t        *testing.T
+	arrivals int
+}
+
+// newHarness returns a policy with four traffic types and some servers. change alters the settings before the
+// start.
+func newHarness(t *testing.T, servers int, change func(*Settings)) *harness {
+	t.Helper()
+	s := Settings{NodeCount: 4, TimerGranularity: 5 * ms, MaxAttempts: 4, SlowStartDuration: 8 * time.Second, SlowStartInitialCapacity: 0.3,
+		CrashLoadFactor: 3, RequestEndpointsWithin: 10 * time.Second, OverQuotaWeightShare: 0.1, TrafficTypes: []TrafficType{
+			{Idempotency: Idempotent, LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second, PriorityWeight: 1},
+			{Idempotency: IdempotentWithKey, KeyScope: KeyScopeZone, LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second,
+				KeyRetention: time.Second, PriorityWeight: 5},
+			{Idempotency: NonIdempotent, LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second, PriorityWeight: 10},
+			{Idempotency: IdempotentWithKey, KeyScope: KeyScopeAll, LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second,
+				KeyRetention: time.Second, PriorityWeight: 5}}}
+	if change != nil {
+		change(&s)
+	}
+	r := &harness{Policy: New(s, 7), t: t}
+	r.at(0, Input{Kind: TimerFired})
+	var list []Endpoint
+	for i := range servers {
+		list = append(list, Endpoint{Server: i, Rank: uint32(i), Zone: i % 2, Cell: i / 2, Weight: 1})
+	}
+	r.at(0, Input{Kind: EndpointsUpdated, Scope: Cached, Endpoints: list})
+	return r
+}
+
+// fillSubset puts every server into the subset, in the order of their indices.
+func (r *harness) fillSubset() *harness {
+	for s := range r.readiness.Len() {
+		if !r.subset.contains[s] {
+			r.addToSubset(s)
+			r.updateWeights()
+		}
+	}
+	return r
+}
+
+// at hands the policy an input.
+func (r *harness) at(now time.Duration, in Input) []Effect { return r.Handle(now, &in, nil) }
+
+// arriveAt has a request arrive and returns its index.
+func (r *harness) arriveAt(now time.Duration, kind int, budget time.Duration) (int, []Effect) {
+	r.arrivals++
+	return r.arrivals - 1, r.at(now, Input{Kind: RequestArrived, Request: r.arrivals - 1, TrafficType: kind, Timeout: budget})
+}
+
+// end ends an attempt of a request.
+func (r *harness) end(now time.Duration, op, hop int, how Outcome) []Effect {
+	return r.at(now, Input{Kind: AttemptEnded, Request: op, Attempt: hop, Server: 0, Outcome: how, ClientAnswered: how == Success})
+}
+
+// effectKinds returns the kinds of effects, without those of the timer and of the list.
+func effectKinds(effects []Effect) []EffectKind {
+	var k []EffectKind
+	for _, e := range effects {
+		if e.Kind != SetTimer && e.Kind != Subscribe {
+			k = append(k, e.Kind)
+		}
+	}
+	return k
+}
+
+// request returns a request by its index.
+func (r *harness) request(op int) *request { return &r.Policy.requests.all[op] }
+
+// listServers lists servers; change alters each entry.
+func (r *harness) listServers(now time.Duration, scope UpdateScope, servers int, change func(*Endpoint)) []Effect {
+	var list []Endpoint
+	for i := range servers {
+		m := Endpoint{Server: i, Rank: uint32(i), Zone: i % 2, MachineKind: i / 2 % 2, Cell: i / 2, Weight: 1}
+		change(&m)
+		list = append(list, m)
+	}
+	return r.at(now, Input{Kind: EndpointsUpdated, Scope: scope, Endpoints: list})
+}
+
+// serversSentTo returns the servers that effects send attempts to.
+func serversSentTo(effects []Effect) (servers []int) {
+	for _, e := range effects {
+		if e.Kind == SendAttempt {
+			servers = append(servers, e.Server)
+		}
+	}
+	return servers
+}
+
+// countSent counts the attempts that effects send.
+func countSent(effects []Effect) (n int) {
+	for _, e := range effects {
+		if e.Kind == SendAttempt {
+			n++
+		}
+	}
+	return n
+}
+
+// largeSettings returns the settings of a node with many traffic types and tenants.
+func largeSettings(types, tenants int) Settings {
+	s := Settings{NodeCount: 5800, TimerGranularity: 5 * ms, MaxAttempts: 4, SlowStartDuration: 8 * time.Second, SlowStartInitialCapacity: 0.3, CrashLoadFactor: 3,
+		RequestEndpointsWithin: 10 * time.Second, OverQuotaWeightShare: 0.1}
+	for k := range types {
+		s.TrafficTypes = append(s.TrafficTypes, TrafficType{Idempotency: Idempotency(k % 3), LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second,
+			PriorityWeight: float64(1 + k%9), RetryRatio: 0.1, MinRetriesPerSecond: 1})
+	}
+	for range tenants {
+		s.TenantQuotas = append(s.TenantQuotas, 10)
+	}
+	return s
+}
+
+// largeList returns a list of servers that started long ago, with ranks spread like checksums.
+func largeList(servers int) []Endpoint {
+	list := make([]Endpoint, servers)
+	for i := range list {
+		list[i] = Endpoint{Server: i, Rank: uint32(i) * 2654435761, Zone: i % 18, Cell: i / 40, Weight: 1,
+			StartedAt: -time.Hour, HasStartTime: true}
+	}
+	return list
+}
+
+// newLargePolicy returns a policy with many traffic types, tenants and servers.
+func newLargePolicy(types, tenants, servers int) *Policy {
+	p := New(largeSettings(types, tenants), 7)
+	p.Handle(0, &Input{Kind: TimerFired}, nil)
+	if servers > 0 {
+		p.Handle(0, &Input{Kind: EndpointsUpdated, Scope: Full, Endpoints: largeList(servers)}, nil)
+	}
+	return p
+}
+
+// visits counts the elements of sets and the steps of the rotation that the policy has visited so far.
+func visits(p *Policy) int {
+	sum := p.subset.rotation.Steps() + p.quotas.tenants.Visits()
+	for _, s := range []*indexset.Set{&p.slowStart.servers, p.readiness.ReadyUnlisted(), &p.plan.assigned, p.outliers.ejections.Active(), p.attribution.servers.Active(), &p.admission.activeTypes} {
+		sum += s.Visits()
+	}
+	return sum
+}
+
+// newRouteHarness returns a harness whose settings allow hedging, with one traffic type altered as a route would.
+func newRouteHarness(t *testing.T, servers, kind int, change func(*TrafficType)) *harness {
+	r := newHarness(t, servers, func(s *Settings) {
+		s.HedgingAllowed, s.NodeCount = true, 1
+		change(&s.TrafficTypes[kind])
+	}).fillSubset()
+	r.subset.needed = 99 // none is let go
+	return r
+}
--- /dev/null
+++ b/policy/pauseforecast_test.go
@@ -0,0 +1,66 @@
+package policy
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func TestPauseForecast(t *testing.T) {
+	for name, c := range map[string]struct {
+		onsets       []float64
+		want, spaces float64 // 0: no forecast
+	}{
+		"one onset forecasts nothing":     {[]float64{3}, 0, 0},
+		"two onsets give the next":        {[]float64{3, 5}, 7, 2},
+		"a steady pauser":                 {[]float64{1, 4, 7, 10}, 13, 3},
+		"the window slides":               {[]float64{1, 2, 3, 13, 23, 33, 43}, 53, 10},
+		"onsets at one time have no line": {[]float64{5, 5}, 0, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := newHarness(t, 1, nil)
+			for _, at := range c.onsets {
+				r.load.lastAnswerAt[0] = 0
+				sent := time.Duration(at * float64(time.Second))
+				r.now = sent + 300*ms
+				r.recordPauseSample(0, sent, false)
+				r.recordPauseSample(0, sent, true)
+				r.recordPauseSample(0, sent, true)
+				r.pauses.lastSpike[0] = min(r.pauses.lastSpike[0], sent)
+			}
+			if got := r.pauses.next[0].Seconds(); math.Abs(got-c.want) > 0.01 {
+				t.Errorf("forecast %.2f, want %.2f", got, c.want)
+			}
+			if got := r.pauses.interval[0].Seconds(); c.want > 0 && math.Abs(got-c.spaces) > 0.01 {
+				t.Errorf("interval %.2f, want %.2f", got, c.spaces)
+			}
+		})
+	}
+}
+
+func TestPauseDetection(t *testing.T) {
+	for name, c := range map[string]struct {
+		spikes []bool
+		gap    time.Duration
+		want   int
+	}{
+		"one spike is no pause":       {[]bool{true, false, true}, 500 * ms, 0},
+		"two in a row are one":        {[]bool{true, true}, 500 * ms, 1},
+		"a long run is still one":     {[]bool{true, true, true, true}, 500 * ms, 1},
+		"far runs are two":            {[]bool{true, true, false, true, true}, 500 * ms, 2},
+		"runs close together merge":   {[]bool{true, true, false, true, true}, 10 * ms, 1},
+		"three runs, the last merges": {[]bool{true, true, false, true, false, true, true}, 30 * ms, 2},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := newHarness(t, 1, nil)
+			r.latency.smoothed.Set(0, 100*ms)
+			for i, is := range c.spikes {
+				r.now = time.Second + time.Duration(i)*c.gap
+				r.recordPauseSample(0, r.now, is)
+			}
+			if r.pauses.count[0] != c.want {
+				t.Errorf("%d pauses, want %d", r.pauses.count[0], c.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/picker_test.go
@@ -0,0 +1,166 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestPickServer(t *testing.T) {
+	second := time.Second
+	for name, c := range map[string]struct {
+		forecast, interval [3]time.Duration
+		inFlight           [3]int
+		want               []int
+	}{
+		"round robin":                          {want: []int{0, 1, 2, 0}},
+		"all taken in: busy is no skip":        {inFlight: [3]int{1, 1, 1}, want: []int{0, 1, 2, 0}},
+		"a near pause is skipped":              {forecast: [3]time.Duration{0, 12 * second, 0}, interval: [3]time.Duration{0, 20 * second, 0}, want: []int{0, 2, 0, 2}},
+		"an overdue pause is skipped":          {forecast: [3]time.Duration{0, 8 * second, 0}, interval: [3]time.Duration{0, 20 * second, 0}, want: []int{0, 2, 0}},
+		"the threshold is capped":              {forecast: [3]time.Duration{0, 12 * second, 0}, interval: [3]time.Duration{0, 4 * second, 0}, want: []int{0, 1, 2}},
+		"long overdue is fed again":            {forecast: [3]time.Duration{0, 4 * second, 0}, interval: [3]time.Duration{0, 40 * second, 0}, want: []int{0, 1, 2}},
+		"all skipped: plain round robin":       {forecast: [3]time.Duration{10 * second, 10 * second, 10 * second}, interval: [3]time.Duration{second, second, second}, want: []int{0, 1, 2, 0}},
+		"one with more in flight is passed by": {inFlight: [3]int{0, 3, 0}, want: []int{0, 2}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := newHarness(t, 3, nil).fillSubset()
+			r.concurrency.grown, r.now = 1000, 10*second
+			copy(r.Policy.pauses.next, c.forecast[:])
+			copy(r.Policy.pauses.interval, c.interval[:])
+			for s, n := range c.inFlight {
+				r.Policy.load.inFlight[s], r.load.lastAnswerAt[s] = n, r.now
+				r.concurrency.inFlight += float64(n)
+			}
+			r.Policy.requests.all = append(r.Policy.requests.all, request{objectiveAt: 20 * second})
+			for i, want := range c.want {
+				if !r.canSend(0) || r.picked != want {
+					t.Errorf("turn %d went to %d, want %d", i, r.picked, want)
+				}
+			}
+		})
+	}
+}
+
+// TestTurnsFollowWeights checks that turns go by listed weight and slowness, and that equal servers take even
+// turns.
+func TestTurnsFollowWeights(t *testing.T) {
+	for name, c := range map[string]struct {
+		scale, slowness [3]float64
+		want            [3]int // of 60 turns
+	}{
+		"equal":          {[3]float64{1, 1, 1}, [3]float64{1, 1, 1}, [3]int{20, 20, 20}},
+		"sizes":          {[3]float64{4, 1, 1}, [3]float64{1, 1, 1}, [3]int{30, 15, 15}},
+		"one is slow":    {[3]float64{1, 1, 1}, [3]float64{1, 1, 2}, [3]int{24, 24, 12}},
+		"all are slow":   {[3]float64{1, 1, 1}, [3]float64{3, 3, 3}, [3]int{20, 20, 20}},
+		"large but slow": {[3]float64{4, 1, 1}, [3]float64{2, 1, 1}, [3]int{20, 20, 20}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := newHarness(t, 3, nil).fillSubset()
+			copy(r.servers.listedWeight, c.scale[:])
+			copy(r.latency.slowness, c.slowness[:])
+			r.updateWeights()
+			var got [3]int
+			for range 60 {
+				if !r.pickFromSubset(&request{}, 2) {
+					t.Fatal("nobody's turn")
+				}
+				got[r.picked]++
+			}
+			for s := range got {
+				if d := got[s] - c.want[s]; d < -1 || d > 1 {
+					t.Errorf("turns %v, want %v", got, c.want)
+				}
+			}
+		})
+	}
+}
+
+// TestNodesAgreeOnServerOfKey checks that nodes send a key to the same server without messages, that turns stay
+// even, and that keys have no effect where servers do not cache.
+func TestNodesAgreeOnServerOfKey(t *testing.T) {
+	const servers, each = 5, 40
+	for name, c := range map[string]struct {
+		warm bool
+		keys uint32
+		same float64 // at least, or else at most, of the operations with a key go where the other node countSent it
+	}{
+		"remembered":     {true, 200, 0.45},
+		"one key alone":  {true, 1, 0},
+		"not remembered": {false, 200, 0.3},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var met [2][]int
+			for me := range met {
+				r := newHarness(t, servers, func(s *Settings) { s.ServersCacheKeys, s.NodeIndex = c.warm, me }).fillSubset()
+				r.picker.position, r.subset.needed, r.concurrency.grown = 2*me, servers, 1000
+				turns := make([]int, servers)
+				for i := range uint32(servers * each) {
+					r.arrivals++
+					r.at(r.now, Input{Kind: RequestArrived, Request: r.arrivals - 1, Key: 1 + i%c.keys*7919, Timeout: time.Second})
+					s := r.request(r.arrivals - 1).attempts[0].server
+					met[me] = append(met[me], s)
+					turns[s]++
+					r.end(r.now, r.arrivals-1, 0, Success)
+				}
+				for s, n := range turns {
+					if n < each-servers*maxTurnsAhead || n > each+servers*maxTurnsAhead {
+						t.Errorf("server %d had %d turns of %d: %v", s, n, each, turns)
+					}
+				}
+			}
+			same := 0.0
+			for i := range met[0] {
+				if met[0][i] == met[1][i] {
+					same += 1 / float64(len(met[0]))
+				}
+			}
+			if c.warm && same < c.same || !c.warm && same > c.same {
+				t.Errorf("%.2f alike", same)
+			}
+		})
+	}
+}
+
+// TestScarceConnections checks that busy servers get nothing while connections are scarce: sending to them would
+// only cost attempts.
+func TestScarceConnections(t *testing.T) {
+	type world struct {
+		unconnected int  // attempts lately that got no connection, of as many
+		busy        int  // of the four servers
+		lost        bool // the operation's first attempt gets no connection; else it arrives
+	}
+	for name, c := range map[string]struct {
+		world
+		want int // attempts sent at once
+		then int // and as an answer leaves a server idle
+	}{
+		"plenty, all busy":            {world{0, 4, false}, 1, 0},
+		"one attempt without":         {world{1, 4, false}, 1, 0},
+		"few, one idle":               {world{20, 3, false}, 1, 0},
+		"few, all busy":               {world{20, 4, false}, 0, 1},
+		"plenty, an attempt without":  {world{0, 3, true}, 1, 0},
+		"few, an attempt without":     {world{20, 3, true}, 0, 1},
+		"few, without, idle ones too": {world{20, 1, true}, 1, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := newHarness(t, 4, nil).fillSubset()
+			r.concurrency.grown = 100
+			for range c.busy {
+				r.arriveAt(0, 0, time.Second)
+			}
+			for range c.unconnected {
+				r.subset.connectFailures.Observe(1, 2*attributionMemory)
+			}
+			op, got := r.arriveAt(10*ms, 0, time.Second)
+			r.at(10*ms, Input{Kind: TimerFired})
+			if c.lost {
+				got = r.end(20*ms, op, 0, Unreachable)
+			}
+			if got := countSent(got); got != c.want {
+				t.Fatalf("%d sent at once", got)
+			}
+			if got := countSent(r.end(30*ms, 0, 0, Success)); got != c.then {
+				t.Errorf("%d sent then", got)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/slowstart_test.go
@@ -0,0 +1,134 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestSlowStartShare(t *testing.T) {
+	for name, c := range map[string]struct {
+		member   Endpoint
+		scope    UpdateScope
+		most     int
+		unbarred time.Duration
+	}{
+		"told start":       {Endpoint{Server: 2, Weight: 1, StartedAt: 9 * time.Second, HasStartTime: true}, Incremental, 20, 18 * time.Second},
+		"first appearance": {Endpoint{Server: 2, Weight: 1}, Incremental, 20, 19 * time.Second},
+		"started long ago": {Endpoint{Server: 2, Weight: 1, StartedAt: -60 * time.Second, HasStartTime: true}, Incremental, 1000, 10 * time.Second},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := newHarness(t, 2, nil).fillSubset()
+			r.at(10*time.Second, Input{Kind: EndpointsUpdated, Scope: c.scope, Endpoints: []Endpoint{c.member}})
+			sent := 0
+			for now := 10 * time.Second; now < 12*time.Second; now += 10 * ms {
+				op, got := r.arriveAt(now, 0, time.Second)
+				for _, e := range append(got, r.at(now, Input{Kind: TimerFired})...) {
+					if e.Kind == SendAttempt && e.Server == 2 {
+						sent++
+					}
+				}
+				r.end(now, op, 0, Success)
+			}
+			if sent > c.most || sent == 0 {
+				t.Errorf("sent %d in two seconds, at most %d", sent, c.most)
+			}
+			r.at(c.unbarred, Input{Kind: TimerFired})
+			if r.slowStart.servers.Has(2) {
+				t.Error("still held for cold")
+			}
+		})
+	}
+}
+
+func TestSlowStartAfterUnreachable(t *testing.T) {
+	for name, c := range map[string]struct {
+		lost time.Duration
+		cold bool
+	}{
+		"a short loss":           {500 * ms, false},
+		"long enough to restart": {2 * time.Second, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := newHarness(t, 1, nil)
+			op, _ := r.arriveAt(time.Second, 0, time.Second)
+			r.end(time.Second, op, 0, Unreachable)
+			r.end(time.Second+c.lost, op, 1, Success) // it had been sent there again at once
+			if r.slowStart.servers.Has(0) != c.cold {
+				t.Errorf("cold: %v", r.slowStart.servers.Has(0))
+			}
+		})
+	}
+}
+
+// TestSlowStartOverAllNodes checks that what all nodes together grant a server in slow start, and hold at the end,
+// is within its budget.
+func TestSlowStartOverAllNodes(t *testing.T) {
+	for name, refusals := range map[string]int{"others answer": 0, "others refuse": 10} {
+		t.Run(name, func(t *testing.T) {
+			granted, held, most, pace := 0.0, 0.0, 0.0, 0.0
+			for me := range 90 {
+				r := newHarness(t, 18, func(s *Settings) { s.NodeCount, s.NodeIndex, s.SlowStartDuration = 90, me, 24*time.Second }).fillSubset()
+				r.Policy.random.seed, r.now = uint32(1000+me), time.Second
+				for i := range 17 * refusals {
+					r.recordOutcome(1+i%17, &request{}, r.now, Overloaded)
+				}
+				r.startSlowStart(0, r.now)
+				for range 700 {
+					r.now, r.concurrency.successRate = r.now+20*ms, 3
+					r.updateWeights()
+					was := r.slowStart.tokens[0]
+					r.refillSlowStart(20 * ms)
+					granted += max(r.slowStart.tokens[0]-was, 0)
+					pace = slowStartShare * r.settings.CrashLoadFactor * r.concurrency.successRate / 18 * r.capacityShare(0)
+					most += pace * 0.02
+				}
+				held += r.slowStart.tokens[0]
+			}
+			if held > 180*pace*slowStartTokenLifetime.Seconds() || granted > 1.2*most || granted < 0.5*most {
+				t.Errorf("%.0f granted, budget %.0f; %.0f held", granted, most, held)
+			}
+		})
+	}
+}
+
+// TestSlowStartWhenWeightsFollowLoad checks that a server in slow start gets an even share at most where idle
+// servers are listed for several busy ones.
+func TestSlowStartWhenWeightsFollowLoad(t *testing.T) {
+	const seconds, step = 40, 20 * ms
+	for name, c := range map[string]struct {
+		live        bool
+		cold        float64 // its scale; the nine others have 0.1
+		least, most float64 // tokens a second
+	}{
+		"live, holds nothing yet":         {true, 1, 0.3, 1.6},
+		"live, holds much itself":         {true, 0.1, 0.3, 1.6},
+		"nominal, ten times the size":     {false, 1, 4, 12},
+		"nominal, as small as the others": {false, 0.1, 0.3, 1.6},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := newHarness(t, 10, func(s *Settings) {
+				s.WeightsFollowLoad, s.SlowStartInitialCapacity, s.SlowStartDuration = c.live, 0.1, time.Hour
+			}).fillSubset()
+			for s := range r.servers.listedWeight {
+				r.servers.listedWeight[s] = 0.1
+			}
+			r.servers.listedWeight[0] = c.cold
+			r.startSlowStart(0, 0)
+			for k := range r.latency.typical { // so that the least pace does not count
+				r.latency.typical[k] = time.Hour
+			}
+			r.concurrency.successRate = 50
+			r.updateWeights()
+			granted := 0.0
+			for range seconds * int(time.Second/step) {
+				was := r.slowStart.tokens[0]
+				r.refillSlowStart(step)
+				granted += max(r.slowStart.tokens[0]-was, 0)
+				r.slowStart.tokens[0] = 0
+			}
+			if rate := granted / seconds; rate < c.least || rate > c.most {
+				t.Errorf("%.2f tokens a second", rate)
+			}
+		})
+	}
+}
--- a/policy/whatif_test.go
+++ b/policy/whatif_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// played runs a day with failures in it; ask is called before each input.
-func played(t *testing.T, ask func(r *rig, now time.Duration, in *Input) []Effect) (all []Effect, differ int) {
-	r := newRig(t, 5, func(s *Settings) {
+// playDay plays a day with failures; ask is called before each input. It returns all effects and how many inputs
+// ask answered otherwise.
+func playDay(t *testing.T, ask func(r *harness, now time.Duration, in *Input) []Effect) (all []Effect, differ int) {
+	r := newHarness(t, 5, func(s *Settings) {
 		s.MaxRetryAfter, s.HedgingAllowed, s.TenantQuotas = time.Second, true, []float64{40, 4}
 	})
 	give := func(now time.Duration, in Input) []Effect {
@@ -35,9 +36,10 @@
 	return all, differ
 }
 
-// What is asked beside leaves no trace, and is what the module itself would decide where the settings are the same.
-func TestWhatIfLeavesNoTrace(t *testing.T) {
-	alone, _ := played(t, func(*rig, time.Duration, *Input) []Effect { return nil })
+// TestWhatIfChangesNothing checks that WhatIf changes nothing and agrees with the policy where the settings are
+// the same.
+func TestWhatIfChangesNothing(t *testing.T) {
+	alone, _ := playDay(t, func(*harness, time.Duration, *Input) []Effect { return nil })
 	for name, c := range map[string]struct {
 		change func(*Settings)
 		same   bool
@@ -48,7 +50,7 @@
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			watched, differ := played(t, func(r *rig, now time.Duration, in *Input) []Effect {
+			watched, differ := playDay(t, func(r *harness, now time.Duration, in *Input) []Effect {
 				s := r.settings
 				s.TrafficTypes = slices.Clone(s.TrafficTypes)
 				c.change(&s)
@@ -64,9 +66,9 @@
 	}
 }
 
-// Also a change of allowances that is asked beside, after some have changed, leaves those of the module alone.
-func TestWhatIfLeavesAllowances(t *testing.T) {
-	r := newRig(t, 1, func(s *Settings) { s.TenantQuotas = []float64{40, 4} })
+// TestWhatIfKeepsQuotas checks that a change of quotas in WhatIf leaves those of the policy alone.
+func TestWhatIfKeepsQuotas(t *testing.T) {
+	r := newHarness(t, 1, func(s *Settings) { s.TenantQuotas = []float64{40, 4} })
 	r.at(0, Input{Kind: QuotasChanged, Quotas: []Quota{{Tenant: 0, PerSecond: 50}}})
 	other := r.settings
 	r.WhatIf(&other, 0, &Input{Kind: QuotasChanged, Quotas: []Quota{{Tenant: 0, PerSecond: 60}}}, nil)
@@ -75,9 +77,9 @@
 	}
 }
 
-// A copy shares no memory that may be written to, whatever fields are added: a field forgotten in copied is found here.
-func TestCopiedSharesNothing(t *testing.T) {
-	r := newRig(t, 3, func(s *Settings) { s.TenantQuotas = []float64{1} }).takeAll()
+// TestCloneSharesNothing checks every field of a clone, so that one forgotten in clone is found.
+func TestCloneSharesNothing(t *testing.T) {
+	r := newHarness(t, 3, func(s *Settings) { s.TenantQuotas = []float64{1} }).fillSubset()
 	r.quotas.withinQuotaShares = []float64{1}
 	r.readiness.SetLabels(0, 1)
 	r.readiness.SetPlacements(0, 1)
@@ -111,7 +113,7 @@
 }
 
 func BenchmarkWhatIf(b *testing.B) {
-	r := newRig(&testing.T{}, 100, nil).takeAll()
+	r := newHarness(&testing.T{}, 100, nil).fillSubset()
 	for range 100 {
 		r.arriveAt(0, 0, time.Hour)
 	}
