--- a/internal/route/alone.go
+++ b/internal/route/alone.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	anyTime = 24 * time.Hour // longer than whatever a file may state
-	anyHops = 1000
+	maxStatedTime     = 24 * time.Hour // longer than whatever a file may state
+	maxStatedAttempts = 1000
 )
 
 // UncheckedNotice is what Alone cannot look at, for who is told of it.
@@ -28,13 +28,13 @@
 	if _, err := tomlfile.Parse(path, text, &file); err != nil {
 		return nil, err
 	}
-	s := &settings.Settings{Settings: policy.Settings{NodeCount: 1, MaxAttempts: anyHops, HedgingAllowed: true}}
+	s := &settings.Settings{Settings: policy.Settings{NodeCount: 1, MaxAttempts: maxStatedAttempts, HedgingAllowed: true}}
 	seen := map[string]bool{}
 	kind := func(name string) {
 		if name != "" && name != "*" && name != "**" && !seen["type "+name] {
 			seen["type "+name] = true
 			s.TypeNames = append(s.TypeNames, name)
-			s.TrafficTypes = append(s.TrafficTypes, policy.TrafficType{LatencyObjective: anyTime, ClientTimeout: anyTime, PriorityWeight: 1})
+			s.TrafficTypes = append(s.TrafficTypes, policy.TrafficType{LatencyObjective: maxStatedTime, ClientTimeout: maxStatedTime, PriorityWeight: 1})
 		}
 	}
 	each := func(what string, into *[]string, names []string) {
@@ -67,7 +67,7 @@
 		r := &file.Routes[i]
 		kind(r.Type)
 		kind(r.Class)
-		if p := parts(r.Path); r.Class == "" && len(r.Path) > 0 && r.Path[0] == '/' && len(p) > 0 {
+		if p := pathSegments(r.Path); r.Class == "" && len(r.Path) > 0 && r.Path[0] == '/' && len(p) > 0 {
 			kind(p[0])
 		}
 		each("tenant ", &s.TenantNames, r.Tenants)
--- a/internal/route/assemble_test.go
+++ b/internal/route/assemble_test.go
@@ -146,15 +146,15 @@
 func described(s *Table) string {
 	var lines []string
 	for _, r := range s.Routes {
-		for k, p := range r.byKind {
+		for k, p := range r.profileByType {
 			if p < 0 {
 				continue
 			}
-			l, rate := r.limits[k], "-"
+			l, rate := r.limitsByType[k], "-"
 			if l.Rate != nil {
 				rate = fmt.Sprint(*l.Rate)
 			}
-			line := fmt.Sprintf("%s %d %s", r.Name, or(l.MaxAttempts, 0), rate)
+			line := fmt.Sprintf("%s %d %s", r.Name, valueOr(l.MaxAttempts, 0), rate)
 			if l.Pool != nil {
 				line += " " + *l.Pool
 			}
@@ -170,10 +170,10 @@
 // Beyond what a node can hold, the later parts are left out and the others hold.
 func TestAssembleBounds(t *testing.T) {
 	var candidates []Candidate
-	for i := range mostPools + 2 {
+	for i := range maxPools + 2 {
 		candidates = append(candidates, Candidate{Fragment: poolPart(t, "s", fmt.Sprint("p", i), "sites = [\"north\"]")})
 	}
-	for i := range mostProfiles + 5 {
+	for i := range maxProfiles + 5 {
 		text := fmt.Sprintf("path = \"/check/%d\"\nkeep = %v", i, float64(i+1)/1000)
 		candidates = append(candidates, Candidate{Fragment: routePart(t, "s", fmt.Sprint("r", i), text)})
 	}
@@ -182,7 +182,7 @@
 		t.Fatal(err)
 	}
 	base := len(told().TrafficTypes)
-	if len(a.Table.Pools) != mostPools || len(a.Table.Profiles) != mostProfiles || len(a.Table.Routes) != mostProfiles-base {
+	if len(a.Table.Pools) != maxPools || len(a.Table.Profiles) != maxProfiles || len(a.Table.Routes) != maxProfiles-base {
 		t.Errorf("%d pools, %d profiles, %d routes", len(a.Table.Pools), len(a.Table.Profiles), len(a.Table.Routes))
 	}
 	if len(a.Unusable) != 2+5+base {
--- a/internal/route/check.go
+++ b/internal/route/check.go
@@ -22,7 +22,7 @@
 }
 
 // mayHaveRun are those after which a type that may not repeat gets no further hop anyway.
-var mayHaveRun = []string{"error", "timeout", "broken"}
+var outcomesThatMayHaveRun = []string{"error", "timeout", "broken"}
 
 // Load reads the operator's file and tells all that is wrong with it, against the settings that the node runs under.
 func Load(path string, s *settings.Settings) (*Table, error) {
@@ -50,11 +50,11 @@
 
 type checker struct {
 	*tomlfile.File
-	file     *File
-	settings *settings.Settings
-	pools    map[string]uint64
-	routes   map[string]int
-	parts    *partFaults // nil: all of it comes from the operator's file
+	file      *File
+	settings  *settings.Settings
+	pools     map[string]uint64
+	routes    map[string]int
+	fragments *fragmentFaults // nil: all of it comes from the operator's file
 }
 
 func newChecker(f *tomlfile.File, file *File, s *settings.Settings) checker {
@@ -63,13 +63,13 @@
 
 // Wrong notes a fault: of the part that is looked at, where it is one, or of the operator's file.
 func (c *checker) Wrong(path, format string, args ...any) {
-	if !c.parts.note(format, args...) {
+	if !c.fragments.record(format, args...) {
 		c.File.Wrong(path, format, args...)
 	}
 }
 
 // besides tells the line of another route, for a fault that is of both.
-func (c *checker) besides(i int) string {
+func (c *checker) otherLine(i int) string {
 	if line := c.Line("routes." + strconv.Itoa(i)); line > 0 {
 		return fmt.Sprintf(" of line %d", line)
 	}
@@ -78,7 +78,7 @@
 
 func (c *checker) compile() *Table {
 	set := &Table{Name: c.Name, tree: &tree{}, types: map[string]int{}, tenants: map[string]int{},
-		byFigures: map[Profile]int{}, byName: c.routes, file: c.File, source: c.file}
+		profileIndex: map[Profile]int{}, byName: c.routes, file: c.File, source: c.file}
 	for i, name := range c.settings.TypeNames {
 		set.types[name] = i
 		set.profile(Profile{BaseType: i, Type: c.settings.TrafficTypes[i]}, -1)
@@ -104,12 +104,12 @@
 			c.Wrong("class."+name, "no traffic type %q: there are %s", name, strings.Join(c.settings.TypeNames, ", "))
 		}
 	}
-	if len(c.file.Routes) > mostRoutes {
-		c.Wrong("routes."+strconv.Itoa(mostRoutes), "%d routes: %d at most", len(c.file.Routes), mostRoutes)
+	if len(c.file.Routes) > maxRoutes {
+		c.Wrong("routes."+strconv.Itoa(maxRoutes), "%d routes: %d at most", len(c.file.Routes), maxRoutes)
 		return set
 	}
 	for i := range c.file.Routes {
-		c.parts.route(i)
+		c.fragments.selectRoute(i)
 		r := &c.file.Routes[i]
 		if _, twice := c.routes[r.Name]; r.Name == "" {
 			c.Wrong(at(i, "name"), "a route without a name")
@@ -124,13 +124,13 @@
 		}
 	}
 	for i := range c.file.Routes {
-		c.parts.route(i)
-		c.route(set, i)
+		c.fragments.selectRoute(i)
+		c.checkRoute(set, i)
 	}
 	c.checkFallbacks(set)
-	c.parts.own()
-	if n := len(set.Profiles); n > mostProfiles {
-		c.Wrong("routes", "%d different sets of figures: %d at most; routes with the same figures share one", n, mostProfiles)
+	c.fragments.selectOperatorFile()
+	if n := len(set.Profiles); n > maxProfiles {
+		c.Wrong("routes", "%d different sets of figures: %d at most; routes with the same figures share one", n, maxProfiles)
 	}
 	return set
 }
@@ -138,15 +138,15 @@
 func at(route int, key string) string { return "routes." + strconv.Itoa(route) + "." + key }
 
 func (c *checker) checkPools(set *Table) {
-	defer c.parts.own()
+	defer c.fragments.selectOperatorFile()
 	for i, p := range c.file.Pools {
-		c.parts.pool(i)
+		c.fragments.selectPool(i)
 		key := "pools." + strconv.Itoa(i)
 		if _, twice := c.pools[p.Name]; p.Name == "" || twice {
 			c.Wrong(key+".name", "each pool needs a name of its own")
 		}
-		if i >= mostPools {
-			c.Wrong(key, "%d pools: %d at most", len(c.file.Pools), mostPools)
+		if i >= maxPools {
+			c.Wrong(key, "%d pools: %d at most", len(c.file.Pools), maxPools)
 			return
 		}
 		if len(p.Sites)+len(p.Flavors)+len(p.Servers) == 0 {
@@ -163,9 +163,9 @@
 }
 
 // route checks one and puts it into the set.
-func (c *checker) route(set *Table, i int) {
+func (c *checker) checkRoute(set *Table, i int) {
 	r := &c.file.Routes[i]
-	path, ok := c.path(r, i)
+	path, ok := c.checkPath(r, i)
 	for _, m := range r.Methods {
 		if m == "" || strings.ToUpper(m) != m || strings.ContainsAny(m, " \t\r\n/") {
 			c.Wrong(at(i, "methods"), "%q is no method", m)
@@ -176,8 +176,8 @@
 			c.Wrong(at(i, "tenants"), "no tenant %q: there are %s", t, strings.Join(c.settings.TenantNames, ", "))
 		}
 	}
-	if len(r.Headers) > mostHeaders {
-		c.Wrong(at(i, "headers"), "%d headers: %d at most", len(r.Headers), mostHeaders)
+	if len(r.Headers) > maxHeaders {
+		c.Wrong(at(i, "headers"), "%d headers: %d at most", len(r.Headers), maxHeaders)
 	}
 	for name := range r.Headers {
 		if name == "" || strings.ContainsAny(name, " \t\r\n:") {
@@ -186,35 +186,35 @@
 	}
 	var kinds []int
 	if ok {
-		kinds = c.kinds(set, r, i, path)
+		kinds = c.trafficTypes(set, r, i, path)
 	}
 	byKind, limits := slices.Repeat([]int{-1}, len(c.settings.TrafficTypes)), make([]Limits, len(c.settings.TrafficTypes))
 	for _, k := range kinds {
 		p, l := c.profile(r, i, k)
 		byKind[k], limits[k] = set.profile(p, i), l
 	}
-	set.Routes = append(set.Routes, compiled{Route: *r, Line: c.Line("routes." + strconv.Itoa(i)), byKind: byKind, limits: limits, class: -1, fallback: -1})
+	set.Routes = append(set.Routes, compiledRoute{Route: *r, Line: c.Line("routes." + strconv.Itoa(i)), profileByType: byKind, limitsByType: limits, classType: -1, fallback: -1})
 	last := &set.Routes[i]
 	if r.Class != "" && len(kinds) == 1 {
-		last.class = kinds[0]
+		last.classType = kinds[0]
 	}
 	if ok {
 		if clash := set.tree.add(path, r, i); clash >= 0 {
 			c.Wrong("routes."+strconv.Itoa(i), "route %q and route %q%s fit the same requests, and neither is more specific", r.Name,
-				c.file.Routes[clash].Name, c.besides(clash))
+				c.file.Routes[clash].Name, c.otherLine(clash))
 		}
 	}
 }
 
 // path checks a route's path, which its type may stand for.
-func (c *checker) path(r *Route, i int) ([]string, bool) {
+func (c *checker) checkPath(r *Route, i int) ([]string, bool) {
 	if r.Path == "" {
 		r.Path = "/**"
 		if r.Type != "" {
 			r.Path = "/" + r.Type + "/**"
 		}
 	}
-	p := parts(r.Path)
+	p := pathSegments(r.Path)
 	wrong := func(form string, args ...any) ([]string, bool) {
 		c.Wrong(at(i, "path"), form, args...)
 		return nil, false
@@ -222,8 +222,8 @@
 	switch {
 	case r.Path[0] != '/':
 		return wrong("path %q does not begin with /", r.Path)
-	case len(p) > mostParts:
-		return wrong("a path of %d parts: %d at most", len(p), mostParts)
+	case len(p) > maxPathSegments:
+		return wrong("a path of %d parts: %d at most", len(p), maxPathSegments)
 	case len(p) == 0:
 		return wrong("path %q has no part; /** is for all", r.Path)
 	case strings.ContainsAny(r.Path, "?# \t\r\n"):
@@ -233,18 +233,18 @@
 		switch {
 		case part == "" && k < len(p)-1:
 			return wrong("path %q has an empty part", r.Path)
-		case part == rest && k < len(p)-1:
+		case part == anyRest && k < len(p)-1:
 			return wrong("path %q: ** stands at the end only", r.Path)
-		case part != one && part != rest && strings.Contains(part, one):
+		case part != anySegment && part != anyRest && strings.Contains(part, anySegment):
 			return wrong("path %q: * stands for a whole part", r.Path)
 		}
 	}
-	if r.Type != "" && p[0] != r.Type && p[0] != one && p[0] != rest {
+	if r.Type != "" && p[0] != r.Type && p[0] != anySegment && p[0] != anyRest {
 		return wrong("no path %s is of type %q, which is the first part", r.Path, r.Type)
 	}
 	if r.Type != "" && p[0] != r.Type {
-		if p[0] == rest {
-			p = []string{r.Type, rest}
+		if p[0] == anyRest {
+			p = []string{r.Type, anyRest}
 		} else {
 			p = append([]string{r.Type}, p[1:]...)
 		}
@@ -254,7 +254,7 @@
 }
 
 // kinds are the traffic types whose operations may come to a route.
-func (c *checker) kinds(set *Table, r *Route, i int, path []string) []int {
+func (c *checker) trafficTypes(set *Table, r *Route, i int, path []string) []int {
 	find := func(key, name string) []int {
 		if k, ok := set.types[name]; ok {
 			return []int{k}
@@ -267,7 +267,7 @@
 		return find("class", r.Class)
 	case r.Type != "":
 		return find("type", r.Type)
-	case path[0] != one && path[0] != rest:
+	case path[0] != anySegment && path[0] != anyRest:
 		return find("path", path[0])
 	}
 	all := make([]int, len(c.settings.TrafficTypes))
--- a/internal/route/check_fallbacks.go
+++ b/internal/route/check_fallbacks.go
@@ -9,7 +9,7 @@
 // checkFallbacks looks for those that lead nowhere, to another class, or back.
 func (c *checker) checkFallbacks(set *Table) {
 	for i := range set.Routes {
-		c.parts.route(i)
+		c.fragments.selectRoute(i)
 		l := c.fallback(i)
 		if l == "" {
 			continue
@@ -20,15 +20,15 @@
 			continue
 		}
 		set.Routes[i].fallback = to
-		for k, p := range set.Routes[i].byKind {
-			if p >= 0 && to != i && set.Routes[to].byKind[k] < 0 {
+		for k, p := range set.Routes[i].profileByType {
+			if p >= 0 && to != i && set.Routes[to].profileByType[k] < 0 {
 				c.Wrong(c.fallbackKey(i), "route %q falls back to %q, which is not for type %s", set.Routes[i].Name, l, c.settings.TypeNames[k])
 				break
 			}
 		}
 	}
 	for i := range set.Routes {
-		c.parts.route(i)
+		c.fragments.selectRoute(i)
 		seen := []string{set.Routes[i].Name}
 		for at := set.Routes[i].fallback; at >= 0; at = set.Routes[at].fallback {
 			seen = append(seen, set.Routes[at].Name)
--- a/internal/route/check_limits.go
+++ b/internal/route/check_limits.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	retryShareMost = 10.0 // retries for each first attempt
-	retryFloorMost = 1e6  // retries a second
-	rateMost       = 1e7  // requests a second
-	revenueLeast   = 1e-9
-	revenueMost    = 1e9
-	copyShareLeast = 1e-6 // copies for each first attempt
-	shedLeast      = 1e-9 // in place of none, which would mean the module's own
-	sumSlack       = 1e-9 // of shares that add up to one
+	maxRetryShare          = 10.0 // retries for each first attempt
+	maxRetryFloorPerSecond = 1e6  // retries a second
+	maxRatePerSecond       = 1e7  // requests a second
+	minRevenue             = 1e-9
+	maxRevenue             = 1e9
+	minHedgeShare          = 1e-6 // copies for each first attempt
+	minShedShare           = 1e-9 // in place of none, which would mean the module's own
+	sumTolerance           = 1e-9 // of shares that add up to one
 )
 
 // limitsChecker works out the limits of one route for one traffic type, and checks them. Faults are named in the order of
@@ -31,23 +31,23 @@
 	name   string
 	limits Limits
 	base   policy.TrafficType  // by the settings
-	limit  *policy.TrafficType // by the route
+	result *policy.TrafficType // by the route
 }
 
 // profile works out the limits of a route for one traffic type, and checks them.
 func (c *checker) profile(r *Route, i, kind int) (Profile, Limits) {
 	name := c.settings.TypeNames[kind]
 	p := Profile{BaseType: kind, Type: c.settings.TrafficTypes[kind]}
-	l := &limitsChecker{checker: c, route: r, index: i, name: name, base: p.Type, limit: &p.Type,
-		limits: r.Limits.over(c.file.Class[name]).over(c.file.Defaults)}
+	l := &limitsChecker{checker: c, route: r, index: i, name: name, base: p.Type, result: &p.Type,
+		limits: r.Limits.withDefaults(c.file.Class[name]).withDefaults(c.file.Defaults)}
 	l.times()
 	l.attempts()
 	l.retries()
-	l.places()
+	l.concurrency()
 	l.rates()
-	l.copies()
+	l.hedging()
 	l.pool()
-	l.worth()
+	l.priority()
 	l.tenantShares()
 	if p.Type.RetryRatio > 0 || p.Type.HedgeDelay > 0 {
 		p.Owner = r.Name
@@ -56,7 +56,7 @@
 }
 
 // where is the place of a key: in the route, its class, or the defaults.
-func (l *limitsChecker) where(key string) string {
+func (l *limitsChecker) keyPath(key string) string {
 	for _, place := range []string{"routes." + strconv.Itoa(l.index), "class." + l.name, "defaults"} {
 		if l.Has(place + "." + key) {
 			return place + "." + key
@@ -66,12 +66,12 @@
 }
 
 func (l *limitsChecker) wrong(key, form string, args ...any) {
-	l.Wrong(l.where(key), "route %q, type %s: "+form, append([]any{l.route.Name, l.name}, args...)...)
+	l.Wrong(l.keyPath(key), "route %q, type %s: "+form, append([]any{l.route.Name, l.name}, args...)...)
 }
 
 // times are how long a request and an attempt may take.
 func (l *limitsChecker) times() {
-	t := l.limit
+	t := l.result
 	if l.limits.TargetTime != nil {
 		if t.LatencyObjective = l.limits.TargetTime.Std(); t.LatencyObjective <= 0 {
 			l.wrong("target", "a target of %s turns all away", t.LatencyObjective)
@@ -90,7 +90,7 @@
 
 // attempts are how many there may be, and after which outcomes.
 func (l *limitsChecker) attempts() {
-	t, most := l.limit, l.settings.MaxAttempts
+	t, most := l.result, l.settings.MaxAttempts
 	if l.limits.MaxAttempts != nil {
 		if t.MaxAttempts = *l.limits.MaxAttempts; t.MaxAttempts < 1 {
 			l.wrong("hops", "%d hops turn all away", t.MaxAttempts)
@@ -103,7 +103,7 @@
 		switch {
 		case !ok:
 			l.wrong("further", "%q is none of broken, error, refused, timeout, unreachable", word)
-		case l.base.Idempotency == policy.NonIdempotent && slices.Contains(mayHaveRun, word):
+		case l.base.Idempotency == policy.NonIdempotent && slices.Contains(outcomesThatMayHaveRun, word):
 			l.wrong("further", "a binding type gets no further hop after %q: it may have run", word)
 		}
 		t.RetryOn |= bits
@@ -116,23 +116,23 @@
 // retries are their budget.
 func (l *limitsChecker) retries() {
 	share, floor := l.limits.RetryShare, l.limits.RetryFloor
-	l.between("retry_share", share, 0, retryShareMost, &l.limit.RetryRatio)
-	l.between("retry_floor", floor, 0, retryFloorMost, &l.limit.MinRetriesPerSecond)
+	l.inRange("retry_share", share, 0, maxRetryShare, &l.result.RetryRatio)
+	l.inRange("retry_floor", floor, 0, maxRetryFloorPerSecond, &l.result.MinRetriesPerSecond)
 	if floor != nil && share == nil {
 		l.wrong("retry_floor", "a floor without retry_share: there is no budget for it to be a floor of")
 	}
-	if share != nil && *share == 0 && or(floor, 0) == 0 { // a budget of nothing
-		l.limit.MaxAttempts = 1
+	if share != nil && *share == 0 && valueOr(floor, 0) == 0 { // a budget of nothing
+		l.result.MaxAttempts = 1
 	}
 }
 
 // places are how many requests may be out at once, and how many may wait for that, for how long.
-func (l *limitsChecker) places() {
-	t, atOnce := l.limit, l.limits.MaxInFlight
+func (l *limitsChecker) concurrency() {
+	t, atOnce := l.result, l.limits.MaxInFlight
 	if atOnce != nil && *atOnce < 1 {
 		l.wrong("at_once", "at_once of %d turns all away", *atOnce)
 	}
-	if n := or(l.limits.MaxQueued, 0); n < 0 || n > 0 && atOnce == nil {
+	if n := valueOr(l.limits.MaxQueued, 0); n < 0 || n > 0 && atOnce == nil {
 		l.wrong("waiting", "%d may wait, but without at_once nothing waits for a place", n)
 	}
 	if l.limits.MaxQueueTime == nil {
@@ -149,7 +149,7 @@
 // rates are how many requests a second are taken, and how large they may be.
 func (l *limitsChecker) rates() {
 	rate, burst := l.limits.Rate, l.limits.Burst
-	l.between("rate", rate, 0, rateMost, nil)
+	l.inRange("rate", rate, 0, maxRatePerSecond, nil)
 	if rate != nil && *rate == 0 {
 		l.wrong("rate", "a rate of 0 turns all away")
 	}
@@ -162,16 +162,16 @@
 }
 
 // copies are second ones of a request whose first attempt takes long.
-func (l *limitsChecker) copies() {
-	t := l.limit
+func (l *limitsChecker) hedging() {
+	t := l.result
 	if l.limits.HedgeAfter == nil {
 		if l.limits.HedgeShare != nil {
 			l.wrong("copy_share", "a share of copies, but no copy_after")
 		}
 		return
 	}
-	t.HedgeDelay, t.HedgeRatio = l.limits.HedgeAfter.Std(), or(l.limits.HedgeShare, defaultCopy)
-	l.between("copy_share", l.limits.HedgeShare, copyShareLeast, 1, nil)
+	t.HedgeDelay, t.HedgeRatio = l.limits.HedgeAfter.Std(), valueOr(l.limits.HedgeShare, defaultHedgeShare)
+	l.inRange("copy_share", l.limits.HedgeShare, minHedgeShare, 1, nil)
 	switch {
 	case l.base.Idempotency == policy.NonIdempotent:
 		l.wrong("copy_after", "a binding type gets no second copy: it must never run twice")
@@ -196,16 +196,16 @@
 	if !ok {
 		l.wrong("pool", "no pool %q", *l.limits.Pool)
 	}
-	l.limit.PoolLabels = bits
+	l.result.PoolLabels = bits
 }
 
 // worth is what a request earns, and which share of the requests is kept in any overload.
-func (l *limitsChecker) worth() {
-	l.between("revenue", l.limits.Revenue, revenueLeast, revenueMost, &l.limit.PriorityWeight)
+func (l *limitsChecker) priority() {
+	l.inRange("revenue", l.limits.Revenue, minRevenue, maxRevenue, &l.result.PriorityWeight)
 	var keep float64
-	l.between("keep", l.limits.MinAdmitted, 0, 1, &keep)
+	l.inRange("keep", l.limits.MinAdmitted, 0, 1, &keep)
 	if l.limits.MinAdmitted != nil {
-		l.limit.MaxShedShare = max(1-keep, shedLeast)
+		l.result.MaxShedShare = max(1-keep, minShedShare)
 	}
 }
 
@@ -220,7 +220,7 @@
 		}
 		sum += share
 	}
-	if sum > 1+sumSlack {
+	if sum > 1+sumTolerance {
 		l.wrong("tenant_shares", "the shares add up to %.3f: 1 at most", sum)
 	}
 	if len(l.limits.Tenants) > 0 && l.limits.Rate == nil && l.limits.MaxInFlight == nil {
@@ -229,7 +229,7 @@
 }
 
 // between takes a number that must lie between two others.
-func (l *limitsChecker) between(key string, v *float64, least, most float64, into *float64) {
+func (l *limitsChecker) inRange(key string, v *float64, least, most float64, into *float64) {
 	if v == nil {
 		return
 	}
--- a/internal/route/check_test.go
+++ b/internal/route/check_test.go
@@ -192,7 +192,7 @@
 		route, kind := set.Match(&Request{Path: []byte(path)})
 		got, name := base[kind], ""
 		if route >= 0 {
-			name, got = set.Routes[route].Name, set.Profiles[set.Routes[route].byKind[kind]].Type
+			name, got = set.Routes[route].Name, set.Profiles[set.Routes[route].profileByType[kind]].Type
 		}
 		if name != c.route || got != c.want {
 			t.Errorf("%s: route %q with %+v", path, name, got)
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -54,11 +54,11 @@
 	fmt.Fprintln(t, "line\troute\tpath\ttype\tlimits (line)")
 	for i := range s.Routes {
 		r := &s.Routes[i]
-		for k, p := range r.byKind {
+		for k, p := range r.profileByType {
 			if p < 0 {
 				continue
 			}
-			fmt.Fprintf(t, "%d\t%s\t%s%s\t%s\t%s\n", r.Line, r.Name, r.Path, r.others(), set.TypeNames[k], s.limits(i, k, set.TypeNames[k]))
+			fmt.Fprintf(t, "%d\t%s\t%s%s\t%s\t%s\n", r.Line, r.Name, r.Path, r.conditions(), set.TypeNames[k], s.limits(i, k, set.TypeNames[k]))
 		}
 	}
 	t.Flush()
@@ -66,7 +66,7 @@
 }
 
 // others is what a route asks beside the path.
-func (r *Route) others() string {
+func (r *Route) conditions() string {
 	var all []string
 	if len(r.Methods) > 0 {
 		all = append(all, strings.Join(r.Methods, "|"))
@@ -86,7 +86,7 @@
 
 func (s *Table) limits(route, kind int, typeName string) string {
 	var all []string
-	l := reflect.ValueOf(s.Routes[route].limits[kind])
+	l := reflect.ValueOf(s.Routes[route].limitsByType[kind])
 	for _, f := range keys() {
 		text, ok := value(l.FieldByIndex(f.Index))
 		if !ok {
--- a/internal/route/file.go
+++ b/internal/route/file.go
@@ -75,16 +75,16 @@
 const MaxPools = 31
 
 const (
-	mostRoutes   = 10_000
-	mostProfiles = 250 // routes times traffic types with limits of their own; each costs the module some bytes a server
-	mostPools    = MaxPools
-	mostParts    = 32 // of a path
-	mostHeaders  = 8  // of a route
-	defaultCopy  = 0.05
-	burstPart    = 10 // of the rate, for a burst that is not stated
+	maxRoutes         = 10_000
+	maxProfiles       = 250 // routes times traffic types with limits of their own; each costs the module some bytes a server
+	maxPools          = MaxPools
+	maxPathSegments   = 32 // of a path
+	maxHeaders        = 8  // of a route
+	defaultHedgeShare = 0.05
+	burstDivisor      = 10 // of the rate, for a burst that is not stated
 )
 
-func or[T any](p *T, otherwise T) T {
+func valueOr[T any](p *T, otherwise T) T {
 	if p == nil {
 		return otherwise
 	}
@@ -92,24 +92,24 @@
 }
 
 // over returns l with what it leaves out taken from below.
-func (l Limits) over(below Limits) Limits {
-	nearer(&l.TargetTime, below.TargetTime)
-	nearer(&l.AttemptTimeout, below.AttemptTimeout)
-	nearer(&l.MaxAttempts, below.MaxAttempts)
-	nearer(&l.RetryShare, below.RetryShare)
-	nearer(&l.RetryFloor, below.RetryFloor)
-	nearer(&l.MaxInFlight, below.MaxInFlight)
-	nearer(&l.MaxQueued, below.MaxQueued)
-	nearer(&l.MaxQueueTime, below.MaxQueueTime)
-	nearer(&l.Rate, below.Rate)
-	nearer(&l.Burst, below.Burst)
-	nearer(&l.MaxBodyBytes, below.MaxBodyBytes)
-	nearer(&l.HedgeAfter, below.HedgeAfter)
-	nearer(&l.HedgeShare, below.HedgeShare)
-	nearer(&l.Pool, below.Pool)
-	nearer(&l.Revenue, below.Revenue)
-	nearer(&l.MinAdmitted, below.MinAdmitted)
-	nearer(&l.Fallback, below.Fallback)
+func (l Limits) withDefaults(below Limits) Limits {
+	setIfNil(&l.TargetTime, below.TargetTime)
+	setIfNil(&l.AttemptTimeout, below.AttemptTimeout)
+	setIfNil(&l.MaxAttempts, below.MaxAttempts)
+	setIfNil(&l.RetryShare, below.RetryShare)
+	setIfNil(&l.RetryFloor, below.RetryFloor)
+	setIfNil(&l.MaxInFlight, below.MaxInFlight)
+	setIfNil(&l.MaxQueued, below.MaxQueued)
+	setIfNil(&l.MaxQueueTime, below.MaxQueueTime)
+	setIfNil(&l.Rate, below.Rate)
+	setIfNil(&l.Burst, below.Burst)
+	setIfNil(&l.MaxBodyBytes, below.MaxBodyBytes)
+	setIfNil(&l.HedgeAfter, below.HedgeAfter)
+	setIfNil(&l.HedgeShare, below.HedgeShare)
+	setIfNil(&l.Pool, below.Pool)
+	setIfNil(&l.Revenue, below.Revenue)
+	setIfNil(&l.MinAdmitted, below.MinAdmitted)
+	setIfNil(&l.Fallback, below.Fallback)
 	if l.RetryOn == nil {
 		l.RetryOn = below.RetryOn
 	}
@@ -119,7 +119,7 @@
 	return l
 }
 
-func nearer[T any](p **T, below *T) {
+func setIfNil[T any](p **T, below *T) {
 	if *p == nil {
 		*p = below
 	}
--- a/internal/route/live.go
+++ b/internal/route/live.go
@@ -18,96 +18,96 @@
 }
 
 // kind is a traffic type of the module.
-type kind struct {
-	profile Profile
-	pools   uint64 // as the module has them
-	inHand  int
-	used    bool // by the present set
-	free    bool
+type typeState struct {
+	profile    Profile
+	poolLabels uint64 // as the module has them
+	admitted   int
+	isUsed     bool // by the present set
+	isFree     bool
 }
 
 // Router holds the routes of a running node over all reloads. It is for one caller at a time.
 type Router struct {
-	set     *Table
-	base    int // traffic types of the settings, which are the first kinds
-	tenants int // named ones; the number itself stands for the others
-	kinds   []kind
-	gates   []gate // by room; 0 is none
-	kindOf  []int  // by profile of the set
-	gateOf  [][]int
-	pools   []string // names by bit of the module's labels
-	bitOf   []int    // by pool of the set
+	table         *Table
+	settingsTypes int // traffic types of the settings, which are the first kinds
+	tenantCount   int // named ones; the number itself stands for the others
+	types         []typeState
+	gates         []gate // by room; 0 is none
+	typeOfProfile []int  // by profile of the set
+	gateByRoute   [][]int
+	poolNames     []string // names by bit of the module's labels
+	bitOfPool     []int    // by pool of the set
 }
 
 // NewRouter starts with the settings' own types and no routes.
 func NewRouter(s *settings.Settings) *Router {
-	l := &Router{base: len(s.TrafficTypes), tenants: len(s.TenantNames), gates: make([]gate, 1), pools: make([]string, mostPools)}
+	l := &Router{settingsTypes: len(s.TrafficTypes), tenantCount: len(s.TenantNames), gates: make([]gate, 1), poolNames: make([]string, maxPools)}
 	for i, t := range s.TrafficTypes {
-		l.kinds = append(l.kinds, kind{profile: Profile{BaseType: i, Type: t}})
+		l.types = append(l.types, typeState{profile: Profile{BaseType: i, Type: t}})
 	}
 	return l
 }
 
 // Table is the one that holds now, nil for none.
-func (l *Router) Table() *Table { return l.set }
+func (l *Router) Table() *Table { return l.table }
 
 // Replace has another set hold from now on, nil for none. Operations in hand keep the figures that they began with: what
 // stays the same keeps its index, and what has changed gets another, whose old one is used again when its last
 // operation has its answer. Counters and what is left of rates go on under the route's name.
 func (l *Router) Replace(now time.Duration, set *Table) Update {
-	old := l.set
-	oldKindOf, oldBitOf := l.kindOf, l.bitOf
-	l.set = set
-	l.bitOf = l.assignPools(set)
+	old := l.table
+	oldKindOf, oldBitOf := l.typeOfProfile, l.bitOfPool
+	l.table = set
+	l.bitOfPool = l.assignPools(set)
 	var profiles []Profile
 	if set != nil {
 		profiles = set.Profiles
 	}
-	for i := range l.kinds {
-		l.kinds[i].used = i < l.base
+	for i := range l.types {
+		l.types[i].isUsed = i < l.settingsTypes
 	}
-	like := make([]int, len(l.kinds))
+	like := make([]int, len(l.types))
 	for i := range like {
 		like[i] = i
 	}
-	l.kindOf = make([]int, len(profiles))
+	l.typeOfProfile = make([]int, len(profiles))
 	for i, p := range profiles {
-		if i < l.base {
-			l.kindOf[i] = i
+		if i < l.settingsTypes {
+			l.typeOfProfile[i] = i
 			continue
 		}
-		pools := l.mapped(p.Type.PoolLabels)
-		at := slices.IndexFunc(l.kinds, func(k kind) bool { return !k.free && k.profile == p && k.pools == pools })
+		pools := l.toLabels(p.Type.PoolLabels)
+		at := slices.IndexFunc(l.types, func(k typeState) bool { return !k.isFree && k.profile == p && k.poolLabels == pools })
 		if at < 0 {
-			if at = slices.IndexFunc(l.kinds, func(k kind) bool { return k.free }); at < 0 {
-				at = len(l.kinds)
-				l.kinds, like = append(l.kinds, kind{}), append(like, 0)
+			if at = slices.IndexFunc(l.types, func(k typeState) bool { return k.isFree }); at < 0 {
+				at = len(l.types)
+				l.types, like = append(l.types, typeState{}), append(like, 0)
 			}
-			l.kinds[at] = kind{profile: p, pools: pools}
+			l.types[at] = typeState{profile: p, poolLabels: pools}
 			like[at] = p.BaseType
-			if from := ancestor(old, oldKindOf, set, i); from >= 0 && !l.kinds[from].free && from != at {
+			if from := predecessor(old, oldKindOf, set, i); from >= 0 && !l.types[from].isFree && from != at {
 				like[at] = from
 			}
 		}
-		l.kinds[at].used = true
-		l.kindOf[i] = at
+		l.types[at].isUsed = true
+		l.typeOfProfile[i] = at
 	}
 	l.assignGates(now, set)
-	u := Update{InheritFrom: like, SelectionChanged: !slices.Equal(oldBitOf, l.bitOf) || !choosesAs(old, set)}
-	for i := range l.kinds {
-		l.kinds[i].free = !l.kinds[i].used && l.kinds[i].inHand == 0
-		t := l.kinds[i].profile.Type
-		t.PoolLabels = l.kinds[i].pools
+	u := Update{InheritFrom: like, SelectionChanged: !slices.Equal(oldBitOf, l.bitOfPool) || !sameSelection(old, set)}
+	for i := range l.types {
+		l.types[i].isFree = !l.types[i].isUsed && l.types[i].admitted == 0
+		t := l.types[i].profile.Type
+		t.PoolLabels = l.types[i].poolLabels
 		u.Types = append(u.Types, t)
 	}
 	for i := range l.gates {
-		u.MaxInFlight = append(u.MaxInFlight, l.gates[i].atOnce)
+		u.MaxInFlight = append(u.MaxInFlight, l.gates[i].maxInFlight)
 	}
 	return u
 }
 
 // choosesAs tells whether two sets put every server into the same pools, as they number them, and have it speak the same.
-func choosesAs(a, b *Table) bool {
+func sameSelection(a, b *Table) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
@@ -119,15 +119,15 @@
 }
 
 // ancestor is the module's index of what the first route of a profile was before, -1 for nothing.
-func ancestor(old *Table, kindOf []int, set *Table, profile int) int {
+func predecessor(old *Table, kindOf []int, set *Table, profile int) int {
 	if old == nil {
 		return -1
 	}
-	was, ok := old.byName[set.Routes[set.firstOf[profile]].Name]
+	was, ok := old.byName[set.Routes[set.firstRoute[profile]].Name]
 	if !ok {
 		return -1
 	}
-	if p := old.Routes[was].byKind[set.Profiles[profile].BaseType]; p >= 0 {
+	if p := old.Routes[was].profileByType[set.Profiles[profile].BaseType]; p >= 0 {
 		return kindOf[p]
 	}
 	return -1
@@ -139,24 +139,24 @@
 		return nil
 	}
 	held := uint64(0)
-	for _, k := range l.kinds {
-		if k.inHand > 0 {
-			held |= k.pools
+	for _, k := range l.types {
+		if k.admitted > 0 {
+			held |= k.poolLabels
 		}
 	}
 	bitOf := make([]int, len(set.Pools))
 	for i, p := range set.Pools {
-		if bitOf[i] = slices.Index(l.pools, p.Name); bitOf[i] >= 0 {
+		if bitOf[i] = slices.Index(l.poolNames, p.Name); bitOf[i] >= 0 {
 			held |= 1 << bitOf[i]
 		}
 	}
 	for i, p := range set.Pools {
 		if bitOf[i] < 0 {
 			bit := bits.TrailingZeros64(^held)
-			if bit == mostPools { // all bits are asked for by operations in hand: the last serves two names until they end
+			if bit == maxPools { // all bits are asked for by operations in hand: the last serves two names until they end
 				bit--
 			}
-			bitOf[i], l.pools[bit] = bit, p.Name
+			bitOf[i], l.poolNames[bit] = bit, p.Name
 			held |= 1 << bit
 		}
 	}
@@ -164,8 +164,8 @@
 }
 
 // mapped turns pools as the set numbers them into the module's labels.
-func (l *Router) mapped(pools uint64) (labels uint64) {
-	for i, bit := range l.bitOf {
+func (l *Router) toLabels(pools uint64) (labels uint64) {
+	for i, bit := range l.bitOfPool {
 		if pools&(1<<i) != 0 {
 			labels |= 1 << bit
 		}
@@ -175,8 +175,8 @@
 
 // Labels are the pools that a server is in, as policy.Member has them.
 func (l *Router) Labels(id, site, flavor string) uint64 {
-	if l.set == nil {
+	if l.table == nil {
 		return 0
 	}
-	return l.mapped(l.set.labels(id, site, flavor))
+	return l.toLabels(l.table.labels(id, site, flavor))
 }
--- a/internal/route/live_test.go
+++ b/internal/route/live_test.go
@@ -107,15 +107,15 @@
 	}
 
 	// Drained, its indices are used again, and nothing grows.
-	kinds, gates := len(l.kinds), len(l.gates)
+	kinds, gates := len(l.types), len(l.gates)
 	for i := range 50 {
 		l.Replace(0, parse(t, fmt.Sprintf("[[routes]]\nname = \"r%d\"\ntype = \"check\"\nhops = %d\nat_once = 3\nwait = \"%dms\"", i, 1+i%4, i+1)))
 		for _, g := range take(l, 0, "/check/x", 0, 3) {
 			l.Release(g)
 		}
 	}
-	if len(l.kinds) > kinds+1 || len(l.gates) > gates+1 {
-		t.Errorf("after 50 files: %d kinds of %d, %d gates of %d", len(l.kinds), kinds, len(l.gates), gates)
+	if len(l.types) > kinds+1 || len(l.gates) > gates+1 {
+		t.Errorf("after 50 files: %d kinds of %d, %d gates of %d", len(l.types), kinds, len(l.gates), gates)
 	}
 }
 
--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -20,12 +20,12 @@
 type HeaderGetter interface{ Get(name string) []byte }
 
 const (
-	one  = "*"  // a part of a path that may be anything but empty
-	rest = "**" // at the end: any parts that follow, also none
+	anySegment = "*"  // a part of a path that may be anything but empty
+	anyRest    = "**" // at the end: any parts that follow, also none
 )
 
 // parts splits a path behind its first slash.
-func parts(path string) []string {
+func pathSegments(path string) []string {
 	if path == "/" || path == "" {
 		return nil
 	}
@@ -33,7 +33,7 @@
 }
 
 // who is the method and tenant that an entry is for, "" for any.
-type who struct{ method, tenant string }
+type audience struct{ method, tenant string }
 
 type header struct{ name, value string }
 
@@ -44,33 +44,33 @@
 
 // leaf is what routes of one path ask beside it, the more specific form of who first.
 type leaf struct {
-	by    map[who][]entry // those with more headers first
-	forms [4]bool         // which forms of who there are: method and tenant, method, tenant, neither
+	by    map[audience][]entry // those with more headers first
+	forms [4]bool              // which forms of who there are: method and tenant, method, tenant, neither
 }
 
 // tree is the compiled form: a step for each part of a path, so that the cost of a match goes with the parts of its
 // path and hardly with the number of routes.
 type tree struct {
-	literal map[string]*tree
-	any     *tree
-	end     *leaf // the path ends here
-	rest    *leaf // whatever follows
+	literal    map[string]*tree
+	anySegment *tree
+	end        *leaf // the path ends here
+	rest       *leaf // whatever follows
 }
 
 // add puts a route in. It returns the route that it overlaps without order, or -1.
 func (t *tree) add(path []string, r *Route, number int) (clash int) {
 	for i, part := range path {
 		switch {
-		case part == rest && i == len(path)-1:
+		case part == anyRest && i == len(path)-1:
 			if t.rest == nil {
-				t.rest = &leaf{by: map[who][]entry{}}
+				t.rest = &leaf{by: map[audience][]entry{}}
 			}
 			return t.rest.add(r, number)
-		case part == one:
-			if t.any == nil {
-				t.any = &tree{}
+		case part == anySegment:
+			if t.anySegment == nil {
+				t.anySegment = &tree{}
 			}
-			t = t.any
+			t = t.anySegment
 		default:
 			if t.literal == nil {
 				t.literal = map[string]*tree{}
@@ -82,7 +82,7 @@
 		}
 	}
 	if t.end == nil {
-		t.end = &leaf{by: map[who][]entry{}}
+		t.end = &leaf{by: map[audience][]entry{}}
 	}
 	return t.end.add(r, number)
 }
@@ -103,7 +103,7 @@
 	slices.SortFunc(e.headers, func(a, b header) int { return cmp.Compare(a.name, b.name) })
 	for _, method := range orAny(r.Methods) {
 		for _, tenant := range orAny(r.Tenants) {
-			w := who{method, tenant}
+			w := audience{method, tenant}
 			l.forms[w.form()] = true
 			for _, other := range l.by[w] {
 				if len(other.headers) == len(e.headers) && overlap(other.headers, e.headers) {
@@ -117,7 +117,7 @@
 	return clash
 }
 
-func (w who) form() int {
+func (w audience) form() int {
 	form := 0
 	if w.method == "" {
 		form += 2
@@ -152,14 +152,14 @@
 		}
 		return t.rest.match(r)
 	}
-	part, more := cut(path)
+	part, more := nextSegment(path)
 	if next := t.literal[string(part)]; next != nil {
 		if found := next.match(more, r); found >= 0 {
 			return found
 		}
 	}
-	if t.any != nil && len(part) > 0 {
-		if found := t.any.match(more, r); found >= 0 {
+	if t.anySegment != nil && len(part) > 0 {
+		if found := t.anySegment.match(more, r); found >= 0 {
 			return found
 		}
 	}
@@ -167,7 +167,7 @@
 }
 
 // cut takes the first part of what is left of a path, which begins with its slash.
-func cut(path []byte) (part, more []byte) {
+func nextSegment(path []byte) (part, more []byte) {
 	path = path[1:]
 	if i := bytes.IndexByte(path, '/'); i >= 0 {
 		return path[:i], path[i:]
@@ -186,13 +186,13 @@
 		var all []entry
 		switch form {
 		case 0:
-			all = l.by[who{string(r.Method), string(r.Tenant)}]
+			all = l.by[audience{string(r.Method), string(r.Tenant)}]
 		case 1:
-			all = l.by[who{method: string(r.Method)}]
+			all = l.by[audience{method: string(r.Method)}]
 		case 2:
-			all = l.by[who{tenant: string(r.Tenant)}]
+			all = l.by[audience{tenant: string(r.Tenant)}]
 		case 3:
-			all = l.by[who{}]
+			all = l.by[audience{}]
 		}
 		for i := range all {
 			if all[i].fits(r) {
@@ -215,7 +215,7 @@
 // fits looks at one route by itself, and says what does not fit. It is the plain form of the tree's matching, for
 // explanations and to test the tree against.
 func (r *Route) fits(q *Request) (why string) {
-	if !fitsPath(parts(r.Path), parts(string(q.Path))) {
+	if !fitsPath(pathSegments(r.Path), pathSegments(string(q.Path))) {
 		return fmt.Sprintf("the path is not %s", r.Path)
 	}
 	if len(r.Methods) > 0 && !slices.Contains(r.Methods, string(q.Method)) {
@@ -234,10 +234,10 @@
 
 func fitsPath(pattern, path []string) bool {
 	for i, p := range pattern {
-		if p == rest && i == len(pattern)-1 {
+		if p == anyRest && i == len(pattern)-1 {
 			return true
 		}
-		if i >= len(path) || p == one && path[i] == "" || p != one && p != path[i] {
+		if i >= len(path) || p == anySegment && path[i] == "" || p != anySegment && p != path[i] {
 			return false
 		}
 	}
@@ -250,14 +250,14 @@
 		switch {
 		case i == len(p):
 			return 2
-		case p[i] == rest && i == len(p)-1:
+		case p[i] == anyRest && i == len(p)-1:
 			return 3
-		case p[i] == one:
+		case p[i] == anySegment:
 			return 1
 		}
 		return 0
 	}
-	x, y := parts(a.Path), parts(b.Path)
+	x, y := pathSegments(a.Path), pathSegments(b.Path)
 	for i := range min(len(x), len(y)) + 1 {
 		if i > len(x) || i > len(y) {
 			break
--- a/internal/route/match_test.go
+++ b/internal/route/match_test.go
@@ -48,7 +48,7 @@
 		for range rapid.IntRange(1, 12).Draw(t, "routes") {
 			p := rapid.SliceOfN(part, 1, 4).Draw(t, "path")
 			if rapid.Bool().Draw(t, "open") {
-				p = append(p, rest)
+				p = append(p, anyRest)
 			}
 			r := Route{Path: "/" + strings.Join(p, "/"), Methods: some("GET", "POST").Draw(t, "methods"), Tenants: some("x", "y").Draw(t, "tenants")}
 			if h := rapid.SampledFrom([]string{"", "1", "2"}).Draw(t, "header"); h != "" {
@@ -106,9 +106,9 @@
 func manyRoutes(n int) *tree {
 	t := &tree{}
 	for i := range n {
-		p := []string{"hire-book", fmt.Sprint("part-", i%97), fmt.Sprint("machine-", i), rest}
+		p := []string{"hire-book", fmt.Sprint("part-", i%97), fmt.Sprint("machine-", i), anyRest}
 		if i%3 == 0 {
-			p = []string{"hire-book", one, fmt.Sprint("machine-", i), rest}
+			p = []string{"hire-book", anySegment, fmt.Sprint("machine-", i), anyRest}
 		}
 		t.add(p, &Route{}, i)
 	}
--- a/internal/route/set.go
+++ b/internal/route/set.go
@@ -20,19 +20,19 @@
 }
 
 // compiled is a route with what was worked out.
-type compiled struct {
+type compiledRoute struct {
 	Route
-	Line     int
-	byKind   []int    // profiles by traffic type; -1 where it is not for the type
-	limits   []Limits // by traffic type: what holds, with class and defaults
-	class    int      // traffic type that it sets, or -1
-	fallback int      // route, or -1
+	Line          int
+	profileByType []int    // profiles by traffic type; -1 where it is not for the type
+	limitsByType  []Limits // by traffic type: what holds, with class and defaults
+	classType     int      // traffic type that it sets, or -1
+	fallback      int      // route, or -1
 }
 
 // Table is a file that was read whole and found sound.
 type Table struct {
 	Name     string
-	Routes   []compiled
+	Routes   []compiledRoute
 	Profiles []Profile
 	Pools    []Pool
 	FastCGI  FastCGI
@@ -41,20 +41,20 @@
 	types    map[string]int
 	tenants  map[string]int
 
-	byFigures map[Profile]int
-	firstOf   []int // by profile: the first route that has it; -1 for the settings' own
-	byName    map[string]int
-	file      *tomlfile.File // the places of its keys
-	source    *File          // what the set was made of
+	profileIndex map[Profile]int
+	firstRoute   []int // by profile: the first route that has it; -1 for the settings' own
+	byName       map[string]int
+	file         *tomlfile.File // the places of its keys
+	source       *File          // what the set was made of
 }
 
 // profile finds a profile with these figures, or adds it.
 func (s *Table) profile(p Profile, route int) int {
-	i, ok := s.byFigures[p]
+	i, ok := s.profileIndex[p]
 	if !ok {
 		i = len(s.Profiles)
-		s.byFigures[p] = i
-		s.Profiles, s.firstOf = append(s.Profiles, p), append(s.firstOf, route)
+		s.profileIndex[p] = i
+		s.Profiles, s.firstRoute = append(s.Profiles, p), append(s.firstRoute, route)
 	}
 	return i
 }
@@ -66,17 +66,17 @@
 	if len(r.Path) == 0 || r.Path[0] != '/' {
 		return -1, -1
 	}
-	first, _ := cut(r.Path)
+	first, _ := nextSegment(r.Path)
 	if k, ok := s.types[string(first)]; ok {
 		kind = k
 	}
 	if route = s.tree.match(r.Path, r); route < 0 {
 		return -1, kind
 	}
-	if c := s.Routes[route].class; c >= 0 {
+	if c := s.Routes[route].classType; c >= 0 {
 		kind = c
 	}
-	if kind >= 0 && s.Routes[route].byKind[kind] < 0 {
+	if kind >= 0 && s.Routes[route].profileByType[kind] < 0 {
 		return -1, kind
 	}
 	return route, kind
@@ -84,15 +84,15 @@
 
 // MaxBodyBytes is the largest body that a route takes, or most if it does not say.
 func (s *Table) MaxBodyBytes(route, kind, most int) int {
-	if route < 0 || s.Routes[route].limits[kind].MaxBodyBytes == nil {
+	if route < 0 || s.Routes[route].limitsByType[kind].MaxBodyBytes == nil {
 		return most
 	}
-	return min(*s.Routes[route].limits[kind].MaxBodyBytes, most)
+	return min(*s.Routes[route].limitsByType[kind].MaxBodyBytes, most)
 }
 
 // AllowsHedging tells whether operations of a route may get a second copy.
 func (s *Table) AllowsHedging(route, kind int) bool {
-	return route >= 0 && s.Routes[route].limits[kind].HedgeAfter != nil
+	return route >= 0 && s.Routes[route].limitsByType[kind].HedgeAfter != nil
 }
 
 // fits tells whether a server is among those that a choice names; what is left empty chooses all.
