--- a/internal/proxy/distribution_test.go
+++ b/internal/proxy/distribution_test.go
@@ -142,10 +142,10 @@
 		}, "hire/route/b: no traffic type \"dance\": there are check, book", "hire/a"},
 		{"a route's next value", func() []distribution.Rejection {
 			return d.ApplyRoutes([]distribution.Entry{text(distribution.KindRoute, "a", 4, "type = \"check\"\nhops = 9"), text(distribution.KindRoute, "b", 5, "type = \"book\"")})
-		}, "hire/route/a: route \"hire/a\", type check: 9 hops, but the settings allow 4", "hire/a hire/b"},
+		}, "hire/route/a: route \"hire/a\", type check: 9 attempts, but the settings allow 4", "hire/a hire/b"},
 		{"the same again", func() []distribution.Rejection {
 			return d.ApplyRoutes([]distribution.Entry{text(distribution.KindRoute, "a", 4, "type = \"check\"\nhops = 9"), text(distribution.KindRoute, "b", 6, "hops = ")})
-		}, "hire/route/a: route \"hire/a\", type check: 9 hops, but the settings allow 4; hire/route/b: route hire/b:1: ", "hire/a hire/b"},
+		}, "hire/route/a: route \"hire/a\", type check: 9 attempts, but the settings allow 4; hire/route/b: route hire/b:1: ", "hire/a hire/b"},
 		{"deleted", func() []distribution.Rejection {
 			return d.ApplyRoutes([]distribution.Entry{text(distribution.KindRoute, "b", 7, "type = \"book\"")})
 		}, "", "hire/b"},
--- a/internal/route/assemble.go
+++ b/internal/route/assemble.go
@@ -9,44 +9,45 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// roundsMost bounds the compilations of one Assemble. Each drops what the one before has found at fault, which may leave
-// others without the route that they fall back to.
+// maxCompileRounds bounds the compilations of one Assemble. Each drops the fragments that the one
+// before found at fault, which may leave others without the route that they fall back to.
 const maxCompileRounds = 16
 
-// Candidate is a part that is to hold, with the one of its name that held before, if there was one.
+// Candidate is a fragment to put in force, with the one of its name that was in force before, if any.
 type Candidate struct {
 	Fragment
 	Previous *Fragment
 }
 
-// Assembled is what Assemble has made.
+// Assembled is the result of Assemble.
 type Assembled struct {
 	Table    *Table
-	Used     []*Fragment   // by candidate: the part that holds; nil for none
-	Unusable map[int]error // by candidate: why it is not the one that holds
+	Used     []*Fragment   // by candidate: the fragment in force; nil: none
+	Unusable map[int]error // by candidate: why it is not in force
 }
 
-var errUnresolved = errors.New("too many parts that rest on others which cannot be used")
+var errUnresolved = errors.New("too many fragments depend on others that cannot be used")
 
-// Assemble makes one set of the operator's file, nil for none, and of parts. A part that cannot be used is left out, with
-// the reason, and the one that held before stays in its place. Of two parts that exclude each other the later one is
-// left out.
+// Assemble compiles one table of the operator's file, nil for none, and the candidates. A candidate that cannot be used is
+// left out and its reason returned in Unusable; its previous fragment stays in its place. Of two that exclude each
+// other the later one is left out. The error is of the operator's file itself, or that no table was found in
+// maxCompileRounds.
 func Assemble(own *Table, s *settings.Settings, candidates []Candidate) (Assembled, error) {
 	a := Assembled{Used: make([]*Fragment, len(candidates)), Unusable: map[int]error{}}
 	last := make([]*Fragment, len(candidates))
 	for i := range candidates {
 		a.Used[i], last[i] = &candidates[i].Fragment, candidates[i].Previous
-		if candidates[i].route == nil && candidates[i].pool == nil { // could not even be read
+		if candidates[i].route == nil && candidates[i].pool == nil { // could not be parsed
 			a.Used[i], last[i] = last[i], nil
 		}
 	}
 	for range maxCompileRounds {
-		set, faults := compileFragments(own, s, a.Used)
+		table, faults := compileFragments(own, s, a.Used)
 		if len(faults.byFragment) == 0 {
 			if err := faults.file.Err(); err != nil {
 				return a, err
 			}
-			a.Table = set
+			a.Table = table
 			return a, nil
 		}
 		for i, why := range faults.byFragment {
@@ -59,10 +60,10 @@
 	return a, errUnresolved
 }
 
-// partFaults finds out to which part a fault belongs. A nil one is for a file alone.
+// fragmentFaults attributes faults to fragments. It is nil where only the operator's file is checked.
 type fragmentFaults struct {
 	file       *tomlfile.File
-	routes     []int // candidates, by route of the set; -1: the operator's file's
+	routes     []int // candidates by route of the table; -1: of the operator's file
 	pools      []int // likewise
 	current    int   // candidate, or -1
 	byFragment map[int]error
@@ -80,14 +81,14 @@
 	}
 }
 
-// own turns to what belongs to no part.
+// selectOperatorFile attributes the faults that follow to the operator's file.
 func (p *fragmentFaults) selectOperatorFile() {
 	if p != nil {
 		p.current = -1
 	}
 }
 
-// note takes a fault if it is of a part.
+// record notes a fault where a fragment is selected, and reports whether it did.
 func (p *fragmentFaults) record(format string, args ...any) bool {
 	if p == nil || p.current < 0 {
 		return false
@@ -102,18 +103,18 @@
 	}
 }
 
-// compileParts makes a set, and tells which parts keep it from being sound.
-func compileFragments(own *Table, s *settings.Settings, parts []*Fragment) (*Table, *fragmentFaults) {
-	places, source := &tomlfile.File{Name: "distribution"}, &File{}
+// compileFragments compiles a table, and returns which fragments are at fault.
+func compileFragments(own *Table, s *settings.Settings, fragments []*Fragment) (*Table, *fragmentFaults) {
+	base, source := &tomlfile.File{Name: "distribution"}, &File{}
 	if own != nil {
 		copied, file := *own.source, *own.file
-		source, places = &copied, &file
+		source, base = &copied, &file
 		source.Pools, source.Routes = slices.Clone(source.Pools), slices.Clone(source.Routes)
 	}
-	faults := &fragmentFaults{file: places, current: -1, byFragment: map[int]error{}}
+	faults := &fragmentFaults{file: base, current: -1, byFragment: map[int]error{}}
 	faults.pools = slices.Repeat([]int{-1}, len(source.Pools))
 	faults.routes = slices.Repeat([]int{-1}, len(source.Routes))
-	for i, p := range parts {
+	for i, p := range fragments {
 		switch {
 		case p == nil:
 		case p.isPool():
@@ -130,22 +131,22 @@
 			source.Routes, faults.routes = append(source.Routes, *p.route), append(faults.routes, i)
 		}
 	}
-	resolveServiceNames(source, parts, faults)
-	c := newChecker(places, source, s)
+	resolveServiceNames(source, fragments, faults)
+	c := newChecker(base, source, s)
 	c.fragments = faults
-	set := c.compile()
-	if n := len(set.Profiles); n > maxProfiles {
-		for _, first := range set.firstRoute[maxProfiles:] {
+	table := c.compile()
+	if n := len(table.Profiles); n > maxProfiles {
+		for _, first := range table.firstRoute[maxProfiles:] {
 			if candidate := faults.routes[first]; candidate >= 0 {
 				faults.assign(candidate, fmt.Errorf("%d different sets of figures: %d at most; routes with the same figures share one", n, maxProfiles))
 			}
 		}
 	}
-	return set, faults
+	return table, faults
 }
 
-// nearest has the names that a service's routes use stand for parts of the same service, where it has them.
-func resolveServiceNames(source *File, parts []*Fragment, faults *fragmentFaults) {
+// resolveServiceNames has names in a service's routes stand for fragments of the same service, where there are such.
+func resolveServiceNames(source *File, fragments []*Fragment, faults *fragmentFaults) {
 	pools, routes := map[string]bool{}, map[string]bool{}
 	for _, p := range source.Pools {
 		pools[p.Name] = true
@@ -157,7 +158,7 @@
 		if candidate < 0 {
 			continue
 		}
-		r, service := &source.Routes[i], parts[candidate].Service
+		r, service := &source.Routes[i], fragments[candidate].Service
 		r.Pool = qualifyOwn(r.Pool, service, pools)
 		r.Fallback = qualifyOwn(r.Fallback, service, routes)
 	}
--- a/internal/route/assemble_test.go
+++ b/internal/route/assemble_test.go
@@ -24,7 +24,7 @@
 	return p
 }
 
-func TestParseParts(t *testing.T) {
+func TestParseFragments(t *testing.T) {
 	for name, c := range map[string]struct {
 		pool bool
 		text string
@@ -74,9 +74,9 @@
 		"an unknown type, others hold": {file, []part{{"route", "s", "a", "type = \"dance\"", ""}, {"route", "s", "b", "type = \"book\"", ""}},
 			"own 3 -, s/b 3 5", map[int]string{0: "no traffic type \"dance\""}},
 		"what held before holds on": {"", []part{{"route", "s", "a", "type = \"check\"\nhops = 9", "type = \"check\"\nhops = 2"}},
-			"s/a 2 -", map[int]string{0: "9 hops, but the settings allow 4"}},
+			"s/a 2 -", map[int]string{0: "9 attempts, but the settings allow 4"}},
 		"nor can that be used": {"", []part{{"route", "s", "a", "type = \"check\"\nhops = 9", "type = \"check\"\nhops = 8"}},
-			"", map[int]string{0: "9 hops, but the settings allow 4"}},
+			"", map[int]string{0: "9 attempts, but the settings allow 4"}},
 		"the later of two that clash is out": {"", []part{{"route", "s", "a", "type = \"check\"", ""}, {"route", "t", "b", "type = \"check\"", ""}},
 			"s/a 0 -", map[int]string{1: "route \"t/b\" and route \"s/a\" fit the same requests"}},
 		"the file's route goes before": {file, []part{{"route", "s", "a", "path = \"/check/own\"", ""}},
@@ -94,7 +94,7 @@
 			"s/a 0 - >s/b, s/b 0 -", nil},
 		"a fallback to what cannot be used": {"", []part{{"route", "s", "a", "path = \"/check/a\"\nfallback = \"b\"", ""}, {"route", "s", "b", "type = \"check\"\nhops = 9", ""},
 			{"route", "s", "c", "type = \"book\"", ""}},
-			"s/c 0 -", map[int]string{0: "falls back to \"b\", which does not exist", 1: "9 hops"}},
+			"s/c 0 -", map[int]string{0: "falls back to \"b\", which does not exist", 1: "9 attempts"}},
 		"fallbacks in a circle": {"", []part{{"route", "s", "a", "path = \"/check/a\"\nfallback = \"b\"", ""}, {"route", "s", "b", "type = \"check\"\nfallback = \"a\"", ""}},
 			"", map[int]string{0: "go in a circle", 1: "go in a circle"}},
 		"one that cannot be read, and held before": {"", []part{{"route", "s", "a", "hops = ", "type = \"check\"\nhops = 2"}}, "s/a 2 -", nil},
@@ -103,7 +103,7 @@
 			var own *Table
 			if c.file != "" {
 				var err error
-				if own, err = Parse("f", []byte(c.file), told()); err != nil {
+				if own, err = Parse("f", []byte(c.file), testSettings()); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -121,7 +121,7 @@
 				}
 				candidates = append(candidates, one)
 			}
-			a, err := Assemble(own, told(), candidates)
+			a, err := Assemble(own, testSettings(), candidates)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -177,11 +177,11 @@
 		text := fmt.Sprintf("path = \"/check/%d\"\nkeep = %v", i, float64(i+1)/1000)
 		candidates = append(candidates, Candidate{Fragment: routePart(t, "s", fmt.Sprint("r", i), text)})
 	}
-	a, err := Assemble(nil, told(), candidates)
+	a, err := Assemble(nil, testSettings(), candidates)
 	if err != nil {
 		t.Fatal(err)
 	}
-	base := len(told().TrafficTypes)
+	base := len(testSettings().TrafficTypes)
 	if len(a.Table.Pools) != maxPools || len(a.Table.Profiles) != maxProfiles || len(a.Table.Routes) != maxProfiles-base {
 		t.Errorf("%d pools, %d profiles, %d routes", len(a.Table.Pools), len(a.Table.Profiles), len(a.Table.Routes))
 	}
@@ -194,7 +194,7 @@
 func BenchmarkAssemble(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := told()
+			s := testSettings()
 			candidates := make([]Candidate, n)
 			for i := range candidates {
 				candidates[i].Fragment = routePart(b, fmt.Sprint("s", i%50), fmt.Sprint("r", i), fmt.Sprintf("path = \"/check/%d/**\"\nrate = 100.0", i))
--- a/internal/route/check.go
+++ b/internal/route/check.go
@@ -12,7 +12,7 @@
 	"fernvane/policy"
 )
 
-// outcomes are the file's words for how a hop may end.
+// outcomes are the file's words for how an attempt may end.
 var outcomes = map[string]policy.OutcomeSet{
 	"refused":     1 << policy.Overloaded,
 	"unreachable": 1<<policy.Unreachable | 1<<policy.NotStarted,
@@ -21,10 +21,10 @@
 	"broken":      1 << policy.ConnectionBroken,
 }
 
-// mayHaveRun are those after which a type that may not repeat gets no further hop anyway.
+// outcomesThatMayHaveRun are those after which a non-idempotent type is never retried.
 var outcomesThatMayHaveRun = []string{"error", "timeout", "broken"}
 
-// Load reads the operator's file and tells all that is wrong with it, against the settings that the node runs under.
+// Load reads and parses the operator's file at path. See Parse for the error.
 func Load(path string, s *settings.Settings) (*Table, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
@@ -33,7 +33,8 @@
 	return Parse(path, text, s)
 }
 
-// Parse reads the text of an operator's file.
+// Parse compiles the text of an operator's file under the node's settings. The error is a tomlfile.Faults with every
+// fault and its line, or that of reading TOML.
 func Parse(name string, text []byte, s *settings.Settings) (*Table, error) {
 	var file File
 	f, err := tomlfile.Parse(name, text, &file)
@@ -41,11 +42,11 @@
 		return nil, err
 	}
 	c := newChecker(f, &file, s)
-	set := c.compile()
+	table := c.compile()
 	if err := f.Err(); err != nil {
 		return nil, err
 	}
-	return set, nil
+	return table, nil
 }
 
 type checker struct {
@@ -54,21 +55,21 @@
 	settings  *settings.Settings
 	pools     map[string]uint64
 	routes    map[string]int
-	fragments *fragmentFaults // nil: all of it comes from the operator's file
+	fragments *fragmentFaults // nil: only the operator's file is checked
 }
 
 func newChecker(f *tomlfile.File, file *File, s *settings.Settings) checker {
 	return checker{File: f, file: file, settings: s, pools: map[string]uint64{}, routes: map[string]int{}}
 }
 
-// Wrong notes a fault: of the part that is looked at, where it is one, or of the operator's file.
+// Wrong records a fault of the selected fragment, or of the operator's file.
 func (c *checker) Wrong(path, format string, args ...any) {
 	if !c.fragments.record(format, args...) {
 		c.File.Wrong(path, format, args...)
 	}
 }
 
-// besides tells the line of another route, for a fault that is of both.
+// otherLine names the line of the second route of a fault that concerns two.
 func (c *checker) otherLine(i int) string {
 	if line := c.Line("routes." + strconv.Itoa(i)); line > 0 {
 		return fmt.Sprintf(" of line %d", line)
@@ -77,20 +78,20 @@
 }
 
 func (c *checker) compile() *Table {
-	set := &Table{Name: c.Name, tree: &tree{}, types: map[string]int{}, tenants: map[string]int{},
+	table := &Table{Name: c.Name, tree: &tree{}, types: map[string]int{}, tenants: map[string]int{},
 		profileIndex: map[Profile]int{}, byName: c.routes, file: c.File, source: c.file}
 	for i, name := range c.settings.TypeNames {
-		set.types[name] = i
-		set.profile(Profile{BaseType: i, Type: c.settings.TrafficTypes[i]}, -1)
+		table.types[name] = i
+		table.profile(Profile{BaseType: i, Type: c.settings.TrafficTypes[i]}, -1)
 	}
 	for i, name := range c.settings.TenantNames {
-		set.tenants[name] = i
+		table.tenants[name] = i
 	}
-	c.checkPools(set)
-	set.FastCGI = c.file.FastCGI
+	c.checkPools(table)
+	table.FastCGI = c.file.FastCGI
 	if at := c.file.FastCGI.Listen; at != "" {
 		var err error
-		if set.Listen, err = netip.ParseAddrPort(at); err != nil {
+		if table.Listen, err = netip.ParseAddrPort(at); err != nil {
 			c.Wrong("fastcgi.listen", "%q is no address with a port", at)
 		}
 	}
@@ -100,13 +101,13 @@
 		}
 	}
 	for name := range c.file.Class {
-		if _, ok := set.types[name]; !ok {
+		if _, ok := table.types[name]; !ok {
 			c.Wrong("class."+name, "no traffic type %q: there are %s", name, strings.Join(c.settings.TypeNames, ", "))
 		}
 	}
 	if len(c.file.Routes) > maxRoutes {
 		c.Wrong("routes."+strconv.Itoa(maxRoutes), "%d routes: %d at most", len(c.file.Routes), maxRoutes)
-		return set
+		return table
 	}
 	for i := range c.file.Routes {
 		c.fragments.selectRoute(i)
@@ -125,19 +126,19 @@
 	}
 	for i := range c.file.Routes {
 		c.fragments.selectRoute(i)
-		c.checkRoute(set, i)
+		c.checkRoute(table, i)
 	}
-	c.checkFallbacks(set)
+	c.checkFallbacks(table)
 	c.fragments.selectOperatorFile()
-	if n := len(set.Profiles); n > maxProfiles {
+	if n := len(table.Profiles); n > maxProfiles {
 		c.Wrong("routes", "%d different sets of figures: %d at most; routes with the same figures share one", n, maxProfiles)
 	}
-	return set
+	return table
 }
 
 func at(route int, key string) string { return "routes." + strconv.Itoa(route) + "." + key }
 
-func (c *checker) checkPools(set *Table) {
+func (c *checker) checkPools(table *Table) {
 	defer c.fragments.selectOperatorFile()
 	for i, p := range c.file.Pools {
 		c.fragments.selectPool(i)
@@ -158,12 +159,12 @@
 			}
 		}
 		c.pools[p.Name] = 1 << i
-		set.Pools = append(set.Pools, p)
+		table.Pools = append(table.Pools, p)
 	}
 }
 
-// route checks one and puts it into the set.
-func (c *checker) checkRoute(set *Table, i int) {
+// checkRoute checks one route and adds it to the table.
+func (c *checker) checkRoute(table *Table, i int) {
 	r := &c.file.Routes[i]
 	path, ok := c.checkPath(r, i)
 	for _, m := range r.Methods {
@@ -172,7 +173,7 @@
 		}
 	}
 	for _, t := range r.Tenants {
-		if _, known := set.tenants[t]; !known {
+		if _, known := table.tenants[t]; !known {
 			c.Wrong(at(i, "tenants"), "no tenant %q: there are %s", t, strings.Join(c.settings.TenantNames, ", "))
 		}
 	}
@@ -186,27 +187,27 @@
 	}
 	var kinds []int
 	if ok {
-		kinds = c.trafficTypes(set, r, i, path)
+		kinds = c.trafficTypes(table, r, i, path)
 	}
 	byKind, limits := slices.Repeat([]int{-1}, len(c.settings.TrafficTypes)), make([]Limits, len(c.settings.TrafficTypes))
 	for _, k := range kinds {
 		p, l := c.profile(r, i, k)
-		byKind[k], limits[k] = set.profile(p, i), l
+		byKind[k], limits[k] = table.profile(p, i), l
 	}
-	set.Routes = append(set.Routes, compiledRoute{Route: *r, Line: c.Line("routes." + strconv.Itoa(i)), profileByType: byKind, limitsByType: limits, classType: -1, fallback: -1})
-	last := &set.Routes[i]
+	table.Routes = append(table.Routes, compiledRoute{Route: *r, Line: c.Line("routes." + strconv.Itoa(i)), profileByType: byKind, limitsByType: limits, classType: -1, fallback: -1})
+	last := &table.Routes[i]
 	if r.Class != "" && len(kinds) == 1 {
 		last.classType = kinds[0]
 	}
 	if ok {
-		if clash := set.tree.add(path, r, i); clash >= 0 {
+		if clash := table.tree.add(path, r, i); clash >= 0 {
 			c.Wrong("routes."+strconv.Itoa(i), "route %q and route %q%s fit the same requests, and neither is more specific", r.Name,
 				c.file.Routes[clash].Name, c.otherLine(clash))
 		}
 	}
 }
 
-// path checks a route's path, which its type may stand for.
+// checkPath checks a route's path, which its type may imply, and returns its segments.
 func (c *checker) checkPath(r *Route, i int) ([]string, bool) {
 	if r.Path == "" {
 		r.Path = "/**"
@@ -253,10 +254,10 @@
 	return p, true
 }
 
-// kinds are the traffic types whose operations may come to a route.
-func (c *checker) trafficTypes(set *Table, r *Route, i int, path []string) []int {
+// trafficTypes are the traffic types whose requests may match a route.
+func (c *checker) trafficTypes(table *Table, r *Route, i int, path []string) []int {
 	find := func(key, name string) []int {
-		if k, ok := set.types[name]; ok {
+		if k, ok := table.types[name]; ok {
 			return []int{k}
 		}
 		c.Wrong(at(i, key), "no traffic type %q: there are %s", name, strings.Join(c.settings.TypeNames, ", "))
--- a/internal/route/check_fallbacks.go
+++ b/internal/route/check_fallbacks.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// checkFallbacks looks for those that lead nowhere, to another class, or back.
-func (c *checker) checkFallbacks(set *Table) {
-	for i := range set.Routes {
+// checkFallbacks finds fallbacks to routes that do not exist, that do not serve the type, or that form a cycle.
+func (c *checker) checkFallbacks(table *Table) {
+	for i := range table.Routes {
 		c.fragments.selectRoute(i)
 		l := c.fallback(i)
 		if l == "" {
@@ -16,27 +16,27 @@
 		}
 		to, ok := c.routes[l]
 		if !ok {
-			c.Wrong(c.fallbackKey(i), "route %q falls back to %q, which does not exist", set.Routes[i].Name, l)
+			c.Wrong(c.fallbackKey(i), "route %q falls back to %q, which does not exist", table.Routes[i].Name, l)
 			continue
 		}
-		set.Routes[i].fallback = to
-		for k, p := range set.Routes[i].profileByType {
-			if p >= 0 && to != i && set.Routes[to].profileByType[k] < 0 {
-				c.Wrong(c.fallbackKey(i), "route %q falls back to %q, which is not for type %s", set.Routes[i].Name, l, c.settings.TypeNames[k])
+		table.Routes[i].fallback = to
+		for k, p := range table.Routes[i].profileByType {
+			if p >= 0 && to != i && table.Routes[to].profileByType[k] < 0 {
+				c.Wrong(c.fallbackKey(i), "route %q falls back to %q, which is not for type %s", table.Routes[i].Name, l, c.settings.TypeNames[k])
 				break
 			}
 		}
 	}
-	for i := range set.Routes {
+	for i := range table.Routes {
 		c.fragments.selectRoute(i)
-		seen := []string{set.Routes[i].Name}
-		for at := set.Routes[i].fallback; at >= 0; at = set.Routes[at].fallback {
-			seen = append(seen, set.Routes[at].Name)
+		seen := []string{table.Routes[i].Name}
+		for at := table.Routes[i].fallback; at >= 0; at = table.Routes[at].fallback {
+			seen = append(seen, table.Routes[at].Name)
 			if at == i {
 				c.Wrong(c.fallbackKey(i), "the fallbacks go in a circle: %s", strings.Join(seen, ", "))
 				break
 			}
-			if len(seen) > len(set.Routes) { // a circle that this route leads into
+			if len(seen) > len(table.Routes) { // a cycle that this route leads into
 				break
 			}
 		}
--- a/internal/route/check_test.go
+++ b/internal/route/check_test.go
@@ -11,7 +11,7 @@
 )
 
 // told is what the tests' nodes run under: a retriable, a binding and a fingerprinted type.
-func told() *settings.Settings {
+func testSettings() *settings.Settings {
 	t := func(r policy.Idempotency) policy.TrafficType {
 		return policy.TrafficType{Idempotency: r, LatencyObjective: 200 * time.Millisecond, ClientTimeout: time.Second, KeyRetention: time.Second, PriorityWeight: 1}
 	}
@@ -42,7 +42,7 @@
 		"a word for a number":                   {route("hops = \"two\""), []string{"f:4: "}},
 		"two values of the wrong type":          {route("hops = \"two\"\nrate = \"lots\""), []string{"f:4: ", "f:5: "}},
 		"a time without a unit":                 {route("hop_time = \"50\""), []string{"f:4: "}},
-		"a wrong type and a wrong value":        {route("hops = \"two\"\nrate = 0"), []string{"f:4: ", "f:5: route \"a\", type check: a rate of 0 turns all away"}},
+		"a wrong type and a wrong value":        {route("hops = \"two\"\nrate = 0"), []string{"f:4: ", "f:5: route \"a\", type check: a rate of 0 rejects every request"}},
 		"a route without a name":                {"[[routes]]\ntype = \"check\"", []string{"f:1: a route without a name"}},
 		"two routes of one name":                {one3 + "[[routes]]\nname = \"a\"\ntype = \"book\"", []string{"f:5: a second route \"a\"; the first is in line 2"}},
 		"an unknown type":                       {"[[routes]]\nname = \"a\"\ntype = \"dance\"", []string{"f:3: no traffic type \"dance\": there are check, book, print"}},
@@ -67,38 +67,38 @@
 		"one method of two":                     {route("methods = [\"GET\", \"PUT\"]") + second("type = \"check\"\nmethods = [\"PUT\"]"), []string{"f:5: route \"b\" and route \"a\" of line 1"}},
 		"one tenant of two":                     {route("tenants = [\"dairy\", \"orchards\"]") + second("type = \"check\"\ntenants = [\"dairy\"]"), []string{"f:5: route \"b\" and route \"a\""}},
 		"different headers":                     {route("headers = {x = \"1\"}") + second("type = \"check\"\nheaders = {y = \"1\"}"), []string{"f:5: route \"b\" and route \"a\""}},
-		"a target of nothing":                   {route("target = \"0s\""), []string{"f:4: route \"a\", type check: a target of 0s turns all away"}},
+		"a target of nothing":                   {route("target = \"0s\""), []string{"f:4: route \"a\", type check: a target of 0s rejects every request"}},
 		"a target past the give-up":             {route("target = \"2s\""), []string{"f:4: route \"a\", type check: the target of 2s lies past the client's give-up at 1s"}},
-		"a hop of nothing":                      {route("hop_time = \"0s\""), []string{"f:4: route \"a\", type check: a hop of 0s turns all away"}},
-		"a hop past the give-up":                {route("hop_time = \"1100ms\""), []string{"f:4: route \"a\", type check: a hop of 1.1s lasts past"}},
-		"no hops":                               {route("hops = 0"), []string{"f:4: route \"a\", type check: 0 hops turn all away"}},
-		"more hops than the settings allow":     {route("hops = 5"), []string{"f:4: route \"a\", type check: 5 hops, but the settings allow 4"}},
-		"too many by a class":                   {"[class.check]\nhops = 5\n" + one3, []string{"f:2: route \"a\", type check: 5 hops"}},
-		"too many by default":                   {"[defaults]\nhops = 5\n" + one3, []string{"f:2: route \"a\", type check: 5 hops"}},
+		"a hop of nothing":                      {route("hop_time = \"0s\""), []string{"f:4: route \"a\", type check: an attempt of 0s rejects every request"}},
+		"a hop past the give-up":                {route("hop_time = \"1100ms\""), []string{"f:4: route \"a\", type check: an attempt of 1.1s lasts past"}},
+		"no hops":                               {route("hops = 0"), []string{"f:4: route \"a\", type check: 0 attempts reject every request"}},
+		"more hops than the settings allow":     {route("hops = 5"), []string{"f:4: route \"a\", type check: 5 attempts, but the settings allow 4"}},
+		"too many by a class":                   {"[class.check]\nhops = 5\n" + one3, []string{"f:2: route \"a\", type check: 5 attempts"}},
+		"too many by default":                   {"[defaults]\nhops = 5\n" + one3, []string{"f:2: route \"a\", type check: 5 attempts"}},
 		"further after what":                    {route("further = [\"rain\"]"), []string{"f:4: route \"a\", type check: \"rain\" is none of"}},
-		"a binding type after an error":         {book + "further = [\"refused\", \"error\"]", []string{"f:4: route \"a\", type book: a binding type gets no further hop after \"error\""}},
-		"a binding type after a time-out":       {book + "further = [\"timeout\"]", []string{"f:4: route \"a\", type book: a binding type gets no further hop"}},
-		"a binding type by default":             {"[defaults]\nfurther = [\"broken\"]\n" + book, []string{"f:2: route \"a\", type book: a binding type gets no further hop"}},
+		"a binding type after an error":         {book + "further = [\"refused\", \"error\"]", []string{"f:4: route \"a\", type book: a non-idempotent type is never retried after \"error\""}},
+		"a binding type after a time-out":       {book + "further = [\"timeout\"]", []string{"f:4: route \"a\", type book: a non-idempotent type is never retried"}},
+		"a binding type by default":             {"[defaults]\nfurther = [\"broken\"]\n" + book, []string{"f:2: route \"a\", type book: a non-idempotent type is never retried"}},
 		"a retry share below 0":                 {route("retry_share = -0.1"), []string{"f:4: route \"a\", type check: retry_share is -0.1"}},
 		"a retry share of nan":                  {route("retry_share = nan"), []string{"f:4: route \"a\", type check: retry_share is NaN"}},
 		"a floor of no budget":                  {route("retry_floor = 5"), []string{"f:4: route \"a\", type check: a floor without retry_share"}},
-		"nothing at once":                       {route("at_once = 0"), []string{"f:4: route \"a\", type check: at_once of 0 turns all away"}},
+		"nothing at once":                       {route("at_once = 0"), []string{"f:4: route \"a\", type check: at_once of 0 rejects every request"}},
 		"waiting for nothing":                   {route("waiting = 5"), []string{"f:4: route \"a\", type check: 5 may wait, but without at_once"}},
 		"fewer than none waiting":               {route("at_once = 5\nwaiting = -1"), []string{"f:5: route \"a\", type check: -1 may wait"}},
 		"a wait past the give-up":               {route("wait = \"1500ms\""), []string{"f:4: route \"a\", type check: a wait of 1.5s"}},
-		"a wait and a hop past the give-up":     {route("hop_time = \"600ms\"\nwait = \"600ms\""), []string{"f:5: route \"a\", type check: a wait of 600ms with a hop of 600ms"}},
+		"a wait and a hop past the give-up":     {route("hop_time = \"600ms\"\nwait = \"600ms\""), []string{"f:5: route \"a\", type check: a wait of 600ms with an attempt of 600ms"}},
 		"a wait below 0":                        {route("wait = \"-1s\""), []string{"f:4: route \"a\", type check: a wait below 0"}},
-		"a rate of nothing":                     {route("rate = 0"), []string{"f:4: route \"a\", type check: a rate of 0 turns all away"}},
+		"a rate of nothing":                     {route("rate = 0"), []string{"f:4: route \"a\", type check: a rate of 0 rejects every request"}},
 		"a rate below 0":                        {route("rate = -3.5"), []string{"f:4: route \"a\", type check: rate is -3.5"}},
 		"a burst of nothing":                    {route("rate = 5\nburst = 0"), []string{"f:5: route \"a\", type check: a burst of 0"}},
 		"a burst without a rate":                {route("burst = 5"), []string{"f:4: route \"a\", type check: a burst of 5 with no rate"}},
 		"a body below 0":                        {route("body_bytes = -1"), []string{"f:4: route \"a\", type check: a body below 0"}},
-		"copies of a binding type":              {book + "copy_after = \"50ms\"", []string{"f:4: route \"a\", type book: a binding type gets no second copy"}},
+		"copies of a binding type":              {book + "copy_after = \"50ms\"", []string{"f:4: route \"a\", type book: a non-idempotent type is never hedged"}},
 		"copies at once":                        {route("copy_after = \"0s\""), []string{"f:4: route \"a\", type check: a copy after 0s"}},
 		"copies past the target":                {route("copy_after = \"200ms\""), []string{"f:4: route \"a\", type check: a copy after 200ms comes past the target"}},
-		"copies past the hop":                   {route("hop_time = \"50ms\"\ncopy_after = \"60ms\""), []string{"f:5: route \"a\", type check: a copy after 60ms comes when a hop of 50ms is over"}},
-		"copies of a single hop":                {route("hops = 1\ncopy_after = \"60ms\""), []string{"f:5: route \"a\", type check: a copy is a second hop"}},
-		"a share of no copies":                  {route("copy_share = 0.1"), []string{"f:4: route \"a\", type check: a share of copies, but no copy_after"}},
+		"copies past the hop":                   {route("hop_time = \"50ms\"\ncopy_after = \"60ms\""), []string{"f:5: route \"a\", type check: a copy after 60ms comes when an attempt of 50ms is over"}},
+		"copies of a single hop":                {route("hops = 1\ncopy_after = \"60ms\""), []string{"f:5: route \"a\", type check: a hedged request is a second attempt"}},
+		"a share of no copies":                  {route("copy_share = 0.1"), []string{"f:4: route \"a\", type check: a share of hedged requests, but no copy_after"}},
 		"more copies than operations":           {route("copy_after = \"60ms\"\ncopy_share = 1.5"), []string{"f:5: route \"a\", type check: copy_share is 1.5"}},
 		"revenue of nothing":                    {route("revenue = 0"), []string{"f:4: route \"a\", type check: revenue is 0"}},
 		"more kept than is offered":             {route("keep = 1.1"), []string{"f:4: route \"a\", type check: keep is 1.1"}},
@@ -120,7 +120,7 @@
 		"four faults, in the order of the file": {route("hops = 9\nrate = 0\nkeep = 2") + second("type = \"dance\""), []string{"f:4: ", "f:5: ", "f:6: ", "f:9: "}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Parse("f", []byte(c.text), told())
+			_, err := Parse("f", []byte(c.text), testSettings())
 			if err == nil {
 				t.Fatal("taken")
 			}
@@ -138,9 +138,9 @@
 			}
 		})
 	}
-	s := told()
+	s := testSettings()
 	s.HedgingAllowed = false
-	if _, err := Parse("f", []byte(route("copy_after = \"60ms\"")), s); err == nil || !strings.Contains(err.Error(), "f:4: route \"a\", type check: the settings bar second copies") {
+	if _, err := Parse("f", []byte(route("copy_after = \"60ms\"")), s); err == nil || !strings.Contains(err.Error(), "f:4: route \"a\", type check: the settings do not allow hedged requests") {
 		t.Errorf("copies that the settings bar: %v", err)
 	}
 }
@@ -175,11 +175,11 @@
 path = "/legacy/**"
 class = "book"
 wait = "0s"
-`), told())
+`), testSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
-	base := told().TrafficTypes
+	base := testSettings().TrafficTypes
 	checks, books, old := base[0], base[1], base[1]
 	checks.AttemptTimeout, checks.MaxAttempts, checks.RetryOn = 50*time.Millisecond, 3, 1<<policy.Overloaded|1<<policy.TimedOut
 	checks.HedgeDelay, checks.HedgeRatio, checks.PoolLabels, checks.MaxShedShare, checks.PriorityWeight = 40*time.Millisecond, 0.05, 1, 0.75, 7
@@ -199,7 +199,7 @@
 		}
 	}
 	var table strings.Builder
-	s := told()
+	s := testSettings()
 	set.PrintTable(&table, s)
 	for _, want := range []string{"hops 3 (6)", "hop_time 50ms (14)", "rate 100 (4)", "3 routes"} {
 		if !strings.Contains(table.String(), want) {
@@ -214,7 +214,7 @@
 	for i := range 5000 {
 		fmt.Fprintf(&b, "[[routes]]\nname = \"r%d\"\npath = \"/check/p%d\"\nhops = 2\nrate = 5\n", i, i)
 	}
-	set, err := Parse("f", []byte(b.String()), told())
+	set, err := Parse("f", []byte(b.String()), testSettings())
 	if err != nil || len(set.Profiles) != 4 {
 		t.Fatalf("%d sets of figures, %v", len(set.Profiles), err)
 	}
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -13,12 +13,12 @@
 	"fernvane/internal/config/settings"
 )
 
-// keys are the limits by their names in the file, in the order of the struct.
+// keys are the fields of Limits, in their order.
 func keys() []reflect.StructField {
 	return reflect.VisibleFields(reflect.TypeFor[Limits]())
 }
 
-// value writes a limit as the file does; ok is false where it is not set.
+// value formats a limit as the file does; ok is false where it is not set.
 func value(v reflect.Value) (text string, ok bool) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -48,8 +48,8 @@
 	return "", false
 }
 
-// PrintTable writes what each route gets for each traffic type, and from which line.
-func (s *Table) PrintTable(w io.Writer, set *settings.Settings) {
+// PrintTable writes the limits of each route for each traffic type, with the lines that set them.
+func (s *Table) PrintTable(w io.Writer, cfg *settings.Settings) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "line\troute\tpath\ttype\tlimits (line)")
 	for i := range s.Routes {
@@ -58,14 +58,14 @@
 			if p < 0 {
 				continue
 			}
-			fmt.Fprintf(t, "%d\t%s\t%s%s\t%s\t%s\n", r.Line, r.Name, r.Path, r.conditions(), set.TypeNames[k], s.limits(i, k, set.TypeNames[k]))
+			fmt.Fprintf(t, "%d\t%s\t%s%s\t%s\t%s\n", r.Line, r.Name, r.Path, r.conditions(), cfg.TypeNames[k], s.limits(i, k, cfg.TypeNames[k]))
 		}
 	}
 	t.Flush()
 	fmt.Fprintf(w, "%d routes, %d sets of figures, %d pools; what no route fits is under the settings alone\n", len(s.Routes), len(s.Profiles), len(s.Pools))
 }
 
-// others is what a route asks beside the path.
+// conditions are those of a route beside its path.
 func (r *Route) conditions() string {
 	var all []string
 	if len(r.Methods) > 0 {
@@ -111,19 +111,19 @@
 	return s.Routes[route].Line
 }
 
-// Explain says which route a request takes, which others fit and why they come after it, and what holds for it.
-func (s *Table) Explain(w io.Writer, q *Request, set *settings.Settings) {
+// Explain writes which route a request matches, its limits, and why each other route does not match or comes after.
+func (s *Table) Explain(w io.Writer, q *Request, cfg *settings.Settings) {
 	route, kind := s.Match(q)
 	if kind < 0 {
 		fmt.Fprintf(w, "no traffic type: the first part of %s is none, and no route sets one; such a request is answered 404\n", q.Path)
 		return
 	}
 	if route < 0 {
-		fmt.Fprintf(w, "no route; type %s under the settings alone\n", set.TypeNames[kind])
+		fmt.Fprintf(w, "no route; type %s under the settings alone\n", cfg.TypeNames[kind])
 	} else {
 		r := &s.Routes[route]
-		fmt.Fprintf(w, "route %s (line %d), type %s\n", r.Name, r.Line, set.TypeNames[kind])
-		fmt.Fprintf(w, "  limits: %s\n", s.limits(route, kind, set.TypeNames[kind]))
+		fmt.Fprintf(w, "route %s (line %d), type %s\n", r.Name, r.Line, cfg.TypeNames[kind])
+		fmt.Fprintf(w, "  limits: %s\n", s.limits(route, kind, cfg.TypeNames[kind]))
 		for f := r.fallback; f >= 0; f = s.Routes[f].fallback {
 			fmt.Fprintf(w, "  falls back to %s (line %d)\n", s.Routes[f].Name, s.Routes[f].Line)
 		}
@@ -133,7 +133,7 @@
 			continue
 		}
 		other := &s.Routes[i]
-		if why := other.fits(q); why != "" {
+		if why := other.matches(q); why != "" {
 			fmt.Fprintf(w, "not %s (line %d): %s\n", other.Name, other.Line, why)
 		} else if route >= 0 {
 			_, by := compare(&s.Routes[route].Route, &other.Route)
@@ -142,7 +142,7 @@
 	}
 }
 
-// Schema is the JSON schema of the operator's file.
+// Schema is the JSON schema of the operator's file, which `fernvane check` prints.
 func Schema() map[string]any {
 	limits := properties(reflect.TypeFor[Limits]())
 	route := properties(reflect.TypeFor[Route]())
--- a/internal/route/file.go
+++ b/internal/route/file.go
@@ -1,6 +1,3 @@
-// Package route decides which limits an operation is under, from the operator's file, and whether a route takes one
-// more. It is free of I/O. What becomes of an operation that is taken the decision module decides, to which each route
-// and traffic type is a type with figures of its own.
 package route
 
 import (
@@ -10,28 +7,30 @@
 // Duration is a duration as the file writes it.
 type Duration = tomlfile.Duration
 
-// Limits may stand in [defaults], [class.NAME] and [[routes]]; what is nearer to the route wins, key by key.
+// Limits may stand in [defaults], [class.NAME] and [[routes]]. A key in a route goes before the same key in its class,
+// and that before the defaults. A nil field is not set.
 type Limits struct {
 	TargetTime     *Duration `toml:"target" unit:"time" doc:"answers after this are worth nothing"`
-	AttemptTimeout *Duration `toml:"hop_time" unit:"time" doc:"for one hop, so that time is left for another"`
-	MaxAttempts    *int      `toml:"hops" unit:"number" doc:"most hops of an operation"`
-	RetryOn        []string  `toml:"further" unit:"list" doc:"what may be followed by a further hop: refused, unreachable, error, timeout, broken"`
-	RetryShare     *float64  `toml:"retry_share" unit:"share" doc:"further hops for each first one; without it there is no budget"`
-	RetryFloor     *float64  `toml:"retry_floor" unit:"a second" doc:"further hops that are allowed beside that share"`
-	MaxInFlight    *int      `toml:"at_once" unit:"number" doc:"operations with a hop out at a time"`
-	MaxQueued      *int      `toml:"waiting" unit:"number" doc:"operations that may wait beside them"`
-	MaxQueueTime   *Duration `toml:"wait" unit:"time" doc:"how long one may wait for its turn"`
-	Rate           *float64  `toml:"rate" unit:"a second" doc:"operations taken"`
-	Burst          *int      `toml:"burst" unit:"number" doc:"operations taken at once when none came before; by default a tenth of rate"`
+	AttemptTimeout *Duration `toml:"hop_time" unit:"time" doc:"for one attempt, so that time is left for another"`
+	MaxAttempts    *int      `toml:"hops" unit:"number" doc:"most attempts of a request"`
+	RetryOn        []string  `toml:"further" unit:"list" doc:"outcomes after which a retry is allowed: refused, unreachable, error, timeout, broken"`
+	RetryShare     *float64  `toml:"retry_share" unit:"share" doc:"retries for each first attempt; without it there is no retry budget"`
+	RetryFloor     *float64  `toml:"retry_floor" unit:"a second" doc:"retries that are allowed beside that share"`
+	MaxInFlight    *int      `toml:"at_once" unit:"number" doc:"requests with an attempt in flight at a time"`
+	MaxQueued      *int      `toml:"waiting" unit:"number" doc:"requests that may be queued beside them"`
+	MaxQueueTime   *Duration `toml:"wait" unit:"time" doc:"how long a request may be queued"`
+	Rate           *float64  `toml:"rate" unit:"a second" doc:"requests admitted"`
+	Burst          *int      `toml:"burst" unit:"number" doc:"requests admitted at once when none came before; by default a tenth of rate"`
 	MaxBodyBytes   *int      `toml:"body_bytes" unit:"bytes" doc:"most of a request's body"`
-	HedgeAfter     *Duration `toml:"copy_after" unit:"time" doc:"a second copy goes out when the first hop has taken so long"`
-	HedgeShare     *float64  `toml:"copy_share" unit:"share" doc:"copies for each operation; by default 0.05"`
+	HedgeAfter     *Duration `toml:"copy_after" unit:"time" doc:"a hedged request is sent when the first attempt has taken so long"`
+	HedgeShare     *float64  `toml:"copy_share" unit:"share" doc:"hedged requests for each request; by default 0.05"`
 	Pool           *string   `toml:"pool" unit:"name" doc:"servers that may be used"`
-	Revenue        *float64  `toml:"revenue" unit:"number" doc:"of one operation; the dearer are kept longer under overload"`
-	MinAdmitted    *float64  `toml:"keep" unit:"share" doc:"of what is offered that overload does not deny by chance"`
-	// Tenants is the part of rate and of at_once with waiting that each tenant may use up; "other" is for unknown ones.
-	Tenants  map[string]float64 `toml:"tenant_shares" unit:"shares" doc:"the most of the route's rate and places that each tenant may use; \"other\" for those that the settings do not name"`
-	Fallback *string            `toml:"fallback" unit:"name" doc:"the route whose limits hold for what this one has no place for"`
+	Revenue        *float64  `toml:"revenue" unit:"number" doc:"priority weight of one request; overload sheds the lowest first"`
+	MinAdmitted    *float64  `toml:"keep" unit:"share" doc:"of the requests that overload does not shed"`
+	// Tenants is the share of rate and of at_once with waiting that each tenant may use; "other" is for tenants that
+	// the settings do not name.
+	Tenants  map[string]float64 `toml:"tenant_shares" unit:"shares" doc:"the most of the route's rate and slots that each tenant may use; \"other\" for those that the settings do not name"`
+	Fallback *string            `toml:"fallback" unit:"name" doc:"the route whose limits hold for what this one rejects"`
 }
 
 // Route is an entry of [[routes]].
@@ -42,11 +41,11 @@
 	Methods []string          `toml:"methods" unit:"list" doc:"of the request"`
 	Tenants []string          `toml:"tenants" unit:"list" doc:"that it is for"`
 	Headers map[string]string `toml:"headers" unit:"table" doc:"fields that must be there with these values"`
-	Class   string            `toml:"class" unit:"name" doc:"traffic type that operations are taken for, whatever their path"`
+	Class   string            `toml:"class" unit:"name" doc:"traffic type that requests are taken for, whatever their path"`
 	Limits
 }
 
-// Pool names servers. A server is in it if it fits every key that is given.
+// Pool names servers. A server is in it if it matches every key that is given.
 type Pool struct {
 	Name    string   `toml:"name" unit:"name" doc:"that routes use"`
 	Sites   []string `toml:"sites" unit:"list" doc:"where the servers stand"`
@@ -54,7 +53,8 @@
 	Servers []string `toml:"servers" unit:"list" doc:"ids; a * at the end stands for any rest"`
 }
 
-// FastCGI says who speaks it: clients, on a listener of their own, and the servers that fit every key that is given.
+// FastCGI names who speaks FastCGI: clients, on a listener of their own, and the servers that match every key that is
+// given.
 type FastCGI struct {
 	Listen  string   `toml:"listen" unit:"address" doc:"where clients that speak FastCGI connect; read at the start only"`
 	Sites   []string `toml:"sites" unit:"list" doc:"where the servers stand that speak FastCGI"`
@@ -62,7 +62,7 @@
 	Servers []string `toml:"servers" unit:"list" doc:"ids; a * at the end stands for any rest"`
 }
 
-// File is the operator's file.
+// File is the operator's file as it is written.
 type File struct {
 	FastCGI  FastCGI           `toml:"fastcgi"`
 	Defaults Limits            `toml:"defaults"`
@@ -71,19 +71,21 @@
 	Routes   []Route           `toml:"routes"`
 }
 
-// MaxPools is how many pools there may be: as many bits again tell of the same servers which are proved.
+// MaxPools is how many pools there may be. The policy's label word has 64 bits, and each pool needs two: one for all
+// servers in it and one for those among them that are proven (package staleness).
 const MaxPools = 31
 
 const (
 	maxRoutes         = 10_000
-	maxProfiles       = 250 // routes times traffic types with limits of their own; each costs the module some bytes a server
+	maxProfiles       = 250 // routes times traffic types with limits of their own; the policy keeps some bytes a server for each
 	maxPools          = MaxPools
 	maxPathSegments   = 32 // of a path
 	maxHeaders        = 8  // of a route
 	defaultHedgeShare = 0.05
-	burstDivisor      = 10 // of the rate, for a burst that is not stated
+	burstDivisor      = 10 // a burst that is not stated is the rate over this
 )
 
+// valueOr returns *p, or otherwise where p is nil.
 func valueOr[T any](p *T, otherwise T) T {
 	if p == nil {
 		return otherwise
@@ -91,7 +93,7 @@
 	return *p
 }
 
-// over returns l with what it leaves out taken from below.
+// withDefaults returns l with each unset field taken from below.
 func (l Limits) withDefaults(below Limits) Limits {
 	setIfNil(&l.TargetTime, below.TargetTime)
 	setIfNil(&l.AttemptTimeout, below.AttemptTimeout)
@@ -119,6 +121,7 @@
 	return l
 }
 
+// setIfNil sets *p to below where it is nil.
 func setIfNil[T any](p **T, below *T) {
 	if *p == nil {
 		*p = below
--- a/internal/route/fragment.go
+++ b/internal/route/fragment.go
@@ -7,15 +7,15 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// Fragment is a route or a pool that comes from outside the operator's file. It belongs to a service, or to all of them
-// where the service is "".
+// Fragment is a route or a pool that a control process distributes, outside the operator's file. It belongs to a
+// service, or to all services where Service is empty.
 type Fragment struct {
 	Service, Name string
 	route         *Route
 	pool          *Pool
 }
 
-// qualified is the name of a service's part among all that a node holds.
+// qualified is the name of a service's fragment among those of all services.
 func qualified(service, name string) string {
 	if service == "" {
 		return name
@@ -77,7 +77,7 @@
 	return Fragment{Service: service, Name: name, pool: &one}, nil
 }
 
-// hasHeader tells whether a line of the text begins an entry of an array of tables.
+// hasHeader reports whether a line of the text begins an entry of an array of tables.
 func hasHeader(text []byte, header string) bool {
 	for line := range bytes.Lines(text) {
 		if bytes.HasPrefix(bytes.TrimSpace(line), []byte(header)) {
@@ -95,7 +95,7 @@
 	return f.Err()
 }
 
-// named checks that a text, if it names its part, names it as its key does.
+// named checks that a text which names its fragment gives it the name of its key.
 func named(label, key, text string) error {
 	switch {
 	case key == "":
@@ -106,10 +106,10 @@
 	return nil
 }
 
-// isPool tells a pool from a route.
+// isPool reports whether the fragment is a pool; otherwise it is a route.
 func (p Fragment) isPool() bool { return p.pool != nil }
 
-// String names the part as people know it.
+// String names the fragment for logs and faults.
 func (p Fragment) String() string {
 	if p.isPool() {
 		return "pool " + qualified(p.Service, p.Name)
--- a/internal/route/gate.go
+++ b/internal/route/gate.go
@@ -8,37 +8,37 @@
 	"golang.org/x/time/rate"
 )
 
-// Rejection is why a route takes no more.
+// Rejection is why a route does not admit a request.
 type Rejection uint8
 
 const (
-	Admitted            Rejection = iota // no denial: the route takes it
-	RateExceeded                         // more a second than the route takes
-	QueueFull                            // as many in hand as may have a hop out and wait
-	TenantShareExceeded                  // the tenant has used up its part of either
+	Admitted            Rejection = iota // no rejection
+	RateExceeded                         // above the route's rate
+	QueueFull                            // all slots are taken, of requests in flight and queued
+	TenantShareExceeded                  // the tenant's share of rate or slots is used up
 )
 
 func (d Rejection) String() string {
-	return [...]string{"taken", "over its rate", "no place left", "over its tenant's share"}[d]
+	return [...]string{"admitted", "rate exceeded", "queue full", "tenant share exceeded"}[d]
 }
 
-// Admission is what an operation holds from its taking to its answer.
+// Admission is what an admitted request holds until its answer. Its owner passes it to Router.Release once.
 type Admission struct {
-	Type       int // as the module knows it
-	LimitIndex int // likewise
+	Type       int // traffic type of the policy
+	LimitIndex int // route limit of the policy; 0: none
 	tenant     int
 }
 
-// gate is what a route holds for one traffic type of the settings, under the name of both.
+// gate holds the limits of one route for one traffic type of the settings, and what counts against them.
 type gate struct {
 	key            gateKey
 	isUsed         bool
-	maxInFlight    int // operations with a hop out; 0: any number
-	capacity       int // operations in hand, likewise
+	maxInFlight    int // requests with an attempt in flight; 0: unlimited
+	capacity       int // requests in flight and queued; 0: unlimited
 	admitted       int
 	rateLimiter    *rate.Limiter
-	tenantShares   []float64 // by tenant; 0: no share is set
-	tenantAdmitted []int     // operations in hand
+	tenantShares   []float64 // by tenant; 0: not limited
+	tenantAdmitted []int     // requests admitted, by tenant
 	tenantLimiters []*rate.Limiter
 	counts         GateCounts
 }
@@ -48,7 +48,7 @@
 	trafficType int
 }
 
-// GateCounts is what became of operations at a gate.
+// GateCounts counts requests at a gate by what became of them.
 type GateCounts struct {
 	Admitted            int
 	RateExceeded        int
@@ -56,21 +56,21 @@
 	TenantShareExceeded int
 }
 
-// assignGates gives each route and type that has a limit of its own a gate, the same one as before by its name.
-func (l *Router) assignGates(now time.Duration, set *Table) {
+// assignGates gives each route and type with a rate or a concurrency limit a gate: the one it had before, if any.
+func (l *Router) assignGates(now time.Duration, table *Table) {
 	at := map[gateKey]int{}
 	for i := 1; i < len(l.gates); i++ {
-		l.gates[i].isUsed, l.gates[i].maxInFlight = false, 0 // one that is not used any more lets its last operations out
+		l.gates[i].isUsed, l.gates[i].maxInFlight = false, 0 // a gate that is unused stays until its last request is released
 		at[l.gates[i].key] = i
 	}
 	l.gateByRoute = nil
-	if set == nil {
+	if table == nil {
 		return
 	}
 	var free []int
-	l.gateByRoute = make([][]int, len(set.Routes))
-	for i := range set.Routes {
-		r := &set.Routes[i]
+	l.gateByRoute = make([][]int, len(table.Routes))
+	for i := range table.Routes {
+		r := &table.Routes[i]
 		l.gateByRoute[i] = make([]int, len(r.profileByType))
 		for k, p := range r.profileByType {
 			if p < 0 || r.limitsByType[k].Rate == nil && r.limitsByType[k].MaxInFlight == nil {
@@ -80,7 +80,7 @@
 			g, ok := at[name]
 			if !ok {
 				if free == nil {
-					free = l.unusedGates(set)
+					free = l.unusedGates(table)
 				}
 				if len(free) > 0 {
 					g, free = free[0], free[1:]
@@ -92,34 +92,34 @@
 			}
 			l.gateByRoute[i][k] = g
 			l.gates[g].isUsed = true
-			l.gates[g].configure(now, &r.limitsByType[k], set, l.tenantCount)
+			l.gates[g].configure(now, &r.limitsByType[k], table, l.tenantCount)
 		}
 	}
 }
 
-// freeGates are those that neither the set nor an operation in hand uses.
-func (l *Router) unusedGates(set *Table) []int {
+// unusedGates are those that neither the table nor an admitted request uses.
+func (l *Router) unusedGates(table *Table) []int {
 	free := []int{}
 	for i := 1; i < len(l.gates); i++ {
 		g := &l.gates[i]
-		if _, named := set.byName[g.key.route]; !named && !g.isUsed && g.admitted == 0 {
+		if _, named := table.byName[g.key.route]; !named && !g.isUsed && g.admitted == 0 {
 			free = append(free, i)
 		}
 	}
 	return free
 }
 
-var epoch = time.Unix(0, 0) // what the limiters count from
+var epoch = time.Unix(0, 0) // zero time of the limiters
 
-// set takes over limits. What is left of a rate goes on, so that a reload gives nobody a burst anew.
-func (g *gate) configure(now time.Duration, l *Limits, set *Table, tenants int) {
+// configure applies limits. A limiter keeps its tokens over a reload, so that a reload allows no additional burst.
+func (g *gate) configure(now time.Duration, l *Limits, table *Table, tenants int) {
 	g.maxInFlight, g.capacity = valueOr(l.MaxInFlight, 0), 0
 	if g.maxInFlight > 0 {
 		g.capacity = g.maxInFlight + valueOr(l.MaxQueued, 0)
 	}
 	g.tenantShares = make([]float64, tenants+1)
 	for name, share := range l.Tenants {
-		if t, ok := set.tenants[name]; ok {
+		if t, ok := table.tenants[name]; ok {
 			g.tenantShares[t] = share
 		} else {
 			g.tenantShares[tenants] = share
@@ -143,6 +143,7 @@
 	}
 }
 
+// updateLimiter changes old in place, or makes a limiter where there is none.
 func updateLimiter(old *rate.Limiter, now time.Duration, perS float64, burst int) *rate.Limiter {
 	if old == nil {
 		return rate.NewLimiter(rate.Limit(perS), burst)
@@ -153,7 +154,8 @@
 	return old
 }
 
-// Admit asks a route for a place, and its fallbacks after it. A route below 0 is none, and takes all.
+// Admit asks a route, then its fallbacks in turn, to admit a request. A route below 0 is none, and admits all. The
+// rejection is that of the first route that gave one.
 func (l *Router) Admit(now time.Duration, route, kind, tenant int) (Admission, Rejection) {
 	t := tenant
 	if t < 0 || t > l.tenantCount {
@@ -170,19 +172,19 @@
 			break
 		}
 		g := &l.gates[l.gateByRoute[route][kind]]
-		denied := g.admit(now, t)
-		if denied == Admitted {
+		rejection := g.admit(now, t)
+		if rejection == Admitted {
 			k := l.typeOfProfile[r.profileByType[kind]]
 			l.types[k].admitted++
 			return Admission{Type: k, LimitIndex: l.gateByRoute[route][kind], tenant: t}, Admitted
 		}
-		why = cmp.Or(why, denied)
+		why = cmp.Or(why, rejection)
 	}
 	return Admission{}, why
 }
 
 func (g *gate) admit(now time.Duration, tenant int) (d Rejection) {
-	if !g.isUsed { // no limits, no gate
+	if !g.isUsed { // no limits
 		return Admitted
 	}
 	at := epoch.Add(now)
@@ -214,7 +216,7 @@
 	return Admitted
 }
 
-// Release gives back what an operation held.
+// Release gives back what a request held. The dispatcher calls it once for each Admission.
 func (l *Router) Release(g Admission) {
 	k := &l.types[g.Type]
 	if k.admitted--; k.admitted == 0 && !k.isUsed && g.Type >= l.settingsTypes {
@@ -227,7 +229,7 @@
 	}
 }
 
-// Counts tells what became of operations at each gate since the last call, by route.
+// Counts calls each for every route that had requests since the last call, with the requests admitted now.
 func (l *Router) Counts(each func(route string, inHand int, c GateCounts)) {
 	sums, hands, names := map[string]GateCounts{}, map[string]int{}, []string{}
 	for i := 1; i < len(l.gates); i++ {
--- a/internal/route/loosest.go
+++ b/internal/route/loosest.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	maxStatedTime     = 24 * time.Hour // longer than whatever a file may state
+	maxStatedTime     = 24 * time.Hour // above any time that a file may state
 	maxStatedAttempts = 1000
 )
 
-// UncheckedNotice is what Alone cannot look at, for who is told of it.
-const UncheckedNotice = "traffic types, tenants and sites are taken as the file names them; whether the settings have them, allow its times, hops " +
-	"and copies, and which types may run again is left unchecked"
+// UncheckedNotice names what a check under LoosestSettings leaves out; `fernvane check` prints it.
+const UncheckedNotice = "traffic types, tenants and sites are taken as the file names them; whether the settings have them, allow its times, attempts " +
+	"and hedged requests, and which types may run again is left unchecked"
 
-// LoosestSettings is the loosest settings that an operator's file fits: all types, tenants and sites that it names, of which each
-// may run again, and limits above any. A file that is refused under these is wrong under all.
+// LoosestSettings returns the loosest settings that the operator's file at path can be checked against: every traffic
+// type, tenant and site that it names, all types idempotent, limits above any. A file that is at fault under these is at
+// fault under all settings. The error is of reading or parsing the file.
 func LoosestSettings(path string) (*settings.Settings, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Request is what a matcher looks at.
+// Request is what a route is matched by.
 type Request struct {
 	Method  []byte
 	Path    []byte
@@ -16,15 +16,15 @@
 	Headers HeaderGetter
 }
 
-// HeaderGetter finds the value of a header field, nil where it is not there.
+// HeaderGetter returns the value of a header field, nil where it is absent.
 type HeaderGetter interface{ Get(name string) []byte }
 
 const (
-	anySegment = "*"  // a part of a path that may be anything but empty
-	anyRest    = "**" // at the end: any parts that follow, also none
+	anySegment = "*"  // one path segment, not empty
+	anyRest    = "**" // at the end of a path: any segments, or none
 )
 
-// parts splits a path behind its first slash.
+// pathSegments splits a path after its first slash.
 func pathSegments(path string) []string {
 	if path == "/" || path == "" {
 		return nil
@@ -32,7 +32,7 @@
 	return strings.Split(strings.TrimPrefix(path, "/"), "/")
 }
 
-// who is the method and tenant that an entry is for, "" for any.
+// audience is the method and tenant that an entry is for; "" is any.
 type audience struct{ method, tenant string }
 
 type header struct{ name, value string }
@@ -42,22 +42,22 @@
 	route   int
 }
 
-// leaf is what routes of one path ask beside it, the more specific form of who first.
+// leaf holds the routes of one path by the other conditions that they have.
 type leaf struct {
 	by    map[audience][]entry // those with more headers first
-	forms [4]bool              // which forms of who there are: method and tenant, method, tenant, neither
+	forms [4]bool              // which there are, most specific first: method and tenant, method, tenant, neither
 }
 
-// tree is the compiled form: a step for each part of a path, so that the cost of a match goes with the parts of its
-// path and hardly with the number of routes.
+// tree is a trie of path segments: the cost of a match grows with the segments of its path and hardly with the number of
+// routes.
 type tree struct {
 	literal    map[string]*tree
 	anySegment *tree
 	end        *leaf // the path ends here
-	rest       *leaf // whatever follows
+	rest       *leaf // any segments follow
 }
 
-// add puts a route in. It returns the route that it overlaps without order, or -1.
+// add inserts a route. It returns a route that matches the same requests with neither more specific, or -1.
 func (t *tree) add(path []string, r *Route, number int) (clash int) {
 	for i, part := range path {
 		switch {
@@ -128,7 +128,7 @@
 	return form
 }
 
-// overlap: a request may have both sets of headers, as no field is asked for with two values.
+// overlap reports whether a request can satisfy both lists: no field is required with two values.
 func overlap(a, b []header) bool {
 	for _, x := range a {
 		for _, y := range b {
@@ -142,7 +142,7 @@
 
 // match finds the most specific route of a request, -1 for none. It allocates nothing.
 //
-// The order of routes, which is total over those that a set may hold together: the first part of the path in which two
+// The order of routes, which is total over those that a table may hold together: the first segment in which two paths
 // differ decides, a literal before *, * before **, and a path that ends before one that ends in **; then a method named
 // before none; then a tenant named before none; then more headers before fewer.
 func (t *tree) match(path []byte, r *Request) int {
@@ -166,7 +166,7 @@
 	return t.rest.match(r)
 }
 
-// cut takes the first part of what is left of a path, which begins with its slash.
+// nextSegment splits the first segment off the rest of a path, which begins with its slash.
 func nextSegment(path []byte) (part, more []byte) {
 	path = path[1:]
 	if i := bytes.IndexByte(path, '/'); i >= 0 {
@@ -195,7 +195,7 @@
 			all = l.by[audience{}]
 		}
 		for i := range all {
-			if all[i].fits(r) {
+			if all[i].matches(r) {
 				return all[i].route
 			}
 		}
@@ -203,7 +203,7 @@
 	return -1
 }
 
-func (e *entry) fits(r *Request) bool {
+func (e *entry) matches(r *Request) bool {
 	for _, h := range e.headers {
 		if r.Headers == nil || string(r.Headers.Get(h.name)) != h.value {
 			return false
@@ -212,10 +212,10 @@
 	return true
 }
 
-// fits looks at one route by itself, and says what does not fit. It is the plain form of the tree's matching, for
-// explanations and to test the tree against.
-func (r *Route) fits(q *Request) (why string) {
-	if !fitsPath(pathSegments(r.Path), pathSegments(string(q.Path))) {
+// matches matches one route by itself and returns the condition that is not met, "" for a match. Explain uses it; tests
+// compare the tree with it.
+func (r *Route) matches(q *Request) (why string) {
+	if !matchesPath(pathSegments(r.Path), pathSegments(string(q.Path))) {
 		return fmt.Sprintf("the path is not %s", r.Path)
 	}
 	if len(r.Methods) > 0 && !slices.Contains(r.Methods, string(q.Method)) {
@@ -232,7 +232,7 @@
 	return ""
 }
 
-func fitsPath(pattern, path []string) bool {
+func matchesPath(pattern, path []string) bool {
 	for i, p := range pattern {
 		if p == anyRest && i == len(pattern)-1 {
 			return true
@@ -244,7 +244,7 @@
 	return len(path) == len(pattern)
 }
 
-// compare says which of two routes that fit the same request is more specific: below 0 for a, and by what.
+// compare tells which of two routes that match the same request is more specific (below 0: a), and what decides.
 func compare(a, b *Route) (order int, by string) {
 	rank := func(p []string, i int) int {
 		switch {
--- a/internal/route/match_test.go
+++ b/internal/route/match_test.go
@@ -23,7 +23,7 @@
 func naive(routes []Route, q *Request) int {
 	best := -1
 	for i := range routes {
-		if routes[i].fits(q) != "" {
+		if routes[i].matches(q) != "" {
 			continue
 		}
 		if best < 0 {
@@ -80,7 +80,7 @@
 	f.Add("[[routes]]\nname = \"a\"\ntype = \"check\"\nhops = 2\n", "/check/x")
 	f.Add("[defaults]\nrate = 1e9\n[[routes]]\nname=\"x\"\npath=\"/*/**\"\ntenants=[\"dairy\"]\n", "//")
 	f.Fuzz(func(t *testing.T, text, path string) {
-		s := told()
+		s := testSettings()
 		set, err := Parse("f", []byte(text), s)
 		if err != nil {
 			if faults, ok := err.(tomlfile.Faults); ok && len(faults) == 0 {
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -9,34 +9,35 @@
 	"fernvane/policy"
 )
 
-// Update is what the module and the fleet must be told after a swap.
+// Update is what the policy and the dispatcher are given after a Replace.
 type Update struct {
 	Types            []policy.TrafficType
 	InheritFrom      []int
 	MaxInFlight      []int
-	SelectionChanged bool // servers otherwise than before: their labels or what they speak may be others
+	SelectionChanged bool // servers' labels or protocols may have changed
 }
 
-// kind is a traffic type of the module.
+// typeState is a traffic type of the policy.
 type typeState struct {
 	profile    Profile
-	poolLabels uint64 // as the module has them
+	poolLabels uint64 // labels of the policy
 	admitted   int
-	isUsed     bool // by the present set
+	isUsed     bool // by the table in force
 	isFree     bool
 }
 
-// Router holds the routes of a running node over all reloads. It is for one caller at a time.
+// Router holds the routes of a running node over all reloads. It does not lock: the dispatcher calls it under its own
+// mutex.
 type Router struct {
 	table         *Table
-	settingsTypes int // traffic types of the settings, which are the first kinds
-	tenantCount   int // named ones; the number itself stands for the others
+	settingsTypes int // number of traffic types of the settings, the first of types
+	tenantCount   int // number of named tenants; also the index that stands for all others
 	types         []typeState
-	gates         []gate // by room; 0 is none
-	typeOfProfile []int  // by profile of the set
+	gates         []gate // by route limit of the policy; 0: none
+	typeOfProfile []int  // by profile of the table
 	gateByRoute   [][]int
-	poolNames     []string // names by bit of the module's labels
-	bitOfPool     []int    // by pool of the set
+	poolNames     []string // by bit of the policy's labels
+	bitOfPool     []int    // by pool of the table
 }
 
 // NewRouter starts with the settings' own types and no routes.
@@ -48,20 +49,20 @@
 	return l
 }
 
-// Table is the one that holds now, nil for none.
+// Table is the table in force, nil for none.
 func (l *Router) Table() *Table { return l.table }
 
-// Replace has another set hold from now on, nil for none. Operations in hand keep the figures that they began with: what
-// stays the same keeps its index, and what has changed gets another, whose old one is used again when its last
-// operation has its answer. Counters and what is left of rates go on under the route's name.
-func (l *Router) Replace(now time.Duration, set *Table) Update {
+// Replace puts another table in force, nil for none. Requests that are open keep the limits they were admitted under: a
+// traffic type that stays the same keeps its index, one that has changed gets a new index, and the old index is reused
+// once its last request is released. Counts and limiters go on under the route's name.
+func (l *Router) Replace(now time.Duration, table *Table) Update {
 	old := l.table
 	oldKindOf, oldBitOf := l.typeOfProfile, l.bitOfPool
-	l.table = set
-	l.bitOfPool = l.assignPools(set)
+	l.table = table
+	l.bitOfPool = l.assignPools(table)
 	var profiles []Profile
-	if set != nil {
-		profiles = set.Profiles
+	if table != nil {
+		profiles = table.Profiles
 	}
 	for i := range l.types {
 		l.types[i].isUsed = i < l.settingsTypes
@@ -85,15 +86,15 @@
 			}
 			l.types[at] = typeState{profile: p, poolLabels: pools}
 			like[at] = p.BaseType
-			if from := predecessor(old, oldKindOf, set, i); from >= 0 && !l.types[from].isFree && from != at {
+			if from := predecessor(old, oldKindOf, table, i); from >= 0 && !l.types[from].isFree && from != at {
 				like[at] = from
 			}
 		}
 		l.types[at].isUsed = true
 		l.typeOfProfile[i] = at
 	}
-	l.assignGates(now, set)
-	u := Update{InheritFrom: like, SelectionChanged: !slices.Equal(oldBitOf, l.bitOfPool) || !sameSelection(old, set)}
+	l.assignGates(now, table)
+	u := Update{InheritFrom: like, SelectionChanged: !slices.Equal(oldBitOf, l.bitOfPool) || !sameSelection(old, table)}
 	for i := range l.types {
 		l.types[i].isFree = !l.types[i].isUsed && l.types[i].admitted == 0
 		t := l.types[i].profile.Type
@@ -106,7 +107,7 @@
 	return u
 }
 
-// choosesAs tells whether two sets put every server into the same pools, as they number them, and have it speak the same.
+// sameSelection reports whether two tables put every server into the same pools and have it speak the same protocol.
 func sameSelection(a, b *Table) bool {
 	if a == nil || b == nil {
 		return a == b
@@ -118,24 +119,24 @@
 	return slices.EqualFunc(a.Pools, b.Pools, same) && same(speaks(a.FastCGI), speaks(b.FastCGI))
 }
 
-// ancestor is the module's index of what the first route of a profile was before, -1 for nothing.
-func predecessor(old *Table, kindOf []int, set *Table, profile int) int {
+// predecessor is the policy's index of the traffic type that the first route of a profile had before; -1: none.
+func predecessor(old *Table, kindOf []int, table *Table, profile int) int {
 	if old == nil {
 		return -1
 	}
-	was, ok := old.byName[set.Routes[set.firstRoute[profile]].Name]
+	was, ok := old.byName[table.Routes[table.firstRoute[profile]].Name]
 	if !ok {
 		return -1
 	}
-	if p := old.Routes[was].profileByType[set.Profiles[profile].BaseType]; p >= 0 {
+	if p := old.Routes[was].profileByType[table.Profiles[profile].BaseType]; p >= 0 {
 		return kindOf[p]
 	}
 	return -1
 }
 
-// assignPools gives each pool a bit that stays with its name as long as an operation may ask for it.
-func (l *Router) assignPools(set *Table) []int {
-	if set == nil {
+// assignPools gives each pool a bit, which stays with its name as long as an open request may select by it.
+func (l *Router) assignPools(table *Table) []int {
+	if table == nil {
 		return nil
 	}
 	held := uint64(0)
@@ -144,16 +145,16 @@
 			held |= k.poolLabels
 		}
 	}
-	bitOf := make([]int, len(set.Pools))
-	for i, p := range set.Pools {
+	bitOf := make([]int, len(table.Pools))
+	for i, p := range table.Pools {
 		if bitOf[i] = slices.Index(l.poolNames, p.Name); bitOf[i] >= 0 {
 			held |= 1 << bitOf[i]
 		}
 	}
-	for i, p := range set.Pools {
+	for i, p := range table.Pools {
 		if bitOf[i] < 0 {
 			bit := bits.TrailingZeros64(^held)
-			if bit == maxPools { // all bits are asked for by operations in hand: the last serves two names until they end
+			if bit == maxPools { // all bits are in use by open requests: the last serves two names until they end
 				bit--
 			}
 			bitOf[i], l.poolNames[bit] = bit, p.Name
@@ -163,7 +164,7 @@
 	return bitOf
 }
 
-// mapped turns pools as the set numbers them into the module's labels.
+// toLabels turns pools as the table numbers them into the policy's labels.
 func (l *Router) toLabels(pools uint64) (labels uint64) {
 	for i, bit := range l.bitOfPool {
 		if pools&(1<<i) != 0 {
@@ -173,7 +174,7 @@
 	return labels
 }
 
-// Labels are the pools that a server is in, as policy.Member has them.
+// Labels are the pools that a server is in, as policy.Endpoint.Labels has them.
 func (l *Router) Labels(id, site, flavor string) uint64 {
 	if l.table == nil {
 		return 0
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -9,7 +9,7 @@
 
 func parse(t *testing.T, text string) *Table {
 	t.Helper()
-	set, err := Parse("f", []byte(text), told())
+	set, err := Parse("f", []byte(text), testSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 }
 
 // What a route takes, and what it has left after a while or a reload.
-func TestGates(t *testing.T) {
+func TestAdmit(t *testing.T) {
 	const s = time.Second
 	for name, c := range map[string]struct {
 		file string
@@ -58,7 +58,7 @@
 		}, []int{1, 9}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := NewRouter(told())
+			l := NewRouter(testSettings())
 			l.Replace(0, parse(t, c.file))
 			if got := c.play(l); !slices.Equal(got, c.want) {
 				t.Errorf("taken %v, not %v", got, c.want)
@@ -68,9 +68,9 @@
 }
 
 // A file that is swapped while operations are in hand.
-func TestSwap(t *testing.T) {
+func TestReplaceWhileRequestsAreOpen(t *testing.T) {
 	file := func(more string) string { return one3 + more }
-	l := NewRouter(told())
+	l := NewRouter(testSettings())
 	l.Replace(0, parse(t, file("hops = 2\nat_once = 500\nwaiting = 10")))
 	held := take(l, 0, "/check/x", 0, 500)
 
@@ -120,8 +120,8 @@
 }
 
 // A reload gives nobody a burst anew.
-func TestRateOutlivesSwap(t *testing.T) {
-	l := NewRouter(told())
+func TestRateOutlivesReplace(t *testing.T) {
+	l := NewRouter(testSettings())
 	for i := range 5 {
 		l.Replace(0, parse(t, fmt.Sprintf("%srate = 10\nburst = 4\nwait = \"%dms\"", one3, i+1)))
 		want := 0
@@ -136,7 +136,7 @@
 
 // Pools keep their labels over files that name them in another order, while operations ask for them.
 func TestPoolsKeepTheirLabels(t *testing.T) {
-	l := NewRouter(told())
+	l := NewRouter(testSettings())
 	pool := func(name, site string) string { return fmt.Sprintf("[[pools]]\nname = %q\nsites = [%q]\n", name, site) }
 	u := l.Replace(0, parse(t, pool("a", "north")+pool("b", "south")+one3+"pool = \"b\""))
 	held := take(l, 0, "/check/x", 0, 1)[0]
