--- /dev/null
+++ b/internal/route/gate.go
@@ -0,0 +1,254 @@
+package route
+
+import (
+	"cmp"
+	"math"
+	"time"
+
+	"golang.org/x/time/rate"
+)
+
+// Rejection is why a route does not admit a request.
+type Rejection uint8
+
+const (
+	Admitted            Rejection = iota // no rejection
+	RateExceeded                         // above the route's rate
+	QueueFull                            // all slots are taken, of requests in flight and queued
+	TenantShareExceeded                  // the tenant's share of rate or slots is used up
+)
+
+func (d Rejection) String() string {
+	return [...]string{"admitted", "rate exceeded", "queue full", "tenant share exceeded"}[d]
+}
+
+// Admission is what an admitted request holds until its answer. Its owner passes it to Router.Release once.
+type Admission struct {
+	Type       int // traffic type of the policy
+	LimitIndex int // route limit of the policy; 0: none
+	tenant     int
+}
+
+// gate holds the limits of one route for one traffic type of the settings, and what counts against them.
+type gate struct {
+	key            gateKey
+	isUsed         bool
+	maxInFlight    int // requests with an attempt in flight; 0: unlimited
+	capacity       int // requests in flight and queued; 0: unlimited
+	admitted       int
+	rateLimiter    *rate.Limiter
+	tenantShares   []float64 // by tenant; 0: not limited
+	tenantAdmitted []int     // requests admitted, by tenant
+	tenantLimiters []*rate.Limiter
+	counts         GateCounts
+}
+
+type gateKey struct {
+	route       string
+	trafficType int
+}
+
+// GateCounts counts requests at a gate by what became of them.
+type GateCounts struct {
+	Admitted            int
+	RateExceeded        int
+	QueueFull           int
+	TenantShareExceeded int
+}
+
+// assignGates gives each route and type with a rate or a concurrency limit a gate: the one it had before, if any.
+func (l *Router) assignGates(now time.Duration, table *Table) {
+	at := map[gateKey]int{}
+	for i := 1; i < len(l.gates); i++ {
+		l.gates[i].isUsed, l.gates[i].maxInFlight = false, 0 // a gate that is unused stays until its last request is released
+		at[l.gates[i].key] = i
+	}
+	l.gateByRoute = nil
+	if table == nil {
+		return
+	}
+	var free []int
+	l.gateByRoute = make([][]int, len(table.Routes))
+	for i := range table.Routes {
+		r := &table.Routes[i]
+		l.gateByRoute[i] = make([]int, len(r.profileByType))
+		for k, p := range r.profileByType {
+			if p < 0 || r.limitsByType[k].Rate == nil && r.limitsByType[k].MaxInFlight == nil {
+				continue
+			}
+			name := gateKey{r.Name, k}
+			g, ok := at[name]
+			if !ok {
+				if free == nil {
+					free = l.unusedGates(table)
+				}
+				if len(free) > 0 {
+					g, free = free[0], free[1:]
+				} else {
+					g = len(l.gates)
+					l.gates = append(l.gates, gate{})
+				}
+				l.gates[g] = gate{key: name, tenantAdmitted: make([]int, l.tenantCount+1)}
+			}
+			l.gateByRoute[i][k] = g
+			l.gates[g].isUsed = true
+			l.gates[g].configure(now, &r.limitsByType[k], table, l.tenantCount)
+		}
+	}
+}
+
+// unusedGates are those that neither the table nor an admitted request uses.
+func (l *Router) unusedGates(table *Table) []int {
+	free := []int{}
+	for i := 1; i < len(l.gates); i++ {
+		g := &l.gates[i]
+		if _, named := table.byName[g.key.route]; !named && !g.isUsed && g.admitted == 0 {
+			free = append(free, i)
+		}
+	}
+	return free
+}
+
+var epoch = time.Unix(0, 0) // zero time of the limiters
+
+// configure applies limits. A limiter keeps its tokens over a reload, so that a reload allows no additional burst.
+func (g *gate) configure(now time.Duration, l *Limits, table *Table, tenants int) {
+	g.maxInFlight, g.capacity = valueOr(l.MaxInFlight, 0), 0
+	if g.maxInFlight > 0 {
+		g.capacity = g.maxInFlight + valueOr(l.MaxQueued, 0)
+	}
+	g.tenantShares = make([]float64, tenants+1)
+	for name, share := range l.Tenants {
+		if t, ok := table.tenants[name]; ok {
+			g.tenantShares[t] = share
+		} else {
+			g.tenantShares[tenants] = share
+		}
+	}
+	if l.Rate == nil {
+		g.rateLimiter, g.tenantLimiters = nil, nil
+		return
+	}
+	burst := valueOr(l.Burst, int(max(*l.Rate/burstDivisor, 1)))
+	g.rateLimiter = updateLimiter(g.rateLimiter, now, *l.Rate, burst)
+	if g.tenantLimiters == nil {
+		g.tenantLimiters = make([]*rate.Limiter, tenants+1)
+	}
+	for t, share := range g.tenantShares {
+		if share == 0 {
+			g.tenantLimiters[t] = nil
+			continue
+		}
+		g.tenantLimiters[t] = updateLimiter(g.tenantLimiters[t], now, *l.Rate*share, int(math.Ceil(float64(burst)*share)))
+	}
+}
+
+// updateLimiter changes old in place, or makes a limiter where there is none.
+func updateLimiter(old *rate.Limiter, now time.Duration, perS float64, burst int) *rate.Limiter {
+	if old == nil {
+		return rate.NewLimiter(rate.Limit(perS), burst)
+	}
+	at := epoch.Add(now)
+	old.SetLimitAt(at, rate.Limit(perS))
+	old.SetBurstAt(at, burst)
+	return old
+}
+
+// Admit asks a route, then its fallbacks in turn, to admit a request. A route below 0 is none, and admits all. The
+// rejection is that of the first route that gave one.
+func (l *Router) Admit(now time.Duration, route, kind, tenant int) (Admission, Rejection) {
+	t := tenant
+	if t < 0 || t > l.tenantCount {
+		t = l.tenantCount
+	}
+	if route < 0 {
+		l.types[kind].admitted++
+		return Admission{Type: kind, tenant: t}, Admitted
+	}
+	why := Admitted
+	for ; route >= 0; route = l.table.Routes[route].fallback {
+		r := &l.table.Routes[route]
+		if r.profileByType[kind] < 0 {
+			break
+		}
+		g := &l.gates[l.gateByRoute[route][kind]]
+		rejection := g.admit(now, t)
+		if rejection == Admitted {
+			k := l.typeOfProfile[r.profileByType[kind]]
+			l.types[k].admitted++
+			return Admission{Type: k, LimitIndex: l.gateByRoute[route][kind], tenant: t}, Admitted
+		}
+		why = cmp.Or(why, rejection)
+	}
+	return Admission{}, why
+}
+
+func (g *gate) admit(now time.Duration, tenant int) (d Rejection) {
+	if !g.isUsed { // no limits
+		return Admitted
+	}
+	at := epoch.Add(now)
+	own := (*rate.Limiter)(nil)
+	if g.tenantLimiters != nil {
+		own = g.tenantLimiters[tenant]
+	}
+	share := g.tenantShares[tenant]
+	switch {
+	case g.capacity > 0 && g.admitted >= g.capacity:
+		g.counts.QueueFull++
+		return QueueFull
+	case g.capacity > 0 && share > 0 && float64(g.tenantAdmitted[tenant]) >= max(share*float64(g.capacity), 1):
+		g.counts.TenantShareExceeded++
+		return TenantShareExceeded
+	case own != nil && own.TokensAt(at) < 1:
+		g.counts.TenantShareExceeded++
+		return TenantShareExceeded
+	case g.rateLimiter != nil && !g.rateLimiter.AllowN(at, 1):
+		g.counts.RateExceeded++
+		return RateExceeded
+	}
+	if own != nil {
+		own.AllowN(at, 1)
+	}
+	g.admitted++
+	g.tenantAdmitted[tenant]++
+	g.counts.Admitted++
+	return Admitted
+}
+
+// Release gives back what a request held. The dispatcher calls it once for each Admission.
+func (l *Router) Release(g Admission) {
+	k := &l.types[g.Type]
+	if k.admitted--; k.admitted == 0 && !k.isUsed && g.Type >= l.settingsTypes {
+		k.isFree = true
+	}
+	if g.LimitIndex > 0 {
+		r := &l.gates[g.LimitIndex]
+		r.admitted--
+		r.tenantAdmitted[g.tenant]--
+	}
+}
+
+// Counts calls each for every route that had requests since the last call, with the requests admitted now.
+func (l *Router) Counts(each func(route string, inHand int, c GateCounts)) {
+	sums, hands, names := map[string]GateCounts{}, map[string]int{}, []string{}
+	for i := 1; i < len(l.gates); i++ {
+		g := &l.gates[i]
+		if g.counts == (GateCounts{}) && g.admitted == 0 {
+			continue
+		}
+		s, ok := sums[g.key.route]
+		if !ok {
+			names = append(names, g.key.route)
+		}
+		s.Admitted += g.counts.Admitted
+		s.RateExceeded += g.counts.RateExceeded
+		s.QueueFull += g.counts.QueueFull
+		s.TenantShareExceeded += g.counts.TenantShareExceeded
+		sums[g.key.route], hands[g.key.route] = s, hands[g.key.route]+g.admitted
+		g.counts = GateCounts{}
+	}
+	for _, name := range names {
+		each(name, hands[name], sums[name])
+	}
+}
