--- a/policy/whatif_test.go
+++ b/policy/whatif_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// played runs a day with failures in it; ask is called before each input.
-func played(t *testing.T, ask func(r *rig, now time.Duration, in *Input) []Effect) (all []Effect, differ int) {
-	r := newRig(t, 5, func(s *Settings) {
+// playDay plays a day with failures; ask is called before each input. It returns all effects and how many inputs
+// ask answered otherwise.
+func playDay(t *testing.T, ask func(r *harness, now time.Duration, in *Input) []Effect) (all []Effect, differ int) {
+	r := newHarness(t, 5, func(s *Settings) {
 		s.MaxRetryAfter, s.HedgingAllowed, s.TenantQuotas = time.Second, true, []float64{40, 4}
 	})
 	give := func(now time.Duration, in Input) []Effect {
@@ -23,8 +24,8 @@
 	}
 	for i := range 400 {
 		now := time.Duration(i) * 7 * ms
-		op := r.ops
-		r.ops++
+		op := r.arrivals
+		r.arrivals++
 		all = append(all, give(now, Input{Kind: RequestArrived, Request: op, TrafficType: i % 4, Tenant: i % 2, Key: uint32(i % 9), Timeout: time.Second})...)
 		all = append(all, give(now, Input{Kind: TimerFired})...)
 		if i%3 > 0 {
@@ -35,9 +36,10 @@
 	return all, differ
 }
 
-// What is asked beside leaves no trace, and is what the module itself would decide where the settings are the same.
-func TestWhatIfLeavesNoTrace(t *testing.T) {
-	alone, _ := played(t, func(*rig, time.Duration, *Input) []Effect { return nil })
+// TestWhatIfChangesNothing checks that WhatIf changes nothing and agrees with the policy where the settings are
+// the same.
+func TestWhatIfChangesNothing(t *testing.T) {
+	alone, _ := playDay(t, func(*harness, time.Duration, *Input) []Effect { return nil })
 	for name, c := range map[string]struct {
 		change func(*Settings)
 		same   bool
@@ -48,8 +50,8 @@
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			watched, differ := played(t, func(r *rig, now time.Duration, in *Input) []Effect {
-				s := r.set
+			watched, differ := playDay(t, func(r *harness, now time.Duration, in *Input) []Effect {
+				s := r.settings
 				s.TrafficTypes = slices.Clone(s.TrafficTypes)
 				c.change(&s)
 				return r.WhatIf(&s, now, in, nil)
@@ -64,25 +66,25 @@
 	}
 }
 
-// Also a change of allowances that is asked beside, after some have changed, leaves those of the module alone.
-func TestWhatIfLeavesAllowances(t *testing.T) {
-	r := newRig(t, 1, func(s *Settings) { s.TenantQuotas = []float64{40, 4} })
+// TestWhatIfKeepsQuotas checks that a change of quotas in WhatIf leaves those of the policy alone.
+func TestWhatIfKeepsQuotas(t *testing.T) {
+	r := newHarness(t, 1, func(s *Settings) { s.TenantQuotas = []float64{40, 4} })
 	r.at(0, Input{Kind: QuotasChanged, Quotas: []Quota{{Tenant: 0, PerSecond: 50}}})
-	other := r.set
+	other := r.settings
 	r.WhatIf(&other, 0, &Input{Kind: QuotasChanged, Quotas: []Quota{{Tenant: 0, PerSecond: 60}}}, nil)
-	if got := r.set.TenantQuotas[0]; got != 50 {
+	if got := r.settings.TenantQuotas[0]; got != 50 {
 		t.Errorf("the allowance is %v, not 50", got)
 	}
 }
 
-// A copy shares no memory that may be written to, whatever fields are added: a field forgotten in copied is found here.
-func TestCopiedSharesNothing(t *testing.T) {
-	r := newRig(t, 3, func(s *Settings) { s.TenantQuotas = []float64{1} }).takeAll()
-	r.within = []float64{1}
-	r.members.SetLabels(0, 1)
-	r.members.SetPlacements(0, 1)
+// TestCloneSharesNothing checks every field of a clone, so that one forgotten in clone is found.
+func TestCloneSharesNothing(t *testing.T) {
+	r := newHarness(t, 3, func(s *Settings) { s.TenantQuotas = []float64{1} }).fillSubset()
+	r.quotas.withinQuotaShares = []float64{1}
+	r.readiness.SetLabels(0, 1)
+	r.readiness.SetPlacements(0, 1)
 	op, _ := r.arriveAt(0, 0, time.Second)
-	c := r.copied(op)
+	c := r.clone(op)
 	var look func(name string, a, b reflect.Value)
 	look = func(name string, a, b reflect.Value) {
 		switch a.Kind() {
@@ -99,7 +101,7 @@
 			}
 		case reflect.Struct:
 			for i := range a.NumField() {
-				if f := a.Type().Field(i).Name; f != "set" && f != "rows" && f != "effects" { // read only, or set anew
+				if f := a.Type().Field(i).Name; f != "settings" && f != "transitions" && f != "effects" { // read only, or set anew
 					look(name+"."+f, a.Field(i), b.Field(i))
 				}
 			}
@@ -111,11 +113,11 @@
 }
 
 func BenchmarkWhatIf(b *testing.B) {
-	r := newRig(&testing.T{}, 100, nil).takeAll()
+	r := newHarness(&testing.T{}, 100, nil).fillSubset()
 	for range 100 {
 		r.arriveAt(0, 0, time.Hour)
 	}
 	for b.Loop() {
-		r.WhatIf(&r.set, time.Second, &Input{Kind: AttemptEnded, Outcome: Success, ClientAnswered: true}, nil)
+		r.WhatIf(&r.settings, time.Second, &Input{Kind: AttemptEnded, Outcome: Success, ClientAnswered: true}, nil)
 	}
 }
