--- /dev/null
+++ b/internal/discovery/endpoints/endpoint.go
@@ -0,0 +1,71 @@
+package endpoints
+
+import (
+	"net/netip"
+	"time"
+
+	"fernvane/internal/discovery/incarnation"
+)
+
+// Source is who announces endpoints. Its numbers are stored in list snapshots.
+type Source uint8
+
+// The sources, from the least trusted.
+const (
+	SourceConfig       Source = iota // the list in the configuration, of unknown age
+	SourceSnapshot                   // the node's own list snapshot, as far as it is trusted
+	SourceDiscovery                  // polled by this node
+	SourceRegistry                   // read by this node
+	SourcePlanners                   // who have polled discovery
+	SourceDistribution               // control processes, or this node's copy of their entries
+)
+
+var sourceNames = [...]string{
+	SourceConfig:       "the saved list",
+	SourceSnapshot:     "the disk",
+	SourceDiscovery:    "discovery",
+	SourceRegistry:     "a registry",
+	SourcePlanners:     "planners",
+	SourceDistribution: "the distribution",
+}
+
+// String returns the source's name in the log.
+func (s Source) String() string { return sourceNames[s] }
+
+// Endpoint is what a source announces of one server.
+type Endpoint struct {
+	ID            string
+	Zone          string
+	MachineKind   string
+	Address       netip.AddrPort // not valid if the source does not say
+	Cell          int            // the failure domain inside the zone
+	Weight        float64        // capacity relative to other servers
+	StartedUnixMS int64          // 0 if the source does not say
+	Condition     incarnation.Condition
+}
+
+// Record is what a View holds of one server.
+type Record struct {
+	Endpoint
+	Source      Source        // of the last announcement
+	AnnouncedAt time.Duration // the last announcement
+	IsUsable    bool          // may get new requests: announced as up, and not removed or replaced since
+	LeftAt      time.Duration // since when it is not usable
+	IsReplaced  bool          // another server uses its address now; nothing at all may be sent there
+	ExecutedAt  time.Duration // when it last answered a request that it had executed
+	HasExecuted bool          // whether it ever did
+}
+
+// Update is what an announcement changes.
+type Update struct {
+	Changed   []Record // in the order in which they are to be applied
+	CloseIdle []string // servers whose idle connections are of no use any more, in the order of their IDs
+}
+
+// Observation is what an attempt shows about a server. Without any of its bools, no connection was made.
+type Observation struct {
+	Server        string
+	HasResponded  bool
+	HasExecuted   bool // the response shows that the request was executed
+	IsOtherServer bool // the response names another server
+}
