--- a/internal/discovery/watch/follow.go
+++ b/internal/discovery/watch/follow.go
@@ -9,40 +9,43 @@
 )
 
 const (
-	initialRetryDelay = 250 * time.Millisecond // after the first call that failed; doubles, for discovery has little capacity
-	maxRetryDelay     = 4 * time.Second        // between two tries to reach it
+	// initialRetryDelay is the pause after a first failed poll. It doubles with each further one, up to maxRetryDelay, since
+	// discovery has little capacity.
+	initialRetryDelay = 250 * time.Millisecond
+	maxRetryDelay     = 4 * time.Second
 )
 
-// Listener is told what following discovery brings. Its functions are called one after another.
+// Listener receives what Follow learns. Its functions are called one after another.
 type Listener struct {
-	OnList  func(http1.EndpointList) // a whole list at first, then changes, or a whole list where discovery counts anew
-	OnError func(error)              // a call failed and is made again
+	// OnList receives a full list first, then changes, or a full list again if discovery counts its revisions anew.
+	OnList func(http1.EndpointList)
+	// OnError receives why a poll failed. It is repeated.
+	OnError func(error)
 }
 
-// Follow watches discovery's list for processes that ask it by themselves, as control processes and planners do, until the
-// context ends. Nodes have their decision module say when to ask.
-func Follow(ctx context.Context, place *Target, tell Listener) {
-	w := Watcher{Target: place, WantsFullList: true}
+// Follow polls the target until the context ends.
+func Follow(ctx context.Context, target *Target, listener Listener) {
+	w := Watcher{Target: target, WantsFullList: true}
 	defer w.Close()
-	for wait := initialRetryDelay; ctx.Err() == nil; {
+	for delay := initialRetryDelay; ctx.Err() == nil; {
 		began := time.Now()
 		list, err := w.Poll(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			tell.OnError(err)
-			sleep(ctx, time.Duration((0.5+rand.Float64())*float64(wait)))
-			wait = min(2*wait, maxRetryDelay)
+			listener.OnError(err)
+			sleep(ctx, time.Duration((0.5+rand.Float64())*float64(delay)))
+			delay = min(2*delay, maxRetryDelay)
 			continue
 		}
-		wait = initialRetryDelay
-		if !list.Complete && list.Revision < w.Revision { // it counts from elsewhere now
+		delay = initialRetryDelay
+		if !list.Complete && list.Revision < w.Revision { // discovery counts its revisions anew
 			w.WantsFullList = true
 			continue
 		}
 		w.WantsFullList, w.Revision = false, list.Revision
-		tell.OnList(list)
+		listener.OnList(list)
 		sleep(ctx, MinPollInterval-time.Since(began))
 	}
 }
