--- a/internal/discovery/snapshot/config.go
+++ b/internal/discovery/snapshot/config.go
@@ -1,5 +1,3 @@
-// Package snapshot keeps a node's list of servers on disk over its death: generations of one file, each whole or not
-// there, of which the newest whole one is read. How far it is to be believed is decided in trust.
 package snapshot
 
 import (
@@ -9,22 +7,26 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// Config is an operator's file of the snapshot.
+// Config is the operator's file of the list snapshots.
 type Config struct {
 	Dir            string            `toml:"dir"`
-	Deployment     string            `toml:"deployment"` // a list of another one is refused
-	WriteInterval  tomlfile.Duration `toml:"every"`      // least time between two generations
-	MaxGenerations int               `toml:"keep"`       // generations
-	MaxAge         tomlfile.Duration `toml:"oldest"`     // a list that was confirmed so long ago is not used at all
+	Deployment     string            `toml:"deployment"` // a list of another deployment is not used
+	WriteInterval  tomlfile.Duration `toml:"every"`      // the least time between two generations
+	MaxGenerations int               `toml:"keep"`
+	MaxAge         tomlfile.Duration `toml:"oldest"` // a list that was confirmed longer ago is not used
 }
 
-// Load reads the file; each fault is named by file and line.
+// Load reads the file. The error names each fault by file and line.
 func Load(path string) (*Config, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{WriteInterval: tomlfile.Duration(2 * time.Second), MaxGenerations: 3, MaxAge: tomlfile.Duration(7 * 24 * time.Hour)}
+	c := &Config{
+		WriteInterval:  tomlfile.Duration(2 * time.Second),
+		MaxGenerations: 3,
+		MaxAge:         tomlfile.Duration(7 * 24 * time.Hour),
+	}
 	f, err := tomlfile.Parse(path, text, c)
 	if err != nil {
 		return nil, err
--- a/internal/discovery/snapshot/store.go
+++ b/internal/discovery/snapshot/store.go
@@ -12,6 +12,7 @@
 	"fernvane/internal/journal/wal"
 )
 
+// Names of files: list-000000000001.snap, with .new appended while it is written.
 const (
 	filePrefix    = "list-"
 	fileSuffix    = ".snap"
@@ -26,17 +27,17 @@
 	nextNumber     uint64
 }
 
-// Generation is a file of a folder.
+// Generation is one file of a Store.
 type Generation struct {
-	Number   uint64
+	Number   uint64 // grows with each generation
 	Path     string
-	Snapshot *Snapshot // nil: it cannot be gone by
-	Err      error
+	Snapshot *Snapshot // nil if Err is set
+	Err      error     // why the file cannot be used
 }
 
-// Open looks at a folder.
-func Open(dir string, keep int, files wal.FileSystem) (*Store, error) {
-	s := &Store{dir: dir, files: files, maxGenerations: max(keep, 1), nextNumber: 1}
+// Open returns the Store of a folder that exists. It keeps at most maxGenerations.
+func Open(dir string, maxGenerations int, files wal.FileSystem) (*Store, error) {
+	s := &Store{dir: dir, files: files, maxGenerations: max(maxGenerations, 1), nextNumber: 1}
 	numbers, err := s.numbers()
 	if err != nil {
 		return nil, err
@@ -47,37 +48,27 @@
 	return s, nil
 }
 
-// numbers of the generations that are there, the oldest first.
-func (s *Store) numbers() (all []uint64, err error) {
-	infos, err := s.files.List(s.dir)
+// Write stores the next generation and removes the oldest ones. A file is synced before it gets its name, and has its name
+// before older ones are removed, so wherever that is interrupted, the newest complete generation is this one or the one
+// before.
+func (s *Store) Write(snapshot *Snapshot) error {
+	b, err := Encode(snapshot)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	for _, i := range infos {
-		text, ok := strings.CutPrefix(i.Name, filePrefix)
-		text, whole := strings.CutSuffix(text, fileSuffix)
-		if n, err := strconv.ParseUint(text, 10, 64); ok && whole && err == nil {
-			all = append(all, n)
-		}
+	path := s.path(s.nextNumber)
+	s.nextNumber++
+	if err := s.writeFile(path, b); err != nil {
+		return err
 	}
-	slices.Sort(all)
-	return all, nil
-}
-
-func (s *Store) path(n uint64) string {
-	return filepath.Join(s.dir, fmt.Sprintf("%s%012d%s", filePrefix, n, fileSuffix))
-}
-
-// Write makes the next generation: a file of its own, made to last before it gets its name, and the name before older
-// ones are removed. Whenever that breaks off, the newest whole generation is either this one or the one before.
-func (s *Store) Write(snap *Snapshot) error {
-	b, err := Encode(snap)
-	if err != nil {
+	if err := s.files.SyncDir(s.dir); err != nil {
 		return err
 	}
-	n := s.nextNumber
-	s.nextNumber++
-	path := s.path(n)
+	return s.Prune(s.maxGenerations)
+}
+
+// writeFile writes and syncs a file under another name, and renames it.
+func (s *Store) writeFile(path string, b []byte) error {
 	f, err := s.files.Create(path + partialSuffix)
 	if err != nil {
 		return err
@@ -91,28 +82,24 @@
 	}
 	if err != nil {
 		s.files.Remove(path + partialSuffix)
-		return err
 	}
-	if err := s.files.SyncDir(s.dir); err != nil {
-		return err
-	}
-	return s.Prune(s.maxGenerations)
+	return err
 }
 
-// Prune removes all but the newest generations, and what broke off before it had its name.
-func (s *Store) Prune(keep int) error {
+// Prune removes all but the newest generations, and files whose writing was interrupted.
+func (s *Store) Prune(maxGenerations int) error {
 	infos, err := s.files.List(s.dir)
 	if err != nil {
 		return err
 	}
 	var errs error
-	for _, i := range infos {
-		if strings.HasPrefix(i.Name, filePrefix) && strings.HasSuffix(i.Name, fileSuffix+partialSuffix) {
-			errs = errors.Join(errs, s.files.Remove(filepath.Join(s.dir, i.Name)))
+	for _, info := range infos {
+		if strings.HasPrefix(info.Name, filePrefix) && strings.HasSuffix(info.Name, fileSuffix+partialSuffix) {
+			errs = errors.Join(errs, s.files.Remove(filepath.Join(s.dir, info.Name)))
 		}
 	}
 	numbers, err := s.numbers()
-	for len(numbers) > keep {
+	for len(numbers) > maxGenerations {
 		errs = errors.Join(errs, s.files.Remove(s.path(numbers[0])))
 		numbers = numbers[1:]
 	}
@@ -127,31 +114,31 @@
 	}
 	slices.Reverse(numbers)
 	var all []Generation
-	for _, n := range numbers {
-		g := Generation{Number: n, Path: s.path(n)}
+	for _, number := range numbers {
+		g := Generation{Number: number, Path: s.path(number)}
 		g.Snapshot, g.Err = s.read(g.Path)
 		all = append(all, g)
 	}
 	return all, nil
 }
 
-// Newest is the newest whole generation, nil if there is none; faults name those that were passed over. One of a newer
-// version ends the search: what is older than that was left behind on purpose.
-func (s *Store) Newest() (newest *Snapshot, faults []error, err error) {
+// Newest returns the newest generation that can be used, nil if there is none, and why newer ones cannot. One of a newer
+// version of the program ends the search: what is older was left behind on purpose.
+func (s *Store) Newest() (newest *Snapshot, unusable []error, err error) {
 	all, err := s.All()
 	if err != nil {
 		return nil, nil, err
 	}
 	for _, g := range all {
 		if g.Err == nil {
-			return g.Snapshot, faults, nil
+			return g.Snapshot, unusable, nil
 		}
-		faults = append(faults, fmt.Errorf("%s: %w", g.Path, g.Err))
+		unusable = append(unusable, fmt.Errorf("%s: %w", g.Path, g.Err))
 		if errors.Is(g.Err, ErrNewerVersion) {
 			break
 		}
 	}
-	return nil, faults, nil
+	return nil, unusable, nil
 }
 
 func (s *Store) read(path string) (*Snapshot, error) {
@@ -166,3 +153,25 @@
 	}
 	return Decode(b)
 }
+
+// numbers returns the numbers of all generations, the oldest first.
+func (s *Store) numbers() (all []uint64, err error) {
+	infos, err := s.files.List(s.dir)
+	if err != nil {
+		return nil, err
+	}
+	for _, info := range infos {
+		name, hasPrefix := strings.CutPrefix(info.Name, filePrefix)
+		digits, hasSuffix := strings.CutSuffix(name, fileSuffix)
+		number, err := strconv.ParseUint(digits, 10, 64)
+		if hasPrefix && hasSuffix && err == nil {
+			all = append(all, number)
+		}
+	}
+	slices.Sort(all)
+	return all, nil
+}
+
+func (s *Store) path(number uint64) string {
+	return filepath.Join(s.dir, fmt.Sprintf("%s%012d%s", filePrefix, number, fileSuffix))
+}
