--- a/internal/discovery/zookeeper/config.go
+++ b/internal/discovery/zookeeper/config.go
@@ -11,17 +11,17 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// Config is an operator's file of the registry.
+// Config is the operator's file of the registry.
 type Config struct {
-	Servers        []string          `toml:"servers"` // the ensemble's addresses
+	Servers        []string          `toml:"servers"` // addresses of the ensemble, host:port
 	Chroot         string            `toml:"chroot"`
-	Path           string            `toml:"path"` // under which servers stand
+	Path           string            `toml:"path"` // whose children are the servers
 	SessionTimeout tomlfile.Duration `toml:"session"`
-	AuthFile       string            `toml:"auth_file"` // with user:password, for digest
-	Credentials    string            `toml:"-"`
+	AuthFile       string            `toml:"auth_file"` // holds Credentials
+	Credentials    string            `toml:"-"`         // user:password, for the digest scheme
 }
 
-// Load reads the file; each fault is named by file and line.
+// Load reads the file. The error names each fault by file and line.
 func Load(file string) (*Config, error) {
 	text, err := tomlfile.Read(file)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return c, f.Err()
 }
 
-// full is the path with its root.
+// fullPath is Path below Chroot.
 func (c *Config) fullPath() string {
 	if c.Chroot == "" || c.Chroot == "/" {
 		return c.Path
--- a/internal/discovery/zookeeper/follow.go
+++ b/internal/discovery/zookeeper/follow.go
@@ -10,63 +10,75 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-const tickInterval = 50 * time.Millisecond // between two looks at what time changes in the roster
+// tickInterval is the time between two calls of endpoints.Set.Tick.
+const tickInterval = 50 * time.Millisecond
 
-// Listener is told what comes of a registry.
+// Listener receives what Follow learns. OnChange and OnMassRemoval are called from one goroutine, OnError from another.
 type Listener struct {
-	Now           func() time.Duration
-	Observations  <-chan endpoints.Observation                  // how hops end; nil for one that sends none
-	OnChange      func(changed []incarnation.Entry, first bool) // lives that have changed; first: these are all
-	OnError       func(error)
-	OnMassRemoval func(bool) // most servers have vanished together, or are back
+	Now          func() time.Duration
+	Observations <-chan endpoints.Observation // what attempts show about servers; nil if nobody sends any
+
+	// OnChange receives the entries that have changed; isFirst says that these are all.
+	OnChange func(changed []incarnation.Entry, isFirst bool)
+	// OnError receives what cannot be read of the registry.
+	OnError func(error)
+	// OnMassRemoval receives whether it is suspected that the registry has lost most entries, whenever that changes. While
+	// it is, the last list is retained.
+	OnMassRemoval func(isSuspected bool)
 }
 
-// Follow reads a registry until the context ends: what it lists, how hops end and time go through the roster, and what
-// comes of them to the listener, from one goroutine.
+// Follow reads the registry until the context ends. It fails only if the client cannot be built.
 func Follow(ctx context.Context, c *Config, l Listener) error {
 	conn, err := Dial(c)
 	if err != nil {
 		return err
 	}
 	lists := make(chan []endpoints.RegistryEntry, 1)
-	r := NewReader(conn, c, func(all []endpoints.RegistryEntry) {
+	reader := NewReader(conn, c, func(all []endpoints.RegistryEntry) {
 		select {
-		case <-lists: // an older one
+		case <-lists: // an older list
 		default:
 		}
 		lists <- all
 	}, l.OnError)
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return r.Run(ctx) })
+	g.Go(func() error { return reader.Run(ctx) })
 	g.Go(func() error {
-		book, suspicious, first := endpoints.NewSet(), false, true
-		tick := time.NewTicker(tickInterval)
-		defer tick.Stop()
-		for {
-			var changed []incarnation.Entry
-			select {
-			case <-ctx.Done():
-				return nil
-			case all := <-lists:
-				changed = book.ApplyList(l.Now(), all)
-			case e := <-l.Observations:
-				if e.HasResponded {
-					changed = book.ResponseReceived(l.Now(), e.Server)
-				} else {
-					changed = book.ConnectFailed(l.Now(), e.Server)
-				}
-			case <-tick.C:
-				changed = book.Tick(l.Now())
-			}
-			if book.IsMassRemovalSuspected() != suspicious {
-				suspicious = !suspicious
-				l.OnMassRemoval(suspicious)
-			}
-			if len(changed) > 0 {
-				l.OnChange(changed, first)
-				first = false
-			}
-		}
+		l.followSet(ctx, lists)
+		return nil
 	})
 	return g.Wait()
 }
+
+// followSet applies lists, observations and the time to an endpoint set.
+func (l *Listener) followSet(ctx context.Context, lists <-chan []endpoints.RegistryEntry) {
+	set := endpoints.NewSet()
+	isSuspected, isFirst := false, true
+	tick := time.NewTicker(tickInterval)
+	defer tick.Stop()
+	for {
+		var changed []incarnation.Entry
+		select {
+		case <-ctx.Done():
+			return
+		case all := <-lists:
+			changed = set.ApplyList(l.Now(), all)
+		case o := <-l.Observations:
+			if o.HasResponded {
+				changed = set.ResponseReceived(l.Now(), o.Server)
+			} else {
+				changed = set.ConnectFailed(l.Now(), o.Server)
+			}
+		case <-tick.C:
+			changed = set.Tick(l.Now())
+		}
+		if set.IsMassRemovalSuspected() != isSuspected {
+			isSuspected = !isSuspected
+			l.OnMassRemoval(isSuspected)
+		}
+		if len(changed) > 0 {
+			l.OnChange(changed, isFirst)
+			isFirst = false
+		}
+	}
+}
--- a/internal/discovery/zookeeper/reader.go
+++ b/internal/discovery/zookeeper/reader.go
@@ -13,123 +13,122 @@
 )
 
 const (
-	minReadInterval    = 50 * time.Millisecond  // between two looks at the children: a storm of events is one look
-	readIntervalSpread = 50 * time.Millisecond  // spread over which readers of one change come
-	maxRetryDelay      = 2 * time.Second        // between two tries while the registry is out of reach
-	initialRetryDelay  = 100 * time.Millisecond // the first of them; doubles
-	maxConcurrentReads = 16                     // entries asked for at a time
+	// minReadInterval is the least time between two readings, so that a burst of events is one reading.
+	minReadInterval = 50 * time.Millisecond
+	// readIntervalSpread is added to it at random, so that the readers of one change come one after another.
+	readIntervalSpread = 50 * time.Millisecond
+	// initialRetryDelay is the pause after a first failed reading. It doubles with each further one, up to maxRetryDelay.
+	initialRetryDelay = 100 * time.Millisecond
+	maxRetryDelay     = 2 * time.Second
+	// maxConcurrentReads limits the entries that are read at the same time.
+	maxConcurrentReads = 16
 )
 
-// Conn is the part of a client that a reader needs.
-type Conn interface {
-	ChildrenW(path string) ([]string, *zk.Stat, <-chan zk.Event, error)
-	GetW(path string) ([]byte, *zk.Stat, <-chan zk.Event, error)
-	Close()
-}
-
-// Dial connects to the ensemble of a configuration.
-func Dial(c *Config) (Conn, error) {
-	conn, _, err := zk.Connect(c.Servers, c.SessionTimeout.Std(), zk.WithLogInfo(false), zk.WithLogger(discardLogger{}), zk.WithMaxBufferSize(1<<20))
-	if err == nil && c.Credentials != "" {
-		go conn.AddAuth("digest", []byte(c.Credentials)) // waits for the first connection; the client repeats it on others
-	}
-	return conn, err
-}
-
-type discardLogger struct{}
-
-func (discardLogger) Printf(string, ...any) {}
+// childrenEvent stands in Reader.events for the watch of the children; it is the name of no entry.
+const childrenEvent = ""
 
-// Reader follows the children of one path.
+// Reader follows the children of one path. All fields but events are used by the goroutine of Run only.
 type Reader struct {
-	conn    Conn
-	path    string
-	entries map[string]endpoints.RegistryEntry
-	// skipped are entries that cannot be read, until their data changes. They are watched as the others, and not asked for
-	// again with each change of the children: each asking would leave a watch and who waits for it behind.
-	unreadable map[string]bool
-	// watched are the entries on which a data watch stands; its goroutine ends with the one event that it gets.
-	watched  map[string]bool
-	events   chan string // names of entries whose watch has fired; "" for the children's
+	conn     Conn
+	path     string
 	onChange func([]endpoints.RegistryEntry)
 	onError  func(error)
+
+	entries map[string]endpoints.RegistryEntry // by name; zero but for the ID until they are read
+	// unreadable are the entries whose data cannot be parsed. They are watched as the others and read again when their data
+	// changes, not whenever the children do: each reading leaves a watch behind.
+	unreadable map[string]bool
+	// watched are the entries whose data is watched. The watch ends with its one event.
+	watched         map[string]bool
+	childrenWatched bool
+	events          chan string // names of entries whose watch has fired, or childrenEvent
 }
 
-// NewReader makes a reader that tells out of all that is listed, whenever that changes, and fault of what cannot be read.
-func NewReader(conn Conn, c *Config, out func([]endpoints.RegistryEntry), fault func(error)) *Reader {
-	return &Reader{conn: conn, path: c.fullPath(), entries: map[string]endpoints.RegistryEntry{}, unreadable: map[string]bool{}, watched: map[string]bool{}, events: make(chan string, 64), onChange: out, onError: fault}
+// NewReader returns a Reader that calls onChange with all entries whenever they have changed, and onError with what cannot
+// be read. Both are called from Run.
+func NewReader(conn Conn, c *Config, onChange func([]endpoints.RegistryEntry), onError func(error)) *Reader {
+	return &Reader{
+		conn:       conn,
+		path:       c.fullPath(),
+		onChange:   onChange,
+		onError:    onError,
+		entries:    map[string]endpoints.RegistryEntry{},
+		unreadable: map[string]bool{},
+		watched:    map[string]bool{},
+		events:     make(chan string, 64),
+	}
 }
 
-// Run follows until the context ends. Watches are set before what they watch is read, so none is missed: the client sets
-// the watch and reads with one call.
+// Run follows the path until the context ends, and closes the connection. It returns nil.
 func (r *Reader) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer r.conn.Close()
 	defer context.AfterFunc(ctx, r.conn.Close)()
-	wait := initialRetryDelay
-	childrenWatched := false
+	delay := initialRetryDelay
 	for ctx.Err() == nil {
-		changed, err := r.read(ctx, &childrenWatched)
+		hasChanged, err := r.readUnwatched(ctx)
 		if err != nil && ctx.Err() == nil {
 			r.onError(err)
-			if !r.sleep(ctx, time.Duration((0.5+rand.Float64())*float64(wait))) {
+			if !sleep(ctx, time.Duration((0.5+rand.Float64())*float64(delay))) {
 				return nil
 			}
-			wait = min(2*wait, maxRetryDelay)
+			delay = min(2*delay, maxRetryDelay)
 			continue
 		}
-		wait = initialRetryDelay
-		if changed {
-			all := make([]endpoints.RegistryEntry, 0, len(r.entries))
-			for n, l := range r.entries {
-				if !r.unreadable[n] {
-					all = append(all, l)
-				}
-			}
-			r.onChange(all)
-		}
-		select {
-		case <-ctx.Done():
-			return nil
-		case name := <-r.events:
-			r.watchFired(name, &childrenWatched)
+		delay = initialRetryDelay
+		if hasChanged {
+			r.onChange(r.readable())
 		}
-		if !r.sleep(ctx, minReadInterval+time.Duration(rand.Int64N(int64(readIntervalSpread)))) {
+		if !r.awaitEvents(ctx) {
 			return nil
 		}
-		for more := true; more; {
-			select {
-			case name := <-r.events:
-				r.watchFired(name, &childrenWatched)
-			default:
-				more = false
-			}
-		}
 	}
 	return nil
 }
 
-func (r *Reader) watchFired(name string, children *bool) {
-	if name == "" {
-		*children = false
-		return
+// readable returns all entries but those that cannot be parsed.
+func (r *Reader) readable() []endpoints.RegistryEntry {
+	all := make([]endpoints.RegistryEntry, 0, len(r.entries))
+	for name, entry := range r.entries {
+		if !r.unreadable[name] {
+			all = append(all, entry)
+		}
 	}
-	delete(r.watched, name)
+	return all
 }
 
-func (r *Reader) sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+// awaitEvents waits for an event and takes those that come within the read interval with it. It returns false if the
+// context has ended.
+func (r *Reader) awaitEvents(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.C:
-		return true
+	case name := <-r.events:
+		r.watchFired(name)
+	}
+	if !sleep(ctx, minReadInterval+time.Duration(rand.Int64N(int64(readIntervalSpread)))) {
+		return false
+	}
+	for {
+		select {
+		case name := <-r.events:
+			r.watchFired(name)
+		default:
+			return true
+		}
+	}
+}
+
+func (r *Reader) watchFired(name string) {
+	if name == childrenEvent {
+		r.childrenWatched = false
+		return
 	}
+	delete(r.watched, name)
 }
 
-// follow waits for the one event of a watch.
+// awaitWatch starts a goroutine that passes on the one event of a watch.
 func (r *Reader) awaitWatch(ctx context.Context, name string, events <-chan zk.Event) {
 	go func() {
 		select {
@@ -144,44 +143,48 @@
 	}()
 }
 
-// look reads what is not watched: the children if their watch has fired, and each entry whose watch has.
-func (r *Reader) read(ctx context.Context, childrenWatched *bool) (changed bool, err error) {
-	if !*childrenWatched {
+// readUnwatched reads the children and the entries that are not watched, and watches them.
+func (r *Reader) readUnwatched(ctx context.Context) (hasChanged bool, err error) {
+	if !r.childrenWatched {
 		if err := r.readChildren(ctx); err != nil {
 			return false, err
 		}
-		*childrenWatched = true
-		changed = true
+		r.childrenWatched = true
+		hasChanged = true
 	}
-	read, err := r.readEntries(ctx)
-	return changed || read, err
+	hasRead, err := r.readEntries(ctx)
+	return hasChanged || hasRead, err
 }
 
-// readChildren takes in which entries there are, and watches for others.
+// readChildren takes over which entries there are.
 func (r *Reader) readChildren(ctx context.Context) error {
 	names, _, events, err := r.conn.ChildrenW(r.path)
 	if err != nil {
 		return fmt.Errorf("%s: %w", r.path, err)
 	}
-	r.awaitWatch(ctx, "", events)
-	there := make(map[string]bool, len(names))
-	for _, n := range names {
-		there[n] = true
-		if _, ok := r.entries[n]; !ok {
-			r.entries[n] = endpoints.RegistryEntry{ID: n}
-			delete(r.watched, n)
+	r.awaitWatch(ctx, childrenEvent, events)
+	isListed := make(map[string]bool, len(names))
+	for _, name := range names {
+		isListed[name] = true
+		if _, isKnown := r.entries[name]; !isKnown {
+			r.entries[name] = endpoints.RegistryEntry{ID: name}
+			delete(r.watched, name)
 		}
 	}
-	for n := range r.entries {
-		if !there[n] {
-			delete(r.entries, n)
-			delete(r.unreadable, n)
+	for name := range r.entries {
+		if !isListed[name] {
+			r.removeEntry(name)
 		}
 	}
 	return nil
 }
 
-// answer is what the registry says of one entry.
+func (r *Reader) removeEntry(name string) {
+	delete(r.entries, name)
+	delete(r.unreadable, name)
+}
+
+// entryResult is the registry's reply to the reading of one entry.
 type entryResult struct {
 	name   string
 	data   []byte
@@ -190,53 +193,64 @@
 	err    error
 }
 
-// readEntries asks for all entries that are not watched, some at a time.
-func (r *Reader) readEntries(ctx context.Context) (changed bool, fault error) {
-	var ask []string
-	for n := range r.entries {
-		if !r.watched[n] {
-			ask = append(ask, n)
+// readEntries reads all entries that are not watched. hasRead reports whether there were any; err is that of one of them.
+func (r *Reader) readEntries(ctx context.Context) (hasRead bool, err error) {
+	var names []string
+	for name := range r.entries {
+		if !r.watched[name] {
+			names = append(names, name)
 		}
 	}
-	answers, slots := make(chan entryResult, len(ask)), make(chan struct{}, maxConcurrentReads)
-	for _, n := range ask {
+	results, slots := make(chan entryResult, len(names)), make(chan struct{}, maxConcurrentReads)
+	for _, name := range names {
 		slots <- struct{}{}
 		go func() {
 			defer func() { <-slots }()
-			data, stat, events, err := r.conn.GetW(r.path + "/" + n)
-			answers <- entryResult{n, data, stat, events, err}
+			data, stat, events, err := r.conn.GetW(r.path + "/" + name)
+			results <- entryResult{name, data, stat, events, err}
 		}()
 	}
-	for range ask {
-		a := <-answers
-		changed = true
-		if err := r.applyEntry(ctx, &a); err != nil {
-			fault = err
+	for range names {
+		result := <-results
+		hasRead = true
+		if failure := r.applyEntry(ctx, &result); failure != nil {
+			err = failure
 		}
 	}
-	return changed, fault
+	return hasRead, err
 }
 
-// takeEntry takes in an answer; an entry that cannot be read is skipped and is no error.
-func (r *Reader) applyEntry(ctx context.Context, a *entryResult) error {
-	if errors.Is(a.err, zk.ErrNoNode) { // it went between the two calls; the children's watch tells
-		delete(r.entries, a.name)
-		delete(r.unreadable, a.name)
+// applyEntry takes over what was read of an entry. An entry that cannot be parsed is left out and is no error.
+func (r *Reader) applyEntry(ctx context.Context, result *entryResult) error {
+	if errors.Is(result.err, zk.ErrNoNode) { // removed since the children were read; their watch says so too
+		r.removeEntry(result.name)
 		return nil
 	}
-	if a.err != nil {
-		return fmt.Errorf("%s/%s: %w", r.path, a.name, a.err)
+	if result.err != nil {
+		return fmt.Errorf("%s/%s: %w", r.path, result.name, result.err)
 	}
-	r.watched[a.name] = true
-	r.awaitWatch(ctx, a.name, a.events)
-	l, err := ParseEntry(a.name, a.data)
+	r.watched[result.name] = true
+	r.awaitWatch(ctx, result.name, result.events)
+	entry, err := ParseEntry(result.name, result.data)
 	if err != nil {
-		r.onError(fmt.Errorf("%s/%s: %w", r.path, a.name, err))
-		r.unreadable[a.name] = true
+		r.onError(fmt.Errorf("%s/%s: %w", r.path, result.name, err))
+		r.unreadable[result.name] = true
 		return nil
 	}
-	delete(r.unreadable, a.name)
-	l.OwnerSession, l.CreatedZxid, l.CreatedUnixMS = a.stat.EphemeralOwner, a.stat.Czxid, a.stat.Ctime
-	r.entries[a.name] = l
+	delete(r.unreadable, result.name)
+	entry.OwnerSession, entry.CreatedZxid, entry.CreatedUnixMS = result.stat.EphemeralOwner, result.stat.Czxid, result.stat.Ctime
+	r.entries[result.name] = entry
 	return nil
 }
+
+// sleep returns false if the context ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-t.C:
+		return true
+	}
+}
