--- a/internal/config/settings/placement.go
+++ b/internal/config/settings/placement.go
@@ -12,8 +12,8 @@
 	"fernvane/policy"
 )
 
-// drainClose reads the time within which idle connections to a draining server are closed.
-func drainClose(text json.RawMessage) (time.Duration, error) {
+// decodeDrainClose reads the time within which idle connections to a draining server are closed.
+func decodeDrainClose(text json.RawMessage) (time.Duration, error) {
 	var ms *float64
 	if err := json.Unmarshal(text, &ms); err != nil || ms == nil {
 		return 0, fmt.Errorf("rules.drainClose is %.40q, a time in milliseconds is wanted", text)
@@ -24,17 +24,17 @@
 	return FromMillis(*ms), nil
 }
 
-// place reads where the traffic type at a place of the list may be sent, and returns the bit of that placement. Types
-// that are bound alike share one.
-func (s *Settings) place(i int, t *trafficType) (uint64, error) {
+// addPlacement decodes where the traffic type at index i may be sent, and returns the bit of that placement, 0 for
+// anywhere. Types with the same placement share one.
+func (s *Settings) addPlacement(i int, t *trafficType) (uint64, error) {
 	if t.DcsOnly == nil && t.AllowedOn == nil {
 		return 0, nil
 	}
-	zones, err := s.listed(t.DcsOnly, &s.Zones)
+	zones, err := decodeIndexes(t.DcsOnly, &s.Zones)
 	if err != nil {
 		return 0, fmt.Errorf("traffic type %d: dcsOnly %w", i, err)
 	}
-	kinds, err := s.listed(t.AllowedOn, &s.Kinds)
+	kinds, err := decodeIndexes(t.AllowedOn, &s.Kinds)
 	if err != nil {
 		return 0, fmt.Errorf("traffic type %d: allowedOn %w", i, err)
 	}
@@ -50,36 +50,37 @@
 	return 1 << at, nil
 }
 
-var errPlaceList = errors.New("is no list of places in the settings' list, from 0, or of names")
+var errIndexList = errors.New("is no list of places in the settings' list, from 0, or of names")
 
-// listed reads a list of zones or kinds: each by its place in the names of the settings, or by its name. A name that the
-// settings do not hold is added to them, for a server may yet bear it. No list at all is nil, an empty one is not.
-func (s *Settings) listed(text json.RawMessage, names *[]string) ([]int, error) {
+// decodeIndexes reads a list of zones or kinds, each an index into names or a name. A name that is new is added to names,
+// for a server may yet carry it. An absent list is nil, an empty one is not.
+func decodeIndexes(text json.RawMessage, names *[]string) ([]int, error) {
 	if text == nil {
 		return nil, nil
 	}
 	var entries []json.RawMessage
 	if err := json.Unmarshal(text, &entries); err != nil || entries == nil {
-		return nil, errPlaceList
+		return nil, errIndexList
 	}
-	places := make([]int, 0, len(entries))
+	indexes := make([]int, 0, len(entries))
 	for _, entry := range entries {
 		var number *int
 		var name *string
 		switch {
 		case json.Unmarshal(entry, &number) == nil && number != nil && *number >= 0 && *number <= math.MaxInt32:
-			places = append(places, *number)
+			indexes = append(indexes, *number)
 		case json.Unmarshal(entry, &name) == nil && name != nil:
-			places = append(places, placeOf(*name, names))
+			indexes = append(indexes, indexOf(*name, names))
 		default:
-			return nil, errPlaceList
+			return nil, errIndexList
 		}
 	}
-	slices.Sort(places)
-	return slices.Compact(places), nil
+	slices.Sort(indexes)
+	return slices.Compact(indexes), nil
 }
 
-func placeOf(name string, names *[]string) int {
+// indexOf returns the index of name, which it appends to a copy of names where it is new.
+func indexOf(name string, names *[]string) int {
 	if at := slices.Index(*names, name); at >= 0 {
 		return at
 	}
--- a/internal/config/settings/placement_test.go
+++ b/internal/config/settings/placement_test.go
@@ -22,14 +22,14 @@
 		want  []policy.Placement
 		zones []string
 	}{
-		"absent is free":      {"", 0, nil, []string{"north", "south"}},
-		"zones by place":      {`,"dcsOnly":[1,0,1]`, 1, []policy.Placement{{Zones: []int{0, 1}}}, []string{"north", "south"}},
-		"kinds by place":      {`,"allowedOn":[1]`, 1, []policy.Placement{{MachineKinds: []int{1}}}, []string{"north", "south"}},
-		"both":                {`,"dcsOnly":[0],"allowedOn":[1]`, 1, []policy.Placement{{Zones: []int{0}, MachineKinds: []int{1}}}, []string{"north", "south"}},
-		"zones by name":       {`,"dcsOnly":["south"]`, 1, []policy.Placement{{Zones: []int{1}}}, []string{"north", "south"}},
-		"a name of no server": {`,"dcsOnly":["west"]`, 1, []policy.Placement{{Zones: []int{2}}}, []string{"north", "south", "west"}},
-		"a place of no name":  {`,"dcsOnly":[7]`, 1, []policy.Placement{{Zones: []int{7}}}, []string{"north", "south"}},
-		"none at all":         {`,"dcsOnly":[]`, 1, []policy.Placement{{Zones: []int{}}}, []string{"north", "south"}},
+		"absent is free":          {"", 0, nil, []string{"north", "south"}},
+		"zones by index":          {`,"dcsOnly":[1,0,1]`, 1, []policy.Placement{{Zones: []int{0, 1}}}, []string{"north", "south"}},
+		"kinds by index":          {`,"allowedOn":[1]`, 1, []policy.Placement{{MachineKinds: []int{1}}}, []string{"north", "south"}},
+		"both":                    {`,"dcsOnly":[0],"allowedOn":[1]`, 1, []policy.Placement{{Zones: []int{0}, MachineKinds: []int{1}}}, []string{"north", "south"}},
+		"zones by name":           {`,"dcsOnly":["south"]`, 1, []policy.Placement{{Zones: []int{1}}}, []string{"north", "south"}},
+		"a name of no server":     {`,"dcsOnly":["west"]`, 1, []policy.Placement{{Zones: []int{2}}}, []string{"north", "south", "west"}},
+		"an index without a name": {`,"dcsOnly":[7]`, 1, []policy.Placement{{Zones: []int{7}}}, []string{"north", "south"}},
+		"none at all":             {`,"dcsOnly":[]`, 1, []policy.Placement{{Zones: []int{}}}, []string{"north", "south"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, err := Decode([]byte(with(c.kind, "")))
@@ -91,9 +91,9 @@
 		"zones as a word":       {`,"dcsOnly":"north"`, "", "traffic type 0: dcsOnly"},
 		"zones as a number":     {`,"dcsOnly":1`, "", "traffic type 0: dcsOnly"},
 		"zones as null":         {`,"dcsOnly":null`, "", "traffic type 0: dcsOnly"},
-		"a place below 0":       {`,"dcsOnly":[-1]`, "", "traffic type 0: dcsOnly"},
-		"a place in between":    {`,"dcsOnly":[0.5]`, "", "traffic type 0: dcsOnly"},
-		"a place beyond all":    {`,"dcsOnly":[2147483648]`, "", "traffic type 0: dcsOnly"},
+		"an index below 0":      {`,"dcsOnly":[-1]`, "", "traffic type 0: dcsOnly"},
+		"an index in between":   {`,"dcsOnly":[0.5]`, "", "traffic type 0: dcsOnly"},
+		"an index beyond all":   {`,"dcsOnly":[2147483648]`, "", "traffic type 0: dcsOnly"},
 		"a zone as null":        {`,"dcsOnly":[null]`, "", "traffic type 0: dcsOnly"},
 		"a zone as a list":      {`,"dcsOnly":[[0]]`, "", "traffic type 0: dcsOnly"},
 		"kinds as true":         {`,"allowedOn":true`, "", "traffic type 0: allowedOn"},
--- a/internal/config/settings/settings_test.go
+++ b/internal/config/settings/settings_test.go
@@ -33,11 +33,11 @@
 	for name, c := range map[string]struct{ old, new, says string }{
 		"late revenue above all": {`"revenue":2`, `"tardyRevenue":1.5`, "traffic type 0: tardyRevenue is 1.5"},
 		"late revenue below 0":   {`"revenue":2`, `"tardyRevenue":-0.1`, "tardyRevenue is -0.1"},
-		"late revenue in words":  {`"revenue":2`, `"tardyRevenue":"half"`, "TardyRevenue"},
-		"warm keys as a number":  {`"groupSize"`, `"extra":{"warmKeys":1},"groupSize"`, "WarmKeys"},
-		"extras as a list":       {`"groupSize"`, `"extra":[],"groupSize"`, "Extra"},
-		"what binds, as a word":  {`"groupSize"`, `"rules":{"onlyDrainingBinds":"yes"},"groupSize"`, "OnlyDrainingBinds"},
-		"no hop":                 {`"mostHops":2`, `"mostHops":0`, "no hop"},
+		"late revenue in words":  {`"revenue":2`, `"tardyRevenue":"half"`, "trafficTypes.tardyRevenue"},
+		"warm keys as a number":  {`"groupSize"`, `"extra":{"warmKeys":1},"groupSize"`, "extra.warmKeys"},
+		"extras as a list":       {`"groupSize"`, `"extra":[],"groupSize"`, "object.extra"},
+		"what binds, as a word":  {`"groupSize"`, `"rules":{"onlyDrainingBinds":"yes"},"groupSize"`, "rules.onlyDrainingBinds"},
+		"no attempt":             {`"mostHops":2`, `"mostHops":0`, "no attempt"},
 		"no target time":         {`200`, `0`, "target time"},
 		"another repeat":         {`"safe"`, `"odd"`, `"odd"`},
 	} {
--- a/internal/config/tomlfile/tomlfile.go
+++ b/internal/config/tomlfile/tomlfile.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	largest    = 1 << 20 // bytes of a file; larger ones are a mistake
-	mostFaults = 100     // that are looked for one after the other
+	maxFileBytes = 1 << 20
+	maxFaults    = 100 // each costs one more decoding of the text
 )
 
-// Fault is one thing that is wrong with a file.
+// Fault is one thing that is wrong with a file, with the line where it stands.
 type Fault struct {
 	File string
-	Line int // 0 where it concerns the whole file
+	Line int // 0: the whole file
 	Why  string
 }
 
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Why)
 }
 
-// Faults are all that were found, in the order of their lines.
+// Faults is the error of a file that cannot be used: all its faults, in the order of their lines.
 type Faults []Fault
 
 func (f Faults) Error() string {
@@ -47,21 +47,21 @@
 	return strings.Join(lines, "\n")
 }
 
-// File is one that has been read, with the places of its keys.
+// File is a file that has been parsed, with the line of each key and the faults found so far.
 type File struct {
 	Name   string
 	lines  map[string]int
 	faults Faults
 }
 
-// Read returns the text of a file that is not too large to be one of ours.
+// Read returns the text of the file at path. The error is that of reading it, or Faults where it is over 1 MiB.
 func Read(path string) ([]byte, error) {
 	s, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if s.Size() > largest {
-		return nil, Faults{{File: path, Why: fmt.Sprintf("larger than %d bytes", largest)}}
+	if s.Size() > maxFileBytes {
+		return nil, Faults{{File: path, Why: fmt.Sprintf("larger than %d bytes", maxFileBytes)}}
 	}
 	return os.ReadFile(path)
 }
@@ -82,21 +82,22 @@
 // MarshalText writes that form.
 func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// Std is the span as a duration.
+// Std returns s as a time.Duration.
 func (s Duration) Std() time.Duration { return time.Duration(s) }
 
-// Parse reads a text. Keys that the struct does not have and values of the wrong type are noted, each by its line, and
-// the rest is read, for the caller to look at before it asks for Err. An error is a text that cannot be read on.
+// Parse decodes a text into a struct. Unknown keys and values of the wrong type are recorded with their lines and the rest
+// is decoded, so that the caller can check it and add faults (Wrong) before it asks for Err. The error, Faults, is of a
+// text of which nothing more can be decoded.
 func Parse(name string, text []byte, into any) (*File, error) {
 	f := &File{Name: name, lines: map[string]int{}}
-	if len(text) > largest {
-		return f, Faults{{File: name, Why: fmt.Sprintf("larger than %d bytes", largest)}}
+	if len(text) > maxFileBytes {
+		return f, Faults{{File: name, Why: fmt.Sprintf("larger than %d bytes", maxFileBytes)}}
 	}
 	if !utf8.Valid(text) {
-		return f, Faults{{File: name, Line: badLine(text), Why: "not UTF-8"}}
+		return f, Faults{{File: name, Line: firstInvalidLine(text), Why: "not UTF-8"}}
 	}
-	sound := f.find(text)
-	for range mostFaults {
+	isValid := f.indexLines(text)
+	for range maxFaults {
 		d := toml.NewDecoder(bytes.NewReader(text))
 		d.DisallowUnknownFields()
 		err := d.Decode(into)
@@ -114,10 +115,10 @@
 		case errors.As(err, &decode):
 			row, _ := decode.Position()
 			f.faults = append(f.faults, Fault{name, row, strings.TrimPrefix(decode.Error(), "toml: ")})
-			if !sound {
+			if !isValid {
 				return f, f.Err()
 			}
-			if text = without(text, row); text == nil { // a value over several lines
+			if text = withoutLine(text, row); text == nil { // a value over several lines
 				return f, f.Err()
 			}
 		default:
@@ -128,8 +129,9 @@
 	return f, f.Err()
 }
 
-// without is the text with a line left empty, so that what follows is read as well; nil if there is nothing to leave out.
-func without(text []byte, row int) []byte {
+// withoutLine returns the text with one line emptied, so that the lines after it are decoded too; nil if there is no such
+// line or it is empty.
+func withoutLine(text []byte, row int) []byte {
 	lines := bytes.Split(text, []byte{'\n'})
 	if row < 1 || row > len(lines) || len(bytes.TrimSpace(lines[row-1])) == 0 {
 		return nil
@@ -139,7 +141,8 @@
 	return bytes.Join(lines, []byte{'\n'})
 }
 
-func badLine(text []byte) int {
+// firstInvalidLine is the first line that is not UTF-8.
+func firstInvalidLine(text []byte) int {
 	line := 1
 	for i := 0; i < len(text); {
 		r, n := utf8.DecodeRune(text[i:])
@@ -154,13 +157,14 @@
 	return 0
 }
 
-// find notes where each table and key begins. Entries of arrays of tables count from 0: "faults.2.at".
-func (f *File) find(text []byte) (sound bool) {
+// indexLines records the line of each table and key, and reports whether the text parses. Entries of arrays of tables
+// count from 0: "faults.2.at".
+func (f *File) indexLines(text []byte) (isValid bool) {
 	var p unstable.Parser
 	p.Reset(text)
 	count := map[string]int{}
 	prefix := ""
-	var ends []int // of lines; the parser's own look-up would go over the text for each key
+	var ends []int // offsets of line ends; the parser's own look-up scans the text for each key
 	for i, c := range text {
 		if c == '\n' {
 			ends = append(ends, i)
@@ -195,7 +199,7 @@
 	return p.Error() == nil
 }
 
-// inArray puts the number of the latest entry behind each part of a path that is an array of tables.
+// inArray appends the index of the latest entry to each part of a path that is an array of tables.
 func inArray(key string, count map[string]int) string {
 	parts := strings.Split(key, ".")
 	full := parts[0]
@@ -208,13 +212,13 @@
 	return full
 }
 
-// Has tells whether the file holds a key or table.
+// Has reports whether the file has a key or table.
 func (f *File) Has(path string) bool {
 	_, ok := f.lines[path]
 	return ok
 }
 
-// Line is where a key stands, or the table that would hold it.
+// Line is the line of a key, or of the nearest table around it; 0 for neither.
 func (f *File) Line(path string) int {
 	for path != "" {
 		if line, ok := f.lines[path]; ok {
@@ -229,12 +233,12 @@
 	return 0
 }
 
-// Wrong notes a fault at a key.
+// Wrong records a fault at a key.
 func (f *File) Wrong(path, format string, args ...any) {
 	f.faults = append(f.faults, Fault{f.Name, f.Line(path), fmt.Sprintf(format, args...)})
 }
 
-// Err is all that was found wrong so far, nil for nothing.
+// Err returns all faults recorded so far, nil for none.
 func (f *File) Err() error {
 	if len(f.faults) == 0 {
 		return nil
