--- a/cmd/fernvane/bindings.go
+++ b/cmd/fernvane/bindings.go
@@ -16,27 +16,27 @@
 	"fernvane/internal/journal/wal"
 )
 
-var errDamaged = errors.New("the journal is damaged")
+var errJournalDamaged = errors.New("the journal is damaged")
 
 func bindingsCommand(getenv func(string) string) *cobra.Command {
-	var from source
+	var from journalSource
 	root := &cobra.Command{Use: "bindings", Short: "Read and settle the journal of bindings, also while a node writes it",
 		Example: "  fernvane bindings --dir DIR find --state possibly-sent --since 2h\n  fernvane bindings --tier --peers peers.toml show ID\n  fernvane bindings --dir DIR reconcile --against dockets.jsonl"}
 	f := root.PersistentFlags()
 	f.StringVar(&from.dir, "dir", "", "the journal's `folder`, or one of what is held for another node; by default that of the file in PROXY_BINDINGS")
 	f.BoolVar(&from.tier, "tier", false, "ask all nodes of the tier, in place of reading a folder")
 	f.StringVar(&from.peers, "peers", getenv("PROXY_PEERS"), "with --tier: the tier's TOML `file`; or PROXY_PEERS")
-	where := func() error { return from.ready(getenv) }
+	where := func() error { return from.resolve(getenv) }
 	root.AddCommand(findCommand(&from, where), showCommand(&from, where), verifyCommand(&from, where), exportCommand(&from, where), reconcileCommand(&from, where))
 	return root
 }
 
-func findCommand(from *source, where func() error) *cobra.Command {
-	var q query
+func findCommand(from *journalSource, where func() error) *cobra.Command {
+	var q entryFilter
 	var lines bool
 	var most int
 	c := &cobra.Command{Use: "find", Short: "List entries", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-		if err := errors.Join(where(), q.ready(time.Now())); err != nil {
+		if err := errors.Join(where(), q.parse(time.Now())); err != nil {
 			return err
 		}
 		t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
@@ -46,17 +46,17 @@
 		}
 		n := 0
 		_, err := from.entries(q.from, q.id, c.ErrOrStderr(), func(entry *intent.Entry) error {
-			if !q.fits(entry) {
+			if !q.matches(entry) {
 				return nil
 			}
 			if n++; most > 0 && n > most {
 				return nil
 			}
-			s := show(entry)
+			s := toJSON(entry)
 			if lines {
 				return e.Encode(s)
 			}
-			_, err := fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.ID, s.At, s.Type, s.Tenant, s.State, s.Told, servers(s))
+			_, err := fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.ID, s.At, s.Type, s.Tenant, s.State, s.ClientOutcome, attemptList(s))
 			return err
 		})
 		if !lines {
@@ -67,14 +67,14 @@
 		}
 		return err
 	}}
-	q.flags(c)
+	q.addFlags(c)
 	c.Flags().BoolVar(&lines, "json", false, "JSON lines, for programs")
 	c.Flags().IntVar(&most, "most", 1000, "how many to show; 0: all")
 	return c
 }
 
-func showCommand(from *source, where func() error) *cobra.Command {
-	return &cobra.Command{Use: "show ID", Short: "Tell all that is known of a request's id", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
+func showCommand(from *journalSource, where func() error) *cobra.Command {
+	return &cobra.Command{Use: "show ID", Short: "Print all that is known of a request ID", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		if err := where(); err != nil {
 			return err
 		}
@@ -84,22 +84,22 @@
 				return nil
 			}
 			found = true
-			s := show(e)
+			s := toJSON(e)
 			fmt.Fprintf(out, "%s  %s of %q, %s: %s\n", s.ID, s.Type, s.Tenant, s.At, s.State)
-			if s.Retry || s.Repeats != "" {
-				fmt.Fprintf(out, "  a retry, of %q\n", s.Repeats)
+			if s.IsRetry || s.RepeatOf != "" {
+				fmt.Fprintf(out, "  a retry, of %q\n", s.RepeatOf)
 			}
-			for i, h := range s.Hops {
+			for i, h := range s.Attempts {
 				settled := ""
-				if h.Settled {
+				if h.IsReconciled {
 					settled = ", settled by its dockets"
 				}
-				fmt.Fprintf(out, "  hop %d to %s at %s, ended at %s as %q: %s%s\n", i, h.Server, h.At, h.EndedAt, h.End, h.Proof, settled)
+				fmt.Fprintf(out, "  attempt %d to %s at %s, ended at %s as %q: %s%s\n", i, h.Server, h.At, h.EndedAt, h.Outcome, h.Proof, settled)
 			}
-			if s.Told == "" {
-				s.Told = "(nothing is known)"
+			if s.ClientOutcome == "" {
+				s.ClientOutcome = "(nothing is known)"
 			}
-			_, err := fmt.Fprintf(out, "  the client was told: %s, at %s\n", s.Told, clock(e.NotifiedAtUnixNano))
+			_, err := fmt.Fprintf(out, "  the client was told: %s, at %s\n", s.ClientOutcome, formatTime(e.NotifiedAtUnixNano))
 			return err
 		})
 		if err == nil && !found {
@@ -113,7 +113,7 @@
 	}}
 }
 
-func verifyCommand(from *source, where func() error) *cobra.Command {
+func verifyCommand(from *journalSource, where func() error) *cobra.Command {
 	return &cobra.Command{Use: "verify", Short: "Read all and name what cannot be read", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		if err := where(); err != nil {
 			return err
@@ -132,17 +132,17 @@
 		fmt.Fprintf(c.OutOrStdout(), "%d segments, %d records, %d bytes in %s: %d ran, %d not sent, %d possibly sent, %d contradictions\n", r.Segments, r.Records,
 			r.Bytes, time.Since(began).Round(time.Millisecond), states[intent.HasRun], states[intent.NotSent], states[intent.PossiblySent], conflicts)
 		if r.CorruptCount() > 0 {
-			return errDamaged
+			return errJournalDamaged
 		}
 		return nil
 	}}
 }
 
-func exportCommand(from *source, where func() error) *cobra.Command {
-	var q query
+func exportCommand(from *journalSource, where func() error) *cobra.Command {
+	var q entryFilter
 	var format string
 	c := &cobra.Command{Use: "export", Short: "Write entries for other programs", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-		if err := errors.Join(where(), q.ready(time.Now())); err != nil {
+		if err := errors.Join(where(), q.parse(time.Now())); err != nil {
 			return err
 		}
 		out := c.OutOrStdout()
@@ -155,27 +155,27 @@
 			return fmt.Errorf("--format %q: csv or jsonl", format)
 		}
 		_, err := from.entries(q.from, q.id, c.ErrOrStderr(), func(e *intent.Entry) error {
-			if !q.fits(e) {
+			if !q.matches(e) {
 				return nil
 			}
-			s := show(e)
+			s := toJSON(e)
 			if format == "jsonl" {
 				return j.Encode(s)
 			}
-			return w.Write([]string{s.ID, s.At, s.Type, s.Tenant, s.Repeats, s.State, s.Told, servers(s)})
+			return w.Write([]string{s.ID, s.At, s.Type, s.Tenant, s.RepeatOf, s.State, s.ClientOutcome, attemptList(s)})
 		})
 		w.Flush()
 		return errors.Join(err, w.Error())
 	}}
-	q.flags(c)
+	q.addFlags(c)
 	c.Flags().StringVar(&format, "format", "jsonl", "csv or jsonl")
 	return c
 }
 
-func reconcileCommand(from *source, where func() error) *cobra.Command {
+func reconcileCommand(from *journalSource, where func() error) *cobra.Command {
 	var against []string
 	var slack time.Duration
-	c := &cobra.Command{Use: "reconcile", Short: "Settle what is possibly sent by the servers' own dockets", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
+	c := &cobra.Command{Use: "reconcile", Short: "Settle what is possibly sent by the servers' execution records", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		if err := where(); err != nil {
 			return err
 		}
@@ -189,23 +189,23 @@
 			return errors.New("what is settled is written to one folder: --dir, a node's own or one of what it holds")
 		}
 		n, err := reconcile(from, all, slack, c.ErrOrStderr())
-		fmt.Fprintf(c.OutOrStdout(), "%d hops had run, %d had not, %d entries stay possibly sent\n", n.ran, n.not, n.open)
+		fmt.Fprintf(c.OutOrStdout(), "%d attempts had run, %d had not, %d entries stay possibly sent\n", n.ran, n.neverRan, n.open)
 		return err
 	}}
-	c.Flags().StringArrayVar(&against, "against", nil, "a `file` or URL of dockets; may be given again")
+	c.Flags().StringArrayVar(&against, "against", nil, "a `file` or URL of execution records; may be given again")
 	c.MarkFlagRequired("against")
-	c.Flags().DurationVar(&slack, "slack", 5*time.Second, "a hop that began so shortly before a list's end may still run")
+	c.Flags().DurationVar(&slack, "slack", 5*time.Second, "an attempt that began so shortly before a list's end may still run")
 	return c
 }
 
-type settled struct {
-	ran  int
-	not  int // provably never ran
-	open int // not settled by the dockets
+type reconcileCounts struct {
+	ran      int // attempts that ran
+	neverRan int // attempts that provably never ran
+	open     int // entries that stay possibly sent
 }
 
-// reconcile adds what the dockets settle, in a segment of its own; nothing is edited.
-func reconcile(from *source, all map[string]*intent.ExecutionRecord, slack time.Duration, errs io.Writer) (n settled, err error) {
+// reconcile appends what the execution records settle as a segment of its own; no segment is edited.
+func reconcile(from *journalSource, all map[string]*intent.ExecutionRecord, slack time.Duration, errs io.Writer) (n reconcileCounts, err error) {
 	var records []intent.Record
 	now := time.Now().UnixNano()
 	_, err = from.entries(time.Time{}, "", errs, func(e *intent.Entry) error {
@@ -225,7 +225,7 @@
 				n.ran++
 				ran = true
 			} else {
-				n.not++
+				n.neverRan++
 			}
 		}
 		if !ran && len(found) < max(open, 1) {
--- a/cmd/fernvane/check.go
+++ b/cmd/fernvane/check.go
@@ -52,7 +52,7 @@
 			case f.config != "":
 				return checkAll(out, errs, &f)
 			case f.operator+f.planners+f.bindings+f.registries+f.snapshot+f.peers+f.distribution+planFile == "":
-				return unusable{errors.New("no configuration is named: --config FILE; or name a file to check by itself")}
+				return configError{errors.New("no configuration is named: --config FILE; or name a file to check by itself")}
 			}
 			return checkEach(out, &f, planFile, set)
 		}}
@@ -67,7 +67,7 @@
 	c.Flags().StringVar(set, "settings", "", "without a configuration: the settings to check against, a JSON `file` or the word example")
 }
 
-// checkAll is a node's whole view of its files.
+// checkAll loads all files as a node does at its start, and prints what it would use.
 func checkAll(out, errs io.Writer, f *files) error {
 	cfg, err := f.load()
 	if err != nil {
@@ -78,12 +78,12 @@
 	}
 	fmt.Fprintf(out, "%s listens on %s, follows %s, knows %d servers, has room for %d connections\n",
 		cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.SavedList.Hosts), cfg.Limits.MaxConnections())
-	tellPlanners(out, cfg.Planners)
-	tellBindings(out, cfg.Journal)
-	tellRegistry(out, cfg.Registry)
-	tellSnapshot(out, cfg.Snapshot)
-	tellPeers(out, cfg.Peers)
-	tellDistribution(out, cfg.Distribution)
+	printPlanners(out, cfg.Planners)
+	printJournal(out, cfg.Journal)
+	printRegistry(out, cfg.Registry)
+	printSnapshot(out, cfg.Snapshot)
+	printPeers(out, cfg.Peers)
+	printDistribution(out, cfg.Distribution)
 	if cfg.Shadow != nil {
 		fmt.Fprintln(out, "watches other settings beside its own; decides by its own")
 	}
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// checkEach reads each file for itself, and tells the faults of all.
+// checkEach loads each named file by itself, and returns the faults of all.
 func checkEach(out io.Writer, f *files, planFile, set string) error {
 	var all error
 	if f.operator != "" {
@@ -102,37 +102,37 @@
 	if f.planners != "" {
 		p, err := planconfig.LoadForwarder(f.planners)
 		if all = errors.Join(all, err); err == nil {
-			tellPlanners(out, p)
+			printPlanners(out, p)
 		}
 	}
 	if f.bindings != "" {
 		b, err := wal.LoadConfig(f.bindings)
 		if all = errors.Join(all, err); err == nil {
-			tellBindings(out, b)
+			printJournal(out, b)
 		}
 	}
 	if f.registries != "" {
 		r, err := zookeeper.Load(f.registries)
 		if all = errors.Join(all, err); err == nil {
-			tellRegistry(out, r)
+			printRegistry(out, r)
 		}
 	}
 	if f.snapshot != "" {
 		s, err := snapshot.Load(f.snapshot)
 		if all = errors.Join(all, err); err == nil {
-			tellSnapshot(out, s)
+			printSnapshot(out, s)
 		}
 	}
 	if f.peers != "" {
 		p, err := peer.LoadConfig(f.peers)
 		if all = errors.Join(all, err); err == nil {
-			tellPeers(out, p)
+			printPeers(out, p)
 		}
 	}
 	if f.distribution != "" {
 		d, err := client.Load(f.distribution)
 		if all = errors.Join(all, err); err == nil {
-			tellDistribution(out, d)
+			printDistribution(out, d)
 		}
 	}
 	if planFile != "" {
@@ -142,7 +142,7 @@
 		}
 	}
 	if all != nil {
-		return unusable{all}
+		return configError{all}
 	}
 	return nil
 }
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// settingsFor are those to check an operator's file against, with what is to be said of them.
+// settingsFor returns the settings to check an operator's file against, and a note to print about them.
 func settingsFor(operator, set string) (s *settings.Settings, note string, err error) {
 	switch set {
 	case "":
@@ -202,7 +202,7 @@
 				routes, err = route.Load(f.operator, s)
 			}
 			if err != nil {
-				return unusable{err}
+				return configError{err}
 			}
 			target, _, _ := strings.Cut(args[1], "?")
 			routes.Explain(out, &route.Request{Method: []byte(args[0]), Path: []byte(target), Tenant: []byte(tenant), Headers: fields}, s)
@@ -218,39 +218,47 @@
 	return c
 }
 
-func tellPlanners(out io.Writer, p *planconfig.Forwarder) {
+func printPlanners(out io.Writer, p *planconfig.Forwarder) {
 	if p != nil {
 		fmt.Fprintf(out, "follows the planners %s, TLS %v\n", strings.Join(p.Planners, ", "), p.Keys != nil)
 	}
 }
 
-func tellBindings(out io.Writer, b *wal.Config) {
+func printJournal(out io.Writer, b *wal.Config) {
 	if b != nil {
 		fmt.Fprintf(out, "keeps bindings in %s against the %s's death; while it cannot they are: %s\n", b.Dir, b.Promise,
-			map[bool]string{true: "denied", false: "served"}[b.RejectsWhenFailing()])
+			whenFailing(b))
 	}
 }
 
-func tellSnapshot(out io.Writer, s *snapshot.Config) {
+// whenFailing is what becomes of non-idempotent requests while the journal cannot be written.
+func whenFailing(b *wal.Config) string {
+	if b.RejectsWhenFailing() {
+		return "denied"
+	}
+	return "served"
+}
+
+func printSnapshot(out io.Writer, s *snapshot.Config) {
 	if s != nil {
 		fmt.Fprintf(out, "keeps its list of servers in %s for %s, %d generations, one each %s at most\n", s.Dir, s.Deployment, s.MaxGenerations, s.WriteInterval.Std())
 	}
 }
 
-func tellPeers(out io.Writer, p *peer.Config) {
+func printPeers(out io.Writer, p *peer.Config) {
 	if p != nil {
 		fmt.Fprintf(out, "meets other nodes of %s on %s, TLS %v; holds replicas in %s, %d of each record on other machines\n", p.Deployment, p.Listen, p.Keys != nil, p.ReplicaDir, p.Replicas)
 	}
 }
 
-func tellDistribution(out io.Writer, d *client.Config) {
+func printDistribution(out io.Writer, d *client.Config) {
 	if d != nil {
 		fmt.Fprintf(out, "follows the control processes %s for %d services, TLS %v; holds entries in %s, waits %s at a start to be current\n",
 			strings.Join(d.Control, ", "), len(d.Services), d.Keys != nil, d.Directory, d.StartTimeout.Std())
 	}
 }
 
-func tellRegistry(out io.Writer, r *zookeeper.Config) {
+func printRegistry(out io.Writer, r *zookeeper.Config) {
 	if r != nil {
 		fmt.Fprintf(out, "reads servers under %s%s of the registry at %s\n", strings.TrimSuffix(r.Chroot, "/"), r.Path, strings.Join(r.Servers, ", "))
 	}
--- a/cmd/fernvane/config_status.go
+++ b/cmd/fernvane/config_status.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	statusLook = 200 * time.Millisecond // between two looks while nodes are waited for
-	// What a control process tells of nodes at others may be a second old: waiting ends when all were current at two looks
-	// that are further apart.
-	statusSettled = 1300 * time.Millisecond
+	statusPollInterval = 200 * time.Millisecond // between two status queries while waiting for nodes
+	// statusStableFor is how long all nodes must be current before waiting ends: a control process reports nodes of other
+	// control processes up to a second late.
+	statusStableFor = 1300 * time.Millisecond
 )
 
-var errBehind = errors.New("not all nodes have in force what is held")
+var errNodesBehind = errors.New("not all nodes have in force what is held")
 
-// nodeView is a node as the command tells of it.
+// nodeView is the status of one node as the command prints it.
 type nodeView struct {
 	Name        string   `json:"name"`
 	Role        string   `json:"role"`
@@ -41,16 +41,16 @@
 	Unreachable string   `json:"unreachable_since,omitempty"`
 }
 
-// view is what one control process tells.
-type view struct {
+// statusView is the status that one control process reports.
+type statusView struct {
 	Control  string     `json:"control"`
 	Revision uint64     `json:"revision"`
 	Current  bool       `json:"current"`
 	Nodes    []nodeView `json:"nodes"`
 }
 
-// statusAsked is what is asked of a look.
-type statusAsked struct {
+// statusOptions are the conditions under which nodes count as current.
+type statusOptions struct {
 	within    time.Duration
 	expect    int
 	reachable bool
@@ -58,43 +58,43 @@
 
 func configStatus(a *configAccess) *cobra.Command {
 	var asJSON bool
-	var asked statusAsked
+	var options statusOptions
 	c := &cobra.Command{Use: "status", Short: "Tell of every node whether it has in force what is held",
 		Long: `status asks a control process for all nodes that it knows of: a root knows all, a relay those below it. What it tells of nodes at
 other control processes may be a second old; with --within the command waits until all were current for longer than that.`,
 		Example: "  fernvane config --file distribution.toml status --within 6s --expect 12",
-		Args:    exactly("status takes flags alone", 0),
+		Args:    exactArgs("status takes flags alone", 0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			config, err := a.load()
 			if err != nil {
 				return err
 			}
-			v, err := lookWithin(c.Context(), config, asked)
+			v, err := readStatusUntilCurrent(c.Context(), config, options)
 			if err != nil {
 				return err
 			}
 			if asJSON {
 				err = json.NewEncoder(c.OutOrStdout()).Encode(v)
 			} else {
-				v.tell(c.OutOrStdout())
+				v.print(c.OutOrStdout())
 			}
 			if err == nil && !v.Current {
-				err = errBehind
+				err = errNodesBehind
 			}
 			return err
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "JSON, for programs")
-	c.Flags().DurationVar(&asked.within, "within", 0, "wait so long at most until all nodes are current")
-	c.Flags().IntVar(&asked.expect, "expect", 0, "so many nodes at least must be current")
-	c.Flags().BoolVar(&asked.reachable, "reachable", false, "leave out who cannot be reached, as nodes that are down")
+	c.Flags().DurationVar(&options.within, "within", 0, "wait so long at most until all nodes are current")
+	c.Flags().IntVar(&options.expect, "expect", 0, "so many nodes at least must be current")
+	c.Flags().BoolVar(&options.reachable, "reachable", false, "leave out who cannot be reached, as nodes that are down")
 	return c
 }
 
-// lookWithin looks until all nodes are current, or for as long as it may.
-func lookWithin(ctx context.Context, config *client.Config, asked statusAsked) (v *view, err error) {
-	by, since := time.Now().Add(asked.within), time.Time{}
+// readStatusUntilCurrent queries until all nodes have been current for statusStableFor, or options.within has passed.
+func readStatusUntilCurrent(ctx context.Context, config *client.Config, options statusOptions) (v *statusView, err error) {
+	by, since := time.Now().Add(options.within), time.Time{}
 	for {
-		v, err = look(ctx, config, asked)
+		v, err = readStatus(ctx, config, options)
 		now := time.Now()
 		switch {
 		case err != nil || !v.Current:
@@ -102,7 +102,7 @@
 		case since.IsZero():
 			since = now
 		}
-		if asked.within <= 0 || !since.IsZero() && now.Sub(since) >= statusSettled {
+		if options.within <= 0 || !since.IsZero() && now.Sub(since) >= statusStableFor {
 			return v, err
 		}
 		if now.After(by) {
@@ -111,11 +111,11 @@
 			}
 			return v, err
 		}
-		time.Sleep(statusLook)
+		time.Sleep(statusPollInterval)
 	}
 }
 
-func look(ctx context.Context, config *client.Config, asked statusAsked) (*view, error) {
+func readStatus(ctx context.Context, config *client.Config, options statusOptions) (*statusView, error) {
 	s, err := client.Open(ctx, config)
 	if err != nil {
 		return nil, err
@@ -125,13 +125,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return viewOf(s.Control, self, nodes, asked), nil
+	return newStatusView(s.Control, self, nodes, options), nil
 }
 
-// viewOf judges each node. A control process must hold what the one asked holds; a node must have put in force all that
-// its control process has for it.
-func viewOf(control string, self distribution.NodeStatus, nodes []distribution.NodeStatus, asked statusAsked) *view {
-	v := &view{Control: control, Revision: self.Revision, Current: !self.IsCatchingUp}
+// newStatusView derives the state of each node. A control process is current if it holds the revision of the queried one,
+// a node if it has applied all that its control process has for it.
+func newStatusView(control string, self distribution.NodeStatus, nodes []distribution.NodeStatus, options statusOptions) *statusView {
+	v := &statusView{Control: control, Revision: self.Revision, Current: !self.IsCatchingUp}
 	count := 0
 	for _, s := range nodes {
 		if s.Name == self.Name {
@@ -148,12 +148,12 @@
 		if s.Role == distribution.RoleNode && n.State == "current" {
 			count++
 		}
-		if s.IsConnected || !asked.reachable {
+		if s.IsConnected || !options.reachable {
 			v.Current = v.Current && n.State == "current"
 		}
 		v.Nodes = append(v.Nodes, n)
 	}
-	v.Current = v.Current && count >= asked.expect
+	v.Current = v.Current && count >= options.expect
 	slices.SortFunc(v.Nodes, func(a, b nodeView) int { return cmp.Or(cmp.Compare(a.Role, b.Role), cmp.Compare(a.Name, b.Name)) })
 	return v
 }
@@ -170,7 +170,7 @@
 	return "current"
 }
 
-func (v *view) tell(out io.Writer) {
+func (v *statusView) print(out io.Writer) {
 	fmt.Fprintf(out, "%s holds revision %d\n", v.Control, v.Revision)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if len(v.Nodes) > 0 {
--- a/cmd/fernvane/control.go
+++ b/cmd/fernvane/control.go
@@ -14,9 +14,9 @@
 		Example: "  fernvane control --file control.toml", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			config, err := control.Load(path)
 			if err != nil {
-				return unusable{err}
+				return configError{err}
 			}
-			return ended(control.Process(config, errs))
+			return exitWith(control.Process(config, errs))
 		}}
 	c.Flags().StringVar(&path, "file", getenv("PROXY_CONTROL"), "the control process's TOML `file`; or PROXY_CONTROL")
 	return c
--- a/cmd/fernvane/journalshow.go
+++ b/cmd/fernvane/journalshow.go
@@ -7,50 +7,50 @@
 	"fernvane/internal/journal/intent"
 )
 
-func clock(ns int64) string {
+func formatTime(ns int64) string {
 	if ns == 0 {
 		return "-"
 	}
 	return time.Unix(0, ns).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
-// shown is an entry for programs.
-type shown struct {
-	Run     uint64 `json:"run"`
-	Op      uint64 `json:"op"`
-	ID      string `json:"id"`
-	Type    string `json:"type"`
-	Tenant  string `json:"tenant,omitempty"`
-	Repeats string `json:"repeats,omitempty"`
-	Retry   bool   `json:"retry,omitempty"`
-	At      string `json:"at"`
-	State   string `json:"state"`
-	Told    string `json:"told"`
-	Hops    []hop  `json:"hops"`
+// entryJSON is a journal entry as find, show and export print it; its keys are read by other programs.
+type entryJSON struct {
+	Incarnation   uint64        `json:"run"`
+	RequestNumber uint64        `json:"op"`
+	ID            string        `json:"id"`
+	Type          string        `json:"type"`
+	Tenant        string        `json:"tenant,omitempty"`
+	RepeatOf      string        `json:"repeats,omitempty"`
+	IsRetry       bool          `json:"retry,omitempty"`
+	At            string        `json:"at"`
+	State         string        `json:"state"`
+	ClientOutcome string        `json:"told"`
+	Attempts      []attemptJSON `json:"hops"`
 }
 
-type hop struct {
-	Server  string `json:"server"`
-	At      string `json:"at"`
-	EndedAt string `json:"ended_at"`
-	End     string `json:"end"`
-	Proof   string `json:"proof"`
-	Settled bool   `json:"settled,omitempty"`
+type attemptJSON struct {
+	Server       string `json:"server"`
+	At           string `json:"at"`
+	EndedAt      string `json:"ended_at"`
+	Outcome      string `json:"end"`
+	Proof        string `json:"proof"`
+	IsReconciled bool   `json:"settled,omitempty"`
 }
 
-func show(e *intent.Entry) shown {
-	s := shown{Run: e.Incarnation, Op: e.RequestNumber, ID: e.RequestID, Type: e.Type, Tenant: e.Tenant, Repeats: e.RepeatOf, Retry: e.IsRetry, At: clock(e.AtUnixNano),
-		State: e.State().String(), Told: e.ClientOutcome, Hops: []hop{}}
+func toJSON(e *intent.Entry) entryJSON {
+	s := entryJSON{Incarnation: e.Incarnation, RequestNumber: e.RequestNumber, ID: e.RequestID, Type: e.Type, Tenant: e.Tenant, RepeatOf: e.RepeatOf, IsRetry: e.IsRetry, At: formatTime(e.AtUnixNano),
+		State: e.State().String(), ClientOutcome: e.ClientOutcome, Attempts: []attemptJSON{}}
 	for _, h := range e.Attempts {
-		s.Hops = append(s.Hops, hop{h.Server, clock(h.AtUnixNano), clock(h.EndedAtUnixNano), h.Outcome,
+		s.Attempts = append(s.Attempts, attemptJSON{h.Server, formatTime(h.AtUnixNano), formatTime(h.EndedAtUnixNano), h.Outcome,
 			[]string{"possibly sent", "ran", "never ran"}[h.Proof()], h.IsReconciled})
 	}
 	return s
 }
 
-func servers(s shown) string {
+func attemptList(s entryJSON) string {
 	var all []string
-	for _, h := range s.Hops {
+	for _, h := range s.Attempts {
 		all = append(all, h.Server+" "+h.Proof)
 	}
 	return strings.Join(all, ", ")
--- a/cmd/fernvane/journalsource.go
+++ b/cmd/fernvane/journalsource.go
@@ -18,26 +18,26 @@
 	"fernvane/internal/journal/wal"
 )
 
-const barEvery = 200 * time.Millisecond // between two looks of the progress bar
+const progressInterval = 200 * time.Millisecond // between two redraws of the progress bar
 
-// query is what find and export look for.
-type query struct {
-	id       string
-	server   string
-	state    string
-	tenant   string
-	since    string
-	from     time.Time
-	want     intent.State
-	anyState bool
+// entryFilter selects entries for find and export.
+type entryFilter struct {
+	id        string
+	server    string
+	state     string
+	tenant    string
+	since     string
+	from      time.Time
+	wantState intent.State
+	anyState  bool
 }
 
-// ready reads the query's words.
-func (q *query) ready(now time.Time) error {
+// parse reads the state and the time of the flags.
+func (q *entryFilter) parse(now time.Time) error {
 	q.anyState = q.state == ""
 	if !q.anyState {
 		var ok bool
-		if q.want, ok = intent.ParseState(q.state); !ok {
+		if q.wantState, ok = intent.ParseState(q.state); !ok {
 			return fmt.Errorf("--state %q: not-sent, possibly-sent, ran or not-known", q.state)
 		}
 	}
@@ -55,9 +55,9 @@
 	return nil
 }
 
-func (q *query) fits(e *intent.Entry) bool {
+func (q *entryFilter) matches(e *intent.Entry) bool {
 	if q.id != "" && e.RequestID != q.id && e.RepeatOf != q.id || q.tenant != "" && e.Tenant != q.tenant || e.AtUnixNano < q.from.UnixNano() && !q.from.IsZero() ||
-		!q.anyState && e.State() != q.want {
+		!q.anyState && e.State() != q.wantState {
 		return false
 	}
 	if q.server == "" {
@@ -71,15 +71,15 @@
 	return false
 }
 
-// source is where entries are read: one folder, or all nodes of a tier.
-type source struct {
+// journalSource is where entries are read from: one folder, or all nodes of a tier.
+type journalSource struct {
 	dir   string
 	peers string
 	tier  bool
 }
 
-// ready finds out what is not said.
-func (s *source) ready(getenv func(string) string) error {
+// resolve fills in the folder from PROXY_BINDINGS where no flag names a source.
+func (s *journalSource) resolve(getenv func(string) string) error {
 	switch {
 	case s.tier && s.peers == "":
 		return errors.New("which tier? --peers FILE")
@@ -97,11 +97,11 @@
 	return err
 }
 
-// entries calls each for all entries, or for those of one id: those of a folder that are whole as they are read, the
-// others at the end.
-func (s *source) entries(since time.Time, id string, errs io.Writer, each func(*intent.Entry) error) (wal.ScanReport, error) {
+// entries calls each for all entries, or for those of one request ID: complete ones as they are read, the others at the
+// end.
+func (s *journalSource) entries(since time.Time, id string, errs io.Writer, each func(*intent.Entry) error) (wal.ScanReport, error) {
 	if s.tier {
-		return wal.ScanReport{}, s.asked(since, id, errs, each)
+		return wal.ScanReport{}, s.entriesOfTier(since, id, errs, each)
 	}
 	fold := intent.NewAssembler()
 	bar, done := progress(errs)
@@ -124,22 +124,22 @@
 	for _, f := range report.Unreadable {
 		fmt.Fprintln(errs, f)
 	}
-	tellGaps(errs, fold.Gaps)
+	printGaps(errs, fold.Gaps)
 	return report, nil
 }
 
-func tellGaps(errs io.Writer, gaps []intent.Record) {
+func printGaps(errs io.Writer, gaps []intent.Record) {
 	for _, g := range gaps {
-		fmt.Fprintf(errs, "from %s to %s %d words were not kept\n", clock(g.From), clock(g.AtUnixNano), g.Count)
+		fmt.Fprintf(errs, "from %s to %s %d records were not kept\n", formatTime(g.From), formatTime(g.AtUnixNano), g.Count)
 	}
 }
 
-// errTooFew is an answer from too few nodes.
-var errTooFew = errors.New("too few nodes could be asked: what is not found here is not known, not \"not sent\"")
+// errTooFewAnswers: so many nodes did not answer that an entry may exist which was not found.
+var errTooFewAnswers = errors.New("too few nodes could be asked: what is not found here is not known, not \"not sent\"")
 
-// asked puts together what all nodes of a tier hold. Which could not be asked is told; where they are more than may be
-// lost, nothing counts as not sent.
-func (s *source) asked(since time.Time, id string, errs io.Writer, each func(*intent.Entry) error) error {
+// entriesOfTier merges the journals and replicas of all nodes of a tier. It prints which nodes did not answer; where more
+// are missing than replicas allow for, no entry counts as not sent.
+func (s *journalSource) entriesOfTier(since time.Time, id string, errs io.Writer, each func(*intent.Entry) error) error {
 	cfg, err := peer.LoadConfig(s.peers)
 	if err != nil {
 		return err
@@ -164,13 +164,13 @@
 			return err
 		}
 	}
-	tellGaps(errs, union.Gaps)
+	printGaps(errs, union.Gaps)
 	fmt.Fprintf(errs, "%d nodes answered\n", len(tier.Answered))
 	for _, name := range slices.Sorted(maps.Keys(tier.Unanswered)) {
 		fmt.Fprintf(errs, "could not be asked: %s: %v\n", name, tier.Unanswered[name])
 	}
 	if !enough {
-		return errTooFew
+		return errTooFewAnswers
 	}
 	return nil
 }
@@ -187,7 +187,7 @@
 	}
 	begun, drawn := time.Now(), time.Time{}
 	return func(read, all int64) {
-			if now := time.Now(); now.Sub(begun) > barEvery && now.Sub(drawn) > barEvery && all > 0 {
+			if now := time.Now(); now.Sub(begun) > progressInterval && now.Sub(drawn) > progressInterval && all > 0 {
 				drawn = now
 				n := int(40 * min(read, all) / all)
 				fmt.Fprintf(errs, "\r[%s%s] %d of %d MB", strings.Repeat("=", n), strings.Repeat(" ", 40-n), read>>20, all>>20)
@@ -199,10 +199,10 @@
 		}
 }
 
-func (q *query) flags(c *cobra.Command) {
+func (q *entryFilter) addFlags(c *cobra.Command) {
 	f := c.Flags()
 	f.StringVar(&q.id, "id", "", "the request's id, or one that it repeats")
-	f.StringVar(&q.server, "server", "", "a server that a hop was for")
+	f.StringVar(&q.server, "server", "", "a server that an attempt was for")
 	f.StringVar(&q.state, "state", "", "not-sent, possibly-sent, ran or not-known")
 	f.StringVar(&q.tenant, "tenant", "", "a tenant")
 	f.StringVar(&q.since, "since", "", "a span back (2h) or a time (2026-01-31T09:00:00Z)")
--- a/cmd/fernvane/main.go
+++ b/cmd/fernvane/main.go
@@ -1,4 +1,5 @@
-// Command fernvane is one node of the proxy.
+// Command fernvane runs a node of the proxy (serve), a planner (plan) or a control process (control), and has commands that
+// check configuration and read what these processes store.
 package main
 
 import (
@@ -17,7 +18,7 @@
 	"fernvane/internal/proxy"
 )
 
-const exitUsage = 2 // also for a configuration of no use
+const exitUsage = 2 // bad command line or unusable file
 
 func main() {
 	if len(os.Args) > 1 && os.Args[1] == "serve" {
@@ -26,31 +27,31 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr, os.Getenv))
 }
 
-// exit ends a command with a code, after what it had to say.
-type exit int
+// exitCode is the error of a command that has already printed its reason; the program ends with this code.
+type exitCode int
 
-func (e exit) Error() string { return fmt.Sprintf("exit %d", int(e)) }
+func (e exitCode) Error() string { return fmt.Sprintf("exit %d", int(e)) }
 
-// unusable is a configuration that a command cannot go by.
-type unusable struct{ error }
+// configError wraps the fault of a configuration that cannot be used; the program ends with exitUsage.
+type configError struct{ error }
 
 func run(args []string, out, errs io.Writer, getenv func(string) string) int {
 	root := &cobra.Command{
 		Use:   "fernvane",
 		Short: "One node of a load-balancing proxy for fleets of HTTP and FastCGI servers",
-		Long: `fernvane is one node of a load-balancing proxy. It takes operations from clients, sends each to one of the servers that
+		Long: `fernvane is one node of a load-balancing proxy. It takes requests from clients, sends each to one of the servers that
 discovery or a registry names, and tells the client how it ended.
 
 Files are named by flags or by the environment: PROXY_CONFIG, PROXY_OPERATOR, PROXY_PLANNERS, PROXY_BINDINGS, PROXY_REGISTRY,
-PROXY_SNAPSHOT, PROXY_PEERS, PROXY_DISTRIBUTION, PROXY_PLAN, PROXY_CONTROL. Exit codes: 0 done, 1 it could not serve, a journal or a kept list is
-damaged, a node is behind, or too few nodes answer or hold what is kept, 2 a file or the command line is of no use.`,
+PROXY_SNAPSHOT, PROXY_PEERS, PROXY_DISTRIBUTION, PROXY_PLAN, PROXY_CONTROL. Exit codes: 0 done, 1 it could not serve, a journal or a cached list
+is damaged, a node is behind, or too few nodes answer or hold replicas, 2 a file or the command line cannot be used.`,
 		Example: `  fernvane serve --config config.json
   fernvane check --operator deploy/operator.example.toml
   fernvane explain --operator deploy/operator.example.toml POST /hire-book/baler --tenant dorset-dairy
   fernvane bindings --dir /var/lib/fernvane/bindings find --state possibly-sent --since 2h`,
 		SilenceUsage: true, SilenceErrors: true,
 	}
-	root.SetArgs(doubled(args))
+	root.SetArgs(withDoubleDashes(args))
 	root.SetOut(out)
 	root.SetErr(errs)
 	root.AddCommand(serveCommand(errs, getenv), checkCommand(errs, getenv), explainCommand(getenv), planCommand(errs, getenv), controlCommand(errs, getenv),
@@ -62,16 +63,16 @@
 		return exitUsage
 	}
 	err := root.Execute()
-	var code exit
+	var code exitCode
 	var faults tomlfile.Faults
-	var bad unusable
+	var bad configError
 	switch {
 	case err == nil:
 		return 0
 	case errors.As(err, &code):
 		return int(code)
-	case errors.Is(err, errDamaged), errors.Is(err, errSpoilt), errors.Is(err, errTooFew), errors.Is(err, errLacking),
-		errors.Is(err, errBehind), errors.Is(err, errNotHeld), errors.As(err, new(*client.WriteRefusedError)):
+	case errors.Is(err, errJournalDamaged), errors.Is(err, errUnusableGeneration), errors.Is(err, errTooFewAnswers), errors.Is(err, errUnderReplicated),
+		errors.Is(err, errNodesBehind), errors.Is(err, errNoSuchEntry), errors.As(err, new(*client.WriteRefusedError)):
 		fmt.Fprintf(errs, "fernvane: %v\n", err)
 		return 1
 	case errors.As(err, &faults): // each with its own file and line
@@ -84,16 +85,16 @@
 	return exitUsage
 }
 
-var single = regexp.MustCompile(`^-[a-z][a-z]`)
+var singleDashFlag = regexp.MustCompile(`^-[a-z][a-z]`)
 
-// doubled writes flags of one dash, as deploy lines of earlier versions have them, with two.
-func doubled(args []string) []string {
+// withDoubleDashes rewrites -flag to --flag: deploy lines of earlier versions have one dash.
+func withDoubleDashes(args []string) []string {
 	out := make([]string, 0, len(args))
 	for i, a := range args {
 		if a == "--" {
 			return append(out, args[i:]...)
 		}
-		if single.MatchString(a) {
+		if singleDashFlag.MatchString(a) {
 			a = "-" + a
 		}
 		out = append(out, a)
@@ -115,7 +116,7 @@
 	return info.Main.Version
 }
 
-// headers are the fields of a request to be explained, given as name=value.
+// headers is a flag of header fields, each given as NAME=VALUE.
 type headers map[string]string
 
 func (h headers) String() string { return "" }
--- a/cmd/fernvane/replicas.go
+++ b/cmd/fernvane/replicas.go
@@ -17,9 +17,9 @@
 	"fernvane/internal/cluster/peer"
 )
 
-const repairLook = time.Second // between two looks at a tier that is being made whole
+const repairPollInterval = time.Second // between two status queries while replicas are repaired
 
-var errLacking = errors.New("not all that the tier keeps stands as often as it should")
+var errUnderReplicated = errors.New("not all that the tier keeps stands as often as it should")
 
 func replicasCommand(getenv func(string) string) *cobra.Command {
 	var path string
@@ -45,16 +45,16 @@
 			if err != nil {
 				return err
 			}
-			tellTier(c.OutOrStdout(), t, lines)
-			for by := time.Now().Add(most); verdict(t) != nil && time.Now().Before(by); {
+			printTier(c.OutOrStdout(), t, lines)
+			for by := time.Now().Add(most); replicationError(t) != nil && time.Now().Before(by); {
 				fmt.Fprintln(c.ErrOrStderr(), t.Shortfall())
-				time.Sleep(repairLook)
+				time.Sleep(repairPollInterval)
 				if t, err = look(c, false); err != nil {
 					return err
 				}
 			}
-			fmt.Fprintln(c.ErrOrStderr(), "whole:", verdict(t) == nil)
-			return verdict(t)
+			fmt.Fprintln(c.ErrOrStderr(), "whole:", replicationError(t) == nil)
+			return replicationError(t)
 		}}
 	repair.Flags().DurationVar(&most, "for", time.Minute, "how long to wait")
 	for _, v := range []struct {
@@ -68,8 +68,8 @@
 			if err != nil {
 				return err
 			}
-			tellTier(c.OutOrStdout(), t, lines)
-			return verdict(t)
+			printTier(c.OutOrStdout(), t, lines)
+			return replicationError(t)
 		}})
 	}
 	root.AddCommand(repair)
@@ -77,16 +77,16 @@
 	return root
 }
 
-// verdict is an error where something lacks, or a node could not be asked.
-func verdict(t *peer.Client) error {
+// replicationError is errUnderReplicated where records lack replicas or a node did not answer, nil otherwise.
+func replicationError(t *peer.Client) error {
 	if t.Shortfall() != "" || len(t.Unanswered) > 0 || len(t.Answered) == 0 {
-		return errLacking
+		return errUnderReplicated
 	}
 	return nil
 }
 
-// tellTier writes how each node stands, and what lacks.
-func tellTier(out io.Writer, t *peer.Client, lines bool) {
+// printTier writes the status of each node, and what lacks replicas.
+func printTier(out io.Writer, t *peer.Client, lines bool) {
 	if lines {
 		e := json.NewEncoder(out)
 		for _, name := range slices.Sorted(maps.Keys(t.Answered)) {
--- a/cmd/fernvane/serve.go
+++ b/cmd/fernvane/serve.go
@@ -12,11 +12,18 @@
 	"fernvane/internal/proxy"
 )
 
-// files are what a node is told by, each by its flag or its variable.
+// files are the paths of a node's files, each named by a flag or an environment variable.
 type files struct {
-	getenv                                                                   func(string) string
-	config, operator, planners, bindings, registries, snapshot, peers, watch string
-	distribution                                                             string
+	getenv       func(string) string
+	config       string
+	operator     string
+	planners     string
+	bindings     string
+	registries   string
+	snapshot     string
+	peers        string
+	distribution string
+	watch        string
 }
 
 func (f *files) flags(set *pflag.FlagSet) {
@@ -30,7 +37,7 @@
 		{&f.bindings, "bindings", "PROXY_BINDINGS", "keep a journal of bindings, by this TOML `file`"},
 		{&f.registries, "registry", "PROXY_REGISTRY", "read servers from a registry of ephemeral nodes, by this TOML `file`"},
 		{&f.snapshot, "snapshot", "PROXY_SNAPSHOT", "keep the list of servers on disk for the next start, by this TOML `file`"},
-		{&f.peers, "peers", "PROXY_PEERS", "know the other nodes of the tier and hold replicas for them, by this TOML `file`"},
+		{&f.peers, "peers", "PROXY_PEERS", "join the other nodes of the tier and store replicas for them, by this TOML `file`"},
 		{&f.distribution, "distribution", "PROXY_DISTRIBUTION", "follow control processes for servers, routes and tenants, by this TOML `file`"},
 		{&f.watch, "watch", "PROXY_WATCH", "count where these settings would decide otherwise, a JSON `file`"},
 	} {
@@ -61,16 +68,17 @@
 		return f.getenv(name)
 	})
 	if err != nil {
-		return cfg, unusable{err}
+		return cfg, configError{err}
 	}
 	return cfg, nil
 }
 
-func ended(code int) error {
+// exitWith turns the exit code of a process into the error of its command.
+func exitWith(code int) error {
 	if code == 0 {
 		return nil
 	}
-	return exit(code)
+	return exitCode(code)
 }
 
 func serveCommand(errs io.Writer, getenv func(string) string) *cobra.Command {
@@ -87,10 +95,10 @@
 			if verbose {
 				level = zerolog.DebugLevel
 			}
-			return ended(proxy.RunProcess(cfg, errs, level))
+			return exitWith(proxy.RunProcess(cfg, errs, level))
 		}}
 	f.flags(c.Flags())
-	c.Flags().BoolVar(&verbose, "verbose", false, "log each hop that does not end with a whole answer")
+	c.Flags().BoolVar(&verbose, "verbose", false, "log each attempt that does not end with a complete response")
 	return c
 }
 
@@ -100,9 +108,9 @@
 		Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			cfg, err := planconfig.LoadPlanner(path)
 			if err != nil {
-				return unusable{err}
+				return configError{err}
 			}
-			return ended(planner.Process(cfg, errs))
+			return exitWith(planner.Process(cfg, errs))
 		}}
 	c.Flags().StringVar(&path, "file", getenv("PROXY_PLAN"), "the planner's TOML `file`; or PROXY_PLAN")
 	return c
--- a/cmd/fernvane/snapshot.go
+++ b/cmd/fernvane/snapshot.go
@@ -18,10 +18,10 @@
 	"fernvane/internal/journal/wal"
 )
 
-var errSpoilt = errors.New("a generation cannot be gone by")
+var errUnusableGeneration = errors.New("a generation cannot be gone by")
 
 func snapshotCommand(getenv func(string) string) *cobra.Command {
-	g := &generations{getenv: getenv}
+	g := &snapshotFolder{getenv: getenv}
 	root := &cobra.Command{Use: "snapshot", Short: "Look at the lists of servers that a node keeps on disk, also while it writes them",
 		Example: "  fernvane snapshot show --dir DIR\n  fernvane snapshot verify --dir DIR"}
 	root.PersistentFlags().StringVar(&g.dir, "dir", "", "the node's `folder`; by default that of the file in PROXY_SNAPSHOT")
@@ -29,14 +29,14 @@
 	return root
 }
 
-// generations are the lists in the folder that the command is about.
-type generations struct {
+// snapshotFolder is the folder of snapshots that the command is about.
+type snapshotFolder struct {
 	getenv func(string) string
 	dir    string
 }
 
-// read opens the folder and reads all generations, the newest first; a folder without any is an error.
-func (g *generations) read() (*snapshot.Store, []snapshot.Generation, error) {
+// read opens the folder and reads all generations, newest first. A folder without any is an error.
+func (g *snapshotFolder) read() (*snapshot.Store, []snapshot.Generation, error) {
 	if g.dir == "" {
 		path := g.getenv("PROXY_SNAPSHOT")
 		if path == "" {
@@ -59,9 +59,9 @@
 	return store, all, err
 }
 
-func snapshotShow(g *generations) *cobra.Command {
+func snapshotShow(g *snapshotFolder) *cobra.Command {
 	var lines bool
-	show := &cobra.Command{Use: "show", Short: "Tell what the newest whole generation holds, and how far a start would believe it", Args: cobra.NoArgs,
+	show := &cobra.Command{Use: "show", Short: "Print the newest complete generation, and how far a start would believe it", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			_, all, err := g.read()
 			if err != nil {
@@ -72,16 +72,16 @@
 				return fmt.Errorf("%s: %w", all[0].Path, all[0].Err)
 			}
 			if lines {
-				return json.NewEncoder(c.OutOrStdout()).Encode(shownList(all[i].Snapshot))
+				return json.NewEncoder(c.OutOrStdout()).Encode(newListJSON(all[i].Snapshot))
 			}
-			tellList(c.OutOrStdout(), all[i].Snapshot, time.Now())
+			printList(c.OutOrStdout(), all[i].Snapshot, time.Now())
 			return nil
 		}}
 	show.Flags().BoolVar(&lines, "json", false, "for programs")
 	return show
 }
 
-func snapshotVerify(g *generations) *cobra.Command {
+func snapshotVerify(g *snapshotFolder) *cobra.Command {
 	return &cobra.Command{Use: "verify", Short: "Read every generation and name what is wrong", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			_, all, err := g.read()
@@ -97,13 +97,13 @@
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d generations, %d whole\n", len(all), len(all)-bad)
 			if bad > 0 {
-				return errSpoilt
+				return errUnusableGeneration
 			}
 			return nil
 		}}
 }
 
-func snapshotDiff(g *generations) *cobra.Command {
+func snapshotDiff(g *snapshotFolder) *cobra.Command {
 	return &cobra.Command{Use: "diff", Short: "Tell what changed between the two newest whole generations", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			_, all, err := g.read()
@@ -119,12 +119,12 @@
 			if len(whole) < 2 {
 				return errors.New("there are no two whole generations")
 			}
-			tellChanges(c.OutOrStdout(), whole[1], whole[0])
+			printChanges(c.OutOrStdout(), whole[1], whole[0])
 			return nil
 		}}
 }
 
-func snapshotPrune(g *generations) *cobra.Command {
+func snapshotPrune(g *snapshotFolder) *cobra.Command {
 	var keep int
 	prune := &cobra.Command{Use: "prune", Short: "Remove all but the newest generations; only while no node writes there", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -152,20 +152,20 @@
 	return fmt.Sprintf("unknown (%d)", c)
 }
 
-func tellList(out io.Writer, s *snapshot.Snapshot, now time.Time) {
+func printList(out io.Writer, s *snapshot.Snapshot, now time.Time) {
 	k := staleness.CachedList{Age: now.Sub(time.UnixMilli(s.ConfirmedUnixMS)), IsCleanShutdown: s.IsCleanShutdown}
 	fmt.Fprintf(out, "node %s of %s, revision %d, %d servers, written %s, confirmed %s ago, ended in good order: %v\n", s.Node, s.Deployment, s.Revision,
-		len(s.Servers), clock(s.WrittenUnixMS*1e6), k.Age.Round(time.Second), s.IsCleanShutdown)
+		len(s.Servers), formatTime(s.WrittenUnixMS*1e6), k.Age.Round(time.Second), s.IsCleanShutdown)
 	fmt.Fprintf(out, "a start now would take it with suspicion %d of %d\n", k.Level(), staleness.LevelCount-1)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "server\taddress\tzone\tcondition\theard\tran")
 	for _, one := range s.Servers {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", one.ID, one.Address, one.Zone, conditionName(one.Condition), clock(one.AnnouncedUnixMS*1e6), clock(one.ExecutedUnixMS*1e6))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", one.ID, one.Address, one.Zone, conditionName(one.Condition), formatTime(one.AnnouncedUnixMS*1e6), formatTime(one.ExecutedUnixMS*1e6))
 	}
 	t.Flush()
 }
 
-func tellChanges(out io.Writer, before, after *snapshot.Snapshot) {
+func printChanges(out io.Writer, before, after *snapshot.Snapshot) {
 	was := map[string]snapshot.Server{}
 	for _, s := range before.Servers {
 		was[s.ID] = s
@@ -191,7 +191,7 @@
 	fmt.Fprintf(out, "%d changes from revision %d to %d\n", len(lines), before.Revision, after.Revision)
 }
 
-// listJSON is a list for programs.
+// listJSON is a snapshot as show prints it for programs.
 type listJSON struct {
 	Node       string       `json:"node"`
 	Deployment string       `json:"deployment"`
@@ -211,10 +211,10 @@
 	Ran       string `json:"ran"`
 }
 
-func shownList(s *snapshot.Snapshot) listJSON {
-	l := listJSON{s.Node, s.Deployment, s.Revision, clock(s.WrittenUnixMS * 1e6), clock(s.ConfirmedUnixMS * 1e6), s.IsCleanShutdown, []serverJSON{}}
+func newListJSON(s *snapshot.Snapshot) listJSON {
+	l := listJSON{s.Node, s.Deployment, s.Revision, formatTime(s.WrittenUnixMS * 1e6), formatTime(s.ConfirmedUnixMS * 1e6), s.IsCleanShutdown, []serverJSON{}}
 	for _, one := range s.Servers {
-		l.Servers = append(l.Servers, serverJSON{one.ID, one.Address, one.Zone, conditionName(one.Condition), clock(one.AnnouncedUnixMS * 1e6), clock(one.ExecutedUnixMS * 1e6)})
+		l.Servers = append(l.Servers, serverJSON{one.ID, one.Address, one.Zone, conditionName(one.Condition), formatTime(one.AnnouncedUnixMS * 1e6), formatTime(one.ExecutedUnixMS * 1e6)})
 	}
 	return l
 }
