--- a/internal/controlplane/plan/change.go
+++ b/internal/controlplane/plan/change.go
@@ -8,9 +8,10 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-const worthTelling = 0.02 // by which a figure must differ to be told again
+// minRelativeChange is the difference of a number below which it is not sent again.
+const minRelativeChange = 0.02
 
-// Change is what one plan has that the one before, on the same connection, had not.
+// Change is the difference between two plans sent one after the other on one connection.
 type Change struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -20,72 +21,104 @@
 	ReportingForwarders int
 	Nodes               int
 	AdmittedShare       float64
-	WithinAllowance     []TenantShare // all, if any differs
-	Servers             []ServerShare // new or other
-	RemovedServers      []string      // servers that it says nothing of any more
-	Incarnations        []incarnation.Entry
+	WithinAllowance     []TenantShare // all of them, if any has changed
+	Servers             []ServerShare // new or changed
+	RemovedServers      []string
+	Incarnations        []incarnation.Entry // new or changed
 }
 
-// Diff is the change from one plan to the next; told is what the other side holds after it, which need not be all of
-// next where that hardly differs.
-func Diff(before, next Plan) (c Change, told Plan) {
-	c = Change{PlannerStartMs: next.PlannerStartMs, Number: next.Number, ReportSentAt: next.ReportSentAt, ReportingForwarders: next.ReportingForwarders, Nodes: next.Nodes, AdmittedShare: next.AdmittedShare}
-	told = next
-	if told.WithinAllowance = before.WithinAllowance; differs(before.WithinAllowance, next.WithinAllowance) {
-		c.WithinAllowance, told.WithinAllowance = next.WithinAllowance, next.WithinAllowance
+// Diff returns the change from one plan to the next, and the plan that the receiver holds after it. That differs from next
+// where a number has changed too little to be sent.
+func Diff(before, next Plan) (c Change, held Plan) {
+	c = Change{
+		PlannerStartMs:      next.PlannerStartMs,
+		Number:              next.Number,
+		ReportSentAt:        next.ReportSentAt,
+		ReportingForwarders: next.ReportingForwarders,
+		Nodes:               next.Nodes,
+		AdmittedShare:       next.AdmittedShare,
 	}
-	was := make(map[string]ServerShare, len(before.Servers))
-	for _, s := range before.Servers {
-		was[s.ID] = s
+	held = next
+	held.WithinAllowance = before.WithinAllowance
+	if tenantSharesDiffer(before.WithinAllowance, next.WithinAllowance) {
+		c.WithinAllowance, held.WithinAllowance = next.WithinAllowance, next.WithinAllowance
 	}
-	told.Servers = slices.Clone(next.Servers)
-	for i, s := range next.Servers {
-		if w, ok := was[s.ID]; ok && near(w.Share, s.Share) && near(w.SlowStartRate, s.SlowStartRate) && w.IsAvoided == s.IsAvoided && w.EjectionRemaining == 0 && s.EjectionRemaining == 0 {
-			told.Servers[i] = w
+	c.Servers, c.RemovedServers, held.Servers = diffServers(before.Servers, next.Servers)
+	c.Incarnations = changedIncarnations(before.Incarnations, next.Incarnations)
+	return c, held
+}
+
+// diffServers returns the servers that are new or changed, those that are gone, and what the receiver holds after that.
+func diffServers(before, next []ServerShare) (changed []ServerShare, removed []string, held []ServerShare) {
+	remaining := make(map[string]ServerShare, len(before))
+	for _, s := range before {
+		remaining[s.ID] = s
+	}
+	held = slices.Clone(next)
+	for i, s := range next {
+		if old, ok := remaining[s.ID]; ok && isNearlySame(old, s) {
+			held[i] = old
 		} else {
-			c.Servers = append(c.Servers, s)
+			changed = append(changed, s)
 		}
-		delete(was, s.ID)
+		delete(remaining, s.ID)
 	}
-	for _, s := range before.Servers {
-		if _, left := was[s.ID]; left {
-			c.RemovedServers = append(c.RemovedServers, s.ID)
+	for _, s := range before {
+		if _, gone := remaining[s.ID]; gone {
+			removed = append(removed, s.ID)
 		}
 	}
-	c.Incarnations = lives(before.Incarnations, next.Incarnations)
-	return c, told
+	return changed, removed, held
 }
 
-// lives are those of next that before has not; both are sorted by id, and one that is forgotten is not told.
-func lives(before, next []incarnation.Entry) (other []incarnation.Entry) {
+// isNearlySame reports whether a server need not be sent again. One that is ejected is: its remaining time counts down.
+func isNearlySame(a, b ServerShare) bool {
+	return isNear(a.Share, b.Share) && isNear(a.SlowStartRate, b.SlowStartRate) && a.IsAvoided == b.IsAvoided &&
+		a.EjectionRemaining == 0 && b.EjectionRemaining == 0
+}
+
+// changedIncarnations returns the entries of next that before lacks. Both are sorted by ID; an entry that next no longer has
+// is not reported.
+func changedIncarnations(before, next []incarnation.Entry) (changed []incarnation.Entry) {
 	i := 0
 	for _, e := range next {
 		for i < len(before) && before[i].ID < e.ID {
 			i++
 		}
 		if i == len(before) || before[i] != e {
-			other = append(other, e)
+			changed = append(changed, e)
 		}
 	}
-	return other
+	return changed
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) <= worthTelling*max(math.Abs(a), math.Abs(b)) }
+func isNear(a, b float64) bool {
+	return math.Abs(a-b) <= minRelativeChange*max(math.Abs(a), math.Abs(b))
+}
 
-func differs(a, b []TenantShare) bool {
-	return !slices.EqualFunc(a, b, func(x, y TenantShare) bool { return x.Tenant == y.Tenant && near(x.Share, y.Share) })
+func tenantSharesDiffer(a, b []TenantShare) bool {
+	return !slices.EqualFunc(a, b, func(x, y TenantShare) bool { return x.Tenant == y.Tenant && isNear(x.Share, y.Share) })
 }
 
-// Apply is the plan that follows by a change. Its lives are those of the change only: who follows plans joins them.
+// Apply returns the plan that a change makes of the one before. Its Incarnations are those of the change alone: the receiver
+// joins them with what it knows.
 func Apply(before Plan, c Change) Plan {
-	next := Plan{PlannerStartMs: c.PlannerStartMs, Number: c.Number, ReportSentAt: c.ReportSentAt, ReportingForwarders: c.ReportingForwarders, Nodes: c.Nodes, AdmittedShare: c.AdmittedShare,
-		WithinAllowance: before.WithinAllowance, Incarnations: c.Incarnations}
+	next := Plan{
+		PlannerStartMs:      c.PlannerStartMs,
+		Number:              c.Number,
+		ReportSentAt:        c.ReportSentAt,
+		ReportingForwarders: c.ReportingForwarders,
+		Nodes:               c.Nodes,
+		AdmittedShare:       c.AdmittedShare,
+		WithinAllowance:     before.WithinAllowance,
+		Incarnations:        c.Incarnations,
+	}
 	if len(c.WithinAllowance) > 0 {
 		next.WithinAllowance = c.WithinAllowance
 	}
 	for _, s := range before.Servers {
-		told := slices.Contains(c.RemovedServers, s.ID) || slices.ContainsFunc(c.Servers, func(o ServerShare) bool { return o.ID == s.ID })
-		if !told {
+		isReplaced := slices.ContainsFunc(c.Servers, func(o ServerShare) bool { return o.ID == s.ID })
+		if !isReplaced && !slices.Contains(c.RemovedServers, s.ID) {
 			next.Servers = append(next.Servers, s)
 		}
 	}
--- a/internal/controlplane/plan/plan_test.go
+++ b/internal/controlplane/plan/planner_test.go
@@ -16,8 +16,8 @@
 
 const ms = time.Millisecond
 
-// world drives a planner with forwarders that follow it at once.
-type world struct {
+// fleet drives a planner with forwarders that follow its plans at once.
+type fleet struct {
 	p     *Planner
 	now   time.Duration
 	held  map[string][]CurrentShare
@@ -25,8 +25,8 @@
 	ids   []string
 }
 
-func newWorld(forwarders, servers int) *world {
-	w := &world{p: NewPlanner(0), now: time.Second, held: map[string][]CurrentShare{}}
+func newFleet(forwarders, servers int) *fleet {
+	w := &fleet{p: NewPlanner(0), now: time.Second, held: map[string][]CurrentShare{}}
 	for f := range forwarders {
 		w.names = append(w.names, fmt.Sprintf("n%03d", f))
 	}
@@ -39,78 +39,80 @@
 	return w
 }
 
-// digest of what one forwarder met at one server in a step.
-type digest struct {
-	n, timedOut, failed int
-	took                time.Duration
+// outcome is how one forwarder's attempts at one server ended in a step.
+type outcome struct {
+	completed int
+	timedOut  int
+	failed    int
+	latency   time.Duration // of each completed attempt
 }
 
-// step has each forwarder report half a second, by what meet says of each server, and returns the plan.
-func (w *world) step(meet func(f, s int) digest) *FleetPlan {
+// step has each forwarder report half a second, by the outcomes that attempts returns, and returns the plan.
+func (w *fleet) step(attempts func(f, s int) outcome) *FleetPlan {
 	w.now += 500 * ms
 	for f, name := range w.names {
 		r := Report{SentAt: w.now, Interval: 500 * ms, InFlight: 1, CurrentShares: w.held[name], Settings: ForwarderSettings{Nodes: len(w.names), SlowStartDuration: 5 * time.Second, InitialCapacity: 0.4, FallMultiple: 2.5},
 			Types: []TypeReport{{Name: "check", TargetTime: 200 * ms}}}
 		for s, id := range w.ids {
-			if d := meet(f, s); d != (digest{}) {
-				r.Servers = append(r.Servers, ServerReport{ID: id, TimedOut: d.timedOut, Failed: d.failed, Completions: []Completions{{TypeIndex: 0, Count: d.n, TotalLatency: time.Duration(d.n) * d.took}}})
+			if d := attempts(f, s); d != (outcome{}) {
+				r.Servers = append(r.Servers, ServerReport{ID: id, TimedOut: d.timedOut, Failed: d.failed, Completions: []Completions{{TypeIndex: 0, Count: d.completed, TotalLatency: time.Duration(d.completed) * d.latency}}})
 			}
 		}
 		w.p.ReportReceived(w.now, name, &r)
 	}
-	whole := w.p.ComputePlans(w.now)
+	plans := w.p.ComputePlans(w.now)
 	for _, name := range w.names {
 		var held []CurrentShare
-		for _, s := range whole.ForForwarder(name).Servers {
+		for _, s := range plans.ForForwarder(name).Servers {
 			if s.Share > 0 {
 				held = append(held, CurrentShare{ID: s.ID, Share: s.Share})
 			}
 		}
 		w.held[name] = held
 	}
-	return whole
+	return plans
 }
 
-func well(f, s int) digest {
+func healthy(f, s int) outcome {
 	if (f+s)%5 == 0 {
-		return digest{n: 3, took: 20 * ms}
+		return outcome{completed: 3, latency: 20 * ms}
 	}
-	return digest{}
+	return outcome{}
 }
 
-// loads are what each server gets by the shares, over its even part.
-func (w *world) loads(whole *FleetPlan) []float64 {
+// loads returns what each server gets by the shares, over an even share.
+func (w *fleet) loads(plans *FleetPlan) []float64 {
 	loads, at := make([]float64, len(w.ids)), map[string]int{}
 	for i, id := range w.ids {
 		at[id] = i
 	}
 	for _, name := range w.names {
-		for _, s := range whole.ForForwarder(name).Servers {
+		for _, s := range plans.ForForwarder(name).Servers {
 			loads[at[s.ID]] += s.Share * float64(len(w.ids)) / float64(len(w.names))
 		}
 	}
 	return loads
 }
 
-// The same reports at the same times give the same plan, and a planner that starts anew goes on from what forwarders hold.
-func TestSamePlan(t *testing.T) {
-	a, b := newWorld(40, 12), newWorld(40, 12)
+// Equal reports at equal times give equal plans, and a new planner continues from the shares that forwarders report.
+func TestEqualReportsGiveEqualPlans(t *testing.T) {
+	a, b := newFleet(40, 12), newFleet(40, 12)
 	var x, y *FleetPlan
 	for range 6 {
-		x, y = a.step(well), b.step(well)
+		x, y = a.step(healthy), b.step(healthy)
 	}
 	if p, q := text(t, x.ForForwarder("n007")), text(t, y.ForForwarder("n007")); p != q {
 		t.Errorf("%s\n%s", p, q)
 	}
 	b.p = NewPlanner(0)
-	b.p.EndpointsUpdated(b.now, a.p.lives.All(), true)
+	b.p.EndpointsUpdated(b.now, a.p.incarnations.All(), true)
 	moved := 0
 	before := b.held
 	b.held = map[string][]CurrentShare{}
 	for n, h := range before {
 		b.held[n] = h
 	}
-	b.step(well)
+	b.step(healthy)
 	for n := range before {
 		was := map[string]bool{}
 		for _, h := range before[n] {
@@ -135,153 +137,153 @@
 	return string(b)
 }
 
-// Whatever the numbers, parts have their size, shares add up to 1 and servers get their dues.
-func TestParts(t *testing.T) {
+// For any number of forwarders and servers, subsets have their size, shares add up to 1 and servers get their target loads.
+func TestSubsetsAndShares(t *testing.T) {
 	for _, c := range []struct{ forwarders, servers int }{{1, 1}, {1, 40}, {3, 13}, {16, 13}, {220, 52}, {557, 192}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
-			w := newWorld(c.forwarders, c.servers)
-			var whole *FleetPlan
+			w := newFleet(c.forwarders, c.servers)
+			var plans *FleetPlan
 			for range 4 {
-				whole = w.step(well)
+				plans = w.step(healthy)
 			}
 			for _, n := range w.names {
-				sum, part := 0.0, whole.ForForwarder(n).Servers
-				for _, s := range part {
+				sum, subset := 0.0, plans.ForForwarder(n).Servers
+				for _, s := range subset {
 					sum += s.Share
 				}
-				if len(part) < min(partLeast, c.servers) || math.Abs(sum-1) > 0.02 {
-					t.Fatalf("%s has %d servers with %.3f", n, len(part), sum)
+				if len(subset) < min(minSubsetSize, c.servers) || math.Abs(sum-1) > 0.02 {
+					t.Fatalf("%s has %d servers with %.3f", n, len(subset), sum)
 				}
 			}
-			for s, l := range w.loads(whole) {
+			for s, l := range w.loads(plans) {
 				if l < 0.75 || l > 1.3 {
-					t.Errorf("server %d is due %.2f of an even part", s, l)
+					t.Errorf("server %d gets %.2f of an even share", s, l)
 				}
 			}
 		})
 	}
 }
 
-// What forwarders meet, and what the plan makes of it for all.
-func TestJudgement(t *testing.T) {
+// Ejection, avoidance and admission by what forwarders report.
+func TestEjectionAvoidanceAdmission(t *testing.T) {
 	for name, c := range map[string]struct {
-		meet    func(f, s int) digest
-		rest    int // servers
-		avoided int
-		admits  bool
+		attempts func(f, s int) outcome
+		ejected  int // servers
+		avoided  int
+		admits   bool // everything
 	}{
-		"all is well":                {well, 0, 0, true},
-		"two fail for all":           {func(f, s int) digest { return failing(f, s, 2, 99) }, 2, 0, true},
-		"two fail for one forwarder": {func(f, s int) digest { return failing(f, s, 2, 1) }, 0, 0, true},
-		"all fail":                   {func(f, s int) digest { return failing(f, s, 99, 99) }, 6, 0, true},
-		"one is slow":                {func(f, s int) digest { return slow(f, s, 1) }, 0, 1, true},
-		"all are slow":               {func(f, s int) digest { return slow(f, s, 99) }, 0, 0, true},
-		"all are too slow": {func(f, s int) digest {
-			if d := well(f, s); d.n > 0 {
-				return digest{n: 1, took: 190 * ms, timedOut: 3}
+		"all is healthy":             {healthy, 0, 0, true},
+		"two fail for all":           {func(f, s int) outcome { return failing(f, s, 2, 99) }, 2, 0, true},
+		"two fail for one forwarder": {func(f, s int) outcome { return failing(f, s, 2, 1) }, 0, 0, true},
+		"all fail":                   {func(f, s int) outcome { return failing(f, s, 99, 99) }, 6, 0, true},
+		"one is slow":                {func(f, s int) outcome { return slow(f, s, 1) }, 0, 1, true},
+		"all are slow":               {func(f, s int) outcome { return slow(f, s, 99) }, 0, 0, true},
+		"all are too slow": {func(f, s int) outcome {
+			if d := healthy(f, s); d.completed > 0 {
+				return outcome{completed: 1, latency: 190 * ms, timedOut: 3}
 			}
-			return digest{}
+			return outcome{}
 		}, 0, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(20, 12)
+			w := newFleet(20, 12)
 			for range 20 {
-				w.step(well)
+				w.step(healthy)
 			}
-			var whole *FleetPlan
+			var plans *FleetPlan
 			for range 2 {
-				whole = w.step(c.meet)
+				plans = w.step(c.attempts)
 			}
-			rest, avoided := map[string]bool{}, map[string]bool{}
+			ejected, avoided := map[string]bool{}, map[string]bool{}
 			for _, n := range w.names {
-				for _, s := range whole.ForForwarder(n).Servers {
+				for _, s := range plans.ForForwarder(n).Servers {
 					if s.EjectionRemaining > 0 {
-						rest[s.ID] = true
+						ejected[s.ID] = true
 					}
 					if s.IsAvoided {
 						avoided[s.ID] = true
 					}
 				}
 			}
-			p := whole.ForForwarder(w.names[0])
-			if len(rest) != c.rest || len(avoided) != c.avoided || c.admits != (p.AdmittedShare == 1) {
-				t.Errorf("%d rest, %d are avoided, %.2f is let in", len(rest), len(avoided), p.AdmittedShare)
+			p := plans.ForForwarder(w.names[0])
+			if len(ejected) != c.ejected || len(avoided) != c.avoided || c.admits != (p.AdmittedShare == 1) {
+				t.Errorf("%d ejected, %d avoided, %.2f admitted", len(ejected), len(avoided), p.AdmittedShare)
 			}
 		})
 	}
 }
 
-func failing(f, s, servers, forwarders int) digest {
+func failing(f, s, servers, forwarders int) outcome {
 	if s < servers {
 		if f < forwarders && (f+s)%2 == 0 {
-			return digest{failed: 20}
+			return outcome{failed: 20}
 		}
-		return digest{}
+		return outcome{}
 	}
-	return well(f, s)
+	return healthy(f, s)
 }
 
-func slow(f, s, servers int) digest {
-	d := well(f, s)
+func slow(f, s, servers int) outcome {
+	d := healthy(f, s)
 	if s < servers {
-		d.took *= 5
+		d.latency *= 5
 	}
 	return d
 }
 
-// Over all forwarders a cold server gets what a warm one gets, however many hold it and whichever are heard.
-func TestColdPacesAddUp(t *testing.T) {
+// All forwarders together send a server in slow start what a warm one gets, however many use it.
+func TestSlowStartRatesAddUp(t *testing.T) {
 	for _, forwarders := range []int{1, 20, 200} {
-		w := newWorld(forwarders, 12)
+		w := newFleet(forwarders, 12)
 		for range 8 {
-			w.step(well)
+			w.step(healthy)
 		}
 		w.p.EndpointsUpdated(w.now, []incarnation.Entry{{ID: "s003", Weight: 1, StartedUnixMS: w.now.Milliseconds(), Revision: 2}}, false)
-		whole := w.step(well)
+		plans := w.step(healthy)
 		sum, rate := 0.0, 0.0
 		for _, n := range w.names {
-			for _, s := range whole.ForForwarder(n).Servers {
+			for _, s := range plans.ForForwarder(n).Servers {
 				if s.ID == "s003" {
 					if s.SlowStartRate <= 0 {
-						t.Fatalf("%s may feed it as it likes", n)
+						t.Fatalf("%s has no limit", n)
 					}
 					sum += s.SlowStartRate
 				}
 			}
 			rate += w.p.forwarders[n].rate
 		}
-		floor := paceFloor * 2.5 / 0.020
+		floor := minConcurrencyShare * 2.5 / 0.020
 		if most := max(rate/12, floor) * 1.05; sum > most || sum < most/2 {
 			t.Errorf("%d forwarders may send it %.1f a second, a warm one gets %.1f", forwarders, sum, most)
 		}
 	}
 }
 
-// Half of the forwarders are not heard, though their settings count them: the others leave room for them.
-func TestUnheardForwardersCount(t *testing.T) {
-	w := newWorld(20, 12)
+// Forwarders that settings count but that don't report leave their part of the slow start rate unused.
+func TestSlowStartRatesLeaveRoomForForwardersNotReporting(t *testing.T) {
+	w := newFleet(20, 12)
 	w.names = w.names[:10]
-	w.step(well)
+	w.step(healthy)
 	for _, f := range w.p.forwarders {
-		f.figures.Nodes = 20
+		f.settings.Nodes = 20
 	}
 	w.p.EndpointsUpdated(w.now, []incarnation.Entry{{ID: "s003", Weight: 1, StartedUnixMS: w.now.Milliseconds(), Revision: 2}}, false)
-	whole := w.p.ComputePlans(w.now)
+	plans := w.p.ComputePlans(w.now)
 	sum := 0.0
 	for _, n := range w.names {
-		for _, s := range whole.ForForwarder(n).Servers {
+		for _, s := range plans.ForForwarder(n).Servers {
 			if s.ID == "s003" {
 				sum += s.SlowStartRate
 			}
 		}
 	}
-	if most := 1.05 * paceFloor * 2.5 / 0.020 / 2; sum > most {
+	if most := 1.05 * minConcurrencyShare * 2.5 / 0.020 / 2; sum > most {
 		t.Errorf("ten of twenty may send %.1f a second, of %.1f", sum, most)
 	}
 }
 
-// A tenant is within its allowance by what all forwarders saw of it, unless the others leave room.
-func TestWithin(t *testing.T) {
+// A tenant's share within its allowance is by its requests at all forwarders.
+func TestTenantSharesWithinAllowance(t *testing.T) {
 	p := NewPlanner(0)
 	for i := range 60 {
 		now := time.Duration(i) * 500 * ms
@@ -291,7 +293,7 @@
 		}
 		p.ComputePlans(now)
 	}
-	for _, w := range p.within() {
+	for _, w := range p.withinAllowance() {
 		want := map[string]float64{"big": 0.5, "small": 1}[w.Tenant] // 200 and 100 a second
 		if math.Abs(w.Share-want) > 0.1 {
 			t.Errorf("%s: %.2f, not %.2f", w.Tenant, w.Share, want)
@@ -299,32 +301,32 @@
 	}
 }
 
-// Changes, applied one after the other, come to the plan itself but for what hardly differs.
-func TestChanges(t *testing.T) {
+// Changes applied in sequence give the plan, except for numbers that hardly differ.
+func TestDiffAndApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var told, held Plan
-		lives := incarnation.NewTable()
+		var sent, held Plan
+		incarnations := incarnation.NewTable()
 		for n := range rapid.IntRange(1, 12).Draw(t, "plans") {
 			next := Plan{Number: uint64(n + 1), Nodes: n, AdmittedShare: 0.5}
 			for s := range 6 {
 				if rapid.Bool().Draw(t, "there") {
 					next.Servers = append(next.Servers, ServerShare{ID: fmt.Sprint(s), Share: rapid.Float64Range(0, 1).Draw(t, "share"),
-						EjectionRemaining: time.Duration(rapid.IntRange(0, 1).Draw(t, "rest")), IsAvoided: rapid.Bool().Draw(t, "avoid")})
+						EjectionRemaining: time.Duration(rapid.IntRange(0, 1).Draw(t, "ejected")), IsAvoided: rapid.Bool().Draw(t, "avoided")})
 				}
-				if rapid.Bool().Draw(t, "lives") {
-					next.Incarnations = append(next.Incarnations, incarnation.Entry{ID: fmt.Sprint(s), Generation: uint32(rapid.IntRange(0, n).Draw(t, "turn"))})
+				if rapid.Bool().Draw(t, "incarnation") {
+					next.Incarnations = append(next.Incarnations, incarnation.Entry{ID: fmt.Sprint(s), Generation: uint32(rapid.IntRange(0, n).Draw(t, "generation"))})
 				}
 			}
 			var c Change
-			c, told = Diff(told, next)
+			c, sent = Diff(sent, next)
 			held = Apply(held, c)
-			lives.Join(0, c.Incarnations)
+			incarnations.Join(0, c.Incarnations)
 			got := map[string]ServerShare{}
 			for _, s := range held.Servers {
 				got[s.ID] = s
 			}
 			for _, s := range next.Servers {
-				if g, ok := got[s.ID]; !ok || !near(g.Share, s.Share) || g.EjectionRemaining != s.EjectionRemaining || g.IsAvoided != s.IsAvoided {
+				if g, ok := got[s.ID]; !ok || !isNear(g.Share, s.Share) || g.EjectionRemaining != s.EjectionRemaining || g.IsAvoided != s.IsAvoided {
 					t.Fatalf("%+v is held as %+v", s, g)
 				}
 			}
@@ -332,24 +334,24 @@
 				t.Fatalf("%d servers, not %d", len(held.Servers), len(next.Servers))
 			}
 			for _, e := range next.Incarnations {
-				if h, ok := lives.Get(e.ID); !ok || incarnation.Compare(h, e) < 0 {
-					t.Fatalf("the life %+v was not told", e)
+				if h, ok := incarnations.Get(e.ID); !ok || incarnation.Compare(h, e) < 0 {
+					t.Fatalf("the incarnation %+v was not sent", e)
 				}
 			}
 		}
 	})
 }
 
-// Nonsense from a forwarder moves nothing that others rely on.
-func TestNonsense(t *testing.T) {
-	w := newWorld(5, 6)
-	w.step(well)
+// Impossible values of one forwarder don't affect the others' plans.
+func TestImpossibleReportIsHarmless(t *testing.T) {
+	w := newFleet(5, 6)
+	w.step(healthy)
 	huge := Report{Interval: -1, InFlight: -9, Types: []TypeReport{{}}, CurrentShares: []CurrentShare{{ID: "s000", Share: math.NaN()}, {ID: "s001", Share: 1e300}},
 		Servers: []ServerReport{{ID: "s000", TimedOut: -5, Failed: -5, Completions: []Completions{{TypeIndex: 9, Count: 1}, {TypeIndex: -1, Count: 1}, {TypeIndex: 0, Count: -7, TotalLatency: 1}}}}}
 	w.p.ReportReceived(w.now, "odd", &huge)
-	whole := w.step(well)
+	plans := w.step(healthy)
 	for _, n := range w.names {
-		for _, s := range whole.ForForwarder(n).Servers {
+		for _, s := range plans.ForForwarder(n).Servers {
 			if !(s.Share >= 0 && s.Share <= 1) || math.IsNaN(s.SlowStartRate) {
 				t.Errorf("%s: %+v", n, s)
 			}
@@ -359,9 +361,9 @@
 
 // The largest deployment: 557 forwarders and 192 servers.
 func BenchmarkPlan(b *testing.B) {
-	w := newWorld(557, 192)
+	w := newFleet(557, 192)
 	for range 4 {
-		w.step(well)
+		w.step(healthy)
 	}
 	b.ResetTimer()
 	for b.Loop() {
@@ -369,57 +371,57 @@
 	}
 }
 
-// The first plan of a planner that finds all forwarders without a part.
+// The first plan, when no forwarder has a subset yet.
 func BenchmarkFirstPlan(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
-		w := newWorld(557, 192)
-		w.step(well)
+		w := newFleet(557, 192)
+		w.step(healthy)
 		for _, f := range w.p.forwarders {
-			f.held = nil
+			f.shares = nil
 		}
 		b.StartTimer()
 		w.p.ComputePlans(w.now)
 	}
 }
 
-// What a planner sends to 557 forwarders in a second when figures wander by chance, as changes and as whole plans.
+// What a planner sends to 557 forwarders in a second when latencies vary at random, as changes and as plans plans.
 func BenchmarkBytes(b *testing.B) {
-	w := newWorld(557, 192)
-	chance := rand.New(rand.NewPCG(1, 1))
-	meet := func(f, s int) digest {
-		d := well(f, s)
-		d.took = time.Duration(float64(d.took) * (0.5 + chance.Float64()))
+	w := newFleet(557, 192)
+	random := rand.New(rand.NewPCG(1, 1))
+	attempts := func(f, s int) outcome {
+		d := healthy(f, s)
+		d.latency = time.Duration(float64(d.latency) * (0.5 + random.Float64()))
 		return d
 	}
-	told := map[string]Plan{}
-	changes, wholes, steps := 0, 0, 0
+	sent := map[string]Plan{}
+	changes, fullBytes, steps := 0, 0, 0
 	for range 4 {
-		w.step(meet)
+		w.step(attempts)
 	}
 	for b.Loop() {
-		whole := w.step(meet)
+		plans := w.step(attempts)
 		for _, n := range w.names {
-			next := whole.ForForwarder(n)
+			next := plans.ForForwarder(n)
 			var c Change
-			c, told[n] = Diff(told[n], next)
+			c, sent[n] = Diff(sent[n], next)
 			text, _ := planwire.Append(nil, planwire.ChangeKind, c)
 			all, _ := planwire.Append(nil, planwire.ChangeKind, next)
-			if steps > 0 { // the first is whole
+			if steps > 0 { // the first is plans
 				changes += len(text)
 			}
-			wholes += len(all)
+			fullBytes += len(all)
 		}
 		steps++
 	}
 	b.ReportMetric(2*float64(changes)/float64(max(steps-1, 1)), "changed-B/s")
-	b.ReportMetric(2*float64(wholes)/float64(steps), "whole-B/s")
+	b.ReportMetric(2*float64(fullBytes)/float64(steps), "full-B/s")
 }
 
-// A tenant that reports do not name had no traffic. It is judged, and counts for the others, as if it were named with none.
-func TestAbsentTenantHasNoTraffic(t *testing.T) {
+// A tenant that reports don't name counts like one that is named without traffic.
+func TestUnnamedTenantHasNoTraffic(t *testing.T) {
 	const idle, allowance = 50, 100.0
-	share := func(named bool, now *time.Duration, p *Planner, asked int) (busy float64, told bool) {
+	share := func(named bool, now *time.Duration, p *Planner, asked int) (busy float64, isNamed bool) {
 		for range 60 {
 			*now += 500 * ms
 			r := Report{Interval: 500 * ms, Settings: ForwarderSettings{TotalAllowance: (idle + 2) * allowance}}
@@ -435,7 +437,7 @@
 			p.ReportReceived(*now, "f", &r)
 			p.ComputePlans(*now)
 		}
-		for _, w := range p.within() {
+		for _, w := range p.withinAllowance() {
 			if w.Tenant == "busy" {
 				return w.Share, true
 			}
@@ -449,8 +451,8 @@
 		for range 3 {
 			share(named, &now, p, 0)
 		}
-		if got, told := share(named, &now, p, 0); got != 1 || told && !named {
-			t.Errorf("named %v: without traffic its share is %g, told %v", named, got, told)
+		if got, isNamed := share(named, &now, p, 0); got != 1 || isNamed && !named {
+			t.Errorf("named %v: without traffic its share is %g, named %v", named, got, isNamed)
 		}
 		if got, _ := share(named, &now, p, 100); math.Abs(got-shares[named]) > 1e-6 {
 			t.Errorf("named %v: %g, and %g after a pause", named, shares[named], got)
--- a/internal/controlplane/plan/scenario_test.go
+++ b/internal/controlplane/plan/scenario_test.go
@@ -29,48 +29,48 @@
 // TestScenario pins the plans of a fixed course of events: a calm start, failing and slow servers, a start and a drain,
 // overload, forwarders that leave.
 func TestScenario(t *testing.T) {
-	w := newWorld(20, 12)
+	w := newFleet(20, 12)
 	tenants := []TenantReport{{Name: "big", Allowance: 100, Requests: 40}, {Name: "small", Allowance: 50, Requests: 5}}
-	overload := func(f, s int) digest {
-		if d := well(f, s); d.n > 0 {
-			return digest{n: 1, took: 190 * ms, timedOut: 3}
+	overload := func(f, s int) outcome {
+		if d := healthy(f, s); d.completed > 0 {
+			return outcome{completed: 1, latency: 190 * ms, timedOut: 3}
 		}
-		return digest{}
+		return outcome{}
 	}
 	var out strings.Builder
 	for _, phase := range []struct {
-		name  string
-		begin func()
-		steps int
-		meet  func(f, s int) digest
+		name     string
+		begin    func()
+		steps    int
+		attempts func(f, s int) outcome
 	}{
-		{"calm", nil, 20, well},
-		{"two servers fail", nil, 3, func(f, s int) digest { return failing(f, s, 2, 99) }},
-		{"calm again", nil, 12, well},
-		{"two servers are slow", nil, 4, func(f, s int) digest { return slow(f, s, 2) }},
+		{"calm", nil, 20, healthy},
+		{"two servers fail", nil, 3, func(f, s int) outcome { return failing(f, s, 2, 99) }},
+		{"calm again", nil, 12, healthy},
+		{"two servers are slow", nil, 4, func(f, s int) outcome { return slow(f, s, 2) }},
 		{"a server starts, another drains", func() {
 			w.p.EndpointsUpdated(w.now, []incarnation.Entry{{ID: "s003", Weight: 2, StartedUnixMS: w.now.Milliseconds(), Revision: 2},
 				{ID: "s004", Weight: 1, Condition: incarnation.Draining, Revision: 2}}, false)
-		}, 4, well},
+		}, 4, healthy},
 		{"tenants", func() {
 			for _, name := range w.names {
 				w.p.ReportReceived(w.now, name, &Report{SentAt: w.now, Interval: 500 * ms, InFlight: 3, CurrentShares: w.held[name], Tenants: tenants,
 					Settings: ForwarderSettings{Nodes: 24, SlowStartDuration: 5 * time.Second, InitialCapacity: 0.4, FallMultiple: 2.5, TotalAllowance: 200}})
 			}
-		}, 2, well},
+		}, 2, healthy},
 		{"overload", nil, 6, overload},
-		{"half of the forwarders leave", func() { w.names = w.names[:10] }, 24, well},
+		{"half of the forwarders leave", func() { w.names = w.names[:10] }, 24, healthy},
 	} {
 		if phase.begin != nil {
 			phase.begin()
 		}
-		var whole *FleetPlan
+		var plans *FleetPlan
 		for range phase.steps {
-			whole = w.step(phase.meet)
+			plans = w.step(phase.attempts)
 		}
 		fmt.Fprintf(&out, "# %s\n", phase.name)
 		for _, name := range []string{"n000", "n007", "unknown"} {
-			describePlan(&out, name, whole.ForForwarder(name))
+			describePlan(&out, name, plans.ForForwarder(name))
 		}
 	}
 	compareGolden(t, filepath.Join("testdata", "scenario.txt"), out.String())
