--- /dev/null
+++ b/internal/controlplane/planfollower/follower_test.go
@@ -0,0 +1,117 @@
+package planfollower
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"fernvane/internal/controlplane/plan"
+)
+
+const ms = time.Millisecond
+
+func all(string) bool { return true }
+
+// planOf returns a plan that is based on a report of a moment.
+func planOf(reportSentAt time.Duration, reporting int, shares ...float64) plan.Plan {
+	p := plan.Plan{PlannerStartMs: 1, Number: 1, ReportSentAt: reportSentAt, ReportingForwarders: reporting, Nodes: reporting, AdmittedShare: 0.4, WithinAllowance: []plan.TenantShare{{Tenant: "a", Share: 0.5}}}
+	for i, s := range shares {
+		p.Servers = append(p.Servers, plan.ServerShare{ID: fmt.Sprint(i), Share: s, SlowStartRate: 3})
+	}
+	return p
+}
+
+// Which plan is in effect, by what planners sent and when.
+func TestPlanInEffect(t *testing.T) {
+	type received struct {
+		at      time.Duration
+		planner int
+		plan    plan.Plan
+	}
+	const s = time.Second
+	for name, c := range map[string]struct {
+		plans   []received
+		at      time.Duration
+		hasPlan bool
+		planner int
+		nodes   int
+		admit   float64
+		within  bool
+		polls   bool
+	}{
+		"no planner, at the start": {nil, 500 * ms, false, -1, 9, 0, false, false},
+		"no planner":               {nil, 3 * s, false, -1, 9, 0, false, true},
+		"one planner":              {[]received{{s, 0, planOf(s, 20)}}, 2 * s, true, 0, 20, 0.4, true, false},
+		"a plan without a report of this forwarder": {[]received{{2 * s, 0, planOf(0, 20)}}, 2500 * ms, false, -1, 9, 0, false, false},
+		"the first planner is preferred":            {[]received{{s, 1, planOf(s, 20)}, {s, 0, planOf(s, 19)}}, 2 * s, true, 0, 20, 0.4, true, false},
+		"the first planner hears few forwarders":    {[]received{{s, 0, planOf(s, 9)}, {s, 1, planOf(s, 20)}}, 2 * s, true, 1, 20, 0.4, true, false},
+		"the first planner has stalled":             {[]received{{s, 0, planOf(s, 20)}, {5 * s, 1, planOf(5*s, 20)}}, 5 * s, true, 1, 20, 0.4, true, false},
+		"a plan received late is old":               {[]received{{s, 0, planOf(s, 20)}, {8 * s, 0, planOf(2*s, 20)}}, 8 * s, true, -1, 20, 0.64, false, true},
+		"planner lost for a while":                  {[]received{{s, 0, planOf(s, 20)}}, 9 * s, true, -1, 20, 0.7, false, true},
+		"planner lost for long":                     {[]received{{s, 0, planOf(s, 20)}}, 15 * s, false, -1, 9, 0, false, true},
+		"planner back after long":                   {[]received{{s, 0, planOf(s, 20)}, {20 * s, 1, planOf(20*s, 20)}}, 20 * s, true, 1, 20, 0.4, true, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := New(Options{PlannerCount: 2, ConfiguredNodes: 9, PollJitter: 0.5})
+			var e Effective
+			for now := 250 * ms; now <= c.at; now += 250 * ms {
+				for _, w := range c.plans {
+					if w.at == now {
+						f.PlanReceived(now, w.planner, w.plan)
+					}
+				}
+				e = f.Advance(now, all)
+			}
+			if e.HasPlan != c.hasPlan || e.Planner != c.planner || e.Nodes != c.nodes || e.ShouldPollDiscovery != c.polls || len(e.WithinAllowance) > 0 != c.within ||
+				e.AdmittedShare < c.admit-0.05 || e.AdmittedShare > c.admit+0.05 {
+				t.Errorf("%+v", e)
+			}
+		})
+	}
+}
+
+// However plans differ, no more than maxMovePerSecond of the requests moves, except away from
+// servers that must not be used; and shares add up to 1.
+func TestSharesMoveGradually(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		f := New(Options{PlannerCount: 3, ConfiguredNodes: 9})
+		up := map[string]bool{"0": true, "1": true, "2": true, "3": true}
+		var before map[string]float64
+		for i := range rapid.IntRange(2, 50).Draw(t, "steps") {
+			now := time.Duration(i+1) * 250 * ms
+			if rapid.Bool().Draw(t, "received") {
+				var shares []float64
+				for range 4 {
+					shares = append(shares, rapid.Float64Range(0, 1).Draw(t, "share"))
+				}
+				reportSentAt := now - time.Duration(rapid.IntRange(0, 5000).Draw(t, "delay"))*ms
+				f.PlanReceived(now, rapid.IntRange(0, 2).Draw(t, "planner"), planOf(reportSentAt, rapid.IntRange(1, 20).Draw(t, "reporting"), shares...))
+			}
+			changedUp := false
+			if rapid.IntRange(0, 9).Draw(t, "changes") == 0 {
+				up["3"], changedUp = !up["3"], true
+			}
+			e := f.Advance(now, func(id string) bool { return up[id] })
+			after, sum, rise := map[string]float64{}, 0.0, 0.0
+			for _, s := range e.Servers {
+				after[s.ID] = s.Share
+				sum += s.Share
+				rise += max(s.Share-before[s.ID], 0)
+			}
+			if e.HasPlan && sum > 0 && (sum < 0.99 || sum > 1.01) {
+				t.Fatalf("shares add up to %f", sum)
+			}
+			if before != nil && !changedUp && e.HasPlan && rise > maxMovePerSecond*0.25+0.001 {
+				t.Fatalf("%.3f of the requests moved at once: %v to %v", rise, before, after)
+			}
+			if before = after; !e.HasPlan || sum == 0 {
+				before = nil
+			}
+			if up["3"] == false && after["3"] > 0 {
+				t.Fatal("a server that is down has a share")
+			}
+		}
+	})
+}
--- a/internal/controlplane/planfollower/scenario_test.go
+++ b/internal/controlplane/planfollower/scenario_test.go
@@ -24,13 +24,13 @@
 		now := time.Duration(step) * 250 * ms
 		switch {
 		case step >= 4 && step < 30 && step%2 == 0:
-			f.PlanReceived(now, 0, made(now-100*ms, 20, 0.5, 0.3, 0.2))
+			f.PlanReceived(now, 0, planOf(now-100*ms, 20, 0.5, 0.3, 0.2))
 		case step >= 30 && step < 44 && step%2 == 0:
-			p := made(now-100*ms, 19, 0, 0.1, 0.4, 0.5)
+			p := planOf(now-100*ms, 19, 0, 0.1, 0.4, 0.5)
 			p.Servers[1].EjectionRemaining, p.Servers[2].IsAvoided = 2*time.Second, true
 			f.PlanReceived(now, 1, p)
 		case step == 46:
-			f.PlanReceived(now, 0, made(now-9*time.Second, 30, 1))
+			f.PlanReceived(now, 0, planOf(now-9*time.Second, 30, 1))
 		}
 		down["2"] = step >= 20 && step < 26
 		e := f.Advance(now, func(id string) bool { return !down[id] })
