--- a/internal/controlplane/planwire/line_test.go
+++ b/internal/controlplane/planwire/frames_test.go
@@ -24,7 +24,7 @@
 
 // What a peer sends in place of a greeting, and what it is told.
 func TestGreetings(t *testing.T) {
-	long := binary.BigEndian.AppendUint32(nil, frameMost+1)
+	long := binary.BigEndian.AppendUint32(nil, maxBodyBytes+1)
 	for name, c := range map[string]struct {
 		sends []byte
 		why   string
