--- a/internal/controlplane/distribution/preferred_test.go
+++ b/internal/controlplane/distribution/preferred_test.go
@@ -29,7 +29,7 @@
 	for at = from; at < from+time.Hour; at += time.Second {
 		s.MessageReceived(at, true) // digests come
 		do, again := s.Tick(at)
-		if do.ShouldDisconnect || do.ShouldDial || again > at+lookEvery {
+		if do.ShouldDisconnect || do.ShouldDial || again > at+tickInterval {
 			t.Fatalf("at %v: %+v, again at %v", at, do, again)
 		}
 		if do.ShouldProbe {
@@ -93,7 +93,7 @@
 	})
 	t.Run("never", func(t *testing.T) {
 		s := away(t, 2, "n")
-		s.following.FailbackDelay = 0
+		s.options.FailbackDelay = 0
 		for at := time.Duration(0); at < 10*time.Minute; at += time.Second {
 			s.MessageReceived(at, true)
 			if do, _ := s.Tick(at); do != (Action{}) {
--- a/internal/controlplane/distribution/publisher_test.go
+++ b/internal/controlplane/distribution/publisher_test.go
@@ -33,7 +33,7 @@
 			now += wait
 			continue
 		}
-		if b.Size() > nodeBytes {
+		if b.Size() > defaultNodeBytes {
 			t.Fatalf("a piece of %d bytes", b.Size())
 		}
 		sum += b.Size()
@@ -42,11 +42,11 @@
 		if b.IsComplete {
 			break
 		}
-		if allowed := float64(nodeBytes) * (now.Seconds() + 1.6); float64(sum) > allowed {
+		if allowed := float64(defaultNodeBytes) * (now.Seconds() + 1.6); float64(sum) > allowed {
 			t.Fatalf("%d bytes after %v", sum, now)
 		}
 	}
-	if rate := float64(sum) / now.Seconds(); rate < 0.9*nodeBytes || sum < 4000*60 {
+	if rate := float64(sum) / now.Seconds(); rate < 0.9*defaultNodeBytes || sum < 4000*60 {
 		t.Fatalf("%d bytes in %v by %d batches: the budget is not used", sum, now, batches)
 	}
 	if st, _ := p.SubscriberStatus(now, id); st.IsCatchingUp || st.Lag != 0 || !st.HasAcknowledged {
@@ -186,10 +186,10 @@
 	p := NewPublisher(filled(t, 1, 1, 1), Budget{})
 	id := p.Subscribe(0, nodeOf("s0"))
 	_, b, _, _ := p.NextBatch(time.Second)
-	if slow := p.SlowSubscribers(time.Second + slowAfter - 1); len(slow) != 0 {
+	if slow := p.SlowSubscribers(time.Second + slowTimeout - 1); len(slow) != 0 {
 		t.Fatalf("%v are slow too early", slow)
 	}
-	if slow := p.SlowSubscribers(time.Second + slowAfter); len(slow) != 1 || slow[0] != id {
+	if slow := p.SlowSubscribers(time.Second + slowTimeout); len(slow) != 1 || slow[0] != id {
 		t.Fatalf("slow are %v", slow)
 	}
 	if st, _ := p.SubscriberStatus(7*time.Second, id); st.HasAcknowledged || st.Lag < 6*time.Second || st.UnacknowledgedBytes == 0 {
@@ -224,7 +224,7 @@
 		}
 		now += wait
 	}
-	if sum < windowBytes || sum > windowBytes+2*batchBytes {
+	if sum < maxUnacknowledgedBytes || sum > maxUnacknowledgedBytes+2*maxBatchBytes {
 		t.Fatalf("%d bytes under way", sum)
 	}
 }
@@ -295,11 +295,11 @@
 		t.Fatalf("told %v", b.Through)
 	}
 	p.BatchAcknowledged(0, id, Acknowledgement{BatchNumber: b.Number})
-	if _, d, ok := p.NextDigests(digestEvery); !ok || len(d.Through) != 0 || len(d.Services) != 1 {
+	if _, d, ok := p.NextDigests(digestInterval); !ok || len(d.Through) != 0 || len(d.Services) != 1 {
 		t.Fatalf("digests %+v", d)
 	}
 	writeOne(t, store, wall, key("other", "1"), "v")
-	if _, d, ok := p.NextDigests(2 * digestEvery); !ok || d.Through[store.Origin()] != 2 {
+	if _, d, ok := p.NextDigests(2 * digestInterval); !ok || d.Through[store.Origin()] != 2 {
 		t.Fatalf("digests %+v", d)
 	}
 }
@@ -356,13 +356,13 @@
 			}
 		}
 		drain()
-		p.touched = 0
+		p.visited = 0
 		const changes = 100
 		allocs = testing.AllocsPerRun(changes-1, func() {
 			p.EntriesChanged(now, []Entry{writeOne(t, store, wall, key("s0", "0"), "v")})
 			drain()
 		})
-		return float64(p.touched) / changes, allocs
+		return float64(p.visited) / changes, allocs
 	}
 	touched, allocs := cost(10, 2)
 	manyTouched, manyAllocs := cost(3000, 300)
--- a/internal/controlplane/distribution/receiver.go
+++ b/internal/controlplane/distribution/receiver.go
@@ -5,136 +5,163 @@
 	"slices"
 )
 
-// Receiver takes in the batches of one subscription. A subscriber whose services change ends its connection and subscribes
-// anew with a new Receiver.
+// Receiver takes in the batches of one subscription, at the subscriber's end. A subscriber whose services change ends its
+// connection and subscribes again with a new Receiver.
 type Receiver struct {
-	store    *Store
-	services map[string]bool // that were missing when it subscribed, or were sent whole
-	resets   map[string]bool // services that are being sent whole
-	all      bool            // all are
-	mended   map[string]bool // services that were asked for because their digests differed from those of a server that covers all
-	named    map[Key]bool    // what was named of them
-	tries    map[string]int  // how often in a row a service was asked for so
-	through  Vector          // the server's vector as far as told
-	last     uint64          // number of the last batch
-	full     bool            // something found no room: the vector does not advance any more
+	store       *Store
+	through     Vector // the sender's vector as far as it has said
+	lastBatch   uint64 // number
+	isStoreFull bool   // something found no room: the vector does not advance any more
+	transfer    transfer
+	repair      repair
+	synced      map[string]bool // services that were unsynced at the subscription, or were sent whole since
 }
 
-// BatchResult is what a batch has done.
+// transfer is the services that are being sent whole.
+type transfer struct {
+	isAll    bool // of all services
+	services map[string]bool
+	received map[Key]bool // keys of their entries
+}
+
+// repair is the services that were asked for because their digests differed from those of a sender that covers everything
+// held here.
+type repair struct {
+	services map[string]bool
+	attempts map[string]int // in a row
+}
+
+// BatchResult is what a batch has changed.
 type BatchResult struct {
 	Changed        []Entry  // new winners, deletions included
-	Removed        []Entry  // what ended without a deletion being told: for the listener as deleted
-	ResyncServices []string // services in which something came or ended that vectors do not tell of: for Publisher.Resync
+	Removed        []Entry  // entries that ended without a deletion being sent; for an Applier they count as deleted
+	ResyncServices []string // in which something came or ended that vectors don't tell of: for Publisher.ResyncServices
 	Rejected       []Rejection
-	IsComplete     bool // the vector has been advanced; it and the entries are to be on disk in one step or in the order entries, vector
+	IsComplete     bool // the vector has advanced; the caller saves it with the entries, or after them
 }
 
-// NewReceiver is for a subscription that begins now.
+// NewReceiver returns a receiver for a subscription that begins now.
 func NewReceiver(store *Store) *Receiver {
-	r := &Receiver{store: store, services: map[string]bool{}, resets: map[string]bool{}, named: map[Key]bool{},
-		mended: map[string]bool{}, tries: map[string]int{}, through: Vector{}}
+	r := &Receiver{
+		store:    store,
+		through:  Vector{},
+		transfer: transfer{services: map[string]bool{}, received: map[Key]bool{}},
+		repair:   repair{services: map[string]bool{}, attempts: map[string]int{}},
+		synced:   map[string]bool{},
+	}
 	for _, name := range store.UnsyncedServices() {
-		r.services[name] = true
+		r.synced[name] = true
 	}
 	return r
 }
 
-// ReceiveBatch merges a batch, and with a complete one advances the vector.
-func (r *Receiver) ReceiveBatch(b Batch) (got BatchResult) {
-	if b.Number <= r.last {
-		return BatchResult{} // taken before
+// ReceiveBatch merges a batch into the store, and with a complete one advances its vector. A batch that was received before is
+// ignored.
+func (r *Receiver) ReceiveBatch(b Batch) (result BatchResult) {
+	if b.Number <= r.lastBatch {
+		return BatchResult{}
+	}
+	r.lastBatch = b.Number
+	r.recordTransfer(b)
+	result.Changed, result.Rejected = r.store.merge(b.Entries, r.repair.services)
+	for _, e := range result.Changed {
+		if r.repair.services[e.Key.Service] {
+			result.ResyncServices = append(result.ResyncServices, e.Key.Service)
+		}
+	}
+	for _, rejected := range result.Rejected {
+		r.isStoreFull = r.isStoreFull || rejected.IsStoreFull
 	}
-	r.last = b.Number
-	r.all = r.all || b.ResetsAll
+	if b.IsComplete && !r.isStoreFull {
+		r.complete(b, &result)
+	}
+	return result
+}
+
+// recordTransfer notes what a batch says of services that are sent whole.
+func (r *Receiver) recordTransfer(b Batch) {
+	t := &r.transfer
+	t.isAll = t.isAll || b.ResetsAll
 	for _, name := range b.ResetServices {
-		r.resets[name] = true
+		t.services[name] = true
 	}
 	for _, e := range b.Entries {
-		if r.all || r.resets[e.Key.Service] {
-			r.named[e.Key] = true
-		}
-	}
-	got.Changed, got.Rejected = r.store.merge(b.Entries, r.mended)
-	for _, e := range got.Changed {
-		if r.mended[e.Key.Service] {
-			got.ResyncServices = append(got.ResyncServices, e.Key.Service)
+		if t.isAll || t.services[e.Key.Service] {
+			t.received[e.Key] = true
 		}
 	}
-	for _, refused := range got.Rejected {
-		r.full = r.full || refused.IsStoreFull
-	}
-	if !b.IsComplete || r.full {
-		return got
-	}
+}
+
+// complete ends the transfers under way and advances the vector.
+func (r *Receiver) complete(b Batch, result *BatchResult) {
 	r.through.Join(b.Through)
-	services := r.replaced()
-	got.Removed = r.store.ReplaceServices(services, r.named, b.Through)
-	for _, e := range got.Removed {
-		got.ResyncServices = append(got.ResyncServices, e.Key.Service)
+	result.Removed = r.store.ReplaceServices(r.replacedServices(), r.transfer.received, b.Through)
+	for _, e := range result.Removed {
+		result.ResyncServices = append(result.ResyncServices, e.Key.Service)
 	}
-	got.ResyncServices = sortedSet(got.ResyncServices)
+	result.ResyncServices = sortedSet(result.ResyncServices)
 	r.store.AdvanceVector(b.Through)
 	r.store.AdvancePruned(b.Pruned)
-	for name := range r.services {
-		r.store.arrived(name, r.through)
-	}
-	r.all = false
-	clear(r.resets)
-	clear(r.named)
-	got.IsComplete = true
-	return got
+	for name := range r.synced {
+		r.store.serviceReceived(name, r.through)
+	}
+	r.transfer.isAll = false
+	clear(r.transfer.services)
+	clear(r.transfer.received)
+	result.IsComplete = true
 }
 
-// replaced are the services of which nothing stays that was not named. One that was asked for because of its digest keeps
-// what it holds, for either side may be the one that has lost something: the server is told in turn where it subscribes here.
-// A node, by which nobody goes, takes the server's for it at the second time.
-func (r *Receiver) replaced() []string {
+// replacedServices returns the services of which nothing stays that was not received. A service that is being repaired keeps
+// what it holds, since either side may have lost something: the sender receives it in turn if it subscribes here. A node, which
+// nobody subscribes to, takes over the sender's entries at the second attempt.
+func (r *Receiver) replacedServices() []string {
 	var services []string
-	for _, name := range slices.Sorted(maps.Keys(r.resets)) {
-		if !r.mended[name] || r.store.scope != nil && r.tries[name] > 1 {
+	for _, name := range slices.Sorted(maps.Keys(r.transfer.services)) {
+		isNode := r.store.scope != nil
+		if !r.repair.services[name] || isNode && r.repair.attempts[name] > 1 {
 			services = append(services, name)
 		}
-		delete(r.mended, name)
-		r.services[name] = true
+		delete(r.repair.services, name)
+		r.synced[name] = true
 	}
-	if r.all {
+	if r.transfer.isAll {
 		return r.store.Services()
 	}
 	return services
 }
 
-// CompareDigests takes in digests, which a server sends when nothing waits, so that the vector advances by them; it says which
-// services are to be asked for whole, or for a subscriber of all that the services' digests are to be asked for. A store
-// that covers what its server does not cannot be compared.
-func (r *Receiver) CompareDigests(d Digests) (services []string, total, advanced bool) {
-	if r.full || r.all || len(r.resets) > 0 {
+// CompareDigests takes in digests, which a sender sends when nothing waits, so that they also advance the vector. It returns
+// the services to be asked for whole, whether a subscriber of all is to ask for the digests of all services, and whether the
+// vector has advanced. A store that covers what the sender does not is not compared.
+func (r *Receiver) CompareDigests(d Digests) (services []string, needsServiceDigests, hasAdvanced bool) {
+	if r.isStoreFull || r.transfer.isAll || len(r.transfer.services) > 0 {
 		return nil, false, false
 	}
 	r.through.Join(d.Through)
-	advanced = r.store.IsBehind(d.Through)
+	hasAdvanced = r.store.IsBehind(d.Through)
 	r.store.AdvanceVector(d.Through)
 	if !r.through.CoversAll(r.store.Vector()) {
-		return nil, false, advanced
+		return nil, false, hasAdvanced
 	}
 	if d.Services == nil {
-		return nil, d.Total != r.store.TotalDigest(), advanced
+		return nil, d.Total != r.store.TotalDigest(), hasAdvanced
 	}
-	for _, name := range r.compared(d) {
+	for _, name := range r.comparedServices(d) {
 		if d.Services[name] == r.store.ServiceDigest(name) {
-			r.store.arrived(name, r.through)
-			delete(r.tries, name)
+			r.store.serviceReceived(name, r.through)
+			delete(r.repair.attempts, name)
 			continue
 		}
 		services = append(services, name)
-		r.mended[name] = true
-		r.tries[name]++
+		r.repair.services[name] = true
+		r.repair.attempts[name]++
 	}
-	return services, false, advanced
+	return services, false, hasAdvanced
 }
 
-// compared are the services of digests that are this store's. A store of all has all services' digests before it, so that
-// one which is not named has no entries at the server.
-func (r *Receiver) compared(d Digests) []string {
+// comparedServices returns the services of digests that are this store's. A store of all services receives the digests of all:
+// a service that is not named has no entries at the sender.
+func (r *Receiver) comparedServices(d Digests) []string {
 	names := slices.Collect(maps.Keys(d.Services))
 	if r.store.scope == nil {
 		return sortedSet(append(names, r.store.Services()...))
--- a/internal/controlplane/distribution/scale_test.go
+++ b/internal/controlplane/distribution/scale_test.go
@@ -259,10 +259,10 @@
 	if last > mustBeInForce {
 		f.t.Errorf("%s: the last change came after %v, must %v", what, last, mustBeInForce)
 	}
-	if most > 3*nodeBytes+nodeBytes/2 { // a second's budget, what was saved up, what a fresh change may take in advance, a piece
+	if most > 3*defaultNodeBytes+defaultNodeBytes/2 { // a second's budget, what was saved up, what a fresh change may take in advance, a piece
 		f.t.Errorf("%s: a node was sent %d bytes in a second", what, most)
 	}
-	if outMost > outBytes*5/4+batchBytes { // and what was saved up, and one batch
+	if outMost > defaultTotalBytes*5/4+maxBatchBytes { // and what was saved up, and one batch
 		f.t.Errorf("%s: a control process sent %d bytes in a second", what, outMost)
 	}
 }
--- a/internal/controlplane/distribution/store.go
+++ b/internal/controlplane/distribution/store.go
@@ -1,148 +1,102 @@
 package distribution
 
 import (
-	"fmt"
 	"slices"
 	"strings"
-	"time"
 )
 
-// Store holds the winning entry of each key.
+// Store holds the winning entry of each key, deletions included, and what it covers.
 type Store struct {
-	origin   Origin
-	limits   Limits
-	services map[string]*service
-	origins  []Origin          // by number
-	numbers  map[Origin]uint32 // and back
-	vector   Vector
-	pruned   Vector         // by origin the greatest sequence of a deletion that was forgotten
-	deleted  map[Key]uint64 // deletions held, and their clocks
-	sequence uint64         // of this origin's last write
-	loaded   uint64         // the same when the disk was read
-	clock    uint64         // newest seen
-	digest   uint64         // of all services
-	entries  int
-	bytes    int
-	scope    map[string]bool   // nil: all services
-	missing  map[string]Vector // services of the scope for which the vector does not hold yet, and what does
-	stale    bool              // others hold more of this origin than this disk
+	limits      Limits
+	services    map[string]*service
+	origins     originNames
+	vector      Vector
+	pruned      Vector         // by origin the greatest sequence of a deletion that was forgotten
+	deletions   map[Key]uint64 // deletions held, and their clocks
+	newestClock uint64         // seen in any entry
+	digest      uint64         // of all services
+	entries     int
+	bytes       int
+	own         ownOrigin
+	scope       map[string]bool   // services that the store is for; nil: all
+	unsynced    map[string]Vector // services of the scope that the vector does not cover yet, and what covers them instead
+}
+
+// service is the entries of one service.
+type service struct {
+	items  map[itemID]item
+	digest uint64
 }
 
+// itemID identifies an entry within its service.
 type itemID struct {
 	name string
 	kind Kind
 }
 
+// item is an entry as the store keeps it.
 type item struct {
 	value    []byte
 	clock    uint64
 	sequence uint64
-	origin   uint32
+	origin   uint32 // index of originNames
 	deleted  bool
 }
 
-type service struct {
-	items  map[itemID]item
-	digest uint64
+// originNames keeps one copy of each origin's name.
+type originNames struct {
+	names   []Origin
+	indexes map[Origin]uint32
 }
 
-// NewStore holds nothing. A node, which never writes, has no origin.
+// index returns the index of an origin, which it adds if it is new.
+func (o *originNames) index(origin Origin) uint32 {
+	index, ok := o.indexes[origin]
+	if !ok {
+		index = uint32(len(o.names))
+		origin = Origin(strings.Clone(string(origin)))
+		o.names = append(o.names, origin)
+		o.indexes[origin] = index
+	}
+	return index
+}
+
+// NewStore returns an empty store. A node, which never writes, has origin "".
 func NewStore(origin Origin, limits Limits) *Store {
-	return &Store{origin: origin, limits: limits.withDefaults(), services: map[string]*service{}, numbers: map[Origin]uint32{},
-		vector: Vector{}, pruned: Vector{}, deleted: map[Key]uint64{}, missing: map[string]Vector{}}
+	return &Store{
+		limits:    limits.withDefaults(),
+		services:  map[string]*service{},
+		origins:   originNames{indexes: map[Origin]uint32{}},
+		vector:    Vector{},
+		pruned:    Vector{},
+		deletions: map[Key]uint64{},
+		own:       ownOrigin{origin: origin},
+		unsynced:  map[string]Vector{},
+	}
 }
 
-// Restore takes in what a disk held, before anything else. A control process draws its origin at each start, for the disk may
-// be an old copy, so that others may hold more of what was written from it; an origin stands in nobody's vector before the
-// first write under it. Where the store's own origin is found on the disk it is stale, and takes no write until Renew.
+// Restore takes in what a disk held, before anything else. If the store's own origin is found there, the origin is stale and no
+// write is accepted until RenewOrigin: the disk may be an old copy.
 func (s *Store) Restore(entries []Entry, vector, pruned Vector) {
 	for _, e := range entries {
 		if e.Validate() == nil {
 			s.put(e)
 		}
-		if e.Origin == s.origin {
-			s.sequence = max(s.sequence, e.Sequence)
+		if e.Origin == s.own.origin {
+			s.own.sequence = max(s.own.sequence, e.Sequence)
 		}
 	}
 	s.vector.Join(vector)
 	s.pruned.Join(pruned)
-	s.sequence = max(s.sequence, s.vector[s.origin])
-	s.loaded = s.sequence
-	if s.sequence > 0 {
-		s.vector[s.origin] = s.sequence
-		s.stale = true
-	}
-}
-
-// Origin is the name under which this store writes.
-func (s *Store) Origin() Origin { return s.origin }
-
-// Write makes changes as this origin's, all or none. The entries are to be on disk before anybody is told of them.
-func (s *Store) Write(wall time.Time, changes []Change) ([]Entry, error) {
-	if err := s.mayWrite(wall, changes); err != nil {
-		return nil, err
-	}
-	entries := make([]Entry, 0, len(changes))
-	for _, c := range changes {
-		s.clock = max(ClockAt(wall), s.clock+1)
-		s.sequence++
-		e := Entry{Key: c.Key, Clock: s.clock, Origin: s.origin, Sequence: s.sequence, Deleted: c.Deleted, Value: slices.Clone(c.Value)}
-		s.put(e)
-		entries = append(entries, e)
-	}
-	s.vector[s.origin] = s.sequence
-	return entries, nil
-}
-
-func (s *Store) mayWrite(wall time.Time, changes []Change) error {
-	if s.origin == "" {
-		return fmt.Errorf("%w: a holder without one does not write", ErrInvalidOrigin)
-	}
-	if s.stale {
-		return ErrStaleOrigin
-	}
-	if len(changes) == 0 || len(changes) > MaxChanges {
-		return fmt.Errorf("%w: %d of at most %d", ErrChangeCount, len(changes), MaxChanges)
-	}
-	if ahead := ClockTime(s.clock).Sub(wall); s.clock > 0 && ahead > s.limits.MaxClockAhead {
-		return &ClockError{ahead}
-	}
-	entries, size := 0, 0
-	fresh := map[string]bool{}
-	for _, c := range changes {
-		if err := c.Validate(); err != nil {
-			return err
-		}
-		n, b := s.growth(c.Key, len(c.Value))
-		entries, size = entries+n, size+b
-		if s.services[c.Key.Service] == nil {
-			fresh[c.Key.Service] = true
-		}
+	s.own.sequence = max(s.own.sequence, s.vector[s.own.origin])
+	s.own.restored = s.own.sequence
+	if s.own.sequence > 0 {
+		s.vector[s.own.origin] = s.own.sequence
+		s.own.isStale = true
 	}
-	return s.room(entries, size, len(fresh))
-}
-
-// growth is by how many entries and bytes the store grows when a key takes a value of so many bytes.
-func (s *Store) growth(k Key, value int) (entries, size int) {
-	if held, ok := s.item(k); ok {
-		return 0, value - len(held.value)
-	}
-	return 1, entryBytes + len(k.Name) + value
-}
-
-func (s *Store) room(entries, size, services int) error {
-	if services > 0 && len(s.services)+services > MaxServices {
-		return &LimitError{"services", len(s.services) + services, MaxServices}
-	}
-	if entries > 0 && s.entries+entries > s.limits.MaxEntries {
-		return &LimitError{"entries", s.entries + entries, s.limits.MaxEntries}
-	}
-	if size > 0 && s.bytes+size > s.limits.MaxBytes {
-		return &LimitError{"bytes", s.bytes + size, s.limits.MaxBytes}
-	}
-	return nil
 }
 
+// item returns what is held of a key.
 func (s *Store) item(k Key) (item, bool) {
 	if of := s.services[k.Service]; of != nil {
 		it, ok := of.items[itemID{k.Name, k.Kind}]
@@ -151,6 +105,18 @@
 	return item{}, false
 }
 
+// entry returns an item as an entry.
+func (s *Store) entry(serviceName string, id itemID, it item) Entry {
+	return Entry{
+		Key:      Key{Service: serviceName, Kind: id.kind, Name: id.name},
+		Clock:    it.clock,
+		Origin:   s.origins.names[it.origin],
+		Sequence: it.sequence,
+		Deleted:  it.deleted,
+		Value:    it.value,
+	}
+}
+
 // put sets a key's entry and keeps the sums.
 func (s *Store) put(e Entry) {
 	of := s.services[e.Key.Service]
@@ -159,22 +125,22 @@
 		s.services[strings.Clone(e.Key.Service)] = of
 	}
 	id := itemID{e.Key.Name, e.Key.Kind}
-	entries, size := s.growth(e.Key, len(e.Value))
-	s.entries, s.bytes = s.entries+entries, s.bytes+size
+	entries, bytes := s.growth(e.Key, len(e.Value))
+	s.entries += entries
+	s.bytes += bytes
 	if before, ok := of.items[id]; ok {
-		s.digestOut(of, e.Key.Service, id, before)
+		s.removeDigest(of, e.Key.Service, id, before)
 	}
-	now := item{value: e.Value, clock: e.Clock, sequence: e.Sequence, origin: s.number(e.Origin), deleted: e.Deleted}
-	of.items[id] = now
+	of.items[id] = item{value: e.Value, clock: e.Clock, sequence: e.Sequence, origin: s.origins.index(e.Origin), deleted: e.Deleted}
 	if e.Deleted {
-		s.deleted[e.Key] = e.Clock
+		s.deletions[e.Key] = e.Clock
 	} else {
-		delete(s.deleted, e.Key)
+		delete(s.deletions, e.Key)
 		h := hashEntry(e.Key.Service, id, e.Origin, e.Clock, e.Sequence)
 		of.digest += h
 		s.digest += h
 	}
-	s.clock = max(s.clock, e.Clock)
+	s.newestClock = max(s.newestClock, e.Clock)
 }
 
 // remove forgets a key.
@@ -185,42 +151,25 @@
 	if !ok {
 		return
 	}
-	s.digestOut(of, k.Service, id, before)
-	s.entries, s.bytes = s.entries-1, s.bytes-entryBytes-len(k.Name)-len(before.value)
+	s.removeDigest(of, k.Service, id, before)
+	s.entries--
+	s.bytes -= entryOverheadBytes + len(k.Name) + len(before.value)
 	delete(of.items, id)
-	delete(s.deleted, k)
+	delete(s.deletions, k)
 	if len(of.items) == 0 {
 		delete(s.services, k.Service)
 	}
 }
 
-func (s *Store) digestOut(of *service, name string, id itemID, it item) {
-	if it.deleted {
-		return
-	}
-	h := hashEntry(name, id, s.origins[it.origin], it.clock, it.sequence)
-	of.digest -= h
-	s.digest -= h
-}
-
-// number keeps one copy of each origin's name.
-func (s *Store) number(o Origin) uint32 {
-	n, ok := s.numbers[o]
-	if !ok {
-		n = uint32(len(s.origins))
-		o = Origin(strings.Clone(string(o)))
-		s.origins = append(s.origins, o)
-		s.numbers[o] = n
+// removeAll forgets the keys of entries, which it sorts by key.
+func (s *Store) removeAll(entries []Entry) {
+	slices.SortFunc(entries, compareByKey)
+	for _, e := range entries {
+		s.remove(e.Key)
 	}
-	return n
-}
-
-func (s *Store) entry(serviceName string, id itemID, it item) Entry {
-	return Entry{Key: Key{Service: serviceName, Kind: id.kind, Name: id.name}, Clock: it.clock, Origin: s.origins[it.origin],
-		Sequence: it.sequence, Deleted: it.deleted, Value: it.value}
 }
 
-// Entry is the winner of a key, a deletion included. Its value is not to be changed.
+// Entry returns the winner of a key, which may be a deletion. The caller does not change its value.
 func (s *Store) Entry(k Key) (Entry, bool) {
 	it, ok := s.item(k)
 	if !ok {
@@ -229,23 +178,23 @@
 	return s.entry(k.Service, itemID{k.Name, k.Kind}, it), true
 }
 
-// LiveEntries is all live entries of a service, by key.
-func (s *Store) LiveEntries(name string) []Entry {
-	of := s.services[name]
+// LiveEntries returns the entries of a service that are not deletions, by key.
+func (s *Store) LiveEntries(service string) []Entry {
+	of := s.services[service]
 	if of == nil {
 		return nil
 	}
 	entries := make([]Entry, 0, len(of.items))
 	for id, it := range of.items {
 		if !it.deleted {
-			entries = append(entries, s.entry(name, id, it))
+			entries = append(entries, s.entry(service, id, it))
 		}
 	}
-	slices.SortFunc(entries, func(a, b Entry) int { return CompareKeys(a.Key, b.Key) })
+	slices.SortFunc(entries, compareByKey)
 	return entries
 }
 
-// Services are the names of all services that hold entries, in order.
+// Services returns the names of all services that hold entries, in order.
 func (s *Store) Services() []string {
 	names := make([]string, 0, len(s.services))
 	for name := range s.services {
@@ -255,56 +204,45 @@
 	return names
 }
 
-// KeysSince is the keys of those entries that a holder of a vector lacks, deletions included, by service and key. It costs what
-// the services hold.
+// KeysSince returns the keys of the entries that a holder of a vector lacks, deletions included, by service and key: of some
+// services, or of all. It costs as much as these services hold.
 func (s *Store) KeysSince(v Vector, services []string, all bool) []Key {
 	if all {
 		services = s.Services()
 	}
 	var keys []Key
 	for _, name := range services {
-		keys = append(keys, s.sinceOf(v, name)...)
+		keys = append(keys, s.serviceKeysSince(v, name)...)
 	}
 	return keys
 }
 
-func (s *Store) sinceOf(v Vector, name string) (keys []Key) {
-	of := s.services[name]
+func (s *Store) serviceKeysSince(v Vector, service string) (keys []Key) {
+	of := s.services[service]
 	if of == nil {
 		return nil
 	}
-	covered := make([]uint64, len(s.origins))
-	for i, o := range s.origins {
-		covered[i] = v[o]
+	covered := make([]uint64, len(s.origins.names))
+	for i, origin := range s.origins.names {
+		covered[i] = v[origin]
 	}
 	for id, it := range of.items {
 		if it.sequence > covered[it.origin] {
-			keys = append(keys, Key{Service: name, Kind: id.kind, Name: id.name})
+			keys = append(keys, Key{Service: service, Kind: id.kind, Name: id.name})
 		}
 	}
 	slices.SortFunc(keys, CompareKeys)
 	return keys
 }
 
-// ServiceDigest of a service's live entries; 0 where there are none.
-func (s *Store) ServiceDigest(name string) uint64 {
-	if of := s.services[name]; of != nil {
-		return of.digest
-	}
-	return 0
-}
-
-// TotalDigest is the sum of all services' digests.
-func (s *Store) TotalDigest() uint64 { return s.digest }
-
-// Vector is what this store covers. The caller does not change it.
+// Vector returns what this store covers. The caller does not change it.
 func (s *Store) Vector() Vector { return s.vector }
 
-// Pruned is by origin the greatest sequence of a deletion that may be forgotten here.
+// Pruned returns, by origin, the greatest sequence of a deletion that may be forgotten here.
 func (s *Store) Pruned() Vector { return s.pruned }
 
-// Clock is the newest clock seen.
-func (s *Store) Clock() uint64 { return s.clock }
+// Clock returns the newest clock seen.
+func (s *Store) Clock() uint64 { return s.newestClock }
 
-// Size is the count of entries, deletions included, and their bytes in memory.
-func (s *Store) Size() (entries, size int) { return s.entries, s.bytes }
+// Size returns the number of entries, deletions included, and their bytes in memory.
+func (s *Store) Size() (entries, bytes int) { return s.entries, s.bytes }
--- a/internal/controlplane/distribution/subscriber.go
+++ b/internal/controlplane/distribution/subscriber.go
@@ -2,229 +2,183 @@
 
 import (
 	"cmp"
-	"hash/crc32"
-	"strconv"
 	"time"
 )
 
 const (
-	startWithin   = 2 * time.Second        // that a start waits to be current, unless settings say otherwise
-	answerWithin  = 1 * time.Second        // for an upstream to answer, before the next one is tried
-	silentAfter   = 25 * time.Second       // without a word an upstream is left; digests come every 10 s
-	isolatedAfter = 10 * time.Second       // without an upstream
-	backOffFirst  = 250 * time.Millisecond // after each upstream was tried once; doubles
-	backOffMost   = 10 * time.Second       // spread down to half of it
-	backOffGrowth = 6                      // doublings at most
-	lookEvery     = 1 * time.Second        // Passed is to be called at least so often
-	spreadOf      = float64(1<<32) - 1     // greatest of crc32
-	behindAfter   = 2 * time.Second        // that something was received and not completed
-	keepFor       = 30 * time.Second       // a connection that lasted so long begins the back-off anew
+	defaultStartTimeout = 2 * time.Second
+	defaultMaxBackoff   = 10 * time.Second
+	connectTimeout      = 1 * time.Second  // for an upstream to answer, before the next one is tried
+	silenceTimeout      = 25 * time.Second // without a message, after which an upstream is left; digests come every 10 s
+	isolationTimeout    = 10 * time.Second // without an upstream
+	incompleteTimeout   = 2 * time.Second  // between a message and the complete batch that follows it
+	tickInterval        = 1 * time.Second  // Tick is called at least so often
 )
 
-// State of a subscriber.
-type State uint8
-
-// The states.
-const (
-	StateStarting   State = iota // no upstream has answered yet; it does not serve yet
-	StateCatchingUp              // one has, and sends what lacks; it does not serve yet
-	StateCurrent                 // it has all that its upstream has
-	StateBehind                  // it serves from what it holds while it reconnects or catches up
-	StateIsolated                // it serves from what it holds, and no upstream has answered for a while
-	statesEnd
-)
-
-// String is the state's name.
-func (s State) String() string {
-	return [...]string{"starting", "catching up", "current", "behind", "isolated"}[s]
-}
-
-type input uint8
-
-const (
-	connected  input = iota // an upstream has answered
-	complete                // all that it has was received
-	lost                    // the connection, or the attempt
-	startEnds               // the time a start may wait is over
-	longAlone               // no upstream for a while
-	fellBehind              // something arrived that is not complete, for a while
-	inputsEnd
-)
-
-// transitions is the whole of what a subscriber decides about its state. Whoever serves never stops: only Starting and
-// CatchingUp do not, and nothing leads back to them from the others.
-var transitions = [statesEnd][inputsEnd]State{
-	StateStarting:   {connected: StateCatchingUp, complete: StateCurrent, lost: StateStarting, startEnds: StateIsolated, longAlone: StateIsolated, fellBehind: StateStarting},
-	StateCatchingUp: {connected: StateCatchingUp, complete: StateCurrent, lost: StateStarting, startEnds: StateBehind, longAlone: StateCatchingUp, fellBehind: StateCatchingUp},
-	StateCurrent:    {connected: StateBehind, complete: StateCurrent, lost: StateBehind, startEnds: StateCurrent, longAlone: StateBehind, fellBehind: StateBehind},
-	StateBehind:     {connected: StateBehind, complete: StateCurrent, lost: StateBehind, startEnds: StateBehind, longAlone: StateIsolated, fellBehind: StateBehind},
-	StateIsolated:   {connected: StateBehind, complete: StateCurrent, lost: StateIsolated, startEnds: StateIsolated, longAlone: StateIsolated, fellBehind: StateIsolated},
-}
-
-// SubscriberOptions is what a subscriber goes by; zero ones are the defaults.
+// SubscriberOptions are a subscriber's. A field that is zero takes its default.
 type SubscriberOptions struct {
-	UpstreamCount int // how many there are, in the order in which they are tried
-	StartTimeout  time.Duration
-	JitterSeed    string // of the spread of back-offs: the subscriber's name
+	UpstreamCount int           // in the order in which they are tried, the preferred one first
+	StartTimeout  time.Duration // that a start waits for everything before it serves by what it holds
+	JitterSeed    string        // of backoffs: the subscriber's name
 	MaxBackoff    time.Duration
-	FailbackDelay time.Duration // until a preferred upstream, one earlier in the order, is probed; 0: never
+	FailbackDelay time.Duration // until a preferred upstream is probed; 0: never
 }
 
-// Action is what the caller is to do about connections.
+// Action is what the caller does about connections.
 type Action struct {
-	ShouldDial       bool // connect to Upstream now; its end is told by Connected or Lost
-	ShouldDisconnect bool // the connection or the attempt in hand is to be ended first; that is not told again
+	ShouldDial       bool // connect to Upstream; the caller then calls UpstreamConnected or UpstreamLost
+	ShouldDisconnect bool // first end the connection or attempt in hand, without a call of UpstreamLost
 	Upstream         int  // index of the one to connect to
-	IsFailback       bool // it is preferred to the one that is dropped, which was good
-	ShouldProbe      bool // see whether Preferred answers, beside the connection in hand; the end is told by Probed
+	IsFailback       bool // the connection that ends was good: a preferred upstream has answered a probe
+	ShouldProbe      bool // see whether ProbeUpstream answers, beside the connection in hand; the caller then calls ProbeEnded
 	ProbeUpstream    int  // index of the one to probe
 }
 
-// Subscriber decides which upstream is followed, and when to serve.
+// Subscriber decides which upstream is followed, and when the process may serve.
 type Subscriber struct {
-	following SubscriberOptions
+	options   SubscriberOptions
 	state     State
-	started   time.Duration
-	upstream  int  // followed, tried, or to be tried next
-	dialing   bool // an attempt is in hand
-	connected bool
-	heard     time.Duration // of the upstream last
-	opened    time.Duration // when the first was received that is not completed
-	open      bool          // there is such
-	begun     time.Duration // of the attempt or connection
-	alone     time.Duration // since when without a connection
-	current   time.Duration // when it was last current
-	was       bool          // it has been
-	failures  int           // attempts since a connection that lasted
-	retryAt   time.Duration
-	counter   int
-	preferred preferred
+	startedAt time.Duration
+	upstream  int // followed, tried, or to be tried next
+	link      linkState
+	freshness freshness
+	backoff   backoff
+	failback  failback
+	drawCount int // of random draws
+}
+
+// linkState is the connection or attempt in hand.
+type linkState struct {
+	isDialing         bool
+	isConnected       bool
+	startedAt         time.Duration // of the attempt, or of the connection
+	lastMessage       time.Duration
+	disconnectedSince time.Duration
+}
+
+// freshness is how far what was received is complete.
+type freshness struct {
+	isIncomplete    bool // something was received that no complete batch has followed
+	incompleteSince time.Duration
+	wasCurrent      bool // ever since the start
+	lastCurrent     time.Duration
 }
 
-// NewSubscriber begins at a moment.
-func NewSubscriber(now time.Duration, f SubscriberOptions) *Subscriber {
-	f.StartTimeout = cmp.Or(f.StartTimeout, startWithin)
-	f.MaxBackoff = cmp.Or(f.MaxBackoff, backOffMost)
-	f.UpstreamCount = max(f.UpstreamCount, 1)
-	return &Subscriber{following: f, started: now, alone: now, retryAt: now}
+// NewSubscriber returns a subscriber that starts at a moment.
+func NewSubscriber(now time.Duration, options SubscriberOptions) *Subscriber {
+	options.StartTimeout = cmp.Or(options.StartTimeout, defaultStartTimeout)
+	options.MaxBackoff = cmp.Or(options.MaxBackoff, defaultMaxBackoff)
+	options.UpstreamCount = max(options.UpstreamCount, 1)
+	return &Subscriber{
+		options:   options,
+		startedAt: now,
+		link:      linkState{disconnectedSince: now},
+		backoff:   backoff{retryAt: now},
+	}
 }
 
-// State is the subscriber's.
+// State returns the subscriber's state.
 func (s *Subscriber) State() State { return s.state }
 
-// CanServe tells whether it may serve from what it holds.
+// CanServe reports whether the process may serve by what it holds.
 func (s *Subscriber) CanServe() bool { return s.state != StateStarting && s.state != StateCatchingUp }
 
-// Upstream is the index of the one followed or tried, and whether it is connected.
-func (s *Subscriber) Upstream() (index int, connected bool) { return s.upstream, s.connected }
+// Upstream returns the index of the upstream followed or tried, and whether it is connected.
+func (s *Subscriber) Upstream() (index int, isConnected bool) { return s.upstream, s.link.isConnected }
 
-// Staleness is how long ago it was current last; known is false where it never was since its start.
-func (s *Subscriber) Staleness(now time.Duration) (age time.Duration, known bool) {
+// Staleness returns how long ago the subscriber was current. isKnown is false if it never was since its start.
+func (s *Subscriber) Staleness(now time.Duration) (age time.Duration, isKnown bool) {
 	if s.state == StateCurrent {
 		return 0, true
 	}
-	return now - s.current, s.was
+	return now - s.freshness.lastCurrent, s.freshness.wasCurrent
 }
 
-// UpstreamConnected tells that the upstream in hand has answered.
+// UpstreamConnected says that the upstream in hand has answered.
 func (s *Subscriber) UpstreamConnected(now time.Duration) {
-	s.dialing, s.connected = false, true
-	s.heard, s.begun = now, now
-	s.settled(now)
-	s.step(connected)
+	s.link.isDialing, s.link.isConnected = false, true
+	s.link.lastMessage, s.link.startedAt = now, now
+	s.scheduleProbe(now)
+	s.apply(connected)
 }
 
-// MessageReceived tells that the upstream has sent something; complete that all it has was received.
-func (s *Subscriber) MessageReceived(now time.Duration, all bool) {
-	if !s.connected {
+// MessageReceived says that the upstream has sent something, and whether everything that it has was received with it.
+func (s *Subscriber) MessageReceived(now time.Duration, isComplete bool) {
+	if !s.link.isConnected {
 		return
 	}
-	s.heard = now
-	if !all {
-		if !s.open {
-			s.open, s.opened = true, now
+	s.link.lastMessage = now
+	if !isComplete {
+		if !s.freshness.isIncomplete {
+			s.freshness.isIncomplete, s.freshness.incompleteSince = true, now
 		}
 		return
 	}
-	s.open = false
-	s.current, s.was = now, true
-	s.step(complete)
+	s.freshness.isIncomplete = false
+	s.freshness.lastCurrent, s.freshness.wasCurrent = now, true
+	s.apply(completed)
 }
 
-// UpstreamLost tells that the connection or the attempt in hand has ended, by a refusal too.
+// UpstreamLost says that the connection or the attempt in hand has ended, also by a refusal.
 func (s *Subscriber) UpstreamLost(now time.Duration) {
-	if !s.connected && !s.dialing {
+	if !s.link.isConnected && !s.link.isDialing {
 		return
 	}
-	if s.connected {
-		s.alone = now
-		if now-s.begun >= keepFor {
-			s.failures = 0
+	if s.link.isConnected {
+		s.link.disconnectedSince = now
+		if now-s.link.startedAt >= stableConnection {
+			s.backoff.failures = 0
 		}
 	}
-	s.left(now)
-	s.dialing, s.connected, s.open = false, false, false
-	s.upstream = (s.upstream + 1) % s.following.UpstreamCount // not back to the one that was just lost
-	s.failures++
-	s.retryAt = now
-	if rounds := s.failures / s.following.UpstreamCount; s.failures%s.following.UpstreamCount == 0 {
-		s.retryAt = now + s.backOff(rounds)
-	}
-	s.step(lost)
-}
-
-// backOff after so many rounds of all upstreams, spread by chance over its upper half.
-func (s *Subscriber) backOff(rounds int) time.Duration {
-	most := min(backOffFirst<<min(rounds, backOffGrowth), s.following.MaxBackoff)
-	return most/2 + time.Duration(s.chance()*float64(most/2))
+	s.endFailback(now)
+	s.link.isDialing, s.link.isConnected = false, false
+	s.freshness.isIncomplete = false
+	s.upstream = (s.upstream + 1) % s.options.UpstreamCount // not back to the one that was just lost
+	s.scheduleRetry(now)
+	s.apply(lost)
 }
 
-// chance draws a number from 0 to 1.
-func (s *Subscriber) chance() float64 {
-	s.counter++
-	return float64(crc32.ChecksumIEEE([]byte(s.following.JitterSeed+" "+strconv.Itoa(s.counter)))) / spreadOf
-}
-
-// Tick looks at what time changes and says what is to be done, and when to look again at the latest.
-func (s *Subscriber) Tick(now time.Duration) (do Action, again time.Duration) {
-	if now-s.started >= s.following.StartTimeout {
-		s.step(startEnds)
+// Tick applies what the passing of time changes. It returns what the caller does, and when it calls Tick again at the latest.
+func (s *Subscriber) Tick(now time.Duration) (do Action, next time.Duration) {
+	if now-s.startedAt >= s.options.StartTimeout {
+		s.apply(startTimedOut)
 	}
 	switch {
-	case s.dialing && now-s.begun >= answerWithin, s.connected && now-s.heard >= silentAfter:
+	case s.isUnresponsive(now):
 		do.ShouldDisconnect = true
 		s.UpstreamLost(now)
-	case s.leave(now):
+	case s.startFailback(now):
 		do.ShouldDisconnect, do.IsFailback = true, true
 	}
-	if s.open && now-s.opened >= behindAfter {
-		s.step(fellBehind)
+	if s.freshness.isIncomplete && now-s.freshness.incompleteSince >= incompleteTimeout {
+		s.apply(incompleteTimedOut)
 	}
-	if !s.connected && now-s.alone >= isolatedAfter {
-		s.step(longAlone)
+	if !s.link.isConnected && now-s.link.disconnectedSince >= isolationTimeout {
+		s.apply(isolationTimedOut)
 	}
-	if !s.connected && !s.dialing && now >= s.retryAt {
+	if !s.link.isConnected && !s.link.isDialing && now >= s.backoff.retryAt {
 		do.ShouldDial, do.Upstream = true, s.upstream
-		s.dialing, s.begun = true, now
+		s.link.isDialing, s.link.startedAt = true, now
 	}
-	do.ProbeUpstream, do.ShouldProbe = s.probe(now)
-	return do, s.next(now)
+	do.ProbeUpstream, do.ShouldProbe = s.startProbe(now)
+	return do, s.nextTick(now)
+}
+
+// isUnresponsive reports whether the upstream in hand has been silent for too long.
+func (s *Subscriber) isUnresponsive(now time.Duration) bool {
+	return s.link.isDialing && now-s.link.startedAt >= connectTimeout || s.link.isConnected && now-s.link.lastMessage >= silenceTimeout
 }
 
-func (s *Subscriber) next(now time.Duration) time.Duration {
-	again := now + lookEvery
+func (s *Subscriber) nextTick(now time.Duration) time.Duration {
+	next := now + tickInterval
 	if !s.CanServe() {
-		again = min(again, s.started+s.following.StartTimeout)
+		next = min(next, s.startedAt+s.options.StartTimeout)
 	}
 	switch {
-	case s.dialing:
-		again = min(again, s.begun+answerWithin)
-	case !s.connected:
-		again = min(again, s.retryAt)
+	case s.link.isDialing:
+		next = min(next, s.link.startedAt+connectTimeout)
+	case !s.link.isConnected:
+		next = min(next, s.backoff.retryAt)
 	}
-	return max(again, now)
-}
-
-func (s *Subscriber) step(in input) {
-	s.state = transitions[s.state][in]
+	return max(next, now)
 }
--- a/internal/controlplane/distribution/subscriber_test.go
+++ b/internal/controlplane/distribution/subscriber_test.go
@@ -59,8 +59,8 @@
 
 // Nothing leads back from a state that serves to one that does not.
 func TestWhoServesGoesOn(t *testing.T) {
-	for state := StateCurrent; state < statesEnd; state++ {
-		for in := range inputsEnd {
+	for state := StateCurrent; state < stateLimit; state++ {
+		for in := range stateInputLimit {
 			if next := transitions[state][in]; next < StateCurrent {
 				t.Errorf("%v leads to %v", state, next)
 			}
@@ -92,7 +92,7 @@
 	}
 	s.UpstreamLost(21 * time.Second)
 	do, again := s.Tick(21 * time.Second) // the third failure in a row: a round of all is over
-	if do.ShouldDial || again <= 21*time.Second || again > 21*time.Second+2*backOffFirst {
+	if do.ShouldDial || again <= 21*time.Second || again > 21*time.Second+2*initialBackoff {
 		t.Fatalf("%+v, again %v: no back-off after a round", do, again)
 	}
 	dial(again, 0)
@@ -100,7 +100,7 @@
 		s.UpstreamLost(again)
 		_, again = s.Tick(again)
 	}
-	if waited := s.backOff(100); waited > backOffMost || waited < backOffMost/2 {
+	if waited := s.backoffAfter(100); waited > defaultMaxBackoff || waited < defaultMaxBackoff/2 {
 		t.Fatalf("backs off for %v", waited)
 	}
 }
--- a/internal/controlplane/distribution/world_test.go
+++ b/internal/controlplane/distribution/world_test.go
@@ -383,7 +383,7 @@
 			quiet = 0
 			continue
 		}
-		w.now += digestEvery
+		w.now += digestInterval
 		quiet++
 	}
 }
@@ -391,7 +391,7 @@
 func (w *world) busy() bool {
 	for _, h := range w.holders {
 		for _, s := range h.pub.subscriptions {
-			if s.waits(freshLane) || s.waits(catchUpLane) || len(s.sent) > 0 {
+			if s.hasWaiting(freshLane) || s.hasWaiting(catchUpLane) || len(s.inFlight.batches) > 0 {
 				return true
 			}
 		}
--- /dev/null
+++ b/internal/controlplane/distribution/write.go
@@ -0,0 +1,60 @@
+package distribution
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// Write makes changes under this store's origin, all or none. The caller has the entries on disk before it confirms them. The
+// error wraps one of the errors of this package, such as ErrStoreFull.
+func (s *Store) Write(wall time.Time, changes []Change) ([]Entry, error) {
+	if err := s.checkWrite(wall, changes); err != nil {
+		return nil, err
+	}
+	entries := make([]Entry, 0, len(changes))
+	for _, c := range changes {
+		entries = append(entries, s.writeOne(wall, Entry{Key: c.Key, Deleted: c.Deleted, Value: slices.Clone(c.Value)}))
+	}
+	s.vector[s.own.origin] = s.own.sequence
+	return entries, nil
+}
+
+// writeOne gives an entry the next version of this store's origin and holds it.
+func (s *Store) writeOne(wall time.Time, e Entry) Entry {
+	s.newestClock = max(ClockAt(wall), s.newestClock+1)
+	s.own.sequence++
+	e.Clock, e.Origin, e.Sequence = s.newestClock, s.own.origin, s.own.sequence
+	s.put(e)
+	return e
+}
+
+// checkWrite returns why changes must not be written, if so.
+func (s *Store) checkWrite(wall time.Time, changes []Change) error {
+	if s.own.origin == "" {
+		return fmt.Errorf("%w: a holder without one does not write", ErrInvalidOrigin)
+	}
+	if s.own.isStale {
+		return ErrStaleOrigin
+	}
+	if len(changes) == 0 || len(changes) > MaxChanges {
+		return fmt.Errorf("%w: %d of at most %d", ErrChangeCount, len(changes), MaxChanges)
+	}
+	if ahead := ClockTime(s.newestClock).Sub(wall); s.newestClock > 0 && ahead > s.limits.MaxClockAhead {
+		return &ClockError{ahead}
+	}
+	totalEntries, totalBytes := 0, 0
+	newServices := map[string]bool{}
+	for _, c := range changes {
+		if err := c.Validate(); err != nil {
+			return err
+		}
+		entries, bytes := s.growth(c.Key, len(c.Value))
+		totalEntries += entries
+		totalBytes += bytes
+		if s.services[c.Key.Service] == nil {
+			newServices[c.Key.Service] = true
+		}
+	}
+	return s.checkCapacity(totalEntries, totalBytes, len(newServices))
+}
