--- a/internal/controlplane/distribution/converge_test.go
+++ b/internal/controlplane/distribution/converge_test.go
@@ -64,7 +64,7 @@
 		l := link(t)
 		w.deliver(l, rapid.Bool().Draw(t, "to the server"), rapid.IntRange(0, 3).Draw(t, "twice") == 0)
 	}
-	pump := func(t *rapid.T) { w.anyOf(t, isAny).pump(rapid.IntRange(1, 3).Draw(t, "batches")) }
+	pump := func(t *rapid.T) { w.anyOf(t, isAny).sendDue(rapid.IntRange(1, 3).Draw(t, "batches")) }
 	return map[string]func(*rapid.T){
 		"put":       write(false),
 		"put 2":     write(false),
@@ -92,7 +92,7 @@
 		"flow": func(t *rapid.T) {
 			for range 5 {
 				for _, h := range w.holders {
-					h.pump(5)
+					h.sendDue(5)
 				}
 				for _, l := range w.links {
 					for w.deliver(l, true, false) || w.deliver(l, false, false) {
@@ -138,7 +138,7 @@
 		},
 		"a day": func(t *rapid.T) {
 			*cut = false
-			w.settle()
+			w.converge()
 			w.now += 25 * time.Hour
 			w.keepCoveredDisks()
 			for _, h := range w.holders {
@@ -174,16 +174,16 @@
 	}
 }
 
-// TestAllConverge has writes, losses, duplicates, lost and old disks and regions apart in any order. No holder goes back in
+// TestStoresConverge has writes, losses, duplicates, lost and old disks and regions apart in any order. No holder goes back in
 // any key; after healing each holds the winners of its services, and what was deleted stays so.
-func TestAllConverge(t *testing.T) {
+func TestStoresConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t.Fatalf)
 		twoRegions(w)
 		cut := false
 		t.Repeat(actions(w, &cut))
-		best := w.best()
-		w.settle()
+		best := w.winners()
+		w.converge()
 		w.check(w.after(best))
 	})
 }
@@ -191,7 +191,7 @@
 // after is what is expected of what was best before: writes that were numbered anew since hold the same values in greater
 // versions.
 func (w *world) after(best map[Key]Entry) map[Key]Entry {
-	for k, e := range w.best() {
+	for k, e := range w.winners() {
 		if before, ok := best[k]; ok && Compare(before, e) < 0 {
 			best[k] = e
 		}
--- a/internal/controlplane/distribution/preferred_test.go
+++ b/internal/controlplane/distribution/failback_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// away is a subscriber that has lost its preferred upstreams and is current at the last one.
-func away(t *testing.T, upstreams int, seed string) *Subscriber {
+// fallenBack returns a subscriber that has lost its preferred upstreams and is current at the last one.
+func fallenBack(t *testing.T, upstreams int, seed string) *Subscriber {
 	t.Helper()
 	s := NewSubscriber(0, SubscriberOptions{UpstreamCount: upstreams, JitterSeed: seed, FailbackDelay: time.Minute})
 	for want := range upstreams {
@@ -40,10 +40,9 @@
 	return 0, 0
 }
 
-// Preferred upstreams are probed in turn beside the connection in hand, which is left only for one that has answered. Before, a
-// subscriber stayed where it had fled to until that one was lost.
-func TestReturnsToPreferredUpstream(t *testing.T) {
-	s := away(t, 3, "n")
+// Preferred upstreams are probed in turn beside the connection in hand, which is left only for one that has answered.
+func TestFailbackToPreferredUpstream(t *testing.T) {
+	s := fallenBack(t, 3, "n")
 	at, upstream := probeDue(t, s, 0)
 	if upstream != 0 || at < 30*time.Second || at > 91*time.Second {
 		t.Fatalf("upstream %d is probed at %v", upstream, at)
@@ -80,10 +79,10 @@
 	}
 }
 
-// What ends the wish to return, or puts it off.
-func TestReturnPutOff(t *testing.T) {
-	t.Run("lost as the probe is under way", func(t *testing.T) {
-		s := away(t, 2, "n")
+// What abandons or delays a failback.
+func TestFailbackIsDelayedOrAbandoned(t *testing.T) {
+	t.Run("connection lost during the probe", func(t *testing.T) {
+		s := fallenBack(t, 2, "n")
 		at, _ := probeDue(t, s, 0)
 		s.UpstreamLost(at)
 		s.ProbeEnded(at, 0, true)
@@ -91,8 +90,8 @@
 			t.Errorf("%+v", do)
 		}
 	})
-	t.Run("never", func(t *testing.T) {
-		s := away(t, 2, "n")
+	t.Run("disabled", func(t *testing.T) {
+		s := fallenBack(t, 2, "n")
 		s.options.FailbackDelay = 0
 		for at := time.Duration(0); at < 10*time.Minute; at += time.Second {
 			s.MessageReceived(at, true)
@@ -101,8 +100,8 @@
 			}
 		}
 	})
-	t.Run("one that answers and ends at once is returned to ever less often", func(t *testing.T) {
-		s := away(t, 2, "n")
+	t.Run("delay doubles after failbacks that do not last", func(t *testing.T) {
+		s := fallenBack(t, 2, "n")
 		at, returns := time.Duration(0), 0
 		for at < 2*time.Hour {
 			at, _ = probeDue(t, s, at)
@@ -125,12 +124,12 @@
 	})
 }
 
-// Subscribers that lost their control process at one moment do not all return to it in the same seconds.
-func TestReturnsAreSpread(t *testing.T) {
+// Subscribers that lost their control process at one moment do not all fail back within the same seconds.
+func TestFailbacksAreSpread(t *testing.T) {
 	const subscribers = 160 // of one of 36 control processes at 5,800 nodes
 	bySecond, most := map[time.Duration]int{}, 0
 	for i := range subscribers {
-		at, _ := probeDue(t, away(t, 2, fmt.Sprint("node-", i)), 0)
+		at, _ := probeDue(t, fallenBack(t, 2, fmt.Sprint("node-", i)), 0)
 		bySecond[at]++
 		most = max(most, bySecond[at])
 	}
--- a/internal/controlplane/distribution/publisher_test.go
+++ b/internal/controlplane/distribution/publisher_test.go
@@ -20,7 +20,7 @@
 	return Subscription{Name: "n", Role: RoleNode, Services: services}
 }
 
-func TestCatchUpKeepsToTheBudgetOfANode(t *testing.T) {
+func TestCatchUpStaysWithinNodeBudget(t *testing.T) {
 	p := NewPublisher(filled(t, 1, 4000, 60), Budget{})
 	id := p.Subscribe(0, nodeOf("s0"))
 	now, sum, batches := time.Duration(0), 0, 0
@@ -55,7 +55,7 @@
 }
 
 // A fresh change does not wait for the catch-ups of all others, nor for that of its own node.
-func TestFreshChangesGoBeforeCatchUps(t *testing.T) {
+func TestFreshChangesBeforeCatchUps(t *testing.T) {
 	store := filled(t, 50, 1000, 60)
 	p := NewPublisher(store, Budget{TotalBytesPerSecond: 256 << 10})
 	late := map[SubscriptionID]time.Duration{}
@@ -98,7 +98,7 @@
 }
 
 // A node's own catch-up does not hold back a fresh change of it: that is sent at once.
-func TestFreshChangeDuringItsNodesCatchUp(t *testing.T) {
+func TestFreshChangeDuringOwnCatchUp(t *testing.T) {
 	store := filled(t, 1, 4000, 60)
 	p := NewPublisher(store, Budget{})
 	p.Subscribe(0, nodeOf("", "s0"))
@@ -117,7 +117,7 @@
 }
 
 // Fresh changes that never end leave catch-ups their share.
-func TestCatchUpsGoOnBesideFreshChanges(t *testing.T) {
+func TestCatchUpsContinueBesideFreshChanges(t *testing.T) {
 	const out = 64 << 10
 	store := filled(t, 1, 20_000, 60)
 	p := NewPublisher(store, Budget{TotalBytesPerSecond: out, ControlBytesPerSecond: 1 << 20})
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestTurnsAreFair(t *testing.T) {
+func TestSubscribersTakeEqualTurns(t *testing.T) {
 	store := filled(t, 2, 20_000, 60)
 	p := NewPublisher(store, Budget{TotalBytesPerSecond: 64 << 10, NodeBytesPerSecond: 64 << 10, ControlBytesPerSecond: 64 << 10})
 	p.Subscribe(0, nodeOf("s0"))
@@ -182,7 +182,7 @@
 	}
 }
 
-func TestSlowSubscribersAreCutOff(t *testing.T) {
+func TestSlowSubscribersAreReported(t *testing.T) {
 	p := NewPublisher(filled(t, 1, 1, 1), Budget{})
 	id := p.Subscribe(0, nodeOf("s0"))
 	_, b, _, _ := p.NextBatch(time.Second)
@@ -209,7 +209,7 @@
 	}
 }
 
-func TestWhoDoesNotAcknowledgeIsSentNoMoreThanAWindow(t *testing.T) {
+func TestUnacknowledgedBytesAreBounded(t *testing.T) {
 	p := NewPublisher(filled(t, 1, 8000, 100), Budget{ControlBytesPerSecond: 64 << 20})
 	p.Subscribe(0, Subscription{Name: "c", Role: RoleControl, AllServices: true})
 	sum := 0
@@ -230,48 +230,48 @@
 }
 
 // A server that has lost its disk never has a subscriber go back, and gets from it what it lacks.
-func TestSubscriberAheadOfItsServer(t *testing.T) {
+func TestSubscriberAheadOfServer(t *testing.T) {
 	w := newWorld(t.Fatalf)
 	root := w.add("root", "", RoleControl)
 	node := w.add("node", "", RoleNode, "a")
 	w.connectable(node, root)
 	root.write(Change{Key: key("a", "1"), Value: []byte("first")}, Change{Key: key("a", "2"), Value: []byte("second")})
-	w.settle()
+	w.converge()
 	root.restart(nil)
-	w.settle()
+	w.converge()
 	for _, h := range w.holders {
 		if got := h.store.LiveEntries("a"); len(got) != 2 || string(got[0].Value) != "first" {
 			t.Fatalf("%s holds %+v", h.name, got)
 		}
 	}
 	root.write(Change{Key: key("a", "1"), Value: []byte("third")})
-	w.settle()
+	w.converge()
 	if e, _ := node.store.Entry(key("a", "1")); string(e.Value) != "third" {
 		t.Fatalf("the node holds %q", e.Value)
 	}
 }
 
-func TestFurtherServiceIsSentWhole(t *testing.T) {
+func TestNewServiceIsSentWhole(t *testing.T) {
 	w := newWorld(t.Fatalf)
 	root := w.add("root", "", RoleControl)
 	node := w.add("node", "", RoleNode, "a")
 	w.connectable(node, root)
 	root.write(Change{Key: key("a", "1")}, Change{Key: key("b", "1")})
-	w.settle()
+	w.converge()
 	w.close(w.links[0])
 	node.services = []string{"a", "b"}
 	node.store.SetScope(node.services)
 	if missing := node.store.UnsyncedServices(); len(missing) != 1 || missing[0] != "b" {
 		t.Fatalf("missing %v", missing)
 	}
-	w.settle()
+	w.converge()
 	if len(node.store.LiveEntries("b")) != 1 || len(node.store.UnsyncedServices()) != 0 {
 		t.Fatalf("holds %v, missing %v", node.store.LiveEntries("b"), node.store.UnsyncedServices())
 	}
 }
 
 // What a subscriber's vector tells, and its server has not had yet, is sent for a missing service when it comes.
-func TestMissingServiceFromAServerThatIsCaughtUp(t *testing.T) {
+func TestUnsyncedServiceFromServerThatCaughtUp(t *testing.T) {
 	store := NewStore(NewOrigin("root", 2), Limits{})
 	p := NewPublisher(store, Budget{})
 	p.Subscribe(0, Subscription{Name: "n", Role: RoleNode, Services: []string{"b"}, UnsyncedServices: []string{"b"}, Vector: Vector{"x/1": 5}})
@@ -286,7 +286,7 @@
 }
 
 // A vector is told as far as it has moved.
-func TestVectorIsToldOnce(t *testing.T) {
+func TestVectorIsSentOnce(t *testing.T) {
 	store := filled(t, 1, 1, 1)
 	p := NewPublisher(store, Budget{})
 	id := p.Subscribe(0, nodeOf("s0"))
@@ -306,26 +306,26 @@
 
 // What one holder has lost without knowing it comes back from the others, whichever side of the connection it is on; what a
 // node alone holds ends.
-func TestDigestsFindWhatDiffers(t *testing.T) {
+func TestDigestsRepairDifferences(t *testing.T) {
 	for _, lost := range []string{"root", "relay", "node"} {
 		t.Run(lost, func(t *testing.T) {
 			w, root, _, node := chain(t)
 			root.write(Change{Key: key("a", "1")}, Change{Key: key("a", "2")})
-			w.settle()
+			w.converge()
 			for _, h := range w.holders {
 				if h.name == lost {
 					h.store.remove(key("a", "1"))
 					delete(h.floor, key("a", "1"))
 				}
 			}
-			w.settle()
+			w.converge()
 			for _, h := range w.holders {
 				if len(h.store.LiveEntries("a")) != 2 {
 					t.Errorf("%s holds %v", h.name, h.store.LiveEntries("a"))
 				}
 			}
 			node.store.put(Entry{Key: key("a", "3"), Clock: 1, Origin: root.store.Origin(), Sequence: 1})
-			w.settle()
+			w.converge()
 			if held := node.store.LiveEntries("a"); len(held) != 2 {
 				t.Errorf("the node keeps %v", held)
 			}
@@ -334,7 +334,7 @@
 }
 
 // What a change costs is told by the subscriptions looked at and the entries of its service, not by the fleet.
-func TestAChangeCostsItsService(t *testing.T) {
+func TestCostOfAChangeIsThatOfItsService(t *testing.T) {
 	cost := func(otherNodes, otherServices int) (touched, allocs float64) {
 		store := filled(t, 1+otherServices, 20, 20)
 		p := NewPublisher(store, Budget{TotalBytesPerSecond: 1 << 30, NodeBytesPerSecond: 1 << 30})
@@ -375,7 +375,7 @@
 }
 
 // A whole sending looks at each entry once: its batches hold each just once and its work is the sort's.
-func TestWholeSendingIsEachEntryOnce(t *testing.T) {
+func TestResetSendsEachEntryOnce(t *testing.T) {
 	count := func(entries int) (sent int, allocs float64) {
 		store := filled(t, 10, entries/10, 20)
 		allocs = testing.AllocsPerRun(1, func() {
--- a/internal/controlplane/distribution/scale_test.go
+++ b/internal/controlplane/distribution/scale_test.go
@@ -95,7 +95,7 @@
 }
 
 // pump sends all that may be sent now, and comes back when the publisher says.
-func (c *control) pump() {
+func (c *control) sendDue() {
 	for {
 		id, b, ok, wait := c.pub.NextBatch(c.f.now)
 		if ok {
@@ -115,7 +115,7 @@
 		c.f.after(wait, func() {
 			if c.pumpSet && c.pumpAt == at {
 				c.pumpSet = false
-				c.pump()
+				c.sendDue()
 			}
 		})
 		return
@@ -130,15 +130,15 @@
 		c.f.after(latency, func() {
 			got := c.receiver.ReceiveBatch(b)
 			c.pub.EntriesChanged(c.f.now, got.Changed)
-			c.pump()
+			c.sendDue()
 			vector := c.store.Vector().Clone()
 			c.f.after(latency+putInForce, func() {
 				up.pub.BatchAcknowledged(c.f.now, id, Acknowledgement{BatchNumber: b.Number, Applied: vector})
-				up.pump()
+				up.sendDue()
 			})
 		})
 	}
-	up.pump()
+	up.sendDue()
 }
 
 func (n *hollow) follow(f *fleet, up *control, vector Vector) {
@@ -150,11 +150,11 @@
 			f.after(putInForce, func() { n.inForce(f, b) })
 			f.after(putInForce+withinZone, func() {
 				up.pub.BatchAcknowledged(f.now, id, Acknowledgement{BatchNumber: b.Number})
-				up.pump()
+				up.sendDue()
 			})
 		})
 	}
-	up.pump()
+	up.sendDue()
 }
 
 func (n *hollow) inForce(f *fleet, b Batch) {
@@ -180,7 +180,7 @@
 	}
 	f.wrote[e.Sequence] = w
 	root.pub.EntriesChanged(f.now, []Entry{e})
-	root.pump()
+	root.sendDue()
 }
 
 // size of a fleet to be played.
--- a/internal/controlplane/distribution/store_test.go
+++ b/internal/controlplane/distribution/store_test.go
@@ -49,7 +49,7 @@
 	return nil
 }
 
-func TestSubscriberGetsItsServicesAndChanges(t *testing.T) {
+func TestSubscriberReceivesServicesAndChanges(t *testing.T) {
 	server := NewStore(NewOrigin("root", 1), Limits{})
 	writeOne(t, server, wall, key("a", "1"), "one")
 	writeOne(t, server, wall, key("b", "1"), "other")
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestWriteIsAllOrNone(t *testing.T) {
+func TestWriteIsAtomic(t *testing.T) {
 	full := Limits{MaxEntries: 2}
 	good := Change{Key: key("a", "1"), Value: []byte("v")}
 	long := Key{Service: "a", Kind: KindServer, Name: strings.Repeat("x", MaxNameBytes+1)}
@@ -128,7 +128,7 @@
 	})
 }
 
-func TestSizeAndDigestFollowTheEntries(t *testing.T) {
+func TestSizeAndDigestFollowEntries(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	s := NewStore(NewOrigin("root", 1), Limits{})
 	other := NewStore(NewOrigin("other", 2), Limits{})
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestDigestTellsEachPartOfAnEntry(t *testing.T) {
+func TestDigestCoversEachPartOfAnEntry(t *testing.T) {
 	seen := map[uint64]bool{}
 	for _, e := range []Entry{
 		{Key: key("a", "1"), Clock: 5, Origin: "x/1", Sequence: 1},
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestMergeTakesTheGreaterInAnyOrder(t *testing.T) {
+func TestMergeIsOrderIndependent(t *testing.T) {
 	k := key("a", "1")
 	early := Entry{Key: k, Clock: 5, Origin: "x/1", Sequence: 1, Value: []byte("early")}
 	late := Entry{Key: k, Clock: 6, Origin: "a/1", Sequence: 2, Value: []byte("z")}
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestMergeRefusesWhatBreaksBounds(t *testing.T) {
+func TestMergeRefusesEntriesOutOfBounds(t *testing.T) {
 	s := NewStore("", Limits{MaxEntries: 1})
 	good := Entry{Key: key("a", "1"), Clock: 5, Origin: "x/1", Sequence: 1}
 	second := good
@@ -226,7 +226,7 @@
 }
 
 // A store without room for an entry does not say that it has everything.
-func TestVectorStandsWhileThereIsNoRoom(t *testing.T) {
+func TestVectorDoesNotAdvanceWhileStoreIsFull(t *testing.T) {
 	server := NewStore(NewOrigin("root", 1), Limits{})
 	writeOne(t, server, wall, key("a", "1"), "v")
 	writeOne(t, server, wall, key("a", "2"), "v")
@@ -239,7 +239,7 @@
 	}
 }
 
-func TestClockIsGreaterThanAnySeen(t *testing.T) {
+func TestClockExceedsAnySeen(t *testing.T) {
 	s := NewStore(NewOrigin("root", 1), Limits{})
 	ahead := ClockAt(wall.Add(9*time.Second)) + 7
 	s.Merge([]Entry{{Key: key("a", "1"), Clock: ahead, Origin: "x/1", Sequence: 1}})
@@ -248,7 +248,7 @@
 	}
 }
 
-func TestResetKeepsWhatTheSenderDoesNotCover(t *testing.T) {
+func TestReplaceKeepsEntriesTheSenderDoesNotCover(t *testing.T) {
 	s := NewStore("", Limits{})
 	entry := func(name string, sequence uint64) Entry {
 		return Entry{Key: key("a", name), Clock: 5, Origin: "x/1", Sequence: sequence}
@@ -265,7 +265,7 @@
 	}
 }
 
-func TestForgottenDeletionsDoNotComeBack(t *testing.T) {
+func TestPrunedDeletionsDoNotComeBack(t *testing.T) {
 	s := NewStore(NewOrigin("root", 1), Limits{})
 	e := writeOne(t, s, wall, key("a", "1"), "v")
 	if _, err := s.Write(wall, []Change{{Key: key("a", "1"), Deleted: true}}); err != nil {
@@ -290,7 +290,7 @@
 	}
 }
 
-func TestStoreOnItsOwnOldDiskIsStale(t *testing.T) {
+func TestOriginOfOldDiskIsStale(t *testing.T) {
 	origin := NewOrigin("root", 1)
 	s := NewStore(origin, Limits{})
 	e := writeOne(t, s, wall, key("a", "1"), "v")
@@ -320,7 +320,7 @@
 }
 
 // A write over an entry takes its sequence with it: no holder waits for it.
-func TestOverwrittenSequencesLeaveNoGap(t *testing.T) {
+func TestOverwrittenSequencesAreCovered(t *testing.T) {
 	server := NewStore(NewOrigin("root", 1), Limits{})
 	for i := range 10 {
 		writeOne(t, server, wall, key("a", "1"), strconv.Itoa(i))
--- a/internal/controlplane/distribution/subscriber_test.go
+++ b/internal/controlplane/distribution/subscriber_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Nothing leads back from a state that serves to one that does not.
-func TestWhoServesGoesOn(t *testing.T) {
+// No input leads from a state that serves to one that does not.
+func TestServingStatesStayServing(t *testing.T) {
 	for state := StateCurrent; state < stateLimit; state++ {
 		for in := range stateInputLimit {
 			if next := transitions[state][in]; next < StateCurrent {
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestUpstreamsAreTriedInOrderAndKept(t *testing.T) {
+func TestUpstreamOrderAndBackoff(t *testing.T) {
 	s := NewSubscriber(0, SubscriberOptions{UpstreamCount: 3, JitterSeed: "n"})
 	dial := func(at time.Duration, want int) {
 		t.Helper()
--- a/internal/controlplane/distribution/world_test.go
+++ b/internal/controlplane/distribution/world_test.go
@@ -222,7 +222,7 @@
 	}
 }
 
-// prune forgets deletions.
+// prune prunes deletions.
 func (h *holder) prune(olderThan uint64) {
 	before := map[Key]Entry{}
 	for _, e := range held(h.store) {
@@ -237,9 +237,9 @@
 	h.pub.DeletionsPruned(h.w.now, keys)
 }
 
-// pump has a holder hand out up to some batches, and its digests.
-func (h *holder) pump(most int) (moved bool) {
-	for range most {
+// sendDue has a holder send up to a number of batches, and its digests.
+func (h *holder) sendDue(maxBatches int) (moved bool) {
+	for range maxBatches {
 		id, b, ok, _ := h.pub.NextBatch(h.w.now)
 		if !ok {
 			break
@@ -356,20 +356,20 @@
 	at.took(BatchResult{})
 }
 
-// settle connects all and goes on until nobody has anything to say and all digests agree.
-func (w *world) settle() {
+// converge connects all and runs until nothing is sent any more and all digests agree.
+func (w *world) converge() {
 	for _, l := range w.links {
 		w.open(l)
 	}
 	quiet := 0
 	for round := 0; quiet < 4; round++ {
 		if round > 3000 {
-			w.fail("it does not settle")
+			w.fail("it does not converge")
 			return
 		}
 		moved := false
 		for _, h := range w.holders {
-			moved = h.pump(100) || moved
+			moved = h.sendDue(100) || moved
 		}
 		if !moved {
 			w.now += time.Second
@@ -407,9 +407,9 @@
 	return text
 }
 
-// best is the greatest version of each key that anybody holds, or that was forgotten as deleted while there is still a
+// winners returns the greatest version of each key that anybody holds, or that was forgotten as deleted while there is still a
 // control process that covers it.
-func (w *world) best() map[Key]Entry {
+func (w *world) winners() map[Key]Entry {
 	best := map[Key]Entry{}
 	for k, e := range w.pruned {
 		if w.covered(e) {
