--- a/internal/controlplane/distribution/wire/batch.go
+++ b/internal/controlplane/distribution/wire/batch.go
@@ -7,21 +7,22 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-// packed is a batch as it stands on the wire: its entries name services and origins by their places in the lists.
-type packed struct {
+// packedBatch is a batch as it stands on the wire: its entries name services and origins by their indexes in the lists.
+type packedBatch struct {
 	_ struct{} `cbor:",toarray"`
 
-	Number   uint64
-	Services []string
-	Origins  []distribution.Origin
-	Entries  []packedEntry
-	Reset    []string
-	ResetAll bool
-	Complete bool
-	Through  distribution.Vector
-	Pruned   distribution.Vector
+	Number        uint64
+	Services      []string
+	Origins       []distribution.Origin
+	Entries       []packedEntry
+	ResetServices []string
+	ResetsAll     bool
+	IsComplete    bool
+	Through       distribution.Vector
+	Pruned        distribution.Vector
 }
 
+// packedEntry is an entry of a packedBatch.
 type packedEntry struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -35,36 +36,58 @@
 	Value    []byte
 }
 
-// place is of a name in a list that grows.
-func place[T comparable](list *[]T, places map[T]int, name T) int {
-	at, ok := places[name]
+// indexOf returns the index of a name in a list, to which a new name is added.
+func indexOf[T comparable](list *[]T, indexes map[T]int, name T) int {
+	index, ok := indexes[name]
 	if !ok {
-		at = len(*list)
-		places[name] = at
+		index = len(*list)
+		indexes[name] = index
 		*list = append(*list, name)
 	}
-	return at
+	return index
 }
 
-func pack(b *distribution.Batch) *packed {
-	p := &packed{Number: b.Number, Reset: b.ResetServices, ResetAll: b.ResetsAll, Complete: b.IsComplete, Through: b.Through, Pruned: b.Pruned}
+func packBatch(b *distribution.Batch) *packedBatch {
+	p := &packedBatch{
+		Number:        b.Number,
+		Entries:       make([]packedEntry, 0, len(b.Entries)),
+		ResetServices: b.ResetServices,
+		ResetsAll:     b.ResetsAll,
+		IsComplete:    b.IsComplete,
+		Through:       b.Through,
+		Pruned:        b.Pruned,
+	}
 	services, origins := map[string]int{}, map[distribution.Origin]int{}
-	p.Entries = make([]packedEntry, 0, len(b.Entries))
 	for i := range b.Entries {
 		e := &b.Entries[i]
-		p.Entries = append(p.Entries, packedEntry{Service: place(&p.Services, services, e.Key.Service), Kind: e.Key.Kind, Name: e.Key.Name,
-			Clock: e.Clock, Origin: place(&p.Origins, origins, e.Origin), Sequence: e.Sequence, Deleted: e.Deleted, Value: e.Value})
+		p.Entries = append(p.Entries, packedEntry{
+			Service:  indexOf(&p.Services, services, e.Key.Service),
+			Kind:     e.Key.Kind,
+			Name:     e.Key.Name,
+			Clock:    e.Clock,
+			Origin:   indexOf(&p.Origins, origins, e.Origin),
+			Sequence: e.Sequence,
+			Deleted:  e.Deleted,
+			Value:    e.Value,
+		})
 	}
 	return p
 }
 
-// unpack reads a batch. Its entries are checked where they are merged, which refuses one and takes the others.
-func unpack(text []byte, b *distribution.Batch) error {
-	var p packed
+// unpackBatch reads a batch. Its entries are validated by the store, which refuses single ones and takes the others.
+func unpackBatch(text []byte, b *distribution.Batch) error {
+	var p packedBatch
 	if err := framing.Decode(text, &p); err != nil {
 		return err
 	}
-	*b = distribution.Batch{Number: p.Number, ResetServices: p.Reset, ResetsAll: p.ResetAll, IsComplete: p.Complete, Through: p.Through, Pruned: p.Pruned}
+	*b = distribution.Batch{
+		Number:        p.Number,
+		ResetServices: p.ResetServices,
+		ResetsAll:     p.ResetsAll,
+		IsComplete:    p.IsComplete,
+		Through:       p.Through,
+		Pruned:        p.Pruned,
+	}
 	if len(p.Entries) > 0 {
 		b.Entries = make([]distribution.Entry, 0, len(p.Entries))
 	}
@@ -73,8 +96,14 @@
 		if e.Service < 0 || e.Service >= len(p.Services) || e.Origin < 0 || e.Origin >= len(p.Origins) {
 			return fmt.Errorf("%w: an entry of no service or origin", ErrOutOfBounds)
 		}
-		b.Entries = append(b.Entries, distribution.Entry{Key: distribution.Key{Service: p.Services[e.Service], Kind: e.Kind, Name: e.Name},
-			Clock: e.Clock, Origin: p.Origins[e.Origin], Sequence: e.Sequence, Deleted: e.Deleted, Value: e.Value})
+		b.Entries = append(b.Entries, distribution.Entry{
+			Key:      distribution.Key{Service: p.Services[e.Service], Kind: e.Kind, Name: e.Name},
+			Clock:    e.Clock,
+			Origin:   p.Origins[e.Origin],
+			Sequence: e.Sequence,
+			Deleted:  e.Deleted,
+			Value:    e.Value,
+		})
 	}
 	return nil
 }
--- a/internal/controlplane/distribution/wire/golden_test.go
+++ b/internal/controlplane/distribution/wire/golden_test.go
@@ -54,7 +54,7 @@
 // TestGoldenMessages pins the bytes of each message between nodes, control processes and commands, which other versions of the
 // program read.
 func TestGoldenMessages(t *testing.T) {
-	if want := int(kindsEnd) - int(subscribeKind); len(goldenMessages) != want || len(goldenNames) != want {
+	if want := int(kindLimit) - int(subscribeKind); len(goldenMessages) != want || len(goldenNames) != want {
 		t.Fatalf("%d messages and %d names, %d kinds", len(goldenMessages), len(goldenNames), want)
 	}
 	for i, m := range goldenMessages {
--- a/internal/controlplane/distribution/wire/wire_test.go
+++ b/internal/controlplane/distribution/wire/messages_test.go
@@ -92,7 +92,7 @@
 			}
 		})
 	}
-	if _, err := Decode(kindsEnd, nil); !errors.Is(err, framing.ErrUnknownKind) {
+	if _, err := Decode(kindLimit, nil); !errors.Is(err, framing.ErrUnknownKind) {
 		t.Errorf("an unknown kind: %v", err)
 	}
 	body, _ := Append(nil, &Batch{distribution.Batch{Entries: []distribution.Entry{anEntry("a")}}})
--- /dev/null
+++ b/internal/controlplane/distribution/wire/validate.go
@@ -0,0 +1,147 @@
+package wire
+
+import (
+	"fmt"
+	"unicode/utf8"
+
+	"fernvane/internal/controlplane/distribution"
+)
+
+// Bounds of messages, beside those of package distribution.
+const (
+	maxStatuses   = 8192 // in one message
+	maxRejections = 64   // in one message
+	maxTextBytes  = 300  // of a reason or a name
+)
+
+func (m *Subscribe) validate() error {
+	s := &m.Subscription
+	if s.Name == "" || s.Role < distribution.RoleNode || s.Role > distribution.RoleReader {
+		return fmt.Errorf("%w: a subscriber without a name or a role", ErrOutOfBounds)
+	}
+	if err := validateTexts("name", s.Name, s.Region, s.Zone); err != nil {
+		return err
+	}
+	if err := validateServices(s.Services); err != nil {
+		return err
+	}
+	if err := validateServices(s.UnsyncedServices); err != nil {
+		return err
+	}
+	return validateVector(s.Vector)
+}
+
+func (m *Batch) validate() error {
+	if err := validateServices(m.ResetServices); err != nil {
+		return err
+	}
+	if err := validateVector(m.Through); err != nil {
+		return err
+	}
+	return validateVector(m.Pruned)
+}
+
+func (m *Acknowledge) validate() error {
+	if err := validateRejections(m.Acknowledgement.Rejected); err != nil {
+		return err
+	}
+	return validateVector(m.Acknowledgement.Applied)
+}
+
+func (m *Digests) validate() error {
+	for name := range m.Digests.Services {
+		if err := validateTexts("service", name); err != nil {
+			return err
+		}
+	}
+	return validateVector(m.Digests.Through)
+}
+
+func (m *Pull) validate() error {
+	if err := validateServices(m.Services); err != nil {
+		return err
+	}
+	return validateVector(m.Vector)
+}
+
+func (m *Report) validate() error { return validateStatuses(m.Nodes) }
+
+// validate checks the number of changes only. The store validates each change and answers with its own error.
+func (m *Write) validate() error {
+	if len(m.Changes) == 0 || len(m.Changes) > distribution.MaxChanges {
+		return fmt.Errorf("%w: %d changes, 1 to %d may be", ErrOutOfBounds, len(m.Changes), distribution.MaxChanges)
+	}
+	return nil
+}
+
+func (m *WriteResult) validate() error { return validateTexts("text", m.Error, string(m.Origin)) }
+
+func (m *StatusQuery) validate() error { return nil }
+
+func (m *StatusAnswer) validate() error {
+	if err := validateStatuses([]distribution.NodeStatus{m.Self}); err != nil {
+		return err
+	}
+	return validateStatuses(m.Nodes)
+}
+
+func validateTexts(what string, texts ...string) error {
+	for _, text := range texts {
+		if len(text) > maxTextBytes || !utf8.ValidString(text) {
+			return fmt.Errorf("%w: a %s of more than %d bytes or not UTF-8", ErrOutOfBounds, what, maxTextBytes)
+		}
+	}
+	return nil
+}
+
+func validateServices(names []string) error {
+	if len(names) > distribution.MaxServices {
+		return fmt.Errorf("%w: %d services, at most %d may be", ErrOutOfBounds, len(names), distribution.MaxServices)
+	}
+	for _, name := range names {
+		if len(name) > distribution.MaxNameBytes || !utf8.ValidString(name) {
+			return fmt.Errorf("%w: a service's name of more than %d bytes or not UTF-8", ErrOutOfBounds, distribution.MaxNameBytes)
+		}
+	}
+	return nil
+}
+
+func validateVector(v distribution.Vector) error {
+	if len(v) > distribution.MaxOrigins {
+		return fmt.Errorf("%w: %d origins, at most %d may be", ErrOutOfBounds, len(v), distribution.MaxOrigins)
+	}
+	for origin := range v {
+		if origin == "" || len(origin) > distribution.MaxOriginBytes || !utf8.ValidString(string(origin)) {
+			return fmt.Errorf("%w: an origin's name of none or more than %d bytes, or not UTF-8", ErrOutOfBounds, distribution.MaxOriginBytes)
+		}
+	}
+	return nil
+}
+
+func validateRejections(rejected []distribution.Rejection) error {
+	if len(rejected) > maxRejections {
+		return fmt.Errorf("%w: %d rejections, at most %d may be", ErrOutOfBounds, len(rejected), maxRejections)
+	}
+	for _, r := range rejected {
+		if err := validateTexts("text", r.Key.Service, r.Key.Name, r.Reason); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func validateStatuses(statuses []distribution.NodeStatus) error {
+	if len(statuses) > maxStatuses {
+		return fmt.Errorf("%w: %d nodes, at most %d may be", ErrOutOfBounds, len(statuses), maxStatuses)
+	}
+	for i := range statuses {
+		s := &statuses[i]
+		if err := validateTexts("name", s.Name, s.Region, s.Zone, s.Via); err != nil {
+			return err
+		}
+		if err := validateRejections(s.Rejected); err != nil {
+			return err
+		}
+	}
+	return nil
+}
