--- a/internal/controlplane/distribution/disk/disk_test.go
+++ b/internal/controlplane/distribution/disk/disk_test.go
@@ -36,14 +36,14 @@
 	return all
 }
 
-// told is what a disk has said.
-type told struct {
-	mu     sync.Mutex
-	faults []error
-	aside  []string
+// callbacks records the calls of a disk.
+type callbacks struct {
+	mu          sync.Mutex
+	faults      []error
+	quarantined []string
 }
 
-func (t *told) options() Options {
+func (t *callbacks) options() Options {
 	return Options{WriteInterval: time.Millisecond,
 		OnFault: func(err error) {
 			t.mu.Lock()
@@ -53,14 +53,14 @@
 		OnQuarantine: func(path string, _ error) {
 			t.mu.Lock()
 			defer t.mu.Unlock()
-			t.aside = append(t.aside, path)
+			t.quarantined = append(t.quarantined, path)
 		}}
 }
 
-func (t *told) counts() (faults, aside int) {
+func (t *callbacks) counts() (faults, quarantined int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.faults), len(t.aside)
+	return len(t.faults), len(t.quarantined)
 }
 
 func open(t *testing.T, path string, o Options) (*Disk, Loaded) {
@@ -106,7 +106,7 @@
 	}
 }
 
-// kept makes a file that was closed in good order.
+// kept writes a file and closes it cleanly.
 func kept(t *testing.T, path string, all []distribution.Entry, v distribution.Vector) {
 	t.Helper()
 	d, _ := open(t, path, Options{WriteInterval: time.Millisecond})
@@ -173,16 +173,16 @@
 	}
 }
 
-// What somebody waits for goes ahead of a long queue, and is told once it is in the file.
-func TestKeepGoesAhead(t *testing.T) {
+// A durable save is written ahead of a long queue, and confirmed once it is in the file.
+func TestDurableSaveGoesFirst(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entries.db")
 	d, _ := open(t, path, Options{WriteInterval: time.Hour})
 	d.Save(entries(1, 1), nil, nil)
 	wait(t, "the first batch", func() bool { return d.PendingCount() == 0 })
-	d.Save(entries(2, 3*batchEntries), nil, distribution.Vector{"a/1": 3 * batchEntries})
+	d.Save(entries(2, 3*maxBatchEntries), nil, distribution.Vector{"a/1": 3 * maxBatchEntries})
 	urgent := entry(100_000)
 	d.SaveDurably([]distribution.Entry{urgent}, nil)
-	b, more := d.take()
+	b, more := d.takeBatch()
 	if b.keys[0] != urgent.Key || !more || b.vector != nil || b.through != 1 {
 		t.Errorf("first %v, more %t, vector %v, through %d", b.keys[0], more, b.vector, b.through)
 	}
@@ -190,11 +190,11 @@
 }
 
 // A vector is never in the file without the entries that it covers, wherever the writing ends.
-func TestVectorIsLast(t *testing.T) {
+func TestVectorIsWrittenLast(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entries.db")
 	kept(t, path, entries(1, 10), distribution.Vector{"a/1": 10})
-	var said told
-	o := said.options()
+	var calls callbacks
+	o := calls.options()
 	o.MaxBytes = 1 << 20
 	d, _ := open(t, path, o)
 	d.Save(entries(11, 30_000), nil, distribution.Vector{"a/1": 30_000})
@@ -208,11 +208,11 @@
 	}
 }
 
-// A full disk is told once, what waits for it hears so, and all of it is written when there is room again.
+// A full disk is reported once, durable saves fail by it, and everything is written when there is space again.
 func TestFull(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entries.db")
-	var said told
-	o := said.options()
+	var calls callbacks
+	o := calls.options()
 	o.MaxBytes = 128 << 10
 	d, _ := open(t, path, o)
 	d.Save(entries(1, 5000), nil, distribution.Vector{"a/1": 5000})
@@ -220,13 +220,13 @@
 	if err := <-d.SaveDurably(entries(5001, 5001), nil); err == nil {
 		t.Error("kept on a full disk")
 	}
-	if faults, aside := said.counts(); faults != 1 || aside != 0 {
-		t.Errorf("%d faults are told, %d files set aside", faults, aside)
+	if faults, quarantined := calls.counts(); faults != 1 || quarantined != 0 {
+		t.Errorf("%d faults are callbacks, %d files set quarantined", faults, quarantined)
 	}
-	d.limit.Store(0)
+	d.maxBytes.Store(0)
 	wait(t, "all written", func() bool { return d.PendingCount() == 0 && d.Fault() == nil })
-	if faults, _ := said.counts(); faults != 2 || said.faults[1] != nil {
-		t.Errorf("told: %v", said.faults)
+	if faults, _ := calls.counts(); faults != 2 || calls.faults[1] != nil {
+		t.Errorf("callbacks: %v", calls.faults)
 	}
 	if err := end(t, d); err != nil {
 		t.Fatal(err)
@@ -241,14 +241,14 @@
 // No disk at all at the start: the process has everything in memory, and on the disk as soon as there is room.
 func TestFullAtTheStart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entries.db")
-	var said told
-	o := said.options()
+	var calls callbacks
+	o := calls.options()
 	o.MaxBytes = 4096
 	d, _ := open(t, path, o)
 	d.SetOrigin("a/1")
 	d.Save(entries(1, 10), nil, distribution.Vector{"a/1": 10})
 	wait(t, "a fault", func() bool { return d.Fault() != nil })
-	d.limit.Store(0)
+	d.maxBytes.Store(0)
 	wait(t, "all written", func() bool { return d.PendingCount() == 0 && d.Fault() == nil })
 	end(t, d)
 	_, loaded := open(t, path, Options{})
@@ -258,7 +258,7 @@
 	}
 }
 
-// Damage of every kind sets the file aside with one line, and the next start is one on an empty disk.
+// Damage of every kind quarantines the file with one callback, and the next start is one on an empty disk.
 func TestDamaged(t *testing.T) {
 	whole := filepath.Join(t.TempDir(), "whole.db")
 	kept(t, whole, entries(1, 300), distribution.Vector{"a/1": 300})
@@ -291,16 +291,16 @@
 	for name, spoil := range map[string]func([]byte) []byte{
 		"its last page": func(b []byte) []byte { return b[:used-4096] },
 		"an entry gone": func([]byte) []byte {
-			return edited(func(tx *bbolt.Tx) error { return tx.Bucket(entriesTable).Delete(first) })
+			return edited(func(tx *bbolt.Tx) error { return tx.Bucket(entriesBucket).Delete(first) })
 		},
 		"an old entry": func([]byte) []byte {
 			old := entry(7)
 			old.Clock--
-			sealed, err := encode(first, old)
+			sealed, err := encodeEntry(first, old)
 			if err != nil {
 				t.Fatal(err)
 			}
-			return edited(func(tx *bbolt.Tx) error { return tx.Bucket(entriesTable).Put(first, sealed) })
+			return edited(func(tx *bbolt.Tx) error { return tx.Bucket(entriesBucket).Put(first, sealed) })
 		},
 		"half a page":      func(b []byte) []byte { return b[:2000] },
 		"three pages":      func(b []byte) []byte { return b[:3*4096] },
@@ -314,15 +314,15 @@
 			if err := os.WriteFile(path, spoil(slices.Clone(text)), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			var said told
-			d, loaded := open(t, path, said.options())
+			var calls callbacks
+			d, loaded := open(t, path, calls.options())
 			if len(loaded.Entries) > 0 || loaded.Origin != "" || loaded.Vector["a/1"] > 0 {
 				t.Errorf("%d entries of a damaged file", len(loaded.Entries))
 			}
-			if _, aside := said.counts(); aside != 1 {
-				t.Fatalf("%d files set aside", aside)
+			if _, quarantined := calls.counts(); quarantined != 1 {
+				t.Fatalf("%d files set quarantined", quarantined)
 			}
-			if st, err := os.Stat(said.aside[0]); err != nil || st.Size() == 0 {
+			if st, err := os.Stat(calls.quarantined[0]); err != nil || st.Size() == 0 {
 				t.Errorf("the damaged file: %v", err)
 			}
 			d.Save(entries(1, 3), nil, nil)
@@ -335,7 +335,7 @@
 	}
 }
 
-// Wherever bits flip, what is read is all that was written, or the file is set aside, or it is as before the last
+// Wherever bits flip, what is read is all that was written, or the file is quarantined, or it is as before the last
 // transactions, as after a crash amid them: then it is not clean and its vector covers nothing that it lacks.
 func TestFlippedBits(t *testing.T) {
 	whole := filepath.Join(t.TempDir(), "whole.db")
@@ -344,7 +344,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	aside := 0
+	quarantined := 0
 	for seed := range uint64(200) {
 		chance := rand.New(rand.NewPCG(seed, 1))
 		spoilt := slices.Clone(text)
@@ -355,13 +355,13 @@
 		if err := os.WriteFile(path, spoilt, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		var said told
-		d, loaded, err := Open(path, said.options())
+		var calls callbacks
+		d, loaded, err := Open(path, calls.options())
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		if _, n := said.counts(); n > 0 {
-			aside++
+		if _, n := calls.counts(); n > 0 {
+			quarantined++
 		} else if len(loaded.Entries) > 0 || loaded.IsClean || loaded.Vector["a/1"] > 0 {
 			same(t, loaded.Entries, entries(1, 300))
 		}
@@ -370,8 +370,8 @@
 			t.Fatalf("seed %d: no end", seed)
 		}
 	}
-	if aside < 100 {
-		t.Errorf("only %d of 200 spoilt files were set aside", aside)
+	if quarantined < 100 {
+		t.Errorf("only %d of 200 spoilt files were set quarantined", quarantined)
 	}
 }
 
@@ -379,8 +379,8 @@
 func TestDamagedInUse(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entries.db")
 	kept(t, path, entries(1, 5000), distribution.Vector{"a/1": 5000})
-	var said told
-	o := said.options()
+	var calls callbacks
+	o := calls.options()
 	o.Snapshot = func() ([]distribution.Entry, distribution.Vector) {
 		return entries(1, 5001), distribution.Vector{"a/1": 5001}
 	}
@@ -402,7 +402,7 @@
 	}
 	f.Close()
 	d.Save(entries(5001, 5001), nil, distribution.Vector{"a/1": 5001})
-	wait(t, "a new file", func() bool { _, n := said.counts(); return n == 1 })
+	wait(t, "a new file", func() bool { _, n := calls.counts(); return n == 1 })
 	wait(t, "all written", func() bool { return d.PendingCount() == 0 && d.Fault() == nil })
 	if err := end(t, d); err != nil {
 		t.Fatal(err)
@@ -424,7 +424,7 @@
 		t.Fatal(err)
 	}
 	if err := db.Update(func(tx *bbolt.Tx) error {
-		return tx.Bucket(stateTable).Put(formatName, seal(formatName, []byte{0, format + 1}))
+		return tx.Bucket(stateBucket).Put(formatKey, seal(formatKey, []byte{0, formatVersion + 1}))
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -455,7 +455,7 @@
 	}
 }
 
-// However often something is saved, transactions are as far apart as is said.
+// However often something is saved, transactions keep their interval.
 func TestBoundedRate(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entries.db")
 	const every = 20 * time.Millisecond
--- a/internal/controlplane/distribution/disk/file.go
+++ b/internal/controlplane/distribution/disk/file.go
@@ -18,181 +18,181 @@
 )
 
 const (
-	format    = 1           // of what is written
-	lockMost  = time.Second // for another process that is just ending
-	growBytes = 1 << 20     // by which the file grows
-	fileMode  = os.FileMode(0o600)
+	formatVersion = 1
+	lockTimeout   = time.Second // for another process that is just ending
+	growthBytes   = 1 << 20     // by which the file grows
+	fileMode      = os.FileMode(0o600)
 )
 
-// The file's two tables and the names in the second.
+// The file's two buckets and the keys in the second.
 var (
-	entriesTable = []byte("entries")
-	stateTable   = []byte("state")
-	formatName   = []byte("format")
-	originName   = []byte("origin")
-	vectorName   = []byte("vector")
-	prunedName   = []byte("pruned")
-	totalsName   = []byte("totals")
-	cleanName    = []byte("clean") // there only while no process has the file open
+	entriesBucket = []byte("entries")
+	stateBucket   = []byte("state")
+	formatKey     = []byte("format")
+	originKey     = []byte("origin")
+	vectorKey     = []byte("vector")
+	prunedKey     = []byte("pruned")
+	totalsKey     = []byte("totals")
+	cleanKey      = []byte("clean") // there only while no process has the file open
 )
 
-// file is an open one.
+// file is an open bbolt file.
 type file struct {
 	db     *bbolt.DB
 	totals totals
 }
 
-// openFile opens a file and reads all of it. Where it is damaged the error is errSpoilt.
-func openFile(path string, most int) (f *file, loaded Loaded, err error) {
+// openFile opens a file and reads all of it. The error is errDamaged if the file is.
+func openFile(path string, maxBytes int) (f *file, loaded Loaded, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			f, loaded, err = nil, Loaded{}, fmt.Errorf("%w: %v", errSpoilt, p)
+			f, loaded, err = nil, Loaded{}, fmt.Errorf("%w: %v", errDamaged, p)
 		}
 	}()
-	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: lockMost, MaxSize: most, FreelistType: bbolt.FreelistMapType})
+	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: lockTimeout, MaxSize: maxBytes, FreelistType: bbolt.FreelistMapType})
 	if err != nil {
-		return nil, Loaded{}, opening(err)
+		return nil, Loaded{}, classifyOpenError(err)
 	}
-	db.AllocSize = growBytes
+	db.AllocSize = growthBytes
 	f = &file{db: db}
-	if err = f.begin(&loaded); err != nil {
+	if err = f.load(&loaded); err != nil {
 		db.Close()
 		return nil, Loaded{}, err
 	}
 	return f, loaded, nil
 }
 
-// opening sorts the reasons for which a file does not open.
-func opening(err error) error {
-	var path *fs.PathError
-	var number syscall.Errno
+// classifyOpenError tells a damaged file from one that is in use or cannot be accessed.
+func classifyOpenError(err error) error {
+	var pathError *fs.PathError
+	var errno syscall.Errno
 	switch {
 	case errors.Is(err, bbolterrors.ErrTimeout):
 		return ErrInUse
-	case errors.As(err, &path), errors.As(err, &number), full(err):
+	case errors.As(err, &pathError), errors.As(err, &errno), isOutOfSpace(err):
 		return err
 	}
-	return fmt.Errorf("%w: %v", errSpoilt, err)
+	return fmt.Errorf("%w: %v", errDamaged, err)
 }
 
 func (f *file) close() { f.db.Close() }
 
-// begin reads the file and marks it as open.
-func (f *file) begin(loaded *Loaded) error {
-	fresh := false
+// load reads the file, and marks it as open.
+func (f *file) load(loaded *Loaded) error {
+	isNew := false
 	err := f.db.View(func(tx *bbolt.Tx) error {
 		if st, err := os.Stat(f.db.Path()); err != nil || st.Size() < tx.Size() {
-			return fmt.Errorf("%w: it is cut short", errSpoilt)
+			return fmt.Errorf("%w: it is cut short", errDamaged)
 		}
-		state, entries := tx.Bucket(stateTable), tx.Bucket(entriesTable)
+		state, entries := tx.Bucket(stateBucket), tx.Bucket(entriesBucket)
 		if state == nil && entries == nil {
-			fresh = true
+			isNew = true
 			return nil
 		}
 		if state == nil || entries == nil {
-			return errSpoilt
+			return errDamaged
 		}
 		return f.read(state, entries, loaded)
 	})
 	if err != nil {
 		return err
 	}
-	if fresh {
+	if isNew {
 		return f.db.Update(f.create)
 	}
-	err = f.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(stateTable).Delete(cleanName) })
-	if err != nil { // it can be read all the same, but must not look whole after what this process does
+	err = f.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(stateBucket).Delete(cleanKey) })
+	if err != nil { // the file can be read, but after this process it must not look clean
 		loaded.IsClean = false
 	}
 	return nil
 }
 
+// create makes the buckets of a new file.
 func (f *file) create(tx *bbolt.Tx) error {
-	if _, err := tx.CreateBucket(entriesTable); err != nil {
+	if _, err := tx.CreateBucket(entriesBucket); err != nil {
 		return err
 	}
-	state, err := tx.CreateBucket(stateTable)
+	state, err := tx.CreateBucket(stateBucket)
 	if err != nil {
 		return err
 	}
-	if err := state.Put(formatName, seal(formatName, binary.BigEndian.AppendUint16(nil, format))); err != nil {
+	if err := state.Put(formatKey, seal(formatKey, binary.BigEndian.AppendUint16(nil, formatVersion))); err != nil {
 		return err
 	}
-	if err := put(state, vectorName, distribution.Vector{}); err != nil {
+	if err := putState(state, vectorKey, distribution.Vector{}); err != nil {
 		return err
 	}
-	return put(state, totalsName, totals{})
+	return putState(state, totalsKey, totals{})
 }
 
-// read takes everything out of a file, after its format.
+// read takes everything out of a file, after its format version.
 func (f *file) read(state, entries *bbolt.Bucket, loaded *Loaded) error {
-	number, err := unseal(formatName, state.Get(formatName))
-	if err != nil || len(number) != 2 {
-		return fmt.Errorf("%w: its format cannot be read", errSpoilt)
-	}
-	if n := binary.BigEndian.Uint16(number); n > format {
-		return fmt.Errorf("%w: format %d, %d is known here", ErrNewerFormat, n, format)
+	if err := checkFormat(state); err != nil {
+		return err
 	}
 	var expected totals
-	if err := get(state, totalsName, &expected); err != nil {
+	if err := getState(state, totalsKey, &expected); err != nil {
 		return err
 	}
-	if err := get(state, vectorName, &loaded.Vector); err != nil {
+	if err := getState(state, vectorKey, &loaded.Vector); err != nil {
 		return err
 	}
-	if state.Get(prunedName) != nil {
-		if err := get(state, prunedName, &loaded.Pruned); err != nil {
-			return err
-		}
+	if err := getOptionalState(state, prunedKey, &loaded.Pruned); err != nil {
+		return err
 	}
-	if state.Get(originName) != nil {
-		if err := get(state, originName, &loaded.Origin); err != nil {
-			return err
-		}
+	if err := getOptionalState(state, originKey, &loaded.Origin); err != nil {
+		return err
 	}
-	loaded.IsClean = state.Get(cleanName) != nil
-	loaded.Entries = make([]distribution.Entry, 0, min(expected.Count, 1<<16))
-	err = entries.ForEach(func(name, sealed []byte) error {
-		e, err := decode(name, sealed)
+	loaded.IsClean = state.Get(cleanKey) != nil
+	return f.readEntries(entries, expected, loaded)
+}
+
+func checkFormat(state *bbolt.Bucket) error {
+	version, err := unseal(formatKey, state.Get(formatKey))
+	if err != nil || len(version) != 2 {
+		return fmt.Errorf("%w: its format cannot be read", errDamaged)
+	}
+	if n := binary.BigEndian.Uint16(version); n > formatVersion {
+		return fmt.Errorf("%w: format %d, %d is known here", ErrNewerFormat, n, formatVersion)
+	}
+	return nil
+}
+
+// preallocatedEntries bounds what is allocated by the count that a file claims.
+const preallocatedEntries = 1 << 16
+
+func (f *file) readEntries(entries *bbolt.Bucket, expected totals, loaded *Loaded) error {
+	loaded.Entries = make([]distribution.Entry, 0, min(expected.Count, preallocatedEntries))
+	err := entries.ForEach(func(key, sealed []byte) error {
+		e, err := decodeEntry(key, sealed)
 		if err != nil {
-			return fmt.Errorf("%w: the entry %.80q", errSpoilt, name)
+			return fmt.Errorf("%w: the entry %.80q", errDamaged, key)
 		}
 		f.totals.add(sealed)
 		loaded.Entries = append(loaded.Entries, e)
 		return nil
 	})
-	if err == nil && (f.totals.Count != expected.Count || f.totals.Sum != expected.Sum) {
-		err = fmt.Errorf("%w: %d entries of %d", errSpoilt, f.totals.Count, expected.Count)
+	if err != nil {
+		return err
 	}
-	return err
+	if f.totals != expected {
+		return fmt.Errorf("%w: %d entries of %d", errDamaged, f.totals.Count, expected.Count)
+	}
+	return nil
 }
 
-// write is a transaction: all of a batch, or nothing of it.
+// write writes a batch in one transaction: all of it or nothing.
 func (f *file) write(b batch) error {
 	next := f.totals
 	err := f.db.Update(func(tx *bbolt.Tx) error {
-		entries, state := tx.Bucket(entriesTable), tx.Bucket(stateTable)
-		var name []byte
+		entries, state := tx.Bucket(entriesBucket), tx.Bucket(stateBucket)
 		for i, k := range b.keys {
-			name = appendKey(nil, k)
-			next.remove(entries.Get(name))
-			if b.changes[i].removed {
-				if err := entries.Delete(name); err != nil {
-					return err
-				}
-				continue
-			}
-			sealed, err := encode(name, b.changes[i].entry)
-			if err != nil {
-				return err
-			}
-			next.add(sealed)
-			if err := entries.Put(name, sealed); err != nil {
+			if err := writeChange(entries, k, b.changes[i], &next); err != nil {
 				return err
 			}
 		}
-		return f.writeState(state, b, next)
+		return writeState(state, b, next)
 	})
 	if err == nil {
 		f.totals = next
@@ -200,46 +200,70 @@
 	return err
 }
 
-func (f *file) writeState(state *bbolt.Bucket, b batch, next totals) error {
-	if err := put(state, totalsName, next); err != nil {
+func writeChange(entries *bbolt.Bucket, k distribution.Key, c change, next *totals) error {
+	key := appendKey(nil, k)
+	next.remove(entries.Get(key))
+	if c.isRemoval {
+		return entries.Delete(key)
+	}
+	sealed, err := encodeEntry(key, c.entry)
+	if err != nil {
+		return err
+	}
+	next.add(sealed)
+	return entries.Put(key, sealed)
+}
+
+func writeState(state *bbolt.Bucket, b batch, next totals) error {
+	if err := putState(state, totalsKey, next); err != nil {
 		return err
 	}
 	if b.vector != nil {
-		if err := put(state, vectorName, b.vector); err != nil {
+		if err := putState(state, vectorKey, b.vector); err != nil {
 			return err
 		}
 	}
 	if b.pruned != nil {
-		if err := put(state, prunedName, b.pruned); err != nil {
+		if err := putState(state, prunedKey, b.pruned); err != nil {
 			return err
 		}
 	}
 	if b.origin != "" {
-		if err := put(state, originName, b.origin); err != nil {
+		if err := putState(state, originKey, b.origin); err != nil {
 			return err
 		}
 	}
-	if b.clean {
-		return state.Put(cleanName, []byte{1})
+	if b.isClean {
+		return state.Put(cleanKey, []byte{1})
 	}
 	return nil
 }
 
-func put(table *bbolt.Bucket, name []byte, what any) error {
-	text, err := cbor.Marshal(what)
+// putState writes a sealed value of the state bucket.
+func putState(state *bbolt.Bucket, key []byte, value any) error {
+	text, err := cbor.Marshal(value)
 	if err != nil {
 		return err
 	}
-	return table.Put(name, seal(name, text))
+	return state.Put(key, seal(key, text))
 }
 
-func get(table *bbolt.Bucket, name []byte, into any) error {
-	text, err := unseal(name, table.Get(name))
+// getState reads a sealed value of the state bucket. The error is errDamaged.
+func getState(state *bbolt.Bucket, key []byte, into any) error {
+	text, err := unseal(key, state.Get(key))
 	if err == nil {
 		err = cbor.Unmarshal(text, into)
 	}
 	if err != nil {
-		return fmt.Errorf("%w: its %s", errSpoilt, name)
+		return fmt.Errorf("%w: its %s", errDamaged, key)
 	}
 	return nil
 }
+
+// getOptionalState is getState for a value that may be missing.
+func getOptionalState(state *bbolt.Bucket, key []byte, into any) error {
+	if state.Get(key) == nil {
+		return nil
+	}
+	return getState(state, key, into)
+}
--- a/internal/controlplane/distribution/disk/record.go
+++ b/internal/controlplane/distribution/disk/record.go
@@ -10,10 +10,11 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-const sumBytes = 4 // of a checksum ahead of each value
+// errDamaged says that a file does not hold what was written to it.
+var errDamaged = errors.New("it is damaged")
 
-// errSpoilt says that a file does not hold what was written to it.
-var errSpoilt = errors.New("it is damaged")
+// checksumBytes stand ahead of each value.
+const checksumBytes = 4
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -28,7 +29,7 @@
 	Value    []byte
 }
 
-// totals are checked when a file is read, so that entries that have vanished from it are missed.
+// totals are checked when a file is read, so that entries that have vanished from it are noticed.
 type totals struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -50,30 +51,30 @@
 	}
 }
 
-// seal puts a checksum over name and text ahead of the text.
-func seal(name, text []byte) []byte {
-	sealed := make([]byte, 0, sumBytes+len(text))
-	sealed = binary.BigEndian.AppendUint32(sealed, checksum(name, text))
+// seal returns a text behind a checksum over key and text.
+func seal(key, text []byte) []byte {
+	sealed := make([]byte, 0, checksumBytes+len(text))
+	sealed = binary.BigEndian.AppendUint32(sealed, checksum(key, text))
 	return append(sealed, text...)
 }
 
-// unseal checks it and returns the text, which is the file's own: it holds only during the transaction.
-func unseal(name, sealed []byte) ([]byte, error) {
-	if len(sealed) < sumBytes {
-		return nil, errSpoilt
+// unseal checks the checksum and returns the text, which is the file's own: it is valid only during the transaction.
+func unseal(key, sealed []byte) ([]byte, error) {
+	if len(sealed) < checksumBytes {
+		return nil, errDamaged
 	}
-	text := sealed[sumBytes:]
-	if binary.BigEndian.Uint32(sealed) != checksum(name, text) {
-		return nil, errSpoilt
+	text := sealed[checksumBytes:]
+	if binary.BigEndian.Uint32(sealed) != checksum(key, text) {
+		return nil, errDamaged
 	}
 	return text, nil
 }
 
-func checksum(name, text []byte) uint32 {
-	return crc32.Update(crc32.Update(0, castagnoli, name), castagnoli, text)
+func checksum(key, text []byte) uint32 {
+	return crc32.Update(crc32.Update(0, castagnoli, key), castagnoli, text)
 }
 
-// appendKey writes a key so that the entries of a service stand together.
+// appendKey writes a key so that the entries of a service are adjacent.
 func appendKey(b []byte, k distribution.Key) []byte {
 	b = binary.AppendUvarint(b, uint64(len(k.Service)))
 	b = append(b, k.Service...)
@@ -82,36 +83,36 @@
 }
 
 func decodeKey(b []byte) (k distribution.Key, err error) {
-	n, head := binary.Uvarint(b)
-	if head <= 0 || n >= uint64(len(b)-head) {
-		return k, errSpoilt
+	length, header := binary.Uvarint(b)
+	if header <= 0 || length >= uint64(len(b)-header) {
+		return k, errDamaged
 	}
-	service := b[head : head+int(n)]
-	rest := b[head+int(n):]
-	return distribution.Key{Service: string(service), Kind: distribution.Kind(rest[0]), Name: string(rest[1:])}, nil
+	service := b[header : header+int(length)]
+	kindAndName := b[header+int(length):]
+	return distribution.Key{Service: string(service), Kind: distribution.Kind(kindAndName[0]), Name: string(kindAndName[1:])}, nil
 }
 
-// encode seals an entry under its key's text.
-func encode(name []byte, e distribution.Entry) ([]byte, error) {
+// encodeEntry seals an entry under its key's text.
+func encodeEntry(key []byte, e distribution.Entry) ([]byte, error) {
 	text, err := cbor.Marshal(record{Clock: e.Clock, Origin: e.Origin, Sequence: e.Sequence, Deleted: e.Deleted, Value: e.Value})
 	if err != nil {
 		return nil, err
 	}
-	return seal(name, text), nil
+	return seal(key, text), nil
 }
 
-func decode(name, sealed []byte) (e distribution.Entry, err error) {
-	text, err := unseal(name, sealed)
+func decodeEntry(key, sealed []byte) (e distribution.Entry, err error) {
+	text, err := unseal(key, sealed)
 	if err != nil {
 		return e, err
 	}
 	var r record
 	if err := cbor.Unmarshal(text, &r); err != nil {
-		return e, errSpoilt
+		return e, errDamaged
 	}
-	key, err := decodeKey(name)
+	k, err := decodeKey(key)
 	if err != nil {
 		return e, err
 	}
-	return distribution.Entry{Key: key, Clock: r.Clock, Origin: r.Origin, Sequence: r.Sequence, Deleted: r.Deleted, Value: r.Value}, nil
+	return distribution.Entry{Key: k, Clock: r.Clock, Origin: r.Origin, Sequence: r.Sequence, Deleted: r.Deleted, Value: r.Value}, nil
 }
