--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter hosts instances of the decision module between standard input and output.
+// Command adapter hosts instances of the decisions for the operators' simulator, over standard input and output. What
+// it cannot use of the input goes to standard error, and the run goes on.
 package main
 
 import (
@@ -20,10 +21,11 @@
 	}
 }
 
+// run answers batches until the input ends between two of them.
 func run(in io.Reader, out, errs io.Writer) error {
-	complain := func(what string) { fmt.Fprintln(errs, "adapter:", what) }
-	r, w := simwire.NewReader(in, complain), simwire.NewWriter(out)
-	instances := instances{nodes: map[int]*engine.Engine[uint32]{}, out: w, complain: complain}
+	warn := func(message string) { fmt.Fprintln(errs, "adapter:", message) }
+	r, w := simwire.NewReader(in, warn), simwire.NewWriter(out)
+	instances := instances{engines: map[int]*engine.Engine[uint32]{}, out: w, warn: warn}
 	for {
 		b, err := r.Read()
 		if errors.Is(err, io.EOF) {
@@ -43,57 +45,71 @@
 	}
 }
 
-// instances are the nodes that the simulator runs, by their numbers on its wire.
+// instances are the instances that the simulator runs, by their numbers.
 type instances struct {
-	nodes    map[int]*engine.Engine[uint32]
-	members  []engine.Endpoint[uint32] // reused from list to list
-	out      *simwire.Writer
-	complain func(string)
+	engines   map[int]*engine.Engine[uint32]
+	endpoints []engine.Endpoint[uint32] // used again for each list
+	out       *simwire.Writer
+	warn      func(string)
 }
 
-// handle starts or ends an instance, or hands it what befalls it.
+// handle starts or ends an instance, or hands it an event.
 func (s *instances) handle(now time.Duration, e *simwire.Event) {
 	switch e.Kind {
 	case simwire.InstanceStarted:
 		if e.Err != nil {
 			s.out.Broken(e.Err.Error())
-			delete(s.nodes, e.Instance)
+			delete(s.engines, e.Instance)
 			return
 		}
-		s.nodes[e.Instance] = engine.New[uint32](now, policy.New(e.Settings, e.Seed), s.out)
+		s.engines[e.Instance] = engine.New[uint32](now, policy.New(e.Settings, e.Seed), s.out)
 		return
 	case simwire.InstanceKilled:
-		delete(s.nodes, e.Instance)
+		delete(s.engines, e.Instance)
 		return
 	}
-	n := s.nodes[e.Instance]
-	if n == nil {
-		s.complain(fmt.Sprintf("dropped an event for instance %d, which does not run", e.Instance))
+	instance := s.engines[e.Instance]
+	if instance == nil {
+		s.warn(fmt.Sprintf("dropped an event for instance %d, which does not run", e.Instance))
 		return
 	}
-	if !s.deliver(now, n, e) {
-		s.complain(fmt.Sprintf("dropped an event of instance %d for an unknown operation or server", e.Instance))
+	if !s.deliver(now, instance, e) {
+		s.warn(fmt.Sprintf("dropped an event of instance %d for an unknown request or server", e.Instance))
 	}
 }
 
-// deliver hands an event to its instance; it is false where the event names what the instance doesn't know.
-func (s *instances) deliver(now time.Duration, n *engine.Engine[uint32], e *simwire.Event) bool {
+// deliver hands an event to its instance. It returns false if the event names something that the instance does not know.
+func (s *instances) deliver(now time.Duration, instance *engine.Engine[uint32], e *simwire.Event) bool {
 	switch e.Kind {
 	case simwire.EndpointsUpdated:
-		s.members = s.members[:0]
-		for _, l := range e.Endpoints {
-			s.members = append(s.members, engine.Endpoint[uint32]{Server: l.Server, Info: policy.Endpoint{Rank: l.Server, Zone: l.Zone,
-				MachineKind: l.MachineKind, Cell: l.Cell, Condition: l.Condition, Weight: l.Weight, StartedAt: l.StartedAt, HasStartTime: l.HasStartTime}})
+		s.endpoints = s.endpoints[:0]
+		for i := range e.Endpoints {
+			s.endpoints = append(s.endpoints, endpoint(&e.Endpoints[i]))
 		}
-		n.EndpointsUpdated(now, e.Scope, s.members, s.out)
+		instance.EndpointsUpdated(now, e.Scope, s.endpoints, s.out)
 	case simwire.RequestArrived:
-		return n.RequestArrived(now, e.Request, policy.Input{TrafficType: e.TrafficType, Tenant: e.Tenant, Key: e.Key, IsClientRetry: e.IsClientRetry, Timeout: e.Timeout}, s.out)
+		in := policy.Input{TrafficType: e.TrafficType, Tenant: e.Tenant, Key: e.Key, IsClientRetry: e.IsClientRetry, Timeout: e.Timeout}
+		return instance.RequestArrived(now, e.Request, in, s.out)
 	case simwire.AttemptEnded:
-		return n.AttemptEnded(now, e.Request, e.Server, policy.Input{Attempt: e.Attempt, Outcome: e.Outcome, Elapsed: e.Elapsed, ClientAnswered: e.ClientAnswered}, s.out)
+		in := policy.Input{Attempt: e.Attempt, Outcome: e.Outcome, Elapsed: e.Elapsed, ClientAnswered: e.ClientAnswered}
+		return instance.AttemptEnded(now, e.Request, e.Server, in, s.out)
 	case simwire.ClientLeft:
-		n.ClientLeft(now, e.Request, s.out)
+		instance.ClientLeft(now, e.Request, s.out)
 	case simwire.TimerFired:
-		n.TimerFired(now, s.out)
+		instance.TimerFired(now, s.out)
 	}
 	return true
 }
+
+func endpoint(e *simwire.Endpoint) engine.Endpoint[uint32] {
+	return engine.Endpoint[uint32]{Server: e.Server, Info: policy.Endpoint{
+		Rank:         e.Server,
+		Zone:         e.Zone,
+		MachineKind:  e.MachineKind,
+		Cell:         e.Cell,
+		Condition:    e.Condition,
+		Weight:       e.Weight,
+		StartedAt:    e.StartedAt,
+		HasStartTime: e.HasStartTime,
+	}}
+}
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -44,7 +44,7 @@
 		"killed and back":         {in: batch(start("3") + list + saved + arrive + "killed\n" + start("3") + saved + arrive), want: "forward\tjob=00000000000000aa\tserver=8"},
 		"a broken number":         {in: batch(start("3") + "arrival\tjob=00000000000000aa\ttimeBudget=x\n" + list + saved), want: "eor\n", wantErr: "timeBudget is not a time"},
 		"an unknown message":      {in: batch(start("3") + "surprise\ta=b\n"), want: "eor\n", wantErr: "unknown message"},
-		"an unknown operation":    {in: batch(start("3") + list + saved + "verdict\tjob=00000000000000ab\tserver=8\tverdict=success\n"), want: "eor\n", wantErr: "unknown operation or server"},
+		"an unknown request":      {in: batch(start("3") + list + saved + "verdict\tjob=00000000000000ab\tserver=8\tverdict=success\n"), want: "eor\n", wantErr: "unknown request or server"},
 		"an instance not started": {in: batch("target_instance\twho=6\n" + arrive), want: "eor\n", wantErr: "does not run"},
 		"a stream begins and ends": {in: batch(start("3")+list+saved+arrive+"begun\tjob=00000000000000aa\tn=0\tserver=8\tspent=1\n") +
 			batch("target_instance\twho=3\nverdict\tjob=00000000000000aa\tn=0\tserver=8\tverdict=broken\tfinal=1\n"), want: "eor\nfrom\twho=3\neor\n"},
--- a/internal/collections/columns/columns.go
+++ b/internal/collections/columns/columns.go
@@ -1,12 +1,9 @@
 // Package columns helps with tables whose columns are slices under one index.
 package columns
 
-import (
-	"slices"
-	"time"
-)
+import "slices"
 
-// Put sets an element of each column and makes the column long enough. A column that has to grow doubles, since a list
+// Put sets an element of each column and makes the columns long enough. A column that has to grow doubles, since a list
 // brings many elements at once.
 func Put[T any](i int, value T, columns ...*[]T) {
 	for _, column := range columns {
@@ -18,51 +15,24 @@
 	}
 }
 
-// Extend makes a column as long as that, with zero values at its end.
+// Extend makes a column at least as long as length, with zero values at its end.
 func Extend[T any](length int, column *[]T) {
 	if missing := length - len(*column); missing > 0 {
 		*column = append(*column, make([]T, missing)...)
 	}
 }
 
-// Clone has each column share no memory with what it was a copy of.
+// Clone replaces each column by a copy.
 func Clone[T any](columns ...*[]T) {
 	for _, column := range columns {
 		*column = slices.Clone(*column)
 	}
 }
 
-// Sum is the sum of a column.
+// Sum returns the sum of a column, added up in its order.
 func Sum(column []float64) (sum float64) {
 	for _, value := range column {
 		sum += value
 	}
 	return sum
 }
-
-// Durations is a column with its sum kept in step. The zero value is an empty one.
-type Durations struct {
-	values []time.Duration
-	sum    time.Duration
-}
-
-// Len is the number of elements.
-func (d *Durations) Len() int { return len(d.values) }
-
-// At is an element.
-func (d *Durations) At(i int) time.Duration { return d.values[i] }
-
-// Sum is the sum of all elements.
-func (d *Durations) Sum() time.Duration { return d.sum }
-
-// Set sets an element, and makes the column long enough.
-func (d *Durations) Set(i int, value time.Duration) {
-	if i >= len(d.values) {
-		Put(i, 0, &d.values)
-	}
-	d.sum += value - d.values[i]
-	d.values[i] = value
-}
-
-// Clone shares no memory with the column.
-func (d *Durations) Clone() Durations { return Durations{values: slices.Clone(d.values), sum: d.sum} }
--- a/internal/collections/decay/table.go
+++ b/internal/collections/decay/table.go
@@ -7,41 +7,41 @@
 	"fernvane/internal/collections/indexset"
 )
 
-// Table holds records by number, and fades those only that something is left of. The zero value is an empty table.
+// Table holds failure rates by index. Decay costs only what those with something left cost. The zero value is empty.
 type Table struct {
-	records []FailureRate
-	active  indexset.Set
+	rates  []FailureRate
+	active indexset.Set
 }
 
-// Reset starts an empty record.
+// Reset starts an empty failure rate.
 func (t *Table) Reset(i int) {
-	columns.Put(i, FailureRate{}, &t.records)
+	columns.Put(i, FailureRate{}, &t.rates)
 	t.active.Remove(i)
 }
 
-// At is a record.
-func (t *Table) At(i int) *FailureRate { return &t.records[i] }
+// At returns a failure rate, to be read.
+func (t *Table) At(i int) *FailureRate { return &t.rates[i] }
 
-// Active is the set of records that fade.
+// Active returns the indices of the failure rates with something left.
 func (t *Table) Active() *indexset.Set { return &t.active }
 
-// Observe counts one end in a record.
+// Observe counts the end of an attempt, as FailureRate.Observe does.
 func (t *Table) Observe(i int, failed, memory float64) {
-	t.records[i].Observe(failed, memory)
+	t.rates[i].Observe(failed, memory)
 	t.active.Add(i)
 }
 
-// Decay fades all records.
+// Decay decays all failure rates, as FailureRate.Decay does.
 func (t *Table) Decay(kept, least float64) {
 	for i := range t.active.All() {
-		t.records[i].Decay(kept, least)
-		if t.records[i].Total == 0 {
+		t.rates[i].Decay(kept, least)
+		if t.rates[i].Total == 0 {
 			t.active.Remove(i)
 		}
 	}
 }
 
-// Clone shares no memory with the table.
+// Clone returns a copy that shares no memory with the table.
 func (t *Table) Clone() Table {
-	return Table{records: slices.Clone(t.records), active: t.active.Clone()}
+	return Table{rates: slices.Clone(t.rates), active: t.active.Clone()}
 }
--- a/internal/collections/indexset/activeset.go
+++ b/internal/collections/indexset/indexset.go
@@ -1,5 +1,5 @@
-// Package indexset keeps sets of small integers, such as the indices of what is in use just now, so that a walk over
-// them costs what they hold and not the range that they are from.
+// Package indexset holds sets of small integers, such as the indices of what is in use now. A walk of a set costs what
+// it holds and not the range that its elements are from.
 package indexset
 
 import (
@@ -9,31 +9,31 @@
 )
 
 const (
-	levels   = 3  // of words; the top one has a word for each 64^3 elements
+	levels   = 3  // the top one has a word for each 64^3 elements
 	wordBits = 64 // elements, or words of the level below, that a word stands for
 )
 
-// Set is a set of integers from zero on. It is a bitmap with a bitmap above it that tells which of its words hold
-// anything, and one more above that. The zero value is an empty set.
+// Set is a set of integers from zero on. It is a bitmap with a bitmap above it that says which of its words are not
+// zero, and another above that. The zero value is an empty set.
 type Set struct {
 	words  [levels][]uint64
 	count  int
 	visits int
 }
 
-// Len is the number of elements.
+// Len returns the number of elements.
 func (s *Set) Len() int { return s.count }
 
-// Visits is how many elements walks have come to so far: what walks cost, for tests that count.
+// Visits returns how many elements walks have visited so far: their cost, for tests that count.
 func (s *Set) Visits() int { return s.visits }
 
-// Has tells whether an integer is an element.
+// Has reports whether an integer is in the set.
 func (s *Set) Has(i int) bool {
 	word := i / wordBits
 	return word < len(s.words[0]) && s.words[0][word]&(1<<(i%wordBits)) != 0
 }
 
-// Add takes in an integer, which is not below zero.
+// Add adds an integer, which must not be below zero.
 func (s *Set) Add(i int) {
 	if s.Has(i) {
 		return
@@ -49,7 +49,7 @@
 	}
 }
 
-// Remove takes out an integer, if it is there.
+// Remove removes an integer if it is in the set.
 func (s *Set) Remove(i int) {
 	if !s.Has(i) {
 		return
@@ -65,17 +65,17 @@
 	}
 }
 
-// Put takes an integer in or out.
-func (s *Set) Put(i int, in bool) {
-	if in {
+// Put adds an integer if isIn, else removes it.
+func (s *Set) Put(i int, isIn bool) {
+	if isIn {
 		s.Add(i)
 	} else {
 		s.Remove(i)
 	}
 }
 
-// All walks the elements in ascending order. Elements may be added and removed on the way; one that is added behind
-// the walk is not met.
+// All returns the elements in ascending order. Elements may be added and removed during the walk; one that is added
+// below the current one is not visited.
 func (s *Set) All() iter.Seq[int] {
 	return func(yield func(int) bool) {
 		for i := s.next(0, 0); i >= 0; i = s.next(0, i+1) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// next is the least bit of a level that is set and not below from, or -1.
+// next returns the least bit of a level that is set and not below from, or -1.
 func (s *Set) next(level, from int) int {
 	word := from / wordBits
 	if word >= len(s.words[level]) {
@@ -107,7 +107,7 @@
 	return word*wordBits + bits.TrailingZeros64(s.words[level][word])
 }
 
-// scan is the first word of the top level, from one on, that is not zero, or -1.
+// scan returns the first word of the top level from an index on that is not zero, or -1.
 func (s *Set) scan(from int) int {
 	for word := from; word < len(s.words[levels-1]); word++ {
 		if s.words[levels-1][word] != 0 {
@@ -117,7 +117,7 @@
 	return -1
 }
 
-// Clone shares no memory with the set.
+// Clone returns a copy that shares no memory with the set.
 func (s *Set) Clone() Set {
 	c := *s
 	for level := range c.words {
--- a/internal/collections/indexset/activeset_test.go
+++ b/internal/collections/indexset/indexset_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// A set does as a map does, and is walked in order.
-func TestSetIsAsAMap(t *testing.T) {
+// TestSetMatchesMap compares a set with a map, and the order of its walk.
+func TestSetMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Set
 		model := map[int]bool{}
@@ -22,7 +22,7 @@
 				delete(model, i)
 			}
 			if copied.Has(i) != had {
-				t.Fatal("a copy changes with the set")
+				t.Fatal("clone changed with the set")
 			}
 		}
 		want := []int{}
@@ -37,8 +37,9 @@
 	})
 }
 
-// A walk comes to the elements only, however wide the range is; elements may go on the way.
-func TestWalkCostsTheElements(t *testing.T) {
+// TestWalkVisitsElementsOnly checks that a walk costs its elements, however wide their range, and that they may be removed
+// during it.
+func TestWalkVisitsElementsOnly(t *testing.T) {
 	var s Set
 	s.Add(1_000_000)
 	s.Add(7)
--- a/internal/collections/ranktree/ordered_test.go
+++ b/internal/collections/ranktree/ranktree_test.go
@@ -8,53 +8,53 @@
 	"pgregory.net/rapid"
 )
 
-// An index does as a sorted slice does.
-func TestIndexIsAsASortedSlice(t *testing.T) {
+// TestTreeMatchesSortedSlice compares a tree with a sorted slice.
+func TestTreeMatchesSortedSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var x Tree
+		var tree Tree
 		var model []int
 		keys := map[int]int{}
 		for range rapid.IntRange(0, 120).Draw(t, "steps") {
 			item := rapid.IntRange(0, 40).Draw(t, "item")
-			if x.Has(item) != slices.Contains(model, item) {
-				t.Fatalf("has %d: %v", item, x.Has(item))
+			if tree.Has(item) != slices.Contains(model, item) {
+				t.Fatalf("has %d: %v", item, tree.Has(item))
 			}
-			copied := x.Clone()
+			copied := tree.Clone()
 			if at := slices.Index(model, item); at >= 0 {
-				if got := x.Delete(item); got != at {
+				if got := tree.Delete(item); got != at {
 					t.Fatalf("deleted at %d, want %d", got, at)
 				}
 				model = slices.Delete(model, at, at+1)
 			} else {
 				keys[item] = rapid.IntRange(0, 9).Draw(t, "key")
 				at, _ := slices.BinarySearchFunc(model, keys[item], func(a, key int) int { return keys[a] - key })
-				if got := x.Insert(item, keys[item]); got != at {
+				if got := tree.Insert(item, keys[item]); got != at {
 					t.Fatalf("inserted at %d, want %d", got, at)
 				}
 				model = slices.Insert(model, at, item)
 			}
-			if copied.Has(item) == x.Has(item) {
-				t.Fatal("a copy changes with the index")
+			if copied.Has(item) == tree.Has(item) {
+				t.Fatal("clone changed with the tree")
 			}
 		}
-		for place, item := range model {
-			if x.At(place) != item || x.Rank(item) != place {
-				t.Fatalf("at %d stands %d, want %d, whose place is %d", place, x.At(place), item, x.Rank(item))
+		for rank, item := range model {
+			if tree.At(rank) != item || tree.Rank(item) != rank {
+				t.Fatalf("at %d stands %d, want %d, whose rank is %d", rank, tree.At(rank), item, tree.Rank(item))
 			}
 		}
 		if start := 3; len(model) > start {
-			got := slices.Collect(x.From(start + len(model)))
+			got := slices.Collect(tree.From(start + len(model)))
 			if want := slices.Concat(model[start:], model[:start]); !slices.Equal(got, want) {
 				t.Fatalf("from %d: %v, want %v", start, got, want)
 			}
 		}
-		if x.Len() != len(model) {
-			t.Fatalf("%d items, want %d", x.Len(), len(model))
+		if tree.Len() != len(model) {
+			t.Fatalf("%d items, want %d", tree.Len(), len(model))
 		}
 	})
 }
 
-// Whatever the order in which items come, each costs a small multiple of the logarithm.
+// TestStepsAreLogarithmic checks the cost of an item, whatever the order in which items are inserted.
 func TestStepsAreLogarithmic(t *testing.T) {
 	const items, most = 50_000, 12 // times the logarithm: one insertion, two looks and one deletion
 	for name, key := range map[string]func(i int) int{
@@ -64,18 +64,18 @@
 		"spread":     func(i int) int { return int(uint32(i) * 2654435761) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			var x Tree
+			var tree Tree
 			for i := range items {
-				x.Insert(i, key(i))
+				tree.Insert(i, key(i))
 			}
 			for i := range items {
-				x.At(x.Rank(i))
+				tree.At(tree.Rank(i))
 			}
 			for i := range items {
-				x.Delete(i)
+				tree.Delete(i)
 			}
-			if per := x.Steps() / items; per > most*bits.Len(items) || x.Len() != 0 {
-				t.Errorf("%d steps an item, %d left", per, x.Len())
+			if per := tree.Steps() / items; per > most*bits.Len(items) || tree.Len() != 0 {
+				t.Errorf("%d steps an item, %d left", per, tree.Len())
 			} else {
 				t.Logf("%d steps an item", per)
 			}
--- a/internal/proxy/engine/bench_test.go
+++ b/internal/proxy/engine/bench_test.go
@@ -9,11 +9,11 @@
 )
 
 // still decides nothing, so that only the node's own part is measured.
-type still struct{}
+type idleDecider struct{}
 
-func (still) Handle(time.Duration, *policy.Input, []policy.Effect) []policy.Effect { return nil }
+func (idleDecider) Handle(time.Duration, *policy.Input, []policy.Effect) []policy.Effect { return nil }
 
-func lines(servers int) []Endpoint[uint32] {
+func largeList(servers int) []Endpoint[uint32] {
 	list := make([]Endpoint[uint32], servers)
 	for i := range list {
 		list[i].Server = uint32(i)
@@ -24,10 +24,10 @@
 func BenchmarkOneChange(b *testing.B) {
 	for _, servers := range []int{2_000, 20_000, 200_000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			r := &record{}
-			n := New[uint32](0, still{}, r)
-			n.EndpointsUpdated(0, policy.Full, lines(servers), r)
-			one := lines(1)
+			r := &effectCounter{}
+			n := New[uint32](0, idleDecider{}, r)
+			n.EndpointsUpdated(0, policy.Full, largeList(servers), r)
+			one := largeList(1)
 			for b.Loop() {
 				n.EndpointsUpdated(0, policy.Incremental, one, r)
 			}
--- a/internal/proxy/engine/node_test.go
+++ b/internal/proxy/engine/engine_test.go
@@ -7,56 +7,56 @@
 	"fernvane/policy"
 )
 
-type record struct {
-	forwards, answers int
-	forgotten         []uint32
+type effectCounter struct {
+	sent, answers int
+	forgotten     []uint32
 }
 
-func (r *record) SendAttempt(uint64, uint32, time.Duration) { r.forwards++ }
-func (r *record) Reject(uint64, time.Duration)              { r.answers++ }
-func (r *record) Fail(uint64)                               { r.answers++ }
-func (r *record) SetTimer(time.Duration)                    {}
-func (r *record) CloseIdle(uint32)                          {}
-func (r *record) Forget(s uint32)                           { r.forgotten = append(r.forgotten, s) }
-func (r *record) Subscribe()                                {}
+func (r *effectCounter) SendAttempt(uint64, uint32, time.Duration) { r.sent++ }
+func (r *effectCounter) Reject(uint64, time.Duration)              { r.answers++ }
+func (r *effectCounter) Fail(uint64)                               { r.answers++ }
+func (r *effectCounter) SetTimer(time.Duration)                    {}
+func (r *effectCounter) CloseIdle(uint32)                          {}
+func (r *effectCounter) Forget(s uint32)                           { r.forgotten = append(r.forgotten, s) }
+func (r *effectCounter) Subscribe()                                {}
 
 func TestIndicesAreReleased(t *testing.T) {
 	settings := policy.Settings{NodeCount: 1, MaxAttempts: 1, TrafficTypes: []policy.TrafficType{
 		{LatencyObjective: 400 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1}}}
 	for name, c := range map[string]struct {
-		do   func(*Engine[uint32], *record)
+		do   func(*Engine[uint32], *effectCounter)
 		held int
 	}{
-		"handled": {func(n *Engine[uint32], r *record) {
+		"handled": {func(n *Engine[uint32], r *effectCounter) {
 			n.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.Success, ClientAnswered: true}, r)
 		}, 0},
-		"left, the hop still out": {func(n *Engine[uint32], r *record) { n.ClientLeft(0, 7, r) }, 1},
-		"left, then the hop ends": {func(n *Engine[uint32], r *record) {
+		"left, the hop still out": {func(n *Engine[uint32], r *effectCounter) { n.ClientLeft(0, 7, r) }, 1},
+		"left, then the hop ends": {func(n *Engine[uint32], r *effectCounter) {
 			n.ClientLeft(0, 7, r)
 			n.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.TimedOut, ClientAnswered: true}, r)
 		}, 0},
-		"an unknown server's verdict is dropped": {func(n *Engine[uint32], r *record) {
+		"an unknown server's verdict is dropped": {func(n *Engine[uint32], r *effectCounter) {
 			if n.AttemptEnded(0, 7, 6, policy.Input{Outcome: policy.Success, ClientAnswered: true}, r) {
 				t.Error("taken")
 			}
 		}, 1},
-		"the same id again is not taken": {func(n *Engine[uint32], r *record) {
+		"the same id again is not taken": {func(n *Engine[uint32], r *effectCounter) {
 			if n.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r) {
 				t.Error("taken")
 			}
 		}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := &record{}
+			r := &effectCounter{}
 			n := New[uint32](0, policy.New(settings, 1), r)
 			n.EndpointsUpdated(0, policy.Cached, []Endpoint[uint32]{{Server: 5, Info: policy.Endpoint{Weight: 1}}}, r)
 			n.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r)
-			if r.forwards != 1 {
+			if r.sent != 1 {
 				t.Fatal("not sent")
 			}
 			c.do(n, r)
-			if len(n.ops) != c.held || len(n.slots)-len(n.free) != c.held {
-				t.Errorf("%d ids and %d indices held, want %d", len(n.ops), len(n.slots)-len(n.free), c.held)
+			if len(n.requestIndex) != c.held || len(n.requests)-len(n.freeRequests) != c.held {
+				t.Errorf("%d ids and %d indices held, want %d", len(n.requestIndex), len(n.requests)-len(n.freeRequests), c.held)
 			}
 		})
 	}
@@ -64,7 +64,7 @@
 
 // Servers come and go under ever new ids: their indices are used again, but none that an operation still names.
 func TestServersAreForgotten(t *testing.T) {
-	r := &record{}
+	r := &effectCounter{}
 	n := New[uint32](0, policy.New(policy.Settings{NodeCount: 1, MaxAttempts: 1, TrafficTypes: []policy.TrafficType{
 		{LatencyObjective: 400 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1}}}, 1), r)
 	list := func(scope policy.UpdateScope, server uint32, c policy.Condition) {
@@ -74,8 +74,8 @@
 	n.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r) // its hop is out at server 5
 	list(policy.Incremental, 5, policy.Removed)
 	list(policy.Incremental, 6, policy.Up)
-	if len(r.forgotten) > 0 || len(n.ids) != 2 {
-		t.Fatalf("forgot %v, %d indices", r.forgotten, len(n.ids))
+	if len(r.forgotten) > 0 || len(n.serverIDs) != 2 {
+		t.Fatalf("forgot %v, %d indices", r.forgotten, len(n.serverIDs))
 	}
 	n.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.Success, ClientAnswered: true}, r)
 	if len(r.forgotten) != 1 || r.forgotten[0] != 5 {
@@ -85,18 +85,18 @@
 		list(policy.Full, 10+id, policy.Up)
 		list(policy.Incremental, 200+id, policy.Removed) // never known
 	}
-	if len(n.ids) > 3 || len(n.servers) != 1 || n.servers[109] >= len(n.ids) {
-		t.Errorf("%d indices, %d ids", len(n.ids), len(n.servers))
+	if len(n.serverIDs) > 3 || len(n.serverIndex) != 1 || n.serverIndex[109] >= len(n.serverIDs) {
+		t.Errorf("%d indices, %d ids", len(n.serverIDs), len(n.serverIndex))
 	}
 	n.RequestArrived(0, 8, policy.Input{Timeout: time.Second}, r)
-	if r.forwards != 2 {
+	if r.sent != 2 {
 		t.Error("not sent to the server that is left")
 	}
 }
 
 // A server that the list drops keeps its index while the module may still send to it, and no longer.
 func TestDroppedServersAreKept(t *testing.T) {
-	r := &record{}
+	r := &effectCounter{}
 	n := New[uint32](0, policy.New(policy.Settings{NodeCount: 1, MaxAttempts: 1, UnlistedUsable: true, TrafficTypes: []policy.TrafficType{
 		{LatencyObjective: 400 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1}}}, 1), r)
 	for id := range uint32(200) { // ever new ones, each dropped by the next list; the last by three empty ones
@@ -107,20 +107,20 @@
 		n.EndpointsUpdated(0, policy.Full, nil, r)
 	}
 	n.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r)
-	if _, known := n.servers[199]; r.forwards != 1 || !known || len(n.ids) > 4 {
-		t.Fatalf("%d sent, the last known: %v, %d indices", r.forwards, known, len(n.ids))
+	if _, known := n.serverIndex[199]; r.sent != 1 || !known || len(n.serverIDs) > 4 {
+		t.Fatalf("%d sent, the last known: %v, %d indices", r.sent, known, len(n.serverIDs))
 	}
 }
 
 // What one change costs the node does not grow with the servers, nor with those that have gone and are in use still.
 func TestOneChangeCostsWhatItTouches(t *testing.T) {
 	cost := func(servers int) (visits int, allocs float64) {
-		r := &record{}
-		n := New[uint32](0, still{}, r)
-		n.EndpointsUpdated(0, policy.Full, lines(servers), r)
-		from, one := n.gone.Visits(), lines(1)
+		r := &effectCounter{}
+		n := New[uint32](0, idleDecider{}, r)
+		n.EndpointsUpdated(0, policy.Full, largeList(servers), r)
+		from, one := n.removed.Visits(), largeList(1)
 		allocs = testing.AllocsPerRun(100, func() { n.EndpointsUpdated(0, policy.Incremental, one, r) })
-		return n.gone.Visits() - from, allocs
+		return n.removed.Visits() - from, allocs
 	}
 	few, fewAllocs := cost(1_000)
 	many, manyAllocs := cost(20_000)
@@ -132,8 +132,8 @@
 // Allowances reach the module as they are.
 func TestAllowancesReachTheModule(t *testing.T) {
 	var got []policy.Quota
-	r := &record{}
-	n := New[uint32](0, asked(func(in *policy.Input) {
+	r := &effectCounter{}
+	n := New[uint32](0, inputObserver(func(in *policy.Input) {
 		if in.Kind == policy.QuotasChanged {
 			got = in.Quotas
 		}
@@ -144,9 +144,9 @@
 	}
 }
 
-type asked func(*policy.Input)
+type inputObserver func(*policy.Input)
 
-func (a asked) Handle(_ time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
+func (a inputObserver) Handle(_ time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
 	a(in)
 	return effects
 }
--- a/internal/proxy/engine/golden_test.go
+++ b/internal/proxy/engine/golden_test.go
@@ -21,9 +21,9 @@
 const goldenFile = "effects.golden"
 
 const (
-	goldenSeeds = 32
-	goldenSteps = 12_000
-	sparseFrom  = 24 // seeds from here on have many types and tenants, of which few have traffic at a time
+	goldenSeeds     = 32
+	goldenSteps     = 12_000
+	firstSparseSeed = 24 // seeds from here on have many types and tenants, of which few have traffic at a time
 )
 
 // TestEffectsAreAsRecorded plays long random histories and compares the hash of all effects with those on record.
@@ -67,31 +67,31 @@
 
 // history drives a node with random inputs and hashes what the module makes of them.
 type history struct {
-	rand     *rand.Rand
-	set      policy.Settings
-	node     *Engine[uint32]
-	hash     hash.Hash64
-	now      time.Duration
-	wakeAt   time.Duration
-	requests uint64
-	attempts []attempt
-	count    map[uint64]int // attempts by request
-	servers  []uint32       // listed now
-	nextID   uint32
-	kinds    [8]int // effects by kind
-	inner    Decider
-	rankMod  uint32
-	sparse   bool
-	rooms    int     // beside the one without a limit
-	load     float64 // attempts out at which servers slow down
-	sick     map[uint32]time.Duration
+	rand          *rand.Rand
+	settings      policy.Settings
+	engine        *Engine[uint32]
+	hash          hash.Hash64
+	now           time.Duration
+	timerAt       time.Duration
+	requests      uint64
+	attempts      []attempt
+	attemptCounts map[uint64]int // attempts by request
+	servers       []uint32       // listed now
+	nextID        uint32
+	effectCounts  [8]int // effects by kind
+	decider       Decider
+	rankMod       uint32
+	sparse        bool
+	routeLimits   int     // beside the one without a limit
+	slowdownAt    float64 // attempts out at which servers slow down
+	faultyUntil   map[uint32]time.Duration
 }
 
 func (h *history) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
 	from := len(effects)
-	effects = h.inner.Handle(now, in, effects)
+	effects = h.decider.Handle(now, in, effects)
 	for _, e := range effects[from:] {
-		h.kinds[e.Kind]++
+		h.effectCounts[e.Kind]++
 		fmt.Fprintln(h.hash, e.Kind, e.Request, e.Server, int64(e.Duration))
 	}
 	return effects
@@ -99,44 +99,44 @@
 
 func (h *history) SendAttempt(job uint64, server uint32, _ time.Duration) {
 	fmt.Fprintln(h.hash, "forward", job, server)
-	h.attempts = append(h.attempts, attempt{job, h.count[job], server, h.now})
-	h.count[job]++
+	h.attempts = append(h.attempts, attempt{job, h.attemptCounts[job], server, h.now})
+	h.attemptCounts[job]++
 }
 func (h *history) Reject(job uint64, _ time.Duration) { fmt.Fprintln(h.hash, "reject", job) }
 func (h *history) Fail(job uint64)                    { fmt.Fprintln(h.hash, "abandon", job) }
-func (h *history) SetTimer(after time.Duration)       { h.wakeAt = h.now + after }
+func (h *history) SetTimer(after time.Duration)       { h.timerAt = h.now + after }
 func (h *history) Subscribe()                         { fmt.Fprintln(h.hash, "listen") }
 func (h *history) CloseIdle(server uint32)            { fmt.Fprintln(h.hash, "release", server) }
 func (h *history) Forget(server uint32)               { fmt.Fprintln(h.hash, "forget", server) }
 
 func newHistory(seed uint64) *history {
 	r := rand.New(rand.NewPCG(seed, 47))
-	h := &history{rand: r, hash: fnv.New64a(), count: map[uint64]int{}, sick: map[uint32]time.Duration{}}
+	h := &history{rand: r, hash: fnv.New64a(), attemptCounts: map[uint64]int{}, faultyUntil: map[uint32]time.Duration{}}
 	ms := time.Millisecond
-	h.set = policy.Settings{NodeCount: 1 + r.IntN(6), NodeIndex: r.IntN(3), Zone: r.IntN(3), TimerGranularity: time.Duration(r.IntN(3)) * 10 * ms,
+	h.settings = policy.Settings{NodeCount: 1 + r.IntN(6), NodeIndex: r.IntN(3), Zone: r.IntN(3), TimerGranularity: time.Duration(r.IntN(3)) * 10 * ms,
 		MaxAttempts: 1 + r.IntN(4), SlowStartDuration: time.Duration(2+r.IntN(8)) * time.Second, SlowStartInitialCapacity: 0.2, CrashLoadFactor: 3,
 		RequestEndpointsWithin: 10 * time.Second, OverQuotaWeightShare: 0.1, MustRequestEndpoints: seed%2 == 0, UnlistedUsable: seed%3 == 0,
 		ServersCacheKeys: seed%4 == 1, HedgingAllowed: seed%5 < 3, MaxRetryAfter: time.Duration(seed%2) * time.Second, ConnectTimeout: 100 * ms}
 	for k := range 3 + r.IntN(4) {
-		h.set.TrafficTypes = append(h.set.TrafficTypes, h.trafficType(k))
+		h.settings.TrafficTypes = append(h.settings.TrafficTypes, h.trafficType(k))
 	}
 	for range int(seed%7) * 6 {
-		h.set.TenantQuotas = append(h.set.TenantQuotas, float64(r.IntN(12)))
+		h.settings.TenantQuotas = append(h.settings.TenantQuotas, float64(r.IntN(12)))
 	}
-	if seed >= sparseFrom {
-		for len(h.set.TrafficTypes) < 150 {
-			h.set.TrafficTypes = append(h.set.TrafficTypes, h.trafficType(len(h.set.TrafficTypes)))
+	if seed >= firstSparseSeed {
+		for len(h.settings.TrafficTypes) < 150 {
+			h.settings.TrafficTypes = append(h.settings.TrafficTypes, h.trafficType(len(h.settings.TrafficTypes)))
 		}
 		for range 500 {
-			h.set.TenantQuotas = append(h.set.TenantQuotas, float64(r.IntN(12)))
+			h.settings.TenantQuotas = append(h.settings.TenantQuotas, float64(r.IntN(12)))
 		}
 		h.sparse = true
 	}
 	h.rankMod = []uint32{1 << 31, 16}[seed%2] // few ranks bring ties
-	h.load = 10 + float64(r.IntN(60))
-	h.inner = policy.New(h.set, uint32(seed))
-	h.node = New[uint32](0, h, h)
-	h.list(policy.Cached, h.fresh(5+r.IntN(20)*int(1+seed%4)))
+	h.slowdownAt = 10 + float64(r.IntN(60))
+	h.decider = policy.New(h.settings, uint32(seed))
+	h.engine = New[uint32](0, h, h)
+	h.updateEndpoints(policy.Cached, h.newEndpoints(5+r.IntN(20)*int(1+seed%4)))
 	return h
 }
 
@@ -160,16 +160,16 @@
 }
 
 // fresh makes lines of servers that were not there before.
-func (h *history) fresh(n int) (lines []Endpoint[uint32]) {
+func (h *history) newEndpoints(n int) (lines []Endpoint[uint32]) {
 	for range n {
 		h.nextID++
 		h.servers = append(h.servers, h.nextID)
-		lines = append(lines, h.line(h.nextID, policy.Up))
+		lines = append(lines, h.endpoint(h.nextID, policy.Up))
 	}
 	return lines
 }
 
-func (h *history) line(id uint32, condition policy.Condition) Endpoint[uint32] {
+func (h *history) endpoint(id uint32, condition policy.Condition) Endpoint[uint32] {
 	sum := crc32.ChecksumIEEE([]byte(fmt.Sprint(id)))
 	l := policy.Endpoint{Rank: sum % h.rankMod, Zone: int(sum>>3) % 3, Cell: int(sum>>5) % 6, Condition: condition,
 		Weight: float64(1 + sum>>7%3), Labels: uint64(sum >> 9 % 8)}
@@ -182,28 +182,28 @@
 	return Endpoint[uint32]{Server: id, Info: l}
 }
 
-func (h *history) list(scope policy.UpdateScope, lines []Endpoint[uint32]) {
-	h.node.EndpointsUpdated(h.now, scope, lines, h)
+func (h *history) updateEndpoints(scope policy.UpdateScope, lines []Endpoint[uint32]) {
+	h.engine.EndpointsUpdated(h.now, scope, lines, h)
 }
 
-func (h *history) change() {
+func (h *history) changeEndpoints() {
 	switch r := h.rand.IntN(20); {
 	case r < 6:
-		h.list(policy.Incremental, h.fresh(1+h.rand.IntN(3)))
+		h.updateEndpoints(policy.Incremental, h.newEndpoints(1+h.rand.IntN(3)))
 	case r < 12 && len(h.servers) > 3:
 		i := h.rand.IntN(len(h.servers))
 		id := h.servers[i]
 		h.servers = append(h.servers[:i], h.servers[i+1:]...)
-		l := h.line(id, policy.Condition(1+h.rand.IntN(2)))
+		l := h.endpoint(id, policy.Condition(1+h.rand.IntN(2)))
 		l.Info.AddressReassigned = h.rand.IntN(3) == 0
 		lines := []Endpoint[uint32]{l}
 		if h.rand.IntN(2) == 0 {
-			lines = append(lines, h.fresh(1)...)
+			lines = append(lines, h.newEndpoints(1)...)
 		}
-		h.list(policy.Incremental, lines)
+		h.updateEndpoints(policy.Incremental, lines)
 	case r < 15:
 		id := h.servers[h.rand.IntN(len(h.servers))]
-		h.list(policy.Incremental, []Endpoint[uint32]{h.line(id, policy.Draining), h.line(id, policy.Up)})
+		h.updateEndpoints(policy.Incremental, []Endpoint[uint32]{h.endpoint(id, policy.Draining), h.endpoint(id, policy.Up)})
 	case r < 18:
 		var lines []Endpoint[uint32]
 		kept := h.servers[:0:0]
@@ -211,23 +211,23 @@
 		for _, id := range h.servers {
 			if len(kept) < 2 || h.rand.Float64() > drop {
 				kept = append(kept, id)
-				lines = append(lines, h.line(id, policy.Up))
+				lines = append(lines, h.endpoint(id, policy.Up))
 			}
 		}
 		h.servers = kept
-		h.list(policy.Full, append(lines, h.fresh(h.rand.IntN(4))...))
+		h.updateEndpoints(policy.Full, append(lines, h.newEndpoints(h.rand.IntN(4))...))
 	default:
-		h.list(policy.Unavailable, nil)
+		h.updateEndpoints(policy.Unavailable, nil)
 	}
 }
 
-func (h *history) plan() {
+func (h *history) changePlan() {
 	in := policy.Input{NodeCount: 1 + h.rand.IntN(6)}
 	if h.rand.IntN(3) == 0 {
 		in.MaxAdmittedShare = 0.5 + h.rand.Float64()/2
 	}
 	if h.rand.IntN(2) == 0 {
-		for range h.set.TenantQuotas {
+		for range h.settings.TenantQuotas {
 			in.WithinQuotaShares = append(in.WithinQuotaShares, h.rand.Float64()*1.5)
 		}
 	}
@@ -241,35 +241,35 @@
 			shares = append(shares, Assignment[uint32]{Server: id, Info: s})
 		}
 	}
-	h.node.PlanChanged(h.now, in, shares, h)
+	h.engine.PlanChanged(h.now, in, shares, h)
 }
 
-func (h *history) retype() {
-	like := make([]int, len(h.set.TrafficTypes))
+func (h *history) changeTrafficTypes() {
+	like := make([]int, len(h.settings.TrafficTypes))
 	for k := range like {
 		like[k] = k
 	}
-	types := append([]policy.TrafficType(nil), h.set.TrafficTypes...)
+	types := append([]policy.TrafficType(nil), h.settings.TrafficTypes...)
 	if len(types) < 9 {
 		like = append(like, h.rand.IntN(len(types)+1)-1)
 		types = append(types, h.trafficType(len(types)))
 	}
-	h.set.TrafficTypes, h.rooms = types, 1
-	h.node.TrafficTypesChanged(h.now, policy.Input{TrafficTypes: types, LearnFrom: like, RouteLimits: []int{0, 5 + h.rand.IntN(30)}}, h)
+	h.settings.TrafficTypes, h.routeLimits = types, 1
+	h.engine.TrafficTypesChanged(h.now, policy.Input{TrafficTypes: types, LearnFrom: like, RouteLimits: []int{0, 5 + h.rand.IntN(30)}}, h)
 }
 
 // end ends an attempt by what its server is worth just now.
-func (h *history) end(i int) {
+func (h *history) endAttempt(i int) {
 	a := h.attempts[i]
 	h.attempts[i] = h.attempts[len(h.attempts)-1]
 	h.attempts = h.attempts[:len(h.attempts)-1]
 	how := policy.Success
-	if h.now < h.sick[a.server] {
+	if h.now < h.faultyUntil[a.server] {
 		how = []policy.Outcome{policy.Failure, policy.Overloaded, policy.TimedOut, policy.Unreachable, policy.ConnectionBroken}[int(a.server)%5]
 	} else if h.rand.IntN(40) == 0 {
 		how = policy.Outcome(h.rand.IntN(9))
 	}
-	h.node.AttemptEnded(h.now, a.request, a.server, policy.Input{Attempt: a.index, Outcome: how, ClientAnswered: how == policy.Success}, h)
+	h.engine.AttemptEnded(h.now, a.request, a.server, policy.Input{Attempt: a.index, Outcome: how, ClientAnswered: how == policy.Success}, h)
 }
 
 func (h *history) step() {
@@ -278,35 +278,35 @@
 	if r.IntN(400) == 0 || h.sparse && r.IntN(40) == 0 {
 		h.now += time.Duration(r.IntN(int(2 * time.Second)))
 	}
-	if h.now >= h.wakeAt {
-		h.node.TimerFired(h.now, h)
+	if h.now >= h.timerAt {
+		h.engine.TimerFired(h.now, h)
 	}
 	for range 2 {
-		if len(h.attempts) > 0 && r.Float64() < 0.2+float64(len(h.attempts))/h.load {
-			h.end(r.IntN(len(h.attempts)))
+		if len(h.attempts) > 0 && r.Float64() < 0.2+float64(len(h.attempts))/h.slowdownAt {
+			h.endAttempt(r.IntN(len(h.attempts)))
 		}
 	}
 	switch n := r.IntN(1000); {
 	case n < 4:
-		h.change()
+		h.changeEndpoints()
 	case n < 6:
-		h.plan()
+		h.changePlan()
 	case n < 7:
-		h.retype()
+		h.changeTrafficTypes()
 	case n < 10 && len(h.servers) > 0:
-		h.sick[h.servers[r.IntN(len(h.servers))]] = h.now + time.Duration(r.IntN(int(6*time.Second)))
+		h.faultyUntil[h.servers[r.IntN(len(h.servers))]] = h.now + time.Duration(r.IntN(int(6*time.Second)))
 	case n < 20 && h.requests > 0:
-		h.node.ClientLeft(h.now, h.requests-uint64(r.IntN(int(min(h.requests, 20)))), h)
+		h.engine.ClientLeft(h.now, h.requests-uint64(r.IntN(int(min(h.requests, 20)))), h)
 	case n < 500:
 		h.requests++
-		h.node.RequestArrived(h.now, h.requests, policy.Input{TrafficType: h.some(len(h.set.TrafficTypes)), Tenant: h.some(len(h.set.TenantQuotas) + 1),
-			RouteLimit: r.IntN(1 + h.rooms), Key: uint32(r.IntN(40)), IsClientRetry: r.IntN(10) == 0,
+		h.engine.RequestArrived(h.now, h.requests, policy.Input{TrafficType: h.drawIndex(len(h.settings.TrafficTypes)), Tenant: h.drawIndex(len(h.settings.TenantQuotas) + 1),
+			RouteLimit: r.IntN(1 + h.routeLimits), Key: uint32(r.IntN(40)), IsClientRetry: r.IntN(10) == 0,
 			Timeout: time.Duration(300+r.IntN(2000)) * time.Millisecond}, h)
 	}
 }
 
 // some draws one of n; where few have traffic, mostly one of six that are others after a while.
-func (h *history) some(n int) int {
+func (h *history) drawIndex(n int) int {
 	if !h.sparse || h.rand.IntN(100) == 0 {
 		return h.rand.IntN(n)
 	}
@@ -317,5 +317,5 @@
 	for range steps {
 		h.step()
 	}
-	return fmt.Sprintf("%016x %v of %d requests in %v", h.hash.Sum64(), h.kinds, h.requests, h.now.Round(time.Second))
+	return fmt.Sprintf("%016x %v of %d requests in %v", h.hash.Sum64(), h.effectCounts, h.requests, h.now.Round(time.Second))
 }
--- a/internal/simwire/parser.go
+++ b/internal/simwire/parser.go
@@ -10,14 +10,15 @@
 	"fernvane/policy"
 )
 
+// parser reads the fields of one line and keeps the first error.
 type parser struct {
 	fields []field
 	err    error
 }
 
-func (p *parser) fail(why string) {
+func (p *parser) fail(message string) {
 	if p.err == nil {
-		p.err = errors.New(why)
+		p.err = errors.New(message)
 	}
 }
 
@@ -30,10 +31,11 @@
 	return nil, false
 }
 
-func (p *parser) int(name string, must bool) int {
+// int reads a number from 0 on. An absent one is 0, and an error if isRequired.
+func (p *parser) int(name string, isRequired bool) int {
 	v, ok := p.find(name)
 	if !ok {
-		if must {
+		if isRequired {
 			p.fail(name + " is missing")
 		}
 		return 0
@@ -46,6 +48,7 @@
 	return n
 }
 
+// number reads a finite number, with a default for an absent one.
 func (p *parser) number(name string, absent float64) float64 {
 	v, ok := p.find(name)
 	if !ok {
@@ -59,7 +62,7 @@
 	return x
 }
 
-func (p *parser) parseSpan(name string, v []byte) time.Duration {
+func (p *parser) parseDuration(name string, v []byte) time.Duration {
 	x, err := strconv.ParseFloat(string(v), 64)
 	if err != nil || math.IsNaN(x) || math.Abs(x) > 1e12 {
 		p.fail(name + " is not a time")
@@ -68,18 +71,19 @@
 	return settings.FromMillis(x)
 }
 
-func (p *parser) span(name string, must bool) time.Duration {
+// duration reads a number of milliseconds, as int does.
+func (p *parser) duration(name string, isRequired bool) time.Duration {
 	v, ok := p.find(name)
 	if !ok {
-		if must {
+		if isRequired {
 			p.fail(name + " is missing")
 		}
 		return 0
 	}
-	return p.parseSpan(name, v)
+	return p.parseDuration(name, v)
 }
 
-func (p *parser) job() uint64 {
+func (p *parser) requestID() uint64 {
 	v, _ := p.find("job")
 	n, err := strconv.ParseUint(string(v), 16, 64)
 	if err != nil || len(v) != 16 {
@@ -97,18 +101,24 @@
 	return uint32(n)
 }
 
-// entry reads a line of a server list.
-func (p *parser) entry() Endpoint {
-	e := Endpoint{Server: p.server(), Zone: p.int("hall", false), MachineKind: p.int("classOfHost", false), Cell: p.int("unitGroup", false),
-		Condition: p.condition(), Weight: p.number("scale", 1)}
+// endpoint reads an entry of an endpoint list.
+func (p *parser) endpoint() Endpoint {
+	e := Endpoint{
+		Server:      p.server(),
+		Zone:        p.int("hall", false),
+		MachineKind: p.int("classOfHost", false),
+		Cell:        p.int("unitGroup", false),
+		Condition:   p.condition(),
+		Weight:      p.number("scale", 1),
+	}
 	if at, ok := p.find("lastStart"); ok {
-		e.StartedAt = p.parseSpan("lastStart", at)
+		e.StartedAt = p.parseDuration("lastStart", at)
 		e.HasStartTime = e.StartedAt != 0
 	}
 	return e
 }
 
-// seed folds the 64 bits of entropy that an instance is given.
+// seed folds the 64 bits of entropy of an instance into 32.
 func (p *parser) seed() uint32 {
 	text, _ := p.find("entropy")
 	if n, err := strconv.ParseInt(string(text), 10, 64); err == nil {
--- a/policy/internal/leastsquares/leastsquares.go
+++ b/policy/internal/leastsquares/leastsquares.go
@@ -1,26 +1,38 @@
-// Package leastsquares fits a straight line to points.
+// Package leastsquares fits a straight line to points by least squares, for the policy's pause forecast.
 package leastsquares
 
-// Line goes through the mean of the points and rises by Rise over Run, neither of which is scaled.
+// Line goes through the mean of the points with the slope Rise over Run. Neither has a unit of its own: only their
+// signs and their ratio count. A Run of 0 means that the points have no line.
 type Line struct {
-	origin       float64 // first x, from which the others are counted, for the sake of rounding
-	meanX, meanY float64
-	Run, Rise    float64
+	origin float64 // first x, from which the others are counted to keep rounding small
+	meanX  float64
+	meanY  float64
+	Run    float64
+	Rise   float64
 }
 
-// Fit draws the line through the points (x[i], i).
+// Fit returns the line through the points (x[i], i).
 func Fit(x []float64) Line {
-	var sx, sy, sxx, sxy float64
+	if len(x) == 0 {
+		return Line{}
+	}
+	var sumX, sumY, sumXX, sumXY float64
 	for i := range x {
 		dx, y := x[i]-x[0], float64(i)
-		sx, sy, sxx, sxy = sx+dx, sy+y, sxx+dx*dx, sxy+dx*y
+		sumX += dx
+		sumY += y
+		sumXX += dx * dx
+		sumXY += dx * y
 	}
 	n := float64(len(x))
-	if n == 0 {
-		return Line{}
+	return Line{
+		origin: x[0],
+		meanX:  sumX / n,
+		meanY:  sumY / n,
+		Run:    n*sumXX - sumX*sumX,
+		Rise:   n*sumXY - sumX*sumY,
 	}
-	return Line{origin: x[0], meanX: sx / n, meanY: sy / n, Run: n*sxx - sx*sx, Rise: n*sxy - sx*sy}
 }
 
-// XAt is the x where a line that rises meets y.
+// XAt returns the x where the line meets y. The line must rise: Rise must not be 0.
 func (l Line) XAt(y float64) float64 { return l.origin + l.meanX + (y-l.meanY)*l.Run/l.Rise }
--- a/policy/internal/tenants/tenants.go
+++ b/policy/internal/tenants/tenants.go
@@ -1,4 +1,5 @@
-// Package tenants keeps figures of those tenants only that had traffic lately, however many there are.
+// Package tenants holds arrival rates and failure rates by tenant, of those tenants only that had traffic lately,
+// however many there are. It decides nothing.
 package tenants
 
 import (
@@ -7,100 +8,101 @@
 	"fernvane/internal/collections/decay"
 )
 
-// Unknown stands for all tenants without a number.
+// Unknown stands for all tenants without a quota. They share one failure rate.
 const Unknown = -1
 
-// Table holds arrival rates and records of attempts by tenant. The zero value is an empty table.
+// Table holds the tenants with traffic. The zero value is an empty table.
 type Table struct {
-	place   []int32 // in active, and one, by tenant; 0: not there
-	active  []entry
-	total   float64 // of the rates
-	unknown decay.FailureRate
-	visits  int
+	slots     []int32 // by tenant: index into active plus one; 0: not active
+	active    []entry
+	totalRate float64 // of all arrivals
+	unknown   decay.FailureRate
+	visits    int
 }
 
 type entry struct {
-	tenant int
-	rate   float64 // arrivals a second
-	ends   decay.FailureRate
+	tenant      int
+	arrivalRate float64 // a second
+	failureRate decay.FailureRate
 }
 
-// Len is how many tenants the table has figures of.
+// Len returns how many tenants the table holds.
 func (t *Table) Len() int { return len(t.active) }
 
-// Visits is how many entries Fade has come to so far: what it has cost, for tests that count.
+// Visits returns how many entries Decay has visited so far: its cost, for tests that count.
 func (t *Table) Visits() int { return t.visits }
 
-// TotalRate is the sum of all rates.
-func (t *Table) TotalRate() float64 { return t.total }
+// TotalRate returns the arrivals a second of all tenants.
+func (t *Table) TotalRate() float64 { return t.totalRate }
 
-// ArrivalRate is a tenant's arrivals a second.
+// ArrivalRate returns the arrivals a second of a tenant.
 func (t *Table) ArrivalRate(tenant int) float64 {
-	if tenant >= len(t.place) || t.place[tenant] == 0 {
+	if tenant >= len(t.slots) || t.slots[tenant] == 0 {
 		return 0
 	}
-	return t.active[t.place[tenant]-1].rate
+	return t.active[t.slots[tenant]-1].arrivalRate
 }
 
-// RecordArrival adds to a tenant's rate and returns it.
+// RecordArrival adds to a tenant's arrival rate and returns it.
 func (t *Table) RecordArrival(tenant int, rate float64) float64 {
-	e := t.of(tenant)
-	e.rate += rate
-	t.total += rate
-	return e.rate
+	e := t.getOrCreate(tenant)
+	e.arrivalRate += rate
+	t.totalRate += rate
+	return e.arrivalRate
 }
 
-// FailureRate is how a tenant's attempts ended, to be written to; it holds until the next call.
+// FailureRate returns the failure rate of a tenant's attempts, to be written to. It is valid until the next call.
 func (t *Table) FailureRate(tenant int) *decay.FailureRate {
 	if tenant == Unknown {
 		return &t.unknown
 	}
-	return &t.of(tenant).ends
+	return &t.getOrCreate(tenant).failureRate
 }
 
-// of finds the entry of a tenant, or makes one; it holds until the next call.
-func (t *Table) of(tenant int) *entry {
-	if missing := tenant + 1 - len(t.place); missing > 0 {
-		t.place = append(t.place, make([]int32, missing)...)
+// getOrCreate returns the entry of a tenant. It is valid until the next call.
+func (t *Table) getOrCreate(tenant int) *entry {
+	if missing := tenant + 1 - len(t.slots); missing > 0 {
+		t.slots = append(t.slots, make([]int32, missing)...)
 	}
-	if t.place[tenant] == 0 {
+	if t.slots[tenant] == 0 {
 		t.active = append(t.active, entry{tenant: tenant})
-		t.place[tenant] = int32(len(t.active))
+		t.slots[tenant] = int32(len(t.active))
 	}
-	return &t.active[t.place[tenant]-1]
+	return &t.active[t.slots[tenant]-1]
 }
 
-// Decay keeps a share of the rates and one of the records, nothing of what falls below its least, and drops tenants of
-// whom nothing is left.
-func (t *Table) Decay(rates, leastRate, records, leastRecord float64) {
-	t.unknown.Decay(records, leastRecord)
-	t.total = 0
+// Decay keeps a share of the arrival rates and of the failure rates, clears what falls below the least, and drops
+// tenants of whom nothing is left.
+func (t *Table) Decay(arrivalsKept, minArrivalRate, failuresKept, minFailureCount float64) {
+	t.unknown.Decay(failuresKept, minFailureCount)
+	t.totalRate = 0
 	for i := len(t.active) - 1; i >= 0; i-- {
 		t.visits++
 		e := &t.active[i]
-		e.rate = decay.ZeroBelow(e.rate*rates, leastRate)
-		e.ends.Decay(records, leastRecord)
-		t.total += e.rate
-		if e.rate == 0 && e.ends.Total == 0 {
+		e.arrivalRate = decay.ZeroBelow(e.arrivalRate*arrivalsKept, minArrivalRate)
+		e.failureRate.Decay(failuresKept, minFailureCount)
+		t.totalRate += e.arrivalRate
+		if e.arrivalRate == 0 && e.failureRate.Total == 0 {
 			t.remove(i)
 		}
 	}
 }
 
+// remove takes out the active entry at an index; the last one takes its place.
 func (t *Table) remove(i int) {
 	last := len(t.active) - 1
-	t.place[t.active[i].tenant] = 0
+	t.slots[t.active[i].tenant] = 0
 	if i < last {
 		t.active[i] = t.active[last]
-		t.place[t.active[i].tenant] = int32(i + 1)
+		t.slots[t.active[i].tenant] = int32(i + 1)
 	}
 	t.active = t.active[:last]
 }
 
-// Clone shares no memory with the table.
+// Clone returns a copy that shares no memory with the table.
 func (t *Table) Clone() Table {
 	c := *t
-	c.place = slices.Clone(t.place)
+	c.slots = slices.Clone(t.slots)
 	c.active = slices.Clone(t.active)
 	return c
 }
