--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -16,11 +16,11 @@
 	for i := 1; i < len(r.admission.classes); i++ {
 		a, b := r.admission.classes[i-1], r.admission.classes[i]
 		if r.admission.rejectShare[a] < r.admission.rejectShare[b] {
-			t.Errorf("bucket %d at %.2f, dearer %d at %.2f", a, r.admission.rejectShare[a], b, r.admission.rejectShare[b])
+			t.Errorf("class %d at %.2f, class %d of higher weight at %.2f", a, r.admission.rejectShare[a], b, r.admission.rejectShare[b])
 		}
 	}
 	if r.admission.rejectShare[r.admission.classes[0]] == 0 || r.classWeight(1) >= r.classWeight(0) {
-		t.Error("nothing denied, or beyond its share worth as much")
+		t.Error("nothing shed, or requests beyond the quota weigh as much")
 	}
 }
 
@@ -31,8 +31,8 @@
 		revenue float64
 		want    float64
 	}{
-		"the cheapest":       {0.05, defaultMaxShedShare},
-		"dearer than others": {50, 0},
+		"lowest weight":  {0.05, defaultMaxShedShare},
+		"highest weight": {50, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, 4, func(s *Settings) {
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -45,16 +45,16 @@
 	} {
 		b.Run(fmt.Sprintf("types=%d/tenants=%d/servers=%d", c.types, c.tenants, c.servers), func(b *testing.B) {
 			p := newLargePolicy(c.types, c.tenants, min(c.servers, 2_000))
-			for p.subset.readyCount < c.servers { // by pieces, of which none costs a square
+			for p.subset.readyCount < c.servers { // in parts, since joining by chance grows with the list
 				list := largeList(p.subset.readyCount + 2_000)[p.subset.readyCount:]
 				p.Handle(0, &Input{Kind: EndpointsUpdated, Scope: Incremental, Endpoints: list}, nil)
 			}
 			now := time.Duration(0)
 			var effects []Effect
-			for op := range 20 {
-				effects = p.Handle(now, &Input{Kind: RequestArrived, Request: op, TrafficType: op % c.types, Tenant: op, Timeout: time.Hour}, effects[:0])
+			for id := range 20 {
+				effects = p.Handle(now, &Input{Kind: RequestArrived, Request: id, TrafficType: id % c.types, Tenant: id, Timeout: time.Hour}, effects[:0])
 			}
-			for range 300 { // until what only starts has settled
+			for range 300 { // until budgets are full
 				now += 20 * ms
 				effects = p.Handle(now, &Input{Kind: TimerFired}, effects[:0])
 			}
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -8,8 +8,8 @@
 
 func TestInitialConcurrencyLimit(t *testing.T) {
 	for name, c := range map[string]struct{ nodes, servers, least, most int }{
-		"few nodes":                        {4, 10, 8, 20},
-		"a large group shares the servers": {40, 10, 1, 4},
+		"few nodes":                    {4, 10, 8, 20},
+		"many nodes share the servers": {40, 10, 1, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, c.servers, func(s *Settings) { s.NodeCount = c.nodes })
@@ -19,7 +19,7 @@
 				sent += len(got)
 			}
 			if sent < c.least || sent > c.most {
-				t.Errorf("%d hops out before any answer, want %d to %d", sent, c.least, c.most)
+				t.Errorf("%d attempts in flight before any answer, want %d to %d", sent, c.least, c.most)
 			}
 		})
 	}
@@ -29,15 +29,15 @@
 	r := newHarness(t, 8, nil)
 	r.concurrency.finished, r.concurrency.grown = 16, 40
 	if r.concurrency.limit() != 40 {
-		t.Errorf("window %.0f without strain", r.concurrency.limit())
+		t.Errorf("limit %.0f although attempts are fast", r.concurrency.limit())
 	}
-	for range 20 { // each takes three times as long as it may
+	for range 20 { // each takes three times as long as allowed
 		r.concurrency.adjust(3, 1)
 	}
 	if w := r.concurrency.limit(); w > 20/r.concurrency.latencyRatio || r.concurrency.latencyRatio < 1.5 {
-		t.Errorf("window %.1f at strain %.1f", w, r.concurrency.latencyRatio)
+		t.Errorf("limit %.1f at latency ratio %.1f", w, r.concurrency.latencyRatio)
 	}
-	r.concurrency.latencyRatio, r.concurrency.finished, r.concurrency.grown = 1e6, 0, 0 // as after a slowness that all share
+	r.concurrency.latencyRatio, r.concurrency.finished, r.concurrency.grown = 1e6, 0, 0 // as after a time when all servers were slow
 	if _, got := r.arriveAt(0, 0, time.Second); len(got) != 1 || got[0].Kind != SendAttempt {
 		t.Errorf("nothing is sent any more: %v", got)
 	}
@@ -48,8 +48,8 @@
 func TestLateAttemptsLeaveConcurrencyLimit(t *testing.T) {
 	for name, c := range map[string]struct {
 		late float64
-		want float64 // hops in the window once all are overdue
-	}{"late answers earn": {0.5, 0}, "they do not": {0, 3}} {
+		want float64 // attempts counted once all are late
+	}{"late answers are worth a share": {0.5, 0}, "they are worth nothing": {0, 3}} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, 8, func(s *Settings) { s.TrafficTypes[2].LateWeightShare = c.late })
 			r.concurrency.grown = 1000
@@ -61,13 +61,13 @@
 				r.at(now, Input{Kind: TimerFired})
 			}
 			if r.concurrency.inFlight != c.want {
-				t.Errorf("%g hops in the window", r.concurrency.inFlight)
+				t.Errorf("%g attempts counted", r.concurrency.inFlight)
 			}
-			for op := range 3 {
-				r.end(1600*ms, op, 0, Success)
+			for id := range 3 {
+				r.end(1600*ms, id, 0, Success)
 			}
 			if r.concurrency.inFlight != 0 || r.load.inFlight[0] != 0 {
-				t.Errorf("%g hops in the window when none is out", r.concurrency.inFlight)
+				t.Errorf("%g attempts counted when none is in flight", r.concurrency.inFlight)
 			}
 		})
 	}
@@ -94,9 +94,9 @@
 		t.Fatalf("sent at arrival: %v", got)
 	}
 	limit(2)
-	for op, want := range []int{0, 1, 1} { // of three out one must end before the next of two may go
-		if e := effectKinds(r.end(10*ms, op, 0, Success)); len(e) != want {
-			t.Errorf("after %d: %v", op, e)
+	for id, want := range []int{0, 1, 1} { // two of three must end before the next may go out
+		if e := effectKinds(r.end(10*ms, id, 0, Success)); len(e) != want {
+			t.Errorf("after %d: %v", id, e)
 		}
 	}
 }
--- a/policy/cost_test.go
+++ b/policy/cost_test.go
@@ -15,23 +15,23 @@
 	up := Endpoint{Zone: 1, Weight: 1, StartedAt: -time.Hour, HasStartTime: true}
 	for name, change := range map[string]func(i int) []Endpoint{
 		"replaced": func(i int) []Endpoint {
-			m := up
-			m.Server, m.Rank, m.IndexReused = i, uint32(i)*2654435761, true
-			return []Endpoint{m}
+			endpoint := up
+			endpoint.Server, endpoint.Rank, endpoint.IndexReused = i, uint32(i)*2654435761, true
+			return []Endpoint{endpoint}
 		},
 		"drained and back": func(i int) []Endpoint {
-			m := up
-			m.Server, m.Condition = i, Draining
+			endpoint := up
+			endpoint.Server, endpoint.Condition = i, Draining
 			back := up
 			back.Server = i
-			return []Endpoint{m, back}
+			return []Endpoint{endpoint, back}
 		},
-		"gone and back": func(i int) []Endpoint {
-			m := up
-			m.Server, m.Condition = i, Removed
+		"removed and back": func(i int) []Endpoint {
+			endpoint := up
+			endpoint.Server, endpoint.Condition = i, Removed
 			back := up
 			back.Server = i
-			return []Endpoint{m, back}
+			return []Endpoint{endpoint, back}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -53,7 +53,7 @@
 			}
 			few, fewAllocs := cost(1_000)
 			many, manyAllocs := cost(20_000)
-			if many > 2*few+8 || many > 16*bits.Len(20_000) { // by the logarithm: half as much again
+			if many > 2*few+8 || many > 16*bits.Len(20_000) { // the logarithm grows by half
 				t.Errorf("%d elements among 1,000 servers, %d among 20,000", few, many)
 			}
 			if fewAllocs > 0 || manyAllocs > 0 { // a copy of anything would be one, whatever its size
@@ -93,9 +93,9 @@
 				}
 				r.at(r.now, Input{Kind: EndpointsUpdated, Scope: scope, Endpoints: list})
 				r.at(r.now, Input{Kind: TimerFired})
-				op, _ := r.arriveAt(r.now, i%4, time.Second)
-				if len(r.Policy.requests.all[op].attempts) > 0 {
-					r.end(r.now, op, 0, Outcome(i%8))
+				id, _ := r.arriveAt(r.now, i%4, time.Second)
+				if len(r.Policy.requests.all[id].attempts) > 0 {
+					r.end(r.now, id, 0, Outcome(i%8))
 				}
 				checkCounts(t, r)
 			}
@@ -120,7 +120,7 @@
 			dropped = append(dropped, s)
 		}
 		if (r.outliers.ejections.EntryCount(s) > 0 || r.outliers.ejections.EjectedUntil(s, failures.AllTypes) > r.now) && !r.outliers.ejections.Active().Has(s) {
-			t.Fatalf("server %d has troubles that no walk comes to", s)
+			t.Fatalf("server %d has entries that no walk visits", s)
 		}
 		sum += r.latency.smoothed.At(s)
 		for bit := range labelled {
@@ -155,30 +155,30 @@
 	}
 	tick(200) // budgets of retries are full now
 	if got := tick(50); got != 0 {
-		t.Errorf("%d elements come to where nothing has had traffic", got)
+		t.Errorf("%d elements visited without traffic", got)
 	}
 	for i := range inUse {
 		p.Handle(now, &Input{Kind: RequestArrived, Request: i, TrafficType: i * 1_000, Tenant: i * 100_000, Timeout: time.Second}, nil)
 		p.Handle(now+5*ms, &Input{Kind: AttemptEnded, Request: i, Outcome: Success, ClientAnswered: true}, nil)
 	}
 	if got := tick(1); got == 0 || got > 4*inUse { // tenants, servers, types twice
-		t.Errorf("%d elements come to for %d in use", got, inUse)
+		t.Errorf("%d elements visited for %d in use", got, inUse)
 	}
 	var effects []Effect
 	if got := testing.AllocsPerRun(20, func() { effects = p.Handle(now, &Input{Kind: TimerFired}, effects[:0]) }); got > 0 {
 		t.Errorf("%g allocations a tick", got)
 	}
-	const marked, idle = 0.5, 7 // what a tick walks, it fades
+	const marked, idle = 0.5, 7 // a tick lets fade what it visits
 	p.admission.arrivalRates[2*idle], p.attribution.types[2*idle].Total, p.attribution.servers.At(idle).Total, p.latency.unloaded[idle+1] = marked, marked, marked, 1
 	tick(1)
 	if p.admission.arrivalRates[2*idle] != marked || p.attribution.types[2*idle].Total != marked || p.attribution.servers.At(idle).Total != marked || p.latency.unloaded[idle+1] != 1 {
-		t.Error("a tick comes to a type or a server without traffic")
+		t.Error("a tick visits a type or a server without traffic")
 	}
-	for range 300 { // a second each: what has had no traffic for five minutes is let go of
+	for range 300 { // a second each: what has had no traffic for five minutes is dropped
 		now += time.Second
 		p.Handle(now, &Input{Kind: TimerFired}, nil)
 	}
 	if got := tick(10); got != 0 || p.quotas.tenants.Len() != 0 || p.attribution.servers.Active().Len() != 0 || len(p.admission.classes) != 0 {
-		t.Errorf("%d elements come to long after, %d tenants, %d servers, %d buckets held", got, p.quotas.tenants.Len(), p.attribution.servers.Active().Len(), len(p.admission.classes))
+		t.Errorf("%d elements visited long after, %d tenants, %d servers, %d classes held", got, p.quotas.tenants.Len(), p.attribution.servers.Active().Len(), len(p.admission.classes))
 	}
 }
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -11,7 +11,7 @@
 func TestCloseOnDrain(t *testing.T) {
 	const within = 300 * ms
 	closes := func(s *Settings) { s.CloseOnDrain, s.DrainCloseTimeout = true, within }
-	released := func(effects []Effect) (n int) {
+	closed := func(effects []Effect) (n int) {
 		for _, e := range effects {
 			if e.Kind == CloseIdle && e.Server == 0 {
 				n++
@@ -19,13 +19,13 @@
 		}
 		return n
 	}
-	drain := func(r *harness, now time.Duration, how Condition) []Effect {
-		return r.listServers(now, Incremental, 1, func(m *Endpoint) { m.Condition = how })
+	drain := func(r *harness, now time.Duration, outcome Condition) []Effect {
+		return r.listServers(now, Incremental, 1, func(endpoint *Endpoint) { endpoint.Condition = outcome })
 	}
-	// woken lets time pass and tells when the server's connections were released.
-	woken := func(r *harness, from, to time.Duration) (at []time.Duration) {
+	// closedDuring lets time pass and returns when the server's connections were closed.
+	closedDuring := func(r *harness, from, to time.Duration) (at []time.Duration) {
 		for now := from; now <= to; now += 10 * ms {
-			if released(r.at(now, Input{Kind: TimerFired})) > 0 {
+			if closed(r.at(now, Input{Kind: TimerFired})) > 0 {
 				at = append(at, now)
 			}
 		}
@@ -35,55 +35,55 @@
 		change func(*Settings)
 		day    func(t *testing.T, r *harness)
 	}{
-		"on the notice and once more": {closes, func(t *testing.T, r *harness) {
-			if got := released(drain(r, 0, Draining)); got != 1 {
-				t.Errorf("released %d times on the notice", got)
+		"at the notice and once more": {closes, func(t *testing.T, r *harness) {
+			if got := closed(drain(r, 0, Draining)); got != 1 {
+				t.Errorf("closed %d times at the notice", got)
 			}
-			if at := woken(r, 10*ms, time.Second); len(at) != 1 || at[0] > within {
-				t.Errorf("released again at %v", at)
+			if at := closedDuring(r, 10*ms, time.Second); len(at) != 1 || at[0] > within {
+				t.Errorf("closed again at %v", at)
 			}
 		}},
-		"gone": {closes, func(t *testing.T, r *harness) {
-			if got := released(drain(r, 0, Removed)); got != 1 {
-				t.Errorf("released %d times", got)
+		"removed": {closes, func(t *testing.T, r *harness) {
+			if got := closed(drain(r, 0, Removed)); got != 1 {
+				t.Errorf("closed %d times", got)
 			}
 		}},
 		"after the last outcome": {closes, func(t *testing.T, r *harness) {
 			drain(r, 0, Draining)
-			woken(r, 10*ms, 400*ms)
-			if got := released(r.end(410*ms, 0, 0, Success)); got != 1 {
-				t.Errorf("released %d times on the outcome", got)
+			closedDuring(r, 10*ms, 400*ms)
+			if got := closed(r.end(410*ms, 0, 0, Success)); got != 1 {
+				t.Errorf("closed %d times at the outcome", got)
 			}
-			if at := woken(r, 420*ms, 2*time.Second); len(at) != 1 || at[0]-410*ms > within {
-				t.Errorf("released again at %v", at)
+			if at := closedDuring(r, 420*ms, 2*time.Second); len(at) != 1 || at[0]-410*ms > within {
+				t.Errorf("closed again at %v", at)
 			}
 		}},
-		"a connect given up after the notice": {closes, func(t *testing.T, r *harness) {
+		"a connect that fails after the notice": {closes, func(t *testing.T, r *harness) {
 			drain(r, 0, Draining)
-			if got := released(r.end(10*ms, 0, 0, Unreachable)); got != 1 {
-				t.Errorf("released %d times on the outcome", got)
+			if got := closed(r.end(10*ms, 0, 0, Unreachable)); got != 1 {
+				t.Errorf("closed %d times at the outcome", got)
 			}
 		}},
-		"told twice": {closes, func(t *testing.T, r *harness) {
+		"two notices": {closes, func(t *testing.T, r *harness) {
 			drain(r, 0, Draining)
 			drain(r, 20*ms, Draining)
-			if at := woken(r, 30*ms, time.Second); len(at) != 1 || at[0] > within {
-				t.Errorf("released again at %v", at)
+			if at := closedDuring(r, 30*ms, time.Second); len(at) != 1 || at[0] > within {
+				t.Errorf("closed again at %v", at)
 			}
 		}},
 		"up again": {closes, func(t *testing.T, r *harness) {
 			drain(r, 0, Draining)
 			drain(r, 5*ms, Up)
-			if got := released(r.end(10*ms, 0, 0, Success)); got != 0 {
-				t.Errorf("released %d times though it serves again", got)
+			if got := closed(r.end(10*ms, 0, 0, Success)); got != 0 {
+				t.Errorf("closed %d times though it is ready again", got)
 			}
-			if at := woken(r, 20*ms, time.Second); len(at) != 0 {
-				t.Errorf("released at %v though it serves again", at)
+			if at := closedDuring(r, 20*ms, time.Second); len(at) != 0 {
+				t.Errorf("closed at %v though it is ready again", at)
 			}
 		}},
 		"not asked for": {nil, func(t *testing.T, r *harness) {
-			if got := released(drain(r, 0, Draining)) + released(r.end(10*ms, 0, 0, Success)) + len(woken(r, 20*ms, time.Second)); got != 0 {
-				t.Errorf("released %d times", got)
+			if got := closed(drain(r, 0, Draining)) + closed(r.end(10*ms, 0, 0, Success)) + len(closedDuring(r, 20*ms, time.Second)); got != 0 {
+				t.Errorf("closed %d times", got)
 			}
 		}},
 	} {
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -13,11 +13,11 @@
 		in   Input
 		want []bool
 	}{
-		"draining":             {Input{Scope: Incremental, Endpoints: []Endpoint{{Server: 1, Condition: Draining, Weight: 1}}}, []bool{true, false, true}},
-		"removed":              {Input{Scope: Incremental, Endpoints: []Endpoint{{Server: 1, Condition: Removed, Weight: 1}}}, []bool{true, false, true}},
-		"absent from a whole":  {Input{Scope: Full, Endpoints: []Endpoint{up(0), up(2)}}, []bool{true, false, true}},
-		"a failure keeps all":  {Input{Scope: Unavailable}, []bool{true, true, true}},
-		"an empty whole: none": {Input{Scope: Full}, []bool{false, false, false}},
+		"draining":                {Input{Scope: Incremental, Endpoints: []Endpoint{{Server: 1, Condition: Draining, Weight: 1}}}, []bool{true, false, true}},
+		"removed":                 {Input{Scope: Incremental, Endpoints: []Endpoint{{Server: 1, Condition: Removed, Weight: 1}}}, []bool{true, false, true}},
+		"absent from a full list": {Input{Scope: Full, Endpoints: []Endpoint{up(0), up(2)}}, []bool{true, false, true}},
+		"unavailable":             {Input{Scope: Unavailable}, []bool{true, true, true}},
+		"an empty full list":      {Input{Scope: Full}, []bool{false, false, false}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, 3, nil)
@@ -38,20 +38,20 @@
 func TestReusedServerIndex(t *testing.T) {
 	r := newHarness(t, 3, nil).fillSubset()
 	untouched := newHarness(t, 3, nil).fillSubset()
-	for _, how := range []Outcome{TimedOut, ConnectionBroken, Unreachable, Overloaded, Success, TimedOut, ClientError} {
+	for _, outcome := range []Outcome{TimedOut, ConnectionBroken, Unreachable, Overloaded, Success, TimedOut, ClientError} {
 		r.now += 100 * ms
-		r.recordOutcome(1, &request{trafficType: 2}, r.now-90*ms, how)
+		r.recordOutcome(1, &request{trafficType: 2}, r.now-90*ms, outcome)
 	}
 	r.startSlowStart(1, r.now)
 	r.at(time.Second, Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 1, Rank: 1, Condition: Removed}}})
 	r.at(time.Second, Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 1, IndexReused: true, Rank: 9, Cell: 5, Weight: 1, StartedAt: -time.Minute, HasStartTime: true}}})
-	for kind := range r.settings.TrafficTypes {
-		if r.isUnhealthy(1, &request{trafficType: kind}) {
-			t.Errorf("type %d: unwell", kind)
+	for trafficType := range r.settings.TrafficTypes {
+		if r.isUnhealthy(1, &request{trafficType: trafficType}) {
+			t.Errorf("type %d: unhealthy", trafficType)
 		}
 	}
 	if r.slowStart.servers.Has(1) || r.latency.slowness[1] != 1 || r.pauses.count[1] != 0 || r.servers.cell[1] != 5 || !r.readiness.Ready(1) || r.outliers.soft[1] != 0 {
-		t.Error("something is left of the one before")
+		t.Error("something is left of the earlier server")
 	}
 	if want := []int{0, 2, 1}; !slices.Equal(slices.Collect(r.subset.rotation.From(0)), want) || r.readiness.Len() != untouched.readiness.Len() {
 		t.Errorf("rotation %v", slices.Collect(r.subset.rotation.From(0)))
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -56,14 +56,14 @@
 func (r *harness) at(now time.Duration, in Input) []Effect { return r.Handle(now, &in, nil) }
 
 // arriveAt has a request arrive and returns its index.
-func (r *harness) arriveAt(now time.Duration, kind int, budget time.Duration) (int, []Effect) {
+func (r *harness) arriveAt(now time.Duration, trafficType int, budget time.Duration) (int, []Effect) {
 	r.arrivals++
-	return r.arrivals - 1, r.at(now, Input{Kind: RequestArrived, Request: r.arrivals - 1, TrafficType: kind, Timeout: budget})
+	return r.arrivals - 1, r.at(now, Input{Kind: RequestArrived, Request: r.arrivals - 1, TrafficType: trafficType, Timeout: budget})
 }
 
 // end ends an attempt of a request.
-func (r *harness) end(now time.Duration, op, hop int, how Outcome) []Effect {
-	return r.at(now, Input{Kind: AttemptEnded, Request: op, Attempt: hop, Server: 0, Outcome: how, ClientAnswered: how == Success})
+func (r *harness) end(now time.Duration, id, number int, outcome Outcome) []Effect {
+	return r.at(now, Input{Kind: AttemptEnded, Request: id, Attempt: number, Server: 0, Outcome: outcome, ClientAnswered: outcome == Success})
 }
 
 // effectKinds returns the kinds of effects, without those of the timer and of the list.
@@ -78,15 +78,15 @@
 }
 
 // request returns a request by its index.
-func (r *harness) request(op int) *request { return &r.Policy.requests.all[op] }
+func (r *harness) request(id int) *request { return &r.Policy.requests.all[id] }
 
 // listServers lists servers; change alters each entry.
 func (r *harness) listServers(now time.Duration, scope UpdateScope, servers int, change func(*Endpoint)) []Effect {
 	var list []Endpoint
 	for i := range servers {
-		m := Endpoint{Server: i, Rank: uint32(i), Zone: i % 2, MachineKind: i / 2 % 2, Cell: i / 2, Weight: 1}
-		change(&m)
-		list = append(list, m)
+		endpoint := Endpoint{Server: i, Rank: uint32(i), Zone: i % 2, MachineKind: i / 2 % 2, Cell: i / 2, Weight: 1}
+		change(&endpoint)
+		list = append(list, endpoint)
 	}
 	return r.at(now, Input{Kind: EndpointsUpdated, Scope: scope, Endpoints: list})
 }
@@ -155,11 +155,11 @@
 }
 
 // newRouteHarness returns a harness whose settings allow hedging, with one traffic type altered as a route would.
-func newRouteHarness(t *testing.T, servers, kind int, change func(*TrafficType)) *harness {
+func newRouteHarness(t *testing.T, servers, trafficType int, change func(*TrafficType)) *harness {
 	r := newHarness(t, servers, func(s *Settings) {
 		s.HedgingAllowed, s.NodeCount = true, 1
-		change(&s.TrafficTypes[kind])
+		change(&s.TrafficTypes[trafficType])
 	}).fillSubset()
-	r.subset.needed = 99 // none is let go
+	r.subset.needed = 99 // the subset does not shrink
 	return r
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -9,55 +9,55 @@
 
 func TestOverloadEjectsForOneType(t *testing.T) {
 	r := newHarness(t, 4, nil).fillSubset()
-	op, _ := r.arriveAt(time.Second, 0, time.Second)
-	s := r.Policy.requests.all[op].attempts[0].server
-	r.end(time.Second, op, 0, Overloaded)
-	for kind, want := range []bool{true, false, false, false} {
-		if got := r.isUnhealthy(s, &request{trafficType: kind}); got != want {
-			t.Errorf("type %d: unwell %v", kind, got)
+	id, _ := r.arriveAt(time.Second, 0, time.Second)
+	s := r.Policy.requests.all[id].attempts[0].server
+	r.end(time.Second, id, 0, Overloaded)
+	for trafficType, want := range []bool{true, false, false, false} {
+		if got := r.isUnhealthy(s, &request{trafficType: trafficType}); got != want {
+			t.Errorf("type %d: unhealthy %v", trafficType, got)
 		}
 	}
 	r.at(time.Second+initialEjection, Input{Kind: TimerFired})
 	if r.isUnhealthy(s, &request{trafficType: 0}) {
-		t.Error("still resting")
+		t.Error("still ejected")
 	}
 }
 
 // TestEjectionByOutcomes checks for which traffic types a server is ejected after a row of outcomes.
 func TestEjectionByOutcomes(t *testing.T) {
 	type end struct {
-		kind int
-		how  Outcome
-		old  bool // sent before the last one ended
+		trafficType int
+		outcome     Outcome
+		old         bool // sent before the last one ended
 	}
-	a, b, q := end{kind: 2, how: TimedOut}, end{kind: 0, how: Success}, end{2, TimedOut, true}
-	no := func(n int, how Outcome) (ends []end) {
+	a, b, q := end{trafficType: 2, outcome: TimedOut}, end{trafficType: 0, outcome: Success}, end{2, TimedOut, true}
+	no := func(n int, outcome Outcome) (ends []end) {
 		for range n {
-			ends = append(ends, end{kind: 0, how: how})
+			ends = append(ends, end{trafficType: 0, outcome: outcome})
 		}
 		return ends
 	}
 	for name, c := range map[string]struct {
 		ends  []end
-		want  []bool // unwell, by type
-		trial bool   // is left to see
+		want  []bool // unhealthy, by type
+		trial bool   // a trial follows
 	}{
-		"twice":                          {[]end{a, b, a, b}, []bool{false, false, false, false}, false},
-		"again, the others answered":     {[]end{a, b, a, b, a, b}, []bool{false, false, true, false}, true},
-		"and then answered":              {[]end{a, b, a, b, a, b, {kind: 2, how: Success}}, []bool{false, false, false, false}, false},
-		"a queue of them":                {[]end{a, q, q, q, b}, []bool{false, false, false, false}, false},
-		"all types":                      {[]end{a, {kind: 0, how: TimedOut}}, []bool{true, true, true, true}, false},
-		"one connection refused":         {no(1, Unreachable), []bool{false, false, true, false}, false},
-		"two refused":                    {no(2, Unreachable), []bool{true, true, true, true}, false},
-		"one connection broke":           {no(1, ConnectionBroken), []bool{false, false, false, false}, false},
-		"breaks all that it is sent":     {no(minSoftFailures, ConnectionBroken), []bool{true, true, true, true}, false},
-		"breaks between answers":         {append(append(no(minSoftFailures-1, ConnectionBroken), b), no(1, ConnectionBroken)...), []bool{false, false, false, false}, false},
-		"declined as clients erred":      {append(no(minSoftFailures-1, ClientError), b), []bool{false, false, false, false}, false},
-		"declined again after an answer": {append(append(no(minSoftFailures-1, ClientError), b), no(1, ClientError)...), []bool{false, false, false, false}, false},
-		"declines all that it is sent":   {no(minSoftFailures, ClientError), []bool{true, true, true, true}, false},
-		"all but one declined":           {no(minSoftFailures-1, ClientError), []bool{false, false, false, false}, false},
-		"turned two in a row away":       {[]end{{kind: 0, how: Overloaded}, {kind: 2, how: Overloaded}}, []bool{true, true, true, true}, false},
-		"turned away, answered, again":   {[]end{{kind: 0, how: Overloaded}, b, {kind: 2, how: Overloaded}}, []bool{false, false, true, false}, false},
+		"twice":                               {[]end{a, b, a, b}, []bool{false, false, false, false}, false},
+		"again, the others answered":          {[]end{a, b, a, b, a, b}, []bool{false, false, true, false}, true},
+		"and then answered":                   {[]end{a, b, a, b, a, b, {trafficType: 2, outcome: Success}}, []bool{false, false, false, false}, false},
+		"a queue of them":                     {[]end{a, q, q, q, b}, []bool{false, false, false, false}, false},
+		"all types":                           {[]end{a, {trafficType: 0, outcome: TimedOut}}, []bool{true, true, true, true}, false},
+		"one connection refused":              {no(1, Unreachable), []bool{false, false, true, false}, false},
+		"two refused":                         {no(2, Unreachable), []bool{true, true, true, true}, false},
+		"one broken connection":               {no(1, ConnectionBroken), []bool{false, false, false, false}, false},
+		"only broken connections":             {no(minSoftFailures, ConnectionBroken), []bool{true, true, true, true}, false},
+		"broken connections around an answer": {append(append(no(minSoftFailures-1, ConnectionBroken), b), no(1, ConnectionBroken)...), []bool{false, false, false, false}, false},
+		"client errors, then an answer":       {append(no(minSoftFailures-1, ClientError), b), []bool{false, false, false, false}, false},
+		"client errors around an answer":      {append(append(no(minSoftFailures-1, ClientError), b), no(1, ClientError)...), []bool{false, false, false, false}, false},
+		"only client errors":                  {no(minSoftFailures, ClientError), []bool{true, true, true, true}, false},
+		"one client error too few":            {no(minSoftFailures-1, ClientError), []bool{false, false, false, false}, false},
+		"overloaded twice in a row":           {[]end{{trafficType: 0, outcome: Overloaded}, {trafficType: 2, outcome: Overloaded}}, []bool{true, true, true, true}, false},
+		"overloaded, answered, overloaded":    {[]end{{trafficType: 0, outcome: Overloaded}, b, {trafficType: 2, outcome: Overloaded}}, []bool{false, false, true, false}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, 4, func(s *Settings) { s.ConnectTimeout = 250 * ms }).fillSubset()
@@ -67,18 +67,18 @@
 				if r.now += 40 * ms; e.old {
 					sent -= 400 * ms
 				}
-				r.recordOutcome(1, &request{trafficType: e.kind, objectiveAt: sent + 400*ms}, sent, e.how)
+				r.recordOutcome(1, &request{trafficType: e.trafficType, objectiveAt: sent + 400*ms}, sent, e.outcome)
 			}
-			for kind, want := range c.want {
-				if got := r.isUnhealthy(1, &request{trafficType: kind}); got != want {
-					t.Errorf("type %d: unwell %v", kind, got)
+			for trafficType, want := range c.want {
+				if got := r.isUnhealthy(1, &request{trafficType: trafficType}); got != want {
+					t.Errorf("type %d: unhealthy %v", trafficType, got)
 				}
 			}
 			if !c.trial {
 				return
 			}
 			if r.now += 2 * initialEjection; r.isUnhealthy(1, &request{trafficType: 2}) {
-				t.Error("still resting")
+				t.Error("still ejected")
 			}
 			r.Policy.requests.all = append(r.Policy.requests.all, request{trafficType: 2, objectiveAt: r.now + 400*ms})
 			r.picked = 1
@@ -93,8 +93,8 @@
 	for name, c := range map[string]struct {
 		failing, ready, want int
 	}{
-		"one of four rests":        {1, 4, 1},
-		"never more than the half": {4, 4, 2},
+		"one of four is ejected": {1, 4, 1},
+		"never more than half":   {4, 4, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, c.ready, nil)
@@ -102,15 +102,15 @@
 			for s := range c.failing {
 				r.recordFailure(s, 1)
 			}
-			resting := 0
+			ejected := 0
 			for s := range r.readiness.Len() {
 				until := r.outliers.ejections.EjectedUntil(s, failures.AllTypes)
 				if until > r.now {
-					resting++
+					ejected++
 				}
 			}
-			if resting != c.want {
-				t.Errorf("%d rest, want %d", resting, c.want)
+			if ejected != c.want {
+				t.Errorf("%d ejected, want %d", ejected, c.want)
 			}
 		})
 	}
@@ -119,19 +119,19 @@
 // TestLastFailureIsKeptWhileInFlight checks that an attempt sent before the last failure does not count again,
 // while one is in flight.
 func TestLastFailureIsKeptWhileInFlight(t *testing.T) {
-	const kind = 2
+	const trafficType = 2
 	for name, c := range map[string]struct{ inFlight, entries int }{
-		"none out": {0, 0},
-		"one out":  {1, 1},
+		"none in flight": {0, 0},
+		"one in flight":  {1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, 4, nil)
-			r.outliers.ejections.GetOrCreate(0, kind).LastAt, r.load.inFlight[0], r.now = time.Second, c.inFlight, 2*time.Second
+			r.outliers.ejections.GetOrCreate(0, trafficType).LastAt, r.load.inFlight[0], r.now = time.Second, c.inFlight, 2*time.Second
 			if r.pruneEjections(0); r.outliers.ejections.EntryCount(0) != c.entries || r.outliers.ejections.Active().Has(0) != (c.entries > 0) {
 				t.Fatalf("%d entries, want %d", r.outliers.ejections.EntryCount(0), c.entries)
 			}
-			r.recordTypeFailure(0, kind, 500*ms)
-			if got := r.outliers.ejections.Get(0, kind).Consecutive; got != 1-c.entries {
+			r.recordTypeFailure(0, trafficType, 500*ms)
+			if got := r.outliers.ejections.Get(0, trafficType).Consecutive; got != 1-c.entries {
 				t.Errorf("%d failures counted", got)
 			}
 		})
--- a/policy/pauseforecast_test.go
+++ b/policy/pauseforecast_test.go
@@ -12,9 +12,9 @@
 		want, spaces float64 // 0: no forecast
 	}{
 		"one onset forecasts nothing":     {[]float64{3}, 0, 0},
-		"two onsets give the next":        {[]float64{3, 5}, 7, 2},
+		"two onsets forecast the next":    {[]float64{3, 5}, 7, 2},
 		"a steady pauser":                 {[]float64{1, 4, 7, 10}, 13, 3},
-		"the window slides":               {[]float64{1, 2, 3, 13, 23, 33, 43}, 53, 10},
+		"only the last onsets count":      {[]float64{1, 2, 3, 13, 23, 33, 43}, 53, 10},
 		"onsets at one time have no line": {[]float64{5, 5}, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/policy/picker_test.go
+++ b/policy/picker_test.go
@@ -12,14 +12,14 @@
 		inFlight           [3]int
 		want               []int
 	}{
-		"round robin":                          {want: []int{0, 1, 2, 0}},
-		"all taken in: busy is no skip":        {inFlight: [3]int{1, 1, 1}, want: []int{0, 1, 2, 0}},
-		"a near pause is skipped":              {forecast: [3]time.Duration{0, 12 * second, 0}, interval: [3]time.Duration{0, 20 * second, 0}, want: []int{0, 2, 0, 2}},
-		"an overdue pause is skipped":          {forecast: [3]time.Duration{0, 8 * second, 0}, interval: [3]time.Duration{0, 20 * second, 0}, want: []int{0, 2, 0}},
-		"the threshold is capped":              {forecast: [3]time.Duration{0, 12 * second, 0}, interval: [3]time.Duration{0, 4 * second, 0}, want: []int{0, 1, 2}},
-		"long overdue is fed again":            {forecast: [3]time.Duration{0, 4 * second, 0}, interval: [3]time.Duration{0, 40 * second, 0}, want: []int{0, 1, 2}},
-		"all skipped: plain round robin":       {forecast: [3]time.Duration{10 * second, 10 * second, 10 * second}, interval: [3]time.Duration{second, second, second}, want: []int{0, 1, 2, 0}},
-		"one with more in flight is passed by": {inFlight: [3]int{0, 3, 0}, want: []int{0, 2}},
+		"round robin":                            {want: []int{0, 1, 2, 0}},
+		"all in the subset: busy is no skip":     {inFlight: [3]int{1, 1, 1}, want: []int{0, 1, 2, 0}},
+		"a near pause is skipped":                {forecast: [3]time.Duration{0, 12 * second, 0}, interval: [3]time.Duration{0, 20 * second, 0}, want: []int{0, 2, 0, 2}},
+		"an overdue pause is skipped":            {forecast: [3]time.Duration{0, 8 * second, 0}, interval: [3]time.Duration{0, 20 * second, 0}, want: []int{0, 2, 0}},
+		"the threshold is capped":                {forecast: [3]time.Duration{0, 12 * second, 0}, interval: [3]time.Duration{0, 4 * second, 0}, want: []int{0, 1, 2}},
+		"long overdue is picked again":           {forecast: [3]time.Duration{0, 4 * second, 0}, interval: [3]time.Duration{0, 40 * second, 0}, want: []int{0, 1, 2}},
+		"all skipped: plain round robin":         {forecast: [3]time.Duration{10 * second, 10 * second, 10 * second}, interval: [3]time.Duration{second, second, second}, want: []int{0, 1, 2, 0}},
+		"one with more in flight is passed over": {inFlight: [3]int{0, 3, 0}, want: []int{0, 2}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, 3, nil).fillSubset()
@@ -61,7 +61,7 @@
 			var got [3]int
 			for range 60 {
 				if !r.pickFromSubset(&request{}, 2) {
-					t.Fatal("nobody's turn")
+					t.Fatal("no server picked")
 				}
 				got[r.picked]++
 			}
@@ -81,11 +81,11 @@
 	for name, c := range map[string]struct {
 		warm bool
 		keys uint32
-		same float64 // at least, or else at most, of the operations with a key go where the other node countSent it
+		same float64 // at least, or else at most, of the requests with a key go where the other node sends it
 	}{
-		"remembered":     {true, 200, 0.45},
-		"one key alone":  {true, 1, 0},
-		"not remembered": {false, 200, 0.3},
+		"cached":        {true, 200, 0.45},
+		"one key alone": {true, 1, 0},
+		"not cached":    {false, 200, 0.3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var met [2][]int
@@ -126,7 +126,7 @@
 	type world struct {
 		unconnected int  // attempts lately that got no connection, of as many
 		busy        int  // of the four servers
-		lost        bool // the operation's first attempt gets no connection; else it arrives
+		lost        bool // the request's first attempt gets no connection; else it arrives
 	}
 	for name, c := range map[string]struct {
 		world
@@ -150,10 +150,10 @@
 			for range c.unconnected {
 				r.subset.connectFailures.Observe(1, 2*attributionMemory)
 			}
-			op, got := r.arriveAt(10*ms, 0, time.Second)
+			id, got := r.arriveAt(10*ms, 0, time.Second)
 			r.at(10*ms, Input{Kind: TimerFired})
 			if c.lost {
-				got = r.end(20*ms, op, 0, Unreachable)
+				got = r.end(20*ms, id, 0, Unreachable)
 			}
 			if got := countSent(got); got != c.want {
 				t.Fatalf("%d sent at once", got)
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -9,7 +9,7 @@
 )
 
 // bound is the traffic type that is bound to a placement.
-const bound = 0 // the traffic type of the tests below that is bound to a placement
+const bound = 0
 
 // newPlacementHarness returns a harness of servers in zones 0 and 1 and of machine kinds 0 and 1.
 func newPlacementHarness(t *testing.T, servers int, to Placement, change func(*Settings)) *harness {
@@ -26,13 +26,13 @@
 }
 
 // sendMany has requests of the bound type arrive; the first attempt of every second one ends with outcome.
-func (r *harness) flood(now time.Duration, n int, how Outcome) (effects []Effect) {
+func (r *harness) sendMany(now time.Duration, n int, outcome Outcome) (effects []Effect) {
 	for i := range n {
 		at := now + time.Duration(i)*5*ms
-		op, sent := r.arriveAt(at, bound, time.Second)
+		id, sent := r.arriveAt(at, bound, time.Second)
 		effects = append(effects, sent...)
 		if len(serversSentTo(sent)) > 0 && i%2 == 0 {
-			effects = append(effects, r.end(at+2*ms, op, 0, how)...)
+			effects = append(effects, r.end(at+2*ms, id, 0, outcome)...)
 		}
 		effects = append(effects, r.at(at+3*ms, Input{Kind: TimerFired})...)
 	}
@@ -45,8 +45,8 @@
 	north := Placement{Zones: []int{1}} // not the zone of the node
 	inNorth := func(s int) bool { return s%2 == 1 }
 	nowhere := func(int) bool { return false }
-	failing := func(how Outcome) func(*harness) []Effect {
-		return func(r *harness) []Effect { return r.flood(0, 60, how) }
+	failing := func(outcome Outcome) func(*harness) []Effect {
+		return func(r *harness) []Effect { return r.sendMany(0, 60, outcome) }
 	}
 	for name, c := range map[string]struct {
 		to     Placement
@@ -55,57 +55,57 @@
 		open   func(s int) bool
 		none   bool // nothing is sent
 	}{
-		"a zone":                {north, nil, failing(Success), inNorth, false},
-		"a kind":                {Placement{MachineKinds: []int{1}}, nil, failing(Success), func(s int) bool { return s/2%2 == 1 }, false},
-		"a zone and a kind":     {Placement{Zones: []int{1}, MachineKinds: []int{1}}, nil, failing(Success), func(s int) bool { return s%4 == 3 }, false},
-		"two zones":             {Placement{Zones: []int{0, 1}}, nil, failing(Success), func(int) bool { return true }, false},
-		"a zone of no server":   {Placement{Zones: []int{5}}, nil, failing(Success), nowhere, true},
-		"an empty list":         {Placement{Zones: []int{}}, nil, failing(Success), nowhere, true},
-		"all taken in":          {north, nil, func(r *harness) []Effect { r.fillSubset(); return r.flood(0, 60, Success) }, inNorth, false},
-		"repeats after errors":  {north, nil, failing(Failure), inNorth, false},
-		"repeats after breaks":  {north, nil, failing(ConnectionBroken), inNorth, false},
-		"repeats where full":    {north, nil, failing(Overloaded), inNorth, false},
-		"none can be connected": {north, nil, failing(Unreachable), inNorth, false},
-		"none answers":          {north, nil, failing(TimedOut), inNorth, false},
-		"second copies": {north, func(s *Settings) {
+		"a zone":                           {north, nil, failing(Success), inNorth, false},
+		"a machine kind":                   {Placement{MachineKinds: []int{1}}, nil, failing(Success), func(s int) bool { return s/2%2 == 1 }, false},
+		"a zone and a machine kind":        {Placement{Zones: []int{1}, MachineKinds: []int{1}}, nil, failing(Success), func(s int) bool { return s%4 == 3 }, false},
+		"two zones":                        {Placement{Zones: []int{0, 1}}, nil, failing(Success), func(int) bool { return true }, false},
+		"a zone of no server":              {Placement{Zones: []int{5}}, nil, failing(Success), nowhere, true},
+		"an empty list":                    {Placement{Zones: []int{}}, nil, failing(Success), nowhere, true},
+		"all in the subset":                {north, nil, func(r *harness) []Effect { r.fillSubset(); return r.sendMany(0, 60, Success) }, inNorth, false},
+		"retries after errors":             {north, nil, failing(Failure), inNorth, false},
+		"retries after broken connections": {north, nil, failing(ConnectionBroken), inNorth, false},
+		"retries after overload":           {north, nil, failing(Overloaded), inNorth, false},
+		"none can be connected":            {north, nil, failing(Unreachable), inNorth, false},
+		"none answers":                     {north, nil, failing(TimedOut), inNorth, false},
+		"hedged": {north, func(s *Settings) {
 			s.HedgingAllowed, s.TrafficTypes[bound].HedgeDelay, s.TrafficTypes[bound].HedgeRatio = true, 2*ms, 1
 		},
 			failing(Failure), inNorth, false},
 		"a pool of a route": {north, func(s *Settings) { s.TrafficTypes[bound].PoolLabels = 2 }, func(r *harness) []Effect {
-			r.listServers(0, Incremental, 12, func(m *Endpoint) { m.Labels = uint64(m.Server/4%2 + 1) })
-			return r.flood(0, 60, Failure)
+			r.listServers(0, Incremental, 12, func(endpoint *Endpoint) { endpoint.Labels = uint64(endpoint.Server/4%2 + 1) })
+			return r.sendMany(0, 60, Failure)
 		}, func(s int) bool { return inNorth(s) && s/4%2 == 1 }, false},
 		"a pool elsewhere": {north, func(s *Settings) { s.TrafficTypes[bound].PoolLabels = 2 }, func(r *harness) []Effect {
-			r.listServers(0, Incremental, 12, func(m *Endpoint) { m.Labels = uint64(2 - m.Server%2) })
-			return r.flood(0, 60, Success)
+			r.listServers(0, Incremental, 12, func(endpoint *Endpoint) { endpoint.Labels = uint64(2 - endpoint.Server%2) })
+			return r.sendMany(0, 60, Success)
 		}, nowhere, true},
-		"a plan's part elsewhere": {north, nil, func(r *harness) []Effect {
+		"assigned elsewhere": {north, nil, func(r *harness) []Effect {
 			r.at(0, Input{Kind: PlanChanged, NodeCount: 4, Assignments: []Assignment{{Server: 0, Preference: 1}, {Server: 2, Preference: 1}}})
-			return r.flood(0, 60, Success)
+			return r.sendMany(0, 60, Success)
 		}, inNorth, false},
-		"cold servers": {north, nil, func(r *harness) []Effect {
-			r.listServers(0, Incremental, 12, func(m *Endpoint) { m.HasStartTime = true })
-			return r.flood(time.Second, 200, Success)
+		"slow start": {north, nil, func(r *harness) []Effect {
+			r.listServers(0, Incremental, 12, func(endpoint *Endpoint) { endpoint.HasStartTime = true })
+			return r.sendMany(time.Second, 200, Success)
 		}, inNorth, false},
 		"all drain": {north, nil, func(r *harness) []Effect {
-			r.listServers(0, Incremental, 12, func(m *Endpoint) {
-				if inNorth(m.Server) {
-					m.Condition = Draining
+			r.listServers(0, Incremental, 12, func(endpoint *Endpoint) {
+				if inNorth(endpoint.Server) {
+					endpoint.Condition = Draining
 				}
 			})
-			return r.flood(0, 60, Success)
+			return r.sendMany(0, 60, Success)
 		}, nowhere, true},
 		"a zone that changes": {Placement{Zones: []int{0}}, nil, func(r *harness) []Effect {
-			r.flood(0, 20, Success)
-			r.listServers(100*ms, Incremental, 12, func(m *Endpoint) { m.Zone = 1 - m.Zone })
-			return r.flood(100*ms, 60, Failure)
+			r.sendMany(0, 20, Success)
+			r.listServers(100*ms, Incremental, 12, func(endpoint *Endpoint) { endpoint.Zone = 1 - endpoint.Zone })
+			return r.sendMany(100*ms, 60, Failure)
 		}, inNorth, false},
-		"a kind that changes": {Placement{MachineKinds: []int{1}}, nil, func(r *harness) []Effect {
-			r.flood(0, 20, Success)
-			r.listServers(100*ms, Incremental, 12, func(m *Endpoint) { m.MachineKind = 1 - m.MachineKind })
-			return r.flood(100*ms, 60, Failure)
+		"a machine kind that changes": {Placement{MachineKinds: []int{1}}, nil, func(r *harness) []Effect {
+			r.sendMany(0, 20, Success)
+			r.listServers(100*ms, Incremental, 12, func(endpoint *Endpoint) { endpoint.MachineKind = 1 - endpoint.MachineKind })
+			return r.sendMany(100*ms, 60, Failure)
 		}, func(s int) bool { return s/2%2 == 0 }, false},
-		"a mark kept to its group": {north, func(s *Settings) { s.TrafficTypes[bound] = s.TrafficTypes[1]; s.TrafficTypes[bound].PlacementBit = 1 },
+		"a key kept to its scope": {north, func(s *Settings) { s.TrafficTypes[bound] = s.TrafficTypes[1]; s.TrafficTypes[bound].PlacementBit = 1 },
 			failing(Failure), inNorth, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -127,9 +127,9 @@
 // others go on.
 func TestPlacementWithoutServer(t *testing.T) {
 	r := newPlacementHarness(t, 6, Placement{Zones: []int{5}}, nil)
-	op, got := r.arriveAt(0, bound, time.Second)
+	id, got := r.arriveAt(0, bound, time.Second)
 	if len(effectKinds(got)) > 0 {
-		t.Fatalf("not held: %v", got)
+		t.Fatalf("not queued: %v", got)
 	}
 	if _, got = r.arriveAt(0, 2, time.Second); len(serversSentTo(got)) != 1 {
 		t.Errorf("another type is not sent: %v", got)
@@ -137,7 +137,7 @@
 	var ends []Effect
 	for now := 20 * ms; now < time.Second; now += 20 * ms {
 		for _, e := range r.at(now, Input{Kind: TimerFired}) {
-			if e.Kind != SetTimer && e.Request == op {
+			if e.Kind != SetTimer && e.Request == id {
 				ends = append(ends, e)
 			}
 		}
@@ -152,28 +152,28 @@
 	r := newPlacementHarness(t, 6, Placement{Zones: []int{5}}, func(s *Settings) { s.TrafficTypes[bound].PriorityWeight = 1e6 })
 	var first int
 	for i := 0; !r.isSaturated(); i++ {
-		op, _ := r.arriveAt(0, 2, time.Second)
+		id, _ := r.arriveAt(0, 2, time.Second)
 		if i == 0 {
-			first = op
+			first = id
 		}
 	}
 	r.arriveAt(1*ms, bound, time.Second)
 	r.arriveAt(1*ms, bound, time.Second)
 	if waits, got := r.arriveAt(1*ms, 2, time.Second); len(serversSentTo(got)) != 0 || r.Policy.requests.all[waits].state != stateQueued {
-		t.Fatalf("the window is not full: %v", got)
+		t.Fatalf("the node is not saturated: %v", got)
 	}
 	if got := r.end(2*ms, first, 0, Success); len(serversSentTo(got)) != 1 {
-		t.Errorf("an operation that could be sent waits behind one that cannot: %v", got)
+		t.Errorf("a request that could be sent waits behind one that cannot: %v", got)
 	}
 }
 
 // TestPlacementLimitsEjections checks that at most a share of the servers open to a bound type is ejected.
 func TestPlacementLimitsEjections(t *testing.T) {
 	for name, c := range map[string]struct {
-		kind  int
-		share float64
-		tried int // servers that fail; of 16, the first 4 are open to the bound type
-		most  int
+		trafficType int
+		share       float64
+		tried       int // servers that fail; of 16, the first 4 are open to the bound type
+		most        int
 	}{
 		"for the bound type":               {bound, maxTypeEjectedShare, 4, 3},
 		"for all":                          {failures.AllTypes, maxEjectedShare, 4, 2},
@@ -182,21 +182,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newPlacementHarness(t, 16, Placement{Zones: []int{3}}, nil)
-			r.listServers(0, Incremental, 16, func(m *Endpoint) {
-				if m.Server < 4 {
-					m.Zone = 3
+			r.listServers(0, Incremental, 16, func(endpoint *Endpoint) {
+				if endpoint.Server < 4 {
+					endpoint.Zone = 3
 				}
 			})
 			r.fillSubset()
-			resting := 0
+			ejected := 0
 			for s := range c.tried {
-				r.eject(s, c.kind, 0, c.share)
-				if r.now < r.outliers.ejections.EjectedUntil(s, c.kind) {
-					resting++
+				r.eject(s, c.trafficType, 0, c.share)
+				if r.now < r.outliers.ejections.EjectedUntil(s, c.trafficType) {
+					ejected++
 				}
 			}
-			if resting != c.most {
-				t.Errorf("%d rest, want %d", resting, c.most)
+			if ejected != c.most {
+				t.Errorf("%d ejected, want %d", ejected, c.most)
 			}
 		})
 	}
@@ -214,15 +214,15 @@
 		r.updateWeights()
 	}
 	if !r.isAllInSubset(&r.settings.TrafficTypes[bound]) || r.isAllInSubset(&r.settings.TrafficTypes[2]) {
-		t.Error("not seen that all are taken in")
+		t.Error("not seen that all are in the subset")
 	}
-	r.listServers(0, Incremental, 4, func(m *Endpoint) { m.Zone = 1 })
+	r.listServers(0, Incremental, 4, func(endpoint *Endpoint) { endpoint.Zone = 1 })
 	if open := r.readiness.ReadyWithPlacements(1); open != 4 {
 		t.Errorf("%d open after two have moved", open)
 	}
 	r.listServers(0, Full, 4, func(*Endpoint) {})
 	if open := r.readiness.ReadyWithPlacements(1); open != 2 {
-		t.Errorf("%d open after all but four have gone", open)
+		t.Errorf("%d open after all but four were removed", open)
 	}
 }
 
@@ -242,14 +242,14 @@
 			other := r.settings
 			other.TrafficTypes, other.Placements = slices.Clone(other.TrafficTypes), c.other
 			other.TrafficTypes[bound].PlacementBit = bit(c.other)
-			for op := range 20 {
-				in := Input{Kind: RequestArrived, Request: op, TrafficType: bound, Timeout: time.Second}
+			for id := range 20 {
+				in := Input{Kind: RequestArrived, Request: id, TrafficType: bound, Timeout: time.Second}
 				sent := serversSentTo(r.WhatIf(&other, 0, &in, nil))
 				if len(sent) != 1 || sent[0]%2 != c.want {
 					t.Errorf("would send to %v", sent)
 				}
 				r.at(0, in)
-				r.end(time.Duration(op)*ms, op, 0, Success)
+				r.end(time.Duration(id)*ms, id, 0, Success)
 			}
 		})
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -11,10 +11,10 @@
 		r := newHarness(t, 5, nil)
 		for i := range 400 {
 			now := time.Duration(i) * 7 * ms
-			op, got := r.arriveAt(now, i%4, time.Second)
+			id, got := r.arriveAt(now, i%4, time.Second)
 			all = append(append(all, got...), r.at(now, Input{Kind: TimerFired})...)
 			if i%3 > 0 {
-				all = append(all, r.end(now+5*ms, op, 0, Outcome(i%8))...)
+				all = append(all, r.end(now+5*ms, id, 0, Outcome(i%8))...)
 			}
 		}
 		return all
--- a/policy/poll_test.go
+++ b/policy/poll_test.go
@@ -18,7 +18,7 @@
 		}
 	}
 	if len(asked) < 6 || len(asked) > 20 {
-		t.Fatalf("asked %d times", len(asked))
+		t.Fatalf("requested %d times", len(asked))
 	}
 	for i := 1; i < len(asked); i++ {
 		if gap := asked[i] - asked[i-1]; gap > r.settings.RequestEndpointsWithin {
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -10,7 +10,7 @@
 
 func TestFairShare(t *testing.T) {
 	for name, c := range map[string]struct {
-		rates  []float64 // of two tenants with ten a second each over all nodes
+		rates  []float64 // of two tenants with a quota of ten a second each over all nodes
 		nodes  int
 		beyond bool // the first
 	}{
@@ -41,14 +41,14 @@
 		tenant  int
 		beyond  bool // after ten arrivals in a second and a half
 	}{
-		"none":                          {nil, 0, true},
-		"raised":                        {[]Quota{{0, 100}}, 0, false},
-		"another's raised":              {[]Quota{{1, 100}}, 0, true},
-		"a new tenant's":                {[]Quota{{5, 100}}, 5, false},
-		"a new tenant with little":      {[]Quota{{5, 1}}, 5, true},
-		"a tenant that is not known":    {[]Quota{{5, 1}}, 9, false},
-		"raised, and lowered in one":    {[]Quota{{0, 100}, {0, 1}}, 0, true},
-		"a new tenant, then known none": {[]Quota{{5, 1}}, 4, false},
+		"none":                       {nil, 0, true},
+		"raised":                     {[]Quota{{0, 100}}, 0, false},
+		"another's raised":           {[]Quota{{1, 100}}, 0, true},
+		"a new tenant's":             {[]Quota{{5, 100}}, 5, false},
+		"a new tenant with little":   {[]Quota{{5, 1}}, 5, true},
+		"a tenant that is not known": {[]Quota{{5, 1}}, 9, false},
+		"raised, and lowered in one": {[]Quota{{0, 100}, {0, 1}}, 0, true},
+		"a tenant below the new one": {[]Quota{{5, 1}}, 4, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			given := []float64{1, 1}
@@ -62,7 +62,7 @@
 				set.TenantQuotas = given
 				asked := r.WhatIf(&set, now, &in, nil)
 				if got := r.at(now, in); len(c.changed) > 0 && !slices.Equal(asked, got) {
-					t.Errorf("a watcher has %v, the module decides %v", asked, got)
+					t.Errorf("WhatIf returns %v, Handle %v", asked, got)
 				}
 				beyond = beyond || r.Policy.requests.all[i].class == 1
 			}
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -10,16 +10,16 @@
 // worth nothing.
 func TestAttemptTimeoutWithLateWeight(t *testing.T) {
 	for name, c := range map[string]struct{ late, want float64 }{
-		"late answers earn nothing": {0, 0.39}, "late answers earn a share": {0.5, 1.5},
+		"late answers are worth nothing": {0, 0.39}, "late answers are worth a share": {0.5, 1.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, 2, func(s *Settings) { s.TrafficTypes[2].LateWeightShare = c.late })
-			op, got := r.arriveAt(time.Second, 2, 1500*ms)
+			id, got := r.arriveAt(time.Second, 2, 1500*ms)
 			if len(got) != 1 || math.Abs(got[0].Duration.Seconds()-c.want) > 0.001 {
 				t.Fatalf("sent %+v, want %.2f s", got, c.want)
 			}
 			if c.late > 0 {
-				if late := effectKinds(r.end(2*time.Second, op, 0, Success)); len(late) > 0 {
+				if late := effectKinds(r.end(2*time.Second, id, 0, Success)); len(late) > 0 {
 					t.Errorf("a late answer did %v", late)
 				}
 			}
@@ -31,7 +31,7 @@
 // longest time.
 func TestRetryAfter(t *testing.T) {
 	for name, c := range map[string]struct {
-		past, usual time.Duration // of the operation's target time, and the type's latency
+		past, usual time.Duration // of the request's latency objective, and the type's latency
 		least, most time.Duration
 	}{
 		"time is left":   {0, 50 * ms, 80 * ms, 290 * ms},
@@ -45,7 +45,7 @@
 			r.Policy.requests.all = append(r.Policy.requests.all, request{objectiveAt: 1390 * ms, clientDeadline: 2 * time.Second})
 			r.reject(0)
 			if back := r.effects[0].Duration; back < c.least || back > c.most {
-				t.Errorf("told to come back in %s", back)
+				t.Errorf("Retry-After of %s", back)
 			}
 		})
 	}
--- a/policy/route_test.go
+++ b/policy/route_test.go
@@ -9,34 +9,34 @@
 // TestRouteSettings checks what a route's settings change for one request.
 func TestRouteSettings(t *testing.T) {
 	for name, c := range map[string]struct {
-		kind   int
-		change func(*TrafficType)
-		play   func(r *harness) []Effect
-		want   []EffectKind
+		trafficType int
+		change      func(*TrafficType)
+		play        func(r *harness) []Effect
+		want        []EffectKind
 	}{
-		"a further hop": {0, func(*TrafficType) {}, func(r *harness) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{SendAttempt}},
-		"one hop only":  {0, func(t *TrafficType) { t.MaxAttempts = 1 }, func(r *harness) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{Reject}},
+		"a retry":          {0, func(*TrafficType) {}, func(r *harness) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{SendAttempt}},
+		"one attempt only": {0, func(t *TrafficType) { t.MaxAttempts = 1 }, func(r *harness) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{Reject}},
 		"no more than the settings": {2, func(t *TrafficType) { t.MaxAttempts = 9 }, func(r *harness) []Effect {
 			for i := range 3 {
 				r.end(time.Duration(10+i)*ms, 0, i, Unreachable)
 			}
 			return r.end(20*ms, 0, 3, Unreachable)
 		}, []EffectKind{Reject}},
-		"not after an error":     {0, func(t *TrafficType) { t.RetryOn = 1 << Overloaded }, func(r *harness) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{Reject}},
-		"but after a refusal":    {0, func(t *TrafficType) { t.RetryOn = 1 << Overloaded }, func(r *harness) []Effect { return r.end(50*ms, 0, 0, Overloaded) }, []EffectKind{SendAttempt}},
-		"a budget that is saved": {0, func(t *TrafficType) { t.RetryRatio = 1 }, func(r *harness) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{SendAttempt}},
-		"a budget that is used":  {0, func(t *TrafficType) { t.RetryRatio = 0.1 }, func(r *harness) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{Reject}},
-		"the floor of a budget":  {0, func(t *TrafficType) { t.RetryRatio, t.MinRetriesPerSecond = 0.1, 100 }, func(r *harness) []Effect { r.at(40*ms, Input{Kind: TimerFired}); return r.end(50*ms, 0, 0, Failure) }, []EffectKind{SendAttempt}},
-		"no copy without a word": {0, func(*TrafficType) {}, func(r *harness) []Effect { return r.at(200*ms, Input{Kind: TimerFired}) }, nil},
-		"a copy":                 {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *harness) []Effect { return r.at(60*ms, Input{Kind: TimerFired}) }, []EffectKind{SendAttempt}},
-		"not before its time":    {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *harness) []Effect { return r.at(40*ms, Input{Kind: TimerFired}) }, nil},
-		"not beyond its budget":  {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 0.5 }, func(r *harness) []Effect { return r.at(60*ms, Input{Kind: TimerFired}) }, nil},
-		"one copy only": {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *harness) []Effect {
+		"not after an error":          {0, func(t *TrafficType) { t.RetryOn = 1 << Overloaded }, func(r *harness) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{Reject}},
+		"but after overload":          {0, func(t *TrafficType) { t.RetryOn = 1 << Overloaded }, func(r *harness) []Effect { return r.end(50*ms, 0, 0, Overloaded) }, []EffectKind{SendAttempt}},
+		"within the retry budget":     {0, func(t *TrafficType) { t.RetryRatio = 1 }, func(r *harness) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{SendAttempt}},
+		"beyond the retry budget":     {0, func(t *TrafficType) { t.RetryRatio = 0.1 }, func(r *harness) []Effect { return r.end(50*ms, 0, 0, Failure) }, []EffectKind{Reject}},
+		"minimum of the retry budget": {0, func(t *TrafficType) { t.RetryRatio, t.MinRetriesPerSecond = 0.1, 100 }, func(r *harness) []Effect { r.at(40*ms, Input{Kind: TimerFired}); return r.end(50*ms, 0, 0, Failure) }, []EffectKind{SendAttempt}},
+		"no hedging without a delay":  {0, func(*TrafficType) {}, func(r *harness) []Effect { return r.at(200*ms, Input{Kind: TimerFired}) }, nil},
+		"hedged":                      {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *harness) []Effect { return r.at(60*ms, Input{Kind: TimerFired}) }, []EffectKind{SendAttempt}},
+		"not before its time":         {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *harness) []Effect { return r.at(40*ms, Input{Kind: TimerFired}) }, nil},
+		"not beyond its budget":       {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 0.5 }, func(r *harness) []Effect { return r.at(60*ms, Input{Kind: TimerFired}) }, nil},
+		"hedged once only": {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *harness) []Effect {
 			r.at(60*ms, Input{Kind: TimerFired})
 			return r.at(160*ms, Input{Kind: TimerFired})
 		}, nil},
-		"never of a binding type": {2, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *harness) []Effect { return r.at(60*ms, Input{Kind: TimerFired}) }, nil},
-		"the first fails, the copy is out": {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *harness) []Effect {
+		"non-idempotent is not hedged": {2, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *harness) []Effect { return r.at(60*ms, Input{Kind: TimerFired}) }, nil},
+		"the first fails, the hedged one is in flight": {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *harness) []Effect {
 			r.at(60*ms, Input{Kind: TimerFired})
 			return r.end(70*ms, 0, 0, Failure)
 		}, nil},
@@ -45,25 +45,25 @@
 			r.end(70*ms, 0, 0, Failure)
 			return r.end(75*ms, 0, 1, Failure)
 		}, []EffectKind{SendAttempt}},
-		"the copy answers, the first later": {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *harness) []Effect {
+		"the hedged one answers first": {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *harness) []Effect {
 			r.at(60*ms, Input{Kind: TimerFired})
 			r.end(70*ms, 0, 1, Success)
 			return r.end(71*ms, 0, 0, Canceled)
 		}, nil},
-		"a copy of a mark in its group only": {1, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *harness) []Effect {
+		"hedged with a key in its scope only": {1, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }, func(r *harness) []Effect {
 			e := r.at(60*ms, Input{Kind: TimerFired})
 			for _, x := range e {
 				if x.Kind == SendAttempt && r.servers.zone[x.Server] != r.servers.zone[r.request(0).attempts[0].server] {
-					r.t.Error("sent to another group")
+					r.t.Error("sent outside the key scope")
 				}
 			}
 			return e
 		}, []EffectKind{SendAttempt}},
-		"no copy past the window": {1, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio, t.KeyRetention = 50*ms, 1, 40*ms }, func(r *harness) []Effect { return r.at(60*ms, Input{Kind: TimerFired}) }, nil},
+		"not hedged past the key retention": {1, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio, t.KeyRetention = 50*ms, 1, 40*ms }, func(r *harness) []Effect { return r.at(60*ms, Input{Kind: TimerFired}) }, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRouteHarness(t, 6, c.kind, c.change)
-			if _, e := r.arriveAt(0, c.kind, 2*time.Second); !slices.Equal(effectKinds(e), []EffectKind{SendAttempt}) {
+			r := newRouteHarness(t, 6, c.trafficType, c.change)
+			if _, e := r.arriveAt(0, c.trafficType, 2*time.Second); !slices.Equal(effectKinds(e), []EffectKind{SendAttempt}) {
 				t.Fatalf("on arrival: %v", e)
 			}
 			if got := effectKinds(c.play(r)); !slices.Equal(got, c.want) {
@@ -93,11 +93,11 @@
 	}
 	label(3, 2)
 	for range 5 {
-		op, e := r.arriveAt(r.now, 0, 2*time.Second)
+		id, e := r.arriveAt(r.now, 0, 2*time.Second)
 		if len(e) != 1 || e[0].Kind != SendAttempt || e[0].Server != 3 {
 			t.Fatalf("sent as %+v", e)
 		}
-		r.end(r.now, op, 0, Success)
+		r.end(r.now, id, 0, Success)
 	}
 	label(3, 1)
 	waits, e := r.arriveAt(r.now, 0, 2*time.Second)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -12,29 +12,29 @@
 		most     int
 		unbarred time.Duration
 	}{
-		"told start":       {Endpoint{Server: 2, Weight: 1, StartedAt: 9 * time.Second, HasStartTime: true}, Incremental, 20, 18 * time.Second},
-		"first appearance": {Endpoint{Server: 2, Weight: 1}, Incremental, 20, 19 * time.Second},
-		"started long ago": {Endpoint{Server: 2, Weight: 1, StartedAt: -60 * time.Second, HasStartTime: true}, Incremental, 1000, 10 * time.Second},
+		"start time listed": {Endpoint{Server: 2, Weight: 1, StartedAt: 9 * time.Second, HasStartTime: true}, Incremental, 20, 18 * time.Second},
+		"first appearance":  {Endpoint{Server: 2, Weight: 1}, Incremental, 20, 19 * time.Second},
+		"started long ago":  {Endpoint{Server: 2, Weight: 1, StartedAt: -60 * time.Second, HasStartTime: true}, Incremental, 1000, 10 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, 2, nil).fillSubset()
 			r.at(10*time.Second, Input{Kind: EndpointsUpdated, Scope: c.scope, Endpoints: []Endpoint{c.member}})
 			sent := 0
 			for now := 10 * time.Second; now < 12*time.Second; now += 10 * ms {
-				op, got := r.arriveAt(now, 0, time.Second)
+				id, got := r.arriveAt(now, 0, time.Second)
 				for _, e := range append(got, r.at(now, Input{Kind: TimerFired})...) {
 					if e.Kind == SendAttempt && e.Server == 2 {
 						sent++
 					}
 				}
-				r.end(now, op, 0, Success)
+				r.end(now, id, 0, Success)
 			}
 			if sent > c.most || sent == 0 {
 				t.Errorf("sent %d in two seconds, at most %d", sent, c.most)
 			}
 			r.at(c.unbarred, Input{Kind: TimerFired})
 			if r.slowStart.servers.Has(2) {
-				t.Error("still held for cold")
+				t.Error("still in slow start")
 			}
 		})
 	}
@@ -45,16 +45,16 @@
 		lost time.Duration
 		cold bool
 	}{
-		"a short loss":           {500 * ms, false},
-		"long enough to restart": {2 * time.Second, true},
+		"unreachable for a short time": {500 * ms, false},
+		"long enough to restart":       {2 * time.Second, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, 1, nil)
-			op, _ := r.arriveAt(time.Second, 0, time.Second)
-			r.end(time.Second, op, 0, Unreachable)
-			r.end(time.Second+c.lost, op, 1, Success) // it had been sent there again at once
+			id, _ := r.arriveAt(time.Second, 0, time.Second)
+			r.end(time.Second, id, 0, Unreachable)
+			r.end(time.Second+c.lost, id, 1, Success) // it had been sent there again at once
 			if r.slowStart.servers.Has(0) != c.cold {
-				t.Errorf("cold: %v", r.slowStart.servers.Has(0))
+				t.Errorf("slow start: %v", r.slowStart.servers.Has(0))
 			}
 		})
 	}
@@ -63,7 +63,7 @@
 // TestSlowStartOverAllNodes checks that what all nodes together grant a server in slow start, and hold at the end,
 // is within its budget.
 func TestSlowStartOverAllNodes(t *testing.T) {
-	for name, refusals := range map[string]int{"others answer": 0, "others refuse": 10} {
+	for name, refusals := range map[string]int{"others answer": 0, "others are overloaded": 10} {
 		t.Run(name, func(t *testing.T) {
 			granted, held, most, pace := 0.0, 0.0, 0.0, 0.0
 			for me := range 90 {
@@ -97,13 +97,13 @@
 	const seconds, step = 40, 20 * ms
 	for name, c := range map[string]struct {
 		live        bool
-		cold        float64 // its scale; the nine others have 0.1
+		cold        float64 // its weight; the nine others have 0.1
 		least, most float64 // tokens a second
 	}{
-		"live, holds nothing yet":         {true, 1, 0.3, 1.6},
-		"live, holds much itself":         {true, 0.1, 0.3, 1.6},
-		"nominal, ten times the size":     {false, 1, 4, 12},
-		"nominal, as small as the others": {false, 0.1, 0.3, 1.6},
+		"follow load, idle":             {true, 1, 0.3, 1.6},
+		"follow load, busy":             {true, 0.1, 0.3, 1.6},
+		"fixed, ten times the size":     {false, 1, 4, 12},
+		"fixed, as small as the others": {false, 0.1, 0.3, 1.6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, 10, func(s *Settings) {
@@ -114,7 +114,7 @@
 			}
 			r.servers.listedWeight[0] = c.cold
 			r.startSlowStart(0, 0)
-			for k := range r.latency.typical { // so that the least pace does not count
+			for k := range r.latency.typical { // so that the least rate does not count
 				r.latency.typical[k] = time.Hour
 			}
 			r.concurrency.successRate = 50
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -10,15 +10,15 @@
 
 func TestSubsetGrowsWhenBusy(t *testing.T) {
 	for name, c := range map[string]struct {
-		servers, out int // hops held out at once
-		resting      bool
+		servers, out int // attempts held in flight at once
+		ejected      bool
 		want         int
 	}{
 		"one at a time":         {10, 1, false, 1},
 		"all busy: one more":    {10, 4, false, 4},
 		"no more than there is": {3, 8, false, 3},
 		"one server alone":      {1, 3, false, 1},
-		"for a resting one":     {10, 1, true, 2},
+		"for an ejected one":    {10, 1, true, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, c.servers, nil)
@@ -27,14 +27,14 @@
 				if _, got := r.arriveAt(time.Second, 0, time.Second); len(got) != 1 {
 					t.Fatalf("not sent: %v", got)
 				}
-				if c.resting {
+				if c.ejected {
 					r.end(time.Second, r.arrivals-1, 0, Success)
 					r.outliers.ejections.SetEjectedUntil(r.subset.members[0], failures.AllTypes, 2*time.Second)
 					r.arriveAt(time.Second, 0, time.Second)
 				}
 			}
 			if len(r.subset.members) != c.want {
-				t.Errorf("%d taken in, want %d", len(r.subset.members), c.want)
+				t.Errorf("%d in the subset, want %d", len(r.subset.members), c.want)
 			}
 		})
 	}
@@ -51,7 +51,7 @@
 		r.at(now, Input{Kind: TimerFired})
 	}
 	if len(r.subset.members) != subsetSlack {
-		t.Errorf("%d taken in with nothing to do", len(r.subset.members))
+		t.Errorf("%d in the subset with nothing to do", len(r.subset.members))
 	}
 	r.fillSubset()
 	r.concurrency.successRate = 6 * judgingAnswersPerSecond // enough to judge all six
@@ -68,12 +68,12 @@
 		r := newHarness(t, servers, func(s *Settings) { s.NodeCount, s.NodeIndex, s.Zone = nodes, me, me%2 })
 		r.arriveAt(0, 0, time.Second)
 		if met[r.subset.members[0]]++; r.subset.members[0]%2 != me%2 {
-			t.Errorf("node %d starts at another location", me)
+			t.Errorf("node %d starts in another zone", me)
 		}
 	}
 	for s, n := range met {
-		if n < 1 || n > 4 { // 2.5 in the mean; by chance alone some would be met by none
-			t.Errorf("server %d is met by %d nodes", s, n)
+		if n < 1 || n > 4 { // 2.5 in the mean; by chance alone some would be used by none
+			t.Errorf("server %d is used by %d nodes", s, n)
 		}
 	}
 }
@@ -90,11 +90,11 @@
 		list[i*1_000].Labels = label | 1
 	}
 	p.Handle(0, &Input{Kind: EndpointsUpdated, Scope: Full, Endpoints: list}, nil)
-	for op := range 2 * pooled { // the first ones take them in
-		p.Handle(0, &Input{Kind: RequestArrived, Request: op, Timeout: time.Second}, nil)
+	for id := range 2 * pooled { // the first ones put them into the subset
+		p.Handle(0, &Input{Kind: RequestArrived, Request: id, Timeout: time.Second}, nil)
 	}
 	if len(p.subset.members) != pooled || p.readiness.ReadyWithLabels(label) != pooled {
-		t.Fatalf("%d of %d taken in, counted %d", len(p.subset.members), pooled, p.readiness.ReadyWithLabels(label))
+		t.Fatalf("%d of %d in the subset, counted %d", len(p.subset.members), pooled, p.readiness.ReadyWithLabels(label))
 	}
 	from := p.subset.rotation.Steps()
 	effects := p.Handle(0, &Input{Kind: RequestArrived, Request: 2 * pooled, Timeout: time.Second}, nil)
@@ -103,7 +103,7 @@
 	}
 	p.Handle(0, &Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 7, Rank: list[7].Rank, Labels: label, StartedAt: -time.Hour, HasStartTime: true}}}, nil)
 	if p.Handle(0, &Input{Kind: RequestArrived, Request: 2*pooled + 1, Timeout: time.Second}, nil); !p.subset.contains[7] {
-		t.Error("one that has come to the pool is not taken in")
+		t.Error("a server that joined the pool is not in the subset")
 	}
 	p.Handle(0, &Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 7, Condition: Draining, Labels: label}}}, nil)
 	if p.readiness.ReadyWithLabels(label) != pooled || !p.isAllInSubset(&TrafficType{PoolLabels: label}) {
@@ -116,9 +116,9 @@
 func TestUnreachableServerLeavesSubset(t *testing.T) {
 	connects := func(s *Settings) { s.ConnectTimeout = time.Second }
 	r := newHarness(t, 8, connects).fillSubset()
-	op, sent := r.arriveAt(0, 0, time.Second)
+	id, sent := r.arriveAt(0, 0, time.Second)
 	s := sent[0].Server
-	if got := effectKinds(r.end(5*ms, op, 0, Unreachable)); !slices.Equal(got, []EffectKind{CloseIdle, SendAttempt}) || r.subset.contains[s] || len(r.subset.members) != 7 {
+	if got := effectKinds(r.end(5*ms, id, 0, Unreachable)); !slices.Equal(got, []EffectKind{CloseIdle, SendAttempt}) || r.subset.contains[s] || len(r.subset.members) != 7 {
 		t.Errorf("server %d of %v, %v", s, r.subset.members, got)
 	}
 	r.concurrency.grown = 100
@@ -129,8 +129,8 @@
 		t.Errorf("server %d stays out of %v", s, r.subset.members)
 	}
 	few := newHarness(t, 2, connects).fillSubset()
-	op, sent = few.arriveAt(0, 0, time.Second)
-	if few.end(5*ms, op, 0, Unreachable); !few.subset.contains[sent[0].Server] {
+	id, sent = few.arriveAt(0, 0, time.Second)
+	if few.end(5*ms, id, 0, Unreachable); !few.subset.contains[sent[0].Server] {
 		t.Error("one of two has left, though both are needed")
 	}
 }
--- a/policy/suspicion_test.go
+++ b/policy/suspicion_test.go
@@ -9,16 +9,16 @@
 func TestUnlistedServers(t *testing.T) {
 	for name, c := range map[string]struct {
 		only  bool
-		lists []map[int]Condition // whole ones, of servers in other conditions; the first server is looked at
+		lists []map[int]Condition // full ones, by conditions other than Up; server 0 is checked
 		ready bool
 	}{
-		"gone binds":                {false, []map[int]Condition{{0: Removed}}, false},
-		"all gone":                  {true, []map[int]Condition{{0: Removed, 1: Removed, 2: Removed, 3: Removed}}, true},
-		"draining":                  {true, []map[int]Condition{{0: Draining}}, false},
-		"draining, then gone":       {true, []map[int]Condition{{0: Draining}, {0: Removed}}, false},
-		"gone, then draining":       {true, []map[int]Condition{{0: Removed}, {0: Draining}}, false},
-		"draining, gone, and anew":  {true, []map[int]Condition{{0: Draining}, {0: Removed}, nil}, true},
-		"gone twice, and yet there": {true, []map[int]Condition{{0: Removed}, {0: Removed}}, true},
+		"removal binds":                   {false, []map[int]Condition{{0: Removed}}, false},
+		"all removed":                     {true, []map[int]Condition{{0: Removed, 1: Removed, 2: Removed, 3: Removed}}, true},
+		"draining":                        {true, []map[int]Condition{{0: Draining}}, false},
+		"draining, then removed":          {true, []map[int]Condition{{0: Draining}, {0: Removed}}, false},
+		"removed, then draining":          {true, []map[int]Condition{{0: Removed}, {0: Draining}}, false},
+		"draining, removed, listed again": {true, []map[int]Condition{{0: Draining}, {0: Removed}, nil}, true},
+		"removed twice":                   {true, []map[int]Condition{{0: Removed}, {0: Removed}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, 4, func(s *Settings) { s.UnlistedUsable = c.only }).fillSubset()
@@ -32,7 +32,7 @@
 				r.at(time.Second, Input{Kind: EndpointsUpdated, Scope: Full, Endpoints: list})
 			}
 			if r.readiness.Ready(0) != c.ready || r.isExcluded(0, &request{keyServer: -1}) == c.ready || r.slowStart.servers.Has(0) && c.only {
-				t.Errorf("may be sent to: %v, cold %v", r.readiness.Ready(0), r.slowStart.servers.Has(0))
+				t.Errorf("ready %v, slow start %v", r.readiness.Ready(0), r.slowStart.servers.Has(0))
 			}
 		})
 	}
@@ -47,19 +47,19 @@
 		r.at(r.now, Input{Kind: EndpointsUpdated, Scope: Incremental, Endpoints: []Endpoint{{Server: 0, Weight: 1, Condition: c}}})
 	}
 	tell(Removed)
-	for i, how := range []Outcome{Unreachable, Unreachable, Unreachable, Success, Success} {
+	for i, outcome := range []Outcome{Unreachable, Unreachable, Unreachable, Success, Success} {
 		r.now += 50 * ms
-		if r.recordOutcome(0, &request{objectiveAt: r.now + 400*ms}, r.now-10*ms, how); r.suspicion.level[0] != [...]int{2, 3, 3, 2, 1}[i] {
-			t.Errorf("end %d: %d steps down", i, r.suspicion.level[0])
+		if r.recordOutcome(0, &request{objectiveAt: r.now + 400*ms}, r.now-10*ms, outcome); r.suspicion.level[0] != [...]int{2, 3, 3, 2, 1}[i] {
+			t.Errorf("outcome %d: level %d", i, r.suspicion.level[0])
 		}
 	}
 	tell(Up)
 	r.latency.slowness[0] = 1
 	if r.updateWeights(); r.picker.weight[0] != r.picker.weight[1]/4 || r.slowStart.servers.Has(0) {
-		t.Errorf("weight %g beside %g, cold %v", r.picker.weight[0], r.picker.weight[1], r.slowStart.servers.Has(0))
+		t.Errorf("weight %g beside %g, slow start %v", r.picker.weight[0], r.picker.weight[1], r.slowStart.servers.Has(0))
 	}
 	tell(Removed)
 	if r.at(r.now+unlistedRetention+time.Second, Input{Kind: TimerFired}); r.readiness.Ready(0) {
-		t.Error("kept for ever")
+		t.Error("kept forever")
 	}
 }
--- a/policy/traffictype_test.go
+++ b/policy/traffictype_test.go
@@ -12,8 +12,8 @@
 func TestTrafficTypesChange(t *testing.T) {
 	r := newRouteHarness(t, 6, 0, func(*TrafficType) {})
 	for range 30 {
-		op, _ := r.arriveAt(r.now, 0, 2*time.Second)
-		r.end(r.now+30*ms, op, 0, Success)
+		id, _ := r.arriveAt(r.now, 0, 2*time.Second)
+		r.end(r.now+30*ms, id, 0, Success)
 	}
 	held, _ := r.arriveAt(r.now, 0, 2*time.Second)
 	types := slices.Clone(r.settings.TrafficTypes)
@@ -26,9 +26,9 @@
 		t.Errorf("learned %s, kept %s, passed on %s, order %v", learned, r.latency.typical[0], r.latency.typical[4], r.admission.classes)
 	}
 	fresh, _ := r.arriveAt(r.now, 4, 2*time.Second)
-	for op, want := range map[int]EffectKind{held: SendAttempt, fresh: Reject} {
-		if e := effectKinds(r.end(r.now+10*ms, op, 0, Failure)); !slices.Equal(e, []EffectKind{want}) {
-			t.Errorf("operation %d then gets %v", op, e)
+	for id, want := range map[int]EffectKind{held: SendAttempt, fresh: Reject} {
+		if e := effectKinds(r.end(r.now+10*ms, id, 0, Failure)); !slices.Equal(e, []EffectKind{want}) {
+			t.Errorf("request %d then gets %v", id, e)
 		}
 	}
 	order := slices.Clone(r.admission.classes)
--- a/policy/whatif_test.go
+++ b/policy/whatif_test.go
@@ -24,13 +24,13 @@
 	}
 	for i := range 400 {
 		now := time.Duration(i) * 7 * ms
-		op := r.arrivals
+		id := r.arrivals
 		r.arrivals++
-		all = append(all, give(now, Input{Kind: RequestArrived, Request: op, TrafficType: i % 4, Tenant: i % 2, Key: uint32(i % 9), Timeout: time.Second})...)
+		all = append(all, give(now, Input{Kind: RequestArrived, Request: id, TrafficType: i % 4, Tenant: i % 2, Key: uint32(i % 9), Timeout: time.Second})...)
 		all = append(all, give(now, Input{Kind: TimerFired})...)
 		if i%3 > 0 {
-			how := Outcome(i % 8)
-			all = append(all, give(now+5*ms, Input{Kind: AttemptEnded, Request: op, Outcome: how, ClientAnswered: how == Success})...)
+			outcome := Outcome(i % 8)
+			all = append(all, give(now+5*ms, Input{Kind: AttemptEnded, Request: id, Outcome: outcome, ClientAnswered: outcome == Success})...)
 		}
 	}
 	return all, differ
@@ -57,7 +57,7 @@
 				return r.WhatIf(&s, now, in, nil)
 			})
 			if !reflect.DeepEqual(alone, watched) {
-				t.Error("the module decided otherwise for being watched")
+				t.Error("decisions changed because WhatIf was called")
 			}
 			if (differ == 0) != c.same {
 				t.Errorf("%d inputs with a difference", differ)
@@ -73,7 +73,7 @@
 	other := r.settings
 	r.WhatIf(&other, 0, &Input{Kind: QuotasChanged, Quotas: []Quota{{Tenant: 0, PerSecond: 60}}}, nil)
 	if got := r.settings.TenantQuotas[0]; got != 50 {
-		t.Errorf("the allowance is %v, not 50", got)
+		t.Errorf("the quota is %v, not 50", got)
 	}
 }
 
@@ -83,8 +83,8 @@
 	r.quotas.withinQuotaShares = []float64{1}
 	r.readiness.SetLabels(0, 1)
 	r.readiness.SetPlacements(0, 1)
-	op, _ := r.arriveAt(0, 0, time.Second)
-	c := r.clone(op)
+	id, _ := r.arriveAt(0, 0, time.Second)
+	c := r.clone(id)
 	var look func(name string, a, b reflect.Value)
 	look = func(name string, a, b reflect.Value) {
 		switch a.Kind() {
@@ -101,12 +101,12 @@
 			}
 		case reflect.Struct:
 			for i := range a.NumField() {
-				if f := a.Type().Field(i).Name; f != "settings" && f != "transitions" && f != "effects" { // read only, or set anew
+				if f := a.Type().Field(i).Name; f != "settings" && f != "transitions" && f != "effects" { // read only, or replaced
 					look(name+"."+f, a.Field(i), b.Field(i))
 				}
 			}
 		case reflect.Map, reflect.Pointer, reflect.Chan:
-			t.Errorf("%s: copied does not know of it", name)
+			t.Errorf("%s: clone does not know of it", name)
 		}
 	}
 	look("p", reflect.ValueOf(r.Policy).Elem(), reflect.ValueOf(c).Elem())
