--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -18,7 +18,7 @@
 	arrive = "arrival\tjob=00000000000000aa\tservice=0\ttimeBudget=900\tnew=1\n"
 )
 
-// placed are servers in two zones and of two kinds, and drain tells that one of them drains.
+// placed is a list of servers in two zones and of two machine kinds, and drain a notice that one of them drains.
 const (
 	placed = "manifest\tlist=0\tentries=3\nentry\tserver=9\thall=0\tclassOfHost=1\tcondition=up\n" +
 		"entry\tserver=8\thall=1\tclassOfHost=1\tcondition=up\nentry\tserver=7\thall=0\tclassOfHost=2\tcondition=up\n"
@@ -26,42 +26,42 @@
 		"discovery\tscope=INCREMENTAL\tindex=2\tlist=1\n"
 )
 
-// bound starts an instance whose settings have further keys in the traffic type and in the rules.
-func bound(kind, rules string) string {
-	text := strings.Replace(start("3"), `"idempotency"`, kind+`,"idempotency"`, 1)
+// bound starts an instance with more keys in the traffic type and the rules of its settings.
+func bound(trafficType, rules string) string {
+	text := strings.Replace(start("3"), `"idempotency"`, trafficType+`,"idempotency"`, 1)
 	return strings.Replace(text, `"cold":5000`, rules+`"cold":5000`, 1)
 }
 
-func batch(lines string) string { return "batch\tnow=1000.5\n" + lines + "eof_batch\n\n" }
+func batch(endpoints string) string { return "batch\tnow=1000.5\n" + endpoints + "eof_batch\n\n" }
 
 func TestRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		in, want, never, wantErr, fails string
 	}{
-		"an empty batch":          {in: batch(""), want: "eor\n"},
-		"a list number reused":    {in: batch(start("3") + list + saved + arrive), want: "forward\tjob=00000000000000aa\tserver=8\tallowFor="},
-		"two instances":           {in: batch(start("3") + list + saved + start("4") + saved + "target_instance\twho=3\n" + arrive), want: "from\twho=3\nforward"},
-		"killed and back":         {in: batch(start("3") + list + saved + arrive + "killed\n" + start("3") + saved + arrive), want: "forward\tjob=00000000000000aa\tserver=8"},
-		"a broken number":         {in: batch(start("3") + "arrival\tjob=00000000000000aa\ttimeBudget=x\n" + list + saved), want: "eor\n", wantErr: "timeBudget is not a time"},
-		"an unknown message":      {in: batch(start("3") + "surprise\ta=b\n"), want: "eor\n", wantErr: "unknown message"},
-		"an unknown request":      {in: batch(start("3") + list + saved + "verdict\tjob=00000000000000ab\tserver=8\tverdict=success\n"), want: "eor\n", wantErr: "unknown request or server"},
-		"an instance not started": {in: batch("target_instance\twho=6\n" + arrive), want: "eor\n", wantErr: "does not run"},
+		"an empty batch":           {in: batch(""), want: "eor\n"},
+		"a list number reused":     {in: batch(start("3") + list + saved + arrive), want: "forward\tjob=00000000000000aa\tserver=8\tallowFor="},
+		"two instances":            {in: batch(start("3") + list + saved + start("4") + saved + "target_instance\twho=3\n" + arrive), want: "from\twho=3\nforward"},
+		"killed and started again": {in: batch(start("3") + list + saved + arrive + "killed\n" + start("3") + saved + arrive), want: "forward\tjob=00000000000000aa\tserver=8"},
+		"a broken number":          {in: batch(start("3") + "arrival\tjob=00000000000000aa\ttimeBudget=x\n" + list + saved), want: "eor\n", wantErr: "timeBudget is not a time"},
+		"an unknown message":       {in: batch(start("3") + "surprise\ta=b\n"), want: "eor\n", wantErr: "unknown message"},
+		"an unknown request":       {in: batch(start("3") + list + saved + "verdict\tjob=00000000000000ab\tserver=8\tverdict=success\n"), want: "eor\n", wantErr: "unknown request or server"},
+		"an instance not started":  {in: batch("target_instance\twho=6\n" + arrive), want: "eor\n", wantErr: "does not run"},
 		"a stream begins and ends": {in: batch(start("3")+list+saved+arrive+"begun\tjob=00000000000000aa\tn=0\tserver=8\tspent=1\n") +
 			batch("target_instance\twho=3\nverdict\tjob=00000000000000aa\tn=0\tserver=8\tverdict=broken\tfinal=1\n"), want: "eor\nfrom\twho=3\neor\n"},
-		"left and unknown":         {in: batch(start("3") + "left\tjob=00000000000000ab\n"), want: "eor\n"},
-		"an unknown type":          {in: batch(start("3") + list + saved + "arrival\tjob=00000000000000aa\tservice=7\ttimeBudget=900\n"), want: "turn_away\tjob=00000000000000aa"},
-		"settings of no use":       {in: batch("target_instance\twho=3\npower_on\tentropy=5\tenv={\n"), want: "broken\tmessage=settings cannot be read"},
-		"settings without types":   {in: batch("target_instance\twho=3\npower_on\tentropy=5\tenv={\"limits\":{\"mostHops\":1}}\n"), want: "broken\tmessage=settings name no traffic types"},
-		"end in mid-batch":         {in: "batch\tnow=1\ntarget_instance\twho=3\n", fails: "middle of a batch"},
-		"end in mid-line":          {in: "batch\tno", fails: "middle of a batch"},
-		"a type bound to a zone":   {in: batch(bound(`"dcsOnly":[1]`, "") + placed + saved + arrive), want: "forward\tjob=00000000000000aa\tserver=8\t"},
-		"a type bound to a kind":   {in: batch(bound(`"allowedOn":[2]`, "") + placed + saved + arrive), want: "forward\tjob=00000000000000aa\tserver=7\t"},
-		"bound to a zone of none":  {in: batch(bound(`"dcsOnly":[5]`, "") + placed + saved + arrive), want: "eor\n", never: "forward"},
-		"a zone that is no number": {in: batch(bound(`"dcsOnly":[{}]`, "")), want: "broken\tmessage=traffic type 0: dcsOnly"},
-		"a drain":                  {in: batch(bound(`"dcsOnly":[1]`, `"drainClose":300,`) + placed + saved + arrive + drain), want: "release\tserver=8"},
-		"a drain without a time":   {in: batch(bound(`"dcsOnly":[1]`, "") + placed + saved + drain), want: "eor\n", never: "release"},
-		"a time below 0":           {in: batch(bound(`"dcsOnly":[1]`, `"drainClose":-1,`)), want: "broken\tmessage=rules.drainClose is -1"},
-		"megabytes":                {in: batch(start("3") + list + saved + strings.Repeat("left\tjob=00000000000000ab\tpad="+strings.Repeat("x", 1000)+"\n", 3000)), want: "eor\n"},
+		"unknown request left":            {in: batch(start("3") + "left\tjob=00000000000000ab\n"), want: "eor\n"},
+		"an unknown type":                 {in: batch(start("3") + list + saved + "arrival\tjob=00000000000000aa\tservice=7\ttimeBudget=900\n"), want: "turn_away\tjob=00000000000000aa"},
+		"unreadable settings":             {in: batch("target_instance\twho=3\npower_on\tentropy=5\tenv={\n"), want: "broken\tmessage=settings cannot be read"},
+		"settings without types":          {in: batch("target_instance\twho=3\npower_on\tentropy=5\tenv={\"limits\":{\"mostHops\":1}}\n"), want: "broken\tmessage=settings name no traffic types"},
+		"end in mid-batch":                {in: "batch\tnow=1\ntarget_instance\twho=3\n", fails: "middle of a batch"},
+		"end in mid-line":                 {in: "batch\tno", fails: "middle of a batch"},
+		"a type bound to a zone":          {in: batch(bound(`"dcsOnly":[1]`, "") + placed + saved + arrive), want: "forward\tjob=00000000000000aa\tserver=8\t"},
+		"a type bound to a machine kind":  {in: batch(bound(`"allowedOn":[2]`, "") + placed + saved + arrive), want: "forward\tjob=00000000000000aa\tserver=7\t"},
+		"bound to a zone without servers": {in: batch(bound(`"dcsOnly":[5]`, "") + placed + saved + arrive), want: "eor\n", never: "forward"},
+		"a zone that is no number":        {in: batch(bound(`"dcsOnly":[{}]`, "")), want: "broken\tmessage=traffic type 0: dcsOnly"},
+		"a drain notice":                  {in: batch(bound(`"dcsOnly":[1]`, `"drainClose":300,`) + placed + saved + arrive + drain), want: "release\tserver=8"},
+		"a drain notice without a time":   {in: batch(bound(`"dcsOnly":[1]`, "") + placed + saved + drain), want: "eor\n", never: "release"},
+		"a time below 0":                  {in: batch(bound(`"dcsOnly":[1]`, `"drainClose":-1,`)), want: "broken\tmessage=rules.drainClose is -1"},
+		"a batch of megabytes":            {in: batch(start("3") + list + saved + strings.Repeat("left\tjob=00000000000000ab\tpad="+strings.Repeat("x", 1000)+"\n", 3000)), want: "eor\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out, errs strings.Builder
@@ -82,7 +82,7 @@
 				t.Errorf("replied %q, with %q in it", out.String(), c.never)
 			}
 			if c.wantErr == "" && errs.Len() > 0 || !strings.Contains(errs.String(), c.wantErr) {
-				t.Errorf("complained %q, want %q", errs.String(), c.wantErr)
+				t.Errorf("warned %q, want %q", errs.String(), c.wantErr)
 			}
 		})
 	}
--- a/internal/collections/columns/columns_test.go
+++ b/internal/collections/columns/columns_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// Filling a column copies it a few times and not at each element.
+// TestPutDoubles checks that filling a column copies it a few times and not at each element.
 func TestPutDoubles(t *testing.T) {
 	const elements, most = 10_000, 30
 	var column []int
@@ -40,11 +40,11 @@
 		length int
 		want   []float64
 	}{
-		"longer":       {4, []float64{1, 2, 0, 0}},
-		"as it is":     {2, []float64{1, 2}},
-		"never cut":    {1, []float64{1, 2}},
-		"by one":       {3, []float64{1, 2, 0}},
-		"of no length": {0, []float64{1, 2}},
+		"longer":  {4, []float64{1, 2, 0, 0}},
+		"equal":   {2, []float64{1, 2}},
+		"shorter": {1, []float64{1, 2}},
+		"by one":  {3, []float64{1, 2, 0}},
+		"zero":    {0, []float64{1, 2}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			column := []float64{1, 2, 8, 8, 8}[:2]
@@ -79,7 +79,7 @@
 			had := d.Sum()
 			model[i] = value
 			if d.Set(i, value); copied.Sum() != had || i < copied.Len() && copied.At(i) == value && d.Sum() != had {
-				t.Fatal("a clone changes with the column")
+				t.Fatal("clone changed with the column")
 			}
 		}
 		want := time.Duration(0)
--- a/internal/collections/decay/decay_test.go
+++ b/internal/collections/decay/decay_test.go
@@ -9,19 +9,19 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
-func TestRecord(t *testing.T) {
+func TestFailureRate(t *testing.T) {
 	for name, c := range map[string]struct {
 		ends   []float64
 		memory float64
 		prior  float64
 		want   float64
 	}{
-		"none":                             {nil, 10, 3, 0},
-		"one failure among the prior":      {[]float64{1}, 10, 3, 0.25},
-		"half":                             {[]float64{1, 0}, math.Inf(1), 0, 0.5},
-		"older ones count less":            {[]float64{1, 0}, 2, 0, 0.5 / 1.5},
-		"the last counts most":             {[]float64{0, 1}, 2, 0, 1 / 1.5},
-		"many successes hide an old fault": {append([]float64{1}, make([]float64, 500)...), 10, 0, 0},
+		"none":                                   {nil, 10, 3, 0},
+		"one failure among the prior":            {[]float64{1}, 10, 3, 0.25},
+		"half":                                   {[]float64{1, 0}, math.Inf(1), 0, 0.5},
+		"older ones count less":                  {[]float64{1, 0}, 2, 0, 0.5 / 1.5},
+		"the last counts most":                   {[]float64{0, 1}, 2, 0, 1 / 1.5},
+		"many successes outweigh an old failure": {append([]float64{1}, make([]float64, 500)...), 10, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var r FailureRate
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestFadeKeepsNothingBelowTheLeast(t *testing.T) {
+func TestDecayClearsBelowTheLeast(t *testing.T) {
 	r := FailureRate{Failed: 1, Total: 8, LastSource: 3}
 	r.Decay(0.5, 1)
 	if want := (FailureRate{Failed: 0, Total: 4, LastSource: 3}); r != want {
@@ -46,27 +46,27 @@
 	}
 }
 
-// Only records that something was added to are faded, until nothing is left of them.
-func TestTableFadesWhatIsActive(t *testing.T) {
+// TestTableDecaysWhatIsActive checks that a walk visits only what was observed, until nothing is left of it.
+func TestTableDecaysWhatIsActive(t *testing.T) {
 	var table Table
 	for i := range 1_000 {
 		table.Reset(i)
 	}
 	table.Observe(7, 1, 10)
 	table.Observe(500, 0, 10)
-	table.At(9).Total = 1 // not through Add: no walk comes to it
+	table.At(9).Total = 1 // not by Observe: no walk visits it
 	before := table.Clone()
 	table.Decay(0.5, 0.4)
 	if got := slices.Collect(table.Active().All()); !slices.Equal(got, []int{7, 500}) || table.At(9).Total != 1 || table.At(7).Failed != 0.5 {
 		t.Errorf("active %v, %v, %v", got, table.At(9), table.At(7))
 	}
 	if before.At(7).Failed != 1 {
-		t.Error("a clone changes with the table")
+		t.Error("clone changed with the table")
 	}
 	from := table.Active().Visits()
 	table.Decay(0.5, 0.4)
 	if visited := table.Active().Visits() - from; table.Active().Len() != 0 || visited != 2 || *table.At(7) != (FailureRate{}) {
-		t.Errorf("%d active after all has faded, %d come to", table.Active().Len(), visited)
+		t.Errorf("%d active after all has decayed, %d visited", table.Active().Len(), visited)
 	}
 	table.Observe(3, 1, 10)
 	table.Reset(3)
--- a/internal/collections/ranktree/ranktree_test.go
+++ b/internal/collections/ranktree/ranktree_test.go
@@ -39,7 +39,7 @@
 		}
 		for rank, item := range model {
 			if tree.At(rank) != item || tree.Rank(item) != rank {
-				t.Fatalf("at %d stands %d, want %d, whose rank is %d", rank, tree.At(rank), item, tree.Rank(item))
+				t.Fatalf("at %d is %d, want %d, whose rank is %d", rank, tree.At(rank), item, tree.Rank(item))
 			}
 		}
 		if start := 3; len(model) > start {
--- a/internal/proxy/engine/bench_test.go
+++ b/internal/proxy/engine/bench_test.go
@@ -8,7 +8,7 @@
 	"fernvane/policy"
 )
 
-// still decides nothing, so that only the node's own part is measured.
+// idleDecider decides nothing, so that only the engine's own part is measured.
 type idleDecider struct{}
 
 func (idleDecider) Handle(time.Duration, *policy.Input, []policy.Effect) []policy.Effect { return nil }
--- a/internal/proxy/engine/engine_test.go
+++ b/internal/proxy/engine/engine_test.go
@@ -27,22 +27,22 @@
 		do   func(*Engine[uint32], *effectCounter)
 		held int
 	}{
-		"handled": {func(n *Engine[uint32], r *effectCounter) {
+		"answered": {func(n *Engine[uint32], r *effectCounter) {
 			n.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.Success, ClientAnswered: true}, r)
 		}, 0},
-		"left, the hop still out": {func(n *Engine[uint32], r *effectCounter) { n.ClientLeft(0, 7, r) }, 1},
-		"left, then the hop ends": {func(n *Engine[uint32], r *effectCounter) {
+		"client left, attempt in flight": {func(n *Engine[uint32], r *effectCounter) { n.ClientLeft(0, 7, r) }, 1},
+		"client left, then the attempt ends": {func(n *Engine[uint32], r *effectCounter) {
 			n.ClientLeft(0, 7, r)
 			n.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.TimedOut, ClientAnswered: true}, r)
 		}, 0},
-		"an unknown server's verdict is dropped": {func(n *Engine[uint32], r *effectCounter) {
+		"an outcome of an unknown server is ignored": {func(n *Engine[uint32], r *effectCounter) {
 			if n.AttemptEnded(0, 7, 6, policy.Input{Outcome: policy.Success, ClientAnswered: true}, r) {
-				t.Error("taken")
+				t.Error("accepted")
 			}
 		}, 1},
-		"the same id again is not taken": {func(n *Engine[uint32], r *effectCounter) {
+		"a request id in hand is not accepted again": {func(n *Engine[uint32], r *effectCounter) {
 			if n.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r) {
-				t.Error("taken")
+				t.Error("accepted")
 			}
 		}, 1},
 	} {
@@ -56,13 +56,13 @@
 			}
 			c.do(n, r)
 			if len(n.requestIndex) != c.held || len(n.requests)-len(n.freeRequests) != c.held {
-				t.Errorf("%d ids and %d indices held, want %d", len(n.requestIndex), len(n.requests)-len(n.freeRequests), c.held)
+				t.Errorf("%d ids and %d indices in use, want %d", len(n.requestIndex), len(n.requests)-len(n.freeRequests), c.held)
 			}
 		})
 	}
 }
 
-// Servers come and go under ever new ids: their indices are used again, but none that an operation still names.
+// TestServersAreForgotten checks that indices of removed servers are used again, but none that a request still refers to.
 func TestServersAreForgotten(t *testing.T) {
 	r := &effectCounter{}
 	n := New[uint32](0, policy.New(policy.Settings{NodeCount: 1, MaxAttempts: 1, TrafficTypes: []policy.TrafficType{
@@ -71,7 +71,7 @@
 		n.EndpointsUpdated(0, scope, []Endpoint[uint32]{{Server: server, Info: policy.Endpoint{Weight: 1, Condition: c, HasStartTime: true}}}, r)
 	}
 	list(policy.Full, 5, policy.Up)
-	n.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r) // its hop is out at server 5
+	n.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r) // its attempt is in flight at server 5
 	list(policy.Incremental, 5, policy.Removed)
 	list(policy.Incremental, 6, policy.Up)
 	if len(r.forgotten) > 0 || len(n.serverIDs) != 2 {
@@ -94,12 +94,12 @@
 	}
 }
 
-// A server that the list drops keeps its index while the module may still send to it, and no longer.
-func TestDroppedServersAreKept(t *testing.T) {
+// TestRetainedServersKeepTheirIndex checks that an unlisted server keeps its index while the policy may still send to it.
+func TestRetainedServersKeepTheirIndex(t *testing.T) {
 	r := &effectCounter{}
 	n := New[uint32](0, policy.New(policy.Settings{NodeCount: 1, MaxAttempts: 1, UnlistedUsable: true, TrafficTypes: []policy.TrafficType{
 		{LatencyObjective: 400 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1}}}, 1), r)
-	for id := range uint32(200) { // ever new ones, each dropped by the next list; the last by three empty ones
+	for id := range uint32(200) { // each omitted by the next list, the last one by three empty lists
 		n.EndpointsUpdated(0, policy.Full, []Endpoint[uint32]{{Server: id, Info: policy.Endpoint{HasStartTime: true, StartedAt: -time.Hour}}}, r)
 		n.TimerFired(0, r)
 	}
@@ -112,8 +112,8 @@
 	}
 }
 
-// What one change costs the node does not grow with the servers, nor with those that have gone and are in use still.
-func TestOneChangeCostsWhatItTouches(t *testing.T) {
+// TestCostOfOneChange checks that the cost of a change grows neither with the servers nor with the removed ones in use.
+func TestCostOfOneChange(t *testing.T) {
 	cost := func(servers int) (visits int, allocs float64) {
 		r := &effectCounter{}
 		n := New[uint32](0, idleDecider{}, r)
@@ -125,12 +125,12 @@
 	few, fewAllocs := cost(1_000)
 	many, manyAllocs := cost(20_000)
 	if few > 0 || many > 0 || manyAllocs > fewAllocs {
-		t.Errorf("%d servers come to and %g allocations among 1,000, %d and %g among 20,000", few, fewAllocs, many, manyAllocs)
+		t.Errorf("%d servers visited and %g allocations among 1,000, %d and %g among 20,000", few, fewAllocs, many, manyAllocs)
 	}
 }
 
-// Allowances reach the module as they are.
-func TestAllowancesReachTheModule(t *testing.T) {
+// TestQuotasReachTheDecider checks that quotas are handed on unchanged.
+func TestQuotasReachTheDecider(t *testing.T) {
 	var got []policy.Quota
 	r := &effectCounter{}
 	n := New[uint32](0, inputObserver(func(in *policy.Input) {
@@ -140,7 +140,7 @@
 	}), r)
 	n.QuotasChanged(time.Second, []policy.Quota{{Tenant: 7, PerSecond: 3}}, r)
 	if len(got) != 1 || got[0].Tenant != 7 || got[0].PerSecond != 3 {
-		t.Errorf("told %v", got)
+		t.Errorf("quotas %v", got)
 	}
 }
 
--- a/internal/proxy/engine/golden_test.go
+++ b/internal/proxy/engine/golden_test.go
@@ -16,14 +16,14 @@
 	"fernvane/policy"
 )
 
-// goldenFile holds, by seed, the hash of all effects of a random history as the module decided it before its indexes
-// were made sparse. A change that is meant to decide otherwise writes it anew with FERNVANE_GOLDEN=write.
+// goldenFile holds, by seed, the hash of all effects of a random history. A change that is meant to change decisions
+// writes it anew with FERNVANE_GOLDEN=write.
 const goldenFile = "effects.golden"
 
 const (
 	goldenSeeds     = 32
 	goldenSteps     = 12_000
-	firstSparseSeed = 24 // seeds from here on have many types and tenants, of which few have traffic at a time
+	firstSparseSeed = 24 // seeds from here on have many traffic types and tenants, of which few have traffic at a time
 )
 
 // TestEffectsAreAsRecorded plays long random histories and compares the hash of all effects with those on record.
@@ -57,7 +57,7 @@
 	}
 }
 
-// attempt is one that is out, as the stand-in for the network knows it.
+// attempt is an attempt in flight.
 type attempt struct {
 	request uint64
 	index   int
@@ -65,7 +65,8 @@
 	sent    time.Duration
 }
 
-// history drives a node with random inputs and hashes what the module makes of them.
+// history drives an engine with random inputs and hashes the effects. It stands between the engine and the policy and is
+// the engine's effect handler. The words that its methods hash are part of the golden hashes.
 type history struct {
 	rand          *rand.Rand
 	settings      policy.Settings
@@ -75,15 +76,15 @@
 	timerAt       time.Duration
 	requests      uint64
 	attempts      []attempt
-	attemptCounts map[uint64]int // attempts by request
+	attemptCounts map[uint64]int // by request
 	servers       []uint32       // listed now
 	nextID        uint32
-	effectCounts  [8]int // effects by kind
+	effectCounts  [8]int // by effect kind
 	decider       Decider
 	rankMod       uint32
 	sparse        bool
-	routeLimits   int     // beside the one without a limit
-	slowdownAt    float64 // attempts out at which servers slow down
+	routeLimits   int     // routes with a limit
+	slowdownAt    float64 // attempts in flight at which servers slow down
 	faultyUntil   map[uint32]time.Duration
 }
 
@@ -97,17 +98,17 @@
 	return effects
 }
 
-func (h *history) SendAttempt(job uint64, server uint32, _ time.Duration) {
-	fmt.Fprintln(h.hash, "forward", job, server)
-	h.attempts = append(h.attempts, attempt{job, h.attemptCounts[job], server, h.now})
-	h.attemptCounts[job]++
+func (h *history) SendAttempt(request uint64, server uint32, _ time.Duration) {
+	fmt.Fprintln(h.hash, "forward", request, server)
+	h.attempts = append(h.attempts, attempt{request, h.attemptCounts[request], server, h.now})
+	h.attemptCounts[request]++
 }
-func (h *history) Reject(job uint64, _ time.Duration) { fmt.Fprintln(h.hash, "reject", job) }
-func (h *history) Fail(job uint64)                    { fmt.Fprintln(h.hash, "abandon", job) }
-func (h *history) SetTimer(after time.Duration)       { h.timerAt = h.now + after }
-func (h *history) Subscribe()                         { fmt.Fprintln(h.hash, "listen") }
-func (h *history) CloseIdle(server uint32)            { fmt.Fprintln(h.hash, "release", server) }
-func (h *history) Forget(server uint32)               { fmt.Fprintln(h.hash, "forget", server) }
+func (h *history) Reject(request uint64, _ time.Duration) { fmt.Fprintln(h.hash, "reject", request) }
+func (h *history) Fail(request uint64)                    { fmt.Fprintln(h.hash, "abandon", request) }
+func (h *history) SetTimer(after time.Duration)           { h.timerAt = h.now + after }
+func (h *history) Subscribe()                             { fmt.Fprintln(h.hash, "listen") }
+func (h *history) CloseIdle(server uint32)                { fmt.Fprintln(h.hash, "release", server) }
+func (h *history) Forget(server uint32)                   { fmt.Fprintln(h.hash, "forget", server) }
 
 func newHistory(seed uint64) *history {
 	r := rand.New(rand.NewPCG(seed, 47))
@@ -132,7 +133,7 @@
 		}
 		h.sparse = true
 	}
-	h.rankMod = []uint32{1 << 31, 16}[seed%2] // few ranks bring ties
+	h.rankMod = []uint32{1 << 31, 16}[seed%2] // few ranks, so that some are equal
 	h.slowdownAt = 10 + float64(r.IntN(60))
 	h.decider = policy.New(h.settings, uint32(seed))
 	h.engine = New[uint32](0, h, h)
@@ -159,14 +160,14 @@
 	return t
 }
 
-// fresh makes lines of servers that were not there before.
-func (h *history) newEndpoints(n int) (lines []Endpoint[uint32]) {
+// newEndpoints returns entries of servers that were not listed before.
+func (h *history) newEndpoints(n int) (endpoints []Endpoint[uint32]) {
 	for range n {
 		h.nextID++
 		h.servers = append(h.servers, h.nextID)
-		lines = append(lines, h.endpoint(h.nextID, policy.Up))
+		endpoints = append(endpoints, h.endpoint(h.nextID, policy.Up))
 	}
-	return lines
+	return endpoints
 }
 
 func (h *history) endpoint(id uint32, condition policy.Condition) Endpoint[uint32] {
@@ -182,8 +183,8 @@
 	return Endpoint[uint32]{Server: id, Info: l}
 }
 
-func (h *history) updateEndpoints(scope policy.UpdateScope, lines []Endpoint[uint32]) {
-	h.engine.EndpointsUpdated(h.now, scope, lines, h)
+func (h *history) updateEndpoints(scope policy.UpdateScope, endpoints []Endpoint[uint32]) {
+	h.engine.EndpointsUpdated(h.now, scope, endpoints, h)
 }
 
 func (h *history) changeEndpoints() {
@@ -196,26 +197,26 @@
 		h.servers = append(h.servers[:i], h.servers[i+1:]...)
 		l := h.endpoint(id, policy.Condition(1+h.rand.IntN(2)))
 		l.Info.AddressReassigned = h.rand.IntN(3) == 0
-		lines := []Endpoint[uint32]{l}
+		endpoints := []Endpoint[uint32]{l}
 		if h.rand.IntN(2) == 0 {
-			lines = append(lines, h.newEndpoints(1)...)
+			endpoints = append(endpoints, h.newEndpoints(1)...)
 		}
-		h.updateEndpoints(policy.Incremental, lines)
+		h.updateEndpoints(policy.Incremental, endpoints)
 	case r < 15:
 		id := h.servers[h.rand.IntN(len(h.servers))]
 		h.updateEndpoints(policy.Incremental, []Endpoint[uint32]{h.endpoint(id, policy.Draining), h.endpoint(id, policy.Up)})
 	case r < 18:
-		var lines []Endpoint[uint32]
+		var endpoints []Endpoint[uint32]
 		kept := h.servers[:0:0]
 		drop := h.rand.Float64() * 0.5
 		for _, id := range h.servers {
 			if len(kept) < 2 || h.rand.Float64() > drop {
 				kept = append(kept, id)
-				lines = append(lines, h.endpoint(id, policy.Up))
+				endpoints = append(endpoints, h.endpoint(id, policy.Up))
 			}
 		}
 		h.servers = kept
-		h.updateEndpoints(policy.Full, append(lines, h.newEndpoints(h.rand.IntN(4))...))
+		h.updateEndpoints(policy.Full, append(endpoints, h.newEndpoints(h.rand.IntN(4))...))
 	default:
 		h.updateEndpoints(policy.Unavailable, nil)
 	}
@@ -258,18 +259,18 @@
 	h.engine.TrafficTypesChanged(h.now, policy.Input{TrafficTypes: types, LearnFrom: like, RouteLimits: []int{0, 5 + h.rand.IntN(30)}}, h)
 }
 
-// end ends an attempt by what its server is worth just now.
+// endAttempt ends an attempt, by whether its server is faulty now.
 func (h *history) endAttempt(i int) {
 	a := h.attempts[i]
 	h.attempts[i] = h.attempts[len(h.attempts)-1]
 	h.attempts = h.attempts[:len(h.attempts)-1]
-	how := policy.Success
+	outcome := policy.Success
 	if h.now < h.faultyUntil[a.server] {
-		how = []policy.Outcome{policy.Failure, policy.Overloaded, policy.TimedOut, policy.Unreachable, policy.ConnectionBroken}[int(a.server)%5]
+		outcome = []policy.Outcome{policy.Failure, policy.Overloaded, policy.TimedOut, policy.Unreachable, policy.ConnectionBroken}[int(a.server)%5]
 	} else if h.rand.IntN(40) == 0 {
-		how = policy.Outcome(h.rand.IntN(9))
+		outcome = policy.Outcome(h.rand.IntN(9))
 	}
-	h.engine.AttemptEnded(h.now, a.request, a.server, policy.Input{Attempt: a.index, Outcome: how, ClientAnswered: how == policy.Success}, h)
+	h.engine.AttemptEnded(h.now, a.request, a.server, policy.Input{Attempt: a.index, Outcome: outcome, ClientAnswered: outcome == policy.Success}, h)
 }
 
 func (h *history) step() {
@@ -305,7 +306,7 @@
 	}
 }
 
-// some draws one of n; where few have traffic, mostly one of six that are others after a while.
+// drawIndex draws one of n indices. In a sparse history it is mostly one of six, which are others after a while.
 func (h *history) drawIndex(n int) int {
 	if !h.sparse || h.rand.IntN(100) == 0 {
 		return h.rand.IntN(n)
--- a/policy/internal/leastsquares/leastsquares_test.go
+++ b/policy/internal/leastsquares/leastsquares_test.go
@@ -13,10 +13,10 @@
 	}{
 		"none":              {nil, false, 0},
 		"one point":         {[]float64{5}, false, 0},
-		"on top of another": {[]float64{5, 5}, false, 0},
+		"two at one time":   {[]float64{5, 5}, false, 0},
 		"falling":           {[]float64{9, 7, 5}, false, 0},
 		"two points":        {[]float64{10, 12}, true, 14},
-		"evenly":            {[]float64{1_000, 1_020, 1_040, 1_060}, true, 1_080},
+		"evenly spaced":     {[]float64{1_000, 1_020, 1_040, 1_060}, true, 1_080},
 		"one late of three": {[]float64{0, 1, 4}, true, 5.0/3 + 2*8.666666666666667/4},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -29,7 +29,7 @@
 			}
 			n := float64(len(c.x))
 			if got := line.XAt(n); math.Abs(got-c.next) > 1e-9*c.next {
-				t.Errorf("meets the next count at %g, want %g", got, c.next)
+				t.Errorf("next count at %g, want %g", got, c.next)
 			}
 		})
 	}
--- a/policy/internal/readiness/readiness_test.go
+++ b/policy/internal/readiness/readiness_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// server is what a walk of all servers would find.
+// server is what a walk would find of one server.
 type server struct {
 	ready, listed bool
 	labels        uint64
@@ -21,7 +21,7 @@
 	var unlisted []int
 	for s, m := range model {
 		if table.Ready(s) != m.ready || table.Listed(s) != m.listed || table.Labels(s) != m.labels || table.Placements(s) != m.met {
-			t.Fatalf("server %d: ready %v, listed %v, labels %x, meets %x, want %v", s, table.Ready(s), table.Listed(s), table.Labels(s), table.Placements(s), m)
+			t.Fatalf("server %d: ready %v, listed %v, labels %x, placements %x, want %v", s, table.Ready(s), table.Listed(s), table.Labels(s), table.Placements(s), m)
 		}
 		if m.listed {
 			listed++
@@ -42,7 +42,7 @@
 	}
 	if table.Len() != len(model) || table.ReadyCount() != ready || table.ListedCount() != listed || table.labels.ready != labelled ||
 		table.placements.ready != open {
-		t.Fatalf("%d servers, %d ready, %d listed, labels %v, open %v; want %d, %d, %d, %v, %v", table.Len(), table.ReadyCount(),
+		t.Fatalf("%d servers, %d ready, %d listed, labels %v, placements %v; want %d, %d, %d, %v, %v", table.Len(), table.ReadyCount(),
 			table.ListedCount(), table.labels.ready, table.placements.ready, len(model), ready, listed, labelled, open)
 	}
 	if got := slices.Collect(table.ReadyUnlisted().All()); !slices.Equal(got, unlisted) {
@@ -50,8 +50,8 @@
 	}
 }
 
-// Whatever is changed, the counts are those of a walk.
-func TestCountsAreThoseOfAWalk(t *testing.T) {
+// TestCountsMatchWalk checks that the counts are those of a walk, whatever is changed.
+func TestCountsMatchWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
 		var model []server
@@ -108,21 +108,21 @@
 	}
 }
 
-// WasListed tells of the moment before a list, however often the list has a server come and go.
+// TestWasListed checks that WasListed looks at the time before an update, whatever the update does with a server.
 func TestWasListed(t *testing.T) {
 	for name, c := range map[string]struct {
 		before bool // listed before
 		list   func(*Table)
 		want   bool
-		first  bool // nothing has asked yet as the list changes the server
+		first  bool // nothing has called WasListed before the update changes the server
 	}{
-		"listed, named again":       {true, func(t *Table) { t.SetListed(0, true) }, true, false},
-		"listed, gone":              {true, func(t *Table) { t.SetListed(0, false) }, true, false},
-		"listed, absent":            {true, func(t *Table) { t.UnlistAll() }, true, true},
-		"listed, absent, named":     {true, func(t *Table) { t.UnlistAll(); t.SetListed(0, true) }, true, true},
-		"listed, another's number":  {true, func(t *Table) { t.Add(0) }, true, true},
-		"not listed, named":         {false, func(t *Table) { t.SetListed(0, true) }, false, false},
-		"not listed, named, absent": {false, func(t *Table) { t.SetListed(0, true); t.SetListed(0, false) }, false, false},
+		"listed, listed again":        {true, func(t *Table) { t.SetListed(0, true) }, true, false},
+		"listed, removed":             {true, func(t *Table) { t.SetListed(0, false) }, true, false},
+		"listed, omitted":             {true, func(t *Table) { t.UnlistAll() }, true, true},
+		"listed, omitted, listed":     {true, func(t *Table) { t.UnlistAll(); t.SetListed(0, true) }, true, true},
+		"listed, index reused":        {true, func(t *Table) { t.Add(0) }, true, true},
+		"not listed, listed":          {false, func(t *Table) { t.SetListed(0, true) }, false, false},
+		"not listed, listed, omitted": {false, func(t *Table) { t.SetListed(0, true); t.SetListed(0, false) }, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var table Table
@@ -130,14 +130,14 @@
 			table.SetListed(0, c.before)
 			table.BeginUpdate()
 			if !c.first && table.WasListed(0) != c.before {
-				t.Errorf("as the list begins: %v", !c.before)
+				t.Errorf("at the beginning of the update: %v", !c.before)
 			}
 			if c.list(&table); table.WasListed(0) != c.want {
 				t.Errorf("%v, want %v", table.WasListed(0), c.want)
 			}
 			listed := table.Listed(0)
 			if table.BeginUpdate(); table.WasListed(0) != listed || table.WasListed(1) {
-				t.Errorf("in the next list: %v, want %v", table.WasListed(0), listed)
+				t.Errorf("in the next update: %v, want %v", table.WasListed(0), listed)
 			}
 		})
 	}
--- a/policy/internal/tenants/tenants_test.go
+++ b/policy/internal/tenants/tenants_test.go
@@ -2,37 +2,37 @@
 
 import "testing"
 
-// Tenants with traffic lately are held, whatever their numbers, and nothing of the others.
-func TestFadeDropsThoseWithoutTraffic(t *testing.T) {
+// TestDecayDropsTenantsWithoutTraffic checks that only tenants with traffic lately are held, whatever their numbers.
+func TestDecayDropsTenantsWithoutTraffic(t *testing.T) {
 	const most, half, least = 389_999, 0.5, 0.2
 	var table Table
 	table.RecordArrival(most, 1)
 	table.RecordArrival(5, 0.25)
 	table.FailureRate(7).Observe(1, 10)
 	if got := table.RecordArrival(most, 1); got != 2 || table.ArrivalRate(most) != 2 || table.TotalRate() != 2.25 || table.Len() != 3 {
-		t.Fatalf("rate %g, in all %g of %d tenants", got, table.TotalRate(), table.Len())
+		t.Fatalf("rate %g, total %g of %d tenants", got, table.TotalRate(), table.Len())
 	}
 	copied := table.Clone()
 	table.Decay(half, least, half, least)
 	if table.ArrivalRate(most) != 1 || table.ArrivalRate(5) != 0 || table.TotalRate() != 1 || table.Len() != 2 || table.Visits() != 3 {
-		t.Errorf("%g and %g, in all %g of %d tenants, %d come to", table.ArrivalRate(most), table.ArrivalRate(5), table.TotalRate(), table.Len(), table.Visits())
+		t.Errorf("%g and %g, total %g of %d tenants, %d visited", table.ArrivalRate(most), table.ArrivalRate(5), table.TotalRate(), table.Len(), table.Visits())
 	}
 	if got := table.FailureRate(7).Failed; got != half {
-		t.Errorf("the record of one without arrivals: %g", got)
+		t.Errorf("failures of a tenant without arrivals: %g", got)
 	}
 	for range 3 {
 		table.Decay(half, least, half, least)
 	}
 	if table.Len() != 0 || table.TotalRate() != 0 || table.ArrivalRate(most) != 0 || table.ArrivalRate(most+1) != 0 {
-		t.Errorf("%d tenants are left, %g in all", table.Len(), table.TotalRate())
+		t.Errorf("%d tenants are left, total %g", table.Len(), table.TotalRate())
 	}
 	if copied.ArrivalRate(most) != 2 || copied.Len() != 3 || copied.FailureRate(7).Failed != 1 {
-		t.Error("a clone changes with the table")
+		t.Error("clone changed with the table")
 	}
 }
 
-// What is left of a table finds its tenants wherever one was dropped.
-func TestPlacesStayRight(t *testing.T) {
+// TestSlotsStayRight checks that the other tenants are found, whichever one is dropped.
+func TestSlotsStayRight(t *testing.T) {
 	const tenants = 10
 	for drop := range tenants {
 		var table Table
@@ -55,13 +55,13 @@
 	}
 }
 
-func TestUnknownTenantsShareARecord(t *testing.T) {
+func TestUnknownTenantsShareAFailureRate(t *testing.T) {
 	var table Table
 	table.FailureRate(Unknown).Observe(1, 10)
 	if got := *table.FailureRate(Unknown); got.Failed != 1 || table.Len() != 0 {
 		t.Errorf("%v, %d tenants held", got, table.Len())
 	}
 	if table.Decay(0, 0, 0.5, 0); table.FailureRate(Unknown).Failed != 0.5 {
-		t.Error("it does not fade")
+		t.Error("it does not decay")
 	}
 }
