--- a/policy/doc.go
+++ b/policy/doc.go
@@ -55,6 +55,7 @@
 //	outlier.go                         consecutive failures, ejection, trial after ejection
 //	attribution.go                     failures that belong to the request and not to the server
 //	latency.go                         latencies of servers and traffic types
+//	load.go                            what the node has in flight at each server
 //	slowstart.go                       warm-up of new and recovered servers
 //	concurrency.go                     concurrency limits of the node and of routes
 //	admission.go                       load shedding by priority weight
--- /dev/null
+++ b/policy/load.go
@@ -0,0 +1,53 @@
+package policy
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"fernvane/internal/collections/columns"
+)
+
+// serverLoad is what this node has in flight at each server.
+type serverLoad struct {
+	inFlight        []int
+	abandoned       []float64       // attempts that timed out and that the server may still work on
+	abandonedSentAt []time.Duration // when the last of them was sent
+	lastAnswerAt    []time.Duration // last answer, or when the server last went from idle to busy
+}
+
+// abandon counts an attempt that timed out. Without it a server that is stuck would look idle.
+func (l *serverLoad) abandon(s int, sentAt time.Duration) {
+	l.abandoned[s]++
+	l.abandonedSentAt[s] = max(l.abandonedSentAt[s], sentAt)
+}
+
+// answered takes back abandoned attempts once one that was sent after them is answered: servers work in turn.
+func (l *serverLoad) answered(s int, sentAt time.Duration) {
+	if sentAt >= l.abandonedSentAt[s] {
+		l.abandoned[s] = 0
+	}
+}
+
+func (l *serverLoad) addServer(s int, now time.Duration) {
+	columns.Put(s, 0, &l.inFlight)
+	columns.Put(s, 0.0, &l.abandoned)
+	columns.Put(s, 0, &l.abandonedSentAt)
+	columns.Put(s, now, &l.lastAnswerAt)
+}
+
+func (l *serverLoad) clone() serverLoad {
+	c := *l
+	c.inFlight = slices.Clone(l.inFlight)
+	c.abandoned = slices.Clone(l.abandoned)
+	columns.Clone(&c.abandonedSentAt, &c.lastAnswerAt)
+	return c
+}
+
+// decayAbandoned lets abandoned attempts at servers of the subset count for less as time passes.
+func (p *Policy) decayAbandoned(elapsed time.Duration) {
+	for _, s := range p.subset.members {
+		memory := spikeFactor * float64(max(p.latency.smoothed.At(s), 1))
+		p.load.abandoned[s] *= math.Exp(-float64(elapsed) / memory)
+	}
+}
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -59,8 +59,8 @@
 		return false
 	}
 	canGrow := len(p.subset.members) < p.subset.readyCount
-	if failures := p.subset.connectFailures.Rate(attributionMemory); failures > maxConnectFailureShare {
-		return p.pickFromSubset(r, careIdle) || canGrow && p.chance() > math.Sqrt(failures) && p.growSubset(r)
+	if failed := p.subset.connectFailures.Rate(attributionMemory); failed > maxConnectFailureShare {
+		return p.pickFromSubset(r, careIdle) || canGrow && p.chance() > math.Sqrt(failed) && p.growSubset(r)
 	}
 	if canGrow && (p.pickFromSubset(r, careIdle) || p.growSubset(r)) {
 		return true
--- a/policy/request.go
+++ b/policy/request.go
@@ -12,12 +12,12 @@
 // minAnswerLead is how long before the client's deadline the final answer goes out at the latest.
 const minAnswerLead = 5 * time.Millisecond
 
-// neverRan stands for the server of an attempt that provably never ran, and for no server.
-const neverRan = -1
+// noServer stands for no server, and for that of an attempt that provably never ran.
+const noServer = -1
 
 // attempt is one sending of a request to one server.
 type attempt struct {
-	server    int // or neverRan
+	server    int // or noServer
 	sentAt    time.Duration
 	ended     bool
 	uncounted bool // does not count toward the node's concurrency limit any more
@@ -54,13 +54,13 @@
 
 // forgetAttempt takes back that an attempt may have run: the first of the others that may have run comes in its place.
 func (r *request) forgetAttempt(number int) {
-	r.mayHaveRun, r.keyServer = false, neverRan
+	r.mayHaveRun, r.keyServer = false, noServer
 	for i, a := range r.attempts {
 		if i != number && a.server >= 0 && r.keyServer < 0 {
 			r.mayHaveRun, r.keyServer, r.firstRunAt = true, a.server, a.sentAt
 		}
 	}
-	r.attempts[number].server = neverRan
+	r.attempts[number].server = noServer
 }
 
 // requestTable holds the requests by index. The index of one that is done is used again.
@@ -100,7 +100,7 @@
 		objectiveAt:    p.now + min(t.LatencyObjective-2*p.settings.TimerGranularity, in.Timeout),
 		clientDeadline: p.now + in.Timeout,
 		attempts:       r.attempts[:0],
-		keyServer:      neverRan,
+		keyServer:      noServer,
 	}
 	p.activateType(in.TrafficType)
 	if in.Tenant >= p.quotas.known {
