--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -57,14 +57,14 @@
 // split cuts a line into its tag and fields. The field env takes the rest of the line.
 func (r *Reader) split() (tag []byte) {
 	r.fields = r.fields[:0]
-	tag, rest, _ := bytes.Cut(r.line, []byte{'\t'})
-	for len(rest) > 0 {
-		if bytes.HasPrefix(rest, []byte("env=")) {
-			r.fields = append(r.fields, field{rest[:3], rest[4:]})
+	tag, remaining, _ := bytes.Cut(r.line, []byte{'\t'})
+	for len(remaining) > 0 {
+		if bytes.HasPrefix(remaining, []byte("env=")) {
+			r.fields = append(r.fields, field{remaining[:3], remaining[4:]})
 			break
 		}
 		var part []byte
-		part, rest, _ = bytes.Cut(rest, []byte{'\t'})
+		part, remaining, _ = bytes.Cut(remaining, []byte{'\t'})
 		name, value, _ := bytes.Cut(part, []byte{'='})
 		r.fields = append(r.fields, field{name, value})
 	}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -124,8 +124,8 @@
 	if a.saturated *= kept; p.isSaturated() {
 		a.saturated += 1 - kept
 	}
-	room := max(1-max(a.saturated/maxSaturatedShare, a.overloaded.Rate(attributionPrior)/maxOverloadedShare), -2)
-	admitted := max(a.admitted*math.Exp(admissionSpeed*room*elapsed.Seconds()), minAdmittedShare)
+	headroom := max(1-max(a.saturated/maxSaturatedShare, a.overloaded.Rate(attributionPrior)/maxOverloadedShare), -2)
+	admitted := max(a.admitted*math.Exp(admissionSpeed*headroom*elapsed.Seconds()), minAdmittedShare)
 	a.admitted = min(admitted, cmp.Or(a.maxAdmittedShare, 1))
 }
 
--- a/policy/attribution.go
+++ b/policy/attribution.go
@@ -10,7 +10,7 @@
 
 const (
 	attributionMargin    = 0.1  // by which an attribute must fail more often than a server to clear it
-	attributionPrior     = 3.0  // successes assumed in a new record, so that one failure tells little
+	attributionPrior     = 3.0  // successes assumed in a new record, so that one failure counts for little
 	attributionMemory    = 10.0 // attempts that count in a server's record
 	attributesMemory     = 3 * attributionMemory
 	allAttemptsMemory    = 2 * attributionMemory // in shares of all attempts
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -29,8 +29,8 @@
 	return max(c.finished+math.Sqrt(c.finished), c.grown) / max(c.latencyRatio, 1)
 }
 
-// adjust grows the limit by one for each answer that came while the limit was used up, since the rate of finished
-// attempts tells nothing after a start or a rise, and holds it while attempts take longer than allowed.
+// adjust grows the limit by one for each answer that came while the limit was used up, since after a start or a rise the
+// rate of finished attempts lags behind. While attempts take longer than allowed it only lets the limit shrink.
 func (c *concurrencyLimit) adjust(elapsed, allowed float64) {
 	c.latencyRatio += latencyRatioSmoothing * (elapsed/allowed - c.latencyRatio)
 	if c.latencyRatio > 1 {
--- a/policy/input.go
+++ b/policy/input.go
@@ -50,7 +50,7 @@
 const (
 	// Success is an answer.
 	Success Outcome = iota
-	// Failure is an answer that tells of an error of the server.
+	// Failure is an answer that reports an error of the server.
 	Failure
 	// Overloaded is a refusal by a server that is full: the request has not run.
 	Overloaded
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -11,7 +11,7 @@
 const (
 	latencySmoothing     = 0.1  // weight of one answer in a server's figures
 	typeLatencySmoothing = 0.02 // weight of one answer in a traffic type's latency
-	minLatencySamples    = 20.0 // answers until a type's unloaded latency is told from its typical one
+	minLatencySamples    = 20.0 // answers until unloaded and typical latency differ
 
 	// unloadedLatencyMemory is the time in which a lasting rise comes to count as unloaded; overload should be over.
 	unloadedLatencyMemory = 30 * time.Second
--- a/policy/lifecycle_test.go
+++ b/policy/lifecycle_test.go
@@ -57,9 +57,9 @@
 // TestRetryWithKey checks that retries of a request with a key stay within its key scope and retention.
 func TestRetryWithKey(t *testing.T) {
 	for name, c := range map[string]struct {
-		group  KeyScope
+		scope  KeyScope
 		first  Outcome // of the first attempt, 50 ms after it is sent
-		window time.Duration
+		retain time.Duration
 		want   []EffectKind // after an error on the second attempt, 40 ms later
 		same   bool         // second and third attempt in one key scope
 	}{
@@ -70,8 +70,8 @@
 		"an attempt that never ran does not count": {KeyScopeAll, Unreachable, 80 * ms, []EffectKind{SendAttempt}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 8, func(s *Settings) { s.TrafficTypes[1].KeyScope, s.TrafficTypes[1].KeyRetention = c.group, c.window })
-			if c.group == KeyScopeCell { // two a cell: a third attempt finds only those tried before
+			r := newHarness(t, 8, func(s *Settings) { s.TrafficTypes[1].KeyScope, s.TrafficTypes[1].KeyRetention = c.scope, c.retain })
+			if c.scope == KeyScopeCell { // two a cell: a third attempt finds only those tried before
 				for s := range r.readiness.Len() {
 					r.readiness.SetReady(s, s < 2)
 				}
@@ -81,7 +81,7 @@
 			if len(second) != 1 || second[0].Kind != SendAttempt {
 				t.Fatalf("no second attempt: %v", second)
 			}
-			if c.group == KeyScopeCell {
+			if c.scope == KeyScopeCell {
 				r.readiness.SetReady(0, false)
 				r.readiness.SetReady(1, false)
 				r.readiness.SetReady(4, true)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -124,7 +124,7 @@
 }
 
 // recordUnreachable counts a failure to connect. A connection that was refused at once costs no time and may be one of
-// few, so it takes two to eject; the server leaves the subset if the rest of it suffices.
+// few, so it takes two to eject; the server leaves the subset if the others suffice.
 func (p *Policy) recordUnreachable(s int, elapsed time.Duration) {
 	enough := 1
 	if elapsed < p.settings.ConnectTimeout/2 {
--- a/policy/plan.go
+++ b/policy/plan.go
@@ -8,7 +8,7 @@
 	"fernvane/policy/internal/failures"
 )
 
-// plan is what the planner's last plan says of servers. The rest of it is taken over by the parts that it concerns.
+// plan is what the planner's last plan says of servers. What it says of admission and quotas is kept there.
 type plan struct {
 	assigned      indexset.Set // servers that the plan names
 	preference    []float64    // see Assignment; 0 for others
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	slowStartShare    = 0.6 // of the load that would crash the server; the rest is for chance and for unseen nodes
+	slowStartShare    = 0.6 // of the load that would crash the server; what is left is for chance and for unseen nodes
 	minSlowStartShare = 0.5 // of the load that would crash a server of one core: the least rate, over all nodes
 
 	maxSlowStartTokens     = 2.0             // attempts saved up for a server
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -42,8 +42,8 @@
 
 func TestSlowStartAfterUnreachable(t *testing.T) {
 	for name, c := range map[string]struct {
-		lost time.Duration
-		cold bool
+		lost        time.Duration
+		isWarmingUp bool
 	}{
 		"unreachable for a short time": {500 * ms, false},
 		"long enough to restart":       {2 * time.Second, true},
@@ -53,7 +53,7 @@
 			id, _ := r.arriveAt(time.Second, 0, time.Second)
 			r.end(time.Second, id, 0, Unreachable)
 			r.end(time.Second+c.lost, id, 1, Success) // it had been sent there again at once
-			if r.slowStart.servers.Has(0) != c.cold {
+			if r.slowStart.servers.Has(0) != c.isWarmingUp {
 				t.Errorf("slow start: %v", r.slowStart.servers.Has(0))
 			}
 		})
@@ -97,7 +97,7 @@
 	const seconds, step = 40, 20 * ms
 	for name, c := range map[string]struct {
 		live        bool
-		cold        float64 // its weight; the nine others have 0.1
+		weight      float64 // its weight; the nine others have 0.1
 		least, most float64 // tokens a second
 	}{
 		"follow load, idle":             {true, 1, 0.3, 1.6},
@@ -112,7 +112,7 @@
 			for s := range r.servers.listedWeight {
 				r.servers.listedWeight[s] = 0.1
 			}
-			r.servers.listedWeight[0] = c.cold
+			r.servers.listedWeight[0] = c.weight
 			r.startSlowStart(0, 0)
 			for k := range r.latency.typical { // so that the least rate does not count
 				r.latency.typical[k] = time.Hour
