--- a/internal/controlplane/distribution/scale_test.go
+++ b/internal/controlplane/distribution/scale_test.go
@@ -95,7 +95,7 @@
 }
 
 // pump sends all that may be sent now, and comes back when the publisher says.
-func (c *control) pump() {
+func (c *control) sendDue() {
 	for {
 		id, b, ok, wait := c.pub.NextBatch(c.f.now)
 		if ok {
@@ -115,7 +115,7 @@
 		c.f.after(wait, func() {
 			if c.pumpSet && c.pumpAt == at {
 				c.pumpSet = false
-				c.pump()
+				c.sendDue()
 			}
 		})
 		return
@@ -130,15 +130,15 @@
 		c.f.after(latency, func() {
 			got := c.receiver.ReceiveBatch(b)
 			c.pub.EntriesChanged(c.f.now, got.Changed)
-			c.pump()
+			c.sendDue()
 			vector := c.store.Vector().Clone()
 			c.f.after(latency+putInForce, func() {
 				up.pub.BatchAcknowledged(c.f.now, id, Acknowledgement{BatchNumber: b.Number, Applied: vector})
-				up.pump()
+				up.sendDue()
 			})
 		})
 	}
-	up.pump()
+	up.sendDue()
 }
 
 func (n *hollow) follow(f *fleet, up *control, vector Vector) {
@@ -150,11 +150,11 @@
 			f.after(putInForce, func() { n.inForce(f, b) })
 			f.after(putInForce+withinZone, func() {
 				up.pub.BatchAcknowledged(f.now, id, Acknowledgement{BatchNumber: b.Number})
-				up.pump()
+				up.sendDue()
 			})
 		})
 	}
-	up.pump()
+	up.sendDue()
 }
 
 func (n *hollow) inForce(f *fleet, b Batch) {
@@ -180,7 +180,7 @@
 	}
 	f.wrote[e.Sequence] = w
 	root.pub.EntriesChanged(f.now, []Entry{e})
-	root.pump()
+	root.sendDue()
 }
 
 // size of a fleet to be played.
@@ -259,10 +259,10 @@
 	if last > mustBeInForce {
 		f.t.Errorf("%s: the last change came after %v, must %v", what, last, mustBeInForce)
 	}
-	if most > 3*nodeBytes+nodeBytes/2 { // a second's budget, what was saved up, what a fresh change may take in advance, a piece
+	if most > 3*defaultNodeBytes+defaultNodeBytes/2 { // a second's budget, what was saved up, what a fresh change may take in advance, a piece
 		f.t.Errorf("%s: a node was sent %d bytes in a second", what, most)
 	}
-	if outMost > outBytes*5/4+batchBytes { // and what was saved up, and one batch
+	if outMost > defaultTotalBytes*5/4+maxBatchBytes { // and what was saved up, and one batch
 		f.t.Errorf("%s: a control process sent %d bytes in a second", what, outMost)
 	}
 }
