--- a/internal/controlplane/distribution/control/source.go
+++ b/internal/controlplane/distribution/control/source.go
@@ -7,6 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/discovery/endpoints"
 	"fernvane/internal/discovery/incarnation"
 	"fernvane/internal/discovery/watch"
 	"fernvane/internal/discovery/zookeeper"
@@ -35,8 +36,9 @@
 		Now:      s.now,
 		OnChange: func(changed []incarnation.Entry, _ bool) { told.listed(changed, false) },
 		OnError:  func(err error) { s.log.Warn().Err(err).Msg("registry") },
-		OnMassRemoval: func(is bool) {
-			s.log.Error().Bool("doubted", is).Msg("most servers have vanished from the registry together, or are back")
+		OnMassRemoval: func(removal endpoints.MassRemoval) {
+			s.log.Error().Bool("suspected", removal.IsSuspected).Int("removed", removal.Removed).Int("total", removal.Total).
+				Msg("mass removal suspicion changed")
 		},
 	})
 }
--- a/internal/controlplane/planner/planner.go
+++ b/internal/controlplane/planner/planner.go
@@ -15,6 +15,7 @@
 	"fernvane/internal/controlplane/plan"
 	"fernvane/internal/controlplane/planconfig"
 	"fernvane/internal/controlplane/planwire"
+	"fernvane/internal/discovery/endpoints"
 	"fernvane/internal/discovery/incarnation"
 	"fernvane/internal/discovery/watch"
 	"fernvane/internal/discovery/zookeeper"
@@ -149,8 +150,9 @@
 			s.ready = true
 		},
 		OnError: func(err error) { s.log.Warn().Err(err).Msg("registry") },
-		OnMassRemoval: func(is bool) {
-			s.log.Error().Bool("doubted", is).Msg("most servers have vanished from the registry together, or are back")
+		OnMassRemoval: func(removal endpoints.MassRemoval) {
+			s.log.Error().Bool("suspected", removal.IsSuspected).Int("removed", removal.Removed).Int("total", removal.Total).
+				Msg("mass removal suspicion changed")
 		},
 	})
 }
--- a/internal/discovery/endpoints/set.go
+++ b/internal/discovery/endpoints/set.go
@@ -58,12 +58,19 @@
 	suspicionCount      int // since it last responded while usable
 }
 
+// MassRemoval says whether the registry is suspected to have lost most entries together.
+type MassRemoval struct {
+	IsSuspected bool
+	Removed     int // servers whose entries have disappeared together
+	Total       int // servers that were usable before
+}
+
 // Set follows the servers of one registry. Each method takes the time, applies an input and returns the entries that are
 // to be announced because of it.
 type Set struct {
-	servers              map[string]*server
-	revision             uint64 // of the last announcement
-	massRemovalSuspected bool
+	servers     map[string]*server
+	revision    uint64 // of the last announcement
+	massRemoval MassRemoval
 
 	// Of the method that is running.
 	now     time.Duration
@@ -129,36 +136,37 @@
 // detectMassRemoval retains the servers that have disappeared together with most others. Once most are listed again, it
 // removes the retained ones that are not.
 func (s *Set) detectMassRemoval(isListed map[string]bool) {
-	missing, total := 0, 0
+	removed, total := 0, 0
 	for _, one := range s.servers {
 		switch one.state {
 		case StateMissing:
 			if s.now-one.stateSince <= massRemovalWindow {
-				missing++
+				removed++
 			}
 			total++
 		case StateRetained:
-			missing++
+			removed++
 			total++
 		case StatePresent:
 			total++
 		}
 	}
-	s.massRemovalSuspected = missing >= minMassRemoval && float64(missing) > massRemovalShare*float64(total)
+	isSuspected := removed >= minMassRemoval && float64(removed) > massRemovalShare*float64(total)
+	s.massRemoval = MassRemoval{isSuspected, removed, total}
 	for _, id := range s.sortedIDs() {
 		one := s.servers[id]
 		switch {
-		case s.massRemovalSuspected && one.state == StateMissing && s.now-one.stateSince <= massRemovalWindow && one.lastFailureAt < one.stateSince:
+		case isSuspected && one.state == StateMissing && s.now-one.stateSince <= massRemovalWindow && one.lastFailureAt < one.stateSince:
 			s.step(one, massRemoved)
-		case !s.massRemovalSuspected && one.state == StateRetained && !isListed[id]:
+		case !isSuspected && one.state == StateRetained && !isListed[id]:
 			s.step(one, entryRemoved)
 		}
 	}
 }
 
-// IsMassRemovalSuspected reports whether most servers have disappeared from the registry together, so that the last list
-// is retained.
-func (s *Set) IsMassRemovalSuspected() bool { return s.massRemovalSuspected }
+// MassRemoval returns what the last list says of a mass removal. While one is suspected, the servers that have disappeared
+// are retained.
+func (s *Set) MassRemoval() MassRemoval { return s.massRemoval }
 
 // ConnectFailed takes over that an attempt could not connect to a server.
 func (s *Set) ConnectFailed(now time.Duration, id string) []incarnation.Entry {
--- a/internal/discovery/endpoints/set_test.go
+++ b/internal/discovery/endpoints/set_test.go
@@ -110,7 +110,7 @@
 			t.Fatalf("%s: %s was told to drain, and is up", history, id)
 		case !listedNow[id] && c == "up" && r.State(id) != StateRetained:
 			t.Fatalf("%s: %s is not listed, and is up", history, id)
-		case !listedNow[id] && c == "up" && !r.IsMassRemovalSuspected():
+		case !listedNow[id] && c == "up" && !r.MassRemoval().IsSuspected:
 			t.Fatalf("%s: %s is held without suspicion", history, id)
 		case r.State(id) == StatePresent && c != "up", r.State(id) == StateDraining && c == "up":
 			t.Fatalf("%s: %s is %s in state %d", history, id, c, r.State(id))
--- a/internal/discovery/zookeeper/follow.go
+++ b/internal/discovery/zookeeper/follow.go
@@ -22,9 +22,9 @@
 	OnChange func(changed []incarnation.Entry, isFirst bool)
 	// OnError receives what cannot be read of the registry.
 	OnError func(error)
-	// OnMassRemoval receives whether it is suspected that the registry has lost most entries, whenever that changes. While
-	// it is, the last list is retained.
-	OnMassRemoval func(isSuspected bool)
+	// OnMassRemoval is called when the registry begins or ceases to be suspected of having lost most entries. While it is,
+	// the last list is retained.
+	OnMassRemoval func(endpoints.MassRemoval)
 }
 
 // Follow reads the registry until the context ends. It fails only if the client cannot be built.
@@ -72,9 +72,9 @@
 		case <-tick.C:
 			changed = set.Tick(l.Now())
 		}
-		if set.IsMassRemovalSuspected() != isSuspected {
-			isSuspected = !isSuspected
-			l.OnMassRemoval(isSuspected)
+		if removal := set.MassRemoval(); removal.IsSuspected != isSuspected {
+			isSuspected = removal.IsSuspected
+			l.OnMassRemoval(removal)
 		}
 		if len(changed) > 0 {
 			l.OnChange(changed, isFirst)
--- a/internal/proxy/registry.go
+++ b/internal/proxy/registry.go
@@ -24,11 +24,11 @@
 			s.log.Info().Int("entries", len(changed)).Msg("list told")
 		},
 		OnError: func(err error) { s.log.Warn().Err(err).Msg("registry") },
-		OnMassRemoval: func(is bool) {
-			if is {
-				s.log.Error().Msg("most servers have vanished from the registry together: the last list holds")
+		OnMassRemoval: func(removal endpoints.MassRemoval) {
+			if removal.IsSuspected {
+				s.log.Error().Int("removed", removal.Removed).Int("total", removal.Total).Msg("mass removal suspected, keeping last endpoint list")
 			} else {
-				s.log.Info().Msg("the registry lists most servers again")
+				s.log.Info().Int("removed", removal.Removed).Int("total", removal.Total).Msg("mass removal over, following the registry again")
 			}
 		},
 	})
