--- a/cmd/testbed/capacity.go
+++ b/cmd/testbed/capacity.go
@@ -42,7 +42,7 @@
 			if err != nil {
 				return err
 			}
-			r := component.Result{Command: told(c), At: time.Now().UTC().Truncate(time.Second), Cores: machine.Cores, Load: machine.Load}
+			r := component.Result{Command: commandLine(c), At: time.Now().UTC().Truncate(time.Second), Cores: machine.Cores, Load: machine.Load}
 			if r.Parts, err = component.Measure(c.OutOrStdout(), only...); err != nil || json == "" {
 				return err
 			}
--- a/cmd/testbed/distribution.go
+++ b/cmd/testbed/distribution.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	distributedWithin = 6 * time.Second // the operators' figure for a change to be in force everywhere
-	distributedMost   = 500             // nodes in one process
+	distributedWithin   = 6 * time.Second // the operators' figure for a change to be in force everywhere
+	maxDistributionWait = 500             // nodes in one process
 )
 
 func distributionCommand() *cobra.Command {
 	d := testbed.Distribution{}
 	c := &cobra.Command{Use: "distribution", Short: "Play nodes under control processes that end, lose disks and are cut off, and time changes until in force",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-			if d.Nodes < 1 || d.Nodes > distributedMost || d.Relays < 2 || d.Changes < 1 {
-				return fmt.Errorf("from 1 to %d nodes, 2 relays at least and 1 change", distributedMost)
+			if d.Nodes < 1 || d.Nodes > maxDistributionWait || d.Relays < 2 || d.Changes < 1 {
+				return fmt.Errorf("from 1 to %d nodes, 2 relays at least and 1 change", maxDistributionWait)
 			}
 			dir, err := os.MkdirTemp("", "testbed-distribution-")
 			if err != nil {
--- a/cmd/testbed/journal.go
+++ b/cmd/testbed/journal.go
@@ -45,7 +45,7 @@
 				s.Faults = append(s.Faults, scenario.Fault{Kind: "kill-nodes", At: scenario.Span(at[node]), For: scenario.Span(down), Nodes: []int{node}})
 				s.Length = max(s.Length, scenario.Span(at[node]+time.Second))
 			}
-			out, err := testbed.Run(c.Context(), testbed.Options{Scenario: s, Ops: load.Plan(s), Command: command})
+			out, err := testbed.Run(c.Context(), testbed.Options{Scenario: s, Requests: load.Plan(s), Command: command})
 			if err != nil {
 				return err
 			}
@@ -88,7 +88,7 @@
 				if one.Journal.Promise = promise; promise == "machines" {
 					one.Peers.Replicas = 2
 				}
-				out, err := testbed.Run(c.Context(), testbed.Options{Scenario: &one, Ops: load.Plan(&one), Command: command})
+				out, err := testbed.Run(c.Context(), testbed.Options{Scenario: &one, Requests: load.Plan(&one), Command: command})
 				if err != nil {
 					return err
 				}
@@ -142,7 +142,7 @@
 			for _, before := range []int{0, n} {
 				one := *s
 				one.Peers.Before = before
-				out, err := testbed.Run(c.Context(), testbed.Options{Scenario: &one, Ops: load.Plan(&one), Command: command})
+				out, err := testbed.Run(c.Context(), testbed.Options{Scenario: &one, Requests: load.Plan(&one), Command: command})
 				if err != nil {
 					return err
 				}
@@ -151,7 +151,7 @@
 				}
 				for _, k := range out.ByType {
 					if k.Name == "hire-book" {
-						fmt.Fprintf(t, "%d\t%.1f\t%.4f\t%.1f\t%.1f\t%.1f\t\n", before, out.Journal.Whole, out.Service(), float64(k.Latency.ValueAtQuantile(50))/1000,
+						fmt.Fprintf(t, "%d\t%.1f\t%.4f\t%.1f\t%.1f\t%.1f\t\n", before, out.Journal.RecoverySeconds, out.Service(), float64(k.Latency.ValueAtQuantile(50))/1000,
 							float64(k.Latency.ValueAtQuantile(99))/1000, out.Use.CPU.Seconds())
 					}
 				}
--- a/cmd/testbed/losses.go
+++ b/cmd/testbed/losses.go
@@ -35,7 +35,7 @@
 			if err := g.Wait(); err != nil {
 				return err
 			}
-			return l.tell(c.OutOrStdout())
+			return l.print(c.OutOrStdout())
 		}}
 	c.Flags().IntVarP(&n, "losses", "n", 1000, "how many, at least")
 	c.Flags().IntVar(&atOnce, "at-once", 3, "tiers of 12 nodes at a time")
@@ -67,7 +67,7 @@
 		if s == nil || err != nil {
 			return err
 		}
-		out, err := testbed.Run(ctx, testbed.Options{Scenario: s, Ops: load.Plan(s), Command: l.command})
+		out, err := testbed.Run(ctx, testbed.Options{Scenario: s, Requests: load.Plan(s), Command: l.command})
 		if err := l.add(s, out, err); err != nil {
 			return err
 		}
@@ -121,7 +121,7 @@
 }
 
 // tell prints the sum, and fails where a rule was broken.
-func (l *losses) tell(out io.Writer) (err error) {
+func (l *losses) print(out io.Writer) (err error) {
 	fmt.Fprintf(out, "%d machines lost in %d cycles, promise %s: %d entries, %d dockets, %d possibly sent, %d of them not settled by dockets, %d words in gaps\n",
 		l.sum.Losses, l.sum.Cycles, l.promise, l.sum.Entries, l.sum.Ran, l.sum.Possibly, l.sum.Open, l.sum.Gaps)
 	for name, n := range l.broken {
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -111,7 +111,7 @@
 		return err
 	}
 	if !f.quiet {
-		fmt.Fprintf(errs, "%s: starting %d nodes and %d boxes\n", s.Name, s.Nodes.Count, len(s.BoxNames()))
+		fmt.Fprintf(errs, "%s: starting %d nodes and %d boxes\n", s.Name, s.Nodes.Count, len(s.ServerNames()))
 		o.Progress = progress(errs, s.Length.Std())
 	}
 	r, err := once(ctx, o, name)
@@ -172,7 +172,7 @@
 	if f.policy != "" {
 		name = f.policy
 	}
-	return testbed.Options{Scenario: s, Ops: ops, Command: command, Planner: []string{self, planCommand}, Keep: f.keep,
+	return testbed.Options{Scenario: s, Requests: ops, Command: command, Planner: []string{self, planCommand}, Keep: f.keep,
 		Env: []string{policyVar + "=" + f.policy}}, name, nil
 }
 
@@ -270,7 +270,7 @@
 	if err != nil {
 		return report.Report{}, err
 	}
-	return report.New(o.Scenario, name, o.Ops, out), nil
+	return report.New(o.Scenario, name, o.Requests, out), nil
 }
 
 // beside plays policies at the same time, each in a world of its own.
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -27,7 +27,7 @@
 				return err
 			}
 			r, err := scale.Run(c.Context(), scale.Options{Size: size, Command: []string{self, scale.WorkerCommand}, Progress: c.ErrOrStderr(),
-				Told: told(c)})
+				CommandLine: commandLine(c)})
 			if err != nil {
 				return err
 			}
@@ -69,7 +69,7 @@
 }
 
 // told is the command as it was given, without where it stands and where its result goes.
-func told(c *cobra.Command) string {
+func commandLine(c *cobra.Command) string {
 	words := []string{c.Root().Name()}
 	args := os.Args[1:]
 	for i := 0; i < len(args); i++ {
--- a/cmd/testbed/steps.go
+++ b/cmd/testbed/steps.go
@@ -37,7 +37,7 @@
 			if err := g.Wait(); err != nil {
 				return err
 			}
-			return tellSteps(c.OutOrStdout(), rows)
+			return printSteps(c.OutOrStdout(), rows)
 		}}
 	c.Flags().IntVar(&atOnce, "at-once", 4, "tiers of 6 nodes at a time")
 	return c
@@ -88,7 +88,7 @@
 }
 
 func (r *stepRow) play(ctx context.Context, command []string) error {
-	out, err := testbed.Run(ctx, testbed.Options{Scenario: r.s, Ops: load.Plan(r.s), Command: command})
+	out, err := testbed.Run(ctx, testbed.Options{Scenario: r.s, Requests: load.Plan(r.s), Command: command})
 	if err != nil {
 		return err
 	}
@@ -103,7 +103,7 @@
 }
 
 // tellSteps prints a row for each run, and fails where a rule was broken.
-func tellSteps(out io.Writer, rows []*stepRow) (err error) {
+func printSteps(out io.Writer, rows []*stepRow) (err error) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "while\tbefalls node 1\tat\tnth\tdockets\tpossibly sent\tservice\trules")
 	for _, r := range rows {
--- a/cmd/testbed/tools.go
+++ b/cmd/testbed/tools.go
@@ -28,7 +28,7 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(t, "%s\t%s\t%d nodes, %d boxes\t%s\n", name, s.Length.Std(), s.Nodes.Count, len(s.BoxNames()), s.About)
+				fmt.Fprintf(t, "%s\t%s\t%d nodes, %d boxes\t%s\n", name, s.Length.Std(), s.Nodes.Count, len(s.ServerNames()), s.About)
 			}
 			return t.Flush()
 		}}
@@ -57,7 +57,7 @@
 					continue
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: %s, %d nodes, %d boxes, %d operations, %d faults\n", name, s.Length.Std(), s.Nodes.Count,
-					len(s.BoxNames()), len(load.Plan(s)), len(s.Faults))
+					len(s.ServerNames()), len(load.Plan(s)), len(s.Faults))
 			}
 			if bad {
 				return exit(exitBadInput)
@@ -168,7 +168,7 @@
 			return err
 		}
 	}
-	s.Nodes.Count, s.Boxes = 0, nil
+	s.Nodes.Count, s.Servers = 0, nil
 	to := l.to
 	if to == "self" {
 		address, stop, err := testbed.Instant()
@@ -178,7 +178,7 @@
 		}
 		to = address
 	}
-	g := &load.Generator{Scenario: s, Ops: ops, Progress: progress(c.ErrOrStderr(), s.Length.Std())}
+	g := &load.Generator{Scenario: s, Requests: ops, Progress: progress(c.ErrOrStderr(), s.Length.Std())}
 	late := g.Run(c.Context(), time.Now(), load.Fixed(to), load.Nobody{})
 	r := report.New(s, to, ops, &testbed.Outcome{Result: g.Result, Late: late})
 	r.Text(c.OutOrStdout())
@@ -208,7 +208,7 @@
 			if err != nil {
 				return err
 			}
-			r := capacity.Path{Command: told(c), At: time.Now().UTC().Truncate(time.Second), Machine: machine}
+			r := capacity.Path{Command: commandLine(c), At: time.Now().UTC().Truncate(time.Second), Machine: machine}
 			r.Rows, err = testbed.Bench(c.Context(), testbed.BenchOptions{Command: []string{self, nodeCommand}, Each: each,
 				Env: []string{profileVar + "=" + profile}, Connections: conns, Rates: rates})
 			if err != nil {
@@ -268,7 +268,7 @@
 		wg.Go(func() {
 			atOnce <- struct{}{}
 			defer func() { <-atOnce }()
-			r, fault := once(ctx, testbed.Options{Scenario: s, Ops: ops, Command: []string{self, nodeCommand}, Env: []string{policyVar + "=" + name}}, name)
+			r, fault := once(ctx, testbed.Options{Scenario: s, Requests: ops, Command: []string{self, nodeCommand}, Env: []string{policyVar + "=" + name}}, name)
 			mu.Lock()
 			defer mu.Unlock()
 			if fault != nil {
--- a/internal/controlplane/distribution/control/source_test.go
+++ b/internal/controlplane/distribution/control/source_test.go
@@ -15,7 +15,7 @@
 
 type deaf struct{}
 
-func (deaf) Told(int, string, string, int64, time.Time) {}
+func (deaf) Announced(int, string, string, int64, time.Time) {}
 
 // listed is discovery with two servers, and a control process that writes them.
 func listed(t *testing.T) (*discovery.Service, *member) {
--- a/internal/controlplane/planner/planner_test.go
+++ b/internal/controlplane/planner/planner_test.go
@@ -28,7 +28,7 @@
 
 type unobserved struct{}
 
-func (unobserved) Told(int, string, string, int64, time.Time) {}
+func (unobserved) Announced(int, string, string, int64, time.Time) {}
 
 // start runs a planner beside a discovery of its own.
 func start(t *testing.T, k *mtls.Keys) (at string, list *discovery.Service) {
--- a/internal/discovery/snapshot/snapshot_test.go
+++ b/internal/discovery/snapshot/snapshot_test.go
@@ -84,7 +84,7 @@
 					t.Fatal(err)
 				}
 			}
-			from := d.Ops()
+			from := d.Operations()
 			d.Meet = func(n int) memdisk.Trouble {
 				if n == from+step {
 					return trouble
--- a/internal/journal/wal/log_test.go
+++ b/internal/journal/wal/log_test.go
@@ -95,11 +95,11 @@
 	l := open(t, plain, 600)
 	script(l, 24)
 	l.Close()
-	if plain.Ops() < 40 {
-		t.Fatalf("the script touches the disk %d times", plain.Ops())
+	if plain.Operations() < 40 {
+		t.Fatalf("the script touches the disk %d times", plain.Operations())
 	}
 	cases := 0
-	for n := 1; n <= plain.Ops(); n++ {
+	for n := 1; n <= plain.Operations(); n++ {
 		for _, trouble := range []memdisk.Trouble{memdisk.Short, memdisk.Full, memdisk.Lying, memdisk.Dead} {
 			for _, lasts := range []int{1, 3, 1 << 30} {
 				cases++
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -10,7 +10,7 @@
 )
 
 type attempt struct {
-	box     int
+	server  int
 	first   time.Duration
 	last    time.Duration
 	over    time.Duration // -1: not seen
@@ -34,12 +34,12 @@
 
 // idle is how long a connection stood unused after a request on it.
 type idle struct {
-	box  int
-	from time.Duration
-	to   time.Duration
+	server int
+	from   time.Duration
+	to     time.Duration
 }
 
-type told struct {
+type announcement struct {
 	at   time.Duration
 	cond Condition
 	up   int64 // when the box was said to have started; 0: not said
@@ -55,10 +55,10 @@
 // Audit gathers what happened.
 type Audit struct {
 	f              Figures
-	boxes          []Box
+	servers        []Server
 	requests       map[uint64]*request
-	told           map[[2]int][]told // by node and box
-	down           map[int][]span    // by node
+	announcements  map[[2]int][]announcement // by node and box
+	down           map[int][]span            // by node
 	extras         []string
 	fallen         []string
 	crashed        []string
@@ -70,11 +70,11 @@
 
 // New gathers from nothing.
 func New(f Figures) *Audit {
-	return &Audit{f: f, requests: map[uint64]*request{}, told: map[[2]int][]told{}, down: map[int][]span{}}
+	return &Audit{f: f, requests: map[uint64]*request{}, announcements: map[[2]int][]announcement{}, down: map[int][]span{}}
 }
 
-// Box makes the next box known; they are numbered from 0.
-func (a *Audit) Box(b Box) { a.boxes = append(a.boxes, b) }
+// Server makes the next box known; they are numbered from 0.
+func (a *Audit) Server(b Server) { a.servers = append(a.servers, b) }
 
 func (a *Audit) request(id uint64) *request {
 	r := a.requests[id]
@@ -106,24 +106,24 @@
 // Attempt tells that a box was sent a request, by when its first and its last byte came.
 func (a *Audit) Attempt(id uint64, box int, first, last time.Duration) {
 	r := a.request(id)
-	r.attempts = append(r.attempts, attempt{box: box, first: first, last: last, over: -1, ran: -1})
+	r.attempts = append(r.attempts, attempt{server: box, first: first, last: last, over: -1, ran: -1})
 }
 
 // Idle tells that a connection to a box on which a request was the last stood unused, until it ended or the next one came.
 func (a *Audit) Idle(id uint64, box int, from, to time.Duration) {
 	r := a.request(id)
-	r.idle = append(r.idle, idle{box: box, from: from, to: to})
+	r.idle = append(r.idle, idle{server: box, from: from, to: to})
 }
 
 // Invented tells that a box was sent what no client has sent.
 func (a *Audit) Invented(box int, what string) {
-	a.invented = append(a.invented, fmt.Sprintf("%q at %s", what, a.boxes[box].Name))
+	a.invented = append(a.invented, fmt.Sprintf("%q at %s", what, a.servers[box].Name))
 }
 
 // last is the latest attempt of a request at a box.
 func (r *request) last(box int) *attempt {
 	for i := len(r.attempts) - 1; i >= 0; i-- {
-		if r.attempts[i].box == box {
+		if r.attempts[i].server == box {
 			return &r.attempts[i]
 		}
 	}
@@ -140,16 +140,16 @@
 	}
 }
 
-// Told tells that a node was told of a box, by discovery or by any planner, and when that box was said to have started.
-func (a *Audit) Told(node, box int, c Condition, up int64, at time.Duration) {
+// Announced tells that a node was told of a box, by discovery or by any planner, and when that box was said to have started.
+func (a *Audit) Announced(node, box int, c Condition, up int64, at time.Duration) {
 	k := [2]int{node, box}
-	a.told[k] = append(a.told[k], told{at: at, cond: c, up: up})
+	a.announcements[k] = append(a.announcements[k], announcement{at: at, cond: c, up: up})
 }
 
 // Excused tells that what a node was told of a box's end is not to be believed.
 func (a *Audit) Excused(node, box int, at time.Duration) {
 	k := [2]int{node, box}
-	a.told[k] = append(a.told[k], told{at: at, anew: true})
+	a.announcements[k] = append(a.announcements[k], announcement{at: at, anew: true})
 }
 
 // NodeDown tells that a node was ended on purpose; what it held is its clients' to retry.
@@ -169,8 +169,8 @@
 		d[len(d)-1].to = at
 	}
 	if len(d) > 0 && d[len(d)-1].still { // what it was told meanwhile it could not read before
-		for box := range a.boxes {
-			told := a.told[[2]int{node, box}]
+		for box := range a.servers {
+			told := a.announcements[[2]int{node, box}]
 			for i := range told {
 				if told[i].at > d[len(d)-1].from {
 					told[i].at = max(told[i].at, at)
@@ -179,9 +179,9 @@
 		}
 		return
 	}
-	for box := range a.boxes {
-		if k := [2]int{node, box}; len(a.told[k]) > 0 {
-			a.told[k] = append(a.told[k], told{at: at, anew: true})
+	for box := range a.servers {
+		if k := [2]int{node, box}; len(a.announcements[k]) > 0 {
+			a.announcements[k] = append(a.announcements[k], announcement{at: at, anew: true})
 		}
 	}
 }
@@ -199,7 +199,7 @@
 
 // Fell tells that a cold box was sent too much.
 func (a *Audit) Fell(box int, at time.Duration) {
-	a.fallen = append(a.fallen, fmt.Sprintf("%s at %s", a.boxes[box].Name, at.Round(time.Millisecond)))
+	a.fallen = append(a.fallen, fmt.Sprintf("%s at %s", a.servers[box].Name, at.Round(time.Millisecond)))
 }
 
 // Rule is what the audit says of one rule.
@@ -215,7 +215,7 @@
 	for id, r := range a.requests {
 		for _, h := range r.attempts {
 			if r.known && h.ran >= 0 && ask(r.kind) {
-				f(id, r.node, h.box)
+				f(id, r.node, h.server)
 			}
 		}
 	}
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -11,7 +11,7 @@
 // Each case is a day on which one thing happened; it breaks the one rule that is named, or none.
 func TestVerdict(t *testing.T) {
 	const check, book, fingerprinted, zoned, bound, nowhere = 0, 1, 2, 3, 4, 5
-	figures := Figures{DrainGrace: 500 * ms, Slack: 50 * ms, MostAttempts: 2, Types: []Type{
+	figures := Figures{DrainGrace: 500 * ms, Slack: 50 * ms, MaxAttempts: 2, Types: []Type{
 		{Name: "check"}, {Name: "book", Repeat: Binding}, {Name: "print", Repeat: Fingerprinted, Window: time.Second},
 		{Name: "zoned", Repeat: Fingerprinted, Group: Zone, Window: time.Second}, {Name: "bound", Sites: []int{0}, Kinds: []string{"large", "huge"}},
 		{Name: "nowhere", Sites: []int{}}}, Closes: true, DrainClose: 300 * ms}
@@ -36,7 +36,7 @@
 	still := func(a *Audit, from, to time.Duration, told ...time.Duration) { // and is told meanwhile that a box has gone
 		a.NodeStill(0, from)
 		for _, at := range told {
-			a.Told(0, 1, Gone, 0, at)
+			a.Announced(0, 1, Removed, 0, at)
 		}
 		a.NodeUp(0, to)
 	}
@@ -61,15 +61,20 @@
 		"its time over meanwhile":        {func(a *Audit) { ask(a, check); still(a, 3*ms, 900*ms); a.Ended(1, Unanswered, 0, 500*ms, false, false) }, ""},
 		"told while it stood still":      {func(a *Audit) { ask(a, check); still(a, 1*ms, 700*ms, 2*ms); attempt(a, 1, 900*ms) }, ""},
 		"and long ago":                   {func(a *Audit) { ask(a, check); still(a, 1*ms, 100*ms, 2*ms); attempt(a, 1, 900*ms) }, "drains"},
-		"told before it stood still":     {func(a *Audit) { ask(a, check); a.Told(0, 1, Gone, 0, 0); still(a, 1*ms, 9*ms); attempt(a, 1, 900*ms) }, "drains"},
-		"two answers":                    {func(a *Audit) { ask(a, book); attempt(a, 0, 0); a.Ended(1, Answered, 200, 20*ms, false, true) }, "one-answer"},
-		"an unasked one":                 {func(a *Audit) { a.Extra(0) }, "one-answer"},
-		"another's answer":               {func(a *Audit) { ask(a, book); attempt(a, 0, 0); a.Ended(1, Answered, 200, 20*ms, true, false) }, "own-answer"},
-		"made up":                        {func(a *Audit) { ask(a, book); a.Ended(1, Answered, 200, 20*ms, false, false) }, "own-answer"},
-		"sent after":                     {func(a *Audit) { ask(a, check); a.Ended(1, Answered, 503, 20*ms, false, false); attempt(a, 0, 80*ms) }, "nothing-after"},
-		"sent just before":               {func(a *Audit) { ask(a, check); a.Ended(1, Answered, 503, 20*ms, false, false); attempt(a, 0, 60*ms) }, ""},
-		"sent to nobody":                 {func(a *Audit) { ask(a, check); a.Ended(1, Left, 0, 20*ms, false, false); attempt(a, 0, 180*ms) }, "leavers"},
-		"sent on as it left":             {func(a *Audit) { ask(a, check); a.Ended(1, Left, 0, 20*ms, false, false); attempt(a, 0, 160*ms) }, ""},
+		"told before it stood still": {func(a *Audit) {
+			ask(a, check)
+			a.Announced(0, 1, Removed, 0, 0)
+			still(a, 1*ms, 9*ms)
+			attempt(a, 1, 900*ms)
+		}, "drains"},
+		"two answers":        {func(a *Audit) { ask(a, book); attempt(a, 0, 0); a.Ended(1, Answered, 200, 20*ms, false, true) }, "one-answer"},
+		"an unasked one":     {func(a *Audit) { a.Extra(0) }, "one-answer"},
+		"another's answer":   {func(a *Audit) { ask(a, book); attempt(a, 0, 0); a.Ended(1, Answered, 200, 20*ms, true, false) }, "own-answer"},
+		"made up":            {func(a *Audit) { ask(a, book); a.Ended(1, Answered, 200, 20*ms, false, false) }, "own-answer"},
+		"sent after":         {func(a *Audit) { ask(a, check); a.Ended(1, Answered, 503, 20*ms, false, false); attempt(a, 0, 80*ms) }, "nothing-after"},
+		"sent just before":   {func(a *Audit) { ask(a, check); a.Ended(1, Answered, 503, 20*ms, false, false); attempt(a, 0, 60*ms) }, ""},
+		"sent to nobody":     {func(a *Audit) { ask(a, check); a.Ended(1, Disconnected, 0, 20*ms, false, false); attempt(a, 0, 180*ms) }, "leavers"},
+		"sent on as it left": {func(a *Audit) { ask(a, check); a.Ended(1, Disconnected, 0, 20*ms, false, false); attempt(a, 0, 160*ms) }, ""},
 		"sent for one given up": {func(a *Audit) {
 			ask(a, check)
 			attempt(a, 0, 0)
@@ -100,49 +105,49 @@
 		"written off, and it ran":           {func(a *Audit) { ask(a, book); attempt(a, 0, 0); a.Ended(1, Answered, 502, 20*ms, false, false) }, ""},
 		"three hops":                        {func(a *Audit) { ask(a, check); away(a, 0, 0); away(a, 1, 20*ms); away(a, 2, 40*ms) }, "hops"},
 		"a copy while the first is out":     {func(a *Audit) { ask(a, check); attempt(a, 1, 20*ms); a.Attempt(1, 0, 0, 0); a.Over(1, 0, 90*ms, false) }, "one-at-a-time"},
-		"sent within the grace":             {func(a *Audit) { ask(a, check); a.Told(0, 1, Draining, 0, 0); attempt(a, 1, 540*ms) }, ""},
-		"sent after it":                     {func(a *Audit) { ask(a, check); a.Told(0, 1, Draining, 0, 0); attempt(a, 1, 560*ms) }, "drains"},
+		"sent within the grace":             {func(a *Audit) { ask(a, check); a.Announced(0, 1, Draining, 0, 0); attempt(a, 1, 540*ms) }, ""},
+		"sent after it":                     {func(a *Audit) { ask(a, check); a.Announced(0, 1, Draining, 0, 0); attempt(a, 1, 560*ms) }, "drains"},
 		"a second word starts no new grace": {func(a *Audit) {
 			ask(a, check)
-			a.Told(0, 1, Draining, 0, 0)
-			a.Told(0, 1, Gone, 0, 400*ms)
+			a.Announced(0, 1, Draining, 0, 0)
+			a.Announced(0, 1, Removed, 0, 400*ms)
 			attempt(a, 1, 560*ms)
 		}, "drains"},
 		"told to serve again": {func(a *Audit) {
 			ask(a, check)
-			a.Told(0, 1, Gone, 0, 0)
-			a.Told(0, 1, Serving, 7, 400*ms)
+			a.Announced(0, 1, Removed, 0, 0)
+			a.Announced(0, 1, Serving, 7, 400*ms)
 			attempt(a, 1, 900*ms)
 		}, ""},
 		"an old word of it": {func(a *Audit) {
 			ask(a, check)
-			a.Told(0, 1, Gone, 0, 0)
-			a.Told(0, 1, Serving, 0, 400*ms)
+			a.Announced(0, 1, Removed, 0, 0)
+			a.Announced(0, 1, Serving, 0, 400*ms)
 			attempt(a, 1, 900*ms)
 		}, "drains"},
 		"gone in its new life": {func(a *Audit) {
 			ask(a, check)
-			a.Told(0, 1, Serving, 7, 0)
-			a.Told(0, 1, Draining, 0, 100*ms)
+			a.Announced(0, 1, Serving, 7, 0)
+			a.Announced(0, 1, Draining, 0, 100*ms)
 			attempt(a, 1, 900*ms)
 		}, "drains"},
 		"the life before ended": {func(a *Audit) {
 			ask(a, check)
-			a.Told(0, 1, Serving, 7, 0)
-			a.Told(0, 1, Gone, 3, 100*ms)
+			a.Announced(0, 1, Serving, 7, 0)
+			a.Announced(0, 1, Removed, 3, 100*ms)
 			attempt(a, 1, 900*ms)
 		}, ""},
-		"another node was told": {func(a *Audit) { ask(a, check); a.Told(1, 1, Gone, 0, 0); attempt(a, 1, 900*ms) }, ""},
+		"another node was told": {func(a *Audit) { ask(a, check); a.Announced(1, 1, Removed, 0, 0); attempt(a, 1, 900*ms) }, ""},
 		"told before it was started anew": {func(a *Audit) {
 			ask(a, check)
-			a.Told(0, 1, Gone, 0, 0)
+			a.Announced(0, 1, Removed, 0, 0)
 			a.NodeDown(0, 1*ms)
 			a.NodeUp(0, 9*ms)
 			attempt(a, 1, 900*ms)
 		}, ""},
 		"sent late, before it was started": {func(a *Audit) {
 			ask(a, check)
-			a.Told(0, 1, Gone, 0, 0)
+			a.Announced(0, 1, Removed, 0, 0)
 			attempt(a, 1, 900*ms)
 			a.NodeDown(0, 950*ms)
 			a.NodeUp(0, 999*ms)
@@ -156,25 +161,25 @@
 		"closed within the time": {func(a *Audit) {
 			ask(a, check)
 			attempt(a, 1, 0)
-			a.Told(0, 1, Draining, 0, 0)
+			a.Announced(0, 1, Draining, 0, 0)
 			a.Idle(1, 1, 10*ms, 350*ms)
 		}, ""},
 		"closed too late": {func(a *Audit) {
 			ask(a, check)
 			attempt(a, 1, 0)
-			a.Told(0, 1, Draining, 0, 0)
+			a.Announced(0, 1, Draining, 0, 0)
 			a.Idle(1, 1, 10*ms, 370*ms)
 		}, "closing"},
 		"idle before the notice already": {func(a *Audit) {
 			ask(a, check)
 			attempt(a, 1, 0)
-			a.Told(0, 1, Draining, 0, time.Second)
+			a.Announced(0, 1, Draining, 0, time.Second)
 			a.Idle(1, 1, 10*ms, 1340*ms)
 		}, ""},
 		"and for too long after it": {func(a *Audit) {
 			ask(a, check)
 			attempt(a, 1, 0)
-			a.Told(0, 1, Draining, 0, time.Second)
+			a.Announced(0, 1, Draining, 0, time.Second)
 			a.Idle(1, 1, 10*ms, 1360*ms)
 		}, "closing"},
 		"a later outcome there": {func(a *Audit) {
@@ -182,21 +187,26 @@
 			attempt(a, 1, 0)
 			a.Attempt(1, 1, 20*ms, 20*ms)
 			a.Over(1, 1, 200*ms, false)
-			a.Told(0, 1, Draining, 0, 0)
+			a.Announced(0, 1, Draining, 0, 0)
 			a.Idle(1, 1, 10*ms, 540*ms)
 		}, ""},
-		"gone without a word of draining": {func(a *Audit) { ask(a, check); attempt(a, 1, 0); a.Told(0, 1, Gone, 0, 0); a.Idle(1, 1, 10*ms, 900*ms) }, ""},
+		"gone without a word of draining": {func(a *Audit) {
+			ask(a, check)
+			attempt(a, 1, 0)
+			a.Announced(0, 1, Removed, 0, 0)
+			a.Idle(1, 1, 10*ms, 900*ms)
+		}, ""},
 		"up again before that": {func(a *Audit) {
 			ask(a, check)
 			attempt(a, 1, 0)
-			a.Told(0, 1, Draining, 0, 0)
-			a.Told(0, 1, Serving, 7, 100*ms)
+			a.Announced(0, 1, Draining, 0, 0)
+			a.Announced(0, 1, Serving, 7, 100*ms)
 			a.Idle(1, 1, 10*ms, 900*ms)
 		}, ""},
 		"another node's connection": {func(a *Audit) {
 			ask(a, check)
 			attempt(a, 1, 0)
-			a.Told(1, 1, Draining, 0, 0)
+			a.Announced(1, 1, Draining, 0, 0)
 			a.Idle(1, 1, 10*ms, 900*ms)
 		}, ""},
 		"a cold box fell":            {func(a *Audit) { a.Fell(0, 0) }, "cold"},
@@ -206,7 +216,7 @@
 		t.Run(name, func(t *testing.T) {
 			a := New(figures)
 			for i, site := range []int{0, 1, 0} {
-				a.Box(Box{Name: string(rune('a' + i)), Site: site, Kind: [...]string{"small", "large", "large"}[i]})
+				a.Server(Server{Name: string(rune('a' + i)), Site: site, Kind: [...]string{"small", "large", "large"}[i]})
 			}
 			c.day(a)
 			var broken []string
@@ -228,8 +238,8 @@
 // Where tries and attempts go, second by second: the attempt that the client was answered by is not in vain, the others are.
 func TestSeconds(t *testing.T) {
 	a := New(Figures{Types: []Type{{Name: "x"}}})
-	a.Box(Box{Name: "b0"})
-	a.Box(Box{Name: "b1"})
+	a.Server(Server{Name: "b0"})
+	a.Server(Server{Name: "b1"})
 	at := func(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 	for id, end := range []struct {
 		how    End
@@ -247,7 +257,7 @@
 		a.Ended(id, end.how, end.status, at(1160), false, false)
 	}
 	got := a.Seconds()
-	want := []Second{{Tries: 4, First: 4, Ran: 4, Vain: 4, Busiest: 2}, {Further: 4, Ran: 4, Vain: 3, Handled: 1, Denied: 1, WrittenOff: 1, Lost: 1, Busiest: 2}}
+	want := []Second{{Tries: 4, First: 4, Ran: 4, Vain: 4, Busiest: 2}, {Further: 4, Ran: 4, Vain: 3, Handled: 1, Rejected: 1, WrittenOff: 1, Lost: 1, Busiest: 2}}
 	if len(got) != 2 || got[0] != want[0] || got[1] != want[1] {
 		t.Errorf("%+v", got)
 	}
--- a/internal/testbed/audit/rules.go
+++ b/internal/testbed/audit/rules.go
@@ -7,7 +7,7 @@
 )
 
 // leftGrace is how long after its client has left an attempt, first or further, may still begin.
-const leftGrace = 100 * time.Millisecond
+const disconnectGrace = 100 * time.Millisecond
 
 // rules are looked at for each request; each tells what is wrong with it, "" for nothing.
 var rules = []struct {
@@ -81,7 +81,7 @@
 	}
 	for _, h := range r.attempts {
 		if h.first > r.ended+a.f.Slack {
-			return fmt.Sprintf("sent to %s %s after its answer", a.boxes[h.box].Name, (h.first - r.ended).Round(time.Millisecond))
+			return fmt.Sprintf("sent to %s %s after its answer", a.servers[h.server].Name, (h.first - r.ended).Round(time.Millisecond))
 		}
 	}
 	return ""
@@ -89,12 +89,12 @@
 
 // deserted looks at whatever the request waited for, and whatever its client had sent behind it.
 func (a *Audit) deserted(r *request) string {
-	if r.end != Left && r.end != Unanswered || r.ended < 0 {
+	if r.end != Disconnected && r.end != Unanswered || r.ended < 0 {
 		return ""
 	}
 	for _, h := range r.attempts {
-		if h.first > r.ended+leftGrace+a.f.Slack {
-			return fmt.Sprintf("sent to %s %s after its client had left", a.boxes[h.box].Name, (h.first - r.ended).Round(time.Millisecond))
+		if h.first > r.ended+disconnectGrace+a.f.Slack {
+			return fmt.Sprintf("sent to %s %s after its client had left", a.servers[h.server].Name, (h.first - r.ended).Round(time.Millisecond))
 		}
 	}
 	return ""
@@ -106,9 +106,9 @@
 func (a *Audit) sameGroup(t *Type, x, y int) bool {
 	switch t.Group {
 	case Zone:
-		return a.boxes[x].Site == a.boxes[y].Site
+		return a.servers[x].Site == a.servers[y].Site
 	case Cell:
-		return a.boxes[x].Cell == a.boxes[y].Cell
+		return a.servers[x].Cell == a.servers[y].Cell
 	}
 	return true
 }
@@ -123,11 +123,11 @@
 			if !earlier.mayHaveRun() {
 				continue
 			}
-			from, to := a.boxes[earlier.box].Name, a.boxes[h.box].Name
+			from, to := a.servers[earlier.server].Name, a.servers[h.server].Name
 			switch {
 			case t.Repeat == Binding:
 				return fmt.Sprintf("sent to %s though it may have run at %s", to, from)
-			case !a.sameGroup(t, earlier.box, h.box):
+			case !a.sameGroup(t, earlier.server, h.server):
 				return fmt.Sprintf("sent to %s though it may have run in another group, at %s", to, from)
 			case h.first > earlier.last+t.Window:
 				return fmt.Sprintf("sent to %s %s after %s, which forgets after %s", to, (h.first - earlier.last).Round(time.Millisecond), from, t.Window)
@@ -144,14 +144,14 @@
 	}
 	for _, h := range r.attempts {
 		if h.mayHaveRun() {
-			return fmt.Sprintf("denied though it may have run at %s", a.boxes[h.box].Name)
+			return fmt.Sprintf("denied though it may have run at %s", a.servers[h.server].Name)
 		}
 	}
 	return ""
 }
 
 func (a *Audit) tooMany(r *request) string {
-	if len(r.attempts) > a.f.MostAttempts {
+	if len(r.attempts) > a.f.MaxAttempts {
 		return fmt.Sprintf("%d hops", len(r.attempts))
 	}
 	return ""
@@ -164,7 +164,7 @@
 	for i, h := range r.attempts {
 		for _, earlier := range r.attempts[:i] {
 			if earlier.over >= 0 && h.first+a.f.Slack < earlier.over {
-				return fmt.Sprintf("sent to %s while %s still had it, for %s more", a.boxes[h.box].Name, a.boxes[earlier.box].Name,
+				return fmt.Sprintf("sent to %s while %s still had it, for %s more", a.servers[h.server].Name, a.servers[earlier.server].Name,
 					(earlier.over - h.first).Round(time.Millisecond))
 			}
 		}
@@ -176,9 +176,9 @@
 // serves undoes a drain only if it is said of a later start: an old word of it may come from a planner that was away.
 func (a *Audit) undrained(r *request) string {
 	for _, h := range r.attempts {
-		since, _ := a.parting(r.node, h.box, h.first)
+		since, _ := a.disconnecting(r.node, h.server, h.first)
 		if since >= 0 && h.first > since+a.f.DrainGrace+a.f.Slack {
-			return fmt.Sprintf("sent to %s %s after node %d was told that it drains or is gone", a.boxes[h.box].Name,
+			return fmt.Sprintf("sent to %s %s after node %d was told that it drains or is gone", a.servers[h.server].Name,
 				(h.first - since).Round(time.Millisecond), r.node)
 		}
 	}
@@ -187,9 +187,9 @@
 
 // parting is since when a node knew at some time that a box drains or is gone, -1 if it did not, and which of them it was
 // told first.
-func (a *Audit) parting(node, box int, at time.Duration) (since time.Duration, first Condition) {
+func (a *Audit) disconnecting(node, box int, at time.Duration) (since time.Duration, first Condition) {
 	since, up := time.Duration(-1), int64(0)
-	for _, t := range a.told[[2]int{node, box}] {
+	for _, t := range a.announcements[[2]int{node, box}] {
 		switch {
 		case t.at > at:
 		case t.anew:
@@ -208,7 +208,7 @@
 func (a *Audit) misplaced(r *request) string {
 	t := &a.f.Types[r.kind]
 	for _, h := range r.attempts {
-		b := &a.boxes[h.box]
+		b := &a.servers[h.server]
 		if t.Sites != nil && !slices.Contains(t.Sites, b.Site) || t.Kinds != nil && !slices.Contains(t.Kinds, b.Kind) {
 			return fmt.Sprintf("sent to %s, of kind %q at site %d, which is not open to its type", b.Name, b.Kind, b.Site)
 		}
@@ -223,19 +223,19 @@
 		return ""
 	}
 	for _, c := range r.idle {
-		since, first := a.parting(r.node, c.box, c.to)
+		since, first := a.disconnecting(r.node, c.server, c.to)
 		if since < 0 || first != Draining {
 			continue
 		}
 		last := max(since, c.from)
-		for _, at := range a.activity(r.node, c.box) {
+		for _, at := range a.activity(r.node, c.server) {
 			if at <= c.to {
 				last = max(last, at)
 			}
 		}
 		if c.to > last+a.f.DrainClose+a.f.Slack {
 			return fmt.Sprintf("a connection of node %d to %s stood idle for %s after the last that counts of its drain",
-				r.node, a.boxes[c.box].Name, (c.to - last).Round(time.Millisecond))
+				r.node, a.servers[c.server].Name, (c.to - last).Round(time.Millisecond))
 		}
 	}
 	return ""
@@ -247,7 +247,7 @@
 		a.active = map[[2]int][]time.Duration{}
 		for _, r := range a.requests {
 			for _, h := range r.attempts {
-				k := [2]int{r.node, h.box}
+				k := [2]int{r.node, h.server}
 				a.active[k] = append(a.active[k], h.first, h.over)
 			}
 		}
--- a/internal/testbed/audit/seconds.go
+++ b/internal/testbed/audit/seconds.go
@@ -14,16 +14,16 @@
 	Ran        int // begun by boxes in it
 	Vain       int // of those: the try was not handled by them, whatever their work was
 	Handled    int // tries that ended in it
-	Denied     int
+	Rejected   int
 	WrittenOff int
 	Lost       int // without a whole answer, or none in time
 	Busiest    int // attempts of the node that sent the most
 }
 
 const (
-	statusDenied  = 503
-	statusLimited = 429
-	statusHandled = 200
+	statusRejected = 503
+	statusLimited  = 429
+	statusHandled  = 200
 )
 
 // seconds are filled while the requests of a run are gone through.
@@ -71,8 +71,8 @@
 	switch at := s.at(r.ended); {
 	case r.handled():
 		at.Handled++
-	case r.end == Answered && (r.status == statusDenied || r.status == statusLimited):
-		at.Denied++
+	case r.end == Answered && (r.status == statusRejected || r.status == statusLimited):
+		at.Rejected++
 	case r.end == Answered:
 		at.WrittenOff++
 	default:
--- a/internal/testbed/audit/types.go
+++ b/internal/testbed/audit/types.go
@@ -30,8 +30,8 @@
 	Kinds  []string // of boxes, likewise
 }
 
-// Box is where a box stands.
-type Box struct {
+// Server is where a box stands.
+type Server struct {
 	Name string
 	Site int
 	Cell int
@@ -40,25 +40,25 @@
 
 // Figures of the rules.
 type Figures struct {
-	Types        []Type
-	DrainGrace   time.Duration
-	Slack        time.Duration // added to each limit, for what the machine is late
-	MostAttempts int
-	Copies       bool // a second copy may be out while the first is
-	Closes       bool // idle connections to a draining box are closed within DrainClose
-	DrainClose   time.Duration
+	Types       []Type
+	DrainGrace  time.Duration
+	Slack       time.Duration // added to each limit, for what the machine is late
+	MaxAttempts int
+	Copies      bool // a second copy may be out while the first is
+	Closes      bool // idle connections to a draining box are closed within DrainClose
+	DrainClose  time.Duration
 }
 
 // End is how a client's try ended.
 type End uint8
 
 const (
-	Answered   End = iota // in time
-	Late                  // answered when the client's time was up, but within the slack
-	Unanswered            // the client's time was up first
-	Dropped               // the connection ended with no whole answer
-	Unsent                // never written whole
-	Left                  // the client went before its time was up
+	Answered     End = iota // in time
+	Late                    // answered when the client's time was up, but within the slack
+	Unanswered              // the client's time was up first
+	Dropped                 // the connection ended with no whole answer
+	Unsent                  // never written whole
+	Disconnected            // the client went before its time was up
 )
 
 // Condition of a box, as a node was told.
@@ -67,5 +67,5 @@
 const (
 	Serving  Condition = iota // may be sent to
 	Draining                  // finishes what it has, and gets nothing new
-	Gone                      // is no more
+	Removed                   // is no more
 )
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -15,7 +15,7 @@
 const (
 	sweepEvery = 20 * time.Millisecond  // between looks at open operations
 	askAgain   = time.Second            // after discovery failed
-	heldBack   = 100 * time.Millisecond // before the client's time is up
+	holdBack   = 100 * time.Millisecond // before the client's time is up
 	tooLate    = 400 * time.Millisecond // after the client's leaving, beyond any slack
 	ahead      = 5 * time.Millisecond   // of the client's leaving, the last moment to answer
 )
@@ -53,7 +53,7 @@
 	return nil, false
 }
 
-type operation struct {
+type request struct {
 	open     bool
 	out      bool
 	kind     int
@@ -71,9 +71,9 @@
 	name   string
 	broken bool
 
-	now     time.Duration
-	effects []policy.Effect
-	ops     []operation
+	now      time.Duration
+	effects  []policy.Effect
+	requests []request
 
 	ready    []bool
 	zone     []int
@@ -107,8 +107,8 @@
 	case policy.AttemptEnded:
 		m.attemptEnded(in)
 	case policy.ClientLeft:
-		if in.Request < len(m.ops) {
-			m.ops[in.Request].open = false
+		if in.Request < len(m.requests) {
+			m.requests[in.Request].open = false
 		}
 	case policy.EndpointsUpdated:
 		m.list(in)
@@ -119,12 +119,12 @@
 }
 
 func (m *module) arrive(in *policy.Input) {
-	for in.Request >= len(m.ops) {
-		m.ops = append(m.ops, operation{})
+	for in.Request >= len(m.requests) {
+		m.requests = append(m.requests, request{})
 	}
 	t := &m.set.TrafficTypes[in.TrafficType]
-	o := &m.ops[in.Request]
-	*o = operation{open: true, kind: in.TrafficType, attempts: o.attempts[:0], mayRun: -1, limit: m.now + in.Timeout,
+	o := &m.requests[in.Request]
+	*o = request{open: true, kind: in.TrafficType, attempts: o.attempts[:0], mayRun: -1, limit: m.now + in.Timeout,
 		target: m.now + min(t.LatencyObjective, in.Timeout)}
 	if m.is("silent") && m.chance() < 0.05 || m.is("late") && m.chance() < 0.05 {
 		o.out = true // as if an attempt were out, of which nothing is heard
@@ -135,23 +135,23 @@
 		return // it waits for nearly all of its time, and then goes whether or not its client is there
 	}
 	if !m.send(in.Request) {
-		m.deny(in.Request)
+		m.reject(in.Request)
 	}
 }
 
-func (m *module) deny(op int) {
-	m.ops[op].open = false
+func (m *module) reject(op int) {
+	m.requests[op].open = false
 	m.emit(policy.Effect{Kind: policy.Reject, Request: op})
 }
 
 func (m *module) writeOff(op int) {
-	m.ops[op].open = false
+	m.requests[op].open = false
 	m.emit(policy.Effect{Kind: policy.Fail, Request: op})
 }
 
 // send puts an attempt out, if there is a server that the operation may go to.
 func (m *module) send(op int) bool {
-	o := &m.ops[op]
+	o := &m.requests[op]
 	fits := make([]int, 0, len(m.ready))
 	for s, ready := range m.ready {
 		if ready && !slices.Contains(o.attempts, s) && m.inGroup(o, s) && m.open(o, s) {
@@ -170,7 +170,7 @@
 }
 
 // open tells whether an operation's type may be sent to a server.
-func (m *module) open(o *operation, s int) bool {
+func (m *module) open(o *request, s int) bool {
 	for i, to := range m.set.Placements {
 		bound := m.set.TrafficTypes[o.kind].PlacementBit&(1<<i) != 0 && !m.is("misplaces")
 		if bound && (to.Zones != nil && !slices.Contains(to.Zones, m.zone[s]) || to.MachineKinds != nil && !slices.Contains(to.MachineKinds, m.machine[s])) {
@@ -180,7 +180,7 @@
 	return true
 }
 
-func (m *module) inGroup(o *operation, s int) bool {
+func (m *module) inGroup(o *request, s int) bool {
 	if o.mayRun < 0 || m.set.TrafficTypes[o.kind].Idempotency != policy.IdempotentWithKey || m.is("wrong-group") {
 		return true
 	}
@@ -224,7 +224,7 @@
 
 func (m *module) attemptEnded(in *policy.Input) {
 	m.inFlight[in.Server]--
-	o := &m.ops[in.Request]
+	o := &m.requests[in.Request]
 	o.out = false
 	ran := in.Outcome != policy.Overloaded && in.Outcome != policy.Unreachable && in.Outcome != policy.NotStarted
 	if ran && o.mayRun < 0 {
@@ -245,13 +245,13 @@
 		return
 	}
 	if m.harmless(o) || m.is("denies-after-run") {
-		m.deny(in.Request)
+		m.reject(in.Request)
 	} else {
 		m.writeOff(in.Request)
 	}
 }
 
-func (m *module) harmless(o *operation) bool {
+func (m *module) harmless(o *request) bool {
 	t := &m.set.TrafficTypes[o.kind]
 	return o.mayRun < 0 && !o.out || t.Idempotency == policy.Idempotent || t.Idempotency == policy.IdempotentWithKey && t.KeyScope == policy.KeyScopeAll
 }
@@ -284,20 +284,20 @@
 
 func (m *module) sweep() {
 	m.emit(policy.Effect{Kind: policy.SetTimer, Duration: sweepEvery})
-	for i := range m.ops {
-		o := &m.ops[i]
+	for i := range m.requests {
+		o := &m.requests[i]
 		limit := o.limit - ahead - sweepEvery
 		if m.is("late") && len(o.attempts) == 0 {
 			limit = o.limit + tooLate
 		}
-		if m.is("deaf") && o.open && len(o.attempts) == 0 && m.now >= limit-heldBack && m.send(i) {
+		if m.is("deaf") && o.open && len(o.attempts) == 0 && m.now >= limit-holdBack && m.send(i) {
 			continue
 		}
 		if !o.open || m.now < limit || m.is("silent") {
 			continue
 		}
 		if m.harmless(o) || len(o.attempts) == 0 {
-			m.deny(i)
+			m.reject(i)
 		} else {
 			m.writeOff(i)
 		}
--- a/internal/testbed/bench.go
+++ b/internal/testbed/bench.go
@@ -61,8 +61,8 @@
 	for i := range s.Types { // no window of the module is to bind
 		s.Types[i].Target, s.Types[i].Abandon = scenario.Span(2*time.Second), scenario.Span(3*time.Second)
 	}
-	w := &world{Options: Options{Scenario: s}, keeper: newKeeper()}
-	defer close(w.keeper.starts)
+	w := &world{Options: Options{Scenario: s}, processes: newProcessManager()}
+	defer close(w.processes.starts)
 	if err := w.reserve(); err != nil {
 		return nil, err
 	}
@@ -79,12 +79,12 @@
 		return nil, err
 	}
 	died := make(chan string, 1)
-	if err := p.start(w.keeper, func(why string) { died <- why }); err != nil {
+	if err := p.start(w.processes, func(why string) { died <- why }); err != nil {
 		return nil, err
 	}
 	defer p.end(syscall.SIGTERM)
 	f := connbalancer.New(1, []connbalancer.Node{{Address: at}})
-	up, cancel := context.WithTimeout(ctx, startMost)
+	up, cancel := context.WithTimeout(ctx, maxStartTime)
 	defer cancel()
 	if err := f.Started(up, 0); err != nil {
 		return nil, err
--- a/internal/testbed/build.go
+++ b/internal/testbed/build.go
@@ -25,12 +25,12 @@
 		return err
 	}
 	s := w.Scenario
-	w.observer = newObserver(s, w.Ops, w.start)
+	w.observer = newObserver(s, w.Requests, w.start)
 	w.discovery = discovery.New(discovery.Figures{LinesPerS: s.Discovery.LinesPerS, CallLines: s.Discovery.CallLines,
 		Timeout: s.Discovery.Timeout.Std(), Spread: s.Discovery.Spread.Std()}, s.Seed, discovered{w.observer})
-	for i := range s.Boxes {
-		for n := range s.Boxes[i].Count {
-			m, err := w.add(&s.Boxes[i], fmt.Sprintf("%s-%d", s.Boxes[i].Kind, n))
+	for i := range s.Servers {
+		for n := range s.Servers[i].Count {
+			m, err := w.add(&s.Servers[i], fmt.Sprintf("%s-%d", s.Servers[i].Kind, n))
 			if err != nil {
 				return err
 			}
@@ -41,11 +41,11 @@
 	for n := range s.Nodes.Count {
 		nodes = append(nodes, connbalancer.Node{Site: n % len(s.Sites), Address: w.nodeAddress(n), FastCGI: w.cgiAddress(n)})
 	}
-	w.front = connbalancer.New(len(s.Sites), nodes)
+	w.balancer = connbalancer.New(len(s.Sites), nodes)
 	if err := w.serveDiscovery(); err != nil {
 		return err
 	}
-	ready, cancel := context.WithTimeoutCause(ctx, startMost, errors.New("the nodes take too long to start"))
+	ready, cancel := context.WithTimeoutCause(ctx, maxStartTime, errors.New("the nodes take too long to start"))
 	defer cancel()
 	g, ready := errgroup.WithContext(ready)
 	g.SetLimit(startAtOnce)
@@ -86,7 +86,7 @@
 	from := os.Getpid()
 	for i := range lastNet - firstNet {
 		r := firstNet + (from+i)%(lastNet-firstNet)
-		if w.lock, err = net.Listen("tcp", fmt.Sprintf("127.%d.254.254:%d", r, boxPort-1)); err == nil {
+		if w.lock, err = net.Listen("tcp", fmt.Sprintf("127.%d.254.254:%d", r, serverPort-1)); err == nil {
 			w.net = fmt.Sprintf("127.%d", r)
 			return nil
 		}
@@ -108,7 +108,7 @@
 
 func (w *world) serveDiscovery() error {
 	for n := range w.Scenario.Nodes.Count + w.Scenario.Planners.Count {
-		if err := w.discovery.Serve(n, n%len(w.Scenario.Sites), w.discoveryAddress(n, w.places)); err != nil {
+		if err := w.discovery.Serve(n, n%len(w.Scenario.Sites), w.discoveryAddress(n, w.addresses)); err != nil {
 			return err
 		}
 	}
@@ -116,8 +116,8 @@
 }
 
 // add builds a box; it is in no list yet.
-func (w *world) add(k *scenario.Boxes, name string) (*machine, error) {
-	s, n := w.Scenario, len(w.boxes)
+func (w *world) add(k *scenario.Servers, name string) (*machine, error) {
+	s, n := w.Scenario, len(w.servers)
 	site := n % len(s.Sites)
 	cell := 0
 	if k.GroupSize > 0 {
@@ -125,7 +125,7 @@
 	}
 	addresses := make([]string, len(s.Sites))
 	for i := range addresses {
-		addresses[i] = fmt.Sprintf("%s.%d.%d:%d", w.net, 100+n/250, n%250+1, boxPort+i)
+		addresses[i] = fmt.Sprintf("%s.%d.%d:%d", w.net, 100+n/250, n%250+1, serverPort+i)
 	}
 	cross := func(from int) time.Duration {
 		if from == site {
@@ -134,25 +134,25 @@
 		return s.Net.Cross.Std()
 	}
 	id := server.Identity{Number: n, Name: name, Site: site, Cell: cell}
-	b, err := server.NewBox(id, server.Figures{Cores: k.Cores, Speed: k.Speed, Queue: k.Queue, ColdShare: k.ColdShare, ColdFor: k.ColdFor.Std(),
+	b, err := server.NewServer(id, server.Figures{Cores: k.Cores, Speed: k.Speed, Queue: k.Queue, ColdShare: k.ColdShare, ColdFor: k.ColdFor.Std(),
 		KeyGain: k.KeyGain, KeyFor: k.KeyFor.Std(), Keys: k.Keys, Drops: k.Drops, FallMultiple: s.Rules.FallMultiple,
 		FallWindow: s.Rules.FallWindow.Std(), Handshake: k.Handshake.Std(), Connections: k.Connections, FastCGI: k.FastCGI}, w.start, addresses, cross, w.observer)
 	if err != nil {
 		return nil, err
 	}
 	b.Set(func(f *server.Faults) { f.Err = k.ErrorRate })
-	m := &machine{Box: b, kind: k}
-	w.boxes = append(w.boxes, m)
+	m := &machine{Server: b, kind: k}
+	w.servers = append(w.servers, m)
 	w.observer.record(func(a *audit.Audit, _ time.Duration) {
-		w.observer.boxes[name] = n
-		a.Box(audit.Box{Name: name, Site: site, Cell: cell, Kind: k.Kind})
+		w.observer.servers[name] = n
+		a.Server(audit.Server{Name: name, Site: site, Cell: cell, Kind: k.Kind})
 	})
 	return m, nil
 }
 
 // cgi tells whether anything of the scenario speaks FastCGI, and which kinds of boxes.
 func (w *world) cgi() (any bool, kinds []string) {
-	for _, b := range w.Scenario.Boxes {
+	for _, b := range w.Scenario.Servers {
 		if b.FastCGI {
 			kinds = append(kinds, b.Kind)
 		}
@@ -193,7 +193,7 @@
 	if w.Scenario.Lists.Start == "known" {
 		known = w.discovery.List(n % len(w.Scenario.Sites))
 	}
-	return w.nodes[n].configure(w.Scenario, w.nodeAddress(n), w.discoveryAddress(n, w.places), seed, known)
+	return w.nodes[n].configure(w.Scenario, w.nodeAddress(n), w.discoveryAddress(n, w.addresses), seed, known)
 }
 
 // launch starts a node on its file as it is, and waits until the front has taken it in.
@@ -203,15 +203,15 @@
 	if err := w.age(n); err != nil {
 		return err
 	}
-	err := w.nodes[n].start(w.keeper, func(why string) {
+	err := w.nodes[n].start(w.processes, func(why string) {
 		cancel(fmt.Errorf("node %d has ended: %s", n, why))
 		w.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, why) })
 		w.observer.nodeDown(n, true)
-		w.front.Ended(n, w.Scenario.Nodes.Notice.Std())
+		w.balancer.Ended(n, w.Scenario.Nodes.Notice.Std())
 	})
 	if err != nil {
 		return err
 	}
 	w.observer.nodeUp(n)
-	return w.front.Started(ctx, n)
+	return w.balancer.Started(ctx, n)
 }
--- a/internal/testbed/capacity/fit.go
+++ b/internal/testbed/capacity/fit.go
@@ -53,7 +53,7 @@
 
 const (
 	fewestPoints = 3    // of which a slope can be told from another
-	missedMost   = 0.25 // of the largest size's value, beyond which the slope is said not to have predicted it
+	maxMissed    = 0.25 // of the largest size's value, beyond which the slope is said not to have predicted it
 	// A more complex shape must leave clearly less behind: noise alone always favours the one that bends to it.
 	clearlyLess = 0.8
 	within      = 0.03 // residual beneath which a shape needs no better one
@@ -66,7 +66,7 @@
 func (s Slope) At(n float64) float64 { return s.Fixed + s.Factor*s.Shape.growth(n) }
 
 // Unpredicted tells that the smaller sizes did not predict the largest one within a quarter.
-func (s Slope) Unpredicted() bool { return math.Abs(s.Missed) > missedMost }
+func (s Slope) Unpredicted() bool { return math.Abs(s.Missed) > maxMissed }
 
 // Fit finds the simplest shape that describes the points, by least squares of relative deviations: sizes double, so that
 // absolute ones would let the largest size alone decide.
--- a/internal/testbed/cold_test.go
+++ b/internal/testbed/cold_test.go
@@ -39,25 +39,25 @@
 
 // coldFleet is a number of nodes before some servers, each node the shipped module, on a clock of its own.
 type coldFleet struct {
-	set     policy.Settings
-	work    time.Duration // of one request on a warm server
-	window  time.Duration
-	now     time.Duration
-	due     agenda
-	chance  *rand.Rand
-	nodes   []*coldNode
-	servers []*coldServer
-	jobs    uint64
-	worst   float64 // most of what a cold server may get that one got
-	most    string
-	fed     int // attempts at cold servers
+	set      policy.Settings
+	work     time.Duration // of one request on a warm server
+	window   time.Duration
+	now      time.Duration
+	due      agenda
+	chance   *rand.Rand
+	nodes    []*coldNode
+	servers  []*coldServer
+	requests uint64
+	worst    float64 // most of what a cold server may get that one got
+	peak     string
+	fed      int // attempts at cold servers
 }
 
 type coldNode struct {
-	f    *coldFleet
-	door *engine.Engine[int]
-	woke int // wakes asked for
-	hops map[uint64]int
+	f        *coldFleet
+	engine   *engine.Engine[int]
+	woke     int // wakes asked for
+	attempts map[uint64]int
 }
 
 func (f *coldFleet) after(d time.Duration, do func()) { heap.Push(&f.due, moment{f.now + d, do}) }
@@ -89,15 +89,15 @@
 	n := f.allows(c)
 	if part := float64(len(c.recent)) / (n + 2*math.Sqrt(n) + 2); part > f.worst {
 		f.worst = part
-		f.most = fmt.Sprintf("server %d at %v: %d within %v, N is %.1f", s, f.now, len(c.recent), f.window, n)
+		f.peak = fmt.Sprintf("server %d at %v: %d within %v, N is %.1f", s, f.now, len(c.recent), f.window, n)
 	}
 }
 
 func (n *coldNode) SendAttempt(job uint64, server int, allow time.Duration) {
 	f := n.f
 	f.sent(server)
-	hop := n.hops[job]
-	n.hops[job]++
+	hop := n.attempts[job]
+	n.attempts[job]++
 	c, sent := f.servers[server], f.now
 	c.free = max(c.free, f.now) + time.Duration(float64(f.work)/f.capacity(c)*f.chance.ExpFloat64())
 	in := policy.Input{Attempt: hop, Outcome: policy.Success, ClientAnswered: true}
@@ -107,7 +107,7 @@
 	}
 	f.after(took, func() {
 		in.Elapsed = f.now - sent
-		n.door.AttemptEnded(f.now, job, server, in, n)
+		n.engine.AttemptEnded(f.now, job, server, in, n)
 	})
 }
 
@@ -122,7 +122,7 @@
 	woke := n.woke
 	n.f.after(after, func() {
 		if n.woke == woke {
-			n.door.TimerFired(n.f.now, n)
+			n.engine.TimerFired(n.f.now, n)
 		}
 	})
 }
@@ -134,7 +134,7 @@
 		members = append(members, engine.Endpoint[int]{Server: m.Server, Info: m})
 	}
 	for _, n := range f.nodes {
-		n.door.EndpointsUpdated(f.now, scope, members, n)
+		n.engine.EndpointsUpdated(f.now, scope, members, n)
 	}
 }
 
@@ -151,9 +151,9 @@
 	f.after(time.Duration(f.chance.ExpFloat64()/rate()*float64(time.Second)), func() {
 		i := f.chance.IntN(len(f.nodes))
 		if keep := idle + (1-idle)*float64(i)/float64(len(f.nodes)); f.chance.Float64() < keep {
-			f.jobs++
+			f.requests++
 			n, t := f.nodes[i], f.set.TrafficTypes[0]
-			n.door.RequestArrived(f.now, f.jobs, policy.Input{Timeout: t.ClientTimeout}, n)
+			n.engine.RequestArrived(f.now, f.requests, policy.Input{Timeout: t.ClientTimeout}, n)
 		}
 		f.arrivals(idle, rate)
 	})
@@ -195,10 +195,10 @@
 		}
 	}
 	for i := range nodes {
-		n := &coldNode{f: f, hops: map[uint64]int{}}
+		n := &coldNode{f: f, attempts: map[uint64]int{}}
 		set := f.set
 		set.NodeIndex = i
-		n.door = engine.New[int](0, policy.New(set, uint32(seed)<<8|uint32(i)), n)
+		n.engine = engine.New[int](0, policy.New(set, uint32(seed)<<8|uint32(i)), n)
 		f.nodes = append(f.nodes, n)
 	}
 	f.list(policy.Full, first...)
@@ -238,7 +238,7 @@
 				t.Run(fmt.Sprintf("%d nodes, work of %v, %s", nodes, work, c.about), func(t *testing.T) {
 					for seed := range uint64(seeds) {
 						f := throng(nodes, work, c.cold, c.returns, seed+1)
-						t.Logf("%d at cold servers, the most %.0f%% of what is chance: %s", f.fed, 100*f.worst, f.most)
+						t.Logf("%d at cold servers, the most %.0f%% of what is chance: %s", f.fed, 100*f.worst, f.peak)
 						if f.fed == 0 || f.worst > 1 {
 							t.Error("cold servers got nothing, or more than their budget and its chance")
 						}
--- a/internal/testbed/distribution.go
+++ b/internal/testbed/distribution.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	distributedService = "hire"
-	distributedGiveUp  = 30 * time.Second // for a change to be in force everywhere, after which the trial has failed
-	distributedLook    = 5 * time.Millisecond
+	distributedService       = "hire"
+	distributedGiveUp        = 30 * time.Second // for a change to be in force everywhere, after which the trial has failed
+	distributionPollInterval = 5 * time.Millisecond
 )
 
 // Distribution plays nodes' ends of the distribution under two roots and some relays, in this one process, over links that
@@ -63,9 +63,9 @@
 	end    *client.Client
 	stop   func() error
 
-	mu   sync.Mutex
-	held int // number of the newest change
-	back int
+	mu      sync.Mutex
+	entries int // number of the newest change
+	back    int
 }
 
 // Servers takes what this trial never writes.
@@ -80,18 +80,18 @@
 	defer n.mu.Unlock()
 	for _, e := range all {
 		number, _ := strconv.Atoi(string(e.Value))
-		if number < n.held {
+		if number < n.entries {
 			n.back++
 		}
-		n.held = number
+		n.entries = number
 	}
 	return nil
 }
 
-func (n *playedNode) holds(number int) bool {
+func (n *playedNode) matches(number int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.held >= number
+	return n.entries >= number
 }
 
 // Run plays all faults, one after the other.
@@ -177,14 +177,14 @@
 	}
 	began := time.Now()
 	for _, n := range d.nodes {
-		for !n.holds(d.last) {
+		for !n.matches(d.last) {
 			if time.Since(began) > distributedGiveUp {
 				return 0, fmt.Errorf("a change is not in force at %s after %s", n.config.Name, distributedGiveUp)
 			}
 			select {
 			case <-ctx.Done():
 				return 0, ctx.Err()
-			case <-time.After(distributedLook):
+			case <-time.After(distributionPollInterval):
 			}
 		}
 	}
@@ -298,7 +298,7 @@
 		if time.Now().After(by) || ctx.Err() != nil {
 			return errors.Join(errors.New("the first root is never current"), err)
 		}
-		time.Sleep(distributedLook)
+		time.Sleep(distributionPollInterval)
 	}
 }
 
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -34,7 +34,7 @@
 			w.fault(ctx, f, chance)
 		})
 	}
-	for _, m := range w.boxes {
+	for _, m := range w.servers {
 		if m.kind.PauseEvery > 0 {
 			w.wg.Go(func() { w.pauses(m) })
 		}
@@ -94,7 +94,7 @@
 	"spoil":      share(func(b *server.Faults, s float64) { b.Spoil = s }),
 	"cut-site": func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		cut := slices.Index(w.Scenario.Sites, f.Site)
-		boxes := slices.Clone(w.boxes)
+		boxes := slices.Clone(w.servers)
 		both := func(do func(m *machine, site int)) {
 			for _, m := range boxes {
 				for site := range w.Scenario.Sites {
@@ -108,7 +108,7 @@
 		w.after(f.For.Std(), func() { both(func(m *machine, site int) { m.Speak(site) }) })
 	},
 	"lose-site": func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
-		for _, m := range w.boxes {
+		for _, m := range w.servers {
 			if w.Scenario.Sites[m.Site] == f.Site {
 				m.Vanish()
 				w.dies(m, f.For.Std())
@@ -116,9 +116,9 @@
 		}
 	},
 	"shrink": func(w *world, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
-		leave := int(math.Round((1 - f.Size) * float64(len(w.boxes))))
-		for i, b := range chance.Perm(len(w.boxes))[:leave] {
-			w.after(f.For.Std()*time.Duration(i)/time.Duration(max(leave, 1)), func() { w.drain(w.boxes[b]) })
+		leave := int(math.Round((1 - f.Size) * float64(len(w.servers))))
+		for i, b := range chance.Perm(len(w.servers))[:leave] {
+			w.after(f.For.Std()*time.Duration(i)/time.Duration(max(leave, 1)), func() { w.drain(w.servers[b]) })
 		}
 	},
 	"replace": func(w *world, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
@@ -143,7 +143,7 @@
 	"discovery-move": func(w *world, _ context.Context, _ *scenario.Fault, _ *rand.Rand) {
 		w.mu.Lock()
 		w.discovery.Moved()
-		w.places++
+		w.addresses++
 		err := w.serveDiscovery()
 		w.mu.Unlock()
 		for n, p := range w.nodes {
@@ -177,7 +177,7 @@
 	},
 	"restart-nodes": func(w *world, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
 		for _, n := range w.chosenNodes(f, chance) {
-			w.front.Ended(n, planned)
+			w.balancer.Ended(n, planned)
 			w.wg.Go(func() {
 				if err := w.nodes[n].end(syscall.SIGTERM); err != nil {
 					w.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, err.Error()) })
@@ -296,8 +296,8 @@
 // share has a share of the requests at the boxes named meet something, at all boxes where none is named.
 func share(set func(*server.Faults, float64)) func(*world, context.Context, *scenario.Fault, *rand.Rand) {
 	return func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
-		for _, m := range w.boxes {
-			if len(f.Boxes) > 0 && !slices.Contains(f.Boxes, m.Name) {
+		for _, m := range w.servers {
+			if len(f.Servers) > 0 && !slices.Contains(f.Servers, m.Name) {
 				continue
 			}
 			m.Set(func(b *server.Faults) { set(b, f.Share) })
@@ -308,15 +308,15 @@
 
 // chosen are the boxes that a fault names, or a share of all.
 func (w *world) chosen(f *scenario.Fault, chance *rand.Rand) (chosen []*machine) {
-	if len(f.Boxes) == 0 {
-		n := int(math.Ceil(f.Share * float64(len(w.boxes))))
-		for _, i := range chance.Perm(len(w.boxes))[:n] {
-			chosen = append(chosen, w.boxes[i])
+	if len(f.Servers) == 0 {
+		n := int(math.Ceil(f.Share * float64(len(w.servers))))
+		for _, i := range chance.Perm(len(w.servers))[:n] {
+			chosen = append(chosen, w.servers[i])
 		}
 		return chosen
 	}
-	for _, m := range w.boxes {
-		if slices.Contains(f.Boxes, m.Name) {
+	for _, m := range w.servers {
+		if slices.Contains(f.Servers, m.Name) {
 			chosen = append(chosen, m)
 		}
 	}
@@ -355,7 +355,7 @@
 func (w *world) drain(m *machine) {
 	notice := w.Scenario.Discovery.Notice.Std()
 	m.mu.Lock()
-	m.gone = true
+	m.isLost = true
 	m.mu.Unlock()
 	w.announce(m, discovery.Draining, notice, time.Time{})
 	w.after(notice+lateDrain, func() { m.Drain(true) })
--- a/internal/testbed/journal.go
+++ b/internal/testbed/journal.go
@@ -20,7 +20,7 @@
 // diskVar names the file that says how long each write of a node's journal takes.
 const diskVar = "FERNLAB_DISK"
 
-const diskLook = 20 * time.Millisecond // between two looks at that file
+const diskPollInterval = 20 * time.Millisecond // between two looks at that file
 
 const fullDisk = "full" // in that file: no write succeeds
 
@@ -33,7 +33,7 @@
 	var looked, takes atomic.Int64
 	var full atomic.Bool
 	look := func() {
-		if now := time.Now().UnixNano(); now-looked.Load() > int64(diskLook) {
+		if now := time.Now().UnixNano(); now-looked.Load() > int64(diskPollInterval) {
 			looked.Store(now)
 			text, _ := os.ReadFile(path)
 			word := strings.TrimSpace(string(text))
@@ -71,7 +71,7 @@
 		if err := os.MkdirAll(p.journal(), 0o755); err != nil {
 			return err
 		}
-		text := fmt.Sprintf("dir = %q\npromise = %q\nwhen_failing = %q\nwait_most = %q\n", p.journal(), j.Promise, j.WhenFailing, j.WaitMost.Std())
+		text := fmt.Sprintf("dir = %q\npromise = %q\nwhen_failing = %q\nwait_most = %q\n", p.journal(), j.Promise, j.WhenFailing, j.MaxWait.Std())
 		if err := os.WriteFile(p.bindings(), []byte(text), 0o644); err != nil {
 			return err
 		}
@@ -116,14 +116,14 @@
 }
 
 // becomesWhole notes how long it takes until all stands as often as it should.
-func (w *world) becomesWhole(ctx context.Context, into *float64) {
+func (w *world) waitReplicated(ctx context.Context, into *float64) {
 	began := time.Now()
 	w.wg.Go(func() {
 		for ctx.Err() == nil {
 			select {
 			case <-w.stopped:
 				return
-			case <-time.After(wholeLook):
+			case <-time.After(replicationPollInterval):
 			}
 			if c := w.ask(ctx); len(c.Answered) == len(w.nodes) && c.Shortfall() == "" {
 				w.losses.mu.Lock()
@@ -137,18 +137,18 @@
 
 // Journal is what the nodes' journals held in the end, beside the boxes' dockets.
 type Journal struct {
-	Entries  int // operations in them
-	Ran      int // dockets of bindings
-	Possibly int // entries that were possibly sent when the nodes had ended
-	Open     int // of those that dockets did not settle
-	Gaps     int // words that were not kept, by the journals' own count
-	Bytes    int64
-	Losses   int     // of machines with their disks
-	Cycles   int     // of losses, each from a whole tier to a whole one
-	Told     int     // streams that were said before to be lost with the machines beyond the replicas
-	Lost     int     // dockets of those that no journal has
-	Linked   int64   // bytes between nodes
-	Whole    float64 // seconds until an earlier life's entries stood as often as they should; 0: they did not
+	Entries         int // operations in them
+	Ran             int // dockets of bindings
+	Possibly        int // entries that were possibly sent when the nodes had ended
+	Open            int // of those that dockets did not settle
+	Gaps            int // words that were not kept, by the journals' own count
+	Bytes           int64
+	Losses          int     // of machines with their disks
+	Cycles          int     // of losses, each from a whole tier to a whole one
+	AnnouncedLost   int     // streams that were said before to be lost with the machines beyond the replicas
+	Lost            int     // dockets of those that no journal has
+	Linked          int64   // bytes between nodes
+	RecoverySeconds float64 // seconds until an earlier life's entries stood as often as they should; 0: they did not
 }
 
 // entryKey is an entry of a node's journal.
@@ -170,16 +170,16 @@
 			return sum, err
 		}
 	}
-	sum.Losses, sum.Cycles, sum.Told = w.losses.machines, w.losses.cycles, len(w.losses.told)
+	sum.Losses, sum.Cycles, sum.AnnouncedLost = w.losses.machines, w.losses.cycles, len(w.losses.notified)
 	w.losses.mu.Lock()
-	sum.Whole = w.losses.whole
+	sum.RecoverySeconds = w.losses.replicated
 	w.losses.mu.Unlock()
 	if w.fabric != nil {
 		sum.Linked = w.fabric.Bytes()
 	}
 	sum.Entries = len(all)
 	dockets := map[string]*intent.ExecutionRecord{}
-	for _, b := range w.boxes {
+	for _, b := range w.servers {
 		dockets[b.Name] = &intent.ExecutionRecord{Server: b.Name, FromUnixNano: 0, ToUnixNano: time.Now().Add(time.Hour).UnixNano(), RequestIDs: map[string]bool{}}
 	}
 	w.observer.record(func(a *audit.Audit, _ time.Duration) {
@@ -204,11 +204,11 @@
 	dirs := map[int][]string{}
 	for n, p := range w.nodes {
 		dirs[n] = append(dirs[n], p.journal())
-		held, _ := os.ReadDir(p.held())
+		held, _ := os.ReadDir(p.isStopped())
 		for _, dir := range held { // of others, under their names
 			name, _, _ := strings.Cut(dir.Name(), "@")
 			if of, err := strconv.Atoi(strings.TrimPrefix(name, "n")); err == nil {
-				dirs[of] = append(dirs[of], filepath.Join(p.held(), dir.Name()))
+				dirs[of] = append(dirs[of], filepath.Join(p.isStopped(), dir.Name()))
 			}
 		}
 	}
@@ -253,14 +253,14 @@
 		k := entryKey{node, id}
 		ran[k] = true
 		name := string(load.AppendID(nil, id))
-		dockets[w.boxes[box].Name].RequestIDs[name] = true
+		dockets[w.servers[box].Name].RequestIDs[name] = true
 		switch e := all[k]; {
-		case e == nil && w.losses.told[node]:
+		case e == nil && w.losses.notified[node]:
 			sum.Lost++
 		case e == nil && !gaps[node]:
-			a.BrokenPromise(fmt.Sprintf("%s ran at %s, and node %d's journal has no entry of it", name, w.boxes[box].Name, node))
+			a.BrokenPromise(fmt.Sprintf("%s ran at %s, and node %d's journal has no entry of it", name, w.servers[box].Name, node))
 		case e != nil && e.State() == intent.NotSent:
-			a.BrokenPromise(fmt.Sprintf("%s ran at %s, and node %d's journal says that it was not sent", name, w.boxes[box].Name, node))
+			a.BrokenPromise(fmt.Sprintf("%s ran at %s, and node %d's journal says that it was not sent", name, w.servers[box].Name, node))
 		}
 	})
 	return ran
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -49,7 +49,7 @@
 
 func play(t *testing.T, s *scenario.Scenario, policy string) *Outcome {
 	t.Helper()
-	out, err := Run(context.Background(), Options{Scenario: s, Ops: load.Plan(s), Command: []string{os.Args[0]}, Planner: []string{os.Args[0]}, Env: []string{policyVar + "=" + policy}})
+	out, err := Run(context.Background(), Options{Scenario: s, Requests: load.Plan(s), Command: []string{os.Args[0]}, Planner: []string{os.Args[0]}, Env: []string{policyVar + "=" + policy}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/load/client.go
+++ b/internal/testbed/load/client.go
@@ -36,8 +36,8 @@
 	ReleaseBuffers()
 }
 
-// Door deals out connections, as the front before the nodes does.
-type Door interface {
+// Target deals out connections, as the front before the nodes does.
+type Target interface {
 	// Pick says where a client of a site connects to; ok is false while nothing is known to serve.
 	Pick(site int) (way Way, ok bool)
 }
@@ -52,18 +52,18 @@
 type End uint8
 
 const (
-	Answered   End = iota // a whole answer, with its status
-	Late                  // the same, but only after the client would have gone
-	Unanswered            // the client's time was up
-	Dropped               // the connection ended with no whole answer
-	Unsent                // no connection, or it broke before the last byte was written
-	Left                  // the client went before its time was up
+	Answered     End = iota // a whole answer, with its status
+	Late                    // the same, but only after the client would have gone
+	Unanswered              // the client's time was up
+	Dropped                 // the connection ended with no whole answer
+	Unsent                  // no connection, or it broke before the last byte was written
+	Disconnected            // the client went before its time was up
 )
 
 // Try is one sending of an operation. Times count since the start.
 type Try struct {
 	ID      uint64
-	Op      int // place in the schedule
+	Request int // place in the schedule
 	Number  int // 0 for the first
 	Way     Way
 	Begun   time.Duration
@@ -92,20 +92,20 @@
 }
 
 const (
-	idleMost  = 30 * time.Second       // a client's connection that is not used for so long is closed
-	keepMost  = 512                    // idle connections of a site's clients
-	frontWait = 2 * time.Millisecond   // between looks at a front that knows of no node
-	leastLeft = 5 * time.Millisecond   // of a client's time for which it still sends
-	newMost   = 100 * time.Millisecond // for which nodes promise to hold a new connection, whatever room they need (docs/design.md)
+	maxIdle      = 30 * time.Second       // a client's connection that is not used for so long is closed
+	maxKept      = 512                    // idle connections of a site's clients
+	balancerWait = 2 * time.Millisecond   // between looks at a front that knows of no node
+	minRemaining = 5 * time.Millisecond   // of a client's time for which it still sends
+	maxNew       = 100 * time.Millisecond // for which nodes promise to hold a new connection, whatever room they need (docs/design.md)
 )
 
 // pool keeps the idle connections of the clients of one site.
 type pool struct {
 	mu   sync.Mutex
-	idle []kept
+	idle []idleConn
 }
 
-type kept struct {
+type idleConn struct {
 	conn  conn
 	heard *heard
 	way   Way
@@ -127,7 +127,7 @@
 // crossed tells that a node closed a kept connection as a request crossed, which it then has not read: no byte has come
 // back, and the connection has ended. It is the same in every protocol, and the one place that says so for the audit. A
 // node that lives answers whatever it has read, so such a request may be sent once more on a new connection.
-func crossed(k kept, err error) bool {
+func crossed(k idleConn, err error) bool {
 	return !k.heard.any && (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) ||
 		errors.Is(err, syscall.EPIPE))
 }
@@ -135,26 +135,26 @@
 // excused tells whether a request that was not read may be sent once more: where it crossed the close of a connection that
 // had rested, or of a new one whose client, on a busy machine, took so long to ask that nodes do not hold it any more.
 // asked is when it had asked.
-func excused(k kept, old, again bool, asked time.Time, err error) bool {
-	return (old && !again || !old && asked.Sub(k.since) >= newMost) && crossed(k, err)
+func excused(k idleConn, old, again bool, asked time.Time, err error) bool {
+	return (old && !again || !old && asked.Sub(k.since) >= maxNew) && crossed(k, err)
 }
 
-func (p *pool) take() (kept, bool) {
+func (p *pool) take() (idleConn, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.idle)
 	if n == 0 {
-		return kept{}, false
+		return idleConn{}, false
 	}
 	k := p.idle[n-1]
 	p.idle = p.idle[:n-1]
 	return k, true
 }
 
-func (p *pool) keep(k kept) {
+func (p *pool) keep(k idleConn) {
 	p.mu.Lock()
 	var old conn
-	if len(p.idle) == keepMost || len(p.idle) > 0 && time.Since(p.idle[0].since) > idleMost {
+	if len(p.idle) == maxKept || len(p.idle) > 0 && time.Since(p.idle[0].since) > maxIdle {
 		old = p.idle[0].conn
 		p.idle = append(p.idle[:0], p.idle[1:]...)
 	}
@@ -219,7 +219,7 @@
 		}
 		t.Way = k.way
 		left := time.Until(until) // the wait for a connection is over; what is told counts from the sending
-		if left < leastLeft {
+		if left < minRemaining {
 			k.conn.Close()
 			t.End, t.Ended = Unsent, time.Since(g.start)
 			return
@@ -242,7 +242,7 @@
 		}
 		k.conn.Close()
 		t.Ended = time.Since(g.start)
-		if excused(k, old, again, asked, err) && g.watch.Lives(t.Way, t.Begun) && time.Now().Before(until) {
+		if excused(k, old, again, asked, err) && g.watch.Incarnations(t.Way, t.Begun) && time.Now().Before(until) {
 			g.watch.Unread(t)
 			continue
 		}
@@ -252,7 +252,7 @@
 }
 
 // connection is one that is kept, if it may be, or a new one; ok is false where none comes up in time.
-func (g *Generator) connection(ctx context.Context, site int, until time.Time, t *Try, mayBeKept bool) (k kept, old, ok bool) {
+func (g *Generator) connection(ctx context.Context, site int, until time.Time, t *Try, mayBeKept bool) (k idleConn, old, ok bool) {
 	for mayBeKept {
 		if k, old = g.pools[site].take(); !old {
 			break
@@ -272,7 +272,7 @@
 	case !whole:
 		return Unsent
 	case errors.Is(err, http1.ErrTimeout) && leaves:
-		return Left
+		return Disconnected
 	case errors.Is(err, http1.ErrTimeout):
 		return Unanswered
 	}
@@ -280,7 +280,7 @@
 }
 
 // answer reads the answer to a try and puts the connection by.
-func (g *Generator) answer(k kept, t *Try, pool *pool) error {
+func (g *Generator) answer(k idleConn, t *Try, pool *pool) error {
 	var resp message.Response
 	if err := k.conn.ReceiveResponse(&resp); err != nil {
 		return err
@@ -306,21 +306,21 @@
 
 // dropStale closes a connection that stood idle and is no longer quiet. Bytes on it are a second answer to its last
 // request.
-func (g *Generator) dropStale(k kept) {
+func (g *Generator) dropStale(k idleConn) {
 	if k.conn.HasUnread() {
 		g.watch.Extra(k.way)
 	}
 	k.conn.Close()
 }
 
-func (g *Generator) open(ctx context.Context, site int, until time.Time, t *Try) (kept, bool) {
+func (g *Generator) open(ctx context.Context, site int, until time.Time, t *Try) (idleConn, bool) {
 	for {
-		way, ok := g.door.Pick(site)
+		way, ok := g.target.Pick(site)
 		if !ok { // nothing serves: the client waits at the front
-			if time.Until(until) < frontWait || ctx.Err() != nil {
-				return kept{}, false
+			if time.Until(until) < balancerWait || ctx.Err() != nil {
+				return idleConn{}, false
 			}
-			time.Sleep(frontWait)
+			time.Sleep(balancerWait)
 			continue
 		}
 		t.Way = way
@@ -331,12 +331,12 @@
 		}
 		nc, err := d.DialContext(ctx, "tcp", address)
 		if err != nil {
-			return kept{}, false
+			return idleConn{}, false
 		}
 		h := &heard{TCPConn: nc.(*net.TCPConn)}
 		if g.FastCGI {
-			return kept{conn: fastcgi.NewServerConn(h, nil, nil), heard: h, way: way, since: since}, true
+			return idleConn{conn: fastcgi.NewServerConn(h, nil, nil), heard: h, way: way, since: since}, true
 		}
-		return kept{conn: http1.NewConn(h), heard: h, way: way, since: since}, true
+		return idleConn{conn: http1.NewConn(h), heard: h, way: way, since: since}, true
 	}
 }
--- a/internal/testbed/load/crossed_test.go
+++ b/internal/testbed/load/crossed_test.go
@@ -26,7 +26,7 @@
 		{true, io.ErrUnexpectedEOF, false},
 		{true, syscall.ECONNRESET, false},
 	} {
-		if got := crossed(kept{heard: &heard{any: c.any}}, c.err); got != c.want {
+		if got := crossed(idleConn{heard: &heard{any: c.any}}, c.err); got != c.want {
 			t.Errorf("%v, bytes %v: %v", c.err, c.any, got)
 		}
 	}
@@ -42,13 +42,13 @@
 	}{
 		"a rested connection":         {true, false, time.Second, io.EOF, true},
 		"and again":                   {true, true, time.Second, io.EOF, false},
-		"a new one, asked at once":    {false, false, newMost - 1, io.EOF, false},
-		"asked on the second at once": {false, true, newMost - 1, io.EOF, false},
-		"a new one, asked late":       {false, false, newMost, io.EOF, true},
+		"a new one, asked at once":    {false, false, maxNew - 1, io.EOF, false},
+		"asked on the second at once": {false, true, maxNew - 1, io.EOF, false},
+		"a new one, asked late":       {false, false, maxNew, io.EOF, true},
 		"late, and silence":           {false, false, time.Second, os.ErrDeadlineExceeded, false},
 	} {
 		opened := time.Now()
-		if got := excused(kept{heard: &heard{}, since: opened}, c.old, c.again, opened.Add(c.took), c.err); got != c.want {
+		if got := excused(idleConn{heard: &heard{}, since: opened}, c.old, c.again, opened.Add(c.took), c.err); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
--- a/internal/testbed/load/generator.go
+++ b/internal/testbed/load/generator.go
@@ -23,7 +23,7 @@
 	// Extra tells that bytes came on a connection on which nothing was asked.
 	Extra(w Way)
 	// Lives tells that what a way leads to has run ever since a moment.
-	Lives(w Way, since time.Duration) bool
+	Incarnations(w Way, since time.Duration) bool
 }
 
 // Nobody watches.
@@ -44,8 +44,8 @@
 // Extra does nothing.
 func (Nobody) Extra(Way) {}
 
-// Lives is true of whatever is asked for.
-func (Nobody) Lives(Way, time.Duration) bool { return true }
+// Incarnations is true of whatever is asked for.
+func (Nobody) Incarnations(Way, time.Duration) bool { return true }
 
 const (
 	behindBy    = 10 * time.Millisecond // an operation begun so late was the generator's fault
@@ -56,14 +56,14 @@
 // Generator sends one schedule.
 type Generator struct {
 	Scenario *scenario.Scenario
-	Ops      []Operation
+	Requests []Request
 	Shift    time.Duration                           // of all moments against the schedule that the results count by
 	FastCGI  bool                                    // what the clients speak; else HTTP
 	Checked  bool                                    // answers begin with the id of their request, or are foreign
 	Stall    func(at time.Duration) time.Duration    // see pace; for tests
 	Progress func(at time.Duration, begun, open int) // called now and then
 
-	door   Door
+	target Target
 	watch  Watcher
 	start  time.Time
 	pools  []pool
@@ -73,7 +73,7 @@
 
 // Lateness is how far the generator itself fell behind its schedule.
 type Lateness struct {
-	Most   time.Duration
+	Max    time.Duration
 	Share  float64 // of the operations that began more than behindBy late
 	Behind bool    // too many for the run to count
 	Bin    float64 // the most by which the operations begun in 100 ms differ from the schedule, as a share of it
@@ -82,13 +82,13 @@
 const binWidth = 100 * time.Millisecond
 
 // worstBin compares when operations began with when they should have. A bin with few operations says nothing.
-func worstBin(ops []Operation, late []time.Duration, shift time.Duration) (worst float64) {
-	begun := make([]Operation, 0, len(ops))
-	planned := make([]Operation, len(ops))
+func worstBin(ops []Request, late []time.Duration, shift time.Duration) (worst float64) {
+	begun := make([]Request, 0, len(ops))
+	planned := make([]Request, len(ops))
 	for i, o := range ops {
 		planned[i].At = o.At - shift
 		if late[i] > 0 {
-			begun = append(begun, Operation{At: o.At - shift + late[i]})
+			begun = append(begun, Request{At: o.At - shift + late[i]})
 		}
 	}
 	n := Bins(begun, binWidth)
@@ -106,20 +106,20 @@
 
 // Run sends the schedule from a moment on, and returns when the last operation has ended. A cancelled context ends the
 // sending, and what is open is given up.
-func (g *Generator) Run(ctx context.Context, start time.Time, door Door, watch Watcher) Lateness {
-	g.start, g.door, g.watch = start, door, watch
+func (g *Generator) Run(ctx context.Context, start time.Time, door Target, watch Watcher) Lateness {
+	g.start, g.target, g.watch = start, door, watch
 	g.pools = make([]pool, max(len(g.Scenario.Sites), 1))
 	g.Result = newResult(g.Scenario, g.Shift)
-	late := make([]time.Duration, len(g.Ops))
+	late := make([]time.Duration, len(g.Requests))
 	var wg sync.WaitGroup
 	done := make(chan struct{})
 	go g.progress(done)
-	pace(start, g.Ops, ctx.Done(), g.Stall, func(i int) {
+	pace(start, g.Requests, ctx.Done(), g.Stall, func(i int) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			late[i] = max(time.Since(start)-g.Ops[i].At, 1)
-			g.operation(ctx, i)
+			late[i] = max(time.Since(start)-g.Requests[i].At, 1)
+			g.request(ctx, i)
 		}()
 	})
 	wg.Wait()
@@ -133,13 +133,13 @@
 		if d > 0 {
 			begun++
 		}
-		if l.Most = max(l.Most, d); d > behindBy {
+		if l.Max = max(l.Max, d); d > behindBy {
 			behind++
 		}
 	}
 	l.Share = float64(behind) / float64(max(begun, 1))
 	l.Behind = l.Share > behindShare
-	l.Bin = worstBin(g.Ops, late, g.Shift)
+	l.Bin = worstBin(g.Requests, late, g.Shift)
 	return l
 }
 
@@ -162,10 +162,10 @@
 
 // operation is a client's whole dealing with one operation: tries until it is handled, its retries are used up, or a
 // failure forbids a binding one to be sent again.
-func (g *Generator) operation(ctx context.Context, i int) {
+func (g *Generator) request(ctx context.Context, i int) {
 	g.inHand.Add(1)
 	defer g.inHand.Add(-1)
-	s, o := g.Scenario, &g.Ops[i]
+	s, o := g.Scenario, &g.Requests[i]
 	kind := &s.Types[o.Type]
 	r := request{path: kind.Path, key: o.Key,
 		wait: time.Duration(s.Clients.GivesUp * float64(kind.Abandon))}
@@ -183,7 +183,7 @@
 	}
 	var t Try
 	for n := 0; ; n++ {
-		t = Try{ID: ID(i, n), Op: i, Number: n}
+		t = Try{ID: ID(i, n), Request: i, Number: n}
 		g.do(ctx, o.Site, &r, &t, s.Rules.Slack.Std())
 		g.watch.Ended(&t)
 		g.tried(&t)
--- a/internal/testbed/load/load_test.go
+++ b/internal/testbed/load/load_test.go
@@ -213,7 +213,7 @@
 	}{
 		"handled":           {"hire-book", func(c net.Conn, r *http1.Request, n int) bool { return own(c, r) }, Handled, 1, nil},
 		"denied, then not":  {"hire-book", func(c net.Conn, r *http1.Request, n int) bool { return n == 1 && say(c, 503, "") || own(c, r) }, Handled, 2, nil},
-		"denied throughout": {"hire-book", func(c net.Conn, r *http1.Request, n int) bool { return say(c, 429, "") }, Denied, 3, nil},
+		"denied throughout": {"hire-book", func(c net.Conn, r *http1.Request, n int) bool { return say(c, 429, "") }, Rejected, 3, nil},
 		"booking lost":      {"hire-book", func(c net.Conn, r *http1.Request, n int) bool { return say(c, 502, "") }, WrittenOff, 1, nil},
 		"check lost":        {"hire-check", func(c net.Conn, r *http1.Request, n int) bool { return say(c, 502, "") }, WrittenOff, 3, nil},
 		"silence":           {"hire-book", func(c net.Conn, r *http1.Request, n int) bool { return true }, NoAnswer, 1, func(t Try) bool { return t.End == Unanswered }},
@@ -234,7 +234,7 @@
 				kind = 1
 			}
 			tries := &ends{}
-			g := &Generator{Scenario: s, Ops: []Operation{{Type: kind}}, Checked: true}
+			g := &Generator{Scenario: s, Requests: []Request{{Type: kind}}, Checked: true}
 			g.Run(context.Background(), time.Now(), server(t, c.lead), tries)
 			if g.Tries != c.tries || g.Outcomes[c.want] != 1 {
 				t.Errorf("%d tries, outcomes %v", g.Tries, g.Outcomes)
@@ -271,7 +271,7 @@
 		return true
 	})
 	s := play(t, "length=\"1s\"")
-	g := &Generator{Scenario: s, Ops: []Operation{{}, {At: 50 * time.Millisecond}}, Checked: true}
+	g := &Generator{Scenario: s, Requests: []Request{{}, {At: 50 * time.Millisecond}}, Checked: true}
 	g.Run(context.Background(), time.Now(), at, Nobody{})
 	if <-closed; g.Outcomes[Handled] != 2 || g.Tries != 2 {
 		t.Errorf("outcomes %v after %d tries", g.Outcomes, g.Tries)
@@ -279,19 +279,19 @@
 }
 
 // A generator that stands still for 300 ms says so, and its latencies hold the wait, for clients waited it.
-func TestOwnStallIsTold(t *testing.T) {
+func TestOwnStallIsReported(t *testing.T) {
 	s := play(t, "length=\"1s\"\n[load]\nrate=500\nshape=\"constant\"")
 	at := server(t, func(c net.Conn, r *http1.Request, n int) bool { return say(c, 200, "") })
 	const stall = 300 * time.Millisecond
 	once := sync.Once{}
-	g := &Generator{Scenario: s, Ops: Plan(s), Stall: func(at time.Duration) (d time.Duration) {
+	g := &Generator{Scenario: s, Requests: Plan(s), Stall: func(at time.Duration) (d time.Duration) {
 		if at > 400*time.Millisecond {
 			once.Do(func() { d = stall })
 		}
 		return d
 	}}
 	late := g.Run(context.Background(), time.Now(), at, Nobody{})
-	if !late.Behind || late.Most < stall*9/10 || late.Share < 0.2 {
+	if !late.Behind || late.Max < stall*9/10 || late.Share < 0.2 {
 		t.Errorf("it says %+v", late)
 	}
 	if worst := time.Duration(g.ByType[0].Latency.Max()) * time.Microsecond; worst < stall*9/10 {
--- a/internal/testbed/load/result.go
+++ b/internal/testbed/load/result.go
@@ -21,23 +21,23 @@
 type Outcome uint8
 
 const (
-	Handled    Outcome = iota // answered with success in the client's time
-	InTarget                  // handled within its target time; counted in Handled as well
-	Denied                    // the last try was
-	WrittenOff                // the last try was, or its connection ended
-	NoAnswer                  // the last try got none in time
-	Unreached                 // the last try found no node to send to
-	LeftEarly                 // its client went before its time was up: nothing was to be gained
+	Handled           Outcome = iota // answered with success in the client's time
+	InTarget                         // handled within its target time; counted in Handled as well
+	Rejected                         // the last try was
+	WrittenOff                       // the last try was, or its connection ended
+	NoAnswer                         // the last try got none in time
+	Unreached                        // the last try found no node to send to
+	DisconnectedEarly                // its client went before its time was up: nothing was to be gained
 	outcomes
 )
 
 // Point is one span of a Series.
 type Point struct {
-	Asked   float64 // revenue asked for
-	Gained  float64 // of it, answered within the target time, by when it was asked
-	Denied  int     // operations
-	Failed  int     // likewise
-	Latency *hdrhistogram.Histogram
+	Asked    float64 // revenue asked for
+	Gained   float64 // of it, answered within the target time, by when it was asked
+	Rejected int     // operations
+	Failed   int     // likewise
+	Latency  *hdrhistogram.Histogram
 }
 
 // Result is what a schedule met.
@@ -47,15 +47,15 @@
 	shift    time.Duration
 	started  int
 
-	Outcomes [outcomes]int
-	Tries    int
-	Denials  int     // of tries
-	Asked    float64 // revenue asked for
-	Gained   float64 // of it, answered within the target time
-	ByType   []Share
-	ByTenant []Share
-	BySite   []Share
-	Series   []Point
+	Outcomes   [outcomes]int
+	Tries      int
+	Rejections int     // of tries
+	Asked      float64 // revenue asked for
+	Gained     float64 // of it, answered within the target time
+	ByType     []Share
+	ByTenant   []Share
+	BySite     []Share
+	Series     []Point
 }
 
 // Share is the part of a result that one type, tenant or site has.
@@ -99,17 +99,17 @@
 	}
 	r.Tries++
 	if t.End == Answered && (t.Status == 429 || t.Status == 503) {
-		r.Denials++
+		r.Rejections++
 	}
 }
 
 // ended books an operation under the moment at which it was scheduled. An operation that got no answer counts with the
 // time that its client waited: leaving it out would make a silent node look fast.
-func (r *Result) ended(o *Operation, t *Try) {
+func (r *Result) ended(o *Request, t *Try) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if t.End == Left {
-		r.Outcomes[LeftEarly]++
+	if t.End == Disconnected {
+		r.Outcomes[DisconnectedEarly]++
 		return
 	}
 	worth, latency := r.Worth(o), t.Ended-o.At
@@ -132,8 +132,8 @@
 			gained = worth
 		}
 	case t.End == Answered && (t.Status == 429 || t.Status == 503):
-		r.Outcomes[Denied]++
-		p.Denied++
+		r.Outcomes[Rejected]++
+		p.Rejected++
 	case t.End == Unsent:
 		r.Outcomes[Unreached]++
 		p.Failed++
@@ -162,7 +162,7 @@
 }
 
 // Worth is the revenue of an operation; beyond its tenant's allowance it is a part.
-func (r *Result) Worth(o *Operation) float64 {
+func (r *Result) Worth(o *Request) float64 {
 	w := r.scenario.Types[o.Type].Revenue
 	if o.Beyond {
 		w *= r.scenario.Load.Over
--- a/internal/testbed/load/schedule.go
+++ b/internal/testbed/load/schedule.go
@@ -12,8 +12,8 @@
 	"fernvane/internal/testbed/scenario"
 )
 
-// Operation is one that a client begins at a moment that was fixed ahead.
-type Operation struct {
+// Request is one that a client begins at a moment that was fixed ahead.
+type Request struct {
 	At     time.Duration // since the start
 	Type   int
 	Tenant int           // -1: none
@@ -29,7 +29,7 @@
 	arrivals = iota + 1
 	kinds
 	members
-	places
+	positions
 	keys
 	works
 	leavers
@@ -42,9 +42,9 @@
 }
 
 // Plan draws the schedule of a scenario: the same for the same file, to the last byte.
-func Plan(s *scenario.Scenario) []Operation {
+func Plan(s *scenario.Scenario) []Request {
 	ops := arrive(s)
-	kind, who, place, work := stream(s, kinds), stream(s, members), stream(s, places), stream(s, works)
+	kind, who, place, work := stream(s, kinds), stream(s, members), stream(s, positions), stream(s, works)
 	popular := newZipf(s.Load.Keys, s.Load.Zipf, stream(s, keys))
 	hot := stream(s, keys+100)
 	typeOf := shares(len(s.Types), func(i int) float64 { return s.Types[i].Share })
@@ -91,8 +91,8 @@
 }
 
 // arrive lays out the moments: arrivals of rate one are drawn, and time is stretched so that they come at the rate.
-func arrive(s *scenario.Scenario) []Operation {
-	var ops []Operation
+func arrive(s *scenario.Scenario) []Request {
+	var ops []Request
 	r := stream(s, arrivals)
 	steps := int(s.Length.Std() / grid)
 	sum, next := 0.0, 0.0
@@ -103,7 +103,7 @@
 		rate := Rate(s, time.Duration(i)*grid) * grid.Seconds()
 		for rate > 0 && next < sum+rate {
 			at := time.Duration((float64(i) + (next-sum)/rate) * float64(grid))
-			ops = append(ops, Operation{At: at, Tenant: -1})
+			ops = append(ops, Request{At: at, Tenant: -1})
 			if s.Load.Shape == "constant" {
 				next++
 			} else {
@@ -201,7 +201,7 @@
 }
 
 // Bins counts operations by spans of time.
-func Bins(ops []Operation, width time.Duration) []int {
+func Bins(ops []Request, width time.Duration) []int {
 	var n []int
 	for _, o := range ops {
 		b := int(o.At / width)
--- a/internal/testbed/load/trace.go
+++ b/internal/testbed/load/trace.go
@@ -33,7 +33,7 @@
 }
 
 // WriteTrace writes a schedule as CSV, in the form that ReadTrace takes.
-func WriteTrace(w io.Writer, s *scenario.Scenario, ops []Operation) error {
+func WriteTrace(w io.Writer, s *scenario.Scenario, ops []Request) error {
 	b := bufio.NewWriter(w)
 	fmt.Fprintln(b, strings.Join(header, ","))
 	ms := func(d time.Duration) string {
@@ -50,7 +50,7 @@
 }
 
 // LoadTrace reads a file: JSON lines where its name ends in .jsonl or .json, else CSV.
-func LoadTrace(path string, s *scenario.Scenario) ([]Operation, error) {
+func LoadTrace(path string, s *scenario.Scenario) ([]Request, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -62,8 +62,8 @@
 
 // ReadTrace reads a recorded trace. A line that cannot be used refuses the trace, by its number. Lines need not be in
 // the order of time; a type, tenant or site that the scenario does not have is an error, an empty site the first one.
-func ReadTrace(r io.Reader, name string, lines bool, s *scenario.Scenario) ([]Operation, error) {
-	var ops []Operation
+func ReadTrace(r io.Reader, name string, lines bool, s *scenario.Scenario) ([]Request, error) {
+	var ops []Request
 	each := readCSV
 	if lines {
 		each = readJSON
@@ -71,7 +71,7 @@
 	n := 0
 	err := each(r, func(line int, rec record) error {
 		n = line
-		o, err := rec.operation(s)
+		o, err := rec.request(s)
 		if err != nil {
 			return fmt.Errorf("%s:%d: %w", name, line, err)
 		}
@@ -84,13 +84,13 @@
 	if len(ops) == 0 {
 		return nil, fmt.Errorf("%s:%d: no operations", name, n)
 	}
-	slices.SortStableFunc(ops, func(a, b Operation) int { return int(a.At - b.At) })
+	slices.SortStableFunc(ops, func(a, b Request) int { return int(a.At - b.At) })
 	return ops, nil
 }
 
 func span(ms float64) time.Duration { return time.Duration(math.Round(ms * float64(time.Millisecond))) }
 
-func (r record) operation(s *scenario.Scenario) (o Operation, err error) {
+func (r record) request(s *scenario.Scenario) (o Request, err error) {
 	find := func(what, name string, n int, of func(int) string) int {
 		for i := range n {
 			if of(i) == name {
@@ -108,7 +108,7 @@
 	if !(r.WorkMS >= 0 && r.WorkMS < 1e7) || r.Key < 0 {
 		return o, errors.New("work_ms and key must be 0 or more")
 	}
-	o = Operation{At: span(*r.AtMS), Tenant: -1, Key: r.Key,
+	o = Request{At: span(*r.AtMS), Tenant: -1, Key: r.Key,
 		Work: span(r.WorkMS)}
 	o.Type = find("type", r.Type, len(s.Types), func(i int) string { return s.Types[i].Name })
 	if r.Tenant != "" {
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	stopMost  = 5 * time.Second // for a node to end after SIGTERM
-	tailBytes = 600             // of a node's log that are shown when it ends by itself
+	maxStopTime = 5 * time.Second // for a node to end after SIGTERM
+	tailBytes   = 600             // of a node's log that are shown when it ends by itself
 )
 
 // process is one node, over its restarts.
@@ -57,10 +57,10 @@
 
 // keeper starts processes from one thread that lives as long as it does: the system ends them with that thread, so that
 // none outlives a lab that is killed.
-type keeper struct{ starts chan func() }
+type processManager struct{ starts chan func() }
 
-func newKeeper() *keeper {
-	k := &keeper{starts: make(chan func())}
+func newProcessManager() *processManager {
+	k := &processManager{starts: make(chan func())}
 	go func() {
 		runtime.LockOSThread() // never given back: the thread ends with the goroutine
 		for start := range k.starts {
@@ -70,14 +70,14 @@
 	return k
 }
 
-func (k *keeper) start(c *exec.Cmd) error {
+func (k *processManager) start(c *exec.Cmd) error {
 	err := make(chan error)
 	k.starts <- func() { err <- c.Start() }
 	return <-err
 }
 
 // start runs the node on the configuration in its folder. ended is called when the process ends unasked.
-func (p *process) start(k *keeper, ended func(why string)) error {
+func (p *process) start(k *processManager, ended func(why string)) error {
 	log, err := os.OpenFile(p.log(), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
 		return err
@@ -120,17 +120,17 @@
 	return filepath.Join(p.dir, fmt.Sprintf("%s%s-%d.%s", p.kind, what, p.number, ending))
 }
 
-func (p *process) log() string      { return p.file("node", "log") }
-func (p *process) config() string   { return p.file("node", "json") }
-func (p *process) planners() string { return p.file("planners", "toml") }
-func (p *process) plan() string     { return p.file("plan", "toml") }
-func (p *process) bindings() string { return p.file("bindings", "toml") }
-func (p *process) registry() string { return p.file("registry", "toml") }
-func (p *process) snapshot() string { return p.file("snapshot", "toml") }
-func (p *process) peers() string    { return p.file("peers", "toml") }
-func (p *process) held() string     { return p.file("held", "d") }
-func (p *process) lists() string    { return p.file("lists", "d") }
-func (p *process) journal() string  { return p.file("journal", "d") }
+func (p *process) log() string       { return p.file("node", "log") }
+func (p *process) config() string    { return p.file("node", "json") }
+func (p *process) planners() string  { return p.file("planners", "toml") }
+func (p *process) plan() string      { return p.file("plan", "toml") }
+func (p *process) bindings() string  { return p.file("bindings", "toml") }
+func (p *process) registry() string  { return p.file("registry", "toml") }
+func (p *process) snapshot() string  { return p.file("snapshot", "toml") }
+func (p *process) peers() string     { return p.file("peers", "toml") }
+func (p *process) isStopped() string { return p.file("held", "d") }
+func (p *process) lists() string     { return p.file("lists", "d") }
+func (p *process) journal() string   { return p.file("journal", "d") }
 
 // operator is the node's file of routes.
 func (p *process) operator() string { return p.file("operator", "toml") }
@@ -157,10 +157,10 @@
 	c.Process.Signal(sig)
 	select {
 	case <-ended:
-	case <-time.After(stopMost):
+	case <-time.After(maxStopTime):
 		c.Process.Kill()
 		<-ended
-		return fmt.Errorf("still running %s after SIGTERM", stopMost)
+		return fmt.Errorf("still running %s after SIGTERM", maxStopTime)
 	}
 	if sig == syscall.SIGTERM && c.ProcessState.ExitCode() != 0 {
 		return fmt.Errorf("%s after SIGTERM: %s", c.ProcessState, p.tail())
@@ -202,7 +202,7 @@
 		tenants = append(tenants, object{"name": t.Name, "allowancePerS": t.Allowance})
 	}
 	coldest, coldFor := 1.0, scenario.Span(0)
-	for _, b := range s.Boxes {
+	for _, b := range s.Servers {
 		coldest, coldFor = min(coldest, b.ColdShare), max(coldFor, b.ColdFor)
 	}
 	rules := object{"askWithin": ms(s.Rules.AskWithin), "stopSendingWithin": ms(s.Rules.DrainGrace), "cold": ms(coldFor),
@@ -212,7 +212,7 @@
 	}
 	return object{"groupSize": s.Nodes.Count, "me": me, "granularity": 2, "discovery": "on_request",
 		"overageRevenue": s.Load.Over, "dcs": s.Sites, "trafficTypes": types, "tenants": tenants,
-		"limits": object{"connIdle": 5000, "connectTimeout": 100, "maxRetryAfter": 0, "mostHops": s.Rules.MostHops, "retryAfter": false,
+		"limits": object{"connIdle": 5000, "connectTimeout": 100, "maxRetryAfter": 0, "mostHops": s.Rules.MaxAttempts, "retryAfter": false,
 			"secondCopies": s.Rules.Copies},
 		"rules": rules}
 }
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -17,13 +17,13 @@
 // observer tells the audit what clients, boxes, discovery and planners see; it is safe for concurrent use. All times count since
 // the start of the load.
 type observer struct {
-	start time.Time
-	s     *scenario.Scenario
-	ops   []load.Operation
+	start    time.Time
+	s        *scenario.Scenario
+	requests []load.Request
 
 	mu      sync.Mutex
 	audit   *audit.Audit
-	boxes   map[string]int       // numbers by id
+	servers map[string]int       // numbers by id
 	listed  map[int]map[int]bool // by reader of the registry: boxes that it was told of last
 	missing map[int]map[int]time.Duration
 	drained map[[2]int]bool
@@ -32,8 +32,8 @@
 
 const never = time.Duration(1<<62 - 1)
 
-func newObserver(s *scenario.Scenario, ops []load.Operation, start time.Time) *observer {
-	f := audit.Figures{DrainGrace: s.Rules.DrainGrace.Std(), Slack: s.Rules.Slack.Std(), MostAttempts: s.Rules.MostHops, Copies: s.Rules.Copies,
+func newObserver(s *scenario.Scenario, ops []load.Request, start time.Time) *observer {
+	f := audit.Figures{DrainGrace: s.Rules.DrainGrace.Std(), Slack: s.Rules.Slack.Std(), MaxAttempts: s.Rules.MaxAttempts, Copies: s.Rules.Copies,
 		Closes: s.Rules.DrainClose > 0, DrainClose: s.Rules.DrainClose.Std()}
 	for _, t := range s.Types {
 		var sites []int
@@ -44,7 +44,7 @@
 			Repeat: map[string]audit.Repeat{"fingerprinted": audit.Fingerprinted, "binding": audit.Binding}[t.Repeat],
 			Group:  map[string]audit.Group{"zone": audit.Zone, "cell": audit.Cell}[t.Group]})
 	}
-	return &observer{start: start, s: s, ops: ops, audit: audit.New(f), boxes: map[string]int{}, listed: map[int]map[int]bool{}, missing: map[int]map[int]time.Duration{}, drained: map[[2]int]bool{}, since: make([]time.Duration, s.Nodes.Count)}
+	return &observer{start: start, s: s, requests: ops, audit: audit.New(f), servers: map[string]int{}, listed: map[int]map[int]bool{}, missing: map[int]map[int]time.Duration{}, drained: map[[2]int]bool{}, since: make([]time.Duration, s.Nodes.Count)}
 }
 
 // record tells the audit something, under the lock.
@@ -55,7 +55,7 @@
 }
 
 func (o *observer) Sending(t *load.Try) {
-	o.record(func(a *audit.Audit, _ time.Duration) { a.Sending(t.ID, o.ops[t.Op].Type, t.Way.Node) })
+	o.record(func(a *audit.Audit, _ time.Duration) { a.Sending(t.ID, o.requests[t.Request].Type, t.Way.Node) })
 }
 
 func (o *observer) Sent(t *load.Try) {
@@ -67,7 +67,7 @@
 }
 
 var tryEnds = [...]audit.End{load.Answered: audit.Answered, load.Late: audit.Late, load.Unanswered: audit.Unanswered,
-	load.Dropped: audit.Dropped, load.Unsent: audit.Unsent, load.Left: audit.Left}
+	load.Dropped: audit.Dropped, load.Unsent: audit.Unsent, load.Disconnected: audit.Disconnected}
 
 func (o *observer) Ended(t *load.Try) {
 	o.record(func(a *audit.Audit, _ time.Duration) {
@@ -79,7 +79,7 @@
 	o.record(func(a *audit.Audit, _ time.Duration) { a.Extra(w.Node) })
 }
 
-func (o *observer) Lives(w load.Way, since time.Duration) bool {
+func (o *observer) Incarnations(w load.Way, since time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.since[w.Node] <= since
@@ -113,10 +113,10 @@
 
 func (o *observer) Asked(id uint64) (server.Asked, bool) {
 	op, number := load.FromID(id)
-	if op < 0 || op >= len(o.ops) || number > o.s.Clients.Retries {
+	if op < 0 || op >= len(o.requests) || number > o.s.Clients.Retries {
 		return server.Asked{}, false
 	}
-	operation := &o.ops[op]
+	operation := &o.requests[op]
 	return server.Asked{Work: operation.Work, Key: operation.Key}, true
 }
 
@@ -146,16 +146,16 @@
 	o.record(func(a *audit.Audit, _ time.Duration) { a.Idle(id, b, from, to) })
 }
 
-var conditions = map[string]audit.Condition{discovery.Serving: audit.Serving, discovery.Draining: audit.Draining, discovery.Deleted: audit.Gone}
+var conditions = map[string]audit.Condition{discovery.Serving: audit.Serving, discovery.Draining: audit.Draining, discovery.Deleted: audit.Removed}
 
 // Told tells what discovery has told a node. What it tells a planner reaches nodes by that planner only.
-func (o discovered) Told(node int, id, phase string, up int64, at time.Time) {
+func (o discovered) Announced(node int, id, phase string, up int64, at time.Time) {
 	if node >= o.s.Nodes.Count {
 		return
 	}
 	o.record(func(a *audit.Audit, _ time.Duration) {
-		if b, ok := o.boxes[id]; ok {
-			a.Told(node, b, conditions[phase], up, at.Sub(o.start))
+		if b, ok := o.servers[id]; ok {
+			a.Announced(node, b, conditions[phase], up, at.Sub(o.start))
 		}
 	})
 }
@@ -163,7 +163,7 @@
 // discovered is what discovery tells.
 type discovered struct{ *observer }
 
-var lives = [...]audit.Condition{incarnation.Up: audit.Serving, incarnation.Draining: audit.Draining, incarnation.Gone: audit.Gone}
+var incarnations = [...]audit.Condition{incarnation.Up: audit.Serving, incarnation.Draining: audit.Draining, incarnation.Gone: audit.Removed}
 
 // Planned tells what a planner has told a node.
 func (o *observer) Planned(forwarder string, told []incarnation.Entry, at time.Time) {
@@ -173,8 +173,8 @@
 	}
 	o.record(func(a *audit.Audit, _ time.Duration) {
 		for _, l := range told {
-			if b, ok := o.boxes[l.ID]; ok {
-				a.Told(node, b, lives[l.Condition], l.StartedUnixMS, at.Sub(o.start))
+			if b, ok := o.servers[l.ID]; ok {
+				a.Announced(node, b, incarnations[l.Condition], l.StartedUnixMS, at.Sub(o.start))
 			}
 		}
 	})
--- a/internal/testbed/planner.go
+++ b/internal/testbed/planner.go
@@ -61,7 +61,7 @@
 }
 
 func (w *world) startPlanner(n int) error {
-	return w.planners[n].start(w.keeper, func(why string) {
+	return w.planners[n].start(w.processes, func(why string) {
 		w.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, "planner: "+why) })
 	})
 }
--- a/internal/testbed/registry.go
+++ b/internal/testbed/registry.go
@@ -50,7 +50,7 @@
 			return err
 		}
 	}
-	for _, m := range w.boxes {
+	for _, m := range w.servers {
 		w.enrol(m, time.Time{})
 	}
 	return nil
@@ -96,13 +96,13 @@
 }
 
 // Told tells what the registry has told a node of who is there.
-func (o *observer) Told(reader int, at string, children []zookeeper.Child, when time.Time) {
+func (o *observer) Announced(reader int, at string, children []zookeeper.Child, when time.Time) {
 	o.record(func(a *audit.Audit, _ time.Duration) {
 		there := map[int]bool{}
 		for _, c := range children {
-			if b, ok := o.boxes[c.Name]; ok {
+			if b, ok := o.servers[c.Name]; ok {
 				there[b] = true
-				a.Told(reader, b, audit.Serving, c.Czxid, when.Sub(o.start))
+				a.Announced(reader, b, audit.Serving, c.Czxid, when.Sub(o.start))
 			}
 		}
 		// What vanishes with most others within two seconds is the registry's fault, not the fleet's: the last list is to
@@ -116,7 +116,7 @@
 		for b := range o.listed[reader] {
 			if !there[b] {
 				missing[b] = at
-				a.Told(reader, b, audit.Gone, 0, at)
+				a.Announced(reader, b, audit.Removed, 0, at)
 			}
 		}
 		lately := 0
@@ -144,8 +144,8 @@
 		return
 	}
 	o.record(func(a *audit.Audit, _ time.Duration) {
-		if b, ok := o.boxes[path.Base(at)]; ok {
-			a.Told(reader, b, audit.Draining, 0, when.Sub(o.start))
+		if b, ok := o.servers[path.Base(at)]; ok {
+			a.Announced(reader, b, audit.Draining, 0, when.Sub(o.start))
 			o.drained[[2]int{reader, b}] = true
 		}
 	})
@@ -186,7 +186,7 @@
 		again := func(do func()) {
 			m.mu.Lock()
 			defer m.mu.Unlock()
-			if !m.gone {
+			if !m.isLost {
 				do()
 			}
 		}
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -26,7 +26,7 @@
 		name string
 		x    int
 		y    int
-	}{{"in target", a.AnsweredInTarget, b.AnsweredInTarget}, {"handled", a.Handled, b.Handled}, {"denied", a.Denied, b.Denied},
+	}{{"in target", a.AnsweredInTarget, b.AnsweredInTarget}, {"handled", a.Handled, b.Handled}, {"denied", a.Rejected, b.Rejected},
 		{"written off", a.WrittenOff, b.WrittenOff}, {"unanswered", a.Unanswered, b.Unanswered}, {"unreached", a.Unreached, b.Unreached}, {"tries", a.Tries, b.Tries}} {
 		row(f.name, float64(f.x), float64(f.y), "%.0f")
 	}
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -25,9 +25,9 @@
 	if err != nil {
 		return err
 	}
-	service.Title.Text = fmt.Sprintf("%s, seed %d: %d nodes, %d boxes", r.Scenario, r.Seed, r.Nodes, r.Boxes)
+	service.Title.Text = fmt.Sprintf("%s, seed %d: %d nodes, %d boxes", r.Scenario, r.Seed, r.Nodes, r.Servers)
 	service.Y.Min, service.Y.Max = 0, 1
-	denied, err := r.panel("denied and failed, per 250 ms", all, func(p Point) float64 { return float64(p.Denied + p.Failed) })
+	denied, err := r.panel("denied and failed, per 250 ms", all, func(p Point) float64 { return float64(p.Rejected + p.Failed) })
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -21,36 +21,36 @@
 
 // Report is one run. Latencies are in ms, from the scheduled moment.
 type Report struct {
-	Scenario         string             `json:"scenario"`
-	Seed             uint64             `json:"seed"`
-	Policy           string             `json:"policy"`
-	Nodes            int                `json:"nodes"`
-	Boxes            int                `json:"boxes"`
-	Offered          int                `json:"offered"`
-	Service          float64            `json:"service"`
-	AnsweredInTarget int                `json:"answered_in_target"`
-	Handled          int                `json:"handled"`
-	Denied           int                `json:"denied"`
-	WrittenOff       int                `json:"written_off"`
-	Unanswered       int                `json:"unanswered"`
-	Unreached        int                `json:"unreached"` // no node to send to
-	LeftEarly        int                `json:"left_early,omitempty"`
-	Tries            int                `json:"tries"`
-	Rules            []audit.Rule       `json:"rules"`
-	Latency          map[string]Latency `json:"latency_ms"`
-	ByTenant         map[string]Part    `json:"by_tenant,omitempty"`
-	BySite           map[string]Part    `json:"by_site"`
-	Generator        Generator          `json:"generator"`
-	Discovery        Discovery          `json:"discovery"`
-	NodeUse          Use                `json:"nodes_use"`
-	PlannerUse       Use                `json:"planners_use"`
-	PlanBytes        int                `json:"plan_bytes"` // that planners sent to nodes
-	Journal          *testbed.Journal   `json:"journal,omitempty"`
-	Seconds          []audit.Second     `json:"seconds,omitempty"`
-	BadClients       int                `json:"bad_clients"`
-	Series           []Point            `json:"series"`
-	Faults           []Fault            `json:"faults"`
-	Baselines        []Report           `json:"baselines"`
+	Scenario          string             `json:"scenario"`
+	Seed              uint64             `json:"seed"`
+	Policy            string             `json:"policy"`
+	Nodes             int                `json:"nodes"`
+	Servers           int                `json:"boxes"`
+	Offered           int                `json:"offered"`
+	Service           float64            `json:"service"`
+	AnsweredInTarget  int                `json:"answered_in_target"`
+	Handled           int                `json:"handled"`
+	Rejected          int                `json:"denied"`
+	WrittenOff        int                `json:"written_off"`
+	Unanswered        int                `json:"unanswered"`
+	Unreached         int                `json:"unreached"` // no node to send to
+	DisconnectedEarly int                `json:"left_early,omitempty"`
+	Tries             int                `json:"tries"`
+	Rules             []audit.Rule       `json:"rules"`
+	Latency           map[string]Latency `json:"latency_ms"`
+	ByTenant          map[string]Part    `json:"by_tenant,omitempty"`
+	BySite            map[string]Part    `json:"by_site"`
+	Generator         Generator          `json:"generator"`
+	Discovery         Discovery          `json:"discovery"`
+	NodeUse           Use                `json:"nodes_use"`
+	PlannerUse        Use                `json:"planners_use"`
+	PlanBytes         int                `json:"plan_bytes"` // that planners sent to nodes
+	Journal           *testbed.Journal   `json:"journal,omitempty"`
+	Seconds           []audit.Second     `json:"seconds,omitempty"`
+	BadClients        int                `json:"bad_clients"`
+	Series            []Point            `json:"series"`
+	Faults            []Fault            `json:"faults"`
+	Baselines         []Report           `json:"baselines"`
 }
 
 // Latency of a traffic type: quantiles, and its service.
@@ -91,12 +91,12 @@
 
 // Point is a span of the run, by when operations were asked for.
 type Point struct {
-	AtS     float64 `json:"at_s"`
-	Service float64 `json:"service"`
-	Denied  int     `json:"denied"`
-	Failed  int     `json:"failed"`
-	P50     float64 `json:"p50"`
-	P99     float64 `json:"p99"`
+	AtS      float64 `json:"at_s"`
+	Service  float64 `json:"service"`
+	Rejected int     `json:"denied"`
+	Failed   int     `json:"failed"`
+	P50      float64 `json:"p50"`
+	P99      float64 `json:"p99"`
 }
 
 // Fault is where a trouble lay.
@@ -107,12 +107,12 @@
 }
 
 // New sums a run up.
-func New(s *scenario.Scenario, policy string, ops []load.Operation, o *testbed.Outcome) Report {
-	r := Report{Scenario: s.Name, Seed: s.Seed, Policy: policy, Nodes: s.Nodes.Count, Boxes: len(s.BoxNames()), Offered: len(ops),
-		Service: round(o.Service()), AnsweredInTarget: o.Outcomes[load.InTarget], Handled: o.Outcomes[load.Handled], Denied: o.Outcomes[load.Denied],
-		WrittenOff: o.Outcomes[load.WrittenOff], Unanswered: o.Outcomes[load.NoAnswer], Unreached: o.Outcomes[load.Unreached], LeftEarly: o.Outcomes[load.LeftEarly], Tries: o.Tries, Rules: o.Rules,
+func New(s *scenario.Scenario, policy string, ops []load.Request, o *testbed.Outcome) Report {
+	r := Report{Scenario: s.Name, Seed: s.Seed, Policy: policy, Nodes: s.Nodes.Count, Servers: len(s.ServerNames()), Offered: len(ops),
+		Service: round(o.Service()), AnsweredInTarget: o.Outcomes[load.InTarget], Handled: o.Outcomes[load.Handled], Rejected: o.Outcomes[load.Rejected],
+		WrittenOff: o.Outcomes[load.WrittenOff], Unanswered: o.Outcomes[load.NoAnswer], Unreached: o.Outcomes[load.Unreached], DisconnectedEarly: o.Outcomes[load.DisconnectedEarly], Tries: o.Tries, Rules: o.Rules,
 		Latency: map[string]Latency{}, ByTenant: map[string]Part{}, BySite: map[string]Part{},
-		Generator:  Generator{millis(o.Late.Most), round(o.Late.Share), o.Late.Behind, round(o.Late.Bin)},
+		Generator:  Generator{millis(o.Late.Max), round(o.Late.Share), o.Late.Behind, round(o.Late.Bin)},
 		Discovery:  Discovery{o.Calls, math.Round(o.Lines), o.TurnedOff},
 		NodeUse:    Use{round(o.Use.CPU.Seconds()), math.Round(o.Use.RSSMB)},
 		PlannerUse: Use{round(o.Planning.CPU.Seconds()), math.Round(o.Planning.RSSMB)}, PlanBytes: o.PlanBytes,
@@ -127,7 +127,7 @@
 		}
 	}
 	for i, p := range o.Series {
-		r.Series = append(r.Series, Point{(time.Duration(i) * load.BinWidth).Seconds(), ratio(p.Gained, p.Asked), p.Denied, p.Failed,
+		r.Series = append(r.Series, Point{(time.Duration(i) * load.BinWidth).Seconds(), ratio(p.Gained, p.Asked), p.Rejected, p.Failed,
 			quantile(p.Latency, 50), quantile(p.Latency, 99)})
 	}
 	for _, f := range s.Faults {
@@ -171,11 +171,11 @@
 		fmt.Fprintf(w, "NOT VALID: the generator fell behind by up to %.0f ms, %.1f%% of the operations began late\n\n",
 			r.Generator.LateMaxMS, 100*r.Generator.LateShare)
 	}
-	fmt.Fprintf(w, "scenario %s, seed %d: %d nodes, %d boxes, %d operations\n\n", r.Scenario, r.Seed, r.Nodes, r.Boxes, r.Offered)
+	fmt.Fprintf(w, "scenario %s, seed %d: %d nodes, %d boxes, %d operations\n\n", r.Scenario, r.Seed, r.Nodes, r.Servers, r.Offered)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "policy\tservice\tin target\thandled\tdenied\twritten off\tunanswered\tunreached\ttries\trules broken\t")
 	for _, x := range append([]Report{*r}, r.Baselines...) {
-		fmt.Fprintf(t, "%s\t%.4f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t\n", x.Policy, x.Service, x.AnsweredInTarget, x.Handled, x.Denied, x.WrittenOff,
+		fmt.Fprintf(t, "%s\t%.4f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t\n", x.Policy, x.Service, x.AnsweredInTarget, x.Handled, x.Rejected, x.WrittenOff,
 			x.Unanswered, x.Unreached, x.Tries, x.brokenNames())
 	}
 	t.Flush()
@@ -218,7 +218,7 @@
 			j.Possibly, j.Open, j.Gaps)
 		if j.Linked > 0 || j.Losses > 0 {
 			fmt.Fprintf(w, "\nmachines: %d lost with their disks, %d times all was whole again; %d journals told to be lost, %d dockets of theirs are; %d bytes between nodes",
-				j.Losses, j.Cycles, j.Told, j.Lost, j.Linked)
+				j.Losses, j.Cycles, j.AnnouncedLost, j.Lost, j.Linked)
 		}
 	}
 	if r.BadClients > 0 {
@@ -232,7 +232,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "second\ttries\tfirst hops\tfurther\tbegun\tin vain\thandled\tdenied\twritten off\tlost\tbusiest node\t")
 	for i, s := range r.Seconds {
-		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", i, s.Tries, s.First, s.Further, s.Ran, s.Vain, s.Handled, s.Denied, s.WrittenOff, s.Lost, s.Busiest)
+		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", i, s.Tries, s.First, s.Further, s.Ran, s.Vain, s.Handled, s.Rejected, s.WrittenOff, s.Lost, s.Busiest)
 	}
 	t.Flush()
 }
--- a/internal/testbed/scale/change_test.go
+++ b/internal/testbed/scale/change_test.go
@@ -85,7 +85,7 @@
 		}
 		f.ApplyList(all, endpoints.SourceDiscovery)
 		records, whole := r.take()
-		if whole.Elements != servers || len(records) == 0 || records[0].Kind != wholeTaken {
+		if whole.Elements != servers || len(records) == 0 || records[0].Kind != completeApplied {
 			t.Fatalf("%d servers: handed %+v", servers, whole)
 		}
 		drained := all.Hosts[0]
--- a/internal/testbed/scale/component/lists.go
+++ b/internal/testbed/scale/component/lists.go
@@ -23,11 +23,11 @@
 
 type nobody struct{}
 
-func (nobody) Told(int, string, string, int64, time.Time) {}
+func (nobody) Announced(int, string, string, int64, time.Time) {}
 
 func entry(i int, phase string) discovery.Entry {
 	return discovery.Entry{ID: fmt.Sprintf("svc%04d-srv-%06d", i%services, i), Site: fmt.Sprintf("region-%d-zone-%d", i%regions, i%zones), Cell: i % cells,
-		Flavor: fmt.Sprintf("svc%04d", i%services), Phase: phase, UpSince: time.UnixMilli(startedAt + int64(i)),
+		MachineKind: fmt.Sprintf("svc%04d", i%services), Phase: phase, UpSince: time.UnixMilli(startedAt + int64(i)),
 		Addresses: []string{fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255)}}
 }
 
@@ -107,7 +107,7 @@
 			l := list(n)
 			var f *dispatch.Dispatcher
 			var err error
-			bytes := held(func() any {
+			bytes := retained(func() any {
 				f, err = filled(l)
 				return f
 			})
--- a/internal/testbed/scale/component/plans.go
+++ b/internal/testbed/scale/component/plans.go
@@ -18,10 +18,10 @@
 
 func nodeName(i int) string { return fmt.Sprintf("n%05d", i) }
 
-func lives(servers int) (all []incarnation.Entry) {
+func incarnations(servers int) (all []incarnation.Entry) {
 	for i := range servers {
 		e := entry(i, "")
-		all = append(all, incarnation.Entry{ID: e.ID, StartedUnixMS: e.UpSince.UnixMilli(), Revision: uint64(i), Address: e.Addresses[0], Zone: e.Site, MachineKind: e.Flavor,
+		all = append(all, incarnation.Entry{ID: e.ID, StartedUnixMS: e.UpSince.UnixMilli(), Revision: uint64(i), Address: e.Addresses[0], Zone: e.Site, MachineKind: e.MachineKind,
 			Cell: e.Cell, Weight: 1})
 	}
 	return all
@@ -29,7 +29,7 @@
 
 // planned is a planner that has heard a report of each of its nodes.
 func planned(nodes, servers int) (*plan.Planner, []incarnation.Entry) {
-	p, known := plan.NewPlanner(plannedAt), lives(servers)
+	p, known := plan.NewPlanner(plannedAt), incarnations(servers)
 	p.EndpointsUpdated(0, known, true)
 	for i := range nodes {
 		r := plan.Report{SentAt: time.Second, Interval: 500 * time.Millisecond, Types: []plan.TypeReport{{Name: "svc0001", TargetTime: 200 * time.Millisecond, Requests: 100}},
--- a/internal/testbed/scale/conductor.go
+++ b/internal/testbed/scale/conductor.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	readyMost   = 60 * time.Second
-	wholeMost   = 60 * time.Second       // for all nodes to know all servers
-	orderMost   = 20 * time.Second       // for an order to be carried out
-	lookEvery   = time.Second            // at connections and processes
-	askEvery    = 100 * time.Millisecond // whether all nodes are where they should be
-	settle      = 2 * time.Second        // after the start, before the phase at rest
-	trailMost   = 15 * time.Second       // after the last change of a phase, for the last node
-	faultsMost  = 20                     // kept
-	killedAfter = time.Second            // of the event's phase
+	maxReadyTime    = 60 * time.Second
+	maxCompleteWait = 60 * time.Second       // for all nodes to know all servers
+	maxOrderTime    = 20 * time.Second       // for an order to be carried out
+	pollInterval    = time.Second            // at connections and processes
+	askEvery        = 100 * time.Millisecond // whether all nodes are where they should be
+	settle          = 2 * time.Second        // after the start, before the phase at rest
+	maxTrail        = 15 * time.Second       // after the last change of a phase, for the last node
+	maxFaults       = 20                     // kept
+	killedAfter     = time.Second            // of the event's phase
 )
 
 // Options of a run.
 type Options struct {
-	Size     Size
-	Command  []string // that runs a process: this binary and WorkerCommand
-	Progress io.Writer
-	Told     string // the command as it was given
+	Size        Size
+	Command     []string // that runs a process: this binary and WorkerCommand
+	Progress    io.Writer
+	CommandLine string // the command as it was given
 }
 
 // errMemory ends a run that takes more than half of the machine's memory.
@@ -46,14 +46,14 @@
 	controls  []*process
 	discovery *process
 	ways      *process // nil: none can be cut
-	answers   chan told
+	answers   chan announcement
 	begun     time.Time
 	revision  int      // of the operator's file
 	returned  *InForce // nodes that an event killed, from their start on
 
 	mu     sync.Mutex
 	faults []string
-	most   float64 // memory
+	max    float64 // memory
 }
 
 // Run plays a size and returns what was measured.
@@ -79,7 +79,7 @@
 	}
 	defer os.RemoveAll(dir)
 	c := &conductor{Options: o, layout: &Layout{Size: o.Size, Net: number, Dir: dir}, machine: machine,
-		meter: newMeter(number), answers: make(chan told, 1), begun: time.Now()}
+		meter: newMeter(number), answers: make(chan announcement, 1), begun: time.Now()}
 	c.ledger = newLedger(o.Size.Nodes, c.layout.served)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -97,8 +97,8 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return &Result{Command: o.Told, At: c.begun.UTC().Truncate(time.Second), Machine: machine, Size: o.Size, Processes: c.layout.Size.Processes(),
-		Memory: c.most, Shared: Shared, Phases: phases, Faults: c.faults}, nil
+	return &Result{Command: o.CommandLine, At: c.begun.UTC().Truncate(time.Second), Machine: machine, Size: o.Size, Processes: c.layout.Size.Processes(),
+		Memory: c.max, Shared: Shared, Phases: phases, Faults: c.faults}, nil
 }
 
 func (c *conductor) say(format string, args ...any) {
@@ -148,10 +148,10 @@
 }
 
 // hear takes in what a process says.
-func (c *conductor) hear(p *process, t told) {
+func (c *conductor) hear(p *process, t announcement) {
 	if t.Fault != "" {
 		c.mu.Lock()
-		if len(c.faults) < faultsMost {
+		if len(c.faults) < maxFaults {
 			c.faults = append(c.faults, t.Fault)
 		}
 		c.mu.Unlock()
@@ -174,7 +174,7 @@
 
 // watch reads connections and processes now and then, and ends a run that grows too large.
 func (c *conductor) watch(ctx context.Context, cancel context.CancelCauseFunc) {
-	for tick := time.NewTicker(lookEvery); ; {
+	for tick := time.NewTicker(pollInterval); ; {
 		select {
 		case <-ctx.Done():
 			tick.Stop()
@@ -190,7 +190,7 @@
 			sum += p.use().Memory
 		}
 		c.mu.Lock()
-		c.most = max(c.most, sum)
+		c.max = max(c.max, sum)
 		c.mu.Unlock()
 		if sum > memoryShare*c.machine.Memory {
 			cancel(errMemory)
--- a/internal/testbed/scale/distribution.go
+++ b/internal/testbed/scale/distribution.go
@@ -25,8 +25,8 @@
 	servicesNamed = 1000
 	writesAtOnce  = 1000
 	writeAgain    = 200 * time.Millisecond
-	writeMost     = 15 * time.Second // for a write, over all control processes that are tried
-	listMost      = 2 * time.Minute  // for all servers to be written at the start
+	maxWriteTime  = 15 * time.Second // for a write, over all control processes that are tried
+	maxListBytes  = 2 * time.Minute  // for all servers to be written at the start
 )
 
 // distributionPlane has control processes hold all servers as keyed entries and send each node those of its services. The
@@ -38,7 +38,7 @@
 
 func (distributionPlane) Check(s *Size) error {
 	switch {
-	case s.Event == DiscoveryAway:
+	case s.Event == DiscoveryDown:
 		return errors.New("--event discovery-away: changes are written at a control process; --event control-killed ends it")
 	case s.Control < s.Regions:
 		return fmt.Errorf("--control %d: each of %d regions wants a root", s.Control, s.Regions)
@@ -150,7 +150,7 @@
 		at := l.controlAddress(n)
 		w.config.Control, w.config.Addresses = append(w.config.Control, at), append(w.config.Addresses, parsed(at))
 	}
-	by := time.Now().Add(listMost)
+	by := time.Now().Add(maxListBytes)
 	for first := 0; first < l.Size.Servers; first += writesAtOnce {
 		var changes []distribution.Change
 		for i := first; i < min(first+writesAtOnce, l.Size.Servers); i++ {
@@ -170,7 +170,7 @@
 func (w *writer) server(i int, condition incarnation.Condition) (distribution.Change, error) {
 	e := (&standin{layout: w.layout}).entry(i, "")
 	v, err := value.EncodeServer(incarnation.Entry{ID: e.ID, StartedUnixMS: e.UpSince.UnixMilli(), Condition: condition, Address: e.Addresses[0], Zone: e.Site,
-		MachineKind: e.Flavor, Cell: e.Cell, Weight: 1})
+		MachineKind: e.MachineKind, Cell: e.Cell, Weight: 1})
 	key := distribution.Key{Service: serviceName(i % w.layout.Size.Services), Kind: distribution.KindServer, Name: e.ID}
 	return distribution.Change{Key: key, Value: v}, err
 }
@@ -205,10 +205,10 @@
 	if err != nil {
 		return time.Time{}, err
 	}
-	return w.write([]distribution.Change{c}, time.Now().Add(writeMost))
+	return w.write([]distribution.Change{c}, time.Now().Add(maxWriteTime))
 }
 
-func (w *writer) Away(bool) error { return errors.ErrUnsupported }
+func (w *writer) SetDown(bool) error { return errors.ErrUnsupported }
 
 func (w *writer) Close() {
 	if w.session != nil {
--- a/internal/testbed/scale/events.go
+++ b/internal/testbed/scale/events.go
@@ -14,7 +14,7 @@
 	Zone          = "zone"
 	RegionsApart  = "regions-apart"
 	ControlKilled = "control-killed"
-	DiscoveryAway = "discovery-away"
+	DiscoveryDown = "discovery-away"
 	StartAll      = "start-all"
 )
 
@@ -25,7 +25,7 @@
 	{Zone, "all processes of a zone are killed, and back after half of the phase"},
 	{RegionsApart, "nodes and control processes of different regions do not reach each other for half of the phase; what comes to a node only after that counts from then"},
 	{ControlKilled, "the first control process is killed, and back after half of the phase"},
-	{DiscoveryAway, "discovery cannot be reached for half of the phase; changes made meanwhile count from its return"},
+	{DiscoveryDown, "discovery cannot be reached for half of the phase; changes made meanwhile count from its return"},
 	{StartAll, "all nodes are killed and started at once"},
 }
 
--- a/internal/testbed/scale/hollow.go
+++ b/internal/testbed/scale/hollow.go
@@ -85,7 +85,7 @@
 	if !l.Size.Membership {
 		return nil
 	}
-	dir := l.heldDir(number)
+	dir := l.dataDir(number)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
--- a/internal/testbed/scale/layout.go
+++ b/internal/testbed/scale/layout.go
@@ -21,7 +21,7 @@
 	claimPort      = 18090 // held by the tool, so that two runs do not share a net
 	firstNet       = 2
 	lastNet        = 15 // those above belong to the lab
-	markersMost    = 64 // servers that change
+	maxMarkers     = 64 // servers that change
 	discoveryHost  = 251
 	controlHost    = 252
 	cutHost        = 253
@@ -118,7 +118,7 @@
 	return addresses
 }
 
-func (l *Layout) markers() int { return min(markersMost, l.Size.Servers) }
+func (l *Layout) markers() int { return min(maxMarkers, l.Size.Servers) }
 
 func serverID(services, i int) string { return fmt.Sprintf("svc%04d-srv-%06d", i%services, i) }
 
@@ -144,7 +144,7 @@
 	return filepath.Join(l.Dir, fmt.Sprintf("planners-%d.toml", r))
 }
 func (l *Layout) snapshotDir(n int) string   { return filepath.Join(l.Dir, "lists", fmt.Sprint(n)) }
-func (l *Layout) heldDir(n int) string       { return filepath.Join(l.Dir, "held", fmt.Sprint(n)) }
+func (l *Layout) dataDir(n int) string       { return filepath.Join(l.Dir, "held", fmt.Sprint(n)) }
 func (l *Layout) planPath(n int) string      { return filepath.Join(l.Dir, fmt.Sprintf("plan-%d.toml", n)) }
 func (l *Layout) logPath(name string) string { return filepath.Join(l.Dir, name+".log") }
 
--- a/internal/testbed/scale/ledger.go
+++ b/internal/testbed/scale/ledger.go
@@ -10,16 +10,16 @@
 	nodes  int
 	served func(node, server int) bool
 
-	mu      sync.Mutex
-	changes []*change
-	byMark  map[int][]*change
-	reached int64   // when regions that were apart reached each other again; 0: they were not apart
-	started []int64 // by node, of its present life
-	whole   []int64 // likewise; 0: it does not know all servers yet
-	down    []bool
-	routed  []int64 // when it last took in routes
-	modules map[int]handed
-	earlier handed // of processes that have ended
+	mu       sync.Mutex
+	changes  []*change
+	byMark   map[int][]*change
+	reached  int64   // when regions that were apart reached each other again; 0: they were not apart
+	started  []int64 // by node, of its present life
+	complete []int64 // likewise; 0: it does not know all servers yet
+	down     []bool
+	routed   []int64 // when it last took in routes
+	modules  map[int]handed
+	earlier  handed // of processes that have ended
 }
 
 // change is one change of a server.
@@ -34,7 +34,7 @@
 }
 
 func newLedger(nodes int, served func(node, server int) bool) *ledger {
-	return &ledger{nodes: nodes, served: served, byMark: map[int][]*change{}, started: make([]int64, nodes), whole: make([]int64, nodes),
+	return &ledger{nodes: nodes, served: served, byMark: map[int][]*change{}, started: make([]int64, nodes), complete: make([]int64, nodes),
 		down: make([]bool, nodes), routed: make([]int64, nodes), modules: map[int]handed{}}
 }
 
@@ -63,7 +63,7 @@
 }
 
 // heard takes in what a process of nodes says.
-func (l *ledger) heard(worker int, t told) {
+func (l *ledger) heard(worker int, t announcement) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if t.Handed != nil {
@@ -72,11 +72,11 @@
 	for _, r := range t.Records {
 		switch r.Kind {
 		case nodeStarted:
-			l.started[r.Node], l.whole[r.Node] = r.At, 0
-		case wholeTaken:
-			l.whole[r.Node], l.down[r.Node] = r.At, false
-		case wholeLost:
-			l.whole[r.Node] = 0
+			l.started[r.Node], l.complete[r.Node] = r.At, 0
+		case completeApplied:
+			l.complete[r.Node], l.down[r.Node] = r.At, false
+		case completeLost:
+			l.complete[r.Node] = 0
 		case routesTaken:
 			l.routed[r.Node] = r.At
 		case markerTaken:
@@ -103,7 +103,7 @@
 	l.earlier.Plans, l.earlier.Reroutes = l.earlier.Plans+h.Plans, l.earlier.Reroutes+h.Reroutes
 	delete(l.modules, worker)
 	for _, n := range nodes {
-		l.whole[n], l.down[n] = 0, true
+		l.complete[n], l.down[n] = 0, true
 		for _, c := range l.changes {
 			if c.taken[n] == 0 {
 				c.down[n] = true
@@ -113,14 +113,14 @@
 }
 
 // allWhole tells whether each node knows all servers.
-func (l *ledger) allWhole() bool {
+func (l *ledger) allComplete() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.countWhole() == l.nodes
+	return l.countComplete() == l.nodes
 }
 
-func (l *ledger) countWhole() (n int) {
-	for _, at := range l.whole {
+func (l *ledger) countComplete() (n int) {
+	for _, at := range l.complete {
 		if at > 0 {
 			n++
 		}
@@ -157,10 +157,10 @@
 	var took []time.Duration
 	missing := 0
 	for _, n := range nodes {
-		if l.whole[n] == 0 {
+		if l.complete[n] == 0 {
 			missing++
-		} else if from := since(n); l.whole[n] >= from {
-			took = append(took, time.Duration(l.whole[n]-from))
+		} else if from := since(n); l.complete[n] >= from {
+			took = append(took, time.Duration(l.complete[n]-from))
 		}
 	}
 	return newInForce(1, missing, 0, took)
--- a/internal/testbed/scale/ledger_test.go
+++ b/internal/testbed/scale/ledger_test.go
@@ -10,7 +10,7 @@
 	began := time.Unix(1000, 0)
 	at := func(ms int) int64 { return began.Add(time.Duration(ms) * time.Millisecond).UnixNano() }
 	take := func(l *ledger, node, marker int, draining bool, ms int) {
-		l.heard(0, told{Records: []record{{Kind: markerTaken, Node: node, Marker: marker, Draining: draining, At: at(ms)}}})
+		l.heard(0, announcement{Records: []record{{Kind: markerTaken, Node: node, Marker: marker, Draining: draining, At: at(ms)}}})
 	}
 	for name, c := range map[string]struct {
 		play func(l *ledger)
--- a/internal/testbed/scale/meter.go
+++ b/internal/testbed/scale/meter.go
@@ -52,7 +52,7 @@
 		is, known := m.whose[c.cookie]
 		if !known {
 			if held == nil {
-				held = heldBy(inner())
+				held = openFilesOf(inner())
 			}
 			is = held[c.inode]
 		}
@@ -66,7 +66,7 @@
 }
 
 // heldBy are the inodes of the sockets that processes hold.
-func heldBy(pids []int) map[uint32]bool {
+func openFilesOf(pids []int) map[uint32]bool {
 	held := map[uint32]bool{}
 	for _, pid := range pids {
 		dir := fmt.Sprintf("/proc/%d/fd", pid)
--- a/internal/testbed/scale/phases.go
+++ b/internal/testbed/scale/phases.go
@@ -17,7 +17,7 @@
 		play   func(context.Context) (*InForce, error)
 	}{
 		{"start", true, c.startAll},
-		{"rest", true, c.rest},
+		{"rest", true, c.settle},
 		{"changes", c.Size.Churn > 0, c.changes},
 		{"restarts", c.Size.Restarts > 0, c.restarts},
 		{"reload", c.Size.Routes > 0, c.reload},
@@ -80,7 +80,7 @@
 		}
 	}
 	for _, p := range first {
-		if err := p.await(readyMost); err != nil {
+		if err := p.await(maxReadyTime); err != nil {
 			return nil, err
 		}
 	}
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	c.say("%d nodes have started", c.Size.Nodes)
-	c.untilWhole(ctx)
+	c.waitComplete(ctx)
 	return c.ledger.start(began, c.nodesOf(c.workers)), nil
 }
 
@@ -100,7 +100,7 @@
 	for i, w := range workers {
 		all.Go(func() {
 			if faults[i] = w.start(); faults[i] == nil {
-				faults[i] = w.await(readyMost)
+				faults[i] = w.await(maxReadyTime)
 			}
 		})
 	}
@@ -120,17 +120,17 @@
 	return nodes
 }
 
-func (c *conductor) untilWhole(ctx context.Context) {
-	if until(ctx, wholeMost, c.ledger.allWhole) {
+func (c *conductor) waitComplete(ctx context.Context) {
+	if until(ctx, maxCompleteWait, c.ledger.allComplete) {
 		c.say("all nodes know all servers")
 		return
 	}
 	c.ledger.mu.Lock()
 	defer c.ledger.mu.Unlock()
-	c.say("%d of %d nodes know all servers after %s", c.ledger.countWhole(), c.Size.Nodes, wholeMost)
+	c.say("%d of %d nodes know all servers after %s", c.ledger.countComplete(), c.Size.Nodes, maxCompleteWait)
 }
 
-func (c *conductor) rest(ctx context.Context) (*InForce, error) {
+func (c *conductor) settle(ctx context.Context) (*InForce, error) {
 	c.say("at rest for %s", c.Size.For)
 	pause(ctx, c.Size.For)
 	return nil, nil
@@ -148,7 +148,7 @@
 
 // trail waits for the last node, and tells how long all took.
 func (c *conductor) trail(ctx context.Context, from int) *InForce {
-	until(ctx, trailMost, func() bool { return c.ledger.inForce(from).Missing == 0 })
+	until(ctx, maxTrail, func() bool { return c.ledger.inForce(from).Missing == 0 })
 	in := c.ledger.inForce(from)
 	c.say("%d changes: in force after %.0f ms (p50), %.0f (p99), %.0f (last); %d not taken", in.Changes, in.P50, in.P99, in.Last, in.Missing)
 	return in
@@ -183,7 +183,7 @@
 			nodes[node] = true
 		}
 	}
-	c.untilWhole(ctx)
+	c.waitComplete(ctx)
 	in := c.ledger.restarted(slices.Sorted(maps.Keys(nodes)))
 	c.say("%d nodes have started again: they know all servers after %.0f ms (p50), %.0f (last); %d do not", len(nodes), in.P50, in.Last, in.Missing)
 	return in, nil
@@ -203,9 +203,9 @@
 }
 
 // ask gives discovery's side an order and waits until it was carried out.
-func (c *conductor) ask(p *process, o order) (told, error) {
-	if err := p.tell(o); err != nil {
-		return told{}, err
+func (c *conductor) ask(p *process, o order) (announcement, error) {
+	if err := p.send(o); err != nil {
+		return announcement{}, err
 	}
 	select {
 	case t := <-c.answers:
@@ -213,8 +213,8 @@
 			return t, fmt.Errorf("%s: %s", p.name(), t.Fault)
 		}
 		return t, nil
-	case <-time.After(orderMost):
-		return told{}, fmt.Errorf("%s does not answer", p.name())
+	case <-time.After(maxOrderTime):
+		return announcement{}, fmt.Errorf("%s does not answer", p.name())
 	}
 }
 
@@ -226,11 +226,11 @@
 	}
 	began := time.Now()
 	for _, w := range c.workers {
-		if err := w.tell(order{Do: doReload}); err != nil {
+		if err := w.send(order{Do: doReload}); err != nil {
 			return nil, err
 		}
 	}
-	until(ctx, wholeMost, func() bool { return c.ledger.rerouted(began).Missing == 0 })
+	until(ctx, maxCompleteWait, func() bool { return c.ledger.rerouted(began).Missing == 0 })
 	in := c.ledger.rerouted(began)
 	c.say("the operator's file is in force after %.0f ms (p50), %.0f (last); %d nodes have not taken it", in.P50, in.Last, in.Missing)
 	return in, nil
@@ -243,7 +243,7 @@
 	defer stopChurn()
 	done := make(chan error, 1)
 	go func() {
-		if c.Size.Churn == 0 || c.Size.Event == DiscoveryAway {
+		if c.Size.Churn == 0 || c.Size.Event == DiscoveryDown {
 			done <- nil
 			return
 		}
@@ -262,7 +262,7 @@
 		return nil, err
 	}
 	if c.returned == nil {
-		c.untilWhole(ctx)
+		c.waitComplete(ctx)
 	}
 	return c.trail(ctx, from), nil
 }
@@ -272,20 +272,20 @@
 	half := c.Size.For / 2
 	switch c.Size.Event {
 	case RegionsApart:
-		if err := c.ways.tell(order{Do: doCut, On: true}); err != nil {
+		if err := c.ways.send(order{Do: doCut, On: true}); err != nil {
 			return err
 		}
 		pause(ctx, half)
 		c.say("regions reach each other again")
 		c.ledger.together(time.Now())
-		return c.ways.tell(order{Do: doCut})
+		return c.ways.send(order{Do: doCut})
 	case ControlKilled:
 		c.controls[0].kill()
 		pause(ctx, half)
 		c.say("the control process is back")
 		return c.controls[0].start()
-	case DiscoveryAway:
-		return c.away(ctx, half)
+	case DiscoveryDown:
+		return c.discoveryDown(ctx, half)
 	}
 	victims := c.victims()
 	killed := []*process{}
@@ -301,7 +301,7 @@
 	if err := c.startNodes(killed); err != nil {
 		return err
 	}
-	c.untilWhole(ctx)
+	c.waitComplete(ctx)
 	c.returned = c.ledger.start(began, c.nodesOf(killed))
 	return nil
 }
@@ -318,8 +318,8 @@
 }
 
 // away takes discovery out of reach, with a change meanwhile, which counts from its return.
-func (c *conductor) away(ctx context.Context, length time.Duration) error {
-	if _, err := c.ask(c.discovery, order{Do: doAway, On: true}); err != nil {
+func (c *conductor) discoveryDown(ctx context.Context, length time.Duration) error {
+	if _, err := c.ask(c.discovery, order{Do: doSetDown, On: true}); err != nil {
 		return err
 	}
 	pause(ctx, length)
@@ -327,7 +327,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := c.ask(c.discovery, order{Do: doAway}); err != nil {
+	if _, err := c.ask(c.discovery, order{Do: doSetDown}); err != nil {
 		return err
 	}
 	c.say("discovery is back")
--- a/internal/testbed/scale/plane.go
+++ b/internal/testbed/scale/plane.go
@@ -38,7 +38,7 @@
 	// Change has one of the servers drain or serve again; it returns when the change was made.
 	Change(server int, draining bool) (time.Time, error)
 	// Away takes the source out of reach, or brings it back.
-	Away(away bool) error
+	SetDown(away bool) error
 	// Close ends it.
 	Close()
 }
--- a/internal/testbed/scale/process.go
+++ b/internal/testbed/scale/process.go
@@ -21,7 +21,7 @@
 type process struct {
 	task    task
 	command []string
-	hear    func(*process, told)
+	hear    func(*process, announcement)
 
 	mu    sync.Mutex
 	cmd   *exec.Cmd
@@ -67,7 +67,7 @@
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, lineBytes)
 	for lines.Scan() {
-		var t told
+		var t announcement
 		if json.Unmarshal(lines.Bytes(), &t) != nil {
 			continue // what is none of ours, as a panic's first line
 		}
@@ -86,7 +86,7 @@
 	p.mu.Unlock()
 	close(ended)
 	if !asked {
-		p.hear(p, told{Fault: fmt.Sprintf("%s has ended: %s", p.name(), p.tail())})
+		p.hear(p, announcement{Fault: fmt.Sprintf("%s has ended: %s", p.name(), p.tail())})
 	}
 }
 
@@ -99,7 +99,7 @@
 }
 
 // tell gives an order.
-func (p *process) tell(o order) error {
+func (p *process) send(o order) error {
 	p.mu.Lock()
 	in := p.in
 	p.mu.Unlock()
--- a/internal/testbed/scale/records.go
+++ b/internal/testbed/scale/records.go
@@ -13,10 +13,10 @@
 type recordKind int
 
 const (
-	markerTaken recordKind = iota // a changed server
-	wholeTaken                    // as many servers as there are of its services, a source having told
-	wholeLost                     // fewer again
-	routesTaken                   // routes of the operator's file
+	markerTaken     recordKind = iota // a changed server
+	completeApplied                   // as many servers as there are of its services, a source having told
+	completeLost                      // fewer again
+	routesTaken                       // routes of the operator's file
 	nodeStarted
 )
 
@@ -73,11 +73,11 @@
 // observed is the shipped module, and notes what it has taken in once it has.
 type observed struct {
 	engine.Decider
-	recorder *recorder
-	node     int
-	servers  int          // that it is to know
-	known    map[int]bool // those that have not gone, by their dense indices
-	whole    bool
+	recorder   *recorder
+	node       int
+	servers    int          // that it is to know
+	known      map[int]bool // those that have not gone, by their dense indices
+	isComplete bool
 }
 
 func (r *recorder) observe(number int, maker engine.DeciderFactory) engine.DeciderFactory {
@@ -123,11 +123,11 @@
 	}
 	r.counts.Lists++
 	r.counts.Elements += len(in.Endpoints)
-	if whole := len(o.known) >= o.servers; whole != o.whole {
-		o.whole = whole
-		kind := wholeTaken
+	if whole := len(o.known) >= o.servers; whole != o.isComplete {
+		o.isComplete = whole
+		kind := completeApplied
 		if !whole {
-			kind = wholeLost
+			kind = completeLost
 		}
 		r.records = append(r.records, record{Kind: kind, Node: o.node, At: at})
 	}
--- a/internal/testbed/scale/run_test.go
+++ b/internal/testbed/scale/run_test.go
@@ -49,12 +49,12 @@
 		{"distribution, restarts", restarting(scoped(NoEvent)), []string{"start", "rest", "changes", "restarts", "reload"}},
 		{"distribution, regions apart", scoped(RegionsApart), []string{"start", "rest", "changes", "reload", RegionsApart}},
 		{"distribution, one killed", scoped(ControlKilled), []string{"start", "rest", "changes", "reload", ControlKilled}},
-		{"discovery, away", small("discovery", DiscoveryAway), []string{"start", "rest", "changes", "reload", DiscoveryAway}},
+		{"discovery, away", small("discovery", DiscoveryDown), []string{"start", "rest", "changes", "reload", DiscoveryDown}},
 		{"discovery, all started at once", small("discovery", StartAll), []string{"start", "rest", "changes", "reload", StartAll}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r, err := Run(context.Background(), Options{Size: c.size, Command: []string{self, WorkerCommand}, Progress: t.Output(), Told: "test"})
+			r, err := Run(context.Background(), Options{Size: c.size, Command: []string{self, WorkerCommand}, Progress: t.Output(), CommandLine: "test"})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/testbed/scale/size.go
+++ b/internal/testbed/scale/size.go
@@ -35,11 +35,11 @@
 
 // Bounds and estimates. What a node holds is estimated a little above what runs have measured; each run is watched as well.
 const (
-	processesMost   = 200
+	maxProcesses    = 200
 	nodesTop        = 60_000 // addresses that a net has for them
 	serversTop      = 400_000
 	nodesPerProcess = 40
-	restartsMost    = 10  // a second: one takes some tenths of a second, and the next waits for it
+	maxRestarts     = 10  // a second: one takes some tenths of a second, and the next waits for it
 	memoryShare     = 0.5 // of the machine's
 	processBytes    = 12 << 20
 	nodeBytes       = 350 << 10
@@ -69,8 +69,8 @@
 	if s.Churn < 0 || s.Churn > 1000 {
 		return fmt.Errorf("--churn %g: from 0 to 1000 a second", s.Churn)
 	}
-	if s.Restarts < 0 || s.Restarts > restartsMost {
-		return fmt.Errorf("--restarts %g: from 0 to %d processes a second", s.Restarts, restartsMost)
+	if s.Restarts < 0 || s.Restarts > maxRestarts {
+		return fmt.Errorf("--restarts %g: from 0 to %d processes a second", s.Restarts, maxRestarts)
 	}
 	if s.For < time.Second || s.For > time.Hour {
 		return fmt.Errorf("--for %s: from 1s to 1h", s.For)
@@ -129,8 +129,8 @@
 
 // Fits refuses a size that takes more than half of the machine's memory or too many processes.
 func (s *Size) Fits(memory float64) error {
-	if n := s.Processes(); n > processesMost {
-		return fmt.Errorf("%d processes are needed: %d at most", n, processesMost)
+	if n := s.Processes(); n > maxProcesses {
+		return fmt.Errorf("%d processes are needed: %d at most", n, maxProcesses)
 	}
 	if need := s.Memory(); need > memoryShare*memory {
 		return fmt.Errorf("about %.1f GB of memory are needed: half of this machine's are %.1f", need/1e9, memoryShare*memory/1e9)
--- a/internal/testbed/scale/sockets.go
+++ b/internal/testbed/scale/sockets.go
@@ -11,19 +11,19 @@
 // The system's own count of each connection is read by its socket diagnostics, from outside of the processes that are
 // measured: no byte is counted in a way that costs them anything.
 const (
-	sockDiag       = 4  // NETLINK_SOCK_DIAG
-	diagByFamily   = 20 // SOCK_DIAG_BY_FAMILY
-	diagInfo       = 2  // INET_DIAG_INFO
-	allStates      = ^uint32(0)
-	requestBytes   = 56 // inet_diag_req_v2
-	messageBytes   = 72 // inet_diag_msg
-	bufferBytes    = 1 << 20
-	receivedAt     = 128 // offsets in tcp_info
-	segmentsInAt   = 152
-	segmentsOutAt  = 156
-	sentAt         = 200
-	resentAt       = 208
-	infoLeastBytes = 216
+	sockDiag      = 4  // NETLINK_SOCK_DIAG
+	diagByFamily  = 20 // SOCK_DIAG_BY_FAMILY
+	diagInfo      = 2  // INET_DIAG_INFO
+	allStates     = ^uint32(0)
+	requestBytes  = 56 // inet_diag_req_v2
+	messageBytes  = 72 // inet_diag_msg
+	bufferBytes   = 1 << 20
+	receivedAt    = 128 // offsets in tcp_info
+	segmentsInAt  = 152
+	segmentsOutAt = 156
+	sentAt        = 200
+	resentAt      = 208
+	minInfoBytes  = 216
 )
 
 // flow is what passed on the serving side of some connections.
@@ -113,7 +113,7 @@
 		if length < syscall.SizeofRtAttr || length > len(rest) {
 			return s, false
 		}
-		if info := rest[syscall.SizeofRtAttr:length]; kind == diagInfo && len(info) >= infoLeastBytes {
+		if info := rest[syscall.SizeofRtAttr:length]; kind == diagInfo && len(info) >= minInfoBytes {
 			s.BytesOut = float64(binary.NativeEndian.Uint64(info[sentAt:]) - binary.NativeEndian.Uint64(info[resentAt:]))
 			s.BytesIn = float64(binary.NativeEndian.Uint64(info[receivedAt:]))
 			s.SegmentsIn = float64(binary.NativeEndian.Uint32(info[segmentsInAt:]))
--- a/internal/testbed/scale/standin.go
+++ b/internal/testbed/scale/standin.go
@@ -18,7 +18,7 @@
 
 type nobody struct{}
 
-func (nobody) Told(int, string, string, int64, time.Time) {}
+func (nobody) Announced(int, string, string, int64, time.Time) {}
 
 func newStandin(l *Layout) (Source, error) {
 	s := &standin{layout: l, service: discovery.New(discovery.Figures{LinesPerS: listsPerS, Timeout: time.Minute}, l.Size.Seed, nobody{})}
@@ -36,7 +36,7 @@
 func (s *standin) entry(i int, phase string) discovery.Entry {
 	const longAgo = 90 * 24 * time.Hour
 	return discovery.Entry{ID: serverID(s.layout.Size.Services, i), Site: zoneName(s.layout, i%s.layout.Size.Zones), Cell: i % 40,
-		Flavor: fmt.Sprintf("svc%04d", i%s.layout.Size.Services), Phase: phase, UpSince: time.Now().Add(-longAgo).Truncate(24 * time.Hour),
+		MachineKind: fmt.Sprintf("svc%04d", i%s.layout.Size.Services), Phase: phase, UpSince: time.Now().Add(-longAgo).Truncate(24 * time.Hour),
 		Addresses: []string{fmt.Sprintf("127.1.%d.%d:%d", i>>8&255, i&255, 1024+i>>16)}}
 }
 
@@ -50,7 +50,7 @@
 	return at, nil
 }
 
-func (s *standin) Away(away bool) error {
+func (s *standin) SetDown(away bool) error {
 	s.service.Down(away)
 	return nil
 }
--- a/internal/testbed/scale/worker.go
+++ b/internal/testbed/scale/worker.go
@@ -45,14 +45,14 @@
 }
 
 const (
-	doReload = "reload" // nodes read the operator's file again
-	doChange = "change" // a server drains, or serves again
-	doAway   = "away"   // discovery cannot be reached, or can again
-	doCut    = "cut"    // ways between regions bring nothing, or again
+	doReload  = "reload" // nodes read the operator's file again
+	doChange  = "change" // a server drains, or serves again
+	doSetDown = "away"   // discovery cannot be reached, or can again
+	doCut     = "cut"    // ways between regions bring nothing, or again
 )
 
 // told is a line of what a process says, on its standard output.
-type told struct {
+type announcement struct {
 	Ready   bool     `json:"ready,omitempty"`
 	Records []record `json:"records,omitempty"`
 	Handed  *handed  `json:"handed,omitempty"`
@@ -80,14 +80,14 @@
 		return 2
 	}
 	if err := w.run(); err != nil {
-		w.say(told{Fault: err.Error()})
+		w.say(announcement{Fault: err.Error()})
 		fmt.Fprintln(errs, err)
 		return 1
 	}
 	return 0
 }
 
-func (w *worker) say(t told) {
+func (w *worker) say(t announcement) {
 	w.out.Lock()
 	defer w.out.Unlock()
 	w.encode.Encode(t)
@@ -108,7 +108,7 @@
 }
 
 // obey carries out orders until there are none any more.
-func (w *worker) obey(do func(order) told) error {
+func (w *worker) obey(do func(order) announcement) error {
 	for {
 		var o order
 		if err := w.orders.Decode(&o); errors.Is(err, io.EOF) {
@@ -133,26 +133,26 @@
 	for _, h := range all { // one that cannot serve says so in a log of its own
 		go func() {
 			if err := <-h.done; err != nil {
-				w.say(told{Fault: fmt.Sprintf("node %d: %v", h.number, err)})
+				w.say(announcement{Fault: fmt.Sprintf("node %d: %v", h.number, err)})
 			}
 		}()
 	}
-	w.say(told{Ready: true})
+	w.say(announcement{Ready: true})
 	go func() {
 		for range time.Tick(flushEvery) {
 			if records, counts := r.take(); len(records) > 0 {
-				w.say(told{Records: records, Handed: &counts})
+				w.say(announcement{Records: records, Handed: &counts})
 			}
 		}
 	}()
-	return w.obey(func(o order) told {
+	return w.obey(func(o order) announcement {
 		for _, h := range all {
 			select {
 			case h.reload <- syscall.SIGHUP:
 			default: // one that waits is enough
 			}
 		}
-		return told{Done: true}
+		return announcement{Done: true}
 	})
 }
 
@@ -165,12 +165,12 @@
 		if err := reachable(ctx, w.Layout.controlAddress(w.Number)); err != nil {
 			return err
 		}
-		w.say(told{Ready: true})
+		w.say(announcement{Ready: true})
 		return nil
 	})
 	g.Go(func() error {
 		defer cancel()
-		return w.obey(func(order) told { return told{Done: true} })
+		return w.obey(func(order) announcement { return announcement{Done: true} })
 	})
 	if err := g.Wait(); err != nil && !errors.Is(err, context.Canceled) {
 		return err
@@ -184,19 +184,19 @@
 		return err
 	}
 	defer source.Close()
-	w.say(told{Ready: true})
-	return w.obey(func(o order) told {
-		if o.Do == doAway {
-			if err := source.Away(o.On); err != nil {
-				return told{Fault: err.Error()}
+	w.say(announcement{Ready: true})
+	return w.obey(func(o order) announcement {
+		if o.Do == doSetDown {
+			if err := source.SetDown(o.On); err != nil {
+				return announcement{Fault: err.Error()}
 			}
-			return told{Done: true}
+			return announcement{Done: true}
 		}
 		at, err := source.Change(o.Server, o.Draining)
 		if err != nil {
-			return told{Fault: err.Error()}
+			return announcement{Fault: err.Error()}
 		}
-		return told{Changed: at.UnixNano()}
+		return announcement{Changed: at.UnixNano()}
 	})
 }
 
@@ -205,10 +205,10 @@
 	if err != nil {
 		return err
 	}
-	w.say(told{Ready: true})
-	err = w.obey(func(o order) told {
+	w.say(announcement{Ready: true})
+	err = w.obey(func(o order) announcement {
 		ways.cut(o.On)
-		return told{Done: true}
+		return announcement{Done: true}
 	})
 	ways.cut(false)
 	ways.close()
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -13,11 +13,11 @@
 
 const (
 	sharesSlack = 0.001 // by which shares may miss 1 when they are added up
-	mostBoxes   = 2000
-	mostNodes   = 1000
-	mostPlanner = 8
-	mostLength  = 10 * time.Minute
-	mostRate    = 100_000
+	maxServers  = 2000
+	maxNodes    = 1000
+	maxPlanners = 8
+	maxLength   = 10 * time.Minute
+	maxRate     = 100_000
 )
 
 // checker tells by key what is wrong with a file.
@@ -51,13 +51,13 @@
 	if s.Name == "" {
 		c.Wrong("name", "the scenario has no name")
 	}
-	c.within("length", s.Length.Std().Seconds(), 0.1, mostLength.Seconds())
+	c.within("length", s.Length.Std().Seconds(), 0.1, maxLength.Seconds())
 	s.checkNodes(c)
 	s.checkLoad(c)
 	if len(s.Sites) == 0 || len(s.Sites) > 16 {
 		c.Wrong("sites", "from 1 to 16 sites")
 	}
-	s.checkBoxes(c)
+	s.checkServers(c)
 	s.checkTypes(c)
 	s.checkTenants(c)
 	for i := range s.Faults {
@@ -67,20 +67,20 @@
 }
 
 func (s *Scenario) checkNodes(c checker) {
-	c.within("nodes.count", float64(s.Nodes.Count), 1, mostNodes)
+	c.within("nodes.count", float64(s.Nodes.Count), 1, maxNodes)
 	c.oneOf("journal.promise", s.Journal.Promise, "", "process", "machine", "machines")
 	c.within("peers.replicas", float64(s.Peers.Replicas), 0, 6)
 	c.oneOf("journal.when_failing", s.Journal.WhenFailing, "deny", "serve")
 	c.oneOf("lists.start", s.Lists.Start, "known", "kept", "none")
 	c.within("registry.addresses", float64(s.Registry.Addresses), 0, 5)
-	c.within("planners.count", float64(s.Planners.Count), 0, mostPlanner)
+	c.within("planners.count", float64(s.Planners.Count), 0, maxPlanners)
 	if n := len(s.Sites); n > s.Nodes.Count {
 		c.Wrong("nodes.count", "%d sites, but %d nodes: the clients of each site need one", n, s.Nodes.Count)
 	}
 }
 
 func (s *Scenario) checkLoad(c checker) {
-	c.within("load.rate", s.Load.Rate, 0.1, mostRate)
+	c.within("load.rate", s.Load.Rate, 0.1, maxRate)
 	c.within("load.swing", s.Load.Swing, 0, 0.95)
 	c.within("load.skew", s.Load.Skew, 0, 0.9)
 	c.within("load.over", s.Load.Over, 0, 1)
@@ -89,8 +89,8 @@
 	c.within("clients.leaves", s.Clients.Leaves, 0, 1)
 	c.within("clients.leaves_at", s.Clients.LeavesAt, 0.001, 1)
 	c.within("clients.retries", float64(s.Clients.Retries), 0, 10)
-	c.within("rules.drain_close", s.Rules.DrainClose.Std().Seconds(), 0, mostLength.Seconds())
-	c.within("rules.most_hops", float64(s.Rules.MostHops), 1, 16)
+	c.within("rules.drain_close", s.Rules.DrainClose.Std().Seconds(), 0, maxLength.Seconds())
+	c.within("rules.most_hops", float64(s.Rules.MaxAttempts), 1, 16)
 }
 
 func (s *Scenario) checkTypes(c checker) {
@@ -114,7 +114,7 @@
 			c.oneOf(key+".only_sites", site, s.Sites...)
 		}
 		for _, kind := range t.OnlyKinds {
-			if !slices.ContainsFunc(s.Boxes, func(b Boxes) bool { return b.Kind == kind }) {
+			if !slices.ContainsFunc(s.Servers, func(b Servers) bool { return b.Kind == kind }) {
 				c.Wrong(key+".only_kinds", "no boxes are of the kind %q", kind)
 			}
 		}
@@ -138,12 +138,12 @@
 	}
 }
 
-func (s *Scenario) checkBoxes(c checker) {
+func (s *Scenario) checkServers(c checker) {
 	total := 0
-	for i, b := range s.Boxes {
+	for i, b := range s.Servers {
 		key := "boxes." + strconv.Itoa(i)
 		total += b.Count
-		c.within(key+".count", float64(b.Count), 1, mostBoxes)
+		c.within(key+".count", float64(b.Count), 1, maxServers)
 		c.within(key+".cores", float64(b.Cores), 1, 256)
 		c.within(key+".speed", b.Speed, 0.01, 1000)
 		c.within(key+".cold_share", b.ColdShare, 0.01, 1)
@@ -152,19 +152,19 @@
 		if b.PauseEvery > 0 && b.PauseFor >= b.PauseEvery {
 			c.Wrong(key+".pause_for", "a pause of %s every %s leaves no time to work", b.PauseFor.Std(), b.PauseEvery.Std())
 		}
-		if b.Kind == "" || slices.ContainsFunc(s.Boxes[:i], func(o Boxes) bool { return o.Kind == b.Kind }) {
+		if b.Kind == "" || slices.ContainsFunc(s.Servers[:i], func(o Servers) bool { return o.Kind == b.Kind }) {
 			c.Wrong(key+".kind", "each kind of boxes needs a name of its own")
 		}
 	}
-	if len(s.Boxes) == 0 || total > mostBoxes {
-		c.Wrong("boxes", "%d boxes: from 1 to %d", total, mostBoxes)
+	if len(s.Servers) == 0 || total > maxServers {
+		c.Wrong("boxes", "%d boxes: from 1 to %d", total, maxServers)
 	}
 }
 
-// BoxNames are the names of all boxes of the start, kind by kind.
-func (s *Scenario) BoxNames() []string {
+// ServerNames are the names of all boxes of the start, kind by kind.
+func (s *Scenario) ServerNames() []string {
 	var names []string
-	for _, b := range s.Boxes {
+	for _, b := range s.Servers {
 		for i := range b.Count {
 			names = append(names, fmt.Sprintf("%s-%d", b.Kind, i))
 		}
--- a/internal/testbed/scenario/defaults.go
+++ b/internal/testbed/scenario/defaults.go
@@ -23,10 +23,10 @@
 	}
 	or(&s.Peers.SlowAfter, Span(50*time.Millisecond))
 	or(&s.Peers.RepairBytes, 8<<20)
-	or(&s.Journal.WaitMost, Span(200*time.Millisecond))
+	or(&s.Journal.MaxWait, Span(200*time.Millisecond))
 	or(&s.Planners.Every, Span(500*time.Millisecond))
-	for i := range s.Boxes {
-		b := &s.Boxes[i]
+	for i := range s.Servers {
+		b := &s.Servers[i]
 		or(&b.Cores, 1)
 		or(&b.Speed, 1)
 		or(&b.Queue, 300)
@@ -61,7 +61,7 @@
 	or(&s.Rules.DrainGrace, Span(500*time.Millisecond))
 	or(&s.Rules.FallMultiple, 2.5)
 	or(&s.Rules.FallWindow, Span(2*time.Second))
-	or(&s.Rules.MostHops, 4)
+	or(&s.Rules.MaxAttempts, 4)
 	or(&s.Rules.AskWithin, Span(5*time.Second))
 	or(&s.Rules.Slack, Span(50*time.Millisecond))
 }
--- a/internal/testbed/scenario/faults.go
+++ b/internal/testbed/scenario/faults.go
@@ -11,7 +11,7 @@
 
 const (
 	noTarget target = iota
-	boxes
+	servers
 	nodes
 	site
 	planners
@@ -33,20 +33,20 @@
 
 // FaultKinds are all that a file may ask for.
 var FaultKinds = []FaultKind{
-	{"slow", "boxes work Size times slower", boxes, true, "times", ""},
-	{"hang", "boxes take requests and neither work nor answer", boxes, true, "", ""},
-	{"pause", "the processes stop as a whole, connections too", boxes, true, "", ""},
-	{"crash", "the processes die and come back cold", boxes, true, "", ""},
-	{"cut-before", "connections break before the request is read", boxes, true, "", "of requests"},
-	{"cut-within", "connections break within the answer", boxes, true, "", "of requests"},
-	{"cut-after", "connections close right behind the answer", boxes, true, "", "of requests"},
-	{"refuse", "boxes turn requests away unbegun", boxes, true, "", "of requests"},
-	{"error", "boxes answer 500 after the work", boxes, true, "", "of requests"},
-	{"spoil", "answers come as noise, endless heads or wrong lengths", boxes, true, "", "of requests"},
+	{"slow", "boxes work Size times slower", servers, true, "times", ""},
+	{"hang", "boxes take requests and neither work nor answer", servers, true, "", ""},
+	{"pause", "the processes stop as a whole, connections too", servers, true, "", ""},
+	{"crash", "the processes die and come back cold", servers, true, "", ""},
+	{"cut-before", "connections break before the request is read", servers, true, "", "of requests"},
+	{"cut-within", "connections break within the answer", servers, true, "", "of requests"},
+	{"cut-after", "connections close right behind the answer", servers, true, "", "of requests"},
+	{"refuse", "boxes turn requests away unbegun", servers, true, "", "of requests"},
+	{"error", "boxes answer 500 after the work", servers, true, "", "of requests"},
+	{"spoil", "answers come as noise, endless heads or wrong lengths", servers, true, "", "of requests"},
 	{"cut-site", "a site's boxes and nodes hear nothing of the others", site, true, "", ""},
 	{"lose-site", "a site's boxes vanish without a word and come back cold", site, true, "", ""},
 	{"shrink", "traffic falls to Size and boxes drain until that share of them is left", noTarget, true, "share", ""},
-	{"replace", "boxes drain one by one, and new ones come under new ids", boxes, true, "", ""},
+	{"replace", "boxes drain one by one, and new ones come under new ids", servers, true, "", ""},
 	{"discovery-down", "discovery is out of reach", noTarget, true, "", ""},
 	{"discovery-move", "discovery moves, and nodes get SIGHUP", noTarget, false, "", ""},
 	{"reload", "the operator's file is replaced by the next of operators, and nodes get SIGHUP, Size times a minute", noTarget, true, "times a minute", ""},
@@ -134,13 +134,13 @@
 // checkTarget tells whether there is what the fault names.
 func (s *Scenario) checkTarget(c checker, key string, x *Fault, k FaultKind) {
 	switch k.on {
-	case boxes:
-		for _, name := range x.Boxes {
-			if !slices.Contains(s.BoxNames(), name) {
+	case servers:
+		for _, name := range x.Servers {
+			if !slices.Contains(s.ServerNames(), name) {
 				c.Wrong(key+".boxes", "no box %q", name)
 			}
 		}
-		if len(x.Boxes) == 0 && x.Share == 0 && k.share == "" {
+		if len(x.Servers) == 0 && x.Share == 0 && k.share == "" {
 			c.Wrong(key, "the fault names neither boxes nor a share of them")
 		}
 	case nodes, anyNodes, links:
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -28,7 +28,7 @@
 	Peers     Peers     `toml:"peers"`
 	Registry  Registry  `toml:"registry"`
 	Lists     Lists     `toml:"lists"`
-	Boxes     []Boxes   `toml:"boxes"`
+	Servers   []Servers `toml:"boxes"`
 	Types     []Type    `toml:"types"`
 	Tenants   []Tenant  `toml:"tenants"`
 	Load      Traffic   `toml:"load"`
@@ -73,7 +73,7 @@
 type Journal struct {
 	Promise     string `toml:"promise"`      // process, machine or machines
 	WhenFailing string `toml:"when_failing"` // deny or serve
-	WaitMost    Span   `toml:"wait_most"`
+	MaxWait     Span   `toml:"wait_most"`
 }
 
 // Registry of ephemeral nodes in place of discovery, if it has addresses.
@@ -88,8 +88,8 @@
 	Age   Span   `toml:"age"`   // by which a kept list looks older than it is
 }
 
-// Boxes are servers of one kind, dealt out over the sites in turn.
-type Boxes struct {
+// Servers are servers of one kind, dealt out over the sites in turn.
+type Servers struct {
 	Kind        string  `toml:"kind"`
 	Count       int     `toml:"count"`
 	Cores       int     `toml:"cores"`
@@ -185,7 +185,7 @@
 	DrainClose   Span    `toml:"drain_close"` // in which idle connections to a draining box are closed; 0: not asked for
 	FallMultiple float64 `toml:"fall_multiple"`
 	FallWindow   Span    `toml:"fall_window"`
-	MostHops     int     `toml:"most_hops"`
+	MaxAttempts  int     `toml:"most_hops"`
 	AskWithin    Span    `toml:"ask_within"`
 	Copies       bool    `toml:"copies"` // a second copy may be out while the first is
 	Slack        Span    `toml:"slack"`  // added to each time limit, for what the machine is late
@@ -193,12 +193,12 @@
 
 // Fault is a trouble that comes at a stated time.
 type Fault struct {
-	Kind  string   `toml:"kind"`
-	At    Span     `toml:"at"`
-	For   Span     `toml:"for"`
-	Boxes []string `toml:"boxes"` // names: kind-number, counting from 0
-	Share float64  `toml:"share"` // of the boxes or nodes in place of names, or of connections or traffic
-	Nodes []int    `toml:"nodes"`
+	Kind    string   `toml:"kind"`
+	At      Span     `toml:"at"`
+	For     Span     `toml:"for"`
+	Servers []string `toml:"boxes"` // names: kind-number, counting from 0
+	Share   float64  `toml:"share"` // of the boxes or nodes in place of names, or of connections or traffic
+	Nodes   []int    `toml:"nodes"`
 	// Planners are named by their numbers; none: all.
 	Planners []int `toml:"planners"`
 	// Half of the nodes that a fault is for: those with even (0) or odd (1) numbers.
@@ -262,9 +262,9 @@
 func (s *Scenario) Paired(clients, boxes bool) *Scenario {
 	p := *s
 	p.Clients.FastCGI = clients
-	p.Boxes = slices.Clone(s.Boxes)
-	for i := range p.Boxes {
-		p.Boxes[i].FastCGI = boxes
+	p.Servers = slices.Clone(s.Servers)
+	for i := range p.Servers {
+		p.Servers[i].FastCGI = boxes
 	}
 	return &p
 }
--- a/internal/testbed/standin/connbalancer/front.go
+++ b/internal/testbed/standin/connbalancer/front.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	askEvery = 20 * time.Millisecond // until a node that was started says that it serves
-	askMost  = 500 * time.Millisecond
+	askEvery     = 20 * time.Millisecond // until a node that was started says that it serves
+	maxProbeTime = 500 * time.Millisecond
 )
 
 // Node is one that the front may send to.
@@ -25,22 +25,22 @@
 	FastCGI string // the same for clients that speak it
 }
 
-// Front deals out connections.
-type Front struct {
-	mu    sync.Mutex
-	nodes []Node
-	in    []bool
-	turn  []int // by site
-	life  []int // by node, counts its starts
+// Balancer deals out connections.
+type Balancer struct {
+	mu         sync.Mutex
+	nodes      []Node
+	in         []bool
+	turn       []int // by site
+	generation []int // by node, counts its starts
 }
 
 // New knows of nodes, none of which serves yet.
-func New(sites int, nodes []Node) *Front {
-	return &Front{nodes: nodes, in: make([]bool, len(nodes)), turn: make([]int, sites), life: make([]int, len(nodes))}
+func New(sites int, nodes []Node) *Balancer {
+	return &Balancer{nodes: nodes, in: make([]bool, len(nodes)), turn: make([]int, sites), generation: make([]int, len(nodes))}
 }
 
 // Pick deals out the next connection of a site.
-func (f *Front) Pick(site int) (load.Way, bool) {
+func (f *Balancer) Pick(site int) (load.Way, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for range f.nodes {
@@ -54,16 +54,16 @@
 }
 
 // Started asks a node until it serves, and then takes it in.
-func (f *Front) Started(ctx context.Context, n int) error {
+func (f *Balancer) Started(ctx context.Context, n int) error {
 	f.mu.Lock()
-	f.life[n]++
-	life := f.life[n]
+	f.generation[n]++
+	life := f.generation[n]
 	f.mu.Unlock()
 	for {
 		if up(ctx, f.nodes[n].Address) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			if f.life[n] == life {
+			if f.generation[n] == life {
 				f.in[n] = true
 			}
 			return nil
@@ -77,27 +77,27 @@
 }
 
 // Ended tells that a node has died or is about to; the front takes it out after a while.
-func (f *Front) Ended(n int, notice time.Duration) {
+func (f *Balancer) Ended(n int, notice time.Duration) {
 	f.mu.Lock()
-	life := f.life[n]
+	life := f.generation[n]
 	f.mu.Unlock()
 	time.AfterFunc(notice, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if f.life[n] == life {
+		if f.generation[n] == life {
 			f.in[n] = false
 		}
 	})
 }
 
 func up(ctx context.Context, address string) bool {
-	d := net.Dialer{Timeout: askMost}
+	d := net.Dialer{Timeout: maxProbeTime}
 	nc, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return false
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(askMost))
+	nc.SetDeadline(time.Now().Add(maxProbeTime))
 	c := http1.NewConn(nc)
 	var r http1.Response
 	_, err = c.Send([]byte("GET /up HTTP/1.1\r\nHost: origin.svc\r\n\r\n"))
--- a/internal/testbed/standin/discovery/discovery.go
+++ b/internal/testbed/standin/discovery/discovery.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	goesOn   = 200 * time.Millisecond // within which the next call goes on with a watch
-	idleMost = 30 * time.Second
-	waitMost = 60 * time.Second
-	leaves   = 1500 * time.Millisecond // after a move, until the old address closes its connections
+	goesOn  = 200 * time.Millisecond // within which the next call goes on with a watch
+	maxIdle = 30 * time.Second
+	maxWait = 60 * time.Second
+	leaves  = 1500 * time.Millisecond // after a move, until the old address closes its connections
 )
 
 // Phase of an entry, as on the wire.
@@ -31,14 +31,14 @@
 
 // Entry is a line of the list.
 type Entry struct {
-	ID        string
-	Site      string
-	Cell      int
-	Flavor    string // kind of machine
-	Phase     string
-	UpSince   time.Time // zero: for long
-	Addresses []string  // as callers of each site reach it
-	revision  uint64
+	ID          string
+	Site        string
+	Cell        int
+	MachineKind string // kind of machine
+	Phase       string
+	UpSince     time.Time // zero: for long
+	Addresses   []string  // as callers of each site reach it
+	revision    uint64
 }
 
 // Figures of the service.
@@ -51,7 +51,7 @@
 
 // Watcher is told what a node has been told. Times are the wall clock's.
 type Watcher interface {
-	Told(node int, id, phase string, up int64, at time.Time)
+	Announced(node int, id, phase string, up int64, at time.Time)
 }
 
 // Service is the stand-in.
@@ -59,22 +59,22 @@
 	f     Figures
 	watch Watcher
 
-	mu       sync.Mutex
-	revision uint64
-	entries  map[string]*Entry
-	order    []string
-	changed  chan struct{} // closed at each change
-	busy     time.Time     // until when the calls that wait take
-	down     bool
-	chance   *rand.Rand
-	lines    float64
-	calls    int
-	turned   int
-	places   []*place
+	mu        sync.Mutex
+	revision  uint64
+	entries   map[string]*Entry
+	order     []string
+	changed   chan struct{} // closed at each change
+	busy      time.Time     // until when the calls that wait take
+	down      bool
+	chance    *rand.Rand
+	lines     float64
+	calls     int
+	turned    int
+	addresses []*endpoint
 }
 
 // place is where one node finds the service.
-type place struct {
+type endpoint struct {
 	node int
 	site int
 	l    *link.Listener
@@ -89,8 +89,8 @@
 // Close ends it.
 func (s *Service) Close() {
 	s.mu.Lock()
-	places := s.places
-	s.places = nil
+	places := s.addresses
+	s.addresses = nil
 	s.mu.Unlock()
 	for _, p := range places {
 		p.l.Close()
@@ -99,7 +99,7 @@
 
 // Serve listens for one node of a site.
 func (s *Service) Serve(node, site int, address string) error {
-	p := &place{node: node, site: site}
+	p := &endpoint{node: node, site: site}
 	l, err := link.Listen(address, func(c *link.Conn) { s.lead(c, p) })
 	if err != nil {
 		return err
@@ -107,7 +107,7 @@
 	p.l = l
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.places = append(s.places, p)
+	s.addresses = append(s.addresses, p)
 	return nil
 }
 
@@ -115,7 +115,7 @@
 func (s *Service) Moved() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range s.places {
+	for _, p := range s.addresses {
 		if !p.old {
 			p.old = true
 			time.AfterFunc(leaves, p.l.Leave)
@@ -141,7 +141,7 @@
 func (s *Service) Down(down bool) {
 	s.mu.Lock()
 	s.down = down
-	places := append([]*place(nil), s.places...)
+	places := append([]*endpoint(nil), s.addresses...)
 	s.mu.Unlock()
 	for _, p := range places {
 		if down {
@@ -177,7 +177,7 @@
 }
 
 func (e *Entry) line(site int) line {
-	l := line{ID: e.ID, HostPort: e.Addresses[site], Locality: e.Site, Flavor: e.Flavor, Cell: e.Cell, Phase: e.Phase, Size: 1}
+	l := line{ID: e.ID, HostPort: e.Addresses[site], Locality: e.Site, Flavor: e.MachineKind, Cell: e.Cell, Phase: e.Phase, Size: 1}
 	if !e.UpSince.IsZero() {
 		l.UpSinceMS = e.UpSince.UnixMilli()
 	}
@@ -203,12 +203,12 @@
 	return l
 }
 
-func (s *Service) lead(nc *link.Conn, p *place) {
+func (s *Service) lead(nc *link.Conn, p *endpoint) {
 	c := http1.NewConn(nc)
 	var req http1.Request
 	answered := time.Time{}
 	for {
-		c.SetReadDeadline(time.Now().Add(idleMost))
+		c.SetReadDeadline(time.Now().Add(maxIdle))
 		if c.ReadRequest(&req) != nil {
 			return
 		}
@@ -230,7 +230,7 @@
 		}
 		answered = time.Now()
 		for _, m := range l.Members {
-			s.watch.Told(p.node, m.ID, m.Phase, m.UpSinceMS, answered)
+			s.watch.Announced(p.node, m.ID, m.Phase, m.UpSinceMS, answered)
 		}
 	}
 }
@@ -244,7 +244,7 @@
 	}
 	after, err = strconv.ParseUint(q.Get("index"), 10, 64)
 	ms, _ := strconv.Atoi(q.Get("wait"))
-	return after, min(time.Duration(ms)*time.Millisecond, waitMost), err == nil
+	return after, min(time.Duration(ms)*time.Millisecond, maxWait), err == nil
 }
 
 // await returns once there is something newer than a revision, spread over the watchers, or the wait is over.
@@ -275,7 +275,7 @@
 }
 
 // queue has a call wait for its turn; it is false where that would take too long.
-func (s *Service) queue(p *place, after uint64, watch, on bool) bool {
+func (s *Service) queue(p *endpoint, after uint64, watch, on bool) bool {
 	s.mu.Lock()
 	cost := 0.0
 	if !on {
--- a/internal/testbed/standin/discovery/discovery_test.go
+++ b/internal/testbed/standin/discovery/discovery_test.go
@@ -15,12 +15,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-type told struct {
+type announcements struct {
 	mu  sync.Mutex
 	all []string
 }
 
-func (t *told) Told(node int, id, phase string, _ int64, _ time.Time) {
+func (t *announcements) Announced(node int, id, phase string, _ int64, _ time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.all = append(t.all, fmt.Sprint(node, id, phase))
@@ -28,8 +28,8 @@
 
 const address = "127.0.0.1:0"
 
-func start(t *testing.T, f Figures) (*Service, *told, *http1.Conn) {
-	w := &told{}
+func start(t *testing.T, f Figures) (*Service, *announcements, *http1.Conn) {
+	w := &announcements{}
 	s := New(f, 1, w)
 	t.Cleanup(s.Close)
 	if err := s.Serve(7, 0, address); err != nil {
@@ -39,7 +39,7 @@
 }
 
 func dial(t *testing.T, s *Service) *http1.Conn {
-	c, err := net.Dial("tcp", s.places[0].l.Address())
+	c, err := net.Dial("tcp", s.addresses[0].l.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,7 +115,7 @@
 		t.Run(name, func(t *testing.T) {
 			s, _, conn := start(t, c.f)
 			s.Set(entry("a", Serving))
-			at := s.places[0].l.Address()
+			at := s.addresses[0].l.Address()
 			c.fail(s)
 			_, status, err := call(conn, "")
 			if status != c.status || (err == nil) != (c.status > 0) {
--- a/internal/testbed/standin/faultproxy/cable.go
+++ b/internal/testbed/standin/faultproxy/cable.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	pieceBytes = 16 << 10
-	dialMost   = time.Second
+	pieceBytes  = 16 << 10
+	maxDialTime = time.Second
 )
 
 // Direction of what passes.
@@ -149,7 +149,7 @@
 	way := c.cut[Up]
 	c.mu.Unlock()
 	<-way
-	far, err := net.DialTimeout("tcp", c.to, dialMost)
+	far, err := net.DialTimeout("tcp", c.to, maxDialTime)
 	if err != nil || !c.keep(far) {
 		return
 	}
--- a/internal/testbed/standin/link/link.go
+++ b/internal/testbed/standin/link/link.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	fillFor     = 30 * time.Millisecond // in which a connection to a listener that is not full comes up
-	fullAfter   = 3                     // connections in a row that do not: one may be late on a busy machine
-	fillersMost = 8
+	fillFor    = 30 * time.Millisecond // in which a connection to a listener that is not full comes up
+	fullAfter  = 3                     // connections in a row that do not: one may be late on a busy machine
+	maxFillers = 8
 )
 
 // Listener leads its connections while it is there.
@@ -34,10 +34,10 @@
 // Conn is a connection that shares its listener's silence.
 type Conn struct {
 	*net.TCPConn
-	l     *Listener
-	ended chan struct{}
-	once  sync.Once
-	came  time.Time
+	l        *Listener
+	ended    chan struct{}
+	once     sync.Once
+	received time.Time
 }
 
 // Listen takes connections at an address and gives each to lead, which owns and closes it.
@@ -142,7 +142,7 @@
 	l.silent = make(chan struct{})
 	l.ln.SetDeadline(time.Unix(1, 0))
 	l.backlog(0)
-	for refused := 0; refused < fullAfter && len(l.fillers) < fillersMost; {
+	for refused := 0; refused < fullAfter && len(l.fillers) < maxFillers; {
 		c, err := net.DialTimeout("tcp", l.address, fillFor)
 		if err != nil {
 			refused++
@@ -206,15 +206,15 @@
 // Read holds back what comes in a silence.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	c.came = time.Now()
+	c.received = time.Now()
 	if !c.pass() {
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
-// Came is when what was read last reached this side, which in a silence is before it was passed on.
-func (c *Conn) Came() time.Time { return c.came }
+// Received is when what was read last reached this side, which in a silence is before it was passed on.
+func (c *Conn) Received() time.Time { return c.received }
 
 // Write waits while there is a silence.
 func (c *Conn) Write(b []byte) (int, error) {
--- a/internal/testbed/standin/link/link_test.go
+++ b/internal/testbed/standin/link/link_test.go
@@ -105,7 +105,7 @@
 
 // Bytes that are copied on from a connection, or into it, stand still in a silence like those that are read and written. The old code
 // let io.Copy pass by it, and regions that the scale runs had cut off heard of each other all the time.
-func TestSilenceHoldsWhatIsCopied(t *testing.T) {
+func TestSilenceHoldsCopiedBytes(t *testing.T) {
 	for name, copying := range map[string]func(c *Conn, other net.Conn){
 		"from it": func(c *Conn, other net.Conn) { io.Copy(other, c) },
 		"into it": func(c *Conn, other net.Conn) { io.Copy(c, other) },
--- a/internal/testbed/standin/memdisk/disk.go
+++ b/internal/testbed/standin/memdisk/disk.go
@@ -33,10 +33,10 @@
 
 // Disk is a bindlog.Files.
 type Disk struct {
-	mu    sync.Mutex
-	files map[string]*file
-	ops   int // writes, syncs and creations so far
-	dead  bool
+	mu         sync.Mutex
+	files      map[string]*file
+	operations int // writes, syncs and creations so far
+	dead       bool
 	// Meet tells what the n-th of them meets.
 	Meet func(n int) Trouble
 }
@@ -54,11 +54,11 @@
 	return &Disk{files: map[string]*file{}, Meet: func(int) Trouble { return None }}
 }
 
-// Ops counts writes, syncs and creations.
-func (d *Disk) Ops() int {
+// Operations counts writes, syncs and creations.
+func (d *Disk) Operations() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.ops
+	return d.operations
 }
 
 // Fill has the disk take nothing from now on, or again.
@@ -74,8 +74,8 @@
 }
 
 func (d *Disk) meet() Trouble {
-	d.ops++
-	t := d.Meet(d.ops)
+	d.operations++
+	t := d.Meet(d.operations)
 	if d.dead = d.dead || t == Dead; d.dead {
 		return Dead
 	}
--- a/internal/testbed/standin/mesh/wires.go
+++ b/internal/testbed/standin/mesh/wires.go
@@ -23,36 +23,36 @@
 }
 
 const (
-	pieceMost  = 16 << 10
-	lookEvery  = 5 * time.Millisecond // at a link that is cut
-	behind     = 20 * time.Millisecond
-	headBytes  = 5 // of a frame: its length, and a byte for its kind
-	unknownWay = -1
+	maxPieceBytes = 16 << 10
+	pollInterval  = 5 * time.Millisecond // at a link that is cut
+	behind        = 20 * time.Millisecond
+	headBytes     = 5 // of a frame: its length, and a byte for its kind
+	unknownWay    = -1
 )
 
-// Fabric is all links of a tier.
-type Fabric struct {
-	mu      sync.Mutex
-	ways    map[[2]int]*Way
-	who     map[string]int // by IP
-	places  []net.Listener
-	packets []net.PacketConn
-	conns   map[net.Conn]bool
-	sockets map[int]net.PacketConn // by process: where its datagrams come out
-	done    bool
-	wg      sync.WaitGroup
-	bytes   int64
+// Mesh is all links of a tier.
+type Mesh struct {
+	mu        sync.Mutex
+	ways      map[[2]int]*Way
+	who       map[string]int // by IP
+	addresses []net.Listener
+	packets   []net.PacketConn
+	conns     map[net.Conn]bool
+	sockets   map[int]net.PacketConn // by process: where its datagrams come out
+	done      bool
+	wg        sync.WaitGroup
+	bytes     int64
 	// Frame is told of each frame on a connection before it is passed on, by its kind; nil: frames are not looked for.
 	Frame func(from, to int, kind byte)
 }
 
 // New has no links.
-func New() *Fabric {
-	return &Fabric{ways: map[[2]int]*Way{}, who: map[string]int{}, conns: map[net.Conn]bool{}, sockets: map[int]net.PacketConn{}}
+func New() *Mesh {
+	return &Mesh{ways: map[[2]int]*Way{}, who: map[string]int{}, conns: map[net.Conn]bool{}, sockets: map[int]net.PacketConn{}}
 }
 
 // Set changes what befalls a direction.
-func (f *Fabric) Set(from, to int, change func(*Way)) {
+func (f *Mesh) Set(from, to int, change func(*Way)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.ways[[2]int{from, to}]
@@ -63,7 +63,7 @@
 	change(w)
 }
 
-func (f *Fabric) way(from, to int) Way {
+func (f *Mesh) way(from, to int) Way {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if w := f.ways[[2]int{from, to}]; w != nil {
@@ -73,21 +73,21 @@
 }
 
 // Bytes that have passed on connections.
-func (f *Fabric) Bytes() int64 {
+func (f *Mesh) Bytes() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.bytes
 }
 
 // Join has a process, which sends from an IP, reached at place; what comes there goes on to where it listens.
-func (f *Fabric) Join(n int, ip, place, listens string) error {
+func (f *Mesh) Join(n int, ip, place, listens string) error {
 	ln, err := net.Listen("tcp", place)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
 	f.who[ip] = n
-	f.places = append(f.places, ln)
+	f.addresses = append(f.addresses, ln)
 	f.mu.Unlock()
 	f.wg.Go(func() {
 		for {
@@ -102,7 +102,7 @@
 }
 
 // JoinPackets does the same for datagrams. Their receiver sees them come from the sender's place.
-func (f *Fabric) JoinPackets(n int, ip, place, listens string) error {
+func (f *Mesh) JoinPackets(n int, ip, place, listens string) error {
 	pc, err := net.ListenPacket("udp", place)
 	if err != nil {
 		return err
@@ -131,7 +131,7 @@
 }
 
 // packet passes a datagram on, as often as it comes.
-func (f *Fabric) packet(from net.Addr, n int, to net.Addr, text []byte) {
+func (f *Mesh) packet(from net.Addr, n int, to net.Addr, text []byte) {
 	sender := f.sender(from)
 	w := f.way(sender, n)
 	f.mu.Lock()
@@ -165,7 +165,7 @@
 	})
 }
 
-func (f *Fabric) sender(a net.Addr) int {
+func (f *Mesh) sender(a net.Addr) int {
 	host, _, err := net.SplitHostPort(a.String())
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -175,7 +175,7 @@
 	return unknownWay
 }
 
-func (f *Fabric) keep(c net.Conn) bool {
+func (f *Mesh) keep(c net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.done {
@@ -186,21 +186,21 @@
 	return true
 }
 
-func (f *Fabric) drop(c net.Conn) {
+func (f *Mesh) drop(c net.Conn) {
 	c.Close()
 	f.mu.Lock()
 	delete(f.conns, c)
 	f.mu.Unlock()
 }
 
-func (f *Fabric) lead(down net.Conn, n int, listens string) {
+func (f *Mesh) lead(down net.Conn, n int, listens string) {
 	if !f.keep(down) {
 		return
 	}
 	defer f.drop(down)
 	from := f.sender(down.RemoteAddr())
 	for f.way(from, n).Cut { // who connects to what is cut hears nothing of it
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 		f.mu.Lock()
 		done := f.done
 		f.mu.Unlock()
@@ -225,7 +225,7 @@
 }
 
 // pass hands on one direction, piece by piece, each at its time.
-func (f *Fabric) pass(a, b net.Conn, from, to int) {
+func (f *Mesh) pass(a, b net.Conn, from, to int) {
 	pieces := make(chan piece, 64)
 	var writing sync.WaitGroup
 	writing.Go(func() {
@@ -233,7 +233,7 @@
 		for p := range pieces {
 			time.Sleep(time.Until(p.due))
 			for f.way(from, to).Cut && !f.over(a) {
-				time.Sleep(lookEvery)
+				time.Sleep(pollInterval)
 			}
 			w := f.way(from, to)
 			if w.PerS > 0 {
@@ -253,8 +253,8 @@
 		for range pieces {
 		}
 	})
-	buffer := make([]byte, pieceMost)
-	var look frameLook
+	buffer := make([]byte, maxPieceBytes)
+	var look framePollInterval
 	for {
 		n, err := a.Read(buffer)
 		if n > 0 {
@@ -272,17 +272,17 @@
 }
 
 // over tells whether a connection was let go of.
-func (f *Fabric) over(c net.Conn) bool {
+func (f *Mesh) over(c net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.done || !f.conns[c]
 }
 
 // Close ends all links.
-func (f *Fabric) Close() {
+func (f *Mesh) Close() {
 	f.mu.Lock()
 	f.done = true
-	for _, ln := range f.places {
+	for _, ln := range f.addresses {
 		ln.Close()
 	}
 	for _, pc := range f.packets {
@@ -296,12 +296,12 @@
 }
 
 // frameLook finds the heads of frames in a stream.
-type frameLook struct {
+type framePollInterval struct {
 	head []byte
 	skip int
 }
 
-func (l *frameLook) at(b []byte, each func(kind byte)) {
+func (l *framePollInterval) at(b []byte, each func(kind byte)) {
 	for len(b) > 0 {
 		if l.skip > 0 {
 			n := min(l.skip, len(b))
--- a/internal/testbed/standin/mesh/wires_test.go
+++ b/internal/testbed/standin/mesh/wires_test.go
@@ -13,7 +13,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // pair is two processes that a fabric connects: what the first sends, the second echoes.
-func pair(t *testing.T) (f *Fabric, a net.Conn) {
+func pair(t *testing.T) (f *Mesh, a net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.3:0")
 	if err != nil {
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 2)}}
-	a, err = d.Dial("tcp", f.places[0].Addr().String())
+	a, err = d.Dial("tcp", f.addresses[0].Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 	}
 }
 
-const roomFor = 1 << 20 // bytes: more than 400 datagrams as the system counts them
+const waitForCapacity = 1 << 20 // bytes: more than 400 datagrams as the system counts them
 
 // Datagrams are lost, come twice or out of order by their ways, and their receiver sees their sender's place.
 func TestDatagrams(t *testing.T) {
@@ -119,7 +119,7 @@
 					t.Fatal(err)
 				}
 				defer pc.Close()
-				pc.(*net.UDPConn).SetReadBuffer(roomFor) // they are read only once all are sent; some 270 fit as it is
+				pc.(*net.UDPConn).SetReadBuffer(waitForCapacity) // they are read only once all are sent; some 270 fit as it is
 				ends[n] = pc
 				if err := f.JoinPackets(n, ip, ip+":0", pc.LocalAddr().String()); err != nil {
 					t.Fatal(err)
--- a/internal/testbed/standin/server/model.go
+++ b/internal/testbed/standin/server/model.go
@@ -25,8 +25,8 @@
 	Connections  int           // that it holds; 0: any number
 }
 
-// Job is one request in the hands of a box.
-type Job struct {
+// Work is one request in the hands of a box.
+type Work struct {
 	ID    uint64
 	Work  time.Duration
 	Key   int           // 0: none
@@ -79,7 +79,7 @@
 	factor  float64 // how many times slower it works at present
 	paused  bool
 	since   time.Duration // of the pause
-	queue   []Job
+	queue   []Work
 	cores   []running
 	keys    map[int]time.Duration // when each was met last
 	offers  []offered             // while cold, within the fall window
@@ -96,8 +96,8 @@
 // Fallen tells that it was sent too much while cold, and stays down.
 func (m *Model) Fallen() bool { return m.fallen }
 
-// Held is how many jobs wait and run.
-func (m *Model) Held() (waiting, working int) { return len(m.queue), len(m.cores) }
+// InFlight is how many jobs wait and run.
+func (m *Model) InFlight() (waiting, working int) { return len(m.queue), len(m.cores) }
 
 // capacity is the share of its full capacity that the box has.
 func (m *Model) capacity(now time.Duration) float64 {
@@ -113,7 +113,7 @@
 }
 
 // Offer hands over a job whose last byte has come. Jobs that fall the box are lost with the others.
-func (m *Model) Offer(now time.Duration, j Job, tell func(Event)) Verdict {
+func (m *Model) Offer(now time.Duration, j Work, tell func(Event)) Verdict {
 	m.Advance(now, tell)
 	if !m.up {
 		return Down
@@ -134,7 +134,7 @@
 }
 
 // count keeps what a cold box was sent within the window; more than the multiple of what it can do now falls it.
-func (m *Model) count(now time.Duration, j Job) {
+func (m *Model) count(now time.Duration, j Work) {
 	can := m.capacity(now) * float64(m.f.Cores) * m.f.Speed
 	if !m.cold || m.f.FallMultiple <= 0 {
 		return
--- a/internal/testbed/standin/server/model_test.go
+++ b/internal/testbed/standin/server/model_test.go
@@ -24,7 +24,7 @@
 	for i := range n {
 		now += gap()
 		came[i] = now
-		m.Offer(now, Job{ID: uint64(i), Work: work()}, tell)
+		m.Offer(now, Work{ID: uint64(i), Work: work()}, tell)
 	}
 	m.Advance(now+time.Hour, tell)
 	return waited
@@ -101,60 +101,60 @@
 		want []told
 	}{
 		"speed": {basic, func(m *Model, tell func(Event)) []Verdict {
-			v := m.Offer(0, Job{ID: 1, Work: 20 * ms}, tell)
+			v := m.Offer(0, Work{ID: 1, Work: 20 * ms}, tell)
 			m.Advance(time.Second, tell)
 			return []Verdict{v}
 		}, []Verdict{Taken}, []told{{1, Began, 0}, {1, Done, 10 * ms}}},
 		"one runs, one waits, one is turned away": {basic, func(m *Model, tell func(Event)) (v []Verdict) {
 			for i := range 3 {
-				v = append(v, m.Offer(0, Job{ID: uint64(i), Work: 20 * ms}, tell))
+				v = append(v, m.Offer(0, Work{ID: uint64(i), Work: 20 * ms}, tell))
 			}
 			m.Advance(time.Second, tell)
 			return v
 		}, []Verdict{Taken, Taken, Full}, []told{{0, Began, 0}, {0, Done, 10 * ms}, {1, Began, 10 * ms}, {1, Done, 20 * ms}}},
 		"over before its turn": {Figures{Cores: 1, Speed: 1, Queue: 9, Drops: true}, func(m *Model, tell func(Event)) []Verdict {
-			m.Offer(0, Job{ID: 1, Work: 20 * ms, Until: time.Second}, tell)
-			m.Offer(0, Job{ID: 2, Work: 20 * ms, Until: 15 * ms}, tell)
+			m.Offer(0, Work{ID: 1, Work: 20 * ms, Until: time.Second}, tell)
+			m.Offer(0, Work{ID: 2, Work: 20 * ms, Until: 15 * ms}, tell)
 			m.Advance(time.Second, tell)
 			return nil
 		}, nil, []told{{1, Began, 0}, {1, Done, 20 * ms}, {2, Expired, 20 * ms}}},
 		"a pause": {basic, func(m *Model, tell func(Event)) []Verdict {
-			m.Offer(0, Job{ID: 1, Work: 20 * ms}, tell)
+			m.Offer(0, Work{ID: 1, Work: 20 * ms}, tell)
 			m.Pause(4*ms, tell)
-			v := m.Offer(50*ms, Job{ID: 2, Work: 20 * ms}, tell)
+			v := m.Offer(50*ms, Work{ID: 2, Work: 20 * ms}, tell)
 			m.Resume(104*ms, tell)
 			m.Advance(time.Second, tell)
 			return []Verdict{v}
 		}, []Verdict{Taken}, []told{{1, Began, 0}, {1, Done, 110 * ms}, {2, Began, 110 * ms}, {2, Done, 120 * ms}}},
 		"slow": {basic, func(m *Model, tell func(Event)) []Verdict {
 			m.Slow(5)
-			m.Offer(0, Job{ID: 1, Work: 20 * ms}, tell)
+			m.Offer(0, Work{ID: 1, Work: 20 * ms}, tell)
 			m.Advance(time.Second, tell)
 			return nil
 		}, nil, []told{{1, Began, 0}, {1, Done, 50 * ms}}},
 		"a key met lately": {Figures{Cores: 1, Speed: 1, Queue: 9, KeyGain: 0.5, KeyFor: time.Second, Keys: 1}, func(m *Model, tell func(Event)) []Verdict {
 			for i, key := range []int{7, 7, 8, 7} { // the last was forgotten for 8
-				m.Offer(time.Duration(i)*100*ms, Job{ID: uint64(i), Work: 20 * ms, Key: key}, tell)
+				m.Offer(time.Duration(i)*100*ms, Work{ID: uint64(i), Work: 20 * ms, Key: key}, tell)
 			}
-			m.Offer(2*time.Second, Job{ID: 4, Work: 20 * ms, Key: 7}, tell) // too long ago
+			m.Offer(2*time.Second, Work{ID: 4, Work: 20 * ms, Key: 7}, tell) // too long ago
 			m.Advance(time.Hour, tell)
 			return nil
 		}, nil, []told{{0, Began, 0}, {0, Done, 20 * ms}, {1, Began, 100 * ms}, {1, Done, 110 * ms}, {2, Began, 200 * ms}, {2, Done, 220 * ms},
 			{3, Began, 300 * ms}, {3, Done, 320 * ms}, {4, Began, 2000 * ms}, {4, Done, 2020 * ms}}},
 		"a crash, and a cold return": {cold, func(m *Model, tell func(Event)) []Verdict {
-			m.Offer(0, Job{ID: 1, Work: 20 * ms}, tell)
-			m.Offer(0, Job{ID: 2, Work: 20 * ms}, tell)
+			m.Offer(0, Work{ID: 1, Work: 20 * ms}, tell)
+			m.Offer(0, Work{ID: 2, Work: 20 * ms}, tell)
 			m.Crash(5*ms, tell)
-			v := []Verdict{m.Offer(6*ms, Job{ID: 3, Work: 20 * ms}, tell)}
+			v := []Verdict{m.Offer(6*ms, Work{ID: 3, Work: 20 * ms}, tell)}
 			m.Start(10 * time.Second)
-			v = append(v, m.Offer(10*time.Second, Job{ID: 4, Work: 20 * ms}, tell))
+			v = append(v, m.Offer(10*time.Second, Work{ID: 4, Work: 20 * ms}, tell))
 			m.Advance(time.Hour, tell)
 			return v
 		}, []Verdict{Down, Taken}, []told{{1, Began, 0}, {2, Lost, 5 * ms}, {1, Lost, 5 * ms}, {4, Began, 10 * time.Second}, {4, Done, 10*time.Second + 40*ms}}},
 		"sent too much while cold": {cold, func(m *Model, tell func(Event)) []Verdict {
 			m.Crash(0, tell)
 			m.Start(0)
-			v := []Verdict{m.Offer(0, Job{ID: 1, Work: 900 * ms}, tell), m.Offer(0, Job{ID: 2, Work: 200 * ms}, tell)}
+			v := []Verdict{m.Offer(0, Work{ID: 1, Work: 900 * ms}, tell), m.Offer(0, Work{ID: 2, Work: 200 * ms}, tell)}
 			if !m.Fallen() || m.Start(time.Second) {
 				v = nil
 			}
@@ -163,7 +163,7 @@
 		"the same spread out": {cold, func(m *Model, tell func(Event)) []Verdict {
 			m.Crash(0, tell)
 			m.Start(0)
-			v := []Verdict{m.Offer(0, Job{ID: 1, Work: 900 * ms}, func(Event) {}), m.Offer(1001*ms, Job{ID: 2, Work: 200 * ms}, func(Event) {})}
+			v := []Verdict{m.Offer(0, Work{ID: 1, Work: 900 * ms}, func(Event) {}), m.Offer(1001*ms, Work{ID: 2, Work: 200 * ms}, func(Event) {})}
 			return v
 		}, []Verdict{Taken, Taken}, nil},
 	} {
--- a/internal/testbed/standin/server/peer.go
+++ b/internal/testbed/standin/server/peer.go
@@ -20,8 +20,8 @@
 	garbled(id uint64, a message.Answer) []byte
 	raw([]byte)
 	// gone waits until the caller has left or given up, and tells so; look sets until when.
-	gone() bool
-	look(until time.Time)
+	disconnected() bool
+	peek(until time.Time)
 	reset()
 }
 
@@ -32,8 +32,8 @@
 
 func (p httpPeer) encode(a message.Answer) []byte { return http1.AppendAnswer(nil, a) }
 func (p httpPeer) raw(b []byte)                   { p.c.Write(b) }
-func (p httpPeer) look(until time.Time)           { p.c.SetReadDeadline(until) }
-func (p httpPeer) gone() bool                     { return p.c.WaitDisconnected() }
+func (p httpPeer) peek(until time.Time)           { p.c.SetReadDeadline(until) }
+func (p httpPeer) disconnected() bool             { return p.c.WaitDisconnected() }
 func (p httpPeer) reset()                         { p.nc.Reset() }
 
 func (p httpPeer) answer(a message.Answer) bool {
@@ -61,12 +61,12 @@
 
 func (p cgiPeer) encode(a message.Answer) []byte { return p.c.Append(nil, a) }
 func (p cgiPeer) raw(b []byte)                   { p.nc.Write(b) }
-func (p cgiPeer) look(until time.Time)           { p.nc.SetReadDeadline(until) }
+func (p cgiPeer) peek(until time.Time)           { p.nc.SetReadDeadline(until) }
 func (p cgiPeer) reset()                         { p.nc.Reset() }
 func (p cgiPeer) answer(a message.Answer) bool   { return p.f.Answer(p.c, p.encode(a)) == nil }
 
 // gone takes anything that comes for an end: an abort, or the close behind it.
-func (p cgiPeer) gone() bool {
+func (p cgiPeer) disconnected() bool {
 	_, err := sockpeek.Peek(p.nc, true)
 	return err == nil
 }
@@ -89,24 +89,24 @@
 }
 
 // cgiKeeper gives each part of a request its time.
-type cgiKeeper struct{ nc *link.Conn }
+type cgiHandler struct{ nc *link.Conn }
 
-func (k cgiKeeper) Wait(bool) error {
-	return k.nc.SetReadDeadline(time.Now().Add(idleMost))
+func (k cgiHandler) Wait(bool) error {
+	return k.nc.SetReadDeadline(time.Now().Add(maxIdle))
 }
 
-func (cgiKeeper) Begun(bool) connclose.Effect { return connclose.Admit }
-func (cgiKeeper) Refused()                    {}
-func (cgiKeeper) Failed()                     {}
+func (cgiHandler) Begun(bool) connclose.Effect { return connclose.Admit }
+func (cgiHandler) Refused()                    {}
+func (cgiHandler) Failed()                     {}
 
 // leadCGI is the life of one connection that speaks FastCGI; its caller asks one request at a time.
-func (b *Box) leadCGI(nc *link.Conn, way time.Duration, full bool) {
+func (b *Server) leadCGI(nc *link.Conn, way time.Duration, full bool) {
 	f := fastcgi.NewClientConn(nc, nil)
 	defer f.Hangup()
 	last := uint64(0) // request on it
 	for fresh := true; ; fresh = false {
 		idle := b.now()
-		call, err := f.Next(cgiKeeper{nc})
+		call, err := f.Next(cgiHandler{nc})
 		b.idle(last, idle)
 		if err != nil {
 			return
@@ -117,7 +117,7 @@
 			return
 		}
 		last = idOf(call.Request)
-		came := nc.Came().Sub(b.start)
+		came := nc.Received().Sub(b.start)
 		if !b.request(p, call.Request, came, came, way, fresh, full) || full {
 			return
 		}
--- a/internal/testbed/standin/server/request.go
+++ b/internal/testbed/standin/server/request.go
@@ -13,7 +13,7 @@
 )
 
 // lead is the life of one connection.
-func (b *Box) lead(nc *link.Conn, site int) {
+func (b *Server) lead(nc *link.Conn, site int) {
 	b.mu.Lock()
 	b.conns++
 	full := b.f.Connections > 0 && b.conns > b.f.Connections
@@ -32,14 +32,14 @@
 	var req http1.Request
 	last := uint64(0) // request on it
 	for fresh := true; ; fresh = false {
-		c.SetReadDeadline(time.Now().Add(idleMost))
+		c.SetReadDeadline(time.Now().Add(maxIdle))
 		idle := b.now()
 		err := c.AwaitMessage()
 		b.idle(last, idle)
 		if err != nil {
 			return
 		}
-		first := nc.Came().Sub(b.start) // what a silence holds back was sent before it
+		first := nc.Received().Sub(b.start) // what a silence holds back was sent before it
 		if err := c.ReadRequest(&req); err != nil {
 			if bad, ok := err.(*http1.Malformed); ok {
 				c.Send(http1.AppendAnswer(nil, http1.Answer{Status: bad.Status, Close: true}))
@@ -47,7 +47,7 @@
 			return
 		}
 		last = idOf(&req)
-		if !b.request(httpPeer{nc, c}, &req, first, nc.Came().Sub(b.start), way, fresh, full) || full {
+		if !b.request(httpPeer{nc, c}, &req, first, nc.Received().Sub(b.start), way, fresh, full) || full {
 			return
 		}
 	}
@@ -63,14 +63,14 @@
 }
 
 // idle tells for how long a connection has stood unused since its last request was answered, if it had one.
-func (b *Box) idle(last uint64, from time.Duration) {
+func (b *Server) idle(last uint64, from time.Duration) {
 	if _, known := b.watch.Asked(last); known && last != 0 {
 		b.watch.Idle(last, b.Number, from, b.now())
 	}
 }
 
 // request is the life of one request; it tells whether its connection can be used again.
-func (b *Box) request(p peer, req *message.Request, first, last, way time.Duration, fresh, full bool) bool {
+func (b *Server) request(p peer, req *message.Request, first, last, way time.Duration, fresh, full bool) bool {
 	text := string(req.Get(http1.RequestID))
 	if text == "" {
 		return p.answer(message.Answer{Status: 404, Body: []byte("no id")})
@@ -91,7 +91,7 @@
 		return false
 	}
 	if full || draining || meets(id, "refuse", faults.Refuse) {
-		return b.turnAway(p, id, 503)
+		return b.reject(p, id, 503)
 	}
 	left, err := strconv.ParseFloat(string(req.Get(http1.RequestTimeout)), 64)
 	if err != nil {
@@ -102,9 +102,9 @@
 		work += b.f.Handshake
 	}
 	h := &attempt{id: id, ended: make(chan What, 1)}
-	switch b.offer(h, Job{Work: work, Key: asked.Key, Until: last + time.Duration(left*float64(time.Second))}) {
+	switch b.offer(h, Work{Work: work, Key: asked.Key, Until: last + time.Duration(left*float64(time.Second))}) {
 	case Full:
-		return b.turnAway(p, id, 503)
+		return b.reject(p, id, 503)
 	case Down:
 		p.reset()
 		return false
@@ -112,7 +112,7 @@
 	what, told := b.work(p, h)
 	switch what {
 	case Expired:
-		return b.turnAway(p, id, 504)
+		return b.reject(p, id, 504)
 	case Lost:
 		if !told {
 			b.watch.Over(id, b.Number, b.now(), false)
@@ -128,7 +128,7 @@
 }
 
 // offer gives the model an attempt; a box that falls under it leaves its addresses.
-func (b *Box) offer(h *attempt, j Job) (verdict Verdict) {
+func (b *Server) offer(h *attempt, j Work) (verdict Verdict) {
 	fell := false
 	b.do(func(now time.Duration) {
 		b.last++
@@ -154,16 +154,16 @@
 
 // work waits for the end of an attempt, which its caller's leaving does not change; gone tells that it has left, and that
 // the watcher was told that the attempt is over.
-func (b *Box) work(p peer, h *attempt) (what What, gone bool) {
+func (b *Server) work(p peer, h *attempt) (what What, gone bool) {
 	watched := make(chan struct{})
 	go func() {
 		defer close(watched)
-		if gone = p.gone(); gone {
+		if gone = p.disconnected(); gone {
 			b.watch.Over(h.id, b.Number, b.now(), false)
 		}
 	}()
 	what = <-h.ended
-	p.look(time.Unix(1, 0))
+	p.peek(time.Unix(1, 0))
 	<-watched
 	return what, gone
 }
@@ -182,7 +182,7 @@
 	return float64(crc32.ChecksumIEEE(fmt.Append(nil, id, fault)))/(1<<32) < share
 }
 
-func (b *Box) turnAway(p peer, id uint64, status int) bool {
+func (b *Server) reject(p peer, id uint64, status int) bool {
 	b.watch.Over(id, b.Number, b.now(), true)
 	return p.answer(message.Answer{Status: status, Fields: []message.Field{{Name: []byte(message.NotStarted), Value: []byte("1")}}})
 }
@@ -190,7 +190,7 @@
 var fill = bytes.Repeat([]byte{'.'}, fillBytes)
 
 // reply answers a request whose work is over, with the id that it was made for at the beginning of the body.
-func (b *Box) reply(p peer, id uint64, text string, f Faults) bool {
+func (b *Server) reply(p peer, id uint64, text string, f Faults) bool {
 	if meets(id, "error", f.Err) {
 		return p.answer(message.Answer{Status: 500, Body: []byte("it failed")})
 	}
@@ -202,8 +202,8 @@
 		return false
 	case meets(id, "spoil", f.Spoil):
 		p.raw(p.garbled(id, a))
-		p.look(time.Now().Add(idleMost)) // it stays open and is of no further use
-		p.gone()
+		p.peek(time.Now().Add(maxIdle)) // it stays open and is of no further use
+		p.disconnected()
 		return false
 	}
 	return p.answer(a) && !meets(id, "cut-after", f.CutAfter)
