--- a/internal/testbed/standin/server/server.go
+++ b/internal/testbed/standin/server/server.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	idleMost  = 5 * time.Second        // a connection that stands idle for so long is closed
+	maxIdle   = 5 * time.Second        // a connection that stands idle for so long is closed
 	worthWait = 500 * time.Microsecond // a shorter way through the network is left out: a timer is later than that
 	fillBytes = 120                    // of an answer beside its first line
 )
@@ -53,8 +53,8 @@
 	Spoil     float64
 }
 
-// Box serves its model on a listener for each site of its callers, so that a site can be cut off from another.
-type Box struct {
+// Server serves its model on a listener for each site of its callers, so that a site can be cut off from another.
+type Server struct {
 	Identity
 	f         Figures
 	start     time.Time
@@ -78,9 +78,9 @@
 	ended chan What
 }
 
-// NewBox makes a box that listens at one address for callers of each site.
-func NewBox(id Identity, f Figures, start time.Time, addresses []string, cross func(from int) time.Duration, w Watcher) (*Box, error) {
-	b := &Box{Identity: id, f: f, start: start, watch: w, cross: cross, model: New(f), attempts: map[uint64]*attempt{}}
+// NewServer makes a box that listens at one address for callers of each site.
+func NewServer(id Identity, f Figures, start time.Time, addresses []string, cross func(from int) time.Duration, w Watcher) (*Server, error) {
+	b := &Server{Identity: id, f: f, start: start, watch: w, cross: cross, model: New(f), attempts: map[uint64]*attempt{}}
 	b.timer = time.AfterFunc(time.Hour, b.due)
 	for site, address := range addresses {
 		l, err := link.Listen(address, func(c *link.Conn) { b.lead(c, site) })
@@ -94,7 +94,7 @@
 }
 
 // Close ends the box for good.
-func (b *Box) Close() {
+func (b *Server) Close() {
 	b.Crash()
 	b.timer.Stop()
 	for _, l := range b.listeners {
@@ -103,12 +103,12 @@
 }
 
 // Address is where callers of a site reach the box.
-func (b *Box) Address(site int) string { return b.listeners[site].Address() }
+func (b *Server) Address(site int) string { return b.listeners[site].Address() }
 
-func (b *Box) now() time.Duration { return time.Since(b.start) }
+func (b *Server) now() time.Duration { return time.Since(b.start) }
 
 // do changes the model under the lock, sets the timer for what comes next, and tells what happened afterwards.
-func (b *Box) do(f func(now time.Duration)) {
+func (b *Server) do(f func(now time.Duration)) {
 	b.mu.Lock()
 	now := b.now()
 	f(now)
@@ -123,9 +123,9 @@
 	}
 }
 
-func (b *Box) due() { b.do(func(now time.Duration) { b.model.Advance(now, b.event) }) }
+func (b *Server) due() { b.do(func(now time.Duration) { b.model.Advance(now, b.event) }) }
 
-func (b *Box) event(e Event) {
+func (b *Server) event(e Event) {
 	h := b.attempts[e.ID]
 	if h == nil {
 		return
@@ -139,18 +139,18 @@
 }
 
 // Model gives a look at the model, or changes it.
-func (b *Box) Model(f func(m *Model, now time.Duration, tell func(Event))) {
+func (b *Server) Model(f func(m *Model, now time.Duration, tell func(Event))) {
 	b.do(func(now time.Duration) { f(b.model, now, b.event) })
 }
 
 // Set has requests meet faults from now on.
-func (b *Box) Set(change func(*Faults)) { b.do(func(time.Duration) { change(&b.faults) }) }
+func (b *Server) Set(change func(*Faults)) { b.do(func(time.Duration) { change(&b.faults) }) }
 
 // Drain has the box turn away what is new.
-func (b *Box) Drain(is bool) { b.do(func(time.Duration) { b.draining = is }) }
+func (b *Server) Drain(is bool) { b.do(func(time.Duration) { b.draining = is }) }
 
 // Crash ends the process: connections are reset, and new ones refused.
-func (b *Box) Crash() {
+func (b *Server) Crash() {
 	b.do(func(now time.Duration) { b.model.Crash(now, b.event) })
 	for _, l := range b.listeners {
 		l.Leave()
@@ -158,7 +158,7 @@
 }
 
 // Vanish ends it without a word, as when its machine loses power.
-func (b *Box) Vanish() {
+func (b *Server) Vanish() {
 	for _, l := range b.listeners {
 		l.Hush()
 	}
@@ -166,7 +166,7 @@
 }
 
 // Start brings it back, cold; what hung on it is reset.
-func (b *Box) Start() (ok bool, err error) {
+func (b *Server) Start() (ok bool, err error) {
 	for _, l := range b.listeners {
 		l.Leave()
 	}
@@ -183,13 +183,13 @@
 }
 
 // Hush cuts the box off from callers of a site, Speak ends that.
-func (b *Box) Hush(site int) { b.listeners[site].Hush() }
+func (b *Server) Hush(site int) { b.listeners[site].Hush() }
 
 // Speak ends a silence.
-func (b *Box) Speak(site int) { b.listeners[site].Speak() }
+func (b *Server) Speak(site int) { b.listeners[site].Speak() }
 
 // Stop has the process stand still as a whole: its connections take what comes and bring nothing.
-func (b *Box) Stop(still bool) {
+func (b *Server) Stop(still bool) {
 	b.Model(func(m *Model, now time.Duration, tell func(Event)) {
 		if still {
 			m.Pause(now, tell)
--- a/internal/testbed/standin/server/server_test.go
+++ b/internal/testbed/standin/server/server_test.go
@@ -43,9 +43,9 @@
 func (n *notes) Fell(int, time.Duration)                        { n.note("fell") }
 func (n *notes) Idle(uint64, int, time.Duration, time.Duration) {}
 
-func start(t *testing.T, f Figures) (*Box, *notes) {
+func start(t *testing.T, f Figures) (*Server, *notes) {
 	n := &notes{}
-	b, err := NewBox(Identity{Name: "b"}, f, time.Now(), []string{"127.0.0.1:0", "127.0.0.1:0"},
+	b, err := NewServer(Identity{Name: "b"}, f, time.Now(), []string{"127.0.0.1:0", "127.0.0.1:0"},
 		func(int) time.Duration { return 0 }, n)
 	if err != nil {
 		t.Fatal(err)
@@ -80,9 +80,9 @@
 	ends := func(with error) func(*http1.Response, error) bool {
 		return func(_ *http1.Response, err error) bool { return errors.Is(err, with) }
 	}
-	set := func(f func(*Faults)) func(*Box) { return func(b *Box) { b.Set(f) } }
+	set := func(f func(*Faults)) func(*Server) { return func(b *Server) { b.Set(f) } }
 	for name, c := range map[string]struct {
-		before func(*Box)
+		before func(*Server)
 		id     string
 		meets  func(*http1.Response, error) bool
 		told   string
@@ -91,16 +91,16 @@
 		"no id":            {nil, "", status(404, ""), ""},
 		"nobody's id":      {nil, "0000000000000bad", status(400, ""), "hop"},
 		"no id at all":     {nil, "soon", status(400, ""), "hop"},
-		"draining":         {func(b *Box) { b.Drain(true) }, good, status(503, ""), "hop over:true"},
+		"draining":         {func(b *Server) { b.Drain(true) }, good, status(503, ""), "hop over:true"},
 		"refused":          {set(func(f *Faults) { f.Refuse = 1 }), good, status(503, ""), "hop over:true"},
 		"an error":         {set(func(f *Faults) { f.Err = 1 }), good, status(500, ""), "hop ran over:false"},
 		"cut before":       {set(func(f *Faults) { f.CutBefore = 1 }), good, ends(syscall.ECONNRESET), "hop over:false"},
 		"cut within":       {set(func(f *Faults) { f.CutWithin = 1 }), good, ends(io.ErrUnexpectedEOF), "hop ran over:false"},
 		"a spoilt answer":  {set(func(f *Faults) { f.Spoil = 1 }), "0000000000000000", ends(http1.ErrGarbled), "hop ran over:false"},
 		"a wrong length":   {set(func(f *Faults) { f.Spoil = 1 }), "0000000000000300", ends(http1.ErrGarbled), "hop ran over:false"},
-		"connections' end": {func(b *Box) { b.mu.Lock(); defer b.mu.Unlock(); b.conns = 5 }, good, status(503, ""), "hop over:true"},
-		"its process died": {func(b *Box) { time.AfterFunc(5*ms, b.Crash) }, good, ends(syscall.ECONNRESET), "hop ran over:false"},
-		"pushed over, cold": {func(b *Box) {
+		"connections' end": {func(b *Server) { b.mu.Lock(); defer b.mu.Unlock(); b.conns = 5 }, good, status(503, ""), "hop over:true"},
+		"its process died": {func(b *Server) { time.AfterFunc(5*ms, b.Crash) }, good, ends(syscall.ECONNRESET), "hop ran over:false"},
+		"pushed over, cold": {func(b *Server) {
 			b.Crash()
 			b.Start()
 			b.Model(func(m *Model, _ time.Duration, _ func(Event)) { m.f.FallMultiple = 1e-9 })
@@ -205,7 +205,7 @@
 // A connection on which a request came last is told of as it ends, or as the next one comes.
 func TestIdle(t *testing.T) {
 	w := &watched{&notes{}, make(chan string, 8)}
-	b, err := NewBox(Identity{Name: "b", Number: 7}, Figures{Cores: 1, Speed: 1, Queue: 9}, time.Now(), []string{"127.0.0.1:0"},
+	b, err := NewServer(Identity{Name: "b", Number: 7}, Figures{Cores: 1, Speed: 1, Queue: 9}, time.Now(), []string{"127.0.0.1:0"},
 		func(int) time.Duration { return 0 }, w)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/standin/zookeeper/conn.go
+++ b/internal/testbed/standin/zookeeper/conn.go
@@ -114,7 +114,7 @@
 		r.mu.Unlock()
 	}()
 	for {
-		nc.SetReadDeadline(time.Now().Add(2 * sessionMost))
+		nc.SetReadDeadline(time.Now().Add(2 * maxSessionTimeout))
 		b, err := readFrame(nc)
 		if err != nil {
 			return
@@ -130,7 +130,7 @@
 	q := reader{b: b}
 	q.int()
 	q.long()
-	timeout := min(max(time.Duration(q.int())*time.Millisecond, sessionMin), sessionMost)
+	timeout := min(max(time.Duration(q.int())*time.Millisecond, sessionMin), maxSessionTimeout)
 	id, passwd := q.long(), q.buffer()
 	if q.bad {
 		return false
--- a/internal/testbed/standin/zookeeper/ensemble.go
+++ b/internal/testbed/standin/zookeeper/ensemble.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	look        = 10 * time.Millisecond // between two looks at sessions and lag
-	sessionMost = 40 * time.Second
-	sessionMin  = 200 * time.Millisecond
+	lookup            = 10 * time.Millisecond // between two looks at sessions and lag
+	maxSessionTimeout = 40 * time.Second
+	sessionMin        = 200 * time.Millisecond
 )
 
 // Child is one that a reader was told of, with the count at which it was made.
@@ -20,7 +20,7 @@
 
 // Watcher is told what a reader at an address has been told: all children of a path, or the data of one.
 type Watcher interface {
-	Told(reader int, path string, children []Child, at time.Time)
+	Announced(reader int, path string, children []Child, at time.Time)
 	Data(reader int, path string, data []byte, at time.Time)
 }
 
@@ -69,7 +69,7 @@
 func New(w Watcher) *Registry {
 	r := &Registry{watch: w, head: newTree(), sessions: map[int64]*session{}, done: make(chan struct{}), lastID: time.Now().UnixNano() >> 8}
 	r.wg.Go(func() {
-		t := time.NewTicker(look)
+		t := time.NewTicker(lookup)
 		defer t.Stop()
 		for {
 			select {
--- a/internal/testbed/standin/zookeeper/jute.go
+++ b/internal/testbed/standin/zookeeper/jute.go
@@ -8,7 +8,7 @@
 	"io"
 )
 
-const frameMost = 1 << 20 // bytes, as the real one's default
+const maxFrameBytes = 1 << 20 // bytes, as the real one's default
 
 var errGarbled = errors.New("a record that cannot be read")
 
@@ -118,7 +118,7 @@
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > frameMost {
+	if n > maxFrameBytes {
 		return nil, errGarbled
 	}
 	b := make([]byte, n)
--- a/internal/testbed/tier.go
+++ b/internal/testbed/tier.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	seedsMost  = 3 // nodes that each is told of at its start
-	wholeMost  = 60 * time.Second
-	wholeLook  = 100 * time.Millisecond
-	downMost   = 700 * time.Millisecond // a machine is away
-	aloneFor   = 2 * time.Second        // between losses where no replicas tell when all is whole
-	restLosses = 8 * time.Second        // before the end of a run: none begins
+	maxSeeds                = 3 // nodes that each is told of at its start
+	maxReplicationWait      = 60 * time.Second
+	replicationPollInterval = 100 * time.Millisecond
+	maxDowntime             = 700 * time.Millisecond // a machine is away
+	aloneFor                = 2 * time.Second        // between losses where no replicas tell when all is whole
+	checkLosses             = 8 * time.Second        // before the end of a run: none begins
 )
 
 // losses are those of machines with their disks.
 type losses struct {
-	mu       sync.Mutex
-	machines int
-	cycles   int
-	told     map[int]bool // nodes whose journals were said to be lost
-	whole    float64      // seconds until what was there before stood as often as it should
+	mu         sync.Mutex
+	machines   int
+	cycles     int
+	notified   map[int]bool // nodes whose journals were said to be lost
+	replicated float64      // seconds until what was there before stood as often as it should
 }
 
 // steps are faults that wait for a frame.
@@ -45,10 +45,10 @@
 }
 
 type waiting struct {
-	kind byte
-	node int
-	left int
-	do   func()
+	kind      byte
+	node      int
+	remaining int
+	do        func()
 }
 
 func (w *world) peerListen(n int) string {
@@ -56,14 +56,14 @@
 }
 
 // peerPlace is where other nodes reach one, by the links between them.
-func (w *world) peerPlace(n int) string {
+func (w *world) peerAddress(n int) string {
 	return fmt.Sprintf("%s.%d.%d:%d", w.net, 230+n/250, n%250+1, peerPort)
 }
 
 // tier has nodes know each other, over links that can fail, where the scenario says so.
 func (w *world) tier() error {
 	s := w.Scenario
-	w.losses.told = map[int]bool{}
+	w.losses.notified = map[int]bool{}
 	if s.Peers.Replicas == 0 {
 		return nil
 	}
@@ -71,18 +71,18 @@
 	w.fabric.Frame = w.passes
 	for n, p := range w.nodes {
 		ip, _, _ := net.SplitHostPort(w.peerListen(n))
-		if err := w.fabric.Join(n, ip, w.peerPlace(n), w.peerListen(n)); err != nil {
+		if err := w.fabric.Join(n, ip, w.peerAddress(n), w.peerListen(n)); err != nil {
 			return err
 		}
-		if err := os.MkdirAll(p.held(), 0o755); err != nil {
+		if err := os.MkdirAll(p.isStopped(), 0o755); err != nil {
 			return err
 		}
 		var seeds []string
-		for i := 1; i <= min(seedsMost, len(w.nodes)-1); i++ {
-			seeds = append(seeds, fmt.Sprintf("%q", w.peerPlace((n+i*i)%len(w.nodes))))
+		for i := 1; i <= min(maxSeeds, len(w.nodes)-1); i++ {
+			seeds = append(seeds, fmt.Sprintf("%q", w.peerAddress((n+i*i)%len(w.nodes))))
 		}
 		text := fmt.Sprintf("listen = %q\nadvertise = %q\npeers = [%s]\ndeployment = \"lab\"\nsite = %q\nmachine = \"m%d\"\nreplicas = %d\nheld = %q\nslow_after = %q\nrepair_bytes = %d\nplaintext = true\n",
-			w.peerListen(n), w.peerPlace(n), strings.Join(seeds, ", "), s.Sites[n%len(s.Sites)], n, s.Peers.Replicas, p.held(), s.Peers.SlowAfter.Std(), s.Peers.RepairBytes)
+			w.peerListen(n), w.peerAddress(n), strings.Join(seeds, ", "), s.Sites[n%len(s.Sites)], n, s.Peers.Replicas, p.isStopped(), s.Peers.SlowAfter.Std(), s.Peers.RepairBytes)
 		if err := os.WriteFile(p.peers(), []byte(text), 0o644); err != nil {
 			return err
 		}
@@ -101,7 +101,7 @@
 		if s.kind != kind || s.node != from && s.node != to {
 			return false
 		}
-		if s.left--; s.left > 0 {
+		if s.remaining--; s.remaining > 0 {
 			return false
 		}
 		due = append(due, s.do)
@@ -159,7 +159,7 @@
 func (w *world) kill(n int) {
 	w.observer.nodeDown(n, true)
 	w.nodes[n].end(syscall.SIGKILL)
-	w.front.Ended(n, w.Scenario.Nodes.Notice.Std())
+	w.balancer.Ended(n, w.Scenario.Nodes.Notice.Std())
 	w.configure(n)
 }
 
@@ -170,7 +170,7 @@
 	w.losses.machines++
 	w.losses.mu.Unlock()
 	p := w.nodes[n]
-	for _, dir := range []string{p.journal(), p.held(), p.lists()} {
+	for _, dir := range []string{p.journal(), p.isStopped(), p.lists()} {
 		if _, err := os.Stat(dir); err == nil {
 			os.RemoveAll(dir)
 			os.MkdirAll(dir, 0o755)
@@ -182,7 +182,7 @@
 func (w *world) keepDisks(f *scenario.Fault, chance *rand.Rand) {
 	for _, n := range w.chosenNodes(f, rand.New(rand.NewPCG(w.Scenario.Seed, uint64(chance.Uint32())))) {
 		p := w.nodes[n]
-		for _, dir := range []string{p.journal(), p.held()} {
+		for _, dir := range []string{p.journal(), p.isStopped()} {
 			os.RemoveAll(dir + ".old")
 			os.CopyFS(dir+".old", os.DirFS(dir))
 		}
@@ -191,7 +191,7 @@
 
 func (w *world) restoreDisk(n int) {
 	p := w.nodes[n]
-	for _, dir := range []string{p.journal(), p.held()} {
+	for _, dir := range []string{p.journal(), p.isStopped()} {
 		if _, err := os.Stat(dir + ".old"); err == nil {
 			os.RemoveAll(dir)
 			os.Rename(dir+".old", dir)
@@ -202,26 +202,26 @@
 // pause has a node stand still for a while.
 func (w *world) pause(ctx context.Context, n int, lasts time.Duration) {
 	w.observer.nodeStill(n)
-	w.front.Ended(n, w.Scenario.Nodes.Notice.Std())
+	w.balancer.Ended(n, w.Scenario.Nodes.Notice.Std())
 	w.nodes[n].signal(syscall.SIGSTOP)
 	w.after(lasts, func() {
 		w.nodes[n].signal(syscall.SIGCONT)
 		w.observer.nodeOn(n)
-		w.front.Started(ctx, n)
+		w.balancer.Started(ctx, n)
 	})
 }
 
 // ask finds out how the tier stands, as the command does.
 func (w *world) ask(ctx context.Context) *peer.Client {
-	cfg := &peer.Config{Deployment: "lab", Plaintext: true, Advertise: w.peerPlace(0), Replicas: w.Scenario.Peers.Replicas}
-	for n := range min(len(w.nodes), seedsMost+1) {
-		cfg.Peers = append(cfg.Peers, w.peerPlace(n))
+	cfg := &peer.Config{Deployment: "lab", Plaintext: true, Advertise: w.peerAddress(0), Replicas: w.Scenario.Peers.Replicas}
+	for n := range min(len(w.nodes), maxSeeds+1) {
+		cfg.Peers = append(cfg.Peers, w.peerAddress(n))
 	}
 	return peer.Query(ctx, cfg, false)
 }
 
 // whole waits until all nodes are there and all that they hold stands as often as it should.
-func (w *world) whole(ctx context.Context) error {
+func (w *world) isReplicated(ctx context.Context) error {
 	if w.fabric == nil {
 		select {
 		case <-time.After(aloneFor):
@@ -229,7 +229,7 @@
 		}
 		return ctx.Err()
 	}
-	for by := time.Now().Add(wholeMost); ; {
+	for by := time.Now().Add(maxReplicationWait); ; {
 		c := w.ask(ctx)
 		why := c.Shortfall()
 		if len(c.Answered) < len(w.nodes) {
@@ -239,10 +239,10 @@
 			return ctx.Err()
 		}
 		if time.Now().After(by) {
-			return fmt.Errorf("not whole within %s: %s", wholeMost, why)
+			return fmt.Errorf("not whole within %s: %s", maxReplicationWait, why)
 		}
 		select {
-		case <-time.After(wholeLook):
+		case <-time.After(replicationPollInterval):
 		case <-ctx.Done():
 		case <-w.stopped:
 			return context.Canceled
@@ -253,10 +253,10 @@
 // loseAgain loses as many machines at once as there are replicas, lets them come back empty, and goes on when all is whole;
 // meanwhile other nodes are cut off, stand still or have slow disks.
 func (w *world) loseAgain(ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
-	until := time.Now().Add(f.For.Std() - restLosses)
+	until := time.Now().Add(f.For.Std() - checkLosses)
 	w.wg.Go(func() {
 		for time.Now().Before(until) && ctx.Err() == nil {
-			if err := w.whole(ctx); err != nil {
+			if err := w.isReplicated(ctx); err != nil {
 				if !errors.Is(err, context.Canceled) {
 					w.observer.record(func(a *audit.Audit, _ time.Duration) { a.BrokenPromise(err.Error()) })
 				}
@@ -268,7 +268,7 @@
 			var back sync.WaitGroup
 			for _, n := range lost {
 				wait := time.Duration(chance.Int64N(int64(200 * time.Millisecond)))
-				away := time.Duration(chance.Int64N(int64(downMost)))
+				away := time.Duration(chance.Int64N(int64(maxDowntime)))
 				back.Go(func() {
 					time.Sleep(wait)
 					w.lose(n)
@@ -309,7 +309,7 @@
 func (w *world) loseBeyond(ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
 	until := time.Now().Add(f.For.Std())
 	w.wg.Go(func() {
-		if err := w.whole(ctx); err != nil {
+		if err := w.isReplicated(ctx); err != nil {
 			if !errors.Is(err, context.Canceled) {
 				w.observer.record(func(a *audit.Audit, _ time.Duration) { a.BrokenPromise(err.Error()) })
 			}
@@ -323,7 +323,7 @@
 		lost := c.HoldersOf(fmt.Sprint("n", n))
 		for of := range w.nodes {
 			if !c.SurvivesLoss(fmt.Sprint("n", of), lost) {
-				w.losses.told[of] = true
+				w.losses.notified[of] = true
 			}
 		}
 		var back sync.WaitGroup
@@ -332,7 +332,7 @@
 			fmt.Sscanf(name, "n%d", &n)
 			back.Go(func() {
 				w.lose(n)
-				time.Sleep(downMost)
+				time.Sleep(maxDowntime)
 				w.launch(ctx, n)
 			})
 		}
--- a/internal/testbed/world.go
+++ b/internal/testbed/world.go
@@ -27,12 +27,12 @@
 	firstNet, lastNet = 16, 250 // second parts of the loopback nets that labs use, one each
 	nodePort          = 8443    // below the ports that the system deals out, so that a restarted node finds its own free
 	cgiPort           = 8500
-	boxPort           = 9000  // and one more for each site of callers
+	serverPort        = 9000  // and one more for each site of callers
 	discoveryPort     = 10000 // and one more for each node, and behind them each planner
 	plannerPort       = 12000
 	peerPort          = 8700
 	startAtOnce       = 16 // node processes
-	startMost         = 60 * time.Second
+	maxStartTime      = 60 * time.Second
 	settle            = 300 * time.Millisecond // between the last node's start and the load, for watches to begin
 	lateDrain         = 1500 * time.Millisecond
 	leaveAfter        = 500 * time.Millisecond
@@ -42,11 +42,11 @@
 // Options of a run.
 type Options struct {
 	Scenario *scenario.Scenario
-	Ops      []load.Operation // the schedule
-	Command  []string         // runs one node, told by PROXY_CONFIG
-	Planner  []string         // runs one planner, told by PROXY_PLAN
-	Env      []string         // of the nodes, beside this process's own
-	Keep     string           // folder for configurations and logs; "" for one that is removed
+	Requests []load.Request // the schedule
+	Command  []string       // runs one node, told by PROXY_CONFIG
+	Planner  []string       // runs one planner, told by PROXY_PLAN
+	Env      []string       // of the nodes, beside this process's own
+	Keep     string         // folder for configurations and logs; "" for one that is removed
 	Progress func(at time.Duration, begun, open int)
 }
 
@@ -73,18 +73,18 @@
 	lock       net.Listener // holds the net
 	start      time.Time
 	observer   *observer
-	keeper     *keeper
-	boxes      []*machine
+	processes  *processManager
+	servers    []*machine
 	discovery  *discovery.Service
 	mu         sync.Mutex
-	places     int // where discovery listens, counted by its moves
-	front      *connbalancer.Front
+	addresses  int // where discovery listens, counted by its moves
+	balancer   *connbalancer.Balancer
 	nodes      []*process
 	planners   []*process
 	registry   *zookeeper.Registry // nil: discovery tells
 	ensemble   []*zookeeper.Server
 	relays     [][2]*plannerproxy.Relay // by planner and half of the nodes
-	fabric     *mesh.Fabric             // nil: nodes know nothing of each other
+	fabric     *mesh.Mesh               // nil: nodes know nothing of each other
 	losses     losses
 	steps      steps
 	badClients badClients
@@ -95,19 +95,19 @@
 
 // machine is a box as the world keeps it.
 type machine struct {
-	*server.Box
-	kind  *scenario.Boxes
-	mu    sync.Mutex
-	owned *zookeeper.Owned // its session at the registry
-	up    time.Time        // when it started, for the registry; zero: for long
-	gone  bool             // for good
-	life  int              // counts what befalls it, so that news overtaken by others are not told
+	*server.Server
+	kind        *scenario.Servers
+	mu          sync.Mutex
+	owned       *zookeeper.Owned // its session at the registry
+	up          time.Time        // when it started, for the registry; zero: for long
+	isLost      bool             // for good
+	incarnation int              // counts what befalls it, so that news overtaken by others are not told
 }
 
 // Run plays a scenario once.
 func Run(ctx context.Context, o Options) (*Outcome, error) {
-	w := &world{Options: o, keeper: newKeeper(), stopped: make(chan struct{})}
-	defer close(w.keeper.starts)
+	w := &world{Options: o, processes: newProcessManager(), stopped: make(chan struct{})}
+	defer close(w.processes.starts)
 	if w.Keep == "" {
 		dir, err := os.MkdirTemp("", "testbed-")
 		if err != nil {
@@ -129,17 +129,17 @@
 // announce has discovery learn of a box after a while, unless something else befalls it before.
 func (w *world) announce(m *machine, phase string, after time.Duration, up time.Time) {
 	m.mu.Lock()
-	m.life++
-	life := m.life
+	m.incarnation++
+	life := m.incarnation
 	m.mu.Unlock()
-	e := discovery.Entry{ID: m.Name, Site: w.Scenario.Sites[m.Site], Cell: m.Cell, Flavor: m.kind.Kind, Phase: phase, UpSince: up}
+	e := discovery.Entry{ID: m.Name, Site: w.Scenario.Sites[m.Site], Cell: m.Cell, MachineKind: m.kind.Kind, Phase: phase, UpSince: up}
 	for site := range w.Scenario.Sites {
 		e.Addresses = append(e.Addresses, m.Address(site))
 	}
 	w.after(after, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if m.life == life {
+		if m.incarnation == life {
 			w.discovery.Set(e)
 			if w.registry != nil {
 				w.register(m, phase, up)
@@ -174,18 +174,18 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	g := &load.Generator{Scenario: w.Scenario, Ops: w.Ops, Checked: true, FastCGI: w.Scenario.Clients.FastCGI, Progress: w.Progress}
+	g := &load.Generator{Scenario: w.Scenario, Requests: w.Requests, Checked: true, FastCGI: w.Scenario.Clients.FastCGI, Progress: w.Progress}
 	shift := time.Since(w.start) // the world's clock has run since it was built
-	ops := slices.Clone(w.Ops)
+	ops := slices.Clone(w.Requests)
 	for i := range ops {
 		ops[i].At += shift
 	}
-	g.Ops, g.Shift = ops, shift
+	g.Requests, g.Shift = ops, shift
 	w.schedule(ctx, shift)
 	if s := w.Scenario.Peers; s.Before > 0 && s.Replicas > 0 {
-		w.becomesWhole(ctx, &w.losses.whole)
+		w.waitReplicated(ctx, &w.losses.replicated)
 	}
-	late := g.Run(ctx, w.start, w.front, w.observer)
+	late := g.Run(ctx, w.start, w.balancer, w.observer)
 	err := ctx.Err()
 	if err != nil {
 		return nil, err
@@ -251,7 +251,7 @@
 	if w.registry != nil {
 		w.registry.Close()
 	}
-	for _, m := range w.boxes {
+	for _, m := range w.servers {
 		g.Go(func() error { m.Close(); return nil })
 	}
 	g.Wait()
