--- a/internal/proxy/dispatch/bench_test.go
+++ b/internal/proxy/dispatch/bench_test.go
@@ -13,12 +13,12 @@
 	"fernvane/policy"
 )
 
-func benchFleet(b *testing.B) *Dispatcher {
-	f := New(settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, Settings: policy.Settings{NodeCount: 5800, MaxAttempts: 4,
+func newBenchDispatcher(b *testing.B) *Dispatcher {
+	d := New(settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, Settings: policy.Settings{NodeCount: 5800, MaxAttempts: 4,
 		ConnectTimeout: time.Second, SlowStartDuration: 8 * time.Second, TrafficTypes: []policy.TrafficType{{LatencyObjective: time.Minute, ClientTimeout: time.Hour,
 			PriorityWeight: 1}}}}, 1, limits, engine.NewPolicy)
-	b.Cleanup(f.Stop)
-	return f
+	b.Cleanup(d.Stop)
+	return d
 }
 
 func benchHosts(from, to int) (hosts []http1.Endpoint) {
@@ -29,29 +29,29 @@
 	return hosts
 }
 
-// A whole list through the book, the node and the module, under the fleet's lock.
+// BenchmarkWholeList passes a full list through the view, the engine and the decision module.
 func BenchmarkWholeList(b *testing.B) {
 	for _, servers := range []int{200, 2_000, 20_000, 200_000} {
 		hosts := benchHosts(0, servers)
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			for b.Loop() {
-				benchFleet(b).ApplyList(http1.EndpointList{Complete: true, Hosts: hosts}, endpoints.SourceDiscovery)
+				newBenchDispatcher(b).ApplyList(http1.EndpointList{Complete: true, Hosts: hosts}, endpoints.SourceDiscovery)
 			}
 		})
 	}
 }
 
-// One server goes and another comes, likewise.
+// BenchmarkOneChange passes on that one server leaves and another comes.
 func BenchmarkOneChange(b *testing.B) {
 	for _, servers := range []int{200, 2_000, 20_000, 200_000} {
-		f := benchFleet(b)
-		f.ApplyList(http1.EndpointList{Complete: true, Hosts: benchHosts(0, servers)}, endpoints.SourceDiscovery)
+		d := newBenchDispatcher(b)
+		d.ApplyList(http1.EndpointList{Complete: true, Hosts: benchHosts(0, servers)}, endpoints.SourceDiscovery)
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			last := servers
 			for b.Loop() {
 				hosts := benchHosts(last-1, last+1)
 				hosts[0].Phase = http1.Deleted
-				f.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceDiscovery)
+				d.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceDiscovery)
 				last++
 			}
 		})
--- /dev/null
+++ b/internal/proxy/dispatch/endpoints_test.go
@@ -0,0 +1,205 @@
+package dispatch
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"fernvane/internal/config/settings"
+	"fernvane/internal/discovery/endpoints"
+	"fernvane/internal/protocol/http1"
+	"fernvane/internal/proxy/engine"
+	"fernvane/policy"
+)
+
+// Attempts are written to servers that have left only within a part of the settings' grace, however short.
+func TestMaxWriteDelay(t *testing.T) {
+	for grace, want := range map[time.Duration]time.Duration{-1: maxLateWrite, 0: 0, 100 * time.Millisecond: 60 * time.Millisecond, time.Minute: maxLateWrite} {
+		d := Dispatcher{settings: settings.Settings{DrainGrace: grace}}
+		if got := d.maxWriteDelay(); got != want {
+			t.Errorf("grace %v: %v, not %v", grace, got, want)
+		}
+	}
+}
+
+// A server that has left gets no new attempt by any path: idle connections, queued requests, retries, hedged attempts.
+func TestNoNewAttemptsToServersThatLeft(t *testing.T) {
+	gone, drains := host("a", 1), host("a", 1)
+	gone.Phase, drains.Phase = http1.Deleted, http1.Draining
+	for name, l := range map[string]http1.EndpointList{
+		"gone": {Hosts: []http1.Endpoint{gone}}, "draining": {Hosts: []http1.Endpoint{drains}}, "left out of a full list": fullList(host("b", 2)),
+		"another server at its address": {Hosts: []http1.Endpoint{host("c", 1)}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, Settings: policy.Settings{NodeCount: 1, MaxAttempts: 4, HedgingAllowed: true,
+				ConnectTimeout: time.Second, TrafficTypes: []policy.TrafficType{{LatencyObjective: time.Minute, ClientTimeout: time.Hour, PriorityWeight: 1,
+					HedgeDelay: time.Nanosecond, HedgeRatio: 1}}}}
+			d := New(s, 1, limits, engine.NewPolicy)
+			t.Cleanup(d.Stop)
+			d.ApplyList(fullList(host("a", 1), host("b", 2)), endpoints.SourceConfig)
+			d.AcquireServerDescriptor()
+			d.PutIdle("a", false, http1.NewConn(&closer{closed: make(chan string, 1)}))
+			var waiting []*Request
+			for range 40 { // more than are sent at the same time
+				if request := submit(d); request != nil {
+					waiting = append(waiting, request)
+				}
+			}
+			d.ApplyList(l, endpoints.SourceDiscovery)
+			if d.TakeIdle("a") != nil {
+				t.Error("an idle connection is used")
+			}
+			to := func(decision Decision) {
+				if decision.Action == SendAttempt && decision.Server == "a" {
+					t.Errorf("attempt %d is sent there", decision.Attempt)
+				}
+			}
+			first := 0
+			for _, request := range waiting {
+				select { // decided on before the server left
+				case <-request.ready:
+					if request.pending.Server == "a" {
+						first++
+					}
+					request.ready <- struct{}{}
+					decision := request.NextDecision(func() {})
+					d.onTimer() // hedges, if any
+					request.AttemptEnded(decision.Attempt, ConnectRefused, nil)
+				default:
+				}
+			}
+			if first == 0 {
+				t.Fatal("nothing was sent there before")
+			}
+			for _, request := range waiting { // retries, and queued requests
+				for range 4 {
+					select {
+					case <-request.ready:
+						if request.pending.Action == undecided {
+							break // still queued; checked below
+						}
+						request.ready <- struct{}{}
+						decision := request.NextDecision(func() {})
+						if to(decision); decision.Action != SendAttempt {
+							break
+						}
+						d.onTimer()
+						request.AttemptEnded(decision.Attempt, ConnectRefused, nil)
+					default:
+					}
+				}
+				for _, h := range request.inFlight {
+					if h.server == "a" && h.isHedge {
+						t.Error("a hedge is sent there")
+					}
+				}
+			}
+			for range 10 {
+				if request := submit(d); request != nil {
+					to(request.pending)
+				}
+			}
+			for range 10 { // queued requests are dequeued
+				d.onTimer()
+			}
+			for _, request := range waiting {
+				to(request.pending)
+			}
+		})
+	}
+}
+
+func TestEndpointListUpdates(t *testing.T) {
+	with := func(h http1.Endpoint, change func(*http1.Endpoint)) http1.Endpoint {
+		change(&h)
+		return h
+	}
+	// These two IDs have the same checksum.
+	one, two := host("plumless", 1), host("buckeroo", 2)
+	for name, c := range map[string]struct {
+		lists []http1.EndpointList
+		want  []uint16 // ports that attempts go to
+	}{
+		"both":            {[]http1.EndpointList{fullList(one, two)}, []uint16{1, 2}},
+		"one drains":      {[]http1.EndpointList{fullList(one, two), {Hosts: []http1.Endpoint{with(one, func(h *http1.Endpoint) { h.Phase = http1.Draining })}}}, []uint16{2}},
+		"one is gone":     {[]http1.EndpointList{fullList(one, two), {Hosts: []http1.Endpoint{{ID: one.ID, Phase: http1.Deleted}}}}, []uint16{2}},
+		"one is left out": {[]http1.EndpointList{fullList(one, two), fullList(two)}, []uint16{2}},
+		"one has moved":   {[]http1.EndpointList{fullList(one, two), {Hosts: []http1.Endpoint{with(one, func(h *http1.Endpoint) { h.Address = host("", 9).Address })}}}, []uint16{2, 9}},
+		"no changes":      {[]http1.EndpointList{fullList(one, two), {}}, []uint16{1, 2}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			d := newTestDispatcher(t, policy.Idempotent, limits)
+			for _, l := range c.lists {
+				d.ApplyList(l, endpoints.SourceDiscovery)
+			}
+			got := map[uint16]bool{}
+			for range 4 { // at the same time, so that one server does not get all
+				request := submit(d)
+				if decision := request.NextDecision(func() {}); decision.Action == SendAttempt {
+					got[decision.Address.Port()] = true
+				}
+			}
+			for _, p := range c.want {
+				if !got[p] || len(got) != len(c.want) {
+					t.Errorf("attempts went to %v", got)
+				}
+			}
+		})
+	}
+}
+
+// Nodes that know the same servers, listed in different orders, rotate over them in the same order.
+func TestNodesShareRotation(t *testing.T) {
+	hosts := []http1.Endpoint{host("a", 1), host("b", 2), host("c", 3), host("d", 4), host("e", 5)}
+	order := func(hosts []http1.Endpoint) (ports []uint16) {
+		d := newTestDispatcher(t, policy.Idempotent, limits, hosts...)
+		for range hosts {
+			decision := submit(d).NextDecision(func() {})
+			ports = append(ports, decision.Address.Port())
+		}
+		return ports
+	}
+	one := order(hosts)
+	slices.Reverse(hosts)
+	if other := order(hosts); !slices.Equal(one, other) {
+		t.Errorf("walked %v and %v", one, other)
+	}
+}
+
+func TestPollRequestedAfterFailure(t *testing.T) {
+	d := newTestDispatcher(t, policy.Idempotent, limits, host("a", 1)) // the settings do not ask for polls
+	<-d.PollRequested()                                                // at the start
+	d.DiscoveryFailed()
+	<-d.PollRequested() // and after a failure, when the decision module asks
+}
+
+// Servers are replaced again and again, each at the address of the one before, which is announced as gone only later.
+func TestReplacedServers(t *testing.T) {
+	d := newTestDispatcher(t, policy.Idempotent, limits, host("first", 1))
+	closed := make(chan string, 100)
+	for i := range 100 {
+		id, before := fmt.Sprint("next ", i), "first"
+		if i > 0 {
+			before = fmt.Sprint("next ", i-1)
+		}
+		d.AcquireServerDescriptor()
+		d.PutIdle(before, false, http1.NewConn(&closer{name: before, closed: closed}))
+		d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{host(id, 1)}}, endpoints.SourceDiscovery)
+		if got := <-closed; got != before || d.TakeIdle(before) != nil {
+			t.Fatalf("closed %s, not %s", got, before)
+		}
+		request := submit(d)
+		if decision := request.NextDecision(func() {}); decision.Server != id {
+			t.Fatalf("sent to %s after %s came", decision.Server, id)
+		}
+		request.AttemptEnded(0, Succeeded, nil)
+		request.NextDecision(nil)
+		gone := host(before, 1)
+		gone.Phase = http1.Deleted
+		d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{gone}}, endpoints.SourceDiscovery)
+	}
+	if len(d.servers.byID) != 1 {
+		t.Errorf("%d servers are known", len(d.servers.byID))
+	}
+}
--- /dev/null
+++ b/internal/proxy/dispatch/hedge_test.go
@@ -0,0 +1,127 @@
+package dispatch
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"fernvane/internal/config/settings"
+	"fernvane/internal/discovery/endpoints"
+	"fernvane/internal/proxy/engine"
+	"fernvane/policy"
+)
+
+// hedgingDecider sends each request to the first server, and a hedged attempt to the second when the timer fires while the
+// first is in flight.
+type hedgingDecider struct{ out [][]bool }
+
+func (m *hedgingDecider) Handle(_ time.Duration, in *policy.Input, e []policy.Effect) []policy.Effect {
+	switch in.Kind {
+	case policy.RequestArrived:
+		m.out = append(m.out, []bool{true})
+		return append(e, policy.Effect{Kind: policy.SendAttempt, Request: in.Request, Server: 0, Duration: time.Hour})
+	case policy.TimerFired:
+		for request := range m.out {
+			if len(m.out[request]) == 1 && m.out[request][0] {
+				m.out[request] = append(m.out[request], true)
+				e = append(e, policy.Effect{Kind: policy.SendAttempt, Request: request, Server: 1, Duration: time.Hour})
+			}
+		}
+	case policy.AttemptEnded:
+		if m.out[in.Request][in.Attempt] = false; !in.ClientAnswered && !slices.Contains(m.out[in.Request], true) {
+			return append(e, policy.Effect{Kind: policy.Fail, Request: in.Request})
+		}
+	case policy.ClientLeft:
+		clear(m.out[in.Request])
+	}
+	return e
+}
+
+// Two attempts of a request are in flight. In whichever order their results come, the request gets one answer, the other
+// attempt is canceled, and nothing of the request remains.
+func TestHedgedAttempts(t *testing.T) {
+	const first, hedged, disconnect = 0, 1, 2
+	type step struct {
+		what int
+		how  AttemptResult
+	}
+	for name, c := range map[string]struct {
+		steps    []step
+		want     Action
+		answer   string
+		canceled [2]bool // the first, the hedge
+	}{
+		"hedge succeeds":                             {[]step{{hedged, Succeeded}, {first, Abandoned}}, Respond, "hedge", [2]bool{true, false}},
+		"first succeeds":                             {[]step{{first, Succeeded}, {hedged, Abandoned}}, Respond, "first", [2]bool{false, true}},
+		"both succeed, hedge before":                 {[]step{{hedged, Succeeded}, {first, Succeeded}}, Respond, "hedge", [2]bool{true, false}},
+		"both succeed, first before":                 {[]step{{first, Succeeded}, {hedged, Succeeded}}, Respond, "first", [2]bool{false, true}},
+		"first loses its connection":                 {[]step{{first, ConnectionLost}, {hedged, Succeeded}}, Respond, "hedge", [2]bool{}},
+		"hedge loses its connection":                 {[]step{{hedged, ConnectionLost}, {first, Succeeded}}, Respond, "first", [2]bool{}},
+		"both lose their connections":                {[]step{{hedged, ConnectionLost}, {first, ConnectionLost}}, Fail, "", [2]bool{}},
+		"hedge finds the request faulty":             {[]step{{hedged, RequestFault}, {first, Abandoned}}, Fail, "hedge", [2]bool{true, false}},
+		"client disconnects":                         {[]step{{disconnect, 0}, {hedged, Succeeded}, {first, Succeeded}}, Drop, "", [2]bool{}},
+		"client disconnects after a lost connection": {[]step{{first, ConnectionLost}, {disconnect, 0}, {hedged, Succeeded}}, Drop, "", [2]bool{}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := settings.Settings{TypeNames: []string{"check"}, Settings: policy.Settings{TrafficTypes: []policy.TrafficType{{ClientTimeout: time.Hour}}}}
+			d := New(s, 1, Limits{MemoryMB: 64, Sockets: 64}, func(policy.Settings, uint32) engine.Decider { return &hedgingDecider{} })
+			t.Cleanup(d.Stop)
+			d.ApplyList(fullList(host("a", 1), host("b", 2)), endpoints.SourceConfig)
+			var hedge Decision
+			var canceled [2]bool
+			request, err := d.Submit(Arrival{ID: []byte("x"), RouteIndex: -1, Timeout: time.Hour, StartHedge: func(_ *Request, decision Decision) { hedge = decision }})
+			if err != nil {
+				t.Fatal(err)
+			}
+			decision := request.NextDecision(func() { canceled[first] = true })
+			d.onTimer()
+			if hedge.Action != SendAttempt || hedge.Attempt != 1 || hedge.Server != "b" {
+				t.Fatalf("the hedge: %+v", hedge)
+			}
+			request.HedgeStarted(hedge, func() { canceled[hedged] = true })
+			if !request.BeginWrite(decision.Attempt) || !request.BeginWrite(hedge.Attempt) {
+				t.Fatal("not to be written")
+			}
+			for _, s := range c.steps {
+				switch s.what {
+				case disconnect:
+					request.ClientDisconnected()
+				case first:
+					request.AttemptEnded(decision.Attempt, s.how, []byte("first"))
+				case hedged:
+					request.AttemptEnded(hedge.Attempt, s.how, []byte("hedge"))
+				}
+			}
+			last := request.NextDecision(func() {})
+			if last.Action != c.want || string(last.Answer) != c.answer || canceled != c.canceled {
+				t.Errorf("ended with %d, %q, canceled %v", last.Action, last.Answer, canceled)
+			}
+			n := d.Counts()
+			if n.Responded+n.Failed+n.Disconnected != 1 || n.Hedges != 1 || n.OpenRequests != 0 || len(d.requests.openClientIDs) != 0 {
+				t.Errorf("counted %+v", n)
+			}
+		})
+	}
+}
+
+// A hedged attempt whose goroutine starts after the final answer is canceled before it is sent.
+func TestHedgeAfterFinalAnswer(t *testing.T) {
+	d := New(settings.Settings{TypeNames: []string{"check"}, Settings: policy.Settings{TrafficTypes: []policy.TrafficType{{}}}}, 1,
+		Limits{MemoryMB: 64, Sockets: 64}, func(policy.Settings, uint32) engine.Decider { return &hedgingDecider{} })
+	t.Cleanup(d.Stop)
+	d.ApplyList(fullList(host("a", 1), host("b", 2)), endpoints.SourceConfig)
+	var hedge Decision
+	request, _ := d.Submit(Arrival{ID: []byte("x"), RouteIndex: -1, Timeout: time.Hour, StartHedge: func(_ *Request, decision Decision) { hedge = decision }})
+	decision := request.NextDecision(func() {})
+	d.onTimer()
+	request.AttemptEnded(decision.Attempt, Succeeded, nil)
+	canceled := false
+	if request.HedgeStarted(hedge, func() { canceled = true }); !canceled || !request.IsSettled() {
+		t.Error("it may still be sent")
+	}
+	request.NextDecision(func() {})
+	request.AttemptEnded(hedge.Attempt, Abandoned, nil)
+	if n := d.Counts(); n.OpenRequests != 0 || n.AttemptResults[Abandoned] != 1 {
+		t.Errorf("counted %+v", n)
+	}
+}
--- a/internal/proxy/dispatch/allowances_test.go
+++ b/internal/proxy/dispatch/quotas_test.go
@@ -14,14 +14,14 @@
 	"fernvane/policy"
 )
 
-// told notes what the module is told of allowances, and of whom requests are.
-type told struct {
+// quotaRecorder records the quotas and the requests' tenants that the decision module gets.
+type quotaRecorder struct {
 	engine.Decider
 	changed []policy.Quota
 	tenants []int
 }
 
-func (m *told) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
+func (m *quotaRecorder) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
 	m.changed = append(m.changed, in.Quotas...)
 	if in.Kind == policy.RequestArrived {
 		m.tenants = append(m.tenants, in.Tenant)
@@ -29,55 +29,55 @@
 	return m.Decider.Handle(now, in, effects)
 }
 
-// Names stand for indices: a known one for its own, a new one for the next; reports to planners name all of them, and the
-// settings stay as they were read.
-func TestSetAllowances(t *testing.T) {
-	var module *told
+// A known tenant keeps its index and a new one gets the next. Reports name all of them, and the caller's settings do not
+// change.
+func TestSetQuotas(t *testing.T) {
+	var module *quotaRecorder
 	s := settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, TenantNames: []string{"a", "b"},
 		Settings: policy.Settings{NodeCount: 1, MaxAttempts: 1, TenantQuotas: []float64{1, 2},
 			TrafficTypes: []policy.TrafficType{{LatencyObjective: time.Minute, ClientTimeout: time.Hour, PriorityWeight: 1}}}}
-	f := New(s, 1, limits, func(s policy.Settings, seed uint32) engine.Decider {
-		module = &told{Decider: policy.New(s, seed)}
+	d := New(s, 1, limits, func(s policy.Settings, seed uint32) engine.Decider {
+		module = &quotaRecorder{Decider: policy.New(s, seed)}
 		return module
 	})
-	t.Cleanup(f.Stop)
-	f.ApplyList(listed(host("server", 1)), endpoints.SourceConfig)
-	f.EnableReports()
-	arrive := func(tenant string) int {
-		lastID++
-		f.Submit(Arrival{ID: fmt.Append(nil, lastID), Tenant: []byte(tenant), RouteIndex: -1, Timeout: time.Hour})
+	t.Cleanup(d.Stop)
+	d.ApplyList(fullList(host("server", 1)), endpoints.SourceConfig)
+	d.EnableReports()
+	submit := func(tenant string) int {
+		lastRequestID++
+		d.Submit(Arrival{ID: fmt.Append(nil, lastRequestID), Tenant: []byte(tenant), RouteIndex: -1, Timeout: time.Hour})
 		return module.tenants[len(module.tenants)-1]
 	}
-	f.SetQuotas(map[string]float64{"b": 3})
+	d.SetQuotas(map[string]float64{"b": 3})
 	if !slices.Equal(module.changed, []policy.Quota{{Tenant: 1, PerSecond: 3}}) || s.TenantQuotas[1] != 2 {
-		t.Errorf("told %v, the settings are %v", module.changed, s.TenantQuotas)
+		t.Errorf("quotaRecorder %v, the settings are %v", module.changed, s.TenantQuotas)
 	}
 	module.changed = nil
-	before := arrive("c")
-	f.SetQuotas(map[string]float64{"b": 5, "a": 1, "c": 7, "bad": -1, "worse": math.NaN(), "worst": math.Inf(1)})
-	want := map[int]float64{1: 5, 2: 7} // a's has not changed
+	before := submit("c")
+	d.SetQuotas(map[string]float64{"b": 5, "a": 1, "c": 7, "bad": -1, "worse": math.NaN(), "worst": math.Inf(1)})
+	want := map[int]float64{1: 5, 2: 7} // that of a has not changed
 	got := map[int]float64{}
 	for _, c := range module.changed {
 		got[c.Tenant] = c.PerSecond
 	}
 	if !maps.Equal(got, want) || len(module.changed) != 2 {
-		t.Errorf("told %v, want %v", module.changed, want)
+		t.Errorf("quotaRecorder %v, want %v", module.changed, want)
 	}
-	if at := []int{arrive("a"), arrive("b"), arrive("c"), arrive("bad")}; before != 2 || !slices.Equal(at, []int{0, 1, 2, 3}) {
+	if at := []int{submit("a"), submit("b"), submit("c"), submit("bad")}; before != 2 || !slices.Equal(at, []int{0, 1, 2, 3}) {
 		t.Errorf("an unknown tenant was %d; then they are %v", before, at)
 	}
-	f.SetQuotas(map[string]float64{"b": 5})
+	d.SetQuotas(map[string]float64{"b": 5})
 	if len(module.changed) != 2 {
-		t.Error("told what has not changed")
+		t.Error("quotaRecorder what has not changed")
 	}
 	reported := map[string]float64{}
-	for _, tenant := range f.Report().Tenants {
+	for _, tenant := range d.Report().Tenants {
 		reported[tenant.Name] = tenant.Allowance
 	}
 	if !maps.Equal(reported, map[string]float64{"a": 1, "b": 5, "c": 7}) {
 		t.Errorf("reported %v", reported)
 	}
-	f.ApplyPlan(1, 0, map[string]float64{"c": 0.5}, nil)
+	d.ApplyPlan(1, 0, map[string]float64{"c": 0.5}, nil)
 	if !slices.Equal(s.TenantQuotas, []float64{1, 2}) || len(s.TenantNames) != 2 {
 		t.Errorf("the settings are %v of %v", s.TenantQuotas, s.TenantNames)
 	}
--- /dev/null
+++ b/internal/proxy/dispatch/report_test.go
@@ -0,0 +1,104 @@
+package dispatch
+
+import (
+	"bytes"
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+	"time"
+
+	"fernvane/internal/config/settings"
+	"fernvane/internal/controlplane/plan"
+	"fernvane/internal/controlplane/planwire"
+	"fernvane/internal/proxy/engine"
+	"fernvane/policy"
+)
+
+// withTenants returns a dispatcher with so many tenants, each with a quota of one request per second but the first, which
+// has none.
+func withTenants(t *testing.T, tenants int) (d *Dispatcher, seen *planRecorder) {
+	s := settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"},
+		Settings: policy.Settings{NodeCount: 1, MaxAttempts: 1, TrafficTypes: []policy.TrafficType{{LatencyObjective: time.Minute, ClientTimeout: time.Hour, PriorityWeight: 1}}}}
+	for tenant := range tenants {
+		s.TenantNames = append(s.TenantNames, fmt.Sprint("t", tenant))
+		s.TenantQuotas = append(s.TenantQuotas, min(float64(tenant), 1))
+	}
+	seen = &planRecorder{}
+	d = New(s, 1, limits, func(s policy.Settings, seed uint32) engine.Decider {
+		seen.Decider = policy.New(s, seed)
+		return seen
+	})
+	t.Cleanup(d.Stop)
+	d.EnableReports()
+	return d, seen
+}
+
+// planRecorder records the tenants' shares that the decision module gets with a plan.
+type planRecorder struct {
+	engine.Decider
+	shares []float64
+}
+
+func (m *planRecorder) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
+	if in.Kind == policy.PlanChanged {
+		m.shares = slices.Clone(in.WithinQuotaShares)
+	}
+	return m.Decider.Handle(now, in, effects)
+}
+
+// A report names the tenants with requests since the last one, however many others there are.
+func TestReportNamesTenantsWithTraffic(t *testing.T) {
+	const tenants, most = 50_000, 200 // limit in bytes of a report of three tenants
+	d, _ := withTenants(t, tenants)
+	for i, tenant := range []int{7, 40_000, 7, 0, 12, tenants} { // the first tenant has no quota, the last is unknown
+		d.Submit(Arrival{ID: fmt.Append(nil, "r", i), Tenant: fmt.Append(nil, "t", tenant), RouteIndex: -1, Timeout: time.Hour})
+	}
+	r := d.Report()
+	reported := map[string]int{}
+	for _, tenant := range r.Tenants {
+		reported[tenant.Name] = tenant.Requests
+	}
+	if !maps.Equal(reported, map[string]int{"t7": 2, "t12": 1, "t40000": 1}) {
+		t.Errorf("%d tenants are named", len(r.Tenants))
+	}
+	if r.Settings.TotalAllowance != tenants-1 {
+		t.Errorf("the allowances of all are %g", r.Settings.TotalAllowance)
+	}
+	if frame, err := planwire.Append(nil, planwire.ReportKind, r); err != nil || len(frame) > most {
+		t.Errorf("%d bytes, %v", len(frame), err)
+	}
+	if r := d.Report(); len(r.Tenants) != 0 {
+		t.Errorf("%d tenants are named without traffic", len(r.Tenants))
+	}
+	d.SetQuotas(map[string]float64{"t7": 3, "another": 5})
+	if got := d.Report().Settings.TotalAllowance; got != tenants-1+2+5 {
+		t.Errorf("the allowances of all are %g after a change", got)
+	}
+}
+
+// If more tenants had requests than planners keep, a report names the busiest and can be decoded.
+func TestReportNamesTheBusiest(t *testing.T) {
+	const tenants = 3 * maxReportedTenants
+	d, _ := withTenants(t, tenants)
+	for tenant := range tenants {
+		d.report.recordArrival(0, tenant)
+	}
+	d.report.recordArrival(0, tenants-1)
+	r := d.Report()
+	if len(r.Tenants) != maxReportedTenants || r.Tenants[0].Name != fmt.Sprint("t", tenants-1) {
+		t.Errorf("%d tenants, the first is %v", len(r.Tenants), r.Tenants[0])
+	}
+	frame, err := planwire.Append(nil, planwire.ReportKind, r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, body, err := planwire.Read(bytes.NewReader(frame), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var back plan.Report
+	if err := planwire.Decode(body, &back); err != nil || len(back.Tenants) != len(r.Tenants) {
+		t.Errorf("read as %d tenants, %v", len(back.Tenants), err)
+	}
+}
