--- a/internal/discovery/endpoints/bench_test.go
+++ b/internal/discovery/endpoints/bench_test.go
@@ -8,7 +8,7 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-func words(from, to int) []Endpoint {
+func announcedUp(from, to int) []Endpoint {
 	var list []Endpoint
 	for i := from; i < to; i++ {
 		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)
@@ -19,7 +19,7 @@
 
 func BenchmarkWholeList(b *testing.B) {
 	for _, servers := range []int{200, 2_000, 20_000, 200_000} {
-		list := words(0, servers)
+		list := announcedUp(0, servers)
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			for b.Loop() {
 				NewView().Apply(0, SourceDiscovery, list, true)
@@ -32,17 +32,17 @@
 func BenchmarkOneChange(b *testing.B) {
 	for _, servers := range []int{200, 2_000, 20_000, 200_000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			book := NewView()
-			book.Apply(0, SourceDiscovery, words(0, servers), true)
-			drained := words(0, servers/10)
+			view := NewView()
+			view.Apply(0, SourceDiscovery, announcedUp(0, servers), true)
+			drained := announcedUp(0, servers/10)
 			for i := range drained {
 				drained[i].Condition = incarnation.Draining
 			}
-			book.Apply(0, SourceDiscovery, drained, false)
-			list := words(servers, servers+1)
+			view.Apply(0, SourceDiscovery, drained, false)
+			list := announcedUp(servers, servers+1)
 			for b.Loop() {
-				book.Apply(0, SourceDiscovery, list, false)
-				book.Forget(list[0].ID)
+				view.Apply(0, SourceDiscovery, list, false)
+				view.Forget(list[0].ID)
 			}
 		})
 	}
--- a/internal/discovery/endpoints/set_test.go
+++ b/internal/discovery/endpoints/set_test.go
@@ -14,15 +14,15 @@
 
 const ms = time.Millisecond
 
-func box(id string, owner int64) RegistryEntry {
+func registryEntry(id string, owner int64) RegistryEntry {
 	return RegistryEntry{ID: id, Address: "127.0.0.1:9", OwnerSession: owner, CreatedZxid: owner, CreatedUnixMS: owner, Weight: 1}
 }
 
-// view is what a node makes of the entries that it is told, by the lattice.
-type view struct{ table *incarnation.Table }
+// joined is what a node holds after joining the announced entries.
+type joined struct{ table *incarnation.Table }
 
-func (v view) take(changed []incarnation.Entry) { v.table.Join(0, changed) }
-func (v view) condition(id string) string {
+func (v joined) take(changed []incarnation.Entry) { v.table.Join(0, changed) }
+func (v joined) condition(id string) string {
 	e, ok := v.table.Get(id)
 	if !ok {
 		return "-"
@@ -30,44 +30,44 @@
 	return []string{"up", "draining", "gone"}[e.Condition]
 }
 
-// What happens to one server among five, and what a node holds of it at the end, by its condition and whether it is
-// still the life that it was.
-func TestLives(t *testing.T) {
-	type happening struct {
+// Events of one server among five, the condition in which a node holds it at the end, and whether that is still the
+// incarnation it began with.
+func TestServerHistories(t *testing.T) {
+	type event struct {
 		at   time.Duration
 		what string
 	}
 	const s = time.Second
 	for name, c := range map[string]struct {
-		all  []happening
+		all  []event
 		want string
 		same bool
 	}{
-		"listed":                        {nil, "up", true},
-		"vanishes":                      {[]happening{{2 * s, "gone"}}, "draining", true},
-		"vanishes for long":             {[]happening{{2 * s, "gone"}, {9 * s, "wait"}}, "gone", true},
-		"a flap, alive":                 {[]happening{{1900 * ms, "answer"}, {2 * s, "gone"}, {3 * s, "back"}}, "up", true},
-		"a flap, not seen alive":        {[]happening{{2 * s, "gone"}, {3 * s, "back"}}, "up", false},
-		"a flap, and nobody there":      {[]happening{{1900 * ms, "answer"}, {2 * s, "gone"}, {2100 * ms, "fail"}, {3 * s, "back"}}, "up", false},
-		"back too late":                 {[]happening{{1900 * ms, "answer"}, {2 * s, "gone"}, {9 * s, "wait"}, {10 * s, "back"}}, "up", false},
-		"drains":                        {[]happening{{2 * s, "drain"}}, "draining", true},
-		"a drain is called off":         {[]happening{{2 * s, "drain"}, {3 * s, "undrain"}}, "up", true},
-		"drains and vanishes":           {[]happening{{2 * s, "drain"}, {3 * s, "gone"}}, "gone", true},
-		"dead before the registry says": {[]happening{{2 * s, "fail"}, {2 * s, "fail"}, {2 * s, "fail"}}, "draining", true},
-		"two failures are chance":       {[]happening{{2 * s, "fail"}, {2 * s, "fail"}}, "up", true},
-		"doubted, and tried again":      {[]happening{{2 * s, "fail"}, {2 * s, "fail"}, {2 * s, "fail"}, {3100 * ms, "wait"}}, "up", true},
-		"doubted, and it answers":       {[]happening{{2 * s, "fail"}, {2 * s, "fail"}, {2 * s, "fail"}, {2100 * ms, "answer"}}, "up", true},
-		"all vanish":                    {[]happening{{2 * s, "all gone"}}, "up", true},
-		"all vanish, and it is dead":    {[]happening{{2 * s, "all gone"}, {3 * s, "fail"}, {3 * s, "fail"}, {3 * s, "fail"}}, "draining", true},
-		"all vanish, it had drained":    {[]happening{{1 * s, "drain"}, {2 * s, "all gone"}}, "gone", true},
-		"all vanish one by one":         {[]happening{{2 * s, "gone"}, {2100 * ms, "all gone"}}, "up", true},
-		"all but it come back":          {[]happening{{2 * s, "all gone"}, {4 * s, "others back"}}, "draining", true},
+		"listed":                              {nil, "up", true},
+		"removed":                             {[]event{{2 * s, "gone"}}, "draining", true},
+		"removed for long":                    {[]event{{2 * s, "gone"}, {9 * s, "wait"}}, "gone", true},
+		"flaps, alive":                        {[]event{{1900 * ms, "answer"}, {2 * s, "gone"}, {3 * s, "back"}}, "up", true},
+		"flaps, not seen alive":               {[]event{{2 * s, "gone"}, {3 * s, "back"}}, "up", false},
+		"flaps, and connects fail":            {[]event{{1900 * ms, "answer"}, {2 * s, "gone"}, {2100 * ms, "fail"}, {3 * s, "back"}}, "up", false},
+		"back too late":                       {[]event{{1900 * ms, "answer"}, {2 * s, "gone"}, {9 * s, "wait"}, {10 * s, "back"}}, "up", false},
+		"drains":                              {[]event{{2 * s, "drain"}}, "draining", true},
+		"a drain is cancelled":                {[]event{{2 * s, "drain"}, {3 * s, "undrain"}}, "up", true},
+		"drains and is removed":               {[]event{{2 * s, "drain"}, {3 * s, "gone"}}, "gone", true},
+		"dead before the registry removes it": {[]event{{2 * s, "fail"}, {2 * s, "fail"}, {2 * s, "fail"}}, "draining", true},
+		"two failures are not enough":         {[]event{{2 * s, "fail"}, {2 * s, "fail"}}, "up", true},
+		"suspected, and tried again":          {[]event{{2 * s, "fail"}, {2 * s, "fail"}, {2 * s, "fail"}, {3100 * ms, "wait"}}, "up", true},
+		"suspected, and it responds":          {[]event{{2 * s, "fail"}, {2 * s, "fail"}, {2 * s, "fail"}, {2100 * ms, "answer"}}, "up", true},
+		"all removed":                         {[]event{{2 * s, "all gone"}}, "up", true},
+		"all removed, and it is dead":         {[]event{{2 * s, "all gone"}, {3 * s, "fail"}, {3 * s, "fail"}, {3 * s, "fail"}}, "draining", true},
+		"all removed, it was draining":        {[]event{{1 * s, "drain"}, {2 * s, "all gone"}}, "gone", true},
+		"all removed one by one":              {[]event{{2 * s, "gone"}, {2100 * ms, "all gone"}}, "up", true},
+		"all but it come back":                {[]event{{2 * s, "all gone"}, {4 * s, "others back"}}, "draining", true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, v := NewSet(), view{incarnation.NewTable()}
+			r, v := NewSet(), joined{incarnation.NewTable()}
 			list := func(which ...RegistryEntry) []RegistryEntry { return which }
-			others := list(box("b", 2), box("c", 3), box("d", 4), box("e", 5))
-			it := box("a", 1)
+			others := list(registryEntry("b", 2), registryEntry("c", 3), registryEntry("d", 4), registryEntry("e", 5))
+			it := registryEntry("a", 1)
 			v.take(r.ApplyList(0, append(list(it), others...)))
 			first, _ := v.table.Get("a")
 			for at, i := 50*ms, 0; i < len(c.all); at += 50 * ms {
@@ -101,25 +101,26 @@
 	}
 }
 
-// model is what a list must keep to, told without the roster's own states.
-func check(t interface{ Fatalf(string, ...any) }, r *Set, v view, listedNow map[string]bool, draining map[string]bool, history string) {
+// check compares what a node holds with rules that do not use the Set's own states.
+func check(t interface{ Fatalf(string, ...any) }, r *Set, v joined, listedNow map[string]bool, draining map[string]bool, history string) {
 	for _, id := range []string{"a", "b", "c"} {
 		c := v.condition(id)
 		switch {
 		case draining[id] && c == "up":
-			t.Fatalf("%s: %s was told to drain, and is up", history, id)
+			t.Fatalf("%s: %s is listed as draining, and is up", history, id)
 		case !listedNow[id] && c == "up" && r.State(id) != StateRetained:
 			t.Fatalf("%s: %s is not listed, and is up", history, id)
 		case !listedNow[id] && c == "up" && !r.MassRemoval().IsSuspected:
-			t.Fatalf("%s: %s is held without suspicion", history, id)
+			t.Fatalf("%s: %s is retained without suspicion", history, id)
 		case r.State(id) == StatePresent && c != "up", r.State(id) == StateDraining && c == "up":
 			t.Fatalf("%s: %s is %s in state %d", history, id, c, r.State(id))
 		}
 	}
 }
 
-// All interleavings of six events of three servers: none that is not listed is used but under suspicion, no drain is
-// undone without a word, and entries never go back. CI plays the ways of four steps, ROSTER_DEPTH=6 all of six.
+// All interleavings of six events of three servers: a server that is not listed is usable only while a mass removal is
+// suspected, no drain is undone without a new entry, and entries never go back. CI plays sequences of four events,
+// ROSTER_DEPTH=6 those of six.
 func TestAllInterleavings(t *testing.T) {
 	depth := 4
 	if n, err := strconv.Atoi(os.Getenv("ROSTER_DEPTH")); err == nil {
@@ -131,7 +132,7 @@
 			moves = append(moves, [2]string{id, e})
 		}
 	}
-	for first := range moves[:6] { // of the first server only: the others differ by their names alone
+	for first := range moves[:6] { // of the first server; the others differ by their names only
 		t.Run(moves[first][0]+" "+moves[first][1], func(t *testing.T) {
 			t.Parallel()
 			pick := make([]int, depth)
@@ -149,7 +150,7 @@
 	}
 }
 
-// Longer ones, by chance.
+// Random longer ones.
 func TestLongInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(5, 60).Draw(t, "length")
@@ -161,7 +162,7 @@
 }
 
 func play(t interface{ Fatalf(string, ...any) }, next func(i int) ([2]string, bool)) {
-	r, v := NewSet(), view{incarnation.NewTable()}
+	r, v := NewSet(), joined{incarnation.NewTable()}
 	now, owner := time.Duration(0), int64(10)
 	state := map[string]RegistryEntry{}
 	there, draining := map[string]bool{}, map[string]bool{}
@@ -175,7 +176,7 @@
 		return all
 	}
 	for i, id := range []string{"a", "b", "c"} {
-		state[id], there[id] = box(id, int64(i+1)), true
+		state[id], there[id] = registryEntry(id, int64(i+1)), true
 	}
 	v.take(r.ApplyList(now, list()))
 	history := ""
@@ -194,7 +195,7 @@
 		case "back":
 			if !there[id] {
 				owner++
-				state[id], there[id], draining[id] = box(id, owner), true, false
+				state[id], there[id], draining[id] = registryEntry(id, owner), true, false
 			}
 		case "drain":
 			if there[id] {
--- a/internal/discovery/endpoints/view_test.go
+++ b/internal/discovery/endpoints/view_test.go
@@ -10,7 +10,7 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-func word(id string, port uint16, c incarnation.Condition) Endpoint {
+func announced(id string, port uint16, c incarnation.Condition) Endpoint {
 	w := Endpoint{ID: id, Condition: c}
 	if port > 0 {
 		w.Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port)
@@ -18,43 +18,43 @@
 	return w
 }
 
-// What lists change, step by step.
-func TestBook(t *testing.T) {
+// What each list changes, step by step.
+func TestViewUpdates(t *testing.T) {
 	type step struct {
-		words []Endpoint
-		whole bool
+		announced []Endpoint
+		whole     bool
 	}
-	up := func(id string, port uint16) Endpoint { return word(id, port, incarnation.Up) }
+	up := func(id string, port uint16) Endpoint { return announced(id, port, incarnation.Up) }
 	for name, c := range map[string]struct {
-		steps []step
-		lines string // of the last step
-		idle  []string
-		used  []string
+		steps   []step
+		changed string // changed by the last step
+		idle    []string
+		used    []string
 	}{
-		"two":                    {[]step{{[]Endpoint{up("a", 1), up("b", 2)}, true}}, "a0 b0", []string{"a", "b"}, []string{"a", "b"}},
-		"the same again":         {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("a", 1)}, true}}, "a0", nil, []string{"a"}},
-		"not named":              {[]step{{[]Endpoint{up("a", 1), up("b", 2)}, true}, {[]Endpoint{up("b", 2)}, true}}, "b0", []string{"a"}, []string{"b"}},
-		"not changed":            {[]step{{[]Endpoint{up("a", 1), up("b", 2)}, true}, {[]Endpoint{up("b", 2)}, false}}, "b0", nil, []string{"a", "b"}},
-		"drains":                 {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{word("a", 0, incarnation.Draining)}, false}}, "a1", []string{"a"}, nil},
-		"gone, and never known":  {[]step{{[]Endpoint{word("a", 1, incarnation.Gone)}, false}}, "a2", nil, nil},
-		"moved":                  {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("a", 2)}, false}}, "a0", []string{"a"}, []string{"a"}},
-		"at another's address":   {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("b", 1)}, false}}, "a2 b0", []string{"a", "b"}, []string{"b"}},
-		"and the other is told":  {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("b", 1)}, false}, {[]Endpoint{word("a", 1, incarnation.Gone)}, false}}, "a2", []string{"a"}, []string{"b"}},
-		"at a drained address":   {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{word("a", 1, incarnation.Draining)}, false}, {[]Endpoint{up("b", 1)}, false}}, "b0", []string{"a", "b"}, []string{"b"}},
-		"told gone":              {[]step{{[]Endpoint{up("a", 1), up("b", 2)}, true}, {[]Endpoint{word("a", 1, incarnation.Gone)}, false}}, "a2", []string{"a"}, []string{"b"}},
-		"drained, then gone":     {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{word("a", 1, incarnation.Draining)}, false}, {[]Endpoint{word("a", 1, incarnation.Gone)}, false}}, "a2", []string{"a"}, nil},
-		"in a whole list itself": {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("b", 1)}, true}}, "b0", []string{"a", "b"}, []string{"b"}},
+		"two":                                {[]step{{[]Endpoint{up("a", 1), up("b", 2)}, true}}, "a0 b0", []string{"a", "b"}, []string{"a", "b"}},
+		"the same again":                     {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("a", 1)}, true}}, "a0", nil, []string{"a"}},
+		"left out of a full list":            {[]step{{[]Endpoint{up("a", 1), up("b", 2)}, true}, {[]Endpoint{up("b", 2)}, true}}, "b0", []string{"a"}, []string{"b"}},
+		"not changed":                        {[]step{{[]Endpoint{up("a", 1), up("b", 2)}, true}, {[]Endpoint{up("b", 2)}, false}}, "b0", nil, []string{"a", "b"}},
+		"drains":                             {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{announced("a", 0, incarnation.Draining)}, false}}, "a1", []string{"a"}, nil},
+		"gone, and never known":              {[]step{{[]Endpoint{announced("a", 1, incarnation.Gone)}, false}}, "a2", nil, nil},
+		"moved":                              {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("a", 2)}, false}}, "a0", []string{"a"}, []string{"a"}},
+		"at another's address":               {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("b", 1)}, false}}, "a2 b0", []string{"a", "b"}, []string{"b"}},
+		"and the other is announced as gone": {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("b", 1)}, false}, {[]Endpoint{announced("a", 1, incarnation.Gone)}, false}}, "a2", []string{"a"}, []string{"b"}},
+		"at a drained address":               {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{announced("a", 1, incarnation.Draining)}, false}, {[]Endpoint{up("b", 1)}, false}}, "b0", []string{"a", "b"}, []string{"b"}},
+		"announced as gone":                  {[]step{{[]Endpoint{up("a", 1), up("b", 2)}, true}, {[]Endpoint{announced("a", 1, incarnation.Gone)}, false}}, "a2", []string{"a"}, []string{"b"}},
+		"drained, then gone":                 {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{announced("a", 1, incarnation.Draining)}, false}, {[]Endpoint{announced("a", 1, incarnation.Gone)}, false}}, "a2", []string{"a"}, nil},
+		"replaced within a full list":        {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("b", 1)}, true}}, "b0", []string{"a", "b"}, []string{"b"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, only := NewView(), NewView()
+			v, only := NewView(), NewView()
 			only.IgnoreRemovals = true
 			var u Update
 			for i, s := range c.steps {
-				u = b.Apply(time.Duration(i), SourceDiscovery, s.words, s.whole)
-				only.Apply(time.Duration(i), SourceDiscovery, s.words, s.whole)
+				u = v.Apply(time.Duration(i), SourceDiscovery, s.announced, s.whole)
+				only.Apply(time.Duration(i), SourceDiscovery, s.announced, s.whole)
 			}
-			if l, _ := only.Get("a"); l.IsUsable != (slices.Contains(c.used, "a") || name == "not named" || name == "told gone") {
-				t.Errorf("where only draining binds, a is used: %v", l.IsUsable)
+			if l, _ := only.Get("a"); l.IsUsable != (slices.Contains(c.used, "a") || name == "left out of a full list" || name == "announced as gone") {
+				t.Errorf("with IgnoreRemovals, a is usable: %v", l.IsUsable)
 			}
 			lines := ""
 			for i, l := range u.Changed {
@@ -64,31 +64,31 @@
 				lines += fmt.Sprint(l.ID, l.Condition)
 			}
 			var used []string
-			for _, id := range b.sortedIDs() {
-				if l, _ := b.Get(id); l.IsUsable {
+			for _, id := range v.sortedIDs() {
+				if l, _ := v.Get(id); l.IsUsable {
 					used = append(used, id)
 				}
 			}
-			if lines != c.lines || !slices.Equal(u.CloseIdle, c.idle) || !slices.Equal(used, c.used) {
-				t.Errorf("lines %q, idle %v, used %v", lines, u.CloseIdle, used)
+			if lines != c.changed || !slices.Equal(u.CloseIdle, c.idle) || !slices.Equal(used, c.used) {
+				t.Errorf("changed %q, close idle %v, usable %v", lines, u.CloseIdle, used)
 			}
 		})
 	}
 }
 
-// All ways of four words about three servers at two addresses: what is used was said to be up last, by a list that has not
-// been followed by a whole one without it, and no other has come new to its address since.
-func TestBookAllWays(t *testing.T) {
+// All sequences of four announcements about three servers at two addresses: a usable server was announced as up last, no
+// full list without it came since, and no new server came to its address since.
+func TestViewAllSequences(t *testing.T) {
 	type event struct {
-		word  Endpoint
-		whole bool
+		announced Endpoint
+		whole     bool
 	}
 	var events []event
 	for _, id := range []string{"a", "b", "c"} {
-		events = append(events, event{word(id, 1, incarnation.Up), false}, event{word(id, 2, incarnation.Up), false}, event{word(id, 0, incarnation.Draining), false},
-			event{word(id, 0, incarnation.Gone), false}, event{word(id, 1, incarnation.Up), true})
+		events = append(events, event{announced(id, 1, incarnation.Up), false}, event{announced(id, 2, incarnation.Up), false}, event{announced(id, 0, incarnation.Draining), false},
+			event{announced(id, 0, incarnation.Gone), false}, event{announced(id, 1, incarnation.Up), true})
 	}
-	type believed struct {
+	type modelRecord struct {
 		up   bool
 		port uint16
 		seen bool
@@ -103,58 +103,58 @@
 			return
 		}
 		played++
-		b, model := NewView(), map[string]*believed{}
+		v, model := NewView(), map[string]*modelRecord{}
 		for i, e := range path {
-			b.Apply(time.Duration(i), SourceRegistry, []Endpoint{e.word}, e.whole)
-			m := model[e.word.ID]
+			v.Apply(time.Duration(i), SourceRegistry, []Endpoint{e.announced}, e.whole)
+			m := model[e.announced.ID]
 			if e.whole {
 				for _, o := range model {
 					o.up = false
 				}
 			}
 			if m == nil {
-				m = &believed{}
-				model[e.word.ID] = m
+				m = &modelRecord{}
+				model[e.announced.ID] = m
 			}
-			if e.word.Condition == incarnation.Up && !m.seen {
+			if e.announced.Condition == incarnation.Up && !m.seen {
 				for _, o := range model {
-					if o != m && o.up && o.port == e.word.Address.Port() {
+					if o != m && o.up && o.port == e.announced.Address.Port() {
 						o.up = false
 					}
 				}
 			}
-			if m.up = e.word.Condition == incarnation.Up; e.word.Address.IsValid() {
-				m.port = e.word.Address.Port()
+			if m.up = e.announced.Condition == incarnation.Up; e.announced.Address.IsValid() {
+				m.port = e.announced.Address.Port()
 			}
-			m.seen = m.seen || e.word.Condition != incarnation.Gone
+			m.seen = m.seen || e.announced.Condition != incarnation.Gone
 			for id, m := range model {
-				if l, _ := b.Get(id); l.IsUsable != m.up || m.seen && l.Address.Port() != m.port {
+				if l, _ := v.Get(id); l.IsUsable != m.up || m.seen && l.Address.Port() != m.port {
 					t.Fatalf("after %v: %s is %+v, not %+v", path[:i+1], id, l, *m)
 				}
 			}
 		}
 	}
 	play(nil, 4)
-	t.Logf("%d ways", played)
+	t.Logf("%d sequences", played)
 }
 
-// What one change costs the book does not grow with the servers, nor with those that drain; a whole list costs each once.
-func TestBookCostsWhatItTouches(t *testing.T) {
+// The cost of one change grows neither with the servers nor with those that drain. A full list visits each once.
+func TestViewUpdateCost(t *testing.T) {
 	cost := func(servers int) (change, whole int) {
-		b := NewView()
-		list := words(0, servers)
-		b.Apply(0, SourceDiscovery, list, true)
+		v := NewView()
+		list := announcedUp(0, servers)
+		v.Apply(0, SourceDiscovery, list, true)
 		for i := range servers / 10 {
 			list[i].Condition = incarnation.Draining
 		}
-		from := b.recordVisits
-		b.Apply(0, SourceDiscovery, list, true)
-		whole, from = b.recordVisits-from, b.recordVisits
-		u := b.Apply(0, SourceDiscovery, words(servers, servers+1), false)
+		from := v.recordVisits
+		v.Apply(0, SourceDiscovery, list, true)
+		whole, from = v.recordVisits-from, v.recordVisits
+		u := v.Apply(0, SourceDiscovery, announcedUp(servers, servers+1), false)
 		if len(u.Changed) != 1 || len(u.CloseIdle) != 1 {
 			t.Errorf("%d lines, %d idle", len(u.Changed), len(u.CloseIdle))
 		}
-		return b.recordVisits - from, whole
+		return v.recordVisits - from, whole
 	}
 	few, _ := cost(1_000)
 	many, whole := cost(20_000)
@@ -163,19 +163,19 @@
 	}
 }
 
-// The index by address knows each server by the address that it was last told at, and only those that are known.
-func TestBookKnowsAddresses(t *testing.T) {
-	b := NewView()
+// The index by address holds each known server at the address that was announced last, and no other.
+func TestViewIndexByAddress(t *testing.T) {
+	v := NewView()
 	for i := range 3_000 {
 		id, port := fmt.Sprint(i*7%13), uint16(i*11%9)
-		b.Apply(time.Duration(i), SourceDiscovery, []Endpoint{word(id, port, incarnation.Condition(i*5%3))}, i%17 == 0)
+		v.Apply(time.Duration(i), SourceDiscovery, []Endpoint{announced(id, port, incarnation.Condition(i*5%3))}, i%17 == 0)
 		if i%5 == 0 {
-			b.Forget(fmt.Sprint(i % 13))
+			v.Forget(fmt.Sprint(i % 13))
 		}
 		seen := map[string]bool{}
-		for at, ids := range b.byAddress {
+		for at, ids := range v.byAddress {
 			for _, id := range ids {
-				if l := b.records[id]; l == nil || l.Address != at || seen[id] {
+				if l := v.records[id]; l == nil || l.Address != at || seen[id] {
 					t.Fatalf("step %d: %s is not at %s, or twice", i, id, at)
 				}
 				seen[id] = true
@@ -184,9 +184,9 @@
 				t.Fatalf("step %d: nothing is at %s", i, at)
 			}
 		}
-		for id, l := range b.records {
+		for id, l := range v.records {
 			if l.IsUsable && !seen[id] {
-				t.Fatalf("step %d: %s is used and not found by its address", i, id)
+				t.Fatalf("step %d: %s is usable and not found by its address", i, id)
 			}
 		}
 	}
--- a/internal/discovery/incarnation/table_test.go
+++ b/internal/discovery/incarnation/table_test.go
@@ -15,49 +15,49 @@
 		Revision: uint64(n(3, "revision")), Address: fmt.Sprint("127.0.0.1:", n(1, "port")+1)}
 }
 
-// In whatever order and however often entries are joined, the same comes out.
+// In whatever order and however often entries are joined, the result is the same.
 func TestJoinIsALattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := entry(t, "s"), entry(t, "s"), entry(t, "s")
 		if Join(a, b) != Join(b, a) || Join(a, Join(b, c)) != Join(Join(a, b), c) || Join(a, a) != a {
 			t.Fatalf("%+v %+v %+v", a, b, c)
 		}
-		told := []Entry{a, b, c}
+		announced := []Entry{a, b, c}
 		x, y := NewTable(), NewTable()
-		x.Join(0, told)
-		y.Join(0, append(slices.Clone(told), rapid.Permutation(told).Draw(t, "order")...))
+		x.Join(0, announced)
+		y.Join(0, append(slices.Clone(announced), rapid.Permutation(announced).Draw(t, "order")...))
 		if fmt.Sprint(x.All()) != fmt.Sprint(y.All()) {
 			t.Fatalf("%v, %v", x.All(), y.All())
 		}
 	})
 }
 
-// What discovery and others tell one after the other, and what holds.
-func TestTold(t *testing.T) {
-	type word struct {
+// Announcements by discovery and by peers, one after another, and the entry that results.
+func TestApplyDiscovery(t *testing.T) {
+	type announcement struct {
 		revision uint64
 		cond     Condition
 		up       int64
-		by       string // discovery, whole (a list without s) or peer
+		by       string // discovery (empty), whole (a full list without s) or peer
 	}
 	for name, c := range map[string]struct {
-		words []word
-		want  string
+		announcements []announcement
+		want          string
 	}{
-		"drains, and an old word":           {[]word{{5, Up, 0, ""}, {6, Draining, 0, ""}, {4, Up, 0, ""}}, "draining 0"},
-		"drains, and is called back":        {[]word{{5, Up, 0, ""}, {6, Draining, 0, ""}, {7, Up, 0, ""}}, "up 1"},
-		"called back, and drains again":     {[]word{{6, Draining, 0, ""}, {7, Up, 0, ""}, {8, Draining, 0, ""}}, "draining 1"},
-		"a stale peer after a drain":        {[]word{{6, Draining, 0, ""}, {9, Up, 0, "peer"}}, "draining 0"},
-		"a peer knows of the drain first":   {[]word{{5, Up, 0, ""}, {6, Draining, 0, "peer"}}, "draining 0"},
-		"gone, and started anew":            {[]word{{6, Gone, 0, ""}, {7, Up, 9, ""}}, "up 0"},
-		"a peer tells of the new start":     {[]word{{6, Gone, 0, ""}, {2, Up, 9, "peer"}}, "up 0"},
-		"an end without a start":            {[]word{{5, Up, 9, ""}, {6, Gone, 0, ""}}, "gone 0"},
-		"not in a whole list":               {[]word{{5, Up, 0, ""}, {6, Up, 0, "whole"}}, "gone 0"},
-		"not in a whole list that is older": {[]word{{5, Up, 0, ""}, {4, Up, 0, "whole"}}, "up 0"},
+		"drains, and an old announcement": {[]announcement{{5, Up, 0, ""}, {6, Draining, 0, ""}, {4, Up, 0, ""}}, "draining 0"},
+		"drains, and is reinstated":       {[]announcement{{5, Up, 0, ""}, {6, Draining, 0, ""}, {7, Up, 0, ""}}, "up 1"},
+		"reinstated, and drains again":    {[]announcement{{6, Draining, 0, ""}, {7, Up, 0, ""}, {8, Draining, 0, ""}}, "draining 1"},
+		"a stale peer after a drain":      {[]announcement{{6, Draining, 0, ""}, {9, Up, 0, "peer"}}, "draining 0"},
+		"a peer knows of the drain first": {[]announcement{{5, Up, 0, ""}, {6, Draining, 0, "peer"}}, "draining 0"},
+		"gone, and started anew":          {[]announcement{{6, Gone, 0, ""}, {7, Up, 9, ""}}, "up 0"},
+		"a peer tells of the new start":   {[]announcement{{6, Gone, 0, ""}, {2, Up, 9, "peer"}}, "up 0"},
+		"an end without a start":          {[]announcement{{5, Up, 9, ""}, {6, Gone, 0, ""}}, "gone 0"},
+		"left out of a full list":         {[]announcement{{5, Up, 0, ""}, {6, Up, 0, "whole"}}, "gone 0"},
+		"left out of an older full list":  {[]announcement{{5, Up, 0, ""}, {4, Up, 0, "whole"}}, "up 0"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := NewTable()
-			for _, w := range c.words {
+			for _, w := range c.announcements {
 				e := Entry{ID: "s", Condition: w.cond, StartedUnixMS: w.up, Revision: w.revision}
 				switch w.by {
 				case "peer":
@@ -76,7 +76,7 @@
 	}
 }
 
-// A peer that says endless ids fills no memory, and what has gone is forgotten in time.
+// A peer that sends endless IDs does not fill the memory, and tombstones expire.
 func TestBounds(t *testing.T) {
 	table := NewTable()
 	for i := range 2 * maxEntries {
@@ -90,8 +90,8 @@
 	}
 }
 
-// Planners read one discovery, late by any time each; they stall, return and start anew, and forwarders hear them in any
-// order. No forwarder takes a drain back before discovery itself has told a later life to some planner.
+// Planners read one discovery, each with any delay; they stall, return and restart, and forwarders hear them in any order.
+// No forwarder undoes a drain before discovery itself has announced a later incarnation.
 func TestStalePlannersUndoNoDrain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var history []Entry // of discovery, by revision
@@ -118,7 +118,7 @@
 			f := rapid.IntRange(0, len(forwarders)-1).Draw(t, "forwarder")
 			was, _ := forwarders[f].Get("s")
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
-			case 0: // discovery goes on
+			case 0: // discovery announces a change
 				switch last := history[len(history)-1]; {
 				case last.Condition == Up:
 					say(Draining, 0)
@@ -129,19 +129,19 @@
 				default:
 					say(Up, int64(len(history))) // a later start
 				}
-			case 1: // a planner reads on
+			case 1: // a planner reads the next change
 				if read[p] < len(history) {
 					planners[p].ApplyDiscovery(0, history[read[p]:read[p]+1], false)
 					read[p]++
 				}
-			case 2: // it starts anew, from a whole list that may lag
+			case 2: // it restarts, from a full list that may lag
 				planners[p], read[p] = NewTable(), rapid.IntRange(1, len(history)).Draw(t, "lag")
 				planners[p].ApplyDiscovery(0, history[read[p]-1:read[p]], true)
-			case 3, 4: // a forwarder hears it
+			case 3, 4: // a forwarder hears the planner
 				forwarders[f].Join(0, planners[p].All())
-			case 5: // and it the forwarder
+			case 5: // the planner hears the forwarder
 				planners[p].Join(0, forwarders[f].NewerThan(map[string]Entry{}, 9))
-			case 6: // the forwarder asks discovery itself
+			case 6: // the forwarder polls discovery itself
 				forwarders[f].ApplyDiscovery(0, history[len(history)-1:], false)
 			}
 			now, _ := forwarders[f].Get("s")
--- a/internal/discovery/snapshot/snapshot_test.go
+++ b/internal/discovery/snapshot/snapshot_test.go
@@ -19,7 +19,7 @@
 		Servers: []Server{{ID: "a", StartedUnixMS: n, Address: "127.0.0.1:1", Zone: "north", Weight: 1, AnnouncedUnixMS: n, ExecutedUnixMS: n}, {ID: "b", Condition: 1}}}
 }
 
-// What is written is read again; what is corrupt, of a newer version or not a list at all is told.
+// What was encoded is decoded again. Files that are corrupt, of a newer version or no snapshots are errors.
 func TestDecode(t *testing.T) {
 	good, err := Encode(of(7))
 	if err != nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// Whatever a file holds, reading it neither fails the program nor gives a list that was not written.
+// Decoding any bytes neither panics nor returns more than they hold.
 func FuzzDecode(f *testing.F) {
 	good, _ := Encode(of(7))
 	f.Add(good)
@@ -67,8 +67,8 @@
 	})
 }
 
-// The machine dies at each step of writing, or the disk fails there: what is read afterwards is the newest whole
-// generation, this one or the one before, and writing goes on.
+// The machine dies at each step of writing, or the disk fails there. The newest complete generation is then this one or the
+// one before, and writing goes on.
 func TestDeathAtEachStep(t *testing.T) {
 	chance := rand.New(rand.NewPCG(1, 2))
 	for _, trouble := range []memdisk.Trouble{memdisk.Dead, memdisk.Short, memdisk.Full, memdisk.Lying} {
@@ -92,7 +92,7 @@
 				return memdisk.None
 			}
 			last := int64(3)
-			for i := int64(4); i <= 6; i++ { // two whole writes are more than twelve steps
+			for i := int64(4); i <= 6; i++ { // two complete writes are more than twelve steps
 				if s.Write(of(i)) == nil {
 					last = i
 				} else if trouble == memdisk.Dead {
@@ -124,7 +124,7 @@
 	}
 }
 
-// A corrupt generation is passed over and named; one of a newer version ends the search.
+// A corrupt generation is skipped and reported; one of a newer version ends the search.
 func TestNewest(t *testing.T) {
 	dir := t.TempDir()
 	s, err := Open(dir, 3, wal.OSFileSystem{})
--- a/internal/discovery/staleness/evaluator_test.go
+++ b/internal/discovery/staleness/evaluator_test.go
@@ -16,8 +16,8 @@
 	return all
 }
 
-// How suspicious a list is, and how many of 40 servers it has tried at first.
-func TestGrades(t *testing.T) {
+// The staleness level of a list, and how many of its 40 servers are on trial at first.
+func TestLevels(t *testing.T) {
 	for name, c := range map[string]struct {
 		known  CachedList
 		grade  int
@@ -32,38 +32,38 @@
 		"a week":               {CachedList{7 * 24 * time.Hour, true}, 4, 2},
 		"a week, a crash":      {CachedList{7 * 24 * time.Hour, false}, 4, 2},
 		"clocks differ":        {CachedList{-time.Second, true}, 0, 40},
-		"from ahead":           {CachedList{-time.Hour, true}, 4, 2},
+		"from the future":      {CachedList{-time.Hour, true}, 4, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tr := New(c.known, "n", many(40))
 			if all, changed := tr.Usable(); tr.Level() != c.grade || len(all) != c.trials || !changed {
-				t.Errorf("grade %d, %d are tried", tr.Level(), len(all))
+				t.Errorf("level %d, %d on trial", tr.Level(), len(all))
 			}
 		})
 	}
 }
 
-// What happens at one server of a list of ten minutes, and how it stands then.
-func TestStandings(t *testing.T) {
-	const serve, turn, gone, other, wait = "serve", "turn", "gone", "other", "wait"
+// Events of one server of a list that is ten minutes old, and its status after them.
+func TestStatuses(t *testing.T) {
+	const serve, reject, connectFail, other, wait = "serve", "reject", "connect fail", "other", "wait"
 	for name, c := range map[string]struct {
 		up    bool
 		steps []string
 		want  Status
 	}{
-		"tried":                        {true, nil, OnTrial},
-		"told to drain before":         {false, nil, Excluded},
-		"and answers all the same":     {false, []string{serve, wait}, Excluded},
-		"serves":                       {true, []string{serve}, Proven},
-		"turns away":                   {true, []string{turn, turn}, OnTrial},
-		"serves, then turns away":      {true, []string{serve, turn}, Proven},
-		"nobody there":                 {true, []string{gone}, Suspected},
-		"and tried again":              {true, []string{gone, wait}, OnTrial},
-		"serves, one hop fails":        {true, []string{serve, gone}, Proven},
-		"serves, two fail":             {true, []string{serve, gone, gone}, Suspected},
-		"two, with an answer between":  {true, []string{serve, gone, serve, gone}, Proven},
-		"another is there":             {true, []string{other}, Excluded},
-		"served, and now another does": {true, []string{serve, other, wait, serve}, Excluded},
+		"tried":                          {true, nil, OnTrial},
+		"draining before":                {false, nil, Excluded},
+		"draining before, and responds":  {false, []string{serve, wait}, Excluded},
+		"serves":                         {true, []string{serve}, Proven},
+		"rejects":                        {true, []string{reject, reject}, OnTrial},
+		"serves, then rejects":           {true, []string{serve, reject}, Proven},
+		"connect fails":                  {true, []string{connectFail}, Suspected},
+		"connect fails, and tried again": {true, []string{connectFail, wait}, OnTrial},
+		"serves, one connect fails":      {true, []string{serve, connectFail}, Proven},
+		"serves, two connects fail":      {true, []string{serve, connectFail, connectFail}, Suspected},
+		"two connects fail, with a response between": {true, []string{serve, connectFail, serve, connectFail}, Proven},
+		"another server is there":                    {true, []string{other}, Excluded},
+		"served, and now another server is there":    {true, []string{serve, other, wait, serve}, Excluded},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tr, now := New(CachedList{10 * time.Minute, true}, "n", []Server{{ID: "a", IsUp: c.up}}), time.Duration(0)
@@ -71,9 +71,9 @@
 				switch s {
 				case serve:
 					tr.RequestExecuted(now, "a")
-				case turn:
+				case reject:
 					tr.RequestRejected(now, "a")
-				case gone:
+				case connectFail:
 					tr.ConnectFailed(now, "a")
 				case other:
 					tr.WrongServer(now, "a")
@@ -83,14 +83,14 @@
 				}
 			}
 			if got := tr.Status("a"); got != c.want {
-				t.Errorf("it stands %d, not %d", got, c.want)
+				t.Errorf("status %d, not %d", got, c.want)
 			}
 		})
 	}
 }
 
-// A tier that starts together on one list does not fall on the same servers first.
-func TestNodesBeginApart(t *testing.T) {
+// Nodes that start together on one list do not try the same servers first.
+func TestNodesTryDifferentServers(t *testing.T) {
 	first := map[string]int{}
 	for n := range 100 {
 		all, _ := New(CachedList{time.Hour, true}, fmt.Sprint("n", n), many(50)).Usable()
@@ -108,9 +108,9 @@
 	}
 }
 
-// Whatever happens: what was excluded is never used, nothing is proved that has not served since the start, no more are on
-// trial than have been won, and in the end of a fleet that serves all are proved.
-func TestTrustHolds(t *testing.T) {
+// Whatever happens, excluded servers are never usable, no server is proven that has not executed a request since the start,
+// no more are on trial than allowed, and once all servers serve, all are proven.
+func TestEvaluatorInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Server
 		for i := range rapid.IntRange(1, 12).Draw(t, "servers") {
@@ -119,7 +119,7 @@
 		age := time.Duration(rapid.Int64Range(-1e12, 1e15).Draw(t, "age"))
 		tr, now := New(CachedList{age, rapid.Bool().Draw(t, "clean")}, "n", all), time.Duration(0)
 		ran, excluded := map[string]bool{}, map[string]bool{}
-		most := tr.maxTrials // that were ever allowed
+		most := tr.maxTrials // the most that were allowed
 		for _, s := range all {
 			excluded[s.ID] = !s.IsUp
 		}
@@ -146,7 +146,7 @@
 			on := 0
 			for _, u := range usable {
 				if excluded[u.ID] || u.IsProven && !ran[u.ID] {
-					t.Fatalf("%s is used, barred %v, has run %v", u.ID, excluded[u.ID], ran[u.ID])
+					t.Fatalf("%s is usable, excluded %v, has executed %v", u.ID, excluded[u.ID], ran[u.ID])
 				}
 				if !u.IsProven {
 					on++
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -12,8 +12,8 @@
 	"fernvane/policy"
 )
 
-// What a silent watch has missed counts as told 6 s after it fell silent, and there is a grace of some hundred ms. By then
-// the silence must be noticed, the next call made (the module waits for up to 0.38 s) and answered.
+// What a silent watch has missed counts as announced 6 s after it fell silent, with a grace of some hundred ms. By then the
+// silence must be noticed, the next call made (the decision module waits for up to 0.38 s) and answered.
 func TestSilenceIsNoticedInTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		w    Watcher
@@ -31,10 +31,10 @@
 	}
 }
 
-// A change counts as told 6 s after discovery had it and could be reached, whatever failed before. Calls are refused for so
-// long that the module's pause has grown to its longest; the clock is that of a bubble, so the pause is exact. Then the
-// longest call without an answer, the longest pause and the time for the answer stay within the 6 s.
-func TestToldInTimeAfterFailures(t *testing.T) {
+// A change counts as announced 6 s after discovery had it and could be reached, whatever failed before. Calls are refused
+// until the decision module's pause has grown to its longest; the clock is that of a synctest bubble, so the pause is exact.
+// The longest call without an answer, the longest pause and the time for the answer stay within the 6 s.
+func TestChangesAnnouncedInTimeAfterFailures(t *testing.T) {
 	const (
 		toldAfter = 6 * time.Second
 		answerIn  = 700 * time.Millisecond
--- a/internal/discovery/zookeeper/herd_test.go
+++ b/internal/discovery/zookeeper/herd_test.go
@@ -14,8 +14,8 @@
 	standin "fernvane/internal/testbed/standin/zookeeper"
 )
 
-// TestHerd measures what 500 readers ask of an ensemble of three while 50 boxes come and go, ten times a second. It is
-// long, and runs by HERD=1 only.
+// TestHerd measures what 500 readers ask of an ensemble of three while 50 servers come and go, ten times a second. It is
+// long, and runs with HERD=1 only.
 func TestHerd(t *testing.T) {
 	if os.Getenv("HERD") == "" {
 		t.Skip("HERD=1 has it run")
@@ -39,16 +39,16 @@
 	cfg := &Config{Servers: at, Path: "/hire", SessionTimeout: tomlfile.Duration(6 * time.Second)}
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
-	var told atomic.Int64
+	var announced atomic.Int64
 	for range 500 {
 		conn, err := Dial(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
-		reader := NewReader(conn, cfg, func([]endpoints.RegistryEntry) { told.Add(1) }, func(error) {})
+		reader := NewReader(conn, cfg, func([]endpoints.RegistryEntry) { announced.Add(1) }, func(error) {})
 		all.Go(func() { reader.Run(ctx) })
 	}
-	for told.Load() < 500 {
+	for announced.Load() < 500 {
 		time.Sleep(10 * time.Millisecond)
 	}
 	began, calls := time.Now(), r.Calls()
@@ -61,7 +61,7 @@
 	took := time.Since(began).Seconds()
 	asked := float64(r.Calls()-calls) / took
 	t.Logf("%.0f calls a second by 500 readers at %.0f changes a second: %.1f each", asked, 200/took, asked/500)
-	if most := 500 * (1 / minReadInterval.Seconds()) * 2; asked > most { // a look at the children and an entry, at the pace of looks
+	if most := 500 * (1 / minReadInterval.Seconds()) * 2; asked > most { // the children and an entry are read, at the rate of readings
 		t.Errorf("more than %.0f", most)
 	}
 	cancel()
--- a/internal/discovery/zookeeper/reader_test.go
+++ b/internal/discovery/zookeeper/reader_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// What entries may say, and what is wrong with others.
+// The forms of an entry's data, and what is wrong with others.
 func TestParse(t *testing.T) {
 	for data, want := range map[string]string{
 		`127.0.0.1:80`:   "127.0.0.1:80",
@@ -49,7 +49,7 @@
 	}
 }
 
-// ensemble is a stand-in with two addresses and a reader at it.
+// ensemble is a stand-in registry with two addresses, and a Reader of it.
 type ensemble struct {
 	t       *testing.T
 	r       *standin.Registry
@@ -118,7 +118,7 @@
 
 func data(port int) []byte { return fmt.Appendf(nil, "127.0.0.1:%d", port) }
 
-// What befalls entries and the ensemble, and that the reader comes to hold what is there.
+// Events of entries and of the ensemble, and that the Reader holds what is there in the end.
 func TestReader(t *testing.T) {
 	t.Parallel()
 	e := begin(t, time.Second)
@@ -130,7 +130,7 @@
 	e.r.Own(time.Hour, map[string][]byte{"/services/hire/bad": []byte("nowhere")})
 	b.End()
 	e.until("a")
-	// Events on their way are lost with the connections; what changed meanwhile is seen all the same.
+	// Events in flight are lost with the connections; what changed meanwhile is seen all the same.
 	for _, s := range e.servers {
 		s.Set(0, 300*time.Millisecond, false)
 	}
@@ -159,7 +159,7 @@
 	}
 }
 
-// A box's session expires in its time, and late.
+// A server's session expires in time, and late.
 func TestExpiry(t *testing.T) {
 	t.Parallel()
 	e := begin(t, time.Second)
@@ -176,9 +176,9 @@
 	e.until()
 }
 
-// Sessions are lost again and again, by their connections and by expiry, beside an entry that cannot be read: the reader
-// goes on, and neither a watch nor one who waits for it is left over. LOSSES=10000 has so many lost, by readers beside
-// each other.
+// Sessions are lost again and again, by their connections and by expiry, beside an entry that cannot be parsed. The Reader
+// goes on, and neither a watch nor a goroutine that waits for it is left over. LOSSES=10000 loses so many, with parallel
+// Readers.
 func TestSessionLosses(t *testing.T) {
 	losses, readers := 16, 1
 	if all, err := strconv.Atoi(os.Getenv("LOSSES")); err == nil {
@@ -214,7 +214,7 @@
 		})
 	}
 	all.Wait()
-	const stand = 3 // the children, .keep and bad
+	const stand = 3 // those of the children, .keep and bad
 	waiting, watches := 0, 0
 	for by := time.Now().Add(20 * time.Second); time.Now().Before(by); time.Sleep(20 * time.Millisecond) {
 		buf := make([]byte, 8<<20)
@@ -230,7 +230,7 @@
 	t.Errorf("%d wait for %d watches, of %d readers", waiting, watches, readers)
 }
 
-// comes is until, from any goroutine.
+// comes is until, for any goroutine.
 func (e *ensemble) comes(want ...string) bool {
 	for by := time.Now().Add(20 * time.Second); time.Now().Before(by); time.Sleep(5 * time.Millisecond) {
 		e.mu.Lock()
--- a/internal/proxy/shadow/module_test.go
+++ b/internal/proxy/shadow/module_test.go
@@ -19,7 +19,7 @@
 		{Idempotency: policy.NonIdempotent, LatencyObjective: 400 * ms, ClientTimeout: 2 * time.Second, PriorityWeight: 1}}}
 }
 
-// day plays one with slow answers, errors and silence to a module, at a pace that all is compared.
+// day plays requests with slow responses, errors and timeouts to a module, slowly enough that all decisions are compared.
 func day(m interface {
 	Handle(time.Duration, *policy.Input, []policy.Effect) []policy.Effect
 }) (all []policy.Effect) {
@@ -43,29 +43,29 @@
 	return all
 }
 
-func TestCountsByKind(t *testing.T) {
+func TestCountsByDifference(t *testing.T) {
 	alone := day(policy.New(own(), 7))
 	for name, c := range map[string]struct {
 		change func(*policy.Settings)
-		want   []Difference // all that must be counted; none: nothing may be
+		want   []Difference // all must be counted; if there are none, nothing may be
 		never  []Difference
 	}{
-		"the same settings":         {func(*policy.Settings) {}, nil, nil},
-		"late answers earn":         {func(s *policy.Settings) { s.TrafficTypes[1].LateWeightShare = 0.5 }, []Difference{TimeoutDiffers}, []Difference{ServerDiffers, WouldReject, WouldFail}},
-		"keys are remembered":       {func(s *policy.Settings) { s.ServersCacheKeys = true }, []Difference{ServerDiffers}, []Difference{WouldFail, RetryAfterDiffers}},
-		"clients told nothing":      {func(s *policy.Settings) { s.MaxRetryAfter = 0 }, []Difference{RetryAfterDiffers}, []Difference{ServerDiffers, WouldFail}},
-		"one hop only":              {func(s *policy.Settings) { s.MaxAttempts = 1 }, []Difference{WouldReject}, []Difference{WouldRetry}},
-		"what may rerun is binding": {func(s *policy.Settings) { s.TrafficTypes[0].Idempotency = policy.NonIdempotent }, []Difference{WouldFail}, []Difference{WouldRetry}},
-		"what is binding may rerun": {func(s *policy.Settings) { s.TrafficTypes[1].Idempotency = policy.Idempotent }, []Difference{WouldRetry}, []Difference{WouldFail}},
+		"the same settings":                      {func(*policy.Settings) {}, nil, nil},
+		"late answers count":                     {func(s *policy.Settings) { s.TrafficTypes[1].LateWeightShare = 0.5 }, []Difference{TimeoutDiffers}, []Difference{ServerDiffers, WouldReject, WouldFail}},
+		"servers cache keys":                     {func(s *policy.Settings) { s.ServersCacheKeys = true }, []Difference{ServerDiffers}, []Difference{WouldFail, RetryAfterDiffers}},
+		"no Retry-After":                         {func(s *policy.Settings) { s.MaxRetryAfter = 0 }, []Difference{RetryAfterDiffers}, []Difference{ServerDiffers, WouldFail}},
+		"one attempt only":                       {func(s *policy.Settings) { s.MaxAttempts = 1 }, []Difference{WouldReject}, []Difference{WouldRetry}},
+		"idempotent type becomes non-idempotent": {func(s *policy.Settings) { s.TrafficTypes[0].Idempotency = policy.NonIdempotent }, []Difference{WouldFail}, []Difference{WouldRetry}},
+		"non-idempotent type becomes idempotent": {func(s *policy.Settings) { s.TrafficTypes[1].Idempotency = policy.Idempotent }, []Difference{WouldRetry}, []Difference{WouldFail}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			watched := own()
-			c.change(&watched)
-			watch := NewCandidate(&settings.Settings{Settings: watched})
-			if got := day(NewModule(policy.New(own(), 7), watch)); !reflect.DeepEqual(got, alone) {
-				t.Error("decided otherwise for being watched")
+			candidate := own()
+			c.change(&candidate)
+			evaluated := NewCandidate(&settings.Settings{Settings: candidate})
+			if got := day(NewModule(policy.New(own(), 7), evaluated)); !reflect.DeepEqual(got, alone) {
+				t.Error("decisions differ because of the evaluation")
 			}
-			seen := watch.TakeCounts()
+			seen := evaluated.TakeCounts()
 			if seen.Compared < 1000 || seen.HasFailed {
 				t.Errorf("%d compared", seen.Compared)
 			}
@@ -74,42 +74,42 @@
 					t.Errorf("%s: %d", k, n)
 				}
 			})
-			if again := watch.TakeCounts(); again != (Counts{}) {
+			if again := evaluated.TakeCounts(); again != (Counts{}) {
 				t.Errorf("counted twice: %+v", again)
 			}
 		})
 	}
 }
 
-// No more is compared than may be, however much is decided, and settings that the module cannot bear end the watching only.
-func TestBounds(t *testing.T) {
+// No more decisions are compared than allowed, and settings that the decision module cannot use end the evaluation only.
+func TestComparisonsAreLimited(t *testing.T) {
 	for name, c := range map[string]struct {
 		shares []float64
 		most   int
 		failed bool
-	}{"at one moment": {[]float64{1}, maxComparisonsPerSecond, false}, "of no use": {nil, 0, true}} {
+	}{"at one moment": {[]float64{1}, maxComparisonsPerSecond, false}, "unusable settings": {nil, 0, true}} {
 		t.Run(name, func(t *testing.T) {
-			s, watch := own(), new(Candidate)
+			s, evaluated := own(), new(Candidate)
 			s.TenantQuotas = []float64{1}
-			w := NewModule(policy.New(s, 7), watch)
+			w := NewModule(policy.New(s, 7), evaluated)
 			s.TenantQuotas = c.shares
-			watch.SetSettings(&settings.Settings{Settings: s})
+			evaluated.SetSettings(&settings.Settings{Settings: s})
 			for i := range 10 * maxComparisonsPerSecond {
 				w.Handle(0, &policy.Input{Kind: policy.RequestArrived, Request: i, Timeout: time.Second}, nil)
 			}
-			if seen := watch.TakeCounts(); seen.Compared > c.most || seen.HasFailed != c.failed {
+			if seen := evaluated.TakeCounts(); seen.Compared > c.most || seen.HasFailed != c.failed {
 				t.Errorf("%d compared, failed %v", seen.Compared, seen.HasFailed)
 			}
 		})
 	}
 }
 
-// Comparisons grow rare as servers grow many, and do not end.
-func TestManyServersAreComparedSeldom(t *testing.T) {
+// With more servers fewer decisions are compared, but still some.
+func TestComparisonsWithManyServers(t *testing.T) {
 	for _, c := range []struct{ servers, least, most int }{{1_000, 200, 300}, {20_000, 10, 15}, {200_000, 1, 1}} {
 		t.Run(fmt.Sprint(c.servers), func(t *testing.T) {
-			watch := NewCandidate(&settings.Settings{Settings: own()})
-			w := NewModule(policy.New(own(), 7), watch)
+			evaluated := NewCandidate(&settings.Settings{Settings: own()})
+			w := NewModule(policy.New(own(), 7), evaluated)
 			list := make([]policy.Endpoint, c.servers)
 			for i := range list {
 				list[i] = policy.Endpoint{Server: i, Rank: uint32(i), Weight: 1}
@@ -118,7 +118,7 @@
 			for i := range 1_000 { // over two seconds
 				w.Handle(time.Duration(i)*2*time.Millisecond, &policy.Input{Kind: policy.RequestArrived, Request: i, Timeout: time.Second}, nil)
 			}
-			if got := watch.TakeCounts().Compared; got < c.least || got > c.most {
+			if got := evaluated.TakeCounts().Compared; got < c.least || got > c.most {
 				t.Errorf("%d compared in two seconds", got)
 			}
 		})
