--- a/internal/protocol/fastcgi/back.go
+++ b/internal/protocol/fastcgi/back.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	backID     = 1                    // of the one request that is out on a connection
-	keptBuffer = 8 << 10              // bytes that a connection may hold on to
-	abortMost  = 5 * time.Millisecond // for a record of eight bytes to be written
-	mostStderr = 64 << 10             // bytes of one request's that are read; a responder that goes on is garbled
+	requestID           = 1                    // of the one request that is out on a connection
+	retainedBufferBytes = 8 << 10              // bytes that a connection may hold on to
+	abortTimeout        = 5 * time.Millisecond // for a record of eight bytes to be written
+	maxStderrBytes      = 64 << 10             // bytes of one request's that are read; a responder that goes on is garbled
 )
 
 // ServerConn is a connection to a responder. It carries one request at a time.
@@ -23,15 +23,15 @@
 	net.Conn
 	records  reader
 	out      []byte
-	again    bool
-	pool     *message.BufferBudget
+	reusable bool
+	budget   *message.BufferBudget
 	borrowed int
 	stderr   func(text []byte)
 }
 
 // NewServerConn wraps a connection that nothing was read from. What responders write to STDERR is told to stderr.
 func NewServerConn(c net.Conn, p *message.BufferBudget, stderr func(text []byte)) *ServerConn {
-	return &ServerConn{Conn: c, records: newReader(c), pool: p, stderr: stderr}
+	return &ServerConn{Conn: c, records: newReader(c), budget: p, stderr: stderr}
 }
 
 // IsIdle tells that an idle connection is open and that nothing has come on it.
@@ -44,27 +44,27 @@
 func (b *ServerConn) HasMore() bool { return b.records.r.Buffered() > 0 || b.HasUnread() }
 
 // IsReusable tells whether another request may be asked: only behind a whole END_REQUEST.
-func (b *ServerConn) IsReusable(*message.Response) bool { return b.again }
+func (b *ServerConn) IsReusable(*message.Response) bool { return b.reusable }
 
 // ReleaseBuffers gives back memory that a large answer took.
 func (b *ServerConn) ReleaseBuffers() {
-	if cap(b.out) > keptBuffer {
+	if cap(b.out) > retainedBufferBytes {
 		b.out = nil
 	}
-	if cap(b.records.content) > keptBuffer {
+	if cap(b.records.content) > retainedBufferBytes {
 		b.records.content = nil
 	}
-	b.pool.Release(b.borrowed)
+	b.budget.Release(b.borrowed)
 	b.borrowed = 0
 }
 
 // SendRequest writes a request whole, and tells whether its last byte, that of the empty STDIN record, was written.
 func (b *ServerConn) SendRequest(r *message.Request, left time.Duration, from string) (whole bool, err error) {
-	b.again = false
+	b.reusable = false
 	time := strconv.FormatFloat(float64(max(left.Milliseconds(), 1))/1000, 'f', 3, 64)
-	buf := appendBegin(b.out[:0], backID, flagKeep)
-	buf = appendStream(buf, typeParams, backID, appendParams(nil, r, time, from))
-	buf = appendStream(buf, typeStdin, backID, r.Body)
+	buf := appendBegin(b.out[:0], requestID, flagKeep)
+	buf = appendStream(buf, typeParams, requestID, appendParams(nil, r, time, from))
+	buf = appendStream(buf, typeStdin, requestID, r.Body)
 	n, err := b.Write(buf)
 	b.out = buf[:0]
 	return n == len(buf), err
@@ -72,8 +72,8 @@
 
 // Abort asks the responder to give the request up. What comes of it is not waited for.
 func (b *ServerConn) Abort() {
-	b.SetWriteDeadline(time.Now().Add(abortMost))
-	b.Write(appendRecord(nil, typeAbort, backID, nil))
+	b.SetWriteDeadline(time.Now().Add(abortTimeout))
+	b.Write(appendRecord(nil, typeAbort, requestID, nil))
 }
 
 // ReceiveResponse reads the whole answer. A responder that says in END_REQUEST that it did not take the request is answered for
@@ -92,16 +92,16 @@
 			return err
 		case rec.kind == typeValues, rec.kind == typeUnknown:
 			continue // of the connection, and asked for by nobody; the hop's time bounds how many come
-		case rec.id != backID:
+		case rec.id != requestID:
 			return message.ErrMalformedResponse
 		}
 		switch rec.kind {
 		case typeStdout:
-			if err := b.keep(rec.content); err != nil {
+			if err := b.appendOutput(rec.content); err != nil {
 				return err
 			}
 		case typeStderr:
-			if logged += len(rec.content); logged > mostStderr {
+			if logged += len(rec.content); logged > maxStderrBytes {
 				return message.ErrMalformedResponse
 			}
 			if b.stderr != nil && len(rec.content) > 0 {
@@ -111,19 +111,19 @@
 			if len(rec.content) != 8 {
 				return message.ErrMalformedResponse
 			}
-			return b.end(r, binary.BigEndian.Uint32(rec.content), rec.content[4])
+			return b.finishResponse(r, binary.BigEndian.Uint32(rec.content), rec.content[4])
 		default:
 			return message.ErrMalformedResponse
 		}
 	}
 }
 
-func (b *ServerConn) keep(content []byte) error {
+func (b *ServerConn) appendOutput(content []byte) error {
 	if len(b.out)+len(content) > message.MaxHead+message.MaxAnswer {
 		return message.ErrMalformedResponse
 	}
-	if more := len(b.out) + len(content) - keptBuffer - b.borrowed; more > 0 {
-		if !b.pool.Reserve(more) {
+	if more := len(b.out) + len(content) - retainedBufferBytes - b.borrowed; more > 0 {
+		if !b.budget.Reserve(more) {
 			return message.ErrMalformedResponse // no memory for it now; it may have run all the same
 		}
 		b.borrowed += more
@@ -132,13 +132,13 @@
 	return nil
 }
 
-func (b *ServerConn) end(r *message.Response, app uint32, status byte) error {
+func (b *ServerConn) finishResponse(r *message.Response, app uint32, status byte) error {
 	switch status {
 	case statusComplete:
 		if err := response(b.out, r); err != nil {
 			return err
 		}
-		if b.again = true; app != 0 && r.Status == 200 {
+		if b.reusable = true; app != 0 && r.Status == 200 {
 			r.Status = 500 // the responder failed behind what it had written
 		}
 		return nil
@@ -146,7 +146,7 @@
 		if len(b.out) > 0 { // it has begun all the same
 			return message.ErrMalformedResponse
 		}
-		b.again = true
+		b.reusable = true
 		*r = message.Response{Status: 503, Fields: append(r.Fields[:0], message.Field{Name: []byte(message.NotStarted), Value: []byte("1")})}
 		return nil
 	}
--- a/internal/protocol/fastcgi/fastcgi_test.go
+++ b/internal/protocol/fastcgi/fastcgi_test.go
@@ -128,7 +128,7 @@
 		"in many records":              {end(append(out("Status: 2"), out("00\r\n\r\nhello")...), 0, 0), 200, "hello", nil, false, true},
 		"padding of 255":               {end(padded(out("Status: 200\r\n\r\nhello")), 0, 0), 200, "hello!", nil, false, true},
 		"STDERR between":               {end(append(appendStream(nil, typeStderr, 1, []byte("oh")), out("Status: 200\r\n\r\nx")...), 0, 0), 200, "x", nil, false, true},
-		"endless STDERR":               {appendStream(nil, typeStderr, 1, make([]byte, mostStderr+1)), 0, "", message.ErrMalformedResponse, false, false},
+		"endless STDERR":               {appendStream(nil, typeStderr, 1, make([]byte, maxStderrBytes+1)), 0, "", message.ErrMalformedResponse, false, false},
 		"shorter than it says":         {end(out("Content-Length: 9\r\n\r\nhello"), 0, 0), 0, "", message.ErrMalformedResponse, false, false},
 		"longer than it says":          {end(out("Content-Length: 2\r\n\r\nhello"), 0, 0), 0, "", message.ErrMalformedResponse, false, false},
 		"END before the head is whole": {end(out("Status: 200\r\n"), 0, 0), 0, "", message.ErrMalformedResponse, false, false},
@@ -249,7 +249,7 @@
 				} else {
 					calls = append(calls, fmt.Sprint(call.ID, ":", string(call.Request.Body)))
 				}
-				f.done(call)
+				f.forget(call)
 			}
 			var told []string
 			for r := newReader(&conn.out); ; {
--- a/internal/protocol/fastcgi/front.go
+++ b/internal/protocol/fastcgi/front.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	mostCalls = 100 // requests open on one connection; more are told that the node is overloaded
-	mostPairs = 1 << 10
+	maxRequests    = 100 // requests open on one connection; more are told that the node is overloaded
+	maxValuesBytes = 1 << 10
 )
 
 // ErrPeer is a client that does not keep to the protocol. Nothing more can be read from its connection.
@@ -38,14 +38,14 @@
 // ClientConn is a client's connection, which many requests may share.
 type ClientConn struct {
 	net.Conn
-	records reader
-	pool    *message.BufferBudget
-	keeper  Handler
-	got     int // bytes read, and those of whole records
-	used    int
+	records     reader
+	budget      *message.BufferBudget
+	handler     Handler
+	bytesRead   int // bytes read, and those of whole records
+	bytesParsed int
 
-	mu    sync.Mutex
-	calls map[uint16]*Request
+	mu   sync.Mutex
+	open map[uint16]*Request
 
 	writing sync.Mutex
 }
@@ -57,23 +57,23 @@
 	Bad     *message.RequestError // why it cannot be taken; nil for a good one
 	Came    time.Time             // its first record
 
-	left     chan struct{}
-	gone     bool
-	whole    bool
-	over     bool // answered, or as good as
-	headed   bool // its params are whole
-	params   []byte
-	body     []byte
-	borrowed int
-	large    *message.RequestError // it is read to its end, and kept no more
+	disconnected   chan struct{}
+	isDisconnected bool
+	isComplete     bool
+	isForgotten    bool // answered, or as good as
+	hasParams      bool // its params are whole
+	params         []byte
+	body           []byte
+	borrowed       int
+	tooLarge       *message.RequestError // it is read to its end, and kept no more
 }
 
 // Disconnected is closed when the client has aborted the request, or its connection has ended.
-func (c *Request) Disconnected() <-chan struct{} { return c.left }
+func (c *Request) Disconnected() <-chan struct{} { return c.disconnected }
 
 // NewClientConn wraps a connection that nothing was read from.
 func NewClientConn(c net.Conn, p *message.BufferBudget) *ClientConn {
-	f := &ClientConn{Conn: c, pool: p, calls: map[uint16]*Request{}}
+	f := &ClientConn{Conn: c, budget: p, open: map[uint16]*Request{}}
 	f.records = newReader(source{f})
 	return f
 }
@@ -82,13 +82,13 @@
 type source struct{ f *ClientConn }
 
 func (s source) Read(b []byte) (n int, err error) {
-	if s.f.keeper != nil {
-		if err := s.f.keeper.Wait(s.f.got > s.f.used); err != nil {
+	if s.f.handler != nil {
+		if err := s.f.handler.Wait(s.f.bytesRead > s.f.bytesParsed); err != nil {
 			return 0, err
 		}
 	}
 	n, err = s.f.Conn.Read(b)
-	s.f.got += n
+	s.f.bytesRead += n
 	return n, err
 }
 
@@ -111,8 +111,8 @@
 func (f *ClientConn) Oldest() (oldest time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, c := range f.calls {
-		if !c.whole && (oldest.IsZero() || c.Came.Before(oldest)) {
+	for _, c := range f.open {
+		if !c.isComplete && (oldest.IsZero() || c.Came.Before(oldest)) {
 			oldest = c.Came
 		}
 	}
@@ -122,7 +122,7 @@
 // Next returns the next whole request. What else comes is dealt with: questions, requests that are not taken, aborts.
 // A nil keeper takes all.
 func (f *ClientConn) Next(k Handler) (*Request, error) {
-	f.keeper = k
+	f.handler = k
 	for {
 		rec, err := f.records.next()
 		if err != nil {
@@ -131,20 +131,20 @@
 			}
 			return nil, err
 		}
-		f.used = f.got - f.records.r.Buffered()
-		call, err := f.take(rec)
+		f.bytesParsed = f.bytesRead - f.records.r.Buffered()
+		call, err := f.handleRecord(rec)
 		if call != nil || err != nil {
 			return call, err
 		}
 	}
 }
 
-func (f *ClientConn) take(rec record) (whole *Request, err error) {
+func (f *ClientConn) handleRecord(rec record) (whole *Request, err error) {
 	if rec.id == 0 {
-		return nil, f.manage(rec)
+		return nil, f.handleManagement(rec)
 	}
 	f.mu.Lock()
-	c, n := f.calls[rec.id], len(f.calls)
+	c, n := f.open[rec.id], len(f.open)
 	f.mu.Unlock()
 	switch rec.kind {
 	case typeBegin:
@@ -153,64 +153,64 @@
 			return nil, ErrPeer // an id that is open: nobody could tell whose the answer is
 		case rec.content[0] != 0 || rec.content[1] != responder:
 			return nil, f.write(appendEnd(nil, rec.id, 0, statusUnknownRole))
-		case n >= mostCalls:
-			return nil, f.refuse(rec.id)
+		case n >= maxRequests:
+			return nil, f.writeRejection(rec.id)
 		}
-		if f.keeper != nil {
-			switch f.keeper.Begun(rec.content[2]&flagKeep == 0) {
+		if f.handler != nil {
+			switch f.handler.Begun(rec.content[2]&flagKeep == 0) {
 			case connclose.Admit:
 			case connclose.Reject:
-				err := f.refuse(rec.id)
-				f.keeper.Refused()
+				err := f.writeRejection(rec.id)
+				f.handler.Refused()
 				return nil, err
 			default:
 				return nil, nil
 			}
 		}
-		c = &Request{ID: rec.id, Came: time.Now(), left: make(chan struct{})}
+		c = &Request{ID: rec.id, Came: time.Now(), disconnected: make(chan struct{})}
 		f.mu.Lock()
-		f.calls[rec.id] = c
+		f.open[rec.id] = c
 		f.mu.Unlock()
 		return nil, nil
 	case typeAbort:
 		if c == nil {
 			return nil, nil
 		}
-		if !c.whole {
+		if !c.isComplete {
 			err := f.End(c)
-			if f.keeper != nil {
-				f.keeper.Failed()
+			if f.handler != nil {
+				f.handler.Failed()
 			}
 			return nil, err
 		}
-		f.leave(c)
+		f.markDisconnected(c)
 		return nil, nil
 	case typeParams, typeStdin, typeData:
-		if c == nil || c.whole {
+		if c == nil || c.isComplete {
 			return nil, nil // of a request that has ended
 		}
-		return f.stream(c, rec)
+		return f.addToStream(c, rec)
 	}
 	return nil, f.write(appendRecord(nil, typeUnknown, 0, []byte{rec.kind, 0, 0, 0, 0, 0, 0, 0}))
 }
 
 // stream takes a part of a request; the one that ends its STDIN makes it whole.
-func (f *ClientConn) stream(c *Request, rec record) (*Request, error) {
+func (f *ClientConn) addToStream(c *Request, rec record) (*Request, error) {
 	switch {
 	case rec.kind == typeData: // of another role
-	case rec.kind == typeParams && c.headed, rec.kind == typeStdin && !c.headed:
+	case rec.kind == typeParams && c.hasParams, rec.kind == typeStdin && !c.hasParams:
 		return nil, ErrPeer
 	case rec.kind == typeParams && len(rec.content) == 0:
-		c.headed = true
+		c.hasParams = true
 	case rec.kind == typeParams:
-		c.large = f.add(c, &c.params, rec.content, message.MaxHead, 431, "the params are too large")
+		c.tooLarge = f.appendBounded(c, &c.params, rec.content, message.MaxHead, 431, "the params are too large")
 	case len(rec.content) > 0:
-		c.large = f.add(c, &c.body, rec.content, message.MaxBody, 413, "the body is too large")
+		c.tooLarge = f.appendBounded(c, &c.body, rec.content, message.MaxBody, 413, "the body is too large")
 	default:
 		f.mu.Lock()
-		c.whole = true
+		c.isComplete = true
 		f.mu.Unlock()
-		if c.Bad = c.large; c.Bad == nil {
+		if c.Bad = c.tooLarge; c.Bad == nil {
 			var err error
 			if c.Request, err = request(c.params, c.body); err != nil {
 				errors.As(err, &c.Bad)
@@ -222,15 +222,15 @@
 }
 
 // add keeps a part of a stream, as long as it is not too large.
-func (f *ClientConn) add(c *Request, to *[]byte, content []byte, most, status int, why string) *message.RequestError {
+func (f *ClientConn) appendBounded(c *Request, to *[]byte, content []byte, most, status int, why string) *message.RequestError {
 	switch {
-	case c.large != nil:
-		return c.large
+	case c.tooLarge != nil:
+		return c.tooLarge
 	case len(*to)+len(content) > most:
-		f.free(c)
+		f.releaseBuffers(c)
 		return message.NewRequestError(status, why)
-	case !f.pool.Reserve(len(content)):
-		f.free(c)
+	case !f.budget.Reserve(len(content)):
+		f.releaseBuffers(c)
 		return message.NewRequestError(503, "no memory for so large a message now")
 	}
 	c.borrowed += len(content)
@@ -238,17 +238,17 @@
 	return nil
 }
 
-func (f *ClientConn) free(c *Request) {
-	f.pool.Release(c.borrowed)
+func (f *ClientConn) releaseBuffers(c *Request) {
+	f.budget.Release(c.borrowed)
 	c.params, c.body, c.borrowed = nil, nil, 0
 }
 
 // manage answers records of the connection itself.
-func (f *ClientConn) manage(rec record) error {
+func (f *ClientConn) handleManagement(rec record) error {
 	if rec.kind != typeGetValues {
 		return f.write(appendRecord(nil, typeUnknown, 0, []byte{rec.kind, 0, 0, 0, 0, 0, 0, 0}))
 	}
-	if len(rec.content) > mostPairs {
+	if len(rec.content) > maxValuesBytes {
 		return ErrPeer
 	}
 	pairs, err := parsePairs(rec.content, nil)
@@ -259,7 +259,7 @@
 	for _, p := range pairs {
 		switch string(p.name) {
 		case "FCGI_MAX_CONNS", "FCGI_MAX_REQS":
-			values = appendPair(values, string(p.name), strconv.Itoa(mostCalls))
+			values = appendPair(values, string(p.name), strconv.Itoa(maxRequests))
 		case "FCGI_MPXS_CONNS":
 			values = appendPair(values, string(p.name), "1")
 		}
@@ -267,30 +267,30 @@
 	return f.write(appendRecord(nil, typeValues, 0, values))
 }
 
-func (f *ClientConn) leave(c *Request) {
+func (f *ClientConn) markDisconnected(c *Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !c.gone {
-		c.gone = true
-		close(c.left)
+	if !c.isDisconnected {
+		c.isDisconnected = true
+		close(c.disconnected)
 	}
 }
 
 // Hangup tells all that wait for an answer that their client has gone, and forgets what had not come whole.
 func (f *ClientConn) Hangup() {
-	for _, c := range f.all(nil) {
-		if f.leave(c); !c.whole {
-			f.done(c)
+	for _, c := range f.openRequests(nil) {
+		if f.markDisconnected(c); !c.isComplete {
+			f.forget(c)
 		}
 	}
 }
 
 // all are the calls that are open, but for some.
-func (f *ClientConn) all(but func(*Request) bool) []*Request {
+func (f *ClientConn) openRequests(but func(*Request) bool) []*Request {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	calls := make([]*Request, 0, len(f.calls))
-	for _, c := range f.calls {
+	calls := make([]*Request, 0, len(f.open))
+	for _, c := range f.open {
 		if but == nil || !but(c) {
 			calls = append(calls, c)
 		}
@@ -301,7 +301,7 @@
 // RefuseComing tells all requests that have not come whole that they never ran. Only the reader may call it.
 func (f *ClientConn) RefuseComing() error {
 	var errs error
-	for _, c := range f.all(func(c *Request) bool { return c.whole }) {
+	for _, c := range f.openRequests(func(c *Request) bool { return c.isComplete }) {
 		errs = errors.Join(errs, f.Refuse(c))
 	}
 	return errs
@@ -309,23 +309,23 @@
 
 // Refuse tells a request that it never ran.
 func (f *ClientConn) Refuse(c *Request) error {
-	f.done(c)
-	return f.refuse(c.ID)
+	f.forget(c)
+	return f.writeRejection(c.ID)
 }
 
-func (f *ClientConn) refuse(id uint16) error {
+func (f *ClientConn) writeRejection(id uint16) error {
 	return f.write(appendEnd(nil, id, 0, statusOverloaded))
 }
 
 // done forgets a call. Its id is free from then on, so that is before its end is written: behind that its client may use
 // it again at once.
-func (f *ClientConn) done(c *Request) {
-	f.free(c)
+func (f *ClientConn) forget(c *Request) {
+	f.releaseBuffers(c)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !c.over {
-		c.over = true
-		delete(f.calls, c.ID)
+	if !c.isForgotten {
+		c.isForgotten = true
+		delete(f.open, c.ID)
 	}
 }
 
@@ -351,18 +351,18 @@
 // Answer writes what Append has put together, whole, and ends the call. What a client aborted gets its END alone.
 func (f *ClientConn) Answer(c *Request, answer []byte) error {
 	f.mu.Lock()
-	aborted := c.gone
+	aborted := c.isDisconnected
 	f.mu.Unlock()
 	if aborted {
 		return f.End(c)
 	}
-	f.done(c)
+	f.forget(c)
 	return f.write(answer)
 }
 
 // End ends a call that its client has aborted.
 func (f *ClientConn) End(c *Request) error {
-	f.done(c)
+	f.forget(c)
 	return f.write(appendEnd(nil, c.ID, 0, statusComplete))
 }
 
@@ -370,7 +370,7 @@
 func (f *ClientConn) write(b []byte) error {
 	f.writing.Lock()
 	defer f.writing.Unlock()
-	f.SetWriteDeadline(time.Now().Add(writeMost))
+	f.SetWriteDeadline(time.Now().Add(writeTimeout))
 	n, err := f.Write(b)
 	if n < len(b) {
 		f.Close() // what is half written leaves the others' answers unreadable
@@ -379,4 +379,4 @@
 	return nil
 }
 
-const writeMost = 2 * time.Second // for a client to take what is written
+const writeTimeout = 2 * time.Second // for a client to take what is written
--- a/internal/protocol/fastcgi/params.go
+++ b/internal/protocol/fastcgi/params.go
@@ -65,7 +65,7 @@
 }
 
 // reading is a request while its params are taken in.
-type reading struct {
+type paramReader struct {
 	request *message.Request
 	script  []byte
 	info    []byte
@@ -80,7 +80,7 @@
 		return nil, message.NewRequestError(400, "the params cannot be read")
 	}
 	r := &message.Request{Method: []byte("GET"), Body: body}
-	in := reading{request: r, length: -1}
+	in := paramReader{request: r, length: -1}
 	for _, p := range pairs {
 		if !message.IsText(p.value) {
 			return nil, message.NewRequestError(400, "a param cannot be read")
@@ -108,7 +108,7 @@
 }
 
 // take takes in a param.
-func (in *reading) take(name string, value []byte) error {
+func (in *paramReader) take(name string, value []byte) error {
 	r := in.request
 	switch name {
 	case paramMethod:
@@ -145,7 +145,7 @@
 }
 
 // takeLength takes in what is said of the body's length, which must be the same wherever it is said.
-func (in *reading) takeLength(value []byte) error {
+func (in *paramReader) takeLength(value []byte) error {
 	if len(value) == 0 {
 		return nil
 	}
--- a/internal/protocol/fastcgi/record.go
+++ b/internal/protocol/fastcgi/record.go
@@ -26,13 +26,13 @@
 )
 
 const (
-	version    = 1
-	headerLen  = 8
-	mostChunk  = 65535 // bytes of a record's content
-	responder  = 1     // the one role that is played
-	flagKeep   = 1
-	shortName  = 127 // bytes of a name or value whose length takes one byte
-	longLength = 1 << 31
+	version         = 1
+	headerLen       = 8
+	maxContentBytes = 65535 // bytes of a record's content
+	responder       = 1     // the one role that is played
+	flagKeep        = 1
+	shortName       = 127 // bytes of a name or value whose length takes one byte
+	longLength      = 1 << 31
 )
 
 // Protocol statuses of END_REQUEST.
@@ -52,7 +52,7 @@
 	content []byte
 }
 
-const readBuffer = 4 << 10 // bytes; a record has three parts, and most come with one read
+const readBufferBytes = 4 << 10 // bytes; a record has three parts, and most come with one read
 
 // reader takes records off a stream into one buffer.
 type reader struct {
@@ -61,7 +61,7 @@
 	content []byte
 }
 
-func newReader(r io.Reader) reader { return reader{r: bufio.NewReaderSize(r, readBuffer)} }
+func newReader(r io.Reader) reader { return reader{r: bufio.NewReaderSize(r, readBufferBytes)} }
 
 // next reads a record whole, padding and all. io.EOF comes between records only.
 func (r *reader) next() (record, error) {
@@ -96,7 +96,7 @@
 // appendStream writes a stream in as many records as it takes, and its end.
 func appendStream(b []byte, kind byte, id uint16, content []byte) []byte {
 	for len(content) > 0 {
-		n := min(len(content), mostChunk)
+		n := min(len(content), maxContentBytes)
 		b = appendRecord(b, kind, id, content[:n])
 		content = content[n:]
 	}
--- a/internal/protocol/http1/body.go
+++ b/internal/protocol/http1/body.go
@@ -10,19 +10,19 @@
 var errChunk = errors.New("a chunk cannot be read")
 
 // body reads a body of the given framing that begins at c.at, and leaves c.at behind it.
-func (c *Conn) body(length, most int) ([]byte, error) {
-	from := c.at
+func (c *Conn) readBody(length, most int) ([]byte, error) {
+	from := c.readPos
 	switch length {
 	case chunked:
-		return c.chunks(most)
+		return c.readChunks(most)
 	case untilClose:
 		for {
-			if c.end-from > most {
+			if c.fillPos-from > most {
 				return nil, errTooLarge
 			}
 			if err := c.fill(from + most + 1); err == io.EOF {
-				c.at = c.end
-				return c.buf[from:c.end], nil
+				c.readPos = c.fillPos
+				return c.buf[from:c.fillPos], nil
 			} else if err != nil {
 				return nil, err
 			}
@@ -31,24 +31,24 @@
 	if length > most {
 		return nil, errTooLarge
 	}
-	if err := c.need(from+length, from+length); err != nil {
+	if err := c.fillTo(from+length, from+length); err != nil {
 		return nil, err
 	}
-	c.at = from + length
-	return c.buf[from:c.at], nil
+	c.readPos = from + length
+	return c.buf[from:c.readPos], nil
 }
 
 // need reads until the buffer is filled up to a place.
-func (c *Conn) need(to, limit int) error {
-	for c.end < to {
+func (c *Conn) fillTo(to, limit int) error {
+	for c.fillPos < to {
 		if err := c.fill(max(limit, to)); err != nil {
-			return cut(err)
+			return unexpectedEOF(err)
 		}
 	}
 	return nil
 }
 
-func cut(err error) error {
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
@@ -56,11 +56,11 @@
 }
 
 // chunks joins the chunks in place: each is moved down to the end of the one before it.
-func (c *Conn) chunks(most int) ([]byte, error) {
-	from := c.at
-	limit := from + most + maxTrailer
+func (c *Conn) readChunks(most int) ([]byte, error) {
+	from := c.readPos
+	limit := from + most + maxTrailerBytes
 	for to := from; ; {
-		line, err := c.line(to, maxLine, limit)
+		line, err := c.readLine(to, maxChunkLineBytes, limit)
 		if err != nil {
 			return nil, err
 		}
@@ -71,29 +71,29 @@
 			return nil, errChunk
 		}
 		if size == 0 {
-			return c.buf[from:to], c.trailer(to, limit)
+			return c.buf[from:to], c.skipTrailer(to, limit)
 		}
 		n := int(size)
 		if to-from+n > most {
 			return nil, errTooLarge
 		}
-		for c.end-c.at < n+2 {
-			if err := c.more(to, limit); err != nil {
+		for c.fillPos-c.readPos < n+2 {
+			if err := c.readMore(to, limit); err != nil {
 				return nil, err
 			}
 		}
-		if c.buf[c.at+n] != '\r' || c.buf[c.at+n+1] != '\n' {
+		if c.buf[c.readPos+n] != '\r' || c.buf[c.readPos+n+1] != '\n' {
 			return nil, errChunk
 		}
-		to += copy(c.buf[to:], c.buf[c.at:c.at+n])
-		c.at += n + 2
+		to += copy(c.buf[to:], c.buf[c.readPos:c.readPos+n])
+		c.readPos += n + 2
 	}
 }
 
 // trailer passes over the fields behind the last chunk.
-func (c *Conn) trailer(to, limit int) error {
-	for passed := 0; passed <= maxTrailer; {
-		line, err := c.line(to, maxTrailer, limit)
+func (c *Conn) skipTrailer(to, limit int) error {
+	for passed := 0; passed <= maxTrailerBytes; {
+		line, err := c.readLine(to, maxTrailerBytes, limit)
 		if err != nil {
 			return err
 		}
@@ -106,27 +106,27 @@
 }
 
 // line takes the next line, without its end; what lies before the place to is kept.
-func (c *Conn) line(to, most, limit int) ([]byte, error) {
+func (c *Conn) readLine(to, most, limit int) ([]byte, error) {
 	for {
-		if i := bytes.Index(c.buf[c.at:c.end], []byte("\r\n")); i >= 0 {
-			line := c.buf[c.at : c.at+i]
-			c.at += i + 2
+		if i := bytes.Index(c.buf[c.readPos:c.fillPos], []byte("\r\n")); i >= 0 {
+			line := c.buf[c.readPos : c.readPos+i]
+			c.readPos += i + 2
 			return line, nil
 		}
-		if c.end-c.at > most {
+		if c.fillPos-c.readPos > most {
 			return nil, errChunk
 		}
-		if err := c.more(to, limit); err != nil {
+		if err := c.readMore(to, limit); err != nil {
 			return nil, err
 		}
 	}
 }
 
 // more reads on; a full buffer is first compacted over what lies between to and the unread.
-func (c *Conn) more(to, limit int) error {
-	if c.end == len(c.buf) && c.at > to {
-		c.end = to + copy(c.buf[to:], c.buf[c.at:c.end])
-		c.at = to
+func (c *Conn) readMore(to, limit int) error {
+	if c.fillPos == len(c.buf) && c.readPos > to {
+		c.fillPos = to + copy(c.buf[to:], c.buf[c.readPos:c.fillPos])
+		c.readPos = to
 	}
-	return cut(c.fill(limit))
+	return unexpectedEOF(c.fill(limit))
 }
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	firstBuffer = 2 << 10 // bytes a connection reads into at first; most messages fit
-	KeptBuffer  = 8 << 10 // bytes of a buffer that a connection may hold on to; what is beyond is lent by the pool
-	maxEmpty    = 8       // empty lines ahead of a message
-	maxWords    = 8       // answers 1xx ahead of the answer
-	maxLine     = 256     // bytes of a chunk's size line
-	maxTrailer  = 4 << 10 // bytes after the last chunk
+	initialBufferBytes  = 2 << 10 // bytes a connection reads into at first; most messages fit
+	KeptBuffer          = 8 << 10 // bytes of a buffer that a connection may hold on to; what is beyond is lent by the pool
+	maxEmptyLines       = 8       // empty lines ahead of a message
+	maxInterimResponses = 8       // answers 1xx ahead of the answer
+	maxChunkLineBytes   = 256     // bytes of a chunk's size line
+	maxTrailerBytes     = 4 << 10 // bytes after the last chunk
 )
 
 var (
@@ -31,12 +31,12 @@
 // parts are valid until the next message is read or written on the same connection.
 type Conn struct {
 	net.Conn
-	buf     []byte
-	at, end int // read from the socket and not yet used: buf[at:end]
-	pool    *Pool
-	lent    int
-	ahead   ahead
-	rests   ReadObserver // nil: nobody is told
+	buf              []byte
+	readPos, fillPos int // read from the socket and not yet used: buf[at:end]
+	budget           *Pool
+	borrowed         int
+	ahead            readAhead
+	observer         ReadObserver // nil: nobody is told
 }
 
 // ReadObserver is told of the waits of a connection's reader, as sock.Waits is. half: part of a message is in hand.
@@ -46,31 +46,31 @@
 }
 
 // ObserveReads has the connection's reader tell of its waits.
-func (c *Conn) ObserveReads(r ReadObserver) { c.rests = r }
+func (c *Conn) ObserveReads(r ReadObserver) { c.observer = r }
 
 // ReadBlocked and Came are what sock.Read tells.
-func (c *Conn) ReadBlocked()    { c.rests.ReadBlocked(c.end > 0) }
-func (c *Conn) ReadReady() bool { return c.rests.ReadReady() }
+func (c *Conn) ReadBlocked()    { c.observer.ReadBlocked(c.fillPos > 0) }
+func (c *Conn) ReadReady() bool { return c.observer.ReadReady() }
 
 // NewConn wraps a connection that nothing was read from.
 func NewConn(c net.Conn) *Conn { return &Conn{Conn: c} }
 
 // NewPooled is NewConn for one that shares memory with others.
-func NewPooled(c net.Conn, p *Pool) *Conn { return &Conn{Conn: c, pool: p} }
+func NewPooled(c net.Conn, p *Pool) *Conn { return &Conn{Conn: c, budget: p} }
 
 // ReleaseBuffers gives back a buffer grown by a large message. What was read is not valid after it.
 func (c *Conn) ReleaseBuffers() {
 	if len(c.buf) > KeptBuffer {
-		c.buf, c.at, c.end = nil, 0, 0
-		c.pool.Release(c.lent)
-		c.lent = 0
+		c.buf, c.readPos, c.fillPos = nil, 0, 0
+		c.budget.Release(c.borrowed)
+		c.borrowed = 0
 	}
 }
 
 // AwaitMessage returns once a message has begun to arrive.
 func (c *Conn) AwaitMessage() error {
 	c.begin()
-	for c.at == c.end {
+	for c.readPos == c.fillPos {
 		if err := c.fill(MaxHead); err != nil {
 			return err
 		}
@@ -80,43 +80,43 @@
 
 // begin moves what is unread to the start of the buffer, and gives back a buffer grown by a large message.
 func (c *Conn) begin() {
-	if c.at > 0 {
-		c.end = copy(c.buf, c.buf[c.at:c.end])
-		c.at = 0
+	if c.readPos > 0 {
+		c.fillPos = copy(c.buf, c.buf[c.readPos:c.fillPos])
+		c.readPos = 0
 	}
-	if c.end == 0 {
+	if c.fillPos == 0 {
 		c.ReleaseBuffers()
 	}
 }
 
 // fill reads once; the buffer doubles when it is full, up to limit bytes.
 func (c *Conn) fill(limit int) error {
-	if c.end == len(c.buf) {
-		if c.end >= limit {
+	if c.fillPos == len(c.buf) {
+		if c.fillPos >= limit {
 			return errTooLarge
 		}
-		size := min(max(2*len(c.buf), firstBuffer), limit)
-		if more := size - KeptBuffer - c.lent; more > 0 {
-			if !c.pool.Reserve(more) {
+		size := min(max(2*len(c.buf), initialBufferBytes), limit)
+		if more := size - KeptBuffer - c.borrowed; more > 0 {
+			if !c.budget.Reserve(more) {
 				return errNoMemory
 			}
-			c.lent += more
+			c.borrowed += more
 		}
 		grown := make([]byte, size)
-		copy(grown, c.buf[:c.end])
+		copy(grown, c.buf[:c.fillPos])
 		c.buf = grown
 	}
 	var n int
 	var err error
 	switch {
-	case len(c.ahead.held) > 0:
-		n = c.ahead.take(c.buf[c.end:])
-	case c.rests != nil:
-		n, err = sockpeek.Read(c.Conn, c.buf[c.end:], c)
+	case len(c.ahead.buffered) > 0:
+		n = c.ahead.take(c.buf[c.fillPos:])
+	case c.observer != nil:
+		n, err = sockpeek.Read(c.Conn, c.buf[c.fillPos:], c)
 	default:
-		n, err = c.Read(c.buf[c.end:])
+		n, err = c.Read(c.buf[c.fillPos:])
 	}
-	c.end += n
+	c.fillPos += n
 	if n > 0 {
 		return nil // an error comes again with the next read
 	}
@@ -127,26 +127,26 @@
 }
 
 // head reads up to the empty line and returns what lies before it. What does not begin as it should is not waited for.
-func (c *Conn) head(begins string) ([]byte, error) {
+func (c *Conn) readHead(begins string) ([]byte, error) {
 	c.begin()
 	for from, empty := 0, 0; ; {
-		for c.end >= 2 && c.at == 0 && c.buf[0] == '\r' && c.buf[1] == '\n' { // left over by a careless sender
-			if empty++; empty > maxEmpty { // there are senders of nothing else
+		for c.fillPos >= 2 && c.readPos == 0 && c.buf[0] == '\r' && c.buf[1] == '\n' { // left over by a careless sender
+			if empty++; empty > maxEmptyLines { // there are senders of nothing else
 				return nil, errTooLarge
 			}
-			c.end = copy(c.buf, c.buf[2:c.end])
+			c.fillPos = copy(c.buf, c.buf[2:c.fillPos])
 			from = 0
 		}
-		if i := bytes.Index(c.buf[from:c.end], []byte("\r\n\r\n")); i >= 0 {
-			c.at = from + i + 4
+		if i := bytes.Index(c.buf[from:c.fillPos], []byte("\r\n\r\n")); i >= 0 {
+			c.readPos = from + i + 4
 			return c.buf[:from+i+2], nil
 		}
-		if n := min(c.end, len(begins)); n > 0 && c.buf[0] != '\r' && string(c.buf[:n]) != begins[:n] {
+		if n := min(c.fillPos, len(begins)); n > 0 && c.buf[0] != '\r' && string(c.buf[:n]) != begins[:n] {
 			return nil, errNoHead
 		}
-		from = max(c.end-3, 0)
+		from = max(c.fillPos-3, 0)
 		if err := c.fill(MaxHead); err != nil {
-			if err == io.EOF && c.end > 0 {
+			if err == io.EOF && c.fillPos > 0 {
 				err = io.ErrUnexpectedEOF
 			}
 			return nil, err
@@ -163,22 +163,22 @@
 // Scratch is room to put a message together in: the connection's own buffer where nothing unread lies in
 // it. What was read before is overwritten.
 func (c *Conn) Scratch() []byte {
-	if c.at < c.end {
+	if c.readPos < c.fillPos {
 		return nil
 	}
-	c.at, c.end = 0, 0
+	c.readPos, c.fillPos = 0, 0
 	return c.buf[:0]
 }
 
 // IsIdle tells that an idle connection is open and that nothing has come on it.
 func (c *Conn) IsIdle() bool {
 	_, err := sockpeek.Peek(c.Conn, false)
-	return err == syscall.EAGAIN && c.at == c.end
+	return err == syscall.EAGAIN && c.readPos == c.fillPos
 }
 
 // HasUnread tells that something has come that was not read yet. It may be asked from anywhere.
 func (c *Conn) HasUnread() bool {
-	if c.ahead.count.Load() > 0 {
+	if c.ahead.bufferedCount.Load() > 0 {
 		return true
 	}
 	n, err := sockpeek.Peek(c.Conn, false)
@@ -186,4 +186,4 @@
 }
 
 // HasMore tells that something lies behind the message just read.
-func (c *Conn) HasMore() bool { return c.at < c.end || c.HasUnread() }
+func (c *Conn) HasMore() bool { return c.readPos < c.fillPos || c.HasUnread() }
--- a/internal/protocol/http1/fields.go
+++ b/internal/protocol/http1/fields.go
@@ -32,7 +32,7 @@
 			return into, errField
 		}
 		if !message.IsText(value) {
-			if f := (Field{Name: name, Value: value}); lenient && !frames(f) && !bytes.ContainsAny(value, "\x00\r\n") {
+			if f := (Field{Name: name, Value: value}); lenient && !isFraming(f) && !bytes.ContainsAny(value, "\x00\r\n") {
 				continue
 			}
 			return into, errField
@@ -46,19 +46,19 @@
 }
 
 // frames tells whether a field says where the message ends.
-func frames(f Field) bool {
+func isFraming(f Field) bool {
 	return f.Is("Content-Length") || f.Is("Transfer-Encoding") || f.Is("Connection")
 }
 
 const (
 	untilClose = -1
 	chunked    = -2
-	unstated   = -3
+	noLength   = -3
 )
 
 // framing is how long the fields say that the body is.
-func framing(fields []Field) (int, error) {
-	length, coded := unstated, false
+func bodyLength(fields []Field) (int, error) {
+	length, coded := noLength, false
 	for _, f := range fields {
 		switch {
 		case f.Is("Transfer-Encoding"):
@@ -68,14 +68,14 @@
 			coded = true
 		case f.Is("Content-Length"):
 			n, err := strconv.ParseUint(string(f.Value), 10, 31)
-			if err != nil || length != unstated && length != int(n) {
+			if err != nil || length != noLength && length != int(n) {
 				return 0, errLength
 			}
 			length = int(n)
 		}
 	}
 	if coded {
-		if length != unstated { // two lengths: what one side takes for a body is a request to the other
+		if length != noLength { // two lengths: what one side takes for a body is a request to the other
 			return 0, errLength
 		}
 		return chunked, nil
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -74,7 +74,7 @@
 		"an unknown coding":     {in: post + "Transfer-Encoding: gzip, chunked\r\n\r\n", status: 400},
 		"a chunk of no size":    {in: post + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n", status: 400},
 		"a chunk that runs on":  {in: post + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", status: 400},
-		"an endless size line":  {in: post + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("0", 4*maxLine), status: 400},
+		"an endless size line":  {in: post + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("0", 4*maxChunkLineBytes), status: 400},
 		"a large body":          {in: fmt.Sprintf("%sContent-Length: %d\r\n\r\n", post, MaxBody+1), status: 413},
 		"large chunks":          {in: post + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("8000\r\n"+strings.Repeat("z", 0x8000)+"\r\n", 3), status: 413},
 		"a large head":          {in: "GET /a HTTP/1.1\r\nHost: h\r\nA: " + strings.Repeat("a", MaxHead), status: 431},
--- a/internal/protocol/http1/protocol.go
+++ b/internal/protocol/http1/protocol.go
@@ -55,7 +55,7 @@
 	}
 	l := EndpointList{Revision: *raw.Revision, Complete: raw.Complete}
 	for i, m := range raw.Members {
-		h, err := parseHost(m)
+		h, err := parseEndpoint(m)
 		if err != nil {
 			l.Skipped = append(l.Skipped, fmt.Errorf("entry %d: %w", i, err))
 			continue
@@ -65,7 +65,7 @@
 	return l, nil
 }
 
-func parseHost(b []byte) (Endpoint, error) {
+func parseEndpoint(b []byte) (Endpoint, error) {
 	var raw struct {
 		ID        string
 		HostPort  string `json:"host_port"`
--- a/internal/protocol/http1/request.go
+++ b/internal/protocol/http1/request.go
@@ -11,7 +11,7 @@
 // ReadRequest reads a whole request. It returns io.EOF where the other side has closed between requests,
 // and a *Malformed for what deserves an answer all the same.
 func (c *Conn) ReadRequest(r *Request) error {
-	head, err := c.head("")
+	head, err := c.readHead("")
 	switch err {
 	case errTooLarge:
 		return message.NewRequestError(431, "the head is too large")
@@ -47,19 +47,19 @@
 		return message.NewRequestError(400, "no host is named")
 	}
 	r.Close = old || message.HasToken(r.Fields, "Connection", "close")
-	length, err := framing(r.Fields)
+	length, err := bodyLength(r.Fields)
 	if err != nil {
 		return message.NewRequestError(400, err.Error())
 	}
-	if length == unstated {
+	if length == noLength {
 		length = 0
 	}
-	if !old && length != 0 && c.at == c.end && message.HasToken(r.Fields, "Expect", "100-continue") {
+	if !old && length != 0 && c.readPos == c.fillPos && message.HasToken(r.Fields, "Expect", "100-continue") {
 		if _, err := c.Send([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 			return err
 		}
 	}
-	r.Body, err = c.body(length, MaxBody)
+	r.Body, err = c.readBody(length, MaxBody)
 	switch {
 	case err == errTooLarge:
 		return message.NewRequestError(413, "the body is too large")
--- a/internal/protocol/http1/response.go
+++ b/internal/protocol/http1/response.go
@@ -15,8 +15,8 @@
 // ReadResponse reads a whole answer with a body of at most so many bytes.
 func (c *Conn) ReadResponse(r *Response, most int) error {
 	for words := 0; ; words++ {
-		head, err := c.head("HTTP/1.")
-		if err == errTooLarge || err == errNoHead || words > maxWords {
+		head, err := c.readHead("HTTP/1.")
+		if err == errTooLarge || err == errNoHead || words > maxInterimResponses {
 			return ErrGarbled
 		}
 		if err != nil {
@@ -37,18 +37,18 @@
 		if status < 200 {
 			continue // a word on the way; the answer follows
 		}
-		length, err := framing(r.Fields)
+		length, err := bodyLength(r.Fields)
 		if err != nil {
 			return ErrGarbled
 		}
-		if length == unstated {
+		if length == noLength {
 			length = untilClose
 		}
 		if status == 204 || status == 304 {
 			length = 0
 		}
-		r.Body, err = c.body(length, most)
-		r.Close = length == untilClose || old || message.HasToken(r.Fields, "Connection", "close") || c.at < c.end
+		r.Body, err = c.readBody(length, most)
+		r.Close = length == untilClose || old || message.HasToken(r.Fields, "Connection", "close") || c.readPos < c.fillPos
 		switch {
 		case err == errTooLarge, err == errChunk:
 			return ErrGarbled
