--- a/internal/protocol/http1/aliases.go
+++ b/internal/protocol/http1/aliases.go
@@ -2,7 +2,7 @@
 
 import "fernvane/internal/protocol/message"
 
-// What HTTP carries is what every protocol carries.
+// Types of package message, for callers that speak HTTP only.
 type (
 	Field     = message.Field
 	Request   = message.Request
@@ -13,7 +13,7 @@
 	Pool      = message.BufferBudget
 )
 
-// Bounds and names that all protocols share.
+// Bounds and field names of package message, likewise.
 const (
 	MaxHead        = message.MaxHead
 	MaxBody        = message.MaxBody
@@ -22,5 +22,5 @@
 	RequestTimeout = message.RequestTimeout
 )
 
-// NewPool makes memory of so many bytes that connections share.
+// NewPool is message.NewBufferBudget.
 func NewPool(bytes int) *Pool { return message.NewBufferBudget(bytes) }
--- a/internal/protocol/http1/body.go
+++ b/internal/protocol/http1/body.go
@@ -9,7 +9,7 @@
 
 var errChunk = errors.New("a chunk cannot be read")
 
-// body reads a body of the given framing that begins at c.at, and leaves c.at behind it.
+// readBody reads a body of the given length or framing from c.readPos on, and leaves c.readPos behind it.
 func (c *Conn) readBody(length, most int) ([]byte, error) {
 	from := c.readPos
 	switch length {
@@ -38,7 +38,7 @@
 	return c.buf[from:c.readPos], nil
 }
 
-// need reads until the buffer is filled up to a place.
+// fillTo reads until the buffer is filled up to an offset.
 func (c *Conn) fillTo(to, limit int) error {
 	for c.fillPos < to {
 		if err := c.fill(max(limit, to)); err != nil {
@@ -48,6 +48,7 @@
 	return nil
 }
 
+// unexpectedEOF turns an end of the stream within a body into io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -55,7 +56,7 @@
 	return err
 }
 
-// chunks joins the chunks in place: each is moved down to the end of the one before it.
+// readChunks joins the chunks in place: each is moved down to the end of the one before it.
 func (c *Conn) readChunks(most int) ([]byte, error) {
 	from := c.readPos
 	limit := from + most + maxTrailerBytes
@@ -90,7 +91,7 @@
 	}
 }
 
-// trailer passes over the fields behind the last chunk.
+// skipTrailer skips the fields after the last chunk.
 func (c *Conn) skipTrailer(to, limit int) error {
 	for passed := 0; passed <= maxTrailerBytes; {
 		line, err := c.readLine(to, maxTrailerBytes, limit)
@@ -105,7 +106,7 @@
 	return errChunk
 }
 
-// line takes the next line, without its end; what lies before the place to is kept.
+// readLine reads the next line, without its end. What lies before the offset to is kept.
 func (c *Conn) readLine(to, most, limit int) ([]byte, error) {
 	for {
 		if i := bytes.Index(c.buf[c.readPos:c.fillPos], []byte("\r\n")); i >= 0 {
@@ -122,7 +123,7 @@
 	}
 }
 
-// more reads on; a full buffer is first compacted over what lies between to and the unread.
+// readMore reads once. A full buffer is first compacted over the bytes between to and the unread ones.
 func (c *Conn) readMore(to, limit int) error {
 	if c.fillPos == len(c.buf) && c.readPos > to {
 		c.fillPos = to + copy(c.buf[to:], c.buf[c.readPos:c.fillPos])
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -1,5 +1,8 @@
-// Package http1 is what is spoken: HTTP/1.1 messages on plain connections, and the names that clients,
-// servers and discovery use in them. It decides nothing and sends nothing twice.
+// Package http1 reads and writes HTTP/1.1 messages on plain connections, and discovery's endpoint list (endpointlist.go),
+// whose field names no other package knows. It decides nothing and sends nothing twice.
+//
+// A Conn belongs to the goroutine that serves its connection. Only HasUnread and PeekDisconnected may be called from
+// others.
 package http1
 
 import (
@@ -13,12 +16,12 @@
 )
 
 const (
-	initialBufferBytes  = 2 << 10 // bytes a connection reads into at first; most messages fit
-	KeptBuffer          = 8 << 10 // bytes of a buffer that a connection may hold on to; what is beyond is lent by the pool
-	maxEmptyLines       = 8       // empty lines ahead of a message
-	maxInterimResponses = 8       // answers 1xx ahead of the answer
-	maxChunkLineBytes   = 256     // bytes of a chunk's size line
-	maxTrailerBytes     = 4 << 10 // bytes after the last chunk
+	initialBufferBytes  = 2 << 10 // fits most messages
+	KeptBuffer          = 8 << 10 // of a buffer between messages; more is reserved from the budget
+	maxEmptyLines       = 8       // ahead of a message
+	maxInterimResponses = 8       // 1xx ahead of the response
+	maxChunkLineBytes   = 256
+	maxTrailerBytes     = 4 << 10 // after the last chunk
 )
 
 var (
@@ -27,38 +30,41 @@
 	errNoHead   = errors.New("it does not begin as a head")
 )
 
-// Conn is a connection with its one buffer. What is read stays in the buffer, so a message and all its
-// parts are valid until the next message is read or written on the same connection.
+// Conn is a connection with its one buffer. A message that was read lies in the buffer: it is valid until the next message
+// is read or written on the same connection.
 type Conn struct {
 	net.Conn
 	buf              []byte
-	readPos, fillPos int // read from the socket and not yet used: buf[at:end]
+	readPos, fillPos int // unread bytes are buf[readPos:fillPos]
 	budget           *Pool
 	borrowed         int
 	ahead            readAhead
-	observer         ReadObserver // nil: nobody is told
+	observer         ReadObserver // nil: none
 }
 
-// ReadObserver is told of the waits of a connection's reader, as sock.Waits is. half: part of a message is in hand.
+// ReadObserver is notified by a connection's reader before and after it blocks, as sockpeek.ReadObserver is. half: part of
+// a message has been read.
 type ReadObserver interface {
 	ReadBlocked(half bool)
 	ReadReady() bool
 }
 
-// ObserveReads has the connection's reader tell of its waits.
+// ObserveReads sets the observer of the connection's reads.
 func (c *Conn) ObserveReads(r ReadObserver) { c.observer = r }
 
-// ReadBlocked and Came are what sock.Read tells.
-func (c *Conn) ReadBlocked()    { c.observer.ReadBlocked(c.fillPos > 0) }
+// ReadBlocked implements sockpeek.ReadObserver.
+func (c *Conn) ReadBlocked() { c.observer.ReadBlocked(c.fillPos > 0) }
+
+// ReadReady implements sockpeek.ReadObserver.
 func (c *Conn) ReadReady() bool { return c.observer.ReadReady() }
 
-// NewConn wraps a connection that nothing was read from.
+// NewConn wraps a connection from which nothing has been read.
 func NewConn(c net.Conn) *Conn { return &Conn{Conn: c} }
 
-// NewPooled is NewConn for one that shares memory with others.
+// NewPooled is NewConn for a connection that shares a budget of memory with others.
 func NewPooled(c net.Conn, p *Pool) *Conn { return &Conn{Conn: c, budget: p} }
 
-// ReleaseBuffers gives back a buffer grown by a large message. What was read is not valid after it.
+// ReleaseBuffers frees a buffer that a large message has grown. What was read is not valid after it.
 func (c *Conn) ReleaseBuffers() {
 	if len(c.buf) > KeptBuffer {
 		c.buf, c.readPos, c.fillPos = nil, 0, 0
@@ -78,7 +84,7 @@
 	return nil
 }
 
-// begin moves what is unread to the start of the buffer, and gives back a buffer grown by a large message.
+// begin moves unread bytes to the start of the buffer, and frees one that a large message has grown.
 func (c *Conn) begin() {
 	if c.readPos > 0 {
 		c.fillPos = copy(c.buf, c.buf[c.readPos:c.fillPos])
@@ -89,7 +95,7 @@
 	}
 }
 
-// fill reads once; the buffer doubles when it is full, up to limit bytes.
+// fill reads once. A full buffer doubles, up to limit bytes.
 func (c *Conn) fill(limit int) error {
 	if c.fillPos == len(c.buf) {
 		if c.fillPos >= limit {
@@ -118,7 +124,7 @@
 	}
 	c.fillPos += n
 	if n > 0 {
-		return nil // an error comes again with the next read
+		return nil // an error is returned again by the next read
 	}
 	if err == nil {
 		err = io.ErrNoProgress
@@ -126,12 +132,13 @@
 	return err
 }
 
-// head reads up to the empty line and returns what lies before it. What does not begin as it should is not waited for.
+// readHead reads up to the empty line and returns what is before it. It fails at once for what does not begin as begins
+// says.
 func (c *Conn) readHead(begins string) ([]byte, error) {
 	c.begin()
 	for from, empty := 0, 0; ; {
-		for c.fillPos >= 2 && c.readPos == 0 && c.buf[0] == '\r' && c.buf[1] == '\n' { // left over by a careless sender
-			if empty++; empty > maxEmptyLines { // there are senders of nothing else
+		for c.fillPos >= 2 && c.readPos == 0 && c.buf[0] == '\r' && c.buf[1] == '\n' { // an empty line ahead of the message
+			if empty++; empty > maxEmptyLines {
 				return nil, errTooLarge
 			}
 			c.fillPos = copy(c.buf, c.buf[2:c.fillPos])
@@ -154,14 +161,14 @@
 	}
 }
 
-// Send writes a whole message and tells whether its last byte was written.
+// Send writes a message and reports whether its last byte was written.
 func (c *Conn) Send(message []byte) (whole bool, err error) {
 	n, err := c.Write(message)
 	return n == len(message), err
 }
 
-// Scratch is room to put a message together in: the connection's own buffer where nothing unread lies in
-// it. What was read before is overwritten.
+// Scratch returns an empty slice to build a message in: of the connection's own buffer where it holds nothing unread. What
+// was read before is overwritten.
 func (c *Conn) Scratch() []byte {
 	if c.readPos < c.fillPos {
 		return nil
@@ -170,13 +177,13 @@
 	return c.buf[:0]
 }
 
-// IsIdle tells that an idle connection is open and that nothing has come on it.
+// IsIdle reports that the connection is open and that nothing has arrived on it.
 func (c *Conn) IsIdle() bool {
 	_, err := sockpeek.Peek(c.Conn, false)
 	return err == syscall.EAGAIN && c.readPos == c.fillPos
 }
 
-// HasUnread tells that something has come that was not read yet. It may be asked from anywhere.
+// HasUnread reports that something has arrived that was not read yet. It may be called from any goroutine.
 func (c *Conn) HasUnread() bool {
 	if c.ahead.bufferedCount.Load() > 0 {
 		return true
@@ -185,5 +192,5 @@
 	return err == nil && n > 0
 }
 
-// HasMore tells that something lies behind the message just read.
+// HasMore reports that something has arrived behind the message just read.
 func (c *Conn) HasMore() bool { return c.readPos < c.fillPos || c.HasUnread() }
--- a/internal/protocol/http1/disconnect.go
+++ b/internal/protocol/http1/disconnect.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	maxReadAheadBytes = KeptBuffer // bytes read ahead that are held: some small requests
-	maxOverflowBytes  = 1 << 20    // bytes beyond them, which are dropped; who sends more reads no answer
+	maxReadAheadBytes = KeptBuffer // bytes that are kept: some small requests
+	maxOverflowBytes  = 1 << 20    // bytes beyond these that are dropped before the peer counts as gone
 )
 
-// ahead is what came behind a request while it was open. It is read so that the other side's leaving is seen behind it.
+// readAhead holds what arrived behind a request while it was open. It has to be read for a disconnect behind it to be
+// seen.
 type readAhead struct {
 	buffered      []byte
-	bufferedCount atomic.Int32 // of held, for those who may ask from anywhere
-	overflow      int          // bytes that were dropped: what follows cannot be read as messages
+	bufferedCount atomic.Int32 // length of buffered, for other goroutines
+	overflow      int          // bytes dropped; with any, what follows cannot be parsed
 }
 
-// WaitDisconnected waits until the other side has closed or broken the connection, and tells so, whatever it has sent before. It is
-// false when the read deadline passed or the connection is of a kind that cannot be looked at.
+// WaitDisconnected waits until the peer has closed or broken the connection, whatever it has sent before, and reports
+// true. It reports false when the read deadline passes, or for a kind of connection that cannot be peeked at.
 func (c *Conn) WaitDisconnected() bool { return c.disconnected(true) }
 
-// Disconnected is Gone without the wait. It must not be asked beside Gone.
+// Disconnected is WaitDisconnected without the wait. The two must not be called concurrently.
 func (c *Conn) Disconnected() bool { return c.disconnected(false) }
 
-// PeekDisconnected is a first look at what Left tells, which may be asked beside Gone: with unread bytes before it a leaving is
-// not seen.
+// PeekDisconnected reports whether a disconnect can be seen without reading. It may be called beside WaitDisconnected, and
+// misses a disconnect behind unread bytes.
 func (c *Conn) PeekDisconnected() bool {
 	n, err := sockpeek.Peek(c.Conn, false)
 	return err == nil && n == 0 || err != nil && err != syscall.EAGAIN && err != syscall.ENOTSUP
@@ -49,7 +50,7 @@
 	}
 }
 
-// readAhead takes in what was seen to have come. That the other side has ended comes again with the next look.
+// fillAhead reads what has arrived. An end of the stream is reported again by the next peek.
 func (c *Conn) fillAhead() error {
 	a := &c.ahead
 	if room := maxReadAheadBytes - len(a.buffered); room > 0 && a.overflow == 0 {
@@ -67,10 +68,10 @@
 	return err
 }
 
-// Overflowed tells that more came while a request was open than is held: nothing further can be read.
+// Overflowed reports that more arrived behind a request than is kept, so that no further message can be read.
 func (c *Conn) Overflowed() bool { return c.ahead.overflow > 0 }
 
-// take moves what was read ahead to where messages are read.
+// take moves buffered bytes to b, where messages are parsed.
 func (a *readAhead) take(b []byte) int {
 	n := copy(b, a.buffered)
 	if a.buffered = a.buffered[n:]; len(a.buffered) == 0 {
--- a/internal/protocol/http1/endpointlist.go
+++ b/internal/protocol/http1/endpointlist.go
@@ -11,16 +11,16 @@
 
 const listPath = "/discovery/hosts"
 
-// Condition of a listed server.
+// Condition is that of a listed server.
 type Condition uint8
 
 const (
-	Serving Condition = iota
-	Draining
-	Deleted
+	Serving  Condition = iota // gets requests
+	Draining                  // gets no new ones
+	Deleted                   // is no longer listed
 )
 
-// Endpoint is a line of discovery's list.
+// Endpoint is an entry of discovery's list.
 type Endpoint struct {
 	ID        string
 	Address   netip.AddrPort
@@ -29,18 +29,19 @@
 	Cell      int
 	Phase     Condition
 	Size      float64
-	UpSinceMS int64 // Unix time; 0 for long ago
+	UpSinceMS int64 // Unix time in ms; 0: long ago
 }
 
-// EndpointList is an answer of discovery.
+// EndpointList is a response of discovery.
 type EndpointList struct {
 	Revision uint64
-	Complete bool // the whole list, not what has changed
+	Complete bool // the full list, not changes
 	Hosts    []Endpoint
-	Skipped  []error // entries that cannot be read
+	Skipped  []error // why entries were left out
 }
 
-// ParseEndpointList reads discovery's form; an entry that cannot be read does not spoil the others.
+// ParseEndpointList parses discovery's JSON. An entry that cannot be parsed is left out and named in Skipped; the error is
+// of the list itself.
 func ParseEndpointList(body []byte) (EndpointList, error) {
 	var raw struct {
 		Revision *uint64
@@ -99,14 +100,14 @@
 	return h, nil
 }
 
-// EndpointListCall asks discovery for the whole list, or for the changes after a revision, which it may wait for.
+// EndpointListCall asks discovery for the full list, or for changes after a revision, for which discovery waits.
 type EndpointListCall struct {
 	Whole bool
 	After uint64
 	Wait  time.Duration
 }
 
-// AppendEndpointListCall writes a call.
+// AppendEndpointListCall appends the request of a call.
 func AppendEndpointListCall(b []byte, host string, l EndpointListCall) []byte {
 	b = append(b, "GET "+listPath...)
 	if !l.Whole {
--- a/internal/protocol/http1/header.go
+++ b/internal/protocol/http1/header.go
@@ -9,7 +9,7 @@
 	"fernvane/internal/protocol/message"
 )
 
-// ErrTimeout is what reads and writes end with when their deadline has passed.
+// ErrTimeout is the error of reads and writes whose deadline has passed.
 var ErrTimeout = os.ErrDeadlineExceeded
 
 var (
@@ -20,8 +20,8 @@
 	errVersion = errors.New("not HTTP/1.0 or 1.1")
 )
 
-// parseFields reads the lines of a head. A lenient reader leaves out a value that is no text, such as a load report
-// gone wrong, unless the value tells how to read on.
+// parseFields parses the lines of a head. A lenient parser skips a field whose value has control characters, unless the
+// field says where the message ends.
 func parseFields(lines []byte, into []Field, lenient bool) ([]Field, error) {
 	for len(lines) > 0 {
 		line, rest, _ := bytes.Cut(lines, []byte("\r\n"))
@@ -45,18 +45,19 @@
 	return into, nil
 }
 
-// frames tells whether a field says where the message ends.
+// isFraming reports whether a field says where the message ends.
 func isFraming(f Field) bool {
 	return f.Is("Content-Length") || f.Is("Transfer-Encoding") || f.Is("Connection")
 }
 
+// Lengths of a body other than a number of bytes.
 const (
 	untilClose = -1
 	chunked    = -2
 	noLength   = -3
 )
 
-// framing is how long the fields say that the body is.
+// bodyLength returns the length of the body that the fields state, or one of the constants above.
 func bodyLength(fields []Field) (int, error) {
 	length, coded := noLength, false
 	for _, f := range fields {
@@ -75,7 +76,7 @@
 		}
 	}
 	if coded {
-		if length != noLength { // two lengths: what one side takes for a body is a request to the other
+		if length != noLength { // two lengths would allow request smuggling
 			return 0, errLength
 		}
 		return chunked, nil
--- a/internal/protocol/http1/request.go
+++ b/internal/protocol/http1/request.go
@@ -8,8 +8,8 @@
 	"fernvane/internal/protocol/message"
 )
 
-// ReadRequest reads a whole request. It returns io.EOF where the other side has closed between requests,
-// and a *Malformed for what deserves an answer all the same.
+// ReadRequest reads a complete request. The error is io.EOF where the client has closed between requests, and a
+// *message.RequestError for a request that is to be answered with an error.
 func (c *Conn) ReadRequest(r *Request) error {
 	head, err := c.readHead("")
 	switch err {
@@ -24,7 +24,7 @@
 	first, lines, _ := bytes.Cut(head, []byte("\r\n"))
 	method, rest, _ := bytes.Cut(first, []byte{' '})
 	target, version, _ := bytes.Cut(rest, []byte{' '})
-	if _, after, ok := bytes.Cut(target, []byte("://")); ok && target[0] != '/' { // the form meant for proxies
+	if _, after, ok := bytes.Cut(target, []byte("://")); ok && target[0] != '/' { // absolute form
 		target = []byte{'/'}
 		if i := bytes.IndexByte(after, '/'); i >= 0 {
 			target = after[i:]
@@ -34,8 +34,8 @@
 	if !message.IsToken(method) || !message.IsTarget(target) {
 		return message.NewRequestError(400, "the request line cannot be read")
 	}
-	old := string(version) == "HTTP/1.0"
-	if !old && string(version) != "HTTP/1.1" {
+	isHTTP10 := string(version) == "HTTP/1.0"
+	if !isHTTP10 && string(version) != "HTTP/1.1" {
 		return message.NewRequestError(400, errVersion.Error())
 	}
 	if r.Fields, err = parseFields(lines, r.Fields, false); err == errFields {
@@ -43,10 +43,10 @@
 	} else if err != nil {
 		return message.NewRequestError(400, err.Error())
 	}
-	if !old && !r.Has("Host") {
+	if !isHTTP10 && !r.Has("Host") {
 		return message.NewRequestError(400, "no host is named")
 	}
-	r.Close = old || message.HasToken(r.Fields, "Connection", "close")
+	r.Close = isHTTP10 || message.HasToken(r.Fields, "Connection", "close")
 	length, err := bodyLength(r.Fields)
 	if err != nil {
 		return message.NewRequestError(400, err.Error())
@@ -54,7 +54,7 @@
 	if length == noLength {
 		length = 0
 	}
-	if !old && length != 0 && c.readPos == c.fillPos && message.HasToken(r.Fields, "Expect", "100-continue") {
+	if !isHTTP10 && length != 0 && c.readPos == c.fillPos && message.HasToken(r.Fields, "Expect", "100-continue") {
 		if _, err := c.Send([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 			return err
 		}
--- a/internal/protocol/http1/response.go
+++ b/internal/protocol/http1/response.go
@@ -12,11 +12,12 @@
 // ErrGarbled is an answer that is no HTTP, or larger than allowed.
 var ErrGarbled = message.ErrMalformedResponse
 
-// ReadResponse reads a whole answer with a body of at most so many bytes.
+// ReadResponse reads a complete response with a body of at most so many bytes; interim ones (1xx) are skipped. The error
+// is ErrGarbled for one that cannot be parsed, io.ErrUnexpectedEOF for one that is cut off.
 func (c *Conn) ReadResponse(r *Response, most int) error {
-	for words := 0; ; words++ {
+	for interim := 0; ; interim++ {
 		head, err := c.readHead("HTTP/1.")
-		if err == errTooLarge || err == errNoHead || words > maxInterimResponses {
+		if err == errTooLarge || err == errNoHead || interim > maxInterimResponses {
 			return ErrGarbled
 		}
 		if err != nil {
@@ -26,8 +27,8 @@
 		version, rest, _ := bytes.Cut(first, []byte{' '})
 		code, _, _ := bytes.Cut(rest, []byte{' '})
 		status, err := strconv.ParseUint(string(code), 10, 16)
-		old := string(version) == "HTTP/1.0"
-		if err != nil || len(code) != 3 || status < 100 || !old && string(version) != "HTTP/1.1" {
+		isHTTP10 := string(version) == "HTTP/1.0"
+		if err != nil || len(code) != 3 || status < 100 || !isHTTP10 && string(version) != "HTTP/1.1" {
 			return ErrGarbled
 		}
 		*r = Response{Status: int(status), Fields: r.Fields[:0]}
@@ -35,7 +36,7 @@
 			return ErrGarbled
 		}
 		if status < 200 {
-			continue // a word on the way; the answer follows
+			continue
 		}
 		length, err := bodyLength(r.Fields)
 		if err != nil {
@@ -48,7 +49,7 @@
 			length = 0
 		}
 		r.Body, err = c.readBody(length, most)
-		r.Close = length == untilClose || old || message.HasToken(r.Fields, "Connection", "close") || c.readPos < c.fillPos
+		r.Close = length == untilClose || isHTTP10 || message.HasToken(r.Fields, "Connection", "close") || c.readPos < c.fillPos
 		switch {
 		case err == errTooLarge, err == errChunk:
 			return ErrGarbled
@@ -59,13 +60,14 @@
 	}
 }
 
-// SendRequest writes a request as it goes on to a server, and tells whether its last byte was written.
+// SendRequest forwards a request to a server, with the time left for it and the client's address, and reports whether its
+// last byte was written.
 func (c *Conn) SendRequest(r *Request, left time.Duration, from string) (whole bool, err error) {
 	return c.Send(AppendRequest(c.Scratch(), r, left, from))
 }
 
-// ReceiveResponse reads the whole answer to what was asked.
+// ReceiveResponse reads the response to a request. See ReadResponse for the error.
 func (c *Conn) ReceiveResponse(r *Response) error { return c.ReadResponse(r, MaxAnswer) }
 
-// IsReusable tells whether another request may be asked after a whole answer.
+// IsReusable reports whether another request may be sent after this response.
 func (c *Conn) IsReusable(r *Response) bool { return !r.Close }
--- a/internal/protocol/http1/write.go
+++ b/internal/protocol/http1/write.go
@@ -26,8 +26,8 @@
 	return strconv.AppendFloat(b, float64(d/time.Millisecond)/1000, 'f', 3, 64)
 }
 
-// AppendRequest writes a client's request as it goes on to a server, with the time that is left for it and
-// the address that it came from.
+// AppendRequest appends a client's request as it is forwarded to a server, with the time left for it and the client's
+// address.
 func AppendRequest(b []byte, r *Request, left time.Duration, from string) []byte {
 	b = append(append(append(b, r.Method...), ' '), r.Target...)
 	b = append(b, " HTTP/1.1\r\n"...)
@@ -38,7 +38,7 @@
 		b = append(append(append(b, f.Name...), ": "...), f.Value...)
 		b = append(b, "\r\n"...)
 	}
-	if !r.Has("Host") { // of an old client; a server may refuse a request without the field
+	if !r.Has("Host") { // of an HTTP/1.0 client; servers may reject a request without it
 		b = appendField(b, "Host", "")
 	}
 	b = appendField(b, message.ForwardedFor, from)
@@ -50,7 +50,7 @@
 	return append(append(b, "\r\n"...), r.Body...)
 }
 
-// AppendAnswer writes an answer.
+// AppendAnswer appends an answer to a client.
 func AppendAnswer(b []byte, a Answer) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = append(strconv.AppendInt(b, int64(a.Status), 10), ' ')
--- a/internal/protocol/message/message.go
+++ b/internal/protocol/message/message.go
@@ -1,5 +1,6 @@
-// Package message is what all protocols carry alike: requests, answers, the names of the fields that the platform reads,
-// and the bounds of their size. Its parts lie in the memory of the connection that they came on.
+// Package message holds what all protocols have in common: requests, responses, header fields, the platform's field names,
+// and bounds of size. The parts of a message that was read lie in the buffer of its connection, and are valid until the
+// next message is read or written there; Request.Clone copies them.
 package message
 
 import (
@@ -12,16 +13,16 @@
 )
 
 const (
-	MaxHead   = 16 << 10 // bytes of what comes before a body
-	MaxBody   = 64 << 10 // bytes of a request's body
-	MaxAnswer = 1 << 20  // bytes of an answer's body; on some days they go beyond the 64 KiB agreed
-	MaxFields = 100      // in one message; common servers take as many
+	MaxHead   = 16 << 10 // bytes ahead of a body
+	MaxBody   = 64 << 10 // bytes
+	MaxAnswer = 1 << 20  // bytes
+	MaxFields = 100      // in one message
 )
 
-// Field is one line of a head.
+// Field is a header field.
 type Field struct{ Name, Value []byte }
 
-// IsToken tells whether a name may stand for a field or a method.
+// IsToken reports whether b is a valid name of a field or a method.
 func IsToken(b []byte) bool {
 	for _, c := range b {
 		switch {
@@ -34,7 +35,7 @@
 	return len(b) > 0
 }
 
-// IsText tells whether a value is free of control characters.
+// IsText reports whether b is free of control characters but tab.
 func IsText(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
@@ -44,10 +45,10 @@
 	return true
 }
 
-// Is compares a field's name without regard to case.
+// Is reports whether the field has this name, without regard to case.
 func (f Field) Is(name string) bool { return EqualFold(f.Name, name) }
 
-// EqualFold compares without regard to the case of ASCII letters.
+// EqualFold reports whether b and s are equal but for the case of ASCII letters.
 func EqualFold(b []byte, s string) bool {
 	if len(b) != len(s) {
 		return false
@@ -67,7 +68,7 @@
 	return c
 }
 
-// Find returns the value of the first field of a name, nil where it is not there.
+// Find returns the value of the first field with this name, nil where there is none.
 func Find(fields []Field, name string) []byte {
 	for _, f := range fields {
 		if f.Is(name) {
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// HasToken tells whether a field that is a list of words holds this one.
+// HasToken reports whether a field that is a comma-separated list contains a token.
 func HasToken(fields []Field, name, word string) bool {
 	for _, f := range fields {
 		if !f.Is(name) {
@@ -92,7 +93,7 @@
 	return false
 }
 
-// IsEndToEnd tells whether a field belongs to the message and not to the connection that it came on.
+// IsEndToEnd reports whether a field is forwarded. Others (hop-by-hop fields) belong to the connection they came on.
 func IsEndToEnd(f Field, all []Field) bool {
 	for _, own := range []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 		"Proxy-Authorization", "TE", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"} {
@@ -103,26 +104,26 @@
 	return !HasToken(all, "Connection", string(f.Name))
 }
 
-// RequestError is a request that cannot be taken, with the status to answer it with.
+// RequestError is the error of a request that cannot be served, with the status to answer it with.
 type RequestError struct {
 	Status int
 	Why    string
 }
 
-// NewRequestError makes one.
+// NewRequestError returns an error to be answered with status; why is logged and sent to the client.
 func NewRequestError(status int, why string) *RequestError {
 	return &RequestError{Status: status, Why: why}
 }
 
 func (m *RequestError) Error() string { return m.Why }
 
-// Request is a whole request; its parts lie in the connection's buffer.
+// Request is a complete request. Its parts lie in the connection's buffer.
 type Request struct {
 	Method []byte
 	Target []byte
 	Fields []Field
 	Body   []byte
-	Close  bool // the client wants no further one on this connection
+	Close  bool // the client wants the connection closed after the response
 }
 
 // Path is the target without its query.
@@ -131,55 +132,55 @@
 	return path
 }
 
-// Get returns the value of a field, nil where it is not there.
+// Get returns the value of a field, nil where there is none.
 func (r *Request) Get(name string) []byte { return Find(r.Fields, name) }
 
-// Has tells whether a field is there, be it empty.
+// Has reports whether there is such a field, even with an empty value.
 func (r *Request) Has(name string) bool {
 	return slices.ContainsFunc(r.Fields, func(f Field) bool { return f.Is(name) })
 }
 
-// Clone is the request in memory of its own, which outlives what the connection reads or writes next.
+// Clone copies the request into memory of its own, which outlives the next read or write of its connection.
 func (r *Request) Clone() *Request {
 	size := len(r.Method) + len(r.Target) + len(r.Body)
 	for _, f := range r.Fields {
 		size += len(f.Name) + len(f.Value)
 	}
-	room := make([]byte, 0, size)
-	keep := func(b []byte) []byte {
-		room = append(room, b...)
-		return room[len(room)-len(b) : len(room) : len(room)]
+	memory := make([]byte, 0, size)
+	clone := func(b []byte) []byte {
+		memory = append(memory, b...)
+		return memory[len(memory)-len(b) : len(memory) : len(memory)]
 	}
-	c := &Request{Method: keep(r.Method), Target: keep(r.Target), Body: keep(r.Body), Close: r.Close, Fields: make([]Field, len(r.Fields))}
+	c := &Request{Method: clone(r.Method), Target: clone(r.Target), Body: clone(r.Body), Close: r.Close, Fields: make([]Field, len(r.Fields))}
 	for i, f := range r.Fields {
-		c.Fields[i] = Field{keep(f.Name), keep(f.Value)}
+		c.Fields[i] = Field{clone(f.Name), clone(f.Value)}
 	}
 	return c
 }
 
-// The names that the platform gives to things on the wire.
+// Field names and paths of the platform.
 const (
 	RequestID      = "Request-Id"
 	RequestTimeout = "Request-Timeout"
 	tenantField    = "Tenant"
-	ForwardedFor   = "X-Forwarded-For" // one line a proxy passed; servers read them in turn
+	ForwardedFor   = "X-Forwarded-For" // one address for each proxy on the way
 	NotStarted     = "Not-Started"
-	ServerID       = "Server-Id" // of who answers; optional, beside what the platform has
+	ServerID       = "Server-Id" // of the server that answers; optional
 	readyPath      = "/up"
 )
 
-// RequestInfo is what a request says of itself.
+// RequestInfo is what the fields and the path of a request say that decisions need.
 type RequestInfo struct {
 	ID      []byte
 	Type    []byte
 	Tenant  []byte
-	Timeout time.Duration // counted from when the client sent the request; below 0 where it is not said
+	Timeout time.Duration // from when the client sent the request; below 0: not stated
 }
 
-// IsReadiness tells whether a request asks if the node can serve.
+// IsReadiness reports whether this is a readiness probe of the node itself.
 func (r *Request) IsReadiness() bool { return string(r.Path()) == readyPath }
 
-// Info reads the parts of a request that decisions need.
+// Info reads the RequestInfo. The error is a *RequestError.
 func (r *Request) Info() (RequestInfo, error) {
 	o := RequestInfo{ID: r.Get(RequestID), Tenant: r.Get(tenantField), Timeout: -1}
 	if string(r.Method) == "HEAD" || string(r.Method) == "CONNECT" {
@@ -199,38 +200,38 @@
 	return o, nil
 }
 
-// NotStarted tells whether a server's answer says that it has not begun the request.
+// NotStarted reports whether the response says that the server has not begun the request.
 func (r *Response) NotStarted() bool {
 	return (r.Status == 503 || r.Status == 504) && string(Find(r.Fields, NotStarted)) == "1"
 }
 
-// RejectsRequest tells whether a server's answer finds fault with the request. Too slow (408) and too many (429) say
-// something of the server's state, and 429 would tell a client that trying again is harmless.
+// RejectsRequest reports whether the response finds fault with the request itself. 408 and 429 are excluded: they tell of
+// the server's state.
 func (r *Response) RejectsRequest() bool {
 	return r.Status >= 400 && r.Status < 500 && r.Status != 408 && r.Status != 429
 }
 
-// ErrMalformedResponse is an answer that cannot be read, or is larger than allowed.
+// ErrMalformedResponse is the error of a response that cannot be parsed, or is larger than allowed.
 var ErrMalformedResponse = errors.New("the answer cannot be read")
 
-// Response is a whole answer; its parts lie in the connection's buffer.
+// Response is a server's complete response. Its parts lie in the connection's buffer.
 type Response struct {
 	Status int
 	Fields []Field
 	Body   []byte
-	Close  bool // the connection cannot be used again
+	Close  bool // the connection cannot be reused
 }
 
-// Answer is what a node says to a client.
+// Answer is what the node sends to a client.
 type Answer struct {
 	Status     int
-	Fields     []Field // of a server's answer, passed on
+	Fields     []Field // of the server's response, forwarded
 	Body       []byte
-	RetryAfter time.Duration
+	RetryAfter time.Duration // 0: none
 	Close      bool
 }
 
-// IsTarget tells whether a request may be for it.
+// IsTarget reports whether b is a valid request target in origin form.
 func IsTarget(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c == 0x7f {
--- a/internal/protocol/message/pool.go
+++ b/internal/protocol/message/pool.go
@@ -2,18 +2,18 @@
 
 import "sync/atomic"
 
-// BufferBudget is memory that connections share for messages larger than the buffer each may hold on to. Few are large at a
-// time, so that the number of connections need not be cut to what all could grow to.
+// BufferBudget bounds the memory that all connections together use for messages larger than the buffer that each retains.
+// It is safe for concurrent use. A nil budget is unlimited.
 type BufferBudget struct{ free atomic.Int64 }
 
-// NewBufferBudget makes one of so many bytes.
+// NewBufferBudget returns a budget of so many bytes.
 func NewBufferBudget(bytes int) *BufferBudget {
 	p := &BufferBudget{}
 	p.free.Store(int64(bytes))
 	return p
 }
 
-// Reserve is false where so much is not left. No pool has no end.
+// Reserve takes n bytes, or reports false where fewer are left.
 func (p *BufferBudget) Reserve(n int) bool {
 	if p == nil || p.free.Add(int64(-n)) >= 0 {
 		return true
@@ -22,12 +22,12 @@
 	return false
 }
 
-// Release takes memory back.
+// Release gives n reserved bytes back.
 func (p *BufferBudget) Release(n int) {
 	if p != nil {
 		p.free.Add(int64(n))
 	}
 }
 
-// Available is how many bytes are left.
+// Available returns how many bytes are left.
 func (p *BufferBudget) Available() int64 { return p.free.Load() }
