--- a/internal/protocol/fastcgi/client.go
+++ b/internal/protocol/fastcgi/client.go
@@ -6,28 +6,28 @@
 	"fernvane/internal/protocol/message"
 )
 
-// AppendRequest writes a request as a client sends it under an id of its own, to share a connection with others.
+// AppendRequest appends a request as a client sends it under an ID, so that several share a connection.
 func AppendRequest(b []byte, id uint16, r *message.Request, left, from string) []byte {
 	b = appendBegin(b, id, flagKeep)
 	b = appendStream(b, typeParams, id, appendParams(nil, r, left, from))
 	return appendStream(b, typeStdin, id, r.Body)
 }
 
-// AppendAbort writes that a client wants no answer any more.
+// AppendAbort appends the record with which a client aborts a request.
 func AppendAbort(b []byte, id uint16) []byte { return appendRecord(b, typeAbort, id, nil) }
 
-// ResponseReader reads answers of requests that share a connection, whichever comes first.
+// ResponseReader reads the responses of requests that share a connection, in the order in which they end.
 type ResponseReader struct {
 	records reader
 	out     map[uint16][]byte
 }
 
-// NewResponseReader reads from a connection that nothing was read from.
+// NewResponseReader reads from a connection from which nothing has been read.
 func NewResponseReader(r io.Reader) *ResponseReader {
 	return &ResponseReader{records: newReader(r), out: map[uint16][]byte{}}
 }
 
-// Next reads the next that ends. One of which nothing but its end came has status 0.
+// Next returns the next response that ends. It has status 0 where nothing but its end was received.
 func (a *ResponseReader) Next() (id uint16, r message.Response, err error) {
 	for {
 		rec, err := a.records.next()
--- a/internal/protocol/fastcgi/clientconn.go
+++ b/internal/protocol/fastcgi/clientconn.go
@@ -15,27 +15,28 @@
 )
 
 const (
-	maxRequests    = 100 // requests open on one connection; more are told that the node is overloaded
+	maxRequests    = 100 // open on one connection; more are rejected as overload
 	maxValuesBytes = 1 << 10
 )
 
-// ErrPeer is a client that does not keep to the protocol. Nothing more can be read from its connection.
+// ErrPeer is the error of a client that violates the protocol. Nothing more can be read from its connection.
 var ErrPeer = errors.New("the client does not keep to the protocol")
 
-// Handler decides over a connection while it is read.
+// Handler decides what becomes of a connection and its requests. Next calls it from the goroutine that reads.
 type Handler interface {
-	// Wait returns when something can be read, and says why nothing more is. half: a record has come in part.
+	// Wait returns when something can be read. An error ends the reading and is returned by Next. half: a record has been
+	// read in part.
 	Wait(half bool) error
-	// Begun says what becomes of a request that begins: ends.Take, ends.Refuse (it is told that it never ran), or nothing
-	// more is written. last: its client wants the connection to end with it.
+	// Begun decides on a request that begins: connclose.Admit, connclose.Reject (its client is notified that it never
+	// ran), or anything else to ignore it. last: the client wants the connection closed after it.
 	Begun(last bool) connclose.Effect
-	// Refused tells that one was told so.
+	// Refused is called after a rejection was written.
 	Refused()
-	// Failed tells that one which had begun was given up on its way.
+	// Failed is called when the client aborts a request before it is complete.
 	Failed()
 }
 
-// ClientConn is a client's connection, which many requests may share.
+// ClientConn is a client's connection, on which several requests may be open. One goroutine reads (Next); any may write.
 type ClientConn struct {
 	net.Conn
 	records     reader
@@ -50,35 +51,35 @@
 	writing sync.Mutex
 }
 
-// Request is one request on a connection.
+// Request is one request on a connection. Its fields but the exported ones are guarded by ClientConn.mu.
 type Request struct {
 	ID      uint16
 	Request *message.Request
-	Bad     *message.RequestError // why it cannot be taken; nil for a good one
-	Came    time.Time             // its first record
+	Bad     *message.RequestError // why it cannot be served; nil: it can
+	Came    time.Time             // when its first record was read
 
 	disconnected   chan struct{}
 	isDisconnected bool
 	isComplete     bool
-	isForgotten    bool // answered, or as good as
-	hasParams      bool // its params are whole
+	isForgotten    bool // its ID is free again
+	hasParams      bool // its params are complete
 	params         []byte
 	body           []byte
 	borrowed       int
-	tooLarge       *message.RequestError // it is read to its end, and kept no more
+	tooLarge       *message.RequestError // why the rest of it is read and dropped; nil: it is not
 }
 
-// Disconnected is closed when the client has aborted the request, or its connection has ended.
+// Disconnected is closed when the client has aborted the request or its connection has ended.
 func (c *Request) Disconnected() <-chan struct{} { return c.disconnected }
 
-// NewClientConn wraps a connection that nothing was read from.
+// NewClientConn wraps a connection from which nothing has been read.
 func NewClientConn(c net.Conn, p *message.BufferBudget) *ClientConn {
 	f := &ClientConn{Conn: c, budget: p, open: map[uint16]*Request{}}
 	f.records = newReader(source{f})
 	return f
 }
 
-// source is the connection as it is read: not before the keeper says so.
+// source reads from the connection once the handler allows it.
 type source struct{ f *ClientConn }
 
 func (s source) Read(b []byte) (n int, err error) {
@@ -92,13 +93,13 @@
 	return n, err
 }
 
-// HasUnread tells that something has come that was not read yet.
+// HasUnread reports that something has arrived that was not read yet.
 func (f *ClientConn) HasUnread() bool { return sockpeek.HasUnread(f.Conn) }
 
-// Await returns once something has come, which it leaves where it is, and io.EOF where the client has closed.
+// Await returns once something has arrived, without reading it. The error is io.EOF where the client has closed.
 func (f *ClientConn) Await() error {
 	switch n, err := sockpeek.Peek(f.Conn, true); {
-	case err == syscall.ENOTSUP: // of a kind that cannot be looked at
+	case err == syscall.ENOTSUP: // a kind of connection that cannot be peeked at
 		return nil
 	case err == nil && n == 0:
 		return io.EOF
@@ -107,7 +108,7 @@
 	}
 }
 
-// Oldest is when the oldest request began that has not come whole; zero: there is none.
+// Oldest returns when the oldest incomplete request began; zero: there is none.
 func (f *ClientConn) Oldest() (oldest time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -119,8 +120,8 @@
 	return oldest
 }
 
-// Next returns the next whole request. What else comes is dealt with: questions, requests that are not taken, aborts.
-// A nil keeper takes all.
+// Next returns the next complete request. It handles all other records: management queries, rejected requests, aborts. A
+// nil handler admits every request. The error is ErrPeer, that of the handler or that of reading.
 func (f *ClientConn) Next(k Handler) (*Request, error) {
 	f.handler = k
 	for {
@@ -150,7 +151,7 @@
 	case typeBegin:
 		switch {
 		case c != nil || len(rec.content) != 8:
-			return nil, ErrPeer // an id that is open: nobody could tell whose the answer is
+			return nil, ErrPeer // the ID is in use
 		case rec.content[0] != 0 || rec.content[1] != responder:
 			return nil, f.write(appendEnd(nil, rec.id, 0, statusUnknownRole))
 		case n >= maxRequests:
@@ -187,17 +188,17 @@
 		return nil, nil
 	case typeParams, typeStdin, typeData:
 		if c == nil || c.isComplete {
-			return nil, nil // of a request that has ended
+			return nil, nil // its request has ended
 		}
 		return f.addToStream(c, rec)
 	}
 	return nil, f.write(appendRecord(nil, typeUnknown, 0, []byte{rec.kind, 0, 0, 0, 0, 0, 0, 0}))
 }
 
-// stream takes a part of a request; the one that ends its STDIN makes it whole.
+// addToStream handles a part of a request and returns the request when it is complete, at the end of its STDIN.
 func (f *ClientConn) addToStream(c *Request, rec record) (*Request, error) {
 	switch {
-	case rec.kind == typeData: // of another role
+	case rec.kind == typeData: // for another role
 	case rec.kind == typeParams && c.hasParams, rec.kind == typeStdin && !c.hasParams:
 		return nil, ErrPeer
 	case rec.kind == typeParams && len(rec.content) == 0:
@@ -221,7 +222,7 @@
 	return nil, nil
 }
 
-// add keeps a part of a stream, as long as it is not too large.
+// appendBounded appends to a stream within its bound and the budget; the error is what to answer.
 func (f *ClientConn) appendBounded(c *Request, to *[]byte, content []byte, most, status int, why string) *message.RequestError {
 	switch {
 	case c.tooLarge != nil:
@@ -243,7 +244,7 @@
 	c.params, c.body, c.borrowed = nil, nil, 0
 }
 
-// manage answers records of the connection itself.
+// handleManagement answers records of the connection itself.
 func (f *ClientConn) handleManagement(rec record) error {
 	if rec.kind != typeGetValues {
 		return f.write(appendRecord(nil, typeUnknown, 0, []byte{rec.kind, 0, 0, 0, 0, 0, 0, 0}))
@@ -276,7 +277,8 @@
 	}
 }
 
-// Hangup tells all that wait for an answer that their client has gone, and forgets what had not come whole.
+// Hangup marks all open requests as disconnected and forgets incomplete ones. The reader calls it when the connection has
+// ended.
 func (f *ClientConn) Hangup() {
 	for _, c := range f.openRequests(nil) {
 		if f.markDisconnected(c); !c.isComplete {
@@ -285,20 +287,20 @@
 	}
 }
 
-// all are the calls that are open, but for some.
+// openRequests returns the open requests but those for which but reports true.
 func (f *ClientConn) openRequests(but func(*Request) bool) []*Request {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	calls := make([]*Request, 0, len(f.open))
+	requests := make([]*Request, 0, len(f.open))
 	for _, c := range f.open {
 		if but == nil || !but(c) {
-			calls = append(calls, c)
+			requests = append(requests, c)
 		}
 	}
-	return calls
+	return requests
 }
 
-// RefuseComing tells all requests that have not come whole that they never ran. Only the reader may call it.
+// RefuseComing rejects all incomplete requests. Only the reader may call it.
 func (f *ClientConn) RefuseComing() error {
 	var errs error
 	for _, c := range f.openRequests(func(c *Request) bool { return c.isComplete }) {
@@ -307,7 +309,7 @@
 	return errs
 }
 
-// Refuse tells a request that it never ran.
+// Refuse writes that a request never ran.
 func (f *ClientConn) Refuse(c *Request) error {
 	f.forget(c)
 	return f.writeRejection(c.ID)
@@ -317,8 +319,8 @@
 	return f.write(appendEnd(nil, id, 0, statusOverloaded))
 }
 
-// done forgets a call. Its id is free from then on, so that is before its end is written: behind that its client may use
-// it again at once.
+// forget frees the ID of a request. It is called before the end of the request is written, for the client may then use
+// the ID again at once.
 func (f *ClientConn) forget(c *Request) {
 	f.releaseBuffers(c)
 	f.mu.Lock()
@@ -329,7 +331,7 @@
 	}
 }
 
-// Append writes an answer to a call, with its END_REQUEST.
+// Append appends an answer to the request, with its END_REQUEST.
 func (c *Request) Append(b []byte, a message.Answer) []byte {
 	head := append(strconv.AppendInt([]byte("Status: "), int64(a.Status), 10), "\r\n"...)
 	for _, f := range a.Fields {
@@ -348,7 +350,7 @@
 	return appendEnd(b, c.ID, 0, statusComplete)
 }
 
-// Answer writes what Append has put together, whole, and ends the call. What a client aborted gets its END alone.
+// Answer writes what Append has built, and ends the request. An aborted request gets its END_REQUEST alone.
 func (f *ClientConn) Answer(c *Request, answer []byte) error {
 	f.mu.Lock()
 	aborted := c.isDisconnected
@@ -360,23 +362,23 @@
 	return f.write(answer)
 }
 
-// End ends a call that its client has aborted.
+// End ends a request that its client has aborted.
 func (f *ClientConn) End(c *Request) error {
 	f.forget(c)
 	return f.write(appendEnd(nil, c.ID, 0, statusComplete))
 }
 
-// write puts records on the connection whole, one caller at a time.
+// write writes complete records, one caller at a time.
 func (f *ClientConn) write(b []byte) error {
 	f.writing.Lock()
 	defer f.writing.Unlock()
 	f.SetWriteDeadline(time.Now().Add(writeTimeout))
 	n, err := f.Write(b)
 	if n < len(b) {
-		f.Close() // what is half written leaves the others' answers unreadable
+		f.Close() // after half a record no response can be parsed
 		return errors.Join(io.ErrShortWrite, err)
 	}
 	return nil
 }
 
-const writeTimeout = 2 * time.Second // for a client to take what is written
+const writeTimeout = 2 * time.Second // for a client to receive what is written
--- a/internal/protocol/fastcgi/params.go
+++ b/internal/protocol/fastcgi/params.go
@@ -8,10 +8,10 @@
 	"fernvane/internal/protocol/message"
 )
 
-// What an HTTP request is in params, and back. A field X-Y is HTTP_X_Y. Fields whose names hold an underscore are left
-// out on the way to params, for X_Y and X-Y would be one param and a client could pass one off as the other; HTTP_PROXY
-// is left out both ways, for programs take it for a setting of theirs. Content-Type and Content-Length have params of
-// their own, and fields that belong to a connection do not go on.
+// The mapping between HTTP requests and params. A field X-Y is HTTP_X_Y. Fields whose names contain an underscore are left
+// out, for X_Y and X-Y would be the same param and a client could forge one with the other. HTTP_PROXY is left out both
+// ways, for programs read it as a setting of theirs. Content-Type and Content-Length have params of their own, and
+// hop-by-hop fields are not forwarded.
 //
 //	REQUEST_METHOD    method                 REQUEST_URI     target
 //	SCRIPT_NAME       path                   QUERY_STRING    behind the question mark
@@ -29,7 +29,7 @@
 	prefix      = "HTTP_"
 )
 
-// appendParams writes the params of a request, with what is left of its time and the client's address.
+// appendParams appends the params of a request, with the time left for it in seconds and the client's address.
 func appendParams(b []byte, r *message.Request, left, from string) []byte {
 	path, query, _ := bytes.Cut(r.Target, []byte{'?'})
 	b = appendPair(b, "GATEWAY_INTERFACE", "CGI/1.1")
@@ -64,16 +64,16 @@
 	return prefix + strings.ReplaceAll(strings.ToUpper(string(field)), "-", "_")
 }
 
-// reading is a request while its params are taken in.
+// paramReader builds a request from its params.
 type paramReader struct {
 	request *message.Request
 	script  []byte
 	info    []byte
 	query   []byte
-	length  int // that the body is said to have; -1: not said
+	length  int // stated length of the body in bytes; -1: not stated
 }
 
-// request makes a request of params and a body. What is wrong with them is a *message.Malformed.
+// request builds a request of params and a body. The error is a *message.RequestError.
 func request(params []byte, body []byte) (*message.Request, error) {
 	pairs, err := parsePairs(params, nil)
 	if err != nil {
@@ -92,7 +92,7 @@
 			return nil, message.NewRequestError(431, "too many fields")
 		}
 	}
-	if in.length >= 0 && in.length != len(body) { // what one side takes for the body is not what the other has sent
+	if in.length >= 0 && in.length != len(body) { // a mismatch would allow request smuggling
 		return nil, message.NewRequestError(400, "the body is not as long as it is said to be")
 	}
 	if len(r.Target) == 0 {
@@ -107,7 +107,7 @@
 	return r, nil
 }
 
-// take takes in a param.
+// take reads one param.
 func (in *paramReader) take(name string, value []byte) error {
 	r := in.request
 	switch name {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// takeLength takes in what is said of the body's length, which must be the same wherever it is said.
+// takeLength reads the stated length of the body, which must be the same wherever it is stated.
 func (in *paramReader) takeLength(value []byte) error {
 	if len(value) == 0 {
 		return nil
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// response makes an answer of what a responder has written: a head as CGI has it, and the body.
+// response parses what a responder has written: a CGI head and the body. The error is message.ErrMalformedResponse.
 func response(out []byte, r *message.Response) error {
 	*r = message.Response{Status: 200, Fields: r.Fields[:0]}
 	stated := -1
@@ -198,7 +198,7 @@
 			r.Fields = append(r.Fields, f)
 		}
 	}
-	if r.Body = out; stated >= 0 && stated != len(out) { // cut off, or more than belongs to it
+	if r.Body = out; stated >= 0 && stated != len(out) { // cut off, or too long
 		return message.ErrMalformedResponse
 	}
 	return nil
--- a/internal/protocol/fastcgi/record.go
+++ b/internal/protocol/fastcgi/record.go
@@ -1,6 +1,7 @@
-// Package fastcgi is what is spoken in FastCGI 1.0, from its published specification: records, name-value pairs, requests
-// of clients on a connection that they may share, and requests to responders, one at a time on a kept connection. It
-// decides nothing and sends nothing twice. Whatever a peer sends, its memory is bounded.
+// Package fastcgi reads and writes FastCGI 1.0, from its published specification: records and name-value pairs (record.go),
+// the mapping of HTTP requests to params (params.go), connections from clients, on which several requests may be open
+// (ClientConn), and connections to responders, with one request at a time (ServerConn). It decides nothing and sends
+// nothing twice. Memory is bounded whatever a peer sends.
 package fastcgi
 
 import (
@@ -28,10 +29,10 @@
 const (
 	version         = 1
 	headerLen       = 8
-	maxContentBytes = 65535 // bytes of a record's content
-	responder       = 1     // the one role that is played
+	maxContentBytes = 65535 // of one record
+	responder       = 1     // the one role that is supported
 	flagKeep        = 1
-	shortName       = 127 // bytes of a name or value whose length takes one byte
+	shortName       = 127 // longest name or value whose length takes one byte
 	longLength      = 1 << 31
 )
 
@@ -45,16 +46,16 @@
 
 var errRecord = errors.New("a record cannot be read")
 
-// record is one; its content is valid until the next is read.
+// record is one record. Its content is valid until the next is read.
 type record struct {
 	kind    byte
 	id      uint16
 	content []byte
 }
 
-const readBufferBytes = 4 << 10 // bytes; a record has three parts, and most come with one read
+const readBufferBytes = 4 << 10 // holds most records whole
 
-// reader takes records off a stream into one buffer.
+// reader reads records from a stream into one buffer.
 type reader struct {
 	r       *bufio.Reader
 	header  [headerLen]byte
@@ -63,7 +64,7 @@
 
 func newReader(r io.Reader) reader { return reader{r: bufio.NewReaderSize(r, readBufferBytes)} }
 
-// next reads a record whole, padding and all. io.EOF comes between records only.
+// next reads a record with its padding. The error is io.EOF only between records.
 func (r *reader) next() (record, error) {
 	if _, err := io.ReadFull(r.r, r.header[:]); err != nil {
 		return record{}, err
@@ -85,7 +86,7 @@
 	return record{kind: r.header[1], id: binary.BigEndian.Uint16(r.header[2:]), content: all[:length]}, nil
 }
 
-// appendRecord writes one record; its content is padded to eight bytes, as the specification advises.
+// appendRecord appends one record, padded to a multiple of eight bytes as the specification advises.
 func appendRecord(b []byte, kind byte, id uint16, content []byte) []byte {
 	padding := -len(content) & 7
 	b = append(b, version, kind, byte(id>>8), byte(id), byte(len(content)>>8), byte(len(content)), byte(padding), 0)
@@ -93,7 +94,7 @@
 	return append(b, make([]byte, padding)...)
 }
 
-// appendStream writes a stream in as many records as it takes, and its end.
+// appendStream appends a stream in as many records as it needs, with the empty one that ends it.
 func appendStream(b []byte, kind byte, id uint16, content []byte) []byte {
 	for len(content) > 0 {
 		n := min(len(content), maxContentBytes)
@@ -103,7 +104,7 @@
 	return appendRecord(b, kind, id, nil)
 }
 
-// pair is one of PARAMS or GET_VALUES.
+// pair is a name-value pair of PARAMS or GET_VALUES.
 type pair struct{ name, value []byte }
 
 func appendLength(b []byte, n int) []byte {
@@ -118,7 +119,7 @@
 	return append(append(b, name...), value...)
 }
 
-// length reads one of the two forms; ok is false where it is not whole.
+// length reads a length in either form; ok is false where it is cut off.
 func length(b []byte) (n int, rest []byte, ok bool) {
 	switch {
 	case len(b) == 0:
@@ -131,7 +132,7 @@
 	return int(binary.BigEndian.Uint32(b) &^ longLength), b[4:], true
 }
 
-// parsePairs reads a whole stream of pairs, which may have come split over records in any way.
+// parsePairs parses a complete stream of pairs.
 func parsePairs(b []byte, into []pair) ([]pair, error) {
 	for len(b) > 0 {
 		name, rest, ok := length(b)
@@ -148,7 +149,7 @@
 	return into, nil
 }
 
-// appendEnd writes the end of a request.
+// appendEnd appends the END_REQUEST of a request.
 func appendEnd(b []byte, id uint16, app uint32, status byte) []byte {
 	var body [8]byte
 	binary.BigEndian.PutUint32(body[:], app)
--- a/internal/protocol/fastcgi/serverconn.go
+++ b/internal/protocol/fastcgi/serverconn.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	requestID           = 1                    // of the one request that is out on a connection
-	retainedBufferBytes = 8 << 10              // bytes that a connection may hold on to
-	abortTimeout        = 5 * time.Millisecond // for a record of eight bytes to be written
-	maxStderrBytes      = 64 << 10             // bytes of one request's that are read; a responder that goes on is garbled
+	requestID           = 1                    // of the one request that is open on a connection
+	retainedBufferBytes = 8 << 10              // of buffers between requests; more is reserved from the budget
+	abortTimeout        = 5 * time.Millisecond // for writing a record of eight bytes
+	maxStderrBytes      = 64 << 10             // of one request; more is a malformed response
 )
 
-// ServerConn is a connection to a responder. It carries one request at a time.
+// ServerConn is a connection to a responder, with one request at a time. It belongs to the goroutine of that request.
 type ServerConn struct {
 	net.Conn
 	records  reader
@@ -29,24 +29,25 @@
 	stderr   func(text []byte)
 }
 
-// NewServerConn wraps a connection that nothing was read from. What responders write to STDERR is told to stderr.
+// NewServerConn wraps a connection from which nothing has been read. stderr, if not nil, is called with what the
+// responder writes to STDERR.
 func NewServerConn(c net.Conn, p *message.BufferBudget, stderr func(text []byte)) *ServerConn {
 	return &ServerConn{Conn: c, records: newReader(c), budget: p, stderr: stderr}
 }
 
-// IsIdle tells that an idle connection is open and that nothing has come on it.
+// IsIdle reports that the connection is open and that nothing has arrived on it.
 func (b *ServerConn) IsIdle() bool { return b.records.r.Buffered() == 0 && sockpeek.IsIdle(b.Conn) }
 
-// HasUnread tells that something has come that was not read yet.
+// HasUnread reports that something has arrived that was not read yet.
 func (b *ServerConn) HasUnread() bool { return sockpeek.HasUnread(b.Conn) }
 
-// HasMore tells that something lies behind the answer just read.
+// HasMore reports that something has arrived behind the response just read.
 func (b *ServerConn) HasMore() bool { return b.records.r.Buffered() > 0 || b.HasUnread() }
 
-// IsReusable tells whether another request may be asked: only behind a whole END_REQUEST.
+// IsReusable reports whether another request may be sent: only after a complete END_REQUEST.
 func (b *ServerConn) IsReusable(*message.Response) bool { return b.reusable }
 
-// ReleaseBuffers gives back memory that a large answer took.
+// ReleaseBuffers frees memory that a large response has taken.
 func (b *ServerConn) ReleaseBuffers() {
 	if cap(b.out) > retainedBufferBytes {
 		b.out = nil
@@ -58,7 +59,7 @@
 	b.borrowed = 0
 }
 
-// SendRequest writes a request whole, and tells whether its last byte, that of the empty STDIN record, was written.
+// SendRequest writes a request and reports whether its last byte, that of the empty STDIN record, was written.
 func (b *ServerConn) SendRequest(r *message.Request, left time.Duration, from string) (whole bool, err error) {
 	b.reusable = false
 	time := strconv.FormatFloat(float64(max(left.Milliseconds(), 1))/1000, 'f', 3, 64)
@@ -70,14 +71,15 @@
 	return n == len(buf), err
 }
 
-// Abort asks the responder to give the request up. What comes of it is not waited for.
+// Abort asks the responder to abandon the request, and does not wait for an answer.
 func (b *ServerConn) Abort() {
 	b.SetWriteDeadline(time.Now().Add(abortTimeout))
 	b.Write(appendRecord(nil, typeAbort, requestID, nil))
 }
 
-// ReceiveResponse reads the whole answer. A responder that says in END_REQUEST that it did not take the request is answered for
-// with 503 and Not-Started, as a server of HTTP says it.
+// ReceiveResponse reads the complete response. Where END_REQUEST says that the responder did not take the request, it is a
+// 503 with Not-Started, as an HTTP server would send. The error is message.ErrMalformedResponse, io.ErrUnexpectedEOF or
+// that of reading.
 func (b *ServerConn) ReceiveResponse(r *message.Response) error {
 	b.out = b.out[:0]
 	logged := 0
@@ -91,7 +93,7 @@
 		case err != nil:
 			return err
 		case rec.kind == typeValues, rec.kind == typeUnknown:
-			continue // of the connection, and asked for by nobody; the hop's time bounds how many come
+			continue // of the connection itself; the attempt's deadline bounds how many are read
 		case rec.id != requestID:
 			return message.ErrMalformedResponse
 		}
@@ -124,7 +126,7 @@
 	}
 	if more := len(b.out) + len(content) - retainedBufferBytes - b.borrowed; more > 0 {
 		if !b.budget.Reserve(more) {
-			return message.ErrMalformedResponse // no memory for it now; it may have run all the same
+			return message.ErrMalformedResponse // the budget is used up; the request may have run
 		}
 		b.borrowed += more
 	}
@@ -139,11 +141,11 @@
 			return err
 		}
 		if b.reusable = true; app != 0 && r.Status == 200 {
-			r.Status = 500 // the responder failed behind what it had written
+			r.Status = 500 // the responder failed after it had written a response
 		}
 		return nil
 	case statusOverloaded, statusCantMPX, statusUnknownRole:
-		if len(b.out) > 0 { // it has begun all the same
+		if len(b.out) > 0 { // it has begun after all
 			return message.ErrMalformedResponse
 		}
 		b.reusable = true
