--- a/internal/protocol/fastcgi/clientconn.go
+++ b/internal/protocol/fastcgi/clientconn.go
@@ -51,7 +51,8 @@
 	writing sync.Mutex
 }
 
-// Request is one request on a connection. Its fields but the exported ones are guarded by ClientConn.mu.
+// Request is one request on a connection. ClientConn.mu guards isDisconnected, isComplete and isForgotten; the other
+// unexported fields belong to the goroutine that reads, until the request is complete.
 type Request struct {
 	ID      uint16
 	Request *message.Request
