--- a/cmd/testbed/journal.go
+++ b/cmd/testbed/journal.go
@@ -20,7 +20,7 @@
 	return []string{path, nodeCommand}, err
 }
 
-// killsCommand kills nodes at moments of chance and sets their journals beside what the boxes have run.
+// killsCommand kills nodes at moments of chance and sets their journals beside what the servers have run.
 func killsCommand() *cobra.Command {
 	var n int
 	var seed uint64
@@ -69,7 +69,7 @@
 	return c
 }
 
-// promisesCommand measures what the journal's promises cost a binding.
+// promisesCommand measures what the journal's promises cost a non-idempotent.
 func promisesCommand() *cobra.Command {
 	return &cobra.Command{Use: "promises", Short: "What each of the journal's promises adds to a binding, beside none", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -29,7 +29,7 @@
 	exitInvalid  = 3 // the generator fell behind: the run does not count
 )
 
-// What the lab tells a process of itself that it runs as a node.
+// What the testbed tells a process of itself that it runs as a node.
 const (
 	nodeCommand = "node"
 	planCommand = "planner"
@@ -55,7 +55,7 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// node is what `fernvane serve` is, in this binary, so that the lab needs no build beside it; the policy may be another.
+// node is what `fernvane serve` is, in this binary, so that the testbed needs no build beside it; the policy may be another.
 func node(errs io.Writer, getenv func(string) string) int {
 	proxy.CatchSignals() // as the node's own command does
 	cfg, err := proxy.LoadConfig(getenv("PROXY_CONFIG"), getenv)
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -1,4 +1,4 @@
-// Package audit tells whether the rules were kept, from what clients, boxes, discovery and the keeper of the nodes saw.
+// Package audit tells whether the rules were kept, from what clients, servers, discovery and the keeper of the nodes saw.
 // It is free of I/O: what happened is told to it in any order, and Verdict looks at the whole.
 package audit
 
@@ -14,7 +14,7 @@
 	first   time.Duration
 	last    time.Duration
 	over    time.Duration // -1: not seen
-	unbegun bool          // the box said that it has not begun, and never will
+	unbegun bool          // the server said that it has not begun, and never will
 	ran     time.Duration // -1: it has not
 }
 
@@ -42,7 +42,7 @@
 type announcement struct {
 	at   time.Duration
 	cond Condition
-	up   int64 // when the box was said to have started; 0: not said
+	up   int64 // when the server was said to have started; 0: not said
 	anew bool  // the node has forgotten what was before
 }
 
@@ -57,7 +57,7 @@
 	f              Figures
 	servers        []Server
 	requests       map[uint64]*request
-	announcements  map[[2]int][]announcement // by node and box
+	announcements  map[[2]int][]announcement // by node and server
 	down           map[int][]span            // by node
 	extras         []string
 	fallen         []string
@@ -65,7 +65,7 @@
 	invented       []string
 	owed           []string
 	brokenPromises []string
-	active         map[[2]int][]time.Duration // by node and box: sends and outcomes, in order; nil: not worked out
+	active         map[[2]int][]time.Duration // by node and server: sends and outcomes, in order; nil: not worked out
 }
 
 // New gathers from nothing.
@@ -73,7 +73,7 @@
 	return &Audit{f: f, requests: map[uint64]*request{}, announcements: map[[2]int][]announcement{}, down: map[int][]span{}}
 }
 
-// Server makes the next box known; they are numbered from 0.
+// Server makes the next server known; they are numbered from 0.
 func (a *Audit) Server(b Server) { a.servers = append(a.servers, b) }
 
 func (a *Audit) request(id uint64) *request {
@@ -103,24 +103,24 @@
 // Extra tells that a node sent something on a connection on which nothing was asked.
 func (a *Audit) Extra(node int) { a.extras = append(a.extras, fmt.Sprintf("node %d", node)) }
 
-// Attempt tells that a box was sent a request, by when its first and its last byte came.
+// Attempt tells that a server was sent a request, by when its first and its last byte came.
 func (a *Audit) Attempt(id uint64, box int, first, last time.Duration) {
 	r := a.request(id)
 	r.attempts = append(r.attempts, attempt{server: box, first: first, last: last, over: -1, ran: -1})
 }
 
-// Idle tells that a connection to a box on which a request was the last stood unused, until it ended or the next one came.
+// Idle tells that a connection to a server on which a request was the last stood unused, until it ended or the next one came.
 func (a *Audit) Idle(id uint64, box int, from, to time.Duration) {
 	r := a.request(id)
 	r.idle = append(r.idle, idle{server: box, from: from, to: to})
 }
 
-// Invented tells that a box was sent what no client has sent.
+// Invented tells that a server was sent what no client has sent.
 func (a *Audit) Invented(box int, what string) {
 	a.invented = append(a.invented, fmt.Sprintf("%q at %s", what, a.servers[box].Name))
 }
 
-// last is the latest attempt of a request at a box.
+// last is the latest attempt of a request at a server.
 func (r *request) last(box int) *attempt {
 	for i := len(r.attempts) - 1; i >= 0; i-- {
 		if r.attempts[i].server == box {
@@ -130,7 +130,7 @@
 	return &attempt{}
 }
 
-// Ran tells that a box has begun the work of its latest attempt of a request.
+// Ran tells that a server has begun the work of its latest attempt of a request.
 func (a *Audit) Ran(id uint64, box int, at time.Duration) { a.request(id).last(box).ran = at }
 
 // Over tells that the attempt is out no more: it was answered, or its connection ended. unbegun: by the word that it never ran.
@@ -140,13 +140,13 @@
 	}
 }
 
-// Announced tells that a node was told of a box, by discovery or by any planner, and when that box was said to have started.
+// Announced tells that a node was told of a server, by discovery or by any planner, and when that server was said to have started.
 func (a *Audit) Announced(node, box int, c Condition, up int64, at time.Duration) {
 	k := [2]int{node, box}
 	a.announcements[k] = append(a.announcements[k], announcement{at: at, cond: c, up: up})
 }
 
-// Excused tells that what a node was told of a box's end is not to be believed.
+// Excused tells that what a node was told of a server's end is not to be believed.
 func (a *Audit) Excused(node, box int, at time.Duration) {
 	k := [2]int{node, box}
 	a.announcements[k] = append(a.announcements[k], announcement{at: at, anew: true})
@@ -194,10 +194,10 @@
 // Owed tells that a client which sent what cannot be read got neither an error nor a close in time.
 func (a *Audit) Owed(what string) { a.owed = append(a.owed, what) }
 
-// BrokenPromise tells that a journal of bindings lacks what a box has run, or claims what is not so.
+// BrokenPromise tells that a journal of non-idempotent requests lacks what a server has run, or claims what is not so.
 func (a *Audit) BrokenPromise(what string) { a.brokenPromises = append(a.brokenPromises, what) }
 
-// Fell tells that a cold box was sent too much.
+// Fell tells that a cold server was sent too much.
 func (a *Audit) Fell(box int, at time.Duration) {
 	a.fallen = append(a.fallen, fmt.Sprintf("%s at %s", a.servers[box].Name, at.Round(time.Millisecond)))
 }
@@ -210,7 +210,7 @@
 	Worst  string `json:"worst,omitempty"`
 }
 
-// EachRan calls f for each work that a box has begun, of types that ask says yes to.
+// EachRan calls f for each work that a server has begun, of types that ask says yes to.
 func (a *Audit) EachRan(ask func(kind int) bool, f func(id uint64, node, box int)) {
 	for id, r := range a.requests {
 		for _, h := range r.attempts {
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -15,7 +15,7 @@
 		{Name: "check"}, {Name: "book", Repeat: Binding}, {Name: "print", Repeat: Fingerprinted, Window: time.Second},
 		{Name: "zoned", Repeat: Fingerprinted, Group: Zone, Window: time.Second}, {Name: "bound", Sites: []int{0}, Kinds: []string{"large", "huge"}},
 		{Name: "nowhere", Sites: []int{}}}, Closes: true, DrainClose: 300 * ms}
-	// attempt has a box take a request, run it and answer.
+	// attempt has a server take a request, run it and answer.
 	attempt := func(a *Audit, box int, at time.Duration) {
 		a.Attempt(1, box, at, at)
 		a.Ran(1, box, at)
@@ -33,7 +33,7 @@
 		a.Sending(1, kind, 0)
 		a.Sent(1, 0)
 	}
-	still := func(a *Audit, from, to time.Duration, told ...time.Duration) { // and is told meanwhile that a box has gone
+	still := func(a *Audit, from, to time.Duration, told ...time.Duration) { // and is told meanwhile that a server has gone
 		a.NodeStill(0, from)
 		for _, at := range told {
 			a.Announced(0, 1, Removed, 0, at)
--- a/internal/testbed/audit/rules.go
+++ b/internal/testbed/audit/rules.go
@@ -100,7 +100,7 @@
 	return ""
 }
 
-// mayHaveRun: it came whole, and its box has not said that it never began.
+// mayHaveRun: it came whole, and its server has not said that it never began.
 func (h *attempt) mayHaveRun() bool { return !h.unbegun }
 
 func (a *Audit) sameGroup(t *Type, x, y int) bool {
@@ -172,7 +172,7 @@
 	return ""
 }
 
-// undrained looks at what the node knew of the box when the attempt began. An attempt on its way is given the grace. That a box
+// undrained looks at what the node knew of the server when the attempt began. An attempt on its way is given the grace. That a server
 // serves undoes a drain only if it is said of a later start: an old word of it may come from a planner that was away.
 func (a *Audit) undrained(r *request) string {
 	for _, h := range r.attempts {
@@ -185,7 +185,7 @@
 	return ""
 }
 
-// parting is since when a node knew at some time that a box drains or is gone, -1 if it did not, and which of them it was
+// parting is since when a node knew at some time that a server drains or is gone, -1 if it did not, and which of them it was
 // told first.
 func (a *Audit) disconnecting(node, box int, at time.Duration) (since time.Duration, first Condition) {
 	since, up := time.Duration(-1), int64(0)
@@ -241,7 +241,7 @@
 	return ""
 }
 
-// activity is when a node sent to a box and got outcomes from it.
+// activity is when a node sent to a server and got outcomes from it.
 func (a *Audit) activity(node, box int) []time.Duration {
 	if a.active == nil {
 		a.active = map[[2]int][]time.Duration{}
--- a/internal/testbed/audit/seconds.go
+++ b/internal/testbed/audit/seconds.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Second is what befell in one second of a run, over all nodes and boxes.
+// Second is what befell in one second of a run, over all nodes and servers.
 type Second struct {
 	Tries      int // of clients, by when they were sent
-	First      int // attempts at boxes, by when their first byte came: the first of a try ...
+	First      int // attempts at servers, by when their first byte came: the first of a try ...
 	Further    int // ... and those after it
-	Ran        int // begun by boxes in it
+	Ran        int // begun by servers in it
 	Vain       int // of those: the try was not handled by them, whatever their work was
 	Handled    int // tries that ended in it
 	Rejected   int
--- a/internal/testbed/audit/types.go
+++ b/internal/testbed/audit/types.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Repeat says what may be done with an operation that may have run.
+// Repeat says what may be done with a request that may have run.
 type Repeat uint8
 
 const (
 	Retriable     Repeat = iota // may run any number of times
-	Fingerprinted               // repeats are dropped within a group of boxes, for a while
+	Fingerprinted               // repeats are dropped within a group of servers, for a while
 	Binding                     // must not run twice
 )
 
-// Group of boxes that drops repeats of a fingerprinted operation.
+// Group of servers that drops repeats of a keyed request.
 type Group uint8
 
 const (
-	All  Group = iota // every box
-	Zone              // the boxes of one site
-	Cell              // the boxes of one cell
+	All  Group = iota // every server
+	Zone              // the servers of one site
+	Cell              // the servers of one cell
 )
 
 // Type is what the audit must know of a traffic type.
@@ -27,10 +27,10 @@
 	Group  Group
 	Window time.Duration
 	Sites  []int    // where it may be sent, nil for anywhere
-	Kinds  []string // of boxes, likewise
+	Kinds  []string // of servers, likewise
 }
 
-// Server is where a box stands.
+// Server is where a server stands.
 type Server struct {
 	Name string
 	Site int
@@ -44,8 +44,8 @@
 	DrainGrace  time.Duration
 	Slack       time.Duration // added to each limit, for what the machine is late
 	MaxAttempts int
-	Copies      bool // a second copy may be out while the first is
-	Closes      bool // idle connections to a draining box are closed within DrainClose
+	Copies      bool // a hedged request may be out while the first is
+	Closes      bool // idle connections to a draining server are closed within DrainClose
 	DrainClose  time.Duration
 }
 
@@ -61,7 +61,7 @@
 	Disconnected            // the client went before its time was up
 )
 
-// Condition of a box, as a node was told.
+// Condition of a server, as a node was told.
 type Condition uint8
 
 const (
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	sweepEvery = 20 * time.Millisecond  // between looks at open operations
+	sweepEvery = 20 * time.Millisecond  // between looks at open requests
 	askAgain   = time.Second            // after discovery failed
 	holdBack   = 100 * time.Millisecond // before the client's time is up
 	tooLate    = 400 * time.Millisecond // after the client's leaving, beyond any slack
@@ -149,7 +149,7 @@
 	m.emit(policy.Effect{Kind: policy.Fail, Request: op})
 }
 
-// send puts an attempt out, if there is a server that the operation may go to.
+// send puts an attempt out, if there is a server that the request may go to.
 func (m *module) send(op int) bool {
 	o := &m.requests[op]
 	fits := make([]int, 0, len(m.ready))
@@ -169,7 +169,7 @@
 	return true
 }
 
-// open tells whether an operation's type may be sent to a server.
+// open tells whether a request's type may be sent to a server.
 func (m *module) open(o *request, s int) bool {
 	for i, to := range m.set.Placements {
 		bound := m.set.TrafficTypes[o.kind].PlacementBit&(1<<i) != 0 && !m.is("misplaces")
--- a/internal/testbed/bench.go
+++ b/internal/testbed/bench.go
@@ -33,7 +33,7 @@
 	Rates       []float64 // requests a second, each with each number of clients; none: as fast as answers come
 }
 
-// BenchRow is one measurement. CPUEach is the node's CPU time for an operation, in microseconds.
+// BenchRow is one measurement. CPUEach is the node's CPU time for a request, in microseconds.
 type BenchRow struct {
 	Connections int           `json:"connections"`
 	Rate        float64       `json:"rate,omitempty"` // that was asked for; 0: none
--- a/internal/testbed/build.go
+++ b/internal/testbed/build.go
@@ -19,7 +19,7 @@
 	"fernvane/internal/testbed/standin/server"
 )
 
-// build starts boxes, discovery and nodes.
+// build starts servers, discovery and nodes.
 func (w *world) build(ctx context.Context) error {
 	if err := w.reserve(); err != nil {
 		return err
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// add builds a box; it is in no list yet.
+// add builds a server; it is in no list yet.
 func (w *world) add(k *scenario.Servers, name string) (*machine, error) {
 	s, n := w.Scenario, len(w.servers)
 	site := n % len(s.Sites)
@@ -150,7 +150,7 @@
 	return m, nil
 }
 
-// cgi tells whether anything of the scenario speaks FastCGI, and which kinds of boxes.
+// cgi tells whether anything of the scenario speaks FastCGI, and which kinds of servers.
 func (w *world) cgi() (any bool, kinds []string) {
 	for _, b := range w.Scenario.Servers {
 		if b.FastCGI {
@@ -196,7 +196,7 @@
 	return w.nodes[n].configure(w.Scenario, w.nodeAddress(n), w.discoveryAddress(n, w.addresses), seed, known)
 }
 
-// launch starts a node on its file as it is, and waits until the front has taken it in.
+// launch starts a node on its file as it is, and waits until the connection balancer has taken it in.
 func (w *world) launch(ctx context.Context, n int) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/testbed/cold_test.go
+++ b/internal/testbed/cold_test.go
@@ -225,7 +225,7 @@
 
 // A cold server falls under the sum of what all nodes send. With four to thirty nodes, new servers and ones that return,
 // under a burst, none gets more than N and what the standing test puts down to chance.
-// One row after another: scenarios of the lab run on the machine's clock.
+// One row after another: scenarios of the testbed run on the machine's clock.
 func TestColdServersUnderAllNodes(t *testing.T) {
 	const seeds = 2
 	for _, nodes := range []int{4, 10, 20, 30} {
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -17,7 +17,7 @@
 	"fernvane/internal/testbed/standin/zookeeper"
 )
 
-// schedule has every fault come at its moment. Which boxes and nodes a share means follows from the seed.
+// schedule has every fault come at its moment. Which servers and nodes a share means follows from the seed.
 func (w *world) schedule(ctx context.Context, shift time.Duration) {
 	begin := w.start.Add(shift)
 	for i := range w.Scenario.Faults {
@@ -41,7 +41,7 @@
 	}
 }
 
-// pauses has a box stand still again and again, each at a moment of its own.
+// pauses has a server stand still again and again, each at a moment of its own.
 func (w *world) pauses(m *machine) {
 	first := m.kind.PauseEvery.Std() * time.Duration(m.Number%7) / 7
 	for wait := first; ; wait = m.kind.PauseEvery.Std() - m.kind.PauseFor.Std() {
@@ -62,7 +62,7 @@
 	}
 }
 
-// faults are what each kind does, to boxes one by one or as a whole. They return at once; what comes later is left to
+// faults are what each kind does, to servers one by one or as a whole. They return at once; what comes later is left to
 // w.after.
 var faults = map[string]func(*world, context.Context, *scenario.Fault, *rand.Rand){
 	"slow": each(func(w *world, f *scenario.Fault, m *machine) {
@@ -293,7 +293,7 @@
 	}
 }
 
-// share has a share of the requests at the boxes named meet something, at all boxes where none is named.
+// share has a share of the requests at the servers named meet something, at all servers where none is named.
 func share(set func(*server.Faults, float64)) func(*world, context.Context, *scenario.Fault, *rand.Rand) {
 	return func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		for _, m := range w.servers {
@@ -306,7 +306,7 @@
 	}
 }
 
-// chosen are the boxes that a fault names, or a share of all.
+// chosen are the servers that a fault names, or a share of all.
 func (w *world) chosen(f *scenario.Fault, chance *rand.Rand) (chosen []*machine) {
 	if len(f.Servers) == 0 {
 		n := int(math.Ceil(f.Share * float64(len(w.servers))))
@@ -330,7 +330,7 @@
 	return chance.Perm(len(w.nodes))[:int(math.Ceil(f.Share*float64(len(w.nodes))))]
 }
 
-// dies has discovery learn of a death that nobody told, and the box come back cold after a while.
+// dies has discovery learn of a death that nobody told, and the server come back cold after a while.
 func (w *world) dies(m *machine, back time.Duration) {
 	if w.registry != nil { // its session expires when nothing was heard of it for long enough
 		m.mu.Lock()
@@ -351,7 +351,7 @@
 	}
 }
 
-// drain has a box leave in good order: discovery tells so, it turns away what is new a while later, and ends.
+// drain has a server leave in good order: discovery tells so, it rejects what is new a while later, and ends.
 func (w *world) drain(m *machine) {
 	notice := w.Scenario.Discovery.Notice.Std()
 	m.mu.Lock()
--- a/internal/testbed/journal.go
+++ b/internal/testbed/journal.go
@@ -24,7 +24,7 @@
 
 const fullDisk = "full" // in that file: no write succeeds
 
-// Disk is the disk beneath what a node keeps in the lab, slow or full when a fault says so; nil without one.
+// Disk is the disk beneath what a node keeps in the testbed, slow or full when a fault says so; nil without one.
 func Disk(getenv func(string) string) wal.FileSystem {
 	path := getenv(diskVar)
 	if path == "" {
@@ -135,18 +135,18 @@
 	})
 }
 
-// Journal is what the nodes' journals held in the end, beside the boxes' dockets.
+// Journal is what the nodes' journals held in the end, beside the servers' execution records.
 type Journal struct {
-	Entries         int // operations in them
-	Ran             int // dockets of bindings
+	Entries         int // requests in them
+	Ran             int // execution records of non-idempotent requests
 	Possibly        int // entries that were possibly sent when the nodes had ended
-	Open            int // of those that dockets did not settle
+	Open            int // of those that execution records did not settle
 	Gaps            int // words that were not kept, by the journals' own count
 	Bytes           int64
 	Losses          int     // of machines with their disks
 	Cycles          int     // of losses, each from a whole tier to a whole one
 	AnnouncedLost   int     // streams that were said before to be lost with the machines beyond the replicas
-	Lost            int     // dockets of those that no journal has
+	Lost            int     // execution records of those that no journal has
 	Linked          int64   // bytes between nodes
 	RecoverySeconds float64 // seconds until an earlier life's entries stood as often as they should; 0: they did not
 }
@@ -157,7 +157,7 @@
 	id   uint64
 }
 
-// readJournals sets the journals beside what the boxes have run, and settles by their dockets what was left open.
+// readJournals sets the journals beside what the servers have run, and settles by their execution records what was left open.
 func (w *world) readJournals() (sum Journal, err error) {
 	if w.Scenario.Journal.Promise == "" {
 		return sum, nil
@@ -245,7 +245,7 @@
 	return nil
 }
 
-// compareWithRun fills the dockets with what the boxes have run, and tells the audit what the journals lack of it.
+// compareWithRun fills the execution records with what the servers have run, and tells the audit what the journals lack of it.
 func (w *world) compareWithRun(a *audit.Audit, all map[entryKey]*intent.Entry, gaps map[int]bool, dockets map[string]*intent.ExecutionRecord, sum *Journal) map[entryKey]bool {
 	ran := map[entryKey]bool{}
 	a.EachRan(func(kind int) bool { return w.Scenario.Types[kind].Repeat == "binding" }, func(id uint64, node, box int) {
@@ -266,7 +266,7 @@
 	return ran
 }
 
-// settles tells whether dockets settle all that is open of an entry.
+// settles tells whether execution records settle all that is open of an entry.
 func settles(e *intent.Entry, dockets map[string]*intent.ExecutionRecord) bool {
 	settled := 0
 	for _, r := range intent.Reconcile(e, dockets, 0, time.Now().UnixNano()) {
--- a/internal/testbed/load/client.go
+++ b/internal/testbed/load/client.go
@@ -36,7 +36,7 @@
 	ReleaseBuffers()
 }
 
-// Target deals out connections, as the front before the nodes does.
+// Target deals out connections, as the connection balancer before the nodes does.
 type Target interface {
 	// Pick says where a client of a site connects to; ok is false while nothing is known to serve.
 	Pick(site int) (way Way, ok bool)
@@ -60,7 +60,7 @@
 	Disconnected            // the client went before its time was up
 )
 
-// Try is one sending of an operation. Times count since the start.
+// Try is one sending of a request. Times count since the start.
 type Try struct {
 	ID      uint64
 	Request int // place in the schedule
@@ -316,7 +316,7 @@
 func (g *Generator) open(ctx context.Context, site int, until time.Time, t *Try) (idleConn, bool) {
 	for {
 		way, ok := g.target.Pick(site)
-		if !ok { // nothing serves: the client waits at the front
+		if !ok { // nothing serves: the client waits at the connection balancer
 			if time.Until(until) < balancerWait || ctx.Err() != nil {
 				return idleConn{}, false
 			}
--- a/internal/testbed/load/generator.go
+++ b/internal/testbed/load/generator.go
@@ -48,9 +48,9 @@
 func (Nobody) Incarnations(Way, time.Duration) bool { return true }
 
 const (
-	behindBy    = 10 * time.Millisecond // an operation begun so late was the generator's fault
-	fewInBin    = 100                   // operations; fewer in a bin differ by chance of a single one
-	behindShare = 0.01                  // of the operations; beyond it the run does not count
+	behindBy    = 10 * time.Millisecond // a request begun so late was the generator's fault
+	fewInBin    = 100                   // requests; fewer in a bin differ by chance of a single one
+	behindShare = 0.01                  // of the requests; beyond it the run does not count
 )
 
 // Generator sends one schedule.
@@ -74,14 +74,14 @@
 // Lateness is how far the generator itself fell behind its schedule.
 type Lateness struct {
 	Max    time.Duration
-	Share  float64 // of the operations that began more than behindBy late
+	Share  float64 // of the requests that began more than behindBy late
 	Behind bool    // too many for the run to count
-	Bin    float64 // the most by which the operations begun in 100 ms differ from the schedule, as a share of it
+	Bin    float64 // the most by which the requests begun in 100 ms differ from the schedule, as a share of it
 }
 
 const binWidth = 100 * time.Millisecond
 
-// worstBin compares when operations began with when they should have. A bin with few operations says nothing.
+// worstBin compares when requests began with when they should have. A bin with few requests says nothing.
 func worstBin(ops []Request, late []time.Duration, shift time.Duration) (worst float64) {
 	begun := make([]Request, 0, len(ops))
 	planned := make([]Request, len(ops))
@@ -104,7 +104,7 @@
 	return worst
 }
 
-// Run sends the schedule from a moment on, and returns when the last operation has ended. A cancelled context ends the
+// Run sends the schedule from a moment on, and returns when the last request has ended. A cancelled context ends the
 // sending, and what is open is given up.
 func (g *Generator) Run(ctx context.Context, start time.Time, door Target, watch Watcher) Lateness {
 	g.start, g.target, g.watch = start, door, watch
@@ -160,8 +160,8 @@
 	}
 }
 
-// operation is a client's whole dealing with one operation: tries until it is handled, its retries are used up, or a
-// failure forbids a binding one to be sent again.
+// request is a client's whole dealing with one request: tries until it is handled, its retries are used up, or a
+// failure forbids a non-idempotent one to be sent again.
 func (g *Generator) request(ctx context.Context, i int) {
 	g.inHand.Add(1)
 	defer g.inHand.Add(-1)
@@ -204,7 +204,7 @@
 	g.ended(o, &t)
 }
 
-// methods follow from what may be done with an operation.
+// methods follow from what may be done with a request.
 var methods = map[string]string{"retriable": "GET", "fingerprinted": "PUT", "binding": "POST"}
 
 var body = []byte("what the client sends, as long as a short form filled in at a counter")
--- a/internal/testbed/load/load_test.go
+++ b/internal/testbed/load/load_test.go
@@ -200,7 +200,7 @@
 	return true
 }
 
-// What becomes of one operation, by what the node does with each try. The client's time is 450 ms for a check and 900
+// What becomes of one request, by what the node does with each try. The client's time is 450 ms for a check and 900
 // ms for a booking, and the target times 200 and 500 ms.
 func TestOutcomes(t *testing.T) {
 	own := func(c net.Conn, r *http1.Request) bool { return say(c, 200, string(r.Get(http1.RequestID))) }
@@ -258,7 +258,7 @@
 	e.all = append(e.all, *t)
 }
 
-// A kept connection that the node closes as the request crosses is no lost operation: it is sent once more.
+// A kept connection that the node closes as the request crosses is no lost request: it is sent once more.
 func TestCrossedClose(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	at := server(t, func(c net.Conn, r *http1.Request, n int) bool {
@@ -299,7 +299,7 @@
 	}
 }
 
-// 20,000 a second on one machine: the moments at which operations began, against the schedule worked out by hand, in
+// 20,000 a second on one machine: the moments at which requests began, against the schedule worked out by hand, in
 // every 100 ms. What a busy machine cannot do it must say; only silence about it is a failure.
 func TestTwentyThousandASecond(t *testing.T) {
 	s := play(t, "length=\"1s\"\n[load]\nrate=20000\nshape=\"constant\"")
--- a/internal/testbed/load/pace.go
+++ b/internal/testbed/load/pace.go
@@ -8,9 +8,9 @@
 
 const shortest = 20 * time.Microsecond // of a sleep; less is over before it has begun
 
-// pace calls begin for each operation at its moment. It sleeps in a thread of its own by the system's clock: the
-// runtime's timers are late by up to a millisecond when all is idle, which at 20,000 a second is twenty operations.
-// It never waits for an operation. Where it is behind, all that is due begins at once. stall, where it is not nil, is
+// pace calls begin for each request at its moment. It sleeps in a thread of its own by the system's clock: the
+// runtime's timers are late by up to a millisecond when all is idle, which at 20,000 a second is twenty requests.
+// It never waits for a request. Where it is behind, all that is due begins at once. stall, where it is not nil, is
 // asked before each sleep how long to do nothing, for tests of what a generator that falls behind says of itself.
 func pace(start time.Time, ops []Request, stop <-chan struct{}, stall func(at time.Duration) time.Duration, begin func(int)) {
 	runtime.LockOSThread()
--- a/internal/testbed/load/result.go
+++ b/internal/testbed/load/result.go
@@ -17,7 +17,7 @@
 	digits      = 3                               // of a latency
 )
 
-// Outcome is how an operation ended, with all its tries.
+// Outcome is how a request ended, with all its tries.
 type Outcome uint8
 
 const (
@@ -35,7 +35,7 @@
 type Point struct {
 	Asked    float64 // revenue asked for
 	Gained   float64 // of it, answered within the target time, by when it was asked
-	Rejected int     // operations
+	Rejected int     // requests
 	Failed   int     // likewise
 	Latency  *hdrhistogram.Histogram
 }
@@ -63,7 +63,7 @@
 	Name    string
 	Asked   float64                 // revenue asked for
 	Gained  float64                 // of it, answered within the target time
-	Latency *hdrhistogram.Histogram // microseconds from the scheduled moment, of operations handled or not answered
+	Latency *hdrhistogram.Histogram // microseconds from the scheduled moment, of requests handled or not answered
 }
 
 func newHistogram() *hdrhistogram.Histogram {
@@ -103,7 +103,7 @@
 	}
 }
 
-// ended books an operation under the moment at which it was scheduled. An operation that got no answer counts with the
+// ended books a request under the moment at which it was scheduled. A request that got no answer counts with the
 // time that its client waited: leaving it out would make a silent node look fast.
 func (r *Result) ended(o *Request, t *Try) {
 	r.mu.Lock()
@@ -161,7 +161,7 @@
 	}
 }
 
-// Worth is the revenue of an operation; beyond its tenant's allowance it is a part.
+// Worth is the revenue of a request; beyond its tenant's allowance it is a part.
 func (r *Result) Worth(o *Request) float64 {
 	w := r.scenario.Types[o.Type].Revenue
 	if o.Beyond {
--- a/internal/testbed/load/schedule.go
+++ b/internal/testbed/load/schedule.go
@@ -1,4 +1,4 @@
-// Package load sends operations at the moments of a schedule, whatever becomes of those before (open loop), as clients
+// Package load sends requests at the moments of a schedule, whatever becomes of those before (open loop), as clients
 // that retry and give up, and counts what they met. Latency counts from the moment that was scheduled.
 package load
 
@@ -115,7 +115,7 @@
 	return ops
 }
 
-// Rate is how many operations a second the scenario wants at a moment.
+// Rate is how many requests a second the scenario wants at a moment.
 func Rate(s *scenario.Scenario, at time.Duration) float64 {
 	rate, swing := s.Load.Rate, s.Load.Swing
 	period := max(s.Load.Period.Std(), grid)
@@ -200,7 +200,7 @@
 	return pick(z.sums, z.r.Float64()) + 1
 }
 
-// Bins counts operations by spans of time.
+// Bins counts requests by spans of time.
 func Bins(ops []Request, width time.Duration) []int {
 	var n []int
 	for _, o := range ops {
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -14,7 +14,7 @@
 	"fernvane/internal/testbed/standin/server"
 )
 
-// observer tells the audit what clients, boxes, discovery and planners see; it is safe for concurrent use. All times count since
+// observer tells the audit what clients, servers, discovery and planners see; it is safe for concurrent use. All times count since
 // the start of the load.
 type observer struct {
 	start    time.Time
@@ -24,7 +24,7 @@
 	mu      sync.Mutex
 	audit   *audit.Audit
 	servers map[string]int       // numbers by id
-	listed  map[int]map[int]bool // by reader of the registry: boxes that it was told of last
+	listed  map[int]map[int]bool // by reader of the registry: servers that it was told of last
 	missing map[int]map[int]time.Duration
 	drained map[[2]int]bool
 	since   []time.Duration // by node: when it was started; while it is down, never
--- a/internal/testbed/registry.go
+++ b/internal/testbed/registry.go
@@ -17,7 +17,7 @@
 	"fernvane/internal/testbed/standin/zookeeper"
 )
 
-const longUp = time.Hour // how long boxes have run that are there from the start
+const longUp = time.Hour // how long servers have run that are there from the start
 
 const registryPort = 13000 // and one more for each node; addresses of the ensemble differ by host
 
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%s.222.%d:%d", w.net, which+1, registryPort+n)
 }
 
-// registryPath is where boxes stand for nodes of a site: each site reaches them elsewhere.
+// registryPath is where servers stand for nodes of a site: each site reaches them elsewhere.
 func (w *world) registryPath(site int) string { return "/services/" + w.Scenario.Sites[site] }
 
 // enrols starts the registry, with addresses of its own for each node, so that it is known who was told what.
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// data is what a box says of itself at its place for a site.
+// data is what a server says of itself at its place for a site.
 func (w *world) data(m *machine, site int, status string) []byte {
 	host, port, _ := strings.Cut(m.Address(site), ":")
 	n := 0
@@ -71,7 +71,7 @@
 	return b
 }
 
-// enrol has a box register itself by a session of its own.
+// enrol has a server register itself by a session of its own.
 func (w *world) enrol(m *machine, up time.Time) {
 	nodes := map[string][]byte{}
 	m.up = up
@@ -81,7 +81,7 @@
 	m.owned = w.registry.Own(w.Scenario.Registry.Session.Std(), nodes)
 }
 
-// register has the registry learn of what befalls a box, as announce has discovery.
+// register has the registry learn of what befalls a server, as announce has discovery.
 func (w *world) register(m *machine, phase string, up time.Time) {
 	switch phase {
 	case discovery.Serving:
@@ -106,7 +106,7 @@
 			}
 		}
 		// What vanishes with most others within two seconds is the registry's fault, not the fleet's: the last list is to
-		// hold then, but for boxes that were told to drain.
+		// hold then, but for servers that were told to drain.
 		at := when.Sub(o.start)
 		missing := o.missing[reader]
 		if missing == nil {
@@ -138,7 +138,7 @@
 	})
 }
 
-// Data tells what it has told of a box.
+// Data tells what it has told of a server.
 func (o *observer) Data(reader int, at string, data []byte, when time.Time) {
 	if !strings.Contains(string(data), `"DRAINING"`) {
 		return
@@ -167,7 +167,7 @@
 
 func seconds(f *scenario.Fault) time.Duration { return time.Duration(f.Size * float64(time.Second)) }
 
-// badRecords has entries stand beside the boxes' own for a while that cannot be used: huge, empty, noise, of another form.
+// badRecords has entries stand beside the servers' own for a while that cannot be used: huge, empty, noise, of another form.
 func (w *world) badRecords(f *scenario.Fault) {
 	nodes := map[string][]byte{}
 	for site := range w.Scenario.Sites {
@@ -180,7 +180,7 @@
 	w.after(f.For.Std(), own.End)
 }
 
-// flap ends the sessions of a share of the boxes and has them register anew after a while, alive all along.
+// flap ends the sessions of a share of the servers and has them register anew after a while, alive all along.
 func (w *world) flap(f *scenario.Fault, chance *rand.Rand) {
 	for _, m := range w.chosen(f, chance) {
 		again := func(do func()) {
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -18,7 +18,7 @@
 		color.NRGBA{R: 60, G: 130, B: 60, A: 255}, color.NRGBA{R: 130, G: 90, B: 150, A: 255}, color.NRGBA{R: 90, G: 90, B: 90, A: 255}}
 )
 
-// Plot draws service, denials and latency over time, the baselines' service beside the node's, with the faults shaded.
+// Plot draws service, rejections and latency over time, the baselines' service beside the node's, with the faults shaded.
 func (r *Report) Plot(path string) error {
 	all := append([]Report{*r}, r.Baselines...)
 	service, err := r.panel("service", all, func(p Point) float64 { return p.Service })
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -1,4 +1,4 @@
-// Package report says what a run of the lab has shown: as a table for people, as JSON for programs, as a plot.
+// Package report says what a run of the testbed has shown: as a table for people, as JSON for programs, as a plot.
 package report
 
 import (
@@ -89,7 +89,7 @@
 	RSSMaxMB   float64 `json:"rss_max_mb"`
 }
 
-// Point is a span of the run, by when operations were asked for.
+// Point is a span of the run, by when requests were asked for.
 type Point struct {
 	AtS      float64 `json:"at_s"`
 	Service  float64 `json:"service"`
@@ -227,7 +227,7 @@
 	fmt.Fprintln(w)
 }
 
-// Table writes second by second where tries and hops went.
+// Table writes second by second where tries and attempts went.
 func (r *Report) Table(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "second\ttries\tfirst hops\tfurther\tbegun\tin vain\thandled\tdenied\twritten off\tlost\tbusiest node\t")
--- a/internal/testbed/scale/component/plans.go
+++ b/internal/testbed/scale/component/plans.go
@@ -12,7 +12,7 @@
 const (
 	fixedServers = 192
 	fixedNodes   = 256
-	usedServers  = 16 // that a node reports hops to
+	usedServers  = 16 // that a node reports attempts to
 	plannedAt    = startedAt + 90*24*3600*1000
 )
 
--- a/internal/testbed/scale/layout.go
+++ b/internal/testbed/scale/layout.go
@@ -20,7 +20,7 @@
 	nodePort       = 18080 // nodes, for clients; nobody connects
 	claimPort      = 18090 // held by the tool, so that two runs do not share a net
 	firstNet       = 2
-	lastNet        = 15 // those above belong to the lab
+	lastNet        = 15 // those above belong to the testbed
 	maxMarkers     = 64 // servers that change
 	discoveryHost  = 251
 	controlHost    = 252
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// ServerNames are the names of all boxes of the start, kind by kind.
+// ServerNames are the names of all servers of the start, kind by kind.
 func (s *Scenario) ServerNames() []string {
 	var names []string
 	for _, b := range s.Servers {
--- a/internal/testbed/scenario/faults.go
+++ b/internal/testbed/scenario/faults.go
@@ -28,7 +28,7 @@
 	on    target
 	lasts bool
 	size  string // what Size means; "" where it is not read
-	share string // what Share means beside a choice of boxes or nodes
+	share string // what Share means beside a choice of servers or nodes
 }
 
 // FaultKinds are all that a file may ask for.
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -1,4 +1,4 @@
-// Package scenario is what the lab plays: a deployment of stand-ins, its load, and the troubles that come to it, read
+// Package scenario is what the testbed plays: a deployment of stand-ins, its load, and the troubles that come to it, read
 // from a TOML file. It is data and checks only.
 package scenario
 
@@ -19,7 +19,7 @@
 	// Base is a scenario of Names that this one starts from; its faults are not taken over.
 	Base string `toml:"base"`
 	Seed uint64 `toml:"seed"`
-	// Length is how long operations arrive. What they leave open is waited for beyond it.
+	// Length is how long requests arrive. What they leave open is waited for beyond it.
 	Length    Span      `toml:"length"`
 	Sites     []string  `toml:"sites"`
 	Nodes     Nodes     `toml:"nodes"`
@@ -39,7 +39,7 @@
 	Faults    []Fault   `toml:"faults"`
 	// Operators are texts of operator's files. The nodes start under the first; each reload takes the next.
 	Operators []string `toml:"operators"`
-	// Pairings has the scenario played in each pairing of protocols of clients and boxes, HTTP to HTTP first.
+	// Pairings has the scenario played in each pairing of protocols of clients and servers, HTTP to HTTP first.
 	Pairings bool `toml:"pairings"`
 	// Baselines are played beside the node on the same schedule where the command does not say.
 	Baselines []string `toml:"baselines"`
@@ -51,7 +51,7 @@
 	Cores    float64 `toml:"cores"` // each may use at a time
 	MemoryMB int     `toml:"memory_mb"`
 	Sockets  int     `toml:"sockets"`
-	Notice   Span    `toml:"notice"` // until the front finds out that one has died
+	Notice   Span    `toml:"notice"` // until the connection balancer finds out that one has died
 }
 
 // Planners are the upper level; without any each node decides by itself.
@@ -69,7 +69,7 @@
 	Before      int  `toml:"before"`       // entries of an earlier life that the first node begins with, held by nobody else
 }
 
-// Journal of bindings that each node keeps; without a promise it keeps none.
+// Journal of non-idempotent requests that each node keeps; without a promise it keeps none.
 type Journal struct {
 	Promise     string `toml:"promise"`      // process, machine or machines
 	WhenFailing string `toml:"when_failing"` // deny or serve
@@ -79,10 +79,10 @@
 // Registry of ephemeral nodes in place of discovery, if it has addresses.
 type Registry struct {
 	Addresses int  `toml:"addresses"`
-	Session   Span `toml:"session"` // of boxes and nodes
+	Session   Span `toml:"session"` // of servers and nodes
 }
 
-// Lists are what nodes that start again know of the boxes.
+// Lists are what nodes that start again know of the servers.
 type Lists struct {
 	Start string `toml:"start"` // known: the list as discovery has it, handed to them; kept: their own, from disk; none
 	Age   Span   `toml:"age"`   // by which a kept list looks older than it is
@@ -94,7 +94,7 @@
 	Count       int     `toml:"count"`
 	Cores       int     `toml:"cores"`
 	Speed       float64 `toml:"speed"` // of a core; work is stated for speed 1
-	Queue       int     `toml:"queue"` // operations that may wait
+	Queue       int     `toml:"queue"` // requests that may wait
 	Connections int     `toml:"connections"`
 	Handshake   Span    `toml:"handshake"`   // work for each new connection
 	ColdShare   float64 `toml:"cold_share"`  // of its capacity right after a start
@@ -103,8 +103,8 @@
 	KeyFor      Span    `toml:"key_for"`     // how long a key is remembered
 	Keys        int     `toml:"keys"`        // how many are
 	FastCGI     bool    `toml:"fastcgi"`     // it speaks FastCGI; else HTTP
-	Drops       bool    `toml:"drops"`       // what is over before its turn is turned away
-	GroupSize   int     `toml:"group_size"`  // boxes that share what they know of fingerprints; 0: all of a kind
+	Drops       bool    `toml:"drops"`       // what is over before its turn is rejected
+	GroupSize   int     `toml:"group_size"`  // servers that share what they know of fingerprints; 0: all of a kind
 	ErrorRate   float64 `toml:"error_rate"`  // share answered with 500 after their work
 	PauseEvery  Span    `toml:"pause_every"` // a pause of the process comes so often, 0: never
 	PauseFor    Span    `toml:"pause_for"`
@@ -121,8 +121,8 @@
 	Target  Span    `toml:"target"`
 	Abandon Span    `toml:"abandon"`
 	Revenue float64 `toml:"revenue"`
-	Repeat  string  `toml:"repeat"` // retriable, fingerprinted or binding
-	Group   string  `toml:"group"`  // of a fingerprinted type: all, zone or cell
+	Repeat  string  `toml:"repeat"` // retriable, keyed or non-idempotent
+	Group   string  `toml:"group"`  // of a keyed type: all, zone or cell
 	Window  Span    `toml:"window"` // in which repeats are dropped there
 	// Where it may be sent, and nowhere else; left out, anywhere.
 	OnlySites []string `toml:"only_sites"`
@@ -133,20 +133,20 @@
 type Tenant struct {
 	Name      string  `toml:"name"`
 	Share     float64 `toml:"share"`     // of the traffic
-	Allowance float64 `toml:"allowance"` // operations a second; what is beyond is worth little. 0: no bound
+	Allowance float64 `toml:"allowance"` // requests a second; what is beyond is worth little. 0: no bound
 }
 
-// Traffic is how operations arrive.
+// Traffic is how requests arrive.
 type Traffic struct {
 	Rate   float64 `toml:"rate"`   // a second
 	Shape  string  `toml:"shape"`  // constant, poisson, bursts, ramp or wave
 	Swing  float64 `toml:"swing"`  // share of the rate that bursts, ramp and wave add and take
 	Period Span    `toml:"period"` // of bursts and wave
-	Keys   int     `toml:"keys"`   // distinct ones; 0: operations carry none
+	Keys   int     `toml:"keys"`   // distinct ones; 0: requests carry none
 	Zipf   float64 `toml:"zipf"`   // exponent of their popularity
 	Skew   float64 `toml:"skew"`   // share of the traffic that the first site has beyond its part
 	Trace  string  `toml:"trace"`  // a recorded trace in place of all this
-	Over   float64 `toml:"over"`   // worth of an operation beyond its tenant's allowance, as a share
+	Over   float64 `toml:"over"`   // worth of a request beyond its tenant's allowance, as a share
 }
 
 // Clients are the usual ones.
@@ -156,7 +156,7 @@
 	GivesUp  float64 `toml:"gives_up"` // after this share of the abandon time
 	FastCGI  bool    `toml:"fastcgi"`  // they speak FastCGI; else HTTP
 	Exponent bool    `toml:"doubling"` // each wait is twice the one before
-	// Leaves is the share of operations whose clients leave before their time is up, after LeavesAt of the abandon time;
+	// Leaves is the share of requests whose clients leave before their time is up, after LeavesAt of the abandon time;
 	// half of them have sent on behind their request. They come once.
 	Leaves   float64 `toml:"leaves"`
 	LeavesAt float64 `toml:"leaves_at"`
@@ -182,12 +182,12 @@
 // Rules are the figures of the four rules.
 type Rules struct {
 	DrainGrace   Span    `toml:"drain_grace"`
-	DrainClose   Span    `toml:"drain_close"` // in which idle connections to a draining box are closed; 0: not asked for
+	DrainClose   Span    `toml:"drain_close"` // in which idle connections to a draining server are closed; 0: not asked for
 	FallMultiple float64 `toml:"fall_multiple"`
 	FallWindow   Span    `toml:"fall_window"`
 	MaxAttempts  int     `toml:"most_hops"`
 	AskWithin    Span    `toml:"ask_within"`
-	Copies       bool    `toml:"copies"` // a second copy may be out while the first is
+	Copies       bool    `toml:"copies"` // a hedged request may be out while the first is
 	Slack        Span    `toml:"slack"`  // added to each time limit, for what the machine is late
 }
 
@@ -197,7 +197,7 @@
 	At      Span     `toml:"at"`
 	For     Span     `toml:"for"`
 	Servers []string `toml:"boxes"` // names: kind-number, counting from 0
-	Share   float64  `toml:"share"` // of the boxes or nodes in place of names, or of connections or traffic
+	Share   float64  `toml:"share"` // of the servers or nodes in place of names, or of connections or traffic
 	Nodes   []int    `toml:"nodes"`
 	// Planners are named by their numbers; none: all.
 	Planners []int `toml:"planners"`
@@ -258,7 +258,7 @@
 	return &one
 }
 
-// Paired is the scenario with clients and boxes that speak FastCGI, or HTTP.
+// Paired is the scenario with clients and servers that speak FastCGI, or HTTP.
 func (s *Scenario) Paired(clients, boxes bool) *Scenario {
 	p := *s
 	p.Clients.FastCGI = clients
--- a/internal/testbed/standin/connbalancer/front.go
+++ b/internal/testbed/standin/connbalancer/front.go
@@ -18,7 +18,7 @@
 	maxProbeTime = 500 * time.Millisecond
 )
 
-// Node is one that the front may send to.
+// Node is one that the connection balancer may send to.
 type Node struct {
 	Site    int
 	Address string
@@ -76,7 +76,7 @@
 	}
 }
 
-// Ended tells that a node has died or is about to; the front takes it out after a while.
+// Ended tells that a node has died or is about to; the connection balancer takes it out after a while.
 func (f *Balancer) Ended(n int, notice time.Duration) {
 	f.mu.Lock()
 	life := f.generation[n]
--- a/internal/testbed/standin/discovery/discovery.go
+++ b/internal/testbed/standin/discovery/discovery.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// Use tells how many calls came, the lines they cost, and how many were turned away.
+// Use tells how many calls came, the lines they cost, and how many were rejected.
 func (s *Service) Use() (calls int, lines float64, turned int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/standin/link/link_test.go
+++ b/internal/testbed/standin/link/link_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// A listener that left can return at once, also while a process that the lab is just starting shares its socket.
+// A listener that left can return at once, also while a process that the testbed is just starting shares its socket.
 func TestReturnsBesideAFork(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", func(*Conn) {})
 	if err != nil {
--- a/internal/testbed/standin/memdisk/disk.go
+++ b/internal/testbed/standin/memdisk/disk.go
@@ -17,7 +17,7 @@
 	"fernvane/internal/journal/wal"
 )
 
-// Trouble of one operation on the disk.
+// Trouble of one request on the disk.
 type Trouble uint8
 
 const (
@@ -54,7 +54,7 @@
 	return &Disk{files: map[string]*file{}, Meet: func(int) Trouble { return None }}
 }
 
-// Operations counts writes, syncs and creations.
+// Requests counts writes, syncs and creations.
 func (d *Disk) Operations() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testbed/standin/server/model.go
+++ b/internal/testbed/standin/server/model.go
@@ -1,5 +1,5 @@
 // Package server is a stand-in for a server of the fleet: a model of its queue and cores, free of I/O, and a listener that
-// speaks to nodes for it. Work is timed, not burnt, so that many boxes fit on one machine.
+// speaks to nodes for it. Work is timed, not burnt, so that many servers fit on one machine.
 package server
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Figures of a box, as scenario.Boxes states them.
+// Figures of a server, as scenario.Servers states them.
 type Figures struct {
 	Cores        int
 	Speed        float64 // of a core; work is stated for speed 1
@@ -18,14 +18,14 @@
 	KeyFor       time.Duration
 	Keys         int // how many are remembered
 	Drops        bool
-	FallMultiple float64 // times what a cold box can do
+	FallMultiple float64 // times what a cold server can do
 	FallWindow   time.Duration
 	Handshake    time.Duration // work of a new connection, with its first request
 	FastCGI      bool          // what it speaks; else HTTP
 	Connections  int           // that it holds; 0: any number
 }
 
-// Work is one request in the hands of a box.
+// Work is one request in the hands of a server.
 type Work struct {
 	ID    uint64
 	Work  time.Duration
@@ -40,7 +40,7 @@
 	Began   What = iota // its work runs; from here on it has had its effect
 	Done                // its work is over
 	Expired             // it was over before its turn, and has not begun
-	Lost                // the box died with it
+	Lost                // the server died with it
 )
 
 // Event is one step of a job.
@@ -50,7 +50,7 @@
 	At   time.Duration
 }
 
-// Verdict is a box's answer to an offer.
+// Verdict is a server's answer to an offer.
 type Verdict uint8
 
 const (
@@ -69,7 +69,7 @@
 	work time.Duration
 }
 
-// Model is one box. Times are spans since a common start and must not go back.
+// Model is one server. Times are spans since a common start and must not go back.
 type Model struct {
 	f       Figures
 	up      bool
@@ -85,7 +85,7 @@
 	offers  []offered             // while cold, within the fall window
 }
 
-// New returns a box that has been running for long.
+// New returns a server that has been running for long.
 func New(f Figures) *Model {
 	return &Model{f: f, up: true, factor: 1, keys: map[int]time.Duration{}}
 }
@@ -99,7 +99,7 @@
 // InFlight is how many jobs wait and run.
 func (m *Model) InFlight() (waiting, working int) { return len(m.queue), len(m.cores) }
 
-// capacity is the share of its full capacity that the box has.
+// capacity is the share of its full capacity that the server has.
 func (m *Model) capacity(now time.Duration) float64 {
 	if !m.cold || m.f.ColdFor <= 0 {
 		return 1
@@ -112,7 +112,7 @@
 	return m.f.ColdShare + (1-m.f.ColdShare)*max(age, 0)
 }
 
-// Offer hands over a job whose last byte has come. Jobs that fall the box are lost with the others.
+// Offer hands over a job whose last byte has come. Jobs that fall the server are lost with the others.
 func (m *Model) Offer(now time.Duration, j Work, tell func(Event)) Verdict {
 	m.Advance(now, tell)
 	if !m.up {
@@ -133,7 +133,7 @@
 	return Taken
 }
 
-// count keeps what a cold box was sent within the window; more than the multiple of what it can do now falls it.
+// count keeps what a cold server was sent within the window; more than the multiple of what it can do now falls it.
 func (m *Model) count(now time.Duration, j Work) {
 	can := m.capacity(now) * float64(m.f.Cores) * m.f.Speed
 	if !m.cold || m.f.FallMultiple <= 0 {
--- a/internal/testbed/standin/server/model_test.go
+++ b/internal/testbed/standin/server/model_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// waits plays jobs through a box and returns how long each waited for its turn.
+// waits plays jobs through a server and returns how long each waited for its turn.
 func waits(f Figures, n int, gap, work func() time.Duration) []float64 {
 	m := New(f)
 	came := make([]time.Duration, n)
@@ -85,7 +85,7 @@
 	}
 }
 
-// Each line is what a box does to one job, and what is told of it.
+// Each line is what a server does to one job, and what is told of it.
 func TestModel(t *testing.T) {
 	type told struct {
 		id   uint64
--- a/internal/testbed/standin/server/request.go
+++ b/internal/testbed/standin/server/request.go
@@ -127,7 +127,7 @@
 	return b.reply(p, id, text, faults)
 }
 
-// offer gives the model an attempt; a box that falls under it leaves its addresses.
+// offer gives the model an attempt; a server that falls under it leaves its addresses.
 func (b *Server) offer(h *attempt, j Work) (verdict Verdict) {
 	fell := false
 	b.do(func(now time.Duration) {
--- a/internal/testbed/standin/server/server.go
+++ b/internal/testbed/standin/server/server.go
@@ -13,13 +13,13 @@
 	fillBytes = 120                    // of an answer beside its first line
 )
 
-// Asked is what a box must know of a request beside what the wire says.
+// Asked is what a server must know of a request beside what the wire says.
 type Asked struct {
 	Work time.Duration
 	Key  int
 }
 
-// Watcher is told what a box sees. Its methods are called from many goroutines; times count since the common start.
+// Watcher is told what a server sees. Its methods are called from many goroutines; times count since the common start.
 type Watcher interface {
 	// Asked finds what a request was meant to be; ok is false where no client has sent it.
 	Asked(id uint64) (a Asked, ok bool)
@@ -35,9 +35,9 @@
 	Idle(id uint64, box int, from, to time.Duration)
 }
 
-// Identity of a box, the same over its restarts.
+// Identity of a server, the same over its restarts.
 type Identity struct {
-	Number int // dense, over all boxes
+	Number int // dense, over all servers
 	Name   string
 	Site   int
 	Cell   int
@@ -78,7 +78,7 @@
 	ended chan What
 }
 
-// NewServer makes a box that listens at one address for callers of each site.
+// NewServer makes a server that listens at one address for callers of each site.
 func NewServer(id Identity, f Figures, start time.Time, addresses []string, cross func(from int) time.Duration, w Watcher) (*Server, error) {
 	b := &Server{Identity: id, f: f, start: start, watch: w, cross: cross, model: New(f), attempts: map[uint64]*attempt{}}
 	b.timer = time.AfterFunc(time.Hour, b.due)
@@ -93,7 +93,7 @@
 	return b, nil
 }
 
-// Close ends the box for good.
+// Close ends the server for good.
 func (b *Server) Close() {
 	b.Crash()
 	b.timer.Stop()
@@ -102,7 +102,7 @@
 	}
 }
 
-// Address is where callers of a site reach the box.
+// Address is where callers of a site reach the server.
 func (b *Server) Address(site int) string { return b.listeners[site].Address() }
 
 func (b *Server) now() time.Duration { return time.Since(b.start) }
@@ -146,7 +146,7 @@
 // Set has requests meet faults from now on.
 func (b *Server) Set(change func(*Faults)) { b.do(func(time.Duration) { change(&b.faults) }) }
 
-// Drain has the box turn away what is new.
+// Drain has the server turn away what is new.
 func (b *Server) Drain(is bool) { b.do(func(time.Duration) { b.draining = is }) }
 
 // Crash ends the process: connections are reset, and new ones refused.
@@ -182,7 +182,7 @@
 	return true, nil
 }
 
-// Hush cuts the box off from callers of a site, Speak ends that.
+// Hush cuts the server off from callers of a site, Speak ends that.
 func (b *Server) Hush(site int) { b.listeners[site].Hush() }
 
 // Speak ends a silence.
--- a/internal/testbed/standin/zookeeper/owned.go
+++ b/internal/testbed/standin/zookeeper/owned.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Owned are ephemeral nodes of one session that is kept from within this process, as of a box that registers itself.
+// Owned are ephemeral nodes of one session that is kept from within this process, as of a server that registers itself.
 type Owned struct {
 	r *Registry
 	s *session
--- a/internal/testbed/standin/zookeeper/requests.go
+++ b/internal/testbed/standin/zookeeper/requests.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Operations as on the wire.
+// Requests as on the wire.
 const (
 	opCreate    = 1
 	opDelete    = 2
--- a/internal/testbed/world.go
+++ b/internal/testbed/world.go
@@ -36,7 +36,7 @@
 	settle            = 300 * time.Millisecond // between the last node's start and the load, for watches to begin
 	lateDrain         = 1500 * time.Millisecond
 	leaveAfter        = 500 * time.Millisecond
-	planned           = 300 * time.Millisecond // until the front has taken out a node that is told to stop
+	planned           = 300 * time.Millisecond // until the connection balancer has taken out a node that is told to stop
 )
 
 // Options of a run.
@@ -57,7 +57,7 @@
 	Rules      []audit.Rule
 	Use        usage
 	Calls      int // of discovery
-	TurnedOff  int // calls that it turned away
+	TurnedOff  int // calls that it rejected
 	Lines      float64
 	Planning   usage
 	Journal    Journal
@@ -93,7 +93,7 @@
 	wg         sync.WaitGroup
 }
 
-// machine is a box as the world keeps it.
+// machine is a server as the world keeps it.
 type machine struct {
 	*server.Server
 	kind        *scenario.Servers
@@ -126,7 +126,7 @@
 	return w.play(ctx)
 }
 
-// announce has discovery learn of a box after a while, unless something else befalls it before.
+// announce has discovery learn of a server after a while, unless something else befalls it before.
 func (w *world) announce(m *machine, phase string, after time.Duration, up time.Time) {
 	m.mu.Lock()
 	m.incarnation++
