--- a/internal/cluster/replicastore/holdings_test.go
+++ b/internal/cluster/replicastore/holdings_test.go
@@ -15,7 +15,7 @@
 // the lab a queue that was full was told as one: 3 million words in 553 cycles, all of which stood at other holders.)
 func TestMoreThanTheDiskTakes(t *testing.T) {
 	dir := t.TempDir()
-	slow := memdisk.Slowed{Takes: func() time.Duration { return 30 * time.Millisecond }, Full: func() bool { return false }}
+	slow := memdisk.SlowFiles{Takes: func() time.Duration { return 30 * time.Millisecond }, Full: func() bool { return false }}
 	s := Open(dir, slow, 1<<20)
 	of := replication.Stream{Name: "n0", Incarnation: 7}
 	next := uint64(1)
--- a/internal/controlplane/distribution/client/faults_test.go
+++ b/internal/controlplane/distribution/client/faults_test.go
@@ -90,13 +90,13 @@
 // Whatever happens to the control process that a node follows, or to the way there, what is written at the other is in
 // force, and so is what is written when all is well again.
 func TestFaultsBetween(t *testing.T) {
-	for name, c := range map[string]struct{ fault, mend func(*faultproxy.Cable) }{
-		"cut towards the node": {func(w *faultproxy.Cable) { w.Cut(faultproxy.Down, true) }, func(w *faultproxy.Cable) { w.Cut(faultproxy.Down, false) }},
-		"cut towards control":  {func(w *faultproxy.Cable) { w.Cut(faultproxy.Up, true) }, func(w *faultproxy.Cable) { w.Cut(faultproxy.Up, false) }},
-		"cut both ways": {func(w *faultproxy.Cable) { w.Cut(faultproxy.Up, true); w.Cut(faultproxy.Down, true) },
-			func(w *faultproxy.Cable) { w.Cut(faultproxy.Up, false); w.Cut(faultproxy.Down, false) }},
-		"garbled":    {func(w *faultproxy.Cable) { w.Garble(faultproxy.Down, 3) }, func(*faultproxy.Cable) {}},
-		"broken off": {func(w *faultproxy.Cable) { w.Break() }, func(*faultproxy.Cable) {}},
+	for name, c := range map[string]struct{ fault, mend func(*faultproxy.Proxy) }{
+		"cut towards the node": {func(w *faultproxy.Proxy) { w.Cut(faultproxy.Down, true) }, func(w *faultproxy.Proxy) { w.Cut(faultproxy.Down, false) }},
+		"cut towards control":  {func(w *faultproxy.Proxy) { w.Cut(faultproxy.Up, true) }, func(w *faultproxy.Proxy) { w.Cut(faultproxy.Up, false) }},
+		"cut both ways": {func(w *faultproxy.Proxy) { w.Cut(faultproxy.Up, true); w.Cut(faultproxy.Down, true) },
+			func(w *faultproxy.Proxy) { w.Cut(faultproxy.Up, false); w.Cut(faultproxy.Down, false) }},
+		"garbled":    {func(w *faultproxy.Proxy) { w.Garble(faultproxy.Down, 3) }, func(*faultproxy.Proxy) {}},
+		"broken off": {func(w *faultproxy.Proxy) { w.Break() }, func(*faultproxy.Proxy) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/controlplane/distribution/control/control_test.go
+++ b/internal/controlplane/distribution/control/control_test.go
@@ -296,7 +296,7 @@
 	t.Parallel()
 	disk := disks(t)
 	at, bt := address.Free(t), address.Free(t)
-	var wires [2]*faultproxy.Cable
+	var wires [2]*faultproxy.Proxy
 	for i, to := range []string{bt, at} {
 		var err error
 		if wires[i], err = faultproxy.Listen(to); err != nil {
--- a/internal/controlplane/distribution/control/process_test.go
+++ b/internal/controlplane/distribution/control/process_test.go
@@ -129,7 +129,7 @@
 // second root. Cables stand between all processes.
 type fleet struct {
 	a, b, r   *process
-	cables    map[string]*faultproxy.Cable // by who dials and whom: "ra"
+	cables    map[string]*faultproxy.Proxy // by who dials and whom: "ra"
 	near, far *subscriber
 	writer    *writer
 	stop      chan struct{}
@@ -140,7 +140,7 @@
 	t.Helper()
 	turns <- struct{}{}
 	t.Cleanup(func() { <-turns })
-	f := &fleet{cables: map[string]*faultproxy.Cable{}, stop: make(chan struct{})}
+	f := &fleet{cables: map[string]*faultproxy.Proxy{}, stop: make(chan struct{})}
 	dir := t.TempDir()
 	processes := map[string]*process{}
 	for _, name := range []string{"a", "b", "r"} {
--- a/internal/discovery/snapshot/snapshot_test.go
+++ b/internal/discovery/snapshot/snapshot_test.go
@@ -71,7 +71,7 @@
 // generation, this one or the one before, and writing goes on.
 func TestDeathAtEachStep(t *testing.T) {
 	chance := rand.New(rand.NewPCG(1, 2))
-	for _, trouble := range []memdisk.Trouble{memdisk.Dead, memdisk.Short, memdisk.Full, memdisk.Lying} {
+	for _, trouble := range []memdisk.Fault{memdisk.Dead, memdisk.Short, memdisk.Full, memdisk.Lying} {
 		for step := 1; step <= 12; step++ {
 			name := fmt.Sprintf("trouble %d at step %d", trouble, step)
 			d := memdisk.New()
@@ -85,7 +85,7 @@
 				}
 			}
 			from := d.Operations()
-			d.Meet = func(n int) memdisk.Trouble {
+			d.Meet = func(n int) memdisk.Fault {
 				if n == from+step {
 					return trouble
 				}
@@ -99,7 +99,7 @@
 					break
 				}
 			}
-			d.Meet = func(int) memdisk.Trouble { return memdisk.None }
+			d.Meet = func(int) memdisk.Fault { return memdisk.None }
 			if trouble == memdisk.Dead {
 				d.Crash(chance)
 			}
--- a/internal/journal/wal/log_test.go
+++ b/internal/journal/wal/log_test.go
@@ -100,12 +100,12 @@
 	}
 	cases := 0
 	for n := 1; n <= plain.Operations(); n++ {
-		for _, trouble := range []memdisk.Trouble{memdisk.Short, memdisk.Full, memdisk.Lying, memdisk.Dead} {
+		for _, trouble := range []memdisk.Fault{memdisk.Short, memdisk.Full, memdisk.Lying, memdisk.Dead} {
 			for _, lasts := range []int{1, 3, 1 << 30} {
 				cases++
 				what := fmt.Sprintf("trouble %d at %d for %d", trouble, n, lasts)
 				d := memdisk.New()
-				d.Meet = func(op int) memdisk.Trouble {
+				d.Meet = func(op int) memdisk.Fault {
 					if op >= n && op < n+lasts {
 						return trouble
 					}
@@ -126,7 +126,7 @@
 				if r.CorruptCount() > 0 && trouble != memdisk.Short {
 					t.Fatalf("%s: %v", what, r.Unreadable)
 				}
-				d.Meet = func(int) memdisk.Trouble { return memdisk.None }
+				d.Meet = func(int) memdisk.Fault { return memdisk.None }
 				if again := open(t, d, 600); again == nil { // it goes on
 					t.Fatalf("%s: no journal can be begun", what)
 				} else {
--- a/internal/journal/wal/stream_test.go
+++ b/internal/journal/wal/stream_test.go
@@ -15,11 +15,11 @@
 // A stream's records under a disk that fails once at each of its operations: numbers have no holes, what was handed on is
 // what stands on disk, whenever it was written, and what was said to last can be read.
 func TestNumbersUnderFaults(t *testing.T) {
-	for _, trouble := range []memdisk.Trouble{memdisk.None, memdisk.Short, memdisk.Full, memdisk.Lying} {
+	for _, trouble := range []memdisk.Fault{memdisk.None, memdisk.Short, memdisk.Full, memdisk.Lying} {
 		for at := range 12 {
 			t.Run(fmt.Sprintf("%d at %d", trouble, at), func(t *testing.T) {
 				d := memdisk.New()
-				d.Meet = func(n int) memdisk.Trouble {
+				d.Meet = func(n int) memdisk.Fault {
 					if n == at {
 						return trouble
 					}
--- a/internal/proxy/bindings_test.go
+++ b/internal/proxy/bindings_test.go
@@ -152,7 +152,7 @@
 func TestIntentNotWaitedForToItsEnd(t *testing.T) {
 	t.Parallel()
 	cfg := config()
-	cfg.Filesystem = memdisk.Slowed{Full: func() bool { return false }, Takes: func() time.Duration { return 20 * time.Millisecond }}
+	cfg.Filesystem = memdisk.SlowFiles{Full: func() bool { return false }, Takes: func() time.Duration { return 20 * time.Millisecond }}
 	cfg.Journal = &wal.Config{Dir: t.TempDir(), Promise: "process", WhenFailing: "deny", SegmentBytes: 1 << 20}
 	j, err := newJournal(cfg, zerolog.Nop(), nil)
 	if err != nil {
--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -25,7 +25,7 @@
 	replicationPollInterval = 100 * time.Millisecond
 	maxDowntime             = 700 * time.Millisecond // a machine is away
 	aloneFor                = 2 * time.Second        // between losses where no replicas tell when all is whole
-	checkLosses             = 8 * time.Second        // before the end of a run: none begins
+	lastLossBeforeEnd       = 8 * time.Second        // before the end of a run: none begins
 )
 
 // losses are those of machines with their disks.
@@ -74,7 +74,7 @@
 		if err := w.fabric.Join(n, ip, w.peerAddress(n), w.peerListen(n)); err != nil {
 			return err
 		}
-		if err := os.MkdirAll(p.isStopped(), 0o755); err != nil {
+		if err := os.MkdirAll(p.dataDir(), 0o755); err != nil {
 			return err
 		}
 		var seeds []string
@@ -82,7 +82,7 @@
 			seeds = append(seeds, fmt.Sprintf("%q", w.peerAddress((n+i*i)%len(w.nodes))))
 		}
 		text := fmt.Sprintf("listen = %q\nadvertise = %q\npeers = [%s]\ndeployment = \"lab\"\nsite = %q\nmachine = \"m%d\"\nreplicas = %d\nheld = %q\nslow_after = %q\nrepair_bytes = %d\nplaintext = true\n",
-			w.peerListen(n), w.peerAddress(n), strings.Join(seeds, ", "), s.Sites[n%len(s.Sites)], n, s.Peers.Replicas, p.isStopped(), s.Peers.SlowAfter.Std(), s.Peers.RepairBytes)
+			w.peerListen(n), w.peerAddress(n), strings.Join(seeds, ", "), s.Sites[n%len(s.Sites)], n, s.Peers.Replicas, p.dataDir(), s.Peers.SlowAfter.Std(), s.Peers.RepairBytes)
 		if err := os.WriteFile(p.peers(), []byte(text), 0o644); err != nil {
 			return err
 		}
@@ -121,8 +121,8 @@
 }
 
 // links changes what befalls the links between nodes and all others, for a while.
-func (w *world) links(nodes []int, lasts time.Duration, out, in bool, change func(*mesh.Way)) {
-	set := func(change func(*mesh.Way)) {
+func (w *world) links(nodes []int, lasts time.Duration, out, in bool, change func(*mesh.Direction)) {
+	set := func(change func(*mesh.Direction)) {
 		for _, n := range nodes {
 			for other := range w.nodes {
 				if slices.Contains(nodes, other) {
@@ -138,12 +138,12 @@
 		}
 	}
 	set(change)
-	w.after(lasts, func() { set(func(way *mesh.Way) { *way = mesh.Way{} }) })
+	w.after(lasts, func() { set(func(way *mesh.Direction) { *way = mesh.Direction{} }) })
 }
 
-func linkFault(out, in bool, change func(*mesh.Way, float64)) func(*world, context.Context, *scenario.Fault, *rand.Rand) {
+func linkFault(out, in bool, change func(*mesh.Direction, float64)) func(*world, context.Context, *scenario.Fault, *rand.Rand) {
 	return func(w *world, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
-		w.links(w.chosenNodes(f, chance), f.For.Std(), out, in, func(way *mesh.Way) { change(way, f.Size) })
+		w.links(w.chosenNodes(f, chance), f.For.Std(), out, in, func(way *mesh.Direction) { change(way, f.Size) })
 	}
 }
 
@@ -170,7 +170,7 @@
 	w.losses.machines++
 	w.losses.mu.Unlock()
 	p := w.nodes[n]
-	for _, dir := range []string{p.journal(), p.isStopped(), p.lists()} {
+	for _, dir := range []string{p.journal(), p.dataDir(), p.lists()} {
 		if _, err := os.Stat(dir); err == nil {
 			os.RemoveAll(dir)
 			os.MkdirAll(dir, 0o755)
@@ -182,7 +182,7 @@
 func (w *world) keepDisks(f *scenario.Fault, chance *rand.Rand) {
 	for _, n := range w.chosenNodes(f, rand.New(rand.NewPCG(w.Scenario.Seed, uint64(chance.Uint32())))) {
 		p := w.nodes[n]
-		for _, dir := range []string{p.journal(), p.isStopped()} {
+		for _, dir := range []string{p.journal(), p.dataDir()} {
 			os.RemoveAll(dir + ".old")
 			os.CopyFS(dir+".old", os.DirFS(dir))
 		}
@@ -191,7 +191,7 @@
 
 func (w *world) restoreDisk(n int) {
 	p := w.nodes[n]
-	for _, dir := range []string{p.journal(), p.isStopped()} {
+	for _, dir := range []string{p.journal(), p.dataDir()} {
 		if _, err := os.Stat(dir + ".old"); err == nil {
 			os.RemoveAll(dir)
 			os.Rename(dir+".old", dir)
@@ -253,7 +253,7 @@
 // loseAgain loses as many machines at once as there are replicas, lets them come back empty, and goes on when all is whole;
 // meanwhile other nodes are cut off, stand still or have slow disks.
 func (w *world) loseAgain(ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
-	until := time.Now().Add(f.For.Std() - checkLosses)
+	until := time.Now().Add(f.For.Std() - lastLossBeforeEnd)
 	w.wg.Go(func() {
 		for time.Now().Before(until) && ctx.Err() == nil {
 			if err := w.isReplicated(ctx); err != nil {
@@ -280,11 +280,11 @@
 			if w.fabric != nil {
 				switch chance.IntN(6) {
 				case 0:
-					w.links(others[:1], lasts, true, true, func(way *mesh.Way) { way.Cut = true })
+					w.links(others[:1], lasts, true, true, func(way *mesh.Direction) { way.Cut = true })
 				case 1:
-					w.links(others[:1], lasts, chance.IntN(2) == 0, chance.IntN(2) == 0, func(way *mesh.Way) { way.Cut = true })
+					w.links(others[:1], lasts, chance.IntN(2) == 0, chance.IntN(2) == 0, func(way *mesh.Direction) { way.Cut = true })
 				case 2:
-					w.links(others[:2], lasts, true, true, func(way *mesh.Way) { way.Delay = 50 * time.Millisecond })
+					w.links(others[:2], lasts, true, true, func(way *mesh.Direction) { way.Delay = 50 * time.Millisecond })
 				case 3:
 					w.disks(others[:1], "300ms")
 					w.after(lasts, func() { w.disks(others[:1], "0s") })
--- a/internal/testbed/distribution.go
+++ b/internal/testbed/distribution.go
@@ -53,7 +53,7 @@
 // playedControl is a control process with the link on which all others reach it.
 type playedControl struct {
 	config *control.Config
-	wires  *faultproxy.Cable
+	wires  *faultproxy.Proxy
 	stop   func() error
 }
 
@@ -101,7 +101,7 @@
 		return err
 	}
 	var relay *playedControl // of the fault at hand: the one that most nodes follow
-	cut := func(wires *faultproxy.Cable, both, is bool) {
+	cut := func(wires *faultproxy.Proxy, both, is bool) {
 		wires.Cut(faultproxy.Down, is)
 		if both {
 			wires.Cut(faultproxy.Up, is)
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -83,7 +83,7 @@
 	planners   []*process
 	registry   *zookeeper.Registry // nil: discovery tells
 	ensemble   []*zookeeper.Server
-	relays     [][2]*plannerproxy.Relay // by planner and half of the nodes
+	relays     [][2]*plannerproxy.Proxy // by planner and half of the nodes
 	fabric     *mesh.Mesh               // nil: nodes know nothing of each other
 	losses     losses
 	steps      steps
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -228,13 +228,13 @@
 			w.pause(ctx, n, f.For.Std())
 		}
 	},
-	"cut-links":     linkFault(true, true, func(way *mesh.Way, _ float64) { way.Cut = true }),
-	"cut-links-out": linkFault(true, false, func(way *mesh.Way, _ float64) { way.Cut = true }),
-	"cut-links-in":  linkFault(false, true, func(way *mesh.Way, _ float64) { way.Cut = true }),
-	"late-links":    linkFault(true, true, func(way *mesh.Way, size float64) { way.Delay = time.Duration(size * float64(time.Second)) }),
-	"narrow-links":  linkFault(true, true, func(way *mesh.Way, size float64) { way.PerS = size * 1000 }),
-	"garbled-links": linkFault(true, true, func(way *mesh.Way, size float64) { way.Garble = size }),
-	"lossy-links":   linkFault(true, true, func(way *mesh.Way, size float64) { way.Lose, way.Twice, way.Reorder = size, size, size }),
+	"cut-links":     linkFault(true, true, func(way *mesh.Direction, _ float64) { way.Cut = true }),
+	"cut-links-out": linkFault(true, false, func(way *mesh.Direction, _ float64) { way.Cut = true }),
+	"cut-links-in":  linkFault(false, true, func(way *mesh.Direction, _ float64) { way.Cut = true }),
+	"late-links":    linkFault(true, true, func(way *mesh.Direction, size float64) { way.Delay = time.Duration(size * float64(time.Second)) }),
+	"narrow-links":  linkFault(true, true, func(way *mesh.Direction, size float64) { way.PerS = size * 1000 }),
+	"garbled-links": linkFault(true, true, func(way *mesh.Direction, size float64) { way.Garble = size }),
+	"lossy-links":   linkFault(true, true, func(way *mesh.Direction, size float64) { way.Lose, way.Twice, way.Reorder = size, size, size }),
 	"split-site": func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		var those []int
 		for n := range w.nodes {
@@ -242,7 +242,7 @@
 				those = append(those, n)
 			}
 		}
-		w.links(those, f.For.Std(), true, true, func(way *mesh.Way) { way.Cut = true })
+		w.links(those, f.For.Std(), true, true, func(way *mesh.Direction) { way.Cut = true })
 	},
 	"losses": func(w *world, ctx context.Context, f *scenario.Fault, chance *rand.Rand) { w.loseAgain(ctx, f, chance) },
 	"losses-beyond": func(w *world, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
--- a/internal/testbed/journal.go
+++ b/internal/testbed/journal.go
@@ -42,7 +42,7 @@
 			full.Store(word == fullDisk)
 		}
 	}
-	return memdisk.Slowed{Takes: func() time.Duration { look(); return time.Duration(takes.Load()) }, Full: func() bool { look(); return full.Load() }}
+	return memdisk.SlowFiles{Takes: func() time.Duration { look(); return time.Duration(takes.Load()) }, Full: func() bool { look(); return full.Load() }}
 }
 
 func (w *world) diskFile(n int) string { return w.nodes[n].file("disk", "txt") }
@@ -204,11 +204,11 @@
 	dirs := map[int][]string{}
 	for n, p := range w.nodes {
 		dirs[n] = append(dirs[n], p.journal())
-		held, _ := os.ReadDir(p.isStopped())
+		held, _ := os.ReadDir(p.dataDir())
 		for _, dir := range held { // of others, under their names
 			name, _, _ := strings.Cut(dir.Name(), "@")
 			if of, err := strconv.Atoi(strings.TrimPrefix(name, "n")); err == nil {
-				dirs[of] = append(dirs[of], filepath.Join(p.isStopped(), dir.Name()))
+				dirs[of] = append(dirs[of], filepath.Join(p.dataDir(), dir.Name()))
 			}
 		}
 	}
--- a/internal/testbed/load/client.go
+++ b/internal/testbed/load/client.go
@@ -94,9 +94,9 @@
 const (
 	maxIdle      = 30 * time.Second       // a client's connection that is not used for so long is closed
 	maxKept      = 512                    // idle connections of a site's clients
-	balancerWait = 2 * time.Millisecond   // between looks at a front that knows of no node
+	balancerWait = 2 * time.Millisecond   // between tries at a balancer that knows of no node
 	minRemaining = 5 * time.Millisecond   // of a client's time for which it still sends
-	maxNew       = 100 * time.Millisecond // for which nodes promise to hold a new connection, whatever room they need (docs/design.md)
+	newConnGrace = 100 * time.Millisecond // for which nodes keep a new connection open (docs/design.md)
 )
 
 // pool keeps the idle connections of the clients of one site.
@@ -136,7 +136,7 @@
 // had rested, or of a new one whose client, on a busy machine, took so long to ask that nodes do not hold it any more.
 // asked is when it had asked.
 func excused(k idleConn, old, again bool, asked time.Time, err error) bool {
-	return (old && !again || !old && asked.Sub(k.since) >= maxNew) && crossed(k, err)
+	return (old && !again || !old && asked.Sub(k.since) >= newConnGrace) && crossed(k, err)
 }
 
 func (p *pool) take() (idleConn, bool) {
--- a/internal/testbed/load/crossed_test.go
+++ b/internal/testbed/load/crossed_test.go
@@ -42,9 +42,9 @@
 	}{
 		"a rested connection":         {true, false, time.Second, io.EOF, true},
 		"and again":                   {true, true, time.Second, io.EOF, false},
-		"a new one, asked at once":    {false, false, maxNew - 1, io.EOF, false},
-		"asked on the second at once": {false, true, maxNew - 1, io.EOF, false},
-		"a new one, asked late":       {false, false, maxNew, io.EOF, true},
+		"a new one, asked at once":    {false, false, newConnGrace - 1, io.EOF, false},
+		"asked on the second at once": {false, true, newConnGrace - 1, io.EOF, false},
+		"a new one, asked late":       {false, false, newConnGrace, io.EOF, true},
 		"late, and silence":           {false, false, time.Second, os.ErrDeadlineExceeded, false},
 	} {
 		opened := time.Now()
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -120,17 +120,17 @@
 	return filepath.Join(p.dir, fmt.Sprintf("%s%s-%d.%s", p.kind, what, p.number, ending))
 }
 
-func (p *process) log() string       { return p.file("node", "log") }
-func (p *process) config() string    { return p.file("node", "json") }
-func (p *process) planners() string  { return p.file("planners", "toml") }
-func (p *process) plan() string      { return p.file("plan", "toml") }
-func (p *process) bindings() string  { return p.file("bindings", "toml") }
-func (p *process) registry() string  { return p.file("registry", "toml") }
-func (p *process) snapshot() string  { return p.file("snapshot", "toml") }
-func (p *process) peers() string     { return p.file("peers", "toml") }
-func (p *process) isStopped() string { return p.file("held", "d") }
-func (p *process) lists() string     { return p.file("lists", "d") }
-func (p *process) journal() string   { return p.file("journal", "d") }
+func (p *process) log() string      { return p.file("node", "log") }
+func (p *process) config() string   { return p.file("node", "json") }
+func (p *process) planners() string { return p.file("planners", "toml") }
+func (p *process) plan() string     { return p.file("plan", "toml") }
+func (p *process) bindings() string { return p.file("bindings", "toml") }
+func (p *process) registry() string { return p.file("registry", "toml") }
+func (p *process) snapshot() string { return p.file("snapshot", "toml") }
+func (p *process) peers() string    { return p.file("peers", "toml") }
+func (p *process) dataDir() string  { return p.file("held", "d") }
+func (p *process) lists() string    { return p.file("lists", "d") }
+func (p *process) journal() string  { return p.file("journal", "d") }
 
 // operator is the node's file of routes.
 func (p *process) operator() string { return p.file("operator", "toml") }
--- a/internal/testbed/planner.go
+++ b/internal/testbed/planner.go
@@ -30,7 +30,7 @@
 	}
 	var through [2][]string
 	for n := range s.Planners.Count {
-		var halves [2]*plannerproxy.Relay
+		var halves [2]*plannerproxy.Proxy
 		for half := range halves {
 			r, err := plannerproxy.Listen(w.relayAddress(n, half), w.plannerAddress(n), w.observer)
 			if err != nil {
--- a/internal/testbed/scale/component/files.go
+++ b/internal/testbed/scale/component/files.go
@@ -75,7 +75,7 @@
 		}},
 		{Series{Name: "routes-memory", About: "what is made of it", By: "routes", Unit: "B"}, routes, func(n int) (float64, error) {
 			var err error
-			bytes := retained(func() any {
+			bytes := retainedBytes(func() any {
 				var s *route.Table
 				s, err = routesOf(n)
 				return s
@@ -91,7 +91,7 @@
 		{Series{Name: "tenants-memory", About: "a node's fleet and module with them, without traffic", By: "tenants", Unit: "B"}, tenants,
 			func(n int) (float64, error) {
 				var err error
-				bytes := retained(func() any {
+				bytes := retainedBytes(func() any {
 					f, fault := newFleet(n)
 					err = fault
 					return f
--- a/internal/testbed/scale/component/lists.go
+++ b/internal/testbed/scale/component/lists.go
@@ -107,7 +107,7 @@
 			l := list(n)
 			var f *dispatch.Dispatcher
 			var err error
-			bytes := retained(func() any {
+			bytes := retainedBytes(func() any {
 				f, err = filled(l)
 				return f
 			})
--- a/internal/testbed/scale/component/parts.go
+++ b/internal/testbed/scale/component/parts.go
@@ -116,7 +116,7 @@
 }
 
 // held is what making something leaves in memory, in bytes.
-func retained(make func() any) float64 {
+func retainedBytes(make func() any) float64 {
 	before := heap()
 	kept := make()
 	after := heap()
--- a/internal/testbed/scale/cut.go
+++ b/internal/testbed/scale/cut.go
@@ -55,9 +55,9 @@
 func (w *ways) cut(cut bool) {
 	for _, l := range w.listeners {
 		if cut {
-			l.Hush()
+			l.Silence()
 		} else {
-			l.Speak()
+			l.EndSilence()
 		}
 	}
 }
--- a/internal/testbed/scale/phases.go
+++ b/internal/testbed/scale/phases.go
@@ -17,7 +17,7 @@
 		play   func(context.Context) (*InForce, error)
 	}{
 		{"start", true, c.startAll},
-		{"rest", true, c.settle},
+		{"rest", true, c.restPhase},
 		{"changes", c.Size.Churn > 0, c.changes},
 		{"restarts", c.Size.Restarts > 0, c.restarts},
 		{"reload", c.Size.Routes > 0, c.reload},
@@ -130,7 +130,7 @@
 	c.say("%d of %d nodes know all servers after %s", c.ledger.countComplete(), c.Size.Nodes, maxCompleteWait)
 }
 
-func (c *conductor) settle(ctx context.Context) (*InForce, error) {
+func (c *conductor) restPhase(ctx context.Context) (*InForce, error) {
 	c.say("at rest for %s", c.Size.For)
 	pause(ctx, c.Size.For)
 	return nil, nil
--- a/internal/testbed/standin/discovery/discovery.go
+++ b/internal/testbed/standin/discovery/discovery.go
@@ -118,7 +118,7 @@
 	for _, p := range s.addresses {
 		if !p.old {
 			p.old = true
-			time.AfterFunc(leaves, p.l.Leave)
+			time.AfterFunc(leaves, p.l.Stop)
 		}
 	}
 }
@@ -145,9 +145,9 @@
 	s.mu.Unlock()
 	for _, p := range places {
 		if down {
-			p.l.Leave()
+			p.l.Stop()
 		} else if !p.old {
-			p.l.Return()
+			p.l.Reopen()
 		}
 	}
 }
--- a/internal/testbed/standin/faultproxy/proxy.go
+++ b/internal/testbed/standin/faultproxy/proxy.go
@@ -23,8 +23,8 @@
 	directions
 )
 
-// Cable listens, and leads each connection to one address.
-type Cable struct {
+// Proxy listens, and leads each connection to one address.
+type Proxy struct {
 	listener net.Listener
 	running  sync.WaitGroup
 
@@ -38,12 +38,12 @@
 }
 
 // Listen starts a cable to an address.
-func Listen(to string) (*Cable, error) {
+func Listen(to string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	c := &Cable{listener: listener, to: to, conns: map[net.Conn]bool{}}
+	c := &Proxy{listener: listener, to: to, conns: map[net.Conn]bool{}}
 	for d := range directions {
 		c.cut[d] = make(chan struct{})
 		close(c.cut[d])
@@ -61,10 +61,10 @@
 }
 
 // Address is where it listens.
-func (c *Cable) Address() string { return c.listener.Addr().String() }
+func (c *Proxy) Address() string { return c.listener.Addr().String() }
 
 // Close ends it with all connections.
-func (c *Cable) Close() {
+func (c *Proxy) Close() {
 	c.listener.Close()
 	c.mu.Lock()
 	c.done = true
@@ -76,7 +76,7 @@
 }
 
 // Cut has nothing pass in a direction, without a word to either side, or lets what waits pass again.
-func (c *Cable) Cut(d Direction, cut bool) {
+func (c *Proxy) Cut(d Direction, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
@@ -92,21 +92,21 @@
 }
 
 // Garble changes so many of the next bytes in a direction, one in each piece that passes.
-func (c *Cable) Garble(d Direction, bytes int) {
+func (c *Proxy) Garble(d Direction, bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.garble[d] = bytes
 }
 
 // Garbled tells whether all that were to be changed have been.
-func (c *Cable) Garbled(d Direction) bool {
+func (c *Proxy) Garbled(d Direction) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.garble[d] == 0
 }
 
 // Break ends all connections; new ones are led as before.
-func (c *Cable) Break() {
+func (c *Proxy) Break() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for conn := range c.conns {
@@ -115,13 +115,13 @@
 }
 
 // Bytes that have passed in a direction.
-func (c *Cable) Bytes(d Direction) int {
+func (c *Proxy) Bytes(d Direction) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.bytes[d]
 }
 
-func (c *Cable) keep(conn net.Conn) bool {
+func (c *Proxy) keep(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.done {
@@ -132,7 +132,7 @@
 	return true
 }
 
-func (c *Cable) drop(conn net.Conn) {
+func (c *Proxy) drop(conn net.Conn) {
 	conn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,7 +140,7 @@
 }
 
 // lead connects further, once the way there is free: a dial over a cut cable does not come up.
-func (c *Cable) lead(near net.Conn) {
+func (c *Proxy) lead(near net.Conn) {
 	if !c.keep(near) {
 		return
 	}
@@ -160,7 +160,7 @@
 	both.Wait()
 }
 
-func (c *Cable) pass(d Direction, from, to net.Conn) {
+func (c *Proxy) pass(d Direction, from, to net.Conn) {
 	defer from.Close()
 	defer to.Close()
 	piece := make([]byte, pieceBytes)
@@ -179,7 +179,7 @@
 }
 
 // through notes a piece, changes it if it is to be, and gives what to wait for.
-func (c *Cable) through(d Direction, piece []byte) <-chan struct{} {
+func (c *Proxy) through(d Direction, piece []byte) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.bytes[d] += len(piece)
--- a/internal/testbed/standin/faultproxy/proxy_test.go
+++ b/internal/testbed/standin/faultproxy/proxy_test.go
@@ -37,16 +37,16 @@
 
 func TestWhatPasses(t *testing.T) {
 	for name, test := range map[string]struct {
-		do     func(*Cable)
-		undo   func(*Cable)
+		do     func(*Proxy)
+		undo   func(*Proxy)
 		got    byte
 		passes bool
 	}{
-		"well":         {func(*Cable) {}, func(*Cable) {}, 'x', true},
-		"cut up":       {func(c *Cable) { c.Cut(Up, true) }, func(c *Cable) { c.Cut(Up, false) }, 'x', false},
-		"cut down":     {func(c *Cable) { c.Cut(Down, true) }, func(c *Cable) { c.Cut(Down, false) }, 'x', false},
-		"garbled up":   {func(c *Cable) { c.Garble(Up, 1) }, func(*Cable) {}, 'x' ^ 0x55, true},
-		"garbled down": {func(c *Cable) { c.Garble(Down, 1) }, func(*Cable) {}, 'x' ^ 0x55, true},
+		"well":         {func(*Proxy) {}, func(*Proxy) {}, 'x', true},
+		"cut up":       {func(c *Proxy) { c.Cut(Up, true) }, func(c *Proxy) { c.Cut(Up, false) }, 'x', false},
+		"cut down":     {func(c *Proxy) { c.Cut(Down, true) }, func(c *Proxy) { c.Cut(Down, false) }, 'x', false},
+		"garbled up":   {func(c *Proxy) { c.Garble(Up, 1) }, func(*Proxy) {}, 'x' ^ 0x55, true},
+		"garbled down": {func(c *Proxy) { c.Garble(Down, 1) }, func(*Proxy) {}, 'x' ^ 0x55, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, err := Listen(echo(t))
--- a/internal/testbed/standin/link/link.go
+++ b/internal/testbed/standin/link/link.go
@@ -43,14 +43,14 @@
 // Listen takes connections at an address and gives each to lead, which owns and closes it.
 func Listen(address string, lead func(*Conn)) (*Listener, error) {
 	l := &Listener{address: address, lead: lead, conns: map[*Conn]bool{}}
-	return l, l.Return()
+	return l, l.Reopen()
 }
 
 // Address is where it listens, also while it is away.
 func (l *Listener) Address() string { return l.address }
 
-// Return listens again after Leave.
-func (l *Listener) Return() error {
+// Reopen listens again after Leave.
+func (l *Listener) Reopen() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ln != nil {
@@ -102,9 +102,9 @@
 	}
 }
 
-// Leave ends the listening and resets all connections: new ones are refused.
-func (l *Listener) Leave() {
-	l.Speak()
+// Stop ends the listening and resets all connections: new ones are refused.
+func (l *Listener) Stop() {
+	l.EndSilence()
 	l.mu.Lock()
 	ln, conns := l.ln, l.conns
 	l.ln, l.conns = nil, map[*Conn]bool{}
@@ -128,12 +128,12 @@
 
 // Close leaves for good and waits for what was led.
 func (l *Listener) Close() {
-	l.Leave()
+	l.Stop()
 	l.wg.Wait()
 }
 
-// Hush begins a silence. New connections fill the short queue that is left to them and then never come up.
-func (l *Listener) Hush() {
+// Silence begins a silence. New connections fill the short queue that is left to them and then never come up.
+func (l *Listener) Silence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.silent != nil || l.ln == nil {
@@ -153,8 +153,8 @@
 	}
 }
 
-// Speak ends a silence: what was written meanwhile arrives.
-func (l *Listener) Speak() {
+// EndSilence ends a silence: what was written meanwhile arrives.
+func (l *Listener) EndSilence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.silent == nil {
--- a/internal/testbed/standin/link/link_test.go
+++ b/internal/testbed/standin/link/link_test.go
@@ -35,9 +35,9 @@
 		open, fresh   error
 		heals, resets bool
 	}{
-		"silence":       {(*Listener).Hush, (*Listener).Speak, os.ErrDeadlineExceeded, os.ErrDeadlineExceeded, true, false},
-		"death":         {(*Listener).Leave, func(l *Listener) { l.Return() }, syscall.ECONNRESET, syscall.ECONNREFUSED, false, true},
-		"death, silent": {func(l *Listener) { l.Hush(); l.Leave() }, func(l *Listener) { l.Return() }, syscall.ECONNRESET, syscall.ECONNREFUSED, false, true},
+		"silence":       {(*Listener).Silence, (*Listener).EndSilence, os.ErrDeadlineExceeded, os.ErrDeadlineExceeded, true, false},
+		"death":         {(*Listener).Stop, func(l *Listener) { l.Reopen() }, syscall.ECONNRESET, syscall.ECONNREFUSED, false, true},
+		"death, silent": {func(l *Listener) { l.Silence(); l.Stop() }, func(l *Listener) { l.Reopen() }, syscall.ECONNRESET, syscall.ECONNREFUSED, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := Listen("127.0.0.1:0", echo)
@@ -97,8 +97,8 @@
 		t.Fatal(err)
 	}
 	defer shared.Close()
-	l.Leave()
-	if err := l.Return(); err != nil {
+	l.Stop()
+	if err := l.Reopen(); err != nil {
 		t.Error(err)
 	}
 }
@@ -136,12 +136,12 @@
 			if err := passes(patience); err != nil {
 				t.Fatal(err)
 			}
-			l.Hush()
+			l.Silence()
 			from.Write([]byte("b"))
 			if err := passes(100 * time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("in a silence: %v", err)
 			}
-			l.Speak()
+			l.EndSilence()
 			if err := passes(patience); err != nil {
 				t.Errorf("after it: %v", err)
 			}
--- a/internal/testbed/standin/memdisk/memdisk.go
+++ b/internal/testbed/standin/memdisk/memdisk.go
@@ -17,15 +17,15 @@
 	"fernvane/internal/journal/wal"
 )
 
-// Trouble of one request on the disk.
-type Trouble uint8
+// Fault of one request on the disk.
+type Fault uint8
 
 const (
-	None  Trouble = iota // it goes through
-	Short                // half of a write comes through, and it says so
-	Full                 // an error, and nothing is written
-	Lying                // a write's whole text comes through, and an error is told
-	Dead                 // the machine dies here, and nothing comes through any more
+	None  Fault = iota // it goes through
+	Short              // half of a write comes through, and it says so
+	Full               // an error, and nothing is written
+	Lying              // a write's whole text comes through, and an error is told
+	Dead               // the machine dies here, and nothing comes through any more
 )
 
 // ErrDisk is what a failing disk says.
@@ -38,7 +38,7 @@
 	operations int // writes, syncs and creations so far
 	dead       bool
 	// Meet tells what the n-th of them meets.
-	Meet func(n int) Trouble
+	Meet func(n int) Fault
 }
 
 type file struct {
@@ -51,10 +51,10 @@
 
 // New is an empty disk without trouble.
 func New() *Disk {
-	return &Disk{files: map[string]*file{}, Meet: func(int) Trouble { return None }}
+	return &Disk{files: map[string]*file{}, Meet: func(int) Fault { return None }}
 }
 
-// Requests counts writes, syncs and creations.
+// Operations counts writes, syncs and creations.
 func (d *Disk) Operations() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -65,7 +65,7 @@
 func (d *Disk) Fill(full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.Meet = func(int) Trouble {
+	d.Meet = func(int) Fault {
 		if full {
 			return Full
 		}
@@ -73,7 +73,7 @@
 	}
 }
 
-func (d *Disk) meet() Trouble {
+func (d *Disk) meet() Fault {
 	d.operations++
 	t := d.Meet(d.operations)
 	if d.dead = d.dead || t == Dead; d.dead {
@@ -226,15 +226,15 @@
 	}
 }
 
-// Slowed is the system's disk, on which each write takes as long as told when it begins, or fails.
-type Slowed struct {
+// SlowFiles is the system's disk, on which each write takes as long as told when it begins, or fails.
+type SlowFiles struct {
 	wal.OSFileSystem
 	Takes func() time.Duration
 	Full  func() bool
 }
 
 // Create makes a file that is slow.
-func (s Slowed) Create(path string) (wal.File, error) {
+func (s SlowFiles) Create(path string) (wal.File, error) {
 	if s.Full() {
 		return nil, ErrDisk
 	}
@@ -244,7 +244,7 @@
 
 type slow struct {
 	wal.File
-	of Slowed
+	of SlowFiles
 }
 
 func (s slow) Write(b []byte) (int, error) {
--- a/internal/testbed/standin/mesh/mesh.go
+++ b/internal/testbed/standin/mesh/mesh.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Way is what befalls one direction between two processes. Its zero is a link without trouble.
-type Way struct {
+// Direction is what befalls one direction between two processes. Its zero is a link without trouble.
+type Direction struct {
 	Cut     bool          // nothing passes; connections stay, and what was sent waits or is lost with them
 	Delay   time.Duration // each piece comes so much later
 	PerS    float64       // bytes a second that pass; 0: all
@@ -33,7 +33,7 @@
 // Mesh is all links of a tier.
 type Mesh struct {
 	mu        sync.Mutex
-	ways      map[[2]int]*Way
+	ways      map[[2]int]*Direction
 	who       map[string]int // by IP
 	addresses []net.Listener
 	packets   []net.PacketConn
@@ -48,28 +48,28 @@
 
 // New has no links.
 func New() *Mesh {
-	return &Mesh{ways: map[[2]int]*Way{}, who: map[string]int{}, conns: map[net.Conn]bool{}, sockets: map[int]net.PacketConn{}}
+	return &Mesh{ways: map[[2]int]*Direction{}, who: map[string]int{}, conns: map[net.Conn]bool{}, sockets: map[int]net.PacketConn{}}
 }
 
 // Set changes what befalls a direction.
-func (f *Mesh) Set(from, to int, change func(*Way)) {
+func (f *Mesh) Set(from, to int, change func(*Direction)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.ways[[2]int{from, to}]
 	if w == nil {
-		w = &Way{}
+		w = &Direction{}
 		f.ways[[2]int{from, to}] = w
 	}
 	change(w)
 }
 
-func (f *Mesh) way(from, to int) Way {
+func (f *Mesh) way(from, to int) Direction {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if w := f.ways[[2]int{from, to}]; w != nil {
 		return *w
 	}
-	return Way{}
+	return Direction{}
 }
 
 // Bytes that have passed on connections.
@@ -254,7 +254,7 @@
 		}
 	})
 	buffer := make([]byte, maxPieceBytes)
-	var look framePollInterval
+	var look frameScanner
 	for {
 		n, err := a.Read(buffer)
 		if n > 0 {
@@ -296,12 +296,12 @@
 }
 
 // frameLook finds the heads of frames in a stream.
-type framePollInterval struct {
+type frameScanner struct {
 	head []byte
 	skip int
 }
 
-func (l *framePollInterval) at(b []byte, each func(kind byte)) {
+func (l *frameScanner) at(b []byte, each func(kind byte)) {
 	for len(b) > 0 {
 		if l.skip > 0 {
 			n := min(l.skip, len(b))
--- a/internal/testbed/standin/mesh/mesh_test.go
+++ b/internal/testbed/standin/mesh/mesh_test.go
@@ -57,22 +57,22 @@
 	text := bytes.Repeat([]byte("0123456789"), 100)
 	for name, c := range map[string]struct {
 		from, to int
-		way      Way
+		way      Direction
 		comes    bool
 		same     bool
 		after    time.Duration
 	}{
-		"well":           {0, 1, Way{}, true, true, 0},
-		"cut there":      {0, 1, Way{Cut: true}, false, false, 0},
-		"cut back":       {1, 0, Way{Cut: true}, false, false, 0},
-		"late":           {0, 1, Way{Delay: 60 * time.Millisecond}, true, true, 60 * time.Millisecond},
-		"narrow":         {1, 0, Way{PerS: 10_000}, true, true, 90 * time.Millisecond},
-		"garbled":        {0, 1, Way{Garble: 1}, true, false, 0},
-		"another's ways": {2, 1, Way{Cut: true}, true, true, 0},
+		"well":           {0, 1, Direction{}, true, true, 0},
+		"cut there":      {0, 1, Direction{Cut: true}, false, false, 0},
+		"cut back":       {1, 0, Direction{Cut: true}, false, false, 0},
+		"late":           {0, 1, Direction{Delay: 60 * time.Millisecond}, true, true, 60 * time.Millisecond},
+		"narrow":         {1, 0, Direction{PerS: 10_000}, true, true, 90 * time.Millisecond},
+		"garbled":        {0, 1, Direction{Garble: 1}, true, false, 0},
+		"another's ways": {2, 1, Direction{Cut: true}, true, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, a := pair(t)
-			f.Set(c.from, c.to, func(w *Way) { *w = c.way })
+			f.Set(c.from, c.to, func(w *Direction) { *w = c.way })
 			most := 10 * time.Second
 			if !c.comes {
 				most = 100 * time.Millisecond
@@ -81,7 +81,7 @@
 			if (len(got) == len(text)) != c.comes || c.comes && bytes.Equal(got, text) != c.same || took < c.after {
 				t.Errorf("%d bytes after %v", len(got), took)
 			}
-			f.Set(c.from, c.to, func(w *Way) { *w = Way{} })
+			f.Set(c.from, c.to, func(w *Direction) { *w = Direction{} })
 			if !c.comes {
 				a.SetReadDeadline(time.Now().Add(10 * time.Second))
 				rest := make([]byte, len(text)-len(got))
@@ -93,21 +93,21 @@
 	}
 }
 
-const waitForCapacity = 1 << 20 // bytes: more than 400 datagrams as the system counts them
+const receiveBufferBytes = 1 << 20 // bytes: more than 400 datagrams as the system counts them
 
 // Datagrams are lost, come twice or out of order by their ways, and their receiver sees their sender's place.
 func TestDatagrams(t *testing.T) {
 	for name, c := range map[string]struct {
-		way         Way
+		way         Direction
 		least, most int // of 200
 	}{
-		"well":       {Way{}, 200, 200},
-		"lost":       {Way{Lose: 1}, 0, 0},
-		"twice":      {Way{Twice: 1}, 400, 400},
-		"half lost":  {Way{Lose: 0.5}, 40, 160},
-		"cut":        {Way{Cut: true}, 0, 0},
-		"reordered":  {Way{Reorder: 0.3}, 200, 200},
-		"a bit late": {Way{Delay: 10 * time.Millisecond}, 200, 200},
+		"well":       {Direction{}, 200, 200},
+		"lost":       {Direction{Lose: 1}, 0, 0},
+		"twice":      {Direction{Twice: 1}, 400, 400},
+		"half lost":  {Direction{Lose: 0.5}, 40, 160},
+		"cut":        {Direction{Cut: true}, 0, 0},
+		"reordered":  {Direction{Reorder: 0.3}, 200, 200},
+		"a bit late": {Direction{Delay: 10 * time.Millisecond}, 200, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := New()
@@ -119,13 +119,13 @@
 					t.Fatal(err)
 				}
 				defer pc.Close()
-				pc.(*net.UDPConn).SetReadBuffer(waitForCapacity) // they are read only once all are sent; some 270 fit as it is
+				pc.(*net.UDPConn).SetReadBuffer(receiveBufferBytes) // they are read only once all are sent; some 270 fit as it is
 				ends[n] = pc
 				if err := f.JoinPackets(n, ip, ip+":0", pc.LocalAddr().String()); err != nil {
 					t.Fatal(err)
 				}
 			}
-			f.Set(0, 1, func(w *Way) { *w = c.way })
+			f.Set(0, 1, func(w *Direction) { *w = c.way })
 			for i := range 200 {
 				ends[0].WriteTo([]byte{byte(i)}, f.sockets[1].LocalAddr())
 			}
--- a/internal/testbed/standin/plannerproxy/proxy.go
+++ b/internal/testbed/standin/plannerproxy/proxy.go
@@ -20,8 +20,8 @@
 	Planned(forwarder string, lives []incarnation.Entry, at time.Time)
 }
 
-// Relay listens for forwarders and leads each to the planner.
-type Relay struct {
+// Proxy listens for forwarders and leads each to the planner.
+type Proxy struct {
 	to    string
 	watch Watcher
 	ln    net.Listener
@@ -36,12 +36,12 @@
 }
 
 // Listen starts a relay to a planner's address.
-func Listen(address, to string, w Watcher) (*Relay, error) {
+func Listen(address, to string, w Watcher) (*Proxy, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{to: to, watch: w, ln: ln, cut: make(chan struct{}), conns: map[net.Conn]bool{}}
+	r := &Proxy{to: to, watch: w, ln: ln, cut: make(chan struct{}), conns: map[net.Conn]bool{}}
 	close(r.cut)
 	r.wg.Go(func() {
 		for {
@@ -56,10 +56,10 @@
 }
 
 // Address is where it listens.
-func (r *Relay) Address() string { return r.ln.Addr().String() }
+func (r *Proxy) Address() string { return r.ln.Addr().String() }
 
 // Close ends it with all connections.
-func (r *Relay) Close() {
+func (r *Proxy) Close() {
 	r.ln.Close()
 	r.mu.Lock()
 	r.done = true
@@ -72,14 +72,14 @@
 }
 
 // Delay has each frame come so much later.
-func (r *Relay) Delay(d time.Duration) {
+func (r *Proxy) Delay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
 // Cut has nothing pass, without a word to either side, or lets what waits pass again.
-func (r *Relay) Cut(cut bool) {
+func (r *Proxy) Cut(cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
@@ -95,13 +95,13 @@
 }
 
 // Bytes that planners have sent to forwarders.
-func (r *Relay) Bytes() int {
+func (r *Proxy) Bytes() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.bytes
 }
 
-func (r *Relay) keep(c net.Conn) bool {
+func (r *Proxy) keep(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.done {
@@ -112,14 +112,14 @@
 	return true
 }
 
-func (r *Relay) drop(c net.Conn) {
+func (r *Proxy) drop(c net.Conn) {
 	c.Close()
 	r.mu.Lock()
 	delete(r.conns, c)
 	r.mu.Unlock()
 }
 
-func (r *Relay) lead(down net.Conn) {
+func (r *Proxy) lead(down net.Conn) {
 	if !r.keep(down) {
 		return
 	}
@@ -170,7 +170,7 @@
 }
 
 // pass hands frames on in one direction, each at its time; written is called behind each.
-func (r *Relay) pass(from, to net.Conn, written func(planwire.Kind, []byte)) {
+func (r *Proxy) pass(from, to net.Conn, written func(planwire.Kind, []byte)) {
 	frames, in := make(chan frame, queued), bufio.NewReader(from)
 	var writing sync.WaitGroup
 	writing.Go(func() {
--- a/internal/testbed/standin/server/request.go
+++ b/internal/testbed/standin/server/request.go
@@ -146,7 +146,7 @@
 	if fell {
 		b.watch.Fell(b.Number, b.now())
 		for _, l := range b.listeners {
-			l.Leave()
+			l.Stop()
 		}
 	}
 	return verdict
--- a/internal/testbed/standin/server/server.go
+++ b/internal/testbed/standin/server/server.go
@@ -153,14 +153,14 @@
 func (b *Server) Crash() {
 	b.do(func(now time.Duration) { b.model.Crash(now, b.event) })
 	for _, l := range b.listeners {
-		l.Leave()
+		l.Stop()
 	}
 }
 
 // Vanish ends it without a word, as when its machine loses power.
 func (b *Server) Vanish() {
 	for _, l := range b.listeners {
-		l.Hush()
+		l.Silence()
 	}
 	b.do(func(now time.Duration) { b.model.Crash(now, b.event) })
 }
@@ -168,14 +168,14 @@
 // Start brings it back, cold; what hung on it is reset.
 func (b *Server) Start() (ok bool, err error) {
 	for _, l := range b.listeners {
-		l.Leave()
+		l.Stop()
 	}
 	b.do(func(now time.Duration) { ok = b.model.Start(now) })
 	if !ok {
 		return false, nil
 	}
 	for _, l := range b.listeners {
-		if err = l.Return(); err != nil {
+		if err = l.Reopen(); err != nil {
 			return false, err
 		}
 	}
@@ -183,10 +183,10 @@
 }
 
 // Hush cuts the server off from callers of a site, Speak ends that.
-func (b *Server) Hush(site int) { b.listeners[site].Hush() }
+func (b *Server) Hush(site int) { b.listeners[site].Silence() }
 
 // Speak ends a silence.
-func (b *Server) Speak(site int) { b.listeners[site].Speak() }
+func (b *Server) Speak(site int) { b.listeners[site].EndSilence() }
 
 // Stop has the process stand still as a whole: its connections take what comes and bring nothing.
 func (b *Server) Stop(still bool) {
@@ -199,9 +199,9 @@
 	})
 	for _, l := range b.listeners {
 		if still {
-			l.Hush()
+			l.Silence()
 		} else {
-			l.Speak()
+			l.EndSilence()
 		}
 	}
 }
--- a/internal/testbed/standin/zookeeper/ensemble.go
+++ b/internal/testbed/standin/zookeeper/ensemble.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	lookup            = 10 * time.Millisecond // between two looks at sessions and lag
-	maxSessionTimeout = 40 * time.Second
-	sessionMin        = 200 * time.Millisecond
+	expiryPollInterval = 10 * time.Millisecond // between two checks of sessions and lag
+	maxSessionTimeout  = 40 * time.Second
+	sessionMin         = 200 * time.Millisecond
 )
 
 // Child is one that a reader was told of, with the count at which it was made.
@@ -69,7 +69,7 @@
 func New(w Watcher) *Registry {
 	r := &Registry{watch: w, head: newTree(), sessions: map[int64]*session{}, done: make(chan struct{}), lastID: time.Now().UnixNano() >> 8}
 	r.wg.Go(func() {
-		t := time.NewTicker(lookup)
+		t := time.NewTicker(expiryPollInterval)
 		defer t.Stop()
 		for {
 			select {
--- a/internal/testbed/standin/zookeeper/requests.go
+++ b/internal/testbed/standin/zookeeper/requests.go
@@ -23,9 +23,9 @@
 
 // reply is what a request is answered with.
 type reply struct {
-	code       int32
-	body       writer
-	watchEvent func() // tells the watcher what the reader was told, once it was; nil for nothing
+	code          int32
+	body          writer
+	notifyWatcher func() // tells the watcher what the reader was told, once it was; nil for nothing
 }
 
 // request answers one; false ends the connection.
@@ -70,8 +70,8 @@
 	}
 	r.mu.Unlock()
 	c.send(w)
-	if answer.code == ok && r.watch != nil && answer.watchEvent != nil {
-		answer.watchEvent()
+	if answer.code == ok && r.watch != nil && answer.notifyWatcher != nil {
+		answer.notifyWatcher()
 	}
 	return op != opClose
 }
@@ -154,7 +154,7 @@
 		a.body.buffer(n.data)
 		a.body.stat(n)
 		data := slices.Clone(n.data)
-		a.watchEvent = func() { s.r.watch.Data(s.reader, p, data, time.Now()) }
+		a.notifyWatcher = func() { s.r.watch.Data(s.reader, p, data, time.Now()) }
 	default:
 		s.readChildren(p, a)
 		if op == opChildren2 {
@@ -172,7 +172,7 @@
 			all = append(all, Child{name, c.czxid})
 		}
 	}
-	a.watchEvent = func() { s.r.watch.Announced(s.reader, p, all, time.Now()) }
+	a.notifyWatcher = func() { s.r.watch.Announced(s.reader, p, all, time.Now()) }
 }
 
 // lagless has the server see all that was agreed on, as a sync does.
