--- a/internal/proxy/engine/bench_test.go
+++ b/internal/proxy/engine/bench_test.go
@@ -25,11 +25,11 @@
 	for _, servers := range []int{2_000, 20_000, 200_000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			r := &effectCounter{}
-			n := New[uint32](0, idleDecider{}, r)
-			n.EndpointsUpdated(0, policy.Full, largeList(servers), r)
+			e := New[uint32](0, idleDecider{}, r)
+			e.EndpointsUpdated(0, policy.Full, largeList(servers), r)
 			one := largeList(1)
 			for b.Loop() {
-				n.EndpointsUpdated(0, policy.Incremental, one, r)
+				e.EndpointsUpdated(0, policy.Incremental, one, r)
 			}
 		})
 	}
--- a/internal/proxy/engine/engine_test.go
+++ b/internal/proxy/engine/engine_test.go
@@ -27,36 +27,36 @@
 		do   func(*Engine[uint32], *effectCounter)
 		held int
 	}{
-		"answered": {func(n *Engine[uint32], r *effectCounter) {
-			n.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.Success, ClientAnswered: true}, r)
+		"answered": {func(e *Engine[uint32], r *effectCounter) {
+			e.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.Success, ClientAnswered: true}, r)
 		}, 0},
-		"client left, attempt in flight": {func(n *Engine[uint32], r *effectCounter) { n.ClientLeft(0, 7, r) }, 1},
-		"client left, then the attempt ends": {func(n *Engine[uint32], r *effectCounter) {
-			n.ClientLeft(0, 7, r)
-			n.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.TimedOut, ClientAnswered: true}, r)
+		"client left, attempt in flight": {func(e *Engine[uint32], r *effectCounter) { e.ClientLeft(0, 7, r) }, 1},
+		"client left, then the attempt ends": {func(e *Engine[uint32], r *effectCounter) {
+			e.ClientLeft(0, 7, r)
+			e.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.TimedOut, ClientAnswered: true}, r)
 		}, 0},
-		"an outcome of an unknown server is ignored": {func(n *Engine[uint32], r *effectCounter) {
-			if n.AttemptEnded(0, 7, 6, policy.Input{Outcome: policy.Success, ClientAnswered: true}, r) {
+		"an outcome of an unknown server is ignored": {func(e *Engine[uint32], r *effectCounter) {
+			if e.AttemptEnded(0, 7, 6, policy.Input{Outcome: policy.Success, ClientAnswered: true}, r) {
 				t.Error("accepted")
 			}
 		}, 1},
-		"a request id in hand is not accepted again": {func(n *Engine[uint32], r *effectCounter) {
-			if n.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r) {
+		"a request id in hand is not accepted again": {func(e *Engine[uint32], r *effectCounter) {
+			if e.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r) {
 				t.Error("accepted")
 			}
 		}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := &effectCounter{}
-			n := New[uint32](0, policy.New(settings, 1), r)
-			n.EndpointsUpdated(0, policy.Cached, []Endpoint[uint32]{{Server: 5, Info: policy.Endpoint{Weight: 1}}}, r)
-			n.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r)
+			e := New[uint32](0, policy.New(settings, 1), r)
+			e.EndpointsUpdated(0, policy.Cached, []Endpoint[uint32]{{Server: 5, Info: policy.Endpoint{Weight: 1}}}, r)
+			e.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r)
 			if r.sent != 1 {
 				t.Fatal("not sent")
 			}
-			c.do(n, r)
-			if len(n.requestIndex) != c.held || len(n.requests)-len(n.freeRequests) != c.held {
-				t.Errorf("%d ids and %d indices in use, want %d", len(n.requestIndex), len(n.requests)-len(n.freeRequests), c.held)
+			c.do(e, r)
+			if len(e.requestIndex) != c.held || len(e.requests)-len(e.freeRequests) != c.held {
+				t.Errorf("%d ids and %d indices in use, want %d", len(e.requestIndex), len(e.requests)-len(e.freeRequests), c.held)
 			}
 		})
 	}
@@ -65,19 +65,19 @@
 // TestServersAreForgotten checks that indices of removed servers are used again, but none that a request still refers to.
 func TestServersAreForgotten(t *testing.T) {
 	r := &effectCounter{}
-	n := New[uint32](0, policy.New(policy.Settings{NodeCount: 1, MaxAttempts: 1, TrafficTypes: []policy.TrafficType{
+	e := New[uint32](0, policy.New(policy.Settings{NodeCount: 1, MaxAttempts: 1, TrafficTypes: []policy.TrafficType{
 		{LatencyObjective: 400 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1}}}, 1), r)
 	list := func(scope policy.UpdateScope, server uint32, c policy.Condition) {
-		n.EndpointsUpdated(0, scope, []Endpoint[uint32]{{Server: server, Info: policy.Endpoint{Weight: 1, Condition: c, HasStartTime: true}}}, r)
+		e.EndpointsUpdated(0, scope, []Endpoint[uint32]{{Server: server, Info: policy.Endpoint{Weight: 1, Condition: c, HasStartTime: true}}}, r)
 	}
 	list(policy.Full, 5, policy.Up)
-	n.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r) // its attempt is in flight at server 5
+	e.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r) // its attempt is in flight at server 5
 	list(policy.Incremental, 5, policy.Removed)
 	list(policy.Incremental, 6, policy.Up)
-	if len(r.forgotten) > 0 || len(n.serverIDs) != 2 {
-		t.Fatalf("forgot %v, %d indices", r.forgotten, len(n.serverIDs))
+	if len(r.forgotten) > 0 || len(e.serverIDs) != 2 {
+		t.Fatalf("forgot %v, %d indices", r.forgotten, len(e.serverIDs))
 	}
-	n.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.Success, ClientAnswered: true}, r)
+	e.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.Success, ClientAnswered: true}, r)
 	if len(r.forgotten) != 1 || r.forgotten[0] != 5 {
 		t.Fatalf("forgot %v", r.forgotten)
 	}
@@ -85,10 +85,10 @@
 		list(policy.Full, 10+id, policy.Up)
 		list(policy.Incremental, 200+id, policy.Removed) // never known
 	}
-	if len(n.serverIDs) > 3 || len(n.serverIndex) != 1 || n.serverIndex[109] >= len(n.serverIDs) {
-		t.Errorf("%d indices, %d ids", len(n.serverIDs), len(n.serverIndex))
+	if len(e.serverIDs) > 3 || len(e.serverIndex) != 1 || e.serverIndex[109] >= len(e.serverIDs) {
+		t.Errorf("%d indices, %d ids", len(e.serverIDs), len(e.serverIndex))
 	}
-	n.RequestArrived(0, 8, policy.Input{Timeout: time.Second}, r)
+	e.RequestArrived(0, 8, policy.Input{Timeout: time.Second}, r)
 	if r.sent != 2 {
 		t.Error("not sent to the server that is left")
 	}
@@ -97,18 +97,18 @@
 // TestRetainedServersKeepTheirIndex checks that an unlisted server keeps its index while the policy may still send to it.
 func TestRetainedServersKeepTheirIndex(t *testing.T) {
 	r := &effectCounter{}
-	n := New[uint32](0, policy.New(policy.Settings{NodeCount: 1, MaxAttempts: 1, UnlistedUsable: true, TrafficTypes: []policy.TrafficType{
+	e := New[uint32](0, policy.New(policy.Settings{NodeCount: 1, MaxAttempts: 1, UnlistedUsable: true, TrafficTypes: []policy.TrafficType{
 		{LatencyObjective: 400 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1}}}, 1), r)
 	for id := range uint32(200) { // each omitted by the next list, the last one by three empty lists
-		n.EndpointsUpdated(0, policy.Full, []Endpoint[uint32]{{Server: id, Info: policy.Endpoint{HasStartTime: true, StartedAt: -time.Hour}}}, r)
-		n.TimerFired(0, r)
+		e.EndpointsUpdated(0, policy.Full, []Endpoint[uint32]{{Server: id, Info: policy.Endpoint{HasStartTime: true, StartedAt: -time.Hour}}}, r)
+		e.TimerFired(0, r)
 	}
 	for range 3 {
-		n.EndpointsUpdated(0, policy.Full, nil, r)
+		e.EndpointsUpdated(0, policy.Full, nil, r)
 	}
-	n.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r)
-	if _, known := n.serverIndex[199]; r.sent != 1 || !known || len(n.serverIDs) > 4 {
-		t.Fatalf("%d sent, the last known: %v, %d indices", r.sent, known, len(n.serverIDs))
+	e.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r)
+	if _, known := e.serverIndex[199]; r.sent != 1 || !known || len(e.serverIDs) > 4 {
+		t.Fatalf("%d sent, the last known: %v, %d indices", r.sent, known, len(e.serverIDs))
 	}
 }
 
@@ -116,11 +116,11 @@
 func TestCostOfOneChange(t *testing.T) {
 	cost := func(servers int) (visits int, allocs float64) {
 		r := &effectCounter{}
-		n := New[uint32](0, idleDecider{}, r)
-		n.EndpointsUpdated(0, policy.Full, largeList(servers), r)
-		from, one := n.removed.Visits(), largeList(1)
-		allocs = testing.AllocsPerRun(100, func() { n.EndpointsUpdated(0, policy.Incremental, one, r) })
-		return n.removed.Visits() - from, allocs
+		e := New[uint32](0, idleDecider{}, r)
+		e.EndpointsUpdated(0, policy.Full, largeList(servers), r)
+		from, one := e.removed.Visits(), largeList(1)
+		allocs = testing.AllocsPerRun(100, func() { e.EndpointsUpdated(0, policy.Incremental, one, r) })
+		return e.removed.Visits() - from, allocs
 	}
 	few, fewAllocs := cost(1_000)
 	many, manyAllocs := cost(20_000)
@@ -133,12 +133,12 @@
 func TestQuotasReachTheDecider(t *testing.T) {
 	var got []policy.Quota
 	r := &effectCounter{}
-	n := New[uint32](0, inputObserver(func(in *policy.Input) {
+	e := New[uint32](0, inputObserver(func(in *policy.Input) {
 		if in.Kind == policy.QuotasChanged {
 			got = in.Quotas
 		}
 	}), r)
-	n.QuotasChanged(time.Second, []policy.Quota{{Tenant: 7, PerSecond: 3}}, r)
+	e.QuotasChanged(time.Second, []policy.Quota{{Tenant: 7, PerSecond: 3}}, r)
 	if len(got) != 1 || got[0].Tenant != 7 || got[0].PerSecond != 3 {
 		t.Errorf("quotas %v", got)
 	}
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,20 +6,20 @@
 )
 
 func TestLowestWeightIsShedFirst(t *testing.T) {
-	r := newHarness(t, 4, func(s *Settings) { s.TenantQuotas = []float64{1e6, 4} })
-	for b := range r.admission.arrivalRates {
-		r.admission.arrivalRates[b] = 10
+	h := newHarness(t, 4, func(s *Settings) { s.TenantQuotas = []float64{1e6, 4} })
+	for b := range h.admission.arrivalRates {
+		h.admission.arrivalRates[b] = 10
 	}
-	r.admission.admitted, r.admission.saturated = 0.5, 1
-	r.now = time.Second
-	r.adjustAdmission(100 * ms)
-	for i := 1; i < len(r.admission.classes); i++ {
-		a, b := r.admission.classes[i-1], r.admission.classes[i]
-		if r.admission.rejectShare[a] < r.admission.rejectShare[b] {
-			t.Errorf("class %d at %.2f, class %d of higher weight at %.2f", a, r.admission.rejectShare[a], b, r.admission.rejectShare[b])
+	h.admission.admitted, h.admission.saturated = 0.5, 1
+	h.now = time.Second
+	h.adjustAdmission(100 * ms)
+	for i := 1; i < len(h.admission.classes); i++ {
+		a, b := h.admission.classes[i-1], h.admission.classes[i]
+		if h.admission.rejectShare[a] < h.admission.rejectShare[b] {
+			t.Errorf("class %d at %.2f, class %d of higher weight at %.2f", a, h.admission.rejectShare[a], b, h.admission.rejectShare[b])
 		}
 	}
-	if r.admission.rejectShare[r.admission.classes[0]] == 0 || r.classWeight(1) >= r.classWeight(0) {
+	if h.admission.rejectShare[h.admission.classes[0]] == 0 || h.classWeight(1) >= h.classWeight(0) {
 		t.Error("nothing shed, or requests beyond the quota weigh as much")
 	}
 }
@@ -35,22 +35,22 @@
 		"highest weight": {50, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 4, func(s *Settings) {
+			h := newHarness(t, 4, func(s *Settings) {
 				s.TrafficTypes = append(s.TrafficTypes, s.TrafficTypes[0])
 				s.TrafficTypes[4].PriorityWeight = c.revenue
 			})
-			r.admission.activeTypes.Remove(4)
-			for b := range r.admission.arrivalRates[:8] {
-				r.admission.arrivalRates[b] = 10
+			h.admission.activeTypes.Remove(4)
+			for b := range h.admission.arrivalRates[:8] {
+				h.admission.arrivalRates[b] = 10
 			}
-			r.admission.admitted, r.admission.saturated, r.now = 0.7, 1, time.Second
-			r.adjustAdmission(100 * ms)
-			if len(r.admission.classes) != 8 {
-				t.Fatalf("order %v", r.admission.classes)
+			h.admission.admitted, h.admission.saturated, h.now = 0.7, 1, time.Second
+			h.adjustAdmission(100 * ms)
+			if len(h.admission.classes) != 8 {
+				t.Fatalf("order %v", h.admission.classes)
 			}
-			r.activateType(4)
-			if got := r.admission.rejectShare[8]; got != c.want || len(r.admission.classes) != 10 {
-				t.Errorf("share %g, want %g; order %v", got, c.want, r.admission.classes)
+			h.activateType(4)
+			if got := h.admission.rejectShare[8]; got != c.want || len(h.admission.classes) != 10 {
+				t.Errorf("share %g, want %g; order %v", got, c.want, h.admission.classes)
 			}
 		})
 	}
--- a/policy/attribution_test.go
+++ b/policy/attribution_test.go
@@ -11,35 +11,38 @@
 // and that a failing server sheds no requests.
 func TestFailureAttribution(t *testing.T) {
 	for name, c := range map[string]struct {
-		bad     func(o *request, s int) bool
+		fails   func(r *request, s int) bool
 		outcome Outcome
 		ejected bool // server 0 is ejected; else requests of tenant 1 and key 9 fail
 	}{
-		"a key that fails everywhere":        {func(o *request, _ int) bool { return o.key == 9 }, Failure, false},
-		"a tenant that times out everywhere": {func(o *request, _ int) bool { return o.tenant == 1 }, TimedOut, false},
+		"a key that fails everywhere":        {func(r *request, _ int) bool { return r.key == 9 }, Failure, false},
+		"a tenant that times out everywhere": {func(r *request, _ int) bool { return r.tenant == 1 }, TimedOut, false},
 		"a server that fails all":            {func(_ *request, s int) bool { return s == 0 }, Failure, true},
 		"a server that answers nothing":      {func(_ *request, s int) bool { return s == 0 }, TimedOut, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 4, func(s *Settings) { s.TenantQuotas = []float64{1e6, 1e6} }).fillSubset()
+			h := newHarness(t, 4, func(s *Settings) { s.TenantQuotas = []float64{1e6, 1e6} }).fillSubset()
 			isEjected := false
 			for i := range 400 {
-				r.now = time.Second + time.Duration(i)*10*ms
-				o := &request{trafficType: i % 3, tenant: i / 4 % 2, objectiveAt: r.now + 400*ms, key: uint32(1 + i/8%9)}
-				outcome := map[bool]Outcome{true: c.outcome}[c.bad(o, i*7/3%4)] // else Success
-				r.recordOutcome(i*7/3%4, o, r.now-40*ms, outcome)
-				isEjected = isEjected || i > 200 && r.now < r.outliers.ejections.EjectedUntil(0, failures.AllTypes)
+				h.now = time.Second + time.Duration(i)*10*ms
+				r := &request{trafficType: i % 3, tenant: i / 4 % 2, objectiveAt: h.now + 400*ms, key: uint32(1 + i/8%9)}
+				server, outcome := i*7/3%4, Success
+				if c.fails(r, server) {
+					outcome = c.outcome
+				}
+				h.recordOutcome(server, r, h.now-40*ms, outcome)
+				isEjected = isEjected || i > 200 && h.now < h.outliers.ejections.EjectedUntil(0, failures.AllTypes)
 			}
 			sent := [2]int{} // by tenant
 			for id := range 200 {
 				in := Input{Kind: RequestArrived, Request: id, Tenant: id % 2, Key: uint32(1 + id%2*8), Timeout: time.Second}
-				if got := r.at(r.now, in); len(got) == 0 || got[0].Kind != SendAttempt {
+				if got := h.at(h.now, in); len(got) == 0 || got[0].Kind != SendAttempt {
 					continue
 				}
 				sent[id%2]++
 				if c.ejected || id%2 == 0 {
-					r.end(r.now+20*ms, id, 0, Success)
-				} else if got := effectKinds(r.end(r.now+20*ms, id, 0, c.outcome)); len(got) != 1 || got[0] != Reject {
+					h.end(h.now+20*ms, id, 0, Success)
+				} else if got := effectKinds(h.end(h.now+20*ms, id, 0, c.outcome)); len(got) != 1 || got[0] != Reject {
 					t.Errorf("then %v", got)
 				}
 			}
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -12,10 +12,10 @@
 		"many nodes share the servers": {40, 10, 1, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, c.servers, func(s *Settings) { s.NodeCount = c.nodes })
+			h := newHarness(t, c.servers, func(s *Settings) { s.NodeCount = c.nodes })
 			sent := 0
 			for range 100 {
-				_, got := r.arriveAt(0, 0, time.Second)
+				_, got := h.arriveAt(0, 0, time.Second)
 				sent += len(got)
 			}
 			if sent < c.least || sent > c.most {
@@ -26,19 +26,19 @@
 }
 
 func TestSlowAnswersLowerConcurrencyLimit(t *testing.T) {
-	r := newHarness(t, 8, nil)
-	r.concurrency.finished, r.concurrency.grown = 16, 40
-	if r.concurrency.limit() != 40 {
-		t.Errorf("limit %.0f although attempts are fast", r.concurrency.limit())
+	h := newHarness(t, 8, nil)
+	h.concurrency.finished, h.concurrency.grown = 16, 40
+	if h.concurrency.limit() != 40 {
+		t.Errorf("limit %.0f although attempts are fast", h.concurrency.limit())
 	}
 	for range 20 { // each takes three times as long as allowed
-		r.concurrency.adjust(3, 1)
+		h.concurrency.adjust(3, 1)
 	}
-	if w := r.concurrency.limit(); w > 20/r.concurrency.latencyRatio || r.concurrency.latencyRatio < 1.5 {
-		t.Errorf("limit %.1f at latency ratio %.1f", w, r.concurrency.latencyRatio)
+	if w := h.concurrency.limit(); w > 20/h.concurrency.latencyRatio || h.concurrency.latencyRatio < 1.5 {
+		t.Errorf("limit %.1f at latency ratio %.1f", w, h.concurrency.latencyRatio)
 	}
-	r.concurrency.latencyRatio, r.concurrency.finished, r.concurrency.grown = 1e6, 0, 0 // as after a time when all servers were slow
-	if _, got := r.arriveAt(0, 0, time.Second); len(got) != 1 || got[0].Kind != SendAttempt {
+	h.concurrency.latencyRatio, h.concurrency.finished, h.concurrency.grown = 1e6, 0, 0 // as after a time when all servers were slow
+	if _, got := h.arriveAt(0, 0, time.Second); len(got) != 1 || got[0].Kind != SendAttempt {
 		t.Errorf("nothing is sent any more: %v", got)
 	}
 }
@@ -51,23 +51,23 @@
 		want float64 // attempts counted once all are late
 	}{"late answers are worth a share": {0.5, 0}, "they are worth nothing": {0, 3}} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 8, func(s *Settings) { s.TrafficTypes[2].LateWeightShare = c.late })
-			r.concurrency.grown = 1000
+			h := newHarness(t, 8, func(s *Settings) { s.TrafficTypes[2].LateWeightShare = c.late })
+			h.concurrency.grown = 1000
 			for range 3 {
-				r.arriveAt(time.Second, 2, 2*time.Second)
+				h.arriveAt(time.Second, 2, 2*time.Second)
 			}
-			r.concurrency.grown = 0
+			h.concurrency.grown = 0
 			for now := 1400 * ms; now < 1500*ms; now += 20 * ms {
-				r.at(now, Input{Kind: TimerFired})
+				h.at(now, Input{Kind: TimerFired})
 			}
-			if r.concurrency.inFlight != c.want {
-				t.Errorf("%g attempts counted", r.concurrency.inFlight)
+			if h.concurrency.inFlight != c.want {
+				t.Errorf("%g attempts counted", h.concurrency.inFlight)
 			}
 			for id := range 3 {
-				r.end(1600*ms, id, 0, Success)
+				h.end(1600*ms, id, 0, Success)
 			}
-			if r.concurrency.inFlight != 0 || r.load.inFlight[0] != 0 {
-				t.Errorf("%g attempts counted when none is in flight", r.concurrency.inFlight)
+			if h.concurrency.inFlight != 0 || h.load.inFlight[0] != 0 {
+				t.Errorf("%g attempts counted when none is in flight", h.concurrency.inFlight)
 			}
 		})
 	}
@@ -76,14 +76,14 @@
 // TestRouteLimit checks that a route has as many requests in flight as its limit allows, and that others go out as
 // they end.
 func TestRouteLimit(t *testing.T) {
-	r := newRouteHarness(t, 6, 0, func(*TrafficType) {})
-	types := r.settings.TrafficTypes
+	h := newRouteHarness(t, 6, 0, func(*TrafficType) {})
+	types := h.settings.TrafficTypes
 	limit := func(n int) {
-		r.at(r.now, Input{Kind: TrafficTypesChanged, TrafficTypes: types, LearnFrom: []int{0, 1, 2, 3}, RouteLimits: []int{0, n}})
+		h.at(h.now, Input{Kind: TrafficTypesChanged, TrafficTypes: types, LearnFrom: []int{0, 1, 2, 3}, RouteLimits: []int{0, n}})
 	}
 	arrive := func() []EffectKind {
-		r.arrivals++
-		return effectKinds(r.at(r.now, Input{Kind: RequestArrived, Request: r.arrivals - 1, TrafficType: 0, RouteLimit: 1, Timeout: 2 * time.Second}))
+		h.arrivals++
+		return effectKinds(h.at(h.now, Input{Kind: RequestArrived, Request: h.arrivals - 1, TrafficType: 0, RouteLimit: 1, Timeout: 2 * time.Second}))
 	}
 	limit(3)
 	var got []int
@@ -95,7 +95,7 @@
 	}
 	limit(2)
 	for id, want := range []int{0, 1, 1} { // two of three must end before the next may go out
-		if e := effectKinds(r.end(10*ms, id, 0, Success)); len(e) != want {
+		if e := effectKinds(h.end(10*ms, id, 0, Success)); len(e) != want {
 			t.Errorf("after %d: %v", id, e)
 		}
 	}
--- a/policy/cost_test.go
+++ b/policy/cost_test.go
@@ -83,60 +83,60 @@
 func TestCountsMatchWalk(t *testing.T) {
 	for _, only := range []bool{false, true} {
 		t.Run(fmt.Sprintf("only draining binds: %v", only), func(t *testing.T) {
-			r := newHarness(t, 40, func(s *Settings) { s.UnlistedUsable = only }).fillSubset()
+			h := newHarness(t, 40, func(s *Settings) { s.UnlistedUsable = only }).fillSubset()
 			for i := range 4_000 {
-				r.now += 20 * ms
+				h.now += 20 * ms
 				scope, list := Incremental, []Endpoint{{Server: i * 7 % 40, Rank: uint32(i), Weight: 1, Condition: Condition(i % 3), IndexReused: i%31 == 0,
 					Labels: uint64(i * 5 % 16)}}
 				if i%50 == 49 {
 					scope = Full
 				}
-				r.at(r.now, Input{Kind: EndpointsUpdated, Scope: scope, Endpoints: list})
-				r.at(r.now, Input{Kind: TimerFired})
-				id, _ := r.arriveAt(r.now, i%4, time.Second)
-				if len(r.Policy.requests.all[id].attempts) > 0 {
-					r.end(r.now, id, 0, Outcome(i%8))
+				h.at(h.now, Input{Kind: EndpointsUpdated, Scope: scope, Endpoints: list})
+				h.at(h.now, Input{Kind: TimerFired})
+				id, _ := h.arriveAt(h.now, i%4, time.Second)
+				if len(h.Policy.requests.all[id].attempts) > 0 {
+					h.end(h.now, id, 0, Outcome(i%8))
 				}
-				checkCounts(t, r)
+				checkCounts(t, h)
 			}
 		})
 	}
 }
 
 // checkCounts compares the counts with a walk.
-func checkCounts(t *testing.T, r *harness) {
+func checkCounts(t *testing.T, h *harness) {
 	t.Helper()
 	ready, listed, sum := 0, 0, time.Duration(0)
 	var dropped []int
 	var labelled [64]int
-	for s := range r.readiness.Len() {
-		if r.readiness.Ready(s) {
+	for s := range h.readiness.Len() {
+		if h.readiness.Ready(s) {
 			ready++
 		}
-		if r.readiness.Listed(s) {
+		if h.readiness.Listed(s) {
 			listed++
 		}
-		if r.readiness.Ready(s) && !r.readiness.Listed(s) {
+		if h.readiness.Ready(s) && !h.readiness.Listed(s) {
 			dropped = append(dropped, s)
 		}
-		if (r.outliers.ejections.EntryCount(s) > 0 || r.outliers.ejections.EjectedUntil(s, failures.AllTypes) > r.now) && !r.outliers.ejections.Active().Has(s) {
+		if (h.outliers.ejections.EntryCount(s) > 0 || h.outliers.ejections.EjectedUntil(s, failures.AllTypes) > h.now) && !h.outliers.ejections.Active().Has(s) {
 			t.Fatalf("server %d has entries that no walk visits", s)
 		}
-		sum += r.latency.smoothed.At(s)
+		sum += h.latency.smoothed.At(s)
 		for bit := range labelled {
-			if r.readiness.Ready(s) && r.readiness.Labels(s)&(1<<bit) != 0 {
+			if h.readiness.Ready(s) && h.readiness.Labels(s)&(1<<bit) != 0 {
 				labelled[bit]++
 			}
 		}
 	}
 	for bit, want := range labelled {
-		if got := r.readiness.ReadyWithLabels(1 << bit); got != want {
-			t.Fatalf("at %v: %d with label %d, counted %d", r.now, want, bit, got)
+		if got := h.readiness.ReadyWithLabels(1 << bit); got != want {
+			t.Fatalf("at %v: %d with label %d, counted %d", h.now, want, bit, got)
 		}
 	}
-	if ready != r.readiness.ReadyCount() || listed != r.readiness.ListedCount() || sum != r.latency.smoothed.Sum() || !slices.Equal(dropped, slices.Collect(r.readiness.ReadyUnlisted().All())) {
-		t.Fatalf("at %v: %d ready, counted %d; %d listed, counted %d; sum %v, kept %v; dropped %v, kept %v", r.now,
-			ready, r.readiness.ReadyCount(), listed, r.readiness.ListedCount(), sum, r.latency.smoothed.Sum(), dropped, slices.Collect(r.readiness.ReadyUnlisted().All()))
+	if ready != h.readiness.ReadyCount() || listed != h.readiness.ListedCount() || sum != h.latency.smoothed.Sum() || !slices.Equal(dropped, slices.Collect(h.readiness.ReadyUnlisted().All())) {
+		t.Fatalf("at %v: %d ready, counted %d; %d listed, counted %d; sum %v, kept %v; dropped %v, kept %v", h.now,
+			ready, h.readiness.ReadyCount(), listed, h.readiness.ListedCount(), sum, h.latency.smoothed.Sum(), dropped, slices.Collect(h.readiness.ReadyUnlisted().All()))
 	}
 }
 
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -19,13 +19,13 @@
 		}
 		return n
 	}
-	drain := func(r *harness, now time.Duration, outcome Condition) []Effect {
-		return r.listServers(now, Incremental, 1, func(endpoint *Endpoint) { endpoint.Condition = outcome })
+	drain := func(h *harness, now time.Duration, outcome Condition) []Effect {
+		return h.listServers(now, Incremental, 1, func(endpoint *Endpoint) { endpoint.Condition = outcome })
 	}
 	// closedDuring lets time pass and returns when the server's connections were closed.
-	closedDuring := func(r *harness, from, to time.Duration) (at []time.Duration) {
+	closedDuring := func(h *harness, from, to time.Duration) (at []time.Duration) {
 		for now := from; now <= to; now += 10 * ms {
-			if closed(r.at(now, Input{Kind: TimerFired})) > 0 {
+			if closed(h.at(now, Input{Kind: TimerFired})) > 0 {
 				at = append(at, now)
 			}
 		}
@@ -33,66 +33,66 @@
 	}
 	for name, c := range map[string]struct {
 		change func(*Settings)
-		day    func(t *testing.T, r *harness)
+		day    func(t *testing.T, h *harness)
 	}{
-		"at the notice and once more": {closes, func(t *testing.T, r *harness) {
-			if got := closed(drain(r, 0, Draining)); got != 1 {
+		"at the notice and once more": {closes, func(t *testing.T, h *harness) {
+			if got := closed(drain(h, 0, Draining)); got != 1 {
 				t.Errorf("closed %d times at the notice", got)
 			}
-			if at := closedDuring(r, 10*ms, time.Second); len(at) != 1 || at[0] > within {
+			if at := closedDuring(h, 10*ms, time.Second); len(at) != 1 || at[0] > within {
 				t.Errorf("closed again at %v", at)
 			}
 		}},
-		"removed": {closes, func(t *testing.T, r *harness) {
-			if got := closed(drain(r, 0, Removed)); got != 1 {
+		"removed": {closes, func(t *testing.T, h *harness) {
+			if got := closed(drain(h, 0, Removed)); got != 1 {
 				t.Errorf("closed %d times", got)
 			}
 		}},
-		"after the last outcome": {closes, func(t *testing.T, r *harness) {
-			drain(r, 0, Draining)
-			closedDuring(r, 10*ms, 400*ms)
-			if got := closed(r.end(410*ms, 0, 0, Success)); got != 1 {
+		"after the last outcome": {closes, func(t *testing.T, h *harness) {
+			drain(h, 0, Draining)
+			closedDuring(h, 10*ms, 400*ms)
+			if got := closed(h.end(410*ms, 0, 0, Success)); got != 1 {
 				t.Errorf("closed %d times at the outcome", got)
 			}
-			if at := closedDuring(r, 420*ms, 2*time.Second); len(at) != 1 || at[0]-410*ms > within {
+			if at := closedDuring(h, 420*ms, 2*time.Second); len(at) != 1 || at[0]-410*ms > within {
 				t.Errorf("closed again at %v", at)
 			}
 		}},
-		"a connect that fails after the notice": {closes, func(t *testing.T, r *harness) {
-			drain(r, 0, Draining)
-			if got := closed(r.end(10*ms, 0, 0, Unreachable)); got != 1 {
+		"a connect that fails after the notice": {closes, func(t *testing.T, h *harness) {
+			drain(h, 0, Draining)
+			if got := closed(h.end(10*ms, 0, 0, Unreachable)); got != 1 {
 				t.Errorf("closed %d times at the outcome", got)
 			}
 		}},
-		"two notices": {closes, func(t *testing.T, r *harness) {
-			drain(r, 0, Draining)
-			drain(r, 20*ms, Draining)
-			if at := closedDuring(r, 30*ms, time.Second); len(at) != 1 || at[0] > within {
+		"two notices": {closes, func(t *testing.T, h *harness) {
+			drain(h, 0, Draining)
+			drain(h, 20*ms, Draining)
+			if at := closedDuring(h, 30*ms, time.Second); len(at) != 1 || at[0] > within {
 				t.Errorf("closed again at %v", at)
 			}
 		}},
-		"up again": {closes, func(t *testing.T, r *harness) {
-			drain(r, 0, Draining)
-			drain(r, 5*ms, Up)
-			if got := closed(r.end(10*ms, 0, 0, Success)); got != 0 {
+		"up again": {closes, func(t *testing.T, h *harness) {
+			drain(h, 0, Draining)
+			drain(h, 5*ms, Up)
+			if got := closed(h.end(10*ms, 0, 0, Success)); got != 0 {
 				t.Errorf("closed %d times though it is ready again", got)
 			}
-			if at := closedDuring(r, 20*ms, time.Second); len(at) != 0 {
+			if at := closedDuring(h, 20*ms, time.Second); len(at) != 0 {
 				t.Errorf("closed at %v though it is ready again", at)
 			}
 		}},
-		"not asked for": {nil, func(t *testing.T, r *harness) {
-			if got := closed(drain(r, 0, Draining)) + closed(r.end(10*ms, 0, 0, Success)) + len(closedDuring(r, 20*ms, time.Second)); got != 0 {
+		"not asked for": {nil, func(t *testing.T, h *harness) {
+			if got := closed(drain(h, 0, Draining)) + closed(h.end(10*ms, 0, 0, Success)) + len(closedDuring(h, 20*ms, time.Second)); got != 0 {
 				t.Errorf("closed %d times", got)
 			}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 1, c.change)
-			if _, got := r.arriveAt(0, 0, time.Second); !slices.Equal(serversSentTo(got), []int{0}) {
+			h := newHarness(t, 1, c.change)
+			if _, got := h.arriveAt(0, 0, time.Second); !slices.Equal(serversSentTo(got), []int{0}) {
 				t.Fatalf("sent to %v", serversSentTo(got))
 			}
-			c.day(t, r)
+			c.day(t, h)
 		})
 	}
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -20,12 +20,12 @@
 		"an empty full list":      {Input{Scope: Full}, []bool{false, false, false}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 3, nil)
+			h := newHarness(t, 3, nil)
 			c.in.Kind = EndpointsUpdated
-			r.at(time.Second, c.in)
+			h.at(time.Second, c.in)
 			var ready []bool
-			for s := range r.readiness.Len() {
-				ready = append(ready, r.readiness.Ready(s))
+			for s := range h.readiness.Len() {
+				ready = append(ready, h.readiness.Ready(s))
 			}
 			if !reflect.DeepEqual(ready, c.want) {
 				t.Errorf("ready %v, want %v", ready, c.want)
@@ -36,24 +36,24 @@
 
 // TestReusedServerIndex checks that nothing is left of the server that had the index before.
 func TestReusedServerIndex(t *testing.T) {
-	r := newHarness(t, 3, nil).fillSubset()
+	h := newHarness(t, 3, nil).fillSubset()
 	untouched := newHarness(t, 3, nil).fillSubset()
 	for _, outcome := range []Outcome{TimedOut, ConnectionBroken, Unreachable, Overloaded, Success, TimedOut, ClientError} {
-		r.now += 100 * ms
-		r.recordOutcome(1, &request{trafficType: 2}, r.now-90*ms, outcome)
+		h.now += 100 * ms
+		h.recordOutcome(1, &request{trafficType: 2}, h.now-90*ms, outcome)
 	}
-	r.startSlowStart(1, r.now)
-	r.at(time.Second, Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 1, Rank: 1, Condition: Removed}}})
-	r.at(time.Second, Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 1, IndexReused: true, Rank: 9, Cell: 5, Weight: 1, StartedAt: -time.Minute, HasStartTime: true}}})
-	for trafficType := range r.settings.TrafficTypes {
-		if r.isUnhealthy(1, &request{trafficType: trafficType}) {
+	h.startSlowStart(1, h.now)
+	h.at(time.Second, Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 1, Rank: 1, Condition: Removed}}})
+	h.at(time.Second, Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 1, IndexReused: true, Rank: 9, Cell: 5, Weight: 1, StartedAt: -time.Minute, HasStartTime: true}}})
+	for trafficType := range h.settings.TrafficTypes {
+		if h.isUnhealthy(1, &request{trafficType: trafficType}) {
 			t.Errorf("type %d: unhealthy", trafficType)
 		}
 	}
-	if r.slowStart.servers.Has(1) || r.latency.slowness[1] != 1 || r.pauses.count[1] != 0 || r.servers.cell[1] != 5 || !r.readiness.Ready(1) || r.outliers.soft[1] != 0 {
+	if h.slowStart.servers.Has(1) || h.latency.slowness[1] != 1 || h.pauses.count[1] != 0 || h.servers.cell[1] != 5 || !h.readiness.Ready(1) || h.outliers.soft[1] != 0 {
 		t.Error("something is left of the earlier server")
 	}
-	if want := []int{0, 2, 1}; !slices.Equal(slices.Collect(r.subset.rotation.From(0)), want) || r.readiness.Len() != untouched.readiness.Len() {
-		t.Errorf("rotation %v", slices.Collect(r.subset.rotation.From(0)))
+	if want := []int{0, 2, 1}; !slices.Equal(slices.Collect(h.subset.rotation.From(0)), want) || h.readiness.Len() != untouched.readiness.Len() {
+		t.Errorf("rotation %v", slices.Collect(h.subset.rotation.From(0)))
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -31,39 +31,39 @@
 	if change != nil {
 		change(&s)
 	}
-	r := &harness{Policy: New(s, 7), t: t}
-	r.at(0, Input{Kind: TimerFired})
+	h := &harness{Policy: New(s, 7), t: t}
+	h.at(0, Input{Kind: TimerFired})
 	var list []Endpoint
 	for i := range servers {
 		list = append(list, Endpoint{Server: i, Rank: uint32(i), Zone: i % 2, Cell: i / 2, Weight: 1})
 	}
-	r.at(0, Input{Kind: EndpointsUpdated, Scope: Cached, Endpoints: list})
-	return r
+	h.at(0, Input{Kind: EndpointsUpdated, Scope: Cached, Endpoints: list})
+	return h
 }
 
 // fillSubset puts every server into the subset, in the order of their indices.
-func (r *harness) fillSubset() *harness {
-	for s := range r.readiness.Len() {
-		if !r.subset.contains[s] {
-			r.addToSubset(s)
-			r.updateWeights()
+func (h *harness) fillSubset() *harness {
+	for s := range h.readiness.Len() {
+		if !h.subset.contains[s] {
+			h.addToSubset(s)
+			h.updateWeights()
 		}
 	}
-	return r
+	return h
 }
 
 // at hands the policy an input.
-func (r *harness) at(now time.Duration, in Input) []Effect { return r.Handle(now, &in, nil) }
+func (h *harness) at(now time.Duration, in Input) []Effect { return h.Handle(now, &in, nil) }
 
 // arriveAt has a request arrive and returns its index.
-func (r *harness) arriveAt(now time.Duration, trafficType int, budget time.Duration) (int, []Effect) {
-	r.arrivals++
-	return r.arrivals - 1, r.at(now, Input{Kind: RequestArrived, Request: r.arrivals - 1, TrafficType: trafficType, Timeout: budget})
+func (h *harness) arriveAt(now time.Duration, trafficType int, budget time.Duration) (int, []Effect) {
+	h.arrivals++
+	return h.arrivals - 1, h.at(now, Input{Kind: RequestArrived, Request: h.arrivals - 1, TrafficType: trafficType, Timeout: budget})
 }
 
 // end ends an attempt of a request.
-func (r *harness) end(now time.Duration, id, number int, outcome Outcome) []Effect {
-	return r.at(now, Input{Kind: AttemptEnded, Request: id, Attempt: number, Server: 0, Outcome: outcome, ClientAnswered: outcome == Success})
+func (h *harness) end(now time.Duration, id, number int, outcome Outcome) []Effect {
+	return h.at(now, Input{Kind: AttemptEnded, Request: id, Attempt: number, Server: 0, Outcome: outcome, ClientAnswered: outcome == Success})
 }
 
 // effectKinds returns the kinds of effects, without those of the timer and of the list.
@@ -78,17 +78,17 @@
 }
 
 // request returns a request by its index.
-func (r *harness) request(id int) *request { return &r.Policy.requests.all[id] }
+func (h *harness) request(id int) *request { return &h.Policy.requests.all[id] }
 
 // listServers lists servers; change alters each entry.
-func (r *harness) listServers(now time.Duration, scope UpdateScope, servers int, change func(*Endpoint)) []Effect {
+func (h *harness) listServers(now time.Duration, scope UpdateScope, servers int, change func(*Endpoint)) []Effect {
 	var list []Endpoint
 	for i := range servers {
 		endpoint := Endpoint{Server: i, Rank: uint32(i), Zone: i % 2, MachineKind: i / 2 % 2, Cell: i / 2, Weight: 1}
 		change(&endpoint)
 		list = append(list, endpoint)
 	}
-	return r.at(now, Input{Kind: EndpointsUpdated, Scope: scope, Endpoints: list})
+	return h.at(now, Input{Kind: EndpointsUpdated, Scope: scope, Endpoints: list})
 }
 
 // serversSentTo returns the servers that effects send attempts to.
@@ -156,10 +156,10 @@
 
 // newRouteHarness returns a harness whose settings allow hedging, with one traffic type altered as a route would.
 func newRouteHarness(t *testing.T, servers, trafficType int, change func(*TrafficType)) *harness {
-	r := newHarness(t, servers, func(s *Settings) {
+	h := newHarness(t, servers, func(s *Settings) {
 		s.HedgingAllowed, s.NodeCount = true, 1
 		change(&s.TrafficTypes[trafficType])
 	}).fillSubset()
-	r.subset.needed = 99 // the subset does not shrink
-	return r
+	h.subset.needed = 99 // the subset does not shrink
+	return h
 }
--- a/policy/lifecycle_test.go
+++ b/policy/lifecycle_test.go
@@ -33,21 +33,21 @@
 		"no attempt left, may have run":          {keyInZone, Failure, 50 * ms, func(s *Settings) { s.MaxAttempts = 1 }, []EffectKind{Fail}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 4, c.change)
-			id, sent := r.arriveAt(time.Second, c.trafficType, 2*time.Second)
+			h := newHarness(t, 4, c.change)
+			id, sent := h.arriveAt(time.Second, c.trafficType, 2*time.Second)
 			if len(sent) != 1 || sent[0].Kind != SendAttempt {
 				t.Fatalf("not sent: %v", sent)
 			}
-			got := r.end(time.Second+c.after, id, 0, c.outcome)
+			got := h.end(time.Second+c.after, id, 0, c.outcome)
 			if !reflect.DeepEqual(effectKinds(got), c.want) {
 				t.Fatalf("got %v, want %v", effectKinds(got), c.want)
 			}
 			for _, e := range got {
-				if e.Kind == SendAttempt && c.trafficType == keyInZone && r.servers.zone[e.Server] != r.servers.zone[sent[0].Server] {
+				if e.Kind == SendAttempt && c.trafficType == keyInZone && h.servers.zone[e.Server] != h.servers.zone[sent[0].Server] {
 					t.Errorf("left the key scope: server %d after %d", e.Server, sent[0].Server)
 				}
 			}
-			if late := r.end(time.Second+c.after, id, 0, Success); len(effectKinds(late)) > 0 {
+			if late := h.end(time.Second+c.after, id, 0, Success); len(effectKinds(late)) > 0 {
 				t.Errorf("an outcome after the final answer did %v", late)
 			}
 		})
@@ -70,27 +70,27 @@
 		"an attempt that never ran does not count": {KeyScopeAll, Unreachable, 80 * ms, []EffectKind{SendAttempt}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 8, func(s *Settings) { s.TrafficTypes[1].KeyScope, s.TrafficTypes[1].KeyRetention = c.scope, c.retain })
+			h := newHarness(t, 8, func(s *Settings) { s.TrafficTypes[1].KeyScope, s.TrafficTypes[1].KeyRetention = c.scope, c.retain })
 			if c.scope == KeyScopeCell { // two a cell: a third attempt finds only those tried before
-				for s := range r.readiness.Len() {
-					r.readiness.SetReady(s, s < 2)
+				for s := range h.readiness.Len() {
+					h.readiness.SetReady(s, s < 2)
 				}
 			}
-			id, _ := r.arriveAt(time.Second, 1, 2*time.Second)
-			second := r.end(time.Second+50*ms, id, 0, c.first)
+			id, _ := h.arriveAt(time.Second, 1, 2*time.Second)
+			second := h.end(time.Second+50*ms, id, 0, c.first)
 			if len(second) != 1 || second[0].Kind != SendAttempt {
 				t.Fatalf("no second attempt: %v", second)
 			}
 			if c.scope == KeyScopeCell {
-				r.readiness.SetReady(0, false)
-				r.readiness.SetReady(1, false)
-				r.readiness.SetReady(4, true)
+				h.readiness.SetReady(0, false)
+				h.readiness.SetReady(1, false)
+				h.readiness.SetReady(4, true)
 			}
-			third := r.end(time.Second+90*ms, id, 1, Failure)
+			third := h.end(time.Second+90*ms, id, 1, Failure)
 			if got := effectKinds(third); !reflect.DeepEqual(got, c.want) {
 				t.Fatalf("got %v, want %v", got, c.want)
 			}
-			if c.same && third[0].Kind == SendAttempt && r.servers.zone[third[0].Server] != r.servers.zone[second[0].Server] {
+			if c.same && third[0].Kind == SendAttempt && h.servers.zone[third[0].Server] != h.servers.zone[second[0].Server] {
 				t.Error("left the key scope")
 			}
 		})
@@ -111,11 +111,11 @@
 		"never answered, idempotent":     {1, 0, 60 * ms, Reject},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, c.servers, nil)
-			_, got := r.arriveAt(0, c.trafficType, c.budget)
+			h := newHarness(t, c.servers, nil)
+			_, got := h.arriveAt(0, c.trafficType, c.budget)
 			answers := 0
 			for now := 5 * ms; now <= c.budget; now += 5 * ms {
-				got = append(got, r.at(now, Input{Kind: TimerFired})...)
+				got = append(got, h.at(now, Input{Kind: TimerFired})...)
 			}
 			for _, e := range got {
 				if e.Kind == Reject || e.Kind == Fail {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -8,17 +8,17 @@
 )
 
 func TestOverloadEjectsForOneType(t *testing.T) {
-	r := newHarness(t, 4, nil).fillSubset()
-	id, _ := r.arriveAt(time.Second, 0, time.Second)
-	s := r.Policy.requests.all[id].attempts[0].server
-	r.end(time.Second, id, 0, Overloaded)
+	h := newHarness(t, 4, nil).fillSubset()
+	id, _ := h.arriveAt(time.Second, 0, time.Second)
+	s := h.Policy.requests.all[id].attempts[0].server
+	h.end(time.Second, id, 0, Overloaded)
 	for trafficType, want := range []bool{true, false, false, false} {
-		if got := r.isUnhealthy(s, &request{trafficType: trafficType}); got != want {
+		if got := h.isUnhealthy(s, &request{trafficType: trafficType}); got != want {
 			t.Errorf("type %d: unhealthy %v", trafficType, got)
 		}
 	}
-	r.at(time.Second+initialEjection, Input{Kind: TimerFired})
-	if r.isUnhealthy(s, &request{trafficType: 0}) {
+	h.at(time.Second+initialEjection, Input{Kind: TimerFired})
+	if h.isUnhealthy(s, &request{trafficType: 0}) {
 		t.Error("still ejected")
 	}
 }
@@ -60,29 +60,29 @@
 		"overloaded, answered, overloaded":    {[]end{{trafficType: 0, outcome: Overloaded}, b, {trafficType: 2, outcome: Overloaded}}, []bool{false, false, true, false}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 4, func(s *Settings) { s.ConnectTimeout = 250 * ms }).fillSubset()
-			r.now = time.Second
+			h := newHarness(t, 4, func(s *Settings) { s.ConnectTimeout = 250 * ms }).fillSubset()
+			h.now = time.Second
 			for _, e := range c.ends {
-				sent := r.now
-				if r.now += 40 * ms; e.old {
+				sent := h.now
+				if h.now += 40 * ms; e.old {
 					sent -= 400 * ms
 				}
-				r.recordOutcome(1, &request{trafficType: e.trafficType, objectiveAt: sent + 400*ms}, sent, e.outcome)
+				h.recordOutcome(1, &request{trafficType: e.trafficType, objectiveAt: sent + 400*ms}, sent, e.outcome)
 			}
 			for trafficType, want := range c.want {
-				if got := r.isUnhealthy(1, &request{trafficType: trafficType}); got != want {
+				if got := h.isUnhealthy(1, &request{trafficType: trafficType}); got != want {
 					t.Errorf("type %d: unhealthy %v", trafficType, got)
 				}
 			}
 			if !c.trial {
 				return
 			}
-			if r.now += 2 * initialEjection; r.isUnhealthy(1, &request{trafficType: 2}) {
+			if h.now += 2 * initialEjection; h.isUnhealthy(1, &request{trafficType: 2}) {
 				t.Error("still ejected")
 			}
-			r.Policy.requests.all = append(r.Policy.requests.all, request{trafficType: 2, objectiveAt: r.now + 400*ms})
-			r.picked = 1
-			if r.sendAttempt(len(r.Policy.requests.all) - 1); !r.isUnhealthy(1, &request{trafficType: 2}) || r.isUnhealthy(1, &request{trafficType: 0}) {
+			h.Policy.requests.all = append(h.Policy.requests.all, request{trafficType: 2, objectiveAt: h.now + 400*ms})
+			h.picked = 1
+			if h.sendAttempt(len(h.Policy.requests.all) - 1); !h.isUnhealthy(1, &request{trafficType: 2}) || h.isUnhealthy(1, &request{trafficType: 0}) {
 				t.Error("more than one on trial")
 			}
 		})
@@ -97,15 +97,15 @@
 		"never more than half":   {4, 4, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, c.ready, nil)
-			r.now = time.Second
+			h := newHarness(t, c.ready, nil)
+			h.now = time.Second
 			for s := range c.failing {
-				r.recordFailure(s, 1)
+				h.recordFailure(s, 1)
 			}
 			ejected := 0
-			for s := range r.readiness.Len() {
-				until := r.outliers.ejections.EjectedUntil(s, failures.AllTypes)
-				if until > r.now {
+			for s := range h.readiness.Len() {
+				until := h.outliers.ejections.EjectedUntil(s, failures.AllTypes)
+				if until > h.now {
 					ejected++
 				}
 			}
@@ -125,13 +125,13 @@
 		"one in flight":  {1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 4, nil)
-			r.outliers.ejections.GetOrCreate(0, trafficType).LastAt, r.load.inFlight[0], r.now = time.Second, c.inFlight, 2*time.Second
-			if r.pruneEjections(0); r.outliers.ejections.EntryCount(0) != c.entries || r.outliers.ejections.Active().Has(0) != (c.entries > 0) {
-				t.Fatalf("%d entries, want %d", r.outliers.ejections.EntryCount(0), c.entries)
+			h := newHarness(t, 4, nil)
+			h.outliers.ejections.GetOrCreate(0, trafficType).LastAt, h.load.inFlight[0], h.now = time.Second, c.inFlight, 2*time.Second
+			if h.pruneEjections(0); h.outliers.ejections.EntryCount(0) != c.entries || h.outliers.ejections.Active().Has(0) != (c.entries > 0) {
+				t.Fatalf("%d entries, want %d", h.outliers.ejections.EntryCount(0), c.entries)
 			}
-			r.recordTypeFailure(0, trafficType, 500*ms)
-			if got := r.outliers.ejections.Get(0, trafficType).Consecutive; got != 1-c.entries {
+			h.recordTypeFailure(0, trafficType, 500*ms)
+			if got := h.outliers.ejections.Get(0, trafficType).Consecutive; got != 1-c.entries {
 				t.Errorf("%d failures counted", got)
 			}
 		})
--- a/policy/pauseforecast_test.go
+++ b/policy/pauseforecast_test.go
@@ -18,20 +18,20 @@
 		"onsets at one time have no line": {[]float64{5, 5}, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 1, nil)
+			h := newHarness(t, 1, nil)
 			for _, at := range c.onsets {
-				r.load.lastAnswerAt[0] = 0
+				h.load.lastAnswerAt[0] = 0
 				sent := time.Duration(at * float64(time.Second))
-				r.now = sent + 300*ms
-				r.recordPauseSample(0, sent, false)
-				r.recordPauseSample(0, sent, true)
-				r.recordPauseSample(0, sent, true)
-				r.pauses.lastSpike[0] = min(r.pauses.lastSpike[0], sent)
+				h.now = sent + 300*ms
+				h.recordPauseSample(0, sent, false)
+				h.recordPauseSample(0, sent, true)
+				h.recordPauseSample(0, sent, true)
+				h.pauses.lastSpike[0] = min(h.pauses.lastSpike[0], sent)
 			}
-			if got := r.pauses.next[0].Seconds(); math.Abs(got-c.want) > 0.01 {
+			if got := h.pauses.next[0].Seconds(); math.Abs(got-c.want) > 0.01 {
 				t.Errorf("forecast %.2f, want %.2f", got, c.want)
 			}
-			if got := r.pauses.interval[0].Seconds(); c.want > 0 && math.Abs(got-c.spaces) > 0.01 {
+			if got := h.pauses.interval[0].Seconds(); c.want > 0 && math.Abs(got-c.spaces) > 0.01 {
 				t.Errorf("interval %.2f, want %.2f", got, c.spaces)
 			}
 		})
@@ -52,14 +52,14 @@
 		"three runs, the last merges": {[]bool{true, true, false, true, false, true, true}, 30 * ms, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 1, nil)
-			r.latency.smoothed.Set(0, 100*ms)
+			h := newHarness(t, 1, nil)
+			h.latency.smoothed.Set(0, 100*ms)
 			for i, is := range c.spikes {
-				r.now = time.Second + time.Duration(i)*c.gap
-				r.recordPauseSample(0, r.now, is)
+				h.now = time.Second + time.Duration(i)*c.gap
+				h.recordPauseSample(0, h.now, is)
 			}
-			if r.pauses.count[0] != c.want {
-				t.Errorf("%d pauses, want %d", r.pauses.count[0], c.want)
+			if h.pauses.count[0] != c.want {
+				t.Errorf("%d pauses, want %d", h.pauses.count[0], c.want)
 			}
 		})
 	}
--- a/policy/picker_test.go
+++ b/policy/picker_test.go
@@ -22,18 +22,18 @@
 		"one with more in flight is passed over": {inFlight: [3]int{0, 3, 0}, want: []int{0, 2}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 3, nil).fillSubset()
-			r.concurrency.grown, r.now = 1000, 10*second
-			copy(r.Policy.pauses.next, c.forecast[:])
-			copy(r.Policy.pauses.interval, c.interval[:])
+			h := newHarness(t, 3, nil).fillSubset()
+			h.concurrency.grown, h.now = 1000, 10*second
+			copy(h.Policy.pauses.next, c.forecast[:])
+			copy(h.Policy.pauses.interval, c.interval[:])
 			for s, n := range c.inFlight {
-				r.Policy.load.inFlight[s], r.load.lastAnswerAt[s] = n, r.now
-				r.concurrency.inFlight += float64(n)
+				h.Policy.load.inFlight[s], h.load.lastAnswerAt[s] = n, h.now
+				h.concurrency.inFlight += float64(n)
 			}
-			r.Policy.requests.all = append(r.Policy.requests.all, request{objectiveAt: 20 * second})
+			h.Policy.requests.all = append(h.Policy.requests.all, request{objectiveAt: 20 * second})
 			for i, want := range c.want {
-				if !r.canSend(0) || r.picked != want {
-					t.Errorf("turn %d went to %d, want %d", i, r.picked, want)
+				if !h.canSend(0) || h.picked != want {
+					t.Errorf("turn %d went to %d, want %d", i, h.picked, want)
 				}
 			}
 		})
@@ -54,16 +54,16 @@
 		"large but slow": {[3]float64{4, 1, 1}, [3]float64{2, 1, 1}, [3]int{20, 20, 20}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 3, nil).fillSubset()
-			copy(r.servers.listedWeight, c.scale[:])
-			copy(r.latency.slowness, c.slowness[:])
-			r.updateWeights()
+			h := newHarness(t, 3, nil).fillSubset()
+			copy(h.servers.listedWeight, c.scale[:])
+			copy(h.latency.slowness, c.slowness[:])
+			h.updateWeights()
 			var got [3]int
 			for range 60 {
-				if !r.pickFromSubset(&request{}, 2) {
+				if !h.pickFromSubset(&request{}, 2) {
 					t.Fatal("no server picked")
 				}
-				got[r.picked]++
+				got[h.picked]++
 			}
 			for s := range got {
 				if d := got[s] - c.want[s]; d < -1 || d > 1 {
@@ -90,16 +90,16 @@
 		t.Run(name, func(t *testing.T) {
 			var met [2][]int
 			for me := range met {
-				r := newHarness(t, servers, func(s *Settings) { s.ServersCacheKeys, s.NodeIndex = c.warm, me }).fillSubset()
-				r.picker.position, r.subset.needed, r.concurrency.grown = 2*me, servers, 1000
+				h := newHarness(t, servers, func(s *Settings) { s.ServersCacheKeys, s.NodeIndex = c.warm, me }).fillSubset()
+				h.picker.position, h.subset.needed, h.concurrency.grown = 2*me, servers, 1000
 				turns := make([]int, servers)
 				for i := range uint32(servers * each) {
-					r.arrivals++
-					r.at(r.now, Input{Kind: RequestArrived, Request: r.arrivals - 1, Key: 1 + i%c.keys*7919, Timeout: time.Second})
-					s := r.request(r.arrivals - 1).attempts[0].server
+					h.arrivals++
+					h.at(h.now, Input{Kind: RequestArrived, Request: h.arrivals - 1, Key: 1 + i%c.keys*7919, Timeout: time.Second})
+					s := h.request(h.arrivals - 1).attempts[0].server
 					met[me] = append(met[me], s)
 					turns[s]++
-					r.end(r.now, r.arrivals-1, 0, Success)
+					h.end(h.now, h.arrivals-1, 0, Success)
 				}
 				for s, n := range turns {
 					if n < each-servers*maxTurnsAhead || n > each+servers*maxTurnsAhead {
@@ -142,23 +142,23 @@
 		"few, without, idle ones too": {world{20, 1, true}, 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 4, nil).fillSubset()
-			r.concurrency.grown = 100
+			h := newHarness(t, 4, nil).fillSubset()
+			h.concurrency.grown = 100
 			for range c.busy {
-				r.arriveAt(0, 0, time.Second)
+				h.arriveAt(0, 0, time.Second)
 			}
 			for range c.unconnected {
-				r.subset.connectFailures.Observe(1, 2*attributionMemory)
+				h.subset.connectFailures.Observe(1, 2*attributionMemory)
 			}
-			id, got := r.arriveAt(10*ms, 0, time.Second)
-			r.at(10*ms, Input{Kind: TimerFired})
+			id, got := h.arriveAt(10*ms, 0, time.Second)
+			h.at(10*ms, Input{Kind: TimerFired})
 			if c.lost {
-				got = r.end(20*ms, id, 0, Unreachable)
+				got = h.end(20*ms, id, 0, Unreachable)
 			}
 			if got := countSent(got); got != c.want {
 				t.Fatalf("%d sent at once", got)
 			}
-			if got := countSent(r.end(30*ms, 0, 0, Success)); got != c.then {
+			if got := countSent(h.end(30*ms, 0, 0, Success)); got != c.then {
 				t.Errorf("%d sent then", got)
 			}
 		})
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -14,27 +14,27 @@
 // newPlacementHarness returns a harness of servers in zones 0 and 1 and of machine kinds 0 and 1.
 func newPlacementHarness(t *testing.T, servers int, to Placement, change func(*Settings)) *harness {
 	t.Helper()
-	r := newHarness(t, 0, func(s *Settings) {
+	h := newHarness(t, 0, func(s *Settings) {
 		s.Placements = []Placement{to}
 		s.TrafficTypes[bound].PlacementBit = 1
 		if change != nil {
 			change(s)
 		}
 	})
-	r.listServers(0, Cached, servers, func(*Endpoint) {})
-	return r
+	h.listServers(0, Cached, servers, func(*Endpoint) {})
+	return h
 }
 
 // sendMany has requests of the bound type arrive; the first attempt of every second one ends with outcome.
-func (r *harness) sendMany(now time.Duration, n int, outcome Outcome) (effects []Effect) {
+func (h *harness) sendMany(now time.Duration, n int, outcome Outcome) (effects []Effect) {
 	for i := range n {
 		at := now + time.Duration(i)*5*ms
-		id, sent := r.arriveAt(at, bound, time.Second)
+		id, sent := h.arriveAt(at, bound, time.Second)
 		effects = append(effects, sent...)
 		if len(serversSentTo(sent)) > 0 && i%2 == 0 {
-			effects = append(effects, r.end(at+2*ms, id, 0, outcome)...)
+			effects = append(effects, h.end(at+2*ms, id, 0, outcome)...)
 		}
-		effects = append(effects, r.at(at+3*ms, Input{Kind: TimerFired})...)
+		effects = append(effects, h.at(at+3*ms, Input{Kind: TimerFired})...)
 	}
 	return effects
 }
@@ -46,12 +46,12 @@
 	inNorth := func(s int) bool { return s%2 == 1 }
 	nowhere := func(int) bool { return false }
 	failing := func(outcome Outcome) func(*harness) []Effect {
-		return func(r *harness) []Effect { return r.sendMany(0, 60, outcome) }
+		return func(h *harness) []Effect { return h.sendMany(0, 60, outcome) }
 	}
 	for name, c := range map[string]struct {
 		to     Placement
 		change func(*Settings)
-		day    func(r *harness) []Effect
+		day    func(h *harness) []Effect
 		open   func(s int) bool
 		none   bool // nothing is sent
 	}{
@@ -61,7 +61,7 @@
 		"two zones":                        {Placement{Zones: []int{0, 1}}, nil, failing(Success), func(int) bool { return true }, false},
 		"a zone of no server":              {Placement{Zones: []int{5}}, nil, failing(Success), nowhere, true},
 		"an empty list":                    {Placement{Zones: []int{}}, nil, failing(Success), nowhere, true},
-		"all in the subset":                {north, nil, func(r *harness) []Effect { r.fillSubset(); return r.sendMany(0, 60, Success) }, inNorth, false},
+		"all in the subset":                {north, nil, func(h *harness) []Effect { h.fillSubset(); return h.sendMany(0, 60, Success) }, inNorth, false},
 		"retries after errors":             {north, nil, failing(Failure), inNorth, false},
 		"retries after broken connections": {north, nil, failing(ConnectionBroken), inNorth, false},
 		"retries after overload":           {north, nil, failing(Overloaded), inNorth, false},
@@ -71,46 +71,46 @@
 			s.HedgingAllowed, s.TrafficTypes[bound].HedgeDelay, s.TrafficTypes[bound].HedgeRatio = true, 2*ms, 1
 		},
 			failing(Failure), inNorth, false},
-		"a pool of a route": {north, func(s *Settings) { s.TrafficTypes[bound].PoolLabels = 2 }, func(r *harness) []Effect {
-			r.listServers(0, Incremental, 12, func(endpoint *Endpoint) { endpoint.Labels = uint64(endpoint.Server/4%2 + 1) })
-			return r.sendMany(0, 60, Failure)
+		"a pool of a route": {north, func(s *Settings) { s.TrafficTypes[bound].PoolLabels = 2 }, func(h *harness) []Effect {
+			h.listServers(0, Incremental, 12, func(endpoint *Endpoint) { endpoint.Labels = uint64(endpoint.Server/4%2 + 1) })
+			return h.sendMany(0, 60, Failure)
 		}, func(s int) bool { return inNorth(s) && s/4%2 == 1 }, false},
-		"a pool elsewhere": {north, func(s *Settings) { s.TrafficTypes[bound].PoolLabels = 2 }, func(r *harness) []Effect {
-			r.listServers(0, Incremental, 12, func(endpoint *Endpoint) { endpoint.Labels = uint64(2 - endpoint.Server%2) })
-			return r.sendMany(0, 60, Success)
+		"a pool elsewhere": {north, func(s *Settings) { s.TrafficTypes[bound].PoolLabels = 2 }, func(h *harness) []Effect {
+			h.listServers(0, Incremental, 12, func(endpoint *Endpoint) { endpoint.Labels = uint64(2 - endpoint.Server%2) })
+			return h.sendMany(0, 60, Success)
 		}, nowhere, true},
-		"assigned elsewhere": {north, nil, func(r *harness) []Effect {
-			r.at(0, Input{Kind: PlanChanged, NodeCount: 4, Assignments: []Assignment{{Server: 0, Preference: 1}, {Server: 2, Preference: 1}}})
-			return r.sendMany(0, 60, Success)
+		"assigned elsewhere": {north, nil, func(h *harness) []Effect {
+			h.at(0, Input{Kind: PlanChanged, NodeCount: 4, Assignments: []Assignment{{Server: 0, Preference: 1}, {Server: 2, Preference: 1}}})
+			return h.sendMany(0, 60, Success)
 		}, inNorth, false},
-		"slow start": {north, nil, func(r *harness) []Effect {
-			r.listServers(0, Incremental, 12, func(endpoint *Endpoint) { endpoint.HasStartTime = true })
-			return r.sendMany(time.Second, 200, Success)
+		"slow start": {north, nil, func(h *harness) []Effect {
+			h.listServers(0, Incremental, 12, func(endpoint *Endpoint) { endpoint.HasStartTime = true })
+			return h.sendMany(time.Second, 200, Success)
 		}, inNorth, false},
-		"all drain": {north, nil, func(r *harness) []Effect {
-			r.listServers(0, Incremental, 12, func(endpoint *Endpoint) {
+		"all drain": {north, nil, func(h *harness) []Effect {
+			h.listServers(0, Incremental, 12, func(endpoint *Endpoint) {
 				if inNorth(endpoint.Server) {
 					endpoint.Condition = Draining
 				}
 			})
-			return r.sendMany(0, 60, Success)
+			return h.sendMany(0, 60, Success)
 		}, nowhere, true},
-		"a zone that changes": {Placement{Zones: []int{0}}, nil, func(r *harness) []Effect {
-			r.sendMany(0, 20, Success)
-			r.listServers(100*ms, Incremental, 12, func(endpoint *Endpoint) { endpoint.Zone = 1 - endpoint.Zone })
-			return r.sendMany(100*ms, 60, Failure)
+		"a zone that changes": {Placement{Zones: []int{0}}, nil, func(h *harness) []Effect {
+			h.sendMany(0, 20, Success)
+			h.listServers(100*ms, Incremental, 12, func(endpoint *Endpoint) { endpoint.Zone = 1 - endpoint.Zone })
+			return h.sendMany(100*ms, 60, Failure)
 		}, inNorth, false},
-		"a machine kind that changes": {Placement{MachineKinds: []int{1}}, nil, func(r *harness) []Effect {
-			r.sendMany(0, 20, Success)
-			r.listServers(100*ms, Incremental, 12, func(endpoint *Endpoint) { endpoint.MachineKind = 1 - endpoint.MachineKind })
-			return r.sendMany(100*ms, 60, Failure)
+		"a machine kind that changes": {Placement{MachineKinds: []int{1}}, nil, func(h *harness) []Effect {
+			h.sendMany(0, 20, Success)
+			h.listServers(100*ms, Incremental, 12, func(endpoint *Endpoint) { endpoint.MachineKind = 1 - endpoint.MachineKind })
+			return h.sendMany(100*ms, 60, Failure)
 		}, func(s int) bool { return s/2%2 == 0 }, false},
 		"a key kept to its scope": {north, func(s *Settings) { s.TrafficTypes[bound] = s.TrafficTypes[1]; s.TrafficTypes[bound].PlacementBit = 1 },
 			failing(Failure), inNorth, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newPlacementHarness(t, 12, c.to, c.change)
-			sent := serversSentTo(c.day(r))
+			h := newPlacementHarness(t, 12, c.to, c.change)
+			sent := serversSentTo(c.day(h))
 			if (len(sent) == 0) != c.none {
 				t.Errorf("%d attempts", len(sent))
 			}
@@ -126,17 +126,17 @@
 // TestPlacementWithoutServer checks that a bound request without a server waits and is answered in time, while
 // others go on.
 func TestPlacementWithoutServer(t *testing.T) {
-	r := newPlacementHarness(t, 6, Placement{Zones: []int{5}}, nil)
-	id, got := r.arriveAt(0, bound, time.Second)
+	h := newPlacementHarness(t, 6, Placement{Zones: []int{5}}, nil)
+	id, got := h.arriveAt(0, bound, time.Second)
 	if len(effectKinds(got)) > 0 {
 		t.Fatalf("not queued: %v", got)
 	}
-	if _, got = r.arriveAt(0, 2, time.Second); len(serversSentTo(got)) != 1 {
+	if _, got = h.arriveAt(0, 2, time.Second); len(serversSentTo(got)) != 1 {
 		t.Errorf("another type is not sent: %v", got)
 	}
 	var ends []Effect
 	for now := 20 * ms; now < time.Second; now += 20 * ms {
-		for _, e := range r.at(now, Input{Kind: TimerFired}) {
+		for _, e := range h.at(now, Input{Kind: TimerFired}) {
 			if e.Kind != SetTimer && e.Request == id {
 				ends = append(ends, e)
 			}
@@ -149,20 +149,20 @@
 
 // TestPlacementDoesNotBlockQueue checks that a bound request without a server does not block the queue.
 func TestPlacementDoesNotBlockQueue(t *testing.T) {
-	r := newPlacementHarness(t, 6, Placement{Zones: []int{5}}, func(s *Settings) { s.TrafficTypes[bound].PriorityWeight = 1e6 })
+	h := newPlacementHarness(t, 6, Placement{Zones: []int{5}}, func(s *Settings) { s.TrafficTypes[bound].PriorityWeight = 1e6 })
 	var first int
-	for i := 0; !r.isSaturated(); i++ {
-		id, _ := r.arriveAt(0, 2, time.Second)
+	for i := 0; !h.isSaturated(); i++ {
+		id, _ := h.arriveAt(0, 2, time.Second)
 		if i == 0 {
 			first = id
 		}
 	}
-	r.arriveAt(1*ms, bound, time.Second)
-	r.arriveAt(1*ms, bound, time.Second)
-	if waits, got := r.arriveAt(1*ms, 2, time.Second); len(serversSentTo(got)) != 0 || r.Policy.requests.all[waits].state != stateQueued {
+	h.arriveAt(1*ms, bound, time.Second)
+	h.arriveAt(1*ms, bound, time.Second)
+	if waits, got := h.arriveAt(1*ms, 2, time.Second); len(serversSentTo(got)) != 0 || h.Policy.requests.all[waits].state != stateQueued {
 		t.Fatalf("the node is not saturated: %v", got)
 	}
-	if got := r.end(2*ms, first, 0, Success); len(serversSentTo(got)) != 1 {
+	if got := h.end(2*ms, first, 0, Success); len(serversSentTo(got)) != 1 {
 		t.Errorf("a request that could be sent waits behind one that cannot: %v", got)
 	}
 }
@@ -181,17 +181,17 @@
 		"for a type that may go elsewhere": {2, maxTypeEjectedShare, 4, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newPlacementHarness(t, 16, Placement{Zones: []int{3}}, nil)
-			r.listServers(0, Incremental, 16, func(endpoint *Endpoint) {
+			h := newPlacementHarness(t, 16, Placement{Zones: []int{3}}, nil)
+			h.listServers(0, Incremental, 16, func(endpoint *Endpoint) {
 				if endpoint.Server < 4 {
 					endpoint.Zone = 3
 				}
 			})
-			r.fillSubset()
+			h.fillSubset()
 			ejected := 0
 			for s := range c.tried {
-				r.eject(s, c.trafficType, 0, c.share)
-				if r.now < r.outliers.ejections.EjectedUntil(s, c.trafficType) {
+				h.eject(s, c.trafficType, 0, c.share)
+				if h.now < h.outliers.ejections.EjectedUntil(s, c.trafficType) {
 					ejected++
 				}
 			}
@@ -205,23 +205,23 @@
 // TestPlacementCounts checks the counts by which the policy sees that all servers of a placement are in the
 // subset.
 func TestPlacementCounts(t *testing.T) {
-	r := newPlacementHarness(t, 12, Placement{Zones: []int{0}}, nil)
-	if open := r.readiness.ReadyWithPlacements(1); open != 6 || r.isAllInSubset(&r.settings.TrafficTypes[bound]) {
+	h := newPlacementHarness(t, 12, Placement{Zones: []int{0}}, nil)
+	if open := h.readiness.ReadyWithPlacements(1); open != 6 || h.isAllInSubset(&h.settings.TrafficTypes[bound]) {
 		t.Errorf("%d open", open)
 	}
 	for s := 0; s < 12; s += 2 {
-		r.addToSubset(s)
-		r.updateWeights()
+		h.addToSubset(s)
+		h.updateWeights()
 	}
-	if !r.isAllInSubset(&r.settings.TrafficTypes[bound]) || r.isAllInSubset(&r.settings.TrafficTypes[2]) {
+	if !h.isAllInSubset(&h.settings.TrafficTypes[bound]) || h.isAllInSubset(&h.settings.TrafficTypes[2]) {
 		t.Error("not seen that all are in the subset")
 	}
-	r.listServers(0, Incremental, 4, func(endpoint *Endpoint) { endpoint.Zone = 1 })
-	if open := r.readiness.ReadyWithPlacements(1); open != 4 {
+	h.listServers(0, Incremental, 4, func(endpoint *Endpoint) { endpoint.Zone = 1 })
+	if open := h.readiness.ReadyWithPlacements(1); open != 4 {
 		t.Errorf("%d open after two have moved", open)
 	}
-	r.listServers(0, Full, 4, func(*Endpoint) {})
-	if open := r.readiness.ReadyWithPlacements(1); open != 2 {
+	h.listServers(0, Full, 4, func(*Endpoint) {})
+	if open := h.readiness.ReadyWithPlacements(1); open != 2 {
 		t.Errorf("%d open after all but four were removed", open)
 	}
 }
@@ -238,18 +238,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			bit := func(p []Placement) uint64 { return uint64(len(p)) }
-			r := newHarness(t, 12, func(s *Settings) { s.Placements, s.TrafficTypes[bound].PlacementBit = c.own, bit(c.own) })
-			other := r.settings
+			h := newHarness(t, 12, func(s *Settings) { s.Placements, s.TrafficTypes[bound].PlacementBit = c.own, bit(c.own) })
+			other := h.settings
 			other.TrafficTypes, other.Placements = slices.Clone(other.TrafficTypes), c.other
 			other.TrafficTypes[bound].PlacementBit = bit(c.other)
 			for id := range 20 {
 				in := Input{Kind: RequestArrived, Request: id, TrafficType: bound, Timeout: time.Second}
-				sent := serversSentTo(r.WhatIf(&other, 0, &in, nil))
+				sent := serversSentTo(h.WhatIf(&other, 0, &in, nil))
 				if len(sent) != 1 || sent[0]%2 != c.want {
 					t.Errorf("would send to %v", sent)
 				}
-				r.at(0, in)
-				r.end(time.Duration(id)*ms, id, 0, Success)
+				h.at(0, in)
+				h.end(time.Duration(id)*ms, id, 0, Success)
 			}
 		})
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -8,13 +8,13 @@
 
 func TestSameInputsGiveSameEffects(t *testing.T) {
 	run := func() (all []Effect) {
-		r := newHarness(t, 5, nil)
+		h := newHarness(t, 5, nil)
 		for i := range 400 {
 			now := time.Duration(i) * 7 * ms
-			id, got := r.arriveAt(now, i%4, time.Second)
-			all = append(append(all, got...), r.at(now, Input{Kind: TimerFired})...)
+			id, got := h.arriveAt(now, i%4, time.Second)
+			all = append(append(all, got...), h.at(now, Input{Kind: TimerFired})...)
 			if i%3 > 0 {
-				all = append(all, r.end(now+5*ms, id, 0, Outcome(i%8))...)
+				all = append(all, h.end(now+5*ms, id, 0, Outcome(i%8))...)
 			}
 		}
 		return all
--- a/policy/poll_test.go
+++ b/policy/poll_test.go
@@ -6,14 +6,14 @@
 )
 
 func TestPollBackoff(t *testing.T) {
-	r := newHarness(t, 1, func(s *Settings) { s.MustRequestEndpoints = true })
-	r.at(0, Input{Kind: EndpointsUpdated, Scope: Unavailable})
+	h := newHarness(t, 1, func(s *Settings) { s.MustRequestEndpoints = true })
+	h.at(0, Input{Kind: EndpointsUpdated, Scope: Unavailable})
 	var asked []time.Duration
 	for now := time.Duration(0); now < 30*time.Second; now += 20 * ms {
-		for _, e := range r.at(now, Input{Kind: TimerFired}) {
+		for _, e := range h.at(now, Input{Kind: TimerFired}) {
 			if e.Kind == Subscribe {
 				asked = append(asked, now)
-				r.at(now, Input{Kind: EndpointsUpdated, Scope: Unavailable})
+				h.at(now, Input{Kind: EndpointsUpdated, Scope: Unavailable})
 			}
 		}
 	}
@@ -21,7 +21,7 @@
 		t.Fatalf("requested %d times", len(asked))
 	}
 	for i := 1; i < len(asked); i++ {
-		if gap := asked[i] - asked[i-1]; gap > r.settings.RequestEndpointsWithin {
+		if gap := asked[i] - asked[i-1]; gap > h.settings.RequestEndpointsWithin {
 			t.Errorf("waited %v", gap)
 		}
 	}
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -22,12 +22,12 @@
 		"many arrivals at one node among many": {[]float64{3, 0.1}, 50, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 2, func(s *Settings) { s.NodeCount, s.TenantQuotas = c.nodes, []float64{10, 10} })
+			h := newHarness(t, 2, func(s *Settings) { s.NodeCount, s.TenantQuotas = c.nodes, []float64{10, 10} })
 			for tenant, rate := range c.rates {
-				r.quotas.tenants.RecordArrival(tenant, rate)
+				h.quotas.tenants.RecordArrival(tenant, rate)
 			}
-			if got := r.quotas.tenants.ArrivalRate(0) > r.fairShare(0); got != c.beyond {
-				t.Errorf("beyond %v: %.2f of %.2f", got, r.quotas.tenants.ArrivalRate(0), r.fairShare(0))
+			if got := h.quotas.tenants.ArrivalRate(0) > h.fairShare(0); got != c.beyond {
+				t.Errorf("beyond %v: %.2f of %.2f", got, h.quotas.tenants.ArrivalRate(0), h.fairShare(0))
 			}
 		})
 	}
@@ -52,25 +52,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			given := []float64{1, 1}
-			r := newHarness(t, 2, func(s *Settings) { s.NodeCount, s.TenantQuotas = 1, given })
-			r.at(0, Input{Kind: QuotasChanged, Quotas: c.changed})
+			h := newHarness(t, 2, func(s *Settings) { s.NodeCount, s.TenantQuotas = 1, given })
+			h.at(0, Input{Kind: QuotasChanged, Quotas: c.changed})
 			beyond := false
 			for i := range 10 {
 				now := time.Duration(i) * 150 * ms
 				in := Input{Kind: RequestArrived, Request: i, Tenant: c.tenant, Timeout: time.Second}
-				set := r.settings
+				set := h.settings
 				set.TenantQuotas = given
-				asked := r.WhatIf(&set, now, &in, nil)
-				if got := r.at(now, in); len(c.changed) > 0 && !slices.Equal(asked, got) {
+				asked := h.WhatIf(&set, now, &in, nil)
+				if got := h.at(now, in); len(c.changed) > 0 && !slices.Equal(asked, got) {
 					t.Errorf("WhatIf returns %v, Handle %v", asked, got)
 				}
-				beyond = beyond || r.Policy.requests.all[i].class == 1
+				beyond = beyond || h.Policy.requests.all[i].class == 1
 			}
 			if beyond != c.beyond {
 				t.Errorf("beyond its share: %v", beyond)
 			}
-			if got := columns.Sum(r.settings.TenantQuotas); got != r.quotas.total || !slices.Equal(given, []float64{1, 1}) {
-				t.Errorf("the sum is %g, kept %g; given %v", got, r.quotas.total, given)
+			if got := columns.Sum(h.settings.TenantQuotas); got != h.quotas.total || !slices.Equal(given, []float64{1, 1}) {
+				t.Errorf("the sum is %g, kept %g; given %v", got, h.quotas.total, given)
 			}
 		})
 	}
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -13,13 +13,13 @@
 		"late answers are worth nothing": {0, 0.39}, "late answers are worth a share": {0.5, 1.5},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 2, func(s *Settings) { s.TrafficTypes[2].LateWeightShare = c.late })
-			id, got := r.arriveAt(time.Second, 2, 1500*ms)
+			h := newHarness(t, 2, func(s *Settings) { s.TrafficTypes[2].LateWeightShare = c.late })
+			id, got := h.arriveAt(time.Second, 2, 1500*ms)
 			if len(got) != 1 || math.Abs(got[0].Duration.Seconds()-c.want) > 0.001 {
 				t.Fatalf("sent %+v, want %.2f s", got, c.want)
 			}
 			if c.late > 0 {
-				if late := effectKinds(r.end(2*time.Second, id, 0, Success)); len(late) > 0 {
+				if late := effectKinds(h.end(2*time.Second, id, 0, Success)); len(late) > 0 {
 					t.Errorf("a late answer did %v", late)
 				}
 			}
@@ -40,11 +40,11 @@
 		"little is left": {250 * ms, 50 * ms, 10 * ms, 40 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 2, func(s *Settings) { s.MaxRetryAfter = time.Second })
-			r.latency.typical[0], r.now, r.effects = c.usual, time.Second+c.past, nil
-			r.Policy.requests.all = append(r.Policy.requests.all, request{objectiveAt: 1390 * ms, clientDeadline: 2 * time.Second})
-			r.reject(0)
-			if back := r.effects[0].Duration; back < c.least || back > c.most {
+			h := newHarness(t, 2, func(s *Settings) { s.MaxRetryAfter = time.Second })
+			h.latency.typical[0], h.now, h.effects = c.usual, time.Second+c.past, nil
+			h.Policy.requests.all = append(h.Policy.requests.all, request{objectiveAt: 1390 * ms, clientDeadline: 2 * time.Second})
+			h.reject(0)
+			if back := h.effects[0].Duration; back < c.least || back > c.most {
 				t.Errorf("Retry-After of %s", back)
 			}
 		})
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -25,17 +25,17 @@
 		"another server, highest weight": {3, ConnectionBroken, false, []int{1}, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 4, func(s *Settings) { s.TrafficTypes[3].PriorityWeight = 20 }).fillSubset()
+			h := newHarness(t, 4, func(s *Settings) { s.TrafficTypes[3].PriorityWeight = 20 }).fillSubset()
 			for _, s := range c.broke {
-				r.recordOutcome(s, &request{trafficType: c.trafficType, objectiveAt: time.Minute}, r.now, ConnectionBroken)
+				h.recordOutcome(s, &request{trafficType: c.trafficType, objectiveAt: time.Minute}, h.now, ConnectionBroken)
 			}
-			r.at(r.now+c.ago, Input{Kind: TimerFired})
-			id, _ := r.arriveAt(r.now, c.trafficType, time.Second)
-			r.Policy.requests.all[id].attempts[0].server = 0
+			h.at(h.now+c.ago, Input{Kind: TimerFired})
+			id, _ := h.arriveAt(h.now, c.trafficType, time.Second)
+			h.Policy.requests.all[id].attempts[0].server = 0
 			if c.full {
-				r.concurrency.inFlight += 100
+				h.concurrency.inFlight += 100
 			}
-			if got := effectKinds(r.end(r.now+20*ms, id, 0, c.outcome)); (len(got) > 0 && got[0] == SendAttempt) != c.again {
+			if got := effectKinds(h.end(h.now+20*ms, id, 0, c.outcome)); (len(got) > 0 && got[0] == SendAttempt) != c.again {
 				t.Errorf("then %v", got)
 			}
 		})
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -17,23 +17,23 @@
 		"started long ago":  {Endpoint{Server: 2, Weight: 1, StartedAt: -60 * time.Second, HasStartTime: true}, Incremental, 1000, 10 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 2, nil).fillSubset()
-			r.at(10*time.Second, Input{Kind: EndpointsUpdated, Scope: c.scope, Endpoints: []Endpoint{c.member}})
+			h := newHarness(t, 2, nil).fillSubset()
+			h.at(10*time.Second, Input{Kind: EndpointsUpdated, Scope: c.scope, Endpoints: []Endpoint{c.member}})
 			sent := 0
 			for now := 10 * time.Second; now < 12*time.Second; now += 10 * ms {
-				id, got := r.arriveAt(now, 0, time.Second)
-				for _, e := range append(got, r.at(now, Input{Kind: TimerFired})...) {
+				id, got := h.arriveAt(now, 0, time.Second)
+				for _, e := range append(got, h.at(now, Input{Kind: TimerFired})...) {
 					if e.Kind == SendAttempt && e.Server == 2 {
 						sent++
 					}
 				}
-				r.end(now, id, 0, Success)
+				h.end(now, id, 0, Success)
 			}
 			if sent > c.most || sent == 0 {
 				t.Errorf("sent %d in two seconds, at most %d", sent, c.most)
 			}
-			r.at(c.unbarred, Input{Kind: TimerFired})
-			if r.slowStart.servers.Has(2) {
+			h.at(c.unbarred, Input{Kind: TimerFired})
+			if h.slowStart.servers.Has(2) {
 				t.Error("still in slow start")
 			}
 		})
@@ -49,12 +49,12 @@
 		"long enough to restart":       {2 * time.Second, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 1, nil)
-			id, _ := r.arriveAt(time.Second, 0, time.Second)
-			r.end(time.Second, id, 0, Unreachable)
-			r.end(time.Second+c.lost, id, 1, Success) // it had been sent there again at once
-			if r.slowStart.servers.Has(0) != c.isWarmingUp {
-				t.Errorf("slow start: %v", r.slowStart.servers.Has(0))
+			h := newHarness(t, 1, nil)
+			id, _ := h.arriveAt(time.Second, 0, time.Second)
+			h.end(time.Second, id, 0, Unreachable)
+			h.end(time.Second+c.lost, id, 1, Success) // it had been sent there again at once
+			if h.slowStart.servers.Has(0) != c.isWarmingUp {
+				t.Errorf("slow start: %v", h.slowStart.servers.Has(0))
 			}
 		})
 	}
@@ -67,22 +67,22 @@
 		t.Run(name, func(t *testing.T) {
 			granted, held, most, pace := 0.0, 0.0, 0.0, 0.0
 			for me := range 90 {
-				r := newHarness(t, 18, func(s *Settings) { s.NodeCount, s.NodeIndex, s.SlowStartDuration = 90, me, 24*time.Second }).fillSubset()
-				r.Policy.random.seed, r.now = uint32(1000+me), time.Second
+				h := newHarness(t, 18, func(s *Settings) { s.NodeCount, s.NodeIndex, s.SlowStartDuration = 90, me, 24*time.Second }).fillSubset()
+				h.Policy.random.seed, h.now = uint32(1000+me), time.Second
 				for i := range 17 * refusals {
-					r.recordOutcome(1+i%17, &request{}, r.now, Overloaded)
+					h.recordOutcome(1+i%17, &request{}, h.now, Overloaded)
 				}
-				r.startSlowStart(0, r.now)
+				h.startSlowStart(0, h.now)
 				for range 700 {
-					r.now, r.concurrency.successRate = r.now+20*ms, 3
-					r.updateWeights()
-					was := r.slowStart.tokens[0]
-					r.refillSlowStart(20 * ms)
-					granted += max(r.slowStart.tokens[0]-was, 0)
-					pace = slowStartShare * r.settings.CrashLoadFactor * r.concurrency.successRate / 18 * r.capacityShare(0)
+					h.now, h.concurrency.successRate = h.now+20*ms, 3
+					h.updateWeights()
+					was := h.slowStart.tokens[0]
+					h.refillSlowStart(20 * ms)
+					granted += max(h.slowStart.tokens[0]-was, 0)
+					pace = slowStartShare * h.settings.CrashLoadFactor * h.concurrency.successRate / 18 * h.capacityShare(0)
 					most += pace * 0.02
 				}
-				held += r.slowStart.tokens[0]
+				held += h.slowStart.tokens[0]
 			}
 			if held > 180*pace*slowStartTokenLifetime.Seconds() || granted > 1.2*most || granted < 0.5*most {
 				t.Errorf("%.0f granted, budget %.0f; %.0f held", granted, most, held)
@@ -106,25 +106,25 @@
 		"fixed, as small as the others": {false, 0.1, 0.3, 1.6},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 10, func(s *Settings) {
+			h := newHarness(t, 10, func(s *Settings) {
 				s.WeightsFollowLoad, s.SlowStartInitialCapacity, s.SlowStartDuration = c.live, 0.1, time.Hour
 			}).fillSubset()
-			for s := range r.servers.listedWeight {
-				r.servers.listedWeight[s] = 0.1
+			for s := range h.servers.listedWeight {
+				h.servers.listedWeight[s] = 0.1
 			}
-			r.servers.listedWeight[0] = c.weight
-			r.startSlowStart(0, 0)
-			for k := range r.latency.typical { // so that the least rate does not count
-				r.latency.typical[k] = time.Hour
+			h.servers.listedWeight[0] = c.weight
+			h.startSlowStart(0, 0)
+			for k := range h.latency.typical { // so that the least rate does not count
+				h.latency.typical[k] = time.Hour
 			}
-			r.concurrency.successRate = 50
-			r.updateWeights()
+			h.concurrency.successRate = 50
+			h.updateWeights()
 			granted := 0.0
 			for range seconds * int(time.Second/step) {
-				was := r.slowStart.tokens[0]
-				r.refillSlowStart(step)
-				granted += max(r.slowStart.tokens[0]-was, 0)
-				r.slowStart.tokens[0] = 0
+				was := h.slowStart.tokens[0]
+				h.refillSlowStart(step)
+				granted += max(h.slowStart.tokens[0]-was, 0)
+				h.slowStart.tokens[0] = 0
 			}
 			if rate := granted / seconds; rate < c.least || rate > c.most {
 				t.Errorf("%.2f tokens a second", rate)
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -21,43 +21,43 @@
 		"for an ejected one":    {10, 1, true, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, c.servers, nil)
-			r.concurrency.grown = 1000
+			h := newHarness(t, c.servers, nil)
+			h.concurrency.grown = 1000
 			for range c.out {
-				if _, got := r.arriveAt(time.Second, 0, time.Second); len(got) != 1 {
+				if _, got := h.arriveAt(time.Second, 0, time.Second); len(got) != 1 {
 					t.Fatalf("not sent: %v", got)
 				}
 				if c.ejected {
-					r.end(time.Second, r.arrivals-1, 0, Success)
-					r.outliers.ejections.SetEjectedUntil(r.subset.members[0], failures.AllTypes, 2*time.Second)
-					r.arriveAt(time.Second, 0, time.Second)
+					h.end(time.Second, h.arrivals-1, 0, Success)
+					h.outliers.ejections.SetEjectedUntil(h.subset.members[0], failures.AllTypes, 2*time.Second)
+					h.arriveAt(time.Second, 0, time.Second)
 				}
 			}
-			if len(r.subset.members) != c.want {
-				t.Errorf("%d in the subset, want %d", len(r.subset.members), c.want)
+			if len(h.subset.members) != c.want {
+				t.Errorf("%d in the subset, want %d", len(h.subset.members), c.want)
 			}
 		})
 	}
 }
 
 func TestSubsetShrinksBySlowest(t *testing.T) {
-	r := newHarness(t, 6, nil).fillSubset()
-	r.latency.slowness[3] = 2
-	r.at(100*ms, Input{Kind: TimerFired})
-	if r.subset.contains[3] || len(r.subset.members) != 5 {
-		t.Errorf("kept %v", r.subset.members)
+	h := newHarness(t, 6, nil).fillSubset()
+	h.latency.slowness[3] = 2
+	h.at(100*ms, Input{Kind: TimerFired})
+	if h.subset.contains[3] || len(h.subset.members) != 5 {
+		t.Errorf("kept %v", h.subset.members)
 	}
 	for now := 200 * ms; now < time.Second; now += 20 * ms {
-		r.at(now, Input{Kind: TimerFired})
+		h.at(now, Input{Kind: TimerFired})
 	}
-	if len(r.subset.members) != subsetSlack {
-		t.Errorf("%d in the subset with nothing to do", len(r.subset.members))
+	if len(h.subset.members) != subsetSlack {
+		t.Errorf("%d in the subset with nothing to do", len(h.subset.members))
 	}
-	r.fillSubset()
-	r.concurrency.successRate = 6 * judgingAnswersPerSecond // enough to judge all six
-	r.shrinkSubset(20 * ms)
-	if len(r.subset.members) != 6 {
-		t.Errorf("%d left of six that are all judged", len(r.subset.members))
+	h.fillSubset()
+	h.concurrency.successRate = 6 * judgingAnswersPerSecond // enough to judge all six
+	h.shrinkSubset(20 * ms)
+	if len(h.subset.members) != 6 {
+		t.Errorf("%d left of six that are all judged", len(h.subset.members))
 	}
 }
 
@@ -65,9 +65,9 @@
 	const nodes, servers = 50, 20
 	met := make([]int, servers)
 	for me := range nodes {
-		r := newHarness(t, servers, func(s *Settings) { s.NodeCount, s.NodeIndex, s.Zone = nodes, me, me%2 })
-		r.arriveAt(0, 0, time.Second)
-		if met[r.subset.members[0]]++; r.subset.members[0]%2 != me%2 {
+		h := newHarness(t, servers, func(s *Settings) { s.NodeCount, s.NodeIndex, s.Zone = nodes, me, me%2 })
+		h.arriveAt(0, 0, time.Second)
+		if met[h.subset.members[0]]++; h.subset.members[0]%2 != me%2 {
 			t.Errorf("node %d starts in another zone", me)
 		}
 	}
@@ -115,18 +115,18 @@
 // suffices, and is back when it is needed.
 func TestUnreachableServerLeavesSubset(t *testing.T) {
 	connects := func(s *Settings) { s.ConnectTimeout = time.Second }
-	r := newHarness(t, 8, connects).fillSubset()
-	id, sent := r.arriveAt(0, 0, time.Second)
+	h := newHarness(t, 8, connects).fillSubset()
+	id, sent := h.arriveAt(0, 0, time.Second)
 	s := sent[0].Server
-	if got := effectKinds(r.end(5*ms, id, 0, Unreachable)); !slices.Equal(got, []EffectKind{CloseIdle, SendAttempt}) || r.subset.contains[s] || len(r.subset.members) != 7 {
-		t.Errorf("server %d of %v, %v", s, r.subset.members, got)
+	if got := effectKinds(h.end(5*ms, id, 0, Unreachable)); !slices.Equal(got, []EffectKind{CloseIdle, SendAttempt}) || h.subset.contains[s] || len(h.subset.members) != 7 {
+		t.Errorf("server %d of %v, %v", s, h.subset.members, got)
 	}
-	r.concurrency.grown = 100
+	h.concurrency.grown = 100
 	for range 8 { // all others are busy
-		r.arriveAt(10*ms, 0, time.Second)
+		h.arriveAt(10*ms, 0, time.Second)
 	}
-	if !r.subset.contains[s] {
-		t.Errorf("server %d stays out of %v", s, r.subset.members)
+	if !h.subset.contains[s] {
+		t.Errorf("server %d stays out of %v", s, h.subset.members)
 	}
 	few := newHarness(t, 2, connects).fillSubset()
 	id, sent = few.arriveAt(0, 0, time.Second)
--- a/policy/suspicion_test.go
+++ b/policy/suspicion_test.go
@@ -21,7 +21,7 @@
 		"removed twice":                   {true, []map[int]Condition{{0: Removed}, {0: Removed}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 4, func(s *Settings) { s.UnlistedUsable = c.only }).fillSubset()
+			h := newHarness(t, 4, func(s *Settings) { s.UnlistedUsable = c.only }).fillSubset()
 			for _, other := range c.lists {
 				var list []Endpoint
 				for i := range 4 {
@@ -29,10 +29,10 @@
 						list = append(list, Endpoint{Server: i, Rank: uint32(i), Weight: 1, Condition: other[i]})
 					}
 				}
-				r.at(time.Second, Input{Kind: EndpointsUpdated, Scope: Full, Endpoints: list})
+				h.at(time.Second, Input{Kind: EndpointsUpdated, Scope: Full, Endpoints: list})
 			}
-			if r.readiness.Ready(0) != c.ready || r.isExcluded(0, &request{keyServer: -1}) == c.ready || r.slowStart.servers.Has(0) && c.only {
-				t.Errorf("ready %v, slow start %v", r.readiness.Ready(0), r.slowStart.servers.Has(0))
+			if h.readiness.Ready(0) != c.ready || h.isExcluded(0, &request{keyServer: -1}) == c.ready || h.slowStart.servers.Has(0) && c.only {
+				t.Errorf("ready %v, slow start %v", h.readiness.Ready(0), h.slowStart.servers.Has(0))
 			}
 		})
 	}
@@ -41,25 +41,25 @@
 // TestSuspicionLevels checks that turns of an unlisted server go down and up by levels, also once it is listed
 // again, and end when it is silent.
 func TestSuspicionLevels(t *testing.T) {
-	r := newHarness(t, 4, func(s *Settings) { s.UnlistedUsable = true }).fillSubset()
-	r.now, r.load.lastAnswerAt[0] = time.Second, time.Second
+	h := newHarness(t, 4, func(s *Settings) { s.UnlistedUsable = true }).fillSubset()
+	h.now, h.load.lastAnswerAt[0] = time.Second, time.Second
 	tell := func(c Condition) {
-		r.at(r.now, Input{Kind: EndpointsUpdated, Scope: Incremental, Endpoints: []Endpoint{{Server: 0, Weight: 1, Condition: c}}})
+		h.at(h.now, Input{Kind: EndpointsUpdated, Scope: Incremental, Endpoints: []Endpoint{{Server: 0, Weight: 1, Condition: c}}})
 	}
 	tell(Removed)
 	for i, outcome := range []Outcome{Unreachable, Unreachable, Unreachable, Success, Success} {
-		r.now += 50 * ms
-		if r.recordOutcome(0, &request{objectiveAt: r.now + 400*ms}, r.now-10*ms, outcome); r.suspicion.level[0] != [...]int{2, 3, 3, 2, 1}[i] {
-			t.Errorf("outcome %d: level %d", i, r.suspicion.level[0])
+		h.now += 50 * ms
+		if h.recordOutcome(0, &request{objectiveAt: h.now + 400*ms}, h.now-10*ms, outcome); h.suspicion.level[0] != [...]int{2, 3, 3, 2, 1}[i] {
+			t.Errorf("outcome %d: level %d", i, h.suspicion.level[0])
 		}
 	}
 	tell(Up)
-	r.latency.slowness[0] = 1
-	if r.updateWeights(); r.picker.weight[0] != r.picker.weight[1]/4 || r.slowStart.servers.Has(0) {
-		t.Errorf("weight %g beside %g, slow start %v", r.picker.weight[0], r.picker.weight[1], r.slowStart.servers.Has(0))
+	h.latency.slowness[0] = 1
+	if h.updateWeights(); h.picker.weight[0] != h.picker.weight[1]/4 || h.slowStart.servers.Has(0) {
+		t.Errorf("weight %g beside %g, slow start %v", h.picker.weight[0], h.picker.weight[1], h.slowStart.servers.Has(0))
 	}
 	tell(Removed)
-	if r.at(r.now+unlistedRetention+time.Second, Input{Kind: TimerFired}); r.readiness.Ready(0) {
+	if h.at(h.now+unlistedRetention+time.Second, Input{Kind: TimerFired}); h.readiness.Ready(0) {
 		t.Error("kept forever")
 	}
 }
--- a/policy/whatif_test.go
+++ b/policy/whatif_test.go
@@ -10,13 +10,13 @@
 
 // playDay plays a day with failures; ask is called before each input. It returns all effects and how many inputs
 // ask answered otherwise.
-func playDay(t *testing.T, ask func(r *harness, now time.Duration, in *Input) []Effect) (all []Effect, differ int) {
-	r := newHarness(t, 5, func(s *Settings) {
+func playDay(t *testing.T, ask func(h *harness, now time.Duration, in *Input) []Effect) (all []Effect, differ int) {
+	h := newHarness(t, 5, func(s *Settings) {
 		s.MaxRetryAfter, s.HedgingAllowed, s.TenantQuotas = time.Second, true, []float64{40, 4}
 	})
 	give := func(now time.Duration, in Input) []Effect {
-		want := ask(r, now, &in)
-		got := r.at(now, in)
+		want := ask(h, now, &in)
+		got := h.at(now, in)
 		if !reflect.DeepEqual(want, got) {
 			differ++
 		}
@@ -24,8 +24,8 @@
 	}
 	for i := range 400 {
 		now := time.Duration(i) * 7 * ms
-		id := r.arrivals
-		r.arrivals++
+		id := h.arrivals
+		h.arrivals++
 		all = append(all, give(now, Input{Kind: RequestArrived, Request: id, TrafficType: i % 4, Tenant: i % 2, Key: uint32(i % 9), Timeout: time.Second})...)
 		all = append(all, give(now, Input{Kind: TimerFired})...)
 		if i%3 > 0 {
@@ -50,11 +50,11 @@
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			watched, differ := playDay(t, func(r *harness, now time.Duration, in *Input) []Effect {
-				s := r.settings
+			watched, differ := playDay(t, func(h *harness, now time.Duration, in *Input) []Effect {
+				s := h.settings
 				s.TrafficTypes = slices.Clone(s.TrafficTypes)
 				c.change(&s)
-				return r.WhatIf(&s, now, in, nil)
+				return h.WhatIf(&s, now, in, nil)
 			})
 			if !reflect.DeepEqual(alone, watched) {
 				t.Error("decisions changed because WhatIf was called")
@@ -68,23 +68,23 @@
 
 // TestWhatIfKeepsQuotas checks that a change of quotas in WhatIf leaves those of the policy alone.
 func TestWhatIfKeepsQuotas(t *testing.T) {
-	r := newHarness(t, 1, func(s *Settings) { s.TenantQuotas = []float64{40, 4} })
-	r.at(0, Input{Kind: QuotasChanged, Quotas: []Quota{{Tenant: 0, PerSecond: 50}}})
-	other := r.settings
-	r.WhatIf(&other, 0, &Input{Kind: QuotasChanged, Quotas: []Quota{{Tenant: 0, PerSecond: 60}}}, nil)
-	if got := r.settings.TenantQuotas[0]; got != 50 {
+	h := newHarness(t, 1, func(s *Settings) { s.TenantQuotas = []float64{40, 4} })
+	h.at(0, Input{Kind: QuotasChanged, Quotas: []Quota{{Tenant: 0, PerSecond: 50}}})
+	other := h.settings
+	h.WhatIf(&other, 0, &Input{Kind: QuotasChanged, Quotas: []Quota{{Tenant: 0, PerSecond: 60}}}, nil)
+	if got := h.settings.TenantQuotas[0]; got != 50 {
 		t.Errorf("the quota is %v, not 50", got)
 	}
 }
 
 // TestCloneSharesNothing checks every field of a clone, so that one forgotten in clone is found.
 func TestCloneSharesNothing(t *testing.T) {
-	r := newHarness(t, 3, func(s *Settings) { s.TenantQuotas = []float64{1} }).fillSubset()
-	r.quotas.withinQuotaShares = []float64{1}
-	r.readiness.SetLabels(0, 1)
-	r.readiness.SetPlacements(0, 1)
-	id, _ := r.arriveAt(0, 0, time.Second)
-	c := r.clone(id)
+	h := newHarness(t, 3, func(s *Settings) { s.TenantQuotas = []float64{1} }).fillSubset()
+	h.quotas.withinQuotaShares = []float64{1}
+	h.readiness.SetLabels(0, 1)
+	h.readiness.SetPlacements(0, 1)
+	id, _ := h.arriveAt(0, 0, time.Second)
+	c := h.clone(id)
 	var look func(name string, a, b reflect.Value)
 	look = func(name string, a, b reflect.Value) {
 		switch a.Kind() {
@@ -109,15 +109,15 @@
 			t.Errorf("%s: clone does not know of it", name)
 		}
 	}
-	look("p", reflect.ValueOf(r.Policy).Elem(), reflect.ValueOf(c).Elem())
+	look("p", reflect.ValueOf(h.Policy).Elem(), reflect.ValueOf(c).Elem())
 }
 
 func BenchmarkWhatIf(b *testing.B) {
-	r := newHarness(&testing.T{}, 100, nil).fillSubset()
+	h := newHarness(&testing.T{}, 100, nil).fillSubset()
 	for range 100 {
-		r.arriveAt(0, 0, time.Hour)
+		h.arriveAt(0, 0, time.Hour)
 	}
 	for b.Loop() {
-		r.WhatIf(&r.settings, time.Second, &Input{Kind: AttemptEnded, Outcome: Success, ClientAnswered: true}, nil)
+		h.WhatIf(&h.settings, time.Second, &Input{Kind: AttemptEnded, Outcome: Success, ClientAnswered: true}, nil)
 	}
 }
