--- a/policy/latency.go
+++ b/policy/latency.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"math"
 	"slices"
 	"time"
 
@@ -68,9 +67,8 @@
 	columns.Put(trafficType, answers, &l.answers)
 }
 
-// ageUnloaded moves a type's unloaded latency toward the typical one and returns the step.
-func (l *latency) ageUnloaded(trafficType int, elapsed time.Duration) time.Duration {
-	share := 1 - math.Exp(-elapsed.Seconds()/unloadedLatencyMemory.Seconds())
+// ageUnloaded moves a type's unloaded latency toward the typical one, by a share of the difference, and returns the step.
+func (l *latency) ageUnloaded(trafficType int, share float64) time.Duration {
 	step := time.Duration(share * float64(l.typical[trafficType]-l.unloaded[trafficType]))
 	l.unloaded[trafficType] += step
 	return step
--- a/policy/tick.go
+++ b/policy/tick.go
@@ -38,16 +38,27 @@
 	}
 }
 
+// keptShares are the shares that a tick keeps, worked out once for all traffic types.
+type keptShares struct {
+	rates    float64
+	records  float64
+	unloaded float64 // of the distance between unloaded and typical latency
+}
+
 // decay lets rates and records fade.
 func (p *Policy) decay(elapsed time.Duration) {
-	rateKept, recordKept := decayFactor(elapsed, rateMemory), decayFactor(elapsed, attributionDecayTime)
-	p.concurrency.successRate *= rateKept
-	p.quotas.tenants.Decay(rateKept, minArrivalRate, recordKept, minRecordCount)
-	p.admission.overloaded.Decay(rateKept, minRecordCount)
-	p.subset.connectFailures.Decay(rateKept, minRecordCount)
-	p.attribution.decay(recordKept)
+	kept := keptShares{
+		rates:    decayFactor(elapsed, rateMemory),
+		records:  decayFactor(elapsed, attributionDecayTime),
+		unloaded: decayFactor(elapsed, unloadedLatencyMemory),
+	}
+	p.concurrency.successRate *= kept.rates
+	p.quotas.tenants.Decay(kept.rates, minArrivalRate, kept.records, minRecordCount)
+	p.admission.overloaded.Decay(kept.rates, minRecordCount)
+	p.subset.connectFailures.Decay(kept.rates, minRecordCount)
+	p.attribution.decay(kept.records)
 	for trafficType := range p.admission.activeTypes.All() {
-		if !p.decayType(trafficType, elapsed, rateKept, recordKept) {
+		if !p.decayType(trafficType, elapsed, kept) {
 			p.admission.activeTypes.Remove(trafficType)
 		}
 	}
@@ -55,14 +66,14 @@
 }
 
 // decayType lets the figures of a traffic type fade and reports whether more time would still change any of them.
-func (p *Policy) decayType(trafficType int, elapsed time.Duration, rateKept, recordKept float64) bool {
+func (p *Policy) decayType(trafficType int, elapsed time.Duration, kept keptShares) bool {
 	rates, records, breaks := p.admission.ratesOf(trafficType), p.attribution.ofType(trafficType), &p.attribution.breaks[trafficType]
 	for i := range rates {
-		rates[i] = decay.ZeroBelow(rates[i]*rateKept, minArrivalRate)
-		records[i].Decay(recordKept, minRecordCount)
+		rates[i] = decay.ZeroBelow(rates[i]*kept.rates, minArrivalRate)
+		records[i].Decay(kept.records, minRecordCount)
 	}
-	breaks.Decay(recordKept, minRecordCount)
-	step := p.latency.ageUnloaded(trafficType, elapsed)
+	breaks.Decay(kept.records, minRecordCount)
+	step := p.latency.ageUnloaded(trafficType, 1-kept.unloaded)
 	retries, hedges := p.budgets.retries[trafficType], p.budgets.hedges[trafficType]
 	p.refillBudgets(trafficType, 0, elapsed.Seconds())
 	areBudgetsFull := p.budgets.retries[trafficType] == retries && p.budgets.hedges[trafficType] == hedges
