--- a/policy/admission.go
+++ b/policy/admission.go
@@ -17,9 +17,12 @@
 	saturationMemory   = 500 * time.Millisecond
 	admissionSpeed     = 2.0  // a second, of the logarithm of the admitted share
 	minAdmittedShare   = 0.02 // enough to see an overload pass
+	minHeadroom        = -2.0 // admission falls at most at twice the speed
 
 	defaultMaxShedShare = 0.95 // of one traffic type, so that some of each get through
 
+	minLatencySeconds = 1e-6 // least latency of a request in its class weight
+
 	rateMemory = 3 * time.Second // over which arrivals and answers are counted
 
 	// minArrivalRate is the rate, a second, below which a rate is cleared, so that it costs no tick any more. What is
@@ -85,7 +88,7 @@
 func (p *Policy) classWeight(class int) float64 {
 	share := [classesPerType]float64{1, p.settings.OverQuotaWeightShare}[class%classesPerType]
 	trafficType := typeOfClass(class)
-	return share * p.settings.TrafficTypes[trafficType].PriorityWeight / max(p.latency.typical[trafficType].Seconds(), 1e-6)
+	return share * p.settings.TrafficTypes[trafficType].PriorityWeight / max(p.latency.typical[trafficType].Seconds(), minLatencySeconds)
 }
 
 // classLoad returns the load that a class offers, in attempts in flight.
@@ -124,14 +127,14 @@
 	if a.saturated *= kept; p.isSaturated() {
 		a.saturated += 1 - kept
 	}
-	headroom := max(1-max(a.saturated/maxSaturatedShare, a.overloaded.Rate(attributionPrior)/maxOverloadedShare), -2)
+	headroom := max(1-max(a.saturated/maxSaturatedShare, a.overloaded.Rate(attributionPrior)/maxOverloadedShare), minHeadroom)
 	admitted := max(a.admitted*math.Exp(admissionSpeed*headroom*elapsed.Seconds()), minAdmittedShare)
 	a.admitted = min(admitted, cmp.Or(a.maxAdmittedShare, 1))
 }
 
 // rejectShareFor returns the share of a class to reject, out of the load that remains to be shed.
 func (p *Policy) rejectShareFor(class int, remaining, load float64) float64 {
-	return min(remaining/max(load, 1e-9), cmp.Or(p.settings.TrafficTypes[typeOfClass(class)].MaxShedShare, defaultMaxShedShare))
+	return min(remaining/max(load, minDivisor), cmp.Or(p.settings.TrafficTypes[typeOfClass(class)].MaxShedShare, defaultMaxShedShare))
 }
 
 // activateType has a traffic type take part in ticks again. Its classes get the shares that they would have by now.
--- a/policy/input.go
+++ b/policy/input.go
@@ -105,7 +105,7 @@
 	Timeout       time.Duration // after which the client gives up
 
 	Outcome        Outcome
-	Elapsed        time.Duration // since the attempt was sent
+	Elapsed        time.Duration // since the attempt was sent; for other deciders, Policy keeps its own times
 	ClientAnswered bool          // the client has its final answer
 
 	Scope     UpdateScope
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -8,9 +8,10 @@
 )
 
 const (
-	latencySmoothing     = 0.1  // weight of one answer in a server's figures
-	typeLatencySmoothing = 0.02 // weight of one answer in a traffic type's latency
-	minLatencySamples    = 20.0 // answers until unloaded and typical latency differ
+	latencySmoothing      = 0.1  // weight of one answer in a server's figures
+	typeLatencySmoothing  = 0.02 // weight of one answer in a traffic type's latency
+	initialLatencyDivisor = 4    // of the latency objective: what a new type is taken to need
+	minLatencySamples     = 20.0 // answers until unloaded and typical latency differ
 
 	// unloadedLatencyMemory is the time in which a lasting rise comes to count as unloaded; overload should be over.
 	unloadedLatencyMemory = 30 * time.Second
@@ -58,7 +59,7 @@
 
 // addType starts a traffic type, with the figures of another one if from is not below 0.
 func (l *latency) addType(trafficType, from int, objective time.Duration) {
-	typical, unloaded, answers := objective/4, objective/4, 0.0
+	typical, unloaded, answers := objective/initialLatencyDivisor, objective/initialLatencyDivisor, 0.0
 	if from >= 0 {
 		typical, unloaded, answers = l.typical[from], l.unloaded[from], l.answers[from]
 	}
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -2,6 +2,9 @@
 
 import "time"
 
+// minPatience is the time until the objective, in unloaded latencies, below which a timeout only tells of the client.
+const minPatience = 2
+
 // attemptEnded records the end of an attempt and moves its request on.
 func (p *Policy) attemptEnded(in *Input) {
 	if in.Request >= len(p.requests.all) {
@@ -44,7 +47,7 @@
 	}
 	switch outcome {
 	case Success, Failure, TimedOut, ConnectionBroken:
-		isImpatient := outcome == TimedOut && r.objectiveAt-sentAt < 2*p.latency.unloaded[r.trafficType]
+		isImpatient := outcome == TimedOut && r.objectiveAt-sentAt < minPatience*p.latency.unloaded[r.trafficType]
 		r.failedByItself = !isImpatient && p.isAttributedToRequest(s, r, outcome)
 		if r.failedByItself || isImpatient {
 			return
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -12,6 +12,7 @@
 const (
 	initialEjection = 500 * time.Millisecond // doubles each time
 	maxEjection     = 4 * time.Second
+	ejectionSpread  = 0.5 // of its length, so that servers do not return together
 
 	minConsecutiveFailures = 2    // one may be a heavy request
 	minTypeFailures        = 3    // of one traffic type, each sent after the last ended
@@ -127,7 +128,7 @@
 // few, so it takes two to eject; the server leaves the subset if the others suffice.
 func (p *Policy) recordUnreachable(s int, elapsed time.Duration) {
 	enough := 1
-	if elapsed < p.settings.ConnectTimeout/2 {
+	if elapsed < p.settings.ConnectTimeout/2 { // refused
 		enough = minConsecutiveFailures
 		p.subset.connectFailures.Failed++
 		if i := slices.Index(p.subset.members, s); i >= 0 && float64(len(p.subset.members)) > p.subset.needed+subsetSlack {
@@ -146,7 +147,7 @@
 		return
 	}
 	duration := float64(min(initialEjection<<min(doublings, 3), maxEjection))
-	until := p.now + time.Duration(duration*(0.75+0.5*p.chance()))
+	until := p.now + time.Duration(duration*(1-ejectionSpread/2+ejectionSpread*p.chance()))
 	p.outliers.ejections.SetEjectedUntil(s, trafficType, until)
 }
 
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -138,7 +138,7 @@
 
 // isCrowded reports whether a server has more in flight than the mean for its weight.
 func (p *Policy) isCrowded(s int) bool {
-	mean := crowdedFactor * p.concurrency.inFlight * p.picker.weight[s] / max(p.picker.totalWeight, 1e-9)
+	mean := crowdedFactor * p.concurrency.inFlight * p.picker.weight[s] / max(p.picker.totalWeight, minDivisor)
 	return float64(p.load.inFlight[s])+p.load.abandoned[s] > mean
 }
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -8,6 +8,9 @@
 	"fernvane/policy/internal/readiness"
 )
 
+// minDivisor keeps divisions by sums that may be 0 finite.
+const minDivisor = 1e-9
+
 // Policy is one instance of the decisions. It is not safe for concurrent use: its owner calls one method at a time.
 type Policy struct {
 	settings    Settings
--- a/policy/poll.go
+++ b/policy/poll.go
@@ -5,6 +5,8 @@
 const (
 	initialPollBackoff = 250 * time.Millisecond // doubles each time
 	maxPollBackoff     = 4 * time.Second
+	minBackoffShare    = 0.5 // of a wait that is spread evenly around the backoff
+	minPolls           = 4   // within Settings.RequestEndpointsWithin
 )
 
 // poll requests the endpoint list where it only comes on request, with a backoff after failures, since the list
@@ -18,8 +20,8 @@
 // backOffPolling takes in that the list was not to be had. The wait is spread, so that nodes do not ask together.
 func (p *Policy) backOffPolling() {
 	p.poll.isRequested = false
-	p.poll.nextAt = p.now + time.Duration(float64(p.poll.backoff)*(0.5+p.chance()))
-	longest := max(p.settings.RequestEndpointsWithin/4, initialPollBackoff)
+	p.poll.nextAt = p.now + time.Duration(float64(p.poll.backoff)*(minBackoffShare+p.chance()))
+	longest := max(p.settings.RequestEndpointsWithin/minPolls, initialPollBackoff)
 	p.poll.backoff = min(2*p.poll.backoff, maxPollBackoff, longest)
 }
 
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -57,6 +57,6 @@
 	nodes, own := float64(p.settings.NodeCount), p.settings.TenantQuotas[tenant]
 	otherShares := (p.quotas.total - own) / nodes
 	otherRates := p.quotas.tenants.TotalRate() - p.quotas.tenants.ArrivalRate(tenant)
-	share := own / nodes * max(1, otherRates/max(otherShares, 1e-9))
+	share := own / nodes * max(1, otherRates/max(otherShares, minDivisor))
 	return share + math.Sqrt(share/rateMemory.Seconds())
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -9,8 +9,18 @@
 	"fernvane/policy/internal/tenants"
 )
 
-// minAnswerLead is how long before the client's deadline the final answer goes out at the latest.
-const minAnswerLead = 5 * time.Millisecond
+const (
+	// minAnswerLead is how long before the client's deadline the final answer goes out at the latest.
+	minAnswerLead = 5 * time.Millisecond
+
+	// objectiveLeadTicks is how long before its latency objective a request counts as late, in ticks of the timer: an
+	// attempt that times out then still leaves time for an answer within the objective.
+	objectiveLeadTicks = 2
+
+	minRetryAfterShare = 0.9 // of the longest Retry-After
+	minReturnShare     = 0.3 // of the time in which a client can still return and be served
+	latenciesToServe   = 2   // typical latencies that a client must have left to be served
+)
 
 // noServer stands for no server, and for that of an attempt that provably never ran.
 const noServer = -1
@@ -83,7 +93,7 @@
 
 func (p *Policy) requestArrived(in *Input) {
 	columns.Extend(in.Request+1, &p.requests.all)
-	if in.TrafficType >= len(p.settings.TrafficTypes) {
+	if in.TrafficType >= len(p.settings.TrafficTypes) { // nothing is known of the type, and nothing has run
 		p.emit(Effect{Kind: Reject, Request: in.Request})
 		return
 	}
@@ -97,7 +107,7 @@
 		key:            in.Key,
 		isClientRetry:  in.IsClientRetry,
 		arrivedAt:      p.now,
-		objectiveAt:    p.now + min(t.LatencyObjective-2*p.settings.TimerGranularity, in.Timeout),
+		objectiveAt:    p.now + min(t.LatencyObjective-objectiveLeadTicks*p.settings.TimerGranularity, in.Timeout),
 		clientDeadline: p.now + in.Timeout,
 		attempts:       r.attempts[:0],
 		keyServer:      noServer,
@@ -153,10 +163,10 @@
 // Both are spread, so that clients do not return together.
 func (p *Policy) reject(request int) {
 	r := &p.requests.all[request]
-	after := time.Duration(float64(p.settings.MaxRetryAfter) * (0.9 + 0.1*p.chance()))
-	left := r.objectiveAt - p.now - 2*p.latency.typical[r.trafficType]
+	after := time.Duration(float64(p.settings.MaxRetryAfter) * (minRetryAfterShare + (1-minRetryAfterShare)*p.chance()))
+	left := r.objectiveAt - p.now - latenciesToServe*p.latency.typical[r.trafficType]
 	if left > 0 && after > 0 {
-		after = min(after, time.Duration(float64(left)*(0.3+0.7*p.chance())))
+		after = min(after, time.Duration(float64(left)*(minReturnShare+(1-minReturnShare)*p.chance())))
 	}
 	p.emit(Effect{Kind: Reject, Request: request, Duration: after})
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -82,7 +82,7 @@
 
 // slowStartRate returns the attempts a second that this node may send a server at full capacity.
 func (p *Policy) slowStartRate(s int) float64 {
-	share := p.servers.listedWeight[s] / max(p.picker.totalCapacity, 1e-9)
+	share := p.servers.listedWeight[s] / max(p.picker.totalCapacity, minDivisor)
 	if p.settings.WeightsFollowLoad { // an idle server is listed for several busy ones
 		share = min(share, 1/max(float64(len(p.subset.members)), 1))
 	}
