--- a/internal/protocol/http1/aliases.go
+++ b/internal/protocol/http1/aliases.go
@@ -2,18 +2,28 @@
 
 import "fernvane/internal/protocol/message"
 
-// Types of package message, for callers that speak HTTP only.
-type (
-	Field     = message.Field
-	Request   = message.Request
-	Response  = message.Response
-	Answer    = message.Answer
-	Operation = message.RequestInfo
-	Malformed = message.RequestError
-	Pool      = message.BufferBudget
-)
+// Field is a header field.
+type Field = message.Field
+
+// Request is a complete request.
+type Request = message.Request
+
+// Response is a server's complete response.
+type Response = message.Response
+
+// Answer is what the node sends to a client.
+type Answer = message.Answer
+
+// Operation is what the fields of a request say that decisions need.
+type Operation = message.RequestInfo
+
+// Malformed is the error of a request that cannot be served.
+type Malformed = message.RequestError
+
+// Pool bounds the memory that connections share.
+type Pool = message.BufferBudget
 
-// Bounds and field names of package message, likewise.
+// Bounds and field names of package message.
 const (
 	MaxHead        = message.MaxHead
 	MaxBody        = message.MaxBody
@@ -22,5 +32,5 @@
 	RequestTimeout = message.RequestTimeout
 )
 
-// NewPool is message.NewBufferBudget.
+// NewPool returns a budget of so many bytes.
 func NewPool(bytes int) *Pool { return message.NewBufferBudget(bytes) }
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -15,6 +15,7 @@
 	"fernvane/internal/protocol/sockpeek"
 )
 
+// Bounds of a connection's buffer, in bytes, and of what it reads.
 const (
 	initialBufferBytes  = 2 << 10 // fits most messages
 	KeptBuffer          = 8 << 10 // of a buffer between messages; more is reserved from the budget
--- a/internal/protocol/http1/endpointlist.go
+++ b/internal/protocol/http1/endpointlist.go
@@ -14,6 +14,7 @@
 // Condition is that of a listed server.
 type Condition uint8
 
+// Conditions of a listed server.
 const (
 	Serving  Condition = iota // gets requests
 	Draining                  // gets no new ones
--- a/internal/protocol/message/message.go
+++ b/internal/protocol/message/message.go
@@ -12,6 +12,7 @@
 	"time"
 )
 
+// Bounds of one message.
 const (
 	MaxHead   = 16 << 10 // bytes ahead of a body
 	MaxBody   = 64 << 10 // bytes
--- a/internal/route/gate.go
+++ b/internal/route/gate.go
@@ -11,6 +11,7 @@
 // Rejection is why a route does not admit a request.
 type Rejection uint8
 
+// Reasons for a rejection.
 const (
 	Admitted            Rejection = iota // no rejection
 	RateExceeded                         // above the route's rate
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -54,7 +54,7 @@
 
 // Audit gathers what happened.
 type Audit struct {
-	f              Figures
+	f              Settings
 	servers        []Server
 	requests       map[uint64]*request
 	announcements  map[[2]int][]announcement // by node and server
@@ -69,7 +69,7 @@
 }
 
 // New gathers from nothing.
-func New(f Figures) *Audit {
+func New(f Settings) *Audit {
 	return &Audit{f: f, requests: map[uint64]*request{}, announcements: map[[2]int][]announcement{}, down: map[int][]span{}}
 }
 
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -11,10 +11,10 @@
 // Each case is a day on which one thing happened; it breaks the one rule that is named, or none.
 func TestVerdict(t *testing.T) {
 	const check, book, fingerprinted, zoned, bound, nowhere = 0, 1, 2, 3, 4, 5
-	figures := Figures{DrainGrace: 500 * ms, Slack: 50 * ms, MaxAttempts: 2, Types: []Type{
-		{Name: "check"}, {Name: "book", Repeat: Binding}, {Name: "print", Repeat: Fingerprinted, Window: time.Second},
-		{Name: "zoned", Repeat: Fingerprinted, Group: Zone, Window: time.Second}, {Name: "bound", Sites: []int{0}, Kinds: []string{"large", "huge"}},
-		{Name: "nowhere", Sites: []int{}}}, Closes: true, DrainClose: 300 * ms}
+	figures := Settings{DrainGrace: 500 * ms, Slack: 50 * ms, MaxAttempts: 2, Types: []Type{
+		{Name: "check"}, {Name: "book", Idempotency: NonIdempotent}, {Name: "print", Idempotency: IdempotentWithKey, KeyRetention: time.Second},
+		{Name: "zoned", Idempotency: IdempotentWithKey, KeyScope: Zone, KeyRetention: time.Second}, {Name: "bound", Sites: []int{0}, Kinds: []string{"large", "huge"}},
+		{Name: "nowhere", Sites: []int{}}}, ClosesOnDrain: true, DrainClose: 300 * ms}
 	// attempt has a server take a request, run it and answer.
 	attempt := func(a *Audit, box int, at time.Duration) {
 		a.Attempt(1, box, at, at)
@@ -237,7 +237,7 @@
 
 // Where tries and attempts go, second by second: the attempt that the client was answered by is not in vain, the others are.
 func TestSeconds(t *testing.T) {
-	a := New(Figures{Types: []Type{{Name: "x"}}})
+	a := New(Settings{Types: []Type{{Name: "x"}}})
 	a.Server(Server{Name: "b0"})
 	a.Server(Server{Name: "b1"})
 	at := func(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/internal/testbed/audit/rules.go
+++ b/internal/testbed/audit/rules.go
@@ -104,7 +104,7 @@
 func (h *attempt) mayHaveRun() bool { return !h.unbegun }
 
 func (a *Audit) sameGroup(t *Type, x, y int) bool {
-	switch t.Group {
+	switch t.KeyScope {
 	case Zone:
 		return a.servers[x].Site == a.servers[y].Site
 	case Cell:
@@ -115,7 +115,7 @@
 
 func (a *Audit) repeated(r *request) string {
 	t := &a.f.Types[r.kind]
-	if t.Repeat == Retriable {
+	if t.Idempotency == Idempotent {
 		return ""
 	}
 	for i, h := range r.attempts {
@@ -125,12 +125,12 @@
 			}
 			from, to := a.servers[earlier.server].Name, a.servers[h.server].Name
 			switch {
-			case t.Repeat == Binding:
+			case t.Idempotency == NonIdempotent:
 				return fmt.Sprintf("sent to %s though it may have run at %s", to, from)
 			case !a.sameGroup(t, earlier.server, h.server):
 				return fmt.Sprintf("sent to %s though it may have run in another group, at %s", to, from)
-			case h.first > earlier.last+t.Window:
-				return fmt.Sprintf("sent to %s %s after %s, which forgets after %s", to, (h.first - earlier.last).Round(time.Millisecond), from, t.Window)
+			case h.first > earlier.last+t.KeyRetention:
+				return fmt.Sprintf("sent to %s %s after %s, which forgets after %s", to, (h.first - earlier.last).Round(time.Millisecond), from, t.KeyRetention)
 			}
 		}
 	}
@@ -139,7 +139,7 @@
 
 func (a *Audit) unclean(r *request) string {
 	t := &a.f.Types[r.kind]
-	if r.end != Answered || r.status != 429 && r.status != 503 || t.Repeat == Retriable || t.Repeat == Fingerprinted && t.Group == All {
+	if r.end != Answered || r.status != 429 && r.status != 503 || t.Idempotency == Idempotent || t.Idempotency == IdempotentWithKey && t.KeyScope == All {
 		return ""
 	}
 	for _, h := range r.attempts {
@@ -158,7 +158,7 @@
 }
 
 func (a *Audit) copied(r *request) string {
-	if a.f.Copies {
+	if a.f.AllowsHedging {
 		return ""
 	}
 	for i, h := range r.attempts {
@@ -219,7 +219,7 @@
 // unclosed looks at the time that connections stood unused. The limit counts from the notice or, if later, from the last
 // send or outcome of the node there.
 func (a *Audit) unclosed(r *request) string {
-	if !a.f.Closes {
+	if !a.f.ClosesOnDrain {
 		return ""
 	}
 	for _, c := range r.idle {
--- a/internal/testbed/audit/types.go
+++ b/internal/testbed/audit/types.go
@@ -2,32 +2,34 @@
 
 import "time"
 
-// Repeat says what may be done with a request that may have run.
-type Repeat uint8
+// Idempotency says what may be done with a request that may have run.
+type Idempotency uint8
 
+// Classes of traffic types.
 const (
-	Retriable     Repeat = iota // may run any number of times
-	Fingerprinted               // repeats are dropped within a group of servers, for a while
-	Binding                     // must not run twice
+	Idempotent        Idempotency = iota // may run any number of times
+	IdempotentWithKey                    // repeats are dropped within a group of servers, for a while
+	NonIdempotent                        // must not run twice
 )
 
-// Group of servers that drops repeats of a keyed request.
-type Group uint8
+// KeyScope of servers that drops repeats of a keyed request.
+type KeyScope uint8
 
+// Scopes within which a key is recognized.
 const (
-	All  Group = iota // every server
-	Zone              // the servers of one site
-	Cell              // the servers of one cell
+	All  KeyScope = iota // every server
+	Zone                 // the servers of one site
+	Cell                 // the servers of one cell
 )
 
 // Type is what the audit must know of a traffic type.
 type Type struct {
-	Name   string
-	Repeat Repeat
-	Group  Group
-	Window time.Duration
-	Sites  []int    // where it may be sent, nil for anywhere
-	Kinds  []string // of servers, likewise
+	Name         string
+	Idempotency  Idempotency
+	KeyScope     KeyScope
+	KeyRetention time.Duration
+	Sites        []int    // where it may be sent, nil for anywhere
+	Kinds        []string // of servers, likewise
 }
 
 // Server is where a server stands.
@@ -38,20 +40,21 @@
 	Kind string
 }
 
-// Figures of the rules.
-type Figures struct {
-	Types       []Type
-	DrainGrace  time.Duration
-	Slack       time.Duration // added to each limit, for what the machine is late
-	MaxAttempts int
-	Copies      bool // a hedged request may be out while the first is
-	Closes      bool // idle connections to a draining server are closed within DrainClose
-	DrainClose  time.Duration
+// Settings of the rules.
+type Settings struct {
+	Types         []Type
+	DrainGrace    time.Duration
+	Slack         time.Duration // added to each limit, for what the machine is late
+	MaxAttempts   int
+	AllowsHedging bool // a hedged request may be out while the first is
+	ClosesOnDrain bool // idle connections to a draining server are closed within DrainClose
+	DrainClose    time.Duration
 }
 
 // End is how a client's try ended.
 type End uint8
 
+// Ends of a try.
 const (
 	Answered     End = iota // in time
 	Late                    // answered when the client's time was up, but within the slack
@@ -64,6 +67,7 @@
 // Condition of a server, as a node was told.
 type Condition uint8
 
+// Conditions of a server.
 const (
 	Serving  Condition = iota // may be sent to
 	Draining                  // finishes what it has, and gets nothing new
--- a/internal/testbed/capacity/fit.go
+++ b/internal/testbed/capacity/fit.go
@@ -17,6 +17,7 @@
 // Shape is how a figure grows with a size.
 type Shape int
 
+// Shapes that a figure may grow by.
 const (
 	Constant Shape = iota
 	Linear
--- a/internal/testbed/load/client.go
+++ b/internal/testbed/load/client.go
@@ -51,13 +51,14 @@
 // End is how a try ended.
 type End uint8
 
+// Ends of a try.
 const (
-	Answered     End = iota // a whole answer, with its status
-	Late                    // the same, but only after the client would have gone
-	Unanswered              // the client's time was up
-	Dropped                 // the connection ended with no whole answer
+	Answered     End = iota // a complete response, with its status
+	Late                    // the same, after the client's timeout
+	Unanswered              // the client's timeout passed
+	Dropped                 // the connection ended without a complete response
 	Unsent                  // no connection, or it broke before the last byte was written
-	Disconnected            // the client went before its time was up
+	Disconnected            // the client disconnected before its timeout
 )
 
 // Try is one sending of a request. Times count since the start.
--- a/internal/testbed/load/load_test.go
+++ b/internal/testbed/load/load_test.go
@@ -214,10 +214,10 @@
 		"handled":           {"hire-book", func(c net.Conn, r *http1.Request, n int) bool { return own(c, r) }, Handled, 1, nil},
 		"denied, then not":  {"hire-book", func(c net.Conn, r *http1.Request, n int) bool { return n == 1 && say(c, 503, "") || own(c, r) }, Handled, 2, nil},
 		"denied throughout": {"hire-book", func(c net.Conn, r *http1.Request, n int) bool { return say(c, 429, "") }, Rejected, 3, nil},
-		"booking lost":      {"hire-book", func(c net.Conn, r *http1.Request, n int) bool { return say(c, 502, "") }, WrittenOff, 1, nil},
-		"check lost":        {"hire-check", func(c net.Conn, r *http1.Request, n int) bool { return say(c, 502, "") }, WrittenOff, 3, nil},
+		"booking lost":      {"hire-book", func(c net.Conn, r *http1.Request, n int) bool { return say(c, 502, "") }, Failed, 1, nil},
+		"check lost":        {"hire-check", func(c net.Conn, r *http1.Request, n int) bool { return say(c, 502, "") }, Failed, 3, nil},
 		"silence":           {"hire-book", func(c net.Conn, r *http1.Request, n int) bool { return true }, NoAnswer, 1, func(t Try) bool { return t.End == Unanswered }},
-		"half an answer": {"hire-book", func(c net.Conn, r *http1.Request, n int) bool { c.Write([]byte("HTTP/1.1 200 OK\r\n")); return false }, WrittenOff, 1,
+		"half an answer": {"hire-book", func(c net.Conn, r *http1.Request, n int) bool { c.Write([]byte("HTTP/1.1 200 OK\r\n")); return false }, Failed, 1,
 			func(t Try) bool { return t.End == Dropped }},
 		"another's answer": {"hire-book", func(c net.Conn, r *http1.Request, n int) bool { return say(c, 200, "0123") }, Handled, 1, func(t Try) bool { return t.Foreign }},
 		"two answers": {"hire-book", func(c net.Conn, r *http1.Request, n int) bool {
--- a/internal/testbed/load/result.go
+++ b/internal/testbed/load/result.go
@@ -20,11 +20,12 @@
 // Outcome is how a request ended, with all its tries.
 type Outcome uint8
 
+// Outcomes of a request.
 const (
 	Handled           Outcome = iota // answered with success in the client's time
-	InTarget                         // handled within its target time; counted in Handled as well
+	WithinObjective                  // handled within its target time; counted in Handled as well
 	Rejected                         // the last try was
-	WrittenOff                       // the last try was, or its connection ended
+	Failed                           // the last try was, or its connection ended
 	NoAnswer                         // the last try got none in time
 	Unreached                        // the last try found no node to send to
 	DisconnectedEarly                // its client went before its time was up: nothing was to be gained
@@ -128,7 +129,7 @@
 		r.Outcomes[Handled]++
 		timed = true
 		if latency <= r.scenario.Types[o.Type].Target.Std() {
-			r.Outcomes[InTarget]++
+			r.Outcomes[WithinObjective]++
 			gained = worth
 		}
 	case t.End == Answered && (t.Status == 429 || t.Status == 503):
@@ -138,7 +139,7 @@
 		r.Outcomes[Unreached]++
 		p.Failed++
 	case t.End == Answered, t.End == Dropped:
-		r.Outcomes[WrittenOff]++
+		r.Outcomes[Failed]++
 		p.Failed++
 	default:
 		r.Outcomes[NoAnswer]++
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -33,16 +33,16 @@
 const never = time.Duration(1<<62 - 1)
 
 func newObserver(s *scenario.Scenario, ops []load.Request, start time.Time) *observer {
-	f := audit.Figures{DrainGrace: s.Rules.DrainGrace.Std(), Slack: s.Rules.Slack.Std(), MaxAttempts: s.Rules.MaxAttempts, Copies: s.Rules.Copies,
-		Closes: s.Rules.DrainClose > 0, DrainClose: s.Rules.DrainClose.Std()}
+	f := audit.Settings{DrainGrace: s.Rules.DrainGrace.Std(), Slack: s.Rules.Slack.Std(), MaxAttempts: s.Rules.MaxAttempts, AllowsHedging: s.Rules.Copies,
+		ClosesOnDrain: s.Rules.DrainClose > 0, DrainClose: s.Rules.DrainClose.Std()}
 	for _, t := range s.Types {
 		var sites []int
 		for _, site := range t.OnlySites {
 			sites = append(sites, slices.Index(s.Sites, site))
 		}
-		f.Types = append(f.Types, audit.Type{Name: t.Name, Window: t.Window.Std(), Sites: sites, Kinds: t.OnlyKinds,
-			Repeat: map[string]audit.Repeat{"fingerprinted": audit.Fingerprinted, "binding": audit.Binding}[t.Repeat],
-			Group:  map[string]audit.Group{"zone": audit.Zone, "cell": audit.Cell}[t.Group]})
+		f.Types = append(f.Types, audit.Type{Name: t.Name, KeyRetention: t.Window.Std(), Sites: sites, Kinds: t.OnlyKinds,
+			Idempotency: map[string]audit.Idempotency{"fingerprinted": audit.IdempotentWithKey, "binding": audit.NonIdempotent}[t.Repeat],
+			KeyScope:    map[string]audit.KeyScope{"zone": audit.Zone, "cell": audit.Cell}[t.Group]})
 	}
 	return &observer{start: start, s: s, requests: ops, audit: audit.New(f), servers: map[string]int{}, listed: map[int]map[int]bool{}, missing: map[int]map[int]time.Duration{}, drained: map[[2]int]bool{}, since: make([]time.Duration, s.Nodes.Count)}
 }
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -109,8 +109,8 @@
 // New sums a run up.
 func New(s *scenario.Scenario, policy string, ops []load.Request, o *testbed.Outcome) Report {
 	r := Report{Scenario: s.Name, Seed: s.Seed, Policy: policy, Nodes: s.Nodes.Count, Servers: len(s.ServerNames()), Offered: len(ops),
-		Service: round(o.Service()), AnsweredInTarget: o.Outcomes[load.InTarget], Handled: o.Outcomes[load.Handled], Rejected: o.Outcomes[load.Rejected],
-		WrittenOff: o.Outcomes[load.WrittenOff], Unanswered: o.Outcomes[load.NoAnswer], Unreached: o.Outcomes[load.Unreached], DisconnectedEarly: o.Outcomes[load.DisconnectedEarly], Tries: o.Tries, Rules: o.Rules,
+		Service: round(o.Service()), AnsweredInTarget: o.Outcomes[load.WithinObjective], Handled: o.Outcomes[load.Handled], Rejected: o.Outcomes[load.Rejected],
+		WrittenOff: o.Outcomes[load.Failed], Unanswered: o.Outcomes[load.NoAnswer], Unreached: o.Outcomes[load.Unreached], DisconnectedEarly: o.Outcomes[load.DisconnectedEarly], Tries: o.Tries, Rules: o.Rules,
 		Latency: map[string]Latency{}, ByTenant: map[string]Part{}, BySite: map[string]Part{},
 		Generator:  Generator{millis(o.Late.Max), round(o.Late.Share), o.Late.Behind, round(o.Late.Bin)},
 		Discovery:  Discovery{o.Calls, math.Round(o.Lines), o.TurnedOff},
--- a/internal/testbed/standin/memdisk/memdisk.go
+++ b/internal/testbed/standin/memdisk/memdisk.go
@@ -17,21 +17,22 @@
 	"fernvane/internal/journal/wal"
 )
 
-// Fault of one request on the disk.
+// Fault of one operation on the disk.
 type Fault uint8
 
+// Faults that a disk can have.
 const (
-	None  Fault = iota // it goes through
-	Short              // half of a write comes through, and it says so
+	None  Fault = iota // no fault
+	Short              // half of a write is done, and reported so
 	Full               // an error, and nothing is written
-	Lying              // a write's whole text comes through, and an error is told
-	Dead               // the machine dies here, and nothing comes through any more
+	Lying              // a write is done, and an error is reported
+	Dead               // the machine fails here: nothing more is done
 )
 
 // ErrDisk is what a failing disk says.
 var ErrDisk = errors.New("no space left on device")
 
-// Disk is a bindlog.Files.
+// Disk is a wal.FileSystem in memory.
 type Disk struct {
 	mu         sync.Mutex
 	files      map[string]*file
--- a/internal/testbed/standin/server/model.go
+++ b/internal/testbed/standin/server/model.go
@@ -33,30 +33,32 @@
 	Until time.Duration // when its sender stops waiting
 }
 
-// What becomes of a job.
-type What uint8
+// Step is what becomes of a request at a server.
+type Step uint8
 
+// Steps of a request.
 const (
-	Began   What = iota // its work runs; from here on it has had its effect
+	Began   Step = iota // its work runs; from here on it has had its effect
 	Done                // its work is over
 	Expired             // it was over before its turn, and has not begun
 	Lost                // the server died with it
 )
 
-// Event is one step of a job.
+// Event is one step of a request.
 type Event struct {
 	ID   uint64
-	What What
+	Step Step
 	At   time.Duration
 }
 
-// Verdict is a server's answer to an offer.
-type Verdict uint8
+// Admission is whether a server takes a request.
+type Admission uint8
 
+// Answers to a request.
 const (
-	Taken Verdict = iota // it runs or waits
-	Full                 // its queue takes no more
-	Down                 // it does not run
+	Admitted Admission = iota // it runs or waits
+	Full                      // its queue takes no more
+	Down                      // it does not run
 )
 
 type running struct {
@@ -113,7 +115,7 @@
 }
 
 // Offer hands over a job whose last byte has come. Jobs that fall the server are lost with the others.
-func (m *Model) Offer(now time.Duration, j Work, tell func(Event)) Verdict {
+func (m *Model) Offer(now time.Duration, j Work, tell func(Event)) Admission {
 	m.Advance(now, tell)
 	if !m.up {
 		return Down
@@ -130,7 +132,7 @@
 	}
 	m.queue = append(m.queue, j)
 	m.begin(now, tell)
-	return Taken
+	return Admitted
 }
 
 // count keeps what a cold server was sent within the window; more than the multiple of what it can do now falls it.
--- a/internal/testbed/standin/server/model_test.go
+++ b/internal/testbed/standin/server/model_test.go
@@ -16,7 +16,7 @@
 	came := make([]time.Duration, n)
 	waited := make([]float64, 0, n)
 	tell := func(e Event) {
-		if e.What == Began {
+		if e.Step == Began {
 			waited = append(waited, (e.At - came[e.ID]).Seconds())
 		}
 	}
@@ -89,50 +89,50 @@
 func TestModel(t *testing.T) {
 	type told struct {
 		id   uint64
-		what What
+		what Step
 		at   time.Duration
 	}
 	basic := Figures{Cores: 1, Speed: 2, Queue: 1}
 	cold := Figures{Cores: 1, Speed: 1, Queue: 99, ColdShare: 0.5, ColdFor: 10 * time.Second, FallMultiple: 2, FallWindow: time.Second}
 	for name, c := range map[string]struct {
 		f    Figures
-		play func(m *Model, tell func(Event)) []Verdict
-		says []Verdict
+		play func(m *Model, tell func(Event)) []Admission
+		says []Admission
 		want []told
 	}{
-		"speed": {basic, func(m *Model, tell func(Event)) []Verdict {
+		"speed": {basic, func(m *Model, tell func(Event)) []Admission {
 			v := m.Offer(0, Work{ID: 1, Work: 20 * ms}, tell)
 			m.Advance(time.Second, tell)
-			return []Verdict{v}
-		}, []Verdict{Taken}, []told{{1, Began, 0}, {1, Done, 10 * ms}}},
-		"one runs, one waits, one is turned away": {basic, func(m *Model, tell func(Event)) (v []Verdict) {
+			return []Admission{v}
+		}, []Admission{Admitted}, []told{{1, Began, 0}, {1, Done, 10 * ms}}},
+		"one runs, one waits, one is turned away": {basic, func(m *Model, tell func(Event)) (v []Admission) {
 			for i := range 3 {
 				v = append(v, m.Offer(0, Work{ID: uint64(i), Work: 20 * ms}, tell))
 			}
 			m.Advance(time.Second, tell)
 			return v
-		}, []Verdict{Taken, Taken, Full}, []told{{0, Began, 0}, {0, Done, 10 * ms}, {1, Began, 10 * ms}, {1, Done, 20 * ms}}},
-		"over before its turn": {Figures{Cores: 1, Speed: 1, Queue: 9, Drops: true}, func(m *Model, tell func(Event)) []Verdict {
+		}, []Admission{Admitted, Admitted, Full}, []told{{0, Began, 0}, {0, Done, 10 * ms}, {1, Began, 10 * ms}, {1, Done, 20 * ms}}},
+		"over before its turn": {Figures{Cores: 1, Speed: 1, Queue: 9, Drops: true}, func(m *Model, tell func(Event)) []Admission {
 			m.Offer(0, Work{ID: 1, Work: 20 * ms, Until: time.Second}, tell)
 			m.Offer(0, Work{ID: 2, Work: 20 * ms, Until: 15 * ms}, tell)
 			m.Advance(time.Second, tell)
 			return nil
 		}, nil, []told{{1, Began, 0}, {1, Done, 20 * ms}, {2, Expired, 20 * ms}}},
-		"a pause": {basic, func(m *Model, tell func(Event)) []Verdict {
+		"a pause": {basic, func(m *Model, tell func(Event)) []Admission {
 			m.Offer(0, Work{ID: 1, Work: 20 * ms}, tell)
 			m.Pause(4*ms, tell)
 			v := m.Offer(50*ms, Work{ID: 2, Work: 20 * ms}, tell)
 			m.Resume(104*ms, tell)
 			m.Advance(time.Second, tell)
-			return []Verdict{v}
-		}, []Verdict{Taken}, []told{{1, Began, 0}, {1, Done, 110 * ms}, {2, Began, 110 * ms}, {2, Done, 120 * ms}}},
-		"slow": {basic, func(m *Model, tell func(Event)) []Verdict {
+			return []Admission{v}
+		}, []Admission{Admitted}, []told{{1, Began, 0}, {1, Done, 110 * ms}, {2, Began, 110 * ms}, {2, Done, 120 * ms}}},
+		"slow": {basic, func(m *Model, tell func(Event)) []Admission {
 			m.Slow(5)
 			m.Offer(0, Work{ID: 1, Work: 20 * ms}, tell)
 			m.Advance(time.Second, tell)
 			return nil
 		}, nil, []told{{1, Began, 0}, {1, Done, 50 * ms}}},
-		"a key met lately": {Figures{Cores: 1, Speed: 1, Queue: 9, KeyGain: 0.5, KeyFor: time.Second, Keys: 1}, func(m *Model, tell func(Event)) []Verdict {
+		"a key met lately": {Figures{Cores: 1, Speed: 1, Queue: 9, KeyGain: 0.5, KeyFor: time.Second, Keys: 1}, func(m *Model, tell func(Event)) []Admission {
 			for i, key := range []int{7, 7, 8, 7} { // the last was forgotten for 8
 				m.Offer(time.Duration(i)*100*ms, Work{ID: uint64(i), Work: 20 * ms, Key: key}, tell)
 			}
@@ -141,35 +141,35 @@
 			return nil
 		}, nil, []told{{0, Began, 0}, {0, Done, 20 * ms}, {1, Began, 100 * ms}, {1, Done, 110 * ms}, {2, Began, 200 * ms}, {2, Done, 220 * ms},
 			{3, Began, 300 * ms}, {3, Done, 320 * ms}, {4, Began, 2000 * ms}, {4, Done, 2020 * ms}}},
-		"a crash, and a cold return": {cold, func(m *Model, tell func(Event)) []Verdict {
+		"a crash, and a cold return": {cold, func(m *Model, tell func(Event)) []Admission {
 			m.Offer(0, Work{ID: 1, Work: 20 * ms}, tell)
 			m.Offer(0, Work{ID: 2, Work: 20 * ms}, tell)
 			m.Crash(5*ms, tell)
-			v := []Verdict{m.Offer(6*ms, Work{ID: 3, Work: 20 * ms}, tell)}
+			v := []Admission{m.Offer(6*ms, Work{ID: 3, Work: 20 * ms}, tell)}
 			m.Start(10 * time.Second)
 			v = append(v, m.Offer(10*time.Second, Work{ID: 4, Work: 20 * ms}, tell))
 			m.Advance(time.Hour, tell)
 			return v
-		}, []Verdict{Down, Taken}, []told{{1, Began, 0}, {2, Lost, 5 * ms}, {1, Lost, 5 * ms}, {4, Began, 10 * time.Second}, {4, Done, 10*time.Second + 40*ms}}},
-		"sent too much while cold": {cold, func(m *Model, tell func(Event)) []Verdict {
+		}, []Admission{Down, Admitted}, []told{{1, Began, 0}, {2, Lost, 5 * ms}, {1, Lost, 5 * ms}, {4, Began, 10 * time.Second}, {4, Done, 10*time.Second + 40*ms}}},
+		"sent too much while cold": {cold, func(m *Model, tell func(Event)) []Admission {
 			m.Crash(0, tell)
 			m.Start(0)
-			v := []Verdict{m.Offer(0, Work{ID: 1, Work: 900 * ms}, tell), m.Offer(0, Work{ID: 2, Work: 200 * ms}, tell)}
+			v := []Admission{m.Offer(0, Work{ID: 1, Work: 900 * ms}, tell), m.Offer(0, Work{ID: 2, Work: 200 * ms}, tell)}
 			if !m.Fallen() || m.Start(time.Second) {
 				v = nil
 			}
 			return v
-		}, []Verdict{Taken, Down}, []told{{1, Began, 0}, {1, Lost, 0}}},
-		"the same spread out": {cold, func(m *Model, tell func(Event)) []Verdict {
+		}, []Admission{Admitted, Down}, []told{{1, Began, 0}, {1, Lost, 0}}},
+		"the same spread out": {cold, func(m *Model, tell func(Event)) []Admission {
 			m.Crash(0, tell)
 			m.Start(0)
-			v := []Verdict{m.Offer(0, Work{ID: 1, Work: 900 * ms}, func(Event) {}), m.Offer(1001*ms, Work{ID: 2, Work: 200 * ms}, func(Event) {})}
+			v := []Admission{m.Offer(0, Work{ID: 1, Work: 900 * ms}, func(Event) {}), m.Offer(1001*ms, Work{ID: 2, Work: 200 * ms}, func(Event) {})}
 			return v
-		}, []Verdict{Taken, Taken}, nil},
+		}, []Admission{Admitted, Admitted}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var got []told
-			v := c.play(New(c.f), func(e Event) { got = append(got, told{e.ID, e.What, e.At}) })
+			v := c.play(New(c.f), func(e Event) { got = append(got, told{e.ID, e.Step, e.At}) })
 			if !slices.Equal(v, c.says) || !slices.Equal(got, c.want) {
 				t.Errorf("says %v, and\n%v", v, got)
 			}
--- a/internal/testbed/standin/server/request.go
+++ b/internal/testbed/standin/server/request.go
@@ -101,7 +101,7 @@
 	if fresh {
 		work += b.f.Handshake
 	}
-	h := &attempt{id: id, ended: make(chan What, 1)}
+	h := &attempt{id: id, ended: make(chan Step, 1)}
 	switch b.offer(h, Work{Work: work, Key: asked.Key, Until: last + time.Duration(left*float64(time.Second))}) {
 	case Full:
 		return b.reject(p, id, 503)
@@ -128,14 +128,14 @@
 }
 
 // offer gives the model an attempt; a server that falls under it leaves its addresses.
-func (b *Server) offer(h *attempt, j Work) (verdict Verdict) {
+func (b *Server) offer(h *attempt, j Work) (verdict Admission) {
 	fell := false
 	b.do(func(now time.Duration) {
 		b.last++
 		b.attempts[b.last] = h
 		j.ID = b.last
 		verdict = b.model.Offer(now, j, b.event)
-		if verdict != Taken {
+		if verdict != Admitted {
 			delete(b.attempts, b.last)
 		}
 		fell = verdict == Down && b.model.Fallen()
@@ -154,7 +154,7 @@
 
 // work waits for the end of an attempt, which its caller's leaving does not change; gone tells that it has left, and that
 // the watcher was told that the attempt is over.
-func (b *Server) work(p peer, h *attempt) (what What, gone bool) {
+func (b *Server) work(p peer, h *attempt) (what Step, gone bool) {
 	watched := make(chan struct{})
 	go func() {
 		defer close(watched)
--- a/internal/testbed/standin/server/server.go
+++ b/internal/testbed/standin/server/server.go
@@ -75,7 +75,7 @@
 
 type attempt struct {
 	id    uint64 // of the request
-	ended chan What
+	ended chan Step
 }
 
 // NewServer makes a server that listens at one address for callers of each site.
@@ -130,12 +130,12 @@
 	if h == nil {
 		return
 	}
-	if e.What == Began {
+	if e.Step == Began {
 		b.tells = append(b.tells, func() { b.watch.Ran(h.id, b.Number, e.At) })
 		return
 	}
 	delete(b.attempts, e.ID)
-	h.ended <- e.What
+	h.ended <- e.Step
 }
 
 // Model gives a look at the model, or changes it.
