--- a/internal/testbed/load/result.go
+++ b/internal/testbed/load/result.go
@@ -17,14 +17,15 @@
 	digits      = 3                               // of a latency
 )
 
-// Outcome is how an operation ended, with all its tries.
+// Outcome is how a request ended, with all its tries.
 type Outcome uint8
 
+// Outcomes of a request.
 const (
 	Handled           Outcome = iota // answered with success in the client's time
-	InTarget                         // handled within its target time; counted in Handled as well
+	WithinObjective                  // handled within its target time; counted in Handled as well
 	Rejected                         // the last try was
-	WrittenOff                       // the last try was, or its connection ended
+	Failed                           // the last try was, or its connection ended
 	NoAnswer                         // the last try got none in time
 	Unreached                        // the last try found no node to send to
 	DisconnectedEarly                // its client went before its time was up: nothing was to be gained
@@ -35,7 +36,7 @@
 type Point struct {
 	Asked    float64 // revenue asked for
 	Gained   float64 // of it, answered within the target time, by when it was asked
-	Rejected int     // operations
+	Rejected int     // requests
 	Failed   int     // likewise
 	Latency  *hdrhistogram.Histogram
 }
@@ -63,7 +64,7 @@
 	Name    string
 	Asked   float64                 // revenue asked for
 	Gained  float64                 // of it, answered within the target time
-	Latency *hdrhistogram.Histogram // microseconds from the scheduled moment, of operations handled or not answered
+	Latency *hdrhistogram.Histogram // microseconds from the scheduled moment, of requests handled or not answered
 }
 
 func newHistogram() *hdrhistogram.Histogram {
@@ -103,7 +104,7 @@
 	}
 }
 
-// ended books an operation under the moment at which it was scheduled. An operation that got no answer counts with the
+// ended books a request under the moment at which it was scheduled. A request that got no answer counts with the
 // time that its client waited: leaving it out would make a silent node look fast.
 func (r *Result) ended(o *Request, t *Try) {
 	r.mu.Lock()
@@ -128,7 +129,7 @@
 		r.Outcomes[Handled]++
 		timed = true
 		if latency <= r.scenario.Types[o.Type].Target.Std() {
-			r.Outcomes[InTarget]++
+			r.Outcomes[WithinObjective]++
 			gained = worth
 		}
 	case t.End == Answered && (t.Status == 429 || t.Status == 503):
@@ -138,7 +139,7 @@
 		r.Outcomes[Unreached]++
 		p.Failed++
 	case t.End == Answered, t.End == Dropped:
-		r.Outcomes[WrittenOff]++
+		r.Outcomes[Failed]++
 		p.Failed++
 	default:
 		r.Outcomes[NoAnswer]++
@@ -161,7 +162,7 @@
 	}
 }
 
-// Worth is the revenue of an operation; beyond its tenant's allowance it is a part.
+// Worth is the revenue of a request; beyond its tenant's allowance it is a part.
 func (r *Result) Worth(o *Request) float64 {
 	w := r.scenario.Types[o.Type].Revenue
 	if o.Beyond {
