--- a/internal/discovery/incarnation/entry.go
+++ b/internal/discovery/incarnation/entry.go
@@ -28,7 +28,7 @@
 
 	ID            string
 	StartedUnixMS int64     // 0 if it is not known
-	Generation    uint32    // how often the server was reinstated since its start, as when a drain is cancelled
+	Generation    uint32    // how often the server was reinstated since its start, as when a drain is canceled
 	Condition     Condition // within the incarnation, which is StartedUnixMS and Generation
 	Revision      uint64    // of the source that announced this
 	Address       string    // host:port
--- a/internal/proxy/dispatch/attemptresult.go
+++ b/internal/proxy/dispatch/attemptresult.go
@@ -5,22 +5,22 @@
 // AttemptResult is how an attempt ended.
 type AttemptResult uint8
 
-// Results up to NotStarted are whole responses, after which the connection may be used again. The numbers and the names
+// Results up to NotStarted are complete responses, after which the connection may be used again. The numbers and the names
 // of results are stored in journals: new ones are added at the end.
 const (
-	Succeeded         AttemptResult = iota // a whole response with status 200
-	ErrorResponse                          // any other whole response
+	Succeeded         AttemptResult = iota // a complete response with status 200
+	ErrorResponse                          // any other complete response
 	RequestFault                           // a response that finds the request itself faulty
 	NotStarted                             // a response that says that the server did not begin
 	ConnectRefused                         // no connection: refused at once
 	ConnectTimeout                         // no connection within Settings.ConnectTimeout
 	WriteFailed                            // a new connection broke before the last byte was written
-	StaleConnection                        // a reused connection broke so, which tells nothing of its server now
+	StaleConnection                        // a reused connection broke so, which shows nothing about its server now
 	NoDescriptor                           // no connection: this node had no descriptor left
 	ExpiredUnsent                          // the attempt timed out before its last byte was written, or its server had left
-	ConnectionLost                         // the connection ended after the last byte, before the whole response
+	ConnectionLost                         // the connection ended after the last byte, before the complete response
 	MalformedResponse                      // the response cannot be read
-	ResponseTimeout                        // no whole response within the attempt's timeout
+	ResponseTimeout                        // no complete response within the attempt's timeout
 	JournalFailed                          // not sent, because the journal did not store that it would be
 	Abandoned                              // the request was settled while the attempt was in flight
 	attemptResultCount
--- a/internal/proxy/dispatch/clients.go
+++ b/internal/proxy/dispatch/clients.go
@@ -30,7 +30,7 @@
 	idleElement       *list.Element // in descriptorBudget.idleClients; nil while it may not be closed
 	idleSince         time.Duration
 	openRequests      int  // started and not finished
-	hasSentRequest    bool // at least one whole request
+	hasSentRequest    bool // at least one complete request
 	hasPartialRequest bool
 	isWaiting         bool // the reader waits, and has nothing left to handle
 	isEvicted         bool // closed by the Dispatcher
@@ -75,7 +75,7 @@
 	return !c.isEvicted
 }
 
-// RequestStarted reports that a whole request has been read and will be answered.
+// RequestStarted reports that a complete request has been read and will be answered.
 func (c *Client) RequestStarted() {
 	c.dispatcher.mu.Lock()
 	defer c.dispatcher.unlock()
--- a/internal/proxy/dispatch/doc.go
+++ b/internal/proxy/dispatch/doc.go
@@ -27,7 +27,7 @@
 //
 //	dispatcher.go     construction, the lock, the timer
 //	endpoints.go      endpoint list updates from all sources
-//	routes.go         the table of routes that holds
+//	routes.go         the current table of routes
 //	cautious.go       restrictions while a cached endpoint list is not fully trusted
 //	submit.go         acceptance of new requests
 //	request.go        a request in flight, from acceptance to its final answer
--- a/internal/proxy/dispatch/endpoints.go
+++ b/internal/proxy/dispatch/endpoints.go
@@ -33,7 +33,7 @@
 
 // server is what is kept of an upstream server beside its endpoint record.
 type server struct {
-	announced policy.Endpoint // as the decision module was last told
+	announced policy.Endpoint // as it was last passed to the decision module
 	isFastCGI bool            // which protocol it speaks; else HTTP
 	idle      []idleConn      // in the order of last use
 }
@@ -64,7 +64,7 @@
 	d.engine.EndpointsUpdated(d.now(), policy.Unavailable, nil, d.effects())
 }
 
-// ApplyList takes over an endpoint list, whole or with changes only, from one of its sources.
+// ApplyList takes over an endpoint list, full or with changes only, from one of its sources.
 func (d *Dispatcher) ApplyList(list http1.EndpointList, source endpoints.Source) {
 	announced := make([]endpoints.Endpoint, 0, len(list.Hosts))
 	for _, h := range list.Hosts {
@@ -125,7 +125,7 @@
 	return info
 }
 
-// recordServer keeps what the decision module is told of a server, unless the server is unknown and already gone.
+// recordServer records what the decision module gets of a server, unless the server is unknown and already gone.
 func (d *Dispatcher) recordServer(endpoint endpoints.Endpoint, info policy.Endpoint) {
 	s := d.servers.byID[endpoint.ID]
 	if s == nil {
--- a/internal/proxy/dispatch/report.go
+++ b/internal/proxy/dispatch/report.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// recordAttempt counts an attempt's result. Results that tell nothing of the server, or of the request alone, are left out.
+// recordAttempt counts an attempt's result. Results that say nothing about the server, or something about the request only, are left out.
 func (c *reportCollector) recordAttempt(server string, trafficType int, result AttemptResult, elapsed time.Duration) {
 	if !c.isEnabled || trafficType >= len(c.arrivals) {
 		return
--- a/internal/proxy/dispatch/request.go
+++ b/internal/proxy/dispatch/request.go
@@ -17,8 +17,8 @@
 	undecided   Action = iota
 	SendAttempt        // send the request to Decision.Server
 	Respond            // send Decision.Answer to the client
-	Reject             // tell the client that nothing has run and that it may retry
-	Fail               // tell the client that the outcome is not known
+	Reject             // answer that nothing was executed and that the client may retry
+	Fail               // answer that the outcome is not known
 	Drop               // do nothing: the client has left
 )
 
@@ -125,7 +125,7 @@
 }
 
 // BeginWrite reports whether an attempt may be written now, which is not so once the request is settled. From then on the
-// attempt is not cancelled when the client leaves, for what it tells about its server.
+// attempt is not canceled when the client leaves, for what it shows about its server.
 func (r *Request) BeginWrite(attempt int) bool {
 	r.dispatcher.mu.Lock()
 	defer r.dispatcher.unlock()
@@ -173,7 +173,7 @@
 }
 
 // ClientDisconnected reports that the client has left. An answer that comes later is not sent. An attempt whose write has
-// begun goes on, for what it tells about its server.
+// begun goes on, for what it shows about its server.
 func (r *Request) ClientDisconnected() {
 	r.dispatcher.mu.Lock()
 	defer r.dispatcher.unlock()
@@ -215,7 +215,7 @@
 	r.removeIfDone()
 }
 
-// settle decides on the one final answer. Attempts in flight are cancelled, except that those whose write has begun go on
+// settle decides on the one final answer. Attempts in flight are canceled, except that those whose write has begun go on
 // after the client has left.
 func (r *Request) settle(decision Decision) {
 	d := r.dispatcher
--- a/internal/proxy/dispatch/routes.go
+++ b/internal/proxy/dispatch/routes.go
@@ -7,7 +7,7 @@
 	"fernvane/policy"
 )
 
-// Routes returns the table of routes that holds now; nil if there is none.
+// Routes returns the current table of routes; nil if there is none.
 func (d *Dispatcher) Routes() *route.Table { return d.activeRoutes.Load() }
 
 // SetRoutes replaces the table of routes. Requests that were accepted before keep the limits they were accepted under.
--- a/internal/proxy/dispatch/submit.go
+++ b/internal/proxy/dispatch/submit.go
@@ -11,14 +11,14 @@
 // Reasons why Submit does not accept a request.
 var (
 	// ErrNoCapacity says that the node's descriptors allow no more requests in flight.
-	ErrNoCapacity = errors.New("as many operations as descriptors allow are in hand")
-	// ErrDuplicateID says that a request with the same ID has no answer yet.
+	ErrNoCapacity = errors.New("the limit of requests in flight is reached")
+	// ErrDuplicateID says that a request with the same ID has no answer yet. Clients get its text.
 	ErrDuplicateID = errors.New("an operation of this id is open")
 	// ErrRouteLimit says that a limit of the request's route is reached.
-	ErrRouteLimit = errors.New("its route takes no more")
-	// ErrRoutesChanged says that the request was matched with a table of routes that holds no more. The caller matches it
-	// again.
-	ErrRoutesChanged = errors.New("the routes have changed since it was matched")
+	ErrRouteLimit = errors.New("a limit of the route is reached")
+	// ErrRoutesChanged says that the request was matched with a table of routes that has been replaced. The caller matches
+	// it again.
+	ErrRoutesChanged = errors.New("the routes have changed since the request was matched")
 )
 
 // Arrival is what is known of a new request.
