--- /dev/null
+++ b/internal/journal/intent/assembler.go
@@ -0,0 +1,66 @@
+package intent
+
+import (
+	"cmp"
+	"slices"
+)
+
+// requestKey identifies a request among all nodes' journals.
+type requestKey struct {
+	incarnation uint64
+	number      uint64
+}
+
+func keyOf(r *Record) requestKey {
+	return requestKey{incarnation: r.Incarnation, number: r.RequestNumber}
+}
+
+// Assembler puts the records of one journal together to entries. It keeps only those entries that may still change.
+type Assembler struct {
+	open map[requestKey]*Entry
+	// Gaps are the Gap records that were added.
+	Gaps []Record
+	// HasDamage is set by the caller where records could not be read: an entry without its end may have had more attempts
+	// than are known.
+	HasDamage bool
+}
+
+// NewAssembler begins without entries.
+func NewAssembler() *Assembler { return &Assembler{open: map[requestKey]*Entry{}} }
+
+// Add takes in a record and returns the entry that is complete with it, nil for none. Records of unknown kinds and chunk
+// headers are passed over.
+func (a *Assembler) Add(r *Record) *Entry {
+	switch {
+	case r.Kind == 0 || r.Kind >= ChunkHeader:
+		return nil
+	case r.Kind == Gap:
+		a.Gaps = append(a.Gaps, *r)
+		return nil
+	}
+	key := keyOf(r)
+	e := a.open[key]
+	if e == nil {
+		e = &Entry{Incarnation: r.Incarnation, RequestNumber: r.RequestNumber}
+		a.open[key] = e
+	}
+	e.add(r)
+	if e.IsComplete() {
+		delete(a.open, key)
+		return e
+	}
+	return nil
+}
+
+// Incomplete returns the entries that are not complete, by their time. It is called when all records were added.
+func (a *Assembler) Incomplete() []*Entry {
+	entries := make([]*Entry, 0, len(a.open))
+	for _, e := range a.open {
+		e.MayLackRecords = a.HasDamage && e.ClientOutcome == ""
+		entries = append(entries, e)
+	}
+	slices.SortFunc(entries, func(x, y *Entry) int {
+		return cmp.Or(cmp.Compare(x.AtUnixNano, y.AtUnixNano), cmp.Compare(x.RequestNumber, y.RequestNumber))
+	})
+	return entries
+}
--- /dev/null
+++ b/internal/journal/intent/merger.go
@@ -0,0 +1,36 @@
+package intent
+
+// Merger puts together what several nodes hold of the same requests: a record that comes again changes nothing.
+type Merger struct {
+	Assembler
+	complete map[requestKey]struct{}
+	gaps     map[Record]bool
+}
+
+// NewMerger begins without entries.
+func NewMerger() *Merger {
+	return &Merger{
+		Assembler: *NewAssembler(),
+		complete:  map[requestKey]struct{}{},
+		gaps:      map[Record]bool{},
+	}
+}
+
+// Add takes in a record and returns the entry that is complete with it, nil for none; each entry is returned once.
+func (m *Merger) Add(r *Record) *Entry {
+	if r.Kind == Gap {
+		if m.gaps[*r] {
+			return nil
+		}
+		m.gaps[*r] = true
+	}
+	key := keyOf(r)
+	if _, isComplete := m.complete[key]; isComplete && r.Kind != Gap {
+		return nil
+	}
+	e := m.Assembler.Add(r)
+	if e != nil {
+		m.complete[key] = struct{}{}
+	}
+	return e
+}
