--- /dev/null
+++ b/internal/journal/execution/execution.go
@@ -0,0 +1,112 @@
+// Package execution reads servers' execution records: what each server says that it has run. A text is JSON lines: first
+// {"server":"ID","from":"TIME","to":"TIME"}, which says for what time the list is complete, then {"id":"REQUEST-ID"} for
+// each request that was run. Times are RFC 3339. The records of several servers may follow each other in one text.
+//
+// The command `fernvane bindings reconcile` and nodes that reconcile the journals of lost machines (package peer) read
+// them, and hand them to intent.Reconcile.
+package execution
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"strings"
+	"time"
+
+	"fernvane/internal/journal/intent"
+)
+
+const (
+	maxLineBytes = 64 << 10
+	fetchTimeout = time.Minute
+)
+
+// line is one line of the text: the head of a server's record, or a request in it.
+type line struct {
+	Server string     `json:"server"`
+	From   *time.Time `json:"from"`
+	To     *time.Time `json:"to"`
+	ID     string     `json:"id"`
+}
+
+// Read reads a text and adds its records by their servers' names. An error names the line, and the text as name.
+func Read(name string, r io.Reader, records map[string]*intent.ExecutionRecord) error {
+	s := bufio.NewScanner(r)
+	s.Buffer(nil, maxLineBytes)
+	var current *intent.ExecutionRecord
+	number := 0
+	for s.Scan() {
+		number++
+		if strings.TrimSpace(s.Text()) == "" {
+			continue
+		}
+		next, err := addLine(s.Text(), current, records)
+		if err != nil {
+			return fmt.Errorf("%s:%d: %v", name, number, err)
+		}
+		current = next
+	}
+	if err := s.Err(); err != nil {
+		return fmt.Errorf("%s:%d: %v", name, number+1, err)
+	}
+	return nil
+}
+
+// addLine takes in one line and returns the record to which the lines behind it belong.
+func addLine(text string, current *intent.ExecutionRecord, records map[string]*intent.ExecutionRecord) (*intent.ExecutionRecord, error) {
+	var l line
+	d := json.NewDecoder(strings.NewReader(text))
+	d.DisallowUnknownFields()
+	if err := d.Decode(&l); err != nil {
+		return nil, err
+	}
+	switch {
+	case l.Server != "" && (l.From == nil || l.To == nil):
+		return nil, fmt.Errorf("server %q: from and to say for what time its list is whole", l.Server)
+	case l.Server != "":
+		current = &intent.ExecutionRecord{
+			Server:       l.Server,
+			FromUnixNano: l.From.UnixNano(),
+			ToUnixNano:   l.To.UnixNano(),
+			RequestIDs:   map[string]bool{},
+		}
+		records[l.Server] = current
+	case l.ID == "":
+		return nil, errors.New("neither a server nor an id")
+	case current == nil:
+		return nil, errors.New("an id before any server")
+	default:
+		current.RequestIDs[l.ID] = true
+	}
+	return current, nil
+}
+
+// Load reads a file, or what an http or https URL answers, and adds its records by their servers' names.
+func Load(source string, records map[string]*intent.ExecutionRecord) error {
+	if strings.HasPrefix(source, "http://") || strings.HasPrefix(source, "https://") {
+		return fetch(source, records)
+	}
+	f, err := os.Open(source)
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	return Read(source, f, records)
+}
+
+func fetch(url string, records map[string]*intent.ExecutionRecord) error {
+	c := http.Client{Timeout: fetchTimeout}
+	resp, err := c.Get(url)
+	if err != nil {
+		return err
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s: answered %s", url, resp.Status)
+	}
+	return Read(url, resp.Body, records)
+}
