--- a/internal/journal/wal/files.go
+++ b/internal/journal/wal/filesystem.go
@@ -7,22 +7,26 @@
 	"time"
 )
 
-// FileSystem is the disk beneath a journal. OS is the real one; tests put one in its place that fails as told.
+// FileSystem is the disk beneath a journal. OSFileSystem is the real one; tests use one that fails as told.
 type FileSystem interface {
-	// Create makes a file that was not there before; os.ErrExist where it was.
+	// Create makes a file that was not there before; the error is os.ErrExist where it was.
 	Create(path string) (File, error)
+	// Open opens a file to be read.
 	Open(path string) (io.ReadCloser, error)
+	// List returns the regular files of a folder, in no order.
 	List(dir string) ([]FileInfo, error)
+	// Remove removes a file.
 	Remove(path string) error
 	// Rename gives a file another name in its folder, in place of one that has it.
 	Rename(path, to string) error
-	// SyncDir makes the folder's own entries last.
+	// SyncDir makes the folder's own entries last past the machine's death.
 	SyncDir(dir string) error
 }
 
-// File is one that is written.
+// File is a file that is written.
 type File interface {
 	io.WriteCloser
+	// Sync makes what was written last past the machine's death.
 	Sync() error
 }
 
@@ -33,27 +37,27 @@
 	ModTime time.Time
 }
 
-// OSFileSystem is the system's disk.
+// OSFileSystem is the operating system's file system.
 type OSFileSystem struct{}
 
-// Create makes a file.
+// Create makes a file that was not there before.
 func (OSFileSystem) Create(path string) (File, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
 }
 
-// Open reads one.
+// Open opens a file to be read.
 func (OSFileSystem) Open(path string) (io.ReadCloser, error) { return os.Open(path) }
 
-// List tells of the files in a folder, by name.
+// List returns the regular files of a folder, by name. A file that is removed meanwhile is left out.
 func (OSFileSystem) List(dir string) ([]FileInfo, error) {
 	entries, err := os.ReadDir(dir)
-	var all []FileInfo
+	var files []FileInfo
 	for _, e := range entries {
-		if i, err := e.Info(); err == nil && i.Mode().IsRegular() { // one that has gone meanwhile is none
-			all = append(all, FileInfo{i.Name(), i.Size(), i.ModTime()})
+		if i, err := e.Info(); err == nil && i.Mode().IsRegular() {
+			files = append(files, FileInfo{Name: i.Name(), Size: i.Size(), ModTime: i.ModTime()})
 		}
 	}
-	return all, err
+	return files, err
 }
 
 // Remove removes a file.
--- a/internal/journal/wal/frame.go
+++ b/internal/journal/wal/frame.go
@@ -1,10 +1,8 @@
-// Package wal keeps the journal of bindings on disk: segments that are only ever appended to by the one process that
-// made them, so that anyone may read them meanwhile. Records are framed with their length and a checksum; what cannot be
-// read is skipped and named, and nothing else is lost by it.
 package wal
 
 import (
 	"encoding/binary"
+	"errors"
 	"hash/crc32"
 
 	"github.com/fxamacker/cbor/v2"
@@ -12,49 +10,68 @@
 	"fernvane/internal/journal/intent"
 )
 
+// A frame is a marker (2 bytes), the length of the body (4), a checksum over length and body (4), all little-endian, and
+// the record as CBOR.
 const (
-	marker     = 0xB1D7 // begins each frame, to find the next one behind a place that cannot be read
-	frameHead  = 10     // marker, length, checksum
-	recordMost = 4 << 10
+	frameMarker      = 0xB1D7 // by which the next frame is found behind bytes that cannot be read
+	frameHeaderBytes = 10
+	maxRecordBytes   = 4 << 10
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// appendFrame writes a record.
-func appendFrame(b []byte, r *intent.Record) ([]byte, error) {
+// AppendFrame appends a record to b as it stands in a segment.
+func AppendFrame(b []byte, r *intent.Record) ([]byte, error) {
 	body, err := cbor.Marshal(r)
 	if err != nil {
 		return b, err
 	}
-	b = binary.LittleEndian.AppendUint16(b, marker)
+	b = binary.LittleEndian.AppendUint16(b, frameMarker)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.LittleEndian.AppendUint32(b, checksum(uint32(len(body)), body))
 	return append(b, body...), nil
 }
 
-func checksum(n uint32, body []byte) uint32 {
-	var length [4]byte
-	binary.LittleEndian.PutUint32(length[:], n)
-	return crc32.Update(crc32.Update(0, castagnoli, length[:]), castagnoli, body)
+// checksum covers the length too, so that a changed length is noticed.
+func checksum(length uint32, body []byte) uint32 {
+	var encoded [4]byte
+	binary.LittleEndian.PutUint32(encoded[:], length)
+	return crc32.Update(crc32.Update(0, castagnoli, encoded[:]), castagnoli, body)
 }
 
-// readFrame reads the frame at the start of b. n is its length, 0 where b ends before it does; ok is false where it is
-// none.
-func readFrame(b []byte, r *intent.Record) (n int, ok bool) {
-	if len(b) < frameHead {
-		return 0, len(b) < 2 || binary.LittleEndian.Uint16(b) == marker
+// decodeFrame reads the frame at the start of b into r and returns its length. The length is 0 where b ends within the
+// frame; ok is false where b does not begin with a valid frame.
+func decodeFrame(b []byte, r *intent.Record) (n int, ok bool) {
+	if len(b) < frameHeaderBytes {
+		return 0, len(b) < 2 || binary.LittleEndian.Uint16(b) == frameMarker
 	}
 	length := binary.LittleEndian.Uint32(b[2:])
-	if binary.LittleEndian.Uint16(b) != marker || length == 0 || length > recordMost {
+	if binary.LittleEndian.Uint16(b) != frameMarker || length == 0 || length > maxRecordBytes {
 		return 0, false
 	}
-	n = frameHead + int(length)
+	n = frameHeaderBytes + int(length)
 	if len(b) < n {
 		return 0, true
 	}
-	body := b[frameHead:n]
+	body := b[frameHeaderBytes:n]
 	if checksum(length, body) != binary.LittleEndian.Uint32(b[6:]) || cbor.Unmarshal(body, r) != nil {
 		return 0, false
 	}
 	return n, true
 }
+
+// DecodeFrames calls each for the records in b, which must hold complete frames and nothing else.
+func DecodeFrames(b []byte, each func(*intent.Record) error) error {
+	for len(b) > 0 {
+		var r intent.Record
+		n, ok := decodeFrame(b, &r)
+		if n == 0 || !ok {
+			return errors.New("a record cannot be read")
+		}
+		if err := each(&r); err != nil {
+			return err
+		}
+		b = b[n:]
+	}
+	return nil
+}
--- a/internal/journal/wal/log.go
+++ b/internal/journal/wal/log.go
@@ -10,183 +10,200 @@
 )
 
 const (
-	queueMost  = 8192                   // records that wait to be written
-	againEvery = 500 * time.Millisecond // between two tries to go on after a fault
-	lately     = time.Second            // in which a slow write tells of the next one
-	numberTry  = 100                    // numbers taken by other processes before it is a fault
-	// PartMost is how many numbered records are handed on as one: 250 kB.
-	MaxChunkRecords = 1024
+	maxQueuedRecords     = 8192
+	defaultRetryInterval = 500 * time.Millisecond
+	// slowWriteMemory is how long a write that has ended counts in StalledFor.
+	slowWriteMemory = time.Second
 )
 
-// Why a record is not kept.
+// Why a record is not stored.
 var (
-	ErrQueueFull   = errors.New("too many records wait for the disk")
+	// ErrQueueFull says that too many records wait to be written. The caller may append again a little later.
+	ErrQueueFull = errors.New("too many records wait for the disk")
+	// ErrDiskFailing says that writes have failed, and that no segment takes records yet. It wraps the reason.
 	ErrDiskFailing = errors.New("the disk takes no records")
-	ErrClosed      = errors.New("the journal is closed")
+	// ErrClosed says that the Log was closed.
+	ErrClosed = errors.New("the journal is closed")
 )
 
-// Options of a journal that is written.
+// Options of a Log.
 type Options struct {
-	Dir             string
+	Dir             string // a folder that is there
 	FileSystem      FileSystem
-	Fsync           bool // a record lasts past the machine's death (fsync), not only past the process's
+	Fsync           bool // a record lasts past the machine's death, not only past the process's
 	MaxSegmentBytes int64
-	RetentionAge    time.Duration
-	RetentionBytes  int64
-	Incarnation     uint64
-	RetryInterval   time.Duration // between two tries to go on after a fault; 0: half a second
-	// NoGaps leaves out what was not kept: whoever brought it is told, and brings it again.
+	RetentionAge    time.Duration // older segments are removed; 0: none are
+	RetentionBytes  int64         // of all segments; 0: no bound
+	Incarnation     uint64        // of the process, named by Gap records and chunk headers
+	RetryInterval   time.Duration // between two attempts to write again after a failure; 0: half a second
+	// OmitGaps leaves out Gap records, for a caller that appends again what was refused.
 	OmitGaps bool
-	// Copy has records numbered and handed on, in frames as they are written, before they are; Stored then tells that they
-	// last. What nobody waits for may be handed on a little later. Without it records have no numbers. Both are called by the journal's writer and must wait for nothing.
-	OnChunk  func(first uint64, n int, frames []byte, waited bool)
-	OnStored func(first uint64, n int)
-	// Note is told when the journal begins to fail, and with nil when it goes on.
+	// OnChunk, if set, has records numbered. It is called with each chunk's frames before they are written here, and with
+	// whether anyone waits for a record in it. It is called by the writer and must not block.
+	OnChunk func(first uint64, count int, frames []byte, isAwaited bool)
+	// OnStored says that the records of a chunk last. It must be set with OnChunk, is called by the writer, and must not
+	// block.
+	OnStored func(first uint64, count int)
+	// OnHealthChange, if set, is called with the reason when writes begin to fail, and with nil when they succeed again.
 	OnHealthChange func(error)
 }
 
-// Log is a journal that is written. Appending waits for no disk.
+// Log is a journal that is written. Its methods may be called by any goroutine.
 type Log struct {
-	o Options
-
-	mu      sync.Mutex
-	queue   []pending
-	more    chan struct{}
-	failing error
-	closed  bool
-	busy    time.Time // since when a write has been under way; zero: none
-	wrote   time.Time // when the last one was over
-	took    time.Duration
-	lost    int // records that were not kept
-	lostAt  time.Time
-	done    chan struct{}
-
-	// The writer's own.
-	file   File
-	size   int64
-	number uint64
-	frames []byte
-	seq    uint64 // of the last record of the stream
-	parts  []part // of the batch, where records are numbered
+	options Options
+	wake    chan struct{} // has the writer look at the queue; closed by Close
+	done    chan struct{} // closed when the writer has ended
+
+	mu       sync.Mutex // never held over a file
+	queue    []queuedRecord
+	failure  error // why no records are taken; nil: they are
+	isClosed bool
+	write    writeTimes
+	gap      gap
+
+	// The rest belongs to the writer goroutine.
+	segment struct {
+		file   File // nil after a failure
+		bytes  int64
+		number uint64
+	}
+	frames   []byte         // of the present batch
+	chunks   []writtenChunk // of the present batch, where records are numbered
+	sequence uint64         // of the last numbered record
 }
 
-type pending struct {
-	record intent.Record
-	wait   *Commit
-	seq    uint64 // 0: it has no number yet
-	at     int64  // when its part was written first, Unix time in ns; of the first of a part
+// writeTimes say how the disk has kept up lately.
+type writeTimes struct {
+	began time.Time // of the write that is under way; zero: there is none
+	ended time.Time // of the last one
+	took  time.Duration
 }
 
-// Commit is for a record to last.
-type Commit struct {
-	done chan struct{}
-	err  error
-	seq  uint64
+// gap counts records that were not stored since the last Gap record.
+type gap struct {
+	records int
+	since   time.Time
 }
 
-// SequenceNumber is the record's own in the stream, once Done is closed; 0 where records have none.
-func (w *Commit) SequenceNumber() uint64 { return w.seq }
-
-// Done is closed when the record lasts, or never will.
-func (w *Commit) Done() <-chan struct{} { return w.done }
-
-// Err tells which, once Done is closed.
-func (w *Commit) Err() error { return w.err }
+// queuedRecord waits to be written.
+type queuedRecord struct {
+	record     intent.Record
+	commit     *Commit // nil: nobody waits for it
+	sequence   uint64  // 0: it has no number yet
+	atUnixNano int64   // of the first of a chunk: when it was written first
+}
 
-// Open starts a segment of its own behind those that are there; nothing that is there is touched, so others may read or
+// Open starts a segment of its own behind those that are there. Nothing that is there is touched, so others may read or
 // even write beside it.
 func Open(o Options) (*Log, error) {
-	l := &Log{o: o, more: make(chan struct{}, 1), done: make(chan struct{})}
-	if err := l.next(); err != nil {
+	l := &Log{options: o, wake: make(chan struct{}, 1), done: make(chan struct{})}
+	if err := l.createSegment(); err != nil {
 		return nil, err
 	}
-	go l.write()
+	go l.run()
 	return l, nil
 }
 
-// Append queues records, in order. With wait, the last of them can be waited for; without, nobody minds if they are lost
-// with the process.
+// Append queues records, in order. With wait it returns a Commit for the last of them; without, nobody minds if they are
+// lost with the process. The error is ErrQueueFull, ErrDiskFailing or ErrClosed; then none of the records is stored.
 func (l *Log) Append(wait bool, records ...intent.Record) (*Commit, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var err error
-	switch {
-	case l.closed:
-		err = ErrClosed
-	case l.failing != nil:
-		err = fmt.Errorf("%w: %w", ErrDiskFailing, l.failing)
-	case len(l.queue)+len(records) > queueMost:
-		err = ErrQueueFull
-	}
-	if err != nil {
-		l.lose(len(records))
+	if err := l.refusal(len(records)); err != nil {
+		l.countLost(len(records))
 		return nil, err
 	}
-	var w *Commit
+	var commit *Commit
 	if wait {
-		w = &Commit{done: make(chan struct{})}
+		commit = &Commit{done: make(chan struct{})}
 	}
 	for i, r := range records {
-		p := pending{record: r}
+		q := queuedRecord{record: r}
 		if i == len(records)-1 {
-			p.wait = w
+			q.commit = commit
 		}
-		l.queue = append(l.queue, p)
+		l.queue = append(l.queue, q)
 	}
 	select {
-	case l.more <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
-	return w, nil
+	return commit, nil
 }
 
-// StalledFor tells for how long the write that is under way has been so, or how long the last one took, if that was lately:
-// a disk that was slow a moment ago is not trusted with the next ones all at once.
+// refusal is why so many records cannot be queued now, nil if they can. mu is held.
+func (l *Log) refusal(records int) error {
+	switch {
+	case l.isClosed:
+		return ErrClosed
+	case l.failure != nil:
+		return fmt.Errorf("%w: %w", ErrDiskFailing, l.failure)
+	case len(l.queue)+records > maxQueuedRecords:
+		return ErrQueueFull
+	}
+	return nil
+}
+
+// StalledFor is how long the write that is under way has taken, or how long the last one took, if that ended within the
+// last second: a disk that was slow a moment ago is not trusted with many records at once.
 func (l *Log) StalledFor() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	took := time.Duration(0)
-	if time.Since(l.wrote) < lately {
-		took = l.took
+	if time.Since(l.write.ended) < slowWriteMemory {
+		took = l.write.took
 	}
-	if l.busy.IsZero() {
+	if l.write.began.IsZero() {
 		return took
 	}
-	return max(took, time.Since(l.busy))
+	return max(took, time.Since(l.write.began))
 }
 
-// Failure is why nothing is kept now, nil where it is.
+// Failure is why no records are taken now, nil where they are.
 func (l *Log) Failure() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.failing
+	return l.failure
 }
 
-// CountMissed counts an operation that went on without the journal; a Gap tells of it when the disk takes records again.
+// CountMissed counts a request that went on without the journal. A Gap record tells of it when the disk takes records
+// again.
 func (l *Log) CountMissed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lose(1)
+	l.countLost(1)
 }
 
-func (l *Log) lose(n int) {
-	if l.o.OmitGaps {
+// countLost counts records for the next Gap record. mu is held.
+func (l *Log) countLost(records int) {
+	if l.options.OmitGaps {
 		return
 	}
-	if l.lost == 0 {
-		l.lostAt = time.Now()
+	if l.gap.records == 0 {
+		l.gap.since = time.Now()
+	}
+	l.gap.records += records
+}
+
+// gapRecord tells of the records that were not stored. mu is held.
+func (l *Log) gapRecord() intent.Record {
+	return intent.Record{
+		Kind:        intent.Gap,
+		Incarnation: l.options.Incarnation,
+		AtUnixNano:  time.Now().UnixNano(),
+		From:        l.gap.since.UnixNano(),
+		Count:       l.gap.records,
 	}
-	l.lost += n
 }
 
-// Close writes what is queued and ends.
+// Close writes what is queued and ends the writer. It may be called again.
 func (l *Log) Close() {
 	l.mu.Lock()
-	already := l.closed
-	l.closed = true
+	wasClosed := l.isClosed
+	l.isClosed = true
 	l.mu.Unlock()
-	if !already {
-		close(l.more)
+	if !wasClosed {
+		close(l.wake)
 	}
 	<-l.done
 }
--- a/internal/journal/wal/weigh_test.go
+++ b/internal/journal/wal/weigh_test.go
@@ -1,6 +1,6 @@
 //go:build weigh
 
-package bindlog_test
+package wal_test
 
 import (
 	"encoding/binary"
@@ -23,16 +23,16 @@
 
 // store is one way to keep records: put returns when the record lasts.
 type store struct {
-	put   func(n uint64, r bindings.Record) error
+	put   func(n uint64, r intent.Record) error
 	close func()
 }
 
 func ours(t testing.TB, dir string, machine bool) store {
-	l, err := Open(Options{Dir: dir, Files: OS{}, Machine: machine, SegmentBytes: 16 << 20})
+	l, err := Open(Options{Dir: dir, FileSystem: OSFileSystem{}, Fsync: machine, MaxSegmentBytes: 16 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return store{func(_ uint64, r bindings.Record) error {
+	return store{func(_ uint64, r intent.Record) error {
 		w, err := l.Append(true, r)
 		if err == nil {
 			<-w.Done()
@@ -49,7 +49,7 @@
 	}
 	db.MaxBatchDelay = time.Millisecond
 	db.Update(func(tx *bbolt.Tx) error { _, err := tx.CreateBucket([]byte("b")); return err })
-	return store{func(n uint64, r bindings.Record) error {
+	return store{func(n uint64, r intent.Record) error {
 		text, _ := cbor.Marshal(r)
 		return db.Batch(func(tx *bbolt.Tx) error {
 			return tx.Bucket([]byte("b")).Put(binary.BigEndian.AppendUint64(nil, n), text)
@@ -72,7 +72,7 @@
 	if machine {
 		how = pebble.Sync
 	}
-	return store{func(n uint64, r bindings.Record) error {
+	return store{func(n uint64, r intent.Record) error {
 		text, _ := cbor.Marshal(r)
 		return db.Set(binary.BigEndian.AppendUint64(nil, n), text, how)
 	}, func() { db.Close() }}
@@ -100,7 +100,7 @@
 					var mine []time.Duration
 					for n := uint64(0); time.Now().Before(until); n++ {
 						began := time.Now()
-						r := bindings.Record{Kind: bindings.Intent, Run: 1, Op: n, At: began.UnixNano(), ID: "0123456789abcdef", Tenant: "dairy", Type: "hire-book", Server: "server-17"}
+						r := intent.Record{Kind: intent.Intent, Incarnation: 1, RequestNumber: n, AtUnixNano: began.UnixNano(), RequestID: "0123456789abcdef", Tenant: "dairy", Type: "hire-book", Server: "server-17"}
 						if err := s.put(uint64(i)<<32|n, r); err != nil {
 							t.Error(err)
 						}
@@ -123,7 +123,7 @@
 			})
 			began := time.Now()
 			if w.name == "segments" {
-				Scan(OS{}, dir, time.Time{}, func(*bindings.Record) error { return nil }, nil)
+				Scan(OSFileSystem{}, dir, time.Time{}, func(*intent.Record) error { return nil }, nil)
 			} else {
 				w.open(t, dir, machine).close()
 			}
