--- /dev/null
+++ b/internal/cluster/membership/tick.go
@@ -0,0 +1,110 @@
+package membership
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+)
+
+// Tick is called often, several times in each HeartbeatInterval. It ends timeouts and returns what is to be sent.
+func (t *Table) Tick(now time.Duration) (out []Outgoing) {
+	if now-t.lastTick > silenceTimeout {
+		t.resumeAfterStall(now)
+	}
+	t.lastTick = now
+	watched := t.Watched()
+	t.isIsolated = len(watched) > 0 && !t.hearsAnyone(now)
+	for _, name := range watched {
+		out = t.watch(now, name, out)
+	}
+	t.endTimeouts(now)
+	return t.sendUpdates(now, out)
+}
+
+// resumeAfterStall starts all timeouts anew: this process stood still, so what it did not hear says nothing of the others.
+func (t *Table) resumeAfterStall(now time.Duration) {
+	for _, p := range t.peers {
+		p.lastHeard = now
+		p.stateSince = now
+	}
+	for name := range t.conditionSince {
+		t.conditionSince[name] = now
+	}
+}
+
+func (t *Table) hearsAnyone(now time.Duration) bool {
+	for _, p := range t.peers {
+		if p.isHeard(now) {
+			return true
+		}
+	}
+	return false
+}
+
+// endTimeouts has suspected members die and old tombstones go.
+func (t *Table) endTimeouts(now time.Duration) {
+	for name, m := range t.members {
+		since := now - t.conditionSince[name]
+		switch {
+		case m.Condition == Suspected && !t.isIsolated && since > suspicionTimeout:
+			m.Condition = Dead
+			t.set(m, now)
+			t.spread(name, "")
+		case !m.Condition.IsLive() && since > tombstoneRetention && name != t.self.Name:
+			t.forget(m)
+		}
+	}
+}
+
+// sendUpdates sends pending updates, and heartbeats to those that get none.
+func (t *Table) sendUpdates(now time.Duration, out []Outgoing) []Outgoing {
+	isHeartbeatDue := now-t.lastHeartbeat >= HeartbeatInterval
+	if isHeartbeatDue {
+		t.lastHeartbeat = now
+	}
+	for name, p := range t.peers {
+		if !p.isConnected {
+			continue
+		}
+		t.planFullUpdate(now, p)
+		if len(p.pending) > 0 {
+			out = t.appendUpdates(name, p, out)
+		} else if isHeartbeatDue {
+			out = append(out, Outgoing{name, &Heartbeat{Digest: t.digest}})
+		}
+	}
+	slices.SortStableFunc(out, func(a, b Outgoing) int { return cmp.Compare(a.To, b.To) })
+	return out
+}
+
+// planFullUpdate has a node told of all members if it is new, or if its digest has differed for long.
+func (t *Table) planFullUpdate(now time.Duration, p *peerView) {
+	if p.differsSince > 0 && now-p.differsSince > fullUpdateDelay && now-p.lastFullUpdate > fullUpdateDelay {
+		p.sendsAll = true
+	}
+	if !p.sendsAll {
+		return
+	}
+	p.sendsAll = false
+	p.differsSince = 0
+	p.lastFullUpdate = now
+	for name := range t.members {
+		p.pending[name] = true
+	}
+}
+
+func (t *Table) appendUpdates(to string, p *peerView, out []Outgoing) []Outgoing {
+	names := slices.Sorted(maps.Keys(p.pending))
+	clear(p.pending)
+	for part := range slices.Chunk(names, maxUpdateMembers) {
+		update := &Update{}
+		for _, name := range part {
+			if m, ok := t.members[name]; ok {
+				update.Members = append(update.Members, m)
+			}
+		}
+		out = append(out, Outgoing{to, update})
+	}
+	return out
+}
--- a/internal/cluster/membership/watch.go
+++ b/internal/cluster/membership/watch.go
@@ -5,36 +5,28 @@
 	"time"
 )
 
-// sees moves what is seen of a node on; it is true where it is to be suspected.
-func (t *Table) sees(p *peer, name string, e event, now time.Duration) action {
-	move := transitions[p.state][e]
-	if move.next != p.state {
-		p.state, p.since = move.next, now
-	}
-	return move.do
-}
+// Watched returns the nodes that this node watches: it keeps a connection to each.
+func (t *Table) Watched() []string { return t.neighbors(t.self.Name, -1) }
 
-// Watched are those that this node watches: it leads a connection to each.
-func (t *Table) Watched() []string { return t.beside(t.self.Name, -1) }
+// Watchers returns the nodes that watch a node.
+func (t *Table) Watchers(name string) []string { return t.neighbors(name, 1) }
 
-// Watchers are those that watch a node.
-func (t *Table) Watchers(name string) []string { return t.beside(name, 1) }
-
-func (t *Table) beside(name string, by int) (names []string) {
+func (t *Table) neighbors(name string, offset int) (names []string) {
 	for i := range t.rings {
-		if other := t.rings[i].beside(name, by); other != "" && !slices.Contains(names, other) {
+		if other := t.rings[i].neighbor(name, offset); other != "" && !slices.Contains(names, other) {
 			names = append(names, other)
 		}
 	}
 	return names
 }
 
-// ReconnectCandidate is a node that was given up and is tried once more, "" for none: after a cut nobody else would find back.
+// ReconnectCandidate returns a dead node that is tried once more, "" for none: after a partition the two sides would not
+// find each other otherwise. It returns one each reconnectInterval at most.
 func (t *Table) ReconnectCandidate(now time.Duration) string {
-	if now-t.knocked < knockEvery {
+	if now-t.lastReconnect < reconnectInterval {
 		return ""
 	}
-	t.knocked = now
+	t.lastReconnect = now
 	var dead []string
 	for name, m := range t.members {
 		if m.Condition == Dead {
@@ -45,41 +37,25 @@
 		return ""
 	}
 	slices.Sort(dead)
-	t.turn++
-	return dead[hashed(t.self.Name, byte(t.turn))%uint32(len(dead))]
+	t.reconnects++
+	return dead[hashName(t.self.Name, byte(t.reconnects))%uint32(len(dead))]
 }
 
-// watch looks at one that this node watches.
+// watch moves a watched node on by time.
 func (t *Table) watch(now time.Duration, name string, out []Outgoing) []Outgoing {
-	p := t.at(name)
-	if p.since == 0 && p.heard == 0 { // newly watched: it has the time of a silence to be connected
-		p.heard, p.since = now, now
+	p := t.peer(name)
+	if p.stateSince == 0 && p.lastHeard == 0 { // newly watched: it has the time of a silence to be connected
+		p.lastHeard = now
+		p.stateSince = now
 	}
-	var e event
-	switch {
-	case p.connected && now-p.heard < silentAfter:
-		e = heard
-	case p.state == asking && now-p.since > askFor:
-		if e = nobody; t.alone {
-			return out
-		}
-	case p.state >= cut && now-p.since > cutAgain:
-		e = again
-	case now-p.heard >= silentAfter:
-		e = silence
-	default:
+	e, ok := t.watchEvent(now, p)
+	if !ok {
 		return out
 	}
-	switch t.sees(p, name, e, now) {
-	case askOthers:
-		p.since = now
-		asked := 0
-		for _, other := range t.Watchers(name) {
-			if m := t.members[other]; other != t.self.Name && m.Condition == Alive && asked < askMost {
-				out = append(out, Outgoing{other, &LivenessQuery{Name: name}})
-				asked++
-			}
-		}
+	switch p.observe(e, now) {
+	case queryWatchers:
+		p.stateSince = now
+		out = t.appendQueries(name, out)
 	case suspect:
 		if m := t.members[name]; m.Condition == Alive {
 			m.Condition = Suspected
@@ -89,3 +65,31 @@
 	}
 	return out
 }
+
+// watchEvent is what time has made of a watched node; ok is false for nothing.
+func (t *Table) watchEvent(now time.Duration, p *peerView) (e event, ok bool) {
+	inState := now - p.stateSince
+	switch {
+	case p.isHeard(now):
+		return messageReceived, true
+	case p.state == querying && inState > queryTimeout:
+		return queryTimedOut, !t.isIsolated
+	case (p.state == partitioned || p.state == unreachable) && inState > queryInterval:
+		return queryDue, true
+	case now-p.lastHeard >= silenceTimeout:
+		return silenceDetected, true
+	}
+	return 0, false
+}
+
+// appendQueries asks some of a node's other watchers whether they hear it.
+func (t *Table) appendQueries(name string, out []Outgoing) []Outgoing {
+	queried := 0
+	for _, watcher := range t.Watchers(name) {
+		if m := t.members[watcher]; watcher != t.self.Name && m.Condition == Alive && queried < maxQueriedWatchers {
+			out = append(out, Outgoing{watcher, &LivenessQuery{Name: name}})
+			queried++
+		}
+	}
+	return out
+}
