--- a/internal/cluster/replication/candidate.go
+++ b/internal/cluster/replication/candidate.go
@@ -4,57 +4,60 @@
 	"cmp"
 	"hash/crc32"
 	"slices"
-	"strings"
 )
 
-// settledBy stands in the name of a stream between the one whose entries it settles and the node that does.
-const settledBy = "~"
-
 // Candidate is a node that may hold a replica.
 type Candidate struct {
 	Name      string
 	Site      string
-	Machine   string
-	IsHealthy bool // it can be counted on now
+	Machine   string // nodes on one machine are lost together
+	IsHealthy bool   // it can be counted on now
 }
 
-// rank orders candidates for a stream, alike at all nodes (rendezvous): a node more or less moves only what it holds itself.
-func rank(stream string, all []Candidate) []Candidate {
-	stream, _, _ = strings.Cut(stream, settledBy) // what settles a stream stands where it does
-	type ranked struct {
+// rankCandidates orders candidates for a stream by rendezvous hashing, the same at all nodes: one node more or less moves
+// only what it holds itself. A reconciliation is ranked like the stream that it reconciles, to stand with it.
+func rankCandidates(stream Stream, candidates []Candidate) []Candidate {
+	type rankedCandidate struct {
 		Candidate
-		by uint32
+		rank uint32
 	}
-	list := make([]ranked, len(all))
-	for i, p := range all {
-		list[i] = ranked{p, crc32.ChecksumIEEE([]byte(stream + "\x00" + p.Name + "\x00" + stream))}
+	name := stream.nodeName()
+	list := make([]rankedCandidate, len(candidates))
+	for i, c := range candidates {
+		list[i] = rankedCandidate{Candidate: c, rank: crc32.ChecksumIEEE([]byte(name + "\x00" + c.Name + "\x00" + name))}
 	}
-	slices.SortFunc(list, func(a, b ranked) int { return cmp.Or(cmp.Compare(a.by, b.by), cmp.Compare(a.Name, b.Name)) })
-	out := make([]Candidate, len(list))
+	slices.SortFunc(list, func(a, b rankedCandidate) int {
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.Name, b.Name))
+	})
+	ranked := make([]Candidate, len(list))
 	for i := range list {
-		out[i] = list[i].Candidate
+		ranked[i] = list[i].Candidate
 	}
-	return out
+	return ranked
 }
 
-// choose takes n candidates, those of kept first: each on a machine of its own, and on as many sites as there are. taken are
-// machines and sites that hold the stream already. Only what is well is chosen.
-func choose(ranked []Candidate, n int, kept map[string]bool, taken []Candidate) (chosen []Candidate) {
-	machines, sites := map[string]bool{}, map[string]bool{}
-	for _, p := range taken {
-		machines[p.Machine], sites[p.Site] = true, true
+// selectCandidates takes count healthy candidates: each on a machine of its own, and on as many sites as there are.
+// Within that it takes those that are preferred first, and then by rank. Machines and sites of those in taken hold the
+// stream already.
+func selectCandidates(ranked []Candidate, count int, preferred map[string]bool, taken []Candidate) (selected []Candidate) {
+	machines := map[string]bool{}
+	sites := map[string]bool{}
+	for _, c := range taken {
+		machines[c.Machine] = true
+		sites[c.Site] = true
 	}
 	take := func(fits func(Candidate) bool) {
-		for _, p := range ranked {
-			if len(chosen) < n && p.IsHealthy && !machines[p.Machine] && fits(p) {
-				machines[p.Machine], sites[p.Site] = true, true
-				chosen = append(chosen, p)
+		for _, c := range ranked {
+			if len(selected) < count && c.IsHealthy && !machines[c.Machine] && fits(c) {
+				machines[c.Machine] = true
+				sites[c.Site] = true
+				selected = append(selected, c)
 			}
 		}
 	}
-	take(func(p Candidate) bool { return kept[p.Name] && !sites[p.Site] })
-	take(func(p Candidate) bool { return !sites[p.Site] })
-	take(func(p Candidate) bool { return kept[p.Name] })
+	take(func(c Candidate) bool { return preferred[c.Name] && !sites[c.Site] })
+	take(func(c Candidate) bool { return !sites[c.Site] })
+	take(func(c Candidate) bool { return preferred[c.Name] })
 	take(func(Candidate) bool { return true })
-	return chosen
+	return selected
 }
--- /dev/null
+++ b/internal/cluster/replication/origin_test.go
@@ -0,0 +1,251 @@
+package replication
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// simulation is a small cluster in virtual time: one origin, holders that may lose their disks, connections that break.
+type simulation struct {
+	now         time.Duration
+	candidates  []Candidate
+	origin      *Origin
+	disk        map[string]Ranges // what lasts at each node, by its disk
+	replicas    map[string]*ReplicaTable
+	connected   map[string]bool
+	alive       map[string]bool
+	partitioned map[string]bool
+	inFlight    []Outgoing // from the origin to holders
+	answers     []answer   // from holders to the origin
+}
+
+type answer struct {
+	from    string
+	message any
+}
+
+func newSimulation(n, required int) *simulation {
+	all := testCandidates(n)
+	for i := range all {
+		all[i].Machine = all[i].Name
+	}
+	s := &simulation{
+		candidates:  all,
+		disk:        map[string]Ranges{},
+		replicas:    map[string]*ReplicaTable{},
+		connected:   map[string]bool{},
+		alive:       map[string]bool{},
+		partitioned: map[string]bool{},
+	}
+	s.origin = NewOrigin(0, Stream{Name: "n0", Incarnation: 1}, all[0], required, 50*time.Millisecond)
+	for _, c := range all[1:] {
+		s.start(c)
+	}
+	s.updateCandidates()
+	return s
+}
+
+func (s *simulation) start(c Candidate) {
+	s.alive[c.Name] = true
+	table := NewReplicaTable(c, s.origin.required, 1<<40, 0)
+	for _, r := range s.disk[c.Name] {
+		table.RecordsStored(s.origin.stream, r.From, r.To, 0, 0)
+	}
+	s.replicas[c.Name] = table
+}
+
+func (s *simulation) updateCandidates() {
+	var others []Candidate
+	for _, c := range s.candidates[1:] {
+		c.IsHealthy = s.alive[c.Name] && !s.partitioned[c.Name]
+		others = append(others, c)
+	}
+	s.send(s.origin.SetCandidates(s.now, others))
+}
+
+func (s *simulation) send(out []Outgoing) { s.inFlight = append(s.inFlight, out...) }
+
+// disconnect ends the connection with a node: what was on its way is lost.
+func (s *simulation) disconnect(name string) {
+	if s.connected[name] {
+		delete(s.connected, name)
+		s.inFlight = slices.DeleteFunc(s.inFlight, func(o Outgoing) bool { return o.To == name })
+		s.answers = slices.DeleteFunc(s.answers, func(a answer) bool { return a.from == name })
+		s.send(s.origin.Disconnected(s.now, name))
+	}
+}
+
+// step lets time pass; connections come up, and what is on its way arrives.
+func (s *simulation) step(d time.Duration, deliver bool) {
+	s.now += d
+	for _, name := range s.origin.WantedConnections() {
+		if s.alive[name] && !s.partitioned[name] {
+			s.connected[name] = true
+			s.send(s.origin.Connected(s.now, name))
+		}
+	}
+	s.send(s.origin.Tick(s.now))
+	if !deliver {
+		return
+	}
+	inFlight := s.inFlight
+	s.inFlight = nil
+	for _, o := range inFlight {
+		if !s.connected[o.To] {
+			continue
+		}
+		if s.partitioned[o.To] {
+			s.inFlight = append(s.inFlight, o)
+			continue
+		}
+		table := s.replicas[o.To]
+		switch m := o.Message.(type) {
+		case *Offer:
+			for _, a := range table.HandleOffer(s.now, "n0", m) {
+				s.answer(o.To, a.Message)
+			}
+		case *Batch:
+			ok, out := table.AdmitBatch("n0", m, 0, 0)
+			for _, a := range out {
+				s.answer(o.To, a.Message)
+			}
+			if ok {
+				s.disk[o.To] = s.disk[o.To].With(m.First, m.First+uint64(m.Count))
+				table.RecordsStored(m.Stream, m.First, m.First+uint64(m.Count), 0, 0)
+				s.answer(o.To, &Ack{Stream: m.Stream, First: m.First, Count: m.Count})
+			}
+		}
+	}
+	answers := s.answers
+	s.answers = nil
+	for _, b := range answers {
+		s.send(s.origin.HandleMessage(s.now, b.from, b.message))
+	}
+	for _, name := range s.origin.WantedConnections() { // copies from disk
+		for _, r := range s.origin.MissingAt(name) {
+			if s.connected[name] && !s.partitioned[name] {
+				s.disk[name] = s.disk[name].With(r.From, r.To)
+				s.replicas[name].RecordsStored(s.origin.stream, r.From, r.To, 0, 0)
+				s.send(s.origin.HandleMessage(s.now, name, &Ack{Stream: s.origin.stream, First: r.From, Count: int(r.To - r.From)}))
+			}
+		}
+	}
+}
+
+func (s *simulation) answer(from string, message any) {
+	s.answers = append(s.answers, answer{from, message})
+}
+
+// holders counts the disks on which a record stands.
+func (s *simulation) holders(n uint64) (count int) {
+	for _, r := range s.disk {
+		if r.Contains(n, n+1) {
+			count++
+		}
+	}
+	return count
+}
+
+// Whatever happens to holders and connections: a committed record is on as many disks as required when it is committed,
+// and when all nodes are back every record is committed.
+func TestCommittedIsStored(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		required := rapid.IntRange(1, 3).Draw(t, "required")
+		s := newSimulation(rapid.IntRange(required+1, 7).Draw(t, "nodes"), required)
+		stored := uint64(1)
+		before := s.origin.Committed()
+		check := func() {
+			for n := before; n < s.origin.Committed(); n++ {
+				if s.holders(n) < required {
+					t.Fatalf("record %d is committed, and on %d disks, not %d", n, s.holders(n), required)
+				}
+			}
+			before = s.origin.Committed()
+		}
+		for range rapid.IntRange(5, 60).Draw(t, "steps") {
+			name := rapid.SampledFrom(s.candidates[1:]).Draw(t, "node").Name
+			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			case 0, 1, 2:
+				n := rapid.IntRange(1, 5).Draw(t, "n")
+				first, out := s.origin.Append(s.now, n, []byte{1}, rapid.Bool().Draw(t, "awaited"))
+				s.send(out)
+				s.origin.RecordsStored(first, first+uint64(n))
+				stored = first + uint64(n)
+			case 3, 4, 5:
+				s.step(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms"))*time.Millisecond, true)
+			case 6:
+				s.step(time.Duration(rapid.IntRange(1, 100).Draw(t, "ms"))*time.Millisecond, false)
+			case 7: // it crashes, with its disk or without
+				switch rapid.SampledFrom([]string{"disk kept", "disk lost", "an old disk"}).Draw(t, "with") {
+				case "disk lost":
+					delete(s.disk, name)
+				case "an old disk":
+					half := s.disk[name].Count() / 2
+					s.disk[name] = s.disk[name].Without(Ranges{{From: half + 1, To: 1 << 60}})
+				}
+				s.disconnect(name)
+				delete(s.alive, name)
+				s.updateCandidates()
+				before = s.origin.Committed()
+			case 8:
+				if c := s.candidates[slices.IndexFunc(s.candidates, func(c Candidate) bool { return c.Name == name })]; !s.alive[name] {
+					s.start(c)
+				}
+				s.updateCandidates()
+			case 9:
+				if s.partitioned[name] = !s.partitioned[name]; s.partitioned[name] && rapid.Bool().Draw(t, "known") {
+					s.disconnect(name)
+				}
+				s.updateCandidates()
+			}
+			check()
+		}
+		for _, c := range s.candidates[1:] {
+			delete(s.partitioned, c.Name)
+			if !s.alive[c.Name] {
+				s.start(c)
+			}
+		}
+		s.updateCandidates()
+		for range 60 {
+			s.step(500*time.Millisecond, true)
+			check()
+		}
+		for n := uint64(1); n < stored; n++ {
+			if s.holders(n) < required {
+				t.Fatalf("30 s after all nodes are back record %d of %d stands on %d of %d disks: %+v", n, stored-1, s.holders(n), required, s.origin.Holders())
+			}
+		}
+		if s.origin.Committed() < stored {
+			t.Fatalf("30 s after all nodes are back %d are committed of %d: %+v", s.origin.Committed(), stored, s.origin.Holders())
+		}
+	})
+}
+
+// A holder that falls silent delays commits no longer than it takes to notice; it is replaced once.
+func TestSilentHolder(t *testing.T) {
+	s := newSimulation(6, 2)
+	for range 20 {
+		s.step(10*time.Millisecond, true)
+	}
+	silent := s.origin.WantedConnections()[0]
+	s.partitioned[silent] = true // unnoticed
+	first, out := s.origin.Append(s.now, 1, []byte{1}, true)
+	s.send(out)
+	began := s.now
+	for s.origin.Committed() <= first && s.now < began+time.Second {
+		s.step(5*time.Millisecond, true)
+	}
+	if took := s.now - began; took > 100*time.Millisecond {
+		t.Errorf("a record was committed after %v, with %s silent: %+v", took, silent, s.origin.Holders())
+	}
+	if n := len(s.origin.WantedConnections()); n != 3 {
+		t.Errorf("%d holders", n)
+	}
+	if stalled := s.origin.StalledFor(s.now); stalled > 0 {
+		t.Errorf("stalled for %v", stalled)
+	}
+}
--- /dev/null
+++ b/internal/cluster/replication/queue.go
@@ -0,0 +1,123 @@
+package replication
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+)
+
+// queuedRecords are consecutive records that wait for holders.
+type queuedRecords struct {
+	first    uint64
+	next     uint64 // the number behind the last of them
+	queuedAt time.Duration
+	frames   []byte
+}
+
+// Append numbers count records and queues them, as the frames that go to disk. If someone waits for them they are sent at
+// once, else with the next Tick. It returns the number of the first.
+func (o *Origin) Append(now time.Duration, count int, frames []byte, isAwaited bool) (first uint64, out []Outgoing) {
+	first = o.next
+	o.next += uint64(count)
+	o.queue = append(o.queue, queuedRecords{first: first, next: o.next, queuedAt: now, frames: frames})
+	o.queuedBytes += len(frames)
+	for len(o.queue) > 1 && (o.next-o.queue[0].first > maxQueuedRecords || o.queuedBytes > maxQueuedBytes) {
+		o.firstQueued = o.queue[0].next // it stands on disk, and is copied to holders from there
+		o.dequeue()
+	}
+	if isAwaited {
+		out = o.sendToAll(out)
+	}
+	return first, out
+}
+
+// dequeue removes the first of the queue.
+func (o *Origin) dequeue() {
+	o.queuedBytes -= len(o.queue[0].frames)
+	o.queue[0].frames = nil
+	o.queue = o.queue[1:]
+}
+
+// firstUncommitted is the queue's first that is not committed; -1 for none.
+func (o *Origin) firstUncommitted() int {
+	return slices.IndexFunc(o.queue, func(q queuedRecords) bool { return q.next > o.committed })
+}
+
+func (o *Origin) sendToAll(out []Outgoing) []Outgoing {
+	for _, name := range slices.Sorted(maps.Keys(o.holders)) {
+		out = o.sendTo(o.holders[name], out)
+	}
+	return out
+}
+
+// sendTo sends a holder what it has not been sent, in batches.
+func (o *Origin) sendTo(h *holder, out []Outgoing) []Outgoing {
+	if !h.isReceiving() {
+		return out
+	}
+	h.next = max(h.next, o.firstQueued)
+	h.acked = max(h.acked, o.firstQueued)
+	i, _ := slices.BinarySearchFunc(o.queue, h.next, func(q queuedRecords, n uint64) int { return cmp.Compare(q.first, n) })
+	if i > 0 && o.queue[i-1].next > h.next { // it has a part of these: records that come twice change nothing
+		i--
+	}
+	for i < len(o.queue) && len(h.inFlight) < maxInFlightBatches {
+		b := &Batch{Stream: o.stream, First: o.queue[i].first, FromOrigin: true, Frames: o.queue[i].frames}
+		end := o.queue[i].next
+		for i++; i < len(o.queue) && len(b.Frames)+len(o.queue[i].frames) <= maxBatchBytes; i++ {
+			b.Frames = append(b.Frames[:len(b.Frames):len(b.Frames)], o.queue[i].frames...)
+			end = o.queue[i].next
+		}
+		b.Count = int(end - b.First)
+		out = append(out, Outgoing{h.candidate.Name, b})
+		h.next = end
+		h.inFlight[b.First] = true
+	}
+	return out
+}
+
+// commit finds up to which record enough machines have all, and removes from the queue what is committed and was sent to
+// all holders.
+func (o *Origin) commit() {
+	ackedByMachine := map[string]uint64{}
+	for _, h := range o.holders {
+		if h.isReceiving() {
+			ackedByMachine[h.candidate.Machine] = max(ackedByMachine[h.candidate.Machine], h.acked)
+		}
+	}
+	if len(ackedByMachine) < o.required {
+		return
+	}
+	acked := slices.Sorted(maps.Values(ackedByMachine))
+	o.committed = max(o.committed, acked[len(acked)-o.required])
+	for len(o.queue) > 0 && o.queue[0].next <= o.committed && o.isSentToAll(o.queue[0].next) {
+		o.firstQueued = max(o.firstQueued, o.queue[0].next)
+		o.dequeue()
+	}
+}
+
+// isSentToAll reports whether all holders that are sent new records have been sent all before a record.
+func (o *Origin) isSentToAll(next uint64) bool {
+	for _, h := range o.holders {
+		if h.isReceiving() && h.next < next {
+			return false
+		}
+	}
+	return true
+}
+
+// MissingAt is what of this node's own disk a holder does not have and is to be copied to it.
+func (o *Origin) MissingAt(name string) Ranges {
+	h := o.holders[name]
+	if h == nil || h.state != inSync {
+		return nil
+	}
+	return o.missingAt(h)
+}
+
+// missingAt leaves out what is queued: that is sent from memory.
+func (o *Origin) missingAt(h *holder) Ranges {
+	queued := Range{From: o.firstQueued, To: max(o.next, o.firstQueued)}
+	return o.stored.Without(h.stored).Without(Ranges{queued})
+}
--- a/internal/cluster/replication/ranges.go
+++ b/internal/cluster/replication/ranges.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Range is a run of records of a stream, from From up to but without To. Records count from 1.
+// Range is a run of consecutive records of a stream, from From up to but without To. Records are numbered from 1.
 type Range struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -10,32 +10,34 @@
 	To   uint64
 }
 
-// Ranges are apart and in order.
+// Ranges is a set of records. The ranges are in order and don't touch. Methods that change the set return a new one.
 type Ranges []Range
 
-const rangesMost = 1024 // of one stream; more are no ranges that anyone has
+// maxRanges of one stream that a peer may send.
+const maxRanges = 1024
 
-// With is the ranges and one more.
+// With is the set and one more range.
 func (r Ranges) With(from, to uint64) Ranges {
 	if from >= to {
 		return r
 	}
-	i, _ := slices.BinarySearchFunc(r, from, func(x Range, from uint64) int {
+	first, _ := slices.BinarySearchFunc(r, from, func(x Range, from uint64) int {
 		if x.To < from {
 			return -1
 		}
 		return 1
 	})
-	j := i
-	for j < len(r) && r[j].From <= to {
-		from, to = min(from, r[j].From), max(to, r[j].To)
-		j++
+	end := first
+	for end < len(r) && r[end].From <= to {
+		from = min(from, r[end].From)
+		to = max(to, r[end].To)
+		end++
 	}
-	return slices.Replace(slices.Clone(r), i, j, Range{From: from, To: to})
+	return slices.Replace(slices.Clone(r), first, end, Range{From: from, To: to})
 }
 
-// Without is what of the ranges other does not have.
-func (r Ranges) Without(other Ranges) (rest Ranges) {
+// Without is what of the set other does not have.
+func (r Ranges) Without(other Ranges) (left Ranges) {
 	for _, x := range r {
 		from := x.From
 		for _, o := range other {
@@ -43,18 +45,18 @@
 				continue
 			}
 			if o.From > from {
-				rest = append(rest, Range{From: from, To: o.From})
+				left = append(left, Range{From: from, To: o.From})
 			}
 			from = max(from, o.To)
 		}
 		if from < x.To {
-			rest = append(rest, Range{From: from, To: x.To})
+			left = append(left, Range{From: from, To: x.To})
 		}
 	}
-	return rest
+	return left
 }
 
-// Contains tells whether all of a run is in the ranges.
+// Contains reports whether all records of a range are in the set.
 func (r Ranges) Contains(from, to uint64) bool {
 	for _, x := range r {
 		if x.From <= from && to <= x.To {
@@ -64,17 +66,17 @@
 	return from >= to
 }
 
-// EndOfRange is the end of the run that holds a record, or the record itself where none does.
-func (r Ranges) EndOfRange(from uint64) uint64 {
+// EndOfRange is the end of the range that has a record, or the record itself where none has it.
+func (r Ranges) EndOfRange(record uint64) uint64 {
 	for _, x := range r {
-		if x.From <= from && from < x.To {
+		if x.From <= record && record < x.To {
 			return x.To
 		}
 	}
-	return from
+	return record
 }
 
-// Count is how many records there are.
+// Count is how many records the set has.
 func (r Ranges) Count() (n uint64) {
 	for _, x := range r {
 		n += x.To - x.From
@@ -82,8 +84,8 @@
 	return n
 }
 
-// sound tells whether ranges that a peer sent are any.
-func (r Ranges) sound() bool {
+// isValid reports whether ranges that a peer sent are in order and within bounds.
+func (r Ranges) isValid() bool {
 	last := uint64(0)
 	for _, x := range r {
 		if x.From <= last || x.From >= x.To {
@@ -91,5 +93,5 @@
 		}
 		last = x.To
 	}
-	return len(r) <= rangesMost
+	return len(r) <= maxRanges
 }
--- /dev/null
+++ b/internal/cluster/replication/replicatable.go
@@ -0,0 +1,264 @@
+package replication
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+)
+
+// Times and bounds of a replica table.
+const (
+	orphanDelay             = 3 * time.Second  // until copies of a lost incarnation's stream are made: it may only be restarting
+	copyStagger             = 2 * time.Second  // between the beginnings of holders of one stream, so that one copies, not all
+	incompleteOfferInterval = 10 * time.Second // between offers to a node that lacks some
+	completeOfferInterval   = 10 * time.Minute // between offers to a node that has all
+	rejectRetention         = 10 * time.Second // for which a node that rejected is remembered when it is no longer wanted
+	maxStreams              = 4096
+)
+
+// notOrphaned is the value of storedStream.orphanedSince while the incarnation is live.
+const notOrphaned = -1
+
+// Node is what is known of a node that may have streams.
+type Node struct {
+	Candidate
+	Incarnation int64
+	IsLive      bool
+}
+
+// ReplicaTable is what a node holds of other nodes' streams, and of its own earlier incarnations.
+type ReplicaTable struct {
+	self               Candidate
+	required           int // how many machines hold a stream, beside the origin's
+	maxBytes           int64
+	retention          time.Duration // older records are not taken; 0: all are
+	streams            map[Stream]*storedStream
+	storedBytes        int64
+	nodes              map[string]Node
+	highestIncarnation map[string]int64 // of each name that was heard of
+	candidates         []Candidate      // the nodes that are live
+	candidatesVersion  int              // raised by each change of the candidates, and of who rejects
+	lastTick           time.Duration
+}
+
+// storedStream is a stream as it is held here.
+type storedStream struct {
+	ranges         Ranges
+	verification   verification
+	bytes          int64
+	lastRecordNano int64         // Unix time of the last record
+	orphanedSince  time.Duration // since when its incarnation is gone; notOrphaned: it is live
+	lostByOrigin   Ranges        // records in it that its origin has lost
+	otherHolders   map[string]bool
+	targets        map[string]*target // the nodes that should hold it, where its incarnation is gone
+
+	// desired is a cache of desiredHolders, valid for one version of the candidates.
+	desired        []Candidate
+	desiredVersion int
+}
+
+// verification is a reading of the stream from disk that is under way.
+type verification struct {
+	isRunning bool
+	found     Ranges
+}
+
+// target is a node that should hold a stream whose incarnation is gone.
+type target struct {
+	incarnation int64 // when it was asked; a later one may have lost its disk
+	offeredAt   time.Duration
+	hasAnswered bool
+	stored      Ranges
+	rejectedAt  time.Duration // 0: it has not rejected
+}
+
+// NewReplicaTable holds nothing. required is how many machines hold each stream beside the origin's. New streams are
+// rejected when nine tenths of maxBytes are held, all records when maxBytes are. Records older than retention are rejected;
+// with 0 none are.
+func NewReplicaTable(self Candidate, required int, maxBytes int64, retention time.Duration) *ReplicaTable {
+	return &ReplicaTable{
+		self:               self,
+		required:           required,
+		maxBytes:           maxBytes,
+		retention:          retention,
+		streams:            map[Stream]*storedStream{},
+		nodes:              map[string]Node{},
+		highestIncarnation: map[string]int64{},
+	}
+}
+
+// RecordsStored is called when records of a stream last on this node's disk, and for those that are found there at the
+// start.
+func (t *ReplicaTable) RecordsStored(s Stream, from, to uint64, bytes, lastRecordUnixNano int64) {
+	h := t.stream(s)
+	h.ranges = h.ranges.With(from, to)
+	if h.verification.isRunning {
+		h.verification.found = h.verification.found.With(from, to)
+	}
+	h.bytes += bytes
+	h.lastRecordNano = max(h.lastRecordNano, lastRecordUnixNano)
+	t.storedBytes += bytes
+}
+
+func (t *ReplicaTable) stream(s Stream) *storedStream {
+	h := t.streams[s]
+	if h == nil {
+		h = &storedStream{orphanedSince: notOrphaned, targets: map[string]*target{}, otherHolders: map[string]bool{}}
+		t.streams[s] = h
+		t.updateOrphan(s, h, 0)
+	}
+	return h
+}
+
+// StreamRemoved is called when a stream is no longer on this node's disk.
+func (t *ReplicaTable) StreamRemoved(s Stream) {
+	if h := t.streams[s]; h != nil {
+		t.storedBytes -= h.bytes
+		delete(t.streams, s)
+	}
+}
+
+// BeginVerification is called before a stream is read from disk again. What is stored meanwhile counts to it.
+func (t *ReplicaTable) BeginVerification(s Stream) {
+	if h := t.streams[s]; h != nil {
+		h.verification = verification{isRunning: true}
+	}
+}
+
+// EndVerification takes in what was found undamaged. Where that is less than was thought, other holders are told.
+func (t *ReplicaTable) EndVerification(s Stream, found Ranges) (out []Outgoing) {
+	h := t.streams[s]
+	if h == nil || !h.verification.isRunning {
+		return nil
+	}
+	left := h.verification.found
+	for _, r := range found {
+		left = left.With(r.From, r.To)
+	}
+	hasLost := len(h.ranges.Without(left)) > 0
+	h.ranges = left
+	h.verification = verification{}
+	if !hasLost {
+		return nil
+	}
+	names := maps.Clone(h.otherHolders)
+	names[s.Name] = true
+	for _, name := range slices.Sorted(maps.Keys(names)) {
+		if name != t.self.Name {
+			out = append(out, Outgoing{name, &Inventory{Stream: s, Ranges: h.ranges}})
+		}
+	}
+	return out
+}
+
+// SetNodes is called when the members have changed, with all nodes. This node's own incarnation counts as well: streams of
+// its earlier ones are orphans.
+func (t *ReplicaTable) SetNodes(now time.Duration, nodes []Node) {
+	t.candidates = t.candidates[:0]
+	t.candidatesVersion++
+	for _, n := range nodes {
+		t.nodes[n.Name] = n
+		t.highestIncarnation[n.Name] = max(t.highestIncarnation[n.Name], n.Incarnation)
+		if n.IsLive {
+			t.candidates = append(t.candidates, n.Candidate)
+		}
+	}
+	for s, h := range t.streams {
+		t.updateOrphan(s, h, now)
+	}
+}
+
+// updateOrphan notes whether the incarnation of a stream is gone. Of a node that nobody has named yet nothing is known
+// shortly after the start.
+func (t *ReplicaTable) updateOrphan(s Stream, h *storedStream, now time.Duration) {
+	if s.IsReconciliation() {
+		h.orphanedSince = max(h.orphanedSince, 0)
+		return
+	}
+	n, isKnown := t.nodes[s.Name]
+	switch isLive := isKnown && n.IsLive && n.Incarnation <= s.Incarnation; {
+	case isLive:
+		h.orphanedSince = notOrphaned
+	case h.orphanedSince < 0 && (isKnown || now > orphanDelay):
+		h.orphanedSince = now
+	}
+}
+
+// isOrphan reports whether the incarnation of the stream is gone.
+func (h *storedStream) isOrphan() bool { return h.orphanedSince >= 0 }
+
+// isOrphanFor reports whether it has been gone for so long.
+func (h *storedStream) isOrphanFor(now, least time.Duration) bool {
+	return h.isOrphan() && now-h.orphanedSince >= least
+}
+
+// Streams returns the streams that are held, in order.
+func (t *ReplicaTable) Streams() []Stream {
+	return slices.SortedFunc(maps.Keys(t.streams), func(a, b Stream) int {
+		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
+	})
+}
+
+// Ranges returns the records of a stream that are held.
+func (t *ReplicaTable) Ranges(s Stream) Ranges {
+	if h := t.streams[s]; h != nil {
+		return h.ranges
+	}
+	return nil
+}
+
+// FirstRecord is the first record of a stream that is held, 0 for none.
+func (t *ReplicaTable) FirstRecord(s Stream) uint64 {
+	if h := t.streams[s]; h != nil && len(h.ranges) > 0 {
+		return h.ranges[0].From
+	}
+	return 0
+}
+
+// StoredBytes is how much is held.
+func (t *ReplicaTable) StoredBytes() int64 { return t.storedBytes }
+
+// ExpiredStreams returns the streams whose incarnation is gone and whose last record is older than the retention.
+func (t *ReplicaTable) ExpiredStreams(nowUnixNano int64) (expired []Stream) {
+	for _, s := range t.Streams() {
+		if h := t.streams[s]; t.retention > 0 && h.isOrphan() && nowUnixNano-h.lastRecordNano > int64(t.retention) {
+			expired = append(expired, s)
+		}
+	}
+	return expired
+}
+
+// StoredReplica is a stream as it is held, for those who ask. It is sent as a CBOR array and printed as JSON by field
+// name, with the fields of Stream in place: the order of the fields and the tags stay.
+type StoredReplica struct {
+	_ struct{} `cbor:",toarray"`
+	Stream
+	Ranges             Ranges
+	Bytes              int64
+	LastRecordUnixNano int64             `json:"Last"`
+	IsOrphan           bool              `json:"Orphan"`
+	MissingRecords     map[string]uint64 `json:"Lacks"` // that are still to be copied, by node
+}
+
+// StoredReplicas tells of all streams that are held.
+func (t *ReplicaTable) StoredReplicas() (replicas []StoredReplica) {
+	for _, s := range t.Streams() {
+		h := t.streams[s]
+		r := StoredReplica{
+			Stream:             s,
+			Ranges:             h.ranges,
+			Bytes:              h.bytes,
+			LastRecordUnixNano: h.lastRecordNano,
+			IsOrphan:           h.isOrphan(),
+			MissingRecords:     map[string]uint64{},
+		}
+		for name := range h.targets {
+			if n := t.MissingAt(s, name).Count(); n > 0 {
+				r.MissingRecords[name] = n
+			}
+		}
+		replicas = append(replicas, r)
+	}
+	return replicas
+}
--- /dev/null
+++ b/internal/cluster/replication/replicatable_test.go
@@ -0,0 +1,113 @@
+package replication
+
+import (
+	"testing"
+	"time"
+)
+
+// Which records are admitted, and why not.
+func TestAdmitBatch(t *testing.T) {
+	const clock = int64(time.Hour)
+	s := Stream{Name: "a", Incarnation: 5}
+	for name, c := range map[string]struct {
+		prepare func(*ReplicaTable)
+		origin  bool
+		at      int64
+		reason  string // "": they are admitted
+		hasAll  bool   // it has them already, and acknowledges them
+	}{
+		"a new stream": {func(*ReplicaTable) {}, true, clock, "", false},
+		"an incarnation before a later one": {func(table *ReplicaTable) {
+			table.SetNodes(0, []Node{{Candidate: Candidate{Name: "a"}, Incarnation: 6, IsLive: true}})
+		}, true, clock, ReasonLaterIncarnation, false},
+		"the same, copied by others": {func(table *ReplicaTable) {
+			table.SetNodes(0, []Node{{Candidate: Candidate{Name: "a"}, Incarnation: 6, IsLive: true}})
+		}, false, clock, "", false},
+		"a later incarnation was offered": {func(table *ReplicaTable) {
+			table.HandleOffer(0, "a", &Offer{Stream: Stream{Name: "a", Incarnation: 6}, FromOrigin: true})
+		}, true, clock, ReasonLaterIncarnation, false},
+		"nine tenths are full, a new stream":   {func(table *ReplicaTable) { table.RecordsStored(Stream{Name: "b", Incarnation: 1}, 1, 2, 950, clock) }, true, clock, "no room is left", false},
+		"nine tenths are full, a known stream": {func(table *ReplicaTable) { table.RecordsStored(s, 1, 2, 950, clock) }, true, clock, "", false},
+		"full":                                 {func(table *ReplicaTable) { table.RecordsStored(s, 1, 2, 1000, clock) }, true, clock, "no room is left", false},
+		"older than the retention":             {func(*ReplicaTable) {}, false, clock - int64(2*time.Minute), "older than what is kept", false},
+		"stored already":                       {func(table *ReplicaTable) { table.RecordsStored(s, 1, 20, 1, clock) }, true, clock, "", true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			table := NewReplicaTable(Candidate{Name: "n"}, 2, 1000, time.Minute)
+			c.prepare(table)
+			ok, out := table.AdmitBatch("a", &Batch{Stream: s, First: 10, Count: 2, FromOrigin: c.origin}, c.at, clock)
+			if ok != (c.reason == "" && !c.hasAll) || !ok && out[0].Message.(*Ack).RejectReason != c.reason {
+				t.Errorf("admitted: %v, %+v", ok, out)
+			}
+		})
+	}
+}
+
+// The incarnation of a stream ends: who offers it to whom, and when each holder begins to copy it.
+func TestOrphanedStream(t *testing.T) {
+	all := testCandidates(6)
+	for i := range all {
+		all[i].Machine = all[i].Name
+	}
+	nodesWith := func(incarnation int64, isLive bool) (nodes []Node) {
+		for _, c := range all[1:] {
+			nodes = append(nodes, Node{Candidate: c, Incarnation: 1, IsLive: true})
+		}
+		return append(nodes, Node{Candidate: all[0], Incarnation: incarnation, IsLive: isLive})
+	}
+	s := Stream{Name: "n0", Incarnation: 1}
+	offered := func(table *ReplicaTable, until time.Duration) (to map[string]bool) {
+		to = map[string]bool{}
+		for now := time.Duration(0); now <= until; now += time.Second {
+			for _, o := range table.Tick(now) {
+				if _, ok := o.Message.(*Offer); ok {
+					to[o.To] = true
+				}
+			}
+		}
+		return to
+	}
+	newTable := func(incarnation int64, isLive bool) *ReplicaTable {
+		table := NewReplicaTable(all[1], 2, 1<<30, 0)
+		table.SetNodes(0, nodesWith(1, true))
+		table.RecordsStored(s, 1, 10, 1, 1)
+		table.SetNodes(0, nodesWith(incarnation, isLive))
+		return table
+	}
+	if to := offered(newTable(1, true), 10*time.Second); len(to) > 0 {
+		t.Errorf("a live node's stream was offered to %v", to)
+	}
+	if to := offered(newTable(1, false), 2*time.Second); len(to) > 0 {
+		t.Errorf("offered to %v before the node could be back", to)
+	}
+	dead := newTable(1, false)
+	if to := offered(dead, 10*time.Second); len(to) < 2 || to["n0"] {
+		t.Errorf("a dead node's stream was offered to %v", to)
+	}
+	if to := offered(newTable(2, true), 10*time.Second); !to["n0"] {
+		t.Errorf("a returned node was not offered its earlier stream: %v", to)
+	}
+	// Two holders know of each other: one begins at once, the other after it.
+	other := NewReplicaTable(all[2], 2, 1<<30, 0)
+	other.SetNodes(0, nodesWith(1, true))
+	other.RecordsStored(s, 1, 10, 1, 1)
+	other.SetNodes(0, nodesWith(1, false))
+	offered(other, 4*time.Second)
+	offered(dead, 4*time.Second)
+	begins := func(table *ReplicaTable, partner string) time.Duration {
+		table.HandleOffer(0, partner, &Offer{Stream: s, Ranges: Ranges{{From: 1, To: 10}}})
+		for _, c := range all {
+			table.HandleMessage(0, c.Name, &Inventory{Stream: s})
+		}
+		for now := time.Duration(0); now < 20*time.Second; now += 100 * time.Millisecond {
+			if len(table.CopyJobs(now)) > 0 {
+				return now
+			}
+		}
+		return 0
+	}
+	a, b := begins(dead, "n2"), begins(other, "n1")
+	if a == 0 || b == 0 || a-b < time.Second/2 && b-a < time.Second/2 {
+		t.Errorf("the copies begin at %v and %v", a, b)
+	}
+}
--- /dev/null
+++ b/internal/cluster/replication/selection.go
@@ -0,0 +1,153 @@
+package replication
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// SetCandidates is called when the members have changed, with all nodes but this one.
+func (o *Origin) SetCandidates(now time.Duration, candidates []Candidate) []Outgoing {
+	o.candidates = rankCandidates(o.stream, candidates)
+	return o.selectHolders(now, nil)
+}
+
+// WantedConnections returns the nodes to which a connection is to be kept.
+func (o *Origin) WantedConnections() []string { return slices.Sorted(maps.Keys(o.holders)) }
+
+// Connected is called when a connection to a node is established, and may be called again while it stands.
+func (o *Origin) Connected(now time.Duration, name string) []Outgoing {
+	if h := o.holders[name]; h != nil && !h.isConnected {
+		h.isConnected = true
+		return o.advance(now, h, holderConnected, nil)
+	}
+	return nil
+}
+
+// Disconnected is called when no connection to a node is left.
+func (o *Origin) Disconnected(now time.Duration, name string) []Outgoing {
+	if h := o.holders[name]; h != nil && h.isConnected {
+		h.isConnected = false
+		return o.advance(now, h, holderDisconnected, nil)
+	}
+	return nil
+}
+
+// selectHolders sees to it that enough holders are selected: first of those that nothing speaks against, then, where these
+// are too few, of all that do not reject.
+func (o *Origin) selectHolders(now time.Duration, out []Outgoing) []Outgoing {
+	current := map[string]bool{}
+	for name, h := range o.holders {
+		current[name] = h.isUnanswered() || h.state == inSync
+	}
+	self := []Candidate{o.self}
+	chosen := selectCandidates(o.usableCandidates(now, true), o.required, current, self)
+	if len(chosen) < o.required {
+		chosen = selectCandidates(o.usableCandidates(now, false), o.required, current, self)
+	}
+	wanted := map[string]bool{}
+	for _, c := range chosen {
+		wanted[c.Name] = true
+		h := o.holders[c.Name]
+		if h == nil {
+			h = &holder{stateSince: now, inFlight: map[uint64]bool{}}
+			o.holders[c.Name] = h
+		}
+		h.candidate = c
+		if h.state == rejected {
+			h.isConnected = false // has Connected called anew for a connection that stands
+			out = o.advance(now, h, reselected, out)
+		}
+	}
+	o.releaseHolders(now, wanted)
+	o.updateShortage(now)
+	return out
+}
+
+// usableCandidates are the candidates, healthy only where they may be selected. A strict choice leaves out those that are
+// lagging or avoided; those that rejected lately are always left out.
+func (o *Origin) usableCandidates(now time.Duration, isStrict bool) []Candidate {
+	usable := slices.Clone(o.candidates)
+	for i := range usable {
+		c := &usable[i]
+		h := o.holders[c.Name]
+		avoided := o.avoided[c.Name]
+		isAvoided := avoided > 0 && now-avoided < avoidDuration
+		switch {
+		case h != nil && h.state == rejected:
+			c.IsHealthy = c.IsHealthy && !isAvoided
+		case isStrict:
+			c.IsHealthy = c.IsHealthy && !isAvoided && (h == nil || h.state != lagging)
+		}
+	}
+	return usable
+}
+
+// releaseHolders releases holders that are not wanted: when those that are wanted have all there is, when they never came
+// to be needed, or when there are too many.
+func (o *Origin) releaseHolders(now time.Duration, wanted map[string]bool) {
+	complete := 0
+	for name := range wanted {
+		if h := o.holders[name]; h.state == inSync && h.acked >= o.committed && len(o.MissingAt(name)) == 0 {
+			complete++
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(o.holders)) {
+		if wanted[name] {
+			continue
+		}
+		h := o.holders[name]
+		isUnused := h.isUnanswered() || h.state == rejected
+		isTimedOut := isUnused && now-h.stateSince > idleHolderTimeout
+		isExtra := len(o.holders) > o.required+maxExtraHolders && h.state != inSync
+		if complete >= o.required || isTimedOut || isExtra {
+			delete(o.holders, name)
+		}
+	}
+}
+
+// updateShortage notes since when too few holders are in sync.
+func (o *Origin) updateShortage(now time.Duration) {
+	count := 0
+	for _, h := range o.holders {
+		if h.state == inSync {
+			count++
+		}
+	}
+	if count >= o.required {
+		o.shortSince = notShort
+	} else if o.shortSince < 0 {
+		o.shortSince = now
+	}
+}
+
+// advance moves a holder on by an event and does what follows.
+func (o *Origin) advance(now time.Duration, h *holder, e holderEvent, out []Outgoing) []Outgoing {
+	t := holderTransitions[h.state][e]
+	if t.next != h.state {
+		h.state = t.next
+		h.stateSince = now
+	}
+	switch t.do {
+	case sendOffer:
+		h.offeredAt = now
+		out = append(out, o.offerTo(h))
+	case sendQueued:
+		from := max(o.firstQueued, o.committed)
+		h.acked = h.stored.EndOfRange(from)
+		h.next = from
+		clear(h.inFlight)
+		out = o.sendTo(h, out)
+		o.commit()
+	case selectAnother:
+		o.avoided[h.candidate.Name] = max(now, 1) // 0 is never
+		out = o.selectHolders(now, out)
+	}
+	o.updateShortage(now)
+	return out
+}
+
+// offerTo tells a holder what of the stream is on this node's own disk.
+func (o *Origin) offerTo(h *holder) Outgoing {
+	return Outgoing{h.candidate.Name, &Offer{Stream: o.stream, FromOrigin: true, Ranges: o.stored}}
+}
