--- /dev/null
+++ b/internal/cluster/replicastore/read.go
@@ -0,0 +1,45 @@
+package replicastore
+
+import (
+	"errors"
+	"os"
+
+	"fernvane/internal/cluster/replication"
+	"fernvane/internal/journal/wal"
+)
+
+// ReadStream calls each for the complete chunks of a stream, in order. An error of each ends it.
+func (s *Store) ReadStream(stream replication.Stream, each func(wal.Chunk) error) (wal.ScanReport, error) {
+	return ReadDir(s.files, s.StreamDir(stream), 0, each)
+}
+
+// errOtherIncarnation ends the reading of a segment of another incarnation.
+var errOtherIncarnation = errors.New("a segment of another incarnation")
+
+// ReadDir calls each for the complete chunks in a folder of segments, of one incarnation or, with 0, of all. A segment is
+// one incarnation's.
+func ReadDir(files wal.FileSystem, dir string, incarnation uint64, each func(wal.Chunk) error) (total wal.ScanReport, err error) {
+	segments, err := wal.ListSegments(files, dir)
+	if err != nil {
+		return total, err
+	}
+	for _, segment := range segments {
+		report, err := wal.ScanChunks(files, segment, func(c wal.Chunk) error {
+			if incarnation != 0 && c.Incarnation != incarnation {
+				return errOtherIncarnation
+			}
+			return each(c)
+		})
+		if errors.Is(err, errOtherIncarnation) {
+			continue
+		}
+		total.Segments++
+		total.Records += report.Records
+		total.Bytes += report.Bytes
+		total.Unreadable = append(total.Unreadable, report.Unreadable...)
+		if err != nil && !errors.Is(err, os.ErrNotExist) { // a segment may be removed meanwhile
+			return total, err
+		}
+	}
+	return total, nil
+}
