--- /dev/null
+++ b/internal/cluster/peer/commandserver.go
@@ -0,0 +1,162 @@
+package peer
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/journal/intent"
+	"fernvane/internal/journal/wal"
+)
+
+const recordsPartBytes = 256 << 10 // of records in one frame
+
+// Status is how the node stands.
+func (n *Node) Status() *Status {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	s := &Status{
+		Self:           n.table.Self(),
+		Members:        n.table.Members(),
+		IsReady:        n.isLoaded,
+		Replicas:       n.cfg.Replicas,
+		StoredReplicas: n.replicas.StoredReplicas(),
+		StoredBytes:    n.replicas.StoredBytes(),
+		MaxBytes:       n.cfg.MaxReplicaBytes,
+	}
+	if n.origin != nil {
+		s.Stream = n.origin.Stream()
+		s.Next = n.origin.NextNumber()
+		s.Committed = n.origin.Committed()
+		s.Uncommitted = n.origin.UncommittedCount()
+		s.Holders = n.origin.Holders()
+	}
+	return s
+}
+
+// serveCommand answers a caller that is no node, until it disconnects.
+func (n *Node) serveCommand(ctx context.Context, conn *framing.Conn) error {
+	for {
+		kind, body, err := conn.Receive(time.Now().Add(commandTimeout))
+		if err != nil {
+			return err
+		}
+		switch kind {
+		case statusQueryKind:
+			err = n.serveStatus(ctx, conn, body)
+		case recordsQueryKind:
+			err = n.serveRecords(ctx, conn, body)
+		default:
+			err = conn.Reject(fmt.Errorf("a frame of kind %d from a command", kind))
+		}
+		if err != nil {
+			return err
+		}
+	}
+}
+
+func (n *Node) serveStatus(ctx context.Context, conn *framing.Conn, body []byte) error {
+	var q statusQuery
+	if err := framing.Decode(body, &q); err != nil {
+		return conn.Reject(err)
+	}
+	var damage []string
+	if q.Verify {
+		damage = n.verify(ctx)
+	}
+	s := n.Status()
+	s.Damage = damage
+	return conn.Send(statusKind, s)
+}
+
+// serveRecords sends all records that stand here, in parts.
+func (n *Node) serveRecords(ctx context.Context, conn *framing.Conn, body []byte) error {
+	var q recordsQuery
+	if err := framing.Decode(body, &q); err != nil {
+		return conn.Reject(err)
+	}
+	sender := recordsSender{conn: conn, filter: requestFilter{id: q.RequestID, matched: map[requestKey]bool{}}}
+	dirs, err := n.recordFolders()
+	for _, dir := range dirs {
+		report, scanErr := wal.Scan(n.files, dir, time.Unix(0, q.SinceUnixNano), func(r *intent.Record) error {
+			return sender.add(ctx, r)
+		}, nil)
+		if scanErr != nil {
+			err = errors.Join(err, scanErr)
+		}
+		sender.part.Corrupt += report.CorruptCount()
+	}
+	sender.part.IsLast = true
+	if err != nil {
+		sender.part.Failure = err.Error()
+	}
+	return sender.send()
+}
+
+// recordFolders are the journal's folder and those of the stored replicas, as far as they can be listed. It locks mu.
+func (n *Node) recordFolders() (dirs []string, err error) {
+	n.mu.Lock()
+	journal := n.journal
+	n.mu.Unlock()
+	streams, err := n.store.Streams()
+	if journal != "" {
+		dirs = append(dirs, journal)
+	}
+	for _, s := range streams {
+		dirs = append(dirs, n.store.StreamDir(s))
+	}
+	return dirs, err
+}
+
+// recordsSender collects records and sends them in parts.
+type recordsSender struct {
+	conn   *framing.Conn
+	filter requestFilter
+	part   recordsPart
+}
+
+func (s *recordsSender) add(ctx context.Context, r *intent.Record) error {
+	if !s.filter.fits(r) || r.Kind == intent.ChunkHeader {
+		return nil
+	}
+	var err error
+	if s.part.Frames, err = wal.AppendFrame(s.part.Frames, r); err != nil {
+		return err
+	}
+	if len(s.part.Frames) > recordsPartBytes {
+		return s.send()
+	}
+	return ctx.Err()
+}
+
+func (s *recordsSender) send() error {
+	err := s.conn.Send(recordsKind, &s.part)
+	s.part.Frames = s.part.Frames[:0]
+	return err
+}
+
+// requestKey identifies a request among all nodes' journals.
+type requestKey struct {
+	incarnation uint64
+	number      uint64
+}
+
+// requestFilter takes the records of requests with an id, or that repeat it. Only a request's first records name its id,
+// and the records that reconcile it come behind them.
+type requestFilter struct {
+	id      string // "" takes all
+	matched map[requestKey]bool
+}
+
+func (f *requestFilter) fits(r *intent.Record) bool {
+	if f.id == "" || r.Kind == intent.Gap {
+		return true
+	}
+	key := requestKey{incarnation: r.Incarnation, number: r.RequestNumber}
+	if r.RequestID == f.id || r.RepeatOf == f.id {
+		f.matched[key] = true
+	}
+	return f.matched[key]
+}
--- /dev/null
+++ b/internal/cluster/peer/copy.go
@@ -0,0 +1,173 @@
+package peer
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"fernvane/internal/cluster/membership"
+	"fernvane/internal/cluster/replication"
+	"fernvane/internal/journal/wal"
+)
+
+const (
+	maxUnackedBatches = 8 // of one copy
+	copyAckTimeout    = 2 * time.Second
+	copyBatchBytes    = 64 << 10 // 300 records, so that the unacknowledged ones fit the holder's queue
+)
+
+// errNothingToCopy ends a copy to a node that is disconnected, or lacks nothing any more.
+var errNothingToCopy = errors.New("the node is disconnected, or lacks nothing")
+
+// startCopies starts the copies that are this node's to make and not under way, each in a goroutine. mu is held.
+func (n *Node) startCopies(ctx context.Context, g *errgroup.Group, now time.Duration) {
+	var jobs []replication.CopyJob
+	if n.isLoaded {
+		jobs = n.replicas.CopyJobs(now)
+	}
+	if n.origin != nil {
+		for _, name := range n.origin.WantedConnections() {
+			if len(n.origin.MissingAt(name)) > 0 {
+				jobs = append(jobs, replication.CopyJob{Stream: n.origin.Stream(), To: name})
+			}
+		}
+	}
+	for _, job := range jobs {
+		if n.copies[job] != nil || !n.connections.isOpen(job.To) {
+			continue
+		}
+		unacked := make(chan struct{}, maxUnackedBatches)
+		n.copies[job] = unacked
+		g.Go(func() error {
+			n.runCopy(ctx, job, unacked)
+			return nil
+		})
+	}
+}
+
+func (n *Node) runCopy(ctx context.Context, job replication.CopyJob, unacked chan struct{}) {
+	began := time.Now()
+	c := &replicaCopy{node: n, job: job, unacked: unacked}
+	err := c.run(ctx)
+	n.mu.Lock()
+	delete(n.copies, job)
+	n.mu.Unlock()
+	if c.records > 0 && ctx.Err() == nil {
+		n.log.Info().Err(err).Stringer("stream", job.Stream).Str("to", job.To).Int("records", c.records).Dur("took", time.Since(began)).Msg("replica copied")
+	}
+}
+
+// endCopiedBatch notes that a batch of a copy is acknowledged. mu is held.
+func (n *Node) endCopiedBatch(from string, ack *replication.Ack) {
+	if unacked := n.copies[replication.CopyJob{Stream: ack.Stream, To: from}]; unacked != nil {
+		select {
+		case <-unacked:
+		default:
+		}
+	}
+}
+
+// missingAt is what a job's receiver does not have. mu is held.
+func (n *Node) missingAt(job replication.CopyJob) replication.Ranges {
+	if n.isOwnStream(job.Stream) {
+		return n.origin.MissingAt(job.To)
+	}
+	return n.replicas.MissingAt(job.Stream, job.To)
+}
+
+// isOwnStream reports whether a stream is that of this node's running incarnation. mu is held.
+func (n *Node) isOwnStream(s replication.Stream) bool {
+	return n.origin != nil && s == n.origin.Stream()
+}
+
+// replicaCopy is one stream on its way from this node's disk to another node.
+type replicaCopy struct {
+	node        *Node
+	job         replication.CopyJob
+	isOwnStream bool
+	unacked     chan struct{}      // holds one for each batch that is not acknowledged
+	batch       *replication.Batch // consecutive chunks that go together; nil: none are collected
+	records     int                // sent so far
+}
+
+// run sends what the receiver lacks, at the rate that all copies of this node keep to, and waits for the acknowledgements.
+func (c *replicaCopy) run(ctx context.Context) error {
+	n := c.node
+	n.mu.Lock()
+	c.isOwnStream = n.isOwnStream(c.job.Stream)
+	n.mu.Unlock()
+	_, err := n.readStream(c.job.Stream, func(chunk wal.Chunk) error { return c.add(ctx, chunk) })
+	if err == nil {
+		err = c.flush(ctx)
+	}
+	for deadline := time.Now().Add(copyAckTimeout); len(c.unacked) > 0 && time.Now().Before(deadline) && ctx.Err() == nil; {
+		time.Sleep(tickInterval)
+	}
+	if errors.Is(err, errNothingToCopy) {
+		return nil
+	}
+	return err
+}
+
+// add takes a chunk into the batch if the receiver lacks any of it, and sends the batch first where the chunk doesn't fit.
+func (c *replicaCopy) add(ctx context.Context, chunk wal.Chunk) error {
+	n := c.node
+	n.mu.Lock()
+	missing := n.missingAt(c.job)
+	isConnected := n.connections.isOpen(c.job.To)
+	n.mu.Unlock()
+	if len(missing) == 0 || !isConnected {
+		return errNothingToCopy
+	}
+	end := chunk.First + uint64(chunk.Count)
+	present := replication.Ranges{{From: chunk.First, To: end}}.Without(missing)
+	if present.Contains(chunk.First, end) {
+		return nil
+	}
+	if !c.fits(chunk) {
+		if err := c.flush(ctx); err != nil {
+			return err
+		}
+	}
+	if c.batch == nil {
+		c.batch = &replication.Batch{Stream: c.job.Stream, First: chunk.First, FromOrigin: c.isOwnStream}
+	}
+	c.batch.Count += chunk.Count
+	c.batch.Frames = append(c.batch.Frames, chunk.Frames...)
+	return nil
+}
+
+// fits reports whether a chunk follows on the batch and leaves it small enough.
+func (c *replicaCopy) fits(chunk wal.Chunk) bool {
+	b := c.batch
+	return b == nil || b.First+uint64(b.Count) == chunk.First && len(b.Frames)+len(chunk.Frames) <= copyBatchBytes
+}
+
+// flush sends the batch, once the rate allows it and enough of those before are acknowledged.
+func (c *replicaCopy) flush(ctx context.Context) error {
+	b := c.batch
+	if b == nil {
+		return nil
+	}
+	n := c.node
+	if err := n.copyLimit.WaitN(ctx, len(b.Frames)); err != nil {
+		return err
+	}
+	timer := time.NewTimer(copyAckTimeout)
+	defer timer.Stop()
+	select {
+	case c.unacked <- struct{}{}:
+	case <-timer.C:
+		return errNothingToCopy
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+	c.records += b.Count
+	n.mu.Lock()
+	n.send(n.now(), []membership.Outgoing{{To: c.job.To, Message: b}})
+	n.mu.Unlock()
+	c.batch = nil
+	return nil
+}
--- a/internal/cluster/peer/format_test.go
+++ b/internal/cluster/peer/format_test.go
@@ -51,20 +51,20 @@
 	ranges := replication.Ranges{{From: 1, To: 6}, {From: 8, To: 9}}
 	return []frameSample{
 		{"intro", introKind, &intro{Deployment: "d", Member: sampleMember("n1")}},
-		{"beat", beatKind, &membership.Heartbeat{Digest: 1<<63 + 5}},
-		{"news", newsKind, &membership.Update{Members: []membership.Member{sampleMember("n1"), {Name: "n9"}}}},
-		{"ask", askKind, &membership.LivenessQuery{Name: "n4"}},
-		{"tell", tellKind, &membership.LivenessReply{Name: "n4", IsHeard: true}},
+		{"beat", heartbeatKind, &membership.Heartbeat{Digest: 1<<63 + 5}},
+		{"news", updateKind, &membership.Update{Members: []membership.Member{sampleMember("n1"), {Name: "n9"}}}},
+		{"ask", livenessQueryKind, &membership.LivenessQuery{Name: "n4"}},
+		{"tell", livenessReplyKind, &membership.LivenessReply{Name: "n4", IsHeard: true}},
 		{"offer", offerKind, &replication.Offer{Stream: s, FromOrigin: true, Ranges: ranges}},
-		{"have", haveKind, &replication.Inventory{Stream: s, Ranges: ranges, RejectReason: replication.ReasonLaterIncarnation}},
+		{"have", inventoryKind, &replication.Inventory{Stream: s, Ranges: ranges, RejectReason: replication.ReasonLaterIncarnation}},
 		{"batch", batchKind, &replication.Batch{Stream: s, First: 41, Count: 3, FromOrigin: true, Frames: []byte{1, 2, 3}}},
 		{"ack", ackKind, &replication.Ack{Stream: s, First: 41, Count: 3, RejectReason: "older than what is kept"}},
-		{"query", queryKind, &query{Verify: true}},
+		{"query", statusQueryKind, &statusQuery{Verify: true}},
 		{"status", statusKind, sampleStatus()},
-		{"pull", pullKind, &pull{Since: 1_800_000_000_000_000_004, ID: "id-7"}},
-		{"pulled", pulledKind, &pulled{Body: []byte{4, 5}, Last: true, Corrupt: 6, Fault: "a disk"}},
-		{"listAsk", listAskKind, &listAsk{}},
-		{"list", listKind, &list{Text: []byte{7, 8}}},
+		{"pull", recordsQueryKind, &recordsQuery{SinceUnixNano: 1_800_000_000_000_000_004, RequestID: "id-7"}},
+		{"pulled", recordsKind, &recordsPart{Frames: []byte{4, 5}, IsLast: true, Corrupt: 6, Failure: "a disk"}},
+		{"listAsk", endpointListQueryKind, &endpointListQuery{}},
+		{"list", endpointListKind, &endpointList{Text: []byte{7, 8}}},
 	}
 }
 
@@ -133,7 +133,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if back, err := read(k, body); err != nil || !reflect.DeepEqual(back, s.message) {
+		if back, err := decodeMessage(k, body); err != nil || !reflect.DeepEqual(back, s.message) {
 			t.Errorf("%s comes in as %+v, %v", s.name, back, err)
 		}
 	}
--- /dev/null
+++ b/internal/cluster/peer/handshake.go
@@ -0,0 +1,161 @@
+package peer
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/netip"
+	"sync"
+	"time"
+
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/cluster/membership"
+)
+
+const (
+	handshakeTimeout = 2 * time.Second
+	dialTimeout      = time.Second
+	acceptRetryWait  = 100 * time.Millisecond
+)
+
+var (
+	errTooManyConnections = errors.New("too many connections are here: ask another node")
+	errCallerUnknown      = errors.New("a caller that does not say who it is")
+	errPeerUnknown        = errors.New("a peer that does not say who it is")
+)
+
+// accept takes connections of other nodes and of commands until the context ends.
+func (n *Node) accept(ctx context.Context) error {
+	var serving sync.WaitGroup
+	defer serving.Wait()
+	for {
+		nc, err := n.listener.Accept()
+		if ctx.Err() != nil {
+			return nil
+		}
+		if err != nil {
+			n.log.Warn().Err(err).Msg("accepting a connection failed")
+			select {
+			case <-ctx.Done():
+			case <-time.After(acceptRetryWait):
+			}
+			continue
+		}
+		serving.Go(func() {
+			defer nc.Close()
+			defer context.AfterFunc(ctx, func() { nc.Close() })()
+			if err := n.serveAccepted(ctx, nc); err != nil && ctx.Err() == nil {
+				n.log.Debug().Err(err).Stringer("from", nc.RemoteAddr()).Msg("accepted connection ended")
+			}
+		})
+	}
+}
+
+// serveAccepted greets a caller and serves it as a command or a node.
+func (n *Node) serveAccepted(ctx context.Context, nc net.Conn) error {
+	deadline := time.Now().Add(handshakeTimeout)
+	nc.SetDeadline(deadline)
+	if n.cfg.Keys != nil {
+		nc = n.cfg.Keys.ServerConn(nc)
+	}
+	conn := protocol.NewConn(nc)
+	if _, err := conn.ReceiveHello(deadline); err != nil {
+		return err
+	}
+	if err := conn.Send(framing.HelloKind, framing.Hello{Version: version, Name: n.name}); err != nil {
+		return err
+	}
+	kind, body, err := conn.Receive(deadline)
+	if err != nil {
+		return err
+	}
+	var caller intro
+	if kind != introKind || framing.Decode(body, &caller) != nil {
+		return conn.Reject(errCallerUnknown)
+	}
+	if caller.Deployment != n.cfg.Deployment {
+		return conn.Reject(fmt.Errorf("this is deployment %q", n.cfg.Deployment))
+	}
+	if caller.Member.Incarnation == 0 {
+		return n.serveCommand(ctx, conn)
+	}
+	if n.isCrowdedFor(caller.Member.Name) {
+		return conn.Reject(errTooManyConnections)
+	}
+	if err := conn.Send(introKind, intro{Deployment: n.cfg.Deployment, Member: n.self()}); err != nil {
+		return err
+	}
+	return n.serveNode(newConnection(conn, caller.Member.Name, false), caller.Member)
+}
+
+// isCrowdedFor reports whether there are too many connections to take one of a further node. It locks mu.
+func (n *Node) isCrowdedFor(name string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return len(n.connections.open) >= maxConnectedNodes && n.connections.open[name] == nil
+}
+
+// connect opens a connection to an address and serves it until it ends.
+func (n *Node) connect(ctx context.Context, address string) {
+	conn, who, err := dial(ctx, n.cfg, n.cfg.ListenAddress.Addr(), address, n.name, n.self())
+	if err == nil {
+		defer context.AfterFunc(ctx, func() { conn.Close() })()
+		err = n.serveNode(newConnection(conn, who.Member.Name, true), who.Member)
+	}
+	if ctx.Err() == nil {
+		n.log.Debug().Err(err).Str("address", address).Msg("dialed connection ended")
+	}
+}
+
+// dial opens a connection to an address, says who this is and returns who answers. With a self that has no incarnation the
+// caller is a command, which is not told who answers. from is the local address, if it is a specified one.
+func dial(ctx context.Context, cfg *Config, from netip.Addr, address, name string, self membership.Member) (conn *framing.Conn, who intro, err error) {
+	d := net.Dialer{Deadline: time.Now().Add(dialTimeout)}
+	if from.IsValid() && !from.IsUnspecified() { // the address by which the others know this node
+		d.LocalAddr = &net.TCPAddr{IP: from.AsSlice()}
+	}
+	nc, err := d.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, who, err
+	}
+	defer func() {
+		if err != nil {
+			nc.Close()
+		}
+	}()
+	stop := context.AfterFunc(ctx, func() { nc.SetDeadline(time.Unix(1, 0)) })
+	defer stop()
+	deadline := time.Now().Add(handshakeTimeout)
+	nc.SetDeadline(deadline)
+	wrapped := nc
+	if cfg.Keys != nil {
+		wrapped = cfg.Keys.ClientConn(nc, cfg.TLSName)
+	}
+	conn = protocol.NewConn(wrapped)
+	if _, err = conn.Handshake(name, deadline); err != nil {
+		return nil, who, err
+	}
+	if err = conn.Send(introKind, intro{Deployment: cfg.Deployment, Member: self}); err != nil {
+		return nil, who, err
+	}
+	if self.Incarnation == 0 {
+		return conn, who, nil
+	}
+	who, err = receiveIntro(conn, deadline)
+	return conn, who, err
+}
+
+func receiveIntro(conn *framing.Conn, deadline time.Time) (who intro, err error) {
+	kind, body, err := conn.Receive(deadline)
+	switch {
+	case err != nil:
+	case kind == framing.RejectionKind:
+		err = framing.RejectionError(body)
+	case kind != introKind:
+		err = errPeerUnknown
+	default:
+		err = framing.Decode(body, &who)
+	}
+	return who, err
+}
--- /dev/null
+++ b/internal/cluster/peer/node_test.go
@@ -0,0 +1,203 @@
+package peer
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"fernvane/internal/cluster/framing"
+	"fernvane/internal/cluster/membership"
+	"fernvane/internal/cluster/replication"
+	"fernvane/internal/testbed/standin/certauthority"
+)
+
+// Two machines are lost, then a third; their records are found at the nodes that are left, which restore the copies.
+func TestMachinesLost(t *testing.T) {
+	t.Parallel()
+	nodes := []*testNode{start(t, "n0", "")}
+	for i := 1; i < 5; i++ {
+		nodes = append(nodes, start(t, fmt.Sprint("n", i), "", nodes[0].cfg.Listen, nodes[i-1].cfg.Listen))
+	}
+	want := map[string]bool{}
+	for number := range uint64(3) {
+		for _, m := range nodes {
+			m.commit(t, number)
+			want[fmt.Sprint(m.name, "-", number)] = true
+		}
+	}
+	complete := func(of *testNode, count, streams int) func() bool {
+		return func() bool {
+			c := Query(context.Background(), of.cfg, false)
+			n := 0
+			for _, copies := range c.CopyCounts() {
+				if copies >= 3 {
+					n++
+				}
+			}
+			return len(c.Answered) == count && n >= streams
+		}
+	}
+	eventually(t, "all streams are on three machines", complete(nodes[0], 5, 5))
+	checkFound := func(node *testNode, missing int) {
+		t.Helper()
+		ids, enough := findIDs(t, node.cfg)
+		for id := range want {
+			if !ids[id] {
+				t.Errorf("%s is not found with %d nodes lost", id, missing)
+			}
+		}
+		if enough != (missing <= 2) {
+			t.Errorf("%d nodes are missing: enough is %v", missing, enough)
+		}
+	}
+	checkFound(nodes[0], 0)
+	nodes[3].crash()
+	nodes[4].crash()
+	checkFound(nodes[0], 2)
+	eventually(t, "their streams are on three machines again", complete(nodes[0], 3, 5))
+	nodes[0].crash() // a third one, when the copies are restored
+	ids, enough := findIDs(t, nodes[1].cfg)
+	if len(ids) != len(want) || enough {
+		t.Errorf("%d of %d are found at two of five nodes; enough is %v", len(ids), len(want), enough)
+	}
+	// One returns with its disk, another without: the copies are restored, and nothing comes twice.
+	back := start(t, "n3", nodes[3].dir, nodes[1].cfg.Listen)
+	start(t, "n4", "", nodes[1].cfg.Listen)
+	back.commit(t, 9)
+	want["n3-9"] = true
+	eventually(t, "all streams are on three machines in the end", complete(nodes[1], 4, 6))
+	if ids, _ := findIDs(t, nodes[2].cfg); len(ids) != len(want) {
+		t.Errorf("%d of %d are found", len(ids), len(want))
+	}
+}
+
+// Two processes run under one name: the later one goes on, the earlier one is notified. A clock that was set back between
+// two starts changes nothing.
+func TestTwoProcessesOfOneName(t *testing.T) {
+	t.Parallel()
+	a := start(t, "n0", "")
+	b := start(t, "n1", "", a.cfg.Listen)
+	second := start(t, "n1", "", a.cfg.Listen)
+	select {
+	case <-b.Replaced():
+	case <-time.After(20 * time.Second):
+		t.Fatal("the earlier one was not notified")
+	}
+	select {
+	case <-second.Replaced():
+		t.Error("the later one was notified to stop")
+	default:
+	}
+	second.crash()
+	b.crash()
+	later := time.Now().Add(time.Hour).UnixNano()
+	a.mu.Lock()
+	a.table.MergeMembers(a.now(), "", []membership.Member{{Name: "n1", Incarnation: later, Condition: membership.Dead}})
+	a.mu.Unlock()
+	again := start(t, "n1", "", a.cfg.Listen)
+	if incarnation := again.self().Incarnation; incarnation <= later {
+		t.Errorf("it began incarnation %d, behind %d", incarnation, later)
+	}
+}
+
+// Callers that are no nodes of the cluster are rejected, and nothing is stored.
+func TestRejectedCallers(t *testing.T) {
+	t.Parallel()
+	a := start(t, "n0", "")
+	hello, _ := protocol.Append(nil, framing.HelloKind, framing.Hello{Version: version, Name: "x"})
+	old, _ := protocol.Append(nil, framing.HelloKind, framing.Hello{Version: version + 1, Name: "x"})
+	other, _ := protocol.Append(slices.Clone(hello), introKind, intro{Deployment: "other", Member: membership.Member{Name: "x", Incarnation: 1}})
+	node, _ := protocol.Append(slices.Clone(hello), introKind, intro{Deployment: "d", Member: membership.Member{Name: "x", Incarnation: 1}})
+	heartbeat, _ := protocol.Append(slices.Clone(hello), heartbeatKind, membership.Heartbeat{})
+	batch, _ := protocol.Append(slices.Clone(node), batchKind, replication.Batch{Stream: replication.Stream{Name: "../x", Incarnation: 1}, First: 1, Count: 1, Frames: []byte("no chunk")})
+	for name, c := range map[string]struct {
+		sent   []byte
+		answer string
+	}{
+		"HTTP":               {[]byte("GET / HTTP/1.1\r\n\r\n"), ""},
+		"another version":    {old, "version 1 is spoken here"},
+		"another deployment": {other, `this is deployment`},
+		"a heartbeat first":  {heartbeat, "does not say who it is"},
+		"an invalid batch":   {batch, ""},
+	} {
+		t.Run(name, func(t *testing.T) {
+			nc, err := net.Dial("tcp", a.cfg.Listen)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer nc.Close()
+			nc.SetDeadline(time.Now().Add(10 * time.Second))
+			nc.Write(c.sent)
+			got, err := io.ReadAll(nc)
+			if err != nil && !strings.Contains(err.Error(), "reset") || !strings.Contains(string(got), c.answer) {
+				t.Errorf("%q, %v", got, err)
+			}
+		})
+	}
+	if entries, _ := os.ReadDir(a.cfg.ReplicaDir); len(entries) > 0 {
+		t.Errorf("%v is stored", entries)
+	}
+}
+
+// With keys, only nodes that show a certificate of the authority become members.
+func TestOtherAuthority(t *testing.T) {
+	t.Parallel()
+	dir := t.TempDir()
+	file := func(name string, sign *certauthority.Authority, listen string, seeds ...string) *Config {
+		own := filepath.Join(dir, name)
+		os.MkdirAll(filepath.Join(own, "held"), 0o700)
+		cert, key, ca, err := sign.Write(own, "tier", time.Now().Add(time.Hour))
+		if err != nil {
+			t.Fatal(err)
+		}
+		path := filepath.Join(own, "peers.toml")
+		text := fmt.Sprintf("listen = %q\npeers = [%s]\ndeployment = \"d\"\nmachine = %q\nheld = %q\ntls_name = \"tier\"\ncert = %q\nkey = %q\nca = %q\n",
+			listen, strings.Join(seeds, ","), name, filepath.Join(own, "held"), cert, key, ca)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		cfg, err := LoadConfig(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return cfg
+	}
+	ours, err := certauthority.New("ours")
+	if err != nil {
+		t.Fatal(err)
+	}
+	theirs, err := certauthority.New("theirs")
+	if err != nil {
+		t.Fatal(err)
+	}
+	listen := address(t)
+	run := func(cfg *Config, name string) *Node {
+		n, err := New(cfg, name, nil, zerolog.New(io.Discard))
+		if err != nil {
+			t.Fatal(err)
+		}
+		ctx, cancel := context.WithCancel(context.Background())
+		done := make(chan error, 1)
+		go func() { done <- n.Run(ctx) }()
+		t.Cleanup(func() { cancel(); <-done })
+		n.StartJournal("", false)
+		return n
+	}
+	a := run(file("a", ours, listen), "a")
+	b := run(file("b", ours, address(t), fmt.Sprintf("%q", listen)), "b")
+	run(file("c", theirs, address(t), fmt.Sprintf("%q", listen)), "c")
+	eventually(t, "two nodes of one authority know each other", func() bool { return len(a.Status().Members) == 2 && len(b.Status().Members) == 2 })
+	time.Sleep(3 * initialRedialWait) // the third has tried by now; the check holds whenever it has
+	if len(a.Status().Members) != 2 {
+		t.Error("a node of another authority became a member")
+	}
+}
--- /dev/null
+++ b/internal/cluster/peer/reconcile.go
@@ -0,0 +1,190 @@
+package peer
+
+import (
+	"context"
+	"errors"
+	"os"
+	"time"
+
+	"fernvane/internal/cluster/replication"
+	"fernvane/internal/journal/execution"
+	"fernvane/internal/journal/intent"
+	"fernvane/internal/journal/wal"
+)
+
+const (
+	reconcileSlack       = 5 * time.Second // an attempt that began so shortly before an execution record ends may still run
+	minReconcileInterval = time.Second
+	reconciledBytes      = 64 // about what one record takes on disk
+)
+
+// reconcile decides entries of lost machines by the servers' execution records, where the configuration names any: each
+// stream is reconciled by the one node that is first of its holders, and by the next if that one is lost too. It returns
+// when the context ends.
+func (n *Node) reconcile(ctx context.Context) error {
+	if len(n.cfg.ExecutionRecords) == 0 {
+		return nil
+	}
+	ticker := time.NewTicker(max(n.cfg.ReconcileAfter.Std()/4, minReconcileInterval))
+	defer ticker.Stop()
+	closedAt := map[replication.Stream]uint64{} // with how many records a stream had no open entry
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-ticker.C:
+		}
+		executions := executionLoader{node: n}
+		for _, s := range n.streamsToReconcile(closedAt) {
+			left, err := n.reconcileStream(s, &executions)
+			if err != nil {
+				n.log.Error().Err(err).Stringer("stream", s).Msg("journal not reconciled")
+				continue
+			}
+			if left == 0 {
+				n.mu.Lock()
+				closedAt[s] = n.replicas.Ranges(s).Count()
+				n.mu.Unlock()
+			}
+		}
+	}
+}
+
+// streamsToReconcile locks mu.
+func (n *Node) streamsToReconcile(closedAt map[replication.Stream]uint64) (streams []replication.Stream) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if !n.isLoaded {
+		return nil
+	}
+	for _, s := range n.replicas.Streams() {
+		if n.replicas.ShouldReconcile(n.now(), s, n.cfg.ReconcileAfter.Std()) && closedAt[s] != n.replicas.Ranges(s).Count() {
+			streams = append(streams, s)
+		}
+	}
+	return streams
+}
+
+// reconcileStream stores what execution records decide of a stream, and returns how many entries they leave open.
+func (n *Node) reconcileStream(s replication.Stream, executions *executionLoader) (left int, err error) {
+	open, err := n.openEntries(s)
+	if err != nil {
+		return 0, err
+	}
+	if len(open) > 0 {
+		executions.load()
+	}
+	var records []intent.Record
+	for _, e := range open {
+		reconciled := intent.Reconcile(e, executions.records, int64(reconcileSlack), time.Now().UnixNano())
+		if len(reconciled) == 0 {
+			left++
+		}
+		records = append(records, reconciled...)
+	}
+	if err := n.storeReconciled(s, records); err != nil {
+		return 0, err
+	}
+	if len(records) > 0 {
+		n.log.Info().Stringer("stream", s).Int("attempts", len(records)).Int("open", left).Msg("journal of lost machine reconciled")
+	}
+	return left, nil
+}
+
+// executionLoader reads the execution records once, when the first entry needs them.
+type executionLoader struct {
+	node    *Node
+	records map[string]*intent.ExecutionRecord
+}
+
+func (l *executionLoader) load() {
+	if l.records != nil {
+		return
+	}
+	l.records = map[string]*intent.ExecutionRecord{}
+	for _, source := range l.node.cfg.ExecutionRecords {
+		if err := execution.Load(source, l.records); err != nil {
+			l.node.log.Warn().Err(err).Str("source", source).Msg("execution record not read")
+		}
+	}
+}
+
+// openEntries returns the entries of a stream that may have run, by all that this node has of it and of who reconciled it
+// before.
+func (n *Node) openEntries(s replication.Stream) (open []*intent.Entry, err error) {
+	merger := intent.NewMerger()
+	for _, dir := range n.foldersOf(s) {
+		report, err := wal.Scan(n.files, dir, time.Time{}, func(r *intent.Record) error {
+			if int64(r.Incarnation) == s.Incarnation {
+				merger.Add(r)
+			}
+			return nil
+		}, nil)
+		if err != nil && !errors.Is(err, os.ErrNotExist) {
+			return nil, err
+		}
+		merger.HasDamage = merger.HasDamage || report.CorruptCount() > 0
+	}
+	for _, e := range merger.Incomplete() {
+		if e.State() == intent.PossiblySent {
+			open = append(open, e)
+		}
+	}
+	return open, nil
+}
+
+// foldersOf are those in which records of a stream may stand. It locks mu.
+func (n *Node) foldersOf(s replication.Stream) []string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	dirs := []string{n.store.StreamDir(s)}
+	for _, r := range n.replicas.ReconciliationStreams(s) {
+		dirs = append(dirs, n.store.StreamDir(r))
+	}
+	if s.Name == n.name && n.journal != "" {
+		dirs = append(dirs, n.journal)
+	}
+	return dirs
+}
+
+// storeReconciled stores records that reconcile a stream, in a stream of their own, which is copied like any other.
+func (n *Node) storeReconciled(s replication.Stream, records []intent.Record) error {
+	for len(records) > 0 {
+		count := min(len(records), wal.MaxChunkRecords)
+		if err := n.storeReconciledChunk(s, records[:count]); err != nil {
+			return err
+		}
+		records = records[count:]
+	}
+	return nil
+}
+
+func (n *Node) storeReconciledChunk(s replication.Stream, records []intent.Record) error {
+	n.mu.Lock()
+	own := n.replicas.ReconciliationStream(s)
+	first := uint64(1)
+	if stored := n.replicas.Ranges(own); len(stored) > 0 {
+		first = stored[len(stored)-1].To
+	}
+	n.mu.Unlock()
+	now := time.Now().UnixNano()
+	header := intent.Record{
+		Kind:        intent.ChunkHeader,
+		Incarnation: uint64(s.Incarnation),
+		AtUnixNano:  now,
+		From:        int64(first),
+		Count:       len(records),
+	}
+	commit, err := n.store.Append(own, append([]intent.Record{header}, records...))
+	if err != nil {
+		return err
+	}
+	<-commit.Done()
+	if err := commit.Err(); err != nil {
+		return err
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.replicas.RecordsStored(own, first, first+uint64(len(records)), int64(reconciledBytes*len(records)), now)
+	return nil
+}
--- /dev/null
+++ b/internal/cluster/peer/session.go
@@ -0,0 +1,184 @@
+package peer
+
+import (
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+
+	"fernvane/internal/cluster/membership"
+	"fernvane/internal/cluster/replication"
+	"fernvane/internal/journal/wal"
+)
+
+const (
+	idleTimeout      = 3 * time.Second        // of a connection: twelve heartbeats
+	ownNameLinger    = 500 * time.Millisecond // for another process of this node's name to read that it is one
+	maxEarlyOffers   = 1024
+	reasonDiskFailed = "the disk takes nothing" // RejectReason of an Ack
+)
+
+var (
+	errSelf    = errors.New("this node itself")
+	errOwnName = errors.New("another life of this name")
+)
+
+// serveNode reads a connection with a node until it ends. It owns the connection's goroutines.
+func (n *Node) serveNode(c *connection, who membership.Member) error {
+	defer c.close()
+	if c.name == "" || c.name == n.name && who.Incarnation == n.self().Incarnation {
+		return errSelf
+	}
+	readerDone := make(chan struct{})
+	var goroutines sync.WaitGroup
+	defer goroutines.Wait()
+	defer close(readerDone)
+	defer close(c.pendingAcks)
+	goroutines.Go(func() { c.writeQueued(readerDone) })
+	goroutines.Go(func() { n.acknowledgeBatches(c) })
+	if c.name == n.name {
+		n.metOwnName(c, who)
+		time.Sleep(ownNameLinger)
+		return errOwnName
+	}
+	n.connected(c, who)
+	defer n.disconnected(c)
+	for {
+		kind, body, err := c.conn.Receive(time.Now().Add(idleTimeout))
+		if err != nil {
+			return err
+		}
+		message, err := decodeMessage(kind, body)
+		if err != nil {
+			return err
+		}
+		switch m := message.(type) {
+		case *replication.Batch:
+			if err := n.handleBatch(c, m); err != nil {
+				return err
+			}
+		case *endpointList:
+			n.handleEndpointList(m)
+		case *endpointListQuery:
+			n.handleEndpointListQuery(c)
+		default:
+			n.handleMessage(c, message)
+		}
+	}
+}
+
+// handleMessage hands a message to membership or replication. It locks mu.
+func (n *Node) handleMessage(c *connection, message any) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now := n.now()
+	n.table.HeardFrom(now, c.name)
+	switch m := message.(type) {
+	case *replication.Offer:
+		if n.isLoaded {
+			n.send(now, n.replicas.HandleOffer(now, c.name, m))
+		} else if len(n.earlyOffers) < maxEarlyOffers {
+			n.earlyOffers = append(n.earlyOffers, earlyOffer{from: c.name, offer: m})
+		}
+	case *replication.Inventory:
+		n.handleReplicationAnswer(now, c.name, m)
+	case *replication.Ack:
+		n.handleReplicationAnswer(now, c.name, m)
+		n.endCopiedBatch(c.name, m)
+	default:
+		n.send(now, n.table.HandleMessage(now, c.name, m))
+	}
+	n.afterChange(now)
+	if _, isUpdate := message.(*membership.Update); isUpdate {
+		n.noteFirstUpdate()
+	}
+}
+
+func (n *Node) handleReplicationAnswer(now time.Duration, from string, message any) {
+	if n.origin != nil {
+		n.send(now, n.origin.HandleMessage(now, from, message))
+	}
+	n.replicas.HandleMessage(now, from, message)
+}
+
+// noteFirstUpdate has Join return. mu is held.
+func (n *Node) noteFirstUpdate() {
+	select {
+	case <-n.firstUpdate:
+	default:
+		close(n.firstUpdate)
+	}
+}
+
+// pendingAck is a batch that is on its way to the disk.
+type pendingAck struct {
+	batch      *replication.Batch
+	atUnixNano int64 // of its last chunk
+	commit     *wal.Commit
+	err        error // why it is not on its way
+}
+
+// handleBatch has a batch written, if it is admitted; acknowledgeBatches answers it. An error is a batch that no node of
+// this version sends.
+func (n *Node) handleBatch(c *connection, b *replication.Batch) error {
+	chunk, records, err := wal.DecodeChunks(b.Frames)
+	if err != nil {
+		return err
+	}
+	if int64(chunk.Incarnation) != b.Incarnation || chunk.First != b.First || chunk.Count != b.Count || !streamNames.MatchString(b.Name) {
+		return fmt.Errorf("a batch of %s that holds another", b.Stream)
+	}
+	if !n.admitBatch(c, b, chunk.AtUnixNano) {
+		return nil
+	}
+	ack := pendingAck{batch: b, atUnixNano: chunk.AtUnixNano}
+	ack.commit, ack.err = n.store.Append(b.Stream, records)
+	c.pendingAcks <- ack
+	return nil
+}
+
+// admitBatch answers a batch that is not to be written. Before the stored replicas are known batches are dropped, and sent
+// again later. It locks mu.
+func (n *Node) admitBatch(c *connection, b *replication.Batch, atUnixNano int64) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now := n.now()
+	n.table.HeardFrom(now, c.name)
+	ok, out := n.replicas.AdmitBatch(c.name, b, atUnixNano, time.Now().UnixNano())
+	if !n.isLoaded {
+		return false
+	}
+	n.send(now, out)
+	return ok
+}
+
+// acknowledgeBatches answers batches in the order in which they came, each when it lasts.
+func (n *Node) acknowledgeBatches(c *connection) {
+	for pending := range c.pendingAcks {
+		err := pending.err
+		if err == nil {
+			<-pending.commit.Done()
+			err = pending.commit.Err()
+		}
+		b := pending.batch
+		ack := &replication.Ack{Stream: b.Stream, First: b.First, Count: b.Count}
+		if err != nil {
+			ack.RejectReason = reasonDiskFailed
+			n.log.Error().Err(err).Stringer("stream", b.Stream).Msg("replica not stored")
+		} else {
+			n.noteBatchStored(b, pending.atUnixNano)
+		}
+		c.queueMessage(ack)
+	}
+}
+
+// noteBatchStored locks mu.
+func (n *Node) noteBatchStored(b *replication.Batch, atUnixNano int64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	end := b.First + uint64(b.Count)
+	n.replicas.RecordsStored(b.Stream, b.First, end, int64(len(b.Frames)), atUnixNano)
+	if n.origin != nil && b.Stream == n.origin.Stream() { // what was damaged in the journal has come back
+		n.origin.RecordsStored(b.First, end)
+	}
+}
