--- /dev/null
+++ b/internal/cluster/framing/conn.go
@@ -0,0 +1,120 @@
+package framing
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+)
+
+const (
+	maxNameBytes = 200             // of a peer's name
+	sendTimeout  = 2 * time.Second // for a peer to take a frame
+)
+
+// Hello is the first frame of each side. It is sent as a CBOR array: the order of the fields stays.
+type Hello struct {
+	_ struct{} `cbor:",toarray"`
+
+	Version int
+	Name    string
+}
+
+// Rejection is the last frame to a peer that is rejected.
+type Rejection struct {
+	_ struct{} `cbor:",toarray"`
+
+	Reason string
+}
+
+// Conn is one connection. One goroutine may send while another receives.
+type Conn struct {
+	net.Conn
+	protocol *Protocol
+	reader   *bufio.Reader
+	received []byte // buffer of Receive
+	sent     []byte // buffer of Send
+
+	// SentBytes and SentFrames count what Send has written; they belong to the goroutine that sends.
+	SentBytes  int
+	SentFrames int
+}
+
+// NewConn carries frames on a connection. The caller closes it.
+func (p *Protocol) NewConn(nc net.Conn) *Conn {
+	return &Conn{Conn: nc, protocol: p, reader: bufio.NewReader(nc)}
+}
+
+// Send writes a frame. After an error the connection is of no use any more: a part of the frame may be written.
+func (c *Conn) Send(k Kind, body any) (err error) {
+	if c.sent, err = c.protocol.Append(c.sent[:0], k, body); err != nil {
+		return err
+	}
+	c.SetWriteDeadline(time.Now().Add(sendTimeout))
+	n, err := c.Write(c.sent)
+	c.SentBytes += n
+	c.SentFrames++
+	return err
+}
+
+// Receive waits for a frame until a deadline. The body holds until the next call.
+func (c *Conn) Receive(deadline time.Time) (k Kind, body []byte, err error) {
+	c.SetReadDeadline(deadline)
+	k, body, err = c.protocol.Read(c.reader, c.received)
+	c.received = body
+	return k, body, err
+}
+
+// Handshake sends this side's Hello and returns the name in the other's.
+func (c *Conn) Handshake(name string, deadline time.Time) (peer string, err error) {
+	if err := c.Send(HelloKind, Hello{Version: c.protocol.Version, Name: name}); err != nil {
+		return "", err
+	}
+	return c.ReceiveHello(deadline)
+}
+
+// ReceiveHello reads the other side's Hello and returns its name. A peer of another version, or with a hello that makes no
+// sense, is rejected.
+func (c *Conn) ReceiveHello(deadline time.Time) (peer string, err error) {
+	k, body, err := c.Receive(deadline)
+	if err != nil {
+		return "", err
+	}
+	switch k {
+	case RejectionKind:
+		return "", RejectionError(body)
+	case HelloKind:
+		return c.checkHello(body)
+	}
+	return "", c.Reject(errors.New("a frame before the greeting"))
+}
+
+func (c *Conn) checkHello(body []byte) (peer string, err error) {
+	var h Hello
+	if err := Decode(body, &h); err != nil {
+		return "", c.Reject(fmt.Errorf("a greeting that cannot be read: %v", err))
+	}
+	if h.Version != c.protocol.Version {
+		return "", c.Reject(fmt.Errorf("version %d is spoken here, not %d", c.protocol.Version, h.Version))
+	}
+	if h.Name == "" || len(h.Name) > maxNameBytes {
+		return "", c.Reject(errors.New("a peer without a name"))
+	}
+	return h.Name, nil
+}
+
+// RejectionError is why a peer has ended a connection, from the body of its Rejection.
+func RejectionError(body []byte) error {
+	var r Rejection
+	if err := Decode(body, &r); err != nil {
+		return err
+	}
+	return fmt.Errorf("refused by the peer: %.200s", r.Reason)
+}
+
+// Reject tells the peer why the connection ends, and returns that reason. The caller closes the connection.
+func (c *Conn) Reject(reason error) error {
+	c.Send(RejectionKind, Rejection{Reason: reason.Error()})
+	return reason
+}
--- a/internal/cluster/mtls/config.go
+++ b/internal/cluster/mtls/config.go
@@ -6,22 +6,15 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// KeysFromConfig loads the keys that an operator's file names under cert, key and ca, or none where it says plaintext: then all
-// addresses must stay on this machine. What is wrong is noted by its line.
-func KeysFromConfig(f *tomlfile.File, files Files, plaintext bool, addresses []netip.AddrPort) *Keys {
-	if plaintext {
-		for _, at := range addresses {
-			if err := CheckLoopback(at); at.IsValid() && err != nil {
-				f.Wrong("plaintext", "%s: %v", at, err)
-			}
-		}
-		if files != (Files{}) {
-			f.Wrong("plaintext", "either plaintext or keys")
-		}
+// KeysFromConfig loads the keys that an operator's file names under cert, key and ca. It returns nil where the file says
+// plaintext, for which all addresses must be loopback ones, and where something is wrong, which f notes by its line.
+func KeysFromConfig(f *tomlfile.File, files Files, isPlaintext bool, addresses []netip.AddrPort) *Keys {
+	if isPlaintext {
+		checkPlaintext(f, files, addresses)
 		return nil
 	}
-	for key, v := range map[string]string{"cert": files.Cert, "key": files.Key, "ca": files.CA} {
-		if v == "" {
+	for key, path := range map[string]string{"cert": files.Cert, "key": files.Key, "ca": files.CA} {
+		if path == "" {
 			f.Wrong(key, "%s names no file; cert, key and ca are wanted, or plaintext = true on loopback", key)
 			return nil
 		}
@@ -33,3 +26,14 @@
 	}
 	return keys
 }
+
+func checkPlaintext(f *tomlfile.File, files Files, addresses []netip.AddrPort) {
+	for _, address := range addresses {
+		if err := CheckLoopback(address); address.IsValid() && err != nil {
+			f.Wrong("plaintext", "%s: %v", address, err)
+		}
+	}
+	if files != (Files{}) {
+		f.Wrong("plaintext", "either plaintext or keys")
+	}
+}
--- a/internal/cluster/mtls/mtls.go
+++ b/internal/cluster/mtls/mtls.go
@@ -1,5 +1,6 @@
-// Package mtls gives both ends of a connection their TLS: each shows a certificate of one authority and takes none other.
-// Keys come from files, which are read again when they change; files of no use leave the old keys in force.
+// Package mtls gives both ends of a connection their TLS: each shows a certificate of one authority and takes no other.
+// Nodes, planners and control processes use it between each other. Keys come from files, which are read again when they
+// change; files of no use leave the old keys in force.
 package mtls
 
 import (
@@ -14,7 +15,8 @@
 	"time"
 )
 
-const lookEvery = time.Second // at the files
+// reloadInterval is how often the files' times are looked at, when connections are made.
+const reloadInterval = time.Second
 
 // Files are where the keys are.
 type Files struct {
@@ -23,15 +25,16 @@
 	CA   string // the authority of both sides
 }
 
-// Keys are what the files hold.
+// Keys are what the files hold. Its methods may be called by any goroutine.
 type Keys struct {
-	files  Files
-	mu     sync.Mutex
-	cert   tls.Certificate
-	pool   *x509.CertPool
-	stamp  [3]time.Time
-	looked time.Time
-	fault  error // of the last try to read them again
+	files Files
+
+	mu          sync.Mutex
+	cert        tls.Certificate
+	pool        *x509.CertPool
+	modTimes    [3]time.Time // of the files, when they were read
+	lastCheck   time.Time
+	reloadError error
 }
 
 // LoadKeys reads the files.
@@ -40,8 +43,9 @@
 	return k, k.read()
 }
 
+// read replaces the keys, unless a file is of no use.
 func (k *Keys) read() error {
-	stamp, err := k.stamps()
+	modTimes, err := k.files.modTimes()
 	if err != nil {
 		return err
 	}
@@ -57,31 +61,33 @@
 	if !pool.AppendCertsFromPEM(text) {
 		return fmt.Errorf("%s: no certificate of an authority in it", k.files.CA)
 	}
-	k.cert, k.pool, k.stamp = cert, pool, stamp
+	k.cert = cert
+	k.pool = pool
+	k.modTimes = modTimes
 	return nil
 }
 
-func (k *Keys) stamps() (stamp [3]time.Time, err error) {
-	for i, path := range []string{k.files.Cert, k.files.Key, k.files.CA} {
+func (f *Files) modTimes() (times [3]time.Time, err error) {
+	for i, path := range []string{f.Cert, f.Key, f.CA} {
 		st, err := os.Stat(path)
 		if err != nil {
-			return stamp, err
+			return times, err
 		}
-		stamp[i] = st.ModTime()
+		times[i] = st.ModTime()
 	}
-	return stamp, nil
+	return times, nil
 }
 
-// now are the keys in force, read again if the files have changed.
-func (k *Keys) now() (tls.Certificate, *x509.CertPool) {
+// current returns the keys in force, read again if the files have changed.
+func (k *Keys) current() (tls.Certificate, *x509.CertPool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if time.Since(k.looked) > lookEvery {
-		k.looked = time.Now()
-		if stamp, err := k.stamps(); err != nil {
-			k.fault = err
-		} else if stamp != k.stamp {
-			k.fault = k.read()
+	if time.Since(k.lastCheck) > reloadInterval {
+		k.lastCheck = time.Now()
+		if modTimes, err := k.files.modTimes(); err != nil {
+			k.reloadError = err
+		} else if modTimes != k.modTimes {
+			k.reloadError = k.read()
 		}
 	}
 	return k.cert, k.pool
@@ -91,30 +97,39 @@
 func (k *Keys) ReloadError() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.fault
+	return k.reloadError
 }
 
 // ServerConn is the end that listens.
 func (k *Keys) ServerConn(nc net.Conn) *tls.Conn {
 	return tls.Server(nc, &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		cert, pool := k.now()
-		return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, ClientCAs: pool,
-			ClientAuth: tls.RequireAndVerifyClientCert}, nil
+		cert, pool := k.current()
+		return &tls.Config{
+			MinVersion:   tls.VersionTLS13,
+			Certificates: []tls.Certificate{cert},
+			ClientCAs:    pool,
+			ClientAuth:   tls.RequireAndVerifyClientCert,
+		}, nil
 	}})
 }
 
-// ClientConn is the end that dials; name is what the other's certificate must be for.
+// ClientConn is the end that dials; name is what the other side's certificate must be for.
 func (k *Keys) ClientConn(nc net.Conn, name string) *tls.Conn {
-	cert, pool := k.now()
-	return tls.Client(nc, &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, RootCAs: pool, ServerName: name})
+	cert, pool := k.current()
+	return tls.Client(nc, &tls.Config{
+		MinVersion:   tls.VersionTLS13,
+		Certificates: []tls.Certificate{cert},
+		RootCAs:      pool,
+		ServerName:   name,
+	})
 }
 
-// ErrPlaintextNotLoopback says that a connection without TLS may only stay on this machine.
+// ErrPlaintextNotLoopback says that a connection without TLS must stay on this machine.
 var ErrPlaintextNotLoopback = errors.New("plaintext is for loopback addresses only: name cert, key and ca")
 
-// CheckLoopback checks that an address may be used without TLS.
-func CheckLoopback(at netip.AddrPort) error {
-	if !at.Addr().IsLoopback() {
+// CheckLoopback returns ErrPlaintextNotLoopback for an address that may not be used without TLS.
+func CheckLoopback(address netip.AddrPort) error {
+	if !address.Addr().IsLoopback() {
 		return ErrPlaintextNotLoopback
 	}
 	return nil
--- a/internal/cluster/mtls/mtls_test.go
+++ b/internal/cluster/mtls/mtls_test.go
@@ -21,7 +21,7 @@
 	return a
 }
 
-func load(t *testing.T, a *certauthority.Authority, name string, until time.Duration) *Keys {
+func loadKeys(t *testing.T, a *certauthority.Authority, name string, until time.Duration) *Keys {
 	t.Helper()
 	cert, key, ca, err := a.Write(t.TempDir(), name, time.Now().Add(until))
 	if err != nil {
@@ -34,8 +34,8 @@
 	return k
 }
 
-// meet has two ends shake hands and tells what each said of it.
-func meet(server, client *Keys, name string) (there, here error) {
+// handshake connects two ends and returns how it went for each.
+func handshake(server, client *Keys, name string) (serverErr, clientErr error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err, err
@@ -64,31 +64,31 @@
 	}()
 	c := client.ClientConn(b, name)
 	c.SetDeadline(time.Now().Add(5 * time.Second))
-	if here = c.Handshake(); here == nil {
-		_, here = io.ReadFull(c, make([]byte, 1))
+	if clientErr = c.Handshake(); clientErr == nil {
+		_, clientErr = io.ReadFull(c, make([]byte, 1))
 	}
 	b.Close()
-	return <-done, here
+	return <-done, clientErr
 }
 
-// Who shows what, and whether the two come together.
+// Who shows which certificate, and whether the handshake succeeds.
 func TestHandshakes(t *testing.T) {
 	ours, theirs := authority(t), authority(t)
-	planner := load(t, ours, "planner", time.Hour)
-	for name, c := range map[string]struct {
+	planner := loadKeys(t, ours, "planner", time.Hour)
+	for title, c := range map[string]struct {
 		client *Keys
-		asks   string
-		well   bool
+		name   string
+		ok     bool
 	}{
-		"one of ours":          {load(t, ours, "node", time.Hour), "planner", true},
-		"of another authority": {load(t, theirs, "node", time.Hour), "planner", false},
-		"run out":              {load(t, ours, "node", -time.Minute), "planner", false},
-		"asks for another":     {load(t, ours, "node", time.Hour), "other", false},
+		"same authority":              {loadKeys(t, ours, "node", time.Hour), "planner", true},
+		"another authority":           {loadKeys(t, theirs, "node", time.Hour), "planner", false},
+		"expired certificate":         {loadKeys(t, ours, "node", -time.Minute), "planner", false},
+		"certificate of another name": {loadKeys(t, ours, "node", time.Hour), "other", false},
 	} {
-		t.Run(name, func(t *testing.T) {
+		t.Run(title, func(t *testing.T) {
 			t.Parallel()
-			if there, here := meet(planner, c.client, c.asks); (there == nil && here == nil) != c.well {
-				t.Errorf("%v, %v", there, here)
+			if serverErr, clientErr := handshake(planner, c.client, c.name); (serverErr == nil && clientErr == nil) != c.ok {
+				t.Errorf("%v, %v", serverErr, clientErr)
 			}
 		})
 	}
@@ -106,36 +106,36 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	node, nodeNext := load(t, old, "node", time.Hour), load(t, next, "node", time.Hour)
+	node, nodeNext := loadKeys(t, old, "node", time.Hour), loadKeys(t, next, "node", time.Hour)
 	touch := func() { // the files' times are as coarse as the system's clock
 		later := time.Now().Add(time.Minute)
 		for _, f := range []string{cert, key, ca} {
 			os.Chtimes(f, later, later)
 		}
-		server.looked = time.Time{}
+		server.lastCheck = time.Time{}
 	}
 	if err := os.WriteFile(cert, []byte("half a certif"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	touch()
-	if there, here := meet(server, node, "planner"); there != nil || here != nil || server.ReloadError() == nil {
-		t.Errorf("%v, %v, fault %v", there, here, server.ReloadError())
+	if serverErr, clientErr := handshake(server, node, "planner"); serverErr != nil || clientErr != nil || server.ReloadError() == nil {
+		t.Errorf("%v, %v, reload error %v", serverErr, clientErr, server.ReloadError())
 	}
 	if _, _, _, err := next.Write(dir, "planner", time.Now().Add(time.Hour)); err != nil {
 		t.Fatal(err)
 	}
 	later := time.Now().Add(2 * time.Minute)
 	os.Chtimes(cert, later, later)
-	server.looked = time.Time{}
-	if there, here := meet(server, nodeNext, "planner"); there != nil || here != nil || server.ReloadError() != nil {
-		t.Errorf("with new keys: %v, %v, fault %v", there, here, server.ReloadError())
+	server.lastCheck = time.Time{}
+	if serverErr, clientErr := handshake(server, nodeNext, "planner"); serverErr != nil || clientErr != nil || server.ReloadError() != nil {
+		t.Errorf("with new keys: %v, %v, reload error %v", serverErr, clientErr, server.ReloadError())
 	}
-	if there, here := meet(server, node, "planner"); there == nil && here == nil {
+	if serverErr, clientErr := handshake(server, node, "planner"); serverErr == nil && clientErr == nil {
 		t.Error("the old authority is still taken")
 	}
 }
 
-func TestLoadFaults(t *testing.T) {
+func TestUnusableFiles(t *testing.T) {
 	cert, key, ca, err := authority(t).Write(t.TempDir(), "n", time.Now().Add(time.Hour))
 	if err != nil {
 		t.Fatal(err)
@@ -147,9 +147,9 @@
 			t.Errorf("%+v is taken", f)
 		}
 	}
-	for at, well := range map[string]bool{"127.0.0.1:1": true, "[::1]:1": true, "10.0.0.1:1": false, "0.0.0.0:1": false} {
-		if err := CheckLoopback(netip.MustParseAddrPort(at)); (err == nil) != well {
-			t.Errorf("%s: %v", at, err)
+	for address, ok := range map[string]bool{"127.0.0.1:1": true, "[::1]:1": true, "10.0.0.1:1": false, "0.0.0.0:1": false} {
+		if err := CheckLoopback(netip.MustParseAddrPort(address)); (err == nil) != ok {
+			t.Errorf("%s: %v", address, err)
 		}
 	}
 }
