--- a/policy/picker_test.go
+++ b/policy/picker_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"slices"
 	"testing"
 	"time"
 )
@@ -164,3 +165,30 @@
 		})
 	}
 }
+
+// TestRoutePool checks that requests of a route go to its pool, and that an empty pool does not block others.
+func TestRoutePool(t *testing.T) {
+	h := newRouteHarness(t, 6, 0, func(t *TrafficType) { t.PoolLabels = 2 })
+	label := func(server int, labels uint64) {
+		h.at(h.now, Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: server, Rank: uint32(server), Weight: 1, Labels: labels}}})
+	}
+	label(3, 2)
+	for range 5 {
+		id, e := h.arriveAt(h.now, 0, 2*time.Second)
+		if len(e) != 1 || e[0].Kind != SendAttempt || e[0].Server != 3 {
+			t.Fatalf("sent as %+v", e)
+		}
+		h.end(h.now, id, 0, Success)
+	}
+	label(3, 1)
+	waits, e := h.arriveAt(h.now, 0, 2*time.Second)
+	if len(e) != 0 {
+		t.Errorf("with an empty pool: %+v", e)
+	}
+	if _, e = h.arriveAt(h.now, 2, 2*time.Second); !slices.Equal(effectKinds(e), []EffectKind{SendAttempt}) {
+		t.Errorf("another type: %+v", e)
+	}
+	if e = h.at(h.now+300*ms, Input{Kind: TimerFired}); !slices.ContainsFunc(e, func(e Effect) bool { return e.Kind == Reject && e.Request == waits }) {
+		t.Errorf("in the end: %+v", e)
+	}
+}
--- /dev/null
+++ b/policy/plan_test.go
@@ -0,0 +1,65 @@
+package policy
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"fernvane/policy/internal/failures"
+)
+
+// TestPlan checks what a plan changes for one server of six, all of them in the subset.
+func TestPlan(t *testing.T) {
+	const planned = 2
+	for name, c := range map[string]struct {
+		before, now  []Assignment
+		isInFlight   bool // an attempt at the server
+		isInSubset   bool
+		isEjected    bool
+		hasSlowStart bool // a rate of the plan's
+	}{
+		"not named":                         {isInSubset: true},
+		"assigned":                          {now: []Assignment{{Server: planned, Preference: 1}}, isInSubset: true},
+		"assigned with a slow-start rate":   {now: []Assignment{{Server: planned, Preference: 1, SlowStartRate: 5}}, isInSubset: true, hasSlowStart: true},
+		"avoided":                           {now: []Assignment{{Server: planned, Preference: -1}}},
+		"avoided, an attempt in flight":     {now: []Assignment{{Server: planned, Preference: -1}}, isInFlight: true, isInSubset: true},
+		"taken away":                        {before: []Assignment{{Server: planned, Preference: 1}}},
+		"taken away, an attempt in flight":  {before: []Assignment{{Server: planned, Preference: 1}}, isInFlight: true, isInSubset: true},
+		"rate and ejection are taken back":  {before: []Assignment{{Server: planned, SlowStartRate: 5}}, isInSubset: true},
+		"ejected":                           {now: []Assignment{{Server: planned, EjectFor: time.Second}}, isInSubset: true, isEjected: true},
+		"still ejected under the next plan": {before: []Assignment{{Server: planned, EjectFor: time.Second}}, isInSubset: true, isEjected: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t, 6, nil).fillSubset()
+			if c.isInFlight {
+				h.load.inFlight[planned] = 1
+			}
+			h.at(0, Input{Kind: PlanChanged, NodeCount: 4, Assignments: c.before})
+			h.at(0, Input{Kind: PlanChanged, NodeCount: 4, Assignments: c.now})
+			if got := slices.Contains(h.subset.members, planned); got != c.isInSubset || got != h.subset.contains[planned] {
+				t.Errorf("in the subset %v, want %v", got, c.isInSubset)
+			}
+			if got := h.now < h.outliers.ejections.EjectedUntil(planned, failures.AllTypes); got != c.isEjected {
+				t.Errorf("ejected %v, want %v", got, c.isEjected)
+			}
+			if got := h.plan.slowStartRate[planned] > 0; got != c.hasSlowStart {
+				t.Errorf("slow-start rate %v, want %v", got, c.hasSlowStart)
+			}
+		})
+	}
+}
+
+// TestAssignedServersJoinFirst checks that the subset grows by the servers that a plan assigns, and not by those that
+// it avoids.
+func TestAssignedServersJoinFirst(t *testing.T) {
+	h := newHarness(t, 6, nil)
+	h.concurrency.grown = 1000
+	h.at(0, Input{Kind: PlanChanged, NodeCount: 4, Assignments: []Assignment{
+		{Server: 1, Preference: -1}, {Server: 4, Preference: 1}, {Server: 5, Preference: 0.5}}})
+	for range 8 { // more than may join
+		h.arriveAt(0, 0, time.Second)
+	}
+	if first := slices.Sorted(slices.Values(h.subset.members[:2])); !slices.Equal(first, []int{4, 5}) || h.subset.contains[1] {
+		t.Errorf("joined %v", h.subset.members)
+	}
+}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"slices"
 	"testing"
 	"time"
 )
@@ -41,3 +42,65 @@
 		})
 	}
 }
+
+// routeCase is a request of a route whose first attempt was sent, and what follows.
+type routeCase struct {
+	trafficType int
+	change      func(*TrafficType) // what the route sets
+	play        func(h *harness) []Effect
+	want        []EffectKind
+}
+
+func runRouteCases(t *testing.T, cases map[string]routeCase) {
+	t.Helper()
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			h := newRouteHarness(t, 6, c.trafficType, c.change)
+			if _, e := h.arriveAt(0, c.trafficType, 2*time.Second); !slices.Equal(effectKinds(e), []EffectKind{SendAttempt}) {
+				t.Fatalf("on arrival: %v", e)
+			}
+			if got := effectKinds(c.play(h)); !slices.Equal(got, c.want) {
+				t.Errorf("then %v, not %v", got, c.want)
+			}
+		})
+	}
+}
+
+// TestRetrySettings checks what a route's settings change for retries.
+func TestRetrySettings(t *testing.T) {
+	fails := func(h *harness) []Effect { return h.end(50*ms, 0, 0, Failure) }
+	isRetried, isRejected := []EffectKind{SendAttempt}, []EffectKind{Reject}
+	runRouteCases(t, map[string]routeCase{
+		"a retry":                 {0, func(*TrafficType) {}, fails, isRetried},
+		"one attempt only":        {0, func(t *TrafficType) { t.MaxAttempts = 1 }, fails, isRejected},
+		"not after an error":      {0, func(t *TrafficType) { t.RetryOn = 1 << Overloaded }, fails, isRejected},
+		"within the retry budget": {0, func(t *TrafficType) { t.RetryRatio = 1 }, fails, isRetried},
+		"beyond the retry budget": {0, func(t *TrafficType) { t.RetryRatio = 0.1 }, fails, isRejected},
+		"but after overload": {0, func(t *TrafficType) { t.RetryOn = 1 << Overloaded },
+			func(h *harness) []Effect { return h.end(50*ms, 0, 0, Overloaded) }, isRetried},
+		"minimum of the retry budget": {0, func(t *TrafficType) { t.RetryRatio, t.MinRetriesPerSecond = 0.1, 100 },
+			func(h *harness) []Effect {
+				h.at(40*ms, Input{Kind: TimerFired})
+				return fails(h)
+			}, isRetried},
+		"no more than the settings": {2, func(t *TrafficType) { t.MaxAttempts = 9 },
+			func(h *harness) []Effect {
+				for i := range 3 {
+					h.end(time.Duration(10+i)*ms, 0, i, Unreachable)
+				}
+				return h.end(20*ms, 0, 3, Unreachable)
+			}, isRejected},
+	})
+}
+
+// TestRouteAttemptTimeout checks that an attempt may take as long as its route says.
+func TestRouteAttemptTimeout(t *testing.T) {
+	h := newRouteHarness(t, 6, 0, func(t *TrafficType) { t.AttemptTimeout = 90 * ms })
+	_, e := h.arriveAt(0, 0, 2*time.Second)
+	if e[0].Duration != 90*ms {
+		t.Errorf("the first has %s", e[0].Duration)
+	}
+	if e = h.end(90*ms, 0, 0, TimedOut); len(e) == 0 || e[0].Kind != SendAttempt || e[0].Duration != 90*ms {
+		t.Errorf("after it: %+v", e)
+	}
+}
