--- a/internal/testbed/audit/rules.go
+++ b/internal/testbed/audit/rules.go
@@ -100,11 +100,11 @@
 	return ""
 }
 
-// mayHaveRun: it came whole, and its box has not said that it never began.
+// mayHaveRun: it came whole, and its server has not said that it never began.
 func (h *attempt) mayHaveRun() bool { return !h.unbegun }
 
 func (a *Audit) sameGroup(t *Type, x, y int) bool {
-	switch t.Group {
+	switch t.KeyScope {
 	case Zone:
 		return a.servers[x].Site == a.servers[y].Site
 	case Cell:
@@ -115,7 +115,7 @@
 
 func (a *Audit) repeated(r *request) string {
 	t := &a.f.Types[r.kind]
-	if t.Repeat == Retriable {
+	if t.Idempotency == Idempotent {
 		return ""
 	}
 	for i, h := range r.attempts {
@@ -125,12 +125,12 @@
 			}
 			from, to := a.servers[earlier.server].Name, a.servers[h.server].Name
 			switch {
-			case t.Repeat == Binding:
+			case t.Idempotency == NonIdempotent:
 				return fmt.Sprintf("sent to %s though it may have run at %s", to, from)
 			case !a.sameGroup(t, earlier.server, h.server):
 				return fmt.Sprintf("sent to %s though it may have run in another group, at %s", to, from)
-			case h.first > earlier.last+t.Window:
-				return fmt.Sprintf("sent to %s %s after %s, which forgets after %s", to, (h.first - earlier.last).Round(time.Millisecond), from, t.Window)
+			case h.first > earlier.last+t.KeyRetention:
+				return fmt.Sprintf("sent to %s %s after %s, which forgets after %s", to, (h.first - earlier.last).Round(time.Millisecond), from, t.KeyRetention)
 			}
 		}
 	}
@@ -139,7 +139,7 @@
 
 func (a *Audit) unclean(r *request) string {
 	t := &a.f.Types[r.kind]
-	if r.end != Answered || r.status != 429 && r.status != 503 || t.Repeat == Retriable || t.Repeat == Fingerprinted && t.Group == All {
+	if r.end != Answered || r.status != 429 && r.status != 503 || t.Idempotency == Idempotent || t.Idempotency == IdempotentWithKey && t.KeyScope == All {
 		return ""
 	}
 	for _, h := range r.attempts {
@@ -158,7 +158,7 @@
 }
 
 func (a *Audit) copied(r *request) string {
-	if a.f.Copies {
+	if a.f.AllowsHedging {
 		return ""
 	}
 	for i, h := range r.attempts {
@@ -172,7 +172,7 @@
 	return ""
 }
 
-// undrained looks at what the node knew of the box when the attempt began. An attempt on its way is given the grace. That a box
+// undrained looks at what the node knew of the server when the attempt began. An attempt on its way is given the grace. That a server
 // serves undoes a drain only if it is said of a later start: an old word of it may come from a planner that was away.
 func (a *Audit) undrained(r *request) string {
 	for _, h := range r.attempts {
@@ -185,7 +185,7 @@
 	return ""
 }
 
-// parting is since when a node knew at some time that a box drains or is gone, -1 if it did not, and which of them it was
+// parting is since when a node knew at some time that a server drains or is gone, -1 if it did not, and which of them it was
 // told first.
 func (a *Audit) disconnecting(node, box int, at time.Duration) (since time.Duration, first Condition) {
 	since, up := time.Duration(-1), int64(0)
@@ -219,7 +219,7 @@
 // unclosed looks at the time that connections stood unused. The limit counts from the notice or, if later, from the last
 // send or outcome of the node there.
 func (a *Audit) unclosed(r *request) string {
-	if !a.f.Closes {
+	if !a.f.ClosesOnDrain {
 		return ""
 	}
 	for _, c := range r.idle {
@@ -241,7 +241,7 @@
 	return ""
 }
 
-// activity is when a node sent to a box and got outcomes from it.
+// activity is when a node sent to a server and got outcomes from it.
 func (a *Audit) activity(node, box int) []time.Duration {
 	if a.active == nil {
 		a.active = map[[2]int][]time.Duration{}
--- a/internal/testbed/load/client.go
+++ b/internal/testbed/load/client.go
@@ -36,7 +36,7 @@
 	ReleaseBuffers()
 }
 
-// Target deals out connections, as the front before the nodes does.
+// Target deals out connections, as the connection balancer before the nodes does.
 type Target interface {
 	// Pick says where a client of a site connects to; ok is false while nothing is known to serve.
 	Pick(site int) (way Way, ok bool)
@@ -51,16 +51,17 @@
 // End is how a try ended.
 type End uint8
 
+// Ends of a try.
 const (
-	Answered     End = iota // a whole answer, with its status
-	Late                    // the same, but only after the client would have gone
-	Unanswered              // the client's time was up
-	Dropped                 // the connection ended with no whole answer
+	Answered     End = iota // a complete response, with its status
+	Late                    // the same, after the client's timeout
+	Unanswered              // the client's timeout passed
+	Dropped                 // the connection ended without a complete response
 	Unsent                  // no connection, or it broke before the last byte was written
-	Disconnected            // the client went before its time was up
+	Disconnected            // the client disconnected before its timeout
 )
 
-// Try is one sending of an operation. Times count since the start.
+// Try is one sending of a request. Times count since the start.
 type Try struct {
 	ID      uint64
 	Request int // place in the schedule
@@ -94,9 +95,9 @@
 const (
 	maxIdle      = 30 * time.Second       // a client's connection that is not used for so long is closed
 	maxKept      = 512                    // idle connections of a site's clients
-	balancerWait = 2 * time.Millisecond   // between looks at a front that knows of no node
+	balancerWait = 2 * time.Millisecond   // between tries at a balancer that knows of no node
 	minRemaining = 5 * time.Millisecond   // of a client's time for which it still sends
-	maxNew       = 100 * time.Millisecond // for which nodes promise to hold a new connection, whatever room they need (docs/design.md)
+	newConnGrace = 100 * time.Millisecond // for which nodes keep a new connection open (docs/design.md)
 )
 
 // pool keeps the idle connections of the clients of one site.
@@ -136,7 +137,7 @@
 // had rested, or of a new one whose client, on a busy machine, took so long to ask that nodes do not hold it any more.
 // asked is when it had asked.
 func excused(k idleConn, old, again bool, asked time.Time, err error) bool {
-	return (old && !again || !old && asked.Sub(k.since) >= maxNew) && crossed(k, err)
+	return (old && !again || !old && asked.Sub(k.since) >= newConnGrace) && crossed(k, err)
 }
 
 func (p *pool) take() (idleConn, bool) {
@@ -316,7 +317,7 @@
 func (g *Generator) open(ctx context.Context, site int, until time.Time, t *Try) (idleConn, bool) {
 	for {
 		way, ok := g.target.Pick(site)
-		if !ok { // nothing serves: the client waits at the front
+		if !ok { // nothing serves: the client waits at the connection balancer
 			if time.Until(until) < balancerWait || ctx.Err() != nil {
 				return idleConn{}, false
 			}
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -1,4 +1,4 @@
-// Package report says what a run of the lab has shown: as a table for people, as JSON for programs, as a plot.
+// Package report says what a run of the testbed has shown: as a table for people, as JSON for programs, as a plot.
 package report
 
 import (
@@ -89,7 +89,7 @@
 	RSSMaxMB   float64 `json:"rss_max_mb"`
 }
 
-// Point is a span of the run, by when operations were asked for.
+// Point is a span of the run, by when requests were asked for.
 type Point struct {
 	AtS      float64 `json:"at_s"`
 	Service  float64 `json:"service"`
@@ -109,8 +109,8 @@
 // New sums a run up.
 func New(s *scenario.Scenario, policy string, ops []load.Request, o *testbed.Outcome) Report {
 	r := Report{Scenario: s.Name, Seed: s.Seed, Policy: policy, Nodes: s.Nodes.Count, Servers: len(s.ServerNames()), Offered: len(ops),
-		Service: round(o.Service()), AnsweredInTarget: o.Outcomes[load.InTarget], Handled: o.Outcomes[load.Handled], Rejected: o.Outcomes[load.Rejected],
-		WrittenOff: o.Outcomes[load.WrittenOff], Unanswered: o.Outcomes[load.NoAnswer], Unreached: o.Outcomes[load.Unreached], DisconnectedEarly: o.Outcomes[load.DisconnectedEarly], Tries: o.Tries, Rules: o.Rules,
+		Service: round(o.Service()), AnsweredInTarget: o.Outcomes[load.WithinObjective], Handled: o.Outcomes[load.Handled], Rejected: o.Outcomes[load.Rejected],
+		WrittenOff: o.Outcomes[load.Failed], Unanswered: o.Outcomes[load.NoAnswer], Unreached: o.Outcomes[load.Unreached], DisconnectedEarly: o.Outcomes[load.DisconnectedEarly], Tries: o.Tries, Rules: o.Rules,
 		Latency: map[string]Latency{}, ByTenant: map[string]Part{}, BySite: map[string]Part{},
 		Generator:  Generator{millis(o.Late.Max), round(o.Late.Share), o.Late.Behind, round(o.Late.Bin)},
 		Discovery:  Discovery{o.Calls, math.Round(o.Lines), o.TurnedOff},
@@ -227,7 +227,7 @@
 	fmt.Fprintln(w)
 }
 
-// Table writes second by second where tries and hops went.
+// Table writes second by second where tries and attempts went.
 func (r *Report) Table(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "second\ttries\tfirst hops\tfurther\tbegun\tin vain\thandled\tdenied\twritten off\tlost\tbusiest node\t")
--- a/internal/testbed/standin/server/server.go
+++ b/internal/testbed/standin/server/server.go
@@ -13,13 +13,13 @@
 	fillBytes = 120                    // of an answer beside its first line
 )
 
-// Asked is what a box must know of a request beside what the wire says.
+// Asked is what a server must know of a request beside what the wire says.
 type Asked struct {
 	Work time.Duration
 	Key  int
 }
 
-// Watcher is told what a box sees. Its methods are called from many goroutines; times count since the common start.
+// Watcher is told what a server sees. Its methods are called from many goroutines; times count since the common start.
 type Watcher interface {
 	// Asked finds what a request was meant to be; ok is false where no client has sent it.
 	Asked(id uint64) (a Asked, ok bool)
@@ -35,9 +35,9 @@
 	Idle(id uint64, box int, from, to time.Duration)
 }
 
-// Identity of a box, the same over its restarts.
+// Identity of a server, the same over its restarts.
 type Identity struct {
-	Number int // dense, over all boxes
+	Number int // dense, over all servers
 	Name   string
 	Site   int
 	Cell   int
@@ -75,10 +75,10 @@
 
 type attempt struct {
 	id    uint64 // of the request
-	ended chan What
+	ended chan Step
 }
 
-// NewServer makes a box that listens at one address for callers of each site.
+// NewServer makes a server that listens at one address for callers of each site.
 func NewServer(id Identity, f Figures, start time.Time, addresses []string, cross func(from int) time.Duration, w Watcher) (*Server, error) {
 	b := &Server{Identity: id, f: f, start: start, watch: w, cross: cross, model: New(f), attempts: map[uint64]*attempt{}}
 	b.timer = time.AfterFunc(time.Hour, b.due)
@@ -93,7 +93,7 @@
 	return b, nil
 }
 
-// Close ends the box for good.
+// Close ends the server for good.
 func (b *Server) Close() {
 	b.Crash()
 	b.timer.Stop()
@@ -102,7 +102,7 @@
 	}
 }
 
-// Address is where callers of a site reach the box.
+// Address is where callers of a site reach the server.
 func (b *Server) Address(site int) string { return b.listeners[site].Address() }
 
 func (b *Server) now() time.Duration { return time.Since(b.start) }
@@ -130,12 +130,12 @@
 	if h == nil {
 		return
 	}
-	if e.What == Began {
+	if e.Step == Began {
 		b.tells = append(b.tells, func() { b.watch.Ran(h.id, b.Number, e.At) })
 		return
 	}
 	delete(b.attempts, e.ID)
-	h.ended <- e.What
+	h.ended <- e.Step
 }
 
 // Model gives a look at the model, or changes it.
@@ -146,21 +146,21 @@
 // Set has requests meet faults from now on.
 func (b *Server) Set(change func(*Faults)) { b.do(func(time.Duration) { change(&b.faults) }) }
 
-// Drain has the box turn away what is new.
+// Drain has the server turn away what is new.
 func (b *Server) Drain(is bool) { b.do(func(time.Duration) { b.draining = is }) }
 
 // Crash ends the process: connections are reset, and new ones refused.
 func (b *Server) Crash() {
 	b.do(func(now time.Duration) { b.model.Crash(now, b.event) })
 	for _, l := range b.listeners {
-		l.Leave()
+		l.Stop()
 	}
 }
 
 // Vanish ends it without a word, as when its machine loses power.
 func (b *Server) Vanish() {
 	for _, l := range b.listeners {
-		l.Hush()
+		l.Silence()
 	}
 	b.do(func(now time.Duration) { b.model.Crash(now, b.event) })
 }
@@ -168,25 +168,25 @@
 // Start brings it back, cold; what hung on it is reset.
 func (b *Server) Start() (ok bool, err error) {
 	for _, l := range b.listeners {
-		l.Leave()
+		l.Stop()
 	}
 	b.do(func(now time.Duration) { ok = b.model.Start(now) })
 	if !ok {
 		return false, nil
 	}
 	for _, l := range b.listeners {
-		if err = l.Return(); err != nil {
+		if err = l.Reopen(); err != nil {
 			return false, err
 		}
 	}
 	return true, nil
 }
 
-// Hush cuts the box off from callers of a site, Speak ends that.
-func (b *Server) Hush(site int) { b.listeners[site].Hush() }
+// Hush cuts the server off from callers of a site, Speak ends that.
+func (b *Server) Hush(site int) { b.listeners[site].Silence() }
 
 // Speak ends a silence.
-func (b *Server) Speak(site int) { b.listeners[site].Speak() }
+func (b *Server) Speak(site int) { b.listeners[site].EndSilence() }
 
 // Stop has the process stand still as a whole: its connections take what comes and bring nothing.
 func (b *Server) Stop(still bool) {
@@ -199,9 +199,9 @@
 	})
 	for _, l := range b.listeners {
 		if still {
-			l.Hush()
+			l.Silence()
 		} else {
-			l.Speak()
+			l.EndSilence()
 		}
 	}
 }
