--- a/internal/cluster/replicastore/store_test.go
+++ b/internal/cluster/replicastore/store_test.go
@@ -14,7 +14,7 @@
 // More comes at once than a slow disk takes: Append blocks, everything is stored in the end, and no gap is recorded.
 func TestSlowDisk(t *testing.T) {
 	dir := t.TempDir()
-	slow := memdisk.Slowed{Takes: func() time.Duration { return 30 * time.Millisecond }, Full: func() bool { return false }}
+	slow := memdisk.SlowFiles{Takes: func() time.Duration { return 30 * time.Millisecond }, Full: func() bool { return false }}
 	s := Open(dir, slow, 1<<20)
 	stream := replication.Stream{Name: "n0", Incarnation: 7}
 	next := uint64(1)
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -12,8 +12,8 @@
 	"fernvane/policy"
 )
 
-// What a silent watch has missed counts as told 6 s after it fell silent, and there is a grace of some hundred ms. By then
-// the silence must be noticed, the next call made (the module waits for up to 0.38 s) and answered.
+// What a silent watch has missed counts as announced 6 s after it fell silent, with a grace of some hundred ms. By then the
+// silence must be noticed, the next call made (the decision module waits for up to 0.38 s) and answered.
 func TestSilenceIsNoticedInTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		w    Watcher
@@ -24,17 +24,17 @@
 		"a new one, of an agent with no queue": {Watcher{IsPushed: true}, 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if wait, slack := c.w.patience(); wait <= 0 || slack <= 0 || wait+slack > c.most {
+			if wait, slack := c.w.timeouts(); wait <= 0 || slack <= 0 || wait+slack > c.most {
 				t.Errorf("waits %v and %v more", wait, slack)
 			}
 		})
 	}
 }
 
-// A change counts as told 6 s after discovery had it and could be reached, whatever failed before. Calls are refused for so
-// long that the module's pause has grown to its longest; the clock is that of a bubble, so the pause is exact. Then the
-// longest call without an answer, the longest pause and the time for the answer stay within the 6 s.
-func TestToldInTimeAfterFailures(t *testing.T) {
+// A change counts as announced 6 s after discovery had it and could be reached, whatever failed before. Calls are refused
+// until the decision module's pause has grown to its longest; the clock is that of a synctest bubble, so the pause is exact.
+// The longest call without an answer, the longest pause and the time for the answer stay within the 6 s.
+func TestChangesAnnouncedInTimeAfterFailures(t *testing.T) {
 	const (
 		toldAfter = 6 * time.Second
 		answerIn  = 700 * time.Millisecond
@@ -70,7 +70,7 @@
 					}
 				})
 			}
-			wait, slack := c.w.patience()
+			wait, slack := c.w.timeouts()
 			if sum := wait + slack + longest + answerIn; sum > toldAfter {
 				t.Errorf("%v: %v without an answer, a pause of %v, %v for the answer", sum, wait+slack, longest, answerIn)
 			}
--- a/internal/journal/wal/chunk_test.go
+++ b/internal/journal/wal/chunk_test.go
@@ -15,11 +15,11 @@
 // Numbered records on a disk that fails once, at each of its operations: numbers have no holes, chunks that were handed on
 // are on disk as they were, and what was committed can be read.
 func TestNumberedRecordsUnderFaults(t *testing.T) {
-	for _, fault := range []memdisk.Trouble{memdisk.None, memdisk.Short, memdisk.Full, memdisk.Lying} {
+	for _, fault := range []memdisk.Fault{memdisk.None, memdisk.Short, memdisk.Full, memdisk.Lying} {
 		for at := range 12 {
 			t.Run(fmt.Sprintf("%d at %d", fault, at), func(t *testing.T) {
 				d := memdisk.New()
-				d.Meet = func(n int) memdisk.Trouble {
+				d.Meet = func(n int) memdisk.Fault {
 					if n == at {
 						return fault
 					}
--- a/internal/journal/wal/log_test.go
+++ b/internal/journal/wal/log_test.go
@@ -24,17 +24,17 @@
 	l := open(t, plain, 600)
 	script(l, 24)
 	l.Close()
-	if plain.Ops() < 40 {
-		t.Fatalf("the script touches the disk %d times", plain.Ops())
+	if plain.Operations() < 40 {
+		t.Fatalf("the script touches the disk %d times", plain.Operations())
 	}
 	cases := 0
-	for n := 1; n <= plain.Ops(); n++ {
-		for _, fault := range []memdisk.Trouble{memdisk.Short, memdisk.Full, memdisk.Lying, memdisk.Dead} {
+	for n := 1; n <= plain.Operations(); n++ {
+		for _, fault := range []memdisk.Fault{memdisk.Short, memdisk.Full, memdisk.Lying, memdisk.Dead} {
 			for _, duration := range []int{1, 3, 1 << 30} {
 				cases++
 				what := fmt.Sprintf("fault %d at %d for %d", fault, n, duration)
 				d := memdisk.New()
-				d.Meet = func(operation int) memdisk.Trouble {
+				d.Meet = func(operation int) memdisk.Fault {
 					if operation >= n && operation < n+duration {
 						return fault
 					}
@@ -55,7 +55,7 @@
 				if r.CorruptCount() > 0 && fault != memdisk.Short {
 					t.Fatalf("%s: %v", what, r.Unreadable)
 				}
-				d.Meet = func(int) memdisk.Trouble { return memdisk.None }
+				d.Meet = func(int) memdisk.Fault { return memdisk.None }
 				if second := open(t, d, 600); second == nil { // it can be written again
 					t.Fatalf("%s: no journal can be opened", what)
 				} else {
--- a/internal/proxy/engine/bench_test.go
+++ b/internal/proxy/engine/bench_test.go
@@ -8,12 +8,12 @@
 	"fernvane/policy"
 )
 
-// still decides nothing, so that only the node's own part is measured.
-type still struct{}
+// idleDecider decides nothing, so that only the engine's own part is measured.
+type idleDecider struct{}
 
-func (still) Handle(time.Duration, *policy.Input, []policy.Effect) []policy.Effect { return nil }
+func (idleDecider) Handle(time.Duration, *policy.Input, []policy.Effect) []policy.Effect { return nil }
 
-func lines(servers int) []Endpoint[uint32] {
+func largeList(servers int) []Endpoint[uint32] {
 	list := make([]Endpoint[uint32], servers)
 	for i := range list {
 		list[i].Server = uint32(i)
@@ -24,12 +24,12 @@
 func BenchmarkOneChange(b *testing.B) {
 	for _, servers := range []int{2_000, 20_000, 200_000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			r := &record{}
-			n := New[uint32](0, still{}, r)
-			n.EndpointsUpdated(0, policy.Full, lines(servers), r)
-			one := lines(1)
+			r := &effectCounter{}
+			e := New[uint32](0, idleDecider{}, r)
+			e.EndpointsUpdated(0, policy.Full, largeList(servers), r)
+			one := largeList(1)
 			for b.Loop() {
-				n.EndpointsUpdated(0, policy.Incremental, one, r)
+				e.EndpointsUpdated(0, policy.Incremental, one, r)
 			}
 		})
 	}
--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Request is what a matcher looks at.
+// Request is what a route is matched by.
 type Request struct {
 	Method  []byte
 	Path    []byte
@@ -16,24 +16,24 @@
 	Headers HeaderGetter
 }
 
-// HeaderGetter finds the value of a header field, nil where it is not there.
+// HeaderGetter returns the value of a header field, nil where it is absent.
 type HeaderGetter interface{ Get(name string) []byte }
 
 const (
-	one  = "*"  // a part of a path that may be anything but empty
-	rest = "**" // at the end: any parts that follow, also none
+	anySegment = "*"  // one path segment, not empty
+	anyRest    = "**" // at the end of a path: any segments, or none
 )
 
-// parts splits a path behind its first slash.
-func parts(path string) []string {
+// pathSegments splits a path after its first slash.
+func pathSegments(path string) []string {
 	if path == "/" || path == "" {
 		return nil
 	}
 	return strings.Split(strings.TrimPrefix(path, "/"), "/")
 }
 
-// who is the method and tenant that an entry is for, "" for any.
-type who struct{ method, tenant string }
+// audience is the method and tenant that an entry is for; "" is any.
+type audience struct{ method, tenant string }
 
 type header struct{ name, value string }
 
@@ -42,35 +42,35 @@
 	route   int
 }
 
-// leaf is what routes of one path ask beside it, the more specific form of who first.
+// leaf holds the routes of one path by the other conditions that they have.
 type leaf struct {
-	by    map[who][]entry // those with more headers first
-	forms [4]bool         // which forms of who there are: method and tenant, method, tenant, neither
+	by    map[audience][]entry // those with more headers first
+	forms [4]bool              // which there are, most specific first: method and tenant, method, tenant, neither
 }
 
-// tree is the compiled form: a step for each part of a path, so that the cost of a match goes with the parts of its
-// path and hardly with the number of routes.
+// tree is a trie of path segments: the cost of a match grows with the segments of its path and hardly with the number of
+// routes.
 type tree struct {
-	literal map[string]*tree
-	any     *tree
-	end     *leaf // the path ends here
-	rest    *leaf // whatever follows
+	literal    map[string]*tree
+	anySegment *tree
+	end        *leaf // the path ends here
+	rest       *leaf // any segments follow
 }
 
-// add puts a route in. It returns the route that it overlaps without order, or -1.
+// add inserts a route. It returns a route that matches the same requests with neither more specific, or -1.
 func (t *tree) add(path []string, r *Route, number int) (clash int) {
 	for i, part := range path {
 		switch {
-		case part == rest && i == len(path)-1:
+		case part == anyRest && i == len(path)-1:
 			if t.rest == nil {
-				t.rest = &leaf{by: map[who][]entry{}}
+				t.rest = &leaf{by: map[audience][]entry{}}
 			}
 			return t.rest.add(r, number)
-		case part == one:
-			if t.any == nil {
-				t.any = &tree{}
+		case part == anySegment:
+			if t.anySegment == nil {
+				t.anySegment = &tree{}
 			}
-			t = t.any
+			t = t.anySegment
 		default:
 			if t.literal == nil {
 				t.literal = map[string]*tree{}
@@ -82,7 +82,7 @@
 		}
 	}
 	if t.end == nil {
-		t.end = &leaf{by: map[who][]entry{}}
+		t.end = &leaf{by: map[audience][]entry{}}
 	}
 	return t.end.add(r, number)
 }
@@ -103,7 +103,7 @@
 	slices.SortFunc(e.headers, func(a, b header) int { return cmp.Compare(a.name, b.name) })
 	for _, method := range orAny(r.Methods) {
 		for _, tenant := range orAny(r.Tenants) {
-			w := who{method, tenant}
+			w := audience{method, tenant}
 			l.forms[w.form()] = true
 			for _, other := range l.by[w] {
 				if len(other.headers) == len(e.headers) && overlap(other.headers, e.headers) {
@@ -117,7 +117,7 @@
 	return clash
 }
 
-func (w who) form() int {
+func (w audience) form() int {
 	form := 0
 	if w.method == "" {
 		form += 2
@@ -128,7 +128,7 @@
 	return form
 }
 
-// overlap: a request may have both sets of headers, as no field is asked for with two values.
+// overlap reports whether a request can satisfy both lists: no field is required with two values.
 func overlap(a, b []header) bool {
 	for _, x := range a {
 		for _, y := range b {
@@ -142,7 +142,7 @@
 
 // match finds the most specific route of a request, -1 for none. It allocates nothing.
 //
-// The order of routes, which is total over those that a set may hold together: the first part of the path in which two
+// The order of routes, which is total over those that a table may hold together: the first segment in which two paths
 // differ decides, a literal before *, * before **, and a path that ends before one that ends in **; then a method named
 // before none; then a tenant named before none; then more headers before fewer.
 func (t *tree) match(path []byte, r *Request) int {
@@ -152,22 +152,22 @@
 		}
 		return t.rest.match(r)
 	}
-	part, more := cut(path)
+	part, more := nextSegment(path)
 	if next := t.literal[string(part)]; next != nil {
 		if found := next.match(more, r); found >= 0 {
 			return found
 		}
 	}
-	if t.any != nil && len(part) > 0 {
-		if found := t.any.match(more, r); found >= 0 {
+	if t.anySegment != nil && len(part) > 0 {
+		if found := t.anySegment.match(more, r); found >= 0 {
 			return found
 		}
 	}
 	return t.rest.match(r)
 }
 
-// cut takes the first part of what is left of a path, which begins with its slash.
-func cut(path []byte) (part, more []byte) {
+// nextSegment splits the first segment off the rest of a path, which begins with its slash.
+func nextSegment(path []byte) (part, more []byte) {
 	path = path[1:]
 	if i := bytes.IndexByte(path, '/'); i >= 0 {
 		return path[:i], path[i:]
@@ -186,16 +186,16 @@
 		var all []entry
 		switch form {
 		case 0:
-			all = l.by[who{string(r.Method), string(r.Tenant)}]
+			all = l.by[audience{string(r.Method), string(r.Tenant)}]
 		case 1:
-			all = l.by[who{method: string(r.Method)}]
+			all = l.by[audience{method: string(r.Method)}]
 		case 2:
-			all = l.by[who{tenant: string(r.Tenant)}]
+			all = l.by[audience{tenant: string(r.Tenant)}]
 		case 3:
-			all = l.by[who{}]
+			all = l.by[audience{}]
 		}
 		for i := range all {
-			if all[i].fits(r) {
+			if all[i].matches(r) {
 				return all[i].route
 			}
 		}
@@ -203,7 +203,7 @@
 	return -1
 }
 
-func (e *entry) fits(r *Request) bool {
+func (e *entry) matches(r *Request) bool {
 	for _, h := range e.headers {
 		if r.Headers == nil || string(r.Headers.Get(h.name)) != h.value {
 			return false
@@ -212,10 +212,10 @@
 	return true
 }
 
-// fits looks at one route by itself, and says what does not fit. It is the plain form of the tree's matching, for
-// explanations and to test the tree against.
-func (r *Route) fits(q *Request) (why string) {
-	if !fitsPath(parts(r.Path), parts(string(q.Path))) {
+// matches matches one route by itself and returns the condition that is not met, "" for a match. Explain uses it; tests
+// compare the tree with it.
+func (r *Route) matches(q *Request) (why string) {
+	if !matchesPath(pathSegments(r.Path), pathSegments(string(q.Path))) {
 		return fmt.Sprintf("the path is not %s", r.Path)
 	}
 	if len(r.Methods) > 0 && !slices.Contains(r.Methods, string(q.Method)) {
@@ -232,32 +232,32 @@
 	return ""
 }
 
-func fitsPath(pattern, path []string) bool {
+func matchesPath(pattern, path []string) bool {
 	for i, p := range pattern {
-		if p == rest && i == len(pattern)-1 {
+		if p == anyRest && i == len(pattern)-1 {
 			return true
 		}
-		if i >= len(path) || p == one && path[i] == "" || p != one && p != path[i] {
+		if i >= len(path) || p == anySegment && path[i] == "" || p != anySegment && p != path[i] {
 			return false
 		}
 	}
 	return len(path) == len(pattern)
 }
 
-// compare says which of two routes that fit the same request is more specific: below 0 for a, and by what.
+// compare tells which of two routes that match the same request is more specific (below 0: a), and what decides.
 func compare(a, b *Route) (order int, by string) {
 	rank := func(p []string, i int) int {
 		switch {
 		case i == len(p):
 			return 2
-		case p[i] == rest && i == len(p)-1:
+		case p[i] == anyRest && i == len(p)-1:
 			return 3
-		case p[i] == one:
+		case p[i] == anySegment:
 			return 1
 		}
 		return 0
 	}
-	x, y := parts(a.Path), parts(b.Path)
+	x, y := pathSegments(a.Path), pathSegments(b.Path)
 	for i := range min(len(x), len(y)) + 1 {
 		if i > len(x) || i > len(y) {
 			break
--- a/internal/route/match_test.go
+++ b/internal/route/match_test.go
@@ -23,7 +23,7 @@
 func naive(routes []Route, q *Request) int {
 	best := -1
 	for i := range routes {
-		if routes[i].fits(q) != "" {
+		if routes[i].matches(q) != "" {
 			continue
 		}
 		if best < 0 {
@@ -48,7 +48,7 @@
 		for range rapid.IntRange(1, 12).Draw(t, "routes") {
 			p := rapid.SliceOfN(part, 1, 4).Draw(t, "path")
 			if rapid.Bool().Draw(t, "open") {
-				p = append(p, rest)
+				p = append(p, anyRest)
 			}
 			r := Route{Path: "/" + strings.Join(p, "/"), Methods: some("GET", "POST").Draw(t, "methods"), Tenants: some("x", "y").Draw(t, "tenants")}
 			if h := rapid.SampledFrom([]string{"", "1", "2"}).Draw(t, "header"); h != "" {
@@ -80,7 +80,7 @@
 	f.Add("[[routes]]\nname = \"a\"\ntype = \"check\"\nhops = 2\n", "/check/x")
 	f.Add("[defaults]\nrate = 1e9\n[[routes]]\nname=\"x\"\npath=\"/*/**\"\ntenants=[\"dairy\"]\n", "//")
 	f.Fuzz(func(t *testing.T, text, path string) {
-		s := told()
+		s := testSettings()
 		set, err := Parse("f", []byte(text), s)
 		if err != nil {
 			if faults, ok := err.(tomlfile.Faults); ok && len(faults) == 0 {
@@ -106,9 +106,9 @@
 func manyRoutes(n int) *tree {
 	t := &tree{}
 	for i := range n {
-		p := []string{"hire-book", fmt.Sprint("part-", i%97), fmt.Sprint("machine-", i), rest}
+		p := []string{"hire-book", fmt.Sprint("part-", i%97), fmt.Sprint("machine-", i), anyRest}
 		if i%3 == 0 {
-			p = []string{"hire-book", one, fmt.Sprint("machine-", i), rest}
+			p = []string{"hire-book", anySegment, fmt.Sprint("machine-", i), anyRest}
 		}
 		t.add(p, &Route{}, i)
 	}
--- a/internal/testbed/load/result.go
+++ b/internal/testbed/load/result.go
@@ -17,27 +17,28 @@
 	digits      = 3                               // of a latency
 )
 
-// Outcome is how an operation ended, with all its tries.
+// Outcome is how a request ended, with all its tries.
 type Outcome uint8
 
+// Outcomes of a request.
 const (
-	Handled    Outcome = iota // answered with success in the client's time
-	InTarget                  // handled within its target time; counted in Handled as well
-	Denied                    // the last try was
-	WrittenOff                // the last try was, or its connection ended
-	NoAnswer                  // the last try got none in time
-	Unreached                 // the last try found no node to send to
-	LeftEarly                 // its client went before its time was up: nothing was to be gained
+	Handled           Outcome = iota // answered with success in the client's time
+	WithinObjective                  // handled within its target time; counted in Handled as well
+	Rejected                         // the last try was
+	Failed                           // the last try was, or its connection ended
+	NoAnswer                         // the last try got none in time
+	Unreached                        // the last try found no node to send to
+	DisconnectedEarly                // its client went before its time was up: nothing was to be gained
 	outcomes
 )
 
 // Point is one span of a Series.
 type Point struct {
-	Asked   float64 // revenue asked for
-	Gained  float64 // of it, answered within the target time, by when it was asked
-	Denied  int     // operations
-	Failed  int     // likewise
-	Latency *hdrhistogram.Histogram
+	Asked    float64 // revenue asked for
+	Gained   float64 // of it, answered within the target time, by when it was asked
+	Rejected int     // requests
+	Failed   int     // likewise
+	Latency  *hdrhistogram.Histogram
 }
 
 // Result is what a schedule met.
@@ -47,15 +48,15 @@
 	shift    time.Duration
 	started  int
 
-	Outcomes [outcomes]int
-	Tries    int
-	Denials  int     // of tries
-	Asked    float64 // revenue asked for
-	Gained   float64 // of it, answered within the target time
-	ByType   []Share
-	ByTenant []Share
-	BySite   []Share
-	Series   []Point
+	Outcomes   [outcomes]int
+	Tries      int
+	Rejections int     // of tries
+	Asked      float64 // revenue asked for
+	Gained     float64 // of it, answered within the target time
+	ByType     []Share
+	ByTenant   []Share
+	BySite     []Share
+	Series     []Point
 }
 
 // Share is the part of a result that one type, tenant or site has.
@@ -63,7 +64,7 @@
 	Name    string
 	Asked   float64                 // revenue asked for
 	Gained  float64                 // of it, answered within the target time
-	Latency *hdrhistogram.Histogram // microseconds from the scheduled moment, of operations handled or not answered
+	Latency *hdrhistogram.Histogram // microseconds from the scheduled moment, of requests handled or not answered
 }
 
 func newHistogram() *hdrhistogram.Histogram {
@@ -99,17 +100,17 @@
 	}
 	r.Tries++
 	if t.End == Answered && (t.Status == 429 || t.Status == 503) {
-		r.Denials++
+		r.Rejections++
 	}
 }
 
-// ended books an operation under the moment at which it was scheduled. An operation that got no answer counts with the
+// ended books a request under the moment at which it was scheduled. A request that got no answer counts with the
 // time that its client waited: leaving it out would make a silent node look fast.
-func (r *Result) ended(o *Operation, t *Try) {
+func (r *Result) ended(o *Request, t *Try) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if t.End == Left {
-		r.Outcomes[LeftEarly]++
+	if t.End == Disconnected {
+		r.Outcomes[DisconnectedEarly]++
 		return
 	}
 	worth, latency := r.Worth(o), t.Ended-o.At
@@ -128,17 +129,17 @@
 		r.Outcomes[Handled]++
 		timed = true
 		if latency <= r.scenario.Types[o.Type].Target.Std() {
-			r.Outcomes[InTarget]++
+			r.Outcomes[WithinObjective]++
 			gained = worth
 		}
 	case t.End == Answered && (t.Status == 429 || t.Status == 503):
-		r.Outcomes[Denied]++
-		p.Denied++
+		r.Outcomes[Rejected]++
+		p.Rejected++
 	case t.End == Unsent:
 		r.Outcomes[Unreached]++
 		p.Failed++
 	case t.End == Answered, t.End == Dropped:
-		r.Outcomes[WrittenOff]++
+		r.Outcomes[Failed]++
 		p.Failed++
 	default:
 		r.Outcomes[NoAnswer]++
@@ -161,8 +162,8 @@
 	}
 }
 
-// Worth is the revenue of an operation; beyond its tenant's allowance it is a part.
-func (r *Result) Worth(o *Operation) float64 {
+// Worth is the revenue of a request; beyond its tenant's allowance it is a part.
+func (r *Result) Worth(o *Request) float64 {
 	w := r.scenario.Types[o.Type].Revenue
 	if o.Beyond {
 		w *= r.scenario.Load.Over
--- a/internal/testbed/planner.go
+++ b/internal/testbed/planner.go
@@ -30,7 +30,7 @@
 	}
 	var through [2][]string
 	for n := range s.Planners.Count {
-		var halves [2]*plannerproxy.Relay
+		var halves [2]*plannerproxy.Proxy
 		for half := range halves {
 			r, err := plannerproxy.Listen(w.relayAddress(n, half), w.plannerAddress(n), w.observer)
 			if err != nil {
@@ -61,7 +61,7 @@
 }
 
 func (w *world) startPlanner(n int) error {
-	return w.planners[n].start(w.keeper, func(why string) {
+	return w.planners[n].start(w.processes, func(why string) {
 		w.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, "planner: "+why) })
 	})
 }
