--- a/internal/controlplane/distribution/client/listener_test.go
+++ b/internal/controlplane/distribution/client/applier_test.go
@@ -7,29 +7,29 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-// listener notes what is in force. Values that begin with "bad" cannot be used.
-type listener struct {
+// recordingApplier records what is applied. Values that begin with "bad" cannot be used.
+type recordingApplier struct {
 	mu      sync.Mutex
-	force   map[distribution.Key]string
+	applied map[distribution.Key]string
 	calls   map[string]int
 	history []string // of values of servers, as they came in force
 }
 
-func newListener() *listener {
-	return &listener{force: map[distribution.Key]string{}, calls: map[string]int{}}
+func newRecordingApplier() *recordingApplier {
+	return &recordingApplier{applied: map[distribution.Key]string{}, calls: map[string]int{}}
 }
 
 func bad(e distribution.Entry) bool { return len(e.Value) >= 3 && string(e.Value[:3]) == "bad" }
 
-func (l *listener) ApplyServers(changed []distribution.Entry, whole bool) (rejected []distribution.Rejection) {
+func (l *recordingApplier) ApplyServers(changed []distribution.Entry, whole bool) (rejected []distribution.Rejection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls["servers"]++
 	if whole {
 		l.calls["whole"]++
-		for k := range l.force {
+		for k := range l.applied {
 			if k.Kind == distribution.KindServer {
-				delete(l.force, k)
+				delete(l.applied, k)
 			}
 		}
 	}
@@ -38,24 +38,24 @@
 		case bad(e):
 			rejected = append(rejected, distribution.Rejection{Key: e.Key, Reason: "a bad value"})
 		case e.Deleted:
-			delete(l.force, e.Key)
+			delete(l.applied, e.Key)
 		default:
-			l.force[e.Key] = string(e.Value)
+			l.applied[e.Key] = string(e.Value)
 			l.history = append(l.history, string(e.Value))
 		}
 	}
 	return rejected
 }
 
-func (l *listener) ApplyRoutes(all []distribution.Entry) []distribution.Rejection {
+func (l *recordingApplier) ApplyRoutes(all []distribution.Entry) []distribution.Rejection {
 	return l.replace("routes", all, distribution.KindRoute, distribution.KindPool)
 }
 
-func (l *listener) ApplyTenants(all []distribution.Entry) []distribution.Rejection {
+func (l *recordingApplier) ApplyTenants(all []distribution.Entry) []distribution.Rejection {
 	return l.replace("tenants", all, distribution.KindTenant)
 }
 
-func (l *listener) replace(call string, all []distribution.Entry, kinds ...distribution.Kind) (rejected []distribution.Rejection) {
+func (l *recordingApplier) replace(call string, all []distribution.Entry, kinds ...distribution.Kind) (rejected []distribution.Rejection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls[call]++
@@ -64,37 +64,37 @@
 		next[e.Key] = string(e.Value)
 		if bad(e) {
 			rejected = append(rejected, distribution.Rejection{Key: e.Key, Reason: "a bad value"})
-			next[e.Key] = l.force[e.Key]
+			next[e.Key] = l.applied[e.Key]
 		}
 	}
 	for _, kind := range kinds {
-		for k := range l.force {
+		for k := range l.applied {
 			if k.Kind == kind {
-				delete(l.force, k)
+				delete(l.applied, k)
 			}
 		}
 	}
 	for k, v := range next {
-		l.force[k] = v
+		l.applied[k] = v
 	}
 	return rejected
 }
 
-func (l *listener) value(k distribution.Key) string {
+func (l *recordingApplier) value(k distribution.Key) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.force[k]
+	return l.applied[k]
 }
 
-func (l *listener) all() map[distribution.Key]string {
+func (l *recordingApplier) all() map[distribution.Key]string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return maps.Clone(l.force)
+	return maps.Clone(l.applied)
 }
 
-func (l *listener) size() int { return len(l.all()) }
+func (l *recordingApplier) size() int { return len(l.all()) }
 
-func (l *listener) count(call string) int {
+func (l *recordingApplier) count(call string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.calls[call]
--- a/internal/controlplane/distribution/client/apply.go
+++ b/internal/controlplane/distribution/client/apply.go
@@ -1,7 +1,6 @@
 package client
 
 import (
-	"errors"
 	"maps"
 	"slices"
 	"time"
@@ -10,55 +9,37 @@
 	"fernvane/internal/controlplane/distribution/wire"
 )
 
-const rejectedMost = 64 // in one message, and in a status
+// applyInterval is the least time between two rebuilds of routes or tenants, each of which costs up to 80 ms.
+const applyInterval = 200 * time.Millisecond
 
-// pending is what was received and is not in force yet.
-type pending struct {
-	routes  bool // or pools
-	tenants bool
-	flushed time.Duration // when either was put in force last; 0: never
-	whole   bool          // all that is held has been put in force
-	batch   uint64        // the last one received, to be acknowledged; 0 for none
-	at      time.Time     // when it was received
-	open    bool          // more is to come before the vector advances
-	digest  bool          // the vector has advanced without a batch
+// pendingChanges is what was received and is not applied or acknowledged yet.
+type pendingChanges struct {
+	hasRoutes         bool // or pools
+	hasTenants        bool
+	lastApplied       time.Duration // routes or tenants; 0: never
+	serversApplied    bool          // all that are held, once
+	batchNumber       uint64        // of the last batch, to be acknowledged; 0 for none
+	batchAt           time.Time     // when it was received
+	isIncomplete      bool          // more is to come before the vector advances
+	advancedByDigests bool          // the vector has advanced without a batch, to be acknowledged
 }
 
-// rejectedTable is what cannot be used, by key.
-type rejectedTable map[distribution.Key]rejectedEntry
-
-type rejectedEntry struct {
-	version distribution.Entry // without its value
-	reason  string
-	logged  bool
-}
-
-// all are the rejections in the order of their keys, as many as a message takes.
-func (t rejectedTable) all() []distribution.Rejection {
-	keys := slices.SortedFunc(maps.Keys(t), distribution.CompareKeys)
-	var all []distribution.Rejection
-	for _, k := range keys[:min(len(keys), rejectedMost)] {
-		all = append(all, distribution.Rejection{Key: k, Reason: t[k].reason})
-	}
-	return all
-}
-
-// putHeld puts in force what the disk holds.
-func (c *Client) putHeld() {
+// applyRestored applies what the disk held.
+func (c *Client) applyRestored() {
 	c.mu.Lock()
-	servers := c.held(distribution.KindServer)
+	servers := c.heldEntries(distribution.KindServer)
 	entries, _ := c.store.Size()
 	c.mu.Unlock()
 	if entries == 0 {
 		return
 	}
-	c.pending.routes, c.pending.tenants = true, true
-	c.putServers(servers, true)
-	c.putCompiled()
+	c.pending.hasRoutes, c.pending.hasTenants = true, true
+	c.applyServers(servers, true)
+	c.applyRoutesAndTenants()
 }
 
-// held is all live entries of some kinds; the lock is held.
-func (c *Client) held(kinds ...distribution.Kind) (all []distribution.Entry) {
+// heldEntries returns all live entries of some kinds. c.mu is held.
+func (c *Client) heldEntries(kinds ...distribution.Kind) (all []distribution.Entry) {
 	for _, name := range c.config.scope() {
 		for _, e := range c.store.LiveEntries(name) {
 			if slices.Contains(kinds, e.Key.Kind) {
@@ -69,230 +50,173 @@
 	return all
 }
 
-// batch takes in a batch: into the store, to the disk, and into force as far as that need not wait.
-func (c *Client) batch(b distribution.Batch, at time.Time) {
+// receiveBatch takes a batch into the store, has it saved, and applies its servers at once. Routes and tenants wait for
+// applyDue.
+func (c *Client) receiveBatch(b distribution.Batch, at time.Time) {
 	now := c.now()
 	c.mu.Lock()
-	got := c.link.receiver.ReceiveBatch(b)
-	c.subscriber.MessageReceived(now, got.IsComplete)
+	result := c.link.receiver.ReceiveBatch(b)
+	c.subscriber.MessageReceived(now, result.IsComplete)
 	var vector distribution.Vector
-	if got.IsComplete {
+	if result.IsComplete {
 		vector = c.store.Vector().Clone()
 	}
 	var servers []distribution.Entry
-	whole := got.IsComplete && !c.pending.whole
-	if whole {
-		servers = c.held(distribution.KindServer)
+	appliesAll := result.IsComplete && !c.pending.serversApplied
+	if appliesAll {
+		servers = c.heldEntries(distribution.KindServer)
 	}
 	c.mu.Unlock()
-	var removed []distribution.Key
-	for _, e := range got.Removed {
-		removed = append(removed, e.Key)
+	c.disk.Save(result.Changed, keysOf(result.Removed), vector)
+	changedServers := c.sortChanges(result)
+	if !appliesAll {
+		servers = changedServers
 	}
-	c.disk.Save(got.Changed, removed, vector)
-	changed := slices.Clone(got.Changed)
-	for _, e := range got.Removed {
+	c.applyServers(servers, appliesAll)
+	c.recordUnheld(result.Rejected)
+	c.pending.batchNumber, c.pending.batchAt, c.pending.isIncomplete = b.Number, at, !result.IsComplete
+}
+
+// sortChanges returns the servers that a batch has changed, removed ones as deletions, and notes what of other kinds has.
+func (c *Client) sortChanges(result distribution.BatchResult) (servers []distribution.Entry) {
+	changed := slices.Clone(result.Changed)
+	for _, e := range result.Removed {
 		e.Deleted, e.Value = true, nil
 		changed = append(changed, e)
 	}
 	for _, e := range changed {
 		switch e.Key.Kind {
 		case distribution.KindServer:
-			if !whole {
-				servers = append(servers, e)
-			}
+			servers = append(servers, e)
 		case distribution.KindTenant:
-			c.pending.tenants = true
+			c.pending.hasTenants = true
 		default:
-			c.pending.routes = true
+			c.pending.hasRoutes = true
 		}
 	}
-	c.putServers(servers, whole)
-	c.rejectUnheld(got.Rejected)
-	c.pending.batch, c.pending.at, c.pending.open = b.Number, at, !got.IsComplete
+	return servers
+}
+
+func keysOf(entries []distribution.Entry) (keys []distribution.Key) {
+	for _, e := range entries {
+		keys = append(keys, e.Key)
+	}
+	return keys
+}
+
+// recordUnheld records entries that could not even be held. The control process sends them again when the reason is over.
+func (c *Client) recordUnheld(rejected []distribution.Rejection) {
+	if len(rejected) == 0 {
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.addRejections(rejected)
 }
 
-// putServers puts servers in force: those that changed, or all that are held.
-func (c *Client) putServers(servers []distribution.Entry, whole bool) {
-	if len(servers) == 0 && !whole {
+// applyServers applies the servers that changed, or all that are held.
+func (c *Client) applyServers(servers []distribution.Entry, isComplete bool) {
+	if len(servers) == 0 && !isComplete {
 		return
 	}
-	rejected := c.listener.ApplyServers(servers, whole)
-	c.pending.whole = c.pending.whole || whole
+	rejected := c.applier.ApplyServers(servers, isComplete)
+	c.pending.serversApplied = c.pending.serversApplied || isComplete
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if whole {
-		maps.DeleteFunc(c.rejections, func(k distribution.Key, _ rejectedEntry) bool { return k.Kind == distribution.KindServer })
+	if isComplete {
+		maps.DeleteFunc(c.rejections, func(k distribution.Key, _ rejection) bool { return k.Kind == distribution.KindServer })
 	}
 	for _, e := range servers {
 		delete(c.rejections, e.Key)
 	}
-	c.note(rejected)
+	c.addRejections(rejected)
 }
 
-// digests compares what is held with what the control process holds.
-func (c *Client) digests(d distribution.Digests) {
+// compareDigests compares what is held with what the control process holds.
+func (c *Client) compareDigests(d distribution.Digests) {
 	c.mu.Lock()
-	services, _, advanced := c.link.receiver.CompareDigests(d)
+	services, _, hasAdvanced := c.link.receiver.CompareDigests(d)
 	c.subscriber.MessageReceived(c.now(), len(services) == 0)
 	vector := c.store.Vector().Clone()
 	c.mu.Unlock()
-	if advanced {
+	if hasAdvanced {
 		c.disk.Save(nil, nil, vector)
-		c.pending.digest = true
+		c.pending.advancedByDigests = true
 	}
 	if len(services) > 0 {
-		c.log.Warn().Strs("services", services).Msg("distribution: digests differ: services are asked for whole")
+		c.log.Warn().Strs("services", services).Msg("distribution: digests differ, services are sent again")
 		c.link.send(&wire.Pull{Services: services})
 	}
 }
 
-// flush puts routes and tenants in force when that is due, acknowledges what is in force, and says how long something has
-// yet to wait; 0 for nothing.
-func (c *Client) flush(now time.Duration) time.Duration {
+// applyDue applies routes and tenants when that is due, and acknowledges what is applied. It returns how long something has yet
+// to wait; 0 for nothing. A node that does not serve yet applies what it catches up with when that is complete.
+func (c *Client) applyDue(now time.Duration) time.Duration {
 	c.mu.Lock()
-	serves := c.subscriber.CanServe()
+	canServe := c.subscriber.CanServe()
 	c.mu.Unlock()
-	if c.pending.open && !serves { // whoever does not serve yet puts what it catches up with in force at once
+	if c.pending.isIncomplete && !canServe {
 		c.acknowledge(false)
 		return 0
 	}
-	if c.pending.routes || c.pending.tenants {
-		if wait := c.pending.flushed + flushEvery - now; c.serving && wait > 0 {
+	if c.pending.hasRoutes || c.pending.hasTenants {
+		if wait := c.pending.lastApplied + applyInterval - now; c.isServing && wait > 0 {
 			return wait
 		}
-		c.putCompiled()
-		c.pending.flushed = c.now()
+		c.applyRoutesAndTenants()
+		c.pending.lastApplied = c.now()
 	}
 	c.acknowledge(true)
 	return 0
 }
 
-// putCompiled puts routes, pools and tenants in force.
-func (c *Client) putCompiled() {
+// applyRoutesAndTenants applies routes with pools, and tenants, where some have changed.
+func (c *Client) applyRoutesAndTenants() {
 	c.mu.Lock()
 	var routes, tenants []distribution.Entry
-	if c.pending.routes {
-		routes = byVersion(c.held(distribution.KindRoute, distribution.KindPool))
+	if c.pending.hasRoutes {
+		routes = c.heldEntries(distribution.KindRoute, distribution.KindPool)
+		slices.SortFunc(routes, distribution.Compare)
 	}
-	if c.pending.tenants {
-		tenants = c.held(distribution.KindTenant)
+	if c.pending.hasTenants {
+		tenants = c.heldEntries(distribution.KindTenant)
 	}
 	c.mu.Unlock()
-	if c.pending.routes {
-		c.replaceRejected(c.listener.ApplyRoutes(routes), distribution.KindRoute, distribution.KindPool)
+	if c.pending.hasRoutes {
+		c.replaceRejections(c.applier.ApplyRoutes(routes), distribution.KindRoute, distribution.KindPool)
 	}
-	if c.pending.tenants {
-		c.replaceRejected(c.listener.ApplyTenants(tenants), distribution.KindTenant)
+	if c.pending.hasTenants {
+		c.replaceRejections(c.applier.ApplyTenants(tenants), distribution.KindTenant)
 	}
-	c.pending.routes, c.pending.tenants = false, false
+	c.pending.hasRoutes, c.pending.hasTenants = false, false
 }
 
-// rejectUnheld takes in what could not even be held. It is told again when the reason is over.
-func (c *Client) rejectUnheld(rejected []distribution.Rejection) {
-	if len(rejected) == 0 {
-		return
+// acknowledge tells the control process what was received and, if isApplied and everything up to a vector is here, what is
+// applied.
+func (c *Client) acknowledge(isApplied bool) {
+	isApplied = isApplied && !c.pending.isIncomplete
+	if isApplied {
+		c.logRejections()
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.note(rejected)
-}
-
-// replaceRejected takes in what cannot be used of all that is held of some kinds.
-func (c *Client) replaceRejected(rejected []distribution.Rejection, kinds ...distribution.Kind) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	still := map[distribution.Key]bool{}
-	for _, r := range rejected {
-		still[r.Key] = true
-	}
-	maps.DeleteFunc(c.rejections, func(k distribution.Key, _ rejectedEntry) bool { return slices.Contains(kinds, k.Kind) && !still[k] })
-	c.note(rejected)
-}
-
-// note keeps rejections; the lock is held.
-func (c *Client) note(rejected []distribution.Rejection) {
-	for _, r := range rejected {
-		e := rejectedEntry{reason: cut(r.Reason)}
-		if held, ok := c.store.Entry(r.Key); ok {
-			held.Value = nil
-			e.version = held
-		}
-		if before, ok := c.rejections[r.Key]; ok && before.reason == e.reason && distribution.Compare(before.version, e.version) == 0 {
-			e.logged = before.logged
-		}
-		c.rejections[r.Key] = e
-	}
-}
-
-const reasonMost = 250 // bytes of a reason on the wire
-
-func cut(reason string) string {
-	if len(reason) <= reasonMost {
-		return reason
-	}
-	for i := range reason {
-		if i > reasonMost-4 {
-			return reason[:i] + "..."
-		}
-	}
-	return reason
-}
-
-// acknowledge tells the control process what was received and, where all of it is, what is in force.
-func (c *Client) acknowledge(inForce bool) {
-	if inForce && !c.pending.open {
-		c.tellRejected()
-	}
-	if c.link == nil || c.link.told == nil || c.pending.batch == 0 && !c.pending.digest {
+	hasNews := c.pending.batchNumber != 0 || c.pending.advancedByDigests
+	if c.link == nil || c.link.reported == nil || !hasNews {
 		return
 	}
-	if c.link.overrun {
-		c.lost(errQueue, true)
+	if c.link.isOverflowed {
+		c.endLink(errQueueFull, true)
 		return
 	}
-	a := distribution.Acknowledgement{BatchNumber: c.pending.batch}
-	lag := int64(0)
-	if inForce && !c.pending.open {
+	m := &wire.Acknowledge{Acknowledgement: distribution.Acknowledgement{BatchNumber: c.pending.batchNumber}}
+	if isApplied {
 		c.mu.Lock()
-		a.Applied = c.store.Vector().AheadOf(c.link.told)
-		a.Rejected = c.link.newlyRejected(c.rejections)
+		m.Acknowledgement.Applied = c.store.Vector().AheadOf(c.link.reported)
+		m.Acknowledgement.Rejected = c.link.unreportedRejections(c.rejections)
 		c.mu.Unlock()
-		c.link.told.Join(a.Applied)
-		if !c.pending.at.IsZero() {
-			lag = time.Since(c.pending.at).Milliseconds()
-		}
-	}
-	c.link.send(&wire.Acknowledge{Acknowledgement: a, ApplyLagMs: lag})
-	c.pending.batch, c.pending.digest = 0, false
-}
-
-// tellRejected logs each entry that cannot be used once.
-func (c *Client) tellRejected() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, k := range slices.SortedFunc(maps.Keys(c.rejections), distribution.CompareKeys) {
-		if e := c.rejections[k]; !e.logged {
-			e.logged = true
-			c.rejections[k] = e
-			c.log.Error().Err(errors.New(e.reason)).Stringer("entry", k).Msg("distribution: entry cannot be used: what held before holds on")
-		}
-	}
-}
-
-// newlyRejected is what the other side does not know yet; one without a reason is over.
-func (l *link) newlyRejected(now rejectedTable) (news []distribution.Rejection) {
-	for k := range l.toldBad {
-		if _, still := now[k]; !still && len(news) < rejectedMost {
-			news = append(news, distribution.Rejection{Key: k})
-			delete(l.toldBad, k)
-		}
-	}
-	for _, r := range now.all() {
-		if l.toldBad[r.Key] != r.Reason && len(news) < rejectedMost {
-			news = append(news, r)
-			l.toldBad[r.Key] = r.Reason
+		c.link.reported.Join(m.Acknowledgement.Applied)
+		if !c.pending.batchAt.IsZero() {
+			m.ApplyLagMs = time.Since(c.pending.batchAt).Milliseconds()
 		}
 	}
-	return news
+	c.link.send(m)
+	c.pending.batchNumber, c.pending.advancedByDigests = 0, false
 }
--- a/internal/controlplane/distribution/client/client_test.go
+++ b/internal/controlplane/distribution/client/client_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// What is written at a control process is in force at all nodes of the service, and seen there to be so.
-func TestChangesComeInForce(t *testing.T) {
+// What is written at a control process is applied at all nodes of the service, and its status says so.
+func TestChangesAreApplied(t *testing.T) {
 	c := newControl(t, "root/1")
 	c.write(put("hire", distribution.KindServer, "s1", "up"), put("hire", distribution.KindRoute, "r1", "first"), put("", distribution.KindTenant, "dairy", "5"))
 	var nodes []*node
@@ -54,7 +54,7 @@
 	c.write(put("hire", distribution.KindRoute, "r1", "second"), distribution.Change{Key: key("hire", distribution.KindServer, "s1"), Deleted: true},
 		put("hire", distribution.KindServer, "s2", "up"), distribution.Change{Key: key("", distribution.KindTenant, "dairy"), Deleted: true})
 	for i, n := range nodes {
-		c.inForce(names[i])
+		c.waitApplied(names[i])
 		if n.value(key("hire", distribution.KindRoute, "r1")) != "second" || n.value(key("hire", distribution.KindServer, "s2")) != "up" || n.size() != 2 {
 			t.Errorf("%s has in force %v", names[i], n.all())
 		}
@@ -65,7 +65,7 @@
 }
 
 // A node gets what its services hold and nothing of others, by the bytes that leave.
-func TestNodesGetTheirServicesOnly(t *testing.T) {
+func TestNodesReceiveTheirServicesOnly(t *testing.T) {
 	c := newControl(t, "root/1")
 	const size = 40 << 10
 	c.write(put("hire", distribution.KindRoute, "small", "x"), put("yard", distribution.KindRoute, "large", strings.Repeat("y", size)))
@@ -73,7 +73,7 @@
 	started(t, small)
 	started(t, large)
 	c.write(put("yard", distribution.KindRoute, "large", strings.Repeat("z", size)))
-	c.inForce("large")
+	c.waitApplied("large")
 	c.mu.Lock()
 	few, many := c.names["small"], c.names["large"]
 	c.mu.Unlock()
@@ -85,9 +85,9 @@
 	}
 }
 
-// An entry that cannot be used is left out by itself, told upstream and logged once; the last good value stays, others hold,
-// and a value that can be used ends it.
-func TestBadEntries(t *testing.T) {
+// An entry that cannot be used is left out by itself, logged upstream and logged once; the last good value stays, others hold,
+// other entries, and a value that can be used ends that.
+func TestUnusableEntries(t *testing.T) {
 	for name, kind := range map[string]distribution.Kind{"server": distribution.KindServer, "route": distribution.KindRoute, "tenant": distribution.KindTenant} {
 		t.Run(name, func(t *testing.T) {
 			c := newControl(t, "root/1")
@@ -95,9 +95,9 @@
 			n := startNode(t, config(t, "n", []string{"hire"}, c.address()))
 			started(t, n)
 			c.write(put("hire", kind, "a", "bad"), put("hire", kind, "b", "good"))
-			c.inForce("n")
+			c.waitApplied("n")
 			c.write(put("hire", distribution.KindPool, "p", "more")) // what else comes does not tell of it again
-			c.inForce("n")
+			c.waitApplied("n")
 			if n.value(key("hire", kind, "a")) != "good" || n.value(key("hire", kind, "b")) != "good" {
 				t.Errorf("in force: %v", n.all())
 			}
@@ -109,20 +109,20 @@
 				t.Errorf("rejected, as the node knows: %v", got)
 			}
 			n.log.mu.Lock()
-			if told := strings.Count(strings.Join(n.log.lines, ""), "cannot be used"); told != 1 {
-				t.Errorf("logged %d times: %q", told, n.log.lines)
+			if logged := strings.Count(strings.Join(n.log.lines, ""), "entry rejected"); logged != 1 {
+				t.Errorf("logged %d times: %q", logged, n.log.lines)
 			}
 			n.log.mu.Unlock()
 			c.write(put("hire", kind, "a", "better"))
-			c.inForce("n")
+			c.waitApplied("n")
 			if s, _ := c.status("n"); len(s.Rejected) != 0 || n.value(key("hire", kind, "a")) != "better" {
-				t.Errorf("after a good value: %v in force, rejected %v", n.force, s.Rejected)
+				t.Errorf("after a good value: %v in force, rejected %v", n.applied, s.Rejected)
 			}
 		})
 	}
 }
 
-// Changes that come one after the other cost one rebuild of routes in each flushEvery, not one each.
+// Changes that come one after the other cost one rebuild of routes in each applyInterval, not one each.
 func TestRebuildsAreCoalesced(t *testing.T) {
 	c := newControl(t, "root/1")
 	n := startNode(t, config(t, "n", []string{"hire"}, c.address()))
@@ -132,8 +132,8 @@
 		c.write(put("hire", distribution.KindRoute, "a", time.Now().String()))
 		time.Sleep(5 * time.Millisecond)
 	}
-	c.inForce("n")
-	if rebuilds, most := n.count("routes")-before, int(time.Since(began)/flushEvery)+2; rebuilds < 2 || rebuilds > most {
+	c.waitApplied("n")
+	if rebuilds, most := n.count("routes")-before, int(time.Since(began)/applyInterval)+2; rebuilds < 2 || rebuilds > most {
 		t.Errorf("%d rebuilds, %d at most", rebuilds, most)
 	}
 }
@@ -148,7 +148,7 @@
 	started(t, n)
 	n.stop()
 	store, at := c.store, c.address()
-	c.die()
+	c.kill()
 
 	cfg.StartTimeout = 0
 	n = startNode(t, cfg)
@@ -165,9 +165,9 @@
 	}
 	c = controlAt(t, ln, store)
 	c.write(put("hire", distribution.KindRoute, "r1", "second"))
-	c.inForce("n")
+	c.waitApplied("n")
 	if n.value(key("hire", distribution.KindRoute, "r1")) != "second" || n.Status().State != distribution.StateCurrent {
-		t.Errorf("in force: %v, %+v", n.force, n.Status())
+		t.Errorf("in force: %v, %+v", n.applied, n.Status())
 	}
 	if c.names["n"] > 500 { // what its disk holds is not sent again
 		t.Errorf("%d bytes for one change", c.names["n"])
@@ -175,7 +175,7 @@
 }
 
 // A control process with an older state, and one that calls old entries whole, do not bring a node back.
-func TestNeverBack(t *testing.T) {
+func TestNodeNeverGoesBack(t *testing.T) {
 	early := newControl(t, "root/1")
 	early.write(put("hire", distribution.KindServer, "s1", "v1"))
 	late := newControl(t, "other/1")
@@ -189,10 +189,10 @@
 	cfg := config(t, "n", []string{"hire"}, late.address(), early.address())
 	n := startNode(t, cfg)
 	started(t, n)
-	late.die()
+	late.kill()
 	until(t, func() bool { return n.Status().Upstream == early.address() }, "the older one is followed")
 	early.write(put("hire", distribution.KindRoute, "after", "x"))
-	until(t, func() bool { return n.value(key("hire", distribution.KindRoute, "after")) == "x" }, "it is told of what comes after")
+	until(t, func() bool { return n.value(key("hire", distribution.KindRoute, "after")) == "x" }, "it is logged of what comes after")
 	const last = 90 // number of a batch that is the last
 	early.mu.Lock()
 	for _, p := range early.conns {
@@ -206,13 +206,13 @@
 		return early.acknowledged == last
 	}, "the last batch is in force")
 	if n.value(key("hire", distribution.KindServer, "s1")) != "v2" || n.value(key("hire", distribution.KindServer, "s2")) != "v1" || n.Status().Revision < 3 {
-		t.Errorf("in force: %v, %+v", n.force, n.Status())
+		t.Errorf("in force: %v, %+v", n.applied, n.Status())
 	}
 }
 
 // An older copy of the disk, a garbled one and one with entries of an unknown extent are good for a start, or are set aside,
 // and all end with what the control process has.
-func TestDisksOfEarlierTimes(t *testing.T) {
+func TestStartFromOldOrDamagedDisk(t *testing.T) {
 	copyOf := func(t *testing.T, from, to string) {
 		t.Helper()
 		text, err := os.ReadFile(from)
@@ -227,14 +227,14 @@
 	}{
 		"as it was": {func(*testing.T, string, string) {}, false},
 		"an older copy": {func(t *testing.T, dir, old string) {
-			copyOf(t, filepath.Join(old, diskFile), filepath.Join(dir, diskFile))
+			copyOf(t, filepath.Join(old, entriesFile), filepath.Join(dir, entriesFile))
 		}, false},
-		"empty": {func(t *testing.T, dir, _ string) { os.Remove(filepath.Join(dir, diskFile)) }, false},
+		"empty": {func(t *testing.T, dir, _ string) { os.Remove(filepath.Join(dir, entriesFile)) }, false},
 		"garbled": {func(t *testing.T, dir, _ string) {
-			writeFile(t, filepath.Join(dir, diskFile), strings.Repeat("garbled", 9000))
+			writeFile(t, filepath.Join(dir, entriesFile), strings.Repeat("garbled", 9000))
 		}, true},
-		"no mark":        {func(t *testing.T, dir, _ string) { os.Remove(filepath.Join(dir, markFile)) }, false},
-		"a garbled mark": {func(t *testing.T, dir, _ string) { writeFile(t, filepath.Join(dir, markFile), "{\"Servi") }, false},
+		"no mark":        {func(t *testing.T, dir, _ string) { os.Remove(filepath.Join(dir, syncMarkFile)) }, false},
+		"a garbled mark": {func(t *testing.T, dir, _ string) { writeFile(t, filepath.Join(dir, syncMarkFile), "{\"Servi") }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctl := newControl(t, "root/1")
@@ -243,21 +243,21 @@
 			n := startNode(t, cfg)
 			started(t, n)
 			n.stop()
-			copyOf(t, filepath.Join(cfg.Directory, diskFile), filepath.Join(old, diskFile))
+			copyOf(t, filepath.Join(cfg.Directory, entriesFile), filepath.Join(old, entriesFile))
 			ctl.write(put("hire", distribution.KindServer, "s1", "v2"), distribution.Change{Key: key("hire", distribution.KindServer, "s2"), Deleted: true})
 			n = startNode(t, cfg)
-			ctl.inForce("n")
+			ctl.waitApplied("n")
 			n.stop()
 			c.damage(t, cfg.Directory, old)
 			ctl.write(put("hire", distribution.KindServer, "s3", "v1"))
 			n = startNode(t, cfg)
 			started(t, n)
-			ctl.inForce("n")
+			ctl.waitApplied("n")
 			if n.value(key("hire", distribution.KindServer, "s1")) != "v2" || n.value(key("hire", distribution.KindServer, "s2")) != "" ||
 				n.value(key("hire", distribution.KindServer, "s3")) != "v1" {
 				t.Errorf("in force: %v", n.all())
 			}
-			files, _ := filepath.Glob(filepath.Join(cfg.Directory, diskFile+".damaged-*"))
+			files, _ := filepath.Glob(filepath.Join(cfg.Directory, entriesFile+".damaged-*"))
 			if (len(files) > 0) != c.aside {
 				t.Errorf("set aside: %v", files)
 			}
@@ -266,7 +266,7 @@
 }
 
 // A node that comes to serve another service is sent that one whole, and drops what it does not serve any more.
-func TestServicesChange(t *testing.T) {
+func TestChangedServices(t *testing.T) {
 	c := newControl(t, "root/1")
 	c.write(put("hire", distribution.KindServer, "s1", "up"), put("yard", distribution.KindServer, "s2", "up"))
 	cfg := config(t, "n", []string{"hire"}, c.address())
@@ -277,7 +277,7 @@
 		cfg.Services = services
 		n = startNode(t, cfg)
 		started(t, n)
-		c.inForce("n")
+		c.waitApplied("n")
 		if n.size() != len(services) {
 			t.Errorf("with %v in force: %v", services, n.all())
 		}
@@ -286,13 +286,13 @@
 }
 
 // A control process that is ahead in nothing is asked for nothing; one that lost its disk is given what the node holds.
-func TestGivesWhatAnEmptiedControlLacks(t *testing.T) {
+func TestUploadToControlProcessWithLostDisk(t *testing.T) {
 	c := newControl(t, "root/1")
 	c.write(put("hire", distribution.KindServer, "s1", "up"), put("", distribution.KindTenant, "dairy", "5"), distribution.Change{Key: key("hire", distribution.KindRoute, "r"), Deleted: true})
 	emptied := newControl(t, "root/2")
 	n := startNode(t, config(t, "n", []string{"hire"}, c.address(), emptied.address()))
 	started(t, n)
-	c.die()
+	c.kill()
 	until(t, func() bool {
 		emptied.mu.Lock()
 		defer emptied.mu.Unlock()
@@ -308,8 +308,8 @@
 	}
 }
 
-// Digests that differ bring a service whole.
-func TestDigestsMend(t *testing.T) {
+// Digests that differ have a service sent whole.
+func TestDigestsRepairDifferences(t *testing.T) {
 	c := newControl(t, "root/1")
 	c.write(put("hire", distribution.KindServer, "s1", "up"))
 	n := startNode(t, config(t, "n", []string{"hire"}, c.address()))
--- a/internal/controlplane/distribution/client/config.go
+++ b/internal/controlplane/distribution/client/config.go
@@ -1,5 +1,3 @@
-// Package client is a node's end of the distribution: it follows one of its zone's control processes, keeps what it is
-// told on disk, and hands what may be put in force to a listener. The same file leads commands to a control process.
 package client
 
 import (
@@ -17,23 +15,23 @@
 )
 
 const (
-	controlsMost    = 8
-	servicesMost    = 1000
-	startWithinBase = 2 * time.Second
-	startWithinMost = time.Minute
-	returnAfterBase = time.Minute
-	returnAfterMost = 24 * time.Hour
+	maxControlProcesses  = 8
+	maxServices          = 1000
+	defaultStartTimeout  = 2 * time.Second
+	maxStartTimeout      = time.Minute
+	defaultFailbackDelay = time.Minute
+	maxFailbackDelay     = 24 * time.Hour
 )
 
 // Config is an operator's file of the distribution, of a node or of a command.
 type Config struct {
 	Control       []string          `toml:"control"`      // addresses of control processes, the preferred one first
 	Services      []string          `toml:"services"`     // that the node serves
-	Region        string            `toml:"region"`       // where it stands, for the status
+	Region        string            `toml:"region"`       // of the node, for the status
 	Zone          string            `toml:"zone"`         // likewise
-	Directory     string            `toml:"directory"`    // a folder that is there, for what the node holds
-	StartTimeout  tomlfile.Duration `toml:"start_within"` // how long a start waits to be current
-	FailbackDelay tomlfile.Duration `toml:"return_after"` // until a control process that is preferred to the one followed is tried; 0: never
+	Directory     string            `toml:"directory"`    // that exists, for what the node holds
+	StartTimeout  tomlfile.Duration `toml:"start_within"` // that a start waits to be current
+	FailbackDelay tomlfile.Duration `toml:"return_after"` // until a control process preferred to the one followed is probed; 0: never
 	TLSName       string            `toml:"tls_name"`     // that the control processes' certificates are for
 	Cert          string            `toml:"cert"`
 	Key           string            `toml:"key"`
@@ -45,14 +43,14 @@
 	Keys      *mtls.Keys       `toml:"-"` // nil: plaintext
 }
 
-// Load reads the file of a node; each fault is named by file and line.
+// Load reads the file of a node. The error names each fault by file and line.
 func Load(path string) (*Config, error) {
 	c, f, err := parse(path)
 	if err != nil {
 		return nil, err
 	}
-	if len(c.Services) == 0 || len(c.Services) > servicesMost {
-		f.Wrong("services", "%d services: from 1 to %d", len(c.Services), servicesMost)
+	if len(c.Services) == 0 || len(c.Services) > maxServices {
+		f.Wrong("services", "%d services: from 1 to %d", len(c.Services), maxServices)
 	}
 	for i, name := range c.Services {
 		switch {
@@ -65,11 +63,11 @@
 	if st, err := os.Stat(c.Directory); c.Directory == "" || err != nil || !st.IsDir() {
 		f.Wrong("directory", "directory %q is no folder that is there", c.Directory)
 	}
-	if d := c.StartTimeout.Std(); d < 0 || d > startWithinMost {
-		f.Wrong("start_within", "start_within %s: from 0s to %s", d, startWithinMost)
+	if d := c.StartTimeout.Std(); d < 0 || d > maxStartTimeout {
+		f.Wrong("start_within", "start_within %s: from 0s to %s", d, maxStartTimeout)
 	}
-	if d := c.FailbackDelay.Std(); d < 0 || d > returnAfterMost {
-		f.Wrong("return_after", "return_after %s: from 0s to %s", d, returnAfterMost)
+	if d := c.FailbackDelay.Std(); d < 0 || d > maxFailbackDelay {
+		f.Wrong("return_after", "return_after %s: from 0s to %s", d, maxFailbackDelay)
 	}
 	return c, f.Err()
 }
@@ -88,20 +86,20 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	c := &Config{StartTimeout: tomlfile.Duration(startWithinBase), FailbackDelay: tomlfile.Duration(returnAfterBase)}
+	c := &Config{StartTimeout: tomlfile.Duration(defaultStartTimeout), FailbackDelay: tomlfile.Duration(defaultFailbackDelay)}
 	f, err := tomlfile.Parse(path, text, c)
 	if err != nil {
 		return nil, nil, err
 	}
-	if len(c.Control) == 0 || len(c.Control) > controlsMost {
-		f.Wrong("control", "%d control processes: from 1 to %d", len(c.Control), controlsMost)
+	if len(c.Control) == 0 || len(c.Control) > maxControlProcesses {
+		f.Wrong("control", "%d control processes: from 1 to %d", len(c.Control), maxControlProcesses)
 	}
 	for i, address := range c.Control {
-		at, err := netip.ParseAddrPort(address)
-		if err != nil || at.Port() == 0 {
+		parsed, err := netip.ParseAddrPort(address)
+		if err != nil || parsed.Port() == 0 {
 			f.Wrong("control."+strconv.Itoa(i), "control process %q: an address and a port are wanted", address)
 		}
-		c.Addresses = append(c.Addresses, at)
+		c.Addresses = append(c.Addresses, parsed)
 	}
 	if !c.Plaintext && c.TLSName == "" {
 		f.Wrong("tls_name", "tls_name says what the control processes' certificates are for")
@@ -110,20 +108,21 @@
 	return c, f, nil
 }
 
-// scope is the services that the node holds entries of: its own, and what is for every node.
+// scope returns the services that the node holds entries of: its own, and "", which is for every node.
 func (c *Config) scope() []string { return append([]string{""}, c.Services...) }
 
-// secure wraps a connection to a control process in TLS, where the file names keys. Keys that could not be read again are
-// a fault that ends nothing.
+// secure wraps a connection to a control process in TLS, if the file names keys. If changed keys could not be read, it returns
+// both a connection with those read before and an error that is errKeysNotReloaded.
 func (c *Config) secure(connection net.Conn) (net.Conn, error) {
 	if c.Keys == nil {
 		return connection, nil
 	}
 	secured := c.Keys.ClientConn(connection, c.TLSName)
 	if err := c.Keys.ReloadError(); err != nil {
-		return secured, errors.Join(errKeys, err)
+		return secured, errors.Join(errKeysNotReloaded, err)
 	}
 	return secured, nil
 }
 
-var errKeys = errors.New("keys not read again")
+// errKeysNotReloaded says that changed keys could not be read; the connection is good all the same.
+var errKeysNotReloaded = errors.New("keys not reloaded")
--- a/internal/controlplane/distribution/client/control_test.go
+++ b/internal/controlplane/distribution/client/control_test.go
@@ -59,8 +59,8 @@
 	c := &control{t: t, ln: ln, begun: time.Now(), store: store, publisher: distribution.NewPublisher(store, distribution.Budget{NodeBytesPerSecond: 1 << 20}),
 		conns: map[distribution.SubscriptionID]*peer{}, names: map[string]int{}, wake: make(chan struct{}, 1), stop: cancel}
 	c.done.Go(c.accept)
-	c.done.Go(func() { c.pump(ctx) })
-	t.Cleanup(c.die)
+	c.done.Go(func() { c.publish(ctx) })
+	t.Cleanup(c.kill)
 	return c
 }
 
@@ -68,8 +68,8 @@
 
 func (c *control) address() string { return c.ln.Addr().String() }
 
-// die ends it as a kill does.
-func (c *control) die() {
+// kill ends it as a kill of the process does.
+func (c *control) kill() {
 	c.stop()
 	c.ln.Close()
 	c.mu.Lock()
@@ -163,8 +163,8 @@
 	}
 }
 
-// pump sends what the publisher says.
-func (c *control) pump(ctx context.Context) {
+// publish sends what the publisher says, until the context ends.
+func (c *control) publish(ctx context.Context) {
 	for {
 		wait := c.sendDue()
 		timer := time.NewTimer(min(wait, time.Second))
@@ -221,8 +221,8 @@
 	return distribution.NodeStatus{}, false
 }
 
-// inForce waits until a node has acknowledged all that is here.
-func (c *control) inForce(name string) {
+// waitApplied waits until a node has acknowledged all that is here.
+func (c *control) waitApplied(name string) {
 	c.t.Helper()
 	until(c.t, func() bool {
 		s, ok := c.status(name)
@@ -253,7 +253,7 @@
 // node is a client that runs.
 type node struct {
 	*Client
-	*listener
+	*recordingApplier
 	log  *logged
 	stop func()
 }
@@ -272,9 +272,9 @@
 
 func startNode(t *testing.T, config *Config) *node {
 	t.Helper()
-	n := &node{listener: newListener(), log: &logged{}}
+	n := &node{recordingApplier: newRecordingApplier(), log: &logged{}}
 	var err error
-	if n.Client, err = New(config, n.listener, zerolog.New(n.log)); err != nil {
+	if n.Client, err = New(config, n.recordingApplier, zerolog.New(n.log)); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/controlplane/distribution/client/preferred_test.go
+++ b/internal/controlplane/distribution/client/failback_test.go
@@ -9,7 +9,7 @@
 )
 
 // A node goes back to the control process that its file names first once that one answers again, and no change is missed on the way.
-func TestNodeReturnsToPreferredControl(t *testing.T) {
+func TestFailbackToPreferredControlProcess(t *testing.T) {
 	t.Parallel()
 	a, b := pair(t)
 	c := config(t, "n", []string{"hire"}, a.at, b.at)
--- a/internal/controlplane/distribution/client/faults_test.go
+++ b/internal/controlplane/distribution/client/faults_test.go
@@ -89,7 +89,7 @@
 
 // Whatever happens to the control process that a node follows, or to the way there, what is written at the other is in
 // force, and so is what is written when all is well again.
-func TestFaultsBetween(t *testing.T) {
+func TestFaultsOfControlProcessAndNetwork(t *testing.T) {
 	for name, c := range map[string]struct{ fault, mend func(*faultproxy.Cable) }{
 		"cut towards the node": {func(w *faultproxy.Cable) { w.Cut(faultproxy.Down, true) }, func(w *faultproxy.Cable) { w.Cut(faultproxy.Down, false) }},
 		"cut towards control":  {func(w *faultproxy.Cable) { w.Cut(faultproxy.Up, true) }, func(w *faultproxy.Cable) { w.Cut(faultproxy.Up, false) }},
@@ -122,8 +122,8 @@
 			c.mend(wires)
 			a.write(put("hire", distribution.KindServer, "s", "v3"), put("hire", distribution.KindRoute, "r", "v3"))
 			holds("v3")
-			n.listener.mu.Lock()
-			defer n.listener.mu.Unlock()
+			n.recordingApplier.mu.Lock()
+			defer n.recordingApplier.mu.Unlock()
 			for i, v := range n.history[1:] {
 				if v < n.history[i] {
 					t.Errorf("went back: %v", n.history)
@@ -200,7 +200,7 @@
 }
 
 // Entries of a session are those of the services asked for, many more than one batch takes.
-func TestSessionReads(t *testing.T) {
+func TestSessionReadsMoreThanOneBatch(t *testing.T) {
 	a := startControl(t, "a", address.Free(t), t.TempDir())
 	var changes []distribution.Change
 	for i := range 5000 {
--- a/internal/controlplane/distribution/client/golden_test.go
+++ b/internal/controlplane/distribution/client/golden_test.go
@@ -14,9 +14,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := mark{Services: []string{"", "ferries"}, Current: time.Date(2026, 1, 2, 3, 4, 5, 678000000, time.UTC)}
+	want := syncMark{Services: []string{"", "ferries"}, Current: time.Date(2026, 1, 2, 3, 4, 5, 678000000, time.UTC)}
 	directory := t.TempDir()
-	if err := writeMark(directory, want); err != nil {
+	if err := writeSyncMark(directory, want); err != nil {
 		t.Fatal(err)
 	}
 	written, err := os.ReadFile(filepath.Join(directory, "held.json"))
@@ -26,7 +26,7 @@
 	if string(written)+"\n" != string(text) {
 		t.Errorf("written as %s, was %s", written, text)
 	}
-	if read, err := readMark("testdata"); err != nil || !reflect.DeepEqual(read, want) {
+	if read, err := readSyncMark("testdata"); err != nil || !reflect.DeepEqual(read, want) {
 		t.Errorf("read as %+v, %v", read, err)
 	}
 }
--- a/internal/controlplane/distribution/client/link.go
+++ b/internal/controlplane/distribution/client/link.go
@@ -15,91 +15,97 @@
 )
 
 const (
-	dialWithin  = time.Second      // for a connection, its TLS and its greeting
-	silentMost  = 25 * time.Second // without a frame; a look at the state ends a silent connection sooner
-	queueMost   = 64               // messages that wait for a control process to take them
-	pingAfter   = 2 * time.Second  // of silence; an empty Want is sent, and a control process that lives answers it
-	pingWithin  = 1500 * time.Millisecond
-	offerBudget = 16 << 10 // bytes a second to a control process that lacks what this node holds: the operators' figure
-
-	// A machine that is gone without a word is noticed by the system within five seconds.
-	keepAliveIdle  = 2 * time.Second
-	keepAliveEvery = time.Second
-	keepAliveCount = 3
+	dialTimeout       = time.Second      // for a connection, its TLS and its greeting
+	silenceTimeout    = 25 * time.Second // without a frame; pings end a silent connection sooner
+	maxQueuedMessages = 64               // that wait for a control process to take them
+	pingAfter         = 2 * time.Second  // of silence
+	pingTimeout       = 1500 * time.Millisecond
 )
 
+// keepAlive has the system notice within five seconds that a machine is gone.
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3}
+
+// Why a connection is ended from here.
 var (
-	errQueue = errors.New("it takes nothing")
-	errEnded = errors.New("the connection has ended")
+	errQueueFull = errors.New("it takes nothing")
+	errSilent    = errors.New("it has fallen silent")
+	errEnded     = errors.New("the connection has ended")
 )
 
 // protocolError is a fault of the other side, which is told of it.
 type protocolError struct{ error }
 
-// event is what a connection's goroutines tell Run's.
+// event is what the goroutines of connections tell Run's.
 type event struct {
-	link      int
-	connected bool
-	message   wire.Message
-	at        time.Time
-	err       error
-	probed    bool // a probe of an upstream has ended, of no link
-	upstream  int  // of a probe
+	link        int // number
+	isConnected bool
+	message     wire.Message
+	at          time.Time // of the message
+	err         error
+
+	isProbe  bool // a probe of an upstream has ended, which has no link
+	upstream int  // of the probe
 }
 
-// link is one attempt at an upstream and the connection that comes of it.
+// link is one attempt at an upstream, and the connection that comes of it.
 type link struct {
-	number   int
-	upstream int
-	cancel   context.CancelFunc
-	out      chan wire.Message
-	refusal  chan error
-
-	// of Run's goroutine
-	receiver  *distribution.Receiver
-	told      distribution.Vector // in force, as the other side knows it
-	toldBad   map[distribution.Key]string
-	publisher *distribution.Publisher // of what the other side lacks; nil until it asks
-	offered   distribution.SubscriptionID
-	heard     time.Duration
-	pinged    bool
-	overrun   bool // a message found no place
-	refused   bool
+	number    int
+	upstream  int // index
+	cancel    context.CancelFunc
+	out       chan wire.Message
+	rejection chan error // why the connection ends, to be told to the other side
+
+	// Of Run's goroutine alone.
+	receiver     *distribution.Receiver // nil until connected
+	reported     distribution.Vector    // applied, as the other side knows it; nil until connected
+	reportedBad  map[distribution.Key]string
+	upload       upload
+	lastMessage  time.Duration
+	isPinged     bool
+	isOverflowed bool // a message found no room in out
+	isRejected   bool
 }
 
-// dial begins an attempt.
-func (c *Client) dial(running context.Context, upstream int) {
+// startLink begins an attempt at an upstream.
+func (c *Client) startLink(running context.Context, upstream int) {
 	c.lastLink++
 	ctx, cancel := context.WithCancel(running)
-	c.link = &link{number: c.lastLink, upstream: upstream, cancel: cancel, out: make(chan wire.Message, queueMost), refusal: make(chan error, 1),
-		toldBad: map[distribution.Key]string{}, heard: c.now()}
-	l := c.link
+	l := &link{
+		number:      c.lastLink,
+		upstream:    upstream,
+		cancel:      cancel,
+		out:         make(chan wire.Message, maxQueuedMessages),
+		rejection:   make(chan error, 1),
+		reportedBad: map[distribution.Key]string{},
+		lastMessage: c.now(),
+	}
+	c.link = l
 	c.running.Go(func() {
 		defer cancel()
 		err := l.run(ctx, c.config, c.events, c.log)
 		if err == nil {
 			err = errEnded
 		}
-		tell(running, c.events, event{link: l.number, err: err}) // also of a connection that has ended itself
+		notify(running, c.events, event{link: l.number, err: err}) // not ctx: also of a connection that has ended itself
 	})
 }
 
-// probe sees whether a control process answers, beside the connection in hand.
-func (c *Client) probe(running context.Context, upstream int) {
+// startProbe sees whether a control process answers, beside the connection in hand.
+func (c *Client) startProbe(running context.Context, upstream int) {
 	c.running.Go(func() {
 		conn, err := Dial(running, c.config, c.config.Addresses[upstream], c.config.Name)
-		if errors.Is(err, errKeys) {
+		if errors.Is(err, errKeysNotReloaded) {
 			err = nil
 		}
 		if conn != nil {
 			conn.Close()
 		}
-		tell(running, c.events, event{probed: true, upstream: upstream, err: err})
+		notify(running, c.events, event{isProbe: true, upstream: upstream, err: err})
 	})
 }
 
-// tell hands an event over, unless what it is for is over.
-func tell(ctx context.Context, events chan<- event, e event) bool {
+// notify hands over an event. It returns false if the context ended before.
+func notify(ctx context.Context, events chan<- event, e event) bool {
 	select {
 	case events <- e:
 		return true
@@ -108,11 +114,11 @@
 	}
 }
 
-// run leads the connection until it ends.
+// run connects, and reads and writes until the connection ends.
 func (l *link) run(ctx context.Context, config *Config, events chan<- event, log zerolog.Logger) error {
 	conn, err := Dial(ctx, config, config.Addresses[l.upstream], config.Name)
-	if errors.Is(err, errKeys) {
-		log.Error().Err(err).Msg("distribution: keys")
+	if errors.Is(err, errKeysNotReloaded) {
+		log.Error().Err(err).Msg("distribution: keys not reloaded")
 		err = nil
 	}
 	if err != nil {
@@ -120,22 +126,22 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	if !tell(ctx, events, event{link: l.number, connected: true}) {
+	if !notify(ctx, events, event{link: l.number, isConnected: true}) {
 		return nil
 	}
-	writer := make(chan struct{})
+	writerDone := make(chan struct{})
 	go func() {
-		defer close(writer)
+		defer close(writerDone)
 		defer conn.Close()
 		l.write(ctx, conn)
 	}()
 	err = l.read(ctx, conn, events)
 	if errors.As(err, new(*protocolError)) {
-		l.refuse(err) // by the writer, which then ends
+		l.reject(err) // the writer sends it and ends
 	} else {
 		l.cancel()
 	}
-	<-writer
+	<-writerDone
 	return err
 }
 
@@ -144,7 +150,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case why := <-l.refusal:
+		case why := <-l.rejection:
 			conn.Reject(why)
 			l.cancel()
 			return
@@ -158,7 +164,7 @@
 
 func (l *link) read(ctx context.Context, conn *framing.Conn, events chan<- event) error {
 	for {
-		kind, body, err := conn.Receive(time.Now().Add(silentMost))
+		kind, body, err := conn.Receive(time.Now().Add(silenceTimeout))
 		if err != nil {
 			return err
 		}
@@ -169,47 +175,47 @@
 		if err != nil {
 			return &protocolError{err}
 		}
-		if !tell(ctx, events, event{link: l.number, message: m, at: time.Now()}) {
+		if !notify(ctx, events, event{link: l.number, message: m, at: time.Now()}) {
 			return nil
 		}
 	}
 }
 
-// send has a message sent. An upstream that takes nothing is noticed by the next look.
+// send queues a message. If the upstream takes nothing, the next acknowledgement ends the connection.
 func (l *link) send(m wire.Message) {
 	select {
 	case l.out <- m:
 	default:
-		l.overrun = true
+		l.isOverflowed = true
 	}
 }
 
-// refuse tells the other side why the connection ends, and ends it.
-func (l *link) refuse(why error) {
+// reject has the other side told why the connection ends, and the connection ended.
+func (l *link) reject(why error) {
 	select {
-	case l.refusal <- why:
+	case l.rejection <- why:
 	default:
 	}
 }
 
-// Dial opens a connection to a control process, with its TLS and greeting. An error that is errKeys comes with a
-// connection that is good.
+// Dial opens a connection to a control process, with its TLS and greeting. If keys could not be reloaded it returns both a good
+// connection and an error; every other error comes without a connection.
 func Dial(ctx context.Context, config *Config, at netip.AddrPort, name string) (*framing.Conn, error) {
-	by := time.Now().Add(dialWithin)
-	dialer := net.Dialer{Deadline: by, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: keepAliveCount}}
+	deadline := time.Now().Add(dialTimeout)
+	dialer := net.Dialer{Deadline: deadline, KeepAliveConfig: keepAlive}
 	connection, err := dialer.DialContext(ctx, "tcp", at.String())
 	if err != nil {
 		return nil, err
 	}
-	secured, fault := config.secure(connection)
+	secured, reloadErr := config.secure(connection)
 	stop := context.AfterFunc(ctx, func() { connection.Close() })
 	defer stop()
-	secured.SetDeadline(by)
+	secured.SetDeadline(deadline)
 	conn := wire.Protocol.NewConn(secured)
-	if _, err := conn.Handshake(name, by); err != nil {
+	if _, err := conn.Handshake(name, deadline); err != nil {
 		connection.Close()
 		return nil, err
 	}
 	secured.SetDeadline(time.Time{})
-	return conn, fault
+	return conn, reloadErr
 }
--- a/internal/controlplane/distribution/client/bad_test.go
+++ b/internal/controlplane/distribution/client/protocol_test.go
@@ -88,7 +88,7 @@
 }
 
 // A control process that is there but says nothing, as one that was stopped, is left for the next.
-func TestSilentControlIsLeft(t *testing.T) {
+func TestSilentControlProcessIsLeft(t *testing.T) {
 	c, next := newControl(t, "root/1"), newControl(t, "root/2")
 	n := startNode(t, config(t, "n", []string{"hire"}, c.address(), next.address()))
 	started(t, n)
@@ -108,7 +108,7 @@
 	c.mu.Unlock()
 	until(t, func() bool { return n.Status().Upstream == next.address() }, "the next is followed")
 	next.write(put("hire", distribution.KindServer, "s1", "up"))
-	next.inForce("n")
+	next.waitApplied("n")
 }
 
 // Commands and nodes read one file; each fault is told by its line.
--- /dev/null
+++ b/internal/controlplane/distribution/client/rejections.go
@@ -0,0 +1,106 @@
+package client
+
+import (
+	"errors"
+	"maps"
+	"slices"
+
+	"fernvane/internal/controlplane/distribution"
+)
+
+const (
+	maxRejections  = 64  // in one message, and in a status
+	maxReasonBytes = 250 // of a reason on the wire
+)
+
+// rejections are the entries that cannot be used, by key.
+type rejections map[distribution.Key]rejection
+
+// rejection is why an entry cannot be used.
+type rejection struct {
+	version  distribution.Entry // without its value
+	reason   string
+	isLogged bool
+}
+
+// first returns as many rejections as a message takes, in the order of their keys.
+func (r rejections) first() (all []distribution.Rejection) {
+	keys := slices.SortedFunc(maps.Keys(r), distribution.CompareKeys)
+	for _, k := range keys[:min(len(keys), maxRejections)] {
+		all = append(all, distribution.Rejection{Key: k, Reason: r[k].reason})
+	}
+	return all
+}
+
+// addRejections records entries that could not be held or applied. c.mu is held.
+func (c *Client) addRejections(rejected []distribution.Rejection) {
+	for _, r := range rejected {
+		next := rejection{reason: truncateReason(r.Reason)}
+		if held, ok := c.store.Entry(r.Key); ok {
+			held.Value = nil
+			next.version = held
+		}
+		if before, ok := c.rejections[r.Key]; ok && before.reason == next.reason && distribution.Compare(before.version, next.version) == 0 {
+			next.isLogged = before.isLogged
+		}
+		c.rejections[r.Key] = next
+	}
+}
+
+// replaceRejections replaces the rejections of some kinds, of which everything held was applied.
+func (c *Client) replaceRejections(rejected []distribution.Rejection, kinds ...distribution.Kind) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	isRejected := map[distribution.Key]bool{}
+	for _, r := range rejected {
+		isRejected[r.Key] = true
+	}
+	maps.DeleteFunc(c.rejections, func(k distribution.Key, _ rejection) bool { return slices.Contains(kinds, k.Kind) && !isRejected[k] })
+	c.addRejections(rejected)
+}
+
+// logRejections logs each entry that cannot be used once.
+func (c *Client) logRejections() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, k := range slices.SortedFunc(maps.Keys(c.rejections), distribution.CompareKeys) {
+		r := c.rejections[k]
+		if r.isLogged {
+			continue
+		}
+		r.isLogged = true
+		c.rejections[k] = r
+		c.log.Error().Err(errors.New(r.reason)).Stringer("entry", k).Msg("distribution: entry rejected, previous version stays in effect")
+	}
+}
+
+// unreportedRejections returns what the other side does not know yet, and notes that it does now. A rejection without a reason
+// withdraws an earlier one.
+func (l *link) unreportedRejections(current rejections) (unreported []distribution.Rejection) {
+	for k := range l.reportedBad {
+		if _, isRejected := current[k]; !isRejected && len(unreported) < maxRejections {
+			unreported = append(unreported, distribution.Rejection{Key: k})
+			delete(l.reportedBad, k)
+		}
+	}
+	for _, r := range current.first() {
+		if l.reportedBad[r.Key] != r.Reason && len(unreported) < maxRejections {
+			unreported = append(unreported, r)
+			l.reportedBad[r.Key] = r.Reason
+		}
+	}
+	return unreported
+}
+
+// truncateReason cuts a reason at a rune's start, so that it fits into a message.
+func truncateReason(reason string) string {
+	if len(reason) <= maxReasonBytes {
+		return reason
+	}
+	for i := range reason {
+		if i > maxReasonBytes-4 {
+			return reason[:i] + "..."
+		}
+	}
+	return reason
+}
--- a/internal/controlplane/distribution/client/session.go
+++ b/internal/controlplane/distribution/client/session.go
@@ -14,45 +14,46 @@
 )
 
 const (
-	answerWithin = 5 * time.Second // for a control process to answer a command, between two messages
-	writeBytes   = 512 << 10       // of values in one write
-	writeChanges = 2000            // in one write
+	answerTimeout   = 5 * time.Second // for a control process to answer a command, between two messages
+	maxWriteBytes   = 512 << 10       // of values in one write
+	maxWriteChanges = 2000            // in one write
 )
 
 // ErrNoControlProcess says that no control process has answered.
 var ErrNoControlProcess = errors.New("no control process answers")
 
-// WriteRefusedError is a control process's answer to a write that it did not take, or that is not on its disk.
+// WriteRefusedError is a control process's answer to a write that it did not accept, or that is not on its disk.
 type WriteRefusedError struct{ Reason string }
 
 func (e *WriteRefusedError) Error() string { return "the control process answers: " + e.Reason }
 
-// Session is a command's connection to the first control process that answers.
+// Session is a command's connection to the first control process that answers. It is not safe for concurrent use.
 type Session struct {
 	Control string // its address
 	conn    *framing.Conn
-	last    uint64
+	lastID  uint64 // of a request
 }
 
-// Open connects to the first control process of the file that answers.
+// Open connects to the first control process of the file that answers. The caller closes the session. The error wraps
+// ErrNoControlProcess.
 func Open(ctx context.Context, config *Config) (*Session, error) {
 	host, _ := os.Hostname()
 	name := "config/" + host + "/" + strconv.Itoa(os.Getpid()) + "/" + strconv.FormatInt(time.Now().UnixNano(), 36)
-	var all error
-	for i, at := range config.Addresses {
-		conn, err := Dial(ctx, config, at, name)
-		if err == nil || errors.Is(err, errKeys) {
+	var reasons error
+	for i, address := range config.Addresses {
+		conn, err := Dial(ctx, config, address, name)
+		if err == nil || errors.Is(err, errKeysNotReloaded) {
 			return &Session{Control: config.Control[i], conn: conn}, nil
 		}
-		all = errors.Join(all, fmt.Errorf("%s: %w", config.Control[i], err))
+		reasons = errors.Join(reasons, fmt.Errorf("%s: %w", config.Control[i], err))
 	}
-	return nil, nobody(all)
+	return nil, noControlProcess(reasons)
 }
 
-// nobody puts the reasons into one line.
-func nobody(all error) error {
+// noControlProcess adds the reasons, which are joined, to ErrNoControlProcess.
+func noControlProcess(reasons error) error {
 	text := ""
-	if joined, ok := all.(interface{ Unwrap() []error }); ok {
+	if joined, ok := reasons.(interface{ Unwrap() []error }); ok {
 		for _, err := range joined.Unwrap() {
 			text += "; " + err.Error()
 		}
@@ -65,7 +66,7 @@
 
 // receive waits for the next message.
 func (s *Session) receive() (wire.Message, error) {
-	kind, body, err := s.conn.Receive(time.Now().Add(answerWithin))
+	kind, body, err := s.conn.Receive(time.Now().Add(answerTimeout))
 	if err != nil {
 		return nil, err
 	}
@@ -75,59 +76,69 @@
 	return wire.Decode(kind, body)
 }
 
-// Write makes changes, in as many writes as they need, and returns the last answer. Each write is made whole or not at all.
-func (s *Session) Write(changes []distribution.Change) (written *wire.WriteResult, err error) {
+// noAnswer is the error of a request that changes nothing.
+func (s *Session) noAnswer(err error) error {
+	return fmt.Errorf("%w; %s: %v", ErrNoControlProcess, s.Control, err)
+}
+
+// outcomeUnknown is the error of a write that may have been made.
+func (s *Session) outcomeUnknown(err error) error {
+	return fmt.Errorf("%w: %s took the change and did not answer (%v): it may hold; to write it once more does no harm",
+		ErrNoControlProcess, s.Control, err)
+}
+
+// Write makes changes, in as many writes as they need, and returns the last result. Each write is made as a whole or not at
+// all. The error is a *WriteRefusedError, or wraps ErrNoControlProcess if the outcome is not known.
+func (s *Session) Write(changes []distribution.Change) (result *wire.WriteResult, err error) {
 	for len(changes) > 0 {
-		n, size := 0, 0
-		for n < len(changes) && n < writeChanges && (n == 0 || size+len(changes[n].Value) <= writeBytes) {
-			size += len(changes[n].Value)
+		n, bytes := 0, 0
+		for n < len(changes) && n < maxWriteChanges && (n == 0 || bytes+len(changes[n].Value) <= maxWriteBytes) {
+			bytes += len(changes[n].Value)
 			n++
 		}
-		if written, err = s.write(changes[:n]); err != nil {
+		if result, err = s.writeOnce(changes[:n]); err != nil {
 			return nil, err
 		}
 		changes = changes[n:]
 	}
-	return written, nil
+	return result, nil
 }
 
-func (s *Session) write(changes []distribution.Change) (*wire.WriteResult, error) {
-	s.last++
-	if err := wire.Send(s.conn, &wire.Write{ID: s.last, Changes: changes}); err != nil {
-		return nil, s.unanswered(err)
+func (s *Session) writeOnce(changes []distribution.Change) (*wire.WriteResult, error) {
+	s.lastID++
+	if err := wire.Send(s.conn, &wire.Write{ID: s.lastID, Changes: changes}); err != nil {
+		return nil, s.outcomeUnknown(err)
 	}
 	for {
 		m, err := s.receive()
 		if err != nil {
-			return nil, s.unanswered(err)
+			return nil, s.outcomeUnknown(err)
+		}
+		result, ok := m.(*wire.WriteResult)
+		if !ok || result.ID != s.lastID {
+			continue
 		}
-		if answer, ok := m.(*wire.WriteResult); ok && answer.ID == s.last {
-			if answer.Error != "" {
-				return nil, &WriteRefusedError{answer.Error}
-			}
-			return answer, nil
+		if result.Error != "" {
+			return nil, &WriteRefusedError{result.Error}
 		}
+		return result, nil
 	}
 }
 
-// unanswered is a write of which nobody knows whether it was made.
-func (s *Session) unanswered(err error) error {
-	return fmt.Errorf("%w: %s took the change and did not answer (%v): it may hold; to write it once more does no harm", ErrNoControlProcess, s.Control, err)
-}
-
-// Status asks for the state of all nodes that are known.
+// Status asks for the status of the control process itself and of all nodes that it knows. The error wraps
+// ErrNoControlProcess.
 func (s *Session) Status() (self distribution.NodeStatus, nodes []distribution.NodeStatus, err error) {
-	s.last++
-	if err := wire.Send(s.conn, &wire.StatusQuery{ID: s.last}); err != nil {
-		return self, nil, fmt.Errorf("%w; %s: %v", ErrNoControlProcess, s.Control, err)
+	s.lastID++
+	if err := wire.Send(s.conn, &wire.StatusQuery{ID: s.lastID}); err != nil {
+		return self, nil, s.noAnswer(err)
 	}
 	for {
 		m, err := s.receive()
 		if err != nil {
-			return self, nil, fmt.Errorf("%w; %s: %v", ErrNoControlProcess, s.Control, err)
+			return self, nil, s.noAnswer(err)
 		}
 		answer, ok := m.(*wire.StatusAnswer)
-		if !ok || answer.ID != s.last {
+		if !ok || answer.ID != s.lastID {
 			continue
 		}
 		self, nodes = answer.Self, append(nodes, answer.Nodes...)
@@ -137,38 +148,45 @@
 	}
 }
 
-// Read reads all that is held of some services, and ends what this session may be used for.
+// Read reads all entries that are held of some services. The session can only be closed afterwards.
 func (s *Session) Read(services []string) ([]distribution.Entry, error) {
 	store := distribution.NewStore("", distribution.Limits{})
 	store.SetScope(services)
-	receiver := distribution.NewReceiver(store)
 	asked := distribution.Subscription{Name: "reader", Role: distribution.RoleReader, Services: services}
 	if err := wire.Send(s.conn, &wire.Subscribe{Subscription: asked}); err != nil {
-		return nil, fmt.Errorf("%w; %s: %v", ErrNoControlProcess, s.Control, err)
+		return nil, s.noAnswer(err)
+	}
+	if err := s.receiveAll(distribution.NewReceiver(store)); err != nil {
+		return nil, err
+	}
+	var all []distribution.Entry
+	for _, name := range services {
+		all = append(all, store.LiveEntries(name)...)
 	}
+	return all, nil
+}
+
+// receiveAll receives batches until one is complete.
+func (s *Session) receiveAll(receiver *distribution.Receiver) error {
 	for {
 		m, err := s.receive()
 		if err != nil {
-			return nil, fmt.Errorf("%w; %s: %v", ErrNoControlProcess, s.Control, err)
+			return s.noAnswer(err)
 		}
 		batch, ok := m.(*wire.Batch)
 		if !ok {
 			continue
 		}
-		got := receiver.ReceiveBatch(batch.Batch)
-		if len(got.Rejected) > 0 {
-			return nil, fmt.Errorf("%s: %s", got.Rejected[0].Key, got.Rejected[0].Reason)
+		result := receiver.ReceiveBatch(batch.Batch)
+		if len(result.Rejected) > 0 {
+			return fmt.Errorf("%s: %s", result.Rejected[0].Key, result.Rejected[0].Reason)
 		}
-		if got.IsComplete {
-			break
+		if result.IsComplete {
+			return nil
 		}
-		if err := wire.Send(s.conn, &wire.Acknowledge{Acknowledgement: distribution.Acknowledgement{BatchNumber: batch.Number}}); err != nil {
-			return nil, fmt.Errorf("%w; %s: %v", ErrNoControlProcess, s.Control, err)
+		acknowledge := &wire.Acknowledge{Acknowledgement: distribution.Acknowledgement{BatchNumber: batch.Number}}
+		if err := wire.Send(s.conn, acknowledge); err != nil {
+			return s.noAnswer(err)
 		}
 	}
-	var all []distribution.Entry
-	for _, name := range services {
-		all = append(all, store.LiveEntries(name)...)
-	}
-	return all, nil
 }
