--- a/internal/controlplane/planconfig/config.go
+++ b/internal/controlplane/planconfig/config.go
@@ -1,4 +1,5 @@
-// Package planconfig reads the files of the two levels: a forwarder's, which names its planners, and a planner's.
+// Package planconfig reads the files of forwarders, which name their planners, and of planners. Its callers are the commands
+// that start the processes.
 package planconfig
 
 import (
@@ -12,12 +13,13 @@
 )
 
 const (
-	plannersMost = 8
-	leastEvery   = 100 * time.Millisecond
-	mostEvery    = 2 * time.Second
+	maxPlanners     = 8
+	minInterval     = 100 * time.Millisecond
+	maxInterval     = 2 * time.Second
+	defaultInterval = 500 * time.Millisecond
 )
 
-// TLS is what both files say of keys.
+// TLS is the part of both files about keys.
 type TLS struct {
 	Cert      string `toml:"cert"`
 	Key       string `toml:"key"`
@@ -50,7 +52,7 @@
 	Keys             *mtls.Keys        `toml:"-"` // nil: plaintext
 }
 
-// LoadForwarder reads a forwarder's file; each fault is named by file and line.
+// LoadForwarder reads a forwarder's file. The error names each fault by file and line.
 func LoadForwarder(path string) (*Forwarder, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
@@ -61,15 +63,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(c.Planners) == 0 || len(c.Planners) > plannersMost {
-		f.Wrong("planners", "%d planners: from 1 to %d", len(c.Planners), plannersMost)
+	if len(c.Planners) == 0 || len(c.Planners) > maxPlanners {
+		f.Wrong("planners", "%d planners: from 1 to %d", len(c.Planners), maxPlanners)
 	}
 	for i, p := range c.Planners {
-		at, err := netip.ParseAddrPort(p)
+		address, err := netip.ParseAddrPort(p)
 		if err != nil {
 			f.Wrong("planners."+strconv.Itoa(i), "planner %q: an address and a port are wanted", p)
 		}
-		c.Addresses = append(c.Addresses, at)
+		c.Addresses = append(c.Addresses, address)
 	}
 	if !c.Plaintext && c.Name == "" {
 		f.Wrong("name", "name says what the planners' certificates are for")
@@ -78,13 +80,13 @@
 	return c, f.Err()
 }
 
-// LoadPlanner reads a planner's file.
+// LoadPlanner reads a planner's file. The error names each fault by file and line.
 func LoadPlanner(path string) (*Planner, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
 		return nil, err
 	}
-	c := &Planner{Interval: tomlfile.Duration(500 * time.Millisecond)}
+	c := &Planner{Interval: tomlfile.Duration(defaultInterval)}
 	f, err := tomlfile.Parse(path, text, c)
 	if err != nil {
 		return nil, err
@@ -104,14 +106,14 @@
 	} else if c.DiscoveryAddress, err = netip.ParseAddrPort(c.Discovery); err != nil {
 		f.Wrong("discovery", "discovery %q: an address and a port are wanted", c.Discovery)
 	}
-	if c.Interval.Std() < leastEvery || c.Interval.Std() > mostEvery {
-		f.Wrong("every", "every %s: from %s to %s", c.Interval.Std(), leastEvery, mostEvery)
+	if c.Interval.Std() < minInterval || c.Interval.Std() > maxInterval {
+		f.Wrong("every", "every %s: from %s to %s", c.Interval.Std(), minInterval, maxInterval)
 	}
 	c.Keys = c.keys(f, []netip.AddrPort{c.ListenAddress})
 	return c, f.Err()
 }
 
-// keys loads what the file names; without TLS all addresses must stay on this machine.
+// keys loads the files that are named. Without TLS all addresses must be on this machine.
 func (t TLS) keys(f *tomlfile.File, addresses []netip.AddrPort) *mtls.Keys {
 	return mtls.KeysFromConfig(f, mtls.Files{Cert: t.Cert, Key: t.Key, CA: t.CA}, t.Plaintext, addresses)
 }
--- /dev/null
+++ b/internal/controlplane/planner/discovery.go
@@ -0,0 +1,59 @@
+package planner
+
+import (
+	"context"
+
+	"fernvane/internal/discovery/incarnation"
+	"fernvane/internal/discovery/watch"
+	"fernvane/internal/discovery/zookeeper"
+	"fernvane/internal/protocol/http1"
+)
+
+// followServers follows discovery, or a registry if the file names one, until the context ends. Planners send servers no
+// requests: what forwarders find out about a server comes by their reports.
+func (s *Server) followServers(ctx context.Context) error {
+	if s.config.Ensemble == nil {
+		watch.Follow(ctx, watch.NewTarget(s.config.DiscoveryAddress), watch.Listener{
+			OnError: func(err error) { s.log.Warn().Err(err).Msg("discovery failed") },
+			OnList:  s.listReceived,
+		})
+		return nil
+	}
+	return zookeeper.Follow(ctx, s.config.Ensemble, zookeeper.Listener{
+		Now:      s.now,
+		OnChange: func(changed []incarnation.Entry, _ bool) { s.registryChanged(changed) },
+		OnError:  func(err error) { s.log.Warn().Err(err).Msg("registry read failed") },
+		OnMassRemoval: func(isSuspected bool) {
+			s.log.Error().Bool("suspected", isSuspected).Msg("mass removal suspicion changed")
+		},
+	})
+}
+
+// listReceived takes in discovery's list, or a part of it.
+func (s *Server) listReceived(list http1.EndpointList) {
+	for _, err := range list.Skipped {
+		s.log.Warn().Err(err).Msg("list entry skipped")
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	entries := watch.EntriesFromList(list)
+	if list.Complete {
+		clear(s.discovered)
+	}
+	for _, e := range entries {
+		s.discovered[e.ID] = e
+	}
+	s.planner.EndpointsUpdated(s.now(), entries, list.Complete)
+	s.hasList = s.hasList || list.Complete
+}
+
+// registryChanged takes in servers that have changed in the registry.
+func (s *Server) registryChanged(changed []incarnation.Entry) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, e := range changed {
+		s.discovered[e.ID] = e
+	}
+	s.planner.EndpointsUpdated(s.now(), changed, false)
+	s.hasList = true
+}
--- /dev/null
+++ b/internal/controlplane/planner/doc.go
@@ -0,0 +1,7 @@
+// Package planner runs one planner process: it follows discovery or a registry, receives the forwarders' reports, computes plans
+// at an interval and sends each forwarder what has changed of its own. What is decided is in package plan; here are sockets and
+// clocks. Process is the entry point.
+//
+// Server.mu guards the state, which one goroutine per connection, the computing goroutine and the one that follows discovery
+// share.
+package planner
--- a/internal/controlplane/planner/process.go
+++ b/internal/controlplane/planner/process.go
@@ -11,14 +11,14 @@
 	"fernvane/internal/controlplane/planconfig"
 )
 
-// Process runs a planner as the life of this process, until SIGTERM or SIGINT. It returns the exit code.
+// Process runs a planner until SIGTERM or SIGINT, logs to errs and returns the exit code.
 func Process(cfg *planconfig.Planner, errs io.Writer) int {
 	log := zerolog.New(errs).With().Timestamp().Logger()
-	signal.Ignore(syscall.SIGPIPE) // or the planner would end with the reader of its log
+	signal.Ignore(syscall.SIGPIPE) // the planner must not end with the reader of its log
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	if err := Run(ctx, cfg, log); err != nil {
-		log.Error().Err(err).Msg("cannot plan")
+		log.Error().Err(err).Msg("planner failed")
 		return 1
 	}
 	return 0
--- /dev/null
+++ b/internal/controlplane/planner/server.go
@@ -0,0 +1,116 @@
+package planner
+
+import (
+	"context"
+	"net"
+	"sync"
+	"time"
+
+	"github.com/rs/zerolog"
+	"golang.org/x/sync/errgroup"
+
+	"fernvane/internal/controlplane/plan"
+	"fernvane/internal/controlplane/planconfig"
+	"fernvane/internal/discovery/incarnation"
+)
+
+// acceptRetry is the time after an accept that failed for a shortage, which passes.
+const acceptRetry = 10 * time.Millisecond
+
+// Server is a running planner.
+type Server struct {
+	config    *planconfig.Planner
+	log       zerolog.Logger
+	startedAt time.Time
+
+	mu          sync.Mutex // never held over a socket
+	planner     *plan.Planner
+	discovered  map[string]incarnation.Entry // what discovery has listed, as it listed it
+	hasList     bool                         // a complete list was received; without one no plan is computed
+	forwarders  map[string]*forwarder        // by name
+	connections int
+	counts      counts
+}
+
+// Run serves until the context ends. An error says that the address cannot be listened on.
+func Run(ctx context.Context, config *planconfig.Planner, log zerolog.Logger) error {
+	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(config.ListenAddress))
+	if err != nil {
+		return err
+	}
+	return run(ctx, config, log, listener)
+}
+
+func run(ctx context.Context, config *planconfig.Planner, log zerolog.Logger, listener *net.TCPListener) error {
+	now := time.Now()
+	s := &Server{
+		config:     config,
+		log:        log,
+		startedAt:  now,
+		planner:    plan.NewPlanner(now.UnixMilli()),
+		discovered: map[string]incarnation.Entry{},
+		forwarders: map[string]*forwarder{},
+	}
+	log.Info().Str("planner", config.Name).Stringer("listen", config.ListenAddress).Bool("tls", config.Keys != nil).Msg("planning")
+	g, ctx := errgroup.WithContext(ctx)
+	g.Go(func() error { return s.followServers(ctx) })
+	g.Go(func() error { s.computePlans(ctx); return nil })
+	g.Go(func() error { s.runCounts(ctx); return nil })
+	g.Go(func() error { s.accept(ctx, listener); return nil })
+	g.Go(func() error {
+		defer listener.Close()
+		<-ctx.Done()
+		return nil
+	})
+	return g.Wait()
+}
+
+// now is the time since the server's start.
+func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
+
+// accept takes connections of forwarders until the context ends.
+func (s *Server) accept(ctx context.Context, listener *net.TCPListener) {
+	var connections sync.WaitGroup
+	defer connections.Wait()
+	for {
+		nc, err := listener.AcceptTCP()
+		switch {
+		case ctx.Err() != nil:
+			return
+		case err != nil:
+			s.log.Warn().Err(err).Msg("accept failed")
+			time.Sleep(acceptRetry)
+			continue
+		}
+		connections.Go(func() { s.serveConnection(ctx, nc) })
+	}
+}
+
+// computePlans computes plans at the configured interval, and leaves each forwarder's with its connection.
+func (s *Server) computePlans(ctx context.Context) {
+	tick := time.NewTicker(s.config.Interval.Std())
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+			s.computeOnce()
+		}
+	}
+}
+
+func (s *Server) computeOnce() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.hasList {
+		return
+	}
+	began := time.Now()
+	fleet := s.planner.ComputePlans(s.now())
+	for name, f := range s.forwarders {
+		f.replaceNext(fleet.ForForwarder(name))
+	}
+	s.counts.plans++
+	s.counts.slowestPlan = max(s.counts.slowestPlan, time.Since(began))
+}
