--- a/internal/controlplane/distribution/tree/difference.go
+++ b/internal/controlplane/distribution/tree/difference.go
@@ -5,21 +5,20 @@
 	"fmt"
 	"slices"
 	"strings"
-	"time"
 
 	"fernvane/internal/controlplane/distribution"
 	"fernvane/internal/controlplane/distribution/value"
 )
 
-// Difference is a change that is to be made, with what is held before it.
+// Difference is a change to be made, with what is held before it.
 type Difference struct {
 	distribution.Change
 	HeldValue []byte
 	IsHeld    bool
 }
 
-// Differences are the changes of some kinds that bring what is held of the tree's services to what the tree says, in the
-// order of their keys.
+// Differences returns the changes of some kinds that make what is held of the tree's services equal to the tree, in the order
+// of their keys. What is held and not in the tree is deleted.
 func (t *Tree) Differences(held []distribution.Entry, kinds []distribution.Kind) []Difference {
 	before := map[distribution.Key][]byte{}
 	var all []Difference
@@ -33,18 +32,18 @@
 		}
 	}
 	for key, v := range t.Values {
-		was, is := before[key]
-		if !slices.Contains(kinds, key.Kind) || is && same(key.Kind, was, v) {
+		heldValue, isHeld := before[key]
+		if !slices.Contains(kinds, key.Kind) || isHeld && isEqual(key.Kind, heldValue, v) {
 			continue
 		}
-		all = append(all, Difference{Change: distribution.Change{Key: key, Value: v}, HeldValue: was, IsHeld: is})
+		all = append(all, Difference{Change: distribution.Change{Key: key, Value: v}, HeldValue: heldValue, IsHeld: isHeld})
 	}
 	slices.SortFunc(all, func(a, b Difference) int { return distribution.CompareKeys(a.Key, b.Key) })
 	return all
 }
 
-// same tells whether two values say the same. What a source notes of its own revisions and turns is nothing that a tree says.
-func same(kind distribution.Kind, a, b []byte) bool {
+// isEqual reports whether two values have the same content. Revisions and generations are a source's own, and in no tree.
+func isEqual(kind distribution.Kind, a, b []byte) bool {
 	if kind != distribution.KindServer {
 		return bytes.Equal(a, b)
 	}
@@ -54,7 +53,7 @@
 	return errOne == nil && errOther == nil && one == other
 }
 
-// Changes are what is to be written.
+// Changes returns the changes to be written.
 func Changes(all []Difference) []distribution.Change {
 	changes := make([]distribution.Change, 0, len(all))
 	for _, d := range all {
@@ -63,7 +62,7 @@
 	return changes
 }
 
-// String is the difference as people read it: a line for the entry, and below it the lines that go and that come.
+// String returns the difference for people: a line for the entry, and below it the lines that are removed and added.
 func (d Difference) String() string {
 	sign := "+"
 	switch {
@@ -93,36 +92,3 @@
 	}
 	return out.String()
 }
-
-// Lines are a value as people read it.
-func Lines(kind distribution.Kind, v []byte) []string {
-	e := distribution.Entry{Value: v}
-	switch kind {
-	case distribution.KindTenant:
-		t, err := value.DecodeTenant(e)
-		if err != nil {
-			return []string{err.Error()}
-		}
-		return []string{fmt.Sprintf("allowance = %v", t.Allowance)}
-	case distribution.KindServer:
-		s, err := value.DecodeServerValue(v)
-		if err != nil {
-			return []string{err.Error()}
-		}
-		lines := []string{fmt.Sprintf("address = %q", s.Address), fmt.Sprintf("size = %v", s.Weight), "condition = " + [...]string{"up", "draining", "gone"}[s.Condition]}
-		for name, text := range map[string]string{"zone": s.Zone, "flavor": s.MachineKind} {
-			if text != "" {
-				lines = append(lines, fmt.Sprintf("%s = %q", name, text))
-			}
-		}
-		if s.Cell != 0 {
-			lines = append(lines, fmt.Sprintf("cell = %d", s.Cell))
-		}
-		if s.StartedUnixMS > 0 {
-			lines = append(lines, "started = "+time.UnixMilli(s.StartedUnixMS).UTC().Format(time.RFC3339Nano))
-		}
-		slices.Sort(lines)
-		return lines
-	}
-	return strings.Split(strings.TrimRight(string(v), "\n"), "\n")
-}
--- /dev/null
+++ b/internal/controlplane/distribution/tree/fileentries.go
@@ -0,0 +1,91 @@
+package tree
+
+import (
+	"maps"
+	"slices"
+	"strconv"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"fernvane/internal/config/tomlfile"
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/value"
+	"fernvane/internal/discovery/incarnation"
+	"fernvane/internal/route"
+)
+
+// addEntries adds the entries of a service's file.
+func (t *Tree) addEntries(f *tomlfile.File, text []byte, service string, file *File) error {
+	var raw struct {
+		Pools  []map[string]any `toml:"pools"`
+		Routes []map[string]any `toml:"routes"`
+	}
+	if err := toml.Unmarshal(text, &raw); err != nil {
+		return tomlfile.Faults{{File: f.Name, Why: err.Error()}}
+	}
+	add := func(at string, kind distribution.Kind, name string, value []byte, err error) {
+		t.addEntry(f, at, distribution.Change{Key: distribution.Key{Service: service, Kind: kind, Name: name}, Value: value}, err)
+	}
+	for i, s := range file.Servers {
+		at := "servers." + strconv.Itoa(i)
+		v, err := s.encode(f.Has(at + ".size"))
+		add(at, distribution.KindServer, s.ID, v, err)
+	}
+	for i, p := range file.Pools {
+		v, err := canonical(raw.Pools[i])
+		if err == nil {
+			_, err = route.ParsePool(service, p.Name, v)
+		}
+		add("pools."+strconv.Itoa(i), distribution.KindPool, p.Name, v, err)
+	}
+	for i, r := range file.Routes {
+		v, err := canonical(raw.Routes[i])
+		if err == nil {
+			_, err = route.ParseRoute(service, r.Name, v)
+		}
+		add("routes."+strconv.Itoa(i), distribution.KindRoute, r.Name, v, err)
+	}
+	for _, name := range slices.Sorted(maps.Keys(file.Tenants)) {
+		v, err := value.EncodeTenant(value.Tenant{Allowance: file.Tenants[name]})
+		add("tenants."+name, distribution.KindTenant, name, v, err)
+	}
+	return f.Err()
+}
+
+// addEntry adds one entry, which was read at a key path of a file.
+func (t *Tree) addEntry(f *tomlfile.File, at string, change distribution.Change, err error) {
+	_, isDuplicate := t.Values[change.Key]
+	switch {
+	case err != nil:
+		f.Wrong(at, "%v", err)
+	case isDuplicate:
+		f.Wrong(at, "a second %s %q", change.Key.Kind, change.Key.Name)
+	case change.Validate() != nil:
+		f.Wrong(at, "%v", change.Validate())
+	default:
+		t.Values[change.Key] = change.Value
+	}
+}
+
+// encode returns the server's value. If hasSize is false its size is 1.
+func (s Server) encode(hasSize bool) ([]byte, error) {
+	e := incarnation.Entry{ID: s.ID, Address: s.Address, Zone: s.Zone, MachineKind: s.Flavor, Cell: s.Cell, Weight: s.Size}
+	if !hasSize {
+		e.Weight = 1
+	}
+	if !s.Started.IsZero() {
+		e.StartedUnixMS = s.Started.UnixMilli()
+	}
+	if s.Draining {
+		e.Condition = incarnation.Draining
+	}
+	return value.EncodeServer(e)
+}
+
+// canonical returns the text of a route or a pool in one form, whatever the order and the spacing in which it was written, so
+// that equal content is equal text. The name is left out, since the key has it.
+func canonical(table map[string]any) ([]byte, error) {
+	table = maps.Clone(table)
+	delete(table, "name")
+	return toml.Marshal(table)
+}
--- /dev/null
+++ b/internal/controlplane/distribution/tree/lines.go
@@ -0,0 +1,55 @@
+package tree
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/value"
+)
+
+// conditionNames are the conditions as operators read them.
+var conditionNames = [...]string{"up", "draining", "gone"}
+
+// Lines returns a value for people, a line for each part. A value that cannot be decoded gives the error as a line.
+func Lines(kind distribution.Kind, v []byte) []string {
+	e := distribution.Entry{Value: v}
+	switch kind {
+	case distribution.KindTenant:
+		t, err := value.DecodeTenant(e)
+		if err != nil {
+			return []string{err.Error()}
+		}
+		return []string{fmt.Sprintf("allowance = %v", t.Allowance)}
+	case distribution.KindServer:
+		return serverLines(v)
+	}
+	return strings.Split(strings.TrimRight(string(v), "\n"), "\n")
+}
+
+func serverLines(v []byte) []string {
+	s, err := value.DecodeServerValue(v)
+	if err != nil {
+		return []string{err.Error()}
+	}
+	lines := []string{
+		fmt.Sprintf("address = %q", s.Address),
+		fmt.Sprintf("size = %v", s.Weight),
+		"condition = " + conditionNames[s.Condition],
+	}
+	for name, text := range map[string]string{"zone": s.Zone, "flavor": s.MachineKind} {
+		if text != "" {
+			lines = append(lines, fmt.Sprintf("%s = %q", name, text))
+		}
+	}
+	if s.Cell != 0 {
+		lines = append(lines, fmt.Sprintf("cell = %d", s.Cell))
+	}
+	if s.StartedUnixMS > 0 {
+		lines = append(lines, "started = "+time.UnixMilli(s.StartedUnixMS).UTC().Format(time.RFC3339Nano))
+	}
+	slices.Sort(lines)
+	return lines
+}
--- a/internal/controlplane/distribution/tree/tree_test.go
+++ b/internal/controlplane/distribution/tree/tree_test.go
@@ -39,7 +39,7 @@
 headers = {x = "1"}
 `
 
-// A folder's files are entries of the services that they name or are named by.
+// The files of a directory are entries of the services that they name, or are named by.
 func TestLoad(t *testing.T) {
 	dir := t.TempDir()
 	write(t, filepath.Join(dir, "hire.toml"), hire)
@@ -67,7 +67,7 @@
 	}
 }
 
-// Each fault is told by its file and line.
+// Each fault is reported by its file and line.
 func TestLoadFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
@@ -114,7 +114,7 @@
 	}
 }
 
-// What differs is what the tree says otherwise, of its services and the kinds asked for; what says the same does not differ.
+// Differences are by content, of the tree.s services and the kinds asked for.
 func TestDifferences(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "hire.toml")
 	write(t, path, hire)
@@ -187,8 +187,8 @@
 	return slices.DeleteFunc(held, func(e distribution.Entry) bool { return e.Key.Name == name })
 }
 
-// The text of one entry is taken, or refused by its line.
-func TestOne(t *testing.T) {
+// The text of a single entry is accepted, or refused by its line.
+func TestParseEntry(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind       distribution.Kind
 		text, want string
--- a/internal/controlplane/distribution/value/value.go
+++ b/internal/controlplane/distribution/value/value.go
@@ -1,5 +1,6 @@
-// Package value is what the values of distributed entries hold: for people as TOML, for those who hold them in bytes. A
-// server's value is its life, a tenant's its allowance, a route's and a pool's the text that an operator's file has of it.
+// Package value encodes and decodes the values of distributed entries. A server's value is its incarnation and a tenant's its
+// allowance, both as CBOR; a route's and a pool's is the TOML text of an operator's file, which package tree writes and package
+// route reads. Callers are the commands, control processes and the node.
 package value
 
 import (
@@ -14,11 +15,11 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-// Tenant is what a tenant's entry holds.
+// Tenant is a tenant's value.
 type Tenant struct {
 	_ struct{} `cbor:",toarray"`
 
-	Allowance float64 // requests a second
+	Allowance float64 // requests per second
 }
 
 var (
@@ -33,16 +34,16 @@
 	return mode
 }
 
-// EncodeServer writes a server's value. Its revision is that of the entry, so it is left out.
+// EncodeServer returns a server's value. The revision is left out, since it is that of the entry.
 func EncodeServer(e incarnation.Entry) ([]byte, error) {
 	e.Revision = 0
-	if err := checkServer(e); err != nil {
+	if err := validateServer(e); err != nil {
 		return nil, err
 	}
 	return encoding.Marshal(e)
 }
 
-// DecodeServer reads a server's entry, a deletion too, as a life at the entry's revision.
+// DecodeServer decodes a server's entry as an incarnation at the entry's revision. A deletion is one that is gone.
 func DecodeServer(e distribution.Entry) (incarnation.Entry, error) {
 	if e.Deleted {
 		return incarnation.Entry{ID: e.Key.Name, Condition: incarnation.Gone, Revision: e.Clock}, nil
@@ -55,15 +56,15 @@
 	return server, err
 }
 
-// DecodeServerValue reads a server's value alone.
+// DecodeServerValue decodes a server's value without its entry.
 func DecodeServerValue(v []byte) (server incarnation.Entry, err error) {
 	if err := decoding.Unmarshal(v, &server); err != nil {
 		return server, errors.New("the value of a server cannot be read")
 	}
-	return server, checkServer(server)
+	return server, validateServer(server)
 }
 
-func checkServer(e incarnation.Entry) error {
+func validateServer(e incarnation.Entry) error {
 	switch {
 	case e.ID == "":
 		return errors.New("a server without an id")
@@ -80,24 +81,24 @@
 	return nil
 }
 
-// EncodeTenant writes a tenant's value.
+// EncodeTenant returns a tenant's value.
 func EncodeTenant(t Tenant) ([]byte, error) {
-	if err := checkTenant(t); err != nil {
+	if err := validateTenant(t); err != nil {
 		return nil, err
 	}
 	return encoding.Marshal(t)
 }
 
-// DecodeTenant reads a tenant's entry that is not deleted.
+// DecodeTenant decodes a tenant's entry that is not deleted.
 func DecodeTenant(e distribution.Entry) (Tenant, error) {
 	var t Tenant
 	if err := decoding.Unmarshal(e.Value, &t); err != nil {
 		return t, errors.New("the value of a tenant cannot be read")
 	}
-	return t, checkTenant(t)
+	return t, validateTenant(t)
 }
 
-func checkTenant(t Tenant) error {
+func validateTenant(t Tenant) error {
 	if math.IsNaN(t.Allowance) || math.IsInf(t.Allowance, 0) || t.Allowance < 0 {
 		return fmt.Errorf("allowance %v: a number of 0 or more is wanted", t.Allowance)
 	}
