--- a/internal/controlplane/distribution/client/link.go
+++ b/internal/controlplane/distribution/client/link.go
@@ -32,10 +32,10 @@
 	errEnded     = errors.New("the connection has ended")
 )
 
-// protocolError is a fault of the other side, which is told of it.
+// protocolError is a violation of the protocol by the other side, which is sent it as the rejection.
 type protocolError struct{ error }
 
-// event is what the goroutines of connections tell Run's.
+// event is what the goroutines of connections hand to Run's.
 type event struct {
 	link        int // number
 	isConnected bool
@@ -53,7 +53,7 @@
 	upstream  int // index
 	cancel    context.CancelFunc
 	out       chan wire.Message
-	rejection chan error // why the connection ends, to be told to the other side
+	rejection chan error // why the connection ends, to be sent to the other side
 
 	// Of Run's goroutine alone.
 	receiver     *distribution.Receiver // nil until connected
@@ -190,7 +190,7 @@
 	}
 }
 
-// reject has the other side told why the connection ends, and the connection ended.
+// reject sends the other side why the connection ends, and ends it.
 func (l *link) reject(why error) {
 	select {
 	case l.rejection <- why:
--- a/internal/controlplane/distribution/disk/queue.go
+++ b/internal/controlplane/distribution/disk/queue.go
@@ -29,7 +29,7 @@
 	isRemoval bool
 }
 
-// waiter is told when all urgent changes up to its own are in the file.
+// waiter is notified when all urgent changes up to its own are in the file.
 type waiter struct {
 	through uint64 // of the changes counted by queue.added
 	done    chan<- error
@@ -115,7 +115,7 @@
 // requeue queues all pending changes as not urgent.
 func (q *queue) requeue() { q.others = slices.Collect(maps.Keys(q.pending)) }
 
-// confirm tells the waiters whose changes are in the file.
+// confirm notifies the waiters whose changes are in the file.
 func (q *queue) confirm(through uint64) {
 	remaining := q.waiters[:0]
 	for _, w := range q.waiters {
@@ -128,7 +128,7 @@
 	q.waiters = remaining
 }
 
-// failAll tells all waiters why their changes are not in the file. Nothing is urgent any more.
+// failAll notifies all waiters why their changes are not in the file. Nothing is urgent any more.
 func (q *queue) failAll(why error) {
 	for _, w := range q.waiters {
 		w.done <- why
--- a/internal/controlplane/distribution/disk/writer.go
+++ b/internal/controlplane/distribution/disk/writer.go
@@ -141,7 +141,7 @@
 	d.state.isChanged = true
 }
 
-// confirm tells those that wait for a batch that it is in the file.
+// confirm notifies those that wait for a batch that it is in the file.
 func (d *Disk) confirm(b batch) {
 	d.mu.Lock()
 	d.queue.confirm(b.through)
@@ -153,7 +153,7 @@
 	}
 }
 
-// recordFault notes why the file cannot be written, and tells everyone who waits. OnFault is called for the first fault only.
+// recordFault notes why the file cannot be written, and notifies everyone who waits. OnFault is called for the first fault only.
 func (d *Disk) recordFault(why error) {
 	d.mu.Lock()
 	isFirst := d.fault == nil
--- a/internal/controlplane/distribution/receiver.go
+++ b/internal/controlplane/distribution/receiver.go
@@ -35,7 +35,7 @@
 type BatchResult struct {
 	Changed        []Entry  // new winners, deletions included
 	Removed        []Entry  // entries that ended without a deletion being sent; for an Applier they count as deleted
-	ResyncServices []string // in which something came or ended that vectors don't tell of: for Publisher.ResyncServices
+	ResyncServices []string // in which something came or ended that no vector shows: for Publisher.ResyncServices
 	Rejected       []Rejection
 	IsComplete     bool // the vector has advanced; the caller saves it with the entries, or after them
 }
--- a/internal/controlplane/plan/assignment.go
+++ b/internal/controlplane/plan/assignment.go
@@ -11,15 +11,15 @@
 	minSubsetSize    = 6    // servers of a forwarder: one may be ejected and one slow, and some are left to choose from
 	minHolders       = 3.0  // forwarders that use a server, on average
 	serversPerFlight = 2.0  // of a forwarder's subset for each attempt in flight, so that most attempts find an idle server
-	maxMovedShare    = 0.02 // of all places in subsets that may move with one plan, beside those that must
-	overloadedFrom   = 1.3  // load over target load from which places move away from a server
+	maxMovedShare    = 0.02 // of all slots in subsets that may move with one plan, beside those that must
+	overloadedFrom   = 1.3  // load over target load from which slots move away from a server
 	underloadedUpTo  = 0.8  // and up to which they move to a server
 	minDemand        = 0.1  // attempts per second that a forwarder without traffic counts as
 	minTargetLoad    = 1e-9 // guards divisions
 )
 
-// place is one server in a forwarder's subset.
-type place struct {
+// subsetServer is one slot of a forwarder's subset: a server, and the share that it gets.
+type subsetServer struct {
 	server int
 	share  float64 // of the forwarder's attempts
 }
@@ -28,10 +28,10 @@
 // servers columns in that of their IDs.
 type assignment struct {
 	servers  []string
-	weights  []float64 // by server; 0: not to be used
-	demands  []float64 // by forwarder, attempts per second
-	inFlight []float64 // by forwarder, attempts
-	subsets  [][]place // by forwarder, sorted by server
+	weights  []float64        // by server; 0: not to be used
+	demands  []float64        // by forwarder, attempts per second
+	inFlight []float64        // by forwarder, attempts
+	subsets  [][]subsetServer // by forwarder, sorted by server
 }
 
 // newAssignment starts from the shares that forwarders report, so that a plan continues from there, whichever planner made the
@@ -51,10 +51,10 @@
 
 // add adds a forwarder with the shares that are in effect there.
 func (a *assignment) add(f *forwarder) {
-	var subset []place
+	var subset []subsetServer
 	for i, id := range a.servers {
 		if share, ok := f.shares[id]; ok && a.weights[i] > 0 {
-			subset = append(subset, place{i, share})
+			subset = append(subset, subsetServer{i, share})
 		}
 	}
 	a.subsets = append(a.subsets, subset)
@@ -78,7 +78,7 @@
 	return holders
 }
 
-// rebalancer moves places with as few changes as will do. Each place counts as an even part of its forwarder's demand; the
+// rebalancer moves slots with as few changes as will do. Each slot counts as an even part of its forwarder's demand; the
 // shares are fitted afterwards.
 type rebalancer struct {
 	*assignment
@@ -104,51 +104,51 @@
 	if usable == 0 || len(a.subsets) == 0 {
 		return
 	}
-	places := r.setSizes(usable)
+	slots := r.setSizes(usable)
 	r.sumLoads()
 	r.shrink()
 	r.grow()
-	r.level(int(math.Ceil(maxMovedShare * float64(places))))
+	r.level(int(math.Ceil(maxMovedShare * float64(slots))))
 	for _, subset := range a.subsets {
-		slices.SortFunc(subset, func(x, y place) int { return cmp.Compare(x.server, y.server) })
+		slices.SortFunc(subset, func(x, y subsetServer) int { return cmp.Compare(x.server, y.server) })
 	}
 }
 
 // setSizes sets the sizes that subsets should have, and returns their sum.
-func (r *rebalancer) setSizes(usable int) (places int) {
+func (r *rebalancer) setSizes(usable int) (slots int) {
 	r.sizes = make([]int, len(r.subsets))
 	forHolders := int(math.Ceil(minHolders * float64(usable) / float64(len(r.subsets))))
 	for i := range r.subsets {
 		forDemand := minSubsetSize + int(math.Ceil(serversPerFlight*r.inFlight[i]))
 		r.sizes[i] = min(max(forDemand, forHolders), usable)
-		places += r.sizes[i]
+		slots += r.sizes[i]
 	}
-	return places
+	return slots
 }
 
 func (r *rebalancer) sumLoads() {
 	r.loads = make([]float64, len(r.servers))
 	for i, subset := range r.subsets {
 		for _, c := range subset {
-			r.loads[c.server] += r.placeLoad(i)
+			r.loads[c.server] += r.slotLoad(i)
 		}
 	}
 }
 
-// placeLoad is what one place of a forwarder counts as.
-func (r *rebalancer) placeLoad(forwarder int) float64 {
+// slotLoad is what one slot of a forwarder counts as.
+func (r *rebalancer) slotLoad(forwarder int) float64 {
 	return r.demands[forwarder] / float64(r.sizes[forwarder])
 }
 
 // add gives a forwarder a server.
 func (r *rebalancer) add(forwarder, server int) {
-	r.subsets[forwarder] = append(r.subsets[forwarder], place{server: server})
-	r.loads[server] += r.placeLoad(forwarder)
+	r.subsets[forwarder] = append(r.subsets[forwarder], subsetServer{server: server})
+	r.loads[server] += r.slotLoad(forwarder)
 }
 
 // remove takes the server at an index of its subset from a forwarder.
 func (r *rebalancer) remove(forwarder, index int) {
-	r.loads[r.subsets[forwarder][index].server] -= r.placeLoad(forwarder)
+	r.loads[r.subsets[forwarder][index].server] -= r.slotLoad(forwarder)
 	r.subsets[forwarder] = slices.Delete(r.subsets[forwarder], index, index+1)
 }
 
@@ -200,14 +200,14 @@
 	return best
 }
 
-// level moves up to a number of places from overloaded to underloaded servers.
+// level moves up to a number of slots from overloaded to underloaded servers.
 func (r *rebalancer) level(moves int) {
 	for next := 0; moves > 0; moves-- {
 		most, least := r.loadExtremes()
 		if most < 0 || r.loadRatio(most) < overloadedFrom || r.loadRatio(least) > underloadedUpTo {
 			return
 		}
-		forwarder := r.movePlace(next, most, least)
+		forwarder := r.moveSlot(next, most, least)
 		if forwarder < 0 {
 			return
 		}
@@ -232,12 +232,12 @@
 	return most, least
 }
 
-// movePlace moves the place of the first forwarder that can move it, from one server to another, and returns that forwarder;
+// moveSlot moves the slot of the first forwarder that can move it, from one server to another, and returns that forwarder;
 // -1 for none. It starts at a forwarder, so that successive moves take turns.
-func (r *rebalancer) movePlace(start, from, to int) int {
+func (r *rebalancer) moveSlot(start, from, to int) int {
 	for n := range r.subsets {
 		i := (start + n) % len(r.subsets)
-		index := slices.IndexFunc(r.subsets[i], func(c place) bool { return c.server == from })
+		index := slices.IndexFunc(r.subsets[i], func(c subsetServer) bool { return c.server == from })
 		if index >= 0 && !hasServer(r.subsets[i], to) {
 			r.remove(i, index)
 			r.add(i, to)
@@ -247,6 +247,6 @@
 	return -1
 }
 
-func hasServer(subset []place, server int) bool {
-	return slices.ContainsFunc(subset, func(c place) bool { return c.server == server })
+func hasServer(subset []subsetServer, server int) bool {
+	return slices.ContainsFunc(subset, func(c subsetServer) bool { return c.server == server })
 }
--- a/internal/controlplane/plan/fit.go
+++ b/internal/controlplane/plan/fit.go
@@ -55,7 +55,7 @@
 	for _, c := range a.subsets[forwarder] {
 		largest = max(largest, c.share)
 	}
-	a.subsets[forwarder] = slices.DeleteFunc(a.subsets[forwarder], func(c place) bool { return c.share < minRelativeShare*largest })
+	a.subsets[forwarder] = slices.DeleteFunc(a.subsets[forwarder], func(c subsetServer) bool { return c.share < minRelativeShare*largest })
 	a.normalize(forwarder)
 }
 
--- a/internal/controlplane/plan/fleetplan.go
+++ b/internal/controlplane/plan/fleetplan.go
@@ -13,7 +13,7 @@
 type FleetPlan struct {
 	common     Plan // what is the same for all
 	forwarders map[string]forwarderPlan
-	others     []ServerShare // what a forwarder is told of servers outside its subset
+	others     []ServerShare // what a forwarder is sent of servers outside its subset
 }
 
 // forwarderPlan is what differs between forwarders.
@@ -56,7 +56,7 @@
 	return p
 }
 
-// serverShares returns what a forwarder is told of the servers of its subset.
+// serverShares returns what a forwarder is sent of the servers of its subset.
 func (p *Planner) serverShares(a *assignment, forwarder int, rates []float64, ejections map[string]time.Duration) (shares []ServerShare) {
 	for _, c := range a.subsets[forwarder] {
 		id := a.servers[c.server]
@@ -71,7 +71,7 @@
 	return shares
 }
 
-// outsideShares returns what forwarders are told of servers outside their subsets: those that are in slow start, ejected or
+// outsideShares returns what forwarders are sent of servers outside their subsets: those that are in slow start, ejected or
 // avoided.
 func (p *Planner) outsideShares(servers []string, rates []float64, ejections map[string]time.Duration) (shares []ServerShare) {
 	for i, id := range servers {
--- a/internal/controlplane/plan/planner.go
+++ b/internal/controlplane/plan/planner.go
@@ -28,7 +28,7 @@
 	admitted     float64 // share of the requests, 0 to 1
 }
 
-// NewPlanner returns a planner without forwarders. startUnixMS is the time of its start, by which its plans are told from
+// NewPlanner returns a planner without forwarders. startUnixMS is the time of its start, which distinguishes its plans from
 // those of other planners and of its earlier runs.
 func NewPlanner(startUnixMS int64) *Planner {
 	return &Planner{
--- a/internal/controlplane/plan/planner_test.go
+++ b/internal/controlplane/plan/planner_test.go
@@ -124,8 +124,8 @@
 			}
 		}
 	}
-	if moved > 20 { // of 280 places
-		t.Errorf("a new planner moved %d places", moved)
+	if moved > 20 { // of 280 slots
+		t.Errorf("a new planner moved %d slots", moved)
 	}
 }
 
--- a/internal/controlplane/plan/traffictype.go
+++ b/internal/controlplane/plan/traffictype.go
@@ -60,7 +60,7 @@
 )
 
 // timeoutSlowness is what a timed out attempt counts as: its target time over the usual latency of its type. Reports do not
-// tell the type, so the largest holds.
+// name the type, so the largest holds.
 func (p *Planner) timeoutSlowness() float64 {
 	slowness := minTimeoutSlowness
 	for _, t := range p.types {
