--- a/internal/controlplane/planner/planner_test.go
+++ b/internal/controlplane/planner/server_test.go
@@ -64,7 +64,7 @@
 	return discovery.Entry{ID: id, Phase: phase, Addresses: []string{"127.0.0.1:9"}}
 }
 
-// peer is a forwarder by hand.
+// peer is a forwarder that speaks the protocol from this test.
 type peer struct {
 	t *testing.T
 	*planwire.Conn
@@ -93,7 +93,7 @@
 	}
 }
 
-// until takes in plans until one is as wanted.
+// until receives changes until a condition holds.
 func (p *peer) until(what string, is func() bool) {
 	p.t.Helper()
 	for by := time.Now().Add(5 * time.Second); !is(); {
@@ -117,7 +117,7 @@
 	return e.Condition
 }
 
-// Two forwarders report; both get their parts, each hears of a drain, and what one knows the planner comes to know.
+// Two forwarders receive their subsets and learn of a drain; what one of them knows reaches the other by the planner.
 func TestTwoForwarders(t *testing.T) {
 	t.Parallel()
 	at, list := start(t, nil)
@@ -129,13 +129,13 @@
 	a.report(report)
 	b.report(report)
 	for _, p := range []*peer{a, b} {
-		p.until("a part of its own", func() bool {
+		p.until("a subset of its own", func() bool {
 			return p.held.ReportingForwarders == 2 && len(p.held.Servers) >= 6 && p.held.ReportSentAt == 7*time.Second
 		})
 	}
 	list.Set(entry("s3", discovery.Draining))
 	a.until("the drain", func() bool { return a.condition("s3") == incarnation.Draining })
-	a.until("no part of it", func() bool {
+	a.until("no share of it", func() bool {
 		for _, s := range a.held.Servers {
 			if s.ID == "s3" {
 				return false
@@ -143,7 +143,7 @@
 		}
 		return true
 	})
-	// a knows of an end that discovery has not told this planner yet; b comes to hear of it.
+	// a knows of an end that discovery has not listed yet; b learns of it.
 	report.NewerIncarnations = []incarnation.Entry{{ID: "s4", Condition: incarnation.Gone, Revision: 100}}
 	a.report(report)
 	b.until("what a knows", func() bool { return b.condition("s4") == incarnation.Gone })
@@ -151,8 +151,8 @@
 	b.until("the drain called off", func() bool { e, _ := b.lives.Get("s3"); return e.Condition == incarnation.Up && e.Generation == 1 })
 }
 
-// A planner on a registry tells of boxes as they register, drain and vanish.
-func TestOnRegistry(t *testing.T) {
+// A planner on a registry sends forwarders the servers as they register, drain and vanish.
+func TestRegistryAsSource(t *testing.T) {
 	t.Parallel()
 	r := standin.New(nil)
 	server, err := r.Listen("127.0.0.1:0", 0)
@@ -183,8 +183,8 @@
 	p.until("the end", func() bool { return p.condition("a") == incarnation.Gone })
 }
 
-// What no forwarder says ends its connection with a reason, and no other's.
-func TestRefusals(t *testing.T) {
+// A message that violates the protocol ends that connection alone, with a reason.
+func TestProtocolViolationsAreRejected(t *testing.T) {
 	t.Parallel()
 	at, list := start(t, nil)
 	list.Set(entry("s", discovery.Serving))
@@ -222,14 +222,14 @@
 	well.until("a plan all the same", func() bool { return len(well.held.Servers) == 1 })
 }
 
-// One name is one forwarder: an older connection under it ends.
-func TestReplaced(t *testing.T) {
+// A second connection under a forwarder's name ends the older one.
+func TestReconnectReplacesOlderConnection(t *testing.T) {
 	t.Parallel()
 	at, list := start(t, nil)
 	list.Set(entry("s", discovery.Serving))
 	older := join(t, at, "a")
 	older.report(plan.Report{SentAt: 1, Interval: time.Second})
-	older.until("a plan", func() bool { return len(older.held.Servers) == 1 }) // it is let in: connections may overtake each other
+	older.until("a plan", func() bool { return len(older.held.Servers) == 1 }) // it is accepted: connections may overtake each other
 	newer := join(t, at, "a")
 	newer.report(plan.Report{SentAt: 1, Interval: time.Second})
 	newer.until("a plan", func() bool { return newer.held.ReportingForwarders == 1 && len(newer.held.Servers) == 1 })
@@ -243,7 +243,7 @@
 	}
 }
 
-// Over TLS only forwarders of the same authority are let in.
+// Over TLS only forwarders of the same authority are accepted.
 func TestTLS(t *testing.T) {
 	t.Parallel()
 	load := func(a *certauthority.Authority, name string) *mtls.Keys {
--- a/internal/controlplane/planwire/frames.go
+++ b/internal/controlplane/planwire/frames.go
@@ -18,12 +18,16 @@
 // Kind of a frame.
 type Kind = framing.Kind
 
-// The kinds.
+// Kinds that every protocol has.
 const (
-	HelloKind   = framing.HelloKind                    // the first frame of either side
-	RefusalKind = framing.RejectionKind                // why a side ends the connection
-	ReportKind  = framing.FirstProtocolKind + iota - 2 // a plan.Report, from a forwarder
-	ChangeKind                                         // a plan.Change, from a planner
+	HelloKind   = framing.HelloKind     // the first frame of either side
+	RefusalKind = framing.RejectionKind // why a side ends the connection
+)
+
+// Kinds of this protocol.
+const (
+	ReportKind = framing.FirstProtocolKind + iota // a plan.Report, from a forwarder
+	ChangeKind                                    // a plan.Change, from a planner
 	kindLimit
 )
 
--- a/internal/controlplane/planwire/frames_test.go
+++ b/internal/controlplane/planwire/frames_test.go
@@ -22,14 +22,14 @@
 	return b
 }
 
-// What a peer sends in place of a greeting, and what it is told.
-func TestGreetings(t *testing.T) {
+// What a peer sends in place of a greeting, and the error of that.
+func TestHandshake(t *testing.T) {
 	long := binary.BigEndian.AppendUint32(nil, maxBodyBytes+1)
 	for name, c := range map[string]struct {
 		sends []byte
 		why   string
 	}{
-		"well":               {framed(HelloKind, Hello{Version: Version, Name: "n1"}), ""},
+		"valid":              {framed(HelloKind, Hello{Version: Version, Name: "n1"}), ""},
 		"another version":    {framed(HelloKind, Hello{Version: Version + 1, Name: "n1"}), "version 2 is spoken here, not 3"},
 		"no name":            {framed(HelloKind, Hello{Version: Version}), "without a name"},
 		"a report first":     {framed(ReportKind, plan.Report{}), "before the greeting"},
@@ -61,7 +61,7 @@
 	}
 }
 
-// A report comes through as it was, and small: bytes by what it tells.
+// A report is received as it was sent, and is small.
 func TestReportSize(t *testing.T) {
 	r := plan.Report{SentAt: time.Hour, Interval: 500 * time.Millisecond, Types: []plan.TypeReport{{Name: "hire-check", TargetTime: 200 * time.Millisecond, Requests: 7}},
 		CurrentShares: []plan.CurrentShare{{ID: "fast-1", Share: 0.25}}, NewerIncarnations: []incarnation.Entry{{ID: "fast-1", StartedUnixMS: 1 << 40, Address: "127.0.0.1:1", Weight: 1}}}
@@ -82,7 +82,7 @@
 	}
 }
 
-// Whatever comes, a frame is read or refused, within its bounds.
+// Any bytes are read as a frame or refused, within the bounds.
 func FuzzRead(f *testing.F) {
 	f.Add(framed(ReportKind, plan.Report{Servers: []plan.ServerReport{{ID: "s"}}}))
 	f.Add(framed(ChangeKind, plan.Change{Incarnations: []incarnation.Entry{{ID: "s"}}}))
