--- a/internal/controlplane/distribution/control/command_test.go
+++ b/internal/controlplane/distribution/control/command_test.go
@@ -52,7 +52,7 @@
 	return wire.Decode(kind, body)
 }
 
-// tryWrite writes at an address and returns what it was told.
+// tryWrite writes at an address and returns the result.
 func tryWrite(at string, changes ...distribution.Change) (*wire.WriteResult, error) {
 	return tryWriteWithin(at, 10*time.Second, changes...)
 }
--- a/internal/controlplane/distribution/control/config.go
+++ b/internal/controlplane/distribution/control/config.go
@@ -1,6 +1,3 @@
-// Package control runs one control process: a replica of all configuration that serves nodes and other control processes,
-// follows its own upstreams, takes writes and, where its file says so, tells what discovery or a registry lists. What is
-// decided is in package distribution; here are sockets, the disk and clocks.
 package control
 
 import (
@@ -18,14 +15,24 @@
 )
 
 const (
-	upstreamsMost   = 16
-	leastOut        = 64 << 10  // bytes a second
-	leastOne        = 1 << 10   // bytes a second
-	mostOut         = 1 << 30   // bytes a second
-	leastDisk       = 256 << 10 // bytes
-	connectionsMost = 65536
-	leastDeleted    = time.Minute
-	mostReturn      = 24 * time.Hour
+	maxUpstreams           = 16
+	minTotalBytesPerSecond = 64 << 10
+	minPeerBytesPerSecond  = 1 << 10
+	maxBytesPerSecond      = 1 << 30
+	minDiskBytes           = 256 << 10
+	connectionsLimit       = 65536
+	minDeletionRetention   = time.Minute
+	maxFailbackDelay       = 24 * time.Hour
+)
+
+// Defaults of the file.
+const (
+	defaultTotalBytesPerSecond   = 8 << 20
+	defaultNodeBytesPerSecond    = 16 << 10
+	defaultControlBytesPerSecond = 4 << 20
+	defaultConnections           = 8192
+	defaultDeletionRetention     = 24 * time.Hour
+	defaultFailbackDelay         = time.Minute
 )
 
 // Config is a control process's file.
@@ -43,7 +50,7 @@
 	ControlBytesPerSecond int               `toml:"control_bytes"`
 	MaxConnections        int               `toml:"connections"`
 	DeletionRetention     tomlfile.Duration `toml:"keep_deleted"`
-	FailbackDelay         tomlfile.Duration `toml:"return_after"` // until an upstream preferred to the one followed is tried; 0: never
+	FailbackDelay         tomlfile.Duration `toml:"return_after"` // until an upstream preferred to the one followed is probed; 0: never
 	Discovery             string            `toml:"discovery"`    // servers come from here
 	Registry              string            `toml:"registry"`     // or from the registry that this file names
 	Service               string            `toml:"service"`      // and are of this service
@@ -60,22 +67,29 @@
 	Keys              *mtls.Keys        `toml:"-"` // nil: plaintext
 }
 
-// The two ways to follow several upstreams.
+// The two ways to follow several upstreams, in the file's words.
 const (
 	followAll = "all"
 	followOne = "one"
 )
 
-var names = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// Load reads the file; each fault is named by file and line.
+// Load reads the file. The error names each fault by file and line.
 func Load(path string) (*Config, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{Follow: followOne, TotalBytesPerSecond: 8 << 20, NodeBytesPerSecond: 16 << 10, ControlBytesPerSecond: 4 << 20, MaxConnections: 8192,
-		DeletionRetention: tomlfile.Duration(24 * time.Hour), FailbackDelay: tomlfile.Duration(time.Minute)}
+	c := &Config{
+		Follow:                followOne,
+		TotalBytesPerSecond:   defaultTotalBytesPerSecond,
+		NodeBytesPerSecond:    defaultNodeBytesPerSecond,
+		ControlBytesPerSecond: defaultControlBytesPerSecond,
+		MaxConnections:        defaultConnections,
+		DeletionRetention:     tomlfile.Duration(defaultDeletionRetention),
+		FailbackDelay:         tomlfile.Duration(defaultFailbackDelay),
+	}
 	f, err := tomlfile.Parse(path, text, c)
 	if err != nil {
 		return nil, err
@@ -89,11 +103,11 @@
 }
 
 func (c *Config) checkNames(f *tomlfile.File) {
-	if !names.MatchString(c.Name) {
+	if !namePattern.MatchString(c.Name) {
 		f.Wrong("name", "name %q: letters, digits, dots and dashes, 64 at most", c.Name)
 	}
 	for key, text := range map[string]string{"region": c.Region, "zone": c.Zone} {
-		if text != "" && !names.MatchString(text) {
+		if text != "" && !namePattern.MatchString(text) {
 			f.Wrong(key, "%s %q: letters, digits, dots and dashes, 64 at most", key, text)
 		}
 	}
@@ -107,8 +121,8 @@
 	if c.ListenAddress, err = netip.ParseAddrPort(c.Listen); err != nil {
 		f.Wrong("listen", "listen %q: an address and a port are wanted", c.Listen)
 	}
-	if len(c.Upstreams) > upstreamsMost {
-		f.Wrong("upstreams", "%d upstreams: %d at most", len(c.Upstreams), upstreamsMost)
+	if len(c.Upstreams) > maxUpstreams {
+		f.Wrong("upstreams", "%d upstreams: %d at most", len(c.Upstreams), maxUpstreams)
 	}
 	addresses := []netip.AddrPort{c.ListenAddress}
 	for i, text := range c.Upstreams {
@@ -133,26 +147,26 @@
 	} else if st, err := os.Stat(filepath.Dir(c.Disk)); err != nil || !st.IsDir() {
 		f.Wrong("disk", "disk %q is in no folder that is there", c.Disk)
 	}
-	if c.DiskBytes != 0 && c.DiskBytes < leastDisk {
-		f.Wrong("disk_bytes", "disk_bytes %d: %d at least, or 0 for any size", c.DiskBytes, leastDisk)
+	if c.DiskBytes != 0 && c.DiskBytes < minDiskBytes {
+		f.Wrong("disk_bytes", "disk_bytes %d: %d at least, or 0 for any size", c.DiskBytes, minDiskBytes)
 	}
-	if d := c.FailbackDelay.Std(); d < 0 || d > mostReturn {
-		f.Wrong("return_after", "return_after %s: from 0s to %s", d, mostReturn)
+	if d := c.FailbackDelay.Std(); d < 0 || d > maxFailbackDelay {
+		f.Wrong("return_after", "return_after %s: from 0s to %s", d, maxFailbackDelay)
 	}
-	if c.DeletionRetention.Std() < leastDeleted {
-		f.Wrong("keep_deleted", "keep_deleted %s: %s at least, longer than any process is away", c.DeletionRetention.Std(), leastDeleted)
+	if c.DeletionRetention.Std() < minDeletionRetention {
+		f.Wrong("keep_deleted", "keep_deleted %s: %s at least, longer than any process is away", c.DeletionRetention.Std(), minDeletionRetention)
 	}
 }
 
 func (c *Config) checkBudgets(f *tomlfile.File) {
-	for key, b := range map[string]struct{ bytes, least int }{"out_bytes": {c.TotalBytesPerSecond, leastOut}, "node_bytes": {c.NodeBytesPerSecond, leastOne},
-		"control_bytes": {c.ControlBytesPerSecond, leastOne}} {
-		if b.bytes < b.least || b.bytes > mostOut {
-			f.Wrong(key, "%s %d: from %d to %d a second", key, b.bytes, b.least, mostOut)
+	for key, b := range map[string]struct{ bytes, least int }{"out_bytes": {c.TotalBytesPerSecond, minTotalBytesPerSecond}, "node_bytes": {c.NodeBytesPerSecond, minPeerBytesPerSecond},
+		"control_bytes": {c.ControlBytesPerSecond, minPeerBytesPerSecond}} {
+		if b.bytes < b.least || b.bytes > maxBytesPerSecond {
+			f.Wrong(key, "%s %d: from %d to %d a second", key, b.bytes, b.least, maxBytesPerSecond)
 		}
 	}
-	if c.MaxConnections < 1 || c.MaxConnections > connectionsMost {
-		f.Wrong("connections", "connections %d: from 1 to %d", c.MaxConnections, connectionsMost)
+	if c.MaxConnections < 1 || c.MaxConnections > connectionsLimit {
+		f.Wrong("connections", "connections %d: from 1 to %d", c.MaxConnections, connectionsLimit)
 	}
 }
 
@@ -172,13 +186,13 @@
 	case c.Service != "":
 		f.Wrong("service", "service says whose servers discovery or a registry lists, and neither is named")
 	}
-	if c.sourced() && (c.Service == "" || len(c.Service) > distribution.MaxNameBytes) {
+	if c.hasSource() && (c.Service == "" || len(c.Service) > distribution.MaxNameBytes) {
 		f.Wrong("service", "service %q: whose servers the source lists, %d bytes at most", c.Service, distribution.MaxNameBytes)
 	}
 }
 
-// sourced tells whether this process writes the servers of a source.
-func (c *Config) sourced() bool { return c.Discovery != "" || c.Registry != "" }
+// hasSource reports whether this process writes the servers of a source.
+func (c *Config) hasSource() bool { return c.Discovery != "" || c.Registry != "" }
 
 func (c *Config) budget() distribution.Budget {
 	return distribution.Budget{TotalBytesPerSecond: c.TotalBytesPerSecond, NodeBytesPerSecond: c.NodeBytesPerSecond, ControlBytesPerSecond: c.ControlBytesPerSecond}
--- a/internal/controlplane/distribution/control/config_test.go
+++ b/internal/controlplane/distribution/control/config_test.go
@@ -12,7 +12,7 @@
 	"fernvane/internal/testbed/standin/certauthority"
 )
 
-// Each fault of a file is told by its line.
+// Each fault of a file is reported by its line.
 func TestFileFaults(t *testing.T) {
 	t.Parallel()
 	const good = "name = \"r\"\nlisten = \"127.0.0.1:7461\"\ndisk = \"DIR/control.db\"\nplaintext = true\n"
@@ -58,7 +58,7 @@
 	}
 }
 
-// The example file is taken as it stands, but for what must be there on this machine.
+// The example file is valid, except for paths that must exist on this machine.
 func TestExampleFile(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile(filepath.Join("..", "..", "..", "..", "deploy", "control.example.toml"))
--- a/internal/controlplane/distribution/control/control_test.go
+++ b/internal/controlplane/distribution/control/control_test.go
@@ -28,8 +28,8 @@
 	return a, b, r
 }
 
-// What is written anywhere reaches every control process, and a node below gets what is of its services.
-func TestWritesReachAll(t *testing.T) {
+// Writes at any control process reach all of them, and nodes receive those of their services.
+func TestWritesReachAllHolders(t *testing.T) {
 	t.Parallel()
 	a, b, r := tree(t)
 	n := node("n", "", "s")
@@ -55,8 +55,8 @@
 	agree(t, a, b, r)
 }
 
-// A write is answered by an error where it breaks a bound, and changes nothing.
-func TestWritesRefused(t *testing.T) {
+// A write beyond a bound is answered by an error and changes nothing.
+func TestInvalidWritesAreRefused(t *testing.T) {
 	t.Parallel()
 	a, _, _ := tree(t)
 	before := a.state()
@@ -78,10 +78,10 @@
 	}
 }
 
-// A process whose upstreams are not to be had takes no write and serves nobody as current until it has waited for them.
-func TestNotCurrentAtFirst(t *testing.T) {
+// A process whose upstreams don't answer accepts no write and serves nobody until it has waited for them.
+func TestStartWaitsForUpstreams(t *testing.T) {
 	t.Parallel()
-	m := startAlone(t, settings(t, "r", address.Free(t), disks(t)("r"), address.Free(t)), zerolog.Nop(), aloneMost)
+	m := startAlone(t, settings(t, "r", address.Free(t), disks(t)("r"), address.Free(t)), zerolog.Nop(), startAloneTimeout)
 	n := node("n", "s")
 	n.subscribe(t, m.at)
 	if _, err := tryWrite(m.at, route("s", "x")); err == nil || err.Error() != errNotCurrent.Error() {
@@ -102,7 +102,7 @@
 	if early {
 		t.Error("it serves a node as if it were current")
 	}
-	if m.now() < aloneMost {
+	if m.now() < startAloneTimeout {
 		t.Errorf("current after %v", m.now())
 	}
 	wait(t, "a complete batch", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.complete })
@@ -110,8 +110,8 @@
 	wait(t, "the write", func() bool { return n.holds(route("s", "x")) })
 }
 
-// Without upstreams and after an end in good order nothing is waited for.
-func TestCurrentAtOnce(t *testing.T) {
+// Without upstreams and after a clean shutdown a process is current at once.
+func TestCleanStartWithoutUpstreamsIsCurrent(t *testing.T) {
 	t.Parallel()
 	disk, at := disks(t), address.Free(t)
 	m := start(t, settings(t, "a", at, disk("a")))
@@ -127,8 +127,8 @@
 	}
 }
 
-// What a control process with a new disk lacks comes back from the nodes that hold it.
-func TestLostDiskComesBackFromNodes(t *testing.T) {
+// A control process with a new disk receives back what its nodes hold.
+func TestLostDiskIsRestoredFromNodes(t *testing.T) {
 	t.Parallel()
 	disk, at := disks(t), address.Free(t)
 	m := start(t, settings(t, "a", at, disk("a")))
@@ -153,8 +153,8 @@
 	}
 }
 
-// A disk of some time ago put back: the process writes under another origin, so that nobody takes what is new for known.
-func TestOldDisk(t *testing.T) {
+// After an old copy of the disk is put back the process writes under another origin.
+func TestOldDiskWritesUnderNewOrigin(t *testing.T) {
 	t.Parallel()
 	for name, clean := range map[string]bool{"copied while in use": false, "copied at rest": true} {
 		t.Run(name, func(t *testing.T) {
@@ -195,8 +195,8 @@
 	}
 }
 
-// A disk that has no room: the writer is told, the change spreads all the same, and the process serves on.
-func TestFullDisk(t *testing.T) {
+// With a full disk the writer receives an error, and the change spreads all the same.
+func TestFullDiskServesFromMemory(t *testing.T) {
 	t.Parallel()
 	disk := disks(t)
 	at, bt := address.Free(t), address.Free(t)
@@ -209,7 +209,7 @@
 		_, err = tryWrite(a.at, routes("s", n, n+1000)...)
 	}
 	if err == nil || !strings.Contains(err.Error(), "in force from memory") {
-		t.Fatalf("told: %v", err)
+		t.Fatalf("answered: %v", err)
 	}
 	agree(t, a, b)
 	if _, err := tryWrite(b.at, route("s", "later")); err != nil {
@@ -218,8 +218,8 @@
 	agree(t, a, b)
 }
 
-// Each node's state is seen at every root: what it has in force, by way of whom, and that it has gone.
-func TestStatusGoesUp(t *testing.T) {
+// Every root reports each node's status: what it has applied, by which process, and that it has disconnected.
+func TestStatusIsReportedToRoots(t *testing.T) {
 	t.Parallel()
 	a, b, r := tree(t)
 	n := node("n", "s")
@@ -243,8 +243,8 @@
 	}
 }
 
-// Holders that differ under equal vectors find it out by digests, and only what differs is sent.
-func TestDigestsMend(t *testing.T) {
+// Holders that differ under equal vectors are repaired by digests, and only what differs is sent.
+func TestDigestsRepairDifferences(t *testing.T) {
 	t.Parallel()
 	a, b, r := tree(t)
 	write(t, a.at, routes("s", 0, 50)...)
@@ -252,24 +252,24 @@
 	agree(t, a, b, r)
 	r.mu.Lock()
 	r.store.ReplaceServices([]string{"s"}, nil, r.store.Vector()) // as a fault of the disk or of this program might
-	received := r.Entries
+	received := r.counts.mergedEntries
 	r.mu.Unlock()
 	if r.state() == a.state() {
 		t.Fatal("no difference")
 	}
 	n := node("n", "s")
 	n.subscribe(t, r.at)
-	wait(t, "a node that is told as little", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.complete })
+	wait(t, "a node that receives as little", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.complete })
 	agree(t, a, b, r)
-	wait(t, "the node is told the rest", func() bool { return n.holds(route("s", "route-0")) && n.holds(route("s", "route-49")) })
+	wait(t, "the node receives the rest", func() bool { return n.holds(route("s", "route-0")) && n.holds(route("s", "route-49")) })
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if n := r.Entries - received; n != 50 && received > 0 && n > 50 {
+	if n := r.counts.mergedEntries - received; n != 50 && received > 0 && n > 50 {
 		t.Errorf("%d entries came anew", n)
 	}
 }
 
-// A connection on which nothing comes any more is left within seconds, and what was written meanwhile comes by another.
+// A silent connection is left within seconds, and what was written meanwhile is received by another.
 func TestSilentUpstreamIsLeft(t *testing.T) {
 	t.Parallel()
 	disk := disks(t)
@@ -277,39 +277,39 @@
 	first, second := settings(t, "a", at, disk("a"), bt), settings(t, "b", bt, disk("b"), at)
 	a, b := start(t, first), start(t, second)
 	wait(t, "current", func() bool { return a.isCurrent() && b.isCurrent() })
-	wires, err := faultproxy.Listen(at)
+	proxy, err := faultproxy.Listen(at)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer wires.Close()
-	r := start(t, settings(t, "r", address.Free(t), disk("r"), wires.Address(), bt))
+	defer proxy.Close()
+	r := start(t, settings(t, "r", address.Free(t), disk("r"), proxy.Address(), bt))
 	wait(t, "it follows", r.isCurrent)
-	wires.Cut(faultproxy.Down, true)
+	proxy.Cut(faultproxy.Down, true)
 	write(t, a.at, route("s", "x"))
 	wait(t, "it comes by the other", func() bool { return r.holds("x") })
 	agree(t, a, b, r)
 }
 
-// Regions that are apart both change things: the later change of one key wins everywhere, and changes of different keys
+// Partitioned regions both accept changes: the later change of one key wins everywhere, and changes of different keys
 // both hold.
-func TestTwoRegionsApart(t *testing.T) {
+func TestPartitionedRegionsConverge(t *testing.T) {
 	t.Parallel()
 	disk := disks(t)
 	at, bt := address.Free(t), address.Free(t)
-	var wires [2]*faultproxy.Cable
+	var proxies [2]*faultproxy.Cable
 	for i, to := range []string{bt, at} {
 		var err error
-		if wires[i], err = faultproxy.Listen(to); err != nil {
+		if proxies[i], err = faultproxy.Listen(to); err != nil {
 			t.Fatal(err)
 		}
-		defer wires[i].Close()
+		defer proxies[i].Close()
 	}
-	a := start(t, settings(t, "a", at, disk("a"), wires[0].Address()))
-	b := start(t, settings(t, "b", bt, disk("b"), wires[1].Address()))
+	a := start(t, settings(t, "a", at, disk("a"), proxies[0].Address()))
+	b := start(t, settings(t, "b", bt, disk("b"), proxies[1].Address()))
 	wait(t, "current", func() bool { return a.isCurrent() && b.isCurrent() })
 	write(t, a.at, route("s", "both"))
 	agree(t, a, b)
-	for _, w := range wires {
+	for _, w := range proxies {
 		w.Cut(faultproxy.Up, true)
 		w.Cut(faultproxy.Down, true)
 	}
@@ -323,7 +323,7 @@
 	if a.state() == b.state() {
 		t.Fatal("not apart")
 	}
-	for _, w := range wires {
+	for _, w := range proxies {
 		w.Cut(faultproxy.Up, false)
 		w.Cut(faultproxy.Down, false)
 	}
@@ -338,8 +338,8 @@
 	}
 }
 
-// A relay that is ahead of its upstream after that one lost its disk gives it back what it lacks.
-func TestRelayAheadOfItsRoot(t *testing.T) {
+// A relay that is ahead of an upstream that lost its disk sends it what it lacks.
+func TestRelayAheadOfRoot(t *testing.T) {
 	t.Parallel()
 	disk, at := disks(t), address.Free(t)
 	a := start(t, settings(t, "a", at, disk("a")))
@@ -362,8 +362,8 @@
 	agree(t, a, r)
 }
 
-// A process ends at once, with everything on its disk.
-func TestEnd(t *testing.T) {
+// A process shuts down at once, with everything on its disk.
+func TestShutdownSavesEverything(t *testing.T) {
 	t.Parallel()
 	disk, at := disks(t), address.Free(t)
 	m := start(t, settings(t, "a", at, disk("a")))
--- /dev/null
+++ b/internal/controlplane/distribution/control/counts.go
@@ -0,0 +1,38 @@
+package control
+
+import "time"
+
+const countsInterval = 10 * time.Second
+
+// counts since the last line of the log. Server.mu is held around them.
+type counts struct {
+	sentBatches     int
+	sentBytes       int
+	receivedBatches int
+	mergedEntries   int
+	writes          int
+	changes         int // of writes
+	pulls           int // sent
+	rejectedPeers   int
+	disconnected    int // slow peers
+}
+
+// logCounts logs the counts and sets them to zero.
+func (s *Server) logCounts() {
+	s.mu.Lock()
+	c := s.counts
+	s.counts = counts{}
+	entries, bytes := s.store.Size()
+	subscribers, isCurrent, revision := len(s.links.subscribers), s.isCurrent, s.store.Vector().Total()
+	connected := 0
+	for _, f := range s.followers {
+		if _, isConnected := f.subscriber.Upstream(); isConnected {
+			connected++
+		}
+	}
+	s.mu.Unlock()
+	s.log.Info().Bool("current", isCurrent).Uint64("revision", revision).Int("entries", entries).Int("entry_bytes", bytes).
+		Int("subscribers", subscribers).Int("upstreams", connected).Int("batches", c.sentBatches).Int("bytes", c.sentBytes).
+		Int("received", c.receivedBatches).Int("merged", c.mergedEntries).Int("writes", c.writes).Int("changes", c.changes).Int("wants", c.pulls).
+		Int("refused", c.rejectedPeers).Int("cut_off", c.disconnected).Int("disk_pending", s.disk.PendingCount()).Msg("counts")
+}
--- a/internal/controlplane/distribution/control/failback_test.go
+++ b/internal/controlplane/distribution/control/failback_test.go
@@ -9,8 +9,8 @@
 	"fernvane/internal/testbed/standin/address"
 )
 
-// A relay goes back to the root that its file names first once that one answers again.
-func TestRelayReturnsToPreferredUpstream(t *testing.T) {
+// A relay fails back to the root that its file names first when that one answers again.
+func TestFailbackToPreferredUpstream(t *testing.T) {
 	dir := t.TempDir()
 	first := settings(t, "first", address.Free(t), filepath.Join(dir, "first.db"))
 	second := start(t, settings(t, "second", address.Free(t), filepath.Join(dir, "second.db")))
@@ -23,7 +23,7 @@
 		wait(t, "the upstream is followed", func() bool {
 			upstream.mu.Lock()
 			defer upstream.mu.Unlock()
-			return upstream.subscribers["relay"] != nil
+			return upstream.links.subscribers["relay"] != nil
 		})
 	}
 	follows(root)
--- a/internal/controlplane/distribution/control/faults_test.go
+++ b/internal/controlplane/distribution/control/faults_test.go
@@ -19,7 +19,7 @@
 )
 
 // Faults between processes of the program, each amid changes at all of them. Afterwards all hold the same, nothing that was
-// acknowledged is lost, and no node was led back.
+// acknowledged is lost, and no node went back.
 func TestFaults(t *testing.T) {
 	t.Parallel()
 	cut := func(span time.Duration, directions []faultproxy.Direction, names ...string) func(*testing.T, *fleet) {
@@ -81,7 +81,7 @@
 			f.settleSince(t, "from the fault's end", ended)
 			f.writer.begin()
 			f.writer.reach(t, 50)
-			f.verdict(t)
+			f.checkConverged(t)
 		})
 	}
 }
@@ -173,7 +173,7 @@
 	}
 	wait(t, "a full disk", filled)
 	f.writer.reach(t, 50)
-	if n := f.a.log.lines("disk cannot be written"); n != 1 {
+	if n := f.a.log.lines("disk not writable"); n != 1 {
 		t.Errorf("%d lines about the full disk", n)
 	}
 	f.a.kill()
@@ -213,7 +213,7 @@
 // killedAlone kills a root that nobody hears, just as it has acknowledged changes: its disk is their only holder.
 func killedAlone(t *testing.T, f *fleet) {
 	f.writer.end()
-	f.settle(t, "before")
+	f.waitConverged(t, "before")
 	alone := []string{"ab", "ba", "ra"}
 	for _, name := range alone {
 		f.cables[name].Cut(faultproxy.Up, true)
@@ -235,8 +235,8 @@
 		f.cables[name].Cut(faultproxy.Up, false)
 		f.cables[name].Cut(faultproxy.Down, false)
 	}
-	f.settle(t, "after the kill")
-	all := f.holdings(t, f.b)
+	f.waitConverged(t, "after the kill")
+	all := f.heldEntries(t, f.b)
 	for _, c := range changes {
 		if !all.holds(c) {
 			t.Errorf("%s is lost", c.Key.Name)
@@ -248,9 +248,9 @@
 func (f *fleet) settleLarge(t *testing.T, acknowledged bool) {
 	t.Helper()
 	f.writer.end()
-	f.settle(t, "after the kill")
+	f.waitConverged(t, "after the kill")
 	n := 0
-	all := f.holdings(t, f.b)
+	all := f.heldEntries(t, f.b)
 	for _, c := range routes("large", 0, distribution.MaxChanges) {
 		if all.holds(c) {
 			n++
@@ -266,7 +266,7 @@
 // relayAhead has both roots lose their disks: the relay and the nodes hold all that there was.
 func relayAhead(t *testing.T, f *fleet) {
 	f.writer.end()
-	f.settle(t, "before")
+	f.waitConverged(t, "before")
 	for _, p := range []*process{f.a, f.b} {
 		p.kill()
 		if err := os.Remove(p.disk); err != nil {
@@ -301,12 +301,12 @@
 	f.r.start(t)
 }
 
-// What all control processes have lost comes back from the nodes that hold it.
-func TestNodesAheadOfAll(t *testing.T) {
+// What all control processes have lost is received back from the nodes.
+func TestNodesAheadOfAllControlProcesses(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.writer.end()
-	f.settle(t, "before")
+	f.waitConverged(t, "before")
 	for _, n := range []*subscriber{f.near, f.far} {
 		wait(t, "all at "+n.name, func() bool { return f.writer.lacking(n, n.services) == nil })
 	}
@@ -321,16 +321,16 @@
 	}
 	wait(t, "all that nodes hold", func() bool {
 		_, err := digests(f.a.at)
-		return err == nil && f.writer.lacking(f.holdings(t, f.a), f.near.services) == nil
+		return err == nil && f.writer.lacking(f.heldEntries(t, f.a), f.near.services) == nil
 	})
-	f.settle(t, "after the loss")
+	f.waitConverged(t, "after the loss")
 	for _, p := range f.all() {
-		f.writer.check(t, p.name, f.holdings(t, p), f.near.services)
+		f.writer.check(t, p.name, f.heldEntries(t, p), f.near.services)
 	}
 }
 
-// SIGTERM ends a process also while its peers stand still.
-func TestEndsBesideOthersThatStandStill(t *testing.T) {
+// SIGTERM ends a process also while its peers are stopped.
+func TestShutdownBesideStoppedPeers(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.a.signal(syscall.SIGSTOP)
@@ -339,5 +339,5 @@
 	f.a.signal(syscall.SIGCONT)
 	f.r.signal(syscall.SIGCONT)
 	f.b.start(t)
-	f.verdict(t)
+	f.checkConverged(t)
 }
--- a/internal/controlplane/distribution/control/helpers_test.go
+++ b/internal/controlplane/distribution/control/helpers_test.go
@@ -31,7 +31,7 @@
 	}))
 }
 
-const aloneInTests = 500 * time.Millisecond // in place of aloneMost
+const aloneInTests = 500 * time.Millisecond // in place of startAloneTimeout
 
 const patience = 30 * time.Second // of a test for what must come; no verdict hangs on it
 
@@ -69,19 +69,19 @@
 	return startAlone(t, config, zerolog.Nop(), aloneInTests)
 }
 
-// startAlone has one wait for upstreams at its start as long as told.
+// startAlone starts a member that waits for upstreams for a given time.
 func startAlone(t *testing.T, config *Config, log zerolog.Logger, alone time.Duration) *member {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(config.ListenAddress))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := open(config, log)
+	s, err := newServer(config, log)
 	if err != nil {
 		listener.Close()
 		t.Fatal(err)
 	}
-	s.alone = alone
+	s.aloneTimeout = alone
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &member{Server: s, at: config.ListenAddress.String(), cancel: cancel, done: make(chan error, 1)}
 	go func() { m.done <- s.run(ctx, listener) }()
@@ -89,7 +89,7 @@
 	return m
 }
 
-// stop ends a member in good order; again it does nothing.
+// stop shuts a member down; a second call does nothing.
 func (m *member) stop(t *testing.T) {
 	t.Helper()
 	m.cancel()
@@ -104,7 +104,7 @@
 func (m *member) isCurrent() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.current
+	return m.Server.isCurrent
 }
 
 // state is what a member holds, in one text.
@@ -244,7 +244,7 @@
 		s.tell(&wire.Acknowledge{Acknowledgement: a})
 	case *wire.Pull:
 		if m.IsContinuous {
-			s.offer(m)
+			s.upload(m)
 		}
 	case *wire.Digests:
 		if services, _, _ := receiver.CompareDigests(m.Digests); len(services) > 0 {
@@ -266,8 +266,8 @@
 	}
 }
 
-// offer sends at once all that the other side lacks.
-func (s *subscriber) offer(m *wire.Pull) {
+// upload sends at once all that the other side lacks.
+func (s *subscriber) upload(m *wire.Pull) {
 	s.publisher.SubscribePartial(0, distribution.Subscription{Name: "upstream", Role: distribution.RoleControl, Services: s.services, Vector: m.Vector})
 	for {
 		_, batch, ok, _ := s.publisher.NextBatch(0)
--- /dev/null
+++ b/internal/controlplane/distribution/control/links.go
@@ -0,0 +1,117 @@
+package control
+
+import (
+	"context"
+	"errors"
+	"fmt"
+
+	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/controlplane/distribution/wire"
+)
+
+// linkTable is the connections of a server. Server.mu is held around it.
+type linkTable struct {
+	accepted     int // connections, those without a greeting included
+	greeted      map[*link]bool
+	unsubscribed int // accepted ones with a greeting that have not subscribed
+	subscribers  map[string]*link
+	waiting      map[*link]bool // subscribers that are served once this process is current
+	publishing   map[distribution.SubscriptionID]*link
+}
+
+func newLinkTable() linkTable {
+	return linkTable{
+		greeted:     map[*link]bool{},
+		subscribers: map[string]*link{},
+		waiting:     map[*link]bool{},
+		publishing:  map[distribution.SubscriptionID]*link{},
+	}
+}
+
+// serveLink leads a connection after its greeting until it ends, and returns why it did.
+func (s *Server) serveLink(ctx context.Context, l *link) error {
+	ctx, cancel := context.WithCancel(ctx)
+	writerDone := make(chan struct{})
+	go func() {
+		defer close(writerDone)
+		l.runWriter(ctx)
+	}()
+	var err error
+	if s.addLink(l) {
+		err = l.read()
+	} else {
+		err = &protocolError{errCrowded}
+	}
+	if fault := (*protocolError)(nil); errors.As(err, &fault) {
+		s.peerRejected(describePeer(l.peer, l.from), err)
+		l.enqueue(fault.error)
+		<-writerDone // the rejection is the last that is written
+		linger(l.conn.Conn)
+	}
+	l.close(nil)
+	cancel()
+	<-writerDone
+	l.conn.Close()
+	s.removeLink(l)
+	if why := l.closedFor(); why != nil {
+		return why
+	}
+	return err
+}
+
+// addLink adds a connection, and reports whether there is room for it.
+func (s *Server) addLink(l *link) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.links.greeted[l] = true
+	if l.follower != nil {
+		return true
+	}
+	s.links.unsubscribed++
+	return s.links.unsubscribed <= maxUnsubscribed
+}
+
+// removeLink forgets a connection that has ended.
+func (s *Server) removeLink(l *link) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.links.greeted, l)
+	delete(s.links.waiting, l)
+	if l.follower == nil && !l.isSubscribed {
+		s.links.unsubscribed--
+	}
+	if l.sending != 0 {
+		s.stopSending(l)
+	}
+	isCurrentLink := l.isSubscribed && s.links.subscribers[l.peer] == l
+	s.nodes.linkEnded(l, isCurrentLink)
+	if isCurrentLink {
+		delete(s.links.subscribers, l.peer)
+		s.log.Info().Str("subscriber", l.peer).Str("from", l.from).Err(l.closedFor()).Msg("subscriber disconnected")
+	}
+}
+
+// handle does what a message asks for. A *protocolError ends the connection.
+func (s *Server) handle(l *link, m wire.Message) error {
+	switch m := m.(type) {
+	case *wire.Subscribe:
+		return s.subscribe(l, m.Subscription)
+	case *wire.Batch:
+		return s.receiveBatch(l, m.Batch)
+	case *wire.Acknowledge:
+		s.batchAcknowledged(l, m.Acknowledgement)
+	case *wire.Digests:
+		s.compareDigests(l, m)
+	case *wire.Pull:
+		s.handlePull(l, m)
+	case *wire.Report:
+		s.nodesReported(l, m.Nodes)
+	case *wire.Write:
+		s.write(l, m)
+	case *wire.StatusQuery:
+		s.answerStatus(l, m)
+	default:
+		return &protocolError{fmt.Errorf("a control process is not sent a %T", m)}
+	}
+	return nil
+}
--- a/internal/controlplane/distribution/control/peers_test.go
+++ b/internal/controlplane/distribution/control/peers_test.go
@@ -17,8 +17,8 @@
 	"fernvane/internal/testbed/standin/faultproxy"
 )
 
-// Who takes nothing is cut off, and others are served meanwhile.
-func TestSlowSubscriberIsCutOff(t *testing.T) {
+// A subscriber that takes nothing is disconnected, and others are served meanwhile.
+func TestSlowSubscriberIsDisconnected(t *testing.T) {
 	t.Parallel()
 	m := start(t, settings(t, "a", address.Free(t), disks(t)("a")))
 	wait(t, "current", m.isCurrent)
@@ -26,11 +26,11 @@
 	wire.Send(conn, &wire.Subscribe{Subscription: distribution.Subscription{Name: "operator", Role: distribution.RoleNode, Services: []string{"s"}}})
 	n := node("n", "s")
 	n.subscribe(t, m.at)
-	wait(t, "two subscribers", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return len(m.subscribers) == 2 })
+	wait(t, "two subscribers", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return len(m.links.subscribers) == 2 })
 	cut := func() bool {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		return len(m.subscribers) == 1 && m.subscribers["n"] != nil
+		return len(m.links.subscribers) == 1 && m.links.subscribers["n"] != nil
 	}
 	for i := 0; !cut(); i++ {
 		c := route("s", fmt.Sprint("route-", i%100))
@@ -46,8 +46,8 @@
 	}
 }
 
-// What no peer may say ends its connection with one line, and nobody else's.
-func TestRefusals(t *testing.T) {
+// A message that violates the protocol ends that connection alone, with one log line.
+func TestProtocolViolationsAreRejected(t *testing.T) {
 	t.Parallel()
 	m := start(t, settings(t, "a", address.Free(t), disks(t)("a")))
 	wait(t, "current", m.isCurrent)
@@ -70,14 +70,14 @@
 		text []byte
 		want string
 	}{
-		"a second subscription": {"x", sent(subscribe, subscribe), errSubscribed.Error()},
-		"a batch":               {"x", sent(&wire.Batch{}), errUnasked.Error()},
+		"a second subscription": {"x", sent(subscribe, subscribe), errSubscribedTwice.Error()},
+		"a batch":               {"x", sent(&wire.Batch{}), errUnrequestedBatch.Error()},
 		"an answer":             {"x", sent(&wire.StatusAnswer{}), "Answer"},
 		"a changed byte":        {"x", garbled, framing.ErrChecksum.Error()},
 		"an unknown kind":       {"x", []byte{0, 0, 0, 4, 99, 0, 0, 0, 0}, framing.ErrUnknownKind.Error()},
 		"a long frame":          {"x", []byte{255, 0, 0, 4, 5, 0, 0, 0, 0}, framing.ErrFrameTooLong.Error()},
 		"its own name": {"a", sent(&wire.Subscribe{Subscription: distribution.Subscription{Name: "a", Role: distribution.RoleControl, AllServices: true}}),
-			errSelf.Error()},
+			errOwnName.Error()},
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn, err := greeted(m.at, c.name, nil)
@@ -115,7 +115,7 @@
 	wait(t, "others are served", func() bool { return n.holds(route("s", "x")) })
 }
 
-// More connections than the file allows are refused, and those that are there go on.
+// Connections beyond the file's bound are rejected, and the others are kept.
 func TestConnectionsAreBounded(t *testing.T) {
 	t.Parallel()
 	config := settings(t, "a", address.Free(t), disks(t)("a"))
@@ -140,36 +140,36 @@
 	})
 }
 
-// Commands and those that never subscribe leave room for subscribers.
+// Connections that never subscribe leave room for subscribers.
 func TestIdleCommandsAreBounded(t *testing.T) {
 	t.Parallel()
 	m := start(t, settings(t, "a", address.Free(t), disks(t)("a")))
-	for range commandsMost {
+	for range maxUnsubscribed {
 		command(t, m.at, nil)
 	}
-	wait(t, "all are there", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return m.commands == commandsMost })
+	wait(t, "all are there", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return m.links.unsubscribed == maxUnsubscribed })
 	conn := command(t, m.at, nil)
 	if _, err := next(conn, patience); err == nil || !strings.Contains(err.Error(), errCrowded.Error()) {
 		t.Errorf("one more: %v", err)
 	}
 }
 
-// A node that comes again under its name ends its older connection.
-func TestComesAgain(t *testing.T) {
+// A second connection under a node's name ends the older one.
+func TestReconnectReplacesOlderConnection(t *testing.T) {
 	t.Parallel()
 	m := start(t, settings(t, "a", address.Free(t), disks(t)("a")))
 	wait(t, "current", m.isCurrent)
 	first, second := node("n", "s"), node("n", "s")
 	first.subscribe(t, m.at)
-	wait(t, "one", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return m.subscribers["n"] != nil })
+	wait(t, "one", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return m.links.subscribers["n"] != nil })
 	second.subscribe(t, m.at)
 	wait(t, "the older has ended", func() bool { return first.ended() != nil })
 	write(t, m.at, route("s", "x"))
 	wait(t, "the newer is served", func() bool { return second.holds(route("s", "x")) })
 }
 
-// Over TLS, with keys of one authority; others come to nothing.
-func TestKeys(t *testing.T) {
+// Over TLS only peers with keys of the same authority are accepted.
+func TestOtherAuthoritiesAreRejected(t *testing.T) {
 	t.Parallel()
 	authority := func() *certauthority.Authority {
 		a, err := certauthority.New("authority")
@@ -209,7 +209,7 @@
 	}
 }
 
-// Who asks again and again and takes no answer is cut off before much waits for it.
+// A peer that queries and takes no answer is disconnected before much waits for it.
 func TestAnswersAreBounded(t *testing.T) {
 	t.Parallel()
 	m := start(t, settings(t, "a", address.Free(t), disks(t)("a")))
@@ -224,12 +224,12 @@
 	for n := 0; err == nil && n < 100_000; n++ {
 		err = wire.Send(conn, &wire.StatusQuery{ID: uint64(n)})
 		m.mu.Lock()
-		for l := range m.links {
-			l.mu.Lock()
-			if len(l.queue) > queueMost {
-				t.Errorf("%d messages wait", len(l.queue))
+		for l := range m.links.greeted {
+			l.outbox.mu.Lock()
+			if len(l.outbox.queue) > maxQueuedMessages {
+				t.Errorf("%d messages wait", len(l.outbox.queue))
 			}
-			l.mu.Unlock()
+			l.outbox.mu.Unlock()
 		}
 		m.mu.Unlock()
 	}
@@ -238,17 +238,17 @@
 	}
 }
 
-// What a relay has from its root does not go back to it.
-func TestNothingGoesBackUp(t *testing.T) {
+// What a relay receives from its root is not sent back.
+func TestReceivedEntriesAreNotSentBack(t *testing.T) {
 	t.Parallel()
 	disk, at := disks(t), address.Free(t)
 	a := start(t, settings(t, "a", at, disk("a")))
-	wires, err := faultproxy.Listen(at)
+	proxy, err := faultproxy.Listen(at)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer wires.Close()
-	r := start(t, settings(t, "r", address.Free(t), disk("r"), wires.Address()))
+	defer proxy.Close()
+	r := start(t, settings(t, "r", address.Free(t), disk("r"), proxy.Address()))
 	wait(t, "current", func() bool { return a.isCurrent() && r.isCurrent() })
 	for n := range 30 {
 		c := route("s", fmt.Sprint("large-", n))
@@ -258,7 +258,7 @@
 	}
 	write(t, r.at, route("s", "from below"))
 	agree(t, a, r)
-	if up, down := wires.Bytes(faultproxy.Up), wires.Bytes(faultproxy.Down); down < 300_000 || up > 30_000 {
+	if up, down := proxy.Bytes(faultproxy.Up), proxy.Bytes(faultproxy.Down); down < 300_000 || up > 30_000 {
 		t.Errorf("%d bytes went up, %d down", up, down)
 	}
 	r.stop(t)
--- a/internal/controlplane/distribution/control/process_test.go
+++ b/internal/controlplane/distribution/control/process_test.go
@@ -107,7 +107,7 @@
 	p.ended = nil
 }
 
-// end ends it in good order.
+// end shuts it down cleanly.
 func (p *process) end(t *testing.T) {
 	t.Helper()
 	began := time.Now()
@@ -126,7 +126,7 @@
 }
 
 // fleet is two roots in two regions, a relay in the first that prefers its root, and a node at the relay and one at the
-// second root. Cables stand between all processes.
+// second root. A fault proxy stands between all processes.
 type fleet struct {
 	a, b, r   *process
 	cables    map[string]*faultproxy.Cable // by who dials and whom: "ra"
@@ -159,7 +159,7 @@
 		f.configure(t, p, "")
 		p.start(t)
 	}
-	f.settle(t, "all current")
+	f.waitConverged(t, "all current")
 	f.near, f.far = node("near", "", "s"), node("far", "", "s")
 	f.follow(f.near, f.cables["nr"].Address())
 	f.follow(f.far, f.cables["mb"].Address())
@@ -223,8 +223,8 @@
 	f.running.Wait()
 }
 
-// settle waits until all processes are current and hold the same, and tells how long it took.
-func (f *fleet) settle(t *testing.T, what string) {
+// waitConverged waits until all processes are current and hold the same, and tells how long it took.
+func (f *fleet) waitConverged(t *testing.T, what string) {
 	t.Helper()
 	f.settleSince(t, what, time.Now())
 }
@@ -245,8 +245,8 @@
 	t.Logf("%s: equal after %v", what, time.Since(began).Round(10*time.Millisecond))
 }
 
-// holdings is all that a process holds, as a new subscriber of everything is sent it.
-func (f *fleet) holdings(t *testing.T, p *process) *subscriber {
+// heldEntries returns all that a process holds, as a new subscriber of everything is sent it.
+func (f *fleet) heldEntries(t *testing.T, p *process) *subscriber {
 	t.Helper()
 	all := &subscriber{name: "auditor", role: distribution.RoleNode, store: distribution.NewStore("", distribution.Limits{})}
 	if err := all.connect(p.at); err != nil {
@@ -257,14 +257,14 @@
 	return all
 }
 
-// verdict ends the writing and checks: all holders come to hold the same, all that was acknowledged is in it, and no node
-// was led back.
-func (f *fleet) verdict(t *testing.T) {
+// checkConverged ends the writing and checks that all holders hold the same and everything acknowledged, and that no node
+// went back.
+func (f *fleet) checkConverged(t *testing.T) {
 	t.Helper()
 	f.writer.end()
-	f.settle(t, "after the fault")
+	f.waitConverged(t, "after the fault")
 	for _, p := range f.all() {
-		f.writer.check(t, p.name, f.holdings(t, p), nil)
+		f.writer.check(t, p.name, f.heldEntries(t, p), nil)
 	}
 	for _, n := range []*subscriber{f.near, f.far} {
 		wait(t, "all at "+n.name, func() bool { return f.writer.lacking(n, n.services) == nil })
--- a/internal/controlplane/distribution/control/receive.go
+++ b/internal/controlplane/distribution/control/receive.go
@@ -7,138 +7,139 @@
 	"fernvane/internal/controlplane/distribution/wire"
 )
 
-var (
-	errSubscribed = errors.New("a second subscription on one connection")
-	errUnasked    = errors.New("a batch that was not asked for")
-)
+// errUnrequestedBatch rejects a peer that sends batches without a Pull or a subscription of this process.
+var errUnrequestedBatch = errors.New("a batch that was not asked for")
 
-// receive takes in a batch, from an upstream or from a subscriber that was asked, passes on what is new and acknowledges.
-func (s *Server) receive(l *link, b distribution.Batch) error {
+// receiveBatch takes in a batch of an upstream, or of a subscriber that was asked, passes on what is new and acknowledges it.
+func (s *Server) receiveBatch(l *link, b distribution.Batch) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l.receiver == nil {
-		return l.refuse(errUnasked)
+		return &protocolError{errUnrequestedBatch}
 	}
-	s.Received++
-	got := l.receiver.ReceiveBatch(b)
-	s.Entries += len(got.Changed)
-	if got.IsComplete && l.sending != 0 {
+	s.counts.receivedBatches++
+	result := l.receiver.ReceiveBatch(b)
+	s.counts.mergedEntries += len(result.Changed)
+	if result.IsComplete && l.sending != 0 {
 		s.publisher.VectorLearned(l.sending, b.Through)
 	}
-	s.spread(got)
-	s.rejected(l, got.Rejected)
-	acknowledgement := distribution.Acknowledgement{BatchNumber: b.Number, Rejected: got.Rejected}
-	if got.IsComplete {
+	s.passOn(result)
+	s.logRejected(l, result.Rejected)
+	acknowledgement := distribution.Acknowledgement{BatchNumber: b.Number, Rejected: result.Rejected}
+	if result.IsComplete {
 		acknowledgement.Applied = s.store.Vector().Clone()
 	}
-	l.put(&wire.Acknowledge{Acknowledgement: acknowledgement})
-	if l.via != nil {
-		s.followed(l, got.IsComplete)
+	l.enqueue(&wire.Acknowledge{Acknowledgement: acknowledgement})
+	if l.follower != nil {
+		s.upstreamBatchReceived(l, result.IsComplete)
 	}
-	s.renew()
+	s.renewOriginIfStale()
 	return nil
 }
 
-// spread saves what a batch has brought and passes it on.
-func (s *Server) spread(got distribution.BatchResult) {
+// passOn saves what a batch has changed, and passes it on to subscribers. s.mu is held.
+func (s *Server) passOn(result distribution.BatchResult) {
 	now := s.now()
-	s.publisher.EntriesChanged(now, got.Changed)
+	s.publisher.EntriesChanged(now, result.Changed)
 	var removed []distribution.Key
-	for _, e := range got.Removed {
+	for _, e := range result.Removed {
 		removed = append(removed, e.Key)
 	}
-	if len(got.ResyncServices) > 0 {
-		s.publisher.ResyncServices(now, got.ResyncServices)
+	if len(result.ResyncServices) > 0 {
+		s.publisher.ResyncServices(now, result.ResyncServices)
 	}
 	var vector distribution.Vector
-	if got.IsComplete {
+	if result.IsComplete {
 		vector = s.store.Vector()
 	}
-	if vector != nil || len(got.Changed)+len(removed) > 0 {
-		s.disk.Save(got.Changed, removed, vector)
+	if vector != nil || len(result.Changed)+len(removed) > 0 {
+		s.disk.Save(result.Changed, removed, vector)
 	}
-	s.signal()
+	s.signalPublish()
 }
 
-// followed notes a batch of an upstream.
-func (s *Server) followed(l *link, complete bool) {
-	s.heard = s.now()
-	l.via.subscriber.MessageReceived(s.heard, complete)
-	if !complete {
+// upstreamBatchReceived notes a batch of an upstream. s.mu is held.
+func (s *Server) upstreamBatchReceived(l *link, isComplete bool) {
+	s.lastBatch = s.now()
+	l.follower.subscriber.MessageReceived(s.lastBatch, isComplete)
+	if !isComplete {
 		return
 	}
-	l.complete = true
+	l.hasCaughtUp = true
 	s.becomeCurrent(l.peer)
-	if l.wanted != nil {
-		s.offer(l, l.wanted)
+	if l.deferredPull != nil {
+		s.answerUpstreamPull(l, l.deferredPull)
 	}
 }
 
-// rejected says once what a store has no room for.
-func (s *Server) rejected(l *link, rejected []distribution.Rejection) {
-	if len(rejected) == 0 || s.pending == rejected[0].Reason {
+// logRejected logs once why entries of a batch were rejected. s.mu is held.
+func (s *Server) logRejected(l *link, rejected []distribution.Rejection) {
+	if len(rejected) == 0 || s.lastRejection == rejected[0].Reason {
 		return
 	}
-	s.pending = rejected[0].Reason
-	s.log.Error().Str("peer", l.peer).Stringer("key", rejected[0].Key).Str("reason", s.pending).Int("entries", len(rejected)).Msg("entries not taken")
+	s.lastRejection = rejected[0].Reason
+	s.log.Error().Str("peer", l.peer).Stringer("key", rejected[0].Key).Str("reason", s.lastRejection).Int("entries", len(rejected)).
+		Msg("entries rejected")
 }
 
-func (s *Server) acknowledged(l *link, a distribution.Acknowledgement) {
+// batchAcknowledged takes in a peer's acknowledgement.
+func (s *Server) batchAcknowledged(l *link, a distribution.Acknowledgement) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l.sending == 0 {
 		return
 	}
 	s.publisher.BatchAcknowledged(s.now(), l.sending, a)
-	s.renew()
-	s.signal()
+	s.renewOriginIfStale()
+	s.signalPublish()
 }
 
-// compare looks whether what is held here is what the peer holds, and asks for what differs.
-func (s *Server) compare(l *link, m *wire.Digests) {
+// compareDigests compares what is held here with what the peer holds, and asks for what differs.
+func (s *Server) compareDigests(l *link, m *wire.Digests) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l.receiver == nil {
 		return
 	}
-	services, total, advanced := l.receiver.CompareDigests(m.Digests)
-	if advanced {
+	services, needsServiceDigests, hasAdvanced := l.receiver.CompareDigests(m.Digests)
+	if hasAdvanced {
 		s.disk.Save(nil, nil, s.store.Vector())
 	}
-	if l.via != nil {
-		l.via.subscriber.MessageReceived(s.now(), true)
+	if l.follower != nil {
+		l.follower.subscriber.MessageReceived(s.now(), true)
 	}
-	if total || len(services) > 0 {
-		s.Wants++
-		l.put(&wire.Pull{Services: services, WantsDigests: total})
+	if needsServiceDigests || len(services) > 0 {
+		s.counts.pulls++
+		l.enqueue(&wire.Pull{Services: services, WantsDigests: needsServiceDigests})
 	}
 }
 
-// want gives a peer what it asks for.
-func (s *Server) want(l *link, m *wire.Pull) {
+// handlePull gives a peer what it asks for.
+func (s *Server) handlePull(l *link, m *wire.Pull) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	isUpstream := l.follower != nil
 	switch {
-	case m.IsContinuous && l.via == nil:
-		// a subscriber has subscribed already
+	case m.IsContinuous && !isUpstream:
+		// a subscriber is sent everything by its subscription
 	case m.IsContinuous:
-		if l.complete || !m.Vector.CoversAll(s.store.Vector()) {
-			s.offer(l, m)
+		if l.hasCaughtUp || !m.Vector.CoversAll(s.store.Vector()) {
+			s.answerUpstreamPull(l, m)
 		} else {
-			l.wanted = m // what the upstream is about to send need not go back to it
+			l.deferredPull = m // what the upstream is about to send need not go back to it
 		}
 	case m.WantsDigests:
-		l.put(&wire.Digests{Digests: distribution.Digests{Services: s.publisher.ServiceDigests()}, IsAllServices: true})
+		l.enqueue(&wire.Digests{Digests: distribution.Digests{Services: s.publisher.ServiceDigests()}, IsAllServices: true})
 	case len(m.Services) > 0:
 		s.publisher.ResyncSubscriber(s.now(), l.sending, m.Services)
-		s.signal()
-	case l.via == nil:
-		l.put(&wire.Pull{}) // the peer asks for a sign of life
+		s.signalPublish()
+	case !isUpstream:
+		l.enqueue(&wire.Pull{}) // the answer to a ping
 	}
 }
 
-// offer sends an upstream what it lacks, and from then on what changes.
-func (s *Server) offer(l *link, m *wire.Pull) {
-	l.wanted = nil
-	s.serve(l, distribution.Subscription{Name: l.peer, Role: distribution.RoleControl, AllServices: true, Vector: m.Vector})
+// answerUpstreamPull sends an upstream what it lacks, and from then on what changes. s.mu is held.
+func (s *Server) answerUpstreamPull(l *link, m *wire.Pull) {
+	l.deferredPull = nil
+	s.startSending(l, distribution.Subscription{Name: l.peer, Role: distribution.RoleControl, AllServices: true, Vector: m.Vector})
 }
--- a/internal/controlplane/distribution/control/server.go
+++ b/internal/controlplane/distribution/control/server.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"math/rand/v2"
 	"net"
 	"sync"
@@ -16,82 +15,66 @@
 )
 
 const (
-	aloneMost   = 5 * time.Second
-	closeMost   = 700 * time.Millisecond // for the disk, of the second in which a process ends
-	acceptAgain = 10 * time.Millisecond  // after a shortage
-	pruneEvery  = time.Minute
-	countsEvery = 10 * time.Second
-
-	// A peer that is gone without a word is noticed by the system within about ten seconds.
-	keepAliveIdle  = 5 * time.Second
-	keepAliveEvery = 2 * time.Second
-	keepAliveCount = 3
+	startAloneTimeout = 5 * time.Second        // without a batch of an upstream, after which a start goes by what it holds
+	diskCloseTimeout  = 700 * time.Millisecond // of the second in which a process ends
+	pruneInterval     = time.Minute
+	startCheck        = 100 * time.Millisecond // between two looks whether a start may go on alone
 )
 
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: keepAliveCount}
-
 // Server is a running control process.
 type Server struct {
-	config *Config
-	log    zerolog.Logger
-	start  time.Time
-	disk   *disk.Disk
-	wake   chan struct{} // of the publishing goroutine
-	alone  time.Duration // without a batch of an upstream, after which a start goes by what it holds
-
-	mu          sync.Mutex // never held over a socket or the disk
-	store       *distribution.Store
-	publisher   *distribution.Publisher
-	current     bool
-	heard       time.Duration // last batch of an upstream, or the start
-	publishing  map[distribution.SubscriptionID]*link
-	subscribers map[string]*link // by name
-	links       map[*link]bool
-	waiting     map[*link]bool // subscribers that are served once this process is current
-	connections int
-	commands    int
-	nodes       nodeTable
-	followers   []*follower
-	pending     string // last line about a full store, so that it is said once
-	counts
+	config       *Config
+	log          zerolog.Logger
+	startedAt    time.Time
+	aloneTimeout time.Duration // startAloneTimeout, except in tests
+	disk         *disk.Disk
+	wakePublish  chan struct{} // of the publishing goroutine
+
+	mu            sync.Mutex // never held over a socket or the disk
+	store         *distribution.Store
+	publisher     *distribution.Publisher
+	isCurrent     bool          // subscribers are served, and writes accepted
+	lastBatch     time.Duration // of an upstream, or the start
+	followers     []*follower
+	links         linkTable
+	nodes         nodeTable
+	lastRejection string // last reason for which entries were rejected, so that it is logged once
+	counts        counts
 }
 
-// counts since the last line of the log.
-type counts struct {
-	Batches, Received, Entries, Writes, Changes, Refused, CutOff, Wants int
-	Bytes                                                               int
-}
-
-// Run serves until the context ends.
+// Run serves until the context ends. An error says that the process cannot start, as when its address or its disk is in use.
 func Run(ctx context.Context, config *Config, log zerolog.Logger) error {
-	ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(config.ListenAddress))
+	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(config.ListenAddress))
 	if err != nil {
 		return err
 	}
-	s, err := open(config, log)
+	s, err := newServer(config, log)
 	if err != nil {
-		ln.Close()
+		listener.Close()
 		return err
 	}
-	return s.run(ctx, ln)
+	return s.run(ctx, listener)
 }
 
-// open reads the disk.
-func open(config *Config, log zerolog.Logger) (*Server, error) {
-	s := &Server{config: config, log: log, start: time.Now(), wake: make(chan struct{}, 1), alone: aloneMost,
-		publishing: map[distribution.SubscriptionID]*link{}, subscribers: map[string]*link{}, links: map[*link]bool{},
-		waiting: map[*link]bool{}, nodes: nodeTable{}}
-	opened, loaded, err := disk.Open(config.Disk, disk.Options{MaxBytes: config.DiskBytes, Snapshot: s.whole,
-		OnFault: func(err error) {
-			if err != nil {
-				log.Error().Err(err).Msg("disk cannot be written: going on from memory")
-			} else {
-				log.Info().Msg("disk is written again")
-			}
-		},
+// newServer reads the disk.
+func newServer(config *Config, log zerolog.Logger) (*Server, error) {
+	s := &Server{
+		config:       config,
+		log:          log,
+		startedAt:    time.Now(),
+		aloneTimeout: startAloneTimeout,
+		wakePublish:  make(chan struct{}, 1),
+		links:        newLinkTable(),
+		nodes:        nodeTable{},
+	}
+	opened, loaded, err := disk.Open(config.Disk, disk.Options{
+		MaxBytes: config.DiskBytes,
+		OnFault:  s.diskFault,
 		OnQuarantine: func(path string, why error) {
-			log.Error().Err(why).Str("set_aside", path).Msg("disk damaged: its file is set aside")
-		}})
+			log.Error().Err(why).Str("set_aside", path).Msg("damaged disk file renamed")
+		},
+		Snapshot: s.snapshot,
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -100,27 +83,35 @@
 	return s, nil
 }
 
-// restore begins from what the disk held. What an earlier run of this process told others may be more than that, as after it
-// was killed or an old copy was put back: it writes under an origin of its own.
+func (s *Server) diskFault(err error) {
+	if err != nil {
+		s.log.Error().Err(err).Msg("disk not writable, continuing from memory")
+	} else {
+		s.log.Info().Msg("disk writable again")
+	}
+}
+
+// restore starts from what the disk held. An earlier run of this process may have announced more than that, as after it was
+// killed or an old copy was put back: each run writes under an origin of its own.
 func (s *Server) restore(loaded disk.Loaded) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.store = distribution.NewStore(s.drawn(), distribution.Limits{})
+	s.store = distribution.NewStore(s.newOrigin(), distribution.Limits{})
 	s.store.Restore(loaded.Entries, loaded.Vector, loaded.Pruned)
 	s.disk.SetOrigin(s.store.Origin())
 	s.publisher = distribution.NewPublisher(s.store, s.config.budget())
-	s.current = loaded.IsClean && len(s.config.UpstreamAddresses) == 0
+	s.isCurrent = loaded.IsClean && len(s.config.UpstreamAddresses) == 0
 	s.log.Info().Str("control", s.config.Name).Stringer("listen", s.config.ListenAddress).Bool("tls", s.config.Keys != nil).
 		Str("origin", string(s.store.Origin())).Int("entries", len(loaded.Entries)).Bool("clean", loaded.IsClean).
-		Bool("current", s.current).Msg("controlling")
+		Bool("current", s.isCurrent).Msg("controlling")
 }
 
-func (s *Server) drawn() distribution.Origin {
+func (s *Server) newOrigin() distribution.Origin {
 	return distribution.NewOrigin(s.config.Name, rand.Uint64())
 }
 
-// whole is everything that the disk should hold.
-func (s *Server) whole() ([]distribution.Entry, distribution.Vector) {
+// snapshot returns everything that the disk should hold.
+func (s *Server) snapshot() ([]distribution.Entry, distribution.Vector) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	keys := s.store.KeysSince(nil, nil, true)
@@ -132,39 +123,47 @@
 	return all, s.store.Vector().Clone()
 }
 
-func (s *Server) now() time.Duration { return time.Since(s.start) }
+// now is the time since the server's start.
+func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-func (s *Server) run(ctx context.Context, ln *net.TCPListener) error {
+// run starts the server's goroutines and waits for their end.
+func (s *Server) run(ctx context.Context, listener *net.TCPListener) error {
 	g, ctx := errgroup.WithContext(ctx)
-	for _, f := range s.follow() {
+	for _, f := range s.newFollowers() {
 		g.Go(func() error { f.run(ctx); return nil })
 	}
-	if s.config.sourced() {
-		g.Go(func() error { return s.source(ctx) })
+	if s.config.hasSource() {
+		g.Go(func() error { return s.runSource(ctx) })
 	}
-	for _, every := range []struct {
-		span time.Duration
-		do   func()
-	}{{startLook, s.lookAtStart}, {reportEvery, s.report}, {pruneEvery, s.prune}, {countsEvery, s.logCounts}} {
-		g.Go(func() error { repeat(ctx, every.span, every.do); return nil })
+	for _, task := range []struct {
+		interval time.Duration
+		do       func()
+	}{
+		{startCheck, s.checkStart},
+		{reportInterval, s.reportNodes},
+		{pruneInterval, s.prune},
+		{countsInterval, s.logCounts},
+	} {
+		g.Go(func() error { repeat(ctx, task.interval, task.do); return nil })
 	}
 	g.Go(func() error { s.publish(ctx); return nil })
-	g.Go(func() error { s.accept(ctx, ln); return nil })
+	g.Go(func() error { s.accept(ctx, listener); return nil })
 	g.Go(func() error {
 		<-ctx.Done()
-		return ln.Close()
+		return listener.Close()
 	})
 	err := g.Wait()
-	closing, cancel := context.WithTimeout(context.Background(), closeMost)
+	closing, cancel := context.WithTimeout(context.Background(), diskCloseTimeout)
 	defer cancel()
-	if fault := s.disk.Close(closing); fault != nil {
-		s.log.Error().Err(fault).Msg("disk not closed in good order")
+	if closeErr := s.disk.Close(closing); closeErr != nil {
+		s.log.Error().Err(closeErr).Msg("disk not closed cleanly")
 	}
 	return err
 }
 
-func repeat(ctx context.Context, every time.Duration, do func()) {
-	tick := time.NewTicker(every)
+// repeat calls a function at an interval until the context ends.
+func repeat(ctx context.Context, interval time.Duration, do func()) {
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -176,8 +175,8 @@
 	}
 }
 
-// pause is false if the context ends before the time is over.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep returns false if the context ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(max(d, 0))
 	defer t.Stop()
 	select {
@@ -188,64 +187,43 @@
 	}
 }
 
-// accept takes connections of subscribers and of commands.
-func (s *Server) accept(ctx context.Context, ln *net.TCPListener) {
-	var all sync.WaitGroup
-	defer all.Wait()
-	for {
-		nc, err := ln.AcceptTCP()
-		switch {
-		case ctx.Err() != nil:
-			if err == nil {
-				nc.Close()
-			}
-			return
-		case err != nil: // shortage passes
-			s.log.Warn().Err(err).Msg("accept failed")
-			pause(ctx, acceptAgain)
-			continue
-		}
-		nc.SetKeepAliveConfig(keepAlive)
-		all.Go(func() { s.lead(ctx, nc) })
-	}
-}
-
-// refused notes a peer that broke the protocol or that there is no room for.
-func (s *Server) refused(from string, why error) {
-	s.log.Warn().Str("from", from).Err(why).Msg("peer refused")
+// checkStart has this process go by what it holds when no upstream has sent anything for a while.
+func (s *Server) checkStart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.Refused++
+	if !s.isCurrent && s.now()-s.lastBatch >= s.aloneTimeout {
+		s.becomeCurrent("no upstream")
+	}
 }
 
-// signal wakes the publishing goroutine.
-func (s *Server) signal() {
-	select {
-	case s.wake <- struct{}{}:
-	default:
+// becomeCurrent serves the subscribers that have waited. s.mu is held.
+func (s *Server) becomeCurrent(by string) {
+	if s.isCurrent {
+		return
+	}
+	s.isCurrent = true
+	entries, _ := s.store.Size()
+	s.log.Info().Str("by", by).Int("entries", entries).Uint64("revision", s.store.Vector().Total()).Dur("after", s.now()).Msg("became current")
+	for l := range s.links.waiting {
+		s.startSending(l, l.subscription)
 	}
+	clear(s.links.waiting)
 }
 
-func (s *Server) logCounts() {
-	s.mu.Lock()
-	c := s.counts
-	s.counts = counts{}
-	entries, size := s.store.Size()
-	subscribers, current, revision := len(s.subscribers), s.current, s.store.Vector().Total()
-	connected := 0
-	for _, f := range s.followers {
-		if _, ok := f.subscriber.Upstream(); ok {
-			connected++
-		}
+// renewOriginIfStale takes another origin if others have shown this disk to be an old one. s.mu is held.
+func (s *Server) renewOriginIfStale() {
+	if !s.store.IsStale() {
+		return
 	}
-	s.mu.Unlock()
-	s.log.Info().Bool("current", current).Uint64("revision", revision).Int("entries", entries).Int("entry_bytes", size).
-		Int("subscribers", subscribers).Int("upstreams", connected).Int("batches", c.Batches).Int("bytes", c.Bytes).
-		Int("received", c.Received).Int("merged", c.Entries).Int("writes", c.Writes).Int("changes", c.Changes).Int("wants", c.Wants).
-		Int("refused", c.Refused).Int("cut_off", c.CutOff).Int("disk_pending", s.disk.PendingCount()).Msg("counts")
+	before := s.store.Origin()
+	rewritten := s.store.RenewOrigin(time.Now(), s.newOrigin())
+	s.disk.SetOrigin(s.store.Origin())
+	s.disk.Save(rewritten, nil, s.store.Vector())
+	s.publisher.EntriesChanged(s.now(), rewritten)
+	s.log.Warn().Str("before", string(before)).Str("origin", string(s.store.Origin())).Int("rewritten", len(rewritten)).Msg("stale origin replaced")
 }
 
-// prune forgets deletions that everybody has heard of or is to be told whole services without.
+// prune forgets deletions past their retention. Subscribers that were not sent them are sent whole services.
 func (s *Server) prune() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -256,6 +234,3 @@
 	s.publisher.DeletionsPruned(s.now(), keys)
 	s.disk.Prune(keys, s.store.Pruned())
 }
-
-// describe is a peer in log lines.
-func describe(name, from string) string { return fmt.Sprintf("%s at %s", name, from) }
--- a/internal/controlplane/distribution/control/source.go
+++ b/internal/controlplane/distribution/control/source.go
@@ -14,71 +14,80 @@
 )
 
 const (
-	sourceAgain = time.Second // after changes that could not be written
-	sourceMost  = 1024        // changes in one write of a source's
+	sourceRetry      = time.Second // after changes that could not be written
+	maxSourceChanges = 1024        // in one write
 )
 
-// source writes what discovery or a registry tells of servers. Only one control process does so for a source.
-func (s *Server) source(ctx context.Context) error {
-	told := &sourced{server: s, servers: map[string]incarnation.Entry{}, wake: make(chan struct{}, 1)}
+// runSource writes the servers that discovery or a registry lists. Only one control process does so for a source.
+func (s *Server) runSource(ctx context.Context) error {
+	servers := newSourcedServers(s)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		told.write(ctx)
+		servers.runWriter(ctx)
 	}()
 	defer func() { <-done }()
 	if s.config.Ensemble == nil {
-		s.watchDiscovery(ctx, told)
+		s.followDiscovery(ctx, servers)
 		return nil
 	}
 	return zookeeper.Follow(ctx, s.config.Ensemble, zookeeper.Listener{
 		Now:      s.now,
-		OnChange: func(changed []incarnation.Entry, _ bool) { told.listed(changed, false) },
-		OnError:  func(err error) { s.log.Warn().Err(err).Msg("registry") },
-		OnMassRemoval: func(is bool) {
-			s.log.Error().Bool("doubted", is).Msg("most servers have vanished from the registry together, or are back")
+		OnChange: func(changed []incarnation.Entry, _ bool) { servers.update(changed, false) },
+		OnError:  func(err error) { s.log.Warn().Err(err).Msg("registry read failed") },
+		OnMassRemoval: func(isSuspected bool) {
+			s.log.Error().Bool("suspected", isSuspected).Msg("mass removal suspicion changed")
 		},
 	})
 }
 
-// watchDiscovery follows discovery's list, whole at first.
-func (s *Server) watchDiscovery(ctx context.Context, told *sourced) {
+// followDiscovery follows discovery's list, a whole one at first.
+func (s *Server) followDiscovery(ctx context.Context, servers *sourcedServers) {
 	watch.Follow(ctx, watch.NewTarget(s.config.DiscoveryAddress), watch.Listener{
 		OnError: func(err error) { s.log.Warn().Err(err).Msg("discovery failed") },
 		OnList: func(list http1.EndpointList) {
 			for _, err := range list.Skipped {
 				s.log.Warn().Err(err).Msg("list entry skipped")
 			}
-			told.listed(watch.EntriesFromList(list), list.Complete)
+			servers.update(watch.EntriesFromList(list), list.Complete)
 		},
 	})
 }
 
-// sourced is what a source has told, on its way into the store.
-type sourced struct {
+// sourcedServers is what a source lists, on its way into the store.
+type sourcedServers struct {
 	server *Server
 	wake   chan struct{}
 
-	// under the server's lock
-	servers map[string]incarnation.Entry
-	whole   bool            // all of them were told: others of the service are gone
-	changed map[string]bool // names to be looked at; nil for all
+	// Under Server.mu.
+	listed      map[string]incarnation.Entry
+	isComplete  bool            // a complete list was received: other servers of the service are gone
+	changed     map[string]bool // names of servers to be compared with the store
+	comparesAll bool            // all are to be compared
 }
 
-// listed takes in what a source tells.
-func (t *sourced) listed(entries []incarnation.Entry, whole bool) {
+func newSourcedServers(s *Server) *sourcedServers {
+	return &sourcedServers{
+		server:      s,
+		wake:        make(chan struct{}, 1),
+		listed:      map[string]incarnation.Entry{},
+		changed:     map[string]bool{},
+		comparesAll: true,
+	}
+}
+
+// update takes in a list, or a part of one.
+func (t *sourcedServers) update(entries []incarnation.Entry, isComplete bool) {
 	s := t.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if whole {
-		clear(t.servers)
-		t.whole, t.changed = true, nil
+	if isComplete {
+		clear(t.listed)
+		t.isComplete, t.comparesAll = true, true
 	}
 	for _, e := range entries {
-		t.servers[e.ID] = e
-		if t.changed != nil {
-			t.changed[e.ID] = true
-		}
+		t.listed[e.ID] = e
+		t.changed[e.ID] = true
 	}
 	select {
 	case t.wake <- struct{}{}:
@@ -86,8 +95,8 @@
 	}
 }
 
-// write writes what has changed, and tries again what could not be written.
-func (t *sourced) write(ctx context.Context) {
+// runWriter writes what has changed, until the context ends. What could not be written is tried again.
+func (t *sourcedServers) runWriter(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -95,13 +104,13 @@
 		case <-t.wake:
 		}
 		for ctx.Err() == nil {
-			changes := t.due()
+			changes := t.nextChanges()
 			if len(changes) == 0 {
 				break
 			}
 			if _, err := t.server.change(changes); err != nil {
 				t.server.log.Warn().Err(err).Int("changes", len(changes)).Msg("servers not written")
-				if !pause(ctx, sourceAgain) {
+				if !sleep(ctx, sourceRetry) {
 					return
 				}
 			}
@@ -109,74 +118,82 @@
 	}
 }
 
-// due is the next changes: what the store holds otherwise than the source tells.
-func (t *sourced) due() []distribution.Change {
+// nextChanges returns what the store holds differently from the source. A server that differs is compared again after it was
+// written.
+func (t *sourcedServers) nextChanges() []distribution.Change {
 	s := t.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var changes []distribution.Change
-	if t.changed == nil {
-		t.changed = map[string]bool{}
-		for name := range t.servers {
-			t.changed[name] = true
-		}
-		for _, e := range s.store.LiveEntries(s.config.Service) {
-			if e.Key.Kind == distribution.KindServer && t.whole {
-				t.changed[e.Key.Name] = true
-			}
-		}
+	if t.comparesAll {
+		t.compareAll()
 	}
+	var changes []distribution.Change
 	for name := range t.changed {
-		if len(changes) >= sourceMost {
+		if len(changes) >= maxSourceChanges {
 			break
 		}
-		if c, differs := t.change(name); differs {
+		if c, differs := t.changeOf(name); differs {
 			changes = append(changes, c)
-			continue // looked at once more, when it is written
+		} else {
+			delete(t.changed, name)
 		}
-		delete(t.changed, name)
 	}
 	return changes
 }
 
-// change is what brings a server's entry to what the source tells.
-func (t *sourced) change(name string) (distribution.Change, bool) {
-	c := distribution.Change{Key: distribution.Key{Service: t.server.config.Service, Kind: distribution.KindServer, Name: name}}
-	held, ok := t.server.store.Entry(c.Key)
-	ok = ok && !held.Deleted
-	told, known := t.servers[name]
-	if !known || told.Condition == incarnation.Gone {
+// compareAll marks all servers that are listed as changed, and after a complete list all that are held.
+func (t *sourcedServers) compareAll() {
+	s := t.server
+	t.comparesAll = false
+	clear(t.changed)
+	for name := range t.listed {
+		t.changed[name] = true
+	}
+	for _, e := range s.store.LiveEntries(s.config.Service) {
+		if e.Key.Kind == distribution.KindServer && t.isComplete {
+			t.changed[e.Key.Name] = true
+		}
+	}
+}
+
+// changeOf returns the change that brings a server's entry to what the source lists, and whether there is one.
+func (t *sourcedServers) changeOf(name string) (c distribution.Change, differs bool) {
+	c.Key = distribution.Key{Service: t.server.config.Service, Kind: distribution.KindServer, Name: name}
+	held, isHeld := t.server.store.Entry(c.Key)
+	isHeld = isHeld && !held.Deleted
+	listed, isListed := t.listed[name]
+	if !isListed || listed.Condition == incarnation.Gone {
 		c.Deleted = true
-		return c, ok
+		return c, isHeld
 	}
 	var before incarnation.Entry
-	if ok && cbor.Unmarshal(held.Value, &before) == nil {
-		told = turned(before, told)
-		before.Revision = told.Revision // a list that is told again is no change
-		if before == told {
+	if isHeld && cbor.Unmarshal(held.Value, &before) == nil {
+		listed = nextGeneration(before, listed)
+		before.Revision = listed.Revision // a new revision alone is no change
+		if before == listed {
 			return c, false
 		}
-	} else if held.Deleted { // it is back: a turn beyond all that it had
-		told.Generation = max(told.Generation, uint32(distribution.ClockTime(held.Clock).Unix()))
+	} else if held.Deleted { // it is back: its generation must be above all that it had
+		listed.Generation = max(listed.Generation, uint32(distribution.ClockTime(held.Clock).Unix()))
 	}
-	value, err := cbor.Marshal(told)
+	value, err := cbor.Marshal(listed)
 	if err != nil {
-		t.server.log.Error().Err(err).Str("server", name).Msg("server left out")
+		t.server.log.Error().Err(err).Str("server", name).Msg("server skipped")
 		return c, false
 	}
 	c.Value = value
 	return c, true
 }
 
-// turned is a source's word about a server as a later one than what was written before: within one start a server goes
-// back, as when a drain is called off, by a new turn.
-func turned(before, told incarnation.Entry) incarnation.Entry {
-	if told.StartedUnixMS > before.StartedUnixMS {
-		return told
+// nextGeneration returns what a source lists of a server as later than what was written before: within one start a server goes
+// back, as when a drain is called off, by a new generation.
+func nextGeneration(before, listed incarnation.Entry) incarnation.Entry {
+	if listed.StartedUnixMS > before.StartedUnixMS {
+		return listed
 	}
-	told.StartedUnixMS, told.Generation = before.StartedUnixMS, before.Generation
-	if told.Condition < before.Condition {
-		told.Generation++
+	listed.StartedUnixMS, listed.Generation = before.StartedUnixMS, before.Generation
+	if listed.Condition < before.Condition {
+		listed.Generation++
 	}
-	return told
+	return listed
 }
--- a/internal/controlplane/distribution/control/source_test.go
+++ b/internal/controlplane/distribution/control/source_test.go
@@ -49,8 +49,8 @@
 }
 
 // Servers that discovery lists are written as they change, and only then; within one start a server goes back by a new
-// turn only.
-func TestDiscoveryIsWritten(t *testing.T) {
+// generation only.
+func TestListedServersAreWritten(t *testing.T) {
 	t.Parallel()
 	list, m := listed(t)
 	is := func(name string, condition incarnation.Condition, turn bool) func() bool {
@@ -86,8 +86,8 @@
 	}
 }
 
-// Servers that a whole list does not name any more, as after an end of this process, are deleted.
-func TestDiscoveryForgets(t *testing.T) {
+// Servers that a complete list no longer names are deleted, also after a restart of this process.
+func TestUnlistedServersAreDeleted(t *testing.T) {
 	t.Parallel()
 	_, m := listed(t)
 	wait(t, "both servers", func() bool { e, _ := m.server(t, "s1"); f, _ := m.server(t, "s2"); return e.ID+f.ID == "s1s2" })
--- a/internal/controlplane/distribution/control/write.go
+++ b/internal/controlplane/distribution/control/write.go
@@ -9,50 +9,59 @@
 	"fernvane/internal/controlplane/distribution/wire"
 )
 
-const errorMost = 256 // bytes of what a writer is told
+// maxErrorBytes bounds the error that a writer is sent.
+const maxErrorBytes = 256
 
-// errNotCurrent says that this process does not know yet what others hold.
+// errNotCurrent rejects writes while this process does not know what others hold.
 var errNotCurrent = errors.New("this control process is not current yet: ask another, or again in a few seconds")
 
-// write makes an operator's changes and answers when they last.
+// write makes the changes of a command, and answers when they are on the disk.
 func (s *Server) write(l *link, m *wire.Write) {
-	written := &wire.WriteResult{ID: m.ID}
+	result := &wire.WriteResult{ID: m.ID}
 	entries, err := s.change(m.Changes)
 	if n := len(entries); n > 0 {
-		written.Origin, written.Clock, written.Sequence = entries[n-1].Origin, entries[n-1].Clock, entries[n-1].Sequence
+		last := entries[n-1]
+		result.Origin, result.Clock, result.Sequence = last.Origin, last.Clock, last.Sequence
 	}
+	from := describePeer(l.peer, l.from)
 	if err != nil {
-		written.Error = fmt.Sprintf("%.*s", errorMost, err.Error())
-		s.log.Warn().Str("from", describe(l.peer, l.from)).Err(err).Int("changes", len(m.Changes)).Msg("write refused")
+		result.Error = fmt.Sprintf("%.*s", maxErrorBytes, err.Error())
+		s.log.Warn().Str("from", from).Err(err).Int("changes", len(m.Changes)).Msg("write rejected")
 	} else {
-		s.log.Info().Str("from", describe(l.peer, l.from)).Int("changes", len(m.Changes)).Uint64("sequence", written.Sequence).
-			Stringer("first", m.Changes[0].Key).Msg("written")
+		s.log.Info().Str("from", from).Int("changes", len(m.Changes)).Uint64("sequence", result.Sequence).
+			Stringer("first", m.Changes[0].Key).Msg("write applied")
 	}
-	l.put(written)
+	l.enqueue(result)
 }
 
-// change makes changes as this process's own, tells everyone and returns when they are on the disk. If it is killed in
-// between, others may hold what its disk lacks: it gets that back from them, as its next run writes under another origin.
-// Entries with an error are in force, but not on the disk.
+// change makes changes under this process's origin, announces them, and returns when they are on the disk. If both entries and an
+// error are returned, the entries are in effect but not on the disk. If the process is killed before they are, others may hold
+// what its disk lacks: its next run writes under another origin and receives them back.
 func (s *Server) change(changes []distribution.Change) ([]distribution.Entry, error) {
-	s.mu.Lock()
-	if !s.current {
-		s.mu.Unlock()
-		return nil, errNotCurrent
-	}
-	entries, err := s.store.Write(time.Now(), changes)
+	entries, saved, err := s.startChange(changes)
 	if err != nil {
-		s.mu.Unlock()
 		return nil, err
 	}
-	s.Writes++
-	s.Changes += len(entries)
-	kept := s.disk.SaveDurably(entries, s.store.Vector())
-	s.publisher.EntriesChanged(s.now(), entries) // the vector covers them from now on, so they are not held back
-	s.mu.Unlock()
-	s.signal()
-	if err = <-kept; err != nil {
+	s.signalPublish()
+	if err = <-saved; err != nil {
 		err = fmt.Errorf("in force from memory, but %w", err)
 	}
 	return entries, err
 }
+
+// startChange makes changes and has them saved. The vector covers the entries at once, so they are announced at once too.
+func (s *Server) startChange(changes []distribution.Change) (entries []distribution.Entry, saved <-chan error, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.isCurrent {
+		return nil, nil, errNotCurrent
+	}
+	if entries, err = s.store.Write(time.Now(), changes); err != nil {
+		return nil, nil, err
+	}
+	s.counts.writes++
+	s.counts.changes += len(entries)
+	saved = s.disk.SaveDurably(entries, s.store.Vector())
+	s.publisher.EntriesChanged(s.now(), entries)
+	return entries, saved, nil
+}
