--- a/internal/controlplane/distribution/control/control_test.go
+++ b/internal/controlplane/distribution/control/control_test.go
@@ -296,7 +296,7 @@
 	t.Parallel()
 	disk := disks(t)
 	at, bt := address.Free(t), address.Free(t)
-	var proxies [2]*faultproxy.Cable
+	var proxies [2]*faultproxy.Proxy
 	for i, to := range []string{bt, at} {
 		var err error
 		if proxies[i], err = faultproxy.Listen(to); err != nil {
--- a/internal/controlplane/distribution/control/source.go
+++ b/internal/controlplane/distribution/control/source.go
@@ -7,6 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"fernvane/internal/controlplane/distribution"
+	"fernvane/internal/discovery/endpoints"
 	"fernvane/internal/discovery/incarnation"
 	"fernvane/internal/discovery/watch"
 	"fernvane/internal/discovery/zookeeper"
@@ -35,8 +36,9 @@
 		Now:      s.now,
 		OnChange: func(changed []incarnation.Entry, _ bool) { servers.update(changed, false) },
 		OnError:  func(err error) { s.log.Warn().Err(err).Msg("registry read failed") },
-		OnMassRemoval: func(isSuspected bool) {
-			s.log.Error().Bool("suspected", isSuspected).Msg("mass removal suspicion changed")
+		OnMassRemoval: func(removal endpoints.MassRemoval) {
+			s.log.Error().Bool("suspected", removal.IsSuspected).Int("removed", removal.Removed).Int("total", removal.Total).
+				Msg("mass removal suspicion changed")
 		},
 	})
 }
--- a/internal/controlplane/planner/discovery.go
+++ b/internal/controlplane/planner/discovery.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 
+	"fernvane/internal/discovery/endpoints"
 	"fernvane/internal/discovery/incarnation"
 	"fernvane/internal/discovery/watch"
 	"fernvane/internal/discovery/zookeeper"
@@ -23,8 +24,9 @@
 		Now:      s.now,
 		OnChange: func(changed []incarnation.Entry, _ bool) { s.registryChanged(changed) },
 		OnError:  func(err error) { s.log.Warn().Err(err).Msg("registry read failed") },
-		OnMassRemoval: func(isSuspected bool) {
-			s.log.Error().Bool("suspected", isSuspected).Msg("mass removal suspicion changed")
+		OnMassRemoval: func(removal endpoints.MassRemoval) {
+			s.log.Error().Bool("suspected", removal.IsSuspected).Int("removed", removal.Removed).Int("total", removal.Total).
+				Msg("mass removal suspicion changed")
 		},
 	})
 }
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -1,4 +1,4 @@
-// Package audit tells whether the rules were kept, from what clients, boxes, discovery and the keeper of the nodes saw.
+// Package audit tells whether the rules were kept, from what clients, servers, discovery and the keeper of the nodes saw.
 // It is free of I/O: what happened is told to it in any order, and Verdict looks at the whole.
 package audit
 
@@ -10,11 +10,11 @@
 )
 
 type attempt struct {
-	box     int
+	server  int
 	first   time.Duration
 	last    time.Duration
 	over    time.Duration // -1: not seen
-	unbegun bool          // the box said that it has not begun, and never will
+	unbegun bool          // the server said that it has not begun, and never will
 	ran     time.Duration // -1: it has not
 }
 
@@ -34,15 +34,15 @@
 
 // idle is how long a connection stood unused after a request on it.
 type idle struct {
-	box  int
-	from time.Duration
-	to   time.Duration
+	server int
+	from   time.Duration
+	to     time.Duration
 }
 
-type told struct {
+type announcement struct {
 	at   time.Duration
 	cond Condition
-	up   int64 // when the box was said to have started; 0: not said
+	up   int64 // when the server was said to have started; 0: not said
 	anew bool  // the node has forgotten what was before
 }
 
@@ -55,26 +55,26 @@
 // Audit gathers what happened.
 type Audit struct {
 	f              Figures
-	boxes          []Box
+	servers        []Server
 	requests       map[uint64]*request
-	told           map[[2]int][]told // by node and box
-	down           map[int][]span    // by node
+	announcements  map[[2]int][]announcement // by node and server
+	down           map[int][]span            // by node
 	extras         []string
 	fallen         []string
 	crashed        []string
 	invented       []string
 	owed           []string
 	brokenPromises []string
-	active         map[[2]int][]time.Duration // by node and box: sends and outcomes, in order; nil: not worked out
+	active         map[[2]int][]time.Duration // by node and server: sends and outcomes, in order; nil: not worked out
 }
 
 // New gathers from nothing.
 func New(f Figures) *Audit {
-	return &Audit{f: f, requests: map[uint64]*request{}, told: map[[2]int][]told{}, down: map[int][]span{}}
+	return &Audit{f: f, requests: map[uint64]*request{}, announcements: map[[2]int][]announcement{}, down: map[int][]span{}}
 }
 
-// Box makes the next box known; they are numbered from 0.
-func (a *Audit) Box(b Box) { a.boxes = append(a.boxes, b) }
+// Server makes the next server known; they are numbered from 0.
+func (a *Audit) Server(b Server) { a.servers = append(a.servers, b) }
 
 func (a *Audit) request(id uint64) *request {
 	r := a.requests[id]
@@ -103,34 +103,34 @@
 // Extra tells that a node sent something on a connection on which nothing was asked.
 func (a *Audit) Extra(node int) { a.extras = append(a.extras, fmt.Sprintf("node %d", node)) }
 
-// Attempt tells that a box was sent a request, by when its first and its last byte came.
+// Attempt tells that a server was sent a request, by when its first and its last byte came.
 func (a *Audit) Attempt(id uint64, box int, first, last time.Duration) {
 	r := a.request(id)
-	r.attempts = append(r.attempts, attempt{box: box, first: first, last: last, over: -1, ran: -1})
+	r.attempts = append(r.attempts, attempt{server: box, first: first, last: last, over: -1, ran: -1})
 }
 
-// Idle tells that a connection to a box on which a request was the last stood unused, until it ended or the next one came.
+// Idle tells that a connection to a server on which a request was the last stood unused, until it ended or the next one came.
 func (a *Audit) Idle(id uint64, box int, from, to time.Duration) {
 	r := a.request(id)
-	r.idle = append(r.idle, idle{box: box, from: from, to: to})
+	r.idle = append(r.idle, idle{server: box, from: from, to: to})
 }
 
-// Invented tells that a box was sent what no client has sent.
+// Invented tells that a server was sent what no client has sent.
 func (a *Audit) Invented(box int, what string) {
-	a.invented = append(a.invented, fmt.Sprintf("%q at %s", what, a.boxes[box].Name))
+	a.invented = append(a.invented, fmt.Sprintf("%q at %s", what, a.servers[box].Name))
 }
 
-// last is the latest attempt of a request at a box.
+// last is the latest attempt of a request at a server.
 func (r *request) last(box int) *attempt {
 	for i := len(r.attempts) - 1; i >= 0; i-- {
-		if r.attempts[i].box == box {
+		if r.attempts[i].server == box {
 			return &r.attempts[i]
 		}
 	}
 	return &attempt{}
 }
 
-// Ran tells that a box has begun the work of its latest attempt of a request.
+// Ran tells that a server has begun the work of its latest attempt of a request.
 func (a *Audit) Ran(id uint64, box int, at time.Duration) { a.request(id).last(box).ran = at }
 
 // Over tells that the attempt is out no more: it was answered, or its connection ended. unbegun: by the word that it never ran.
@@ -140,16 +140,16 @@
 	}
 }
 
-// Told tells that a node was told of a box, by discovery or by any planner, and when that box was said to have started.
-func (a *Audit) Told(node, box int, c Condition, up int64, at time.Duration) {
+// Announced tells that a node was told of a server, by discovery or by any planner, and when that server was said to have started.
+func (a *Audit) Announced(node, box int, c Condition, up int64, at time.Duration) {
 	k := [2]int{node, box}
-	a.told[k] = append(a.told[k], told{at: at, cond: c, up: up})
+	a.announcements[k] = append(a.announcements[k], announcement{at: at, cond: c, up: up})
 }
 
-// Excused tells that what a node was told of a box's end is not to be believed.
+// Excused tells that what a node was told of a server's end is not to be believed.
 func (a *Audit) Excused(node, box int, at time.Duration) {
 	k := [2]int{node, box}
-	a.told[k] = append(a.told[k], told{at: at, anew: true})
+	a.announcements[k] = append(a.announcements[k], announcement{at: at, anew: true})
 }
 
 // NodeDown tells that a node was ended on purpose; what it held is its clients' to retry.
@@ -169,8 +169,8 @@
 		d[len(d)-1].to = at
 	}
 	if len(d) > 0 && d[len(d)-1].still { // what it was told meanwhile it could not read before
-		for box := range a.boxes {
-			told := a.told[[2]int{node, box}]
+		for box := range a.servers {
+			told := a.announcements[[2]int{node, box}]
 			for i := range told {
 				if told[i].at > d[len(d)-1].from {
 					told[i].at = max(told[i].at, at)
@@ -179,9 +179,9 @@
 		}
 		return
 	}
-	for box := range a.boxes {
-		if k := [2]int{node, box}; len(a.told[k]) > 0 {
-			a.told[k] = append(a.told[k], told{at: at, anew: true})
+	for box := range a.servers {
+		if k := [2]int{node, box}; len(a.announcements[k]) > 0 {
+			a.announcements[k] = append(a.announcements[k], announcement{at: at, anew: true})
 		}
 	}
 }
@@ -194,12 +194,12 @@
 // Owed tells that a client which sent what cannot be read got neither an error nor a close in time.
 func (a *Audit) Owed(what string) { a.owed = append(a.owed, what) }
 
-// BrokenPromise tells that a journal of bindings lacks what a box has run, or claims what is not so.
+// BrokenPromise tells that a journal of non-idempotent requests lacks what a server has run, or claims what is not so.
 func (a *Audit) BrokenPromise(what string) { a.brokenPromises = append(a.brokenPromises, what) }
 
-// Fell tells that a cold box was sent too much.
+// Fell tells that a cold server was sent too much.
 func (a *Audit) Fell(box int, at time.Duration) {
-	a.fallen = append(a.fallen, fmt.Sprintf("%s at %s", a.boxes[box].Name, at.Round(time.Millisecond)))
+	a.fallen = append(a.fallen, fmt.Sprintf("%s at %s", a.servers[box].Name, at.Round(time.Millisecond)))
 }
 
 // Rule is what the audit says of one rule.
@@ -210,12 +210,12 @@
 	Worst  string `json:"worst,omitempty"`
 }
 
-// EachRan calls f for each work that a box has begun, of types that ask says yes to.
+// EachRan calls f for each work that a server has begun, of types that ask says yes to.
 func (a *Audit) EachRan(ask func(kind int) bool, f func(id uint64, node, box int)) {
 	for id, r := range a.requests {
 		for _, h := range r.attempts {
 			if r.known && h.ran >= 0 && ask(r.kind) {
-				f(id, r.node, h.box)
+				f(id, r.node, h.server)
 			}
 		}
 	}
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -17,7 +17,7 @@
 	"fernvane/internal/testbed/standin/zookeeper"
 )
 
-// schedule has every fault come at its moment. Which boxes and nodes a share means follows from the seed.
+// schedule has every fault come at its moment. Which servers and nodes a share means follows from the seed.
 func (w *world) schedule(ctx context.Context, shift time.Duration) {
 	begin := w.start.Add(shift)
 	for i := range w.Scenario.Faults {
@@ -34,14 +34,14 @@
 			w.fault(ctx, f, chance)
 		})
 	}
-	for _, m := range w.boxes {
+	for _, m := range w.servers {
 		if m.kind.PauseEvery > 0 {
 			w.wg.Go(func() { w.pauses(m) })
 		}
 	}
 }
 
-// pauses has a box stand still again and again, each at a moment of its own.
+// pauses has a server stand still again and again, each at a moment of its own.
 func (w *world) pauses(m *machine) {
 	first := m.kind.PauseEvery.Std() * time.Duration(m.Number%7) / 7
 	for wait := first; ; wait = m.kind.PauseEvery.Std() - m.kind.PauseFor.Std() {
@@ -62,7 +62,7 @@
 	}
 }
 
-// faults are what each kind does, to boxes one by one or as a whole. They return at once; what comes later is left to
+// faults are what each kind does, to servers one by one or as a whole. They return at once; what comes later is left to
 // w.after.
 var faults = map[string]func(*world, context.Context, *scenario.Fault, *rand.Rand){
 	"slow": each(func(w *world, f *scenario.Fault, m *machine) {
@@ -94,7 +94,7 @@
 	"spoil":      share(func(b *server.Faults, s float64) { b.Spoil = s }),
 	"cut-site": func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		cut := slices.Index(w.Scenario.Sites, f.Site)
-		boxes := slices.Clone(w.boxes)
+		boxes := slices.Clone(w.servers)
 		both := func(do func(m *machine, site int)) {
 			for _, m := range boxes {
 				for site := range w.Scenario.Sites {
@@ -108,7 +108,7 @@
 		w.after(f.For.Std(), func() { both(func(m *machine, site int) { m.Speak(site) }) })
 	},
 	"lose-site": func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
-		for _, m := range w.boxes {
+		for _, m := range w.servers {
 			if w.Scenario.Sites[m.Site] == f.Site {
 				m.Vanish()
 				w.dies(m, f.For.Std())
@@ -116,9 +116,9 @@
 		}
 	},
 	"shrink": func(w *world, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
-		leave := int(math.Round((1 - f.Size) * float64(len(w.boxes))))
-		for i, b := range chance.Perm(len(w.boxes))[:leave] {
-			w.after(f.For.Std()*time.Duration(i)/time.Duration(max(leave, 1)), func() { w.drain(w.boxes[b]) })
+		leave := int(math.Round((1 - f.Size) * float64(len(w.servers))))
+		for i, b := range chance.Perm(len(w.servers))[:leave] {
+			w.after(f.For.Std()*time.Duration(i)/time.Duration(max(leave, 1)), func() { w.drain(w.servers[b]) })
 		}
 	},
 	"replace": func(w *world, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
@@ -143,7 +143,7 @@
 	"discovery-move": func(w *world, _ context.Context, _ *scenario.Fault, _ *rand.Rand) {
 		w.mu.Lock()
 		w.discovery.Moved()
-		w.places++
+		w.addresses++
 		err := w.serveDiscovery()
 		w.mu.Unlock()
 		for n, p := range w.nodes {
@@ -177,7 +177,7 @@
 	},
 	"restart-nodes": func(w *world, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
 		for _, n := range w.chosenNodes(f, chance) {
-			w.front.Ended(n, planned)
+			w.balancer.Ended(n, planned)
 			w.wg.Go(func() {
 				if err := w.nodes[n].end(syscall.SIGTERM); err != nil {
 					w.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, err.Error()) })
@@ -228,13 +228,13 @@
 			w.pause(ctx, n, f.For.Std())
 		}
 	},
-	"cut-links":     linkFault(true, true, func(way *mesh.Way, _ float64) { way.Cut = true }),
-	"cut-links-out": linkFault(true, false, func(way *mesh.Way, _ float64) { way.Cut = true }),
-	"cut-links-in":  linkFault(false, true, func(way *mesh.Way, _ float64) { way.Cut = true }),
-	"late-links":    linkFault(true, true, func(way *mesh.Way, size float64) { way.Delay = time.Duration(size * float64(time.Second)) }),
-	"narrow-links":  linkFault(true, true, func(way *mesh.Way, size float64) { way.PerS = size * 1000 }),
-	"garbled-links": linkFault(true, true, func(way *mesh.Way, size float64) { way.Garble = size }),
-	"lossy-links":   linkFault(true, true, func(way *mesh.Way, size float64) { way.Lose, way.Twice, way.Reorder = size, size, size }),
+	"cut-links":     linkFault(true, true, func(way *mesh.Direction, _ float64) { way.Cut = true }),
+	"cut-links-out": linkFault(true, false, func(way *mesh.Direction, _ float64) { way.Cut = true }),
+	"cut-links-in":  linkFault(false, true, func(way *mesh.Direction, _ float64) { way.Cut = true }),
+	"late-links":    linkFault(true, true, func(way *mesh.Direction, size float64) { way.Delay = time.Duration(size * float64(time.Second)) }),
+	"narrow-links":  linkFault(true, true, func(way *mesh.Direction, size float64) { way.PerS = size * 1000 }),
+	"garbled-links": linkFault(true, true, func(way *mesh.Direction, size float64) { way.Garble = size }),
+	"lossy-links":   linkFault(true, true, func(way *mesh.Direction, size float64) { way.Lose, way.Twice, way.Reorder = size, size, size }),
 	"split-site": func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		var those []int
 		for n := range w.nodes {
@@ -242,7 +242,7 @@
 				those = append(those, n)
 			}
 		}
-		w.links(those, f.For.Std(), true, true, func(way *mesh.Way) { way.Cut = true })
+		w.links(those, f.For.Std(), true, true, func(way *mesh.Direction) { way.Cut = true })
 	},
 	"losses": func(w *world, ctx context.Context, f *scenario.Fault, chance *rand.Rand) { w.loseAgain(ctx, f, chance) },
 	"losses-beyond": func(w *world, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
@@ -293,11 +293,11 @@
 	}
 }
 
-// share has a share of the requests at the boxes named meet something, at all boxes where none is named.
+// share has a share of the requests at the servers named meet something, at all servers where none is named.
 func share(set func(*server.Faults, float64)) func(*world, context.Context, *scenario.Fault, *rand.Rand) {
 	return func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
-		for _, m := range w.boxes {
-			if len(f.Boxes) > 0 && !slices.Contains(f.Boxes, m.Name) {
+		for _, m := range w.servers {
+			if len(f.Servers) > 0 && !slices.Contains(f.Servers, m.Name) {
 				continue
 			}
 			m.Set(func(b *server.Faults) { set(b, f.Share) })
@@ -306,17 +306,17 @@
 	}
 }
 
-// chosen are the boxes that a fault names, or a share of all.
+// chosen are the servers that a fault names, or a share of all.
 func (w *world) chosen(f *scenario.Fault, chance *rand.Rand) (chosen []*machine) {
-	if len(f.Boxes) == 0 {
-		n := int(math.Ceil(f.Share * float64(len(w.boxes))))
-		for _, i := range chance.Perm(len(w.boxes))[:n] {
-			chosen = append(chosen, w.boxes[i])
+	if len(f.Servers) == 0 {
+		n := int(math.Ceil(f.Share * float64(len(w.servers))))
+		for _, i := range chance.Perm(len(w.servers))[:n] {
+			chosen = append(chosen, w.servers[i])
 		}
 		return chosen
 	}
-	for _, m := range w.boxes {
-		if slices.Contains(f.Boxes, m.Name) {
+	for _, m := range w.servers {
+		if slices.Contains(f.Servers, m.Name) {
 			chosen = append(chosen, m)
 		}
 	}
@@ -330,7 +330,7 @@
 	return chance.Perm(len(w.nodes))[:int(math.Ceil(f.Share*float64(len(w.nodes))))]
 }
 
-// dies has discovery learn of a death that nobody told, and the box come back cold after a while.
+// dies has discovery learn of a death that nobody told, and the server come back cold after a while.
 func (w *world) dies(m *machine, back time.Duration) {
 	if w.registry != nil { // its session expires when nothing was heard of it for long enough
 		m.mu.Lock()
@@ -351,11 +351,11 @@
 	}
 }
 
-// drain has a box leave in good order: discovery tells so, it turns away what is new a while later, and ends.
+// drain has a server leave in good order: discovery tells so, it rejects what is new a while later, and ends.
 func (w *world) drain(m *machine) {
 	notice := w.Scenario.Discovery.Notice.Std()
 	m.mu.Lock()
-	m.gone = true
+	m.isLost = true
 	m.mu.Unlock()
 	w.announce(m, discovery.Draining, notice, time.Time{})
 	w.after(notice+lateDrain, func() { m.Drain(true) })
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/testbed_test.go
@@ -41,7 +41,7 @@
 		cfg.NewPolicy, _ = baseline.Find(os.Getenv(policyVar))
 		_, cfg.Unguarded = baseline.Broken[os.Getenv(policyVar)]
 		cfg.Deaf = baseline.Broken[os.Getenv(policyVar)] == "leavers"
-		cfg.Hoards = baseline.Broken[os.Getenv(policyVar)] == "closing"
+		cfg.Retention = baseline.IdleRetention(os.Getenv(policyVar))
 		os.Exit(proxy.RunProcess(cfg, os.Stderr, zerolog.InfoLevel))
 	}
 	goleak.VerifyTestMain(m)
@@ -49,7 +49,7 @@
 
 func play(t *testing.T, s *scenario.Scenario, policy string) *Outcome {
 	t.Helper()
-	out, err := Run(context.Background(), Options{Scenario: s, Ops: load.Plan(s), Command: []string{os.Args[0]}, Planner: []string{os.Args[0]}, Env: []string{policyVar + "=" + policy}})
+	out, err := Run(context.Background(), Options{Scenario: s, Requests: load.Plan(s), Command: []string{os.Args[0]}, Planner: []string{os.Args[0]}, Env: []string{policyVar + "=" + policy}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/policy/input.go
+++ b/policy/input.go
@@ -50,7 +50,7 @@
 const (
 	// Success is an answer.
 	Success Outcome = iota
-	// Failure is an answer that tells of an error of the server.
+	// Failure is an answer that reports an error of the server.
 	Failure
 	// Overloaded is a refusal by a server that is full: the request has not run.
 	Overloaded
@@ -105,7 +105,7 @@
 	Timeout       time.Duration // after which the client gives up
 
 	Outcome        Outcome
-	Elapsed        time.Duration // since the attempt was sent
+	Elapsed        time.Duration // since the attempt was sent; for other deciders, Policy keeps its own times
 	ClientAnswered bool          // the client has its final answer
 
 	Scope     UpdateScope
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -59,8 +59,8 @@
 		return false
 	}
 	canGrow := len(p.subset.members) < p.subset.readyCount
-	if failures := p.subset.connectFailures.Rate(attributionMemory); failures > maxConnectFailureShare {
-		return p.pickFromSubset(r, careIdle) || canGrow && p.chance() > math.Sqrt(failures) && p.growSubset(r)
+	if failed := p.subset.connectFailures.Rate(attributionMemory); failed > maxConnectFailureShare {
+		return p.pickFromSubset(r, careIdle) || canGrow && p.chance() > math.Sqrt(failed) && p.growSubset(r)
 	}
 	if canGrow && (p.pickFromSubset(r, careIdle) || p.growSubset(r)) {
 		return true
@@ -138,7 +138,7 @@
 
 // isCrowded reports whether a server has more in flight than the mean for its weight.
 func (p *Policy) isCrowded(s int) bool {
-	mean := crowdedFactor * p.concurrency.inFlight * p.picker.weight[s] / max(p.picker.totalWeight, 1e-9)
+	mean := crowdedFactor * p.concurrency.inFlight * p.picker.weight[s] / max(p.picker.totalWeight, minDivisor)
 	return float64(p.load.inFlight[s])+p.load.abandoned[s] > mean
 }
 
--- a/policy/request.go
+++ b/policy/request.go
@@ -9,15 +9,25 @@
 	"fernvane/policy/internal/tenants"
 )
 
-// minAnswerLead is how long before the client's deadline the final answer goes out at the latest.
-const minAnswerLead = 5 * time.Millisecond
+const (
+	// minAnswerLead is how long before the client's deadline the final answer goes out at the latest.
+	minAnswerLead = 5 * time.Millisecond
 
-// neverRan stands for the server of an attempt that provably never ran, and for no server.
-const neverRan = -1
+	// objectiveLeadTicks is how long before its latency objective a request counts as late, in ticks of the timer: an
+	// attempt that times out then still leaves time for an answer within the objective.
+	objectiveLeadTicks = 2
+
+	minRetryAfterShare = 0.9 // of the longest Retry-After
+	minReturnShare     = 0.3 // of the time in which a client can still return and be served
+	latenciesToServe   = 2   // typical latencies that a client must have left to be served
+)
+
+// noServer stands for no server, and for that of an attempt that provably never ran.
+const noServer = -1
 
 // attempt is one sending of a request to one server.
 type attempt struct {
-	server    int // or neverRan
+	server    int // or noServer
 	sentAt    time.Duration
 	ended     bool
 	uncounted bool // does not count toward the node's concurrency limit any more
@@ -54,13 +64,13 @@
 
 // forgetAttempt takes back that an attempt may have run: the first of the others that may have run comes in its place.
 func (r *request) forgetAttempt(number int) {
-	r.mayHaveRun, r.keyServer = false, neverRan
+	r.mayHaveRun, r.keyServer = false, noServer
 	for i, a := range r.attempts {
 		if i != number && a.server >= 0 && r.keyServer < 0 {
 			r.mayHaveRun, r.keyServer, r.firstRunAt = true, a.server, a.sentAt
 		}
 	}
-	r.attempts[number].server = neverRan
+	r.attempts[number].server = noServer
 }
 
 // requestTable holds the requests by index. The index of one that is done is used again.
@@ -83,7 +93,7 @@
 
 func (p *Policy) requestArrived(in *Input) {
 	columns.Extend(in.Request+1, &p.requests.all)
-	if in.TrafficType >= len(p.settings.TrafficTypes) {
+	if in.TrafficType >= len(p.settings.TrafficTypes) { // nothing is known of the type, and nothing has run
 		p.emit(Effect{Kind: Reject, Request: in.Request})
 		return
 	}
@@ -97,10 +107,10 @@
 		key:            in.Key,
 		isClientRetry:  in.IsClientRetry,
 		arrivedAt:      p.now,
-		objectiveAt:    p.now + min(t.LatencyObjective-2*p.settings.TimerGranularity, in.Timeout),
+		objectiveAt:    p.now + min(t.LatencyObjective-objectiveLeadTicks*p.settings.TimerGranularity, in.Timeout),
 		clientDeadline: p.now + in.Timeout,
 		attempts:       r.attempts[:0],
-		keyServer:      neverRan,
+		keyServer:      noServer,
 	}
 	p.activateType(in.TrafficType)
 	if in.Tenant >= p.quotas.known {
@@ -153,10 +163,10 @@
 // Both are spread, so that clients do not return together.
 func (p *Policy) reject(request int) {
 	r := &p.requests.all[request]
-	after := time.Duration(float64(p.settings.MaxRetryAfter) * (0.9 + 0.1*p.chance()))
-	left := r.objectiveAt - p.now - 2*p.latency.typical[r.trafficType]
+	after := time.Duration(float64(p.settings.MaxRetryAfter) * (minRetryAfterShare + (1-minRetryAfterShare)*p.chance()))
+	left := r.objectiveAt - p.now - latenciesToServe*p.latency.typical[r.trafficType]
 	if left > 0 && after > 0 {
-		after = min(after, time.Duration(float64(left)*(0.3+0.7*p.chance())))
+		after = min(after, time.Duration(float64(left)*(minReturnShare+(1-minReturnShare)*p.chance())))
 	}
 	p.emit(Effect{Kind: Reject, Request: request, Duration: after})
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	slowStartShare    = 0.6 // of the load that would crash the server; the rest is for chance and for unseen nodes
+	slowStartShare    = 0.6 // of the load that would crash the server; what is left is for chance and for unseen nodes
 	minSlowStartShare = 0.5 // of the load that would crash a server of one core: the least rate, over all nodes
 
 	maxSlowStartTokens     = 2.0             // attempts saved up for a server
@@ -82,7 +82,7 @@
 
 // slowStartRate returns the attempts a second that this node may send a server at full capacity.
 func (p *Policy) slowStartRate(s int) float64 {
-	share := p.servers.listedWeight[s] / max(p.picker.totalCapacity, 1e-9)
+	share := p.servers.listedWeight[s] / max(p.picker.totalCapacity, minDivisor)
 	if p.settings.WeightsFollowLoad { // an idle server is listed for several busy ones
 		share = min(share, 1/max(float64(len(p.subset.members)), 1))
 	}
