--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -1,5 +1,8 @@
-// Package http1 is what is spoken: HTTP/1.1 messages on plain connections, and the names that clients,
-// servers and discovery use in them. It decides nothing and sends nothing twice.
+// Package http1 reads and writes HTTP/1.1 messages on plain connections, and discovery's endpoint list (endpointlist.go),
+// whose field names no other package knows. It decides nothing and sends nothing twice.
+//
+// A Conn belongs to the goroutine that serves its connection. Only HasUnread and PeekDisconnected may be called from
+// others.
 package http1
 
 import (
@@ -12,13 +15,14 @@
 	"fernvane/internal/protocol/sockpeek"
 )
 
+// Bounds of a connection's buffer, in bytes, and of what it reads.
 const (
-	firstBuffer = 2 << 10 // bytes a connection reads into at first; most messages fit
-	KeptBuffer  = 8 << 10 // bytes of a buffer that a connection may hold on to; what is beyond is lent by the pool
-	maxEmpty    = 8       // empty lines ahead of a message
-	maxWords    = 8       // answers 1xx ahead of the answer
-	maxLine     = 256     // bytes of a chunk's size line
-	maxTrailer  = 4 << 10 // bytes after the last chunk
+	initialBufferBytes  = 2 << 10 // fits most messages
+	KeptBuffer          = 8 << 10 // of a buffer between messages; more is reserved from the budget
+	maxEmptyLines       = 8       // ahead of a message
+	maxInterimResponses = 8       // 1xx ahead of the response
+	maxChunkLineBytes   = 256
+	maxTrailerBytes     = 4 << 10 // after the last chunk
 )
 
 var (
@@ -27,50 +31,53 @@
 	errNoHead   = errors.New("it does not begin as a head")
 )
 
-// Conn is a connection with its one buffer. What is read stays in the buffer, so a message and all its
-// parts are valid until the next message is read or written on the same connection.
+// Conn is a connection with its one buffer. A message that was read lies in the buffer: it is valid until the next message
+// is read or written on the same connection.
 type Conn struct {
 	net.Conn
-	buf     []byte
-	at, end int // read from the socket and not yet used: buf[at:end]
-	pool    *Pool
-	lent    int
-	ahead   ahead
-	rests   ReadObserver // nil: nobody is told
+	buf              []byte
+	readPos, fillPos int // unread bytes are buf[readPos:fillPos]
+	budget           *Pool
+	borrowed         int
+	ahead            readAhead
+	observer         ReadObserver // nil: none
 }
 
-// ReadObserver is told of the waits of a connection's reader, as sock.Waits is. half: part of a message is in hand.
+// ReadObserver is notified by a connection's reader before and after it blocks, as sockpeek.ReadObserver is. half: part of
+// a message has been read.
 type ReadObserver interface {
 	ReadBlocked(half bool)
 	ReadReady() bool
 }
 
-// ObserveReads has the connection's reader tell of its waits.
-func (c *Conn) ObserveReads(r ReadObserver) { c.rests = r }
+// ObserveReads sets the observer of the connection's reads.
+func (c *Conn) ObserveReads(r ReadObserver) { c.observer = r }
 
-// ReadBlocked and Came are what sock.Read tells.
-func (c *Conn) ReadBlocked()    { c.rests.ReadBlocked(c.end > 0) }
-func (c *Conn) ReadReady() bool { return c.rests.ReadReady() }
+// ReadBlocked implements sockpeek.ReadObserver.
+func (c *Conn) ReadBlocked() { c.observer.ReadBlocked(c.fillPos > 0) }
 
-// NewConn wraps a connection that nothing was read from.
+// ReadReady implements sockpeek.ReadObserver.
+func (c *Conn) ReadReady() bool { return c.observer.ReadReady() }
+
+// NewConn wraps a connection from which nothing has been read.
 func NewConn(c net.Conn) *Conn { return &Conn{Conn: c} }
 
-// NewPooled is NewConn for one that shares memory with others.
-func NewPooled(c net.Conn, p *Pool) *Conn { return &Conn{Conn: c, pool: p} }
+// NewPooled is NewConn for a connection that shares a budget of memory with others.
+func NewPooled(c net.Conn, p *Pool) *Conn { return &Conn{Conn: c, budget: p} }
 
-// ReleaseBuffers gives back a buffer grown by a large message. What was read is not valid after it.
+// ReleaseBuffers frees a buffer that a large message has grown. What was read is not valid after it.
 func (c *Conn) ReleaseBuffers() {
 	if len(c.buf) > KeptBuffer {
-		c.buf, c.at, c.end = nil, 0, 0
-		c.pool.Release(c.lent)
-		c.lent = 0
+		c.buf, c.readPos, c.fillPos = nil, 0, 0
+		c.budget.Release(c.borrowed)
+		c.borrowed = 0
 	}
 }
 
 // AwaitMessage returns once a message has begun to arrive.
 func (c *Conn) AwaitMessage() error {
 	c.begin()
-	for c.at == c.end {
+	for c.readPos == c.fillPos {
 		if err := c.fill(MaxHead); err != nil {
 			return err
 		}
@@ -78,47 +85,47 @@
 	return nil
 }
 
-// begin moves what is unread to the start of the buffer, and gives back a buffer grown by a large message.
+// begin moves unread bytes to the start of the buffer, and frees one that a large message has grown.
 func (c *Conn) begin() {
-	if c.at > 0 {
-		c.end = copy(c.buf, c.buf[c.at:c.end])
-		c.at = 0
+	if c.readPos > 0 {
+		c.fillPos = copy(c.buf, c.buf[c.readPos:c.fillPos])
+		c.readPos = 0
 	}
-	if c.end == 0 {
+	if c.fillPos == 0 {
 		c.ReleaseBuffers()
 	}
 }
 
-// fill reads once; the buffer doubles when it is full, up to limit bytes.
+// fill reads once. A full buffer doubles, up to limit bytes.
 func (c *Conn) fill(limit int) error {
-	if c.end == len(c.buf) {
-		if c.end >= limit {
+	if c.fillPos == len(c.buf) {
+		if c.fillPos >= limit {
 			return errTooLarge
 		}
-		size := min(max(2*len(c.buf), firstBuffer), limit)
-		if more := size - KeptBuffer - c.lent; more > 0 {
-			if !c.pool.Reserve(more) {
+		size := min(max(2*len(c.buf), initialBufferBytes), limit)
+		if more := size - KeptBuffer - c.borrowed; more > 0 {
+			if !c.budget.Reserve(more) {
 				return errNoMemory
 			}
-			c.lent += more
+			c.borrowed += more
 		}
 		grown := make([]byte, size)
-		copy(grown, c.buf[:c.end])
+		copy(grown, c.buf[:c.fillPos])
 		c.buf = grown
 	}
 	var n int
 	var err error
 	switch {
-	case len(c.ahead.held) > 0:
-		n = c.ahead.take(c.buf[c.end:])
-	case c.rests != nil:
-		n, err = sockpeek.Read(c.Conn, c.buf[c.end:], c)
+	case len(c.ahead.buffered) > 0:
+		n = c.ahead.take(c.buf[c.fillPos:])
+	case c.observer != nil:
+		n, err = sockpeek.Read(c.Conn, c.buf[c.fillPos:], c)
 	default:
-		n, err = c.Read(c.buf[c.end:])
+		n, err = c.Read(c.buf[c.fillPos:])
 	}
-	c.end += n
+	c.fillPos += n
 	if n > 0 {
-		return nil // an error comes again with the next read
+		return nil // an error is returned again by the next read
 	}
 	if err == nil {
 		err = io.ErrNoProgress
@@ -126,27 +133,28 @@
 	return err
 }
 
-// head reads up to the empty line and returns what lies before it. What does not begin as it should is not waited for.
-func (c *Conn) head(begins string) ([]byte, error) {
+// readHead reads up to the empty line and returns what is before it. It fails at once for what does not begin as begins
+// says.
+func (c *Conn) readHead(begins string) ([]byte, error) {
 	c.begin()
 	for from, empty := 0, 0; ; {
-		for c.end >= 2 && c.at == 0 && c.buf[0] == '\r' && c.buf[1] == '\n' { // left over by a careless sender
-			if empty++; empty > maxEmpty { // there are senders of nothing else
+		for c.fillPos >= 2 && c.readPos == 0 && c.buf[0] == '\r' && c.buf[1] == '\n' { // an empty line ahead of the message
+			if empty++; empty > maxEmptyLines {
 				return nil, errTooLarge
 			}
-			c.end = copy(c.buf, c.buf[2:c.end])
+			c.fillPos = copy(c.buf, c.buf[2:c.fillPos])
 			from = 0
 		}
-		if i := bytes.Index(c.buf[from:c.end], []byte("\r\n\r\n")); i >= 0 {
-			c.at = from + i + 4
+		if i := bytes.Index(c.buf[from:c.fillPos], []byte("\r\n\r\n")); i >= 0 {
+			c.readPos = from + i + 4
 			return c.buf[:from+i+2], nil
 		}
-		if n := min(c.end, len(begins)); n > 0 && c.buf[0] != '\r' && string(c.buf[:n]) != begins[:n] {
+		if n := min(c.fillPos, len(begins)); n > 0 && c.buf[0] != '\r' && string(c.buf[:n]) != begins[:n] {
 			return nil, errNoHead
 		}
-		from = max(c.end-3, 0)
+		from = max(c.fillPos-3, 0)
 		if err := c.fill(MaxHead); err != nil {
-			if err == io.EOF && c.end > 0 {
+			if err == io.EOF && c.fillPos > 0 {
 				err = io.ErrUnexpectedEOF
 			}
 			return nil, err
@@ -154,36 +162,36 @@
 	}
 }
 
-// Send writes a whole message and tells whether its last byte was written.
+// Send writes a message and reports whether its last byte was written.
 func (c *Conn) Send(message []byte) (whole bool, err error) {
 	n, err := c.Write(message)
 	return n == len(message), err
 }
 
-// Scratch is room to put a message together in: the connection's own buffer where nothing unread lies in
-// it. What was read before is overwritten.
+// Scratch returns an empty slice to build a message in: of the connection's own buffer where it holds nothing unread. What
+// was read before is overwritten.
 func (c *Conn) Scratch() []byte {
-	if c.at < c.end {
+	if c.readPos < c.fillPos {
 		return nil
 	}
-	c.at, c.end = 0, 0
+	c.readPos, c.fillPos = 0, 0
 	return c.buf[:0]
 }
 
-// IsIdle tells that an idle connection is open and that nothing has come on it.
+// IsIdle reports that the connection is open and that nothing has arrived on it.
 func (c *Conn) IsIdle() bool {
 	_, err := sockpeek.Peek(c.Conn, false)
-	return err == syscall.EAGAIN && c.at == c.end
+	return err == syscall.EAGAIN && c.readPos == c.fillPos
 }
 
-// HasUnread tells that something has come that was not read yet. It may be asked from anywhere.
+// HasUnread reports that something has arrived that was not read yet. It may be called from any goroutine.
 func (c *Conn) HasUnread() bool {
-	if c.ahead.count.Load() > 0 {
+	if c.ahead.bufferedCount.Load() > 0 {
 		return true
 	}
 	n, err := sockpeek.Peek(c.Conn, false)
 	return err == nil && n > 0
 }
 
-// HasMore tells that something lies behind the message just read.
-func (c *Conn) HasMore() bool { return c.at < c.end || c.HasUnread() }
+// HasMore reports that something has arrived behind the message just read.
+func (c *Conn) HasMore() bool { return c.readPos < c.fillPos || c.HasUnread() }
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -46,7 +46,7 @@
 	NewPolicy             engine.DeciderFactory                     // nil: package policy
 	DrainGuard            DrainGuard                                // nil: the dispatcher's
 	WrapDisconnectWatcher func(DisconnectWatcher) DisconnectWatcher // nil: clients' connections are watched as they are
-	Hoards                bool                                      // idle connections to servers that leave are kept
+	Retention             dispatch.IdleRetention                    // which idle connections to servers are kept; nil: the dispatcher's rule
 
 	path           string              // of the file that the configuration was read from
 	getenv         func(string) string // of the start
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -64,10 +64,8 @@
 // run is Run on a listener, which it closes.
 func run(signals Signals, cfg Config, log zerolog.Logger, ln *net.TCPListener) error {
 	defer ln.Close()
-	s := &Server{cfg: cfg, logger: log, startedAt: time.Now(), dispatcher: dispatch.New(cfg.Settings, cfg.Seed, cfg.Limits, cfg.newDecider())}
-	if cfg.Hoards {
-		s.dispatcher.Hoard()
-	}
+	s := &Server{cfg: cfg, logger: log, startedAt: time.Now()}
+	s.dispatcher = dispatch.New(cfg.Settings, cfg.Seed, cfg.Limits, cfg.newDecider(), dispatch.WithIdleRetention(cfg.Retention))
 	defer s.dispatcher.Stop()
 	var replaced <-chan struct{}
 	if cfg.Peers != nil {
--- a/internal/testbed/brokennode.go
+++ b/internal/testbed/brokennode.go
@@ -18,7 +18,7 @@
 	if rule == "leavers" {
 		cfg.WrapDisconnectWatcher = func(w proxy.DisconnectWatcher) proxy.DisconnectWatcher { return ignoredDisconnects{w} }
 	}
-	cfg.Hoards = rule == "closing"
+	cfg.Retention = baseline.IdleRetention(policyName)
 	return true
 }
 
--- a/internal/testbed/standin/link/link_test.go
+++ b/internal/testbed/standin/link/link_test.go
@@ -35,9 +35,9 @@
 		open, fresh   error
 		heals, resets bool
 	}{
-		"silence":       {(*Listener).Hush, (*Listener).Speak, os.ErrDeadlineExceeded, os.ErrDeadlineExceeded, true, false},
-		"death":         {(*Listener).Leave, func(l *Listener) { l.Return() }, syscall.ECONNRESET, syscall.ECONNREFUSED, false, true},
-		"death, silent": {func(l *Listener) { l.Hush(); l.Leave() }, func(l *Listener) { l.Return() }, syscall.ECONNRESET, syscall.ECONNREFUSED, false, true},
+		"silence":       {(*Listener).Silence, (*Listener).EndSilence, os.ErrDeadlineExceeded, os.ErrDeadlineExceeded, true, false},
+		"death":         {(*Listener).Stop, func(l *Listener) { l.Reopen() }, syscall.ECONNRESET, syscall.ECONNREFUSED, false, true},
+		"death, silent": {func(l *Listener) { l.Silence(); l.Stop() }, func(l *Listener) { l.Reopen() }, syscall.ECONNRESET, syscall.ECONNREFUSED, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := Listen("127.0.0.1:0", echo)
@@ -85,7 +85,7 @@
 	}
 }
 
-// A listener that left can return at once, also while a process that the lab is just starting shares its socket.
+// A listener that left can return at once, also while a process that the testbed is just starting shares its socket.
 func TestReturnsBesideAFork(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", func(*Conn) {})
 	if err != nil {
@@ -97,15 +97,15 @@
 		t.Fatal(err)
 	}
 	defer shared.Close()
-	l.Leave()
-	if err := l.Return(); err != nil {
+	l.Stop()
+	if err := l.Reopen(); err != nil {
 		t.Error(err)
 	}
 }
 
 // Bytes that are copied on from a connection, or into it, stand still in a silence like those that are read and written. The old code
 // let io.Copy pass by it, and regions that the scale runs had cut off heard of each other all the time.
-func TestSilenceHoldsWhatIsCopied(t *testing.T) {
+func TestSilenceHoldsCopiedBytes(t *testing.T) {
 	for name, copying := range map[string]func(c *Conn, other net.Conn){
 		"from it": func(c *Conn, other net.Conn) { io.Copy(other, c) },
 		"into it": func(c *Conn, other net.Conn) { io.Copy(c, other) },
@@ -136,12 +136,12 @@
 			if err := passes(patience); err != nil {
 				t.Fatal(err)
 			}
-			l.Hush()
+			l.Silence()
 			from.Write([]byte("b"))
 			if err := passes(100 * time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("in a silence: %v", err)
 			}
-			l.Speak()
+			l.EndSilence()
 			if err := passes(patience); err != nil {
 				t.Errorf("after it: %v", err)
 			}
