--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -10,15 +10,18 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// moveTo has discovery followed at another address, at once.
-func (s *Server) changeDiscovery(at netip.AddrPort) {
-	s.discoveryTarget.Swap(watch.NewTarget(at)).Replace()
+// unconfirmedPollInterval is the pause before discovery is polled again for a list that was not applied.
+const unconfirmedPollInterval = time.Second
+
+// changeDiscovery has discovery followed at another address, at once.
+func (s *Server) changeDiscovery(address netip.AddrPort) {
+	s.discoveryTarget.Swap(watch.NewTarget(address)).Replace()
 }
 
-// follow watches discovery's list whenever the module asks for it, until a call fails. Under planners it waits until
-// they have been silent for long enough.
+// followDiscovery polls discovery from when the policy asks for it until a poll fails, again and again until the node ends. Where planners
+// or control processes bring the list, it waits until discovery is needed in their place.
 func (s *Server) followDiscovery(ctx context.Context) error {
-	w := watch.Watcher{Target: s.discoveryTarget.Load(), Revision: s.cfg.SavedList.Revision, IsPushed: !s.cfg.Settings.MustRequestEndpoints}
+	w := &watch.Watcher{Target: s.discoveryTarget.Load(), Revision: s.cfg.SavedList.Revision, IsPushed: !s.cfg.Settings.MustRequestEndpoints}
 	defer w.Close()
 	for {
 		select {
@@ -27,66 +30,80 @@
 		case <-s.dispatcher.PollRequested():
 		case <-w.Target.Replaced.Done():
 		}
-		for {
-			if w.Target.Replaced.Err() != nil {
-				w.Close()
-				w.Target, w.HasMoved = s.discoveryTarget.Load(), true
-			}
-			if s.planners != nil {
-				if !s.planners.needsDiscovery() {
-					w.Close()
-				}
-				told, ok := s.planners.awaitDiscoveryNeeded(ctx)
-				if !ok {
-					return nil
-				}
-				w.Revision = max(w.Revision, told) // only what they have not told is asked for
-			}
-			if s.distribution != nil {
-				if !s.distribution.needsDiscovery() {
-					w.Close()
-				}
-				if !s.distribution.awaitDiscoveryNeeded(ctx) {
-					return nil
-				}
-			}
-			began := time.Now()
-			list, err := w.Poll(ctx)
-			if ctx.Err() != nil {
-				return nil
-			}
-			if err != nil && w.Target.Replaced.Err() != nil {
-				continue
-			}
-			if err != nil {
-				s.logger.Warn().Err(err).Msg("discovery failed")
-				s.dispatcher.DiscoveryFailed()
-				break
-			}
-			if w.HasMoved && !list.Complete && list.Revision < w.Revision { // it counts from elsewhere: ours says nothing there
-				w.WantsFullList = true
-				continue
-			}
-			w.HasMoved, w.WantsFullList, w.Revision = false, false, list.Revision
-			if !s.applyDiscoveryList(list) { // what was told is not believed yet
-				w.WantsFullList = true
-				select {
-				case <-ctx.Done():
-				case <-time.After(unconfirmedPollInterval):
-				}
-				continue
-			}
-			if len(list.Hosts) > 0 {
-				s.logger.Info().Uint64("revision", list.Revision).Bool("whole", list.Complete).Int("entries", len(list.Hosts)).Msg("list told")
-			}
-			if early := watch.MinPollInterval - time.Since(began); early > 0 {
-				time.Sleep(early)
-			}
+		for s.pollDiscovery(ctx, w) {
+		}
+		if ctx.Err() != nil {
+			return nil
+		}
+	}
+}
+
+// pollDiscovery polls once and hands over the list. It reports whether to go on: not after a failed poll, nor at the node's end.
+func (s *Server) pollDiscovery(ctx context.Context, w *watch.Watcher) bool {
+	if w.Target.Replaced.Err() != nil {
+		w.Close()
+		w.Target, w.HasMoved = s.discoveryTarget.Load(), true
+	}
+	if !s.awaitDiscoveryNeeded(ctx, w) {
+		return false
+	}
+	startedAt := time.Now()
+	list, err := w.Poll(ctx)
+	switch {
+	case ctx.Err() != nil:
+		return false
+	case err != nil && w.Target.Replaced.Err() != nil:
+		return true
+	case err != nil:
+		s.logger.Warn().Err(err).Msg("discovery failed")
+		s.dispatcher.DiscoveryFailed()
+		return false
+	case w.HasMoved && !list.Complete && list.Revision < w.Revision: // the new address counts revisions of its own
+		w.WantsFullList = true
+		return true
+	}
+	w.HasMoved, w.WantsFullList, w.Revision = false, false, list.Revision
+	if !s.applyDiscoveryList(list) {
+		w.WantsFullList = true
+		select {
+		case <-ctx.Done():
+		case <-time.After(unconfirmedPollInterval):
+		}
+		return true
+	}
+	if len(list.Hosts) > 0 {
+		s.logger.Info().Uint64("revision", list.Revision).Bool("whole", list.Complete).Int("entries", len(list.Hosts)).Msg("endpoint list updated")
+	}
+	if early := watch.MinPollInterval - time.Since(startedAt); early > 0 {
+		time.Sleep(early)
+	}
+	return true
+}
+
+// awaitDiscoveryNeeded waits while planners or control processes bring the list, with no connection to discovery. It is false at the
+// node's end. Only what planners have not announced is polled for.
+func (s *Server) awaitDiscoveryNeeded(ctx context.Context, w *watch.Watcher) bool {
+	if s.planners != nil {
+		if !s.planners.needsDiscovery() {
+			w.Close()
 		}
+		announced, ok := s.planners.awaitDiscoveryNeeded(ctx)
+		if !ok {
+			return false
+		}
+		w.Revision = max(w.Revision, announced)
+	}
+	if s.distribution != nil {
+		if !s.distribution.needsDiscovery() {
+			w.Close()
+		}
+		return s.distribution.awaitDiscoveryNeeded(ctx)
 	}
+	return true
 }
 
-// listed hands over what discovery has told, joined with what planners have. It is false for a list that is not believed.
+// applyDiscoveryList hands over a list of discovery, joined with what planners have announced. It is false for a list that is not
+// applied, since it lacks most servers that are proven to serve.
 func (s *Server) applyDiscoveryList(list http1.EndpointList) bool {
 	s.logSkippedEntries(list)
 	if s.endpointCache != nil {
@@ -95,11 +112,12 @@
 			return false
 		}
 	}
-	if s.planners != nil {
+	switch {
+	case s.planners != nil:
 		s.planners.applyDiscoveryList(list)
-	} else if s.distribution != nil {
+	case s.distribution != nil:
 		s.distribution.applyDiscoveryList(list)
-	} else {
+	default:
 		s.dispatcher.ApplyList(list, endpoints.SourceDiscovery)
 	}
 	return true
--- /dev/null
+++ b/internal/proxy/endpointcacheconfirm.go
@@ -0,0 +1,66 @@
+package proxy
+
+import (
+	"time"
+
+	"fernvane/internal/discovery/endpoints"
+	"fernvane/internal/discovery/staleness"
+	"fernvane/internal/protocol/http1"
+)
+
+const (
+	incompleteListDuration = 30 * time.Second // a list that lacks most proven servers is not applied for so long
+	maxMissingShare        = 0.5              // of the proven servers
+	minMissing             = 2                // servers; a list that lacks fewer is applied
+)
+
+// confirm ends the suspicion of the cached list, since a source has announced a list, and returns what is to be applied. Changes are
+// changes to the cached list, which is confirmed with them. ok is false for a list that is not applied yet.
+func (c *endpointCache) confirm(l http1.EndpointList, source endpoints.Source) (out http1.EndpointList, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastRevision = max(c.lastRevision, l.Revision)
+	if c.evaluator == nil {
+		return l, true
+	}
+	if l.Complete && c.lacksProvenServers(l) {
+		return l, false
+	}
+	if !l.Complete && source == endpoints.SourceDiscovery {
+		hosts := make([]http1.Endpoint, 0, len(c.endpoints)+len(l.Hosts))
+		for _, e := range c.endpoints {
+			hosts = append(hosts, listedEndpoint(e))
+		}
+		l.Hosts = append(hosts, l.Hosts...)
+	}
+	c.evaluator, c.endpoints = nil, nil
+	c.dispatcher.EndSuspicion()
+	c.logger.Info().Stringer("from", source).Dur("after", time.Since(c.startedAt)).Msg("cached endpoint list confirmed")
+	return l, true
+}
+
+// lacksProvenServers reports whether a complete list lacks most of the servers that have shown since the start that they serve, and is not
+// to be applied for that: a source that has restarted may announce no servers at first.
+func (c *endpointCache) lacksProvenServers(l http1.EndpointList) bool {
+	isListed := map[string]bool{} // also those that are draining
+	for _, h := range l.Hosts {
+		isListed[h.ID] = true
+	}
+	proven, missing := 0, 0
+	for id := range c.endpoints {
+		if c.evaluator.Status(id) == staleness.Proven {
+			if proven++; !isListed[id] {
+				missing++
+			}
+		}
+	}
+	if missing < minMissing || float64(missing) <= maxMissingShare*float64(proven) {
+		return false
+	}
+	now := time.Now()
+	if c.incompleteSince.IsZero() {
+		c.incompleteSince = now
+		c.logger.Error().Int("missing", missing).Int("serving", proven).Msg("endpoint list lacks most serving servers, not applied yet")
+	}
+	return now.Sub(c.incompleteSince) < incompleteListDuration
+}
--- /dev/null
+++ b/internal/proxy/endpointcacheload.go
@@ -0,0 +1,104 @@
+package proxy
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+	"time"
+
+	"fernvane/internal/discovery/endpoints"
+	"fernvane/internal/discovery/incarnation"
+	"fernvane/internal/discovery/snapshot"
+	"fernvane/internal/discovery/staleness"
+	"fernvane/internal/protocol/http1"
+)
+
+const fetchTimeout = 500 * time.Millisecond // for peers to send the lists that they keep
+
+// load starts on the newest list on disk, or of a peer where the disk has none. It returns the list to go on from: that one, as suspect,
+// or the configuration's where it cannot be used or the configuration's is as new. That one does not say how old it is.
+func (c *endpointCache) load(configured http1.EndpointList) (l http1.EndpointList, isSuspect bool) {
+	snap, faults, err := c.store.Newest()
+	isOwn := snap != nil
+	if !isOwn && c.peers != nil {
+		snap = c.fetchFromPeers()
+	}
+	for _, f := range append(faults, err) {
+		if f != nil {
+			c.logger.Warn().Err(f).Msg("cached endpoint list unreadable")
+		}
+	}
+	if snap == nil {
+		return configured, false
+	}
+	age := time.Since(time.UnixMilli(snap.ConfirmedUnixMS))
+	if err := c.checkUsable(snap, isOwn, age, configured); err != nil {
+		c.logger.Warn().Err(err).Msg("cached endpoint list not used")
+		return configured, false
+	}
+	c.lastRevision = snap.Revision
+	l, servers := c.restore(snap)
+	c.evaluator = staleness.New(staleness.CachedList{Age: age, IsCleanShutdown: snap.IsCleanShutdown && isOwn}, c.nodeName, servers)
+	c.logger.Info().Str("of", snap.Node).Float64("age_s", age.Round(time.Second/10).Seconds()).Bool("clean", snap.IsCleanShutdown).
+		Int("grade", c.evaluator.Level()).Int("servers", len(servers)).Msg("cached endpoint list used")
+	c.applyUsableServers()
+	return l, true
+}
+
+// checkUsable says why a list is not to be used.
+func (c *endpointCache) checkUsable(snap *snapshot.Snapshot, isOwn bool, age time.Duration, configured http1.EndpointList) error {
+	switch {
+	case snap.Deployment != c.cfg.Deployment:
+		return fmt.Errorf("it is of deployment %.60q, not %q", snap.Deployment, c.cfg.Deployment)
+	case isOwn && snap.Node != c.nodeName:
+		return fmt.Errorf("it is of node %.60q, not %q", snap.Node, c.nodeName)
+	case age > c.cfg.MaxAge.Std():
+		return fmt.Errorf("it was confirmed %s ago", age.Round(time.Minute))
+	case len(configured.Hosts) > 0 && configured.Revision >= snap.Revision:
+		return errors.New("the configuration brings one that is as new")
+	}
+	return nil
+}
+
+// restore takes over the servers of a list, but for those that cannot be used.
+func (c *endpointCache) restore(snap *snapshot.Snapshot) (l http1.EndpointList, servers []staleness.Server) {
+	c.endpoints = map[string]endpoints.Endpoint{}
+	l.Revision = snap.Revision
+	for _, s := range snap.Servers {
+		e := endpoints.Endpoint{ID: s.ID, Zone: s.Zone, MachineKind: s.MachineKind, Cell: s.Cell, Weight: s.Weight, StartedUnixMS: s.StartedUnixMS,
+			Condition: incarnation.Condition(s.Condition)}
+		var err error
+		e.Address, err = netip.ParseAddrPort(s.Address)
+		if e.Condition > incarnation.Gone || err != nil && e.Condition == incarnation.Up {
+			l.Skipped = append(l.Skipped, fmt.Errorf("cached server %.40q cannot be used", s.ID))
+			continue
+		}
+		c.endpoints[s.ID] = e
+		servers = append(servers, staleness.Server{ID: s.ID, IsUp: e.Condition == incarnation.Up, HasExecuted: s.ExecutedUnixMS > 0})
+		l.Hosts = append(l.Hosts, listedEndpoint(e))
+	}
+	return l, servers
+}
+
+// fetchFromPeers returns the newest list that a peer keeps, for a node whose own disk has none. It counts as that of a node that crashed,
+// since nobody says what happened after it was written.
+func (c *endpointCache) fetchFromPeers() (newest *snapshot.Snapshot) {
+	for _, text := range c.peers.FetchEndpointLists(fetchTimeout) {
+		snap, err := snapshot.Decode(text)
+		switch {
+		case err != nil:
+			c.logger.Warn().Err(err).Msg("endpoint list of a peer unreadable")
+		case snap.Deployment == c.cfg.Deployment && (newest == nil || snap.ConfirmedUnixMS > newest.ConfirmedUnixMS):
+			newest = snap
+		}
+	}
+	return newest
+}
+
+var listedCondition = [...]http1.Condition{incarnation.Up: http1.Serving, incarnation.Draining: http1.Draining, incarnation.Gone: http1.Deleted}
+
+// listedEndpoint is an endpoint as discovery lists it.
+func listedEndpoint(e endpoints.Endpoint) http1.Endpoint {
+	return http1.Endpoint{ID: e.ID, Address: e.Address, Zone: e.Zone, Flavor: e.MachineKind, Cell: e.Cell, Size: e.Weight, UpSinceMS: e.StartedUnixMS,
+		Phase: listedCondition[e.Condition]}
+}
--- /dev/null
+++ b/internal/proxy/intentjournalentry.go
@@ -0,0 +1,135 @@
+package proxy
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"fernvane/internal/journal/intent"
+	"fernvane/internal/protocol/message"
+	"fernvane/internal/proxy/dispatch"
+	"fernvane/policy"
+)
+
+// answerOutcome names in the journal what the client of a request was answered. The texts are stored.
+type answerOutcome string
+
+const (
+	outcomeResponded    answerOutcome = "handled"
+	outcomeRejected     answerOutcome = "denied"
+	outcomeFailed       answerOutcome = "written off"
+	outcomeDisconnected answerOutcome = "nothing: it had left"
+)
+
+// journalEntry is one request in the journal. Its attempts, of which two may be in flight, use it from their own goroutines. A nil entry
+// is of a request that is not recorded.
+type journalEntry struct {
+	journal       *intentJournal
+	requestNumber uint64
+	record        intent.Record // what all of its records say
+
+	mu         sync.Mutex
+	attempts   int
+	isNotified bool // the client's answer is recorded
+}
+
+// begin makes the entry of a request, nil where its traffic type is not recorded. Nothing is written yet.
+func (j *intentJournal) begin(trafficType int, info *message.RequestInfo, req *message.Request) *journalEntry {
+	if !j.records(trafficType) {
+		return nil
+	}
+	e := &journalEntry{journal: j, requestNumber: j.requestCount.Add(1)}
+	e.record = intent.Record{Incarnation: j.incarnation, RequestNumber: e.requestNumber, RequestID: string(info.ID), Tenant: string(info.Tenant),
+		Type: j.journaledTypes[trafficType], IsRetry: len(req.Get(clientRetryField)) > 0}
+	if field := j.cfg.RepeatOfField; field != "" {
+		e.record.RepeatOf = string(req.Get(field))
+	}
+	return e
+}
+
+func (e *journalEntry) newRecord(kind intent.Kind, attempt int) intent.Record {
+	r := e.record
+	r.Kind, r.Attempt, r.AtUnixNano = kind, attempt, time.Now().UnixNano()
+	return r
+}
+
+// recordIntent makes the intent of an attempt durable before its first byte is written, and returns the attempt's number in the journal.
+// After an error the attempt must not be written. While the journal fails or is slow, and the operator's file says that requests are
+// served all the same, it does not wait, and counts the record as missed.
+func (e *journalEntry) recordIntent(ctx context.Context, server string, deadline time.Time) (attempt int, err error) {
+	if e == nil {
+		return 0, nil
+	}
+	attempt = e.nextAttempt()
+	r := e.newRecord(intent.Intent, attempt)
+	r.Server = server
+	j := e.journal
+	rejects, isSlow := j.cfg.RejectsWhenFailing(), j.isSlow()
+	commit, err := j.wal.Append(rejects || !isSlow, r)
+	if err == nil && commit == nil { // appended without a wait
+		j.wal.CountMissed()
+		return attempt, nil
+	}
+	if err == nil {
+		err = j.awaitDurable(ctx, commit, min(j.cfg.MaxWait.Std(), time.Until(deadline)))
+	}
+	if err == nil || ctx.Err() == nil && !rejects {
+		if err != nil && commit != nil { // Append has counted one that it did not take
+			j.wal.CountMissed()
+		}
+		return attempt, nil
+	}
+	e.recordAttemptEnd(attempt, dispatch.JournalFailed) // in case the intent becomes durable after all
+	return attempt, err
+}
+
+func (e *journalEntry) nextAttempt() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	attempt := e.attempts
+	e.attempts++
+	return attempt
+}
+
+// recordAttemptEnd records how an attempt ended. Nobody waits for it: an attempt without it counts as possibly sent.
+func (e *journalEntry) recordAttemptEnd(attempt int, result dispatch.AttemptResult) {
+	if e == nil {
+		return
+	}
+	r := e.newRecord(intent.AttemptEnded, attempt)
+	r.RequestID, r.Tenant, r.Type, r.RepeatOf = "", "", "", "" // the intent names them
+	r.Outcome, r.Proof = result.String(), executionProof(result)
+	e.journal.wal.Append(false, r)
+}
+
+// executionProof is what the end of an attempt proves about its execution.
+func executionProof(result dispatch.AttemptResult) intent.Proof {
+	switch result.Outcome() {
+	case policy.Success:
+		return intent.Ran
+	case policy.Overloaded, policy.Unreachable, policy.NotStarted:
+		return intent.NeverRan
+	}
+	return intent.PossiblyRan
+}
+
+// recordAnswer records what the client was answered. Only the first call counts.
+func (e *journalEntry) recordAnswer(outcome answerOutcome) {
+	if e == nil {
+		return
+	}
+	e.mu.Lock()
+	attempts, wasNotified := e.attempts, e.isNotified
+	e.isNotified = true
+	e.mu.Unlock()
+	if wasNotified {
+		return
+	}
+	notified := e.newRecord(intent.ClientNotified, 0)
+	notified.Outcome, notified.Count = string(outcome), attempts
+	if attempts == 0 {
+		e.journal.wal.Append(false, e.newRecord(intent.Unsent, 0), notified)
+		return
+	}
+	e.journal.wal.Append(false, notified)
+}
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -29,7 +29,7 @@
 	dispatcher      *dispatch.Dispatcher
 	discoveryTarget atomic.Pointer[watch.Target]
 	planners        *plannerClient
-	journal         *bindingJournal
+	journal         *intentJournal
 	endpointCache   *endpointCache
 	peers           *peer.Node
 	distribution    *distributionApplier
@@ -102,7 +102,7 @@
 		return err
 	}
 	if s.peers != nil {
-		s.peers.Join(context.Background(), joinTimeout)
+		s.peers.Join(context.Background(), tierJoinTimeout)
 		s.peers.StartJournal("", false)
 	}
 	return nil
