--- a/internal/config/settings/placement.go
+++ b/internal/config/settings/placement.go
@@ -50,7 +50,7 @@
 	return 1 << at, nil
 }
 
-var errIndexList = errors.New("is no list of places in the settings' list, from 0, or of names")
+var errIndexList = errors.New("must be a list of indexes (from 0) or of names")
 
 // decodeIndexes reads a list of zones or kinds, each an index into names or a name. A name that is new is added to names,
 // for a server may yet carry it. An absent list is nil, an empty one is not.
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -19,7 +19,7 @@
 	Zones       []string      // names by index: those of the settings, then others that placements name
 	Kinds       []string      // kinds of machine, likewise
 	ConnIdle    time.Duration // an idle connection is closed after this at the latest
-	DrainGrace  time.Duration // for which a draining server may still be sent to; below 0: not set
+	DrainGrace  time.Duration // from the drain notice: attempts decided before it may still be sent for this long; below 0: not set
 }
 
 // CheckCompatible reports why other cannot run in shadow beside these settings: both must name the same traffic types and
--- a/internal/config/settings/settings_test.go
+++ b/internal/config/settings/settings_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestRefused(t *testing.T) {
+func TestDecodeErrors(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, says string }{
 		"late revenue above all": {`"revenue":2`, `"tardyRevenue":1.5`, "traffic type 0: tardyRevenue is 1.5"},
 		"late revenue below 0":   {`"revenue":2`, `"tardyRevenue":-0.1`, "tardyRevenue is -0.1"},
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestFits(t *testing.T) {
+func TestCheckCompatible(t *testing.T) {
 	own := Settings{TypeNames: []string{"a"}, TenantNames: []string{"t"}}
 	for name, c := range map[string]struct {
 		types, tenants []string
--- a/internal/config/tomlfile/tomlfile.go
+++ b/internal/config/tomlfile/tomlfile.go
@@ -86,8 +86,8 @@
 func (s Duration) Std() time.Duration { return time.Duration(s) }
 
 // Parse decodes a text into a struct. Unknown keys and values of the wrong type are recorded with their lines and the rest
-// is decoded, so that the caller can check it and add faults (Wrong) before it asks for Err. The error, Faults, is of a
-// text of which nothing more can be decoded.
+// is decoded, so that the caller can check it and add faults (Wrong) before it asks for Err. A non-nil error, of type
+// Faults, means that the rest of the text could not be decoded.
 func Parse(name string, text []byte, into any) (*File, error) {
 	f := &File{Name: name, lines: map[string]int{}}
 	if len(text) > maxFileBytes {
--- a/internal/discovery/endpoints/set_test.go
+++ b/internal/discovery/endpoints/set_test.go
@@ -51,7 +51,7 @@
 		"flaps, and connects fail":            {[]event{{1900 * ms, "answer"}, {2 * s, "gone"}, {2100 * ms, "fail"}, {3 * s, "back"}}, "up", false},
 		"back too late":                       {[]event{{1900 * ms, "answer"}, {2 * s, "gone"}, {9 * s, "wait"}, {10 * s, "back"}}, "up", false},
 		"drains":                              {[]event{{2 * s, "drain"}}, "draining", true},
-		"a drain is canceled":                {[]event{{2 * s, "drain"}, {3 * s, "undrain"}}, "up", true},
+		"a drain is canceled":                 {[]event{{2 * s, "drain"}, {3 * s, "undrain"}}, "up", true},
 		"drains and is removed":               {[]event{{2 * s, "drain"}, {3 * s, "gone"}}, "gone", true},
 		"dead before the registry removes it": {[]event{{2 * s, "fail"}, {2 * s, "fail"}, {2 * s, "fail"}}, "draining", true},
 		"two failures are not enough":         {[]event{{2 * s, "fail"}, {2 * s, "fail"}}, "up", true},
--- a/internal/protocol/fastcgi/client.go
+++ b/internal/protocol/fastcgi/client.go
@@ -16,7 +16,8 @@
 // AppendAbort appends the record with which a client aborts a request.
 func AppendAbort(b []byte, id uint16) []byte { return appendRecord(b, typeAbort, id, nil) }
 
-// ResponseReader reads the responses of requests that share a connection, in the order in which they end.
+// ResponseReader reads the responses of requests that share a connection, in the order in which they end. It is for tests
+// and does not bound its memory.
 type ResponseReader struct {
 	records reader
 	out     map[uint16][]byte
--- a/internal/protocol/fastcgi/clientconn.go
+++ b/internal/protocol/fastcgi/clientconn.go
@@ -67,7 +67,7 @@
 	params         []byte
 	body           []byte
 	borrowed       int
-	tooLarge       *message.RequestError // why the rest of it is read and dropped; nil: it is not
+	readError      *message.RequestError // why the rest of it is read and dropped, as too large or for want of memory; nil: it is not
 }
 
 // Disconnected is closed when the client has aborted the request or its connection has ended.
@@ -193,7 +193,12 @@
 		}
 		return f.addToStream(c, rec)
 	}
-	return nil, f.write(appendRecord(nil, typeUnknown, 0, []byte{rec.kind, 0, 0, 0, 0, 0, 0, 0}))
+	return nil, f.writeUnknownType(rec.kind)
+}
+
+// writeUnknownType answers a record of an unknown type.
+func (f *ClientConn) writeUnknownType(kind byte) error {
+	return f.write(appendRecord(nil, typeUnknown, 0, []byte{kind, 0, 0, 0, 0, 0, 0, 0}))
 }
 
 // addToStream handles a part of a request and returns the request when it is complete, at the end of its STDIN.
@@ -205,14 +210,14 @@
 	case rec.kind == typeParams && len(rec.content) == 0:
 		c.hasParams = true
 	case rec.kind == typeParams:
-		c.tooLarge = f.appendBounded(c, &c.params, rec.content, message.MaxHead, 431, "the params are too large")
+		c.readError = f.appendBounded(c, &c.params, rec.content, message.MaxHead, 431, "the params are too large")
 	case len(rec.content) > 0:
-		c.tooLarge = f.appendBounded(c, &c.body, rec.content, message.MaxBody, 413, "the body is too large")
+		c.readError = f.appendBounded(c, &c.body, rec.content, message.MaxBody, 413, "the body is too large")
 	default:
 		f.mu.Lock()
 		c.isComplete = true
 		f.mu.Unlock()
-		if c.Bad = c.tooLarge; c.Bad == nil {
+		if c.Bad = c.readError; c.Bad == nil {
 			var err error
 			if c.Request, err = request(c.params, c.body); err != nil {
 				errors.As(err, &c.Bad)
@@ -226,8 +231,8 @@
 // appendBounded appends to a stream within its bound and the budget; the error is what to answer.
 func (f *ClientConn) appendBounded(c *Request, to *[]byte, content []byte, most, status int, why string) *message.RequestError {
 	switch {
-	case c.tooLarge != nil:
-		return c.tooLarge
+	case c.readError != nil:
+		return c.readError
 	case len(*to)+len(content) > most:
 		f.releaseBuffers(c)
 		return message.NewRequestError(status, why)
@@ -248,7 +253,7 @@
 // handleManagement answers records of the connection itself.
 func (f *ClientConn) handleManagement(rec record) error {
 	if rec.kind != typeGetValues {
-		return f.write(appendRecord(nil, typeUnknown, 0, []byte{rec.kind, 0, 0, 0, 0, 0, 0, 0}))
+		return f.writeUnknownType(rec.kind)
 	}
 	if len(rec.content) > maxValuesBytes {
 		return ErrPeer
--- a/internal/protocol/fastcgi/fastcgi_test.go
+++ b/internal/protocol/fastcgi/fastcgi_test.go
@@ -199,7 +199,7 @@
 }
 
 // What clients send on one connection, and what they are told: records of the answer, by request.
-func TestFronts(t *testing.T) {
+func TestClientConnRecords(t *testing.T) {
 	begin := func(id uint16) []byte { return appendBegin(nil, id, flagKeep) }
 	params := func(id uint16, more ...string) []byte {
 		p := appendPair(appendPair(nil, paramMethod, "POST"), paramURI, "/book/1")
--- a/internal/protocol/fastcgi/record.go
+++ b/internal/protocol/fastcgi/record.go
@@ -1,7 +1,7 @@
 // Package fastcgi reads and writes FastCGI 1.0, from its published specification: records and name-value pairs (record.go),
 // the mapping of HTTP requests to params (params.go), connections from clients, on which several requests may be open
 // (ClientConn), and connections to responders, with one request at a time (ServerConn). It decides nothing and sends
-// nothing twice. Memory is bounded whatever a peer sends.
+// nothing twice. The memory of ClientConn and ServerConn is bounded whatever a peer sends.
 package fastcgi
 
 import (
--- a/internal/protocol/fastcgi/serverconn.go
+++ b/internal/protocol/fastcgi/serverconn.go
@@ -62,9 +62,9 @@
 // SendRequest writes a request and reports whether its last byte, that of the empty STDIN record, was written.
 func (b *ServerConn) SendRequest(r *message.Request, left time.Duration, from string) (whole bool, err error) {
 	b.reusable = false
-	time := strconv.FormatFloat(float64(max(left.Milliseconds(), 1))/1000, 'f', 3, 64)
+	seconds := strconv.FormatFloat(float64(max(left.Milliseconds(), 1))/1000, 'f', 3, 64)
 	buf := appendBegin(b.out[:0], requestID, flagKeep)
-	buf = appendStream(buf, typeParams, requestID, appendParams(nil, r, time, from))
+	buf = appendStream(buf, typeParams, requestID, appendParams(nil, r, seconds, from))
 	buf = appendStream(buf, typeStdin, requestID, r.Body)
 	n, err := b.Write(buf)
 	b.out = buf[:0]
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -1,8 +1,8 @@
 // Package http1 reads and writes HTTP/1.1 messages on plain connections, and discovery's endpoint list (endpointlist.go),
 // whose field names no other package knows. It decides nothing and sends nothing twice.
 //
-// A Conn belongs to the goroutine that serves its connection. Only HasUnread and PeekDisconnected may be called from
-// others.
+// A Conn belongs to the goroutine that serves its connection. While that goroutine does not read, another may wait in
+// WaitDisconnected; HasUnread and PeekDisconnected may be called from any goroutine at any time.
 package http1
 
 import (
@@ -35,12 +35,13 @@
 // is read or written on the same connection.
 type Conn struct {
 	net.Conn
-	buf              []byte
-	readPos, fillPos int // unread bytes are buf[readPos:fillPos]
-	budget           *Pool
-	borrowed         int
-	ahead            readAhead
-	observer         ReadObserver // nil: none
+	buf      []byte
+	readPos  int // unread bytes are buf[readPos:fillPos]
+	fillPos  int
+	budget   *Pool
+	borrowed int
+	ahead    readAhead
+	observer ReadObserver // nil: none
 }
 
 // ReadObserver is notified by a connection's reader before and after it blocks, as sockpeek.ReadObserver is. half: part of
@@ -133,8 +134,8 @@
 	return err
 }
 
-// readHead reads up to the empty line and returns what is before it. It fails at once for what does not begin as begins
-// says.
+// readHead reads up to the empty line and returns what is before it. It fails at once for bytes that are no prefix of
+// begins.
 func (c *Conn) readHead(begins string) ([]byte, error) {
 	c.begin()
 	for from, empty := 0, 0; ; {
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -160,7 +160,7 @@
 }
 
 // A server refuses a request whose id, method, path or body differ from what its client sent.
-func TestWhatGoesOn(t *testing.T) {
+func TestForwardedFields(t *testing.T) {
 	in := "POST /book/7?x=%20y HTTP/1.1\r\nHost: svc\r\nRequest-Id: 9b1f\r\nTenant: acme\r\nRequest-Timeout: 0.480\r\n" +
 		"Connection: keep-alive, X-Own\r\nX-Own: 1\r\nExpect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"
 	s := &script{in: in, step: len(in), end: io.EOF}
@@ -190,7 +190,7 @@
 	}
 }
 
-func TestExpectedGoAhead(t *testing.T) {
+func TestExpectContinue(t *testing.T) {
 	for name, c := range map[string]struct{ in, want string }{
 		"asked for":      {"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n", "HTTP/1.1 100 Continue\r\n\r\n"},
 		"there already":  {"Expect: 100-continue\r\nContent-Length: 2\r\n\r\nok", ""},
@@ -231,7 +231,7 @@
 	}
 }
 
-func TestLists(t *testing.T) {
+func TestParseEndpointList(t *testing.T) {
 	const good = `{"id":"s-1","host_port":"127.0.0.1:80","locality":"a","cell":3,"phase":"SERVING","size":1.5,"up_since_ms":7}`
 	for name, c := range map[string]struct {
 		in             string
@@ -259,7 +259,7 @@
 	}
 }
 
-func TestOtherSide(t *testing.T) {
+func TestDisconnect(t *testing.T) {
 	for name, c := range map[string]struct {
 		do                   func(*net.TCPConn)
 		quiet, gone, waiting bool
@@ -322,7 +322,7 @@
 }
 
 // Large messages share what memory there is: one too many is told so, and what was lent comes back.
-func TestPool(t *testing.T) {
+func TestBufferBudget(t *testing.T) {
 	const size = 40 << 10
 	in := fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("b", size))
 	p := NewPool(48 << 10)
--- a/internal/protocol/http1/response.go
+++ b/internal/protocol/http1/response.go
@@ -13,7 +13,8 @@
 var ErrGarbled = message.ErrMalformedResponse
 
 // ReadResponse reads a complete response with a body of at most so many bytes; interim ones (1xx) are skipped. The error
-// is ErrGarbled for one that cannot be parsed, io.ErrUnexpectedEOF for one that is cut off.
+// is ErrGarbled for one that cannot be parsed or is too large, io.EOF where the server closed before the head,
+// io.ErrUnexpectedEOF where it closed later, or that of reading.
 func (c *Conn) ReadResponse(r *Response, most int) error {
 	for interim := 0; ; interim++ {
 		head, err := c.readHead("HTTP/1.")
--- a/internal/protocol/http1/write.go
+++ b/internal/protocol/http1/write.go
@@ -66,7 +66,7 @@
 			b = append(b, "\r\n"...)
 		}
 	}
-	if a.RetryAfter > 0 {
+	if a.RetryAfter > 0 { // with a fraction, which the platform's clients read
 		b = append(appendSeconds(append(b, "Retry-After: "...), a.RetryAfter), "\r\n"...)
 	}
 	b = appendField(b, "Content-Length", strconv.Itoa(len(a.Body)))
--- a/internal/protocol/message/message.go
+++ b/internal/protocol/message/message.go
@@ -162,9 +162,9 @@
 // Field names and paths of the platform.
 const (
 	RequestID      = "Request-Id"
-	RequestTimeout = "Request-Timeout"
+	RequestTimeout = "Request-Timeout" // seconds, as a decimal number
 	tenantField    = "Tenant"
-	ForwardedFor   = "X-Forwarded-For" // one address for each proxy on the way
+	ForwardedFor   = "X-Forwarded-For" // client's address; FastCGI requests carry only the last one
 	NotStarted     = "Not-Started"
 	ServerID       = "Server-Id" // of the server that answers; optional
 	readyPath      = "/up"
--- a/internal/protocol/message/pool.go
+++ b/internal/protocol/message/pool.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// BufferBudget bounds the memory that all connections together use for messages larger than the buffer that each retains.
-// It is safe for concurrent use. A nil budget is unlimited.
+// BufferBudget bounds the memory that connections together use for large messages, beyond what each retains by itself. It
+// is safe for concurrent use. Reserve and Release of a nil budget are unlimited.
 type BufferBudget struct{ free atomic.Int64 }
 
 // NewBufferBudget returns a budget of so many bytes.
@@ -29,5 +29,5 @@
 	}
 }
 
-// Available returns how many bytes are left.
+// Available returns how many bytes are left. It must not be called on a nil budget.
 func (p *BufferBudget) Available() int64 { return p.free.Load() }
--- a/internal/proxy/dispatch/counts.go
+++ b/internal/proxy/dispatch/counts.go
@@ -58,8 +58,8 @@
 }
 
 // RouteCounts calls f for each route that has limits of its own, with what became of its requests since the last call.
-func (d *Dispatcher) RouteCounts(f func(route string, inFlight int, c route.GateCounts)) {
+func (d *Dispatcher) RouteCounts(f func(route string, inFlight int, c route.LimiterCounts)) {
 	d.mu.Lock()
 	defer d.unlock()
-	d.routes.Counts(f)
+	d.routes.TakeCounts(f)
 }
--- a/internal/proxy/dispatch/routes.go
+++ b/internal/proxy/dispatch/routes.go
@@ -22,9 +22,9 @@
 	update := d.routes.Replace(now, table)
 	d.activeRoutes.Store(table)
 	d.engine.TrafficTypesChanged(now, policy.Input{
-		TrafficTypes: d.cautiousTypes(update.Types),
-		LearnFrom:    update.InheritFrom,
-		RouteLimits:  update.MaxInFlight,
+		TrafficTypes: d.cautiousTypes(update.TrafficTypes),
+		LearnFrom:    update.LearnFrom,
+		RouteLimits:  update.RouteLimits,
 	}, d.effects())
 	if update.SelectionChanged {
 		d.refreshLabels()
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -314,7 +314,7 @@
 			Int("left", c.Disconnected).Int("no_room", c.NoCapacity).Int("limited", c.RouteLimited).Int("copies", c.Hedges).Dict("hops", hops).
 			Int("open", c.OpenRequests).Int("clients", c.ClientConnections).Int("servers", c.ServerConnections).
 			Stringer("list_from", from).Float64("list_age_s", age.Round(time.Second/10).Seconds()).Msg("counts")
-		s.fleet.RouteCounts(func(name string, inHand int, c route.GateCounts) {
+		s.fleet.RouteCounts(func(name string, inHand int, c route.LimiterCounts) {
 			s.log.Info().Str("route", name).Int("in_hand", inHand).Int("taken", c.Admitted).Int("over_rate", c.RateExceeded).
 				Int("no_place", c.QueueFull).Int("over_tenant", c.TenantShareExceeded).Msg("route")
 		})
--- a/internal/route/assemble.go
+++ b/internal/route/assemble.go
@@ -29,8 +29,8 @@
 var errUnresolved = errors.New("too many fragments depend on others that cannot be used")
 
 // Assemble compiles one table of the operator's file, nil for none, and the candidates. A candidate that cannot be used is
-// left out and its reason returned in Unusable; its previous fragment stays in its place. Of two that exclude each
-// other the later one is left out. The error is of the operator's file itself, or that no table was found in
+// left out and its reason returned in Unusable; its previous fragment stays in its place. Of two that match the
+// same requests the later one is left out; of a cycle of fallbacks all are. The error is of the operator's file itself, or that no table was found in
 // maxCompileRounds.
 func Assemble(own *Table, s *settings.Settings, candidates []Candidate) (Assembled, error) {
 	a := Assembled{Used: make([]*Fragment, len(candidates)), Unusable: map[int]error{}}
--- a/internal/route/doc.go
+++ b/internal/route/doc.go
@@ -2,7 +2,7 @@
 //
 // The operator's file (file.go) names routes, pools of servers and limits. Parse (check.go) turns its text into a
 // Table or returns every fault with its line. Table.Match (match.go) finds the route and traffic type of a request.
-// A Router (router.go) holds the Table in force over reloads: Router.Admit (gate.go) takes a request under the
+// A Router (router.go) holds the Table in force over reloads: Router.Admit (limiter.go) takes a request under the
 // rates and concurrency limits of its route, or of the route's fallbacks, and Router.Release gives its slot back.
 //
 // What becomes of an admitted request is decided by package policy, to which each pair of a route and a traffic type
--- a/internal/route/file.go
+++ b/internal/route/file.go
@@ -7,10 +7,15 @@
 // Duration is a duration as the file writes it.
 type Duration = tomlfile.Duration
 
-// Limits may stand in [defaults], [class.NAME] and [[routes]]. A key in a route goes before the same key in its class,
-// and that before the defaults. A nil field is not set.
+// Limits may stand in [defaults], [class.NAME] and [[routes]]. For each traffic type of a route a key in the route goes
+// before the same key in the class of that type, and that before the defaults. Only Fallback is the same for all types of
+// a route: its class is the one that the route names as its class or type. A nil field is not set.
+//
+// The keys are the operators' and keep their names: hop_time is an attempt's timeout, hops the number of attempts, further
+// the outcomes after which a retry is allowed, at_once the concurrency limit, waiting and wait the queue, copy_after and
+// copy_share hedging, keep the share that is never shed.
 type Limits struct {
-	TargetTime     *Duration `toml:"target" unit:"time" doc:"answers after this are worth nothing"`
+	TargetTime     *Duration `toml:"target" unit:"time" doc:"latency objective; what a later answer is worth the settings say"`
 	AttemptTimeout *Duration `toml:"hop_time" unit:"time" doc:"for one attempt, so that time is left for another"`
 	MaxAttempts    *int      `toml:"hops" unit:"number" doc:"most attempts of a request"`
 	RetryOn        []string  `toml:"further" unit:"list" doc:"outcomes after which a retry is allowed: refused, unreachable, error, timeout, broken"`
--- a/internal/route/fragment.go
+++ b/internal/route/fragment.go
@@ -10,9 +10,10 @@
 // Fragment is a route or a pool that a control process distributes, outside the operator's file. It belongs to a
 // service, or to all services where Service is empty.
 type Fragment struct {
-	Service, Name string
-	route         *Route
-	pool          *Pool
+	Service string
+	Name    string
+	route   *Route // nil for a pool
+	pool    *Pool  // nil for a route
 }
 
 // qualified is the name of a service's fragment among those of all services.
--- a/internal/route/gate.go
+++ b/internal/route/limiter.go
@@ -30,9 +30,9 @@
 	tenant     int
 }
 
-// gate holds the limits of one route for one traffic type of the settings, and what counts against them.
-type gate struct {
-	key            gateKey
+// routeLimiter holds the limits of one route for one traffic type of the settings, and what counts against them.
+type routeLimiter struct {
+	key            limiterKey
 	isUsed         bool
 	maxInFlight    int // requests with an attempt in flight; 0: unlimited
 	capacity       int // requests in flight and queued; 0: unlimited
@@ -41,68 +41,68 @@
 	tenantShares   []float64 // by tenant; 0: not limited
 	tenantAdmitted []int     // requests admitted, by tenant
 	tenantLimiters []*rate.Limiter
-	counts         GateCounts
+	counts         LimiterCounts
 }
 
-type gateKey struct {
+type limiterKey struct {
 	route       string
 	trafficType int
 }
 
-// GateCounts counts requests at a gate by what became of them.
-type GateCounts struct {
+// LimiterCounts counts requests by what became of them at a limiter.
+type LimiterCounts struct {
 	Admitted            int
 	RateExceeded        int
 	QueueFull           int
 	TenantShareExceeded int
 }
 
-// assignGates gives each route and type with a rate or a concurrency limit a gate: the one it had before, if any.
-func (l *Router) assignGates(now time.Duration, table *Table) {
-	at := map[gateKey]int{}
-	for i := 1; i < len(l.gates); i++ {
-		l.gates[i].isUsed, l.gates[i].maxInFlight = false, 0 // a gate that is unused stays until its last request is released
-		at[l.gates[i].key] = i
+// assignLimiters gives each route and type with a rate or a concurrency limit a limiter: the one it had before, if any.
+func (l *Router) assignLimiters(now time.Duration, table *Table) {
+	at := map[limiterKey]int{}
+	for i := 1; i < len(l.limiters); i++ {
+		l.limiters[i].isUsed, l.limiters[i].maxInFlight = false, 0 // an unused limiter stays until its last request is released
+		at[l.limiters[i].key] = i
 	}
-	l.gateByRoute = nil
+	l.limiterByRoute = nil
 	if table == nil {
 		return
 	}
 	var free []int
-	l.gateByRoute = make([][]int, len(table.Routes))
+	l.limiterByRoute = make([][]int, len(table.Routes))
 	for i := range table.Routes {
 		r := &table.Routes[i]
-		l.gateByRoute[i] = make([]int, len(r.profileByType))
+		l.limiterByRoute[i] = make([]int, len(r.profileByType))
 		for k, p := range r.profileByType {
 			if p < 0 || r.limitsByType[k].Rate == nil && r.limitsByType[k].MaxInFlight == nil {
 				continue
 			}
-			name := gateKey{r.Name, k}
+			name := limiterKey{r.Name, k}
 			g, ok := at[name]
 			if !ok {
 				if free == nil {
-					free = l.unusedGates(table)
+					free = l.unusedLimiters(table)
 				}
 				if len(free) > 0 {
 					g, free = free[0], free[1:]
 				} else {
-					g = len(l.gates)
-					l.gates = append(l.gates, gate{})
+					g = len(l.limiters)
+					l.limiters = append(l.limiters, routeLimiter{})
 				}
-				l.gates[g] = gate{key: name, tenantAdmitted: make([]int, l.tenantCount+1)}
+				l.limiters[g] = routeLimiter{key: name, tenantAdmitted: make([]int, l.tenantCount+1)}
 			}
-			l.gateByRoute[i][k] = g
-			l.gates[g].isUsed = true
-			l.gates[g].configure(now, &r.limitsByType[k], table, l.tenantCount)
+			l.limiterByRoute[i][k] = g
+			l.limiters[g].isUsed = true
+			l.limiters[g].configure(now, &r.limitsByType[k], table, l.tenantCount)
 		}
 	}
 }
 
 // unusedGates are those that neither the table nor an admitted request uses.
-func (l *Router) unusedGates(table *Table) []int {
+func (l *Router) unusedLimiters(table *Table) []int {
 	free := []int{}
-	for i := 1; i < len(l.gates); i++ {
-		g := &l.gates[i]
+	for i := 1; i < len(l.limiters); i++ {
+		g := &l.limiters[i]
 		if _, named := table.byName[g.key.route]; !named && !g.isUsed && g.admitted == 0 {
 			free = append(free, i)
 		}
@@ -113,7 +113,7 @@
 var epoch = time.Unix(0, 0) // zero time of the limiters
 
 // configure applies limits. A limiter keeps its tokens over a reload, so that a reload allows no additional burst.
-func (g *gate) configure(now time.Duration, l *Limits, table *Table, tenants int) {
+func (g *routeLimiter) configure(now time.Duration, l *Limits, table *Table, tenants int) {
 	g.maxInFlight, g.capacity = valueOr(l.MaxInFlight, 0), 0
 	if g.maxInFlight > 0 {
 		g.capacity = g.maxInFlight + valueOr(l.MaxQueued, 0)
@@ -172,19 +172,19 @@
 		if r.profileByType[kind] < 0 {
 			break
 		}
-		g := &l.gates[l.gateByRoute[route][kind]]
+		g := &l.limiters[l.limiterByRoute[route][kind]]
 		rejection := g.admit(now, t)
 		if rejection == Admitted {
 			k := l.typeOfProfile[r.profileByType[kind]]
 			l.types[k].admitted++
-			return Admission{Type: k, LimitIndex: l.gateByRoute[route][kind], tenant: t}, Admitted
+			return Admission{Type: k, LimitIndex: l.limiterByRoute[route][kind], tenant: t}, Admitted
 		}
 		why = cmp.Or(why, rejection)
 	}
 	return Admission{}, why
 }
 
-func (g *gate) admit(now time.Duration, tenant int) (d Rejection) {
+func (g *routeLimiter) admit(now time.Duration, tenant int) (d Rejection) {
 	if !g.isUsed { // no limits
 		return Admitted
 	}
@@ -224,18 +224,19 @@
 		k.isFree = true
 	}
 	if g.LimitIndex > 0 {
-		r := &l.gates[g.LimitIndex]
+		r := &l.limiters[g.LimitIndex]
 		r.admitted--
 		r.tenantAdmitted[g.tenant]--
 	}
 }
 
-// Counts calls each for every route that had requests since the last call, with the requests admitted now.
-func (l *Router) Counts(each func(route string, inHand int, c GateCounts)) {
-	sums, hands, names := map[string]GateCounts{}, map[string]int{}, []string{}
-	for i := 1; i < len(l.gates); i++ {
-		g := &l.gates[i]
-		if g.counts == (GateCounts{}) && g.admitted == 0 {
+// TakeCounts calls each for every route with a rate or a concurrency limit that had requests since the last call, with
+// the number of requests admitted now, and starts the counts anew.
+func (l *Router) TakeCounts(each func(route string, admitted int, c LimiterCounts)) {
+	sums, admitted, names := map[string]LimiterCounts{}, map[string]int{}, []string{}
+	for i := 1; i < len(l.limiters); i++ {
+		g := &l.limiters[i]
+		if g.counts == (LimiterCounts{}) && g.admitted == 0 {
 			continue
 		}
 		s, ok := sums[g.key.route]
@@ -246,10 +247,10 @@
 		s.RateExceeded += g.counts.RateExceeded
 		s.QueueFull += g.counts.QueueFull
 		s.TenantShareExceeded += g.counts.TenantShareExceeded
-		sums[g.key.route], hands[g.key.route] = s, hands[g.key.route]+g.admitted
-		g.counts = GateCounts{}
+		sums[g.key.route], admitted[g.key.route] = s, admitted[g.key.route]+g.admitted
+		g.counts = LimiterCounts{}
 	}
 	for _, name := range names {
-		each(name, hands[name], sums[name])
+		each(name, admitted[name], sums[name])
 	}
 }
--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -33,7 +33,7 @@
 }
 
 // audience is the method and tenant that an entry is for; "" is any.
-type audience struct{ method, tenant string }
+type methodTenant struct{ method, tenant string }
 
 type header struct{ name, value string }
 
@@ -44,8 +44,8 @@
 
 // leaf holds the routes of one path by the other conditions that they have.
 type leaf struct {
-	by    map[audience][]entry // those with more headers first
-	forms [4]bool              // which there are, most specific first: method and tenant, method, tenant, neither
+	by    map[methodTenant][]entry // those with more headers first
+	forms [4]bool                  // which there are, most specific first: method and tenant, method, tenant, neither
 }
 
 // tree is a trie of path segments: the cost of a match grows with the segments of its path and hardly with the number of
@@ -63,7 +63,7 @@
 		switch {
 		case part == anyRest && i == len(path)-1:
 			if t.rest == nil {
-				t.rest = &leaf{by: map[audience][]entry{}}
+				t.rest = &leaf{by: map[methodTenant][]entry{}}
 			}
 			return t.rest.add(r, number)
 		case part == anySegment:
@@ -82,7 +82,7 @@
 		}
 	}
 	if t.end == nil {
-		t.end = &leaf{by: map[audience][]entry{}}
+		t.end = &leaf{by: map[methodTenant][]entry{}}
 	}
 	return t.end.add(r, number)
 }
@@ -103,7 +103,7 @@
 	slices.SortFunc(e.headers, func(a, b header) int { return cmp.Compare(a.name, b.name) })
 	for _, method := range orAny(r.Methods) {
 		for _, tenant := range orAny(r.Tenants) {
-			w := audience{method, tenant}
+			w := methodTenant{method, tenant}
 			l.forms[w.form()] = true
 			for _, other := range l.by[w] {
 				if len(other.headers) == len(e.headers) && overlap(other.headers, e.headers) {
@@ -117,7 +117,7 @@
 	return clash
 }
 
-func (w audience) form() int {
+func (w methodTenant) form() int {
 	form := 0
 	if w.method == "" {
 		form += 2
@@ -186,13 +186,13 @@
 		var all []entry
 		switch form {
 		case 0:
-			all = l.by[audience{string(r.Method), string(r.Tenant)}]
+			all = l.by[methodTenant{string(r.Method), string(r.Tenant)}]
 		case 1:
-			all = l.by[audience{method: string(r.Method)}]
+			all = l.by[methodTenant{method: string(r.Method)}]
 		case 2:
-			all = l.by[audience{tenant: string(r.Tenant)}]
+			all = l.by[methodTenant{tenant: string(r.Tenant)}]
 		case 3:
-			all = l.by[audience{}]
+			all = l.by[methodTenant{}]
 		}
 		for i := range all {
 			if all[i].matches(r) {
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -11,9 +11,9 @@
 
 // Update is what the policy and the dispatcher are given after a Replace.
 type Update struct {
-	Types            []policy.TrafficType
-	InheritFrom      []int
-	MaxInFlight      []int
+	TrafficTypes     []policy.TrafficType
+	LearnFrom        []int
+	RouteLimits      []int
 	SelectionChanged bool // servers' labels or protocols may have changed
 }
 
@@ -29,20 +29,20 @@
 // Router holds the routes of a running node over all reloads. It does not lock: the dispatcher calls it under its own
 // mutex.
 type Router struct {
-	table         *Table
-	settingsTypes int // number of traffic types of the settings, the first of types
-	tenantCount   int // number of named tenants; also the index that stands for all others
-	types         []typeState
-	gates         []gate // by route limit of the policy; 0: none
-	typeOfProfile []int  // by profile of the table
-	gateByRoute   [][]int
-	poolNames     []string // by bit of the policy's labels
-	bitOfPool     []int    // by pool of the table
+	table          *Table
+	settingsTypes  int // number of traffic types of the settings, the first of types
+	tenantCount    int // number of named tenants; also the index that stands for all others
+	types          []typeState
+	limiters       []routeLimiter // by route limit of the policy; 0: none
+	typeOfProfile  []int          // by profile of the table
+	limiterByRoute [][]int
+	poolNames      []string // by bit of the policy's labels
+	bitOfPool      []int    // by pool of the table
 }
 
 // NewRouter starts with the settings' own types and no routes.
 func NewRouter(s *settings.Settings) *Router {
-	l := &Router{settingsTypes: len(s.TrafficTypes), tenantCount: len(s.TenantNames), gates: make([]gate, 1), poolNames: make([]string, maxPools)}
+	l := &Router{settingsTypes: len(s.TrafficTypes), tenantCount: len(s.TenantNames), limiters: make([]routeLimiter, 1), poolNames: make([]string, maxPools)}
 	for i, t := range s.TrafficTypes {
 		l.types = append(l.types, typeState{profile: Profile{BaseType: i, Type: t}})
 	}
@@ -52,9 +52,10 @@
 // Table is the table in force, nil for none.
 func (l *Router) Table() *Table { return l.table }
 
-// Replace puts another table in force, nil for none. Requests that are open keep the limits they were admitted under: a
-// traffic type that stays the same keeps its index, one that has changed gets a new index, and the old index is reused
-// once its last request is released. Counts and limiters go on under the route's name.
+// Replace puts another table in force, nil for none. An open request keeps its traffic type: a
+// type that stays the same keeps its index, one that has changed gets a new index, and the old index is reused
+// once its last request is released. Concurrency
+// limits change at once, also for open requests; counts and limiters go on under the route's name.
 func (l *Router) Replace(now time.Duration, table *Table) Update {
 	old := l.table
 	oldKindOf, oldBitOf := l.typeOfProfile, l.bitOfPool
@@ -93,16 +94,16 @@
 		l.types[at].isUsed = true
 		l.typeOfProfile[i] = at
 	}
-	l.assignGates(now, table)
-	u := Update{InheritFrom: like, SelectionChanged: !slices.Equal(oldBitOf, l.bitOfPool) || !sameSelection(old, table)}
+	l.assignLimiters(now, table)
+	u := Update{LearnFrom: like, SelectionChanged: !slices.Equal(oldBitOf, l.bitOfPool) || !sameSelection(old, table)}
 	for i := range l.types {
 		l.types[i].isFree = !l.types[i].isUsed && l.types[i].admitted == 0
 		t := l.types[i].profile.Type
 		t.PoolLabels = l.types[i].poolLabels
-		u.Types = append(u.Types, t)
+		u.TrafficTypes = append(u.TrafficTypes, t)
 	}
-	for i := range l.gates {
-		u.MaxInFlight = append(u.MaxInFlight, l.gates[i].maxInFlight)
+	for i := range l.limiters {
+		u.RouteLimits = append(u.RouteLimits, l.limiters[i].maxInFlight)
 	}
 	return u
 }
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -76,7 +76,7 @@
 
 	// The same text: the same index, the same counts.
 	u := l.Replace(0, parse(t, file("hops = 2\nat_once = 500\nwaiting = 10")))
-	if got := take(l, 0, "/check/x", 0, 99); len(got) != 10 || got[0].Type != held[0].Type || u.InheritFrom[held[0].Type] != held[0].Type {
+	if got := take(l, 0, "/check/x", 0, 99); len(got) != 10 || got[0].Type != held[0].Type || u.LearnFrom[held[0].Type] != held[0].Type {
 		t.Errorf("after the same file: %d taken, kind %d for %d", len(got), got[0].Type, held[0].Type)
 	}
 
@@ -86,17 +86,17 @@
 		t.Error("more than the new limit were taken")
 	}
 	old := held[0].Type
-	if u.Types[old].MaxAttempts != 2 || u.InheritFrom[old] != old {
+	if u.TrafficTypes[old].MaxAttempts != 2 || u.LearnFrom[old] != old {
 		t.Error("what is in hand lost its figures")
 	}
-	fresh := len(u.Types) - 1
-	if u.Types[fresh].MaxAttempts != 3 || u.InheritFrom[fresh] != old || u.MaxInFlight[held[0].LimitIndex] != 100 {
-		t.Errorf("the new figures: %+v like %d, rooms %v", u.Types[fresh], u.InheritFrom[fresh], u.MaxInFlight)
+	fresh := len(u.TrafficTypes) - 1
+	if u.TrafficTypes[fresh].MaxAttempts != 3 || u.LearnFrom[fresh] != old || u.RouteLimits[held[0].LimitIndex] != 100 {
+		t.Errorf("the new figures: %+v like %d, rooms %v", u.TrafficTypes[fresh], u.LearnFrom[fresh], u.RouteLimits)
 	}
 
 	// The route is removed while its operations wait: they keep their index and are counted out.
 	u = l.Replace(0, parse(t, ""))
-	if u.Types[old].MaxAttempts != 2 || u.MaxInFlight[held[0].LimitIndex] != 0 {
+	if u.TrafficTypes[old].MaxAttempts != 2 || u.RouteLimits[held[0].LimitIndex] != 0 {
 		t.Error("a removed route must let its last operations out")
 	}
 	for range 510 {
@@ -107,15 +107,15 @@
 	}
 
 	// Drained, its indices are used again, and nothing grows.
-	kinds, gates := len(l.types), len(l.gates)
+	types, limiters := len(l.types), len(l.limiters)
 	for i := range 50 {
 		l.Replace(0, parse(t, fmt.Sprintf("[[routes]]\nname = \"r%d\"\ntype = \"check\"\nhops = %d\nat_once = 3\nwait = \"%dms\"", i, 1+i%4, i+1)))
 		for _, g := range take(l, 0, "/check/x", 0, 3) {
 			l.Release(g)
 		}
 	}
-	if len(l.types) > kinds+1 || len(l.gates) > gates+1 {
-		t.Errorf("after 50 files: %d kinds of %d, %d gates of %d", len(l.types), kinds, len(l.gates), gates)
+	if len(l.types) > types+1 || len(l.limiters) > limiters+1 {
+		t.Errorf("after 50 files: %d types of %d, %d limiters of %d", len(l.types), types, len(l.limiters), limiters)
 	}
 }
 
@@ -140,12 +140,12 @@
 	pool := func(name, site string) string { return fmt.Sprintf("[[pools]]\nname = %q\nsites = [%q]\n", name, site) }
 	u := l.Replace(0, parse(t, pool("a", "north")+pool("b", "south")+one3+"pool = \"b\""))
 	held := take(l, 0, "/check/x", 0, 1)[0]
-	asks := u.Types[held.Type].PoolLabels
+	asks := u.TrafficTypes[held.Type].PoolLabels
 	if asks == 0 || l.Labels("s", "south", "") != asks || l.Labels("s", "north", "")&asks != 0 {
 		t.Fatalf("asks for %b, south has %b, north %b", asks, l.Labels("s", "south", ""), l.Labels("s", "north", ""))
 	}
 	u = l.Replace(0, parse(t, pool("b", "south")+pool("c", "north")+one3+"pool = \"c\""))
-	if u.Types[held.Type].PoolLabels != asks || l.Labels("s", "south", "") != asks || l.Labels("s", "north", "")&asks != 0 {
-		t.Errorf("after another file: asks for %b, south has %b, north %b", u.Types[held.Type].PoolLabels, l.Labels("s", "south", ""), l.Labels("s", "north", ""))
+	if u.TrafficTypes[held.Type].PoolLabels != asks || l.Labels("s", "south", "") != asks || l.Labels("s", "north", "")&asks != 0 {
+		t.Errorf("after another file: asks for %b, south has %b, north %b", u.TrafficTypes[held.Type].PoolLabels, l.Labels("s", "south", ""), l.Labels("s", "north", ""))
 	}
 }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -60,8 +60,8 @@
 	return i
 }
 
-// Match finds the route of a request and the traffic type that it is taken for. route is -1 where none matches, kind is -1
-// where there is no such type. It is called for each request, and allocates nothing.
+// Match finds the route of a request and the traffic type that it is taken for. route is -1 where none matches or
+// the one that does is not for the type; kind is the index of the traffic type, -1 where there is none. It is called for each request, and allocates nothing.
 func (s *Table) Match(r *Request) (route, kind int) {
 	route, kind = -1, -1
 	if len(r.Path) == 0 || r.Path[0] != '/' {
