--- a/internal/cluster/framing/conn.go
+++ b/internal/cluster/framing/conn.go
@@ -58,7 +58,7 @@
 	return err
 }
 
-// Receive waits for a frame until a deadline. The body holds until the next call.
+// Receive waits for a frame until a deadline. The body is valid until the next call.
 func (c *Conn) Receive(deadline time.Time) (k Kind, body []byte, err error) {
 	c.SetReadDeadline(deadline)
 	k, body, err = c.protocol.Read(c.reader, c.received)
@@ -74,8 +74,8 @@
 	return c.ReceiveHello(deadline)
 }
 
-// ReceiveHello reads the other side's Hello and returns its name. A peer of another version, or with a hello that makes no
-// sense, is rejected.
+// ReceiveHello reads the other side's Hello and returns its name. A peer of another version, or with a hello that makes
+// no sense, is rejected.
 func (c *Conn) ReceiveHello(deadline time.Time) (peer string, err error) {
 	k, body, err := c.Receive(deadline)
 	if err != nil {
--- a/internal/cluster/framing/frame.go
+++ b/internal/cluster/framing/frame.go
@@ -31,7 +31,7 @@
 // Protocol is what two ends have to agree on.
 type Protocol struct {
 	Version      int  // a peer of another version is rejected
-	KindLimit    Kind // one behind the last kind
+	KindLimit    Kind // one after the last kind
 	MaxBodyBytes int
 	HasChecksums bool // for ends that may meet without TLS, on links that change bytes
 }
@@ -92,7 +92,7 @@
 	return crc32.Update(crc32.Update(0, castagnoli, []byte{byte(k)}), castagnoli, text)
 }
 
-// Read reads a frame. The body that it returns holds until the next frame is read into the same buffer.
+// Read reads a frame. The body that it returns is valid until the next frame is read into the same buffer.
 func (p *Protocol) Read(r io.Reader, buffer []byte) (k Kind, body []byte, err error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
--- a/internal/cluster/membership/input.go
+++ b/internal/cluster/membership/input.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Connected is called when a connection to or from a node is established. The node is told of all members.
+// Connected is called when a connection to or from a node is established. All members are sent to the node.
 func (t *Table) Connected(now time.Duration, name string) {
 	p := t.peer(name)
 	p.isConnected = true
@@ -91,7 +91,7 @@
 	}
 }
 
-// StartLaterIncarnation gives this node an incarnation behind all that were heard of. It is called for a node that has
+// StartLaterIncarnation gives this node an incarnation after all that were heard of. It is called for a node that has
 // only just started and IsReplaced: its clock was set back between two starts.
 func (t *Table) StartLaterIncarnation(now time.Duration) {
 	t.self.Incarnation = t.highestOwnHeard + 1
@@ -99,7 +99,7 @@
 	t.spread(t.self.Name, "")
 }
 
-// Leave is called when the node shuts down gracefully; the next Tick tells the others.
+// Leave is called when the node shuts down gracefully; the next Tick notifies the others.
 func (t *Table) Leave(now time.Duration) {
 	t.self.Condition = Left
 	t.set(t.self, now)
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -6,7 +6,7 @@
 type Condition uint8
 
 const (
-	// Alive is a member that was heard of lately.
+	// Alive is a member that its watchers hear.
 	Alive Condition = iota
 	// Suspected is a member that none of its watchers hears. It may still refute that.
 	Suspected
@@ -44,7 +44,7 @@
 	Machine     string // nodes on one machine are lost together
 }
 
-// Compare orders two reports of one member: the greater one holds.
+// Compare orders two reports of one member: the greater one is valid.
 func Compare(a, b Member) int {
 	return cmp.Or(
 		cmp.Compare(a.Incarnation, b.Incarnation),
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -7,11 +7,12 @@
 	Heartbeat struct {
 		_ struct{} `cbor:",toarray"`
 
-		// Digest of all that the sender knows of members. A receiver whose own digest differs for long sends all it knows.
+		// Digest of all that the sender knows of members. A receiver whose own digest differs for long sends all it
+		// knows.
 		Digest uint64
 	}
 
-	// Update tells of members that the receiver may not know of.
+	// Update has members that the receiver may not know.
 	Update struct {
 		_ struct{} `cbor:",toarray"`
 
--- a/internal/cluster/membership/reachability.go
+++ b/internal/cluster/membership/reachability.go
@@ -22,7 +22,7 @@
 	heardByOther           // another watcher hears it
 	queryTimedOut          // no watcher has said that it hears it
 	suspicionRefuted       // the node itself says that it is alive, though this node does not hear it
-	queryDue               // it is time to ask the watchers anew
+	queryDue               // it is time to ask the watchers again
 	events
 )
 
--- a/internal/cluster/membership/ring.go
+++ b/internal/cluster/membership/ring.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// neighbor is the node that stands offset positions behind a name, or before it for a negative offset; "" where the name
+// neighbor is the node offset positions after a name, or before it for a negative offset; "" where the name
 // is not on the ring or is alone.
 func (r *ring) neighbor(name string, offset int) string {
 	_, i, found := r.find(name)
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Times and bounds. A silence is four heartbeats, so that one that is late or lost makes nobody suspected; the other times
-// follow from it.
+// Times and bounds. A silence is four heartbeats, so that one that is late or lost makes nobody suspected; the other
+// times follow from it.
 const (
 	// HeartbeatInterval is the time between two messages to each connected node.
 	HeartbeatInterval = 250 * time.Millisecond
@@ -20,7 +20,7 @@
 	queryInterval      = 2 * time.Second        // between two queries about a node that others hear
 	suspicionTimeout   = 2 * time.Second        // for a suspected node to hear of it and refute it
 	reconnectInterval  = time.Second            // between two attempts to reach a dead node, as after a partition
-	fullUpdateDelay    = 2 * time.Second        // until a node whose digest differs is told of all members
+	fullUpdateDelay    = 2 * time.Second        // until all members are sent to a node whose digest differs
 	tombstoneRetention = 10 * time.Minute       // for which a member that died or left is remembered
 
 	maxQueriedWatchers = 3
@@ -51,8 +51,8 @@
 	lastHeard      time.Duration
 	state          reachability
 	stateSince     time.Duration
-	pending        map[string]bool // members of which it has to be told
-	sendsAll       bool            // it has to be told of all members
+	pending        map[string]bool // members that are sent to it with the next update
+	sendsAll       bool            // all members are sent to it with the next update
 	differsSince   time.Duration   // since when its digest has differed; 0: it is the same
 	lastFullUpdate time.Duration
 }
@@ -85,12 +85,12 @@
 	return m, ok
 }
 
-// Members returns all members in the order of their names, those that died or left lately among them.
+// Members returns all members in the order of their names, including those that died or left recently.
 func (t *Table) Members() []Member {
 	return slices.SortedFunc(maps.Values(t.members), func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Digest of all that is known of members: it changes with them.
+// Digest changes with all that is known of members.
 func (t *Table) Digest() uint64 { return t.digest }
 
 // IsReplaced reports that a later incarnation of this node's own name was heard of.
@@ -105,7 +105,7 @@
 	return crc64.Checksum(append(b, byte(m.Condition)), crcTable)
 }
 
-// set takes in what holds of a member from now on.
+// set replaces what is known of a member.
 func (t *Table) set(m Member, now time.Duration) {
 	was, isKnown := t.members[m.Name]
 	if isKnown {
@@ -140,7 +140,7 @@
 	delete(t.peers, m.Name)
 }
 
-// spread has all connected nodes told of a member, except the one that told of it.
+// spread sends a member to all connected nodes, except the one that it came from.
 func (t *Table) spread(name, from string) {
 	for other, p := range t.peers {
 		if p.isConnected && other != from {
--- a/internal/cluster/membership/tick.go
+++ b/internal/cluster/membership/tick.go
@@ -22,7 +22,8 @@
 	return t.sendUpdates(now, out)
 }
 
-// resumeAfterStall starts all timeouts anew: this process stood still, so what it did not hear says nothing of the others.
+// resumeAfterStall restarts all timeouts: this process was stalled, so what it did not hear says nothing of the
+// others.
 func (t *Table) resumeAfterStall(now time.Duration) {
 	for _, p := range t.peers {
 		p.lastHeard = now
@@ -42,7 +43,7 @@
 	return false
 }
 
-// endTimeouts has suspected members die and old tombstones go.
+// endTimeouts declares suspected members dead and forgets old tombstones.
 func (t *Table) endTimeouts(now time.Duration) {
 	for name, m := range t.members {
 		since := now - t.conditionSince[name]
@@ -78,7 +79,7 @@
 	return out
 }
 
-// planFullUpdate has a node told of all members if it is new, or if its digest has differed for long.
+// planFullUpdate sends a node all members if it is new, or if its digest has differed for long.
 func (t *Table) planFullUpdate(now time.Duration, p *peerView) {
 	if p.differsSince > 0 && now-p.differsSince > fullUpdateDelay && now-p.lastFullUpdate > fullUpdateDelay {
 		p.sendsAll = true
--- a/internal/cluster/peer/cleanup.go
+++ b/internal/cluster/peer/cleanup.go
@@ -40,7 +40,8 @@
 }
 
 // findExpired returns the streams that are removed, which no longer count, and of the others the first record that is
-// still needed where that is not the stream's first. A stream with entries that are not reconciled is kept beyond its time.
+// still needed where that is not the stream's first. A stream with entries that are not reconciled is kept beyond its
+// time.
 func (n *Node) findExpired() (expired []replication.Stream, firstRecords map[replication.Stream]uint64) {
 	n.mu.Lock()
 	expired = n.replicas.ExpiredStreams(time.Now().UnixNano())
@@ -90,7 +91,7 @@
 	}
 }
 
-// firstChunk tells whose segment it is: a segment is one incarnation's.
+// firstChunk returns the first chunk of a segment, which has the incarnation of all its chunks.
 func (n *Node) firstChunk(s wal.Segment) (first wal.Chunk, ok bool) {
 	errFound := errors.New("the first chunk is found")
 	_, err := wal.ScanChunks(n.files, s, func(c wal.Chunk) error {
--- a/internal/cluster/peer/client.go
+++ b/internal/cluster/peer/client.go
@@ -33,8 +33,8 @@
 	Unanswered map[string]error
 }
 
-// Query finds the nodes of a cluster, by the addresses of the configuration and by what those tell, and asks each how it
-// stands. With verify each node first reads all that it stores.
+// Query finds the nodes of a cluster, by the addresses of the configuration and by their members, and asks each for its
+// Status. With verify each node first reads all that it stores.
 func Query(ctx context.Context, cfg *Config, verify bool) *Client {
 	c := &Client{
 		cfg:        cfg,
@@ -92,7 +92,7 @@
 	}
 }
 
-// nameUnanswered has those that did not answer stand under their names, where these are known.
+// nameUnanswered puts those that did not answer under their names, where these are known.
 func (c *Client) nameUnanswered() {
 	unanswered := map[string]error{}
 	for _, m := range c.Members {
@@ -138,8 +138,8 @@
 	return conn, err
 }
 
-// Records has each node that answered tell all its records, or those of one request id; each is called for every record,
-// from one goroutine. What stands at several nodes comes several times. A node that does not tell all moves from Answered
+// Records asks each node that answered for all its records, or those of one request id; each is called for every record,
+// from one goroutine. What several nodes have comes several times. A node that does not send all moves from Answered
 // to Unanswered. corrupt counts the places that nodes could not read; an error is one of each.
 func (c *Client) Records(ctx context.Context, since time.Time, id string, each func(*intent.Record) error) (corrupt int, err error) {
 	for name := range c.Answered {
--- a/internal/cluster/peer/clusterstate.go
+++ b/internal/cluster/peer/clusterstate.go
@@ -7,8 +7,8 @@
 	"fernvane/internal/cluster/replication"
 )
 
-// HasEnoughAnswers reports whether those that answered hold all that was ever committed: no more machines are missing than
-// may be lost, and all have read what they store.
+// HasEnoughAnswers reports whether those that answered hold all that was ever committed: no more machines are missing
+// than may be lost, and all have read what they store.
 func (c *Client) HasEnoughAnswers() bool {
 	if len(c.Answered) == 0 {
 		return false
@@ -56,7 +56,7 @@
 	return holders
 }
 
-// CopyCounts counts on how many machines each stream stands complete.
+// CopyCounts counts on how many machines each stream is complete.
 func (c *Client) CopyCounts() map[replication.Stream]int {
 	counts := map[replication.Stream]int{}
 	for stream, names := range c.completeHolders() {
@@ -69,9 +69,9 @@
 	return counts
 }
 
-// SurvivesLoss reports whether a node's journal, of its running and its earlier incarnations, stands complete past the loss
-// of some nodes with their disks. A node that has only a part of it, from a time when others did not answer, does not
-// count. It is false where the node does not say who holds its journal.
+// SurvivesLoss reports whether a node's journal, of its running and its earlier incarnations, is complete after the
+// loss of some nodes with their disks. A node that has only a part of it, from a time when others did not answer, does
+// not count. It is false where the node does not say who holds its journal.
 func (c *Client) SurvivesLoss(name string, lost []string) bool {
 	isLost := func(name string) bool { return slices.Contains(lost, name) }
 	own := c.Answered[name]
@@ -98,8 +98,8 @@
 	return h.State == replication.HolderInSync && h.MissingRecords == 0
 }
 
-// Shortfall says what does not stand as often as it should, "" where all does: each stream whose incarnation is gone on as
-// many machines as replicas and one, each running one at its holders up to what is on its way.
+// Shortfall says which stream has too few copies, "" if none has: each stream whose incarnation is gone on
+// as many machines as replicas and one, each running one at its holders up to what is on its way.
 func (c *Client) Shortfall() string {
 	copies := c.CopyCounts()
 	for name, s := range c.Answered {
--- a/internal/cluster/peer/commandserver.go
+++ b/internal/cluster/peer/commandserver.go
@@ -13,7 +13,7 @@
 
 const recordsPartBytes = 256 << 10 // of records in one frame
 
-// Status is how the node stands.
+// Status returns the state of the node.
 func (n *Node) Status() *Status {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -71,7 +71,7 @@
 	return conn.Send(statusKind, s)
 }
 
-// serveRecords sends all records that stand here, in parts.
+// serveRecords sends all records that are stored here, in parts.
 func (n *Node) serveRecords(ctx context.Context, conn *framing.Conn, body []byte) error {
 	var q recordsQuery
 	if err := framing.Decode(body, &q); err != nil {
@@ -144,7 +144,7 @@
 }
 
 // requestFilter takes the records of requests with an id, or that repeat it. Only a request's first records name its id,
-// and the records that reconcile it come behind them.
+// and the records that reconcile it come after them.
 type requestFilter struct {
 	id      string // "" takes all
 	matched map[requestKey]bool
--- a/internal/cluster/peer/connections.go
+++ b/internal/cluster/peer/connections.go
@@ -18,7 +18,7 @@
 	maxRedialWait            = 2 * time.Second
 	messageWantDuration      = 3 * time.Second // how long a connection is wanted for one message
 	unwantedTimeout          = 3 * time.Second // until a connection that is not wanted is closed
-	maxConnectedNodes        = 256             // a further node is told to ask another one
+	maxConnectedNodes        = 256             // a further node is rejected, and asks another one
 	maxWaitingMessages       = 8               // to a node without a connection
 )
 
@@ -76,7 +76,7 @@
 	return true
 }
 
-// connected takes in a connection that is kept. mu is not held.
+// connected takes in a connection. mu is not held.
 func (n *Node) connected(c *connection, who membership.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -88,7 +88,7 @@
 	n.afterChange(now)
 }
 
-// metOwnName tells another process of this node's own name that it is one; the connection is not kept. mu is not held.
+// metOwnName notifies another process of this node's own name; the connection is not used otherwise. mu is not held.
 func (n *Node) metOwnName(c *connection, who membership.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -98,7 +98,7 @@
 	n.afterChange(now)
 }
 
-// disconnected lets go of a connection that has ended. mu is not held.
+// disconnected removes a connection that has ended. mu is not held.
 func (n *Node) disconnected(c *connection) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/cluster/peer/copy.go
+++ b/internal/cluster/peer/copy.go
@@ -23,45 +23,45 @@
 
 // startCopies starts the copies that are this node's to make and not under way, each in a goroutine. mu is held.
 func (n *Node) startCopies(ctx context.Context, g *errgroup.Group, now time.Duration) {
-	var jobs []replication.CopyJob
+	var tasks []replication.CopyTask
 	if n.isLoaded {
-		jobs = n.replicas.CopyJobs(now)
+		tasks = n.replicas.CopyTasks(now)
 	}
 	if n.origin != nil {
 		for _, name := range n.origin.WantedConnections() {
 			if len(n.origin.MissingAt(name)) > 0 {
-				jobs = append(jobs, replication.CopyJob{Stream: n.origin.Stream(), To: name})
+				tasks = append(tasks, replication.CopyTask{Stream: n.origin.Stream(), To: name})
 			}
 		}
 	}
-	for _, job := range jobs {
-		if n.copies[job] != nil || !n.connections.isOpen(job.To) {
+	for _, task := range tasks {
+		if n.copies[task] != nil || !n.connections.isOpen(task.To) {
 			continue
 		}
 		unacked := make(chan struct{}, maxUnackedBatches)
-		n.copies[job] = unacked
+		n.copies[task] = unacked
 		g.Go(func() error {
-			n.runCopy(ctx, job, unacked)
+			n.runCopy(ctx, task, unacked)
 			return nil
 		})
 	}
 }
 
-func (n *Node) runCopy(ctx context.Context, job replication.CopyJob, unacked chan struct{}) {
+func (n *Node) runCopy(ctx context.Context, task replication.CopyTask, unacked chan struct{}) {
 	began := time.Now()
-	c := &replicaCopy{node: n, job: job, unacked: unacked}
+	c := &replicaCopy{node: n, task: task, unacked: unacked}
 	err := c.run(ctx)
 	n.mu.Lock()
-	delete(n.copies, job)
+	delete(n.copies, task)
 	n.mu.Unlock()
 	if c.records > 0 && ctx.Err() == nil {
-		n.log.Info().Err(err).Stringer("stream", job.Stream).Str("to", job.To).Int("records", c.records).Dur("took", time.Since(began)).Msg("replica copied")
+		n.log.Info().Err(err).Stringer("stream", task.Stream).Str("to", task.To).Int("records", c.records).Dur("took", time.Since(began)).Msg("replica copied")
 	}
 }
 
 // endCopiedBatch notes that a batch of a copy is acknowledged. mu is held.
 func (n *Node) endCopiedBatch(from string, ack *replication.Ack) {
-	if unacked := n.copies[replication.CopyJob{Stream: ack.Stream, To: from}]; unacked != nil {
+	if unacked := n.copies[replication.CopyTask{Stream: ack.Stream, To: from}]; unacked != nil {
 		select {
 		case <-unacked:
 		default:
@@ -69,12 +69,12 @@
 	}
 }
 
-// missingAt is what a job's receiver does not have. mu is held.
-func (n *Node) missingAt(job replication.CopyJob) replication.Ranges {
-	if n.isOwnStream(job.Stream) {
-		return n.origin.MissingAt(job.To)
+// missingAt is what a task's receiver does not have. mu is held.
+func (n *Node) missingAt(task replication.CopyTask) replication.Ranges {
+	if n.isOwnStream(task.Stream) {
+		return n.origin.MissingAt(task.To)
 	}
-	return n.replicas.MissingAt(job.Stream, job.To)
+	return n.replicas.MissingAt(task.Stream, task.To)
 }
 
 // isOwnStream reports whether a stream is that of this node's running incarnation. mu is held.
@@ -85,20 +85,21 @@
 // replicaCopy is one stream on its way from this node's disk to another node.
 type replicaCopy struct {
 	node        *Node
-	job         replication.CopyJob
+	task        replication.CopyTask
 	isOwnStream bool
 	unacked     chan struct{}      // holds one for each batch that is not acknowledged
 	batch       *replication.Batch // consecutive chunks that go together; nil: none are collected
 	records     int                // sent so far
 }
 
-// run sends what the receiver lacks, at the rate that all copies of this node keep to, and waits for the acknowledgements.
+// run sends what the receiver lacks, at the rate that all copies of this node keep to, and waits for the
+// acknowledgements.
 func (c *replicaCopy) run(ctx context.Context) error {
 	n := c.node
 	n.mu.Lock()
-	c.isOwnStream = n.isOwnStream(c.job.Stream)
+	c.isOwnStream = n.isOwnStream(c.task.Stream)
 	n.mu.Unlock()
-	_, err := n.readStream(c.job.Stream, func(chunk wal.Chunk) error { return c.add(ctx, chunk) })
+	_, err := n.readStream(c.task.Stream, func(chunk wal.Chunk) error { return c.add(ctx, chunk) })
 	if err == nil {
 		err = c.flush(ctx)
 	}
@@ -111,12 +112,13 @@
 	return err
 }
 
-// add takes a chunk into the batch if the receiver lacks any of it, and sends the batch first where the chunk doesn't fit.
+// add takes a chunk into the batch if the receiver lacks any of it, and sends the batch first where the chunk doesn't
+// fit.
 func (c *replicaCopy) add(ctx context.Context, chunk wal.Chunk) error {
 	n := c.node
 	n.mu.Lock()
-	missing := n.missingAt(c.job)
-	isConnected := n.connections.isOpen(c.job.To)
+	missing := n.missingAt(c.task)
+	isConnected := n.connections.isOpen(c.task.To)
 	n.mu.Unlock()
 	if len(missing) == 0 || !isConnected {
 		return errNothingToCopy
@@ -132,7 +134,7 @@
 		}
 	}
 	if c.batch == nil {
-		c.batch = &replication.Batch{Stream: c.job.Stream, First: chunk.First, FromOrigin: c.isOwnStream}
+		c.batch = &replication.Batch{Stream: c.task.Stream, First: chunk.First, FromOrigin: c.isOwnStream}
 	}
 	c.batch.Count += chunk.Count
 	c.batch.Frames = append(c.batch.Frames, chunk.Frames...)
@@ -166,7 +168,7 @@
 	}
 	c.records += b.Count
 	n.mu.Lock()
-	n.send(n.now(), []membership.Outgoing{{To: c.job.To, Message: b}})
+	n.send(n.now(), []membership.Outgoing{{To: c.task.To, Message: b}})
 	n.mu.Unlock()
 	c.batch = nil
 	return nil
--- a/internal/cluster/peer/handshake.go
+++ b/internal/cluster/peer/handshake.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// dial opens a connection to an address, says who this is and returns who answers. With a self that has no incarnation the
-// caller is a command, which is not told who answers. from is the local address, if it is a specified one.
+// dial opens a connection to an address, says who this is and returns who answers. With a self that has no incarnation
+// the caller is a command, which gets no answer to its intro. from is the local address, if it is a specified one.
 func dial(ctx context.Context, cfg *Config, from netip.Addr, address, name string, self membership.Member) (conn *framing.Conn, who intro, err error) {
 	d := net.Dialer{Deadline: time.Now().Add(dialTimeout)}
 	if from.IsValid() && !from.IsUnspecified() { // the address by which the others know this node
--- a/internal/cluster/peer/journal.go
+++ b/internal/cluster/peer/journal.go
@@ -10,8 +10,8 @@
 
 // Why a record is not committed.
 var (
-	// ErrQueueOverflow says that too many records wait for holders. The record stands on this node's disk, and is copied to
-	// holders from there.
+	// ErrQueueOverflow says that too many records wait for holders. The record is on this node's disk, and is copied
+	// to holders from there.
 	ErrQueueOverflow = errors.New("too many records wait for holders")
 	// ErrStopped says that the node shuts down.
 	ErrStopped = errors.New("the node stops")
@@ -20,22 +20,22 @@
 // replacedStall is what StalledFor returns when records cannot be committed at all.
 const replacedStall = time.Hour
 
-// Commit tells when a record is committed: it lasts at enough other nodes.
+// Commit reports when a record is committed: it is durable at enough other nodes.
 type Commit struct {
 	sequence uint64
 	done     chan struct{}
 	err      error
 }
 
-// Done is closed when the record is committed, or when it is known that nothing will tell of it.
+// Done is closed when the record is committed, or when it is known that this is not going to be reported.
 func (c *Commit) Done() <-chan struct{} { return c.done }
 
 // Err is nil if the record is committed, or else ErrQueueOverflow, ErrReplaced or ErrStopped. It is called after Done is
 // closed.
 func (c *Commit) Err() error { return c.err }
 
-// StartJournal says which folder this incarnation's journal is in, "" for none, and whether it is replicated. It is called
-// once, after Join; until then nothing is stored for other nodes.
+// StartJournal says which folder this incarnation's journal is in, "" for none, and whether it is replicated. It is
+// called once, after Join; until then nothing is stored for other nodes.
 func (n *Node) StartJournal(dir string, isReplicated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -51,12 +51,12 @@
 	now := n.now()
 	stream := replication.Stream{Name: n.name, Incarnation: n.table.Self().Incarnation}
 	n.origin = replication.NewOrigin(now, stream, n.candidate(), n.cfg.Replicas, n.cfg.SlowAfter.Std())
-	n.usedDigest = 0 // has afterChange tell the origin of the members
+	n.usedDigest = 0 // has afterChange give the members to the origin
 	n.afterChange(now)
 }
 
-// ReplicateChunk takes in a chunk of the journal before it is written here (wal.Options.OnChunk). A chunk that nobody waits
-// for goes out with others.
+// ReplicateChunk takes in a chunk of the journal before it is written here (wal.Options.OnChunk). A chunk that nobody
+// waits for goes out with others.
 func (n *Node) ReplicateChunk(first uint64, count int, frames []byte, isAwaited bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -66,7 +66,7 @@
 	n.finishCommits()
 }
 
-// RecordsStored says that records of the journal last here (wal.Options.OnStored).
+// RecordsStored is called when records of the journal are durable here (wal.Options.OnStored).
 func (n *Node) RecordsStored(first uint64, count int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/cluster/peer/message.go
+++ b/internal/cluster/peer/message.go
@@ -38,7 +38,7 @@
 
 // The messages below are sent as CBOR arrays: the order of the fields stays.
 type (
-	// intro says who a caller is, behind the hello. A caller without an incarnation is a command, not a node.
+	// intro says who a caller is, after the hello. A caller without an incarnation is a command, not a node.
 	intro struct {
 		_ struct{} `cbor:",toarray"`
 
@@ -76,7 +76,7 @@
 		_ struct{} `cbor:",toarray"`
 	}
 
-	// endpointList is the list as it stands on that node's disk; empty for none.
+	// endpointList is the list as it is on that node's disk; empty for none.
 	endpointList struct {
 		_ struct{} `cbor:",toarray"`
 
@@ -84,8 +84,8 @@
 	}
 )
 
-// Status is how a node stands. It is sent as a CBOR array and printed as JSON by field name: the order of the fields and
-// the tags stay.
+// Status is the state of a node. It is sent as a CBOR array and printed as JSON by field name: the order of the fields
+// and the tags stay.
 type Status struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -93,7 +93,7 @@
 	Members        []membership.Member
 	IsReady        bool               `json:"Ready"` // it has read what it stores
 	Replicas       int                // how many other machines hold its journal, as configured
-	Stream         replication.Stream // of its running incarnation; none where it keeps no journal
+	Stream         replication.Stream // of its running incarnation; none where it has no replicated journal
 	Next           uint64             // number of the next record
 	Committed      uint64             `json:"Kept"` // first record that is not committed
 	Uncommitted    int                `json:"Waits"`
--- a/internal/cluster/peer/node.go
+++ b/internal/cluster/peer/node.go
@@ -38,8 +38,8 @@
 	store     *replicastore.Store
 	copyLimit *rate.Limiter
 
-	replaced       chan struct{} // closed when ErrReplaced holds
-	firstUpdate    chan struct{} // closed when another node has told of members
+	replaced       chan struct{} // closed when a later incarnation is known
+	firstUpdate    chan struct{} // closed when another node has sent members
 	journalDecided chan struct{} // closed by StartJournal
 
 	mu          sync.Mutex // never held over a socket or the disk
@@ -50,17 +50,17 @@
 	isLoaded    bool                // what is on disk is known
 	earlyOffers []earlyOffer        // that came before that
 	connections connections
-	commits     []*Commit                             // that are waited for
-	copies      map[replication.CopyJob]chan struct{} // each holds one for every batch that is not acknowledged
+	commits     []*Commit                              // that are waited for
+	copies      map[replication.CopyTask]chan struct{} // each holds one for every batch that is not acknowledged
 	lists       endpointLists
 	lifecycle   lifecycle
-	usedDigest  uint64 // of the members when replication was last told of them
+	usedDigest  uint64 // of the members that replication last got
 	isShort     bool   // too few hold this node's journal; the log says so
 }
 
 // lifecycle is how far the node has come.
 type lifecycle struct {
-	hasJoined  bool // its incarnation is settled
+	hasJoined  bool // its incarnation does not change any more
 	isReplaced bool
 	isLeaving  bool
 }
@@ -108,7 +108,7 @@
 		journalDecided: make(chan struct{}),
 		table:          membership.New(self),
 		connections:    newConnections(),
-		copies:         map[replication.CopyJob]chan struct{}{},
+		copies:         map[replication.CopyTask]chan struct{}{},
 	}
 	n.replicas = replication.NewReplicaTable(n.candidate(), cfg.Replicas, cfg.MaxReplicaBytes, cfg.RetentionAge.Std())
 	return n, nil
@@ -130,8 +130,8 @@
 // Replaced is closed when another process has been started under this node's name since. The node must stop.
 func (n *Node) Replaced() <-chan struct{} { return n.replaced }
 
-// Join waits until another node is reached, up to a timeout, and returns the node's incarnation: it is behind all others of
-// its name, whatever the clock says.
+// Join waits until another node is reached, up to a timeout, and returns the node's incarnation: it is after all others
+// of its name, whatever the clock says.
 func (n *Node) Join(ctx context.Context, timeout time.Duration) int64 {
 	if len(n.cfg.Peers) > 0 {
 		select {
@@ -166,7 +166,7 @@
 	return g.Wait()
 }
 
-// Leave tells the others that this node shuts down, once holders have the records that are still on their way.
+// Leave notifies the others that this node shuts down, once holders have the records that are in flight.
 func (n *Node) Leave() {
 	for deadline := time.Now().Add(leaveTimeout); n.hasUncommitted() && time.Now().Before(deadline); {
 		time.Sleep(tickInterval)
--- a/internal/cluster/peer/reconcile.go
+++ b/internal/cluster/peer/reconcile.go
@@ -133,7 +133,7 @@
 	return open, nil
 }
 
-// foldersOf are those in which records of a stream may stand. It locks mu.
+// foldersOf returns the folders that may have records of a stream. It locks mu.
 func (n *Node) foldersOf(s replication.Stream) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/cluster/peer/session.go
+++ b/internal/cluster/peer/session.go
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// admitBatch answers a batch that is not to be written. Before the stored replicas are known batches are dropped, and sent
-// again later. It locks mu.
+// admitBatch answers a batch that is not to be written. Before the stored replicas are known batches are dropped, and
+// sent again later. It locks mu.
 func (n *Node) admitBatch(c *connection, b *replication.Batch, atUnixNano int64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -152,7 +152,7 @@
 	return ok
 }
 
-// acknowledgeBatches answers batches in the order in which they came, each when it lasts.
+// acknowledgeBatches answers batches in the order in which they came, each when it is durable.
 func (n *Node) acknowledgeBatches(c *connection) {
 	for pending := range c.pendingAcks {
 		err := pending.err
--- a/internal/cluster/peer/storedreplicas.go
+++ b/internal/cluster/peer/storedreplicas.go
@@ -12,7 +12,7 @@
 	"fernvane/internal/journal/wal"
 )
 
-// readStream reads the chunks of a stream that stand here: those stored for others, and for an incarnation of this node
+// readStream reads the chunks of a stream that are here: those stored for others, and for an incarnation of this node
 // those in its own journal.
 func (n *Node) readStream(s replication.Stream, each func(wal.Chunk) error) (report wal.ScanReport, err error) {
 	n.mu.Lock()
@@ -114,7 +114,7 @@
 	n.earlyOffers = nil
 }
 
-// verify reads all that is stored again. What is damaged no longer counts, and the nodes that copy it anew are told.
+// verify reads all that is stored again. What is damaged no longer counts, and the nodes that copy it again are notified.
 func (n *Node) verify(ctx context.Context) (damage []string) {
 	damage = n.verifyOwnJournal(ctx)
 	n.mu.Lock()
--- a/internal/cluster/peer/tick.go
+++ b/internal/cluster/peer/tick.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// afterChange follows whatever may have changed something: replication is told who is alive and connected, and commits
-// that are reached end. mu is held.
+// afterChange is called after whatever may have changed something: replication gets the members and connections, and
+// commits that are decided end. mu is held.
 func (n *Node) afterChange(now time.Duration) {
 	if n.table.IsReplaced() && !n.lifecycle.isReplaced {
 		n.handleReplaced(now)
@@ -86,7 +86,7 @@
 }
 
 // handleReplaced is called when a later incarnation of this node's name is known. Before it has joined the node takes a
-// still later one: its clock was set back. Behind that it must stop. mu is held.
+// still later one: its clock was set back. After that it must stop. mu is held.
 func (n *Node) handleReplaced(now time.Duration) {
 	if !n.lifecycle.hasJoined {
 		n.table.StartLaterIncarnation(now)
@@ -97,7 +97,7 @@
 	n.log.Error().Err(ErrReplaced).Msg("stopping, replaced by a later incarnation")
 }
 
-// updateNodes tells replication of the members. mu is held.
+// updateNodes gives replication the members. mu is held.
 func (n *Node) updateNodes(now time.Duration) {
 	var nodes []replication.Node
 	var candidates []replication.Candidate
--- a/internal/cluster/replicastore/store.go
+++ b/internal/cluster/replicastore/store.go
@@ -72,8 +72,8 @@
 	return stream, err == nil && stream.String() == folder
 }
 
-// Append stores records of a stream; the Commit tells when they last. Where more comes than the disk takes it blocks for a
-// while, before it gives up with wal.ErrQueueFull.
+// Append stores records of a stream; the Commit reports when they are durable. Where more comes than the disk takes it
+// blocks for a while, before it gives up with wal.ErrQueueFull.
 func (s *Store) Append(stream replication.Stream, records []intent.Record) (*wal.Commit, error) {
 	log, err := s.logOf(stream)
 	if err != nil {
@@ -135,12 +135,12 @@
 	})
 }
 
-// CloseIdle closes streams that got nothing for a while; what comes later begins a new segment.
+// CloseIdle closes streams that got nothing for a while; later records go to a new segment.
 func (s *Store) CloseIdle() {
 	s.closeUnused(time.Now().Add(-idleTimeout), func(replication.Stream) bool { return true })
 }
 
-// Close closes all streams. Append fails with wal.ErrClosed behind it.
+// Close closes all streams. After that Append fails with wal.ErrClosed.
 func (s *Store) Close() {
 	s.mu.Lock()
 	s.isClosed = true
--- a/internal/cluster/replication/admission.go
+++ b/internal/cluster/replication/admission.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// HandleOffer answers a node that tells what it has of a stream.
+// HandleOffer answers a node that reports what it has of a stream.
 func (t *ReplicaTable) HandleOffer(now time.Duration, from string, o *Offer) []Outgoing {
 	if o.Name == "" || !o.Ranges.isValid() {
 		return nil
--- a/internal/cluster/replication/candidate.go
+++ b/internal/cluster/replication/candidate.go
@@ -15,7 +15,7 @@
 }
 
 // rankCandidates orders candidates for a stream by rendezvous hashing, the same at all nodes: one node more or less moves
-// only what it holds itself. A reconciliation is ranked like the stream that it reconciles, to stand with it.
+// only what it holds itself. A reconciliation is ranked like the stream that it reconciles, to be on the same nodes.
 func rankCandidates(stream Stream, candidates []Candidate) []Candidate {
 	type rankedCandidate struct {
 		Candidate
--- a/internal/cluster/replication/holder.go
+++ b/internal/cluster/replication/holder.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// holderState is how a holder stands with the origin.
+// holderState is the state of a holder, as the origin sees it.
 type holderState uint8
 
 const (
@@ -30,11 +30,11 @@
 const (
 	holderConnected    holderEvent = iota // a connection to it is established
 	holderDisconnected                    // none is left
-	inventoryReceived                     // it has told what it has
+	inventoryReceived                     // it has reported what it has
 	ackOverdue                            // it does not answer, or a record has waited too long for it
 	caughtUp                              // no record waits for it
 	recordsRejected                       // it takes no records
-	reselected                            // it is selected anew after it rejected
+	reselected                            // it is selected again after it rejected
 	holderEvents
 )
 
@@ -43,7 +43,7 @@
 
 const (
 	noAction      holderAction = iota
-	sendOffer                  // tell it what there is
+	sendOffer                  // send it an Offer with what there is
 	sendQueued                 // send it what is not committed
 	selectAnother              // avoid it for a while, and select another one
 )
@@ -111,8 +111,8 @@
 	offeredAt    time.Duration
 	rejectReason string
 
-	stored   Ranges          // what lasts there, as it has told
-	acked    uint64          // all records from where the sending began up to and without this last there
+	stored   Ranges          // what is durable there, as it has reported
+	acked    uint64          // all records from where the sending began up to and without this are durable there
 	next     uint64          // the next record to send
 	inFlight map[uint64]bool // batches that are sent and not acknowledged, by their first records
 }
@@ -120,10 +120,10 @@
 // isReceiving reports whether it is sent all new records.
 func (h *holder) isReceiving() bool { return h.state == inSync || h.state == lagging }
 
-// isUnanswered reports whether it has not told yet what it has.
+// isUnanswered reports whether it has not reported yet what it has.
 func (h *holder) isUnanswered() bool { return h.state == selected || h.state == offered }
 
-// Holder is how a holder stands, for those who ask. It is sent as a CBOR array and printed as JSON by field name: the
+// Holder describes a holder to commands. It is sent as a CBOR array and printed as JSON by field name: the
 // order of the fields and the tags stay.
 type Holder struct {
 	_ struct{} `cbor:",toarray"`
@@ -135,7 +135,7 @@
 	MissingRecords uint64 `json:"Lacks"` // that are still to be copied to it from disk
 }
 
-// Holders tells how each holder stands, in the order of their names.
+// Holders describes all holders, in the order of their names.
 func (o *Origin) Holders() (holders []Holder) {
 	for _, name := range slices.Sorted(maps.Keys(o.holders)) {
 		h := o.holders[name]
--- a/internal/cluster/replication/message.go
+++ b/internal/cluster/replication/message.go
@@ -1,8 +1,9 @@
 package replication
 
-// Messages between nodes. They are sent as CBOR arrays, with the fields of Stream in place: the order of the fields stays.
+// Messages between nodes. They are sent as CBOR arrays, with the fields of Stream in place: the order of the fields
+// stays.
 type (
-	// Offer tells what the sender has of a stream, and asks what the receiver has.
+	// Offer reports what the sender has of a stream, and asks what the receiver has.
 	Offer struct {
 		_ struct{} `cbor:",toarray"`
 		Stream
@@ -28,7 +29,7 @@
 		Frames     []byte
 	}
 
-	// Ack says that a Batch lasts at the sender, or with a RejectReason that it does not.
+	// Ack says that a Batch is durable at the sender, or with a RejectReason that it is not.
 	Ack struct {
 		_ struct{} `cbor:",toarray"`
 		Stream
--- a/internal/cluster/replication/origin.go
+++ b/internal/cluster/replication/origin.go
@@ -36,12 +36,12 @@
 	lastReview time.Duration
 	shortSince time.Duration // since when too few holders are in sync; notShort: there are enough
 
-	stored      Ranges // that last on this node's own disk
+	stored      Ranges // that are durable on this node's own disk
 	queue       []queuedRecords
 	queuedBytes int
 	next        uint64 // the number of the next record
 	firstQueued uint64 // older records that aren't committed wait on disk for a holder
-	committed   uint64 // all before this last at enough holders
+	committed   uint64 // all before this are durable at enough holders
 
 	// SawLaterIncarnation is set when a holder knows of a later incarnation of this node: the node must stop.
 	SawLaterIncarnation bool
@@ -70,8 +70,8 @@
 // Committed is the first record that is not committed.
 func (o *Origin) Committed() uint64 { return o.committed }
 
-// FirstQueued is the first record that may still be committed soon. An older one that is not committed waits on disk until
-// it is copied to a holder.
+// FirstQueued is the first record that may still be committed soon. An older one that is not committed waits on disk
+// until it is copied to a holder.
 func (o *Origin) FirstQueued() uint64 { return o.firstQueued }
 
 // NextNumber is the number that the next record gets.
@@ -91,14 +91,14 @@
 	return stalled
 }
 
-// RecordsStored is called when records last on this node's own disk.
+// RecordsStored is called when records are durable on this node's own disk.
 func (o *Origin) RecordsStored(from, to uint64) { o.stored = o.stored.With(from, to) }
 
-// StoredRanges are the records that last on this node's own disk.
+// StoredRanges are the records that are durable on this node's own disk.
 func (o *Origin) StoredRanges() Ranges { return o.stored }
 
-// RecordsLost is called when records on this node's own disk were found to be damaged. Holders are told what is left, and
-// send back what is missing.
+// RecordsLost is called when records on this node's own disk were found to be damaged. Holders are notified of what is
+// left, and send back what is missing.
 func (o *Origin) RecordsLost(now time.Duration, lost Ranges) (out []Outgoing) {
 	o.stored = o.stored.Without(lost)
 	for _, name := range slices.Sorted(maps.Keys(o.holders)) {
@@ -177,7 +177,7 @@
 		if h == nil || h.state == rejected { // it was released meanwhile
 			continue
 		}
-		if o.isOverdue(now, h, uncommitted) && h.state != lagging && !o.wasAvoidedLately(now, name) {
+		if o.isOverdue(now, h, uncommitted) && h.state != lagging && !o.wasAvoidedRecently(now, name) {
 			out = o.advance(now, h, ackOverdue, out)
 		}
 		if h.state == offered && now-h.offeredAt > offerTimeout {
@@ -207,8 +207,8 @@
 	return now-oldest.queuedAt > o.ackTimeout && h.acked < oldest.next && inState > o.ackTimeout
 }
 
-// wasAvoidedLately reports whether a holder was replaced so lately that it isn't replaced again.
-func (o *Origin) wasAvoidedLately(now time.Duration, name string) bool {
+// wasAvoidedRecently reports whether a holder was replaced so recently that it isn't replaced again.
+func (o *Origin) wasAvoidedRecently(now time.Duration, name string) bool {
 	since, ok := o.avoided[name]
 	return ok && now-since <= avoidDuration
 }
--- a/internal/cluster/replication/queue.go
+++ b/internal/cluster/replication/queue.go
@@ -10,7 +10,7 @@
 // queuedRecords are consecutive records that wait for holders.
 type queuedRecords struct {
 	first    uint64
-	next     uint64 // the number behind the last of them
+	next     uint64 // the number after the last of them
 	queuedAt time.Duration
 	frames   []byte
 }
@@ -23,7 +23,7 @@
 	o.queue = append(o.queue, queuedRecords{first: first, next: o.next, queuedAt: now, frames: frames})
 	o.queuedBytes += len(frames)
 	for len(o.queue) > 1 && (o.next-o.queue[0].first > maxQueuedRecords || o.queuedBytes > maxQueuedBytes) {
-		o.firstQueued = o.queue[0].next // it stands on disk, and is copied to holders from there
+		o.firstQueued = o.queue[0].next // it is on disk, and is copied to holders from there
 		o.dequeue()
 	}
 	if isAwaited {
--- a/internal/cluster/replication/repair.go
+++ b/internal/cluster/replication/repair.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// CopyJob is a stream of which records are to be copied to a node.
-type CopyJob struct {
+// CopyTask is a stream of which records are to be copied to a node.
+type CopyTask struct {
 	Stream
 	To string
 }
@@ -127,13 +127,13 @@
 	return h.ranges.Without(to.stored)
 }
 
-// CopyJobs returns the copies that this node makes now. The holders of an orphan begin one after the other.
-func (t *ReplicaTable) CopyJobs(now time.Duration) (jobs []CopyJob) {
+// CopyTasks returns the copies that this node makes now. The holders of an orphan begin one after the other.
+func (t *ReplicaTable) CopyTasks(now time.Duration) (tasks []CopyTask) {
 	for _, s := range t.Streams() {
 		h := t.streams[s]
 		if !h.isOrphan() {
 			if len(t.MissingAt(s, s.Name)) > 0 {
-				jobs = append(jobs, CopyJob{Stream: s, To: s.Name})
+				tasks = append(tasks, CopyTask{Stream: s, To: s.Name})
 			}
 			continue
 		}
@@ -142,11 +142,11 @@
 		}
 		for _, name := range slices.Sorted(maps.Keys(h.targets)) {
 			if len(t.MissingAt(s, name)) > 0 {
-				jobs = append(jobs, CopyJob{Stream: s, To: name})
+				tasks = append(tasks, CopyTask{Stream: s, To: name})
 			}
 		}
 	}
-	return jobs
+	return tasks
 }
 
 // copyDelay is how long this node waits until it copies an orphan, by its rank among the holders.
--- a/internal/cluster/replication/replicatable.go
+++ b/internal/cluster/replication/replicatable.go
@@ -73,9 +73,9 @@
 	rejectedAt  time.Duration // 0: it has not rejected
 }
 
-// NewReplicaTable holds nothing. required is how many machines hold each stream beside the origin's. New streams are
-// rejected when nine tenths of maxBytes are held, all records when maxBytes are. Records older than retention are rejected;
-// with 0 none are.
+// NewReplicaTable returns an empty table. required is how many machines hold each stream beside the origin's. New
+// streams are rejected when nine tenths of maxBytes are held, all records when maxBytes are. Records older than
+// retention are rejected; with 0 none are.
 func NewReplicaTable(self Candidate, required int, maxBytes int64, retention time.Duration) *ReplicaTable {
 	return &ReplicaTable{
 		self:               self,
@@ -88,8 +88,8 @@
 	}
 }
 
-// RecordsStored is called when records of a stream last on this node's disk, and for those that are found there at the
-// start.
+// RecordsStored is called when records of a stream are durable on this node's disk, and for those that are found there
+// at the start.
 func (t *ReplicaTable) RecordsStored(s Stream, from, to uint64, bytes, lastRecordUnixNano int64) {
 	h := t.stream(s)
 	h.ranges = h.ranges.With(from, to)
@@ -126,7 +126,7 @@
 	}
 }
 
-// EndVerification takes in what was found undamaged. Where that is less than was thought, other holders are told.
+// EndVerification takes in what was found undamaged. Where that is less than was thought, other holders are notified.
 func (t *ReplicaTable) EndVerification(s Stream, found Ranges) (out []Outgoing) {
 	h := t.streams[s]
 	if h == nil || !h.verification.isRunning {
@@ -152,8 +152,8 @@
 	return out
 }
 
-// SetNodes is called when the members have changed, with all nodes. This node's own incarnation counts as well: streams of
-// its earlier ones are orphans.
+// SetNodes is called when the members have changed, with all nodes. This node's own incarnation counts as well: streams
+// of its earlier ones are orphans.
 func (t *ReplicaTable) SetNodes(now time.Duration, nodes []Node) {
 	t.candidates = t.candidates[:0]
 	t.candidatesVersion++
@@ -229,7 +229,7 @@
 	return expired
 }
 
-// StoredReplica is a stream as it is held, for those who ask. It is sent as a CBOR array and printed as JSON by field
+// StoredReplica describes a stream that is held, to commands. It is sent as a CBOR array and printed as JSON by field
 // name, with the fields of Stream in place: the order of the fields and the tags stay.
 type StoredReplica struct {
 	_ struct{} `cbor:",toarray"`
@@ -241,7 +241,7 @@
 	MissingRecords     map[string]uint64 `json:"Lacks"` // that are still to be copied, by node
 }
 
-// StoredReplicas tells of all streams that are held.
+// StoredReplicas describes all streams that are held.
 func (t *ReplicaTable) StoredReplicas() (replicas []StoredReplica) {
 	for _, s := range t.Streams() {
 		h := t.streams[s]
--- a/internal/cluster/replication/replicatable_test.go
+++ b/internal/cluster/replication/replicatable_test.go
@@ -100,7 +100,7 @@
 			table.HandleMessage(0, c.Name, &Inventory{Stream: s})
 		}
 		for now := time.Duration(0); now < 20*time.Second; now += 100 * time.Millisecond {
-			if len(table.CopyJobs(now)) > 0 {
+			if len(table.CopyTasks(now)) > 0 {
 				return now
 			}
 		}
--- a/internal/cluster/replication/selection.go
+++ b/internal/cluster/replication/selection.go
@@ -15,7 +15,7 @@
 // WantedConnections returns the nodes to which a connection is to be kept.
 func (o *Origin) WantedConnections() []string { return slices.Sorted(maps.Keys(o.holders)) }
 
-// Connected is called when a connection to a node is established, and may be called again while it stands.
+// Connected is called when a connection to a node is established, and may be called again while it is open.
 func (o *Origin) Connected(now time.Duration, name string) []Outgoing {
 	if h := o.holders[name]; h != nil && !h.isConnected {
 		h.isConnected = true
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// selectHolders sees to it that enough holders are selected: first of those that nothing speaks against, then, where these
-// are too few, of all that do not reject.
+// selectHolders sees to it that enough holders are selected: first of those that nothing speaks against, then, where
+// these are too few, of all that do not reject.
 func (o *Origin) selectHolders(now time.Duration, out []Outgoing) []Outgoing {
 	current := map[string]bool{}
 	for name, h := range o.holders {
@@ -55,7 +55,7 @@
 		}
 		h.candidate = c
 		if h.state == rejected {
-			h.isConnected = false // has Connected called anew for a connection that stands
+			h.isConnected = false // has Connected called again for a connection that is open
 			out = o.advance(now, h, reselected, out)
 		}
 	}
@@ -65,7 +65,7 @@
 }
 
 // usableCandidates are the candidates, healthy only where they may be selected. A strict choice leaves out those that are
-// lagging or avoided; those that rejected lately are always left out.
+// lagging or avoided; those that rejected recently are always left out.
 func (o *Origin) usableCandidates(now time.Duration, isStrict bool) []Candidate {
 	usable := slices.Clone(o.candidates)
 	for i := range usable {
--- a/internal/cluster/replication/stream.go
+++ b/internal/cluster/replication/stream.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// reconcilerSeparator stands in the name of a stream between the node whose entries it reconciles and the node that does.
+// reconcilerSeparator is in the name of a stream, between the node whose entries it reconciles and the node that does.
 const reconcilerSeparator = "~"
 
 // Stream names the records of one incarnation of a node. It is sent as a CBOR array and printed as JSON by field name.
 type Stream struct {
 	_ struct{} `cbor:",toarray"`
 
-	Name        string // of the node; with a second name behind a "~" what that node reconciled of the first
+	Name        string // of the node; with "~" and a second name: what that node reconciled of the first
 	Incarnation int64  `json:"Up"` // Unix time in ns of the incarnation's start
 }
 
--- a/internal/journal/execution/execution.go
+++ b/internal/journal/execution/execution.go
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// addLine takes in one line and returns the record to which the lines behind it belong.
+// addLine takes in one line and returns the record to which the following lines belong.
 func addLine(text string, current *intent.ExecutionRecord, records map[string]*intent.ExecutionRecord) (*intent.ExecutionRecord, error) {
 	var l line
 	d := json.NewDecoder(strings.NewReader(text))
--- a/internal/journal/intent/assembler.go
+++ b/internal/journal/intent/assembler.go
@@ -15,7 +15,7 @@
 	return requestKey{incarnation: r.Incarnation, number: r.RequestNumber}
 }
 
-// Assembler puts the records of one journal together to entries. It keeps only those entries that may still change.
+// Assembler builds entries from the records of one journal. It holds only those entries that may still change.
 type Assembler struct {
 	open map[requestKey]*Entry
 	// Gaps are the Gap records that were added.
@@ -25,7 +25,7 @@
 	HasDamage bool
 }
 
-// NewAssembler begins without entries.
+// NewAssembler returns an Assembler without entries.
 func NewAssembler() *Assembler { return &Assembler{open: map[requestKey]*Entry{}} }
 
 // Add takes in a record and returns the entry that is complete with it, nil for none. Records of unknown kinds and chunk
--- a/internal/journal/intent/attempt.go
+++ b/internal/journal/intent/attempt.go
@@ -1,6 +1,6 @@
 package intent
 
-// Attempt is one sending of a request to one server, as far as records tell.
+// Attempt is one sending of a request to one server, as far as records show.
 type Attempt struct {
 	Server          string
 	AtUnixNano      int64
@@ -47,7 +47,7 @@
 }
 
 // transitions has a row for each state. Evidence that contradicts an earlier end changes nothing, except that a proof of
-// having run stands above one of never having run. Evidence that comes again, as when a segment was written anew after a
+// having run overrides one of never having run. Evidence that comes again, as when records were written again after a
 // failure, changes nothing either.
 var transitions = [attemptStates][evidences]transition{
 	stateUnknown: {
--- a/internal/journal/intent/entry.go
+++ b/internal/journal/intent/entry.go
@@ -45,16 +45,16 @@
 	// Attempts are those about to be sent, by their numbers in the journal: one that is missing was lost to it.
 	Attempts []Attempt
 
-	ClientOutcome      string // "" where it isn't known what the client was told
+	ClientOutcome      string // "" where it isn't known
 	NotifiedAtUnixNano int64
 	Conflicts          int  // records that contradict what was proven
-	MayLackRecords     bool // records that cannot be read may have told of further attempts
+	MayLackRecords     bool // further attempts may be in records that cannot be read
 	TooFewNodesAsked   bool // too few of the nodes that may hold records were asked
-	attemptsAtOutcome  int  // how many there were when the client was told
+	attemptsAtOutcome  int  // how many there were when the client was notified
 	isUnsent           bool // an Unsent record was read
 }
 
-// State of the entry. It claims no more than the records prove.
+// State is what may be claimed of the request. It claims no more than the records prove.
 func (e *Entry) State() State {
 	s := NotSent
 	if e.MayLackRecords || e.lacksAttempts() {
@@ -79,7 +79,7 @@
 	return len(e.Attempts) < e.attemptsAtOutcome || len(e.Attempts) == 0 && e.ClientOutcome == "" && !e.isUnsent
 }
 
-// IsComplete reports that nothing more can come for the entry: the client was told, and each attempt is proven.
+// IsComplete reports that nothing more can come for the entry: the client was notified, and each attempt is proven.
 func (e *Entry) IsComplete() bool {
 	return e.ClientOutcome != "" && e.State() != PossiblySent && !e.hasUnprovenAttempt() && len(e.Attempts) >= e.attemptsAtOutcome
 }
--- a/internal/journal/intent/merger.go
+++ b/internal/journal/intent/merger.go
@@ -1,13 +1,14 @@
 package intent
 
-// Merger puts together what several nodes hold of the same requests: a record that comes again changes nothing.
+// Merger builds entries from the records that several nodes hold of the same requests: a record that comes again changes
+// nothing.
 type Merger struct {
 	Assembler
 	complete map[requestKey]struct{}
 	gaps     map[Record]bool
 }
 
-// NewMerger begins without entries.
+// NewMerger returns a Merger without entries.
 func NewMerger() *Merger {
 	return &Merger{
 		Assembler: *NewAssembler(),
--- a/internal/journal/intent/reconcile.go
+++ b/internal/journal/intent/reconcile.go
@@ -8,7 +8,7 @@
 	RequestIDs   map[string]bool
 }
 
-// covers reports whether the record tells of all attempts that began at a moment. One that began within slackNanos of the
+// covers reports whether the record has all attempts that began at a moment. One that began within slackNanos of the
 // record's end may still be running.
 func (x *ExecutionRecord) covers(atUnixNano, slackNanos int64) bool {
 	return atUnixNano >= x.FromUnixNano && atUnixNano+slackNanos <= x.ToUnixNano
--- a/internal/journal/intent/record.go
+++ b/internal/journal/intent/record.go
@@ -6,17 +6,18 @@
 const (
 	// Unsent says that a request has ended and that no attempt of it was about to be sent.
 	Unsent Kind = 1 + iota
-	// Intent says that an attempt is about to be sent. It names the request anew, so that no record needs another.
+	// Intent says that an attempt is about to be sent. It repeats the fields of the request, so that it can be read
+	// alone.
 	Intent
 	// AttemptEnded says how an attempt went, and what that proves.
 	AttemptEnded
-	// ClientNotified says what the client was told, and after how many attempts.
+	// ClientNotified says which outcome the client was notified of, and after how many attempts.
 	ClientNotified
 	// Reconciled says what the server's execution record proves of an attempt.
 	Reconciled
 	// Gap counts requests that went on without the journal.
 	Gap
-	// ChunkHeader says that the Count records behind it are those from number From on of their incarnation's stream.
+	// ChunkHeader says that the Count records after it are those from number From on of their incarnation's stream.
 	ChunkHeader
 )
 
@@ -32,8 +33,8 @@
 	NeverRan
 )
 
-// Record is one line of the journal. Which fields it has follows from its kind. It is stored as a CBOR array: the order of
-// the fields is that of the stored data.
+// Record is one line of the journal. Which fields it has follows from its kind. It is stored as a CBOR array: the order
+// of the fields is that of the stored data.
 type Record struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -48,7 +49,7 @@
 	Server        string
 	RepeatOf      string // the id that the client names as repeated
 	IsRetry       bool   // the client marks the request as a retry
-	Outcome       string // of the attempt, or what the client was told
+	Outcome       string // of the attempt, or the one that the client was notified of
 	Proof         Proof
 	From          int64 // of a Gap its start in Unix ns; of a ChunkHeader the number of the first record
 	Count         int   // of a Gap requests; of ClientNotified attempts; of a ChunkHeader records
--- a/internal/journal/wal/chunk.go
+++ b/internal/journal/wal/chunk.go
@@ -7,15 +7,15 @@
 	"fernvane/internal/journal/intent"
 )
 
-// MaxChunkRecords is how many numbered records stand behind one header: 250 kB.
+// MaxChunkRecords is how many numbered records follow one header: 250 kB.
 const MaxChunkRecords = 1024
 
-// Chunk is a run of numbered records as it stands in a segment.
+// Chunk is a run of numbered records as it is stored in a segment.
 type Chunk struct {
 	Incarnation uint64 // whose stream it is of
-	First       uint64 // number of its first record; numbers begin with 1
+	First       uint64 // number of its first record; numbers start at 1
 	Count       int
-	AtUnixNano  int64  // when it was written first
+	AtUnixNano  int64  // when it was first written
 	Frames      []byte // the header's frame and those of the records
 }
 
@@ -30,7 +30,7 @@
 	}
 }
 
-// end is the number behind the last record.
+// end is the number after the last record.
 func (c *Chunk) end() uint64 { return c.First + uint64(c.Count) }
 
 // DecodeChunks reads chunks that another node sent, checking each checksum. All must be complete, of one incarnation, and
@@ -79,7 +79,7 @@
 }
 
 // ScanChunks calls each for the complete chunks of one segment, in order; what is damaged or cut off is passed over. The
-// chunk's Frames hold until each returns.
+// chunk's Frames are valid until each returns.
 func ScanChunks(files FileSystem, s Segment, each func(Chunk) error) (ScanReport, error) {
 	var report ScanReport
 	var c Chunk
--- a/internal/journal/wal/commit.go
+++ b/internal/journal/wal/commit.go
@@ -1,16 +1,16 @@
 package wal
 
-// Commit tells when a record that was appended lasts, or that it never will.
+// Commit reports when a record that was appended is durable, or that it was not stored.
 type Commit struct {
 	done     chan struct{}
 	err      error
 	sequence uint64
 }
 
-// Done is closed when the record lasts, or never will.
+// Done is closed when the record is durable, or when it was not stored.
 func (c *Commit) Done() <-chan struct{} { return c.done }
 
-// Err is nil if the record lasts, and else why it does not. It is called after Done is closed.
+// Err is nil if the record is durable, and else why it was not stored. It is called after Done is closed.
 func (c *Commit) Err() error { return c.err }
 
 // SequenceNumber is the record's number in the stream, 0 where records have none. It is called after Done is closed.
--- a/internal/journal/wal/config.go
+++ b/internal/journal/wal/config.go
@@ -7,12 +7,12 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// What an intent that was stored outlasts (Config.Promise).
+// What a stored intent survives (Config.Promise).
 const (
-	promiseProcess = "process" // the death of the node's process
-	promiseMachine = "machine" // the death of its machine
-	// PromiseMachines is the loss of as many machines with their disks as there are replicas. It needs other nodes to hold
-	// them (package peer).
+	promiseProcess = "process" // a crash of the process
+	promiseMachine = "machine" // a crash of the machine
+	// PromiseMachines is the loss of as many machines with their disks as there are replicas. It needs other nodes to
+	// hold them (package peer).
 	PromiseMachines = "machines"
 )
 
@@ -35,7 +35,7 @@
 	Dir            string            `toml:"dir"`
 	Promise        string            `toml:"promise"`      // process, machine or machines
 	WhenFailing    string            `toml:"when_failing"` // deny or serve
-	MaxWait        tomlfile.Duration `toml:"wait_most"`    // for an intent to last
+	MaxWait        tomlfile.Duration `toml:"wait_most"`    // for an intent to be durable
 	IncludesKeyed  bool              `toml:"fingerprinted"`
 	RepeatOfField  string            `toml:"repeats_field"` // the request's header field with the id that it repeats
 	SegmentBytes   int64             `toml:"segment_bytes"`
@@ -43,8 +43,8 @@
 	RetentionBytes int64             `toml:"keep_bytes"`
 }
 
-// RejectsWhenFailing reports what becomes of requests that the journal cannot store: they are rejected, or else served and
-// counted as a gap.
+// RejectsWhenFailing reports what becomes of requests that the journal cannot store: they are rejected, or else served
+// and counted as a gap.
 func (c *Config) RejectsWhenFailing() bool { return c.WhenFailing == whenFailingReject }
 
 // LoadConfig reads the file. The error names each fault by file and line.
--- a/internal/journal/wal/filesystem.go
+++ b/internal/journal/wal/filesystem.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// FileSystem is the disk beneath a journal. OSFileSystem is the real one; tests use one that fails as told.
+// FileSystem is the disk beneath a journal. OSFileSystem is the real one; tests use one that fails on purpose.
 type FileSystem interface {
 	// Create makes a file that was not there before; the error is os.ErrExist where it was.
 	Create(path string) (File, error)
@@ -17,20 +17,20 @@
 	List(dir string) ([]FileInfo, error)
 	// Remove removes a file.
 	Remove(path string) error
-	// Rename gives a file another name in its folder, in place of one that has it.
+	// Rename gives a file another name in its folder, replacing one that has it.
 	Rename(path, to string) error
-	// SyncDir makes the folder's own entries last past the machine's death.
+	// SyncDir makes the folder's own entries survive a crash of the machine.
 	SyncDir(dir string) error
 }
 
 // File is a file that is written.
 type File interface {
 	io.WriteCloser
-	// Sync makes what was written last past the machine's death.
+	// Sync makes what was written survive a crash of the machine.
 	Sync() error
 }
 
-// FileInfo is what a folder tells of a file.
+// FileInfo describes a file of a folder.
 type FileInfo struct {
 	Name    string
 	Size    int64
@@ -66,7 +66,7 @@
 // Rename gives a file another name.
 func (OSFileSystem) Rename(path, to string) error { return os.Rename(path, to) }
 
-// SyncDir makes the folder's own entries last.
+// SyncDir makes the folder's own entries durable.
 func (OSFileSystem) SyncDir(dir string) error {
 	d, err := os.Open(filepath.Clean(dir))
 	if err != nil {
--- a/internal/journal/wal/frame.go
+++ b/internal/journal/wal/frame.go
@@ -13,14 +13,14 @@
 // A frame is a marker (2 bytes), the length of the body (4), a checksum over length and body (4), all little-endian, and
 // the record as CBOR.
 const (
-	frameMarker      = 0xB1D7 // by which the next frame is found behind bytes that cannot be read
+	frameMarker      = 0xB1D7 // by which the next frame is found after bytes that cannot be read
 	frameHeaderBytes = 10
 	maxRecordBytes   = 4 << 10
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// AppendFrame appends a record to b as it stands in a segment.
+// AppendFrame appends a record to b as it is stored in a segment.
 func AppendFrame(b []byte, r *intent.Record) ([]byte, error) {
 	body, err := cbor.Marshal(r)
 	if err != nil {
--- a/internal/journal/wal/log.go
+++ b/internal/journal/wal/log.go
@@ -30,7 +30,7 @@
 type Options struct {
 	Dir             string // a folder that is there
 	FileSystem      FileSystem
-	Fsync           bool // a record lasts past the machine's death, not only past the process's
+	Fsync           bool // a record survives a crash of the machine, not only of the process
 	MaxSegmentBytes int64
 	RetentionAge    time.Duration // older segments are removed; 0: none are
 	RetentionBytes  int64         // of all segments; 0: no bound
@@ -41,7 +41,7 @@
 	// OnChunk, if set, has records numbered. It is called with each chunk's frames before they are written here, and with
 	// whether anyone waits for a record in it. It is called by the writer and must not block.
 	OnChunk func(first uint64, count int, frames []byte, isAwaited bool)
-	// OnStored says that the records of a chunk last. It must be set with OnChunk, is called by the writer, and must not
+	// OnStored is called by the writer when the records of a chunk are durable. It must be set with OnChunk, and must not
 	// block.
 	OnStored func(first uint64, count int)
 	// OnHealthChange, if set, is called with the reason when writes begin to fail, and with nil when they succeed again.
@@ -61,7 +61,7 @@
 	write    writeTimes
 	gap      gap
 
-	// The rest belongs to the writer goroutine.
+	// The fields below belong to the writer goroutine.
 	segment struct {
 		file   File // nil after a failure
 		bytes  int64
@@ -72,7 +72,7 @@
 	sequence uint64         // of the last numbered record
 }
 
-// writeTimes say how the disk has kept up lately.
+// writeTimes are those of the present and the last write.
 type writeTimes struct {
 	began time.Time // of the write that is under way; zero: there is none
 	ended time.Time // of the last one
@@ -93,8 +93,8 @@
 	atUnixNano int64   // of the first of a chunk: when it was written first
 }
 
-// Open starts a segment of its own behind those that are there. Nothing that is there is touched, so others may read or
-// even write beside it.
+// Open starts a new segment after the existing ones. It changes none of those, so other processes may read and even write
+// the folder meanwhile.
 func Open(o Options) (*Log, error) {
 	l := &Log{options: o, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	if err := l.createSegment(); err != nil {
@@ -104,8 +104,8 @@
 	return l, nil
 }
 
-// Append queues records, in order. With wait it returns a Commit for the last of them; without, nobody minds if they are
-// lost with the process. The error is ErrQueueFull, ErrDiskFailing or ErrClosed; then none of the records is stored.
+// Append queues records, in order. With wait it returns a Commit for the last of them; without, they may be lost
+// with the process. The error is ErrQueueFull, ErrDiskFailing or ErrClosed; then none of the records is stored.
 func (l *Log) Append(wait bool, records ...intent.Record) (*Commit, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,7 +145,7 @@
 }
 
 // StalledFor is how long the write that is under way has taken, or how long the last one took, if that ended within the
-// last second: a disk that was slow a moment ago is not trusted with many records at once.
+// last second: a disk that was slow a moment ago may be slow again.
 func (l *Log) StalledFor() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -166,7 +166,7 @@
 	return l.failure
 }
 
-// CountMissed counts a request that went on without the journal. A Gap record tells of it when the disk takes records
+// CountMissed counts a request that was served without a record. A Gap record counts it when the disk takes records
 // again.
 func (l *Log) CountMissed() {
 	l.mu.Lock()
@@ -185,7 +185,7 @@
 	l.gap.records += records
 }
 
-// gapRecord tells of the records that were not stored. mu is held.
+// gapRecord counts the records that were not stored. mu is held.
 func (l *Log) gapRecord() intent.Record {
 	return intent.Record{
 		Kind:        intent.Gap,
--- a/internal/journal/wal/recovery.go
+++ b/internal/journal/wal/recovery.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// failQueue ends what was queued before the failure was known, and reports whether the Log is closed.
+// failQueue fails the records that were queued before the failure was known, and reports whether the Log is closed.
 func (l *Log) failQueue(reason error) (isClosed bool) {
 	l.mu.Lock()
 	isClosed = l.isClosed
@@ -44,7 +44,7 @@
 	return isClosed
 }
 
-// writeGap tells in the new segment of the records that were lost, which also shows that the disk takes records.
+// writeGap counts the lost records in the new segment, which also shows that the disk takes records.
 func (l *Log) writeGap() error {
 	if l.options.OmitGaps {
 		return nil
--- a/internal/journal/wal/scan.go
+++ b/internal/journal/wal/scan.go
@@ -20,7 +20,7 @@
 	IsTorn bool // the end of the file: a write that was not finished
 }
 
-// String says in words what cannot be read.
+// String describes the range.
 func (u UnreadableRange) String() string {
 	if u.IsTorn {
 		return fmt.Sprintf("%s: %d bytes at %d are the start of a record that was not written whole", u.Path, u.Bytes, u.Offset)
@@ -107,11 +107,11 @@
 	record         intent.Record
 	buffer         []byte // read and not decoded yet
 	offset         int64  // of the buffer's first byte in the segment
-	isAtEnd        bool   // the file holds nothing behind the buffer
+	isAtEnd        bool   // the file has nothing after the buffer
 	unreadableFrom int64  // where the present unreadable range begins; -1: there is none
 }
 
-// decode hands on the records in the buffer and keeps what may be the start of a further one. Behind bytes that cannot be
+// decode hands on the records in the buffer and keeps what may be the start of a further one. After bytes that cannot be
 // read it looks for the next frame that can, byte by byte.
 func (s *segmentScan) decode() error {
 	i := 0
@@ -155,7 +155,7 @@
 	s.unreadableFrom = -1
 }
 
-// read reads the next bytes of the file behind those in the buffer.
+// read reads the next bytes of the file after those in the buffer.
 func (s *segmentScan) read(f io.Reader) error {
 	if cap(s.buffer)-len(s.buffer) < scanReadBytes {
 		s.buffer = slices.Grow(s.buffer, scanReadBytes)
--- a/internal/journal/wal/writer.go
+++ b/internal/journal/wal/writer.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// takeBatch takes the queue, behind a Gap record where records were lost before it.
+// takeBatch takes the queue, after a Gap record where records were lost before it.
 func (l *Log) takeBatch() []queuedRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,7 +62,7 @@
 	return batch
 }
 
-// finish tells those who wait for a record of the batch.
+// finish ends the commits of the batch.
 func finish(batch []queuedRecord, err error) {
 	for _, q := range batch {
 		if q.commit != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// writeBatch writes records and, where someone waits for one, makes them last.
+// writeBatch writes records and, where someone waits for one, syncs them.
 func (l *Log) writeBatch(batch []queuedRecord) error {
 	if len(batch) == 0 {
 		return nil
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// encodeChunk puts records into a chunk and hands it on. Records get their numbers once: a chunk that is written anew
+// encodeChunk puts records into a chunk and hands it on. Records get their numbers once: a chunk that is written again
 // after a failure keeps its numbers and its time, and is not handed on again.
 func (l *Log) encodeChunk(records []queuedRecord) error {
 	isNew := records[0].sequence == 0
