--- a/internal/proxy/countslog.go
+++ b/internal/proxy/countslog.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// logCountsOnce logs one line for the node and one for each route. The keys are read by operators' tools.
+// logCountsOnce logs one line for the node and one for each route.
 func (s *Server) logCountsOnce() {
 	c := s.dispatcher.Counts()
 	source, age := s.dispatcher.LastAnnouncement()
@@ -43,12 +43,12 @@
 	if s.distribution != nil {
 		s.distribution.addStatus(line)
 	}
-	line.Int("handled", c.Responded).Int("denied", c.Rejected).Int("written_off", c.Failed).
-		Int("left", c.Disconnected).Int("no_room", c.NoCapacity).Int("limited", c.RouteLimited).Int("copies", c.Hedges).Dict("hops", attempts).
+	line.Int("handled", c.Responded).Int("rejected", c.Rejected).Int("failed", c.Failed).
+		Int("client_left", c.Disconnected).Int("no_capacity", c.NoCapacity).Int("route_limited", c.RouteLimited).Int("hedges", c.Hedges).Dict("attempts", attempts).
 		Int("open", c.OpenRequests).Int("clients", c.ClientConnections).Int("servers", c.ServerConnections).
 		Stringer("list_from", source).Float64("list_age_s", age.Round(time.Second/10).Seconds()).Msg("counts")
 	s.dispatcher.RouteCounts(func(name string, inFlight int, c route.LimiterCounts) {
-		s.logger.Info().Str("route", name).Int("in_hand", inFlight).Int("taken", c.Admitted).Int("over_rate", c.RateExceeded).
-			Int("no_place", c.QueueFull).Int("over_tenant", c.TenantShareExceeded).Msg("route")
+		s.logger.Info().Str("route", name).Int("in_flight", inFlight).Int("admitted", c.Admitted).Int("rate_exceeded", c.RateExceeded).
+			Int("queue_full", c.QueueFull).Int("tenant_share_exceeded", c.TenantShareExceeded).Msg("route")
 	})
 }
