--- a/internal/testbed/scale/component/files.go
+++ b/internal/testbed/scale/component/files.go
@@ -54,7 +54,7 @@
 
 // reportOf is what a node under so many tenants, none of which sends anything, tells a planner.
 func reportOf(tenants int) (plan.Report, error) {
-	f, err := newFleet(tenants)
+	f, err := newDispatcher(tenants)
 	if err != nil {
 		return plan.Report{}, err
 	}
@@ -92,7 +92,7 @@
 			func(n int) (float64, error) {
 				var err error
 				bytes := retainedBytes(func() any {
-					f, fault := newFleet(n)
+					f, fault := newDispatcher(n)
 					err = fault
 					return f
 				})
--- a/internal/testbed/scale/component/lists.go
+++ b/internal/testbed/scale/component/lists.go
@@ -48,7 +48,7 @@
 	return l
 }
 
-func newFleet(tenants int) (*dispatch.Dispatcher, error) {
+func newDispatcher(tenants int) (*dispatch.Dispatcher, error) {
 	s, err := decoded(tenants)
 	if err != nil {
 		return nil, err
@@ -56,15 +56,16 @@
 	return dispatch.New(s, 1, dispatch.Limits{MemoryMB: 128, Sockets: 256}, engine.NewPolicy), nil
 }
 
-// filled is a node's fleet that knows so many servers.
+// filled returns a dispatcher that knows the servers of a list.
 func filled(l http1.EndpointList) (*dispatch.Dispatcher, error) {
-	f, err := newFleet(4)
+	f, err := newDispatcher(4)
 	if err == nil {
 		f.ApplyList(l, endpoints.SourceDiscovery)
 	}
 	return f, err
 }
 
+// lists are the figures of endpoint lists. The function is long because it is a table with one row for each figure.
 func lists() []figure {
 	sizes := doubled(256, 131_072)
 	return []figure{
@@ -78,7 +79,7 @@
 			l := list(n)
 			least := math.Inf(1)
 			for range 3 {
-				f, err := newFleet(4)
+				f, err := newDispatcher(4)
 				if err != nil {
 					return 0, err
 				}
--- a/internal/testbed/scale/component/parts_test.go
+++ b/internal/testbed/scale/component/parts_test.go
@@ -104,7 +104,7 @@
 
 func takeAllocations(servers int) (float64, error) {
 	l := list(servers)
-	f, err := newFleet(4)
+	f, err := newDispatcher(4)
 	if err != nil {
 		return 0, err
 	}
