--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -176,7 +176,7 @@
 		Env: []string{policyVar + "=" + f.policy}}, name, nil
 }
 
-// variants plays the scenario without what it is about: planners, the registry, or the kept list.
+// variants plays the scenario without what it is about: planners, the registry, or the cached list.
 func variants(ctx context.Context, o testbed.Options, r *report.Report) error {
 	s := o.Scenario
 	play := func(other *scenario.Scenario, suffix, name string) error {
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -68,7 +68,7 @@
 	return b.String()
 }
 
-// told is the command as it was given, without where it stands and where its result goes.
+// commandLine is the command as it was given, without where it stands and where its result goes.
 func commandLine(c *cobra.Command) string {
 	words := []string{c.Root().Name()}
 	args := os.Args[1:]
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -1,4 +1,4 @@
-// Package audit tells whether the rules were kept, from what clients, servers, discovery and the keeper of the nodes saw.
+// Package audit reports whether the rules were kept, from what clients, servers, discovery and the process manager of the nodes saw.
 // It is free of I/O: what happened is told to it in any order, and Verdict looks at the whole.
 package audit
 
@@ -85,13 +85,13 @@
 	return r
 }
 
-// Sending tells that a client is about to write a request of a type to a node.
+// Sending reports that a client is about to write a request of a type to a node.
 func (a *Audit) Sending(id uint64, kind, node int) {
 	r := a.request(id)
 	r.kind, r.node, r.known = kind, node, true
 }
 
-// Sent tells that its last byte was written.
+// Sent reports that its last byte was written.
 func (a *Audit) Sent(id uint64, at time.Duration) { a.request(id).sent = at }
 
 // Ended tells how the client's try ended; foreign, that the answer was made for another request; extra, that more came.
@@ -100,22 +100,22 @@
 	r.ended, r.end, r.status, r.foreign, r.extra = at, end, status, foreign, extra
 }
 
-// Extra tells that a node sent something on a connection on which nothing was asked.
+// Extra reports that a node sent something on a connection on which nothing was asked.
 func (a *Audit) Extra(node int) { a.extras = append(a.extras, fmt.Sprintf("node %d", node)) }
 
-// Attempt tells that a server was sent a request, by when its first and its last byte came.
+// Attempt reports that a server was sent a request, by when its first and its last byte came.
 func (a *Audit) Attempt(id uint64, box int, first, last time.Duration) {
 	r := a.request(id)
 	r.attempts = append(r.attempts, attempt{server: box, first: first, last: last, over: -1, ran: -1})
 }
 
-// Idle tells that a connection to a server on which a request was the last stood unused, until it ended or the next one came.
+// Idle reports that a connection to a server on which a request was the last stood unused, until it ended or the next one came.
 func (a *Audit) Idle(id uint64, box int, from, to time.Duration) {
 	r := a.request(id)
 	r.idle = append(r.idle, idle{server: box, from: from, to: to})
 }
 
-// Invented tells that a server was sent what no client has sent.
+// Invented reports that a server was sent what no client has sent.
 func (a *Audit) Invented(box int, what string) {
 	a.invented = append(a.invented, fmt.Sprintf("%q at %s", what, a.servers[box].Name))
 }
@@ -130,39 +130,39 @@
 	return &attempt{}
 }
 
-// Ran tells that a server has begun the work of its latest attempt of a request.
+// Ran reports that a server has begun the work of its latest attempt of a request.
 func (a *Audit) Ran(id uint64, box int, at time.Duration) { a.request(id).last(box).ran = at }
 
-// Over tells that the attempt is out no more: it was answered, or its connection ended. unbegun: by the word that it never ran.
+// Over reports that the attempt is out no more: it was answered, or its connection ended. unbegun: by a response that it never ran.
 func (a *Audit) Over(id uint64, box int, at time.Duration, unbegun bool) {
 	if h := a.request(id).last(box); h.over < 0 {
 		h.over, h.unbegun = at, unbegun
 	}
 }
 
-// Announced tells that a node was told of a server, by discovery or by any planner, and when that server was said to have started.
+// Announced reports that a node was told of a server, by discovery or by any planner, and when that server was said to have started.
 func (a *Audit) Announced(node, box int, c Condition, up int64, at time.Duration) {
 	k := [2]int{node, box}
 	a.announcements[k] = append(a.announcements[k], announcement{at: at, cond: c, up: up})
 }
 
-// Excused tells that what a node was told of a server's end is not to be believed.
+// Excused reports that what a node was told of a server's end is not to be believed.
 func (a *Audit) Excused(node, box int, at time.Duration) {
 	k := [2]int{node, box}
 	a.announcements[k] = append(a.announcements[k], announcement{at: at, anew: true})
 }
 
-// NodeDown tells that a node was ended on purpose; what it held is its clients' to retry.
+// NodeDown reports that a node was ended on purpose; what it held is its clients' to retry.
 func (a *Audit) NodeDown(node int, at time.Duration) {
 	a.down[node] = append(a.down[node], span{from: at, to: 1 << 62})
 }
 
-// NodeStill tells that a node stands still, up to NodeUp. It gives no answers then, and loses nothing that it has.
+// NodeStill reports that a node stands still, up to NodeUp. It gives no answers then, and loses nothing that it has.
 func (a *Audit) NodeStill(node int, at time.Duration) {
 	a.down[node] = append(a.down[node], span{from: at, to: 1 << 62, still: true})
 }
 
-// NodeUp tells that it was started again, or goes on. What it was told before its end it does not know any more.
+// NodeUp reports that it was started again, or goes on. What it was told before its end it does not know any more.
 func (a *Audit) NodeUp(node int, at time.Duration) {
 	d := a.down[node]
 	if len(d) > 0 && d[len(d)-1].to > at {
@@ -186,18 +186,18 @@
 	}
 }
 
-// Crashed tells that a node ended by itself.
+// Crashed reports that a node ended by itself.
 func (a *Audit) Crashed(node int, why string) {
 	a.crashed = append(a.crashed, fmt.Sprintf("node %d: %s", node, why))
 }
 
-// Owed tells that a client which sent what cannot be read got neither an error nor a close in time.
+// Owed reports that a client which sent what cannot be read got neither an error nor a close in time.
 func (a *Audit) Owed(what string) { a.owed = append(a.owed, what) }
 
-// BrokenPromise tells that a journal of non-idempotent requests lacks what a server has run, or claims what is not so.
+// BrokenPromise reports that a journal of non-idempotent requests lacks what a server has run, or claims what is not so.
 func (a *Audit) BrokenPromise(what string) { a.brokenPromises = append(a.brokenPromises, what) }
 
-// Fell tells that a cold server was sent too much.
+// Fell reports that a cold server was sent too much.
 func (a *Audit) Fell(box int, at time.Duration) {
 	a.fallen = append(a.fallen, fmt.Sprintf("%s at %s", a.servers[box].Name, at.Round(time.Millisecond)))
 }
--- a/internal/testbed/audit/seconds.go
+++ b/internal/testbed/audit/seconds.go
@@ -16,7 +16,7 @@
 	Handled    int // tries that ended in it
 	Rejected   int
 	WrittenOff int
-	Lost       int // without a whole answer, or none in time
+	Lost       int // without a complete response, or none in time
 	Busiest    int // attempts of the node that sent the most
 }
 
--- a/internal/testbed/audit/types.go
+++ b/internal/testbed/audit/types.go
@@ -59,8 +59,8 @@
 	Answered     End = iota // in time
 	Late                    // answered when the client's time was up, but within the slack
 	Unanswered              // the client's time was up first
-	Dropped                 // the connection ended with no whole answer
-	Unsent                  // never written whole
+	Dropped                 // the connection ended with no complete response
+	Unsent                  // never written completely
 	Disconnected            // the client went before its time was up
 )
 
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -169,7 +169,7 @@
 	return true
 }
 
-// open tells whether a request's type may be sent to a server.
+// open reports whether a request's type may be sent to a server.
 func (m *module) open(o *request, s int) bool {
 	for i, to := range m.set.Placements {
 		bound := m.set.TrafficTypes[o.kind].PlacementBit&(1<<i) != 0 && !m.is("misplaces")
--- a/internal/testbed/build.go
+++ b/internal/testbed/build.go
@@ -150,7 +150,7 @@
 	return m, nil
 }
 
-// cgi tells whether anything of the scenario speaks FastCGI, and which kinds of servers.
+// cgi reports whether anything of the scenario speaks FastCGI, and which kinds of servers.
 func (w *world) cgi() (any bool, kinds []string) {
 	for _, b := range w.Scenario.Servers {
 		if b.FastCGI {
--- a/internal/testbed/capacity/fit.go
+++ b/internal/testbed/capacity/fit.go
@@ -66,7 +66,7 @@
 // At extrapolates to a size.
 func (s Slope) At(n float64) float64 { return s.Fixed + s.Factor*s.Shape.growth(n) }
 
-// Unpredicted tells that the smaller sizes did not predict the largest one within a quarter.
+// Unpredicted reports that the smaller sizes did not predict the largest one within a quarter.
 func (s Slope) Unpredicted() bool { return math.Abs(s.Missed) > maxMissed }
 
 // Fit finds the simplest shape that describes the points, by least squares of relative deviations: sizes double, so that
--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// passes is told of each frame between nodes, before it is passed on.
+// passes is notified of each frame between nodes, before it is passed on.
 func (w *world) passes(from, to int, kind byte) {
 	w.steps.mu.Lock()
 	var due []func()
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -101,7 +101,7 @@
 	owned       *zookeeper.Owned // its session at the registry
 	up          time.Time        // when it started, for the registry; zero: for long
 	isLost      bool             // for good
-	incarnation int              // counts what befalls it, so that news overtaken by others are not told
+	incarnation int              // counts what befalls it, so that updates overtaken by others are not told
 }
 
 // Run plays a scenario once.
--- a/internal/testbed/journal.go
+++ b/internal/testbed/journal.go
@@ -266,7 +266,7 @@
 	return ran
 }
 
-// settles tells whether execution records settle all that is open of an entry.
+// settles reports whether execution records settle all that is open of an entry.
 func settles(e *intent.Entry, dockets map[string]*intent.ExecutionRecord) bool {
 	settled := 0
 	for _, r := range intent.Reconcile(e, dockets, 0, time.Now().UnixNano()) {
--- a/internal/testbed/load/client.go
+++ b/internal/testbed/load/client.go
@@ -125,7 +125,7 @@
 	return n, err
 }
 
-// crossed tells that a node closed a kept connection as a request crossed, which it then has not read: no byte has come
+// crossed reports that a node closed a idle connection as a request crossed, which it then has not read: no byte has come
 // back, and the connection has ended. It is the same in every protocol, and the one place that says so for the audit. A
 // node that lives answers whatever it has read, so such a request may be sent once more on a new connection.
 func crossed(k idleConn, err error) bool {
@@ -133,7 +133,7 @@
 		errors.Is(err, syscall.EPIPE))
 }
 
-// excused tells whether a request that was not read may be sent once more: where it crossed the close of a connection that
+// excused reports whether a request that was not read may be sent once more: where it crossed the close of a connection that
 // had rested, or of a new one whose client, on a busy machine, took so long to ask that nodes do not hold it any more.
 // asked is when it had asked.
 func excused(k idleConn, old, again bool, asked time.Time, err error) bool {
--- a/internal/testbed/load/generator.go
+++ b/internal/testbed/load/generator.go
@@ -10,19 +10,19 @@
 	"fernvane/internal/testbed/scenario"
 )
 
-// Watcher is told of each try. Its methods are called from many goroutines.
+// Watcher is notified of each try. Its methods are called from many goroutines.
 type Watcher interface {
-	// Sending tells that the first byte is about to be written.
+	// Sending reports that the first byte is about to be written.
 	Sending(t *Try)
-	// Sent tells that the last byte was written.
+	// Sent reports that the last byte was written.
 	Sent(t *Try)
-	// Unread tells that the connection had been closed before the request was read; it is sent once more.
+	// Unread reports that the connection had been closed before the request was read; it is sent once more.
 	Unread(t *Try)
-	// Ended tells that the try is over, by whatever its End says.
+	// Ended reports that the try is over, by whatever its End says.
 	Ended(t *Try)
-	// Extra tells that bytes came on a connection on which nothing was asked.
+	// Extra reports that bytes came on a connection on which nothing was asked.
 	Extra(w Way)
-	// Lives tells that what a way leads to has run ever since a moment.
+	// Lives reports that what a way leads to has run ever since a moment.
 	Incarnations(w Way, since time.Duration) bool
 }
 
--- a/internal/testbed/load/load_test.go
+++ b/internal/testbed/load/load_test.go
@@ -258,7 +258,7 @@
 	e.all = append(e.all, *t)
 }
 
-// A kept connection that the node closes as the request crosses is no lost request: it is sent once more.
+// A idle connection that the node closes as the request crosses is no lost request: it is sent once more.
 func TestCrossedClose(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	at := server(t, func(c net.Conn, r *http1.Request, n int) bool {
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -144,7 +144,7 @@
 	return string(bytes.TrimSpace(b[max(len(b)-tailBytes, 0):]))
 }
 
-// end sends a signal and waits for the end, which is forced after stopMost. It tells whether the node ended well.
+// end sends a signal and waits for the end, which is forced after stopMost. It reports whether the node ended well.
 func (p *process) end(sig syscall.Signal) error {
 	p.mu.Lock()
 	if p.cmd == nil {
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -148,7 +148,7 @@
 
 var conditions = map[string]audit.Condition{discovery.Serving: audit.Serving, discovery.Draining: audit.Draining, discovery.Deleted: audit.Removed}
 
-// Told tells what discovery has told a node. What it tells a planner reaches nodes by that planner only.
+// Announced reports what discovery has told a node. What it tells a planner reaches nodes by that planner only.
 func (o discovered) Announced(node int, id, phase string, up int64, at time.Time) {
 	if node >= o.s.Nodes.Count {
 		return
--- a/internal/testbed/registry.go
+++ b/internal/testbed/registry.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// Told tells what the registry has told a node of who is there.
+// Announced reports what the registry has told a node of who is there.
 func (o *observer) Announced(reader int, at string, children []zookeeper.Child, when time.Time) {
 	o.record(func(a *audit.Audit, _ time.Duration) {
 		there := map[int]bool{}
--- a/internal/testbed/scale/component/lists.go
+++ b/internal/testbed/scale/component/lists.go
@@ -31,7 +31,7 @@
 		Addresses: []string{fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255)}}
 }
 
-// text is discovery's whole list of so many servers.
+// text is discovery's full list of so many servers.
 func text(servers int) []byte {
 	s := discovery.New(discovery.Figures{LinesPerS: 1e12, Timeout: time.Minute}, 1, nobody{})
 	for i := range servers {
--- a/internal/testbed/scale/layout.go
+++ b/internal/testbed/scale/layout.go
@@ -81,7 +81,7 @@
 	return l.Size.Serves
 }
 
-// served tells whether a node is told of a server.
+// served reports whether a node is told of a server.
 func (l *Layout) served(node, server int) bool {
 	n := l.Size.Services
 	return ((server-node*l.serves())%n+n)%n < l.serves()
--- a/internal/testbed/scale/ledger.go
+++ b/internal/testbed/scale/ledger.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// allWhole tells whether each node knows all servers.
+// allWhole reports whether each node knows all servers.
 func (l *ledger) allComplete() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/scale/plane.go
+++ b/internal/testbed/scale/plane.go
@@ -16,9 +16,9 @@
 // Plane is a mechanism that carries changes of servers to nodes. Everything else of a run, the hollow nodes, the events,
 // what is counted and how, is the same for all of them.
 type Plane interface {
-	// Controls tells whether there are control processes between discovery's side and the nodes.
+	// Controls reports whether there are control processes between discovery's side and the nodes.
 	Controls() bool
-	// Scoped tells whether a node is sent its own services alone.
+	// Scoped reports whether a node is sent its own services alone.
 	Scoped() bool
 	// Check tells in one line why a size cannot be played.
 	Check(s *Size) error
--- a/internal/testbed/scenario/faults.go
+++ b/internal/testbed/scenario/faults.go
@@ -131,7 +131,7 @@
 	s.checkTarget(c, key, x, k)
 }
 
-// checkTarget tells whether there is what the fault names.
+// checkTarget reports whether there is what the fault names.
 func (s *Scenario) checkTarget(c checker, key string, x *Fault, k FaultKind) {
 	switch k.on {
 	case servers:
--- a/internal/testbed/standin/connbalancer/balancer.go
+++ b/internal/testbed/standin/connbalancer/balancer.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// Ended tells that a node has died or is about to; the connection balancer takes it out after a while.
+// Ended reports that a node has died or is about to; the connection balancer takes it out after a while.
 func (f *Balancer) Ended(n int, notice time.Duration) {
 	f.mu.Lock()
 	life := f.generation[n]
--- a/internal/testbed/standin/discovery/discovery.go
+++ b/internal/testbed/standin/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery is a stand-in for the service that lists servers: whole lists and watches by revision, late by a
+// Package discovery is a stand-in for the service that lists servers: full lists and watches by revision, late by a
 // stated time, with the capacity of one service for all nodes. It can be out of reach, and it can move.
 package discovery
 
@@ -184,7 +184,7 @@
 	return l
 }
 
-// List is the whole list as a node of a site gets it, for a configuration.
+// List is the full list as a node of a site gets it, for a configuration.
 func (s *Service) List(site int) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,7 +235,7 @@
 	}
 }
 
-// parse reads the target of a call: a watch after a revision, or the whole list.
+// parse reads the target of a call: a watch after a revision, or the full list.
 func parse(target string) (after uint64, wait time.Duration, watch bool) {
 	_, query, _ := strings.Cut(target, "?")
 	q, err := url.ParseQuery(query)
--- a/internal/testbed/standin/faultproxy/proxy.go
+++ b/internal/testbed/standin/faultproxy/proxy.go
@@ -98,7 +98,7 @@
 	c.garble[d] = bytes
 }
 
-// Garbled tells whether all that were to be changed have been.
+// Garbled reports whether all that were to be changed have been.
 func (c *Proxy) Garbled(d Direction) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/standin/mesh/mesh.go
+++ b/internal/testbed/standin/mesh/mesh.go
@@ -42,7 +42,7 @@
 	done      bool
 	wg        sync.WaitGroup
 	bytes     int64
-	// Frame is told of each frame on a connection before it is passed on, by its kind; nil: frames are not looked for.
+	// Frame is notified of each frame on a connection before it is passed on, by its kind; nil: frames are not looked for.
 	Frame func(from, to int, kind byte)
 }
 
@@ -271,7 +271,7 @@
 	writing.Wait()
 }
 
-// over tells whether a connection was let go of.
+// over reports whether a connection was let go of.
 func (f *Mesh) over(c net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testbed/standin/server/model.go
+++ b/internal/testbed/standin/server/model.go
@@ -92,10 +92,10 @@
 	return &Model{f: f, up: true, factor: 1, keys: map[int]time.Duration{}}
 }
 
-// Running tells whether the process is there; Fallen, that it was pushed over.
+// Running reports whether the process is there; Fallen, that it was pushed over.
 func (m *Model) Running() bool { return m.up }
 
-// Fallen tells that it was sent too much while cold, and stays down.
+// Fallen reports that it was sent too much while cold, and stays down.
 func (m *Model) Fallen() bool { return m.fallen }
 
 // InFlight is how many jobs wait and run.
--- a/internal/testbed/standin/server/peer.go
+++ b/internal/testbed/standin/server/peer.go
@@ -13,7 +13,7 @@
 
 // peer is one request's caller, in either protocol.
 type peer interface {
-	// answer writes an answer whole and tells whether the connection can be used again.
+	// answer writes an answer whole and reports whether the connection can be used again.
 	answer(message.Answer) bool
 	encode(message.Answer) []byte
 	// garbled is one of several answers that cannot be used.
--- a/internal/testbed/standin/server/request.go
+++ b/internal/testbed/standin/server/request.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// request is the life of one request; it tells whether its connection can be used again.
+// request is the life of one request; it reports whether its connection can be used again.
 func (b *Server) request(p peer, req *message.Request, first, last, way time.Duration, fresh, full bool) bool {
 	text := string(req.Get(http1.RequestID))
 	if text == "" {
--- a/internal/testbed/standin/server/server.go
+++ b/internal/testbed/standin/server/server.go
@@ -23,15 +23,15 @@
 type Watcher interface {
 	// Asked finds what a request was meant to be; ok is false where no client has sent it.
 	Asked(id uint64) (a Asked, ok bool)
-	// Attempt tells that a request has come whole, and when its first byte came.
+	// Attempt reports that a request has come whole, and when its first byte came.
 	Attempt(id uint64, box int, first, last time.Duration)
-	// Ran tells that its work has begun.
+	// Ran reports that its work has begun.
 	Ran(id uint64, box int, at time.Duration)
-	// Over tells that the attempt is out no more: its answer is about to be written, or its connection has ended. unbegun:
-	// by the word that it never ran.
+	// Over reports that the attempt is out no more: its answer is about to be written, or its connection has ended. unbegun:
+	// by a response that it never ran.
 	Over(id uint64, box int, at time.Duration, unbegun bool)
 	Fell(box int, at time.Duration)
-	// Idle tells that a connection on which a request was the last stood unused, until it ended or the next one came.
+	// Idle reports that a connection on which a request was the last stood unused, until it ended or the next one came.
 	Idle(id uint64, box int, from, to time.Duration)
 }
 
