--- a/internal/protocol/fastcgi/clientconn.go
+++ b/internal/protocol/fastcgi/clientconn.go
@@ -19,24 +19,24 @@
 	maxValuesBytes = 1 << 10
 )
 
-// ErrPeer is the error of a client that violates the protocol. Nothing more can be read from its connection.
-var ErrPeer = errors.New("the client does not keep to the protocol")
+// ErrProtocol is the error of a client that violates the protocol. Nothing more can be read from its connection.
+var ErrProtocol = errors.New("the client does not keep to the protocol")
 
-// Handler decides what becomes of a connection and its requests. Next calls it from the goroutine that reads.
+// Handler decides what becomes of a connection and its requests. NextRequest calls it from the goroutine that reads.
 type Handler interface {
-	// Wait returns when something can be read. An error ends the reading and is returned by Next. half: a record has been
-	// read in part.
-	Wait(half bool) error
-	// Begun decides on a request that begins: connclose.Admit, connclose.Reject (its client is notified that it never
-	// ran), or anything else to ignore it. last: the client wants the connection closed after it.
-	Begun(last bool) connclose.Effect
-	// Refused is called after a rejection was written.
-	Refused()
-	// Failed is called when the client aborts a request before it is complete.
-	Failed()
+	// AwaitReadable returns when something can be read. An error ends the reading and is returned by NextRequest. isPartial: a
+	// record has been read in part.
+	AwaitReadable(isPartial bool) error
+	// RequestStarted decides on a request that begins: connclose.Admit, connclose.Reject (its client is notified that it never
+	// ran), or anything else to ignore it. isLast: the client wants the connection closed after it.
+	RequestStarted(isLast bool) connclose.Effect
+	// RequestsRejected is called after a rejection was written.
+	RequestsRejected()
+	// RequestAborted is called when the client aborts a request before it is complete.
+	RequestAborted()
 }
 
-// ClientConn is a client's connection, on which several requests may be open. One goroutine reads (Next); any may write.
+// ClientConn is a client's connection, on which several requests may be open. One goroutine reads (NextRequest); any may write.
 type ClientConn struct {
 	net.Conn
 	records     reader
@@ -54,10 +54,10 @@
 // Request is one request on a connection. ClientConn.mu guards isDisconnected, isComplete and isForgotten; the other
 // unexported fields belong to the goroutine that reads, until the request is complete.
 type Request struct {
-	ID      uint16
-	Request *message.Request
-	Bad     *message.RequestError // why it cannot be served; nil: it can
-	Came    time.Time             // when its first record was read
+	ID        uint16
+	Request   *message.Request
+	Malformed *message.RequestError // why it cannot be served; nil: it can
+	StartedAt time.Time             // when its first record was read
 
 	disconnected   chan struct{}
 	isDisconnected bool
@@ -85,7 +85,7 @@
 
 func (s source) Read(b []byte) (n int, err error) {
 	if s.f.handler != nil {
-		if err := s.f.handler.Wait(s.f.bytesRead > s.f.bytesParsed); err != nil {
+		if err := s.f.handler.AwaitReadable(s.f.bytesRead > s.f.bytesParsed); err != nil {
 			return 0, err
 		}
 	}
@@ -97,8 +97,8 @@
 // HasUnread reports that something has arrived that was not read yet.
 func (f *ClientConn) HasUnread() bool { return sockpeek.HasUnread(f.Conn) }
 
-// Await returns once something has arrived, without reading it. The error is io.EOF where the client has closed.
-func (f *ClientConn) Await() error {
+// AwaitReadable returns once something has arrived, without reading it. The error is io.EOF where the client has closed.
+func (f *ClientConn) AwaitReadable() error {
 	switch n, err := sockpeek.Peek(f.Conn, true); {
 	case err == syscall.ENOTSUP: // a kind of connection that cannot be peeked at
 		return nil
@@ -109,27 +109,27 @@
 	}
 }
 
-// Oldest returns when the oldest incomplete request began; zero: there is none.
-func (f *ClientConn) Oldest() (oldest time.Time) {
+// OldestPartial returns when the oldest incomplete request began; zero: there is none.
+func (f *ClientConn) OldestPartial() (oldest time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range f.open {
-		if !c.isComplete && (oldest.IsZero() || c.Came.Before(oldest)) {
-			oldest = c.Came
+		if !c.isComplete && (oldest.IsZero() || c.StartedAt.Before(oldest)) {
+			oldest = c.StartedAt
 		}
 	}
 	return oldest
 }
 
-// Next returns the next complete request. It handles all other records: management queries, rejected requests, aborts. A
-// nil handler admits every request. The error is ErrPeer, that of the handler or that of reading.
-func (f *ClientConn) Next(k Handler) (*Request, error) {
+// NextRequest returns the next complete request. It handles all other records: management queries, rejected requests, aborts. A
+// nil handler admits every request. The error is ErrProtocol, that of the handler or that of reading.
+func (f *ClientConn) NextRequest(k Handler) (*Request, error) {
 	f.handler = k
 	for {
 		rec, err := f.records.next()
 		if err != nil {
 			if err == errRecord {
-				err = ErrPeer
+				err = ErrProtocol
 			}
 			return nil, err
 		}
@@ -152,24 +152,24 @@
 	case typeBegin:
 		switch {
 		case c != nil || len(rec.content) != 8:
-			return nil, ErrPeer // the ID is in use
+			return nil, ErrProtocol // the ID is in use
 		case rec.content[0] != 0 || rec.content[1] != responder:
 			return nil, f.write(appendEnd(nil, rec.id, 0, statusUnknownRole))
 		case n >= maxRequests:
 			return nil, f.writeRejection(rec.id)
 		}
 		if f.handler != nil {
-			switch f.handler.Begun(rec.content[2]&flagKeep == 0) {
+			switch f.handler.RequestStarted(rec.content[2]&flagKeep == 0) {
 			case connclose.Admit:
 			case connclose.Reject:
 				err := f.writeRejection(rec.id)
-				f.handler.Refused()
+				f.handler.RequestsRejected()
 				return nil, err
 			default:
 				return nil, nil
 			}
 		}
-		c = &Request{ID: rec.id, Came: time.Now(), disconnected: make(chan struct{})}
+		c = &Request{ID: rec.id, StartedAt: time.Now(), disconnected: make(chan struct{})}
 		f.mu.Lock()
 		f.open[rec.id] = c
 		f.mu.Unlock()
@@ -179,9 +179,9 @@
 			return nil, nil
 		}
 		if !c.isComplete {
-			err := f.End(c)
+			err := f.EndAborted(c)
 			if f.handler != nil {
-				f.handler.Failed()
+				f.handler.RequestAborted()
 			}
 			return nil, err
 		}
@@ -206,7 +206,7 @@
 	switch {
 	case rec.kind == typeData: // for another role
 	case rec.kind == typeParams && c.hasParams, rec.kind == typeStdin && !c.hasParams:
-		return nil, ErrPeer
+		return nil, ErrProtocol
 	case rec.kind == typeParams && len(rec.content) == 0:
 		c.hasParams = true
 	case rec.kind == typeParams:
@@ -217,10 +217,10 @@
 		f.mu.Lock()
 		c.isComplete = true
 		f.mu.Unlock()
-		if c.Bad = c.readError; c.Bad == nil {
+		if c.Malformed = c.readError; c.Malformed == nil {
 			var err error
 			if c.Request, err = request(c.params, c.body); err != nil {
-				errors.As(err, &c.Bad)
+				errors.As(err, &c.Malformed)
 			}
 		}
 		return c, nil
@@ -256,11 +256,11 @@
 		return f.writeUnknownType(rec.kind)
 	}
 	if len(rec.content) > maxValuesBytes {
-		return ErrPeer
+		return ErrProtocol
 	}
 	pairs, err := parsePairs(rec.content, nil)
 	if err != nil {
-		return ErrPeer
+		return ErrProtocol
 	}
 	var values []byte
 	for _, p := range pairs {
@@ -283,9 +283,9 @@
 	}
 }
 
-// Hangup marks all open requests as disconnected and forgets incomplete ones. The reader calls it when the connection has
+// AbandonRequests marks all open requests as disconnected and forgets incomplete ones. The reader calls it when the connection has
 // ended.
-func (f *ClientConn) Hangup() {
+func (f *ClientConn) AbandonRequests() {
 	for _, c := range f.openRequests(nil) {
 		if f.markDisconnected(c); !c.isComplete {
 			f.forget(c)
@@ -306,17 +306,17 @@
 	return requests
 }
 
-// RefuseComing rejects all incomplete requests. Only the reader may call it.
-func (f *ClientConn) RefuseComing() error {
+// RejectPartial rejects all incomplete requests. Only the reader may call it.
+func (f *ClientConn) RejectPartial() error {
 	var errs error
 	for _, c := range f.openRequests(func(c *Request) bool { return c.isComplete }) {
-		errs = errors.Join(errs, f.Refuse(c))
+		errs = errors.Join(errs, f.Reject(c))
 	}
 	return errs
 }
 
-// Refuse writes that a request never ran.
-func (f *ClientConn) Refuse(c *Request) error {
+// Reject writes that a request never ran.
+func (f *ClientConn) Reject(c *Request) error {
 	f.forget(c)
 	return f.writeRejection(c.ID)
 }
@@ -362,14 +362,14 @@
 	aborted := c.isDisconnected
 	f.mu.Unlock()
 	if aborted {
-		return f.End(c)
+		return f.EndAborted(c)
 	}
 	f.forget(c)
 	return f.write(answer)
 }
 
-// End ends a request that its client has aborted.
-func (f *ClientConn) End(c *Request) error {
+// EndAborted ends a request that its client has aborted.
+func (f *ClientConn) EndAborted(c *Request) error {
 	f.forget(c)
 	return f.write(appendEnd(nil, c.ID, 0, statusComplete))
 }
--- a/internal/protocol/fastcgi/fastcgi_test.go
+++ b/internal/protocol/fastcgi/fastcgi_test.go
@@ -68,13 +68,13 @@
 		pool := message.NewBufferBudget(1 << 20)
 		front := NewClientConn(&script{in: bytes.NewReader(in)}, pool)
 		for {
-			call, err := front.Next(nil)
+			call, err := front.NextRequest(nil)
 			if err != nil {
 				break
 			}
 			front.Answer(call, call.Append(nil, message.Answer{Status: 200}))
 		}
-		front.Hangup()
+		front.AbandonRequests()
 		if free := pool.Available(); free != 1<<20 {
 			t.Errorf("%d bytes are not given back", 1<<20-free)
 		}
@@ -218,7 +218,7 @@
 	}{
 		"one":                       {join(begin(1), params(1), stdin(1, "abc")), "1:abc", "", io.EOF},
 		"two, interleaved":          {join(begin(1), begin(2), params(2), params(1), stdin(2, "two"), stdin(1, "one")), "2:two 1:one", "", io.EOF},
-		"an id that is open":        {join(begin(1), begin(1)), "", "", ErrPeer},
+		"an id that is open":        {join(begin(1), begin(1)), "", "", ErrProtocol},
 		"another role":              {join(appendRecord(nil, typeBegin, 1, []byte{0, 3, 1, 0, 0, 0, 0, 0}), params(1), stdin(1, "")), "", "3/1", io.EOF},
 		"aborted on its way":        {join(begin(1), params(1), appendRecord(nil, typeAbort, 1, nil), stdin(1, "abc")), "", "3/1", io.EOF},
 		"aborted by nobody":         {appendRecord(nil, typeAbort, 9, nil), "", "", io.EOF},
@@ -228,11 +228,11 @@
 		"huge params":               {join(begin(1), params(1, "HTTP_X", strings.Repeat("x", 20_000)), stdin(1, "")), "1:the params are too large", "", io.EOF},
 		"params that break off":     {join(begin(1), appendStream(nil, typeParams, 1, []byte{200, 0}), stdin(1, "")), "1:the params cannot be read", "", io.EOF},
 		"a line break in a param":   {join(begin(1), params(1, "HTTP_X", "a\r\nHost: b"), stdin(1, "")), "1:a param cannot be read", "", io.EOF},
-		"a body before the params":  {join(begin(1), stdin(1, "abc")), "", "", ErrPeer},
-		"no HTTP":                   {[]byte("GET / HTTP/1.1\r\n\r\n"), "", "", ErrPeer},
+		"a body before the params":  {join(begin(1), stdin(1, "abc")), "", "", ErrProtocol},
+		"no HTTP":                   {[]byte("GET / HTTP/1.1\r\n\r\n"), "", "", ErrProtocol},
 		"a question":                {appendRecord(nil, typeGetValues, 0, appendPair(nil, "FCGI_MPXS_CONNS", "")), "", "10/0", io.EOF},
 		"an unknown question":       {appendRecord(nil, 99, 0, nil), "", "11/0", io.EOF},
-		"a question that is broken": {appendRecord(nil, typeGetValues, 0, []byte{200}), "", "", ErrPeer},
+		"a question that is broken": {appendRecord(nil, typeGetValues, 0, []byte{200}), "", "", ErrProtocol},
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn := &script{in: iotest.OneByteReader(bytes.NewReader(c.sends))}
@@ -241,11 +241,11 @@
 			var err error
 			for {
 				var call *Request
-				if call, err = f.Next(nil); err != nil {
+				if call, err = f.NextRequest(nil); err != nil {
 					break
 				}
-				if call.Bad != nil {
-					calls = append(calls, fmt.Sprint(call.ID, ":", call.Bad.Why))
+				if call.Malformed != nil {
+					calls = append(calls, fmt.Sprint(call.ID, ":", call.Malformed.Why))
 				} else {
 					calls = append(calls, fmt.Sprint(call.ID, ":", string(call.Request.Body)))
 				}
@@ -286,12 +286,12 @@
 	one := appendStream(appendStream(appendBegin(nil, 1, flagKeep), typeParams, 1, appendPair(appendPair(nil, paramMethod, "GET"), paramURI, "/a")), typeStdin, 1, nil)
 	conn := &echoing{script: script{in: bytes.NewReader(append(one, one...))}}
 	f := NewClientConn(conn, nil)
-	call, err := f.Next(nil)
+	call, err := f.NextRequest(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var second *Request
-	conn.next = func() { second, err = f.Next(nil) }
+	conn.next = func() { second, err = f.NextRequest(nil) }
 	f.Answer(call, call.Append(nil, message.Answer{Status: 200}))
 	if second == nil || err != nil {
 		t.Fatalf("the next request under the same id: %v", err)
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -27,7 +27,7 @@
 			}
 			go func() {
 				for f := fastcgi.NewClientConn(nc, nil); ; {
-					call, err := f.Next(nil)
+					call, err := f.NextRequest(nil)
 					if err != nil {
 						return
 					}
--- a/internal/proxy/fastcgi_test.go
+++ b/internal/proxy/fastcgi_test.go
@@ -24,9 +24,9 @@
 	return standIn(t, func(nc net.Conn) {
 		defer nc.Close()
 		f := fastcgi.NewClientConn(nc, nil)
-		defer f.Hangup()
+		defer f.AbandonRequests()
 		for {
-			call, err := f.Next(nil)
+			call, err := f.NextRequest(nil)
 			if err != nil {
 				return
 			}
--- a/internal/proxy/fastcgiclient.go
+++ b/internal/proxy/fastcgiclient.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"net"
-	"os"
 	"sync"
 	"time"
 
@@ -12,52 +11,52 @@
 	"fernvane/internal/proxy/dispatch"
 )
 
-// cgiClient leads one client's connection that speaks FastCGI. Requests share it: each is led by itself. When it may end
-// is decided in ends: nothing that was taken loses its answer to it.
+// fastcgiClientConn is a client's connection that speaks FastCGI. One goroutine reads requests from it, and each request is served on a
+// goroutine of its own. Package connclose decides when it may end, so that no accepted request loses its answer to that.
+type fastcgiClientConn struct {
+	server   *Server
+	tcp      *net.TCPConn
+	conn     *fastcgi.ClientConn
+	client   *dispatch.Client // its descriptor, which may be taken back while it is idle
+	requests sync.WaitGroup   // that are being served
+
+	mu             sync.Mutex
+	lifecycle      connclose.Lifecycle
+	firstRequestBy time.Time // deadline of the first request; zero: it was received
+	partialSince   time.Time // when a record began to arrive that is not complete; zero: there is none
+	readUntil      time.Time // when what still arrives is not read any more; zero: the connection is open for writing
+}
+
+// serveFastCGIConn serves a client's connection that speaks FastCGI until it ends.
 func (s *Server) serveFastCGIConn(tcp *net.TCPConn) {
-	f := fastcgi.NewClientConn(tcp, s.dispatcher.MessageBudget())
-	c := &fastcgiClientConn{server: s, tcp: tcp, conn: f, client: s.dispatcher.AddClient(f), firstRequestBy: time.Now().Add(requestTimeout)}
+	conn := fastcgi.NewClientConn(tcp, s.dispatcher.MessageBudget())
+	c := &fastcgiClientConn{server: s, tcp: tcp, conn: conn, client: s.dispatcher.AddClient(conn), firstRequestBy: time.Now().Add(requestTimeout)}
 	defer c.client.Release()
 	defer tcp.Close()
-	defer f.Hangup()
+	defer conn.AbandonRequests()
 	for {
-		call, err := f.Next(c)
+		request, err := conn.NextRequest(c)
 		if err != nil {
-			if !errors.Is(err, fastcgi.ErrPeer) {
+			if !errors.Is(err, fastcgi.ErrProtocol) {
 				c.handle(connclose.Disconnected)
 				return
 			}
-			c.Refused()
-			c.requests.Wait() // what was taken is answered all the same
+			c.RequestsRejected()
+			c.requests.Wait() // accepted requests are answered all the same
 			s.discardUnread(tcp)
 			return
 		}
 		c.requestReceived()
 		s.clientTasks.Go(func() error {
 			defer c.requests.Done()
-			s.serveFastCGIRequest(f, call)
+			s.serveFastCGIRequest(conn, request)
 			c.requestAnswered()
 			return nil
 		})
 	}
 }
 
-// cgiConn is a client's connection that speaks FastCGI.
-type fastcgiClientConn struct {
-	server   *Server
-	tcp      *net.TCPConn
-	conn     *fastcgi.ClientConn
-	client   *dispatch.Client
-	requests sync.WaitGroup
-
-	mu             sync.Mutex
-	lifecycle      connclose.Lifecycle
-	firstRequestBy time.Time // when the first request must have come; zero: it has
-	partialSince   time.Time // when a record began to come that is not whole
-	readUntil      time.Time // when nothing that still comes is read any more, once it has ended
-}
-
-// step has ends decide, and does what is to be done with the connection.
+// handle passes an input to the lifecycle and carries out its effect on the connection.
 func (c *fastcgiClientConn) handle(in connclose.Input) connclose.Effect {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,26 +73,30 @@
 	return effect
 }
 
-// Begun says what becomes of a request that begins to come.
-func (c *fastcgiClientConn) Begun(last bool) connclose.Effect {
+// RequestStarted decides on a request that begins to arrive.
+func (c *fastcgiClientConn) RequestStarted(isLast bool) connclose.Effect {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.server.rejectsNewRequests.Load() && c.lifecycle.State() != connclose.Closed {
 		return connclose.Reject
 	}
 	effect := c.handleLocked(connclose.RequestStarted)
-	if effect == connclose.Admit && last {
+	if effect == connclose.Admit && isLast {
 		c.handleLocked(connclose.CloseRequested)
 	}
 	return effect
 }
 
-// Refused comes behind the word that a request never ran; where that was the last to be said, the connection ends.
-func (c *fastcgiClientConn) Refused() {
-	c.conn.RefuseComing()
+// RequestsRejected rejects all requests that are not complete, after one was rejected. The connection admits none any more and ends with the
+// last answer.
+func (c *fastcgiClientConn) RequestsRejected() {
+	c.conn.RejectPartial()
 	c.handle(connclose.IntakeStopped)
 }
 
+// RequestAborted notes that the client has aborted a request that was not complete.
+func (c *fastcgiClientConn) RequestAborted() { c.handle(connclose.RequestAborted) }
+
 func (c *fastcgiClientConn) requestReceived() {
 	c.requests.Add(1)
 	c.client.RequestStarted()
@@ -103,9 +106,6 @@
 	c.handleLocked(connclose.RequestReceived)
 }
 
-// Failed tells that a request was aborted on its way.
-func (c *fastcgiClientConn) Failed() { c.handle(connclose.RequestAborted) }
-
 func (c *fastcgiClientConn) requestAnswered() {
 	c.client.RequestFinished()
 	c.mu.Lock()
@@ -117,79 +117,3 @@
 		c.tcp.SetReadDeadline(time.Now().Add(idleTimeout))
 	}
 }
-
-// Wait returns when something has come that will be read. Until then the connection may be closed for room.
-func (c *fastcgiClientConn) Wait(half bool) error {
-	for {
-		c.setReadDeadline(half)
-		err := c.conn.Await()
-		if !c.client.ReadReady() {
-			return net.ErrClosed
-		}
-		late := errors.Is(err, os.ErrDeadlineExceeded)
-		switch {
-		case err == nil, late && c.conn.HasUnread(): // it may have crossed the end of the time, which must not end the reading
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			if c.readUntil.IsZero() {
-				c.tcp.SetReadDeadline(time.Time{})
-			}
-			return nil
-		case !late, c.handleTimeout(half):
-			return err
-		}
-	}
-}
-
-// until sets the time for what comes next: an idle connection and a request that is on its way have their ends, one on
-// which only answers are waited for has none.
-func (c *fastcgiClientConn) setReadDeadline(half bool) {
-	oldest := c.conn.Oldest()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !half {
-		c.partialSince = time.Time{}
-	} else if c.partialSince.IsZero() {
-		c.partialSince = time.Now()
-	}
-	if oldest.IsZero() || half && c.partialSince.Before(oldest) {
-		oldest = c.partialSince
-	}
-	switch {
-	case !c.readUntil.IsZero():
-		c.tcp.SetReadDeadline(c.readUntil)
-		return
-	case c.lifecycle.State() == connclose.Draining: // what is on its way was told so
-		c.tcp.SetReadDeadline(time.Time{})
-	case !oldest.IsZero():
-		by := oldest.Add(requestTimeout)
-		if !c.firstRequestBy.IsZero() && c.firstRequestBy.Before(by) {
-			by = c.firstRequestBy
-		}
-		c.tcp.SetReadDeadline(by)
-	case c.lifecycle.InFlight() > 0:
-		c.tcp.SetReadDeadline(time.Time{})
-	case !c.firstRequestBy.IsZero():
-		c.tcp.SetReadDeadline(c.firstRequestBy)
-	default:
-		c.tcp.SetReadDeadline(time.Now().Add(idleTimeout))
-	}
-	c.client.ReadBlocked(!oldest.IsZero())
-}
-
-// late deals with a time that is over, and tells whether nothing more is to be read.
-func (c *fastcgiClientConn) handleTimeout(half bool) bool {
-	c.mu.Lock()
-	over, stalled := !c.readUntil.IsZero(), c.lifecycle.Receiving() > 0 || half
-	if !over && !stalled {
-		c.handleLocked(connclose.IdleTimeout)
-	}
-	c.mu.Unlock()
-	if over {
-		return true
-	}
-	if stalled { // others on the connection are not to suffer for it
-		c.Refused()
-	}
-	return false
-}
--- a/internal/proxy/fastcgirequest.go
+++ b/internal/proxy/fastcgirequest.go
@@ -18,22 +18,22 @@
 			s.sendAnswer(conn, message.Answer{Status: 500})
 		}
 	}()
-	if r.Bad != nil {
-		s.rejectFastCGI(conn, r.Bad)
+	if r.Malformed != nil {
+		s.rejectFastCGI(conn, r.Malformed)
 		return
 	}
 	var err error
 	if r.Request.IsReadiness() {
 		err = s.sendAnswer(conn, message.Answer{Status: s.readiness()})
 	} else {
-		err = s.serveRequest(conn, r.Request, r.Came)
+		err = s.serveRequest(conn, r.Request, r.StartedAt)
 	}
 	var bad *message.RequestError
 	switch {
 	case errors.As(err, &bad):
 		s.rejectFastCGI(conn, bad)
 	case errors.Is(err, errClientDisconnected):
-		c.End(r)
+		c.EndAborted(r)
 	}
 }
 
--- a/internal/proxy/fastcgishutdown_test.go
+++ b/internal/proxy/fastcgishutdown_test.go
@@ -244,7 +244,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	c := &fastcgiClientConn{server: s, tcp: nc.(*net.TCPConn), conn: f, client: s.dispatcher.AddClient(f), firstRequestBy: pastDeadline}
-	if call, err := f.Next(c); err != nil || string(call.Request.Body) != "body" {
+	if call, err := f.NextRequest(c); err != nil || string(call.Request.Body) != "body" {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -10,15 +10,15 @@
 	"fernvane/internal/route"
 )
 
-// reload reads the configuration again each time it is told to, beside the serving. One of no use is logged and
-// the old one kept; what the running parts stand on is not changed under them but told to need a restart.
-func (s *Server) reloadOnSignal(ctx context.Context, told <-chan os.Signal) error {
+// reloadOnSignal reads the node's files again each time that it is told to, until the node ends. A file that cannot be used is logged and
+// leaves what it says as it was. Changes that a running node cannot take up are logged too.
+func (s *Server) reloadOnSignal(ctx context.Context, signals <-chan os.Signal) error {
 	cfg := s.cfg
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-told:
+		case <-signals:
 		}
 		s.reloadRoutes()
 		s.reloadShadow()
@@ -27,8 +27,8 @@
 			s.logger.Error().Err(err).Msg("configuration not reloaded")
 			continue
 		}
-		if later := s.cfg.changedKeys(next); len(later) > 0 {
-			s.logger.Warn().Strs("keys", later).Msg("changes wait for a restart")
+		if keys := s.cfg.changedKeys(next); len(keys) > 0 {
+			s.logger.Warn().Strs("keys", keys).Msg("changes wait for a restart")
 		}
 		if next.Discovery != cfg.Discovery {
 			s.changeDiscovery(next.Discovery)
@@ -38,21 +38,21 @@
 	}
 }
 
-// rewatch reads the watched settings again; those of no use leave the old ones watched.
+// reloadShadow reads the settings again that are compared with the node's own.
 func (s *Server) reloadShadow() {
 	if s.cfg.Shadow == nil {
 		return
 	}
-	if next, err := readShadowSettings(s.cfg.getenv("PROXY_WATCH"), &s.cfg.Settings); err != nil {
+	next, err := readShadowSettings(s.cfg.getenv("PROXY_WATCH"), &s.cfg.Settings)
+	if err != nil {
 		s.logger.Error().Err(err).Msg("watched settings not reloaded")
-	} else {
-		s.cfg.Shadow.SetSettings(next)
-		s.logger.Info().Msg("watched settings reloaded")
+		return
 	}
+	s.cfg.Shadow.SetSettings(next)
+	s.logger.Info().Msg("watched settings reloaded")
 }
 
-// reroute reads the operator's file again, against the settings that the node runs under. A file of no use leaves the
-// routes as they are.
+// reloadRoutes reads the operator's file again, against the settings that the node runs under.
 func (s *Server) reloadRoutes() {
 	if s.cfg.OperatorFile == "" {
 		return
@@ -76,16 +76,18 @@
 	}
 }
 
-// differs names the keys whose new values a running node does not take up.
+// changedKeys names the keys of the platform's file whose new values a running node does not take up.
 func (c Config) changedKeys(next Config) (keys []string) {
 	for _, k := range []struct {
-		key  string
-		same bool
+		key    string
+		isSame bool
 	}{
-		{"name", c.Name == next.Name}, {"listen", c.Listen == next.Listen},
-		{"limits", c.Limits == next.Limits && c.Cores == next.Cores}, {"settings", reflect.DeepEqual(c.Settings, next.Settings)},
+		{"name", c.Name == next.Name},
+		{"listen", c.Listen == next.Listen},
+		{"limits", c.Limits == next.Limits && c.Cores == next.Cores},
+		{"settings", reflect.DeepEqual(c.Settings, next.Settings)},
 	} {
-		if !k.same {
+		if !k.isSame {
 			keys = append(keys, k.key)
 		}
 	}
--- a/internal/testbed/standin/server/peer.go
+++ b/internal/testbed/standin/server/peer.go
@@ -91,29 +91,29 @@
 // cgiKeeper gives each part of a request its time.
 type cgiHandler struct{ nc *link.Conn }
 
-func (k cgiHandler) Wait(bool) error {
+func (k cgiHandler) AwaitReadable(bool) error {
 	return k.nc.SetReadDeadline(time.Now().Add(maxIdle))
 }
 
-func (cgiHandler) Begun(bool) connclose.Effect { return connclose.Admit }
-func (cgiHandler) Refused()                    {}
-func (cgiHandler) Failed()                     {}
+func (cgiHandler) RequestStarted(bool) connclose.Effect { return connclose.Admit }
+func (cgiHandler) RequestsRejected()                    {}
+func (cgiHandler) RequestAborted()                      {}
 
 // leadCGI is the life of one connection that speaks FastCGI; its caller asks one request at a time.
 func (b *Server) leadCGI(nc *link.Conn, way time.Duration, full bool) {
 	f := fastcgi.NewClientConn(nc, nil)
-	defer f.Hangup()
+	defer f.AbandonRequests()
 	last := uint64(0) // request on it
 	for fresh := true; ; fresh = false {
 		idle := b.now()
-		call, err := f.Next(cgiHandler{nc})
+		call, err := f.NextRequest(cgiHandler{nc})
 		b.idle(last, idle)
 		if err != nil {
 			return
 		}
 		p := cgiPeer{nc, f, call}
-		if call.Bad != nil {
-			p.answer(message.Answer{Status: call.Bad.Status})
+		if call.Malformed != nil {
+			p.answer(message.Answer{Status: call.Malformed.Status})
 			return
 		}
 		last = idOf(call.Request)
