--- /dev/null
+++ b/internal/protocol/sockpeek/accept.go
@@ -0,0 +1,36 @@
+package sockpeek
+
+import (
+	"net"
+	"os"
+	"syscall"
+)
+
+// AcceptQueued accepts a connection that is in a listener's queue, whatever the listener's deadline. It does not wait: with an empty queue
+// the error is syscall.EAGAIN.
+func AcceptQueued(ln *net.TCPListener) (*net.TCPConn, error) {
+	rc, err := ln.SyscallConn()
+	if err != nil {
+		return nil, err
+	}
+	var fd int
+	var acceptErr error
+	err = rc.Control(func(listenerFD uintptr) {
+		for acceptErr = syscall.EINTR; acceptErr == syscall.EINTR; {
+			fd, _, acceptErr = syscall.Accept4(int(listenerFD), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+		}
+	})
+	if err == nil {
+		err = acceptErr
+	}
+	if err != nil {
+		return nil, err
+	}
+	f := os.NewFile(uintptr(fd), "")
+	defer f.Close() // the connection has a descriptor of its own
+	c, err := net.FileConn(f)
+	if err != nil {
+		return nil, err
+	}
+	return c.(*net.TCPConn), nil
+}
--- /dev/null
+++ b/internal/protocol/sockpeek/read.go
@@ -0,0 +1,59 @@
+package sockpeek
+
+import (
+	"io"
+	"net"
+	"os"
+	"syscall"
+)
+
+// ReadObserver observes the waits of a connection's reader. Whoever closes the connection does so only between the two calls, so that
+// nothing that was read is lost by the close.
+type ReadObserver interface {
+	// ReadBlocked is called before the reader waits, when all that was read is dealt with.
+	ReadBlocked()
+	// ReadReady is called after the wait, before anything is read. It is false where the connection was closed meanwhile.
+	ReadReady() bool
+}
+
+// Read reads from a connection whose waits are observed. Where the connection was closed during a wait it reads nothing and returns
+// net.ErrClosed.
+func Read(c net.Conn, b []byte, observer ReadObserver) (n int, err error) {
+	raw, ok := c.(syscall.Conn)
+	if !ok {
+		return c.Read(b)
+	}
+	rc, err := raw.SyscallConn()
+	if err != nil {
+		return 0, err
+	}
+	var readErr error
+	isBlocked, isClosed := false, false
+	err = rc.Read(func(fd uintptr) (isDone bool) {
+		if isBlocked {
+			if isBlocked = false; !observer.ReadReady() {
+				isClosed = true
+				return true
+			}
+		}
+		for readErr = syscall.EINTR; readErr == syscall.EINTR; {
+			n, readErr = syscall.Read(int(fd), b)
+		}
+		if readErr == syscall.EAGAIN {
+			isBlocked = true
+			observer.ReadBlocked()
+		}
+		return !isBlocked
+	})
+	switch {
+	case isClosed, isBlocked && !observer.ReadReady():
+		return 0, net.ErrClosed
+	case err != nil:
+		return 0, err
+	case readErr != nil:
+		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", readErr)}
+	case n == 0:
+		return 0, io.EOF
+	}
+	return n, nil
+}
