--- a/internal/controlplane/distribution/converge_test.go
+++ b/internal/controlplane/distribution/converge_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// keepCoveredDisks forgets old disks with writes that nobody heard of: beyond the time for which deletions are kept these
+// keepCoveredDisks drops old disks with writes that nobody received: beyond the retention of deletions these
 // are outside of what is promised.
 func (w *world) keepCoveredDisks() {
 	vector := Vector{}
@@ -188,7 +188,7 @@
 	})
 }
 
-// after is what is expected of what was best before: writes that were numbered anew since hold the same values in greater
+// after returns the winners expected by those of before: writes that were made again since hold the same values in greater
 // versions.
 func (w *world) after(best map[Key]Entry) map[Key]Entry {
 	for k, e := range w.winners() {
--- a/internal/controlplane/distribution/publisher_test.go
+++ b/internal/controlplane/distribution/publisher_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// A fresh change does not wait for the catch-ups of all others, nor for that of its own node.
+// A fresh change waits neither for the catch-ups of other nodes nor for that of its own.
 func TestFreshChangesBeforeCatchUps(t *testing.T) {
 	store := filled(t, 50, 1000, 60)
 	p := NewPublisher(store, Budget{TotalBytesPerSecond: 256 << 10})
@@ -62,11 +62,11 @@
 	for i := range 50 {
 		p.Subscribe(0, nodeOf("", "s"+strconv.Itoa(i)))
 	}
-	now, wrote, catchUp := time.Duration(0), 3*time.Second, 0
+	now, pendingWrites, catchUp := time.Duration(0), 3*time.Second, 0
 	written := false
 	for now < 10*time.Second {
-		if !written && now >= wrote {
-			wrote, written = now, true
+		if !written && now >= pendingWrites {
+			pendingWrites, written = now, true
 			p.EntriesChanged(now, []Entry{writeOne(t, store, wall, key("", "all"), "v")})
 		}
 		id, b, ok, wait := p.NextBatch(now)
@@ -77,7 +77,7 @@
 		p.BatchAcknowledged(now, id, Acknowledgement{BatchNumber: b.Number})
 		for _, e := range b.Entries {
 			if e.Key.Name == "all" {
-				late[id] = now - wrote
+				late[id] = now - pendingWrites
 			}
 		}
 		if written && len(late) < 50 {
@@ -97,7 +97,7 @@
 	}
 }
 
-// A node's own catch-up does not hold back a fresh change of it: that is sent at once.
+// A node's own catch-up does not delay a fresh change for it.
 func TestFreshChangeDuringOwnCatchUp(t *testing.T) {
 	store := filled(t, 1, 4000, 60)
 	p := NewPublisher(store, Budget{})
@@ -116,7 +116,7 @@
 	}
 }
 
-// Fresh changes that never end leave catch-ups their share.
+// Endless fresh changes leave catch-ups their share.
 func TestCatchUpsContinueBesideFreshChanges(t *testing.T) {
 	const out = 64 << 10
 	store := filled(t, 1, 20_000, 60)
@@ -229,7 +229,7 @@
 	}
 }
 
-// A server that has lost its disk never has a subscriber go back, and gets from it what it lacks.
+// A server that has lost its disk does not take its subscriber back, and receives from it what it lacks.
 func TestSubscriberAheadOfServer(t *testing.T) {
 	w := newWorld(t.Fatalf)
 	root := w.add("root", "", RoleControl)
@@ -270,7 +270,7 @@
 	}
 }
 
-// What a subscriber's vector tells, and its server has not had yet, is sent for a missing service when it comes.
+// What a subscriber's vector covers and its server has yet to receive is sent for an unsynced service when it arrives.
 func TestUnsyncedServiceFromServerThatCaughtUp(t *testing.T) {
 	store := NewStore(NewOrigin("root", 2), Limits{})
 	p := NewPublisher(store, Budget{})
@@ -285,14 +285,14 @@
 	}
 }
 
-// A vector is told as far as it has moved.
+// A vector is sent as far as it has advanced.
 func TestVectorIsSentOnce(t *testing.T) {
 	store := filled(t, 1, 1, 1)
 	p := NewPublisher(store, Budget{})
 	id := p.Subscribe(0, nodeOf("s0"))
 	_, b, _, _ := p.NextBatch(0)
 	if len(b.Through) != 1 {
-		t.Fatalf("told %v", b.Through)
+		t.Fatalf("sent %v", b.Through)
 	}
 	p.BatchAcknowledged(0, id, Acknowledgement{BatchNumber: b.Number})
 	if _, d, ok := p.NextDigests(digestInterval); !ok || len(d.Through) != 0 || len(d.Services) != 1 {
@@ -304,8 +304,8 @@
 	}
 }
 
-// What one holder has lost without knowing it comes back from the others, whichever side of the connection it is on; what a
-// node alone holds ends.
+// What a holder has lost without noticing is restored from the others, on whichever side of the connection it is; what a
+// node alone holds is removed.
 func TestDigestsRepairDifferences(t *testing.T) {
 	for _, lost := range []string{"root", "relay", "node"} {
 		t.Run(lost, func(t *testing.T) {
@@ -333,7 +333,7 @@
 	}
 }
 
-// What a change costs is told by the subscriptions looked at and the entries of its service, not by the fleet.
+// The cost of a change is by the subscriptions and entries of its service, not by the fleet.
 func TestCostOfAChangeIsThatOfItsService(t *testing.T) {
 	cost := func(otherNodes, otherServices int) (touched, allocs float64) {
 		store := filled(t, 1+otherServices, 20, 20)
@@ -374,7 +374,7 @@
 	}
 }
 
-// A whole sending looks at each entry once: its batches hold each just once and its work is the sort's.
+// A reset sends each entry exactly once.
 func TestResetSendsEachEntryOnce(t *testing.T) {
 	count := func(entries int) (sent int, allocs float64) {
 		store := filled(t, 10, entries/10, 20)
--- a/internal/controlplane/distribution/scale_test.go
+++ b/internal/controlplane/distribution/scale_test.go
@@ -12,8 +12,8 @@
 const (
 	withinZone    = 1 * time.Millisecond  // one way
 	betweenRegion = 40 * time.Millisecond // one way
-	putInForce    = 20 * time.Millisecond // at a node or relay, before it acknowledges
-	mustBeInForce = 6 * time.Second       // the operators' figure
+	applyDelay    = 20 * time.Millisecond // at a node or relay, before it acknowledges
+	maxApplyDelay = 6 * time.Second       // the operators' figure
 )
 
 // fleet is the tree in virtual time: publishers, stores of control processes and receivers of these are the real ones;
@@ -24,11 +24,12 @@
 	events   events
 	order    int
 	controls []*control
-	nodes    []*hollow
-	wrote    map[uint64]*told // by sequence of the root that writes
+	nodes    []*countingNode
+	pendingWrites    map[uint64]*pendingWrite // by sequence of the root that writes
 }
 
-type told struct {
+// pendingWrite is a change that nodes are to apply.
+type pendingWrite struct {
 	at    time.Duration
 	need  int
 	times []time.Duration
@@ -40,12 +41,12 @@
 	pub      *Publisher
 	receive  map[SubscriptionID]func(SubscriptionID, Batch)
 	out      []int // bytes by second
-	pumpAt   time.Duration
-	pumpSet  bool
+	sendAt   time.Duration
+	isSendSet  bool
 	receiver *Receiver
 }
 
-type hollow struct {
+type countingNode struct {
 	services []string
 	in       map[int]int // bytes by second
 	current  time.Duration
@@ -94,7 +95,7 @@
 	return c
 }
 
-// pump sends all that may be sent now, and comes back when the publisher says.
+// sendDue sends all that may be sent now, and runs again when the publisher says.
 func (c *control) sendDue() {
 	for {
 		id, b, ok, wait := c.pub.NextBatch(c.f.now)
@@ -107,14 +108,14 @@
 			c.receive[id](id, b)
 			continue
 		}
-		if wait == WaitForever || c.pumpSet && c.pumpAt <= c.f.now+wait {
+		if wait == WaitForever || c.isSendSet && c.sendAt <= c.f.now+wait {
 			return
 		}
 		at := c.f.now + wait
-		c.pumpAt, c.pumpSet = at, true
+		c.sendAt, c.isSendSet = at, true
 		c.f.after(wait, func() {
-			if c.pumpSet && c.pumpAt == at {
-				c.pumpSet = false
+			if c.isSendSet && c.sendAt == at {
+				c.isSendSet = false
 				c.sendDue()
 			}
 		})
@@ -132,7 +133,7 @@
 			c.pub.EntriesChanged(c.f.now, got.Changed)
 			c.sendDue()
 			vector := c.store.Vector().Clone()
-			c.f.after(latency+putInForce, func() {
+			c.f.after(latency+applyDelay, func() {
 				up.pub.BatchAcknowledged(c.f.now, id, Acknowledgement{BatchNumber: b.Number, Applied: vector})
 				up.sendDue()
 			})
@@ -141,14 +142,14 @@
 	up.sendDue()
 }
 
-func (n *hollow) follow(f *fleet, up *control, vector Vector) {
+func (n *countingNode) follow(f *fleet, up *control, vector Vector) {
 	id := up.pub.Subscribe(f.now, Subscription{Name: fmt.Sprintf("node %p", n), Role: RoleNode, Services: n.services, Vector: vector})
 	up.receive[id] = func(id SubscriptionID, b Batch) {
 		f.after(withinZone, func() {
 			n.in[int(f.now/time.Second)] += b.Size()
 			n.entries += len(b.Entries)
-			f.after(putInForce, func() { n.inForce(f, b) })
-			f.after(putInForce+withinZone, func() {
+			f.after(applyDelay, func() { n.inForce(f, b) })
+			f.after(applyDelay+withinZone, func() {
 				up.pub.BatchAcknowledged(f.now, id, Acknowledgement{BatchNumber: b.Number})
 				up.sendDue()
 			})
@@ -157,12 +158,12 @@
 	up.sendDue()
 }
 
-func (n *hollow) inForce(f *fleet, b Batch) {
+func (n *countingNode) inForce(f *fleet, b Batch) {
 	if b.IsComplete && n.current == 0 {
 		n.current = f.now
 	}
 	for _, e := range b.Entries {
-		if w := f.wrote[e.Sequence]; w != nil && e.Origin == f.controls[0].store.Origin() {
+		if w := f.pendingWrites[e.Sequence]; w != nil && e.Origin == f.controls[0].store.Origin() {
 			w.times = append(w.times, f.now-w.at)
 		}
 	}
@@ -172,18 +173,18 @@
 func (f *fleet) write(k Key, value string) {
 	root := f.controls[0]
 	e := writeOne(f.t, root.store, wall.Add(f.now), k, value)
-	w := &told{at: f.now}
+	w := &pendingWrite{at: f.now}
 	for _, n := range f.nodes {
 		if slices.Contains(n.services, k.Service) {
 			w.need++
 		}
 	}
-	f.wrote[e.Sequence] = w
+	f.pendingWrites[e.Sequence] = w
 	root.pub.EntriesChanged(f.now, []Entry{e})
 	root.sendDue()
 }
 
-// size of a fleet to be played.
+// size of a fleet to be simulated.
 type fleetSize struct {
 	nodes, services, perService, ofNode int
 }
@@ -191,7 +192,7 @@
 const zones = 6
 
 func playedFleet(t *testing.T, size fleetSize, rng *rand.Rand) *fleet {
-	f := &fleet{t: t, wrote: map[uint64]*told{}}
+	f := &fleet{t: t, pendingWrites: map[uint64]*pendingWrite{}}
 	origin := NewOrigin("writer", 7)
 	var entries []Entry
 	value := make([]byte, 60)
@@ -214,7 +215,7 @@
 		f.control(entries, vector, fmt.Sprintf("relay-%d", i)).follow(f.controls[i%3], withinZone)
 	}
 	for range size.nodes {
-		n := &hollow{services: []string{""}, in: map[int]int{}}
+		n := &countingNode{services: []string{""}, in: map[int]int{}}
 		for range size.ofNode {
 			n.services = append(n.services, fmt.Sprintf("service-%d", rng.IntN(size.services)))
 		}
@@ -223,16 +224,16 @@
 	return f
 }
 
-// times are those of all changes at all nodes, in order; a change that is not in force everywhere fails.
+// times returns when each node applied each change, in order; a change that is not applied everywhere fails.
 func (f *fleet) times() (all []time.Duration) {
-	for sequence, w := range f.wrote {
+	for sequence, w := range f.pendingWrites {
 		if len(w.times) < w.need {
 			f.t.Errorf("change %d is in force at %d of %d nodes", sequence, len(w.times), w.need)
 		}
 		all = append(all, w.times...)
 	}
 	slices.Sort(all)
-	clear(f.wrote)
+	clear(f.pendingWrites)
 	return all
 }
 
@@ -256,8 +257,8 @@
 	last := all[len(all)-1]
 	f.t.Logf("%s: to a node %.0f bytes a second in the mean, %d in the worst second; from a control process %d in its worst second; in force p50 %v, p99 %v, last %v (%d)",
 		what, float64(sum)/float64(len(f.nodes))/(to-from).Seconds(), most, outMost, all[len(all)/2], all[len(all)*99/100], last, len(all))
-	if last > mustBeInForce {
-		f.t.Errorf("%s: the last change came after %v, must %v", what, last, mustBeInForce)
+	if last > maxApplyDelay {
+		f.t.Errorf("%s: the last change came after %v, must %v", what, last, maxApplyDelay)
 	}
 	if most > 3*defaultNodeBytes+defaultNodeBytes/2 { // a second's budget, what was saved up, what a fresh change may take in advance, a piece
 		f.t.Errorf("%s: a node was sent %d bytes in a second", what, most)
@@ -268,7 +269,7 @@
 }
 
 // TestFleetInVirtualTime starts all nodes at once with empty disks while changes go on, then plays a day's rate of changes
-// and a burst. Each change must be in force at the last node in time.
+// and a burst. Each change must be applied at the last node in time.
 func TestFleetInVirtualTime(t *testing.T) {
 	size := fleetSize{nodes: 5800, services: 6000, perService: 33, ofNode: 8}
 	if raceEnabled { // a tenth: it takes minutes there
--- a/internal/controlplane/distribution/store_test.go
+++ b/internal/controlplane/distribution/store_test.go
@@ -225,7 +225,7 @@
 	}
 }
 
-// A store without room for an entry does not say that it has everything.
+// A store that is full does not advance its vector.
 func TestVectorDoesNotAdvanceWhileStoreIsFull(t *testing.T) {
 	server := NewStore(NewOrigin("root", 1), Limits{})
 	writeOne(t, server, wall, key("a", "1"), "v")
@@ -306,7 +306,7 @@
 	if old.Vector()[origin] != 1 {
 		t.Fatalf("vector %v", old.Vector())
 	}
-	// A copy that wrote before it was known: its writes are told anew.
+	// A copy that pendingWrites before it was known: its writes are made again.
 	blind := NewStore(origin, Limits{})
 	writeOne(t, blind, wall, key("a", "3"), "mine")
 	blind.ObserveVector(Vector{origin: 5})
@@ -319,7 +319,7 @@
 	}
 }
 
-// A write over an entry takes its sequence with it: no holder waits for it.
+// An overwritten entry's sequence is covered: no holder waits for it.
 func TestOverwrittenSequencesAreCovered(t *testing.T) {
 	server := NewStore(NewOrigin("root", 1), Limits{})
 	for i := range 10 {
--- a/internal/controlplane/distribution/world_test.go
+++ b/internal/controlplane/distribution/world_test.go
@@ -69,7 +69,7 @@
 }
 
 type (
-	follow     struct{ vector Vector } // a server's wish for what lacks
+	follow     struct{ vector Vector } // a server asks for what it lacks
 	askDigests struct{}
 )
 
@@ -207,7 +207,7 @@
 func (h *holder) took(got BatchResult) {
 	for _, e := range got.Changed {
 		before, ok := h.floor[e.Key]
-		if c := Compare(before, e); ok && (c > 0 || c == 0 && !e.Deleted) { // a forgotten deletion may be told again
+		if c := Compare(before, e); ok && (c > 0 || c == 0 && !e.Deleted) { // a pruned deletion may be received again
 			h.w.fail("%s went back from %+v to %+v", h.name, before, e)
 		}
 		h.floor[e.Key] = e
@@ -453,7 +453,7 @@
 				w.fail("%s: holds %s of another's", h.name, e.Key)
 			}
 			if _, ok := expected[e.Key]; !ok {
-				w.fail("%s: holds %+v that nobody wrote", h.name, e)
+				w.fail("%s: holds %+v that nobody pendingWrites", h.name, e)
 			}
 		}
 	}
