--- a/internal/controlplane/distribution/client/client_test.go
+++ b/internal/controlplane/distribution/client/client_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// A node gets what its services hold and nothing of others, by the bytes that leave.
+// A node receives the entries of its services and nothing of others, by the bytes that are sent.
 func TestNodesReceiveTheirServicesOnly(t *testing.T) {
 	c := newControl(t, "root/1")
 	const size = 40 << 10
@@ -122,7 +122,7 @@
 	}
 }
 
-// Changes that come one after the other cost one rebuild of routes in each applyInterval, not one each.
+// Successive changes cost one rebuild of routes in each applyInterval, not one each.
 func TestRebuildsAreCoalesced(t *testing.T) {
 	c := newControl(t, "root/1")
 	n := startNode(t, config(t, "n", []string{"hire"}, c.address()))
@@ -138,8 +138,8 @@
 	}
 }
 
-// Without any control process a node starts from its disk, by the start's wait, and says that it is behind; a control
-// process that is there later brings it on.
+// Without a control process a node starts from its disk after its start timeout and says that it is behind; a control
+// process that answers later makes it current.
 func TestStartsFromDisk(t *testing.T) {
 	c := newControl(t, "root/1")
 	c.write(put("hire", distribution.KindServer, "s1", "up"), put("hire", distribution.KindRoute, "r1", "first"))
@@ -174,7 +174,7 @@
 	}
 }
 
-// A control process with an older state, and one that calls old entries whole, do not bring a node back.
+// A control process with an older state, or one that resets services to old entries, does not take a node back.
 func TestNodeNeverGoesBack(t *testing.T) {
 	early := newControl(t, "root/1")
 	early.write(put("hire", distribution.KindServer, "s1", "v1"))
@@ -210,8 +210,8 @@
 	}
 }
 
-// An older copy of the disk, a garbled one and one with entries of an unknown extent are good for a start, or are set aside,
-// and all end with what the control process has.
+// An older copy of the disk, a damaged one and one without a valid sync mark serve for a start, or are quarantined,
+// and all end with what the control process holds.
 func TestStartFromOldOrDamagedDisk(t *testing.T) {
 	copyOf := func(t *testing.T, from, to string) {
 		t.Helper()
@@ -265,7 +265,7 @@
 	}
 }
 
-// A node that comes to serve another service is sent that one whole, and drops what it does not serve any more.
+// A node whose services change is sent the new ones whole, and drops the ones that it no longer serves.
 func TestChangedServices(t *testing.T) {
 	c := newControl(t, "root/1")
 	c.write(put("hire", distribution.KindServer, "s1", "up"), put("yard", distribution.KindServer, "s2", "up"))
@@ -285,7 +285,7 @@
 	}
 }
 
-// A control process that is ahead in nothing is asked for nothing; one that lost its disk is given what the node holds.
+// A control process that lost its disk is sent what the node holds; one that is ahead in nothing is not asked.
 func TestUploadToControlProcessWithLostDisk(t *testing.T) {
 	c := newControl(t, "root/1")
 	c.write(put("hire", distribution.KindServer, "s1", "up"), put("", distribution.KindTenant, "dairy", "5"), distribution.Change{Key: key("hire", distribution.KindRoute, "r"), Deleted: true})
--- a/internal/controlplane/distribution/client/faults_test.go
+++ b/internal/controlplane/distribution/client/faults_test.go
@@ -87,10 +87,10 @@
 	return startControl(t, "a", at[0], dir, at[1]), startControl(t, "b", at[1], dir, at[0])
 }
 
-// Whatever happens to the control process that a node follows, or to the way there, what is written at the other is in
-// force, and so is what is written when all is well again.
+// Whatever happens to the control process that a node follows, or to the network between, what is written at the other is
+// applied, and so is what is written after the fault.
 func TestFaultsOfControlProcessAndNetwork(t *testing.T) {
-	for name, c := range map[string]struct{ fault, mend func(*faultproxy.Proxy) }{
+	for name, c := range map[string]struct{ fault, repair func(*faultproxy.Proxy) }{
 		"cut towards the node": {func(w *faultproxy.Proxy) { w.Cut(faultproxy.Down, true) }, func(w *faultproxy.Proxy) { w.Cut(faultproxy.Down, false) }},
 		"cut towards control":  {func(w *faultproxy.Proxy) { w.Cut(faultproxy.Up, true) }, func(w *faultproxy.Proxy) { w.Cut(faultproxy.Up, false) }},
 		"cut both ways": {func(w *faultproxy.Proxy) { w.Cut(faultproxy.Up, true); w.Cut(faultproxy.Down, true) },
@@ -101,25 +101,25 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			a, b := pair(t)
-			wires, err := faultproxy.Listen(a.at)
+			proxy, err := faultproxy.Listen(a.at)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer wires.Close()
+			defer proxy.Close()
 			b.write(put("hire", distribution.KindServer, "s", "v1"), put("hire", distribution.KindRoute, "r", "v1"))
-			n := startNode(t, config(t, "n", []string{"hire"}, wires.Address(), b.at))
+			n := startNode(t, config(t, "n", []string{"hire"}, proxy.Address(), b.at))
 			started(t, n)
 			holds := func(v string) {
 				t.Helper()
 				until(t, func() bool {
 					return n.value(key("hire", distribution.KindServer, "s")) == v && n.value(key("hire", distribution.KindRoute, "r")) == v
-				}, "%s is in force", v)
+				}, "%s is applied", v)
 			}
 			holds("v1")
-			c.fault(wires)
+			c.fault(proxy)
 			b.write(put("hire", distribution.KindServer, "s", "v2"), put("hire", distribution.KindRoute, "r", "v2"))
 			holds("v2")
-			c.mend(wires)
+			c.repair(proxy)
 			a.write(put("hire", distribution.KindServer, "s", "v3"), put("hire", distribution.KindRoute, "r", "v3"))
 			holds("v3")
 			n.recordingApplier.mu.Lock()
@@ -133,7 +133,7 @@
 	}
 }
 
-// A node that is ahead of all control processes, which have lost their disks, gives them back what it holds.
+// A node that is ahead of all control processes, which have lost their disks, sends them what it holds.
 func TestControlProcessesLoseTheirDisks(t *testing.T) {
 	dir, at := t.TempDir(), address.Free(t)
 	a := startControl(t, "a", at, dir)
@@ -160,7 +160,7 @@
 	}
 }
 
-// The state of nodes is seen at their control process, with what they reject.
+// The status of nodes at their control process names what they reject.
 func TestStatusAtControl(t *testing.T) {
 	a, b := pair(t)
 	n := startNode(t, config(t, "n", []string{"hire"}, a.at))
--- a/internal/controlplane/distribution/client/protocol_test.go
+++ b/internal/controlplane/distribution/client/protocol_test.go
@@ -14,7 +14,7 @@
 	"fernvane/internal/controlplane/distribution/wire"
 )
 
-// Whatever comes in place of a frame ends that connection with one line, and the next control process is followed.
+// Bytes that are no valid frame end that connection with one log line, and the next control process is followed.
 func TestGarbledFrames(t *testing.T) {
 	frame, err := wire.Append(nil, &wire.Batch{Batch: distribution.Batch{Number: 1, Entries: []distribution.Entry{{Key: key("hire", distribution.KindServer, "evil"),
 		Clock: 1 << 60, Origin: "evil/1", Sequence: 1, Value: []byte("x")}}, IsComplete: true}})
@@ -80,14 +80,14 @@
 			}
 			n.log.mu.Lock()
 			defer n.log.mu.Unlock()
-			if told := strings.Count(strings.Join(n.log.lines, ""), c.why); told != 1 {
-				t.Errorf("%q told %d times: %q", c.why, told, n.log.lines)
+			if logged := strings.Count(strings.Join(n.log.lines, ""), c.why); logged != 1 {
+				t.Errorf("%q logged %d times: %q", c.why, logged, n.log.lines)
 			}
 		})
 	}
 }
 
-// A control process that is there but says nothing, as one that was stopped, is left for the next.
+// A control process that is connected but silent, as one that was stopped, is left for the next.
 func TestSilentControlProcessIsLeft(t *testing.T) {
 	c, next := newControl(t, "root/1"), newControl(t, "root/2")
 	n := startNode(t, config(t, "n", []string{"hire"}, c.address(), next.address()))
@@ -111,7 +111,7 @@
 	next.waitApplied("n")
 }
 
-// Commands and nodes read one file; each fault is told by its line.
+// Commands and nodes read one file; each fault is reported by its line.
 func TestConfigFaults(t *testing.T) {
 	dir := t.TempDir()
 	base := "control = [\"127.0.0.1:7560\"]\nservices = [\"hire\"]\ndirectory = \"" + dir + "\"\nplaintext = true\n"
--- a/internal/controlplane/distribution/control/source_test.go
+++ b/internal/controlplane/distribution/control/source_test.go
@@ -77,7 +77,7 @@
 	set("s3", discovery.Serving)
 	wait(t, "another one", is("s3", incarnation.Up, false))
 	if _, again := m.server(t, "s2"); again.Clock != held.Clock {
-		t.Error("a server that was told again is written again")
+		t.Error("a server that was listed again is written again")
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/controlplane/distribution/scale_test.go
+++ b/internal/controlplane/distribution/scale_test.go
@@ -19,13 +19,13 @@
 // fleet is the tree in virtual time: publishers, stores of control processes and receivers of these are the real ones;
 // nodes only count what they are sent and acknowledge.
 type fleet struct {
-	t        *testing.T
-	now      time.Duration
-	events   events
-	order    int
-	controls []*control
-	nodes    []*countingNode
-	pendingWrites    map[uint64]*pendingWrite // by sequence of the root that writes
+	t             *testing.T
+	now           time.Duration
+	events        events
+	order         int
+	controls      []*control
+	nodes         []*countingNode
+	pendingWrites map[uint64]*pendingWrite // by sequence of the root that writes
 }
 
 // pendingWrite is a change that nodes are to apply.
@@ -36,14 +36,14 @@
 }
 
 type control struct {
-	f        *fleet
-	store    *Store
-	pub      *Publisher
-	receive  map[SubscriptionID]func(SubscriptionID, Batch)
-	out      []int // bytes by second
-	sendAt   time.Duration
-	isSendSet  bool
-	receiver *Receiver
+	f         *fleet
+	store     *Store
+	pub       *Publisher
+	receive   map[SubscriptionID]func(SubscriptionID, Batch)
+	out       []int // bytes by second
+	sendAt    time.Duration
+	isSendSet bool
+	receiver  *Receiver
 }
 
 type countingNode struct {
--- a/internal/controlplane/distribution/store_test.go
+++ b/internal/controlplane/distribution/store_test.go
@@ -306,7 +306,7 @@
 	if old.Vector()[origin] != 1 {
 		t.Fatalf("vector %v", old.Vector())
 	}
-	// A copy that pendingWrites before it was known: its writes are made again.
+	// A copy that wrote before it was found to be stale: its writes are made again.
 	blind := NewStore(origin, Limits{})
 	writeOne(t, blind, wall, key("a", "3"), "mine")
 	blind.ObserveVector(Vector{origin: 5})
