--- a/internal/controlplane/distribution/client/control_test.go
+++ b/internal/controlplane/distribution/client/control_test.go
@@ -213,8 +213,8 @@
 func (c *control) status(name string) (distribution.NodeStatus, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, s := range c.publisher.AllStatuses(c.now()) {
-		if s.Name == name {
+	for id, p := range c.conns {
+		if s, ok := c.publisher.SubscriberStatus(c.now(), id); ok && p.name == name {
 			return s, true
 		}
 	}
@@ -229,14 +229,14 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return ok && s.Revision >= c.store.Vector().Total() && s.PendingKeys == 0 && s.UnacknowledgedBytes == 0 && !s.IsCatchingUp
-	}, "%s has all in force", name)
+	}, "%s has applied everything", name)
 }
 
 func until(t *testing.T, is func() bool, what string, args ...any) {
 	t.Helper()
 	for by := time.Now().Add(patience); !is(); {
 		if time.Now().After(by) {
-			t.Fatalf("it never came that "+what, args...)
+			t.Fatalf("timed out: "+what, args...)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
--- a/internal/controlplane/distribution/disk/disk.go
+++ b/internal/controlplane/distribution/disk/disk.go
@@ -55,8 +55,8 @@
 type Disk struct {
 	path         string
 	options      Options
-	maxBytes     atomic.Int64 // of the file; 0 for any
-	transactions atomic.Uint64
+	maxBytes     atomic.Int64  // of the file; 0 for any
+	transactions atomic.Uint64 // written so far
 
 	wake    chan struct{}
 	stop    chan struct{}
@@ -200,9 +200,6 @@
 	return len(d.queue.pending)
 }
 
-// TransactionCount returns how many transactions were written.
-func (d *Disk) TransactionCount() uint64 { return d.transactions.Load() }
-
 // Fault returns why the file cannot be written at present; nil if it can.
 func (d *Disk) Fault() error {
 	d.mu.Lock()
--- a/internal/controlplane/distribution/disk/disk_test.go
+++ b/internal/controlplane/distribution/disk/disk_test.go
@@ -465,7 +465,7 @@
 		d.Save(entries(n, n), nil, nil)
 		time.Sleep(time.Millisecond)
 	}
-	batches := int(d.TransactionCount())
+	batches := int(d.transactions.Load())
 	if most := int(time.Since(began)/every) + 2; batches > most || batches == 0 {
 		t.Errorf("%d transactions, %d at most", batches, most)
 	}
--- a/internal/controlplane/distribution/prune.go
+++ b/internal/controlplane/distribution/prune.go
@@ -23,7 +23,3 @@
 
 // AdvancePruned takes in which deletions a sender may have forgotten.
 func (s *Store) AdvancePruned(v Vector) { s.pruned.Join(v) }
-
-// NeedsReset reports whether deletions that a holder of a vector lacks may be forgotten here, so that it must be sent
-// everything.
-func (s *Store) NeedsReset(v Vector) bool { return !v.CoversAll(s.pruned) }
--- a/internal/controlplane/distribution/publisher.go
+++ b/internal/controlplane/distribution/publisher.go
@@ -1,7 +1,6 @@
 package distribution
 
 import (
-	"cmp"
 	"container/list"
 	"maps"
 	"slices"
@@ -187,19 +186,6 @@
 	return slow
 }
 
-// SubscriberCount returns the number of subscriptions.
-func (p *Publisher) SubscriberCount() int { return len(p.subscriptions) }
-
-// AllStatuses returns the status of each subscriber, by name.
-func (p *Publisher) AllStatuses(now time.Duration) []NodeStatus {
-	all := make([]NodeStatus, 0, len(p.subscriptions))
-	for _, s := range p.subscriptions {
-		all = append(all, s.status(now))
-	}
-	slices.SortFunc(all, func(a, b NodeStatus) int { return cmp.Compare(a.Name, b.Name) })
-	return all
-}
-
 // SubscriberStatus returns the status of one subscriber, and whether there is one.
 func (p *Publisher) SubscriberStatus(now time.Duration, id SubscriptionID) (NodeStatus, bool) {
 	s := p.subscriptions[id]
--- a/internal/controlplane/distribution/store_test.go
+++ b/internal/controlplane/distribution/store_test.go
@@ -280,7 +280,7 @@
 	if changed, _ := s.Merge([]Entry{e}); len(changed) != 0 {
 		t.Fatalf("%v is back", changed)
 	}
-	if !s.NeedsReset(Vector{s.Origin(): 1}) || s.NeedsReset(s.Vector()) {
+	if (Vector{s.Origin(): 1}).CoversAll(s.Pruned()) || !s.Vector().CoversAll(s.Pruned()) {
 		t.Fatal("who lacks the deletion is behind, who has it is not")
 	}
 	foreign := NewStore("", Limits{}) // it holds a deletion beyond its vector
