--- a/internal/controlplane/distribution/control/config.go
+++ b/internal/controlplane/distribution/control/config.go
@@ -106,16 +106,19 @@
 	if !namePattern.MatchString(c.Name) {
 		f.Wrong("name", "name %q: letters, digits, dots and dashes, 64 at most", c.Name)
 	}
-	for key, text := range map[string]string{"region": c.Region, "zone": c.Zone} {
-		if text != "" && !namePattern.MatchString(text) {
-			f.Wrong(key, "%s %q: letters, digits, dots and dashes, 64 at most", key, text)
-		}
-	}
+	checkOptionalName(f, "region", c.Region)
+	checkOptionalName(f, "zone", c.Zone)
 	if c.Follow != followAll && c.Follow != followOne {
 		f.Wrong("follow", "follow %q: all for roots, one for relays", c.Follow)
 	}
 }
 
+func checkOptionalName(f *tomlfile.File, key, text string) {
+	if text != "" && !namePattern.MatchString(text) {
+		f.Wrong(key, "%s %q: letters, digits, dots and dashes, 64 at most", key, text)
+	}
+}
+
 func (c *Config) checkAddresses(f *tomlfile.File) {
 	var err error
 	if c.ListenAddress, err = netip.ParseAddrPort(c.Listen); err != nil {
@@ -126,14 +129,14 @@
 	}
 	addresses := []netip.AddrPort{c.ListenAddress}
 	for i, text := range c.Upstreams {
-		at, err := netip.ParseAddrPort(text)
+		address, err := netip.ParseAddrPort(text)
 		switch {
 		case err != nil:
 			f.Wrong("upstreams."+strconv.Itoa(i), "upstream %q: an address and a port are wanted", text)
-		case at == c.ListenAddress:
+		case address == c.ListenAddress:
 			f.Wrong("upstreams."+strconv.Itoa(i), "upstream %q is this process itself", text)
 		}
-		c.UpstreamAddresses = append(c.UpstreamAddresses, at)
+		c.UpstreamAddresses = append(c.UpstreamAddresses, address)
 	}
 	if !c.Plaintext && c.TLSName == "" && len(c.Upstreams) > 0 {
 		f.Wrong("tls_name", "tls_name says what the upstreams' certificates are for")
@@ -159,17 +162,20 @@
 }
 
 func (c *Config) checkBudgets(f *tomlfile.File) {
-	for key, b := range map[string]struct{ bytes, least int }{"out_bytes": {c.TotalBytesPerSecond, minTotalBytesPerSecond}, "node_bytes": {c.NodeBytesPerSecond, minPeerBytesPerSecond},
-		"control_bytes": {c.ControlBytesPerSecond, minPeerBytesPerSecond}} {
-		if b.bytes < b.least || b.bytes > maxBytesPerSecond {
-			f.Wrong(key, "%s %d: from %d to %d a second", key, b.bytes, b.least, maxBytesPerSecond)
-		}
-	}
+	checkBytesPerSecond(f, "out_bytes", c.TotalBytesPerSecond, minTotalBytesPerSecond)
+	checkBytesPerSecond(f, "node_bytes", c.NodeBytesPerSecond, minPeerBytesPerSecond)
+	checkBytesPerSecond(f, "control_bytes", c.ControlBytesPerSecond, minPeerBytesPerSecond)
 	if c.MaxConnections < 1 || c.MaxConnections > connectionsLimit {
 		f.Wrong("connections", "connections %d: from 1 to %d", c.MaxConnections, connectionsLimit)
 	}
 }
 
+func checkBytesPerSecond(f *tomlfile.File, key string, bytes, least int) {
+	if bytes < least || bytes > maxBytesPerSecond {
+		f.Wrong(key, "%s %d: from %d to %d a second", key, bytes, least, maxBytesPerSecond)
+	}
+}
+
 func (c *Config) checkSource(f *tomlfile.File) {
 	var err error
 	switch {
@@ -195,5 +201,9 @@
 func (c *Config) hasSource() bool { return c.Discovery != "" || c.Registry != "" }
 
 func (c *Config) budget() distribution.Budget {
-	return distribution.Budget{TotalBytesPerSecond: c.TotalBytesPerSecond, NodeBytesPerSecond: c.NodeBytesPerSecond, ControlBytesPerSecond: c.ControlBytesPerSecond}
+	return distribution.Budget{
+		TotalBytesPerSecond:   c.TotalBytesPerSecond,
+		NodeBytesPerSecond:    c.NodeBytesPerSecond,
+		ControlBytesPerSecond: c.ControlBytesPerSecond,
+	}
 }
