--- a/internal/controlplane/distribution/control/faults_test.go
+++ b/internal/controlplane/distribution/control/faults_test.go
@@ -27,7 +27,7 @@
 			for _, cut := range []bool{true, false} {
 				for _, name := range names {
 					for _, d := range directions {
-						f.cables[name].Cut(d, cut)
+						f.proxies[name].Cut(d, cut)
 					}
 				}
 				if cut {
@@ -46,31 +46,31 @@
 	}
 	root, relay := func(f *fleet) *process { return f.a }, func(f *fleet) *process { return f.r }
 	for name, fault := range map[string]func(*testing.T, *fleet){
-		"root killed":              func(t *testing.T, f *fleet) { f.a.kill(); f.a.start(t) },
-		"relay killed":             func(t *testing.T, f *fleet) { f.r.kill(); f.r.start(t) },
-		"root killed for long":     func(t *testing.T, f *fleet) { f.a.kill(); f.writer.reach(t, 100); f.a.start(t) },
-		"root killed again, again": killedAgain,
-		"all killed at once":       allKilled,
-		"root ended":               func(t *testing.T, f *fleet) { f.a.end(t); f.writer.reach(t, 20); f.a.start(t) },
-		"root stands still":        stopped(root, longCut),
-		"relay stands still":       stopped(relay, longCut),
-		"root stands still a bit":  stopped(root, shortCut),
-		"relay cut off upwards":    cut(longCut, both[:1], "ra"),
-		"relay cut off downwards":  cut(longCut, both[1:], "ra"),
-		"relay cut off":            cut(longCut, both, "ra", "rb"),
-		"relay cut off for a bit":  cut(shortCut, both, "ra", "rb"),
-		"nodes cut off":            cut(longCut, both, "nr", "mb"),
-		"two regions apart":        cut(longCut, both, "ab", "ba"),
-		"regions apart one way":    cut(longCut, both[1:], "ab", "ba"),
-		"disk old":                 oldDisk,
-		"disk empty":               emptyDisk,
-		"disk garbled":             garbledDisk,
-		"disk full":                fullDisk,
-		"garbled on the wire":      garbledWire,
-		"killed in a large change": killedInAChange,
-		"killed while alone":       killedAlone,
-		"relay ahead of its roots": relayAhead,
-		"relay killed catching up": killedCatchingUp,
+		"root killed":                  func(t *testing.T, f *fleet) { f.a.kill(); f.a.start(t) },
+		"relay killed":                 func(t *testing.T, f *fleet) { f.r.kill(); f.r.start(t) },
+		"root killed for long":         func(t *testing.T, f *fleet) { f.a.kill(); f.writer.reach(t, 100); f.a.start(t) },
+		"root killed repeatedly":       killedAgain,
+		"all killed at once":           allKilled,
+		"root shut down":               func(t *testing.T, f *fleet) { f.a.end(t); f.writer.reach(t, 20); f.a.start(t) },
+		"root stopped":                 stopped(root, longCut),
+		"relay stopped":                stopped(relay, longCut),
+		"root stopped briefly":         stopped(root, shortCut),
+		"relay cut off upwards":        cut(longCut, both[:1], "ra"),
+		"relay cut off downwards":      cut(longCut, both[1:], "ra"),
+		"relay cut off":                cut(longCut, both, "ra", "rb"),
+		"relay cut off briefly":        cut(shortCut, both, "ra", "rb"),
+		"nodes cut off":                cut(longCut, both, "nr", "mb"),
+		"regions partitioned":          cut(longCut, both, "ab", "ba"),
+		"regions partitioned one way":  cut(longCut, both[1:], "ab", "ba"),
+		"disk old":                     oldDisk,
+		"disk empty":                   emptyDisk,
+		"disk damaged":                 garbledDisk,
+		"disk full":                    fullDisk,
+		"bytes damaged on the network": garbledWire,
+		"killed in a large change":     killedInAChange,
+		"killed while alone":           killedAlone,
+		"relay ahead of its roots":     relayAhead,
+		"relay killed catching up":     killedCatchingUp,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -183,11 +183,11 @@
 
 func garbledWire(t *testing.T, f *fleet) {
 	for _, name := range []string{"ra", "rb", "ab", "ba", "nr", "mb"} {
-		f.cables[name].Garble(faultproxy.Up, 3)
-		f.cables[name].Garble(faultproxy.Down, 3)
+		f.proxies[name].Garble(faultproxy.Up, 3)
+		f.proxies[name].Garble(faultproxy.Down, 3)
 	}
-	wait(t, "garbled", func() bool { return f.cables["ab"].Garbled(faultproxy.Up) && f.cables["ab"].Garbled(faultproxy.Down) })
-	for _, c := range f.cables {
+	wait(t, "garbled", func() bool { return f.proxies["ab"].Garbled(faultproxy.Up) && f.proxies["ab"].Garbled(faultproxy.Down) })
+	for _, c := range f.proxies {
 		c.Garble(faultproxy.Up, 0)
 		c.Garble(faultproxy.Down, 0)
 	}
@@ -216,8 +216,8 @@
 	f.waitConverged(t, "before")
 	alone := []string{"ab", "ba", "ra"}
 	for _, name := range alone {
-		f.cables[name].Cut(faultproxy.Up, true)
-		f.cables[name].Cut(faultproxy.Down, true)
+		f.proxies[name].Cut(faultproxy.Up, true)
+		f.proxies[name].Cut(faultproxy.Down, true)
 	}
 	changes := routes("alone", 0, 20)
 	for _, c := range changes {
@@ -231,9 +231,9 @@
 	}
 	f.a.start(t)
 	for _, name := range alone {
-		f.cables[name].Break() // what was on its way went with the process
-		f.cables[name].Cut(faultproxy.Up, false)
-		f.cables[name].Cut(faultproxy.Down, false)
+		f.proxies[name].Break() // what was on its way went with the process
+		f.proxies[name].Cut(faultproxy.Up, false)
+		f.proxies[name].Cut(faultproxy.Down, false)
 	}
 	f.waitConverged(t, "after the kill")
 	all := f.heldEntries(t, f.b)
--- a/internal/controlplane/distribution/control/process_test.go
+++ b/internal/controlplane/distribution/control/process_test.go
@@ -129,7 +129,7 @@
 // second root. A fault proxy stands between all processes.
 type fleet struct {
 	a, b, r   *process
-	cables    map[string]*faultproxy.Proxy // by who dials and whom: "ra"
+	proxies   map[string]*faultproxy.Proxy // by who dials and whom: "ra"
 	near, far *subscriber
 	writer    *writer
 	stop      chan struct{}
@@ -140,7 +140,7 @@
 	t.Helper()
 	turns <- struct{}{}
 	t.Cleanup(func() { <-turns })
-	f := &fleet{cables: map[string]*faultproxy.Proxy{}, stop: make(chan struct{})}
+	f := &fleet{proxies: map[string]*faultproxy.Proxy{}, stop: make(chan struct{})}
 	dir := t.TempDir()
 	processes := map[string]*process{}
 	for _, name := range []string{"a", "b", "r"} {
@@ -152,7 +152,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.cables[ends] = c
+		f.proxies[ends] = c
 	}
 	t.Cleanup(func() { f.close(t) })
 	for _, p := range f.all() {
@@ -161,8 +161,8 @@
 	}
 	f.waitConverged(t, "all current")
 	f.near, f.far = node("near", "", "s"), node("far", "", "s")
-	f.follow(f.near, f.cables["nr"].Address())
-	f.follow(f.far, f.cables["mb"].Address())
+	f.follow(f.near, f.proxies["nr"].Address())
+	f.follow(f.far, f.proxies["mb"].Address())
 	f.writer = &writer{fleet: f, acknowledged: map[distribution.Key]distribution.Entry{}}
 	f.writer.begin()
 	f.writer.reach(t, 50)
@@ -175,9 +175,9 @@
 func (f *fleet) configure(t *testing.T, p *process, more string) {
 	t.Helper()
 	upstreams := map[string]string{
-		"a": fmt.Sprintf("upstreams = [%q]\nfollow = \"all\"\n", f.cables["ab"].Address()),
-		"b": fmt.Sprintf("upstreams = [%q]\nfollow = \"all\"\n", f.cables["ba"].Address()),
-		"r": fmt.Sprintf("upstreams = [%q, %q]\n", f.cables["ra"].Address(), f.cables["rb"].Address()),
+		"a": fmt.Sprintf("upstreams = [%q]\nfollow = \"all\"\n", f.proxies["ab"].Address()),
+		"b": fmt.Sprintf("upstreams = [%q]\nfollow = \"all\"\n", f.proxies["ba"].Address()),
+		"r": fmt.Sprintf("upstreams = [%q, %q]\n", f.proxies["ra"].Address(), f.proxies["rb"].Address()),
 	}[p.name]
 	text := fmt.Sprintf("name = %q\nlisten = %q\ndisk = %q\nnode_bytes = 1000000\nplaintext = true\n%s%s", p.name, p.at, p.disk, upstreams, more)
 	if err := os.WriteFile(p.file, []byte(text), 0o600); err != nil {
@@ -217,7 +217,7 @@
 			t.Logf("log of %s:\n%s", p.name, p.log)
 		}
 	}
-	for _, c := range f.cables {
+	for _, c := range f.proxies {
 		c.Close()
 	}
 	f.running.Wait()
