--- a/internal/controlplane/planner/discovery.go
+++ b/internal/controlplane/planner/discovery.go
@@ -23,7 +23,7 @@
 	return zookeeper.Follow(ctx, s.config.Ensemble, zookeeper.Listener{
 		Now:      s.now,
 		OnChange: func(changed []incarnation.Entry, _ bool) { s.registryChanged(changed) },
-		OnError:  func(err error) { s.log.Warn().Err(err).Msg("registry read failed") },
+		OnError:  func(err error) { s.log.Warn().Err(err).Msg("registry error") },
 		OnMassRemoval: func(removal endpoints.MassRemoval) {
 			s.log.Error().Bool("suspected", removal.IsSuspected).Int("removed", removal.Removed).Int("total", removal.Total).
 				Msg("mass removal suspicion changed")
