--- a/policy/admission.go
+++ b/policy/admission.go
@@ -46,7 +46,7 @@
 	admitted          float64 // share of the offered load
 	maxAdmittedShare  float64 // by a plan; 0: all
 	overloaded        decay.FailureRate
-	maxPriorityWeight float64 // of all traffic types
+	maxPriorityWeight float64 // highest of all traffic types so far; a reload never lowers it
 
 	activeTypes  indexset.Set // traffic types with traffic lately: others cost no tick
 	classes      []int        // of the active types, those worth least first
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -30,8 +30,10 @@
 //
 // Each node keeps these rules by itself:
 //
-//  1. Each request gets exactly one final answer (handled, rejected, or failed with its outcome unknown) before its
-//     client's timeout, and no attempt is sent after it. Only transitions to stateDone answer (lifecycle.go).
+//  1. Each request gets exactly one final answer (handled, rejected, or failed with its outcome unknown), and no attempt
+//     is sent after it. Only transitions to stateDone answer (lifecycle.go), except that a request of an unknown
+//     traffic type is rejected on arrival. The answer is due before the client's timeout, but deadlines are looked at
+//     on ticks: with a TimerGranularity below tickInterval one may fall between two ticks (minAnswerLead).
 //  2. Nothing takes effect twice. A non-idempotent request gets another attempt or a rejection only while every
 //     earlier attempt provably never ran. An idempotent request with a key that may have run is repeated only within
 //     its key scope and key retention, and is rejected only if the scope is KeyScopeAll (canRetry, isSafeToReject).
--- a/policy/effect.go
+++ b/policy/effect.go
@@ -8,13 +8,15 @@
 const (
 	// SendAttempt sends a request to a server; Duration is the attempt's timeout.
 	SendAttempt EffectKind = iota
-	// Reject answers that the request has not run or may safely be retried; Duration is the Retry-After, or 0.
+	// Reject answers that the request has not run or may safely be retried; Duration is the Retry-After, or 0. The effect
+	// carries no reason: lifecycle.go lists the reasons and how to tell them apart.
 	Reject
 	// Fail answers that the outcome of the request is unknown.
 	Fail
 	// SetTimer asks for TimerFired after Duration.
 	SetTimer
-	// Subscribe requests the endpoint list.
+	// Subscribe requests the endpoint list. The caller goes on requesting it by itself until a request fails, and then
+	// says so by EndpointsUpdated with Unavailable: the next Subscribe follows after a backoff.
 	Subscribe
 	// CloseIdle closes idle connections to the server.
 	CloseIdle
--- a/policy/input.go
+++ b/policy/input.go
@@ -56,7 +56,8 @@
 	Overloaded
 	// TimedOut attempts got no answer in time.
 	TimedOut
-	// Unreachable attempts got no connection: the request has not run.
+	// Unreachable attempts never reached the server, since they got no connection or a new one broke before the last
+	// byte was written: the request has not run.
 	Unreachable
 	// ConnectionBroken attempts lost their connection before the answer was complete.
 	ConnectionBroken
@@ -112,13 +113,13 @@
 	Endpoints []Endpoint
 
 	TrafficTypes []TrafficType // all of them; one with requests in hand keeps its index
-	LearnFrom    []int         // by traffic type: itself if unchanged, else the one whose figures it takes over, or -1
+	LearnFrom    []int         // by traffic type: itself if unchanged, else the one whose latencies it takes over, or -1
 	RouteLimits  []int         // requests that may be in flight at a time; 0: any number
 
 	Assignments       []Assignment
 	NodeCount         int
 	MaxAdmittedShare  float64   // 0: all
-	WithinQuotaShares []float64 // by tenant: share of its requests that is within its quota; nil: by own figures
+	WithinQuotaShares []float64 // by tenant: share of its requests that is within its quota, 0: all; nil: by own figures
 	Quotas            []Quota   // those that changed
 }
 
@@ -126,7 +127,7 @@
 // theirs is named.
 type Quota struct {
 	Tenant    int
-	PerSecond float64 // requests, over all nodes
+	PerSecond float64 // requests, over all nodes; 0: never over quota
 }
 
 // Assignment is what a plan says of one server for this node.
--- a/policy/internal/failures/failures.go
+++ b/policy/internal/failures/failures.go
@@ -18,13 +18,13 @@
 	TrafficType  int
 	Consecutive  int           // failures in a row
 	LastAt       time.Duration // when the last of them came
-	EjectedUntil time.Duration // from this traffic type
+	EjectedUntil time.Duration // for this traffic type
 }
 
 // Table holds the entries of all servers. The zero value is an empty table.
 type Table struct {
 	entries [][]Entry       // by server, in no order
-	until   []time.Duration // by server: ejected from all types
+	until   []time.Duration // by server: ejected for all types
 	active  indexset.Set    // servers with an entry or an ejection
 }
 
@@ -62,7 +62,7 @@
 	return &t.entries[server][i]
 }
 
-// EjectedUntil returns the end of a server's ejection from one traffic type, or from AllTypes.
+// EjectedUntil returns the end of a server's ejection for one traffic type, or for AllTypes.
 func (t *Table) EjectedUntil(server, trafficType int) time.Duration {
 	if trafficType == AllTypes {
 		return t.until[server]
@@ -70,7 +70,7 @@
 	return t.Get(server, trafficType).EjectedUntil
 }
 
-// SetEjectedUntil sets the end of a server's ejection from one traffic type, or from AllTypes.
+// SetEjectedUntil sets the end of a server's ejection for one traffic type, or for AllTypes.
 func (t *Table) SetEjectedUntil(server, trafficType int, until time.Duration) {
 	if trafficType == AllTypes {
 		t.active.Add(server)
@@ -80,10 +80,10 @@
 	t.GetOrCreate(server, trafficType).EjectedUntil = until
 }
 
-// ClearEjection ends a server's ejection from AllTypes.
+// ClearEjection ends a server's ejection for AllTypes.
 func (t *Table) ClearEjection(server int) { t.until[server] = 0 }
 
-// Reset ends a server's ejection from AllTypes and clears its failures in a row. Ejections from single types stay.
+// Reset ends a server's ejection for AllTypes and clears its failures in a row. Ejections for single types stay.
 func (t *Table) Reset(server int) {
 	t.ClearEjection(server)
 	for i := range t.entries[server] {
--- a/policy/internal/leastsquares/leastsquares.go
+++ b/policy/internal/leastsquares/leastsquares.go
@@ -34,5 +34,5 @@
 	}
 }
 
-// XAt returns the x where the line meets y. The line must rise: Rise must not be 0.
+// XAt returns the x where the line meets y. Rise must not be 0; the caller checks that Run and Rise are above 0.
 func (l Line) XAt(y float64) float64 { return l.origin + l.meanX + (y-l.meanY)*l.Run/l.Rise }
--- a/policy/internal/readiness/readiness.go
+++ b/policy/internal/readiness/readiness.go
@@ -1,5 +1,5 @@
-// Package readiness holds which servers are ready and which are listed, with counts that are kept in step, so that the
-// policy never has to walk all servers. It decides nothing.
+// Package readiness holds which servers are ready and which are listed, with counts that are kept in step, so that no
+// attempt or tick has to walk all servers. It decides nothing. Its owner is the policy; it has no lock.
 package readiness
 
 import (
@@ -99,10 +99,10 @@
 	t.placements.set(server, placements, t.ready[server])
 }
 
-// BeginUpdate begins an update of the list, before which WasListed looks.
+// BeginUpdate marks the state that WasListed reports from now on.
 func (t *Table) BeginUpdate() { t.updates++ }
 
-// UnlistAll has no server be listed.
+// UnlistAll marks every server unlisted.
 func (t *Table) UnlistAll() {
 	for server := range t.listed {
 		t.WasListed(server)
--- a/policy/lifecycle.go
+++ b/policy/lifecycle.go
@@ -34,7 +34,21 @@
 
 // lifecycle returns the transitions of a request. The first one whose state, signal and guard fit is taken, so each
 // guard may rely on those above it having said no. canSend, canRetry and canHedge leave the server that they found in
-// Policy.picked for the action; isShed, canSend and canRetry may draw random numbers.
+// Policy.picked for the action.
+//
+// Guards have side effects. isShed, canSend, canRetry and canHedge may draw random numbers, also when they say no. A
+// canSend that says yes has moved credits and the round robin's position, and may have grown the subset; canHedge may
+// refuse the server after that.
+//
+// The Reject effect carries no reason. It comes from these rows; what follows tells them apart in a debugger or a test.
+// AttemptCount is 0 for the first three, unless a queued request had attempts that got no connection.
+//
+//	new, onArrival, isShed           shed: admission.rejectShare of its class or attributedShedShare above 0
+//	new, onArrival, always           no server or slot, and it may not wait: subset.readyCount, concurrency.limit
+//	queued, onTick, always           waited for too long (maxQueueShare, MaxQueueTime) or until too late for its objective
+//	in flight, onFailure             failed, safe to reject, and canRetry refused: maxAttempts, budgets.retries, objectiveAt
+//	in flight, onTick, late          no end of the attempt by the client's deadline, and safe to reject
+//	none (requestArrived)            unknown traffic type
 func lifecycle() []transition {
 	return []transition{
 		{stateNew, onArrival, (*Policy).isShed, stateDone, (*Policy).reject},
--- a/policy/load.go
+++ b/policy/load.go
@@ -13,7 +13,7 @@
 	inFlight        []int
 	abandoned       []float64       // attempts that timed out and that the server may still work on
 	abandonedSentAt []time.Duration // when the last of them was sent
-	lastAnswerAt    []time.Duration // last answer, or when the server last went from idle to busy
+	lastAnswerAt    []time.Duration // last answer other than ClientError, or when the server last went from idle to busy
 }
 
 // abandon counts an attempt that timed out. Without it a server that is stuck would look idle.
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -11,8 +11,8 @@
 
 const (
 	initialEjection = 500 * time.Millisecond // doubles each time
-	maxEjection     = 4 * time.Second
-	ejectionSpread  = 0.5 // of its length, so that servers do not return together
+	maxDoublings    = 3                      // of the initial ejection: 4 s, before the spread
+	ejectionSpread  = 0.5                    // of its length, half of it either way, so that servers do not return together
 
 	minConsecutiveFailures = 2    // one may be a heavy request
 	minTypeFailures        = 3    // of one traffic type, each sent after the last ended
@@ -20,18 +20,19 @@
 	maxEjectedShare        = 0.5  // of the ready servers: more ejections would only overload the others
 	maxTypeEjectedShare    = 0.75 // for one traffic type: the servers still get the others
 
-	// minRestartSilence is how long a server must have been unreachable to count as restarted.
+	// minRestartSilence is the least time from a server's last answer, or from when its last attempt went out while it
+	// was idle, to a success that makes a server that was unreachable count as restarted.
 	minRestartSilence = 1 * time.Second
 )
 
 // outliers counts failures of servers and ejects servers that fail. While a server has a failure count it gets one
-// attempt at a time, as a trial.
+// attempt at a time, as a trial, unless every other allowed server is passed over too (careRules).
 type outliers struct {
 	ejections   failures.Table // for one traffic type or all
 	consecutive []int          // failures in a row
 	soft        []int          // soft failures in a row
 	overloads   []int          // Overloaded in a row
-	unreachable []bool         // failed to connect and has not answered since
+	unreachable []bool         // failed to connect and has not succeeded since
 }
 
 func (o *outliers) addServer(s int) {
@@ -55,7 +56,7 @@
 }
 
 // isUnhealthy reports whether a server is ejected for a request, or on trial with an attempt in flight. Servers on
-// trial get no non-idempotent requests.
+// trial get no non-idempotent requests, unless every other allowed server is passed over too (careRules).
 func (p *Policy) isUnhealthy(s int, r *request) bool {
 	isNonIdempotent := p.settings.TrafficTypes[r.trafficType].Idempotency == NonIdempotent
 	isOnTrial := p.outliers.consecutive[s] > 0 && (p.load.inFlight[s] > 0 || isNonIdempotent)
@@ -68,8 +69,8 @@
 	return p.now < p.outliers.ejections.EjectedUntil(s, failures.AllTypes)
 }
 
-// recordAnswer ends a server's ejection. One that answers after it was unreachable may have restarted before the
-// endpoint list says so, and goes through slow start.
+// recordAnswer takes in a success: it ends a server's ejection. One that was unreachable may have restarted before the
+// endpoint list says so, and goes through slow start after minRestartSilence.
 func (p *Policy) recordAnswer(s int) {
 	if p.outliers.unreachable[s] && p.now-p.load.lastAnswerAt[s] > minRestartSilence {
 		p.startSlowStart(s, p.now)
@@ -146,7 +147,7 @@
 	if !p.canEject(s, trafficType, maxShare) && p.readiness.Listed(s) {
 		return
 	}
-	duration := float64(min(initialEjection<<min(doublings, 3), maxEjection))
+	duration := float64(initialEjection << min(doublings, maxDoublings))
 	until := p.now + time.Duration(duration*(1-ejectionSpread/2+ejectionSpread*p.chance()))
 	p.outliers.ejections.SetEjectedUntil(s, trafficType, until)
 }
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -19,8 +19,8 @@
 	creditRounding = 1e-9
 )
 
-// picker is the round robin over the active subset. Each server that is not passed over earns credit by its weight, and
-// the one with the most credit is next: with equal weights that is plain round robin.
+// picker is the round robin over the active subset. Each server that is not passed over earns the square root of its
+// weight as credit, and the one with the most credit is next: with equal weights that is plain round robin.
 type picker struct {
 	position      int       // in the subset, of the next round
 	credit        []float64 // by server, in turns
@@ -50,9 +50,10 @@
 	careIdle                 // also those with an attempt in flight
 )
 
-// canSend reports whether a request may have an attempt now, and picks the server for it. Idle servers of the subset
-// come first; when all are busy or passed over, the next of the rotation joins. When none is left to join, less care is
-// taken step by step. Where connections are scarce, idle servers are waited for.
+// canSend reports whether a request may have an attempt now, and picks the server for it. While the subset can grow,
+// its idle servers come first, and when all are busy or passed over, the next of the rotation joins. When none can join,
+// busy servers are allowed, and less strictness is taken step by step. Where connections are refused, only idle servers
+// get requests.
 func (p *Policy) canSend(request int) bool {
 	r := &p.requests.all[request]
 	if r.state != stateInFlight && (p.isSaturated() || !p.routes.hasCapacity(r.routeLimit)) {
--- a/policy/poll.go
+++ b/policy/poll.go
@@ -6,13 +6,15 @@
 	initialPollBackoff = 250 * time.Millisecond // doubles each time
 	maxPollBackoff     = 4 * time.Second
 	minBackoffShare    = 0.5 // of a wait that is spread evenly around the backoff
-	minPolls           = 4   // within Settings.RequestEndpointsWithin
+	// backoffDivisor gives the longest backoff as a part of Settings.RequestEndpointsWithin. Package dispatch relies on it
+	// (pollPauseDivisor).
+	backoffDivisor = 4
 )
 
-// poll requests the endpoint list where it only comes on request, with a backoff after failures, since the list
-// service has little capacity.
+// poll requests the endpoint list where it only comes on request: once at the start and once after each failure, with a
+// backoff, since the list service has little capacity. In between the caller renews its request by itself.
 type poll struct {
-	isRequested bool
+	isRequested bool // until the caller reports Unavailable
 	nextAt      time.Duration
 	backoff     time.Duration
 }
@@ -21,7 +23,7 @@
 func (p *Policy) backOffPolling() {
 	p.poll.isRequested = false
 	p.poll.nextAt = p.now + time.Duration(float64(p.poll.backoff)*(minBackoffShare+p.chance()))
-	longest := max(p.settings.RequestEndpointsWithin/minPolls, initialPollBackoff)
+	longest := max(p.settings.RequestEndpointsWithin/backoffDivisor, initialPollBackoff)
 	p.poll.backoff = min(2*p.poll.backoff, maxPollBackoff, longest)
 }
 
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -11,7 +11,7 @@
 // quotas holds what tenants use of their quotas at this node. The quotas themselves are Settings.TenantQuotas.
 type quotas struct {
 	tenants           tenants.Table
-	total             float64   // of all quotas
+	total             float64   // of all quotas, in requests a second over all nodes
 	known             int       // tenants below this number have a quota
 	changed           bool      // they are not those of the settings any more
 	withinQuotaShares []float64 // of a plan, by tenant; nil without one
@@ -42,7 +42,7 @@
 }
 
 // isOverQuota counts an arrival of a tenant and reports whether it is taken to be beyond the tenant's quota: by chance,
-// as often as the tenant's rate is above its share.
+// as often as the tenant's rate is above its share. A quota or a plan's share of 0 means never.
 func (p *Policy) isOverQuota(tenant int) bool {
 	within := p.fairShare(tenant) / p.quotas.tenants.RecordArrival(tenant, 1/rateMemory.Seconds())
 	if tenant < len(p.quotas.withinQuotaShares) {
--- a/policy/request.go
+++ b/policy/request.go
@@ -10,12 +10,14 @@
 )
 
 const (
-	// minAnswerLead is how long before the client's deadline the final answer goes out at the latest.
+	// minAnswerLead is the least time before the client's deadline from which a tick gives the final answer. Where ticks
+	// are further apart than the lead, none may fall into it: the answer then waits for the end of the attempt or for a
+	// tick after the deadline.
 	minAnswerLead = 5 * time.Millisecond
 
-	// objectiveLeadTicks is how long before its latency objective a request counts as late, in ticks of the timer: an
-	// attempt that times out then still leaves time for an answer within the objective.
-	objectiveLeadTicks = 2
+	// objectiveLeadGranularities is how long before its latency objective a request counts as late, in units of
+	// Settings.TimerGranularity: an attempt that times out then still leaves time for an answer within the objective.
+	objectiveLeadGranularities = 2
 
 	minRetryAfterShare = 0.9 // of the longest Retry-After
 	minReturnShare     = 0.3 // of the time in which a client can still return and be served
@@ -44,7 +46,7 @@
 	isClientRetry bool
 
 	arrivedAt      time.Duration
-	objectiveAt    time.Duration // an answer after it is late
+	objectiveAt    time.Duration // attempts are late from here on, ahead of the latency objective
 	clientDeadline time.Duration // the client gives up
 
 	attempts       []attempt
@@ -52,7 +54,7 @@
 	keyServer      int           // server of the first attempt that may have run: repeats stay in its key scope
 	firstRunAt     time.Duration // when that attempt was sent
 	lastOutcome    Outcome
-	failedByItself bool // the last failure was attributed to the request
+	failedByItself bool // the last end that tells of the server or of the request was attributed to the request
 
 	lastDequeue int // number of the last dequeueing that tried it
 }
@@ -107,7 +109,7 @@
 		key:            in.Key,
 		isClientRetry:  in.IsClientRetry,
 		arrivedAt:      p.now,
-		objectiveAt:    p.now + min(t.LatencyObjective-objectiveLeadTicks*p.settings.TimerGranularity, in.Timeout),
+		objectiveAt:    p.now + min(t.LatencyObjective-objectiveLeadGranularities*p.settings.TimerGranularity, in.Timeout),
 		clientDeadline: p.now + in.Timeout,
 		attempts:       r.attempts[:0],
 		keyServer:      noServer,
@@ -142,7 +144,8 @@
 	return !r.mayHaveRun || t.Idempotency == Idempotent || t.Idempotency == IdempotentWithKey && t.KeyScope == KeyScopeAll
 }
 
-// isClientDeadlineNear reports whether the final answer must go out now to reach the client in time.
+// isClientDeadlineNear reports whether the final answer must go out now to reach the client in time. It is asked on
+// ticks only, which may be further apart than the lead.
 func (p *Policy) isClientDeadlineNear(request int) bool {
 	return p.now+max(p.settings.TimerGranularity, minAnswerLead) >= p.requests.all[request].clientDeadline
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -50,7 +50,7 @@
 	HedgeDelay          time.Duration // after which a hedged attempt is sent; 0: none
 	HedgeRatio          float64       // hedged attempts per request
 	PoolLabels          uint64        // labels, one a bit, of which a server needs at least one
-	MaxShedShare        float64       // largest share of the type that load shedding may reject
+	MaxShedShare        float64       // largest share of the type that overload may shed; requests that fail wherever they go are shed beyond it
 
 	PlacementBit uint64 // the bit of the type's entry in Settings.Placements; 0: any server
 }
@@ -93,11 +93,11 @@
 
 	TrafficTypes         []TrafficType
 	Placements           []Placement
-	TenantQuotas         []float64 // requests a second over all nodes, by tenant
+	TenantQuotas         []float64 // requests a second over all nodes, by tenant; 0: never over quota
 	OverQuotaWeightShare float64   // share of the priority weight of requests beyond a tenant's quota
 
 	MustRequestEndpoints   bool          // the endpoint list comes only when it is requested
-	RequestEndpointsWithin time.Duration // longest time without a request for it
+	RequestEndpointsWithin time.Duration // bounds the pause after a failed request for it to a quarter of this
 	WeightsFollowLoad      bool          // listed weights go down with what servers hold
 
 	SlowStartDuration        time.Duration
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -33,7 +33,7 @@
 	nextToJoin       int           // position in the rotation
 	hasStartPosition bool
 
-	connectFailures decay.FailureRate // of all attempts lately
+	connectFailures decay.FailureRate // connections refused at once, of all attempts lately
 }
 
 func (u *subset) clone() subset {
--- a/policy/traffictype.go
+++ b/policy/traffictype.go
@@ -5,8 +5,8 @@
 	"fernvane/policy/internal/failures"
 )
 
-// updateTrafficTypes takes over traffic types and limits of routes. A type that is new or other than before starts with
-// the figures of the one that it learns from.
+// updateTrafficTypes takes over traffic types and limits of routes. A type that is new or other than before starts
+// anew, with the latencies of the one that it learns from.
 func (p *Policy) updateTrafficTypes(in *Input) {
 	p.settings.TrafficTypes = in.TrafficTypes
 	p.routes.update(in.RouteLimits)
