--- a/policy/attribution.go
+++ b/policy/attribution.go
@@ -72,7 +72,7 @@
 	}
 	rates := [...]*decay.FailureRate{
 		&p.attribution.ofType(r.trafficType)[retried],
-		p.quotas.tenants.FailureRate(r.tenant),
+		p.quotaUsage.tenants.FailureRate(r.tenant),
 		&p.attribution.keys[r.key%keyRecordCount],
 	}
 	if r.key == 0 {
@@ -81,9 +81,9 @@
 	return rates[:]
 }
 
-// isAttributedToRequest records the end of an attempt and reports whether it is a failure of the request itself: one of
+// recordAndAttribute records the end of an attempt and reports whether it is a failure of the request itself: one of
 // its attributes fails more often than the server, or its traffic type breaks connections of several servers.
-func (p *Policy) isAttributedToRequest(s int, r *request, outcome Outcome) bool {
+func (p *Policy) recordAndAttribute(s int, r *request, outcome Outcome) bool {
 	failed, worst := 1.0, 0.0
 	if outcome == Success {
 		failed = 0
@@ -98,7 +98,7 @@
 		}
 		worst = max(worst, rate.Rate(attributionPrior))
 	}
-	if outcome == ConnectionBroken && p.breaksServers(r.trafficType, source) {
+	if outcome == ConnectionBroken && p.recordBreak(r.trafficType, source) {
 		return true
 	}
 	p.attribution.servers.Observe(s, failed, attributionMemory)
@@ -107,9 +107,9 @@
 	return failed > 0 && worst > max(server, p.attribution.overall.Rate(attributionPrior))
 }
 
-// breaksServers records that a connection broke and reports whether the traffic type breaks servers. The type of the
+// recordBreak records that a connection broke and reports whether the traffic type breaks servers. The type of the
 // highest priority weight is never taken for it.
-func (p *Policy) breaksServers(trafficType, source int) bool {
+func (p *Policy) recordBreak(trafficType, source int) bool {
 	breaks := &p.attribution.breaks[trafficType]
 	if breaks.LastSource != source {
 		breaks.Failed++
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -8,7 +8,7 @@
 
 const (
 	latencyHeadroomShare  = 0.1             // of the time between unloaded latency and objective; servers choke on more
-	finishedMemory        = 1 * time.Second // over which successes are counted
+	sustainedLoadMemory   = 1 * time.Second // over which successes are counted
 	latencyRatioSmoothing = 0.05            // weight of one attempt
 	initialLimitPerServer = 4.0             // over all nodes; it grows with answers
 	minLimitPerServer     = 2.0             // over all nodes: enough to see an overload pass
@@ -17,16 +17,16 @@
 // concurrencyLimit bounds the attempts that the node has in flight, over all servers. It follows the rate at which
 // attempts succeed and guards against queues that build up at the servers before late answers tell of them.
 type concurrencyLimit struct {
-	inFlight     float64 // attempts that count toward the limit
-	finished     float64 // attempts in flight that recent successes account for, each taking its allowed time (Little's law)
-	grown        float64 // limit that answers have shown to be bearable
-	latencyRatio float64 // time that attempts take over what they are allowed, smoothed
-	successRate  float64 // a second
+	inFlight      float64 // attempts that count toward the limit
+	sustainedLoad float64 // attempts in flight that recent successes account for, each taking its allowed time (Little's law)
+	grown         float64 // limit that answers have shown to be bearable
+	latencyRatio  float64 // time that attempts take over what they are allowed, smoothed
+	successRate   float64 // a second
 }
 
 // limit returns how many attempts may be in flight.
 func (c *concurrencyLimit) limit() float64 {
-	return max(c.finished+math.Sqrt(c.finished), c.grown) / max(c.latencyRatio, 1)
+	return max(c.sustainedLoad+math.Sqrt(c.sustainedLoad), c.grown) / max(c.latencyRatio, 1)
 }
 
 // adjust grows the limit by one for each success or timeout that came while the limit was used up, since after a start or
--- a/policy/cost_test.go
+++ b/policy/cost_test.go
@@ -178,7 +178,7 @@
 		now += time.Second
 		p.Handle(now, &Input{Kind: TimerFired}, nil)
 	}
-	if got := tick(10); got != 0 || p.quotas.tenants.Len() != 0 || p.attribution.servers.Active().Len() != 0 || len(p.admission.classes) != 0 {
-		t.Errorf("%d elements visited long after, %d tenants, %d servers, %d classes held", got, p.quotas.tenants.Len(), p.attribution.servers.Active().Len(), len(p.admission.classes))
+	if got := tick(10); got != 0 || p.quotaUsage.tenants.Len() != 0 || p.attribution.servers.Active().Len() != 0 || len(p.admission.classes) != 0 {
+		t.Errorf("%d elements visited long after, %d tenants, %d servers, %d classes held", got, p.quotaUsage.tenants.Len(), p.attribution.servers.Active().Len(), len(p.admission.classes))
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -147,7 +147,7 @@
 
 // visits counts the elements of sets and the steps of the rotation that the policy has visited so far.
 func visits(p *Policy) int {
-	sum := p.subset.rotation.Steps() + p.quotas.tenants.Visits()
+	sum := p.subset.rotation.Steps() + p.quotaUsage.tenants.Visits()
 	for _, s := range []*indexset.Set{&p.slowStart.servers, p.readiness.ReadyUnlisted(), &p.plan.assigned, p.outliers.ejections.Active(), p.attribution.servers.Active(), &p.admission.activeTypes} {
 		sum += s.Visits()
 	}
@@ -160,6 +160,6 @@
 		s.HedgingAllowed, s.NodeCount = true, 1
 		change(&s.TrafficTypes[trafficType])
 	}).fillSubset()
-	h.subset.needed = 99 // the subset does not shrink
+	h.subset.peakInFlight = 99 // the subset does not shrink
 	return h
 }
--- a/policy/lifecycle.go
+++ b/policy/lifecycle.go
@@ -15,11 +15,11 @@
 type signal uint8
 
 const (
-	onArrival    signal = iota
-	onTick              // time has passed, or capacity may have become free
-	onSuccess           // an attempt brought the answer
-	onFailure           // an attempt ended without one
-	onClientLeft        // no answer is needed any more
+	onArrival         signal = iota
+	onTick                   // time has passed, or capacity may have become free
+	onSuccess                // an attempt brought the answer
+	onFailure                // an attempt ended without one
+	onAnswerNotNeeded        // no answer is needed any more
 	signalCount
 )
 
@@ -59,7 +59,7 @@
 		{stateQueued, onTick, (*Policy).canSend, stateInFlight, (*Policy).sendAttempt},
 		{stateQueued, onTick, (*Policy).canQueue, stateQueued, (*Policy).doNothing},
 		{stateQueued, onTick, always, stateDone, (*Policy).reject},
-		{stateQueued, onClientLeft, always, stateDone, (*Policy).doNothing},
+		{stateQueued, onAnswerNotNeeded, always, stateDone, (*Policy).doNothing},
 
 		{stateInFlight, onSuccess, always, stateDone, (*Policy).doNothing},
 		{stateInFlight, onFailure, (*Policy).hasAttemptInFlight, stateInFlight, (*Policy).doNothing},
@@ -71,7 +71,7 @@
 		{stateInFlight, onTick, (*Policy).isClientDeadlineNear, stateDone, (*Policy).fail},
 		{stateInFlight, onTick, (*Policy).isPastObjective, stateInFlight, (*Policy).uncountAttempts},
 		{stateInFlight, onTick, (*Policy).canHedge, stateInFlight, (*Policy).hedge},
-		{stateInFlight, onClientLeft, always, stateDone, (*Policy).doNothing},
+		{stateInFlight, onAnswerNotNeeded, always, stateDone, (*Policy).doNothing},
 	}
 }
 
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -30,7 +30,7 @@
 	case in.Outcome == Success:
 		p.advance(in.Request, onSuccess)
 	case in.ClientAnswered:
-		p.advance(in.Request, onClientLeft)
+		p.advance(in.Request, onAnswerNotNeeded)
 	default:
 		p.advance(in.Request, onFailure)
 	}
@@ -41,15 +41,15 @@
 // only tell of an impatient client, say nothing of the server.
 func (p *Policy) recordOutcome(s int, r *request, sentAt time.Duration, outcome Outcome) {
 	p.admission.overloaded.Observe(0, allAttemptsMemory)
-	p.subset.connectFailures.Observe(0, allAttemptsMemory)
+	p.subset.refusedConnects.Observe(0, allAttemptsMemory)
 	if outcome == TimedOut {
 		p.load.abandon(s, sentAt)
 	}
 	switch outcome {
 	case Success, Failure, TimedOut, ConnectionBroken:
 		isImpatient := outcome == TimedOut && r.objectiveAt-sentAt < minPatience*p.latency.unloaded[r.trafficType]
-		r.failedByItself = !isImpatient && p.isAttributedToRequest(s, r, outcome)
-		if r.failedByItself || isImpatient {
+		r.isFailureAttributed = !isImpatient && p.recordAndAttribute(s, r, outcome)
+		if r.isFailureAttributed || isImpatient {
 			return
 		}
 	}
@@ -83,8 +83,8 @@
 	p.recordPauseSample(s, sentAt, float64(elapsed) > spikeFactor*float64(p.latency.smoothed.At(s)))
 	p.latency.record(s, r.trafficType, elapsed)
 	p.concurrency.successRate += 1 / rateMemory.Seconds()
-	p.concurrency.finished += p.allowedSeconds(r.trafficType) / finishedMemory.Seconds()
-	p.recordAnswer(s)
+	p.concurrency.sustainedLoad += p.allowedSeconds(r.trafficType) / sustainedLoadMemory.Seconds()
+	p.recordRecovery(s)
 	p.outliers.overloads[s] = 0
 	p.outliers.ejections.RecordSuccess(s, r.trafficType)
 	p.load.answered(s, sentAt)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -69,9 +69,9 @@
 	return p.now < p.outliers.ejections.EjectedUntil(s, failures.AllTypes)
 }
 
-// recordAnswer takes in a success: it ends a server's ejection. One that was unreachable may have restarted before the
+// recordRecovery takes in a success: it ends a server's ejection. One that was unreachable may have restarted before the
 // endpoint list says so, and goes through slow start after minRestartSilence.
-func (p *Policy) recordAnswer(s int) {
+func (p *Policy) recordRecovery(s int) {
 	if p.outliers.unreachable[s] && p.now-p.load.lastAnswerAt[s] > minRestartSilence {
 		p.startSlowStart(s, p.now)
 	}
@@ -125,14 +125,14 @@
 	}
 }
 
-// recordUnreachable counts a failure to connect. A connection that was refused at once costs no time and may be one of
-// few, so it takes two to eject; the server leaves the subset if the others suffice.
+// recordUnreachable counts a failure to connect. A connection that was refused at once costs no time, and the server may
+// have run out of connections, so it takes two to eject; the server leaves the subset if the others suffice.
 func (p *Policy) recordUnreachable(s int, elapsed time.Duration) {
 	enough := 1
 	if elapsed < p.settings.ConnectTimeout/2 { // refused
 		enough = minConsecutiveFailures
-		p.subset.connectFailures.Failed++
-		if i := slices.Index(p.subset.members, s); i >= 0 && float64(len(p.subset.members)) > p.subset.needed+subsetSlack {
+		p.subset.refusedConnects.Failed++
+		if i := slices.Index(p.subset.members, s); i >= 0 && float64(len(p.subset.members)) > p.subset.peakInFlight+subsetSlack {
 			p.removeFromSubset(i)
 		}
 	}
@@ -144,7 +144,7 @@
 // share of the ready servers would then be ejected, or of the servers of one placement. A server that the list omits
 // is ejected in any case.
 func (p *Policy) eject(s, trafficType, doublings int, maxShare float64) {
-	if !p.canEject(s, trafficType, maxShare) && p.readiness.Listed(s) {
+	if !p.pruneAndCheckEjection(s, trafficType, maxShare) && p.readiness.Listed(s) {
 		return
 	}
 	duration := float64(initialEjection << min(doublings, maxDoublings))
@@ -152,8 +152,10 @@
 	p.outliers.ejections.SetEjectedUntil(s, trafficType, until)
 }
 
-// canEject reports whether a share of the servers is still left without a server. It prunes the ejections that it meets.
-func (p *Policy) canEject(s, trafficType int, maxShare float64) bool {
+// pruneAndCheckEjection prunes the ejections that it meets and reports whether a server may be ejected besides those
+// that are: at most maxShare of the ready servers, and of those of each of its placements, are ejected then. An ejection
+// for one traffic type with a placement is held only to the placement.
+func (p *Policy) pruneAndCheckEjection(s, trafficType int, maxShare float64) bool {
 	placements := p.readiness.Placements(s)
 	if trafficType != failures.AllTypes {
 		placements = p.settings.TrafficTypes[trafficType].PlacementBit
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -12,8 +12,8 @@
 	crowdedFactor      = 1.0 // times the mean in flight; a node has few attempts at a server
 	minSquaredSlowness = 0.1 // so that a fast server does not get everything
 
-	// maxConnectFailureShare is the share of attempts without a connection above which only idle servers get requests.
-	maxConnectFailureShare = 0.1
+	// maxRefusedConnectShare is the share of attempts with a refused connection above which only idle servers get requests.
+	maxRefusedConnectShare = 0.1
 
 	// creditRounding is the difference between credits that is taken for rounding.
 	creditRounding = 1e-9
@@ -60,7 +60,7 @@
 		return false
 	}
 	canGrow := len(p.subset.members) < p.subset.readyCount
-	if failed := p.subset.connectFailures.Rate(attributionMemory); failed > maxConnectFailureShare {
+	if failed := p.subset.refusedConnects.Rate(attributionMemory); failed > maxRefusedConnectShare {
 		return p.pickFromSubset(r, careIdle) || canGrow && p.chance() > math.Sqrt(failed) && p.growSubset(r)
 	}
 	if canGrow && (p.pickFromSubset(r, careIdle) || p.growSubset(r)) {
@@ -133,8 +133,8 @@
 	if !r.mayHaveRun || t.Idempotency != IdempotentWithKey {
 		return false
 	}
-	return t.KeyScope == KeyScopeZone && p.servers.zone[s] != p.servers.zone[r.keyServer] ||
-		t.KeyScope == KeyScopeCell && p.servers.cell[s] != p.servers.cell[r.keyServer]
+	return t.KeyScope == KeyScopeZone && p.servers.zone[s] != p.servers.zone[r.firstRunServer] ||
+		t.KeyScope == KeyScopeCell && p.servers.cell[s] != p.servers.cell[r.firstRunServer]
 }
 
 // isCrowded reports whether a server has more in flight than the mean for its weight.
@@ -149,7 +149,7 @@
 	k := &p.picker
 	k.totalWeight, k.totalCapacity, p.subset.readyCount = 0, 0, p.readiness.ReadyCount()
 	for _, s := range p.subset.members {
-		capacity := p.servers.listedWeight[s] * p.capacityShare(s)
+		capacity := p.servers.listedWeight[s] * p.updateCapacityShare(s)
 		slowness := p.latency.slowness[s]
 		k.weight[s] = capacity / max(slowness*slowness, minSquaredSlowness) / float64(int(1)<<(2*p.suspicion.level[s]))
 		k.totalCapacity += capacity
--- a/policy/picker_test.go
+++ b/policy/picker_test.go
@@ -92,7 +92,7 @@
 			var met [2][]int
 			for me := range met {
 				h := newHarness(t, servers, func(s *Settings) { s.ServersCacheKeys, s.NodeIndex = c.warm, me }).fillSubset()
-				h.picker.position, h.subset.needed, h.concurrency.grown = 2*me, servers, 1000
+				h.picker.position, h.subset.peakInFlight, h.concurrency.grown = 2*me, servers, 1000
 				turns := make([]int, servers)
 				for i := range uint32(servers * each) {
 					h.arrivals++
@@ -149,7 +149,7 @@
 				h.arriveAt(0, 0, time.Second)
 			}
 			for range c.unconnected {
-				h.subset.connectFailures.Observe(1, 2*attributionMemory)
+				h.subset.refusedConnects.Observe(1, 2*attributionMemory)
 			}
 			id, got := h.arriveAt(10*ms, 0, time.Second)
 			h.at(10*ms, Input{Kind: TimerFired})
--- a/policy/plan.go
+++ b/policy/plan.go
@@ -30,7 +30,7 @@
 // is in flight there.
 func (p *Policy) updatePlan(in *Input) {
 	p.settings.NodeCount = in.NodeCount
-	p.quotas.withinQuotaShares = in.WithinQuotaShares
+	p.quotaUsage.withinQuotaShares = in.WithinQuotaShares
 	p.admission.maxAdmittedShare = in.MaxAdmittedShare
 	before := map[int]float64{}
 	for s := range p.plan.assigned.All() {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -22,7 +22,7 @@
 	picked      int      // server that a guard of the lifecycle found for the action that follows
 
 	requests    requestTable
-	queue       queue
+	dequeues    dequeueCounter
 	readiness   readiness.Table // which servers are ready, and which are listed
 	servers     serverTable
 	subset      subset
@@ -38,7 +38,7 @@
 	concurrency concurrencyLimit
 	routes      routeLimits
 	admission   admission
-	quotas      quotas
+	quotaUsage  quotaUsage
 	budgets     budgets
 	plan        plan
 	poll        poll
@@ -46,7 +46,7 @@
 
 // New returns an instance that draws its random numbers from seed.
 func New(s Settings, seed uint32) *Policy {
-	p := &Policy{settings: s, random: randomSource{seed: seed}, quotas: newQuotas(s.TenantQuotas)}
+	p := &Policy{settings: s, random: randomSource{seed: seed}, quotaUsage: newQuotaUsage(s.TenantQuotas)}
 	for _, t := range lifecycle() {
 		p.transitions[t.from][t.on] = append(p.transitions[t.from][t.on], t)
 	}
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -10,9 +10,9 @@
 	minLatenciesLeft = 1.5 // typical latencies that must be left after the wait
 )
 
-// queue numbers the dequeueings, so that each one tries a request once.
-type queue struct {
-	dequeues int
+// dequeueCounter numbers the dequeueings, so that each one tries a request once.
+type dequeueCounter struct {
+	count int
 }
 
 // canQueue reports whether a request may wait, for a slot of the concurrency limit, an endpoint list or a server in
@@ -36,14 +36,14 @@
 // dequeue gives free slots of the concurrency limit to waiting requests, those of the highest weight first.
 func (p *Policy) dequeue() {
 	stuck := uint64(0) // placements of which no server is to be had now
-	p.queue.dequeues++
+	p.dequeues.count++
 	for !p.isSaturated() {
 		best := p.nextQueued(stuck)
 		if best < 0 {
 			return
 		}
 		r := &p.requests.all[best]
-		r.lastDequeue = p.queue.dequeues
+		r.lastDequeue = p.dequeues.count
 		p.advance(best, onTick)
 		t := &p.settings.TrafficTypes[r.trafficType]
 		if r.state != stateQueued || t.PoolLabels != 0 {
@@ -61,7 +61,7 @@
 	best := -1
 	for _, request := range p.requests.open.Items() {
 		r := &p.requests.all[request]
-		canTry := r.state == stateQueued && r.lastDequeue != p.queue.dequeues && p.routes.hasCapacity(r.routeLimit) &&
+		canTry := r.state == stateQueued && r.lastDequeue != p.dequeues.count && p.routes.hasCapacity(r.routeLimit) &&
 			p.settings.TrafficTypes[r.trafficType].PlacementBit&stuck == 0
 		if canTry && (best < 0 || p.classWeight(r.class) > p.classWeight(p.requests.all[best].class)) {
 			best = request
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -8,8 +8,8 @@
 	"fernvane/policy/internal/tenants"
 )
 
-// quotas holds what tenants use of their quotas at this node. The quotas themselves are Settings.TenantQuotas.
-type quotas struct {
+// quotaUsage holds what tenants use of their quotas at this node. The quotas themselves are Settings.TenantQuotas.
+type quotaUsage struct {
 	tenants           tenants.Table
 	total             float64   // of all quotas, in requests a second over all nodes
 	known             int       // tenants below this number have a quota
@@ -17,11 +17,11 @@
 	withinQuotaShares []float64 // of a plan, by tenant; nil without one
 }
 
-func newQuotas(perSecond []float64) quotas {
-	return quotas{known: len(perSecond), total: columns.Sum(perSecond)}
+func newQuotaUsage(perSecond []float64) quotaUsage {
+	return quotaUsage{known: len(perSecond), total: columns.Sum(perSecond)}
 }
 
-func (q *quotas) clone() quotas {
+func (q *quotaUsage) clone() quotaUsage {
 	c := *q
 	c.tenants = q.tenants.Clone()
 	c.withinQuotaShares = slices.Clone(q.withinQuotaShares)
@@ -30,23 +30,23 @@
 
 // updateQuotas takes over quotas that have changed. The slice that New was given stays as it is.
 func (p *Policy) updateQuotas(changed []Quota) {
-	if !p.quotas.changed {
-		p.settings.TenantQuotas, p.quotas.changed = slices.Clone(p.settings.TenantQuotas), true
+	if !p.quotaUsage.changed {
+		p.settings.TenantQuotas, p.quotaUsage.changed = slices.Clone(p.settings.TenantQuotas), true
 	}
 	for _, q := range changed {
 		columns.Extend(q.Tenant+1, &p.settings.TenantQuotas)
-		p.quotas.total += q.PerSecond - p.settings.TenantQuotas[q.Tenant]
+		p.quotaUsage.total += q.PerSecond - p.settings.TenantQuotas[q.Tenant]
 		p.settings.TenantQuotas[q.Tenant] = q.PerSecond
 	}
-	p.quotas.known = len(p.settings.TenantQuotas)
+	p.quotaUsage.known = len(p.settings.TenantQuotas)
 }
 
-// isOverQuota counts an arrival of a tenant and reports whether it is taken to be beyond the tenant's quota: by chance,
-// as often as the tenant's rate is above its share. A quota or a plan's share of 0 means never.
-func (p *Policy) isOverQuota(tenant int) bool {
-	within := p.fairShare(tenant) / p.quotas.tenants.RecordArrival(tenant, 1/rateMemory.Seconds())
-	if tenant < len(p.quotas.withinQuotaShares) {
-		within = p.quotas.withinQuotaShares[tenant]
+// countArrivalOverQuota counts an arrival of a tenant and reports whether it is taken to be beyond the tenant's quota:
+// by chance, as often as the tenant's rate is above its share. A quota or a plan's share of 0 means never.
+func (p *Policy) countArrivalOverQuota(tenant int) bool {
+	within := p.fairShare(tenant) / p.quotaUsage.tenants.RecordArrival(tenant, 1/rateMemory.Seconds())
+	if tenant < len(p.quotaUsage.withinQuotaShares) {
+		within = p.quotaUsage.withinQuotaShares[tenant]
 	}
 	return within > 0 && within < 1 && p.chance() > within
 }
@@ -55,8 +55,8 @@
 // alike, so the share rises with the other tenants' traffic above theirs; it has slack for the chance of few arrivals.
 func (p *Policy) fairShare(tenant int) float64 {
 	nodes, own := float64(p.settings.NodeCount), p.settings.TenantQuotas[tenant]
-	otherShares := (p.quotas.total - own) / nodes
-	otherRates := p.quotas.tenants.TotalRate() - p.quotas.tenants.ArrivalRate(tenant)
+	otherShares := (p.quotaUsage.total - own) / nodes
+	otherRates := p.quotaUsage.tenants.TotalRate() - p.quotaUsage.tenants.ArrivalRate(tenant)
 	share := own / nodes * max(1, otherRates/max(otherShares, minDivisor))
 	return share + math.Sqrt(share/rateMemory.Seconds())
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -24,10 +24,10 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 2, func(s *Settings) { s.NodeCount, s.TenantQuotas = c.nodes, []float64{10, 10} })
 			for tenant, rate := range c.rates {
-				h.quotas.tenants.RecordArrival(tenant, rate)
+				h.quotaUsage.tenants.RecordArrival(tenant, rate)
 			}
-			if got := h.quotas.tenants.ArrivalRate(0) > h.fairShare(0); got != c.beyond {
-				t.Errorf("beyond %v: %.2f of %.2f", got, h.quotas.tenants.ArrivalRate(0), h.fairShare(0))
+			if got := h.quotaUsage.tenants.ArrivalRate(0) > h.fairShare(0); got != c.beyond {
+				t.Errorf("beyond %v: %.2f of %.2f", got, h.quotaUsage.tenants.ArrivalRate(0), h.fairShare(0))
 			}
 		})
 	}
@@ -69,8 +69,8 @@
 			if beyond != c.beyond {
 				t.Errorf("beyond its share: %v", beyond)
 			}
-			if got := columns.Sum(h.settings.TenantQuotas); got != h.quotas.total || !slices.Equal(given, []float64{1, 1}) {
-				t.Errorf("the sum is %g, kept %g; given %v", got, h.quotas.total, given)
+			if got := columns.Sum(h.settings.TenantQuotas); got != h.quotaUsage.total || !slices.Equal(given, []float64{1, 1}) {
+				t.Errorf("the sum is %g, kept %g; given %v", got, h.quotaUsage.total, given)
 			}
 		})
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -49,12 +49,12 @@
 	objectiveAt    time.Duration // attempts are late from here on, ahead of the latency objective
 	clientDeadline time.Duration // the client gives up
 
-	attempts       []attempt
-	mayHaveRun     bool
-	keyServer      int           // server of the first attempt that may have run: repeats stay in its key scope
-	firstRunAt     time.Duration // when that attempt was sent
-	lastOutcome    Outcome
-	failedByItself bool // the last end that tells of the server or of the request was attributed to the request
+	attempts            []attempt
+	mayHaveRun          bool
+	firstRunServer      int           // server of the first attempt that may have run: repeats stay in its key scope
+	firstRunAt          time.Duration // when that attempt was sent
+	lastOutcome         Outcome
+	isFailureAttributed bool // the last end that tells of the server or of the request was attributed to the request
 
 	lastDequeue int // number of the last dequeueing that tried it
 }
@@ -66,10 +66,10 @@
 
 // forgetAttempt takes back that an attempt may have run: the first of the others that may have run comes in its place.
 func (r *request) forgetAttempt(number int) {
-	r.mayHaveRun, r.keyServer = false, noServer
+	r.mayHaveRun, r.firstRunServer = false, noServer
 	for i, a := range r.attempts {
-		if i != number && a.server >= 0 && r.keyServer < 0 {
-			r.mayHaveRun, r.keyServer, r.firstRunAt = true, a.server, a.sentAt
+		if i != number && a.server >= 0 && r.firstRunServer < 0 {
+			r.mayHaveRun, r.firstRunServer, r.firstRunAt = true, a.server, a.sentAt
 		}
 	}
 	r.attempts[number].server = noServer
@@ -112,12 +112,12 @@
 		objectiveAt:    p.now + min(t.LatencyObjective-objectiveLeadGranularities*p.settings.TimerGranularity, in.Timeout),
 		clientDeadline: p.now + in.Timeout,
 		attempts:       r.attempts[:0],
-		keyServer:      noServer,
+		firstRunServer: noServer,
 	}
 	p.activateType(in.TrafficType)
-	if in.Tenant >= p.quotas.known {
+	if in.Tenant >= p.quotaUsage.known {
 		r.tenant = tenants.Unknown
-	} else if p.isOverQuota(in.Tenant) {
+	} else if p.countArrivalOverQuota(in.Tenant) {
 		r.class++
 	}
 	p.admission.arrivalRates[r.class] += 1 / rateMemory.Seconds()
@@ -127,7 +127,7 @@
 
 func (p *Policy) clientLeft(in *Input) {
 	if in.Request < len(p.requests.all) {
-		p.advance(in.Request, onClientLeft)
+		p.advance(in.Request, onAnswerNotNeeded)
 	}
 }
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -51,7 +51,7 @@
 	r := &p.requests.all[request]
 	t := &p.settings.TrafficTypes[r.trafficType]
 	isTooLate := p.now+p.latency.typical[r.trafficType]/2 > r.objectiveAt
-	if r.failedByItself || len(r.attempts) >= p.maxAttempts(t) || isTooLate {
+	if r.isFailureAttributed || len(r.attempts) >= p.maxAttempts(t) || isTooLate {
 		return false
 	}
 	if t.RetryOn != 0 && !t.RetryOn.Contains(r.lastOutcome) {
@@ -85,8 +85,8 @@
 		p.budgets.retries[r.trafficType]--
 	}
 	r.attempts = append(r.attempts, attempt{server: s, sentAt: p.now})
-	if r.keyServer < 0 {
-		r.keyServer, r.firstRunAt = s, p.now
+	if r.firstRunServer < 0 {
+		r.firstRunServer, r.firstRunAt = s, p.now
 	}
 	r.mayHaveRun = true
 	if p.load.inFlight[s] == 0 {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -45,9 +45,9 @@
 	p.outliers.ejections.Reset(s)
 }
 
-// capacityShare returns the share of its full capacity that a server surely has: it grows evenly over the longest
+// updateCapacityShare returns the share of its full capacity that a server surely has: it grows evenly over the longest
 // warm-up. A server that has warmed up leaves slow start.
-func (p *Policy) capacityShare(s int) float64 {
+func (p *Policy) updateCapacityShare(s int) float64 {
 	warmed := float64(p.now-p.slowStart.since[s]) / float64(max(p.settings.SlowStartDuration, 1))
 	if warmed >= 1 {
 		p.slowStart.servers.Remove(s)
@@ -70,7 +70,7 @@
 	slowest := max(slices.Max(p.latency.typical), 1).Seconds()
 	minRate := minSlowStartShare * p.settings.CrashLoadFactor / slowest / float64(p.settings.NodeCount)
 	for s := range p.slowStart.servers.All() {
-		rate := cmp.Or(p.plan.slowStartRate[s], max(p.slowStartRate(s), minRate)) * p.capacityShare(s)
+		rate := cmp.Or(p.plan.slowStartRate[s], max(p.slowStartRate(s), minRate)) * p.updateCapacityShare(s)
 		if p.chance() < rate*elapsed.Seconds() {
 			p.slowStart.tokens[s] = min(p.slowStart.tokens[s]+1, maxSlowStartTokens)
 		}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -79,7 +79,7 @@
 					was := h.slowStart.tokens[0]
 					h.refillSlowStart(20 * ms)
 					granted += max(h.slowStart.tokens[0]-was, 0)
-					pace = slowStartShare * h.settings.CrashLoadFactor * h.concurrency.successRate / 18 * h.capacityShare(0)
+					pace = slowStartShare * h.settings.CrashLoadFactor * h.concurrency.successRate / 18 * h.updateCapacityShare(0)
 					most += pace * 0.02
 				}
 				held += h.slowStart.tokens[0]
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -24,16 +24,16 @@
 // subset is the active subset of the servers: those that this node sends to. It grows while all of it is busy and
 // shrinks while it is larger than needed, so that a node of many holds connections to few servers.
 type subset struct {
-	members    []int
-	contains   []bool  // by server
-	needed     float64 // most attempts in flight lately
-	readyCount int     // servers that are ready, as of the last updateWeights
+	members      []int
+	contains     []bool  // by server
+	peakInFlight float64 // most attempts in flight lately; fades
+	readyCount   int     // servers that are ready, as of the last updateWeights
 
 	rotation         ranktree.Tree // all servers by rank, in the same order at every node
 	nextToJoin       int           // position in the rotation
 	hasStartPosition bool
 
-	connectFailures decay.FailureRate // connections refused at once, of all attempts lately
+	refusedConnects decay.FailureRate // connections refused at once, of all attempts lately
 }
 
 func (u *subset) clone() subset {
@@ -162,8 +162,8 @@
 // apart.
 func (p *Policy) shrinkSubset(elapsed time.Duration) {
 	u := &p.subset
-	u.needed = max(u.needed*decayFactor(elapsed, subsetMemory), p.concurrency.inFlight)
-	if float64(len(u.members)) <= max(u.needed+subsetSlack, p.concurrency.successRate/judgingAnswersPerSecond) {
+	u.peakInFlight = max(u.peakInFlight*decayFactor(elapsed, subsetMemory), p.concurrency.inFlight)
+	if float64(len(u.members)) <= max(u.peakInFlight+subsetSlack, p.concurrency.successRate/judgingAnswersPerSecond) {
 		return
 	}
 	slowness := p.latency.slowness
--- a/policy/suspicion.go
+++ b/policy/suspicion.go
@@ -38,13 +38,13 @@
 	x.level[s], x.lastSignAt[s] = max(x.level[s]-1, 0), now
 }
 
-// unlistServer takes in that a list omits a ready server; isNew says that the one before did not.
-func (p *Policy) unlistServer(s int, isNew bool) {
+// unlistServer takes in that a list omits a ready server; wasListed says that the one before named it.
+func (p *Policy) unlistServer(s int, wasListed bool) {
 	p.setReady(s, p.settings.UnlistedUsable)
 	if !p.readiness.Ready(s) {
 		return
 	}
-	if isNew {
+	if wasListed {
 		p.suspicion.raise(s)
 		p.suspicion.lastSignAt[s] = p.now
 	}
--- a/policy/suspicion_test.go
+++ b/policy/suspicion_test.go
@@ -31,7 +31,7 @@
 				}
 				h.at(time.Second, Input{Kind: EndpointsUpdated, Scope: Full, Endpoints: list})
 			}
-			if h.readiness.Ready(0) != c.ready || h.isExcluded(0, &request{keyServer: -1}) == c.ready || h.slowStart.servers.Has(0) && c.only {
+			if h.readiness.Ready(0) != c.ready || h.isExcluded(0, &request{firstRunServer: -1}) == c.ready || h.slowStart.servers.Has(0) && c.only {
 				t.Errorf("ready %v, slow start %v", h.readiness.Ready(0), h.slowStart.servers.Has(0))
 			}
 		})
--- a/policy/tick.go
+++ b/policy/tick.go
@@ -53,16 +53,16 @@
 		unloaded: decayFactor(elapsed, unloadedLatencyMemory),
 	}
 	p.concurrency.successRate *= kept.rates
-	p.quotas.tenants.Decay(kept.rates, minArrivalRate, kept.records, minRecordCount)
+	p.quotaUsage.tenants.Decay(kept.rates, minArrivalRate, kept.records, minRecordCount)
 	p.admission.overloaded.Decay(kept.rates, minRecordCount)
-	p.subset.connectFailures.Decay(kept.rates, minRecordCount)
+	p.subset.refusedConnects.Decay(kept.rates, minRecordCount)
 	p.attribution.decay(kept.records)
 	for trafficType := range p.admission.activeTypes.All() {
 		if !p.decayType(trafficType, elapsed, kept) {
 			p.admission.activeTypes.Remove(trafficType)
 		}
 	}
-	p.concurrency.finished *= decayFactor(elapsed, finishedMemory)
+	p.concurrency.sustainedLoad *= decayFactor(elapsed, sustainedLoadMemory)
 }
 
 // decayType lets the figures of a traffic type fade and reports whether more time would still change any of them.
--- a/policy/whatif.go
+++ b/policy/whatif.go
@@ -12,10 +12,10 @@
 // decisions would have led to later is not known. Traffic types of an operator's routes keep their settings.
 func (p *Policy) WhatIf(s *Settings, now time.Duration, in *Input, effects []Effect) []Effect {
 	c := p.clone(in.Request)
-	c.settings, c.quotas.changed = *s, false // a change of quotas clones them first
-	c.quotas.total = columns.Sum(s.TenantQuotas)
-	if p.quotas.changed {
-		c.settings.TenantQuotas, c.quotas.total = p.settings.TenantQuotas, p.quotas.total
+	c.settings, c.quotaUsage.changed = *s, false // a change of quotas clones them first
+	c.quotaUsage.total = columns.Sum(s.TenantQuotas)
+	if p.quotaUsage.changed {
+		c.settings.TenantQuotas, c.quotaUsage.total = p.settings.TenantQuotas, p.quotaUsage.total
 	}
 	c.settings.MustRequestEndpoints = p.settings.MustRequestEndpoints
 	c.settings.TrafficTypes = slices.Clone(p.settings.TrafficTypes)
@@ -53,7 +53,7 @@
 	c.drain = p.drain.clone()
 	c.routes = p.routes.clone()
 	c.admission = p.admission.clone()
-	c.quotas = p.quotas.clone()
+	c.quotaUsage = p.quotaUsage.clone()
 	c.budgets = p.budgets.clone()
 	c.plan = p.plan.clone()
 	return &c
--- a/policy/whatif_test.go
+++ b/policy/whatif_test.go
@@ -80,7 +80,7 @@
 // TestCloneSharesNothing checks every field of a clone, so that one forgotten in clone is found.
 func TestCloneSharesNothing(t *testing.T) {
 	h := newHarness(t, 3, func(s *Settings) { s.TenantQuotas = []float64{1} }).fillSubset()
-	h.quotas.withinQuotaShares = []float64{1}
+	h.quotaUsage.withinQuotaShares = []float64{1}
 	h.readiness.SetLabels(0, 1)
 	h.readiness.SetPlacements(0, 1)
 	id, _ := h.arriveAt(0, 0, time.Second)
