--- a/policy/admission.go
+++ b/policy/admission.go
@@ -25,8 +25,8 @@
 
 	rateMemory = 3 * time.Second // over which arrivals and answers are counted
 
-	// minArrivalRate is the rate, a second, below which a rate is cleared, so that it costs no tick any more. What is
-	// less changes no sum of loads by a bit.
+	// minArrivalRate is the rate, a second, below which a rate is cleared, so that it costs no tick any more. A smaller
+	// rate is lost to rounding in any sum of loads.
 	minArrivalRate = 1e-24
 )
 
@@ -36,6 +36,11 @@
 // firstClass returns the class of a type's requests within quota; the one beyond follows it.
 func firstClass(trafficType int) int { return classesPerType * trafficType }
 
+// classesOf returns the classes of a traffic type, within quota and beyond it.
+func classesOf(trafficType int) [classesPerType]int {
+	return [classesPerType]int{firstClass(trafficType), firstClass(trafficType) + 1}
+}
+
 // typeOfClass returns the traffic type of a class.
 func typeOfClass(class int) int { return class / classesPerType }
 
@@ -104,7 +109,7 @@
 	slices.SortFunc(a.classes, func(c, d int) int { return cmp.Or(cmp.Compare(p.classWeight(c), p.classWeight(d)), c-d) })
 	offered := 0.0
 	for trafficType := range a.activeTypes.All() {
-		for class := firstClass(trafficType); class < firstClass(trafficType)+classesPerType; class++ {
+		for _, class := range classesOf(trafficType) {
 			offered += p.classLoad(class)
 		}
 	}
@@ -144,7 +149,7 @@
 		return
 	}
 	a.activeTypes.Add(trafficType)
-	for class := firstClass(trafficType); class < firstClass(trafficType)+classesPerType; class++ {
+	for _, class := range classesOf(trafficType) {
 		a.classes = append(a.classes, class)
 		if class < len(a.rejectShare) && len(a.shedEntries) > 0 {
 			i, _ := slices.BinarySearchFunc(a.shedEntries, class, func(e shedEntry, class int) int {
--- a/policy/attribution.go
+++ b/policy/attribution.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	attributionMargin    = 0.1  // by which an attribute must fail more often than a server to clear it
-	attributionPrior     = 3.0  // successes assumed in a new record, so that one failure counts for little
-	attributionMemory    = 10.0 // attempts that count in a server's record
-	attributesMemory     = 3 * attributionMemory
-	allAttemptsMemory    = 2 * attributionMemory // in shares of all attempts
+	attributionMargin    = 0.1                   // by which an attribute must fail more often than a server to clear it
+	attributionPrior     = 3.0                   // successes assumed in a new record, so that one failure counts for little
+	attributionMemory    = 10.0                  // attempts that count in a server's record
+	attributesMemory     = 3 * attributionMemory // attempts that count in an attribute's record, and in all servers' together
+	allAttemptsMemory    = 2 * attributionMemory // attempts that count in shares of all attempts of the node
 	attributionDecayTime = 10 * time.Second      // in which a record fades to 1/e
 	keyRecordCount       = 256                   // records of keys, which share them by checksum
 
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	latencyHeadroomShare  = 0.1             // of the time between unloaded latency and objective; servers choke on more
+	latencyHeadroomShare  = 0.1             // of the time between unloaded latency and objective; longer waits mean that queues build up at servers
 	sustainedLoadMemory   = 1 * time.Second // over which successes are counted
 	latencyRatioSmoothing = 0.05            // weight of one attempt
 	initialLimitPerServer = 4.0             // over all nodes; it grows with answers
@@ -79,7 +79,8 @@
 	limits   []int // 0: any number
 }
 
-// update takes over other limits. Those in flight beyond a lower limit end first.
+// update takes over other limits. Where a limit falls below the number in flight, these go on, and no further request
+// gets an attempt until enough of them have ended.
 func (l *routeLimits) update(limits []int) {
 	l.limits = limits
 	l.inFlight = append(l.inFlight, make([]int, max(len(limits)-len(l.inFlight), 0))...)
--- a/policy/load.go
+++ b/policy/load.go
@@ -8,6 +8,9 @@
 	"fernvane/internal/collections/columns"
 )
 
+// abandonedMemoryLatencies is the time, in smoothed latencies of the server, in which an abandoned attempt fades to 1/e.
+const abandonedMemoryLatencies = 4.0
+
 // serverLoad is what this node has in flight at each server.
 type serverLoad struct {
 	inFlight        []int
@@ -47,7 +50,7 @@
 // decayAbandoned lets abandoned attempts at servers of the subset count for less as time passes.
 func (p *Policy) decayAbandoned(elapsed time.Duration) {
 	for _, s := range p.subset.members {
-		memory := spikeFactor * float64(max(p.latency.smoothed.At(s), 1))
+		memory := abandonedMemoryLatencies * float64(max(p.latency.smoothed.At(s), 1))
 		p.load.abandoned[s] *= math.Exp(-float64(elapsed) / memory)
 	}
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -14,6 +14,8 @@
 	maxDoublings    = 3                      // of the initial ejection: 4 s, before the spread
 	ejectionSpread  = 0.5                    // of its length, half of it either way, so that servers do not return together
 
+	overloadSlowness = 4.0 // latency over typical that a refusal by a full server counts as
+
 	minConsecutiveFailures = 2    // one may be a heavy request
 	minTypeFailures        = 3    // of one traffic type, each sent after the last ended
 	minSoftFailures        = 5    // client errors and broken connections, which a server seldom causes
@@ -26,7 +28,7 @@
 )
 
 // outliers counts failures of servers and ejects servers that fail. While a server has a failure count it gets one
-// attempt at a time, as a trial, unless every other allowed server is passed over too (careRules).
+// attempt at a time, as a trial, unless every other allowed server is passed over too (strictnessRules).
 type outliers struct {
 	ejections   failures.Table // for one traffic type or all
 	consecutive []int          // failures in a row
@@ -56,7 +58,7 @@
 }
 
 // isUnhealthy reports whether a server is ejected for a request, or on trial with an attempt in flight. Servers on
-// trial get no non-idempotent requests, unless every other allowed server is passed over too (careRules).
+// trial get no non-idempotent requests, unless every other allowed server is passed over too (strictnessRules).
 func (p *Policy) isUnhealthy(s int, r *request) bool {
 	isNonIdempotent := p.settings.TrafficTypes[r.trafficType].Idempotency == NonIdempotent
 	isOnTrial := p.outliers.consecutive[s] > 0 && (p.load.inFlight[s] > 0 || isNonIdempotent)
@@ -118,7 +120,7 @@
 	p.load.lastAnswerAt[s] = p.now
 	p.outliers.ejections.SetEjectedUntil(s, trafficType, p.now+initialEjection)
 	p.admission.overloaded.Failed++
-	p.latency.recordSlowness(s, spikeFactor)
+	p.latency.recordSlowness(s, overloadSlowness)
 	p.outliers.overloads[s]++
 	if p.outliers.overloads[s] >= minConsecutiveFailures && !p.isEjected(s) {
 		p.eject(s, failures.AllTypes, p.outliers.overloads[s]-minConsecutiveFailures, maxEjectedShare)
--- a/policy/pauseforecast.go
+++ b/policy/pauseforecast.go
@@ -12,7 +12,7 @@
 const (
 	forecastThreshold = 5 * time.Second // the paper's
 	maxThresholdShare = 0.25            // of the fitted interval, so that a server gets requests half the time
-	maxOnsets         = 4               // in a fit; more would outlast most troubles
+	maxOnsets         = 4               // in a fit; more would span a longer time than most faults last
 	spikeFactor       = 4.0             // times the smoothed latency; above the tail of usual work
 	minSpikesInPause  = 2               // latency spikes in a row that count as a pause
 )
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -9,11 +9,12 @@
 
 const (
 	maxTurnsAhead      = 2.0 // turns that a server may take to get a key again; turns stay even over all keys
-	crowdedFactor      = 1.0 // times the mean in flight; a node has few attempts at a server
+	crowdedFactor      = 1.0 // times the mean in flight; a node has few attempts at a server, so one above the mean is much
 	minSquaredSlowness = 0.1 // so that a fast server does not get everything
 
 	// maxRefusedConnectShare is the share of attempts with a refused connection above which only idle servers get requests.
 	maxRefusedConnectShare = 0.1
+	refusedConnectPrior    = 10.0 // attempts without a refusal assumed in that share, so that one refusal counts for little
 
 	// creditRounding is the difference between credits that is taken for rounding.
 	creditRounding = 1e-9
@@ -40,14 +41,14 @@
 	return c
 }
 
-// care says which servers a walk of the subset passes over.
-type care int
+// strictness says which servers a walk of the subset passes over.
+type strictness int
 
 const (
-	careRules    care = iota // those that isExcluded names
-	careHealth               // also those tried for the request, and unhealthy ones
-	careForecast             // also those with a pause near, crowded ones, and those that a plan avoids
-	careIdle                 // also those with an attempt in flight
+	strictnessRules    strictness = iota // those that isExcluded names
+	strictnessHealth                     // also those tried for the request, and unhealthy ones
+	strictnessForecast                   // also those with a pause near, crowded ones, and those that a plan avoids
+	strictnessIdle                       // also those with an attempt in flight
 )
 
 // canSend reports whether a request may have an attempt now, and picks the server for it. While the subset can grow,
@@ -60,14 +61,14 @@
 		return false
 	}
 	canGrow := len(p.subset.members) < p.subset.readyCount
-	if failed := p.subset.refusedConnects.Rate(attributionMemory); failed > maxRefusedConnectShare {
-		return p.pickFromSubset(r, careIdle) || canGrow && p.chance() > math.Sqrt(failed) && p.growSubset(r)
+	if failed := p.subset.refusedConnects.Rate(refusedConnectPrior); failed > maxRefusedConnectShare {
+		return p.pickFromSubset(r, strictnessIdle) || canGrow && p.chance() > math.Sqrt(failed) && p.growSubset(r)
 	}
-	if canGrow && (p.pickFromSubset(r, careIdle) || p.growSubset(r)) {
+	if canGrow && (p.pickFromSubset(r, strictnessIdle) || p.growSubset(r)) {
 		return true
 	}
-	for care := careForecast; care >= careRules; care-- {
-		if p.pickFromSubset(r, care) {
+	for level := strictnessForecast; level >= strictnessRules; level-- {
+		if p.pickFromSubset(r, level) {
 			return true
 		}
 	}
@@ -77,12 +78,12 @@
 // pickFromSubset picks the server of the subset whose turn it is among those that are not passed over. Where servers
 // cache by key, the server that every node ranks first for the key goes before others whose turn is near, so that nodes
 // agree without messages.
-func (p *Policy) pickFromSubset(r *request, care care) bool {
+func (p *Policy) pickFromSubset(r *request, level strictness) bool {
 	members := p.subset.members
 	best, most, earned := -1, 0.0, 0.0
 	for i := range members {
 		s := members[(p.picker.position+i)%len(members)]
-		if p.isPassedOver(s, r, care) {
+		if p.isPassedOver(s, r, level) {
 			continue
 		}
 		share := math.Sqrt(p.picker.weight[s])
@@ -105,16 +106,16 @@
 	return true
 }
 
-// isPassedOver reports whether a walk that takes so much care passes over a server.
-func (p *Policy) isPassedOver(s int, r *request, care care) bool {
+// isPassedOver reports whether a walk of this strictness passes over a server.
+func (p *Policy) isPassedOver(s int, r *request, level strictness) bool {
 	switch {
 	case p.isExcluded(s, r):
 		return true
-	case care >= careHealth && (r.wasTriedAt(s) || p.isUnhealthy(s, r)):
+	case level >= strictnessHealth && (r.wasTriedAt(s) || p.isUnhealthy(s, r)):
 		return true
-	case care >= careForecast && (p.pauses.isNear(s, p.now) || p.isCrowded(s) || p.plan.preference[s] < 0):
+	case level >= strictnessForecast && (p.pauses.isNear(s, p.now) || p.isCrowded(s) || p.plan.preference[s] < 0):
 		return true
-	case care >= careIdle && p.load.inFlight[s] > 0:
+	case level >= strictnessIdle && p.load.inFlight[s] > 0:
 		return true
 	}
 	return false
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	subsetSlack             = 2.0              // servers beyond those needed: one is idle while another works
+	subsetSlack             = 2.0              // servers beyond the peak in flight, so that one is idle while another works
 	judgingAnswersPerSecond = 1.0              // by server: enough to tell slow servers within ten seconds
 	subsetMemory            = 10 * time.Second // for which servers that were needed count as needed
 
@@ -59,7 +59,8 @@
 }
 
 // growSubset takes in and picks a server for a request, if one is allowed and healthy: one that a plan assigns, else
-// the next of the rotation, from the node's own zone first unless attempts are slow.
+// the next of the rotation. The node's own zone goes first by a chance that falls as concurrencyLimit.latencyRatio rises,
+// and not at all from a ratio of 1.
 func (p *Policy) growSubset(r *request) bool {
 	p.drawStartPosition()
 	canJoin := func(s int) bool {
--- a/policy/traffictype.go
+++ b/policy/traffictype.go
@@ -27,7 +27,7 @@
 	p.budgets.addType(trafficType)
 	p.attribution.addType(trafficType)
 	p.admission.maxPriorityWeight = max(p.admission.maxPriorityWeight, t.PriorityWeight)
-	for class := firstClass(trafficType); class < firstClass(trafficType)+classesPerType; class++ {
+	for _, class := range classesOf(trafficType) {
 		columns.Put(class, 0, &p.admission.rejectShare, &p.admission.arrivalRates)
 	}
 	for s := range p.outliers.ejections.Active().All() {
