--- a/internal/collections/columns/columns.go
+++ b/internal/collections/columns/columns.go
@@ -1,10 +1,12 @@
-// Package columns helps with tables whose columns are slices under one index.
+// Package columns helps with tables whose columns are slices under one index. The caller owns the columns; nothing here
+// has a lock.
 package columns
 
 import "slices"
 
-// Put sets an element of each column and makes the columns long enough. A column that has to grow doubles, since a list
-// brings many elements at once.
+// Put sets an element of each column and makes the columns long enough. i should be at most the column's length: beyond
+// it the first element of the gap gets the value too, and the others what the slice's memory held, mostly zero. A column
+// that has to grow doubles, since a list brings many elements at once.
 func Put[T any](i int, value T, columns ...*[]T) {
 	for _, column := range columns {
 		if i >= cap(*column) {
--- a/internal/collections/columns/durations.go
+++ b/internal/collections/columns/durations.go
@@ -20,7 +20,7 @@
 // Sum returns the sum of all elements.
 func (d *Durations) Sum() time.Duration { return d.sum }
 
-// Set sets an element and makes the column long enough.
+// Set sets an element and makes the column long enough. i should be at most Len (see Put).
 func (d *Durations) Set(i int, value time.Duration) {
 	if i >= len(d.values) {
 		Put(i, 0, &d.values)
--- a/internal/collections/decay/decay.go
+++ b/internal/collections/decay/decay.go
@@ -1,7 +1,9 @@
-// Package decay holds counts that fade, so that what lies further back counts for less.
+// Package decay holds counts that fade, so that what lies further back counts for less. The caller owns them; nothing
+// here has a lock.
 package decay
 
-// FailureRate counts how many attempts ended lately, and how many of them failed. Both counts fade.
+// FailureRate is two counts, from which Rate works out the rate: how many attempts ended lately, and how many of them
+// failed. Both fade.
 type FailureRate struct {
 	Failed     float64
 	Total      float64
--- a/internal/collections/indexset/indexset.go
+++ b/internal/collections/indexset/indexset.go
@@ -1,5 +1,7 @@
-// Package indexset holds sets of small integers, such as the indices of what is in use now. A walk of a set costs what
-// it holds and not the range that its elements are from.
+// Package indexset holds sets of small integers, such as the indices of what is in use now. A walk is in ascending order,
+// may change the set, and costs what the set holds and not the range that its elements are from; adding or removing an
+// integer that is or isn't there is harmless. Use package intset instead where the elements are wanted as a slice and
+// their order does not matter. The caller owns a set; it has no lock, and even a walk writes to it (Visits).
 package indexset
 
 import (
@@ -75,7 +77,7 @@
 }
 
 // All returns the elements in ascending order. Elements may be added and removed during the walk; one that is added
-// below the current one is not visited.
+// below the current one is not visited. A walk counts its visits, so two at the same time are a data race.
 func (s *Set) All() iter.Seq[int] {
 	return func(yield func(int) bool) {
 		for i := s.next(0, 0); i >= 0; i = s.next(0, i+1) {
--- a/internal/collections/intset/intset.go
+++ b/internal/collections/intset/intset.go
@@ -1,5 +1,7 @@
 // Package intset holds sets of small integers with insertion, removal and a slice of all elements in constant time. The
-// order of the elements depends only on the calls.
+// order of the elements depends only on the calls. Add and Remove must know whether the integer is there. Use package
+// indexset instead where elements are walked in ascending order, changed during a walk, or added without asking. The
+// caller owns a set; it has no lock.
 package intset
 
 import "slices"
--- a/internal/collections/ranktree/ranktree.go
+++ b/internal/collections/ranktree/ranktree.go
@@ -1,5 +1,5 @@
 // Package ranktree holds items in the order of their keys and finds the rank of an item, and the item at a rank, in
-// logarithmic time.
+// logarithmic time. The caller owns a tree; it has no lock, and even reads write to it (Steps).
 package ranktree
 
 import (
--- a/internal/proxy/engine/decider.go
+++ b/internal/proxy/engine/decider.go
@@ -12,7 +12,7 @@
 }
 
 // DeciderFactory makes the decider of an instance from its settings and its seed.
-type DeciderFactory func(policy.Settings, uint32) Decider
+type DeciderFactory func(s policy.Settings, seed uint32) Decider
 
 // NewPolicy is the factory of the decider that serves traffic.
 func NewPolicy(s policy.Settings, seed uint32) Decider { return policy.New(s, seed) }
--- a/internal/proxy/engine/effects.go
+++ b/internal/proxy/engine/effects.go
@@ -20,7 +20,8 @@
 	Subscribe()
 	// CloseIdle closes idle connections to a server.
 	CloseIdle(server S)
-	// Forget says that a server is gone and that no request refers to it any more.
+	// Forget says that a server is gone and that no request in hand refers to it any more. It comes when the server's
+	// index is released, which may be later than the effect policy.Forget that starts it, or than a list without it.
 	Forget(server S)
 }
 
--- a/internal/proxy/engine/engine.go
+++ b/internal/proxy/engine/engine.go
@@ -67,7 +67,7 @@
 		if _, isKnown := e.serverIndex[endpoint.Server]; !isKnown && info.Condition == policy.Removed {
 			continue
 		}
-		info.Server, info.IndexReused = e.server(endpoint.Server)
+		info.Server, info.IndexReused = e.indexOrAdd(endpoint.Server)
 		info.StartedAt -= e.startedAt
 		e.removed.Put(info.Server, info.Condition == policy.Removed)
 		e.endpoints = append(e.endpoints, info)
@@ -97,8 +97,9 @@
 	return true
 }
 
-// AttemptEnded takes the end of an attempt. It returns false, and does nothing, if the request or server is unknown or
-// the request has no attempt in flight.
+// AttemptEnded takes the end of an attempt: in.Attempt is its number within the request, in.Outcome how it ended. It
+// returns false, and does nothing, if the request or server is unknown or the request has no attempt in flight. It
+// does not check that in.Attempt is in flight at that server: the caller must see to it.
 func (e *Engine[S]) AttemptEnded(now time.Duration, id uint64, server S, in policy.Input, handler EffectHandler[S]) bool {
 	index, ok := e.requestIndex[id]
 	s, isKnown := e.serverIndex[server]
@@ -166,9 +167,9 @@
 	}
 }
 
-// server returns the index of a server, a new one if it is not known. isReused says that a new index was another
+// indexOrAdd returns the index of a server, a new one if it is not known. isReused says that a new index was another
 // server's before.
-func (e *Engine[S]) server(id S) (s int, isReused bool) {
+func (e *Engine[S]) indexOrAdd(id S) (s int, isReused bool) {
 	s, ok := e.serverIndex[id]
 	if ok {
 		return s, false
--- a/policy/effect.go
+++ b/policy/effect.go
@@ -22,7 +22,8 @@
 	CloseIdle
 	// Retain says that the server stays in use although the list omits it.
 	Retain
-	// Forget says that the server is gone for good, unless it is listed again.
+	// Forget says that the server is gone for good, unless it is listed again. Package engine releases the index, and
+	// passes its own Forget on, only once no request in hand has or had an attempt at the server.
 	Forget
 )
 
--- a/policy/internal/tenants/tenants.go
+++ b/policy/internal/tenants/tenants.go
@@ -1,5 +1,5 @@
 // Package tenants holds arrival rates and failure rates by tenant, of those tenants only that had traffic lately,
-// however many there are. It decides nothing.
+// however many there are. It decides nothing. Its owner is the policy; it has no lock.
 package tenants
 
 import (
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -50,7 +50,10 @@
 	HedgeDelay          time.Duration // after which a hedged attempt is sent; 0: none
 	HedgeRatio          float64       // hedged attempts per request
 	PoolLabels          uint64        // labels, one a bit, of which a server needs at least one
-	MaxShedShare        float64       // largest share of the type that overload may shed; requests that fail wherever they go are shed beyond it
+
+	// MaxShedShare is the largest share of the type that overload may shed. Requests that fail wherever they go are shed
+	// beyond it.
+	MaxShedShare float64
 
 	PlacementBit uint64 // the bit of the type's entry in Settings.Placements; 0: any server
 }
