--- a/internal/collections/decay/decay.go
+++ b/internal/collections/decay/decay.go
@@ -14,7 +14,7 @@
 func (r *FailureRate) Rate(prior float64) float64 { return r.Failed / (r.Total + prior) }
 
 // Observe counts the end of an attempt: failed is 1 for a failure, else 0. Earlier ends fade, so that Total never
-// exceeds memory.
+// exceeds memory, a number of attempts.
 func (r *FailureRate) Observe(failed, memory float64) {
 	r.Failed, r.Total = r.Failed*(1-1/memory)+failed, r.Total*(1-1/memory)+1
 }
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestInitialConcurrencyLimit(t *testing.T) {
-	for name, c := range map[string]struct{ nodes, servers, least, most int }{
+	for name, c := range map[string]struct{ nodes, servers, min, max int }{
 		"few nodes":                    {4, 10, 8, 20},
 		"many nodes share the servers": {40, 10, 1, 4},
 	} {
@@ -18,8 +18,8 @@
 				_, got := h.arriveAt(0, 0, time.Second)
 				sent += len(got)
 			}
-			if sent < c.least || sent > c.most {
-				t.Errorf("%d attempts in flight before any answer, want %d to %d", sent, c.least, c.most)
+			if sent < c.min || sent > c.max {
+				t.Errorf("%d attempts in flight before any answer, want %d to %d", sent, c.min, c.max)
 			}
 		})
 	}
--- a/policy/internal/failures/failures_test.go
+++ b/policy/internal/failures/failures_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestEjectionFromAllTypesIsActive checks that a server that is ejected from all types is in Active without an entry.
-func TestEjectionFromAllTypesIsActive(t *testing.T) {
+// TestEjectionForAllTypesIsActive checks that a server that is ejected from all types is in Active without an entry.
+func TestEjectionForAllTypesIsActive(t *testing.T) {
 	table := newTable(2)
 	if table.SetEjectedUntil(1, AllTypes, time.Second); !table.Active().Has(1) || table.Active().Len() != 1 || table.EntryCount(1) != 0 {
 		t.Errorf("active %v", slices.Collect(table.Active().All()))
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -13,7 +13,8 @@
 	initialLatencyDivisor = 4    // of the latency objective: what a new type is taken to need
 	minLatencySamples     = 20.0 // answers until unloaded and typical latency differ
 
-	// unloadedLatencyMemory is the time in which a lasting rise comes to count as unloaded; overload should be over.
+	// unloadedLatencyMemory is the time in which 1-1/e of a lasting rise in latency comes to count as unloaded. It is meant
+	// to be longer than an overload.
 	unloadedLatencyMemory = 30 * time.Second
 )
 
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -78,6 +78,7 @@
 	}
 }
 
+// recordSuccess learns from an answer: latency, pauses, the load that servers bear, and that the server is healthy.
 func (p *Policy) recordSuccess(s int, r *request, sentAt time.Duration) {
 	elapsed := p.now - sentAt
 	p.recordPauseSample(s, sentAt, float64(elapsed) > spikeFactor*float64(p.latency.smoothed.At(s)))
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	maxTurnsAhead      = 2.0 // turns that a server may take to get a key again; turns stay even over all keys
+	maxTurnsAhead      = 2.0 // turns that a server may have in advance to get a key again, so that turns stay even over all keys
 	crowdedFactor      = 1.0 // times the mean in flight; a node has few attempts at a server, so one above the mean is much
 	minSquaredSlowness = 0.1 // so that a fast server does not get everything
 
--- a/policy/picker_test.go
+++ b/policy/picker_test.go
@@ -121,9 +121,9 @@
 	}
 }
 
-// TestScarceConnections checks that busy servers get nothing while connections are scarce: sending to them would
+// TestRefusedConnections checks that busy servers get nothing while connections are refused: sending to them would
 // only cost attempts.
-func TestScarceConnections(t *testing.T) {
+func TestRefusedConnections(t *testing.T) {
 	type world struct {
 		unconnected int  // attempts lately that got no connection, of as many
 		busy        int  // of the four servers
--- a/policy/poll.go
+++ b/policy/poll.go
@@ -5,7 +5,7 @@
 const (
 	initialPollBackoff = 250 * time.Millisecond // doubles each time
 	maxPollBackoff     = 4 * time.Second
-	minBackoffShare    = 0.5 // of a wait that is spread evenly around the backoff
+	minBackoffShare    = 0.5 // least wait, in backoffs; the greatest is 1 more
 	// backoffDivisor gives the longest backoff as a part of Settings.RequestEndpointsWithin. Package dispatch relies on it
 	// (pollPauseDivisor).
 	backoffDivisor = 4
--- a/policy/request.go
+++ b/policy/request.go
@@ -93,6 +93,7 @@
 	return c
 }
 
+// requestArrived starts a request and moves it on to an attempt, the queue or a rejection.
 func (p *Policy) requestArrived(in *Input) {
 	columns.Extend(in.Request+1, &p.requests.all)
 	if in.TrafficType >= len(p.settings.TrafficTypes) { // nothing is known of the type, and nothing has run
@@ -125,6 +126,7 @@
 	p.advance(in.Request, onArrival)
 }
 
+// clientLeft ends a request that needs no answer any more. Its attempts in flight are still counted until they end.
 func (p *Policy) clientLeft(in *Input) {
 	if in.Request < len(p.requests.all) {
 		p.advance(in.Request, onAnswerNotNeeded)
@@ -155,7 +157,7 @@
 }
 
 // isPastObjective reports whether the attempts in flight are past the latency objective and run on for a late answer.
-// They leave the concurrency limit, which silent servers or links would else fill.
+// They leave the concurrency limit, which unresponsive servers or links would fill otherwise.
 func (p *Policy) isPastObjective(request int) bool {
 	r := &p.requests.all[request]
 	return p.now >= r.objectiveAt && p.settings.TrafficTypes[r.trafficType].LateWeightShare > 0
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -32,7 +32,7 @@
 func TestRetryAfter(t *testing.T) {
 	for name, c := range map[string]struct {
 		past, usual time.Duration // of the request's latency objective, and the type's latency
-		least, most time.Duration
+		min, max    time.Duration
 	}{
 		"time is left":   {0, 50 * ms, 80 * ms, 290 * ms},
 		"none is left":   {350 * ms, 50 * ms, 900 * ms, time.Second},
@@ -44,7 +44,7 @@
 			h.latency.typical[0], h.now, h.effects = c.usual, time.Second+c.past, nil
 			h.Policy.requests.all = append(h.Policy.requests.all, request{objectiveAt: 1390 * ms, clientDeadline: 2 * time.Second})
 			h.reject(0)
-			if back := h.effects[0].Duration; back < c.least || back > c.most {
+			if back := h.effects[0].Duration; back < c.min || back > c.max {
 				t.Errorf("Retry-After of %s", back)
 			}
 		})
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -9,7 +9,7 @@
 	for name, c := range map[string]struct {
 		member   Endpoint
 		scope    UpdateScope
-		most     int
+		max      int
 		unbarred time.Duration
 	}{
 		"start time listed": {Endpoint{Server: 2, Weight: 1, StartedAt: 9 * time.Second, HasStartTime: true}, Incremental, 20, 18 * time.Second},
@@ -29,8 +29,8 @@
 				}
 				h.end(now, id, 0, Success)
 			}
-			if sent > c.most || sent == 0 {
-				t.Errorf("sent %d in two seconds, at most %d", sent, c.most)
+			if sent > c.max || sent == 0 {
+				t.Errorf("sent %d in two seconds, at most %d", sent, c.max)
 			}
 			h.at(c.unbarred, Input{Kind: TimerFired})
 			if h.slowStart.servers.Has(2) {
@@ -65,7 +65,7 @@
 func TestSlowStartOverAllNodes(t *testing.T) {
 	for name, refusals := range map[string]int{"others answer": 0, "others are overloaded": 10} {
 		t.Run(name, func(t *testing.T) {
-			granted, held, most, pace := 0.0, 0.0, 0.0, 0.0
+			granted, held, budget, rate := 0.0, 0.0, 0.0, 0.0
 			for me := range 90 {
 				h := newHarness(t, 18, func(s *Settings) { s.NodeCount, s.NodeIndex, s.SlowStartDuration = 90, me, 24*time.Second }).fillSubset()
 				h.Policy.random.seed, h.now = uint32(1000+me), time.Second
@@ -79,13 +79,13 @@
 					was := h.slowStart.tokens[0]
 					h.refillSlowStart(20 * ms)
 					granted += max(h.slowStart.tokens[0]-was, 0)
-					pace = slowStartShare * h.settings.CrashLoadFactor * h.concurrency.successRate / 18 * h.updateCapacityShare(0)
-					most += pace * 0.02
+					rate = slowStartShare * h.settings.CrashLoadFactor * h.concurrency.successRate / 18 * h.updateCapacityShare(0)
+					budget += rate * 0.02
 				}
 				held += h.slowStart.tokens[0]
 			}
-			if held > 180*pace*slowStartTokenLifetime.Seconds() || granted > 1.2*most || granted < 0.5*most {
-				t.Errorf("%.0f granted, budget %.0f; %.0f held", granted, most, held)
+			if held > 180*rate*slowStartTokenLifetime.Seconds() || granted > 1.2*budget || granted < 0.5*budget {
+				t.Errorf("%.0f granted, budget %.0f; %.0f held", granted, budget, held)
 			}
 		})
 	}
@@ -96,9 +96,9 @@
 func TestSlowStartWhenWeightsFollowLoad(t *testing.T) {
 	const seconds, step = 40, 20 * ms
 	for name, c := range map[string]struct {
-		live        bool
-		weight      float64 // its weight; the nine others have 0.1
-		least, most float64 // tokens a second
+		live     bool
+		weight   float64 // its weight; the nine others have 0.1
+		min, max float64 // tokens a second
 	}{
 		"follow load, idle":             {true, 1, 0.3, 1.6},
 		"follow load, busy":             {true, 0.1, 0.3, 1.6},
@@ -126,7 +126,7 @@
 				granted += max(h.slowStart.tokens[0]-was, 0)
 				h.slowStart.tokens[0] = 0
 			}
-			if rate := granted / seconds; rate < c.least || rate > c.most {
+			if rate := granted / seconds; rate < c.min || rate > c.max {
 				t.Errorf("%.2f tokens a second", rate)
 			}
 		})
