--- a/internal/proxy/registry.go
+++ b/internal/proxy/registry.go
@@ -9,27 +9,31 @@
 	"fernvane/internal/discovery/zookeeper"
 )
 
-// registered follows a registry in place of discovery.
-func (s *Server) registered(ctx context.Context) error {
+// followRegistry follows a registry in place of discovery until the node ends.
+func (s *Server) followRegistry(ctx context.Context) error {
 	return zookeeper.Follow(ctx, s.cfg.Registry, zookeeper.Listener{
-		Now: s.fleet.Now, Observations: s.fleet.Observations(),
-		OnChange: func(changed []incarnation.Entry, first bool) {
-			l := watch.ListFromEntries(changed)
-			l.Complete = first // what the saved list has beside has gone meanwhile
-			s.skipped(l)
-			if s.kept != nil {
-				l, _ = s.kept.believe(l, endpoints.SourceRegistry) // the registry's own roster doubts what it must
-			}
-			s.fleet.ApplyList(l, endpoints.SourceRegistry)
-			s.log.Info().Int("entries", len(changed)).Msg("list told")
-		},
-		OnError: func(err error) { s.log.Warn().Err(err).Msg("registry") },
+		Now: s.dispatcher.Now, Observations: s.dispatcher.Observations(),
+		OnChange: s.applyRegistryChange,
+		OnError:  func(err error) { s.logger.Warn().Err(err).Msg("registry error") },
 		OnMassRemoval: func(removal endpoints.MassRemoval) {
 			if removal.IsSuspected {
-				s.log.Error().Int("removed", removal.Removed).Int("total", removal.Total).Msg("mass removal suspected, keeping last endpoint list")
+				s.logger.Error().Int("removed", removal.Removed).Int("total", removal.Total).Msg("mass removal suspected, keeping last endpoint list")
 			} else {
-				s.log.Info().Int("removed", removal.Removed).Int("total", removal.Total).Msg("mass removal over, following the registry again")
+				s.logger.Info().Int("removed", removal.Removed).Int("total", removal.Total).Msg("mass removal over, following the registry again")
 			}
 		},
 	})
 }
+
+// applyRegistryChange hands over what has changed in the registry. The first change is its whole list: what a saved list has beside it was
+// removed meanwhile.
+func (s *Server) applyRegistryChange(changed []incarnation.Entry, isFirst bool) {
+	l := watch.ListFromEntries(changed)
+	l.Complete = isFirst
+	s.logSkippedEntries(l)
+	if s.endpointCache != nil {
+		l, _ = s.endpointCache.confirm(l, endpoints.SourceRegistry) // an incomplete list is held back by the registry's own endpoint set
+	}
+	s.dispatcher.ApplyList(l, endpoints.SourceRegistry)
+	s.logger.Info().Int("entries", len(changed)).Msg("endpoint list updated")
+}
