--- a/internal/cluster/peer/doc.go
+++ b/internal/cluster/peer/doc.go
@@ -8,8 +8,8 @@
 //
 // All state of a Node is under its one lock, which is never held over a socket or the disk. The goroutines are: one that
 // ticks, one that accepts, one for each configured address, three for each connection (one reads and hands in messages,
-// one writes what is queued, one acknowledges batches when they are durable), one for each copy
-// of a replica, and one each for loading, cleanup and reconciliation.
+// one writes what is queued, one acknowledges batches when they are durable), one for each copy of a replica, and one each
+// for loading, cleanup and reconciliation.
 //
 // Commands that ask for the state of the nodes use Query, which returns a Client.
 package peer
--- a/internal/cluster/replication/message.go
+++ b/internal/cluster/replication/message.go
@@ -39,7 +39,7 @@
 	}
 )
 
-// Why records are not taken, as a RejectReason.
+// Why records are not taken, as a RejectReason. The texts are sent to other nodes.
 const (
 	// ReasonLaterIncarnation says that a later incarnation of the origin is known, so the origin must stop.
 	ReasonLaterIncarnation = "a later life of this name is known"
--- a/internal/journal/wal/segment.go
+++ b/internal/journal/wal/segment.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	segmentSuffix = ".bindings"
+	segmentSuffix = ".bindings" // the name that deployed journals have
 	// maxCreateAttempts bounds the numbers that other processes may have taken before creating a segment is an error.
 	maxCreateAttempts = 100
 )
