--- a/internal/controlplane/distribution/store_test.go
+++ b/internal/controlplane/distribution/store_test.go
@@ -225,7 +225,7 @@
 	}
 }
 
-// A store without room for an entry does not say that it has everything.
+// A store that is full does not advance its vector.
 func TestVectorDoesNotAdvanceWhileStoreIsFull(t *testing.T) {
 	server := NewStore(NewOrigin("root", 1), Limits{})
 	writeOne(t, server, wall, key("a", "1"), "v")
@@ -280,7 +280,7 @@
 	if changed, _ := s.Merge([]Entry{e}); len(changed) != 0 {
 		t.Fatalf("%v is back", changed)
 	}
-	if !s.NeedsReset(Vector{s.Origin(): 1}) || s.NeedsReset(s.Vector()) {
+	if (Vector{s.Origin(): 1}).CoversAll(s.Pruned()) || !s.Vector().CoversAll(s.Pruned()) {
 		t.Fatal("who lacks the deletion is behind, who has it is not")
 	}
 	foreign := NewStore("", Limits{}) // it holds a deletion beyond its vector
@@ -306,7 +306,7 @@
 	if old.Vector()[origin] != 1 {
 		t.Fatalf("vector %v", old.Vector())
 	}
-	// A copy that wrote before it was known: its writes are told anew.
+	// A copy that wrote before it was found to be stale: its writes are made again.
 	blind := NewStore(origin, Limits{})
 	writeOne(t, blind, wall, key("a", "3"), "mine")
 	blind.ObserveVector(Vector{origin: 5})
@@ -319,7 +319,7 @@
 	}
 }
 
-// A write over an entry takes its sequence with it: no holder waits for it.
+// An overwritten entry's sequence is covered: no holder waits for it.
 func TestOverwrittenSequencesAreCovered(t *testing.T) {
 	server := NewStore(NewOrigin("root", 1), Limits{})
 	for i := range 10 {
