--- a/policy/request.go
+++ b/policy/request.go
@@ -10,12 +10,14 @@
 )
 
 const (
-	// minAnswerLead is how long before the client's deadline the final answer goes out at the latest.
+	// minAnswerLead is the least time before the client's deadline from which a tick gives the final answer. Where ticks
+	// are further apart than the lead, none may fall into it: the answer then waits for the end of the attempt or for a
+	// tick after the deadline.
 	minAnswerLead = 5 * time.Millisecond
 
-	// objectiveLeadTicks is how long before its latency objective a request counts as late, in ticks of the timer: an
-	// attempt that times out then still leaves time for an answer within the objective.
-	objectiveLeadTicks = 2
+	// objectiveLeadGranularities is how long before its latency objective a request counts as late, in units of
+	// Settings.TimerGranularity: an attempt that times out then still leaves time for an answer within the objective.
+	objectiveLeadGranularities = 2
 
 	minRetryAfterShare = 0.9 // of the longest Retry-After
 	minReturnShare     = 0.3 // of the time in which a client can still return and be served
@@ -44,15 +46,15 @@
 	isClientRetry bool
 
 	arrivedAt      time.Duration
-	objectiveAt    time.Duration // an answer after it is late
+	objectiveAt    time.Duration // attempts are late from here on, ahead of the latency objective
 	clientDeadline time.Duration // the client gives up
 
-	attempts       []attempt
-	mayHaveRun     bool
-	keyServer      int           // server of the first attempt that may have run: repeats stay in its key scope
-	firstRunAt     time.Duration // when that attempt was sent
-	lastOutcome    Outcome
-	failedByItself bool // the last failure was attributed to the request
+	attempts            []attempt
+	mayHaveRun          bool
+	firstRunServer      int           // server of the first attempt that may have run: repeats stay in its key scope
+	firstRunAt          time.Duration // when that attempt was sent
+	lastOutcome         Outcome
+	isFailureAttributed bool // the last end that tells of the server or of the request was attributed to the request
 
 	lastDequeue int // number of the last dequeueing that tried it
 }
@@ -64,10 +66,10 @@
 
 // forgetAttempt takes back that an attempt may have run: the first of the others that may have run comes in its place.
 func (r *request) forgetAttempt(number int) {
-	r.mayHaveRun, r.keyServer = false, noServer
+	r.mayHaveRun, r.firstRunServer = false, noServer
 	for i, a := range r.attempts {
-		if i != number && a.server >= 0 && r.keyServer < 0 {
-			r.mayHaveRun, r.keyServer, r.firstRunAt = true, a.server, a.sentAt
+		if i != number && a.server >= 0 && r.firstRunServer < 0 {
+			r.mayHaveRun, r.firstRunServer, r.firstRunAt = true, a.server, a.sentAt
 		}
 	}
 	r.attempts[number].server = noServer
@@ -91,6 +93,7 @@
 	return c
 }
 
+// requestArrived starts a request and moves it on to an attempt, the queue or a rejection.
 func (p *Policy) requestArrived(in *Input) {
 	columns.Extend(in.Request+1, &p.requests.all)
 	if in.TrafficType >= len(p.settings.TrafficTypes) { // nothing is known of the type, and nothing has run
@@ -107,15 +110,15 @@
 		key:            in.Key,
 		isClientRetry:  in.IsClientRetry,
 		arrivedAt:      p.now,
-		objectiveAt:    p.now + min(t.LatencyObjective-objectiveLeadTicks*p.settings.TimerGranularity, in.Timeout),
+		objectiveAt:    p.now + min(t.LatencyObjective-objectiveLeadGranularities*p.settings.TimerGranularity, in.Timeout),
 		clientDeadline: p.now + in.Timeout,
 		attempts:       r.attempts[:0],
-		keyServer:      noServer,
+		firstRunServer: noServer,
 	}
 	p.activateType(in.TrafficType)
-	if in.Tenant >= p.quotas.known {
+	if in.Tenant >= p.quotaUsage.known {
 		r.tenant = tenants.Unknown
-	} else if p.isOverQuota(in.Tenant) {
+	} else if p.countArrivalOverQuota(in.Tenant) {
 		r.class++
 	}
 	p.admission.arrivalRates[r.class] += 1 / rateMemory.Seconds()
@@ -123,9 +126,10 @@
 	p.advance(in.Request, onArrival)
 }
 
+// clientLeft ends a request that needs no answer any more. Its attempts in flight are still counted until they end.
 func (p *Policy) clientLeft(in *Input) {
 	if in.Request < len(p.requests.all) {
-		p.advance(in.Request, onClientLeft)
+		p.advance(in.Request, onAnswerNotNeeded)
 	}
 }
 
@@ -142,7 +146,8 @@
 	return !r.mayHaveRun || t.Idempotency == Idempotent || t.Idempotency == IdempotentWithKey && t.KeyScope == KeyScopeAll
 }
 
-// isClientDeadlineNear reports whether the final answer must go out now to reach the client in time.
+// isClientDeadlineNear reports whether the final answer must go out now to reach the client in time. It is asked on
+// ticks only, which may be further apart than the lead.
 func (p *Policy) isClientDeadlineNear(request int) bool {
 	return p.now+max(p.settings.TimerGranularity, minAnswerLead) >= p.requests.all[request].clientDeadline
 }
@@ -152,7 +157,7 @@
 }
 
 // isPastObjective reports whether the attempts in flight are past the latency objective and run on for a late answer.
-// They leave the concurrency limit, which silent servers or links would else fill.
+// They leave the concurrency limit, which unresponsive servers or links would fill otherwise.
 func (p *Policy) isPastObjective(request int) bool {
 	r := &p.requests.all[request]
 	return p.now >= r.objectiveAt && p.settings.TrafficTypes[r.trafficType].LateWeightShare > 0
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	subsetSlack             = 2.0              // servers beyond those needed: one is idle while another works
+	subsetSlack             = 2.0              // servers beyond the peak in flight, so that one is idle while another works
 	judgingAnswersPerSecond = 1.0              // by server: enough to tell slow servers within ten seconds
 	subsetMemory            = 10 * time.Second // for which servers that were needed count as needed
 
@@ -24,16 +24,16 @@
 // subset is the active subset of the servers: those that this node sends to. It grows while all of it is busy and
 // shrinks while it is larger than needed, so that a node of many holds connections to few servers.
 type subset struct {
-	members    []int
-	contains   []bool  // by server
-	needed     float64 // most attempts in flight lately
-	readyCount int     // servers that are ready, as of the last updateWeights
+	members      []int
+	contains     []bool  // by server
+	peakInFlight float64 // most attempts in flight lately; fades
+	readyCount   int     // servers that are ready, as of the last updateWeights
 
 	rotation         ranktree.Tree // all servers by rank, in the same order at every node
 	nextToJoin       int           // position in the rotation
 	hasStartPosition bool
 
-	connectFailures decay.FailureRate // of all attempts lately
+	refusedConnects decay.FailureRate // connections refused at once, of all attempts lately
 }
 
 func (u *subset) clone() subset {
@@ -59,7 +59,8 @@
 }
 
 // growSubset takes in and picks a server for a request, if one is allowed and healthy: one that a plan assigns, else
-// the next of the rotation, from the node's own zone first unless attempts are slow.
+// the next of the rotation. The node's own zone goes first by a chance that falls as concurrencyLimit.latencyRatio rises,
+// and not at all from a ratio of 1.
 func (p *Policy) growSubset(r *request) bool {
 	p.drawStartPosition()
 	canJoin := func(s int) bool {
@@ -162,8 +163,8 @@
 // apart.
 func (p *Policy) shrinkSubset(elapsed time.Duration) {
 	u := &p.subset
-	u.needed = max(u.needed*decayFactor(elapsed, subsetMemory), p.concurrency.inFlight)
-	if float64(len(u.members)) <= max(u.needed+subsetSlack, p.concurrency.successRate/judgingAnswersPerSecond) {
+	u.peakInFlight = max(u.peakInFlight*decayFactor(elapsed, subsetMemory), p.concurrency.inFlight)
+	if float64(len(u.members)) <= max(u.peakInFlight+subsetSlack, p.concurrency.successRate/judgingAnswersPerSecond) {
 		return
 	}
 	slowness := p.latency.slowness
--- a/policy/traffictype.go
+++ b/policy/traffictype.go
@@ -5,8 +5,8 @@
 	"fernvane/policy/internal/failures"
 )
 
-// updateTrafficTypes takes over traffic types and limits of routes. A type that is new or other than before starts with
-// the figures of the one that it learns from.
+// updateTrafficTypes takes over traffic types and limits of routes. A type that is new or other than before starts
+// anew, with the latencies of the one that it learns from.
 func (p *Policy) updateTrafficTypes(in *Input) {
 	p.settings.TrafficTypes = in.TrafficTypes
 	p.routes.update(in.RouteLimits)
@@ -27,7 +27,7 @@
 	p.budgets.addType(trafficType)
 	p.attribution.addType(trafficType)
 	p.admission.maxPriorityWeight = max(p.admission.maxPriorityWeight, t.PriorityWeight)
-	for class := firstClass(trafficType); class < firstClass(trafficType)+classesPerType; class++ {
+	for _, class := range classesOf(trafficType) {
 		columns.Put(class, 0, &p.admission.rejectShare, &p.admission.arrivalRates)
 	}
 	for s := range p.outliers.ejections.Active().All() {
