--- a/policy/load.go
+++ b/policy/load.go
@@ -8,12 +8,15 @@
 	"fernvane/internal/collections/columns"
 )
 
+// abandonedMemoryLatencies is the time, in smoothed latencies of the server, in which an abandoned attempt fades to 1/e.
+const abandonedMemoryLatencies = 4.0
+
 // serverLoad is what this node has in flight at each server.
 type serverLoad struct {
 	inFlight        []int
 	abandoned       []float64       // attempts that timed out and that the server may still work on
 	abandonedSentAt []time.Duration // when the last of them was sent
-	lastAnswerAt    []time.Duration // last answer, or when the server last went from idle to busy
+	lastAnswerAt    []time.Duration // last answer other than ClientError, or when the server last went from idle to busy
 }
 
 // abandon counts an attempt that timed out. Without it a server that is stuck would look idle.
@@ -47,7 +50,7 @@
 // decayAbandoned lets abandoned attempts at servers of the subset count for less as time passes.
 func (p *Policy) decayAbandoned(elapsed time.Duration) {
 	for _, s := range p.subset.members {
-		memory := spikeFactor * float64(max(p.latency.smoothed.At(s), 1))
+		memory := abandonedMemoryLatencies * float64(max(p.latency.smoothed.At(s), 1))
 		p.load.abandoned[s] *= math.Exp(-float64(elapsed) / memory)
 	}
 }
