--- a/policy/picker_test.go
+++ b/policy/picker_test.go
@@ -92,7 +92,7 @@
 			var met [2][]int
 			for me := range met {
 				h := newHarness(t, servers, func(s *Settings) { s.ServersCacheKeys, s.NodeIndex = c.warm, me }).fillSubset()
-				h.picker.position, h.subset.needed, h.concurrency.grown = 2*me, servers, 1000
+				h.picker.position, h.subset.peakInFlight, h.concurrency.grown = 2*me, servers, 1000
 				turns := make([]int, servers)
 				for i := range uint32(servers * each) {
 					h.arrivals++
@@ -121,9 +121,9 @@
 	}
 }
 
-// TestScarceConnections checks that busy servers get nothing while connections are scarce: sending to them would
+// TestRefusedConnections checks that busy servers get nothing while connections are refused: sending to them would
 // only cost attempts.
-func TestScarceConnections(t *testing.T) {
+func TestRefusedConnections(t *testing.T) {
 	type world struct {
 		unconnected int  // attempts lately that got no connection, of as many
 		busy        int  // of the four servers
@@ -149,7 +149,7 @@
 				h.arriveAt(0, 0, time.Second)
 			}
 			for range c.unconnected {
-				h.subset.connectFailures.Observe(1, 2*attributionMemory)
+				h.subset.refusedConnects.Observe(1, 2*attributionMemory)
 			}
 			id, got := h.arriveAt(10*ms, 0, time.Second)
 			h.at(10*ms, Input{Kind: TimerFired})
