--- a/internal/protocol/connclose/lifecycle.go
+++ b/internal/protocol/connclose/lifecycle.go
@@ -1,58 +1,65 @@
-// Package connclose decides when a client's connection that requests share may be closed, so that no accepted request loses its answer. It
-// is a state machine free of I/O: its caller, internal/proxy for FastCGI, passes what happens on a connection to Lifecycle.Handle and
-// carries out the effect. A Lifecycle has no lock of its own; the caller holds one over Handle and its effect.
+// Package connclose decides when a client's connection that several requests share may be closed, so that no admitted request
+// loses its answer. It is free of I/O: internal/proxy passes in what happens on the connection and carries out the effect
+// that comes back. A Lifecycle belongs to its connection, whose lock guards it.
 package connclose
 
-// State is the state of a connection.
+// State of a connection.
 type State uint8
 
 // States of a connection.
 const (
-	Open            State = iota // accepts requests
-	ClosingWhenIdle              // accepts requests, and is closed as soon as none is open
-	Draining                     // accepts no requests, and is closed as soon as all that were accepted are answered
+	Open            State = iota // requests are admitted
+	ClosingWhenIdle              // requests are admitted; closes as soon as none is open
+	Draining                     // requests are rejected; closes as soon as every admitted one is answered
 	Closed                       // nothing is written any more
-	stateCount
+	states
 )
 
-// Input is what happens on a connection.
+// Input is an event on a connection.
 type Input uint8
 
-// Inputs of a connection.
+// Events on a connection.
 const (
-	RequestStarted  Input = iota // a request has begun to arrive
-	RequestReceived              // a request is complete
-	RequestAborted               // a request that had begun will not be complete, and its client was notified
-	RequestAnswered              // a request that was accepted is answered
-	CloseRequested               // the connection is to be closed: its client has asked for it, or the node stops
-	// IntakeStopped: no further request can be accepted, because the node stops soon, a request stalls or a record cannot be read. All
-	// requests that were not complete have been notified that they never ran.
+	// RequestStarted: the first part of a request was read.
+	RequestStarted Input = iota
+	// RequestReceived: a request was read completely.
+	RequestReceived
+	// RequestAborted: a request that had started will not be completed, and its client was notified.
+	RequestAborted
+	// RequestAnswered: an admitted request has its answer.
+	RequestAnswered
+	// CloseRequested: the client asked for the connection to be closed, or the node shuts down.
+	CloseRequested
+	// IntakeStopped: no new request can be read, since shutdown is near, a request stalls or cannot be parsed. All
+	// incomplete requests were notified that they never ran.
 	IntakeStopped
-	IdleTimeout  // no request has begun to arrive in time
-	Disconnected // the client has closed or broken the connection
-	inputCount
+	// IdleTimeout: no request has started within the time for the next one.
+	IdleTimeout
+	// Disconnected: the client has closed or broken the connection.
+	Disconnected
+	inputs
 )
 
-// Effect is what is to be done after an input.
+// Effect is what the caller must do.
 type Effect uint8
 
-// Effects of an input.
+// Effects of an event.
 const (
-	NoEffect   Effect = iota
-	Admit             // the request goes on
-	Reject            // notify the request that it never ran
-	CloseWrite        // end the writing, and read on for a while: a close with unread bytes would be a reset, which may overtake an answer
-	Close             // close the connection; nobody is there to be answered
+	NoEffect   Effect = iota // nothing
+	Admit                    // the request goes on
+	Reject                   // the client is notified that the request never ran
+	CloseWrite               // shut down writing and go on reading for a while, so that no reset overtakes an answer
+	Close                    // close at once: the client has gone
 )
 
-// transition is where an input leads.
+// transition is the state that an event leads to, and its effect.
 type transition struct {
 	next   State
 	effect Effect
 }
 
-// transitions is the table of states. What it leaves without anything to do is closed by Handle.
-var transitions = [stateCount][inputCount]transition{
+// table holds all decisions but one: Handle closes a connection that has nothing left to do.
+var table = [states][inputs]transition{
 	Open: {
 		RequestStarted:  {Open, Admit},
 		RequestReceived: {Open, Admit},
@@ -95,44 +102,33 @@
 	},
 }
 
-// Lifecycle is the state of one connection and its requests. The zero value is an open connection without requests.
+// Lifecycle is the state of one connection. The zero value is an open connection without requests.
 type Lifecycle struct {
 	state     State
-	receiving int
-	inFlight  int
+	receiving int // requests read in part
+	inFlight  int // admitted requests without an answer
 }
 
-// State returns the connection's state.
+// State returns the state.
 func (l *Lifecycle) State() State { return l.state }
 
-// Receiving returns how many requests have begun to arrive and are not complete.
+// Receiving returns how many requests have been read in part.
 func (l *Lifecycle) Receiving() int { return l.receiving }
 
-// InFlight returns how many requests were accepted and are not answered.
+// InFlight returns how many admitted requests have no answer yet.
 func (l *Lifecycle) InFlight() int { return l.inFlight }
 
-// Handle applies an input and returns what is to be done. The effect is CloseWrite where the input was the last thing to do on a connection
-// that is to be closed. An idle timeout that crosses a request has no effect.
+// Handle applies an event and returns its effect: CloseWrite where it leaves a closing connection with nothing to do.
 func (l *Lifecycle) Handle(in Input) Effect {
-	if in == IdleTimeout && l.receiving+l.inFlight > 0 {
+	if in == IdleTimeout && l.receiving+l.inFlight > 0 { // a request started as the timer fired
 		return NoEffect
 	}
-	t := transitions[l.state][in]
+	t := table[l.state][in]
 	l.state = t.next
-	l.count(in, t.effect)
-	if l.inFlight+l.receiving == 0 && (l.state == ClosingWhenIdle || l.state == Draining) {
-		l.state = Closed
-		return CloseWrite
-	}
-	return t.effect
-}
-
-// count keeps the numbers of requests.
-func (l *Lifecycle) count(in Input, effect Effect) {
 	switch {
-	case in == RequestStarted && effect == Admit:
+	case in == RequestStarted && t.effect == Admit:
 		l.receiving++
-	case in == RequestReceived && effect == Admit:
+	case in == RequestReceived && t.effect == Admit:
 		l.receiving--
 		l.inFlight++
 	case in == RequestAborted:
@@ -142,4 +138,9 @@
 	case in == IntakeStopped:
 		l.receiving = 0
 	}
+	if l.inFlight+l.receiving == 0 && (l.state == ClosingWhenIdle || l.state == Draining) {
+		l.state = Closed
+		return CloseWrite
+	}
+	return t.effect
 }
--- a/internal/protocol/connclose/lifecycle_test.go
+++ b/internal/protocol/connclose/lifecycle_test.go
@@ -5,111 +5,101 @@
 	"testing"
 )
 
-// model is what the caller of a lifecycle counts beside it, and what it was told.
-type model struct {
+// world is what a client and a node believe, kept beside a life.
+type world struct {
 	Lifecycle
-	requests
-	isClosed        bool
-	isDisconnected  bool
-	isIntakeStopped bool
-	isCloseAsked    bool
+	coming, open int // as the caller counts them
+	over         bool
+	gone         bool
+	noMore       bool
+	last         bool
 }
 
-// requests are counted by the caller.
-type requests struct {
-	incomplete int
-	unanswered int
-}
-
-func (r requests) total() int { return r.incomplete + r.unanswered }
-
-// mayHappen reports whether an input may come: nothing ends that has not begun.
-func (m *model) mayHappen(in Input) bool {
+// can tells which inputs may come: a caller does not tell of the end of what has not begun.
+func (w *world) can(in Input) bool {
 	switch in {
 	case RequestReceived, RequestAborted:
-		return m.incomplete > 0
+		return w.coming > 0
 	case RequestAnswered:
-		return m.unanswered > 0
+		return w.open > 0
 	}
 	return true
 }
 
-// step applies an input and says which rule its effect breaks.
-func (m *model) step(in Input) (wrong string) {
-	wasIdle := m.total() == 0
-	effect := m.Handle(in)
-	isAdmitted := effect == Admit
+func (w *world) step(in Input) (wrong string) {
+	quiet := w.coming+w.open == 0
+	effect := w.Handle(in)
+	took := effect == Admit
 	switch in {
 	case RequestStarted:
-		if isAdmitted {
-			m.incomplete++
+		if took {
+			w.coming++
 		}
 	case RequestReceived:
-		if m.incomplete--; isAdmitted {
-			m.unanswered++
+		if w.coming--; took {
+			w.open++
 		}
 	case RequestAborted:
-		m.incomplete--
+		w.coming--
 	case RequestAnswered:
-		m.unanswered--
+		w.open--
 	case CloseRequested:
-		m.isCloseAsked = true
+		w.last = true
 	case IntakeStopped:
-		m.isIntakeStopped, m.incomplete = true, 0
+		w.noMore, w.coming = true, 0
 	case Disconnected:
-		m.isDisconnected, m.incomplete = true, 0
+		w.gone, w.coming = true, 0
 	}
-	closes := effect == CloseWrite || effect == Close
-	mustClose := m.total() == 0 && (m.isCloseAsked || m.isIntakeStopped) || in == IdleTimeout && wasIdle
+	ends := effect == CloseWrite || effect == Close
+	due := w.open+w.coming == 0 && (w.last || w.noMore) || in == IdleTimeout && quiet
 	switch {
-	case m.isClosed && effect != NoEffect:
-		return "an effect after the close"
-	case m.isIntakeStopped && isAdmitted:
-		return "admitted after intake has stopped"
-	case (in == RequestStarted || in == RequestReceived) && !m.isClosed && !isAdmitted && !m.isIntakeStopped:
-		return "not admitted without a reason"
-	case effect == CloseWrite && m.unanswered > 0:
-		return "closed with an answer owed"
-	case effect == CloseWrite && m.incomplete > 0:
-		return "closed with a request on its way"
-	case !closes && !m.isClosed && mustClose && !m.isDisconnected:
-		return "not closed when nothing is left to do"
-	case closes && !mustClose && in != Disconnected:
-		return "closed too early"
+	case w.over && effect != NoEffect:
+		return "something is done after the end"
+	case w.noMore && took:
+		return "taken when nothing more is"
+	case (in == RequestStarted || in == RequestReceived) && !w.over && !took && !w.noMore:
+		return "not taken without a reason"
+	case effect == CloseWrite && w.open > 0:
+		return "ended with an answer owed"
+	case effect == CloseWrite && w.coming > 0:
+		return "ended with a request on its way"
+	case !ends && !w.over && due && !w.gone:
+		return "not ended when nothing is left to do"
+	case ends && !due && in != Disconnected:
+		return "ended too early"
 	}
-	m.isClosed = m.isClosed || closes
+	w.over = w.over || ends
 	return ""
 }
 
-// TestAllOrders goes through all orders of inputs with up to four requests, by the states of the model that they lead to: no answer is lost,
-// nothing is accepted that is not answered, and each connection that is to be closed is.
+// All orders of inputs with up to four requests, by the states of the world that they lead to: no answer owed is lost, nothing is taken
+// that is not answered, and each connection that is to end does.
 func TestAllOrders(t *testing.T) {
-	const maxRequests = 3 // beside one that begins
-	seen := map[model]bool{}
-	type reached struct {
-		model model
-		path  string
+	seen := map[world]bool{}
+	type place struct {
+		w    world
+		path string
 	}
-	frontier := []reached{{}}
-	for len(frontier) > 0 {
-		var next []reached
-		for _, r := range frontier {
-			for in := range inputCount {
-				m := r.model
-				if !m.mayHappen(in) || m.total() > maxRequests {
+	at := []place{{}}
+	for len(at) > 0 {
+		var next []place
+		for _, p := range at {
+			for in := range inputs {
+				w := p.w
+				if !w.can(in) || w.coming+w.open > 3 {
 					continue
 				}
-				path := fmt.Sprint(r.path, " ", in)
-				if wrong := m.step(in); wrong != "" {
+				path := fmt.Sprint(p.path, " ", in)
+				if wrong := w.step(in); wrong != "" {
 					t.Fatalf("inputs%s: %s", path, wrong)
 				}
-				if !seen[m] {
-					seen[m] = true
-					next = append(next, reached{m, path})
+				if !seen[w] {
+					seen[w] = true
+					next = append(next, place{w, path})
 				}
 			}
 		}
-		frontier = next
+		at = next
 	}
 	t.Logf("%d states", len(seen))
 }
