--- a/internal/controlplane/distribution/backoff.go
+++ b/internal/controlplane/distribution/backoff.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	initialBackoff      = 250 * time.Millisecond // after each upstream was tried once; doubles
+	initialBackoff      = 250 * time.Millisecond // doubled once per round of attempts at all upstreams: 500 ms after the first
 	maxBackoffDoublings = 6
 	stableConnection    = 30 * time.Second // a connection that lasted so long resets the backoff
 	maxCRC32            = float64(1<<32) - 1
--- a/internal/controlplane/distribution/budget.go
+++ b/internal/controlplane/distribution/budget.go
@@ -8,7 +8,7 @@
 // Defaults of Budget, in bytes per second.
 const (
 	defaultTotalBytes   = 8 << 20
-	defaultNodeBytes    = 16 << 10 // the operators' figure
+	defaultNodeBytes    = 16 << 10 // 16 KiB/s
 	defaultControlBytes = 4 << 20
 )
 
--- a/internal/controlplane/distribution/client/apply.go
+++ b/internal/controlplane/distribution/client/apply.go
@@ -104,7 +104,7 @@
 	return keys
 }
 
-// recordUnheld records entries that could not even be held. The control process sends them again when the reason is over.
+// recordUnheld records entries that the store rejected. Nothing has them sent again when the reason is over.
 func (c *Client) recordUnheld(rejected []distribution.Rejection) {
 	if len(rejected) == 0 {
 		return
--- a/internal/controlplane/distribution/client/rejections.go
+++ b/internal/controlplane/distribution/client/rejections.go
@@ -10,7 +10,7 @@
 
 const (
 	maxRejections  = 64  // in one message, and in a status
-	maxReasonBytes = 250 // of a reason on the wire
+	maxReasonBytes = 250 // of a reason that is sent whole; a longer one is cut to at most 253
 )
 
 // rejections are the entries that cannot be used, by key.
--- a/internal/controlplane/distribution/client/syncmark.go
+++ b/internal/controlplane/distribution/client/syncmark.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	syncMarkFile = "held.json"
+	syncMarkFile = "held.json"      // the name that deployed nodes have on disk
 	markInterval = 10 * time.Second // between two updates of the file
 )
 
--- a/internal/controlplane/distribution/control/publish.go
+++ b/internal/controlplane/distribution/control/publish.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	publishInterval  = 250 * time.Millisecond // at most, between two looks at slow peers and due digests
+	publishInterval  = 250 * time.Millisecond // at most, between two runs of the publishing goroutine
 	batchesPerLocked = 32                     // made while the lock is held once
 )
 
--- a/internal/controlplane/distribution/disk/disk.go
+++ b/internal/controlplane/distribution/disk/disk.go
@@ -1,5 +1,5 @@
-// Package disk keeps the entries of a distribution.Store, its vector and its origin in one file, so that what a process holds
-// is there at its next start. Packages client and control open one Disk each and save to it what their stores take in.
+// Package disk keeps the entries of a distribution.Store, its vector and the origin of its latest run in one file, so
+// that what a process holds is there at its next start. Packages client and control open one Disk each and save to it what their stores take in.
 //
 // One goroutine writes, in transactions of a bounded rate, so that no caller waits for the disk except in Close. A file that is
 // damaged is renamed, a file that cannot be written is tried again, and in both cases the process goes on from memory.
@@ -42,7 +42,7 @@
 
 // Loaded is what a file held.
 type Loaded struct {
-	// Origin is the one under which the file's owner wrote; empty for a new file.
+	// Origin is that of the run that wrote the file; empty for a new file. The next run takes another.
 	Origin distribution.Origin
 	// IsClean reports that the last process to write the file ended with everything in it.
 	IsClean bool
--- a/internal/controlplane/distribution/disk/writer.go
+++ b/internal/controlplane/distribution/disk/writer.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// finish writes everything that waits, marks the file as clean and closes it.
+// finish writes everything that waits and closes the file. After the first error it gives up; the file is marked as clean only
+// if nothing waits any more.
 func (d *Disk) finish() {
 	for d.PendingCount() > 0 {
 		if d.writeBatch() != nil {
--- a/internal/controlplane/distribution/entry.go
+++ b/internal/controlplane/distribution/entry.go
@@ -75,7 +75,7 @@
 // clockShift is the number of bits of a clock that count within a millisecond.
 const clockShift = 16
 
-// ClockAt returns the first clock of a moment. A clock is Unix time in ms << 16 | counter.
+// ClockAt returns the first clock of a moment. A clock is a hybrid logical clock: Unix time in ms << 16 | counter.
 func ClockAt(wall time.Time) uint64 { return uint64(max(wall.UnixMilli(), 0)) << clockShift }
 
 // ClockTime returns the moment of a clock.
@@ -88,7 +88,7 @@
 	Key      Key
 	Clock    uint64 // greater than any that the origin had seen; see ClockAt
 	Origin   Origin
-	Sequence uint64 // of the origin's writes, from 1
+	Sequence uint64 // counts the origin's changes, from 1
 	Deleted  bool
 	Value    []byte
 }
--- a/internal/controlplane/distribution/failback.go
+++ b/internal/controlplane/distribution/failback.go
@@ -15,7 +15,7 @@
 	nextProbe     int // index of the upstream to be probed next
 	answered      int // index of the upstream that has answered a probe
 	hasAnswer     bool
-	unstableCount int  // failbacks in a row that did not last
+	unstableCount int  // failbacks in a row that did not last, the one under way included
 	isUnderWay    bool // the connection or attempt in hand is a failback
 }
 
--- a/internal/controlplane/distribution/merge.go
+++ b/internal/controlplane/distribution/merge.go
@@ -1,7 +1,8 @@
 package distribution
 
-// Merge takes in entries of other holders. It returns those that won and those that were refused, which only happens where they
-// exceed a bound. An entry that the vector covers and whose key is not held was deleted and pruned: it does not come back.
+// Merge takes in entries of other holders. It returns those that won and those that were rejected: for their size, their key
+// (unknown kind, no name, not UTF-8), their origin, or because the store is full. An entry that the vector covers
+// and whose key is not held was deleted and pruned: it does not come back.
 func (s *Store) Merge(entries []Entry) (changed []Entry, refused []Rejection) {
 	return s.merge(entries, nil)
 }
--- a/internal/controlplane/distribution/origin.go
+++ b/internal/controlplane/distribution/origin.go
@@ -25,8 +25,9 @@
 	}
 }
 
-// IsStale reports whether others hold or may hold more of this store's origin than the store, as after an old copy of a disk
-// was put back: the numbers of further writes would be taken as known. No write is accepted until RenewOrigin.
+// IsStale reports whether others hold or may hold more of this store's origin than the store, as if two runs
+// had taken the same origin: the numbers of further writes would be taken as known. A control process takes a random origin at
+// each start, so that this does not happen in practice. No write is accepted until RenewOrigin.
 func (s *Store) IsStale() bool { return s.own.isStale }
 
 // RenewOrigin gives the store another origin, and writes again under it what was written under the old one since the restore.
--- a/internal/controlplane/distribution/scope.go
+++ b/internal/controlplane/distribution/scope.go
@@ -6,8 +6,8 @@
 )
 
 // SetScope says which services this store is for; without a call it is for all. What it holds of others is removed and
-// returned. A service that is new stays unsynced until it was received whole. After Restore the caller first sets the scope
-// that was on disk.
+// returned. A service that is new stays unsynced until it was received whole. After a restart the caller calls Restore,
+// then SetScope with the new scope, then MarkUnsynced with the services that the vector on disk does not cover.
 func (s *Store) SetScope(services []string) (removed []Entry) {
 	scope := make(map[string]bool, len(services))
 	for _, name := range services {
@@ -37,7 +37,7 @@
 func (s *Store) UnsyncedServices() []string { return slices.Sorted(maps.Keys(s.unsynced)) }
 
 // MarkUnsynced says that the vector does not cover some services of the scope, as after a restart before they were received.
-// A control process, part of whose disk was damaged, restores what is left without a vector instead.
+// It is for nodes: a control process whose disk was damaged has its whole file renamed and starts empty.
 func (s *Store) MarkUnsynced(services []string) {
 	for _, name := range services {
 		if s.scope[name] && s.unsynced[name] == nil {
--- a/internal/controlplane/distribution/value/value.go
+++ b/internal/controlplane/distribution/value/value.go
@@ -1,6 +1,7 @@
 // Package value encodes and decodes the values of distributed entries. A server's value is its incarnation and a tenant's its
 // allowance, both as CBOR; a route's and a pool's is the TOML text of an operator's file, which package tree writes and package
-// route reads. Callers are the commands, control processes and the node.
+// route reads. Callers are the commands, by package tree, and the
+// node. Control processes read and write servers' values in package control, without this package's validation.
 package value
 
 import (
@@ -73,7 +74,7 @@
 	case math.IsNaN(e.Weight) || math.IsInf(e.Weight, 0) || e.Weight < 0:
 		return fmt.Errorf("size %v: a number of 0 or more is wanted", e.Weight)
 	case e.StartedUnixMS < 0:
-		return fmt.Errorf("up %d: Unix time in ms is wanted", e.StartedUnixMS)
+		return fmt.Errorf("started %d: Unix time in ms is wanted", e.StartedUnixMS)
 	}
 	if at, err := netip.ParseAddrPort(e.Address); (err != nil || at.Port() == 0) && e.Condition == incarnation.Up {
 		return fmt.Errorf("address %.60q: an address and a port are wanted", e.Address)
--- a/internal/controlplane/distribution/vector.go
+++ b/internal/controlplane/distribution/vector.go
@@ -63,7 +63,7 @@
 	return maps.Clone(v)
 }
 
-// Total returns the number of writes that the vector covers, which commands show as the revision.
+// Total returns the number of changes that the vector covers, which commands show as the revision. RenewOrigin may lower it.
 func (v Vector) Total() (total uint64) {
 	for _, sequence := range v {
 		total += sequence
--- a/internal/controlplane/distribution/wire/messages.go
+++ b/internal/controlplane/distribution/wire/messages.go
@@ -58,7 +58,7 @@
 	_ struct{} `cbor:",toarray"`
 
 	Digests       distribution.Digests
-	IsAllServices bool // there are no other services; an answer to Pull.WantsDigests
+	IsAllServices bool // an answer to Pull.WantsDigests: there are no other services. Receivers don't read it
 }
 
 // Pull asks the other side for what is missing here. One that asks for nothing is a ping, which is answered by one.
--- a/internal/controlplane/plan/change.go
+++ b/internal/controlplane/plan/change.go
@@ -21,14 +21,15 @@
 	ReportingForwarders int
 	Nodes               int
 	AdmittedShare       float64
-	WithinAllowance     []TenantShare // all of them, if any has changed
+	WithinAllowance     []TenantShare // all of them, if any has changed; empty: unchanged
 	Servers             []ServerShare // new or changed
 	RemovedServers      []string
 	Incarnations        []incarnation.Entry // new or changed
 }
 
-// Diff returns the change from one plan to the next, and the plan that the receiver holds after it. That differs from next
-// where a number has changed too little to be sent.
+// Diff returns the change from one plan to the next, and the plan that the receiver is taken to hold after it. That differs from
+// next where a number has changed too little to be sent. An empty WithinAllowance cannot be sent: when the last tenant is gone,
+// held has no tenants while the receiver keeps the last ones, because Apply reads an empty list as unchanged.
 func Diff(before, next Plan) (c Change, held Plan) {
 	c = Change{
 		PlannerStartMs:      next.PlannerStartMs,
@@ -71,7 +72,8 @@
 	return changed, removed, held
 }
 
-// isNearlySame reports whether a server need not be sent again. One that is ejected is: its remaining time counts down.
+// isNearlySame reports whether a server need not be sent again. An ejected one is always sent, as its remaining time
+// counts down.
 func isNearlySame(a, b ServerShare) bool {
 	return isNear(a.Share, b.Share) && isNear(a.SlowStartRate, b.SlowStartRate) && a.IsAvoided == b.IsAvoided &&
 		a.EjectionRemaining == 0 && b.EjectionRemaining == 0
--- a/internal/controlplane/plan/fleetplan.go
+++ b/internal/controlplane/plan/fleetplan.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// shareSteps is the resolution of shares: they are multiples of 1/shareSteps, which CBOR encodes in two bytes.
+// shareSteps is the resolution of shares: they are multiples of 1/shareSteps, which CBOR encodes as a half-precision number, in three
+// bytes with its head.
 const shareSteps = 2048
 
 // FleetPlan is the result of one computation: the plans of all forwarders. It does not change afterwards.
--- a/internal/controlplane/plan/forwarder.go
+++ b/internal/controlplane/plan/forwarder.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	forwarderTimeout  = 10 * time.Second // a forwarder that is not heard may go on sending for so long
+	forwarderTimeout  = 10 * time.Second // without a report, after which a forwarder no longer counts
 	rateTimeConstant  = 3 * time.Second
 	minReportInterval = 50 * time.Millisecond
 	minForwarderRate  = 1e-3 // attempts per second; less is none
--- a/internal/controlplane/plan/plan.go
+++ b/internal/controlplane/plan/plan.go
@@ -13,8 +13,8 @@
 	PlannerStartMs      int64         // Unix time in ms of the planner's start, which identifies the planner's run
 	Number              uint64        // counts the planner's plans, from 1
 	ReportSentAt        time.Duration // SentAt of the forwarder's last report that the plan is based on; 0: none yet
-	ReportingForwarders int           // that the planner has recent reports of
-	Nodes               int           // forwarders that share the load
+	ReportingForwarders int           // that the planner has recent reports of; its reach is judged by it
+	Nodes               int           // forwarders that share the load: ReportingForwarders, but at least 1
 	AdmittedShare       float64       // of the requests, 0 to 1
 	WithinAllowance     []TenantShare
 	Servers             []ServerShare
@@ -34,8 +34,8 @@
 	_ struct{} `cbor:",toarray"`
 
 	ID                string
-	Share             float64       // of the forwarder's requests; all add up to 1
+	Share             float64       // of the forwarder's requests; all add up to about 1; the follower normalizes them
 	IsAvoided         bool          // it is much slower than it usually is
 	SlowStartRate     float64       // attempts per second that a server in slow start may be sent; 0: it is not in slow start
-	EjectionRemaining time.Duration // from the plan's computation; 0: not ejected
+	EjectionRemaining time.Duration // which the forwarder counts from the plan's receipt; 0: not ejected
 }
--- a/internal/controlplane/plan/weights.go
+++ b/internal/controlplane/plan/weights.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	weightExponent       = 1.5  // of the speed in the weight; 1 would have all servers equally busy, though fast ones lose less by it
+	weightExponent       = 1.5  // a server's weight is its relative latency to the power of -weightExponent; at 1 all would be equally busy
 	minSlowness          = 0.3  // below it a server gets no more for being fast
 	minWeightFactor      = 0.02 // so that a slow server still gets enough to be seen to recover
 	avoidFactor          = 2.0  // recent over usual slowness from which a server is avoided
--- a/internal/controlplane/planconfig/config.go
+++ b/internal/controlplane/planconfig/config.go
@@ -30,7 +30,7 @@
 // Forwarder is a forwarder's file.
 type Forwarder struct {
 	Planners []string `toml:"planners"` // addresses; all forwarders name them in the same order
-	Name     string   `toml:"name"`     // that the planners' certificates are for
+	Name     string   `toml:"name"`     // in the planners' certificates, by which the forwarder verifies them; not the forwarder's own
 	TLS
 
 	Addresses []netip.AddrPort `toml:"-"`
@@ -39,7 +39,7 @@
 
 // Planner is a planner's file.
 type Planner struct {
-	Name      string            `toml:"name"`
+	Name      string            `toml:"name"` // its own, in its greeting and its log
 	Listen    string            `toml:"listen"`
 	Discovery string            `toml:"discovery"`
 	Registry  string            `toml:"registry"` // a registry's file, in place of discovery
--- a/internal/controlplane/planfollower/follower.go
+++ b/internal/controlplane/planfollower/follower.go
@@ -9,7 +9,9 @@
 )
 
 const (
-	expiryAge       = 13 * time.Second // of a plan, from which the forwarder goes by what it knows itself
+	// expiryAge of a plan, from which the forwarder decides alone: freshAge, and the 10 s for which a planner still counts a
+	// forwarder that is silent.
+	expiryAge       = 13 * time.Second
 	pollDelay       = 1 * time.Second  // without a fresh plan, before a forwarder polls discovery itself
 	pollDelaySpread = 3 * time.Second  // that Options.PollJitter spreads over: discovery has little capacity
 	noPlannerIndex  = -1
@@ -36,8 +38,8 @@
 
 // Effective is what is in effect at the forwarder.
 type Effective struct {
-	HasPlan             bool // else the forwarder decides alone, and only Nodes and ShouldPollDiscovery are set
-	Planner             int  // that is followed, -1 while the last plan decays
+	HasPlan             bool // else the forwarder decides alone, and only Planner, PlanAge, Nodes and ShouldPollDiscovery are set
+	Planner             int  // that is followed; -1 without a fresh plan: the last one is being phased out, or there is none
 	PlanAge             time.Duration
 	Nodes               int // forwarders that share the load
 	AdmittedShare       float64
@@ -106,7 +108,7 @@
 	return pollDelay + time.Duration(f.options.PollJitter*float64(pollDelaySpread))
 }
 
-// admittedShare decays to 1 with the age of a plan that is no longer fresh: what is not known to be too much is admitted.
+// admittedShare rises to 1 with the age of a plan that is no longer fresh: what is not known to be too much is admitted.
 func (f *Follower) admittedShare() float64 {
 	share := f.inEffect.AdmittedShare
 	if f.isFresh() {
--- a/internal/controlplane/planfollower/shares.go
+++ b/internal/controlplane/planfollower/shares.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// targetShares are the plan's shares of the servers that may be used, which add up to 1. Ejections hold only while the plan is
-// fresh.
+// targetShares are the plan's shares of the servers that may be used, which add up to 1. While the plan is fresh, a server that
+// it ejects has none, also after the ejection has run out: a later plan gives it a share again.
 func (f *Follower) targetShares(isUp func(id string) bool) map[string]float64 {
 	target, sum := map[string]float64{}, 0.0
 	for _, s := range f.inEffect.Servers {
--- a/internal/controlplane/planfollower/source.go
+++ b/internal/controlplane/planfollower/source.go
@@ -31,7 +31,8 @@
 func (s *source) isFresh(now time.Duration) bool { return s.age(now) < freshAge }
 
 // selectPlanner returns the first planner whose plan is fresh and that hears nearly as many forwarders as any other;
-// noPlannerIndex for none. So all forwarders follow the same planner, and none follows one that is cut off from most.
+// noPlannerIndex for none. All forwarders list the planners in the same order, so that they
+// mostly agree, and none follows a planner that is cut off from most forwarders.
 func (f *Follower) selectPlanner(now time.Duration) int {
 	mostReporting := 0
 	for i := range f.sources {
--- a/internal/controlplane/planner/connection.go
+++ b/internal/controlplane/planner/connection.go
@@ -41,7 +41,7 @@
 	f.next <- p
 }
 
-// serveConnection leads a forwarder's connection until it ends.
+// serveConnection serves a forwarder's connection until it ends.
 func (s *Server) serveConnection(ctx context.Context, nc net.Conn) {
 	defer nc.Close()
 	stopClosing := context.AfterFunc(ctx, func() { nc.Close() })
--- a/internal/controlplane/planner/server.go
+++ b/internal/controlplane/planner/server.go
@@ -26,7 +26,7 @@
 	mu          sync.Mutex // never held over a socket
 	planner     *plan.Planner
 	discovered  map[string]incarnation.Entry // what discovery has listed, as it listed it
-	hasList     bool                         // a complete list was received; without one no plan is computed
+	hasList     bool                         // discovery's complete list, or anything of a registry, was received; else no plan is computed
 	forwarders  map[string]*forwarder        // by name
 	connections int
 	counts      counts
--- a/internal/controlplane/planwire/frames.go
+++ b/internal/controlplane/planwire/frames.go
@@ -12,7 +12,8 @@
 // Version of the frames. A peer of another version is refused.
 const Version = 2
 
-// maxBodyBytes holds 4,000 incarnations of 200 bytes, and some slack.
+// maxBodyBytes holds a change with 4,096 incarnations of 200 bytes, and 224 KiB more. Reports are not sized by it: a forwarder's
+// that is longer cannot be sent.
 const maxBodyBytes = 1 << 20
 
 // Kind of a frame.
