--- a/internal/controlplane/planfollower/follower.go
+++ b/internal/controlplane/planfollower/follower.go
@@ -12,8 +12,8 @@
 	// expiryAge of a plan, from which the forwarder decides alone: freshAge, and the 10 s for which a planner still counts a
 	// forwarder that is silent.
 	expiryAge       = 13 * time.Second
-	pollDelay       = 1 * time.Second  // without a fresh plan, before a forwarder polls discovery itself
-	pollDelaySpread = 3 * time.Second  // that Options.PollJitter spreads over: discovery has little capacity
+	pollDelay       = 1 * time.Second // without a fresh plan, before a forwarder polls discovery itself
+	pollDelaySpread = 3 * time.Second // that Options.PollJitter spreads over: discovery has little capacity
 	noPlannerIndex  = -1
 )
 
