--- a/internal/controlplane/distribution/client/link.go
+++ b/internal/controlplane/distribution/client/link.go
@@ -56,14 +56,14 @@
 	rejection chan error // why the connection ends, to be sent to the other side
 
 	// Of Run's goroutine alone.
-	receiver     *distribution.Receiver // nil until connected
-	reported     distribution.Vector    // applied, as the other side knows it; nil until connected
-	reportedBad  map[distribution.Key]string
-	upload       upload
-	lastMessage  time.Duration
-	isPinged     bool
-	isOverflowed bool // a message found no room in out
-	isRejected   bool
+	receiver           *distribution.Receiver // nil until connected
+	reported           distribution.Vector    // applied, as the other side knows it; nil until connected
+	reportedRejections map[distribution.Key]string
+	upload             upload
+	lastMessage        time.Duration
+	isPinged           bool
+	isOverflowed       bool // a message found no room in out
+	isRejected         bool
 }
 
 // startLink begins an attempt at an upstream.
@@ -71,13 +71,13 @@
 	c.lastLink++
 	ctx, cancel := context.WithCancel(running)
 	l := &link{
-		number:      c.lastLink,
-		upstream:    upstream,
-		cancel:      cancel,
-		out:         make(chan wire.Message, maxQueuedMessages),
-		rejection:   make(chan error, 1),
-		reportedBad: map[distribution.Key]string{},
-		lastMessage: c.now(),
+		number:             c.lastLink,
+		upstream:           upstream,
+		cancel:             cancel,
+		out:                make(chan wire.Message, maxQueuedMessages),
+		rejection:          make(chan error, 1),
+		reportedRejections: map[distribution.Key]string{},
+		lastMessage:        c.now(),
 	}
 	c.link = l
 	c.running.Go(func() {
--- a/internal/controlplane/distribution/client/rejections.go
+++ b/internal/controlplane/distribution/client/rejections.go
@@ -77,16 +77,16 @@
 // unreportedRejections returns what the other side does not know yet, and notes that it does now. A rejection without a reason
 // withdraws an earlier one.
 func (l *link) unreportedRejections(current rejections) (unreported []distribution.Rejection) {
-	for k := range l.reportedBad {
+	for k := range l.reportedRejections {
 		if _, isRejected := current[k]; !isRejected && len(unreported) < maxRejections {
 			unreported = append(unreported, distribution.Rejection{Key: k})
-			delete(l.reportedBad, k)
+			delete(l.reportedRejections, k)
 		}
 	}
 	for _, r := range current.first() {
-		if l.reportedBad[r.Key] != r.Reason && len(unreported) < maxRejections {
+		if l.reportedRejections[r.Key] != r.Reason && len(unreported) < maxRejections {
 			unreported = append(unreported, r)
-			l.reportedBad[r.Key] = r.Reason
+			l.reportedRejections[r.Key] = r.Reason
 		}
 	}
 	return unreported
--- a/internal/controlplane/distribution/control/accept.go
+++ b/internal/controlplane/distribution/control/accept.go
@@ -26,8 +26,8 @@
 // keepAlive has the system notice within about ten seconds that a peer's machine is gone.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 
-// errCrowded rejects a connection for want of room.
-var errCrowded = errors.New("too many connections are here: ask another control process")
+// errTooManyConnections rejects a connection for want of room.
+var errTooManyConnections = errors.New("too many connections are here: ask another control process")
 
 // accept takes connections of subscribers and of commands, until the context ends.
 func (s *Server) accept(ctx context.Context, listener *net.TCPListener) {
@@ -58,16 +58,16 @@
 	from := nc.RemoteAddr().String()
 	s.mu.Lock()
 	s.links.accepted++
-	isCrowded := s.links.accepted > s.config.MaxConnections
+	hasTooMany := s.links.accepted > s.config.MaxConnections
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.links.accepted--
 	}()
-	if isCrowded {
-		s.peerRejected(from, errCrowded)
-		wire.Protocol.NewConn(nc).Reject(errCrowded)
+	if hasTooMany {
+		s.peerRejected(from, errTooManyConnections)
+		wire.Protocol.NewConn(nc).Reject(errTooManyConnections)
 		linger(nc)
 		return
 	}
--- a/internal/controlplane/distribution/control/links.go
+++ b/internal/controlplane/distribution/control/links.go
@@ -40,7 +40,7 @@
 	if s.addLink(l) {
 		err = l.read()
 	} else {
-		err = &protocolError{errCrowded}
+		err = &protocolError{errTooManyConnections}
 	}
 	if fault := (*protocolError)(nil); errors.As(err, &fault) {
 		s.peerRejected(describePeer(l.peer, l.from), err)
--- a/internal/controlplane/distribution/control/peers_test.go
+++ b/internal/controlplane/distribution/control/peers_test.go
@@ -125,7 +125,7 @@
 	n := node("n", "s")
 	n.subscribe(t, m.at)
 	conn := command(t, m.at, nil)
-	if _, err := greeted(m.at, "third", nil); err == nil || !strings.Contains(err.Error(), errCrowded.Error()) {
+	if _, err := greeted(m.at, "third", nil); err == nil || !strings.Contains(err.Error(), errTooManyConnections.Error()) {
 		t.Errorf("a third: %v", err)
 	}
 	wire.Send(conn, &wire.Write{ID: 1, Changes: []distribution.Change{route("s", "x")}})
@@ -149,7 +149,7 @@
 	}
 	wait(t, "all are there", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return m.links.unsubscribed == maxUnsubscribed })
 	conn := command(t, m.at, nil)
-	if _, err := next(conn, patience); err == nil || !strings.Contains(err.Error(), errCrowded.Error()) {
+	if _, err := next(conn, patience); err == nil || !strings.Contains(err.Error(), errTooManyConnections.Error()) {
 		t.Errorf("one more: %v", err)
 	}
 }
--- a/internal/controlplane/distribution/disk/disk.go
+++ b/internal/controlplane/distribution/disk/disk.go
@@ -105,7 +105,7 @@
 	switch {
 	case err == nil:
 		d.file = f
-	case isOutOfSpace(err):
+	case isRetryable(err):
 		d.recordFault(err)
 	default:
 		return nil, Loaded{}, fmt.Errorf("%s: %w", path, err)
--- a/internal/controlplane/distribution/disk/file.go
+++ b/internal/controlplane/distribution/disk/file.go
@@ -70,7 +70,7 @@
 	switch {
 	case errors.Is(err, bbolterrors.ErrTimeout):
 		return ErrInUse
-	case errors.As(err, &pathError), errors.As(err, &errno), isOutOfSpace(err):
+	case errors.As(err, &pathError), errors.As(err, &errno), isRetryable(err):
 		return err
 	}
 	return fmt.Errorf("%w: %v", errDamaged, err)
--- a/internal/controlplane/distribution/disk/writer.go
+++ b/internal/controlplane/distribution/disk/writer.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// isOutOfSpace reports whether an error may pass by itself.
-func isOutOfSpace(err error) bool {
+// isRetryable reports whether an error may pass by itself.
+func isRetryable(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG) || errors.Is(err, syscall.EIO) ||
 		errors.Is(err, bbolterrors.ErrMaxSizeReached)
 }
--- a/internal/controlplane/distribution/receiver.go
+++ b/internal/controlplane/distribution/receiver.go
@@ -8,13 +8,13 @@
 // Receiver takes in the batches of one subscription, at the subscriber's end. A subscriber whose services change ends its
 // connection and subscribes again with a new Receiver.
 type Receiver struct {
-	store       *Store
-	through     Vector // the sender's vector as far as it has said
-	lastBatch   uint64 // number
-	isStoreFull bool   // something found no room: the vector does not advance any more
-	transfer    transfer
-	repair      repair
-	synced      map[string]bool // services that were unsynced at the subscription, or were sent whole since
+	store        *Store
+	through      Vector // the sender's vector as far as it has said
+	lastBatch    uint64 // number
+	isStoreFull  bool   // something found no room: the vector does not advance any more
+	transfer     transfer
+	repair       repair
+	toMarkSynced map[string]bool // services that were unsynced at the subscription, or were sent whole since
 }
 
 // transfer is the services that are being sent whole.
@@ -43,14 +43,14 @@
 // NewReceiver returns a receiver for a subscription that begins now.
 func NewReceiver(store *Store) *Receiver {
 	r := &Receiver{
-		store:    store,
-		through:  Vector{},
-		transfer: transfer{services: map[string]bool{}, received: map[Key]bool{}},
-		repair:   repair{services: map[string]bool{}, attempts: map[string]int{}},
-		synced:   map[string]bool{},
+		store:        store,
+		through:      Vector{},
+		transfer:     transfer{services: map[string]bool{}, received: map[Key]bool{}},
+		repair:       repair{services: map[string]bool{}, attempts: map[string]int{}},
+		toMarkSynced: map[string]bool{},
 	}
 	for _, name := range store.UnsyncedServices() {
-		r.synced[name] = true
+		r.toMarkSynced[name] = true
 	}
 	return r
 }
@@ -95,14 +95,14 @@
 // complete ends the transfers under way and advances the vector.
 func (r *Receiver) complete(b Batch, result *BatchResult) {
 	r.through.Join(b.Through)
-	result.Removed = r.store.ReplaceServices(r.replacedServices(), r.transfer.received, b.Through)
+	result.Removed = r.store.ReplaceServices(r.finishTransfers(), r.transfer.received, b.Through)
 	for _, e := range result.Removed {
 		result.ResyncServices = append(result.ResyncServices, e.Key.Service)
 	}
 	result.ResyncServices = sortedSet(result.ResyncServices)
 	r.store.AdvanceVector(b.Through)
 	r.store.AdvancePruned(b.Pruned)
-	for name := range r.synced {
+	for name := range r.toMarkSynced {
 		r.store.serviceReceived(name, r.through)
 	}
 	r.transfer.isAll = false
@@ -111,10 +111,11 @@
 	result.IsComplete = true
 }
 
-// replacedServices returns the services of which nothing stays that was not received. A service that is being repaired keeps
+// finishTransfers ends the transfers and repairs of services that were sent whole, notes them in toMarkSynced, and returns those
+// of which nothing stays that was not received. A service that is being repaired keeps
 // what it holds, since either side may have lost something: the sender receives it in turn if it subscribes here. A node, which
 // nobody subscribes to, takes over the sender's entries at the second attempt.
-func (r *Receiver) replacedServices() []string {
+func (r *Receiver) finishTransfers() []string {
 	var services []string
 	for _, name := range slices.Sorted(maps.Keys(r.transfer.services)) {
 		isNode := r.store.scope != nil
@@ -122,7 +123,7 @@
 			services = append(services, name)
 		}
 		delete(r.repair.services, name)
-		r.synced[name] = true
+		r.toMarkSynced[name] = true
 	}
 	if r.transfer.isAll {
 		return r.store.Services()
--- a/internal/controlplane/distribution/store_test.go
+++ b/internal/controlplane/distribution/store_test.go
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestDigestCoversEachPartOfAnEntry(t *testing.T) {
+func TestDigestCoversKeyAndVersion(t *testing.T) {
 	seen := map[uint64]bool{}
 	for _, e := range []Entry{
 		{Key: key("a", "1"), Clock: 5, Origin: "x/1", Sequence: 1},
--- a/internal/controlplane/plan/admission.go
+++ b/internal/controlplane/plan/admission.go
@@ -31,11 +31,11 @@
 // updateAdmission lowers the admitted share while attempts time out over all forwarders and those that complete take longer
 // than their objective; else it raises the share.
 func (p *Planner) updateAdmission(passed time.Duration) {
-	latency := p.load.overObjective / max(p.load.ended-p.load.timedOut, 1)
-	isOverloaded := p.load.ended > minOverloadAttempts && p.load.timedOut > overloadTimeoutShare*p.load.ended && latency > overloadLatency
+	meanOverObjective := p.load.overObjective / max(p.load.ended-p.load.timedOut, 1)
+	isOverloaded := p.load.ended > minOverloadAttempts && p.load.timedOut > overloadTimeoutShare*p.load.ended && meanOverObjective > overloadLatency
 	step := admissionRate * passed.Seconds()
 	if isOverloaded {
-		p.admitted *= math.Exp(-step * min(latency-1, maxOverloadFactor))
+		p.admitted *= math.Exp(-step * min(meanOverObjective-1, maxOverloadFactor))
 	} else {
 		p.admitted *= math.Exp(step)
 	}
--- a/internal/controlplane/plan/assignment.go
+++ b/internal/controlplane/plan/assignment.go
@@ -64,7 +64,7 @@
 
 // targetLoad is what a server should get of a total demand: the share of its weight.
 func (a *assignment) targetLoad(server int, totalDemand, totalWeight float64) float64 {
-	return max(totalDemand*a.weights[server]/max(totalWeight, 1e-9), minTargetLoad)
+	return max(totalDemand*a.weights[server]/max(totalWeight, minDivisor), minTargetLoad)
 }
 
 // holderCounts counts, by server, the forwarders that use it.
--- a/internal/controlplane/plan/ejection.go
+++ b/internal/controlplane/plan/ejection.go
@@ -9,7 +9,7 @@
 	reporterTimeout = 2 * recentTimeConstant // for which a forwarder's report of failures alone counts
 	initialEjection = 500 * time.Millisecond // doubles with each consecutive ejection, as in package policy
 	maxEjection     = 4 * time.Second
-	maxDoublings    = 3
+	maxDoublings    = 3   // with which maxEjection is reached; keeps the shift small
 	maxEjectedShare = 0.5 // of the servers: to eject more would overload the others
 )
 
--- a/internal/controlplane/plan/forwarder.go
+++ b/internal/controlplane/plan/forwarder.go
@@ -63,20 +63,20 @@
 type combinedSettings struct {
 	slowStartDuration time.Duration
 	initialCapacity   float64
-	fallMultiple      float64 // +Inf if no forwarder names one
+	crashLoadFactor   float64 // +Inf if no forwarder names one
 	forwarders        int     // that exist, heard or not
 }
 
 // combineSettings combines the settings of forwarders.
 func (p *Planner) combineSettings(forwarders []string) combinedSettings {
-	c := combinedSettings{initialCapacity: 1, fallMultiple: math.Inf(1), forwarders: len(forwarders)}
+	c := combinedSettings{initialCapacity: 1, crashLoadFactor: math.Inf(1), forwarders: len(forwarders)}
 	for _, name := range forwarders {
 		s := p.forwarders[name].settings
 		c.slowStartDuration = max(c.slowStartDuration, s.SlowStartDuration)
 		c.initialCapacity = min(c.initialCapacity, s.InitialCapacity)
 		c.forwarders = max(c.forwarders, min(s.Nodes, maxForwarders))
-		if s.FallMultiple > 0 {
-			c.fallMultiple = min(c.fallMultiple, s.FallMultiple)
+		if s.CrashLoadFactor > 0 {
+			c.crashLoadFactor = min(c.crashLoadFactor, s.CrashLoadFactor)
 		}
 	}
 	return c
--- a/internal/controlplane/plan/planner_test.go
+++ b/internal/controlplane/plan/planner_test.go
@@ -51,7 +51,7 @@
 func (w *fleet) step(attempts func(f, s int) outcome) *FleetPlan {
 	w.now += 500 * ms
 	for f, name := range w.names {
-		r := Report{SentAt: w.now, Interval: 500 * ms, InFlight: 1, CurrentShares: w.held[name], Settings: ForwarderSettings{Nodes: len(w.names), SlowStartDuration: 5 * time.Second, InitialCapacity: 0.4, FallMultiple: 2.5},
+		r := Report{SentAt: w.now, Interval: 500 * ms, InFlight: 1, CurrentShares: w.held[name], Settings: ForwarderSettings{Nodes: len(w.names), SlowStartDuration: 5 * time.Second, InitialCapacity: 0.4, CrashLoadFactor: 2.5},
 			Types: []TypeReport{{Name: "check", TargetTime: 200 * ms}}}
 		for s, id := range w.ids {
 			if d := attempts(f, s); d != (outcome{}) {
--- a/internal/controlplane/plan/report.go
+++ b/internal/controlplane/plan/report.go
@@ -28,7 +28,7 @@
 	Nodes             int           // forwarders by the settings
 	SlowStartDuration time.Duration // after a server's start
 	InitialCapacity   float64       // share of its capacity that a server has at its start
-	FallMultiple      float64       // load over its capacity at which a server fails; 0: not known
+	CrashLoadFactor   float64       // load over its capacity at which a server crashes; 0: not known
 	TotalAllowance    float64       // requests per second of all tenants, over all nodes
 }
 
--- a/internal/controlplane/plan/scenario_test.go
+++ b/internal/controlplane/plan/scenario_test.go
@@ -55,7 +55,7 @@
 		{"tenants", func() {
 			for _, name := range w.names {
 				w.p.ReportReceived(w.now, name, &Report{SentAt: w.now, Interval: 500 * ms, InFlight: 3, CurrentShares: w.held[name], Tenants: tenants,
-					Settings: ForwarderSettings{Nodes: 24, SlowStartDuration: 5 * time.Second, InitialCapacity: 0.4, FallMultiple: 2.5, TotalAllowance: 200}})
+					Settings: ForwarderSettings{Nodes: 24, SlowStartDuration: 5 * time.Second, InitialCapacity: 0.4, CrashLoadFactor: 2.5, TotalAllowance: 200}})
 			}
 		}, 2, healthy},
 		{"overload", nil, 6, overload},
--- a/internal/controlplane/plan/server.go
+++ b/internal/controlplane/plan/server.go
@@ -8,17 +8,17 @@
 
 const (
 	recentTimeConstant = 1 * time.Second // over which completions show how slow a server is now
-	recentPrior        = 3.0             // completions at its usual slowness that are added, so that a few do not decide
+	recentPrior        = 3.0             // completions at its usual relative latency that are added, so that a few do not decide
 	usualTimeConstant  = 8 * time.Second // over which completions show how slow a server usually is
 	usualPrior         = 10.0            // completions at the types' usual latency that are added
-	slowdownFactor     = 1.6             // recent over usual slowness from which a slowdown is more than chance
-	slowdownSampleRate = 0.1             // weight of completions during a slowdown in the usual slowness
+	slowdownFactor     = 1.6             // recent over usual relative latency from which a slowdown is more than chance
+	slowdownSampleRate = 0.1             // weight of completions during a slowdown in the usual relative latency
 )
 
 // server is what is known of one server in its current incarnation.
 type server struct {
 	incarnation incarnation.Entry
-	latency     slowness
+	latency     relativeLatency
 	failures    failureStats
 	ejection    ejectionState
 	capacity    float64 // share of its capacity that it has in slow start; 1: warm
@@ -26,7 +26,7 @@
 	isAvoided   bool
 }
 
-// samples are completions and the sum of their slowness, which is latency over the usual latency of their type.
+// samples are completions and the sum of their relative latency, which is latency over the usual latency of their type.
 type samples struct {
 	count float64
 	total float64
@@ -42,23 +42,23 @@
 	s.total *= factor
 }
 
-// slowness of a server, beside the average server's.
-type slowness struct {
+// relativeLatency is the latency of a server over the usual latency of the types, beside the average server's.
+type relativeLatency struct {
 	pending samples // reported since the last plan
 	recent  samples // decaying with recentTimeConstant
 	usual   samples // decaying with usualTimeConstant
 }
 
-// ratios returns the usual slowness, 1 being the average server's, and the recent one over the usual one.
-func (s *slowness) ratios() (usual, recent float64) {
+// ratios returns the usual relative latency, 1 being the average server's, and the recent one over the usual one.
+func (s *relativeLatency) ratios() (usual, recent float64) {
 	usual = (s.usual.total + usualPrior) / (s.usual.count + usualPrior)
 	recent = (s.recent.total + recentPrior*usual) / (s.recent.count + recentPrior) / usual
 	return usual, recent
 }
 
 // advance moves the pending completions into the decaying sums. During a slowdown they hardly count as usual, or a latency
-// spike of seconds would be taken for the server's usual slowness.
-func (s *slowness) advance(passed time.Duration) {
+// spike of seconds would be taken for the server's usual relative latency.
+func (s *relativeLatency) advance(passed time.Duration) {
 	s.recent.decay(decay(passed, recentTimeConstant))
 	s.recent.add(s.pending, 1)
 	weight := 1.0
@@ -83,7 +83,7 @@
 func (p *Planner) serverReported(now time.Duration, forwarder string, r *Report, reported *ServerReport) (attempts int) {
 	s := p.servers[reported.ID]
 	if s == nil {
-		if len(p.servers) >= maxServers {
+		if len(p.servers) >= maxEntriesPerTable {
 			return 0
 		}
 		s = newServer()
@@ -98,7 +98,7 @@
 		p.completionsReported(s, p.trafficType(&r.Types[c.TypeIndex]), c)
 	}
 	timedOut, failed := max(reported.TimedOut, 0), max(reported.Failed, 0)
-	s.latency.pending.add(samples{count: 1, total: p.timeoutSlowness()}, float64(timedOut))
+	s.latency.pending.add(samples{count: 1, total: p.timeoutRelativeLatency()}, float64(timedOut))
 	s.failures.add(now, forwarder, completed, timedOut, failed)
 	p.load.ended += float64(timedOut)
 	p.load.timedOut += float64(timedOut)
@@ -110,7 +110,7 @@
 	count := float64(c.Count)
 	latency := c.TotalLatency.Seconds() / count
 	s.latency.pending.count += count
-	s.latency.pending.total += count * latency / max(t.usual, minLatencySeconds)
+	s.latency.pending.total += count * latency / max(t.usualSeconds, minLatencySeconds)
 	t.count += count
 	t.total += c.TotalLatency.Seconds()
 	p.load.overObjective += count * latency / t.objective()
--- a/internal/controlplane/plan/slowstart.go
+++ b/internal/controlplane/plan/slowstart.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	minConcurrencyShare = 0.5  // of FallMultiple: the least concurrency of a server in slow start, over all forwarders
-	negligibleRate      = 1e-9 // attempts per second of a forwarder that is to send a server nothing; 0 would mean no limit
+	minConcurrencyShare = 0.5  // of CrashLoadFactor, read as attempts in flight: the least that a server in slow start is given by all
+	negligibleRate      = 1e-9 // attempts per second of a forwarder that sends a server nothing; 0 would mean no limit
 )
 
 // slowStartCapacity is the share of its capacity that a server has by its age. A server whose start is not known is warm.
@@ -17,7 +17,7 @@
 		return 1
 	}
 	initial := settings.initialCapacity
-	return initial + (1-initial)*max(age.Seconds(), 0)/max(settings.slowStartDuration.Seconds(), minSeconds)
+	return initial + (1-initial)*max(age.Seconds(), 0)/max(settings.slowStartDuration.Seconds(), minDivisor)
 }
 
 // slowStartRates returns, by server, how many attempts per second each of its holders may send it while it is in slow start;
@@ -32,20 +32,20 @@
 		totalWeight += max(p.servers[id].incarnation.Weight, 0)
 	}
 	for _, t := range p.types {
-		usualLatency = max(usualLatency, t.usual)
+		usualLatency = max(usualLatency, t.usualSeconds)
 	}
-	unheardFactor := float64(settings.forwarders) / float64(max(reporting, 1))
+	nonReportingFactor := float64(settings.forwarders) / float64(max(reporting, 1))
 	rates := make([]float64, len(servers))
 	for i, id := range servers {
 		s := p.servers[id]
 		if s.capacity >= 1 {
 			continue
 		}
-		rate := totalRate * max(s.incarnation.Weight, 0) / max(totalWeight, 1e-9)
-		if !math.IsInf(settings.fallMultiple, 1) && usualLatency > 0 {
-			rate = max(rate, minConcurrencyShare*settings.fallMultiple/usualLatency)
+		rate := totalRate * max(s.incarnation.Weight, 0) / max(totalWeight, minDivisor)
+		if !math.IsInf(settings.crashLoadFactor, 1) && usualLatency > 0 {
+			rate = max(rate, minConcurrencyShare*settings.crashLoadFactor/usualLatency)
 		}
-		rates[i] = max(rate/float64(max(holders[i], 1))/max(unheardFactor, 1), negligibleRate)
+		rates[i] = max(rate/float64(max(holders[i], 1))/max(nonReportingFactor, 1), negligibleRate)
 	}
 	return rates
 }
--- a/internal/controlplane/plan/tenants.go
+++ b/internal/controlplane/plan/tenants.go
@@ -10,11 +10,11 @@
 	rate      float64 // decaying with rateTimeConstant
 }
 
-// tenantReported takes in one forwarder's traffic of a tenant. A tenant beyond maxServers is ignored.
+// tenantReported takes in one forwarder's traffic of a tenant. A tenant beyond maxEntriesPerTable is ignored.
 func (p *Planner) tenantReported(reported TenantReport) {
 	t := p.tenants[reported.Name]
 	if t == nil {
-		if len(p.tenants) >= maxServers {
+		if len(p.tenants) >= maxEntriesPerTable {
 			return
 		}
 		t = &tenant{}
@@ -53,8 +53,8 @@
 			continue
 		}
 		othersRate, othersAllowance := totalRate-t.rate, totalAllowance-t.allowance
-		effective := t.allowance * max(1, othersRate/max(othersAllowance, 1e-9))
-		shares = append(shares, TenantShare{Tenant: name, Share: min(1, effective/max(t.rate, 1e-9))})
+		effective := t.allowance * max(1, othersRate/max(othersAllowance, minDivisor))
+		shares = append(shares, TenantShare{Tenant: name, Share: min(1, effective/max(t.rate, minDivisor))})
 	}
 	return shares
 }
--- a/internal/controlplane/plan/traffictype.go
+++ b/internal/controlplane/plan/traffictype.go
@@ -13,20 +13,20 @@
 
 // trafficType is the latency of one type of requests over all servers and forwarders.
 type trafficType struct {
-	targetTime time.Duration
-	usual      float64 // latency in seconds
-	baseline   float64 // latency in seconds without load
-	count      float64 // completions, decaying
-	total      float64 // of their latencies in seconds, decaying
+	targetTime      time.Duration
+	usualSeconds    float64 // latency in seconds
+	baselineSeconds float64 // latency in seconds without load
+	count           float64 // completions, decaying
+	total           float64 // of their latencies in seconds, decaying
 }
 
-// trafficType returns the state of a reported type. A type beyond maxServers is not kept.
+// trafficType returns the state of a reported type. A type beyond maxEntriesPerTable is not kept.
 func (p *Planner) trafficType(reported *TypeReport) *trafficType {
 	t := p.types[reported.Name]
 	if t == nil {
 		initial := max(reported.TargetTime, minTargetTime).Seconds() / initialLatencyDivisor
-		t = &trafficType{usual: initial, baseline: initial}
-		if len(p.types) < maxServers {
+		t = &trafficType{usualSeconds: initial, baselineSeconds: initial}
+		if len(p.types) < maxEntriesPerTable {
 			p.types[reported.Name] = t
 		}
 	}
@@ -37,34 +37,34 @@
 // advance updates the usual latency and the baseline, and decays the sums.
 func (t *trafficType) advance(passed time.Duration) {
 	if t.count > 1 {
-		t.usual = t.total / t.count
+		t.usualSeconds = t.total / t.count
 	}
 	keep := decay(passed, typeLatencyTimeConstant)
 	t.count, t.total = t.count*keep, t.total*keep
-	if t.baseline > t.usual {
-		t.baseline = t.usual
+	if t.baselineSeconds > t.usualSeconds {
+		t.baselineSeconds = t.usualSeconds
 	}
-	t.baseline += (1 - decay(passed, baselineTimeConstant)) * (t.usual - t.baseline)
+	t.baselineSeconds += (1 - decay(passed, baselineTimeConstant)) * (t.usualSeconds - t.baselineSeconds)
 }
 
 // objective is the latency in seconds above which attempts count as overload.
 func (t *trafficType) objective() float64 {
-	baseline := min(t.baseline, t.targetTime.Seconds())
+	baseline := min(t.baselineSeconds, t.targetTime.Seconds())
 	return baseline + latencyHeadroom*(t.targetTime.Seconds()-baseline) + minLatencySeconds
 }
 
 // Bounds of what a timed out attempt counts as, in multiples of the usual latency.
 const (
-	minTimeoutSlowness = 4.0
-	maxTimeoutSlowness = 20.0
+	minTimeoutRelativeLatency = 4.0
+	maxTimeoutRelativeLatency = 20.0
 )
 
-// timeoutSlowness is what a timed out attempt counts as: its target time over the usual latency of its type. Reports do not
+// timeoutRelativeLatency is what a timed out attempt counts as: its target time over the usual latency of its type. Reports do not
 // name the type, so the largest holds.
-func (p *Planner) timeoutSlowness() float64 {
-	slowness := minTimeoutSlowness
+func (p *Planner) timeoutRelativeLatency() float64 {
+	relative := minTimeoutRelativeLatency
 	for _, t := range p.types {
-		slowness = max(slowness, t.targetTime.Seconds()/max(t.usual, minLatencySeconds))
+		relative = max(relative, t.targetTime.Seconds()/max(t.usualSeconds, minLatencySeconds))
 	}
-	return min(slowness, maxTimeoutSlowness)
+	return min(relative, maxTimeoutRelativeLatency)
 }
--- a/internal/controlplane/plan/weights.go
+++ b/internal/controlplane/plan/weights.go
@@ -8,12 +8,12 @@
 
 const (
 	weightExponent       = 1.5  // a server's weight is its relative latency to the power of -weightExponent; at 1 all would be equally busy
-	minSlowness          = 0.3  // below it a server gets no more for being fast
+	minRelativeLatency   = 0.3  // below it a server gets no more for being fast
 	minWeightFactor      = 0.02 // so that a slow server still gets enough to be seen to recover
-	avoidFactor          = 2.0  // recent over usual slowness from which a server is avoided
+	avoidFactor          = 2.0  // recent over usual relative latency from which a server is avoided
 	maxAvoidedShare      = 0.25 // of the servers
 	maxNewlyAvoidedShare = 0.05 // of the servers with each plan, but at least one server
-	minSeconds           = 1e-9 // guards divisions
+	minDivisor           = 1e-9 // guards divisions
 )
 
 // updateWeights sets which share of the load each server gets beside the others, and which servers are avoided.
@@ -27,14 +27,14 @@
 		if s.weight == 0 {
 			s.weight = 1
 		}
-		s.weight *= s.capacity * max(math.Pow(max(usual, minSlowness), -weightExponent), minWeightFactor)
+		s.weight *= s.capacity * max(math.Pow(max(usual, minRelativeLatency), -weightExponent), minWeightFactor)
 		recent[id] = recentRatio
 	}
 	p.updateAvoided(servers, recent)
 }
 
 // updateAvoided marks the servers to be avoided: those that have become slowest beside how they usually are, by their recent
-// over their usual slowness. What slows half of the servers marks none.
+// over their usual relative latency. What slows half of the servers marks none.
 func (p *Planner) updateAvoided(servers []string, recent map[string]float64) {
 	bySlowdown := slices.Clone(servers)
 	slices.SortStableFunc(bySlowdown, func(a, b string) int { return cmp.Compare(recent[b], recent[a]) })
--- a/internal/controlplane/planfollower/follower.go
+++ b/internal/controlplane/planfollower/follower.go
@@ -79,7 +79,7 @@
 	e.HasPlan = true
 	e.Nodes = max(f.inEffect.Nodes, 1)
 	e.AdmittedShare = f.admittedShare()
-	if f.isFresh() {
+	if f.isFollowing() {
 		e.WithinAllowance = f.inEffect.WithinAllowance
 	}
 	f.moveShares(passed, isUp)
@@ -90,7 +90,7 @@
 // followFreshest selects the planner to follow and takes its plan into effect; without one the last plan ages.
 func (f *Follower) followFreshest(now, passed time.Duration) {
 	f.followed = f.selectPlanner(now)
-	if !f.isFresh() {
+	if !f.isFollowing() {
 		f.age += passed
 		return
 	}
@@ -101,8 +101,8 @@
 	f.inEffect.Nodes = f.maxNodes(now, f.inEffect.Nodes)
 }
 
-// isFresh reports whether a planner is followed at present.
-func (f *Follower) isFresh() bool { return f.followed != noPlannerIndex }
+// isFollowing reports whether a planner is followed at present.
+func (f *Follower) isFollowing() bool { return f.followed != noPlannerIndex }
 
 func (f *Follower) pollDelay() time.Duration {
 	return pollDelay + time.Duration(f.options.PollJitter*float64(pollDelaySpread))
@@ -111,7 +111,7 @@
 // admittedShare rises to 1 with the age of a plan that is no longer fresh: what is not known to be too much is admitted.
 func (f *Follower) admittedShare() float64 {
 	share := f.inEffect.AdmittedShare
-	if f.isFresh() {
+	if f.isFollowing() {
 		return share
 	}
 	decayed := float64(f.age-freshAge) / float64(expiryAge-freshAge)
@@ -125,7 +125,7 @@
 	for _, planned := range f.inEffect.Servers {
 		inPlan[planned.ID] = true
 		s := plan.ServerShare{ID: planned.ID, Share: f.shares[planned.ID], SlowStartRate: planned.SlowStartRate}
-		if f.isFresh() {
+		if f.isFollowing() {
 			s.IsAvoided = planned.IsAvoided
 			s.EjectionRemaining = max(planned.EjectionRemaining-(now-f.sources[f.followed].receivedAt), 0)
 		}
--- a/internal/controlplane/planfollower/shares.go
+++ b/internal/controlplane/planfollower/shares.go
@@ -47,7 +47,7 @@
 func (f *Follower) targetShares(isUp func(id string) bool) map[string]float64 {
 	target, sum := map[string]float64{}, 0.0
 	for _, s := range f.inEffect.Servers {
-		if s.Share > 0 && isUp(s.ID) && (!f.isFresh() || s.EjectionRemaining == 0) {
+		if s.Share > 0 && isUp(s.ID) && (!f.isFollowing() || s.EjectionRemaining == 0) {
 			target[s.ID] = s.Share
 			sum += s.Share
 		}
--- a/internal/controlplane/planner/connection.go
+++ b/internal/controlplane/planner/connection.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	handshakeTimeout = 2 * time.Second // for a forwarder's TLS and greeting
-	reportTimeout    = 5 * time.Second // without a report, after which a connection is ended
-	maxConnections   = 4096            // those without a greeting included
-	maxServers       = 4096            // in a report
+	handshakeTimeout   = 2 * time.Second // for a forwarder's TLS and greeting
+	reportTimeout      = 5 * time.Second // without a report, after which a connection is ended
+	maxConnections     = 4096            // those without a greeting included
+	maxReportedServers = 4096            // in a report; package plan keeps no more
 )
 
 // errReplaced ends a forwarder's connection when another comes under its name: a forwarder has one, so the older is dead.
 var errReplaced = errors.New("another connection has come under this name")
 
-// forwarder is the connection of one forwarder.
-type forwarder struct {
+// forwarderConn is the connection of one forwarder.
+type forwarderConn struct {
 	name string
 	conn *planwire.Conn
 	held plan.Plan      // as the forwarder holds it; of the sending goroutine
@@ -33,7 +33,7 @@
 }
 
 // replaceNext leaves a plan to be sent, in place of one that was not sent yet. Server.mu is held.
-func (f *forwarder) replaceNext(p plan.Plan) {
+func (f *forwarderConn) replaceNext(p plan.Plan) {
 	select {
 	case <-f.next:
 	default:
@@ -59,7 +59,7 @@
 	}
 	stopClosing()
 	defer context.AfterFunc(ctx, func() { conn.Close() })() // over TLS, which tells the forwarder
-	f := &forwarder{name: name, conn: conn, next: make(chan plan.Plan, 1)}
+	f := &forwarderConn{name: name, conn: conn, next: make(chan plan.Plan, 1)}
 	s.addForwarder(f)
 	ended := make(chan struct{})
 	var sending errgroup.Group
@@ -108,7 +108,7 @@
 }
 
 // addForwarder registers a forwarder, and ends an older connection under its name.
-func (s *Server) addForwarder(f *forwarder) {
+func (s *Server) addForwarder(f *forwarderConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if older := s.forwarders[f.name]; older != nil {
@@ -118,7 +118,7 @@
 }
 
 // removeForwarder returns false if another connection has come under the forwarder's name.
-func (s *Server) removeForwarder(f *forwarder) bool {
+func (s *Server) removeForwarder(f *forwarderConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.forwarders[f.name] != f {
@@ -129,7 +129,7 @@
 }
 
 // sendPlans sends what of each plan is new to the forwarder.
-func (s *Server) sendPlans(f *forwarder, ended <-chan struct{}) error {
+func (s *Server) sendPlans(f *forwarderConn, ended <-chan struct{}) error {
 	for {
 		select {
 		case <-ended:
@@ -150,16 +150,16 @@
 }
 
 // receiveReports takes in a forwarder's reports until its connection ends or it breaks the protocol.
-func (s *Server) receiveReports(f *forwarder) error {
+func (s *Server) receiveReports(f *forwarderConn) error {
 	for {
 		kind, body, err := f.conn.Receive(time.Now().Add(reportTimeout))
 		if err != nil {
 			return err
 		}
-		if kind == planwire.RefusalKind {
-			var refusal planwire.Refusal
-			planwire.Decode(body, &refusal)
-			return fmt.Errorf("refused by the forwarder: %.200s", refusal.Reason)
+		if kind == planwire.RejectionKind {
+			var rejection planwire.Rejection
+			planwire.Decode(body, &rejection)
+			return fmt.Errorf("refused by the forwarder: %.200s", rejection.Reason)
 		}
 		r, err := decodeReport(kind, body)
 		if err != nil {
@@ -178,7 +178,7 @@
 	if err := planwire.Decode(body, r); err != nil {
 		return nil, err
 	}
-	if len(r.Servers) > maxServers {
+	if len(r.Servers) > maxReportedServers {
 		return nil, fmt.Errorf("a report of %d servers", len(r.Servers))
 	}
 	return r, nil
--- a/internal/controlplane/planner/server.go
+++ b/internal/controlplane/planner/server.go
@@ -27,7 +27,7 @@
 	planner     *plan.Planner
 	discovered  map[string]incarnation.Entry // what discovery has listed, as it listed it
 	hasList     bool                         // discovery's complete list, or anything of a registry, was received; else no plan is computed
-	forwarders  map[string]*forwarder        // by name
+	forwarders  map[string]*forwarderConn    // by name
 	connections int
 	counts      counts
 }
@@ -49,7 +49,7 @@
 		startedAt:  now,
 		planner:    plan.NewPlanner(now.UnixMilli()),
 		discovered: map[string]incarnation.Entry{},
-		forwarders: map[string]*forwarder{},
+		forwarders: map[string]*forwarderConn{},
 	}
 	log.Info().Str("planner", config.Name).Stringer("listen", config.ListenAddress).Bool("tls", config.Keys != nil).Msg("planning")
 	g, ctx := errgroup.WithContext(ctx)
--- a/internal/controlplane/planner/server_test.go
+++ b/internal/controlplane/planner/server_test.go
@@ -202,8 +202,8 @@
 			c.send(p)
 			for {
 				k, body, err := p.Receive(time.Now().Add(5 * time.Second))
-				if k == planwire.RefusalKind {
-					var r planwire.Refusal
+				if k == planwire.RejectionKind {
+					var r planwire.Rejection
 					if planwire.Decode(body, &r); !strings.Contains(r.Reason, c.why) {
 						t.Errorf("%q", r.Reason)
 					}
--- a/internal/controlplane/planwire/frames.go
+++ b/internal/controlplane/planwire/frames.go
@@ -21,8 +21,8 @@
 
 // Kinds that every protocol has.
 const (
-	HelloKind   = framing.HelloKind     // the first frame of either side
-	RefusalKind = framing.RejectionKind // why a side ends the connection
+	HelloKind     = framing.HelloKind     // the first frame of either side
+	RejectionKind = framing.RejectionKind // why a side ends the connection
 )
 
 // Kinds of this protocol.
@@ -38,8 +38,8 @@
 type (
 	// Hello is the body of a HelloKind frame.
 	Hello = framing.Hello
-	// Refusal is the body of a RefusalKind frame.
-	Refusal = framing.Rejection
+	// Rejection is the body of a RejectionKind frame.
+	Rejection = framing.Rejection
 	// Conn is a connection between a forwarder and a planner.
 	Conn = framing.Conn
 )
--- a/internal/controlplane/planwire/frames_test.go
+++ b/internal/controlplane/planwire/frames_test.go
@@ -33,7 +33,7 @@
 		"another version":    {framed(HelloKind, Hello{Version: Version + 1, Name: "n1"}), "version 2 is spoken here, not 3"},
 		"no name":            {framed(HelloKind, Hello{Version: Version}), "without a name"},
 		"a report first":     {framed(ReportKind, plan.Report{}), "before the greeting"},
-		"refused":            {framed(RefusalKind, Refusal{Reason: "too many"}), "refused by the peer: too many"},
+		"refused":            {framed(RejectionKind, Rejection{Reason: "too many"}), "refused by the peer: too many"},
 		"HTTP":               {[]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"), ErrTooLong.Error()},
 		"an oversized frame": {append(long, byte(HelloKind)), ErrTooLong.Error()},
 		"an unknown kind":    {[]byte{0, 0, 0, 0, 99}, ErrKind.Error()},
--- a/internal/controlplane/planwire/golden_test.go
+++ b/internal/controlplane/planwire/golden_test.go
@@ -27,10 +27,10 @@
 	body any
 }{
 	{"hello", HelloKind, &Hello{Version: Version, Name: "n1"}},
-	{"refusal", RefusalKind, &Refusal{Reason: "too many"}},
+	{"refusal", RejectionKind, &Rejection{Reason: "too many"}},
 	{"report", ReportKind, &plan.Report{
 		SentAt: 90 * time.Second, Interval: 500 * time.Millisecond,
-		Settings:          plan.ForwarderSettings{Nodes: 12, SlowStartDuration: 8 * time.Second, InitialCapacity: 0.25, FallMultiple: 2.5, TotalAllowance: 300},
+		Settings:          plan.ForwarderSettings{Nodes: 12, SlowStartDuration: 8 * time.Second, InitialCapacity: 0.25, CrashLoadFactor: 2.5, TotalAllowance: 300},
 		InFlight:          5,
 		Types:             []plan.TypeReport{{Name: "hire-check", TargetTime: 200 * time.Millisecond, Requests: 31, Rejected: 3}},
 		Tenants:           []plan.TenantReport{{Name: "big", Allowance: 120, Requests: 17}},
--- a/internal/proxy/dispatch/report.go
+++ b/internal/proxy/dispatch/report.go
@@ -54,7 +54,7 @@
 			Nodes:             d.settings.NodeCount,
 			SlowStartDuration: d.settings.SlowStartDuration,
 			InitialCapacity:   d.settings.SlowStartInitialCapacity,
-			FallMultiple:      d.settings.CrashLoadFactor,
+			CrashLoadFactor:   d.settings.CrashLoadFactor,
 			TotalAllowance:    d.quotas.sum,
 		},
 		Types:   d.reportTypes(),
--- a/internal/proxy/plannerconn.go
+++ b/internal/proxy/plannerconn.go
@@ -102,8 +102,8 @@
 			return err
 		}
 		switch kind {
-		case planwire.RefusalKind:
-			var r planwire.Refusal
+		case planwire.RejectionKind:
+			var r planwire.Rejection
 			if err := planwire.Decode(body, &r); err != nil {
 				return err
 			}
--- a/internal/testbed/scale/component/plans.go
+++ b/internal/testbed/scale/component/plans.go
@@ -33,7 +33,7 @@
 	p.EndpointsUpdated(0, known, true)
 	for i := range nodes {
 		r := plan.Report{SentAt: time.Second, Interval: 500 * time.Millisecond, Types: []plan.TypeReport{{Name: "svc0001", TargetTime: 200 * time.Millisecond, Requests: 100}},
-			InFlight: 8, Settings: plan.ForwarderSettings{Nodes: nodes, SlowStartDuration: 5 * time.Second, InitialCapacity: 0.3, FallMultiple: 2}}
+			InFlight: 8, Settings: plan.ForwarderSettings{Nodes: nodes, SlowStartDuration: 5 * time.Second, InitialCapacity: 0.3, CrashLoadFactor: 2}}
 		for j := range usedServers {
 			r.Servers = append(r.Servers, plan.ServerReport{ID: known[(i*usedServers+j)%servers].ID, Completions: []plan.Completions{{Count: 6, TotalLatency: 300 * time.Millisecond}}})
 		}
