--- a/cmd/fernvane/distribution_test.go
+++ b/cmd/fernvane/distribution_test.go
@@ -75,7 +75,7 @@
 	serving  []string // addresses of the nodes
 }
 
-const controlWord = `"controlling"`
+const controlWord = `"control process started"`
 
 func newControlled(t *testing.T, nodes int) *controlled {
 	t.Helper()
--- a/cmd/fernvane/pages_test.go
+++ b/cmd/fernvane/pages_test.go
@@ -136,7 +136,7 @@
 				case args[0] == "serve", len(args) == 1: // the others as a newcomer has them, without a configuration
 					cmd.Env = append(cmd.Env, "PROXY_CONFIG="+config())
 				}
-				out, errs := &bytes.Buffer{}, &watched{word: map[string]string{"serve": `"serving"`, "plan": `"planning"`, "control": `"controlling"`}[args[0]], found: make(chan struct{})}
+				out, errs := &bytes.Buffer{}, &watched{word: map[string]string{"serve": `"serving"`, "plan": `"planner started"`, "control": `"control process started"`}[args[0]], found: make(chan struct{})}
 				cmd.Stdout, cmd.Stderr = out, errs
 				if err := cmd.Start(); err != nil {
 					t.Fatal(err)
--- a/internal/controlplane/distribution/client/link.go
+++ b/internal/controlplane/distribution/client/link.go
@@ -27,9 +27,9 @@
 
 // Why a connection is ended from here.
 var (
-	errQueueFull = errors.New("it takes nothing")
-	errSilent    = errors.New("it has fallen silent")
-	errEnded     = errors.New("the connection has ended")
+	errQueueFull = errors.New("peer accepts no messages")
+	errSilent    = errors.New("no frame from peer")
+	errEnded     = errors.New("connection ended")
 )
 
 // protocolError is a violation of the protocol by the other side, which is sent it as the rejection.
--- a/internal/controlplane/distribution/control/accept.go
+++ b/internal/controlplane/distribution/control/accept.go
@@ -27,7 +27,7 @@
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 
 // errTooManyConnections rejects a connection for want of room.
-var errTooManyConnections = errors.New("too many connections are here: ask another control process")
+var errTooManyConnections = errors.New("too many connections, ask another control process")
 
 // accept takes connections of subscribers and of commands, until the context ends.
 func (s *Server) accept(ctx context.Context, listener *net.TCPListener) {
--- a/internal/controlplane/distribution/control/config.go
+++ b/internal/controlplane/distribution/control/config.go
@@ -104,7 +104,7 @@
 
 func (c *Config) checkNames(f *tomlfile.File) {
 	if !namePattern.MatchString(c.Name) {
-		f.Wrong("name", "name %q: letters, digits, dots and dashes, 64 at most", c.Name)
+		f.Wrong("name", "name %q: letters, digits, dots, dashes and underscores, a letter or digit first, 64 at most", c.Name)
 	}
 	checkOptionalName(f, "region", c.Region)
 	checkOptionalName(f, "zone", c.Zone)
@@ -115,7 +115,7 @@
 
 func checkOptionalName(f *tomlfile.File, key, text string) {
 	if text != "" && !namePattern.MatchString(text) {
-		f.Wrong(key, "%s %q: letters, digits, dots and dashes, 64 at most", key, text)
+		f.Wrong(key, "%s %q: letters, digits, dots, dashes and underscores, a letter or digit first, 64 at most", key, text)
 	}
 }
 
--- a/internal/controlplane/distribution/control/counts.go
+++ b/internal/controlplane/distribution/control/counts.go
@@ -33,6 +33,6 @@
 	s.mu.Unlock()
 	s.log.Info().Bool("current", isCurrent).Uint64("revision", revision).Int("entries", entries).Int("entry_bytes", bytes).
 		Int("subscribers", subscribers).Int("upstreams", connected).Int("batches", c.sentBatches).Int("bytes", c.sentBytes).
-		Int("received", c.receivedBatches).Int("merged", c.mergedEntries).Int("writes", c.writes).Int("changes", c.changes).Int("wants", c.pulls).
-		Int("refused", c.rejectedPeers).Int("cut_off", c.disconnected).Int("disk_pending", s.disk.PendingCount()).Msg("counts")
+		Int("received", c.receivedBatches).Int("merged", c.mergedEntries).Int("writes", c.writes).Int("changes", c.changes).Int("pulls", c.pulls).
+		Int("rejected_peers", c.rejectedPeers).Int("slow_disconnected", c.disconnected).Int("disk_pending", s.disk.PendingCount()).Msg("counts")
 }
--- a/internal/controlplane/distribution/control/link.go
+++ b/internal/controlplane/distribution/control/link.go
@@ -21,10 +21,10 @@
 
 // Why a connection is ended from here.
 var (
-	errQueueFull = errors.New("it takes too little of what it is sent")
-	errSlow      = errors.New("it has acknowledged nothing for five seconds")
-	errReplaced  = errors.New("another connection has come under its name")
-	errSilent    = errors.New("it says nothing")
+	errQueueFull = errors.New("peer accepts too few messages")
+	errSlow      = errors.New("no acknowledgement from peer within 5 s")
+	errReplaced  = errors.New("replaced by another connection of the same name")
+	errSilent    = errors.New("no frame from peer")
 )
 
 // link is one connection with a subscriber, an upstream or a command.
--- a/internal/controlplane/distribution/control/receive.go
+++ b/internal/controlplane/distribution/control/receive.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// logRejected logs once why entries of a batch were rejected. s.mu is held.
+// logRejected logs why entries of a batch were rejected, unless the last log of it gave the same reason. s.mu is held.
 func (s *Server) logRejected(l *link, rejected []distribution.Rejection) {
 	if len(rejected) == 0 || s.lastRejection == rejected[0].Reason {
 		return
--- a/internal/controlplane/distribution/control/server.go
+++ b/internal/controlplane/distribution/control/server.go
@@ -103,7 +103,7 @@
 	s.isCurrent = loaded.IsClean && len(s.config.UpstreamAddresses) == 0
 	s.log.Info().Str("control", s.config.Name).Stringer("listen", s.config.ListenAddress).Bool("tls", s.config.Keys != nil).
 		Str("origin", string(s.store.Origin())).Int("entries", len(loaded.Entries)).Bool("clean", loaded.IsClean).
-		Bool("current", s.isCurrent).Msg("controlling")
+		Bool("current", s.isCurrent).Msg("control process started")
 }
 
 func (s *Server) newOrigin() distribution.Origin {
--- a/internal/controlplane/distribution/disk/disk.go
+++ b/internal/controlplane/distribution/disk/disk.go
@@ -220,7 +220,7 @@
 	select {
 	case <-d.stopped:
 		if !d.isClean {
-			return errors.Join(errors.New("not all of it is on the disk"), d.Fault())
+			return errors.Join(errors.New("unsaved entries at close"), d.Fault())
 		}
 		return nil
 	case <-ctx.Done():
--- a/internal/controlplane/distribution/disk/record.go
+++ b/internal/controlplane/distribution/disk/record.go
@@ -11,7 +11,7 @@
 )
 
 // errDamaged says that a file does not hold what was written to it.
-var errDamaged = errors.New("it is damaged")
+var errDamaged = errors.New("file is damaged")
 
 // checksumBytes stand ahead of each value.
 const checksumBytes = 4
--- a/internal/controlplane/planner/connection.go
+++ b/internal/controlplane/planner/connection.go
@@ -22,7 +22,7 @@
 )
 
 // errReplaced ends a forwarder's connection when another comes under its name: a forwarder has one, so the older is dead.
-var errReplaced = errors.New("another connection has come under this name")
+var errReplaced = errors.New("replaced by another connection of the same name")
 
 // forwarderConn is the connection of one forwarder.
 type forwarderConn struct {
@@ -49,7 +49,7 @@
 	from := nc.RemoteAddr().String()
 	defer s.connectionEnded()
 	if !s.addConnection() {
-		s.peerRejected(from, fmt.Errorf("%d forwarders are connected", maxConnections))
+		s.peerRejected(from, fmt.Errorf("too many connections (limit %d)", maxConnections))
 		return
 	}
 	conn, name, err := s.handshake(ctx, nc)
--- a/internal/controlplane/planner/counts.go
+++ b/internal/controlplane/planner/counts.go
@@ -10,7 +10,7 @@
 // counts since the last line of the log. Server.mu is held around them.
 type counts struct {
 	reports       int
-	plans         int
+	computations  int // of plans for all forwarders
 	rejectedPeers int
 	sentBytes     int
 	slowestPlan   time.Duration
@@ -35,6 +35,6 @@
 	c, forwarders := s.counts, len(s.forwarders)
 	s.counts = counts{}
 	s.mu.Unlock()
-	s.log.Info().Int("forwarders", forwarders).Int("reports", c.reports).Int("plans", c.plans).Int("refused", c.rejectedPeers).
+	s.log.Info().Int("forwarders", forwarders).Int("reports", c.reports).Int("computations", c.computations).Int("rejected_peers", c.rejectedPeers).
 		Int("bytes", c.sentBytes).Dur("slowest_plan", c.slowestPlan).Msg("counts")
 }
--- a/internal/controlplane/planner/server.go
+++ b/internal/controlplane/planner/server.go
@@ -51,7 +51,7 @@
 		discovered: map[string]incarnation.Entry{},
 		forwarders: map[string]*forwarderConn{},
 	}
-	log.Info().Str("planner", config.Name).Stringer("listen", config.ListenAddress).Bool("tls", config.Keys != nil).Msg("planning")
+	log.Info().Str("planner", config.Name).Stringer("listen", config.ListenAddress).Bool("tls", config.Keys != nil).Msg("planner started")
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return s.followServers(ctx) })
 	g.Go(func() error { s.computePlans(ctx); return nil })
@@ -111,6 +111,6 @@
 	for name, f := range s.forwarders {
 		f.replaceNext(fleet.ForForwarder(name))
 	}
-	s.counts.plans++
+	s.counts.computations++
 	s.counts.slowestPlan = max(s.counts.slowestPlan, time.Since(began))
 }
