--- a/internal/controlplane/distribution/client/syncmark.go
+++ b/internal/controlplane/distribution/client/syncmark.go
@@ -30,7 +30,7 @@
 	syncedServices []string // services that the vector covered at the last refresh, when nothing waited to be written
 }
 
-// restore takes in what the disk held. Services that its vector does not cover are received whole; what is held of them is in
+// restore takes in what the disk held. Services that its vector does not cover get a full sync; what is held of them is in
 // effect until then.
 func (c *Client) restore(loaded disk.Loaded) {
 	services := c.config.scope()
--- a/internal/controlplane/distribution/control/server.go
+++ b/internal/controlplane/distribution/control/server.go
@@ -223,7 +223,7 @@
 	s.log.Warn().Str("before", string(before)).Str("origin", string(s.store.Origin())).Int("rewritten", len(rewritten)).Msg("stale origin replaced")
 }
 
-// prune forgets deletions past their retention. Subscribers that were not sent them are sent whole services.
+// prune forgets deletions past their retention. Subscribers that were not sent them get a full sync.
 func (s *Server) prune() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/distribution/merge.go
+++ b/internal/controlplane/distribution/merge.go
@@ -54,7 +54,7 @@
 	return s.vector.Covers(e)
 }
 
-// ReplaceServices ends the transfer of whole services: what is held of them, was not received and is covered by the sender is
+// ReplaceServices ends the full sync of services: what is held of them, was not received and is covered by the sender is
 // removed and returned.
 func (s *Store) ReplaceServices(services []string, received map[Key]bool, through Vector) (removed []Entry) {
 	for _, name := range services {
--- a/internal/controlplane/distribution/messages.go
+++ b/internal/controlplane/distribution/messages.go
@@ -36,7 +36,7 @@
 	Services         []string
 	AllServices      bool
 	Vector           Vector   // what the subscriber covers of these services
-	UnsyncedServices []string // that the vector does not cover: they are sent whole
+	UnsyncedServices []string // that the vector does not cover: they get a full sync
 }
 
 // Batch is what a subscriber is sent. The batches of a subscription are numbered from 1.
@@ -45,8 +45,8 @@
 
 	Number        uint64
 	Entries       []Entry
-	ResetServices []string // that are sent whole, from this batch until the next complete one
-	ResetsAll     bool     // all subscribed services are sent whole
+	ResetServices []string // in full sync from this batch until the next complete one
+	ResetsAll     bool     // all subscribed services are in full sync
 	IsComplete    bool     // everything up to Through was sent, by this batch or earlier ones
 	Through       Vector   // if complete: the origins that advanced since the last one; all of them at first and after a reset
 	Pruned        Vector   // if complete: deletions up to which the sender may have forgotten, as far as new
--- a/internal/controlplane/distribution/nextbatch.go
+++ b/internal/controlplane/distribution/nextbatch.go
@@ -150,7 +150,7 @@
 }
 
 // addEntry adds a key's winner to a batch. If there is none, its deletion was pruned or the key was removed; then
-// resetIfPruned and ResyncServices have the service sent whole.
+// resetIfPruned and ResyncServices start a full sync of the service.
 func (p *Publisher) addEntry(k Key, b *Batch, sent *sentBatch) {
 	e, ok := p.store.Entry(k)
 	if !ok {
--- a/internal/controlplane/distribution/receiver.go
+++ b/internal/controlplane/distribution/receiver.go
@@ -14,10 +14,10 @@
 	isStoreFull  bool   // something found no room: the vector does not advance any more
 	transfer     transfer
 	repair       repair
-	toMarkSynced map[string]bool // services that were unsynced at the subscription, or were sent whole since
+	toMarkSynced map[string]bool // services that were unsynced at the subscription, or had a full sync since
 }
 
-// transfer is the services that are being sent whole.
+// transfer is the services in full sync.
 type transfer struct {
 	isAll    bool // of all services
 	services map[string]bool
@@ -78,7 +78,7 @@
 	return result
 }
 
-// recordTransfer notes what a batch says of services that are sent whole.
+// recordTransfer notes what a batch says of services in full sync.
 func (r *Receiver) recordTransfer(b Batch) {
 	t := &r.transfer
 	t.isAll = t.isAll || b.ResetsAll
@@ -92,7 +92,7 @@
 	}
 }
 
-// complete ends the transfers under way and advances the vector.
+// complete ends the full syncs under way and advances the vector.
 func (r *Receiver) complete(b Batch, result *BatchResult) {
 	r.through.Join(b.Through)
 	result.Removed = r.store.ReplaceServices(r.finishTransfers(), r.transfer.received, b.Through)
@@ -111,7 +111,7 @@
 	result.IsComplete = true
 }
 
-// finishTransfers ends the transfers and repairs of services that were sent whole, notes them in toMarkSynced, and returns those
+// finishTransfers ends the full syncs under way and the repairs among them, notes the services in toMarkSynced, and returns those
 // of which nothing stays that was not received. A service that is being repaired keeps
 // what it holds, since either side may have lost something: the sender receives it in turn if it subscribes here. A node, which
 // nobody subscribes to, takes over the sender's entries at the second attempt.
@@ -132,7 +132,7 @@
 }
 
 // CompareDigests takes in digests, which a sender sends when nothing waits, so that they also advance the vector. It returns
-// the services to be asked for whole, whether a subscriber of all is to ask for the digests of all services, and whether the
+// the services that need a full sync, whether a subscriber of all is to ask for the digests of all services, and whether the
 // vector has advanced. A store that covers what the sender does not is not compared.
 func (r *Receiver) CompareDigests(d Digests) (services []string, needsServiceDigests, hasAdvanced bool) {
 	if r.isStoreFull || r.transfer.isAll || len(r.transfer.services) > 0 {
--- a/internal/controlplane/distribution/resync.go
+++ b/internal/controlplane/distribution/resync.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// resetUnsynced has the services sent whole that a new subscriber's vector does not cover.
+// resetUnsynced starts a full sync of the services that a new subscriber's vector does not cover.
 func (p *Publisher) resetUnsynced(s *subscription) {
 	for _, name := range s.UnsyncedServices {
 		if s.AllServices || s.services[name] {
@@ -11,8 +11,8 @@
 	}
 }
 
-// resetIfPruned has everything sent whole if deletions that a subscriber lacks may be forgotten here, and reports whether it
-// did. Their pruning may have been learned from another holder since the subscription began.
+// resetIfPruned starts a full sync of everything if deletions that a subscriber lacks may be forgotten here, and reports whether
+// it did. Their pruning may have been learned from another holder since the subscription began.
 func (p *Publisher) resetIfPruned(s *subscription) bool {
 	pruned := p.store.Pruned()
 	if s.isPartial || pruned.isCoveredBy(s.Vector, s.sentVector, s.reset.forPruned) {
@@ -32,7 +32,7 @@
 	return true
 }
 
-// ResyncServices has services sent whole to their subscribers, as after entries were removed here without a deletion.
+// ResyncServices starts a full sync of services to their subscribers, as after entries were removed here without a deletion.
 func (p *Publisher) ResyncServices(now time.Duration, services []string) {
 	for _, name := range services {
 		for _, s := range p.byService[name] {
@@ -44,7 +44,7 @@
 	}
 }
 
-// ResyncSubscriber has services sent whole to one subscriber, which has asked for them or seen that its digests differ.
+// ResyncSubscriber starts a full sync of services to one subscriber, which has asked for them or seen that its digests differ.
 func (p *Publisher) ResyncSubscriber(now time.Duration, id SubscriptionID, services []string) {
 	s := p.subscriptions[id]
 	if s == nil || s.isPartial {
@@ -62,8 +62,8 @@
 	p.enqueue(now, s)
 }
 
-// DeletionsPruned says that the store has forgotten deletions of some keys. Subscribers that were not sent them are sent
-// everything whole.
+// DeletionsPruned says that the store has forgotten deletions of some keys. Subscribers that were not sent them get a
+// full sync of everything.
 func (p *Publisher) DeletionsPruned(now time.Duration, keys []Key) {
 	if len(keys) == 0 {
 		return
--- a/internal/controlplane/distribution/scope.go
+++ b/internal/controlplane/distribution/scope.go
@@ -6,7 +6,7 @@
 )
 
 // SetScope says which services this store is for; without a call it is for all. What it holds of others is removed and
-// returned. A service that is new stays unsynced until it was received whole. After a restart the caller calls Restore,
+// returned. A service that is new stays unsynced until its full sync has ended. After a restart the caller calls Restore,
 // then SetScope with the new scope, then MarkUnsynced with the services that the vector on disk does not cover.
 func (s *Store) SetScope(services []string) (removed []Entry) {
 	scope := make(map[string]bool, len(services))
@@ -46,7 +46,7 @@
 	}
 }
 
-// serviceReceived says that a service was received whole up to a vector. The service stays unsynced until that covers the
+// serviceReceived says that the full sync of a service has ended, up to a vector. The service stays unsynced until that covers the
 // store's vector: a server that has lost its disk may have less.
 func (s *Store) serviceReceived(name string, through Vector) {
 	v, isUnsynced := s.unsynced[name]
--- a/internal/controlplane/distribution/subscription.go
+++ b/internal/controlplane/distribution/subscription.go
@@ -34,10 +34,10 @@
 	rejected          []Rejection
 }
 
-// resetState is what is sent whole to a subscriber, whatever its vector covers: there, entries that are not named end.
+// resetState is the full syncs to a subscriber, which do not go by its vector: entries that are not sent end there.
 type resetState struct {
 	services      map[string]bool
-	isAllPending  bool   // all services are, also those not held here; the next batch says so
+	isAllPending  bool   // all services are to be, also those not held here; the next batch says so
 	isAllUnderWay bool   // a batch has said so, and no complete one has followed
 	forPruned     Vector // pruned deletions that the last reset of all makes up for
 }
@@ -48,7 +48,7 @@
 	since map[Key]time.Duration // when each one changed
 }
 
-// catchUp is what a subscriber lacked when it subscribed, or is sent whole.
+// catchUp is what a subscriber lacked when it subscribed (delta sync), and its full syncs.
 type catchUp struct {
 	isOwed   bool // a complete batch is owed
 	since    time.Duration
@@ -100,14 +100,14 @@
 	}
 }
 
-// resetService has a service sent whole.
+// resetService starts a full sync of a service.
 func (s *subscription) resetService(service string) {
 	s.reset.services[service] = true
 	s.catchUp.isOwed = true
 	s.queueCatchUp(service)
 }
 
-// isReset reports whether a service is being sent whole.
+// isReset reports whether a service is in full sync.
 func (s *subscription) isReset(service string) bool {
 	return s.reset.isAllPending || s.reset.isAllUnderWay || s.reset.services[service]
 }
--- a/internal/controlplane/distribution/wire/messages.go
+++ b/internal/controlplane/distribution/wire/messages.go
@@ -67,7 +67,7 @@
 
 	IsContinuous bool                // send what Vector lacks, and from then on what changes, in batches as to a subscriber
 	Vector       distribution.Vector // if continuous, what the asking side covers
-	Services     []string            // to be sent whole
+	Services     []string            // in which a full sync is asked for
 	WantsDigests bool                // of all services
 }
 
