--- a/internal/discovery/snapshot/snapshot_test.go
+++ b/internal/discovery/snapshot/snapshot_test.go
@@ -69,7 +69,7 @@
 
 // The machine dies at each step of writing, or the disk fails there. The newest complete generation is then this one or the
 // one before, and writing goes on.
-func TestDeathAtEachStep(t *testing.T) {
+func TestCrashAtEachStep(t *testing.T) {
 	chance := rand.New(rand.NewPCG(1, 2))
 	for _, trouble := range []memdisk.Fault{memdisk.Dead, memdisk.Short, memdisk.Full, memdisk.Lying} {
 		for step := 1; step <= 12; step++ {
--- a/internal/discovery/staleness/evaluator.go
+++ b/internal/discovery/staleness/evaluator.go
@@ -64,7 +64,7 @@
 	slices.SortFunc(e.order, func(a, b *server) int {
 		return cmp.Or(cmp.Compare(b.executedRank(), a.executedRank()), cmp.Compare(a.trialOrder, b.trialOrder), cmp.Compare(a.ID, b.ID))
 	})
-	e.maxTrials = max(e.level.minTrials, int(math.Ceil(e.level.trialShare*float64(up))))
+	e.maxTrials = max(e.level.minInitialTrials, int(math.Ceil(e.level.trialShare*float64(up))))
 	e.startTrials(0)
 	return e
 }
@@ -80,12 +80,14 @@
 // Level returns the list's staleness level.
 func (e *Evaluator) Level() int { return e.levelIndex }
 
-// RequestExecuted reports that a server has responded to a request that it had executed.
+// RequestExecuted reports that a server has answered a request with success, or found the request itself faulty.
 func (e *Evaluator) RequestExecuted(now time.Duration, id string) { e.step(now, id, requestExecuted) }
 
-// RequestRejected reports that a server has responded and executed nothing, which does not prove that it serves: it may be
-// draining.
-func (e *Evaluator) RequestRejected(now time.Duration, id string) { e.step(now, id, requestRejected) }
+// ResponseWithoutProof reports that a server has responded with an error of its own or a refusal, whether or not it executed
+// the request. That does not prove that it serves: it may be draining.
+func (e *Evaluator) ResponseWithoutProof(now time.Duration, id string) {
+	e.step(now, id, responseWithoutProof)
+}
 
 // ConnectFailed reports that an attempt could not connect to a server.
 func (e *Evaluator) ConnectFailed(now time.Duration, id string) {
--- a/internal/discovery/staleness/evaluator_test.go
+++ b/internal/discovery/staleness/evaluator_test.go
@@ -72,7 +72,7 @@
 				case serve:
 					tr.RequestExecuted(now, "a")
 				case reject:
-					tr.RequestRejected(now, "a")
+					tr.ResponseWithoutProof(now, "a")
 				case connectFail:
 					tr.ConnectFailed(now, "a")
 				case other:
@@ -133,7 +133,7 @@
 				tr.RequestExecuted(now, id)
 				ran[id] = ran[id] || used
 			case 1:
-				tr.RequestRejected(now, id)
+				tr.ResponseWithoutProof(now, id)
 			case 2:
 				tr.ConnectFailed(now, id)
 			case 3:
--- a/internal/discovery/staleness/level.go
+++ b/internal/discovery/staleness/level.go
@@ -18,20 +18,20 @@
 
 // level says what may be done with a list of a certain age.
 type level struct {
-	maxAge          time.Duration
-	trialShare      float64 // of the servers that are up, on trial at once
-	minTrials       int     // on trial at once, whatever the share
-	trialsPerProven int     // further ones on trial at once for each server that is proven
+	maxAge           time.Duration
+	trialShare       float64 // of the servers that are up, on trial at once
+	minInitialTrials int     // on trial at once, whatever the share
+	trialsPerProven  int     // further ones on trial at once for each server that is proven
 }
 
 // levels are ordered from the freshest list. A running node keeps its list for some seconds too when its source fails;
 // within minutes a part of a fleet may be replaced, within hours most of it.
 var levels = []level{
-	{maxAge: 10 * time.Second, trialShare: 1, minTrials: 1, trialsPerProven: 1},
-	{maxAge: 2 * time.Minute, trialShare: 0.5, minTrials: 4, trialsPerProven: 2},
-	{maxAge: 20 * time.Minute, trialShare: 0.25, minTrials: 3, trialsPerProven: 2},
-	{maxAge: 6 * time.Hour, trialShare: 0.1, minTrials: 2, trialsPerProven: 1},
-	{maxAge: math.MaxInt64, trialShare: 0.05, minTrials: 1, trialsPerProven: 1},
+	{maxAge: 10 * time.Second, trialShare: 1, minInitialTrials: 1, trialsPerProven: 1},
+	{maxAge: 2 * time.Minute, trialShare: 0.5, minInitialTrials: 4, trialsPerProven: 2},
+	{maxAge: 20 * time.Minute, trialShare: 0.25, minInitialTrials: 3, trialsPerProven: 2},
+	{maxAge: 6 * time.Hour, trialShare: 0.1, minInitialTrials: 2, trialsPerProven: 1},
+	{maxAge: math.MaxInt64, trialShare: 0.05, minInitialTrials: 1, trialsPerProven: 1},
 }
 
 // LevelCount is the number of staleness levels.
--- a/internal/discovery/staleness/status.go
+++ b/internal/discovery/staleness/status.go
@@ -17,9 +17,9 @@
 type input uint8
 
 const (
-	trialOffered    input = iota // its turn has come
-	requestExecuted              // it has responded to a request that it had executed
-	requestRejected              // it has responded and executed nothing; it may be draining
+	trialOffered         input = iota // its turn has come
+	requestExecuted                   // see Evaluator.RequestExecuted
+	responseWithoutProof              // see Evaluator.ResponseWithoutProof
 	connectFailed
 	wrongServer // another server responds at its address
 	timerExpired
@@ -34,43 +34,43 @@
 // transitions holds what each input does in each status.
 var transitions = [statusCount][inputCount]transition{
 	Untried: {
-		trialOffered:    {OnTrial, 0},
-		requestExecuted: {Untried, 0},
-		requestRejected: {Untried, 0},
-		connectFailed:   {Untried, 0},
-		wrongServer:     {Excluded, 0},
-		timerExpired:    {Untried, 0},
+		trialOffered:         {OnTrial, 0},
+		requestExecuted:      {Untried, 0},
+		responseWithoutProof: {Untried, 0},
+		connectFailed:        {Untried, 0},
+		wrongServer:          {Excluded, 0},
+		timerExpired:         {Untried, 0},
 	},
 	OnTrial: {
-		trialOffered:    {OnTrial, 0},
-		requestExecuted: {Proven, 1},
-		requestRejected: {OnTrial, 0},
-		connectFailed:   {Suspected, -1},
-		wrongServer:     {Excluded, -1},
-		timerExpired:    {OnTrial, 0},
+		trialOffered:         {OnTrial, 0},
+		requestExecuted:      {Proven, 1},
+		responseWithoutProof: {OnTrial, 0},
+		connectFailed:        {Suspected, -1},
+		wrongServer:          {Excluded, -1},
+		timerExpired:         {OnTrial, 0},
 	},
 	Proven: {
-		trialOffered:    {Proven, 0},
-		requestExecuted: {Proven, 0},
-		requestRejected: {Proven, 0},
-		connectFailed:   {Suspected, 0},
-		wrongServer:     {Excluded, -1},
-		timerExpired:    {Proven, 0},
+		trialOffered:         {Proven, 0},
+		requestExecuted:      {Proven, 0},
+		responseWithoutProof: {Proven, 0},
+		connectFailed:        {Suspected, 0},
+		wrongServer:          {Excluded, -1},
+		timerExpired:         {Proven, 0},
 	},
 	Suspected: {
-		trialOffered:    {Suspected, 0},
-		requestExecuted: {Suspected, 0},
-		requestRejected: {Suspected, 0},
-		connectFailed:   {Suspected, 0},
-		wrongServer:     {Excluded, 0},
-		timerExpired:    {Untried, 0},
+		trialOffered:         {Suspected, 0},
+		requestExecuted:      {Suspected, 0},
+		responseWithoutProof: {Suspected, 0},
+		connectFailed:        {Suspected, 0},
+		wrongServer:          {Excluded, 0},
+		timerExpired:         {Untried, 0},
 	},
 	Excluded: {
-		trialOffered:    {Excluded, 0},
-		requestExecuted: {Excluded, 0},
-		requestRejected: {Excluded, 0},
-		connectFailed:   {Excluded, 0},
-		wrongServer:     {Excluded, 0},
-		timerExpired:    {Excluded, 0},
+		trialOffered:         {Excluded, 0},
+		requestExecuted:      {Excluded, 0},
+		responseWithoutProof: {Excluded, 0},
+		connectFailed:        {Excluded, 0},
+		wrongServer:          {Excluded, 0},
+		timerExpired:         {Excluded, 0},
 	},
 }
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -14,7 +14,7 @@
 
 // What a silent watch has missed counts as announced 6 s after it fell silent, with a grace of some hundred ms. By then the
 // silence must be noticed, the next call made (the decision module waits for up to 0.38 s) and answered.
-func TestSilenceIsNoticedInTime(t *testing.T) {
+func TestUnansweredPollTimesOut(t *testing.T) {
 	for name, c := range map[string]struct {
 		w    Watcher
 		most time.Duration
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -21,7 +21,7 @@
 }
 
 // hasCompleteResponse reports whether an attempt ended with a whole response, whatever it says.
-func hasCompleteResponse(result dispatch.AttemptResult) bool { return result <= dispatch.NotStarted }
+func hasCompleteResponse(result dispatch.AttemptResult) bool { return result <= dispatch.ServerRefused }
 
 // attempt sends a request to one server, once, and returns how that ended and the client's answer, nil where there is none to pass on.
 // The request is never sent again here: another attempt is the policy's decision.
@@ -56,7 +56,7 @@
 	} else {
 		s.closeUpstream(conn, isComplete)
 	}
-	if !isComplete || result == dispatch.NotStarted {
+	if !isComplete || result == dispatch.ServerRefused {
 		s.logger.Debug().Str("server", d.Server).Stringer("end", result).Msg("attempt ended")
 	}
 	return result, answer
@@ -132,7 +132,7 @@
 	case resp.Status == 200:
 		return dispatch.Succeeded
 	case resp.NotStarted():
-		return dispatch.NotStarted
+		return dispatch.ServerRefused
 	case resp.RejectsRequest():
 		return dispatch.RequestFault
 	}
--- a/internal/proxy/dispatch/attemptresult.go
+++ b/internal/proxy/dispatch/attemptresult.go
@@ -5,13 +5,13 @@
 // AttemptResult is how an attempt ended.
 type AttemptResult uint8
 
-// Results up to NotStarted are complete responses, after which the connection may be used again. The numbers and the names
+// Results up to ServerRefused are complete responses, after which the connection may be used again. The numbers and the names
 // of results are stored in journals: new ones are added at the end.
 const (
 	Succeeded         AttemptResult = iota // a complete response with status 200
 	ErrorResponse                          // any other complete response
 	RequestFault                           // a response that finds the request itself faulty
-	NotStarted                             // a response that says that the server did not begin
+	ServerRefused                          // a response that says that the server did not begin
 	ConnectRefused                         // no connection: refused at once
 	ConnectTimeout                         // no connection within Settings.ConnectTimeout
 	WriteFailed                            // a new connection broke before the last byte was written
@@ -35,7 +35,7 @@
 	Succeeded:         {policy.Success, "answered"},
 	ErrorResponse:     {policy.Failure, "erred"},
 	RequestFault:      {policy.ClientError, "declined"},
-	NotStarted:        {policy.Overloaded, "turned away"},
+	ServerRefused:     {policy.Overloaded, "turned away"},
 	ConnectRefused:    {policy.Unreachable, "refused"},
 	ConnectTimeout:    {policy.Unreachable, "never up"},
 	WriteFailed:       {policy.Unreachable, "unsent"},
--- a/internal/proxy/dispatch/attemptresult_test.go
+++ b/internal/proxy/dispatch/attemptresult_test.go
@@ -13,7 +13,7 @@
 	proofs := []policy.Outcome{policy.Overloaded, policy.Unreachable, policy.NotStarted}
 	for result, c := range map[AttemptResult]struct{ isProof, isSuccess bool }{
 		Succeeded: {false, true}, ErrorResponse: {}, ConnectionLost: {}, MalformedResponse: {}, ResponseTimeout: {}, Abandoned: {},
-		RequestFault: {}, NotStarted: {isProof: true}, ConnectRefused: {isProof: true}, ConnectTimeout: {isProof: true}, WriteFailed: {isProof: true}, StaleConnection: {isProof: true},
+		RequestFault: {}, ServerRefused: {isProof: true}, ConnectRefused: {isProof: true}, ConnectTimeout: {isProof: true}, WriteFailed: {isProof: true}, StaleConnection: {isProof: true},
 		NoDescriptor: {isProof: true}, ExpiredUnsent: {isProof: true},
 	} {
 		t.Run(result.String(), func(t *testing.T) {
@@ -35,7 +35,7 @@
 	if !slices.Equal(got, want) {
 		t.Errorf("the names are %q", got)
 	}
-	if values := fmt.Sprintf("%d %d %d", Succeeded, NotStarted, Abandoned); values != "0 3 14" {
+	if values := fmt.Sprintf("%d %d %d", Succeeded, ServerRefused, Abandoned); values != "0 3 14" {
 		t.Errorf("the values are %s", values)
 	}
 }
--- a/internal/proxy/dispatch/cautious.go
+++ b/internal/proxy/dispatch/cautious.go
@@ -22,9 +22,9 @@
 	proven   map[string]bool // by server ID; a proven server has executed a request since the start
 }
 
-// ApplySuspectList replaces the endpoint list by the part of a cached list that may be used now, and enters cautious mode.
+// ApplyCachedList replaces the endpoint list by the part of a cached list that may be used now, and enters cautious mode.
 // It is called again whenever that part or the set of proven servers changes.
-func (d *Dispatcher) ApplySuspectList(usable []endpoints.Endpoint, proven map[string]bool) {
+func (d *Dispatcher) ApplyCachedList(usable []endpoints.Endpoint, proven map[string]bool) {
 	d.mu.Lock()
 	defer d.unlock()
 	d.caution.proven = proven
@@ -36,8 +36,8 @@
 	d.applyEndpoints(usable, endpoints.SourceSnapshot, true)
 }
 
-// EndSuspicion leaves cautious mode. It is called when a source has announced the endpoint list.
-func (d *Dispatcher) EndSuspicion() {
+// LeaveCautiousMode leaves cautious mode. It is called when a source has announced the endpoint list.
+func (d *Dispatcher) LeaveCautiousMode() {
 	d.mu.Lock()
 	defer d.unlock()
 	if d.caution.isActive {
--- a/internal/proxy/dispatch/endpoints.go
+++ b/internal/proxy/dispatch/endpoints.go
@@ -170,7 +170,8 @@
 }
 
 // IsPastDrainGrace reports whether a server left so long ago that nothing may be written to it any more, whenever the
-// attempt was decided on. It is asked right before an attempt is written: a connect or the journal may have taken long.
+// attempt was decided on, or is not known. It is asked right before an attempt is written: a connect or the journal may
+// have taken long. The time allowed is maxWriteDelay, which ends before Settings.DrainGrace does.
 func (d *Dispatcher) IsPastDrainGrace(server string) bool {
 	d.mu.Lock()
 	defer d.unlock()
--- a/internal/proxy/dispatch/request_test.go
+++ b/internal/proxy/dispatch/request_test.go
@@ -25,7 +25,7 @@
 		"failed with an attempt in flight":   {policy.NonIdempotent, []int{fail, int(Abandoned)}, Fail},
 		"rejected, then disconnected":        {policy.Idempotent, []int{reject, disconnect, int(ResponseTimeout)}, Reject},
 		"disconnected, then rejected":        {policy.Idempotent, []int{disconnect, reject, int(ResponseTimeout)}, Drop},
-		"not started, then succeeded":        {policy.NonIdempotent, []int{int(NotStarted), int(Succeeded)}, Respond},
+		"not started, then succeeded":        {policy.NonIdempotent, []int{int(ServerRefused), int(Succeeded)}, Respond},
 		"write failed, then connection lost": {policy.NonIdempotent, []int{int(WriteFailed), int(ConnectionLost)}, Fail},
 		"not started, no server left":        {policy.NonIdempotent, []int{int(ConnectRefused), int(ConnectRefused), int(ConnectRefused), int(ConnectRefused)}, Reject},
 	} {
--- a/internal/proxy/endpointcache.go
+++ b/internal/proxy/endpointcache.go
@@ -83,7 +83,7 @@
 	case o.HasExecuted:
 		c.evaluator.RequestExecuted(now, o.Server)
 	case o.HasResponded:
-		c.evaluator.RequestRejected(now, o.Server)
+		c.evaluator.ResponseWithoutProof(now, o.Server)
 	default:
 		c.evaluator.ConnectFailed(now, o.Server)
 	}
@@ -113,5 +113,5 @@
 		list = append(list, c.endpoints[u.ID])
 		isProven[u.ID] = u.IsProven
 	}
-	c.dispatcher.ApplySuspectList(list, isProven)
+	c.dispatcher.ApplyCachedList(list, isProven)
 }
--- a/internal/proxy/endpointcacheconfirm.go
+++ b/internal/proxy/endpointcacheconfirm.go
@@ -34,7 +34,7 @@
 		l.Hosts = append(hosts, l.Hosts...)
 	}
 	c.evaluator, c.endpoints = nil, nil
-	c.dispatcher.EndSuspicion()
+	c.dispatcher.LeaveCautiousMode()
 	c.logger.Info().Stringer("from", source).Dur("after", time.Since(c.startedAt)).Msg("cached endpoint list confirmed")
 	return l, true
 }
