--- a/internal/proxy/badpeers_test.go
+++ b/internal/proxy/badpeers_test.go
@@ -18,7 +18,7 @@
 
 // Answers that never end, or have no length and are reset on the way: one attempt of a binding operation, and its client
 // is told in time that it failed. A reset is no end of an answer.
-func TestAnswersWithoutEnd(t *testing.T) {
+func TestUnterminatedResponses(t *testing.T) {
 	t.Parallel()
 	const noLength = "HTTP/1.1 200 OK\r\n\r\n"
 	for name, c := range map[string]struct {
@@ -52,7 +52,7 @@
 				}
 			}
 			at, _ := startNode(t, config(http1.Endpoint{ID: "a", Address: standIn(t, lead), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, lead), Size: 1}))
-			if r := ask1(t, dial(t, at), "/book/1"); r.Status != 502 && r.Status != 504 || taken.Load() != 1 {
+			if r := get(t, dial(t, at), "/book/1"); r.Status != 502 && r.Status != 504 || taken.Load() != 1 {
 				t.Errorf("answered %d after %d attempts", r.Status, taken.Load())
 			}
 		})
@@ -61,7 +61,7 @@
 
 // What may have run is repeated only within its window: an attempt that breaks off after it gets no other, however much
 // time its client has.
-func TestRepeatsEndWithTheirWindow(t *testing.T) {
+func TestRetryWindow(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		window time.Duration
@@ -81,7 +81,7 @@
 						time.Sleep(20 * time.Millisecond) // past the short window, at the least
 						return
 					}
-					io.WriteString(nc, whole)
+					io.WriteString(nc, okResponse)
 				}
 			}
 			cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, lead), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, lead), Size: 1})
@@ -89,7 +89,7 @@
 			kind.Idempotency, kind.KeyScope, kind.KeyRetention = policy.IdempotentWithKey, policy.KeyScopeAll, c.window
 			kind.LatencyObjective, kind.ClientTimeout = time.Minute, time.Minute
 			at, _ := startNode(t, cfg)
-			if r := ask1(t, dial(t, at), "/check/1"); r.Status != c.status || taken.Load() != c.sent {
+			if r := get(t, dial(t, at), "/check/1"); r.Status != c.status || taken.Load() != c.sent {
 				t.Errorf("answered %d after %d attempts", r.Status, taken.Load())
 			}
 		})
@@ -98,13 +98,13 @@
 
 // Good clients among a flood of bad ones that hold more connections than there is room for: each request gets its answer,
 // also one that comes byte by byte. A connection closed before its request was read is for the client to try once more.
-func TestGoodClientsAmongBad(t *testing.T) {
+func TestGoodClientsAmongMalformed(t *testing.T) {
 	t.Parallel()
 	const (
 		bad, good, each = 120, 4, 6
 		triesMost       = 50
 	)
-	hosts, _ := servers(t, 2, whole)
+	hosts, _ := servers(t, 2, okResponse)
 	cfg := config(hosts...)
 	cfg.Limits.Sockets = 64
 	for i := range cfg.Settings.TrafficTypes {
@@ -153,7 +153,7 @@
 				request := fmt.Sprintf("GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: good-%d\r\n\r\n", ids.Add(1))
 				status, err := 0, errors.New("not tried")
 				for try := 0; err != nil && try < triesMost; try++ {
-					status, err = once(at, request, i%2 == 0)
+					status, err = getOnce(at, request, i%2 == 0)
 				}
 				if err != nil || status != 200 {
 					t.Errorf("answered %d, %v", status, err)
@@ -168,7 +168,7 @@
 
 // once asks on a connection of its own, byte by byte where it is slow; the error is that of a connection that was closed or
 // reset with no answer.
-func once(at, request string, slow bool) (int, error) {
+func getOnce(at, request string, slow bool) (int, error) {
 	nc, err := net.Dial("tcp", at)
 	if err != nil {
 		return 0, err
--- a/internal/proxy/connectionraces_test.go
+++ b/internal/proxy/connectionraces_test.go
@@ -17,7 +17,7 @@
 )
 
 // noDelay tells whether a connection sends small writes at once.
-func noDelay(t *testing.T, c syscall.Conn) bool {
+func isNoDelay(t *testing.T, c syscall.Conn) bool {
 	t.Helper()
 	rc, err := c.SyscallConn()
 	if err != nil {
@@ -32,11 +32,11 @@
 
 // No small write is held back by the system, where a reset would take it along: on clients' connections, also those that
 // are taken as listening ends, and on servers'.
-func TestSmallWritesAreNotHeldBack(t *testing.T) {
+func TestNoDelay(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, whole)
+	hosts, _ := servers(t, 1, okResponse)
 	for name, closing := range map[string]bool{"while it serves": false, "as listening ends": true} {
-		l := newLed(t, config(hosts...))
+		l := newTestServer(t, config(hosts...))
 		ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
@@ -49,7 +49,7 @@
 		done := make(chan error, 1)
 		go func() {
 			done <- l.accept(ln, func(nc *net.TCPConn) {
-				got <- noDelay(t, nc)
+				got <- isNoDelay(t, nc)
 				nc.Close()
 			})
 		}()
@@ -59,12 +59,12 @@
 		ln.Close()
 		<-done
 	}
-	l := newLed(t, config(hosts...))
-	op := booked(l.dispatcher)
+	l := newTestServer(t, config(hosts...))
+	op := submitNonIdempotent(l.dispatcher)
 	defer op.Close()
 	d := op.NextDecision(func() {})
 	conn, _, end := l.connect(t.Context(), d, time.Now().Add(time.Minute))
-	if end != dispatch.Succeeded || !noDelay(t, conn.(*http1.Conn).Conn.(*net.TCPConn)) {
+	if end != dispatch.Succeeded || !isNoDelay(t, conn.(*http1.Conn).Conn.(*net.TCPConn)) {
 		t.Errorf("a server's connection (%s) holds small writes back", end)
 	}
 	conn.Close()
@@ -72,7 +72,7 @@
 
 // Half a line that a server sends on a resting connection is no part of any answer: the next request goes out on another
 // connection, once.
-func TestHalfALineFromAServer(t *testing.T) {
+func TestUnsolicitedBytesFromServer(t *testing.T) {
 	t.Parallel()
 	const half = "HTTP/1.1 2"
 	for name, c := range map[string]struct {
@@ -83,7 +83,7 @@
 		"behind it":                {"", half, false},
 		"behind it, and a close":   {"", half, true},
 		"nothing, and a close":     {"", "", true},
-		"a whole answer behind it": {"", whole, false},
+		"a whole answer behind it": {"", okResponse, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -93,10 +93,10 @@
 				defer nc.Close()
 				for conn := http1.NewConn(nc); conn.ReadRequest(&http1.Request{}) == nil; {
 					if taken.Add(1) > 1 {
-						io.WriteString(nc, strings.Replace(whole, "ok", "on", 1))
+						io.WriteString(nc, strings.Replace(okResponse, "ok", "on", 1))
 						continue
 					}
-					io.WriteString(nc, whole+c.with)
+					io.WriteString(nc, okResponse+c.with)
 					<-passed
 					io.WriteString(nc, c.behind)
 					if c.ended {
@@ -107,12 +107,12 @@
 			})
 			node, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: at, Size: 1}))
 			client := dial(t, node)
-			if r := ask1(t, client, "/book/1"); r.Status != 200 || string(r.Body) != "ok" {
+			if r := get(t, client, "/book/1"); r.Status != 200 || string(r.Body) != "ok" {
 				t.Errorf("answered %d %q", r.Status, r.Body)
 			}
 			close(passed)
 			<-sent
-			if r := ask1(t, client, "/book/1"); r.Status != 200 || string(r.Body) != "on" || taken.Load() != 2 {
+			if r := get(t, client, "/book/1"); r.Status != 200 || string(r.Body) != "on" || taken.Load() != 2 {
 				t.Errorf("then %d %q after %d requests", r.Status, r.Body, taken.Load())
 			}
 		})
@@ -120,7 +120,7 @@
 }
 
 // What comes behind the last answer of a connection is not sent on, whoever ends it and in whichever protocol.
-func TestNothingReadBehindTheEnd(t *testing.T) {
+func TestNothingReadAfterLastAnswer(t *testing.T) {
 	t.Parallel()
 	const second = "GET /check/behind HTTP/1.1\r\nHost: h\r\nRequest-Id: behind-%d\r\n\r\n"
 	for name, c := range map[string]struct {
@@ -143,16 +143,16 @@
 					if strings.Contains(string(r.Target), "behind") {
 						behind.Add(1)
 					}
-					io.WriteString(nc, whole)
+					io.WriteString(nc, okResponse)
 				}
 			})
 			coming := make(chan struct{})
 			u := shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: time.Minute}
-			http, cgi, stop := cgiNodeWith(t, u, http1.Endpoint{ID: "s", Size: 1, Address: at})
+			http, cgi, stop := startFastCGINodeWith(t, u, http1.Endpoint{ID: "s", Size: 1, Address: at})
 			done := make(chan error, 1)
 			if c.stops {
 				go func() { done <- stop() }()
-				for kept := dial(t, http); !ask1(t, kept, "/up").Close; {
+				for kept := dial(t, http); !get(t, kept, "/up").Close; {
 				}
 			}
 			if c.cgi {
@@ -163,7 +163,7 @@
 			if c.cgi {
 				r := post("behind")
 				r.Target = []byte("/check/behind")
-				behindIt = string(toNode(2, r))
+				behindIt = string(encodeRequest(2, r))
 			}
 			client.SetDeadline(time.Now().Add(time.Minute))
 			io.WriteString(client, c.first+behindIt) // read together
@@ -185,7 +185,7 @@
 }
 
 // Requests on resting connections meet the node's closing them, as it stops: each that a server was sent is answered whole.
-func TestRequestsMeetTheClose(t *testing.T) {
+func TestRequestsCrossIdleClose(t *testing.T) {
 	t.Parallel()
 	const resting = 48
 	var mu sync.Mutex
@@ -197,7 +197,7 @@
 			mu.Lock()
 			ran[string(r.Get("Request-Id"))]++
 			mu.Unlock()
-			io.WriteString(nc, whole)
+			io.WriteString(nc, okResponse)
 		}
 	})
 	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
@@ -209,7 +209,7 @@
 	var clients []*http1.Conn
 	for range resting {
 		c := dial(t, node)
-		ask1(t, c, "/up")
+		get(t, c, "/up")
 		clients = append(clients, c)
 	}
 	var all sync.WaitGroup
@@ -251,7 +251,7 @@
 
 // A client that goes on sending behind its request, beyond what is held, still gets its answer whole, though it comes to
 // it slowly and sends on after the node has dealt with it.
-func TestAnswerBehindWhatWasDropped(t *testing.T) {
+func TestAnswerAfterOverflow(t *testing.T) {
 	t.Parallel()
 	const size = 60 << 10
 	begun, release := make(chan struct{}), make(chan struct{})
@@ -266,7 +266,7 @@
 	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
 	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = time.Minute, time.Minute
 	cfg.shutdownDelays.extraLinger = time.Minute
-	l := newLed(t, cfg)
+	l := newTestServer(t, cfg)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -17,17 +17,17 @@
 	"fernvane/internal/testbed/standin/connpair"
 )
 
-const failed = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
+const errorResponse = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 
 // led is a node without a listener, whose clients are given to it.
-type led struct {
+type testServer struct {
 	*Server
-	left, open int // since the start; now
-	dialed     atomic.Int32
+	disconnected, open int // since the start; now
+	dialed             atomic.Int32
 }
 
-func newLed(t *testing.T, cfg Config) *led {
-	l := &led{Server: &Server{cfg: cfg, dispatcher: dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)}}
+func newTestServer(t *testing.T, cfg Config) *testServer {
+	l := &testServer{Server: &Server{cfg: cfg, dispatcher: dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)}}
 	t.Cleanup(l.dispatcher.Stop)
 	if cfg.Routes != nil {
 		l.dispatcher.SetRoutes(cfg.Routes)
@@ -37,7 +37,7 @@
 }
 
 // ask gives it a client that asks for a path; done is closed when the client's connection has been dealt with.
-func (l *led) ask(t *testing.T, path string) (client *net.TCPConn, done chan struct{}) {
+func (l *testServer) serveClient(t *testing.T, path string) (client *net.TCPConn, done chan struct{}) {
 	near, client := connpair.TCP(t)
 	done = make(chan struct{})
 	fmt.Fprintf(client, "GET %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", path, ids.Add(1))
@@ -49,14 +49,14 @@
 }
 
 // count is what happened up to now.
-func (l *led) count() *led {
+func (l *testServer) count() *testServer {
 	c := l.dispatcher.Counts()
-	l.left, l.open = l.left+c.Disconnected, c.OpenRequests
+	l.disconnected, l.open = l.disconnected+c.Disconnected, c.OpenRequests
 	return l
 }
 
 // holdDial has the nth connect to a server wait for release; reached is closed when it is there.
-func (l *led) holdDial(nth int32) (reached, release chan struct{}) {
+func (l *testServer) holdDial(nth int32) (reached, release chan struct{}) {
 	reached, release = make(chan struct{}), make(chan struct{})
 	l.dialer.Control = func(string, string, syscall.RawConn) error {
 		if l.dialed.Add(1) == nth {
@@ -70,22 +70,22 @@
 
 // No attempt, first or further, is sent for a client that has left, whatever the attempt waited for as it left and in
 // whichever way it left. Each wait ends only after the leaving.
-func TestGoneWhateverItWaitsFor(t *testing.T) {
+func TestDisconnectWhileWaiting(t *testing.T) {
 	t.Parallel()
 	// Each case brings a request to where it waits; it returns what ends the wait and how many attempts were sent before.
-	type waiting func(t *testing.T, l *led, ask func(), taken <-chan func(say string)) (end func(), sent int)
+	type waiting func(t *testing.T, l *testServer, ask func(), taken <-chan func(say string)) (end func(), sent int)
 	const full = 4 // attempts that the module has out at once before a server has answered
 	waits := map[string]waiting{
-		"a connection": func(t *testing.T, l *led, ask func(), taken <-chan func(string)) (func(), int) {
+		"a connection": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
 			reached, release := l.holdDial(1)
 			ask()
 			<-reached
 			return func() { close(release) }, 0
 		},
-		"its turn": func(t *testing.T, l *led, ask func(), taken <-chan func(string)) (func(), int) {
+		"its turn": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
 			var others []func(string)
 			for range 2 * full {
-				l.ask(t, "/check/other")
+				l.serveClient(t, "/check/other")
 			}
 			for range 2 * full { // two servers
 				others = append(others, <-taken)
@@ -94,30 +94,30 @@
 			await(t, "one more is open", func() bool { return l.count().open == 2*full+1 })
 			return func() {
 				for _, answer := range others {
-					answer(whole)
+					answer(okResponse)
 				}
 			}, 2 * full
 		},
-		"the answer that another attempt would follow": func(t *testing.T, l *led, ask func(), taken <-chan func(string)) (func(), int) {
+		"the answer that another attempt would follow": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
 			ask()
 			answer := <-taken
-			return func() { answer(failed) }, 1
+			return func() { answer(errorResponse) }, 1
 		},
-		"a further attempt's connection": func(t *testing.T, l *led, ask func(), taken <-chan func(string)) (func(), int) {
+		"a further attempt's connection": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
 			reached, release := l.holdDial(2)
 			ask()
-			(<-taken)(failed)
+			(<-taken)(errorResponse)
 			<-reached
 			return func() { close(release) }, 1
 		},
-		"a second copy's connection": func(t *testing.T, l *led, ask func(), taken <-chan func(string)) (func(), int) {
+		"a second copy's connection": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
 			reached, release := l.holdDial(2)
 			ask()
 			answer := <-taken
 			<-reached
 			return func() {
 				close(release)
-				answer(failed)
+				answer(errorResponse)
 			}, 1
 		},
 	}
@@ -156,12 +156,12 @@
 				if what == "a second copy's connection" {
 					cfg.Routes = routes(t, &cfg, checks+"copy_after = \"1ms\"\ncopy_share = 1.0")
 				}
-				l := newLed(t, cfg)
+				l := newTestServer(t, cfg)
 				var client *net.TCPConn
 				var done chan struct{}
-				end, before := bring(t, l, func() { client, done = l.ask(t, "/check/1") }, taken)
+				end, before := bring(t, l, func() { client, done = l.serveClient(t, "/check/1") }, taken)
 				leave(client)
-				await(t, "its leaving is seen", func() bool { return l.count().left == 1 })
+				await(t, "its leaving is seen", func() bool { return l.count().disconnected == 1 })
 				end()
 				over := make(chan struct{})
 				defer close(over)
@@ -169,7 +169,7 @@
 					for {
 						select {
 						case answer := <-taken: // what should not have been sent
-							answer(whole)
+							answer(okResponse)
 						case <-over:
 							return
 						}
--- a/internal/proxy/distribution_test.go
+++ b/internal/proxy/distribution_test.go
@@ -30,7 +30,7 @@
 )
 
 // distributedTo is the part of a node that takes entries, before any socket.
-func distributedTo(t *testing.T) *distributionApplier {
+func newTestApplier(t *testing.T) *distributionApplier {
 	t.Helper()
 	cfg := config()
 	f := dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)
@@ -79,7 +79,7 @@
 		"a bad value, what was stands": {[]distribution.Entry{serverEntry(t, 1, up), entryOf(distribution.KindServer, "s", 2, []byte("bad"))}, true, incarnation.Up, "127.0.0.1:80"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := distributedTo(t)
+			d := newTestApplier(t)
 			d.ApplyServers(nil, true)
 			for _, e := range c.told {
 				d.ApplyServers([]distribution.Entry{e}, false)
@@ -96,8 +96,8 @@
 }
 
 // The first whole list takes out what an earlier source had told.
-func TestDistributedServersWhole(t *testing.T) {
-	d := distributedTo(t)
+func TestDistributedServersComplete(t *testing.T) {
+	d := newTestApplier(t)
 	d.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "old", Address: netip.MustParseAddrPort("127.0.0.1:9"), Size: 1}}, Complete: true}, endpoints.SourceConfig)
 	d.ApplyServers([]distribution.Entry{serverEntry(t, 1, incarnation.Entry{ID: "s", Address: "127.0.0.1:80", Weight: 1})}, true)
 	lines, _, _, _ := d.dispatcher.Endpoints()
@@ -121,7 +121,7 @@
 		return text(distribution.KindTenant, name, clock, allowance)
 	}
 	const ten, minus = "\x81\xf9\x49\x00", "\x81\xf9\xc9\x00" // [10.0], [-10.0]
-	d := distributedTo(t)
+	d := newTestApplier(t)
 	for _, c := range []struct {
 		what     string
 		give     func() []distribution.Rejection
@@ -181,8 +181,8 @@
 }
 
 // The operator's file lies beneath the entries, also after it has changed.
-func TestDistributedOverTheFile(t *testing.T) {
-	d := distributedTo(t)
+func TestDistributedRoutesOverOperatorFile(t *testing.T) {
+	d := newTestApplier(t)
 	file := func(text string) *route.Table {
 		set, err := route.Parse("f", []byte(text), d.settings)
 		if err != nil {
@@ -217,10 +217,10 @@
 }
 
 // What holds in place of a newer version that cannot be used holds after a restart too, and is forgotten with it.
-func TestLastGoodOutlivesARestart(t *testing.T) {
+func TestLastGoodAfterRestart(t *testing.T) {
 	dir := t.TempDir()
 	begin := func() *distributionApplier {
-		d := distributedTo(t)
+		d := newTestApplier(t)
 		var good []distribution.Entry
 		var err error
 		if d.lastGood, good, err = openLastGood(dir); err != nil {
@@ -278,7 +278,7 @@
 }
 
 // A node knows one teller of servers.
-func TestDistributionGoesAlone(t *testing.T) {
+func TestDistributionIsOnlyListSource(t *testing.T) {
 	for name, c := range map[string]Config{"registry": {Registry: &zookeeper.Config{}}, "planners": {Planners: &planconfig.Forwarder{}}, "snapshot": {Snapshot: &snapshot.Config{}}} {
 		if err := c.checkSingleListSource(); err == nil || !strings.Contains(err.Error(), "--"+name) {
 			t.Errorf("%s: %v", name, err)
@@ -291,7 +291,7 @@
 
 // Allowances come in force in place of the settings', add up over services, and end with their entries.
 func TestDistributedTenants(t *testing.T) {
-	d := distributedTo(t)
+	d := newTestApplier(t)
 	d.settings.TenantNames, d.settings.TenantQuotas = []string{"dairy"}, []float64{5}
 	cfg := config()
 	cfg.Settings.TenantNames, cfg.Settings.TenantQuotas = d.settings.TenantNames, d.settings.TenantQuotas
@@ -332,10 +332,10 @@
 }
 
 // A new node that reaches no control process asks discovery, and goes by control processes alone once there are some.
-func TestDiscoveryStandsIn(t *testing.T) {
+func TestDiscoveryFallback(t *testing.T) {
 	t.Parallel()
-	hosts, used := servers(t, 1, whole)
-	others, taken := servers(t, 1, whole)
+	hosts, used := servers(t, 1, okResponse)
+	others, taken := servers(t, 1, okResponse)
 	cfg := config()
 	calls := make(chan struct{}, 999)
 	cfg.Discovery = standIn(t, func(nc net.Conn) {
@@ -356,7 +356,7 @@
 	cfg.Distribution = &client.Config{Control: []string{at.String()}, Addresses: []netip.AddrPort{at}, Services: []string{"hire"}, Directory: t.TempDir()}
 	node, _ := startNode(t, cfg)
 	<-calls
-	await(t, "request at the server that discovery names", func() bool { ask1(t, dial(t, node), "/check/1"); return taken.Load() > 0 })
+	await(t, "request at the server that discovery names", func() bool { get(t, dial(t, node), "/check/1"); return taken.Load() > 0 })
 
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -385,14 +385,14 @@
 		}
 	}
 	for by := time.Now().Add(20 * time.Second); used.Load() == 0; time.Sleep(20 * time.Millisecond) {
-		ask1(t, dial(t, node), "/check/1")
+		get(t, dial(t, node), "/check/1")
 		if time.Now().After(by) {
 			t.Fatal("the server of the distribution is never used")
 		}
 	}
 	before := taken.Load()
 	for range 20 {
-		if r := ask1(t, dial(t, node), "/check/1"); r.Status != 200 {
+		if r := get(t, dial(t, node), "/check/1"); r.Status != 200 {
 			t.Errorf("answered %d", r.Status)
 		}
 	}
--- a/internal/proxy/distributionpieces_test.go
+++ b/internal/proxy/distributionpieces_test.go
@@ -16,7 +16,7 @@
 
 // A first catch-up comes in pieces, and what they have brought is handed over whole in the end: none of it is lost by that,
 // and what drains stays so.
-func TestServersInPieces(t *testing.T) {
+func TestDistributedServersInPieces(t *testing.T) {
 	cfg := config()
 	f := dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)
 	defer f.Stop()
--- a/internal/proxy/endpointcache_test.go
+++ b/internal/proxy/endpointcache_test.go
@@ -18,7 +18,7 @@
 )
 
 // keptIn writes a list of servers as a node that has died kept it.
-func keptIn(t *testing.T, change func(*snapshot.Snapshot), servers ...snapshot.Server) *snapshot.Config {
+func cachedList(t *testing.T, change func(*snapshot.Snapshot), servers ...snapshot.Server) *snapshot.Config {
 	t.Helper()
 	dir := t.TempDir()
 	store, err := snapshot.Open(dir, 3, wal.OSFileSystem{})
@@ -37,20 +37,20 @@
 }
 
 // asked is a stand-in server that counts what comes, by the first part of the path.
-type asked struct {
+type countingServer struct {
 	mu sync.Mutex
 	n  map[string]int
 	at netip.AddrPort
 }
 
-func (a *asked) count(kind string) int {
+func (a *countingServer) count(kind string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.n[kind]
 }
 
-func counting(t *testing.T, fields string) *asked {
-	a := &asked{n: map[string]int{}}
+func newCountingServer(t *testing.T, fields string) *countingServer {
+	a := &countingServer{n: map[string]int{}}
 	a.at = standIn(t, func(nc net.Conn) {
 		defer nc.Close()
 		var r http1.Request
@@ -64,12 +64,12 @@
 	return a
 }
 
-func (a *asked) server(id string, c incarnation.Condition) snapshot.Server {
+func (a *countingServer) server(id string, c incarnation.Condition) snapshot.Server {
 	return snapshot.Server{ID: id, Condition: uint8(c), Address: a.at.String(), Weight: 1}
 }
 
 // crowd asks several times at once, so that one server is not enough.
-func crowd(t *testing.T, at string) {
+func sendConcurrently(t *testing.T, at string) {
 	t.Helper()
 	var all sync.WaitGroup
 	for range 8 {
@@ -87,36 +87,36 @@
 	all.Wait()
 }
 
-func booking(t *testing.T, at string) int {
+func bookStatus(t *testing.T, at string) int {
 	c := dial(t, at)
 	defer c.Close()
 	fmt.Fprintf(c, "POST /book/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\nRequest-Id: %d\r\n\r\n", ids.Add(1))
-	r := reply(t, c)
+	r := readReply(t, c)
 	return r.Status
 }
 
 // A node starts on its own old list, with its source out of reach: what was told to drain gets nothing, what must not run
 // twice goes only to a server that has shown that it serves, and a server that says that it is another gets nothing more.
-func TestStartFromDisk(t *testing.T) {
+func TestStartFromCachedList(t *testing.T) {
 	t.Parallel()
-	up, drained, other := counting(t, ""), counting(t, ""), counting(t, "Server-Id: else\r\n")
+	up, drained, other := newCountingServer(t, ""), newCountingServer(t, ""), newCountingServer(t, "Server-Id: else\r\n")
 	cfg := config()
-	cfg.Snapshot = keptIn(t, func(s *snapshot.Snapshot) { s.ConfirmedUnixMS -= (10 * time.Minute).Milliseconds() },
+	cfg.Snapshot = cachedList(t, func(s *snapshot.Snapshot) { s.ConfirmedUnixMS -= (10 * time.Minute).Milliseconds() },
 		up.server("up", incarnation.Up), drained.server("drained", incarnation.Draining), drained.server("gone", incarnation.Gone), other.server("other", incarnation.Up))
 	at, stop := startNode(t, cfg)
-	if status := booking(t, at); status != 503 || up.count("book")+other.count("book") > 0 {
+	if status := bookStatus(t, at); status != 503 || up.count("book")+other.count("book") > 0 {
 		t.Errorf("a booking before any server is proved is answered %d", status)
 	}
 	for up.count("check") == 0 || other.count("check") == 0 {
-		crowd(t, at)
+		sendConcurrently(t, at)
 	}
-	for booking(t, at) != 200 { // until the node has looked at the answer; where it came too late, at another one
-		crowd(t, at)
+	for bookStatus(t, at) != 200 { // until the node has looked at the answer; where it came too late, at another one
+		sendConcurrently(t, at)
 	}
 	seen := other.count("check")
 	for range 8 {
-		crowd(t, at)
-		booking(t, at)
+		sendConcurrently(t, at)
+		bookStatus(t, at)
 	}
 	if other.count("check") > seen+8 || other.count("book") > 0 || drained.count("check")+drained.count("book") > 0 {
 		t.Errorf("another server got %d checks and %d bookings, drained ones %d and %d", other.count("check")-seen, other.count("book"),
@@ -132,7 +132,7 @@
 }
 
 // Which kept lists are not used, and that the node starts all the same.
-func TestKeptListNotUsed(t *testing.T) {
+func TestCachedListNotUsed(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		change func(*snapshot.Snapshot)
@@ -150,14 +150,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			server := counting(t, "")
+			server := newCountingServer(t, "")
 			cfg := config()
-			cfg.Snapshot = keptIn(t, c.change, server.server("s", incarnation.Up))
+			cfg.Snapshot = cachedList(t, c.change, server.server("s", incarnation.Up))
 			if c.known > 0 {
 				cfg.SavedList = http1.EndpointList{Revision: c.known, Hosts: []http1.Endpoint{{ID: "gone", Phase: http1.Deleted}}}
 			}
 			at, _ := startNode(t, cfg)
-			if status := ask1(t, dial(t, at), "/check/1").Status; (status == 200) != c.used {
+			if status := get(t, dial(t, at), "/check/1").Status; (status == 200) != c.used {
 				t.Errorf("answered %d", status)
 			}
 		})
@@ -166,15 +166,15 @@
 
 // What discovery tells first: changes hold for the kept list, which is over with them; a whole list that lacks those who
 // answer is not believed at once. What was confirmed is written, the last time in good order.
-func TestKeptListConfirmed(t *testing.T) {
+func TestCachedListConfirmed(t *testing.T) {
 	t.Parallel()
-	one, two := counting(t, ""), counting(t, "")
+	one, two := newCountingServer(t, ""), newCountingServer(t, "")
 	lists := make(chan string, 4)
-	line := func(id string, a *asked, phase string) string {
+	line := func(id string, a *countingServer, phase string) string {
 		return fmt.Sprintf(`{"id":%q,"host_port":%q,"phase":%q,"size":1}`, id, a.at, phase)
 	}
 	cfg := config()
-	cfg.Snapshot = keptIn(t, func(s *snapshot.Snapshot) { s.ConfirmedUnixMS -= (10 * time.Minute).Milliseconds() },
+	cfg.Snapshot = cachedList(t, func(s *snapshot.Snapshot) { s.ConfirmedUnixMS -= (10 * time.Minute).Milliseconds() },
 		one.server("one", incarnation.Up), two.server("two", incarnation.Up), one.server("old", incarnation.Draining))
 	cfg.Discovery = standIn(t, func(nc net.Conn) {
 		defer nc.Close()
@@ -190,9 +190,9 @@
 	t.Cleanup(func() { close(lists) })
 	at, stop := startNode(t, cfg)
 	for one.count("check") == 0 || two.count("check") == 0 {
-		crowd(t, at)
+		sendConcurrently(t, at)
 	}
-	for booking(t, at) != 200 {
+	for bookStatus(t, at) != 200 {
 	}
 	lists <- `{"revision":9,"complete":true,"members":[]}` // a source that has lost its mind
 	lists <- `{"revision":9,"complete":false,"members":[` + line("two", two, "DRAINING") + `]}`
@@ -204,7 +204,7 @@
 	}
 	before := two.count("check")
 	for range 20 {
-		if status := ask1(t, dial(t, at), "/check/1").Status; status != 200 {
+		if status := get(t, dial(t, at), "/check/1").Status; status != 200 {
 			t.Fatalf("answered %d", status)
 		}
 	}
@@ -225,15 +225,15 @@
 }
 
 // A disk that takes nothing costs the list only.
-func TestListNotKept(t *testing.T) {
+func TestListNotWritten(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, whole)
+	hosts, _ := servers(t, 1, okResponse)
 	cfg := config(hosts...)
 	cfg.Snapshot = &snapshot.Config{Dir: t.TempDir(), Deployment: "d", WriteInterval: tomlfile.Duration(time.Millisecond), MaxGenerations: 2, MaxAge: tomlfile.Duration(time.Hour)}
-	cfg.Filesystem = noDisk{}
+	cfg.Filesystem = failingFilesystem{}
 	at, stop := startNode(t, cfg)
 	for range 20 {
-		if status := ask1(t, dial(t, at), "/check/1").Status; status != 200 {
+		if status := get(t, dial(t, at), "/check/1").Status; status != 200 {
 			t.Fatalf("answered %d", status)
 		}
 	}
@@ -242,6 +242,6 @@
 	}
 }
 
-type noDisk struct{ wal.OSFileSystem }
+type failingFilesystem struct{ wal.OSFileSystem }
 
-func (noDisk) Create(string) (wal.File, error) { return nil, io.ErrShortWrite }
+func (failingFilesystem) Create(string) (wal.File, error) { return nil, io.ErrShortWrite }
--- a/internal/proxy/fastcgi_test.go
+++ b/internal/proxy/fastcgi_test.go
@@ -38,11 +38,11 @@
 }
 
 // cgiNode runs a node that clients reach in both protocols, in front of servers in both.
-func cgiNode(t *testing.T, hosts ...http1.Endpoint) (http, cgi string, stop func() error) {
-	return cgiNodeWith(t, shutdownDelays{}, hosts...)
+func startFastCGINode(t *testing.T, hosts ...http1.Endpoint) (http, cgi string, stop func() error) {
+	return startFastCGINodeWith(t, shutdownDelays{}, hosts...)
 }
 
-func cgiNodeWith(t *testing.T, u shutdownDelays, hosts ...http1.Endpoint) (http, cgi string, stop func() error) {
+func startFastCGINodeWith(t *testing.T, u shutdownDelays, hosts ...http1.Endpoint) (http, cgi string, stop func() error) {
 	t.Helper()
 	// An address of its own: between its choice and its use a port of 127.0.0.1 may be dealt out to anybody's connection.
 	pid := os.Getpid()
@@ -59,7 +59,7 @@
 	}
 	cfg.Routes = routes(t, &cfg, fmt.Sprintf("[fastcgi]\nlisten = %q\nflavors = [\"cgi\"]", cgi))
 	http, stop = startNode(t, cfg)
-	ask1(t, dial(t, http), "/up") // it listens on both
+	get(t, dial(t, http), "/up") // it listens on both
 	return http, cgi, stop
 }
 
@@ -73,7 +73,7 @@
 }
 
 // One operation in the four pairings of protocols, and what it gets by what the server does.
-func TestPairings(t *testing.T) {
+func TestProtocolPairings(t *testing.T) {
 	t.Parallel()
 	status := func(n int, never bool) func(*message.Request) *message.Answer {
 		return func(*message.Request) *message.Answer {
@@ -127,7 +127,7 @@
 					}
 					hosts = append(hosts, h)
 				}
-				http, cgi, _ := cgiNode(t, hosts...)
+				http, cgi, _ := startFastCGINode(t, hosts...)
 				var l upstreamConn = http1.NewConn(dial(t, http).Conn)
 				if front == "cgi" {
 					l = fastcgi.NewServerConn(dial(t, cgi).Conn, nil, nil)
@@ -169,7 +169,7 @@
 		}
 		return echoed(r)
 	})
-	_, cgi, stop := cgiNode(t, http1.Endpoint{ID: "s", Size: 1, Flavor: "cgi", Address: at})
+	_, cgi, stop := startFastCGINode(t, http1.Endpoint{ID: "s", Size: 1, Flavor: "cgi", Address: at})
 	nc := dial(t, cgi).Conn
 	nc.SetDeadline(time.Now().Add(10 * time.Second))
 	const n = 100
@@ -215,9 +215,9 @@
 }
 
 // A client of FastCGI that says nothing, stalls or does not keep to the protocol is owed an end within 3 s.
-func TestBadCGIClientsEnd(t *testing.T) {
+func TestMalformedFastCGIClients(t *testing.T) {
 	t.Parallel()
-	_, cgi, _ := cgiNode(t)
+	_, cgi, _ := startFastCGINode(t)
 	whole := fastcgi.AppendRequest(nil, 1, post("x"), "1.000", "1.2.3.4")
 	for name, text := range map[string][]byte{"says nothing": nil, "half a header": whole[:5], "half a request": whole[:len(whole)-8], "HTTP": []byte("GET / HTTP/1.1\r\n\r\n"),
 		"the same id twice": append(slices.Clone(whole[:16]), whole[:16]...)} {
--- a/internal/proxy/fastcgishutdown_test.go
+++ b/internal/proxy/fastcgishutdown_test.go
@@ -17,7 +17,7 @@
 )
 
 // heldNode is a node whose server keeps requests for .../held until release is closed, and answers others at once.
-func heldNode(t *testing.T, u shutdownDelays) (http, cgi string, stop func() error, begun, release chan struct{}) {
+func startHeldNode(t *testing.T, u shutdownDelays) (http, cgi string, stop func() error, begun, release chan struct{}) {
 	begun, release = make(chan struct{}, 200), make(chan struct{})
 	at := standIn(t, func(nc net.Conn) {
 		defer nc.Close()
@@ -35,34 +35,34 @@
 	for i := range 100 {
 		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("s", i), Size: 1, Address: at})
 	}
-	http, cgi, stop = cgiNodeWith(t, u, hosts...)
+	http, cgi, stop = startFastCGINodeWith(t, u, hosts...)
 	return http, cgi, stop, begun, release
 }
 
-func held(id string) *message.Request {
+func heldRequest(id string) *message.Request {
 	r := post(id)
 	r.Target = []byte("/book/held")
 	return r
 }
 
-func toNode(id uint16, r *message.Request) []byte {
+func encodeRequest(id uint16, r *message.Request) []byte {
 	return fastcgi.AppendRequest(nil, id, r, "50.000", "1.2.3.4")
 }
 
 // cgiClient is a client whose requests share a connection.
-type cgiClient struct {
+type fastcgiTestClient struct {
 	net.Conn
 	*fastcgi.ResponseReader
 }
 
-func dialCGI(t *testing.T, at string) cgiClient {
+func dialFastCGI(t *testing.T, at string) fastcgiTestClient {
 	nc := dial(t, at).Conn
 	nc.SetDeadline(time.Now().Add(time.Minute))
-	return cgiClient{nc, fastcgi.NewResponseReader(nc)}
+	return fastcgiTestClient{nc, fastcgi.NewResponseReader(nc)}
 }
 
 // answer reads until a request has its answer; each other that comes before is given to others.
-func (c cgiClient) answer(t *testing.T, to uint16, others func(id uint16, status int)) int {
+func (c fastcgiTestClient) answer(t *testing.T, to uint16, others func(id uint16, status int)) int {
 	t.Helper()
 	for {
 		id, r, err := c.Next()
@@ -77,7 +77,7 @@
 }
 
 // endsInOrder reads to the end; what is told before it that it never ran is of no matter.
-func (c cgiClient) endsInOrder(t *testing.T) {
+func (c fastcgiTestClient) endsInOrder(t *testing.T) {
 	t.Helper()
 	for {
 		id, r, err := c.Next()
@@ -92,23 +92,23 @@
 }
 
 // What ends a connection on which a request is open: it gets its answer first, and the connection ends in order.
-func TestEndsKeepWhatWasTaken(t *testing.T) {
+func TestCloseKeepsAcceptedRequests(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		behind []byte // sent behind the request that is held
 		told   uint16 // an id that is told first that it never ran; 0: none
 	}{
 		"what cannot be read":      {[]byte("GET / HTTP/1.1\r\n\r\n"), 0},
-		"an id that is open":       {toNode(1, post("x"))[:16], 0},
-		"a request that stalls":    {toNode(2, post("y"))[:40], 2},
-		"a record that stalls":     {toNode(2, post("z"))[:5], 0},
-		"a stall and what follows": {append(toNode(3, post("w"))[:40:40], toNode(2, post("v"))[:16]...), 3},
+		"an id that is open":       {encodeRequest(1, post("x"))[:16], 0},
+		"a request that stalls":    {encodeRequest(2, post("y"))[:40], 2},
+		"a record that stalls":     {encodeRequest(2, post("z"))[:5], 0},
+		"a stall and what follows": {append(encodeRequest(3, post("w"))[:40:40], encodeRequest(2, post("v"))[:16]...), 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, cgi, _, begun, release := heldNode(t, shutdownDelays{extraTime: time.Minute})
-			nc := dialCGI(t, cgi)
-			nc.Write(append(toNode(1, held("held "+name)), c.behind...)) // read at once, while the first is held
+			_, cgi, _, begun, release := startHeldNode(t, shutdownDelays{extraTime: time.Minute})
+			nc := dialFastCGI(t, cgi)
+			nc.Write(append(encodeRequest(1, heldRequest("held "+name)), c.behind...)) // read at once, while the first is held
 			<-begun
 			if c.told > 0 {
 				if id, r, err := nc.Next(); id != c.told || r.Status != 0 || err != nil {
@@ -129,16 +129,16 @@
 func TestStopSharedConnection(t *testing.T) {
 	t.Parallel()
 	coming := make(chan struct{})
-	http, cgi, stop, begun, release := heldNode(t, shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: time.Minute})
-	nc, idle := dialCGI(t, cgi), dialCGI(t, cgi)
+	http, cgi, stop, begun, release := startHeldNode(t, shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: time.Minute})
+	nc, idle := dialFastCGI(t, cgi), dialFastCGI(t, cgi)
 	const n, mark = 99, 1000 // a hundred with the one that asks how it stands
 	var wire []byte
 	for id := uint16(1); id <= n; id++ {
-		wire = append(wire, toNode(id, held(fmt.Sprint("stop-", id)))...)
+		wire = append(wire, encodeRequest(id, heldRequest(fmt.Sprint("stop-", id)))...)
 	}
 	up := post("up")
 	up.Method, up.Target, up.Body = []byte("GET"), []byte("/up"), nil
-	nc.Write(append(wire, toNode(mark, up)...))
+	nc.Write(append(wire, encodeRequest(mark, up)...))
 	open := n // some may be denied at once: so many are not sent on together
 	denied := func(id uint16, status int) {
 		if open--; id > n || status != 503 {
@@ -149,20 +149,20 @@
 	<-begun
 	done := make(chan error)
 	go func() { done <- stop() }()
-	for kept := dial(t, http); !ask1(t, kept, "/up").Close; {
+	for kept := dial(t, http); !get(t, kept, "/up").Close; {
 	}
-	nc.Write(toNode(mark, up))
+	nc.Write(encodeRequest(mark, up))
 	if status := nc.answer(t, mark, denied); status != 200 {
 		t.Errorf("answered %d while it stops", status)
 	}
-	idle.Write(toNode(1, up))
+	idle.Write(encodeRequest(1, up))
 	if status := idle.answer(t, 1, denied); status != 200 {
 		t.Errorf("answered %d on an idle connection", status)
 	}
 	idle.endsInOrder(t)
 	close(coming)
 	for status := 200; status != 0; { // told that it never ran: its end alone
-		nc.Write(toNode(mark, up))
+		nc.Write(encodeRequest(mark, up))
 		if status = nc.answer(t, mark, denied); status != 200 && status != 0 {
 			t.Fatalf("answered %d", status)
 		}
@@ -180,11 +180,11 @@
 }
 
 // A client of either protocol that has sent on behind the last answer still gets all of it: the close is no reset.
-func TestNoResetOvertakesAnAnswer(t *testing.T) {
+func TestNoResetBeforeAnswer(t *testing.T) {
 	t.Parallel()
 	body := strings.Repeat("x", 60<<10)
 	at := responder(t, func(*message.Request) *message.Answer { return &message.Answer{Status: 200, Body: []byte(body)} })
-	http, cgi, _ := cgiNode(t, http1.Endpoint{ID: "s", Size: 1, Flavor: "cgi", Address: at})
+	http, cgi, _ := startFastCGINode(t, http1.Endpoint{ID: "s", Size: 1, Flavor: "cgi", Address: at})
 	narrow := net.Dialer{Control: func(_, _ string, rc syscall.RawConn) error { // the answer waits at the node
 		return rc.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 	}}
@@ -200,7 +200,7 @@
 				err := http1.NewConn(nc).ReadResponse(&r, http1.MaxAnswer)
 				return len(r.Body), err
 			}},
-		"FastCGI, what cannot be read": {cgi, append(toNode(1, post("reset-3")), strings.Repeat("no record at all", 2000)...),
+		"FastCGI, what cannot be read": {cgi, append(encodeRequest(1, post("reset-3")), strings.Repeat("no record at all", 2000)...),
 			func(nc net.Conn) (int, error) {
 				_, r, err := fastcgi.NewResponseReader(nc).Next()
 				return len(r.Body), err
@@ -223,7 +223,7 @@
 }
 
 // A request that has come when the time of its connection is over is read all the same.
-func TestRequestCrossesTheEndOfTheTime(t *testing.T) {
+func TestRequestCrossesIdleTimeout(t *testing.T) {
 	t.Parallel()
 	s := &Server{cfg: config()}
 	s.dispatcher = dispatch.New(s.cfg.Settings, 1, s.cfg.Limits, engine.NewPolicy)
@@ -232,14 +232,14 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	client := dialCGI(t, ln.Addr().String())
+	client := dialFastCGI(t, ln.Addr().String())
 	nc, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
 	f := fastcgi.NewClientConn(nc, s.dispatcher.MessageBudget())
-	client.Write(toNode(1, post("crossing")))
+	client.Write(encodeRequest(1, post("crossing")))
 	for !f.HasUnread() {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/proxy/intentjournal_test.go
+++ b/internal/proxy/intentjournal_test.go
@@ -37,7 +37,7 @@
 	t.Helper()
 	c := dial(t, at)
 	fmt.Fprintf(c, "POST /book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n%sContent-Length: 0\r\n\r\n", ids.Add(1), fields)
-	return reply(t, c).Status
+	return readReply(t, c).Status
 }
 
 // What servers do to a binding, and what the journal says of it when the node has stopped.
@@ -50,13 +50,13 @@
 		told   string
 		hops   int // 0: by chance
 	}{
-		"answered":                 {[]string{whole}, intent.HasRun, "handled", 1},
-		"turned away, then taken":  {[]string{never, whole}, intent.HasRun, "handled", 2},
+		"answered":                 {[]string{okResponse}, intent.HasRun, "handled", 1},
+		"turned away, then taken":  {[]string{never, okResponse}, intent.HasRun, "handled", 2},
 		"turned away by all":       {[]string{never}, intent.NotSent, "denied", 0},
 		"an error":                 {[]string{"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"}, intent.PossiblySent, "written off", 1},
-		"the connection breaks":    {[]string{hangUp}, intent.PossiblySent, "written off", 1},
+		"the connection breaks":    {[]string{closeMark}, intent.PossiblySent, "written off", 1},
 		"it finds fault with it":   {[]string{"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n"}, intent.PossiblySent, "written off", 1},
-		"it answers what is noise": {[]string{"noise\r\n\r\n" + hangUp}, intent.PossiblySent, "written off", 1},
+		"it answers what is noise": {[]string{"noise\r\n\r\n" + closeMark}, intent.PossiblySent, "written off", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -66,7 +66,7 @@
 			cfg.Filesystem, cfg.Journal = d, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
 			at, stop := startNode(t, cfg)
 			book(t, at, "Client-Retry: 1\r\nRepeats: 77\r\n")
-			ask1(t, dial(t, at), "/check/1") // is not kept
+			get(t, dial(t, at), "/check/1") // is not kept
 			if err := stop(); err != nil {
 				t.Fatal(err)
 			}
@@ -82,7 +82,7 @@
 }
 
 // At the moment when a server gets a binding's first byte its intent lasts past the machine's death.
-func TestIntentComesFirst(t *testing.T) {
+func TestIntentBeforeFirstByte(t *testing.T) {
 	t.Parallel()
 	d := memdisk.New()
 	var late atomic.Int32
@@ -92,7 +92,7 @@
 			if all, _ := entries(t, d); len(all) != 1 || len(all[0].Attempts) != 1 || all[0].ClientOutcome != "" {
 				late.Add(1)
 			}
-			io.WriteString(nc, whole)
+			io.WriteString(nc, okResponse)
 		}
 	})
 	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
@@ -111,7 +111,7 @@
 		t.Run(choice, func(t *testing.T) {
 			t.Parallel()
 			d := memdisk.New()
-			hosts, taken := servers(t, 3, whole)
+			hosts, taken := servers(t, 3, okResponse)
 			cfg := config(hosts...)
 			cfg.Filesystem, cfg.Journal = d, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: choice, MaxWait: tomlfile.Duration(100 * time.Millisecond), SegmentBytes: 1 << 20}
 			at, stop := startNode(t, cfg)
@@ -126,7 +126,7 @@
 				if got := book(t, at, ""); got != want {
 					t.Errorf("answered %d, not %d", got, want)
 				}
-				if r := ask1(t, dial(t, at), "/check/1"); r.Status != 200 {
+				if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
 					t.Errorf("a check is answered %d", r.Status)
 				}
 			}
@@ -149,7 +149,7 @@
 
 // A disk that is still writing an intent when the time for it is over: nothing is read of what it has yet to say, which the
 // race detector would tell.
-func TestIntentNotWaitedForToItsEnd(t *testing.T) {
+func TestIntentWaitTimesOut(t *testing.T) {
 	t.Parallel()
 	cfg := config()
 	cfg.Filesystem = memdisk.SlowFiles{Full: func() bool { return false }, Takes: func() time.Duration { return 20 * time.Millisecond }}
--- a/internal/proxy/oneconnection_test.go
+++ b/internal/proxy/oneconnection_test.go
@@ -14,7 +14,7 @@
 
 // A server that takes one connection and refuses others: a request that finds it in use waits for it, as long as it may. The old code
 // tried to connect until no attempt was left, and rejected the request within milliseconds.
-func TestWaitsForTheOneConnection(t *testing.T) {
+func TestWaitForOnlyConnection(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,7 +36,7 @@
 				close(asked)
 				<-release
 			}
-			io.WriteString(nc, whole)
+			io.WriteString(nc, okResponse)
 		}
 	}()
 	cfg := config(http1.Endpoint{ID: "s", Address: ln.Addr().(*net.TCPAddr).AddrPort(), Size: 1})
@@ -70,7 +70,7 @@
 	case <-time.After(300 * time.Millisecond):
 	}
 	let()
-	if r := reply(t, first); r.Status != 200 {
+	if r := readReply(t, first); r.Status != 200 {
 		t.Errorf("the first is answered %d", r.Status)
 	}
 	for range others {
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -20,7 +20,7 @@
 )
 
 // tierOf is the file of one node of a tier in which each record is held by two others.
-func tierOf(t *testing.T, name string, seeds ...string) *peer.Config {
+func tierConfig(t *testing.T, name string, seeds ...string) *peer.Config {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,7 +33,7 @@
 }
 
 // holder is another node of the tier; stop ends it without a word.
-func holder(t *testing.T, cfg *peer.Config) (stop func()) {
+func startHolder(t *testing.T, cfg *peer.Config) (stop func()) {
 	t.Helper()
 	p, err := peer.New(cfg, cfg.Name, nil, zerolog.Nop())
 	if err != nil {
@@ -55,7 +55,7 @@
 }
 
 // heldOf are the entries that stand in the folders held by a node.
-func heldOf(t *testing.T, cfg *peer.Config) (all []*intent.Entry) {
+func replicatedEntries(t *testing.T, cfg *peer.Config) (all []*intent.Entry) {
 	t.Helper()
 	dirs, err := filepath.Glob(filepath.Join(cfg.ReplicaDir, "*"))
 	if err != nil {
@@ -76,14 +76,14 @@
 
 // When a server gets a binding's first byte, two other machines hold its intent on disk. When both are lost, bindings are
 // denied or served as the operator chose, others notice nothing, and with holders back all goes on.
-func TestHeldByOthers(t *testing.T) {
+func TestIntentReplicated(t *testing.T) {
 	t.Parallel()
 	for _, choice := range []string{"deny", "serve"} {
 		t.Run(choice, func(t *testing.T) {
 			t.Parallel()
-			a := tierOf(t, "a")
-			b := tierOf(t, "b", a.Listen)
-			stopA, stopB := holder(t, a), holder(t, b)
+			a := tierConfig(t, "a")
+			b := tierConfig(t, "b", a.Listen)
+			stopA, stopB := startHolder(t, a), startHolder(t, b)
 			var early, hops atomic.Int32
 			var down atomic.Bool
 			box := standIn(t, func(nc net.Conn) {
@@ -96,7 +96,7 @@
 					if hops.Add(1); string(r.Method) == "POST" && !down.Load() {
 						for _, other := range []*peer.Config{a, b} {
 							found := false
-							for _, e := range heldOf(t, other) {
+							for _, e := range replicatedEntries(t, other) {
 								found = found || e.RequestID == string(r.Get("Request-Id"))
 							}
 							if !found {
@@ -104,12 +104,12 @@
 							}
 						}
 					}
-					io.WriteString(nc, whole)
+					io.WriteString(nc, okResponse)
 				}
 			})
 			cfg := config(http1.Endpoint{ID: "s", Address: box, Size: 1})
 			cfg.Journal = &wal.Config{Dir: t.TempDir(), Promise: wal.PromiseMachines, WhenFailing: choice, MaxWait: tomlfile.Duration(400 * time.Millisecond), SegmentBytes: 1 << 20}
-			cfg.Peers = tierOf(t, "n", a.Listen, b.Listen)
+			cfg.Peers = tierConfig(t, "n", a.Listen, b.Listen)
 			at, _ := startNode(t, cfg)
 			await(t, "binding kept", func() bool { return book(t, at, "") == 200 })
 			for range 5 {
@@ -133,12 +133,12 @@
 				if took := time.Since(began); choice == "deny" && took > 5*time.Second {
 					t.Errorf("denied after %v", took)
 				}
-				if r := ask1(t, dial(t, at), "/check/1"); r.Status != 200 {
+				if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
 					t.Errorf("a check is answered %d", r.Status)
 				}
 			}
 			for i := range 2 { // others come in their place
-				holder(t, tierOf(t, fmt.Sprint("c", i), cfg.Peers.Listen))
+				startHolder(t, tierConfig(t, fmt.Sprint("c", i), cfg.Peers.Listen))
 			}
 			await(t, "binding kept again", func() bool { return book(t, at, "") == 200 })
 		})
--- a/internal/proxy/plannerclient_test.go
+++ b/internal/proxy/plannerclient_test.go
@@ -19,24 +19,24 @@
 )
 
 // upper is a planner by hand: it sends what it is told to, and can be gone.
-type upper struct {
+type testPlanner struct {
 	t  *testing.T
 	ln net.Listener
 
-	mu      sync.Mutex
-	conn    *planwire.Conn
-	met     chan struct{}
-	reports chan plan.Report
+	mu        sync.Mutex
+	conn      *planwire.Conn
+	connected chan struct{}
+	reports   chan plan.Report
 }
 
-func newUpper(t *testing.T) *upper {
+func newTestPlanner(t *testing.T) *testPlanner {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &upper{t: t, ln: ln, met: make(chan struct{}, 99), reports: make(chan plan.Report, 999)}
-	t.Cleanup(u.die)
+	u := &testPlanner{t: t, ln: ln, connected: make(chan struct{}, 99), reports: make(chan plan.Report, 999)}
+	t.Cleanup(u.stop)
 	go func() {
 		for {
 			nc, err := ln.Accept()
@@ -50,7 +50,7 @@
 			u.mu.Lock()
 			u.conn = c
 			u.mu.Unlock()
-			u.met <- struct{}{}
+			u.connected <- struct{}{}
 			go func() {
 				for {
 					k, body, err := c.Receive(time.Now().Add(time.Minute))
@@ -68,7 +68,7 @@
 	return u
 }
 
-func (u *upper) die() {
+func (u *testPlanner) stop() {
 	u.ln.Close()
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -78,7 +78,7 @@
 }
 
 // say sends a plan that rests on the latest report.
-func (u *upper) say(c plan.Change) {
+func (u *testPlanner) sendChange(c plan.Change) {
 	u.t.Helper()
 	r := <-u.reports
 	c.Number, c.ReportSentAt, c.ReportingForwarders, c.Nodes, c.AdmittedShare = 1, r.SentAt, 1, 1, 1
@@ -89,7 +89,7 @@
 	}
 }
 
-func (u *upper) at() netip.AddrPort { return netip.MustParseAddrPort(u.ln.Addr().String()) }
+func (u *testPlanner) at() netip.AddrPort { return netip.MustParseAddrPort(u.ln.Addr().String()) }
 
 func serving(id string, at netip.AddrPort) incarnation.Entry {
 	return incarnation.Entry{ID: id, Address: at.String(), Weight: 1, Revision: 5}
@@ -97,9 +97,9 @@
 
 // A forwarder that knows nothing gets its servers from a planner, without a word to discovery; a stale planner undoes no
 // drain; with all planners gone it goes on, asks discovery for what is newer, and takes up planners that return.
-func TestForwarder(t *testing.T) {
+func TestPlannerClient(t *testing.T) {
 	t.Parallel()
-	hosts, taken := servers(t, 2, whole)
+	hosts, taken := servers(t, 2, okResponse)
 	calls := make(chan string, 99)
 	answers := make(chan string, 9)
 	cfg := config()
@@ -115,36 +115,36 @@
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		}
 	})
-	first, second := newUpper(t), newUpper(t)
+	first, second := newTestPlanner(t), newTestPlanner(t)
 	cfg.Planners = &planconfig.Forwarder{Addresses: []netip.AddrPort{first.at(), second.at()}}
 	at, _ := startNode(t, cfg)
-	<-first.met
-	<-second.met
+	<-first.connected
+	<-second.connected
 	a, b := serving(hosts[0].ID, hosts[0].Address), serving(hosts[1].ID, hosts[1].Address)
-	first.say(plan.Change{Incarnations: []incarnation.Entry{a, b}, Servers: []plan.ServerShare{{ID: a.ID, Share: 0.5}, {ID: b.ID, Share: 0.5}}})
-	await(t, "an answer", func() bool { return ask1(t, dial(t, at), "/check/1").Status == 200 })
+	first.sendChange(plan.Change{Incarnations: []incarnation.Entry{a, b}, Servers: []plan.ServerShare{{ID: a.ID, Share: 0.5}, {ID: b.ID, Share: 0.5}}})
+	await(t, "an answer", func() bool { return get(t, dial(t, at), "/check/1").Status == 200 })
 	if len(calls) > 0 {
 		t.Errorf("discovery was asked: %s", <-calls)
 	}
 	drained := a
 	drained.Condition, drained.Revision = incarnation.Draining, 6
-	first.say(plan.Change{Incarnations: []incarnation.Entry{drained}})
-	second.say(plan.Change{Incarnations: []incarnation.Entry{b}})
+	first.sendChange(plan.Change{Incarnations: []incarnation.Entry{drained}})
+	second.sendChange(plan.Change{Incarnations: []incarnation.Entry{b}})
 	// The second one has not heard of the drain; what it says of it is old, whatever its plan is.
 	await(t, "word of the drain to the second planner", func() bool { return slices.Contains((<-second.reports).NewerIncarnations, drained) })
-	second.say(plan.Change{Incarnations: []incarnation.Entry{a}, Servers: []plan.ServerShare{{ID: a.ID, Share: 1}}})
-	first.die()
-	second.say(plan.Change{Incarnations: []incarnation.Entry{a}})
+	second.sendChange(plan.Change{Incarnations: []incarnation.Entry{a}, Servers: []plan.ServerShare{{ID: a.ID, Share: 1}}})
+	first.stop()
+	second.sendChange(plan.Change{Incarnations: []incarnation.Entry{a}})
 	before := taken.Load()
 	for range 20 {
-		if r := ask1(t, dial(t, at), "/check/1"); r.Status != 200 {
+		if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
 			t.Errorf("answered %d", r.Status)
 		}
 	}
 	if got := taken.Load() - before; got != 20 {
 		t.Errorf("%d hops", got)
 	}
-	second.die()
+	second.stop()
 	call := <-calls // after a while, from what planners have told
 	if want := "/discovery/hosts?index=6&wait=100"; call != want {
 		t.Errorf("called %s, not %s", call, want)
@@ -154,7 +154,7 @@
 		t.Errorf("called %s", call)
 	}
 	close(answers)
-	if r := ask1(t, dial(t, at), "/check/1"); r.Status != 200 {
+	if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
 		t.Errorf("answered %d", r.Status)
 	}
 }
@@ -169,26 +169,26 @@
 }
 
 // A drained server gets nothing new though a planner that was away says that it serves.
-func TestStalePlannerAtTheNode(t *testing.T) {
+func TestStalePlanner(t *testing.T) {
 	t.Parallel()
-	one, onTaken := servers(t, 1, whole)
-	two, _ := servers(t, 1, whole)
-	u := newUpper(t)
+	one, onTaken := servers(t, 1, okResponse)
+	two, _ := servers(t, 1, okResponse)
+	u := newTestPlanner(t)
 	cfg := config()
 	cfg.Planners = &planconfig.Forwarder{Addresses: []netip.AddrPort{u.at()}}
 	at, _ := startNode(t, cfg)
-	<-u.met
+	<-u.connected
 	a, b := serving("a", one[0].Address), serving("b", two[0].Address)
 	drained := a
 	drained.Condition = incarnation.Draining
-	u.say(plan.Change{Incarnations: []incarnation.Entry{drained, b}})
-	await(t, "an answer", func() bool { return ask1(t, dial(t, at), "/check/1").Status == 200 })
-	u.say(plan.Change{Incarnations: []incarnation.Entry{a}, Servers: []plan.ServerShare{{ID: "a", Share: 1}}})
+	u.sendChange(plan.Change{Incarnations: []incarnation.Entry{drained, b}})
+	await(t, "an answer", func() bool { return get(t, dial(t, at), "/check/1").Status == 200 })
+	u.sendChange(plan.Change{Incarnations: []incarnation.Entry{a}, Servers: []plan.ServerShare{{ID: "a", Share: 1}}})
 	for range 3 { // reports: the plan is followed by now
 		<-u.reports
 	}
 	for range 10 {
-		ask1(t, dial(t, at), "/check/1")
+		get(t, dial(t, at), "/check/1")
 	}
 	if n := onTaken.Load(); n > 0 {
 		t.Errorf("%d hops to a server that drains", n)
@@ -197,30 +197,30 @@
 
 // A node that was killed starts on the list of its disk. Planners that tell the same list confirm all of it, though nothing in it
 // has changed, and a server that drains later takes no other with it.
-func TestPlannersConfirmTheKeptList(t *testing.T) {
+func TestPlannersConfirmCachedList(t *testing.T) {
 	t.Parallel()
 	const fleet = 12
-	stand := make([]*asked, fleet)
+	stand := make([]*countingServer, fleet)
 	var listed []snapshot.Server
 	var told []incarnation.Entry
 	for i := range stand {
-		stand[i] = counting(t, "")
+		stand[i] = newCountingServer(t, "")
 		id := fmt.Sprint("s", i)
 		listed = append(listed, stand[i].server(id, incarnation.Up))
 		told = append(told, serving(id, stand[i].at))
 	}
 	const left = fleet - 1 // drains since before the node's start
 	listed[left].Condition, told[left].Condition = uint8(incarnation.Draining), incarnation.Draining
-	u := newUpper(t)
+	u := newTestPlanner(t)
 	cfg := config()
 	cfg.Planners = &planconfig.Forwarder{Addresses: []netip.AddrPort{u.at()}}
-	cfg.Snapshot = keptIn(t, func(s *snapshot.Snapshot) { s.ConfirmedUnixMS -= (10 * time.Minute).Milliseconds() }, listed...)
+	cfg.Snapshot = cachedList(t, func(s *snapshot.Snapshot) { s.ConfirmedUnixMS -= (10 * time.Minute).Milliseconds() }, listed...)
 	at, _ := startNode(t, cfg)
-	<-u.met
+	<-u.connected
 	if above := (<-u.reports).NewerIncarnations; len(above) > 1 || len(above) == 1 && above[0].Condition == incarnation.Up {
 		t.Errorf("the planner is told of %d servers that nobody has confirmed", len(above))
 	}
-	u.say(plan.Change{Incarnations: told})
+	u.sendChange(plan.Change{Incarnations: told})
 	store, err := snapshot.Open(cfg.Snapshot.Dir, 3, wal.OSFileSystem{})
 	if err != nil {
 		t.Fatal(err)
@@ -231,7 +231,7 @@
 	})
 	drained := told[0]
 	drained.Condition, drained.Revision = incarnation.Draining, 9
-	u.say(plan.Change{Incarnations: []incarnation.Entry{drained}})
+	u.sendChange(plan.Change{Incarnations: []incarnation.Entry{drained}})
 	await(t, "list on disk with two servers that drain and all others in use", func() bool {
 		kept, _, err := store.Newest()
 		conditions := map[uint8]int{}
@@ -242,7 +242,7 @@
 		}
 		return conditions[uint8(incarnation.Up)] == fleet-2 && conditions[uint8(incarnation.Draining)] == 2
 	})
-	if r := ask1(t, dial(t, at), "/check/1"); r.Status != 200 {
+	if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
 		t.Errorf("answered %d", r.Status)
 	}
 }
--- a/internal/proxy/readiness_test.go
+++ b/internal/proxy/readiness_test.go
@@ -13,7 +13,7 @@
 // first list, or when it has waited long enough.
 func TestReadiness(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, whole)
+	hosts, _ := servers(t, 1, okResponse)
 	busy := "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
 	draining := hosts[0]
 	draining.Phase = http1.Draining
@@ -31,19 +31,19 @@
 		"none is known, discovery refuses":       {nil, nil, false, 503, 503, false},
 		"none is known, discovery is silent":     {nil, []string{""}, false, 503, 503, true},
 		"none is known for long":                 {nil, []string{""}, true, 200, 200, true},
-		"none is known, busy, then told":         {nil, []string{busy, busy, listed(9, true, member(hosts[0], "SERVING")), ""}, false, 503, 200, true},
-		"the known ones drain, then one is told": {[]http1.Endpoint{draining}, []string{listed(9, false, member(hosts[0], "SERVING")), ""}, false, 503, 200, true},
+		"none is known, busy, then told":         {nil, []string{busy, busy, listResponse(9, true, listMember(hosts[0], "SERVING")), ""}, false, 503, 200, true},
+		"the known ones drain, then one is told": {[]http1.Endpoint{draining}, []string{listResponse(9, false, listMember(hosts[0], "SERVING")), ""}, false, 503, 200, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			cfg := config(c.known...)
-			l := newLed(t, cfg)
+			l := newTestServer(t, cfg)
 			if l.startedAt = time.Now().Add(time.Hour); c.waited { // never over, however slow the machine is
 				l.startedAt = time.Now().Add(-firstListTimeout - time.Second)
 			}
 			up := func() int {
-				client, _ := l.ask(t, "/up")
-				r := reply(t, http1.NewConn(client))
+				client, _ := l.serveClient(t, "/up")
+				r := readReply(t, http1.NewConn(client))
 				return r.Status
 			}
 			if got := up(); got != c.first {
@@ -51,7 +51,7 @@
 			}
 			at, calls := cfg.Discovery, chan string(nil)
 			if c.listens {
-				at, calls = scripted(t, false, c.script...)
+				at, calls = scriptedDiscovery(t, false, c.script...)
 			}
 			l.discoveryTarget.Store(watch.NewTarget(at))
 			ctx, cancel := context.WithCancel(context.Background())
--- a/internal/proxy/requestraces_test.go
+++ b/internal/proxy/requestraces_test.go
@@ -18,7 +18,7 @@
 )
 
 // holding is a server that takes requests and answers none until it is released.
-func holding(t *testing.T) (h http1.Endpoint, begun chan struct{}, release func()) {
+func heldServer(t *testing.T) (h http1.Endpoint, begun chan struct{}, release func()) {
 	begun = make(chan struct{}, 16)
 	until := make(chan struct{})
 	at := standIn(t, func(nc net.Conn) {
@@ -26,14 +26,14 @@
 		for c := http1.NewConn(nc); c.ReadRequest(&http1.Request{}) == nil; {
 			begun <- struct{}{}
 			<-until
-			io.WriteString(nc, whole)
+			io.WriteString(nc, okResponse)
 		}
 	})
 	return http1.Endpoint{ID: "s", Address: at, Size: 1}, begun, func() { close(until) }
 }
 
 // A client that sends on behind its request and stays gets its answers, as long as what it sends can be held.
-func TestSentOnBehind(t *testing.T) {
+func TestPipelinedRequest(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		padding int
@@ -41,7 +41,7 @@
 	}{"a request": {0, true}, "as much as is held": {7 << 10, true}, "more than is held": {60 << 10, false}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h, begun, release := holding(t)
+			h, begun, release := heldServer(t)
 			cfg := config(h)
 			cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = time.Minute, time.Minute
 			at, _ := startNode(t, cfg)
@@ -50,7 +50,7 @@
 			<-begun
 			fmt.Fprintf(client, "GET /check/2 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\nX: %s\r\n\r\n", ids.Add(1), strings.Repeat("x", c.padding))
 			release()
-			if r := reply(t, client); r.Status != 200 {
+			if r := readReply(t, client); r.Status != 200 {
 				t.Errorf("the first is answered %d", r.Status)
 			}
 			var r http1.Response
@@ -63,7 +63,7 @@
 }
 
 // A client that is gone before its request is read, with bytes behind it: its operation is not taken at all.
-func TestGoneBeforeItIsTaken(t *testing.T) {
+func TestDisconnectBeforeRequestIsRead(t *testing.T) {
 	t.Parallel()
 	near, client := connpair.TCP(t)
 	fmt.Fprintf(client, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\nGET ", ids.Add(1))
@@ -93,9 +93,9 @@
 }
 
 // Whoever waits for a client's leaving reads what comes. With the answer its next request may come, so that ends before.
-func TestNotWatchedBehindItsAnswer(t *testing.T) {
+func TestDisconnectWatchEndsBeforeAnswer(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, whole)
+	hosts, _ := servers(t, 1, okResponse)
 	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.dispatcher.Stop()
 	for name, listed := range map[string][]http1.Endpoint{"denied": nil, "handled": hosts} {
@@ -109,7 +109,7 @@
 }
 
 // One comes into the listener's queue as the time for it runs out, and nobody has looked: listening must not end over it.
-func TestListeningEndsWithAnEmptyQueue(t *testing.T) {
+func TestListenerClosesWithEmptyQueue(t *testing.T) {
 	t.Parallel()
 	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -133,9 +133,9 @@
 }
 
 // A stop whose time is over: what was taken before is answered all the same, and what still comes is answered at once.
-func TestStopOutlastsItsTime(t *testing.T) {
+func TestStopPastItsDeadline(t *testing.T) {
 	t.Parallel()
-	h, begun, release := holding(t)
+	h, begun, release := heldServer(t)
 	cfg := config(h)
 	for i := range cfg.Settings.TrafficTypes {
 		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
@@ -144,14 +144,14 @@
 	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: -time.Hour}
 	at, stop := startNode(t, cfg)
 	before, kept := dial(t, at), dial(t, at)
-	ask1(t, kept, "/up")
+	get(t, kept, "/up")
 	fmt.Fprintf(before, "GET /book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", ids.Add(1))
 	<-begun
 	done := make(chan error, 1)
 	go func() { done <- stop() }()
-	for !ask1(t, dial(t, at), "/up").Close {
+	for !get(t, dial(t, at), "/up").Close {
 	}
-	if r := ask1(t, kept, "/book/1"); r.Status == 200 {
+	if r := get(t, kept, "/book/1"); r.Status == 200 {
 		t.Errorf("what came too late is answered %d", r.Status)
 	}
 	close(coming)
@@ -161,7 +161,7 @@
 	case <-time.After(100 * time.Millisecond): // only a fault ends it before the release
 	}
 	release()
-	if r := reply(t, before); r.Status != 200 {
+	if r := readReply(t, before); r.Status != 200 {
 		t.Errorf("what was taken is answered %d", r.Status)
 	}
 	if err := <-done; err != nil {
@@ -170,7 +170,7 @@
 }
 
 // What discovery was just telling as another address was named counts as told.
-func TestToldAsItMoves(t *testing.T) {
+func TestAnswerWhileDiscoveryMoves(t *testing.T) {
 	t.Parallel()
 	var place *watch.Target
 	named := make(chan struct{})
--- a/internal/proxy/route_test.go
+++ b/internal/proxy/route_test.go
@@ -42,13 +42,13 @@
 		asks   []string // path, and a body behind a blank
 		want   []int
 	}{
-		"no more than its rate":   {checks + "rate = 0.001\nburst = 2", []string{whole}, []string{"/check/1", "/check/1", "/check/1", "/book/1"}, []int{200, 200, 503, 200}},
-		"no larger body":          {checks + "body_bytes = 3", []string{whole}, []string{"/check/1 abc", "/check/1 abcd"}, []int{200, 413}},
-		"a further hop":           {checks + "hops = 2", []string{err500, whole}, []string{"/check/1"}, []int{200}},
-		"no further hop":          {checks + "hops = 1", []string{err500, whole}, []string{"/check/1"}, []int{503}},
-		"not after an error":      {checks + "further = [\"refused\"]", []string{err500, whole}, []string{"/check/1"}, []int{503}},
-		"a class for other paths": {"[[routes]]\nname = \"old\"\npath = \"/legacy/**\"\nclass = \"book\"\nrate = 0.001\nburst = 1", []string{whole}, []string{"/legacy/x", "/legacy/y", "/other/x"}, []int{200, 503, 404}},
-		"a fallback":              {checks + "rate = 0.001\nburst = 1\nfallback = \"rest\"\n[[routes]]\nname = \"rest\"\npath = \"/check/rest/**\"\nrate = 0.001\nburst = 1", []string{whole}, []string{"/check/1", "/check/1", "/check/1"}, []int{200, 200, 503}},
+		"no more than its rate":   {checks + "rate = 0.001\nburst = 2", []string{okResponse}, []string{"/check/1", "/check/1", "/check/1", "/book/1"}, []int{200, 200, 503, 200}},
+		"no larger body":          {checks + "body_bytes = 3", []string{okResponse}, []string{"/check/1 abc", "/check/1 abcd"}, []int{200, 413}},
+		"a further hop":           {checks + "hops = 2", []string{err500, okResponse}, []string{"/check/1"}, []int{200}},
+		"no further hop":          {checks + "hops = 1", []string{err500, okResponse}, []string{"/check/1"}, []int{503}},
+		"not after an error":      {checks + "further = [\"refused\"]", []string{err500, okResponse}, []string{"/check/1"}, []int{503}},
+		"a class for other paths": {"[[routes]]\nname = \"old\"\npath = \"/legacy/**\"\nclass = \"book\"\nrate = 0.001\nburst = 1", []string{okResponse}, []string{"/legacy/x", "/legacy/y", "/other/x"}, []int{200, 503, 404}},
+		"a fallback":              {checks + "rate = 0.001\nburst = 1\nfallback = \"rest\"\n[[routes]]\nname = \"rest\"\npath = \"/check/rest/**\"\nrate = 0.001\nburst = 1", []string{okResponse}, []string{"/check/1", "/check/1", "/check/1"}, []int{200, 200, 503}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -60,7 +60,7 @@
 				path, body, _ := strings.Cut(ask, " ")
 				conn := dial(t, at)
 				fmt.Fprintf(conn, "PUT %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\nContent-Length: %d\r\n\r\n%s", path, ids.Add(1), len(body), body)
-				if r := reply(t, conn); r.Status != c.want[i] {
+				if r := readReply(t, conn); r.Status != c.want[i] {
 					t.Errorf("%s: answered %d, not %d", ask, r.Status, c.want[i])
 				}
 			}
@@ -70,7 +70,7 @@
 
 // The first server is silent: the copy brings the answer at once, the first hop is given up, and its server learns it by
 // the close.
-func TestSecondCopy(t *testing.T) {
+func TestHedgedRequest(t *testing.T) {
 	t.Parallel()
 	var asked atomic.Int32
 	left := make(chan bool, 1)
@@ -93,13 +93,13 @@
 	at, _ := startNode(t, cfg)
 	conn := dial(t, at)
 	fmt.Fprintf(conn, "PUT /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\nContent-Length: 4\r\n\r\nbody", ids.Add(1))
-	if r := reply(t, conn); r.Status != 200 || string(r.Body) != "/check/1body" {
+	if r := readReply(t, conn); r.Status != 200 || string(r.Body) != "/check/1body" {
 		t.Errorf("answered %d %q", r.Status, r.Body)
 	}
 	if !<-left {
 		t.Error("the first server was sent more")
 	}
-	if r := ask1(t, conn, "/book/1"); r.Status != 200 { // the client's connection is whole
+	if r := get(t, conn, "/book/1"); r.Status != 200 { // the client's connection is whole
 		t.Errorf("then %d", r.Status)
 	}
 }
@@ -116,7 +116,7 @@
 		for c.ReadRequest(&http1.Request{}) == nil {
 			taken.Add(1)
 			<-release
-			io.WriteString(nc, whole)
+			io.WriteString(nc, okResponse)
 		}
 	})
 	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
@@ -142,7 +142,7 @@
 	statuses := make(chan int, held)
 	ask := func() int {
 		server := standIn(t, func(nc net.Conn) { s.serveHTTPConn(nc.(*net.TCPConn)) })
-		return ask1(t, dial(t, server.String()), "/check/1").Status
+		return get(t, dial(t, server.String()), "/check/1").Status
 	}
 	for range held {
 		go func() { statuses <- ask() }()
@@ -179,12 +179,12 @@
 
 // figures is a module that checks, at each arrival, that the figures are those of the file that the operation was
 // matched with: the file's hops are told to it in the budget.
-type figures struct {
+type limitsChecker struct {
 	t     *testing.T
 	types []policy.TrafficType
 }
 
-func (m *figures) Handle(_ time.Duration, in *policy.Input, e []policy.Effect) []policy.Effect {
+func (m *limitsChecker) Handle(_ time.Duration, in *policy.Input, e []policy.Effect) []policy.Effect {
 	switch in.Kind {
 	case policy.TrafficTypesChanged:
 		m.types = in.TrafficTypes
@@ -198,10 +198,10 @@
 }
 
 // Files change as fast as they can while operations come: none is matched with one and put under the figures of another.
-func TestNoMixedLimits(t *testing.T) {
+func TestRoutesAndLimitsOfOneFile(t *testing.T) {
 	t.Parallel()
 	cfg := config()
-	f := dispatch.New(cfg.Settings, 1, cfg.Limits, func(s policy.Settings, _ uint32) engine.Decider { return &figures{t: t, types: s.TrafficTypes} })
+	f := dispatch.New(cfg.Settings, 1, cfg.Limits, func(s policy.Settings, _ uint32) engine.Decider { return &limitsChecker{t: t, types: s.TrafficTypes} })
 	defer f.Stop()
 	var sets []*route.Table
 	hops := map[*route.Table]int{}
--- a/internal/proxy/serve_test.go
+++ b/internal/proxy/serve_test.go
@@ -28,9 +28,9 @@
 var ids atomic.Int64
 
 const (
-	hangUp = "\x00" // at the end of what a server says
-	whole  = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-	denied = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+	closeMark          = "\x00" // at the end of what a server says
+	okResponse         = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+	notStartedResponse = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
 // standIn listens and gives each connection to a function.
@@ -61,8 +61,8 @@
 			c := http1.NewConn(nc)
 			for c.ReadRequest(&http1.Request{}) == nil {
 				say := script[min(int(taken.Add(1)), len(script))-1]
-				io.WriteString(nc, strings.TrimSuffix(say, hangUp))
-				if strings.HasSuffix(say, hangUp) {
+				io.WriteString(nc, strings.TrimSuffix(say, closeMark))
+				if strings.HasSuffix(say, closeMark) {
 					return
 				}
 			}
@@ -111,13 +111,13 @@
 	return http1.NewConn(c)
 }
 
-func ask1(t *testing.T, c *http1.Conn, path string) http1.Response {
+func get(t *testing.T, c *http1.Conn, path string) http1.Response {
 	t.Helper()
 	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", path, ids.Add(1))
-	return reply(t, c)
+	return readReply(t, c)
 }
 
-func reply(t *testing.T, c *http1.Conn) (r http1.Response) {
+func readReply(t *testing.T, c *http1.Conn) (r http1.Response) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if err := c.ReadResponse(&r, http1.MaxAnswer); err != nil {
@@ -126,7 +126,7 @@
 	return r
 }
 
-func TestOneOperation(t *testing.T) {
+func TestOneRequest(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		path   string
@@ -134,38 +134,38 @@
 		status int
 		hops   int32 // below 0: so many or more, by chance, for hops that all are turned away grow rare
 	}{
-		"handled":                         {"/book/1", []string{whole}, 200, 1},
+		"handled":                         {"/book/1", []string{okResponse}, 200, 1},
 		"beyond what was agreed":          {"/book/1", []string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 300002\r\n\r\n%sok", strings.Repeat("x", 300000))}, 200, 1},
 		"in chunks":                       {"/book/1", []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"}, 200, 1},
-		"until the close":                 {"/book/1", []string{"HTTP/1.1 200 OK\r\n\r\nok" + hangUp}, 200, 1},
-		"the list asks for more":          {"/other/1", []string{whole}, 404, 0},
-		"binding, no answer":              {"/book/1", []string{hangUp, whole}, 502, 1},
-		"binding, cut off in the head":    {"/book/1", []string{"HTTP/1.1 2" + hangUp, whole}, 502, 1},
-		"binding, cut off in the body":    {"/book/1", []string{strings.TrimSuffix(whole, "k") + hangUp, whole}, 502, 1},
-		"binding, garbled":                {"/book/1", []string{"what\r\n\r\n", whole}, 502, 1},
-		"binding, too long":               {"/book/1", []string{"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", whole}, 502, 1},
-		"binding, an error":               {"/book/1", []string{"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", whole}, 502, 1},
-		"binding, away without a word":    {"/book/1", []string{strings.Replace(denied, "Not-Started: 1\r\n", "", 1), whole}, 502, 1},
-		"binding, silence":                {"/book/1", []string{"", whole}, 504, 1},
-		"binding, stalls in the body":     {"/book/1", []string{strings.TrimSuffix(whole, "k"), whole}, 504, 1},
-		"binding, turned away, then not":  {"/book/1", []string{denied, whole}, 200, 2},
-		"binding, turned away everywhere": {"/book/1", []string{denied}, 503, -2},
-		"retriable, its own fault":        {"/check/1", []string{"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", whole}, 400, 1},
-		"binding, too many":               {"/book/1", []string{"HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n", whole}, 502, 1},
-		"retriable, cut off, then not":    {"/check/1", []string{hangUp, whole}, 200, 2},
-		"retriable, an error, then not":   {"/check/1", []string{"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", whole}, 200, 2},
-		"retriable, silence":              {"/check/1", []string{"", whole}, 503, 1},
+		"until the close":                 {"/book/1", []string{"HTTP/1.1 200 OK\r\n\r\nok" + closeMark}, 200, 1},
+		"the list asks for more":          {"/other/1", []string{okResponse}, 404, 0},
+		"binding, no answer":              {"/book/1", []string{closeMark, okResponse}, 502, 1},
+		"binding, cut off in the head":    {"/book/1", []string{"HTTP/1.1 2" + closeMark, okResponse}, 502, 1},
+		"binding, cut off in the body":    {"/book/1", []string{strings.TrimSuffix(okResponse, "k") + closeMark, okResponse}, 502, 1},
+		"binding, garbled":                {"/book/1", []string{"what\r\n\r\n", okResponse}, 502, 1},
+		"binding, too long":               {"/book/1", []string{"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", okResponse}, 502, 1},
+		"binding, an error":               {"/book/1", []string{"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", okResponse}, 502, 1},
+		"binding, away without a word":    {"/book/1", []string{strings.Replace(notStartedResponse, "Not-Started: 1\r\n", "", 1), okResponse}, 502, 1},
+		"binding, silence":                {"/book/1", []string{"", okResponse}, 504, 1},
+		"binding, stalls in the body":     {"/book/1", []string{strings.TrimSuffix(okResponse, "k"), okResponse}, 504, 1},
+		"binding, turned away, then not":  {"/book/1", []string{notStartedResponse, okResponse}, 200, 2},
+		"binding, turned away everywhere": {"/book/1", []string{notStartedResponse}, 503, -2},
+		"retriable, its own fault":        {"/check/1", []string{"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", okResponse}, 400, 1},
+		"binding, too many":               {"/book/1", []string{"HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n", okResponse}, 502, 1},
+		"retriable, cut off, then not":    {"/check/1", []string{closeMark, okResponse}, 200, 2},
+		"retriable, an error, then not":   {"/check/1", []string{"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", okResponse}, 200, 2},
+		"retriable, silence":              {"/check/1", []string{"", okResponse}, 503, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			hosts, taken := servers(t, 4, c.script...)
 			at, _ := startNode(t, config(hosts...))
 			conn := dial(t, at)
-			r := ask1(t, conn, c.path)
+			r := get(t, conn, c.path)
 			if r.Status != c.status || taken.Load() != c.hops && (c.hops >= 0 || taken.Load() < -c.hops || taken.Load() > 4) || r.Status == 200 && strings.TrimLeft(string(r.Body), "x") != "ok" {
 				t.Errorf("answered %d %q after %d hops", r.Status, r.Body, taken.Load())
 			}
-			if r := ask1(t, conn, "/up"); r.Status != 200 { // the connection lives on
+			if r := get(t, conn, "/up"); r.Status != 200 { // the connection lives on
 				t.Errorf("then %d", r.Status)
 			}
 		})
@@ -173,15 +173,15 @@
 }
 
 // part is a connection that takes so many bytes of what is written, and brings nothing but an error.
-type part struct {
+type partialConn struct {
 	net.Conn
 	takes int
 	write error
 	read  error
 }
 
-func (p part) Write(b []byte) (int, error) { return min(len(b), p.takes), p.write }
-func (p part) Read([]byte) (int, error)    { return 0, p.read }
+func (p partialConn) Write(b []byte) (int, error) { return min(len(b), p.takes), p.write }
+func (p partialConn) Read([]byte) (int, error)    { return 0, p.read }
 
 // Only before the last byte is written is it sure that nothing ran.
 func TestExchange(t *testing.T) {
@@ -189,18 +189,18 @@
 	cancel()
 	x := &forwarding{message: &http1.Request{Method: []byte("GET"), Target: []byte("/check/and/more/than/forty/bytes")}}
 	for name, c := range map[string]struct {
-		conn part
+		conn partialConn
 		ctx  context.Context
 		want dispatch.AttemptResult
 	}{
-		"nothing written":            {part{write: syscall.EPIPE}, nil, dispatch.WriteFailed},
-		"all but a little written":   {part{takes: 40, write: syscall.ECONNRESET}, nil, dispatch.WriteFailed},
-		"no time to write":           {part{takes: 40, write: http1.ErrTimeout}, nil, dispatch.ExpiredUnsent},
-		"written, then reset":        {part{takes: 1 << 20, read: syscall.ECONNRESET}, nil, dispatch.ConnectionLost},
-		"written, then closed":       {part{takes: 1 << 20, read: io.EOF}, nil, dispatch.ConnectionLost},
-		"written, then silence":      {part{takes: 1 << 20, read: http1.ErrTimeout}, nil, dispatch.ResponseTimeout},
-		"written, then called off":   {part{takes: 1 << 20, read: http1.ErrTimeout}, canceled, dispatch.Abandoned},
-		"written whole, and a reset": {part{takes: 1 << 20, write: syscall.ECONNRESET, read: syscall.ECONNRESET}, nil, dispatch.ConnectionLost},
+		"nothing written":            {partialConn{write: syscall.EPIPE}, nil, dispatch.WriteFailed},
+		"all but a little written":   {partialConn{takes: 40, write: syscall.ECONNRESET}, nil, dispatch.WriteFailed},
+		"no time to write":           {partialConn{takes: 40, write: http1.ErrTimeout}, nil, dispatch.ExpiredUnsent},
+		"written, then reset":        {partialConn{takes: 1 << 20, read: syscall.ECONNRESET}, nil, dispatch.ConnectionLost},
+		"written, then closed":       {partialConn{takes: 1 << 20, read: io.EOF}, nil, dispatch.ConnectionLost},
+		"written, then silence":      {partialConn{takes: 1 << 20, read: http1.ErrTimeout}, nil, dispatch.ResponseTimeout},
+		"written, then called off":   {partialConn{takes: 1 << 20, read: http1.ErrTimeout}, canceled, dispatch.Abandoned},
+		"written whole, and a reset": {partialConn{takes: 1 << 20, write: syscall.ECONNRESET, read: syscall.ECONNRESET}, nil, dispatch.ConnectionLost},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c.ctx == nil {
@@ -213,7 +213,7 @@
 	}
 }
 
-func TestConnectEnds(t *testing.T) {
+func TestConnectResult(t *testing.T) {
 	for name, c := range map[string]struct {
 		err    error
 		timeUp bool
@@ -237,7 +237,7 @@
 }
 
 // A hop that is given up ends its connection, which is how its server learns of it.
-func TestGivenUpHopCloses(t *testing.T) {
+func TestAbandonedAttemptClosesConnection(t *testing.T) {
 	t.Parallel()
 	gone := make(chan bool, 1)
 	server := standIn(t, func(nc net.Conn) {
@@ -246,7 +246,7 @@
 		gone <- c.WaitDisconnected()
 	})
 	at, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: server, Size: 1}))
-	if r := ask1(t, dial(t, at), "/book/1"); r.Status != 504 {
+	if r := get(t, dial(t, at), "/book/1"); r.Status != 504 {
 		t.Errorf("answered %d", r.Status)
 	}
 	if !<-gone {
@@ -254,13 +254,13 @@
 	}
 }
 
-func TestServerOutOfReach(t *testing.T) {
+func TestUnreachableServer(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, whole)
+	hosts, _ := servers(t, 1, okResponse)
 	hosts = append(hosts, http1.Endpoint{ID: "closed", Address: netip.MustParseAddrPort("127.0.0.1:1"), Size: 1})
 	at, _ := startNode(t, config(hosts...))
 	for range 4 {
-		if r := ask1(t, dial(t, at), "/book/1"); r.Status != 200 {
+		if r := get(t, dial(t, at), "/book/1"); r.Status != 200 {
 			t.Errorf("answered %d", r.Status)
 		}
 	}
@@ -273,14 +273,14 @@
 	at := standIn(t, func(nc net.Conn) {
 		defer nc.Close()
 		if http1.NewConn(nc).ReadRequest(&http1.Request{}) == nil {
-			io.WriteString(nc, whole)
+			io.WriteString(nc, okResponse)
 			nc.Close()
 			closed <- struct{}{}
 		}
 	})
 	node, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: at, Size: 1}))
 	for range 3 {
-		if r := ask1(t, dial(t, node), "/book/1"); r.Status != 200 {
+		if r := get(t, dial(t, node), "/book/1"); r.Status != 200 {
 			t.Errorf("answered %d", r.Status)
 		}
 		<-closed
@@ -288,14 +288,14 @@
 }
 
 // A hop that was decided on before its server left is not written to it long after: the connection took its time.
-func TestNothingToAServerThatLeft(t *testing.T) {
+func TestNothingSentAfterDrainGrace(t *testing.T) {
 	t.Parallel()
-	hosts, taken := servers(t, 1, whole)
+	hosts, taken := servers(t, 1, okResponse)
 	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	t.Cleanup(s.dispatcher.Stop)
 	s.dispatcher.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
 	for _, phase := range []http1.Condition{http1.Draining, http1.Deleted} {
-		op := booked(s.dispatcher)
+		op := submitNonIdempotent(s.dispatcher)
 		d := op.NextDecision(func() {})
 		if d.Action != dispatch.SendAttempt {
 			t.Fatalf("decided %d", d.Action)
@@ -319,7 +319,7 @@
 // A kept connection that breaks before the request is written tells nothing of its server, a new one does.
 func TestStaleWrite(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, whole)
+	hosts, _ := servers(t, 1, okResponse)
 	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.dispatcher.Stop()
 	s.dispatcher.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
@@ -329,7 +329,7 @@
 	s.dispatcher.AcquireServerDescriptor()
 	s.dispatcher.PutIdle(hosts[0].ID, false, kept)
 	req := &http1.Request{Method: []byte("GET"), Target: []byte("/book/1")}
-	op := booked(s.dispatcher)
+	op := submitNonIdempotent(s.dispatcher)
 	defer op.Close()
 	if end, _ := s.attempt(context.Background(), op.NextDecision(func() {}), &forwarding{request: op, message: req, composeAnswer: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }}); end != dispatch.StaleConnection {
 		t.Errorf("ended %s", end)
@@ -337,9 +337,9 @@
 	(<-held).Close()
 }
 
-func TestRejected(t *testing.T) {
+func TestMalformedRequests(t *testing.T) {
 	t.Parallel()
-	hosts, taken := servers(t, 1, whole)
+	hosts, taken := servers(t, 1, okResponse)
 	at, _ := startNode(t, config(hosts...))
 	const get = "GET /check/1 HTTP/1.1\r\nHost: h\r\n"
 	for name, c := range map[string]struct {
@@ -362,7 +362,7 @@
 		t.Run(name, func(t *testing.T) {
 			conn := dial(t, at)
 			io.WriteString(conn, c.in)
-			if r := reply(t, conn); r.Status != c.status || !r.Close {
+			if r := readReply(t, conn); r.Status != c.status || !r.Close {
 				t.Errorf("answered %d, close %v", r.Status, r.Close)
 			}
 			if err := conn.ReadResponse(&http1.Response{}, 0); err != io.EOF {
@@ -376,7 +376,7 @@
 }
 
 // What a client is owed within 3 s of connecting: an error or the close, though abandon times are longer.
-func TestSlowClientsEnd(t *testing.T) {
+func TestSlowClients(t *testing.T) {
 	t.Parallel()
 	cfg := config()
 	cfg.Settings.TrafficTypes[0].ClientTimeout = time.Hour
@@ -408,12 +408,12 @@
 }
 
 // booked has a fleet take a binding operation under an id of its own.
-func booked(f *dispatch.Dispatcher) *dispatch.Request {
+func submitNonIdempotent(f *dispatch.Dispatcher) *dispatch.Request {
 	op, _ := f.Submit(dispatch.Arrival{ID: fmt.Append(nil, ids.Add(1)), RouteIndex: -1, TrafficType: 1, Timeout: time.Minute})
 	return op
 }
 
-func TestLeavingIsNoticed(t *testing.T) {
+func TestDisconnectIsNoticed(t *testing.T) {
 	t.Parallel()
 	for name, behind := range map[string]int{"nothing behind": 0, "a request behind": 80, "more than is held": 200 << 10} {
 		t.Run(name, func(t *testing.T) {
@@ -424,7 +424,7 @@
 			s := &Server{dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 			defer s.dispatcher.Stop()
 			s.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "s", Address: at, Size: 1}}}, endpoints.SourceConfig)
-			op := booked(s.dispatcher)
+			op := submitNonIdempotent(s.dispatcher)
 			if d := op.NextDecision(func() {}); d.Action != dispatch.SendAttempt {
 				t.Fatalf("decided %d", d.Action)
 			}
@@ -442,9 +442,9 @@
 }
 
 // A client that leaves while a connection comes up: its operation is not sent after that.
-func TestNothingSentAfterTheEnd(t *testing.T) {
+func TestNothingSentAfterDisconnect(t *testing.T) {
 	t.Parallel()
-	hosts, taken := servers(t, 1, whole)
+	hosts, taken := servers(t, 1, okResponse)
 	cfg := config()
 	cfg.Settings.ConnectTimeout = time.Minute // a busy machine takes its time
 	s := &Server{cfg: cfg, dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
@@ -457,7 +457,7 @@
 	}{"left": {true, false, dispatch.ExpiredUnsent}, "left unnoticed": {true, true, dispatch.ExpiredUnsent}, "still there": {false, false, dispatch.Succeeded}} {
 		t.Run(name, func(t *testing.T) {
 			before := taken.Load()
-			op := booked(s.dispatcher)
+			op := submitNonIdempotent(s.dispatcher)
 			defer op.Close()
 			d := op.NextDecision(func() {})
 			if c.leave && !c.seen {
@@ -474,25 +474,25 @@
 
 func TestShortOfDescriptors(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, whole)
+	hosts, _ := servers(t, 1, okResponse)
 	cfg := config(hosts...)
 	cfg.Limits.Sockets = 1 // leaves room for the fewest connections
 	at, _ := startNode(t, cfg)
 	for i := range 4 * cfg.Limits.MaxConnections() {
-		if r := ask1(t, dial(t, at), "/check/1"); r.Status != 200 { // and stays, idle
+		if r := get(t, dial(t, at), "/check/1"); r.Status != 200 { // and stays, idle
 			t.Fatalf("the %d. client is answered %d", i, r.Status)
 		}
 	}
 }
 
 // With all descriptors busy, what comes is still accepted and told at once to come back.
-func TestAllBusy(t *testing.T) {
+func TestAllConnectionsBusy(t *testing.T) {
 	t.Parallel()
 	finish := make(chan struct{})
 	server := standIn(t, func(nc net.Conn) {
 		for c := http1.NewConn(nc); c.ReadRequest(&http1.Request{}) == nil; {
 			<-finish
-			io.WriteString(nc, whole)
+			io.WriteString(nc, okResponse)
 		}
 	})
 	cfg := config(http1.Endpoint{ID: "a", Address: server, Size: 1}, http1.Endpoint{ID: "b", Address: server, Size: 1})
@@ -535,7 +535,7 @@
 		for c := http1.NewConn(nc); c.ReadRequest(&http1.Request{}) == nil; {
 			begun <- struct{}{}
 			<-finish
-			io.WriteString(nc, whole)
+			io.WriteString(nc, okResponse)
 		}
 	})
 	cfg := config(http1.Endpoint{ID: "s", Address: server, Size: 1})
@@ -545,21 +545,21 @@
 	at, stop := startNode(t, cfg)
 	before := dial(t, at)
 	kept := dial(t, at)
-	if r := ask1(t, kept, "/up"); r.Close {
+	if r := get(t, kept, "/up"); r.Close {
 		t.Error("closed before the stop")
 	}
 	fmt.Fprint(before, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n")
 	<-begun
 	done := make(chan error)
 	go func() { done <- stop() }()
-	for !ask1(t, dial(t, at), "/up").Close { // connections are taken all the while
+	for !get(t, dial(t, at), "/up").Close { // connections are taken all the while
 	}
-	if r := ask1(t, kept, "/up"); r.Status != 200 || !r.Close {
+	if r := get(t, kept, "/up"); r.Status != 200 || !r.Close {
 		t.Errorf("a kept connection is answered %d, close %v", r.Status, r.Close)
 	}
 	close(coming)
 	close(finish)
-	if r := reply(t, before); r.Status != 200 || !r.Close {
+	if r := readReply(t, before); r.Status != 200 || !r.Close {
 		t.Errorf("what was taken is answered %d, close %v", r.Status, r.Close)
 	}
 	if err := <-done; err != nil {
@@ -572,7 +572,7 @@
 
 func TestDiscovery(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, whole)
+	hosts, _ := servers(t, 1, okResponse)
 	line := fmt.Sprintf(`{"id":"s","host_port":"%s","phase":"SERVING","size":1}`, hosts[0].Address)
 	list := func(body string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -582,10 +582,10 @@
 		"at once":                 {good},
 		"after nothing new":       {list(`{"revision":3,"members":[]}`), good},
 		"after a failed call":     {"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n", good},
-		"after a broken call":     {hangUp, good},
+		"after a broken call":     {closeMark, good},
 		"after a bad body":        {list(`{"revision":5,"compl`), good},
 		"beside a bad entry":      {list(`{"revision":9,"complete":true,"members":[{"id":7},` + line + `]}`)},
-		"on a connection closed":  {list(`{"revision":3,"members":[]}`) + hangUp, good},
+		"on a connection closed":  {list(`{"revision":3,"members":[]}`) + closeMark, good},
 		"as a change to the list": {list(`{"revision":9,"members":[` + line + `]}`)},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -602,8 +602,8 @@
 				for c := http1.NewConn(nc); c.ReadRequest(&r) == nil; {
 					calls <- string(r.Target)
 					say := <-next
-					io.WriteString(nc, strings.TrimSuffix(say, hangUp))
-					if strings.HasSuffix(say, hangUp) {
+					io.WriteString(nc, strings.TrimSuffix(say, closeMark))
+					if strings.HasSuffix(say, closeMark) {
 						return
 					}
 				}
@@ -619,7 +619,7 @@
 				t.Errorf("called %s, after %v", call, time.Since(told)) // the watch must go on
 			}
 			close(next)
-			if r := ask1(t, dial(t, at), "/check/1"); r.Status != 200 {
+			if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
 				t.Errorf("answered %d", r.Status)
 			}
 		})
@@ -669,9 +669,9 @@
 	}
 }
 
-type stuck struct{ held chan struct{} }
+type blockedWriter struct{ held chan struct{} }
 
-func (s stuck) Write(b []byte) (int, error) {
+func (s blockedWriter) Write(b []byte) (int, error) {
 	<-s.held
 	return len(b), nil
 }
@@ -679,7 +679,7 @@
 // A reader of the log that has stopped must not hold up operations, nor the end of the node.
 func TestLogNeverBlocks(t *testing.T) {
 	t.Parallel()
-	w := stuck{make(chan struct{})}
+	w := blockedWriter{make(chan struct{})}
 	log, flush := NewLogger(w, zerolog.InfoLevel)
 	for range 10 * maxQueuedLogLines {
 		log.Warn().Msg("once more")
@@ -692,7 +692,7 @@
 // leaves all as it was.
 func TestReload(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, whole)
+	hosts, _ := servers(t, 1, okResponse)
 	list := func(revision int, complete bool) string {
 		body := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[{"id":"s","host_port":"%s","phase":"SERVING","size":1}]}`,
 			revision, complete, hosts[0].Address)
--- a/internal/proxy/shadow_test.go
+++ b/internal/proxy/shadow_test.go
@@ -15,10 +15,10 @@
 
 // A node that watches other settings answers as one that does not, over errors, refusals and broken connections, and counts
 // what the others would have had otherwise; its own settings are never otherwise.
-func TestWatch(t *testing.T) {
+func TestShadowSettings(t *testing.T) {
 	t.Parallel()
 	const failed = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
-	script := []string{whole, failed, whole, denied, whole, hangUp, whole, failed, failed, whole}
+	script := []string{okResponse, failed, okResponse, notStartedResponse, okResponse, closeMark, okResponse, failed, failed, okResponse}
 	run := func(t *testing.T, watch *shadow.Candidate) (got []int) {
 		hosts, _ := servers(t, 1, slices.Concat(script, script, script)...)
 		cfg := config(hosts...)
@@ -27,7 +27,7 @@
 		for i := range 12 {
 			conn := dial(t, at)
 			fmt.Fprintf(conn, "PUT /%s/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\nContent-Length: 0\r\n\r\n", []string{"check", "book"}[i%2], ids.Add(1))
-			got = append(got, reply(t, conn).Status)
+			got = append(got, readReply(t, conn).Status)
 		}
 		return got
 	}
@@ -64,7 +64,7 @@
 }
 
 // SIGHUP has the watched settings read again; those of no use leave the old ones watched.
-func TestWatchReload(t *testing.T) {
+func TestShadowSettingsReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "watch.json")
 	cfg := config()
 	cfg.getenv = func(string) string { return path }
