--- /dev/null
+++ b/internal/proxy/config_test.go
@@ -0,0 +1,51 @@
+package proxy
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+func TestConfig(t *testing.T) {
+	t.Parallel()
+	const good = `{"name":"n","listen":"127.0.0.1:80","discovery":"127.0.0.1:81","seed":"x","limits":{"memory_mb":64,"sockets":256},
+		"known":{"revision":1,"members":[]},"settings":{"limits":{"mostHops":2},"trafficTypes":[{"name":"a","targetTime":5,"idempotency":"safe"}]}}`
+	for name, c := range map[string]struct {
+		old, new string
+		env      string
+		wrong    string // in the one line
+	}{
+		"good":                {},
+		"listen from outside": {`"127.0.0.1:80"`, `""`, "127.0.0.2:80", ""},
+		"no JSON":             {"{", "", "", "invalid"},
+		"cut off":             {`"}]}}`, "", "", "unexpected end"},
+		"no address":          {`"127.0.0.1:80"`, `"here"`, "", "listen"},
+		"no discovery":        {`"127.0.0.1:81"`, `""`, "", "discovery"},
+		"no settings":         {`"settings"`, `"settlings"`, "", "no settings"},
+		"no traffic types":    {`"trafficTypes"`, `"types"`, "", "no traffic types"},
+		"no attempts":         {`"mostHops":2`, `"mostHops":0`, "", "no attempt"},
+		"a list of no use":    {`"revision":1`, `"revision":"one"`, "", ""},
+		"limits of no use":    {`"sockets":256`, `"sockets":-1`, "", ""},
+	} {
+		t.Run(name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "config.json")
+			if err := os.WriteFile(path, []byte(strings.Replace(good, c.old, c.new, 1)), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			cfg, err := LoadConfig(path, func(name string) string {
+				if name == "PROXY_LISTEN" {
+					return c.env
+				}
+				return ""
+			})
+			if c.wrong == "" {
+				if err != nil || cfg.Limits.Sockets < 1 || cfg.Limits.Sockets > maxSockets || c.env != "" && cfg.Listen.String() != c.env {
+					t.Errorf("%+v, %v", cfg, err)
+				}
+			} else if err == nil || !strings.Contains(err.Error(), c.wrong) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("error %v", err)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/proxy/descriptors_test.go
@@ -0,0 +1,170 @@
+package proxy
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"fernvane/internal/protocol/http1"
+)
+
+func TestShortOfDescriptors(t *testing.T) {
+	t.Parallel()
+	hosts, _ := servers(t, 1, okResponse)
+	cfg := config(hosts...)
+	cfg.Limits.Sockets = 1 // leaves room for the fewest connections
+	at, _ := startNode(t, cfg)
+	for i := range 4 * cfg.Limits.MaxConnections() {
+		if r := get(t, dial(t, at), "/check/1"); r.Status != 200 { // and stays, idle
+			t.Fatalf("the %d. client is answered %d", i, r.Status)
+		}
+	}
+}
+
+// With all descriptors busy, what comes is still accepted and told at once to come back.
+func TestAllConnectionsBusy(t *testing.T) {
+	t.Parallel()
+	finish := make(chan struct{})
+	server := standIn(t, func(nc net.Conn) {
+		for c := http1.NewConn(nc); c.ReadRequest(&http1.Request{}) == nil; {
+			<-finish
+			io.WriteString(nc, okResponse)
+		}
+	})
+	cfg := config(http1.Endpoint{ID: "a", Address: server, Size: 1}, http1.Endpoint{ID: "b", Address: server, Size: 1})
+	cfg.Limits.Sockets = 1
+	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = time.Minute, time.Minute
+	at, _ := startNode(t, cfg)
+	answers := make(chan int)
+	const n = 20
+	for range n {
+		go func() {
+			var r http1.Response
+			for r.Status == 0 { // one closed before its request was read is for the client to send once more
+				nc, err := net.Dial("tcp", at)
+				if err != nil {
+					break
+				}
+				defer nc.Close()
+				fmt.Fprintf(nc, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", ids.Add(1))
+				http1.NewConn(nc).ReadResponse(&r, http1.MaxBody)
+			}
+			answers <- r.Status
+		}()
+	}
+	got := map[int]int{}
+	for i := range n {
+		status := <-answers
+		if got[status]++; got[503] == n-3 && i == n-4 {
+			close(finish)
+		}
+	}
+	if got[200] != 3 || got[503] != n-3 {
+		t.Errorf("answered %v", got)
+	}
+}
+
+// Good clients among a flood of bad ones that hold more connections than there is room for: each request gets its answer,
+// also one that comes byte by byte. A connection closed before its request was read is for the client to try once more.
+func TestGoodClientsAmongMalformed(t *testing.T) {
+	t.Parallel()
+	const (
+		bad, good, each = 120, 4, 6
+		triesMost       = 50
+	)
+	hosts, _ := servers(t, 2, okResponse)
+	cfg := config(hosts...)
+	cfg.Limits.Sockets = 64
+	for i := range cfg.Settings.TrafficTypes {
+		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
+	}
+	at, _ := startNode(t, cfg)
+	kinds := []struct {
+		say   string
+		leave bool
+	}{
+		{"hello\r\n\r\n", false}, {strings.Repeat("x", 100<<10), true}, {"POST /book/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 9999999\r\n\r\nx", false},
+		{"GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: ", false}, {strings.Repeat("GET / HTTP/1.1\r\n\r\n", 500), true}, {"", false},
+	}
+	over := make(chan struct{})
+	var flood, all sync.WaitGroup
+	for i := range bad {
+		flood.Go(func() {
+			kind := kinds[i%len(kinds)]
+			for {
+				if c, err := net.Dial("tcp", at); err == nil {
+					io.WriteString(c, kind.say)
+					if !kind.leave {
+						closed := make(chan struct{})
+						go func() {
+							defer close(closed)
+							io.Copy(io.Discard, c) // until the node ends it
+						}()
+						select {
+						case <-closed:
+						case <-over:
+						}
+					}
+					c.Close()
+				}
+				select {
+				case <-over:
+					return
+				default:
+				}
+			}
+		})
+	}
+	for i := range good {
+		all.Go(func() {
+			for range each {
+				request := fmt.Sprintf("GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: good-%d\r\n\r\n", ids.Add(1))
+				status, err := 0, errors.New("not tried")
+				for try := 0; err != nil && try < triesMost; try++ {
+					status, err = getOnce(at, request, i%2 == 0)
+				}
+				if err != nil || status != 200 {
+					t.Errorf("answered %d, %v", status, err)
+				}
+			}
+		})
+	}
+	all.Wait()
+	close(over)
+	flood.Wait()
+}
+
+// once asks on a connection of its own, byte by byte where it is slow; the error is that of a connection that was closed or
+// reset with no answer.
+func getOnce(at, request string, slow bool) (int, error) {
+	nc, err := net.Dial("tcp", at)
+	if err != nil {
+		return 0, err
+	}
+	defer nc.Close()
+	nc.SetDeadline(time.Now().Add(time.Minute))
+	if slow {
+		for i := 0; i < len(request)-1 && err == nil; i++ {
+			_, err = io.WriteString(nc, request[i:i+1])
+		}
+		request = request[len(request)-1:]
+	}
+	if err == nil {
+		_, err = io.WriteString(nc, request)
+	}
+	if err != nil {
+		return 0, err
+	}
+	var r http1.Response
+	err = http1.NewConn(nc).ReadResponse(&r, http1.MaxAnswer)
+	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, syscall.ECONNRESET) {
+		return -1, nil // no end at all
+	}
+	return r.Status, err
+}
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -6,7 +6,6 @@
 	"net"
 	"strings"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
@@ -17,57 +16,6 @@
 	"fernvane/internal/testbed/standin/connpair"
 )
 
-const errorResponse = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
-
-// led is a node without a listener, whose clients are given to it.
-type testServer struct {
-	*Server
-	disconnected, open int // since the start; now
-	dialed             atomic.Int32
-}
-
-func newTestServer(t *testing.T, cfg Config) *testServer {
-	l := &testServer{Server: &Server{cfg: cfg, dispatcher: dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)}}
-	t.Cleanup(l.dispatcher.Stop)
-	if cfg.Routes != nil {
-		l.dispatcher.SetRoutes(cfg.Routes)
-	}
-	l.dispatcher.ApplyList(cfg.SavedList, endpoints.SourceConfig)
-	return l
-}
-
-// ask gives it a client that asks for a path; done is closed when the client's connection has been dealt with.
-func (l *testServer) serveClient(t *testing.T, path string) (client *net.TCPConn, done chan struct{}) {
-	near, client := connpair.TCP(t)
-	done = make(chan struct{})
-	fmt.Fprintf(client, "GET %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", path, ids.Add(1))
-	go func() {
-		defer close(done)
-		l.serveHTTPConn(near)
-	}()
-	return client, done
-}
-
-// count is what happened up to now.
-func (l *testServer) count() *testServer {
-	c := l.dispatcher.Counts()
-	l.disconnected, l.open = l.disconnected+c.Disconnected, c.OpenRequests
-	return l
-}
-
-// holdDial has the nth connect to a server wait for release; reached is closed when it is there.
-func (l *testServer) holdDial(nth int32) (reached, release chan struct{}) {
-	reached, release = make(chan struct{}), make(chan struct{})
-	l.dialer.Control = func(string, string, syscall.RawConn) error {
-		if l.dialed.Add(1) == nth {
-			close(reached)
-			<-release
-		}
-		return nil
-	}
-	return reached, release
-}
-
 // No attempt, first or further, is sent for a client that has left, whatever the attempt waited for as it left and in
 // whichever way it left. Each wait ends only after the leaving.
 func TestDisconnectWhileWaiting(t *testing.T) {
@@ -184,3 +132,77 @@
 		}
 	}
 }
+
+func TestDisconnectIsNoticed(t *testing.T) {
+	t.Parallel()
+	for name, behind := range map[string]int{"nothing behind": 0, "a request behind": 80, "more than is held": 200 << 10} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			gone := make(chan net.Conn, 1)
+			at := standIn(t, func(c net.Conn) { gone <- c })
+			near := dial(t, at.String())
+			s := &Server{dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
+			defer s.dispatcher.Stop()
+			s.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "s", Address: at, Size: 1}}}, endpoints.SourceConfig)
+			op := submitNonIdempotent(s.dispatcher)
+			if d := op.NextDecision(func() {}); d.Action != dispatch.SendAttempt {
+				t.Fatalf("decided %d", d.Action)
+			}
+			defer httpClientConn{s, near}.WatchDisconnect(op.ClientDisconnected)()
+			far := <-gone
+			go func() { // while the hop is out
+				far.Write(make([]byte, behind))
+				far.Close()
+			}()
+			if d := op.NextDecision(func() {}); d.Action != dispatch.Drop {
+				t.Errorf("decided %d", d.Action)
+			}
+		})
+	}
+}
+
+// A client that is gone before its request is read, with bytes behind it: its operation is not taken at all.
+func TestDisconnectBeforeRequestIsRead(t *testing.T) {
+	t.Parallel()
+	near, client := connpair.TCP(t)
+	fmt.Fprintf(client, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\nGET ", ids.Add(1))
+	client.Close()
+	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
+	defer s.dispatcher.Stop()
+	s.serveHTTPConn(near)
+	if n := s.dispatcher.Counts(); n.Disconnected+n.Rejected+n.Responded+n.Failed > 0 {
+		t.Errorf("taken: %+v", n)
+	}
+}
+
+// watched is a client that notes whether it is still watched as its answer is sent.
+type watchedConn struct {
+	isWatched, isWatchedWhenSent bool
+}
+
+func (w *watchedConn) AppendAnswer(b []byte, a http1.Answer) []byte { return http1.AppendAnswer(b, a) }
+func (w *watchedConn) AnswerBuffer() []byte                         { return nil }
+func (w *watchedConn) ClientAddress() string                        { return "" }
+func (w *watchedConn) IsDisconnected() bool                         { return false }
+func (w *watchedConn) SendAnswer([]byte) error                      { w.isWatchedWhenSent = w.isWatched; return nil }
+func (w *watchedConn) IsDisconnectedBehindUnread() bool             { return false }
+func (w *watchedConn) WatchDisconnect(func()) func() {
+	w.isWatched = true
+	return func() { w.isWatched = false }
+}
+
+// Whoever waits for a client's leaving reads what comes. With the answer its next request may come, so that ends before.
+func TestDisconnectWatchEndsBeforeAnswer(t *testing.T) {
+	t.Parallel()
+	hosts, _ := servers(t, 1, okResponse)
+	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
+	defer s.dispatcher.Stop()
+	for name, listed := range map[string][]http1.Endpoint{"denied": nil, "handled": hosts} {
+		s.dispatcher.ApplyList(http1.EndpointList{Hosts: listed}, endpoints.SourceConfig)
+		req := &http1.Request{Method: []byte("GET"), Target: []byte("/check/1"), Fields: []http1.Field{{Name: []byte("Request-Id"), Value: []byte(name)}}}
+		w := &watchedConn{isWatchedWhenSent: true}
+		if err := s.serveRequest(w, req, time.Now()); err != nil || w.isWatchedWhenSent {
+			t.Errorf("%s: still watched: %v, %v", name, w.isWatchedWhenSent, err)
+		}
+	}
+}
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -5,13 +5,10 @@
 	"io"
 	"net"
 	"net/netip"
-	"os"
-	"path/filepath"
 	"strings"
 	"sync/atomic"
 	"testing"
-
-	"github.com/rs/zerolog"
+	"time"
 
 	"fernvane/internal/protocol/http1"
 )
@@ -123,67 +120,57 @@
 	}
 }
 
-// A new configuration names another discovery while calls at the old one fail; the new one is asked at once and what it
-// tells holds, also where it refuses first and leaves out what drains.
-func TestListUpdateAfterReload(t *testing.T) {
+func TestDiscovery(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
-	kept := hosts[0]
-	kept.ID = "stays"
-	for name, c := range map[string]struct {
-		old, next []string
-	}{
-		"the old one refuses":       {[]string{closeMark, closeMark, closeMark, closeMark}, nil},
-		"the old one is silent":     {nil, nil},
-		"the new one refuses first": {nil, []string{"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", resetMark}},
-		"the new one is silent":     {nil, []string{""}},
-		"the new one counts anew":   {nil, []string{listResponse(1, false)}},
+	line := fmt.Sprintf(`{"id":"s","host_port":"%s","phase":"SERVING","size":1}`, hosts[0].Address)
+	list := func(body string) string {
+		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	}
+	good := list(`{"revision":9,"complete":true,"members":[` + line + `]}`)
+	for name, script := range map[string][]string{
+		"at once":                 {good},
+		"after nothing new":       {list(`{"revision":3,"members":[]}`), good},
+		"after a failed call":     {"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n", good},
+		"after a broken call":     {closeMark, good},
+		"after a bad body":        {list(`{"revision":5,"compl`), good},
+		"beside a bad entry":      {list(`{"revision":9,"complete":true,"members":[{"id":7},` + line + `]}`)},
+		"on a connection closed":  {list(`{"revision":3,"members":[]}`) + closeMark, good},
+		"as a change to the list": {list(`{"revision":9,"members":[` + line + `]}`)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			gone, taken := servers(t, 1, okResponse)
-			before, called := scriptedDiscovery(t, false, c.old...)
-			after, calledAfter := scriptedDiscovery(t, false, append(c.next, listResponse(9, true, listMember(kept, "SERVING")))...)
-			path := filepath.Join(t.TempDir(), "config.json")
-			file := func(discovery netip.AddrPort) {
-				text := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"%s","known":{"revision":5,"complete":true,"members":[%s,%s]},
-					"settings":{"limits":{"mostHops":4,"connectTimeout":100,"connIdle":1000},
-					"trafficTypes":[{"name":"check","targetTime":5000,"abandonTime":5000,"idempotency":"safe"}]}}`,
-					discovery, listMember(gone[0], "SERVING"), listMember(kept, "SERVING"))
-				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-					t.Fatal(err)
-				}
-			}
-			file(before)
-			cfg, err := LoadConfig(path, func(string) string { return "" })
-			if err != nil {
-				t.Fatal(err)
+			calls, next := make(chan string, 16), make(chan string, len(script))
+			for _, s := range script {
+				next <- s
 			}
-			ln, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			hup, stop, done := make(chan os.Signal), make(chan struct{}), make(chan error)
-			go func() { done <- run(Signals{hup, stop}, cfg, zerolog.Nop(), ln.(*net.TCPListener)) }()
-			<-called
-			file(after)
-			hup <- nil
-			for call := ""; !strings.HasPrefix(call, "?index=9&"); {
-				call = <-calledAfter
-			}
-			sent := taken.Load()
-			client := dial(t, ln.Addr().String())
-			for range 20 {
-				if r := get(t, client, "/check/1"); r.Status != 200 {
-					t.Errorf("answered %d", r.Status)
+			cfg := config()
+			cfg.SavedList.Revision = 2
+			cfg.Discovery = standIn(t, func(nc net.Conn) {
+				defer nc.Close()
+				var r http1.Request
+				for c := http1.NewConn(nc); c.ReadRequest(&r) == nil; {
+					calls <- string(r.Target)
+					say := <-next
+					io.WriteString(nc, strings.TrimSuffix(say, closeMark))
+					if strings.HasSuffix(say, closeMark) {
+						return
+					}
+				}
+			})
+			at, _ := startNode(t, cfg)
+			for range script {
+				if call := <-calls; !strings.HasPrefix(call, "/discovery/hosts?index=2&") && !strings.HasPrefix(call, "/discovery/hosts?index=3&") {
+					t.Errorf("called %s", call)
 				}
 			}
-			if n := taken.Load() - sent; n > 0 {
-				t.Errorf("%d were sent to a server that had left", n)
+			told := time.Now()
+			if call := <-calls; !strings.HasPrefix(call, "/discovery/hosts?index=9&wait=") || time.Since(told) > 200*time.Millisecond {
+				t.Errorf("called %s, after %v", call, time.Since(told)) // the watch must go on
 			}
-			close(stop)
-			if err := <-done; err != nil {
-				t.Error(err)
+			close(next)
+			if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
+				t.Errorf("answered %d", r.Status)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/proxy/helpers_test.go
@@ -0,0 +1,205 @@
+package proxy
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/netip"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"fernvane/internal/config/settings"
+	"fernvane/internal/discovery/endpoints"
+	"fernvane/internal/protocol/http1"
+	"fernvane/internal/proxy/dispatch"
+	"fernvane/internal/proxy/engine"
+	"fernvane/internal/testbed/standin/connpair"
+	"fernvane/policy"
+)
+
+var ids atomic.Int64
+
+const (
+	closeMark          = "\x00" // at the end of what a server says
+	okResponse         = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+	notStartedResponse = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+)
+
+// standIn listens and gives each connection to a function.
+func standIn(t *testing.T, lead func(net.Conn)) netip.AddrPort {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go lead(c)
+		}
+	}()
+	return ln.Addr().(*net.TCPAddr).AddrPort()
+}
+
+// servers are some that together say the lines of a script, one for each request.
+func servers(t *testing.T, n int, script ...string) (hosts []http1.Endpoint, taken *atomic.Int32) {
+	taken = new(atomic.Int32)
+	for i := range n {
+		at := standIn(t, func(nc net.Conn) {
+			defer nc.Close()
+			c := http1.NewConn(nc)
+			for c.ReadRequest(&http1.Request{}) == nil {
+				say := script[min(int(taken.Add(1)), len(script))-1]
+				io.WriteString(nc, strings.TrimSuffix(say, closeMark))
+				if strings.HasSuffix(say, closeMark) {
+					return
+				}
+			}
+		})
+		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("s-", i), Address: at, Size: 1})
+	}
+	return hosts, taken
+}
+
+func config(hosts ...http1.Endpoint) Config {
+	kind := policy.TrafficType{LatencyObjective: 500 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1}
+	binding := kind
+	binding.Idempotency = policy.NonIdempotent
+	return Config{Name: "n", Limits: dispatch.Limits{MemoryMB: 192, Sockets: 1024},
+		Discovery: netip.MustParseAddrPort("127.0.0.1:1"), SavedList: http1.EndpointList{Complete: true, Hosts: hosts},
+		Settings: settings.Settings{ConnIdle: time.Second, TypeNames: []string{"check", "book"}, Settings: policy.Settings{
+			NodeCount: 1, MaxAttempts: 4, ConnectTimeout: 100 * time.Millisecond, TrafficTypes: []policy.TrafficType{kind, binding}}}}
+}
+
+// node runs one until the test ends, or until stop.
+func startNode(t *testing.T, cfg Config) (at string, stop func() error) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	signal, done, stopped := make(chan struct{}), make(chan error, 1), false
+	go func() { done <- run(Signals{Stop: signal}, cfg, zerolog.Nop(), ln.(*net.TCPListener)) }()
+	stop = func() error {
+		if stopped {
+			return nil
+		}
+		stopped = true
+		close(signal)
+		return <-done
+	}
+	t.Cleanup(func() { stop() })
+	return ln.Addr().String(), stop
+}
+
+func dial(t *testing.T, at string) *http1.Conn {
+	c, err := net.Dial("tcp", at)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	return http1.NewConn(c)
+}
+
+func get(t *testing.T, c *http1.Conn, path string) http1.Response {
+	t.Helper()
+	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", path, ids.Add(1))
+	return readReply(t, c)
+}
+
+func readReply(t *testing.T, c *http1.Conn) (r http1.Response) {
+	t.Helper()
+	c.SetReadDeadline(time.Now().Add(10 * time.Second))
+	if err := c.ReadResponse(&r, http1.MaxAnswer); err != nil {
+		t.Fatal(err)
+	}
+	return r
+}
+
+// booked has a fleet take a binding operation under an id of its own.
+func submitNonIdempotent(f *dispatch.Dispatcher) *dispatch.Request {
+	op, _ := f.Submit(dispatch.Arrival{ID: fmt.Append(nil, ids.Add(1)), RouteIndex: -1, TrafficType: 1, Timeout: time.Minute})
+	return op
+}
+
+// holding is a server that takes requests and answers none until it is released.
+func heldServer(t *testing.T) (h http1.Endpoint, begun chan struct{}, release func()) {
+	begun = make(chan struct{}, 16)
+	until := make(chan struct{})
+	at := standIn(t, func(nc net.Conn) {
+		defer nc.Close()
+		for c := http1.NewConn(nc); c.ReadRequest(&http1.Request{}) == nil; {
+			begun <- struct{}{}
+			<-until
+			io.WriteString(nc, okResponse)
+		}
+	})
+	return http1.Endpoint{ID: "s", Address: at, Size: 1}, begun, func() { close(until) }
+}
+
+func await(t *testing.T, what string, is func() bool) {
+	t.Helper()
+	for by := time.Now().Add(5 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(by) {
+			t.Fatalf("no %s", what)
+		}
+	}
+}
+
+// led is a node without a listener, whose clients are given to it.
+type testServer struct {
+	*Server
+	disconnected, open int // since the start; now
+	dialed             atomic.Int32
+}
+
+func newTestServer(t *testing.T, cfg Config) *testServer {
+	l := &testServer{Server: &Server{cfg: cfg, dispatcher: dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)}}
+	t.Cleanup(l.dispatcher.Stop)
+	if cfg.Routes != nil {
+		l.dispatcher.SetRoutes(cfg.Routes)
+	}
+	l.dispatcher.ApplyList(cfg.SavedList, endpoints.SourceConfig)
+	return l
+}
+
+// ask gives it a client that asks for a path; done is closed when the client's connection has been dealt with.
+func (l *testServer) serveClient(t *testing.T, path string) (client *net.TCPConn, done chan struct{}) {
+	near, client := connpair.TCP(t)
+	done = make(chan struct{})
+	fmt.Fprintf(client, "GET %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", path, ids.Add(1))
+	go func() {
+		defer close(done)
+		l.serveHTTPConn(near)
+	}()
+	return client, done
+}
+
+// count is what happened up to now.
+func (l *testServer) count() *testServer {
+	c := l.dispatcher.Counts()
+	l.disconnected, l.open = l.disconnected+c.Disconnected, c.OpenRequests
+	return l
+}
+
+// holdDial has the nth connect to a server wait for release; reached is closed when it is there.
+func (l *testServer) holdDial(nth int32) (reached, release chan struct{}) {
+	reached, release = make(chan struct{}), make(chan struct{})
+	l.dialer.Control = func(string, string, syscall.RawConn) error {
+		if l.dialed.Add(1) == nth {
+			close(reached)
+			<-release
+		}
+		return nil
+	}
+	return reached, release
+}
+
+const errorResponse = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
--- /dev/null
+++ b/internal/proxy/listener_test.go
@@ -0,0 +1,90 @@
+package proxy
+
+import (
+	"net"
+	"syscall"
+	"testing"
+	"time"
+
+	"fernvane/internal/protocol/http1"
+	"fernvane/internal/proxy/dispatch"
+	"fernvane/internal/proxy/engine"
+)
+
+// One comes into the listener's queue as the time for it runs out, and nobody has looked: listening must not end over it.
+func TestListenerClosesWithEmptyQueue(t *testing.T) {
+	t.Parallel()
+	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
+	defer s.dispatcher.Stop()
+	s.cfg.shutdownDelays.extraQuiet = -acceptQuietDuration // each look is too late
+	s.acceptUntil = time.Now().Add(time.Minute)
+	s.isListenerClosing.Store(true)
+	dial(t, ln.Addr().String())
+	led := make(chan struct{}, 1)
+	if err := s.accept(ln, func(nc *net.TCPConn) { nc.Close(); led <- struct{}{} }); err != nil {
+		t.Fatal(err)
+	}
+	s.clientTasks.Wait()
+	if len(led) == 0 {
+		t.Error("the connection was dropped with its listener")
+	}
+}
+
+// noDelay tells whether a connection sends small writes at once.
+func isNoDelay(t *testing.T, c syscall.Conn) bool {
+	t.Helper()
+	rc, err := c.SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var on int
+	if cerr := rc.Control(func(fd uintptr) { on, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY) }); cerr != nil || err != nil {
+		t.Fatal(cerr, err)
+	}
+	return on != 0
+}
+
+// No small write is held back by the system, where a reset would take it along: on clients' connections, also those that
+// are taken as listening ends, and on servers'.
+func TestNoDelay(t *testing.T) {
+	t.Parallel()
+	hosts, _ := servers(t, 1, okResponse)
+	for name, closing := range map[string]bool{"while it serves": false, "as listening ends": true} {
+		l := newTestServer(t, config(hosts...))
+		ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer ln.Close()
+		l.cfg.shutdownDelays.extraQuiet, l.acceptUntil = -acceptQuietDuration, time.Now().Add(time.Minute) // each look is too late
+		l.isListenerClosing.Store(closing)
+		dial(t, ln.Addr().String())
+		got := make(chan bool, 1)
+		done := make(chan error, 1)
+		go func() {
+			done <- l.accept(ln, func(nc *net.TCPConn) {
+				got <- isNoDelay(t, nc)
+				nc.Close()
+			})
+		}()
+		if !<-got {
+			t.Errorf("%s: a client's connection holds small writes back", name)
+		}
+		ln.Close()
+		<-done
+	}
+	l := newTestServer(t, config(hosts...))
+	op := submitNonIdempotent(l.dispatcher)
+	defer op.Close()
+	d := op.NextDecision(func() {})
+	conn, _, end := l.connect(t.Context(), d, time.Now().Add(time.Minute))
+	if end != dispatch.Succeeded || !isNoDelay(t, conn.(*http1.Conn).Conn.(*net.TCPConn)) {
+		t.Errorf("a server's connection (%s) holds small writes back", end)
+	}
+	conn.Close()
+}
--- /dev/null
+++ b/internal/proxy/logger_test.go
@@ -0,0 +1,26 @@
+package proxy
+
+import (
+	"testing"
+
+	"github.com/rs/zerolog"
+)
+
+type blockedWriter struct{ held chan struct{} }
+
+func (s blockedWriter) Write(b []byte) (int, error) {
+	<-s.held
+	return len(b), nil
+}
+
+// A reader of the log that has stopped must not hold up operations, nor the end of the node.
+func TestLogNeverBlocks(t *testing.T) {
+	t.Parallel()
+	w := blockedWriter{make(chan struct{})}
+	log, flush := NewLogger(w, zerolog.InfoLevel)
+	for range 10 * maxQueuedLogLines {
+		log.Warn().Msg("once more")
+	}
+	flush()
+	close(w.held)
+}
--- a/internal/proxy/plannerclient_test.go
+++ b/internal/proxy/plannerclient_test.go
@@ -159,15 +159,6 @@
 	}
 }
 
-func await(t *testing.T, what string, is func() bool) {
-	t.Helper()
-	for by := time.Now().Add(5 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(by) {
-			t.Fatalf("no %s", what)
-		}
-	}
-}
-
 // A drained server gets nothing new though a planner that was away says that it serves.
 func TestStalePlanner(t *testing.T) {
 	t.Parallel()
--- /dev/null
+++ b/internal/proxy/reload_test.go
@@ -0,0 +1,163 @@
+package proxy
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	"fernvane/internal/protocol/http1"
+)
+
+// A reload takes up the address that the file names, at once and past the environment's; what is of no use
+// leaves all as it was.
+func TestReload(t *testing.T) {
+	t.Parallel()
+	hosts, _ := servers(t, 1, okResponse)
+	list := func(revision int, complete bool) string {
+		body := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[{"id":"s","host_port":"%s","phase":"SERVING","size":1}]}`,
+			revision, complete, hosts[0].Address)
+		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	}
+	for name, c := range map[string]struct {
+		says  []string
+		calls []string
+	}{
+		"its count is the same":  {[]string{list(9, false)}, []string{"?index=5&wait=100", "?index=9&wait=2000"}},
+		"it counts from another": {[]string{list(1, false), list(0, true)}, []string{"?index=5&wait=100", "", "?index=0&wait=2000"}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			discovery := func(says []string) (at netip.AddrPort, calls chan string) {
+				calls = make(chan string, 9)
+				at = standIn(t, func(nc net.Conn) {
+					defer nc.Close()
+					var r http1.Request
+					for c := http1.NewConn(nc); c.ReadRequest(&r) == nil; {
+						calls <- strings.TrimPrefix(string(r.Target), "/discovery/hosts")
+						if len(says) > 0 {
+							io.WriteString(nc, says[0])
+							says = says[1:]
+						}
+					}
+				})
+				return at, calls
+			}
+			before, called := discovery([]string{list(5, true)})
+			after, calledAfter := discovery(c.says)
+			path := filepath.Join(t.TempDir(), "config.json")
+			file := func(text string) {
+				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+					t.Fatal(err)
+				}
+			}
+			const text = `{"listen":"127.0.0.1:1","discovery":"%s","settings":{"limits":{"mostHops":1},
+				"trafficTypes":[{"name":"check","targetTime":5,"idempotency":"safe"}]}}`
+			file(fmt.Sprintf(text, "127.0.0.1:1"))
+			cfg, err := LoadConfig(path, func(name string) string {
+				return map[string]string{"PROXY_DISCOVERY": before.String()}[name]
+			})
+			if err != nil {
+				t.Fatal(err)
+			}
+			ln, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			hup, stop, done := make(chan os.Signal), make(chan struct{}), make(chan error)
+			go func() { done <- run(Signals{hup, stop}, cfg, zerolog.Nop(), ln.(*net.TCPListener)) }()
+			<-called // the whole list
+			<-called // the watch, which is not answered
+			for _, useless := range []string{"", fmt.Sprintf(text, "nowhere"), fmt.Sprintf(text, "127.0.0.1:1")} {
+				file(useless)
+				hup <- nil
+			}
+			file(fmt.Sprintf(text, after))
+			hup <- nil
+			for _, want := range c.calls {
+				if got := <-calledAfter; got != want {
+					t.Errorf("called %q, not %q", got, want)
+				}
+			}
+			if len(called) > 0 {
+				t.Error("the address before was called again")
+			}
+			close(stop)
+			if err := <-done; err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+// A new configuration names another discovery while calls at the old one fail; the new one is asked at once and what it
+// tells holds, also where it refuses first and leaves out what drains.
+func TestListUpdateAfterReload(t *testing.T) {
+	t.Parallel()
+	hosts, _ := servers(t, 1, okResponse)
+	kept := hosts[0]
+	kept.ID = "stays"
+	for name, c := range map[string]struct {
+		old, next []string
+	}{
+		"the old one refuses":       {[]string{closeMark, closeMark, closeMark, closeMark}, nil},
+		"the old one is silent":     {nil, nil},
+		"the new one refuses first": {nil, []string{"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", resetMark}},
+		"the new one is silent":     {nil, []string{""}},
+		"the new one counts anew":   {nil, []string{listResponse(1, false)}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			gone, taken := servers(t, 1, okResponse)
+			before, called := scriptedDiscovery(t, false, c.old...)
+			after, calledAfter := scriptedDiscovery(t, false, append(c.next, listResponse(9, true, listMember(kept, "SERVING")))...)
+			path := filepath.Join(t.TempDir(), "config.json")
+			file := func(discovery netip.AddrPort) {
+				text := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"%s","known":{"revision":5,"complete":true,"members":[%s,%s]},
+					"settings":{"limits":{"mostHops":4,"connectTimeout":100,"connIdle":1000},
+					"trafficTypes":[{"name":"check","targetTime":5000,"abandonTime":5000,"idempotency":"safe"}]}}`,
+					discovery, listMember(gone[0], "SERVING"), listMember(kept, "SERVING"))
+				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+					t.Fatal(err)
+				}
+			}
+			file(before)
+			cfg, err := LoadConfig(path, func(string) string { return "" })
+			if err != nil {
+				t.Fatal(err)
+			}
+			ln, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			hup, stop, done := make(chan os.Signal), make(chan struct{}), make(chan error)
+			go func() { done <- run(Signals{hup, stop}, cfg, zerolog.Nop(), ln.(*net.TCPListener)) }()
+			<-called
+			file(after)
+			hup <- nil
+			for call := ""; !strings.HasPrefix(call, "?index=9&"); {
+				call = <-calledAfter
+			}
+			sent := taken.Load()
+			client := dial(t, ln.Addr().String())
+			for range 20 {
+				if r := get(t, client, "/check/1"); r.Status != 200 {
+					t.Errorf("answered %d", r.Status)
+				}
+			}
+			if n := taken.Load() - sent; n > 0 {
+				t.Errorf("%d were sent to a server that had left", n)
+			}
+			close(stop)
+			if err := <-done; err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/proxy/shutdown_test.go
@@ -0,0 +1,223 @@
+package proxy
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"fernvane/internal/protocol/http1"
+)
+
+func TestStop(t *testing.T) {
+	t.Parallel()
+	begun, finish := make(chan struct{}), make(chan struct{})
+	server := standIn(t, func(nc net.Conn) {
+		for c := http1.NewConn(nc); c.ReadRequest(&http1.Request{}) == nil; {
+			begun <- struct{}{}
+			<-finish
+			io.WriteString(nc, okResponse)
+		}
+	})
+	cfg := config(http1.Endpoint{ID: "s", Address: server, Size: 1})
+	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = time.Minute, time.Minute
+	coming := make(chan struct{})
+	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: time.Minute}
+	at, stop := startNode(t, cfg)
+	before := dial(t, at)
+	kept := dial(t, at)
+	if r := get(t, kept, "/up"); r.Close {
+		t.Error("closed before the stop")
+	}
+	fmt.Fprint(before, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n")
+	<-begun
+	done := make(chan error)
+	go func() { done <- stop() }()
+	for !get(t, dial(t, at), "/up").Close { // connections are taken all the while
+	}
+	if r := get(t, kept, "/up"); r.Status != 200 || !r.Close {
+		t.Errorf("a kept connection is answered %d, close %v", r.Status, r.Close)
+	}
+	close(coming)
+	close(finish)
+	if r := readReply(t, before); r.Status != 200 || !r.Close {
+		t.Errorf("what was taken is answered %d, close %v", r.Status, r.Close)
+	}
+	if err := <-done; err != nil {
+		t.Error(err)
+	}
+	if _, err := net.Dial("tcp", at); err == nil {
+		t.Error("still listening")
+	}
+}
+
+// A stop whose time is over: what was taken before is answered all the same, and what still comes is answered at once.
+func TestStopPastItsDeadline(t *testing.T) {
+	t.Parallel()
+	h, begun, release := heldServer(t)
+	cfg := config(h)
+	for i := range cfg.Settings.TrafficTypes {
+		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
+	}
+	coming := make(chan struct{})
+	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: -time.Hour}
+	at, stop := startNode(t, cfg)
+	before, kept := dial(t, at), dial(t, at)
+	get(t, kept, "/up")
+	fmt.Fprintf(before, "GET /book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", ids.Add(1))
+	<-begun
+	done := make(chan error, 1)
+	go func() { done <- stop() }()
+	for !get(t, dial(t, at), "/up").Close {
+	}
+	if r := get(t, kept, "/book/1"); r.Status == 200 {
+		t.Errorf("what came too late is answered %d", r.Status)
+	}
+	close(coming)
+	select {
+	case <-done:
+		t.Error("the node has ended over what it had taken")
+	case <-time.After(100 * time.Millisecond): // only a fault ends it before the release
+	}
+	release()
+	if r := readReply(t, before); r.Status != 200 {
+		t.Errorf("what was taken is answered %d", r.Status)
+	}
+	if err := <-done; err != nil {
+		t.Error(err)
+	}
+}
+
+// What comes behind the last answer of a connection is not sent on, whoever ends it and in whichever protocol.
+func TestNothingReadAfterLastAnswer(t *testing.T) {
+	t.Parallel()
+	const second = "GET /check/behind HTTP/1.1\r\nHost: h\r\nRequest-Id: behind-%d\r\n\r\n"
+	for name, c := range map[string]struct {
+		first string
+		cgi   bool
+		stops bool // the node is about to end
+	}{
+		"the client asked for the end": {first: "GET /check/1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\nRequest-Id: end-1\r\n\r\n"},
+		"the node stops":               {first: "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: end-2\r\n\r\n", stops: true},
+		"what cannot be read":          {first: "GET /check/1 HTTP/9\r\n\r\n"},
+		"no HTTP where records belong": {first: "GET / HTTP/1.1\r\n\r\n", cgi: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			var behind atomic.Int32
+			at := standIn(t, func(nc net.Conn) {
+				defer nc.Close()
+				var r http1.Request
+				for c := http1.NewConn(nc); c.ReadRequest(&r) == nil; {
+					if strings.Contains(string(r.Target), "behind") {
+						behind.Add(1)
+					}
+					io.WriteString(nc, okResponse)
+				}
+			})
+			coming := make(chan struct{})
+			u := shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: time.Minute}
+			http, cgi, stop := startFastCGINodeWith(t, u, http1.Endpoint{ID: "s", Size: 1, Address: at})
+			done := make(chan error, 1)
+			if c.stops {
+				go func() { done <- stop() }()
+				for kept := dial(t, http); !get(t, kept, "/up").Close; {
+				}
+			}
+			if c.cgi {
+				http = cgi
+			}
+			client := dial(t, http)
+			behindIt := fmt.Sprintf(second, ids.Add(1))
+			if c.cgi {
+				r := post("behind")
+				r.Target = []byte("/check/behind")
+				behindIt = string(encodeRequest(2, r))
+			}
+			client.SetDeadline(time.Now().Add(time.Minute))
+			io.WriteString(client, c.first+behindIt) // read together
+			io.WriteString(client, behindIt)         // or by itself
+			io.Copy(io.Discard, client)              // to the end
+			close(coming)
+			if c.stops {
+				if err := <-done; err != nil {
+					t.Error(err)
+				}
+			} else {
+				stop()
+			}
+			if n := behind.Load(); n > 0 {
+				t.Errorf("%d were sent on", n)
+			}
+		})
+	}
+}
+
+// Requests on resting connections meet the node's closing them, as it stops: each that a server was sent is answered whole.
+func TestRequestsCrossIdleClose(t *testing.T) {
+	t.Parallel()
+	const resting = 48
+	var mu sync.Mutex
+	ran, answered := map[string]int{}, map[string]bool{}
+	at := standIn(t, func(nc net.Conn) {
+		defer nc.Close()
+		var r http1.Request
+		for c := http1.NewConn(nc); c.ReadRequest(&r) == nil; {
+			mu.Lock()
+			ran[string(r.Get("Request-Id"))]++
+			mu.Unlock()
+			io.WriteString(nc, okResponse)
+		}
+	})
+	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
+	for i := range cfg.Settings.TrafficTypes {
+		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
+	}
+	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() {}, extraTime: time.Minute, extraQuiet: -acceptQuietDuration}
+	node, stop := startNode(t, cfg)
+	var clients []*http1.Conn
+	for range resting {
+		c := dial(t, node)
+		get(t, c, "/up")
+		clients = append(clients, c)
+	}
+	var all sync.WaitGroup
+	begin := make(chan struct{})
+	for i, c := range clients {
+		all.Go(func() {
+			<-begin
+			time.Sleep(time.Duration(i) * 4 * time.Millisecond) // over the whole of the stop
+			for {
+				id := fmt.Sprint("meets-", ids.Add(1))
+				if _, err := fmt.Fprintf(c, "GET /book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\n\r\n", id); err != nil {
+					return
+				}
+				var r http1.Response
+				c.SetReadDeadline(time.Now().Add(time.Minute))
+				if c.ReadResponse(&r, http1.MaxAnswer) != nil {
+					return
+				}
+				mu.Lock()
+				answered[id] = true
+				mu.Unlock()
+				if r.Close {
+					return
+				}
+			}
+		})
+	}
+	close(begin)
+	if err := stop(); err != nil {
+		t.Error(err)
+	}
+	all.Wait()
+	for id, n := range ran {
+		if n != 1 || !answered[id] {
+			t.Errorf("%s was sent on %d times, answered %v", id, n, answered[id])
+		}
+	}
+}
--- /dev/null
+++ b/internal/proxy/upstream_test.go
@@ -0,0 +1,121 @@
+package proxy
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/netip"
+	"os"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+
+	"fernvane/internal/protocol/http1"
+	"fernvane/internal/proxy/dispatch"
+)
+
+func TestConnectResult(t *testing.T) {
+	for name, c := range map[string]struct {
+		err    error
+		timeUp bool
+		want   dispatch.AttemptResult
+	}{
+		"refused":                    {&net.OpError{Err: syscall.ECONNREFUSED}, false, dispatch.ConnectRefused},
+		"no way there":               {&net.OpError{Err: syscall.EHOSTUNREACH}, false, dispatch.ConnectRefused},
+		"not in the time for it":     {&net.OpError{Err: http1.ErrTimeout}, false, dispatch.ConnectTimeout},
+		"not in the hop's time":      {&net.OpError{Err: http1.ErrTimeout}, true, dispatch.ExpiredUnsent},
+		"called off":                 {&net.OpError{Err: context.Canceled}, false, dispatch.ExpiredUnsent},
+		"no descriptor":              {&net.OpError{Err: os.NewSyscallError("socket", syscall.EMFILE)}, false, dispatch.NoDescriptor},
+		"no port":                    {&net.OpError{Err: os.NewSyscallError("connect", syscall.EADDRNOTAVAIL)}, false, dispatch.NoDescriptor},
+		"an address that is not one": {&net.AddrError{Err: "missing port"}, false, dispatch.ConnectRefused},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := connectResult(c.err, c.timeUp); got != c.want {
+				t.Errorf("ended %s", got)
+			}
+		})
+	}
+}
+
+func TestUnreachableServer(t *testing.T) {
+	t.Parallel()
+	hosts, _ := servers(t, 1, okResponse)
+	hosts = append(hosts, http1.Endpoint{ID: "closed", Address: netip.MustParseAddrPort("127.0.0.1:1"), Size: 1})
+	at, _ := startNode(t, config(hosts...))
+	for range 4 {
+		if r := get(t, dial(t, at), "/book/1"); r.Status != 200 {
+			t.Errorf("answered %d", r.Status)
+		}
+	}
+}
+
+// A server that closes a connection just before it is used again must not cost an operation.
+func TestStaleConnection(t *testing.T) {
+	t.Parallel()
+	closed := make(chan struct{})
+	at := standIn(t, func(nc net.Conn) {
+		defer nc.Close()
+		if http1.NewConn(nc).ReadRequest(&http1.Request{}) == nil {
+			io.WriteString(nc, okResponse)
+			nc.Close()
+			closed <- struct{}{}
+		}
+	})
+	node, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: at, Size: 1}))
+	for range 3 {
+		if r := get(t, dial(t, node), "/book/1"); r.Status != 200 {
+			t.Errorf("answered %d", r.Status)
+		}
+		<-closed
+	}
+}
+
+// Half a line that a server sends on a resting connection is no part of any answer: the next request goes out on another
+// connection, once.
+func TestUnsolicitedBytesFromServer(t *testing.T) {
+	t.Parallel()
+	const half = "HTTP/1.1 2"
+	for name, c := range map[string]struct {
+		with, behind string // sent with the first answer, and once it has been passed on
+		ended        bool
+	}{
+		"with the answer":          {half, "", false},
+		"behind it":                {"", half, false},
+		"behind it, and a close":   {"", half, true},
+		"nothing, and a close":     {"", "", true},
+		"a whole answer behind it": {"", okResponse, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			passed, sent := make(chan struct{}), make(chan struct{})
+			var taken atomic.Int32
+			at := standIn(t, func(nc net.Conn) {
+				defer nc.Close()
+				for conn := http1.NewConn(nc); conn.ReadRequest(&http1.Request{}) == nil; {
+					if taken.Add(1) > 1 {
+						io.WriteString(nc, strings.Replace(okResponse, "ok", "on", 1))
+						continue
+					}
+					io.WriteString(nc, okResponse+c.with)
+					<-passed
+					io.WriteString(nc, c.behind)
+					if c.ended {
+						nc.Close()
+					}
+					close(sent)
+				}
+			})
+			node, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: at, Size: 1}))
+			client := dial(t, node)
+			if r := get(t, client, "/book/1"); r.Status != 200 || string(r.Body) != "ok" {
+				t.Errorf("answered %d %q", r.Status, r.Body)
+			}
+			close(passed)
+			<-sent
+			if r := get(t, client, "/book/1"); r.Status != 200 || string(r.Body) != "on" || taken.Load() != 2 {
+				t.Errorf("then %d %q after %d requests", r.Status, r.Body, taken.Load())
+			}
+		})
+	}
+}
