--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -17,7 +17,7 @@
 	"fernvane/policy"
 )
 
-// part is a connection that takes so many bytes of what is written, and brings nothing but an error.
+// partialConn is a connection that accepts so many bytes of what is written, and returns nothing but an error.
 type partialConn struct {
 	net.Conn
 	takes int
@@ -28,7 +28,7 @@
 func (p partialConn) Write(b []byte) (int, error) { return min(len(b), p.takes), p.write }
 func (p partialConn) Read([]byte) (int, error)    { return 0, p.read }
 
-// Only before the last byte is written is it sure that nothing ran.
+// Only before the last byte is written is it certain that nothing ran.
 func TestExchange(t *testing.T) {
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -58,7 +58,7 @@
 	}
 }
 
-// A hop that is given up ends its connection, which is how its server learns of it.
+// An abandoned attempt closes its connection, by which its server learns of it.
 func TestAbandonedAttemptClosesConnection(t *testing.T) {
 	t.Parallel()
 	gone := make(chan bool, 1)
@@ -76,7 +76,7 @@
 	}
 }
 
-// A hop that was decided on before its server left is not written to it long after: the connection took its time.
+// An attempt that was decided on before its server left is not written after the drain grace, whatever the connection waited for.
 func TestNothingSentAfterDrainGrace(t *testing.T) {
 	t.Parallel()
 	hosts, taken := servers(t, 1, okResponse)
@@ -105,7 +105,7 @@
 	}
 }
 
-// A client that leaves while a connection comes up: its operation is not sent after that.
+// A client disconnects while its attempt connects: its request is not sent after that.
 func TestNothingSentAfterDisconnect(t *testing.T) {
 	t.Parallel()
 	hosts, taken := servers(t, 1, okResponse)
@@ -136,7 +136,7 @@
 	}
 }
 
-// A kept connection that breaks before the request is written tells nothing of its server, a new one does.
+// A reused connection that breaks before the request is written says nothing about its server, a new one does.
 func TestStaleWrite(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
@@ -157,8 +157,8 @@
 	(<-held).Close()
 }
 
-// Answers that never end, or have no length and are reset on the way: one attempt of a binding operation, and its client
-// is told in time that it failed. A reset is no end of an answer.
+// Responses that never end, or have no length and are reset: one attempt of a non-idempotent request, and its client is answered in time
+// that it failed. A reset is no end of a response.
 func TestUnterminatedResponses(t *testing.T) {
 	t.Parallel()
 	const noLength = "HTTP/1.1 200 OK\r\n\r\n"
@@ -200,8 +200,7 @@
 	}
 }
 
-// What may have run is repeated only within its window: an attempt that breaks off after it gets no other, however much
-// time its client has.
+// A request that may have run is retried only within its window, however much time its client has.
 func TestRetryWindow(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
--- a/internal/proxy/descriptors_test.go
+++ b/internal/proxy/descriptors_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// With all descriptors busy, what comes is still accepted and told at once to come back.
+// With all descriptors busy, connections are still accepted and their requests rejected at once.
 func TestAllConnectionsBusy(t *testing.T) {
 	t.Parallel()
 	finish := make(chan struct{})
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -16,8 +16,8 @@
 	"fernvane/internal/testbed/standin/connpair"
 )
 
-// No attempt, first or further, is sent for a client that has left, whatever the attempt waited for as it left and in
-// whichever way it left. Each wait ends only after the leaving.
+// No attempt is sent for a client that has disconnected, whatever the attempt waited for and however the client disconnected. Each wait ends
+// only after that.
 func TestDisconnectWhileWaiting(t *testing.T) {
 	t.Parallel()
 	// Each case brings a request to where it waits; it returns what ends the wait and how many attempts were sent before.
@@ -150,7 +150,7 @@
 			}
 			defer httpClientConn{s, near}.WatchDisconnect(op.ClientDisconnected)()
 			far := <-gone
-			go func() { // while the hop is out
+			go func() { // while the attempt is in flight
 				far.Write(make([]byte, behind))
 				far.Close()
 			}()
@@ -161,7 +161,7 @@
 	}
 }
 
-// A client that is gone before its request is read, with bytes behind it: its operation is not taken at all.
+// A client that has disconnected before its request is read, with bytes behind it: the request is not submitted.
 func TestDisconnectBeforeRequestIsRead(t *testing.T) {
 	t.Parallel()
 	near, client := connpair.TCP(t)
@@ -175,7 +175,7 @@
 	}
 }
 
-// watched is a client that notes whether it is still watched as its answer is sent.
+// watchedConn notes whether it is still watched as its answer is sent.
 type watchedConn struct {
 	isWatched, isWatchedWhenSent bool
 }
@@ -191,7 +191,7 @@
 	return func() { w.isWatched = false }
 }
 
-// Whoever waits for a client's leaving reads what comes. With the answer its next request may come, so that ends before.
+// Watching for a disconnect reads ahead. The client's next request may follow its answer, so the watch ends before the answer is sent.
 func TestDisconnectWatchEndsBeforeAnswer(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -58,8 +58,8 @@
 	return fmt.Sprintf(`{"id":"%s","host_port":"%s","phase":"%s","size":1}`, h.ID, h.Address, phase)
 }
 
-// A change reaches a node whatever call before it failed, and once it has been told nothing new goes to a server that drains
-// or that a whole list leaves out, though it still answers. Each bad order is made by the script.
+// A change reaches a node whatever poll before it failed, and nothing new goes to a server after it was announced as draining or left out of a
+// complete list, though it still answers. The script makes each bad order.
 func TestListUpdateAfterFailedPolls(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
@@ -88,7 +88,7 @@
 		"silent late, then refused":         {[]string{listResponse(3, false), "", refused(503)}, leftOut, false, true},
 		"a watch ends instead of telling":   {[]string{listResponse(3, false), closeMark}, leftOut, false, true},
 		"a watch is reset":                  {[]string{listResponse(3, false), resetMark}, leftOut, false, true},
-		"silent, and given up for good":     {[]string{"", "", refused(503)}, leftOut, false, false},
+		"silent, then refused":              {[]string{"", "", refused(503)}, leftOut, false, false},
 		"indented, as a change, in pieces":  {[]string{refused(503)}, "", true, false},
 		"a change that drains, after reset": {[]string{resetMark}, "", false, true},
 	} {
--- a/internal/proxy/discoverymove_test.go
+++ b/internal/proxy/discoverymove_test.go
@@ -10,7 +10,7 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// What discovery was just telling as another address was named counts as told.
+// An answer that was on its way as discovery's address changed still counts.
 func TestAnswerWhileDiscoveryMoves(t *testing.T) {
 	t.Parallel()
 	var place *watch.Target
--- a/internal/proxy/distribution_test.go
+++ b/internal/proxy/distribution_test.go
@@ -29,7 +29,7 @@
 	"fernvane/internal/route"
 )
 
-// distributedTo is the part of a node that takes entries, before any socket.
+// newTestApplier is the part of a node that applies entries, before any socket.
 func newTestApplier(t *testing.T) *distributionApplier {
 	t.Helper()
 	cfg := config()
@@ -52,7 +52,7 @@
 	return entryOf(distribution.KindServer, e.ID, clock, val)
 }
 
-// What comes of servers, in the order in which it is told; clocks are those of the writes.
+// What becomes of servers by the order of their announcements; clocks are those of the writes.
 func TestDistributedServers(t *testing.T) {
 	up := incarnation.Entry{ID: "s", Address: "127.0.0.1:80", StartedUnixMS: 1000, Weight: 1}
 	draining := up
@@ -95,7 +95,7 @@
 	}
 }
 
-// The first whole list takes out what an earlier source had told.
+// The first complete list removes what an earlier source had announced.
 func TestDistributedServersComplete(t *testing.T) {
 	d := newTestApplier(t)
 	d.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "old", Address: netip.MustParseAddrPort("127.0.0.1:9"), Size: 1}}, Complete: true}, endpoints.SourceConfig)
@@ -277,7 +277,7 @@
 	}
 }
 
-// A node knows one teller of servers.
+// The distribution goes with no other source of servers.
 func TestDistributionIsOnlyListSource(t *testing.T) {
 	for name, c := range map[string]Config{"registry": {Registry: &zookeeper.Config{}}, "planners": {Planners: &planconfig.Forwarder{}}, "snapshot": {Snapshot: &snapshot.Config{}}} {
 		if err := c.checkSingleListSource(); err == nil || !strings.Contains(err.Error(), "--"+name) {
--- a/internal/proxy/endpointcache_test.go
+++ b/internal/proxy/endpointcache_test.go
@@ -17,7 +17,7 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// keptIn writes a list of servers as a node that has died kept it.
+// cachedList writes an endpoint list as a node left it that was killed.
 func cachedList(t *testing.T, change func(*snapshot.Snapshot), servers ...snapshot.Server) *snapshot.Config {
 	t.Helper()
 	dir := t.TempDir()
@@ -36,7 +36,7 @@
 	return &snapshot.Config{Dir: dir, Deployment: "d", WriteInterval: tomlfile.Duration(20 * time.Millisecond), MaxGenerations: 3, MaxAge: tomlfile.Duration(time.Hour)}
 }
 
-// asked is a stand-in server that counts what comes, by the first part of the path.
+// countingServer is a stand-in server that counts requests by the first part of the path.
 type countingServer struct {
 	mu sync.Mutex
 	n  map[string]int
@@ -68,7 +68,7 @@
 	return snapshot.Server{ID: id, Condition: uint8(c), Address: a.at.String(), Weight: 1}
 }
 
-// crowd asks several times at once, so that one server is not enough.
+// sendConcurrently sends several requests at once, so that one server is not enough.
 func sendConcurrently(t *testing.T, at string) {
 	t.Helper()
 	var all sync.WaitGroup
@@ -131,7 +131,7 @@
 	}
 }
 
-// Which kept lists are not used, and that the node starts all the same.
+// Which cached lists are not used; the node starts all the same.
 func TestCachedListNotUsed(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -198,7 +198,7 @@
 	lists <- `{"revision":9,"complete":false,"members":[` + line("two", two, "DRAINING") + `]}`
 	store, _ := snapshot.Open(cfg.Snapshot.Dir, 3, wal.OSFileSystem{})
 	var got *snapshot.Snapshot
-	for got == nil || got.Revision != 9 { // until what was told is on disk
+	for got == nil || got.Revision != 9 { // until the change is on disk
 		time.Sleep(5 * time.Millisecond)
 		got, _, _ = store.Newest()
 	}
@@ -224,7 +224,7 @@
 	}
 }
 
-// A disk that takes nothing costs the list only.
+// A disk that fails costs the list only.
 func TestListNotWritten(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
--- a/internal/proxy/fastcgi_test.go
+++ b/internal/proxy/fastcgi_test.go
@@ -37,7 +37,7 @@
 	})
 }
 
-// cgiNode runs a node that clients reach in both protocols, in front of servers in both.
+// startFastCGINode runs a node that clients reach in both protocols, with servers in both.
 func startFastCGINode(t *testing.T, hosts ...http1.Endpoint) (http, cgi string, stop func() error) {
 	return startFastCGINodeWith(t, shutdownDelays{}, hosts...)
 }
@@ -72,7 +72,7 @@
 		Fields: []message.Field{{Name: []byte("Host"), Value: []byte("h")}, {Name: []byte("Request-Id"), Value: []byte(id)}}}
 }
 
-// One operation in the four pairings of protocols, and what it gets by what the server does.
+// One request in the four pairings of protocols, and its answer by what the server does.
 func TestProtocolPairings(t *testing.T) {
 	t.Parallel()
 	status := func(n int, never bool) func(*message.Request) *message.Answer {
@@ -90,11 +90,11 @@
 		body   string
 		hops   int
 	}{
-		"handled":          {echoed, 200, "POST /book/1 body", 1},
-		"an error":         {status(500, false), 502, "", 1},
-		"turned away":      {status(503, true), 503, "", 4},
-		"its own fault":    {status(404, false), 404, "", 1},
-		"silence, binding": {func(*message.Request) *message.Answer { return nil }, 504, "", 1},
+		"handled":       {echoed, 200, "POST /book/1 body", 1},
+		"an error":      {status(500, false), 502, "", 1},
+		"not started":   {status(503, true), 503, "", 4},
+		"request fault": {status(404, false), 404, "", 1},
+		"no response":   {func(*message.Request) *message.Answer { return nil }, 504, "", 1},
 	} {
 		for _, pairing := range []string{"http http", "http cgi", "cgi http", "cgi cgi"} {
 			t.Run(name+", "+pairing, func(t *testing.T) {
@@ -133,7 +133,7 @@
 					l = fastcgi.NewServerConn(dial(t, cgi).Conn, nil, nil)
 				}
 				l.SetDeadline(time.Now().Add(10 * time.Second))
-				for range 2 { // the second on the connection that was kept
+				for range 2 { // the second on the reused connection
 					mu.Lock()
 					hops = 0
 					mu.Unlock()
@@ -150,7 +150,7 @@
 					}
 					mu.Unlock()
 					if c.status != 200 {
-						break // its servers rest now
+						break // its servers are ejected now
 					}
 				}
 			})
@@ -158,7 +158,7 @@
 	}
 }
 
-// A hundred requests share a connection: one that is aborted while its hop is out and one that is malformed harm no
+// A hundred requests share a connection: one that is aborted while its attempt is in flight and one that is malformed harm no
 // other, and nothing more comes of the aborted one than its end.
 func TestSharedConnection(t *testing.T) {
 	t.Parallel()
@@ -214,7 +214,7 @@
 	}
 }
 
-// A client of FastCGI that says nothing, stalls or does not keep to the protocol is owed an end within 3 s.
+// The connection of a FastCGI client that sends nothing, stalls or violates the protocol ends within 3 s.
 func TestMalformedFastCGIClients(t *testing.T) {
 	t.Parallel()
 	_, cgi, _ := startFastCGINode(t)
--- a/internal/proxy/fastcgishutdown_test.go
+++ b/internal/proxy/fastcgishutdown_test.go
@@ -16,7 +16,7 @@
 	"fernvane/internal/proxy/engine"
 )
 
-// heldNode is a node whose server keeps requests for .../held until release is closed, and answers others at once.
+// startHeldNode runs a node whose server holds requests for .../held until release is closed, and answers others at once.
 func startHeldNode(t *testing.T, u shutdownDelays) (http, cgi string, stop func() error, begun, release chan struct{}) {
 	begun, release = make(chan struct{}, 200), make(chan struct{})
 	at := standIn(t, func(nc net.Conn) {
@@ -31,7 +31,7 @@
 			c.Send(http1.AppendAnswer(nil, *echoed(&r)))
 		}
 	})
-	var hosts []http1.Endpoint // one server under many names, so that many hops may be out
+	var hosts []http1.Endpoint // one server under many names, so that many attempts may be in flight
 	for i := range 100 {
 		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("s", i), Size: 1, Address: at})
 	}
@@ -49,7 +49,7 @@
 	return fastcgi.AppendRequest(nil, id, r, "50.000", "1.2.3.4")
 }
 
-// cgiClient is a client whose requests share a connection.
+// fastcgiTestClient is a client whose requests share a connection.
 type fastcgiTestClient struct {
 	net.Conn
 	*fastcgi.ResponseReader
@@ -76,7 +76,7 @@
 	}
 }
 
-// endsInOrder reads to the end; what is told before it that it never ran is of no matter.
+// endsInOrder reads to the end; requests that are notified before it that they never ran are of no matter.
 func (c fastcgiTestClient) endsInOrder(t *testing.T) {
 	t.Helper()
 	for {
@@ -96,7 +96,7 @@
 	t.Parallel()
 	for name, c := range map[string]struct {
 		behind []byte // sent behind the request that is held
-		told   uint16 // an id that is told first that it never ran; 0: none
+		told   uint16 // ID of a request that is notified first that it never ran; 0: none
 	}{
 		"what cannot be read":      {[]byte("GET / HTTP/1.1\r\n\r\n"), 0},
 		"an id that is open":       {encodeRequest(1, post("x"))[:16], 0},
@@ -124,8 +124,8 @@
 	}
 }
 
-// SIGTERM with a hundred requests open on one connection, and more that keep coming: what was taken is answered, what
-// comes until the listening ends is too, and what comes then is told that it never ran.
+// SIGTERM with a hundred requests open on one connection, and more that keep coming: accepted requests are answered,
+// those that arrive until listening ends too, and those that arrive then are notified that they never ran.
 func TestStopSharedConnection(t *testing.T) {
 	t.Parallel()
 	coming := make(chan struct{})
@@ -139,7 +139,7 @@
 	up := post("up")
 	up.Method, up.Target, up.Body = []byte("GET"), []byte("/up"), nil
 	nc.Write(append(wire, encodeRequest(mark, up)...))
-	open := n // some may be denied at once: so many are not sent on together
+	open := n // some may be rejected at once: so many are not forwarded together
 	denied := func(id uint16, status int) {
 		if open--; id > n || status != 503 {
 			t.Errorf("%d is answered %d", id, status)
@@ -161,7 +161,7 @@
 	}
 	idle.endsInOrder(t)
 	close(coming)
-	for status := 200; status != 0; { // told that it never ran: its end alone
+	for status := 200; status != 0; { // notified that it never ran: its end alone
 		nc.Write(encodeRequest(mark, up))
 		if status = nc.answer(t, mark, denied); status != 200 && status != 0 {
 			t.Fatalf("answered %d", status)
@@ -222,7 +222,7 @@
 	}
 }
 
-// A request that has come when the time of its connection is over is read all the same.
+// A request that arrives as the idle timeout passes is read all the same.
 func TestRequestCrossesIdleTimeout(t *testing.T) {
 	t.Parallel()
 	s := &Server{cfg: config()}
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -25,12 +25,12 @@
 var ids atomic.Int64
 
 const (
-	closeMark          = "\x00" // at the end of what a server says
+	closeMark          = "\x00" // at the end of a script's line: the server closes the connection
 	okResponse         = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	notStartedResponse = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// standIn listens and gives each connection to a function.
+// standIn is a stand-in server that gives each connection to a function.
 func standIn(t *testing.T, lead func(net.Conn)) netip.AddrPort {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +49,7 @@
 	return ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// servers are some that together say the lines of a script, one for each request.
+// servers are stand-in servers that together answer by the lines of a script, one for each request.
 func servers(t *testing.T, n int, script ...string) (hosts []http1.Endpoint, taken *atomic.Int32) {
 	taken = new(atomic.Int32)
 	for i := range n {
@@ -79,7 +79,7 @@
 			NodeCount: 1, MaxAttempts: 4, ConnectTimeout: 100 * time.Millisecond, TrafficTypes: []policy.TrafficType{kind, binding}}}}
 }
 
-// node runs one until the test ends, or until stop.
+// startNode runs a node until the test ends, or until stop.
 func startNode(t *testing.T, cfg Config) (at string, stop func() error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -123,13 +123,13 @@
 	return r
 }
 
-// booked has a fleet take a binding operation under an id of its own.
+// submitNonIdempotent submits a non-idempotent request with a request ID of its own.
 func submitNonIdempotent(f *dispatch.Dispatcher) *dispatch.Request {
 	op, _ := f.Submit(dispatch.Arrival{ID: fmt.Append(nil, ids.Add(1)), RouteIndex: -1, TrafficType: 1, Timeout: time.Minute})
 	return op
 }
 
-// holding is a server that takes requests and answers none until it is released.
+// heldServer is a server that answers no request until it is released.
 func heldServer(t *testing.T) (h http1.Endpoint, begun chan struct{}, release func()) {
 	begun = make(chan struct{}, 16)
 	until := make(chan struct{})
@@ -153,7 +153,7 @@
 	}
 }
 
-// led is a node without a listener, whose clients are given to it.
+// testServer is a node without a listener, whose client connections are handed to it.
 type testServer struct {
 	*Server
 	disconnected, open int // since the start; now
@@ -170,7 +170,7 @@
 	return l
 }
 
-// ask gives it a client that asks for a path; done is closed when the client's connection has been dealt with.
+// serveClient hands it a client that requests a path; done is closed when the client's connection has been served.
 func (l *testServer) serveClient(t *testing.T, path string) (client *net.TCPConn, done chan struct{}) {
 	near, client := connpair.TCP(t)
 	done = make(chan struct{})
@@ -182,14 +182,14 @@
 	return client, done
 }
 
-// count is what happened up to now.
+// count takes over the counts up to now.
 func (l *testServer) count() *testServer {
 	c := l.dispatcher.Counts()
 	l.disconnected, l.open = l.disconnected+c.Disconnected, c.OpenRequests
 	return l
 }
 
-// holdDial has the nth connect to a server wait for release; reached is closed when it is there.
+// holdDial makes the nth connect to a server wait for release; reached is closed when it waits.
 func (l *testServer) holdDial(nth int32) (reached, release chan struct{}) {
 	reached, release = make(chan struct{}), make(chan struct{})
 	l.dialer.Control = func(string, string, syscall.RawConn) error {
--- a/internal/proxy/httpclient_test.go
+++ b/internal/proxy/httpclient_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// What a client is owed within 3 s of connecting: an error or the close, though abandon times are longer.
+// Within 3 s of connecting a client gets an answer or the close, though abandon times are longer.
 func TestSlowClients(t *testing.T) {
 	t.Parallel()
 	cfg := config()
--- a/internal/proxy/intentjournal_test.go
+++ b/internal/proxy/intentjournal_test.go
@@ -18,7 +18,7 @@
 	"fernvane/internal/testbed/standin/memdisk"
 )
 
-// kept is what a journal holds of all operations.
+// entries are what a journal holds of all requests.
 func entries(t *testing.T, d wal.FileSystem) (all []*intent.Entry, gaps int) {
 	t.Helper()
 	fold := intent.NewAssembler()
@@ -40,7 +40,7 @@
 	return readReply(t, c).Status
 }
 
-// What servers do to a binding, and what the journal says of it when the node has stopped.
+// What servers do with a non-idempotent request, and what the journal says of it when the node has stopped.
 func TestJournal(t *testing.T) {
 	t.Parallel()
 	const never = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
@@ -50,13 +50,13 @@
 		told   string
 		hops   int // 0: by chance
 	}{
-		"answered":                 {[]string{okResponse}, intent.HasRun, "handled", 1},
-		"turned away, then taken":  {[]string{never, okResponse}, intent.HasRun, "handled", 2},
-		"turned away by all":       {[]string{never}, intent.NotSent, "denied", 0},
-		"an error":                 {[]string{"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"}, intent.PossiblySent, "written off", 1},
-		"the connection breaks":    {[]string{closeMark}, intent.PossiblySent, "written off", 1},
-		"it finds fault with it":   {[]string{"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n"}, intent.PossiblySent, "written off", 1},
-		"it answers what is noise": {[]string{"noise\r\n\r\n" + closeMark}, intent.PossiblySent, "written off", 1},
+		"answered":              {[]string{okResponse}, intent.HasRun, "handled", 1},
+		"not started, then ok":  {[]string{never, okResponse}, intent.HasRun, "handled", 2},
+		"not started anywhere":  {[]string{never}, intent.NotSent, "denied", 0},
+		"an error":              {[]string{"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"}, intent.PossiblySent, "written off", 1},
+		"the connection breaks": {[]string{closeMark}, intent.PossiblySent, "written off", 1},
+		"request fault":         {[]string{"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n"}, intent.PossiblySent, "written off", 1},
+		"malformed response":    {[]string{"noise\r\n\r\n" + closeMark}, intent.PossiblySent, "written off", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -66,7 +66,7 @@
 			cfg.Filesystem, cfg.Journal = d, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
 			at, stop := startNode(t, cfg)
 			book(t, at, "Client-Retry: 1\r\nRepeats: 77\r\n")
-			get(t, dial(t, at), "/check/1") // is not kept
+			get(t, dial(t, at), "/check/1") // is not recorded
 			if err := stop(); err != nil {
 				t.Fatal(err)
 			}
@@ -81,7 +81,7 @@
 	}
 }
 
-// At the moment when a server gets a binding's first byte its intent lasts past the machine's death.
+// When a server reads the first byte of a non-idempotent request, its intent is durable.
 func TestIntentBeforeFirstByte(t *testing.T) {
 	t.Parallel()
 	d := memdisk.New()
@@ -103,7 +103,7 @@
 	}
 }
 
-// A disk that takes nothing: bindings are denied, or served with a gap, as the operator chose; others notice nothing,
+// A disk that fails: non-idempotent requests are rejected, or served with a gap, as the operator's file says; others notice nothing,
 // and when the disk comes back the journal goes on.
 func TestDiskFull(t *testing.T) {
 	t.Parallel()
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -11,7 +11,7 @@
 	"fernvane/internal/proxy/engine"
 )
 
-// One comes into the listener's queue as the time for it runs out, and nobody has looked: listening must not end over it.
+// A connection enters the listener's queue as the deadline passes: the listener must not be closed with it in the queue.
 func TestListenerClosesWithEmptyQueue(t *testing.T) {
 	t.Parallel()
 	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -21,7 +21,7 @@
 	defer ln.Close()
 	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.dispatcher.Stop()
-	s.cfg.shutdownDelays.extraQuiet = -acceptQuietDuration // each look is too late
+	s.cfg.shutdownDelays.extraQuiet = -acceptQuietDuration // each deadline has passed
 	s.acceptUntil = time.Now().Add(time.Minute)
 	s.isListenerClosing.Store(true)
 	dial(t, ln.Addr().String())
@@ -35,7 +35,7 @@
 	}
 }
 
-// noDelay tells whether a connection sends small writes at once.
+// isNoDelay reports whether a connection sends small writes at once.
 func isNoDelay(t *testing.T, c syscall.Conn) bool {
 	t.Helper()
 	rc, err := c.SyscallConn()
@@ -61,7 +61,7 @@
 			t.Fatal(err)
 		}
 		defer ln.Close()
-		l.cfg.shutdownDelays.extraQuiet, l.acceptUntil = -acceptQuietDuration, time.Now().Add(time.Minute) // each look is too late
+		l.cfg.shutdownDelays.extraQuiet, l.acceptUntil = -acceptQuietDuration, time.Now().Add(time.Minute) // each deadline has passed
 		l.isListenerClosing.Store(closing)
 		dial(t, ln.Addr().String())
 		got := make(chan bool, 1)
--- a/internal/proxy/logger_test.go
+++ b/internal/proxy/logger_test.go
@@ -13,7 +13,7 @@
 	return len(b), nil
 }
 
-// A reader of the log that has stopped must not hold up operations, nor the end of the node.
+// A reader of the log that has stopped must not hold up requests, nor the end of the node.
 func TestLogNeverBlocks(t *testing.T) {
 	t.Parallel()
 	w := blockedWriter{make(chan struct{})}
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -19,7 +19,7 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// tierOf is the file of one node of a tier in which each record is held by two others.
+// tierConfig is the file of one node of a tier in which two others replicate each record.
 func tierConfig(t *testing.T, name string, seeds ...string) *peer.Config {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,7 +32,7 @@
 		RepairBytesPerSecond: 8 << 20, SlowAfter: tomlfile.Duration(50 * time.Millisecond), RetentionAge: tomlfile.Duration(time.Hour), ReconcileAfter: tomlfile.Duration(time.Minute), Plaintext: true}
 }
 
-// holder is another node of the tier; stop ends it without a word.
+// startHolder runs another node of the tier; stop ends it without a leave.
 func startHolder(t *testing.T, cfg *peer.Config) (stop func()) {
 	t.Helper()
 	p, err := peer.New(cfg, cfg.Name, nil, zerolog.Nop())
@@ -54,7 +54,7 @@
 	return stop
 }
 
-// heldOf are the entries that stand in the folders held by a node.
+// replicatedEntries are the entries that a node replicates.
 func replicatedEntries(t *testing.T, cfg *peer.Config) (all []*intent.Entry) {
 	t.Helper()
 	dirs, err := filepath.Glob(filepath.Join(cfg.ReplicaDir, "*"))
@@ -74,8 +74,8 @@
 	return all
 }
 
-// When a server gets a binding's first byte, two other machines hold its intent on disk. When both are lost, bindings are
-// denied or served as the operator chose, others notice nothing, and with holders back all goes on.
+// When a server reads the first byte of a non-idempotent request, two other machines have its intent on disk. When both are lost, such requests
+// are rejected or served as the operator's file says, others notice nothing, and with holders back all goes on.
 func TestIntentReplicated(t *testing.T) {
 	t.Parallel()
 	for _, choice := range []string{"deny", "serve"} {
--- a/internal/proxy/plannerclient_test.go
+++ b/internal/proxy/plannerclient_test.go
@@ -18,7 +18,7 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// upper is a planner by hand: it sends what it is told to, and can be gone.
+// testPlanner is a planner that sends what the test says, and can be stopped.
 type testPlanner struct {
 	t  *testing.T
 	ln net.Listener
@@ -77,7 +77,7 @@
 	}
 }
 
-// say sends a plan that rests on the latest report.
+// sendChange sends a change of plan, based on the latest report.
 func (u *testPlanner) sendChange(c plan.Change) {
 	u.t.Helper()
 	r := <-u.reports
@@ -142,10 +142,10 @@
 		}
 	}
 	if got := taken.Load() - before; got != 20 {
-		t.Errorf("%d hops", got)
+		t.Errorf("%d attempts", got)
 	}
 	second.stop()
-	call := <-calls // after a while, from what planners have told
+	call := <-calls // after a while, for what planners have not announced
 	if want := "/discovery/hosts?index=6&wait=100"; call != want {
 		t.Errorf("called %s, not %s", call, want)
 	}
@@ -159,7 +159,7 @@
 	}
 }
 
-// A drained server gets nothing new though a planner that was away says that it serves.
+// A draining server gets nothing new though a planner that was out of reach announces that it serves.
 func TestStalePlanner(t *testing.T) {
 	t.Parallel()
 	one, onTaken := servers(t, 1, okResponse)
@@ -182,7 +182,7 @@
 		get(t, dial(t, at), "/check/1")
 	}
 	if n := onTaken.Load(); n > 0 {
-		t.Errorf("%d hops to a server that drains", n)
+		t.Errorf("%d attempts to a draining server", n)
 	}
 }
 
--- a/internal/proxy/readiness_test.go
+++ b/internal/proxy/readiness_test.go
@@ -25,14 +25,14 @@
 		later   int // when the script is over
 		listens bool
 	}{
-		"a list is known, discovery refuses":     {hosts, nil, false, 200, 200, false},
-		"a list is known, discovery is silent":   {hosts, nil, false, 200, 200, true},
-		"a list is known, discovery is busy":     {hosts, []string{busy, busy, ""}, false, 200, 200, true},
-		"none is known, discovery refuses":       {nil, nil, false, 503, 503, false},
-		"none is known, discovery is silent":     {nil, []string{""}, false, 503, 503, true},
-		"none is known for long":                 {nil, []string{""}, true, 200, 200, true},
-		"none is known, busy, then told":         {nil, []string{busy, busy, listResponse(9, true, listMember(hosts[0], "SERVING")), ""}, false, 503, 200, true},
-		"the known ones drain, then one is told": {[]http1.Endpoint{draining}, []string{listResponse(9, false, listMember(hosts[0], "SERVING")), ""}, false, 503, 200, true},
+		"a list is known, discovery refuses":       {hosts, nil, false, 200, 200, false},
+		"a list is known, discovery is silent":     {hosts, nil, false, 200, 200, true},
+		"a list is known, discovery is busy":       {hosts, []string{busy, busy, ""}, false, 200, 200, true},
+		"none is known, discovery refuses":         {nil, nil, false, 503, 503, false},
+		"none is known, discovery is silent":       {nil, []string{""}, false, 503, 503, true},
+		"none is known for long":                   {nil, []string{""}, true, 200, 200, true},
+		"none is known, busy, then listed":         {nil, []string{busy, busy, listResponse(9, true, listMember(hosts[0], "SERVING")), ""}, false, 503, 200, true},
+		"the known ones drain, then one is listed": {[]http1.Endpoint{draining}, []string{listResponse(9, false, listMember(hosts[0], "SERVING")), ""}, false, 503, 200, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -58,7 +58,7 @@
 			done := make(chan error)
 			go func() { done <- l.followDiscovery(ctx) }()
 			for range c.script {
-				<-calls // the next one comes when what the last one told was taken in
+				<-calls // the next poll comes when the last list was applied
 			}
 			if got := up(); got != c.later {
 				t.Errorf("later %d", got)
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// A new configuration names another discovery while calls at the old one fail; the new one is asked at once and what it
-// tells holds, also where it refuses first and leaves out what drains.
+// A new configuration names another discovery while polls of the old one fail: the new one is polled at once and its list holds, also
+// where it refuses first and leaves out what drains.
 func TestListUpdateAfterReload(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
--- a/internal/proxy/route_test.go
+++ b/internal/proxy/route_test.go
@@ -44,8 +44,8 @@
 	}{
 		"no more than its rate":   {checks + "rate = 0.001\nburst = 2", []string{okResponse}, []string{"/check/1", "/check/1", "/check/1", "/book/1"}, []int{200, 200, 503, 200}},
 		"no larger body":          {checks + "body_bytes = 3", []string{okResponse}, []string{"/check/1 abc", "/check/1 abcd"}, []int{200, 413}},
-		"a further hop":           {checks + "hops = 2", []string{err500, okResponse}, []string{"/check/1"}, []int{200}},
-		"no further hop":          {checks + "hops = 1", []string{err500, okResponse}, []string{"/check/1"}, []int{503}},
+		"a retry":                 {checks + "hops = 2", []string{err500, okResponse}, []string{"/check/1"}, []int{200}},
+		"no retry":                {checks + "hops = 1", []string{err500, okResponse}, []string{"/check/1"}, []int{503}},
 		"not after an error":      {checks + "further = [\"refused\"]", []string{err500, okResponse}, []string{"/check/1"}, []int{503}},
 		"a class for other paths": {"[[routes]]\nname = \"old\"\npath = \"/legacy/**\"\nclass = \"book\"\nrate = 0.001\nburst = 1", []string{okResponse}, []string{"/legacy/x", "/legacy/y", "/other/x"}, []int{200, 503, 404}},
 		"a fallback":              {checks + "rate = 0.001\nburst = 1\nfallback = \"rest\"\n[[routes]]\nname = \"rest\"\npath = \"/check/rest/**\"\nrate = 0.001\nburst = 1", []string{okResponse}, []string{"/check/1", "/check/1", "/check/1"}, []int{200, 200, 503}},
@@ -68,7 +68,7 @@
 	}
 }
 
-// The first server is silent: the copy brings the answer at once, the first hop is given up, and its server learns it by
+// The first server does not respond: the hedged request brings the answer at once, the first attempt is abandoned, and its server learns it by
 // the close.
 func TestHedgedRequest(t *testing.T) {
 	t.Parallel()
@@ -177,8 +177,8 @@
 	}
 }
 
-// figures is a module that checks, at each arrival, that the figures are those of the file that the operation was
-// matched with: the file's hops are told to it in the budget.
+// limitsChecker is a policy that checks, at each arrival, that the limits are those of the file that the request was matched with: the
+// timeout says how many attempts that file allows.
 type limitsChecker struct {
 	t     *testing.T
 	types []policy.TrafficType
@@ -190,14 +190,14 @@
 		m.types = in.TrafficTypes
 	case policy.RequestArrived:
 		if got := m.types[in.TrafficType].MaxAttempts; got != int(in.Timeout/time.Hour) {
-			m.t.Errorf("an operation matched under %d hops is under %d", in.Timeout/time.Hour, got)
+			m.t.Errorf("a request matched under %d attempts is under %d", in.Timeout/time.Hour, got)
 		}
 		return append(e, policy.Effect{Kind: policy.Reject, Request: in.Request})
 	}
 	return e
 }
 
-// Files change as fast as they can while operations come: none is matched with one and put under the figures of another.
+// Files change as fast as they can while requests arrive: none is matched with one and put under the limits of another.
 func TestRoutesAndLimitsOfOneFile(t *testing.T) {
 	t.Parallel()
 	cfg := config()
@@ -231,7 +231,7 @@
 	for i := 0; ; i++ {
 		select {
 		case <-done:
-			t.Logf("%d files, %d operations had to be matched again", i, moved.Load())
+			t.Logf("%d files, %d requests had to be matched again", i, moved.Load())
 			return
 		default:
 			f.SetRoutes(sets[i%len(sets)])
--- a/internal/proxy/shadow_test.go
+++ b/internal/proxy/shadow_test.go
@@ -37,10 +37,10 @@
 		want   shadow.Difference
 		none   bool
 	}{
-		"its own settings":    {func(*policy.TrafficType) {}, 0, true},
-		"late answers earn":   {func(k *policy.TrafficType) { k.LateWeightShare = 0.5 }, shadow.TimeoutDiffers, false},
-		"what was binding":    {func(k *policy.TrafficType) { k.Idempotency = policy.Idempotent }, shadow.WouldRetry, false},
-		"what could be rerun": {func(k *policy.TrafficType) { k.Idempotency = policy.NonIdempotent }, shadow.WouldFail, false},
+		"its own settings":   {func(*policy.TrafficType) {}, 0, true},
+		"late answers earn":  {func(k *policy.TrafficType) { k.LateWeightShare = 0.5 }, shadow.TimeoutDiffers, false},
+		"was non-idempotent": {func(k *policy.TrafficType) { k.Idempotency = policy.Idempotent }, shadow.WouldRetry, false},
+		"was idempotent":     {func(k *policy.TrafficType) { k.Idempotency = policy.NonIdempotent }, shadow.WouldFail, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// A stop whose time is over: what was taken before is answered all the same, and what still comes is answered at once.
+// A stop past its deadline: accepted requests are answered all the same, and those that still arrive are answered at once.
 func TestStopPastItsDeadline(t *testing.T) {
 	t.Parallel()
 	h, begun, release := heldServer(t)
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -24,7 +24,7 @@
 		"refused":                    {&net.OpError{Err: syscall.ECONNREFUSED}, false, dispatch.ConnectRefused},
 		"no way there":               {&net.OpError{Err: syscall.EHOSTUNREACH}, false, dispatch.ConnectRefused},
 		"not in the time for it":     {&net.OpError{Err: http1.ErrTimeout}, false, dispatch.ConnectTimeout},
-		"not in the hop's time":      {&net.OpError{Err: http1.ErrTimeout}, true, dispatch.ExpiredUnsent},
+		"not in the attempt's time":  {&net.OpError{Err: http1.ErrTimeout}, true, dispatch.ExpiredUnsent},
 		"called off":                 {&net.OpError{Err: context.Canceled}, false, dispatch.ExpiredUnsent},
 		"no descriptor":              {&net.OpError{Err: os.NewSyscallError("socket", syscall.EMFILE)}, false, dispatch.NoDescriptor},
 		"no port":                    {&net.OpError{Err: os.NewSyscallError("connect", syscall.EADDRNOTAVAIL)}, false, dispatch.NoDescriptor},
@@ -50,7 +50,7 @@
 	}
 }
 
-// A server that closes a connection just before it is used again must not cost an operation.
+// A server that closes a connection just before it is used again must not cost a request.
 func TestStaleConnection(t *testing.T) {
 	t.Parallel()
 	closed := make(chan struct{})
