--- a/internal/proxy/route_test.go
+++ b/internal/proxy/route_test.go
@@ -42,13 +42,13 @@
 		asks   []string // path, and a body behind a blank
 		want   []int
 	}{
-		"no more than its rate":   {checks + "rate = 0.001\nburst = 2", []string{whole}, []string{"/check/1", "/check/1", "/check/1", "/book/1"}, []int{200, 200, 503, 200}},
-		"no larger body":          {checks + "body_bytes = 3", []string{whole}, []string{"/check/1 abc", "/check/1 abcd"}, []int{200, 413}},
-		"a further hop":           {checks + "hops = 2", []string{err500, whole}, []string{"/check/1"}, []int{200}},
-		"no further hop":          {checks + "hops = 1", []string{err500, whole}, []string{"/check/1"}, []int{503}},
-		"not after an error":      {checks + "further = [\"refused\"]", []string{err500, whole}, []string{"/check/1"}, []int{503}},
-		"a class for other paths": {"[[routes]]\nname = \"old\"\npath = \"/legacy/**\"\nclass = \"book\"\nrate = 0.001\nburst = 1", []string{whole}, []string{"/legacy/x", "/legacy/y", "/other/x"}, []int{200, 503, 404}},
-		"a fallback":              {checks + "rate = 0.001\nburst = 1\nfallback = \"rest\"\n[[routes]]\nname = \"rest\"\npath = \"/check/rest/**\"\nrate = 0.001\nburst = 1", []string{whole}, []string{"/check/1", "/check/1", "/check/1"}, []int{200, 200, 503}},
+		"no more than its rate":   {checks + "rate = 0.001\nburst = 2", []string{okResponse}, []string{"/check/1", "/check/1", "/check/1", "/book/1"}, []int{200, 200, 503, 200}},
+		"no larger body":          {checks + "body_bytes = 3", []string{okResponse}, []string{"/check/1 abc", "/check/1 abcd"}, []int{200, 413}},
+		"a retry":                 {checks + "hops = 2", []string{err500, okResponse}, []string{"/check/1"}, []int{200}},
+		"no retry":                {checks + "hops = 1", []string{err500, okResponse}, []string{"/check/1"}, []int{503}},
+		"not after an error":      {checks + "further = [\"refused\"]", []string{err500, okResponse}, []string{"/check/1"}, []int{503}},
+		"a class for other paths": {"[[routes]]\nname = \"old\"\npath = \"/legacy/**\"\nclass = \"book\"\nrate = 0.001\nburst = 1", []string{okResponse}, []string{"/legacy/x", "/legacy/y", "/other/x"}, []int{200, 503, 404}},
+		"a fallback":              {checks + "rate = 0.001\nburst = 1\nfallback = \"rest\"\n[[routes]]\nname = \"rest\"\npath = \"/check/rest/**\"\nrate = 0.001\nburst = 1", []string{okResponse}, []string{"/check/1", "/check/1", "/check/1"}, []int{200, 200, 503}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -60,7 +60,7 @@
 				path, body, _ := strings.Cut(ask, " ")
 				conn := dial(t, at)
 				fmt.Fprintf(conn, "PUT %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\nContent-Length: %d\r\n\r\n%s", path, ids.Add(1), len(body), body)
-				if r := reply(t, conn); r.Status != c.want[i] {
+				if r := readReply(t, conn); r.Status != c.want[i] {
 					t.Errorf("%s: answered %d, not %d", ask, r.Status, c.want[i])
 				}
 			}
@@ -68,9 +68,9 @@
 	}
 }
 
-// The first server is silent: the copy brings the answer at once, the first hop is given up, and its server learns it by
+// The first server does not respond: the hedged request brings the answer at once, the first attempt is abandoned, and its server learns it by
 // the close.
-func TestSecondCopy(t *testing.T) {
+func TestHedgedRequest(t *testing.T) {
 	t.Parallel()
 	var asked atomic.Int32
 	left := make(chan bool, 1)
@@ -93,13 +93,13 @@
 	at, _ := startNode(t, cfg)
 	conn := dial(t, at)
 	fmt.Fprintf(conn, "PUT /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\nContent-Length: 4\r\n\r\nbody", ids.Add(1))
-	if r := reply(t, conn); r.Status != 200 || string(r.Body) != "/check/1body" {
+	if r := readReply(t, conn); r.Status != 200 || string(r.Body) != "/check/1body" {
 		t.Errorf("answered %d %q", r.Status, r.Body)
 	}
 	if !<-left {
 		t.Error("the first server was sent more")
 	}
-	if r := ask1(t, conn, "/book/1"); r.Status != 200 { // the client's connection is whole
+	if r := get(t, conn, "/book/1"); r.Status != 200 { // the client's connection is whole
 		t.Errorf("then %d", r.Status)
 	}
 }
@@ -116,7 +116,7 @@
 		for c.ReadRequest(&http1.Request{}) == nil {
 			taken.Add(1)
 			<-release
-			io.WriteString(nc, whole)
+			io.WriteString(nc, okResponse)
 		}
 	})
 	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
@@ -142,7 +142,7 @@
 	statuses := make(chan int, held)
 	ask := func() int {
 		server := standIn(t, func(nc net.Conn) { s.serveHTTPConn(nc.(*net.TCPConn)) })
-		return ask1(t, dial(t, server.String()), "/check/1").Status
+		return get(t, dial(t, server.String()), "/check/1").Status
 	}
 	for range held {
 		go func() { statuses <- ask() }()
@@ -177,31 +177,31 @@
 	}
 }
 
-// figures is a module that checks, at each arrival, that the figures are those of the file that the operation was
-// matched with: the file's hops are told to it in the budget.
-type figures struct {
+// limitsChecker is a policy that checks, at each arrival, that the limits are those of the file that the request was matched with: the
+// timeout says how many attempts that file allows.
+type limitsChecker struct {
 	t     *testing.T
 	types []policy.TrafficType
 }
 
-func (m *figures) Handle(_ time.Duration, in *policy.Input, e []policy.Effect) []policy.Effect {
+func (m *limitsChecker) Handle(_ time.Duration, in *policy.Input, e []policy.Effect) []policy.Effect {
 	switch in.Kind {
 	case policy.TrafficTypesChanged:
 		m.types = in.TrafficTypes
 	case policy.RequestArrived:
 		if got := m.types[in.TrafficType].MaxAttempts; got != int(in.Timeout/time.Hour) {
-			m.t.Errorf("an operation matched under %d hops is under %d", in.Timeout/time.Hour, got)
+			m.t.Errorf("a request matched under %d attempts is under %d", in.Timeout/time.Hour, got)
 		}
 		return append(e, policy.Effect{Kind: policy.Reject, Request: in.Request})
 	}
 	return e
 }
 
-// Files change as fast as they can while operations come: none is matched with one and put under the figures of another.
-func TestNoMixedLimits(t *testing.T) {
+// Files change as fast as they can while requests arrive: none is matched with one and put under the limits of another.
+func TestRoutesAndLimitsOfOneFile(t *testing.T) {
 	t.Parallel()
 	cfg := config()
-	f := dispatch.New(cfg.Settings, 1, cfg.Limits, func(s policy.Settings, _ uint32) engine.Decider { return &figures{t: t, types: s.TrafficTypes} })
+	f := dispatch.New(cfg.Settings, 1, cfg.Limits, func(s policy.Settings, _ uint32) engine.Decider { return &limitsChecker{t: t, types: s.TrafficTypes} })
 	defer f.Stop()
 	var sets []*route.Table
 	hops := map[*route.Table]int{}
@@ -231,7 +231,7 @@
 	for i := 0; ; i++ {
 		select {
 		case <-done:
-			t.Logf("%d files, %d operations had to be matched again", i, moved.Load())
+			t.Logf("%d files, %d requests had to be matched again", i, moved.Load())
 			return
 		default:
 			f.SetRoutes(sets[i%len(sets)])
