--- a/internal/controlplane/distribution/client/apply.go
+++ b/internal/controlplane/distribution/client/apply.go
@@ -132,7 +132,8 @@
 	c.addRejections(rejected)
 }
 
-// compareDigests compares what is held with what the control process holds.
+// compareDigests compares what is held with what the control process holds. If nothing is to be asked for, also because nothing
+// could be compared, the digests count as a complete message.
 func (c *Client) compareDigests(d distribution.Digests) {
 	c.mu.Lock()
 	services, _, hasAdvanced := c.link.receiver.CompareDigests(d)
@@ -192,7 +193,7 @@
 }
 
 // acknowledge tells the control process what was received and, if isApplied and everything up to a vector is here, what is
-// applied.
+// applied. Until a batch is complete, rejections are neither logged nor sent.
 func (c *Client) acknowledge(isApplied bool) {
 	isApplied = isApplied && !c.pending.isIncomplete
 	if isApplied {
--- a/internal/controlplane/distribution/client/client.go
+++ b/internal/controlplane/distribution/client/client.go
@@ -49,7 +49,7 @@
 	syncMark   syncMark
 
 	// Of Run's goroutine alone.
-	link      *link // the connection or the attempt in hand; nil for none
+	link      *link // the current connection or attempt; nil for none
 	lastLink  int   // number of the last link
 	isServing bool  // canServe is closed
 	lastState distribution.State
--- a/internal/controlplane/distribution/client/follow.go
+++ b/internal/controlplane/distribution/client/follow.go
@@ -8,7 +8,7 @@
 	"fernvane/internal/controlplane/distribution/wire"
 )
 
-// handle takes in an event of the connection in hand. Events of earlier connections are ignored.
+// handle takes in an event of the current connection. Events of earlier connections are ignored.
 func (c *Client) handle(e event) {
 	if e.isProbe {
 		c.mu.Lock()
@@ -75,7 +75,7 @@
 	c.endLink(why, true)
 }
 
-// endLink ends the connection or the attempt in hand. The subscriber is notified unless it has decided so itself.
+// endLink ends the current connection or attempt. The subscriber is notified unless it has decided so itself.
 func (c *Client) endLink(why error, tellSubscriber bool) {
 	if c.link == nil {
 		return
@@ -90,7 +90,7 @@
 	c.mu.Unlock()
 }
 
-// disconnect closes the connection in hand. One that is being rejected closes itself when the rejection has been sent.
+// disconnect closes the current connection. One that is being rejected closes itself when the rejection has been sent.
 func (c *Client) disconnect() {
 	if c.link == nil {
 		return
--- a/internal/controlplane/distribution/client/link.go
+++ b/internal/controlplane/distribution/client/link.go
@@ -90,7 +90,7 @@
 	})
 }
 
-// startProbe sees whether a control process answers, beside the connection in hand.
+// startProbe sees whether a control process answers, beside the current connection.
 func (c *Client) startProbe(running context.Context, upstream int) {
 	c.running.Go(func() {
 		conn, err := Dial(running, c.config, c.config.Addresses[upstream], c.config.Name)
--- a/internal/controlplane/distribution/control/accept.go
+++ b/internal/controlplane/distribution/control/accept.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// serveAccepted leads an accepted connection until it ends.
+// serveAccepted serves an accepted connection until it ends.
 func (s *Server) serveAccepted(ctx context.Context, nc net.Conn) {
 	defer nc.Close()
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
--- a/internal/controlplane/distribution/control/follower.go
+++ b/internal/controlplane/distribution/control/follower.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// tick asks the subscriber what is to be done, and cancels the attempt in hand if that is to end.
+// tick asks the subscriber what is to be done, and cancels the current attempt if that is to end.
 func (f *follower) tick(current *attempt) (do distribution.Action, wait time.Duration) {
 	s := f.server
 	s.mu.Lock()
@@ -154,7 +154,7 @@
 	return a
 }
 
-// connect leads a connection to an upstream until it ends.
+// connect makes a connection to an upstream and serves it until it ends.
 func (f *follower) connect(ctx context.Context, upstream netip.AddrPort) error {
 	nc, deadline, err := dialUpstream(ctx, upstream)
 	if err != nil {
@@ -204,7 +204,7 @@
 	hasAnswered bool
 }
 
-// probe sees whether an upstream answers, beside the connection in hand.
+// probe sees whether an upstream answers, beside the current connection.
 func (f *follower) probe(ctx context.Context, upstream int) probeResult {
 	nc, deadline, err := dialUpstream(ctx, f.upstreams[upstream])
 	if err != nil {
--- a/internal/controlplane/distribution/control/links.go
+++ b/internal/controlplane/distribution/control/links.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// serveLink leads a connection after its greeting until it ends, and returns why it did.
+// serveLink serves a connection after its greeting until it ends, and returns why it did.
 func (s *Server) serveLink(ctx context.Context, l *link) error {
 	ctx, cancel := context.WithCancel(ctx)
 	writerDone := make(chan struct{})
--- a/internal/controlplane/distribution/control/receive.go
+++ b/internal/controlplane/distribution/control/receive.go
@@ -10,7 +10,8 @@
 // errUnrequestedBatch rejects a peer that sends batches without a Pull or a subscription of this process.
 var errUnrequestedBatch = errors.New("a batch that was not asked for")
 
-// receiveBatch takes in a batch of an upstream, or of a subscriber that was asked, passes on what is new and acknowledges it.
+// receiveBatch takes in a batch of an upstream, or of a subscriber that was asked, passes on what is new and acknowledges it
+// with all rejections.
 func (s *Server) receiveBatch(l *link, b distribution.Batch) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,7 +38,8 @@
 	return nil
 }
 
-// passOn saves what a batch has changed, and passes it on to subscribers. s.mu is held.
+// passOn saves what a batch has changed, and passes it on to subscribers. The pruned vector that came with it is not saved. s.mu
+// is held.
 func (s *Server) passOn(result distribution.BatchResult) {
 	now := s.now()
 	s.publisher.EntriesChanged(now, result.Changed)
@@ -94,7 +96,8 @@
 	s.signalPublish()
 }
 
-// compareDigests compares what is held here with what the peer holds, and asks for what differs.
+// compareDigests compares what is held here with what the peer holds, and asks for what differs. Digests of an upstream count as
+// a complete message, whether or not they were equal or could be compared.
 func (s *Server) compareDigests(l *link, m *wire.Digests) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/distribution/control/server.go
+++ b/internal/controlplane/distribution/control/server.go
@@ -210,7 +210,8 @@
 	clear(s.links.waiting)
 }
 
-// renewOriginIfStale takes another origin if others have shown this disk to be an old one. s.mu is held.
+// renewOriginIfStale takes another origin if others hold more of this run's than this process has written, which random origins
+// exclude in practice. s.mu is held.
 func (s *Server) renewOriginIfStale() {
 	if !s.store.IsStale() {
 		return
--- a/internal/controlplane/distribution/control/source.go
+++ b/internal/controlplane/distribution/control/source.go
@@ -63,7 +63,7 @@
 
 	// Under Server.mu.
 	listed      map[string]incarnation.Entry
-	isComplete  bool            // a complete list was received: other servers of the service are gone
+	isComplete  bool            // discovery has sent a complete list: other servers of the service are gone. Never set for a registry
 	changed     map[string]bool // names of servers to be compared with the store
 	comparesAll bool            // all are to be compared
 }
@@ -143,7 +143,7 @@
 	return changes
 }
 
-// compareAll marks all servers that are listed as changed, and after a complete list all that are held.
+// compareAll marks all servers that are listed as changed, and after a complete list of discovery all that are held.
 func (t *sourcedServers) compareAll() {
 	s := t.server
 	t.comparesAll = false
--- a/internal/controlplane/distribution/disk/quarantine.go
+++ b/internal/controlplane/distribution/disk/quarantine.go
@@ -19,8 +19,8 @@
 	return nil
 }
 
-// reopen creates a file if there was none to be had before. One that is damaged, as when there was space for half of a new file,
-// is renamed.
+// reopen opens or creates the file if that failed before. What a file holds by then is not loaded. One that is damaged, as when
+// there was space for half of a new file, is renamed.
 func (d *Disk) reopen() error {
 	if d.file != nil {
 		return nil
--- a/internal/controlplane/distribution/errors.go
+++ b/internal/controlplane/distribution/errors.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Why an entry or a write is refused.
+// Why an entry or a write is rejected.
 var (
 	ErrInvalidKey    = errors.New("key not allowed")
 	ErrInvalidValue  = errors.New("value not allowed")
@@ -17,7 +17,7 @@
 	ErrStaleOrigin   = errors.New("others may hold more of this origin than this disk")
 )
 
-// EntryError says why an entry is refused; it wraps ErrInvalidKey, ErrInvalidValue or ErrInvalidOrigin.
+// EntryError says why an entry is rejected; it wraps ErrInvalidKey, ErrInvalidValue or ErrInvalidOrigin.
 type EntryError struct {
 	Key    Key
 	Reason error
--- a/internal/controlplane/distribution/failback.go
+++ b/internal/controlplane/distribution/failback.go
@@ -5,7 +5,7 @@
 // maxFailbackDoublings is how often the delay of a failback doubles at most.
 const maxFailbackDoublings = 4
 
-// failback is the return from an upstream that was taken in need to one earlier in the order. The earlier ones are probed one
+// failback is the return to a preferred upstream, one earlier in the order than the current one. The earlier ones are probed one
 // by one, and a good upstream is left only for one that has just answered: a control process that was away gets its
 // subscribers back, spread over time, and one that is down costs them nothing. Without it a rolling restart of control
 // processes would leave all subscribers at the last ones.
@@ -16,7 +16,7 @@
 	answered      int // index of the upstream that has answered a probe
 	hasAnswer     bool
 	unstableCount int  // failbacks in a row that did not last, the one under way included
-	isUnderWay    bool // the connection or attempt in hand is a failback
+	isUnderWay    bool // the current connection or attempt is a failback
 }
 
 // scheduleProbe begins the wait for a probe, when an upstream has connected.
@@ -54,7 +54,7 @@
 	f.probeAt = now + s.probeDelay()
 }
 
-// startFailback ends the connection in hand in favor of a preferred upstream that has answered, and reports whether it did.
+// startFailback ends the current connection in favor of a preferred upstream that has answered, and reports whether it did.
 func (s *Subscriber) startFailback(now time.Duration) bool {
 	f := &s.failback
 	if !f.hasAnswer || !s.link.isConnected {
@@ -69,7 +69,7 @@
 	return true
 }
 
-// endFailback takes in the end of the connection or attempt in hand: a failback that lasted makes up for those that did not.
+// endFailback takes in the end of the current connection or attempt: a failback that lasted makes up for those that did not.
 func (s *Subscriber) endFailback(now time.Duration) {
 	if s.link.isConnected && s.failback.isUnderWay && now-s.link.startedAt >= s.options.FailbackDelay {
 		s.failback.unstableCount = 0
--- a/internal/controlplane/distribution/limits.go
+++ b/internal/controlplane/distribution/limits.go
@@ -19,7 +19,7 @@
 type Limits struct {
 	MaxBytes      int
 	MaxEntries    int
-	MaxClockAhead time.Duration // of the newest clock held before the wall clock, beyond which writes are refused
+	MaxClockAhead time.Duration // of the newest clock held before the wall clock, beyond which writes are rejected
 }
 
 func (l Limits) withDefaults() Limits {
--- a/internal/controlplane/distribution/merge.go
+++ b/internal/controlplane/distribution/merge.go
@@ -3,19 +3,19 @@
 // Merge takes in entries of other holders. It returns those that won and those that were rejected: for their size, their key
 // (unknown kind, no name, not UTF-8), their origin, or because the store is full. An entry that the vector covers
 // and whose key is not held was deleted and pruned: it does not come back.
-func (s *Store) Merge(entries []Entry) (changed []Entry, refused []Rejection) {
+func (s *Store) Merge(entries []Entry) (changed []Entry, rejected []Rejection) {
 	return s.merge(entries, nil)
 }
 
 // merge also accepts covered entries that are not held, in services that are being repaired from a sender that covers all that
 // this store covers.
-func (s *Store) merge(entries []Entry, repaired map[string]bool) (changed []Entry, refused []Rejection) {
+func (s *Store) merge(entries []Entry, repaired map[string]bool) (changed []Entry, rejected []Rejection) {
 	for _, e := range entries {
 		if !s.IsInScope(e.Key.Service) {
 			continue
 		}
 		if err := e.Validate(); err != nil {
-			refused = append(refused, Rejection{Key: e.Key, Reason: err.Error()})
+			rejected = append(rejected, Rejection{Key: e.Key, Reason: err.Error()})
 			continue
 		}
 		s.observeSequence(e.Origin, e.Sequence)
@@ -28,13 +28,13 @@
 			continue
 		}
 		if err := s.checkEntryCapacity(e); err != nil {
-			refused = append(refused, Rejection{Key: e.Key, Reason: err.Error(), IsStoreFull: true})
+			rejected = append(rejected, Rejection{Key: e.Key, Reason: err.Error(), IsStoreFull: true})
 			continue
 		}
 		s.put(e)
 		changed = append(changed, e)
 	}
-	return changed, refused
+	return changed, rejected
 }
 
 func (s *Store) checkEntryCapacity(e Entry) error {
--- a/internal/controlplane/distribution/receiver.go
+++ b/internal/controlplane/distribution/receiver.go
@@ -11,7 +11,7 @@
 	store        *Store
 	through      Vector // the sender's vector as far as it has said
 	lastBatch    uint64 // number
-	isStoreFull  bool   // something found no room: the vector does not advance any more
+	isStoreFull  bool   // an entry was rejected for want of room: the vector does not advance any more on this connection
 	transfer     transfer
 	repair       repair
 	toMarkSynced map[string]bool // services that were unsynced at the subscription, or had a full sync since
@@ -33,11 +33,11 @@
 
 // BatchResult is what a batch has changed.
 type BatchResult struct {
-	Changed        []Entry  // new winners, deletions included
-	Removed        []Entry  // entries that ended without a deletion being sent; for an Applier they count as deleted
-	ResyncServices []string // in which something came or ended that no vector shows: for Publisher.ResyncServices
-	Rejected       []Rejection
-	IsComplete     bool // the vector has advanced; the caller saves it with the entries, or after them
+	Changed        []Entry     // new winners, deletions included
+	Removed        []Entry     // entries that ended without a deletion being sent; for an Applier they count as deleted
+	ResyncServices []string    // in which something came or ended that no vector shows: for Publisher.ResyncServices
+	Rejected       []Rejection // those of a full store keep the vector from advancing, others do not
+	IsComplete     bool        // the vector has advanced; the caller saves it with the entries, or after them
 }
 
 // NewReceiver returns a receiver for a subscription that begins now.
@@ -133,7 +133,8 @@
 
 // CompareDigests takes in digests, which a sender sends when nothing waits, so that they also advance the vector. It returns
 // the services that need a full sync, whether a subscriber of all is to ask for the digests of all services, and whether the
-// vector has advanced. A store that covers what the sender does not is not compared.
+// vector has advanced. A store that covers what the sender does not is not compared, nor is one that is
+// full or in a full sync: then all results are zero.
 func (r *Receiver) CompareDigests(d Digests) (services []string, needsServiceDigests, hasAdvanced bool) {
 	if r.isStoreFull || r.transfer.isAll || len(r.transfer.services) > 0 {
 		return nil, false, false
--- a/internal/controlplane/distribution/store.go
+++ b/internal/controlplane/distribution/store.go
@@ -76,7 +76,7 @@
 }
 
 // Restore takes in what a disk held, before anything else. If the store's own origin is found there, the origin is stale and no
-// write is accepted until RenewOrigin: the disk may be an old copy.
+// write is accepted until RenewOrigin: the disk may be an old copy. Entries that are not valid are dropped without notice.
 func (s *Store) Restore(entries []Entry, vector, pruned Vector) {
 	for _, e := range entries {
 		if e.Validate() == nil {
--- a/internal/controlplane/distribution/subscriber.go
+++ b/internal/controlplane/distribution/subscriber.go
@@ -27,10 +27,10 @@
 // Action is what the caller does about connections.
 type Action struct {
 	ShouldDial       bool // connect to Upstream; the caller then calls UpstreamConnected or UpstreamLost
-	ShouldDisconnect bool // first end the connection or attempt in hand, without a call of UpstreamLost
+	ShouldDisconnect bool // first end the current connection or attempt, without a call of UpstreamLost
 	Upstream         int  // index of the one to connect to
 	IsFailback       bool // the connection that ends was good: a preferred upstream has answered a probe
-	ShouldProbe      bool // see whether ProbeUpstream answers, beside the connection in hand; the caller then calls ProbeEnded
+	ShouldProbe      bool // see whether ProbeUpstream answers, beside the current connection; the caller then calls ProbeEnded
 	ProbeUpstream    int  // index of the one to probe
 }
 
@@ -47,7 +47,7 @@
 	drawCount int // of random draws
 }
 
-// linkState is the connection or attempt in hand.
+// linkState is the current connection or attempt.
 type linkState struct {
 	isDialing         bool
 	isConnected       bool
@@ -94,7 +94,7 @@
 	return now - s.freshness.lastCurrent, s.freshness.wasCurrent
 }
 
-// UpstreamConnected says that the upstream in hand has answered.
+// UpstreamConnected says that the current upstream has answered.
 func (s *Subscriber) UpstreamConnected(now time.Duration) {
 	s.link.isDialing, s.link.isConnected = false, true
 	s.link.lastMessage, s.link.startedAt = now, now
@@ -119,7 +119,7 @@
 	s.apply(completed)
 }
 
-// UpstreamLost says that the connection or the attempt in hand has ended, also by a refusal.
+// UpstreamLost says that the current connection or attempt has ended, also by a rejection.
 func (s *Subscriber) UpstreamLost(now time.Duration) {
 	if !s.link.isConnected && !s.link.isDialing {
 		return
@@ -164,7 +164,7 @@
 	return do, s.nextTick(now)
 }
 
-// isUnresponsive reports whether the upstream in hand has been silent for too long.
+// isUnresponsive reports whether the current upstream has been silent for too long.
 func (s *Subscriber) isUnresponsive(now time.Duration) bool {
 	return s.link.isDialing && now-s.link.startedAt >= connectTimeout || s.link.isConnected && now-s.link.lastMessage >= silenceTimeout
 }
--- a/internal/controlplane/distribution/wire/batch.go
+++ b/internal/controlplane/distribution/wire/batch.go
@@ -74,7 +74,7 @@
 	return p
 }
 
-// unpackBatch reads a batch. Its entries are validated by the store, which refuses single ones and takes the others.
+// unpackBatch reads a batch. Its entries are validated by the store, which rejects single ones and takes the others.
 func unpackBatch(text []byte, b *distribution.Batch) error {
 	var p packedBatch
 	if err := framing.Decode(text, &p); err != nil {
--- a/internal/controlplane/plan/forwarder.go
+++ b/internal/controlplane/plan/forwarder.go
@@ -64,7 +64,7 @@
 	slowStartDuration time.Duration
 	initialCapacity   float64
 	crashLoadFactor   float64 // +Inf if no forwarder names one
-	forwarders        int     // that exist, heard or not
+	forwarders        int     // that exist, reporting or not
 }
 
 // combineSettings combines the settings of forwarders.
--- a/internal/controlplane/plan/planner.go
+++ b/internal/controlplane/plan/planner.go
@@ -11,7 +11,7 @@
 // Bounds of what a planner holds.
 const (
 	maxForwarders      = 4096
-	maxEntriesPerTable = 4096 // also of tenants and of traffic types
+	maxEntriesPerTable = 4096 // of servers, of tenants and of traffic types
 )
 
 // Planner holds what one planner knows of forwarders, servers, traffic types and tenants.
--- a/internal/controlplane/planconfig/config.go
+++ b/internal/controlplane/planconfig/config.go
@@ -48,7 +48,7 @@
 
 	ListenAddress    netip.AddrPort    `toml:"-"`
 	DiscoveryAddress netip.AddrPort    `toml:"-"`
-	Ensemble         *zookeeper.Config `toml:"-"` // nil: discovery tells of servers
+	Ensemble         *zookeeper.Config `toml:"-"` // nil: discovery lists the servers
 	Keys             *mtls.Keys        `toml:"-"` // nil: plaintext
 }
 
--- a/internal/controlplane/planfollower/source.go
+++ b/internal/controlplane/planfollower/source.go
@@ -30,7 +30,7 @@
 
 func (s *source) isFresh(now time.Duration) bool { return s.age(now) < freshAge }
 
-// selectPlanner returns the first planner whose plan is fresh and that hears nearly as many forwarders as any other;
+// selectPlanner returns the first planner whose plan is fresh and that nearly as many forwarders report to as to any other;
 // noPlannerIndex for none. All forwarders list the planners in the same order, so that they
 // mostly agree, and none follows a planner that is cut off from most forwarders.
 func (f *Follower) selectPlanner(now time.Duration) int {
--- a/internal/controlplane/planwire/frames.go
+++ b/internal/controlplane/planwire/frames.go
@@ -9,7 +9,7 @@
 	"fernvane/internal/cluster/framing"
 )
 
-// Version of the frames. A peer of another version is refused.
+// Version of the frames. A peer of another version is rejected.
 const Version = 2
 
 // maxBodyBytes holds a change with 4,096 incarnations of 200 bytes, and 224 KiB more. Reports are not sized by it: a forwarder's
