--- a/internal/discovery/endpoints/endpoint.go
+++ b/internal/discovery/endpoints/endpoint.go
@@ -10,7 +10,7 @@
 // Source is who announces endpoints. Its numbers are stored in list snapshots.
 type Source uint8
 
-// The sources, from the least trusted.
+// The sources. New ones are added at the end, since the numbers are stored.
 const (
 	SourceConfig       Source = iota // the list in the configuration, of unknown age
 	SourceSnapshot                   // the node's own list snapshot, as far as it is trusted
@@ -50,10 +50,10 @@
 	Source      Source        // of the last announcement
 	AnnouncedAt time.Duration // the last announcement
 	IsUsable    bool          // may get new requests: announced as up, and not removed or replaced since
-	LeftAt      time.Duration // since when it is not usable
-	IsReplaced  bool          // another server uses its address now; nothing at all may be sent there
+	LeftAt      time.Duration // since when it is not usable; valid only if IsUsable is false
+	IsReplaced  bool          // it was usable until another server came to its address, so it is certainly gone
 	ExecutedAt  time.Duration // when it last answered a request that it had executed
-	HasExecuted bool          // whether it ever did
+	HasExecuted bool          // whether it ever did; see Observation.HasExecuted
 }
 
 // Update is what an announcement changes.
@@ -62,10 +62,11 @@
 	CloseIdle []string // servers whose idle connections are of no use any more, in the order of their IDs
 }
 
-// Observation is what an attempt shows about a server. Without any of its bools, no connection was made.
+// Observation is what an attempt shows about a server. Without any of its bools, the request could not be delivered: no
+// connection was made, or a new one broke before the last byte was written.
 type Observation struct {
 	Server        string
 	HasResponded  bool
-	HasExecuted   bool // the response shows that the request was executed
+	HasExecuted   bool // the response is a success, or finds the request itself faulty (4xx but 408 and 429)
 	IsOtherServer bool // the response names another server
 }
--- a/internal/discovery/endpoints/set.go
+++ b/internal/discovery/endpoints/set.go
@@ -12,11 +12,12 @@
 const (
 	// flapWindow is for how long an entry that has disappeared may come back as the same incarnation.
 	flapWindow = 5 * time.Second
-	// maxAliveAge is how long before its entry disappeared a server must have responded to count as alive then.
+	// maxAliveAge is how long ago a server may have responded at most, when its entry disappeared, to count as alive then.
+	// If its entry was made anew between two lists, it counts from the second list.
 	maxAliveAge = 1 * time.Second
 
 	// massRemovalWindow is the time within which entries disappear together. The registry is suspected if more than
-	// massRemovalShare of the servers do, and at least minMassRemoval.
+	// massRemovalShare of the servers do, and at least minMassRemoval: one or two servers are not protected.
 	massRemovalWindow = 2 * time.Second
 	massRemovalShare  = 0.5
 	minMassRemoval    = 3
@@ -61,8 +62,8 @@
 // MassRemoval says whether the registry is suspected to have lost most entries together.
 type MassRemoval struct {
 	IsSuspected bool
-	Removed     int // servers whose entries have disappeared together
-	Total       int // servers that were usable before
+	Removed     int // servers that are retained, or missing for at most massRemovalWindow
+	Total       int // servers that are usable, or missing, which lasts for flapWindow
 }
 
 // Set follows the servers of one registry. Each method takes the time, applies an input and returns the entries that are
@@ -118,8 +119,13 @@
 	}
 }
 
-// isNewIncarnation reports whether a listed entry is of another incarnation of the server than the entry before: the
-// process says so, or another session has made the entry and the server was not seen alive in between.
+// isNewIncarnation reports whether a listed entry is of another incarnation of the server than the entry before:
+//
+//   - If both name the process's start, that decides.
+//   - The same entry, made by the same session and transaction, is of the same incarnation.
+//   - An entry that was made anew is of the same incarnation if the server was alive all along. One that was out of the list
+//     must have come back within flapWindow, have responded at most maxAliveAge before it disappeared, and have had no
+//     failure since. One that was in every list must have responded within maxAliveAge from now, with no failure since.
 func (s *Set) isNewIncarnation(one *server, before, listed RegistryEntry) bool {
 	if listed.StartedUnixMS != 0 && before.StartedUnixMS != 0 {
 		return listed.StartedUnixMS != before.StartedUnixMS
@@ -130,11 +136,14 @@
 	if one.state != StateMissing && one.state != StateRetained { // the entry was made anew between two lists
 		return s.now-one.lastResponseAt > maxAliveAge || one.lastFailureAt > one.lastResponseAt
 	}
-	return s.now-one.stateSince > flapWindow || one.stateSince-one.lastResponseAt > maxAliveAge || one.lastFailureAt >= one.stateSince
+	return s.now-one.stateSince > flapWindow ||
+		one.stateSince-one.lastResponseAt > maxAliveAge ||
+		one.lastFailureAt >= one.stateSince
 }
 
-// detectMassRemoval retains the servers that have disappeared together with most others. Once most are listed again, it
-// removes the retained ones that are not.
+// detectMassRemoval retains the servers that have disappeared together with most others, but for those with a failure since.
+// It removes the retained ones that are not listed once the registry is not suspected any more. That is so when most servers
+// are listed again, and also when too few are still retained, because attempts could not connect to the others.
 func (s *Set) detectMassRemoval(isListed map[string]bool) {
 	removed, total := 0, 0
 	for _, one := range s.servers {
@@ -156,7 +165,8 @@
 	for _, id := range s.sortedIDs() {
 		one := s.servers[id]
 		switch {
-		case isSuspected && one.state == StateMissing && s.now-one.stateSince <= massRemovalWindow && one.lastFailureAt < one.stateSince:
+		case isSuspected && one.state == StateMissing &&
+			s.now-one.stateSince <= massRemovalWindow && one.lastFailureAt < one.stateSince:
 			s.step(one, massRemoved)
 		case !isSuspected && one.state == StateRetained && !isListed[id]:
 			s.step(one, entryRemoved)
--- a/internal/discovery/endpoints/view.go
+++ b/internal/discovery/endpoints/view.go
@@ -93,7 +93,8 @@
 }
 
 // replaceAt takes the usable servers at an address out of use, since another server has come there, and appends their
-// records, as gone, to changed. None of them is known by the address any more, unless it is announced there again.
+// records, as gone, to changed. Those that had left before, such as draining ones, stay as they are. None of them is known
+// by the address any more, unless it is announced there again.
 func (v *View) replaceAt(now time.Duration, address netip.AddrPort, changed []Record, hasMoved map[string]bool) []Record {
 	ids := v.byAddress[address]
 	delete(v.byAddress, address)
@@ -136,7 +137,7 @@
 	return Record{}, false
 }
 
-// All returns all records in the order of their IDs, and a count that grows with every list.
+// All returns all records in the order of their IDs, and a count that grows with every list but empty lists of changes.
 func (v *View) All() (all []Record, listCount int) {
 	for _, id := range v.sortedIDs() {
 		all = append(all, *v.records[id])
--- a/internal/discovery/incarnation/table.go
+++ b/internal/discovery/incarnation/table.go
@@ -8,7 +8,8 @@
 const (
 	// tombstoneRetention is how long a server that has gone is remembered. A planner that was away for longer starts anew.
 	tombstoneRetention = 10 * time.Minute
-	// maxEntries limits a table, whatever a peer sends. Entries of further servers are ignored.
+	// maxEntries limits a table, whatever a peer sends. Entries of further servers are ignored: they are neither returned as
+	// changed nor logged. A list snapshot has a limit of its own.
 	maxEntries = 8192
 )
 
--- a/internal/discovery/snapshot/doc.go
+++ b/internal/discovery/snapshot/doc.go
@@ -3,7 +3,8 @@
 //
 // A Store is a folder with generations, one file each. A generation is complete or not there; the newest complete one is
 // read at the start. Package proxy owns a Store and writes from one goroutine at a time; the commands of
-// `fernvane snapshot` read the folder, also while a node writes to it.
+// `fernvane snapshot` read the folder, also while a node writes to it; prune also removes files, and is not for a folder
+// that a node writes to.
 //
 // # Format
 //
--- a/internal/discovery/snapshot/format.go
+++ b/internal/discovery/snapshot/format.go
@@ -14,7 +14,7 @@
 	version      = 1
 	headerBytes  = len(magic) + 2 + 4 + 4 // magic, version, length of the body, checksum
 	maxBodyBytes = 16 << 20
-	maxServers   = 10_000
+	maxServers   = 10_000 // incarnation.Table has a limit of its own
 )
 
 // Reasons why Decode does not accept a file.
@@ -25,7 +25,8 @@
 	ErrNewerVersion = errors.New("it is of a newer version of this program")
 )
 
-// Encode returns the file that holds a snapshot. It fails for more than 10,000 servers.
+// Encode returns the file that holds a snapshot. It fails for more than maxServers servers, but does not check maxBodyBytes,
+// beyond which Decode does not accept the file.
 func Encode(s *Snapshot) ([]byte, error) {
 	if len(s.Servers) > maxServers {
 		return nil, fmt.Errorf("%d servers: %d at most", len(s.Servers), maxServers)
--- a/internal/discovery/staleness/evaluator.go
+++ b/internal/discovery/staleness/evaluator.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	// minConnectFailures in a row make a proven server suspected; one is enough for a server on trial.
+	// minConnectFailures without an executed request between them make a proven server suspected; other responses do not
+	// interrupt the count. One is enough for a server on trial.
 	minConnectFailures = 2
 	// initialSuspicion is for how long a server is suspected the first time. It doubles each time, up to maxSuspicion.
 	initialSuspicion = 1 * time.Second
 	maxSuspicion     = 30 * time.Second
-	// minTrials are always allowed at once.
+	// minTrials are allowed at once whatever fails. level.minInitialTrials is about the start.
 	minTrials = 1
 )
 
@@ -31,7 +32,7 @@
 	status              Status
 	statusSince         time.Duration
 	trialOrder          uint32 // differs by node
-	consecutiveFailures int
+	consecutiveFailures int    // to connect, since it last executed a request or became suspected
 	suspicionCount      int
 }
 
@@ -62,7 +63,11 @@
 		e.order = append(e.order, one)
 	}
 	slices.SortFunc(e.order, func(a, b *server) int {
-		return cmp.Or(cmp.Compare(b.executedRank(), a.executedRank()), cmp.Compare(a.trialOrder, b.trialOrder), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(
+			cmp.Compare(b.executedRank(), a.executedRank()),
+			cmp.Compare(a.trialOrder, b.trialOrder),
+			cmp.Compare(a.ID, b.ID),
+		)
 	})
 	e.maxTrials = max(e.level.minInitialTrials, int(math.Ceil(e.level.trialShare*float64(up))))
 	e.startTrials(0)
--- a/internal/discovery/staleness/level.go
+++ b/internal/discovery/staleness/level.go
@@ -20,13 +20,15 @@
 type level struct {
 	maxAge           time.Duration
 	trialShare       float64 // of the servers that are up, on trial at once
-	minInitialTrials int     // on trial at once, whatever the share
-	trialsPerProven  int     // further ones on trial at once for each server that is proven
+	minInitialTrials int     // on trial at once at the start, whatever the share
+	// trialsPerProven are further ones on trial at once each time that a server becomes proven. They are not taken back when
+	// it becomes suspected.
+	trialsPerProven int
 }
 
 // levels are ordered from the freshest list. A running node keeps its list for some seconds too when its source fails;
 // within minutes a part of a fleet may be replaced, within hours most of it.
-var levels = []level{
+var levels = [LevelCount]level{
 	{maxAge: 10 * time.Second, trialShare: 1, minInitialTrials: 1, trialsPerProven: 1},
 	{maxAge: 2 * time.Minute, trialShare: 0.5, minInitialTrials: 4, trialsPerProven: 2},
 	{maxAge: 20 * time.Minute, trialShare: 0.25, minInitialTrials: 3, trialsPerProven: 2},
@@ -35,7 +37,7 @@
 }
 
 // LevelCount is the number of staleness levels.
-var LevelCount = len(levels)
+const LevelCount = 5
 
 // Level returns the list's staleness level, from 0 to LevelCount-1: by its age, one more after a crash, and the highest if
 // it comes from the future.
@@ -43,7 +45,7 @@
 	if l.Age < -maxClockSkew {
 		return len(levels) - 1
 	}
-	i := slices.IndexFunc(levels, func(one level) bool { return l.Age <= one.maxAge })
+	i := slices.IndexFunc(levels[:], func(one level) bool { return l.Age <= one.maxAge })
 	if !l.IsCleanShutdown {
 		i++
 	}
--- a/internal/discovery/watch/follow.go
+++ b/internal/discovery/watch/follow.go
@@ -17,7 +17,8 @@
 
 // Listener receives what Follow learns. Its functions are called one after another.
 type Listener struct {
-	// OnList receives a full list first, then changes, or a full list again if discovery counts its revisions anew.
+	// OnList receives a full list first, then changes, or a full list again if discovery counts its revisions anew. Follow
+	// asks for the full list and does not check that the response is one: that stands in EndpointList.Complete.
 	OnList func(http1.EndpointList)
 	// OnError receives why a poll failed. It is repeated.
 	OnError func(error)
--- a/internal/discovery/watch/watcher.go
+++ b/internal/discovery/watch/watcher.go
@@ -51,7 +51,7 @@
 // Watcher polls one target. The caller sets its fields between polls; their zero values mean the changes after revision 0.
 type Watcher struct {
 	Target        *Target
-	HasMoved      bool   // the target was replaced and the new one has not responded yet
+	HasMoved      bool   // for the caller only: the target was replaced and the new one has not responded yet
 	WantsFullList bool   // else the changes after Revision
 	IsPushed      bool   // discovery is an agent without a queue: it responds to a first call at once
 	Revision      uint64 // of the last list
@@ -117,7 +117,9 @@
 }
 
 // exchange makes one call; isReusable reports whether the connection can be used for the next.
-func exchange(conn *http1.Conn, host string, call http1.EndpointListCall) (list http1.EndpointList, isReusable bool, err error) {
+func exchange(conn *http1.Conn, host string, call http1.EndpointListCall) (
+	list http1.EndpointList, isReusable bool, err error,
+) {
 	if _, err = conn.Send(http1.AppendEndpointListCall(conn.Scratch(), host, call)); err != nil {
 		return list, false, err
 	}
--- a/internal/discovery/zookeeper/follow.go
+++ b/internal/discovery/zookeeper/follow.go
@@ -64,7 +64,7 @@
 		case all := <-lists:
 			changed = set.ApplyList(l.Now(), all)
 		case o := <-l.Observations:
-			if o.HasResponded {
+			if o.HasResponded { // else, also if another server responded, it counts as a failure to connect
 				changed = set.ResponseReceived(l.Now(), o.Server)
 			} else {
 				changed = set.ConnectFailed(l.Now(), o.Server)
--- a/internal/discovery/zookeeper/reader.go
+++ b/internal/discovery/zookeeper/reader.go
@@ -27,7 +27,8 @@
 // childrenEvent stands in Reader.events for the watch of the children; it is the name of no entry.
 const childrenEvent = ""
 
-// Reader follows the children of one path. All fields but events are used by the goroutine of Run only.
+// Reader follows the children of one path. conn, path and events do not change and are used by several goroutines; all
+// other fields are used by the goroutine of Run only.
 type Reader struct {
 	conn     Conn
 	path     string
@@ -35,7 +36,8 @@
 	onError  func(error)
 
 	entries map[string]endpoints.RegistryEntry // by name; zero but for the ID until they are read
-	// unreadable are the entries whose data cannot be parsed. They are watched as the others and read again when their data
+	// unreadable are the entries whose data cannot be parsed. They are left out of the lists, so a server that was in use
+	// goes out of use as if its entry had been removed. They are watched as the others and read again when their data
 	// changes, not whenever the children do: each reading leaves a watch behind.
 	unreadable map[string]bool
 	// watched are the entries whose data is watched. The watch ends with its one event.
@@ -238,7 +240,9 @@
 		return nil
 	}
 	delete(r.unreadable, result.name)
-	entry.OwnerSession, entry.CreatedZxid, entry.CreatedUnixMS = result.stat.EphemeralOwner, result.stat.Czxid, result.stat.Ctime
+	entry.OwnerSession = result.stat.EphemeralOwner
+	entry.CreatedZxid = result.stat.Czxid
+	entry.CreatedUnixMS = result.stat.Ctime
 	r.entries[result.name] = entry
 	return nil
 }
--- a/internal/proxy/dispatch/attemptresult.go
+++ b/internal/proxy/dispatch/attemptresult.go
@@ -5,8 +5,8 @@
 // AttemptResult is how an attempt ended.
 type AttemptResult uint8
 
-// Results up to ServerRefused are complete responses, after which the connection may be used again. The numbers and the names
-// of results are stored in journals: new ones are added at the end.
+// Results up to ServerRefused are complete responses, after which the connection may be used again. The numbers and the
+// names of results are stored in journals: new ones are added at the end.
 const (
 	Succeeded         AttemptResult = iota // a complete response with status 200
 	ErrorResponse                          // any other complete response
--- a/internal/proxy/dispatch/budget.go
+++ b/internal/proxy/dispatch/budget.go
@@ -47,9 +47,9 @@
 // descriptorBudget counts file descriptors and keeps the connections that can be closed to free one.
 //
 // Requests in flight and connections to servers are limited alike, each by half of what remains beside a few spare
-// connections. What servers may take is not given to clients. So there is a connection to a server for each request in
-// flight, and of the clients' connections some always are either idle, and can be closed, or carry a request that is
-// rejected at once.
+// connections. What servers may take is not given to clients. So there is a connection to a server for one attempt of
+// each request in flight (a hedged attempt needs a second, and ends as NoDescriptor if there is none), and of the clients'
+// connections some always are either idle, and can be closed, or carry a request that is rejected at once.
 type descriptorBudget struct {
 	total            int
 	free             int
--- a/internal/proxy/dispatch/counts.go
+++ b/internal/proxy/dispatch/counts.go
@@ -7,14 +7,14 @@
 	// Requests by their final answer.
 	Responded    int
 	Rejected     int
-	Failed       int // outcome unknown
-	Disconnected int // the client left before
+	Failed       int // outcome unknown, or a server found the request itself faulty and its answer was forwarded
+	Disconnected int // the client left before, or Request.Close was called before (after a panic)
 
-	// Requests that were not accepted.
+	// Requests that were not accepted. Those with ErrDuplicateID or ErrRoutesChanged are not counted.
 	NoCapacity   int // too many in flight
 	RouteLimited int // by a limit of their route
 
-	Hedges         int // hedged attempts
+	Hedges         int // attempts sent while another of the same request was in flight: hedged, or a retry beside a hedge
 	AttemptResults [attemptResultCount]int
 
 	// Open now.
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -17,11 +17,13 @@
 	// maxPollPause is the longest pause, before its random spread by half, between two failed calls to discovery. Package
 	// watch has the sum of times that it is part of.
 	maxPollPause = 750 * time.Millisecond
-	// pollPauseDivisor relates the decision module's pause to Settings.RequestEndpointsWithin: at most one part in so many.
+	// pollPauseDivisor relates the decision module's pause to Settings.RequestEndpointsWithin: at most one part in so many,
+	// or the module's initial pause (250 ms) if that is longer. Both are before the random spread.
 	pollPauseDivisor = 4
 )
 
-// Dispatcher is the state of one node. Its methods may be called from any goroutine.
+// Dispatcher is the state of one node. Its methods may be called from any goroutine. mu guards every field that changes
+// after New, except activeRoutes.
 type Dispatcher struct {
 	mu            sync.Mutex
 	engine        *engine.Engine[string] // the decision module, by server ID
@@ -71,7 +73,7 @@
 func New(s settings.Settings, seed uint32, limits Limits, newDecider engine.DeciderFactory, options ...Option) *Dispatcher {
 	if !s.MustRequestEndpoints {
 		// Over sockets a node has to ask for the endpoint list in any case. An agent that would push it answers at once, so
-		// a failed call is repeated without a pause.
+		// a failed call is repeated after the decision module's shortest pause, which does not grow.
 		s.MustRequestEndpoints, s.RequestEndpointsWithin = true, 0
 	}
 	s.RequestEndpointsWithin = min(s.RequestEndpointsWithin, pollPauseDivisor*maxPollPause)
--- a/internal/proxy/dispatch/doc.go
+++ b/internal/proxy/dispatch/doc.go
@@ -7,9 +7,11 @@
 //
 // # Ownership
 //
-// Dispatcher.mu guards everything in the package. Every method of Dispatcher, Request and Client may be called from any
-// goroutine. No method waits for a socket or a disk while it holds the lock: connections that have to be closed are
-// collected and closed after the lock has been released. Only AcquireClientDescriptor and Request.NextDecision block.
+// Dispatcher.mu guards everything that changes, except the current table of routes, which is an atomic pointer, and the
+// memory for large messages, which is an atomic count. The names and settings of traffic types are fixed after New.
+// Every method of Dispatcher, Request and Client may be called from any goroutine. No method waits for a socket or a disk
+// while it holds the lock: connections that have to be closed are collected and closed after the lock has been released.
+// Only AcquireClientDescriptor and Request.NextDecision block.
 //
 // # The way of a request
 //
@@ -37,7 +39,7 @@
 //	clients.go        clients' connections, and which of them may be closed
 //	idle.go           idle connections to servers
 //	retention.go      which idle connections are kept
-//	observations.go   results of attempts, for those who judge servers
+//	observations.go   results of attempts, for packages staleness and zookeeper
 //	quotas.go         tenants' quotas
 //	plan.go           plans of the control plane
 //	report.go         reports to the control plane
--- a/internal/proxy/dispatch/effects.go
+++ b/internal/proxy/dispatch/effects.go
@@ -58,7 +58,7 @@
 // SetTimer has the decision module called after a time.
 func (h *effectHandler) SetTimer(after time.Duration) { h.timer.Reset(after) }
 
-// Subscribe requests a poll of discovery.
+// Subscribe makes PollRequested receive, on which package proxy polls discovery. It is the effect of that name.
 func (h *effectHandler) Subscribe() {
 	select {
 	case h.pollRequested <- struct{}{}:
--- a/internal/proxy/dispatch/endpoints.go
+++ b/internal/proxy/dispatch/endpoints.go
@@ -140,8 +140,10 @@
 }
 
 // Endpoints returns all endpoint records, the source of the last announcement and its time by Now, and a count that grows
-// with every list.
-func (d *Dispatcher) Endpoints() (all []endpoints.Record, source endpoints.Source, announcedAt time.Duration, listCount int) {
+// with every list but empty lists of changes.
+func (d *Dispatcher) Endpoints() (
+	all []endpoints.Record, source endpoints.Source, announcedAt time.Duration, listCount int,
+) {
 	d.mu.Lock()
 	defer d.unlock()
 	all, listCount = d.view.All()
--- a/internal/proxy/dispatch/idle.go
+++ b/internal/proxy/dispatch/idle.go
@@ -24,8 +24,9 @@
 	since time.Duration
 }
 
-// TakeIdle returns an idle connection to a server, or nil if there is none. The one used last comes first, so that those
-// not needed expire, but for connections that were in use until just now.
+// TakeIdle returns an idle connection to a server. The one used last comes first, so that those not needed expire, but for
+// connections that were in use until just now (justUsed). It returns nil if there is none, and also if the one selected has
+// been idle for too long to be used, even if others were in use until just now.
 func (d *Dispatcher) TakeIdle(id string) ServerConn {
 	d.mu.Lock()
 	defer d.unlock()
@@ -71,7 +72,8 @@
 	d.freeServerDescriptor()
 }
 
-// closeIdleConns closes all idle connections to a server. It does nothing for nil, a server that is not known.
+// closeIdleConns closes all idle connections to a server. It does nothing for nil, a server that is not known, nor under an
+// IdleRetention that does not close on changes.
 func (d *Dispatcher) closeIdleConns(s *server) {
 	if s == nil || !d.retention.ClosesOnChange() {
 		return
--- a/internal/proxy/dispatch/observations.go
+++ b/internal/proxy/dispatch/observations.go
@@ -5,11 +5,13 @@
 	"fernvane/policy"
 )
 
-// maxQueuedObservations is how many observations wait for a reader that is slow; later ones are left out.
+// maxQueuedObservations is how many observations wait for a reader that is slow; later ones are dropped, and neither counted
+// nor logged.
 const maxQueuedObservations = 1024
 
 // Observations returns a channel that receives what attempts show about servers from now on. Each caller gets a channel
-// of its own. A reader that is slow misses some observations; it never delays a request.
+// of its own, for as long as the Dispatcher lives: there is no way to unsubscribe. A reader that is slow, or has stopped,
+// misses observations; it never delays a request.
 func (d *Dispatcher) Observations() <-chan endpoints.Observation {
 	d.mu.Lock()
 	defer d.unlock()
@@ -25,7 +27,8 @@
 	d.publish(endpoints.Observation{Server: server, IsOtherServer: true})
 }
 
-// observe publishes what an attempt's result shows about its server.
+// observe publishes what an attempt's result shows about its server. Timeouts, broken connections and attempts that did not
+// start or were canceled show nothing.
 func (d *Dispatcher) observe(server string, result AttemptResult) {
 	o := endpoints.Observation{Server: server}
 	switch result.Outcome() {
--- a/internal/proxy/dispatch/plan.go
+++ b/internal/proxy/dispatch/plan.go
@@ -9,7 +9,9 @@
 // ApplyPlan passes a plan of the control plane to the decision module: the number of nodes, the share of requests to be
 // admitted, the servers' shares, and by tenant name the share of requests within the quota. A nil withinQuota leaves
 // tenants to the decision module.
-func (d *Dispatcher) ApplyPlan(nodes int, admittedShare float64, withinQuota map[string]float64, servers []plan.ServerShare) {
+func (d *Dispatcher) ApplyPlan(
+	nodes int, admittedShare float64, withinQuota map[string]float64, servers []plan.ServerShare,
+) {
 	d.mu.Lock()
 	defer d.unlock()
 	in := policy.Input{NodeCount: max(nodes, 1), MaxAdmittedShare: admittedShare}
@@ -19,6 +21,13 @@
 	d.engine.PlanChanged(d.now(), in, assignments(servers), d.effects())
 }
 
+const (
+	// avoidPreference is policy.Assignment.Preference of a server that is to be avoided.
+	avoidPreference = -1
+	// minGreatestShare keeps the division by the greatest share defined if no server has one.
+	minGreatestShare = 1e-9
+)
+
 // assignments are servers' shares in the decision module's terms, relative to the greatest share.
 func assignments(servers []plan.ServerShare) []engine.Assignment[string] {
 	greatest := 0.0
@@ -28,12 +37,12 @@
 	all := make([]engine.Assignment[string], 0, len(servers))
 	for _, s := range servers {
 		info := policy.Assignment{
-			Preference:    s.Share / max(greatest, 1e-9),
+			Preference:    s.Share / max(greatest, minGreatestShare),
 			SlowStartRate: s.SlowStartRate,
 			EjectFor:      s.EjectionRemaining,
 		}
 		if s.IsAvoided {
-			info.Preference = -1
+			info.Preference = avoidPreference
 		}
 		all = append(all, engine.Assignment[string]{Server: s.ID, Info: info})
 	}
--- a/internal/proxy/dispatch/report.go
+++ b/internal/proxy/dispatch/report.go
@@ -25,7 +25,7 @@
 	servers        map[string]*serverReport
 }
 
-// serverReport is what attempts have shown about one server.
+// serverReport is what attempts have shown about one server. It may be empty: see recordAttempt.
 type serverReport struct {
 	answered   []int           // by traffic type
 	latencySum []time.Duration // of those
@@ -133,7 +133,9 @@
 	}
 }
 
-// recordAttempt counts an attempt's result. Results that say nothing about the server, or something about the request only, are left out.
+// recordAttempt counts an attempt's result: a success, a timeout, or as failed an error response or a server that could not
+// be reached. All other results (broken connections, refusals by a full server, faulty requests, attempts that did not
+// start or were abandoned) only make the report name the server.
 func (c *reportCollector) recordAttempt(server string, trafficType int, result AttemptResult, elapsed time.Duration) {
 	if !c.isEnabled || trafficType >= len(c.arrivals) {
 		return
--- a/internal/proxy/dispatch/request.go
+++ b/internal/proxy/dispatch/request.go
@@ -18,7 +18,7 @@
 	SendAttempt        // send the request to Decision.Server
 	Respond            // send Decision.Answer to the client
 	Reject             // answer that nothing was executed and that the client may retry
-	Fail               // answer that the outcome is not known
+	Fail               // send Decision.Answer, or without one answer that the outcome is not known
 	Drop               // do nothing: the client has left
 )
 
--- a/internal/proxy/dispatch/submit.go
+++ b/internal/proxy/dispatch/submit.go
@@ -58,7 +58,8 @@
 }
 
 // Submit accepts a new request, or returns one of the errors above. More requests than the descriptors allow are not
-// accepted, since they could not be answered in time. A tenant that the settings do not name has no quota.
+// accepted, since they could not be answered in time. A tenant that the settings do not name has no quota; all such tenants
+// have one index, the next that SetQuotas would give to a new tenant.
 func (d *Dispatcher) Submit(a Arrival) (*Request, error) {
 	d.mu.Lock()
 	defer d.unlock()
--- a/internal/proxy/shadow/candidate.go
+++ b/internal/proxy/shadow/candidate.go
@@ -17,7 +17,7 @@
 // Counts is what was counted since the last call of Candidate.TakeCounts.
 type Counts struct {
 	Compared     int  // evaluations
-	HasFailed    bool // the decision module failed under the candidate settings; it is not evaluated any more
+	HasFailed    bool // the decision module has panicked under candidate settings; none are evaluated any more
 	ByDifference [differenceCount]int
 }
 
@@ -28,7 +28,7 @@
 	return c
 }
 
-// SetSettings replaces the settings.
+// SetSettings replaces the settings. It does not begin the evaluation again after a failure.
 func (c *Candidate) SetSettings(s *settings.Settings) { c.settings.Store(s) }
 
 // Settings returns the settings.
--- a/internal/proxy/shadow/difference.go
+++ b/internal/proxy/shadow/difference.go
@@ -9,8 +9,8 @@
 const (
 	ServerDiffers     Difference = iota // sent to another server
 	TimeoutDiffers                      // the attempt has another timeout
-	WouldSend                           // sent, where it was rejected or is queued
-	WouldQueue                          // queued, where it was sent or rejected
+	WouldSend                           // sent, where it was rejected, has failed or is queued
+	WouldQueue                          // queued, where it was sent, was rejected or has failed
 	WouldReject                         // rejected, where it was sent, is queued or has failed
 	RetryAfterDiffers                   // rejected as well, with another time to retry after
 	WouldRetry                          // another attempt, where there was none
--- a/internal/proxy/shadow/module.go
+++ b/internal/proxy/shadow/module.go
@@ -23,7 +23,7 @@
 	budgetAt   time.Duration
 	effects    []policy.Effect       // of the candidate settings
 	byRequest  map[int]policy.Effect // those that are decisions
-	isDisabled bool                  // after a failure under the candidate settings
+	isDisabled bool                  // after a panic under any candidate settings; never reset
 }
 
 // NewModule returns a Module that decides as live does.
@@ -43,8 +43,8 @@
 	return effects
 }
 
-// shouldCompare reports whether an input is about requests and within the limit of comparisons, and takes it from the
-// limit.
+// shouldCompare reports whether an input is compared, and takes it from the limit of comparisons: one about requests or the
+// timer, within the limit. Changes of endpoints, traffic types, plans and quotas are not compared.
 func (m *Module) shouldCompare(now time.Duration, in *policy.Input) bool {
 	cost := max(float64(m.live.ServerCount())/serversPerComparison, 1)
 	m.budget = min(m.budget+maxComparisonsPerSecond*(now-m.budgetAt).Seconds(), max(maxComparisonsPerSecond, cost))
@@ -61,7 +61,7 @@
 }
 
 // evaluateCandidate reports whether the candidate settings could be evaluated. A panic under them disables the evaluation
-// and does not end the node.
+// for good, also for settings that Candidate.SetSettings brings later, and does not end the node.
 func (m *Module) evaluateCandidate(now time.Duration, in *policy.Input) (ok bool) {
 	defer func() {
 		if recover() != nil {
