--- a/internal/proxy/endpointcache_test.go
+++ b/internal/proxy/endpointcache_test.go
@@ -95,8 +95,8 @@
 	return r.Status
 }
 
-// A node starts on its own old list, with its source out of reach: what was told to drain gets nothing, what must not run
-// twice goes only to a server that has shown that it serves, and a server that says that it is another gets nothing more.
+// A node starts on its own old list, with its source out of reach: draining servers get nothing, non-idempotent requests go only to a server
+// that has shown that it serves, and a server that says that it is another gets nothing more.
 func TestStartFromCachedList(t *testing.T) {
 	t.Parallel()
 	up, drained, other := newCountingServer(t, ""), newCountingServer(t, ""), newCountingServer(t, "Server-Id: else\r\n")
@@ -164,8 +164,26 @@
 	}
 }
 
-// What discovery tells first: changes hold for the kept list, which is over with them; a whole list that lacks those who
-// answer is not believed at once. What was confirmed is written, the last time in good order.
+// awaitList takes the next list for a poll. ok is false where the node gives the poll up before: a list that was taken then would be lost.
+func awaitList(c *http1.Conn, lists <-chan string) (list string, ok bool) {
+	givenUp := make(chan struct{})
+	go func() {
+		defer close(givenUp)
+		c.WaitDisconnected()
+	}()
+	select {
+	case list, ok = <-lists:
+	case <-givenUp:
+		return "", false
+	}
+	c.SetReadDeadline(pastDeadline)
+	<-givenUp
+	c.SetReadDeadline(time.Time{})
+	return list, ok
+}
+
+// What discovery announces first: changes are changes to the cached list, which is confirmed with them; a complete list that lacks servers
+// which serve is not applied at once. What was confirmed is written, the last time as a clean shutdown.
 func TestCachedListConfirmed(t *testing.T) {
 	t.Parallel()
 	one, two := newCountingServer(t, ""), newCountingServer(t, "")
@@ -180,7 +198,7 @@
 		defer nc.Close()
 		var r http1.Request
 		for c := http1.NewConn(nc); c.ReadRequest(&r) == nil; {
-			body, ok := <-lists
+			body, ok := awaitList(c, lists)
 			if !ok {
 				return
 			}
@@ -194,7 +212,7 @@
 	}
 	for bookStatus(t, at) != 200 {
 	}
-	lists <- `{"revision":9,"complete":true,"members":[]}` // a source that has lost its mind
+	lists <- `{"revision":9,"complete":true,"members":[]}` // not applied
 	lists <- `{"revision":9,"complete":false,"members":[` + line("two", two, "DRAINING") + `]}`
 	store, _ := snapshot.Open(cfg.Snapshot.Dir, 3, wal.OSFileSystem{})
 	var got *snapshot.Snapshot
