--- a/internal/discovery/endpoints/endpoint.go
+++ b/internal/discovery/endpoints/endpoint.go
@@ -21,12 +21,12 @@
 )
 
 var sourceNames = [...]string{
-	SourceConfig:       "the saved list",
-	SourceSnapshot:     "the disk",
+	SourceConfig:       "configuration",
+	SourceSnapshot:     "snapshot",
 	SourceDiscovery:    "discovery",
-	SourceRegistry:     "a registry",
+	SourceRegistry:     "registry",
 	SourcePlanners:     "planners",
-	SourceDistribution: "the distribution",
+	SourceDistribution: "distribution",
 }
 
 // String returns the source's name in the log.
--- a/internal/discovery/snapshot/config.go
+++ b/internal/discovery/snapshot/config.go
@@ -32,7 +32,7 @@
 		return nil, err
 	}
 	if st, err := os.Stat(c.Dir); c.Dir == "" || err != nil || !st.IsDir() {
-		f.Wrong("dir", "dir %q is no folder that is there", c.Dir)
+		f.Wrong("dir", "dir %q is not an existing directory", c.Dir)
 	}
 	if c.Deployment == "" {
 		f.Wrong("deployment", "deployment is not named: a list of another one must not be taken for this one's")
--- a/internal/discovery/snapshot/format.go
+++ b/internal/discovery/snapshot/format.go
@@ -20,9 +20,9 @@
 // Reasons why Decode does not accept a file.
 var (
 	// ErrCorrupt says that the file is incomplete, damaged or no list snapshot.
-	ErrCorrupt = errors.New("it is not whole")
+	ErrCorrupt = errors.New("incomplete or damaged")
 	// ErrNewerVersion says that a newer version of this program wrote the file.
-	ErrNewerVersion = errors.New("it is of a newer version of this program")
+	ErrNewerVersion = errors.New("written by a newer version")
 )
 
 // Encode returns the file that holds a snapshot. It fails for more than maxServers servers, but does not check maxBodyBytes,
