--- a/internal/discovery/endpoints/set_test.go
+++ b/internal/discovery/endpoints/set_test.go
@@ -44,24 +44,24 @@
 		same bool
 	}{
 		"listed":                              {nil, "up", true},
-		"removed":                             {[]event{{2 * s, "gone"}}, "draining", true},
-		"removed for long":                    {[]event{{2 * s, "gone"}, {9 * s, "wait"}}, "gone", true},
-		"flaps, alive":                        {[]event{{1900 * ms, "answer"}, {2 * s, "gone"}, {3 * s, "back"}}, "up", true},
-		"flaps, not seen alive":               {[]event{{2 * s, "gone"}, {3 * s, "back"}}, "up", false},
-		"flaps, and connects fail":            {[]event{{1900 * ms, "answer"}, {2 * s, "gone"}, {2100 * ms, "fail"}, {3 * s, "back"}}, "up", false},
-		"back too late":                       {[]event{{1900 * ms, "answer"}, {2 * s, "gone"}, {9 * s, "wait"}, {10 * s, "back"}}, "up", false},
+		"removed":                             {[]event{{2 * s, "removed"}}, "draining", true},
+		"removed for long":                    {[]event{{2 * s, "removed"}, {9 * s, "wait"}}, "gone", true},
+		"flaps, alive":                        {[]event{{1900 * ms, "answer"}, {2 * s, "removed"}, {3 * s, "back"}}, "up", true},
+		"flaps, not seen alive":               {[]event{{2 * s, "removed"}, {3 * s, "back"}}, "up", false},
+		"flaps, and connects fail":            {[]event{{1900 * ms, "answer"}, {2 * s, "removed"}, {2100 * ms, "fail"}, {3 * s, "back"}}, "up", false},
+		"back too late":                       {[]event{{1900 * ms, "answer"}, {2 * s, "removed"}, {9 * s, "wait"}, {10 * s, "back"}}, "up", false},
 		"drains":                              {[]event{{2 * s, "drain"}}, "draining", true},
 		"a drain is canceled":                 {[]event{{2 * s, "drain"}, {3 * s, "undrain"}}, "up", true},
-		"drains and is removed":               {[]event{{2 * s, "drain"}, {3 * s, "gone"}}, "gone", true},
+		"drains and is removed":               {[]event{{2 * s, "drain"}, {3 * s, "removed"}}, "gone", true},
 		"dead before the registry removes it": {[]event{{2 * s, "fail"}, {2 * s, "fail"}, {2 * s, "fail"}}, "draining", true},
 		"two failures are not enough":         {[]event{{2 * s, "fail"}, {2 * s, "fail"}}, "up", true},
 		"suspected, and tried again":          {[]event{{2 * s, "fail"}, {2 * s, "fail"}, {2 * s, "fail"}, {3100 * ms, "wait"}}, "up", true},
 		"suspected, and it responds":          {[]event{{2 * s, "fail"}, {2 * s, "fail"}, {2 * s, "fail"}, {2100 * ms, "answer"}}, "up", true},
-		"all removed":                         {[]event{{2 * s, "all gone"}}, "up", true},
-		"all removed, and it is dead":         {[]event{{2 * s, "all gone"}, {3 * s, "fail"}, {3 * s, "fail"}, {3 * s, "fail"}}, "draining", true},
-		"all removed, it was draining":        {[]event{{1 * s, "drain"}, {2 * s, "all gone"}}, "gone", true},
-		"all removed one by one":              {[]event{{2 * s, "gone"}, {2100 * ms, "all gone"}}, "up", true},
-		"all but it come back":                {[]event{{2 * s, "all gone"}, {4 * s, "others back"}}, "draining", true},
+		"all removed":                         {[]event{{2 * s, "all removed"}}, "up", true},
+		"all removed, and it is dead":         {[]event{{2 * s, "all removed"}, {3 * s, "fail"}, {3 * s, "fail"}, {3 * s, "fail"}}, "draining", true},
+		"all removed, it was draining":        {[]event{{1 * s, "drain"}, {2 * s, "all removed"}}, "gone", true},
+		"all removed one by one":              {[]event{{2 * s, "removed"}, {2100 * ms, "all removed"}}, "up", true},
+		"all but it come back":                {[]event{{2 * s, "all removed"}, {4 * s, "others back"}}, "draining", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, v := NewSet(), joined{incarnation.NewTable()}
@@ -74,9 +74,9 @@
 				v.take(r.Tick(at))
 				for ; i < len(c.all) && c.all[i].at <= at; i++ {
 					switch c.all[i].what {
-					case "gone":
+					case "removed":
 						v.take(r.ApplyList(at, others))
-					case "all gone":
+					case "all removed":
 						v.take(r.ApplyList(at, nil))
 					case "others back":
 						v.take(r.ApplyList(at, others))
@@ -128,7 +128,7 @@
 	}
 	var moves [][2]string
 	for _, id := range []string{"a", "b", "c"} {
-		for _, e := range []string{"gone", "back", "drain", "fails", "answer", "wait"} {
+		for _, e := range []string{"removed", "back", "drain", "fails", "answer", "wait"} {
 			moves = append(moves, [2]string{id, e})
 		}
 	}
@@ -156,7 +156,7 @@
 		n := rapid.IntRange(5, 60).Draw(t, "length")
 		play(t, func(i int) ([2]string, bool) {
 			return [2]string{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"),
-				rapid.SampledFrom([]string{"gone", "back", "drain", "fails", "answer", "wait"}).Draw(t, "event")}, i < n
+				rapid.SampledFrom([]string{"removed", "back", "drain", "fails", "answer", "wait"}).Draw(t, "event")}, i < n
 		})
 	})
 }
@@ -190,7 +190,7 @@
 		now += 300 * ms
 		v.take(r.Tick(now))
 		switch m[1] {
-		case "gone":
+		case "removed":
 			there[id] = false
 		case "back":
 			if !there[id] {
@@ -213,7 +213,7 @@
 			now += 6 * time.Second
 			v.take(r.Tick(now))
 		}
-		if m[1] == "gone" || m[1] == "back" || m[1] == "drain" {
+		if m[1] == "removed" || m[1] == "back" || m[1] == "drain" {
 			v.take(r.ApplyList(now, list()))
 		}
 		check(t, r, v, there, draining, history)
--- a/internal/discovery/endpoints/view.go
+++ b/internal/discovery/endpoints/view.go
@@ -22,6 +22,14 @@
 	IgnoreRemovals bool
 }
 
+// addressChange says whether an announcement names another address of a server than the last one, or none.
+type addressChange uint8
+
+const (
+	addressKept addressChange = iota
+	addressChanged
+)
+
 // NewView returns an empty view.
 func NewView() *View {
 	return &View{records: map[string]*Record{}, byAddress: map[netip.AddrPort][]string{}}
@@ -35,19 +43,19 @@
 	if len(announced) > 0 || isFullList {
 		v.listCount++
 	}
-	hasMoved := make(map[string]bool, len(announced)) // by ID, of each server that the announcement touches
+	touched := make(map[string]addressChange, len(announced))
 	if isFullList {
-		v.removeAll(now, hasMoved)
+		v.removeAll(now, touched)
 	}
 	for _, endpoint := range announced {
 		v.recordVisits++
 		if v.records[endpoint.ID] == nil && endpoint.Condition == incarnation.Up {
-			update.Changed = v.replaceAt(now, endpoint.Address, update.Changed, hasMoved)
+			update.Changed = v.replaceAt(now, endpoint.Address, update.Changed, touched)
 		}
-		update.Changed = append(update.Changed, v.applyOne(now, source, endpoint, hasMoved))
+		update.Changed = append(update.Changed, v.applyOne(now, source, endpoint, touched))
 	}
-	for id := range hasMoved {
-		if record := v.records[id]; record != nil && (!record.IsUsable || hasMoved[id]) {
+	for id, change := range touched {
+		if record := v.records[id]; record != nil && (!record.IsUsable || change == addressChanged) {
 			update.CloseIdle = append(update.CloseIdle, id)
 		}
 	}
@@ -56,10 +64,10 @@
 }
 
 // removeAll marks all servers as left, before a full list names those that have not.
-func (v *View) removeAll(now time.Duration, hasMoved map[string]bool) {
+func (v *View) removeAll(now time.Duration, touched map[string]addressChange) {
 	for id, record := range v.records {
 		v.recordVisits++
-		hasMoved[id] = false
+		touched[id] = addressKept
 		if !v.IgnoreRemovals {
 			record.markLeft(now)
 		}
@@ -67,7 +75,7 @@
 }
 
 // applyOne takes over what is announced of one server. A server that is announced as gone and was not known is not kept.
-func (v *View) applyOne(now time.Duration, source Source, endpoint Endpoint, hasMoved map[string]bool) Record {
+func (v *View) applyOne(now time.Duration, source Source, endpoint Endpoint, touched map[string]addressChange) Record {
 	record := v.records[endpoint.ID]
 	if record == nil {
 		record = &Record{}
@@ -75,7 +83,11 @@
 			v.records[endpoint.ID] = record
 		}
 	}
-	hasMoved[endpoint.ID] = hasMoved[endpoint.ID] || endpoint.Address != record.Address
+	if endpoint.Address != record.Address {
+		touched[endpoint.ID] = addressChanged
+	} else if _, isTouched := touched[endpoint.ID]; !isTouched {
+		touched[endpoint.ID] = addressKept
+	}
 	if !endpoint.Address.IsValid() {
 		endpoint.Address = record.Address
 	}
@@ -95,14 +107,14 @@
 // replaceAt takes the usable servers at an address out of use, since another server has come there, and appends their
 // records, as gone, to changed. Those that had left before, such as draining ones, stay as they are. None of them is known
 // by the address any more, unless it is announced there again.
-func (v *View) replaceAt(now time.Duration, address netip.AddrPort, changed []Record, hasMoved map[string]bool) []Record {
+func (v *View) replaceAt(now time.Duration, address netip.AddrPort, changed []Record, touched map[string]addressChange) []Record {
 	ids := v.byAddress[address]
 	delete(v.byAddress, address)
 	slices.Sort(ids)
 	for _, id := range ids {
 		v.recordVisits++
-		if _, isTouched := hasMoved[id]; !isTouched {
-			hasMoved[id] = false
+		if _, isTouched := touched[id]; !isTouched {
+			touched[id] = addressKept
 		}
 		record := v.records[id]
 		if !record.IsUsable {
--- a/internal/discovery/staleness/evaluator.go
+++ b/internal/discovery/staleness/evaluator.go
@@ -134,10 +134,10 @@
 
 func (e *Evaluator) apply(now time.Duration, s *server, in input) {
 	t := transitions[s.status][in]
-	switch {
-	case t.trialChange > 0:
+	switch t.trialChange {
+	case moreTrials:
 		e.maxTrials += e.level.trialsPerProven
-	case t.trialChange < 0:
+	case fewerTrials:
 		e.maxTrials = max(e.maxTrials-1, minTrials)
 	}
 	if t.next == s.status {
--- a/internal/discovery/staleness/status.go
+++ b/internal/discovery/staleness/status.go
@@ -26,51 +26,60 @@
 	inputCount
 )
 
+// trialChange is how a transition changes the number of trials that are allowed at once.
+type trialChange uint8
+
+const (
+	keepTrials  trialChange = iota
+	moreTrials              // by level.trialsPerProven
+	fewerTrials             // by one, to minTrials at least
+)
+
 type transition struct {
 	next        Status
-	trialChange int // +1: more trials are allowed at once; -1: one less
+	trialChange trialChange
 }
 
 // transitions holds what each input does in each status.
 var transitions = [statusCount][inputCount]transition{
 	Untried: {
-		trialOffered:         {OnTrial, 0},
-		requestExecuted:      {Untried, 0},
-		responseWithoutProof: {Untried, 0},
-		connectFailed:        {Untried, 0},
-		wrongServer:          {Excluded, 0},
-		timerExpired:         {Untried, 0},
+		trialOffered:         {OnTrial, keepTrials},
+		requestExecuted:      {Untried, keepTrials},
+		responseWithoutProof: {Untried, keepTrials},
+		connectFailed:        {Untried, keepTrials},
+		wrongServer:          {Excluded, keepTrials},
+		timerExpired:         {Untried, keepTrials},
 	},
 	OnTrial: {
-		trialOffered:         {OnTrial, 0},
-		requestExecuted:      {Proven, 1},
-		responseWithoutProof: {OnTrial, 0},
-		connectFailed:        {Suspected, -1},
-		wrongServer:          {Excluded, -1},
-		timerExpired:         {OnTrial, 0},
+		trialOffered:         {OnTrial, keepTrials},
+		requestExecuted:      {Proven, moreTrials},
+		responseWithoutProof: {OnTrial, keepTrials},
+		connectFailed:        {Suspected, fewerTrials},
+		wrongServer:          {Excluded, fewerTrials},
+		timerExpired:         {OnTrial, keepTrials},
 	},
 	Proven: {
-		trialOffered:         {Proven, 0},
-		requestExecuted:      {Proven, 0},
-		responseWithoutProof: {Proven, 0},
-		connectFailed:        {Suspected, 0},
-		wrongServer:          {Excluded, -1},
-		timerExpired:         {Proven, 0},
+		trialOffered:         {Proven, keepTrials},
+		requestExecuted:      {Proven, keepTrials},
+		responseWithoutProof: {Proven, keepTrials},
+		connectFailed:        {Suspected, keepTrials},
+		wrongServer:          {Excluded, fewerTrials},
+		timerExpired:         {Proven, keepTrials},
 	},
 	Suspected: {
-		trialOffered:         {Suspected, 0},
-		requestExecuted:      {Suspected, 0},
-		responseWithoutProof: {Suspected, 0},
-		connectFailed:        {Suspected, 0},
-		wrongServer:          {Excluded, 0},
-		timerExpired:         {Untried, 0},
+		trialOffered:         {Suspected, keepTrials},
+		requestExecuted:      {Suspected, keepTrials},
+		responseWithoutProof: {Suspected, keepTrials},
+		connectFailed:        {Suspected, keepTrials},
+		wrongServer:          {Excluded, keepTrials},
+		timerExpired:         {Untried, keepTrials},
 	},
 	Excluded: {
-		trialOffered:         {Excluded, 0},
-		requestExecuted:      {Excluded, 0},
-		responseWithoutProof: {Excluded, 0},
-		connectFailed:        {Excluded, 0},
-		wrongServer:          {Excluded, 0},
-		timerExpired:         {Excluded, 0},
+		trialOffered:         {Excluded, keepTrials},
+		requestExecuted:      {Excluded, keepTrials},
+		responseWithoutProof: {Excluded, keepTrials},
+		connectFailed:        {Excluded, keepTrials},
+		wrongServer:          {Excluded, keepTrials},
+		timerExpired:         {Excluded, keepTrials},
 	},
 }
