--- a/cmd/testbed/journal.go
+++ b/cmd/testbed/journal.go
@@ -53,8 +53,8 @@
 			fmt.Fprintf(c.OutOrStdout(), "%d kills in %s, promise %s: %d entries, %d dockets, %d possibly sent, %d of them not settled by dockets, %d words in gaps\n",
 				n, s.Length.Std(), promise, j.Entries, j.Ran, j.Possibly, j.Open, j.Gaps)
 			for _, r := range out.Rules {
-				if r.Broken > 0 {
-					fmt.Fprintf(c.OutOrStdout(), "broken %d times: %s: %s\n", r.Broken, r.Name, r.Worst)
+				if r.Violations > 0 {
+					fmt.Fprintf(c.OutOrStdout(), "broken %d times: %s: %s\n", r.Violations, r.Name, r.FirstViolation)
 					err = exit(exitBroken)
 				}
 			}
@@ -156,8 +156,8 @@
 					}
 				}
 				for _, r := range out.Rules {
-					if r.Broken > 0 {
-						fmt.Fprintf(c.OutOrStdout(), "broken %d times: %s: %s\n", r.Broken, r.Name, r.Worst)
+					if r.Violations > 0 {
+						fmt.Fprintf(c.OutOrStdout(), "broken %d times: %s: %s\n", r.Violations, r.Name, r.FirstViolation)
 						err = exit(exitBroken)
 					}
 				}
--- a/cmd/testbed/losses.go
+++ b/cmd/testbed/losses.go
@@ -112,8 +112,8 @@
 	l.sum.Open += j.Open
 	l.sum.Gaps += j.Gaps
 	for _, r := range out.Rules {
-		if l.broken[r.Name] += r.Broken; r.Broken > 0 && l.worst[r.Name] == "" {
-			l.worst[r.Name] = r.Worst
+		if l.broken[r.Name] += r.Violations; r.Violations > 0 && l.worst[r.Name] == "" {
+			l.worst[r.Name] = r.FirstViolation
 		}
 	}
 	fmt.Fprintf(l.progress, "seed %d: %d machines lost in %d cycles, service %.4f, %d dockets\n", s.Seed, j.Losses, j.Cycles, out.Service(), j.Ran)
--- a/cmd/testbed/steps.go
+++ b/cmd/testbed/steps.go
@@ -94,8 +94,8 @@
 	}
 	verdict := "kept"
 	for _, rule := range out.Rules {
-		if rule.Broken > 0 {
-			verdict, r.bad = fmt.Sprintf("%s broken %d times: %s", rule.Name, rule.Broken, rule.Worst), true
+		if rule.Violations > 0 {
+			verdict, r.bad = fmt.Sprintf("%s broken %d times: %s", rule.Name, rule.Violations, rule.FirstViolation), true
 		}
 	}
 	r.line = fmt.Sprintf("%s\t%d\t%d\t%.4f\t%s", r.name, out.Journal.Ran, out.Journal.Possibly, out.Service(), verdict)
--- a/cmd/testbed/tools.go
+++ b/cmd/testbed/tools.go
@@ -277,10 +277,10 @@
 			}
 			found, first := rule == "" && r.Broken() == 0, ""
 			for _, v := range r.Rules {
-				if v.Broken > 0 && (first == "" || v.Name == rule) {
-					first = fmt.Sprintf("%s, %d times, first: %s", v.Name, v.Broken, v.Worst)
+				if v.Violations > 0 && (first == "" || v.Name == rule) {
+					first = fmt.Sprintf("%s, %d times, first: %s", v.Name, v.Violations, v.FirstViolation)
 				}
-				found = found || v.Name == rule && v.Broken > 0
+				found = found || v.Name == rule && v.Violations > 0
 			}
 			verdict := "as it should"
 			if !found {
--- a/internal/testbed/audit/seconds.go
+++ b/internal/testbed/audit/seconds.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// Second is what befell in one second of a run, over all nodes and servers.
+// Second counts what happened in one second of a run, over all nodes and servers. It is stored in journals under the
+// names in its tags.
 type Second struct {
-	Tries      int // of clients, by when they were sent
-	First      int // attempts at servers, by when their first byte came: the first of a try ...
-	Further    int // ... and those after it
-	Ran        int // begun by servers in it
-	Vain       int // of those: the try was not handled by them, whatever their work was
-	Handled    int // tries that ended in it
-	Rejected   int
-	WrittenOff int
-	Lost       int // without a complete response, or none in time
+	Tries      int // tries of clients, by when they were sent
+	First      int // first attempts of tries, by when their first byte reached a server
+	Retries    int `json:"Further"` // attempts of tries after their first, likewise
+	Ran        int // attempts that servers began to execute
+	Wasted     int `json:"Vain"` // executions whose answer was not the one that the client got
+	Handled    int // tries that ended with status 200
+	Rejected   int // tries that ended with status 429 or 503
+	Failed     int `json:"WrittenOff"` // tries that ended with another status
+	Unanswered int `json:"Lost"`       // tries that ended without a complete response in time
 	Busiest    int // attempts of the node that sent the most
 }
 
@@ -26,26 +27,27 @@
 	statusHandled  = 200
 )
 
-// seconds are filled while the requests of a run are gone through.
+// seconds accumulates the counts of a run, request by request.
 type seconds struct {
 	all    []Second
-	byNode []map[int]int // for each second: attempts by node
+	byNode []map[int]int // per second, attempts by node
 }
 
-// at finds the second of a moment.
+// at returns the counts of the second that t falls in.
 func (s *seconds) at(t time.Duration) *Second {
 	i := int(max(t, 0) / time.Second)
 	for len(s.all) <= i {
-		s.all, s.byNode = append(s.all, Second{}), append(s.byNode, map[int]int{})
+		s.all = append(s.all, Second{})
+		s.byNode = append(s.byNode, map[int]int{})
 	}
 	return &s.all[i]
 }
 
-// Seconds are those of a run, from its start.
+// Seconds returns the counts of each second of the run, from its start. Call it after the last event.
 func (a *Audit) Seconds() []Second {
 	var s seconds
 	for _, r := range a.requests {
-		if !r.known {
+		if !r.isFromClient {
 			continue
 		}
 		if r.sent >= 0 {
@@ -62,8 +64,15 @@
 	return s.all
 }
 
+// handled reports whether the client got a successful answer in time.
 func (r *request) handled() bool { return r.end == Answered && r.status == statusHandled }
 
+// rejected reports whether the client got a rejection in time.
+func (r *request) rejected() bool {
+	return r.end == Answered && (r.status == statusRejected || r.status == statusLimited)
+}
+
+// countEnd counts how a try ended.
 func (s *seconds) countEnd(r *request) {
 	if r.ended < 0 {
 		return
@@ -71,36 +80,37 @@
 	switch at := s.at(r.ended); {
 	case r.handled():
 		at.Handled++
-	case r.end == Answered && (r.status == statusRejected || r.status == statusLimited):
+	case r.rejected():
 		at.Rejected++
 	case r.end == Answered:
-		at.WrittenOff++
+		at.Failed++
 	default:
-		at.Lost++
+		at.Unanswered++
 	}
 }
 
+// countAttempts counts the attempts and executions of a try.
 func (s *seconds) countAttempts(r *request) {
 	attempts := slices.Clone(r.attempts)
 	slices.SortFunc(attempts, func(a, b attempt) int { return cmp.Compare(a.first, b.first) })
-	answered := -1 // the attempt whose answer the client got: the last that was over when the try ended
-	for i, h := range attempts {
-		if r.handled() && h.ran >= 0 && h.over >= 0 && (answered < 0 || h.over <= r.ended) {
+	answered := -1 // index of the attempt whose answer the client got: the last that had ended when the try did
+	for i, attempt := range attempts {
+		if r.handled() && attempt.ran >= 0 && attempt.ended >= 0 && (answered < 0 || attempt.ended <= r.ended) {
 			answered = i
 		}
 	}
-	for i, h := range attempts {
-		at := s.at(h.first)
+	for i, attempt := range attempts {
+		at := s.at(attempt.first)
 		if i == 0 {
 			at.First++
 		} else {
-			at.Further++
+			at.Retries++
 		}
-		s.byNode[int(max(h.first, 0)/time.Second)][r.node]++
-		if h.ran >= 0 {
-			at := s.at(h.ran)
+		s.byNode[int(max(attempt.first, 0)/time.Second)][r.node]++
+		if attempt.ran >= 0 {
+			at := s.at(attempt.ran)
 			if at.Ran++; i != answered {
-				at.Vain++
+				at.Wasted++
 			}
 		}
 	}
--- a/internal/testbed/audit/types.go
+++ b/internal/testbed/audit/types.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Idempotency says what may be done with a request that may have run.
+// Idempotency says whether a request that may have run may be sent again.
 type Idempotency uint8
 
-// Classes of traffic types.
+// Idempotency of traffic types.
 const (
 	Idempotent        Idempotency = iota // may run any number of times
-	IdempotentWithKey                    // repeats are dropped within a group of servers, for a while
+	IdempotentWithKey                    // servers of a group drop repeats for KeyRetention
 	NonIdempotent                        // must not run twice
 )
 
-// KeyScope of servers that drops repeats of a keyed request.
+// KeyScope is the group of servers that drops repeats of a request with an idempotency key.
 type KeyScope uint8
 
-// Scopes within which a key is recognized.
+// Groups of servers that recognize a key.
 const (
 	All  KeyScope = iota // every server
 	Zone                 // the servers of one site
 	Cell                 // the servers of one cell
 )
 
-// Type is what the audit must know of a traffic type.
+// Type holds what the rules need of a traffic type.
 type Type struct {
 	Name         string
 	Idempotency  Idempotency
 	KeyScope     KeyScope
 	KeyRetention time.Duration
-	Sites        []int    // where it may be sent, nil for anywhere
-	Kinds        []string // of servers, likewise
+	Sites        []int    // sites whose servers may be sent it; nil: all
+	Kinds        []string // kinds of server that may be sent it; nil: all
 }
 
-// Server is where a server stands.
+// Server is a server and its location.
 type Server struct {
 	Name string
 	Site int
@@ -40,36 +40,36 @@
 	Kind string
 }
 
-// Settings of the rules.
+// Settings are the limits that the rules check against.
 type Settings struct {
 	Types         []Type
 	DrainGrace    time.Duration
-	Slack         time.Duration // added to each limit, for what the machine is late
+	Slack         time.Duration // added to each limit, for scheduling delay of the machine
 	MaxAttempts   int
-	AllowsHedging bool // a hedged request may be out while the first is
-	ClosesOnDrain bool // idle connections to a draining server are closed within DrainClose
+	AllowsHedging bool // hedged requests are allowed
+	ClosesOnDrain bool // idle connections to a draining server must close within DrainClose
 	DrainClose    time.Duration
 }
 
-// End is how a client's try ended.
+// End is how a client's try of a request ended.
 type End uint8
 
 // Ends of a try.
 const (
 	Answered     End = iota // in time
-	Late                    // answered when the client's time was up, but within the slack
-	Unanswered              // the client's time was up first
-	Dropped                 // the connection ended with no complete response
-	Unsent                  // never written completely
-	Disconnected            // the client went before its time was up
+	Late                    // answered after the client's timeout, within Settings.Slack
+	Unanswered              // the client's timeout passed
+	Dropped                 // the connection ended without a complete response
+	Unsent                  // the request was not completely written
+	Disconnected            // the client disconnected before its timeout
 )
 
-// Condition of a server, as a node was told.
+// Condition is the state of a server of which a node was notified.
 type Condition uint8
 
 // Conditions of a server.
 const (
-	Serving  Condition = iota // may be sent to
-	Draining                  // finishes what it has, and gets nothing new
-	Removed                   // is no more
+	Serving  Condition = iota // takes requests
+	Draining                  // finishes its requests and must get no new ones
+	Removed                   // no longer exists
 )
--- a/internal/testbed/badclients.go
+++ b/internal/testbed/badclients.go
@@ -91,7 +91,7 @@
 		why = fmt.Sprintf("%s: neither an error nor a close in %s", r.name, owedWithin)
 	}
 	if why != "" {
-		w.observer.record(func(a *audit.Audit, _ time.Duration) { a.Owed(fmt.Sprintf("node %d: %s", n, why)) })
+		w.observer.record(func(a *audit.Audit, _ time.Duration) { a.BadClientUnanswered(fmt.Sprintf("node %d: %s", n, why)) })
 	}
 }
 
--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -258,7 +258,7 @@
 		for time.Now().Before(until) && ctx.Err() == nil {
 			if err := w.isReplicated(ctx); err != nil {
 				if !errors.Is(err, context.Canceled) {
-					w.observer.record(func(a *audit.Audit, _ time.Duration) { a.BrokenPromise(err.Error()) })
+					w.observer.record(func(a *audit.Audit, _ time.Duration) { a.JournalError(err.Error()) })
 				}
 				return
 			}
@@ -311,7 +311,7 @@
 	w.wg.Go(func() {
 		if err := w.isReplicated(ctx); err != nil {
 			if !errors.Is(err, context.Canceled) {
-				w.observer.record(func(a *audit.Audit, _ time.Duration) { a.BrokenPromise(err.Error()) })
+				w.observer.record(func(a *audit.Audit, _ time.Duration) { a.JournalError(err.Error()) })
 			}
 			return
 		}
--- a/internal/testbed/journal.go
+++ b/internal/testbed/journal.go
@@ -186,7 +186,7 @@
 		ran := w.compareWithRun(a, all, gaps, dockets, &sum)
 		for k, e := range all {
 			if e.State() == intent.HasRun && !ran[k] && e.Incarnation != 1 {
-				a.BrokenPromise(fmt.Sprintf("node %d's journal says that %s ran, and no box has run it", k.node, e.RequestID))
+				a.JournalError(fmt.Sprintf("node %d's journal says that %s ran, and no box has run it", k.node, e.RequestID))
 			}
 			if e.State() == intent.PossiblySent {
 				sum.Possibly++
@@ -248,7 +248,7 @@
 // compareWithRun fills the execution records with what the servers have run, and tells the audit what the journals lack of it.
 func (w *world) compareWithRun(a *audit.Audit, all map[entryKey]*intent.Entry, gaps map[int]bool, dockets map[string]*intent.ExecutionRecord, sum *Journal) map[entryKey]bool {
 	ran := map[entryKey]bool{}
-	a.EachRan(func(kind int) bool { return w.Scenario.Types[kind].Repeat == "binding" }, func(id uint64, node, box int) {
+	a.EachExecution(func(kind int) bool { return w.Scenario.Types[kind].Repeat == "binding" }, func(id uint64, node, box int) {
 		sum.Ran++
 		k := entryKey{node, id}
 		ran[k] = true
@@ -258,9 +258,9 @@
 		case e == nil && w.losses.notified[node]:
 			sum.Lost++
 		case e == nil && !gaps[node]:
-			a.BrokenPromise(fmt.Sprintf("%s ran at %s, and node %d's journal has no entry of it", name, w.servers[box].Name, node))
+			a.JournalError(fmt.Sprintf("%s ran at %s, and node %d's journal has no entry of it", name, w.servers[box].Name, node))
 		case e != nil && e.State() == intent.NotSent:
-			a.BrokenPromise(fmt.Sprintf("%s ran at %s, and node %d's journal says that it was not sent", name, w.servers[box].Name, node))
+			a.JournalError(fmt.Sprintf("%s ran at %s, and node %d's journal says that it was not sent", name, w.servers[box].Name, node))
 		}
 	})
 	return ran
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -76,7 +76,7 @@
 }
 
 func (o *observer) Extra(w load.Way) {
-	o.record(func(a *audit.Audit, _ time.Duration) { a.Extra(w.Node) })
+	o.record(func(a *audit.Audit, _ time.Duration) { a.UnsolicitedResponse(w.Node) })
 }
 
 func (o *observer) Incarnations(w load.Way, since time.Duration) bool {
@@ -97,7 +97,7 @@
 
 // nodeStill and nodeOn tell of one that stands still, and lives all along.
 func (o *observer) nodeStill(n int) {
-	o.record(func(a *audit.Audit, now time.Duration) { a.NodeStill(n, now) })
+	o.record(func(a *audit.Audit, now time.Duration) { a.NodePaused(n, now) })
 }
 
 func (o *observer) nodeOn(n int) {
@@ -123,27 +123,27 @@
 func (o *observer) Attempt(id uint64, b int, first, last time.Duration) {
 	o.record(func(a *audit.Audit, _ time.Duration) {
 		if _, ok := o.Asked(id); !ok {
-			a.Invented(b, fmt.Sprintf("%016x", id))
+			a.UnknownRequest(b, fmt.Sprintf("%016x", id))
 			return
 		}
-		a.Attempt(id, b, first, last)
+		a.AttemptReceived(id, b, first, last)
 	})
 }
 
 func (o *observer) Ran(id uint64, b int, at time.Duration) {
-	o.record(func(a *audit.Audit, _ time.Duration) { a.Ran(id, b, at) })
+	o.record(func(a *audit.Audit, _ time.Duration) { a.AttemptRan(id, b, at) })
 }
 
 func (o *observer) Over(id uint64, b int, at time.Duration, unbegun bool) {
-	o.record(func(a *audit.Audit, _ time.Duration) { a.Over(id, b, at, unbegun) })
+	o.record(func(a *audit.Audit, _ time.Duration) { a.AttemptEnded(id, b, at, unbegun) })
 }
 
 func (o *observer) Fell(b int, at time.Duration) {
-	o.record(func(a *audit.Audit, _ time.Duration) { a.Fell(b, at) })
+	o.record(func(a *audit.Audit, _ time.Duration) { a.ServerOverloaded(b, at) })
 }
 
 func (o *observer) Idle(id uint64, b int, from, to time.Duration) {
-	o.record(func(a *audit.Audit, _ time.Duration) { a.Idle(id, b, from, to) })
+	o.record(func(a *audit.Audit, _ time.Duration) { a.ConnectionIdle(id, b, from, to) })
 }
 
 var conditions = map[string]audit.Condition{discovery.Serving: audit.Serving, discovery.Draining: audit.Draining, discovery.Deleted: audit.Removed}
@@ -155,7 +155,7 @@
 	}
 	o.record(func(a *audit.Audit, _ time.Duration) {
 		if b, ok := o.servers[id]; ok {
-			a.Announced(node, b, conditions[phase], up, at.Sub(o.start))
+			a.NodeNotified(node, b, conditions[phase], up, at.Sub(o.start))
 		}
 	})
 }
@@ -174,7 +174,7 @@
 	o.record(func(a *audit.Audit, _ time.Duration) {
 		for _, l := range told {
 			if b, ok := o.servers[l.ID]; ok {
-				a.Announced(node, b, incarnations[l.Condition], l.StartedUnixMS, at.Sub(o.start))
+				a.NodeNotified(node, b, incarnations[l.Condition], l.StartedUnixMS, at.Sub(o.start))
 			}
 		}
 	})
--- a/internal/testbed/registry.go
+++ b/internal/testbed/registry.go
@@ -102,7 +102,7 @@
 		for _, c := range children {
 			if b, ok := o.servers[c.Name]; ok {
 				there[b] = true
-				a.Announced(reader, b, audit.Serving, c.Czxid, when.Sub(o.start))
+				a.NodeNotified(reader, b, audit.Serving, c.Czxid, when.Sub(o.start))
 			}
 		}
 		// What vanishes with most others within two seconds is the registry's fault, not the fleet's: the last list is to
@@ -116,7 +116,7 @@
 		for b := range o.listed[reader] {
 			if !there[b] {
 				missing[b] = at
-				a.Announced(reader, b, audit.Removed, 0, at)
+				a.NodeNotified(reader, b, audit.Removed, 0, at)
 			}
 		}
 		lately := 0
@@ -130,7 +130,7 @@
 		if lately >= 3 && 2*lately > lately+len(there) {
 			for b := range missing {
 				if !o.drained[[2]int{reader, b}] {
-					a.Excused(reader, b, at)
+					a.NotificationsDiscarded(reader, b, at)
 				}
 			}
 		}
@@ -145,7 +145,7 @@
 	}
 	o.record(func(a *audit.Audit, _ time.Duration) {
 		if b, ok := o.servers[path.Base(at)]; ok {
-			a.Announced(reader, b, audit.Draining, 0, when.Sub(o.start))
+			a.NodeNotified(reader, b, audit.Draining, 0, when.Sub(o.start))
 			o.drained[[2]int{reader, b}] = true
 		}
 	})
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -158,7 +158,7 @@
 // Broken counts the rules that were broken.
 func (r *Report) Broken() (n int) {
 	for _, rule := range r.Rules {
-		if rule.Broken > 0 {
+		if rule.Violations > 0 {
 			n++
 		}
 	}
@@ -200,10 +200,10 @@
 	}
 	fmt.Fprintf(w, "\n\nrules\n")
 	for _, rule := range r.Rules {
-		if rule.Broken == 0 {
-			fmt.Fprintf(w, "  kept    %s: %s\n", rule.Name, rule.About)
+		if rule.Violations == 0 {
+			fmt.Fprintf(w, "  kept    %s: %s\n", rule.Name, rule.Description)
 		} else {
-			fmt.Fprintf(w, "  BROKEN  %s: %s; %d times, first: %s\n", rule.Name, rule.About, rule.Broken, rule.Worst)
+			fmt.Fprintf(w, "  BROKEN  %s: %s; %d times, first: %s\n", rule.Name, rule.Description, rule.Violations, rule.FirstViolation)
 		}
 	}
 	fmt.Fprintf(w, "\ngenerator: at most %.1f ms late, %.2f%% of the operations late", r.Generator.LateMaxMS, 100*r.Generator.LateShare)
@@ -232,7 +232,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "second\ttries\tfirst hops\tfurther\tbegun\tin vain\thandled\tdenied\twritten off\tlost\tbusiest node\t")
 	for i, s := range r.Seconds {
-		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", i, s.Tries, s.First, s.Further, s.Ran, s.Vain, s.Handled, s.Rejected, s.WrittenOff, s.Lost, s.Busiest)
+		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", i, s.Tries, s.First, s.Retries, s.Ran, s.Wasted, s.Handled, s.Rejected, s.Failed, s.Unanswered, s.Busiest)
 	}
 	t.Flush()
 }
@@ -240,7 +240,7 @@
 func (r *Report) brokenNames() string {
 	var names []string
 	for _, rule := range r.Rules {
-		if rule.Broken > 0 {
+		if rule.Violations > 0 {
 			names = append(names, rule.Name)
 		}
 	}
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -72,8 +72,8 @@
 			}
 			out := play(t, s, "")
 			for _, r := range out.Rules {
-				if r.Broken > 0 {
-					t.Errorf("%s broken %d times, first: %s", r.Name, r.Broken, r.Worst)
+				if r.Violations > 0 {
+					t.Errorf("%s broken %d times, first: %s", r.Name, r.Violations, r.FirstViolation)
 				}
 			}
 			if out.Outcomes[load.Handled] == 0 {
@@ -93,7 +93,7 @@
 				t.Fatal(err)
 			}
 			s.Scale(0.6)
-			if !slices.ContainsFunc(play(t, s, name).Rules, func(r audit.Rule) bool { return r.Name == rule && r.Broken > 0 }) {
+			if !slices.ContainsFunc(play(t, s, name).Rules, func(r audit.Rule) bool { return r.Name == rule && r.Violations > 0 }) {
 				t.Errorf("%s is not found broken", rule)
 			}
 		})
