--- a/cmd/testbed/journal.go
+++ b/cmd/testbed/journal.go
@@ -92,7 +92,7 @@
 				if err != nil {
 					return err
 				}
-				if out.Late.Behind {
+				if out.Late.IsBehind {
 					return errors.Join(errors.New("the generator fell behind"), exit(exitInvalid))
 				}
 				var cells [2][3]float64
@@ -115,7 +115,7 @@
 				if out.Journal.Entries > 0 {
 					linked = float64(out.Journal.Linked) / float64(out.Journal.Entries)
 				}
-				fmt.Fprintf(t, "%s\t%.4f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\t%.0f\t%.0f\t\n", promise, out.Service(), cells[1][0], cells[1][1], cells[1][2], cells[0][0],
+				fmt.Fprintf(t, "%s\t%.4f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\t%.0f\t%.0f\t\n", promise, out.ServiceShare(), cells[1][0], cells[1][1], cells[1][2], cells[0][0],
 					cells[0][1], out.Use.CPU.Seconds(), each, linked)
 			}
 			return t.Flush()
@@ -146,12 +146,12 @@
 				if err != nil {
 					return err
 				}
-				if out.Late.Behind {
+				if out.Late.IsBehind {
 					return errors.Join(errors.New("the generator fell behind"), exit(exitInvalid))
 				}
 				for _, k := range out.ByType {
 					if k.Name == "hire-book" {
-						fmt.Fprintf(t, "%d\t%.1f\t%.4f\t%.1f\t%.1f\t%.1f\t\n", before, out.Journal.RecoverySeconds, out.Service(), float64(k.Latency.ValueAtQuantile(50))/1000,
+						fmt.Fprintf(t, "%d\t%.1f\t%.4f\t%.1f\t%.1f\t%.1f\t\n", before, out.Journal.RecoverySeconds, out.ServiceShare(), float64(k.Latency.ValueAtQuantile(50))/1000,
 							float64(k.Latency.ValueAtQuantile(99))/1000, out.Use.CPU.Seconds())
 					}
 				}
--- a/cmd/testbed/losses.go
+++ b/cmd/testbed/losses.go
@@ -116,7 +116,7 @@
 			l.worst[r.Name] = r.FirstViolation
 		}
 	}
-	fmt.Fprintf(l.progress, "seed %d: %d machines lost in %d cycles, service %.4f, %d dockets\n", s.Seed, j.Losses, j.Cycles, out.Service(), j.Ran)
+	fmt.Fprintf(l.progress, "seed %d: %d machines lost in %d cycles, service %.4f, %d dockets\n", s.Seed, j.Losses, j.Cycles, out.ServiceShare(), j.Ran)
 	return nil
 }
 
--- a/cmd/testbed/tools.go
+++ b/cmd/testbed/tools.go
@@ -179,7 +179,7 @@
 		to = address
 	}
 	g := &load.Generator{Scenario: s, Requests: ops, Progress: progress(c.ErrOrStderr(), s.Length.Std())}
-	late := g.Run(c.Context(), time.Now(), load.Fixed(to), load.Nobody{})
+	late := g.Run(c.Context(), time.Now(), load.FixedEndpoint(to), load.NopWatcher{})
 	r := report.New(s, to, ops, &testbed.Outcome{Result: g.Result, Late: late})
 	r.Text(c.OutOrStdout())
 	if l.json != "" {
@@ -187,7 +187,7 @@
 			return err
 		}
 	}
-	if late.Behind {
+	if late.IsBehind {
 		return exit(exitInvalid)
 	}
 	return nil
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -174,7 +174,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	g := &load.Generator{Scenario: w.Scenario, Requests: w.Requests, Checked: true, FastCGI: w.Scenario.Clients.FastCGI, Progress: w.Progress}
+	g := &load.Generator{Scenario: w.Scenario, Requests: w.Requests, ChecksIDs: true, FastCGI: w.Scenario.Clients.FastCGI, Progress: w.Progress}
 	shift := time.Since(w.start) // the world's clock has run since it was built
 	ops := slices.Clone(w.Requests)
 	for i := range ops {
--- a/internal/testbed/load/pace.go
+++ b/internal/testbed/load/pace.go
@@ -6,22 +6,26 @@
 	"time"
 )
 
-const shortest = 20 * time.Microsecond // of a sleep; less is over before it has begun
+const (
+	minSleep = 20 * time.Microsecond // a shorter sleep takes longer than it should
+	maxSleep = 50 * time.Millisecond // after which stop is looked at
+)
 
-// pace calls begin for each request at its moment. It sleeps in a thread of its own by the system's clock: the
-// runtime's timers are late by up to a millisecond when all is idle, which at 20,000 a second is twenty requests.
-// It never waits for a request. Where it is behind, all that is due begins at once. stall, where it is not nil, is
-// asked before each sleep how long to do nothing, for tests of what a generator that falls behind says of itself.
-func pace(start time.Time, ops []Request, stop <-chan struct{}, stall func(at time.Duration) time.Duration, begin func(int)) {
+// pace calls begin for each request at its time and returns after the last, or when stop is closed. It never waits for
+// a request; all that is due begins at once. It sleeps by the system's clock in a thread of its own, because the
+// runtime's timers are late by up to a millisecond when all is idle.
+//
+// stall, if not nil, is asked before each sleep how long to do nothing: tests use it to make the generator fall behind.
+func pace(start time.Time, requests []Request, stop <-chan struct{}, stall func(at time.Duration) time.Duration, begin func(int)) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	for i := 0; i < len(ops); {
+	for i := 0; i < len(requests); {
 		now := time.Since(start)
-		for i < len(ops) && ops[i].At <= now {
+		for i < len(requests) && requests[i].At <= now {
 			begin(i)
 			i++
 		}
-		if i == len(ops) {
+		if i == len(requests) {
 			return
 		}
 		select {
@@ -32,9 +36,9 @@
 		if stall != nil {
 			time.Sleep(stall(now))
 		}
-		if wait := min(ops[i].At-time.Since(start), 50*time.Millisecond); wait > shortest {
+		if wait := min(requests[i].At-time.Since(start), maxSleep); wait > minSleep {
 			t := syscall.NsecToTimespec(int64(wait))
-			syscall.Nanosleep(&t, nil) // a signal ends it early; then it is begun again
+			syscall.Nanosleep(&t, nil) // the loop sleeps again if a signal ended it
 		}
 	}
 }
--- a/internal/testbed/load/result.go
+++ b/internal/testbed/load/result.go
@@ -10,65 +10,65 @@
 )
 
 const (
-	// BinWidth is the span of one point of a Series.
-	BinWidth    = 250 * time.Millisecond
-	shortestLat = int64(1)                        // microseconds that a histogram tells apart
-	longestLat  = int64(60 * time.Second / 1_000) // microseconds
-	digits      = 3                               // of a latency
+	// BinWidth is the width of one point of Result.Series.
+	BinWidth      = 250 * time.Millisecond
+	minLatencyUS  = int64(1)
+	maxLatencyUS  = int64(60 * time.Second / time.Microsecond)
+	latencyDigits = 3 // significant digits that histograms keep
 )
 
 // Outcome is how a request ended, with all its tries.
 type Outcome uint8
 
-// Outcomes of a request.
+// Outcomes of a request, by its last try.
 const (
-	Handled           Outcome = iota // answered with success in the client's time
-	WithinObjective                  // handled within its target time; counted in Handled as well
-	Rejected                         // the last try was
-	Failed                           // the last try was, or its connection ended
-	NoAnswer                         // the last try got none in time
-	Unreached                        // the last try found no node to send to
-	DisconnectedEarly                // its client went before its time was up: nothing was to be gained
+	Handled           Outcome = iota // answered with success before the client's timeout
+	WithinObjective                  // handled within the latency objective of its type; counted in Handled as well
+	Rejected                         // answered with a rejection
+	Failed                           // answered with another status, or the connection ended
+	NoAnswer                         // not answered before the client's timeout
+	Unreached                        // not sent: no node was reached
+	DisconnectedEarly                // its client disconnected; counts for no revenue
 	outcomes
 )
 
-// Point is one span of a Series.
+// Point is one bin of a series, by the scheduled time of requests.
 type Point struct {
-	Asked    float64 // revenue asked for
-	Gained   float64 // of it, answered within the target time, by when it was asked
-	Rejected int     // requests
-	Failed   int     // likewise
-	Latency  *hdrhistogram.Histogram
+	OfferedRevenue float64
+	EarnedRevenue  float64 // of requests answered within their objective
+	Rejected       int     // requests
+	Failed         int     // requests that were neither handled nor rejected
+	Latency        *hdrhistogram.Histogram
 }
 
-// Result is what a schedule met.
+// Result holds the outcomes of a schedule. Its fields may be read when Generator.Run has returned.
 type Result struct {
-	mu       sync.Mutex
+	mu       sync.Mutex // guards all but scenario and shift during the run
 	scenario *scenario.Scenario
 	shift    time.Duration
-	started  int
-
-	Outcomes   [outcomes]int
-	Tries      int
-	Rejections int     // of tries
-	Asked      float64 // revenue asked for
-	Gained     float64 // of it, answered within the target time
-	ByType     []Share
-	ByTenant   []Share
-	BySite     []Share
-	Series     []Point
+	started  int // requests
+
+	Outcomes       [outcomes]int
+	Tries          int
+	Rejections     int // rejected tries
+	OfferedRevenue float64
+	EarnedRevenue  float64 // of requests answered within their objective
+	ByType         []Share
+	ByTenant       []Share
+	BySite         []Share
+	Series         []Point
 }
 
-// Share is the part of a result that one type, tenant or site has.
+// Share is the part of a result that belongs to one type, tenant or site.
 type Share struct {
-	Name    string
-	Asked   float64                 // revenue asked for
-	Gained  float64                 // of it, answered within the target time
-	Latency *hdrhistogram.Histogram // microseconds from the scheduled moment, of requests handled or not answered
+	Name           string
+	OfferedRevenue float64
+	EarnedRevenue  float64
+	Latency        *hdrhistogram.Histogram // microseconds from the scheduled time, of requests handled or not answered
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(shortestLat, longestLat, digits)
+	return hdrhistogram.New(minLatencyUS, maxLatencyUS, latencyDigits)
 }
 
 func newResult(s *scenario.Scenario, shift time.Duration) *Result {
@@ -86,95 +86,116 @@
 	return r
 }
 
-func (r *Result) begun() int {
+// startedCount returns how many requests were sent at least once.
+func (r *Result) startedCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.started
 }
 
-func (r *Result) tried(t *Try) {
+// recordTry counts a try that ended.
+func (r *Result) recordTry(t *Try) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.Number == 0 {
 		r.started++
 	}
 	r.Tries++
-	if t.End == Answered && (t.Status == 429 || t.Status == 503) {
+	if t.isRejected() {
 		r.Rejections++
 	}
 }
 
-// ended books a request under the moment at which it was scheduled. A request that got no answer counts with the
-// time that its client waited: leaving it out would make a silent node look fast.
-func (r *Result) ended(o *Request, t *Try) {
+// outcome returns the outcome of a request by its last try.
+func (t *Try) outcome() Outcome {
+	switch {
+	case t.End == Disconnected:
+		return DisconnectedEarly
+	case t.isHandled():
+		return Handled
+	case t.isRejected():
+		return Rejected
+	case t.End == Unsent:
+		return Unreached
+	case t.End == Answered, t.End == Dropped:
+		return Failed
+	}
+	return NoAnswer
+}
+
+// recordOutcome counts a request by its last try, in the bin of its scheduled time. A request that got no answer counts
+// with the time that its client waited: otherwise a silent node would look fast.
+func (r *Result) recordOutcome(scheduled *Request, last *Try) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if t.End == Disconnected {
-		r.Outcomes[DisconnectedEarly]++
+	outcome := last.outcome()
+	r.Outcomes[outcome]++
+	if outcome == DisconnectedEarly {
 		return
 	}
-	worth, latency := r.Worth(o), t.Ended-o.At
-	bin := int((o.At - r.shift) / BinWidth)
-	for len(r.Series) <= bin {
-		r.Series = append(r.Series, Point{Latency: newHistogram()})
-	}
-	p := &r.Series[bin]
-	parts := []*Share{&r.ByType[o.Type], &r.BySite[o.Site]}
-	if o.Tenant >= 0 {
-		parts = append(parts, &r.ByTenant[o.Tenant])
+	offered := r.RevenueOf(scheduled)
+	earned := 0.0
+	latency := last.Ended - scheduled.At
+	if outcome == Handled && latency <= r.scenario.Types[scheduled.Type].Target.Std() {
+		r.Outcomes[WithinObjective]++
+		earned = offered
 	}
-	gained, timed := 0.0, false
-	switch {
-	case t.End == Answered && t.Status == 200:
-		r.Outcomes[Handled]++
-		timed = true
-		if latency <= r.scenario.Types[o.Type].Target.Std() {
-			r.Outcomes[WithinObjective]++
-			gained = worth
-		}
-	case t.End == Answered && (t.Status == 429 || t.Status == 503):
-		r.Outcomes[Rejected]++
-		p.Rejected++
-	case t.End == Unsent:
-		r.Outcomes[Unreached]++
-		p.Failed++
-	case t.End == Answered, t.End == Dropped:
-		r.Outcomes[Failed]++
-		p.Failed++
+	point := r.point(scheduled.At)
+	switch outcome {
+	case Handled:
+	case Rejected:
+		point.Rejected++
 	default:
-		r.Outcomes[NoAnswer]++
-		p.Failed++
-		timed = true
+		point.Failed++
 	}
-	r.Asked += worth
-	r.Gained += gained
-	p.Asked += worth
-	p.Gained += gained
-	for _, s := range parts {
-		s.Asked += worth
-		s.Gained += gained
-		if timed {
-			s.Latency.RecordValue(min(latency.Microseconds(), longestLat))
+	r.OfferedRevenue += offered
+	r.EarnedRevenue += earned
+	point.OfferedRevenue += offered
+	point.EarnedRevenue += earned
+	hasLatency := outcome == Handled || outcome == NoAnswer
+	for _, share := range r.sharesOf(scheduled) {
+		share.OfferedRevenue += offered
+		share.EarnedRevenue += earned
+		if hasLatency {
+			share.Latency.RecordValue(min(latency.Microseconds(), maxLatencyUS))
 		}
 	}
-	if timed {
-		p.Latency.RecordValue(min(latency.Microseconds(), longestLat))
+	if hasLatency {
+		point.Latency.RecordValue(min(latency.Microseconds(), maxLatencyUS))
+	}
+}
+
+// point returns the bin of a scheduled time.
+func (r *Result) point(at time.Duration) *Point {
+	bin := int((at - r.shift) / BinWidth)
+	for len(r.Series) <= bin {
+		r.Series = append(r.Series, Point{Latency: newHistogram()})
+	}
+	return &r.Series[bin]
+}
+
+// sharesOf returns the shares that a request counts in.
+func (r *Result) sharesOf(scheduled *Request) []*Share {
+	shares := []*Share{&r.ByType[scheduled.Type], &r.BySite[scheduled.Site]}
+	if scheduled.Tenant >= 0 {
+		shares = append(shares, &r.ByTenant[scheduled.Tenant])
 	}
+	return shares
 }
 
-// Worth is the revenue of a request; beyond its tenant's allowance it is a part.
-func (r *Result) Worth(o *Request) float64 {
-	w := r.scenario.Types[o.Type].Revenue
-	if o.Beyond {
-		w *= r.scenario.Load.Over
+// RevenueOf returns the revenue that a request offers; over its tenant's allowance it is a part.
+func (r *Result) RevenueOf(scheduled *Request) float64 {
+	revenue := r.scenario.Types[scheduled.Type].Revenue
+	if scheduled.OverAllowance {
+		revenue *= r.scenario.Load.Over
 	}
-	return w
+	return revenue
 }
 
-// Service is the revenue answered within the target time over the revenue asked for.
-func (r *Result) Service() float64 {
-	if r.Asked == 0 {
+// ServiceShare returns the earned revenue over the offered revenue.
+func (r *Result) ServiceShare() float64 {
+	if r.OfferedRevenue == 0 {
 		return 0
 	}
-	return r.Gained / r.Asked
+	return r.EarnedRevenue / r.OfferedRevenue
 }
--- a/internal/testbed/load/trace.go
+++ b/internal/testbed/load/trace.go
@@ -19,10 +19,10 @@
 	"fernvane/internal/testbed/scenario"
 )
 
-// header is the first line of a trace in CSV: moments in ms since the start, names as in the scenario, work in ms.
+// header is the first line of a trace in CSV: times in ms since the start, names as in the scenario, work in ms.
 var header = []string{"at_ms", "type", "tenant", "site", "key", "work_ms"}
 
-// record is a line of a trace, also as JSON.
+// record is a line of a trace, in CSV or JSON.
 type record struct {
 	AtMS   *float64 `json:"at_ms"`
 	Type   string   `json:"type"`
@@ -32,14 +32,14 @@
 	WorkMS float64  `json:"work_ms"`
 }
 
-// WriteTrace writes a schedule as CSV, in the form that ReadTrace takes.
-func WriteTrace(w io.Writer, s *scenario.Scenario, ops []Request) error {
+// WriteTrace writes a schedule as CSV that ReadTrace reads.
+func WriteTrace(w io.Writer, s *scenario.Scenario, requests []Request) error {
 	b := bufio.NewWriter(w)
 	fmt.Fprintln(b, strings.Join(header, ","))
 	ms := func(d time.Duration) string {
 		return strconv.FormatFloat(float64(d)/float64(time.Millisecond), 'f', 6, 64)
 	}
-	for _, o := range ops {
+	for _, o := range requests {
 		tenant := ""
 		if o.Tenant >= 0 {
 			tenant = s.Tenants[o.Tenant].Name
@@ -49,7 +49,7 @@
 	return b.Flush()
 }
 
-// LoadTrace reads a file: JSON lines where its name ends in .jsonl or .json, else CSV.
+// LoadTrace reads the trace in a file: JSON lines if its name ends in .jsonl or .json, else CSV.
 func LoadTrace(path string, s *scenario.Scenario) ([]Request, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -60,36 +60,40 @@
 	return ReadTrace(f, path, ext == ".jsonl" || ext == ".json", s)
 }
 
-// ReadTrace reads a recorded trace. A line that cannot be used refuses the trace, by its number. Lines need not be in
-// the order of time; a type, tenant or site that the scenario does not have is an error, an empty site the first one.
-func ReadTrace(r io.Reader, name string, lines bool, s *scenario.Scenario) ([]Request, error) {
-	var ops []Request
+// ReadTrace reads a recorded trace and returns its requests in order of time; lines may have any order. Errors give name
+// and the line's number. A type, tenant or site that the scenario lacks is an error; an empty site is the first one.
+func ReadTrace(r io.Reader, name string, isJSON bool, s *scenario.Scenario) ([]Request, error) {
+	var requests []Request
 	each := readCSV
-	if lines {
+	if isJSON {
 		each = readJSON
 	}
-	n := 0
+	lastLine := 0
 	err := each(r, func(line int, rec record) error {
-		n = line
-		o, err := rec.request(s)
+		lastLine = line
+		request, err := rec.request(s)
 		if err != nil {
 			return fmt.Errorf("%s:%d: %w", name, line, err)
 		}
-		ops = append(ops, o)
+		requests = append(requests, request)
 		return nil
 	}, func(line int, err error) error { return fmt.Errorf("%s:%d: %w", name, line, err) })
 	if err != nil {
 		return nil, err
 	}
-	if len(ops) == 0 {
-		return nil, fmt.Errorf("%s:%d: no operations", name, n)
+	if len(requests) == 0 {
+		return nil, fmt.Errorf("%s:%d: no operations", name, lastLine)
 	}
-	slices.SortStableFunc(ops, func(a, b Request) int { return int(a.At - b.At) })
-	return ops, nil
+	slices.SortStableFunc(requests, func(a, b Request) int { return int(a.At - b.At) })
+	return requests, nil
 }
 
-func span(ms float64) time.Duration { return time.Duration(math.Round(ms * float64(time.Millisecond))) }
+// fromMS converts milliseconds.
+func fromMS(ms float64) time.Duration {
+	return time.Duration(math.Round(ms * float64(time.Millisecond)))
+}
 
+// request returns the request of a record, or why the scenario cannot have it.
 func (r record) request(s *scenario.Scenario) (o Request, err error) {
 	find := func(what, name string, n int, of func(int) string) int {
 		for i := range n {
@@ -108,8 +112,8 @@
 	if !(r.WorkMS >= 0 && r.WorkMS < 1e7) || r.Key < 0 {
 		return o, errors.New("work_ms and key must be 0 or more")
 	}
-	o = Request{At: span(*r.AtMS), Tenant: -1, Key: r.Key,
-		Work: span(r.WorkMS)}
+	o = Request{At: fromMS(*r.AtMS), Tenant: -1, Key: r.Key,
+		Work: fromMS(r.WorkMS)}
 	o.Type = find("type", r.Type, len(s.Types), func(i int) string { return s.Types[i].Name })
 	if r.Tenant != "" {
 		o.Tenant = find("tenant", r.Tenant, len(s.Tenants), func(i int) string { return s.Tenants[i].Name })
@@ -121,10 +125,13 @@
 }
 
 type (
+	// eachLine is called for each record; its error ends the reading.
 	eachLine func(line int, r record) error
-	badLine  func(line int, err error) error
+	// badLine wraps the error of a line that cannot be parsed.
+	badLine func(line int, err error) error
 )
 
+// readCSV reads a trace in CSV.
 func readCSV(r io.Reader, each eachLine, bad badLine) error {
 	c := csv.NewReader(r)
 	c.FieldsPerRecord = len(header)
@@ -160,6 +167,7 @@
 	}
 }
 
+// readJSON reads a trace of JSON lines; empty ones are skipped.
 func readJSON(r io.Reader, each eachLine, bad badLine) error {
 	lines := bufio.NewScanner(r)
 	for n := 1; lines.Scan(); n++ {
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -55,7 +55,7 @@
 }
 
 func (o *observer) Sending(t *load.Try) {
-	o.record(func(a *audit.Audit, _ time.Duration) { a.Sending(t.ID, o.requests[t.Request].Type, t.Way.Node) })
+	o.record(func(a *audit.Audit, _ time.Duration) { a.Sending(t.ID, o.requests[t.Request].Type, t.Endpoint.Node) })
 }
 
 func (o *observer) Sent(t *load.Try) {
@@ -71,15 +71,15 @@
 
 func (o *observer) Ended(t *load.Try) {
 	o.record(func(a *audit.Audit, _ time.Duration) {
-		a.Ended(t.ID, tryEnds[t.End], t.Status, t.Ended, t.Foreign, t.Extra)
+		a.Ended(t.ID, tryEnds[t.End], t.Status, t.Ended, t.IsForeign, t.HasExtra)
 	})
 }
 
-func (o *observer) Extra(w load.Way) {
+func (o *observer) UnsolicitedResponse(w load.Endpoint) {
 	o.record(func(a *audit.Audit, _ time.Duration) { a.UnsolicitedResponse(w.Node) })
 }
 
-func (o *observer) Incarnations(w load.Way, since time.Duration) bool {
+func (o *observer) HasRunSince(w load.Endpoint, since time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.since[w.Node] <= since
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -109,25 +109,25 @@
 // New sums a run up.
 func New(s *scenario.Scenario, policy string, ops []load.Request, o *testbed.Outcome) Report {
 	r := Report{Scenario: s.Name, Seed: s.Seed, Policy: policy, Nodes: s.Nodes.Count, Servers: len(s.ServerNames()), Offered: len(ops),
-		Service: round(o.Service()), AnsweredInTarget: o.Outcomes[load.WithinObjective], Handled: o.Outcomes[load.Handled], Rejected: o.Outcomes[load.Rejected],
+		Service: round(o.ServiceShare()), AnsweredInTarget: o.Outcomes[load.WithinObjective], Handled: o.Outcomes[load.Handled], Rejected: o.Outcomes[load.Rejected],
 		WrittenOff: o.Outcomes[load.Failed], Unanswered: o.Outcomes[load.NoAnswer], Unreached: o.Outcomes[load.Unreached], DisconnectedEarly: o.Outcomes[load.DisconnectedEarly], Tries: o.Tries, Rules: o.Rules,
 		Latency: map[string]Latency{}, ByTenant: map[string]Part{}, BySite: map[string]Part{},
-		Generator:  Generator{millis(o.Late.Max), round(o.Late.Share), o.Late.Behind, round(o.Late.Bin)},
+		Generator:  Generator{millis(o.Late.Max), round(o.Late.LateShare), o.Late.IsBehind, round(o.Late.MaxBinError)},
 		Discovery:  Discovery{o.Calls, math.Round(o.Lines), o.TurnedOff},
 		NodeUse:    Use{round(o.Use.CPU.Seconds()), math.Round(o.Use.RSSMB)},
 		PlannerUse: Use{round(o.Planning.CPU.Seconds()), math.Round(o.Planning.RSSMB)}, PlanBytes: o.PlanBytes,
 		BadClients: o.BadClients, Faults: []Fault{}, Baselines: []Report{}}
 	for _, t := range o.ByType {
 		r.Latency[t.Name] = Latency{quantile(t.Latency, 50), quantile(t.Latency, 99), quantile(t.Latency, 99.9),
-			float64(t.Latency.Max()) / 1000, ratio(t.Gained, t.Asked)}
+			float64(t.Latency.Max()) / 1000, ratio(t.EarnedRevenue, t.OfferedRevenue)}
 	}
 	for into, parts := range map[*map[string]Part][]load.Share{&r.ByTenant: o.ByTenant, &r.BySite: o.BySite} {
 		for _, p := range parts {
-			(*into)[p.Name] = Part{ratio(p.Gained, p.Asked), quantile(p.Latency, 99)}
+			(*into)[p.Name] = Part{ratio(p.EarnedRevenue, p.OfferedRevenue), quantile(p.Latency, 99)}
 		}
 	}
 	for i, p := range o.Series {
-		r.Series = append(r.Series, Point{(time.Duration(i) * load.BinWidth).Seconds(), ratio(p.Gained, p.Asked), p.Rejected, p.Failed,
+		r.Series = append(r.Series, Point{(time.Duration(i) * load.BinWidth).Seconds(), ratio(p.EarnedRevenue, p.OfferedRevenue), p.Rejected, p.Failed,
 			quantile(p.Latency, 50), quantile(p.Latency, 99)})
 	}
 	for _, f := range s.Faults {
--- a/internal/testbed/standin/connbalancer/balancer.go
+++ b/internal/testbed/standin/connbalancer/balancer.go
@@ -40,17 +40,17 @@
 }
 
 // Pick deals out the next connection of a site.
-func (f *Balancer) Pick(site int) (load.Way, bool) {
+func (f *Balancer) Pick(site int) (load.Endpoint, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for range f.nodes {
 		n := f.turn[site] % len(f.nodes)
 		f.turn[site]++
 		if f.in[n] && f.nodes[n].Site == site {
-			return load.Way{Node: n, Address: f.nodes[n].Address, FastCGI: f.nodes[n].FastCGI}, true
+			return load.Endpoint{Node: n, Address: f.nodes[n].Address, FastCGI: f.nodes[n].FastCGI}, true
 		}
 	}
-	return load.Way{}, false
+	return load.Endpoint{}, false
 }
 
 // Started asks a node until it serves, and then takes it in.
