--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -109,25 +109,25 @@
 // New sums a run up.
 func New(s *scenario.Scenario, policy string, ops []load.Request, o *testbed.Outcome) Report {
 	r := Report{Scenario: s.Name, Seed: s.Seed, Policy: policy, Nodes: s.Nodes.Count, Servers: len(s.ServerNames()), Offered: len(ops),
-		Service: round(o.Service()), AnsweredInTarget: o.Outcomes[load.WithinObjective], Handled: o.Outcomes[load.Handled], Rejected: o.Outcomes[load.Rejected],
+		Service: round(o.ServiceShare()), AnsweredInTarget: o.Outcomes[load.WithinObjective], Handled: o.Outcomes[load.Handled], Rejected: o.Outcomes[load.Rejected],
 		WrittenOff: o.Outcomes[load.Failed], Unanswered: o.Outcomes[load.NoAnswer], Unreached: o.Outcomes[load.Unreached], DisconnectedEarly: o.Outcomes[load.DisconnectedEarly], Tries: o.Tries, Rules: o.Rules,
 		Latency: map[string]Latency{}, ByTenant: map[string]Part{}, BySite: map[string]Part{},
-		Generator:  Generator{millis(o.Late.Max), round(o.Late.Share), o.Late.Behind, round(o.Late.Bin)},
+		Generator:  Generator{millis(o.Late.Max), round(o.Late.LateShare), o.Late.IsBehind, round(o.Late.MaxBinError)},
 		Discovery:  Discovery{o.Calls, math.Round(o.Lines), o.TurnedOff},
 		NodeUse:    Use{round(o.Use.CPU.Seconds()), math.Round(o.Use.RSSMB)},
 		PlannerUse: Use{round(o.Planning.CPU.Seconds()), math.Round(o.Planning.RSSMB)}, PlanBytes: o.PlanBytes,
 		BadClients: o.BadClients, Faults: []Fault{}, Baselines: []Report{}}
 	for _, t := range o.ByType {
 		r.Latency[t.Name] = Latency{quantile(t.Latency, 50), quantile(t.Latency, 99), quantile(t.Latency, 99.9),
-			float64(t.Latency.Max()) / 1000, ratio(t.Gained, t.Asked)}
+			float64(t.Latency.Max()) / 1000, ratio(t.EarnedRevenue, t.OfferedRevenue)}
 	}
 	for into, parts := range map[*map[string]Part][]load.Share{&r.ByTenant: o.ByTenant, &r.BySite: o.BySite} {
 		for _, p := range parts {
-			(*into)[p.Name] = Part{ratio(p.Gained, p.Asked), quantile(p.Latency, 99)}
+			(*into)[p.Name] = Part{ratio(p.EarnedRevenue, p.OfferedRevenue), quantile(p.Latency, 99)}
 		}
 	}
 	for i, p := range o.Series {
-		r.Series = append(r.Series, Point{(time.Duration(i) * load.BinWidth).Seconds(), ratio(p.Gained, p.Asked), p.Rejected, p.Failed,
+		r.Series = append(r.Series, Point{(time.Duration(i) * load.BinWidth).Seconds(), ratio(p.EarnedRevenue, p.OfferedRevenue), p.Rejected, p.Failed,
 			quantile(p.Latency, 50), quantile(p.Latency, 99)})
 	}
 	for _, f := range s.Faults {
@@ -158,7 +158,7 @@
 // Broken counts the rules that were broken.
 func (r *Report) Broken() (n int) {
 	for _, rule := range r.Rules {
-		if rule.Broken > 0 {
+		if rule.Violations > 0 {
 			n++
 		}
 	}
@@ -200,10 +200,10 @@
 	}
 	fmt.Fprintf(w, "\n\nrules\n")
 	for _, rule := range r.Rules {
-		if rule.Broken == 0 {
-			fmt.Fprintf(w, "  kept    %s: %s\n", rule.Name, rule.About)
+		if rule.Violations == 0 {
+			fmt.Fprintf(w, "  kept    %s: %s\n", rule.Name, rule.Description)
 		} else {
-			fmt.Fprintf(w, "  BROKEN  %s: %s; %d times, first: %s\n", rule.Name, rule.About, rule.Broken, rule.Worst)
+			fmt.Fprintf(w, "  BROKEN  %s: %s; %d times, first: %s\n", rule.Name, rule.Description, rule.Violations, rule.FirstViolation)
 		}
 	}
 	fmt.Fprintf(w, "\ngenerator: at most %.1f ms late, %.2f%% of the operations late", r.Generator.LateMaxMS, 100*r.Generator.LateShare)
@@ -232,7 +232,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "second\ttries\tfirst hops\tfurther\tbegun\tin vain\thandled\tdenied\twritten off\tlost\tbusiest node\t")
 	for i, s := range r.Seconds {
-		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", i, s.Tries, s.First, s.Further, s.Ran, s.Vain, s.Handled, s.Rejected, s.WrittenOff, s.Lost, s.Busiest)
+		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", i, s.Tries, s.First, s.Retries, s.Ran, s.Wasted, s.Handled, s.Rejected, s.Failed, s.Unanswered, s.Busiest)
 	}
 	t.Flush()
 }
@@ -240,7 +240,7 @@
 func (r *Report) brokenNames() string {
 	var names []string
 	for _, rule := range r.Rules {
-		if rule.Broken > 0 {
+		if rule.Violations > 0 {
 			names = append(names, rule.Name)
 		}
 	}
