--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -148,7 +148,7 @@
 			if d := op.NextDecision(func() {}); d.Action != dispatch.SendAttempt {
 				t.Fatalf("decided %d", d.Action)
 			}
-			defer httpClientConn{s, near}.WatchDisconnect(op.ClientDisconnected)()
+			defer (&httpClientConn{s, near}).WatchDisconnect(op.ClientDisconnected)()
 			far := <-gone
 			go func() { // while the attempt is in flight
 				far.Write(make([]byte, behind))
--- a/internal/proxy/httpclient.go
+++ b/internal/proxy/httpclient.go
@@ -30,7 +30,7 @@
 // reads for that.
 func (s *Server) serveHTTPConn(tcp *net.TCPConn) {
 	c := http1.NewPooled(tcp, s.dispatcher.MessageBudget())
-	conn := httpClientConn{s, c}
+	conn := &httpClientConn{s, c}
 	defer c.ReleaseBuffers()
 	client := s.dispatcher.AddClient(c)
 	c.ObserveReads(client)
@@ -92,7 +92,7 @@
 }
 
 // serveHTTPRequest serves one request of a connection. Where a client has too many idle connections, its answer ends this one.
-func (s *Server) serveHTTPRequest(conn httpClientConn, req *message.Request, receivedAt time.Time) error {
+func (s *Server) serveHTTPRequest(conn *httpClientConn, req *message.Request, receivedAt time.Time) error {
 	req.Close = req.Close || s.dispatcher.HasTooManyIdleClients() && !conn.conn.HasMore()
 	if req.IsReadiness() {
 		return s.sendAnswer(conn, message.Answer{Status: s.readiness(), Close: req.Close})
@@ -105,7 +105,7 @@
 
 // rejectHTTP answers a request that could not be read or is malformed, where its client can still be told, and waits for the client to
 // read the answer before the connection is closed.
-func (s *Server) rejectHTTP(conn httpClientConn, err error) {
+func (s *Server) rejectHTTP(conn *httpClientConn, err error) {
 	var bad *message.RequestError
 	if errors.Is(err, http1.ErrTimeout) && !errors.Is(err, errAnswerUnsent) {
 		bad = &message.RequestError{Status: 408, Why: "the request did not come to its end"}
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -95,7 +95,8 @@
 	return s.serve(signals, replaced, ln, fastcgiListener)
 }
 
-// startJournal opens the journal where the node keeps one. A tier takes part in it either way: it holds other nodes' records.
+// startJournal opens the journal where the node keeps one. A node of a tier without a journal joins the tier all the same, and holds replicas
+// of the other nodes' records.
 func (s *Server) startJournal() (err error) {
 	if s.cfg.Journal != nil {
 		s.journal, err = openJournal(s.cfg, s.logger, s.peers)
