--- a/internal/controlplane/distribution/client/link.go
+++ b/internal/controlplane/distribution/client/link.go
@@ -27,9 +27,9 @@
 
 // Why a connection is ended from here.
 var (
-	errQueueFull = errors.New("it takes nothing")
-	errSilent    = errors.New("it has fallen silent")
-	errEnded     = errors.New("the connection has ended")
+	errQueueFull = errors.New("peer accepts no messages")
+	errSilent    = errors.New("no frame from peer")
+	errEnded     = errors.New("connection ended")
 )
 
 // protocolError is a violation of the protocol by the other side, which is sent it as the rejection.
@@ -56,14 +56,14 @@
 	rejection chan error // why the connection ends, to be sent to the other side
 
 	// Of Run's goroutine alone.
-	receiver     *distribution.Receiver // nil until connected
-	reported     distribution.Vector    // applied, as the other side knows it; nil until connected
-	reportedBad  map[distribution.Key]string
-	upload       upload
-	lastMessage  time.Duration
-	isPinged     bool
-	isOverflowed bool // a message found no room in out
-	isRejected   bool
+	receiver           *distribution.Receiver // nil until connected
+	reported           distribution.Vector    // applied, as the other side knows it; nil until connected
+	reportedRejections map[distribution.Key]string
+	upload             upload
+	lastMessage        time.Duration
+	isPinged           bool
+	isOverflowed       bool // a message found no room in out
+	isRejected         bool
 }
 
 // startLink begins an attempt at an upstream.
@@ -71,13 +71,13 @@
 	c.lastLink++
 	ctx, cancel := context.WithCancel(running)
 	l := &link{
-		number:      c.lastLink,
-		upstream:    upstream,
-		cancel:      cancel,
-		out:         make(chan wire.Message, maxQueuedMessages),
-		rejection:   make(chan error, 1),
-		reportedBad: map[distribution.Key]string{},
-		lastMessage: c.now(),
+		number:             c.lastLink,
+		upstream:           upstream,
+		cancel:             cancel,
+		out:                make(chan wire.Message, maxQueuedMessages),
+		rejection:          make(chan error, 1),
+		reportedRejections: map[distribution.Key]string{},
+		lastMessage:        c.now(),
 	}
 	c.link = l
 	c.running.Go(func() {
@@ -90,7 +90,7 @@
 	})
 }
 
-// startProbe sees whether a control process answers, beside the connection in hand.
+// startProbe sees whether a control process answers, beside the current connection.
 func (c *Client) startProbe(running context.Context, upstream int) {
 	c.running.Go(func() {
 		conn, err := Dial(running, c.config, c.config.Addresses[upstream], c.config.Name)
--- a/internal/discovery/staleness/evaluator.go
+++ b/internal/discovery/staleness/evaluator.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	// minConnectFailures in a row make a proven server suspected; one is enough for a server on trial.
+	// minConnectFailures without an executed request between them make a proven server suspected; other responses do not
+	// interrupt the count. One is enough for a server on trial.
 	minConnectFailures = 2
 	// initialSuspicion is for how long a server is suspected the first time. It doubles each time, up to maxSuspicion.
 	initialSuspicion = 1 * time.Second
 	maxSuspicion     = 30 * time.Second
-	// minTrials are always allowed at once.
+	// minTrials are allowed at once whatever fails. level.minInitialTrials is about the start.
 	minTrials = 1
 )
 
@@ -31,7 +32,7 @@
 	status              Status
 	statusSince         time.Duration
 	trialOrder          uint32 // differs by node
-	consecutiveFailures int
+	consecutiveFailures int    // to connect, since it last executed a request or became suspected
 	suspicionCount      int
 }
 
@@ -62,9 +63,13 @@
 		e.order = append(e.order, one)
 	}
 	slices.SortFunc(e.order, func(a, b *server) int {
-		return cmp.Or(cmp.Compare(b.executedRank(), a.executedRank()), cmp.Compare(a.trialOrder, b.trialOrder), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(
+			cmp.Compare(b.executedRank(), a.executedRank()),
+			cmp.Compare(a.trialOrder, b.trialOrder),
+			cmp.Compare(a.ID, b.ID),
+		)
 	})
-	e.maxTrials = max(e.level.minTrials, int(math.Ceil(e.level.trialShare*float64(up))))
+	e.maxTrials = max(e.level.minInitialTrials, int(math.Ceil(e.level.trialShare*float64(up))))
 	e.startTrials(0)
 	return e
 }
@@ -80,12 +85,14 @@
 // Level returns the list's staleness level.
 func (e *Evaluator) Level() int { return e.levelIndex }
 
-// RequestExecuted reports that a server has responded to a request that it had executed.
+// RequestExecuted reports that a server has answered a request with success, or found the request itself faulty.
 func (e *Evaluator) RequestExecuted(now time.Duration, id string) { e.step(now, id, requestExecuted) }
 
-// RequestRejected reports that a server has responded and executed nothing, which does not prove that it serves: it may be
-// draining.
-func (e *Evaluator) RequestRejected(now time.Duration, id string) { e.step(now, id, requestRejected) }
+// ResponseWithoutProof reports that a server has responded with an error of its own or a refusal, whether or not it executed
+// the request. That does not prove that it serves: it may be draining.
+func (e *Evaluator) ResponseWithoutProof(now time.Duration, id string) {
+	e.step(now, id, responseWithoutProof)
+}
 
 // ConnectFailed reports that an attempt could not connect to a server.
 func (e *Evaluator) ConnectFailed(now time.Duration, id string) {
@@ -127,10 +134,10 @@
 
 func (e *Evaluator) apply(now time.Duration, s *server, in input) {
 	t := transitions[s.status][in]
-	switch {
-	case t.trialChange > 0:
+	switch t.trialChange {
+	case moreTrials:
 		e.maxTrials += e.level.trialsPerProven
-	case t.trialChange < 0:
+	case fewerTrials:
 		e.maxTrials = max(e.maxTrials-1, minTrials)
 	}
 	if t.next == s.status {
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -6,7 +6,6 @@
 	"net"
 	"strings"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
@@ -17,75 +16,24 @@
 	"fernvane/internal/testbed/standin/connpair"
 )
 
-const failed = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
-
-// led is a node without a listener, whose clients are given to it.
-type led struct {
-	*Server
-	left, open int // since the start; now
-	dialed     atomic.Int32
-}
-
-func newLed(t *testing.T, cfg Config) *led {
-	l := &led{Server: &Server{cfg: cfg, dispatcher: dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)}}
-	t.Cleanup(l.dispatcher.Stop)
-	if cfg.Routes != nil {
-		l.dispatcher.SetRoutes(cfg.Routes)
-	}
-	l.dispatcher.ApplyList(cfg.SavedList, endpoints.SourceConfig)
-	return l
-}
-
-// ask gives it a client that asks for a path; done is closed when the client's connection has been dealt with.
-func (l *led) ask(t *testing.T, path string) (client *net.TCPConn, done chan struct{}) {
-	near, client := connpair.TCP(t)
-	done = make(chan struct{})
-	fmt.Fprintf(client, "GET %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", path, ids.Add(1))
-	go func() {
-		defer close(done)
-		l.serveHTTPConn(near)
-	}()
-	return client, done
-}
-
-// count is what happened up to now.
-func (l *led) count() *led {
-	c := l.dispatcher.Counts()
-	l.left, l.open = l.left+c.Disconnected, c.OpenRequests
-	return l
-}
-
-// holdDial has the nth connect to a server wait for release; reached is closed when it is there.
-func (l *led) holdDial(nth int32) (reached, release chan struct{}) {
-	reached, release = make(chan struct{}), make(chan struct{})
-	l.dialer.Control = func(string, string, syscall.RawConn) error {
-		if l.dialed.Add(1) == nth {
-			close(reached)
-			<-release
-		}
-		return nil
-	}
-	return reached, release
-}
-
-// No attempt, first or further, is sent for a client that has left, whatever the attempt waited for as it left and in
-// whichever way it left. Each wait ends only after the leaving.
-func TestGoneWhateverItWaitsFor(t *testing.T) {
+// No attempt is sent for a client that has disconnected, whatever the attempt waited for and however the client disconnected. Each wait ends
+// only after that.
+func TestDisconnectWhileWaiting(t *testing.T) {
 	t.Parallel()
 	// Each case brings a request to where it waits; it returns what ends the wait and how many attempts were sent before.
-	type waiting func(t *testing.T, l *led, ask func(), taken <-chan func(say string)) (end func(), sent int)
+	type waiting func(t *testing.T, l *testServer, ask func(), taken <-chan func(say string)) (end func(), sent int)
 	const full = 4 // attempts that the module has out at once before a server has answered
 	waits := map[string]waiting{
-		"a connection": func(t *testing.T, l *led, ask func(), taken <-chan func(string)) (func(), int) {
+		"a connection": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
 			reached, release := l.holdDial(1)
 			ask()
 			<-reached
 			return func() { close(release) }, 0
 		},
-		"its turn": func(t *testing.T, l *led, ask func(), taken <-chan func(string)) (func(), int) {
+		"its turn": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
 			var others []func(string)
 			for range 2 * full {
-				l.ask(t, "/check/other")
+				l.serveClient(t, "/check/other")
 			}
 			for range 2 * full { // two servers
 				others = append(others, <-taken)
@@ -94,30 +42,30 @@
 			await(t, "one more is open", func() bool { return l.count().open == 2*full+1 })
 			return func() {
 				for _, answer := range others {
-					answer(whole)
+					answer(okResponse)
 				}
 			}, 2 * full
 		},
-		"the answer that another attempt would follow": func(t *testing.T, l *led, ask func(), taken <-chan func(string)) (func(), int) {
+		"the answer that another attempt would follow": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
 			ask()
 			answer := <-taken
-			return func() { answer(failed) }, 1
+			return func() { answer(errorResponse) }, 1
 		},
-		"a further attempt's connection": func(t *testing.T, l *led, ask func(), taken <-chan func(string)) (func(), int) {
+		"a further attempt's connection": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
 			reached, release := l.holdDial(2)
 			ask()
-			(<-taken)(failed)
+			(<-taken)(errorResponse)
 			<-reached
 			return func() { close(release) }, 1
 		},
-		"a second copy's connection": func(t *testing.T, l *led, ask func(), taken <-chan func(string)) (func(), int) {
+		"a second copy's connection": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
 			reached, release := l.holdDial(2)
 			ask()
 			answer := <-taken
 			<-reached
 			return func() {
 				close(release)
-				answer(failed)
+				answer(errorResponse)
 			}, 1
 		},
 	}
@@ -156,12 +104,12 @@
 				if what == "a second copy's connection" {
 					cfg.Routes = routes(t, &cfg, checks+"copy_after = \"1ms\"\ncopy_share = 1.0")
 				}
-				l := newLed(t, cfg)
+				l := newTestServer(t, cfg)
 				var client *net.TCPConn
 				var done chan struct{}
-				end, before := bring(t, l, func() { client, done = l.ask(t, "/check/1") }, taken)
+				end, before := bring(t, l, func() { client, done = l.serveClient(t, "/check/1") }, taken)
 				leave(client)
-				await(t, "its leaving is seen", func() bool { return l.count().left == 1 })
+				await(t, "its leaving is seen", func() bool { return l.count().disconnected == 1 })
 				end()
 				over := make(chan struct{})
 				defer close(over)
@@ -169,7 +117,7 @@
 					for {
 						select {
 						case answer := <-taken: // what should not have been sent
-							answer(whole)
+							answer(okResponse)
 						case <-over:
 							return
 						}
@@ -184,3 +132,77 @@
 		}
 	}
 }
+
+func TestDisconnectIsNoticed(t *testing.T) {
+	t.Parallel()
+	for name, behind := range map[string]int{"nothing behind": 0, "a request behind": 80, "more than is held": 200 << 10} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			gone := make(chan net.Conn, 1)
+			at := standIn(t, func(c net.Conn) { gone <- c })
+			near := dial(t, at.String())
+			s := &Server{dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
+			defer s.dispatcher.Stop()
+			s.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "s", Address: at, Size: 1}}}, endpoints.SourceConfig)
+			op := submitNonIdempotent(s.dispatcher)
+			if d := op.NextDecision(func() {}); d.Action != dispatch.SendAttempt {
+				t.Fatalf("decided %d", d.Action)
+			}
+			defer (&httpClientConn{s, near}).WatchDisconnect(op.ClientDisconnected)()
+			far := <-gone
+			go func() { // while the attempt is in flight
+				far.Write(make([]byte, behind))
+				far.Close()
+			}()
+			if d := op.NextDecision(func() {}); d.Action != dispatch.Drop {
+				t.Errorf("decided %d", d.Action)
+			}
+		})
+	}
+}
+
+// A client that has disconnected before its request is read, with bytes behind it: the request is not submitted.
+func TestDisconnectBeforeRequestIsRead(t *testing.T) {
+	t.Parallel()
+	near, client := connpair.TCP(t)
+	fmt.Fprintf(client, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\nGET ", ids.Add(1))
+	client.Close()
+	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
+	defer s.dispatcher.Stop()
+	s.serveHTTPConn(near)
+	if n := s.dispatcher.Counts(); n.Disconnected+n.Rejected+n.Responded+n.Failed > 0 {
+		t.Errorf("taken: %+v", n)
+	}
+}
+
+// watchedConn notes whether it is still watched as its answer is sent.
+type watchedConn struct {
+	isWatched, isWatchedWhenSent bool
+}
+
+func (w *watchedConn) AppendAnswer(b []byte, a http1.Answer) []byte { return http1.AppendAnswer(b, a) }
+func (w *watchedConn) AnswerBuffer() []byte                         { return nil }
+func (w *watchedConn) ClientAddress() string                        { return "" }
+func (w *watchedConn) IsDisconnected() bool                         { return false }
+func (w *watchedConn) SendAnswer([]byte) error                      { w.isWatchedWhenSent = w.isWatched; return nil }
+func (w *watchedConn) IsDisconnectedBehindUnread() bool             { return false }
+func (w *watchedConn) WatchDisconnect(func()) func() {
+	w.isWatched = true
+	return func() { w.isWatched = false }
+}
+
+// Watching for a disconnect reads ahead. The client's next request may follow its answer, so the watch ends before the answer is sent.
+func TestDisconnectWatchEndsBeforeAnswer(t *testing.T) {
+	t.Parallel()
+	hosts, _ := servers(t, 1, okResponse)
+	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
+	defer s.dispatcher.Stop()
+	for name, listed := range map[string][]http1.Endpoint{"denied": nil, "handled": hosts} {
+		s.dispatcher.ApplyList(http1.EndpointList{Hosts: listed}, endpoints.SourceConfig)
+		req := &http1.Request{Method: []byte("GET"), Target: []byte("/check/1"), Fields: []http1.Field{{Name: []byte("Request-Id"), Value: []byte(name)}}}
+		w := &watchedConn{isWatchedWhenSent: true}
+		if err := s.serveRequest(w, req, time.Now()); err != nil || w.isWatchedWhenSent {
+			t.Errorf("%s: still watched: %v, %v", name, w.isWatchedWhenSent, err)
+		}
+	}
+}
