--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -65,7 +65,7 @@
 // prepareWrite makes the checks that come before an attempt's first byte, and has its intent journaled. It returns the attempt's number in
 // the journal, and Succeeded or why the attempt must not be written.
 func (s *Server) prepareWrite(ctx context.Context, d dispatch.Decision, f *forwarding, deadline time.Time) (number int, result dispatch.AttemptResult) {
-	if f.journalEntry != nil && (f.request.IsSettled() || s.isPastDrainGrace(d.Server)) { // no intent for what will not be sent
+	if f.journalEntry != nil && (f.request.IsSettled() || s.isTooLateToWrite(d.Server)) { // no intent for what will not be sent
 		return 0, dispatch.ExpiredUnsent
 	}
 	number, err := f.journalEntry.recordIntent(ctx, d.Server, deadline)
@@ -86,21 +86,21 @@
 	if f.isDisconnected != nil && f.isDisconnected() {
 		f.request.ClientDisconnected()
 	}
-	return !s.isPastDrainGrace(d.Server) && f.request.BeginWrite(d.Attempt)
+	return !s.isTooLateToWrite(d.Server) && f.request.BeginWrite(d.Attempt)
 }
 
-// DrainGuard reports whether the grace is over that follows the notification that a server drains or is gone. *dispatch.Dispatcher is one;
+// DrainGuard reports whether a server has drained or been gone for too long for anything to be written to it. *dispatch.Dispatcher is one;
 // Config.DrainGuard may put another in its place.
 type DrainGuard interface {
-	IsPastDrainGrace(server string) bool
+	IsTooLateToWrite(server string) bool
 }
 
-// isPastDrainGrace reports whether a server left too long ago for anything to be written to it.
-func (s *Server) isPastDrainGrace(server string) bool {
+// isTooLateToWrite reports whether a server left too long ago for anything to be written to it.
+func (s *Server) isTooLateToWrite(server string) bool {
 	if guard := s.cfg.DrainGuard; guard != nil {
-		return guard.IsPastDrainGrace(server)
+		return guard.IsTooLateToWrite(server)
 	}
-	return s.dispatcher.IsPastDrainGrace(server)
+	return s.dispatcher.IsTooLateToWrite(server)
 }
 
 // exchange writes the request and reads the whole response. Only before the last byte is written is it certain that the server has not
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -92,7 +92,7 @@
 		left := hosts[0]
 		left.Phase = phase
 		s.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{left}}, endpoints.SourceDiscovery)
-		for !s.dispatcher.IsPastDrainGrace(left.ID) {
+		for !s.dispatcher.IsTooLateToWrite(left.ID) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		req := &http1.Request{Method: []byte("POST"), Target: []byte("/book/1")}
--- a/internal/proxy/dispatch/doc.go
+++ b/internal/proxy/dispatch/doc.go
@@ -23,7 +23,7 @@
 //
 // until the decision is another one than SendAttempt: Respond, Reject and Fail name the client's one final answer, Drop
 // means that the client has left. A hedged attempt is run by a goroutine of its own, which Arrival.StartHedge starts.
-// Before its first byte is written, an attempt asks BeginWrite and IsPastDrainGrace whether it may still be sent.
+// Before its first byte is written, an attempt asks BeginWrite and IsTooLateToWrite whether it may still be sent.
 //
 // # Files
 //
--- a/internal/proxy/dispatch/endpoints.go
+++ b/internal/proxy/dispatch/endpoints.go
@@ -171,10 +171,10 @@
 	return false
 }
 
-// IsPastDrainGrace reports whether a server left so long ago that nothing may be written to it any more, whenever the
+// IsTooLateToWrite reports whether a server left so long ago that nothing may be written to it any more, whenever the
 // attempt was decided on, or is not known. It is asked right before an attempt is written: a connect or the journal may
 // have taken long. The time allowed is maxWriteDelay, which ends before Settings.DrainGrace does.
-func (d *Dispatcher) IsPastDrainGrace(server string) bool {
+func (d *Dispatcher) IsTooLateToWrite(server string) bool {
 	d.mu.Lock()
 	defer d.unlock()
 	return d.view.HasLeft(d.now(), server, d.maxWriteDelay())
--- a/internal/testbed/brokennode.go
+++ b/internal/testbed/brokennode.go
@@ -25,7 +25,7 @@
 // noDrainGuard lets attempts go to servers that left long ago.
 type noDrainGuard struct{}
 
-func (noDrainGuard) IsPastDrainGrace(string) bool { return false }
+func (noDrainGuard) IsTooLateToWrite(string) bool { return false }
 
 // ignoredDisconnects reports no client as disconnected.
 type ignoredDisconnects struct{ proxy.DisconnectWatcher }
