--- a/internal/controlplane/planfollower/follower.go
+++ b/internal/controlplane/planfollower/follower.go
@@ -9,9 +9,11 @@
 )
 
 const (
-	expiryAge       = 13 * time.Second // of a plan, from which the forwarder goes by what it knows itself
-	pollDelay       = 1 * time.Second  // without a fresh plan, before a forwarder polls discovery itself
-	pollDelaySpread = 3 * time.Second  // that Options.PollJitter spreads over: discovery has little capacity
+	// expiryAge of a plan, from which the forwarder decides alone: freshAge, and the 10 s for which a planner still counts a
+	// forwarder that is silent.
+	expiryAge       = 13 * time.Second
+	pollDelay       = 1 * time.Second // without a fresh plan, before a forwarder polls discovery itself
+	pollDelaySpread = 3 * time.Second // that Options.PollJitter spreads over: discovery has little capacity
 	noPlannerIndex  = -1
 )
 
@@ -36,8 +38,8 @@
 
 // Effective is what is in effect at the forwarder.
 type Effective struct {
-	HasPlan             bool // else the forwarder decides alone, and only Nodes and ShouldPollDiscovery are set
-	Planner             int  // that is followed, -1 while the last plan decays
+	HasPlan             bool // else the forwarder decides alone, and only Planner, PlanAge, Nodes and ShouldPollDiscovery are set
+	Planner             int  // that is followed; -1 without a fresh plan: the last one is being phased out, or there is none
 	PlanAge             time.Duration
 	Nodes               int // forwarders that share the load
 	AdmittedShare       float64
@@ -77,7 +79,7 @@
 	e.HasPlan = true
 	e.Nodes = max(f.inEffect.Nodes, 1)
 	e.AdmittedShare = f.admittedShare()
-	if f.isFresh() {
+	if f.isFollowing() {
 		e.WithinAllowance = f.inEffect.WithinAllowance
 	}
 	f.moveShares(passed, isUp)
@@ -88,7 +90,7 @@
 // followFreshest selects the planner to follow and takes its plan into effect; without one the last plan ages.
 func (f *Follower) followFreshest(now, passed time.Duration) {
 	f.followed = f.selectPlanner(now)
-	if !f.isFresh() {
+	if !f.isFollowing() {
 		f.age += passed
 		return
 	}
@@ -99,17 +101,17 @@
 	f.inEffect.Nodes = f.maxNodes(now, f.inEffect.Nodes)
 }
 
-// isFresh reports whether a planner is followed at present.
-func (f *Follower) isFresh() bool { return f.followed != noPlannerIndex }
+// isFollowing reports whether a planner is followed at present.
+func (f *Follower) isFollowing() bool { return f.followed != noPlannerIndex }
 
 func (f *Follower) pollDelay() time.Duration {
 	return pollDelay + time.Duration(f.options.PollJitter*float64(pollDelaySpread))
 }
 
-// admittedShare decays to 1 with the age of a plan that is no longer fresh: what is not known to be too much is admitted.
+// admittedShare rises to 1 with the age of a plan that is no longer fresh: what is not known to be too much is admitted.
 func (f *Follower) admittedShare() float64 {
 	share := f.inEffect.AdmittedShare
-	if f.isFresh() {
+	if f.isFollowing() {
 		return share
 	}
 	decayed := float64(f.age-freshAge) / float64(expiryAge-freshAge)
@@ -123,7 +125,7 @@
 	for _, planned := range f.inEffect.Servers {
 		inPlan[planned.ID] = true
 		s := plan.ServerShare{ID: planned.ID, Share: f.shares[planned.ID], SlowStartRate: planned.SlowStartRate}
-		if f.isFresh() {
+		if f.isFollowing() {
 			s.IsAvoided = planned.IsAvoided
 			s.EjectionRemaining = max(planned.EjectionRemaining-(now-f.sources[f.followed].receivedAt), 0)
 		}
--- a/internal/controlplane/planner/server.go
+++ b/internal/controlplane/planner/server.go
@@ -26,8 +26,8 @@
 	mu          sync.Mutex // never held over a socket
 	planner     *plan.Planner
 	discovered  map[string]incarnation.Entry // what discovery has listed, as it listed it
-	hasList     bool                         // a complete list was received; without one no plan is computed
-	forwarders  map[string]*forwarder        // by name
+	hasList     bool                         // discovery's complete list, or anything of a registry, was received; else no plan is computed
+	forwarders  map[string]*forwarderConn    // by name
 	connections int
 	counts      counts
 }
@@ -49,9 +49,9 @@
 		startedAt:  now,
 		planner:    plan.NewPlanner(now.UnixMilli()),
 		discovered: map[string]incarnation.Entry{},
-		forwarders: map[string]*forwarder{},
+		forwarders: map[string]*forwarderConn{},
 	}
-	log.Info().Str("planner", config.Name).Stringer("listen", config.ListenAddress).Bool("tls", config.Keys != nil).Msg("planning")
+	log.Info().Str("planner", config.Name).Stringer("listen", config.ListenAddress).Bool("tls", config.Keys != nil).Msg("planner started")
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return s.followServers(ctx) })
 	g.Go(func() error { s.computePlans(ctx); return nil })
@@ -111,6 +111,6 @@
 	for name, f := range s.forwarders {
 		f.replaceNext(fleet.ForForwarder(name))
 	}
-	s.counts.plans++
+	s.counts.computations++
 	s.counts.slowestPlan = max(s.counts.slowestPlan, time.Since(began))
 }
