--- a/internal/discovery/endpoints/set_test.go
+++ b/internal/discovery/endpoints/set_test.go
@@ -21,9 +21,9 @@
 // joined is what a node holds after joining the announced entries.
 type joined struct{ table *incarnation.Table }
 
-func (v joined) take(changed []incarnation.Entry) { v.table.Join(0, changed) }
-func (v joined) condition(id string) string {
-	e, ok := v.table.Get(id)
+func (node joined) take(changed []incarnation.Entry) { node.table.Join(0, changed) }
+func (node joined) condition(id string) string {
+	e, ok := node.table.Get(id)
 	if !ok {
 		return "-"
 	}
@@ -39,9 +39,9 @@
 	}
 	const s = time.Second
 	for name, c := range map[string]struct {
-		all  []event
-		want string
-		same bool
+		events []event
+		want   string
+		same   bool
 	}{
 		"listed":                              {nil, "up", true},
 		"removed":                             {[]event{{2 * s, "removed"}}, "draining", true},
@@ -64,56 +64,56 @@
 		"all but it come back":                {[]event{{2 * s, "all removed"}, {4 * s, "others back"}}, "draining", true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, v := NewSet(), joined{incarnation.NewTable()}
+			set, node := NewSet(), joined{incarnation.NewTable()}
 			list := func(which ...RegistryEntry) []RegistryEntry { return which }
 			others := list(registryEntry("b", 2), registryEntry("c", 3), registryEntry("d", 4), registryEntry("e", 5))
-			it := registryEntry("a", 1)
-			v.take(r.ApplyList(0, append(list(it), others...)))
-			first, _ := v.table.Get("a")
-			for at, i := 50*ms, 0; i < len(c.all); at += 50 * ms {
-				v.take(r.Tick(at))
-				for ; i < len(c.all) && c.all[i].at <= at; i++ {
-					switch c.all[i].what {
+			entry := registryEntry("a", 1)
+			node.take(set.ApplyList(0, append(list(entry), others...)))
+			first, _ := node.table.Get("a")
+			for at, i := 50*ms, 0; i < len(c.events); at += 50 * ms {
+				node.take(set.Tick(at))
+				for ; i < len(c.events) && c.events[i].at <= at; i++ {
+					switch c.events[i].what {
 					case "removed":
-						v.take(r.ApplyList(at, others))
+						node.take(set.ApplyList(at, others))
 					case "all removed":
-						v.take(r.ApplyList(at, nil))
+						node.take(set.ApplyList(at, nil))
 					case "others back":
-						v.take(r.ApplyList(at, others))
+						node.take(set.ApplyList(at, others))
 					case "back":
-						it.OwnerSession, it.CreatedZxid, it.CreatedUnixMS = 99, 99, 99
-						v.take(r.ApplyList(at, append(list(it), others...)))
+						entry.OwnerSession, entry.CreatedZxid, entry.CreatedUnixMS = 99, 99, 99
+						node.take(set.ApplyList(at, append(list(entry), others...)))
 					case "drain", "undrain":
-						it.IsDraining = c.all[i].what == "drain"
-						v.take(r.ApplyList(at, append(list(it), others...)))
+						entry.IsDraining = c.events[i].what == "drain"
+						node.take(set.ApplyList(at, append(list(entry), others...)))
 					case "fail":
-						v.take(r.ConnectFailed(at, "a"))
+						node.take(set.ConnectFailed(at, "a"))
 					case "answer":
-						v.take(r.ResponseReceived(at, "a"))
+						node.take(set.ResponseReceived(at, "a"))
 					}
 				}
 			}
-			last, _ := v.table.Get("a")
-			if v.condition("a") != c.want || (last.StartedUnixMS == first.StartedUnixMS) != c.same {
-				t.Errorf("%s, up %d, %d at first", v.condition("a"), last.StartedUnixMS, first.StartedUnixMS)
+			last, _ := node.table.Get("a")
+			if node.condition("a") != c.want || (last.StartedUnixMS == first.StartedUnixMS) != c.same {
+				t.Errorf("%s, up %d, %d at first", node.condition("a"), last.StartedUnixMS, first.StartedUnixMS)
 			}
 		})
 	}
 }
 
 // check compares what a node holds with rules that do not use the Set's own states.
-func check(t interface{ Fatalf(string, ...any) }, r *Set, v joined, listedNow map[string]bool, draining map[string]bool, history string) {
+func check(t interface{ Fatalf(string, ...any) }, set *Set, node joined, isListed map[string]bool, draining map[string]bool, history string) {
 	for _, id := range []string{"a", "b", "c"} {
-		c := v.condition(id)
+		c := node.condition(id)
 		switch {
 		case draining[id] && c == "up":
 			t.Fatalf("%s: %s is listed as draining, and is up", history, id)
-		case !listedNow[id] && c == "up" && r.State(id) != StateRetained:
+		case !isListed[id] && c == "up" && set.State(id) != StateRetained:
 			t.Fatalf("%s: %s is not listed, and is up", history, id)
-		case !listedNow[id] && c == "up" && !r.MassRemoval().IsSuspected:
+		case !isListed[id] && c == "up" && !set.MassRemoval().IsSuspected:
 			t.Fatalf("%s: %s is retained without suspicion", history, id)
-		case r.State(id) == StatePresent && c != "up", r.State(id) == StateDraining && c == "up":
-			t.Fatalf("%s: %s is %s in state %d", history, id, c, r.State(id))
+		case set.State(id) == StatePresent && c != "up", set.State(id) == StateDraining && c == "up":
+			t.Fatalf("%s: %s is %s in state %d", history, id, c, set.State(id))
 		}
 	}
 }
@@ -126,24 +126,24 @@
 	if n, err := strconv.Atoi(os.Getenv("ROSTER_DEPTH")); err == nil {
 		depth = n
 	}
-	var moves [][2]string
+	var events [][2]string
 	for _, id := range []string{"a", "b", "c"} {
 		for _, e := range []string{"removed", "back", "drain", "fails", "answer", "wait"} {
-			moves = append(moves, [2]string{id, e})
+			events = append(events, [2]string{id, e})
 		}
 	}
-	for first := range moves[:6] { // of the first server; the others differ by their names only
-		t.Run(moves[first][0]+" "+moves[first][1], func(t *testing.T) {
+	for first := range events[:6] { // of the first server; the others differ by their names only
+		t.Run(events[first][0]+" "+events[first][1], func(t *testing.T) {
 			t.Parallel()
-			pick := make([]int, depth)
-			pick[0] = first
+			indices := make([]int, depth)
+			indices[0] = first
 			for i := 0; i < depth; {
-				play(t, func(i int) ([2]string, bool) { return moves[pick[min(i, depth-1)]], i < depth })
+				playEvents(t, func(i int) ([2]string, bool) { return events[indices[min(i, depth-1)]], i < depth })
 				for i = 1; i < depth; i++ {
-					if pick[i]++; pick[i] < len(moves) {
+					if indices[i]++; indices[i] < len(events) {
 						break
 					}
-					pick[i] = 0
+					indices[i] = 0
 				}
 			}
 		})
@@ -154,31 +154,31 @@
 func TestLongInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(5, 60).Draw(t, "length")
-		play(t, func(i int) ([2]string, bool) {
+		playEvents(t, func(i int) ([2]string, bool) {
 			return [2]string{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"),
 				rapid.SampledFrom([]string{"removed", "back", "drain", "fails", "answer", "wait"}).Draw(t, "event")}, i < n
 		})
 	})
 }
 
-func play(t interface{ Fatalf(string, ...any) }, next func(i int) ([2]string, bool)) {
-	r, v := NewSet(), joined{incarnation.NewTable()}
+func playEvents(t interface{ Fatalf(string, ...any) }, next func(i int) ([2]string, bool)) {
+	set, node := NewSet(), joined{incarnation.NewTable()}
 	now, owner := time.Duration(0), int64(10)
 	state := map[string]RegistryEntry{}
-	there, draining := map[string]bool{}, map[string]bool{}
+	isListed, draining := map[string]bool{}, map[string]bool{}
 	list := func() []RegistryEntry {
 		var all []RegistryEntry
 		for _, id := range []string{"a", "b", "c"} {
-			if there[id] {
+			if isListed[id] {
 				all = append(all, state[id])
 			}
 		}
 		return all
 	}
 	for i, id := range []string{"a", "b", "c"} {
-		state[id], there[id] = registryEntry(id, int64(i+1)), true
+		state[id], isListed[id] = registryEntry(id, int64(i+1)), true
 	}
-	v.take(r.ApplyList(now, list()))
+	node.take(set.ApplyList(now, list()))
 	history := ""
 	for i := 0; ; i++ {
 		m, more := next(i)
@@ -188,34 +188,34 @@
 		id := m[0]
 		history += fmt.Sprint(" ", id, " ", m[1])
 		now += 300 * ms
-		v.take(r.Tick(now))
+		node.take(set.Tick(now))
 		switch m[1] {
 		case "removed":
-			there[id] = false
+			isListed[id] = false
 		case "back":
-			if !there[id] {
+			if !isListed[id] {
 				owner++
-				state[id], there[id], draining[id] = registryEntry(id, owner), true, false
+				state[id], isListed[id], draining[id] = registryEntry(id, owner), true, false
 			}
 		case "drain":
-			if there[id] {
+			if isListed[id] {
 				l := state[id]
 				l.IsDraining = true
 				state[id], draining[id] = l, true
 			}
 		case "fails":
 			for range minConnectFailures {
-				v.take(r.ConnectFailed(now, id))
+				node.take(set.ConnectFailed(now, id))
 			}
 		case "answer":
-			v.take(r.ResponseReceived(now, id))
+			node.take(set.ResponseReceived(now, id))
 		case "wait":
 			now += 6 * time.Second
-			v.take(r.Tick(now))
+			node.take(set.Tick(now))
 		}
 		if m[1] == "removed" || m[1] == "back" || m[1] == "drain" {
-			v.take(r.ApplyList(now, list()))
+			node.take(set.ApplyList(now, list()))
 		}
-		check(t, r, v, there, draining, history)
+		check(t, set, node, isListed, draining, history)
 	}
 }
--- a/internal/discovery/staleness/evaluator_test.go
+++ b/internal/discovery/staleness/evaluator_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func many(n int) (all []Server) {
+func serversUp(n int) (all []Server) {
 	for i := range n {
 		all = append(all, Server{ID: fmt.Sprint("s", i), IsUp: true})
 	}
@@ -19,8 +19,8 @@
 // The staleness level of a list, and how many of its 40 servers are on trial at first.
 func TestLevels(t *testing.T) {
 	for name, c := range map[string]struct {
-		known  CachedList
-		grade  int
+		list   CachedList
+		level  int
 		trials int
 	}{
 		"just now":             {CachedList{time.Second, true}, 0, 40},
@@ -35,9 +35,9 @@
 		"from the future":      {CachedList{-time.Hour, true}, 4, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tr := New(c.known, "n", many(40))
-			if all, changed := tr.Usable(); tr.Level() != c.grade || len(all) != c.trials || !changed {
-				t.Errorf("level %d, %d on trial", tr.Level(), len(all))
+			evaluator := New(c.list, "n", serversUp(40))
+			if all, changed := evaluator.Usable(); evaluator.Level() != c.level || len(all) != c.trials || !changed {
+				t.Errorf("level %d, %d on trial", evaluator.Level(), len(all))
 			}
 		})
 	}
@@ -66,23 +66,24 @@
 		"served, and now another server is there":    {true, []string{serve, other, wait, serve}, Excluded},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tr, now := New(CachedList{10 * time.Minute, true}, "n", []Server{{ID: "a", IsUp: c.up}}), time.Duration(0)
+			evaluator := New(CachedList{10 * time.Minute, true}, "n", []Server{{ID: "a", IsUp: c.up}})
+			now := time.Duration(0)
 			for _, s := range c.steps {
 				switch s {
 				case serve:
-					tr.RequestExecuted(now, "a")
+					evaluator.RequestExecuted(now, "a")
 				case reject:
-					tr.ResponseWithoutProof(now, "a")
+					evaluator.ResponseWithoutProof(now, "a")
 				case connectFail:
-					tr.ConnectFailed(now, "a")
+					evaluator.ConnectFailed(now, "a")
 				case other:
-					tr.WrongServer(now, "a")
+					evaluator.WrongServer(now, "a")
 				case wait:
 					now += time.Minute
-					tr.Tick(now)
+					evaluator.Tick(now)
 				}
 			}
-			if got := tr.Status("a"); got != c.want {
+			if got := evaluator.Status("a"); got != c.want {
 				t.Errorf("status %d, not %d", got, c.want)
 			}
 		})
@@ -93,7 +94,7 @@
 func TestNodesTryDifferentServers(t *testing.T) {
 	first := map[string]int{}
 	for n := range 100 {
-		all, _ := New(CachedList{time.Hour, true}, fmt.Sprint("n", n), many(50)).Usable()
+		all, _ := New(CachedList{time.Hour, true}, fmt.Sprint("n", n), serversUp(50)).Usable()
 		for _, u := range all {
 			first[u.ID]++
 		}
@@ -114,59 +115,63 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Server
 		for i := range rapid.IntRange(1, 12).Draw(t, "servers") {
-			all = append(all, Server{ID: fmt.Sprint("s", i), IsUp: rapid.Bool().Draw(t, "up"), HasExecuted: rapid.Bool().Draw(t, "served")})
+			all = append(all, Server{
+				ID:          fmt.Sprint("s", i),
+				IsUp:        rapid.Bool().Draw(t, "up"),
+				HasExecuted: rapid.Bool().Draw(t, "executed"),
+			})
 		}
 		age := time.Duration(rapid.Int64Range(-1e12, 1e15).Draw(t, "age"))
-		tr, now := New(CachedList{age, rapid.Bool().Draw(t, "clean")}, "n", all), time.Duration(0)
-		ran, excluded := map[string]bool{}, map[string]bool{}
-		most := tr.maxTrials // the most that were allowed
+		evaluator, now := New(CachedList{age, rapid.Bool().Draw(t, "clean")}, "n", all), time.Duration(0)
+		hasExecuted, excluded := map[string]bool{}, map[string]bool{}
+		maxOnTrial := evaluator.maxTrials // the most that were allowed
 		for _, s := range all {
 			excluded[s.ID] = !s.IsUp
 		}
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			id := all[rapid.IntRange(0, len(all)-1).Draw(t, "which")].ID
 			now += time.Duration(rapid.Int64Range(0, 3e9).Draw(t, "later"))
-			usable, _ := tr.Usable()
+			usable, _ := evaluator.Usable()
 			used := slices.ContainsFunc(usable, func(u UsableServer) bool { return u.ID == id })
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				tr.RequestExecuted(now, id)
-				ran[id] = ran[id] || used
+				evaluator.RequestExecuted(now, id)
+				hasExecuted[id] = hasExecuted[id] || used
 			case 1:
-				tr.ResponseWithoutProof(now, id)
+				evaluator.ResponseWithoutProof(now, id)
 			case 2:
-				tr.ConnectFailed(now, id)
+				evaluator.ConnectFailed(now, id)
 			case 3:
-				tr.WrongServer(now, id)
+				evaluator.WrongServer(now, id)
 				excluded[id] = true
 			default:
-				tr.Tick(now)
+				evaluator.Tick(now)
 			}
-			usable, _ = tr.Usable()
-			on := 0
+			usable, _ = evaluator.Usable()
+			onTrial := 0
 			for _, u := range usable {
-				if excluded[u.ID] || u.IsProven && !ran[u.ID] {
-					t.Fatalf("%s is usable, excluded %v, has executed %v", u.ID, excluded[u.ID], ran[u.ID])
+				if excluded[u.ID] || u.IsProven && !hasExecuted[u.ID] {
+					t.Fatalf("%s is usable, excluded %v, has executed %v", u.ID, excluded[u.ID], hasExecuted[u.ID])
 				}
 				if !u.IsProven {
-					on++
+					onTrial++
 				}
 			}
-			if most = max(most, tr.maxTrials); on > most || tr.maxTrials < minTrials {
-				t.Fatalf("%d on trial, %d are allowed", on, tr.maxTrials)
+			if maxOnTrial = max(maxOnTrial, evaluator.maxTrials); onTrial > maxOnTrial || evaluator.maxTrials < minTrials {
+				t.Fatalf("%d on trial, %d are allowed", onTrial, evaluator.maxTrials)
 			}
 		}
 		for range 200 {
 			now += time.Minute
-			tr.Tick(now)
-			usable, _ := tr.Usable()
+			evaluator.Tick(now)
+			usable, _ := evaluator.Usable()
 			for _, u := range usable {
-				tr.RequestExecuted(now, u.ID)
+				evaluator.RequestExecuted(now, u.ID)
 			}
 		}
 		for _, s := range all {
-			if want := map[bool]Status{true: Excluded, false: Proven}[excluded[s.ID]]; tr.Status(s.ID) != want {
-				t.Fatalf("%s ends as %d, not %d", s.ID, tr.Status(s.ID), want)
+			if want := map[bool]Status{true: Excluded, false: Proven}[excluded[s.ID]]; evaluator.Status(s.ID) != want {
+				t.Fatalf("%s ends as %d, not %d", s.ID, evaluator.Status(s.ID), want)
 			}
 		}
 	})
