--- a/internal/discovery/endpoints/set.go
+++ b/internal/discovery/endpoints/set.go
@@ -30,6 +30,8 @@
 	// the server is suspected again without a response as a usable one.
 	initialSuspicion = 1 * time.Second
 	maxSuspicion     = 8 * time.Second
+	// maxDoublings keeps the doubling from an overflow; maxSuspicion is reached before.
+	maxDoublings = 10
 )
 
 // RegistryEntry is a server as the registry lists it.
@@ -233,7 +235,7 @@
 	case StateMissing:
 		return flapWindow, true
 	case StateSuspected:
-		return min(initialSuspicion<<min(one.suspicionCount-1, 10), maxSuspicion), true
+		return min(initialSuspicion<<min(one.suspicionCount-1, maxDoublings), maxSuspicion), true
 	}
 	return 0, false
 }
--- a/internal/discovery/staleness/evaluator.go
+++ b/internal/discovery/staleness/evaluator.go
@@ -15,6 +15,8 @@
 	// initialSuspicion is for how long a server is suspected the first time. It doubles each time, up to maxSuspicion.
 	initialSuspicion = 1 * time.Second
 	maxSuspicion     = 30 * time.Second
+	// maxDoublings keeps the doubling from an overflow; maxSuspicion is reached before.
+	maxDoublings = 10
 	// minTrials are allowed at once whatever fails. level.minInitialTrials is about the start.
 	minTrials = 1
 )
@@ -110,10 +112,15 @@
 // WrongServer reports that another server responds at a server's address.
 func (e *Evaluator) WrongServer(now time.Duration, id string) { e.step(now, id, wrongServer) }
 
+// suspicionTimeout is for how long a suspected server stays so.
+func (s *server) suspicionTimeout() time.Duration {
+	return min(initialSuspicion<<min(s.suspicionCount-1, maxDoublings), maxSuspicion)
+}
+
 // Tick applies what the time alone changes. It is called every few tens of milliseconds.
 func (e *Evaluator) Tick(now time.Duration) {
 	for _, s := range e.order {
-		if s.status == Suspected && now-s.statusSince >= min(initialSuspicion<<min(s.suspicionCount-1, 10), maxSuspicion) {
+		if s.status == Suspected && now-s.statusSince >= s.suspicionTimeout() {
 			e.apply(now, s, timerExpired)
 		}
 	}
