--- a/internal/discovery/endpoints/view_test.go
+++ b/internal/discovery/endpoints/view_test.go
@@ -11,25 +11,25 @@
 )
 
 func announced(id string, port uint16, c incarnation.Condition) Endpoint {
-	w := Endpoint{ID: id, Condition: c}
+	endpoint := Endpoint{ID: id, Condition: c}
 	if port > 0 {
-		w.Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port)
+		endpoint.Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port)
 	}
-	return w
+	return endpoint
 }
 
 // What each list changes, step by step.
 func TestViewUpdates(t *testing.T) {
 	type step struct {
-		announced []Endpoint
-		whole     bool
+		announced  []Endpoint
+		isFullList bool
 	}
 	up := func(id string, port uint16) Endpoint { return announced(id, port, incarnation.Up) }
 	for name, c := range map[string]struct {
 		steps   []step
 		changed string // changed by the last step
 		idle    []string
-		used    []string
+		usable  []string
 	}{
 		"two":                                {[]step{{[]Endpoint{up("a", 1), up("b", 2)}, true}}, "a0 b0", []string{"a", "b"}, []string{"a", "b"}},
 		"the same again":                     {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("a", 1)}, true}}, "a0", nil, []string{"a"}},
@@ -46,31 +46,31 @@
 		"replaced within a full list":        {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("b", 1)}, true}}, "b0", []string{"a", "b"}, []string{"b"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v, only := NewView(), NewView()
-			only.IgnoreRemovals = true
-			var u Update
+			v, retaining := NewView(), NewView()
+			retaining.IgnoreRemovals = true
+			var update Update
 			for i, s := range c.steps {
-				u = v.Apply(time.Duration(i), SourceDiscovery, s.announced, s.whole)
-				only.Apply(time.Duration(i), SourceDiscovery, s.announced, s.whole)
+				update = v.Apply(time.Duration(i), SourceDiscovery, s.announced, s.isFullList)
+				retaining.Apply(time.Duration(i), SourceDiscovery, s.announced, s.isFullList)
 			}
-			if l, _ := only.Get("a"); l.IsUsable != (slices.Contains(c.used, "a") || name == "left out of a full list" || name == "announced as gone") {
-				t.Errorf("with IgnoreRemovals, a is usable: %v", l.IsUsable)
+			if record, _ := retaining.Get("a"); record.IsUsable != (slices.Contains(c.usable, "a") || name == "left out of a full list" || name == "announced as gone") {
+				t.Errorf("with IgnoreRemovals, a is usable: %v", record.IsUsable)
 			}
 			lines := ""
-			for i, l := range u.Changed {
+			for i, record := range update.Changed {
 				if i > 0 {
 					lines += " "
 				}
-				lines += fmt.Sprint(l.ID, l.Condition)
+				lines += fmt.Sprint(record.ID, record.Condition)
 			}
-			var used []string
+			var usable []string
 			for _, id := range v.sortedIDs() {
-				if l, _ := v.Get(id); l.IsUsable {
-					used = append(used, id)
+				if record, _ := v.Get(id); record.IsUsable {
+					usable = append(usable, id)
 				}
 			}
-			if lines != c.changed || !slices.Equal(u.CloseIdle, c.idle) || !slices.Equal(used, c.used) {
-				t.Errorf("changed %q, close idle %v, usable %v", lines, u.CloseIdle, used)
+			if lines != c.changed || !slices.Equal(update.CloseIdle, c.idle) || !slices.Equal(usable, c.usable) {
+				t.Errorf("changed %q, close idle %v, usable %v", lines, update.CloseIdle, usable)
 			}
 		})
 	}
@@ -80,8 +80,8 @@
 // full list without it came since, and no new server came to its address since.
 func TestViewAllSequences(t *testing.T) {
 	type event struct {
-		announced Endpoint
-		whole     bool
+		announced  Endpoint
+		isFullList bool
 	}
 	var events []event
 	for _, id := range []string{"a", "b", "c"} {
@@ -105,9 +105,9 @@
 		played++
 		v, model := NewView(), map[string]*modelRecord{}
 		for i, e := range path {
-			v.Apply(time.Duration(i), SourceRegistry, []Endpoint{e.announced}, e.whole)
+			v.Apply(time.Duration(i), SourceRegistry, []Endpoint{e.announced}, e.isFullList)
 			m := model[e.announced.ID]
-			if e.whole {
+			if e.isFullList {
 				for _, o := range model {
 					o.up = false
 				}
@@ -128,8 +128,8 @@
 			}
 			m.seen = m.seen || e.announced.Condition != incarnation.Gone
 			for id, m := range model {
-				if l, _ := v.Get(id); l.IsUsable != m.up || m.seen && l.Address.Port() != m.port {
-					t.Fatalf("after %v: %s is %+v, not %+v", path[:i+1], id, l, *m)
+				if record, _ := v.Get(id); record.IsUsable != m.up || m.seen && record.Address.Port() != m.port {
+					t.Fatalf("after %v: %s is %+v, not %+v", path[:i+1], id, record, *m)
 				}
 			}
 		}
@@ -140,7 +140,7 @@
 
 // The cost of one change grows neither with the servers nor with those that drain. A full list visits each once.
 func TestViewUpdateCost(t *testing.T) {
-	cost := func(servers int) (change, whole int) {
+	cost := func(servers int) (change, fullList int) {
 		v := NewView()
 		list := announcedUp(0, servers)
 		v.Apply(0, SourceDiscovery, list, true)
@@ -149,17 +149,17 @@
 		}
 		from := v.recordVisits
 		v.Apply(0, SourceDiscovery, list, true)
-		whole, from = v.recordVisits-from, v.recordVisits
-		u := v.Apply(0, SourceDiscovery, announcedUp(servers, servers+1), false)
-		if len(u.Changed) != 1 || len(u.CloseIdle) != 1 {
-			t.Errorf("%d lines, %d idle", len(u.Changed), len(u.CloseIdle))
+		fullList, from = v.recordVisits-from, v.recordVisits
+		update := v.Apply(0, SourceDiscovery, announcedUp(servers, servers+1), false)
+		if len(update.Changed) != 1 || len(update.CloseIdle) != 1 {
+			t.Errorf("%d records changed, %d servers' connections to close", len(update.Changed), len(update.CloseIdle))
 		}
-		return v.recordVisits - from, whole
+		return v.recordVisits - from, fullList
 	}
 	few, _ := cost(1_000)
-	many, whole := cost(20_000)
-	if many > few || whole > 3*20_000 {
-		t.Errorf("a change: %d lines among 1,000, %d among 20,000; a whole list of those: %d", few, many, whole)
+	many, fullList := cost(20_000)
+	if many > few || fullList > 3*20_000 {
+		t.Errorf("a change visits %d records among 1,000, %d among 20,000; a full list of those: %d", few, many, fullList)
 	}
 }
 
@@ -175,7 +175,7 @@
 		seen := map[string]bool{}
 		for at, ids := range v.byAddress {
 			for _, id := range ids {
-				if l := v.records[id]; l == nil || l.Address != at || seen[id] {
+				if record := v.records[id]; record == nil || record.Address != at || seen[id] {
 					t.Fatalf("step %d: %s is not at %s, or twice", i, id, at)
 				}
 				seen[id] = true
@@ -184,8 +184,8 @@
 				t.Fatalf("step %d: nothing is at %s", i, at)
 			}
 		}
-		for id, l := range v.records {
-			if l.IsUsable && !seen[id] {
+		for id, record := range v.records {
+			if record.IsUsable && !seen[id] {
 				t.Fatalf("step %d: %s is usable and not found by its address", i, id)
 			}
 		}
--- a/internal/discovery/incarnation/table_test.go
+++ b/internal/discovery/incarnation/table_test.go
@@ -10,7 +10,7 @@
 )
 
 func entry(t *rapid.T, id string) Entry {
-	n := func(most int, what string) int { return rapid.IntRange(0, most).Draw(t, what) }
+	n := func(limit int, label string) int { return rapid.IntRange(0, limit).Draw(t, label) }
 	return Entry{ID: id, StartedUnixMS: int64(n(2, "up")), Generation: uint32(n(1, "turn")), Condition: Condition(n(2, "condition")),
 		Revision: uint64(n(3, "revision")), Address: fmt.Sprint("127.0.0.1:", n(1, "port")+1)}
 }
--- a/internal/discovery/zookeeper/herd_test.go
+++ b/internal/discovery/zookeeper/herd_test.go
@@ -59,10 +59,11 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	took := time.Since(began).Seconds()
-	asked := float64(r.Calls()-calls) / took
-	t.Logf("%.0f calls a second by 500 readers at %.0f changes a second: %.1f each", asked, 200/took, asked/500)
-	if most := 500 * (1 / minReadInterval.Seconds()) * 2; asked > most { // the children and an entry are read, at the rate of readings
-		t.Errorf("more than %.0f", most)
+	callsPerSecond := float64(r.Calls()-calls) / took
+	t.Logf("%.0f calls a second by 500 readers at %.0f changes a second: %.1f each", callsPerSecond, 200/took, callsPerSecond/500)
+	// At the rate of readings, the children and an entry are read.
+	if maxCallsPerSecond := 500 * (1 / minReadInterval.Seconds()) * 2; callsPerSecond > maxCallsPerSecond {
+		t.Errorf("more than %.0f", maxCallsPerSecond)
 	}
 	cancel()
 	all.Wait()
--- a/internal/proxy/dispatch/endpoints_test.go
+++ b/internal/proxy/dispatch/endpoints_test.go
@@ -50,7 +50,7 @@
 			if d.TakeIdle("a") != nil {
 				t.Error("an idle connection is used")
 			}
-			to := func(decision Decision) {
+			checkNotSent := func(decision Decision) {
 				if decision.Action == SendAttempt && decision.Server == "a" {
 					t.Errorf("attempt %d is sent there", decision.Attempt)
 				}
@@ -81,7 +81,7 @@
 						}
 						request.ready <- struct{}{}
 						decision := request.NextDecision(func() {})
-						if to(decision); decision.Action != SendAttempt {
+						if checkNotSent(decision); decision.Action != SendAttempt {
 							break
 						}
 						d.onTimer()
@@ -97,14 +97,14 @@
 			}
 			for range 10 {
 				if request := submit(d); request != nil {
-					to(request.pending)
+					checkNotSent(request.pending)
 				}
 			}
 			for range 10 { // queued requests are dequeued
 				d.onTimer()
 			}
 			for _, request := range waiting {
-				to(request.pending)
+				checkNotSent(request.pending)
 			}
 		})
 	}
--- a/internal/proxy/dispatch/hedge_test.go
+++ b/internal/proxy/dispatch/hedge_test.go
@@ -13,26 +13,26 @@
 
 // hedgingDecider sends each request to the first server, and a hedged attempt to the second when the timer fires while the
 // first is in flight.
-type hedgingDecider struct{ out [][]bool }
+type hedgingDecider struct{ inFlight [][]bool } // by request and attempt
 
-func (m *hedgingDecider) Handle(_ time.Duration, in *policy.Input, e []policy.Effect) []policy.Effect {
+func (decider *hedgingDecider) Handle(_ time.Duration, in *policy.Input, e []policy.Effect) []policy.Effect {
 	switch in.Kind {
 	case policy.RequestArrived:
-		m.out = append(m.out, []bool{true})
+		decider.inFlight = append(decider.inFlight, []bool{true})
 		return append(e, policy.Effect{Kind: policy.SendAttempt, Request: in.Request, Server: 0, Duration: time.Hour})
 	case policy.TimerFired:
-		for request := range m.out {
-			if len(m.out[request]) == 1 && m.out[request][0] {
-				m.out[request] = append(m.out[request], true)
+		for request := range decider.inFlight {
+			if len(decider.inFlight[request]) == 1 && decider.inFlight[request][0] {
+				decider.inFlight[request] = append(decider.inFlight[request], true)
 				e = append(e, policy.Effect{Kind: policy.SendAttempt, Request: request, Server: 1, Duration: time.Hour})
 			}
 		}
 	case policy.AttemptEnded:
-		if m.out[in.Request][in.Attempt] = false; !in.ClientAnswered && !slices.Contains(m.out[in.Request], true) {
+		if decider.inFlight[in.Request][in.Attempt] = false; !in.ClientAnswered && !slices.Contains(decider.inFlight[in.Request], true) {
 			return append(e, policy.Effect{Kind: policy.Fail, Request: in.Request})
 		}
 	case policy.ClientLeft:
-		clear(m.out[in.Request])
+		clear(decider.inFlight[in.Request])
 	}
 	return e
 }
@@ -42,8 +42,8 @@
 func TestHedgedAttempts(t *testing.T) {
 	const first, hedged, disconnect = 0, 1, 2
 	type step struct {
-		what int
-		how  AttemptResult
+		event  int
+		result AttemptResult
 	}
 	for name, c := range map[string]struct {
 		steps    []step
@@ -83,13 +83,13 @@
 				t.Fatal("not to be written")
 			}
 			for _, s := range c.steps {
-				switch s.what {
+				switch s.event {
 				case disconnect:
 					request.ClientDisconnected()
 				case first:
-					request.AttemptEnded(decision.Attempt, s.how, []byte("first"))
+					request.AttemptEnded(decision.Attempt, s.result, []byte("first"))
 				case hedged:
-					request.AttemptEnded(hedge.Attempt, s.how, []byte("hedge"))
+					request.AttemptEnded(hedge.Attempt, s.result, []byte("hedge"))
 				}
 			}
 			last := request.NextDecision(func() {})
--- a/internal/proxy/dispatch/quotas_test.go
+++ b/internal/proxy/dispatch/quotas_test.go
@@ -50,7 +50,7 @@
 	}
 	d.SetQuotas(map[string]float64{"b": 3})
 	if !slices.Equal(module.changed, []policy.Quota{{Tenant: 1, PerSecond: 3}}) || s.TenantQuotas[1] != 2 {
-		t.Errorf("quotaRecorder %v, the settings are %v", module.changed, s.TenantQuotas)
+		t.Errorf("quotas %v, the settings are %v", module.changed, s.TenantQuotas)
 	}
 	module.changed = nil
 	before := submit("c")
@@ -61,14 +61,14 @@
 		got[c.Tenant] = c.PerSecond
 	}
 	if !maps.Equal(got, want) || len(module.changed) != 2 {
-		t.Errorf("quotaRecorder %v, want %v", module.changed, want)
+		t.Errorf("quotas changed to %v, want %v", module.changed, want)
 	}
 	if at := []int{submit("a"), submit("b"), submit("c"), submit("bad")}; before != 2 || !slices.Equal(at, []int{0, 1, 2, 3}) {
 		t.Errorf("an unknown tenant was %d; then they are %v", before, at)
 	}
 	d.SetQuotas(map[string]float64{"b": 5})
 	if len(module.changed) != 2 {
-		t.Error("quotaRecorder what has not changed")
+		t.Error("the decision module gets a quota that has not changed")
 	}
 	reported := map[string]float64{}
 	for _, tenant := range d.Report().Tenants {
--- a/internal/proxy/dispatch/report_test.go
+++ b/internal/proxy/dispatch/report_test.go
@@ -49,7 +49,10 @@
 
 // A report names the tenants with requests since the last one, however many others there are.
 func TestReportNamesTenantsWithTraffic(t *testing.T) {
-	const tenants, most = 50_000, 200 // limit in bytes of a report of three tenants
+	const (
+		tenants       = 50_000
+		maxFrameBytes = 200 // of a report of three tenants
+	)
 	d, _ := withTenants(t, tenants)
 	for i, tenant := range []int{7, 40_000, 7, 0, 12, tenants} { // the first tenant has no quota, the last is unknown
 		d.Submit(Arrival{ID: fmt.Append(nil, "r", i), Tenant: fmt.Append(nil, "t", tenant), RouteIndex: -1, Timeout: time.Hour})
@@ -65,7 +68,7 @@
 	if r.Settings.TotalAllowance != tenants-1 {
 		t.Errorf("the allowances of all are %g", r.Settings.TotalAllowance)
 	}
-	if frame, err := planwire.Append(nil, planwire.ReportKind, r); err != nil || len(frame) > most {
+	if frame, err := planwire.Append(nil, planwire.ReportKind, r); err != nil || len(frame) > maxFrameBytes {
 		t.Errorf("%d bytes, %v", len(frame), err)
 	}
 	if r := d.Report(); len(r.Tenants) != 0 {
