--- a/cmd/testbed/distribution.go
+++ b/cmd/testbed/distribution.go
@@ -34,9 +34,9 @@
 			fmt.Fprintln(w, "fault\tin force at the last node, median\tslowest change\twent back")
 			failed := false
 			err = d.Run(c.Context(), func(r testbed.DistributionRow) {
-				fmt.Fprintf(c.ErrOrStderr(), "%s: %s\n", r.Fault, r.Last.Round(time.Millisecond))
-				fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", r.Fault, r.Median.Round(time.Millisecond), r.Last.Round(time.Millisecond), r.Back)
-				failed = failed || r.Last > distributedWithin || r.Back > 0
+				fmt.Fprintf(c.ErrOrStderr(), "%s: %s\n", r.Fault, r.Max.Round(time.Millisecond))
+				fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", r.Fault, r.Median.Round(time.Millisecond), r.Max.Round(time.Millisecond), r.Rollbacks)
+				failed = failed || r.Max > distributedWithin || r.Rollbacks > 0
 			})
 			w.Flush()
 			if err == nil && failed {
--- a/cmd/testbed/journal.go
+++ b/cmd/testbed/journal.go
@@ -51,7 +51,7 @@
 			}
 			j := out.Journal
 			fmt.Fprintf(c.OutOrStdout(), "%d kills in %s, promise %s: %d entries, %d dockets, %d possibly sent, %d of them not settled by dockets, %d words in gaps\n",
-				n, s.Length.Std(), promise, j.Entries, j.Ran, j.Possibly, j.Open, j.Gaps)
+				n, s.Length.Std(), promise, j.Entries, j.Ran, j.PossiblySent, j.Open, j.Gaps)
 			for _, r := range out.Rules {
 				if r.Violations > 0 {
 					fmt.Fprintf(c.OutOrStdout(), "broken %d times: %s: %s\n", r.Violations, r.Name, r.FirstViolation)
@@ -92,7 +92,7 @@
 				if err != nil {
 					return err
 				}
-				if out.Late.IsBehind {
+				if out.Lateness.IsBehind {
 					return errors.Join(errors.New("the generator fell behind"), exit(exitInvalid))
 				}
 				var cells [2][3]float64
@@ -113,10 +113,10 @@
 				}
 				linked := 0.0
 				if out.Journal.Entries > 0 {
-					linked = float64(out.Journal.Linked) / float64(out.Journal.Entries)
+					linked = float64(out.Journal.PeerBytes) / float64(out.Journal.Entries)
 				}
 				fmt.Fprintf(t, "%s\t%.4f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\t%.0f\t%.0f\t\n", promise, out.ServiceShare(), cells[1][0], cells[1][1], cells[1][2], cells[0][0],
-					cells[0][1], out.Use.CPU.Seconds(), each, linked)
+					cells[0][1], out.NodeUsage.CPU.Seconds(), each, linked)
 			}
 			return t.Flush()
 		}}
@@ -146,13 +146,13 @@
 				if err != nil {
 					return err
 				}
-				if out.Late.IsBehind {
+				if out.Lateness.IsBehind {
 					return errors.Join(errors.New("the generator fell behind"), exit(exitInvalid))
 				}
 				for _, k := range out.ByType {
 					if k.Name == "hire-book" {
 						fmt.Fprintf(t, "%d\t%.1f\t%.4f\t%.1f\t%.1f\t%.1f\t\n", before, out.Journal.RecoverySeconds, out.ServiceShare(), float64(k.Latency.ValueAtQuantile(50))/1000,
-							float64(k.Latency.ValueAtQuantile(99))/1000, out.Use.CPU.Seconds())
+							float64(k.Latency.ValueAtQuantile(99))/1000, out.NodeUsage.CPU.Seconds())
 					}
 				}
 				for _, r := range out.Rules {
--- a/cmd/testbed/losses.go
+++ b/cmd/testbed/losses.go
@@ -108,7 +108,7 @@
 	l.sum.Cycles += j.Cycles
 	l.sum.Entries += j.Entries
 	l.sum.Ran += j.Ran
-	l.sum.Possibly += j.Possibly
+	l.sum.PossiblySent += j.PossiblySent
 	l.sum.Open += j.Open
 	l.sum.Gaps += j.Gaps
 	for _, r := range out.Rules {
@@ -123,7 +123,7 @@
 // tell prints the sum, and fails where a rule was broken.
 func (l *losses) print(out io.Writer) (err error) {
 	fmt.Fprintf(out, "%d machines lost in %d cycles, promise %s: %d entries, %d dockets, %d possibly sent, %d of them not settled by dockets, %d words in gaps\n",
-		l.sum.Losses, l.sum.Cycles, l.promise, l.sum.Entries, l.sum.Ran, l.sum.Possibly, l.sum.Open, l.sum.Gaps)
+		l.sum.Losses, l.sum.Cycles, l.promise, l.sum.Entries, l.sum.Ran, l.sum.PossiblySent, l.sum.Open, l.sum.Gaps)
 	for name, n := range l.broken {
 		if n > 0 {
 			fmt.Fprintf(out, "broken %d times: %s: %s\n", n, name, l.worst[name])
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -172,7 +172,7 @@
 	if f.policy != "" {
 		name = f.policy
 	}
-	return testbed.Options{Scenario: s, Requests: ops, Command: command, Planner: []string{self, planCommand}, Keep: f.keep,
+	return testbed.Options{Scenario: s, Requests: ops, Command: command, Planner: []string{self, planCommand}, Directory: f.keep,
 		Env: []string{policyVar + "=" + f.policy}}, name, nil
 }
 
@@ -181,8 +181,8 @@
 	s := o.Scenario
 	play := func(other *scenario.Scenario, suffix, name string) error {
 		o := o
-		if o.Scenario = other; o.Keep != "" {
-			o.Keep += "-" + suffix
+		if o.Scenario = other; o.Directory != "" {
+			o.Directory += "-" + suffix
 		}
 		one, err := once(ctx, o, name)
 		if err == nil {
@@ -255,8 +255,8 @@
 	for i, name := range names {
 		o := o
 		o.Scenario, o.Progress = o.Scenario.Paired(i != 1, i != 0), nil
-		if o.Keep != "" {
-			o.Keep = fmt.Sprint(o.Keep, "-", i+1)
+		if o.Directory != "" {
+			o.Directory = fmt.Sprint(o.Directory, "-", i+1)
 		}
 		wg.Go(func() { reports[i], faults[i] = once(ctx, o, name) })
 	}
@@ -283,7 +283,7 @@
 	var wg sync.WaitGroup
 	for i, name := range policies {
 		o := o
-		o.Command, o.Env, o.Keep = []string{self, nodeCommand}, []string{policyVar + "=" + name}, ""
+		o.Command, o.Env, o.Directory = []string{self, nodeCommand}, []string{policyVar + "=" + name}, ""
 		if i > 0 {
 			o.Progress = nil
 		}
--- a/cmd/testbed/steps.go
+++ b/cmd/testbed/steps.go
@@ -98,7 +98,7 @@
 			verdict, r.bad = fmt.Sprintf("%s broken %d times: %s", rule.Name, rule.Violations, rule.FirstViolation), true
 		}
 	}
-	r.line = fmt.Sprintf("%s\t%d\t%d\t%.4f\t%s", r.name, out.Journal.Ran, out.Journal.Possibly, out.ServiceShare(), verdict)
+	r.line = fmt.Sprintf("%s\t%d\t%d\t%.4f\t%s", r.name, out.Journal.Ran, out.Journal.PossiblySent, out.ServiceShare(), verdict)
 	return nil
 }
 
--- a/cmd/testbed/tools.go
+++ b/cmd/testbed/tools.go
@@ -171,7 +171,7 @@
 	s.Nodes.Count, s.Servers = 0, nil
 	to := l.to
 	if to == "self" {
-		address, stop, err := testbed.Instant()
+		address, stop, err := testbed.StartInstantServer()
 		defer stop()
 		if err != nil {
 			return err
@@ -180,7 +180,7 @@
 	}
 	g := &load.Generator{Scenario: s, Requests: ops, Progress: progress(c.ErrOrStderr(), s.Length.Std())}
 	late := g.Run(c.Context(), time.Now(), load.FixedEndpoint(to), load.NopWatcher{})
-	r := report.New(s, to, ops, &testbed.Outcome{Result: g.Result, Late: late})
+	r := report.New(s, to, ops, &testbed.Outcome{Result: g.Result, Lateness: late})
 	r.Text(c.OutOrStdout())
 	if l.json != "" {
 		if err := r.Save(l.json); err != nil {
@@ -209,7 +209,7 @@
 				return err
 			}
 			r := capacity.Path{Command: commandLine(c), At: time.Now().UTC().Truncate(time.Second), Machine: machine}
-			r.Rows, err = testbed.Bench(c.Context(), testbed.BenchOptions{Command: []string{self, nodeCommand}, Each: each,
+			r.Rows, err = testbed.Bench(c.Context(), testbed.BenchOptions{Command: []string{self, nodeCommand}, Duration: each,
 				Env: []string{profileVar + "=" + profile}, Connections: conns, Rates: rates})
 			if err != nil {
 				return err
@@ -222,8 +222,8 @@
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(t, "connections\tway\ta second\tp50 us\tp99 us\tdenied\tnode CPU us each\t")
 			for _, r := range r.Rows {
-				fmt.Fprintf(t, "%d\t%s\t%.0f\t%d\t%d\t%d\t%.1f\t\n", r.Connections, r.Way, r.PerSecond, r.P50.Microseconds(), r.P99.Microseconds(),
-					r.Denied, r.CPUEach)
+				fmt.Fprintf(t, "%d\t%s\t%.0f\t%d\t%d\t%d\t%.1f\t\n", r.Connections, r.Route, r.PerSecond, r.P50.Microseconds(), r.P99.Microseconds(),
+					r.Rejected, r.CPUMicroseconds)
 			}
 			return t.Flush()
 		}}
--- a/internal/testbed/badclients.go
+++ b/internal/testbed/badclients.go
@@ -12,21 +12,21 @@
 	"fernvane/internal/testbed/scenario"
 )
 
-const owedWithin = 3 * time.Second // an error or a close, counted from the connection
+const badClientTimeout = 3 * time.Second // for an error or a close, from the connection
 
-// badClients counts clients that send what cannot be read.
-type badClients struct {
+// badClientCount counts the clients that sent malformed input.
+type badClientCount struct {
 	mu sync.Mutex
 	n  int
 }
 
-func (b *badClients) count() int {
+func (b *badClientCount) count() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.n
 }
 
-// malformed is what such clients send. Where an answer is due it must be no success.
+// malformed is what bad clients send. An answer must not be a success.
 var malformed = []struct{ name, text string }{
 	{"no HTTP", "hello\r\n\r\n"},
 	{"noise", "\x00\xff\x16\x03\x01\x02\r\n\r\n"},
@@ -42,38 +42,39 @@
 	{"nothing", ""},
 }
 
-// sendMalformed has clients connect to all nodes in turn, so many a second, each sending something else.
-func (w *world) sendMalformed(f *scenario.Fault) {
-	w.wg.Go(func() {
+// sendMalformed connects clients to all nodes in turn, at the fault's rate, each with other malformed input.
+func (env *environment) sendMalformed(f *scenario.Fault) {
+	env.wg.Go(func() {
 		every := time.NewTicker(time.Duration(float64(time.Second) / f.Size))
 		defer every.Stop()
 		until := time.After(f.For.Std())
 		for i := 0; ; i++ {
 			select {
-			case <-w.stopped:
+			case <-env.stopped:
 				return
 			case <-until:
 				return
 			case <-every.C:
 			}
-			w.wg.Go(func() { w.sendOneMalformed(i) })
+			env.wg.Go(func() { env.sendOneMalformed(i) })
 		}
 	})
 }
 
-func (w *world) sendOneMalformed(i int) {
+// sendOneMalformed runs the i-th bad client and reports to the audit if it gets neither an error nor a close in time.
+func (env *environment) sendOneMalformed(i int) {
 	r := malformed[i%len(malformed)]
-	n := (i / len(malformed)) % len(w.nodes)
+	n := (i / len(malformed)) % len(env.nodes)
 	began := time.Now()
-	c, err := net.DialTimeout("tcp", w.nodeAddress(n), owedWithin)
+	c, err := net.DialTimeout("tcp", env.nodeAddress(n), badClientTimeout)
 	if err != nil {
-		return // a node that is away owes nothing
+		return // the node is stopped
 	}
 	defer c.Close()
-	w.badClients.mu.Lock()
-	w.badClients.n++
-	w.badClients.mu.Unlock()
-	c.SetDeadline(began.Add(owedWithin + w.Scenario.Rules.Slack.Std()))
+	env.badClients.mu.Lock()
+	env.badClients.n++
+	env.badClients.mu.Unlock()
+	c.SetDeadline(began.Add(badClientTimeout + env.Scenario.Rules.Slack.Std()))
 	text := r.text
 	if strings.Contains(text, "%") {
 		text = fmt.Sprintf(text, fmt.Sprintf("ffff%012x", i))
@@ -87,15 +88,16 @@
 	case strings.HasPrefix(answer, "HTTP/1.1 4"), strings.HasPrefix(answer, "HTTP/1.1 5"):
 	case got > 0:
 		why = fmt.Sprintf("%s: answered %q", r.name, answer)
-	case time.Since(began) > owedWithin && err != nil && isTimeout(err):
-		why = fmt.Sprintf("%s: neither an error nor a close in %s", r.name, owedWithin)
+	case time.Since(began) > badClientTimeout && err != nil && isTimeout(err):
+		why = fmt.Sprintf("%s: neither an error nor a close in %s", r.name, badClientTimeout)
 	}
 	if why != "" {
-		w.observer.record(func(a *audit.Audit, _ time.Duration) { a.BadClientUnanswered(fmt.Sprintf("node %d: %s", n, why)) })
+		env.observer.record(func(a *audit.Audit, _ time.Duration) { a.BadClientUnanswered(fmt.Sprintf("node %d: %s", n, why)) })
 	}
 }
 
+// isTimeout reports whether an error is a timeout of the network.
 func isTimeout(err error) bool {
-	late, ok := err.(net.Error)
-	return ok && late.Timeout()
+	netErr, ok := err.(net.Error)
+	return ok && netErr.Timeout()
 }
--- a/internal/testbed/bench.go
+++ b/internal/testbed/bench.go
@@ -22,30 +22,30 @@
 	"fernvane/internal/testbed/standin/connbalancer"
 )
 
-const benchServers = 8 // that answer at once
+const benchServers = 8
 
-// BenchOptions of a comparison of one node with going direct.
+// BenchOptions of a comparison of one node with direct requests.
 type BenchOptions struct {
 	Command     []string // runs one node
 	Env         []string
-	Connections []int // how many clients ask at a time, one after the other
-	Each        time.Duration
-	Rates       []float64 // requests a second, each with each number of clients; none: as fast as answers come
+	Connections []int // numbers of concurrent clients to measure with
+	Duration    time.Duration
+	Rates       []float64 // requests per second, each with each number of clients; none: closed loop
 }
 
-// BenchRow is one measurement. CPUEach is the node's CPU time for a request, in microseconds.
+// BenchRow is one measurement.
 type BenchRow struct {
-	Connections int           `json:"connections"`
-	Rate        float64       `json:"rate,omitempty"` // that was asked for; 0: none
-	Way         string        `json:"way"`
-	PerSecond   float64       `json:"per_second"`
-	P50         time.Duration `json:"p50_ns"`
-	P99         time.Duration `json:"p99_ns"`
-	Denied      int           `json:"denied"`
-	CPUEach     float64       `json:"cpu_us_each"`
+	Connections     int           `json:"connections"`
+	Rate            float64       `json:"rate,omitempty"` // offered requests per second; 0: closed loop
+	Route           string        `json:"way"`
+	PerSecond       float64       `json:"per_second"`
+	P50             time.Duration `json:"p50_ns"`
+	P99             time.Duration `json:"p99_ns"`
+	Rejected        int           `json:"rejected"`
+	CPUMicroseconds float64       `json:"cpu_us_each"`
 }
 
-// Bench has clients ask one after the other (closed loop) by way of a node and directly, in turn, against servers that
+// Bench measures clients that send one request after the other through a node and directly, in turn, against servers that
 // answer at once.
 func Bench(ctx context.Context, o BenchOptions) (rows []BenchRow, err error) {
 	dir, err := os.MkdirTemp("", "testbed-")
@@ -58,57 +58,57 @@
 		return nil, err
 	}
 	s.Nodes.Count, s.Sites = 1, []string{"one"}
-	for i := range s.Types { // no window of the module is to bind
+	for i := range s.Types { // so that no timeout limits the load
 		s.Types[i].Target, s.Types[i].Abandon = scenario.Span(2*time.Second), scenario.Span(3*time.Second)
 	}
-	w := &world{Options: Options{Scenario: s}, processes: newProcessManager()}
-	defer close(w.processes.starts)
-	if err := w.reserve(); err != nil {
+	env := &environment{Options: Options{Scenario: s}, processes: newProcessManager()}
+	defer close(env.processes.commands)
+	if err := env.reserveNetwork(); err != nil {
 		return nil, err
 	}
-	defer w.lock.Close()
-	members, addresses, closeAll, err := instant(benchServers)
+	defer env.networkLock.Close()
+	members, addresses, closeAll, err := startInstantServers(benchServers)
 	defer closeAll()
 	if err != nil {
 		return nil, err
 	}
 	known, _ := json.Marshal(object{"revision": 1, "complete": true, "members": members})
 	p := &process{command: o.Command, env: o.Env, dir: dir}
-	at := w.nodeAddress(0)
-	if err := p.configure(s, at, w.discoveryAddress(0, 0), "1", known); err != nil {
+	at := env.nodeAddress(0)
+	if err := p.writeConfig(s, at, env.discoveryAddress(0, 0), "1", known); err != nil {
 		return nil, err
 	}
-	died := make(chan string, 1)
-	if err := p.start(w.processes, func(why string) { died <- why }); err != nil {
+	crashed := make(chan string, 1)
+	if err := p.start(env.processes, func(why string) { crashed <- why }); err != nil {
 		return nil, err
 	}
-	defer p.end(syscall.SIGTERM)
-	f := connbalancer.New(1, []connbalancer.Node{{Address: at}})
-	up, cancel := context.WithTimeout(ctx, maxStartTime)
+	defer p.stop(syscall.SIGTERM)
+	balancer := connbalancer.New(1, []connbalancer.Node{{Address: at}})
+	ready, cancel := context.WithTimeout(ctx, maxStartTime)
 	defer cancel()
-	if err := f.Started(up, 0); err != nil {
+	if err := balancer.Started(ready, 0); err != nil {
 		return nil, err
 	}
-	if rows, err = measureWays(ctx, o, p, at, addresses); err != nil {
+	if rows, err = measureAll(ctx, o, p, at, addresses); err != nil {
 		return nil, err
 	}
 	select {
-	case why := <-died:
+	case why := <-crashed:
 		return nil, errors.New("the node has ended: " + why)
 	default:
 		return rows, nil
 	}
 }
 
-// measureWays measures the direct way and the one by the node, for each number of connections.
-func measureWays(ctx context.Context, o BenchOptions, p *process, node string, servers []string) (rows []BenchRow, err error) {
+// measureAll measures both routes for each number of connections and each rate.
+func measureAll(ctx context.Context, o BenchOptions, p *process, node string, servers []string) (rows []BenchRow, err error) {
 	rates := o.Rates
 	if len(rates) == 0 {
 		rates = []float64{0}
 	}
 	for _, n := range o.Connections {
 		for _, rate := range rates {
-			both, err := bothWays(ctx, p, clients{n: n, each: o.Each, rate: rate}, servers, node)
+			both, err := measureBoth(ctx, p, benchClients{count: n, duration: o.Duration, rate: rate}, servers, node)
 			if err != nil {
 				return nil, err
 			}
@@ -118,27 +118,27 @@
 	return rows, nil
 }
 
-// bothWays has clients ask the servers directly, and then the node.
-func bothWays(ctx context.Context, p *process, c clients, servers []string, node string) (rows []BenchRow, err error) {
-	for _, way := range []struct {
+// measureBoth measures the same clients directly and through the node.
+func measureBoth(ctx context.Context, p *process, c benchClients, servers []string, node string) (rows []BenchRow, err error) {
+	for _, route := range []struct {
 		name string
 		to   []string
 	}{{"direct", servers}, {"node", []string{node}}} {
 		before := p.cpu()
-		row, err := c.ask(ctx, way.to)
+		row, err := c.run(ctx, route.to)
 		if err != nil {
 			return nil, err
 		}
-		row.Way = way.name
-		if way.name == "node" {
-			row.CPUEach = float64((p.cpu() - before).Microseconds()) / (row.PerSecond * c.each.Seconds())
+		row.Route = route.name
+		if route.name == "node" {
+			row.CPUMicroseconds = float64((p.cpu() - before).Microseconds()) / (row.PerSecond * c.duration.Seconds())
 		}
 		rows = append(rows, row)
 	}
 	return rows, nil
 }
 
-// cpu is the time that the running process has used so far, by what the system keeps of it.
+// cpu returns the CPU time that the running process has used.
 func (p *process) cpu() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,17 +152,17 @@
 	return time.Duration(user+system) * 10 * time.Millisecond // a clock tick of the system
 }
 
-// Instant starts a server that answers at once, for a generator to be measured with.
-func Instant() (address string, stop func(), err error) {
-	_, addresses, stop, err := instant(1)
+// StartInstantServer starts a server that answers at once, for measuring a load generator. stop must be called.
+func StartInstantServer() (address string, stop func(), err error) {
+	_, addresses, stop, err := startInstantServers(1)
 	if err != nil {
 		return "", stop, err
 	}
 	return addresses[0], stop, nil
 }
 
-// instant starts servers that answer at once.
-func instant(n int) (members []object, addresses []string, closeAll func(), err error) {
+// startInstantServers starts n servers that answer at once. closeAll must be called, after an error too.
+func startInstantServers(n int) (members []object, addresses []string, closeAll func(), err error) {
 	var listeners []net.Listener
 	closeAll = func() {
 		for _, l := range listeners {
@@ -189,7 +189,7 @@
 					c := http1.NewConn(nc)
 					var req http1.Request
 					for c.ReadRequest(&req) == nil {
-						if whole, _ := c.Send(answer); !whole {
+						if isComplete, _ := c.Send(answer); !isComplete {
 							return
 						}
 					}
@@ -200,32 +200,33 @@
 	return members, addresses, closeAll, nil
 }
 
-// clients ask one after the other, each as soon as it has its answer, or at its moments of an even rate of all.
-type clients struct {
-	n    int
-	each time.Duration
-	rate float64 // a second, of all together; 0: as fast as answers come
+// benchClients are concurrent clients, each with one request at a time: the next follows when the answer came or, with a
+// rate, when it is due.
+type benchClients struct {
+	count    int
+	duration time.Duration
+	rate     float64 // requests per second of all clients; 0: closed loop
 }
 
-// moment is when a client is due with its k-th request.
-func (c clients) moment(began time.Time, client, k int) time.Time {
-	return began.Add(time.Duration(float64(k*c.n+client) / c.rate * float64(time.Second)))
+// dueAt returns when the k-th request of a client is due.
+func (c benchClients) dueAt(startedAt time.Time, client, k int) time.Time {
+	return startedAt.Add(time.Duration(float64(k*c.count+client) / c.rate * float64(time.Second)))
 }
 
-// ask has them ask for a while.
-func (c clients) ask(ctx context.Context, to []string) (BenchRow, error) {
-	began := time.Now()
+// run runs the clients for their duration and sums up.
+func (c benchClients) run(ctx context.Context, to []string) (BenchRow, error) {
+	startedAt := time.Now()
 	var mu sync.Mutex
 	var all []time.Duration
-	denied := 0
+	rejected := 0
 	g, ctx := errgroup.WithContext(ctx)
-	for i := range c.n {
+	for i := range c.count {
 		g.Go(func() error {
-			mine, turned, err := c.one(ctx, began, i, to[i%len(to)])
+			latencies, rejections, err := c.runOne(ctx, startedAt, i, to[i%len(to)])
 			mu.Lock()
 			defer mu.Unlock()
-			all = append(all, mine...)
-			denied += turned
+			all = append(all, latencies...)
+			rejected += rejections
 			return err
 		})
 	}
@@ -236,13 +237,13 @@
 	if len(all) == 0 {
 		return BenchRow{}, errors.New("nothing was answered")
 	}
-	return BenchRow{Connections: c.n, Rate: c.rate, PerSecond: float64(len(all)) / c.each.Seconds(), P50: all[len(all)/2], P99: all[len(all)*99/100],
-		Denied: denied}, nil
+	return BenchRow{Connections: c.count, Rate: c.rate, PerSecond: float64(len(all)) / c.duration.Seconds(), P50: all[len(all)/2], P99: all[len(all)*99/100],
+		Rejected: rejected}, nil
 }
 
-// one is the life of a client. With a rate, an answer that comes after the next request was due delays that one, and the
-// delay counts: latency is that from the moment it was due.
-func (c clients) one(ctx context.Context, start time.Time, client int, to string) (took []time.Duration, denied int, err error) {
+// runOne runs one client and returns the latency of each request and the number of rejected ones. With a rate, latency
+// counts from when the request was due, so an answer that delays the next request adds to that one's latency.
+func (c benchClients) runOne(ctx context.Context, start time.Time, client int, to string) (took []time.Duration, rejected int, err error) {
 	nc, err := net.Dial("tcp", to)
 	if err != nil {
 		return nil, 0, err
@@ -250,35 +251,35 @@
 	defer func() { nc.Close() }()
 	conn := http1.NewConn(nc)
 	var r http1.Response
-	for k := 0; time.Since(start) < c.each && ctx.Err() == nil; k++ {
-		began := time.Now()
+	for k := 0; time.Since(start) < c.duration && ctx.Err() == nil; k++ {
+		startedAt := time.Now()
 		if c.rate > 0 {
-			due := c.moment(start, client, k)
+			due := c.dueAt(start, client, k)
 			if wait := time.Until(due); wait > 0 {
 				time.Sleep(wait)
-				began = time.Now()
+				startedAt = time.Now()
 			} else {
-				began = due
+				startedAt = due
 			}
 		}
 		b := append(conn.Scratch(), "GET /hire-check/1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: "...)
 		b = load.AppendID(b, uint64(client+1)<<32|uint64(k))
 		if _, err := conn.Send(append(b, "\r\nRequest-Timeout: 2.000\r\n\r\n"...)); err != nil {
-			return took, denied, err
+			return took, rejected, err
 		}
 		if err := conn.ReadResponse(&r, http1.MaxAnswer); err != nil {
-			return took, denied, err
+			return took, rejected, err
 		}
-		if took = append(took, time.Since(began)); r.Status != 200 {
-			denied++
+		if took = append(took, time.Since(startedAt)); r.Status != 200 {
+			rejected++
 		}
 		if r.Close {
 			nc.Close()
 			if nc, err = net.Dial("tcp", to); err != nil {
-				return took, denied, err
+				return took, rejected, err
 			}
 			conn = http1.NewConn(nc)
 		}
 	}
-	return took, denied, nil
+	return took, rejected, nil
 }
--- a/internal/testbed/brokennode.go
+++ b/internal/testbed/brokennode.go
@@ -5,8 +5,8 @@
 	"fernvane/internal/testbed/baseline"
 )
 
-// Configure puts a policy of package baseline in a node's configuration, by its name, and with one that breaks a rule on purpose the
-// parts of the node that would keep the rule. ok is false where there is no such policy.
+// Configure sets a policy of package baseline in a node's configuration, by its name. For one that breaks a rule on
+// purpose it also replaces the parts of the node that would keep the rule. ok is false if there is no such policy.
 func Configure(cfg *proxy.Config, policyName string) (ok bool) {
 	if cfg.NewPolicy, ok = baseline.Find(policyName); !ok {
 		return false
@@ -22,7 +22,7 @@
 	return true
 }
 
-// noDrainGuard lets attempts go to servers that left long ago.
+// noDrainGuard allows attempts at servers whose drain grace has passed.
 type noDrainGuard struct{}
 
 func (noDrainGuard) IsPastDrainGrace(string) bool { return false }
--- a/internal/testbed/build.go
+++ b/internal/testbed/build.go
@@ -19,105 +19,109 @@
 	"fernvane/internal/testbed/standin/server"
 )
 
-// build starts servers, discovery and nodes.
-func (w *world) build(ctx context.Context) error {
-	if err := w.reserve(); err != nil {
+// build starts servers, discovery and nodes and returns when the connection balancer knows all nodes.
+func (env *environment) build(ctx context.Context) error {
+	if err := env.reserveNetwork(); err != nil {
 		return err
 	}
-	s := w.Scenario
-	w.observer = newObserver(s, w.Requests, w.start)
-	w.discovery = discovery.New(discovery.Figures{LinesPerS: s.Discovery.LinesPerS, CallLines: s.Discovery.CallLines,
-		Timeout: s.Discovery.Timeout.Std(), Spread: s.Discovery.Spread.Std()}, s.Seed, discovered{w.observer})
+	s := env.Scenario
+	env.observer = newObserver(s, env.Requests, env.start)
+	env.discovery = discovery.New(discovery.Figures{LinesPerS: s.Discovery.LinesPerS, CallLines: s.Discovery.CallLines,
+		Timeout: s.Discovery.Timeout.Std(), Spread: s.Discovery.Spread.Std()}, s.Seed, discovered{env.observer})
 	for i := range s.Servers {
 		for n := range s.Servers[i].Count {
-			m, err := w.add(&s.Servers[i], fmt.Sprintf("%s-%d", s.Servers[i].Kind, n))
+			m, err := env.addServer(&s.Servers[i], fmt.Sprintf("%s-%d", s.Servers[i].Kind, n))
 			if err != nil {
 				return err
 			}
-			w.announce(m, discovery.Serving, 0, time.Time{})
+			env.announce(m, discovery.Serving, 0, time.Time{})
 		}
 	}
 	var nodes []connbalancer.Node
 	for n := range s.Nodes.Count {
-		nodes = append(nodes, connbalancer.Node{Site: n % len(s.Sites), Address: w.nodeAddress(n), FastCGI: w.cgiAddress(n)})
+		nodes = append(nodes, connbalancer.Node{Site: n % len(s.Sites), Address: env.nodeAddress(n), FastCGI: env.fastCGIAddress(n)})
 	}
-	w.balancer = connbalancer.New(len(s.Sites), nodes)
-	if err := w.serveDiscovery(); err != nil {
+	env.balancer = connbalancer.New(len(s.Sites), nodes)
+	if err := env.serveDiscovery(); err != nil {
 		return err
 	}
 	ready, cancel := context.WithTimeoutCause(ctx, maxStartTime, errors.New("the nodes take too long to start"))
 	defer cancel()
 	g, ready := errgroup.WithContext(ready)
-	g.SetLimit(startAtOnce)
+	g.SetLimit(maxConcurrentStarts)
 	for n := range s.Nodes.Count {
-		w.nodes = append(w.nodes, &process{number: n, command: w.Command, env: w.Env, dir: w.Keep})
+		env.nodes = append(env.nodes, &process{number: n, command: env.Command, env: env.Env, dir: env.Directory})
 	}
-	if err := w.operator(0); err != nil {
+	if err := env.writeOperatorFiles(0); err != nil {
 		return err
 	}
-	if err := w.plan(); err != nil {
+	if err := env.startPlanners(); err != nil {
 		return err
 	}
-	if err := w.journals(); err != nil {
+	if err := env.setUpJournals(); err != nil {
 		return err
 	}
-	if err := w.tier(); err != nil {
+	if err := env.setUpPeers(); err != nil {
 		return err
 	}
-	if err := w.enrols(); err != nil {
+	if err := env.startRegistry(); err != nil {
 		return err
 	}
-	if err := w.keepLists(); err != nil {
+	if err := env.setUpSnapshots(); err != nil {
 		return err
 	}
 	for n := range s.Nodes.Count {
 		g.Go(func() error {
-			if err := w.configure(n); err != nil {
+			if err := env.writeNodeConfig(n); err != nil {
 				return err
 			}
-			return w.launch(ready, n)
+			return env.startNode(ready, n)
 		})
 	}
 	return g.Wait()
 }
 
 // reserve finds a net of the loopback range that no other lab uses.
-func (w *world) reserve() (err error) {
+func (env *environment) reserveNetwork() (err error) {
 	from := os.Getpid()
-	for i := range lastNet - firstNet {
-		r := firstNet + (from+i)%(lastNet-firstNet)
-		if w.lock, err = net.Listen("tcp", fmt.Sprintf("127.%d.254.254:%d", r, serverPort-1)); err == nil {
-			w.net = fmt.Sprintf("127.%d", r)
+	for i := range lastNetwork - firstNetwork {
+		r := firstNetwork + (from+i)%(lastNetwork-firstNetwork)
+		if env.networkLock, err = net.Listen("tcp", fmt.Sprintf("127.%d.254.254:%d", r, serverPort-1)); err == nil {
+			env.network = fmt.Sprintf("127.%d", r)
 			return nil
 		}
 	}
-	return fmt.Errorf("no loopback net is free for a lab: %w", err)
+	return fmt.Errorf("no loopback network is free: %w", err)
 }
 
-func (w *world) nodeAddress(n int) string {
-	return fmt.Sprintf("%s.%d.%d:%d", w.net, n/250, n%250+1, nodePort)
+// nodeAddress returns where a node listens for HTTP.
+func (env *environment) nodeAddress(n int) string {
+	return fmt.Sprintf("%s.%d.%d:%d", env.network, n/250, n%250+1, nodePort)
 }
 
-func (w *world) cgiAddress(n int) string {
-	return fmt.Sprintf("%s.%d.%d:%d", w.net, n/250, n%250+1, cgiPort)
+// fastCGIAddress returns where a node listens for FastCGI.
+func (env *environment) fastCGIAddress(n int) string {
+	return fmt.Sprintf("%s.%d.%d:%d", env.network, n/250, n%250+1, fastCGIPort)
 }
 
-func (w *world) discoveryAddress(n, place int) string {
-	return fmt.Sprintf("%s.%d.1:%d", w.net, 200+place, discoveryPort+n)
+// discoveryAddress returns where discovery listens for a node or planner after a number of moves.
+func (env *environment) discoveryAddress(n, moves int) string {
+	return fmt.Sprintf("%s.%d.1:%d", env.network, 200+moves, discoveryPort+n)
 }
 
-func (w *world) serveDiscovery() error {
-	for n := range w.Scenario.Nodes.Count + w.Scenario.Planners.Count {
-		if err := w.discovery.Serve(n, n%len(w.Scenario.Sites), w.discoveryAddress(n, w.addresses)); err != nil {
+// serveDiscovery has discovery listen at its present addresses, one for each node and planner.
+func (env *environment) serveDiscovery() error {
+	for n := range env.Scenario.Nodes.Count + env.Scenario.Planners.Count {
+		if err := env.discovery.Serve(n, n%len(env.Scenario.Sites), env.discoveryAddress(n, env.addresses)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// add builds a server; it is in no list yet.
-func (w *world) add(k *scenario.Servers, name string) (*machine, error) {
-	s, n := w.Scenario, len(w.servers)
+// addServer starts a server that discovery does not know yet.
+func (env *environment) addServer(k *scenario.Servers, name string) (*standinServer, error) {
+	s, n := env.Scenario, len(env.servers)
 	site := n % len(s.Sites)
 	cell := 0
 	if k.GroupSize > 0 {
@@ -125,9 +129,9 @@
 	}
 	addresses := make([]string, len(s.Sites))
 	for i := range addresses {
-		addresses[i] = fmt.Sprintf("%s.%d.%d:%d", w.net, 100+n/250, n%250+1, serverPort+i)
+		addresses[i] = fmt.Sprintf("%s.%d.%d:%d", env.network, 100+n/250, n%250+1, serverPort+i)
 	}
-	cross := func(from int) time.Duration {
+	latency := func(from int) time.Duration {
 		if from == site {
 			return s.Net.Same.Std()
 		}
@@ -136,82 +140,82 @@
 	id := server.Identity{Number: n, Name: name, Site: site, Cell: cell}
 	b, err := server.NewServer(id, server.Figures{Cores: k.Cores, Speed: k.Speed, Queue: k.Queue, ColdShare: k.ColdShare, ColdFor: k.ColdFor.Std(),
 		KeyGain: k.KeyGain, KeyFor: k.KeyFor.Std(), Keys: k.Keys, Drops: k.Drops, FallMultiple: s.Rules.FallMultiple,
-		FallWindow: s.Rules.FallWindow.Std(), Handshake: k.Handshake.Std(), Connections: k.Connections, FastCGI: k.FastCGI}, w.start, addresses, cross, w.observer)
+		FallWindow: s.Rules.FallWindow.Std(), Handshake: k.Handshake.Std(), Connections: k.Connections, FastCGI: k.FastCGI}, env.start, addresses, latency, env.observer)
 	if err != nil {
 		return nil, err
 	}
 	b.Set(func(f *server.Faults) { f.Err = k.ErrorRate })
-	m := &machine{Server: b, kind: k}
-	w.servers = append(w.servers, m)
-	w.observer.record(func(a *audit.Audit, _ time.Duration) {
-		w.observer.servers[name] = n
+	m := &standinServer{Server: b, spec: k}
+	env.servers = append(env.servers, m)
+	env.observer.record(func(a *audit.Audit, _ time.Duration) {
+		env.observer.servers[name] = n
 		a.Server(audit.Server{Name: name, Site: site, Cell: cell, Kind: k.Kind})
 	})
 	return m, nil
 }
 
-// cgi reports whether anything of the scenario speaks FastCGI, and which kinds of servers.
-func (w *world) cgi() (any bool, kinds []string) {
-	for _, b := range w.Scenario.Servers {
+// fastCGIUse reports whether clients or servers of the scenario speak FastCGI, and which kinds of servers.
+func (env *environment) fastCGIUse() (isUsed bool, kinds []string) {
+	for _, b := range env.Scenario.Servers {
 		if b.FastCGI {
 			kinds = append(kinds, b.Kind)
 		}
 	}
-	return w.Scenario.Clients.FastCGI || len(kinds) > 0, kinds
+	return env.Scenario.Clients.FastCGI || len(kinds) > 0, kinds
 }
 
-// operator writes the nodes' operator's files whole, so that none is ever read half.
-func (w *world) operator(which int) error {
-	any, kinds := w.cgi()
-	if len(w.Scenario.Operators) == 0 && !any {
+// writeOperatorFiles writes the version of the operator's file to all nodes, each by a rename, so that no node reads a part.
+func (env *environment) writeOperatorFiles(version int) error {
+	isUsed, kinds := env.fastCGIUse()
+	if len(env.Scenario.Operators) == 0 && !isUsed {
 		return nil
 	}
-	for _, p := range w.nodes {
+	for _, p := range env.nodes {
 		text := ""
-		if any {
-			text = fmt.Sprintf("[fastcgi]\nlisten = %q\nflavors = %s\n", w.cgiAddress(p.number), strings.ReplaceAll(fmt.Sprintf("%q", kinds), " ", ", "))
+		if isUsed {
+			text = fmt.Sprintf("[fastcgi]\nlisten = %q\nflavors = %s\n", env.fastCGIAddress(p.number), strings.ReplaceAll(fmt.Sprintf("%q", kinds), " ", ", "))
 		}
-		if n := len(w.Scenario.Operators); n > 0 {
-			text += w.Scenario.Operators[which%n]
+		if n := len(env.Scenario.Operators); n > 0 {
+			text += env.Scenario.Operators[version%n]
 		}
-		if err := os.WriteFile(p.operator()+".new", []byte(text), 0o644); err != nil {
+		if err := os.WriteFile(p.operatorPath()+".new", []byte(text), 0o644); err != nil {
 			return err
 		}
-		if err := os.Rename(p.operator()+".new", p.operator()); err != nil {
+		if err := os.Rename(p.operatorPath()+".new", p.operatorPath()); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// configure writes a node's file, with the list as discovery has it now.
-func (w *world) configure(n int) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	seed := fmt.Sprintf("%d-%d-%d", w.Scenario.Seed, n, time.Since(w.start)/time.Second)
+// writeNodeConfig writes a node's configuration, with discovery's present list if the scenario wants it.
+func (env *environment) writeNodeConfig(n int) error {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	seed := fmt.Sprintf("%d-%d-%d", env.Scenario.Seed, n, time.Since(env.start)/time.Second)
 	var known json.RawMessage
-	if w.Scenario.Lists.Start == "known" {
-		known = w.discovery.List(n % len(w.Scenario.Sites))
+	if env.Scenario.Lists.Start == "known" {
+		known = env.discovery.List(n % len(env.Scenario.Sites))
 	}
-	return w.nodes[n].configure(w.Scenario, w.nodeAddress(n), w.discoveryAddress(n, w.addresses), seed, known)
+	return env.nodes[n].writeConfig(env.Scenario, env.nodeAddress(n), env.discoveryAddress(n, env.addresses), seed, known)
 }
 
-// launch starts a node on its file as it is, and waits until the connection balancer has taken it in.
-func (w *world) launch(ctx context.Context, n int) error {
+// startNode starts a node on its present configuration and waits until the connection balancer knows it.
+func (env *environment) startNode(ctx context.Context, n int) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	if err := w.age(n); err != nil {
+	if err := env.ageSnapshot(n); err != nil {
 		return err
 	}
-	err := w.nodes[n].start(w.processes, func(why string) {
+	err := env.nodes[n].start(env.processes, func(why string) {
 		cancel(fmt.Errorf("node %d has ended: %s", n, why))
-		w.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, why) })
-		w.observer.nodeDown(n, true)
-		w.balancer.Ended(n, w.Scenario.Nodes.Notice.Std())
+		env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, why) })
+		env.observer.nodeDown(n, true)
+		env.balancer.Ended(n, env.Scenario.Nodes.Notice.Std())
 	})
 	if err != nil {
 		return err
 	}
-	w.observer.nodeUp(n)
-	return w.balancer.Started(ctx, n)
+	env.observer.nodeUp(n)
+	return env.balancer.Started(ctx, n)
 }
--- a/internal/testbed/capacity/page.go
+++ b/internal/testbed/capacity/page.go
@@ -205,7 +205,7 @@
 			direct, node := path.Rows[i], path.Rows[i+1]
 			ms := func(ns float64) string { return amount(ns/1e6, "ms") }
 			line(w, number(node.Rate)+", "+number(math.Round(node.PerSecond)), number(float64(node.Connections)), ms(float64(direct.P99)), ms(float64(node.P99)),
-				ms(float64(node.P99-direct.P99)), "5.2 ms", amount(node.CPUEach/1000, "ms"), fmt.Sprintf("%.0f on %d cores", path.Machine.Load, path.Machine.Cores),
+				ms(float64(node.P99-direct.P99)), "5.2 ms", amount(node.CPUMicroseconds/1000, "ms"), fmt.Sprintf("%.0f on %d cores", path.Machine.Load, path.Machine.Cores),
 				fmt.Sprintf("(%d)", p.number(path.Command)))
 		}
 	}
--- a/internal/testbed/distribution.go
+++ b/internal/testbed/distribution.go
@@ -23,88 +23,91 @@
 )
 
 const (
-	distributedService       = "hire"
-	distributedGiveUp        = 30 * time.Second // for a change to be in force everywhere, after which the trial has failed
+	distributionService      = "hire"
+	changeTimeout            = 30 * time.Second // for a change to be applied by all nodes
 	distributionPollInterval = 5 * time.Millisecond
 )
 
-// Distribution plays nodes' ends of the distribution under two roots and some relays, in this one process, over links that
-// can be cut.
+// Distribution measures how long changes take to reach nodes through two root control processes and some relays while
+// faults are applied. All run in this process, over links that can be cut. Run is called once.
 type Distribution struct {
 	Nodes   int
 	Relays  int
 	Changes int    // after each fault
 	Dir     string // for disks
 
-	roots  []*playedControl
-	relays []*playedControl
-	nodes  []*playedNode
-	last   int // number of the last change
+	roots      []*controlProcess
+	relays     []*controlProcess
+	nodes      []*distributionNode
+	lastChange int // number of the last change
 }
 
-// DistributionRow is what came of one fault.
+// DistributionRow is the result under one fault.
 type DistributionRow struct {
-	Fault  string
-	Median time.Duration // from a write's answer to in force at the last node
-	Last   time.Duration // the slowest change
-	Back   int           // values that a node went back to
+	Fault     string
+	Median    time.Duration // from the answer to a write until the last node applied it
+	Max       time.Duration // of the slowest change
+	Rollbacks int           // changes by a node to an older value
 }
 
-// playedControl is a control process with the link on which all others reach it.
-type playedControl struct {
+// controlProcess is a control process and the link by which all others reach it.
+type controlProcess struct {
 	config *control.Config
-	wires  *faultproxy.Proxy
+	link   *faultproxy.Proxy
 	stop   func() error
 }
 
-// playedNode notes the changes that are in force at one node.
-type playedNode struct {
+// distributionNode is a node's client, which records the changes that it applies.
+type distributionNode struct {
 	config *client.Config
-	end    *client.Client
+	client *client.Client
 	stop   func() error
 
-	mu      sync.Mutex
-	entries int // number of the newest change
-	back    int
+	mu        sync.Mutex
+	newest    int // number of the newest change
+	rollbacks int
 }
 
-// Servers takes what this trial never writes.
-func (n *playedNode) ApplyServers([]distribution.Entry, bool) []distribution.Rejection { return nil }
+// ApplyServers ignores servers, which are never written here.
+func (n *distributionNode) ApplyServers([]distribution.Entry, bool) []distribution.Rejection {
+	return nil
+}
 
-// Tenants takes what this trial never writes.
-func (n *playedNode) ApplyTenants([]distribution.Entry) []distribution.Rejection { return nil }
+// ApplyTenants ignores tenants, which are never written here.
+func (n *distributionNode) ApplyTenants([]distribution.Entry) []distribution.Rejection { return nil }
 
-// Routes notes the newest change, and whether it is older than one before.
-func (n *playedNode) ApplyRoutes(all []distribution.Entry) []distribution.Rejection {
+// ApplyRoutes records the change, and a rollback if it is older than one before.
+func (n *distributionNode) ApplyRoutes(all []distribution.Entry) []distribution.Rejection {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, e := range all {
 		number, _ := strconv.Atoi(string(e.Value))
-		if number < n.entries {
-			n.back++
+		if number < n.newest {
+			n.rollbacks++
 		}
-		n.entries = number
+		n.newest = number
 	}
 	return nil
 }
 
-func (n *playedNode) matches(number int) bool {
+// hasApplied reports whether the node has applied a change.
+func (n *distributionNode) hasApplied(number int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.entries >= number
+	return n.newest >= number
 }
 
-// Run plays all faults, one after the other.
-func (d *Distribution) Run(ctx context.Context, tell func(DistributionRow)) (err error) {
-	defer func() { err = errors.Join(err, d.end()) }()
-	if err := d.begin(ctx); err != nil {
+// Run measures under each fault in turn and reports each row.
+func (d *Distribution) Run(ctx context.Context, report func(DistributionRow)) (err error) {
+	defer func() { err = errors.Join(err, d.stop()) }()
+	if err := d.start(ctx); err != nil {
 		return err
 	}
-	var relay *playedControl // of the fault at hand: the one that most nodes follow
-	cut := func(wires *faultproxy.Proxy, both, is bool) {
-		wires.Cut(faultproxy.Down, is)
+	var relay *controlProcess // of the present fault
+	cut := func(link *faultproxy.Proxy, both, isCut bool) {
+		link.Cut(faultproxy.Down, isCut)
 		if both {
-			wires.Cut(faultproxy.Up, is)
+			link.Cut(faultproxy.Up, isCut)
 		}
 	}
 	for _, fault := range []struct {
@@ -112,19 +115,19 @@
 		begin, after func() error
 	}{
 		{"none", nil, nil},
-		{"a relay ends", func() error { relay = d.followed(); return relay.stop() }, func() error { return relay.start(ctx) }},
-		{"a relay is cut off", func() error { relay = d.followed(); cut(relay.wires, true, true); return nil }, func() error { cut(relay.wires, true, false); return nil }},
-		{"a relay is cut one way", func() error { relay = d.followed(); cut(relay.wires, false, true); return nil }, func() error { cut(relay.wires, false, false); return nil }},
-		{"a relay loses its disk", func() error { return d.emptied(ctx, d.followed()) }, nil},
+		{"a relay ends", func() error { relay = d.mostFollowedRelay(); return relay.stop() }, func() error { return relay.start(ctx) }},
+		{"a relay is cut off", func() error { relay = d.mostFollowedRelay(); cut(relay.link, true, true); return nil }, func() error { cut(relay.link, true, false); return nil }},
+		{"a relay is cut one way", func() error { relay = d.mostFollowedRelay(); cut(relay.link, false, true); return nil }, func() error { cut(relay.link, false, false); return nil }},
+		{"a relay loses its disk", func() error { return d.loseDisk(ctx, d.mostFollowedRelay()) }, nil},
 		{"a root ends", func() error { return d.roots[1].stop() }, func() error { return d.roots[1].start(ctx) }},
-		{"all nodes start anew", func() error { return d.restart(ctx) }, nil},
+		{"all nodes start anew", func() error { return d.restartNodes(ctx) }, nil},
 		{"none again", nil, nil},
 	} {
-		row, err := d.play(ctx, fault.name, fault.begin)
+		row, err := d.runFault(ctx, fault.name, fault.begin)
 		if err != nil {
 			return fmt.Errorf("%s: %w", fault.name, err)
 		}
-		tell(row)
+		report(row)
 		if fault.after == nil {
 			continue
 		}
@@ -135,8 +138,8 @@
 	return nil
 }
 
-// play makes changes under one fault and waits for each to be in force everywhere.
-func (d *Distribution) play(ctx context.Context, name string, begin func() error) (DistributionRow, error) {
+// runFault makes changes under one fault and measures each.
+func (d *Distribution) runFault(ctx context.Context, name string, begin func() error) (DistributionRow, error) {
 	row := DistributionRow{Fault: name}
 	if begin != nil {
 		if err := begin(); err != nil {
@@ -145,28 +148,29 @@
 	}
 	var took []time.Duration
 	for range d.Changes {
-		span, err := d.change(ctx)
+		elapsed, err := d.measureChange(ctx)
 		if err != nil {
 			return row, err
 		}
-		took = append(took, span)
+		took = append(took, elapsed)
 	}
 	slices.Sort(took)
-	row.Median, row.Last = took[len(took)/2], took[len(took)-1]
+	row.Median = took[len(took)/2]
+	row.Max = took[len(took)-1]
 	for _, n := range d.nodes {
 		n.mu.Lock()
-		row.Back += n.back
-		n.back = 0
+		row.Rollbacks += n.rollbacks
+		n.rollbacks = 0
 		n.mu.Unlock()
 	}
 	return row, nil
 }
 
-// change writes one at the first root and waits until it is in force at all nodes.
-func (d *Distribution) change(ctx context.Context) (time.Duration, error) {
-	d.last++
-	change := distribution.Change{Key: distribution.Key{Service: distributedService, Kind: distribution.KindRoute, Name: "checks"}, Value: []byte(strconv.Itoa(d.last))}
-	session, err := client.Open(ctx, asked(d.roots[0].wires.Address()))
+// measureChange writes a change at the first root and returns how long it takes until all nodes applied it.
+func (d *Distribution) measureChange(ctx context.Context) (time.Duration, error) {
+	d.lastChange++
+	change := distribution.Change{Key: distribution.Key{Service: distributionService, Kind: distribution.KindRoute, Name: "checks"}, Value: []byte(strconv.Itoa(d.lastChange))}
+	session, err := client.Open(ctx, clientConfig(d.roots[0].link.Address()))
 	if err != nil {
 		return 0, err
 	}
@@ -177,9 +181,9 @@
 	}
 	began := time.Now()
 	for _, n := range d.nodes {
-		for !n.matches(d.last) {
-			if time.Since(began) > distributedGiveUp {
-				return 0, fmt.Errorf("a change is not in force at %s after %s", n.config.Name, distributedGiveUp)
+		for !n.hasApplied(d.lastChange) {
+			if time.Since(began) > changeTimeout {
+				return 0, fmt.Errorf("a change is not applied by %s after %s", n.config.Name, changeTimeout)
 			}
 			select {
 			case <-ctx.Done():
@@ -191,8 +195,8 @@
 	return time.Since(began), nil
 }
 
-// asked is what a session or a node needs to reach control processes.
-func asked(addresses ...string) *client.Config {
+// clientConfig returns the configuration of a session or node that uses control processes.
+func clientConfig(addresses ...string) *client.Config {
 	c := &client.Config{Control: addresses, Plaintext: true}
 	for _, at := range addresses {
 		c.Addresses = append(c.Addresses, netip.MustParseAddrPort(at))
@@ -200,10 +204,10 @@
 	return c
 }
 
-// begin starts the roots, the relays and the nodes.
-func (d *Distribution) begin(ctx context.Context) error {
+// start starts the roots, the relays and the nodes.
+func (d *Distribution) start(ctx context.Context) error {
 	for i := range 2 + d.Relays {
-		c, err := d.control(i)
+		c, err := d.newControl(i)
 		if err != nil {
 			return err
 		}
@@ -213,7 +217,7 @@
 			d.relays = append(d.relays, c)
 		}
 	}
-	at := func(c *playedControl) netip.AddrPort { return netip.MustParseAddrPort(c.wires.Address()) }
+	at := func(c *controlProcess) netip.AddrPort { return netip.MustParseAddrPort(c.link.Address()) }
 	for i, c := range d.roots {
 		c.config.Follow, c.config.UpstreamAddresses = "all", []netip.AddrPort{at(d.roots[1-i])}
 	}
@@ -230,8 +234,8 @@
 	}
 	for i := range d.Nodes {
 		first, second := d.relays[i%d.Relays], d.relays[(i+1)%d.Relays]
-		n := &playedNode{config: asked(first.wires.Address(), second.wires.Address())}
-		n.config.Name, n.config.Services = fmt.Sprint("node-", i), []string{distributedService}
+		n := &distributionNode{config: clientConfig(first.link.Address(), second.link.Address())}
+		n.config.Name, n.config.Services = fmt.Sprint("node-", i), []string{distributionService}
 		n.config.StartTimeout = tomlfile.Duration(time.Second)
 		n.config.Directory = filepath.Join(d.Dir, n.config.Name)
 		if err := os.Mkdir(n.config.Directory, 0o700); err != nil {
@@ -245,49 +249,49 @@
 	return nil
 }
 
-// followed is the relay that most nodes follow.
-func (d *Distribution) followed() *playedControl {
+// mostFollowedRelay returns the relay that most nodes follow.
+func (d *Distribution) mostFollowedRelay() *controlProcess {
 	count := map[string]int{}
 	for _, n := range d.nodes {
-		count[n.end.Status().Upstream]++
+		count[n.client.Status().Upstream]++
 	}
-	return slices.MaxFunc(d.relays, func(a, b *playedControl) int { return count[a.wires.Address()] - count[b.wires.Address()] })
+	return slices.MaxFunc(d.relays, func(a, b *controlProcess) int { return count[a.link.Address()] - count[b.link.Address()] })
 }
 
-// control is a control process that is not started yet, behind its link.
-func (d *Distribution) control(i int) (*playedControl, error) {
+// newControl returns a control process that is not started yet, behind its link.
+func (d *Distribution) newControl(i int) (*controlProcess, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	at := ln.Addr().(*net.TCPAddr).AddrPort()
 	ln.Close()
-	wires, err := faultproxy.Listen(at.String())
+	link, err := faultproxy.Listen(at.String())
 	if err != nil {
 		return nil, err
 	}
 	name := fmt.Sprint("control-", i)
-	return &playedControl{wires: wires, stop: func() error { return nil }, config: &control.Config{Name: name, ListenAddress: at,
+	return &controlProcess{link: link, stop: func() error { return nil }, config: &control.Config{Name: name, ListenAddress: at,
 		Disk: filepath.Join(d.Dir, name+".db"), Follow: "one", TotalBytesPerSecond: 8 << 20, NodeBytesPerSecond: 16 << 10, ControlBytesPerSecond: 4 << 20, MaxConnections: 8192,
 		DeletionRetention: tomlfile.Duration(time.Hour)}}, nil
 }
 
-func (c *playedControl) start(ctx context.Context) error {
+func (c *controlProcess) start(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan error, 1)
 	go func() { done <- control.Run(ctx, c.config, zerolog.Nop()) }()
 	c.stop = sync.OnceValue(func() error {
 		cancel()
-		c.wires.Break()
+		c.link.Break()
 		return <-done
 	})
 	return nil
 }
 
-// awaitRoot waits until the first root takes writes.
+// awaitRoot waits until the first root accepts writes.
 func (d *Distribution) awaitRoot(ctx context.Context) error {
-	for by := time.Now().Add(distributedGiveUp); ; {
-		session, err := client.Open(ctx, asked(d.roots[0].wires.Address()))
+	for deadline := time.Now().Add(changeTimeout); ; {
+		session, err := client.Open(ctx, clientConfig(d.roots[0].link.Address()))
 		if err == nil {
 			self, _, failed := session.Status()
 			session.Close()
@@ -295,15 +299,15 @@
 				return nil
 			}
 		}
-		if time.Now().After(by) || ctx.Err() != nil {
-			return errors.Join(errors.New("the first root is never current"), err)
+		if time.Now().After(deadline) || ctx.Err() != nil {
+			return errors.Join(errors.New("the first root accepts no writes"), err)
 		}
 		time.Sleep(distributionPollInterval)
 	}
 }
 
-// emptied has a control process go on with a new disk.
-func (d *Distribution) emptied(ctx context.Context, c *playedControl) error {
+// loseDisk restarts a control process with an empty disk.
+func (d *Distribution) loseDisk(ctx context.Context, c *controlProcess) error {
 	if err := c.stop(); err != nil {
 		return err
 	}
@@ -313,8 +317,8 @@
 	return c.start(ctx)
 }
 
-// restart ends all nodes and starts them from their disks.
-func (d *Distribution) restart(ctx context.Context) error {
+// restartNodes stops all nodes and starts them from their disks.
+func (d *Distribution) restartNodes(ctx context.Context) error {
 	for _, n := range d.nodes {
 		if err := n.stop(); err != nil {
 			return err
@@ -328,12 +332,12 @@
 	return nil
 }
 
-func (n *playedNode) start(ctx context.Context) error {
+func (n *distributionNode) start(ctx context.Context) error {
 	end, err := client.New(n.config, n, zerolog.Nop())
 	if err != nil {
 		return err
 	}
-	n.end = end
+	n.client = end
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan error, 1)
 	go func() { done <- end.Run(ctx) }()
@@ -344,14 +348,14 @@
 	return nil
 }
 
-// end stops all that runs.
-func (d *Distribution) end() (err error) {
+// stop stops all that runs.
+func (d *Distribution) stop() (err error) {
 	for _, n := range d.nodes {
 		err = errors.Join(err, n.stop())
 	}
 	for _, c := range slices.Concat(d.relays, d.roots) {
 		err = errors.Join(err, c.stop())
-		c.wires.Close()
+		c.link.Close()
 	}
 	return err
 }
--- a/internal/testbed/distribution_test.go
+++ b/internal/testbed/distribution_test.go
@@ -11,7 +11,7 @@
 	rows := 0
 	err := d.Run(t.Context(), func(r DistributionRow) {
 		rows++
-		if r.Back > 0 || r.Median <= 0 || r.Last < r.Median {
+		if r.Rollbacks > 0 || r.Median <= 0 || r.Max < r.Median {
 			t.Errorf("%+v", r)
 		}
 	})
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -1,4 +1,3 @@
-// Package testbed plays a scenario with real node processes on loopback sockets against the stand-ins of this repository.
 package testbed
 
 import (
@@ -23,205 +22,236 @@
 	"fernvane/internal/testbed/standin/zookeeper"
 )
 
+// Each run uses one network 127.x.0.0/16 of the loopback range.
 const (
-	firstNet, lastNet = 16, 250 // second parts of the loopback nets that labs use, one each
-	nodePort          = 8443    // below the ports that the system deals out, so that a restarted node finds its own free
-	cgiPort           = 8500
-	serverPort        = 9000  // and one more for each site of callers
-	discoveryPort     = 10000 // and one more for each node, and behind them each planner
-	plannerPort       = 12000
-	peerPort          = 8700
-	startAtOnce       = 16 // node processes
-	maxStartTime      = 60 * time.Second
-	settle            = 300 * time.Millisecond // between the last node's start and the load, for watches to begin
-	lateDrain         = 1500 * time.Millisecond
-	leaveAfter        = 500 * time.Millisecond
-	planned           = 300 * time.Millisecond // until the connection balancer has taken out a node that is told to stop
+	firstNetwork = 16 // x of the first network that runs use
+	lastNetwork  = 250
+)
+
+// Ports of a run. Those of nodes are below the range of ephemeral ports, so that a restarted node finds its port free.
+const (
+	nodePort      = 8443
+	fastCGIPort   = 8500
+	peerPort      = 8700
+	serverPort    = 9000  // plus the site of the caller
+	discoveryPort = 10000 // plus the number of the node; those of planners follow
+	plannerPort   = 12000
+)
+
+const (
+	maxConcurrentStarts = 16 // of node processes
+	maxStartTime        = 60 * time.Second
+	settleTime          = 300 * time.Millisecond  // between the last node's start and the load, for watches to begin
+	drainDelay          = 1500 * time.Millisecond // from the notification of a drain until the server rejects
+	exitDelay           = 500 * time.Millisecond  // from then until the server ends
+	plannedStopDelay    = 300 * time.Millisecond  // until the connection balancer removes a node that is stopped on purpose
 )
 
 // Options of a run.
 type Options struct {
-	Scenario *scenario.Scenario
-	Requests []load.Request // the schedule
-	Command  []string       // runs one node, told by PROXY_CONFIG
-	Planner  []string       // runs one planner, told by PROXY_PLAN
-	Env      []string       // of the nodes, beside this process's own
-	Keep     string         // folder for configurations and logs; "" for one that is removed
-	Progress func(at time.Duration, begun, open int)
+	Scenario  *scenario.Scenario
+	Requests  []load.Request // the schedule
+	Command   []string       // runs one node; PROXY_CONFIG names its configuration
+	Planner   []string       // runs one planner; PROXY_PLAN names its configuration
+	Env       []string       // environment of the processes beside this one's own
+	Directory string         // for configurations and logs; "": a temporary one
+	Progress  func(at time.Duration, started, inFlight int)
 }
 
 // Outcome of a run.
 type Outcome struct {
 	*load.Result
-	Late       load.Lateness
-	Rules      []audit.Rule
-	Use        usage
-	Calls      int // of discovery
-	TurnedOff  int // calls that it rejected
-	Lines      float64
-	Planning   usage
-	Journal    Journal
-	PlanBytes  int // that planners sent to nodes
-	BadClients int // clients that sent what cannot be read
-	Seconds    []audit.Second
+	Lateness       load.Lateness
+	Rules          []audit.Rule
+	NodeUsage      resourceUsage
+	DiscoveryCalls int
+	RejectedCalls  int     // discovery calls that were rejected
+	DiscoveryLines float64 // lines of discovery's answers
+	PlannerUsage   resourceUsage
+	Journal        Journal
+	PlanBytes      int // sent by planners to nodes
+	BadClients     int // clients that sent malformed input
+	Seconds        []audit.Second
 }
 
-// world is everything that runs for a run.
-type world struct {
+// environment is all that runs for one run.
+type environment struct {
 	Options
-	net        string
-	lock       net.Listener // holds the net
-	start      time.Time
-	observer   *observer
-	processes  *processManager
-	servers    []*machine
-	discovery  *discovery.Service
-	mu         sync.Mutex
-	addresses  int // where discovery listens, counted by its moves
-	balancer   *connbalancer.Balancer
-	nodes      []*process
-	planners   []*process
-	registry   *zookeeper.Registry // nil: discovery tells
-	ensemble   []*zookeeper.Server
-	relays     [][2]*plannerproxy.Proxy // by planner and half of the nodes
-	fabric     *mesh.Mesh               // nil: nodes know nothing of each other
-	losses     losses
-	steps      steps
-	badClients badClients
-	turn       sync.Mutex // faults come one at a time
-	stopped    chan struct{}
-	wg         sync.WaitGroup
+	network     string       // "127.x"
+	networkLock net.Listener // reserves the network
+	start       time.Time
+	stopped     chan struct{} // closed when the run is over
+	wg          sync.WaitGroup
+
+	observer  *observer
+	balancer  *connbalancer.Balancer
+	servers   []*standinServer
+	processes *processManager
+	nodes     []*process
+	planners  []*process
+
+	discovery      *discovery.Service
+	mu             sync.Mutex               // guards addresses and the writing of node configurations
+	addresses      int                      // how often discovery has moved
+	registry       *zookeeper.Registry      // nil: nodes learn of servers from discovery
+	ensemble       []*zookeeper.Server      // addresses of the registry
+	plannerProxies [][2]*plannerproxy.Proxy // by planner and half of the nodes
+	mesh           *mesh.Mesh               // links between nodes; nil: nodes do not know each other
+
+	faultMu       sync.Mutex // held while a fault is applied
+	frameTriggers frameTriggers
+	losses        lossCounts
+	badClients    badClientCount
 }
 
-// machine is a server as the world keeps it.
-type machine struct {
+// standinServer is a server of the run with its state in discovery and the registry.
+type standinServer struct {
 	*server.Server
-	kind        *scenario.Servers
-	mu          sync.Mutex
-	owned       *zookeeper.Owned // its session at the registry
-	up          time.Time        // when it started, for the registry; zero: for long
-	isLost      bool             // for good
-	incarnation int              // counts what befalls it, so that updates overtaken by others are not told
+	spec      *scenario.Servers
+	mu        sync.Mutex // guards the fields below
+	session   *zookeeper.Owned
+	startedAt time.Time // for the registry; zero: initialUptime before the run
+	isLeaving bool      // drains or has drained
+	changes   int       // announcements begun; an announcement that is not the last is dropped
 }
 
-// Run plays a scenario once.
+// Run runs a scenario once. An error means that the run could not be carried out; violations of rules stand in the
+// Outcome.
 func Run(ctx context.Context, o Options) (*Outcome, error) {
-	w := &world{Options: o, processes: newProcessManager(), stopped: make(chan struct{})}
-	defer close(w.processes.starts)
-	if w.Keep == "" {
+	env := &environment{Options: o, processes: newProcessManager(), stopped: make(chan struct{})}
+	defer close(env.processes.commands)
+	if env.Directory == "" {
 		dir, err := os.MkdirTemp("", "testbed-")
 		if err != nil {
 			return nil, err
 		}
 		defer os.RemoveAll(dir)
-		w.Keep = dir
-	} else if err := os.MkdirAll(w.Keep, 0o755); err != nil {
+		env.Directory = dir
+	} else if err := os.MkdirAll(env.Directory, 0o755); err != nil {
 		return nil, err
 	}
-	w.start = time.Now() // moved when all is ready
-	defer w.close()
-	if err := w.build(ctx); err != nil {
+	env.start = time.Now() // moved when all is ready
+	defer env.close()
+	if err := env.build(ctx); err != nil {
 		return nil, err
 	}
-	return w.play(ctx)
+	return env.play(ctx)
 }
 
-// announce has discovery learn of a server after a while, unless something else befalls it before.
-func (w *world) announce(m *machine, phase string, after time.Duration, up time.Time) {
+// announce tells discovery and the registry of a server's phase after a delay, unless another announcement of the server
+// begins before.
+func (env *environment) announce(m *standinServer, phase string, after time.Duration, startedAt time.Time) {
 	m.mu.Lock()
-	m.incarnation++
-	life := m.incarnation
+	m.changes++
+	change := m.changes
 	m.mu.Unlock()
-	e := discovery.Entry{ID: m.Name, Site: w.Scenario.Sites[m.Site], Cell: m.Cell, MachineKind: m.kind.Kind, Phase: phase, UpSince: up}
-	for site := range w.Scenario.Sites {
-		e.Addresses = append(e.Addresses, m.Address(site))
+	entry := discovery.Entry{
+		ID:          m.Name,
+		Site:        env.Scenario.Sites[m.Site],
+		Cell:        m.Cell,
+		MachineKind: m.spec.Kind,
+		Phase:       phase,
+		UpSince:     startedAt,
+	}
+	for site := range env.Scenario.Sites {
+		entry.Addresses = append(entry.Addresses, m.Address(site))
 	}
-	w.after(after, func() {
+	env.after(after, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if m.incarnation == life {
-			w.discovery.Set(e)
-			if w.registry != nil {
-				w.register(m, phase, up)
+		if m.changes == change {
+			env.discovery.Set(entry)
+			if env.registry != nil {
+				env.updateRegistry(m, phase, startedAt)
 			}
 		}
 	})
 }
 
-// after does something later, at once without a wait, and not at all once the run is over.
-func (w *world) after(d time.Duration, do func()) {
+// after calls do after a delay in the background, or at once if there is none. It does not once the run is over.
+func (env *environment) after(d time.Duration, do func()) {
 	if d <= 0 {
 		do()
 		return
 	}
-	w.wg.Go(func() {
+	env.wg.Go(func() {
 		t := time.NewTimer(d)
 		defer t.Stop()
 		select {
 		case <-t.C:
 			do()
-		case <-w.stopped:
+		case <-env.stopped:
 		}
 	})
 }
 
-// play sends the load, with the faults beside it.
-func (w *world) play(ctx context.Context) (*Outcome, error) {
+// play sends the load while faults are applied, stops the processes and gathers the outcome.
+func (env *environment) play(ctx context.Context) (*Outcome, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	select {
-	case <-time.After(settle):
+	case <-time.After(settleTime):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	g := &load.Generator{Scenario: w.Scenario, Requests: w.Requests, ChecksIDs: true, FastCGI: w.Scenario.Clients.FastCGI, Progress: w.Progress}
-	shift := time.Since(w.start) // the world's clock has run since it was built
-	ops := slices.Clone(w.Requests)
-	for i := range ops {
-		ops[i].At += shift
+	shift := time.Since(env.start) // the clock has run since the start of the environment
+	requests := slices.Clone(env.Requests)
+	for i := range requests {
+		requests[i].At += shift
 	}
-	g.Requests, g.Shift = ops, shift
-	w.schedule(ctx, shift)
-	if s := w.Scenario.Peers; s.Before > 0 && s.Replicas > 0 {
-		w.waitReplicated(ctx, &w.losses.replicated)
+	g := &load.Generator{
+		Scenario:  env.Scenario,
+		Requests:  requests,
+		Shift:     shift,
+		FastCGI:   env.Scenario.Clients.FastCGI,
+		ChecksIDs: true,
+		Progress:  env.Progress,
 	}
-	late := g.Run(ctx, w.start, w.balancer, w.observer)
-	err := ctx.Err()
-	if err != nil {
+	env.scheduleFaults(ctx, shift)
+	if s := env.Scenario.Peers; s.Before > 0 && s.Replicas > 0 {
+		env.waitReplicated(ctx, &env.losses.replicationSeconds)
+	}
+	lateness := g.Run(ctx, env.start, env.balancer, env.observer)
+	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	out := &Outcome{Result: g.Result, Late: late, BadClients: w.badClients.count()}
-	for _, p := range append(slices.Clone(w.nodes), w.planners...) {
-		p.weigh()
+	return env.outcome(g.Result, lateness, shift)
+}
+
+// outcome stops the processes and gathers what came of the run.
+func (env *environment) outcome(result *load.Result, lateness load.Lateness, shift time.Duration) (out *Outcome, err error) {
+	out = &Outcome{Result: result, Lateness: lateness, BadClients: env.badClients.count()}
+	for _, p := range append(slices.Clone(env.nodes), env.planners...) {
+		p.recordMemory()
 	}
-	w.steps.mu.Lock()
-	w.steps.over = true
-	w.steps.mu.Unlock()
-	w.stopNodes()
-	for _, p := range w.nodes {
+	env.frameTriggers.mu.Lock()
+	env.frameTriggers.isOver = true
+	env.frameTriggers.mu.Unlock()
+	env.stopNodes()
+	for _, p := range env.nodes {
 		p.mu.Lock()
-		out.Use.CPU += p.use.CPU
-		out.Use.RSSMB = max(out.Use.RSSMB, p.use.RSSMB)
+		out.NodeUsage.CPU += p.usage.CPU
+		out.NodeUsage.RSSMB = max(out.NodeUsage.RSSMB, p.usage.RSSMB)
 		p.mu.Unlock()
 	}
-	if out.Journal, err = w.readJournals(); err != nil {
+	if out.Journal, err = env.readJournals(); err != nil {
 		return nil, err
 	}
-	out.Planning, out.PlanBytes = w.stopPlanners()
-	out.Calls, out.Lines, out.TurnedOff = w.discovery.Use()
-	w.observer.record(func(a *audit.Audit, _ time.Duration) { out.Rules, out.Seconds = a.Verdict(), a.Seconds() })
-	from := min(int(shift/time.Second), len(out.Seconds)) // the load's own
-	out.Seconds = out.Seconds[from:]
+	out.PlannerUsage, out.PlanBytes = env.stopPlanners()
+	out.DiscoveryCalls, out.DiscoveryLines, out.RejectedCalls = env.discovery.Use()
+	env.observer.record(func(a *audit.Audit, _ time.Duration) { out.Rules, out.Seconds = a.Verdict(), a.Seconds() })
+	beforeLoad := min(int(shift/time.Second), len(out.Seconds))
+	out.Seconds = out.Seconds[beforeLoad:]
 	return out, nil
 }
 
-// stopNodes ends all nodes as at a planned stop.
-func (w *world) stopNodes() {
+// stopNodes stops all nodes gracefully.
+func (env *environment) stopNodes() {
 	var g errgroup.Group
-	for n, p := range w.nodes {
+	for n, p := range env.nodes {
 		g.Go(func() error {
-			if err := p.end(syscall.SIGTERM); err != nil {
-				w.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, err.Error()) })
+			if err := p.stop(syscall.SIGTERM); err != nil {
+				env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, err.Error()) })
 			}
 			return nil
 		})
@@ -229,33 +259,34 @@
 	g.Wait()
 }
 
-func (w *world) close() {
-	close(w.stopped)
-	w.wg.Wait()
+// close ends all that runs.
+func (env *environment) close() {
+	close(env.stopped)
+	env.wg.Wait()
 	var g errgroup.Group
-	for _, p := range append(w.nodes, w.planners...) {
-		g.Go(func() error { return p.end(syscall.SIGKILL) })
+	for _, p := range append(env.nodes, env.planners...) {
+		g.Go(func() error { return p.stop(syscall.SIGKILL) })
 	}
 	g.Wait()
-	for _, halves := range w.relays {
+	for _, halves := range env.plannerProxies {
 		for _, r := range halves {
 			r.Close()
 		}
 	}
-	if w.fabric != nil {
-		w.fabric.Close()
+	if env.mesh != nil {
+		env.mesh.Close()
 	}
-	if w.discovery != nil {
-		w.discovery.Close()
+	if env.discovery != nil {
+		env.discovery.Close()
 	}
-	if w.registry != nil {
-		w.registry.Close()
+	if env.registry != nil {
+		env.registry.Close()
 	}
-	for _, m := range w.servers {
+	for _, m := range env.servers {
 		g.Go(func() error { m.Close(); return nil })
 	}
 	g.Wait()
-	if w.lock != nil {
-		w.lock.Close()
+	if env.networkLock != nil {
+		env.networkLock.Close()
 	}
 }
--- /dev/null
+++ b/internal/testbed/faultdiscovery.go
@@ -0,0 +1,60 @@
+package testbed
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"fernvane/internal/testbed/audit"
+	"fernvane/internal/testbed/scenario"
+	"fernvane/internal/testbed/standin/zookeeper"
+)
+
+// discoveryFaults are the faults of discovery and the registry.
+var discoveryFaults = map[string]faultFunc{
+	"discovery-down": func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
+		env.discovery.Down(true)
+		env.after(f.For.Std(), func() { env.discovery.Down(false) })
+	},
+	"discovery-move": func(env *environment, _ context.Context, _ *scenario.Fault, _ *rand.Rand) {
+		env.mu.Lock()
+		env.discovery.Moved()
+		env.addresses++
+		err := env.serveDiscovery()
+		env.mu.Unlock()
+		for n, p := range env.nodes {
+			if err == nil {
+				err = env.writeNodeConfig(n)
+			}
+			p.reload()
+		}
+		if err != nil {
+			env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(-1, err.Error()) })
+		}
+	},
+	"registry-flap": func(env *environment, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
+		share := *f
+		share.Share = f.Size
+		env.flapSessions(&share, chance)
+	},
+	"registry-lag": ensembleFault(
+		func(_ *environment, f *scenario.Fault, s *zookeeper.Server) { s.Set(seconds(f), 0, false) },
+		func(_ *environment, _ *scenario.Fault, s *zookeeper.Server) { s.Set(0, 0, false) }),
+	"registry-slow-events": ensembleFault(
+		func(_ *environment, f *scenario.Fault, s *zookeeper.Server) { s.Set(0, seconds(f), false) },
+		func(_ *environment, _ *scenario.Fault, s *zookeeper.Server) { s.Set(0, 0, false) }),
+	"registry-break": ensembleFault(
+		func(env *environment, _ *scenario.Fault, s *zookeeper.Server) { env.registry.Refuse(true); s.Break() },
+		func(env *environment, _ *scenario.Fault, _ *zookeeper.Server) { env.registry.Refuse(false) }),
+	"registry-silent": ensembleFault(
+		func(_ *environment, _ *scenario.Fault, s *zookeeper.Server) { s.Set(0, 0, true) },
+		func(_ *environment, _ *scenario.Fault, s *zookeeper.Server) { s.Set(0, 0, false) }),
+	"registry-garbled": ensembleFault(
+		func(_ *environment, f *scenario.Fault, s *zookeeper.Server) { s.Garble(max(int(1/f.Size), 1)) },
+		func(_ *environment, _ *scenario.Fault, s *zookeeper.Server) { s.Garble(0) }),
+	"registry-records": func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) { env.addBadRecords(f) },
+	"registry-late": func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
+		env.registry.Late(seconds(f))
+		env.after(f.For.Std(), func() { env.registry.Late(0) })
+	},
+}
--- a/internal/testbed/journal.go
+++ b/internal/testbed/journal.go
@@ -17,75 +17,85 @@
 	"fernvane/internal/testbed/standin/memdisk"
 )
 
-// diskVar names the file that says how long each write of a node's journal takes.
-const diskVar = "FERNLAB_DISK"
-
-const diskPollInterval = 20 * time.Millisecond // between two looks at that file
-
-const fullDisk = "full" // in that file: no write succeeds
+const (
+	diskVar          = "FERNLAB_DISK" // environment variable that names a node's disk file: how long each write takes
+	diskPollInterval = 20 * time.Millisecond
+	fullDiskText     = "full" // text of the disk file with which every write fails
+)
 
-// Disk is the disk beneath what a node keeps in the testbed, slow or full when a fault says so; nil without one.
+// Disk returns the file system of a testbed node's data, slow or full as its disk file says; nil if the environment names
+// no such file. A node's command calls it before it starts the node.
 func Disk(getenv func(string) string) wal.FileSystem {
 	path := getenv(diskVar)
 	if path == "" {
 		return nil
 	}
-	var looked, takes atomic.Int64
-	var full atomic.Bool
-	look := func() {
-		if now := time.Now().UnixNano(); now-looked.Load() > int64(diskPollInterval) {
-			looked.Store(now)
-			text, _ := os.ReadFile(path)
-			word := strings.TrimSpace(string(text))
-			d, _ := time.ParseDuration(word)
-			takes.Store(int64(d))
-			full.Store(word == fullDisk)
+	var readAt atomic.Int64 // nanoseconds
+	var delay atomic.Int64  // nanoseconds
+	var isFull atomic.Bool
+	refresh := func() {
+		if now := time.Now().UnixNano(); now-readAt.Load() > int64(diskPollInterval) {
+			readAt.Store(now)
+			content, _ := os.ReadFile(path)
+			text := strings.TrimSpace(string(content))
+			d, _ := time.ParseDuration(text)
+			delay.Store(int64(d))
+			isFull.Store(text == fullDiskText)
 		}
 	}
-	return memdisk.SlowFiles{Takes: func() time.Duration { look(); return time.Duration(takes.Load()) }, Full: func() bool { look(); return full.Load() }}
+	return memdisk.SlowFiles{
+		Takes: func() time.Duration {
+			refresh()
+			return time.Duration(delay.Load())
+		},
+		Full: func() bool {
+			refresh()
+			return isFull.Load()
+		},
+	}
 }
 
-func (w *world) diskFile(n int) string { return w.nodes[n].file("disk", "txt") }
+func (env *environment) diskFile(n int) string { return env.nodes[n].file("disk", "txt") }
 
-// disks has what befalls the disks of nodes said to them: a span, or fullDisk.
-func (w *world) disks(nodes []int, word string) {
+// setDisks writes the disk files of nodes: a duration, or fullDiskText.
+func (env *environment) setDisks(nodes []int, text string) {
 	for _, n := range nodes {
-		path := w.diskFile(n)
-		if err := os.WriteFile(path+".new", []byte(word), 0o644); err == nil {
+		path := env.diskFile(n)
+		if err := os.WriteFile(path+".new", []byte(text), 0o644); err == nil {
 			os.Rename(path+".new", path)
 		}
 	}
 }
 
-// journals has each node keep one, where the scenario says so.
-func (w *world) journals() error {
-	j := w.Scenario.Journal
+// setUpJournals configures the nodes' journals, if the scenario has any.
+func (env *environment) setUpJournals() error {
+	j := env.Scenario.Journal
 	if j.Promise == "" {
 		return nil
 	}
-	if err := w.before(); err != nil {
+	if err := env.writeEarlierJournal(); err != nil {
 		return err
 	}
-	for n, p := range w.nodes {
-		p.env = append(append([]string{}, p.env...), diskVar+"="+w.diskFile(n))
-		if err := os.MkdirAll(p.journal(), 0o755); err != nil {
+	for n, p := range env.nodes {
+		p.env = append(append([]string{}, p.env...), diskVar+"="+env.diskFile(n))
+		if err := os.MkdirAll(p.journalDir(), 0o755); err != nil {
 			return err
 		}
-		text := fmt.Sprintf("dir = %q\npromise = %q\nwhen_failing = %q\nwait_most = %q\n", p.journal(), j.Promise, j.WhenFailing, j.MaxWait.Std())
-		if err := os.WriteFile(p.bindings(), []byte(text), 0o644); err != nil {
+		text := fmt.Sprintf("dir = %q\npromise = %q\nwhen_failing = %q\nwait_most = %q\n", p.journalDir(), j.Promise, j.WhenFailing, j.MaxWait.Std())
+		if err := os.WriteFile(p.bindingsPath(), []byte(text), 0o644); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// before gives the first node a journal of an earlier life.
-func (w *world) before() error {
-	n := w.Scenario.Peers.Before
+// writeEarlierJournal writes entries of an earlier run into the first node's journal, as many as the scenario says.
+func (env *environment) writeEarlierJournal() error {
+	n := env.Scenario.Peers.Before
 	if n == 0 {
 		return nil
 	}
-	dir := w.nodes[0].journal()
+	dir := env.nodes[0].journalDir()
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -98,13 +108,7 @@
 	at := time.Now().UnixNano()
 	for op := uint64(1); op <= uint64(n); op++ {
 		r := intent.Record{Incarnation: run, RequestNumber: op, AtUnixNano: at, RequestID: fmt.Sprintf("before-%d", op), Tenant: "dairy", Type: "hire-book", Server: "quick-1", Count: 1, Proof: intent.Ran, Outcome: "answered"}
-		three := [3]intent.Record{r, r, r}
-		for i, kind := range []intent.Kind{intent.Intent, intent.AttemptEnded, intent.ClientNotified} {
-			three[i].Kind = kind
-		}
-		three[0].Outcome, three[0].Proof, three[0].Count = "", 0, 0
-		three[1].RequestID, three[1].Tenant, three[1].Type, three[1].Count = "", "", "", 0
-		wait, err := log.Append(op%1000 == 0, three[:]...)
+		wait, err := log.Append(op%1000 == 0, recordsOf(r)...)
 		if err != nil {
 			return err
 		}
@@ -115,82 +119,104 @@
 	return nil
 }
 
-// becomesWhole notes how long it takes until all stands as often as it should.
-func (w *world) waitReplicated(ctx context.Context, into *float64) {
+// recordsOf returns the three records that a journal holds of an answered request.
+func recordsOf(r intent.Record) []intent.Record {
+	planned := r
+	planned.Kind = intent.Intent
+	planned.Outcome = ""
+	planned.Proof = 0
+	planned.Count = 0
+	ended := r
+	ended.Kind = intent.AttemptEnded
+	ended.RequestID = ""
+	ended.Tenant = ""
+	ended.Type = ""
+	ended.Count = 0
+	notified := r
+	notified.Kind = intent.ClientNotified
+	return []intent.Record{planned, ended, notified}
+}
+
+// waitReplicated measures in the background how long it takes until all entries are replicated.
+func (env *environment) waitReplicated(ctx context.Context, into *float64) {
 	began := time.Now()
-	w.wg.Go(func() {
+	env.wg.Go(func() {
 		for ctx.Err() == nil {
 			select {
-			case <-w.stopped:
+			case <-env.stopped:
 				return
 			case <-time.After(replicationPollInterval):
 			}
-			if c := w.ask(ctx); len(c.Answered) == len(w.nodes) && c.Shortfall() == "" {
-				w.losses.mu.Lock()
+			if c := env.queryPeers(ctx); len(c.Answered) == len(env.nodes) && c.Shortfall() == "" {
+				env.losses.mu.Lock()
 				*into = time.Since(began).Seconds()
-				w.losses.mu.Unlock()
+				env.losses.mu.Unlock()
 				return
 			}
 		}
 	})
 }
 
-// Journal is what the nodes' journals held in the end, beside the servers' execution records.
+// Journal sums up what the nodes' journals held after the run, against the servers' execution records. It is stored in
+// reports under the names of its fields and tags.
 type Journal struct {
-	Entries         int // requests in them
-	Ran             int // execution records of non-idempotent requests
-	Possibly        int // entries that were possibly sent when the nodes had ended
-	Open            int // of those that execution records did not settle
-	Gaps            int // words that were not kept, by the journals' own count
+	Entries         int // requests in the journals
+	Ran             int // executions of non-idempotent requests
+	PossiblySent    int `json:"Possibly"` // entries that were possibly sent when the nodes had stopped
+	Open            int // of those, entries that execution records did not settle
+	Gaps            int // records that were not written, by the journals' own count
 	Bytes           int64
-	Losses          int     // of machines with their disks
-	Cycles          int     // of losses, each from a whole tier to a whole one
-	AnnouncedLost   int     // streams that were said before to be lost with the machines beyond the replicas
-	Lost            int     // execution records of those that no journal has
-	Linked          int64   // bytes between nodes
-	RecoverySeconds float64 // seconds until an earlier life's entries stood as often as they should; 0: they did not
+	Losses          int     // machines lost with their disks
+	Cycles          int     // rounds of losses, each from all replicated to all replicated again
+	AnnouncedLost   int     // journals that were expected to be lost, with more machines than replicas
+	Lost            int     // executions that only such journals had held
+	PeerBytes       int64   `json:"Linked"` // bytes between nodes
+	RecoverySeconds float64 // until entries of an earlier run were replicated; 0: they were not
 }
 
-// entryKey is an entry of a node's journal.
+// entryKey identifies an entry: its node and request ID.
 type entryKey struct {
 	node int
 	id   uint64
 }
 
-// readJournals sets the journals beside what the servers have run, and settles by their execution records what was left open.
-func (w *world) readJournals() (sum Journal, err error) {
-	if w.Scenario.Journal.Promise == "" {
+// readJournals compares the nodes' journals with what the servers executed, reports differences to the audit and settles
+// open entries by the servers' execution records.
+func (env *environment) readJournals() (sum Journal, err error) {
+	if env.Scenario.Journal.Promise == "" {
 		return sum, nil
 	}
 	all := map[entryKey]*intent.Entry{}
 	gaps := map[int]bool{}
-	dirs := w.journalDirs()
-	for n := range w.nodes {
+	dirs := env.journalDirs()
+	for n := range env.nodes {
 		if err := readJournal(n, dirs[n], all, gaps, &sum); err != nil {
 			return sum, err
 		}
 	}
-	sum.Losses, sum.Cycles, sum.AnnouncedLost = w.losses.machines, w.losses.cycles, len(w.losses.notified)
-	w.losses.mu.Lock()
-	sum.RecoverySeconds = w.losses.replicated
-	w.losses.mu.Unlock()
-	if w.fabric != nil {
-		sum.Linked = w.fabric.Bytes()
+	sum.Losses = env.losses.machines
+	sum.Cycles = env.losses.cycles
+	sum.AnnouncedLost = len(env.losses.expectedLost)
+	env.losses.mu.Lock()
+	sum.RecoverySeconds = env.losses.replicationSeconds
+	env.losses.mu.Unlock()
+	if env.mesh != nil {
+		sum.PeerBytes = env.mesh.Bytes()
 	}
 	sum.Entries = len(all)
-	dockets := map[string]*intent.ExecutionRecord{}
-	for _, b := range w.servers {
-		dockets[b.Name] = &intent.ExecutionRecord{Server: b.Name, FromUnixNano: 0, ToUnixNano: time.Now().Add(time.Hour).UnixNano(), RequestIDs: map[string]bool{}}
+	records := map[string]*intent.ExecutionRecord{}
+	for _, b := range env.servers {
+		records[b.Name] = &intent.ExecutionRecord{Server: b.Name, FromUnixNano: 0, ToUnixNano: time.Now().Add(time.Hour).UnixNano(), RequestIDs: map[string]bool{}}
 	}
-	w.observer.record(func(a *audit.Audit, _ time.Duration) {
-		ran := w.compareWithRun(a, all, gaps, dockets, &sum)
+	env.observer.record(func(a *audit.Audit, _ time.Duration) {
+		ran := env.compareWithRun(a, all, gaps, records, &sum)
 		for k, e := range all {
 			if e.State() == intent.HasRun && !ran[k] && e.Incarnation != 1 {
-				a.JournalError(fmt.Sprintf("node %d's journal says that %s ran, and no box has run it", k.node, e.RequestID))
+				a.JournalError(fmt.Sprintf("node %d's journal says that %s ran, and no server has run it", k.node, e.RequestID))
 			}
 			if e.State() == intent.PossiblySent {
-				sum.Possibly++
-				if !settles(e, dockets) {
+				sum.PossiblySent++
+				if !isSettled(e, records) {
 					sum.Open++
 				}
 			}
@@ -199,13 +225,13 @@
 	return sum, nil
 }
 
-// journalDirs are the folders in which each node's entries may stand: its own, and those of who holds replicas.
-func (w *world) journalDirs() map[int][]string {
+// journalDirs returns the folders that may hold each node's entries: its own, and those of the nodes with its replicas.
+func (env *environment) journalDirs() map[int][]string {
 	dirs := map[int][]string{}
-	for n, p := range w.nodes {
-		dirs[n] = append(dirs[n], p.journal())
-		held, _ := os.ReadDir(p.dataDir())
-		for _, dir := range held { // of others, under their names
+	for n, p := range env.nodes {
+		dirs[n] = append(dirs[n], p.journalDir())
+		replicas, _ := os.ReadDir(p.dataDir())
+		for _, dir := range replicas { // named after the node whose journal they replicate
 			name, _, _ := strings.Cut(dir.Name(), "@")
 			if of, err := strconv.Atoi(strings.TrimPrefix(name, "n")); err == nil {
 				dirs[of] = append(dirs[of], filepath.Join(p.dataDir(), dir.Name()))
@@ -215,61 +241,62 @@
 	return dirs
 }
 
-// readJournal adds one node's entries, and notes where it says that some are missing.
+// readJournal adds one node's entries to all, and the node to gaps if its journal says that records are missing.
 func readJournal(n int, dirs []string, all map[entryKey]*intent.Entry, gaps map[int]bool, sum *Journal) error {
-	fold := intent.NewMerger()
-	keep := func(e *intent.Entry) {
+	merger := intent.NewMerger()
+	add := func(e *intent.Entry) {
 		id, _ := strconv.ParseUint(e.RequestID, 16, 64)
 		all[entryKey{n, id}] = e
 	}
 	for _, dir := range dirs {
 		r, err := wal.Scan(wal.OSFileSystem{}, dir, time.Time{}, func(rec *intent.Record) error {
-			if e := fold.Add(rec); e != nil {
-				keep(e)
+			if e := merger.Add(rec); e != nil {
+				add(e)
 			}
 			return nil
 		}, nil)
 		if err != nil {
 			return err
 		}
-		fold.HasDamage = fold.HasDamage || r.CorruptCount() > 0
+		merger.HasDamage = merger.HasDamage || r.CorruptCount() > 0
 		sum.Bytes += r.Bytes
 	}
-	for _, e := range fold.Incomplete() {
-		keep(e)
+	for _, e := range merger.Incomplete() {
+		add(e)
 	}
-	for _, g := range fold.Gaps {
+	for _, g := range merger.Gaps {
 		sum.Gaps += g.Count
 		gaps[n] = true
 	}
 	return nil
 }
 
-// compareWithRun fills the execution records with what the servers have run, and tells the audit what the journals lack of it.
-func (w *world) compareWithRun(a *audit.Audit, all map[entryKey]*intent.Entry, gaps map[int]bool, dockets map[string]*intent.ExecutionRecord, sum *Journal) map[entryKey]bool {
+// compareWithRun fills the execution records with what the servers executed, reports to the audit what the journals lack
+// of it, and returns the entries that ran.
+func (env *environment) compareWithRun(a *audit.Audit, all map[entryKey]*intent.Entry, gaps map[int]bool, records map[string]*intent.ExecutionRecord, sum *Journal) map[entryKey]bool {
 	ran := map[entryKey]bool{}
-	a.EachExecution(func(kind int) bool { return w.Scenario.Types[kind].Repeat == "binding" }, func(id uint64, node, box int) {
+	a.EachExecution(func(typeIndex int) bool { return env.Scenario.Types[typeIndex].Repeat == "binding" }, func(id uint64, node, server int) {
 		sum.Ran++
 		k := entryKey{node, id}
 		ran[k] = true
 		name := string(load.AppendID(nil, id))
-		dockets[w.servers[box].Name].RequestIDs[name] = true
+		records[env.servers[server].Name].RequestIDs[name] = true
 		switch e := all[k]; {
-		case e == nil && w.losses.notified[node]:
+		case e == nil && env.losses.expectedLost[node]:
 			sum.Lost++
 		case e == nil && !gaps[node]:
-			a.JournalError(fmt.Sprintf("%s ran at %s, and node %d's journal has no entry of it", name, w.servers[box].Name, node))
+			a.JournalError(fmt.Sprintf("%s ran at %s, and node %d's journal has no entry of it", name, env.servers[server].Name, node))
 		case e != nil && e.State() == intent.NotSent:
-			a.JournalError(fmt.Sprintf("%s ran at %s, and node %d's journal says that it was not sent", name, w.servers[box].Name, node))
+			a.JournalError(fmt.Sprintf("%s ran at %s, and node %d's journal says that it was not sent", name, env.servers[server].Name, node))
 		}
 	})
 	return ran
 }
 
 // settles reports whether execution records settle all that is open of an entry.
-func settles(e *intent.Entry, dockets map[string]*intent.ExecutionRecord) bool {
+func isSettled(e *intent.Entry, records map[string]*intent.ExecutionRecord) bool {
 	settled := 0
-	for _, r := range intent.Reconcile(e, dockets, 0, time.Now().UnixNano()) {
+	for _, r := range intent.Reconcile(e, records, 0, time.Now().UnixNano()) {
 		if r.Proof == intent.Ran {
 			settled = len(e.Attempts)
 		} else {
@@ -277,8 +304,8 @@
 		}
 	}
 	open := 0
-	for _, h := range e.Attempts {
-		if h.Proof() == intent.PossiblyRan {
+	for _, attempt := range e.Attempts {
+		if attempt.Proof() == intent.PossiblyRan {
 			open++
 		}
 	}
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -14,44 +14,76 @@
 	"fernvane/internal/testbed/standin/server"
 )
 
-// observer tells the audit what clients, servers, discovery and planners see; it is safe for concurrent use. All times count since
-// the start of the load.
+// observer reports to the audit what clients, servers, discovery and planners see. It is the load's Watcher and the
+// observer of each stand-in, and safe for concurrent use. Times count from start.
 type observer struct {
 	start    time.Time
-	s        *scenario.Scenario
+	scenario *scenario.Scenario
 	requests []load.Request
 
-	mu      sync.Mutex
-	audit   *audit.Audit
-	servers map[string]int       // numbers by id
-	listed  map[int]map[int]bool // by reader of the registry: servers that it was told of last
-	missing map[int]map[int]time.Duration
-	drained map[[2]int]bool
-	since   []time.Duration // by node: when it was started; while it is down, never
+	mu           sync.Mutex
+	audit        *audit.Audit
+	servers      map[string]int                // numbers by ID
+	lastListed   map[int]map[int]bool          // by registry client: servers in its last list
+	missing      map[int]map[int]time.Duration // by registry client: when servers vanished from its list
+	drained      map[[2]int]bool
+	runningSince []time.Duration // by node: when it was started; never while it is down
 }
 
 const never = time.Duration(1<<62 - 1)
 
-func newObserver(s *scenario.Scenario, ops []load.Request, start time.Time) *observer {
-	f := audit.Settings{DrainGrace: s.Rules.DrainGrace.Std(), Slack: s.Rules.Slack.Std(), MaxAttempts: s.Rules.MaxAttempts, AllowsHedging: s.Rules.Copies,
-		ClosesOnDrain: s.Rules.DrainClose > 0, DrainClose: s.Rules.DrainClose.Std()}
+func newObserver(s *scenario.Scenario, requests []load.Request, start time.Time) *observer {
+	return &observer{
+		start:        start,
+		scenario:     s,
+		requests:     requests,
+		audit:        audit.New(auditSettings(s)),
+		servers:      map[string]int{},
+		lastListed:   map[int]map[int]bool{},
+		missing:      map[int]map[int]time.Duration{},
+		drained:      map[[2]int]bool{},
+		runningSince: make([]time.Duration, s.Nodes.Count),
+	}
+}
+
+// Idempotency and key scopes by their names in scenario files.
+var (
+	idempotencies = map[string]audit.Idempotency{"fingerprinted": audit.IdempotentWithKey, "binding": audit.NonIdempotent}
+	keyScopes     = map[string]audit.KeyScope{"zone": audit.Zone, "cell": audit.Cell}
+)
+
+// auditSettings returns the limits of a scenario that the audit checks.
+func auditSettings(s *scenario.Scenario) audit.Settings {
+	settings := audit.Settings{
+		DrainGrace:    s.Rules.DrainGrace.Std(),
+		Slack:         s.Rules.Slack.Std(),
+		MaxAttempts:   s.Rules.MaxAttempts,
+		AllowsHedging: s.Rules.Copies,
+		ClosesOnDrain: s.Rules.DrainClose > 0,
+		DrainClose:    s.Rules.DrainClose.Std(),
+	}
 	for _, t := range s.Types {
 		var sites []int
 		for _, site := range t.OnlySites {
 			sites = append(sites, slices.Index(s.Sites, site))
 		}
-		f.Types = append(f.Types, audit.Type{Name: t.Name, KeyRetention: t.Window.Std(), Sites: sites, Kinds: t.OnlyKinds,
-			Idempotency: map[string]audit.Idempotency{"fingerprinted": audit.IdempotentWithKey, "binding": audit.NonIdempotent}[t.Repeat],
-			KeyScope:    map[string]audit.KeyScope{"zone": audit.Zone, "cell": audit.Cell}[t.Group]})
+		settings.Types = append(settings.Types, audit.Type{
+			Name:         t.Name,
+			Idempotency:  idempotencies[t.Repeat],
+			KeyScope:     keyScopes[t.Group],
+			KeyRetention: t.Window.Std(),
+			Sites:        sites,
+			Kinds:        t.OnlyKinds,
+		})
 	}
-	return &observer{start: start, s: s, requests: ops, audit: audit.New(f), servers: map[string]int{}, listed: map[int]map[int]bool{}, missing: map[int]map[int]time.Duration{}, drained: map[[2]int]bool{}, since: make([]time.Duration, s.Nodes.Count)}
+	return settings
 }
 
-// record tells the audit something, under the lock.
-func (o *observer) record(tell func(a *audit.Audit, now time.Duration)) {
+// record calls report with the audit and the present time, under the lock.
+func (o *observer) record(report func(a *audit.Audit, now time.Duration)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	tell(o.audit, time.Since(o.start))
+	report(o.audit, time.Since(o.start))
 }
 
 func (o *observer) Sending(t *load.Try) {
@@ -75,106 +107,108 @@
 	})
 }
 
-func (o *observer) UnsolicitedResponse(w load.Endpoint) {
-	o.record(func(a *audit.Audit, _ time.Duration) { a.UnsolicitedResponse(w.Node) })
+func (o *observer) UnsolicitedResponse(endpoint load.Endpoint) {
+	o.record(func(a *audit.Audit, _ time.Duration) { a.UnsolicitedResponse(endpoint.Node) })
 }
 
-func (o *observer) HasRunSince(w load.Endpoint, since time.Duration) bool {
+func (o *observer) HasRunSince(endpoint load.Endpoint, since time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.since[w.Node] <= since
+	return o.runningSince[endpoint.Node] <= since
 }
 
-// nodeDown and nodeUp keep the lives of nodes.
+// nodeDown records that a node's process ended.
 func (o *observer) nodeDown(n int, onPurpose bool) {
 	o.record(func(a *audit.Audit, now time.Duration) {
-		o.since[n] = never
+		o.runningSince[n] = never
 		if onPurpose {
 			a.NodeDown(n, now)
 		}
 	})
 }
 
-// nodeStill and nodeOn tell of one that stands still, and lives all along.
-func (o *observer) nodeStill(n int) {
+// nodePaused records that a node's process was paused.
+func (o *observer) nodePaused(n int) {
 	o.record(func(a *audit.Audit, now time.Duration) { a.NodePaused(n, now) })
 }
 
-func (o *observer) nodeOn(n int) {
+// nodeResumed records that a paused node goes on.
+func (o *observer) nodeResumed(n int) {
 	o.record(func(a *audit.Audit, now time.Duration) { a.NodeUp(n, now) })
 }
 
+// nodeUp records that a node's process was started.
 func (o *observer) nodeUp(n int) {
 	o.record(func(a *audit.Audit, now time.Duration) {
-		o.since[n] = now
+		o.runningSince[n] = now
 		a.NodeUp(n, now)
 	})
 }
 
 func (o *observer) Asked(id uint64) (server.Asked, bool) {
-	op, number := load.FromID(id)
-	if op < 0 || op >= len(o.requests) || number > o.s.Clients.Retries {
+	place, number := load.FromID(id)
+	if place < 0 || place >= len(o.requests) || number > o.scenario.Clients.Retries {
 		return server.Asked{}, false
 	}
-	operation := &o.requests[op]
-	return server.Asked{Work: operation.Work, Key: operation.Key}, true
+	request := &o.requests[place]
+	return server.Asked{Work: request.Work, Key: request.Key}, true
 }
 
-func (o *observer) Attempt(id uint64, b int, first, last time.Duration) {
+func (o *observer) Attempt(id uint64, serverNumber int, first, last time.Duration) {
 	o.record(func(a *audit.Audit, _ time.Duration) {
 		if _, ok := o.Asked(id); !ok {
-			a.UnknownRequest(b, fmt.Sprintf("%016x", id))
+			a.UnknownRequest(serverNumber, fmt.Sprintf("%016x", id))
 			return
 		}
-		a.AttemptReceived(id, b, first, last)
+		a.AttemptReceived(id, serverNumber, first, last)
 	})
 }
 
-func (o *observer) Ran(id uint64, b int, at time.Duration) {
-	o.record(func(a *audit.Audit, _ time.Duration) { a.AttemptRan(id, b, at) })
+func (o *observer) Ran(id uint64, serverNumber int, at time.Duration) {
+	o.record(func(a *audit.Audit, _ time.Duration) { a.AttemptRan(id, serverNumber, at) })
 }
 
-func (o *observer) Over(id uint64, b int, at time.Duration, unbegun bool) {
-	o.record(func(a *audit.Audit, _ time.Duration) { a.AttemptEnded(id, b, at, unbegun) })
+func (o *observer) Over(id uint64, serverNumber int, at time.Duration, neverRan bool) {
+	o.record(func(a *audit.Audit, _ time.Duration) { a.AttemptEnded(id, serverNumber, at, neverRan) })
 }
 
-func (o *observer) Fell(b int, at time.Duration) {
-	o.record(func(a *audit.Audit, _ time.Duration) { a.ServerOverloaded(b, at) })
+func (o *observer) Fell(serverNumber int, at time.Duration) {
+	o.record(func(a *audit.Audit, _ time.Duration) { a.ServerOverloaded(serverNumber, at) })
 }
 
-func (o *observer) Idle(id uint64, b int, from, to time.Duration) {
-	o.record(func(a *audit.Audit, _ time.Duration) { a.ConnectionIdle(id, b, from, to) })
+func (o *observer) Idle(id uint64, serverNumber int, from, to time.Duration) {
+	o.record(func(a *audit.Audit, _ time.Duration) { a.ConnectionIdle(id, serverNumber, from, to) })
 }
 
 var conditions = map[string]audit.Condition{discovery.Serving: audit.Serving, discovery.Draining: audit.Draining, discovery.Deleted: audit.Removed}
 
-// Announced reports what discovery has told a node. What it tells a planner reaches nodes by that planner only.
+// Announced records what discovery notified a node of. What it notifies a planner of reaches nodes only by that planner.
 func (o discovered) Announced(node int, id, phase string, up int64, at time.Time) {
-	if node >= o.s.Nodes.Count {
+	if node >= o.scenario.Nodes.Count {
 		return
 	}
 	o.record(func(a *audit.Audit, _ time.Duration) {
-		if b, ok := o.servers[id]; ok {
-			a.NodeNotified(node, b, conditions[phase], up, at.Sub(o.start))
+		if number, ok := o.servers[id]; ok {
+			a.NodeNotified(node, number, conditions[phase], up, at.Sub(o.start))
 		}
 	})
 }
 
-// discovered is what discovery tells.
+// discovered is the observer of the discovery stand-in, whose method differs from the registry's.
 type discovered struct{ *observer }
 
 var incarnations = [...]audit.Condition{incarnation.Up: audit.Serving, incarnation.Draining: audit.Draining, incarnation.Gone: audit.Removed}
 
-// Planned tells what a planner has told a node.
-func (o *observer) Planned(forwarder string, told []incarnation.Entry, at time.Time) {
+// Planned records what a planner notified a node of.
+func (o *observer) Planned(forwarder string, entries []incarnation.Entry, at time.Time) {
 	var node int
 	if _, err := fmt.Sscanf(forwarder, "n%d", &node); err != nil {
 		return
 	}
 	o.record(func(a *audit.Audit, _ time.Duration) {
-		for _, l := range told {
-			if b, ok := o.servers[l.ID]; ok {
-				a.NodeNotified(node, b, incarnations[l.Condition], l.StartedUnixMS, at.Sub(o.start))
+		for _, l := range entries {
+			if number, ok := o.servers[l.ID]; ok {
+				a.NodeNotified(node, number, incarnations[l.Condition], l.StartedUnixMS, at.Sub(o.start))
 			}
 		}
 	})
--- a/internal/testbed/planner.go
+++ b/internal/testbed/planner.go
@@ -14,107 +14,131 @@
 	"fernvane/internal/testbed/standin/plannerproxy"
 )
 
-func (w *world) plannerAddress(n int) string {
-	return fmt.Sprintf("%s.220.%d:%d", w.net, n+1, plannerPort)
+// plannerAddress returns where a planner listens.
+func (env *environment) plannerAddress(n int) string {
+	return fmt.Sprintf("%s.220.%d:%d", env.network, n+1, plannerPort)
 }
 
-func (w *world) relayAddress(n, half int) string {
-	return fmt.Sprintf("%s.221.%d:%d", w.net, n+1, plannerPort+half)
+// plannerProxyAddress returns where a half of the nodes reaches a planner.
+func (env *environment) plannerProxyAddress(n, half int) string {
+	return fmt.Sprintf("%s.221.%d:%d", env.network, n+1, plannerPort+half)
 }
 
-// plan starts the planners, each behind a relay for either half of the nodes, and has the nodes know of them.
-func (w *world) plan() error {
-	s := w.Scenario
+// startPlanners starts the planners, each behind a proxy for either half of the nodes, and configures the nodes to use
+// them.
+func (env *environment) startPlanners() error {
+	s := env.Scenario
 	if s.Planners.Count == 0 {
 		return nil
 	}
-	var through [2][]string
+	var addresses [2][]string // by half of the nodes, quoted
 	for n := range s.Planners.Count {
 		var halves [2]*plannerproxy.Proxy
 		for half := range halves {
-			r, err := plannerproxy.Listen(w.relayAddress(n, half), w.plannerAddress(n), w.observer)
+			r, err := plannerproxy.Listen(env.plannerProxyAddress(n, half), env.plannerAddress(n), env.observer)
 			if err != nil {
 				return err
 			}
 			halves[half] = r
-			through[half] = append(through[half], fmt.Sprintf("%q", r.Address()))
+			addresses[half] = append(addresses[half], fmt.Sprintf("%q", r.Address()))
 		}
-		w.relays = append(w.relays, halves)
-		p := &process{kind: "planner-", number: n, command: w.Planner, env: w.Env, dir: w.Keep}
-		w.planners = append(w.planners, p)
+		env.plannerProxies = append(env.plannerProxies, halves)
+		p := &process{kind: "planner-", number: n, command: env.Planner, env: env.Env, dir: env.Directory}
+		env.planners = append(env.planners, p)
 		text := fmt.Sprintf("name = \"p%d\"\nlisten = %q\ndiscovery = %q\nevery = %q\nplaintext = true\n",
-			n, w.plannerAddress(n), w.discoveryAddress(s.Nodes.Count+n, 0), s.Planners.Every.Std())
-		if err := os.WriteFile(p.plan(), []byte(text), 0o644); err != nil {
+			n, env.plannerAddress(n), env.discoveryAddress(s.Nodes.Count+n, 0), s.Planners.Every.Std())
+		if err := os.WriteFile(p.planPath(), []byte(text), 0o644); err != nil {
 			return err
 		}
-		if err := w.startPlanner(n); err != nil {
+		if err := env.startPlanner(n); err != nil {
 			return err
 		}
 	}
-	for n, p := range w.nodes {
-		text := fmt.Sprintf("planners = [%s]\nplaintext = true\n", strings.Join(through[n%2], ", "))
-		if err := os.WriteFile(p.planners(), []byte(text), 0o644); err != nil {
+	for n, p := range env.nodes {
+		text := fmt.Sprintf("planners = [%s]\nplaintext = true\n", strings.Join(addresses[n%2], ", "))
+		if err := os.WriteFile(p.plannersPath(), []byte(text), 0o644); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *world) startPlanner(n int) error {
-	return w.planners[n].start(w.processes, func(why string) {
-		w.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, "planner: "+why) })
+// startPlanner starts a planner on its configuration.
+func (env *environment) startPlanner(n int) error {
+	return env.planners[n].start(env.processes, func(why string) {
+		env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, "planner: "+why) })
 	})
 }
 
-// stopPlanners ends them in good order and tells what they used.
-func (w *world) stopPlanners() (all usage, bytes int) {
-	for n, p := range w.planners {
+// stopPlanners stops the planners gracefully and returns what they used and the bytes that they sent to nodes.
+func (env *environment) stopPlanners() (all resourceUsage, bytes int) {
+	for n, p := range env.planners {
 		p.signal(syscall.SIGCONT)
-		if err := p.end(syscall.SIGTERM); err != nil {
-			w.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, "planner: "+err.Error()) })
+		if err := p.stop(syscall.SIGTERM); err != nil {
+			env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, "planner: "+err.Error()) })
 		}
 		p.mu.Lock()
-		all.CPU, all.RSSMB = all.CPU+p.use.CPU, max(all.RSSMB, p.use.RSSMB)
+		all.CPU += p.usage.CPU
+		all.RSSMB = max(all.RSSMB, p.usage.RSSMB)
 		p.mu.Unlock()
-		for _, r := range w.relays[n] {
+		for _, r := range env.plannerProxies[n] {
 			bytes += r.Bytes()
 		}
 	}
 	return all, bytes
 }
 
-// chosenPlanners are those that a fault names, or all.
-func (w *world) chosenPlanners(f *scenario.Fault) []int {
+// chosenPlanners returns the planners that a fault names, or all.
+func (env *environment) chosenPlanners(f *scenario.Fault) []int {
 	if len(f.Planners) > 0 {
 		return f.Planners
 	}
-	all := make([]int, len(w.planners))
+	all := make([]int, len(env.planners))
 	for n := range all {
 		all[n] = n
 	}
 	return all
 }
 
-// eachPlanner has something befall each of the chosen, and end after the fault's time.
-func eachPlanner(begin, end func(w *world, f *scenario.Fault, n int)) func(*world, context.Context, *scenario.Fault, *rand.Rand) {
-	return func(w *world, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
-		for _, n := range w.chosenPlanners(f) {
-			begin(w, f, n)
-			w.after(f.For.Std(), func() { end(w, f, n) })
+// eachPlanner returns a fault that begins at each of the chosen planners and ends after its time.
+func eachPlanner(begin, end func(env *environment, f *scenario.Fault, n int)) faultFunc {
+	return func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
+		for _, n := range env.chosenPlanners(f) {
+			begin(env, f, n)
+			env.after(f.For.Std(), func() { end(env, f, n) })
 		}
 	}
 }
 
-func killPlanner(w *world, _ *scenario.Fault, n int) { w.planners[n].end(syscall.SIGKILL) }
+// killPlanner kills a planner's process.
+func killPlanner(env *environment, _ *scenario.Fault, n int) { env.planners[n].stop(syscall.SIGKILL) }
 
-func returnPlanner(w *world, _ *scenario.Fault, n int) {
-	if err := w.startPlanner(n); err != nil {
-		w.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, err.Error()) })
+// restartPlanner starts a killed planner again.
+func restartPlanner(env *environment, _ *scenario.Fault, n int) {
+	if err := env.startPlanner(n); err != nil {
+		env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, err.Error()) })
 	}
 }
 
-func delayPlanner(w *world, n int, d time.Duration) {
-	for _, r := range w.relays[n] {
+// delayPlanner delays what a planner and the nodes send each other.
+func delayPlanner(env *environment, n int, d time.Duration) {
+	for _, r := range env.plannerProxies[n] {
 		r.Delay(d)
 	}
 }
+
+// plannerFaults are the faults of planners and the links to them.
+var plannerFaults = map[string]faultFunc{
+	"kill-planners": eachPlanner(killPlanner, restartPlanner),
+	"stop-planners": eachPlanner(
+		func(env *environment, _ *scenario.Fault, n int) { env.planners[n].signal(syscall.SIGSTOP) },
+		func(env *environment, _ *scenario.Fault, n int) { env.planners[n].signal(syscall.SIGCONT) }),
+	"cut-planners": eachPlanner(
+		func(env *environment, f *scenario.Fault, n int) { env.plannerProxies[n][f.Half].Cut(true) },
+		func(env *environment, f *scenario.Fault, n int) { env.plannerProxies[n][f.Half].Cut(false) }),
+	"slow-planners": eachPlanner(
+		func(env *environment, f *scenario.Fault, n int) {
+			delayPlanner(env, n, time.Duration(f.Size*float64(time.Second)))
+		},
+		func(env *environment, _ *scenario.Fault, n int) { delayPlanner(env, n, 0) }),
+}
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -112,10 +112,10 @@
 		Service: round(o.ServiceShare()), AnsweredInTarget: o.Outcomes[load.WithinObjective], Handled: o.Outcomes[load.Handled], Rejected: o.Outcomes[load.Rejected],
 		WrittenOff: o.Outcomes[load.Failed], Unanswered: o.Outcomes[load.NoAnswer], Unreached: o.Outcomes[load.Unreached], DisconnectedEarly: o.Outcomes[load.DisconnectedEarly], Tries: o.Tries, Rules: o.Rules,
 		Latency: map[string]Latency{}, ByTenant: map[string]Part{}, BySite: map[string]Part{},
-		Generator:  Generator{millis(o.Late.Max), round(o.Late.LateShare), o.Late.IsBehind, round(o.Late.MaxBinError)},
-		Discovery:  Discovery{o.Calls, math.Round(o.Lines), o.TurnedOff},
-		NodeUse:    Use{round(o.Use.CPU.Seconds()), math.Round(o.Use.RSSMB)},
-		PlannerUse: Use{round(o.Planning.CPU.Seconds()), math.Round(o.Planning.RSSMB)}, PlanBytes: o.PlanBytes,
+		Generator:  Generator{millis(o.Lateness.Max), round(o.Lateness.LateShare), o.Lateness.IsBehind, round(o.Lateness.MaxBinError)},
+		Discovery:  Discovery{o.DiscoveryCalls, math.Round(o.DiscoveryLines), o.RejectedCalls},
+		NodeUse:    Use{round(o.NodeUsage.CPU.Seconds()), math.Round(o.NodeUsage.RSSMB)},
+		PlannerUse: Use{round(o.PlannerUsage.CPU.Seconds()), math.Round(o.PlannerUsage.RSSMB)}, PlanBytes: o.PlanBytes,
 		BadClients: o.BadClients, Faults: []Fault{}, Baselines: []Report{}}
 	for _, t := range o.ByType {
 		r.Latency[t.Name] = Latency{quantile(t.Latency, 50), quantile(t.Latency, 99), quantile(t.Latency, 99.9),
@@ -215,10 +215,10 @@
 	}
 	if j := r.Journal; j != nil {
 		fmt.Fprintf(w, "\njournals: %d entries, %d dockets, %d possibly sent, %d of them not settled by dockets, %d words in gaps", j.Entries, j.Ran,
-			j.Possibly, j.Open, j.Gaps)
-		if j.Linked > 0 || j.Losses > 0 {
+			j.PossiblySent, j.Open, j.Gaps)
+		if j.PeerBytes > 0 || j.Losses > 0 {
 			fmt.Fprintf(w, "\nmachines: %d lost with their disks, %d times all was whole again; %d journals told to be lost, %d dockets of theirs are; %d bytes between nodes",
-				j.Losses, j.Cycles, j.AnnouncedLost, j.Lost, j.Linked)
+				j.Losses, j.Cycles, j.AnnouncedLost, j.Lost, j.PeerBytes)
 		}
 	}
 	if r.BadClients > 0 {
