--- a/internal/controlplane/distribution/receiver.go
+++ b/internal/controlplane/distribution/receiver.go
@@ -8,16 +8,16 @@
 // Receiver takes in the batches of one subscription, at the subscriber's end. A subscriber whose services change ends its
 // connection and subscribes again with a new Receiver.
 type Receiver struct {
-	store       *Store
-	through     Vector // the sender's vector as far as it has said
-	lastBatch   uint64 // number
-	isStoreFull bool   // something found no room: the vector does not advance any more
-	transfer    transfer
-	repair      repair
-	synced      map[string]bool // services that were unsynced at the subscription, or were sent whole since
+	store        *Store
+	through      Vector // the sender's vector as far as it has said
+	lastBatch    uint64 // number
+	isStoreFull  bool   // an entry was rejected for want of room: the vector does not advance any more on this connection
+	transfer     transfer
+	repair       repair
+	toMarkSynced map[string]bool // services that were unsynced at the subscription, or had a full sync since
 }
 
-// transfer is the services that are being sent whole.
+// transfer is the services in full sync.
 type transfer struct {
 	isAll    bool // of all services
 	services map[string]bool
@@ -33,24 +33,24 @@
 
 // BatchResult is what a batch has changed.
 type BatchResult struct {
-	Changed        []Entry  // new winners, deletions included
-	Removed        []Entry  // entries that ended without a deletion being sent; for an Applier they count as deleted
-	ResyncServices []string // in which something came or ended that no vector shows: for Publisher.ResyncServices
-	Rejected       []Rejection
-	IsComplete     bool // the vector has advanced; the caller saves it with the entries, or after them
+	Changed        []Entry     // new winners, deletions included
+	Removed        []Entry     // entries that ended without a deletion being sent; for an Applier they count as deleted
+	ResyncServices []string    // in which something came or ended that no vector shows: for Publisher.ResyncServices
+	Rejected       []Rejection // those of a full store keep the vector from advancing, others do not
+	IsComplete     bool        // the vector has advanced; the caller saves it with the entries, or after them
 }
 
 // NewReceiver returns a receiver for a subscription that begins now.
 func NewReceiver(store *Store) *Receiver {
 	r := &Receiver{
-		store:    store,
-		through:  Vector{},
-		transfer: transfer{services: map[string]bool{}, received: map[Key]bool{}},
-		repair:   repair{services: map[string]bool{}, attempts: map[string]int{}},
-		synced:   map[string]bool{},
+		store:        store,
+		through:      Vector{},
+		transfer:     transfer{services: map[string]bool{}, received: map[Key]bool{}},
+		repair:       repair{services: map[string]bool{}, attempts: map[string]int{}},
+		toMarkSynced: map[string]bool{},
 	}
 	for _, name := range store.UnsyncedServices() {
-		r.synced[name] = true
+		r.toMarkSynced[name] = true
 	}
 	return r
 }
@@ -78,7 +78,7 @@
 	return result
 }
 
-// recordTransfer notes what a batch says of services that are sent whole.
+// recordTransfer notes what a batch says of services in full sync.
 func (r *Receiver) recordTransfer(b Batch) {
 	t := &r.transfer
 	t.isAll = t.isAll || b.ResetsAll
@@ -92,17 +92,17 @@
 	}
 }
 
-// complete ends the transfers under way and advances the vector.
+// complete ends the full syncs under way and advances the vector.
 func (r *Receiver) complete(b Batch, result *BatchResult) {
 	r.through.Join(b.Through)
-	result.Removed = r.store.ReplaceServices(r.replacedServices(), r.transfer.received, b.Through)
+	result.Removed = r.store.ReplaceServices(r.finishTransfers(), r.transfer.received, b.Through)
 	for _, e := range result.Removed {
 		result.ResyncServices = append(result.ResyncServices, e.Key.Service)
 	}
 	result.ResyncServices = sortedSet(result.ResyncServices)
 	r.store.AdvanceVector(b.Through)
 	r.store.AdvancePruned(b.Pruned)
-	for name := range r.synced {
+	for name := range r.toMarkSynced {
 		r.store.serviceReceived(name, r.through)
 	}
 	r.transfer.isAll = false
@@ -111,10 +111,11 @@
 	result.IsComplete = true
 }
 
-// replacedServices returns the services of which nothing stays that was not received. A service that is being repaired keeps
+// finishTransfers ends the full syncs under way and the repairs among them, notes the services in toMarkSynced, and returns those
+// of which nothing stays that was not received. A service that is being repaired keeps
 // what it holds, since either side may have lost something: the sender receives it in turn if it subscribes here. A node, which
 // nobody subscribes to, takes over the sender's entries at the second attempt.
-func (r *Receiver) replacedServices() []string {
+func (r *Receiver) finishTransfers() []string {
 	var services []string
 	for _, name := range slices.Sorted(maps.Keys(r.transfer.services)) {
 		isNode := r.store.scope != nil
@@ -122,7 +123,7 @@
 			services = append(services, name)
 		}
 		delete(r.repair.services, name)
-		r.synced[name] = true
+		r.toMarkSynced[name] = true
 	}
 	if r.transfer.isAll {
 		return r.store.Services()
@@ -131,8 +132,9 @@
 }
 
 // CompareDigests takes in digests, which a sender sends when nothing waits, so that they also advance the vector. It returns
-// the services to be asked for whole, whether a subscriber of all is to ask for the digests of all services, and whether the
-// vector has advanced. A store that covers what the sender does not is not compared.
+// the services that need a full sync, whether a subscriber of all is to ask for the digests of all services, and whether the
+// vector has advanced. A store that covers what the sender does not is not compared, nor is one that is
+// full or in a full sync: then all results are zero.
 func (r *Receiver) CompareDigests(d Digests) (services []string, needsServiceDigests, hasAdvanced bool) {
 	if r.isStoreFull || r.transfer.isAll || len(r.transfer.services) > 0 {
 		return nil, false, false
--- a/internal/controlplane/planwire/frames.go
+++ b/internal/controlplane/planwire/frames.go
@@ -9,10 +9,11 @@
 	"fernvane/internal/cluster/framing"
 )
 
-// Version of the frames. A peer of another version is refused.
+// Version of the frames. A peer of another version is rejected.
 const Version = 2
 
-// maxBodyBytes holds 4,000 incarnations of 200 bytes, and some slack.
+// maxBodyBytes holds a change with 4,096 incarnations of 200 bytes, and 224 KiB more. Reports are not sized by it: a forwarder's
+// that is longer cannot be sent.
 const maxBodyBytes = 1 << 20
 
 // Kind of a frame.
@@ -20,8 +21,8 @@
 
 // Kinds that every protocol has.
 const (
-	HelloKind   = framing.HelloKind     // the first frame of either side
-	RefusalKind = framing.RejectionKind // why a side ends the connection
+	HelloKind     = framing.HelloKind     // the first frame of either side
+	RejectionKind = framing.RejectionKind // why a side ends the connection
 )
 
 // Kinds of this protocol.
@@ -37,8 +38,8 @@
 type (
 	// Hello is the body of a HelloKind frame.
 	Hello = framing.Hello
-	// Refusal is the body of a RefusalKind frame.
-	Refusal = framing.Rejection
+	// Rejection is the body of a RejectionKind frame.
+	Rejection = framing.Rejection
 	// Conn is a connection between a forwarder and a planner.
 	Conn = framing.Conn
 )
--- a/internal/testbed/brokennode.go
+++ b/internal/testbed/brokennode.go
@@ -25,7 +25,7 @@
 // noDrainGuard allows attempts at servers whose drain grace has passed.
 type noDrainGuard struct{}
 
-func (noDrainGuard) IsPastDrainGrace(string) bool { return false }
+func (noDrainGuard) IsTooLateToWrite(string) bool { return false }
 
 // ignoredDisconnects reports no client as disconnected.
 type ignoredDisconnects struct{ proxy.DisconnectWatcher }
