--- a/internal/controlplane/distribution/client/client.go
+++ b/internal/controlplane/distribution/client/client.go
@@ -191,7 +191,7 @@
 	}
 }
 
-var errNoAnswer = errors.New("it does not answer")
+var errNoAnswer = errors.New("no answer")
 
 // startServing lets the node serve.
 func (c *Client) startServing() {
--- a/internal/controlplane/distribution/client/client_test.go
+++ b/internal/controlplane/distribution/client/client_test.go
@@ -175,7 +175,7 @@
 }
 
 // A control process with an older state, or one that resets services to old entries, does not take a node back.
-func TestNodeNeverGoesBack(t *testing.T) {
+func TestNodeKeepsNewerEntries(t *testing.T) {
 	early := newControl(t, "root/1")
 	early.write(put("hire", distribution.KindServer, "s1", "v1"))
 	late := newControl(t, "other/1")
--- a/internal/controlplane/distribution/client/protocol_test.go
+++ b/internal/controlplane/distribution/client/protocol_test.go
@@ -88,7 +88,7 @@
 }
 
 // A control process that is connected but silent, as one that was stopped, is left for the next.
-func TestSilentControlProcessIsLeft(t *testing.T) {
+func TestSilentControlProcessIsDisconnected(t *testing.T) {
 	c, next := newControl(t, "root/1"), newControl(t, "root/2")
 	n := startNode(t, config(t, "n", []string{"hire"}, c.address(), next.address()))
 	started(t, n)
--- a/internal/controlplane/distribution/control/control_test.go
+++ b/internal/controlplane/distribution/control/control_test.go
@@ -56,7 +56,7 @@
 }
 
 // A write beyond a bound is answered by an error and changes nothing.
-func TestInvalidWritesAreRefused(t *testing.T) {
+func TestInvalidWritesAreRejected(t *testing.T) {
 	t.Parallel()
 	a, _, _ := tree(t)
 	before := a.state()
@@ -270,7 +270,7 @@
 }
 
 // A silent connection is left within seconds, and what was written meanwhile is received by another.
-func TestSilentUpstreamIsLeft(t *testing.T) {
+func TestSilentUpstreamIsDisconnected(t *testing.T) {
 	t.Parallel()
 	disk := disks(t)
 	at, bt := address.Free(t), address.Free(t)
--- a/internal/controlplane/distribution/disk/disk.go
+++ b/internal/controlplane/distribution/disk/disk.go
@@ -21,7 +21,7 @@
 
 // Why a file cannot be opened, or something not be saved.
 var (
-	ErrNewerFormat = errors.New("it was written by a newer version of this program")
+	ErrNewerFormat = errors.New("written by a newer version of this program")
 	ErrInUse       = errors.New("another process has it open")
 	ErrClosed      = errors.New("the disk is closed")
 )
--- a/internal/controlplane/distribution/disk/disk_test.go
+++ b/internal/controlplane/distribution/disk/disk_test.go
@@ -118,7 +118,7 @@
 }
 
 // What was saved is there at the next start: the latest of each key, without what was removed, with the vector.
-func TestNextStart(t *testing.T) {
+func TestSavedEntriesAreLoaded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entries.db")
 	d, loaded := open(t, path, Options{WriteInterval: time.Millisecond})
 	if loaded.Origin != "" || loaded.IsClean || len(loaded.Entries) > 0 {
@@ -154,7 +154,7 @@
 }
 
 // A process that is killed leaves a file that is not clean, also before it has written anything.
-func TestKilled(t *testing.T) {
+func TestKilledProcessLeavesUncleanFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entries.db")
 	kept(t, path, entries(1, 10), distribution.Vector{"a/1": 10})
 	open(t, path, Options{})
@@ -209,7 +209,7 @@
 }
 
 // A full disk is reported once, durable saves fail by it, and everything is written when there is space again.
-func TestFull(t *testing.T) {
+func TestDiskFullInUse(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entries.db")
 	var calls callbacks
 	o := calls.options()
@@ -239,7 +239,7 @@
 }
 
 // No disk at all at the start: the process has everything in memory, and on the disk as soon as there is room.
-func TestFullAtTheStart(t *testing.T) {
+func TestDiskFullAtOpen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entries.db")
 	var calls callbacks
 	o := calls.options()
@@ -259,7 +259,7 @@
 }
 
 // Damage of every kind quarantines the file with one callback, and the next start is one on an empty disk.
-func TestDamaged(t *testing.T) {
+func TestDamagedAtOpen(t *testing.T) {
 	whole := filepath.Join(t.TempDir(), "whole.db")
 	kept(t, whole, entries(1, 300), distribution.Vector{"a/1": 300})
 	text, err := os.ReadFile(whole)
@@ -415,7 +415,7 @@
 }
 
 // Files that are not to be gone on from: each has one error and stays as it is.
-func TestRefused(t *testing.T) {
+func TestUnopenableFiles(t *testing.T) {
 	dir := t.TempDir()
 	newer, busy := filepath.Join(dir, "newer.db"), filepath.Join(dir, "busy.db")
 	kept(t, newer, entries(1, 3), nil)
--- a/internal/controlplane/distribution/doc.go
+++ b/internal/controlplane/distribution/doc.go
@@ -9,11 +9,12 @@
 //     of bytes per second. Receiver is the other end of one subscription.
 //   - Subscriber decides which upstream is followed, and when a process may serve by what it holds.
 //
-// A subscriber normally gets a delta sync: the entries that its vector does not cover. A service gets a full sync where a vector
-// does not say what is missing: it is new to the subscriber, deletions were pruned, entries were removed without a deletion, or
-// digests differ. All its entries are sent, and at the next complete batch those that were not sent and that the sender covers end at
-// the receiver. Reset and transfer name a full sync in code, at the sender and at the receiver; resync starts one, and repair is
-// one after digests differed, in which a control process keeps what it holds beside. Both kinds go out in the catch-up lane; changes made meanwhile go out in the fresh lane.
+// A subscriber normally gets a delta sync: the entries that its vector does not cover. A service gets a full sync where a
+// vector does not say what is missing: it is new to the subscriber, deletions were pruned, entries were removed without a
+// deletion, or digests differ. All its entries are sent, and at the next complete batch those that were not sent and that the
+// sender covers end at the receiver. Reset and transfer name a full sync in code, at the sender and at the receiver; resync
+// starts one, and repair is one after digests differed, in which a control process keeps what it holds beside. Both kinds go
+// out in the catch-up lane; changes made meanwhile go out in the fresh lane.
 //
 // Packages client (a node) and control (a control process) own them, deliver their inputs, and carry out what they return;
 // package wire carries the messages and package disk keeps a store's entries. Nothing here is safe for concurrent use: the
--- a/internal/controlplane/distribution/publisher_test.go
+++ b/internal/controlplane/distribution/publisher_test.go
@@ -251,7 +251,7 @@
 	}
 }
 
-func TestNewServiceIsSentWhole(t *testing.T) {
+func TestNewServiceGetsFullSync(t *testing.T) {
 	w := newWorld(t.Fatalf)
 	root := w.add("root", "", RoleControl)
 	node := w.add("node", "", RoleNode, "a")
--- a/internal/controlplane/distribution/store_test.go
+++ b/internal/controlplane/distribution/store_test.go
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestMergeRefusesEntriesOutOfBounds(t *testing.T) {
+func TestMergeRejectsEntriesOutOfBounds(t *testing.T) {
 	s := NewStore("", Limits{MaxEntries: 1})
 	good := Entry{Key: key("a", "1"), Clock: 5, Origin: "x/1", Sequence: 1}
 	second := good
--- a/internal/controlplane/distribution/wire/messages_test.go
+++ b/internal/controlplane/distribution/wire/messages_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestMessagesOutOfBoundsAreRefused(t *testing.T) {
+func TestMessagesOutOfBoundsAreRejected(t *testing.T) {
 	long := strings.Repeat("x", 400)
 	many := make([]string, distribution.MaxServices)
 	tests := []struct {
--- a/internal/controlplane/planner/server_test.go
+++ b/internal/controlplane/planner/server_test.go
@@ -118,7 +118,7 @@
 }
 
 // Two forwarders receive their subsets and learn of a drain; what one of them knows reaches the other by the planner.
-func TestTwoForwarders(t *testing.T) {
+func TestForwardersReceivePlansAndUpdates(t *testing.T) {
 	t.Parallel()
 	at, list := start(t, nil)
 	for i := range 8 {
