--- a/cmd/fernvane/main.go
+++ b/cmd/fernvane/main.go
@@ -72,7 +72,7 @@
 	case errors.As(err, &code):
 		return int(code)
 	case errors.Is(err, errJournalDamaged), errors.Is(err, errUnusableGeneration), errors.Is(err, errTooFewAnswers), errors.Is(err, errUnderReplicated),
-		errors.Is(err, errNodesBehind), errors.Is(err, errNoSuchEntry), errors.As(err, new(*client.WriteRefusedError)):
+		errors.Is(err, errNodesBehind), errors.Is(err, errNoSuchEntry), errors.As(err, new(*client.WriteRejectedError)):
 		fmt.Fprintf(errs, "fernvane: %v\n", err)
 		return 1
 	case errors.As(err, &faults): // each with its own file and line
--- a/internal/controlplane/distribution/client/follow.go
+++ b/internal/controlplane/distribution/client/follow.go
@@ -76,13 +76,13 @@
 }
 
 // endLink ends the current connection or attempt. The subscriber is notified unless it has decided so itself.
-func (c *Client) endLink(why error, tellSubscriber bool) {
+func (c *Client) endLink(why error, notifiesSubscriber bool) {
 	if c.link == nil {
 		return
 	}
 	c.log.Warn().Err(why).Str("control", c.config.Control[c.link.upstream]).Msg("distribution: control process disconnected")
 	c.disconnect()
-	if !tellSubscriber {
+	if !notifiesSubscriber {
 		return
 	}
 	c.mu.Lock()
--- a/internal/controlplane/distribution/client/session.go
+++ b/internal/controlplane/distribution/client/session.go
@@ -22,10 +22,10 @@
 // ErrNoControlProcess says that no control process has answered.
 var ErrNoControlProcess = errors.New("no control process answers")
 
-// WriteRefusedError is a control process's answer to a write that it did not accept, or that is not on its disk.
-type WriteRefusedError struct{ Reason string }
+// WriteRejectedError is a control process's answer to a write that it did not accept, or that is not on its disk.
+type WriteRejectedError struct{ Reason string }
 
-func (e *WriteRefusedError) Error() string { return "the control process answers: " + e.Reason }
+func (e *WriteRejectedError) Error() string { return "the control process answers: " + e.Reason }
 
 // Session is a command's connection to the first control process that answers. It is not safe for concurrent use.
 type Session struct {
@@ -83,12 +83,12 @@
 
 // outcomeUnknown is the error of a write that may have been made.
 func (s *Session) outcomeUnknown(err error) error {
-	return fmt.Errorf("%w: %s took the change and did not answer (%v): it may hold; to write it once more does no harm",
+	return fmt.Errorf("%w: %s took the change and did not answer (%v): it may be in effect, and writing it again is safe",
 		ErrNoControlProcess, s.Control, err)
 }
 
 // Write makes changes, in as many writes as they need, and returns the last result. Each write is made as a whole or not at
-// all. The error is a *WriteRefusedError, or wraps ErrNoControlProcess if the outcome is not known.
+// all. The error is a *WriteRejectedError, or wraps ErrNoControlProcess if the outcome is not known.
 func (s *Session) Write(changes []distribution.Change) (result *wire.WriteResult, err error) {
 	for len(changes) > 0 {
 		n, bytes := 0, 0
@@ -119,7 +119,7 @@
 			continue
 		}
 		if result.Error != "" {
-			return nil, &WriteRefusedError{result.Error}
+			return nil, &WriteRejectedError{result.Error}
 		}
 		return result, nil
 	}
--- a/internal/controlplane/distribution/client/upload.go
+++ b/internal/controlplane/distribution/client/upload.go
@@ -7,7 +7,7 @@
 	"fernvane/internal/controlplane/distribution/wire"
 )
 
-// uploadBudget is what a control process is sent of what it lacks, in bytes per second: the operators' figure.
+// uploadBudget is what a control process is sent of what it lacks, in bytes per second: 16 KiB/s.
 const uploadBudget = 16 << 10
 
 // upload sends a control process what it lacks and this node holds, as after the control process lost its disk.
