--- a/internal/journal/execution/execution.go
+++ b/internal/journal/execution/execution.go
@@ -66,7 +66,7 @@
 	}
 	switch {
 	case l.Server != "" && (l.From == nil || l.To == nil):
-		return nil, fmt.Errorf("server %q: from and to say for what time its list is whole", l.Server)
+		return nil, fmt.Errorf("server %q: a server needs from and to", l.Server)
 	case l.Server != "":
 		current = &intent.ExecutionRecord{
 			Server:       l.Server,
--- a/internal/journal/wal/chunk.go
+++ b/internal/journal/wal/chunk.go
@@ -7,7 +7,8 @@
 	"fernvane/internal/journal/intent"
 )
 
-// MaxChunkRecords is how many numbered records follow one header: 250 kB.
+// MaxChunkRecords is how many numbered records follow one header at most: about 250 kB, and up to 4 MB where each has
+// maxRecordBytes.
 const MaxChunkRecords = 1024
 
 // Chunk is a run of numbered records as it is stored in a segment.
--- a/internal/journal/wal/config.go
+++ b/internal/journal/wal/config.go
@@ -65,13 +65,13 @@
 		return nil, err
 	}
 	if st, err := os.Stat(c.Dir); c.Dir == "" || err != nil || !st.IsDir() {
-		f.Wrong("dir", "dir %q is no folder that is there", c.Dir)
+		f.Wrong("dir", "dir %q is not an existing directory", c.Dir)
 	}
 	if c.Promise != promiseProcess && c.Promise != promiseMachine && c.Promise != PromiseMachines {
 		f.Wrong("promise", "promise %q is none of process, machine and machines", c.Promise)
 	}
 	if c.WhenFailing != whenFailingReject && c.WhenFailing != whenFailingServe {
-		f.Wrong("when_failing", "when_failing %q: deny has bindings denied while the disk takes nothing, serve marks a gap; one must be chosen", c.WhenFailing)
+		f.Wrong("when_failing", "when_failing %q: deny rejects non-idempotent requests while the journal cannot be written, serve records a gap; one must be chosen", c.WhenFailing)
 	}
 	if c.MaxWait.Std() < minWait || c.MaxWait.Std() > maxWait {
 		f.Wrong("wait_most", "wait_most %s: from 1ms to 10s", c.MaxWait.Std())
@@ -80,7 +80,7 @@
 		f.Wrong("segment_bytes", "segment_bytes %d: from 4096 to 1073741824", c.SegmentBytes)
 	}
 	if c.RetentionBytes > 0 && c.RetentionBytes < 2*c.SegmentBytes {
-		f.Wrong("keep_bytes", "keep_bytes %d holds no two segments", c.RetentionBytes)
+		f.Wrong("keep_bytes", "keep_bytes %d is less than two segments", c.RetentionBytes)
 	}
 	return c, f.Err()
 }
--- a/internal/journal/wal/config_test.go
+++ b/internal/journal/wal/config_test.go
@@ -18,7 +18,7 @@
 		"dir = \"/nowhere\"\nwhen_failing = \"deny\"":                 "f.toml:1: dir",
 		"dir = \"DIR\"\nwhen_failing = \"serve\"\npromise = \"all\"":  "f.toml:3: promise",
 		"dir = \"DIR\"\nwhen_failing = \"serve\"\nkeep = 3":           "unknown key",
-		"dir = \"DIR\"\nwhen_failing = \"serve\"\nkeep_bytes = 9":     "no two segments",
+		"dir = \"DIR\"\nwhen_failing = \"serve\"\nkeep_bytes = 9":     "less than two segments",
 		"dir = \"DIR\"\nwhen_failing = \"serve\"\nwait_most = \"1m\"": "f.toml:3: wait_most",
 		"dir = \"DIR\"\nwhen_failing = \"serve\"\nsegment_bytes = 1":  "segment_bytes",
 	} {
--- a/internal/journal/wal/frame.go
+++ b/internal/journal/wal/frame.go
@@ -20,7 +20,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// AppendFrame appends a record to b as it is stored in a segment.
+// AppendFrame appends a record to b as it is stored in a segment. It checks neither the record's length nor its text: one
+// longer than maxRecordBytes, or with a string that is not valid UTF-8, is stored and cannot be read back.
 func AppendFrame(b []byte, r *intent.Record) ([]byte, error) {
 	body, err := cbor.Marshal(r)
 	if err != nil {
@@ -40,7 +41,7 @@
 }
 
 // decodeFrame reads the frame at the start of b into r and returns its length. The length is 0 where b ends within the
-// frame; ok is false where b does not begin with a valid frame.
+// frame; ok is false where b does not begin with a valid frame, or with one that is longer than maxRecordBytes.
 func decodeFrame(b []byte, r *intent.Record) (n int, ok bool) {
 	if len(b) < frameHeaderBytes {
 		return 0, len(b) < 2 || binary.LittleEndian.Uint16(b) == frameMarker
--- a/internal/journal/wal/log.go
+++ b/internal/journal/wal/log.go
@@ -12,8 +12,8 @@
 const (
 	maxQueuedRecords     = 8192
 	defaultRetryInterval = 500 * time.Millisecond
-	// slowWriteMemory is how long a write that has ended counts in StalledFor.
-	slowWriteMemory = time.Second
+	// slowWriteWindow is how long the last write counts in StalledFor after its end.
+	slowWriteWindow = time.Second
 )
 
 // Why a record is not stored.
@@ -41,8 +41,8 @@
 	// OnChunk, if set, has records numbered. It is called with each chunk's frames before they are written here, and with
 	// whether anyone waits for a record in it. It is called by the writer and must not block.
 	OnChunk func(first uint64, count int, frames []byte, isAwaited bool)
-	// OnStored is called by the writer when the records of a chunk are durable. It must be set with OnChunk, and must not
-	// block.
+	// OnStored is called by the writer when the records of a chunk are written, and with Fsync synced if someone waits for
+	// a record of their batch. It must be set with OnChunk, and must not block.
 	OnStored func(first uint64, count int)
 	// OnHealthChange, if set, is called with the reason when writes begin to fail, and with nil when they succeed again.
 	OnHealthChange func(error)
@@ -93,8 +93,9 @@
 	atUnixNano int64   // of the first of a chunk: when it was written first
 }
 
-// Open starts a new segment after the existing ones. It changes none of those, so other processes may read and even write
-// the folder meanwhile.
+// Open starts a new segment after the existing ones. It changes none of those, so other processes may read the folder
+// meanwhile. They may also write segments of their own, but RetentionAge and RetentionBytes remove older segments whoever
+// writes them.
 func Open(o Options) (*Log, error) {
 	l := &Log{options: o, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	if err := l.createSegment(); err != nil {
@@ -145,12 +146,13 @@
 }
 
 // StalledFor is how long the write that is under way has taken, or how long the last one took, if that ended within the
-// last second: a disk that was slow a moment ago may be slow again.
+// last second: a disk that was slow a moment ago may be slow again. Only the last write counts, however long those before
+// it took.
 func (l *Log) StalledFor() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	took := time.Duration(0)
-	if time.Since(l.write.ended) < slowWriteMemory {
+	if time.Since(l.write.ended) < slowWriteWindow {
 		took = l.write.took
 	}
 	if l.write.began.IsZero() {
@@ -166,8 +168,8 @@
 	return l.failure
 }
 
-// CountMissed counts a request that was served without a record. A Gap record counts it when the disk takes records
-// again.
+// CountMissed counts a request that was served before its record was durable, though Append took that record. A Gap
+// record counts it when the disk takes records again.
 func (l *Log) CountMissed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/journal/wal/recovery.go
+++ b/internal/journal/wal/recovery.go
@@ -6,7 +6,8 @@
 )
 
 // recoverFrom is called by the writer when a batch could not be written. It has Append refuse records, and returns when a
-// new segment takes them again or the Log is closed.
+// new segment takes them again or the Log is closed. Each try leaves a segment, empty where only the write failed; in a
+// Log with OnChunk each also numbers and hands on a Gap record.
 func (l *Log) recoverFrom(reason error, lostRecords int) {
 	l.mu.Lock()
 	l.failure = reason
@@ -44,7 +45,8 @@
 	return isClosed
 }
 
-// writeGap counts the lost records in the new segment, which also shows that the disk takes records.
+// writeGap counts the lost records in the new segment, which also shows that the disk takes records. With OmitGaps it
+// writes nothing: only the next batch shows whether the disk takes records.
 func (l *Log) writeGap() error {
 	if l.options.OmitGaps {
 		return nil
--- a/internal/journal/wal/scan.go
+++ b/internal/journal/wal/scan.go
@@ -17,7 +17,7 @@
 	Path   string
 	Offset int64
 	Bytes  int64
-	IsTorn bool // the end of the file: a write that was not finished
+	IsTorn bool // the file ends in bytes that are no valid record: an unfinished write, or damage
 }
 
 // String describes the range.
@@ -36,7 +36,7 @@
 	Unreadable []UnreadableRange
 }
 
-// CorruptCount counts the unreadable ranges that are no torn ends.
+// CorruptCount counts the unreadable ranges that are no torn ends. Damage to the last record of a segment is not counted.
 func (r *ScanReport) CorruptCount() (n int) {
 	for _, u := range r.Unreadable {
 		if !u.IsTorn {
--- a/internal/journal/wal/weigh_test.go
+++ b/internal/journal/wal/weigh_test.go
@@ -78,8 +78,8 @@
 	}, func() { db.Close() }}
 }
 
-// TestWeigh measures three ways to keep records under 64 writers at a time, and how each is opened again.
-func TestWeigh(t *testing.T) {
+// TestCompareStores measures three ways to keep records under 64 writers at a time, and how each is opened again.
+func TestCompareStores(t *testing.T) {
 	for _, machine := range []bool{false, true} {
 		for _, w := range []struct {
 			name string
--- a/internal/journal/wal/writer.go
+++ b/internal/journal/wal/writer.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// takeBatch takes the queue, after a Gap record where records were lost before it.
+// takeBatch takes the queue, after a Gap record where records were lost before it. The count begins again at 0 before the
+// Gap record is written: if that fails, the Gap record counts as one lost record, and those that it counted are forgotten.
 func (l *Log) takeBatch() []queuedRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,7 +88,7 @@
 	}
 }
 
-// writeBatch writes records and, where someone waits for one, syncs them.
+// writeBatch writes records and, with Options.Fsync and where someone waits for one, syncs them.
 func (l *Log) writeBatch(batch []queuedRecord) error {
 	if len(batch) == 0 {
 		return nil
