--- a/internal/cluster/peer/commandserver.go
+++ b/internal/cluster/peer/commandserver.go
@@ -77,7 +77,7 @@
 	if err := framing.Decode(body, &q); err != nil {
 		return conn.Reject(err)
 	}
-	sender := recordsSender{conn: conn, filter: requestFilter{id: q.RequestID, matched: map[requestKey]bool{}}}
+	sender := recordsSender{conn: conn, filter: requestFilter{id: q.RequestID, matched: map[intent.RequestKey]bool{}}}
 	dirs, err := n.recordFolders()
 	for _, dir := range dirs {
 		report, scanErr := wal.Scan(n.files, dir, time.Unix(0, q.SinceUnixNano), func(r *intent.Record) error {
@@ -137,24 +137,18 @@
 	return err
 }
 
-// requestKey identifies a request among all nodes' journals.
-type requestKey struct {
-	incarnation uint64
-	number      uint64
-}
-
 // requestFilter takes the records of requests with an id, or that repeat it. Only a request's first records name its id,
 // and the records that reconcile it come after them.
 type requestFilter struct {
 	id      string // "" takes all
-	matched map[requestKey]bool
+	matched map[intent.RequestKey]bool
 }
 
 func (f *requestFilter) fits(r *intent.Record) bool {
 	if f.id == "" || r.Kind == intent.Gap {
 		return true
 	}
-	key := requestKey{incarnation: r.Incarnation, number: r.RequestNumber}
+	key := r.Key()
 	if r.RequestID == f.id || r.RepeatOf == f.id {
 		f.matched[key] = true
 	}
--- a/internal/cluster/peer/reconcile.go
+++ b/internal/cluster/peer/reconcile.go
@@ -27,7 +27,7 @@
 	}
 	ticker := time.NewTicker(max(n.cfg.ReconcileAfter.Std()/4, minReconcileInterval))
 	defer ticker.Stop()
-	closedAt := map[replication.Stream]uint64{} // with how many records a stream had no open entry
+	closedAt := map[replication.Stream]uint64{} // with how many records reconcileStream left no entry of a stream
 	for {
 		select {
 		case <-ctx.Done():
@@ -65,7 +65,8 @@
 	return streams
 }
 
-// reconcileStream stores what execution records decide of a stream, and returns how many entries they leave open.
+// reconcileStream stores what execution records decide of a stream, and returns how many open entries they decide no
+// attempt of. An entry of which they decide some attempts and leave others open does not count.
 func (n *Node) reconcileStream(s replication.Stream, executions *executionLoader) (left int, err error) {
 	open, err := n.openEntries(s)
 	if err != nil {
@@ -91,17 +92,18 @@
 	return left, nil
 }
 
-// executionLoader reads the execution records once, when the first entry needs them.
+// executionLoader reads the execution records once, when the first entry needs them. A source that cannot be read to its
+// end is logged, and what was read of it before is used.
 type executionLoader struct {
 	node    *Node
-	records map[string]*intent.ExecutionRecord
+	records intent.ExecutionRecords
 }
 
 func (l *executionLoader) load() {
 	if l.records != nil {
 		return
 	}
-	l.records = map[string]*intent.ExecutionRecord{}
+	l.records = intent.ExecutionRecords{}
 	for _, source := range l.node.cfg.ExecutionRecords {
 		if err := execution.Load(source, l.records); err != nil {
 			l.node.log.Warn().Err(err).Str("source", source).Msg("execution record not read")
--- a/internal/journal/execution/execution.go
+++ b/internal/journal/execution/execution.go
@@ -33,8 +33,10 @@
 	ID     string     `json:"id"`
 }
 
-// Read reads a text and adds its records by their servers' names. An error names the line, and the text as name.
-func Read(name string, r io.Reader, records map[string]*intent.ExecutionRecord) error {
+// Read reads a text and adds its records by their servers' names. A server's record is added as soon as its first line is
+// read, in place of an earlier one of that server: after an error records holds it with the requests up to the error,
+// which its from and to do not show. An error names the line, and the text as name.
+func Read(name string, r io.Reader, records intent.ExecutionRecords) error {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLineBytes)
 	var current *intent.ExecutionRecord
@@ -57,7 +59,7 @@
 }
 
 // addLine takes in one line and returns the record to which the following lines belong.
-func addLine(text string, current *intent.ExecutionRecord, records map[string]*intent.ExecutionRecord) (*intent.ExecutionRecord, error) {
+func addLine(text string, current *intent.ExecutionRecord, records intent.ExecutionRecords) (*intent.ExecutionRecord, error) {
 	var l line
 	d := json.NewDecoder(strings.NewReader(text))
 	d.DisallowUnknownFields()
@@ -85,8 +87,9 @@
 	return current, nil
 }
 
-// Load reads a file, or what an http or https URL answers, and adds its records by their servers' names.
-func Load(source string, records map[string]*intent.ExecutionRecord) error {
+// Load reads a file, or what an http or https URL answers, and adds its records as Read does: after an error records may
+// hold incomplete ones.
+func Load(source string, records intent.ExecutionRecords) error {
 	if strings.HasPrefix(source, "http://") || strings.HasPrefix(source, "https://") {
 		return fetch(source, records)
 	}
@@ -98,7 +101,7 @@
 	return Read(source, f, records)
 }
 
-func fetch(url string, records map[string]*intent.ExecutionRecord) error {
+func fetch(url string, records intent.ExecutionRecords) error {
 	c := http.Client{Timeout: fetchTimeout}
 	resp, err := c.Get(url)
 	if err != nil {
--- a/internal/journal/intent/assembler.go
+++ b/internal/journal/intent/assembler.go
@@ -5,19 +5,9 @@
 	"slices"
 )
 
-// requestKey identifies a request among all nodes' journals.
-type requestKey struct {
-	incarnation uint64
-	number      uint64
-}
-
-func keyOf(r *Record) requestKey {
-	return requestKey{incarnation: r.Incarnation, number: r.RequestNumber}
-}
-
 // Assembler builds entries from the records of one journal. It holds only those entries that may still change.
 type Assembler struct {
-	open map[requestKey]*Entry
+	open map[RequestKey]*Entry
 	// Gaps are the Gap records that were added.
 	Gaps []Record
 	// HasDamage is set by the caller where records could not be read: an entry without its end may have had more attempts
@@ -26,7 +16,7 @@
 }
 
 // NewAssembler returns an Assembler without entries.
-func NewAssembler() *Assembler { return &Assembler{open: map[requestKey]*Entry{}} }
+func NewAssembler() *Assembler { return &Assembler{open: map[RequestKey]*Entry{}} }
 
 // Add takes in a record and returns the entry that is complete with it, nil for none. Records of unknown kinds and chunk
 // headers are passed over.
@@ -38,7 +28,7 @@
 		a.Gaps = append(a.Gaps, *r)
 		return nil
 	}
-	key := keyOf(r)
+	key := r.Key()
 	e := a.open[key]
 	if e == nil {
 		e = &Entry{Incarnation: r.Incarnation, RequestNumber: r.RequestNumber}
--- a/internal/journal/intent/attempt.go
+++ b/internal/journal/intent/attempt.go
@@ -43,7 +43,7 @@
 // transition is what evidence makes of an attempt's state.
 type transition struct {
 	next       attemptState
-	isConflict bool // the evidence contradicts what was proven
+	isConflict bool // the evidence contradicts what was known
 }
 
 // transitions has a row for each state. Evidence that contradicts an earlier end changes nothing, except that a proof of
@@ -99,7 +99,7 @@
 	Reconciled:   {PossiblyRan: endedUnproven, Ran: executionFound, NeverRan: executionMissing},
 }
 
-// add takes in a record of the attempt and reports whether it contradicts what was proven.
+// add takes in a record of the attempt and reports whether it contradicts what was known.
 func (a *Attempt) add(r *Record) (isConflict bool) {
 	if r.Server != "" {
 		a.Server = r.Server
--- a/internal/journal/intent/entry.go
+++ b/internal/journal/intent/entry.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// maxAttempts of an entry: a record that makes no sense must not take memory.
+// maxAttempts of an entry: a record that makes no sense must not take memory. Records of further attempts are passed over.
 const maxAttempts = 64
 
 // State of an entry, by its attempts.
@@ -20,6 +20,7 @@
 	states
 )
 
+// stateNames are the words of commands and their output, which stay: "ran" is HasRun, "not-known" is Unknown.
 var stateNames = [states]string{"not-sent", "possibly-sent", "ran", "not-known"}
 
 // String is the state's name in commands and their output.
@@ -47,7 +48,7 @@
 
 	ClientOutcome      string // "" where it isn't known
 	NotifiedAtUnixNano int64
-	Conflicts          int  // records that contradict what was proven
+	Conflicts          int  // records that contradict what was known
 	MayLackRecords     bool // further attempts may be in records that cannot be read
 	TooFewNodesAsked   bool // too few of the nodes that may hold records were asked
 	attemptsAtOutcome  int  // how many there were when the client was notified
--- a/internal/journal/intent/merger.go
+++ b/internal/journal/intent/merger.go
@@ -4,7 +4,7 @@
 // nothing.
 type Merger struct {
 	Assembler
-	complete map[requestKey]struct{}
+	complete map[RequestKey]struct{}
 	gaps     map[Record]bool
 }
 
@@ -12,7 +12,7 @@
 func NewMerger() *Merger {
 	return &Merger{
 		Assembler: *NewAssembler(),
-		complete:  map[requestKey]struct{}{},
+		complete:  map[RequestKey]struct{}{},
 		gaps:      map[Record]bool{},
 	}
 }
@@ -25,7 +25,7 @@
 		}
 		m.gaps[*r] = true
 	}
-	key := keyOf(r)
+	key := r.Key()
 	if _, isComplete := m.complete[key]; isComplete && r.Kind != Gap {
 		return nil
 	}
--- a/internal/journal/intent/reconcile.go
+++ b/internal/journal/intent/reconcile.go
@@ -14,10 +14,13 @@
 	return atUnixNano >= x.FromUnixNano && atUnixNano+slackNanos <= x.ToUnixNano
 }
 
-// Reconcile decides attempts of an entry that may have run, by the execution records of their servers (by server name).
+// ExecutionRecords are the execution records of servers, by server name.
+type ExecutionRecords map[string]*ExecutionRecord
+
+// Reconcile decides attempts of an entry that may have run, by the execution records of their servers.
 // It changes nothing: it returns Reconciled records for the caller to store. An attempt whose time an execution record
 // does not cover is decided only if the request is in it.
-func Reconcile(e *Entry, executions map[string]*ExecutionRecord, slackNanos, nowUnixNano int64) (reconciled []Record) {
+func Reconcile(e *Entry, executions ExecutionRecords, slackNanos, nowUnixNano int64) (reconciled []Record) {
 	for i, a := range e.Attempts {
 		executed := executions[a.Server]
 		if a.Proof() != PossiblyRan || executed == nil {
--- a/internal/journal/intent/record.go
+++ b/internal/journal/intent/record.go
@@ -15,7 +15,7 @@
 	ClientNotified
 	// Reconciled says what the server's execution record proves of an attempt.
 	Reconciled
-	// Gap counts requests that went on without the journal.
+	// Gap counts records that were not stored, or not before their request was served.
 	Gap
 	// ChunkHeader says that the Count records after it are those from number From on of their incarnation's stream.
 	ChunkHeader
@@ -52,5 +52,16 @@
 	Outcome       string // of the attempt, or the one that the client was notified of
 	Proof         Proof
 	From          int64 // of a Gap its start in Unix ns; of a ChunkHeader the number of the first record
-	Count         int   // of a Gap requests; of ClientNotified attempts; of a ChunkHeader records
+	Count         int   // of a Gap records; of ClientNotified attempts; of a ChunkHeader records
+}
+
+// RequestKey identifies a request among all nodes' journals.
+type RequestKey struct {
+	Incarnation   uint64 // of the node that took it
+	RequestNumber uint64 // within the incarnation
+}
+
+// Key is that of the request that the record is about.
+func (r *Record) Key() RequestKey {
+	return RequestKey{Incarnation: r.Incarnation, RequestNumber: r.RequestNumber}
 }
