--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -35,7 +35,8 @@
 	}
 )
 
-// Outgoing is a message that the caller sends. To is connected, or a connection is wanted for the message.
+// Outgoing is a message that the caller sends. To is connected, or a connection is wanted for the message. It is the same
+// type as replication.Outgoing, so package peer sends both in one way.
 type Outgoing = struct {
 	To      string
 	Message any
--- a/internal/cluster/peer/journal.go
+++ b/internal/cluster/peer/journal.go
@@ -66,7 +66,8 @@
 	n.finishCommits()
 }
 
-// RecordsStored is called when records of the journal are durable here (wal.Options.OnStored).
+// RecordsStored is called when records of the journal are written here, and synced if someone waits for them
+// (wal.Options.OnStored).
 func (n *Node) RecordsStored(first uint64, count int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/cluster/replication/admission.go
+++ b/internal/cluster/replication/admission.go
@@ -24,7 +24,8 @@
 	return []Outgoing{{from, answer}}
 }
 
-// followOrigin drops the records that the origin has removed as too old, and notes those that it has lost since.
+// followOrigin drops the records before the origin's first, which it has removed as too old or lost to damage at the start
+// of its journal, and notes those between its first and last that it lacks: it has lost them.
 func (h *storedStream) followOrigin(atOrigin Ranges) {
 	first := atOrigin[0].From
 	end := atOrigin[len(atOrigin)-1].To
--- a/internal/cluster/replication/holder.go
+++ b/internal/cluster/replication/holder.go
@@ -21,7 +21,7 @@
 // HolderInSync is the State of a Holder that is sent all new records and acknowledges them in time.
 const HolderInSync = "level"
 
-// holderStateNames are printed by commands and log lines.
+// holderStateNames are printed by commands and log lines, and are sent in a Holder (JSON "Stand"): the words stay.
 var holderStateNames = [holderStates]string{selected: "called", offered: "offered", inSync: HolderInSync, lagging: "late", rejected: "refused"}
 
 // holderEvent is what happens to a holder.
@@ -112,7 +112,7 @@
 	rejectReason string
 
 	stored   Ranges          // what is durable there, as it has reported
-	acked    uint64          // all records from where the sending began up to and without this are durable there
+	acked    uint64          // all from where the sending began up to and without this are durable there, or left the queue
 	next     uint64          // the next record to send
 	inFlight map[uint64]bool // batches that are sent and not acknowledged, by their first records
 }
--- a/internal/cluster/replication/message.go
+++ b/internal/cluster/replication/message.go
@@ -41,7 +41,7 @@
 
 // Why records are not taken, as a RejectReason. The texts are sent to other nodes.
 const (
-	// ReasonLaterIncarnation says that a later incarnation of the origin is known, so the origin must stop.
+	// ReasonLaterIncarnation says that a later incarnation of the origin is known.
 	ReasonLaterIncarnation = "a later life of this name is known"
 
 	reasonFull           = "no room is left"
@@ -49,7 +49,8 @@
 	reasonExpired        = "older than what is kept"
 )
 
-// Outgoing is a message that the caller sends. To is connected, or a connection is wanted for the message.
+// Outgoing is a message that the caller sends. To is connected, or a connection is wanted for the message. It is the same
+// type as membership.Outgoing, so package peer sends both in one way.
 type Outgoing = struct {
 	To      string
 	Message any
--- a/internal/cluster/replication/origin.go
+++ b/internal/cluster/replication/origin.go
@@ -9,7 +9,7 @@
 // Times and bounds of an origin.
 const (
 	avoidDuration     = 5 * time.Second  // a holder that was slow, rejected or was lost is not selected, if others can be
-	idleHolderTimeout = 10 * time.Second // until a holder that never came to be needed is released
+	idleHolderTimeout = 10 * time.Second // until a holder that is no longer wanted, and has not answered or rejects, is released
 	offerTimeout      = 2 * time.Second  // an offer without an answer is made again
 	reviewInterval    = time.Second      // between two reviews of who holds what
 
@@ -28,7 +28,7 @@
 	stream     Stream
 	self       Candidate
 	required   int           // how many other machines hold a record before it is committed
-	ackTimeout time.Duration // a record that waits longer for a holder has another one selected
+	ackTimeout time.Duration // a holder that has not acknowledged a record within it is replaced
 
 	candidates []Candidate // ranked
 	holders    map[string]*holder
@@ -36,19 +36,20 @@
 	lastReview time.Duration
 	shortSince time.Duration // since when too few holders are in sync; notShort: there are enough
 
-	stored      Ranges // that are durable on this node's own disk
+	stored      Ranges // that are written to this node's own disk, not all of them synced
 	queue       []queuedRecords
 	queuedBytes int
 	next        uint64 // the number of the next record
 	firstQueued uint64 // older records that aren't committed wait on disk for a holder
-	committed   uint64 // all before this are durable at enough holders
+	committed   uint64 // all before this are durable at enough holders, or have left the queue before they were
 
-	// SawLaterIncarnation is set when a holder knows of a later incarnation of this node: the node must stop.
+	// SawLaterIncarnation is set when a holder rejects records because it knows of a later incarnation of this node.
+	// Nothing reads it: a node stops when membership reports that incarnation.
 	SawLaterIncarnation bool
 }
 
-// NewOrigin begins a stream. required is how many other machines hold a record before it is committed. Of a record that
-// waits longer than ackTimeout for a holder another holder is selected.
+// NewOrigin begins a stream. required is how many other machines hold a record before it is committed. A holder that has
+// not acknowledged a record within ackTimeout is replaced.
 func NewOrigin(now time.Duration, s Stream, self Candidate, required int, ackTimeout time.Duration) *Origin {
 	return &Origin{
 		stream:      s,
@@ -67,7 +68,8 @@
 // Stream is the origin's own.
 func (o *Origin) Stream() Stream { return o.stream }
 
-// Committed is the first record that is not committed.
+// Committed is the first record that is not committed. A record before it may have left the queue because too many waited
+// (Append): it is on this node's disk, and is copied to holders from there.
 func (o *Origin) Committed() uint64 { return o.committed }
 
 // FirstQueued is the first record that may still be committed soon. An older one that is not committed waits on disk
@@ -91,14 +93,15 @@
 	return stalled
 }
 
-// RecordsStored is called when records are durable on this node's own disk.
+// RecordsStored is called when records are written to this node's own disk, and synced if someone waits for them.
 func (o *Origin) RecordsStored(from, to uint64) { o.stored = o.stored.With(from, to) }
 
-// StoredRanges are the records that are durable on this node's own disk.
+// StoredRanges are the records that are written to this node's own disk.
 func (o *Origin) StoredRanges() Ranges { return o.stored }
 
 // RecordsLost is called when records on this node's own disk were found to be damaged. Holders are notified of what is
-// left, and send back what is missing.
+// left, and send back what is missing between the first and the last record left. What is missing before the first looks
+// to them as if it had expired: they drop it too.
 func (o *Origin) RecordsLost(now time.Duration, lost Ranges) (out []Outgoing) {
 	o.stored = o.stored.Without(lost)
 	for _, name := range slices.Sorted(maps.Keys(o.holders)) {
--- a/internal/cluster/replication/queue.go
+++ b/internal/cluster/replication/queue.go
@@ -77,8 +77,8 @@
 	return out
 }
 
-// commit finds up to which record enough machines have all, and removes from the queue what is committed and was sent to
-// all holders.
+// commit finds up to which record enough machines have all that did not overflow the queue, and removes from the queue
+// what is committed and was sent to all holders.
 func (o *Origin) commit() {
 	ackedByMachine := map[string]uint64{}
 	for _, h := range o.holders {
--- a/internal/cluster/replication/repair.go
+++ b/internal/cluster/replication/repair.go
@@ -158,5 +158,5 @@
 		}
 	}
 	rank := slices.IndexFunc(rankCandidates(s, holders), func(c Candidate) bool { return c.Name == t.self.Name })
-	return orphanDelay + time.Duration(rank+1)*copyStagger/2
+	return orphanDelay + time.Duration(rank+1)*copyStagger
 }
--- a/internal/cluster/replication/replicatable.go
+++ b/internal/cluster/replication/replicatable.go
@@ -10,7 +10,7 @@
 // Times and bounds of a replica table.
 const (
 	orphanDelay             = 3 * time.Second  // until copies of a lost incarnation's stream are made: it may only be restarting
-	copyStagger             = 2 * time.Second  // between the beginnings of holders of one stream, so that one copies, not all
+	copyStagger             = time.Second      // between the beginnings of holders of one stream, so that one copies, not all
 	incompleteOfferInterval = 10 * time.Second // between offers to a node that lacks some
 	completeOfferInterval   = 10 * time.Minute // between offers to a node that has all
 	rejectRetention         = 10 * time.Second // for which a node that rejected is remembered when it is no longer wanted
@@ -34,7 +34,7 @@
 	maxBytes           int64
 	retention          time.Duration // older records are not taken; 0: all are
 	streams            map[Stream]*storedStream
-	storedBytes        int64
+	storedBytes        int64 // see StoredBytes
 	nodes              map[string]Node
 	highestIncarnation map[string]int64 // of each name that was heard of
 	candidates         []Candidate      // the nodes that are live
@@ -46,7 +46,7 @@
 type storedStream struct {
 	ranges         Ranges
 	verification   verification
-	bytes          int64
+	bytes          int64         // that were taken in
 	lastRecordNano int64         // Unix time of the last record
 	orphanedSince  time.Duration // since when its incarnation is gone; notOrphaned: it is live
 	lostByOrigin   Ranges        // records in it that its origin has lost
@@ -74,8 +74,8 @@
 }
 
 // NewReplicaTable returns an empty table. required is how many machines hold each stream beside the origin's. New
-// streams are rejected when nine tenths of maxBytes are held, all records when maxBytes are. Records older than
-// retention are rejected; with 0 none are.
+// streams are rejected when StoredBytes reaches nine tenths of maxBytes, all records when it reaches maxBytes. Records
+// older than retention are rejected; with 0 none are.
 func NewReplicaTable(self Candidate, required int, maxBytes int64, retention time.Duration) *ReplicaTable {
 	return &ReplicaTable{
 		self:               self,
@@ -216,7 +216,8 @@
 	return 0
 }
 
-// StoredBytes is how much is held.
+// StoredBytes is how many bytes were taken in for the streams that are held. What was removed of such a stream since, was
+// found damaged or came twice still counts.
 func (t *ReplicaTable) StoredBytes() int64 { return t.storedBytes }
 
 // ExpiredStreams returns the streams whose incarnation is gone and whose last record is older than the retention.
--- a/internal/cluster/replication/selection.go
+++ b/internal/cluster/replication/selection.go
@@ -83,8 +83,8 @@
 	return usable
 }
 
-// releaseHolders releases holders that are not wanted: when those that are wanted have all there is, when they never came
-// to be needed, or when there are too many.
+// releaseHolders releases holders that are not wanted: when those that are wanted have all there is, when they have not
+// answered or reject for too long, or when there are too many.
 func (o *Origin) releaseHolders(now time.Duration, wanted map[string]bool) {
 	complete := 0
 	for name := range wanted {
