--- a/internal/cluster/peer/cleanup.go
+++ b/internal/cluster/peer/cleanup.go
@@ -46,6 +46,7 @@
 	n.mu.Lock()
 	expired = n.replicas.ExpiredStreams(time.Now().UnixNano())
 	n.mu.Unlock()
+	// The lock is free while entries are read: records that are stored in an expired stream meanwhile go with it.
 	expired = slices.DeleteFunc(expired, func(s replication.Stream) bool {
 		open, err := n.openEntries(s)
 		return err != nil || len(open) > 0
--- a/internal/cluster/peer/client.go
+++ b/internal/cluster/peer/client.go
@@ -140,7 +140,8 @@
 
 // Records asks each node that answered for all its records, or those of one request id; each is called for every record,
 // from one goroutine. What several nodes have comes several times. A node that does not send all moves from Answered
-// to Unanswered. corrupt counts the places that nodes could not read; an error is one of each.
+// to Unanswered. corrupt counts the places that nodes could not read; err is an error that each has
+// returned, which ends the call.
 func (c *Client) Records(ctx context.Context, since time.Time, id string, each func(*intent.Record) error) (corrupt int, err error) {
 	for name := range c.Answered {
 		query := recordsQuery{SinceUnixNano: since.UnixNano(), RequestID: id}
--- a/internal/cluster/peer/clusterstate.go
+++ b/internal/cluster/peer/clusterstate.go
@@ -8,7 +8,8 @@
 )
 
 // HasEnoughAnswers reports whether those that answered hold all that was ever committed: no more machines are missing
-// than may be lost, and all have read what they store.
+// than the largest Replicas among the answers, and all have read what they store. It relies on all nodes being configured
+// with the same replicas.
 func (c *Client) HasEnoughAnswers() bool {
 	if len(c.Answered) == 0 {
 		return false
--- a/internal/cluster/peer/config.go
+++ b/internal/cluster/peer/config.go
@@ -61,6 +61,9 @@
 	streamNames = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}(~[A-Za-z0-9][A-Za-z0-9._-]{0,63})?$`)
 )
 
+// nodeNameRule says what nodeNames matches.
+const nodeNameRule = "letters, digits, dots, dashes and underscores, a letter or digit first, 64 at most"
+
 // LoadConfig reads the file. The error names each fault by file and line.
 func LoadConfig(path string) (*Config, error) {
 	text, err := tomlfile.Read(path)
@@ -88,7 +91,7 @@
 // checkAddresses fills in what follows from other settings and returns all addresses, the node's own first.
 func (c *Config) checkAddresses(f *tomlfile.File) []netip.AddrPort {
 	if c.Name != "" && !nodeNames.MatchString(c.Name) {
-		f.Wrong("name", "name %q: letters, digits, dots and dashes, 64 at most", c.Name)
+		f.Wrong("name", "name %q: "+nodeNameRule, c.Name)
 	}
 	var err error
 	if c.ListenAddress, err = netip.ParseAddrPort(c.Listen); err != nil {
@@ -126,7 +129,7 @@
 		f.Wrong("replicas", "replicas %d: from 1 to %d", c.Replicas, maxReplicas)
 	}
 	if st, err := os.Stat(c.ReplicaDir); c.ReplicaDir == "" || err != nil || !st.IsDir() {
-		f.Wrong("held", "held %q is no folder that is there", c.ReplicaDir)
+		f.Wrong("held", "held %q is not an existing directory", c.ReplicaDir)
 	}
 	if c.MaxReplicaBytes < minReplicaBytes {
 		f.Wrong("held_bytes", "held_bytes %d: %d at least", c.MaxReplicaBytes, minReplicaBytes)
--- a/internal/cluster/peer/connection.go
+++ b/internal/cluster/peer/connection.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// queueMessage has a message sent. It does not block: a connection on which too much waits is closed.
+// queueMessage has a message sent. It does not block: a connection on which too much waits is closed, without a log line
+// but the debug one of each connection that ends.
 func (c *connection) queueMessage(message any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/peer/copy.go
+++ b/internal/cluster/peer/copy.go
@@ -15,11 +15,13 @@
 const (
 	maxUnackedBatches = 8 // of one copy
 	copyAckTimeout    = 2 * time.Second
-	copyBatchBytes    = 64 << 10 // 300 records, so that the unacknowledged ones fit the holder's queue
+	// copyBatchBytes holds about 300 records of usual length, so the unacknowledged ones mostly fit the holder's queue.
+	copyBatchBytes = 64 << 10
 )
 
-// errNothingToCopy ends a copy to a node that is disconnected, or lacks nothing any more.
-var errNothingToCopy = errors.New("the node is disconnected, or lacks nothing")
+// errNothingToCopy ends a copy to a node that is disconnected, acknowledges too slowly, or lacks nothing any more. What is
+// left begins again with a later copy.
+var errNothingToCopy = errors.New("the node is disconnected, acknowledges too slowly, or lacks nothing")
 
 // startCopies starts the copies that are this node's to make and not under way, each in a goroutine. mu is held.
 func (n *Node) startCopies(ctx context.Context, g *errgroup.Group, now time.Duration) {
@@ -47,6 +49,7 @@
 	}
 }
 
+// runCopy makes one copy. The log says that it ended, with how many records were sent, whether or not that was all.
 func (n *Node) runCopy(ctx context.Context, task replication.CopyTask, unacked chan struct{}) {
 	began := time.Now()
 	c := &replicaCopy{node: n, task: task, unacked: unacked}
@@ -55,7 +58,7 @@
 	delete(n.copies, task)
 	n.mu.Unlock()
 	if c.records > 0 && ctx.Err() == nil {
-		n.log.Info().Err(err).Stringer("stream", task.Stream).Str("to", task.To).Int("records", c.records).Dur("took", time.Since(began)).Msg("replica copied")
+		n.log.Info().Err(err).Stringer("stream", task.Stream).Str("to", task.To).Int("records", c.records).Dur("took", time.Since(began)).Msg("replica copy ended")
 	}
 }
 
@@ -92,8 +95,8 @@
 	records     int                // sent so far
 }
 
-// run sends what the receiver lacks, at the rate that all copies of this node keep to, and waits for the
-// acknowledgements.
+// run sends what the receiver lacks, at the rate that all copies of this node keep to, and waits for the acknowledgements,
+// for copyAckTimeout at most.
 func (c *replicaCopy) run(ctx context.Context) error {
 	n := c.node
 	n.mu.Lock()
--- a/internal/cluster/peer/doc.go
+++ b/internal/cluster/peer/doc.go
@@ -6,7 +6,8 @@
 // with the journal's folder. In a replicated journal the wal.Log hands each chunk to ReplicateChunk, and the proxy waits
 // for the Commit that CommitOf returns before it sends an attempt. At shutdown it calls Leave and ends Run's context.
 //
-// All state of a Node is under its one lock, which is never held over a socket or the disk. The goroutines are: one that
+// The state of a Node is under its one lock, which is never held over a socket or the disk. A connection's queue has a lock
+// of its own, which is taken within that of the Node and never the other way round. The goroutines are: one that
 // ticks, one that accepts, one for each configured address, three for each connection (one reads and hands in messages,
 // one writes what is queued, one acknowledges batches when they are durable), one for each copy of a replica, and one each
 // for loading, cleanup and reconciliation.
--- a/internal/cluster/peer/message.go
+++ b/internal/cluster/peer/message.go
@@ -11,7 +11,8 @@
 // version of the messages between nodes. A node of another version is rejected.
 const version = 1
 
-// maxBodyBytes holds a batch of 1,024 records of 250 bytes, and more.
+// maxBodyBytes holds a batch of 1,024 records of 250 bytes, and more. Sending a chunk of longer records fails with
+// framing.ErrFrameTooLong, which ends the connection.
 const maxBodyBytes = 1 << 20
 
 // Kinds of frames. The numbers are sent.
@@ -183,7 +184,7 @@
 	return overhead
 }
 
-// scenarioKinds are the names by which the testbed's scenarios wait for a frame.
+// scenarioKinds are the names by which the testbed's scenarios wait for a frame. Scenario files have them: the words stay.
 var scenarioKinds = map[string]framing.Kind{
 	"beat":  heartbeatKind,
 	"news":  updateKind,
--- a/internal/cluster/peer/node.go
+++ b/internal/cluster/peer/node.go
@@ -20,7 +20,7 @@
 const (
 	tickInterval        = 25 * time.Millisecond
 	replicaSegmentBytes = 16 << 20
-	leaveTimeout        = 300 * time.Millisecond // for holders to have the last records
+	leaveTimeout        = 300 * time.Millisecond // for holders to acknowledge the last records
 )
 
 // ErrReplaced says that a later incarnation of this node's name is known, so two processes run under it. The node must
@@ -55,7 +55,7 @@
 	lists       endpointLists
 	lifecycle   lifecycle
 	usedDigest  uint64 // of the members that replication last got
-	isShort     bool   // too few hold this node's journal; the log says so
+	isShort     bool   // commits are stalled, and the log says so (logShortage)
 }
 
 // lifecycle is how far the node has come.
@@ -78,7 +78,7 @@
 		name = cfg.Name
 	}
 	if !nodeNames.MatchString(name) {
-		return nil, errors.New("the node's name " + name + " cannot be one of a tier: letters, digits, dots and dashes, 64 at most")
+		return nil, errors.New("the node's name " + name + " is not a valid node name: " + nodeNameRule)
 	}
 	if files == nil {
 		files = wal.OSFileSystem{}
@@ -130,8 +130,9 @@
 // Replaced is closed when another process has been started under this node's name since. The node must stop.
 func (n *Node) Replaced() <-chan struct{} { return n.replaced }
 
-// Join waits until another node is reached, up to a timeout, and returns the node's incarnation: it is after all others
-// of its name, whatever the clock says.
+// Join waits until another node is reached, up to a timeout, and returns the node's incarnation. If another node was
+// reached it is after all others of its name that are known there, whatever the clock says; else it is the time of the
+// start.
 func (n *Node) Join(ctx context.Context, timeout time.Duration) int64 {
 	if len(n.cfg.Peers) > 0 {
 		select {
@@ -166,7 +167,8 @@
 	return g.Wait()
 }
 
-// Leave notifies the others that this node shuts down, once holders have the records that are in flight.
+// Leave notifies the others that this node shuts down, once holders have the records that are in flight or after
+// leaveTimeout.
 func (n *Node) Leave() {
 	for deadline := time.Now().Add(leaveTimeout); n.hasUncommitted() && time.Now().Before(deadline); {
 		time.Sleep(tickInterval)
--- a/internal/cluster/peer/session.go
+++ b/internal/cluster/peer/session.go
@@ -12,10 +12,12 @@
 )
 
 const (
-	idleTimeout      = 3 * time.Second        // of a connection: twelve heartbeats
-	ownNameLinger    = 500 * time.Millisecond // for another process of this node's name to read that it is one
-	maxEarlyOffers   = 1024
-	reasonDiskFailed = "the disk takes nothing" // RejectReason of an Ack
+	idleTimeout    = 3 * time.Second        // of a connection: twelve heartbeats
+	ownNameLinger  = 500 * time.Millisecond // for another process of this node's name to read that it is one
+	maxEarlyOffers = 1024
+	// reasonDiskFailed is the RejectReason of an Ack for whatever kept a batch from being written, a full queue and a
+	// closed store among it. The text is sent to other nodes.
+	reasonDiskFailed = "the disk takes nothing"
 )
 
 var (
@@ -118,8 +120,9 @@
 	err        error // why it is not on its way
 }
 
-// handleBatch has a batch written, if it is admitted; acknowledgeBatches answers it. An error is a batch that no node of
-// this version sends.
+// handleBatch has a batch written, if it is admitted; acknowledgeBatches answers it. It blocks, and with it the reading of
+// the connection, while the disk takes too little or too many acknowledgements are pending. An error is a batch that
+// cannot be read or holds other records than it says; it ends the connection, and the sender sends it over the next one.
 func (n *Node) handleBatch(c *connection, b *replication.Batch) error {
 	chunk, records, err := wal.DecodeChunks(b.Frames)
 	if err != nil {
@@ -152,7 +155,8 @@
 	return ok
 }
 
-// acknowledgeBatches answers batches in the order in which they came, each when it is durable.
+// acknowledgeBatches answers batches in the order in which they came, each when it is durable. It waits for the disk
+// without a timeout.
 func (n *Node) acknowledgeBatches(c *connection) {
 	for pending := range c.pendingAcks {
 		err := pending.err
--- a/internal/cluster/peer/storedreplicas.go
+++ b/internal/cluster/peer/storedreplicas.go
@@ -76,7 +76,8 @@
 }
 
 // loadOwnJournal notes what earlier incarnations of this node have left in its journal. The journal's bytes do not count
-// as those of replicas.
+// as those of replicas. A journal that cannot be read to its end is noted up to there, without a log line: the scan that
+// the proxy makes at its start reports it.
 func (n *Node) loadOwnJournal(ctx context.Context) {
 	n.mu.Lock()
 	journal := n.journal
--- a/internal/cluster/peer/tick.go
+++ b/internal/cluster/peer/tick.go
@@ -45,7 +45,8 @@
 	n.dialWanted(ctx, g, now)
 }
 
-// logShortage says when too few nodes hold this node's journal, and when there are enough again. mu is held.
+// logShortage says when commits are stalled, and when they are no longer: too few holders are in sync, or with enough of
+// them the oldest record has waited longer than slow_after. mu is held.
 func (n *Node) logShortage(now time.Duration) {
 	if n.origin == nil {
 		return
