--- a/internal/cluster/peer/connections.go
+++ b/internal/cluster/peer/connections.go
@@ -88,8 +88,9 @@
 	n.afterChange(now)
 }
 
-// metOwnName notifies another process of this node's own name; the connection is not used otherwise. mu is not held.
-func (n *Node) metOwnName(c *connection, who membership.Member) {
+// handleDuplicateName notifies another process of this node's own name; the connection is not used otherwise. mu is not
+// held.
+func (n *Node) handleDuplicateName(c *connection, who membership.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
--- a/internal/cluster/peer/handshake.go
+++ b/internal/cluster/peer/handshake.go
@@ -80,7 +80,7 @@
 	if caller.Member.Incarnation == 0 {
 		return n.serveCommand(ctx, conn)
 	}
-	if n.isCrowdedFor(caller.Member.Name) {
+	if n.isAtConnectionLimit(caller.Member.Name) {
 		return conn.Reject(errTooManyConnections)
 	}
 	if err := conn.Send(introKind, intro{Deployment: n.cfg.Deployment, Member: n.self()}); err != nil {
@@ -89,8 +89,8 @@
 	return n.serveNode(newConnection(conn, caller.Member.Name, false), caller.Member)
 }
 
-// isCrowdedFor reports whether there are too many connections to take one of a further node. It locks mu.
-func (n *Node) isCrowdedFor(name string) bool {
+// isAtConnectionLimit reports whether there are too many connections to take one of a node that has none here. It locks mu.
+func (n *Node) isAtConnectionLimit(name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.connections.open) >= maxConnectedNodes && n.connections.open[name] == nil
--- a/internal/cluster/peer/node.go
+++ b/internal/cluster/peer/node.go
@@ -25,7 +25,7 @@
 
 // ErrReplaced says that a later incarnation of this node's name is known, so two processes run under it. The node must
 // stop.
-var ErrReplaced = errors.New("a later life of this node's name is known: two processes run under it")
+var ErrReplaced = errors.New("a later incarnation of this node's name is known: two processes run under it")
 
 // Node is a running node's part in its cluster. Its methods may be called by any goroutine.
 type Node struct {
--- a/internal/cluster/peer/session.go
+++ b/internal/cluster/peer/session.go
@@ -22,7 +22,7 @@
 
 var (
 	errSelf    = errors.New("this node itself")
-	errOwnName = errors.New("another life of this name")
+	errOwnName = errors.New("another incarnation of this name")
 )
 
 // serveNode reads a connection with a node until it ends. It owns the connection's goroutines.
@@ -39,7 +39,7 @@
 	goroutines.Go(func() { c.writeQueued(readerDone) })
 	goroutines.Go(func() { n.acknowledgeBatches(c) })
 	if c.name == n.name {
-		n.metOwnName(c, who)
+		n.handleDuplicateName(c, who)
 		time.Sleep(ownNameLinger)
 		return errOwnName
 	}
