--- a/internal/cluster/framing/conn.go
+++ b/internal/cluster/framing/conn.go
@@ -75,7 +75,7 @@
 }
 
 // ReceiveHello reads the other side's Hello and returns its name. A peer of another version, or with a hello that makes
-// no sense, is rejected.
+// no sense, is rejected. The reasons are sent to it as they stand here.
 func (c *Conn) ReceiveHello(deadline time.Time) (peer string, err error) {
 	k, body, err := c.Receive(deadline)
 	if err != nil {
--- a/internal/cluster/framing/frame.go
+++ b/internal/cluster/framing/frame.go
@@ -43,7 +43,7 @@
 	// ErrUnknownKind says that the protocol has no such kind.
 	ErrUnknownKind = errors.New("a frame of an unknown kind")
 	// ErrChecksum says that the frame was changed on its way.
-	ErrChecksum = errors.New("a frame came as something else than was sent")
+	ErrChecksum = errors.New("frame checksum mismatch")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
--- a/internal/cluster/membership/input.go
+++ b/internal/cluster/membership/input.go
@@ -58,7 +58,8 @@
 }
 
 // MergeMembers takes in reports of members, from a node or, with from "", from elsewhere. Those that are older than what
-// is known change nothing.
+// is known change nothing, nor do those of further members when maxMembers are known, dead ones and those that left
+// included.
 func (t *Table) MergeMembers(now time.Duration, from string, members []Member) {
 	for _, m := range members {
 		if m.Condition >= conditions || m.Name == "" {
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -36,7 +36,7 @@
 	_ struct{} `cbor:",toarray"`
 
 	Name        string
-	Incarnation int64  `json:"Up"`   // Unix time in ns of the node's start
+	Incarnation int64  `json:"Up"`   // Unix time in ns of the node's start, or one above the latest known (StartLaterIncarnation)
 	Refutations uint32 `json:"Turn"` // raised only by the node itself, when it refutes what is said of it
 	Condition   Condition
 	Address     string // where other nodes reach it
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -41,7 +41,7 @@
 	lastHeartbeat   time.Duration
 	lastReconnect   time.Duration
 	reconnects      uint32
-	isIsolated      bool  // it hears none of the nodes that it watches: most likely it is cut off itself, and suspects nobody
+	isIsolated      bool  // it watches some nodes and hears no node at all: most likely it is cut off itself, and suspects nobody
 	highestOwnHeard int64 // the latest incarnation of this node's own name that was heard of
 }
 
--- a/internal/cluster/membership/table_test.go
+++ b/internal/cluster/membership/table_test.go
@@ -120,7 +120,7 @@
 
 var large = flag.Bool("large", false, "3,000 nodes as well, which takes minutes")
 
-// What watching costs and how long it takes, by the size of the tier. Run with -v for the figures.
+// What watching costs and how long it takes, by the size of the cluster. Run with -v for the figures.
 func TestWatchingAtScale(t *testing.T) {
 	sizes := []int{16, 220}
 	if *large {
--- a/internal/cluster/membership/watch.go
+++ b/internal/cluster/membership/watch.go
@@ -41,7 +41,7 @@
 	return dead[hashName(t.self.Name, byte(t.reconnects))%uint32(len(dead))]
 }
 
-// watch moves a watched node on by time.
+// watch applies timeouts to a watched node.
 func (t *Table) watch(now time.Duration, name string, out []Outgoing) []Outgoing {
 	p := t.peer(name)
 	if p.stateSince == 0 && p.lastHeard == 0 { // newly watched: it has the time of a silence to be connected
--- a/internal/cluster/mtls/config.go
+++ b/internal/cluster/mtls/config.go
@@ -13,9 +13,16 @@
 		checkPlaintext(f, files, addresses)
 		return nil
 	}
-	for key, path := range map[string]string{"cert": files.Cert, "key": files.Key, "ca": files.CA} {
-		if path == "" {
-			f.Wrong(key, "%s names no file; cert, key and ca are wanted, or plaintext = true on loopback", key)
+	for _, file := range []struct {
+		key  string
+		path string
+	}{
+		{"cert", files.Cert},
+		{"key", files.Key},
+		{"ca", files.CA},
+	} {
+		if file.path == "" {
+			f.Wrong(file.key, "%s names no file; cert, key and ca are wanted, or plaintext = true on loopback", file.key)
 			return nil
 		}
 	}
@@ -34,6 +41,6 @@
 		}
 	}
 	if files != (Files{}) {
-		f.Wrong("plaintext", "either plaintext or keys")
+		f.Wrong("plaintext", "plaintext excludes cert, key and ca")
 	}
 }
--- a/internal/cluster/mtls/mtls.go
+++ b/internal/cluster/mtls/mtls.go
@@ -32,7 +32,7 @@
 	mu          sync.Mutex
 	cert        tls.Certificate
 	pool        *x509.CertPool
-	modTimes    [3]time.Time // of the files, when they were read
+	modTimes    fileTimes // when the keys were read
 	lastCheck   time.Time
 	reloadError error
 }
@@ -67,15 +67,30 @@
 	return nil
 }
 
-func (f *Files) modTimes() (times [3]time.Time, err error) {
-	for i, path := range []string{f.Cert, f.Key, f.CA} {
-		st, err := os.Stat(path)
-		if err != nil {
-			return times, err
-		}
-		times[i] = st.ModTime()
+// fileTimes are when the files were last changed.
+type fileTimes struct {
+	cert time.Time
+	key  time.Time
+	ca   time.Time
+}
+
+func (f *Files) modTimes() (times fileTimes, err error) {
+	if times.cert, err = modTime(f.Cert); err != nil {
+		return times, err
+	}
+	if times.key, err = modTime(f.Key); err != nil {
+		return times, err
+	}
+	times.ca, err = modTime(f.CA)
+	return times, err
+}
+
+func modTime(path string) (time.Time, error) {
+	st, err := os.Stat(path)
+	if err != nil {
+		return time.Time{}, err
 	}
-	return times, nil
+	return st.ModTime(), nil
 }
 
 // current returns the keys in force, read again if the files have changed.
@@ -93,7 +108,8 @@
 	return k.cert, k.pool
 }
 
-// ReloadError is what was wrong with the files when they had changed; nil if nothing was.
+// ReloadError is what was wrong with the files when they had changed; nil if nothing was. Callers log it; package peer does
+// not.
 func (k *Keys) ReloadError() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/cluster/replicastore/store.go
+++ b/internal/cluster/replicastore/store.go
@@ -140,7 +140,8 @@
 	s.closeUnused(time.Now().Add(-idleTimeout), func(replication.Stream) bool { return true })
 }
 
-// Close closes all streams. After that Append fails with wal.ErrClosed.
+// Close closes all streams but those that are being opened: such a one stays open, and takes the records of the Append
+// that opens it. Later calls of Append fail with wal.ErrClosed.
 func (s *Store) Close() {
 	s.mu.Lock()
 	s.isClosed = true
@@ -175,7 +176,7 @@
 	return logs
 }
 
-// Remove removes a stream.
+// Remove removes a stream. It does not close one that is being opened: its segment may be removed under it.
 func (s *Store) Remove(stream replication.Stream) error {
 	s.closeUnused(time.Now(), func(other replication.Stream) bool { return other == stream })
 	return os.RemoveAll(s.StreamDir(stream))
--- a/internal/controlplane/distribution/client/protocol_test.go
+++ b/internal/controlplane/distribution/client/protocol_test.go
@@ -43,7 +43,7 @@
 		sends []byte
 		why   string
 	}{
-		"a flipped bit":        {append(slices.Clone(greeting), flipped...), "came as something else"},
+		"a flipped bit":        {append(slices.Clone(greeting), flipped...), "frame checksum mismatch"},
 		"half a frame":         {append(slices.Clone(greeting), frame[:len(frame)/2]...), "EOF"},
 		"too long":             {append(slices.Clone(greeting), 0xff, 0xff, 0xff, 0xff, 5), "longer than any may be"},
 		"an unknown kind":      {append(slices.Clone(greeting), 0, 0, 0, 4, 99), "unknown kind"},
