--- a/internal/cluster/peer/reconcile.go
+++ b/internal/cluster/peer/reconcile.go
@@ -161,6 +161,7 @@
 	return nil
 }
 
+// storeReconciledChunk stores records as one chunk. A command can read them from disk shortly before Status names them.
 func (n *Node) storeReconciledChunk(s replication.Stream, records []intent.Record) error {
 	n.mu.Lock()
 	own := n.replicas.ReconciliationStream(s)
