--- a/internal/controlplane/distribution/control/server.go
+++ b/internal/controlplane/distribution/control/server.go
@@ -103,7 +103,7 @@
 	s.isCurrent = loaded.IsClean && len(s.config.UpstreamAddresses) == 0
 	s.log.Info().Str("control", s.config.Name).Stringer("listen", s.config.ListenAddress).Bool("tls", s.config.Keys != nil).
 		Str("origin", string(s.store.Origin())).Int("entries", len(loaded.Entries)).Bool("clean", loaded.IsClean).
-		Bool("current", s.isCurrent).Msg("controlling")
+		Bool("current", s.isCurrent).Msg("control process started")
 }
 
 func (s *Server) newOrigin() distribution.Origin {
@@ -210,7 +210,8 @@
 	clear(s.links.waiting)
 }
 
-// renewOriginIfStale takes another origin if others have shown this disk to be an old one. s.mu is held.
+// renewOriginIfStale takes another origin if others hold more of this run's than this process has written, which random origins
+// exclude in practice. s.mu is held.
 func (s *Server) renewOriginIfStale() {
 	if !s.store.IsStale() {
 		return
@@ -223,7 +224,7 @@
 	s.log.Warn().Str("before", string(before)).Str("origin", string(s.store.Origin())).Int("rewritten", len(rewritten)).Msg("stale origin replaced")
 }
 
-// prune forgets deletions past their retention. Subscribers that were not sent them are sent whole services.
+// prune forgets deletions past their retention. Subscribers that were not sent them get a full sync.
 func (s *Server) prune() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/distribution/wire/messages.go
+++ b/internal/controlplane/distribution/wire/messages.go
@@ -58,7 +58,7 @@
 	_ struct{} `cbor:",toarray"`
 
 	Digests       distribution.Digests
-	IsAllServices bool // there are no other services; an answer to Pull.WantsDigests
+	IsAllServices bool // an answer to Pull.WantsDigests: there are no other services. Receivers don't read it
 }
 
 // Pull asks the other side for what is missing here. One that asks for nothing is a ping, which is answered by one.
@@ -67,7 +67,7 @@
 
 	IsContinuous bool                // send what Vector lacks, and from then on what changes, in batches as to a subscriber
 	Vector       distribution.Vector // if continuous, what the asking side covers
-	Services     []string            // to be sent whole
+	Services     []string            // in which a full sync is asked for
 	WantsDigests bool                // of all services
 }
 
--- a/internal/discovery/staleness/evaluator.go
+++ b/internal/discovery/staleness/evaluator.go
@@ -9,12 +9,15 @@
 )
 
 const (
-	// minConnectFailures in a row make a proven server suspected; one is enough for a server on trial.
+	// minConnectFailures without an executed request between them make a proven server suspected; other responses do not
+	// interrupt the count. One is enough for a server on trial.
 	minConnectFailures = 2
 	// initialSuspicion is for how long a server is suspected the first time. It doubles each time, up to maxSuspicion.
 	initialSuspicion = 1 * time.Second
 	maxSuspicion     = 30 * time.Second
-	// minTrials are always allowed at once.
+	// maxDoublings keeps the doubling from an overflow; maxSuspicion is reached before.
+	maxDoublings = 10
+	// minTrials are allowed at once whatever fails. level.minInitialTrials is about the start.
 	minTrials = 1
 )
 
@@ -31,7 +34,7 @@
 	status              Status
 	statusSince         time.Duration
 	trialOrder          uint32 // differs by node
-	consecutiveFailures int
+	consecutiveFailures int    // to connect, since it last executed a request or became suspected
 	suspicionCount      int
 }
 
@@ -62,7 +65,11 @@
 		e.order = append(e.order, one)
 	}
 	slices.SortFunc(e.order, func(a, b *server) int {
-		return cmp.Or(cmp.Compare(b.executedRank(), a.executedRank()), cmp.Compare(a.trialOrder, b.trialOrder), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(
+			cmp.Compare(b.executedRank(), a.executedRank()),
+			cmp.Compare(a.trialOrder, b.trialOrder),
+			cmp.Compare(a.ID, b.ID),
+		)
 	})
 	e.maxTrials = max(e.level.minInitialTrials, int(math.Ceil(e.level.trialShare*float64(up))))
 	e.startTrials(0)
@@ -105,10 +112,15 @@
 // WrongServer reports that another server responds at a server's address.
 func (e *Evaluator) WrongServer(now time.Duration, id string) { e.step(now, id, wrongServer) }
 
+// suspicionTimeout is for how long a suspected server stays so.
+func (s *server) suspicionTimeout() time.Duration {
+	return min(initialSuspicion<<min(s.suspicionCount-1, maxDoublings), maxSuspicion)
+}
+
 // Tick applies what the time alone changes. It is called every few tens of milliseconds.
 func (e *Evaluator) Tick(now time.Duration) {
 	for _, s := range e.order {
-		if s.status == Suspected && now-s.statusSince >= min(initialSuspicion<<min(s.suspicionCount-1, 10), maxSuspicion) {
+		if s.status == Suspected && now-s.statusSince >= s.suspicionTimeout() {
 			e.apply(now, s, timerExpired)
 		}
 	}
@@ -129,10 +141,10 @@
 
 func (e *Evaluator) apply(now time.Duration, s *server, in input) {
 	t := transitions[s.status][in]
-	switch {
-	case t.trialChange > 0:
+	switch t.trialChange {
+	case moreTrials:
 		e.maxTrials += e.level.trialsPerProven
-	case t.trialChange < 0:
+	case fewerTrials:
 		e.maxTrials = max(e.maxTrials-1, minTrials)
 	}
 	if t.next == s.status {
