--- a/internal/protocol/connclose/lifecycle.go
+++ b/internal/protocol/connclose/lifecycle.go
@@ -58,7 +58,8 @@
 	effect Effect
 }
 
-// table holds all decisions but one: Handle closes a connection that has nothing left to do.
+// table holds all decisions but two, which Handle makes: an idle timeout that crosses a request has no effect, and a closing connection
+// with nothing left to do is closed.
 var table = [states][inputs]transition{
 	Open: {
 		RequestStarted:  {Open, Admit},
--- a/internal/proxy/countslog.go
+++ b/internal/proxy/countslog.go
@@ -13,7 +13,7 @@
 
 const countsInterval = 10 * time.Second // between two log lines with counts
 
-// logCounts logs, until the node ends, how requests and attempts ended since its start.
+// logCounts logs, every countsInterval until the node ends, how requests and attempts ended since the line before.
 func (s *Server) logCounts(ctx context.Context) error {
 	tick := time.NewTicker(countsInterval)
 	defer tick.Stop()
--- a/internal/proxy/dispatch/attemptresult.go
+++ b/internal/proxy/dispatch/attemptresult.go
@@ -12,12 +12,12 @@
 	ErrorResponse                          // any other complete response
 	RequestFault                           // a response that finds the request itself faulty
 	ServerRefused                          // a response that says that the server did not begin
-	ConnectRefused                         // no connection: refused at once
+	ConnectRefused                         // no connection: refused, unreachable or another error at once
 	ConnectTimeout                         // no connection within Settings.ConnectTimeout
 	WriteFailed                            // a new connection broke before the last byte was written
 	StaleConnection                        // a reused connection broke so, which shows nothing about its server now
 	NoDescriptor                           // no connection: this node had no descriptor left
-	ExpiredUnsent                          // the attempt timed out before its last byte was written, or its server had left
+	ExpiredUnsent                          // the attempt timed out or was canceled before its last byte was written, or its server or client had left
 	ConnectionLost                         // the connection ended after the last byte, before the complete response
 	MalformedResponse                      // the response cannot be read
 	ResponseTimeout                        // no complete response within the attempt's timeout
--- a/internal/proxy/endpointcache.go
+++ b/internal/proxy/endpointcache.go
@@ -102,7 +102,8 @@
 	return true
 }
 
-// applyUsableServers hands to the dispatcher the servers of the suspect list that may be used now, where they have changed. mu is held.
+// applyUsableServers hands to the dispatcher the servers of the suspect list that may be used now, where they have changed. The caller holds mu, or is load
+// before the cache is evaluated.
 func (c *endpointCache) applyUsableServers() {
 	usable, hasChanged := c.evaluator.Usable()
 	if !hasChanged {
--- a/internal/proxy/endpointcacheconfirm.go
+++ b/internal/proxy/endpointcacheconfirm.go
@@ -60,7 +60,7 @@
 	now := time.Now()
 	if c.incompleteSince.IsZero() {
 		c.incompleteSince = now
-		c.logger.Error().Int("missing", missing).Int("serving", proven).Msg("endpoint list lacks most serving servers, not applied yet")
+		c.logger.Error().Int("missing", missing).Int("serving", proven).Msg("endpoint list lacks most serving servers")
 	}
 	return now.Sub(c.incompleteSince) < incompleteListDuration
 }
--- a/internal/proxy/fastcgiread.go
+++ b/internal/proxy/fastcgiread.go
@@ -80,8 +80,8 @@
 	return time.Now().Add(idleTimeout)
 }
 
-// handleTimeout deals with a deadline that has passed, and reports whether nothing more is to be read. A request that stalls is rejected, so
-// that the connection's other requests do not suffer.
+// handleTimeout deals with a deadline that has passed, and reports whether nothing more is to be read. Where a
+// request stalls, all incomplete requests are rejected and no new ones are admitted; complete ones are still answered.
 func (c *fastcgiClientConn) handleTimeout(isPartial bool) bool {
 	c.mu.Lock()
 	isOver, isStalled := !c.readUntil.IsZero(), c.lifecycle.Receiving() > 0 || isPartial
--- a/internal/proxy/fastcgirequest.go
+++ b/internal/proxy/fastcgirequest.go
@@ -14,7 +14,7 @@
 	conn := fastcgiRequestConn{c, r}
 	defer func() {
 		if p := recover(); p != nil { // a fault of this program must not end the connection's other requests too
-			s.logger.Error().Interface("panic", p).Bytes("stack", debug.Stack()).Msg("request dropped")
+			s.logger.Error().Interface("panic", p).Bytes("stack", debug.Stack()).Msg("panic while serving a request")
 			s.sendAnswer(conn, message.Answer{Status: 500})
 		}
 	}()
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -19,7 +19,7 @@
 			result, answer := dispatch.Abandoned, []byte(nil)
 			defer func() {
 				if p := recover(); p != nil {
-					s.logger.Error().Interface("panic", p).Bytes("stack", debug.Stack()).Msg("hedged request dropped")
+					s.logger.Error().Interface("panic", p).Bytes("stack", debug.Stack()).Msg("panic in a hedged attempt")
 				}
 				request.AttemptEnded(d.Attempt, result, answer)
 			}()
--- a/internal/proxy/httpclient.go
+++ b/internal/proxy/httpclient.go
@@ -38,7 +38,7 @@
 	defer tcp.Close()
 	defer func() {
 		if p := recover(); p != nil { // a fault of this program must not end the other clients' connections too
-			s.logger.Error().Interface("panic", p).Bytes("stack", debug.Stack()).Msg("client connection dropped")
+			s.logger.Error().Interface("panic", p).Bytes("stack", debug.Stack()).Msg("panic on a client connection")
 			s.sendAnswer(conn, message.Answer{Status: 500, Close: true})
 		}
 	}()
@@ -91,7 +91,7 @@
 	return err
 }
 
-// serveHTTPRequest serves one request of a connection. Where a client has too many idle connections, its answer ends this one.
+// serveHTTPRequest serves one request of a connection. Where too many clients' connections are idle, its answer ends this one.
 func (s *Server) serveHTTPRequest(conn *httpClientConn, req *message.Request, receivedAt time.Time) error {
 	req.Close = req.Close || s.dispatcher.HasTooManyIdleClients() && !conn.conn.HasMore()
 	if req.IsReadiness() {
--- a/internal/proxy/intentjournal.go
+++ b/internal/proxy/intentjournal.go
@@ -21,7 +21,7 @@
 	tierJoinTimeout = 500 * time.Millisecond // at the start, for peers to say what they know of this node
 )
 
-var errNotDurable = errors.New("the journal has not kept the intent in time")
+var errNotDurable = errors.New("the intent was not durable in time")
 
 // intentJournal records what becomes of requests that must not be executed twice: the intent of each attempt before its first byte, its
 // end, and the client's answer. It may be used from any goroutine; no lock of the node is held while it waits. A nil journal records
--- a/internal/proxy/logger.go
+++ b/internal/proxy/logger.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	maxLogLinesPerInterval = 50 // of each level
+	maxLogLinesPerInterval = 50 // of each level; lines beyond are left out and not counted
 	logInterval            = time.Second
-	maxQueuedLogLines      = 256                    // for a slow reader; further lines are dropped and counted
+	maxQueuedLogLines      = 256                    // for a slow reader; then the oldest are overwritten and counted
 	logFlushTimeout        = 100 * time.Millisecond // so that a stop does not wait for the reader of the log
 )
 
--- a/internal/proxy/plannerclient.go
+++ b/internal/proxy/plannerclient.go
@@ -125,10 +125,10 @@
 	p.isDiscoveryNeeded = isNeeded
 	if isNeeded {
 		close(p.discoveryNeeded)
-		p.logger.Warn().Dur("plan_age", planAge).Msg("no planner reachable, polling discovery")
+		p.logger.Warn().Dur("plan_age", planAge).Msg("no list or fresh plan from planners, polling discovery")
 	} else {
 		p.discoveryNeeded = make(chan struct{})
-		p.logger.Info().Msg("planner reachable, not polling discovery")
+		p.logger.Info().Msg("planners send the list again, not polling discovery")
 	}
 }
 
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -10,7 +10,8 @@
 	"fernvane/internal/route"
 )
 
-// reloadOnSignal reads the node's files again each time that it is told to, until the node ends. A file that cannot be used is logged and
+// reloadOnSignal reads the platform's file, the operator's file and the shadow settings again on each signal, until the node ends. All other
+// files wait for a restart. A file that cannot be used is logged and
 // leaves what it says as it was. Changes that a running node cannot take up are logged too.
 func (s *Server) reloadOnSignal(ctx context.Context, signals <-chan os.Signal) error {
 	cfg := s.cfg
@@ -76,7 +77,7 @@
 	}
 }
 
-// changedKeys names the keys of the platform's file whose new values a running node does not take up.
+// changedKeys names the keys of the platform's file, but for seed and known, whose new values a running node does not take up.
 func (c Config) changedKeys(next Config) (keys []string) {
 	for _, k := range []struct {
 		key    string
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -14,7 +14,7 @@
 var errClientDisconnected = errors.New("the client has left")
 
 // serveRequest serves one request, from when it was received whole to its one answer. It runs on a goroutine of its connection, or of
-// the request where requests share one. A *message.RequestError is a request that is to be rejected as malformed, and
+// the request where requests share one. A *message.RequestError is a request that is to be rejected with its status, and
 // errClientDisconnected one that gets no answer; any other error is that of the write.
 func (s *Server) serveRequest(conn clientConn, req *message.Request, receivedAt time.Time) error {
 	info, err := req.Info()
@@ -46,7 +46,7 @@
 	}
 }
 
-// answerUnsubmitted answers a request that the dispatcher was not given or did not take.
+// answerUnsubmitted answers a request that the dispatcher was not given or did not take, or returns the error that its caller answers.
 func (s *Server) answerUnsubmitted(conn clientConn, req *message.Request, err error) error {
 	switch {
 	case errors.Is(err, errUnknownType):
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -22,7 +22,8 @@
 // memoryLimitShare is the share of the memory limit that the garbage collector keeps to; the rest is its slack.
 const memoryLimitShare = 0.75
 
-// Server is a running node. Its parts are set before its goroutines start; nil parts are off.
+// Server is a running node. Its parts are set before its goroutines start; nil parts are off. drain sets the three times of a shutdown
+// before isDraining.
 type Server struct {
 	cfg             Config
 	logger          zerolog.Logger
@@ -43,11 +44,11 @@
 	isListenerClosing  atomic.Bool // listening ends as soon as no connection comes
 	rejectsNewRequests atomic.Bool // connections that requests share admit none any more
 	acceptUntil        time.Time   // when listening ends at the latest
-	answerBy           time.Time   // when requests that are accepted from then on must be answered, for the node may be killed
-	endBy              time.Time   // when all requests that were accepted before are answered
+	answerBy           time.Time   // deadline of requests that are accepted while the node drains, for it may be killed then
+	endBy              time.Time   // Run returns by then, whatever is still open
 }
 
-// Run serves until it is told to stop, and then until what was accepted is answered. It returns why it could not serve, and
+// Run serves until it is told to stop, and then until what was accepted is answered or endBy has passed. It returns why it could not serve, and
 // peer.ErrReplaced where another process of the same name took its place.
 func Run(signals Signals, cfg Config, log zerolog.Logger) error {
 	if cfg.Cores > 0 {
@@ -136,7 +137,8 @@
 	return err
 }
 
-// serve runs all parts until the node is told to stop or one of them fails.
+// serve runs all parts until the node is told to stop. The error is the first of a part; one that fails ends the parts that follow a
+// source, while connections are accepted until the listeners are closed.
 func (s *Server) serve(signals Signals, replaced <-chan struct{}, ln, fastcgiListener *net.TCPListener) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -169,7 +171,7 @@
 	return g.Wait()
 }
 
-// acceptUntilDrained accepts connections until the node stops, and returns when what was accepted is answered.
+// acceptUntilDrained accepts connections until the node stops, and returns when what was accepted is answered or endBy has passed.
 func (s *Server) acceptUntilDrained(ln, fastcgiListener *net.TCPListener) error {
 	listeners := errgroup.Group{}
 	listeners.Go(func() error { return s.accept(ln, s.serveHTTPConn) })
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -12,10 +12,10 @@
 	arrivalDuration     = 600 * time.Millisecond // new connections come for up to 0.4 s after SIGTERM
 	acceptQuietDuration = 150 * time.Millisecond // without a new connection, after that, until listening ends
 	extraAcceptDuration = 500 * time.Millisecond // after that, if connections never cease
-	killGrace           = 700 * time.Millisecond // SIGKILL comes the longest abandon time and this after SIGTERM
+	killGrace           = 700 * time.Millisecond // SIGKILL comes longestAbandonTime and this after SIGTERM
 	killMargin          = 200 * time.Millisecond // to be done before that
 	maxKillAbandonTime  = 3 * time.Second        // the most that an abandon time counts there
-	idleCloseInterval   = 10 * time.Millisecond  // between two looks for idle connections while the node ends
+	idleCloseInterval   = 10 * time.Millisecond  // between two checks for idle connections while the node ends
 )
 
 // awaitStop waits until the node is told to stop and drains it then. peer.ErrReplaced: another process of the same name took its place.
