--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -134,7 +134,7 @@
 			fmt.Fprintf(errs, "\nbaselines, side by side: %s\n", strings.Join(others, ", "))
 		}
 		o := o
-		o.Scenario = s.Single()
+		o.Scenario = s.WithoutPlanners()
 		more, err := beside(ctx, o, others)
 		if err != nil {
 			return err
@@ -193,12 +193,12 @@
 	switch {
 	case s.Registry.Addresses > 0:
 		r.Policy = "registry"
-		if err := play(s.Discovered(), "discovery", "discovery"); err != nil {
+		if err := play(s.WithDiscovery(), "discovery", "discovery"); err != nil {
 			return err
 		}
 	case s.Planners.Count > 0:
 		r.Policy = "with planners"
-		if err := play(s.Single(), "single-level", "single-level"); err != nil {
+		if err := play(s.WithoutPlanners(), "single-level", "single-level"); err != nil {
 			return err
 		}
 	}
@@ -206,10 +206,10 @@
 		return nil
 	}
 	r.Policy = "kept list"
-	if err := play(s.Started("known"), "known", "fresh list"); err != nil {
+	if err := play(s.WithStartLists("known"), "known", "fresh list"); err != nil {
 		return err
 	}
-	return play(s.Started("none"), "none", "no list")
+	return play(s.WithStartLists("none"), "none", "no list")
 }
 
 // write writes the report wherever the flags ask for it.
@@ -254,7 +254,7 @@
 	var wg sync.WaitGroup
 	for i, name := range names {
 		o := o
-		o.Scenario, o.Progress = o.Scenario.Paired(i != 1, i != 0), nil
+		o.Scenario, o.Progress = o.Scenario.WithFastCGI(i != 1, i != 0), nil
 		if o.Directory != "" {
 			o.Directory = fmt.Sprint(o.Directory, "-", i+1)
 		}
--- a/cmd/testbed/tools.go
+++ b/cmd/testbed/tools.go
@@ -39,7 +39,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			for _, k := range scenario.FaultKinds {
-				fmt.Fprintf(t, "%s\t%s\n", k.Name, k.About)
+				fmt.Fprintf(t, "%s\t%s\n", k.Name, k.Description)
 			}
 			return t.Flush()
 		}}
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -12,46 +12,49 @@
 )
 
 const (
-	sharesSlack = 0.001 // by which shares may miss 1 when they are added up
-	maxServers  = 2000
-	maxNodes    = 1000
-	maxPlanners = 8
-	maxLength   = 10 * time.Minute
-	maxRate     = 100_000
+	shareTolerance = 0.001 // by which a sum of shares may differ from 1
+	maxServers     = 2000
+	maxNodes       = 1000
+	maxPlanners    = 8
+	maxLength      = 10 * time.Minute
+	maxRate        = 100_000
 )
 
-// checker tells by key what is wrong with a file.
+// checker collects by key what is wrong with a file.
 type checker struct{ *tomlfile.File }
 
-// lastOf is the last name of a key.
-func lastOf(key string) string { return key[strings.LastIndexByte(key, '.')+1:] }
+// lastName returns the last name of a dotted key.
+func lastName(key string) string { return key[strings.LastIndexByte(key, '.')+1:] }
 
-func (c checker) within(key string, v, least, most float64) {
+// inRange checks that a value is from least to most.
+func (c checker) inRange(key string, v, least, most float64) {
 	if !(v >= least && v <= most) {
-		c.Wrong(key, "%s is %v: from %v to %v", lastOf(key), v, least, most)
+		c.Wrong(key, "%s is %v: from %v to %v", lastName(key), v, least, most)
 	}
 }
 
-func (c checker) oneOf(key, v string, of ...string) {
-	if !slices.Contains(of, v) {
-		c.Wrong(key, "%q is none of %s", v, strings.Join(of, ", "))
+// oneOf checks that a value is one of those allowed.
+func (c checker) oneOf(key, v string, allowed ...string) {
+	if !slices.Contains(allowed, v) {
+		c.Wrong(key, "%q is none of %s", v, strings.Join(allowed, ", "))
 	}
 }
 
+// positive checks that a duration is above 0.
 func (c checker) positive(key string, d Span) {
 	if d <= 0 {
-		c.Wrong(key, "%s must be above 0", lastOf(key))
+		c.Wrong(key, "%s must be above 0", lastName(key))
 	}
 }
 
-// check fills in what a file leaves out and tells all that is wrong.
+// check sets defaults and returns all that is wrong with the file.
 func (s *Scenario) check(f *tomlfile.File) error {
-	s.fill()
+	s.setDefaults()
 	c := checker{f}
 	if s.Name == "" {
 		c.Wrong("name", "the scenario has no name")
 	}
-	c.within("length", s.Length.Std().Seconds(), 0.1, maxLength.Seconds())
+	c.inRange("length", s.Length.Std().Seconds(), 0.1, maxLength.Seconds())
 	s.checkNodes(c)
 	s.checkLoad(c)
 	if len(s.Sites) == 0 || len(s.Sites) > 16 {
@@ -67,30 +70,30 @@
 }
 
 func (s *Scenario) checkNodes(c checker) {
-	c.within("nodes.count", float64(s.Nodes.Count), 1, maxNodes)
+	c.inRange("nodes.count", float64(s.Nodes.Count), 1, maxNodes)
 	c.oneOf("journal.promise", s.Journal.Promise, "", "process", "machine", "machines")
-	c.within("peers.replicas", float64(s.Peers.Replicas), 0, 6)
+	c.inRange("peers.replicas", float64(s.Peers.Replicas), 0, 6)
 	c.oneOf("journal.when_failing", s.Journal.WhenFailing, "deny", "serve")
 	c.oneOf("lists.start", s.Lists.Start, "known", "kept", "none")
-	c.within("registry.addresses", float64(s.Registry.Addresses), 0, 5)
-	c.within("planners.count", float64(s.Planners.Count), 0, maxPlanners)
+	c.inRange("registry.addresses", float64(s.Registry.Addresses), 0, 5)
+	c.inRange("planners.count", float64(s.Planners.Count), 0, maxPlanners)
 	if n := len(s.Sites); n > s.Nodes.Count {
 		c.Wrong("nodes.count", "%d sites, but %d nodes: the clients of each site need one", n, s.Nodes.Count)
 	}
 }
 
 func (s *Scenario) checkLoad(c checker) {
-	c.within("load.rate", s.Load.Rate, 0.1, maxRate)
-	c.within("load.swing", s.Load.Swing, 0, 0.95)
-	c.within("load.skew", s.Load.Skew, 0, 0.9)
-	c.within("load.over", s.Load.Over, 0, 1)
+	c.inRange("load.rate", s.Load.Rate, 0.1, maxRate)
+	c.inRange("load.swing", s.Load.Swing, 0, 0.95)
+	c.inRange("load.skew", s.Load.Skew, 0, 0.9)
+	c.inRange("load.over", s.Load.Over, 0, 1)
 	c.oneOf("load.shape", s.Load.Shape, "constant", "poisson", "bursts", "ramp", "wave")
-	c.within("clients.gives_up", s.Clients.GivesUp, 0.01, 1)
-	c.within("clients.leaves", s.Clients.Leaves, 0, 1)
-	c.within("clients.leaves_at", s.Clients.LeavesAt, 0.001, 1)
-	c.within("clients.retries", float64(s.Clients.Retries), 0, 10)
-	c.within("rules.drain_close", s.Rules.DrainClose.Std().Seconds(), 0, maxLength.Seconds())
-	c.within("rules.most_hops", float64(s.Rules.MaxAttempts), 1, 16)
+	c.inRange("clients.gives_up", s.Clients.GivesUp, 0.01, 1)
+	c.inRange("clients.leaves", s.Clients.Leaves, 0, 1)
+	c.inRange("clients.leaves_at", s.Clients.LeavesAt, 0.001, 1)
+	c.inRange("clients.retries", float64(s.Clients.Retries), 0, 10)
+	c.inRange("rules.drain_close", s.Rules.DrainClose.Std().Seconds(), 0, maxLength.Seconds())
+	c.inRange("rules.most_hops", float64(s.Rules.MaxAttempts), 1, 16)
 }
 
 func (s *Scenario) checkTypes(c checker) {
@@ -101,7 +104,7 @@
 	for i := range s.Types {
 		t, key := &s.Types[i], "types."+strconv.Itoa(i)
 		shares += t.Share
-		c.within(key+".share", t.Share, 0, 1)
+		c.inRange(key+".share", t.Share, 0, 1)
 		c.positive(key+".work", t.Work)
 		c.positive(key+".target", t.Target)
 		if t.Abandon < t.Target {
@@ -122,7 +125,7 @@
 			c.Wrong(key+".name", "a second type %q", t.Name)
 		}
 	}
-	if len(s.Types) > 0 && math.Abs(shares-1) > sharesSlack {
+	if len(s.Types) > 0 && math.Abs(shares-1) > shareTolerance {
 		c.Wrong("types.0.share", "the shares of the types add up to %.3f, not 1", shares)
 	}
 }
@@ -131,9 +134,9 @@
 	shares := 0.0
 	for i, t := range s.Tenants {
 		shares += t.Share
-		c.within("tenants."+strconv.Itoa(i)+".share", t.Share, 0, 1)
+		c.inRange("tenants."+strconv.Itoa(i)+".share", t.Share, 0, 1)
 	}
-	if len(s.Tenants) > 0 && math.Abs(shares-1) > sharesSlack {
+	if len(s.Tenants) > 0 && math.Abs(shares-1) > shareTolerance {
 		c.Wrong("tenants.0.share", "the shares of the tenants add up to %.3f, not 1", shares)
 	}
 }
@@ -143,12 +146,12 @@
 	for i, b := range s.Servers {
 		key := "boxes." + strconv.Itoa(i)
 		total += b.Count
-		c.within(key+".count", float64(b.Count), 1, maxServers)
-		c.within(key+".cores", float64(b.Cores), 1, 256)
-		c.within(key+".speed", b.Speed, 0.01, 1000)
-		c.within(key+".cold_share", b.ColdShare, 0.01, 1)
-		c.within(key+".key_gain", b.KeyGain, 0, 0.95)
-		c.within(key+".error_rate", b.ErrorRate, 0, 1)
+		c.inRange(key+".count", float64(b.Count), 1, maxServers)
+		c.inRange(key+".cores", float64(b.Cores), 1, 256)
+		c.inRange(key+".speed", b.Speed, 0.01, 1000)
+		c.inRange(key+".cold_share", b.ColdShare, 0.01, 1)
+		c.inRange(key+".key_gain", b.KeyGain, 0, 0.95)
+		c.inRange(key+".error_rate", b.ErrorRate, 0, 1)
 		if b.PauseEvery > 0 && b.PauseFor >= b.PauseEvery {
 			c.Wrong(key+".pause_for", "a pause of %s every %s leaves no time to work", b.PauseFor.Std(), b.PauseEvery.Std())
 		}
@@ -161,7 +164,7 @@
 	}
 }
 
-// ServerNames are the names of all servers of the start, kind by kind.
+// ServerNames returns the names of the servers at the start, kind by kind.
 func (s *Scenario) ServerNames() []string {
 	var names []string
 	for _, b := range s.Servers {
--- a/internal/testbed/scenario/load.go
+++ b/internal/testbed/scenario/load.go
@@ -15,7 +15,7 @@
 //go:embed embedded/*.toml
 var embedded embed.FS
 
-// Names lists the scenarios that the program brings along.
+// Names returns the names of the scenarios embedded in the program.
 func Names() []string {
 	entries, _ := embedded.ReadDir("embedded")
 	names := make([]string, len(entries))
@@ -25,7 +25,7 @@
 	return names
 }
 
-// Load reads a scenario: one of Names, or a file.
+// Load reads and checks a scenario: one of Names, or a file. Errors of the content are tomlfile.Faults.
 func Load(name string) (*Scenario, error) {
 	if slices.Contains(Names(), name) {
 		text, err := embedded.ReadFile(path.Join("embedded", name+".toml"))
@@ -44,7 +44,7 @@
 	return Parse(name, text)
 }
 
-// Parse reads a scenario from a text, over the one that it names as its base.
+// Parse reads and checks a scenario in a text, over the base that it names. name is the file in errors.
 func Parse(name string, text []byte) (*Scenario, error) {
 	s := &Scenario{}
 	var b struct{ Base string }
@@ -56,7 +56,10 @@
 		if err != nil {
 			return nil, err
 		}
-		s, s.Name, s.About, s.Faults = base, "", "", nil
+		s = base
+		s.Name = ""
+		s.About = ""
+		s.Faults = nil
 	}
 	f, err := tomlfile.Parse(name, text, s)
 	if err != nil {
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -1,5 +1,6 @@
-// Package scenario is what the testbed plays: a deployment of stand-ins, its load, and the troubles that come to it, read
-// from a TOML file. It is data and checks only.
+// Package scenario holds what the testbed runs: a deployment of stand-ins, its load and the faults applied to it, read from
+// a TOML file. Commands call Load or Parse, which set defaults and check the whole file; the testbed only reads the result.
+// The package is data and checks, without state of its own. Files call servers boxes.
 package scenario
 
 import (
@@ -9,17 +10,17 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// Span is a duration as files write it.
+// Span is a duration in a file, with its unit.
 type Span = tomlfile.Duration
 
-// Scenario is one file.
+// Scenario is the content of one file.
 type Scenario struct {
 	Name  string `toml:"name"`
 	About string `toml:"about"`
-	// Base is a scenario of Names that this one starts from; its faults are not taken over.
+	// Base is a scenario of Names whose settings hold where this one sets none; its faults do not.
 	Base string `toml:"base"`
 	Seed uint64 `toml:"seed"`
-	// Length is how long requests arrive. What they leave open is waited for beyond it.
+	// Length is how long requests arrive. The run ends when the last has ended.
 	Length    Span      `toml:"length"`
 	Sites     []string  `toml:"sites"`
 	Nodes     Nodes     `toml:"nodes"`
@@ -37,58 +38,57 @@
 	Discovery Discovery `toml:"discovery"`
 	Rules     Rules     `toml:"rules"`
 	Faults    []Fault   `toml:"faults"`
-	// Operators are texts of operator's files. The nodes start under the first; each reload takes the next.
+	// Operators are operator's files. Nodes start with the first; each reload takes the next.
 	Operators []string `toml:"operators"`
-	// Pairings has the scenario played in each pairing of protocols of clients and servers, HTTP to HTTP first.
+	// Pairings runs the scenario with each pair of protocols of clients and servers, HTTP to HTTP first.
 	Pairings bool `toml:"pairings"`
-	// Baselines are played beside the node on the same schedule where the command does not say.
+	// Baselines are policies to compare with on the same schedule, unless the command names some.
 	Baselines []string `toml:"baselines"`
 }
 
-// Nodes are the processes under test, dealt out over the sites in turn.
+// Nodes are the processes under test, distributed over the sites in turn.
 type Nodes struct {
 	Count    int     `toml:"count"`
-	Cores    float64 `toml:"cores"` // each may use at a time
+	Cores    float64 `toml:"cores"` // that each may use
 	MemoryMB int     `toml:"memory_mb"`
 	Sockets  int     `toml:"sockets"`
-	Notice   Span    `toml:"notice"` // until the connection balancer finds out that one has died
+	Notice   Span    `toml:"notice"` // until the connection balancer notices that one has crashed
 }
 
-// Planners are the upper level; without any each node decides by itself.
+// Planners configures the planners; without any, each node decides by itself.
 type Planners struct {
 	Count int  `toml:"count"`
 	Every Span `toml:"every"` // between two plans
 }
 
-// Peers have nodes know each other and hold replicas of each other's journals, where there are any replicas. Each node is a
-// machine of its own.
+// Peers configures the replication of journals between nodes, if there are replicas. Each node is a machine of its own.
 type Peers struct {
-	Replicas    int  `toml:"replicas"`     // how many others hold what a node keeps
-	SlowAfter   Span `toml:"slow_after"`   // until another holder is taken in the place of a slow one
-	RepairBytes int  `toml:"repair_bytes"` // a second that a node copies to others
-	Before      int  `toml:"before"`       // entries of an earlier life that the first node begins with, held by nobody else
+	Replicas    int  `toml:"replicas"`     // of each journal, on other nodes
+	SlowAfter   Span `toml:"slow_after"`   // until a slow replica is replaced by another
+	RepairBytes int  `toml:"repair_bytes"` // per second that a node copies to others in repairs
+	Before      int  `toml:"before"`       // entries of an earlier run in the first node's journal, without replicas
 }
 
-// Journal of non-idempotent requests that each node keeps; without a promise it keeps none.
+// Journal configures the nodes' journals of non-idempotent requests; without a promise there are nchanged.
 type Journal struct {
 	Promise     string `toml:"promise"`      // process, machine or machines
 	WhenFailing string `toml:"when_failing"` // deny or serve
 	MaxWait     Span   `toml:"wait_most"`
 }
 
-// Registry of ephemeral nodes in place of discovery, if it has addresses.
+// Registry configures a registry of ephemeral nodes in the place of discovery, if it has addresses.
 type Registry struct {
 	Addresses int  `toml:"addresses"`
 	Session   Span `toml:"session"` // of servers and nodes
 }
 
-// Lists are what nodes that start again know of the servers.
+// Lists configures which servers nodes know when they start.
 type Lists struct {
-	Start string `toml:"start"` // known: the list as discovery has it, handed to them; kept: their own, from disk; none
-	Age   Span   `toml:"age"`   // by which a kept list looks older than it is
+	Start string `toml:"start"` // known: discovery's present list; kept: their stored list; none
+	Age   Span   `toml:"age"`   // added to the age of a stored list
 }
 
-// Servers are servers of one kind, dealt out over the sites in turn.
+// Servers configures the servers of one kind, distributed over the sites in turn.
 type Servers struct {
 	Kind        string  `toml:"kind"`
 	Count       int     `toml:"count"`
@@ -97,16 +97,16 @@
 	Queue       int     `toml:"queue"` // requests that may wait
 	Connections int     `toml:"connections"`
 	Handshake   Span    `toml:"handshake"`   // work for each new connection
-	ColdShare   float64 `toml:"cold_share"`  // of its capacity right after a start
-	ColdFor     Span    `toml:"cold_for"`    // until it is warm
-	KeyGain     float64 `toml:"key_gain"`    // share of work that is saved for a key met lately
-	KeyFor      Span    `toml:"key_for"`     // how long a key is remembered
-	Keys        int     `toml:"keys"`        // how many are
-	FastCGI     bool    `toml:"fastcgi"`     // it speaks FastCGI; else HTTP
-	Drops       bool    `toml:"drops"`       // what is over before its turn is rejected
-	GroupSize   int     `toml:"group_size"`  // servers that share what they know of fingerprints; 0: all of a kind
+	ColdShare   float64 `toml:"cold_share"`  // of its capacity at the begin of slow start
+	ColdFor     Span    `toml:"cold_for"`    // length of slow start
+	KeyGain     float64 `toml:"key_gain"`    // share of work that is saved for a cached key
+	KeyFor      Span    `toml:"key_for"`     // how long a key is cached
+	Keys        int     `toml:"keys"`        // cached keys at most
+	FastCGI     bool    `toml:"fastcgi"`     // servers speak FastCGI, not HTTP
+	Drops       bool    `toml:"drops"`       // requests whose timeout passed in the queue are rejected
+	GroupSize   int     `toml:"group_size"`  // servers of a cell, which share idempotency keys; 0: all are one cell
 	ErrorRate   float64 `toml:"error_rate"`  // share answered with 500 after their work
-	PauseEvery  Span    `toml:"pause_every"` // a pause of the process comes so often, 0: never
+	PauseEvery  Span    `toml:"pause_every"` // interval of pauses of the process; 0: none
 	PauseFor    Span    `toml:"pause_for"`
 }
 
@@ -121,103 +121,103 @@
 	Target  Span    `toml:"target"`
 	Abandon Span    `toml:"abandon"`
 	Revenue float64 `toml:"revenue"`
-	Repeat  string  `toml:"repeat"` // retriable, keyed or non-idempotent
+	Repeat  string  `toml:"repeat"` // retriable (idempotent), fingerprinted (with a key) or binding (non-idempotent)
 	Group   string  `toml:"group"`  // of a keyed type: all, zone or cell
-	Window  Span    `toml:"window"` // in which repeats are dropped there
-	// Where it may be sent, and nowhere else; left out, anywhere.
+	Window  Span    `toml:"window"` // for which servers drop repeats of a key
+	// Sites and kinds of server that it may be sent to; left out, all.
 	OnlySites []string `toml:"only_sites"`
 	OnlyKinds []string `toml:"only_kinds"`
 }
 
-// Tenant is a member group.
+// Tenant is a group of clients with an allowance.
 type Tenant struct {
 	Name      string  `toml:"name"`
 	Share     float64 `toml:"share"`     // of the traffic
-	Allowance float64 `toml:"allowance"` // requests a second; what is beyond is worth little. 0: no bound
+	Allowance float64 `toml:"allowance"` // requests per second; those beyond have less revenue. 0: unlimited
 }
 
-// Traffic is how requests arrive.
+// Traffic configures how requests arrive.
 type Traffic struct {
-	Rate   float64 `toml:"rate"`   // a second
+	Rate   float64 `toml:"rate"`   // requests per second
 	Shape  string  `toml:"shape"`  // constant, poisson, bursts, ramp or wave
-	Swing  float64 `toml:"swing"`  // share of the rate that bursts, ramp and wave add and take
+	Swing  float64 `toml:"swing"`  // share of the rate by which bursts, ramp and wave differ from it
 	Period Span    `toml:"period"` // of bursts and wave
 	Keys   int     `toml:"keys"`   // distinct ones; 0: requests carry none
-	Zipf   float64 `toml:"zipf"`   // exponent of their popularity
-	Skew   float64 `toml:"skew"`   // share of the traffic that the first site has beyond its part
-	Trace  string  `toml:"trace"`  // a recorded trace in place of all this
-	Over   float64 `toml:"over"`   // worth of a request beyond its tenant's allowance, as a share
+	Zipf   float64 `toml:"zipf"`   // exponent of the keys' popularity
+	Skew   float64 `toml:"skew"`   // share of the traffic that the first site has beyond its even part
+	Trace  string  `toml:"trace"`  // file of a recorded trace in the place of drawn requests
+	Over   float64 `toml:"over"`   // share of its revenue that a request beyond its tenant's allowance has
 }
 
-// Clients are the usual ones.
+// Clients configures clients that retry and give up.
 type Clients struct {
 	Retries  int     `toml:"retries"`
 	Backoff  Span    `toml:"backoff"`
-	GivesUp  float64 `toml:"gives_up"` // after this share of the abandon time
-	FastCGI  bool    `toml:"fastcgi"`  // they speak FastCGI; else HTTP
-	Exponent bool    `toml:"doubling"` // each wait is twice the one before
-	// Leaves is the share of requests whose clients leave before their time is up, after LeavesAt of the abandon time;
-	// half of them have sent on behind their request. They come once.
+	GivesUp  float64 `toml:"gives_up"` // share of the abandon time that is the client's timeout
+	FastCGI  bool    `toml:"fastcgi"`  // clients speak FastCGI, not HTTP
+	Exponent bool    `toml:"doubling"` // each backoff is twice the one before
+	// Leaves is the share of requests whose clients disconnect, after LeavesAt of the abandon time, and do not retry.
+	// Half of them have sent bytes behind their request.
 	Leaves   float64 `toml:"leaves"`
 	LeavesAt float64 `toml:"leaves_at"`
 }
 
-// Net is the network between the sites.
+// Net configures the latency between sites.
 type Net struct {
-	Cross Span `toml:"cross"` // one way between two sites
+	Cross Span `toml:"cross"` // one way, between two sites
 	Same  Span `toml:"same"`
 }
 
-// Discovery is the service that lists servers.
+// Discovery configures the stand-in of discovery.
 type Discovery struct {
-	Notice       Span    `toml:"notice"`        // until it knows of a drain or an end that was told to it
-	SilentNotice Span    `toml:"silent_notice"` // of a death that nobody told
-	Add          Span    `toml:"add"`           // of a start
-	Spread       Span    `toml:"spread"`        // over which watchers hear of a change
+	Notice       Span    `toml:"notice"`        // until it knows of an announced drain or end
+	SilentNotice Span    `toml:"silent_notice"` // until it notices a crash
+	Add          Span    `toml:"add"`           // until it knows of a start
+	Spread       Span    `toml:"spread"`        // over which the notifications of a change are spread
 	LinesPerS    float64 `toml:"lines_per_s"`
 	CallLines    float64 `toml:"call_lines"`
 	Timeout      Span    `toml:"timeout"`
 }
 
-// Rules are the figures of the four rules.
+// Rules configures the limits that the audit checks and nodes keep.
 type Rules struct {
 	DrainGrace   Span    `toml:"drain_grace"`
-	DrainClose   Span    `toml:"drain_close"` // in which idle connections to a draining server are closed; 0: not asked for
+	DrainClose   Span    `toml:"drain_close"` // until idle connections to a draining server must be closed; 0: not required
 	FallMultiple float64 `toml:"fall_multiple"`
 	FallWindow   Span    `toml:"fall_window"`
 	MaxAttempts  int     `toml:"most_hops"`
 	AskWithin    Span    `toml:"ask_within"`
-	Copies       bool    `toml:"copies"` // a hedged request may be out while the first is
-	Slack        Span    `toml:"slack"`  // added to each time limit, for what the machine is late
+	Copies       bool    `toml:"copies"` // hedged requests are allowed
+	Slack        Span    `toml:"slack"`  // added to each limit, for scheduling delay of the machine
 }
 
-// Fault is a trouble that comes at a stated time.
+// Fault is a fault that is applied at a given time. FaultKinds says what Size and Share mean.
 type Fault struct {
 	Kind    string   `toml:"kind"`
 	At      Span     `toml:"at"`
 	For     Span     `toml:"for"`
-	Servers []string `toml:"boxes"` // names: kind-number, counting from 0
-	Share   float64  `toml:"share"` // of the servers or nodes in place of names, or of connections or traffic
+	Servers []string `toml:"boxes"` // names: kind-number, from 0
+	Share   float64  `toml:"share"` // of the servers or nodes in the place of names, or of requests or traffic
 	Nodes   []int    `toml:"nodes"`
-	// Planners are named by their numbers; none: all.
+	// Planners are numbers of planners; none: all.
 	Planners []int `toml:"planners"`
-	// Half of the nodes that a fault is for: those with even (0) or odd (1) numbers.
+	// Half is which nodes a fault of planners concerns: those with even (0) or odd (1) numbers.
 	Half int     `toml:"half"`
 	Site string  `toml:"site"`
-	Size float64 `toml:"size"` // how many times slower, or what share of the fleet or traffic remains
-	// When has a fault wait, from its time on, until the Nth frame of a kind passes to or from the first of its nodes, and
-	// come before it does: one of Steps.
+	Size float64 `toml:"size"` // in the unit of the kind
+	// When delays a fault until the Nth frame of this kind, one of FrameKinds, from or to the first of its nodes. The fault
+	// is applied before the frame is forwarded.
 	When string `toml:"when"`
 	Nth  int    `toml:"nth"`
 }
 
-// Steps are frames between nodes at which a fault may come.
-var Steps = []string{"beat", "news", "ask", "tell", "offer", "have", "batch", "ack"}
+// FrameKinds are the frames between nodes that When may name.
+var FrameKinds = []string{"beat", "news", "ask", "tell", "offer", "have", "batch", "ack"}
 
-// End is when the fault is over.
+// End returns when the fault ends.
 func (f Fault) End() time.Duration { return f.At.Std() + f.For.Std() }
 
-// Scale makes the scenario so many times as long, with its faults at the same parts of it.
+// Scale multiplies the length of the scenario and the times of its faults.
 func (s *Scenario) Scale(by float64) {
 	scale := func(d *Span) { *d = Span(float64(*d) * by) }
 	scale(&s.Length)
@@ -227,44 +227,45 @@
 	}
 }
 
-// Discovered is the scenario with discovery in place of the registry, on the same load and with the same troubles.
-func (s *Scenario) Discovered() *Scenario {
-	one := s.without(registry)
-	one.Registry = Registry{}
-	return one
+// WithDiscovery returns the scenario with discovery in the place of the registry, on the same load and without the
+// registry's faults.
+func (s *Scenario) WithDiscovery() *Scenario {
+	changed := s.without(registry)
+	changed.Registry = Registry{}
+	return changed
 }
 
-// Started is the scenario with nodes that start with other lists.
-func (s *Scenario) Started(with string) *Scenario {
-	one := *s
-	one.Lists = Lists{Start: with}
-	return &one
+// WithStartLists returns the scenario with another Lists.Start.
+func (s *Scenario) WithStartLists(start string) *Scenario {
+	changed := *s
+	changed.Lists = Lists{Start: start}
+	return &changed
 }
 
-// Single is the scenario with each node deciding by itself, on the same load and with the same troubles.
-func (s *Scenario) Single() *Scenario {
-	one := s.without(planners)
-	one.Planners = Planners{}
-	return one
+// WithoutPlanners returns the scenario without planners and their faults, on the same load.
+func (s *Scenario) WithoutPlanners() *Scenario {
+	changed := s.without(planners)
+	changed.Planners = Planners{}
+	return changed
 }
 
-// without leaves out the troubles of what the scenario is to be played without.
-func (s *Scenario) without(on target) *Scenario {
-	one := *s
-	one.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(f Fault) bool {
+// without returns the scenario without the faults of a target.
+func (s *Scenario) without(removed target) *Scenario {
+	changed := *s
+	changed.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(f Fault) bool {
 		k, _ := KindOf(f.Kind)
-		return k.on == on
+		return k.target == removed
 	})
-	return &one
+	return &changed
 }
 
-// Paired is the scenario with clients and servers that speak FastCGI, or HTTP.
-func (s *Scenario) Paired(clients, boxes bool) *Scenario {
-	p := *s
-	p.Clients.FastCGI = clients
-	p.Servers = slices.Clone(s.Servers)
-	for i := range p.Servers {
-		p.Servers[i].FastCGI = boxes
+// WithFastCGI returns the scenario with clients and servers that speak FastCGI, or HTTP.
+func (s *Scenario) WithFastCGI(clients, servers bool) *Scenario {
+	changed := *s
+	changed.Clients.FastCGI = clients
+	changed.Servers = slices.Clone(s.Servers)
+	for i := range changed.Servers {
+		changed.Servers[i].FastCGI = servers
 	}
-	return &p
+	return &changed
 }
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -68,7 +68,7 @@
 			s.Scale(0.4)
 			s.Rules.Slack = scenario.Span(2 * time.Second) // so that a busy machine changes no verdict
 			if s.Pairings {                                // both ends; the others are played by the command
-				s = s.Paired(true, true)
+				s = s.WithFastCGI(true, true)
 			}
 			out := play(t, s, "")
 			for _, r := range out.Rules {
