--- a/internal/controlplane/distribution/control/source_test.go
+++ b/internal/controlplane/distribution/control/source_test.go
@@ -20,7 +20,7 @@
 // listed is discovery with two servers, and a control process that writes them.
 func listed(t *testing.T) (*discovery.Service, *member) {
 	t.Helper()
-	list := discovery.New(discovery.Figures{LinesPerS: 1e6, Timeout: time.Second}, 1, deaf{})
+	list := discovery.New(discovery.Settings{LinesPerS: 1e6, Timeout: time.Second}, 1, deaf{})
 	t.Cleanup(list.Close)
 	at := address.Free(t)
 	if err := list.Serve(0, 0, at); err != nil {
@@ -94,7 +94,7 @@
 	_, before := m.server(t, "s2")
 	config := *m.config
 	m.stop(t)
-	rest := discovery.New(discovery.Figures{LinesPerS: 1e6, Timeout: time.Second}, 1, deaf{})
+	rest := discovery.New(discovery.Settings{LinesPerS: 1e6, Timeout: time.Second}, 1, deaf{})
 	defer rest.Close()
 	at := address.Free(t)
 	if err := rest.Serve(0, 0, at); err != nil {
--- a/internal/controlplane/planner/server_test.go
+++ b/internal/controlplane/planner/server_test.go
@@ -33,7 +33,7 @@
 // start runs a planner beside a discovery of its own.
 func start(t *testing.T, k *mtls.Keys) (at string, list *discovery.Service) {
 	t.Helper()
-	list = discovery.New(discovery.Figures{LinesPerS: 1e6, Timeout: time.Second}, 1, unobserved{})
+	list = discovery.New(discovery.Settings{LinesPerS: 1e6, Timeout: time.Second}, 1, unobserved{})
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/build.go
+++ b/internal/testbed/build.go
@@ -26,7 +26,7 @@
 	}
 	s := env.Scenario
 	env.observer = newObserver(s, env.Requests, env.start)
-	env.discovery = discovery.New(discovery.Figures{LinesPerS: s.Discovery.LinesPerS, CallLines: s.Discovery.CallLines,
+	env.discovery = discovery.New(discovery.Settings{LinesPerS: s.Discovery.LinesPerS, CallLines: s.Discovery.CallLines,
 		Timeout: s.Discovery.Timeout.Std(), Spread: s.Discovery.Spread.Std()}, s.Seed, discovered{env.observer})
 	for i := range s.Servers {
 		for n := range s.Servers[i].Count {
@@ -138,9 +138,9 @@
 		return s.Net.Cross.Std()
 	}
 	id := server.Identity{Number: n, Name: name, Site: site, Cell: cell}
-	b, err := server.NewServer(id, server.Figures{Cores: k.Cores, Speed: k.Speed, Queue: k.Queue, ColdShare: k.ColdShare, ColdFor: k.ColdFor.Std(),
-		KeyGain: k.KeyGain, KeyFor: k.KeyFor.Std(), Keys: k.Keys, Drops: k.Drops, FallMultiple: s.Rules.FallMultiple,
-		FallWindow: s.Rules.FallWindow.Std(), Handshake: k.Handshake.Std(), Connections: k.Connections, FastCGI: k.FastCGI}, env.start, addresses, latency, env.observer)
+	b, err := server.NewServer(id, server.Settings{Cores: k.Cores, Speed: k.Speed, Queue: k.Queue, ColdShare: k.ColdShare, ColdFor: k.ColdFor.Std(),
+		KeyGain: k.KeyGain, KeyFor: k.KeyFor.Std(), Keys: k.Keys, Drops: k.Drops, OverloadFactor: s.Rules.FallMultiple,
+		OverloadWindow: s.Rules.FallWindow.Std(), Handshake: k.Handshake.Std(), Connections: k.Connections, FastCGI: k.FastCGI}, env.start, addresses, latency, env.observer)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/faultdiscovery.go
+++ b/internal/testbed/faultdiscovery.go
@@ -18,7 +18,7 @@
 	},
 	"discovery-move": func(env *environment, _ context.Context, _ *scenario.Fault, _ *rand.Rand) {
 		env.mu.Lock()
-		env.discovery.Moved()
+		env.discovery.Move()
 		env.addresses++
 		err := env.serveDiscovery()
 		env.mu.Unlock()
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -145,18 +145,18 @@
 	})
 }
 
-func (o *observer) Asked(id uint64) (server.Asked, bool) {
+func (o *observer) FindRequest(id uint64) (server.RequestInfo, bool) {
 	place, number := load.FromID(id)
 	if place < 0 || place >= len(o.requests) || number > o.scenario.Clients.Retries {
-		return server.Asked{}, false
+		return server.RequestInfo{}, false
 	}
 	request := &o.requests[place]
-	return server.Asked{Work: request.Work, Key: request.Key}, true
+	return server.RequestInfo{Work: request.Work, Key: request.Key}, true
 }
 
 func (o *observer) Attempt(id uint64, serverNumber int, first, last time.Duration) {
 	o.record(func(a *audit.Audit, _ time.Duration) {
-		if _, ok := o.Asked(id); !ok {
+		if _, ok := o.FindRequest(id); !ok {
 			a.UnknownRequest(serverNumber, fmt.Sprintf("%016x", id))
 			return
 		}
@@ -168,11 +168,11 @@
 	o.record(func(a *audit.Audit, _ time.Duration) { a.AttemptRan(id, serverNumber, at) })
 }
 
-func (o *observer) Over(id uint64, serverNumber int, at time.Duration, neverRan bool) {
+func (o *observer) AttemptEnded(id uint64, serverNumber int, at time.Duration, neverRan bool) {
 	o.record(func(a *audit.Audit, _ time.Duration) { a.AttemptEnded(id, serverNumber, at, neverRan) })
 }
 
-func (o *observer) Fell(serverNumber int, at time.Duration) {
+func (o *observer) Overloaded(serverNumber int, at time.Duration) {
 	o.record(func(a *audit.Audit, _ time.Duration) { a.ServerOverloaded(serverNumber, at) })
 }
 
--- a/internal/testbed/scale/component/lists.go
+++ b/internal/testbed/scale/component/lists.go
@@ -33,7 +33,7 @@
 
 // text is discovery's full list of so many servers.
 func text(servers int) []byte {
-	s := discovery.New(discovery.Figures{LinesPerS: 1e12, Timeout: time.Minute}, 1, nobody{})
+	s := discovery.New(discovery.Settings{LinesPerS: 1e12, Timeout: time.Minute}, 1, nobody{})
 	for i := range servers {
 		s.Set(entry(i, discovery.Serving))
 	}
--- a/internal/testbed/scale/standin.go
+++ b/internal/testbed/scale/standin.go
@@ -21,7 +21,7 @@
 func (nobody) Announced(int, string, string, int64, time.Time) {}
 
 func newStandin(l *Layout) (Source, error) {
-	s := &standin{layout: l, service: discovery.New(discovery.Figures{LinesPerS: listsPerS, Timeout: time.Minute}, l.Size.Seed, nobody{})}
+	s := &standin{layout: l, service: discovery.New(discovery.Settings{LinesPerS: listsPerS, Timeout: time.Minute}, l.Size.Seed, nobody{})}
 	for i := range l.Size.Servers {
 		s.service.Set(s.entry(i, discovery.Serving))
 	}
--- a/internal/testbed/standin/address/address.go
+++ b/internal/testbed/standin/address/address.go
@@ -1,4 +1,4 @@
-// Package address gives tests addresses for processes that they start.
+// Package address chooses free addresses for processes that tests start.
 package address
 
 import (
@@ -10,13 +10,13 @@
 )
 
 var (
-	mu    sync.Mutex
-	given = map[string]bool{}
+	mu   sync.Mutex
+	used = map[string]bool{}
 )
 
-// Free is an address on which nothing listens, of a part of the loopback range where no other process looks for one: between its
-// choice and its use a port of 127.0.0.1 may be dealt out to anybody's connection. No address is given twice in a process: the
-// system deals out a port that was just let go again once in some 5,000 times. It is safe for concurrent use.
+// Free returns an address on which nothing listens. Its host belongs to this process, because until the address is used the
+// system may give a port of 127.0.0.1 to any connection. It returns no address twice in a process, as the system now and
+// then reuses a port at once. It is safe for concurrent use.
 func Free(t testing.TB) string {
 	t.Helper()
 	mu.Lock()
@@ -27,11 +27,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		at := listener.Addr().String()
+		address := listener.Addr().String()
 		listener.Close()
-		if !given[at] {
-			given[at] = true
-			return at
+		if !used[address] {
+			used[address] = true
+			return address
 		}
 	}
 }
--- a/internal/testbed/standin/address/address_test.go
+++ b/internal/testbed/standin/address/address_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// Among so many the system alone deals out some twice.
+// The system alone would return some of so many addresses twice.
 func TestNoAddressTwice(t *testing.T) {
 	const many = 2000
 	seen := map[string]bool{}
 	for range many {
-		at := Free(t)
-		if seen[at] {
-			t.Fatal(at, " twice")
+		address := Free(t)
+		if seen[address] {
+			t.Fatal(address, " twice")
 		}
-		seen[at] = true
+		seen[address] = true
 	}
 }
--- a/internal/testbed/standin/certauthority/authority.go
+++ b/internal/testbed/standin/certauthority/authority.go
@@ -1,4 +1,5 @@
-// Package certauthority is a stand-in for an operator's authority: it writes certificates and keys for trials on one machine.
+// Package certauthority is a stand-in for an operator's certificate authority. Tests and the testbed have it write
+// certificates and keys for processes on one machine.
 package certauthority
 
 import (
@@ -21,7 +22,7 @@
 	der  []byte
 }
 
-// New makes an authority.
+// New returns an authority with a new key.
 func New(name string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -33,21 +34,21 @@
 	return &Authority{cert, key, der}, err
 }
 
-// Write leaves a certificate for a name, its key and the authority's own certificate in a folder, as NAME.crt, NAME.key
-// and ca.crt.
+// Write writes a certificate for a name, its key and the authority's own certificate into a folder, as NAME.crt, NAME.key
+// and ca.crt, and returns their paths.
 func (a *Authority) Write(dir, name string, until time.Time) (cert, key, ca string, err error) {
-	own, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	leafKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return "", "", "", err
 	}
 	leaf := &x509.Certificate{SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: until, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
-	der, err := x509.CreateCertificate(rand.Reader, leaf, a.cert, &own.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, leaf, a.cert, &leafKey.PublicKey, a.key)
 	if err != nil {
 		return "", "", "", err
 	}
-	text, err := x509.MarshalECPrivateKey(own)
+	text, err := x509.MarshalECPrivateKey(leafKey)
 	if err != nil {
 		return "", "", "", err
 	}
--- a/internal/testbed/standin/connbalancer/balancer.go
+++ b/internal/testbed/standin/connbalancer/balancer.go
@@ -1,5 +1,6 @@
-// Package connbalancer is a stand-in for the plain layer before the nodes: it deals out connections among those of a site that
-// it holds for alive, takes one in when it says that it can serve, and notices late that one has died.
+// Package connbalancer is a stand-in for the connection balancer before the nodes. It distributes a site's connections
+// over the nodes that it takes for serving: a node counts as serving from a successful probe until some time after its
+// end. The testbed reports starts and ends of nodes; the load generator calls Pick.
 package connbalancer
 
 import (
@@ -14,83 +15,84 @@
 )
 
 const (
-	askEvery     = 20 * time.Millisecond // until a node that was started says that it serves
-	maxProbeTime = 500 * time.Millisecond
+	probeInterval = 20 * time.Millisecond // of a node that was started, until it serves
+	maxProbeTime  = 500 * time.Millisecond
 )
 
-// Node is one that the connection balancer may send to.
+// Node is a node that may get connections.
 type Node struct {
 	Site    int
 	Address string
-	FastCGI string // the same for clients that speak it
+	FastCGI string // address for clients that speak FastCGI
 }
 
-// Balancer deals out connections.
+// Balancer distributes connections. It is safe for concurrent use.
 type Balancer struct {
 	mu         sync.Mutex
 	nodes      []Node
-	in         []bool
-	turn       []int // by site
-	generation []int // by node, counts its starts
+	isServing  []bool
+	next       []int // by site, the round-robin position
+	generation []int // by node, the number of its starts
 }
 
-// New knows of nodes, none of which serves yet.
+// New returns a balancer of nodes, none of which serves yet.
 func New(sites int, nodes []Node) *Balancer {
-	return &Balancer{nodes: nodes, in: make([]bool, len(nodes)), turn: make([]int, sites), generation: make([]int, len(nodes))}
+	return &Balancer{nodes: nodes, isServing: make([]bool, len(nodes)), next: make([]int, sites), generation: make([]int, len(nodes))}
 }
 
-// Pick deals out the next connection of a site.
-func (f *Balancer) Pick(site int) (load.Endpoint, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for range f.nodes {
-		n := f.turn[site] % len(f.nodes)
-		f.turn[site]++
-		if f.in[n] && f.nodes[n].Site == site {
-			return load.Endpoint{Node: n, Address: f.nodes[n].Address, FastCGI: f.nodes[n].FastCGI}, true
+// Pick returns the node of a site's next connection, by round robin; ok is false if none serves.
+func (b *Balancer) Pick(site int) (endpoint load.Endpoint, ok bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for range b.nodes {
+		n := b.next[site] % len(b.nodes)
+		b.next[site]++
+		if b.isServing[n] && b.nodes[n].Site == site {
+			return load.Endpoint{Node: n, Address: b.nodes[n].Address, FastCGI: b.nodes[n].FastCGI}, true
 		}
 	}
 	return load.Endpoint{}, false
 }
 
-// Started asks a node until it serves, and then takes it in.
-func (f *Balancer) Started(ctx context.Context, n int) error {
-	f.mu.Lock()
-	f.generation[n]++
-	life := f.generation[n]
-	f.mu.Unlock()
+// Started probes a node that was started until it serves, and gives it connections from then on.
+func (b *Balancer) Started(ctx context.Context, n int) error {
+	b.mu.Lock()
+	b.generation[n]++
+	generation := b.generation[n]
+	b.mu.Unlock()
 	for {
-		if up(ctx, f.nodes[n].Address) {
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			if f.generation[n] == life {
-				f.in[n] = true
+		if serves(ctx, b.nodes[n].Address) {
+			b.mu.Lock()
+			defer b.mu.Unlock()
+			if b.generation[n] == generation {
+				b.isServing[n] = true
 			}
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("node %d does not serve: %w", n, context.Cause(ctx))
-		case <-time.After(askEvery):
+		case <-time.After(probeInterval):
 		}
 	}
 }
 
-// Ended reports that a node has died or is about to; the connection balancer takes it out after a while.
-func (f *Balancer) Ended(n int, notice time.Duration) {
-	f.mu.Lock()
-	life := f.generation[n]
-	f.mu.Unlock()
+// Ended reports that a node ended or is about to. It gets no connections after the notice, unless it is started again.
+func (b *Balancer) Ended(n int, notice time.Duration) {
+	b.mu.Lock()
+	generation := b.generation[n]
+	b.mu.Unlock()
 	time.AfterFunc(notice, func() {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		if f.generation[n] == life {
-			f.in[n] = false
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		if b.generation[n] == generation {
+			b.isServing[n] = false
 		}
 	})
 }
 
-func up(ctx context.Context, address string) bool {
+// serves probes a node once.
+func serves(ctx context.Context, address string) bool {
 	d := net.Dialer{Timeout: maxProbeTime}
 	nc, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/internal/testbed/standin/connpair/connpair.go
+++ b/internal/testbed/standin/connpair/connpair.go
@@ -1,4 +1,4 @@
-// Package connpair gives tests both ends of a connection on loopback.
+// Package connpair opens connections on loopback for tests that need both ends.
 package connpair
 
 import (
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TCP is both ends of a new connection, which end with the test.
+// TCP returns both ends of a new connection. They are closed when the test ends.
 func TCP(t testing.TB) (near, far *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -14,17 +14,17 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	there, err := net.Dial("tcp", ln.Addr().String())
+	farConn, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	here, err := ln.Accept()
+	nearConn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		here.Close()
-		there.Close()
+		nearConn.Close()
+		farConn.Close()
 	})
-	return here.(*net.TCPConn), there.(*net.TCPConn)
+	return nearConn.(*net.TCPConn), farConn.(*net.TCPConn)
 }
--- a/internal/testbed/standin/discovery/discovery.go
+++ b/internal/testbed/standin/discovery/discovery.go
@@ -1,5 +1,6 @@
-// Package discovery is a stand-in for the service that lists servers: full lists and watches by revision, late by a
-// stated time, with the capacity of one service for all nodes. It can be out of reach, and it can move.
+// Package discovery is a stand-in for the service that lists servers: full lists and watches by revision, with a delay and
+// with the capacity of one service for all nodes. It can be down, and it can move to new addresses. The testbed sets its
+// entries; a Watcher learns what each node was notified of. A Service is safe for concurrent use.
 package discovery
 
 import (
@@ -16,10 +17,10 @@
 )
 
 const (
-	goesOn  = 200 * time.Millisecond // within which the next call goes on with a watch
-	maxIdle = 30 * time.Second
-	maxWait = 60 * time.Second
-	leaves  = 1500 * time.Millisecond // after a move, until the old address closes its connections
+	watchGap  = 200 * time.Millisecond // a watch continues if its next call comes within this time
+	maxIdle   = 30 * time.Second
+	maxWait   = 60 * time.Second
+	moveGrace = 1500 * time.Millisecond // after a move, until the old address closes its connections
 )
 
 // Phase of an entry, as on the wire.
@@ -36,94 +37,95 @@
 	Cell        int
 	MachineKind string // kind of machine
 	Phase       string
-	UpSince     time.Time // zero: for long
-	Addresses   []string  // as callers of each site reach it
+	UpSince     time.Time // zero: not given
+	Addresses   []string  // by site of the caller
 	revision    uint64
 }
 
-// Figures of the service.
-type Figures struct {
+// Settings of the service.
+type Settings struct {
 	LinesPerS float64
-	CallLines float64 // what a call costs beside its entries
+	CallLines float64 // cost of a call beside its entries, in lines
 	Timeout   time.Duration
-	Spread    time.Duration // over which watchers hear of a change
+	Spread    time.Duration // over which the notifications of a change are spread
 }
 
-// Watcher is told what a node has been told. Times are the wall clock's.
+// Watcher is notified of each entry that was written to a node, from many goroutines.
 type Watcher interface {
+	// Announced reports an entry that a node got. up is the server's start in Unix milliseconds, 0 if not given.
 	Announced(node int, id, phase string, up int64, at time.Time)
 }
 
 // Service is the stand-in.
 type Service struct {
-	f     Figures
-	watch Watcher
+	settings Settings
+	watcher  Watcher
 
 	mu        sync.Mutex
 	revision  uint64
 	entries   map[string]*Entry
 	order     []string
 	changed   chan struct{} // closed at each change
-	busy      time.Time     // until when the calls that wait take
-	down      bool
+	busyUntil time.Time     // when the queued calls will be done
+	isDown    bool
 	chance    *rand.Rand
 	lines     float64
 	calls     int
-	turned    int
+	rejected  int
 	addresses []*endpoint
 }
 
-// place is where one node finds the service.
+// endpoint is the address for one node.
 type endpoint struct {
-	node int
-	site int
-	l    *link.Listener
-	old  bool
+	node     int
+	site     int
+	listener *link.Listener
+	isOld    bool
 }
 
-// New starts the service; it listens nowhere yet.
-func New(f Figures, seed uint64, w Watcher) *Service {
-	return &Service{f: f, watch: w, entries: map[string]*Entry{}, changed: make(chan struct{}), chance: rand.New(rand.NewPCG(seed, 9))}
+// New returns a service without entries that does not listen yet.
+func New(settings Settings, seed uint64, w Watcher) *Service {
+	return &Service{settings: settings, watcher: w, entries: map[string]*Entry{}, changed: make(chan struct{}), chance: rand.New(rand.NewPCG(seed, 9))}
 }
 
-// Close ends it.
+// Close closes all addresses and waits for their connections.
 func (s *Service) Close() {
 	s.mu.Lock()
-	places := s.addresses
+	endpoints := s.addresses
 	s.addresses = nil
 	s.mu.Unlock()
-	for _, p := range places {
-		p.l.Close()
+	for _, p := range endpoints {
+		p.listener.Close()
 	}
 }
 
-// Serve listens for one node of a site.
+// Serve listens at an address for one node of a site.
 func (s *Service) Serve(node, site int, address string) error {
 	p := &endpoint{node: node, site: site}
-	l, err := link.Listen(address, func(c *link.Conn) { s.lead(c, p) })
+	l, err := link.Listen(address, func(c *link.Conn) { s.serve(c, p) })
 	if err != nil {
 		return err
 	}
-	p.l = l
+	p.listener = l
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addresses = append(s.addresses, p)
 	return nil
 }
 
-// Moved has the places up to now take no new connection, and close the open ones after a while.
-func (s *Service) Moved() {
+// Move retires the present addresses: they reject calls except those of running watches, and close after a grace.
+func (s *Service) Move() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.addresses {
-		if !p.old {
-			p.old = true
-			time.AfterFunc(leaves, p.l.Stop)
+		if !p.isOld {
+			p.isOld = true
+			time.AfterFunc(moveGrace, p.listener.Stop)
 		}
 	}
 }
 
-// Set makes an entry known, or changes it, at once.
+// Set adds or changes an entry and wakes the watches.
 func (s *Service) Set(e Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,28 +139,29 @@
 	s.changed = make(chan struct{})
 }
 
-// Down takes the service out of reach, or brings it back. Watches end with it.
-func (s *Service) Down(down bool) {
+// Down makes the service unreachable, which ends all connections, or reachable again.
+func (s *Service) Down(isDown bool) {
 	s.mu.Lock()
-	s.down = down
-	places := append([]*endpoint(nil), s.addresses...)
+	s.isDown = isDown
+	endpoints := append([]*endpoint(nil), s.addresses...)
 	s.mu.Unlock()
-	for _, p := range places {
-		if down {
-			p.l.Stop()
-		} else if !p.old {
-			p.l.Reopen()
+	for _, p := range endpoints {
+		if isDown {
+			p.listener.Stop()
+		} else if !p.isOld {
+			p.listener.Reopen()
 		}
 	}
 }
 
-// Use tells how many calls came, the lines they cost, and how many were rejected.
-func (s *Service) Use() (calls int, lines float64, turned int) {
+// Use returns how many calls came, the lines that they cost, and how many were rejected.
+func (s *Service) Use() (calls int, lines float64, rejected int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls, s.lines, s.turned
+	return s.calls, s.lines, s.rejected
 }
 
+// line is an entry on the wire.
 type line struct {
 	ID        string  `json:"id"`
 	HostPort  string  `json:"host_port"`
@@ -170,12 +173,14 @@
 	UpSinceMS int64   `json:"up_since_ms"`
 }
 
+// list is an answer on the wire.
 type list struct {
 	Revision uint64 `json:"revision"`
 	Complete bool   `json:"complete"`
 	Members  []line `json:"members"`
 }
 
+// line returns the entry for callers of a site.
 func (e *Entry) line(site int) line {
 	l := line{ID: e.ID, HostPort: e.Addresses[site], Locality: e.Site, Flavor: e.MachineKind, Cell: e.Cell, Phase: e.Phase, Size: 1}
 	if !e.UpSince.IsZero() {
@@ -184,7 +189,7 @@
 	return l
 }
 
-// List is the full list as a node of a site gets it, for a configuration.
+// List returns the full list as a node of a site gets it, for a node's configuration.
 func (s *Service) List(site int) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,18 +197,20 @@
 	return b
 }
 
-func (s *Service) list(site int, after uint64, whole bool) list {
-	l := list{Revision: s.revision, Complete: whole, Members: []line{}}
+// list returns the full list or the entries changed after a revision. The caller holds the lock.
+func (s *Service) list(site int, after uint64, isFull bool) list {
+	l := list{Revision: s.revision, Complete: isFull, Members: []line{}}
 	for _, id := range s.order {
 		e := s.entries[id]
-		if whole && e.Phase != Deleted || !whole && e.revision > after {
+		if isFull && e.Phase != Deleted || !isFull && e.revision > after {
 			l.Members = append(l.Members, e.line(site))
 		}
 	}
 	return l
 }
 
-func (s *Service) lead(nc *link.Conn, p *endpoint) {
+// serve answers the calls on one connection.
+func (s *Service) serve(nc *link.Conn, p *endpoint) {
 	c := http1.NewConn(nc)
 	var req http1.Request
 	answered := time.Time{}
@@ -212,31 +219,31 @@
 		if c.ReadRequest(&req) != nil {
 			return
 		}
-		after, wait, watch := parse(string(req.Target))
-		on := watch && time.Since(answered) < goesOn
-		if watch && !s.await(c, after, wait) {
+		after, wait, isWatch := parse(string(req.Target))
+		continues := isWatch && time.Since(answered) < watchGap
+		if isWatch && !s.await(c, after, wait) {
 			return
 		}
-		if !s.queue(p, after, watch, on) {
+		if !s.queue(p, after, isWatch, continues) {
 			c.Send(http1.AppendAnswer(nil, http1.Answer{Status: 503, Close: true}))
 			return
 		}
 		s.mu.Lock()
-		l := s.list(p.site, after, !watch)
+		l := s.list(p.site, after, !isWatch)
 		s.mu.Unlock()
 		b, _ := json.Marshal(l)
-		if whole, _ := c.Send(http1.AppendAnswer(nil, http1.Answer{Status: 200, Body: b})); !whole {
+		if isComplete, _ := c.Send(http1.AppendAnswer(nil, http1.Answer{Status: 200, Body: b})); !isComplete {
 			return
 		}
 		answered = time.Now()
 		for _, m := range l.Members {
-			s.watch.Announced(p.node, m.ID, m.Phase, m.UpSinceMS, answered)
+			s.watcher.Announced(p.node, m.ID, m.Phase, m.UpSinceMS, answered)
 		}
 	}
 }
 
 // parse reads the target of a call: a watch after a revision, or the full list.
-func parse(target string) (after uint64, wait time.Duration, watch bool) {
+func parse(target string) (after uint64, wait time.Duration, isWatch bool) {
 	_, query, _ := strings.Cut(target, "?")
 	q, err := url.ParseQuery(query)
 	if err != nil || !q.Has("index") {
@@ -247,7 +254,8 @@
 	return after, min(time.Duration(ms)*time.Millisecond, maxWait), err == nil
 }
 
-// await returns once there is something newer than a revision, spread over the watchers, or the wait is over.
+// await waits until there is a change after a revision, with a random delay, or the wait is over. It returns false if the
+// connection is not idle any more.
 func (s *Service) await(c *http1.Conn, after uint64, wait time.Duration) bool {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
@@ -255,8 +263,8 @@
 		s.mu.Lock()
 		newer, changed := s.revision > after, s.changed
 		spread := time.Duration(0)
-		if newer && s.f.Spread > 0 {
-			spread = time.Duration(s.chance.Int64N(int64(s.f.Spread)))
+		if newer && s.settings.Spread > 0 {
+			spread = time.Duration(s.chance.Int64N(int64(s.settings.Spread)))
 		}
 		s.mu.Unlock()
 		if newer {
@@ -274,33 +282,34 @@
 	}
 }
 
-// queue has a call wait for its turn; it is false where that would take too long.
-func (s *Service) queue(p *endpoint, after uint64, watch, on bool) bool {
+// queue has a call wait for the service's capacity. It returns false if the call is rejected: it would wait too long, or the
+// service is down or has moved.
+func (s *Service) queue(p *endpoint, after uint64, isWatch, continues bool) bool {
 	s.mu.Lock()
 	cost := 0.0
-	if !on {
-		cost = s.f.CallLines
+	if !continues {
+		cost = s.settings.CallLines
 	}
 	for _, e := range s.entries {
-		if !watch || e.revision > after {
+		if !isWatch || e.revision > after {
 			cost++
 		}
 	}
 	now := time.Now()
-	if s.busy.Before(now) {
-		s.busy = now
+	if s.busyUntil.Before(now) {
+		s.busyUntil = now
 	}
-	done := s.busy.Add(time.Duration(cost / s.f.LinesPerS * float64(time.Second)))
+	done := s.busyUntil.Add(time.Duration(cost / s.settings.LinesPerS * float64(time.Second)))
 	s.calls++
-	late := s.down || p.old && !on || done.Sub(now) > s.f.Timeout
-	if late {
-		s.turned++
+	isRejected := s.isDown || p.isOld && !continues || done.Sub(now) > s.settings.Timeout
+	if isRejected {
+		s.rejected++
 	} else {
-		s.busy = done
+		s.busyUntil = done
 		s.lines += cost
 	}
 	s.mu.Unlock()
-	if late {
+	if isRejected {
 		return false
 	}
 	time.Sleep(time.Until(done))
--- a/internal/testbed/standin/discovery/discovery_test.go
+++ b/internal/testbed/standin/discovery/discovery_test.go
@@ -28,7 +28,7 @@
 
 const address = "127.0.0.1:0"
 
-func start(t *testing.T, f Figures) (*Service, *announcements, *http1.Conn) {
+func start(t *testing.T, f Settings) (*Service, *announcements, *http1.Conn) {
 	w := &announcements{}
 	s := New(f, 1, w)
 	t.Cleanup(s.Close)
@@ -39,7 +39,7 @@
 }
 
 func dial(t *testing.T, s *Service) *http1.Conn {
-	c, err := net.Dial("tcp", s.addresses[0].l.Address())
+	c, err := net.Dial("tcp", s.addresses[0].listener.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 
 // Calls one after the other on one connection, and what each is told; changes come between them.
 func TestCalls(t *testing.T) {
-	s, w, c := start(t, Figures{LinesPerS: 1e6, Timeout: time.Second})
+	s, w, c := start(t, Settings{LinesPerS: 1e6, Timeout: time.Second})
 	s.Set(entry("a", Serving))
 	s.Set(entry("b", Serving))
 	for _, step := range []struct {
@@ -104,18 +104,18 @@
 // Ways in which a call fails, and what the next one meets.
 func TestFailures(t *testing.T) {
 	for name, c := range map[string]struct {
-		f       Figures
+		f       Settings
 		fail    func(*Service)
 		status  int // 0: the connection ends
 		refused bool
 	}{
-		"over its capacity": {Figures{LinesPerS: 10, CallLines: 30, Timeout: time.Second}, func(*Service) {}, 503, false},
-		"down":              {Figures{LinesPerS: 1e6, Timeout: time.Second}, func(s *Service) { s.Down(true) }, 0, true},
+		"over its capacity": {Settings{LinesPerS: 10, CallLines: 30, Timeout: time.Second}, func(*Service) {}, 503, false},
+		"down":              {Settings{LinesPerS: 1e6, Timeout: time.Second}, func(s *Service) { s.Down(true) }, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, _, conn := start(t, c.f)
 			s.Set(entry("a", Serving))
-			at := s.addresses[0].l.Address()
+			at := s.addresses[0].listener.Address()
 			c.fail(s)
 			_, status, err := call(conn, "")
 			if status != c.status || (err == nil) != (c.status > 0) {
--- a/internal/testbed/standin/faultproxy/proxy.go
+++ b/internal/testbed/standin/faultproxy/proxy.go
@@ -1,5 +1,5 @@
-// Package faultproxy stands between two processes as the network does: it passes bytes on, in either direction not at all or
-// changed where it is told so. Nothing that is cut is lost: it waits, as with the system's own retries.
+// Package faultproxy is a stand-in for the network between two processes. It forwards connections and can cut either
+// direction or corrupt bytes. While a direction is cut its bytes wait, as with TCP's own retransmissions; none are lost.
 package faultproxy
 
 import (
@@ -13,161 +13,164 @@
 	maxDialTime = time.Second
 )
 
-// Direction of what passes.
+// Direction of bytes.
 type Direction uint8
 
-// The directions, as seen from who dials.
+// Directions, as seen by the dialing side.
 const (
 	Up Direction = iota
 	Down
 	directions
 )
 
-// Proxy listens, and leads each connection to one address.
+// Proxy forwards connections to one address. It is safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 	running  sync.WaitGroup
 
-	mu     sync.Mutex
-	to     string
-	cut    [directions]chan struct{} // closed while bytes pass
-	garble [directions]int           // bytes that are still to be changed
-	conns  map[net.Conn]bool
-	done   bool
-	bytes  [directions]int
+	mu       sync.Mutex
+	target   string
+	cut      [directions]chan struct{} // closed while the direction is not cut
+	garble   [directions]int           // bytes that are still to be corrupted
+	conns    map[net.Conn]bool
+	isClosed bool
+	bytes    [directions]int
 }
 
-// Listen starts a cable to an address.
-func Listen(to string) (*Proxy, error) {
+// Listen starts a proxy to an address, on a free port of loopback.
+func Listen(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	c := &Proxy{listener: listener, to: to, conns: map[net.Conn]bool{}}
+	p := &Proxy{listener: listener, target: target, conns: map[net.Conn]bool{}}
 	for d := range directions {
-		c.cut[d] = make(chan struct{})
-		close(c.cut[d])
+		p.cut[d] = make(chan struct{})
+		close(p.cut[d])
 	}
-	c.running.Go(func() {
+	p.running.Go(func() {
 		for {
 			near, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			c.running.Go(func() { c.lead(near) })
+			p.running.Go(func() { p.forward(near) })
 		}
 	})
-	return c, nil
+	return p, nil
 }
 
-// Address is where it listens.
-func (c *Proxy) Address() string { return c.listener.Addr().String() }
-
-// Close ends it with all connections.
-func (c *Proxy) Close() {
-	c.listener.Close()
-	c.mu.Lock()
-	c.done = true
-	c.mu.Unlock()
-	c.Break()
-	c.Cut(Up, false)
-	c.Cut(Down, false)
-	c.running.Wait()
+// Address returns where the proxy listens.
+func (p *Proxy) Address() string { return p.listener.Addr().String() }
+
+// Close closes the proxy and all connections and waits for its goroutines.
+func (p *Proxy) Close() {
+	p.listener.Close()
+	p.mu.Lock()
+	p.isClosed = true
+	p.mu.Unlock()
+	p.Break()
+	p.Cut(Up, false)
+	p.Cut(Down, false)
+	p.running.Wait()
 }
 
-// Cut has nothing pass in a direction, without a word to either side, or lets what waits pass again.
-func (c *Proxy) Cut(d Direction, cut bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// Cut stops a direction without notifying either side, or forwards again, first what waited.
+func (p *Proxy) Cut(d Direction, isCut bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	select {
-	case <-c.cut[d]:
-		if cut {
-			c.cut[d] = make(chan struct{})
+	case <-p.cut[d]:
+		if isCut {
+			p.cut[d] = make(chan struct{})
 		}
 	default:
-		if !cut {
-			close(c.cut[d])
+		if !isCut {
+			close(p.cut[d])
 		}
 	}
 }
 
-// Garble changes so many of the next bytes in a direction, one in each piece that passes.
-func (c *Proxy) Garble(d Direction, bytes int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.garble[d] = bytes
+// Garble corrupts the given number of bytes in a direction, one in each of the next pieces.
+func (p *Proxy) Garble(d Direction, bytes int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.garble[d] = bytes
 }
 
-// Garbled reports whether all that were to be changed have been.
-func (c *Proxy) Garbled(d Direction) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.garble[d] == 0
+// Garbled reports whether all bytes that Garble asked for are corrupted.
+func (p *Proxy) Garbled(d Direction) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.garble[d] == 0
 }
 
-// Break ends all connections; new ones are led as before.
-func (c *Proxy) Break() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for conn := range c.conns {
+// Break closes all connections; new ones are forwarded as before.
+func (p *Proxy) Break() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for conn := range p.conns {
 		conn.Close()
 	}
 }
 
-// Bytes that have passed in a direction.
-func (c *Proxy) Bytes(d Direction) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.bytes[d]
+// Bytes returns how many bytes came in a direction.
+func (p *Proxy) Bytes(d Direction) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.bytes[d]
 }
 
-func (c *Proxy) keep(conn net.Conn) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.done {
+// addConn registers a connection for Break and Close; after Close it closes it and returns false.
+func (p *Proxy) addConn(conn net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.isClosed {
 		conn.Close()
 		return false
 	}
-	c.conns[conn] = true
+	p.conns[conn] = true
 	return true
 }
 
-func (c *Proxy) drop(conn net.Conn) {
+// closeConn closes a registered connection.
+func (p *Proxy) closeConn(conn net.Conn) {
 	conn.Close()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.conns, conn)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.conns, conn)
 }
 
-// lead connects further, once the way there is free: a dial over a cut cable does not come up.
-func (c *Proxy) lead(near net.Conn) {
-	if !c.keep(near) {
+// forward connects to the target, which waits while Up is cut, and copies both directions.
+func (p *Proxy) forward(near net.Conn) {
+	if !p.addConn(near) {
 		return
 	}
-	defer c.drop(near)
-	c.mu.Lock()
-	way := c.cut[Up]
-	c.mu.Unlock()
-	<-way
-	far, err := net.DialTimeout("tcp", c.to, maxDialTime)
-	if err != nil || !c.keep(far) {
+	defer p.closeConn(near)
+	p.mu.Lock()
+	uncut := p.cut[Up]
+	p.mu.Unlock()
+	<-uncut
+	far, err := net.DialTimeout("tcp", p.target, maxDialTime)
+	if err != nil || !p.addConn(far) {
 		return
 	}
-	defer c.drop(far)
+	defer p.closeConn(far)
 	var both sync.WaitGroup
-	both.Go(func() { c.pass(Up, near, far) })
-	both.Go(func() { c.pass(Down, far, near) })
+	both.Go(func() { p.copy(Up, near, far) })
+	both.Go(func() { p.copy(Down, far, near) })
 	both.Wait()
 }
 
-func (c *Proxy) pass(d Direction, from, to net.Conn) {
+// copy copies a direction piece by piece until either side ends.
+func (p *Proxy) copy(d Direction, from, to net.Conn) {
 	defer from.Close()
 	defer to.Close()
 	piece := make([]byte, pieceBytes)
 	for {
 		n, err := from.Read(piece)
 		if n > 0 {
-			<-c.through(d, piece[:n])
+			<-p.process(d, piece[:n])
 			if _, err := to.Write(piece[:n]); err != nil {
 				return
 			}
@@ -178,14 +181,14 @@
 	}
 }
 
-// through notes a piece, changes it if it is to be, and gives what to wait for.
-func (c *Proxy) through(d Direction, piece []byte) <-chan struct{} {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.bytes[d] += len(piece)
-	if c.garble[d] > 0 {
-		c.garble[d]--
+// process counts a piece, corrupts it if asked for, and returns a channel that is closed when the piece may be forwarded.
+func (p *Proxy) process(d Direction, piece []byte) <-chan struct{} {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.bytes[d] += len(piece)
+	if p.garble[d] > 0 {
+		p.garble[d]--
 		piece[len(piece)/2] ^= 0x55
 	}
-	return c.cut[d]
+	return p.cut[d]
 }
--- a/internal/testbed/standin/memdisk/memdisk.go
+++ b/internal/testbed/standin/memdisk/memdisk.go
@@ -1,5 +1,6 @@
-// Package memdisk is a disk in memory beneath a journal. It fails as it is told: short writes, errors, a death of the
-// machine that loses what was not synced, bits that flip.
+// Package memdisk is a stand-in for the disk below a journal. Disk holds files in memory and injects faults: short writes,
+// errors, crashes of the machine that lose unsynced data, flipped bits. SlowFiles delays or fails writes to the system's
+// own disk. Tests of the journal and the testbed use it.
 package memdisk
 
 import (
@@ -17,73 +18,76 @@
 	"fernvane/internal/journal/wal"
 )
 
-// Fault of one operation on the disk.
+// Fault is what happens to one operation on the disk.
 type Fault uint8
 
 // Faults that a disk can have.
 const (
 	None  Fault = iota // no fault
-	Short              // half of a write is done, and reported so
+	Short              // half of the data is written, and reported so
 	Full               // an error, and nothing is written
-	Lying              // a write is done, and an error is reported
-	Dead               // the machine fails here: nothing more is done
+	Lying              // the data is written, and an error is reported
+	Dead               // the machine crashes here: no operation has an effect until Crash
 )
 
-// ErrDisk is what a failing disk says.
+// ErrDisk is the error of a failed operation.
 var ErrDisk = errors.New("no space left on device")
 
-// Disk is a wal.FileSystem in memory.
+// Disk is a wal.FileSystem in memory. It is safe for concurrent use.
 type Disk struct {
 	mu         sync.Mutex
 	files      map[string]*file
-	operations int // writes, syncs and creations so far
-	dead       bool
-	// Meet tells what the n-th of them meets.
+	operations int // writes, syncs, renames and creations so far
+	isCrashed  bool
+	// Meet returns the fault of the n-th operation, from 1. It is called under the disk's lock.
 	Meet func(n int) Fault
 }
 
+// file is a file and what of it survives a crash.
 type file struct {
-	disk   *Disk
-	text   []byte
-	synced int
-	entry  bool   // the folder's own entry lasts
-	was    string // the name that lasts, of one that has got another since
+	disk         *Disk
+	content      []byte
+	synced       int
+	isNameSynced bool   // its name is synced
+	syncedName   string // its synced name, if it was renamed since
 }
 
-// New is an empty disk without trouble.
+// New returns an empty disk without faults.
 func New() *Disk {
 	return &Disk{files: map[string]*file{}, Meet: func(int) Fault { return None }}
 }
 
-// Operations counts writes, syncs and creations.
+// Operations returns the number of writes, syncs, renames and creations so far.
 func (d *Disk) Operations() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.operations
 }
 
-// Fill has the disk take nothing from now on, or again.
-func (d *Disk) Fill(full bool) {
+// Fill makes all operations fail from now on, or succeed again.
+func (d *Disk) Fill(isFull bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.Meet = func(int) Fault {
-		if full {
+		if isFull {
 			return Full
 		}
 		return None
 	}
 }
 
+// meet counts an operation and returns its fault.
 func (d *Disk) meet() Fault {
 	d.operations++
-	t := d.Meet(d.operations)
-	if d.dead = d.dead || t == Dead; d.dead {
+	fault := d.Meet(d.operations)
+	d.isCrashed = d.isCrashed || fault == Dead
+	if d.isCrashed {
 		return Dead
 	}
-	return t
+	return fault
 }
 
-// Create makes a file.
+// Create creates a file.
 func (d *Disk) Create(path string) (wal.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -98,7 +102,7 @@
 	return f, nil
 }
 
-// Open reads a file as it is now.
+// Open returns the present content of a file.
 func (d *Disk) Open(path string) (io.ReadCloser, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -106,16 +110,16 @@
 	if f == nil {
 		return nil, os.ErrNotExist
 	}
-	return io.NopCloser(bytes.NewReader(slices.Clone(f.text))), nil
+	return io.NopCloser(bytes.NewReader(slices.Clone(f.content))), nil
 }
 
-// List tells of all files.
+// List returns the files below a folder.
 func (d *Disk) List(dir string) (all []wal.FileInfo, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for path, f := range d.files {
 		if strings.HasPrefix(path, dir) {
-			all = append(all, wal.FileInfo{Name: filepath.Base(path), Size: int64(len(f.text)), ModTime: time.Now()})
+			all = append(all, wal.FileInfo{Name: filepath.Base(path), Size: int64(len(f.content)), ModTime: time.Now()})
 		}
 	}
 	return all, nil
@@ -129,7 +133,7 @@
 	return nil
 }
 
-// Rename gives a file another name, which lasts with the folder's next sync; until then the one before may come back.
+// Rename renames a file. The new name is synced by SyncDir; until then a crash brings the old one back.
 func (d *Disk) Rename(path, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -140,15 +144,15 @@
 	if d.meet() != None {
 		return ErrDisk
 	}
-	if f.entry {
-		f.was, f.entry = path, false
+	if f.isNameSynced {
+		f.syncedName, f.isNameSynced = path, false
 	}
 	delete(d.files, path)
 	d.files[to] = f
 	return nil
 }
 
-// SyncDir makes the entries last.
+// SyncDir syncs the names of all files.
 func (d *Disk) SyncDir(string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -156,85 +160,89 @@
 		return ErrDisk
 	}
 	for _, f := range d.files {
-		f.entry, f.was = true, ""
+		f.isNameSynced, f.syncedName = true, ""
 	}
 	return nil
 }
 
+// Write appends to the file.
 func (f *file) Write(b []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
 	switch f.disk.meet() {
 	case Short:
-		f.text = append(f.text, b[:len(b)/2]...)
+		f.content = append(f.content, b[:len(b)/2]...)
 		return len(b) / 2, ErrDisk
 	case Lying:
-		f.text = append(f.text, b...)
+		f.content = append(f.content, b...)
 		return 0, ErrDisk
 	case Full, Dead:
 		return 0, ErrDisk
 	}
-	f.text = append(f.text, b...)
+	f.content = append(f.content, b...)
 	return len(b), nil
 }
 
+// Sync syncs the file's content.
 func (f *file) Sync() error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
 	if f.disk.meet() != None {
 		return ErrDisk
 	}
-	f.synced = len(f.text)
+	f.synced = len(f.content)
 	return nil
 }
 
+// Close does nothing.
 func (f *file) Close() error { return nil }
 
-// Crash is the machine's death and return: of what was not synced a part is lost by chance, and files whose entry did
-// not last altogether.
+// Crash crashes and restarts the machine: a random part of unsynced content is lost, and files whose name was never synced
+// are lost altogether.
 func (d *Disk) Crash(chance *rand.Rand) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.dead = false
+	d.isCrashed = false
 	for path, f := range d.files {
-		if !f.entry {
-			if delete(d.files, path); f.was == "" {
+		if !f.isNameSynced {
+			delete(d.files, path)
+			if f.syncedName == "" {
 				continue
 			}
-			d.files[f.was], f.entry, f.was = f, true, ""
+			d.files[f.syncedName], f.isNameSynced, f.syncedName = f, true, ""
 		}
-		f.text = f.text[:f.synced+chance.IntN(len(f.text)-f.synced+1)]
-		f.synced = len(f.text)
+		f.content = f.content[:f.synced+chance.IntN(len(f.content)-f.synced+1)]
+		f.synced = len(f.content)
 	}
 }
 
-// Flip turns bits over, by chance.
+// Flip flips n random bits.
 func (d *Disk) Flip(chance *rand.Rand, n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var all []*file
 	for _, f := range d.files {
-		if len(f.text) > 0 {
+		if len(f.content) > 0 {
 			all = append(all, f)
 		}
 	}
-	slices.SortFunc(all, func(a, b *file) int { return len(a.text) - len(b.text) })
+	slices.SortFunc(all, func(a, b *file) int { return len(a.content) - len(b.content) })
 	for range n {
 		if len(all) > 0 {
 			f := all[chance.IntN(len(all))]
-			f.text[chance.IntN(len(f.text))] ^= 1 << chance.IntN(8)
+			f.content[chance.IntN(len(f.content))] ^= 1 << chance.IntN(8)
 		}
 	}
 }
 
-// SlowFiles is the system's disk, on which each write takes as long as told when it begins, or fails.
+// SlowFiles is the system's disk with slow or failing writes.
 type SlowFiles struct {
 	wal.OSFileSystem
-	Takes func() time.Duration
-	Full  func() bool
+	Takes func() time.Duration // how much longer a write takes; asked before each
+	Full  func() bool          // whether writes fail; asked before each
 }
 
-// Create makes a file that is slow.
+// Create creates a file with slow writes.
 func (s SlowFiles) Create(path string) (wal.File, error) {
 	if s.Full() {
 		return nil, ErrDisk
@@ -243,11 +251,13 @@
 	return slow{f, s}, err
 }
 
+// slow is a file with slow writes.
 type slow struct {
 	wal.File
 	of SlowFiles
 }
 
+// Write writes after the delay.
 func (s slow) Write(b []byte) (int, error) {
 	if s.of.Full() {
 		return 0, ErrDisk
--- a/internal/testbed/standin/plannerproxy/proxy.go
+++ b/internal/testbed/standin/plannerproxy/proxy.go
@@ -1,5 +1,5 @@
-// Package plannerproxy stands between forwarders and a planner: it passes their frames on, late or not at all where it is told
-// so, and tells what each forwarder has been told of servers.
+// Package plannerproxy is a stand-in for the network between nodes and a planner. It forwards their frames, can delay or
+// cut them, and reports to a Watcher what the planner notified each node of.
 package plannerproxy
 
 import (
@@ -13,127 +13,131 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-const queued = 256 // frames on their way in one direction; more wait with their sender
+const maxQueuedFrames = 256 // in one direction; the sender of more is blocked
 
-// Watcher is told what a forwarder has been told, once it has been written whole.
+// Watcher is notified of what planners send to nodes. It is called from many goroutines.
 type Watcher interface {
-	Planned(forwarder string, lives []incarnation.Entry, at time.Time)
+	// Planned reports the entries of a change that was completely written to the node of a name.
+	Planned(node string, entries []incarnation.Entry, at time.Time)
 }
 
-// Proxy listens for forwarders and leads each to the planner.
+// Proxy forwards connections of nodes to a planner. It is safe for concurrent use.
 type Proxy struct {
-	to    string
-	watch Watcher
-	ln    net.Listener
-
-	mu    sync.Mutex
-	delay time.Duration
-	cut   chan struct{} // closed while frames pass
-	conns map[net.Conn]bool
-	bytes int
-	done  bool
-	wg    sync.WaitGroup
+	target  string
+	watcher Watcher
+	ln      net.Listener
+
+	mu       sync.Mutex
+	delay    time.Duration
+	cut      chan struct{} // closed while frames are forwarded
+	conns    map[net.Conn]bool
+	bytes    int
+	isClosed bool
+	wg       sync.WaitGroup
 }
 
-// Listen starts a relay to a planner's address.
-func Listen(address, to string, w Watcher) (*Proxy, error) {
+// Listen starts a proxy at an address to a planner.
+func Listen(address, target string, w Watcher) (*Proxy, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	r := &Proxy{to: to, watch: w, ln: ln, cut: make(chan struct{}), conns: map[net.Conn]bool{}}
-	close(r.cut)
-	r.wg.Go(func() {
+	p := &Proxy{target: target, watcher: w, ln: ln, cut: make(chan struct{}), conns: map[net.Conn]bool{}}
+	close(p.cut)
+	p.wg.Go(func() {
 		for {
 			nc, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			r.wg.Go(func() { r.lead(nc) })
+			p.wg.Go(func() { p.forward(nc) })
 		}
 	})
-	return r, nil
+	return p, nil
 }
 
-// Address is where it listens.
-func (r *Proxy) Address() string { return r.ln.Addr().String() }
+// Address returns where the proxy listens.
+func (p *Proxy) Address() string { return p.ln.Addr().String() }
 
-// Close ends it with all connections.
-func (r *Proxy) Close() {
-	r.ln.Close()
-	r.mu.Lock()
-	r.done = true
-	for c := range r.conns {
+// Close closes the proxy and all connections and waits for its goroutines.
+func (p *Proxy) Close() {
+	p.ln.Close()
+	p.mu.Lock()
+	p.isClosed = true
+	for c := range p.conns {
 		c.Close()
 	}
-	r.mu.Unlock()
-	r.Cut(false)
-	r.wg.Wait()
+	p.mu.Unlock()
+	p.Cut(false)
+	p.wg.Wait()
 }
 
-// Delay has each frame come so much later.
-func (r *Proxy) Delay(d time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.delay = d
+// Delay delays each frame that comes from now on.
+func (p *Proxy) Delay(d time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.delay = d
 }
 
-// Cut has nothing pass, without a word to either side, or lets what waits pass again.
-func (r *Proxy) Cut(cut bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// Cut stops both directions without notifying either side, or forwards again, first what waited.
+func (p *Proxy) Cut(isCut bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	select {
-	case <-r.cut:
-		if cut {
-			r.cut = make(chan struct{})
+	case <-p.cut:
+		if isCut {
+			p.cut = make(chan struct{})
 		}
 	default:
-		if !cut {
-			close(r.cut)
+		if !isCut {
+			close(p.cut)
 		}
 	}
 }
 
-// Bytes that planners have sent to forwarders.
-func (r *Proxy) Bytes() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.bytes
+// Bytes returns how many bytes of frames the planner sent.
+func (p *Proxy) Bytes() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.bytes
 }
 
-func (r *Proxy) keep(c net.Conn) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.done {
+// addConn registers a connection for Close; after Close it closes it and returns false.
+func (p *Proxy) addConn(c net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.isClosed {
 		c.Close()
 		return false
 	}
-	r.conns[c] = true
+	p.conns[c] = true
 	return true
 }
 
-func (r *Proxy) drop(c net.Conn) {
+// closeConn closes a registered connection.
+func (p *Proxy) closeConn(c net.Conn) {
 	c.Close()
-	r.mu.Lock()
-	delete(r.conns, c)
-	r.mu.Unlock()
+	p.mu.Lock()
+	delete(p.conns, c)
+	p.mu.Unlock()
 }
 
-func (r *Proxy) lead(down net.Conn) {
-	if !r.keep(down) {
+// forward connects a node to the planner and forwards both directions until either side ends.
+func (p *Proxy) forward(down net.Conn) {
+	if !p.addConn(down) {
 		return
 	}
-	defer r.drop(down)
-	up, err := net.DialTimeout("tcp", r.to, time.Second)
-	if err != nil || !r.keep(up) {
+	defer p.closeConn(down)
+	up, err := net.DialTimeout("tcp", p.target, time.Second)
+	if err != nil || !p.addConn(up) {
 		return
 	}
-	defer r.drop(up)
-	var name string // of the forwarder, from its greeting
+	defer p.closeConn(up)
+	var name string // of the node, from its hello frame; guarded by mu
 	var mu sync.Mutex
 	var both sync.WaitGroup
 	both.Go(func() {
-		r.pass(down, up, func(k planwire.Kind, body []byte) {
+		p.forwardFrames(down, up, func(k planwire.Kind, body []byte) {
 			var h planwire.Hello
 			if k == planwire.HelloKind && planwire.Decode(body, &h) == nil {
 				mu.Lock()
@@ -145,17 +149,17 @@
 		up.Close()
 	})
 	both.Go(func() {
-		r.pass(up, down, func(k planwire.Kind, body []byte) {
-			r.mu.Lock()
-			r.bytes += len(body)
-			r.mu.Unlock()
+		p.forwardFrames(up, down, func(k planwire.Kind, body []byte) {
+			p.mu.Lock()
+			p.bytes += len(body)
+			p.mu.Unlock()
 			var c plan.Change
 			if k != planwire.ChangeKind || planwire.Decode(body, &c) != nil || len(c.Incarnations) == 0 {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			r.watch.Planned(name, c.Incarnations, time.Now())
+			p.watcher.Planned(name, c.Incarnations, time.Now())
 		})
 		down.Close()
 		up.Close()
@@ -163,24 +167,25 @@
 	both.Wait()
 }
 
+// frame is a frame to be forwarded at a time.
 type frame struct {
 	kind planwire.Kind
 	body []byte
 	due  time.Time
 }
 
-// pass hands frames on in one direction, each at its time; written is called behind each.
-func (r *Proxy) pass(from, to net.Conn, written func(planwire.Kind, []byte)) {
-	frames, in := make(chan frame, queued), bufio.NewReader(from)
+// forwardFrames forwards frames in one direction, each at its time, and calls written after each.
+func (p *Proxy) forwardFrames(from, to net.Conn, written func(planwire.Kind, []byte)) {
+	frames, in := make(chan frame, maxQueuedFrames), bufio.NewReader(from)
 	var writing sync.WaitGroup
 	writing.Go(func() {
 		for f := range frames {
 			if wait := time.Until(f.due); wait > 0 {
 				time.Sleep(wait)
 			}
-			r.mu.Lock()
-			cut := r.cut
-			r.mu.Unlock()
+			p.mu.Lock()
+			cut := p.cut
+			p.mu.Unlock()
 			<-cut
 			head := []byte{byte(len(f.body) >> 24), byte(len(f.body) >> 16), byte(len(f.body) >> 8), byte(len(f.body)), byte(f.kind)}
 			if _, err := to.Write(append(head, f.body...)); err != nil {
@@ -197,9 +202,9 @@
 		if err != nil {
 			break
 		}
-		r.mu.Lock()
-		due := time.Now().Add(r.delay)
-		r.mu.Unlock()
+		p.mu.Lock()
+		due := time.Now().Add(p.delay)
+		p.mu.Unlock()
 		frames <- frame{k, body, due}
 	}
 	close(frames)
--- a/internal/testbed/standin/server/model.go
+++ b/internal/testbed/standin/server/model.go
@@ -1,5 +1,6 @@
-// Package server is a stand-in for a server of the fleet: a model of its queue and cores, free of I/O, and a listener that
-// speaks to nodes for it. Work is timed, not burnt, so that many servers fit on one machine.
+// Package server is a stand-in for a server of the fleet. Model simulates its queue and cores without I/O; Server listens to
+// nodes for it, in HTTP or FastCGI, and injects faults. Work only takes time, no CPU, so that many servers fit on one
+// machine. The testbed calls Server's methods; a Watcher learns what the server sees. A Server guards its Model by a lock.
 package server
 
 import (
@@ -7,41 +8,41 @@
 	"time"
 )
 
-// Figures of a server, as scenario.Servers states them.
-type Figures struct {
-	Cores        int
-	Speed        float64 // of a core; work is stated for speed 1
-	Queue        int     // jobs that may wait
-	ColdShare    float64 // of its capacity right after a start
-	ColdFor      time.Duration
-	KeyGain      float64 // share of work that is saved for a key met within KeyFor
-	KeyFor       time.Duration
-	Keys         int // how many are remembered
-	Drops        bool
-	FallMultiple float64 // times what a cold server can do
-	FallWindow   time.Duration
-	Handshake    time.Duration // work of a new connection, with its first request
-	FastCGI      bool          // what it speaks; else HTTP
-	Connections  int           // that it holds; 0: any number
+// Settings of a server, as in scenario.Servers.
+type Settings struct {
+	Cores          int
+	Speed          float64 // of a core; work is stated for speed 1
+	Queue          int     // requests that may wait
+	ColdShare      float64 // of its capacity at the begin of slow start
+	ColdFor        time.Duration
+	KeyGain        float64 // share of work that is saved for a cached key
+	KeyFor         time.Duration
+	Keys           int // cached keys at most
+	Drops          bool
+	OverloadFactor float64 // multiple of its present capacity that overloads a cold server; 0: none does
+	OverloadWindow time.Duration
+	Handshake      time.Duration // work of a new connection, with its first request
+	FastCGI        bool          // speaks FastCGI, not HTTP
+	Connections    int           // at most; 0: unlimited
 }
 
-// Work is one request in the hands of a server.
+// Work is a request at a server.
 type Work struct {
-	ID    uint64
-	Work  time.Duration
-	Key   int           // 0: none
-	Until time.Duration // when its sender stops waiting
+	ID       uint64
+	Work     time.Duration
+	Key      int           // 0: none
+	Deadline time.Duration // when its sender stops waiting
 }
 
-// Step is what becomes of a request at a server.
+// Step is a step of a request at a server.
 type Step uint8
 
 // Steps of a request.
 const (
-	Began   Step = iota // its work runs; from here on it has had its effect
-	Done                // its work is over
-	Expired             // it was over before its turn, and has not begun
-	Lost                // the server died with it
+	Began   Step = iota // execution began; from here on it has had its effect
+	Done                // execution ended
+	Expired             // its deadline passed in the queue; it did not run
+	Lost                // the server crashed with it
 )
 
 // Event is one step of a request.
@@ -51,110 +52,114 @@
 	At   time.Duration
 }
 
-// Admission is whether a server takes a request.
+// Admission is whether a server admits a request.
 type Admission uint8
 
-// Answers to a request.
+// Admissions of a request.
 const (
-	Admitted Admission = iota // it runs or waits
-	Full                      // its queue takes no more
-	Down                      // it does not run
+	Admitted Admission = iota // it runs or is queued
+	Full                      // the queue is full
+	Down                      // the process does not run
 )
 
+// running is a request on a core.
 type running struct {
 	id   uint64
 	ends time.Duration
 }
 
+// offered is work that a cold server was sent.
 type offered struct {
 	at   time.Duration
 	work time.Duration
 }
 
-// Model is one server. Times are spans since a common start and must not go back.
+// Model is the state machine of a server. Times count from a common start and must not decrease. Methods report events to
+// the function that they are given, in order of time. It is not safe for concurrent use.
 type Model struct {
-	f       Figures
-	up      bool
-	fallen  bool
-	cold    bool
-	started time.Duration
-	factor  float64 // how many times slower it works at present
-	paused  bool
-	since   time.Duration // of the pause
-	queue   []Work
-	cores   []running
-	keys    map[int]time.Duration // when each was met last
-	offers  []offered             // while cold, within the fall window
+	settings     Settings
+	isRunning    bool
+	isOverloaded bool
+	isCold       bool
+	started      time.Duration
+	slowdown     float64 // factor by which work takes longer
+	isPaused     bool
+	pausedAt     time.Duration // of the pause
+	queue        []Work
+	cores        []running
+	keys         map[int]time.Duration // cached keys: when each was last used
+	offers       []offered             // while cold, within OverloadWindow
 }
 
-// New returns a server that has been running for long.
-func New(f Figures) *Model {
-	return &Model{f: f, up: true, factor: 1, keys: map[int]time.Duration{}}
+// New returns a running server that is warm.
+func New(settings Settings) *Model {
+	return &Model{settings: settings, isRunning: true, slowdown: 1, keys: map[int]time.Duration{}}
 }
 
-// Running reports whether the process is there; Fallen, that it was pushed over.
-func (m *Model) Running() bool { return m.up }
+// IsRunning reports whether the process runs.
+func (m *Model) IsRunning() bool { return m.isRunning }
 
-// Fallen reports that it was sent too much while cold, and stays down.
-func (m *Model) Fallen() bool { return m.fallen }
+// IsOverloaded reports whether the server was overloaded while cold. It then crashed and cannot be started again.
+func (m *Model) IsOverloaded() bool { return m.isOverloaded }
 
-// InFlight is how many jobs wait and run.
+// InFlight returns how many requests wait and run.
 func (m *Model) InFlight() (waiting, working int) { return len(m.queue), len(m.cores) }
 
-// capacity is the share of its full capacity that the server has.
+// capacity returns the server's present share of its full capacity and ends slow start when it is over.
 func (m *Model) capacity(now time.Duration) float64 {
-	if !m.cold || m.f.ColdFor <= 0 {
+	if !m.isCold || m.settings.ColdFor <= 0 {
 		return 1
 	}
-	age := float64(now-m.started) / float64(m.f.ColdFor)
+	age := float64(now-m.started) / float64(m.settings.ColdFor)
 	if age >= 1 {
-		m.cold, m.offers = false, nil
+		m.isCold, m.offers = false, nil
 		return 1
 	}
-	return m.f.ColdShare + (1-m.f.ColdShare)*max(age, 0)
+	return m.settings.ColdShare + (1-m.settings.ColdShare)*max(age, 0)
 }
 
-// Offer hands over a job whose last byte has come. Jobs that fall the server are lost with the others.
-func (m *Model) Offer(now time.Duration, j Work, tell func(Event)) Admission {
-	m.Advance(now, tell)
-	if !m.up {
+// Offer offers a request that was received completely. One that overloads a cold server crashes it.
+func (m *Model) Offer(now time.Duration, work Work, report func(Event)) Admission {
+	m.Advance(now, report)
+	if !m.isRunning {
 		return Down
 	}
-	if m.cold {
-		m.count(now, j)
-		if m.fallen {
-			m.die(now, tell)
+	if m.isCold {
+		m.checkOverload(now, work)
+		if m.isOverloaded {
+			m.fail(now, report)
 			return Down
 		}
 	}
-	if len(m.cores) >= m.f.Cores && len(m.queue) >= m.f.Queue || m.paused && len(m.queue) >= m.f.Queue {
+	if len(m.cores) >= m.settings.Cores && len(m.queue) >= m.settings.Queue || m.isPaused && len(m.queue) >= m.settings.Queue {
 		return Full
 	}
-	m.queue = append(m.queue, j)
-	m.begin(now, tell)
+	m.queue = append(m.queue, work)
+	m.startWork(now, report)
 	return Admitted
 }
 
-// count keeps what a cold server was sent within the window; more than the multiple of what it can do now falls it.
-func (m *Model) count(now time.Duration, j Work) {
-	can := m.capacity(now) * float64(m.f.Cores) * m.f.Speed
-	if !m.cold || m.f.FallMultiple <= 0 {
+// checkOverload records work offered to a cold server and marks the server as overloaded if the work within the window
+// exceeds OverloadFactor times its present capacity.
+func (m *Model) checkOverload(now time.Duration, work Work) {
+	capacity := m.capacity(now) * float64(m.settings.Cores) * m.settings.Speed
+	if !m.isCold || m.settings.OverloadFactor <= 0 {
 		return
 	}
-	m.offers = append(m.offers, offered{now, j.Work})
+	m.offers = append(m.offers, offered{now, work.Work})
 	sum := time.Duration(0)
 	m.offers = slices.DeleteFunc(m.offers, func(o offered) bool {
-		if o.at <= now-m.f.FallWindow {
+		if o.at <= now-m.settings.OverloadWindow {
 			return true
 		}
 		sum += o.work
 		return false
 	})
-	m.fallen = float64(sum) > m.f.FallMultiple*can*float64(m.f.FallWindow)
+	m.isOverloaded = float64(sum) > m.settings.OverloadFactor*capacity*float64(m.settings.OverloadWindow)
 }
 
-// Advance plays what is due up to now.
-func (m *Model) Advance(now time.Duration, tell func(Event)) {
+// Advance processes all that is due up to now.
+func (m *Model) Advance(now time.Duration, report func(Event)) {
 	for {
 		at, ok := m.Next()
 		if !ok || at > now {
@@ -163,14 +168,14 @@
 		i := slices.IndexFunc(m.cores, func(r running) bool { return r.ends == at })
 		id := m.cores[i].id
 		m.cores = slices.Delete(m.cores, i, i+1)
-		tell(Event{id, Done, at})
-		m.begin(at, tell)
+		report(Event{id, Done, at})
+		m.startWork(at, report)
 	}
 }
 
-// Next is when the next work is over, if any runs.
+// Next returns when the next execution ends, if any runs.
 func (m *Model) Next() (time.Duration, bool) {
-	if m.paused || len(m.cores) == 0 {
+	if m.isPaused || len(m.cores) == 0 {
 		return 0, false
 	}
 	at := m.cores[0].ends
@@ -180,34 +185,34 @@
 	return at, true
 }
 
-func (m *Model) begin(now time.Duration, tell func(Event)) {
-	for !m.paused && len(m.cores) < m.f.Cores && len(m.queue) > 0 {
+// startWork moves requests from the queue to free cores.
+func (m *Model) startWork(now time.Duration, report func(Event)) {
+	for !m.isPaused && len(m.cores) < m.settings.Cores && len(m.queue) > 0 {
 		j := m.queue[0]
 		m.queue = m.queue[:copy(m.queue, m.queue[1:])]
-		if m.f.Drops && now >= j.Until {
-			tell(Event{j.ID, Expired, now})
+		if m.settings.Drops && now >= j.Deadline {
+			report(Event{j.ID, Expired, now})
 			continue
 		}
-		work := float64(j.Work) * m.known(now, j.Key) * m.factor / (m.f.Speed * m.capacity(now))
+		work := float64(j.Work) * m.cacheFactor(now, j.Key) * m.slowdown / (m.settings.Speed * m.capacity(now))
 		m.cores = append(m.cores, running{j.ID, now + time.Duration(work)})
-		tell(Event{j.ID, Began, now})
+		report(Event{j.ID, Began, now})
 	}
 }
 
-// known is the share of a job's work that is left where its key was met lately. The key met longest ago is forgotten
-// for a new one.
-func (m *Model) known(now time.Duration, key int) float64 {
-	if key == 0 || m.f.KeyGain == 0 {
+// cacheFactor returns the share of work that is left for a key, and caches the key in the place of the least recently used.
+func (m *Model) cacheFactor(now time.Duration, key int) float64 {
+	if key == 0 || m.settings.KeyGain == 0 {
 		return 1
 	}
 	left := 1.0
-	if met, ok := m.keys[key]; ok && now-met <= m.f.KeyFor {
-		left = 1 - m.f.KeyGain
-	} else if !ok && len(m.keys) >= m.f.Keys {
+	if usedAt, ok := m.keys[key]; ok && now-usedAt <= m.settings.KeyFor {
+		left = 1 - m.settings.KeyGain
+	} else if !ok && len(m.keys) >= m.settings.Keys {
 		oldest, at := 0, now+1
-		for k, met := range m.keys {
-			if met < at || met == at && k < oldest {
-				oldest, at = k, met
+		for k, usedAt := range m.keys {
+			if usedAt < at || usedAt == at && k < oldest {
+				oldest, at = k, usedAt
 			}
 		}
 		delete(m.keys, oldest)
@@ -216,52 +221,59 @@
 	return left
 }
 
-// Slow has work that begins from now on take so many times longer; 1 ends that.
-func (m *Model) Slow(factor float64) { m.factor = factor }
+// Slow sets the factor by which work that begins from now on takes longer.
+func (m *Model) Slow(factor float64) { m.slowdown = factor }
 
-// Pause stops all work where it is.
-func (m *Model) Pause(now time.Duration, tell func(Event)) {
-	m.Advance(now, tell)
-	if !m.paused {
-		m.paused, m.since = true, now
+// Pause pauses the process.
+func (m *Model) Pause(now time.Duration, report func(Event)) {
+	m.Advance(now, report)
+	if !m.isPaused {
+		m.isPaused, m.pausedAt = true, now
 	}
 }
 
-// Resume goes on with it.
-func (m *Model) Resume(now time.Duration, tell func(Event)) {
-	if !m.paused {
+// Resume resumes a paused process.
+func (m *Model) Resume(now time.Duration, report func(Event)) {
+	if !m.isPaused {
 		return
 	}
-	m.paused = false
+	m.isPaused = false
 	for i := range m.cores {
-		m.cores[i].ends += now - m.since
+		m.cores[i].ends += now - m.pausedAt
 	}
-	m.begin(now, tell)
+	m.startWork(now, report)
 }
 
-// Crash ends the process with all that it holds.
-func (m *Model) Crash(now time.Duration, tell func(Event)) {
-	m.Advance(now, tell)
-	m.die(now, tell)
+// Crash ends the process. Its requests are lost.
+func (m *Model) Crash(now time.Duration, report func(Event)) {
+	m.Advance(now, report)
+	m.fail(now, report)
 }
 
-func (m *Model) die(now time.Duration, tell func(Event)) {
-	m.up = false
+// fail ends the process and reports its requests as lost.
+func (m *Model) fail(now time.Duration, report func(Event)) {
+	m.isRunning = false
 	for _, j := range m.queue {
-		tell(Event{j.ID, Lost, now})
+		report(Event{j.ID, Lost, now})
 	}
 	for _, r := range m.cores {
-		tell(Event{r.id, Lost, now})
+		report(Event{r.id, Lost, now})
 	}
-	m.queue, m.cores, m.offers, m.paused, m.factor = nil, nil, nil, false, 1
+	m.queue = nil
+	m.cores = nil
+	m.offers = nil
+	m.isPaused = false
+	m.slowdown = 1
 	clear(m.keys)
 }
 
-// Start brings a process that has ended back, cold. One that fell stays down.
+// Start starts a process that has ended, in slow start. It returns false if it runs or was overloaded.
 func (m *Model) Start(now time.Duration) bool {
-	if m.fallen || m.up {
+	if m.isOverloaded || m.isRunning {
 		return false
 	}
-	m.up, m.cold, m.started = true, true, now
+	m.isRunning = true
+	m.isCold = true
+	m.started = now
 	return true
 }
--- a/internal/testbed/standin/server/model_test.go
+++ b/internal/testbed/standin/server/model_test.go
@@ -11,7 +11,7 @@
 const ms = time.Millisecond
 
 // waits plays jobs through a server and returns how long each waited for its turn.
-func waits(f Figures, n int, gap, work func() time.Duration) []float64 {
+func waits(f Settings, n int, gap, work func() time.Duration) []float64 {
 	m := New(f)
 	came := make([]time.Duration, n)
 	waited := make([]float64, 0, n)
@@ -74,7 +74,7 @@
 				work = func() time.Duration { return mean }
 			}
 			got := 0.0
-			all := waits(Figures{Cores: c.cores, Speed: 1, Queue: 1 << 30}, 400_000, gap, work)
+			all := waits(Settings{Cores: c.cores, Speed: 1, Queue: 1 << 30}, 400_000, gap, work)
 			for _, w := range all {
 				got += w / float64(len(all))
 			}
@@ -92,10 +92,10 @@
 		what Step
 		at   time.Duration
 	}
-	basic := Figures{Cores: 1, Speed: 2, Queue: 1}
-	cold := Figures{Cores: 1, Speed: 1, Queue: 99, ColdShare: 0.5, ColdFor: 10 * time.Second, FallMultiple: 2, FallWindow: time.Second}
+	basic := Settings{Cores: 1, Speed: 2, Queue: 1}
+	cold := Settings{Cores: 1, Speed: 1, Queue: 99, ColdShare: 0.5, ColdFor: 10 * time.Second, OverloadFactor: 2, OverloadWindow: time.Second}
 	for name, c := range map[string]struct {
-		f    Figures
+		f    Settings
 		play func(m *Model, tell func(Event)) []Admission
 		says []Admission
 		want []told
@@ -112,9 +112,9 @@
 			m.Advance(time.Second, tell)
 			return v
 		}, []Admission{Admitted, Admitted, Full}, []told{{0, Began, 0}, {0, Done, 10 * ms}, {1, Began, 10 * ms}, {1, Done, 20 * ms}}},
-		"over before its turn": {Figures{Cores: 1, Speed: 1, Queue: 9, Drops: true}, func(m *Model, tell func(Event)) []Admission {
-			m.Offer(0, Work{ID: 1, Work: 20 * ms, Until: time.Second}, tell)
-			m.Offer(0, Work{ID: 2, Work: 20 * ms, Until: 15 * ms}, tell)
+		"over before its turn": {Settings{Cores: 1, Speed: 1, Queue: 9, Drops: true}, func(m *Model, tell func(Event)) []Admission {
+			m.Offer(0, Work{ID: 1, Work: 20 * ms, Deadline: time.Second}, tell)
+			m.Offer(0, Work{ID: 2, Work: 20 * ms, Deadline: 15 * ms}, tell)
 			m.Advance(time.Second, tell)
 			return nil
 		}, nil, []told{{1, Began, 0}, {1, Done, 20 * ms}, {2, Expired, 20 * ms}}},
@@ -132,7 +132,7 @@
 			m.Advance(time.Second, tell)
 			return nil
 		}, nil, []told{{1, Began, 0}, {1, Done, 50 * ms}}},
-		"a key met lately": {Figures{Cores: 1, Speed: 1, Queue: 9, KeyGain: 0.5, KeyFor: time.Second, Keys: 1}, func(m *Model, tell func(Event)) []Admission {
+		"a key met lately": {Settings{Cores: 1, Speed: 1, Queue: 9, KeyGain: 0.5, KeyFor: time.Second, Keys: 1}, func(m *Model, tell func(Event)) []Admission {
 			for i, key := range []int{7, 7, 8, 7} { // the last was forgotten for 8
 				m.Offer(time.Duration(i)*100*ms, Work{ID: uint64(i), Work: 20 * ms, Key: key}, tell)
 			}
@@ -155,7 +155,7 @@
 			m.Crash(0, tell)
 			m.Start(0)
 			v := []Admission{m.Offer(0, Work{ID: 1, Work: 900 * ms}, tell), m.Offer(0, Work{ID: 2, Work: 200 * ms}, tell)}
-			if !m.Fallen() || m.Start(time.Second) {
+			if !m.IsOverloaded() || m.Start(time.Second) {
 				v = nil
 			}
 			return v
--- a/internal/testbed/standin/server/peer.go
+++ b/internal/testbed/standin/server/peer.go
@@ -11,15 +11,15 @@
 	"fernvane/internal/testbed/standin/link"
 )
 
-// peer is one request's caller, in either protocol.
+// peer is the caller of a request, in either protocol.
 type peer interface {
-	// answer writes an answer whole and reports whether the connection can be used again.
+	// answer writes an answer and reports whether the connection can be used again.
 	answer(message.Answer) bool
 	encode(message.Answer) []byte
-	// garbled is one of several answers that cannot be used.
+	// garbled returns one of several malformed forms of an answer.
 	garbled(id uint64, a message.Answer) []byte
 	raw([]byte)
-	// gone waits until the caller has left or given up, and tells so; look sets until when.
+	// disconnected waits until the caller disconnects or aborts and reports whether it did before the time set by peek.
 	disconnected() bool
 	peek(until time.Time)
 	reset()
@@ -37,8 +37,8 @@
 func (p httpPeer) reset()                         { p.nc.Reset() }
 
 func (p httpPeer) answer(a message.Answer) bool {
-	whole, _ := p.c.Send(p.encode(a))
-	return whole
+	isComplete, _ := p.c.Send(p.encode(a))
+	return isComplete
 }
 
 func (p httpPeer) garbled(id uint64, a message.Answer) []byte {
@@ -53,25 +53,25 @@
 	return append([]byte("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n"), a.Body...)
 }
 
-type cgiPeer struct {
+type fastCGIPeer struct {
 	nc *link.Conn
 	f  *fastcgi.ClientConn
 	c  *fastcgi.Request
 }
 
-func (p cgiPeer) encode(a message.Answer) []byte { return p.c.Append(nil, a) }
-func (p cgiPeer) raw(b []byte)                   { p.nc.Write(b) }
-func (p cgiPeer) peek(until time.Time)           { p.nc.SetReadDeadline(until) }
-func (p cgiPeer) reset()                         { p.nc.Reset() }
-func (p cgiPeer) answer(a message.Answer) bool   { return p.f.Answer(p.c, p.encode(a)) == nil }
+func (p fastCGIPeer) encode(a message.Answer) []byte { return p.c.Append(nil, a) }
+func (p fastCGIPeer) raw(b []byte)                   { p.nc.Write(b) }
+func (p fastCGIPeer) peek(until time.Time)           { p.nc.SetReadDeadline(until) }
+func (p fastCGIPeer) reset()                         { p.nc.Reset() }
+func (p fastCGIPeer) answer(a message.Answer) bool   { return p.f.Answer(p.c, p.encode(a)) == nil }
 
-// gone takes anything that comes for an end: an abort, or the close behind it.
-func (p cgiPeer) disconnected() bool {
+// disconnected takes anything that comes for an end: an abort, or a close.
+func (p fastCGIPeer) disconnected() bool {
 	_, err := sockpeek.Peek(p.nc, true)
 	return err == nil
 }
 
-func (p cgiPeer) garbled(id uint64, a message.Answer) []byte {
+func (p fastCGIPeer) garbled(id uint64, a message.Answer) []byte {
 	switch whole := p.encode(a); id >> 8 % 4 {
 	case 0:
 		return []byte("\x00\x01 what? \xff\xfe\r\n\r\n")
@@ -88,37 +88,37 @@
 	}
 }
 
-// cgiKeeper gives each part of a request its time.
-type cgiHandler struct{ nc *link.Conn }
+// fastCGIHandler limits the time for each part of a request.
+type fastCGIHandler struct{ nc *link.Conn }
 
-func (k cgiHandler) AwaitReadable(bool) error {
+func (k fastCGIHandler) AwaitReadable(bool) error {
 	return k.nc.SetReadDeadline(time.Now().Add(maxIdle))
 }
 
-func (cgiHandler) RequestStarted(bool) connclose.Effect { return connclose.Admit }
-func (cgiHandler) RequestsRejected()                    {}
-func (cgiHandler) RequestAborted()                      {}
+func (fastCGIHandler) RequestStarted(bool) connclose.Effect { return connclose.Admit }
+func (fastCGIHandler) RequestsRejected()                    {}
+func (fastCGIHandler) RequestAborted()                      {}
 
-// leadCGI is the life of one connection that speaks FastCGI; its caller asks one request at a time.
-func (b *Server) leadCGI(nc *link.Conn, way time.Duration, full bool) {
+// serveFastCGI serves a FastCGI connection, one request at a time.
+func (b *Server) serveFastCGI(nc *link.Conn, way time.Duration, full bool) {
 	f := fastcgi.NewClientConn(nc, nil)
 	defer f.AbandonRequests()
 	last := uint64(0) // request on it
 	for fresh := true; ; fresh = false {
 		idle := b.now()
-		call, err := f.NextRequest(cgiHandler{nc})
+		call, err := f.NextRequest(fastCGIHandler{nc})
 		b.idle(last, idle)
 		if err != nil {
 			return
 		}
-		p := cgiPeer{nc, f, call}
+		p := fastCGIPeer{nc, f, call}
 		if call.Malformed != nil {
 			p.answer(message.Answer{Status: call.Malformed.Status})
 			return
 		}
 		last = idOf(call.Request)
 		came := nc.Received().Sub(b.start)
-		if !b.request(p, call.Request, came, came, way, fresh, full) || full {
+		if !b.serveRequest(p, call.Request, came, came, way, fresh, full) || full {
 			return
 		}
 	}
--- a/internal/testbed/standin/server/request.go
+++ b/internal/testbed/standin/server/request.go
@@ -12,20 +12,20 @@
 	"fernvane/internal/testbed/standin/link"
 )
 
-// lead is the life of one connection.
-func (b *Server) lead(nc *link.Conn, site int) {
+// serveConn serves a connection from a site, in the server's protocol.
+func (b *Server) serveConn(nc *link.Conn, site int) {
 	b.mu.Lock()
 	b.conns++
-	full := b.f.Connections > 0 && b.conns > b.f.Connections
+	full := b.settings.Connections > 0 && b.conns > b.settings.Connections
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
 		b.conns--
 		b.mu.Unlock()
 	}()
-	way := b.cross(site)
-	if b.f.FastCGI {
-		b.leadCGI(nc, way, full)
+	way := b.latency(site)
+	if b.settings.FastCGI {
+		b.serveFastCGI(nc, way, full)
 		return
 	}
 	c := http1.NewConn(nc)
@@ -39,7 +39,7 @@
 		if err != nil {
 			return
 		}
-		first := nc.Received().Sub(b.start) // what a silence holds back was sent before it
+		first := nc.Received().Sub(b.start) // bytes held back by a silence came before its end
 		if err := c.ReadRequest(&req); err != nil {
 			if bad, ok := err.(*http1.Malformed); ok {
 				c.Send(http1.AppendAnswer(nil, http1.Answer{Status: bad.Status, Close: true}))
@@ -47,13 +47,13 @@
 			return
 		}
 		last = idOf(&req)
-		if !b.request(httpPeer{nc, c}, &req, first, nc.Received().Sub(b.start), way, fresh, full) || full {
+		if !b.serveRequest(httpPeer{nc, c}, &req, first, nc.Received().Sub(b.start), way, fresh, full) || full {
 			return
 		}
 	}
 }
 
-// idOf is the id of a request, 0 for one without.
+// idOf returns the ID of a request, 0 if it has none.
 func idOf(r *message.Request) uint64 {
 	id, err := strconv.ParseUint(string(r.Get(http1.RequestID)), 16, 64)
 	if err != nil {
@@ -62,74 +62,75 @@
 	return id
 }
 
-// idle tells for how long a connection has stood unused since its last request was answered, if it had one.
+// idle reports how long a connection was unused after its last request, if it had one.
 func (b *Server) idle(last uint64, from time.Duration) {
-	if _, known := b.watch.Asked(last); known && last != 0 {
-		b.watch.Idle(last, b.Number, from, b.now())
+	if _, isKnown := b.watcher.FindRequest(last); isKnown && last != 0 {
+		b.watcher.Idle(last, b.Number, from, b.now())
 	}
 }
 
-// request is the life of one request; it reports whether its connection can be used again.
-func (b *Server) request(p peer, req *message.Request, first, last, way time.Duration, fresh, full bool) bool {
+// serveRequest serves a request and reports whether its connection can be used again. fresh says that it is the first on its
+// connection, full that the server has too many connections.
+func (b *Server) serveRequest(p peer, req *message.Request, first, last, way time.Duration, fresh, full bool) bool {
 	text := string(req.Get(http1.RequestID))
 	if text == "" {
 		return p.answer(message.Answer{Status: 404, Body: []byte("no id")})
 	}
 	id, err := strconv.ParseUint(text, 16, 64)
-	asked, known := b.watch.Asked(id)
-	b.watch.Attempt(id, b.Number, first, last)
-	if err != nil || len(text) != 16 || !known {
+	info, isKnown := b.watcher.FindRequest(id)
+	b.watcher.Attempt(id, b.Number, first, last)
+	if err != nil || len(text) != 16 || !isKnown {
 		return p.answer(message.Answer{Status: 400, Body: []byte("nobody has sent this request")})
 	}
 	wait(way)
 	b.mu.Lock()
 	faults, draining := b.faults, b.draining
 	b.mu.Unlock()
-	if meets(id, "cut-before", faults.CutBefore) {
-		b.watch.Over(id, b.Number, b.now(), false)
+	if isHit(id, "cut-before", faults.CutBefore) {
+		b.watcher.AttemptEnded(id, b.Number, b.now(), false)
 		p.reset()
 		return false
 	}
-	if full || draining || meets(id, "refuse", faults.Refuse) {
+	if full || draining || isHit(id, "refuse", faults.Refuse) {
 		return b.reject(p, id, 503)
 	}
 	left, err := strconv.ParseFloat(string(req.Get(http1.RequestTimeout)), 64)
 	if err != nil {
 		left = 3600
 	}
-	work := asked.Work
+	work := info.Work
 	if fresh {
-		work += b.f.Handshake
+		work += b.settings.Handshake
 	}
 	h := &attempt{id: id, ended: make(chan Step, 1)}
-	switch b.offer(h, Work{Work: work, Key: asked.Key, Until: last + time.Duration(left*float64(time.Second))}) {
+	switch b.offer(h, Work{Work: work, Key: info.Key, Deadline: last + time.Duration(left*float64(time.Second))}) {
 	case Full:
 		return b.reject(p, id, 503)
 	case Down:
 		p.reset()
 		return false
 	}
-	what, told := b.work(p, h)
-	switch what {
+	step, isReported := b.work(p, h)
+	switch step {
 	case Expired:
 		return b.reject(p, id, 504)
 	case Lost:
-		if !told {
-			b.watch.Over(id, b.Number, b.now(), false)
+		if !isReported {
+			b.watcher.AttemptEnded(id, b.Number, b.now(), false)
 		}
 		p.reset()
 		return false
 	}
 	wait(way)
-	if !told {
-		b.watch.Over(id, b.Number, b.now(), false)
+	if !isReported {
+		b.watcher.AttemptEnded(id, b.Number, b.now(), false)
 	}
 	return b.reply(p, id, text, faults)
 }
 
-// offer gives the model an attempt; a server that falls under it leaves its addresses.
+// offer offers an attempt to the model. If it overloads the server, the listeners stop.
 func (b *Server) offer(h *attempt, j Work) (verdict Admission) {
-	fell := false
+	isOverloaded := false
 	b.do(func(now time.Duration) {
 		b.last++
 		b.attempts[b.last] = h
@@ -138,13 +139,13 @@
 		if verdict != Admitted {
 			delete(b.attempts, b.last)
 		}
-		fell = verdict == Down && b.model.Fallen()
+		isOverloaded = verdict == Down && b.model.IsOverloaded()
 	})
 	if verdict == Down {
-		b.watch.Over(h.id, b.Number, b.now(), false)
+		b.watcher.AttemptEnded(h.id, b.Number, b.now(), false)
 	}
-	if fell {
-		b.watch.Fell(b.Number, b.now())
+	if isOverloaded {
+		b.watcher.Overloaded(b.Number, b.now())
 		for _, l := range b.listeners {
 			l.Stop()
 		}
@@ -152,59 +153,61 @@
 	return verdict
 }
 
-// work waits for the end of an attempt, which its caller's leaving does not change; gone tells that it has left, and that
-// the watcher was told that the attempt is over.
-func (b *Server) work(p peer, h *attempt) (what Step, gone bool) {
+// work waits until an attempt ends, also if its caller disconnects. isDisconnected says that it did and that the watcher
+// was notified of the end.
+func (b *Server) work(p peer, h *attempt) (last Step, isDisconnected bool) {
 	watched := make(chan struct{})
 	go func() {
 		defer close(watched)
-		if gone = p.disconnected(); gone {
-			b.watch.Over(h.id, b.Number, b.now(), false)
+		if isDisconnected = p.disconnected(); isDisconnected {
+			b.watcher.AttemptEnded(h.id, b.Number, b.now(), false)
 		}
 	}()
-	what = <-h.ended
+	last = <-h.ended
 	p.peek(time.Unix(1, 0))
 	<-watched
-	return what, gone
+	return last, isDisconnected
 }
 
+// wait simulates the latency of the network.
 func wait(d time.Duration) {
-	if d >= worthWait {
+	if d >= minLatency {
 		time.Sleep(d)
 	}
 }
 
-// meets draws by the request's id whether it meets a fault, the same in each run.
-func meets(id uint64, fault string, share float64) bool {
+// isHit decides by its ID whether a fault hits a request: the same in each run.
+func isHit(id uint64, fault string, share float64) bool {
 	if share <= 0 {
 		return false
 	}
 	return float64(crc32.ChecksumIEEE(fmt.Append(nil, id, fault)))/(1<<32) < share
 }
 
+// reject answers that the request did not run.
 func (b *Server) reject(p peer, id uint64, status int) bool {
-	b.watch.Over(id, b.Number, b.now(), true)
+	b.watcher.AttemptEnded(id, b.Number, b.now(), true)
 	return p.answer(message.Answer{Status: status, Fields: []message.Field{{Name: []byte(message.NotStarted), Value: []byte("1")}}})
 }
 
 var fill = bytes.Repeat([]byte{'.'}, fillBytes)
 
-// reply answers a request whose work is over, with the id that it was made for at the beginning of the body.
+// reply answers an executed request. The body begins with the request ID.
 func (b *Server) reply(p peer, id uint64, text string, f Faults) bool {
-	if meets(id, "error", f.Err) {
+	if isHit(id, "error", f.Err) {
 		return p.answer(message.Answer{Status: 500, Body: []byte("it failed")})
 	}
 	a := message.Answer{Status: 200, Body: fmt.Appendf(nil, "%s %s\n%s\n", text, b.Name, fill)}
 	switch {
-	case meets(id, "cut-within", f.CutWithin):
+	case isHit(id, "cut-within", f.CutWithin):
 		whole := p.encode(a)
 		p.raw(whole[:len(whole)/2])
 		return false
-	case meets(id, "spoil", f.Spoil):
+	case isHit(id, "spoil", f.Spoil):
 		p.raw(p.garbled(id, a))
-		p.peek(time.Now().Add(maxIdle)) // it stays open and is of no further use
+		p.peek(time.Now().Add(maxIdle)) // the connection stays open but is not used again
 		p.disconnected()
 		return false
 	}
-	return p.answer(a) && !meets(id, "cut-after", f.CutAfter)
+	return p.answer(a) && !isHit(id, "cut-after", f.CutAfter)
 }
--- a/internal/testbed/standin/server/server.go
+++ b/internal/testbed/standin/server/server.go
@@ -8,42 +8,44 @@
 )
 
 const (
-	maxIdle   = 5 * time.Second        // a connection that stands idle for so long is closed
-	worthWait = 500 * time.Microsecond // a shorter way through the network is left out: a timer is later than that
-	fillBytes = 120                    // of an answer beside its first line
+	maxIdle    = 5 * time.Second        // idle connections are closed after this time
+	minLatency = 500 * time.Microsecond // a shorter latency is not simulated: timers are less precise
+	fillBytes  = 120                    // of a response body after its first line
 )
 
-// Asked is what a server must know of a request beside what the wire says.
-type Asked struct {
+// RequestInfo is what a server must know of a request beside its message.
+type RequestInfo struct {
 	Work time.Duration
 	Key  int
 }
 
-// Watcher is told what a server sees. Its methods are called from many goroutines; times count since the common start.
+// Watcher is notified of what a server sees. Its methods are called from many goroutines; times count from the common
+// start. server is the server's number.
 type Watcher interface {
-	// Asked finds what a request was meant to be; ok is false where no client has sent it.
-	Asked(id uint64) (a Asked, ok bool)
-	// Attempt reports that a request has come whole, and when its first byte came.
-	Attempt(id uint64, box int, first, last time.Duration)
-	// Ran reports that its work has begun.
-	Ran(id uint64, box int, at time.Duration)
-	// Over reports that the attempt is out no more: its answer is about to be written, or its connection has ended. unbegun:
-	// by a response that it never ran.
-	Over(id uint64, box int, at time.Duration, unbegun bool)
-	Fell(box int, at time.Duration)
-	// Idle reports that a connection on which a request was the last stood unused, until it ended or the next one came.
-	Idle(id uint64, box int, from, to time.Duration)
+	// FindRequest returns the request with an ID; ok is false if no client sent it.
+	FindRequest(id uint64) (info RequestInfo, ok bool)
+	// Attempt reports a request that was received completely, with the times of its first and last byte.
+	Attempt(id uint64, server int, first, last time.Duration)
+	// Ran reports that its execution began.
+	Ran(id uint64, server int, at time.Duration)
+	// AttemptEnded reports that the attempt ended: its response is about to be written, or its connection ended. neverRan
+	// says that the response is a rejection before execution.
+	AttemptEnded(id uint64, server int, at time.Duration, neverRan bool)
+	// Overloaded reports that the server crashed because it was overloaded in slow start.
+	Overloaded(server int, at time.Duration)
+	// Idle reports that a connection was unused after request id, until it ended or the next request came.
+	Idle(id uint64, server int, from, to time.Duration)
 }
 
 // Identity of a server, the same over its restarts.
 type Identity struct {
-	Number int // dense, over all servers
+	Number int // from 0, without gaps
 	Name   string
 	Site   int
 	Cell   int
 }
 
-// Faults are shares of requests that meet one, drawn by the request's id.
+// Faults are shares of requests that a fault hits, chosen by request ID.
 type Faults struct {
 	CutBefore float64
 	CutWithin float64
@@ -53,37 +55,39 @@
 	Spoil     float64
 }
 
-// Server serves its model on a listener for each site of its callers, so that a site can be cut off from another.
+// Server serves requests by its model. It has a listener for each site of callers, so that sites can be cut off. Its
+// methods are safe for concurrent use.
 type Server struct {
 	Identity
-	f         Figures
+	settings  Settings
 	start     time.Time
-	watch     Watcher
-	cross     func(from int) time.Duration // one way to callers of a site
+	watcher   Watcher
+	latency   func(from int) time.Duration // one way, to callers of a site
 	listeners []*link.Listener
 
-	mu       sync.Mutex
-	model    *Model
-	attempts map[uint64]*attempt
-	last     uint64
-	timer    *time.Timer
-	conns    int
-	faults   Faults
-	draining bool
-	tells    []func() // to the watcher, once the lock is given back
+	mu             sync.Mutex
+	model          *Model
+	attempts       map[uint64]*attempt
+	last           uint64
+	timer          *time.Timer
+	conns          int
+	faults         Faults
+	draining       bool
+	pendingReports []func() // to the watcher, made after mu is released
 }
 
+// attempt is a request that was offered to the model.
 type attempt struct {
 	id    uint64 // of the request
 	ended chan Step
 }
 
-// NewServer makes a server that listens at one address for callers of each site.
-func NewServer(id Identity, f Figures, start time.Time, addresses []string, cross func(from int) time.Duration, w Watcher) (*Server, error) {
-	b := &Server{Identity: id, f: f, start: start, watch: w, cross: cross, model: New(f), attempts: map[uint64]*attempt{}}
+// NewServer starts a server that listens at an address for callers of each site.
+func NewServer(id Identity, f Settings, start time.Time, addresses []string, cross func(from int) time.Duration, w Watcher) (*Server, error) {
+	b := &Server{Identity: id, settings: f, start: start, watcher: w, latency: cross, model: New(f), attempts: map[uint64]*attempt{}}
 	b.timer = time.AfterFunc(time.Hour, b.due)
 	for site, address := range addresses {
-		l, err := link.Listen(address, func(c *link.Conn) { b.lead(c, site) })
+		l, err := link.Listen(address, func(c *link.Conn) { b.serveConn(c, site) })
 		if err != nil {
 			b.Close()
 			return nil, err
@@ -93,7 +97,7 @@
 	return b, nil
 }
 
-// Close ends the server for good.
+// Close ends the server and waits for its connections.
 func (b *Server) Close() {
 	b.Crash()
 	b.timer.Stop()
@@ -102,12 +106,13 @@
 	}
 }
 
-// Address is where callers of a site reach the server.
+// Address returns where callers of a site reach the server.
 func (b *Server) Address(site int) string { return b.listeners[site].Address() }
 
+// now returns the time since the common start.
 func (b *Server) now() time.Duration { return time.Since(b.start) }
 
-// do changes the model under the lock, sets the timer for what comes next, and tells what happened afterwards.
+// do calls f under the lock, sets the timer for the model's next event and then reports what happened to the watcher.
 func (b *Server) do(f func(now time.Duration)) {
 	b.mu.Lock()
 	now := b.now()
@@ -115,41 +120,43 @@
 	if at, ok := b.model.Next(); ok {
 		b.timer.Reset(max(at-now, 0))
 	}
-	tells := b.tells
-	b.tells = nil
+	reports := b.pendingReports
+	b.pendingReports = nil
 	b.mu.Unlock()
-	for _, tell := range tells {
-		tell()
+	for _, report := range reports {
+		report()
 	}
 }
 
+// due processes what is due in the model.
 func (b *Server) due() { b.do(func(now time.Duration) { b.model.Advance(now, b.event) }) }
 
+// event handles an event of the model, under the lock.
 func (b *Server) event(e Event) {
-	h := b.attempts[e.ID]
-	if h == nil {
+	attempt := b.attempts[e.ID]
+	if attempt == nil {
 		return
 	}
 	if e.Step == Began {
-		b.tells = append(b.tells, func() { b.watch.Ran(h.id, b.Number, e.At) })
+		b.pendingReports = append(b.pendingReports, func() { b.watcher.Ran(attempt.id, b.Number, e.At) })
 		return
 	}
 	delete(b.attempts, e.ID)
-	h.ended <- e.Step
+	attempt.ended <- e.Step
 }
 
-// Model gives a look at the model, or changes it.
-func (b *Server) Model(f func(m *Model, now time.Duration, tell func(Event))) {
+// Model calls f with the model under the lock.
+func (b *Server) Model(f func(m *Model, now time.Duration, report func(Event))) {
 	b.do(func(now time.Duration) { f(b.model, now, b.event) })
 }
 
-// Set has requests meet faults from now on.
+// Set changes the faults of requests from now on.
 func (b *Server) Set(change func(*Faults)) { b.do(func(time.Duration) { change(&b.faults) }) }
 
-// Drain has the server turn away what is new.
-func (b *Server) Drain(is bool) { b.do(func(time.Duration) { b.draining = is }) }
+// Drain has the server reject new requests, or accept them again.
+func (b *Server) Drain(isDraining bool) { b.do(func(time.Duration) { b.draining = isDraining }) }
 
-// Crash ends the process: connections are reset, and new ones refused.
+// Crash ends the process: connections are reset and new ones refused.
 func (b *Server) Crash() {
 	b.do(func(now time.Duration) { b.model.Crash(now, b.event) })
 	for _, l := range b.listeners {
@@ -157,7 +164,7 @@
 	}
 }
 
-// Vanish ends it without a word, as when its machine loses power.
+// Vanish ends the process without closing its connections, as when the machine loses power.
 func (b *Server) Vanish() {
 	for _, l := range b.listeners {
 		l.Silence()
@@ -165,7 +172,8 @@
 	b.do(func(now time.Duration) { b.model.Crash(now, b.event) })
 }
 
-// Start brings it back, cold; what hung on it is reset.
+// Start starts the process again, in slow start, and resets connections from before. ok is false if the model does not
+// start.
 func (b *Server) Start() (ok bool, err error) {
 	for _, l := range b.listeners {
 		l.Stop()
@@ -182,23 +190,23 @@
 	return true, nil
 }
 
-// Hush cuts the server off from callers of a site, Speak ends that.
+// Hush cuts the server off from callers of a site.
 func (b *Server) Hush(site int) { b.listeners[site].Silence() }
 
-// Speak ends a silence.
+// Speak ends Hush.
 func (b *Server) Speak(site int) { b.listeners[site].EndSilence() }
 
-// Stop has the process stand still as a whole: its connections take what comes and bring nothing.
-func (b *Server) Stop(still bool) {
-	b.Model(func(m *Model, now time.Duration, tell func(Event)) {
-		if still {
-			m.Pause(now, tell)
+// Stop pauses the whole process, whose connections stay open and send nothing, or resumes it.
+func (b *Server) Stop(isPaused bool) {
+	b.Model(func(m *Model, now time.Duration, report func(Event)) {
+		if isPaused {
+			m.Pause(now, report)
 		} else {
-			m.Resume(now, tell)
+			m.Resume(now, report)
 		}
 	})
 	for _, l := range b.listeners {
-		if still {
+		if isPaused {
 			l.Silence()
 		} else {
 			l.EndSilence()
--- a/internal/testbed/standin/server/server_test.go
+++ b/internal/testbed/standin/server/server_test.go
@@ -36,14 +36,16 @@
 	return strings.Join(n.all, " ")
 }
 
-func (n *notes) Asked(id uint64) (Asked, bool)                  { return Asked{Work: 20 * ms}, id != 0xbad }
-func (n *notes) Attempt(id uint64, _ int, _, _ time.Duration)   { n.note("hop") }
-func (n *notes) Ran(uint64, int, time.Duration)                 { n.note("ran") }
-func (n *notes) Over(_ uint64, _ int, _ time.Duration, u bool)  { n.note("over:%v", u) }
-func (n *notes) Fell(int, time.Duration)                        { n.note("fell") }
-func (n *notes) Idle(uint64, int, time.Duration, time.Duration) {}
-
-func start(t *testing.T, f Figures) (*Server, *notes) {
+func (n *notes) FindRequest(id uint64) (RequestInfo, bool) {
+	return RequestInfo{Work: 20 * ms}, id != 0xbad
+}
+func (n *notes) Attempt(id uint64, _ int, _, _ time.Duration)          { n.note("hop") }
+func (n *notes) Ran(uint64, int, time.Duration)                        { n.note("ran") }
+func (n *notes) AttemptEnded(_ uint64, _ int, _ time.Duration, u bool) { n.note("over:%v", u) }
+func (n *notes) Overloaded(int, time.Duration)                         { n.note("fell") }
+func (n *notes) Idle(uint64, int, time.Duration, time.Duration)        {}
+
+func start(t *testing.T, f Settings) (*Server, *notes) {
 	n := &notes{}
 	b, err := NewServer(Identity{Name: "b"}, f, time.Now(), []string{"127.0.0.1:0", "127.0.0.1:0"},
 		func(int) time.Duration { return 0 }, n)
@@ -103,12 +105,12 @@
 		"pushed over, cold": {func(b *Server) {
 			b.Crash()
 			b.Start()
-			b.Model(func(m *Model, _ time.Duration, _ func(Event)) { m.f.FallMultiple = 1e-9 })
+			b.Model(func(m *Model, _ time.Duration, _ func(Event)) { m.settings.OverloadFactor = 1e-9 })
 		}, good, ends(syscall.ECONNRESET), "hop over:false fell"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b, told := start(t, Figures{Cores: 1, Speed: 1, Queue: 9, ColdShare: 0.5, ColdFor: time.Hour, FallMultiple: 9, FallWindow: time.Second, Connections: 5})
+			b, told := start(t, Settings{Cores: 1, Speed: 1, Queue: 9, ColdShare: 0.5, ColdFor: time.Hour, OverloadFactor: 9, OverloadWindow: time.Second, Connections: 5})
 			if c.before != nil {
 				c.before(b)
 			}
@@ -138,7 +140,7 @@
 
 // A caller that leaves ends the attempt but not the work; what waits behind it waits for that work.
 func TestLeavingStopsNoWork(t *testing.T) {
-	b, told := start(t, Figures{Cores: 1, Speed: 0.02, Queue: 9})
+	b, told := start(t, Settings{Cores: 1, Speed: 0.02, Queue: 9})
 	gone := dial(t, b.Address(0))
 	began := time.Now()
 	send(gone, good)
@@ -166,7 +168,7 @@
 
 // A site is cut off: its callers hear nothing, the others all.
 func TestCutOff(t *testing.T) {
-	b, _ := start(t, Figures{Cores: 1, Speed: 1, Queue: 9})
+	b, _ := start(t, Settings{Cores: 1, Speed: 1, Queue: 9})
 	ask := func(site int) error {
 		c, err := net.DialTimeout("tcp", b.Address(site), 200*ms)
 		if err != nil {
@@ -205,7 +207,7 @@
 // A connection on which a request came last is told of as it ends, or as the next one comes.
 func TestIdle(t *testing.T) {
 	w := &watched{&notes{}, make(chan string, 8)}
-	b, err := NewServer(Identity{Name: "b", Number: 7}, Figures{Cores: 1, Speed: 1, Queue: 9}, time.Now(), []string{"127.0.0.1:0"},
+	b, err := NewServer(Identity{Name: "b", Number: 7}, Settings{Cores: 1, Speed: 1, Queue: 9}, time.Now(), []string{"127.0.0.1:0"},
 		func(int) time.Duration { return 0 }, w)
 	if err != nil {
 		t.Fatal(err)
