--- a/internal/cluster/peer/reconcile_test.go
+++ b/internal/cluster/peer/reconcile_test.go
@@ -73,6 +73,8 @@
 		return s
 	}
 	eventually(t, "what the record has is reconciled", func() bool { return state("n0-0") == intent.HasRun && state("n0-1") == intent.PossiblySent })
+	// A record can be read a moment before the status of its node names it.
+	eventually(t, "a status names the reconciliation", func() bool { return len(reconcilers()) > 0 })
 	by := reconcilers()
 	if len(by) != 1 {
 		t.Fatalf("reconciled by %v", by)
@@ -88,6 +90,7 @@
 	delete(nodes, first)
 	writeRecord("n0-0", "n0-1")
 	eventually(t, "the next node reconciles what is left", func() bool { return state("n0-1") == intent.HasRun })
+	eventually(t, "a status names the second reconciliation", func() bool { return len(reconcilers()) > 1 })
 	if by := reconcilers(); len(by) != 2 || by[first] != 1 {
 		t.Errorf("reconciled by %v, at first by %s", by, first)
 	}
