--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -1,5 +1,6 @@
-// Package baseline holds plain policies that stand behind the same door as the project's own, to have a figure beside
-// its figure, and broken ones, to show that the audit finds what they break. None of them serves traffic.
+// Package baseline holds policies for the testbed in the place of the project's own: simple ones to compare results with,
+// and broken ones that show that the audit finds each violation. Nodes of the testbed create them by Find; none is used
+// in production. A decider is driven by its engine, from one goroutine at a time.
 package baseline
 
 import (
@@ -13,17 +14,17 @@
 )
 
 const (
-	sweepEvery = 20 * time.Millisecond  // between looks at open requests
-	askAgain   = time.Second            // after discovery failed
-	holdBack   = 100 * time.Millisecond // before the client's time is up
-	tooLate    = 400 * time.Millisecond // after the client's leaving, beyond any slack
-	ahead      = 5 * time.Millisecond   // of the client's leaving, the last moment to answer
+	sweepInterval       = 20 * time.Millisecond  // of checks of open requests
+	resubscribeDelay    = time.Second            // after discovery was unavailable
+	sendBeforeTimeout   = 100 * time.Millisecond // when "deaf" sends, before the client's timeout
+	lateBy              = 400 * time.Millisecond // when "late" answers, after the client's timeout and any slack
+	answerBeforeTimeout = 5 * time.Millisecond   // before the client's timeout, when a request is answered at the latest
 )
 
-// Names of the baselines.
+// Names lists the baselines.
 var Names = []string{"random", "round-robin", "least-in-flight", "two-choices"}
 
-// Broken names those that break one rule each, and the rule that the audit has to name.
+// Broken maps each broken policy to the rule that the audit must find violated.
 var Broken = map[string]string{
 	"silent":           "answered",
 	"late":             "answered",
@@ -39,271 +40,284 @@
 	"hoards":           "closing",
 }
 
-// Find returns the maker of a baseline, a broken one, or the project's own; ok is false for another name.
-func Find(name string) (m engine.DeciderFactory, ok bool) {
+// Find returns the factory of a baseline, a broken policy or the project's own; ok is false for any other name.
+func Find(name string) (factory engine.DeciderFactory, ok bool) {
 	_, broken := Broken[name]
 	switch {
 	case name == "" || name == "fernvane":
 		return engine.NewPolicy, true
 	case broken || slices.Contains(Names, name):
 		return func(s policy.Settings, seed uint32) engine.Decider {
-			return &module{set: s, seed: seed, name: name, broken: broken}
+			return &decider{settings: s, seed: seed, name: name, isBroken: broken}
 		}, true
 	}
 	return nil, false
 }
 
+// request is the state of a request.
 type request struct {
-	open     bool
-	out      bool
-	kind     int
-	limit    time.Duration // the client is gone
-	target   time.Duration
-	attempts []int
-	mayRun   int // server whose group must be kept; -1: none may have run
-	firstRun time.Duration
+	isOpen     bool
+	isInFlight bool
+	typeIndex  int
+	limit      time.Duration // the client's timeout
+	target     time.Duration
+	attempts   []int
+	mayRun     int // server of the first attempt that may have run; -1: none
+	firstRun   time.Duration
 }
 
-type module struct {
-	set    policy.Settings
-	seed   uint32
-	draws  uint32
-	name   string
-	broken bool
+// decider is a baseline or broken policy.
+type decider struct {
+	settings policy.Settings
+	seed     uint32
+	draws    uint32
+	name     string
+	isBroken bool
 
 	now      time.Duration
 	effects  []policy.Effect
 	requests []request
 
-	ready    []bool
-	zone     []int
-	cell     []int
-	machine  []int // its kind
-	started  []time.Duration
-	inFlight []int
-	turn     int
-	asked    bool
-	askAt    time.Duration
+	ready        []bool
+	zone         []int
+	cell         []int
+	machine      []int // kind of machine
+	started      []time.Duration
+	inFlight     []int
+	next         int
+	isSubscribed bool
+	subscribeAt  time.Duration
 }
 
-func (m *module) is(broken string) bool { return m.broken && m.name == broken }
+// breaks reports whether this is the broken policy of a name.
+func (d *decider) breaks(broken string) bool { return d.isBroken && d.name == broken }
 
-func (m *module) chance() float64 {
+// chance returns the next random number in [0, 1).
+func (d *decider) chance() float64 {
 	var b [8]byte
-	binary.LittleEndian.PutUint32(b[:4], m.seed)
-	binary.LittleEndian.PutUint32(b[4:], m.draws)
-	m.draws++
+	binary.LittleEndian.PutUint32(b[:4], d.seed)
+	binary.LittleEndian.PutUint32(b[4:], d.draws)
+	d.draws++
 	return float64(crc32.ChecksumIEEE(b[:])) / (1 << 32)
 }
 
-func (m *module) emit(e policy.Effect) { m.effects = append(m.effects, e) }
+// emit adds an effect.
+func (d *decider) emit(e policy.Effect) { d.effects = append(d.effects, e) }
 
 // Handle decides on one input.
-func (m *module) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
-	m.now, m.effects = now, effects
+func (d *decider) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
+	d.now, d.effects = now, effects
 	switch in.Kind {
 	case policy.RequestArrived:
-		m.arrive(in)
+		d.requestArrived(in)
 	case policy.AttemptEnded:
-		m.attemptEnded(in)
+		d.attemptEnded(in)
 	case policy.ClientLeft:
-		if in.Request < len(m.requests) {
-			m.requests[in.Request].open = false
+		if in.Request < len(d.requests) {
+			d.requests[in.Request].isOpen = false
 		}
 	case policy.EndpointsUpdated:
-		m.list(in)
+		d.endpointsUpdated(in)
 	case policy.TimerFired:
-		m.sweep()
+		d.sweep()
 	}
-	return m.effects
+	return d.effects
 }
 
-func (m *module) arrive(in *policy.Input) {
-	for in.Request >= len(m.requests) {
-		m.requests = append(m.requests, request{})
+// requestArrived sends a new request or rejects it.
+func (d *decider) requestArrived(in *policy.Input) {
+	for in.Request >= len(d.requests) {
+		d.requests = append(d.requests, request{})
 	}
-	t := &m.set.TrafficTypes[in.TrafficType]
-	o := &m.requests[in.Request]
-	*o = request{open: true, kind: in.TrafficType, attempts: o.attempts[:0], mayRun: -1, limit: m.now + in.Timeout,
-		target: m.now + min(t.LatencyObjective, in.Timeout)}
-	if m.is("silent") && m.chance() < 0.05 || m.is("late") && m.chance() < 0.05 {
-		o.out = true // as if an attempt were out, of which nothing is heard
+	t := &d.settings.TrafficTypes[in.TrafficType]
+	o := &d.requests[in.Request]
+	*o = request{isOpen: true, typeIndex: in.TrafficType, attempts: o.attempts[:0], mayRun: -1, limit: d.now + in.Timeout,
+		target: d.now + min(t.LatencyObjective, in.Timeout)}
+	if d.breaks("silent") && d.chance() < 0.05 || d.breaks("late") && d.chance() < 0.05 {
+		o.isInFlight = true // as if an attempt were in flight without an outcome
 		return
 	}
-	if m.is("deaf") && m.chance() < 0.3 {
+	if d.breaks("deaf") && d.chance() < 0.3 {
 		o.target = o.limit
-		return // it waits for nearly all of its time, and then goes whether or not its client is there
+		return // it is sent shortly before the timeout, whether or not its client is connected
 	}
-	if !m.send(in.Request) {
-		m.reject(in.Request)
+	if !d.send(in.Request) {
+		d.reject(in.Request)
 	}
 }
 
-func (m *module) reject(op int) {
-	m.requests[op].open = false
-	m.emit(policy.Effect{Kind: policy.Reject, Request: op})
+// reject rejects a request.
+func (d *decider) reject(request int) {
+	d.requests[request].isOpen = false
+	d.emit(policy.Effect{Kind: policy.Reject, Request: request})
 }
 
-func (m *module) writeOff(op int) {
-	m.requests[op].open = false
-	m.emit(policy.Effect{Kind: policy.Fail, Request: op})
+// fail fails a request whose outcome is unknown.
+func (d *decider) fail(request int) {
+	d.requests[request].isOpen = false
+	d.emit(policy.Effect{Kind: policy.Fail, Request: request})
 }
 
-// send puts an attempt out, if there is a server that the request may go to.
-func (m *module) send(op int) bool {
-	o := &m.requests[op]
-	fits := make([]int, 0, len(m.ready))
-	for s, ready := range m.ready {
-		if ready && !slices.Contains(o.attempts, s) && m.inGroup(o, s) && m.open(o, s) {
+// send sends an attempt if there is a server that the request may be sent to.
+func (d *decider) send(request int) bool {
+	o := &d.requests[request]
+	fits := make([]int, 0, len(d.ready))
+	for s, ready := range d.ready {
+		if ready && !slices.Contains(o.attempts, s) && d.inGroup(o, s) && d.mayPlace(o, s) {
 			fits = append(fits, s)
 		}
 	}
 	if len(fits) == 0 {
 		return false
 	}
-	s := m.choose(fits)
+	s := d.choose(fits)
 	o.attempts = append(o.attempts, s)
-	o.out = true
-	m.inFlight[s]++
-	m.emit(policy.Effect{Kind: policy.SendAttempt, Request: op, Server: s, Duration: max(o.target-m.now, time.Millisecond)})
+	o.isInFlight = true
+	d.inFlight[s]++
+	d.emit(policy.Effect{Kind: policy.SendAttempt, Request: request, Server: s, Duration: max(o.target-d.now, time.Millisecond)})
 	return true
 }
 
-// open reports whether a request's type may be sent to a server.
-func (m *module) open(o *request, s int) bool {
-	for i, to := range m.set.Placements {
-		bound := m.set.TrafficTypes[o.kind].PlacementBit&(1<<i) != 0 && !m.is("misplaces")
-		if bound && (to.Zones != nil && !slices.Contains(to.Zones, m.zone[s]) || to.MachineKinds != nil && !slices.Contains(to.MachineKinds, m.machine[s])) {
+// mayPlace reports whether a request's type may be sent to a server.
+func (d *decider) mayPlace(o *request, s int) bool {
+	for i, to := range d.settings.Placements {
+		bound := d.settings.TrafficTypes[o.typeIndex].PlacementBit&(1<<i) != 0 && !d.breaks("misplaces")
+		if bound && (to.Zones != nil && !slices.Contains(to.Zones, d.zone[s]) || to.MachineKinds != nil && !slices.Contains(to.MachineKinds, d.machine[s])) {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *module) inGroup(o *request, s int) bool {
-	if o.mayRun < 0 || m.set.TrafficTypes[o.kind].Idempotency != policy.IdempotentWithKey || m.is("wrong-group") {
+// inGroup reports whether a server is in the key scope of the attempt that may have run.
+func (d *decider) inGroup(o *request, s int) bool {
+	if o.mayRun < 0 || d.settings.TrafficTypes[o.typeIndex].Idempotency != policy.IdempotentWithKey || d.breaks("wrong-group") {
 		return true
 	}
-	switch m.set.TrafficTypes[o.kind].KeyScope {
+	switch d.settings.TrafficTypes[o.typeIndex].KeyScope {
 	case policy.KeyScopeZone:
-		return m.zone[s] == m.zone[o.mayRun]
+		return d.zone[s] == d.zone[o.mayRun]
 	case policy.KeyScopeCell:
-		return m.cell[s] == m.cell[o.mayRun]
+		return d.cell[s] == d.cell[o.mayRun]
 	}
 	return true
 }
 
-// choose picks one of the servers that fit; they come in the order of their indices.
-func (m *module) choose(fits []int) int {
-	any := func() int { return fits[int(m.chance()*float64(len(fits)))] }
-	switch m.name {
+// choose returns one of the servers that fit, which are in ascending order.
+func (d *decider) choose(fits []int) int {
+	any := func() int { return fits[int(d.chance()*float64(len(fits)))] }
+	switch d.name {
 	case "random":
 		return any()
 	case "two-choices":
 		a, b := any(), any()
-		if m.inFlight[b] < m.inFlight[a] {
+		if d.inFlight[b] < d.inFlight[a] {
 			return b
 		}
 		return a
 	case "least-in-flight":
-		best, from := -1, int(m.chance()*float64(len(fits)))
+		best, from := -1, int(d.chance()*float64(len(fits)))
 		for i := range fits {
-			if s := fits[(from+i)%len(fits)]; best < 0 || m.inFlight[s] < m.inFlight[best] {
+			if s := fits[(from+i)%len(fits)]; best < 0 || d.inFlight[s] < d.inFlight[best] {
 				best = s
 			}
 		}
 		return best
 	case "floods-cold":
-		return slices.MaxFunc(fits, func(a, b int) int { return int(m.started[a] - m.started[b]) })
+		return slices.MaxFunc(fits, func(a, b int) int { return int(d.started[a] - d.started[b]) })
 	}
-	i, _ := slices.BinarySearch(fits, m.turn)
+	i, _ := slices.BinarySearch(fits, d.next)
 	s := fits[i%len(fits)]
-	m.turn = s + 1
+	d.next = s + 1
 	return s
 }
 
-func (m *module) attemptEnded(in *policy.Input) {
-	m.inFlight[in.Server]--
-	o := &m.requests[in.Request]
-	o.out = false
+// attemptEnded retries or answers a request after an attempt.
+func (d *decider) attemptEnded(in *policy.Input) {
+	d.inFlight[in.Server]--
+	o := &d.requests[in.Request]
+	o.isInFlight = false
 	ran := in.Outcome != policy.Overloaded && in.Outcome != policy.Unreachable && in.Outcome != policy.NotStarted
 	if ran && o.mayRun < 0 {
-		o.mayRun, o.firstRun = in.Server, m.now-in.Elapsed
+		o.mayRun, o.firstRun = in.Server, d.now-in.Elapsed
 	}
-	if !o.open || in.Outcome == policy.Success || in.ClientAnswered {
-		o.open = false
+	if !o.isOpen || in.Outcome == policy.Success || in.ClientAnswered {
+		o.isOpen = false
 		return
 	}
-	t := &m.set.TrafficTypes[o.kind]
-	may := o.mayRun < 0 || t.Idempotency == policy.Idempotent || m.is("repeats-binding") ||
-		t.Idempotency == policy.IdempotentWithKey && (m.now < o.firstRun+t.KeyRetention-2*sweepEvery || m.is("past-window"))
-	most := m.set.MaxAttempts
-	if m.is("too-many-hops") {
+	t := &d.settings.TrafficTypes[o.typeIndex]
+	may := o.mayRun < 0 || t.Idempotency == policy.Idempotent || d.breaks("repeats-binding") ||
+		t.Idempotency == policy.IdempotentWithKey && (d.now < o.firstRun+t.KeyRetention-2*sweepInterval || d.breaks("past-window"))
+	most := d.settings.MaxAttempts
+	if d.breaks("too-many-hops") {
 		most = 1 << 30
 	}
-	if may && len(o.attempts) < most && m.now < o.target && m.send(in.Request) {
+	if may && len(o.attempts) < most && d.now < o.target && d.send(in.Request) {
 		return
 	}
-	if m.harmless(o) || m.is("denies-after-run") {
-		m.reject(in.Request)
+	if d.isSafeToRetry(o) || d.breaks("denies-after-run") {
+		d.reject(in.Request)
 	} else {
-		m.writeOff(in.Request)
+		d.fail(in.Request)
 	}
 }
 
-func (m *module) harmless(o *request) bool {
-	t := &m.set.TrafficTypes[o.kind]
-	return o.mayRun < 0 && !o.out || t.Idempotency == policy.Idempotent || t.Idempotency == policy.IdempotentWithKey && t.KeyScope == policy.KeyScopeAll
+// isSafeToRetry reports whether a rejected request may be retried by the client.
+func (d *decider) isSafeToRetry(o *request) bool {
+	t := &d.settings.TrafficTypes[o.typeIndex]
+	return o.mayRun < 0 && !o.isInFlight || t.Idempotency == policy.Idempotent || t.Idempotency == policy.IdempotentWithKey && t.KeyScope == policy.KeyScopeAll
 }
 
-func (m *module) list(in *policy.Input) {
+// endpointsUpdated takes over an endpoint list.
+func (d *decider) endpointsUpdated(in *policy.Input) {
 	if in.Scope == policy.Unavailable {
-		m.asked, m.askAt = false, m.now+askAgain
+		d.isSubscribed, d.subscribeAt = false, d.now+resubscribeDelay
 		return
 	}
-	if in.Scope != policy.Incremental && !m.is("ignores-drains") {
-		clear(m.ready)
+	if in.Scope != policy.Incremental && !d.breaks("ignores-drains") {
+		clear(d.ready)
 	}
 	for _, l := range in.Endpoints {
-		for l.Server >= len(m.ready) {
-			m.ready, m.inFlight = append(m.ready, false), append(m.inFlight, 0)
-			m.zone, m.cell, m.machine = append(m.zone, 0), append(m.cell, 0), append(m.machine, 0)
-			m.started = append(m.started, 0)
+		for l.Server >= len(d.ready) {
+			d.ready, d.inFlight = append(d.ready, false), append(d.inFlight, 0)
+			d.zone, d.cell, d.machine = append(d.zone, 0), append(d.cell, 0), append(d.machine, 0)
+			d.started = append(d.started, 0)
 		}
-		m.zone[l.Server], m.cell[l.Server], m.machine[l.Server] = l.Zone, l.Cell, l.MachineKind
+		d.zone[l.Server], d.cell[l.Server], d.machine[l.Server] = l.Zone, l.Cell, l.MachineKind
 		if l.HasStartTime {
-			m.started[l.Server] = l.StartedAt
+			d.started[l.Server] = l.StartedAt
 		} else {
-			m.started[l.Server] = -time.Hour
+			d.started[l.Server] = -time.Hour
 		}
-		if l.Condition == policy.Up || !m.is("ignores-drains") {
-			m.ready[l.Server] = l.Condition == policy.Up
+		if l.Condition == policy.Up || !d.breaks("ignores-drains") {
+			d.ready[l.Server] = l.Condition == policy.Up
 		}
 	}
 }
 
-func (m *module) sweep() {
-	m.emit(policy.Effect{Kind: policy.SetTimer, Duration: sweepEvery})
-	for i := range m.requests {
-		o := &m.requests[i]
-		limit := o.limit - ahead - sweepEvery
-		if m.is("late") && len(o.attempts) == 0 {
-			limit = o.limit + tooLate
+// sweep answers requests near their timeout and subscribes to discovery.
+func (d *decider) sweep() {
+	d.emit(policy.Effect{Kind: policy.SetTimer, Duration: sweepInterval})
+	for i := range d.requests {
+		o := &d.requests[i]
+		limit := o.limit - answerBeforeTimeout - sweepInterval
+		if d.breaks("late") && len(o.attempts) == 0 {
+			limit = o.limit + lateBy
 		}
-		if m.is("deaf") && o.open && len(o.attempts) == 0 && m.now >= limit-holdBack && m.send(i) {
+		if d.breaks("deaf") && o.isOpen && len(o.attempts) == 0 && d.now >= limit-sendBeforeTimeout && d.send(i) {
 			continue
 		}
-		if !o.open || m.now < limit || m.is("silent") {
+		if !o.isOpen || d.now < limit || d.breaks("silent") {
 			continue
 		}
-		if m.harmless(o) || len(o.attempts) == 0 {
-			m.reject(i)
+		if d.isSafeToRetry(o) || len(o.attempts) == 0 {
+			d.reject(i)
 		} else {
-			m.writeOff(i)
+			d.fail(i)
 		}
 	}
-	if !m.asked && m.now >= m.askAt {
-		m.asked = true
-		m.emit(policy.Effect{Kind: policy.Subscribe})
+	if !d.isSubscribed && d.now >= d.subscribeAt {
+		d.isSubscribed = true
+		d.emit(policy.Effect{Kind: policy.Subscribe})
 	}
 }
--- a/internal/testbed/baseline/retention.go
+++ b/internal/testbed/baseline/retention.go
@@ -2,18 +2,18 @@
 
 import "fernvane/internal/proxy/dispatch"
 
-// IdleRetention returns the rule by which a node that runs a named policy keeps idle connections to servers: nil for the
-// shipped rule, another one only for the broken policy that keeps connections to servers that drain.
+// IdleRetention returns the retention of idle connections for a node with a policy: nil, which is the shipped one, except
+// for the broken policy that keeps connections to draining servers.
 func IdleRetention(policy string) dispatch.IdleRetention {
 	if Broken[policy] == "closing" {
-		return keepAll{}
+		return retainAll{}
 	}
 	return nil
 }
 
-// keepAll keeps every idle connection until it expires, whatever becomes of its server.
-type keepAll struct{}
+// retainAll keeps every idle connection until it expires.
+type retainAll struct{}
 
-func (keepAll) MayIdle(bool) bool { return true }
+func (retainAll) MayIdle(bool) bool { return true }
 
-func (keepAll) ClosesOnChange() bool { return false }
+func (retainAll) ClosesOnChange() bool { return false }
--- a/internal/testbed/standin/link/link.go
+++ b/internal/testbed/standin/link/link.go
@@ -1,6 +1,6 @@
-// Package link is a listener whose network can fail: it can go silent, as when a site is cut off, or away, as when a
-// process dies. Silence means that connections stay open and bring nothing, and that new ones never come up; nobody is
-// sent a reset.
+// Package link provides a listener whose network can fail. It can be silent, as when a site is cut off: connections stay
+// open but carry nothing, and new ones do not open; there are no resets. Or it can be stopped, as when a process ends. The
+// stand-ins of servers and discovery listen with it. A Listener is safe for concurrent use.
 package link
 
 import (
@@ -13,25 +13,25 @@
 )
 
 const (
-	fillFor    = 30 * time.Millisecond // in which a connection to a listener that is not full comes up
-	fullAfter  = 3                     // connections in a row that do not: one may be late on a busy machine
-	maxFillers = 8
+	fillTimeout       = 30 * time.Millisecond // in which a connection opens if the backlog is not full
+	fullAfterFailures = 3                     // in a row; a single one may be due to a busy machine
+	maxFillers        = 8
 )
 
-// Listener leads its connections while it is there.
+// Listener accepts connections and has each served, unless it is stopped or silent.
 type Listener struct {
 	address string
-	lead    func(*Conn)
+	serve   func(*Conn)
 	wg      sync.WaitGroup
 
 	mu      sync.Mutex
 	ln      *net.TCPListener
 	conns   map[*Conn]bool
-	silent  chan struct{} // closed when the silence is over; nil without one
+	silent  chan struct{} // closed when the silence ends; nil without one
 	fillers []net.Conn
 }
 
-// Conn is a connection that shares its listener's silence.
+// Conn is a connection that is silent while its listener is.
 type Conn struct {
 	*net.TCPConn
 	l        *Listener
@@ -40,16 +40,17 @@
 	received time.Time
 }
 
-// Listen takes connections at an address and gives each to lead, which owns and closes it.
-func Listen(address string, lead func(*Conn)) (*Listener, error) {
-	l := &Listener{address: address, lead: lead, conns: map[*Conn]bool{}}
+// Listen accepts connections at an address and calls serve for each, in a goroutine of its own. The connection is closed
+// when serve returns.
+func Listen(address string, serve func(*Conn)) (*Listener, error) {
+	l := &Listener{address: address, serve: serve, conns: map[*Conn]bool{}}
 	return l, l.Reopen()
 }
 
-// Address is where it listens, also while it is away.
+// Address returns where the listener listens, also while it is stopped.
 func (l *Listener) Address() string { return l.address }
 
-// Reopen listens again after Leave.
+// Reopen listens again after Stop.
 func (l *Listener) Reopen() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,6 +67,7 @@
 	return nil
 }
 
+// accept accepts connections until the listener is stopped.
 func (l *Listener) accept(ln *net.TCPListener) {
 	defer l.wg.Done()
 	for {
@@ -84,25 +86,25 @@
 		}
 		c := &Conn{TCPConn: nc, l: l, ended: make(chan struct{})}
 		l.mu.Lock()
-		here := l.ln == ln
-		if here {
+		isCurrent := l.ln == ln
+		if isCurrent {
 			l.conns[c] = true
 			l.wg.Add(1)
 		}
 		l.mu.Unlock()
-		if !here {
+		if !isCurrent {
 			c.Reset()
 			continue
 		}
 		go func() {
 			defer l.wg.Done()
 			defer c.Close()
-			l.lead(c)
+			l.serve(c)
 		}()
 	}
 }
 
-// Stop ends the listening and resets all connections: new ones are refused.
+// Stop stops listening and resets all connections; new ones are refused.
 func (l *Listener) Stop() {
 	l.EndSilence()
 	l.mu.Lock()
@@ -110,29 +112,29 @@
 	l.ln, l.conns = nil, map[*Conn]bool{}
 	l.mu.Unlock()
 	if ln != nil {
-		shut(ln)
+		closeNow(ln)
 	}
 	for c := range conns {
 		c.Reset()
 	}
 }
 
-// shut ends a listener at once, also where a process that is just being started shares it until it runs its program:
-// its address would be in use for as long.
-func shut(ln *net.TCPListener) {
+// closeNow closes a listener at once. Without the shutdown, a process that is being forked would share the socket until its
+// exec and keep the address in use.
+func closeNow(ln *net.TCPListener) {
 	if rc, err := ln.SyscallConn(); err == nil {
 		rc.Control(func(fd uintptr) { syscall.Shutdown(int(fd), syscall.SHUT_RD) })
 	}
 	ln.Close()
 }
 
-// Close leaves for good and waits for what was led.
+// Close stops the listener and waits until all connections are served.
 func (l *Listener) Close() {
 	l.Stop()
 	l.wg.Wait()
 }
 
-// Silence begins a silence. New connections fill the short queue that is left to them and then never come up.
+// Silence begins a silence. It fills the shortened backlog, so that new connections do not open.
 func (l *Listener) Silence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,8 +144,8 @@
 	l.silent = make(chan struct{})
 	l.ln.SetDeadline(time.Unix(1, 0))
 	l.backlog(0)
-	for refused := 0; refused < fullAfter && len(l.fillers) < maxFillers; {
-		c, err := net.DialTimeout("tcp", l.address, fillFor)
+	for refused := 0; refused < fullAfterFailures && len(l.fillers) < maxFillers; {
+		c, err := net.DialTimeout("tcp", l.address, fillTimeout)
 		if err != nil {
 			refused++
 			continue
@@ -153,7 +155,7 @@
 	}
 }
 
-// EndSilence ends a silence: what was written meanwhile arrives.
+// EndSilence ends a silence. What was written meanwhile arrives.
 func (l *Listener) EndSilence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -164,7 +166,7 @@
 		c.Close()
 	}
 	l.fillers = nil
-	for l.ln != nil { // what came up just as the silence began is reset: nobody could date what lies in it
+	for l.ln != nil { // reset what opened as the silence began: its bytes have no known time
 		l.ln.SetDeadline(time.Now().Add(time.Millisecond))
 		c, err := l.ln.AcceptTCP()
 		if err != nil {
@@ -181,14 +183,15 @@
 	l.silent = nil
 }
 
+// backlog sets the length of the queue of connections that are not accepted yet.
 func (l *Listener) backlog(n int) {
 	if rc, err := l.ln.SyscallConn(); err == nil {
 		rc.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
 	}
 }
 
-// pass waits for the end of a silence, if there is one. It is false if the connection ends first.
-func (c *Conn) pass() bool {
+// awaitSilenceEnd waits for the end of a silence, if there is one. It returns false if the connection ends first.
+func (c *Conn) awaitSilenceEnd() bool {
 	c.l.mu.Lock()
 	silent := c.l.silent
 	c.l.mu.Unlock()
@@ -203,47 +206,47 @@
 	}
 }
 
-// Read holds back what comes in a silence.
+// Read reads; it holds back what comes in a silence.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	c.received = time.Now()
-	if !c.pass() {
+	if !c.awaitSilenceEnd() {
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
-// Received is when what was read last reached this side, which in a silence is before it was passed on.
+// Received returns when the bytes read last arrived, which in a silence is before Read returned them.
 func (c *Conn) Received() time.Time { return c.received }
 
-// Write waits while there is a silence.
+// Write writes after a silence, if there is one.
 func (c *Conn) Write(b []byte) (int, error) {
-	if !c.pass() {
+	if !c.awaitSilenceEnd() {
 		return 0, net.ErrClosed
 	}
 	return c.TCPConn.Write(b)
 }
 
-// WriteTo and ReadFrom are what io.Copy uses in place of Read and Write. Those of the connection below know of no silence.
-
-// WriteTo passes on what comes, as Read does.
+// WriteTo copies what Read returns. It hides the method of the TCP connection, which io.Copy would use and which ignores
+// silences.
 func (c *Conn) WriteTo(w io.Writer) (int64, error) { return io.Copy(w, struct{ io.Reader }{c}) }
 
-// ReadFrom sends what a reader has, as Write does.
+// ReadFrom copies to Write, for the same reason.
 func (c *Conn) ReadFrom(r io.Reader) (int64, error) { return io.Copy(struct{ io.Writer }{c}, r) }
 
-// Close ends the connection, in a silence only after it: the other side hears nothing before.
+// Close closes the connection, in a silence only after its end.
 func (c *Conn) Close() error {
-	c.pass()
+	c.awaitSilenceEnd()
 	return c.end()
 }
 
-// Reset breaks it.
+// Reset closes the connection with a reset.
 func (c *Conn) Reset() {
 	c.SetLinger(0)
 	c.end()
 }
 
+// end closes the connection and removes it from its listener.
 func (c *Conn) end() error {
 	c.once.Do(func() { close(c.ended) })
 	c.l.mu.Lock()
--- a/internal/testbed/standin/mesh/mesh.go
+++ b/internal/testbed/standin/mesh/mesh.go
@@ -1,6 +1,6 @@
-// Package mesh are the links between the processes of a tier: each process is reached by the others at a place of this
-// package's, which passes on what they send, late, spoilt or not at all where it is told so. Who sends is known by the
-// address from which it does. Each direction between each two has its own troubles.
+// Package mesh is a stand-in for the network between nodes or other processes of a group. Each process is reached by the
+// others at an address of the mesh, which forwards streams and datagrams and can delay, corrupt or cut them. The sender is
+// known by its IP address. Each direction between two processes has faults of its own. A Mesh is safe for concurrent use.
 package mesh
 
 import (
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// Direction is what befalls one direction between two processes. Its zero is a link without trouble.
+// Direction holds the faults of one direction between two processes. Its zero value has none.
 type Direction struct {
-	Cut     bool          // nothing passes; connections stay, and what was sent waits or is lost with them
-	Delay   time.Duration // each piece comes so much later
-	PerS    float64       // bytes a second that pass; 0: all
-	Garble  float64       // share of pieces of which one byte comes as another
-	Lose    float64       // share of datagrams that do not come
-	Twice   float64       // share of datagrams that come a second time
-	Reorder float64       // share of datagrams that come behind the next ones
+	Cut     bool          // nothing is forwarded; connections stay open, datagrams are lost
+	Delay   time.Duration // of each piece
+	PerS    float64       // limit of bytes per second; 0: none
+	Garble  float64       // share of pieces with one corrupted byte
+	Lose    float64       // share of datagrams that are lost
+	Twice   float64       // share of datagrams that are duplicated
+	Reorder float64       // share of datagrams that are reordered
 }
 
 const (
@@ -30,7 +30,7 @@
 	unknownWay    = -1
 )
 
-// Mesh is all links of a tier.
+// Mesh holds all links of a group of processes.
 type Mesh struct {
 	mu        sync.Mutex
 	ways      map[[2]int]*Direction
@@ -42,16 +42,16 @@
 	done      bool
 	wg        sync.WaitGroup
 	bytes     int64
-	// Frame is notified of each frame on a connection before it is passed on, by its kind; nil: frames are not looked for.
+	// Frame is notified of each frame on a connection before it is forwarded, by its kind. nil: frames are not scanned.
 	Frame func(from, to int, kind byte)
 }
 
-// New has no links.
+// New returns a mesh without processes.
 func New() *Mesh {
 	return &Mesh{ways: map[[2]int]*Direction{}, who: map[string]int{}, conns: map[net.Conn]bool{}, sockets: map[int]net.PacketConn{}}
 }
 
-// Set changes what befalls a direction.
+// Set changes the faults of a direction.
 func (f *Mesh) Set(from, to int, change func(*Direction)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,7 +63,7 @@
 	change(w)
 }
 
-func (f *Mesh) way(from, to int) Direction {
+func (f *Mesh) direction(from, to int) Direction {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if w := f.ways[[2]int{from, to}]; w != nil {
@@ -72,14 +72,14 @@
 	return Direction{}
 }
 
-// Bytes that have passed on connections.
+// Bytes returns how many bytes were forwarded on connections.
 func (f *Mesh) Bytes() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.bytes
 }
 
-// Join has a process, which sends from an IP, reached at place; what comes there goes on to where it listens.
+// Join adds process n, which sends from an IP. Connections to place are forwarded to where it listens.
 func (f *Mesh) Join(n int, ip, place, listens string) error {
 	ln, err := net.Listen("tcp", place)
 	if err != nil {
@@ -95,13 +95,13 @@
 			if err != nil {
 				return
 			}
-			f.wg.Go(func() { f.lead(nc, n, listens) })
+			f.wg.Go(func() { f.forward(nc, n, listens) })
 		}
 	})
 	return nil
 }
 
-// JoinPackets does the same for datagrams. Their receiver sees them come from the sender's place.
+// JoinPackets is Join for datagrams. The receiver sees the sender's place as their source.
 func (f *Mesh) JoinPackets(n int, ip, place, listens string) error {
 	pc, err := net.ListenPacket("udp", place)
 	if err != nil {
@@ -124,16 +124,16 @@
 			if err != nil {
 				return
 			}
-			f.packet(from, n, to, append([]byte(nil), buffer[:size]...))
+			f.forwardPacket(from, n, to, append([]byte(nil), buffer[:size]...))
 		}
 	})
 	return nil
 }
 
-// packet passes a datagram on, as often as it comes.
-func (f *Mesh) packet(from net.Addr, n int, to net.Addr, text []byte) {
+// forwardPacket forwards a datagram with the faults of its direction.
+func (f *Mesh) forwardPacket(from net.Addr, n int, to net.Addr, text []byte) {
 	sender := f.sender(from)
-	w := f.way(sender, n)
+	w := f.direction(sender, n)
 	f.mu.Lock()
 	out := f.sockets[sender]
 	f.mu.Unlock()
@@ -175,7 +175,7 @@
 	return unknownWay
 }
 
-func (f *Mesh) keep(c net.Conn) bool {
+func (f *Mesh) addConn(c net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.done {
@@ -186,20 +186,20 @@
 	return true
 }
 
-func (f *Mesh) drop(c net.Conn) {
+func (f *Mesh) closeConn(c net.Conn) {
 	c.Close()
 	f.mu.Lock()
 	delete(f.conns, c)
 	f.mu.Unlock()
 }
 
-func (f *Mesh) lead(down net.Conn, n int, listens string) {
-	if !f.keep(down) {
+func (f *Mesh) forward(down net.Conn, n int, listens string) {
+	if !f.addConn(down) {
 		return
 	}
-	defer f.drop(down)
+	defer f.closeConn(down)
 	from := f.sender(down.RemoteAddr())
-	for f.way(from, n).Cut { // who connects to what is cut hears nothing of it
+	for f.direction(from, n).Cut { // who connects to what is cut hears nothing of it
 		time.Sleep(pollInterval)
 		f.mu.Lock()
 		done := f.done
@@ -209,13 +209,13 @@
 		}
 	}
 	up, err := net.DialTimeout("tcp", listens, time.Second)
-	if err != nil || !f.keep(up) {
+	if err != nil || !f.addConn(up) {
 		return
 	}
-	defer f.drop(up)
+	defer f.closeConn(up)
 	var both sync.WaitGroup
-	both.Go(func() { f.pass(down, up, from, n) })
-	both.Go(func() { f.pass(up, down, n, from) })
+	both.Go(func() { f.forwardPieces(down, up, from, n) })
+	both.Go(func() { f.forwardPieces(up, down, n, from) })
 	both.Wait()
 }
 
@@ -224,18 +224,18 @@
 	due  time.Time
 }
 
-// pass hands on one direction, piece by piece, each at its time.
-func (f *Mesh) pass(a, b net.Conn, from, to int) {
+// forwardPieces forwards one direction piece by piece, each at its time.
+func (f *Mesh) forwardPieces(a, b net.Conn, from, to int) {
 	pieces := make(chan piece, 64)
 	var writing sync.WaitGroup
 	writing.Go(func() {
 		defer b.Close()
 		for p := range pieces {
 			time.Sleep(time.Until(p.due))
-			for f.way(from, to).Cut && !f.over(a) {
+			for f.direction(from, to).Cut && !f.isClosed(a) {
 				time.Sleep(pollInterval)
 			}
-			w := f.way(from, to)
+			w := f.direction(from, to)
 			if w.PerS > 0 {
 				time.Sleep(time.Duration(float64(len(p.text)) / w.PerS * float64(time.Second)))
 			}
@@ -261,7 +261,7 @@
 			if f.Frame != nil {
 				look.at(buffer[:n], func(kind byte) { f.Frame(from, to, kind) })
 			}
-			pieces <- piece{append([]byte(nil), buffer[:n]...), time.Now().Add(f.way(from, to).Delay)}
+			pieces <- piece{append([]byte(nil), buffer[:n]...), time.Now().Add(f.direction(from, to).Delay)}
 		}
 		if err != nil {
 			break
@@ -271,14 +271,14 @@
 	writing.Wait()
 }
 
-// over reports whether a connection was let go of.
-func (f *Mesh) over(c net.Conn) bool {
+// isClosed reports whether a connection was closed by closeConn or Close.
+func (f *Mesh) isClosed(c net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.done || !f.conns[c]
 }
 
-// Close ends all links.
+// Close closes all links and waits for their goroutines.
 func (f *Mesh) Close() {
 	f.mu.Lock()
 	f.done = true
@@ -295,7 +295,7 @@
 	f.wg.Wait()
 }
 
-// frameLook finds the heads of frames in a stream.
+// frameScanner finds the heads of frames in a stream.
 type frameScanner struct {
 	head []byte
 	skip int
--- a/internal/testbed/standin/zookeeper/conn.go
+++ b/internal/testbed/standin/zookeeper/conn.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// conn is a client's connection. The registry's lock guards its watches, out its writes.
 type conn struct {
 	net.Conn
 	s       *Server
@@ -18,15 +19,14 @@
 	out     sync.Mutex
 }
 
-// Garble has each so many replies come as what cannot be read; 0 ends that.
+// Garble makes one in so many replies malformed; 0 makes none.
 func (s *Server) Garble(each int) {
 	s.r.mu.Lock()
 	defer s.r.mu.Unlock()
 	s.garbleEvery = each
 }
 
-// garbled makes one of several wrong replies of a right one, in turn: cut short, noise under its id, lengths of 2 GB, and one
-// that nobody asked for.
+// garbled returns a malformed form of a reply, in turn: cut short, noise under its ID, lengths of 2 GB, an unknown ID.
 func garbled(which int, reply []byte) []byte {
 	wrong := bytes.Clone(reply)
 	switch which % 4 {
@@ -46,7 +46,7 @@
 	return wrong
 }
 
-// fire tells watchers once.
+// fire sends an event to the connections that watch its path and removes their watches.
 func (s *Server) fire(e event) {
 	for c := range s.conns {
 		var sets []map[string]bool
@@ -79,6 +79,7 @@
 	}
 }
 
+// send writes one frame.
 func (c *conn) send(body []byte) {
 	c.out.Lock()
 	defer c.out.Unlock()
@@ -86,12 +87,12 @@
 	c.Write(frame(body))
 }
 
-// lead is the life of a client's connection.
-func (s *Server) lead(nc net.Conn) {
+// serve serves a client's connection.
+func (s *Server) serve(nc net.Conn) {
 	defer nc.Close()
 	r := s.r
 	r.mu.Lock()
-	refuse := r.refuse || s.silent
+	refuse := r.refusesConns || s.isSilent
 	r.mu.Unlock()
 	if refuse {
 		return
@@ -125,12 +126,12 @@
 	}
 }
 
-// connect begins a session or takes one up again.
+// connect opens a session or resumes one.
 func (s *Server) connect(c *conn, b []byte) bool {
 	q := reader{b: b}
 	q.int()
 	q.long()
-	timeout := min(max(time.Duration(q.int())*time.Millisecond, sessionMin), maxSessionTimeout)
+	timeout := min(max(time.Duration(q.int())*time.Millisecond, minSessionTimeout), maxSessionTimeout)
 	id, passwd := q.long(), q.buffer()
 	if q.bad {
 		return false
@@ -141,7 +142,7 @@
 	se := r.sessions[id]
 	if id == 0 {
 		r.lastID++
-		se = &session{id: r.lastID, passwd: make([]byte, 16), timeout: timeout, owns: map[string]bool{}}
+		se = &session{id: r.lastID, passwd: make([]byte, 16), timeout: timeout, ephemerals: map[string]bool{}}
 		rand.Read(se.passwd)
 		r.sessions[se.id] = se
 	}
@@ -158,7 +159,7 @@
 	if old := se.conn; old != nil {
 		old.Close()
 	}
-	se.conn, se.heard, c.session = c, time.Now(), se
+	se.conn, se.lastHeard, c.session = c, time.Now(), se
 	w.int(int32(se.timeout.Milliseconds()))
 	w.long(se.id)
 	w.buffer(se.passwd)
--- a/internal/testbed/standin/zookeeper/ensemble.go
+++ b/internal/testbed/standin/zookeeper/ensemble.go
@@ -9,65 +9,68 @@
 const (
 	expiryPollInterval = 10 * time.Millisecond // between two checks of sessions and lag
 	maxSessionTimeout  = 40 * time.Second
-	sessionMin         = 200 * time.Millisecond
+	minSessionTimeout  = 200 * time.Millisecond
 )
 
-// Child is one that a reader was told of, with the count at which it was made.
+// Child is a child in a list that a reader got, with the transaction that created it.
 type Child struct {
 	Name  string
 	Czxid int64
 }
 
-// Watcher is told what a reader at an address has been told: all children of a path, or the data of one.
+// Watcher is notified of what the reader at an address got, from many goroutines.
 type Watcher interface {
+	// Announced reports a list of all children of a path.
 	Announced(reader int, path string, children []Child, at time.Time)
+	// Data reports the data of a path.
 	Data(reader int, path string, data []byte, at time.Time)
 }
 
-// Registry is the ensemble.
+// Registry is the ensemble. It is safe for concurrent use.
 type Registry struct {
-	watch Watcher
-
-	mu       sync.Mutex
-	head     *tree // what has been agreed on
-	log      []change
-	sessions map[int64]*session
-	lastID   int64
-	servers  []*Server
-	calls    int
-	late     time.Duration // added to each session's time-out before it expires
-	refuse   bool          // no connection is taken
-	done     chan struct{}
-	wg       sync.WaitGroup
-}
-
+	watcher Watcher
+
+	mu           sync.Mutex
+	head         *tree // the committed state
+	log          []change
+	sessions     map[int64]*session
+	lastID       int64
+	servers      []*Server
+	calls        int
+	expiryDelay  time.Duration // added to each session's timeout
+	refusesConns bool          // new connections are closed
+	done         chan struct{}
+	wg           sync.WaitGroup
+}
+
+// session is a client's session.
 type session struct {
-	id      int64
-	passwd  []byte
-	timeout time.Duration
-	heard   time.Time
-	owns    map[string]bool
-	conn    *conn
+	id         int64
+	passwd     []byte
+	timeout    time.Duration
+	lastHeard  time.Time
+	ephemerals map[string]bool
+	conn       *conn
 }
 
 // Server is one address of the ensemble.
 type Server struct {
 	r              *Registry
-	reader         int // who is told at this address
+	reader         int // the client of this address
 	ln             net.Listener
 	tree           *tree
-	next           int // of the log
+	next           int // place in the log
 	lag            time.Duration
 	delay          time.Duration // of watch events
-	silent         bool
-	garbleEvery    int // each so many replies cannot be read; 0: none
-	garbledReplies int // replies since
+	isSilent       bool
+	garbleEvery    int // one in so many replies is malformed; 0: none
+	garbledReplies int // replies since the last of them
 	conns          map[*conn]bool
 }
 
-// New starts an ensemble without an address.
+// New starts an ensemble without addresses.
 func New(w Watcher) *Registry {
-	r := &Registry{watch: w, head: newTree(), sessions: map[int64]*session{}, done: make(chan struct{}), lastID: time.Now().UnixNano() >> 8}
+	r := &Registry{watcher: w, head: newTree(), sessions: map[int64]*session{}, done: make(chan struct{}), lastID: time.Now().UnixNano() >> 8}
 	r.wg.Go(func() {
 		t := time.NewTicker(expiryPollInterval)
 		defer t.Stop()
@@ -86,7 +89,7 @@
 	return r
 }
 
-// Close ends it.
+// Close closes all addresses and connections and waits for the goroutines.
 func (r *Registry) Close() {
 	close(r.done)
 	r.mu.Lock()
@@ -100,7 +103,7 @@
 	r.wg.Wait()
 }
 
-// Listen adds an address; reader is who is told there, -1 for nobody that matters.
+// Listen adds an address. reader is the client that uses it in reports to the Watcher, -1 for one that is not reported.
 func (r *Registry) Listen(address string, reader int) (*Server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -117,23 +120,23 @@
 			if err != nil {
 				return
 			}
-			r.wg.Go(func() { s.lead(nc) })
+			r.wg.Go(func() { s.serve(nc) })
 		}
 	})
 	return s, nil
 }
 
-// Address is where a server listens.
+// Address returns where the server listens.
 func (s *Server) Address() string { return s.ln.Addr().String() }
 
-// Set changes how the server behaves: it lags behind, is late with events, or says nothing at all.
+// Set changes the server's faults: how far it lags behind commits, how late it sends events, whether it sends nothing.
 func (s *Server) Set(lag, delay time.Duration, silent bool) {
 	s.r.mu.Lock()
 	defer s.r.mu.Unlock()
-	s.lag, s.delay, s.silent = lag, delay, silent
+	s.lag, s.delay, s.isSilent = lag, delay, silent
 }
 
-// Break closes all connections to the server; events on their way are lost.
+// Break closes all connections to the server. Delayed events are lost.
 func (s *Server) Break() {
 	s.r.mu.Lock()
 	defer s.r.mu.Unlock()
@@ -142,45 +145,45 @@
 	}
 }
 
-// Late has sessions expire so much later than they should.
+// Late delays the expiry of sessions.
 func (r *Registry) Late(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.late = d
+	r.expiryDelay = d
 }
 
-// Refuse has no new connection taken, or again.
+// Refuse makes new connections be closed, or accepted again.
 func (r *Registry) Refuse(is bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.refuse = is
+	r.refusesConns = is
 }
 
-// Expire ends the sessions that own paths, at once, as if their time were over.
+// Expire ends the sessions that own the paths, as if they had timed out.
 func (r *Registry) Expire(paths ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.sessions {
 		for _, p := range paths {
-			if s.owns[p] {
-				r.end(s, time.Now())
+			if s.ephemerals[p] {
+				r.endSession(s, time.Now())
 			}
 		}
 	}
 }
 
-// Lose ends the sessions of all that are connected, as if the ensemble had heard nothing of them for too long.
+// Lose ends the sessions of all connected clients, as if they had timed out.
 func (r *Registry) Lose() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.sessions {
 		if s.conn != nil {
-			r.end(s, time.Now())
+			r.endSession(s, time.Now())
 		}
 	}
 }
 
-// Watches counts those that stand.
+// Watches returns the number of watches that are set.
 func (r *Registry) Watches() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -193,25 +196,26 @@
 	return n
 }
 
-// Calls counts requests but for pings.
+// Calls returns the number of requests without pings.
 func (r *Registry) Calls() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.calls
 }
 
+// expire ends sessions that timed out. The caller holds the lock.
 func (r *Registry) expire(now time.Time) {
 	for _, s := range r.sessions {
-		if now.Sub(s.heard) > s.timeout+r.late {
-			r.end(s, now)
+		if now.Sub(s.lastHeard) > s.timeout+r.expiryDelay {
+			r.endSession(s, now)
 		}
 	}
 }
 
-// end closes a session: its ephemeral nodes go with it.
-func (r *Registry) end(s *session, now time.Time) {
+// endSession ends a session and deletes its ephemeral nodes.
+func (r *Registry) endSession(s *session, now time.Time) {
 	delete(r.sessions, s.id)
-	for p := range s.owns {
+	for p := range s.ephemerals {
 		if n := r.head.nodes[p]; n != nil && n.owner == s.id {
 			r.commit(change{op: deleted, path: p, at: now})
 		}
@@ -221,7 +225,7 @@
 	}
 }
 
-// commit agrees on a change; addresses see it by their lag.
+// commit commits a change; servers see it after their lag.
 func (r *Registry) commit(c change) {
 	c.zxid = r.head.zxid + 1
 	r.log = append(r.log, c)
@@ -229,9 +233,10 @@
 	r.catchUp(time.Now())
 }
 
+// catchUp applies committed changes to servers by their lag and sends events.
 func (r *Registry) catchUp(now time.Time) {
 	for _, s := range r.servers {
-		for s.next < len(r.log) && !s.silent && now.Sub(r.log[s.next].at) >= s.lag {
+		for s.next < len(r.log) && !s.isSilent && now.Sub(r.log[s.next].at) >= s.lag {
 			for _, e := range s.tree.apply(r.log[s.next]) {
 				s.fire(e)
 			}
--- a/internal/testbed/standin/zookeeper/jute_test.go
+++ b/internal/testbed/standin/zookeeper/jute_test.go
@@ -59,7 +59,7 @@
 		s.request(c, b)
 		r.mu.Lock()
 		if r.sessions[c.session.id] == c.session {
-			r.end(c.session, time.Now())
+			r.endSession(c.session, time.Now())
 		}
 		r.mu.Unlock()
 	})
--- a/internal/testbed/standin/zookeeper/requests.go
+++ b/internal/testbed/standin/zookeeper/requests.go
@@ -37,7 +37,7 @@
 	}
 	r := s.r
 	r.mu.Lock()
-	if s.silent {
+	if s.isSilent {
 		r.mu.Unlock()
 		return true
 	}
@@ -45,7 +45,7 @@
 		r.mu.Unlock()
 		return false
 	}
-	c.session.heard = time.Now()
+	c.session.lastHeard = time.Now()
 	if op != opPing {
 		r.calls++
 	}
@@ -70,7 +70,7 @@
 	}
 	r.mu.Unlock()
 	c.send(w)
-	if answer.code == ok && r.watch != nil && answer.notifyWatcher != nil {
+	if answer.code == ok && r.watcher != nil && answer.notifyWatcher != nil {
 		answer.notifyWatcher()
 	}
 	return op != opClose
@@ -82,7 +82,7 @@
 	switch op {
 	case opPing, opAuth:
 	case opClose:
-		s.r.end(c.session, time.Now())
+		s.r.endSession(c.session, time.Now())
 	case opSync:
 		s.lagless(time.Now())
 		a.body.string(q.string())
@@ -154,7 +154,7 @@
 		a.body.buffer(n.data)
 		a.body.stat(n)
 		data := slices.Clone(n.data)
-		a.notifyWatcher = func() { s.r.watch.Data(s.reader, p, data, time.Now()) }
+		a.notifyWatcher = func() { s.r.watcher.Data(s.reader, p, data, time.Now()) }
 	default:
 		s.readChildren(p, a)
 		if op == opChildren2 {
@@ -172,7 +172,7 @@
 			all = append(all, Child{name, c.czxid})
 		}
 	}
-	a.notifyWatcher = func() { s.r.watch.Announced(s.reader, p, all, time.Now()) }
+	a.notifyWatcher = func() { s.r.watcher.Announced(s.reader, p, all, time.Now()) }
 }
 
 // lagless has the server see all that was agreed on, as a sync does.
@@ -200,7 +200,7 @@
 	}
 	up := r.head.nodes[parent(p)]
 	switch {
-	case q.bad || !valid(p):
+	case q.bad || !isValidPath(p):
 		return badArgs
 	case up == nil:
 		return noNode
@@ -212,7 +212,7 @@
 	ch := change{op: created, path: p, data: data, at: time.Now()}
 	if flags&flagEphem != 0 {
 		ch.own = c.session.id
-		c.session.owns[p] = true
+		c.session.ephemerals[p] = true
 	}
 	r.commit(ch)
 	body.string(p)
--- a/internal/testbed/standin/zookeeper/tree.go
+++ b/internal/testbed/standin/zookeeper/tree.go
@@ -33,6 +33,7 @@
 	children = 4
 )
 
+// node is a node with its counters, named as in the protocol.
 type node struct {
 	data     []byte
 	children map[string]bool
@@ -47,7 +48,7 @@
 	counter  int32
 }
 
-// change is one step of the tree, by which addresses that lag catch up.
+// change is a committed change of the tree.
 type change struct {
 	zxid int64
 	at   time.Time
@@ -57,7 +58,7 @@
 	own  int64
 }
 
-// tree is what one address of the ensemble sees.
+// tree is the state that one server sees.
 type tree struct {
 	nodes map[string]*node
 	zxid  int64
@@ -65,19 +66,19 @@
 
 func newTree() *tree { return &tree{nodes: map[string]*node{"/": {children: map[string]bool{}}}} }
 
-// event is what watchers are told.
+// event is a watch event.
 type event struct {
 	kind int32
 	path string
 }
 
-func valid(p string) bool {
+func isValidPath(p string) bool {
 	return strings.HasPrefix(p, "/") && path.Clean(p) == p && len(p) < 1024
 }
 
 func parent(p string) string { return path.Dir(p) }
 
-// apply carries out a change that was found sound and returns what watchers hear of it.
+// apply applies a change that was checked and returns its watch events.
 func (t *tree) apply(c change) []event {
 	t.zxid = c.zxid
 	ms := c.at.UnixMilli()
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// sequenced is the path that a sequential node gets.
+// sequenced returns the path that a sequential node gets.
 func (t *tree) sequenced(p string) string {
 	n := int32(0)
 	if up := t.nodes[parent(p)]; up != nil {
