--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -8,12 +8,13 @@
 	"text/tabwriter"
 )
 
+// sorted returns the keys of a map in order.
 func sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// Compare writes two reports side by side. It says so where they are not of the same schedule.
+// Compare writes two reports side by side, and says so if they are not of the same schedule.
 func Compare(w io.Writer, a, b *Report) {
 	if a.Scenario != b.Scenario || a.Seed != b.Seed || a.Offered != b.Offered {
-		fmt.Fprintf(w, "NOT THE SAME SCHEDULE: %s, seed %d, %d operations against %s, seed %d, %d operations\n\n",
+		fmt.Fprintf(w, "NOT THE SAME SCHEDULE: %s, seed %d, %d requests against %s, seed %d, %d requests\n\n",
 			a.Scenario, a.Seed, a.Offered, b.Scenario, b.Seed, b.Offered)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -26,8 +27,8 @@
 		name string
 		x    int
 		y    int
-	}{{"in target", a.AnsweredInTarget, b.AnsweredInTarget}, {"handled", a.Handled, b.Handled}, {"denied", a.Rejected, b.Rejected},
-		{"written off", a.WrittenOff, b.WrittenOff}, {"unanswered", a.Unanswered, b.Unanswered}, {"unreached", a.Unreached, b.Unreached}, {"tries", a.Tries, b.Tries}} {
+	}{{"in target", a.AnsweredInTarget, b.AnsweredInTarget}, {"handled", a.Handled, b.Handled}, {"rejected", a.Rejected, b.Rejected},
+		{"failed", a.WrittenOff, b.WrittenOff}, {"unanswered", a.Unanswered, b.Unanswered}, {"unreached", a.Unreached, b.Unreached}, {"tries", a.Tries, b.Tries}} {
 		row(f.name, float64(f.x), float64(f.y), "%.0f")
 	}
 	for _, name := range sorted(a.Latency) {
@@ -48,7 +49,7 @@
 	}
 }
 
-// worst is the least service of a second.
+// worst returns the lowest service of a second.
 func (r *Report) worst() float64 {
 	least := 1.0
 	const n = 4 // points of a second
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -18,16 +18,16 @@
 		color.NRGBA{R: 60, G: 130, B: 60, A: 255}, color.NRGBA{R: 130, G: 90, B: 150, A: 255}, color.NRGBA{R: 90, G: 90, B: 90, A: 255}}
 )
 
-// Plot draws service, rejections and latency over time, the baselines' service beside the node's, with the faults shaded.
+// Plot writes an SVG of service, rejections and latency over time, for the node and the baselines, with faults shaded.
 func (r *Report) Plot(path string) error {
 	all := append([]Report{*r}, r.Baselines...)
 	service, err := r.panel("service", all, func(p Point) float64 { return p.Service })
 	if err != nil {
 		return err
 	}
-	service.Title.Text = fmt.Sprintf("%s, seed %d: %d nodes, %d boxes", r.Scenario, r.Seed, r.Nodes, r.Servers)
+	service.Title.Text = fmt.Sprintf("%s, seed %d: %d nodes, %d servers", r.Scenario, r.Seed, r.Nodes, r.Servers)
 	service.Y.Min, service.Y.Max = 0, 1
-	denied, err := r.panel("denied and failed, per 250 ms", all, func(p Point) float64 { return float64(p.Rejected + p.Failed) })
+	rejected, err := r.panel("rejected and failed, per 250 ms", all, func(p Point) float64 { return float64(p.Rejected + p.Failed) })
 	if err != nil {
 		return err
 	}
@@ -38,7 +38,7 @@
 	latency.X.Label.Text = "s since the start"
 	const width, height = 9 * vg.Inch, 9 * vg.Inch
 	c := vgsvg.New(width, height)
-	grid := [][]*plot.Plot{{service}, {denied}, {latency}}
+	grid := [][]*plot.Plot{{service}, {rejected}, {latency}}
 	tiles := draw.Tiles{Rows: 3, Cols: 1, PadY: vg.Points(8), PadTop: vg.Points(4), PadBottom: vg.Points(4), PadRight: vg.Points(8)}
 	for i, row := range plot.Align(grid, tiles, draw.New(c)) {
 		grid[i][0].Draw(row[0])
@@ -54,6 +54,7 @@
 	return f.Close()
 }
 
+// panel returns a plot of one figure of all reports over time.
 func (r *Report) panel(name string, all []Report, of func(Point) float64) (*plot.Plot, error) {
 	p := plot.New()
 	p.Y.Label.Text = name
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -1,14 +1,13 @@
-// Package report says what a run of the testbed has shown: as a table for people, as JSON for programs, as a plot.
+// Package report presents the outcome of a testbed run as text, as JSON and as a plot, and compares two reports. The
+// command cmd/testbed creates a Report by New; it is a plain value without state of its own. JSON keys are a stored
+// format.
 package report
 
 import (
 	"encoding/json"
 	"fmt"
-	"io"
 	"math"
 	"os"
-	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -19,7 +18,7 @@
 	"fernvane/internal/testbed/scenario"
 )
 
-// Report is one run. Latencies are in ms, from the scheduled moment.
+// Report is the report of a run. Latencies are in ms, from the scheduled time.
 type Report struct {
 	Scenario          string             `json:"scenario"`
 	Seed              uint64             `json:"seed"`
@@ -33,7 +32,7 @@
 	Rejected          int                `json:"denied"`
 	WrittenOff        int                `json:"written_off"`
 	Unanswered        int                `json:"unanswered"`
-	Unreached         int                `json:"unreached"` // no node to send to
+	Unreached         int                `json:"unreached"` // no node was reached
 	DisconnectedEarly int                `json:"left_early,omitempty"`
 	Tries             int                `json:"tries"`
 	Rules             []audit.Rule       `json:"rules"`
@@ -44,7 +43,7 @@
 	Discovery         Discovery          `json:"discovery"`
 	NodeUse           Use                `json:"nodes_use"`
 	PlannerUse        Use                `json:"planners_use"`
-	PlanBytes         int                `json:"plan_bytes"` // that planners sent to nodes
+	PlanBytes         int                `json:"plan_bytes"` // sent by planners to nodes
 	Journal           *testbed.Journal   `json:"journal,omitempty"`
 	Seconds           []audit.Second     `json:"seconds,omitempty"`
 	BadClients        int                `json:"bad_clients"`
@@ -53,7 +52,7 @@
 	Baselines         []Report           `json:"baselines"`
 }
 
-// Latency of a traffic type: quantiles, and its service.
+// Latency holds quantiles of a traffic type and its share of revenue.
 type Latency struct {
 	P50     float64 `json:"p50"`
 	P99     float64 `json:"p99"`
@@ -62,34 +61,34 @@
 	Service float64 `json:"service"`
 }
 
-// Part is what one tenant or site got.
+// Part is the result of a tenant or site.
 type Part struct {
 	Service float64 `json:"service"`
 	P99     float64 `json:"p99"`
 }
 
-// Generator is how the load generator itself did.
+// Generator is how far the load generator fell behind.
 type Generator struct {
 	LateMaxMS float64 `json:"late_max_ms"`
 	LateShare float64 `json:"late_share"`
 	Behind    bool    `json:"behind"`
-	WorstBin  float64 `json:"worst_bin"` // the most by which 100 ms differed from the schedule, as a share
+	WorstBin  float64 `json:"worst_bin"` // largest relative error against the schedule in 100 ms
 }
 
-// Discovery is what the nodes asked of it.
+// Discovery is how much nodes used discovery.
 type Discovery struct {
 	Calls  int     `json:"calls"`
 	Lines  float64 `json:"lines"`
 	Turned int     `json:"turned_away"`
 }
 
-// Use is what the nodes used of the machine: their CPU time together, and the most memory of one.
+// Use is the CPU time of a group of processes and the memory of the largest.
 type Use struct {
 	CPUSeconds float64 `json:"cpu_s"`
 	RSSMaxMB   float64 `json:"rss_max_mb"`
 }
 
-// Point is a span of the run, by when requests were asked for.
+// Point is a bin of the run, by scheduled time.
 type Point struct {
 	AtS      float64 `json:"at_s"`
 	Service  float64 `json:"service"`
@@ -99,24 +98,44 @@
 	P99      float64 `json:"p99"`
 }
 
-// Fault is where a trouble lay.
+// Fault is the time of a fault.
 type Fault struct {
 	Kind  string  `json:"kind"`
 	FromS float64 `json:"from_s"`
 	ToS   float64 `json:"to_s"`
 }
 
-// New sums a run up.
-func New(s *scenario.Scenario, policy string, ops []load.Request, o *testbed.Outcome) Report {
-	r := Report{Scenario: s.Name, Seed: s.Seed, Policy: policy, Nodes: s.Nodes.Count, Servers: len(s.ServerNames()), Offered: len(ops),
-		Service: round(o.ServiceShare()), AnsweredInTarget: o.Outcomes[load.WithinObjective], Handled: o.Outcomes[load.Handled], Rejected: o.Outcomes[load.Rejected],
-		WrittenOff: o.Outcomes[load.Failed], Unanswered: o.Outcomes[load.NoAnswer], Unreached: o.Outcomes[load.Unreached], DisconnectedEarly: o.Outcomes[load.DisconnectedEarly], Tries: o.Tries, Rules: o.Rules,
-		Latency: map[string]Latency{}, ByTenant: map[string]Part{}, BySite: map[string]Part{},
-		Generator:  Generator{millis(o.Lateness.Max), round(o.Lateness.LateShare), o.Lateness.IsBehind, round(o.Lateness.MaxBinError)},
-		Discovery:  Discovery{o.DiscoveryCalls, math.Round(o.DiscoveryLines), o.RejectedCalls},
-		NodeUse:    Use{round(o.NodeUsage.CPU.Seconds()), math.Round(o.NodeUsage.RSSMB)},
-		PlannerUse: Use{round(o.PlannerUsage.CPU.Seconds()), math.Round(o.PlannerUsage.RSSMB)}, PlanBytes: o.PlanBytes,
-		BadClients: o.BadClients, Faults: []Fault{}, Baselines: []Report{}}
+// New returns the report of a run.
+func New(s *scenario.Scenario, policy string, requests []load.Request, o *testbed.Outcome) Report {
+	r := Report{
+		Scenario:          s.Name,
+		Seed:              s.Seed,
+		Policy:            policy,
+		Nodes:             s.Nodes.Count,
+		Servers:           len(s.ServerNames()),
+		Offered:           len(requests),
+		Service:           round(o.ServiceShare()),
+		AnsweredInTarget:  o.Outcomes[load.WithinObjective],
+		Handled:           o.Outcomes[load.Handled],
+		Rejected:          o.Outcomes[load.Rejected],
+		WrittenOff:        o.Outcomes[load.Failed],
+		Unanswered:        o.Outcomes[load.NoAnswer],
+		Unreached:         o.Outcomes[load.Unreached],
+		DisconnectedEarly: o.Outcomes[load.DisconnectedEarly],
+		Tries:             o.Tries,
+		Rules:             o.Rules,
+		Latency:           map[string]Latency{},
+		ByTenant:          map[string]Part{},
+		BySite:            map[string]Part{},
+		Generator:         Generator{millis(o.Lateness.Max), round(o.Lateness.LateShare), o.Lateness.IsBehind, round(o.Lateness.MaxBinError)},
+		Discovery:         Discovery{o.DiscoveryCalls, math.Round(o.DiscoveryLines), o.RejectedCalls},
+		NodeUse:           Use{round(o.NodeUsage.CPU.Seconds()), math.Round(o.NodeUsage.RSSMB)},
+		PlannerUse:        Use{round(o.PlannerUsage.CPU.Seconds()), math.Round(o.PlannerUsage.RSSMB)},
+		PlanBytes:         o.PlanBytes,
+		BadClients:        o.BadClients,
+		Faults:            []Fault{},
+		Baselines:         []Report{},
+	}
 	for _, t := range o.ByType {
 		r.Latency[t.Name] = Latency{quantile(t.Latency, 50), quantile(t.Latency, 99), quantile(t.Latency, 99.9),
 			float64(t.Latency.Max()) / 1000, ratio(t.EarnedRevenue, t.OfferedRevenue)}
@@ -140,22 +159,26 @@
 	return r
 }
 
+// millis returns milliseconds.
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
+// quantile returns a percentile in ms.
 func quantile(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
+// round rounds to 4 decimals.
 func round(v float64) float64 { return math.Round(v*10_000) / 10_000 }
 
+// ratio returns a/b, 1 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
-		return 1 // nothing was asked for, and nothing is owed
+		return 1
 	}
 	return round(a / b)
 }
 
-// Broken counts the rules that were broken.
+// Broken returns the number of rules that were violated.
 func (r *Report) Broken() (n int) {
 	for _, rule := range r.Rules {
 		if rule.Violations > 0 {
@@ -165,91 +188,6 @@
 	return n
 }
 
-// Text writes a report for people.
-func (r *Report) Text(w io.Writer) {
-	if r.Generator.Behind {
-		fmt.Fprintf(w, "NOT VALID: the generator fell behind by up to %.0f ms, %.1f%% of the operations began late\n\n",
-			r.Generator.LateMaxMS, 100*r.Generator.LateShare)
-	}
-	fmt.Fprintf(w, "scenario %s, seed %d: %d nodes, %d boxes, %d operations\n\n", r.Scenario, r.Seed, r.Nodes, r.Servers, r.Offered)
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "policy\tservice\tin target\thandled\tdenied\twritten off\tunanswered\tunreached\ttries\trules broken\t")
-	for _, x := range append([]Report{*r}, r.Baselines...) {
-		fmt.Fprintf(t, "%s\t%.4f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t\n", x.Policy, x.Service, x.AnsweredInTarget, x.Handled, x.Rejected, x.WrittenOff,
-			x.Unanswered, x.Unreached, x.Tries, x.brokenNames())
-	}
-	t.Flush()
-	fmt.Fprintln(w)
-	fmt.Fprintln(t, "type\tservice\tp50 ms\tp99 ms\tp99.9 ms\tmax ms\t")
-	for _, name := range sorted(r.Latency) {
-		l := r.Latency[name]
-		fmt.Fprintf(t, "%s\t%.4f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", name, l.Service, l.P50, l.P99, l.P999, l.Max)
-	}
-	t.Flush()
-	for _, by := range []struct {
-		what  string
-		parts map[string]Part
-	}{{"tenant", r.ByTenant}, {"site", r.BySite}} {
-		line := []string{}
-		for _, name := range sorted(by.parts) {
-			line = append(line, fmt.Sprintf("%s %.4f", name, by.parts[name].Service))
-		}
-		if len(line) > 0 {
-			fmt.Fprintf(w, "\nservice by %s: %s", by.what, strings.Join(line, ", "))
-		}
-	}
-	fmt.Fprintf(w, "\n\nrules\n")
-	for _, rule := range r.Rules {
-		if rule.Violations == 0 {
-			fmt.Fprintf(w, "  kept    %s: %s\n", rule.Name, rule.Description)
-		} else {
-			fmt.Fprintf(w, "  BROKEN  %s: %s; %d times, first: %s\n", rule.Name, rule.Description, rule.Violations, rule.FirstViolation)
-		}
-	}
-	fmt.Fprintf(w, "\ngenerator: at most %.1f ms late, %.2f%% of the operations late", r.Generator.LateMaxMS, 100*r.Generator.LateShare)
-	fmt.Fprintf(w, "; 100 ms differ by %.2f%% at most", 100*r.Generator.WorstBin)
-	fmt.Fprintf(w, "\ndiscovery: %d calls, %.0f lines, %d turned away", r.Discovery.Calls, r.Discovery.Lines, r.Discovery.Turned)
-	fmt.Fprintf(w, "\nnodes: %.2f s of CPU together, at most %.0f MB each", r.NodeUse.CPUSeconds, r.NodeUse.RSSMaxMB)
-	if r.PlannerUse.CPUSeconds > 0 {
-		fmt.Fprintf(w, "\nplanners: %.2f s of CPU together, at most %.0f MB each, %d bytes sent to nodes", r.PlannerUse.CPUSeconds, r.PlannerUse.RSSMaxMB, r.PlanBytes)
-	}
-	if j := r.Journal; j != nil {
-		fmt.Fprintf(w, "\njournals: %d entries, %d dockets, %d possibly sent, %d of them not settled by dockets, %d words in gaps", j.Entries, j.Ran,
-			j.PossiblySent, j.Open, j.Gaps)
-		if j.PeerBytes > 0 || j.Losses > 0 {
-			fmt.Fprintf(w, "\nmachines: %d lost with their disks, %d times all was whole again; %d journals told to be lost, %d dockets of theirs are; %d bytes between nodes",
-				j.Losses, j.Cycles, j.AnnouncedLost, j.Lost, j.PeerBytes)
-		}
-	}
-	if r.BadClients > 0 {
-		fmt.Fprintf(w, "\nbad clients: %d", r.BadClients)
-	}
-	fmt.Fprintln(w)
-}
-
-// Table writes second by second where tries and attempts went.
-func (r *Report) Table(w io.Writer) {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "second\ttries\tfirst hops\tfurther\tbegun\tin vain\thandled\tdenied\twritten off\tlost\tbusiest node\t")
-	for i, s := range r.Seconds {
-		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", i, s.Tries, s.First, s.Retries, s.Ran, s.Wasted, s.Handled, s.Rejected, s.Failed, s.Unanswered, s.Busiest)
-	}
-	t.Flush()
-}
-
-func (r *Report) brokenNames() string {
-	var names []string
-	for _, rule := range r.Rules {
-		if rule.Violations > 0 {
-			names = append(names, rule.Name)
-		}
-	}
-	if len(names) == 0 {
-		return "none"
-	}
-	return strings.Join(names, ",")
-}
-
 // Save writes the report as JSON.
 func (r *Report) Save(path string) error {
 	b, err := json.MarshalIndent(r, "", "  ")
@@ -259,7 +197,7 @@
 	return os.WriteFile(path, append(b, '\n'), 0o644)
 }
 
-// Load reads what Save has written.
+// Load reads a report that Save wrote.
 func Load(path string) (r Report, err error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
