--- a/cmd/testbed/journal.go
+++ b/cmd/testbed/journal.go
@@ -15,17 +15,18 @@
 	"fernvane/internal/testbed/scenario"
 )
 
+// self returns the command that starts this binary as a node.
 func self() ([]string, error) {
 	path, err := os.Executable()
 	return []string{path, nodeCommand}, err
 }
 
-// killsCommand kills nodes at moments of chance and sets their journals beside what the servers have run.
+// killsCommand kills nodes at random times and compares their journals with what the servers executed.
 func killsCommand() *cobra.Command {
 	var n int
 	var seed uint64
 	var promise string
-	c := &cobra.Command{Use: "kills", Short: "Kill nodes again and again, and set their journals of bindings beside the boxes' dockets", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "kills", Short: "Kill nodes again and again, and compare their journals with the servers' execution records", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			command, err := self()
 			if err != nil {
@@ -69,9 +70,9 @@
 	return c
 }
 
-// promisesCommand measures what the journal's promises cost a non-idempotent.
+// promisesCommand measures what the journal's promises cost a non-idempotent request.
 func promisesCommand() *cobra.Command {
-	return &cobra.Command{Use: "promises", Short: "What each of the journal's promises adds to a binding, beside none", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "promises", Short: "What each of the journal's promises adds to a non-idempotent request", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			command, err := self()
 			if err != nil {
@@ -122,11 +123,11 @@
 		}}
 }
 
-// repairCommand measures how long it takes until a journal that stands on one machine stands on enough.
+// repairCommand measures how long it takes until a journal without replicas is replicated.
 func repairCommand() *cobra.Command {
 	var n, rate int
 	var length time.Duration
-	c := &cobra.Command{Use: "repair", Short: "Time until a journal that stands on one machine stands on enough, and service meanwhile", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "repair", Short: "Time until a journal without replicas is replicated, and service meanwhile", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			command, err := self()
 			if err != nil {
--- a/cmd/testbed/losses.go
+++ b/cmd/testbed/losses.go
@@ -15,12 +15,12 @@
 	"fernvane/internal/testbed/scenario"
 )
 
-// lossesCommand loses machines with their disks again and again, in several tiers at a time.
+// lossesCommand loses machines with their disks repeatedly, in several runs at a time.
 func lossesCommand() *cobra.Command {
 	var n, atOnce int
 	var seed uint64
 	var promise string
-	c := &cobra.Command{Use: "losses", Short: "Lose machines with their disks again and again, and look for each docket in what is left", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "losses", Short: "Lose machines with their disks again and again, and look for each execution in the journals that are left", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			command, err := self()
 			if err != nil {
@@ -44,7 +44,7 @@
 	return c
 }
 
-// losses are runs of a tier that loses machines, several at a time, until enough were lost.
+// losses are concurrent runs that lose machines until enough were lost.
 type losses struct {
 	wanted   int
 	seed     uint64
@@ -60,7 +60,7 @@
 	fault  error
 }
 
-// repeat plays one run after the other until enough machines were lost or a run cannot be played.
+// repeat runs one scenario after the other until enough machines were lost or a run fails.
 func (l *losses) repeat(ctx context.Context) error {
 	for {
 		s, err := l.next(ctx)
@@ -74,7 +74,7 @@
 	}
 }
 
-// next is the scenario of the next run; nil where no more are needed.
+// next returns the scenario of the next run, nil if no more are needed.
 func (l *losses) next(ctx context.Context) (*scenario.Scenario, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// tell prints the sum, and fails where a rule was broken.
+// print prints the sum. It returns an error if a rule was broken.
 func (l *losses) print(out io.Writer) (err error) {
 	fmt.Fprintf(out, "%d machines lost in %d cycles, promise %s: %d entries, %d dockets, %d possibly sent, %d of them not settled by dockets, %d words in gaps\n",
 		l.sum.Losses, l.sum.Cycles, l.promise, l.sum.Entries, l.sum.Ran, l.sum.PossiblySent, l.sum.Open, l.sum.Gaps)
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,4 +1,5 @@
-// Command testbed plays scenarios with real nodes on loopback sockets against stand-ins, and says how the nodes did.
+// Command testbed runs scenarios with real node processes on loopback sockets against stand-ins (package testbed) and
+// reports the outcome. It starts itself as node, planner and scale worker, so that no other binary is needed.
 package main
 
 import (
@@ -28,7 +29,7 @@
 	exitInvalid  = 3 // the generator fell behind: the run does not count
 )
 
-// What the testbed tells a process of itself that it runs as a node.
+// Arguments and environment of the processes that the testbed starts of itself.
 const (
 	nodeCommand = "node"
 	planCommand = "planner"
@@ -36,7 +37,7 @@
 	profileVar  = "FERNLAB_CPUPROFILE"
 )
 
-// exit ends a command with a code, after what it had to say.
+// exit is the error of a command that has printed its result and ends with this code.
 type exit int
 
 func (e exit) Error() string { return fmt.Sprintf("exit %d", int(e)) }
@@ -54,7 +55,7 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// node is what `fernvane serve` is, in this binary, so that the testbed needs no build beside it; the policy may be another.
+// node runs `fernvane serve` in this binary, with the policy that the environment names, and returns the exit code.
 func node(errs io.Writer, getenv func(string) string) int {
 	proxy.CatchSignals() // as the node's own command does
 	cfg, err := proxy.LoadConfig(getenv("PROXY_CONFIG"), getenv)
@@ -82,7 +83,7 @@
 	return proxy.RunProcess(cfg, errs, zerolog.InfoLevel)
 }
 
-// plans is what `fernvane plan` is.
+// plans runs `fernvane plan` in this binary and returns the exit code.
 func plans(errs io.Writer, getenv func(string) string) int {
 	cfg, err := planconfig.LoadPlanner(getenv("PROXY_PLAN"))
 	if err != nil {
@@ -92,15 +93,16 @@
 	return planner.Process(cfg, errs)
 }
 
+// run runs a command line and returns the exit code.
 func run(args []string, out, errs io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	root := &cobra.Command{
 		Use:   "testbed",
-		Short: "Plays deployments on loopback with real nodes and stand-ins, and audits the four rules",
-		Long: `testbed starts real node processes on loopback sockets, with stand-ins for servers, discovery, the front and
-clients, sends them a load whose moments are fixed ahead, and brings troubles at stated times. It reports service
-and latency beside plain policies in the same world, and whether the rules were kept.
+		Short: "Runs deployments on loopback with real nodes and stand-ins, and audits the rules",
+		Long: `testbed starts real node processes on loopback sockets, with stand-ins for servers, discovery, the
+connection balancer and clients, sends them load on a fixed schedule, and applies faults at given times. It reports
+service and latency, also of baseline policies under the same conditions, and whether the rules were kept.
 
 Exit codes: 0 all kept, 1 a rule was broken, 2 bad input, 3 the generator fell behind and the run does not count.`,
 		SilenceUsage: true, SilenceErrors: true,
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -40,7 +40,7 @@
 	var f runFlags
 	c := &cobra.Command{
 		Use:   "run SCENARIO",
-		Short: "Play a scenario: one of `testbed list`, or a TOML file",
+		Short: "Run a scenario: one of `testbed list`, or a TOML file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := scenario.Load(args[0])
@@ -84,7 +84,7 @@
 	return c
 }
 
-// chosenBaselines reads the flag's words.
+// chosenBaselines returns the baselines that the flag names.
 func chosenBaselines(names []string) ([]string, error) {
 	if len(names) == 1 && names[0] == "all" {
 		return baseline.Names, nil
@@ -100,7 +100,7 @@
 	return names, nil
 }
 
-// play runs the node alone, and then the baselines side by side, on the same schedule.
+// play runs the node alone and then the baselines concurrently, on the same schedule.
 func play(ctx context.Context, out, errs io.Writer, s *scenario.Scenario, f runFlags) error {
 	others, err := chosenBaselines(f.baselines)
 	if err != nil {
@@ -150,7 +150,7 @@
 	return verdict(&r, s.Pairings)
 }
 
-// options of the node's own run, and its name in the report.
+// options returns the options of the node's own run and its name in the report.
 func (f *runFlags) options(s *scenario.Scenario) (o testbed.Options, name string, err error) {
 	if _, ok := baseline.Find(f.policy); !ok {
 		return o, "", fmt.Errorf("no policy %q", f.policy)
@@ -176,7 +176,7 @@
 		Env: []string{policyVar + "=" + f.policy}}, name, nil
 }
 
-// variants plays the scenario without what it is about: planners, the registry, or the cached list.
+// variants runs the scenario without planners, the registry or the stored list, if it has them.
 func variants(ctx context.Context, o testbed.Options, r *report.Report) error {
 	s := o.Scenario
 	play := func(other *scenario.Scenario, suffix, name string) error {
@@ -228,7 +228,7 @@
 	return nil
 }
 
-// verdict is how the program exits.
+// verdict returns how the program exits.
 func verdict(r *report.Report, pairings bool) error {
 	switch {
 	case r.Generator.Behind:
@@ -247,7 +247,7 @@
 	return nil
 }
 
-// pairings plays the scenario in the other pairings of protocols, side by side.
+// pairings runs the scenario with the other pairs of protocols concurrently.
 func pairings(ctx context.Context, o testbed.Options, r *report.Report) error {
 	names := []string{"FastCGI to HTTP", "HTTP to FastCGI", "FastCGI to FastCGI"}
 	reports, faults := make([]report.Report, len(names)), make([]error, len(names))
@@ -265,6 +265,7 @@
 	return errors.Join(faults...)
 }
 
+// once runs a scenario once.
 func once(ctx context.Context, o testbed.Options, name string) (report.Report, error) {
 	out, err := testbed.Run(ctx, o)
 	if err != nil {
@@ -273,7 +274,7 @@
 	return report.New(o.Scenario, name, o.Requests, out), nil
 }
 
-// beside plays policies at the same time, each in a world of its own.
+// beside runs policies concurrently, each in an environment of its own.
 func beside(ctx context.Context, o testbed.Options, policies []string) ([]report.Report, error) {
 	reports, faults := make([]report.Report, len(policies)), make([]error, len(policies))
 	self, err := os.Executable()
@@ -298,7 +299,7 @@
 	return reports, nil
 }
 
-// progress rewrites one line on a terminal, and writes one a second elsewhere.
+// progress returns a function that rewrites a line on a terminal and writes a line per second elsewhere.
 func progress(errs io.Writer, length time.Duration) func(time.Duration, int, int) {
 	terminal := false
 	if f, ok := errs.(*os.File); ok {
--- a/cmd/testbed/steps.go
+++ b/cmd/testbed/steps.go
@@ -16,7 +16,7 @@
 	"fernvane/internal/testbed/scenario"
 )
 
-// stepsCommand takes a machine or a process away at each step of copying and of copying on.
+// stepsCommand loses a machine or stops a process at each step of replication and repair.
 func stepsCommand() *cobra.Command {
 	var atOnce int
 	c := &cobra.Command{Use: "steps", Short: "Lose, kill or stop a node at each step of copying, taking over and repairing, one after another", Args: cobra.NoArgs,
@@ -43,7 +43,7 @@
 	return c
 }
 
-// stepRow is one run: what befalls node 1 at a step.
+// stepRow is one run: a fault of node 1 at a step.
 type stepRow struct {
 	name string
 	s    *scenario.Scenario
@@ -51,7 +51,7 @@
 	bad  bool
 }
 
-// stepRows are all runs.
+// stepRows returns all runs.
 func stepRows() (rows []*stepRow, err error) {
 	for _, phase := range []string{"copying", "repairing"} {
 		for _, what := range []string{"lose-machines", "kill-nodes", "stop-nodes"} {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// tellSteps prints a row for each run, and fails where a rule was broken.
+// printSteps prints a row for each run. It returns an error if a rule was broken.
 func printSteps(out io.Writer, rows []*stepRow) (err error) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "while\tbefalls node 1\tat\tnth\tdockets\tpossibly sent\tservice\trules")
--- a/cmd/testbed/tools.go
+++ b/cmd/testbed/tools.go
@@ -20,7 +20,7 @@
 )
 
 func listCommand() *cobra.Command {
-	return &cobra.Command{Use: "list", Short: "List the scenarios that come along", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "list", Short: "List the embedded scenarios", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			for _, name := range scenario.Names() {
@@ -35,7 +35,7 @@
 }
 
 func faultsCommand() *cobra.Command {
-	return &cobra.Command{Use: "faults", Short: "List the troubles that a scenario may ask for", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "faults", Short: "List the faults that a scenario may ask for", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			for _, k := range scenario.FaultKinds {
@@ -46,7 +46,7 @@
 }
 
 func checkCommand() *cobra.Command {
-	return &cobra.Command{Use: "check FILE...", Short: "Tell all that is wrong with scenarios", Args: cobra.MinimumNArgs(1),
+	return &cobra.Command{Use: "check FILE...", Short: "Print all that is wrong with scenarios", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			bad := false
 			for _, name := range files {
@@ -93,7 +93,7 @@
 		}}
 }
 
-// loadFlags are those of `testbed load`.
+// loadFlags are the flags of `testbed load`.
 type loadFlags struct {
 	to     string
 	name   string
@@ -134,7 +134,7 @@
 	return c
 }
 
-// scenario is the one that is named, with what the flags change of it.
+// scenario returns the named scenario with the changes of the flags.
 func (l *loadFlags) scenario(changed func(flag string) bool) (*scenario.Scenario, error) {
 	s, err := scenario.Load(l.name)
 	if err != nil {
@@ -198,7 +198,7 @@
 	var conns []int
 	var rates []float64
 	var each time.Duration
-	c := &cobra.Command{Use: "bench", Short: "Throughput and latency of one node against going direct, closed loop", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "bench", Short: "Throughput and latency of one node against direct requests, closed loop", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			self, err := os.Executable()
 			if err != nil {
@@ -246,7 +246,7 @@
 		}}
 }
 
-// prove plays the scenario `proof` with each broken policy, and with whole ones, and counts the verdicts that are wrong.
+// prove runs the scenario `proof` with each broken policy and with sound ones, and returns the number of wrong verdicts.
 func prove(ctx context.Context, say func(string)) (wrong int, err error) {
 	s, err := scenario.Load("proof")
 	if err != nil {
