--- a/internal/proxy/dispatch/submit.go
+++ b/internal/proxy/dispatch/submit.go
@@ -13,7 +13,7 @@
 	// ErrNoCapacity says that the node's descriptors allow no more requests in flight.
 	ErrNoCapacity = errors.New("the limit of requests in flight is reached")
 	// ErrDuplicateID says that a request with the same ID has no answer yet. Clients get its text.
-	ErrDuplicateID = errors.New("a request with this ID is in progress")
+	ErrDuplicateID = errors.New("an operation of this id is open") // clients get this text with a 409
 	// ErrRouteLimit says that a limit of the request's route is reached.
 	ErrRouteLimit = errors.New("a limit of the route is reached")
 	// ErrRoutesChanged says that the request was matched with a table of routes that has been replaced. The caller matches
