--- a/cmd/fernvane/config.go
+++ b/cmd/fernvane/config.go
@@ -60,7 +60,11 @@
 }
 
 // entryFlags name one entry.
-type entryFlags struct{ service, kind, name string }
+type entryFlags struct {
+	service string
+	kind    string
+	name    string
+}
 
 func (f *entryFlags) add(c *cobra.Command) {
 	c.Flags().StringVar(&f.service, "service", "", "the `service` that it is of; none for what is for every node")
--- a/cmd/fernvane/serve.go
+++ b/cmd/fernvane/serve.go
@@ -28,8 +28,10 @@
 
 func (f *files) flags(set *pflag.FlagSet) {
 	for _, v := range []struct {
-		to              *string
-		name, env, help string
+		to   *string
+		name string
+		env  string
+		help string
 	}{
 		{&f.config, "config", "PROXY_CONFIG", "the platform's configuration, a JSON `file`"},
 		{&f.operator, "operator", "PROXY_OPERATOR", "limits by route, a TOML `file`"},
--- a/internal/testbed/scale/size.go
+++ b/internal/testbed/scale/size.go
@@ -55,8 +55,10 @@
 // Check tells in one line what is wrong with a size, without a look at the machine.
 func (s *Size) Check() error {
 	for _, f := range []struct {
-		name              string
-		value, least, top int
+		name  string
+		value int
+		least int
+		top   int
 	}{
 		{"nodes", s.Nodes, 1, nodesTop}, {"servers", s.Servers, 1, serversTop}, {"services", s.Services, 1, serversTop}, {"serves", s.Serves, 0, s.Services},
 		{"routes", s.Routes, 0, 1_000_000}, {"tenants", s.Tenants, 0, 1_000_000}, {"regions", s.Regions, 1, 16},
