--- a/policy/input.go
+++ b/policy/input.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// UpdateScope says what an update of the endpoint list covers.
+// UpdateScope is the coverage of an endpoint list update.
 type UpdateScope uint8
 
 const (
-	// Incremental updates name the endpoints that changed.
+	// Incremental updates contain only the endpoints that changed.
 	Incremental UpdateScope = iota
-	// Full lists name every endpoint: those omitted are removed.
+	// Full lists contain every endpoint: omitted ones are removed.
 	Full
-	// Cached lists are full lists that were stored by an earlier run.
+	// Cached lists are full lists stored by an earlier run.
 	Cached
-	// Unavailable says that the list could not be had.
+	// Unavailable reports that requesting the list failed.
 	Unavailable
 )
 
@@ -24,74 +24,75 @@
 	Up Condition = iota
 	// Draining endpoints get no new requests.
 	Draining
-	// Removed endpoints are not listed any more.
+	// Removed endpoints are no longer listed.
 	Removed
 )
 
 // Endpoint is one entry of an endpoint list.
 type Endpoint struct {
-	Server            int    // its index; at most one above all earlier ones
-	IndexReused       bool   // the index belonged to another server, of which no attempt is in flight
-	Rank              uint32 // its position in the rotation, the same at every node
+	Server            int    // dense index; at most one above all earlier ones
+	IndexReused       bool   // the index belonged to another server, which has no attempt in flight
+	Rank              uint32 // position in the rotation, identical at every node
 	Zone              int
 	MachineKind       int
 	Cell              int // failure domain inside a zone
 	Condition         Condition
-	Weight            float64       // capacity relative to others; 0 counts as 1
-	Labels            uint64        // one a bit, see TrafficType.PoolLabels
-	StartedAt         time.Duration // since the policy's start, mostly negative
+	Weight            float64       // capacity relative to other servers; 0 counts as 1
+	Labels            uint64        // bit set, see TrafficType.PoolLabels
+	StartedAt         time.Duration // relative to the policy's start, usually negative
 	HasStartTime      bool
-	AddressReassigned bool // another server has its address now, so it is certainly gone
+	AddressReassigned bool // another server now has its address, so this one has terminated
 }
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome uint8
 
 const (
-	// Success is an answer.
+	// Success is a response without an error.
 	Success Outcome = iota
-	// Failure is an answer that reports an error of the server.
+	// Failure is a response that reports a server error.
 	Failure
-	// Overloaded is a refusal by a server that is full: the request has not run.
+	// Overloaded is a rejection by a server without free capacity: the request has not run.
 	Overloaded
-	// TimedOut attempts got no answer in time.
+	// TimedOut attempts got no response within their timeout.
 	TimedOut
-	// Unreachable attempts never reached the server, since they got no connection or a new one broke before the last
-	// byte was written: the request has not run.
+	// Unreachable attempts never reached the server: no connection was established, or a new one broke before the
+	// last byte was written. The request has not run.
 	Unreachable
-	// ConnectionBroken attempts lost their connection before the answer was complete.
+	// ConnectionBroken attempts lost their connection before the response was complete.
 	ConnectionBroken
-	// Canceled attempts were ended by this node, such as one of two hedged ones.
+	// Canceled attempts were ended by this node, such as one of two hedged attempts.
 	Canceled
-	// NotStarted attempts provably never ran, for a reason that says nothing of the server.
+	// NotStarted attempts provably never ran, for a reason unrelated to the server's health.
 	NotStarted
-	// ClientError is an answer that finds fault with the request itself.
+	// ClientError is a response that reports an invalid request.
 	ClientError
 )
 
-// InputKind says what has happened.
+// InputKind is the type of an event.
 type InputKind uint8
 
 const (
-	// RequestArrived starts a request: Request, TrafficType, Tenant, RouteLimit, Key, IsClientRetry, Timeout.
+	// RequestArrived starts a request. It uses Request, TrafficType, Tenant, RouteLimit, Key, IsClientRetry and
+	// Timeout.
 	RequestArrived InputKind = iota
-	// AttemptEnded ends an attempt: Request, Attempt, Server, Outcome, Elapsed, ClientAnswered.
+	// AttemptEnded ends an attempt. It uses Request, Attempt, Server, Outcome, Elapsed and ClientAnswered.
 	AttemptEnded
-	// ClientLeft says that a request needs no answer any more: Request.
+	// ClientLeft ends a request that no longer needs a response. It uses Request.
 	ClientLeft
-	// EndpointsUpdated brings an endpoint list: Scope, Endpoints.
+	// EndpointsUpdated delivers an endpoint list. It uses Scope and Endpoints.
 	EndpointsUpdated
 	// TimerFired follows an earlier SetTimer.
 	TimerFired
-	// TrafficTypesChanged replaces the traffic types: TrafficTypes, LearnFrom, RouteLimits.
+	// TrafficTypesChanged replaces the traffic types. It uses TrafficTypes, LearnFrom and RouteLimits.
 	TrafficTypesChanged
-	// PlanChanged brings a planner's plan: Assignments, NodeCount, MaxAdmittedShare, WithinQuotaShares.
+	// PlanChanged delivers a planner's plan. It uses Assignments, NodeCount, MaxAdmittedShare and WithinQuotaShares.
 	PlanChanged
-	// QuotasChanged changes quotas of tenants: Quotas.
+	// QuotasChanged changes quotas of tenants. It uses Quotas.
 	QuotasChanged
 )
 
-// Input is one event. The kind says which fields count.
+// Input is one event. Kind determines which fields are used.
 type Input struct {
 	Kind    InputKind
 	Request int
@@ -100,40 +101,40 @@
 
 	TrafficType   int
 	Tenant        int
-	RouteLimit    int           // index into RouteLimits; 0: the route has none
+	RouteLimit    int           // index into RouteLimits; 0: the route has no limit
 	Key           uint32        // see HashKey; 0: none
-	IsClientRetry bool          // the client says that it repeats the request
-	Timeout       time.Duration // after which the client gives up
+	IsClientRetry bool          // the client marked the request as a retry
+	Timeout       time.Duration // time until the client gives up
 
 	Outcome        Outcome
-	Elapsed        time.Duration // since the attempt was sent; for other deciders, Policy keeps its own times
-	ClientAnswered bool          // the client has its final answer
+	Elapsed        time.Duration // since the attempt was sent; Policy measures its own times, other implementations use this one
+	ClientAnswered bool          // the client has received its final response
 
 	Scope     UpdateScope
 	Endpoints []Endpoint
 
-	TrafficTypes []TrafficType // all of them; one with requests in hand keeps its index
-	LearnFrom    []int         // by traffic type: itself if unchanged, else the one whose latencies it takes over, or -1
-	RouteLimits  []int         // requests that may be in flight at a time; 0: any number
+	TrafficTypes []TrafficType // all types; a type with open requests keeps its index
+	LearnFrom    []int         // by traffic type: its own index if unchanged, else the type whose latencies it copies, or -1
+	RouteLimits  []int         // requests that may be in flight at a time; 0: unlimited
 
 	Assignments       []Assignment
 	NodeCount         int
 	MaxAdmittedShare  float64   // 0: all
-	WithinQuotaShares []float64 // by tenant: share of its requests that is within its quota, 0: all; nil: by own figures
-	Quotas            []Quota   // those that changed
+	WithinQuotaShares []float64 // by tenant: share of its requests within its quota, 0: all; nil: computed from the node's own arrival rates
+	Quotas            []Quota   // changed quotas only
 }
 
-// Quota is what a tenant may use. Tenants up to the highest number ever named are known, with a quota of 0 until
-// theirs is named.
+// Quota is the request rate that a tenant may use. All tenants up to the highest number received so far are known and
+// have a quota of 0 until theirs is received.
 type Quota struct {
 	Tenant    int
-	PerSecond float64 // requests, over all nodes; 0: never over quota
+	PerSecond float64 // requests a second over all nodes; 0: unlimited
 }
 
-// Assignment is what a plan says of one server for this node.
+// Assignment is the part of a plan that concerns one server at this node.
 type Assignment struct {
 	Server        int
-	Preference    float64       // relative chance to join the subset; 0: not assigned to the node; below 0: to be avoided
-	SlowStartRate float64       // attempts a second at full capacity, while in slow start; 0: as the node decides
-	EjectFor      time.Duration // several nodes agree that it should be ejected
+	Preference    float64       // relative probability of joining the subset; 0: not assigned to the node; below 0: the node avoids the server
+	SlowStartRate float64       // attempts a second at full capacity during slow start; 0: computed by the node
+	EjectFor      time.Duration // ejection time, set when several nodes report failures of the server
 }
--- a/policy/lifecycle.go
+++ b/policy/lifecycle.go
@@ -1,53 +1,54 @@
 package policy
 
-// state is where a request is on its way to its final answer.
+// state is the progress of a request toward its final response.
 type state uint8
 
 const (
 	stateNew      state = iota // arriving
-	stateQueued                // waits for a server, without an attempt in flight
+	stateQueued                // queued for a server, without an attempt in flight
 	stateInFlight              // an attempt is in flight
-	stateDone                  // has its final answer or needs none
+	stateDone                  // has its final response or needs none
 	stateCount
 )
 
-// signal is what may move a request on.
+// signal is an event that may change a request's state.
 type signal uint8
 
 const (
 	onArrival         signal = iota
 	onTick                   // time has passed, or capacity may have become free
-	onSuccess                // an attempt brought the answer
-	onFailure                // an attempt ended without one
-	onAnswerNotNeeded        // no answer is needed any more
+	onSuccess                // an attempt brought the final response
+	onFailure                // an attempt ended without it
+	onAnswerNotNeeded        // a response is no longer needed
 	signalCount
 )
 
-// transition is one line of the lifecycle.
+// transition is one row of the lifecycle.
 type transition struct {
 	from   state
 	on     signal
-	guard  func(*Policy, int) bool // given the request's index
+	guard  func(*Policy, int) bool // called with the request's index
 	to     state
 	action func(*Policy, int)
 }
 
-// lifecycle returns the transitions of a request. The first one whose state, signal and guard fit is taken, so each
-// guard may rely on those above it having said no. canSend, canRetry and canHedge leave the server that they found in
-// Policy.picked for the action.
+// lifecycle returns the transitions of a request. The first transition with a matching state and signal whose guard
+// returns true is taken, so each guard may rely on the guards above it having returned false. canSend, canRetry and
+// canHedge store the selected server in Policy.picked for the action.
 //
-// Guards have side effects. isShed, canSend, canRetry and canHedge may draw random numbers, also when they say no. A
-// canSend that says yes has moved credits and the round robin's position, and may have grown the subset; canHedge may
-// refuse the server after that.
+// Guards have side effects. isShed, canSend, canRetry and canHedge may draw random numbers even if they return false.
+// If canSend returns true, it has changed credits and the round-robin position, and may have grown the subset;
+// canHedge may reject the server after that.
 //
-// The Reject effect carries no reason. It comes from these rows; what follows tells them apart in a debugger or a test.
-// AttemptCount is 0 for the first three, unless a queued request had attempts that got no connection.
+// The Reject effect carries no reason. The rows below produce it; the right column shows how to distinguish them in a
+// debugger or a test. AttemptCount is 0 for the first three, unless a queued request had attempts that got no
+// connection.
 //
 //	new, onArrival, isShed           shed: admission.rejectShare of its class or attributedShedShare above 0
-//	new, onArrival, always           no server or slot, and it may not wait: subset.readyCount, concurrency.limit
-//	queued, onTick, always           waited for too long (maxQueueShare, MaxQueueTime) or until too late for its objective
-//	in flight, onFailure             failed, safe to reject, and canRetry refused: maxAttempts, budgets.retries, objectiveAt
-//	in flight, onTick, late          no end of the attempt by the client's deadline, and safe to reject
+//	new, onArrival, always           no server or slot, and queueing not allowed: subset.readyCount, concurrency.limit
+//	queued, onTick, always           queued too long (maxQueueShare, MaxQueueTime) or too close to its objective
+//	in flight, onFailure             failed, safe to reject, and canRetry false: maxAttempts, budgets.retries, objectiveAt
+//	in flight, onTick, late          attempt still in flight near the client's deadline, and safe to reject
 //	none (requestArrived)            unknown traffic type
 func lifecycle() []transition {
 	return []transition{
@@ -75,7 +76,7 @@
 	}
 }
 
-// advance takes the first transition that fits a request and a signal, if any does.
+// advance takes the first matching transition for a request and a signal, if there is one.
 func (p *Policy) advance(request int, on signal) {
 	for _, t := range p.transitions[p.requests.all[request].state][on] {
 		if t.guard(p, request) {
@@ -86,7 +87,7 @@
 	}
 }
 
-// enterState keeps the set of open requests and the routes' counts in step with a request's state.
+// enterState sets a request's state and updates the set of open requests and the counts of routes.
 func (p *Policy) enterState(request int, next state) {
 	r := &p.requests.all[request]
 	if was := r.state; was == stateNew && next != stateDone {
@@ -102,8 +103,8 @@
 	r.state = next
 }
 
-// always is the guard of a transition that any request may take.
+// always is the guard of an unconditional transition.
 func always(*Policy, int) bool { return true }
 
-// doNothing is the action of a transition that only changes the state.
+// doNothing is the action of a transition that changes only the state.
 func (p *Policy) doNothing(int) {}
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// minPatience is the time until the objective, in unloaded latencies, below which a timeout only tells of the client.
+// minPatience is the time from sending until the objective, in unloaded latencies, below which a timeout is caused by
+// the client's deadline and does not indicate a slow server.
 const minPatience = 2
 
-// attemptEnded records the end of an attempt and moves its request on.
+// attemptEnded records the end of an attempt and advances its request.
 func (p *Policy) attemptEnded(in *Input) {
 	if in.Request >= len(p.requests.all) {
 		return
@@ -37,8 +38,8 @@
 	p.dequeue()
 }
 
-// recordOutcome learns from the end of an attempt at a server. Failures that belong to the request, and timeouts that
-// only tell of an impatient client, say nothing of the server.
+// recordOutcome updates all statistics from the end of an attempt at a server. Failures attributed to the request,
+// and timeouts caused by a short client deadline, do not count against the server.
 func (p *Policy) recordOutcome(s int, r *request, sentAt time.Duration, outcome Outcome) {
 	p.admission.overloaded.Observe(0, allAttemptsMemory)
 	p.subset.refusedConnects.Observe(0, allAttemptsMemory)
@@ -78,7 +79,7 @@
 	}
 }
 
-// recordSuccess learns from an answer: latency, pauses, the load that servers bear, and that the server is healthy.
+// recordSuccess updates latency, pauses, sustained load and server health from a successful response.
 func (p *Policy) recordSuccess(s int, r *request, sentAt time.Duration) {
 	elapsed := p.now - sentAt
 	p.recordPauseSample(s, sentAt, float64(elapsed) > spikeFactor*float64(p.latency.smoothed.At(s)))
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -8,26 +8,28 @@
 )
 
 const (
-	maxTurnsAhead      = 2.0 // turns that a server may have in advance to get a key again, so that turns stay even over all keys
-	crowdedFactor      = 1.0 // times the mean in flight; a node has few attempts at a server, so one above the mean is much
-	minSquaredSlowness = 0.1 // so that a fast server does not get everything
+	maxTurnsAhead      = 2.0 // turns that a server may take in advance to receive a key again, so that turns stay even over all keys
+	crowdedFactor      = 1.0 // times the mean in flight; a node has few attempts at a server, so one above the mean is a large excess
+	minSquaredSlowness = 0.1 // lower bound that prevents a fast server from receiving all requests
 
-	// maxRefusedConnectShare is the share of attempts with a refused connection above which only idle servers get requests.
+	// maxRefusedConnectShare is the share of attempts with a refused connection above which only idle servers get
+	// requests.
 	maxRefusedConnectShare = 0.1
-	refusedConnectPrior    = 10.0 // attempts without a refusal assumed in that share, so that one refusal counts for little
+	refusedConnectPrior    = 10.0 // attempts without a refusal assumed in that share, so that a single refusal has little effect
 
-	// creditRounding is the difference between credits that is taken for rounding.
+	// creditRounding is the largest difference between credits that counts as a rounding error.
 	creditRounding = 1e-9
 )
 
-// picker is the round robin over the active subset. Each server that is not passed over earns the square root of its
-// weight as credit, and the one with the most credit is next: with equal weights that is plain round robin.
+// picker implements weighted round robin over the active subset. Each server that is not skipped earns the square
+// root of its weight as credit, and the server with the most credit is next: with equal weights this is plain round
+// robin.
 type picker struct {
-	position      int       // in the subset, of the next round
+	position      int       // in the subset, start of the next round
 	credit        []float64 // by server, in turns
-	weight        []float64 // by server: listed weight, less while it warms up, is slow or suspected
+	weight        []float64 // by server: listed weight, reduced while the server is warming up, slow or suspected
 	totalWeight   float64   // of the subset
-	totalCapacity float64   // of the subset: listed weights, less during slow start
+	totalCapacity float64   // of the subset: listed weights, reduced during slow start
 }
 
 func (k *picker) addServer(s int) {
@@ -41,20 +43,20 @@
 	return c
 }
 
-// strictness says which servers a walk of the subset passes over.
+// strictness determines which servers a walk over the subset skips.
 type strictness int
 
 const (
-	strictnessRules    strictness = iota // those that isExcluded names
-	strictnessHealth                     // also those tried for the request, and unhealthy ones
-	strictnessForecast                   // also those with a pause near, crowded ones, and those that a plan avoids
-	strictnessIdle                       // also those with an attempt in flight
+	strictnessRules    strictness = iota // servers that isExcluded names
+	strictnessHealth                     // also servers already tried for the request, and unhealthy ones
+	strictnessForecast                   // also servers near a forecast pause, above the mean load, or avoided by a plan
+	strictnessIdle                       // also servers with an attempt in flight
 )
 
 // canSend reports whether a request may have an attempt now, and picks the server for it. While the subset can grow,
-// its idle servers come first, and when all are busy or passed over, the next of the rotation joins. When none can join,
-// busy servers are allowed, and less strictness is taken step by step. Where connections are refused, only idle servers
-// get requests.
+// its idle servers come first; if all are busy or skipped, the next server of the rotation joins. If none can join,
+// busy servers are allowed, and the strictness is lowered step by step. While connections are refused, only idle
+// servers get requests.
 func (p *Policy) canSend(request int) bool {
 	r := &p.requests.all[request]
 	if r.state != stateInFlight && (p.isSaturated() || !p.routes.hasCapacity(r.routeLimit)) {
@@ -75,9 +77,9 @@
 	return false
 }
 
-// pickFromSubset picks the server of the subset whose turn it is among those that are not passed over. Where servers
-// cache by key, the server that every node ranks first for the key goes before others whose turn is near, so that nodes
-// agree without messages.
+// pickFromSubset picks the next server of the subset among those that are not skipped. If servers cache by key, the
+// server that every node ranks first for the key takes precedence over others whose turn is near, so that nodes agree
+// without exchanging messages.
 func (p *Policy) pickFromSubset(r *request, level strictness) bool {
 	members := p.subset.members
 	best, most, earned := -1, 0.0, 0.0
@@ -106,7 +108,7 @@
 	return true
 }
 
-// isPassedOver reports whether a walk of this strictness passes over a server.
+// isPassedOver reports whether a walk with this strictness skips a server.
 func (p *Policy) isPassedOver(s int, r *request, level strictness) bool {
 	switch {
 	case p.isExcluded(s, r):
@@ -121,8 +123,8 @@
 	return false
 }
 
-// isExcluded reports whether a rule forbids a server for a request: it is not ready, does not match the placement or
-// labels, is out of slow-start tokens, or is outside the key scope of a request that may have run.
+// isExcluded reports whether a rule forbids a server for a request: the server is not ready, does not match the
+// placement or labels, has no slow-start tokens, or is outside the key scope of a request that may have run.
 func (p *Policy) isExcluded(s int, r *request) bool {
 	t := &p.settings.TrafficTypes[r.trafficType]
 	if !p.readiness.Ready(s) || t.PlacementBit&^p.readiness.Placements(s) != 0 || p.slowStart.isOutOfTokens(s) {
@@ -144,8 +146,8 @@
 	return float64(p.load.inFlight[s])+p.load.abandoned[s] > mean
 }
 
-// updateWeights works out what each server of the subset can take, and the number of ready servers. Each level of
-// suspicion halves a server's turns, which go by the root of its weight.
+// updateWeights computes the capacity of each server of the subset, and the number of ready servers. Each level of
+// suspicion halves a server's turns, which are proportional to the square root of its weight.
 func (p *Policy) updateWeights() {
 	k := &p.picker
 	k.totalWeight, k.totalCapacity, p.subset.readyCount = 0, 0, p.readiness.ReadyCount()
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -8,22 +8,22 @@
 	"fernvane/policy/internal/readiness"
 )
 
-// minDivisor keeps divisions by sums that may be 0 finite.
+// minDivisor replaces smaller divisors, because a sum may be 0.
 const minDivisor = 1e-9
 
-// Policy is one instance of the decisions. It is not safe for concurrent use: its owner calls one method at a time.
+// Policy is one instance of the decision logic. It is not safe for concurrent use: its owner serializes all calls.
 type Policy struct {
 	settings    Settings
 	transitions [stateCount][signalCount][]transition
 	random      randomSource
-	now         time.Duration // of the input in hand
+	now         time.Duration // of the current input
 	lastTick    time.Duration
-	effects     []Effect // of the input in hand
-	picked      int      // server that a guard of the lifecycle found for the action that follows
+	effects     []Effect // of the current input
+	picked      int      // server selected by a guard of the lifecycle for the action that follows
 
 	requests    requestTable
 	dequeues    dequeueCounter
-	readiness   readiness.Table // which servers are ready, and which are listed
+	readiness   readiness.Table // ready and listed servers
 	servers     serverTable
 	subset      subset
 	picker      picker
@@ -44,7 +44,7 @@
 	poll        poll
 }
 
-// New returns an instance that draws its random numbers from seed.
+// New returns an instance whose random numbers are derived from seed.
 func New(s Settings, seed uint32) *Policy {
 	p := &Policy{settings: s, random: randomSource{seed: seed}, quotaUsage: newQuotaUsage(s.TenantQuotas)}
 	for _, t := range lifecycle() {
@@ -58,8 +58,8 @@
 	return p
 }
 
-// Handle decides on one input at the time now, which never goes back, and returns effects with its own appended.
-// An input that names a request or attempt that is unknown or has ended has no effect.
+// Handle processes one input at the time now, which is monotonic, and returns effects with its own appended. An input
+// that refers to an unknown or ended request or attempt has no effect.
 func (p *Policy) Handle(now time.Duration, in *Input, effects []Effect) []Effect {
 	p.now, p.effects = now, effects
 	switch in.Kind {
@@ -85,10 +85,10 @@
 
 func (p *Policy) emit(e Effect) { p.effects = append(p.effects, e) }
 
-// ServerCount returns how many servers the instance keeps figures of.
+// ServerCount returns the number of servers in the instance's tables.
 func (p *Policy) ServerCount() int { return p.readiness.Len() }
 
-// AttemptCount returns how many attempts a request has had.
+// AttemptCount returns the number of attempts of a request.
 func (p *Policy) AttemptCount(request int) int {
 	if request >= len(p.requests.all) {
 		return 0
--- a/policy/request.go
+++ b/policy/request.go
@@ -10,32 +10,33 @@
 )
 
 const (
-	// minAnswerLead is the least time before the client's deadline from which a tick gives the final answer. Where ticks
-	// are further apart than the lead, none may fall into it: the answer then waits for the end of the attempt or for a
-	// tick after the deadline.
+	// minAnswerLead is the shortest lead before the client's deadline with which a tick gives the final response. If
+	// ticks are further apart than the lead, no tick may fall into it: the response is then sent when the attempt
+	// ends or on a tick after the deadline.
 	minAnswerLead = 5 * time.Millisecond
 
-	// objectiveLeadGranularities is how long before its latency objective a request counts as late, in units of
-	// Settings.TimerGranularity: an attempt that times out then still leaves time for an answer within the objective.
+	// objectiveLeadGranularities is the lead before its latency objective with which a request counts as late, in
+	// units of Settings.TimerGranularity: after an attempt times out, there is still time for a response within the
+	// objective.
 	objectiveLeadGranularities = 2
 
 	minRetryAfterShare = 0.9 // of the longest Retry-After
 	minReturnShare     = 0.3 // of the time in which a client can still return and be served
-	latenciesToServe   = 2   // typical latencies that a client must have left to be served
+	latenciesToServe   = 2   // typical latencies that must remain until the objective for a client to be served
 )
 
-// noServer stands for no server, and for that of an attempt that provably never ran.
+// noServer is the server of an attempt that provably never ran, and the absence of a server elsewhere.
 const noServer = -1
 
-// attempt is one sending of a request to one server.
+// attempt is one transmission of a request to one server.
 type attempt struct {
 	server    int // or noServer
 	sentAt    time.Duration
 	ended     bool
-	uncounted bool // does not count toward the node's concurrency limit any more
+	uncounted bool // no longer counts toward the node's concurrency limit
 }
 
-// request is what a client asks for, over all of its attempts.
+// request is a client's request with all of its attempts.
 type request struct {
 	state         state
 	trafficType   int
@@ -46,25 +47,26 @@
 	isClientRetry bool
 
 	arrivedAt      time.Duration
-	objectiveAt    time.Duration // attempts are late from here on, ahead of the latency objective
-	clientDeadline time.Duration // the client gives up
+	objectiveAt    time.Duration // latency objective less objectiveLeadGranularities: attempts are late from then on
+	clientDeadline time.Duration // when the client gives up
 
 	attempts            []attempt
 	mayHaveRun          bool
-	firstRunServer      int           // server of the first attempt that may have run: repeats stay in its key scope
+	firstRunServer      int           // server of the first attempt that may have run: retries stay in its key scope
 	firstRunAt          time.Duration // when that attempt was sent
 	lastOutcome         Outcome
-	isFailureAttributed bool // the last end that tells of the server or of the request was attributed to the request
+	isFailureAttributed bool // the last outcome that indicates a fault of the server or of the request was attributed to the request
 
-	lastDequeue int // number of the last dequeueing that tried it
+	lastDequeue int // number of the last dequeue run that tried the request
 }
 
-// wasTriedAt reports whether an attempt that may have run went to a server.
+// wasTriedAt reports whether an attempt that may have run was sent to a server.
 func (r *request) wasTriedAt(s int) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == s })
 }
 
-// forgetAttempt takes back that an attempt may have run: the first of the others that may have run comes in its place.
+// forgetAttempt records that an attempt never ran: the first of the other attempts that may have run replaces it as
+// the first run.
 func (r *request) forgetAttempt(number int) {
 	r.mayHaveRun, r.firstRunServer = false, noServer
 	for i, a := range r.attempts {
@@ -75,13 +77,13 @@
 	r.attempts[number].server = noServer
 }
 
-// requestTable holds the requests by index. The index of one that is done is used again.
+// requestTable holds the requests by index. The index of a request that is done is reused.
 type requestTable struct {
 	all  []request
 	open intset.Set // those without a final answer
 }
 
-// clone shares no memory that an input for the request could write to.
+// clone returns a copy that shares no memory that an input for the request could write to.
 func (t *requestTable) clone(request int) requestTable {
 	c := requestTable{all: slices.Clone(t.all), open: t.open.Clone()}
 	for _, open := range c.open.Items() {
@@ -93,10 +95,10 @@
 	return c
 }
 
-// requestArrived starts a request and moves it on to an attempt, the queue or a rejection.
+// requestArrived starts a request and advances it to an attempt, the queue or a rejection.
 func (p *Policy) requestArrived(in *Input) {
 	columns.Extend(in.Request+1, &p.requests.all)
-	if in.TrafficType >= len(p.settings.TrafficTypes) { // nothing is known of the type, and nothing has run
+	if in.TrafficType >= len(p.settings.TrafficTypes) { // unknown type, and the request has not run
 		p.emit(Effect{Kind: Reject, Request: in.Request})
 		return
 	}
@@ -126,28 +128,28 @@
 	p.advance(in.Request, onArrival)
 }
 
-// clientLeft ends a request that needs no answer any more. Its attempts in flight are still counted until they end.
+// clientLeft ends a request that no longer needs a response. Its attempts in flight count until they end.
 func (p *Policy) clientLeft(in *Input) {
 	if in.Request < len(p.requests.all) {
 		p.advance(in.Request, onAnswerNotNeeded)
 	}
 }
 
-// hasAttemptInFlight reports whether another attempt of the request may still bring the answer.
+// hasAttemptInFlight reports whether an attempt of the request may still bring the response.
 func (p *Policy) hasAttemptInFlight(request int) bool {
 	return slices.ContainsFunc(p.requests.all[request].attempts, func(a attempt) bool { return !a.ended })
 }
 
-// isSafeToReject reports whether a rejected client may retry without harm: no attempt can have taken effect, or the
-// request may run again.
+// isSafeToReject reports whether a rejected client may retry safely: no attempt can have taken effect, or the request
+// may run again.
 func (p *Policy) isSafeToReject(request int) bool {
 	r := &p.requests.all[request]
 	t := &p.settings.TrafficTypes[r.trafficType]
 	return !r.mayHaveRun || t.Idempotency == Idempotent || t.Idempotency == IdempotentWithKey && t.KeyScope == KeyScopeAll
 }
 
-// isClientDeadlineNear reports whether the final answer must go out now to reach the client in time. It is asked on
-// ticks only, which may be further apart than the lead.
+// isClientDeadlineNear reports whether the final response must be sent now to reach the client in time. It is
+// evaluated on ticks only, which may be further apart than the lead.
 func (p *Policy) isClientDeadlineNear(request int) bool {
 	return p.now+max(p.settings.TimerGranularity, minAnswerLead) >= p.requests.all[request].clientDeadline
 }
@@ -156,16 +158,17 @@
 	return p.isClientDeadlineNear(request) && p.isSafeToReject(request)
 }
 
-// isPastObjective reports whether the attempts in flight are past the latency objective and run on for a late answer.
-// They leave the concurrency limit, which unresponsive servers or links would fill otherwise.
+// isPastObjective reports whether the attempts in flight have missed the latency objective and continue toward a late
+// response. They no longer count toward the concurrency limit, because unresponsive servers or links would otherwise
+// use it up.
 func (p *Policy) isPastObjective(request int) bool {
 	r := &p.requests.all[request]
 	return p.now >= r.objectiveAt && p.settings.TrafficTypes[r.trafficType].LateWeightShare > 0
 }
 
-// reject gives the final answer that the client may retry, and when. A client that can still be served in time is told
-// to return while it can; any other after the longest Retry-After, since sooner it would only meet the same overload.
-// Both are spread, so that clients do not return together.
+// reject sends the final response that the client may retry, with a Retry-After. If the client can still be served
+// within its objective, the Retry-After ends early enough for that; otherwise it is close to MaxRetryAfter, because
+// an earlier retry would meet the same overload. Both are randomized, so that clients do not retry simultaneously.
 func (p *Policy) reject(request int) {
 	r := &p.requests.all[request]
 	after := time.Duration(float64(p.settings.MaxRetryAfter) * (minRetryAfterShare + (1-minRetryAfterShare)*p.chance()))
@@ -176,5 +179,5 @@
 	p.emit(Effect{Kind: Reject, Request: request, Duration: after})
 }
 
-// fail gives the final answer that the outcome is unknown.
+// fail sends the final response that the outcome is unknown.
 func (p *Policy) fail(request int) { p.emit(Effect{Kind: Fail, Request: request}) }
