--- a/internal/collections/columns/durations.go
+++ b/internal/collections/columns/durations.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Durations is a column whose sum is kept in step. The zero value is empty.
+// Durations is a column with an incrementally updated sum. The zero value is empty.
 type Durations struct {
 	values []time.Duration
 	sum    time.Duration
@@ -20,7 +20,7 @@
 // Sum returns the sum of all elements.
 func (d *Durations) Sum() time.Duration { return d.sum }
 
-// Set sets an element and makes the column long enough. i should be at most Len (see Put).
+// Set sets an element and extends the column as needed. i should be at most Len (see Put).
 func (d *Durations) Set(i int, value time.Duration) {
 	if i >= len(d.values) {
 		Put(i, 0, &d.values)
--- a/internal/collections/decay/table.go
+++ b/internal/collections/decay/table.go
@@ -7,22 +7,22 @@
 	"fernvane/internal/collections/indexset"
 )
 
-// Table holds failure rates by index. Decay costs only what those with something left cost. The zero value is empty.
+// Table holds failure rates by index. Decay visits only the nonzero ones. The zero value is empty.
 type Table struct {
 	rates  []FailureRate
 	active indexset.Set
 }
 
-// Reset starts an empty failure rate.
+// Reset initializes an empty failure rate.
 func (t *Table) Reset(i int) {
 	columns.Put(i, FailureRate{}, &t.rates)
 	t.active.Remove(i)
 }
 
-// At returns a failure rate, to be read.
+// At returns a failure rate, which the caller must not modify.
 func (t *Table) At(i int) *FailureRate { return &t.rates[i] }
 
-// Active returns the indices of the failure rates with something left.
+// Active returns the indices of the nonzero failure rates.
 func (t *Table) Active() *indexset.Set { return &t.active }
 
 // Observe counts the end of an attempt, as FailureRate.Observe does.
@@ -32,9 +32,9 @@
 }
 
 // Decay decays all failure rates, as FailureRate.Decay does.
-func (t *Table) Decay(kept, least float64) {
+func (t *Table) Decay(factor, minCount float64) {
 	for i := range t.active.All() {
-		t.rates[i].Decay(kept, least)
+		t.rates[i].Decay(factor, minCount)
 		if t.rates[i].Total == 0 {
 			t.active.Remove(i)
 		}
--- a/internal/collections/indexset/indexset.go
+++ b/internal/collections/indexset/indexset.go
@@ -1,7 +1,8 @@
-// Package indexset holds sets of small integers, such as the indices of what is in use now. A walk is in ascending order,
-// may change the set, and costs what the set holds and not the range that its elements are from; adding or removing an
-// integer that is or isn't there is harmless. Use package intset instead where the elements are wanted as a slice and
-// their order does not matter. The caller owns a set; it has no lock, and even a walk writes to it (Visits).
+// Package indexset provides sets of small integers, such as the indices of active entries. A walk is in ascending
+// order, may change the set, and its cost depends on the number of elements and not on their range. Adding an element
+// that is present, or removing one that is absent, has no effect. Use package intset instead if the elements are
+// needed as a slice in any order. The caller owns a set and synchronizes access; even a walk writes to the set
+// (Visits).
 package indexset
 
 import (
@@ -11,12 +12,12 @@
 )
 
 const (
-	levels   = 3  // the top one has a word for each 64^3 elements
-	wordBits = 64 // elements, or words of the level below, that a word stands for
+	levels   = 3  // the top level has a word for each 64^3 elements
+	wordBits = 64 // elements, or words of the level below, that a word represents
 )
 
-// Set is a set of integers from zero on. It is a bitmap with a bitmap above it that says which of its words are not
-// zero, and another above that. The zero value is an empty set.
+// Set is a set of integers from 0. It is a bitmap with a summary bitmap of its nonzero words, and a summary bitmap of
+// that one. The zero value is an empty set.
 type Set struct {
 	words  [levels][]uint64
 	count  int
@@ -26,7 +27,7 @@
 // Len returns the number of elements.
 func (s *Set) Len() int { return s.count }
 
-// Visits returns how many elements walks have visited so far: their cost, for tests that count.
+// Visits returns the number of elements that walks have visited since the start, for tests of their cost.
 func (s *Set) Visits() int { return s.visits }
 
 // Has reports whether an integer is in the set.
@@ -35,7 +36,7 @@
 	return word < len(s.words[0]) && s.words[0][word]&(1<<(i%wordBits)) != 0
 }
 
-// Add adds an integer, which must not be below zero.
+// Add adds an integer, which must not be negative.
 func (s *Set) Add(i int) {
 	if s.Has(i) {
 		return
@@ -67,17 +68,17 @@
 	}
 }
 
-// Put adds an integer if isIn, else removes it.
-func (s *Set) Put(i int, isIn bool) {
-	if isIn {
+// Put adds an integer if present is true, else removes it.
+func (s *Set) Put(i int, present bool) {
+	if present {
 		s.Add(i)
 	} else {
 		s.Remove(i)
 	}
 }
 
-// All returns the elements in ascending order. Elements may be added and removed during the walk; one that is added
-// below the current one is not visited. A walk counts its visits, so two at the same time are a data race.
+// All returns the elements in ascending order. Elements may be added and removed during the walk; an element that is
+// added below the current one is not visited. A walk counts its visits, so two concurrent walks are a data race.
 func (s *Set) All() iter.Seq[int] {
 	return func(yield func(int) bool) {
 		for i := s.next(0, 0); i >= 0; i = s.next(0, i+1) {
@@ -89,7 +90,7 @@
 	}
 }
 
-// next returns the least bit of a level that is set and not below from, or -1.
+// next returns the lowest set bit of a level that is not below from, or -1.
 func (s *Set) next(level, from int) int {
 	word := from / wordBits
 	if word >= len(s.words[level]) {
@@ -109,7 +110,7 @@
 	return word*wordBits + bits.TrailingZeros64(s.words[level][word])
 }
 
-// scan returns the first word of the top level from an index on that is not zero, or -1.
+// scan returns the first nonzero word of the top level at or after an index, or -1.
 func (s *Set) scan(from int) int {
 	for word := from; word < len(s.words[levels-1]); word++ {
 		if s.words[levels-1][word] != 0 {
--- a/internal/collections/ranktree/ranktree.go
+++ b/internal/collections/ranktree/ranktree.go
@@ -1,5 +1,5 @@
-// Package ranktree holds items in the order of their keys and finds the rank of an item, and the item at a rank, in
-// logarithmic time. The caller owns a tree; it has no lock, and even reads write to it (Steps).
+// Package ranktree provides an ordered tree of items with keys. It finds the rank of an item, and the item at a rank,
+// in logarithmic time. The caller owns a tree and synchronizes access; even reads write to the tree (Steps).
 package ranktree
 
 import (
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// Tree is an order-statistic treap over items that are small integers from zero on. The zero value is empty.
+// Tree is an order-statistic treap over items that are small integers from 0. The zero value is empty.
 type Tree struct {
-	nodes []node // by item plus one; node 0 stands for none
+	nodes []node // by item plus one; index 0 represents no node
 	root  int32
 	steps int
 }
@@ -26,7 +26,7 @@
 // Len returns the number of items.
 func (t *Tree) Len() int { return int(t.size(t.root)) }
 
-// Steps returns how many nodes were visited so far: the cost, for tests that count.
+// Steps returns the number of nodes visited since the start, for tests of the cost.
 func (t *Tree) Steps() int { return t.steps }
 
 // Has reports whether an item is in the tree.
@@ -39,13 +39,13 @@
 	return t.nodes[n].size
 }
 
-// Insert adds an item that is not in the tree, before others of the same key, and returns its rank.
+// Insert adds an item that is not in the tree, before items with the same key, and returns its rank.
 func (t *Tree) Insert(item, key int) int {
 	if missing := item + 2 - len(t.nodes); missing > 0 {
 		t.nodes = append(t.nodes, make([]node, missing)...)
 	}
 	n := int32(item + 1)
-	t.nodes[n] = node{key: key, priority: mixed(uint32(n)), size: 1}
+	t.nodes[n] = node{key: key, priority: mixBits(uint32(n)), size: 1}
 	rank, parent, left := 0, int32(0), false
 	for at := t.root; at != 0; {
 		t.steps++
@@ -73,10 +73,10 @@
 	return rank
 }
 
-// Delete removes an item that is in the tree and returns the rank that it had.
+// Delete removes an item that is in the tree and returns its former rank.
 func (t *Tree) Delete(item int) int {
 	rank, n := t.Rank(item), int32(item+1)
-	for t.nodes[n].left != 0 || t.nodes[n].right != 0 { // down until it is a leaf
+	for t.nodes[n].left != 0 || t.nodes[n].right != 0 { // rotate down until it is a leaf
 		child := t.nodes[n].left
 		if right := t.nodes[n].right; child == 0 || right != 0 && t.nodes[right].priority > t.nodes[child].priority {
 			child = right
@@ -92,7 +92,7 @@
 	return rank
 }
 
-// rotate lifts a node above its parent.
+// rotate exchanges a node with its parent.
 func (t *Tree) rotate(n int32) {
 	t.steps++
 	p := t.nodes[n].parent
@@ -113,19 +113,19 @@
 	t.nodes[p].size = t.size(t.nodes[p].left) + t.size(t.nodes[p].right) + 1
 }
 
-// replace puts another child where one was.
-func (t *Tree) replace(parent, was, child int32) {
+// replace replaces the child old of parent with child.
+func (t *Tree) replace(parent, old, child int32) {
 	switch {
 	case parent == 0:
 		t.root = child
-	case t.nodes[parent].left == was:
+	case t.nodes[parent].left == old:
 		t.nodes[parent].left = child
 	default:
 		t.nodes[parent].right = child
 	}
 }
 
-// Rank returns the rank, from zero on, of an item that is in the tree.
+// Rank returns the rank, starting at 0, of an item that is in the tree.
 func (t *Tree) Rank(item int) int {
 	n := int32(item + 1)
 	rank := int(t.size(t.nodes[n].left))
@@ -156,7 +156,7 @@
 	}
 }
 
-// next returns the node after one, or 0.
+// next returns the node that follows n in key order, or 0.
 func (t *Tree) next(n int32) int32 {
 	if down := t.nodes[n].right; down != 0 {
 		for t.nodes[down].left != 0 {
@@ -172,7 +172,7 @@
 	return p
 }
 
-// From returns all items once, from a rank on and around to it.
+// From returns all items once, starting at a rank and wrapping around.
 func (t *Tree) From(rank int) iter.Seq[int] {
 	return func(yield func(int) bool) {
 		length := t.Len()
@@ -199,8 +199,8 @@
 	return c
 }
 
-// mixed returns a priority that does not depend on the order of items: the finalizer of MurmurHash3.
-func mixed(n uint32) uint32 {
+// mixBits returns a pseudorandom priority that does not depend on the insertion order: the finalizer of MurmurHash3.
+func mixBits(n uint32) uint32 {
 	n ^= n >> 16
 	n *= 0x85ebca6b
 	n ^= n >> 13
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	maxSaturatedShare  = 0.8 // of the time, before less is admitted
-	maxOverloadedShare = 0.2 // of the attempts, before less is admitted
+	maxSaturatedShare  = 0.8 // of the time, above which less is admitted
+	maxOverloadedShare = 0.2 // of the attempts, above which less is admitted
 	saturationMemory   = 500 * time.Millisecond
 	admissionSpeed     = 2.0  // a second, of the logarithm of the admitted share
-	minAdmittedShare   = 0.02 // enough to see an overload pass
+	minAdmittedShare   = 0.02 // enough to detect the end of an overload
 	minHeadroom        = -2.0 // admission falls at most at twice the speed
 
-	defaultMaxShedShare = 0.95 // of one traffic type, so that some of each get through
+	defaultMaxShedShare = 0.95 // of one traffic type, so that some requests of each type are served
 
-	minLatencySeconds = 1e-6 // least latency of a request in its class weight
+	minLatencySeconds = 1e-6 // lower bound of a request's latency in its class weight
 
-	rateMemory = 3 * time.Second // over which arrivals and answers are counted
+	rateMemory = 3 * time.Second // over which arrivals and responses are counted
 
-	// minArrivalRate is the rate, a second, below which a rate is cleared, so that it costs no tick any more. A smaller
-	// rate is lost to rounding in any sum of loads.
+	// minArrivalRate is the rate, a second, below which a rate is cleared, so that ticks no longer visit it. A
+	// smaller rate is lost to rounding in any sum of loads.
 	minArrivalRate = 1e-24
 )
 
-// classesPerType is how many shed classes a traffic type has: requests within their tenant's quota, and beyond it.
+// classesPerType is the number of shed classes of a traffic type: requests within their tenant's quota, and above it.
 const classesPerType = 2
 
-// firstClass returns the class of a type's requests within quota; the one beyond follows it.
+// firstClass returns the class of a type's requests within quota; the class above quota follows it.
 func firstClass(trafficType int) int { return classesPerType * trafficType }
 
-// classesOf returns the classes of a traffic type, within quota and beyond it.
+// classesOf returns the classes of a traffic type, within quota and above it.
 func classesOf(trafficType int) [classesPerType]int {
 	return [classesPerType]int{firstClass(trafficType), firstClass(trafficType) + 1}
 }
@@ -44,23 +44,23 @@
 // typeOfClass returns the traffic type of a class.
 func typeOfClass(class int) int { return class / classesPerType }
 
-// admission sheds load while the node is saturated: by chance, and the classes that are worth least for the time that
-// they take first.
+// admission sheds load at random while the node is saturated, starting with the classes of the lowest weight per
+// time.
 type admission struct {
 	saturated         float64 // share of the time
 	admitted          float64 // share of the offered load
 	maxAdmittedShare  float64 // by a plan; 0: all
 	overloaded        decay.FailureRate
-	maxPriorityWeight float64 // highest of all traffic types so far; a reload never lowers it
+	maxPriorityWeight float64 // highest of all traffic types since the start; a reload never lowers it
 
-	activeTypes  indexset.Set // traffic types with traffic lately: others cost no tick
-	classes      []int        // of the active types, those worth least first
+	activeTypes  indexset.Set // traffic types with recent traffic; ticks visit no others
+	classes      []int        // of the active types, in ascending order of weight
 	arrivalRates []float64    // a second, by class
 	rejectShare  []float64    // by class
 	shedEntries  []shedEntry  // of the last tick, in the order of classes
 }
 
-// shedEntry is what was left to shed when a class's turn came.
+// shedEntry is the load that remained to be shed before a class was processed.
 type shedEntry struct {
 	class     int
 	weight    float64
@@ -81,27 +81,28 @@
 	return a.arrivalRates[firstClass(trafficType) : firstClass(trafficType)+classesPerType]
 }
 
-// isShed reports whether a request is shed, by chance.
+// isShed reports whether a request is shed. The decision is random.
 func (p *Policy) isShed(request int) bool {
 	r := &p.requests.all[request]
 	share := max(p.admission.rejectShare[r.class], min(p.attributedShedShare(r), defaultMaxShedShare))
-	return share > 0 && p.chance() < share
+	return share > 0 && p.randomFloat() < share
 }
 
-// classWeight returns what a class is worth for the time that its requests take. Requests beyond a tenant's quota are
-// worth a share of the others.
+// classWeight returns the priority weight of a class per second of latency. Requests above a tenant's quota have a
+// share of the weight of the others.
 func (p *Policy) classWeight(class int) float64 {
 	share := [classesPerType]float64{1, p.settings.OverQuotaWeightShare}[class%classesPerType]
 	trafficType := typeOfClass(class)
 	return share * p.settings.TrafficTypes[trafficType].PriorityWeight / max(p.latency.typical[trafficType].Seconds(), minLatencySeconds)
 }
 
-// classLoad returns the load that a class offers, in attempts in flight.
+// classLoad returns the offered load of a class, in attempts in flight.
 func (p *Policy) classLoad(class int) float64 {
 	return p.admission.arrivalRates[class] * p.latency.typical[typeOfClass(class)].Seconds()
 }
 
-// adjustAdmission moves the admitted share of the offered load and spreads what is shed over the classes.
+// adjustAdmission updates the admitted share of the offered load and distributes the load to be shed over the
+// classes.
 func (p *Policy) adjustAdmission(elapsed time.Duration) {
 	a := &p.admission
 	p.adjustAdmitted(elapsed)
@@ -124,25 +125,25 @@
 	a.shedEntries = append(a.shedEntries, shedEntry{len(a.arrivalRates), math.Inf(1), remaining})
 }
 
-// adjustAdmitted lowers the admitted share while the node is saturated, or refused by servers, for more than the
-// largest share, and raises it otherwise.
+// adjustAdmitted lowers the admitted share while the node is saturated, or its attempts are rejected as overloaded,
+// for more than the largest allowed share, and raises it otherwise.
 func (p *Policy) adjustAdmitted(elapsed time.Duration) {
 	a := &p.admission
-	kept := decayFactor(elapsed, saturationMemory)
-	if a.saturated *= kept; p.isSaturated() {
-		a.saturated += 1 - kept
+	retained := decayFactor(elapsed, saturationMemory)
+	if a.saturated *= retained; p.isSaturated() {
+		a.saturated += 1 - retained
 	}
 	headroom := max(1-max(a.saturated/maxSaturatedShare, a.overloaded.Rate(attributionPrior)/maxOverloadedShare), minHeadroom)
 	admitted := max(a.admitted*math.Exp(admissionSpeed*headroom*elapsed.Seconds()), minAdmittedShare)
 	a.admitted = min(admitted, cmp.Or(a.maxAdmittedShare, 1))
 }
 
-// rejectShareFor returns the share of a class to reject, out of the load that remains to be shed.
+// rejectShareFor returns the share of a class to reject, given the load that remains to be shed.
 func (p *Policy) rejectShareFor(class int, remaining, load float64) float64 {
 	return min(remaining/max(load, minDivisor), cmp.Or(p.settings.TrafficTypes[typeOfClass(class)].MaxShedShare, defaultMaxShedShare))
 }
 
-// activateType has a traffic type take part in ticks again. Its classes get the shares that they would have by now.
+// activateType includes a traffic type in ticks again. Its classes get the reject shares of the last tick.
 func (p *Policy) activateType(trafficType int) {
 	a := &p.admission
 	if a.activeTypes.Has(trafficType) {
--- a/policy/attribution.go
+++ b/policy/attribution.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	attributionMargin    = 0.1                   // by which an attribute must fail more often than a server to clear it
-	attributionPrior     = 3.0                   // successes assumed in a new record, so that one failure counts for little
+	attributionMargin    = 0.1                   // margin by which an attribute must fail more often than a server
+	attributionPrior     = 3.0                   // successes assumed in a new record, so that a single failure has little effect
 	attributionMemory    = 10.0                  // attempts that count in a server's record
 	attributesMemory     = 3 * attributionMemory // attempts that count in an attribute's record, and in all servers' together
 	allAttemptsMemory    = 2 * attributionMemory // attempts that count in shares of all attempts of the node
-	attributionDecayTime = 10 * time.Second      // in which a record fades to 1/e
-	keyRecordCount       = 256                   // records of keys, which share them by checksum
+	attributionDecayTime = 10 * time.Second      // time in which a record decays to 1/e
+	keyRecordCount       = 256                   // records of keys; keys with equal checksum modulo this number share one
 
-	maxBreakingServers     = 1.5 // servers whose connections a traffic type broke lately; beyond, it may be its fault
+	maxBreakingServers     = 1.5 // servers whose connections a traffic type recently broke; above it, the type is suspected
 	minAttributedShedRate  = 0.6 // failure rate from which requests with an attribute are shed
-	fullAttributedShedRate = 0.9 // failure rate from which nearly all of them are
+	fullAttributedShedRate = 0.9 // failure rate from which nearly all of them are shed
 
-	// minRecordCount is the count below which a record is cleared, so that it costs no tick any more.
+	// minRecordCount is the count below which a record is cleared, so that ticks no longer visit it.
 	minRecordCount = 1e-9
 )
 
-// attribution holds failure rates of servers and of the attributes of requests: type and whether the client repeats,
-// tenant, key. A failure is attributed to the request if one of its attributes fails more often than the server.
-// Without that, requests that fail wherever they go would have all servers ejected.
+// attribution holds failure rates of servers and of attributes of requests: traffic type with client retry or not,
+// tenant, and key. A failure is attributed to the request if one of its attributes fails more often than the server.
+// Without attribution, requests that fail at every server would cause all servers to be ejected.
 type attribution struct {
 	servers decay.Table
 	overall decay.FailureRate
-	types   []decay.FailureRate // two for each traffic type: first tries and clients' retries
+	types   []decay.FailureRate // two for each traffic type: first requests and clients' retries
 	keys    []decay.FailureRate // by checksum
 	breaks  []decay.FailureRate // by traffic type: servers that broke a connection
 }
@@ -56,15 +56,16 @@
 	return c
 }
 
-// decay fades the records of servers and keys. Those of types fade with the type, those of tenants with the tenant.
-func (a *attribution) decay(kept float64) {
-	a.servers.Decay(kept, minRecordCount)
+// decay decays the records of servers and keys. The records of types decay with the type, those of tenants with the
+// tenant.
+func (a *attribution) decay(factor float64) {
+	a.servers.Decay(factor, minRecordCount)
 	for i := range a.keys {
-		a.keys[i].Decay(kept, minRecordCount)
+		a.keys[i].Decay(factor, minRecordCount)
 	}
 }
 
-// attributeRates returns the failure rates of what a request has in common with others.
+// attributeRates returns the failure rates of the attributes of a request.
 func (p *Policy) attributeRates(r *request) []*decay.FailureRate {
 	retried := 0
 	if r.isClientRetry {
@@ -90,7 +91,7 @@
 	}
 	source := s + 1
 	for _, rate := range p.attributeRates(r) {
-		if failed == 0 || rate.LastSource != source { // failures in a row at one server tell of the server
+		if failed == 0 || rate.LastSource != source { // consecutive failures at one server indicate a fault of the server
 			rate.Observe(failed, attributesMemory)
 		}
 		if failed > 0 {
@@ -107,8 +108,8 @@
 	return failed > 0 && worst > max(server, p.attribution.overall.Rate(attributionPrior))
 }
 
-// recordBreak records that a connection broke and reports whether the traffic type breaks servers. The type of the
-// highest priority weight is never taken for it.
+// recordBreak records a broken connection and reports whether the traffic type is the cause. The type of the highest
+// priority weight never counts as the cause.
 func (p *Policy) recordBreak(trafficType, source int) bool {
 	breaks := &p.attribution.breaks[trafficType]
 	if breaks.LastSource != source {
@@ -119,8 +120,8 @@
 	return breaks.Failed >= maxBreakingServers && !isTopPriority
 }
 
-// attributedShedShare returns the share of requests like this one to shed, since they fail where others do not. It is
-// 0 or less for requests that may succeed.
+// attributedShedShare returns the share of requests like this one to shed because they fail where others succeed. It
+// is 0 or less for requests that may succeed.
 func (p *Policy) attributedShedShare(r *request) float64 {
 	worst := 0.0
 	for _, rate := range p.attributeRates(r) {
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -7,41 +7,41 @@
 )
 
 const (
-	latencyHeadroomShare  = 0.1             // of the time between unloaded latency and objective; longer waits mean that queues build up at servers
+	latencyHeadroomShare  = 0.1             // of the time from unloaded latency to objective; longer waits mean that queues grow at servers
 	sustainedLoadMemory   = 1 * time.Second // over which successes are counted
 	latencyRatioSmoothing = 0.05            // weight of one attempt
-	initialLimitPerServer = 4.0             // over all nodes; it grows with answers
-	minLimitPerServer     = 2.0             // over all nodes: enough to see an overload pass
+	initialLimitPerServer = 4.0             // over all nodes; grows with responses
+	minLimitPerServer     = 2.0             // over all nodes: enough to detect the end of an overload
 )
 
-// concurrencyLimit bounds the attempts that the node has in flight, over all servers. It follows the rate at which
-// attempts succeed and guards against queues that build up at the servers before late answers tell of them.
+// concurrencyLimit bounds the attempts that the node has in flight over all servers. It follows the rate of
+// successful attempts and prevents queues at the servers from growing before late responses indicate them.
 type concurrencyLimit struct {
 	inFlight      float64 // attempts that count toward the limit
-	sustainedLoad float64 // attempts in flight that recent successes account for, each taking its allowed time (Little's law)
-	grown         float64 // limit that answers have shown to be bearable
-	latencyRatio  float64 // time that attempts take over what they are allowed, smoothed
+	sustainedLoad float64 // attempts in flight that recent successes account for, each with its allowed time (Little's law)
+	provenLimit   float64 // limit that responses have shown to be sustainable
+	latencyRatio  float64 // time that attempts take over their allowed time, smoothed
 	successRate   float64 // a second
 }
 
-// limit returns how many attempts may be in flight.
+// limit returns the number of attempts that may be in flight.
 func (c *concurrencyLimit) limit() float64 {
-	return max(c.sustainedLoad+math.Sqrt(c.sustainedLoad), c.grown) / max(c.latencyRatio, 1)
+	return max(c.sustainedLoad+math.Sqrt(c.sustainedLoad), c.provenLimit) / max(c.latencyRatio, 1)
 }
 
-// adjust grows the limit by one for each success or timeout that came while the limit was used up, since after a start or
-// a rise the rate of successes lags behind. While attempts take longer than allowed it only lets the limit shrink.
-// Both times are in seconds: what the attempt took and what it was allowed.
+// adjust raises the limit by one for each success or timeout that occurs while the limit is used up, since the rate
+// of successes lags behind after a start or a rise in load. While attempts take longer than allowed, the limit only
+// shrinks. Both times are in seconds: the duration of the attempt and its allowed time.
 func (c *concurrencyLimit) adjust(elapsed, allowed float64) {
 	c.latencyRatio += latencyRatioSmoothing * (elapsed/allowed - c.latencyRatio)
 	if c.latencyRatio > 1 {
-		c.grown = min(c.grown, c.limit())
+		c.provenLimit = min(c.provenLimit, c.limit())
 	} else if limit := c.limit(); c.inFlight+1 >= limit {
-		c.grown = limit + 1
+		c.provenLimit = limit + 1
 	}
 }
 
-// allowedSeconds returns how long attempts of a type may take: the unloaded latency and a share of what is left until
+// allowedSeconds returns the time that attempts of a type may take: the unloaded latency and a share of the rest of
 // the latency objective.
 func (p *Policy) allowedSeconds(trafficType int) float64 {
 	objective := p.settings.TrafficTypes[trafficType].LatencyObjective
@@ -49,20 +49,20 @@
 	return unloaded.Seconds() + latencyHeadroomShare*(objective-unloaded).Seconds()
 }
 
-// isSaturated reports whether as many attempts are in flight as the limit allows.
+// isSaturated reports whether the number of attempts in flight has reached the limit.
 func (p *Policy) isSaturated() bool {
 	least := minLimitPerServer * float64(p.subset.readyCount) / float64(p.settings.NodeCount)
 	return p.concurrency.inFlight >= max(p.concurrency.limit(), least, 1)
 }
 
-// initLimit sets the limit from the number of servers until the first answer has come.
+// initLimit sets the limit from the number of servers until the first response arrives.
 func (p *Policy) initLimit() {
-	if len(p.latency.answers) > 0 && !p.latency.hasAnswers {
-		p.concurrency.grown = initialLimitPerServer * float64(p.subset.readyCount) / float64(p.settings.NodeCount)
+	if len(p.latency.responseCounts) > 0 && !p.latency.hasResponses {
+		p.concurrency.provenLimit = initialLimitPerServer * float64(p.subset.readyCount) / float64(p.settings.NodeCount)
 	}
 }
 
-// uncountAttempts takes the attempts in flight of a request out of the concurrency limit.
+// uncountAttempts removes the attempts in flight of a request from the concurrency limit.
 func (p *Policy) uncountAttempts(request int) {
 	attempts := p.requests.all[request].attempts
 	for i := range attempts {
@@ -76,11 +76,11 @@
 // routeLimits bounds the requests of a route that have an attempt in flight. Index 0 is for routes without a limit.
 type routeLimits struct {
 	inFlight []int
-	limits   []int // 0: any number
+	limits   []int // 0: unlimited
 }
 
-// update takes over other limits. Where a limit falls below the number in flight, these go on, and no further request
-// gets an attempt until enough of them have ended.
+// update replaces the limits. If a limit falls below the number in flight, these requests continue, and no further
+// request gets an attempt until enough of them have ended.
 func (l *routeLimits) update(limits []int) {
 	l.limits = limits
 	l.inFlight = append(l.inFlight, make([]int, max(len(limits)-len(l.inFlight), 0))...)
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -27,7 +27,7 @@
 
 func TestSlowAnswersLowerConcurrencyLimit(t *testing.T) {
 	h := newHarness(t, 8, nil)
-	h.concurrency.sustainedLoad, h.concurrency.grown = 16, 40
+	h.concurrency.sustainedLoad, h.concurrency.provenLimit = 16, 40
 	if h.concurrency.limit() != 40 {
 		t.Errorf("limit %.0f although attempts are fast", h.concurrency.limit())
 	}
@@ -37,7 +37,7 @@
 	if w := h.concurrency.limit(); w > 20/h.concurrency.latencyRatio || h.concurrency.latencyRatio < 1.5 {
 		t.Errorf("limit %.1f at latency ratio %.1f", w, h.concurrency.latencyRatio)
 	}
-	h.concurrency.latencyRatio, h.concurrency.sustainedLoad, h.concurrency.grown = 1e6, 0, 0 // as after a time when all servers were slow
+	h.concurrency.latencyRatio, h.concurrency.sustainedLoad, h.concurrency.provenLimit = 1e6, 0, 0 // as after a time when all servers were slow
 	if _, got := h.arriveAt(0, 0, time.Second); len(got) != 1 || got[0].Kind != SendAttempt {
 		t.Errorf("nothing is sent any more: %v", got)
 	}
@@ -52,11 +52,11 @@
 	}{"late answers are worth a share": {0.5, 0}, "they are worth nothing": {0, 3}} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 8, func(s *Settings) { s.TrafficTypes[2].LateWeightShare = c.late })
-			h.concurrency.grown = 1000
+			h.concurrency.provenLimit = 1000
 			for range 3 {
 				h.arriveAt(time.Second, 2, 2*time.Second)
 			}
-			h.concurrency.grown = 0
+			h.concurrency.provenLimit = 0
 			for now := 1400 * ms; now < 1500*ms; now += 20 * ms {
 				h.at(now, Input{Kind: TimerFired})
 			}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -7,7 +7,7 @@
 	"fernvane/internal/collections/columns"
 )
 
-// serverTable holds what the endpoint list says of each server.
+// serverTable holds the attributes of each server from the endpoint list.
 type serverTable struct {
 	rank         []int
 	zone         []int
@@ -28,7 +28,7 @@
 	return c
 }
 
-// endpointsUpdated takes over an endpoint list, or that there is none.
+// endpointsUpdated applies an endpoint list, or the report that none is available.
 func (p *Policy) endpointsUpdated(in *Input) {
 	if in.Scope == Unavailable {
 		p.backOffPolling()
@@ -46,7 +46,7 @@
 		p.updateEndpoint(&in.Endpoints[i], in.Scope, isFirst)
 	}
 	for s := range p.readiness.ReadyUnlisted().All() {
-		p.unlistServer(s, p.readiness.WasListed(s))
+		p.handleUnlisted(s, p.readiness.WasListed(s))
 	}
 	p.suspicion.maxListed = max(p.suspicion.maxListed, p.readiness.ListedCount())
 	p.removeUnready()
@@ -55,7 +55,7 @@
 	p.dequeue()
 }
 
-// updateEndpoint takes over one entry of a list; isFirst says that no list came before.
+// updateEndpoint applies one entry of a list; isFirst means that no list came before.
 func (p *Policy) updateEndpoint(e *Endpoint, scope UpdateScope, isFirst bool) {
 	s := e.Server
 	isNew, wasListed := e.IndexReused || s == p.readiness.Len(), p.readiness.WasListed(s)
@@ -68,12 +68,12 @@
 	}
 	p.servers.zone[s], p.servers.machineKind[s], p.servers.cell[s] = e.Zone, e.MachineKind, e.Cell
 	p.servers.listedWeight[s] = cmp.Or(max(e.Weight, 0), 1)
-	p.matchPlacements(s)
+	p.updatePlacements(s)
 	p.readiness.SetLabels(s, e.Labels)
-	isStillUsed := e.Condition == Removed && p.readiness.Ready(s) && !e.AddressReassigned // unlistServer decides
+	isStillUsed := e.Condition == Removed && p.readiness.Ready(s) && !e.AddressReassigned // handleUnlisted decides
 	p.setReady(s, e.Condition == Up || isStillUsed)
 	if e.Condition == Up && !wasListed && !isFirst {
-		p.joinByChance(s)
+		p.addToSubsetByChance(s)
 	}
 	p.readiness.SetListed(s, e.Condition != Removed)
 	appeared := !isFirst && !wasListed && scope != Cached && p.readiness.Ready(s) && (isNew || !p.settings.UnlistedUsable)
@@ -87,17 +87,17 @@
 	}
 }
 
-// joinByChance takes a server that appears into the subset as often as the subset holds any other, so that it is
-// neither left out nor taken in by all nodes at once.
-func (p *Policy) joinByChance(s int) {
-	if p.subset.contains[s] || p.chance()*float64(p.subset.readyCount+1) >= float64(len(p.subset.members)) {
+// addToSubsetByChance adds a new server to the subset with the same probability with which the subset contains any other, so
+// that the server is neither left out nor added by all nodes simultaneously.
+func (p *Policy) addToSubsetByChance(s int) {
+	if p.subset.contains[s] || p.randomFloat()*float64(p.subset.readyCount+1) >= float64(len(p.subset.members)) {
 		return
 	}
 	p.addToSubset(s)
 	p.subset.readyCount = p.readiness.ReadyCount()
 }
 
-// addServer starts all figures of a server. Its index may have been another's.
+// addServer initializes the state of a server. The index may have belonged to another server.
 func (p *Policy) addServer(s int) {
 	p.readiness.Add(s)
 	p.servers.addServer(s)
@@ -114,8 +114,9 @@
 	p.plan.addServer(s)
 }
 
-// matchPlacements works out which placements a server meets, when a list names it rather than at each attempt.
-func (p *Policy) matchPlacements(s int) {
+// updatePlacements computes the placements that a server matches. It runs when a list names the server rather than at
+// each attempt.
+func (p *Policy) updatePlacements(s int) {
 	matches := uint64(0)
 	for i, placement := range p.settings.Placements {
 		isZoneAllowed := placement.Zones == nil || slices.Contains(placement.Zones, p.servers.zone[s])
@@ -127,7 +128,7 @@
 	p.readiness.SetPlacements(s, matches)
 }
 
-// setReady has a server get new requests or not.
+// setReady sets whether a server may get new requests.
 func (p *Policy) setReady(s int, ready bool) {
 	wasReady := p.readiness.SetReady(s, ready)
 	if ready {
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -1,7 +1,8 @@
 package policy
 
-// canHedge reports whether a request gets a hedged attempt: the first one takes longer than the type's hedge delay, a
-// second one is allowed, within its budget and cannot take effect twice, and a healthy server has capacity for it.
+// canHedge reports whether a request gets a hedged attempt: the first attempt takes longer than the type's hedge
+// delay, a second one is allowed, within its budget and cannot take effect twice, and a healthy server has capacity
+// for it.
 func (p *Policy) canHedge(request int) bool {
 	r := &p.requests.all[request]
 	t := &p.settings.TrafficTypes[r.trafficType]
@@ -17,10 +18,10 @@
 	return p.canSend(request) && !r.wasTriedAt(p.picked) && !p.isUnhealthy(p.picked, r)
 }
 
-// hedge sends a hedged attempt to the server that was picked for it.
+// hedge sends a hedged attempt to the picked server.
 func (p *Policy) hedge(request int) {
 	trafficType := p.requests.all[request].trafficType
 	p.budgets.hedges[trafficType]--
-	p.budgets.retries[trafficType]++ // sendAttempt takes it for a retry
+	p.budgets.retries[trafficType]++ // sendAttempt subtracts a retry
 	p.sendAttempt(request)
 }
--- a/policy/input.go
+++ b/policy/input.go
@@ -107,7 +107,7 @@
 	Timeout       time.Duration // time until the client gives up
 
 	Outcome        Outcome
-	Elapsed        time.Duration // since the attempt was sent; Policy measures its own times, other implementations use this one
+	Elapsed        time.Duration // since the attempt was sent; Policy uses its own times instead
 	ClientAnswered bool          // the client has received its final response
 
 	Scope     UpdateScope
@@ -120,7 +120,7 @@
 	Assignments       []Assignment
 	NodeCount         int
 	MaxAdmittedShare  float64   // 0: all
-	WithinQuotaShares []float64 // by tenant: share of its requests within its quota, 0: all; nil: computed from the node's own arrival rates
+	WithinQuotaShares []float64 // by tenant: share of its requests within its quota, 0: all; nil: from the node's own rates
 	Quotas            []Quota   // changed quotas only
 }
 
@@ -134,7 +134,7 @@
 // Assignment is the part of a plan that concerns one server at this node.
 type Assignment struct {
 	Server        int
-	Preference    float64       // relative probability of joining the subset; 0: not assigned to the node; below 0: the node avoids the server
+	Preference    float64       // relative probability to join the subset; 0: not assigned to the node; below 0: avoided
 	SlowStartRate float64       // attempts a second at full capacity during slow start; 0: computed by the node
 	EjectFor      time.Duration // ejection time, set when several nodes report failures of the server
 }
--- a/policy/internal/failures/failures.go
+++ b/policy/internal/failures/failures.go
@@ -1,5 +1,6 @@
-// Package failures holds failures in a row and ejections of servers, by server and traffic type. It is sparse in both:
-// memory and walks cost what has failed lately. Its owner is the policy, which decides when to eject.
+// Package failures holds consecutive failures and ejections of servers, by server and traffic type. Both are stored
+// sparsely: memory and walks cost only the servers and types with recent failures. The policy owns the table and
+// decides when to eject.
 package failures
 
 import (
@@ -13,22 +14,22 @@
 // AllTypes stands for all traffic types in EjectedUntil and SetEjectedUntil.
 const AllTypes = -1
 
-// Entry is what a server has failed at with one traffic type.
+// Entry holds the failures of a server with one traffic type.
 type Entry struct {
 	TrafficType  int
-	Consecutive  int           // failures in a row
-	LastAt       time.Duration // when the last of them came
+	Consecutive  int           // consecutive failures
+	LastAt       time.Duration // time of the last of them
 	EjectedUntil time.Duration // for this traffic type
 }
 
 // Table holds the entries of all servers. The zero value is an empty table.
 type Table struct {
-	entries [][]Entry       // by server, in no order
+	entries [][]Entry       // by server, unordered
 	until   []time.Duration // by server: ejected for all types
 	active  indexset.Set    // servers with an entry or an ejection
 }
 
-// Add starts a server without entries. Its index may have been another's.
+// Add initializes a server without entries. The index may have belonged to another server.
 func (t *Table) Add(server int) {
 	t.active.Remove(server)
 	columns.Put(server, nil, &t.entries)
@@ -38,7 +39,7 @@
 // Active returns the servers that may have an entry or an ejection.
 func (t *Table) Active() *indexset.Set { return &t.active }
 
-// EntryCount returns how many entries a server has.
+// EntryCount returns the number of entries of a server.
 func (t *Table) EntryCount(server int) int { return len(t.entries[server]) }
 
 // Get returns a copy of a server's entry for a traffic type, or an empty one.
@@ -51,7 +52,8 @@
 	return Entry{TrafficType: trafficType}
 }
 
-// GetOrCreate returns a server's entry for a traffic type, to be written to. It is valid until the next call.
+// GetOrCreate returns a modifiable pointer to a server's entry for a traffic type. The pointer is valid until the
+// next call.
 func (t *Table) GetOrCreate(server, trafficType int) *Entry {
 	i := slices.IndexFunc(t.entries[server], func(e Entry) bool { return e.TrafficType == trafficType })
 	if i < 0 {
@@ -83,7 +85,8 @@
 // ClearEjection ends a server's ejection for AllTypes.
 func (t *Table) ClearEjection(server int) { t.until[server] = 0 }
 
-// Reset ends a server's ejection for AllTypes and clears its failures in a row. Ejections for single types stay.
+// Reset ends a server's ejection for AllTypes and clears its consecutive failures. Ejections for single types stay in
+// effect.
 func (t *Table) Reset(server int) {
 	t.ClearEjection(server)
 	for i := range t.entries[server] {
@@ -91,7 +94,7 @@
 	}
 }
 
-// RecordSuccess clears a server's failures in a row and its ejection for one traffic type.
+// RecordSuccess clears a server's consecutive failures and its ejection for one traffic type.
 func (t *Table) RecordSuccess(server, trafficType int) {
 	for i := range t.entries[server] {
 		if e := &t.entries[server][i]; e.TrafficType == trafficType {
@@ -100,14 +103,14 @@
 	}
 }
 
-// DeleteFunc deletes those entries of a server for which drop returns true.
+// DeleteFunc deletes the entries of a server for which drop returns true.
 func (t *Table) DeleteFunc(server int, drop func(Entry) bool) {
 	t.entries[server] = slices.DeleteFunc(t.entries[server], drop)
 }
 
-// Deactivate takes a server without entries out of Active.
+// Deactivate removes a server without entries from Active.
 func (t *Table) Deactivate(server int) {
-	t.entries[server] = nil // Clone copies those of active servers only
+	t.entries[server] = nil // Clone copies the entries of active servers only
 	t.active.Remove(server)
 }
 
--- a/policy/internal/leastsquares/leastsquares.go
+++ b/policy/internal/leastsquares/leastsquares.go
@@ -1,10 +1,10 @@
 // Package leastsquares fits a straight line to points by least squares, for the policy's pause forecast.
 package leastsquares
 
-// Line goes through the mean of the points with the slope Rise over Run. Neither has a unit of its own: only their
-// signs and their ratio count. A Run of 0 means that the points have no line.
+// Line passes through the mean of the points with the slope Rise over Run. Rise and Run have a common arbitrary
+// scale: only their signs and their ratio are meaningful. A Run of 0 means that the points define no line.
 type Line struct {
-	origin float64 // first x, from which the others are counted to keep rounding small
+	origin float64 // first x; the others are relative to it to reduce rounding errors
 	meanX  float64
 	meanY  float64
 	Run    float64
@@ -34,5 +34,5 @@
 	}
 }
 
-// XAt returns the x where the line meets y. Rise must not be 0; the caller checks that Run and Rise are above 0.
+// XAt returns the x at which the line reaches y. Rise must not be 0; the caller checks that Run and Rise are above 0.
 func (l Line) XAt(y float64) float64 { return l.origin + l.meanX + (y-l.meanY)*l.Run/l.Rise }
--- a/policy/internal/readiness/bitcounts.go
+++ b/policy/internal/readiness/bitcounts.go
@@ -2,10 +2,10 @@
 
 import "math/bits"
 
-// wordBits is how many labels and placements there are at most: one for each bit of a word.
+// wordBits is the maximum number of labels and of placements: one for each bit of a word.
 const wordBits = 64
 
-// bitCounts is a word for each server and, by bit, the number of ready servers that have it.
+// bitCounts holds one word for each server and, by bit, the number of ready servers with the bit set.
 type bitCounts struct {
 	words []uint64
 	ready [wordBits]int
@@ -27,7 +27,7 @@
 	return count
 }
 
-// AddToBits adds a change to the count of each bit that is set in a word.
+// AddToBits adds change to the count of each bit that is set in a word.
 func AddToBits(counts *[wordBits]int, word uint64, change int) {
 	for ; word != 0; word &= word - 1 {
 		counts[bits.TrailingZeros64(word)] += change
--- a/policy/internal/readiness/readiness.go
+++ b/policy/internal/readiness/readiness.go
@@ -1,5 +1,5 @@
-// Package readiness holds which servers are ready and which are listed, with counts that are kept in step, so that no
-// attempt or tick has to walk all servers. It decides nothing. Its owner is the policy; it has no lock.
+// Package readiness holds which servers are ready and which are listed, with incrementally updated counts, so that no
+// attempt or tick has to walk all servers. It makes no decisions. The policy owns the table, which has no lock.
 package readiness
 
 import (
@@ -19,12 +19,13 @@
 	listedCount   int
 	readyUnlisted indexset.Set
 
-	updates   int    // begun so far
-	wasListed []bool // by server: before the update in seenAt
-	seenAt    []int  // by server: the update for which wasListed was taken
+	updates    int    // begun since the start
+	wasListed  []bool // by server: listed before the update in recordedAt
+	recordedAt []int  // by server: the update in which wasListed was recorded
 }
 
-// Add starts a server that is neither ready nor listed and has no labels. Its index may have been another's.
+// Add initializes a server that is neither ready nor listed and has no labels. The index may have belonged to another
+// server.
 func (t *Table) Add(server int) {
 	wasListed := t.WasListed(server)
 	if server < t.Len() {
@@ -33,11 +34,11 @@
 	}
 	columns.Put(server, false, &t.ready, &t.listed)
 	columns.Put(server, wasListed, &t.wasListed)
-	columns.Put(server, t.updates, &t.seenAt)
+	columns.Put(server, t.updates, &t.recordedAt)
 	columns.Put(server, 0, &t.labels.words, &t.placements.words)
 }
 
-// Len returns how many servers the table has.
+// Len returns the number of servers in the table.
 func (t *Table) Len() int { return len(t.ready) }
 
 // Ready reports whether a server is ready: it may get new requests.
@@ -46,28 +47,29 @@
 // Listed reports whether a server is listed.
 func (t *Table) Listed(server int) bool { return t.listed[server] }
 
-// Labels returns a server's labels, one a bit.
+// Labels returns a server's labels as a bit set.
 func (t *Table) Labels(server int) uint64 { return t.labels.words[server] }
 
-// Placements returns the placements that a server matches, one a bit.
+// Placements returns the placements that a server matches as a bit set.
 func (t *Table) Placements(server int) uint64 { return t.placements.words[server] }
 
-// ReadyCount returns how many servers are ready.
+// ReadyCount returns the number of ready servers.
 func (t *Table) ReadyCount() int { return t.readyCount }
 
-// ListedCount returns how many servers are listed.
+// ListedCount returns the number of listed servers.
 func (t *Table) ListedCount() int { return t.listedCount }
 
 // ReadyUnlisted returns the servers that are ready and not listed.
 func (t *Table) ReadyUnlisted() *indexset.Set { return &t.readyUnlisted }
 
-// ReadyWithLabels returns how many of some labels ready servers have. A server counts once for each that it has.
+// ReadyWithLabels returns the sum, over the given labels, of the number of ready servers with the label.
 func (t *Table) ReadyWithLabels(labels uint64) int { return t.labels.count(labels) }
 
-// ReadyWithPlacements returns how many of some placements ready servers match. A server counts once for each.
+// ReadyWithPlacements returns the sum, over the given placements, of the number of ready servers that match the
+// placement.
 func (t *Table) ReadyWithPlacements(placements uint64) int { return t.placements.count(placements) }
 
-// SetReady sets whether a server is ready and returns whether it was.
+// SetReady sets whether a server is ready and returns the previous value.
 func (t *Table) SetReady(server int, ready bool) (was bool) {
 	was = t.ready[server]
 	if ready != was {
@@ -99,10 +101,10 @@
 	t.placements.set(server, placements, t.ready[server])
 }
 
-// BeginUpdate marks the state that WasListed reports from now on.
+// BeginUpdate starts an update: from now on, WasListed refers to the present state.
 func (t *Table) BeginUpdate() { t.updates++ }
 
-// UnlistAll marks every server unlisted.
+// UnlistAll marks every server as unlisted.
 func (t *Table) UnlistAll() {
 	for server := range t.listed {
 		t.WasListed(server)
@@ -110,14 +112,14 @@
 	}
 }
 
-// WasListed reports whether a server was listed before the update begun last. It must be called before the update lists
-// or unlists the server for the first time, other than by Add or UnlistAll.
+// WasListed reports whether a server was listed before the most recent BeginUpdate. It must be called before the
+// update lists or unlists the server for the first time, other than by Add or UnlistAll.
 func (t *Table) WasListed(server int) bool {
 	if server >= len(t.listed) {
 		return false
 	}
-	if t.seenAt[server] != t.updates {
-		t.seenAt[server], t.wasListed[server] = t.updates, t.listed[server]
+	if t.recordedAt[server] != t.updates {
+		t.recordedAt[server], t.wasListed[server] = t.updates, t.listed[server]
 	}
 	return t.wasListed[server]
 }
@@ -127,7 +129,7 @@
 	c := *t
 	columns.Clone(&c.ready, &c.listed, &c.wasListed)
 	columns.Clone(&c.labels.words, &c.placements.words)
-	c.seenAt = slices.Clone(t.seenAt)
+	c.recordedAt = slices.Clone(t.recordedAt)
 	c.readyUnlisted = t.readyUnlisted.Clone()
 	return c
 }
--- a/policy/internal/tenants/tenants.go
+++ b/policy/internal/tenants/tenants.go
@@ -1,5 +1,5 @@
-// Package tenants holds arrival rates and failure rates by tenant, of those tenants only that had traffic lately,
-// however many there are. It decides nothing. Its owner is the policy; it has no lock.
+// Package tenants holds arrival rates and failure rates by tenant. It stores only tenants with recent traffic,
+// whatever the number of tenants. It makes no decisions. The policy owns the table, which has no lock.
 package tenants
 
 import (
@@ -8,10 +8,10 @@
 	"fernvane/internal/collections/decay"
 )
 
-// Unknown stands for all tenants without a quota. They share one failure rate.
+// Unknown represents all tenants without a quota. They share one failure rate.
 const Unknown = -1
 
-// Table holds the tenants with traffic. The zero value is an empty table.
+// Table holds the tenants with recent traffic. The zero value is an empty table.
 type Table struct {
 	slots     []int32 // by tenant: index into active plus one; 0: not active
 	active    []entry
@@ -26,10 +26,10 @@
 	failureRate decay.FailureRate
 }
 
-// Len returns how many tenants the table holds.
+// Len returns the number of tenants in the table.
 func (t *Table) Len() int { return len(t.active) }
 
-// Visits returns how many entries Decay has visited so far: its cost, for tests that count.
+// Visits returns the number of entries that Decay has visited since the start, for tests of its cost.
 func (t *Table) Visits() int { return t.visits }
 
 // TotalRate returns the arrivals a second of all tenants.
@@ -51,7 +51,8 @@
 	return e.arrivalRate
 }
 
-// FailureRate returns the failure rate of a tenant's attempts, to be written to. It is valid until the next call.
+// FailureRate returns a modifiable pointer to the failure rate of a tenant's attempts. The pointer is valid until the
+// next call.
 func (t *Table) FailureRate(tenant int) *decay.FailureRate {
 	if tenant == Unknown {
 		return &t.unknown
@@ -59,7 +60,7 @@
 	return &t.getOrCreate(tenant).failureRate
 }
 
-// getOrCreate returns the entry of a tenant. It is valid until the next call.
+// getOrCreate returns the entry of a tenant. The pointer is valid until the next call.
 func (t *Table) getOrCreate(tenant int) *entry {
 	if missing := tenant + 1 - len(t.slots); missing > 0 {
 		t.slots = append(t.slots, make([]int32, missing)...)
@@ -71,16 +72,16 @@
 	return &t.active[t.slots[tenant]-1]
 }
 
-// Decay keeps a share of the arrival rates and of the failure rates, clears what falls below the least, and drops
-// tenants of whom nothing is left.
-func (t *Table) Decay(arrivalsKept, minArrivalRate, failuresKept, minFailureCount float64) {
-	t.unknown.Decay(failuresKept, minFailureCount)
+// Decay multiplies the arrival rates and the failure rates by their factors, clears values below the minimums,
+// and removes tenants whose rates are all 0.
+func (t *Table) Decay(arrivalFactor, minArrivalRate, failureFactor, minFailureCount float64) {
+	t.unknown.Decay(failureFactor, minFailureCount)
 	t.totalRate = 0
 	for i := len(t.active) - 1; i >= 0; i-- {
 		t.visits++
 		e := &t.active[i]
-		e.arrivalRate = decay.ZeroBelow(e.arrivalRate*arrivalsKept, minArrivalRate)
-		e.failureRate.Decay(failuresKept, minFailureCount)
+		e.arrivalRate = decay.ZeroBelow(e.arrivalRate*arrivalFactor, minArrivalRate)
+		e.failureRate.Decay(failureFactor, minFailureCount)
 		t.totalRate += e.arrivalRate
 		if e.arrivalRate == 0 && e.failureRate.Total == 0 {
 			t.remove(i)
@@ -88,7 +89,7 @@
 	}
 }
 
-// remove takes out the active entry at an index; the last one takes its place.
+// remove removes the active entry at an index; the last entry takes its place.
 func (t *Table) remove(i int) {
 	last := len(t.active) - 1
 	t.slots[t.active[i].tenant] = 0
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -8,45 +8,45 @@
 )
 
 const (
-	latencySmoothing      = 0.1  // weight of one answer in a server's figures
-	typeLatencySmoothing  = 0.02 // weight of one answer in a traffic type's latency
-	initialLatencyDivisor = 4    // of the latency objective: what a new type is taken to need
-	minLatencySamples     = 20.0 // answers until unloaded and typical latency differ
+	latencySmoothing      = 0.1  // weight of one response in a server's latency and slowness
+	typeLatencySmoothing  = 0.02 // weight of one response in a traffic type's latency
+	initialLatencyDivisor = 4    // of the latency objective: assumed latency of a new type
+	minLatencySamples     = 20.0 // responses until unloaded and typical latency are tracked separately
 
-	// unloadedLatencyMemory is the time in which 1-1/e of a lasting rise in latency comes to count as unloaded. It is meant
-	// to be longer than an overload.
+	// unloadedLatencyMemory is the time constant with which a lasting rise in latency becomes part of the unloaded
+	// latency: after it, 1-1/e of the rise is included. It must be longer than an overload.
 	unloadedLatencyMemory = 30 * time.Second
 )
 
-// latency is how long answers take.
+// latency holds the latencies of responses.
 type latency struct {
 	smoothed columns.Durations // by server
-	slowness []float64         // by server: latency over what is typical of the traffic type, smoothed
+	slowness []float64         // by server: latency relative to the typical one of the traffic type, smoothed
 
-	typical    []time.Duration // by traffic type
-	unloaded   []time.Duration // by traffic type: the lowest lately
-	answers    []float64       // by traffic type, since the start
-	hasAnswers bool            // of any type
+	typical        []time.Duration // by traffic type
+	unloaded       []time.Duration // by traffic type: the lowest recently
+	responseCounts []float64       // by traffic type: responses since the start
+	hasResponses   bool            // any type has a response
 }
 
-// record takes in the latency of an answer.
+// record updates latencies from a response.
 func (l *latency) record(s, trafficType int, elapsed time.Duration) {
 	typical := &l.typical[trafficType]
 	l.smoothed.Set(s, l.smoothed.At(s)+time.Duration(latencySmoothing*float64(elapsed-l.smoothed.At(s))))
-	l.answers[trafficType]++
-	l.hasAnswers = true
-	*typical += time.Duration(max(typeLatencySmoothing, 1/l.answers[trafficType]) * float64(elapsed-*typical))
-	if l.unloaded[trafficType] > *typical || l.answers[trafficType] < minLatencySamples {
+	l.responseCounts[trafficType]++
+	l.hasResponses = true
+	*typical += time.Duration(max(typeLatencySmoothing, 1/l.responseCounts[trafficType]) * float64(elapsed-*typical))
+	if l.unloaded[trafficType] > *typical || l.responseCounts[trafficType] < minLatencySamples {
 		l.unloaded[trafficType] = *typical
 	}
 }
 
-// recordSlowness takes in how slow a server was, over what is typical.
+// recordSlowness updates a server's slowness, the ratio of its latency to the typical one.
 func (l *latency) recordSlowness(s int, sample float64) {
 	l.slowness[s] += latencySmoothing * (sample - l.slowness[s])
 }
 
-// addServer starts a server at the mean latency of the others, or of the traffic types if it is the first.
+// addServer initializes a server with the mean latency of the others, or of the traffic types if it is the first.
 func (l *latency) addServer(s int) {
 	mean := l.smoothed.Sum() / time.Duration(max(l.smoothed.Len(), 1))
 	if l.smoothed.Len() == 0 {
@@ -58,18 +58,19 @@
 	columns.Put(s, 1.0, &l.slowness)
 }
 
-// addType starts a traffic type, with the figures of another one if from is not below 0.
+// addType initializes a traffic type, with the latencies of type from unless from is below 0.
 func (l *latency) addType(trafficType, from int, objective time.Duration) {
-	typical, unloaded, answers := objective/initialLatencyDivisor, objective/initialLatencyDivisor, 0.0
+	typical, unloaded, responses := objective/initialLatencyDivisor, objective/initialLatencyDivisor, 0.0
 	if from >= 0 {
-		typical, unloaded, answers = l.typical[from], l.unloaded[from], l.answers[from]
+		typical, unloaded, responses = l.typical[from], l.unloaded[from], l.responseCounts[from]
 	}
 	columns.Put(trafficType, typical, &l.typical)
 	columns.Put(trafficType, unloaded, &l.unloaded)
-	columns.Put(trafficType, answers, &l.answers)
+	columns.Put(trafficType, responses, &l.responseCounts)
 }
 
-// ageUnloaded moves a type's unloaded latency toward the typical one, by a share of the difference, and returns the step.
+// ageUnloaded moves a type's unloaded latency toward the typical one, by a share of the difference, and returns the
+// step.
 func (l *latency) ageUnloaded(trafficType int, share float64) time.Duration {
 	step := time.Duration(share * float64(l.typical[trafficType]-l.unloaded[trafficType]))
 	l.unloaded[trafficType] += step
@@ -81,6 +82,6 @@
 	c.smoothed = l.smoothed.Clone()
 	c.slowness = slices.Clone(l.slowness)
 	columns.Clone(&c.typical, &c.unloaded)
-	c.answers = slices.Clone(l.answers)
+	c.responseCounts = slices.Clone(l.responseCounts)
 	return c
 }
--- a/policy/load.go
+++ b/policy/load.go
@@ -8,25 +8,27 @@
 	"fernvane/internal/collections/columns"
 )
 
-// abandonedMemoryLatencies is the time, in smoothed latencies of the server, in which an abandoned attempt fades to 1/e.
+// abandonedMemoryLatencies is the time, in smoothed latencies of the server, in which an abandoned attempt decays to
+// 1/e.
 const abandonedMemoryLatencies = 4.0
 
-// serverLoad is what this node has in flight at each server.
+// serverLoad holds this node's attempts in flight at each server.
 type serverLoad struct {
 	inFlight        []int
-	abandoned       []float64       // attempts that timed out and that the server may still work on
+	abandoned       []float64       // attempts that timed out and that the server may still process
 	abandonedSentAt []time.Duration // when the last of them was sent
-	lastAnswerAt    []time.Duration // last answer other than ClientError, or when the server last went from idle to busy
+	lastResponseAt  []time.Duration // last response other than ClientError, or when the server last changed from idle to busy
 }
 
-// abandon counts an attempt that timed out. Without it a server that is stuck would look idle.
+// abandon counts an attempt that timed out. Without this count an unresponsive server would look idle.
 func (l *serverLoad) abandon(s int, sentAt time.Duration) {
 	l.abandoned[s]++
 	l.abandonedSentAt[s] = max(l.abandonedSentAt[s], sentAt)
 }
 
-// answered takes back abandoned attempts once one that was sent after them is answered: servers work in turn.
-func (l *serverLoad) answered(s int, sentAt time.Duration) {
+// clearAbandoned clears the abandoned attempts when an attempt sent after them gets a response: servers process requests in
+// order.
+func (l *serverLoad) clearAbandoned(s int, sentAt time.Duration) {
 	if sentAt >= l.abandonedSentAt[s] {
 		l.abandoned[s] = 0
 	}
@@ -36,18 +38,18 @@
 	columns.Put(s, 0, &l.inFlight)
 	columns.Put(s, 0.0, &l.abandoned)
 	columns.Put(s, 0, &l.abandonedSentAt)
-	columns.Put(s, now, &l.lastAnswerAt)
+	columns.Put(s, now, &l.lastResponseAt)
 }
 
 func (l *serverLoad) clone() serverLoad {
 	c := *l
 	c.inFlight = slices.Clone(l.inFlight)
 	c.abandoned = slices.Clone(l.abandoned)
-	columns.Clone(&c.abandonedSentAt, &c.lastAnswerAt)
+	columns.Clone(&c.abandonedSentAt, &c.lastResponseAt)
 	return c
 }
 
-// decayAbandoned lets abandoned attempts at servers of the subset count for less as time passes.
+// decayAbandoned decays the counts of abandoned attempts at servers of the subset.
 func (p *Policy) decayAbandoned(elapsed time.Duration) {
 	for _, s := range p.subset.members {
 		memory := abandonedMemoryLatencies * float64(max(p.latency.smoothed.At(s), 1))
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -13,7 +13,7 @@
 	h.at(385*ms, Input{Kind: TimerFired})
 	h.end(390*ms, id, 0, TimedOut)
 	h.concurrency.inFlight = 1
-	if !h.isCrowded(s) {
+	if !h.isAboveMeanLoad(s) {
 		t.Error("the server looks idle after a timeout")
 	}
 	h.Policy.requests.all[id].state = stateDone
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// minPatience is the time from sending until the objective, in unloaded latencies, below which a timeout is caused by
-// the client's deadline and does not indicate a slow server.
-const minPatience = 2
+// minTimeoutLatencies is the time from sending until the objective, in unloaded latencies, below which a timeout is
+// caused by the client's deadline and does not indicate a slow server.
+const minTimeoutLatencies = 2
 
 // attemptEnded records the end of an attempt and advances its request.
 func (p *Policy) attemptEnded(in *Input) {
@@ -24,7 +24,7 @@
 	p.closeIdleConnections(a.server)
 	p.recordOutcome(a.server, r, a.sentAt, in.Outcome)
 	if in.Outcome == Overloaded || in.Outcome == Unreachable || in.Outcome == NotStarted {
-		r.forgetAttempt(in.Attempt)
+		r.discardAttempt(in.Attempt)
 	}
 	switch {
 	case r.state == stateDone:
@@ -48,9 +48,9 @@
 	}
 	switch outcome {
 	case Success, Failure, TimedOut, ConnectionBroken:
-		isImpatient := outcome == TimedOut && r.objectiveAt-sentAt < minPatience*p.latency.unloaded[r.trafficType]
-		r.isFailureAttributed = !isImpatient && p.recordAndAttribute(s, r, outcome)
-		if r.isFailureAttributed || isImpatient {
+		isTimeoutTooShort := outcome == TimedOut && r.objectiveAt-sentAt < minTimeoutLatencies*p.latency.unloaded[r.trafficType]
+		r.isFailureAttributed = !isTimeoutTooShort && p.recordAndAttribute(s, r, outcome)
+		if r.isFailureAttributed || isTimeoutTooShort {
 			return
 		}
 	}
@@ -63,7 +63,7 @@
 		p.recordFailure(s, minConsecutiveFailures)
 		p.recordTypeFailure(s, r.trafficType, sentAt)
 	case Failure:
-		p.load.lastAnswerAt[s] = p.now
+		p.load.lastResponseAt[s] = p.now
 		p.recordFailure(s, minConsecutiveFailures)
 		p.recordTypeFailure(s, r.trafficType, sentAt)
 	case ClientError, ConnectionBroken:
@@ -89,5 +89,5 @@
 	p.recordRecovery(s)
 	p.outliers.overloads[s] = 0
 	p.outliers.ejections.RecordSuccess(s, r.trafficType)
-	p.load.answered(s, sentAt)
+	p.load.clearAbandoned(s, sentAt)
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	initialEjection = 500 * time.Millisecond // doubles each time
-	maxDoublings    = 3                      // of the initial ejection: 4 s, before the spread
-	ejectionSpread  = 0.5                    // of its length, half of it either way, so that servers do not return together
+	initialEjection = 500 * time.Millisecond // doubles with each further failure
+	maxDoublings    = 3                      // of the initial ejection: 4 s, before randomization
+	ejectionSpread  = 0.5                    // of the ejection time, half in either direction, so that servers do not return simultaneously
 
-	overloadSlowness = 4.0 // latency over typical that a refusal by a full server counts as
+	overloadSlowness = 4.0 // ratio to the typical latency that a rejection by an overloaded server counts as
 
-	minConsecutiveFailures = 2    // one may be a heavy request
-	minTypeFailures        = 3    // of one traffic type, each sent after the last ended
-	minSoftFailures        = 5    // client errors and broken connections, which a server seldom causes
+	minConsecutiveFailures = 2    // a single one may be caused by an expensive request
+	minTypeFailures        = 3    // of one traffic type, each sent after the previous one ended
+	minSoftFailures        = 5    // client errors and broken connections, which servers seldom cause
 	maxEjectedShare        = 0.5  // of the ready servers: more ejections would only overload the others
-	maxTypeEjectedShare    = 0.75 // for one traffic type: the servers still get the others
+	maxTypeEjectedShare    = 0.75 // for one traffic type: the servers still get the other types
 
-	// minRestartSilence is the least time from a server's last answer, or from when its last attempt went out while it
-	// was idle, to a success that makes a server that was unreachable count as restarted.
+	// minRestartSilence is the shortest time without a response after which a success makes an unreachable server
+	// count as restarted. It is measured from the server's last response, or from the sending of its last attempt
+	// while it was idle.
 	minRestartSilence = 1 * time.Second
 )
 
 // outliers counts failures of servers and ejects servers that fail. While a server has a failure count it gets one
-// attempt at a time, as a trial, unless every other allowed server is passed over too (strictnessRules).
+// attempt at a time, as a trial, unless every other allowed server is skipped too (strictnessRules).
 type outliers struct {
 	ejections   failures.Table // for one traffic type or all
-	consecutive []int          // failures in a row
-	soft        []int          // soft failures in a row
-	overloads   []int          // Overloaded in a row
+	consecutive []int          // consecutive failures
+	soft        []int          // consecutive soft failures
+	overloads   []int          // consecutive Overloaded outcomes
 	unreachable []bool         // failed to connect and has not succeeded since
 }
 
@@ -43,7 +44,7 @@
 	columns.Put(s, false, &o.unreachable)
 }
 
-// reset ends a server's ejection for all types and its failures in a row.
+// reset ends a server's ejection for all types and clears its consecutive failures.
 func (o *outliers) reset(s int) {
 	o.consecutive[s], o.soft[s], o.unreachable[s] = 0, 0, false
 	o.ejections.ClearEjection(s)
@@ -58,7 +59,7 @@
 }
 
 // isUnhealthy reports whether a server is ejected for a request, or on trial with an attempt in flight. Servers on
-// trial get no non-idempotent requests, unless every other allowed server is passed over too (strictnessRules).
+// trial get no non-idempotent requests, unless every other allowed server is skipped too (strictnessRules).
 func (p *Policy) isUnhealthy(s int, r *request) bool {
 	isNonIdempotent := p.settings.TrafficTypes[r.trafficType].Idempotency == NonIdempotent
 	isOnTrial := p.outliers.consecutive[s] > 0 && (p.load.inFlight[s] > 0 || isNonIdempotent)
@@ -71,18 +72,18 @@
 	return p.now < p.outliers.ejections.EjectedUntil(s, failures.AllTypes)
 }
 
-// recordRecovery takes in a success: it ends a server's ejection. One that was unreachable may have restarted before the
-// endpoint list says so, and goes through slow start after minRestartSilence.
+// recordRecovery ends a server's ejection after a success. A server that was unreachable may have restarted before
+// the endpoint list reports it, so it goes through slow start after minRestartSilence.
 func (p *Policy) recordRecovery(s int) {
-	if p.outliers.unreachable[s] && p.now-p.load.lastAnswerAt[s] > minRestartSilence {
+	if p.outliers.unreachable[s] && p.now-p.load.lastResponseAt[s] > minRestartSilence {
 		p.startSlowStart(s, p.now)
 	}
-	p.load.lastAnswerAt[s] = p.now
+	p.load.lastResponseAt[s] = p.now
 	p.outliers.reset(s)
 	p.suspicion.lower(s, p.now)
 }
 
-// recordFailure counts a failure and ejects the server after enough of them in a row.
+// recordFailure counts a failure and ejects the server after enough consecutive ones.
 func (p *Policy) recordFailure(s, enough int) {
 	p.outliers.consecutive[s]++
 	if !p.readiness.Listed(s) {
@@ -93,16 +94,16 @@
 	}
 }
 
-// recordSoftFailure counts a failure that bad clients or single connections may cause as well.
+// recordSoftFailure counts a failure that may also be caused by bad clients or single connections.
 func (p *Policy) recordSoftFailure(s int) {
 	if p.outliers.soft[s]++; p.outliers.soft[s] >= minSoftFailures {
 		p.recordFailure(s, 1)
 	}
 }
 
-// recordTypeFailure counts a failure of one traffic type; answers to others leave the count. After the first one, one
-// attempt of the type at a time is in flight there, and after enough the server is ejected for the type. Of attempts
-// that were in flight together one counts.
+// recordTypeFailure counts a failure of one traffic type; responses to other types do not clear the count. After the
+// first failure the server gets one attempt of the type at a time, and after enough failures it is ejected for the
+// type. Of attempts that were in flight together only one counts.
 func (p *Policy) recordTypeFailure(s, trafficType int, sentAt time.Duration) {
 	if sentAt < p.outliers.ejections.Get(s, trafficType).LastAt {
 		return
@@ -114,10 +115,10 @@
 	}
 }
 
-// recordOverload ejects a server for the type that it refused, since it may serve others, and for all types after
-// refusals in a row.
+// recordOverload ejects a server for the rejected type, since it may serve others, and for all types after
+// consecutive rejections.
 func (p *Policy) recordOverload(s, trafficType int) {
-	p.load.lastAnswerAt[s] = p.now
+	p.load.lastResponseAt[s] = p.now
 	p.outliers.ejections.SetEjectedUntil(s, trafficType, p.now+initialEjection)
 	p.admission.overloaded.Failed++
 	p.latency.recordSlowness(s, overloadSlowness)
@@ -127,8 +128,9 @@
 	}
 }
 
-// recordUnreachable counts a failure to connect. A connection that was refused at once costs no time, and the server may
-// have run out of connections, so it takes two to eject; the server leaves the subset if the others suffice.
+// recordUnreachable counts a failure to connect. A connection that is refused immediately costs no time, and the
+// server may only have run out of connections, so two such failures are needed to eject; the server leaves the subset
+// if the remaining members suffice.
 func (p *Policy) recordUnreachable(s int, elapsed time.Duration) {
 	enough := 1
 	if elapsed < p.settings.ConnectTimeout/2 { // refused
@@ -142,21 +144,21 @@
 	p.outliers.unreachable[s] = p.outliers.unreachable[s] || p.outliers.consecutive[s] >= enough
 }
 
-// eject ejects a server, for one traffic type or failures.AllTypes and for a time that doubles, unless more than the
-// share of the ready servers would then be ejected, or of the servers of one placement. A server that the list omits
-// is ejected in any case.
+// eject ejects a server for one traffic type or failures.AllTypes, with a duration that doubles for each doubling. It
+// does not eject if more than maxShare of the ready servers, or of the servers of one placement, would then be
+// ejected. A server that the list omits is ejected in any case.
 func (p *Policy) eject(s, trafficType, doublings int, maxShare float64) {
 	if !p.pruneAndCheckEjection(s, trafficType, maxShare) && p.readiness.Listed(s) {
 		return
 	}
 	duration := float64(initialEjection << min(doublings, maxDoublings))
-	until := p.now + time.Duration(duration*(1-ejectionSpread/2+ejectionSpread*p.chance()))
+	until := p.now + time.Duration(duration*(1-ejectionSpread/2+ejectionSpread*p.randomFloat()))
 	p.outliers.ejections.SetEjectedUntil(s, trafficType, until)
 }
 
-// pruneAndCheckEjection prunes the ejections that it meets and reports whether a server may be ejected besides those
-// that are: at most maxShare of the ready servers, and of those of each of its placements, are ejected then. An ejection
-// for one traffic type with a placement is held only to the placement.
+// pruneAndCheckEjection reports whether one more server may be ejected: together with it, at most maxShare of the
+// ready servers, and of those of each of its placements, would be ejected. It prunes the ejections that it visits. An
+// ejection for one traffic type with a placement is limited only by the placement.
 func (p *Policy) pruneAndCheckEjection(s, trafficType int, maxShare float64) bool {
 	placements := p.readiness.Placements(s)
 	if trafficType != failures.AllTypes {
@@ -172,14 +174,14 @@
 	}
 	canEject := ejected <= maxShare*float64(p.subset.readyCount) || trafficType != failures.AllTypes && placements != 0
 	for bit, count := range ejectedByPlacement {
-		open := p.readiness.ReadyWithPlacements(1 << bit)
-		canEject = canEject && (placements>>bit&1 == 0 || float64(count+1) <= maxShare*float64(open))
+		ready := p.readiness.ReadyWithPlacements(1 << bit)
+		canEject = canEject && (placements>>bit&1 == 0 || float64(count+1) <= maxShare*float64(ready))
 	}
 	return canEject
 }
 
-// pruneEjections drops a server's entries that have no effect any more. The time of the last failure matters only to
-// attempts that were in flight then.
+// pruneEjections deletes a server's entries that no longer have an effect. The time of the last failure matters only
+// to attempts that were in flight at that time.
 func (p *Policy) pruneEjections(s int) {
 	if p.load.inFlight[s] == 0 {
 		p.outliers.ejections.DeleteFunc(s, func(e failures.Entry) bool { return e.Consecutive == 0 && p.now >= e.EjectedUntil })
--- a/policy/pauseforecast_test.go
+++ b/policy/pauseforecast_test.go
@@ -20,7 +20,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 1, nil)
 			for _, at := range c.onsets {
-				h.load.lastAnswerAt[0] = 0
+				h.load.lastResponseAt[0] = 0
 				sent := time.Duration(at * float64(time.Second))
 				h.now = sent + 300*ms
 				h.recordPauseSample(0, sent, false)
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	maxTurnsAhead      = 2.0 // turns that a server may take in advance to receive a key again, so that turns stay even over all keys
-	crowdedFactor      = 1.0 // times the mean in flight; a node has few attempts at a server, so one above the mean is a large excess
+	maxTurnsAhead      = 2.0 // turns that a server may take early for a key, so that turns stay even over all keys
+	meanLoadFactor     = 1.0 // times the mean in flight; a node has few attempts at a server, so one above the mean is a large excess
 	minSquaredSlowness = 0.1 // lower bound that prevents a fast server from receiving all requests
 
 	// maxRefusedConnectShare is the share of attempts with a refused connection above which only idle servers get
@@ -64,7 +64,7 @@
 	}
 	canGrow := len(p.subset.members) < p.subset.readyCount
 	if failed := p.subset.refusedConnects.Rate(refusedConnectPrior); failed > maxRefusedConnectShare {
-		return p.pickFromSubset(r, strictnessIdle) || canGrow && p.chance() > math.Sqrt(failed) && p.growSubset(r)
+		return p.pickFromSubset(r, strictnessIdle) || canGrow && p.randomFloat() > math.Sqrt(failed) && p.growSubset(r)
 	}
 	if canGrow && (p.pickFromSubset(r, strictnessIdle) || p.growSubset(r)) {
 		return true
@@ -85,7 +85,7 @@
 	best, most, earned := -1, 0.0, 0.0
 	for i := range members {
 		s := members[(p.picker.position+i)%len(members)]
-		if p.isPassedOver(s, r, level) {
+		if p.isSkipped(s, r, level) {
 			continue
 		}
 		share := math.Sqrt(p.picker.weight[s])
@@ -108,14 +108,14 @@
 	return true
 }
 
-// isPassedOver reports whether a walk with this strictness skips a server.
-func (p *Policy) isPassedOver(s int, r *request, level strictness) bool {
+// isSkipped reports whether a walk with this strictness skips a server.
+func (p *Policy) isSkipped(s int, r *request, level strictness) bool {
 	switch {
 	case p.isExcluded(s, r):
 		return true
 	case level >= strictnessHealth && (r.wasTriedAt(s) || p.isUnhealthy(s, r)):
 		return true
-	case level >= strictnessForecast && (p.pauses.isNear(s, p.now) || p.isCrowded(s) || p.plan.preference[s] < 0):
+	case level >= strictnessForecast && (p.pauses.isNear(s, p.now) || p.isAboveMeanLoad(s) || p.plan.preference[s] < 0):
 		return true
 	case level >= strictnessIdle && p.load.inFlight[s] > 0:
 		return true
@@ -140,9 +140,9 @@
 		t.KeyScope == KeyScopeCell && p.servers.cell[s] != p.servers.cell[r.firstRunServer]
 }
 
-// isCrowded reports whether a server has more in flight than the mean for its weight.
-func (p *Policy) isCrowded(s int) bool {
-	mean := crowdedFactor * p.concurrency.inFlight * p.picker.weight[s] / max(p.picker.totalWeight, minDivisor)
+// isAboveMeanLoad reports whether a server has more in flight than the mean for its weight.
+func (p *Policy) isAboveMeanLoad(s int) bool {
+	mean := meanLoadFactor * p.concurrency.inFlight * p.picker.weight[s] / max(p.picker.totalWeight, minDivisor)
 	return float64(p.load.inFlight[s])+p.load.abandoned[s] > mean
 }
 
--- a/policy/picker_test.go
+++ b/policy/picker_test.go
@@ -24,11 +24,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 3, nil).fillSubset()
-			h.concurrency.grown, h.now = 1000, 10*second
+			h.concurrency.provenLimit, h.now = 1000, 10*second
 			copy(h.Policy.pauses.next, c.forecast[:])
 			copy(h.Policy.pauses.interval, c.interval[:])
 			for s, n := range c.inFlight {
-				h.Policy.load.inFlight[s], h.load.lastAnswerAt[s] = n, h.now
+				h.Policy.load.inFlight[s], h.load.lastResponseAt[s] = n, h.now
 				h.concurrency.inFlight += float64(n)
 			}
 			h.Policy.requests.all = append(h.Policy.requests.all, request{objectiveAt: 20 * second})
@@ -92,7 +92,7 @@
 			var met [2][]int
 			for me := range met {
 				h := newHarness(t, servers, func(s *Settings) { s.ServersCacheKeys, s.NodeIndex = c.warm, me }).fillSubset()
-				h.picker.position, h.subset.peakInFlight, h.concurrency.grown = 2*me, servers, 1000
+				h.picker.position, h.subset.peakInFlight, h.concurrency.provenLimit = 2*me, servers, 1000
 				turns := make([]int, servers)
 				for i := range uint32(servers * each) {
 					h.arrivals++
@@ -144,7 +144,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 4, nil).fillSubset()
-			h.concurrency.grown = 100
+			h.concurrency.provenLimit = 100
 			for range c.busy {
 				h.arriveAt(0, 0, time.Second)
 			}
--- a/policy/plan.go
+++ b/policy/plan.go
@@ -8,7 +8,8 @@
 	"fernvane/policy/internal/failures"
 )
 
-// plan is what the planner's last plan says of servers. What it says of admission and quotas is kept there.
+// plan holds the parts of the planner's last plan that concern servers. The parts for admission and quotas are in
+// admission and quotaUsage.
 type plan struct {
 	assigned      indexset.Set // servers that the plan names
 	preference    []float64    // see Assignment; 0 for others
@@ -26,8 +27,8 @@
 	return c
 }
 
-// updatePlan takes over a plan. Servers that it takes from the node or wants avoided leave the subset unless an attempt
-// is in flight there.
+// updatePlan applies a plan. Servers that the plan no longer assigns to the node, or avoids, leave the subset unless
+// an attempt is in flight there.
 func (p *Policy) updatePlan(in *Input) {
 	p.settings.NodeCount = in.NodeCount
 	p.quotaUsage.withinQuotaShares = in.WithinQuotaShares
@@ -47,14 +48,14 @@
 	}
 	for i := len(p.subset.members) - 1; i >= 0 && len(p.subset.members) > 1; i-- {
 		s := p.subset.members[i]
-		isTakenAway := p.plan.preference[s] == 0 && before[s] > 0
-		if (isTakenAway || p.plan.preference[s] < 0) && p.load.inFlight[s] == 0 {
+		isUnassigned := p.plan.preference[s] == 0 && before[s] > 0
+		if (isUnassigned || p.plan.preference[s] < 0) && p.load.inFlight[s] == 0 {
 			p.removeFromSubset(i)
 		}
 	}
 }
 
-// ejectByPlan ejects a server for as long as a plan says; a trial follows, as after an ejection of the node's own.
+// ejectByPlan ejects a server for the time that a plan sets; a trial follows, as after the node's own ejections.
 func (p *Policy) ejectByPlan(a Assignment) {
 	ejections := &p.outliers.ejections
 	until := max(ejections.EjectedUntil(a.Server, failures.AllTypes), p.now+a.EjectFor)
--- a/policy/plan_test.go
+++ b/policy/plan_test.go
@@ -53,7 +53,7 @@
 // it avoids.
 func TestAssignedServersJoinFirst(t *testing.T) {
 	h := newHarness(t, 6, nil)
-	h.concurrency.grown = 1000
+	h.concurrency.provenLimit = 1000
 	h.at(0, Input{Kind: PlanChanged, NodeCount: 4, Assignments: []Assignment{
 		{Server: 1, Preference: -1}, {Server: 4, Preference: 1}, {Server: 5, Preference: 0.5}}})
 	for range 8 { // more than may join
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	maxQueueShare    = 0.3 // of the latency objective that a request may wait for its turn
-	minLatenciesLeft = 1.5 // typical latencies that must be left after the wait
+	maxQueueShare    = 0.3 // of the latency objective: longest time that a request may be queued
+	minLatenciesLeft = 1.5 // typical latencies that must remain until the objective after queueing
 )
 
-// dequeueCounter numbers the dequeueings, so that each one tries a request once.
+// dequeueCounter numbers the dequeue runs, so that each run tries a request once.
 type dequeueCounter struct {
 	count int
 }
 
-// canQueue reports whether a request may wait, for a slot of the concurrency limit, an endpoint list or a server in
-// slow start, and still be answered within its objective.
+// canQueue reports whether a request may wait for a slot of the concurrency limit, an endpoint list or a server in
+// slow start, and still get its response within its objective.
 func (p *Policy) canQueue(request int) bool {
 	r := &p.requests.all[request]
 	t := &p.settings.TrafficTypes[r.trafficType]
@@ -26,19 +26,19 @@
 }
 
 // canWaitForConnection reports whether a request whose attempt got no connection, so that nothing ran, may wait for a
-// server that has one to spare.
+// server with a free connection.
 func (p *Policy) canWaitForConnection(request int) bool {
 	r := &p.requests.all[request]
 	t := &p.settings.TrafficTypes[r.trafficType]
 	return r.lastOutcome == Unreachable && !r.mayHaveRun && len(r.attempts) < p.maxAttempts(t) && p.canQueue(request)
 }
 
-// dequeue gives free slots of the concurrency limit to waiting requests, those of the highest weight first.
+// dequeue assigns free slots of the concurrency limit to queued requests, in descending order of weight.
 func (p *Policy) dequeue() {
-	stuck := uint64(0) // placements of which no server is to be had now
+	exhausted := uint64(0) // placements without an available server
 	p.dequeues.count++
 	for !p.isSaturated() {
-		best := p.nextQueued(stuck)
+		best := p.nextQueued(exhausted)
 		if best < 0 {
 			return
 		}
@@ -50,19 +50,19 @@
 			continue
 		}
 		if t.PlacementBit == 0 {
-			return // no server for this one, so none for the others
+			return // no server for a request without restrictions, so none for the others
 		}
-		stuck |= t.PlacementBit
+		exhausted |= t.PlacementBit
 	}
 }
 
-// nextQueued returns the waiting request of the highest weight that this dequeueing has not tried, or -1.
-func (p *Policy) nextQueued(stuck uint64) int {
+// nextQueued returns the queued request of the highest weight that this dequeue run has not tried, or -1.
+func (p *Policy) nextQueued(exhausted uint64) int {
 	best := -1
 	for _, request := range p.requests.open.Items() {
 		r := &p.requests.all[request]
 		canTry := r.state == stateQueued && r.lastDequeue != p.dequeues.count && p.routes.hasCapacity(r.routeLimit) &&
-			p.settings.TrafficTypes[r.trafficType].PlacementBit&stuck == 0
+			p.settings.TrafficTypes[r.trafficType].PlacementBit&exhausted == 0
 		if canTry && (best < 0 || p.classWeight(r.class) > p.classWeight(p.requests.all[best].class)) {
 			best = request
 		}
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -8,12 +8,12 @@
 	"fernvane/policy/internal/tenants"
 )
 
-// quotaUsage holds what tenants use of their quotas at this node. The quotas themselves are Settings.TenantQuotas.
+// quotaUsage holds the arrivals of tenants at this node. The quotas themselves are in Settings.TenantQuotas.
 type quotaUsage struct {
 	tenants           tenants.Table
 	total             float64   // of all quotas, in requests a second over all nodes
-	known             int       // tenants below this number have a quota
-	changed           bool      // they are not those of the settings any more
+	known             int       // tenants with a lower index have a quota
+	changed           bool      // they differ from those of the settings
 	withinQuotaShares []float64 // of a plan, by tenant; nil without one
 }
 
@@ -28,7 +28,7 @@
 	return c
 }
 
-// updateQuotas takes over quotas that have changed. The slice that New was given stays as it is.
+// updateQuotas applies changed quotas. The slice passed to New is not modified.
 func (p *Policy) updateQuotas(changed []Quota) {
 	if !p.quotaUsage.changed {
 		p.settings.TenantQuotas, p.quotaUsage.changed = slices.Clone(p.settings.TenantQuotas), true
@@ -41,18 +41,20 @@
 	p.quotaUsage.known = len(p.settings.TenantQuotas)
 }
 
-// countArrivalOverQuota counts an arrival of a tenant and reports whether it is taken to be beyond the tenant's quota:
-// by chance, as often as the tenant's rate is above its share. A quota or a plan's share of 0 means never.
+// countArrivalOverQuota counts an arrival of a tenant and reports whether it counts as above the tenant's quota. The
+// decision is random; on average it marks the part of the tenant's rate that exceeds its share. A quota or a plan's
+// share of 0 means unlimited.
 func (p *Policy) countArrivalOverQuota(tenant int) bool {
 	within := p.fairShare(tenant) / p.quotaUsage.tenants.RecordArrival(tenant, 1/rateMemory.Seconds())
 	if tenant < len(p.quotaUsage.withinQuotaShares) {
 		within = p.quotaUsage.withinQuotaShares[tenant]
 	}
-	return within > 0 && within < 1 && p.chance() > within
+	return within > 0 && within < 1 && p.randomFloat() > within
 }
 
-// fairShare returns the requests a second of a tenant at this node that are within its quota. Nodes do not get traffic
-// alike, so the share rises with the other tenants' traffic above theirs; it has slack for the chance of few arrivals.
+// fairShare returns the requests a second of a tenant at this node that are within its quota. Traffic is not spread
+// evenly over nodes, so the share rises with the ratio of the other tenants' traffic to their shares; it has slack
+// for the random variation of few arrivals.
 func (p *Policy) fairShare(tenant int) float64 {
 	nodes, own := float64(p.settings.NodeCount), p.settings.TenantQuotas[tenant]
 	otherShares := (p.quotaUsage.total - own) / nodes
--- a/policy/request.go
+++ b/policy/request.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// minAnswerLead is the shortest lead before the client's deadline with which a tick gives the final response. If
+	// minResponseLead is the shortest lead before the client's deadline with which a tick gives the final response. If
 	// ticks are further apart than the lead, no tick may fall into it: the response is then sent when the attempt
 	// ends or on a tick after the deadline.
-	minAnswerLead = 5 * time.Millisecond
+	minResponseLead = 5 * time.Millisecond
 
 	// objectiveLeadGranularities is the lead before its latency objective with which a request counts as late, in
 	// units of Settings.TimerGranularity: after an attempt times out, there is still time for a response within the
 	// objective.
 	objectiveLeadGranularities = 2
 
-	minRetryAfterShare = 0.9 // of the longest Retry-After
+	minRetryAfterShare = 0.9 // of MaxRetryAfter
 	minReturnShare     = 0.3 // of the time in which a client can still return and be served
-	latenciesToServe   = 2   // typical latencies that must remain until the objective for a client to be served
+	minServeLatencies  = 2   // typical latencies that must remain until the objective for a client to be served
 )
 
 // noServer is the server of an attempt that provably never ran, and the absence of a server elsewhere.
@@ -55,7 +55,7 @@
 	firstRunServer      int           // server of the first attempt that may have run: retries stay in its key scope
 	firstRunAt          time.Duration // when that attempt was sent
 	lastOutcome         Outcome
-	isFailureAttributed bool // the last outcome that indicates a fault of the server or of the request was attributed to the request
+	isFailureAttributed bool // the last failure at a server was attributed to the request
 
 	lastDequeue int // number of the last dequeue run that tried the request
 }
@@ -65,9 +65,9 @@
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == s })
 }
 
-// forgetAttempt records that an attempt never ran: the first of the other attempts that may have run replaces it as
+// discardAttempt records that an attempt never ran: the first of the other attempts that may have run replaces it as
 // the first run.
-func (r *request) forgetAttempt(number int) {
+func (r *request) discardAttempt(number int) {
 	r.mayHaveRun, r.firstRunServer = false, noServer
 	for i, a := range r.attempts {
 		if i != number && a.server >= 0 && r.firstRunServer < 0 {
@@ -80,7 +80,7 @@
 // requestTable holds the requests by index. The index of a request that is done is reused.
 type requestTable struct {
 	all  []request
-	open intset.Set // those without a final answer
+	open intset.Set // those without a final response
 }
 
 // clone returns a copy that shares no memory that an input for the request could write to.
@@ -151,7 +151,7 @@
 // isClientDeadlineNear reports whether the final response must be sent now to reach the client in time. It is
 // evaluated on ticks only, which may be further apart than the lead.
 func (p *Policy) isClientDeadlineNear(request int) bool {
-	return p.now+max(p.settings.TimerGranularity, minAnswerLead) >= p.requests.all[request].clientDeadline
+	return p.now+max(p.settings.TimerGranularity, minResponseLead) >= p.requests.all[request].clientDeadline
 }
 
 func (p *Policy) isLateAndSafeToReject(request int) bool {
@@ -171,10 +171,10 @@
 // an earlier retry would meet the same overload. Both are randomized, so that clients do not retry simultaneously.
 func (p *Policy) reject(request int) {
 	r := &p.requests.all[request]
-	after := time.Duration(float64(p.settings.MaxRetryAfter) * (minRetryAfterShare + (1-minRetryAfterShare)*p.chance()))
-	left := r.objectiveAt - p.now - latenciesToServe*p.latency.typical[r.trafficType]
+	after := time.Duration(float64(p.settings.MaxRetryAfter) * (minRetryAfterShare + (1-minRetryAfterShare)*p.randomFloat()))
+	left := r.objectiveAt - p.now - minServeLatencies*p.latency.typical[r.trafficType]
 	if left > 0 && after > 0 {
-		after = min(after, time.Duration(float64(left)*(minReturnShare+(1-minReturnShare)*p.chance())))
+		after = min(after, time.Duration(float64(left)*(minReturnShare+(1-minReturnShare)*p.randomFloat())))
 	}
 	p.emit(Effect{Kind: Reject, Request: request, Duration: after})
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -8,10 +8,10 @@
 	"fernvane/internal/collections/columns"
 )
 
-// budgetMemorySeconds is for how long budgets of retries and hedged attempts are saved up.
+// budgetMemorySeconds is the time over which budgets of retries and hedged attempts accumulate.
 const budgetMemorySeconds = 3.0
 
-// budgets holds the retries and hedged attempts that each traffic type has left.
+// budgets holds the remaining retries and hedged attempts of each traffic type.
 type budgets struct {
 	retries []float64
 	hedges  []float64
@@ -23,7 +23,8 @@
 	return budgets{retries: slices.Clone(b.retries), hedges: slices.Clone(b.hedges)}
 }
 
-// refillBudgets adds to the budgets of a type for requests and seconds, up to what comes in within the memory.
+// refillBudgets adds to the budgets of a type for requests and seconds, up to the amount that accumulates within
+// budgetMemorySeconds.
 func (p *Policy) refillBudgets(trafficType int, requests, seconds float64) {
 	t, b := &p.settings.TrafficTypes[trafficType], &p.budgets
 	rates := p.admission.ratesOf(trafficType)
@@ -34,19 +35,19 @@
 	b.hedges[trafficType] = min(b.hedges[trafficType]+t.HedgeRatio*requests, max(budgetMemorySeconds*t.HedgeRatio*rate, 1))
 }
 
-// maxAttempts returns how many attempts a request of a type may have.
+// maxAttempts returns the number of attempts that a request of a type may have.
 func (p *Policy) maxAttempts(t *TrafficType) int {
 	return min(cmp.Or(t.MaxAttempts, p.settings.MaxAttempts), p.settings.MaxAttempts)
 }
 
-// isKeyExpired reports whether servers may have forgotten the idempotency key of a request.
+// isKeyExpired reports whether servers may have discarded the idempotency key of a request.
 func (p *Policy) isKeyExpired(r *request) bool {
 	t := &p.settings.TrafficTypes[r.trafficType]
 	return t.Idempotency == IdempotentWithKey && p.now >= r.firstRunAt+t.KeyRetention-p.settings.TimerGranularity
 }
 
-// canRetry reports whether a request may have another attempt after one failed: it is allowed and within its budget,
-// may bring the answer in time, cannot take effect twice, and there is a server for it.
+// canRetry reports whether a request may have another attempt after one failed: the retry is allowed and within its
+// budget, may bring the response in time, cannot take effect twice, and a server is available for it.
 func (p *Policy) canRetry(request int) bool {
 	r := &p.requests.all[request]
 	t := &p.settings.TrafficTypes[r.trafficType]
@@ -66,8 +67,8 @@
 	return p.hasRetryCapacity(r, t) && p.canSend(request)
 }
 
-// hasRetryCapacity reports whether servers have capacity for a retry. The first retry of the highest priority weight
-// goes out in any case.
+// hasRetryCapacity reports whether servers have capacity for a retry. The first retry of a request with the highest
+// priority weight is always sent.
 func (p *Policy) hasRetryCapacity(r *request, t *TrafficType) bool {
 	if len(r.attempts) == 1 && t.PriorityWeight >= p.admission.maxPriorityWeight {
 		return true
@@ -75,10 +76,10 @@
 	if r.mayHaveRun && p.isSaturated() {
 		return false
 	}
-	return r.lastOutcome != Overloaded || p.chance() >= p.admission.overloaded.Rate(attributionPrior)
+	return r.lastOutcome != Overloaded || p.randomFloat() >= p.admission.overloaded.Rate(attributionPrior)
 }
 
-// sendAttempt sends a request to the server that was picked for it.
+// sendAttempt sends a request to the picked server.
 func (p *Policy) sendAttempt(request int) {
 	r, s := &p.requests.all[request], p.picked
 	if len(r.attempts) > 0 {
@@ -90,15 +91,15 @@
 	}
 	r.mayHaveRun = true
 	if p.load.inFlight[s] == 0 {
-		p.load.lastAnswerAt[s] = p.now
+		p.load.lastResponseAt[s] = p.now
 	}
 	if p.outliers.ejections.Get(s, r.trafficType).Consecutive > 0 {
-		p.outliers.ejections.SetEjectedUntil(s, r.trafficType, r.objectiveAt) // on trial, alone
+		p.outliers.ejections.SetEjectedUntil(s, r.trafficType, r.objectiveAt) // a single attempt at a time on trial
 	}
 	p.load.inFlight[s]++
 	p.concurrency.inFlight++
 	if p.attributedShedShare(r) > 0 {
-		p.uncountAttempts(request) // requests that can succeed keep the whole limit
+		p.uncountAttempts(request) // requests that can succeed have the whole limit
 	}
 	if p.slowStart.servers.Has(s) {
 		p.slowStart.tokens[s]--
@@ -107,7 +108,7 @@
 }
 
 // attemptTimeout returns how long an attempt may take: until the latency objective, or until the client gives up if a
-// late answer is worth something, and no longer than its route says.
+// late response has a weight, and at most as long as its route allows.
 func (p *Policy) attemptTimeout(r *request) time.Duration {
 	t := &p.settings.TrafficTypes[r.trafficType]
 	timeout := max(r.objectiveAt-p.now, time.Millisecond)
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	slowStartShare    = 0.6 // of the load that would crash the server; what is left is for chance and for unseen nodes
-	minSlowStartShare = 0.5 // of the load that would crash a server of one core: the least rate, over all nodes
+	slowStartShare    = 0.6 // of the load that would crash the server; the rest is a margin for random variation and for unknown nodes
+	minSlowStartShare = 0.5 // of the load that would crash a server with one core: lower bound of the rate over all nodes
 
 	maxSlowStartTokens     = 2.0             // attempts saved up for a server
-	slowStartTokenLifetime = 2 * time.Second // so that all nodes together save up little
+	slowStartTokenLifetime = 2 * time.Second // limits the tokens saved up by all nodes together
 )
 
-// slowStart holds the servers that warm up and the attempts that each of them may get now.
+// slowStart holds the servers that are warming up and their tokens, one per attempt.
 type slowStart struct {
 	servers indexset.Set
 	since   []time.Duration
@@ -34,10 +34,10 @@
 	return slowStart{servers: w.servers.Clone(), since: slices.Clone(w.since), tokens: slices.Clone(w.tokens)}
 }
 
-// isOutOfTokens reports whether a server warms up and may get no attempt now.
+// isOutOfTokens reports whether a server is warming up and may get no attempt now.
 func (w *slowStart) isOutOfTokens(s int) bool { return w.servers.Has(s) && w.tokens[s] < 1 }
 
-// startSlowStart has a server warm up since a moment.
+// startSlowStart starts the warm-up of a server at the time since.
 func (p *Policy) startSlowStart(s int, since time.Duration) {
 	p.slowStart.servers.Add(s)
 	p.slowStart.since[s], p.slowStart.tokens[s] = since, 0
@@ -45,24 +45,24 @@
 	p.outliers.ejections.Reset(s)
 }
 
-// updateCapacityShare returns the share of its full capacity that a server surely has: it grows evenly over the longest
-// warm-up. A server that has warmed up leaves slow start.
+// updateCapacityShare returns the share of its full capacity that a server has at least: it grows linearly over the
+// longest warm-up. A server that has progress up leaves slow start.
 func (p *Policy) updateCapacityShare(s int) float64 {
-	warmed := float64(p.now-p.slowStart.since[s]) / float64(max(p.settings.SlowStartDuration, 1))
-	if warmed >= 1 {
+	progress := float64(p.now-p.slowStart.since[s]) / float64(max(p.settings.SlowStartDuration, 1))
+	if progress >= 1 {
 		p.slowStart.servers.Remove(s)
 	}
 	if !p.slowStart.servers.Has(s) {
 		return 1
 	}
 	initial := p.settings.SlowStartInitialCapacity
-	return initial + (1-initial)*max(warmed, 0)
+	return initial + (1-initial)*max(progress, 0)
 }
 
-// refillSlowStart grants attempts to the servers in slow start. The load that crashes a server comes from all nodes, so
-// each node grants what a warm server of the same weight handles for this node, cut to the capacity that the server
-// surely has. Tokens come and expire by chance: nodes whose rates are far below one token a tick still add up to the
-// rate together.
+// refillSlowStart grants attempts to the servers in slow start. The load that crashes a server comes from all nodes,
+// so each node grants the rate that a warm server of the same weight handles for this node, reduced to the server's
+// least capacity. Tokens are granted and expire at random: nodes whose rates are far below one token a tick still add
+// up to the intended rate.
 func (p *Policy) refillSlowStart(elapsed time.Duration) {
 	if p.slowStart.servers.Len() == 0 {
 		return
@@ -71,19 +71,19 @@
 	minRate := minSlowStartShare * p.settings.CrashLoadFactor / slowest / float64(p.settings.NodeCount)
 	for s := range p.slowStart.servers.All() {
 		rate := cmp.Or(p.plan.slowStartRate[s], max(p.slowStartRate(s), minRate)) * p.updateCapacityShare(s)
-		if p.chance() < rate*elapsed.Seconds() {
+		if p.randomFloat() < rate*elapsed.Seconds() {
 			p.slowStart.tokens[s] = min(p.slowStart.tokens[s]+1, maxSlowStartTokens)
 		}
-		if p.chance() < elapsed.Seconds()/slowStartTokenLifetime.Seconds() {
+		if p.randomFloat() < elapsed.Seconds()/slowStartTokenLifetime.Seconds() {
 			p.slowStart.tokens[s] = max(p.slowStart.tokens[s]-1, 0)
 		}
 	}
 }
 
-// slowStartRate returns the attempts a second that this node may send a server at full capacity.
+// slowStartRate returns the attempts a second that this node may send to a server at full capacity.
 func (p *Policy) slowStartRate(s int) float64 {
 	share := p.servers.listedWeight[s] / max(p.picker.totalCapacity, minDivisor)
-	if p.settings.WeightsFollowLoad { // an idle server is listed for several busy ones
+	if p.settings.WeightsFollowLoad { // an idle server has the listed weight of several busy ones
 		share = min(share, 1/max(float64(len(p.subset.members)), 1))
 	}
 	return slowStartShare * p.settings.CrashLoadFactor * p.concurrency.successRate * share
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	subsetSlack             = 2.0              // servers beyond the peak in flight, so that one is idle while another works
-	judgingAnswersPerSecond = 1.0              // by server: enough to tell slow servers within ten seconds
-	subsetMemory            = 10 * time.Second // for which servers that were needed count as needed
+	subsetSlack             = 2.0              // servers above the peak in flight, so that one is idle while another works
+	minSuccessRatePerServer = 1.0              // per server: enough to identify slow servers within ten seconds
+	subsetMemory            = 10 * time.Second // time for which servers that were needed count as needed
 
-	// goldenSection of the rotation lies between the starts of two nodes, which spreads any run of nodes evenly.
+	// goldenSection is the share of the rotation between the start positions of two consecutive nodes. It spreads any
+	// range of consecutive nodes evenly.
 	goldenSection = 0.6180339887
 )
 
-// subset is the active subset of the servers: those that this node sends to. It grows while all of it is busy and
-// shrinks while it is larger than needed, so that a node of many holds connections to few servers.
+// subset is the active subset: the servers that this node sends to. It grows while all its members are busy and
+// shrinks while it is larger than needed, so that in a large cluster each node has connections to few servers.
 type subset struct {
 	members      []int
 	contains     []bool  // by server
-	peakInFlight float64 // most attempts in flight lately; fades
+	peakInFlight float64 // recent maximum of attempts in flight; decays
 	readyCount   int     // servers that are ready, as of the last updateWeights
 
 	rotation         ranktree.Tree // all servers by rank, in the same order at every node
 	nextToJoin       int           // position in the rotation
 	hasStartPosition bool
 
-	refusedConnects decay.FailureRate // connections refused at once, of all attempts lately
+	refusedConnects decay.FailureRate // connections refused immediately, as a share of recent attempts
 }
 
 func (u *subset) clone() subset {
@@ -43,7 +44,7 @@
 	return c
 }
 
-// addServer starts a server outside the subset and the rotation. Its index may have been another's.
+// addServer initializes a server outside the subset and the rotation. The index may have belonged to another server.
 func (u *subset) addServer(s int) {
 	if u.rotation.Has(s) && u.rotation.Delete(s) < u.nextToJoin {
 		u.nextToJoin--
@@ -51,23 +52,23 @@
 	columns.Put(s, false, &u.contains)
 }
 
-// insertIntoRotation puts a server into the rotation by its rank.
+// insertIntoRotation inserts a server into the rotation at its rank.
 func (u *subset) insertIntoRotation(s, rank int) {
 	if u.rotation.Insert(s, rank) < u.nextToJoin {
 		u.nextToJoin++
 	}
 }
 
-// growSubset takes in and picks a server for a request, if one is allowed and healthy: one that a plan assigns, else
-// the next of the rotation. The node's own zone goes first by a chance that falls as concurrencyLimit.latencyRatio rises,
-// and not at all from a ratio of 1.
+// growSubset adds an allowed and healthy server to the subset and picks it for a request. It prefers a server that
+// the plan assigns, and otherwise takes the next of the rotation. Servers in the node's own zone come first with a
+// probability that falls as concurrencyLimit.latencyRatio rises, and that is 0 from a ratio of 1.
 func (p *Policy) growSubset(r *request) bool {
 	p.drawStartPosition()
 	canJoin := func(s int) bool {
 		return !p.subset.contains[s] && !p.isExcluded(s, r) && !r.wasTriedAt(s) && !p.isUnhealthy(s, r) && !p.pauses.isNear(s, p.now)
 	}
 	isFound := p.pickAssigned(canJoin)
-	isZoneFirst := p.chance() > p.concurrency.latencyRatio
+	isZoneFirst := p.randomFloat() > p.concurrency.latencyRatio
 	if !isFound && p.isAllInSubset(&p.settings.TrafficTypes[r.trafficType]) {
 		return false
 	}
@@ -84,22 +85,22 @@
 	return isFound
 }
 
-// drawStartPosition draws where in the rotation the node starts, from a part of its own.
+// drawStartPosition draws the node's start position in the rotation from a range that belongs to the node.
 func (p *Policy) drawStartPosition() {
 	if p.subset.hasStartPosition {
 		return
 	}
-	start := float64(p.settings.NodeIndex)*goldenSection + p.chance()/float64(p.settings.NodeCount)
+	start := float64(p.settings.NodeIndex)*goldenSection + p.randomFloat()/float64(p.settings.NodeCount)
 	p.subset.nextToJoin = int((start - math.Floor(start)) * float64(p.subset.rotation.Len()))
 	p.subset.hasStartPosition = true
 }
 
-// pickAssigned draws one of the servers that the plan assigns to this node, by their preferences.
+// pickAssigned draws one of the servers that the plan assigns to this node, weighted by preference.
 func (p *Policy) pickAssigned(canJoin func(s int) bool) bool {
 	best := 0.0
 	for s := range p.plan.assigned.All() {
 		if p.plan.preference[s] > 0 && canJoin(s) {
-			if drawn := p.plan.preference[s] * p.chance(); drawn > best {
+			if drawn := p.plan.preference[s] * p.randomFloat(); drawn > best {
 				best, p.picked = drawn, s
 			}
 		}
@@ -121,8 +122,8 @@
 	return false
 }
 
-// isAllInSubset reports whether every ready server with the labels or the placement of a traffic type is in the subset,
-// so that looking for another is in vain.
+// isAllInSubset reports whether the subset contains every ready server with the labels or the placement of a traffic
+// type, so that searching for another one would fail.
 func (p *Policy) isAllInSubset(t *TrafficType) bool {
 	if t.PoolLabels|t.PlacementBit == 0 {
 		return false
@@ -140,7 +141,7 @@
 	p.latency.slowness[s], p.load.abandoned[s], p.picker.credit[s] = 1, 0, 0
 }
 
-// removeFromSubset takes out the member at a position and closes its idle connections.
+// removeFromSubset removes the member at a position and closes its idle connections.
 func (p *Policy) removeFromSubset(i int) {
 	s := p.subset.members[i]
 	p.subset.members, p.subset.contains[s] = slices.Delete(p.subset.members, i, i+1), false
@@ -150,7 +151,7 @@
 	}
 }
 
-// removeUnready takes servers that are not ready any more out of the subset.
+// removeUnready removes servers that are no longer ready from the subset.
 func (p *Policy) removeUnready() {
 	p.subset.members = slices.DeleteFunc(p.subset.members, func(s int) bool {
 		p.subset.contains[s] = p.readiness.Ready(s)
@@ -159,12 +160,12 @@
 	p.picker.position = min(p.picker.position, max(len(p.subset.members)-1, 0))
 }
 
-// shrinkSubset takes out the slowest server while there are more than were needed lately and than answers can tell
-// apart.
+// shrinkSubset removes the slowest server while the subset has more members than were needed recently and more than
+// the success rate suffices to compare.
 func (p *Policy) shrinkSubset(elapsed time.Duration) {
 	u := &p.subset
 	u.peakInFlight = max(u.peakInFlight*decayFactor(elapsed, subsetMemory), p.concurrency.inFlight)
-	if float64(len(u.members)) <= max(u.peakInFlight+subsetSlack, p.concurrency.successRate/judgingAnswersPerSecond) {
+	if float64(len(u.members)) <= max(u.peakInFlight+subsetSlack, p.concurrency.successRate/minSuccessRatePerServer) {
 		return
 	}
 	slowness := p.latency.slowness
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -22,7 +22,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, c.servers, nil)
-			h.concurrency.grown = 1000
+			h.concurrency.provenLimit = 1000
 			for range c.out {
 				if _, got := h.arriveAt(time.Second, 0, time.Second); len(got) != 1 {
 					t.Fatalf("not sent: %v", got)
@@ -54,7 +54,7 @@
 		t.Errorf("%d in the subset with nothing to do", len(h.subset.members))
 	}
 	h.fillSubset()
-	h.concurrency.successRate = 6 * judgingAnswersPerSecond // enough to judge all six
+	h.concurrency.successRate = 6 * minSuccessRatePerServer // enough to judge all six
 	h.shrinkSubset(20 * ms)
 	if len(h.subset.members) != 6 {
 		t.Errorf("%d left of six that are all judged", len(h.subset.members))
@@ -121,7 +121,7 @@
 	if got := effectKinds(h.end(5*ms, id, 0, Unreachable)); !slices.Equal(got, []EffectKind{CloseIdle, SendAttempt}) || h.subset.contains[s] || len(h.subset.members) != 7 {
 		t.Errorf("server %d of %v, %v", s, h.subset.members, got)
 	}
-	h.concurrency.grown = 100
+	h.concurrency.provenLimit = 100
 	for range 8 { // all others are busy
 		h.arriveAt(10*ms, 0, time.Second)
 	}
--- a/policy/suspicion.go
+++ b/policy/suspicion.go
@@ -9,15 +9,16 @@
 
 const (
 	maxSuspicion      = 3                // each level halves a server's turns
-	unlistedRetention = 60 * time.Second // without an answer, after which an unlisted server is forgotten
+	unlistedRetention = 60 * time.Second // without a response, after which an unlisted server is removed
 )
 
-// suspicion is how little the node trusts servers that the endpoint list omits without a drain notice. Where
-// Settings.UnlistedUsable allows it they stay in use, with fewer turns, against lists that are wrong, old or cut short.
+// suspicion holds the levels of suspicion of servers that the endpoint list omits without a drain notice. If
+// Settings.UnlistedUsable is set, these servers stay in use, with fewer turns, because a list may be wrong, outdated
+// or truncated.
 type suspicion struct {
 	level      []int           // 0 to maxSuspicion
-	lastSignAt []time.Duration // when the list omitted the server, or its last answer since
-	maxListed  int             // most servers ever listed at a time
+	lastSignAt []time.Duration // when the list omitted the server, or its last response since then
+	maxListed  int             // largest number of servers listed at a time since the start
 }
 
 func (x *suspicion) addServer(s int) {
@@ -33,13 +34,14 @@
 
 func (x *suspicion) raise(s int) { x.level[s] = min(x.level[s]+1, maxSuspicion) }
 
-// lower trusts a server more, since it answered.
+// lower reduces the suspicion of a server after a response.
 func (x *suspicion) lower(s int, now time.Duration) {
 	x.level[s], x.lastSignAt[s] = max(x.level[s]-1, 0), now
 }
 
-// unlistServer takes in that a list omits a ready server; wasListed says that the one before named it.
-func (p *Policy) unlistServer(s int, wasListed bool) {
+// handleUnlisted handles the omission of a ready server from a list; wasListed means that the previous list contained
+// it.
+func (p *Policy) handleUnlisted(s int, wasListed bool) {
 	p.setReady(s, p.settings.UnlistedUsable)
 	if !p.readiness.Ready(s) {
 		return
@@ -51,9 +53,9 @@
 	p.emit(Effect{Kind: Retain, Server: s})
 }
 
-// forgetSilent forgets the unlisted server that has been silent for longest, if that is too long or more are in use
-// than were ever listed, so that their number stays bounded.
-func (p *Policy) forgetSilent() {
+// removeSilentServer removes the unlisted server with the longest time since its last response, if that time exceeds
+// unlistedRetention or more unlisted servers are in use than were ever listed. This bounds their number.
+func (p *Policy) removeSilentServer() {
 	unlisted, oldest := p.readiness.ReadyUnlisted(), -1
 	for s := range unlisted.All() {
 		if oldest < 0 || p.suspicion.lastSignAt[s] < p.suspicion.lastSignAt[oldest] {
--- a/policy/suspicion_test.go
+++ b/policy/suspicion_test.go
@@ -42,7 +42,7 @@
 // again, and end when it is silent.
 func TestSuspicionLevels(t *testing.T) {
 	h := newHarness(t, 4, func(s *Settings) { s.UnlistedUsable = true }).fillSubset()
-	h.now, h.load.lastAnswerAt[0] = time.Second, time.Second
+	h.now, h.load.lastResponseAt[0] = time.Second, time.Second
 	tell := func(c Condition) {
 		h.at(h.now, Input{Kind: EndpointsUpdated, Scope: Incremental, Endpoints: []Endpoint{{Server: 0, Weight: 1, Condition: c}}})
 	}
--- a/policy/traffictype.go
+++ b/policy/traffictype.go
@@ -5,21 +5,21 @@
 	"fernvane/policy/internal/failures"
 )
 
-// updateTrafficTypes takes over traffic types and limits of routes. A type that is new or other than before starts
-// anew, with the latencies of the one that it learns from.
+// updateTrafficTypes applies traffic types and limits of routes. A new or changed type starts with empty state,
+// except that it copies the latencies of the type in LearnFrom.
 func (p *Policy) updateTrafficTypes(in *Input) {
 	p.settings.TrafficTypes = in.TrafficTypes
 	p.routes.update(in.RouteLimits)
-	p.latency.hasAnswers = false
+	p.latency.hasResponses = false
 	for trafficType, from := range in.LearnFrom {
-		p.latency.hasAnswers = p.latency.hasAnswers || from >= 0 && p.latency.answers[from] > 0
+		p.latency.hasResponses = p.latency.hasResponses || from >= 0 && p.latency.responseCounts[from] > 0
 		if from != trafficType {
 			p.addType(trafficType, from)
 		}
 	}
 }
 
-// addType starts all figures of a traffic type, with latencies of another one if from is not below 0.
+// addType initializes the state of a traffic type, with the latencies of type from unless from is below 0.
 func (p *Policy) addType(trafficType, from int) {
 	t := &p.settings.TrafficTypes[trafficType]
 	p.latency.addType(trafficType, from, t.LatencyObjective)
--- a/policy/traffictype_test.go
+++ b/policy/traffictype_test.go
@@ -22,7 +22,7 @@
 	types = append(types, short)
 	learned := h.latency.typical[0]
 	h.at(h.now, Input{Kind: TrafficTypesChanged, TrafficTypes: types, LearnFrom: []int{0, 1, 2, 3, 0}, RouteLimits: []int{0}})
-	if h.latency.typical[0] != learned || h.latency.typical[4] != learned || h.latency.answers[4] != h.latency.answers[0] || len(h.admission.classes) != 10 {
+	if h.latency.typical[0] != learned || h.latency.typical[4] != learned || h.latency.responseCounts[4] != h.latency.responseCounts[0] || len(h.admission.classes) != 10 {
 		t.Errorf("learned %s, kept %s, passed on %s, order %v", learned, h.latency.typical[0], h.latency.typical[4], h.admission.classes)
 	}
 	fresh, _ := h.arriveAt(h.now, 4, 2*time.Second)
--- a/policy/whatif.go
+++ b/policy/whatif.go
@@ -7,19 +7,19 @@
 	"fernvane/internal/collections/columns"
 )
 
-// WhatIf returns the effects that an instance with the same knowledge would decide on for an input under other
-// settings, which must name the same traffic types and tenants. The instance itself does not change, so what the other
-// decisions would have led to later is not known. Traffic types of an operator's routes keep their settings.
+// WhatIf returns the effects that an instance with the same state would produce for an input under other settings,
+// which must name the same traffic types and tenants. It does not change the instance, so it does not show the later
+// consequences of the other decisions. Traffic types of an operator's routes keep their settings.
 func (p *Policy) WhatIf(s *Settings, now time.Duration, in *Input, effects []Effect) []Effect {
 	c := p.clone(in.Request)
-	c.settings, c.quotaUsage.changed = *s, false // a change of quotas clones them first
+	c.settings, c.quotaUsage.changed = *s, false // QuotasChanged clones the quotas first
 	c.quotaUsage.total = columns.Sum(s.TenantQuotas)
 	if p.quotaUsage.changed {
 		c.settings.TenantQuotas, c.quotaUsage.total = p.settings.TenantQuotas, p.quotaUsage.total
 	}
 	c.settings.MustRequestEndpoints = p.settings.MustRequestEndpoints
 	c.settings.TrafficTypes = slices.Clone(p.settings.TrafficTypes)
-	c.settings.Placements = append(slices.Clone(p.settings.Placements), s.Placements...) // routes' types refer to the own ones
+	c.settings.Placements = append(slices.Clone(p.settings.Placements), s.Placements...) // traffic types of routes refer to the instance's own placements
 	for i := range min(len(s.TrafficTypes), len(c.settings.TrafficTypes)) {
 		t := &c.settings.TrafficTypes[i]
 		labels := t.PoolLabels
@@ -28,12 +28,12 @@
 		t.PlacementBit <<= len(p.settings.Placements)
 	}
 	for server := range c.readiness.Len() {
-		c.matchPlacements(server)
+		c.updatePlacements(server)
 	}
 	return c.Handle(now, in, effects)
 }
 
-// clone returns a copy that shares no memory with p that an input for the request could write to. A test looks at each
+// clone returns a copy that shares no memory with p that an input for the request could write to. A test checks each
 // field.
 func (p *Policy) clone(request int) *Policy {
 	c := *p
