--- a/policy/cost_test.go
+++ b/policy/cost_test.go
@@ -10,7 +10,8 @@
 	"fernvane/policy/internal/failures"
 )
 
-// TestCostOfOneChange checks that one change costs the same, in visits and memory, however many servers there are.
+// TestCostOfOneChange checks that the visits and allocations of a single endpoint change do not depend on the number
+// of servers, except for the logarithmic cost of the rotation.
 func TestCostOfOneChange(t *testing.T) {
 	up := Endpoint{Zone: 1, Weight: 1, StartedAt: -time.Hour, HasStartTime: true}
 	for name, change := range map[string]func(i int) []Endpoint{
@@ -53,17 +54,17 @@
 			}
 			few, fewAllocs := cost(1_000)
 			many, manyAllocs := cost(20_000)
-			if many > 2*few+8 || many > 16*bits.Len(20_000) { // the logarithm grows by half
-				t.Errorf("%d elements among 1,000 servers, %d among 20,000", few, many)
+			if many > 2*few+8 || many > 16*bits.Len(20_000) { // the logarithm is half larger
+				t.Errorf("visits per change: got %d with 1,000 servers and %d with 20,000, want about equal", few, many)
 			}
-			if fewAllocs > 0 || manyAllocs > 0 { // a copy of anything would be one, whatever its size
-				t.Errorf("%g allocations among 1,000 servers, %g among 20,000", fewAllocs, manyAllocs)
+			if fewAllocs > 0 || manyAllocs > 0 { // copying any table would allocate
+				t.Errorf("allocations per change: got %g with 1,000 servers and %g with 20,000, want 0", fewAllocs, manyAllocs)
 			}
 		})
 	}
 }
 
-// TestCostOfFullList checks that a full list costs n log n at most, the first time and again.
+// TestCostOfFullList checks that a first full list and a repeated one together cost at most O(n log n) visits.
 func TestCostOfFullList(t *testing.T) {
 	cost := func(servers int) (elements int) {
 		p := newLargePolicy(3, 0, servers)
@@ -73,17 +74,17 @@
 	for _, servers := range []int{1_000, 20_000} {
 		t.Run(fmt.Sprint(servers), func(t *testing.T) {
 			if got, most := cost(servers), 4*servers*bits.Len(uint(servers)); got > most {
-				t.Errorf("%d elements for %d servers, at most %d", got, servers, most)
+				t.Errorf("got %d visits for %d servers, want at most %d", got, servers, most)
 			}
 		})
 	}
 }
 
-// TestCountsMatchWalk checks that counts and sets say what a walk of all servers would.
+// TestCountsMatchWalk checks that incremental counts and sets equal those of a walk over all servers.
 func TestCountsMatchWalk(t *testing.T) {
-	for _, only := range []bool{false, true} {
-		t.Run(fmt.Sprintf("only draining binds: %v", only), func(t *testing.T) {
-			h := newHarness(t, 40, func(s *Settings) { s.UnlistedUsable = only }).fillSubset()
+	for _, unlistedUsable := range []bool{false, true} {
+		t.Run(fmt.Sprintf("unlisted usable: %v", unlistedUsable), func(t *testing.T) {
+			h := newHarness(t, 40, func(s *Settings) { s.UnlistedUsable = unlistedUsable }).fillSubset()
 			for i := range 4_000 {
 				h.now += 20 * ms
 				scope, list := Incremental, []Endpoint{{Server: i * 7 % 40, Rank: uint32(i), Weight: 1, Condition: Condition(i % 3), IndexReused: i%31 == 0,
@@ -103,7 +104,7 @@
 	}
 }
 
-// checkCounts compares the counts with a walk.
+// checkCounts compares the counts with those of a walk over all servers.
 func checkCounts(t *testing.T, h *harness) {
 	t.Helper()
 	ready, listed, sum := 0, 0, time.Duration(0)
@@ -120,7 +121,7 @@
 			dropped = append(dropped, s)
 		}
 		if (h.outliers.ejections.EntryCount(s) > 0 || h.outliers.ejections.EjectedUntil(s, failures.AllTypes) > h.now) && !h.outliers.ejections.Active().Has(s) {
-			t.Fatalf("server %d has entries that no walk visits", s)
+			t.Fatalf("server %d has entries or an ejection but is not in Active", s)
 		}
 		sum += h.latency.smoothed.At(s)
 		for bit := range labelled {
@@ -131,16 +132,16 @@
 	}
 	for bit, want := range labelled {
 		if got := h.readiness.ReadyWithLabels(1 << bit); got != want {
-			t.Fatalf("at %v: %d with label %d, counted %d", h.now, want, bit, got)
+			t.Fatalf("at %v: walk finds %d ready servers with label %d, count is %d", h.now, want, bit, got)
 		}
 	}
 	if ready != h.readiness.ReadyCount() || listed != h.readiness.ListedCount() || sum != h.latency.smoothed.Sum() || !slices.Equal(dropped, slices.Collect(h.readiness.ReadyUnlisted().All())) {
-		t.Fatalf("at %v: %d ready, counted %d; %d listed, counted %d; sum %v, kept %v; dropped %v, kept %v", h.now,
+		t.Fatalf("at %v, walk and table: ready %d, %d; listed %d, %d; latency sum %v, %v; ready unlisted %v, %v", h.now,
 			ready, h.readiness.ReadyCount(), listed, h.readiness.ListedCount(), sum, h.latency.smoothed.Sum(), dropped, slices.Collect(h.readiness.ReadyUnlisted().All()))
 	}
 }
 
-// TestCostOfTick checks that a tick costs nothing for types, tenants and servers without traffic lately.
+// TestCostOfTick checks that a tick visits no types, tenants or servers without recent traffic.
 func TestCostOfTick(t *testing.T) {
 	const types, tenants, servers, inUse = 10_000, 390_000, 20_000, 3
 	p := newLargePolicy(types, tenants, servers)
@@ -153,32 +154,32 @@
 		}
 		return visits(p) - from
 	}
-	tick(200) // budgets of retries are full now
+	tick(200) // fills the retry budgets
 	if got := tick(50); got != 0 {
-		t.Errorf("%d elements visited without traffic", got)
+		t.Errorf("ticks without traffic: got %d visits, want 0", got)
 	}
 	for i := range inUse {
 		p.Handle(now, &Input{Kind: RequestArrived, Request: i, TrafficType: i * 1_000, Tenant: i * 100_000, Timeout: time.Second}, nil)
 		p.Handle(now+5*ms, &Input{Kind: AttemptEnded, Request: i, Outcome: Success, ClientAnswered: true}, nil)
 	}
-	if got := tick(1); got == 0 || got > 4*inUse { // tenants, servers, types twice
-		t.Errorf("%d elements visited for %d in use", got, inUse)
+	if got := tick(1); got == 0 || got > 4*inUse { // tenants and servers once, types twice
+		t.Errorf("tick: got %d visits for %d active elements of each table, want 1 to 4 per element", got, inUse)
 	}
 	var effects []Effect
 	if got := testing.AllocsPerRun(20, func() { effects = p.Handle(now, &Input{Kind: TimerFired}, effects[:0]) }); got > 0 {
-		t.Errorf("%g allocations a tick", got)
+		t.Errorf("got %g allocations per tick, want 0", got)
 	}
-	const marked, idle = 0.5, 7 // a tick lets fade what it visits
+	const marked, idle = 0.5, 7 // a tick would decay the marked value
 	p.admission.arrivalRates[2*idle], p.attribution.types[2*idle].Total, p.attribution.servers.At(idle).Total, p.latency.unloaded[idle+1] = marked, marked, marked, 1
 	tick(1)
 	if p.admission.arrivalRates[2*idle] != marked || p.attribution.types[2*idle].Total != marked || p.attribution.servers.At(idle).Total != marked || p.latency.unloaded[idle+1] != 1 {
-		t.Error("a tick visits a type or a server without traffic")
+		t.Error("tick changed a type or a server without traffic")
 	}
-	for range 300 { // a second each: what has had no traffic for five minutes is dropped
+	for range 300 { // of one second each: after five minutes without traffic, entries are removed
 		now += time.Second
 		p.Handle(now, &Input{Kind: TimerFired}, nil)
 	}
 	if got := tick(10); got != 0 || p.quotaUsage.tenants.Len() != 0 || p.attribution.servers.Active().Len() != 0 || len(p.admission.classes) != 0 {
-		t.Errorf("%d elements visited long after, %d tenants, %d servers, %d classes held", got, p.quotaUsage.tenants.Len(), p.attribution.servers.Active().Len(), len(p.admission.classes))
+		t.Errorf("five minutes without traffic: got %d visits, %d tenants, %d servers and %d classes, want 0", got, p.quotaUsage.tenants.Len(), p.attribution.servers.Active().Len(), len(p.admission.classes))
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -9,15 +9,15 @@
 
 const ms = time.Millisecond
 
-// harness drives one policy with a clock of its own.
+// harness drives one policy with a simulated clock.
 type harness struct {
 	*Policy
 	t        *testing.T
 	arrivals int
 }
 
-// newHarness returns a policy with four traffic types and some servers. change alters the settings before the
-// start.
+// newHarness returns a policy with four traffic types and the given number of servers. change modifies the settings
+// before the policy is created.
 func newHarness(t *testing.T, servers int, change func(*Settings)) *harness {
 	t.Helper()
 	s := Settings{NodeCount: 4, TimerGranularity: 5 * ms, MaxAttempts: 4, SlowStartDuration: 8 * time.Second, SlowStartInitialCapacity: 0.3,
@@ -41,7 +41,7 @@
 	return h
 }
 
-// fillSubset puts every server into the subset, in the order of their indices.
+// fillSubset adds every server to the subset, in index order.
 func (h *harness) fillSubset() *harness {
 	for s := range h.readiness.Len() {
 		if !h.subset.contains[s] {
@@ -52,13 +52,13 @@
 	return h
 }
 
-// at hands the policy an input.
+// at passes an input to the policy.
 func (h *harness) at(now time.Duration, in Input) []Effect { return h.Handle(now, &in, nil) }
 
-// arriveAt has a request arrive and returns its index.
-func (h *harness) arriveAt(now time.Duration, trafficType int, budget time.Duration) (int, []Effect) {
+// arriveAt starts a request and returns its index.
+func (h *harness) arriveAt(now time.Duration, trafficType int, timeout time.Duration) (int, []Effect) {
 	h.arrivals++
-	return h.arrivals - 1, h.at(now, Input{Kind: RequestArrived, Request: h.arrivals - 1, TrafficType: trafficType, Timeout: budget})
+	return h.arrivals - 1, h.at(now, Input{Kind: RequestArrived, Request: h.arrivals - 1, TrafficType: trafficType, Timeout: timeout})
 }
 
 // end ends an attempt of a request.
@@ -66,21 +66,21 @@
 	return h.at(now, Input{Kind: AttemptEnded, Request: id, Attempt: number, Server: 0, Outcome: outcome, ClientAnswered: outcome == Success})
 }
 
-// effectKinds returns the kinds of effects, without those of the timer and of the list.
+// effectKinds returns the kinds of effects other than SetTimer and Subscribe.
 func effectKinds(effects []Effect) []EffectKind {
-	var k []EffectKind
+	var kinds []EffectKind
 	for _, e := range effects {
 		if e.Kind != SetTimer && e.Kind != Subscribe {
-			k = append(k, e.Kind)
+			kinds = append(kinds, e.Kind)
 		}
 	}
-	return k
+	return kinds
 }
 
 // request returns a request by its index.
 func (h *harness) request(id int) *request { return &h.Policy.requests.all[id] }
 
-// listServers lists servers; change alters each entry.
+// listServers sends a list of servers; change modifies each entry.
 func (h *harness) listServers(now time.Duration, scope UpdateScope, servers int, change func(*Endpoint)) []Effect {
 	var list []Endpoint
 	for i := range servers {
@@ -101,7 +101,7 @@
 	return servers
 }
 
-// countSent counts the attempts that effects send.
+// countSent returns the number of attempts that effects send.
 func countSent(effects []Effect) (n int) {
 	for _, e := range effects {
 		if e.Kind == SendAttempt {
@@ -125,7 +125,7 @@
 	return s
 }
 
-// largeList returns a list of servers that started long ago, with ranks spread like checksums.
+// largeList returns a list of servers that started an hour ago, with ranks distributed like checksums.
 func largeList(servers int) []Endpoint {
 	list := make([]Endpoint, servers)
 	for i := range list {
@@ -145,7 +145,7 @@
 	return p
 }
 
-// visits counts the elements of sets and the steps of the rotation that the policy has visited so far.
+// visits returns the number of set elements and rotation nodes that the policy has visited since its creation.
 func visits(p *Policy) int {
 	sum := p.subset.rotation.Steps() + p.quotaUsage.tenants.Visits()
 	for _, s := range []*indexset.Set{&p.slowStart.servers, p.readiness.ReadyUnlisted(), &p.plan.assigned, p.outliers.ejections.Active(), p.attribution.servers.Active(), &p.admission.activeTypes} {
@@ -154,12 +154,12 @@
 	return sum
 }
 
-// newRouteHarness returns a harness whose settings allow hedging, with one traffic type altered as a route would.
+// newRouteHarness returns a harness whose settings allow hedging; change modifies one traffic type as a route does.
 func newRouteHarness(t *testing.T, servers, trafficType int, change func(*TrafficType)) *harness {
 	h := newHarness(t, servers, func(s *Settings) {
 		s.HedgingAllowed, s.NodeCount = true, 1
 		change(&s.TrafficTypes[trafficType])
 	}).fillSubset()
-	h.subset.peakInFlight = 99 // the subset does not shrink
+	h.subset.peakInFlight = 99 // prevents the subset from shrinking
 	return h
 }
--- a/policy/lifecycle_test.go
+++ b/policy/lifecycle_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestFinalAnswerByOutcome checks what follows the end of a request's first attempt.
+// TestFinalAnswerByOutcome checks the effects of the end of a request's first attempt.
 func TestFinalAnswerByOutcome(t *testing.T) {
 	const idempotent, keyInZone, nonIdempotent, keyInAll = 0, 1, 2, 3
 	for name, c := range map[string]struct {
@@ -16,7 +16,7 @@
 		change      func(*Settings)
 		want        []EffectKind
 	}{
-		"answered":                    {idempotent, Success, 50 * ms, nil, nil},
+		"success":                     {idempotent, Success, 50 * ms, nil, nil},
 		"idempotent error is retried": {idempotent, Failure, 50 * ms, nil, []EffectKind{SendAttempt}},
 		"idempotent timeout at the objective is rejected": {idempotent, TimedOut, 390 * ms, nil, []EffectKind{Reject}},
 		"error with key is retried":                       {keyInZone, Failure, 50 * ms, nil, []EffectKind{SendAttempt}},
@@ -36,32 +36,32 @@
 			h := newHarness(t, 4, c.change)
 			id, sent := h.arriveAt(time.Second, c.trafficType, 2*time.Second)
 			if len(sent) != 1 || sent[0].Kind != SendAttempt {
-				t.Fatalf("not sent: %v", sent)
+				t.Fatalf("arrival: got effects %v, want one SendAttempt", sent)
 			}
 			got := h.end(time.Second+c.after, id, 0, c.outcome)
 			if !reflect.DeepEqual(effectKinds(got), c.want) {
-				t.Fatalf("got %v, want %v", effectKinds(got), c.want)
+				t.Fatalf("end of attempt: got effects %v, want %v", effectKinds(got), c.want)
 			}
 			for _, e := range got {
 				if e.Kind == SendAttempt && c.trafficType == keyInZone && h.servers.zone[e.Server] != h.servers.zone[sent[0].Server] {
-					t.Errorf("left the key scope: server %d after %d", e.Server, sent[0].Server)
+					t.Errorf("retry outside the key scope: server %d after server %d", e.Server, sent[0].Server)
 				}
 			}
 			if late := h.end(time.Second+c.after, id, 0, Success); len(effectKinds(late)) > 0 {
-				t.Errorf("an outcome after the final answer did %v", late)
+				t.Errorf("second end of the attempt: got effects %v, want none", late)
 			}
 		})
 	}
 }
 
-// TestRetryWithKey checks that retries of a request with a key stay within its key scope and retention.
+// TestRetryWithKey checks that retries of a request with an idempotency key stay within its key scope and retention.
 func TestRetryWithKey(t *testing.T) {
 	for name, c := range map[string]struct {
 		scope  KeyScope
-		first  Outcome // of the first attempt, 50 ms after it is sent
+		first  Outcome // of the first attempt, 50 ms after it was sent
 		retain time.Duration
-		want   []EffectKind // after an error on the second attempt, 40 ms later
-		same   bool         // second and third attempt in one key scope
+		want   []EffectKind // after a failure of the second attempt, 40 ms later
+		same   bool         // the second and third attempt must be in one key scope
 	}{
 		"cell": {KeyScopeCell, Failure, time.Second, []EffectKind{Fail}, true},
 		"zone": {KeyScopeZone, Failure, time.Second, []EffectKind{SendAttempt}, true},
@@ -71,7 +71,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 8, func(s *Settings) { s.TrafficTypes[1].KeyScope, s.TrafficTypes[1].KeyRetention = c.scope, c.retain })
-			if c.scope == KeyScopeCell { // two a cell: a third attempt finds only those tried before
+			if c.scope == KeyScopeCell { // two servers per cell: for a third attempt only tried servers remain
 				for s := range h.readiness.Len() {
 					h.readiness.SetReady(s, s < 2)
 				}
@@ -79,7 +79,7 @@
 			id, _ := h.arriveAt(time.Second, 1, 2*time.Second)
 			second := h.end(time.Second+50*ms, id, 0, c.first)
 			if len(second) != 1 || second[0].Kind != SendAttempt {
-				t.Fatalf("no second attempt: %v", second)
+				t.Fatalf("end of first attempt: got effects %v, want one SendAttempt", second)
 			}
 			if c.scope == KeyScopeCell {
 				h.readiness.SetReady(0, false)
@@ -88,45 +88,45 @@
 			}
 			third := h.end(time.Second+90*ms, id, 1, Failure)
 			if got := effectKinds(third); !reflect.DeepEqual(got, c.want) {
-				t.Fatalf("got %v, want %v", got, c.want)
+				t.Fatalf("end of second attempt: got effects %v, want %v", got, c.want)
 			}
 			if c.same && third[0].Kind == SendAttempt && h.servers.zone[third[0].Server] != h.servers.zone[second[0].Server] {
-				t.Error("left the key scope")
+				t.Error("third attempt sent outside the key scope")
 			}
 		})
 	}
 }
 
-// TestFinalAnswerBeforeClientTimeout checks that a request gets exactly one final answer before its client gives
+// TestFinalAnswerBeforeClientTimeout checks that a request gets exactly one final response before its client gives
 // up.
 func TestFinalAnswerBeforeClientTimeout(t *testing.T) {
 	for name, c := range map[string]struct {
 		servers, trafficType int
-		budget               time.Duration
+		timeout              time.Duration
 		want                 EffectKind
 	}{
-		"no server, short timeout":       {0, 0, 100 * ms, Reject},
-		"no server, long timeout":        {0, 2, 2 * time.Second, Reject},
-		"never answered, non-idempotent": {1, 2, 60 * ms, Fail},
-		"never answered, idempotent":     {1, 0, 60 * ms, Reject},
+		"no server, short timeout":    {0, 0, 100 * ms, Reject},
+		"no server, long timeout":     {0, 2, 2 * time.Second, Reject},
+		"no response, non-idempotent": {1, 2, 60 * ms, Fail},
+		"no response, idempotent":     {1, 0, 60 * ms, Reject},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, c.servers, nil)
-			_, got := h.arriveAt(0, c.trafficType, c.budget)
-			answers := 0
-			for now := 5 * ms; now <= c.budget; now += 5 * ms {
+			_, got := h.arriveAt(0, c.trafficType, c.timeout)
+			responses := 0
+			for now := 5 * ms; now <= c.timeout; now += 5 * ms {
 				got = append(got, h.at(now, Input{Kind: TimerFired})...)
 			}
 			for _, e := range got {
 				if e.Kind == Reject || e.Kind == Fail {
-					answers++
+					responses++
 					if e.Kind != c.want {
-						t.Errorf("answered %v", e.Kind)
+						t.Errorf("got final response %v, want the kind of the case", e.Kind)
 					}
 				}
 			}
-			if answers != 1 {
-				t.Errorf("%d answers", answers)
+			if responses != 1 {
+				t.Errorf("got %d final responses, want 1", responses)
 			}
 		})
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -55,7 +55,7 @@
 	firstRunServer      int           // server of the first attempt that may have run: retries stay in its key scope
 	firstRunAt          time.Duration // when that attempt was sent
 	lastOutcome         Outcome
-	isFailureAttributed bool // the last failure at a server was attributed to the request
+	isFailureAttributed bool // the last outcome that concerns the server or the request is a failure of the request
 
 	lastDequeue int // number of the last dequeue run that tried the request
 }
--- a/policy/whatif_test.go
+++ b/policy/whatif_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// playDay plays a day with failures; ask is called before each input. It returns all effects and how many inputs
-// ask answered otherwise.
+// playDay replays a fixed input sequence with failures; ask is called before each input. It returns all effects and
+// the number of inputs for which ask returned different effects.
 func playDay(t *testing.T, ask func(h *harness, now time.Duration, in *Input) []Effect) (all []Effect, differ int) {
 	h := newHarness(t, 5, func(s *Settings) {
 		s.MaxRetryAfter, s.HedgingAllowed, s.TenantQuotas = time.Second, true, []float64{40, 4}
 	})
-	give := func(now time.Duration, in Input) []Effect {
+	handle := func(now time.Duration, in Input) []Effect {
 		want := ask(h, now, &in)
 		got := h.at(now, in)
 		if !reflect.DeepEqual(want, got) {
@@ -26,26 +26,26 @@
 		now := time.Duration(i) * 7 * ms
 		id := h.arrivals
 		h.arrivals++
-		all = append(all, give(now, Input{Kind: RequestArrived, Request: id, TrafficType: i % 4, Tenant: i % 2, Key: uint32(i % 9), Timeout: time.Second})...)
-		all = append(all, give(now, Input{Kind: TimerFired})...)
+		all = append(all, handle(now, Input{Kind: RequestArrived, Request: id, TrafficType: i % 4, Tenant: i % 2, Key: uint32(i % 9), Timeout: time.Second})...)
+		all = append(all, handle(now, Input{Kind: TimerFired})...)
 		if i%3 > 0 {
 			outcome := Outcome(i % 8)
-			all = append(all, give(now+5*ms, Input{Kind: AttemptEnded, Request: id, Outcome: outcome, ClientAnswered: outcome == Success})...)
+			all = append(all, handle(now+5*ms, Input{Kind: AttemptEnded, Request: id, Outcome: outcome, ClientAnswered: outcome == Success})...)
 		}
 	}
 	return all, differ
 }
 
-// TestWhatIfChangesNothing checks that WhatIf changes nothing and agrees with the policy where the settings are
-// the same.
+// TestWhatIfChangesNothing checks that WhatIf does not change the policy, and returns the same effects as Handle if
+// the settings are equal.
 func TestWhatIfChangesNothing(t *testing.T) {
 	alone, _ := playDay(t, func(*harness, time.Duration, *Input) []Effect { return nil })
 	for name, c := range map[string]struct {
 		change func(*Settings)
 		same   bool
 	}{
-		"the same settings": {func(*Settings) {}, true},
-		"others": {func(s *Settings) {
+		"equal settings": {func(*Settings) {}, true},
+		"different settings": {func(s *Settings) {
 			s.ServersCacheKeys, s.MaxRetryAfter, s.TrafficTypes[2].LateWeightShare, s.NodeCount = true, 0, 0.5, 40
 		}, false},
 	} {
@@ -57,27 +57,28 @@
 				return h.WhatIf(&s, now, in, nil)
 			})
 			if !reflect.DeepEqual(alone, watched) {
-				t.Error("decisions changed because WhatIf was called")
+				t.Error("effects of Handle differ between runs with and without WhatIf")
 			}
 			if (differ == 0) != c.same {
-				t.Errorf("%d inputs with a difference", differ)
+				t.Errorf("WhatIf and Handle differ for %d inputs", differ)
 			}
 		})
 	}
 }
 
-// TestWhatIfKeepsQuotas checks that a change of quotas in WhatIf leaves those of the policy alone.
+// TestWhatIfKeepsQuotas checks that a change of quotas in WhatIf does not change the quotas of the policy.
 func TestWhatIfKeepsQuotas(t *testing.T) {
 	h := newHarness(t, 1, func(s *Settings) { s.TenantQuotas = []float64{40, 4} })
 	h.at(0, Input{Kind: QuotasChanged, Quotas: []Quota{{Tenant: 0, PerSecond: 50}}})
 	other := h.settings
 	h.WhatIf(&other, 0, &Input{Kind: QuotasChanged, Quotas: []Quota{{Tenant: 0, PerSecond: 60}}}, nil)
 	if got := h.settings.TenantQuotas[0]; got != 50 {
-		t.Errorf("the quota is %v, not 50", got)
+		t.Errorf("quota after WhatIf: got %v, want 50", got)
 	}
 }
 
-// TestCloneSharesNothing checks every field of a clone, so that one forgotten in clone is found.
+// TestCloneSharesNothing checks that no field of a clone shares memory with the original. It guards against new fields
+// that clone does not copy.
 func TestCloneSharesNothing(t *testing.T) {
 	h := newHarness(t, 3, func(s *Settings) { s.TenantQuotas = []float64{1} }).fillSubset()
 	h.quotaUsage.withinQuotaShares = []float64{1}
@@ -85,31 +86,31 @@
 	h.readiness.SetPlacements(0, 1)
 	id, _ := h.arriveAt(0, 0, time.Second)
 	c := h.clone(id)
-	var look func(name string, a, b reflect.Value)
-	look = func(name string, a, b reflect.Value) {
+	var compare func(name string, a, b reflect.Value)
+	compare = func(name string, a, b reflect.Value) {
 		switch a.Kind() {
 		case reflect.Slice:
 			if a.Len() > 0 && a.Pointer() == b.Pointer() {
-				t.Errorf("%s is shared", name)
+				t.Errorf("%s shares memory with the original", name)
 			}
 			for i := range a.Len() {
-				look(fmt.Sprintf("%s[%d]", name, i), a.Index(i), b.Index(i))
+				compare(fmt.Sprintf("%s[%d]", name, i), a.Index(i), b.Index(i))
 			}
 		case reflect.Array:
 			for i := range a.Len() {
-				look(fmt.Sprintf("%s[%d]", name, i), a.Index(i), b.Index(i))
+				compare(fmt.Sprintf("%s[%d]", name, i), a.Index(i), b.Index(i))
 			}
 		case reflect.Struct:
 			for i := range a.NumField() {
-				if f := a.Type().Field(i).Name; f != "settings" && f != "transitions" && f != "effects" { // read only, or replaced
-					look(name+"."+f, a.Field(i), b.Field(i))
+				if f := a.Type().Field(i).Name; f != "settings" && f != "transitions" && f != "effects" { // read-only or replaced
+					compare(name+"."+f, a.Field(i), b.Field(i))
 				}
 			}
 		case reflect.Map, reflect.Pointer, reflect.Chan:
-			t.Errorf("%s: clone does not know of it", name)
+			t.Errorf("%s: clone does not support this kind of field", name)
 		}
 	}
-	look("p", reflect.ValueOf(h.Policy).Elem(), reflect.ValueOf(c).Elem())
+	compare("p", reflect.ValueOf(h.Policy).Elem(), reflect.ValueOf(c).Elem())
 }
 
 func BenchmarkWhatIf(b *testing.B) {
