--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -14,24 +14,24 @@
 	h.end(time.Second, id, 0, Overloaded)
 	for trafficType, want := range []bool{true, false, false, false} {
 		if got := h.isUnhealthy(s, &request{trafficType: trafficType}); got != want {
-			t.Errorf("type %d: unhealthy %v", trafficType, got)
+			t.Errorf("type %d: got unhealthy %v", trafficType, got)
 		}
 	}
 	h.at(time.Second+initialEjection, Input{Kind: TimerFired})
 	if h.isUnhealthy(s, &request{trafficType: 0}) {
-		t.Error("still ejected")
+		t.Error("server is still ejected after its ejection time")
 	}
 }
 
-// TestEjectionByOutcomes checks for which traffic types a server is ejected after a row of outcomes.
+// TestEjectionByOutcomes checks for which traffic types a server is ejected after a sequence of outcomes.
 func TestEjectionByOutcomes(t *testing.T) {
 	type end struct {
 		trafficType int
 		outcome     Outcome
-		old         bool // sent before the last one ended
+		old         bool // sent before the previous attempt ended
 	}
 	a, b, q := end{trafficType: 2, outcome: TimedOut}, end{trafficType: 0, outcome: Success}, end{2, TimedOut, true}
-	no := func(n int, outcome Outcome) (ends []end) {
+	repeat := func(n int, outcome Outcome) (ends []end) {
 		for range n {
 			ends = append(ends, end{trafficType: 0, outcome: outcome})
 		}
@@ -40,24 +40,24 @@
 	for name, c := range map[string]struct {
 		ends  []end
 		want  []bool // unhealthy, by type
-		trial bool   // a trial follows
+		trial bool   // a trial attempt follows
 	}{
-		"twice":                               {[]end{a, b, a, b}, []bool{false, false, false, false}, false},
-		"again, the others answered":          {[]end{a, b, a, b, a, b}, []bool{false, false, true, false}, true},
-		"and then answered":                   {[]end{a, b, a, b, a, b, {trafficType: 2, outcome: Success}}, []bool{false, false, false, false}, false},
-		"a queue of them":                     {[]end{a, q, q, q, b}, []bool{false, false, false, false}, false},
-		"all types":                           {[]end{a, {trafficType: 0, outcome: TimedOut}}, []bool{true, true, true, true}, false},
-		"one connection refused":              {no(1, Unreachable), []bool{false, false, true, false}, false},
-		"two refused":                         {no(2, Unreachable), []bool{true, true, true, true}, false},
-		"one broken connection":               {no(1, ConnectionBroken), []bool{false, false, false, false}, false},
-		"only broken connections":             {no(minSoftFailures, ConnectionBroken), []bool{true, true, true, true}, false},
-		"broken connections around an answer": {append(append(no(minSoftFailures-1, ConnectionBroken), b), no(1, ConnectionBroken)...), []bool{false, false, false, false}, false},
-		"client errors, then an answer":       {append(no(minSoftFailures-1, ClientError), b), []bool{false, false, false, false}, false},
-		"client errors around an answer":      {append(append(no(minSoftFailures-1, ClientError), b), no(1, ClientError)...), []bool{false, false, false, false}, false},
-		"only client errors":                  {no(minSoftFailures, ClientError), []bool{true, true, true, true}, false},
-		"one client error too few":            {no(minSoftFailures-1, ClientError), []bool{false, false, false, false}, false},
-		"overloaded twice in a row":           {[]end{{trafficType: 0, outcome: Overloaded}, {trafficType: 2, outcome: Overloaded}}, []bool{true, true, true, true}, false},
-		"overloaded, answered, overloaded":    {[]end{{trafficType: 0, outcome: Overloaded}, b, {trafficType: 2, outcome: Overloaded}}, []bool{false, false, true, false}, false},
+		"two timeouts of one type":                   {[]end{a, b, a, b}, []bool{false, false, false, false}, false},
+		"three timeouts of one type, others succeed": {[]end{a, b, a, b, a, b}, []bool{false, false, true, false}, true},
+		"three timeouts of one type, then a success": {[]end{a, b, a, b, a, b, {trafficType: 2, outcome: Success}}, []bool{false, false, false, false}, false},
+		"timeouts in flight together":                {[]end{a, q, q, q, b}, []bool{false, false, false, false}, false},
+		"consecutive timeouts of two types":          {[]end{a, {trafficType: 0, outcome: TimedOut}}, []bool{true, true, true, true}, false},
+		"one connection refused":                     {repeat(1, Unreachable), []bool{false, false, true, false}, false},
+		"two refused":                                {repeat(2, Unreachable), []bool{true, true, true, true}, false},
+		"one broken connection":                      {repeat(1, ConnectionBroken), []bool{false, false, false, false}, false},
+		"only broken connections":                    {repeat(minSoftFailures, ConnectionBroken), []bool{true, true, true, true}, false},
+		"broken connections around a success":        {append(append(repeat(minSoftFailures-1, ConnectionBroken), b), repeat(1, ConnectionBroken)...), []bool{false, false, false, false}, false},
+		"client errors, then a success":              {append(repeat(minSoftFailures-1, ClientError), b), []bool{false, false, false, false}, false},
+		"client errors around a success":             {append(append(repeat(minSoftFailures-1, ClientError), b), repeat(1, ClientError)...), []bool{false, false, false, false}, false},
+		"only client errors":                         {repeat(minSoftFailures, ClientError), []bool{true, true, true, true}, false},
+		"one client error too few":                   {repeat(minSoftFailures-1, ClientError), []bool{false, false, false, false}, false},
+		"overloaded twice consecutively":             {[]end{{trafficType: 0, outcome: Overloaded}, {trafficType: 2, outcome: Overloaded}}, []bool{true, true, true, true}, false},
+		"overloaded, success, overloaded":            {[]end{{trafficType: 0, outcome: Overloaded}, b, {trafficType: 2, outcome: Overloaded}}, []bool{false, false, true, false}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 4, func(s *Settings) { s.ConnectTimeout = 250 * ms }).fillSubset()
@@ -71,19 +71,19 @@
 			}
 			for trafficType, want := range c.want {
 				if got := h.isUnhealthy(1, &request{trafficType: trafficType}); got != want {
-					t.Errorf("type %d: unhealthy %v", trafficType, got)
+					t.Errorf("type %d: got unhealthy %v", trafficType, got)
 				}
 			}
 			if !c.trial {
 				return
 			}
 			if h.now += 2 * initialEjection; h.isUnhealthy(1, &request{trafficType: 2}) {
-				t.Error("still ejected")
+				t.Error("server is still ejected after its ejection time")
 			}
 			h.Policy.requests.all = append(h.Policy.requests.all, request{trafficType: 2, objectiveAt: h.now + 400*ms})
 			h.picked = 1
 			if h.sendAttempt(len(h.Policy.requests.all) - 1); !h.isUnhealthy(1, &request{trafficType: 2}) || h.isUnhealthy(1, &request{trafficType: 0}) {
-				t.Error("more than one on trial")
+				t.Error("after the trial attempt was sent: want the server unhealthy for type 2 and healthy for type 0")
 			}
 		})
 	}
@@ -94,7 +94,7 @@
 		failing, ready, want int
 	}{
 		"one of four is ejected": {1, 4, 1},
-		"never more than half":   {4, 4, 2},
+		"at most half":           {4, 4, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, c.ready, nil)
@@ -110,14 +110,14 @@
 				}
 			}
 			if ejected != c.want {
-				t.Errorf("%d ejected, want %d", ejected, c.want)
+				t.Errorf("ejected servers: got %d, want %d", ejected, c.want)
 			}
 		})
 	}
 }
 
-// TestLastFailureIsKeptWhileInFlight checks that an attempt sent before the last failure does not count again,
-// while one is in flight.
+// TestLastFailureIsKeptWhileInFlight checks that an attempt sent before the last failure is not counted as a further
+// failure while an attempt is in flight.
 func TestLastFailureIsKeptWhileInFlight(t *testing.T) {
 	const trafficType = 2
 	for name, c := range map[string]struct{ inFlight, entries int }{
@@ -128,11 +128,11 @@
 			h := newHarness(t, 4, nil)
 			h.outliers.ejections.GetOrCreate(0, trafficType).LastAt, h.load.inFlight[0], h.now = time.Second, c.inFlight, 2*time.Second
 			if h.pruneEjections(0); h.outliers.ejections.EntryCount(0) != c.entries || h.outliers.ejections.Active().Has(0) != (c.entries > 0) {
-				t.Fatalf("%d entries, want %d", h.outliers.ejections.EntryCount(0), c.entries)
+				t.Fatalf("entries after pruning: got %d, want %d", h.outliers.ejections.EntryCount(0), c.entries)
 			}
 			h.recordTypeFailure(0, trafficType, 500*ms)
 			if got := h.outliers.ejections.Get(0, trafficType).Consecutive; got != 1-c.entries {
-				t.Errorf("%d failures counted", got)
+				t.Errorf("got %d counted failures", got)
 			}
 		})
 	}
--- a/policy/picker_test.go
+++ b/policy/picker_test.go
@@ -13,14 +13,14 @@
 		inFlight           [3]int
 		want               []int
 	}{
-		"round robin":                            {want: []int{0, 1, 2, 0}},
-		"all in the subset: busy is no skip":     {inFlight: [3]int{1, 1, 1}, want: []int{0, 1, 2, 0}},
-		"a near pause is skipped":                {forecast: [3]time.Duration{0, 12 * second, 0}, interval: [3]time.Duration{0, 20 * second, 0}, want: []int{0, 2, 0, 2}},
-		"an overdue pause is skipped":            {forecast: [3]time.Duration{0, 8 * second, 0}, interval: [3]time.Duration{0, 20 * second, 0}, want: []int{0, 2, 0}},
-		"the threshold is capped":                {forecast: [3]time.Duration{0, 12 * second, 0}, interval: [3]time.Duration{0, 4 * second, 0}, want: []int{0, 1, 2}},
-		"long overdue is picked again":           {forecast: [3]time.Duration{0, 4 * second, 0}, interval: [3]time.Duration{0, 40 * second, 0}, want: []int{0, 1, 2}},
-		"all skipped: plain round robin":         {forecast: [3]time.Duration{10 * second, 10 * second, 10 * second}, interval: [3]time.Duration{second, second, second}, want: []int{0, 1, 2, 0}},
-		"one with more in flight is passed over": {inFlight: [3]int{0, 3, 0}, want: []int{0, 2}},
+		"round robin":                             {want: []int{0, 1, 2, 0}},
+		"all in the subset: busy is not skipped":  {inFlight: [3]int{1, 1, 1}, want: []int{0, 1, 2, 0}},
+		"a near pause is skipped":                 {forecast: [3]time.Duration{0, 12 * second, 0}, interval: [3]time.Duration{0, 20 * second, 0}, want: []int{0, 2, 0, 2}},
+		"an overdue pause is skipped":             {forecast: [3]time.Duration{0, 8 * second, 0}, interval: [3]time.Duration{0, 20 * second, 0}, want: []int{0, 2, 0}},
+		"the threshold is capped":                 {forecast: [3]time.Duration{0, 12 * second, 0}, interval: [3]time.Duration{0, 4 * second, 0}, want: []int{0, 1, 2}},
+		"a long overdue pause is ignored":         {forecast: [3]time.Duration{0, 4 * second, 0}, interval: [3]time.Duration{0, 40 * second, 0}, want: []int{0, 1, 2}},
+		"all skipped: plain round robin":          {forecast: [3]time.Duration{10 * second, 10 * second, 10 * second}, interval: [3]time.Duration{second, second, second}, want: []int{0, 1, 2, 0}},
+		"more in flight than the mean is skipped": {inFlight: [3]int{0, 3, 0}, want: []int{0, 2}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 3, nil).fillSubset()
@@ -34,113 +34,113 @@
 			h.Policy.requests.all = append(h.Policy.requests.all, request{objectiveAt: 20 * second})
 			for i, want := range c.want {
 				if !h.canSend(0) || h.picked != want {
-					t.Errorf("turn %d went to %d, want %d", i, h.picked, want)
+					t.Errorf("turn %d: got server %d, want %d", i, h.picked, want)
 				}
 			}
 		})
 	}
 }
 
-// TestTurnsFollowWeights checks that turns go by listed weight and slowness, and that equal servers take even
+// TestTurnsFollowWeights checks that turns depend on listed weight and slowness, and that equal servers get equal
 // turns.
 func TestTurnsFollowWeights(t *testing.T) {
 	for name, c := range map[string]struct {
-		scale, slowness [3]float64
-		want            [3]int // of 60 turns
+		weight, slowness [3]float64
+		want             [3]int // of 60 turns
 	}{
-		"equal":          {[3]float64{1, 1, 1}, [3]float64{1, 1, 1}, [3]int{20, 20, 20}},
-		"sizes":          {[3]float64{4, 1, 1}, [3]float64{1, 1, 1}, [3]int{30, 15, 15}},
-		"one is slow":    {[3]float64{1, 1, 1}, [3]float64{1, 1, 2}, [3]int{24, 24, 12}},
-		"all are slow":   {[3]float64{1, 1, 1}, [3]float64{3, 3, 3}, [3]int{20, 20, 20}},
-		"large but slow": {[3]float64{4, 1, 1}, [3]float64{2, 1, 1}, [3]int{20, 20, 20}},
+		"equal":                 {[3]float64{1, 1, 1}, [3]float64{1, 1, 1}, [3]int{20, 20, 20}},
+		"different weights":     {[3]float64{4, 1, 1}, [3]float64{1, 1, 1}, [3]int{30, 15, 15}},
+		"one is slow":           {[3]float64{1, 1, 1}, [3]float64{1, 1, 2}, [3]int{24, 24, 12}},
+		"all are slow":          {[3]float64{1, 1, 1}, [3]float64{3, 3, 3}, [3]int{20, 20, 20}},
+		"large weight but slow": {[3]float64{4, 1, 1}, [3]float64{2, 1, 1}, [3]int{20, 20, 20}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 3, nil).fillSubset()
-			copy(h.servers.listedWeight, c.scale[:])
+			copy(h.servers.listedWeight, c.weight[:])
 			copy(h.latency.slowness, c.slowness[:])
 			h.updateWeights()
 			var got [3]int
 			for range 60 {
 				if !h.pickFromSubset(&request{}, 2) {
-					t.Fatal("no server picked")
+					t.Fatal("pickFromSubset: no server picked")
 				}
 				got[h.picked]++
 			}
 			for s := range got {
 				if d := got[s] - c.want[s]; d < -1 || d > 1 {
-					t.Errorf("turns %v, want %v", got, c.want)
+					t.Errorf("got turns %v, want %v with a tolerance of 1", got, c.want)
 				}
 			}
 		})
 	}
 }
 
-// TestNodesAgreeOnServerOfKey checks that nodes send a key to the same server without messages, that turns stay
-// even, and that keys have no effect where servers do not cache.
+// TestNodesAgreeOnServerOfKey checks that nodes send a key to the same server without exchanging messages, that turns
+// stay even, and that keys have no effect if servers do not cache.
 func TestNodesAgreeOnServerOfKey(t *testing.T) {
 	const servers, each = 5, 40
 	for name, c := range map[string]struct {
-		warm bool
-		keys uint32
-		same float64 // at least, or else at most, of the requests with a key go where the other node sends it
+		caches bool
+		keys   uint32
+		same   float64 // least share, or without caching largest share, of requests that both nodes send to the same server
 	}{
-		"cached":        {true, 200, 0.45},
-		"one key alone": {true, 1, 0},
-		"not cached":    {false, 200, 0.3},
+		"cached":       {true, 200, 0.45},
+		"a single key": {true, 1, 0},
+		"not cached":   {false, 200, 0.3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var met [2][]int
-			for me := range met {
-				h := newHarness(t, servers, func(s *Settings) { s.ServersCacheKeys, s.NodeIndex = c.warm, me }).fillSubset()
-				h.picker.position, h.subset.peakInFlight, h.concurrency.provenLimit = 2*me, servers, 1000
+			var servedBy [2][]int // by node and request
+			for node := range servedBy {
+				h := newHarness(t, servers, func(s *Settings) { s.ServersCacheKeys, s.NodeIndex = c.caches, node }).fillSubset()
+				h.picker.position, h.subset.peakInFlight, h.concurrency.provenLimit = 2*node, servers, 1000
 				turns := make([]int, servers)
 				for i := range uint32(servers * each) {
 					h.arrivals++
 					h.at(h.now, Input{Kind: RequestArrived, Request: h.arrivals - 1, Key: 1 + i%c.keys*7919, Timeout: time.Second})
 					s := h.request(h.arrivals - 1).attempts[0].server
-					met[me] = append(met[me], s)
+					servedBy[node] = append(servedBy[node], s)
 					turns[s]++
 					h.end(h.now, h.arrivals-1, 0, Success)
 				}
 				for s, n := range turns {
 					if n < each-servers*maxTurnsAhead || n > each+servers*maxTurnsAhead {
-						t.Errorf("server %d had %d turns of %d: %v", s, n, each, turns)
+						t.Errorf("server %d: got %d turns, want about %d; all: %v", s, n, each, turns)
 					}
 				}
 			}
 			same := 0.0
-			for i := range met[0] {
-				if met[0][i] == met[1][i] {
-					same += 1 / float64(len(met[0]))
+			for i := range servedBy[0] {
+				if servedBy[0][i] == servedBy[1][i] {
+					same += 1 / float64(len(servedBy[0]))
 				}
 			}
-			if c.warm && same < c.same || !c.warm && same > c.same {
-				t.Errorf("%.2f alike", same)
+			if c.caches && same < c.same || !c.caches && same > c.same {
+				t.Errorf("share of requests sent to the same server by both nodes: got %.2f", same)
 			}
 		})
 	}
 }
 
-// TestRefusedConnections checks that busy servers get nothing while connections are refused: sending to them would
-// only cost attempts.
+// TestRefusedConnections checks that busy servers get no requests while connections are refused, because attempts
+// there would fail.
 func TestRefusedConnections(t *testing.T) {
-	type world struct {
-		unconnected int  // attempts lately that got no connection, of as many
-		busy        int  // of the four servers
-		lost        bool // the request's first attempt gets no connection; else it arrives
+	type condition struct {
+		refused     int  // recent attempts, all with a refused connection
+		busy        int  // busy servers of four
+		unreachable bool // the request's first attempt gets no connection
 	}
 	for name, c := range map[string]struct {
-		world
-		want int // attempts sent at once
-		then int // and as an answer leaves a server idle
+		condition
+		want int // attempts sent immediately
+		then int // attempts sent when a response makes a server idle
 	}{
-		"plenty, all busy":            {world{0, 4, false}, 1, 0},
-		"one attempt without":         {world{1, 4, false}, 1, 0},
-		"few, one idle":               {world{20, 3, false}, 1, 0},
-		"few, all busy":               {world{20, 4, false}, 0, 1},
-		"plenty, an attempt without":  {world{0, 3, true}, 1, 0},
-		"few, an attempt without":     {world{20, 3, true}, 0, 1},
-		"few, without, idle ones too": {world{20, 1, true}, 1, 0},
+		"no refusals, all busy":                                 {condition{0, 4, false}, 1, 0},
+		"one refusal, all busy":                                 {condition{1, 4, false}, 1, 0},
+		"many refusals, one idle":                               {condition{20, 3, false}, 1, 0},
+		"many refusals, all busy":                               {condition{20, 4, false}, 0, 1},
+		"no refusals, first attempt unreachable":                {condition{0, 3, true}, 1, 0},
+		"many refusals, first attempt unreachable":              {condition{20, 3, true}, 0, 1},
+		"many refusals, first attempt unreachable, others idle": {condition{20, 1, true}, 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 4, nil).fillSubset()
@@ -148,25 +148,25 @@
 			for range c.busy {
 				h.arriveAt(0, 0, time.Second)
 			}
-			for range c.unconnected {
+			for range c.refused {
 				h.subset.refusedConnects.Observe(1, 2*attributionMemory)
 			}
 			id, got := h.arriveAt(10*ms, 0, time.Second)
 			h.at(10*ms, Input{Kind: TimerFired})
-			if c.lost {
+			if c.unreachable {
 				got = h.end(20*ms, id, 0, Unreachable)
 			}
 			if got := countSent(got); got != c.want {
-				t.Fatalf("%d sent at once", got)
+				t.Fatalf("got %d attempts sent immediately", got)
 			}
 			if got := countSent(h.end(30*ms, 0, 0, Success)); got != c.then {
-				t.Errorf("%d sent then", got)
+				t.Errorf("got %d attempts sent after a response", got)
 			}
 		})
 	}
 }
 
-// TestRoutePool checks that requests of a route go to its pool, and that an empty pool does not block others.
+// TestRoutePool checks that requests of a route are sent to its pool, and that an empty pool does not block other types.
 func TestRoutePool(t *testing.T) {
 	h := newRouteHarness(t, 6, 0, func(t *TrafficType) { t.PoolLabels = 2 })
 	label := func(server int, labels uint64) {
@@ -176,19 +176,19 @@
 	for range 5 {
 		id, e := h.arriveAt(h.now, 0, 2*time.Second)
 		if len(e) != 1 || e[0].Kind != SendAttempt || e[0].Server != 3 {
-			t.Fatalf("sent as %+v", e)
+			t.Fatalf("arrival: got effects %+v, want one SendAttempt to server 3", e)
 		}
 		h.end(h.now, id, 0, Success)
 	}
 	label(3, 1)
-	waits, e := h.arriveAt(h.now, 0, 2*time.Second)
+	queued, e := h.arriveAt(h.now, 0, 2*time.Second)
 	if len(e) != 0 {
-		t.Errorf("with an empty pool: %+v", e)
+		t.Errorf("arrival with an empty pool: got effects %+v, want none", e)
 	}
 	if _, e = h.arriveAt(h.now, 2, 2*time.Second); !slices.Equal(effectKinds(e), []EffectKind{SendAttempt}) {
-		t.Errorf("another type: %+v", e)
+		t.Errorf("arrival of another type: got effects %+v, want one SendAttempt", e)
 	}
-	if e = h.at(h.now+300*ms, Input{Kind: TimerFired}); !slices.ContainsFunc(e, func(e Effect) bool { return e.Kind == Reject && e.Request == waits }) {
-		t.Errorf("in the end: %+v", e)
+	if e = h.at(h.now+300*ms, Input{Kind: TimerFired}); !slices.ContainsFunc(e, func(e Effect) bool { return e.Kind == Reject && e.Request == queued }) {
+		t.Errorf("tick after 300 ms: got effects %+v, want a Reject of the queued request", e)
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,10 +7,10 @@
 
 func TestSlowStartShare(t *testing.T) {
 	for name, c := range map[string]struct {
-		member   Endpoint
+		endpoint Endpoint
 		scope    UpdateScope
 		max      int
-		unbarred time.Duration
+		warmAt   time.Duration // the server has left slow start
 	}{
 		"start time listed": {Endpoint{Server: 2, Weight: 1, StartedAt: 9 * time.Second, HasStartTime: true}, Incremental, 20, 18 * time.Second},
 		"first appearance":  {Endpoint{Server: 2, Weight: 1}, Incremental, 20, 19 * time.Second},
@@ -18,7 +18,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 2, nil).fillSubset()
-			h.at(10*time.Second, Input{Kind: EndpointsUpdated, Scope: c.scope, Endpoints: []Endpoint{c.member}})
+			h.at(10*time.Second, Input{Kind: EndpointsUpdated, Scope: c.scope, Endpoints: []Endpoint{c.endpoint}})
 			sent := 0
 			for now := 10 * time.Second; now < 12*time.Second; now += 10 * ms {
 				id, got := h.arriveAt(now, 0, time.Second)
@@ -30,11 +30,11 @@
 				h.end(now, id, 0, Success)
 			}
 			if sent > c.max || sent == 0 {
-				t.Errorf("sent %d in two seconds, at most %d", sent, c.max)
+				t.Errorf("got %d attempts in two seconds, want 1 to %d", sent, c.max)
 			}
-			h.at(c.unbarred, Input{Kind: TimerFired})
+			h.at(c.warmAt, Input{Kind: TimerFired})
 			if h.slowStart.servers.Has(2) {
-				t.Error("still in slow start")
+				t.Error("server is still in slow start")
 			}
 		})
 	}
@@ -42,7 +42,7 @@
 
 func TestSlowStartAfterUnreachable(t *testing.T) {
 	for name, c := range map[string]struct {
-		lost        time.Duration
+		unreachable time.Duration
 		isWarmingUp bool
 	}{
 		"unreachable for a short time": {500 * ms, false},
@@ -52,24 +52,24 @@
 			h := newHarness(t, 1, nil)
 			id, _ := h.arriveAt(time.Second, 0, time.Second)
 			h.end(time.Second, id, 0, Unreachable)
-			h.end(time.Second+c.lost, id, 1, Success) // it had been sent there again at once
+			h.end(time.Second+c.unreachable, id, 1, Success) // the retry was sent to the same server immediately
 			if h.slowStart.servers.Has(0) != c.isWarmingUp {
-				t.Errorf("slow start: %v", h.slowStart.servers.Has(0))
+				t.Errorf("server in slow start: got %v", h.slowStart.servers.Has(0))
 			}
 		})
 	}
 }
 
-// TestSlowStartOverAllNodes checks that what all nodes together grant a server in slow start, and hold at the end,
-// is within its budget.
+// TestSlowStartOverAllNodes checks that the tokens that all nodes together grant to a server in slow start, and those
+// saved at the end, are within its budget.
 func TestSlowStartOverAllNodes(t *testing.T) {
-	for name, refusals := range map[string]int{"others answer": 0, "others are overloaded": 10} {
+	for name, rejections := range map[string]int{"others available": 0, "others overloaded": 10} {
 		t.Run(name, func(t *testing.T) {
-			granted, held, budget, rate := 0.0, 0.0, 0.0, 0.0
-			for me := range 90 {
-				h := newHarness(t, 18, func(s *Settings) { s.NodeCount, s.NodeIndex, s.SlowStartDuration = 90, me, 24*time.Second }).fillSubset()
-				h.Policy.random.seed, h.now = uint32(1000+me), time.Second
-				for i := range 17 * refusals {
+			granted, saved, budget, rate := 0.0, 0.0, 0.0, 0.0
+			for node := range 90 {
+				h := newHarness(t, 18, func(s *Settings) { s.NodeCount, s.NodeIndex, s.SlowStartDuration = 90, node, 24*time.Second }).fillSubset()
+				h.Policy.random.seed, h.now = uint32(1000+node), time.Second
+				for i := range 17 * rejections {
 					h.recordOutcome(1+i%17, &request{}, h.now, Overloaded)
 				}
 				h.startSlowStart(0, h.now)
@@ -82,39 +82,39 @@
 					rate = slowStartShare * h.settings.CrashLoadFactor * h.concurrency.successRate / 18 * h.updateCapacityShare(0)
 					budget += rate * 0.02
 				}
-				held += h.slowStart.tokens[0]
+				saved += h.slowStart.tokens[0]
 			}
-			if held > 180*rate*slowStartTokenLifetime.Seconds() || granted > 1.2*budget || granted < 0.5*budget {
-				t.Errorf("%.0f granted, budget %.0f; %.0f held", granted, budget, held)
+			if saved > 180*rate*slowStartTokenLifetime.Seconds() || granted > 1.2*budget || granted < 0.5*budget {
+				t.Errorf("got %.0f tokens granted with a budget of %.0f, and %.0f saved at the end", granted, budget, saved)
 			}
 		})
 	}
 }
 
-// TestSlowStartWhenWeightsFollowLoad checks that a server in slow start gets an even share at most where idle
-// servers are listed for several busy ones.
+// TestSlowStartWhenWeightsFollowLoad checks that a server in slow start gets at most an even share if an idle server
+// has the listed weight of several busy ones.
 func TestSlowStartWhenWeightsFollowLoad(t *testing.T) {
 	const seconds, step = 40, 20 * ms
 	for name, c := range map[string]struct {
-		live     bool
-		weight   float64 // its weight; the nine others have 0.1
-		min, max float64 // tokens a second
+		followLoad bool
+		weight     float64 // of the server in slow start; the nine others have 0.1
+		min, max   float64 // tokens a second
 	}{
-		"follow load, idle":             {true, 1, 0.3, 1.6},
-		"follow load, busy":             {true, 0.1, 0.3, 1.6},
-		"fixed, ten times the size":     {false, 1, 4, 12},
-		"fixed, as small as the others": {false, 0.1, 0.3, 1.6},
+		"follow load, idle":           {true, 1, 0.3, 1.6},
+		"follow load, busy":           {true, 0.1, 0.3, 1.6},
+		"fixed, ten times the others": {false, 1, 4, 12},
+		"fixed, equal to the others":  {false, 0.1, 0.3, 1.6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 10, func(s *Settings) {
-				s.WeightsFollowLoad, s.SlowStartInitialCapacity, s.SlowStartDuration = c.live, 0.1, time.Hour
+				s.WeightsFollowLoad, s.SlowStartInitialCapacity, s.SlowStartDuration = c.followLoad, 0.1, time.Hour
 			}).fillSubset()
 			for s := range h.servers.listedWeight {
 				h.servers.listedWeight[s] = 0.1
 			}
 			h.servers.listedWeight[0] = c.weight
 			h.startSlowStart(0, 0)
-			for k := range h.latency.typical { // so that the least rate does not count
+			for k := range h.latency.typical { // makes the minimum rate negligible
 				h.latency.typical[k] = time.Hour
 			}
 			h.concurrency.successRate = 50
@@ -127,7 +127,7 @@
 				h.slowStart.tokens[0] = 0
 			}
 			if rate := granted / seconds; rate < c.min || rate > c.max {
-				t.Errorf("%.2f tokens a second", rate)
+				t.Errorf("got %.2f tokens a second", rate)
 			}
 		})
 	}
