--- a/policy/attribution_test.go
+++ b/policy/attribution_test.go
@@ -7,18 +7,18 @@
 	"fernvane/policy/internal/failures"
 )
 
-// TestFailureAttribution checks that requests that fail everywhere eject no server, are not retried and are shed,
-// and that a failing server sheds no requests.
+// TestFailureAttribution checks that requests that fail at every server eject no server, are not retried and are
+// shed, and that a failing server causes no requests to be shed.
 func TestFailureAttribution(t *testing.T) {
 	for name, c := range map[string]struct {
 		fails   func(r *request, s int) bool
 		outcome Outcome
-		ejected bool // server 0 is ejected; else requests of tenant 1 and key 9 fail
+		ejected bool // server 0 is ejected; otherwise requests of tenant 1 with key 9 fail
 	}{
 		"a key that fails everywhere":        {func(r *request, _ int) bool { return r.key == 9 }, Failure, false},
 		"a tenant that times out everywhere": {func(r *request, _ int) bool { return r.tenant == 1 }, TimedOut, false},
 		"a server that fails all":            {func(_ *request, s int) bool { return s == 0 }, Failure, true},
-		"a server that answers nothing":      {func(_ *request, s int) bool { return s == 0 }, TimedOut, true},
+		"a server that times out":            {func(_ *request, s int) bool { return s == 0 }, TimedOut, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 4, func(s *Settings) { s.TenantQuotas = []float64{1e6, 1e6} }).fillSubset()
@@ -43,11 +43,11 @@
 				if c.ejected || id%2 == 0 {
 					h.end(h.now+20*ms, id, 0, Success)
 				} else if got := effectKinds(h.end(h.now+20*ms, id, 0, c.outcome)); len(got) != 1 || got[0] != Reject {
-					t.Errorf("then %v", got)
+					t.Errorf("end of attempt: got effects %v, want one Reject", got)
 				}
 			}
 			if isEjected != c.ejected || sent[0] < 80 || (sent[1] < 40) == c.ejected {
-				t.Errorf("ejected %v, of 100 each %v are sent", isEjected, sent)
+				t.Errorf("got ejected %v, and attempts of 100 requests by tenant %v", isEjected, sent)
 			}
 		})
 	}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// largeSizes are the numbers of servers that the benchmarks run with.
+// largeSizes are the numbers of servers in the benchmarks.
 var largeSizes = []int{200, 2_000, 20_000, 50_000, 200_000}
 
 func BenchmarkFullList(b *testing.B) {
@@ -45,7 +45,7 @@
 	} {
 		b.Run(fmt.Sprintf("types=%d/tenants=%d/servers=%d", c.types, c.tenants, c.servers), func(b *testing.B) {
 			p := newLargePolicy(c.types, c.tenants, min(c.servers, 2_000))
-			for p.subset.readyCount < c.servers { // in parts, since joining by chance grows with the list
+			for p.subset.readyCount < c.servers { // in batches, since more servers of a large list would join the subset
 				list := largeList(p.subset.readyCount + 2_000)[p.subset.readyCount:]
 				p.Handle(0, &Input{Kind: EndpointsUpdated, Scope: Incremental, Endpoints: list}, nil)
 			}
@@ -54,7 +54,7 @@
 			for id := range 20 {
 				effects = p.Handle(now, &Input{Kind: RequestArrived, Request: id, TrafficType: id % c.types, Tenant: id, Timeout: time.Hour}, effects[:0])
 			}
-			for range 300 { // until budgets are full
+			for range 300 { // fills the budgets
 				now += 20 * ms
 				effects = p.Handle(now, &Input{Kind: TimerFired}, effects[:0])
 			}
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -19,7 +19,7 @@
 				sent += len(got)
 			}
 			if sent < c.min || sent > c.max {
-				t.Errorf("%d attempts in flight before any answer, want %d to %d", sent, c.min, c.max)
+				t.Errorf("attempts in flight before the first response: got %d, want %d to %d", sent, c.min, c.max)
 			}
 		})
 	}
@@ -29,27 +29,27 @@
 	h := newHarness(t, 8, nil)
 	h.concurrency.sustainedLoad, h.concurrency.provenLimit = 16, 40
 	if h.concurrency.limit() != 40 {
-		t.Errorf("limit %.0f although attempts are fast", h.concurrency.limit())
+		t.Errorf("limit with fast attempts: got %.0f, want 40", h.concurrency.limit())
 	}
 	for range 20 { // each takes three times as long as allowed
 		h.concurrency.adjust(3, 1)
 	}
-	if w := h.concurrency.limit(); w > 20/h.concurrency.latencyRatio || h.concurrency.latencyRatio < 1.5 {
-		t.Errorf("limit %.1f at latency ratio %.1f", w, h.concurrency.latencyRatio)
+	if limit := h.concurrency.limit(); limit > 20/h.concurrency.latencyRatio || h.concurrency.latencyRatio < 1.5 {
+		t.Errorf("after slow attempts: got limit %.1f at latency ratio %.1f", limit, h.concurrency.latencyRatio)
 	}
-	h.concurrency.latencyRatio, h.concurrency.sustainedLoad, h.concurrency.provenLimit = 1e6, 0, 0 // as after a time when all servers were slow
+	h.concurrency.latencyRatio, h.concurrency.sustainedLoad, h.concurrency.provenLimit = 1e6, 0, 0 // state after a time in which all servers were slow
 	if _, got := h.arriveAt(0, 0, time.Second); len(got) != 1 || got[0].Kind != SendAttempt {
-		t.Errorf("nothing is sent any more: %v", got)
+		t.Errorf("arrival: got effects %v, want one SendAttempt", got)
 	}
 }
 
-// TestLateAttemptsLeaveConcurrencyLimit checks that attempts that run on for a late answer leave the concurrency
-// limit, once each.
+// TestLateAttemptsLeaveConcurrencyLimit checks that attempts that continue toward a late response are removed from
+// the concurrency limit exactly once.
 func TestLateAttemptsLeaveConcurrencyLimit(t *testing.T) {
 	for name, c := range map[string]struct {
 		late float64
-		want float64 // attempts counted once all are late
-	}{"late answers are worth a share": {0.5, 0}, "they are worth nothing": {0, 3}} {
+		want float64 // counted attempts after all are late
+	}{"late responses have a weight": {0.5, 0}, "late responses have no weight": {0, 3}} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 8, func(s *Settings) { s.TrafficTypes[2].LateWeightShare = c.late })
 			h.concurrency.provenLimit = 1000
@@ -61,20 +61,20 @@
 				h.at(now, Input{Kind: TimerFired})
 			}
 			if h.concurrency.inFlight != c.want {
-				t.Errorf("%g attempts counted", h.concurrency.inFlight)
+				t.Errorf("got %g counted attempts", h.concurrency.inFlight)
 			}
 			for id := range 3 {
 				h.end(1600*ms, id, 0, Success)
 			}
 			if h.concurrency.inFlight != 0 || h.load.inFlight[0] != 0 {
-				t.Errorf("%g attempts counted when none is in flight", h.concurrency.inFlight)
+				t.Errorf("after all attempts ended: got %g counted attempts, want 0", h.concurrency.inFlight)
 			}
 		})
 	}
 }
 
-// TestRouteLimit checks that a route has as many requests in flight as its limit allows, and that others go out as
-// they end.
+// TestRouteLimit checks that a route has as many requests in flight as its limit allows, and that queued requests are
+// sent when others end.
 func TestRouteLimit(t *testing.T) {
 	h := newRouteHarness(t, 6, 0, func(*TrafficType) {})
 	types := h.settings.TrafficTypes
@@ -91,12 +91,12 @@
 		got = append(got, len(arrive()))
 	}
 	if !slices.Equal(got, []int{1, 1, 1, 0, 0}) {
-		t.Fatalf("sent at arrival: %v", got)
+		t.Fatalf("effects on arrival: got counts %v, want [1 1 1 0 0]", got)
 	}
 	limit(2)
-	for id, want := range []int{0, 1, 1} { // two of three must end before the next may go out
+	for id, want := range []int{0, 1, 1} { // two of three must end before the next request is sent
 		if e := effectKinds(h.end(10*ms, id, 0, Success)); len(e) != want {
-			t.Errorf("after %d: %v", id, e)
+			t.Errorf("end of request %d: got effects %v", id, e)
 		}
 	}
 }
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestCloseOnDrain checks that idle connections to a server without new requests are closed at once, when its
-// attempts end, and once more in time.
+// TestCloseOnDrain checks that idle connections to a server without new requests are closed immediately, when its
+// attempts end, and a second time within the drain timeout.
 func TestCloseOnDrain(t *testing.T) {
 	const within = 300 * ms
 	closes := func(s *Settings) { s.CloseOnDrain, s.DrainCloseTimeout = true, within }
@@ -19,10 +19,10 @@
 		}
 		return n
 	}
-	drain := func(h *harness, now time.Duration, outcome Condition) []Effect {
-		return h.listServers(now, Incremental, 1, func(endpoint *Endpoint) { endpoint.Condition = outcome })
+	drain := func(h *harness, now time.Duration, condition Condition) []Effect {
+		return h.listServers(now, Incremental, 1, func(endpoint *Endpoint) { endpoint.Condition = condition })
 	}
-	// closedDuring lets time pass and returns when the server's connections were closed.
+	// closedDuring sends ticks and returns the times at which the server's connections were closed.
 	closedDuring := func(h *harness, from, to time.Duration) (at []time.Duration) {
 		for now := from; now <= to; now += 10 * ms {
 			if closed(h.at(now, Input{Kind: TimerFired})) > 0 {
@@ -33,66 +33,66 @@
 	}
 	for name, c := range map[string]struct {
 		change func(*Settings)
-		day    func(t *testing.T, h *harness)
+		run    func(t *testing.T, h *harness)
 	}{
-		"at the notice and once more": {closes, func(t *testing.T, h *harness) {
+		"at the notice and a second time": {closes, func(t *testing.T, h *harness) {
 			if got := closed(drain(h, 0, Draining)); got != 1 {
-				t.Errorf("closed %d times at the notice", got)
+				t.Errorf("closes at the notice: got %d, want 1", got)
 			}
 			if at := closedDuring(h, 10*ms, time.Second); len(at) != 1 || at[0] > within {
-				t.Errorf("closed again at %v", at)
+				t.Errorf("closed a second time at %v, want once within the drain timeout", at)
 			}
 		}},
 		"removed": {closes, func(t *testing.T, h *harness) {
 			if got := closed(drain(h, 0, Removed)); got != 1 {
-				t.Errorf("closed %d times", got)
+				t.Errorf("closes: got %d", got)
 			}
 		}},
 		"after the last outcome": {closes, func(t *testing.T, h *harness) {
 			drain(h, 0, Draining)
 			closedDuring(h, 10*ms, 400*ms)
 			if got := closed(h.end(410*ms, 0, 0, Success)); got != 1 {
-				t.Errorf("closed %d times at the outcome", got)
+				t.Errorf("closes at the outcome: got %d, want 1", got)
 			}
 			if at := closedDuring(h, 420*ms, 2*time.Second); len(at) != 1 || at[0]-410*ms > within {
-				t.Errorf("closed again at %v", at)
+				t.Errorf("closed a second time at %v, want once within the drain timeout", at)
 			}
 		}},
 		"a connect that fails after the notice": {closes, func(t *testing.T, h *harness) {
 			drain(h, 0, Draining)
 			if got := closed(h.end(10*ms, 0, 0, Unreachable)); got != 1 {
-				t.Errorf("closed %d times at the outcome", got)
+				t.Errorf("closes at the outcome: got %d, want 1", got)
 			}
 		}},
 		"two notices": {closes, func(t *testing.T, h *harness) {
 			drain(h, 0, Draining)
 			drain(h, 20*ms, Draining)
 			if at := closedDuring(h, 30*ms, time.Second); len(at) != 1 || at[0] > within {
-				t.Errorf("closed again at %v", at)
+				t.Errorf("closed a second time at %v, want once within the drain timeout", at)
 			}
 		}},
 		"up again": {closes, func(t *testing.T, h *harness) {
 			drain(h, 0, Draining)
 			drain(h, 5*ms, Up)
 			if got := closed(h.end(10*ms, 0, 0, Success)); got != 0 {
-				t.Errorf("closed %d times though it is ready again", got)
+				t.Errorf("closes after the server became ready again: got %d, want 0", got)
 			}
 			if at := closedDuring(h, 20*ms, time.Second); len(at) != 0 {
-				t.Errorf("closed at %v though it is ready again", at)
+				t.Errorf("closed at %v after the server became ready again, want no close", at)
 			}
 		}},
-		"not asked for": {nil, func(t *testing.T, h *harness) {
+		"CloseOnDrain not set": {nil, func(t *testing.T, h *harness) {
 			if got := closed(drain(h, 0, Draining)) + closed(h.end(10*ms, 0, 0, Success)) + len(closedDuring(h, 20*ms, time.Second)); got != 0 {
-				t.Errorf("closed %d times", got)
+				t.Errorf("closes: got %d", got)
 			}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 1, c.change)
 			if _, got := h.arriveAt(0, 0, time.Second); !slices.Equal(serversSentTo(got), []int{0}) {
-				t.Fatalf("sent to %v", serversSentTo(got))
+				t.Fatalf("arrival: got attempts to servers %v, want [0]", serversSentTo(got))
 			}
-			c.day(t, h)
+			c.run(t, h)
 		})
 	}
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestReusedServerIndex checks that nothing is left of the server that had the index before.
+// TestReusedServerIndex checks that no state of the previous server remains when its index is reused.
 func TestReusedServerIndex(t *testing.T) {
 	h := newHarness(t, 3, nil).fillSubset()
 	untouched := newHarness(t, 3, nil).fillSubset()
@@ -47,13 +47,13 @@
 	h.at(time.Second, Input{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Server: 1, IndexReused: true, Rank: 9, Cell: 5, Weight: 1, StartedAt: -time.Minute, HasStartTime: true}}})
 	for trafficType := range h.settings.TrafficTypes {
 		if h.isUnhealthy(1, &request{trafficType: trafficType}) {
-			t.Errorf("type %d: unhealthy", trafficType)
+			t.Errorf("traffic type %d: new server is unhealthy", trafficType)
 		}
 	}
 	if h.slowStart.servers.Has(1) || h.latency.slowness[1] != 1 || h.pauses.count[1] != 0 || h.servers.cell[1] != 5 || !h.readiness.Ready(1) || h.outliers.soft[1] != 0 {
-		t.Error("something is left of the earlier server")
+		t.Error("state of the previous server remains")
 	}
 	if want := []int{0, 2, 1}; !slices.Equal(slices.Collect(h.subset.rotation.From(0)), want) || h.readiness.Len() != untouched.readiness.Len() {
-		t.Errorf("rotation %v", slices.Collect(h.subset.rotation.From(0)))
+		t.Errorf("got rotation %v, want [0 2 1] and an unchanged number of servers", slices.Collect(h.subset.rotation.From(0)))
 	}
 }
--- a/policy/hedge_test.go
+++ b/policy/hedge_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestHedge checks when a request gets a hedged attempt, and what follows the end of either attempt.
+// TestHedge checks when a request gets a hedged attempt, and the effects of the end of either attempt.
 func TestHedge(t *testing.T) {
 	hedges := func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 1 }
 	tickAt := func(at time.Duration) func(*harness) []Effect {
@@ -15,8 +15,8 @@
 	runRouteCases(t, map[string]routeCase{
 		"no hedging without a delay":   {0, func(*TrafficType) {}, tickAt(200 * ms), nil},
 		"hedged":                       {0, hedges, tickAt(60 * ms), isSent},
-		"not before its time":          {0, hedges, tickAt(40 * ms), nil},
-		"not beyond its budget":        {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 0.5 }, tickAt(60 * ms), nil},
+		"not before the hedge delay":   {0, hedges, tickAt(40 * ms), nil},
+		"not above its budget":         {0, func(t *TrafficType) { t.HedgeDelay, t.HedgeRatio = 50*ms, 0.5 }, tickAt(60 * ms), nil},
 		"non-idempotent is not hedged": {2, hedges, tickAt(60 * ms), nil},
 		"not hedged past the key retention": {1, func(t *TrafficType) {
 			hedges(t)
@@ -26,7 +26,7 @@
 			h.at(60*ms, Input{Kind: TimerFired})
 			return h.at(160*ms, Input{Kind: TimerFired})
 		}, nil},
-		"the first fails, the hedged one is in flight": {0, hedges, func(h *harness) []Effect {
+		"the first attempt fails, the hedged one is in flight": {0, hedges, func(h *harness) []Effect {
 			h.at(60*ms, Input{Kind: TimerFired})
 			return h.end(70*ms, 0, 0, Failure)
 		}, nil},
@@ -35,7 +35,7 @@
 			h.end(70*ms, 0, 0, Failure)
 			return h.end(75*ms, 0, 1, Failure)
 		}, isSent},
-		"the hedged one answers first": {0, hedges, func(h *harness) []Effect {
+		"the hedged attempt succeeds first": {0, hedges, func(h *harness) []Effect {
 			h.at(60*ms, Input{Kind: TimerFired})
 			h.end(70*ms, 0, 1, Success)
 			return h.end(71*ms, 0, 0, Canceled)
@@ -44,7 +44,7 @@
 			effects := h.at(60*ms, Input{Kind: TimerFired})
 			for _, s := range serversSentTo(effects) {
 				if h.servers.zone[s] != h.servers.zone[h.request(0).attempts[0].server] {
-					h.t.Error("sent outside the key scope")
+					h.t.Error("hedged attempt sent outside the key scope")
 				}
 			}
 			return effects
--- a/policy/pauseforecast_test.go
+++ b/policy/pauseforecast_test.go
@@ -8,12 +8,12 @@
 
 func TestPauseForecast(t *testing.T) {
 	for name, c := range map[string]struct {
-		onsets       []float64
-		want, spaces float64 // 0: no forecast
+		onsets         []float64
+		want, interval float64 // in seconds; 0: no forecast
 	}{
 		"one onset forecasts nothing":     {[]float64{3}, 0, 0},
 		"two onsets forecast the next":    {[]float64{3, 5}, 7, 2},
-		"a steady pauser":                 {[]float64{1, 4, 7, 10}, 13, 3},
+		"evenly spaced onsets":            {[]float64{1, 4, 7, 10}, 13, 3},
 		"only the last onsets count":      {[]float64{1, 2, 3, 13, 23, 33, 43}, 53, 10},
 		"onsets at one time have no line": {[]float64{5, 5}, 0, 0},
 	} {
@@ -29,10 +29,10 @@
 				h.pauses.lastSpike[0] = min(h.pauses.lastSpike[0], sent)
 			}
 			if got := h.pauses.next[0].Seconds(); math.Abs(got-c.want) > 0.01 {
-				t.Errorf("forecast %.2f, want %.2f", got, c.want)
+				t.Errorf("forecast: got %.2f s, want %.2f s", got, c.want)
 			}
-			if got := h.pauses.interval[0].Seconds(); c.want > 0 && math.Abs(got-c.spaces) > 0.01 {
-				t.Errorf("interval %.2f, want %.2f", got, c.spaces)
+			if got := h.pauses.interval[0].Seconds(); c.want > 0 && math.Abs(got-c.interval) > 0.01 {
+				t.Errorf("interval: got %.2f s, want %.2f s", got, c.interval)
 			}
 		})
 	}
@@ -44,22 +44,22 @@
 		gap    time.Duration
 		want   int
 	}{
-		"one spike is no pause":       {[]bool{true, false, true}, 500 * ms, 0},
-		"two in a row are one":        {[]bool{true, true}, 500 * ms, 1},
-		"a long run is still one":     {[]bool{true, true, true, true}, 500 * ms, 1},
-		"far runs are two":            {[]bool{true, true, false, true, true}, 500 * ms, 2},
-		"runs close together merge":   {[]bool{true, true, false, true, true}, 10 * ms, 1},
-		"three runs, the last merges": {[]bool{true, true, false, true, false, true, true}, 30 * ms, 2},
+		"one spike is no pause":          {[]bool{true, false, true}, 500 * ms, 0},
+		"two consecutive spikes are one": {[]bool{true, true}, 500 * ms, 1},
+		"a long run is still one":        {[]bool{true, true, true, true}, 500 * ms, 1},
+		"distant runs are two":           {[]bool{true, true, false, true, true}, 500 * ms, 2},
+		"runs close together merge":      {[]bool{true, true, false, true, true}, 10 * ms, 1},
+		"three runs, the last merges":    {[]bool{true, true, false, true, false, true, true}, 30 * ms, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 1, nil)
 			h.latency.smoothed.Set(0, 100*ms)
-			for i, is := range c.spikes {
+			for i, isSpike := range c.spikes {
 				h.now = time.Second + time.Duration(i)*c.gap
-				h.recordPauseSample(0, h.now, is)
+				h.recordPauseSample(0, h.now, isSpike)
 			}
 			if h.pauses.count[0] != c.want {
-				t.Errorf("%d pauses, want %d", h.pauses.count[0], c.want)
+				t.Errorf("pauses: got %d, want %d", h.pauses.count[0], c.want)
 			}
 		})
 	}
--- a/policy/plan_test.go
+++ b/policy/plan_test.go
@@ -8,34 +8,34 @@
 	"fernvane/policy/internal/failures"
 )
 
-// TestPlan checks what a plan changes for one server of six, all of them in the subset.
+// TestPlan checks the effect of a plan on one server of six, all of which are in the subset.
 func TestPlan(t *testing.T) {
 	const planned = 2
 	for name, c := range map[string]struct {
-		before, now  []Assignment
-		isInFlight   bool // an attempt at the server
-		isInSubset   bool
-		isEjected    bool
-		hasSlowStart bool // a rate of the plan's
+		first, second []Assignment
+		isInFlight    bool // an attempt at the server
+		isInSubset    bool
+		isEjected     bool
+		hasSlowStart  bool // the plan sets a slow-start rate
 	}{
-		"not named":                         {isInSubset: true},
-		"assigned":                          {now: []Assignment{{Server: planned, Preference: 1}}, isInSubset: true},
-		"assigned with a slow-start rate":   {now: []Assignment{{Server: planned, Preference: 1, SlowStartRate: 5}}, isInSubset: true, hasSlowStart: true},
-		"avoided":                           {now: []Assignment{{Server: planned, Preference: -1}}},
-		"avoided, an attempt in flight":     {now: []Assignment{{Server: planned, Preference: -1}}, isInFlight: true, isInSubset: true},
-		"taken away":                        {before: []Assignment{{Server: planned, Preference: 1}}},
-		"taken away, an attempt in flight":  {before: []Assignment{{Server: planned, Preference: 1}}, isInFlight: true, isInSubset: true},
-		"rate and ejection are taken back":  {before: []Assignment{{Server: planned, SlowStartRate: 5}}, isInSubset: true},
-		"ejected":                           {now: []Assignment{{Server: planned, EjectFor: time.Second}}, isInSubset: true, isEjected: true},
-		"still ejected under the next plan": {before: []Assignment{{Server: planned, EjectFor: time.Second}}, isInSubset: true, isEjected: true},
+		"not named":                       {isInSubset: true},
+		"assigned":                        {now: []Assignment{{Server: planned, Preference: 1}}, isInSubset: true},
+		"assigned with a slow-start rate": {now: []Assignment{{Server: planned, Preference: 1, SlowStartRate: 5}}, isInSubset: true, hasSlowStart: true},
+		"avoided":                         {now: []Assignment{{Server: planned, Preference: -1}}},
+		"avoided, an attempt in flight":   {now: []Assignment{{Server: planned, Preference: -1}}, isInFlight: true, isInSubset: true},
+		"assignment removed":              {before: []Assignment{{Server: planned, Preference: 1}}},
+		"assignment removed, an attempt in flight": {before: []Assignment{{Server: planned, Preference: 1}}, isInFlight: true, isInSubset: true},
+		"slow-start rate removed":                  {before: []Assignment{{Server: planned, SlowStartRate: 5}}, isInSubset: true},
+		"ejected":                                  {now: []Assignment{{Server: planned, EjectFor: time.Second}}, isInSubset: true, isEjected: true},
+		"still ejected under the next plan":        {before: []Assignment{{Server: planned, EjectFor: time.Second}}, isInSubset: true, isEjected: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 6, nil).fillSubset()
 			if c.isInFlight {
 				h.load.inFlight[planned] = 1
 			}
-			h.at(0, Input{Kind: PlanChanged, NodeCount: 4, Assignments: c.before})
-			h.at(0, Input{Kind: PlanChanged, NodeCount: 4, Assignments: c.now})
+			h.at(0, Input{Kind: PlanChanged, NodeCount: 4, Assignments: c.first})
+			h.at(0, Input{Kind: PlanChanged, NodeCount: 4, Assignments: c.second})
 			if got := slices.Contains(h.subset.members, planned); got != c.isInSubset || got != h.subset.contains[planned] {
 				t.Errorf("in the subset %v, want %v", got, c.isInSubset)
 			}
@@ -49,17 +49,17 @@
 	}
 }
 
-// TestAssignedServersJoinFirst checks that the subset grows by the servers that a plan assigns, and not by those that
-// it avoids.
+// TestAssignedServersJoinFirst checks that the servers that a plan assigns join the subset first, and that those that
+// it avoids do not join.
 func TestAssignedServersJoinFirst(t *testing.T) {
 	h := newHarness(t, 6, nil)
 	h.concurrency.provenLimit = 1000
 	h.at(0, Input{Kind: PlanChanged, NodeCount: 4, Assignments: []Assignment{
 		{Server: 1, Preference: -1}, {Server: 4, Preference: 1}, {Server: 5, Preference: 0.5}}})
-	for range 8 { // more than may join
+	for range 8 { // more than can join
 		h.arriveAt(0, 0, time.Second)
 	}
 	if first := slices.Sorted(slices.Values(h.subset.members[:2])); !slices.Equal(first, []int{4, 5}) || h.subset.contains[1] {
-		t.Errorf("joined %v", h.subset.members)
+		t.Errorf("got members %v, want 4 and 5 first, and not 1", h.subset.members)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -20,6 +20,6 @@
 		return all
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
-		t.Error("two runs differ")
+		t.Error("effects of two runs with the same inputs differ")
 	}
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -10,14 +10,14 @@
 
 func TestFairShare(t *testing.T) {
 	for name, c := range map[string]struct {
-		rates  []float64 // of two tenants with a quota of ten a second each over all nodes
-		nodes  int
-		beyond bool // the first
+		rates []float64 // of two tenants, each with a quota of 10 requests a second over all nodes
+		nodes int
+		above bool // the first tenant is above its share
 	}{
 		"within its share":                     {[]float64{4, 5}, 2, false},
-		"beyond it":                            {[]float64{9, 5}, 2, true},
-		"beyond it, all others as far":         {[]float64{9, 10}, 2, false},
-		"far beyond, others beyond too":        {[]float64{30, 10}, 2, true},
+		"above its share":                      {[]float64{9, 5}, 2, true},
+		"above its share, the other equally":   {[]float64{9, 10}, 2, false},
+		"far above its share, the other less":  {[]float64{30, 10}, 2, true},
 		"one arrival at one node among many":   {[]float64{0.33, 0.1}, 50, false},
 		"many arrivals at one node among many": {[]float64{3, 0.1}, 50, true},
 	} {
@@ -26,51 +26,51 @@
 			for tenant, rate := range c.rates {
 				h.quotaUsage.tenants.RecordArrival(tenant, rate)
 			}
-			if got := h.quotaUsage.tenants.ArrivalRate(0) > h.fairShare(0); got != c.beyond {
-				t.Errorf("beyond %v: %.2f of %.2f", got, h.quotaUsage.tenants.ArrivalRate(0), h.fairShare(0))
+			if got := h.quotaUsage.tenants.ArrivalRate(0) > h.fairShare(0); got != c.above {
+				t.Errorf("above its share: got %v with rate %.2f and share %.2f", got, h.quotaUsage.tenants.ArrivalRate(0), h.fairShare(0))
 			}
 		})
 	}
 }
 
-// TestQuotasChange checks that changed quotas hold at once, for new tenants too, and leave the slice of the
-// settings alone.
+// TestQuotasChange checks that changed quotas apply immediately, also to new tenants, and that the slice of the
+// settings does not change.
 func TestQuotasChange(t *testing.T) {
 	for name, c := range map[string]struct {
 		changed []Quota
 		tenant  int
-		beyond  bool // after ten arrivals in a second and a half
+		above   bool // above its share after ten arrivals in 1.5 s
 	}{
-		"none":                       {nil, 0, true},
-		"raised":                     {[]Quota{{0, 100}}, 0, false},
-		"another's raised":           {[]Quota{{1, 100}}, 0, true},
-		"a new tenant's":             {[]Quota{{5, 100}}, 5, false},
-		"a new tenant with little":   {[]Quota{{5, 1}}, 5, true},
-		"a tenant that is not known": {[]Quota{{5, 1}}, 9, false},
-		"raised, and lowered in one": {[]Quota{{0, 100}, {0, 1}}, 0, true},
-		"a tenant below the new one": {[]Quota{{5, 1}}, 4, false},
+		"none":                              {nil, 0, true},
+		"raised":                            {[]Quota{{0, 100}}, 0, false},
+		"another tenant's raised":           {[]Quota{{1, 100}}, 0, true},
+		"a new tenant's":                    {[]Quota{{5, 100}}, 5, false},
+		"a new tenant with a low quota":     {[]Quota{{5, 1}}, 5, true},
+		"an unknown tenant":                 {[]Quota{{5, 1}}, 9, false},
+		"raised, then lowered in one input": {[]Quota{{0, 100}, {0, 1}}, 0, true},
+		"a tenant below the new one":        {[]Quota{{5, 1}}, 4, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			given := []float64{1, 1}
 			h := newHarness(t, 2, func(s *Settings) { s.NodeCount, s.TenantQuotas = 1, given })
 			h.at(0, Input{Kind: QuotasChanged, Quotas: c.changed})
-			beyond := false
+			isAbove := false
 			for i := range 10 {
 				now := time.Duration(i) * 150 * ms
 				in := Input{Kind: RequestArrived, Request: i, Tenant: c.tenant, Timeout: time.Second}
 				set := h.settings
 				set.TenantQuotas = given
-				asked := h.WhatIf(&set, now, &in, nil)
-				if got := h.at(now, in); len(c.changed) > 0 && !slices.Equal(asked, got) {
-					t.Errorf("WhatIf returns %v, Handle %v", asked, got)
+				whatIf := h.WhatIf(&set, now, &in, nil)
+				if got := h.at(now, in); len(c.changed) > 0 && !slices.Equal(whatIf, got) {
+					t.Errorf("WhatIf returns %v, Handle returns %v, want equal effects", whatIf, got)
 				}
-				beyond = beyond || h.Policy.requests.all[i].class == 1
+				isAbove = isAbove || h.Policy.requests.all[i].class == 1
 			}
-			if beyond != c.beyond {
-				t.Errorf("beyond its share: %v", beyond)
+			if isAbove != c.above {
+				t.Errorf("above its share: got %v", isAbove)
 			}
 			if got := columns.Sum(h.settings.TenantQuotas); got != h.quotaUsage.total || !slices.Equal(given, []float64{1, 1}) {
-				t.Errorf("the sum is %g, kept %g; given %v", got, h.quotaUsage.total, given)
+				t.Errorf("sum of quotas: got %g, stored total %g; slice passed to New: %v, want [1 1]", got, h.quotaUsage.total, given)
 			}
 		})
 	}
--- a/policy/suspicion_test.go
+++ b/policy/suspicion_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// TestUnlistedServers checks which servers that a list omits stay in use.
+// TestUnlistedServers checks which servers stay in use although a list omits them.
 func TestUnlistedServers(t *testing.T) {
 	for name, c := range map[string]struct {
-		only  bool
-		lists []map[int]Condition // full ones, by conditions other than Up; server 0 is checked
-		ready bool
+		unlistedUsable bool
+		lists          []map[int]Condition // full lists: conditions other than Up by server; server 0 is checked
+		ready          bool
 	}{
-		"removal binds":                   {false, []map[int]Condition{{0: Removed}}, false},
+		"removal is binding":              {false, []map[int]Condition{{0: Removed}}, false},
 		"all removed":                     {true, []map[int]Condition{{0: Removed, 1: Removed, 2: Removed, 3: Removed}}, true},
 		"draining":                        {true, []map[int]Condition{{0: Draining}}, false},
 		"draining, then removed":          {true, []map[int]Condition{{0: Draining}, {0: Removed}}, false},
@@ -21,45 +21,45 @@
 		"removed twice":                   {true, []map[int]Condition{{0: Removed}, {0: Removed}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHarness(t, 4, func(s *Settings) { s.UnlistedUsable = c.only }).fillSubset()
-			for _, other := range c.lists {
+			h := newHarness(t, 4, func(s *Settings) { s.UnlistedUsable = c.unlistedUsable }).fillSubset()
+			for _, conditions := range c.lists {
 				var list []Endpoint
 				for i := range 4 {
-					if other[i] != Removed {
-						list = append(list, Endpoint{Server: i, Rank: uint32(i), Weight: 1, Condition: other[i]})
+					if conditions[i] != Removed {
+						list = append(list, Endpoint{Server: i, Rank: uint32(i), Weight: 1, Condition: conditions[i]})
 					}
 				}
 				h.at(time.Second, Input{Kind: EndpointsUpdated, Scope: Full, Endpoints: list})
 			}
-			if h.readiness.Ready(0) != c.ready || h.isExcluded(0, &request{firstRunServer: -1}) == c.ready || h.slowStart.servers.Has(0) && c.only {
-				t.Errorf("ready %v, slow start %v", h.readiness.Ready(0), h.slowStart.servers.Has(0))
+			if h.readiness.Ready(0) != c.ready || h.isExcluded(0, &request{firstRunServer: -1}) == c.ready || h.slowStart.servers.Has(0) && c.unlistedUsable {
+				t.Errorf("server 0: got ready %v, slow start %v", h.readiness.Ready(0), h.slowStart.servers.Has(0))
 			}
 		})
 	}
 }
 
-// TestSuspicionLevels checks that turns of an unlisted server go down and up by levels, also once it is listed
-// again, and end when it is silent.
+// TestSuspicionLevels checks that the suspicion of an unlisted server rises and falls with its outcomes, remains when
+// it is listed again, and that the server is removed after a time without responses.
 func TestSuspicionLevels(t *testing.T) {
 	h := newHarness(t, 4, func(s *Settings) { s.UnlistedUsable = true }).fillSubset()
 	h.now, h.load.lastResponseAt[0] = time.Second, time.Second
-	tell := func(c Condition) {
+	update := func(c Condition) {
 		h.at(h.now, Input{Kind: EndpointsUpdated, Scope: Incremental, Endpoints: []Endpoint{{Server: 0, Weight: 1, Condition: c}}})
 	}
-	tell(Removed)
+	update(Removed)
 	for i, outcome := range []Outcome{Unreachable, Unreachable, Unreachable, Success, Success} {
 		h.now += 50 * ms
 		if h.recordOutcome(0, &request{objectiveAt: h.now + 400*ms}, h.now-10*ms, outcome); h.suspicion.level[0] != [...]int{2, 3, 3, 2, 1}[i] {
-			t.Errorf("outcome %d: level %d", i, h.suspicion.level[0])
+			t.Errorf("suspicion after outcome %d: got level %d", i, h.suspicion.level[0])
 		}
 	}
-	tell(Up)
+	update(Up)
 	h.latency.slowness[0] = 1
 	if h.updateWeights(); h.picker.weight[0] != h.picker.weight[1]/4 || h.slowStart.servers.Has(0) {
-		t.Errorf("weight %g beside %g, slow start %v", h.picker.weight[0], h.picker.weight[1], h.slowStart.servers.Has(0))
+		t.Errorf("after the server is listed again: got weight %g, other weight %g, slow start %v", h.picker.weight[0], h.picker.weight[1], h.slowStart.servers.Has(0))
 	}
-	tell(Removed)
+	update(Removed)
 	if h.at(h.now+unlistedRetention+time.Second, Input{Kind: TimerFired}); h.readiness.Ready(0) {
-		t.Error("kept forever")
+		t.Error("unlisted server without responses is still ready after unlistedRetention")
 	}
 }
--- a/policy/traffictype_test.go
+++ b/policy/traffictype_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestTrafficTypesChange checks that unchanged traffic types keep their figures and that new ones take over those
-// they learn from.
+// TestTrafficTypesChange checks that unchanged traffic types keep their latencies, and that new types copy those of
+// the type in LearnFrom.
 func TestTrafficTypesChange(t *testing.T) {
 	h := newRouteHarness(t, 6, 0, func(*TrafficType) {})
 	for range 30 {
@@ -23,16 +23,16 @@
 	learned := h.latency.typical[0]
 	h.at(h.now, Input{Kind: TrafficTypesChanged, TrafficTypes: types, LearnFrom: []int{0, 1, 2, 3, 0}, RouteLimits: []int{0}})
 	if h.latency.typical[0] != learned || h.latency.typical[4] != learned || h.latency.responseCounts[4] != h.latency.responseCounts[0] || len(h.admission.classes) != 10 {
-		t.Errorf("learned %s, kept %s, passed on %s, order %v", learned, h.latency.typical[0], h.latency.typical[4], h.admission.classes)
+		t.Errorf("typical latency: was %s, got %s for the unchanged and %s for the new type; classes %v, want 10 of them", learned, h.latency.typical[0], h.latency.typical[4], h.admission.classes)
 	}
 	fresh, _ := h.arriveAt(h.now, 4, 2*time.Second)
 	for id, want := range map[int]EffectKind{held: SendAttempt, fresh: Reject} {
 		if e := effectKinds(h.end(h.now+10*ms, id, 0, Failure)); !slices.Equal(e, []EffectKind{want}) {
-			t.Errorf("request %d then gets %v", id, e)
+			t.Errorf("request %d: got effects %v after a failure", id, e)
 		}
 	}
 	order := slices.Clone(h.admission.classes)
 	if slices.Sort(order); fmt.Sprint(order) != "[0 1 2 3 4 5 6 7 8 9]" {
-		t.Errorf("order %v", h.admission.classes)
+		t.Errorf("got classes %v, want 0 to 9", h.admission.classes)
 	}
 }
