--- a/internal/collections/columns/columns_test.go
+++ b/internal/collections/columns/columns_test.go
@@ -12,26 +12,26 @@
 	a, b := []int{1, 2}, []int{}
 	Put(3, 9, &a, &b)
 	if !slices.Equal(a, []int{1, 2, a[2], 9}) || len(b) != 4 || b[3] != 9 {
-		t.Errorf("%v and %v", a, b)
+		t.Errorf("got %v and %v", a, b)
 	}
 	if Put(0, 7, &a); !slices.Equal(a, []int{7, 2, a[2], 9}) {
-		t.Errorf("%v after another value for the first", a)
+		t.Errorf("after Put at index 0: got %v", a)
 	}
 }
 
-// TestPutDoubles checks that filling a column copies it a few times and not at each element.
+// TestPutDoubles checks that Put does not reallocate a growing column for each element.
 func TestPutDoubles(t *testing.T) {
 	const elements, most = 10_000, 30
 	var column []int
-	grown := 0
+	reallocations := 0
 	for i := range elements {
 		before := cap(column)
 		if Put(i, i, &column); cap(column) != before {
-			grown++
+			reallocations++
 		}
 	}
-	if grown > most || len(column) != elements {
-		t.Errorf("grown %d times for %d elements", grown, len(column))
+	if reallocations > most || len(column) != elements {
+		t.Errorf("got %d reallocations for %d elements", reallocations, len(column))
 	}
 }
 
@@ -49,7 +49,7 @@
 		t.Run(name, func(t *testing.T) {
 			column := []float64{1, 2, 8, 8, 8}[:2]
 			if Extend(c.length, &column); !slices.Equal(column, c.want) {
-				t.Errorf("%v, want %v", column, c.want)
+				t.Errorf("got %v, want %v", column, c.want)
 			}
 		})
 	}
@@ -61,7 +61,7 @@
 	Clone(&x, &y)
 	x[0], y[0] = 5, 5
 	if a[0] != 1 || b[0] != 2 {
-		t.Errorf("%v and %v", a, b)
+		t.Errorf("got %v and %v", a, b)
 	}
 }
 
@@ -76,26 +76,26 @@
 				model = append(model, 0)
 			}
 			copied := d.Clone()
-			had := d.Sum()
+			sumBefore := d.Sum()
 			model[i] = value
-			if d.Set(i, value); copied.Sum() != had || i < copied.Len() && copied.At(i) == value && d.Sum() != had {
+			if d.Set(i, value); copied.Sum() != sumBefore || i < copied.Len() && copied.At(i) == value && d.Sum() != sumBefore {
 				t.Fatal("clone changed with the column")
 			}
 		}
 		want := time.Duration(0)
 		for i, value := range model {
 			if want += value; d.At(i) != value {
-				t.Fatalf("%v at %d, want %v", d.At(i), i, value)
+				t.Fatalf("got %v at index %d, want %v", d.At(i), i, value)
 			}
 		}
 		if d.Sum() != want || d.Len() != len(model) {
-			t.Fatalf("sum %v of %d, want %v of %d", d.Sum(), d.Len(), want, len(model))
+			t.Fatalf("got sum %v of %d elements, want %v of %d", d.Sum(), d.Len(), want, len(model))
 		}
 	})
 }
 
 func TestSum(t *testing.T) {
 	if got := Sum([]float64{1, 2, 4}); got != 7 || Sum(nil) != 0 {
-		t.Errorf("%g", got)
+		t.Errorf("got sum %g, want 7, and 0 for an empty column", got)
 	}
 }
--- a/internal/collections/intset/intset_test.go
+++ b/internal/collections/intset/intset_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestSetMatchesSlice compares a set with a slice whose last element fills each gap.
+// TestSetMatchesSlice compares a set with a slice in which the last element replaces a removed one.
 func TestSetMatchesSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Set
@@ -25,7 +25,7 @@
 				s.Add(item)
 			}
 			if !slices.Equal(s.Items(), model) || s.Len() != len(model) {
-				t.Fatalf("%v, want %v", s.Items(), model)
+				t.Fatalf("got items %v, want %v", s.Items(), model)
 			}
 			if !slices.Equal(copied.Items(), before) {
 				t.Fatal("clone changed with the set")
--- a/policy/internal/failures/failures_test.go
+++ b/policy/internal/failures/failures_test.go
@@ -24,9 +24,9 @@
 	for name, c := range map[string]struct {
 		change   func(*Table)
 		want     Entry
-		until    time.Duration // from all types
-		inWalks  bool
-		otherLen int // entries of the server
+		until    time.Duration // end of the ejection for all types
+		isActive bool
+		entries  int // of the server
 	}{
 		"as written":                    {func(*Table) {}, Entry{trafficType, 3, time.Second, time.Minute}, time.Hour, true, 1},
 		"success":                       {func(t *Table) { t.RecordSuccess(1, trafficType) }, Entry{trafficType, 0, time.Second, 0}, time.Hour, true, 1},
@@ -47,33 +47,33 @@
 			copied := table.Clone()
 			c.change(table)
 			if got := table.Get(1, trafficType); got != c.want || table.EjectedUntil(1, trafficType) != c.want.EjectedUntil {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("entry: got %v, want %v", got, c.want)
 			}
 			if got := table.EjectedUntil(1, AllTypes); got != c.until {
-				t.Errorf("ejected from all types until %v, want %v", got, c.until)
+				t.Errorf("end of ejection for all types: got %v, want %v", got, c.until)
 			}
-			if table.Active().Has(1) != c.inWalks || table.EntryCount(1) != c.otherLen || table.EntryCount(0) != 0 || table.EntryCount(2) != 0 {
-				t.Errorf("active %v, %d entries", slices.Collect(table.Active().All()), table.EntryCount(1))
+			if table.Active().Has(1) != c.isActive || table.EntryCount(1) != c.entries || table.EntryCount(0) != 0 || table.EntryCount(2) != 0 {
+				t.Errorf("got active servers %v and %d entries of server 1", slices.Collect(table.Active().All()), table.EntryCount(1))
 			}
 			if got := copied.Get(1, trafficType); got.Consecutive != 3 || got.EjectedUntil != time.Minute || copied.EjectedUntil(1, AllTypes) != time.Hour || !copied.Active().Has(1) {
-				t.Errorf("clone changed with the table: %v", got)
+				t.Errorf("clone changed with the table: got entry %v", got)
 			}
 		})
 	}
 }
 
-// TestEjectionForAllTypesIsActive checks that a server that is ejected from all types is in Active without an entry.
+// TestEjectionForAllTypesIsActive checks that a server that is ejected for all types is in Active without an entry.
 func TestEjectionForAllTypesIsActive(t *testing.T) {
 	table := newTable(2)
 	if table.SetEjectedUntil(1, AllTypes, time.Second); !table.Active().Has(1) || table.Active().Len() != 1 || table.EntryCount(1) != 0 {
-		t.Errorf("active %v", slices.Collect(table.Active().All()))
+		t.Errorf("got active servers %v, want [1] without entries", slices.Collect(table.Active().All()))
 	}
 }
 
-// TestGetMakesNoEntry checks that reading creates nothing.
+// TestGetMakesNoEntry checks that reads create no entry.
 func TestGetMakesNoEntry(t *testing.T) {
 	table := newTable(2)
 	if got := table.Get(1, 4); got != (Entry{TrafficType: 4}) || table.EjectedUntil(1, 4) != 0 || table.EntryCount(1) != 0 || table.Active().Len() != 0 {
-		t.Errorf("%v, %d entries", got, table.EntryCount(1))
+		t.Errorf("got entry %v and %d entries of server 1, want an empty entry and 0", got, table.EntryCount(1))
 	}
 }
--- a/policy/internal/readiness/readiness_test.go
+++ b/policy/internal/readiness/readiness_test.go
@@ -8,20 +8,21 @@
 	"pgregory.net/rapid"
 )
 
-// server is what a walk would find of one server.
+// server is the model of one server.
 type server struct {
 	ready, listed bool
 	labels        uint64
-	met           uint64
+	placements    uint64
 }
 
+// compare checks the table against the model, and its counts against a walk over the model.
 func compare(t *rapid.T, table *Table, model []server) {
 	ready, listed := 0, 0
-	var labelled, open [wordBits]int
+	var labelled, placed [wordBits]int
 	var unlisted []int
 	for s, m := range model {
-		if table.Ready(s) != m.ready || table.Listed(s) != m.listed || table.Labels(s) != m.labels || table.Placements(s) != m.met {
-			t.Fatalf("server %d: ready %v, listed %v, labels %x, placements %x, want %v", s, table.Ready(s), table.Listed(s), table.Labels(s), table.Placements(s), m)
+		if table.Ready(s) != m.ready || table.Listed(s) != m.listed || table.Labels(s) != m.labels || table.Placements(s) != m.placements {
+			t.Fatalf("server %d: got ready %v, listed %v, labels %x, placements %x, want %v", s, table.Ready(s), table.Listed(s), table.Labels(s), table.Placements(s), m)
 		}
 		if m.listed {
 			listed++
@@ -36,21 +37,21 @@
 		for l := m.labels; l != 0; l &= l - 1 {
 			labelled[bits.TrailingZeros64(l)]++
 		}
-		for met := m.met; met != 0; met &= met - 1 {
-			open[bits.TrailingZeros64(met)]++
+		for word := m.placements; word != 0; word &= word - 1 {
+			placed[bits.TrailingZeros64(word)]++
 		}
 	}
 	if table.Len() != len(model) || table.ReadyCount() != ready || table.ListedCount() != listed || table.labels.ready != labelled ||
-		table.placements.ready != open {
-		t.Fatalf("%d servers, %d ready, %d listed, labels %v, placements %v; want %d, %d, %d, %v, %v", table.Len(), table.ReadyCount(),
-			table.ListedCount(), table.labels.ready, table.placements.ready, len(model), ready, listed, labelled, open)
+		table.placements.ready != placed {
+		t.Fatalf("got %d servers, %d ready, %d listed, labels %v, placements %v; want %d, %d, %d, %v, %v", table.Len(), table.ReadyCount(),
+			table.ListedCount(), table.labels.ready, table.placements.ready, len(model), ready, listed, labelled, placed)
 	}
 	if got := slices.Collect(table.ReadyUnlisted().All()); !slices.Equal(got, unlisted) {
-		t.Fatalf("ready and not listed: %v, want %v", got, unlisted)
+		t.Fatalf("ready and unlisted servers: got %v, want %v", got, unlisted)
 	}
 }
 
-// TestCountsMatchWalk checks that the counts are those of a walk, whatever is changed.
+// TestCountsMatchWalk checks that the counts equal those of a walk over the model after any change.
 func TestCountsMatchWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
@@ -67,10 +68,10 @@
 				table.Add(s)
 				model[s] = server{}
 			case change == 1:
-				was := model[s].ready
+				wasReady := model[s].ready
 				model[s].ready = rapid.Bool().Draw(t, "ready")
-				if got := table.SetReady(s, model[s].ready); got != was {
-					t.Fatalf("server %d: was ready %v, want %v", s, got, was)
+				if got := table.SetReady(s, model[s].ready); got != wasReady {
+					t.Fatalf("SetReady of server %d: got previous value %v, want %v", s, got, wasReady)
 				}
 			case change == 2:
 				model[s].listed = rapid.Bool().Draw(t, "listed")
@@ -79,8 +80,8 @@
 				model[s].labels = rapid.SampledFrom([]uint64{0, 1, 1<<63 | 6, 4}).Draw(t, "labels")
 				table.SetLabels(s, model[s].labels)
 			case change == 4:
-				model[s].met = rapid.SampledFrom([]uint64{0, 1, 1<<63 | 6, 4}).Draw(t, "placements")
-				table.SetPlacements(s, model[s].met)
+				model[s].placements = rapid.SampledFrom([]uint64{0, 1, 1<<63 | 6, 4}).Draw(t, "placements")
+				table.SetPlacements(s, model[s].placements)
 			default:
 				table.BeginUpdate()
 				table.UnlistAll()
@@ -103,18 +104,18 @@
 	}
 	for labels, want := range map[uint64]int{0: 0, 1: 2, 2: 2, 3: 4, 8: 0, 9: 2} {
 		if got := table.ReadyWithLabels(labels); got != want {
-			t.Errorf("of labels %b: %d, want %d", labels, got, want)
+			t.Errorf("ready servers with labels %b: got %d, want %d", labels, got, want)
 		}
 	}
 }
 
-// TestWasListed checks that WasListed looks at the time before an update, whatever the update does with a server.
+// TestWasListed checks that WasListed reports the state before an update, whatever the update does to the server.
 func TestWasListed(t *testing.T) {
 	for name, c := range map[string]struct {
 		before bool // listed before
 		list   func(*Table)
 		want   bool
-		first  bool // nothing has called WasListed before the update changes the server
+		first  bool // WasListed is first called after the update has changed the server
 	}{
 		"listed, listed again":        {true, func(t *Table) { t.SetListed(0, true) }, true, false},
 		"listed, removed":             {true, func(t *Table) { t.SetListed(0, false) }, true, false},
@@ -130,14 +131,14 @@
 			table.SetListed(0, c.before)
 			table.BeginUpdate()
 			if !c.first && table.WasListed(0) != c.before {
-				t.Errorf("at the beginning of the update: %v", !c.before)
+				t.Errorf("WasListed at the start of the update: got %v", !c.before)
 			}
 			if c.list(&table); table.WasListed(0) != c.want {
-				t.Errorf("%v, want %v", table.WasListed(0), c.want)
+				t.Errorf("WasListed: got %v, want %v", table.WasListed(0), c.want)
 			}
 			listed := table.Listed(0)
 			if table.BeginUpdate(); table.WasListed(0) != listed || table.WasListed(1) {
-				t.Errorf("in the next update: %v, want %v", table.WasListed(0), listed)
+				t.Errorf("WasListed in the next update: got %v, want %v", table.WasListed(0), listed)
 			}
 		})
 	}
--- a/policy/internal/tenants/tenants_test.go
+++ b/policy/internal/tenants/tenants_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestDecayDropsTenantsWithoutTraffic checks that only tenants with traffic lately are held, whatever their numbers.
+// TestDecayDropsTenantsWithoutTraffic checks that the table stores only tenants with recent traffic, whatever their
+// indices.
 func TestDecayDropsTenantsWithoutTraffic(t *testing.T) {
 	const most, half, least = 389_999, 0.5, 0.2
 	var table Table
@@ -10,46 +11,46 @@
 	table.RecordArrival(5, 0.25)
 	table.FailureRate(7).Observe(1, 10)
 	if got := table.RecordArrival(most, 1); got != 2 || table.ArrivalRate(most) != 2 || table.TotalRate() != 2.25 || table.Len() != 3 {
-		t.Fatalf("rate %g, total %g of %d tenants", got, table.TotalRate(), table.Len())
+		t.Fatalf("got rate %g, and total rate %g of %d tenants, want 2, 2.25 and 3", got, table.TotalRate(), table.Len())
 	}
 	copied := table.Clone()
 	table.Decay(half, least, half, least)
 	if table.ArrivalRate(most) != 1 || table.ArrivalRate(5) != 0 || table.TotalRate() != 1 || table.Len() != 2 || table.Visits() != 3 {
-		t.Errorf("%g and %g, total %g of %d tenants, %d visited", table.ArrivalRate(most), table.ArrivalRate(5), table.TotalRate(), table.Len(), table.Visits())
+		t.Errorf("after decay: got rates %g and %g, total rate %g of %d tenants and %d visits, want 1, 0, 1, 2 and 3", table.ArrivalRate(most), table.ArrivalRate(5), table.TotalRate(), table.Len(), table.Visits())
 	}
 	if got := table.FailureRate(7).Failed; got != half {
-		t.Errorf("failures of a tenant without arrivals: %g", got)
+		t.Errorf("failures of a tenant without arrivals: got %g, want 0.5", got)
 	}
 	for range 3 {
 		table.Decay(half, least, half, least)
 	}
 	if table.Len() != 0 || table.TotalRate() != 0 || table.ArrivalRate(most) != 0 || table.ArrivalRate(most+1) != 0 {
-		t.Errorf("%d tenants are left, total %g", table.Len(), table.TotalRate())
+		t.Errorf("after full decay: got %d tenants and total rate %g, want 0", table.Len(), table.TotalRate())
 	}
 	if copied.ArrivalRate(most) != 2 || copied.Len() != 3 || copied.FailureRate(7).Failed != 1 {
 		t.Error("clone changed with the table")
 	}
 }
 
-// TestSlotsStayRight checks that the other tenants are found, whichever one is dropped.
+// TestSlotsStayRight checks that lookups of the other tenants are correct after any one tenant is removed.
 func TestSlotsStayRight(t *testing.T) {
 	const tenants = 10
-	for drop := range tenants {
+	for removed := range tenants {
 		var table Table
 		for tenant := range tenants {
 			table.RecordArrival(tenant, 1+float64(tenant))
-			if tenant == drop {
+			if tenant == removed {
 				table.RecordArrival(tenant, -float64(tenant)-1)
 			}
 		}
 		table.Decay(1, 0.5, 1, 0.5)
 		for tenant := range tenants {
 			want := 1 + float64(tenant)
-			if tenant == drop {
+			if tenant == removed {
 				want = 0
 			}
 			if got := table.ArrivalRate(tenant); got != want || table.Len() != tenants-1 {
-				t.Errorf("without %d: the rate of %d is %g, want %g; %d held", drop, tenant, got, want, table.Len())
+				t.Errorf("tenant %d removed: rate of tenant %d: got %g, want %g; %d tenants stored", removed, tenant, got, want, table.Len())
 			}
 		}
 	}
@@ -59,9 +60,9 @@
 	var table Table
 	table.FailureRate(Unknown).Observe(1, 10)
 	if got := *table.FailureRate(Unknown); got.Failed != 1 || table.Len() != 0 {
-		t.Errorf("%v, %d tenants held", got, table.Len())
+		t.Errorf("got failure rate %v and %d tenants, want one failure and 0", got, table.Len())
 	}
 	if table.Decay(0, 0, 0.5, 0); table.FailureRate(Unknown).Failed != 0.5 {
-		t.Error("it does not decay")
+		t.Error("failure rate of unknown tenants after decay: want 0.5 failures")
 	}
 }
