--- a/policy/cost_test.go
+++ b/policy/cost_test.go
@@ -108,7 +108,7 @@
 func checkCounts(t *testing.T, h *harness) {
 	t.Helper()
 	ready, listed, sum := 0, 0, time.Duration(0)
-	var dropped []int
+	var unlisted []int
 	var labelled [64]int
 	for s := range h.readiness.Len() {
 		if h.readiness.Ready(s) {
@@ -118,7 +118,7 @@
 			listed++
 		}
 		if h.readiness.Ready(s) && !h.readiness.Listed(s) {
-			dropped = append(dropped, s)
+			unlisted = append(unlisted, s)
 		}
 		if (h.outliers.ejections.EntryCount(s) > 0 || h.outliers.ejections.EjectedUntil(s, failures.AllTypes) > h.now) && !h.outliers.ejections.Active().Has(s) {
 			t.Fatalf("server %d has entries or an ejection but is not in Active", s)
@@ -135,9 +135,9 @@
 			t.Fatalf("at %v: walk finds %d ready servers with label %d, count is %d", h.now, want, bit, got)
 		}
 	}
-	if ready != h.readiness.ReadyCount() || listed != h.readiness.ListedCount() || sum != h.latency.smoothed.Sum() || !slices.Equal(dropped, slices.Collect(h.readiness.ReadyUnlisted().All())) {
+	if ready != h.readiness.ReadyCount() || listed != h.readiness.ListedCount() || sum != h.latency.smoothed.Sum() || !slices.Equal(unlisted, slices.Collect(h.readiness.ReadyUnlisted().All())) {
 		t.Fatalf("at %v, walk and table: ready %d, %d; listed %d, %d; latency sum %v, %v; ready unlisted %v, %v", h.now,
-			ready, h.readiness.ReadyCount(), listed, h.readiness.ListedCount(), sum, h.latency.smoothed.Sum(), dropped, slices.Collect(h.readiness.ReadyUnlisted().All()))
+			ready, h.readiness.ReadyCount(), listed, h.readiness.ListedCount(), sum, h.latency.smoothed.Sum(), unlisted, slices.Collect(h.readiness.ReadyUnlisted().All()))
 	}
 }
 
--- a/policy/internal/failures/failures.go
+++ b/policy/internal/failures/failures.go
@@ -103,9 +103,9 @@
 	}
 }
 
-// DeleteFunc deletes the entries of a server for which drop returns true.
-func (t *Table) DeleteFunc(server int, drop func(Entry) bool) {
-	t.entries[server] = slices.DeleteFunc(t.entries[server], drop)
+// DeleteFunc deletes the entries of a server for which shouldDelete returns true.
+func (t *Table) DeleteFunc(server int, shouldDelete func(Entry) bool) {
+	t.entries[server] = slices.DeleteFunc(t.entries[server], shouldDelete)
 }
 
 // Deactivate removes a server without entries from Active.
--- a/policy/internal/readiness/readiness.go
+++ b/policy/internal/readiness/readiness.go
@@ -70,16 +70,16 @@
 func (t *Table) ReadyWithPlacements(placements uint64) int { return t.placements.count(placements) }
 
 // SetReady sets whether a server is ready and returns the previous value.
-func (t *Table) SetReady(server int, ready bool) (was bool) {
-	was = t.ready[server]
-	if ready != was {
+func (t *Table) SetReady(server int, ready bool) (previous bool) {
+	previous = t.ready[server]
+	if ready != previous {
 		t.readyCount += sign(ready)
 		AddToBits(&t.labels.ready, t.labels.words[server], sign(ready))
 		AddToBits(&t.placements.ready, t.placements.words[server], sign(ready))
 	}
 	t.ready[server] = ready
 	t.readyUnlisted.Put(server, ready && !t.listed[server])
-	return was
+	return previous
 }
 
 // SetListed sets whether a server is listed.
--- a/policy/lifecycle.go
+++ b/policy/lifecycle.go
@@ -15,11 +15,11 @@
 type signal uint8
 
 const (
-	onArrival         signal = iota
-	onTick                   // time has passed, or capacity may have become free
-	onSuccess                // an attempt brought the final response
-	onFailure                // an attempt ended without it
-	onAnswerNotNeeded        // a response is no longer needed
+	onArrival           signal = iota
+	onTick                     // time has passed, or capacity may have become free
+	onSuccess                  // an attempt brought the final response
+	onFailure                  // an attempt ended without it
+	onResponseNotNeeded        // a response is no longer needed
 	signalCount
 )
 
@@ -60,7 +60,7 @@
 		{stateQueued, onTick, (*Policy).canSend, stateInFlight, (*Policy).sendAttempt},
 		{stateQueued, onTick, (*Policy).canQueue, stateQueued, (*Policy).doNothing},
 		{stateQueued, onTick, always, stateDone, (*Policy).reject},
-		{stateQueued, onAnswerNotNeeded, always, stateDone, (*Policy).doNothing},
+		{stateQueued, onResponseNotNeeded, always, stateDone, (*Policy).doNothing},
 
 		{stateInFlight, onSuccess, always, stateDone, (*Policy).doNothing},
 		{stateInFlight, onFailure, (*Policy).hasAttemptInFlight, stateInFlight, (*Policy).doNothing},
@@ -72,7 +72,7 @@
 		{stateInFlight, onTick, (*Policy).isClientDeadlineNear, stateDone, (*Policy).fail},
 		{stateInFlight, onTick, (*Policy).isPastObjective, stateInFlight, (*Policy).uncountAttempts},
 		{stateInFlight, onTick, (*Policy).canHedge, stateInFlight, (*Policy).hedge},
-		{stateInFlight, onAnswerNotNeeded, always, stateDone, (*Policy).doNothing},
+		{stateInFlight, onResponseNotNeeded, always, stateDone, (*Policy).doNothing},
 	}
 }
 
@@ -90,9 +90,9 @@
 // enterState sets a request's state and updates the set of open requests and the counts of routes.
 func (p *Policy) enterState(request int, next state) {
 	r := &p.requests.all[request]
-	if was := r.state; was == stateNew && next != stateDone {
+	if previous := r.state; previous == stateNew && next != stateDone {
 		p.requests.open.Add(request)
-	} else if was != stateNew && next == stateDone {
+	} else if previous != stateNew && next == stateDone {
 		p.requests.open.Remove(request)
 	}
 	if next == stateInFlight && r.state != stateInFlight {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -31,7 +31,7 @@
 	case in.Outcome == Success:
 		p.advance(in.Request, onSuccess)
 	case in.ClientAnswered:
-		p.advance(in.Request, onAnswerNotNeeded)
+		p.advance(in.Request, onResponseNotNeeded)
 	default:
 		p.advance(in.Request, onFailure)
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -131,7 +131,7 @@
 // clientLeft ends a request that no longer needs a response. Its attempts in flight count until they end.
 func (p *Policy) clientLeft(in *Input) {
 	if in.Request < len(p.requests.all) {
-		p.advance(in.Request, onAnswerNotNeeded)
+		p.advance(in.Request, onResponseNotNeeded)
 	}
 }
 
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -52,7 +52,7 @@
 	PoolLabels          uint64        // bit set of labels; a server needs at least one of them
 
 	// MaxShedShare is the largest share of the type's requests that may be shed under overload. Requests whose
-	// attributes fail at every server are shed beyond it.
+	// attributes fail at every server may exceed it.
 	MaxShedShare float64
 
 	PlacementBit uint64 // bit of the type's entry in Settings.Placements; 0: any server
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -76,9 +76,9 @@
 				for range 700 {
 					h.now, h.concurrency.successRate = h.now+20*ms, 3
 					h.updateWeights()
-					was := h.slowStart.tokens[0]
+					tokensBefore := h.slowStart.tokens[0]
 					h.refillSlowStart(20 * ms)
-					granted += max(h.slowStart.tokens[0]-was, 0)
+					granted += max(h.slowStart.tokens[0]-tokensBefore, 0)
 					rate = slowStartShare * h.settings.CrashLoadFactor * h.concurrency.successRate / 18 * h.updateCapacityShare(0)
 					budget += rate * 0.02
 				}
@@ -121,9 +121,9 @@
 			h.updateWeights()
 			granted := 0.0
 			for range seconds * int(time.Second/step) {
-				was := h.slowStart.tokens[0]
+				tokensBefore := h.slowStart.tokens[0]
 				h.refillSlowStart(step)
-				granted += max(h.slowStart.tokens[0]-was, 0)
+				granted += max(h.slowStart.tokens[0]-tokensBefore, 0)
 				h.slowStart.tokens[0] = 0
 			}
 			if rate := granted / seconds; rate < c.min || rate > c.max {
