--- a/policy/plan_test.go
+++ b/policy/plan_test.go
@@ -19,15 +19,15 @@
 		hasSlowStart  bool // the plan sets a slow-start rate
 	}{
 		"not named":                       {isInSubset: true},
-		"assigned":                        {now: []Assignment{{Server: planned, Preference: 1}}, isInSubset: true},
-		"assigned with a slow-start rate": {now: []Assignment{{Server: planned, Preference: 1, SlowStartRate: 5}}, isInSubset: true, hasSlowStart: true},
-		"avoided":                         {now: []Assignment{{Server: planned, Preference: -1}}},
-		"avoided, an attempt in flight":   {now: []Assignment{{Server: planned, Preference: -1}}, isInFlight: true, isInSubset: true},
-		"assignment removed":              {before: []Assignment{{Server: planned, Preference: 1}}},
-		"assignment removed, an attempt in flight": {before: []Assignment{{Server: planned, Preference: 1}}, isInFlight: true, isInSubset: true},
-		"slow-start rate removed":                  {before: []Assignment{{Server: planned, SlowStartRate: 5}}, isInSubset: true},
-		"ejected":                                  {now: []Assignment{{Server: planned, EjectFor: time.Second}}, isInSubset: true, isEjected: true},
-		"still ejected under the next plan":        {before: []Assignment{{Server: planned, EjectFor: time.Second}}, isInSubset: true, isEjected: true},
+		"assigned":                        {second: []Assignment{{Server: planned, Preference: 1}}, isInSubset: true},
+		"assigned with a slow-start rate": {second: []Assignment{{Server: planned, Preference: 1, SlowStartRate: 5}}, isInSubset: true, hasSlowStart: true},
+		"avoided":                         {second: []Assignment{{Server: planned, Preference: -1}}},
+		"avoided, an attempt in flight":   {second: []Assignment{{Server: planned, Preference: -1}}, isInFlight: true, isInSubset: true},
+		"assignment removed":              {first: []Assignment{{Server: planned, Preference: 1}}},
+		"assignment removed, an attempt in flight": {first: []Assignment{{Server: planned, Preference: 1}}, isInFlight: true, isInSubset: true},
+		"slow-start rate removed":                  {first: []Assignment{{Server: planned, SlowStartRate: 5}}, isInSubset: true},
+		"ejected":                                  {second: []Assignment{{Server: planned, EjectFor: time.Second}}, isInSubset: true, isEjected: true},
+		"still ejected under the next plan":        {first: []Assignment{{Server: planned, EjectFor: time.Second}}, isInSubset: true, isEjected: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 6, nil).fillSubset()
