--- a/policy/input.go
+++ b/policy/input.go
@@ -107,7 +107,7 @@
 	Timeout       time.Duration // time until the client gives up
 
 	Outcome        Outcome
-	Elapsed        time.Duration // since the attempt was sent; Policy uses its own times instead
+	Elapsed        time.Duration // since the attempt was sent; for other implementations, Policy measures its own times
 	ClientAnswered bool          // the client has received its final response
 
 	Scope     UpdateScope
