--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// minPatience is the time until the objective, in unloaded latencies, below which a timeout only tells of the client.
-const minPatience = 2
+// minTimeoutLatencies is the time from sending until the objective, in unloaded latencies, below which a timeout is
+// caused by the client's deadline and does not indicate a slow server.
+const minTimeoutLatencies = 2
 
-// attemptEnded records the end of an attempt and moves its request on.
+// attemptEnded records the end of an attempt and advances its request.
 func (p *Policy) attemptEnded(in *Input) {
 	if in.Request >= len(p.requests.all) {
 		return
@@ -23,22 +24,22 @@
 	p.closeIdleConnections(a.server)
 	p.recordOutcome(a.server, r, a.sentAt, in.Outcome)
 	if in.Outcome == Overloaded || in.Outcome == Unreachable || in.Outcome == NotStarted {
-		r.forgetAttempt(in.Attempt)
+		r.discardAttempt(in.Attempt)
 	}
 	switch {
 	case r.state == stateDone:
 	case in.Outcome == Success:
 		p.advance(in.Request, onSuccess)
 	case in.ClientAnswered:
-		p.advance(in.Request, onAnswerNotNeeded)
+		p.advance(in.Request, onResponseNotNeeded)
 	default:
 		p.advance(in.Request, onFailure)
 	}
 	p.dequeue()
 }
 
-// recordOutcome learns from the end of an attempt at a server. Failures that belong to the request, and timeouts that
-// only tell of an impatient client, say nothing of the server.
+// recordOutcome updates all statistics from the end of an attempt at a server. Failures attributed to the request,
+// and timeouts caused by a short client deadline, do not count against the server.
 func (p *Policy) recordOutcome(s int, r *request, sentAt time.Duration, outcome Outcome) {
 	p.admission.overloaded.Observe(0, allAttemptsMemory)
 	p.subset.refusedConnects.Observe(0, allAttemptsMemory)
@@ -47,9 +48,9 @@
 	}
 	switch outcome {
 	case Success, Failure, TimedOut, ConnectionBroken:
-		isImpatient := outcome == TimedOut && r.objectiveAt-sentAt < minPatience*p.latency.unloaded[r.trafficType]
-		r.isFailureAttributed = !isImpatient && p.recordAndAttribute(s, r, outcome)
-		if r.isFailureAttributed || isImpatient {
+		isTimeoutTooShort := outcome == TimedOut && r.objectiveAt-sentAt < minTimeoutLatencies*p.latency.unloaded[r.trafficType]
+		r.isFailureAttributed = !isTimeoutTooShort && p.recordAndAttribute(s, r, outcome)
+		if r.isFailureAttributed || isTimeoutTooShort {
 			return
 		}
 	}
@@ -62,7 +63,7 @@
 		p.recordFailure(s, minConsecutiveFailures)
 		p.recordTypeFailure(s, r.trafficType, sentAt)
 	case Failure:
-		p.load.lastAnswerAt[s] = p.now
+		p.load.lastResponseAt[s] = p.now
 		p.recordFailure(s, minConsecutiveFailures)
 		p.recordTypeFailure(s, r.trafficType, sentAt)
 	case ClientError, ConnectionBroken:
@@ -78,7 +79,7 @@
 	}
 }
 
-// recordSuccess learns from an answer: latency, pauses, the load that servers bear, and that the server is healthy.
+// recordSuccess updates latency, pauses, sustained load and server health from a successful response.
 func (p *Policy) recordSuccess(s int, r *request, sentAt time.Duration) {
 	elapsed := p.now - sentAt
 	p.recordPauseSample(s, sentAt, float64(elapsed) > spikeFactor*float64(p.latency.smoothed.At(s)))
@@ -88,5 +89,5 @@
 	p.recordRecovery(s)
 	p.outliers.overloads[s] = 0
 	p.outliers.ejections.RecordSuccess(s, r.trafficType)
-	p.load.answered(s, sentAt)
+	p.load.clearAbandoned(s, sentAt)
 }
