--- a/internal/proxy/engine/decider.go
+++ b/internal/proxy/engine/decider.go
@@ -6,13 +6,14 @@
 	"fernvane/policy"
 )
 
-// Decider decides for one instance. It is policy.Policy wherever traffic is served; others are compared with it.
+// Decider makes the decisions of one instance. policy.Policy is the Decider that serves traffic; other implementations
+// exist for comparison with it.
 type Decider interface {
 	Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect
 }
 
-// DeciderFactory makes the decider of an instance from its settings and its seed.
+// DeciderFactory creates the Decider of an instance from its settings and its random seed.
 type DeciderFactory func(s policy.Settings, seed uint32) Decider
 
-// NewPolicy is the factory of the decider that serves traffic.
+// NewPolicy is the DeciderFactory of policy.Policy, the Decider that serves traffic.
 func NewPolicy(s policy.Settings, seed uint32) Decider { return policy.New(s, seed) }
--- a/internal/proxy/engine/doc.go
+++ b/internal/proxy/engine/doc.go
@@ -1,8 +1,7 @@
-// Package engine stands between one instance of the decisions (package policy) and whoever carries them out: it
-// translates the caller's ids of requests and servers to the dense indices that the policy wants, and back.
+// Package engine connects one instance of the decision module (package policy) to the code that executes its decisions.
+// It translates the caller's request and server IDs to the dense indices that the decision module uses, and back.
 //
-// The dispatcher of a node, the simulator's adapter and tests hold an Engine each. They call one method for each input,
-// with the time of their own clock, and the Engine calls the EffectHandler for each effect before the method returns,
-// in the order of the effects. An Engine has no lock: its caller makes one call at a time, and an EffectHandler must
-// not call back.
+// The dispatcher of a node, the simulator's adapter and tests each own an Engine. They call one method per input, with
+// the time of their own clock. The Engine calls the EffectHandler once per effect, in order, before the method returns.
+// An Engine is not safe for concurrent use, and an EffectHandler must not call the Engine.
 package engine
--- a/internal/proxy/engine/engine.go
+++ b/internal/proxy/engine/engine.go
@@ -7,29 +7,29 @@
 	"fernvane/policy"
 )
 
-// Endpoint is an entry of an endpoint list. Info.Server and Info.IndexReused are filled in by the Engine;
-// Info.StartedAt is a time of the caller's clock.
+// Endpoint is an entry of an endpoint list. The Engine sets Info.Server and Info.IndexReused. Info.StartedAt is a time of
+// the caller's clock.
 type Endpoint[S comparable] struct {
 	Server S
 	Info   policy.Endpoint
 }
 
-// Assignment is what a plan says of a server. Info.Server is filled in by the Engine.
+// Assignment is the entry of a plan for one server. The Engine sets Info.Server.
 type Assignment[S comparable] struct {
 	Server S
 	Info   policy.Assignment
 }
 
-// request is a request in hand, under its index.
+// request is an open request. Its position in Engine.requests is its index.
 type request struct {
-	id         uint64
-	inFlight   int // attempts
-	isAnswered bool
-	servers    []int // of its attempts
+	id        uint64
+	inFlight  int // number of attempts in flight
+	isSettled bool
+	servers   []int // server of each attempt sent so far
 }
 
-// Engine is one instance of the decisions, with the caller's server ids of type S. Indices of requests and servers are
-// used again once nothing refers to them.
+// Engine is one instance of the decision module, with server IDs of the caller's type S. Indices of requests and servers
+// are reused once nothing refers to them.
 type Engine[S comparable] struct {
 	decider   Decider
 	startedAt time.Duration // on the caller's clock
@@ -42,19 +42,20 @@
 
 	serverIndex map[S]int
 	serverIDs   []S
-	serverUses  []int        // by server: attempts of requests in hand
-	removed     indexset.Set // servers that were removed and are not forgotten yet
+	serverRefs  []int        // by server: attempts of open requests, in flight or ended
+	removed     indexset.Set // removed servers whose index has not been released yet
 	freeServers []int
 }
 
-// New starts an instance at the time now of the caller's clock. The handler is asked to set the timer.
+// New creates an instance that starts at the time now of the caller's clock, and passes the first effects, such as the
+// timer, to the handler.
 func New[S comparable](now time.Duration, d Decider, handler EffectHandler[S]) *Engine[S] {
 	e := &Engine[S]{decider: d, startedAt: now, requestIndex: map[uint64]int{}, serverIndex: map[S]int{}}
 	e.apply(now, policy.Input{Kind: policy.TimerFired}, handler)
 	return e
 }
 
-// EndpointsUpdated takes an endpoint list, or policy.Unavailable without endpoints.
+// EndpointsUpdated passes on an endpoint list, or a failed poll (policy.Unavailable, without endpoints).
 func (e *Engine[S]) EndpointsUpdated(now time.Duration, scope policy.UpdateScope, endpoints []Endpoint[S], handler EffectHandler[S]) {
 	e.endpoints = e.endpoints[:0]
 	if scope == policy.Full || scope == policy.Cached {
@@ -74,11 +75,11 @@
 	}
 	e.apply(now, policy.Input{Kind: policy.EndpointsUpdated, Scope: scope, Endpoints: e.endpoints}, handler)
 	for s := range e.removed.All() {
-		e.forgetServer(s, handler)
+		e.releaseServer(s, handler)
 	}
 }
 
-// RequestArrived takes a request. It returns false, and does nothing, if a request of the same id is in hand.
+// RequestArrived passes on a new request. It returns false, and has no effect, if a request with this ID is open.
 func (e *Engine[S]) RequestArrived(now time.Duration, id uint64, in policy.Input, handler EffectHandler[S]) bool {
 	if _, ok := e.requestIndex[id]; ok {
 		return false
@@ -97,9 +98,9 @@
 	return true
 }
 
-// AttemptEnded takes the end of an attempt: in.Attempt is its number within the request, in.Outcome how it ended. It
-// returns false, and does nothing, if the request or server is unknown or the request has no attempt in flight. It
-// does not check that in.Attempt is in flight at that server: the caller must see to it.
+// AttemptEnded passes on the end of an attempt. in.Attempt is the attempt's number within the request and in.Outcome its
+// outcome. It returns false, and has no effect, if the request or the server is unknown or the request has no attempt in
+// flight. The caller must ensure that in.Attempt is in flight at that server; this is not checked.
 func (e *Engine[S]) AttemptEnded(now time.Duration, id uint64, server S, in policy.Input, handler EffectHandler[S]) bool {
 	index, ok := e.requestIndex[id]
 	s, isKnown := e.serverIndex[server]
@@ -107,31 +108,31 @@
 		return false
 	}
 	e.requests[index].inFlight--
-	e.requests[index].isAnswered = e.requests[index].isAnswered || in.ClientAnswered
+	e.requests[index].isSettled = e.requests[index].isSettled || in.ClientAnswered
 	in.Kind, in.Request, in.Server = policy.AttemptEnded, index, s
 	e.apply(now, in, handler)
 	e.releaseRequest(index, handler)
 	return true
 }
 
-// ClientLeft says that a request needs no answer any more. It does nothing if the request is not in hand.
+// ClientLeft passes on that the client of a request has disconnected. It has no effect if the request is not open.
 func (e *Engine[S]) ClientLeft(now time.Duration, id uint64, handler EffectHandler[S]) {
 	index, ok := e.requestIndex[id]
 	if !ok {
 		return
 	}
-	e.requests[index].isAnswered = true
+	e.requests[index].isSettled = true
 	e.apply(now, policy.Input{Kind: policy.ClientLeft, Request: index}, handler)
 	e.releaseRequest(index, handler)
 }
 
-// TrafficTypesChanged takes other traffic types.
+// TrafficTypesChanged passes on a new set of traffic types.
 func (e *Engine[S]) TrafficTypesChanged(now time.Duration, in policy.Input, handler EffectHandler[S]) {
 	in.Kind = policy.TrafficTypesChanged
 	e.apply(now, in, handler)
 }
 
-// PlanChanged takes a plan. Assignments of servers that are not known are left out.
+// PlanChanged passes on a plan. Assignments of unknown servers are omitted.
 func (e *Engine[S]) PlanChanged(now time.Duration, in policy.Input, assignments []Assignment[S], handler EffectHandler[S]) {
 	in.Kind, in.Assignments = policy.PlanChanged, make([]policy.Assignment, 0, len(assignments))
 	for _, a := range assignments {
@@ -143,32 +144,32 @@
 	e.apply(now, in, handler)
 }
 
-// QuotasChanged takes quotas of tenants that have changed.
+// QuotasChanged passes on the tenant quotas that have changed.
 func (e *Engine[S]) QuotasChanged(now time.Duration, changed []policy.Quota, handler EffectHandler[S]) {
 	e.apply(now, policy.Input{Kind: policy.QuotasChanged, Quotas: changed}, handler)
 }
 
-// TimerFired says that the time of the last SetTimer has come.
+// TimerFired passes on that the timer set by the last EffectHandler.SetTimer has expired.
 func (e *Engine[S]) TimerFired(now time.Duration, handler EffectHandler[S]) {
 	e.apply(now, policy.Input{Kind: policy.TimerFired}, handler)
 }
 
-// releaseRequest frees the index of a request that is answered and has no attempt in flight.
+// releaseRequest frees the index of a request that is settled and has no attempt in flight.
 func (e *Engine[S]) releaseRequest(index int, handler EffectHandler[S]) {
 	r := &e.requests[index]
-	if _, ok := e.requestIndex[r.id]; !ok || !r.isAnswered || r.inFlight > 0 {
+	if _, ok := e.requestIndex[r.id]; !ok || !r.isSettled || r.inFlight > 0 {
 		return
 	}
 	delete(e.requestIndex, r.id)
 	e.freeRequests = append(e.freeRequests, index)
 	for _, s := range r.servers {
-		e.serverUses[s]--
-		e.forgetServer(s, handler)
+		e.serverRefs[s]--
+		e.releaseServer(s, handler)
 	}
 }
 
-// indexOrAdd returns the index of a server, a new one if it is not known. isReused says that a new index was another
-// server's before.
+// indexOrAdd returns the index of a server and assigns one if the server is unknown. isReused reports whether a newly
+// assigned index belonged to another server before.
 func (e *Engine[S]) indexOrAdd(id S) (s int, isReused bool) {
 	s, ok := e.serverIndex[id]
 	if ok {
@@ -177,17 +178,17 @@
 	if last := len(e.freeServers) - 1; last >= 0 {
 		s, isReused, e.freeServers = e.freeServers[last], true, e.freeServers[:last]
 	} else {
-		s, e.serverIDs, e.serverUses = len(e.serverIDs), append(e.serverIDs, id), append(e.serverUses, 0)
+		s, e.serverIDs, e.serverRefs = len(e.serverIDs), append(e.serverIDs, id), append(e.serverRefs, 0)
 	}
 	e.serverIndex[id], e.serverIDs[s] = s, id
 	return s, isReused
 }
 
-// forgetServer frees the index of a server that was removed, once no request in hand has or had an attempt there: the
-// policy may still look those up.
-func (e *Engine[S]) forgetServer(s int, handler EffectHandler[S]) {
+// releaseServer frees the index of a removed server. It has no effect while an open request has or had an attempt at the
+// server, since the policy may still look up that server.
+func (e *Engine[S]) releaseServer(s int, handler EffectHandler[S]) {
 	id := e.serverIDs[s]
-	if index, ok := e.serverIndex[id]; ok && index == s && e.removed.Has(s) && e.serverUses[s] == 0 {
+	if index, ok := e.serverIndex[id]; ok && index == s && e.removed.Has(s) && e.serverRefs[s] == 0 {
 		e.removed.Remove(s)
 		delete(e.serverIndex, id)
 		e.freeServers = append(e.freeServers, s)
--- a/internal/proxy/shadow/difference.go
+++ b/internal/proxy/shadow/difference.go
@@ -2,25 +2,25 @@
 
 import "fernvane/policy"
 
-// Difference is how a decision under the candidate settings differs from the one that was made.
+// Difference classifies how a decision under the candidate settings differs from the live decision.
 type Difference int
 
-// The differences.
+// The differences. Each comment gives the candidate decision first, then the live decision.
 const (
 	ServerDiffers     Difference = iota // sent to another server
-	TimeoutDiffers                      // the attempt has another timeout
-	WouldSend                           // sent, where it was rejected, has failed or is queued
-	WouldQueue                          // queued, where it was sent, was rejected or has failed
-	WouldReject                         // rejected, where it was sent, is queued or has failed
-	RetryAfterDiffers                   // rejected as well, with another time to retry after
-	WouldRetry                          // another attempt, where there was none
-	WouldNotRetry                       // no other attempt, where there was one
-	WouldFail                           // failed, where it has not
-	WouldKeepWaiting                    // the attempt in flight awaited, where the request was settled
+	TimeoutDiffers                      // sent to the same server with another attempt timeout
+	WouldSend                           // first attempt sent; live: rejected, failed or queued
+	WouldQueue                          // queued; live: sent, rejected or failed
+	WouldReject                         // rejected; live: sent, queued, failed or awaiting an attempt in flight
+	RetryAfterDiffers                   // rejected with another Retry-After
+	WouldRetry                          // another attempt sent; live: none sent
+	WouldNotRetry                       // no further attempt; live: another attempt sent
+	WouldFail                           // failed; live: not failed
+	WouldKeepWaiting                    // attempt in flight awaited; live: settled
 	differenceCount
 )
 
-// differenceNames are the names of the counts in the log.
+// differenceNames contains the name of each count in the log. Operators' tools read these names.
 var differenceNames = [differenceCount]string{
 	ServerDiffers:     "server",
 	TimeoutDiffers:    "hop_time",
@@ -34,33 +34,35 @@
 	WouldKeepWaiting:  "left_open",
 }
 
-// String returns the name of the difference's count in the log.
+// String returns the name under which the log reports the difference's count.
 func (d Difference) String() string { return differenceNames[d] }
 
-// difference compares the decisions about one request: live as it was made, other under the candidate settings; nil for
-// none. hasAttempts says that the request had an attempt before. ok is false if the decisions are the same.
-func difference(live, other *policy.Effect, hasAttempts bool) (d Difference, ok bool) {
+// difference compares the live decision about a request with the one under the candidate settings. Either is nil if no
+// decision was made. hasAttempts reports whether the request had an earlier attempt. ok is false if the decisions are the
+// same.
+func difference(live, candidate *policy.Effect, hasAttempts bool) (d Difference, ok bool) {
 	switch {
-	case other == nil && !hasAttempts:
+	case candidate == nil && !hasAttempts:
 		return WouldQueue, true
-	case other == nil && live.Kind == policy.SendAttempt:
+	case candidate == nil && live.Kind == policy.SendAttempt:
 		return WouldNotRetry, true
-	case other == nil:
+	case candidate == nil:
 		return WouldKeepWaiting, true
-	case live == nil || live.Kind != other.Kind:
-		return otherKind(other.Kind, hasAttempts), true
-	case live.Kind == policy.SendAttempt && live.Server != other.Server:
+	case live == nil || live.Kind != candidate.Kind:
+		return kindDifference(candidate.Kind, hasAttempts), true
+	case live.Kind == policy.SendAttempt && live.Server != candidate.Server:
 		return ServerDiffers, true
 	case live.Kind == policy.SendAttempt:
-		return TimeoutDiffers, live.Duration != other.Duration
+		return TimeoutDiffers, live.Duration != candidate.Duration
 	case live.Kind == policy.Reject:
-		return RetryAfterDiffers, live.Duration != other.Duration
+		return RetryAfterDiffers, live.Duration != candidate.Duration
 	}
 	return 0, false
 }
 
-// otherKind is the difference of a decision of a kind where another one, or none, was made.
-func otherKind(kind policy.EffectKind, hasAttempts bool) Difference {
+// kindDifference returns the difference of a candidate decision of the given kind from a live decision of another kind, or
+// from none.
+func kindDifference(kind policy.EffectKind, hasAttempts bool) Difference {
 	switch {
 	case kind == policy.SendAttempt && hasAttempts:
 		return WouldRetry
--- a/internal/proxy/shadow/doc.go
+++ b/internal/proxy/shadow/doc.go
@@ -1,6 +1,6 @@
-// Package shadow evaluates what the decision module would decide under candidate settings, while it decides under its own,
-// and counts how the decisions differ. Operators use it before they change settings.
+// Package shadow evaluates candidate settings beside the settings in effect and counts how the decisions differ. Operators
+// use it to assess a change of settings before they apply it.
 //
-// A Module stands in place of the decision module and returns its decisions unchanged; as the module itself, it is called
-// with the Dispatcher's lock held. A Candidate holds the settings and the counts; it may be used from any goroutine.
+// A Module wraps the decision module and returns its decisions unchanged. Like the decision module, it is called with the
+// Dispatcher's lock held. A Candidate contains the candidate settings and the counts and is safe for concurrent use.
 package shadow
