--- a/internal/proxy/dispatch/attemptresult.go
+++ b/internal/proxy/dispatch/attemptresult.go
@@ -2,32 +2,32 @@
 
 import "fernvane/policy"
 
-// AttemptResult is how an attempt ended.
+// AttemptResult is the result of an attempt.
 type AttemptResult uint8
 
-// Results up to ServerRefused are complete responses, after which the connection may be used again. The numbers and the
-// names of results are stored in journals: new ones are added at the end.
+// Results up to ServerRefused are complete responses, after which the connection may be reused. Journals store the numbers
+// and the names of results, so new results are appended.
 const (
-	Succeeded         AttemptResult = iota // a complete response with status 200
+	Succeeded         AttemptResult = iota // complete response with status 200
 	ErrorResponse                          // any other complete response
-	RequestFault                           // a response that finds the request itself faulty
-	ServerRefused                          // a response that says that the server did not begin
-	ConnectRefused                         // no connection: refused, unreachable or another error at once
+	RequestFault                           // complete response that reports a fault of the request itself
+	ServerRefused                          // complete response that reports that the server did not start the request
+	ConnectRefused                         // no connection: refused, unreachable or another immediate error
 	ConnectTimeout                         // no connection within Settings.ConnectTimeout
-	WriteFailed                            // a new connection broke before the last byte was written
-	StaleConnection                        // a reused connection broke so, which shows nothing about its server now
-	NoDescriptor                           // no connection: this node had no descriptor left
-	ExpiredUnsent                          // the attempt timed out or was canceled before its last byte was written, or its server or client had left
-	ConnectionLost                         // the connection ended after the last byte, before the complete response
-	MalformedResponse                      // the response cannot be read
+	WriteFailed                            // new connection broke before the last byte was written
+	StaleConnection                        // reused connection broke before the last byte was written; the server's state is unknown
+	NoDescriptor                           // no connection: the node has no free descriptor
+	ExpiredUnsent                          // timed out or canceled before the last byte was written, or the server was removed or the client disconnected before
+	ConnectionLost                         // connection broke after the last byte was written and before the response was complete
+	MalformedResponse                      // response could not be decoded
 	ResponseTimeout                        // no complete response within the attempt's timeout
-	JournalFailed                          // not sent, because the journal did not store that it would be
+	JournalFailed                          // not sent because the journal could not store the intent
 	Abandoned                              // the request was settled while the attempt was in flight
 	attemptResultCount
 )
 
-// attemptResults holds what each result means to the decision module (policy.NotStarted: nothing of the server), and its
-// stored name.
+// attemptResults maps each result to its outcome for the decision module and to its stored name. policy.NotStarted means
+// that the result gives no information about the server.
 var attemptResults = [attemptResultCount]struct {
 	outcome policy.Outcome
 	name    string
@@ -49,8 +49,8 @@
 	Abandoned:         {policy.Canceled, "given up"},
 }
 
-// Outcome returns what the result means to the decision module.
+// Outcome returns the outcome that the decision module receives for the result.
 func (r AttemptResult) Outcome() policy.Outcome { return attemptResults[r].outcome }
 
-// String returns the result's name in journals and in the log.
+// String returns the name of the result that journals and the log contain.
 func (r AttemptResult) String() string { return attemptResults[r].name }
--- a/internal/proxy/dispatch/cautious.go
+++ b/internal/proxy/dispatch/cautious.go
@@ -8,49 +8,50 @@
 	"fernvane/policy"
 )
 
-// The decision module selects servers by a set of labels. The lowest provenPoolShift labels are pools of routes. In
-// cautious mode the next ones are the same pools with proven servers only, and provenLabel is any proven server.
+// The decision module selects servers by a set of label bits. The lowest provenPoolShift bits are the pools of the route
+// table. In cautious mode, the next provenPoolShift bits are the same pools restricted to proven servers, and provenLabel
+// marks every proven server.
 const (
 	provenPoolShift = route.MaxPools
 	provenLabel     = 1 << 63
 )
 
-// cautiousMode restricts requests while the endpoint list is a cached one that no source has confirmed since the start:
-// non-idempotent requests go to proven servers only.
+// cautiousMode restricts requests while the endpoint list comes from the cache and no source has confirmed it since the
+// start of the node: non-idempotent requests are sent only to proven servers.
 type cautiousMode struct {
 	isActive bool
-	proven   map[string]bool // by server ID; a proven server has executed a request since the start
+	proven   map[string]bool // by server ID; true if the server has executed a request since the start
 }
 
-// ApplyCachedList replaces the endpoint list by the part of a cached list that may be used now, and enters cautious mode.
-// It is called again whenever that part or the set of proven servers changes.
+// ApplyCachedList replaces the endpoint list with the usable part of a cached list and enters cautious mode. It is called
+// again whenever the usable part or the set of proven servers changes.
 func (d *Dispatcher) ApplyCachedList(usable []endpoints.Endpoint, proven map[string]bool) {
 	d.mu.Lock()
 	defer d.unlock()
-	d.caution.proven = proven
-	if !d.caution.isActive {
-		d.caution.isActive = true
+	d.cautious.proven = proven
+	if !d.cautious.isActive {
+		d.cautious.isActive = true
 		d.applyRoutes(d.routes.Table())
 		d.refreshLabels()
 	}
 	d.applyEndpoints(usable, endpoints.SourceSnapshot, true)
 }
 
-// LeaveCautiousMode leaves cautious mode. It is called when a source has announced the endpoint list.
+// LeaveCautiousMode lifts the restrictions of cautious mode. It is called when a source has announced the endpoint list.
 func (d *Dispatcher) LeaveCautiousMode() {
 	d.mu.Lock()
 	defer d.unlock()
-	if d.caution.isActive {
-		d.caution = cautiousMode{}
+	if d.cautious.isActive {
+		d.cautious = cautiousMode{}
 		d.applyRoutes(d.routes.Table())
 		d.refreshLabels()
 	}
 }
 
-// cautiousTypes returns the traffic types as the decision module gets them: in cautious mode the non-idempotent ones ask
-// for proven servers.
+// cautiousTypes returns the traffic types to pass to the decision module. In cautious mode, non-idempotent types select
+// only proven servers.
 func (d *Dispatcher) cautiousTypes(types []policy.TrafficType) []policy.TrafficType {
-	if !d.caution.isActive {
+	if !d.cautious.isActive {
 		return types
 	}
 	types = slices.Clone(types)
@@ -67,10 +68,10 @@
 	return types
 }
 
-// serverLabels returns a server's labels as the decision module gets them.
+// serverLabels returns the labels of a server to pass to the decision module.
 func (d *Dispatcher) serverLabels(id, zone, machineKind string) uint64 {
 	pools := d.routes.Labels(id, zone, machineKind)
-	if d.caution.isActive && d.caution.proven[id] {
+	if d.cautious.isActive && d.cautious.proven[id] {
 		return pools | pools<<provenPoolShift | provenLabel
 	}
 	return pools
--- a/internal/proxy/dispatch/clients.go
+++ b/internal/proxy/dispatch/clients.go
@@ -7,56 +7,58 @@
 )
 
 const (
-	// firstRequestGrace is for how long a new connection is not closed while its first request may be on its way.
+	// firstRequestGrace is how long a new connection is protected from eviction, since its first request may be in transit.
 	firstRequestGrace = 100 * time.Millisecond
-	// firstRequestGraceAtStop is the same while the node stops, when no other connection waits for the descriptor.
+	// firstRequestGraceAtStop replaces firstRequestGrace during shutdown, when no other connection waits for the descriptor.
 	firstRequestGraceAtStop = time.Second
-	// nextRequestGrace is for how long a connection is not closed after an answer, while the client's next request may be on its way.
+	// nextRequestGrace is how long a connection is protected from eviction after a response, since the client's next request
+	// may be in transit.
 	nextRequestGrace = firstRequestGrace
-	// idleClientDivisor limits the connections that clients may leave idle after a request, to one in so many of all.
+	// idleClientDivisor limits the client connections that are idle after a request to 1/idleClientDivisor of all connections.
 	idleClientDivisor = 8
 )
 
-// ClientConn is a client's connection, in any protocol.
+// ClientConn is a client connection of any protocol.
 type ClientConn interface {
 	io.Closer
-	// HasUnread reports whether something has arrived that was not read yet. It may be called from any goroutine.
+	// HasUnread reports whether input has arrived that has not been read. It is safe for concurrent use.
 	HasUnread() bool
 }
 
-// Client tells the Dispatcher when a client's connection is idle, so that it can be closed when descriptors are short.
-// The connection's reader calls ReadBlocked and ReadReady in turns.
+// Client tracks whether a client connection is idle, so that the Dispatcher can evict it when descriptors run short. The
+// connection's reader alternates between ReadBlocked and ReadReady.
 type Client struct {
 	dispatcher        *Dispatcher
 	conn              ClientConn
-	idleElement       *list.Element // in descriptorBudget.idleClients; nil while it may not be closed
+	idleElement       *list.Element // element of descriptorBudget.idleClients; nil while the connection may not be evicted
 	idleSince         time.Duration
-	openRequests      int  // started and not finished
-	hasSentRequest    bool // at least one complete request
+	openRequests      int  // requests started and not finished
+	hasSentRequest    bool // at least one complete request has been read
 	hasPartialRequest bool
-	isWaiting         bool // the reader waits, and has nothing left to handle
+	isWaiting         bool // the reader waits for input and has handled all previous input
 	isEvicted         bool // closed by the Dispatcher
 }
 
-// AddClient registers an accepted connection. The caller has acquired a descriptor for it and calls Release at its end.
+// AddClient registers an accepted connection. The caller must have acquired a descriptor for it, and must call
+// Client.Release when the connection ends.
 func (d *Dispatcher) AddClient(conn ClientConn) *Client { return &Client{dispatcher: d, conn: conn} }
 
-// Release gives back the connection's descriptor. It is called once, before the caller closes the connection.
+// Release releases the connection's descriptor. The caller calls it once, before it closes the connection.
 func (c *Client) Release() {
 	c.dispatcher.mu.Lock()
 	defer c.dispatcher.unlock()
 	c.removeIdle()
-	if !c.isEvicted { // else the descriptor was given back then
+	if !c.isEvicted { // eviction has already released the descriptor
 		c.dispatcher.freeClientDescriptor()
 	}
 }
 
-// ReadBlocked reports that the reader waits for more input and reads nothing until it has called ReadReady.
-// hasPartialRequest says that a part of a request has arrived.
+// ReadBlocked reports that the reader waits for input and reads nothing before it calls ReadReady. hasPartialRequest states
+// that part of a request has arrived.
 //
-// The connection may be closed while it waits and no request is open. With a part of a first request it may be closed
-// after firstRequestGrace, or clients that never finish one would hold all descriptors; with a part of a later one it is
-// not closed.
+// The connection may be evicted while its reader waits and no request is open. With part of a first request it may be
+// evicted after firstRequestGrace, since clients that never complete a request could otherwise occupy all descriptors.
+// With part of a later request it is not evicted.
 func (c *Client) ReadBlocked(hasPartialRequest bool) {
 	c.dispatcher.mu.Lock()
 	defer c.dispatcher.unlock()
@@ -67,8 +69,8 @@
 	c.updateIdle()
 }
 
-// ReadReady reports that input has arrived and is about to be read. It returns false if the connection has been closed by
-// the Dispatcher; then nothing was read that is not handled.
+// ReadReady reports that input has arrived and is about to be read. It returns false if the Dispatcher has evicted the
+// connection; in that case all input read before has been handled.
 func (c *Client) ReadReady() bool {
 	c.dispatcher.mu.Lock()
 	defer c.dispatcher.unlock()
@@ -77,7 +79,7 @@
 	return !c.isEvicted
 }
 
-// RequestStarted reports that a complete request has been read and will be answered.
+// RequestStarted reports that a complete request has been read. RequestFinished must follow.
 func (c *Client) RequestStarted() {
 	c.dispatcher.mu.Lock()
 	defer c.dispatcher.unlock()
@@ -86,7 +88,7 @@
 	c.hasSentRequest = true
 }
 
-// RequestFinished reports that a request that was started has its answer.
+// RequestFinished reports that the response to a started request is complete.
 func (c *Client) RequestFinished() {
 	c.dispatcher.mu.Lock()
 	defer c.dispatcher.unlock()
@@ -96,7 +98,7 @@
 	c.updateIdle()
 }
 
-// updateIdle enters the connection into the list of those that may be closed, or removes it.
+// updateIdle adds the connection to the list of evictable connections or removes it, according to its state.
 func (c *Client) updateIdle() {
 	isPartialLater := c.hasPartialRequest && c.hasSentRequest
 	if c.isWaiting && c.openRequests == 0 && !isPartialLater && !c.isEvicted {
@@ -115,7 +117,7 @@
 	if c.hasSentRequest {
 		budget.idleAfterRequest++
 	}
-	budget.notify() // AcquireClientDescriptor may wait for a connection that it can close
+	budget.notify() // AcquireClientDescriptor may be waiting for an evictable connection
 }
 
 func (c *Client) removeIdle() {
@@ -130,9 +132,9 @@
 	}
 }
 
-// evictIdleClient closes the client's connection that has been idle for longest, and reports whether there was one. It
-// passes over new connections whose first request may be on its way for up to newConnGrace, those that had an answer within
-// nextRequestGrace, and those with unread input, since the client may not send that again.
+// evictIdleClient closes the client connection that has been idle for longest, and reports whether there was one. It skips
+// connections without a request for newConnGrace and connections after a response for nextRequestGrace, since a request may
+// be in transit. It also skips connections with unread input, since the client may not re-send that input.
 func (d *Dispatcher) evictIdleClient(newConnGrace time.Duration) bool {
 	for e := d.budget.idleClients.Front(); e != nil; {
 		c := e.Value.(*Client)
@@ -144,8 +146,8 @@
 		if d.now()-c.idleSince <= grace {
 			continue
 		}
-		// A connection with unread input leaves the list too: its reader is about to call ReadReady, and each look at it
-		// costs a system call.
+		// A connection with unread input is removed from the list too: its reader is about to call ReadReady, and each call
+		// of HasUnread costs a system call.
 		c.removeIdle()
 		if c.conn.HasUnread() {
 			continue
@@ -158,16 +160,17 @@
 	return false
 }
 
-// HasTooManyIdleClients reports whether so many connections stand idle after a request that it is better to close the next
-// one than to keep it. Clients, and load balancers before the node, have a limited number of connections too, and clients
-// that send one request and stay would use all of them.
+// HasTooManyIdleClients reports whether so many client connections are idle after a request that the next one should be
+// closed after its response. Clients and load balancers in front of the node have limited connections too, and clients that
+// send one request and stay connected would use all of them.
 func (d *Dispatcher) HasTooManyIdleClients() bool {
 	d.mu.Lock()
 	defer d.unlock()
 	return d.budget.idleAfterRequest > d.budget.total/idleClientDivisor
 }
 
-// CloseIdleClients closes all clients' connections that are between requests, as the node stops.
+// CloseIdleClients closes all evictable client connections during shutdown. New connections are protected for
+// firstRequestGraceAtStop.
 func (d *Dispatcher) CloseIdleClients() {
 	d.mu.Lock()
 	defer d.unlock()
--- a/internal/proxy/dispatch/counts.go
+++ b/internal/proxy/dispatch/counts.go
@@ -2,28 +2,29 @@
 
 import "fernvane/internal/route"
 
-// Counts says what became of requests and attempts since the last call of Dispatcher.Counts, and what is open now.
+// Counts contains the numbers of settled requests and ended attempts since the previous call of Dispatcher.Counts, and the
+// current numbers of open requests and connections.
 type Counts struct {
-	// Requests by their final answer.
+	// Settled requests, by final decision.
 	Responded    int
 	Rejected     int
-	Failed       int // outcome unknown, or a server found the request itself faulty and its answer was forwarded
-	Disconnected int // the client left before, or Request.Close was called before (after a panic)
+	Failed       int // outcome unknown, or a server's report of a fault of the request was forwarded to the client
+	Disconnected int // settled by a client's disconnect, or by Request.Close after a panic
 
 	// Requests that were not accepted. Those with ErrDuplicateID or ErrRoutesChanged are not counted.
-	NoCapacity   int // too many in flight
-	RouteLimited int // by a limit of their route
+	NoCapacity   int // too many requests in flight
+	RouteLimited int // a limit of the route was reached
 
-	Hedges         int // attempts sent while another of the same request was in flight: hedged, or a retry beside a hedge
+	Hedges         int // attempts sent while another of the same request was in flight: hedged attempts, and retries beside a hedged attempt
 	AttemptResults [attemptResultCount]int
 
-	// Open now.
+	// Current numbers.
 	OpenRequests      int
 	ClientConnections int
 	ServerConnections int
 }
 
-// EachAttemptResult calls f for each result that occurred.
+// EachAttemptResult calls f with the count of each result that occurred at least once.
 func (c Counts) EachAttemptResult(f func(result AttemptResult, n int)) {
 	for result, n := range c.AttemptResults {
 		if n > 0 {
@@ -45,7 +46,7 @@
 	}
 }
 
-// Counts returns the counts since the last call.
+// Counts returns the counts since the previous call and resets them.
 func (d *Dispatcher) Counts() Counts {
 	d.mu.Lock()
 	defer d.unlock()
@@ -57,7 +58,7 @@
 	return c
 }
 
-// RouteCounts calls f for each route that has limits of its own, with what became of its requests since the last call.
+// RouteCounts calls f for each route with its own limits, with the counts of its requests since the previous call.
 func (d *Dispatcher) RouteCounts(f func(route string, inFlight int, c route.LimiterCounts)) {
 	d.mu.Lock()
 	defer d.unlock()
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -14,30 +14,31 @@
 )
 
 const (
-	// maxPollPause is the longest pause, before its random spread by half, between two failed calls to discovery. Package
-	// watch has the sum of times that it is part of.
+	// maxPollPause is the longest pause between two failed calls to discovery, before a random spread of one half. It is
+	// part of a time budget documented in package watch.
 	maxPollPause = 750 * time.Millisecond
-	// pollPauseDivisor relates the decision module's pause to Settings.RequestEndpointsWithin: at most one part in so many,
-	// or the module's initial pause (250 ms) if that is longer. Both are before the random spread.
+	// pollPauseDivisor relates the decision module's poll pause to Settings.RequestEndpointsWithin: the pause is at most
+	// RequestEndpointsWithin / pollPauseDivisor, or the module's initial pause (250 ms) if that is longer. Both are before
+	// the random spread.
 	pollPauseDivisor = 4
 )
 
-// Dispatcher is the state of one node. Its methods may be called from any goroutine. mu guards every field that changes
-// after New, except activeRoutes.
+// Dispatcher is the in-memory state of one node. It is safe for concurrent use. mu guards every field that changes after
+// New, except activeRoutes.
 type Dispatcher struct {
 	mu            sync.Mutex
-	engine        *engine.Engine[string] // the decision module, by server ID
+	engine        *engine.Engine[string] // the decision module, addressed by server ID
 	settings      settings.Settings
-	started       time.Time   // the origin of Now
-	timer         *time.Timer // set by the decision module
+	started       time.Time   // start of the clock of Now
+	timer         *time.Timer // fires at the time that the decision module requests
 	pollRequested chan struct{}
-	closing       []io.Closer // closed by unlock
+	closing       []io.Closer // connections that unlock closes
 
 	requests  requestTable
 	names     nameIndex
 	view      *endpoints.View
 	servers   serverTable
-	caution   cautiousMode
+	cautious   cautiousMode
 	quotas    quotaState
 	budget    descriptorBudget
 	retention IdleRetention
@@ -46,10 +47,10 @@
 	counts    Counts
 
 	routes       *route.Router
-	activeRoutes atomic.Pointer[route.Table] // the table of routes, for reading without the lock
+	activeRoutes atomic.Pointer[route.Table] // current route table, readable without the lock
 }
 
-// nameIndex holds the indices that the decision module knows names by.
+// nameIndex maps names to the indices that the decision module uses.
 type nameIndex struct {
 	trafficTypes map[string]int
 	tenants      map[string]int
@@ -57,10 +58,10 @@
 	machineKinds map[string]int
 }
 
-// Option changes how New builds a Dispatcher.
+// Option configures a Dispatcher in New.
 type Option func(*Dispatcher)
 
-// WithIdleRetention replaces the rule by which idle connections to servers are kept. A nil rule changes nothing.
+// WithIdleRetention replaces the rule for keeping idle connections to servers. A nil rule leaves the default in effect.
 func WithIdleRetention(retention IdleRetention) Option {
 	return func(d *Dispatcher) {
 		if retention != nil {
@@ -69,11 +70,12 @@
 	}
 }
 
-// New builds the state of a node and starts the decision module that newDecider makes. The caller calls Stop at the end.
+// New creates the state of a node and starts the decision module that newDecider creates. The caller must call Stop when
+// it no longer uses the Dispatcher.
 func New(s settings.Settings, seed uint32, limits Limits, newDecider engine.DeciderFactory, options ...Option) *Dispatcher {
 	if !s.MustRequestEndpoints {
-		// Over sockets a node has to ask for the endpoint list in any case. An agent that would push it answers at once, so
-		// a failed call is repeated after the decision module's shortest pause, which does not grow.
+		// Over sockets a node always polls for the endpoint list. An agent that is configured to push the list responds to a
+		// poll immediately, so a failed call is retried after the decision module's shortest pause, without backoff.
 		s.MustRequestEndpoints, s.RequestEndpointsWithin = true, 0
 	}
 	s.RequestEndpointsWithin = min(s.RequestEndpointsWithin, pollPauseDivisor*maxPollPause)
@@ -101,21 +103,21 @@
 	d.view.IgnoreRemovals = s.UnlistedUsable
 	d.mu.Lock()
 	defer d.unlock()
-	d.timer = time.AfterFunc(time.Hour, d.onTimer) // the decision module sets the real time at once
+	d.timer = time.AfterFunc(time.Hour, d.onTimer) // the decision module resets it immediately
 	d.engine = engine.New[string](d.now(), newDecider(s.Settings, seed), d.effects())
 	return d
 }
 
-// Stop ends the decision module's timer.
+// Stop stops the decision module's timer.
 func (d *Dispatcher) Stop() { d.timer.Stop() }
 
-// Now returns the time since the Dispatcher was built, by which all its times are counted.
+// Now returns the time since New, the clock of all times that the Dispatcher accepts and returns.
 func (d *Dispatcher) Now() time.Duration { return d.now() }
 
 func (d *Dispatcher) now() time.Duration { return time.Since(d.started) }
 
-// unlock releases the lock and then closes the connections collected under it, so that no socket is waited for under the
-// lock.
+// unlock releases the lock and then closes the connections collected in closing, so that no call waits for a socket with
+// the lock held.
 func (d *Dispatcher) unlock() {
 	closing := d.closing
 	d.closing = nil
@@ -125,7 +127,7 @@
 	}
 }
 
-// onTimer is called by the timer, in a goroutine of its own.
+// onTimer handles the timer's expiry. The timer calls it in a separate goroutine.
 func (d *Dispatcher) onTimer() {
 	d.mu.Lock()
 	defer d.unlock()
@@ -133,7 +135,7 @@
 	d.closeExpiredIdle()
 }
 
-// indexByName gives each name its position in the list.
+// indexByName maps each name to its position in names.
 func indexByName(names []string) map[string]int {
 	index := make(map[string]int, len(names))
 	for i, name := range names {
--- a/internal/proxy/dispatch/endpoints.go
+++ b/internal/proxy/dispatch/endpoints.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// maxLateWrite bounds for how long after a server has left an attempt that was decided on before may still be written
-	// to it.
+	// maxLateWrite limits how long after a server's removal an attempt that was decided before may still be written to it.
 	maxLateWrite = 300 * time.Millisecond
-	// lateWriteShare is the share of Settings.DrainGrace within which it must be written; the rest is for the network.
+	// lateWriteShare is the share of Settings.DrainGrace within which such an attempt must be written. The rest is reserved
+	// for network delay.
 	lateWriteShare = 0.6
 )
 
-// firstUnnamedIndex is the first index of a zone or machine kind that the settings do not name. Traffic types may be bound
-// to any lower index, named or not.
+// firstUnnamedIndex is the first index of zones and machine kinds that the settings do not name. The settings may bind
+// traffic types to any lower index, named or not.
 const firstUnnamedIndex = math.MaxInt32 + 1
 
-// serverTable holds the servers that are known, by ID.
+// serverTable contains the known servers.
 type serverTable struct {
 	byID     map[string]*server
-	withIdle map[*server]struct{} // includes every server with idle connections
-	visits   int                  // servers walked over by work that is not about one server, counted for tests
+	withIdle map[*server]struct{} // superset of the servers with idle connections
+	visits   int                  // servers visited by operations on many servers, counted for tests
 }
 
-// server is what is kept of an upstream server beside its endpoint record.
+// server is the state of an upstream server beside its endpoint record.
 type server struct {
-	announced policy.Endpoint // as it was last passed to the decision module
-	isFastCGI bool            // which protocol it speaks; else HTTP
-	idle      []idleConn      // in the order of last use
+	announced policy.Endpoint // last value passed to the decision module
+	isFastCGI bool            // the server's protocol is FastCGI, otherwise HTTP
+	idle      []idleConn      // least recently used first
 }
 
 func newServerTable() serverTable {
@@ -54,17 +54,17 @@
 	http1.Deleted:  incarnation.Gone,
 }
 
-// PollRequested returns the channel that receives whenever the decision module wants discovery to be polled.
+// PollRequested returns the channel that receives a value when the decision module requests a poll of discovery.
 func (d *Dispatcher) PollRequested() <-chan struct{} { return d.pollRequested }
 
-// DiscoveryFailed reports that a poll of discovery failed. The decision module then requests the next one.
+// DiscoveryFailed reports that a poll of discovery failed. The decision module then schedules the next poll.
 func (d *Dispatcher) DiscoveryFailed() {
 	d.mu.Lock()
 	defer d.unlock()
 	d.engine.EndpointsUpdated(d.now(), policy.Unavailable, nil, d.effects())
 }
 
-// ApplyList takes over an endpoint list, full or with changes only, from one of its sources.
+// ApplyList applies an endpoint list, full or incremental, from a source.
 func (d *Dispatcher) ApplyList(list http1.EndpointList, source endpoints.Source) {
 	announced := make([]endpoints.Endpoint, 0, len(list.Hosts))
 	for _, h := range list.Hosts {
@@ -84,7 +84,8 @@
 	d.applyEndpoints(announced, source, list.Complete)
 }
 
-// applyEndpoints merges what a source announced into the view and passes what that changes to the decision module.
+// applyEndpoints merges the endpoints that a source announced into the view and passes the resulting changes to the
+// decision module.
 func (d *Dispatcher) applyEndpoints(announced []endpoints.Endpoint, source endpoints.Source, isFullList bool) {
 	scope := policy.Incremental
 	if source == endpoints.SourceConfig || source == endpoints.SourceSnapshot {
@@ -106,7 +107,7 @@
 	d.engine.EndpointsUpdated(now, scope, changed, d.effects())
 }
 
-// policyEndpoint is an endpoint record in the decision module's terms.
+// policyEndpoint converts an endpoint record to the decision module's representation.
 func (d *Dispatcher) policyEndpoint(record endpoints.Record, now time.Duration, unixMS int64) policy.Endpoint {
 	info := policy.Endpoint{
 		Rank:              crc32.ChecksumIEEE([]byte(record.ID)),
@@ -125,7 +126,8 @@
 	return info
 }
 
-// recordServer records what the decision module gets of a server, unless the server is unknown and already gone.
+// recordServer stores the endpoint that the decision module receives for a server, unless the server is unknown and already
+// removed.
 func (d *Dispatcher) recordServer(endpoint endpoints.Endpoint, info policy.Endpoint) {
 	s := d.servers.byID[endpoint.ID]
 	if s == nil {
@@ -139,8 +141,8 @@
 	d.updateProtocol(s, endpoint)
 }
 
-// Endpoints returns all endpoint records, the source of the last announcement and its time by Now, and a count that grows
-// with every list but empty lists of changes.
+// Endpoints returns all endpoint records, the source and the time (by Now) of the last announcement, and a counter that
+// every list increments, except empty incremental ones.
 func (d *Dispatcher) Endpoints() (
 	all []endpoints.Record, source endpoints.Source, announcedAt time.Duration, listCount int,
 ) {
@@ -151,7 +153,7 @@
 	return all, source, announcedAt, listCount
 }
 
-// LastAnnouncement returns which source announced endpoints last, and how long ago.
+// LastAnnouncement returns the source and the age of the last announcement of endpoints.
 func (d *Dispatcher) LastAnnouncement() (source endpoints.Source, age time.Duration) {
 	d.mu.Lock()
 	defer d.unlock()
@@ -171,25 +173,25 @@
 	return false
 }
 
-// IsTooLateToWrite reports whether a server left so long ago that nothing may be written to it any more, whenever the
-// attempt was decided on, or is not known. It is asked right before an attempt is written: a connect or the journal may
-// have taken long. The time allowed is maxWriteDelay, which ends before Settings.DrainGrace does.
+// IsTooLateToWrite reports whether no attempt may be written to a server, because the server is unknown or was removed more
+// than maxWriteDelay ago, which is shorter than Settings.DrainGrace. The time of the decision does not matter. Callers check
+// it directly before they write an attempt, since a connect or the journal may have taken long.
 func (d *Dispatcher) IsTooLateToWrite(server string) bool {
 	d.mu.Lock()
 	defer d.unlock()
 	return d.view.HasLeft(d.now(), server, d.maxWriteDelay())
 }
 
-// maxWriteDelay is for how long after a server has left an attempt may be written to it.
+// maxWriteDelay returns how long after a server's removal an attempt may be written to it.
 func (d *Dispatcher) maxWriteDelay() time.Duration {
-	if d.settings.DrainGrace < 0 { // the settings name none
+	if d.settings.DrainGrace < 0 { // not set
 		return maxLateWrite
 	}
 	return min(maxLateWrite, time.Duration(lateWriteShare*float64(d.settings.DrainGrace)))
 }
 
-// indexOrAdd returns the index of a zone or machine kind. Names from the settings have theirs from the start; any other
-// gets the next free one when it first appears.
+// indexOrAdd returns the index of a zone or machine kind. A name that is not in the settings is assigned the next free index
+// when it first appears.
 func indexOrAdd(index map[string]int, name string) int {
 	i, ok := index[name]
 	if !ok {
--- a/internal/proxy/dispatch/observations.go
+++ b/internal/proxy/dispatch/observations.go
@@ -5,12 +5,12 @@
 	"fernvane/policy"
 )
 
-// maxQueuedObservations is how many observations wait for a reader that is slow; later ones are dropped, and neither counted
-// nor logged.
+// maxQueuedObservations is the buffer size of an observation channel. Observations beyond it are dropped without being
+// counted or logged.
 const maxQueuedObservations = 1024
 
-// Observations returns a channel that receives what attempts show about servers from now on. Each caller gets a channel
-// of its own, for as long as the Dispatcher lives: there is no way to unsubscribe. A reader that is slow, or has stopped,
+// Observations returns a channel that receives the observations about servers that attempts make from now on. Each call
+// returns a new channel, which remains subscribed for the lifetime of the Dispatcher. A reader that is slow or has stopped
 // misses observations; it never delays a request.
 func (d *Dispatcher) Observations() <-chan endpoints.Observation {
 	d.mu.Lock()
@@ -20,15 +20,15 @@
 	return c
 }
 
-// WrongServer reports that another server answers at the address of this one.
+// WrongServer reports that another server responds at the address of server.
 func (d *Dispatcher) WrongServer(server string) {
 	d.mu.Lock()
 	defer d.unlock()
 	d.publish(endpoints.Observation{Server: server, IsOtherServer: true})
 }
 
-// observe publishes what an attempt's result shows about its server. Timeouts, broken connections and attempts that did not
-// start or were canceled show nothing.
+// observe publishes the observation that an attempt's result implies about its server. Timeouts, broken connections and
+// attempts that did not start or were canceled imply none.
 func (d *Dispatcher) observe(server string, result AttemptResult) {
 	o := endpoints.Observation{Server: server}
 	switch result.Outcome() {
--- a/internal/proxy/dispatch/quotas.go
+++ b/internal/proxy/dispatch/quotas.go
@@ -7,16 +7,16 @@
 	"fernvane/policy"
 )
 
-// quotaState is about tenants' quotas. The quotas themselves, in requests per second over all nodes, are those of
-// Dispatcher.settings.
+// quotaState is the state of tenant quotas beside the quotas themselves, which Dispatcher.settings contains in requests per
+// second over all nodes.
 type quotaState struct {
-	sum        float64 // of all quotas
-	isCopied   bool    // the slices in Dispatcher.settings are the Dispatcher's own, no longer the caller's
+	sum        float64 // sum of all quotas
+	isCopied   bool    // the tenant slices in Dispatcher.settings are copies and no longer shared with the caller of New
 	planShares planShares
 }
 
-// SetQuotas changes tenants' quotas, by name, in requests per second over all nodes. An unknown name becomes a tenant.
-// Tenants that are not named keep their quota. Negative and infinite values and NaN are ignored.
+// SetQuotas sets quotas by tenant name, in requests per second over all nodes. An unknown name adds a tenant. The quotas of
+// other tenants do not change. Negative and infinite values and NaN are ignored.
 func (d *Dispatcher) SetQuotas(perSecond map[string]float64) {
 	d.mu.Lock()
 	defer d.unlock()
@@ -42,7 +42,7 @@
 	}
 }
 
-// copyQuotas keeps the settings that New was given from being changed.
+// copyQuotas copies the tenant slices before their first change, so that the caller's settings do not change.
 func (d *Dispatcher) copyQuotas() {
 	if d.quotas.isCopied {
 		return
@@ -52,7 +52,7 @@
 	d.quotas.isCopied = true
 }
 
-// addTenant makes a name a tenant, with a quota of 0, and returns its index.
+// addTenant adds a tenant with a quota of 0 and returns its index.
 func (d *Dispatcher) addTenant(name string) (tenant int) {
 	tenant = len(d.names.tenants)
 	d.names.tenants[name] = tenant
@@ -61,7 +61,7 @@
 	return tenant
 }
 
-// Quota returns a tenant's quota in requests per second over all nodes; 0 if it has none.
+// Quota returns a tenant's quota in requests per second over all nodes, or 0 if the tenant has none.
 func (d *Dispatcher) Quota(tenant string) float64 {
 	d.mu.Lock()
 	defer d.unlock()
--- a/internal/proxy/dispatch/request.go
+++ b/internal/proxy/dispatch/request.go
@@ -9,66 +9,66 @@
 	"fernvane/policy"
 )
 
-// Action is what is to be done next about a request.
+// Action is the next step of a request.
 type Action uint8
 
-// All actions but SendAttempt end the request: each request gets exactly one of them.
+// All actions except SendAttempt end the request. Each request receives exactly one of those.
 const (
 	undecided   Action = iota
 	SendAttempt        // send the request to Decision.Server
 	Respond            // send Decision.Answer to the client
-	Reject             // answer that nothing was executed and that the client may retry
-	Fail               // send Decision.Answer, or without one answer that the outcome is not known
-	Drop               // do nothing: the client has left
+	Reject             // respond that the request was not executed and that the client may retry
+	Fail               // send Decision.Answer, or if it is empty, respond that the outcome is unknown
+	Drop               // send nothing, because the client has disconnected
 )
 
-// Decision is what NextDecision returns.
+// Decision is the next step of a request with its parameters.
 type Decision struct {
 	Action Action
 
-	// Of SendAttempt.
-	Attempt   int // which of the request's attempts, from 0
+	// Set for SendAttempt.
+	Attempt   int // index of the attempt within the request, from 0
 	Server    string
 	Address   netip.AddrPort
-	IsFastCGI bool // which protocol the server speaks; else HTTP
+	IsFastCGI bool // the server's protocol is FastCGI, otherwise HTTP
 
-	// Duration is the timeout of an attempt (SendAttempt) or after how long the client may retry (Reject).
+	// Duration is the timeout of the attempt (SendAttempt), or the delay after which the client may retry (Reject).
 	Duration time.Duration
-	// Answer is what the client gets (Respond), or what a server answered to a request that it finds faulty (Fail).
+	// Answer is the response to the client (Respond), or a server's response that reports a fault of the request (Fail).
 	Answer []byte
 }
 
-// Request is a request that was accepted. One goroutine calls NextDecision and AttemptEnded in turns; ClientDisconnected
-// may be called from another, and each hedged attempt is run by a goroutine of its own.
+// Request is an accepted request. One goroutine alternates between NextDecision and AttemptEnded. ClientDisconnected may be
+// called from another goroutine, and each hedged attempt runs in a separate one.
 type Request struct {
 	dispatcher   *Dispatcher
 	id           uint64
 	clientID     string
-	trafficType  int // by the settings
+	trafficType  int // index in the settings
 	admission    route.Admission
 	startHedge   func(*Request, Decision)
-	pending      Decision      // not yet returned by NextDecision
-	ready        chan struct{} // receives when pending is set
+	pending      Decision      // next result of NextDecision
+	ready        chan struct{} // signaled when pending is set
 	attemptCount int
 	inFlight     []attempt
-	isSettled    bool // the final answer is decided on, or the client has left
+	isSettled    bool // the final response is decided, or the client has disconnected
 }
 
-// attempt is one that has not ended.
+// attempt is an attempt in flight.
 type attempt struct {
 	index      int
 	server     string
 	sentAt     time.Duration
 	isHedge    bool
-	cancel     func() // nil until its goroutine has taken it over
-	writeBegun bool   // its first byte may have been written
+	cancel     func() // nil until the goroutine of the attempt has registered it
+	writeBegun bool   // the first byte may have been written
 }
 
-// TrafficType returns the index of the request's traffic type by the settings, whatever its route makes of it.
+// TrafficType returns the index of the request's traffic type in the settings, even if its route assigns another type.
 func (r *Request) TrafficType() int { return r.trafficType }
 
-// NextDecision waits for the next decision about the request. While the attempt of a SendAttempt is in flight, cancel is
-// called, with the lock held, if the request is settled by other means.
+// NextDecision waits for the next decision about the request. If the decision is SendAttempt and the request is settled by
+// other means while the attempt is in flight, cancel is called with the lock held.
 func (r *Request) NextDecision(cancel func()) Decision {
 	for {
 		decision, ok := r.takePending(cancel)
@@ -90,14 +90,14 @@
 	case SendAttempt:
 		r.setCancel(decision.Attempt, cancel)
 	default:
-		r.endUnsent()
+		r.endUnsentAttempts()
 		r.removeIfDone()
 	}
 	return decision, true
 }
 
-// endUnsent ends attempts that were decided on and not sent, because the final answer came first.
-func (r *Request) endUnsent() {
+// endUnsentAttempts ends attempts that were decided but not sent because the request was settled first.
+func (r *Request) endUnsentAttempts() {
 	for _, a := range slices.Clone(r.inFlight) {
 		if a.cancel == nil && !a.isHedge {
 			r.endAttempt(a.index, ExpiredUnsent, nil)
@@ -113,8 +113,8 @@
 	}
 }
 
-// HedgeStarted is called by the goroutine of a hedged attempt before it sends anything. cancel is called, with the lock
-// held, as soon as the request is settled; at once if it is settled already.
+// HedgeStarted registers the cancel function of a hedged attempt. The goroutine of the attempt calls it before it sends
+// anything. cancel is called with the lock held when the request is settled, or immediately if it already is.
 func (r *Request) HedgeStarted(d Decision, cancel func()) {
 	r.dispatcher.mu.Lock()
 	defer r.dispatcher.unlock()
@@ -124,8 +124,8 @@
 	r.setCancel(d.Attempt, cancel)
 }
 
-// BeginWrite reports whether an attempt may be written now, which is not so once the request is settled. From then on the
-// attempt is not canceled when the client leaves, for what it shows about its server.
+// BeginWrite reports whether an attempt may be written, which is false once the request is settled. If it is true, a
+// disconnect of the client no longer cancels the attempt, because its result gives information about the server.
 func (r *Request) BeginWrite(attempt int) bool {
 	r.dispatcher.mu.Lock()
 	defer r.dispatcher.unlock()
@@ -137,15 +137,15 @@
 	return !r.isSettled
 }
 
-// AttemptEnded reports how an attempt ended, hedged or not, and its answer for the client, if any.
-func (r *Request) AttemptEnded(attempt int, result AttemptResult, answer []byte) {
+// AttemptEnded reports the result of an attempt, hedged or not, and its response for the client, if any.
+func (r *Request) AttemptEnded(attempt int, result AttemptResult, response []byte) {
 	r.dispatcher.mu.Lock()
 	defer r.dispatcher.unlock()
-	r.endAttempt(attempt, result, answer)
+	r.endAttempt(attempt, result, response)
 	r.removeIfDone()
 }
 
-func (r *Request) endAttempt(index int, result AttemptResult, answer []byte) {
+func (r *Request) endAttempt(index int, result AttemptResult, response []byte) {
 	i := slices.IndexFunc(r.inFlight, func(a attempt) bool { return a.index == index })
 	if i < 0 {
 		return
@@ -156,9 +156,9 @@
 	switch {
 	case r.isSettled:
 	case result == Succeeded:
-		r.settle(Decision{Action: Respond, Answer: answer})
-	case result == RequestFault: // another server would answer the same
-		r.settle(Decision{Action: Fail, Answer: answer})
+		r.settle(Decision{Action: Respond, Answer: response})
+	case result == RequestFault: // a retry at another server would have the same result
+		r.settle(Decision{Action: Fail, Answer: response})
 	}
 	now := d.now()
 	elapsed := now - ended.sentAt
@@ -172,15 +172,15 @@
 	}, d.effects())
 }
 
-// ClientDisconnected reports that the client has left. An answer that comes later is not sent. An attempt whose write has
-// begun goes on, for what it shows about its server.
+// ClientDisconnected reports that the client has disconnected. A later response is discarded. An attempt whose write has
+// begun continues, because its result gives information about the server.
 func (r *Request) ClientDisconnected() {
 	r.dispatcher.mu.Lock()
 	defer r.dispatcher.unlock()
 	r.drop()
 }
 
-// drop settles the request without an answer, unless it is settled already.
+// drop settles the request without a response, unless it is already settled.
 func (r *Request) drop() {
 	if r.isSettled {
 		return
@@ -189,15 +189,16 @@
 	r.dispatcher.engine.ClientLeft(r.dispatcher.now(), r.id, r.dispatcher.effects())
 }
 
-// IsSettled reports whether the request has its final answer, or no client any more. Nothing may be sent for it then.
+// IsSettled reports whether the final response is decided or the client has disconnected. No attempt of a settled request
+// may be sent.
 func (r *Request) IsSettled() bool {
 	r.dispatcher.mu.Lock()
 	defer r.dispatcher.unlock()
 	return r.isSettled
 }
 
-// Close removes a request whose goroutine ends before the request has, which only a panic can cause, and frees what it
-// held. It does nothing to a request that has ended.
+// Close removes a request whose goroutine terminates before the request has ended, which only a panic can cause, and
+// releases its resources. It has no effect on a request that has ended.
 func (r *Request) Close() {
 	d := r.dispatcher
 	d.mu.Lock()
@@ -208,15 +209,15 @@
 	r.drop()
 	r.pending.Action = undecided
 	for _, a := range slices.Clone(r.inFlight) {
-		if !a.isHedge { // hedged attempts are ended by their own goroutines
+		if !a.isHedge { // the goroutine of a hedged attempt ends it
 			r.endAttempt(a.index, Abandoned, nil)
 		}
 	}
 	r.removeIfDone()
 }
 
-// settle decides on the one final answer. Attempts in flight are canceled, except that those whose write has begun go on
-// after the client has left.
+// settle sets the final decision about the request and cancels its attempts in flight. After Drop, attempts whose write has
+// begun continue.
 func (r *Request) settle(decision Decision) {
 	d := r.dispatcher
 	r.isSettled = true
@@ -242,7 +243,8 @@
 	}
 }
 
-// removeIfDone removes a request that is settled, has no attempt in flight and whose final decision has been returned.
+// removeIfDone removes a request that is settled and has no attempt in flight, once NextDecision has returned its final
+// decision.
 func (r *Request) removeIfDone() {
 	if r.isSettled && len(r.inFlight) == 0 && r.pending.Action == undecided {
 		delete(r.dispatcher.requests.byID, r.id)
--- a/internal/proxy/dispatch/retention.go
+++ b/internal/proxy/dispatch/retention.go
@@ -1,16 +1,16 @@
 package dispatch
 
-// IdleRetention is the rule by which idle connections to servers are kept. The shipped rule is closeUnusable; the testbed
-// has one that breaks it on purpose, to show that its checks notice.
+// IdleRetention is the rule for keeping idle connections to servers. The default is closeUnusable. The testbed has a
+// deliberately broken rule, which verifies that its checks detect the violation.
 type IdleRetention interface {
-	// MayIdle reports whether a connection that becomes idle is kept, given whether its server is usable.
+	// MayIdle reports whether a connection that becomes idle is kept. isServerUsable states whether its server is usable.
 	MayIdle(isServerUsable bool) bool
-	// ClosesOnChange reports whether a server's idle connections are closed when it drains, leaves, moves to another address
-	// or changes its protocol.
+	// ClosesOnChange reports whether the idle connections to a server are closed when the server starts draining, is removed,
+	// moves to another address or changes its protocol.
 	ClosesOnChange() bool
 }
 
-// closeUnusable keeps idle connections to usable servers only.
+// closeUnusable keeps only idle connections to usable servers.
 type closeUnusable struct{}
 
 func (closeUnusable) MayIdle(isServerUsable bool) bool { return isServerUsable }
--- a/internal/proxy/dispatch/routes.go
+++ b/internal/proxy/dispatch/routes.go
@@ -7,10 +7,10 @@
 	"fernvane/policy"
 )
 
-// Routes returns the current table of routes; nil if there is none.
+// Routes returns the current route table, or nil if there is none.
 func (d *Dispatcher) Routes() *route.Table { return d.activeRoutes.Load() }
 
-// SetRoutes replaces the table of routes. Requests that were accepted before keep the limits they were accepted under.
+// SetRoutes replaces the route table. Requests that were accepted before remain under the limits that applied then.
 func (d *Dispatcher) SetRoutes(table *route.Table) {
 	d.mu.Lock()
 	defer d.unlock()
@@ -31,8 +31,8 @@
 	}
 }
 
-// refreshLabels gives every server the protocol and the labels that the routes and the cautious mode now ask for, and
-// passes changed labels to the decision module.
+// refreshLabels recomputes the protocol and the labels of every server from the routes and the cautious mode, and passes
+// changed labels to the decision module.
 func (d *Dispatcher) refreshLabels() {
 	var changed []engine.Endpoint[string]
 	for id, s := range d.servers.byID {
@@ -50,7 +50,7 @@
 	}
 }
 
-// updateProtocol sets which protocol a server speaks. Its idle connections are closed when that changes.
+// updateProtocol sets the protocol of a server from the routes, and closes the server's idle connections if it changes.
 func (d *Dispatcher) updateProtocol(s *server, endpoint endpoints.Endpoint) {
 	isFastCGI := d.routes.Table().SpeaksFastCGI(endpoint.ID, endpoint.Zone, endpoint.MachineKind)
 	if isFastCGI != s.isFastCGI {
