--- a/internal/proxy/dispatch/attemptresult.go
+++ b/internal/proxy/dispatch/attemptresult.go
@@ -17,7 +17,7 @@
 	WriteFailed                            // new connection broke before the last byte was written
 	StaleConnection                        // reused connection broke before the last byte was written; the server's state is unknown
 	NoDescriptor                           // no connection: the node has no free descriptor
-	ExpiredUnsent                          // timed out or canceled before the last byte was written, or the server was removed or the client disconnected before
+	ExpiredUnsent                          // timed out or canceled before the last byte was written, or not sent because the server or the client had left
 	ConnectionLost                         // connection broke after the last byte was written and before the response was complete
 	MalformedResponse                      // response could not be decoded
 	ResponseTimeout                        // no complete response within the attempt's timeout
--- a/internal/proxy/dispatch/budget.go
+++ b/internal/proxy/dispatch/budget.go
@@ -8,33 +8,34 @@
 )
 
 const (
-	// reservedDescriptors are for the standard streams, the listener, discovery, the poller and the like.
+	// reservedDescriptors is the number of descriptors reserved for the standard streams, the listener, discovery, the
+	// network poller and similar uses.
 	reservedDescriptors = 14
-	// minConnections is how many connections a node has whatever its limits say.
+	// minConnections is the lower bound of MaxConnections, regardless of the limits.
 	minConnections = 8
 
-	// runtimeReserveBytes is kept for the Go runtime and the decision module's tables.
+	// runtimeReserveBytes is the memory reserved for the Go runtime and the decision module's tables.
 	runtimeReserveBytes = 12 << 20
-	// connMemoryBytes is what a connection takes: its buffer of 8 KB, two stacks and the state of its requests.
+	// connMemoryBytes is the memory of one connection: a buffer of 8 KiB, two stacks and the state of its requests.
 	connMemoryBytes = 8<<10 + 24<<10
-	// connMemoryShare is the share of the remaining memory for connections, and messageMemoryShare that for large messages
-	// beyond the connections' buffers. The garbage collector needs the other half.
+	// connMemoryShare is the share of the remaining memory for connections. messageMemoryShare is the share for large
+	// messages beyond the connections' buffers. The other half is headroom for the garbage collector.
 	connMemoryShare    = 0.25
 	messageMemoryShare = 0.25
 
-	// spareDivisor and minSpare say how many connections are kept for clients whose requests are rejected at once: one in
-	// so many, and at least so many.
+	// spareDivisor and minSpare determine the connections reserved for clients whose requests are rejected immediately:
+	// 1/spareDivisor of all connections, but at least minSpare.
 	spareDivisor = 8
 	minSpare     = 2
 )
 
-// Limits are the limits of the machine that a node runs on.
+// Limits contains the resource limits of the machine that a node runs on.
 type Limits struct {
-	MemoryMB int
-	Sockets  int // file descriptors
+	MemoryMB int // in MiB
+	Sockets  int // number of file descriptors
 }
 
-// MaxConnections returns how many connections, of clients and to servers, the limits allow.
+// MaxConnections returns the total number of client and server connections that the limits allow.
 func (l Limits) MaxConnections() int {
 	byMemory := int(connMemoryShare * l.availableBytes() / connMemoryBytes)
 	return max(min(l.Sockets-reservedDescriptors, byMemory), minConnections)
@@ -44,21 +45,22 @@
 	return max(float64(l.MemoryMB<<20-runtimeReserveBytes), 0)
 }
 
-// descriptorBudget counts file descriptors and keeps the connections that can be closed to free one.
+// descriptorBudget counts file descriptors and lists the client connections that can be evicted to free one.
 //
-// Requests in flight and connections to servers are limited alike, each by half of what remains beside a few spare
-// connections. What servers may take is not given to clients. So there is a connection to a server for one attempt of
-// each request in flight (a hedged attempt needs a second, and ends as NoDescriptor if there is none), and of the clients'
-// connections some always are either idle, and can be closed, or carry a request that is rejected at once.
+// After a few spare connections are set aside, requests in flight and connections to servers are each limited to half of the
+// remaining descriptors. The descriptors reserved for servers are not available to clients. Therefore one attempt of each
+// request in flight can always have a server connection (a hedged attempt needs a second one and ends as NoDescriptor if
+// there is none), and some client connections are always either idle and evictable or have a request that is rejected
+// immediately.
 type descriptorBudget struct {
 	total            int
 	free             int
-	perSide          int // limit of requests in flight, and of connections to servers
-	freeForServers   int // of perSide, not yet taken by connections to servers
-	idleClients      list.List
-	idleAfterRequest int                   // clients' connections in idleClients that have had a request
+	perSide          int                   // limit of requests in flight, and also of connections to servers
+	freeForServers   int                   // part of perSide that connections to servers do not use
+	idleClients      list.List             // evictable client connections
+	idleAfterRequest int                   // connections in idleClients that have sent a request
 	messages         *message.BufferBudget // memory for large messages
-	changed          chan struct{}         // receives when a descriptor becomes free or a connection idle
+	changed          chan struct{}         // signaled when a descriptor becomes free or a connection becomes idle
 }
 
 func newDescriptorBudget(l Limits) descriptorBudget {
@@ -82,12 +84,12 @@
 	}
 }
 
-// MessageBudget returns the memory that all connections share for large messages.
+// MessageBudget returns the memory budget for large messages that all connections share.
 func (d *Dispatcher) MessageBudget() *message.BufferBudget { return d.budget.messages }
 
-// AcquireClientDescriptor waits until there is a descriptor to accept a client's connection with. It closes the longest
-// idle connections of clients for it. The caller gives the descriptor back by Client.Release, or, if no connection came,
-// by ReleaseClientDescriptor.
+// AcquireClientDescriptor waits for a descriptor for a new client connection. While there is none, it evicts the client
+// connections that have been idle for longest. The caller releases the descriptor with Client.Release, or with
+// ReleaseClientDescriptor if it accepts no connection.
 func (d *Dispatcher) AcquireClientDescriptor() {
 	for {
 		d.mu.Lock()
@@ -105,7 +107,7 @@
 	}
 }
 
-// ReleaseClientDescriptor gives back a descriptor that no connection came for.
+// ReleaseClientDescriptor releases a descriptor that was acquired and not used for a connection.
 func (d *Dispatcher) ReleaseClientDescriptor() {
 	d.mu.Lock()
 	defer d.unlock()
@@ -117,8 +119,8 @@
 	d.budget.notify()
 }
 
-// AcquireServerDescriptor takes a descriptor for a new connection to a server, if need be by closing the longest idle one
-// to any server. It reports whether there is one.
+// AcquireServerDescriptor acquires a descriptor for a new connection to a server and reports success. If none is free, it
+// closes the server connection that has been idle for longest.
 func (d *Dispatcher) AcquireServerDescriptor() bool {
 	d.mu.Lock()
 	defer d.unlock()
@@ -130,7 +132,7 @@
 	return true
 }
 
-// ReleaseServerDescriptor gives back the descriptor of a connection to a server that the caller has closed.
+// ReleaseServerDescriptor releases the descriptor of a server connection that the caller has closed.
 func (d *Dispatcher) ReleaseServerDescriptor() {
 	d.mu.Lock()
 	defer d.unlock()
@@ -142,8 +144,8 @@
 	d.freeClientDescriptor()
 }
 
-// EvictIdle closes one idle connection, of a client or else to a server. It is called when the system has refused a
-// descriptor that the limits allow.
+// EvictIdle closes one idle connection: a client connection if one is evictable, otherwise a server connection. It is called
+// when the operating system refuses a descriptor that the limits allow.
 func (d *Dispatcher) EvictIdle() {
 	d.mu.Lock()
 	defer d.unlock()
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -38,7 +38,7 @@
 	names     nameIndex
 	view      *endpoints.View
 	servers   serverTable
-	cautious   cautiousMode
+	cautious  cautiousMode
 	quotas    quotaState
 	budget    descriptorBudget
 	retention IdleRetention
--- a/internal/proxy/dispatch/effects.go
+++ b/internal/proxy/dispatch/effects.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// effectHandler is the Dispatcher as the decision module sees it: it carries out the module's effects, with the lock held.
-// It implements engine.EffectHandler.
+// effectHandler implements engine.EffectHandler for a Dispatcher. Its methods execute the decision module's effects with the
+// lock held.
 type effectHandler Dispatcher
 
 func (d *Dispatcher) effects() *effectHandler { return (*effectHandler)(d) }
 
-// SendAttempt sends a request to a server: the first attempt in flight by the request's own goroutine, one beside it as a
-// hedged attempt.
+// SendAttempt starts an attempt. If no other attempt of the request is in flight, the request's own goroutine sends it.
+// Otherwise it is sent as a hedged attempt.
 func (h *effectHandler) SendAttempt(request uint64, server string, timeout time.Duration) {
 	r := h.requests.byID[request]
 	if r == nil {
@@ -41,12 +41,12 @@
 	}
 }
 
-// Reject settles a request of which nothing has run.
+// Reject settles a request that no server has executed.
 func (h *effectHandler) Reject(request uint64, retryAfter time.Duration) {
 	h.settle(request, Decision{Action: Reject, Duration: retryAfter})
 }
 
-// Fail settles a request whose outcome is not known.
+// Fail settles a request whose outcome is unknown.
 func (h *effectHandler) Fail(request uint64) { h.settle(request, Decision{Action: Fail}) }
 
 func (h *effectHandler) settle(request uint64, decision Decision) {
@@ -55,10 +55,10 @@
 	}
 }
 
-// SetTimer has the decision module called after a time.
+// SetTimer schedules the next timer input of the decision module.
 func (h *effectHandler) SetTimer(after time.Duration) { h.timer.Reset(after) }
 
-// Subscribe makes PollRequested receive, on which package proxy polls discovery. It is the effect of that name.
+// Subscribe signals PollRequested, which makes package proxy poll discovery.
 func (h *effectHandler) Subscribe() {
 	select {
 	case h.pollRequested <- struct{}{}:
@@ -71,7 +71,7 @@
 	(*Dispatcher)(h).closeIdleConns(h.servers.byID[server])
 }
 
-// Forget removes a server that has gone and that no request in flight refers to.
+// Forget deletes the state of a removed server that no request in flight refers to.
 func (h *effectHandler) Forget(server string) {
 	h.CloseIdle(server)
 	delete(h.servers.byID, server)
--- a/internal/proxy/dispatch/endpoints.go
+++ b/internal/proxy/dispatch/endpoints.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// maxLateWrite limits how long after a server's removal an attempt that was decided before may still be written to it.
+	// maxLateWrite limits how long an attempt may still be written to a server that started draining or was removed after the
+	// attempt was decided.
 	maxLateWrite = 300 * time.Millisecond
 	// lateWriteShare is the share of Settings.DrainGrace within which such an attempt must be written. The rest is reserved
 	// for network delay.
@@ -173,16 +174,16 @@
 	return false
 }
 
-// IsTooLateToWrite reports whether no attempt may be written to a server, because the server is unknown or was removed more
-// than maxWriteDelay ago, which is shorter than Settings.DrainGrace. The time of the decision does not matter. Callers check
-// it directly before they write an attempt, since a connect or the journal may have taken long.
+// IsTooLateToWrite reports whether no attempt may be written to a server, because the server is unknown or has been draining
+// or removed for more than maxWriteDelay, which ends before Settings.DrainGrace. The time of the decision does not matter.
+// Callers check it directly before they write an attempt, since a connect or the journal may have taken long.
 func (d *Dispatcher) IsTooLateToWrite(server string) bool {
 	d.mu.Lock()
 	defer d.unlock()
 	return d.view.HasLeft(d.now(), server, d.maxWriteDelay())
 }
 
-// maxWriteDelay returns how long after a server's removal an attempt may be written to it.
+// maxWriteDelay returns how long an attempt may be written to a server after the server started draining or was removed.
 func (d *Dispatcher) maxWriteDelay() time.Duration {
 	if d.settings.DrainGrace < 0 { // not set
 		return maxLateWrite
--- a/internal/proxy/dispatch/idle.go
+++ b/internal/proxy/dispatch/idle.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// justUsed is for how long after a response a server may still close the connection. A connection that has been idle
-	// for longer is preferred.
-	justUsed = 5 * time.Millisecond
-	// idleTimeoutShare is the share of Settings.ConnIdle after which an idle connection is not used again, so that no
-	// request crosses the server's own closing.
+	// recentUseWindow is how long after a response a server may still close the connection. Connections that have been idle
+	// for longer are preferred.
+	recentUseWindow = 5 * time.Millisecond
+	// idleTimeoutShare is the share of Settings.ConnIdle after which an idle connection is not reused, so that no request is
+	// sent while the server closes the connection.
 	idleTimeoutShare = 0.6
 )
 
-// ServerConn is a connection to a server, in any protocol.
+// ServerConn is a connection to a server with any protocol.
 type ServerConn interface{ io.Closer }
 
-// idleConn is a connection to a server that no attempt uses. It still has its descriptor.
+// idleConn is a connection to a server that no attempt uses. Its descriptor remains acquired.
 type idleConn struct {
 	conn  ServerConn
 	since time.Duration
 }
 
-// TakeIdle returns an idle connection to a server. The one used last comes first, so that those not needed expire, but for
-// connections that were in use until just now (justUsed). It returns nil if there is none, and also if the one selected has
-// been idle for too long to be used, even if others were in use until just now.
+// TakeIdle removes and returns an idle connection to a server. It selects the most recently used connection, so that excess
+// connections expire, but prefers those outside recentUseWindow. It returns nil if there is no idle connection or if the
+// selected one has expired, even if others are within recentUseWindow.
 func (d *Dispatcher) TakeIdle(id string) ServerConn {
 	d.mu.Lock()
 	defer d.unlock()
@@ -35,7 +35,7 @@
 		return nil
 	}
 	i := len(s.idle) - 1
-	for i > 0 && d.now()-s.idle[i].since < justUsed {
+	for i > 0 && d.now()-s.idle[i].since < recentUseWindow {
 		i--
 	}
 	c := s.idle[i]
@@ -47,7 +47,8 @@
 	return c.conn
 }
 
-// PutIdle keeps a connection for later use, or closes it if its server may not be used or speaks another protocol now.
+// PutIdle stores a connection for reuse. It closes the connection if the server is unknown, if the IdleRetention rule does
+// not keep the connection, or if the server's protocol has changed.
 func (d *Dispatcher) PutIdle(id string, isFastCGI bool, conn ServerConn) {
 	d.mu.Lock()
 	defer d.unlock()
@@ -66,14 +67,14 @@
 	return d.now()-c.since > time.Duration(idleTimeoutShare*float64(d.settings.ConnIdle))
 }
 
-// closeIdleConn has a connection closed when the lock is released, and gives its descriptor back.
+// closeIdleConn releases the connection's descriptor and schedules the connection to be closed by unlock.
 func (d *Dispatcher) closeIdleConn(c idleConn) {
 	d.closing = append(d.closing, c.conn)
 	d.freeServerDescriptor()
 }
 
-// closeIdleConns closes all idle connections to a server. It does nothing for nil, a server that is not known, nor under an
-// IdleRetention that does not close on changes.
+// closeIdleConns closes all idle connections to a server. It has no effect if s is nil, which stands for an unknown server,
+// or if the IdleRetention rule does not close connections on changes.
 func (d *Dispatcher) closeIdleConns(s *server) {
 	if s == nil || !d.retention.ClosesOnChange() {
 		return
@@ -85,7 +86,7 @@
 	delete(d.servers.withIdle, s)
 }
 
-// closeExpiredIdle closes the idle connections that are too old to be used again.
+// closeExpiredIdle closes the idle connections that have expired.
 func (d *Dispatcher) closeExpiredIdle() {
 	for s := range d.servers.withIdle {
 		d.servers.visits++
@@ -101,7 +102,7 @@
 	}
 }
 
-// evictIdleServerConn closes the connection to a server that has been idle for longest, and reports whether there was one.
+// evictIdleServerConn closes the server connection that has been idle for longest, and reports whether there was one.
 func (d *Dispatcher) evictIdleServerConn() bool {
 	var oldest *server
 	for s := range d.servers.withIdle {
--- a/internal/proxy/dispatch/plan.go
+++ b/internal/proxy/dispatch/plan.go
@@ -6,9 +6,9 @@
 	"fernvane/policy"
 )
 
-// ApplyPlan passes a plan of the control plane to the decision module: the number of nodes, the share of requests to be
-// admitted, the servers' shares, and by tenant name the share of requests within the quota. A nil withinQuota leaves
-// tenants to the decision module.
+// ApplyPlan passes a plan of the control plane to the decision module: the number of nodes, the share of requests to admit,
+// the servers' shares, and by tenant name the share of requests within the quota. If withinQuota is nil, the decision module
+// determines the tenants' shares.
 func (d *Dispatcher) ApplyPlan(
 	nodes int, admittedShare float64, withinQuota map[string]float64, servers []plan.ServerShare,
 ) {
@@ -22,13 +22,13 @@
 }
 
 const (
-	// avoidPreference is policy.Assignment.Preference of a server that is to be avoided.
+	// avoidPreference is the policy.Assignment.Preference of a server to avoid.
 	avoidPreference = -1
-	// minGreatestShare keeps the division by the greatest share defined if no server has one.
+	// minGreatestShare prevents a division by zero if all servers have a share of 0.
 	minGreatestShare = 1e-9
 )
 
-// assignments are servers' shares in the decision module's terms, relative to the greatest share.
+// assignments converts servers' shares to the decision module's representation, relative to the greatest share.
 func assignments(servers []plan.ServerShare) []engine.Assignment[string] {
 	greatest := 0.0
 	for _, s := range servers {
@@ -49,15 +49,15 @@
 	return all
 }
 
-// planShares holds by tenant the share of requests within the quota that the last plan names. The decision module keeps a
-// reference to the slice, which is changed only with the lock held and before the module gets the next plan.
+// planShares stores the share of requests within the quota by tenant, from the last plan. The decision module retains a
+// reference to the slice, which changes only with the lock held, directly before the module receives the next plan.
 type planShares struct {
 	shares    []float64
-	lastNamed []int // tenants that the last plan named
+	lastNamed []int // tenants in the last plan
 }
 
-// update takes over what a plan names. All other tenants are within their quota (1), as are those without a quota. Its
-// cost grows with the tenants named, not with all.
+// update applies the tenants' shares of a plan. All other tenants, and those without a quota, have a share of 1. The cost is
+// proportional to the number of tenants in the plans, not to the number of all tenants.
 func (p *planShares) update(plan map[string]float64, tenants map[string]int, quotas []float64) []float64 {
 	for _, tenant := range p.lastNamed {
 		p.shares[tenant] = 1
--- a/internal/proxy/dispatch/report.go
+++ b/internal/proxy/dispatch/report.go
@@ -11,10 +11,10 @@
 	"fernvane/policy"
 )
 
-// maxReportedTenants is how many tenants a report names at most, the busiest ones. Planners keep as many.
+// maxReportedTenants limits the tenants in a report to those with the most requests. Planners store as many.
 const maxReportedTenants = 4096
 
-// reportCollector gathers what the next report to planners says, once EnableReports has been called.
+// reportCollector accumulates the counts of the next report to planners, once EnableReports has been called.
 type reportCollector struct {
 	isEnabled      bool
 	since          time.Duration
@@ -25,15 +25,15 @@
 	servers        map[string]*serverReport
 }
 
-// serverReport is what attempts have shown about one server. It may be empty: see recordAttempt.
+// serverReport contains the attempt counts of one server. It may be empty: see recordAttempt.
 type serverReport struct {
-	answered   []int           // by traffic type
-	latencySum []time.Duration // of those
+	succeeded  []int           // by traffic type
+	latencySum []time.Duration // by traffic type, sum over the attempts in succeeded
 	timedOut   int
 	failed     int
 }
 
-// EnableReports starts gathering for Report. It is called once, where there are planners.
+// EnableReports starts the collection for Report. It is called once, on nodes with planners.
 func (d *Dispatcher) EnableReports() {
 	d.mu.Lock()
 	defer d.unlock()
@@ -42,7 +42,7 @@
 	d.report.grow(len(d.settings.TenantNames))
 }
 
-// Report returns what has happened since the last call, for planners. Its times are those of Now.
+// Report returns the report to planners on the interval since the previous call. Its times are times of Now.
 func (d *Dispatcher) Report() plan.Report {
 	d.mu.Lock()
 	defer d.unlock()
@@ -80,7 +80,7 @@
 	return all
 }
 
-// reportTenants are the tenants that have a quota and had requests since the last report, at most maxReportedTenants.
+// reportTenants returns the tenants with a quota and with requests since the previous report, at most maxReportedTenants.
 func (d *Dispatcher) reportTenants() (all []plan.TenantReport) {
 	for tenant := range d.report.activeTenants.All() {
 		if quota := d.settings.TenantQuotas[tenant]; quota > 0 {
@@ -98,6 +98,7 @@
 	return all[:maxReportedTenants]
 }
 
+// reset starts a new interval. It visits only the tenants with requests in the previous one.
 func (c *reportCollector) reset(now time.Duration, types int) {
 	c.since, c.servers = now, map[string]*serverReport{}
 	c.arrivals, c.rejected = make([]int, types), make([]int, types)
@@ -107,7 +108,7 @@
 	}
 }
 
-// grow extends the counts to so many tenants.
+// grow extends the counts to the given number of tenants.
 func (c *reportCollector) grow(tenants int) {
 	if c.isEnabled {
 		columns.Extend(tenants, &c.tenantArrivals)
@@ -133,21 +134,21 @@
 	}
 }
 
-// recordAttempt counts an attempt's result: a success, a timeout, or as failed an error response or a server that could not
-// be reached. All other results (broken connections, refusals by a full server, faulty requests, attempts that did not
-// start or were abandoned) only make the report name the server.
+// recordAttempt counts the result of an attempt as a success, a timeout or a failure (an error response or an unreachable
+// server). All other results (broken connections, refusals by an overloaded server, faulty requests, attempts that did not
+// start or were abandoned) are not counted, but the report lists their server.
 func (c *reportCollector) recordAttempt(server string, trafficType int, result AttemptResult, elapsed time.Duration) {
 	if !c.isEnabled || trafficType >= len(c.arrivals) {
 		return
 	}
 	s := c.servers[server]
 	if s == nil {
-		s = &serverReport{answered: make([]int, len(c.arrivals)), latencySum: make([]time.Duration, len(c.arrivals))}
+		s = &serverReport{succeeded: make([]int, len(c.arrivals)), latencySum: make([]time.Duration, len(c.arrivals))}
 		c.servers[server] = s
 	}
 	switch result.Outcome() {
 	case policy.Success:
-		s.answered[trafficType]++
+		s.succeeded[trafficType]++
 		s.latencySum[trafficType] += elapsed
 	case policy.TimedOut:
 		s.timedOut++
@@ -156,11 +157,11 @@
 	}
 }
 
-// serverReports are all servers with attempts, in the order of their IDs.
+// serverReports returns all servers with ended attempts, sorted by ID.
 func (c *reportCollector) serverReports() (all []plan.ServerReport) {
 	for id, s := range c.servers {
 		report := plan.ServerReport{ID: id, TimedOut: s.timedOut, Failed: s.failed}
-		for trafficType, count := range s.answered {
+		for trafficType, count := range s.succeeded {
 			if count > 0 {
 				report.Completions = append(report.Completions, plan.Completions{
 					TypeIndex:    trafficType,
--- a/internal/proxy/dispatch/submit.go
+++ b/internal/proxy/dispatch/submit.go
@@ -8,37 +8,38 @@
 	"fernvane/policy"
 )
 
-// Reasons why Submit does not accept a request.
+// Errors of Submit.
 var (
-	// ErrNoCapacity says that the node's descriptors allow no more requests in flight.
-	ErrNoCapacity = errors.New("the limit of requests in flight is reached")
-	// ErrDuplicateID says that a request with the same ID has no answer yet. Clients get its text.
-	ErrDuplicateID = errors.New("an operation of this id is open") // clients get this text with a 409
-	// ErrRouteLimit says that a limit of the request's route is reached.
-	ErrRouteLimit = errors.New("a limit of the route is reached")
-	// ErrRoutesChanged says that the request was matched with a table of routes that has been replaced. The caller matches
-	// it again.
-	ErrRoutesChanged = errors.New("the routes have changed since the request was matched")
+	// ErrNoCapacity is returned if the node's descriptors allow no further request in flight.
+	ErrNoCapacity = errors.New("node limit of requests in flight reached")
+	// ErrDuplicateID is returned if a request with the same client ID is not settled.
+	ErrDuplicateID = errors.New("an operation of this id is open") // clients receive this text as the body of a 409 response
+	// ErrRouteLimit is returned if a limit of the request's route is reached.
+	ErrRouteLimit = errors.New("route limit reached")
+	// ErrRoutesChanged is returned if the request was matched with a route table that has since been replaced. The caller
+	// must match the request again.
+	ErrRoutesChanged = errors.New("route table replaced since request was matched")
 )
 
-// Arrival is what is known of a new request.
+// Arrival describes a new request.
 type Arrival struct {
-	ID          []byte // the client's
+	ID          []byte // assigned by the client
 	Tenant      []byte
-	Key         []byte       // what the request is about; requests with one key may share servers
-	IsRetry     bool         // the client says that it sent the request before
+	Key         []byte       // affinity key; requests with the same key may be sent to the same servers
+	IsRetry     bool         // the client marked the request as a retry
 	Routes      *route.Table // the table that the request was matched with
 	RouteIndex  int          // -1 if no route matched
-	TrafficType int          // by the settings
+	TrafficType int          // index in the settings
 	Timeout     time.Duration
-	// StartHedge starts a hedged attempt beside the first. It is called with the lock held and must return at once.
+	// StartHedge starts a hedged attempt beside the first attempt. It is called with the lock held and must not block.
 	StartHedge func(*Request, Decision)
 }
 
-// requestTable holds the requests that have no final answer yet or an attempt in flight.
+// requestTable contains the requests that are not settled, have an attempt in flight or whose final decision NextDecision has
+// not returned.
 type requestTable struct {
 	byID          map[uint64]*Request
-	openClientIDs map[string]bool // client's IDs of requests that are not settled
+	openClientIDs map[string]bool // client IDs of the requests that are not settled
 	lastID        uint64
 }
 
@@ -46,20 +47,20 @@
 	return requestTable{byID: map[uint64]*Request{}, openClientIDs: map[string]bool{}}
 }
 
-// TrafficType returns the index of the traffic type of that name.
+// TrafficType returns the index of the traffic type with the given name. ok is false if there is none.
 func (d *Dispatcher) TrafficType(name []byte) (index int, ok bool) {
 	index, ok = d.names.trafficTypes[string(name)]
 	return index, ok
 }
 
-// DefaultTimeout returns how long clients of a traffic type wait if their request does not say.
+// DefaultTimeout returns the timeout of requests of a traffic type that specify none.
 func (d *Dispatcher) DefaultTimeout(trafficType int) time.Duration {
 	return d.settings.TrafficTypes[trafficType].ClientTimeout
 }
 
-// Submit accepts a new request, or returns one of the errors above. More requests than the descriptors allow are not
-// accepted, since they could not be answered in time. A tenant that the settings do not name has no quota; all such tenants
-// have one index, the next that SetQuotas would give to a new tenant.
+// Submit accepts a new request, or returns one of the errors above. Requests beyond the descriptor budget are not accepted,
+// since they could not be completed in time. A tenant that is not in the settings has no quota. All such tenants share one
+// index, the next one that SetQuotas would assign to a new tenant.
 func (d *Dispatcher) Submit(a Arrival) (*Request, error) {
 	d.mu.Lock()
 	defer d.unlock()
@@ -113,8 +114,8 @@
 	return r
 }
 
-// abandonDisconnected cancels the attempts of requests whose clients have left, so that requests with a client get their
-// descriptors.
+// abandonDisconnected cancels the attempts of settled requests, such as those of disconnected clients, so that their
+// descriptors become available to requests with a client.
 func (d *Dispatcher) abandonDisconnected() {
 	for _, r := range d.requests.byID {
 		for _, a := range r.inFlight {
