--- a/internal/proxy/dispatch/bench_test.go
+++ b/internal/proxy/dispatch/bench_test.go
@@ -13,6 +13,7 @@
 	"fernvane/policy"
 )
 
+// newBenchDispatcher returns a Dispatcher with the settings of a large deployment.
 func newBenchDispatcher(b *testing.B) *Dispatcher {
 	d := New(settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, Settings: policy.Settings{NodeCount: 5800, MaxAttempts: 4,
 		ConnectTimeout: time.Second, SlowStartDuration: 8 * time.Second, TrafficTypes: []policy.TrafficType{{LatencyObjective: time.Minute, ClientTimeout: time.Hour,
@@ -21,15 +22,16 @@
 	return d
 }
 
+// benchHosts returns the servers with numbers in [from, to), spread over 18 zones.
 func benchHosts(from, to int) (hosts []http1.Endpoint) {
 	for i := from; i < to; i++ {
-		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)
-		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("server-", i), Address: at, Zone: fmt.Sprint("zone-", i%18), Size: 1, UpSinceMS: 1})
+		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)
+		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("server-", i), Address: address, Zone: fmt.Sprint("zone-", i%18), Size: 1, UpSinceMS: 1})
 	}
 	return hosts
 }
 
-// BenchmarkWholeList passes a full list through the view, the engine and the decision module.
+// BenchmarkWholeList measures a full list that passes through the view, the engine and the decision module.
 func BenchmarkWholeList(b *testing.B) {
 	for _, servers := range []int{200, 2_000, 20_000, 200_000} {
 		hosts := benchHosts(0, servers)
@@ -41,7 +43,7 @@
 	}
 }
 
-// BenchmarkOneChange passes on that one server leaves and another comes.
+// BenchmarkOneChange measures an incremental list that removes one server and adds another.
 func BenchmarkOneChange(b *testing.B) {
 	for _, servers := range []int{200, 2_000, 20_000, 200_000} {
 		d := newBenchDispatcher(b)
--- a/internal/proxy/dispatch/budget_test.go
+++ b/internal/proxy/dispatch/budget_test.go
@@ -7,6 +7,7 @@
 	"fernvane/policy"
 )
 
+// TestMaxConnections checks the number of connections for limits of descriptors and memory.
 func TestMaxConnections(t *testing.T) {
 	for l, want := range map[Limits]int{
 		{MemoryMB: 192, Sockets: 1024}: 1010,
@@ -18,34 +19,35 @@
 	} {
 		t.Run(fmt.Sprint(l), func(t *testing.T) {
 			if got := l.MaxConnections(); got != want {
-				t.Errorf("%d", got)
+				t.Errorf("got %d connections", got)
 			}
 		})
 	}
 }
 
-// Requests in flight and connections to servers are limited, so that descriptors remain for accepting and rejecting.
+// TestBudgetIsSharedByHalves checks that requests in flight and connections to servers are limited, so that descriptors remain
+// to accept connections and reject requests.
 func TestBudgetIsSharedByHalves(t *testing.T) {
 	d := newTestDispatcher(t, policy.Idempotent, Limits{MemoryMB: 192, Sockets: reservedDescriptors + 10}, host("a", 1))
-	n := 0
+	serverConns := 0
 	for d.AcquireServerDescriptor() {
-		n++
+		serverConns++
 	}
 	var request *Request
 	for range 4 {
 		if request = submit(d); request == nil {
-			t.Fatal("not accepted")
+			t.Fatal("request within the limit not accepted")
 		}
 	}
-	if n != 4 || submit(d) != nil {
-		t.Errorf("%d connections, or one operation too many", n)
+	if serverConns != 4 || submit(d) != nil {
+		t.Errorf("got %d server connections, want 4, or a request beyond the limit was accepted", serverConns)
 	}
 	request.ClientDisconnected()
 	request.NextDecision(func() {})
 	if submit(d) == nil {
-		t.Error("not accepted after another has ended")
+		t.Error("request not accepted after another one had ended")
 	}
 	if d.ReleaseServerDescriptor(); !d.AcquireServerDescriptor() {
-		t.Error("what was given back cannot be had")
+		t.Error("released descriptor cannot be acquired")
 	}
 }
--- a/internal/proxy/dispatch/hedge_test.go
+++ b/internal/proxy/dispatch/hedge_test.go
@@ -11,9 +11,9 @@
 	"fernvane/policy"
 )
 
-// hedgingDecider sends each request to the first server, and a hedged attempt to the second when the timer fires while the
-// first is in flight.
-type hedgingDecider struct{ inFlight [][]bool } // by request and attempt
+// hedgingDecider sends each request to server 0. If the timer fires while that attempt is in flight, it sends a hedged attempt
+// to server 1.
+type hedgingDecider struct{ inFlight [][]bool } // by request and attempt index
 
 func (decider *hedgingDecider) Handle(_ time.Duration, in *policy.Input, e []policy.Effect) []policy.Effect {
 	switch in.Kind {
@@ -37,8 +37,8 @@
 	return e
 }
 
-// Two attempts of a request are in flight. In whichever order their results come, the request gets one answer, the other
-// attempt is canceled, and nothing of the request remains.
+// TestHedgedAttempts checks that a request with two attempts in flight receives one final response in any order of their
+// results, that the other attempt is canceled, and that the request is removed.
 func TestHedgedAttempts(t *testing.T) {
 	const first, hedged, disconnect = 0, 1, 2
 	type step struct {
@@ -46,15 +46,15 @@
 		result AttemptResult
 	}
 	for name, c := range map[string]struct {
-		steps    []step
-		want     Action
-		answer   string
-		canceled [2]bool // the first, the hedge
+		steps        []step
+		want         Action
+		wantResponse string
+		wantCanceled [2]bool // first attempt, hedged attempt
 	}{
 		"hedge succeeds":                             {[]step{{hedged, Succeeded}, {first, Abandoned}}, Respond, "hedge", [2]bool{true, false}},
 		"first succeeds":                             {[]step{{first, Succeeded}, {hedged, Abandoned}}, Respond, "first", [2]bool{false, true}},
-		"both succeed, hedge before":                 {[]step{{hedged, Succeeded}, {first, Succeeded}}, Respond, "hedge", [2]bool{true, false}},
-		"both succeed, first before":                 {[]step{{first, Succeeded}, {hedged, Succeeded}}, Respond, "first", [2]bool{false, true}},
+		"both succeed, hedge earlier":                {[]step{{hedged, Succeeded}, {first, Succeeded}}, Respond, "hedge", [2]bool{true, false}},
+		"both succeed, first earlier":                {[]step{{first, Succeeded}, {hedged, Succeeded}}, Respond, "first", [2]bool{false, true}},
 		"first loses its connection":                 {[]step{{first, ConnectionLost}, {hedged, Succeeded}}, Respond, "hedge", [2]bool{}},
 		"hedge loses its connection":                 {[]step{{hedged, ConnectionLost}, {first, Succeeded}}, Respond, "first", [2]bool{}},
 		"both lose their connections":                {[]step{{hedged, ConnectionLost}, {first, ConnectionLost}}, Fail, "", [2]bool{}},
@@ -76,11 +76,11 @@
 			decision := request.NextDecision(func() { canceled[first] = true })
 			d.onTimer()
 			if hedge.Action != SendAttempt || hedge.Attempt != 1 || hedge.Server != "b" {
-				t.Fatalf("the hedge: %+v", hedge)
+				t.Fatalf("got hedged attempt %+v, want attempt 1 at server b", hedge)
 			}
 			request.HedgeStarted(hedge, func() { canceled[hedged] = true })
 			if !request.BeginWrite(decision.Attempt) || !request.BeginWrite(hedge.Attempt) {
-				t.Fatal("not to be written")
+				t.Fatal("BeginWrite returned false before the request was settled")
 			}
 			for _, s := range c.steps {
 				switch s.event {
@@ -93,18 +93,19 @@
 				}
 			}
 			last := request.NextDecision(func() {})
-			if last.Action != c.want || string(last.Answer) != c.answer || canceled != c.canceled {
-				t.Errorf("ended with %d, %q, canceled %v", last.Action, last.Answer, canceled)
+			if last.Action != c.want || string(last.Answer) != c.wantResponse || canceled != c.wantCanceled {
+				t.Errorf("got action %d, response %q and canceled attempts %v", last.Action, last.Answer, canceled)
 			}
 			n := d.Counts()
 			if n.Responded+n.Failed+n.Disconnected != 1 || n.Hedges != 1 || n.OpenRequests != 0 || len(d.requests.openClientIDs) != 0 {
-				t.Errorf("counted %+v", n)
+				t.Errorf("got counts %+v, want one settled request, one hedge and no open request", n)
 			}
 		})
 	}
 }
 
-// A hedged attempt whose goroutine starts after the final answer is canceled before it is sent.
+// TestHedgeAfterFinalAnswer checks that a hedged attempt whose goroutine starts after the final response is canceled before it
+// is sent.
 func TestHedgeAfterFinalAnswer(t *testing.T) {
 	d := New(settings.Settings{TypeNames: []string{"check"}, Settings: policy.Settings{TrafficTypes: []policy.TrafficType{{}}}}, 1,
 		Limits{MemoryMB: 64, Sockets: 64}, func(policy.Settings, uint32) engine.Decider { return &hedgingDecider{} })
@@ -117,11 +118,11 @@
 	request.AttemptEnded(decision.Attempt, Succeeded, nil)
 	canceled := false
 	if request.HedgeStarted(hedge, func() { canceled = true }); !canceled || !request.IsSettled() {
-		t.Error("it may still be sent")
+		t.Error("hedged attempt of a settled request was not canceled")
 	}
 	request.NextDecision(func() {})
 	request.AttemptEnded(hedge.Attempt, Abandoned, nil)
 	if n := d.Counts(); n.OpenRequests != 0 || n.AttemptResults[Abandoned] != 1 {
-		t.Errorf("counted %+v", n)
+		t.Errorf("got counts %+v, want no open request and one abandoned attempt", n)
 	}
 }
--- a/internal/proxy/dispatch/helpers_test.go
+++ b/internal/proxy/dispatch/helpers_test.go
@@ -16,17 +16,20 @@
 
 var limits = Limits{MemoryMB: 192, Sockets: 1024}
 
+// fullList returns a full endpoint list.
 func fullList(hosts ...http1.Endpoint) http1.EndpointList {
 	return http1.EndpointList{Complete: true, Hosts: hosts}
 }
 
+// host returns an endpoint on the loopback address.
 func host(id string, port uint16) http1.Endpoint {
 	return http1.Endpoint{ID: id, Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port), Size: 1}
 }
 
-func newTestDispatcher(t *testing.T, repeat policy.Idempotency, l Limits, hosts ...http1.Endpoint) *Dispatcher {
+// newTestDispatcher returns a Dispatcher with one traffic type of the given idempotency and a configured endpoint list.
+func newTestDispatcher(t *testing.T, idempotency policy.Idempotency, l Limits, hosts ...http1.Endpoint) *Dispatcher {
 	s := settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, Settings: policy.Settings{NodeCount: 1, MaxAttempts: 4,
-		ConnectTimeout: time.Second, TrafficTypes: []policy.TrafficType{{Idempotency: repeat, LatencyObjective: time.Minute,
+		ConnectTimeout: time.Second, TrafficTypes: []policy.TrafficType{{Idempotency: idempotency, LatencyObjective: time.Minute,
 			ClientTimeout: time.Hour, PriorityWeight: 1}}}}
 	d := New(s, 1, l, engine.NewPolicy)
 	t.Cleanup(d.Stop)
@@ -36,13 +39,14 @@
 
 var lastRequestID int
 
-// submit submits a request with an ID of its own; nil if it is not accepted.
+// submit submits a request with a unique ID. It returns nil if the request is not accepted.
 func submit(d *Dispatcher) *Request {
 	lastRequestID++
 	request, _ := d.Submit(Arrival{ID: fmt.Append(nil, lastRequestID), RouteIndex: -1, Timeout: time.Hour})
 	return request
 }
 
+// closer is a connection that sends its name on closed when it is closed.
 type closer struct {
 	net.Conn
 	name   string
--- a/internal/proxy/dispatch/idle_test.go
+++ b/internal/proxy/dispatch/idle_test.go
@@ -14,23 +14,24 @@
 	"fernvane/policy"
 )
 
+// TestIdleConnections checks which idle connections are reused and which are closed.
 func TestIdleConnections(t *testing.T) {
 	for name, c := range map[string]struct {
-		idle time.Duration // Settings.ConnIdle
-		do   func(*Dispatcher)
-		back bool
+		idle      time.Duration // Settings.ConnIdle
+		do        func(*Dispatcher)
+		wantReuse bool
 	}{
-		"used again":                    {time.Hour, func(*Dispatcher) {}, true},
+		"reused":                        {time.Hour, func(*Dispatcher) {}, true},
 		"expired":                       {0, func(*Dispatcher) {}, false},
 		"expired, and the timer fires":  {0, (*Dispatcher).onTimer, false},
 		"closed by the decision module": {time.Hour, func(d *Dispatcher) { (*effectHandler)(d).CloseIdle("a") }, false},
-		"its server drains": {time.Hour, func(d *Dispatcher) {
+		"server drains": {time.Hour, func(d *Dispatcher) {
 			d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "a", Phase: http1.Draining}}}, endpoints.SourceDiscovery)
 		}, false},
-		"its server has moved": {time.Hour, func(d *Dispatcher) {
+		"server address changes": {time.Hour, func(d *Dispatcher) {
 			d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{host("a", 7)}}, endpoints.SourceDiscovery)
 		}, false},
-		"the same list once more": {time.Hour, func(d *Dispatcher) { d.ApplyList(fullList(host("a", 1)), endpoints.SourceDiscovery) }, true},
+		"same list again": {time.Hour, func(d *Dispatcher) { d.ApplyList(fullList(host("a", 1)), endpoints.SourceDiscovery) }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newTestDispatcher(t, policy.Idempotent, limits, host("a", 1))
@@ -41,23 +42,24 @@
 			d.PutIdle("a", false, http1.NewConn(conn))
 			c.do(d)
 			got := d.TakeIdle("a")
-			if d.DiscoveryFailed(); (got != nil) != c.back || (len(conn.closed) == 0) != c.back || (d.budget.free == free) == c.back {
-				t.Errorf("taken %v, closed %d times, %d of %d descriptors free", got != nil, len(conn.closed), d.budget.free, free)
+			if d.DiscoveryFailed(); (got != nil) != c.wantReuse || (len(conn.closed) == 0) != c.wantReuse || (d.budget.free == free) == c.wantReuse {
+				t.Errorf("got connection taken %v, closed %d times, %d of %d descriptors free", got != nil, len(conn.closed), d.budget.free, free)
 			}
 		})
 	}
 }
 
-// A server may close right after its response, so a connection that has been idle for a moment is preferred.
+// TestTakeIdlePrefersSettledConnections checks that TakeIdle prefers connections outside recentUseWindow, since a server may
+// close a connection directly after its response.
 func TestTakeIdlePrefersSettledConnections(t *testing.T) {
 	for name, c := range map[string]struct {
-		ages []time.Duration // in the order of last use
+		ages []time.Duration // least recently used first
 		want string
 	}{
-		"the latest of the old":    {[]time.Duration{2 * time.Second, time.Second}, "1"},
-		"not the one just used":    {[]time.Duration{2 * time.Second, time.Second, 0}, "1"},
-		"the oldest of the young":  {[]time.Duration{time.Millisecond, 0}, "0"},
-		"one just used, but alone": {[]time.Duration{0}, "0"},
+		"latest outside the window":   {[]time.Duration{2 * time.Second, time.Second}, "1"},
+		"one inside the window":       {[]time.Duration{2 * time.Second, time.Second, 0}, "1"},
+		"all inside the window":       {[]time.Duration{time.Millisecond, 0}, "0"},
+		"only one, inside the window": {[]time.Duration{0}, "0"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newTestDispatcher(t, policy.Idempotent, limits, host("a", 1))
@@ -67,20 +69,21 @@
 				d.servers.byID["a"].idle[i].since -= age
 			}
 			if got := d.TakeIdle("a").(*http1.Conn).Conn.(*closer).name; got != c.want {
-				t.Errorf("took %s", got)
+				t.Errorf("got connection %s", got)
 			}
 		})
 	}
 }
 
-// A connection to a draining server is closed whenever it becomes idle, as the far end sees on its socket.
+// TestIdleConnectionsCloseOnDrain checks at the server's end of the socket that an idle connection to a draining server is
+// closed, and that one in use is closed when it becomes idle.
 func TestIdleConnectionsCloseOnDrain(t *testing.T) {
 	drain := func(d *Dispatcher) {
 		d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "a", Phase: http1.Draining}}}, endpoints.SourceDiscovery)
 	}
 	for name, c := range map[string]struct {
-		day    func(d *Dispatcher, c ServerConn)
-		closed bool
+		steps      func(d *Dispatcher, c ServerConn)
+		wantClosed bool
 	}{
 		"idle when it drains": {func(d *Dispatcher, c ServerConn) { d.PutIdle("a", false, c); drain(d) }, true},
 		"used until after it drains": {func(d *Dispatcher, c ServerConn) {
@@ -100,7 +103,7 @@
 			d.PutIdle("a", false, c)
 			d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "b", Phase: http1.Draining}}}, endpoints.SourceDiscovery)
 		}, false},
-		"it serves again": {func(d *Dispatcher, c ServerConn) {
+		"server becomes usable again": {func(d *Dispatcher, c ServerConn) {
 			drain(d)
 			d.ApplyList(fullList(host("a", 1), host("b", 2)), endpoints.SourceDiscovery)
 			d.PutIdle("a", false, c)
@@ -115,17 +118,17 @@
 				d.ApplyList(fullList(host("a", 1), host("b", 2)), endpoints.SourceConfig)
 				near, far := connpair.TCP(t)
 				d.AcquireServerDescriptor()
-				c.day(d, http1.NewConn(near))
+				c.steps(d, http1.NewConn(near))
 				d.onTimer()
-				if !c.closed { // a byte arrives
+				if !c.wantClosed { // a byte must arrive
 					if _, err := near.Write([]byte{'x'}); err != nil {
-						t.Fatalf("closed: %v", err)
+						t.Fatalf("write on a connection that must stay open: %v", err)
 					}
 				}
 				far.SetReadDeadline(time.Now().Add(time.Minute))
 				n, err := far.Read(make([]byte, 1))
-				if (n == 1) == c.closed || errors.Is(err, io.EOF) != c.closed { // a read that times out sees no close
-					t.Errorf("read %d bytes, %v", n, err)
+				if (n == 1) == c.wantClosed || errors.Is(err, io.EOF) != c.wantClosed { // a read that times out does not detect a close
+					t.Errorf("read at the server: got %d bytes and error %v", n, err)
 				}
 			})
 		}
--- a/internal/proxy/dispatch/placement_test.go
+++ b/internal/proxy/dispatch/placement_test.go
@@ -10,13 +10,14 @@
 	"fernvane/internal/proxy/engine"
 )
 
-// placedHost returns a host in a zone, of a machine kind.
+// placedHost returns a server in a zone, with a machine kind.
 func placedHost(id string, port uint16, zone, kind string) http1.Endpoint {
 	h := host(id, port)
 	h.Zone, h.Flavor, h.UpSinceMS = zone, kind, 1 // past slow start
 	return h
 }
 
+// decoded decodes settings.
 func decoded(t *testing.T, text string) settings.Settings {
 	t.Helper()
 	s, err := settings.Decode([]byte(text))
@@ -26,7 +27,7 @@
 	return s
 }
 
-// ports submits requests, all at the same time, and returns the ports that they are sent to.
+// ports submits n concurrent requests and returns the ports of the servers that they are sent to, sorted.
 func ports(d *Dispatcher, n int) (to []uint16) {
 	for range n {
 		request := submit(d)
@@ -42,43 +43,44 @@
 	return to
 }
 
-// Traffic types that the settings bind to zones and machine kinds, by index or by name, go to no other servers.
+// TestPlacement checks that requests of a traffic type that the settings bind to zones and machine kinds, by index or by name,
+// are sent to no other servers.
 func TestPlacement(t *testing.T) {
 	hosts := []http1.Endpoint{placedHost("a", 1, "north", "small"), placedHost("b", 2, "south", "small"), placedHost("c", 3, "south", "large"),
 		placedHost("d", 4, "west", "large")}
 	moved := placedHost("a", 1, "south", "small")
 	for name, c := range map[string]struct {
-		bound string
-		then  []http1.Endpoint // changes
-		want  []uint16
+		binding string
+		changes []http1.Endpoint // incremental list
+		want    []uint16         // ports that attempts are sent to
 	}{
-		"free":                       {`"window":0`, nil, []uint16{1, 2, 3, 4}},
-		"a zone by its index":        {`"dcsOnly":[1]`, nil, []uint16{2, 3}},
-		"a zone by its name":         {`"dcsOnly":["south"]`, nil, []uint16{2, 3}},
-		"a kind by its index":        {`"allowedOn":[1]`, nil, []uint16{3, 4}},
-		"a zone and a kind":          {`"dcsOnly":["south"],"allowedOn":["large"]`, nil, []uint16{3}},
-		"a zone that is not listed":  {`"dcsOnly":["west"]`, nil, []uint16{4}},
-		"an index beyond the list":   {`"dcsOnly":[2,3,4,5,6]`, nil, nil},
-		"a zone that no server has":  {`"dcsOnly":["east"]`, nil, nil},
-		"none":                       {`"dcsOnly":[]`, nil, nil},
-		"a server that comes up":     {`"dcsOnly":["east"]`, []http1.Endpoint{placedHost("e", 5, "east", "large")}, []uint16{5}},
-		"a server that moves in":     {`"dcsOnly":["south"]`, []http1.Endpoint{moved}, []uint16{1, 2, 3}},
-		"a server that moves out":    {`"dcsOnly":["north"]`, []http1.Endpoint{moved}, nil},
-		"a server of another kind":   {`"allowedOn":["small"]`, []http1.Endpoint{placedHost("a", 1, "north", "large")}, []uint16{2}},
-		"a kind that is not listed":  {`"allowedOn":["huge"]`, []http1.Endpoint{placedHost("f", 6, "north", "huge")}, []uint16{6}},
-		"a zone spelt in other case": {`"dcsOnly":["South"]`, nil, nil},
+		"no binding":                {`"window":0`, nil, []uint16{1, 2, 3, 4}},
+		"a zone by its index":       {`"dcsOnly":[1]`, nil, []uint16{2, 3}},
+		"a zone by its name":        {`"dcsOnly":["south"]`, nil, []uint16{2, 3}},
+		"a kind by its index":       {`"allowedOn":[1]`, nil, []uint16{3, 4}},
+		"a zone and a kind":         {`"dcsOnly":["south"],"allowedOn":["large"]`, nil, []uint16{3}},
+		"a zone that is not listed": {`"dcsOnly":["west"]`, nil, []uint16{4}},
+		"an index beyond the list":  {`"dcsOnly":[2,3,4,5,6]`, nil, nil},
+		"a zone that no server has": {`"dcsOnly":["east"]`, nil, nil},
+		"empty list of zones":       {`"dcsOnly":[]`, nil, nil},
+		"an added server":           {`"dcsOnly":["east"]`, []http1.Endpoint{placedHost("e", 5, "east", "large")}, []uint16{5}},
+		"a server that moves in":    {`"dcsOnly":["south"]`, []http1.Endpoint{moved}, []uint16{1, 2, 3}},
+		"a server that moves out":   {`"dcsOnly":["north"]`, []http1.Endpoint{moved}, nil},
+		"a server of another kind":  {`"allowedOn":["small"]`, []http1.Endpoint{placedHost("a", 1, "north", "large")}, []uint16{2}},
+		"a kind that is not listed": {`"allowedOn":["huge"]`, []http1.Endpoint{placedHost("f", 6, "north", "huge")}, []uint16{6}},
+		"a zone name in other case": {`"dcsOnly":["South"]`, nil, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := decoded(t, `{"dcs":["north","south"],"skus":["small","large"],"limits":{"mostHops":4,"connectTimeout":1000,"connIdle":1000},
-				"trafficTypes":[{"name":"check","targetTime":60000,"abandonTime":60000,"idempotency":"safe","revenue":1,`+c.bound+`}]}`)
+				"trafficTypes":[{"name":"check","targetTime":60000,"abandonTime":60000,"idempotency":"safe","revenue":1,`+c.binding+`}]}`)
 			d := New(s, 1, limits, engine.NewPolicy)
 			t.Cleanup(d.Stop)
 			d.ApplyList(fullList(hosts...), endpoints.SourceConfig)
-			if len(c.then) > 0 {
-				d.ApplyList(http1.EndpointList{Hosts: c.then}, endpoints.SourceDiscovery)
+			if len(c.changes) > 0 {
+				d.ApplyList(http1.EndpointList{Hosts: c.changes}, endpoints.SourceDiscovery)
 			}
 			if got := ports(d, 16); !slices.Equal(got, c.want) {
-				t.Errorf("sent to %v, want %v", got, c.want)
+				t.Errorf("got attempts at ports %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/internal/proxy/dispatch/quotas_test.go
+++ b/internal/proxy/dispatch/quotas_test.go
@@ -14,7 +14,7 @@
 	"fernvane/policy"
 )
 
-// quotaRecorder records the quotas and the requests' tenants that the decision module gets.
+// quotaRecorder is a Decider that records the quotas and the requests' tenants that it receives.
 type quotaRecorder struct {
 	engine.Decider
 	changed []policy.Quota
@@ -29,8 +29,8 @@
 	return m.Decider.Handle(now, in, effects)
 }
 
-// A known tenant keeps its index and a new one gets the next. Reports name all of them, and the caller's settings do not
-// change.
+// TestSetQuotas checks that a known tenant retains its index and a new one is assigned the next, that reports contain all of
+// them, and that the caller's settings do not change.
 func TestSetQuotas(t *testing.T) {
 	var module *quotaRecorder
 	s := settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, TenantNames: []string{"a", "b"},
@@ -50,35 +50,35 @@
 	}
 	d.SetQuotas(map[string]float64{"b": 3})
 	if !slices.Equal(module.changed, []policy.Quota{{Tenant: 1, PerSecond: 3}}) || s.TenantQuotas[1] != 2 {
-		t.Errorf("quotas %v, the settings are %v", module.changed, s.TenantQuotas)
+		t.Errorf("got quotas %v, caller's settings %v, want only tenant 1 with 3 per second and unchanged settings", module.changed, s.TenantQuotas)
 	}
 	module.changed = nil
 	before := submit("c")
 	d.SetQuotas(map[string]float64{"b": 5, "a": 1, "c": 7, "bad": -1, "worse": math.NaN(), "worst": math.Inf(1)})
-	want := map[int]float64{1: 5, 2: 7} // that of a has not changed
+	want := map[int]float64{1: 5, 2: 7} // the quota of a has not changed
 	got := map[int]float64{}
 	for _, c := range module.changed {
 		got[c.Tenant] = c.PerSecond
 	}
 	if !maps.Equal(got, want) || len(module.changed) != 2 {
-		t.Errorf("quotas changed to %v, want %v", module.changed, want)
+		t.Errorf("got changed quotas %v, want %v", module.changed, want)
 	}
-	if at := []int{submit("a"), submit("b"), submit("c"), submit("bad")}; before != 2 || !slices.Equal(at, []int{0, 1, 2, 3}) {
-		t.Errorf("an unknown tenant was %d; then they are %v", before, at)
+	if indices := []int{submit("a"), submit("b"), submit("c"), submit("bad")}; before != 2 || !slices.Equal(indices, []int{0, 1, 2, 3}) {
+		t.Errorf("got index %d for the unknown tenant and then indices %v, want 2 and [0 1 2 3]", before, indices)
 	}
 	d.SetQuotas(map[string]float64{"b": 5})
 	if len(module.changed) != 2 {
-		t.Error("the decision module gets a quota that has not changed")
+		t.Error("decision module received an unchanged quota")
 	}
 	reported := map[string]float64{}
 	for _, tenant := range d.Report().Tenants {
 		reported[tenant.Name] = tenant.Allowance
 	}
 	if !maps.Equal(reported, map[string]float64{"a": 1, "b": 5, "c": 7}) {
-		t.Errorf("reported %v", reported)
+		t.Errorf("got reported quotas %v", reported)
 	}
 	d.ApplyPlan(1, 0, map[string]float64{"c": 0.5}, nil)
 	if !slices.Equal(s.TenantQuotas, []float64{1, 2}) || len(s.TenantNames) != 2 {
-		t.Errorf("the settings are %v of %v", s.TenantQuotas, s.TenantNames)
+		t.Errorf("caller's settings changed: quotas %v of tenants %v", s.TenantQuotas, s.TenantNames)
 	}
 }
--- a/internal/proxy/dispatch/request_test.go
+++ b/internal/proxy/dispatch/request_test.go
@@ -6,13 +6,14 @@
 	"fernvane/policy"
 )
 
-// In whichever order events come, a request gets one final decision and no attempt after it.
+// TestOneFinalDecision checks that a request receives exactly one final decision, and no attempt after it, in any order of
+// events.
 func TestOneFinalDecision(t *testing.T) {
 	const fail, reject, disconnect, settle = 100, 101, 102, 103
 	for name, c := range map[string]struct {
-		repeat policy.Idempotency
-		steps  []int // an AttemptResult, or one of the events above
-		want   Action
+		idempotency policy.Idempotency
+		steps       []int // each an AttemptResult or one of the events above
+		want        Action
 	}{
 		"succeeded":                          {policy.NonIdempotent, []int{int(Succeeded)}, Respond},
 		"disconnected, then succeeded":       {policy.NonIdempotent, []int{disconnect, int(Succeeded)}, Drop},
@@ -30,7 +31,7 @@
 		"not started, no server left":        {policy.NonIdempotent, []int{int(ConnectRefused), int(ConnectRefused), int(ConnectRefused), int(ConnectRefused)}, Reject},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newTestDispatcher(t, c.repeat, limits, host("a", 1), host("b", 2), host("c", 3), host("d", 4))
+			d := newTestDispatcher(t, c.idempotency, limits, host("a", 1), host("b", 2), host("c", 3), host("d", 4))
 			request := submit(d)
 			canceled := false
 			decision := request.NextDecision(func() { canceled = true })
@@ -47,11 +48,11 @@
 					}
 					d.unlock()
 					if !canceled && !request.isSettled {
-						t.Error("the attempt was not canceled")
+						t.Error("attempt in flight was not canceled")
 					}
 				default:
 					if decision.Action != SendAttempt {
-						t.Fatalf("action %d in place of an attempt", decision.Action)
+						t.Fatalf("got action %d, want SendAttempt", decision.Action)
 					}
 					request.AttemptEnded(decision.Attempt, AttemptResult(s), nil)
 					if !request.isSettled && request.pending.Action == SendAttempt {
@@ -60,28 +61,30 @@
 				}
 			}
 			if decision = request.NextDecision(func() {}); decision.Action != c.want {
-				t.Errorf("ended with %d", decision.Action)
+				t.Errorf("got final action %d", decision.Action)
 			}
 			if n := d.Counts(); n.Responded+n.Rejected+n.Failed+n.Disconnected != 1 || n.OpenRequests != 0 {
-				t.Errorf("counted %+v", n)
+				t.Errorf("got counts %+v, want one settled request and no open request", n)
 			}
 			if len(request.inFlight) > 0 || request.pending.Action != undecided || len(d.requests.byID) != 0 {
-				t.Error("something remains of the request")
+				t.Error("settled request was not removed")
 			}
 		})
 	}
 }
 
-// An attempt that was decided on before the client disconnected and not yet taken over is never sent.
+// TestDisconnectBeforeFirstAttempt checks that an attempt is not sent if the client disconnects before NextDecision has
+// returned the attempt.
 func TestDisconnectBeforeFirstAttempt(t *testing.T) {
 	d := newTestDispatcher(t, policy.NonIdempotent, limits, host("a", 1))
 	request := submit(d)
 	request.ClientDisconnected()
 	if decision := request.NextDecision(func() {}); decision.Action != Drop || len(request.inFlight) > 0 {
-		t.Errorf("action %d, in flight %v", decision.Action, request.inFlight)
+		t.Errorf("got action %d and attempts in flight %v, want Drop and none", decision.Action, request.inFlight)
 	}
 }
 
+// TestCloseEndsRequest checks that Close removes a request in every state.
 func TestCloseEndsRequest(t *testing.T) {
 	for name, steps := range map[string]func(*Request){
 		"before an attempt": func(*Request) {},
@@ -99,14 +102,15 @@
 			steps(request)
 			request.Close()
 			if n := d.Counts(); n.OpenRequests != 0 || len(request.inFlight) > 0 || n.Responded+n.Disconnected != 1 {
-				t.Errorf("in flight %v, counted %+v", request.inFlight, n)
+				t.Errorf("got attempts in flight %v and counts %+v, want none in flight, one settled request and no open request", request.inFlight, n)
 			}
 		})
 	}
 }
 
-// A disconnect cancels an attempt that is not written yet, such as a connect. One that is written goes on for what it shows
-// about its server, until there is no capacity for other requests.
+// TestDisconnectCancelsUnwrittenAttempts checks that a disconnect cancels an attempt that has not been written, such as one
+// that is connecting. A written attempt continues, because its result gives information about the server, until there is no
+// capacity for other requests.
 func TestDisconnectCancelsUnwrittenAttempts(t *testing.T) {
 	for name, written := range map[string]bool{"not written": false, "written": true} {
 		t.Run(name, func(t *testing.T) {
@@ -117,7 +121,7 @@
 			for request := submit(d); request != nil; request = submit(d) {
 				decision := request.NextDecision(func() { canceled++ })
 				if written && (decision.Action != SendAttempt || !request.BeginWrite(decision.Attempt)) {
-					t.Fatalf("action %d, or not to be written", decision.Action)
+					t.Fatalf("got action %d, want SendAttempt and BeginWrite true", decision.Action)
 				}
 				requests, attempts = append(requests, request), append(attempts, decision.Attempt)
 			}
@@ -125,22 +129,22 @@
 				request.ClientDisconnected()
 			}
 			if want := map[bool]int{true: 0, false: len(requests)}[written]; canceled != want {
-				t.Errorf("%d attempts of %d canceled", canceled, len(requests))
+				t.Errorf("after the disconnects: got %d of %d attempts canceled", canceled, len(requests))
 			}
 			if submit(d) != nil || canceled < len(requests) {
-				t.Errorf("without capacity for another, %d attempts of %d are canceled", canceled, len(requests))
+				t.Errorf("without capacity for another request: got %d of %d attempts canceled, want all and no new request", canceled, len(requests))
 			}
 			for i, request := range requests {
 				if request.BeginWrite(attempts[i]) {
-					t.Error("still to be written")
+					t.Error("BeginWrite returned true after the disconnect")
 				}
 				request.AttemptEnded(attempts[i], Abandoned, nil)
 				if decision := request.NextDecision(func() {}); decision.Action != Drop {
-					t.Errorf("action %d", decision.Action)
+					t.Errorf("got action %d, want Drop", decision.Action)
 				}
 			}
 			if submit(d) == nil {
-				t.Error("there is still no capacity")
+				t.Error("request not accepted after all others had ended")
 			}
 		})
 	}
--- a/internal/proxy/dispatch/retention_test.go
+++ b/internal/proxy/dispatch/retention_test.go
@@ -11,22 +11,22 @@
 	"fernvane/policy"
 )
 
-// keepAll is a rule that keeps every connection.
+// keepAll is an IdleRetention that keeps every connection.
 type keepAll struct{}
 
 func (keepAll) MayIdle(bool) bool { return true }
 
 func (keepAll) ClosesOnChange() bool { return false }
 
-// Connections to a draining server are kept or closed by the rule that the dispatcher was built with.
+// TestIdleRetention checks that the Dispatcher's IdleRetention determines whether connections to a draining server are kept.
 func TestIdleRetention(t *testing.T) {
 	for name, c := range map[string]struct {
 		retention IdleRetention
 		isKept    bool
 	}{
-		"no rule":          {nil, false},
-		"the shipped rule": {closeUnusable{}, false},
-		"keep all":         {keepAll{}, true},
+		"no rule":      {nil, false},
+		"default rule": {closeUnusable{}, false},
+		"keep all":     {keepAll{}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, Settings: policy.Settings{NodeCount: 1, MaxAttempts: 1,
@@ -43,7 +43,7 @@
 			d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "a", Phase: http1.Draining}}}, endpoints.SourceDiscovery)
 			put("idle after")
 			if isKept := d.TakeIdle("a") != nil; isKept != c.isKept || (len(closed) == 0) != c.isKept {
-				t.Errorf("kept %v, %d closed", isKept, len(closed))
+				t.Errorf("got connection kept %v and %d connections closed", isKept, len(closed))
 			}
 		})
 	}
--- a/internal/proxy/dispatch/scale_test.go
+++ b/internal/proxy/dispatch/scale_test.go
@@ -9,7 +9,8 @@
 	"fernvane/internal/route"
 )
 
-// The timer, and routes that select the same servers as before, cost by the idle connections and not by the servers.
+// TestTimerAndRoutesWalkFewServers checks that the cost of the timer and of a route table with unchanged pools depends on the
+// number of idle connections, not on the number of servers.
 func TestTimerAndRoutesWalkFewServers(t *testing.T) {
 	const servers = 2_000
 	d := newTestDispatcher(t, 0, limits)
@@ -18,7 +19,7 @@
 		list.Hosts = append(list.Hosts, host(fmt.Sprint("server-", i), uint16(1+i)))
 	}
 	d.ApplyList(list, endpoints.SourceDiscovery)
-	ticks := func() int { // under the lock, so that the timer does not interfere
+	ticks := func() int { // with the lock held, so that the timer does not interfere
 		d.mu.Lock()
 		defer d.unlock()
 		from := d.servers.visits
@@ -28,27 +29,27 @@
 		return d.servers.visits - from
 	}
 	if got := ticks(); got != 0 {
-		t.Errorf("%d servers come to where nothing stands idle", got)
+		t.Errorf("without idle connections: got %d server visits, want 0", got)
 	}
-	set := func(site string) *route.Table {
+	table := func(site string) *route.Table {
 		return &route.Table{Pools: []route.Pool{{Name: "pool", Sites: []string{site}}}}
 	}
 	for _, c := range []struct {
-		name string
-		set  *route.Table
-		want int
-	}{{"the first", set("a"), servers}, {"as before", set("a"), 0}, {"another site", set("b"), servers}, {"none", nil, servers}, {"none again", nil, 0}} {
-		from := d.servers.visits // the timer visits none while no connection is idle
-		if d.SetRoutes(c.set); d.servers.visits-from != c.want {
-			t.Errorf("%s: %d servers come to, want %d", c.name, d.servers.visits-from, c.want)
+		name  string
+		table *route.Table
+		want  int
+	}{{"first table", table("a"), servers}, {"same table", table("a"), 0}, {"other site", table("b"), servers}, {"no table", nil, servers}, {"still no table", nil, 0}} {
+		from := d.servers.visits // without idle connections, the timer adds no visits
+		if d.SetRoutes(c.table); d.servers.visits-from != c.want {
+			t.Errorf("%s: got %d server visits, want %d", c.name, d.servers.visits-from, c.want)
 		}
 	}
 	d.PutIdle("server-7", false, http1.NewConn(&closer{closed: make(chan string, 1)}))
 	if got := ticks(); got != 10 {
-		t.Errorf("%d servers come to for one connection and ten ticks", got)
+		t.Errorf("one idle connection and ten ticks: got %d server visits, want 10", got)
 	}
 	d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "server-7", Phase: http1.Deleted}}}, endpoints.SourceDiscovery)
 	if got := ticks(); got != 0 || len(d.servers.withIdle) != 0 {
-		t.Errorf("%d servers come to when that one has gone, %d held", got, len(d.servers.withIdle))
+		t.Errorf("after the server's removal: got %d server visits and %d servers with idle connections, want 0", got, len(d.servers.withIdle))
 	}
 }
--- a/internal/proxy/engine/golden_test.go
+++ b/internal/proxy/engine/golden_test.go
@@ -16,17 +16,17 @@
 	"fernvane/policy"
 )
 
-// goldenFile holds, by seed, the hash of all effects of a random history. A change that is meant to change decisions
-// writes it anew with FERNVANE_GOLDEN=write.
+// goldenFile contains one line per seed with the hash of all effects of a random history. After an intended change of
+// decisions, the test rewrites it with FERNVANE_GOLDEN=write.
 const goldenFile = "effects.golden"
 
 const (
 	goldenSeeds     = 32
 	goldenSteps     = 12_000
-	firstSparseSeed = 24 // seeds from here on have many traffic types and tenants, of which few have traffic at a time
+	firstSparseSeed = 24 // first seed with many traffic types and tenants and traffic for only a few of them at a time
 )
 
-// TestEffectsAreAsRecorded plays long random histories and compares the hash of all effects with those on record.
+// TestEffectsAreAsRecorded runs long random histories and compares the hashes of all effects with the golden file.
 func TestEffectsAreAsRecorded(t *testing.T) {
 	path := filepath.Join("testdata", goldenFile)
 	if os.Getenv("FERNVANE_GOLDEN") == "write" {
@@ -46,12 +46,12 @@
 	lines := bufio.NewScanner(f)
 	for seed := range uint64(goldenSeeds) {
 		if !lines.Scan() {
-			t.Fatal("fewer hashes on record than seeds")
+			t.Fatal("golden file has fewer lines than seeds")
 		}
 		want := lines.Text()
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			if got := newHistory(seed).play(goldenSteps); got != want {
-				t.Errorf("effects\n%s, on record\n%s", got, want)
+				t.Errorf("got effects\n%s, want\n%s", got, want)
 			}
 		})
 	}
@@ -65,8 +65,8 @@
 	sent    time.Duration
 }
 
-// history drives an engine with random inputs and hashes the effects. It stands between the engine and the policy and is
-// the engine's effect handler. The words that its methods hash are part of the golden hashes.
+// history drives an Engine with random inputs and hashes the effects. It is both the Engine's Decider, which wraps the policy,
+// and its EffectHandler. The texts that its methods hash are part of the golden hashes.
 type history struct {
 	rand          *rand.Rand
 	settings      policy.Settings
@@ -77,14 +77,14 @@
 	requests      uint64
 	attempts      []attempt
 	attemptCounts map[uint64]int // by request
-	servers       []uint32       // listed now
+	servers       []uint32       // currently listed
 	nextID        uint32
 	effectCounts  [8]int // by effect kind
 	decider       Decider
 	rankMod       uint32
-	sparse        bool
-	routeLimits   int     // routes with a limit
-	slowdownAt    float64 // attempts in flight at which servers slow down
+	isSparse      bool
+	routeLimits   int     // number of routes with a limit
+	slowdownAt    float64 // number of attempts in flight at which servers slow down
 	faultyUntil   map[uint32]time.Duration
 }
 
@@ -131,7 +131,7 @@
 		for range 500 {
 			h.settings.TenantQuotas = append(h.settings.TenantQuotas, float64(r.IntN(12)))
 		}
-		h.sparse = true
+		h.isSparse = true
 	}
 	h.rankMod = []uint32{1 << 31, 16}[seed%2] // few ranks, so that some are equal
 	h.slowdownAt = 10 + float64(r.IntN(60))
@@ -160,7 +160,7 @@
 	return t
 }
 
-// newEndpoints returns entries of servers that were not listed before.
+// newEndpoints lists n new servers and returns their entries.
 func (h *history) newEndpoints(n int) (endpoints []Endpoint[uint32]) {
 	for range n {
 		h.nextID++
@@ -172,15 +172,15 @@
 
 func (h *history) endpoint(id uint32, condition policy.Condition) Endpoint[uint32] {
 	sum := crc32.ChecksumIEEE([]byte(fmt.Sprint(id)))
-	l := policy.Endpoint{Rank: sum % h.rankMod, Zone: int(sum>>3) % 3, Cell: int(sum>>5) % 6, Condition: condition,
+	entry := policy.Endpoint{Rank: sum % h.rankMod, Zone: int(sum>>3) % 3, Cell: int(sum>>5) % 6, Condition: condition,
 		Weight: float64(1 + sum>>7%3), Labels: uint64(sum >> 9 % 8)}
 	switch h.rand.IntN(4) {
 	case 0:
-		l.HasStartTime, l.StartedAt = true, h.now-time.Duration(h.rand.IntN(12))*time.Second
+		entry.HasStartTime, entry.StartedAt = true, h.now-time.Duration(h.rand.IntN(12))*time.Second
 	case 1:
-		l.HasStartTime, l.StartedAt = true, -time.Hour
+		entry.HasStartTime, entry.StartedAt = true, -time.Hour
 	}
-	return Endpoint[uint32]{Server: id, Info: l}
+	return Endpoint[uint32]{Server: id, Info: entry}
 }
 
 func (h *history) updateEndpoints(scope policy.UpdateScope, endpoints []Endpoint[uint32]) {
@@ -195,9 +195,9 @@
 		i := h.rand.IntN(len(h.servers))
 		id := h.servers[i]
 		h.servers = append(h.servers[:i], h.servers[i+1:]...)
-		l := h.endpoint(id, policy.Condition(1+h.rand.IntN(2)))
-		l.Info.AddressReassigned = h.rand.IntN(3) == 0
-		endpoints := []Endpoint[uint32]{l}
+		entry := h.endpoint(id, policy.Condition(1+h.rand.IntN(2)))
+		entry.Info.AddressReassigned = h.rand.IntN(3) == 0
+		endpoints := []Endpoint[uint32]{entry}
 		if h.rand.IntN(2) == 0 {
 			endpoints = append(endpoints, h.newEndpoints(1)...)
 		}
@@ -259,7 +259,7 @@
 	h.engine.TrafficTypesChanged(h.now, policy.Input{TrafficTypes: types, LearnFrom: like, RouteLimits: []int{0, 5 + h.rand.IntN(30)}}, h)
 }
 
-// endAttempt ends an attempt, by whether its server is faulty now.
+// endAttempt ends an attempt with an outcome that depends on whether its server is currently faulty.
 func (h *history) endAttempt(i int) {
 	a := h.attempts[i]
 	h.attempts[i] = h.attempts[len(h.attempts)-1]
@@ -276,7 +276,7 @@
 func (h *history) step() {
 	r := h.rand
 	h.now += time.Duration(r.IntN(int(6 * time.Millisecond)))
-	if r.IntN(400) == 0 || h.sparse && r.IntN(40) == 0 {
+	if r.IntN(400) == 0 || h.isSparse && r.IntN(40) == 0 {
 		h.now += time.Duration(r.IntN(int(2 * time.Second)))
 	}
 	if h.now >= h.timerAt {
@@ -306,9 +306,9 @@
 	}
 }
 
-// drawIndex draws one of n indices. In a sparse history it is mostly one of six, which are others after a while.
+// drawIndex returns a random index below n. In a sparse history, most draws are from six indices, which change over time.
 func (h *history) drawIndex(n int) int {
-	if !h.sparse || h.rand.IntN(100) == 0 {
+	if !h.isSparse || h.rand.IntN(100) == 0 {
 		return h.rand.IntN(n)
 	}
 	return (int(h.now/(20*time.Second))*6 + h.rand.IntN(6)) % n
