--- a/internal/proxy/dispatch/clients_test.go
+++ b/internal/proxy/dispatch/clients_test.go
@@ -10,34 +10,35 @@
 	"fernvane/policy"
 )
 
-// With all descriptors in use, one is made free by closing an idle client's connection, never a busy one.
+// TestEvictionForClients checks that with all descriptors in use, AcquireClientDescriptor evicts an idle client connection and
+// never a busy one.
 func TestEvictionForClients(t *testing.T) {
 	l := Limits{MemoryMB: 192, Sockets: reservedDescriptors + minConnections}
 	for name, c := range map[string]struct {
-		idle, servers int // idle connections of clients and to servers, of minConnections
-		evicted       string
+		idleClients, idleServers int    // number of idle connections, of minConnections
+		wantEvicted              string // empty if none
 	}{
-		"clients before servers":      {2, 3, "client 0"},
-		"never a server's connection": {0, 3, ""},
-		"nor the servers' share":      {0, 0, ""},
+		"idle client":                       {2, 3, "client 0"},
+		"no idle client, idle servers":      {0, 3, ""},
+		"no idle client, free server share": {0, 0, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newTestDispatcher(t, policy.Idempotent, l, host("a", 1))
 			closed := make(chan string, minConnections)
-			for i := range c.servers {
+			for i := range c.idleServers {
 				if !d.AcquireServerDescriptor() {
 					t.Fatal("no descriptor for a server")
 				}
 				d.PutIdle("a", false, http1.NewConn(&closer{name: fmt.Sprint("server ", i), closed: closed}))
 			}
 			var first *Client
-			for i := range minConnections - 3 { // the others are for servers
+			for i := range minConnections - 3 { // the remaining 3 are reserved for servers
 				d.AcquireClientDescriptor()
-				if p := d.AddClient(http1.NewConn(&closer{name: fmt.Sprint("client ", i), closed: closed})); i < c.idle {
-					p.ReadBlocked(false)
-					p.hasSentRequest = true
+				if client := d.AddClient(http1.NewConn(&closer{name: fmt.Sprint("client ", i), closed: closed})); i < c.idleClients {
+					client.ReadBlocked(false)
+					client.hasSentRequest = true
 					if i == 0 {
-						first = p
+						first = client
 					}
 				}
 			}
@@ -46,26 +47,27 @@
 				d.AcquireClientDescriptor()
 				close(admitted)
 			}()
-			if c.evicted == "" {
-				d.ReleaseClientDescriptor() // a busy connection ends
-			} else if got := <-closed; got != c.evicted {
-				t.Errorf("closed %s", got)
+			if c.wantEvicted == "" {
+				d.ReleaseClientDescriptor() // a busy connection ends and frees its descriptor
+			} else if got := <-closed; got != c.wantEvicted {
+				t.Errorf("got %s evicted", got)
 			}
 			if first != nil {
 				if first.ReadReady() {
-					t.Error("a closed connection may be used")
+					t.Error("ReadReady returned true for an evicted connection")
 				}
-				first.Release() // as its reader does
+				first.Release() // as the reader of the evicted connection does
 			}
 			<-admitted
 			if len(closed) != 0 {
-				t.Errorf("also closed %s", <-closed)
+				t.Errorf("more connections evicted than necessary: %s", <-closed)
 			}
 		})
 	}
 }
 
-// AcquireClientDescriptor gets a descriptor as soon as a busy client becomes idle, not only when one leaves.
+// TestDescriptorFromClientThatBecomesIdle checks that AcquireClientDescriptor evicts a busy client as soon as it becomes idle,
+// instead of waiting for a client to disconnect.
 func TestDescriptorFromClientThatBecomesIdle(t *testing.T) {
 	d := newTestDispatcher(t, policy.Idempotent, Limits{MemoryMB: 192, Sockets: 1})
 	closed := make(chan string, 1)
@@ -86,99 +88,99 @@
 	<-admitted
 }
 
-// A client that has sent a part of its first request may be evicted after a while. One that has sent a whole request
-// before may not.
+// TestEvictionWithPartialRequest checks that a client with part of its first request may be evicted after firstRequestGrace,
+// and that one with part of a later request may not.
 func TestEvictionWithPartialRequest(t *testing.T) {
 	for name, c := range map[string]struct {
-		before, old bool
-		want        bool
+		hasSentRequest, isOld bool
+		want                  bool // evicted
 	}{
-		"first request, just begun":     {false, false, false},
-		"first request, begun long ago": {false, true, true},
-		"later request, begun long ago": {true, true, false},
-		"a later one, just begun":       {true, false, false},
+		"first request, new": {false, false, false},
+		"first request, old": {false, true, true},
+		"later request, old": {true, true, false},
+		"later request, new": {true, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newTestDispatcher(t, policy.Idempotent, limits)
-			p := d.AddClient(http1.NewConn(&closer{closed: make(chan string, 1)}))
-			if p.ReadBlocked(false); c.before {
-				p.ReadReady()
-				p.RequestStarted()
-				p.RequestFinished()
-				p.ReadBlocked(false)
+			client := d.AddClient(http1.NewConn(&closer{closed: make(chan string, 1)}))
+			if client.ReadBlocked(false); c.hasSentRequest {
+				client.ReadReady()
+				client.RequestStarted()
+				client.RequestFinished()
+				client.ReadBlocked(false)
 			}
-			p.ReadReady()
-			if p.ReadBlocked(true); c.old {
-				p.idleSince -= time.Minute
+			client.ReadReady()
+			if client.ReadBlocked(true); c.isOld {
+				client.idleSince -= time.Minute
 			}
 			d.mu.Lock()
 			got := d.evictIdleClient(firstRequestGrace)
 			d.unlock()
-			if got != c.want || p.ReadReady() == c.want {
-				t.Errorf("evicted %v, may go on %v", got, !c.want)
+			if got != c.want || client.ReadReady() == c.want {
+				t.Errorf("got evicted %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A connection is not evicted after its input was read, not even before its reader has reported so: after a pause a node
-// reads hundreds of requests at once while it accepts others.
+// TestNoEvictionAfterRead checks that a connection is not evicted after its input has been read, even if its reader has not
+// handled the input yet. After a pause, a node reads hundreds of requests at the same time while it accepts others.
 func TestNoEvictionAfterRead(t *testing.T) {
-	for name, before := range map[string]bool{"a first request": false, "later request, begun long ago": true} {
+	for name, hasSentRequest := range map[string]bool{"first request": false, "later request": true} {
 		t.Run(name, func(t *testing.T) {
 			d := newTestDispatcher(t, policy.Idempotent, limits)
-			nc, client := connpair.TCP(t)
-			c := http1.NewPooled(nc, d.MessageBudget())
-			p := d.AddClient(c)
-			c.ObserveReads(p)
-			p.ReadBlocked(false) // idle for long
-			if p.hasSentRequest = before; p.ReadReady() {
-				p.idleSince -= time.Minute
+			near, far := connpair.TCP(t)
+			c := http1.NewPooled(near, d.MessageBudget())
+			client := d.AddClient(c)
+			c.ObserveReads(client)
+			client.ReadBlocked(false) // idle for a long time
+			if client.hasSentRequest = hasSentRequest; client.ReadReady() {
+				client.idleSince -= time.Minute
 			}
-			fmt.Fprint(client, "GET /a/1 HTTP/1.1\r\nHost: h\r\n\r\n")
+			fmt.Fprint(far, "GET /a/1 HTTP/1.1\r\nHost: h\r\n\r\n")
 			if err := c.AwaitMessage(); err != nil {
 				t.Fatal(err)
 			}
-			d.mu.Lock() // the reader has the input and has not handled it
+			d.mu.Lock() // the reader has read the input and has not handled it
 			got := d.evictIdleClient(firstRequestGrace)
 			d.unlock()
 			var req http1.Request
 			if err := c.ReadRequest(&req); got || err != nil {
-				t.Errorf("evicted %v: %v", got, err)
+				t.Errorf("got evicted %v, read error %v", got, err)
 			}
 		})
 	}
 }
 
-// peekCounter counts the calls of HasUnread on a connection with unread input.
-type peekCounter struct{ looks, closed int }
+// peekCounter is a connection with unread input that counts the calls of HasUnread and Close.
+type peekCounter struct{ peeks, closed int }
 
-func (a *peekCounter) Close() error { a.closed++; return nil }
+func (c *peekCounter) Close() error { c.closed++; return nil }
 
-func (a *peekCounter) HasUnread() bool { a.looks++; return true }
+func (c *peekCounter) HasUnread() bool { c.peeks++; return true }
 
-// A connection with unread input is looked at once per wait. After a pause a node has hundreds of them, and looking at all
-// for each new connection would keep it from catching up.
+// TestEvictionPeeksOncePerWait checks that a connection with unread input is peeked once per wait of its reader. After a pause,
+// a node has hundreds of such connections, and peeking all of them for each new connection would prevent it from recovering.
 func TestEvictionPeeksOncePerWait(t *testing.T) {
 	d := newTestDispatcher(t, policy.Idempotent, limits)
 	conn := &peekCounter{}
-	p := d.AddClient(conn)
+	client := d.AddClient(conn)
 	for wait := 1; wait <= 2; wait++ {
-		p.ReadBlocked(false)
-		p.idleSince -= time.Minute
+		client.ReadBlocked(false)
+		client.idleSince -= time.Minute
 		for range 3 {
 			d.EvictIdle()
 		}
-		if conn.looks != wait || conn.closed > 0 || !p.ReadReady() {
-			t.Errorf("looked at %d times in %d waits, closed %d times", conn.looks, wait, conn.closed)
+		if conn.peeks != wait || conn.closed > 0 || !client.ReadReady() {
+			t.Errorf("got %d peeks in %d waits, closed %d times, want one peek per wait and no close", conn.peeks, wait, conn.closed)
 		}
 	}
 }
 
-// A connection with concurrent requests may be evicted only while its reader waits, no request is open and no later request
-// has arrived in part, in whichever order an answer and the next request come.
+// TestEvictionWithConcurrentRequests checks that a connection with concurrent requests may be evicted only while its reader
+// waits, no request is open and no later request has arrived in part, in any order of responses and requests.
 func TestEvictionWithConcurrentRequests(t *testing.T) {
-	wait, partial, arrived, started, finished := "wait", "half", "came", "request started", "request finished"
+	wait, partial, arrived, started, finished := "reader waits", "partial request", "input arrived", "request started", "request finished"
 	for name, c := range map[string]struct {
 		steps []string
 		want  bool
@@ -189,107 +191,109 @@
 		"request started":                     {[]string{wait, arrived, started, wait}, false},
 		"request finished":                    {[]string{wait, arrived, started, wait, finished}, true},
 		"finished, and more input arrived":    {[]string{wait, arrived, started, wait, arrived, finished}, false},
-		"next request before the answer":      {[]string{wait, arrived, started, wait, arrived, started, finished, wait}, false},
+		"next request before the response":    {[]string{wait, arrived, started, wait, arrived, started, finished, wait}, false},
 		"next request before the last finish": {[]string{wait, arrived, started, wait, arrived, started, wait, finished}, false},
-		"both finished":                       {[]string{wait, arrived, started, wait, arrived, started, wait, finished, finished}, true},
+		"both requests finished":              {[]string{wait, arrived, started, wait, arrived, started, wait, finished, finished}, true},
 		"later request in part":               {[]string{wait, arrived, started, wait, finished, arrived, partial}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newTestDispatcher(t, policy.Idempotent, limits)
-			p := d.AddClient(http1.NewConn(&closer{closed: make(chan string, 1)}))
+			client := d.AddClient(http1.NewConn(&closer{closed: make(chan string, 1)}))
 			for _, step := range c.steps {
 				switch step {
 				case wait, partial:
-					p.ReadBlocked(step == partial)
+					client.ReadBlocked(step == partial)
 				case arrived:
-					p.ReadReady()
+					client.ReadReady()
 				case started:
-					p.RequestStarted()
+					client.RequestStarted()
 				case finished:
-					p.RequestFinished()
+					client.RequestFinished()
 				}
 			}
-			p.idleSince -= time.Minute
+			client.idleSince -= time.Minute
 			d.mu.Lock()
 			got := d.evictIdleClient(firstRequestGrace)
 			d.unlock()
-			if got != c.want || p.ReadReady() == c.want {
-				t.Errorf("evicted %v", got)
+			if got != c.want || client.ReadReady() == c.want {
+				t.Errorf("got evicted %v", got)
 			}
 		})
 	}
 }
 
-// As the node stops, a new client has longer for its first request than while descriptors are short.
+// TestCloseIdleClientsSparesNewOnes checks that during shutdown a new client has firstRequestGraceAtStop for its first request,
+// which is longer than firstRequestGrace.
 func TestCloseIdleClientsSparesNewOnes(t *testing.T) {
 	d := newTestDispatcher(t, policy.Idempotent, limits)
 	closed := make(chan string, 2)
-	p := d.AddClient(http1.NewConn(&closer{closed: closed}))
-	p.ReadBlocked(false)
-	p.idleSince -= 5 * firstRequestGrace
+	client := d.AddClient(http1.NewConn(&closer{closed: closed}))
+	client.ReadBlocked(false)
+	client.idleSince -= 5 * firstRequestGrace
 	if d.CloseIdleClients(); len(closed) > 0 {
-		t.Error("closed at once")
+		t.Error("new connection closed before firstRequestGraceAtStop")
 	}
-	p.idleSince -= firstRequestGraceAtStop
+	client.idleSince -= firstRequestGraceAtStop
 	if d.CloseIdleClients(); len(closed) != 1 {
-		t.Error("never closed")
+		t.Error("connection not closed after firstRequestGraceAtStop")
 	}
 }
 
-// A client that leaves while it is idle releases its descriptor once.
+// TestDescriptorReleasedOnce checks that a client that disconnects while it is idle releases its descriptor once.
 func TestDescriptorReleasedOnce(t *testing.T) {
 	d := newTestDispatcher(t, policy.Idempotent, limits)
 	d.AcquireClientDescriptor()
-	p := d.AddClient(http1.NewConn(&closer{closed: make(chan string, 1)}))
-	p.ReadBlocked(false)
-	p.hasSentRequest = true
-	p.Release()
+	client := d.AddClient(http1.NewConn(&closer{closed: make(chan string, 1)}))
+	client.ReadBlocked(false)
+	client.hasSentRequest = true
+	client.Release()
 	if d.EvictIdle(); d.budget.free != d.budget.total {
-		t.Errorf("%d free of %d", d.budget.free, d.budget.total)
+		t.Errorf("got %d free descriptors of %d, want all", d.budget.free, d.budget.total)
 	}
 }
 
-// Clients that send one request and stay do not use up the descriptors.
+// TestHasTooManyIdleClients checks that clients that send one request and stay connected do not use up the descriptors.
 func TestHasTooManyIdleClients(t *testing.T) {
 	d := newTestDispatcher(t, policy.Idempotent, Limits{MemoryMB: 192, Sockets: reservedDescriptors + minConnections})
 	var clients []*Client
 	for i := range 5 {
-		p := d.AddClient(http1.NewConn(&closer{closed: make(chan string, 1)}))
-		p.ReadBlocked(false)
-		if i > 0 { // the first has sent no request yet
-			p.ReadReady()
-			p.RequestStarted()
-			p.RequestFinished()
-			p.ReadBlocked(false)
+		client := d.AddClient(http1.NewConn(&closer{closed: make(chan string, 1)}))
+		client.ReadBlocked(false)
+		if i > 0 { // the first client has sent no request
+			client.ReadReady()
+			client.RequestStarted()
+			client.RequestFinished()
+			client.ReadBlocked(false)
 		}
-		if clients = append(clients, p); d.HasTooManyIdleClients() != (i > minConnections/idleClientDivisor) {
-			t.Errorf("crowded %v after %d", d.HasTooManyIdleClients(), i)
+		if clients = append(clients, client); d.HasTooManyIdleClients() != (i > minConnections/idleClientDivisor) {
+			t.Errorf("got HasTooManyIdleClients %v with %d connections idle after a request", d.HasTooManyIdleClients(), i)
 		}
 	}
 	clients[1].ReadReady()
 	clients[2].Release()
 	clients[3].ReadReady()
 	if d.budget.idleAfterRequest != 1 || d.HasTooManyIdleClients() {
-		t.Errorf("%d idle after a request", d.budget.idleAfterRequest)
+		t.Errorf("got %d connections idle after a request, want 1", d.budget.idleAfterRequest)
 	}
 }
 
-// Guards against a burst of new connections closing those of working clients right behind an answer, while the next request is on its way.
+// TestNoEvictionRightAfterAnswer checks that a burst of new connections does not evict active clients directly after a response,
+// while their next request is in transit.
 func TestNoEvictionRightAfterAnswer(t *testing.T) {
 	d := newTestDispatcher(t, policy.Idempotent, limits)
 	closed := make(chan string, 1)
-	p := d.AddClient(http1.NewConn(&closer{closed: closed}))
-	p.ReadBlocked(false)
-	p.ReadReady()
-	p.RequestStarted()
-	p.RequestFinished()
-	p.ReadBlocked(false)
-	p.idleSince = d.now()
+	client := d.AddClient(http1.NewConn(&closer{closed: closed}))
+	client.ReadBlocked(false)
+	client.ReadReady()
+	client.RequestStarted()
+	client.RequestFinished()
+	client.ReadBlocked(false)
+	client.idleSince = d.now()
 	if d.EvictIdle(); len(closed) > 0 {
-		t.Error("closed right after its answer")
+		t.Error("connection closed within nextRequestGrace after a response")
 	}
-	p.idleSince -= 2 * nextRequestGrace
+	client.idleSince -= 2 * nextRequestGrace
 	if d.EvictIdle(); len(closed) != 1 {
-		t.Error("never closed")
+		t.Error("connection not closed after nextRequestGrace")
 	}
 }
--- a/internal/proxy/dispatch/endpoints_test.go
+++ b/internal/proxy/dispatch/endpoints_test.go
@@ -13,22 +13,24 @@
 	"fernvane/policy"
 )
 
-// Attempts are written to servers that have left only within a part of the settings' grace, however short.
+// TestMaxWriteDelay checks that the delay for writes to servers that have left is a part of Settings.DrainGrace, and at most
+// maxLateWrite.
 func TestMaxWriteDelay(t *testing.T) {
 	for grace, want := range map[time.Duration]time.Duration{-1: maxLateWrite, 0: 0, 100 * time.Millisecond: 60 * time.Millisecond, time.Minute: maxLateWrite} {
 		d := Dispatcher{settings: settings.Settings{DrainGrace: grace}}
 		if got := d.maxWriteDelay(); got != want {
-			t.Errorf("grace %v: %v, not %v", grace, got, want)
+			t.Errorf("grace %v: got %v, want %v", grace, got, want)
 		}
 	}
 }
 
-// A server that has left gets no new attempt by any path: idle connections, queued requests, retries, hedged attempts.
+// TestNoNewAttemptsToServersThatLeft checks that a server that has left receives no new attempt through an idle connection, a
+// queued request, a retry or a hedged attempt.
 func TestNoNewAttemptsToServersThatLeft(t *testing.T) {
-	gone, drains := host("a", 1), host("a", 1)
-	gone.Phase, drains.Phase = http1.Deleted, http1.Draining
+	removed, draining := host("a", 1), host("a", 1)
+	removed.Phase, draining.Phase = http1.Deleted, http1.Draining
 	for name, l := range map[string]http1.EndpointList{
-		"gone": {Hosts: []http1.Endpoint{gone}}, "draining": {Hosts: []http1.Endpoint{drains}}, "left out of a full list": fullList(host("b", 2)),
+		"removed": {Hosts: []http1.Endpoint{removed}}, "draining": {Hosts: []http1.Endpoint{draining}}, "omitted from a full list": fullList(host("b", 2)),
 		"another server at its address": {Hosts: []http1.Endpoint{host("c", 1)}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -41,23 +43,23 @@
 			d.AcquireServerDescriptor()
 			d.PutIdle("a", false, http1.NewConn(&closer{closed: make(chan string, 1)}))
 			var waiting []*Request
-			for range 40 { // more than are sent at the same time
+			for range 40 { // more than are sent concurrently, so that some are queued
 				if request := submit(d); request != nil {
 					waiting = append(waiting, request)
 				}
 			}
 			d.ApplyList(l, endpoints.SourceDiscovery)
 			if d.TakeIdle("a") != nil {
-				t.Error("an idle connection is used")
+				t.Error("TakeIdle returned an idle connection to the server")
 			}
 			checkNotSent := func(decision Decision) {
 				if decision.Action == SendAttempt && decision.Server == "a" {
-					t.Errorf("attempt %d is sent there", decision.Attempt)
+					t.Errorf("attempt %d was sent to the server", decision.Attempt)
 				}
 			}
 			first := 0
 			for _, request := range waiting {
-				select { // decided on before the server left
+				select { // decided before the server left
 				case <-request.ready:
 					if request.pending.Server == "a" {
 						first++
@@ -70,7 +72,7 @@
 				}
 			}
 			if first == 0 {
-				t.Fatal("nothing was sent there before")
+				t.Fatal("no attempt was sent to the server before it left")
 			}
 			for _, request := range waiting { // retries, and queued requests
 				for range 4 {
@@ -91,7 +93,7 @@
 				}
 				for _, h := range request.inFlight {
 					if h.server == "a" && h.isHedge {
-						t.Error("a hedge is sent there")
+						t.Error("hedged attempt was sent to the server")
 					}
 				}
 			}
@@ -100,7 +102,7 @@
 					checkNotSent(request.pending)
 				}
 			}
-			for range 10 { // queued requests are dequeued
+			for range 10 { // dequeue queued requests
 				d.onTimer()
 			}
 			for _, request := range waiting {
@@ -110,21 +112,22 @@
 	}
 }
 
+// TestEndpointListUpdates checks which servers receive attempts after a sequence of endpoint lists.
 func TestEndpointListUpdates(t *testing.T) {
 	with := func(h http1.Endpoint, change func(*http1.Endpoint)) http1.Endpoint {
 		change(&h)
 		return h
 	}
-	// These two IDs have the same checksum.
+	// These two IDs have the same checksum, and therefore the same rank.
 	one, two := host("plumless", 1), host("buckeroo", 2)
 	for name, c := range map[string]struct {
 		lists []http1.EndpointList
-		want  []uint16 // ports that attempts go to
+		want  []uint16 // ports that attempts are sent to
 	}{
 		"both":            {[]http1.EndpointList{fullList(one, two)}, []uint16{1, 2}},
-		"one drains":      {[]http1.EndpointList{fullList(one, two), {Hosts: []http1.Endpoint{with(one, func(h *http1.Endpoint) { h.Phase = http1.Draining })}}}, []uint16{2}},
-		"one is gone":     {[]http1.EndpointList{fullList(one, two), {Hosts: []http1.Endpoint{{ID: one.ID, Phase: http1.Deleted}}}}, []uint16{2}},
-		"one is left out": {[]http1.EndpointList{fullList(one, two), fullList(two)}, []uint16{2}},
+		"one is draining": {[]http1.EndpointList{fullList(one, two), {Hosts: []http1.Endpoint{with(one, func(h *http1.Endpoint) { h.Phase = http1.Draining })}}}, []uint16{2}},
+		"one is removed":  {[]http1.EndpointList{fullList(one, two), {Hosts: []http1.Endpoint{{ID: one.ID, Phase: http1.Deleted}}}}, []uint16{2}},
+		"one is omitted":  {[]http1.EndpointList{fullList(one, two), fullList(two)}, []uint16{2}},
 		"one has moved":   {[]http1.EndpointList{fullList(one, two), {Hosts: []http1.Endpoint{with(one, func(h *http1.Endpoint) { h.Address = host("", 9).Address })}}}, []uint16{2, 9}},
 		"no changes":      {[]http1.EndpointList{fullList(one, two), {}}, []uint16{1, 2}},
 	} {
@@ -134,7 +137,7 @@
 				d.ApplyList(l, endpoints.SourceDiscovery)
 			}
 			got := map[uint16]bool{}
-			for range 4 { // at the same time, so that one server does not get all
+			for range 4 { // concurrently, so that not all are sent to one server
 				request := submit(d)
 				if decision := request.NextDecision(func() {}); decision.Action == SendAttempt {
 					got[decision.Address.Port()] = true
@@ -142,14 +145,15 @@
 			}
 			for _, p := range c.want {
 				if !got[p] || len(got) != len(c.want) {
-					t.Errorf("attempts went to %v", got)
+					t.Errorf("got attempts at ports %v", got)
 				}
 			}
 		})
 	}
 }
 
-// Nodes that know the same servers, listed in different orders, rotate over them in the same order.
+// TestNodesShareRotation checks that nodes with the same servers, listed in different orders, send requests to them in the same
+// order.
 func TestNodesShareRotation(t *testing.T) {
 	hosts := []http1.Endpoint{host("a", 1), host("b", 2), host("c", 3), host("d", 4), host("e", 5)}
 	order := func(hosts []http1.Endpoint) (ports []uint16) {
@@ -163,43 +167,45 @@
 	one := order(hosts)
 	slices.Reverse(hosts)
 	if other := order(hosts); !slices.Equal(one, other) {
-		t.Errorf("walked %v and %v", one, other)
+		t.Errorf("got port orders %v and %v, want the same", one, other)
 	}
 }
 
+// TestPollRequestedAfterFailure checks that polls are requested at the start and after a failed poll.
 func TestPollRequestedAfterFailure(t *testing.T) {
-	d := newTestDispatcher(t, policy.Idempotent, limits, host("a", 1)) // the settings do not ask for polls
+	d := newTestDispatcher(t, policy.Idempotent, limits, host("a", 1)) // with settings that do not require polls
 	<-d.PollRequested()                                                // at the start
 	d.DiscoveryFailed()
-	<-d.PollRequested() // and after a failure, when the decision module asks
+	<-d.PollRequested() // after a failure, when the decision module requests it
 }
 
-// Servers are replaced again and again, each at the address of the one before, which is announced as gone only later.
+// TestReplacedServers checks 100 replacements of a server, each by one at the same address, while the old server is announced as
+// removed only later.
 func TestReplacedServers(t *testing.T) {
 	d := newTestDispatcher(t, policy.Idempotent, limits, host("first", 1))
 	closed := make(chan string, 100)
 	for i := range 100 {
-		id, before := fmt.Sprint("next ", i), "first"
+		id, previous := fmt.Sprint("next ", i), "first"
 		if i > 0 {
-			before = fmt.Sprint("next ", i-1)
+			previous = fmt.Sprint("next ", i-1)
 		}
 		d.AcquireServerDescriptor()
-		d.PutIdle(before, false, http1.NewConn(&closer{name: before, closed: closed}))
+		d.PutIdle(previous, false, http1.NewConn(&closer{name: previous, closed: closed}))
 		d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{host(id, 1)}}, endpoints.SourceDiscovery)
-		if got := <-closed; got != before || d.TakeIdle(before) != nil {
-			t.Fatalf("closed %s, not %s", got, before)
+		if got := <-closed; got != previous || d.TakeIdle(previous) != nil {
+			t.Fatalf("got idle connection to %s closed, want %s", got, previous)
 		}
 		request := submit(d)
 		if decision := request.NextDecision(func() {}); decision.Server != id {
-			t.Fatalf("sent to %s after %s came", decision.Server, id)
+			t.Fatalf("got attempt at server %s after its replacement by %s", decision.Server, id)
 		}
 		request.AttemptEnded(0, Succeeded, nil)
 		request.NextDecision(nil)
-		gone := host(before, 1)
-		gone.Phase = http1.Deleted
-		d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{gone}}, endpoints.SourceDiscovery)
+		removed := host(previous, 1)
+		removed.Phase = http1.Deleted
+		d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{removed}}, endpoints.SourceDiscovery)
 	}
 	if len(d.servers.byID) != 1 {
-		t.Errorf("%d servers are known", len(d.servers.byID))
+		t.Errorf("got %d known servers, want 1", len(d.servers.byID))
 	}
 }
