--- a/internal/proxy/dispatch/clients_test.go
+++ b/internal/proxy/dispatch/clients_test.go
@@ -117,7 +117,7 @@
 			got := d.evictIdleClient(firstRequestGrace)
 			d.unlock()
 			if got != c.want || client.ReadReady() == c.want {
-				t.Errorf("got evicted %v, want %v", got, c.want)
+				t.Errorf("got evicted %v, want connection usable %v", got, !c.want)
 			}
 		})
 	}
--- a/internal/proxy/dispatch/idle_test.go
+++ b/internal/proxy/dispatch/idle_test.go
@@ -56,7 +56,7 @@
 		ages []time.Duration // least recently used first
 		want string
 	}{
-		"latest outside the window":   {[]time.Duration{2 * time.Second, time.Second}, "1"},
+		"all outside the window":      {[]time.Duration{2 * time.Second, time.Second}, "1"},
 		"one inside the window":       {[]time.Duration{2 * time.Second, time.Second, 0}, "1"},
 		"all inside the window":       {[]time.Duration{time.Millisecond, 0}, "0"},
 		"only one, inside the window": {[]time.Duration{0}, "0"},
