--- a/internal/proxy/announceclose_test.go
+++ b/internal/proxy/announceclose_test.go
@@ -65,7 +65,7 @@
 		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
 	}
 	s := newTestServer(t, cfg)
-	s.answerBy = time.Now().Add(time.Minute)
+	s.answerDeadline = time.Now().Add(time.Minute)
 	near, client := smallBufferConn(t)
 	done := make(chan struct{})
 	go func() {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -10,21 +10,21 @@
 	"fernvane/internal/proxy/dispatch"
 )
 
-// forwarding is what the attempts of one request have in common. Its hedged attempt has one of its own, with its own buffers.
+// forwarding is the state that the attempts of one request share. A hedged attempt has its own, with its own buffers.
 type forwarding struct {
 	request        *dispatch.Request
 	message        *message.Request
 	clientAddress  string
-	isDisconnected func() bool                 // whether the client has disconnected, without a wait; nil: not known
-	journalEntry   *journalEntry               // nil: none is kept
-	composeAnswer  func(message.Answer) []byte // for the client, in a buffer that the attempt's connection does not use
+	isDisconnected func() bool                 // whether the client has disconnected, without blocking; nil: unknown
+	journalEntry   *journalEntry               // nil: the request is not journaled
+	composeAnswer  func(message.Answer) []byte // encodes the client's answer, in a buffer that the attempt's connection does not use
 }
 
-// hasCompleteResponse reports whether an attempt ended with a whole response, whatever it says.
+// hasCompleteResponse reports whether an attempt ended with a complete response, of any status.
 func hasCompleteResponse(result dispatch.AttemptResult) bool { return result <= dispatch.ServerRefused }
 
-// attempt sends a request to one server, once, and returns how that ended and the client's answer, nil where there is none to pass on.
-// The request is never sent again here: another attempt is the policy's decision.
+// attempt sends a request to one server, once. It returns the result and the answer for the client, nil if the response is not passed on.
+// It never retries: a further attempt is a decision of the policy.
 func (s *Server) attempt(ctx context.Context, d dispatch.Decision, f *forwarding) (dispatch.AttemptResult, []byte) {
 	deadline := time.Now().Add(d.Duration)
 	conn, isReused, result := s.connect(ctx, d, deadline)
@@ -62,10 +62,10 @@
 	return result, answer
 }
 
-// prepareWrite makes the checks that come before an attempt's first byte, and has its intent journaled. It returns the attempt's number in
-// the journal, and Succeeded or why the attempt must not be written.
+// prepareWrite makes the checks before the first byte of an attempt and journals its intent. It returns the number of the attempt in the
+// journal, and Succeeded or the result of an attempt that must not be written.
 func (s *Server) prepareWrite(ctx context.Context, d dispatch.Decision, f *forwarding, deadline time.Time) (number int, result dispatch.AttemptResult) {
-	if f.journalEntry != nil && (f.request.IsSettled() || s.isTooLateToWrite(d.Server)) { // no intent for what will not be sent
+	if f.journalEntry != nil && (f.request.IsSettled() || s.isTooLateToWrite(d.Server)) { // no intent for an attempt that will not be sent
 		return 0, dispatch.ExpiredUnsent
 	}
 	number, err := f.journalEntry.recordIntent(ctx, d.Server, deadline)
@@ -79,9 +79,8 @@
 	return number, dispatch.Succeeded
 }
 
-// beginWrite is the last check before an attempt's first byte. It is false, whatever the attempt waited for, when the client has
-// disconnected or the server has left meanwhile. It looks at the client's connection itself, for the goroutine that watches it may not
-// have run yet.
+// beginWrite is the last check before the first byte of an attempt. It returns false if the client has disconnected or the server has left
+// while the attempt waited. It checks the client's connection directly, because the goroutine that watches it may not have run yet.
 func (s *Server) beginWrite(d dispatch.Decision, f *forwarding) bool {
 	if f.isDisconnected != nil && f.isDisconnected() {
 		f.request.ClientDisconnected()
@@ -89,13 +88,13 @@
 	return !s.isTooLateToWrite(d.Server) && f.request.BeginWrite(d.Attempt)
 }
 
-// DrainGuard reports whether a server has drained or been gone for too long for anything to be written to it. *dispatch.Dispatcher is one;
-// Config.DrainGuard may put another in its place.
+// DrainGuard reports whether a server has been draining or gone for so long that no attempt may be written to it any more.
+// *dispatch.Dispatcher implements it; Config.DrainGuard may replace it.
 type DrainGuard interface {
 	IsTooLateToWrite(server string) bool
 }
 
-// isTooLateToWrite reports whether a server left too long ago for anything to be written to it.
+// isTooLateToWrite reports whether a server left so long ago that no attempt may be written to it any more.
 func (s *Server) isTooLateToWrite(server string) bool {
 	if guard := s.cfg.DrainGuard; guard != nil {
 		return guard.IsTooLateToWrite(server)
@@ -103,8 +102,8 @@
 	return s.dispatcher.IsTooLateToWrite(server)
 }
 
-// exchange writes the request and reads the whole response. Only before the last byte is written is it certain that the server has not
-// begun to execute it.
+// exchange writes the request and reads the complete response. Once the last byte of the request is written, the server may have started to
+// execute it.
 func exchange(ctx context.Context, conn upstreamConn, f *forwarding, remaining time.Duration, resp *message.Response) dispatch.AttemptResult {
 	isWritten, err := conn.SendRequest(f.message, remaining, f.clientAddress)
 	if !isWritten {
@@ -126,7 +125,7 @@
 	return dispatch.ConnectionLost
 }
 
-// responseResult is what a whole response says of the attempt.
+// responseResult returns the result of an attempt that received a complete response.
 func responseResult(resp *message.Response) dispatch.AttemptResult {
 	switch {
 	case resp.Status == 200:
@@ -139,8 +138,8 @@
 	return dispatch.ErrorResponse
 }
 
-// composeResponse composes the client's answer of a response that is passed on; nil for any other. It copies the response, so that the
-// server's connection is free for another request.
+// composeResponse encodes the client's answer from a response that is passed on, and returns nil for any other result. It copies the
+// response, so that the server connection can be reused for another request.
 func composeResponse(f *forwarding, result dispatch.AttemptResult, resp *message.Response) []byte {
 	if result != dispatch.Succeeded && result != dispatch.RequestFault {
 		return nil
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -4,35 +4,34 @@
 	"fernvane/internal/protocol/message"
 )
 
-// clientConn is where a request came from and its answer goes, in the protocol that its client speaks. For FastCGI, whose requests
-// share a connection, it is one request's part of it.
+// clientConn is the client's side of one request: it identifies the client and sends the answer, in the protocol of the client. FastCGI
+// requests share a connection; each of them has its own clientConn.
 type clientConn interface {
 	DisconnectWatcher
-	// AppendAnswer appends an answer to b as the client reads it.
+	// AppendAnswer appends an answer to b, encoded in the protocol of the client.
 	AppendAnswer(b []byte, a message.Answer) []byte
-	// AnswerBuffer is an empty buffer to compose an answer in. What was read of the request may be overwritten by it.
+	// AnswerBuffer returns an empty buffer for the answer. Writing to it may overwrite the request.
 	AnswerBuffer() []byte
-	// SendAnswer writes what AppendAnswer has composed, once for a request.
+	// SendAnswer writes an answer that AppendAnswer has encoded. It is called once per request.
 	SendAnswer(answer []byte) error
-	// ClientAddress is the client's IP address.
+	// ClientAddress returns the client's IP address.
 	ClientAddress() string
 }
 
-// DisconnectWatcher reports whether the client of a request has closed or broken its connection, so that nothing is sent to a server
-// on its behalf after that. Each kind of client connection is one; Config.WrapDisconnectWatcher may put another before it.
+// DisconnectWatcher reports whether the client of a request has closed or reset its connection, so that no attempt is sent to a server
+// after that. Each kind of client connection implements it; Config.WrapDisconnectWatcher may wrap it.
 type DisconnectWatcher interface {
-	// IsDisconnected looks at the connection without waiting, from any goroutine, also while WatchDisconnect is in force. It does
-	// not see a close behind bytes that were not read yet.
+	// IsDisconnected checks the connection without blocking. It may be called from any goroutine, also while WatchDisconnect is in effect.
+	// It does not detect a close that follows unread bytes.
 	IsDisconnected() bool
-	// IsDisconnectedBehindUnread also sees a close behind bytes that were not read yet. It must not be called while WatchDisconnect is
-	// in force.
+	// IsDisconnectedBehindUnread also detects a close that follows unread bytes. It must not be called while WatchDisconnect is in effect.
 	IsDisconnectedBehindUnread() bool
-	// WatchDisconnect calls onDisconnect if the client disconnects before stop is called. When stop returns, the connection is no
-	// longer read and onDisconnect is not called any more.
+	// WatchDisconnect calls onDisconnect if the client disconnects before stop is called. After stop has returned, the connection is no
+	// longer read and onDisconnect is no longer called.
 	WatchDisconnect(onDisconnect func()) (stop func())
 }
 
-// disconnectWatcher is the watcher that the node goes by for a request.
+// disconnectWatcher returns the watcher that the node uses for a request.
 func (s *Server) disconnectWatcher(conn clientConn) DisconnectWatcher {
 	if wrap := s.cfg.WrapDisconnectWatcher; wrap != nil {
 		return wrap(conn)
@@ -40,7 +39,7 @@
 	return conn
 }
 
-// sendAnswer composes an answer and sends it.
+// sendAnswer encodes an answer and sends it.
 func sendAnswer(conn clientConn, a message.Answer) error {
 	return conn.SendAnswer(conn.AppendAnswer(conn.AnswerBuffer(), a))
 }
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -19,50 +19,50 @@
 	"fernvane/policy"
 )
 
-// Config is what a node is given at its start. Parts that are nil are off.
+// Config is the configuration of a node at its start. Optional components that are nil are disabled.
 type Config struct {
 	Name         string
-	Listen       netip.AddrPort // where clients that speak HTTP connect to
+	Listen       netip.AddrPort // for HTTP clients
 	Discovery    netip.AddrPort
 	Seed         uint32  // of the policy's random draws
-	Cores        float64 // that the node may use; 0: all
+	Cores        float64 // CPU cores that the node may use; 0: all
 	Limits       dispatch.Limits
-	SavedList    http1.EndpointList // that the configuration brings
-	SavedListErr error              // why that list cannot be used; the node starts without it
+	SavedList    http1.EndpointList // endpoint list in the configuration
+	SavedListErr error              // why SavedList is invalid; the node starts without it
 	Settings     settings.Settings
-	OperatorFile string // path of the file with routes; "": none
+	OperatorFile string // path of the operator's file with the routes; "": none
 	Routes       *route.Table
-	Planners     *planconfig.Forwarder // nil: the node decides by itself
-	Journal      *wal.Config           // of requests that must not be executed twice
-	Registry     *zookeeper.Config     // in place of discovery
-	Snapshot     *snapshot.Config      // of the endpoint list on disk
-	Peers        *peer.Config          // the other nodes of the tier
-	Distribution *client.Config        // control processes, for servers, routes and quotas
+	Planners     *planconfig.Forwarder // nil: the node decides without plans
+	Journal      *wal.Config           // for non-idempotent requests
+	Registry     *zookeeper.Config     // replaces discovery
+	Snapshot     *snapshot.Config      // for the endpoint list on disk
+	Peers        *peer.Config          // the other nodes of the cluster
+	Distribution *client.Config        // control processes that supply servers, routes and quotas
 	Shadow       *shadow.Candidate     // other settings, whose decisions are compared with the node's own
-	Filesystem   wal.FileSystem        // nil: the system's
+	Filesystem   wal.FileSystem        // nil: that of the operating system
 
-	// The project's own parts, which may be replaced to compare the node with others.
+	// Replacements for components of the node, for comparison with other implementations.
 
 	NewPolicy             engine.DeciderFactory                     // nil: package policy
 	DrainGuard            DrainGuard                                // nil: the dispatcher's
-	WrapDisconnectWatcher func(DisconnectWatcher) DisconnectWatcher // nil: clients' connections are watched as they are
-	Retention             dispatch.IdleRetention                    // which idle connections to servers are kept; nil: the dispatcher's rule
+	WrapDisconnectWatcher func(DisconnectWatcher) DisconnectWatcher // nil: the client connection is the watcher
+	Retention             dispatch.IdleRetention                    // which idle server connections stay open; nil: the dispatcher's rule
 
-	path           string              // of the file that the configuration was read from
-	getenv         func(string) string // of the start
-	fileDiscovery  string              // discovery's address as the file names it
+	path           string              // of the platform's file
+	getenv         func(string) string // environment variables at the start
+	fileDiscovery  string              // discovery address in the file, before it is overridden
 	shutdownDelays shutdownDelays
 }
 
-// shutdownDelays are added to the durations of a shutdown. The zero value adds nothing.
+// shutdownDelays extends the durations of a shutdown. Only tests set it. The zero value adds nothing.
 type shutdownDelays struct {
-	awaitArrivals func()        // returns when new connections are not waited for any more; nil: after arrivalDuration
-	extraTime     time.Duration // until the node accepts nothing more, and until all must be answered
-	extraQuiet    time.Duration // without a new connection, until listening ends
-	extraLinger   time.Duration // for a client to read its last answer
+	awaitArrivals func()        // returns when clients open no more connections; nil: waits for arrivalDuration
+	extraTime     time.Duration // until the listeners close, and until all requests must be answered
+	extraQuiet    time.Duration // without a new connection, until a listener closes
+	extraLinger   time.Duration // for a client to read its last answer before the close
 }
 
-// newDecider is the factory of what decides for the node.
+// newDecider returns the factory of the component that makes the decisions of the node.
 func (c Config) newDecider() engine.DeciderFactory {
 	switch {
 	case c.NewPolicy != nil:
--- a/internal/proxy/configfile.go
+++ b/internal/proxy/configfile.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	maxMemoryMB = 192  // and what holds where the configuration names no limit
-	maxSockets  = 1024 // descriptors, likewise
+	maxMemoryMB = 192  // also the default
+	maxSockets  = 1024 // descriptors; also the default
 )
 
-// configFile is the platform's file, as it stands in JSON.
+// configFile is the JSON form of the platform's file.
 type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -30,18 +30,18 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// configLimits are the machine's limits in the platform's file.
+// configLimits are the resource limits of the node in the platform's file.
 type configLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  float64 `json:"sockets"`
 }
 
-// readConfig reads the platform's file alone.
+// readConfig reads the platform's file and the environment variables that override it, but no further files.
 func readConfig(path string, getenv func(string) string) (Config, error) {
 	c := Config{path: path, getenv: getenv, OperatorFile: getenv("PROXY_OPERATOR")}
 	if path == "" {
-		return c, errors.New("no configuration is named")
+		return c, errors.New("no configuration file named")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return c, nil
 }
 
-// override puts what the environment says in place of what the file says.
+// override replaces values of the file by those of environment variables.
 func (f *configFile) override(getenv func(string) string) {
 	for name, field := range map[string]*string{"PROXY_NAME": &f.Name, "PROXY_LISTEN": &f.Listen, "PROXY_DISCOVERY": &f.Discovery} {
 		if v := getenv(name); v != "" {
@@ -68,7 +68,7 @@
 	}
 }
 
-// decode takes over what a file says. A saved list that cannot be read is no error: the node starts without it.
+// decode sets the fields of c from a file. An invalid saved list is not an error: the node starts without it and logs SavedListErr.
 func (c *Config) decode(f *configFile) (err error) {
 	c.Name, c.Cores, c.Seed = f.Name, f.Limits.Cores, crc32.ChecksumIEEE([]byte(f.Seed))
 	if c.Listen, err = netip.ParseAddrPort(f.Listen); err != nil {
@@ -77,9 +77,9 @@
 	if c.Discovery, err = netip.ParseAddrPort(f.Discovery); err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
-	c.Limits = dispatch.Limits{MemoryMB: limitOrMax(f.Limits.MemoryMB, maxMemoryMB), Sockets: limitOrMax(f.Limits.Sockets, min(maxSockets, openFiles()))}
+	c.Limits = dispatch.Limits{MemoryMB: limitOrMax(f.Limits.MemoryMB, maxMemoryMB), Sockets: limitOrMax(f.Limits.Sockets, min(maxSockets, openFileLimit()))}
 	if len(f.Settings) == 0 {
-		return errors.New("there are no settings")
+		return errors.New("no settings in the configuration")
 	}
 	if c.Settings, err = settings.Decode(f.Settings); err != nil {
 		return err
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// ReadSettings reads the settings alone, from a configuration or from a file that holds nothing else.
+// ReadSettings reads the settings of a configuration file, or of a file that consists of settings only.
 func ReadSettings(path string) (settings.Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -112,8 +112,8 @@
 	return s, nil
 }
 
-// openFiles is the system's own limit of descriptors, which may be lower than what the configuration names.
-func openFiles() int {
+// openFileLimit returns the operating system's limit of open descriptors, at most maxSockets. It may be lower than the configured limit.
+func openFileLimit() int {
 	var r syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &r); err != nil {
 		return maxSockets
@@ -121,9 +121,9 @@
 	return int(min(r.Cur, maxSockets))
 }
 
-func limitOrMax(limit float64, most int) int {
-	if limit <= 0 || limit > float64(most) {
-		return most
+func limitOrMax(limit float64, maximum int) int {
+	if limit <= 0 || limit > float64(maximum) {
+		return maximum
 	}
 	return int(limit)
 }
--- a/internal/proxy/countslog.go
+++ b/internal/proxy/countslog.go
@@ -13,7 +13,7 @@
 
 const countsInterval = 10 * time.Second // between two log lines with counts
 
-// logCounts logs, every countsInterval until the node ends, how requests and attempts ended since the line before.
+// logCounts logs every countsInterval, until the node stops, how requests and attempts ended since the previous line.
 func (s *Server) logCounts(ctx context.Context) error {
 	tick := time.NewTicker(countsInterval)
 	defer tick.Stop()
@@ -35,9 +35,9 @@
 	c.EachAttemptResult(func(r dispatch.AttemptResult, n int) { attempts.Int(r.String(), n) })
 	line := s.logger.Info()
 	if s.cfg.Shadow != nil {
-		seen := s.cfg.Shadow.TakeCounts()
-		differences := zerolog.Dict().Int("compared", seen.Compared).Bool("failed", seen.HasFailed)
-		seen.Each(func(d shadow.Difference, n int) { differences.Int(d.String(), n) })
+		comparison := s.cfg.Shadow.TakeCounts()
+		differences := zerolog.Dict().Int("compared", comparison.Compared).Bool("failed", comparison.HasFailed)
+		comparison.Each(func(d shadow.Difference, n int) { differences.Int(d.String(), n) })
 		line.Dict("watch", differences)
 	}
 	if s.distribution != nil {
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -10,16 +10,16 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// unconfirmedPollInterval is the pause before discovery is polled again for a list that was not applied.
+// unconfirmedPollInterval is the pause before discovery is polled again after a list that was not applied.
 const unconfirmedPollInterval = time.Second
 
-// changeDiscovery has discovery followed at another address, at once.
+// changeDiscovery immediately switches discovery to another address.
 func (s *Server) changeDiscovery(address netip.AddrPort) {
 	s.discoveryTarget.Swap(watch.NewTarget(address)).Replace()
 }
 
-// followDiscovery polls discovery from when the policy asks for it until a poll fails, again and again until the node ends. Where planners
-// or control processes bring the list, it waits until discovery is needed in their place.
+// followDiscovery polls discovery until the node stops. After a failed poll it waits until the policy requests a poll or the address of
+// discovery changes. While planners or control processes supply the list, it waits until discovery is needed as their fallback.
 func (s *Server) followDiscovery(ctx context.Context) error {
 	w := &watch.Watcher{Target: s.discoveryTarget.Load(), Revision: s.cfg.SavedList.Revision, IsPushed: !s.cfg.Settings.MustRequestEndpoints}
 	defer w.Close()
@@ -38,7 +38,7 @@
 	}
 }
 
-// pollDiscovery polls once and hands over the list. It reports whether to go on: not after a failed poll, nor at the node's end.
+// pollDiscovery polls once and applies the list. It reports whether to poll again: not after a failed poll, nor when ctx has ended.
 func (s *Server) pollDiscovery(ctx context.Context, w *watch.Watcher) bool {
 	if w.Target.Replaced.Err() != nil {
 		w.Close()
@@ -58,7 +58,7 @@
 		s.logger.Warn().Err(err).Msg("discovery failed")
 		s.dispatcher.DiscoveryFailed()
 		return false
-	case w.HasMoved && !list.Complete && list.Revision < w.Revision: // the new address counts revisions of its own
+	case w.HasMoved && !list.Complete && list.Revision < w.Revision: // revisions of the new address are counted independently
 		w.WantsFullList = true
 		return true
 	}
@@ -80,8 +80,8 @@
 	return true
 }
 
-// awaitDiscoveryNeeded waits while planners or control processes bring the list, with no connection to discovery. It is false at the
-// node's end. Only what planners have not announced is polled for.
+// awaitDiscoveryNeeded waits while planners or control processes supply the list, without a connection to discovery. It returns false when
+// ctx has ended. It advances the revision of w to the latest that planners have announced, so that only later changes are polled.
 func (s *Server) awaitDiscoveryNeeded(ctx context.Context, w *watch.Watcher) bool {
 	if s.planners != nil {
 		if !s.planners.needsDiscovery() {
@@ -102,8 +102,8 @@
 	return true
 }
 
-// applyDiscoveryList hands over a list of discovery, joined with what planners have announced. It is false for a list that is not
-// applied, since it lacks most servers that are proven to serve.
+// applyDiscoveryList applies a list of discovery, merged with the announcements of planners. It returns false if the list is not applied
+// because it lacks most of the servers that are proven to serve.
 func (s *Server) applyDiscoveryList(list http1.EndpointList) bool {
 	s.logSkippedEntries(list)
 	if s.endpointCache != nil {
--- a/internal/proxy/distributedroutes.go
+++ b/internal/proxy/distributedroutes.go
@@ -7,13 +7,13 @@
 	"fernvane/internal/route"
 )
 
-// parsedFragment is what became of the entry of a route or pool.
+// parsedFragment is the parsed entry of a route or pool, with its last good version.
 type parsedFragment struct {
 	entry         distribution.Entry
 	fragment      route.Fragment
-	err           error              // why it could not be parsed
-	lastGood      *route.Fragment    // in force, of this version or an earlier one; nil: none
-	lastGoodEntry distribution.Entry // that lastGood was parsed from
+	err           error              // why the entry could not be parsed
+	lastGood      *route.Fragment    // in effect, from this version or an earlier one; nil: none
+	lastGoodEntry distribution.Entry // entry that lastGood was parsed from
 }
 
 func parseFragment(e distribution.Entry) (route.Fragment, error) {
@@ -23,7 +23,8 @@
 	return route.ParseRoute(e.Key.Service, e.Key.Name, e.Value)
 }
 
-// ApplyRoutes puts the operator's file and all routes and pools in force that can be used.
+// ApplyRoutes puts the operator's file and all valid routes and pools in effect. It returns the invalid entries, whose last good versions
+// stay in effect.
 func (a *distributionApplier) ApplyRoutes(all []distribution.Entry) []distribution.Rejection {
 	defer a.saveLastGood()
 	a.mu.Lock()
@@ -32,19 +33,19 @@
 	return a.assembleRoutes()
 }
 
-// setOperatorRoutes puts another operator's file in force beneath the entries; nil: none.
+// setOperatorRoutes replaces the routes of the operator's file, on which the entries build; nil: none.
 func (a *distributionApplier) setOperatorRoutes(routes *route.Table) {
 	defer a.saveLastGood()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.operatorRoutes = routes
 	for _, r := range a.assembleRoutes() {
-		a.logger.Error().Err(errors.New(r.Reason)).Stringer("entry", r.Key).Msg("distributed entry does not fit the operator's file")
+		a.logger.Error().Err(errors.New(r.Reason)).Stringer("entry", r.Key).Msg("distributed entry conflicts with operator file")
 	}
 }
 
-// assembleRoutes makes one table of the operator's file and all entries, and puts it in force. It costs as much as all routes together, so the
-// client calls for it at most every 200 ms. Entries that have not changed are not parsed again. mu is held.
+// assembleRoutes assembles one table from the operator's file and all entries, and puts it in effect. Its cost grows with the number of all
+// routes, so the client triggers it at most every 200 ms. Unchanged entries are not parsed again. The caller holds mu.
 func (a *distributionApplier) assembleRoutes() (rejected []distribution.Rejection) {
 	next := make(map[distribution.Key]parsedFragment, len(a.fragments))
 	candidates := make([]route.Candidate, len(a.fragments))
@@ -59,7 +60,7 @@
 	}
 	assembled, err := route.Assemble(a.operatorRoutes, a.settings, candidates)
 	if err != nil {
-		a.logger.Error().Err(err).Msg("distributed routes cannot be assembled, keeping the last ones")
+		a.logger.Error().Err(err).Msg("distributed routes not assembled, previous routes stay in effect")
 	}
 	for i, e := range a.fragments {
 		p := next[e.Key]
@@ -84,11 +85,12 @@
 	return rejected
 }
 
-// withLastGood is a fragment after its table was put in force. isCurrent: the version in force is the entry's own.
-func (p parsedFragment) withLastGood(inForce *route.Fragment, isCurrent bool) parsedFragment {
-	p.lastGood = inForce
+// withLastGood returns the fragment after its table was put in effect. effective is the fragment in that table, and isCurrent reports
+// whether it is that of the current entry.
+func (p parsedFragment) withLastGood(effective *route.Fragment, isCurrent bool) parsedFragment {
+	p.lastGood = effective
 	switch {
-	case inForce == nil:
+	case effective == nil:
 		p.lastGoodEntry = distribution.Entry{}
 	case isCurrent:
 		p.lastGoodEntry = p.entry
--- a/internal/proxy/distributedservers.go
+++ b/internal/proxy/distributedservers.go
@@ -8,8 +8,8 @@
 	"fernvane/internal/discovery/watch"
 )
 
-// ApplyServers hands servers over that have changed, or where isComplete all that there are. A server that was announced as draining or gone
-// does not come back by an older version.
+// ApplyServers applies changed servers, or the complete list if isComplete. An older version does not revive a server that was announced as
+// draining or gone.
 func (a *distributionApplier) ApplyServers(changed []distribution.Entry, isComplete bool) (rejected []distribution.Rejection) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -27,10 +27,10 @@
 	updates := a.incarnations.ApplyDiscovery(now, entries, false)
 	for i, e := range entries {
 		if _, isKnown := a.incarnations.Get(e.ID); !isKnown {
-			rejected = append(rejected, distribution.Rejection{Key: keys[i], Reason: "more servers than a node takes"})
+			rejected = append(rejected, distribution.Rejection{Key: keys[i], Reason: "server limit of the node exceeded"})
 		}
 	}
-	if isComplete { // with what earlier pieces have brought
+	if isComplete { // includes the servers of earlier parts of the list
 		updates = a.currentIncarnations(entries)
 	}
 	if len(updates) == 0 && !isComplete {
@@ -46,7 +46,7 @@
 	return rejected
 }
 
-// currentIncarnations are some servers as they are known here.
+// currentIncarnations returns the current incarnations of servers. Servers that are not known are left out.
 func (a *distributionApplier) currentIncarnations(servers []incarnation.Entry) (all []incarnation.Entry) {
 	for _, s := range servers {
 		if e, isKnown := a.incarnations.Get(s.ID); isKnown {
--- a/internal/proxy/distributedtenants.go
+++ b/internal/proxy/distributedtenants.go
@@ -7,33 +7,35 @@
 	"fernvane/internal/controlplane/distribution/value"
 )
 
-// ApplyTenants puts the tenants' quotas in force, beside those of the settings. A tenant that several services name has the sum.
+// ApplyTenants puts the quotas of tenants in effect. They replace those of the settings. If several services name a tenant, its quotas add
+// up.
 func (a *distributionApplier) ApplyTenants(all []distribution.Entry) (rejected []distribution.Rejection) {
 	defer a.saveLastGood()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	inForce := make(map[distribution.Key]distribution.Entry, len(all))
+	effective := make(map[distribution.Key]distribution.Entry, len(all))
 	rejectedTenants, quotas := map[distribution.Key]bool{}, map[string]float64{}
 	for _, e := range all {
 		tenant, err := value.DecodeTenant(e)
 		if err != nil {
 			rejected = append(rejected, distribution.Rejection{Key: e.Key, Reason: err.Error()})
 			rejectedTenants[e.Key] = true
-			lastGood, hasLastGood := a.tenantsInForce[e.Key]
+			lastGood, hasLastGood := a.effectiveTenants[e.Key]
 			if tenant, err = value.DecodeTenant(lastGood); !hasLastGood || err != nil {
 				continue
 			}
 			e = lastGood
 		}
-		inForce[e.Key] = e
+		effective[e.Key] = e
 		quotas[e.Key.Name] += tenant.Allowance
 	}
-	a.tenantsInForce, a.rejectedTenants = inForce, rejectedTenants
+	a.effectiveTenants, a.rejectedTenants = effective, rejectedTenants
 	a.applyQuotas(quotas)
 	return rejected
 }
 
-// applyQuotas hands over the quotas that have changed. A tenant that is not named any more has that of the settings again. mu is held.
+// applyQuotas applies the quotas that have changed. A tenant that is no longer named gets the quota of the settings again. The caller holds
+// mu.
 func (a *distributionApplier) applyQuotas(quotas map[string]float64) {
 	changed := map[string]float64{}
 	for tenant, quota := range quotas {
@@ -42,7 +44,7 @@
 		}
 	}
 	for tenant := range a.quotas {
-		if _, stays := quotas[tenant]; !stays {
+		if _, isNamed := quotas[tenant]; !isNamed {
 			changed[tenant] = a.settingsQuota(tenant)
 		}
 	}
@@ -52,7 +54,7 @@
 	}
 }
 
-// settingsQuota is a tenant's quota by the settings, 0 where they do not name it.
+// settingsQuota returns a tenant's quota of the settings, 0 if they do not name the tenant.
 func (a *distributionApplier) settingsQuota(tenant string) float64 {
 	if i := slices.Index(a.settings.TenantNames, tenant); i >= 0 {
 		return a.settings.TenantQuotas[i]
--- a/internal/proxy/distribution.go
+++ b/internal/proxy/distribution.go
@@ -17,43 +17,43 @@
 	"fernvane/internal/route"
 )
 
-const fallbackCheckInterval = 500 * time.Millisecond // between two looks whether discovery is needed
+const fallbackCheckInterval = 500 * time.Millisecond // between two checks whether discovery is needed
 
-// distributionApplier puts in force what control processes distribute to the node: servers, routes and pools, tenants' quotas. The client
-// calls its Apply methods from one goroutine; entries that cannot be used are returned with the reason, and their last good versions hold.
+// distributionApplier puts entries of the distribution in effect: servers, routes and pools, quotas of tenants. The client calls its Apply
+// methods from one goroutine. They return invalid entries with the reason; the last good versions of those stay in effect.
 type distributionApplier struct {
 	client     *client.Client
 	dispatcher *dispatch.Dispatcher
 	settings   *settings.Settings
 	logger     zerolog.Logger
-	lastGood   *lastGoodFile // nil: last good versions are not kept on disk
+	lastGood   *lastGoodFile // nil: last good versions are not stored on disk
 
-	mu sync.Mutex // never held over a socket or the disk; may be held while the dispatcher's lock is taken
+	mu sync.Mutex // not held during socket or disk I/O; may be held while the dispatcher's lock is acquired
 
 	// Servers.
 	incarnations      *incarnation.Table
 	hasAppliedServers bool
 
 	// Routes and pools.
-	operatorRoutes *route.Table // of the operator's file; nil: none
+	operatorRoutes *route.Table // from the operator's file; nil: none
 	fragments      []distribution.Entry
 	parsed         map[distribution.Key]parsedFragment
 
 	// Tenants.
-	tenantsInForce  map[distribution.Key]distribution.Entry
-	rejectedTenants map[distribution.Key]bool // a newer version cannot be used; the one in force may be missing
-	quotas          map[string]float64        // in force, requests a second by tenant
+	effectiveTenants map[distribution.Key]distribution.Entry
+	rejectedTenants  map[distribution.Key]bool // their newest version is invalid; an effective version may be missing
+	quotas           map[string]float64        // in effect, in requests per second, by tenant
 }
 
-// newDistributionApplier starts on the last good versions of the node's disk. The client does not run yet.
+// newDistributionApplier restores the last good versions from disk and creates the client, which does not run yet.
 func newDistributionApplier(cfg Config, d *dispatch.Dispatcher, log zerolog.Logger) (*distributionApplier, error) {
 	a := &distributionApplier{dispatcher: d, settings: &cfg.Settings, logger: log, incarnations: incarnation.NewTable(), operatorRoutes: cfg.Routes,
-		parsed: map[distribution.Key]parsedFragment{}, tenantsInForce: map[distribution.Key]distribution.Entry{}}
+		parsed: map[distribution.Key]parsedFragment{}, effectiveTenants: map[distribution.Key]distribution.Entry{}}
 	config := *cfg.Distribution
 	config.Name = cfg.Name
 	file, entries, err := openLastGood(config.Directory)
 	if err != nil {
-		log.Error().Err(err).Msg("last good entries unreadable")
+		log.Error().Err(err).Msg("last good entries unreadable, starting without them")
 	}
 	a.lastGood = file
 	a.restoreLastGood(entries)
@@ -61,7 +61,7 @@
 	return a, err
 }
 
-// awaitStart waits until the node may serve, or is told to stop.
+// awaitStart waits until the node may serve, or until stop is closed or ctx has ended.
 func (a *distributionApplier) awaitStart(ctx context.Context, stop <-chan struct{}) {
 	select {
 	case <-a.client.Started():
@@ -70,8 +70,8 @@
 	}
 }
 
-// needsDiscovery reports whether discovery is to be polled in place of control processes: none could be reached for a while, and none has
-// announced servers earlier.
+// needsDiscovery reports whether discovery must be polled in place of control processes: none has been reachable for a while, and none has
+// announced servers since the start.
 func (a *distributionApplier) needsDiscovery() bool {
 	a.mu.Lock()
 	hasAppliedServers := a.hasAppliedServers
@@ -79,7 +79,7 @@
 	return !hasAppliedServers && a.client.Status().State == distribution.StateIsolated
 }
 
-// awaitDiscoveryNeeded returns when discovery is to be polled. It is false when ctx has ended before.
+// awaitDiscoveryNeeded returns true when discovery must be polled, and false when ctx has ended before.
 func (a *distributionApplier) awaitDiscoveryNeeded(ctx context.Context) bool {
 	tick := time.NewTicker(fallbackCheckInterval)
 	defer tick.Stop()
@@ -93,7 +93,7 @@
 	return true
 }
 
-// applyDiscoveryList hands over what discovery has announced, unless control processes have announced servers meanwhile.
+// applyDiscoveryList applies a list of discovery, unless control processes have announced servers meanwhile.
 func (a *distributionApplier) applyDiscoveryList(l http1.EndpointList) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -102,7 +102,7 @@
 	}
 }
 
-// addStatus adds the client's status to the log line with counts.
+// addStatus adds the status of the distribution client to the log line with counts.
 func (a *distributionApplier) addStatus(line *zerolog.Event) {
 	s := a.client.Status()
 	status := zerolog.Dict().Stringer("state", s.State).Uint64("revision", s.Revision).Int("rejected", len(s.Rejected))
--- a/internal/proxy/distribution_test.go
+++ b/internal/proxy/distribution_test.go
@@ -226,7 +226,7 @@
 		if d.lastGood, good, err = openLastGood(dir); err != nil {
 			t.Fatal(err)
 		}
-		d.tenantsInForce = map[distribution.Key]distribution.Entry{}
+		d.effectiveTenants = map[distribution.Key]distribution.Entry{}
 		d.restoreLastGood(good)
 		return d
 	}
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -1,28 +1,30 @@
-// Package proxy runs a node on sockets, from its start to its stop: it accepts clients' connections, follows the sources of endpoints, and
-// carries out for each request what the policy decides.
+// Package proxy runs a node on sockets, from start to shutdown: it accepts client connections, follows the sources of endpoint lists, and
+// executes the decisions of the policy for each request.
 //
-// # Use
+// # Usage
 //
-// The command calls CatchSignals first, reads a Config by LoadConfig, and hands it to RunProcess, which returns the exit code. Run is the
-// same without signals, for tests and benchmarks.
+// A command calls CatchSignals first, loads a Config with LoadConfig, and passes it to RunProcess, which returns the exit code. Run does
+// the same with signals that its caller supplies, for tests and benchmarks.
 //
-// # A request
+// # Request path
 //
-// accept (listener.go) takes a connection; serveHTTPConn or serveFastCGIConn reads requests from it. serveRequest (request.go) submits each
-// to the dispatcher and then asks it for one decision after the other: attempt (attempt.go) sends the request to one server, connect
-// (upstream.go) finds the connection, and answerRequest writes the one answer. Nothing here sends a request again by itself. A request that
-// must not be executed twice has its intent journaled before the first byte of an attempt (intentjournal.go, intentjournalentry.go).
+// accept (listener.go) accepts a connection; serveHTTPConn or serveFastCGIConn reads requests from it. serveRequest (request.go) submits
+// each request to the dispatcher and then executes one decision after another: attempt (attempt.go) sends the request to one server,
+// connect (upstream.go) takes or opens the connection, and answerRequest writes the only answer. This package never re-sends a request
+// without a decision of the policy. The intent of a non-idempotent request is journaled before the first byte of an attempt
+// (intentjournal.go, intentjournalentry.go).
 //
 // # State
 //
-// What is decided, and the memory that decisions need, belongs to package dispatch, behind its lock. Server's own fields are set before the
-// goroutines start, but for the atomic ones and the three times of a shutdown, which drain sets before isDraining and which are read only after
-// it. The parts that follow a source run one goroutine each under Run: followDiscovery or
-// followRegistry, plannerClient.run, the client of the distribution, the endpoint cache. plannerClient, distributionApplier and endpointCache have a lock each, which may be held
-// while the dispatcher's is taken, never over a socket.
+// Decisions and the state that they depend on belong to package dispatch, behind its lock. The fields of Server are set before its
+// goroutines start, except the atomic ones and the three times of a shutdown, which drain sets before isDraining and which are read only
+// afterwards. The components that follow a source of endpoints, routes or quotas run on one goroutine each under Run: followDiscovery or
+// followRegistry, plannerClient.run, the client of the distribution, the endpoint cache. plannerClient, distributionApplier and
+// endpointCache have one lock each, which may be held while the dispatcher's lock is acquired, but never during socket I/O.
 //
-// # Stop
+// # Shutdown
 //
-// drain and awaitClients (shutdown.go): answers end their connections, listening goes on until no connection comes any more, idle
-// connections are closed, and what was accepted is answered before Run returns or endBy has passed ("stopped with connections open").
+// drain and awaitClients (shutdown.go) implement the graceful shutdown: each answer closes its connection, the listeners stay open until
+// no more connections arrive, idle connections are closed, and accepted requests are answered before Run returns, unless
+// shutdownDeadline passes first ("stopped with connections open").
 package proxy
--- a/internal/proxy/endpointcache.go
+++ b/internal/proxy/endpointcache.go
@@ -16,10 +16,10 @@
 	"fernvane/internal/proxy/dispatch"
 )
 
-const evaluationInterval = 50 * time.Millisecond // between two looks at what time changes in a suspect list
+const evaluationInterval = 50 * time.Millisecond // between two evaluations of a suspect list as time passes
 
-// endpointCache keeps the node's endpoint list on disk for its next start, and decides after a start which servers of the last one may be
-// used until a source confirms them. The list is suspect until then: it is not written, nor sent to peers.
+// endpointCache stores the node's endpoint list on disk for the next start. After a start it decides which servers of the stored list may be
+// used until a source confirms the list. Until then the list is suspect: it is neither written to disk nor sent to peers.
 type endpointCache struct {
 	cfg        *snapshot.Config
 	nodeName   string
@@ -27,18 +27,18 @@
 	logger     zerolog.Logger
 	store      *snapshot.Store
 	startedAt  time.Time
-	peers      *peer.Node // that may have a list where this node has none; nil: none
+	peers      *peer.Node // supply a list if the disk has none; nil: no peers
 
-	writeMu sync.Mutex // one generation at a time; held over the disk
+	writeMu sync.Mutex // serializes writes; held during disk I/O
 
-	mu              sync.Mutex           // never held over the disk or a socket; may be held while the dispatcher's lock is taken
-	evaluator       *staleness.Evaluator // of the suspect list; nil: there is none, or it is confirmed
+	mu              sync.Mutex           // not held during disk or socket I/O; may be held while the dispatcher's lock is acquired
+	evaluator       *staleness.Evaluator // of the suspect list; nil: no list, or it is confirmed
 	endpoints       map[string]endpoints.Endpoint
-	incompleteSince time.Time // since when a list that lacks proven servers is not applied; zero: there was none
-	lastRevision    uint64    // of the lists that sources have announced
+	incompleteSince time.Time // when a list that lacks proven servers was first not applied; zero: never
+	lastRevision    uint64    // latest revision of the lists that sources have announced
 }
 
-// newEndpointCache opens the folder of the lists. Nothing is read yet.
+// newEndpointCache opens the directory of the stored lists. It reads no list yet.
 func newEndpointCache(cfg Config, d *dispatch.Dispatcher, log zerolog.Logger) (*endpointCache, error) {
 	filesystem := cfg.Filesystem
 	if filesystem == nil {
@@ -46,12 +46,13 @@
 	}
 	store, err := snapshot.Open(cfg.Snapshot.Dir, cfg.Snapshot.MaxGenerations, filesystem)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", cfg.Snapshot.Dir, err)
+		return nil, fmt.Errorf("open endpoint cache %s: %w", cfg.Snapshot.Dir, err)
 	}
 	return &endpointCache{cfg: cfg.Snapshot, nodeName: cfg.Name, dispatcher: d, logger: log, store: store, startedAt: time.Now()}, nil
 }
 
-// evaluate applies what attempts show about the servers of a suspect list. It returns when the list is confirmed, or the node ends.
+// evaluate updates the usable servers of a suspect list by the observations of attempts. It returns when the list is confirmed or ctx has
+// ended.
 func (c *endpointCache) evaluate(ctx context.Context) error {
 	observations := c.dispatcher.Observations()
 	tick := time.NewTicker(evaluationInterval)
@@ -70,7 +71,7 @@
 	}
 }
 
-// observe applies what one attempt shows.
+// observe applies the observation of one attempt.
 func (c *endpointCache) observe(o endpoints.Observation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,7 +91,7 @@
 	c.applyUsableServers()
 }
 
-// tick applies what time changes. It is false where the list is not suspect any more.
+// tick updates the usable servers as time passes. It returns false if the list is no longer suspect.
 func (c *endpointCache) tick() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,8 +103,7 @@
 	return true
 }
 
-// applyUsableServers hands to the dispatcher the servers of the suspect list that may be used now, where they have changed. The caller holds mu, or is load
-// before the cache is evaluated.
+// applyUsableServers passes the currently usable servers of the suspect list to the dispatcher if they have changed. The caller holds mu.
 func (c *endpointCache) applyUsableServers() {
 	usable, hasChanged := c.evaluator.Usable()
 	if !hasChanged {
--- a/internal/proxy/endpointcacheconfirm.go
+++ b/internal/proxy/endpointcacheconfirm.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	incompleteListDuration = 30 * time.Second // a list that lacks most proven servers is not applied for so long
+	incompleteListDuration = 30 * time.Second // how long a list that lacks most proven servers is not applied
 	maxMissingShare        = 0.5              // of the proven servers
-	minMissing             = 2                // servers; a list that lacks fewer is applied
+	minMissing             = 2                // a list that lacks fewer proven servers is applied
 )
 
-// confirm ends the suspicion of the cached list, since a source has announced a list, and returns what is to be applied. Changes are
-// changes to the cached list, which is confirmed with them. ok is false for a list that is not applied yet.
+// confirm ends the suspicion of the cached list when a source announces a list, and returns the list to apply. An incomplete list of
+// discovery is a change to the cached list, which it confirms: the returned list then includes the cached one. ok is false if the list must
+// not be applied yet.
 func (c *endpointCache) confirm(l http1.EndpointList, source endpoints.Source) (out http1.EndpointList, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,8 +40,8 @@
 	return l, true
 }
 
-// lacksProvenServers reports whether a complete list lacks most of the servers that have shown since the start that they serve, and is not
-// to be applied for that: a source that has restarted may announce no servers at first.
+// lacksProvenServers reports whether a complete list must not be applied because it lacks most of the servers that have proven since the
+// start that they serve: a source that has restarted may announce no servers at first. After incompleteListDuration such a list is applied.
 func (c *endpointCache) lacksProvenServers(l http1.EndpointList) bool {
 	isListed := map[string]bool{} // also those that are draining
 	for _, h := range l.Hosts {
--- a/internal/proxy/endpointcacheload.go
+++ b/internal/proxy/endpointcacheload.go
@@ -13,10 +13,11 @@
 	"fernvane/internal/protocol/http1"
 )
 
-const fetchTimeout = 500 * time.Millisecond // for peers to send the lists that they keep
+const fetchTimeout = 500 * time.Millisecond // for peers to send their stored lists
 
-// load starts on the newest list on disk, or of a peer where the disk has none. It returns the list to go on from: that one, as suspect,
-// or the configuration's where it cannot be used or the configuration's is as new. That one does not say how old it is.
+// load loads the newest list on disk, or that of a peer if the disk has none. It returns that list as suspect, or the list of the
+// configuration if the loaded list is not usable or not newer. The list of the configuration carries no age
+// and is not suspect.
 func (c *endpointCache) load(configured http1.EndpointList) (l http1.EndpointList, isSuspect bool) {
 	snap, faults, err := c.store.Newest()
 	isOwn := snap != nil
@@ -47,22 +48,22 @@
 	return l, true
 }
 
-// checkUsable says why a list is not to be used.
+// checkUsable returns an error if a list must not be used. isOwn reports that it comes from the node's own disk.
 func (c *endpointCache) checkUsable(snap *snapshot.Snapshot, isOwn bool, age time.Duration, configured http1.EndpointList) error {
 	switch {
 	case snap.Deployment != c.cfg.Deployment:
-		return fmt.Errorf("it is of deployment %.60q, not %q", snap.Deployment, c.cfg.Deployment)
+		return fmt.Errorf("list of deployment %.60q, expected %q", snap.Deployment, c.cfg.Deployment)
 	case isOwn && snap.Node != c.nodeName:
-		return fmt.Errorf("it is of node %.60q, not %q", snap.Node, c.nodeName)
+		return fmt.Errorf("list of node %.60q, expected %q", snap.Node, c.nodeName)
 	case age > c.cfg.MaxAge.Std():
-		return fmt.Errorf("it was confirmed %s ago", age.Round(time.Minute))
+		return fmt.Errorf("maximum age exceeded: list was confirmed %s ago", age.Round(time.Minute))
 	case len(configured.Hosts) > 0 && configured.Revision >= snap.Revision:
-		return errors.New("the configuration brings one that is as new")
+		return errors.New("list in the configuration is as new or newer")
 	}
 	return nil
 }
 
-// restore takes over the servers of a list, but for those that cannot be used. mu is held.
+// restore sets the endpoints from a stored list. It leaves out invalid servers and reports them in Skipped. The caller holds mu.
 func (c *endpointCache) restore(snap *snapshot.Snapshot) (l http1.EndpointList, servers []staleness.Server) {
 	c.endpoints = map[string]endpoints.Endpoint{}
 	l.Revision = snap.Revision
@@ -72,7 +73,7 @@
 		var err error
 		e.Address, err = netip.ParseAddrPort(s.Address)
 		if e.Condition > incarnation.Gone || err != nil && e.Condition == incarnation.Up {
-			l.Skipped = append(l.Skipped, fmt.Errorf("cached server %.40q cannot be used", s.ID))
+			l.Skipped = append(l.Skipped, fmt.Errorf("cached server %.40q: invalid condition or address", s.ID))
 			continue
 		}
 		c.endpoints[s.ID] = e
@@ -82,14 +83,14 @@
 	return l, servers
 }
 
-// fetchFromPeers returns the newest list that a peer keeps, for a node whose own disk has none. It counts as that of a node that crashed,
-// since nobody says what happened after it was written.
+// fetchFromPeers returns the newest list that peers have stored, for a node whose own disk has none. It is treated like the list of a node
+// that crashed, because changes after it was written are unknown.
 func (c *endpointCache) fetchFromPeers() (newest *snapshot.Snapshot) {
 	for _, text := range c.peers.FetchEndpointLists(fetchTimeout) {
 		snap, err := snapshot.Decode(text)
 		switch {
 		case err != nil:
-			c.logger.Warn().Err(err).Msg("endpoint list of a peer unreadable")
+			c.logger.Warn().Err(err).Msg("endpoint list from peer unreadable")
 		case snap.Deployment == c.cfg.Deployment && (newest == nil || snap.ConfirmedUnixMS > newest.ConfirmedUnixMS):
 			newest = snap
 		}
@@ -99,7 +100,7 @@
 
 var listedCondition = [...]http1.Condition{incarnation.Up: http1.Serving, incarnation.Draining: http1.Draining, incarnation.Gone: http1.Deleted}
 
-// listedEndpoint is an endpoint as discovery lists it.
+// listedEndpoint converts an endpoint to the form of a discovery list.
 func listedEndpoint(e endpoints.Endpoint) http1.Endpoint {
 	return http1.Endpoint{ID: e.ID, Address: e.Address, Zone: e.Zone, Flavor: e.MachineKind, Cell: e.Cell, Size: e.Weight, UpSinceMS: e.StartedUnixMS,
 		Phase: listedCondition[e.Condition]}
--- a/internal/proxy/endpointcachewrite.go
+++ b/internal/proxy/endpointcachewrite.go
@@ -9,11 +9,11 @@
 	"fernvane/internal/discovery/snapshot"
 )
 
-// renewInterval is how often a list without changes is written again: the next start trusts it by its age.
+// renewInterval is how often an unchanged list is written again: its trust at the next start depends on its age.
 const renewInterval = 30 * time.Second
 
-// writePeriodically writes the list whenever it has changed, and each renewInterval, until the node ends. A disk that fails costs the list
-// only.
+// writePeriodically writes the list when it has changed, and every renewInterval, until the node stops. If the disk fails, only the stored
+// list is out of date; the node continues to serve.
 func (c *endpointCache) writePeriodically(ctx context.Context) error {
 	tick := time.NewTicker(c.cfg.WriteInterval.Std())
 	defer tick.Stop()
@@ -48,7 +48,7 @@
 	return c.store.Write(snap)
 }
 
-// writeFinal writes the list as that of a clean shutdown.
+// writeFinal writes the list marked as that of a clean shutdown.
 func (c *endpointCache) writeFinal() {
 	if snap, _ := c.snapshot(true); snap != nil {
 		if err := c.write(snap); err != nil {
@@ -57,8 +57,8 @@
 	}
 }
 
-// snapshot is the list as it stands, and its version: a number that changes with it. The list is nil while it is suspect, for writing it
-// would make it look confirmed, and while no source has announced one.
+// snapshot returns the current list and its version, a number that changes with the list. The list is nil while it is suspect, because
+// writing it would make it look confirmed, and while no source has announced one.
 func (c *endpointCache) snapshot(isCleanShutdown bool) (s *snapshot.Snapshot, version int) {
 	c.mu.Lock()
 	isSuspect, revision := c.evaluator != nil, c.lastRevision
@@ -77,8 +77,8 @@
 	return s, version
 }
 
-// snapshotServer is a server as it is written. One that is up and not usable was removed by a complete list, or replaced by another at its
-// address.
+// snapshotServer converts a server to its stored form. A server that is up but not usable is stored as gone: a complete list has removed it,
+// or another server has replaced it at its address.
 func snapshotServer(r endpoints.Record, unixMS func(time.Duration) int64) snapshot.Server {
 	server := snapshot.Server{ID: r.ID, StartedUnixMS: r.StartedUnixMS, Condition: uint8(r.Condition), Zone: r.Zone, MachineKind: r.MachineKind, Cell: r.Cell,
 		Weight: r.Weight, Source: uint8(r.Source), AnnouncedUnixMS: unixMS(r.AnnouncedAt)}
@@ -94,7 +94,7 @@
 	return server
 }
 
-// encode is the list for peers, nil while it is suspect.
+// encode returns the encoded list for peers, nil while the list is suspect.
 func (c *endpointCache) encode() []byte {
 	snap, _ := c.snapshot(false)
 	if snap == nil {
--- a/internal/proxy/fastcgiclient.go
+++ b/internal/proxy/fastcgiclient.go
@@ -11,26 +11,26 @@
 	"fernvane/internal/proxy/dispatch"
 )
 
-// fastcgiClientConn is a client's connection that speaks FastCGI. One goroutine reads requests from it, and each request is served on a
-// goroutine of its own. Package connclose decides when it may end, so that no accepted request loses its answer to that.
+// fastcgiClientConn is a client's FastCGI connection. One goroutine reads requests from it, and each request is served on its own goroutine.
+// Package connclose decides when the connection may close, so that a close never discards the answer to an accepted request.
 type fastcgiClientConn struct {
 	server   *Server
 	tcp      *net.TCPConn
 	conn     *fastcgi.ClientConn
-	client   *dispatch.Client // its descriptor, which may be taken back while it is idle
-	requests sync.WaitGroup   // that are being served
+	client   *dispatch.Client // holds the descriptor, which the dispatcher may reclaim while the connection is idle
+	requests sync.WaitGroup   // requests in progress
 
-	mu             sync.Mutex
-	lifecycle      connclose.Lifecycle
-	firstRequestBy time.Time // deadline of the first request; zero: it was received
-	partialSince   time.Time // when a record began to arrive that is not complete; zero: there is none
-	readUntil      time.Time // when what still arrives is not read any more; zero: the connection is open for writing
+	mu                   sync.Mutex
+	lifecycle            connclose.Lifecycle
+	firstRequestDeadline time.Time // deadline to receive the first request; zero: it was received
+	partialSince         time.Time // when the first bytes of an incomplete record arrived; zero: no incomplete record
+	lingerDeadline       time.Time // end of the time to read and discard after CloseWrite; zero: still open for writing
 }
 
-// serveFastCGIConn serves a client's connection that speaks FastCGI until it ends.
+// serveFastCGIConn serves a client's FastCGI connection until it closes.
 func (s *Server) serveFastCGIConn(tcp *net.TCPConn) {
 	conn := fastcgi.NewClientConn(tcp, s.dispatcher.MessageBudget())
-	c := &fastcgiClientConn{server: s, tcp: tcp, conn: conn, client: s.dispatcher.AddClient(conn), firstRequestBy: time.Now().Add(requestTimeout)}
+	c := &fastcgiClientConn{server: s, tcp: tcp, conn: conn, client: s.dispatcher.AddClient(conn), firstRequestDeadline: time.Now().Add(requestTimeout)}
 	defer c.client.Release()
 	defer tcp.Close()
 	defer conn.AbandonRequests()
@@ -42,7 +42,7 @@
 				return
 			}
 			c.RequestsRejected()
-			c.requests.Wait() // accepted requests are answered all the same
+			c.requests.Wait() // accepted requests are still answered
 			s.discardUnread(tcp)
 			return
 		}
@@ -56,7 +56,7 @@
 	}
 }
 
-// handle passes an input to the lifecycle and carries out its effect on the connection.
+// handle passes an input to the lifecycle and executes its effect on the connection.
 func (c *fastcgiClientConn) handle(in connclose.Input) connclose.Effect {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,13 +67,14 @@
 	effect := c.lifecycle.Handle(in)
 	if effect == connclose.CloseWrite {
 		c.tcp.CloseWrite()
-		c.readUntil = time.Now().Add(lingerDuration)
-		c.tcp.SetReadDeadline(c.readUntil)
+		c.lingerDeadline = time.Now().Add(lingerDuration)
+		c.tcp.SetReadDeadline(c.lingerDeadline)
 	}
 	return effect
 }
 
-// RequestStarted decides on a request that begins to arrive.
+// RequestStarted decides whether to admit a request whose first record arrives. isLast reports that the
+// client wants the connection closed after it.
 func (c *fastcgiClientConn) RequestStarted(isLast bool) connclose.Effect {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,14 +88,14 @@
 	return effect
 }
 
-// RequestsRejected rejects all requests that are not complete, after one was rejected. The connection admits none any more and ends with the
-// last answer.
+// RequestsRejected rejects all incomplete requests after one of them was rejected. The connection admits no more requests and closes after
+// the last answer.
 func (c *fastcgiClientConn) RequestsRejected() {
 	c.conn.RejectPartial()
 	c.handle(connclose.IntakeStopped)
 }
 
-// RequestAborted notes that the client has aborted a request that was not complete.
+// RequestAborted records that the client has aborted an incomplete request.
 func (c *fastcgiClientConn) RequestAborted() { c.handle(connclose.RequestAborted) }
 
 func (c *fastcgiClientConn) requestReceived() {
@@ -102,7 +103,7 @@
 	c.client.RequestStarted()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.firstRequestBy = time.Time{}
+	c.firstRequestDeadline = time.Time{}
 	c.handleLocked(connclose.RequestReceived)
 }
 
--- a/internal/proxy/fastcgiread.go
+++ b/internal/proxy/fastcgiread.go
@@ -9,8 +9,8 @@
 	"fernvane/internal/protocol/connclose"
 )
 
-// AwaitReadable returns when something has arrived that will be read. Until then the connection may be closed for want of descriptors.
-// isPartial: a record has arrived in part.
+// AwaitReadable returns when bytes have arrived that will be read. Until then the dispatcher may close the connection to free its
+// descriptor. isPartial reports that an incomplete record has arrived.
 func (c *fastcgiClientConn) AwaitReadable(isPartial bool) error {
 	for {
 		c.setReadDeadline(isPartial)
@@ -20,7 +20,7 @@
 		}
 		isTimeout := errors.Is(err, os.ErrDeadlineExceeded)
 		switch {
-		case err == nil, isTimeout && c.conn.HasUnread(): // it may have arrived as the deadline passed
+		case err == nil, isTimeout && c.conn.HasUnread(): // bytes may have arrived as the deadline passed
 			c.clearReadDeadline()
 			return nil
 		case !isTimeout, c.handleTimeout(isPartial):
@@ -29,17 +29,17 @@
 	}
 }
 
-// clearReadDeadline lets what has arrived be read without a deadline, unless the connection has ended.
+// clearReadDeadline removes the read deadline, so that arrived bytes are read, unless the connection is closed for writing.
 func (c *fastcgiClientConn) clearReadDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.readUntil.IsZero() {
+	if c.lingerDeadline.IsZero() {
 		c.tcp.SetReadDeadline(time.Time{})
 	}
 }
 
-// setReadDeadline sets the deadline of what is to arrive next. An idle connection has one and an incomplete request has one; a connection
-// that only waits for answers has none.
+// setReadDeadline sets the deadline for the next bytes. An idle connection and an incomplete request have a deadline; a connection that only
+// waits for answers has none.
 func (c *fastcgiClientConn) setReadDeadline(isPartial bool) {
 	oldest := c.conn.OldestPartial()
 	c.mu.Lock()
@@ -52,44 +52,44 @@
 	if oldest.IsZero() || isPartial && c.partialSince.Before(oldest) {
 		oldest = c.partialSince
 	}
-	if !c.readUntil.IsZero() {
-		c.tcp.SetReadDeadline(c.readUntil)
+	if !c.lingerDeadline.IsZero() {
+		c.tcp.SetReadDeadline(c.lingerDeadline)
 		return
 	}
 	c.tcp.SetReadDeadline(c.readDeadline(oldest))
 	c.client.ReadBlocked(!oldest.IsZero())
 }
 
-// readDeadline is the deadline of a connection that is open; zero: none. oldest is when the oldest incomplete request or record began to
-// arrive. mu is held.
+// readDeadline returns the read deadline of a connection that is open for writing; zero: none. oldest is when the first bytes of the oldest
+// incomplete request or record arrived. The caller holds mu.
 func (c *fastcgiClientConn) readDeadline(oldest time.Time) time.Time {
 	switch {
 	case c.lifecycle.State() == connclose.Draining: // incomplete requests were rejected
 		return time.Time{}
 	case !oldest.IsZero():
 		deadline := oldest.Add(requestTimeout)
-		if !c.firstRequestBy.IsZero() && c.firstRequestBy.Before(deadline) {
-			deadline = c.firstRequestBy
+		if !c.firstRequestDeadline.IsZero() && c.firstRequestDeadline.Before(deadline) {
+			deadline = c.firstRequestDeadline
 		}
 		return deadline
 	case c.lifecycle.InFlight() > 0:
 		return time.Time{}
-	case !c.firstRequestBy.IsZero():
-		return c.firstRequestBy
+	case !c.firstRequestDeadline.IsZero():
+		return c.firstRequestDeadline
 	}
 	return time.Now().Add(idleTimeout)
 }
 
-// handleTimeout deals with a deadline that has passed, and reports whether nothing more is to be read. Where a
-// request stalls, all incomplete requests are rejected and no new ones are admitted; complete ones are still answered.
+// handleTimeout handles a read deadline that has passed, and reports whether reading ends. If a request has stalled, all incomplete requests
+// are rejected and no new ones are admitted; complete requests are still answered.
 func (c *fastcgiClientConn) handleTimeout(isPartial bool) bool {
 	c.mu.Lock()
-	isOver, isStalled := !c.readUntil.IsZero(), c.lifecycle.Receiving() > 0 || isPartial
-	if !isOver && !isStalled {
+	isLingerOver, isStalled := !c.lingerDeadline.IsZero(), c.lifecycle.Receiving() > 0 || isPartial
+	if !isLingerOver && !isStalled {
 		c.handleLocked(connclose.IdleTimeout)
 	}
 	c.mu.Unlock()
-	if isOver {
+	if isLingerOver {
 		return true
 	}
 	if isStalled {
--- a/internal/proxy/fastcgirequest.go
+++ b/internal/proxy/fastcgirequest.go
@@ -9,11 +9,11 @@
 	"fernvane/internal/protocol/message"
 )
 
-// serveFastCGIRequest serves one request of a connection that requests share, on a goroutine of its own.
+// serveFastCGIRequest serves one request of a FastCGI connection, on the request's own goroutine.
 func (s *Server) serveFastCGIRequest(c *fastcgi.ClientConn, r *fastcgi.Request) {
 	conn := fastcgiRequestConn{c, r}
 	defer func() {
-		if p := recover(); p != nil { // a fault of this program must not end the connection's other requests too
+		if p := recover(); p != nil { // a panic must not terminate the other requests of the connection
 			s.logger.Error().Interface("panic", p).Bytes("stack", debug.Stack()).Msg("panic while serving a request")
 			sendAnswer(conn, message.Answer{Status: 500})
 		}
@@ -42,7 +42,7 @@
 	sendAnswer(conn, message.Answer{Status: bad.Status, Body: []byte(bad.Why + "\n")})
 }
 
-// fastcgiRequestConn is one request on a client's connection that speaks FastCGI.
+// fastcgiRequestConn is the clientConn of one request on a FastCGI connection.
 type fastcgiRequestConn struct {
 	conn    *fastcgi.ClientConn
 	request *fastcgi.Request
@@ -70,7 +70,7 @@
 	}
 }
 
-// IsDisconnectedBehindUnread is IsDisconnected: the connection is read all the while, also while requests are open.
+// IsDisconnectedBehindUnread is the same as IsDisconnected: the connection is read continuously, also while requests are open.
 func (c fastcgiRequestConn) IsDisconnectedBehindUnread() bool { return c.IsDisconnected() }
 
 func (c fastcgiRequestConn) WatchDisconnect(onDisconnect func()) (stop func()) {
--- a/internal/proxy/fastcgishutdown_test.go
+++ b/internal/proxy/fastcgishutdown_test.go
@@ -243,7 +243,7 @@
 	for !f.HasUnread() {
 		time.Sleep(time.Millisecond)
 	}
-	c := &fastcgiClientConn{server: s, tcp: nc.(*net.TCPConn), conn: f, client: s.dispatcher.AddClient(f), firstRequestBy: pastDeadline}
+	c := &fastcgiClientConn{server: s, tcp: nc.(*net.TCPConn), conn: f, client: s.dispatcher.AddClient(f), firstRequestDeadline: pastDeadline}
 	if call, err := f.NextRequest(c); err != nil || string(call.Request.Body) != "body" {
 		t.Errorf("%v", err)
 	}
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -8,8 +8,8 @@
 	"fernvane/internal/proxy/dispatch"
 )
 
-// startHedge returns what the dispatcher calls to send a hedged request, on a goroutine of its own beside the attempt in flight. The
-// client's buffers are the first attempt's, so the request and the answer are in memory of their own.
+// startHedge returns the function that the dispatcher calls to send a hedged request, on its own goroutine beside the attempt in flight.
+// The first attempt uses the buffers of the client connection, so the hedged request has copies of the request and of the answer.
 func (s *Server) startHedge(conn clientConn, req *message.Request, entry *journalEntry) func(*dispatch.Request, dispatch.Decision) {
 	req = req.Clone()
 	return func(request *dispatch.Request, d dispatch.Decision) {
--- a/internal/proxy/httpclient.go
+++ b/internal/proxy/httpclient.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// idleTimeout is how long a client's connection may stay idle between requests. Clients that ask once and stay would use up the
-	// connections that others need.
+	// idleTimeout is how long a client's connection may stay idle between requests. Clients that send one request and keep the connection
+	// open would use up the connections that other clients need.
 	idleTimeout = 2100 * time.Millisecond
-	// requestTimeout is how long a request may take to be received whole, the first since its connection was accepted. The platform
-	// expects an end by 3 s.
+	// requestTimeout is how long a request may take to be received completely. The time of the first request starts when its connection is
+	// accepted. The platform expects the end of such a request within 3 s.
 	requestTimeout = 2 * time.Second
 	answerTimeout  = 2 * time.Second        // for a client to receive its answer
 	lingerDuration = 300 * time.Millisecond // for a client to read its last answer before the close
-	maxLingerBytes = 256 << 10              // that are read and dropped meanwhile
+	maxLingerBytes = 256 << 10              // read and discarded during lingerDuration
 )
 
-var errAnswerUnsent = errors.New("the answer could not be written")
+var errAnswerUnsent = errors.New("answer not written completely")
 
-// serveHTTPConn serves a client's connection that speaks HTTP, request by request, on a goroutine of its own until it ends. It may be
-// closed from outside, for want of descriptors, only while nothing of it was read that is not dealt with: the dispatcher observes its
-// reads for that.
+// serveHTTPConn serves a client's HTTP connection, one request at a time, until it closes. It runs on its own goroutine. The dispatcher
+// observes the reads of the connection and may close it to free its descriptor, but only while no bytes of a request were read that is not
+// answered yet.
 func (s *Server) serveHTTPConn(tcp *net.TCPConn) {
 	c := http1.NewPooled(tcp, s.dispatcher.MessageBudget())
 	var req message.Request
@@ -38,24 +38,24 @@
 	defer client.Release()
 	defer tcp.Close()
 	defer func() {
-		if p := recover(); p != nil { // a fault of this program must not end the other clients' connections too
+		if p := recover(); p != nil { // a panic must not terminate the connections of other clients
 			s.logger.Error().Interface("panic", p).Bytes("stack", debug.Stack()).Msg("panic on a client connection")
 			req.Close = true
 			sendAnswer(conn, message.Answer{Status: 500})
 		}
 	}()
-	readTimeout := min(s.longestAbandonTime(), requestTimeout) // a request that takes longer would find its client gone
-	firstRequestBy := time.Now().Add(requestTimeout)           // zero: the first has been received
+	readTimeout := min(s.longestAbandonTime(), requestTimeout) // the client of a request that takes longer would have disconnected
+	firstRequestDeadline := time.Now().Add(requestTimeout)     // zero: the first request was received
 	for {
-		if err := awaitHTTPRequest(c, firstRequestBy, readTimeout); err != nil {
+		if err := awaitHTTPRequest(c, firstRequestDeadline, readTimeout); err != nil {
 			return
 		}
 		receivedAt := time.Now()
 		deadline := receivedAt.Add(readTimeout)
-		if !firstRequestBy.IsZero() && firstRequestBy.Before(deadline) {
-			deadline = firstRequestBy
+		if !firstRequestDeadline.IsZero() && firstRequestDeadline.Before(deadline) {
+			deadline = firstRequestDeadline
 		}
-		firstRequestBy = time.Time{}
+		firstRequestDeadline = time.Time{}
 		c.SetReadDeadline(deadline)
 		if err := c.ReadRequest(&req); err != nil {
 			s.rejectHTTP(conn, err)
@@ -69,44 +69,45 @@
 		}
 		client.RequestFinished()
 		if req.Close {
-			client.ReadBlocked(false) // may be closed for want of descriptors
-			s.discardUnread(tcp)      // the client may send more before it has read that this is the last answer
+			client.ReadBlocked(false) // the dispatcher may close the connection to free its descriptor
+			s.discardUnread(tcp)      // the client may send more before it has read that the connection closes
 			client.ReadReady()
 			return
 		}
 	}
 }
 
-// awaitHTTPRequest returns when a request has begun to arrive. The first has firstRequestBy as its deadline, others idleTimeout.
-func awaitHTTPRequest(c *http1.Conn, firstRequestBy time.Time, readTimeout time.Duration) error {
-	deadline := firstRequestBy
+// awaitHTTPRequest returns when the first bytes of a request have arrived. The first request must arrive by firstRequestDeadline, further
+// requests within idleTimeout.
+func awaitHTTPRequest(c *http1.Conn, firstRequestDeadline time.Time, readTimeout time.Duration) error {
+	deadline := firstRequestDeadline
 	if deadline.IsZero() {
 		deadline = time.Now().Add(idleTimeout)
 	}
 	c.SetReadDeadline(deadline)
 	err := c.AwaitMessage()
-	if errors.Is(err, http1.ErrTimeout) && c.HasUnread() { // it arrived as the deadline passed
+	if errors.Is(err, http1.ErrTimeout) && c.HasUnread() { // bytes arrived as the deadline passed
 		c.SetReadDeadline(time.Now().Add(readTimeout))
 		err = c.AwaitMessage()
 	}
 	return err
 }
 
-// serveHTTPRequest serves one request of a connection. Where too many clients' connections are idle, its answer ends this one.
+// serveHTTPRequest serves one request of a connection. If too many client connections are idle, its answer closes the connection.
 func (s *Server) serveHTTPRequest(conn *httpRequestConn, receivedAt time.Time) error {
 	req := conn.request
 	req.Close = req.Close || s.dispatcher.HasTooManyIdleClients() && !conn.conn.HasMore()
 	if req.IsReadiness() {
 		return sendAnswer(conn, message.Answer{Status: s.readiness()})
 	}
-	if s.disconnectWatcher(conn).IsDisconnectedBehindUnread() { // while the request waited to be read, or its connection to be accepted
+	if s.disconnectWatcher(conn).IsDisconnectedBehindUnread() { // the client may have disconnected before the connection was accepted or the request was read
 		return errClientDisconnected
 	}
 	return s.serveRequest(conn, req, receivedAt)
 }
 
-// rejectHTTP answers a request that could not be read or is malformed, where its client can still be told, and waits for the client to
-// read the answer before the connection is closed.
+// rejectHTTP answers a request that was not received completely or is malformed, and gives the client time to read the answer before the
+// connection is closed. After other errors the client cannot receive an answer, and rejectHTTP does nothing.
 func (s *Server) rejectHTTP(conn *httpRequestConn, err error) {
 	var bad *message.RequestError
 	if errors.Is(err, http1.ErrTimeout) && !errors.Is(err, errAnswerUnsent) {
@@ -121,8 +122,8 @@
 	s.discardUnread(conn.conn.Conn)
 }
 
-// discardUnread ends the writing on a connection and reads on for a while. A close with unread bytes would be a reset, and the client
-// would lose what it has not read of its answers.
+// discardUnread closes a connection for writing, and reads and discards further bytes for a while. A close with unread bytes would reset the
+// connection, and the client would lose answers that it has not read yet.
 func (s *Server) discardUnread(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.CloseWrite()
--- a/internal/proxy/httpconn.go
+++ b/internal/proxy/httpconn.go
@@ -9,14 +9,14 @@
 	"fernvane/internal/protocol/message"
 )
 
-// httpRequestConn is the present request on a client's connection that speaks HTTP.
+// httpRequestConn is the clientConn of the current request on an HTTP connection.
 type httpRequestConn struct {
 	*httpClientConn
 	request *message.Request
 }
 
-// SendAnswer announces with the answer whether the connection closes after it, and leaves that in request.Close. The client may send its
-// next request on a connection whose close was not announced, so nothing that happens later closes it before it is idle.
+// SendAnswer announces in the answer whether the connection closes after it, and sets request.Close accordingly. The client may send its next
+// request on a connection whose close was not announced, so later events do not close the connection before it is idle.
 func (c *httpRequestConn) SendAnswer(answer []byte) error {
 	if c.server.isDraining.Load() || c.conn.Overflowed() {
 		c.request.Close = true
@@ -27,7 +27,7 @@
 	return c.httpClientConn.SendAnswer(answer)
 }
 
-// httpClientConn is a client's connection that speaks HTTP, with one request at a time.
+// httpClientConn is a client's HTTP connection, with one request at a time.
 type httpClientConn struct {
 	server *Server
 	conn   *http1.Conn
@@ -39,10 +39,10 @@
 
 func (c *httpClientConn) AnswerBuffer() []byte { return c.conn.Scratch() }
 
-// SendAnswer writes an answer; errAnswerUnsent is one that was not written whole.
+// SendAnswer writes an answer. It returns errAnswerUnsent if the answer was not written completely.
 func (c *httpClientConn) SendAnswer(answer []byte) error {
 	c.conn.SetWriteDeadline(time.Now().Add(answerTimeout))
-	if whole, err := c.conn.Send(answer); !whole {
+	if isWritten, err := c.conn.Send(answer); !isWritten {
 		return errors.Join(errAnswerUnsent, err)
 	}
 	return nil
@@ -57,7 +57,7 @@
 
 func (c *httpClientConn) IsDisconnectedBehindUnread() bool { return c.conn.Disconnected() }
 
-// WatchDisconnect reads ahead on a goroutine of its own, which stop ends by a deadline that has passed.
+// WatchDisconnect reads ahead on its own goroutine, which stop terminates with a read deadline in the past.
 func (c *httpClientConn) WatchDisconnect(onDisconnect func()) (stop func()) {
 	conn := c.conn
 	done := make(chan struct{})
--- a/internal/proxy/intentjournal.go
+++ b/internal/proxy/intentjournal.go
@@ -15,32 +15,31 @@
 )
 
 const (
-	clientRetryField = "Client-Retry" // by which clients mark a retry, where they do
-	// maxStallShare is the share of the longest wait for a record that a write may take before the journal counts as slow.
-	maxStallShare   = 0.25
-	tierJoinTimeout = 500 * time.Millisecond // at the start, for peers to say what they know of this node
+	clientRetryField = "Client-Retry" // header with which clients may mark a retry
+	// maxStallShare is the share of the maximum wait for a record after which a pending write makes the journal slow.
+	maxStallShare      = 0.25
+	clusterJoinTimeout = 500 * time.Millisecond // at the start, for peers to report the incarnation of this node that they know
 )
 
-var errNotDurable = errors.New("the intent was not durable in time")
+var errNotDurable = errors.New("intent not durable before its deadline")
 
-// intentJournal records what becomes of requests that must not be executed twice: the intent of each attempt before its first byte, its
-// end, and the client's answer. It may be used from any goroutine; no lock of the node is held while it waits. A nil journal records
-// nothing.
+// intentJournal records the progress of non-idempotent requests: the intent of each attempt before its first byte, the end of the attempt,
+// and the client's answer. It is safe for concurrent use; no lock of the node is held while it waits. A nil journal records nothing.
 type intentJournal struct {
 	cfg            *wal.Config
 	filesystem     wal.FileSystem
 	logger         zerolog.Logger
-	incarnation    uint64 // of this process
+	incarnation    uint64 // incarnation of this process
 	wal            *wal.Log
-	peers          *peer.Node // that replicate it; nil: it is on this machine's disk alone
-	journaledTypes []string   // by traffic type; "" for those that are not recorded
+	peers          *peer.Node // replicate the journal; nil: it is on the local disk only
+	journaledTypes []string   // names by traffic type; "": not recorded
 	requestCount   atomic.Uint64
 
-	scanTasks sync.WaitGroup // the reading of earlier segments
+	scanTasks sync.WaitGroup // reads the segments of earlier runs
 	isClosed  atomic.Bool
 }
 
-// openJournal begins a segment, and reads those of earlier runs while the node serves.
+// openJournal opens a new segment, and reads the segments of earlier runs in the background.
 func openJournal(cfg Config, log zerolog.Logger, peers *peer.Node) (*intentJournal, error) {
 	startedAt := time.Now()
 	j := &intentJournal{cfg: cfg.Journal, filesystem: cfg.Filesystem, logger: log, incarnation: uint64(startedAt.UnixNano()), journaledTypes: journaledTypes(&cfg)}
@@ -55,7 +54,7 @@
 		RetentionAge: cfg.Journal.RetentionAge.Std(), RetentionBytes: cfg.Journal.RetentionBytes, OnHealthChange: j.logHealth}
 	if peers != nil {
 		isReplicated := cfg.Journal.Promise == wal.PromiseMachines
-		j.incarnation = uint64(peers.Join(context.Background(), tierJoinTimeout))
+		j.incarnation = uint64(peers.Join(context.Background(), clusterJoinTimeout))
 		peers.StartJournal(cfg.Journal.Dir, isReplicated)
 		if isReplicated {
 			j.peers, o.OnChunk, o.OnStored = peers, peers.ReplicateChunk, peers.RecordsStored
@@ -71,8 +70,8 @@
 	return j, nil
 }
 
-// journaledTypes names the traffic types whose requests are recorded: the non-idempotent ones, and those that are idempotent with a key
-// where the journal's file asks for it. Others have "" in their place.
+// journaledTypes returns the names of the traffic types whose requests are recorded, by traffic type: the non-idempotent types, and the types
+// that are idempotent with a key if the journal's file includes them. The name of all others is "".
 func journaledTypes(cfg *Config) (names []string) {
 	for t, name := range cfg.Settings.TypeNames {
 		idempotency := cfg.Settings.TrafficTypes[t].Idempotency
@@ -84,7 +83,7 @@
 	return names
 }
 
-// failureMode is what becomes of requests that cannot be recorded.
+// failureMode says how requests are handled that cannot be recorded.
 type failureMode bool
 
 const (
@@ -99,7 +98,7 @@
 	return "served, gap recorded"
 }
 
-// logHealth logs that the disk fails, or works again.
+// logHealth logs that writes to the journal fail, or succeed again if err is nil.
 func (j *intentJournal) logHealth(err error) {
 	if err == nil {
 		j.logger.Info().Msg("journal working again")
@@ -113,19 +112,19 @@
 	return j != nil && trafficType < len(j.journaledTypes) && j.journaledTypes[trafficType] != ""
 }
 
-// accepts reports whether a request of a traffic type may be accepted now: while nothing can be recorded the operator's file decides.
+// accepts reports whether a request of a traffic type may be accepted now. While the journal fails or is slow, the journal's file decides.
 func (j *intentJournal) accepts(trafficType int) bool {
 	return !j.records(trafficType) || !j.cfg.RejectsWhenFailing() || j.wal.Failure() == nil && !j.isSlow()
 }
 
-// isSlow reports whether the disk or the replicas take so long that waiting requests would use up the concurrency that others need.
+// isSlow reports whether the disk or the replicas are so slow that waiting requests would use up the concurrency that other requests need.
 func (j *intentJournal) isSlow() bool {
 	maxStall := time.Duration(maxStallShare * float64(j.cfg.MaxWait.Std()))
 	return j.wal.StalledFor() > maxStall || j.peers != nil && j.peers.StalledFor() > maxStall
 }
 
-// awaitDurable waits until a record is as durable as the journal's file promises: on this disk, and at enough replicas. Both have it from
-// the same moment. errNotDurable: not within timeout, or ctx has ended.
+// awaitDurable waits until a record is as durable as the journal's file promises: on the local disk, and at enough replicas, which receive it
+// at the same time as the disk. It returns errNotDurable if timeout has passed or ctx has ended before.
 func (j *intentJournal) awaitDurable(ctx context.Context, commit *wal.Commit, timeout time.Duration) error {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -138,7 +137,7 @@
 		}
 		return errNotDurable
 	}
-	if err := await(commit.Done()); err != nil { // the disk may be writing it now: its result must not be read
+	if err := await(commit.Done()); err != nil { // the write may still be in progress: its result must not be read
 		return err
 	}
 	if err := commit.Err(); err != nil || j.peers == nil {
@@ -151,7 +150,7 @@
 	return replicated.Err()
 }
 
-// close ends the reading of earlier segments and writes out what is queued.
+// close stops the scan of earlier segments and flushes the queued records.
 func (j *intentJournal) close() {
 	if j != nil {
 		j.isClosed.Store(true)
--- a/internal/proxy/intentjournalentry.go
+++ b/internal/proxy/intentjournalentry.go
@@ -13,10 +13,10 @@
 	"fernvane/policy"
 )
 
-// longestServerName stands for the name of the server that a request will be sent to, which is not known as it is accepted.
+// longestServerName is a placeholder of maximum length for the server of an attempt, which is unknown when the request is accepted.
 var longestServerName = strings.Repeat("s", 256)
 
-// answerOutcome names in the journal what the client of a request was answered. The texts are stored.
+// answerOutcome is the journal's name for the answer that the client of a request received. The texts are stored.
 type answerOutcome string
 
 const (
@@ -26,20 +26,20 @@
 	outcomeDisconnected answerOutcome = "nothing: it had left"
 )
 
-// journalEntry is one request in the journal. Its attempts, of which two may be in flight, use it from their own goroutines. A nil entry
-// is of a request that is not recorded.
+// journalEntry is one request in the journal. It is safe for concurrent use: two attempts may be in flight, each on its own goroutine. The
+// entry of a request that is not recorded is nil.
 type journalEntry struct {
 	journal       *intentJournal
 	requestNumber uint64
-	record        intent.Record // what all of its records say
+	record        intent.Record // fields that all records of the request share
 
 	mu         sync.Mutex
 	attempts   int
-	isNotified bool // the client's answer is recorded
+	isNotified bool // the client's answer was recorded
 }
 
-// begin makes the entry of a request, nil where its traffic type is not recorded. Nothing is written yet.
-func (j *intentJournal) begin(trafficType int, info *message.RequestInfo, req *message.Request) *journalEntry {
+// newEntry creates the entry of a request. It returns nil if the traffic type is not recorded. It writes no record yet.
+func (j *intentJournal) newEntry(trafficType int, info *message.RequestInfo, req *message.Request) *journalEntry {
 	if !j.records(trafficType) {
 		return nil
 	}
@@ -52,7 +52,7 @@
 	return e
 }
 
-// check returns a *message.RequestError where the client's own words could not be read back from the journal.
+// check returns a *message.RequestError if a value that the client has sent is too long or not valid for a record of the journal.
 func (e *journalEntry) check() error {
 	if e == nil {
 		return nil
@@ -71,9 +71,9 @@
 	return r
 }
 
-// recordIntent makes the intent of an attempt durable before its first byte is written, and returns the attempt's number in the journal.
-// After an error the attempt must not be written. While the journal fails or is slow, and the operator's file says that requests are
-// served all the same, it does not wait, and counts the record as missed.
+// recordIntent makes the intent of an attempt durable before its first byte is written, and returns the number of the attempt in the journal.
+// After an error the attempt must not be written. While the journal fails or is slow and its file allows unrecorded requests,
+// recordIntent returns no error, does not wait, and counts the record as missed.
 func (e *journalEntry) recordIntent(ctx context.Context, server string, deadline time.Time) (attempt int, err error) {
 	if e == nil {
 		return 0, nil
@@ -84,7 +84,7 @@
 	j := e.journal
 	rejects, isSlow := j.cfg.RejectsWhenFailing(), j.isSlow()
 	commit, err := j.wal.Append(rejects || !isSlow, r)
-	if err == nil && commit == nil { // appended without a wait
+	if err == nil && commit == nil { // queued without waiting for the result
 		j.wal.CountMissed()
 		return attempt, nil
 	}
@@ -92,12 +92,12 @@
 		err = j.awaitDurable(ctx, commit, min(j.cfg.MaxWait.Std(), time.Until(deadline)))
 	}
 	if err == nil || ctx.Err() == nil && !rejects {
-		if err != nil && commit != nil { // Append has counted one that it did not take
+		if err != nil && commit != nil { // Append counts the records that it does not accept
 			j.wal.CountMissed()
 		}
 		return attempt, nil
 	}
-	e.recordAttemptEnd(attempt, dispatch.JournalFailed) // in case the intent becomes durable after all
+	e.recordAttemptEnd(attempt, dispatch.JournalFailed) // because the intent may still become durable
 	return attempt, err
 }
 
@@ -109,18 +109,18 @@
 	return attempt
 }
 
-// recordAttemptEnd records how an attempt ended. Nobody waits for it: an attempt without it counts as possibly sent.
+// recordAttemptEnd records how an attempt ended. It does not wait for the record: an attempt without one counts as possibly sent.
 func (e *journalEntry) recordAttemptEnd(attempt int, result dispatch.AttemptResult) {
 	if e == nil {
 		return
 	}
 	r := e.newRecord(intent.AttemptEnded, attempt)
-	r.RequestID, r.Tenant, r.Type, r.RepeatOf = "", "", "", "" // the intent names them
+	r.RequestID, r.Tenant, r.Type, r.RepeatOf = "", "", "", "" // the intent's record has them
 	r.Outcome, r.Proof = result.String(), executionProof(result)
 	e.journal.wal.Append(false, r)
 }
 
-// executionProof is what the end of an attempt proves about its execution.
+// executionProof returns what the result of an attempt proves about its execution.
 func executionProof(result dispatch.AttemptResult) intent.Proof {
 	switch result.Outcome() {
 	case policy.Success:
@@ -131,7 +131,7 @@
 	return intent.PossiblyRan
 }
 
-// recordAnswer records what the client was answered. Only the first call counts.
+// recordAnswer records the client's answer. Further calls have no effect.
 func (e *journalEntry) recordAnswer(outcome answerOutcome) {
 	if e == nil {
 		return
--- a/internal/proxy/intentjournalscan.go
+++ b/internal/proxy/intentjournalscan.go
@@ -9,7 +9,8 @@
 	"fernvane/internal/journal/wal"
 )
 
-// scanEarlier reads the segments of earlier runs and logs how many requests they leave open that were possibly sent, by server.
+// scanEarlier reads the segments of earlier runs. It logs how many of their requests are open and were possibly sent, and the attempts of
+// those by server.
 func (j *intentJournal) scanEarlier(startedAt time.Time) {
 	assembler := intent.NewAssembler()
 	report, err := wal.Scan(j.filesystem, j.cfg.Dir, time.Time{}, func(r *intent.Record) error {
@@ -39,7 +40,7 @@
 	j.logger.Info().Int("records", report.Records).Int("possibly_sent", openRequests).Dict("by_server", byServer).Dur("took", time.Since(startedAt)).Msg("journal read")
 }
 
-// possiblySent counts the requests that are open and were possibly sent, and their attempts that possibly ran, by server.
+// possiblySent returns the number of open requests that were possibly sent, and by server the number of their attempts that possibly ran.
 func possiblySent(assembler *intent.Assembler) (openRequests int, attempts map[string]int) {
 	attempts = map[string]int{}
 	for _, e := range assembler.Incomplete() {
--- a/internal/proxy/lastgood.go
+++ b/internal/proxy/lastgood.go
@@ -13,9 +13,9 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-const lastGoodFileName = "last-good.cbor" // in the folder of the distribution
+const lastGoodFileName = "last-good.cbor" // in the directory of the distribution client
 
-// lastGoodFile keeps on disk the entries that hold in place of newer versions that cannot be used, so that they hold after a restart too.
+// lastGoodFile stores the last good versions of entries whose newer versions are invalid, so that they are in effect after a restart too.
 type lastGoodFile struct {
 	path string
 
@@ -23,7 +23,7 @@
 	lastWritten []byte
 }
 
-// openLastGood reads the file of a folder. One that cannot be read is an error, and counts as empty.
+// openLastGood reads the file in a directory. A missing file is empty. After an error the returned file is usable and treated as empty.
 func openLastGood(directory string) (*lastGoodFile, []distribution.Entry, error) {
 	f := &lastGoodFile{path: filepath.Join(directory, lastGoodFileName)}
 	text, err := os.ReadFile(f.path)
@@ -35,14 +35,14 @@
 	}
 	var entries []distribution.Entry
 	if err := cbor.Unmarshal(text, &entries); err != nil {
-		return f, nil, fmt.Errorf("%s cannot be read: %w", f.path, err)
+		return f, nil, fmt.Errorf("decode %s: %w", f.path, err)
 	}
 	entries = slices.DeleteFunc(entries, func(e distribution.Entry) bool { return e.Validate() != nil || e.Deleted })
 	f.lastWritten = text
 	return f, entries, nil
 }
 
-// replace replaces the entries on disk in one step, where they have changed.
+// replace atomically replaces the entries on disk if they have changed. Without entries it removes the file.
 func (f *lastGoodFile) replace(entries []distribution.Entry) error {
 	slices.SortFunc(entries, func(a, b distribution.Entry) int { return distribution.CompareKeys(a.Key, b.Key) })
 	f.mu.Lock()
@@ -68,11 +68,11 @@
 	return nil
 }
 
-// restoreLastGood takes over the entries that held before the start.
+// restoreLastGood puts the stored last good entries in effect again.
 func (a *distributionApplier) restoreLastGood(entries []distribution.Entry) {
 	for _, e := range entries {
 		if e.Key.Kind == distribution.KindTenant {
-			a.tenantsInForce[e.Key] = e
+			a.effectiveTenants[e.Key] = e
 			continue
 		}
 		if fragment, err := parseFragment(e); err == nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// saveLastGood writes the entries that hold in place of newer versions.
+// saveLastGood stores the entries that are in effect in place of invalid newer versions.
 func (a *distributionApplier) saveLastGood() {
 	if a.lastGood == nil {
 		return
@@ -94,7 +94,7 @@
 		}
 	}
 	for key := range a.rejectedTenants {
-		if e, isInForce := a.tenantsInForce[key]; isInForce {
+		if e, isEffective := a.effectiveTenants[key]; isEffective {
 			entries = append(entries, e)
 		}
 	}
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -9,18 +9,19 @@
 	"fernvane/internal/protocol/sockpeek"
 )
 
-const acceptRetryInterval = 5 * time.Millisecond // after an accept that failed for want of resources
+const acceptRetryInterval = 5 * time.Millisecond // after an accept that failed for lack of system resources
 
-// accept accepts connections and serves each on a goroutine of its own, until the node stops and none has come for acceptQuietDuration.
-// A connection in the system's queue may hold a request already, so the listener is closed only behind a look into the queue.
+// accept accepts connections and serves each on its own goroutine, until the node drains and no connection has arrived for
+// acceptQuietDuration. A connection in the accept queue of the operating system may carry a request already, so the queue is checked
+// before the listener is closed.
 func (s *Server) accept(ln *net.TCPListener, serveConn func(*net.TCPConn)) error {
 	quietDuration := acceptQuietDuration + s.cfg.shutdownDelays.extraQuiet
-	var quietSince time.Time // the last connection, or the begin of the closing; zero before that
+	var quietSince time.Time // time of the last connection, or of the start of the closing; zero before the first connection
 	for {
 		s.dispatcher.AcquireClientDescriptor()
 		isClosing := s.isListenerClosing.Load()
 		if isClosing {
-			if time.Now().After(s.acceptUntil) {
+			if time.Now().After(s.acceptDeadline) {
 				return ln.Close()
 			}
 			if quietSince.IsZero() {
@@ -30,7 +31,7 @@
 		}
 		tcp, err := ln.AcceptTCP()
 		isQuiet := isClosing && errors.Is(err, os.ErrDeadlineExceeded) && time.Since(quietSince) >= quietDuration
-		if isQuiet { // the deadline may have passed with a connection in the queue
+		if isQuiet { // the deadline may have passed while a connection was in the queue
 			tcp, err = sockpeek.AcceptQueued(ln)
 		}
 		if err == nil {
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -22,7 +22,7 @@
 	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.dispatcher.Stop()
 	s.cfg.shutdownDelays.extraQuiet = -acceptQuietDuration // each deadline has passed
-	s.acceptUntil = time.Now().Add(time.Minute)
+	s.acceptDeadline = time.Now().Add(time.Minute)
 	s.isListenerClosing.Store(true)
 	dial(t, ln.Addr().String())
 	led := make(chan struct{}, 1)
@@ -61,7 +61,7 @@
 			t.Fatal(err)
 		}
 		defer ln.Close()
-		l.cfg.shutdownDelays.extraQuiet, l.acceptUntil = -acceptQuietDuration, time.Now().Add(time.Minute) // each deadline has passed
+		l.cfg.shutdownDelays.extraQuiet, l.acceptDeadline = -acceptQuietDuration, time.Now().Add(time.Minute) // each deadline has passed
 		l.isListenerClosing.Store(closing)
 		dial(t, ln.Addr().String())
 		got := make(chan bool, 1)
--- a/internal/proxy/loadconfig.go
+++ b/internal/proxy/loadconfig.go
@@ -16,20 +16,20 @@
 	"fernvane/internal/route"
 )
 
-const reservedPeerSockets = 64 // of a node's descriptors, for other nodes and what is replicated for them
+const reservedPeerSockets = 64 // descriptors of a node for connections to its peers and for the replicas that it stores for them
 
-// LoadConfig reads a node's configuration from a file of the platform, and from each further file that the environment names. Variables
-// of the environment go before what the file says of the same. An error says which file cannot be used and why.
+// LoadConfig loads a node's configuration from the platform's file at path and from each further file named by an environment variable.
+// Environment variables take precedence over the same settings of the platform's file. An error names the invalid file and the reason.
 func LoadConfig(path string, getenv func(string) string) (Config, error) {
 	c, err := readConfig(path, getenv)
 	if err == nil {
-		err = c.loadParts()
+		err = c.loadEnvironmentFiles()
 	}
 	return c, err
 }
 
-// loadParts reads the files that the environment names, up to the first that cannot be used.
-func (c *Config) loadParts() (err error) {
+// loadEnvironmentFiles loads the files that environment variables name, up to the first invalid one.
+func (c *Config) loadEnvironmentFiles() (err error) {
 	load := func(variable string, read func(path string) error) {
 		if path := c.getenv(variable); err == nil && path != "" {
 			err = read(path)
@@ -42,7 +42,7 @@
 	load("PROXY_BINDINGS", func(path string) (err error) { c.Journal, err = wal.LoadConfig(path); return err })
 	load("PROXY_PEERS", c.loadPeers)
 	if err == nil && c.Journal != nil && c.Journal.Promise == wal.PromiseMachines && c.Peers == nil {
-		err = errors.New("the promise machines needs other nodes to hold what is kept: name them with --peers FILE")
+		err = errors.New("journal promise \"machines\" requires other nodes as replica holders: name them with --peers FILE")
 	}
 	load("PROXY_DISTRIBUTION", c.loadDistribution)
 	load("PROXY_WATCH", c.loadShadow)
@@ -63,11 +63,11 @@
 	return err
 }
 
-// checkSingleListSource refuses a distribution beside another part that tells the node of servers or keeps their list.
+// checkSingleListSource returns an error if the distribution is combined with another source or store of the endpoint list.
 func (c *Config) checkSingleListSource() error {
 	for name, isOn := range map[string]bool{"registry": c.Registry != nil, "planners": c.Planners != nil, "snapshot": c.Snapshot != nil} {
 		if isOn {
-			return fmt.Errorf("--distribution brings the list of servers and keeps it: it does not go with --%s", name)
+			return fmt.Errorf("--distribution supplies and stores the endpoint list: not allowed together with --%s", name)
 		}
 	}
 	return nil
@@ -81,7 +81,8 @@
 	return err
 }
 
-// readShadowSettings reads the settings whose decisions are compared with those of a node's own.
+// readShadowSettings reads the settings whose decisions are compared with those of the node's own settings, and checks that both are
+// compatible.
 func readShadowSettings(path string, own *settings.Settings) (*settings.Settings, error) {
 	s, err := ReadSettings(path)
 	if err != nil {
@@ -93,8 +94,8 @@
 	return &s, nil
 }
 
-// Reload reads the platform's file again. The environment is that of the start, so an address of discovery goes before it that the file
-// has come to name since then.
+// Reload reads the platform's file again. The environment variables are those of the start. A discovery address that has changed in the
+// file since then therefore takes precedence over PROXY_DISCOVERY.
 func (c Config) Reload() (Config, error) {
 	next, err := readConfig(c.path, c.getenv)
 	if err != nil {
--- a/internal/proxy/logger.go
+++ b/internal/proxy/logger.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	maxLogLinesPerInterval = 50 // of each level; lines beyond are left out and not counted
+	maxLogLinesPerInterval = 50 // per level; further lines are dropped without a count
 	logInterval            = time.Second
-	maxQueuedLogLines      = 256                    // for a slow reader; then the oldest are overwritten and counted
-	logFlushTimeout        = 100 * time.Millisecond // so that a stop does not wait for the reader of the log
+	maxQueuedLogLines      = 256                    // if the reader is slow; beyond that the oldest lines are dropped and counted
+	logFlushTimeout        = 100 * time.Millisecond // so that a shutdown does not wait for the reader of the log
 )
 
-// NewLogger returns a logger that never waits for w, and the function that writes out what is queued at the end.
+// NewLogger returns a logger that never blocks on w, and a function that flushes the queued lines at the end, for logFlushTimeout at most.
 func NewLogger(w io.Writer, level zerolog.Level) (zerolog.Logger, func()) {
 	var log zerolog.Logger
 	out := diode.NewWriter(w, maxQueuedLogLines, 0, func(missed int) {
--- a/internal/proxy/partfailure_test.go
+++ b/internal/proxy/partfailure_test.go
@@ -45,7 +45,7 @@
 	}
 	log, stop, done := &syncBuffer{}, make(chan struct{}), make(chan error, 1)
 	go func() { done <- run(Signals{Stop: stop}, cfg, zerolog.New(log), ln.(*net.TCPListener)) }()
-	await(t, "log line of the part", func() bool { return strings.Contains(log.String(), "part failed") })
+	await(t, "log line of the part", func() bool { return strings.Contains(log.String(), "component failed") })
 	kept := dial(t, ln.Addr().String())
 	if r := get(t, kept, "/check/1"); r.Status != 200 || r.Close {
 		t.Errorf("answered %d, close %v", r.Status, r.Close)
--- a/internal/proxy/plannerclient.go
+++ b/internal/proxy/plannerclient.go
@@ -17,69 +17,69 @@
 )
 
 const (
-	stepInterval         = 250 * time.Millisecond // between two looks at plans
-	stepsPerReport       = 2                      // a report each half second
-	maxNewerIncarnations = 64                     // in a report, of those that the planner does not know yet
-	plannerStartTimeout  = time.Second            // for a first endpoint from a planner, until discovery is polled
+	planUpdateInterval   = 250 * time.Millisecond // between two updates of the plan in effect
+	planUpdatesPerReport = 2                      // one report every 500 ms
+	maxNewerIncarnations = 64                     // incarnations per report that the planner does not know yet
+	plannerStartTimeout  = time.Second            // without any endpoint from a planner, until discovery is polled
 )
 
-// plannerClient follows planners: it sends them reports of what the node's requests met, and has the dispatcher follow the freshest plan. No
-// request waits for it. While no plan is fresh it says that discovery is needed.
+// plannerClient follows planners: it sends them reports about the node's requests and applies the freshest plan to the dispatcher. No request
+// waits for it. While no plan is fresh, it reports that discovery is needed.
 type plannerClient struct {
 	cfg           *planconfig.Forwarder
 	nodeName      string
 	dispatcher    *dispatch.Dispatcher
-	endpointCache *endpointCache // nil: no list is kept on disk
+	endpointCache *endpointCache // nil: no list is stored on disk
 	logger        zerolog.Logger
 
-	mu                sync.Mutex // never held over a socket; may be held while the dispatcher's lock is taken
+	mu                sync.Mutex // not held during socket I/O; may be held while the dispatcher's lock is acquired
 	follower          *planfollower.Follower
 	incarnations      *incarnation.Table
-	sources           []plannerState // one for each planner
-	discoveryNeeded   chan struct{}  // closed while discovery is to be polled
+	planners          []plannerState // one per planner
+	discoveryNeeded   chan struct{}  // closed while discovery must be polled
 	isDiscoveryNeeded bool           // discoveryNeeded is closed
 	hasAppliedPlan    bool           // the dispatcher follows a plan
-	isListSuspect     bool           // the list of the start is a cached one that no source has confirmed yet
+	isListSuspect     bool           // the initial list is a cached one that no source has confirmed yet
 	followedPlanner   int            // -1: none
 }
 
-// plannerState is what is known of one planner's connection.
+// plannerState is the state of the connection to one planner.
 type plannerState struct {
-	announced map[string]incarnation.Entry // as the planner has announced them on this connection
-	plan      plan.Plan                    // with all changes of this connection
-	reports   chan plan.Report             // the next to be sent
+	announced map[string]incarnation.Entry // that the planner has announced on this connection
+	plan      plan.Plan                    // with all changes received on this connection
+	reports   chan plan.Report             // the next report to send
 }
 
-// newPlannerClient has the dispatcher collect reports. Its own name says at which moment a node polls discovery when planners are lost, so
-// that nodes do not poll together.
+// newPlannerClient creates the client and makes the dispatcher collect reports. When planners are lost, nodes poll discovery with a jitter
+// that depends on the node's name, so that they do not poll at the same time.
 func newPlannerClient(cfg *planconfig.Forwarder, nodeName string, d *dispatch.Dispatcher, configuredNodes int, log zerolog.Logger) *plannerClient {
 	jitter := float64(crc32.ChecksumIEEE([]byte(nodeName))) / (1 << 32)
 	p := &plannerClient{cfg: cfg, nodeName: nodeName, dispatcher: d, logger: log, incarnations: incarnation.NewTable(),
 		discoveryNeeded: make(chan struct{}), followedPlanner: -1}
 	p.follower = planfollower.New(planfollower.Options{PlannerCount: len(cfg.Addresses), ConfiguredNodes: configuredNodes, PollJitter: jitter})
 	for range cfg.Addresses {
-		p.sources = append(p.sources, plannerState{announced: map[string]incarnation.Entry{}, reports: make(chan plan.Report, 1)})
+		p.planners = append(p.planners, plannerState{announced: map[string]incarnation.Entry{}, reports: make(chan plan.Report, 1)})
 	}
 	d.EnableReports()
 	return p
 }
 
-// run keeps the connections and follows plans until the node ends.
+// run maintains the connections and follows plans until ctx has ended.
 func (p *plannerClient) run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for i, address := range p.cfg.Addresses {
-		g.Go(func() error { p.keepConnected(ctx, i, address); return nil })
+		g.Go(func() error { p.maintainConnection(ctx, i, address); return nil })
 	}
 	g.Go(func() error {
-		tick := time.NewTicker(stepInterval)
+		tick := time.NewTicker(planUpdateInterval)
 		defer tick.Stop()
 		for n := 1; ; n++ {
 			select {
 			case <-ctx.Done():
 				return nil
 			case <-tick.C:
-				p.step()
-				if n%stepsPerReport == 0 {
+				p.updatePlan()
+				if n%planUpdatesPerReport == 0 {
 					p.queueReports()
 				}
 			}
@@ -88,8 +88,8 @@
 	return g.Wait()
 }
 
-// step has the dispatcher follow the plan that holds now, and says whether discovery is needed.
-func (p *plannerClient) step() {
+// updatePlan applies the plan in effect to the dispatcher and updates whether discovery is needed.
+func (p *plannerClient) updatePlan() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.dispatcher.Now()
@@ -117,7 +117,7 @@
 	p.dispatcher.ApplyPlan(e.Nodes, e.AdmittedShare, withinAllowance, e.Servers)
 }
 
-// setDiscoveryNeeded wakes those who wait until discovery is needed, or has them wait again. mu is held.
+// setDiscoveryNeeded sets whether discovery must be polled, and wakes the goroutine that waits for it. The caller holds mu.
 func (p *plannerClient) setDiscoveryNeeded(isNeeded bool, planAge time.Duration) {
 	if isNeeded == p.isDiscoveryNeeded {
 		return
@@ -128,18 +128,18 @@
 		p.logger.Warn().Dur("plan_age", planAge).Msg("no list or fresh plan from planners, polling discovery")
 	} else {
 		p.discoveryNeeded = make(chan struct{})
-		p.logger.Info().Msg("planners send the list again, not polling discovery")
+		p.logger.Info().Msg("planners available again, not polling discovery")
 	}
 }
 
-// queueReports hands a report to each planner's connection, in place of one that was not sent yet.
+// queueReports queues a report for each planner. It replaces a report that was not sent yet.
 func (p *plannerClient) queueReports() {
 	r := p.dispatcher.Report()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r.CurrentShares = p.follower.CurrentShares()
-	for i := range p.sources {
-		s := &p.sources[i]
+	for i := range p.planners {
+		s := &p.planners[i]
 		report := r
 		report.NewerIncarnations = p.incarnations.NewerThan(s.announced, maxNewerIncarnations)
 		select {
@@ -150,15 +150,15 @@
 	}
 }
 
-// needsDiscovery reports whether discovery is to be polled now.
+// needsDiscovery reports whether discovery must be polled now.
 func (p *plannerClient) needsDiscovery() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.isDiscoveryNeeded
 }
 
-// awaitDiscoveryNeeded returns when discovery is to be polled, with the latest revision that planners have announced. ok is false when ctx
-// has ended before.
+// awaitDiscoveryNeeded returns when discovery must be polled, with the latest revision that planners have announced. ok is false if ctx has
+// ended before.
 func (p *plannerClient) awaitDiscoveryNeeded(ctx context.Context) (revision uint64, ok bool) {
 	p.mu.Lock()
 	needed := p.discoveryNeeded
--- a/internal/proxy/plannerconn.go
+++ b/internal/proxy/plannerconn.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	plannerDialTimeout    = time.Second            // for a connection to a planner, its TLS and its handshake
-	plannerSilenceTimeout = 3 * time.Second        // without a frame, until a planner's connection is ended
-	initialRedialBackoff  = 200 * time.Millisecond // doubles, with a jitter of half
+	plannerDialTimeout    = time.Second            // for the connect to a planner, with the TLS and planner handshakes
+	plannerSilenceTimeout = 3 * time.Second        // without a frame, until the connection to a planner is closed
+	initialRedialBackoff  = 200 * time.Millisecond // doubles with each redial, with a jitter of 50 %
 	maxRedialBackoff      = 3 * time.Second
 )
 
-// keepConnected keeps a connection to planner i until the node ends.
-func (p *plannerClient) keepConnected(ctx context.Context, i int, address netip.AddrPort) {
+// maintainConnection maintains a connection to planner i until ctx has ended.
+func (p *plannerClient) maintainConnection(ctx context.Context, i int, address netip.AddrPort) {
 	backoff := initialRedialBackoff
 	for ctx.Err() == nil {
 		startedAt := time.Now()
@@ -46,7 +46,7 @@
 	}
 }
 
-// runConnection connects to planner i and returns why the connection has ended.
+// runConnection connects to planner i, and runs the connection until it fails. It returns the cause.
 func (p *plannerClient) runConnection(ctx context.Context, i int, address netip.AddrPort) error {
 	deadline := time.Now().Add(plannerDialTimeout)
 	dialer := net.Dialer{Deadline: deadline}
@@ -68,7 +68,7 @@
 		return err
 	}
 	p.mu.Lock()
-	p.sources[i].announced, p.sources[i].plan = map[string]incarnation.Entry{}, plan.Plan{}
+	p.planners[i].announced, p.planners[i].plan = map[string]incarnation.Entry{}, plan.Plan{}
 	p.mu.Unlock()
 	p.logger.Info().Int("planner", i).Stringer("at", address).Msg("planner connected")
 	ended := make(chan struct{})
@@ -79,13 +79,13 @@
 	return errors.Join(err, sending.Wait())
 }
 
-// sendReports sends queued reports until ended is closed. Where it fails it closes the connection, so that receive returns too.
+// sendReports sends queued reports until ended is closed. If a send fails, it closes the connection, so that receive returns too.
 func (p *plannerClient) sendReports(c *planwire.Conn, i int, nc net.Conn, ended <-chan struct{}) error {
 	for {
 		select {
 		case <-ended:
 			return nil
-		case r := <-p.sources[i].reports:
+		case r := <-p.planners[i].reports:
 			if err := c.Send(planwire.ReportKind, r); err != nil {
 				nc.Close()
 				return err
@@ -94,7 +94,8 @@
 	}
 }
 
-// receive applies planner i's changes until the connection fails or either side refuses the other. The texts of refusals go to the planner.
+// receive applies the changes of planner i until the connection fails or one side rejects the other. The error texts of rejections are sent
+// to the planner.
 func (p *plannerClient) receive(c *planwire.Conn, i int) error {
 	for {
 		kind, body, err := c.Receive(time.Now().Add(plannerSilenceTimeout))
@@ -107,15 +108,15 @@
 			if err := planwire.Decode(body, &r); err != nil {
 				return err
 			}
-			return fmt.Errorf("refused by the planner: %.200s", r.Reason)
+			return fmt.Errorf("connection rejected by planner: %.200s", r.Reason)
 		case planwire.ChangeKind:
 			var change plan.Change
 			if err := planwire.Decode(body, &change); err != nil {
-				return c.Reject(fmt.Errorf("a plan that cannot be read: %w", err))
+				return c.Reject(fmt.Errorf("decode plan change: %w", err))
 			}
 			p.applyChange(i, change)
 		default:
-			return c.Reject(fmt.Errorf("a frame of kind %d from a planner", kind))
+			return c.Reject(fmt.Errorf("unexpected frame of kind %d from planner", kind))
 		}
 	}
 }
--- a/internal/proxy/plannerendpoints.go
+++ b/internal/proxy/plannerendpoints.go
@@ -10,11 +10,11 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// applyChange applies a change of planner i: its servers' incarnations at once, its plan by the follower's rules.
+// applyChange applies a change of planner i. Incarnations of servers take effect immediately; the follower decides when the plan does.
 func (p *plannerClient) applyChange(i int, change plan.Change) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s, now := &p.sources[i], p.dispatcher.Now()
+	s, now := &p.planners[i], p.dispatcher.Now()
 	for _, e := range change.Incarnations {
 		s.announced[e.ID] = e
 	}
@@ -25,8 +25,9 @@
 	p.follower.PlanReceived(now, i, s.plan)
 }
 
-// applyIncarnations hands over the servers that have changed. mu is held, so that they arrive in order. The first after a cached list
-// confirm it; all known servers are handed over then, for the dispatcher was not given those that had left before the start.
+// applyIncarnations applies changed servers to the dispatcher. The caller holds mu, so that changes are applied in order. The first change
+// after a cached list confirms that list. All known servers are applied then, because the dispatcher has not received the servers that had
+// left before the start.
 func (p *plannerClient) applyIncarnations(changed []incarnation.Entry) {
 	if p.isListSuspect {
 		p.isListSuspect, changed = false, p.incarnations.All()
@@ -44,15 +45,15 @@
 	p.dispatcher.ApplyList(l, endpoints.SourcePlanners)
 }
 
-// applyDiscoveryList applies what discovery has announced while it was polled in place of planners.
+// applyDiscoveryList applies a list of discovery that was polled in place of planners.
 func (p *plannerClient) applyDiscoveryList(l http1.EndpointList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.applyIncarnations(p.incarnations.ApplyDiscovery(p.dispatcher.Now(), watch.EntriesFromList(l), l.Complete))
 }
 
-// applySavedList takes over the list of the start. Of a suspect one, only servers that had left are taken over: what planners announce of
-// the others is a change then, which confirms the list, and no report announces servers to planners that no source has confirmed.
+// applySavedList adds the initial list to the known incarnations. From a suspect list it adds only servers that had left: an announcement of
+// any other server by a planner is then a change, which confirms the list, and reports do not announce unconfirmed servers to planners.
 func (p *plannerClient) applySavedList(l http1.EndpointList, isSuspect bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/registry.go
+++ b/internal/proxy/registry.go
@@ -9,7 +9,7 @@
 	"fernvane/internal/discovery/zookeeper"
 )
 
-// followRegistry follows a registry in place of discovery until the node ends.
+// followRegistry follows a registry in place of discovery until the node stops.
 func (s *Server) followRegistry(ctx context.Context) error {
 	return zookeeper.Follow(ctx, s.cfg.Registry, zookeeper.Listener{
 		Now: s.dispatcher.Now, Observations: s.dispatcher.Observations(),
@@ -25,14 +25,14 @@
 	})
 }
 
-// applyRegistryChange hands over what has changed in the registry. The first change is its whole list: what a saved list has beside it was
-// removed meanwhile.
+// applyRegistryChange applies servers that have changed in the registry. The first change is the complete list: servers of a saved list that
+// it lacks were removed while the node did not run.
 func (s *Server) applyRegistryChange(changed []incarnation.Entry, isFirst bool) {
 	l := watch.ListFromEntries(changed)
 	l.Complete = isFirst
 	s.logSkippedEntries(l)
 	if s.endpointCache != nil {
-		l, _ = s.endpointCache.confirm(l, endpoints.SourceRegistry) // an incomplete list is held back by the registry's own endpoint set
+		l, _ = s.endpointCache.confirm(l, endpoints.SourceRegistry) // the registry's endpoint set withholds lists that lack most servers
 	}
 	s.dispatcher.ApplyList(l, endpoints.SourceRegistry)
 	s.logger.Info().Int("entries", len(changed)).Msg("endpoint list updated")
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -10,9 +10,9 @@
 	"fernvane/internal/route"
 )
 
-// reloadOnSignal reads the platform's file, the operator's file and the shadow settings again on each signal, until the node ends. All other
-// files wait for a restart. A file that cannot be used is logged and
-// leaves what it says as it was. Changes that a running node cannot take up are logged too.
+// reloadOnSignal reloads the platform's file, the operator's file and the shadow settings on each signal, until the node stops. Changes to
+// all other files take effect with a restart. If a file is invalid, the error is logged and the previous contents stay in effect. Changes
+// that a running node cannot apply are logged too.
 func (s *Server) reloadOnSignal(ctx context.Context, signals <-chan os.Signal) error {
 	cfg := s.cfg
 	for {
@@ -39,7 +39,7 @@
 	}
 }
 
-// reloadShadow reads the settings again that are compared with the node's own.
+// reloadShadow reloads the settings whose decisions are compared with those of the node's own settings.
 func (s *Server) reloadShadow() {
 	if s.cfg.Shadow == nil {
 		return
@@ -53,7 +53,7 @@
 	s.logger.Info().Msg("watched settings reloaded")
 }
 
-// reloadRoutes reads the operator's file again, against the settings that the node runs under.
+// reloadRoutes reloads the operator's file and checks it against the settings in effect.
 func (s *Server) reloadRoutes() {
 	if s.cfg.OperatorFile == "" {
 		return
@@ -77,7 +77,8 @@
 	}
 }
 
-// changedKeys names the keys of the platform's file, but for seed and known, whose new values a running node does not take up.
+// changedKeys returns the keys of the platform's file that have changed and that a running node does not apply. The keys seed and known are
+// not compared.
 func (c Config) changedKeys(next Config) (keys []string) {
 	for _, k := range []struct {
 		key    string
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -10,12 +10,12 @@
 	"fernvane/internal/proxy/dispatch"
 )
 
-// errClientDisconnected ends the serving of a request whose client has gone: nobody is there to be answered.
-var errClientDisconnected = errors.New("the client has left")
+// errClientDisconnected reports that the client of a request has disconnected: the request gets no answer.
+var errClientDisconnected = errors.New("client disconnected")
 
-// serveRequest serves one request, from when it was received whole to its one answer. It runs on a goroutine of its connection, or of
-// the request where requests share one. A *message.RequestError is a request that is to be rejected with its status, and
-// errClientDisconnected one that gets no answer; any other error is that of the write.
+// serveRequest serves one request that was received completely, until its only answer is sent. It runs on the goroutine of the connection,
+// or of the request if requests share the connection. It returns a *message.RequestError if the caller must reject the request with the
+// status of the error, errClientDisconnected if the request gets no answer, and any other error if the answer could not be written.
 func (s *Server) serveRequest(conn clientConn, req *message.Request, receivedAt time.Time) error {
 	info, err := req.Info()
 	if err != nil {
@@ -37,7 +37,7 @@
 	for {
 		d := request.NextDecision(cancel)
 		if d.Action != dispatch.SendAttempt {
-			stopWatching() // before the answer: what the client sends after it is its next request, for the connection's reader
+			stopWatching() // before the answer: the client may send its next request after it, which belongs to the reader of the connection
 			return s.answerRequest(conn, f, d, last)
 		}
 		var answer []byte
@@ -46,7 +46,8 @@
 	}
 }
 
-// answerUnsubmitted answers a request that the dispatcher was not given or did not take, or returns the error that its caller answers.
+// answerUnsubmitted answers a request that was not submitted or that the dispatcher did not accept. It returns the errors that the caller
+// answers.
 func (s *Server) answerUnsubmitted(conn clientConn, req *message.Request, err error) error {
 	switch {
 	case errors.Is(err, errUnknownType):
@@ -62,7 +63,7 @@
 	return err
 }
 
-// answerRequest carries out the decision that settles a request. last is how its last attempt ended.
+// answerRequest executes the final decision on a request. last is the result of its last attempt.
 func (s *Server) answerRequest(conn clientConn, f *forwarding, d dispatch.Decision, last dispatch.AttemptResult) error {
 	var err error
 	outcome := outcomeResponded
@@ -74,7 +75,7 @@
 		err = sendAnswer(conn, message.Answer{Status: 503, RetryAfter: d.Duration})
 	case dispatch.Fail:
 		outcome = outcomeFailed
-		if d.Answer != nil { // a server's own words about a fault of the request
+		if d.Answer != nil { // a server's response that reports a fault of the request
 			err = conn.SendAnswer(d.Answer)
 		} else {
 			err = sendAnswer(conn, message.Answer{Status: failureStatus(last)})
@@ -87,7 +88,7 @@
 	return err
 }
 
-// failureStatus is the status of a request that failed with unknown effect.
+// failureStatus returns the status for a request that failed and may have been executed. last is the result of its last attempt.
 func failureStatus(last dispatch.AttemptResult) int {
 	if last == dispatch.ResponseTimeout {
 		return 504
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -19,11 +19,12 @@
 	"fernvane/internal/proxy/dispatch"
 )
 
-// memoryLimitShare is the share of the memory limit that the garbage collector keeps to; the rest is its slack.
+// memoryLimitShare is the share of the memory limit that is set as the limit of the garbage collector. The rest is headroom, since the
+// collector may exceed its limit.
 const memoryLimitShare = 0.75
 
-// Server is a running node. Its parts are set before its goroutines start; nil parts are off. drain sets the three times of a shutdown
-// before isDraining.
+// Server is a running node. Its components are set before its goroutines start; nil components are disabled. drain sets the three times of a
+// shutdown before isDraining.
 type Server struct {
 	cfg             Config
 	logger          zerolog.Logger
@@ -36,20 +37,21 @@
 	distribution    *distributionApplier
 	dialer          net.Dialer
 	startedAt       time.Time
-	clientTasks     errgroup.Group // one for each connection, each request that shares one, and each hedged request
+	clientTasks     errgroup.Group // one per HTTP connection, per FastCGI connection, per FastCGI request, and per hedged request
 
-	// The steps of a shutdown, in their order. The times are set before isDraining.
+	// Steps of a shutdown, in order. The times are set before isDraining.
 
-	isDraining         atomic.Bool // answers end their connections
-	isListenerClosing  atomic.Bool // listening ends as soon as no connection comes
-	rejectsNewRequests atomic.Bool // connections that requests share admit none any more
-	acceptUntil        time.Time   // when listening ends at the latest
-	answerBy           time.Time   // deadline of requests that are accepted while the node drains, for it may be killed then
-	endBy              time.Time   // Run returns by then, whatever is still open
+	isDraining         atomic.Bool // each answer closes its connection
+	isListenerClosing  atomic.Bool // each listener closes once no more connections arrive
+	rejectsNewRequests atomic.Bool // FastCGI connections admit no more requests
+	acceptDeadline     time.Time   // the listeners close by then, even if connections still arrive
+	answerDeadline     time.Time   // deadline of requests accepted while draining, because the platform may kill the node then
+	shutdownDeadline   time.Time   // Run returns by then, even if connections are still open
 }
 
-// Run serves until it is told to stop, and then until what was accepted is answered or endBy has passed. It returns why it could not serve, and
-// peer.ErrReplaced where another process of the same name took its place.
+// Run serves requests until signals.Stop is closed, and then until all accepted requests are answered or the shutdown deadline has passed.
+// It returns an error if the node cannot start or accept connections, and peer.ErrReplaced if another process with the same node name has
+// replaced this one.
 func Run(signals Signals, cfg Config, log zerolog.Logger) error {
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
@@ -62,7 +64,7 @@
 	return run(signals, cfg, log, ln)
 }
 
-// run is Run on a listener, which it closes.
+// run implements Run on an open listener, which it closes.
 func run(signals Signals, cfg Config, log zerolog.Logger, ln *net.TCPListener) error {
 	defer ln.Close()
 	s := &Server{cfg: cfg, logger: log, startedAt: time.Now()}
@@ -70,7 +72,7 @@
 	defer s.dispatcher.Stop()
 	var replaced <-chan struct{}
 	if cfg.Peers != nil {
-		leave, err := s.joinTier()
+		leave, err := s.joinCluster()
 		if err != nil {
 			return err
 		}
@@ -96,21 +98,21 @@
 	return s.serve(signals, replaced, ln, fastcgiListener)
 }
 
-// startJournal opens the journal where the node keeps one. A node of a tier without a journal joins the tier all the same, and holds replicas
-// of the other nodes' records.
+// startJournal opens the journal if one is configured. A cluster member without a journal joins the cluster too, and stores replicas of the
+// other nodes' records.
 func (s *Server) startJournal() (err error) {
 	if s.cfg.Journal != nil {
 		s.journal, err = openJournal(s.cfg, s.logger, s.peers)
 		return err
 	}
 	if s.peers != nil {
-		s.peers.Join(context.Background(), tierJoinTimeout)
+		s.peers.Join(context.Background(), clusterJoinTimeout)
 		s.peers.StartJournal("", false)
 	}
 	return nil
 }
 
-// startSources makes the parts that bring servers, routes and quotas, before any of them runs.
+// startSources creates the components that supply servers, routes and quotas. None of them runs yet.
 func (s *Server) startSources() (err error) {
 	s.discoveryTarget.Store(watch.NewTarget(s.cfg.Discovery))
 	if s.cfg.Planners != nil {
@@ -137,44 +139,45 @@
 	return err
 }
 
-// runPart runs a part of the node until the node ends. A part that fails is logged, and the node serves on with what it knows.
-func (s *Server) runPart(ctx context.Context, name string, run func(context.Context) error) {
+// runComponent runs a component until the node stops. If the component fails, its error is logged and the node continues to serve with the
+// state that it has.
+func (s *Server) runComponent(ctx context.Context, name string, run func(context.Context) error) {
 	if err := run(ctx); err != nil {
-		s.logger.Error().Err(err).Str("part", name).Msg("part failed")
+		s.logger.Error().Err(err).Str("part", name).Msg("component failed")
 	}
 }
 
-// serve runs all parts until the node is told to stop. The error is why it could not accept connections, or peer.ErrReplaced.
+// serve runs all components until the shutdown is complete. It returns an error if connections cannot be accepted, or peer.ErrReplaced.
 func (s *Server) serve(signals Signals, replaced <-chan struct{}, ln, fastcgiListener *net.TCPListener) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
-	startPart := func(name string, run func(context.Context) error) {
+	startComponent := func(name string, run func(context.Context) error) {
 		g.Go(func() error {
-			s.runPart(ctx, name, run)
+			s.runComponent(ctx, name, run)
 			return nil
 		})
 	}
 	if s.cfg.Registry != nil {
-		startPart("registry", s.followRegistry)
+		startComponent("registry", s.followRegistry)
 	} else {
-		startPart("discovery", s.followDiscovery)
+		startComponent("discovery", s.followDiscovery)
 	}
 	if s.planners != nil {
-		startPart("planners", s.planners.run)
+		startComponent("planners", s.planners.run)
 	}
 	if s.distribution != nil {
-		startPart("distribution", s.distribution.client.Run)
+		startComponent("distribution", s.distribution.client.Run)
 		s.distribution.awaitStart(ctx, signals.Stop)
 	}
 	if s.endpointCache != nil {
-		startPart("endpoint cache evaluation", s.endpointCache.evaluate)
-		startPart("endpoint cache writer", s.endpointCache.writePeriodically)
+		startComponent("endpoint cache evaluation", s.endpointCache.evaluate)
+		startComponent("endpoint cache writer", s.endpointCache.writePeriodically)
 	}
 	s.logger.Info().Str("node", s.cfg.Name).Stringer("listen", s.cfg.Listen).Int("connections", s.cfg.Limits.MaxConnections()).
 		Int("servers", len(s.cfg.SavedList.Hosts)).Msg("serving")
-	startPart("counts", s.logCounts)
-	startPart("reload", func(ctx context.Context) error { return s.reloadOnSignal(ctx, signals.Reload) })
+	startComponent("counts", s.logCounts)
+	startComponent("reload", func(ctx context.Context) error { return s.reloadOnSignal(ctx, signals.Reload) })
 	g.Go(func() error {
 		defer cancel()
 		return s.acceptUntilDrained(ln, fastcgiListener)
@@ -183,7 +186,8 @@
 	return g.Wait()
 }
 
-// acceptUntilDrained accepts connections until the node stops, and returns when what was accepted is answered or endBy has passed.
+// acceptUntilDrained accepts connections until the listeners are closed, and returns when all accepted requests are answered or
+// shutdownDeadline has passed.
 func (s *Server) acceptUntilDrained(ln, fastcgiListener *net.TCPListener) error {
 	listeners := errgroup.Group{}
 	listeners.Go(func() error { return s.accept(ln, s.serveHTTPConn) })
@@ -200,8 +204,8 @@
 	return nil
 }
 
-// joinTier makes the node a member of its tier, until leave is called.
-func (s *Server) joinTier() (leave func(), err error) {
+// joinCluster starts the connections to the other nodes of the cluster. leave announces that the node leaves and closes the connections.
+func (s *Server) joinCluster() (leave func(), err error) {
 	if s.peers, err = peer.New(s.cfg.Peers, s.cfg.Name, s.cfg.Filesystem, s.logger); err != nil {
 		return nil, err
 	}
@@ -217,7 +221,7 @@
 	}, nil
 }
 
-// applyInitialList hands over the list that this node last had, from the configuration or from its own disk.
+// applyInitialList applies the last known endpoint list, from the configuration or from the endpoint cache.
 func (s *Server) applyInitialList() {
 	if s.cfg.SavedListErr != nil {
 		s.logger.Warn().Err(s.cfg.SavedListErr).Msg("saved endpoint list unreadable")
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	arrivalDuration     = 600 * time.Millisecond // new connections come for up to 0.4 s after SIGTERM
-	acceptQuietDuration = 150 * time.Millisecond // without a new connection, after that, until listening ends
-	extraAcceptDuration = 500 * time.Millisecond // after that, if connections never cease
-	killGrace           = 700 * time.Millisecond // SIGKILL comes longestAbandonTime and this after SIGTERM
-	killMargin          = 200 * time.Millisecond // to be done before that
-	maxKillAbandonTime  = 3 * time.Second        // the most that an abandon time counts there
-	idleCloseInterval   = 10 * time.Millisecond  // between two checks for idle connections while the node ends
+	arrivalDuration     = 600 * time.Millisecond // clients open new connections for up to 0.4 s after SIGTERM
+	acceptQuietDuration = 150 * time.Millisecond // after arrivalDuration, without a new connection, until a listener closes
+	extraAcceptDuration = 500 * time.Millisecond // after arrivalDuration, until a listener closes although connections still arrive
+	killGrace           = 700 * time.Millisecond // the platform sends SIGKILL longestAbandonTime plus killGrace after SIGTERM
+	killMargin          = 200 * time.Millisecond // between the answer deadline and SIGKILL
+	maxKillAbandonTime  = 3 * time.Second        // upper bound of longestAbandonTime in the time of SIGKILL
+	idleCloseInterval   = 10 * time.Millisecond  // between two checks for idle connections during a shutdown
 )
 
-// awaitStop waits until the node is told to stop and drains it then. peer.ErrReplaced: another process of the same name took its place.
+// awaitStop waits until stop or replaced is closed, and drains the node then. It returns peer.ErrReplaced if another process with the same
+// node name has replaced this one.
 func (s *Server) awaitStop(ctx context.Context, stop, replaced <-chan struct{}, listeners ...*net.TCPListener) error {
 	select {
 	case <-stop:
@@ -31,17 +32,17 @@
 	return nil
 }
 
-// drain begins the stop. From then on all answers end their connections. It returns when new connections are not waited for any more, and
-// has each listener end once none has come for a while.
+// drain starts the shutdown. From then on each answer closes its connection. drain returns after the time in which clients may still open
+// connections; accept then closes each listener once no connection has arrived for acceptQuietDuration.
 func (s *Server) drain(listeners ...*net.TCPListener) {
 	s.logger.Info().Msg("stopping")
 	now := time.Now()
 	extra := s.cfg.shutdownDelays.extraTime
-	s.acceptUntil = now.Add(arrivalDuration + extraAcceptDuration + extra)
-	s.answerBy = now.Add(min(s.longestAbandonTime(), maxKillAbandonTime) + killGrace - killMargin + extra)
-	s.endBy = now.Add(s.longestAbandonTime() + answerTimeout)
-	if s.endBy.Before(s.answerBy) {
-		s.endBy = s.answerBy
+	s.acceptDeadline = now.Add(arrivalDuration + extraAcceptDuration + extra)
+	s.answerDeadline = now.Add(min(s.longestAbandonTime(), maxKillAbandonTime) + killGrace - killMargin + extra)
+	s.shutdownDeadline = now.Add(s.longestAbandonTime() + answerTimeout)
+	if s.shutdownDeadline.Before(s.answerDeadline) {
+		s.shutdownDeadline = s.answerDeadline
 	}
 	s.isDraining.Store(true)
 	if await := s.cfg.shutdownDelays.awaitArrivals; await != nil {
@@ -57,8 +58,8 @@
 	}
 }
 
-// awaitClients closes idle connections and waits until those with requests have ended, until endBy at the latest. An
-// answer that is missing when the platform kills the node before that was not lost by a close of the node's.
+// awaitClients closes idle connections and waits for those with open requests to end, until shutdownDeadline at the latest. If the
+// platform kills the node earlier, answers are lost because of the kill and not because of a close by the node.
 func (s *Server) awaitClients() {
 	s.rejectsNewRequests.Store(true)
 	done := make(chan struct{})
@@ -68,7 +69,7 @@
 	}()
 	tick := time.NewTicker(idleCloseInterval)
 	defer tick.Stop()
-	for time.Now().Before(s.endBy) {
+	for time.Now().Before(s.shutdownDeadline) {
 		s.dispatcher.CloseIdleClients()
 		select {
 		case <-done:
@@ -80,7 +81,7 @@
 	s.logger.Warn().Msg("stopped with connections open")
 }
 
-// longestAbandonTime is the longest time after which clients of any traffic type give up.
+// longestAbandonTime returns the longest client timeout of all traffic types.
 func (s *Server) longestAbandonTime() time.Duration {
 	longest := time.Duration(0)
 	for _, t := range s.cfg.Settings.TrafficTypes {
--- a/internal/proxy/signals.go
+++ b/internal/proxy/signals.go
@@ -10,17 +10,17 @@
 	"github.com/rs/zerolog"
 )
 
-// Signals are what a node is told from outside: Reload has it read its configuration again, and the close of Stop has it stop.
+// Signals are the external requests to a node: a value on Reload makes it reload its configuration, and closing Stop shuts it down.
 type Signals struct {
 	Reload <-chan os.Signal
 	Stop   <-chan struct{}
 }
 
-// CatchSignals takes the process's signals from its first call on. It is called before the configuration is read: a process that does not
-// handle SIGHUP would be ended by a reload that is asked for meanwhile.
+// CatchSignals handles the signals of the process from its first call on. Call it before the configuration is read: without a handler, a
+// SIGHUP that requests a reload during the start would terminate the process.
 var CatchSignals = sync.OnceValue(func() Signals {
-	signal.Ignore(syscall.SIGPIPE)    // or the node would end with the reader of its log
-	reload := make(chan os.Signal, 1) // one is enough: the file is read after it
+	signal.Ignore(syscall.SIGPIPE)    // otherwise the node would terminate when the reader of its log exits
+	reload := make(chan os.Signal, 1) // one pending reload is enough, because the files are read after it is received
 	signal.Notify(reload, syscall.SIGHUP)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -32,8 +32,8 @@
 	return Signals{Reload: reload, Stop: stop}
 })
 
-// RunProcess runs a node for as long as this process lives: SIGTERM or SIGINT stops it, SIGHUP has it read its configuration again. It
-// returns the process's exit code.
+// RunProcess runs a node until SIGTERM or SIGINT stops it, and returns the exit code of the process. SIGHUP reloads the configuration. The
+// log is written to errs.
 func RunProcess(cfg Config, errs io.Writer, level zerolog.Level) int {
 	log, flush := NewLogger(errs, level)
 	defer flush()
--- a/internal/proxy/submit.go
+++ b/internal/proxy/submit.go
@@ -9,16 +9,17 @@
 	"fernvane/internal/route"
 )
 
-// affinityKeyField names what a request is about: requests with the same key go to the same servers where a route asks for that.
+// affinityKeyField is the request header with the affinity key. Requests with the same key go to the same servers if their route enables it.
 const affinityKeyField = "Affinity-Key"
 
 var (
-	errUnknownType        = errors.New("no such traffic type")
-	errJournalUnavailable = errors.New("the journal keeps nothing now")
+	errUnknownType        = errors.New("unknown traffic type")
+	errJournalUnavailable = errors.New("journal unavailable")
 )
 
-// submit hands a request over to the dispatcher under the route that it matches. Where routes are reloaded meanwhile it is matched
-// again, so that its route and its limits are of one file. It returns the request's journal entry too, nil where none is kept.
+// submit submits a request to the dispatcher under the route that it matches. If routes are reloaded meanwhile, the request is matched
+// again, so that its route and its limits come from the same version of the routes. submit also returns the request's journal entry, or nil
+// if the request is not journaled.
 func (s *Server) submit(conn clientConn, req *message.Request, info *message.RequestInfo, receivedAt time.Time) (*dispatch.Request, *journalEntry, error) {
 	for {
 		a := s.newArrival(req, info)
@@ -28,7 +29,7 @@
 		if !s.journal.accepts(a.TrafficType) {
 			return nil, nil, errJournalUnavailable
 		}
-		entry := s.journal.begin(a.TrafficType, info, req)
+		entry := s.journal.newEntry(a.TrafficType, info, req)
 		if err := entry.check(); err != nil {
 			return nil, nil, err
 		}
@@ -47,7 +48,7 @@
 			return nil, nil, &message.RequestError{Status: 408, Why: "the request took all of its time to come"}
 		}
 		if s.isDraining.Load() {
-			a.Timeout = max(min(a.Timeout, time.Until(s.answerBy)), time.Millisecond)
+			a.Timeout = max(min(a.Timeout, time.Until(s.answerDeadline)), time.Millisecond)
 		}
 		request, err := s.dispatcher.Submit(a)
 		if !errors.Is(err, dispatch.ErrRoutesChanged) {
@@ -56,7 +57,7 @@
 	}
 }
 
-// newArrival says what a request is, under the routes as they are now. Its traffic type is -1 where there is none for it.
+// newArrival describes a request to the dispatcher, under the current routes. TrafficType is -1 if the request has no known traffic type.
 func (s *Server) newArrival(req *message.Request, info *message.RequestInfo) dispatch.Arrival {
 	a := dispatch.Arrival{ID: info.ID, Tenant: info.Tenant, Key: req.Get(affinityKeyField), Routes: s.dispatcher.Routes(), RouteIndex: -1, TrafficType: -1}
 	a.IsRetry = len(req.Get(clientRetryField)) > 0
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -13,29 +13,29 @@
 	"fernvane/internal/proxy/dispatch"
 )
 
-const maxLoggedTextBytes = 300 // of a server's standard error in a log line
+const maxLoggedTextBytes = 300 // of the standard error of a FastCGI server, per log line
 
-// pastDeadline ends what reads or writes on a connection at once.
+// pastDeadline is a deadline in the past, which immediately ends pending reads and writes of a connection.
 var pastDeadline = time.Unix(1, 0)
 
-// upstreamConn is a connection to a server, in the protocol that the server speaks. One attempt at a time uses it.
+// upstreamConn is a connection to a server, in the protocol of the server. One attempt at a time uses it.
 type upstreamConn interface {
 	io.Closer
 	SetDeadline(time.Time) error
-	// IsIdle reports whether an idle connection is open and nothing has been received on it.
+	// IsIdle reports whether the connection is open and has no received bytes.
 	IsIdle() bool
-	// ReleaseBuffers gives back the memory of a large message. What was read is not valid after it.
+	// ReleaseBuffers releases the memory of a large message. The last response is invalid afterwards.
 	ReleaseBuffers()
-	// SendRequest writes a request, with the time that remains for it and the client's address. whole is false where its last byte was
-	// not written: the server cannot have executed it then.
-	SendRequest(r *message.Request, remaining time.Duration, clientAddress string) (whole bool, err error)
-	// ReceiveResponse reads the whole response. message.ErrMalformedResponse is one that cannot be read.
+	// SendRequest writes a request, with its remaining time and the client's address. isWritten is false if the last byte was not
+	// written: the server cannot have executed the request then.
+	SendRequest(r *message.Request, remaining time.Duration, clientAddress string) (isWritten bool, err error)
+	// ReceiveResponse reads the complete response. It returns message.ErrMalformedResponse if the response cannot be parsed.
 	ReceiveResponse(r *message.Response) error
-	// IsReusable reports whether another request may be sent after a whole response.
+	// IsReusable reports whether another request may be sent on the connection after this complete response.
 	IsReusable(r *message.Response) bool
 }
 
-// connect takes an idle connection to a server or opens one. Without a connection, result says why there is none.
+// connect takes an idle connection to a server or opens a new one. If conn is nil, result is the result of the attempt.
 func (s *Server) connect(ctx context.Context, d dispatch.Decision, deadline time.Time) (conn upstreamConn, isReused bool, result dispatch.AttemptResult) {
 	for idle := s.dispatcher.TakeIdle(d.Server); idle != nil; idle = s.dispatcher.TakeIdle(d.Server) {
 		if conn := idle.(upstreamConn); conn.IsIdle() {
@@ -51,7 +51,7 @@
 	return conn, false, result
 }
 
-// dial opens a connection to a server, under a descriptor that was acquired for it and is given back where it fails.
+// dial opens a connection to a server. The caller has acquired a descriptor for it, which dial releases if it fails.
 func (s *Server) dial(ctx context.Context, d dispatch.Decision, deadline time.Time) (upstreamConn, dispatch.AttemptResult) {
 	dialDeadline := time.Now().Add(s.cfg.Settings.ConnectTimeout)
 	if dialDeadline.After(deadline) {
@@ -72,8 +72,8 @@
 	}), dispatch.Succeeded
 }
 
-// connectResult says how an attempt ended that got no connection. isAttemptDeadline: the time for it was that of the attempt, not that of
-// a connect.
+// connectResult returns the result of an attempt whose connect failed. isAttemptDeadline reports that the deadline of the connect was that
+// of the attempt rather than the connect timeout.
 func connectResult(err error, isAttemptDeadline bool) dispatch.AttemptResult {
 	for _, shortage := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, shortage) {
@@ -93,8 +93,8 @@
 	return dispatch.ConnectRefused
 }
 
-// closeUpstream closes a connection that is abandoned, broken or not reusable. By the close the server learns that nobody waits for its
-// response; a FastCGI server is told before, where the response was not whole.
+// closeUpstream closes a connection that is abandoned, broken or not reusable. The close notifies the server that its response is not
+// awaited; a FastCGI server also receives an abort first, if the response was not complete.
 func (s *Server) closeUpstream(conn upstreamConn, isComplete bool) {
 	if aborter, ok := conn.(interface{ Abort() }); ok && !isComplete {
 		aborter.Abort()
