--- a/internal/proxy/announceclose_test.go
+++ b/internal/proxy/announceclose_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	smallBufferBytes = 4 << 10  // of the sockets of smallBufferConn
-	largeBodyBytes   = 60 << 10 // of an answer that those do not hold
+	smallBufferBytes = 4 << 10  // per socket buffer of smallBufferConn
+	largeBodyBytes   = 60 << 10 // body of an answer that exceeds those buffers
 )
 
 // largeBodyServer is a stand-in server that answers each request with a large body.
@@ -29,7 +29,7 @@
 	})
 }
 
-// smallBufferConn returns both ends of a connection that takes in few bytes before a write waits for the reader.
+// smallBufferConn returns both ends of a connection with small buffers: a write blocks after few bytes until the peer reads.
 func smallBufferConn(t *testing.T) (near *net.TCPConn, client *http1.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,7 +57,8 @@
 	return near, http1.NewConn(far)
 }
 
-// Guards against a stop that begins after an answer was composed closing its connection, though the answer announced no close.
+// Guards against a shutdown that closes a connection although its last answer did not announce the close: the shutdown starts after the
+// answer was encoded.
 func TestStopDuringAnswerKeepsConnection(t *testing.T) {
 	t.Parallel()
 	cfg := config(http1.Endpoint{ID: "s", Address: largeBodyServer(t), Size: 1})
@@ -73,23 +74,23 @@
 		s.serveHTTPConn(near)
 	}()
 	fmt.Fprintf(client, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", ids.Add(1))
-	if err := client.AwaitMessage(); err != nil { // the answer is being written, and waits for its reader
+	if err := client.AwaitMessage(); err != nil { // the node is writing the answer and waits for the client to read
 		t.Fatal(err)
 	}
 	s.isDraining.Store(true)
 	if r := readReply(t, client); r.Close || len(r.Body) != largeBodyBytes {
-		t.Fatalf("%d bytes, close %v", len(r.Body), r.Close)
+		t.Fatalf("got a body of %d bytes, close %v, want the whole body without close", len(r.Body), r.Close)
 	}
 	if r := get(t, client, "/up"); r.Status != 200 || !r.Close {
-		t.Errorf("the next request is answered %d, close %v", r.Status, r.Close)
+		t.Errorf("next request: got status %d, close %v, want 200 with close", r.Status, r.Close)
 	}
 	<-done
 }
 
-// Guards against a close behind an answer that did not announce it, after a client that sent more behind its request than is buffered.
+// Guards against a close that the answer did not announce, when a client sends more bytes after its request than the node buffers.
 func TestOverflowAnnouncesClose(t *testing.T) {
 	t.Parallel()
-	const behindBytes = 512 << 10 // more than the sockets and the node hold together
+	const behindBytes = 512 << 10 // more than the socket buffers and the node's buffer hold together
 	h, begun, release := heldServer(t)
 	cfg := config(h)
 	for i := range cfg.Settings.TrafficTypes {
@@ -109,14 +110,14 @@
 	}
 	release()
 	if r := readReply(t, client); r.Status != 200 || !r.Close {
-		t.Errorf("answered %d, close %v", r.Status, r.Close)
+		t.Errorf("got status %d, close %v, want 200 with close", r.Status, r.Close)
 	}
 	io.Copy(io.Discard, client)
 	<-done
 }
 
-// Guards against a close right behind an announced end becoming a reset, by bytes that arrive after it, while the answer is still on its way
-// to a slow reader.
+// Guards against a reset instead of a close: if the node closes immediately after an answer that announced the close, bytes that arrive later
+// cause a reset, and a slow client loses the rest of the answer.
 func TestAnnouncedCloseLingers(t *testing.T) {
 	t.Parallel()
 	cfg := config(http1.Endpoint{ID: "s", Address: largeBodyServer(t), Size: 1})
@@ -133,13 +134,13 @@
 	await(t, "answer", func() bool { return s.dispatcher.Counts().Responded > 0 })
 	select {
 	case <-done: // closed
-	case <-time.After(100 * time.Millisecond): // only a fault closes it before the client has read its answer
+	case <-time.After(100 * time.Millisecond): // the correct node waits: it closes after the client has read its answer
 	}
 	for range 3 {
 		client.Write(make([]byte, 100))
 	}
 	if r := readReply(t, client); len(r.Body) != largeBodyBytes || !r.Close {
-		t.Errorf("%d bytes of %d, close %v", len(r.Body), largeBodyBytes, r.Close)
+		t.Errorf("got a body of %d bytes, want %d; close %v, want true", len(r.Body), largeBodyBytes, r.Close)
 	}
 	client.Close()
 	<-done
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -17,7 +17,7 @@
 	"fernvane/policy"
 )
 
-// partialConn is a connection that accepts so many bytes of what is written, and returns nothing but an error.
+// partialConn is a connection whose writes accept the first takes bytes and whose reads return an error.
 type partialConn struct {
 	net.Conn
 	takes int
@@ -28,7 +28,7 @@
 func (p partialConn) Write(b []byte) (int, error) { return min(len(b), p.takes), p.write }
 func (p partialConn) Read([]byte) (int, error)    { return 0, p.read }
 
-// Only before the last byte is written is it certain that nothing ran.
+// Before the last byte of the request is written, a failed attempt was certainly not executed; afterwards it may have been.
 func TestExchange(t *testing.T) {
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -38,27 +38,27 @@
 		ctx  context.Context
 		want dispatch.AttemptResult
 	}{
-		"nothing written":            {partialConn{write: syscall.EPIPE}, nil, dispatch.WriteFailed},
-		"all but a little written":   {partialConn{takes: 40, write: syscall.ECONNRESET}, nil, dispatch.WriteFailed},
-		"no time to write":           {partialConn{takes: 40, write: http1.ErrTimeout}, nil, dispatch.ExpiredUnsent},
-		"written, then reset":        {partialConn{takes: 1 << 20, read: syscall.ECONNRESET}, nil, dispatch.ConnectionLost},
-		"written, then closed":       {partialConn{takes: 1 << 20, read: io.EOF}, nil, dispatch.ConnectionLost},
-		"written, then silence":      {partialConn{takes: 1 << 20, read: http1.ErrTimeout}, nil, dispatch.ResponseTimeout},
-		"written, then called off":   {partialConn{takes: 1 << 20, read: http1.ErrTimeout}, canceled, dispatch.Abandoned},
-		"written whole, and a reset": {partialConn{takes: 1 << 20, write: syscall.ECONNRESET, read: syscall.ECONNRESET}, nil, dispatch.ConnectionLost},
+		"nothing written":           {partialConn{write: syscall.EPIPE}, nil, dispatch.WriteFailed},
+		"written in part":           {partialConn{takes: 40, write: syscall.ECONNRESET}, nil, dispatch.WriteFailed},
+		"no time to write":          {partialConn{takes: 40, write: http1.ErrTimeout}, nil, dispatch.ExpiredUnsent},
+		"written, then reset":       {partialConn{takes: 1 << 20, read: syscall.ECONNRESET}, nil, dispatch.ConnectionLost},
+		"written, then closed":      {partialConn{takes: 1 << 20, read: io.EOF}, nil, dispatch.ConnectionLost},
+		"written, then silence":     {partialConn{takes: 1 << 20, read: http1.ErrTimeout}, nil, dispatch.ResponseTimeout},
+		"written, then canceled":    {partialConn{takes: 1 << 20, read: http1.ErrTimeout}, canceled, dispatch.Abandoned},
+		"written completely, reset": {partialConn{takes: 1 << 20, write: syscall.ECONNRESET, read: syscall.ECONNRESET}, nil, dispatch.ConnectionLost},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c.ctx == nil {
 				c.ctx = context.Background()
 			}
 			if got := exchange(c.ctx, http1.NewConn(c.conn), x, time.Second, &http1.Response{}); got != c.want {
-				t.Errorf("ended %s", got)
+				t.Errorf("unexpected result %s", got)
 			}
 		})
 	}
 }
 
-// An abandoned attempt closes its connection, by which its server learns of it.
+// An abandoned attempt closes its connection, which notifies the server.
 func TestAbandonedAttemptClosesConnection(t *testing.T) {
 	t.Parallel()
 	gone := make(chan bool, 1)
@@ -69,14 +69,14 @@
 	})
 	at, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: server, Size: 1}))
 	if r := get(t, dial(t, at), "/book/1"); r.Status != 504 {
-		t.Errorf("answered %d", r.Status)
+		t.Errorf("got status %d, want 504", r.Status)
 	}
 	if !<-gone {
-		t.Error("more came")
+		t.Error("server received more bytes, want a closed connection")
 	}
 }
 
-// An attempt that was decided on before its server left is not written after the drain grace, whatever the connection waited for.
+// An attempt that was decided before its server left is not written after the drain grace.
 func TestNothingSentAfterDrainGrace(t *testing.T) {
 	t.Parallel()
 	hosts, taken := servers(t, 1, okResponse)
@@ -87,7 +87,7 @@
 		op := submitNonIdempotent(s.dispatcher)
 		d := op.NextDecision(func() {})
 		if d.Action != dispatch.SendAttempt {
-			t.Fatalf("decided %d", d.Action)
+			t.Fatalf("got action %d, want SendAttempt", d.Action)
 		}
 		left := hosts[0]
 		left.Phase = phase
@@ -98,27 +98,27 @@
 		req := &http1.Request{Method: []byte("POST"), Target: []byte("/book/1")}
 		end, _ := s.attempt(context.Background(), d, &forwarding{request: op, message: req, composeAnswer: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }})
 		if end != dispatch.ExpiredUnsent || taken.Load() > 0 {
-			t.Errorf("ended %v; %d were sent", end, taken.Load())
+			t.Errorf("got result %v, %d attempts sent; want ExpiredUnsent, none sent", end, taken.Load())
 		}
 		op.AttemptEnded(d.Attempt, end, nil)
 		s.dispatcher.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceDiscovery)
 	}
 }
 
-// A client disconnects while its attempt connects: its request is not sent after that.
+// When a client disconnects while its attempt connects, its request is not sent.
 func TestNothingSentAfterDisconnect(t *testing.T) {
 	t.Parallel()
 	hosts, taken := servers(t, 1, okResponse)
 	cfg := config()
-	cfg.Settings.ConnectTimeout = time.Minute // a busy machine takes its time
+	cfg.Settings.ConnectTimeout = time.Minute // longer than a connect takes on a busy machine
 	s := &Server{cfg: cfg, dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.dispatcher.Stop()
 	s.dispatcher.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
 	req := &http1.Request{Method: []byte("GET"), Target: []byte("/book/1")}
 	for name, c := range map[string]struct {
-		leave, seen bool // seen: only by a look at its connection, for nobody who waits for it has run
+		leave, seen bool // seen: only a direct check of the connection detects the disconnect
 		want        dispatch.AttemptResult
-	}{"left": {true, false, dispatch.ExpiredUnsent}, "left unnoticed": {true, true, dispatch.ExpiredUnsent}, "still there": {false, false, dispatch.Succeeded}} {
+	}{"disconnected": {true, false, dispatch.ExpiredUnsent}, "disconnected, not notified": {true, true, dispatch.ExpiredUnsent}, "connected": {false, false, dispatch.Succeeded}} {
 		t.Run(name, func(t *testing.T) {
 			before := taken.Load()
 			op := submitNonIdempotent(s.dispatcher)
@@ -129,14 +129,14 @@
 			}
 			end, _ := s.attempt(context.Background(), d, &forwarding{request: op, message: req, isDisconnected: func() bool { return c.seen }, composeAnswer: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }})
 			if sent := taken.Load() > before; end != c.want || sent == c.leave {
-				t.Errorf("ended %s, sent %v", end, sent)
+				t.Errorf("unexpected result %s, sent %v", end, sent)
 			}
 			op.AttemptEnded(d.Attempt, end, nil)
 		})
 	}
 }
 
-// A reused connection that breaks before the request is written says nothing about its server, a new one does.
+// If a reused connection breaks before the request is written, the connection was stale, which is no failure of the server.
 func TestStaleWrite(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
@@ -152,13 +152,13 @@
 	op := submitNonIdempotent(s.dispatcher)
 	defer op.Close()
 	if end, _ := s.attempt(context.Background(), op.NextDecision(func() {}), &forwarding{request: op, message: req, composeAnswer: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }}); end != dispatch.StaleConnection {
-		t.Errorf("ended %s", end)
+		t.Errorf("got result %s, want StaleConnection", end)
 	}
 	(<-held).Close()
 }
 
-// Responses that never end, or have no length and are reset: one attempt of a non-idempotent request, and its client is answered in time
-// that it failed. A reset is no end of a response.
+// A response that never ends, or that has no length and is reset, fails a non-idempotent request after one attempt, and the client receives
+// the failure in time. A reset does not terminate a response without a length.
 func TestUnterminatedResponses(t *testing.T) {
 	t.Parallel()
 	const noLength = "HTTP/1.1 200 OK\r\n\r\n"
@@ -167,11 +167,11 @@
 		reset          bool
 	}{
 		"a head":               {"HTTP/1.1 200 OK\r\n", "A: b\r\n", false},
-		"words on the way":     {"", "HTTP/1.1 102 Processing\r\n\r\n", false},
+		"informational":        {"", "HTTP/1.1 102 Processing\r\n\r\n", false},
 		"chunks":               {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "400\r\n" + strings.Repeat("x", 1<<10) + "\r\n", false},
-		"a chunk's line":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;", "x", false},
+		"a chunk size line":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;", "x", false},
 		"a trailer":            {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "A: b\r\n", false},
-		"a body of no length":  {noLength, strings.Repeat("x", 1<<10), false},
+		"a body, no length":    {noLength, strings.Repeat("x", 1<<10), false},
 		"no length, and reset": {noLength + "ok", "", true},
 		"chunks, and reset":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", "", true},
 	} {
@@ -194,13 +194,13 @@
 			}
 			at, _ := startNode(t, config(http1.Endpoint{ID: "a", Address: standIn(t, lead), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, lead), Size: 1}))
 			if r := get(t, dial(t, at), "/book/1"); r.Status != 502 && r.Status != 504 || taken.Load() != 1 {
-				t.Errorf("answered %d after %d attempts", r.Status, taken.Load())
+				t.Errorf("got status %d after %d attempts, want 502 or 504 after 1", r.Status, taken.Load())
 			}
 		})
 	}
 }
 
-// A request that may have run is retried only within its window, however much time its client has.
+// A request that may have been executed is retried only within the retention of its idempotency key, however late the client's deadline is.
 func TestRetryWindow(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -209,7 +209,7 @@
 		status int
 	}{
 		"within it": {time.Minute, 2, 200},
-		"behind it": {time.Millisecond, 1, 503},
+		"after it":  {time.Millisecond, 1, 503},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -218,7 +218,7 @@
 				defer nc.Close()
 				for conn := http1.NewConn(nc); conn.ReadRequest(&http1.Request{}) == nil; {
 					if taken.Add(1) == 1 {
-						time.Sleep(20 * time.Millisecond) // past the short window, at the least
+						time.Sleep(20 * time.Millisecond) // longer than the short window
 						return
 					}
 					io.WriteString(nc, okResponse)
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -14,7 +14,7 @@
 	"fernvane/internal/protocol/message"
 )
 
-// BenchmarkOperation sends requests through a node one after the other, in all pairings of protocols.
+// BenchmarkOperation sends consecutive requests through a node, for each pair of client protocol and server protocol.
 func BenchmarkOperation(b *testing.B) {
 	cgiServer, _ := net.Listen("tcp", "127.0.0.1:0")
 	httpServer, _ := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -14,19 +14,19 @@
 	for name, c := range map[string]struct {
 		old, new string
 		env      string
-		wrong    string // in the one line
+		wrong    string // part of the error, which is one line
 	}{
-		"good":                {},
-		"listen from outside": {`"127.0.0.1:80"`, `""`, "127.0.0.2:80", ""},
-		"no JSON":             {"{", "", "", "invalid"},
-		"cut off":             {`"}]}}`, "", "", "unexpected end"},
-		"no address":          {`"127.0.0.1:80"`, `"here"`, "", "listen"},
-		"no discovery":        {`"127.0.0.1:81"`, `""`, "", "discovery"},
-		"no settings":         {`"settings"`, `"settlings"`, "", "no settings"},
-		"no traffic types":    {`"trafficTypes"`, `"types"`, "", "no traffic types"},
-		"no attempts":         {`"mostHops":2`, `"mostHops":0`, "", "no attempt"},
-		"a list of no use":    {`"revision":1`, `"revision":"one"`, "", ""},
-		"limits of no use":    {`"sockets":256`, `"sockets":-1`, "", ""},
+		"good":              {},
+		"listen overridden": {`"127.0.0.1:80"`, `""`, "127.0.0.2:80", ""},
+		"no JSON":           {"{", "", "", "invalid"},
+		"truncated":         {`"}]}}`, "", "", "unexpected end"},
+		"no address":        {`"127.0.0.1:80"`, `"here"`, "", "listen"},
+		"no discovery":      {`"127.0.0.1:81"`, `""`, "", "discovery"},
+		"no settings":       {`"settings"`, `"settlings"`, "", "no settings"},
+		"no traffic types":  {`"trafficTypes"`, `"types"`, "", "no traffic types"},
+		"no attempts":       {`"mostHops":2`, `"mostHops":0`, "", "no attempt"},
+		"invalid list":      {`"revision":1`, `"revision":"one"`, "", ""},
+		"invalid limits":    {`"sockets":256`, `"sockets":-1`, "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
@@ -41,10 +41,10 @@
 			})
 			if c.wrong == "" {
 				if err != nil || cfg.Limits.Sockets < 1 || cfg.Limits.Sockets > maxSockets || c.env != "" && cfg.Listen.String() != c.env {
-					t.Errorf("%+v, %v", cfg, err)
+					t.Errorf("got configuration %+v, error %v, want no error", cfg, err)
 				}
 			} else if err == nil || !strings.Contains(err.Error(), c.wrong) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %v", err)
+				t.Errorf("unexpected error %v", err)
 			}
 		})
 	}
--- a/internal/proxy/descriptors_test.go
+++ b/internal/proxy/descriptors_test.go
@@ -18,16 +18,16 @@
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
 	cfg := config(hosts...)
-	cfg.Limits.Sockets = 1 // leaves room for the fewest connections
+	cfg.Limits.Sockets = 1 // allows the minimum number of connections
 	at, _ := startNode(t, cfg)
 	for i := range 4 * cfg.Limits.MaxConnections() {
-		if r := get(t, dial(t, at), "/check/1"); r.Status != 200 { // and stays, idle
-			t.Fatalf("the %d. client is answered %d", i, r.Status)
+		if r := get(t, dial(t, at), "/check/1"); r.Status != 200 { // the client stays connected, idle
+			t.Fatalf("client %d: got status %d, want 200", i, r.Status)
 		}
 	}
 }
 
-// With all descriptors busy, connections are still accepted and their requests rejected at once.
+// While all descriptors are in use, connections are still accepted and their requests are rejected immediately.
 func TestAllConnectionsBusy(t *testing.T) {
 	t.Parallel()
 	finish := make(chan struct{})
@@ -46,7 +46,7 @@
 	for range n {
 		go func() {
 			var r http1.Response
-			for r.Status == 0 { // one closed before its request was read is for the client to send once more
+			for r.Status == 0 { // the client retries if its connection was closed before its request was read
 				nc, err := net.Dial("tcp", at)
 				if err != nil {
 					break
@@ -66,12 +66,12 @@
 		}
 	}
 	if got[200] != 3 || got[503] != n-3 {
-		t.Errorf("answered %v", got)
+		t.Errorf("got counts by status %v, want 3 of 200 and all others 503", got)
 	}
 }
 
-// Good clients among a flood of bad ones that hold more connections than there is room for: each request gets its answer,
-// also one that comes byte by byte. A connection closed before its request was read is for the client to try once more.
+// Correct clients get their answers, also to requests that are sent byte by byte, while malformed clients hold more connections than the node
+// allows. A client retries if its connection was closed before its request was read.
 func TestGoodClientsAmongMalformed(t *testing.T) {
 	t.Parallel()
 	const (
@@ -104,7 +104,7 @@
 						closed := make(chan struct{})
 						go func() {
 							defer close(closed)
-							io.Copy(io.Discard, c) // until the node ends it
+							io.Copy(io.Discard, c) // until the node closes the connection
 						}()
 						select {
 						case <-closed:
@@ -125,12 +125,12 @@
 		all.Go(func() {
 			for range each {
 				request := fmt.Sprintf("GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: good-%d\r\n\r\n", ids.Add(1))
-				status, err := 0, errors.New("not tried")
+				status, err := 0, errors.New("not attempted")
 				for try := 0; err != nil && try < triesMost; try++ {
 					status, err = getOnce(at, request, i%2 == 0)
 				}
 				if err != nil || status != 200 {
-					t.Errorf("answered %d, %v", status, err)
+					t.Errorf("got status %d, error %v, want 200", status, err)
 				}
 			}
 		})
@@ -140,8 +140,8 @@
 	flood.Wait()
 }
 
-// once asks on a connection of its own, byte by byte where it is slow; the error is that of a connection that was closed or
-// reset with no answer.
+// getOnce sends a request on a new connection, byte by byte if slow. It returns an error if the connection was closed or reset without an
+// answer, and status -1 if neither an answer nor a close arrived.
 func getOnce(at, request string, slow bool) (int, error) {
 	nc, err := net.Dial("tcp", at)
 	if err != nil {
@@ -164,7 +164,7 @@
 	var r http1.Response
 	err = http1.NewConn(nc).ReadResponse(&r, http1.MaxAnswer)
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, syscall.ECONNRESET) {
-		return -1, nil // no end at all
+		return -1, nil // neither answered nor closed
 	}
 	return r.Status, err
 }
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -16,21 +16,21 @@
 	"fernvane/internal/testbed/standin/connpair"
 )
 
-// No attempt is sent for a client that has disconnected, whatever the attempt waited for and however the client disconnected. Each wait ends
-// only after that.
+// No attempt is sent for a client that has disconnected, whatever the attempt was waiting for and however the client disconnected. Each wait
+// ends only after the disconnect was detected.
 func TestDisconnectWhileWaiting(t *testing.T) {
 	t.Parallel()
-	// Each case brings a request to where it waits; it returns what ends the wait and how many attempts were sent before.
+	// Each case starts a request and lets it wait. It returns a function that ends the wait, and the number of attempts sent before.
 	type waiting func(t *testing.T, l *testServer, ask func(), taken <-chan func(say string)) (end func(), sent int)
-	const full = 4 // attempts that the module has out at once before a server has answered
+	const full = 4 // concurrency limit of a server before its first response
 	waits := map[string]waiting{
-		"a connection": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
+		"a connect": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
 			reached, release := l.holdDial(1)
 			ask()
 			<-reached
 			return func() { close(release) }, 0
 		},
-		"its turn": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
+		"a slot": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
 			var others []func(string)
 			for range 2 * full {
 				l.serveClient(t, "/check/other")
@@ -39,26 +39,26 @@
 				others = append(others, <-taken)
 			}
 			ask()
-			await(t, "one more is open", func() bool { return l.count().open == 2*full+1 })
+			await(t, "further open request", func() bool { return l.count().open == 2*full+1 })
 			return func() {
 				for _, answer := range others {
 					answer(okResponse)
 				}
 			}, 2 * full
 		},
-		"the answer that another attempt would follow": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
+		"a response before a retry": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
 			ask()
 			answer := <-taken
 			return func() { answer(errorResponse) }, 1
 		},
-		"a further attempt's connection": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
+		"the connect of a retry": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
 			reached, release := l.holdDial(2)
 			ask()
 			(<-taken)(errorResponse)
 			<-reached
 			return func() { close(release) }, 1
 		},
-		"a second copy's connection": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
+		"the connect of a hedged request": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
 			reached, release := l.holdDial(2)
 			ask()
 			answer := <-taken
@@ -72,11 +72,11 @@
 	ways := map[string]func(*net.TCPConn){
 		"close": func(c *net.TCPConn) { c.Close() },
 		"reset": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
-		"close behind half a request": func(c *net.TCPConn) {
+		"close after half a request": func(c *net.TCPConn) {
 			io.WriteString(c, "GET /check/2 HTTP/1.1\r\nHo")
 			c.Close()
 		},
-		"close behind more than is held": func(c *net.TCPConn) {
+		"close after more than is buffered": func(c *net.TCPConn) {
 			io.WriteString(c, "GET /check/2 HTTP/1.1\r\nX: "+strings.Repeat("x", 64<<10))
 			c.Close()
 		},
@@ -101,7 +101,7 @@
 					cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
 				}
 				cfg.Settings.ConnectTimeout, cfg.Settings.HedgingAllowed = time.Minute, true
-				if what == "a second copy's connection" {
+				if what == "the connect of a hedged request" {
 					cfg.Routes = routes(t, &cfg, checks+"copy_after = \"1ms\"\ncopy_share = 1.0")
 				}
 				l := newTestServer(t, cfg)
@@ -109,14 +109,14 @@
 				var done chan struct{}
 				end, before := bring(t, l, func() { client, done = l.serveClient(t, "/check/1") }, taken)
 				leave(client)
-				await(t, "its leaving is seen", func() bool { return l.count().disconnected == 1 })
+				await(t, "detected disconnect", func() bool { return l.count().disconnected == 1 })
 				end()
 				over := make(chan struct{})
 				defer close(over)
 				go func() {
 					for {
 						select {
-						case answer := <-taken: // what should not have been sent
+						case answer := <-taken: // an attempt that must not have been sent
 							answer(okResponse)
 						case <-over:
 							return
@@ -126,7 +126,7 @@
 				<-done
 				l.clientTasks.Wait()
 				if n := int(sent.Load()); n != before {
-					t.Errorf("%d attempts were sent after it had left", n-before)
+					t.Errorf("got %d attempts after the disconnect, want none", n-before)
 				}
 			})
 		}
@@ -135,7 +135,7 @@
 
 func TestDisconnectIsNoticed(t *testing.T) {
 	t.Parallel()
-	for name, behind := range map[string]int{"nothing behind": 0, "a request behind": 80, "more than is held": 200 << 10} {
+	for name, behind := range map[string]int{"no bytes": 0, "a request": 80, "more than is buffered": 200 << 10} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			gone := make(chan net.Conn, 1)
@@ -146,7 +146,7 @@
 			s.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "s", Address: at, Size: 1}}}, endpoints.SourceConfig)
 			op := submitNonIdempotent(s.dispatcher)
 			if d := op.NextDecision(func() {}); d.Action != dispatch.SendAttempt {
-				t.Fatalf("decided %d", d.Action)
+				t.Fatalf("got action %d, want SendAttempt", d.Action)
 			}
 			defer (&httpClientConn{s, near}).WatchDisconnect(op.ClientDisconnected)()
 			far := <-gone
@@ -155,13 +155,13 @@
 				far.Close()
 			}()
 			if d := op.NextDecision(func() {}); d.Action != dispatch.Drop {
-				t.Errorf("decided %d", d.Action)
+				t.Errorf("got action %d, want Drop", d.Action)
 			}
 		})
 	}
 }
 
-// A client that has disconnected before its request is read, with bytes behind it: the request is not submitted.
+// The request of a client that disconnects before its request is read, with further bytes after the request, is not submitted.
 func TestDisconnectBeforeRequestIsRead(t *testing.T) {
 	t.Parallel()
 	near, client := connpair.TCP(t)
@@ -171,11 +171,11 @@
 	defer s.dispatcher.Stop()
 	s.serveHTTPConn(near)
 	if n := s.dispatcher.Counts(); n.Disconnected+n.Rejected+n.Responded+n.Failed > 0 {
-		t.Errorf("taken: %+v", n)
+		t.Errorf("got counts %+v, want no submitted request", n)
 	}
 }
 
-// watchedConn notes whether it is still watched as its answer is sent.
+// watchedConn records whether it is still watched when its answer is sent.
 type watchedConn struct {
 	isWatched, isWatchedWhenSent bool
 }
@@ -191,18 +191,18 @@
 	return func() { w.isWatched = false }
 }
 
-// Watching for a disconnect reads ahead. The client's next request may follow its answer, so the watch ends before the answer is sent.
+// The watch for a disconnect reads ahead. After the answer the client may send its next request, so the watch ends before the answer is sent.
 func TestDisconnectWatchEndsBeforeAnswer(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
 	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.dispatcher.Stop()
-	for name, listed := range map[string][]http1.Endpoint{"denied": nil, "handled": hosts} {
+	for name, listed := range map[string][]http1.Endpoint{"rejected": nil, "handled": hosts} {
 		s.dispatcher.ApplyList(http1.EndpointList{Hosts: listed}, endpoints.SourceConfig)
 		req := &http1.Request{Method: []byte("GET"), Target: []byte("/check/1"), Fields: []http1.Field{{Name: []byte("Request-Id"), Value: []byte(name)}}}
 		w := &watchedConn{isWatchedWhenSent: true}
 		if err := s.serveRequest(w, req, time.Now()); err != nil || w.isWatchedWhenSent {
-			t.Errorf("%s: still watched: %v, %v", name, w.isWatchedWhenSent, err)
+			t.Errorf("%s: got watched %v when the answer was sent, want false; error %v", name, w.isWatchedWhenSent, err)
 		}
 	}
 }
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -13,10 +13,10 @@
 	"fernvane/internal/protocol/http1"
 )
 
-const resetMark = "\x01" // at the end of what discovery says: the connection is reset in place of a close
+const resetMark = "\x01" // at the end of a scripted response of discovery: the connection is reset instead of closed
 
-// scripted is a discovery that says one line of a script to each call, byte by byte where pieces is set, and nothing more
-// after the last. next is sent each call's target; a silent line leaves the connection open.
+// scriptedDiscovery starts a stand-in discovery that sends one response of a script per poll, byte by byte if pieces is set, and none after
+// the last. calls receives the query of each poll. An empty response leaves the connection open.
 func scriptedDiscovery(t *testing.T, pieces bool, script ...string) (at netip.AddrPort, calls chan string) {
 	calls = make(chan string, 64)
 	var said atomic.Int32
@@ -27,7 +27,7 @@
 			calls <- strings.TrimPrefix(string(r.Target), "/discovery/hosts")
 			n := int(said.Add(1))
 			if n > len(script) {
-				continue // the watch waits
+				continue // the poll gets no response
 			}
 			say := strings.TrimRight(script[n-1], closeMark+resetMark)
 			if pieces {
@@ -58,8 +58,8 @@
 	return fmt.Sprintf(`{"id":"%s","host_port":"%s","phase":"%s","size":1}`, h.ID, h.Address, phase)
 }
 
-// A change reaches a node whatever poll before it failed, and nothing new goes to a server after it was announced as draining or left out of a
-// complete list, though it still answers. The script makes each bad order.
+// A change of the list reaches the node however earlier polls failed. Afterwards no new request is sent to a server that was announced as
+// draining or that a complete list lacks, although the server still responds.
 func TestListUpdateAfterFailedPolls(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
@@ -70,25 +70,25 @@
 	}
 	leftOut := listResponse(9, true, listMember(kept, "SERVING"))
 	for name, c := range map[string]struct {
-		before []string // what is said to the calls before the change
-		tells  string   // empty: a change, indented, that the server drains
+		before []string // responses to the polls before the change
+		tells  string   // response with the change; empty: an indented change that announces the server as draining
 		pieces bool
-		asked  bool // the settings say that lists are asked for
+		asked  bool // the settings require requests for the list
 	}{
-		"at once, left out":                 {nil, leftOut, false, false},
-		"at once, in pieces":                {nil, leftOut, true, false},
-		"refused for a while":               {[]string{refused(503), refused(429), refused(503)}, leftOut, false, true},
-		"refused and closed":                {[]string{refused(503) + closeMark, refused(429) + closeMark}, leftOut, false, true},
-		"reset before a word":               {[]string{resetMark, resetMark}, leftOut, false, true},
-		"reset within its answer":           {[]string{leftOut[:len(leftOut)-9] + resetMark}, leftOut, false, false},
-		"ended within its answer":           {[]string{leftOut[:len(leftOut)-9] + closeMark}, leftOut, false, false},
-		"silent from the first":             {[]string{""}, leftOut, false, false},
-		"silent within its answer":          {[]string{leftOut[:len(leftOut)-9]}, leftOut, false, false},
-		"silent late":                       {[]string{listResponse(3, false), listResponse(3, false), ""}, leftOut, false, false},
-		"silent late, then refused":         {[]string{listResponse(3, false), "", refused(503)}, leftOut, false, true},
-		"a watch ends instead of telling":   {[]string{listResponse(3, false), closeMark}, leftOut, false, true},
+		"immediately, left out":             {nil, leftOut, false, false},
+		"immediately, in pieces":            {nil, leftOut, true, false},
+		"rejected for a while":              {[]string{refused(503), refused(429), refused(503)}, leftOut, false, true},
+		"rejected and closed":               {[]string{refused(503) + closeMark, refused(429) + closeMark}, leftOut, false, true},
+		"reset without a response":          {[]string{resetMark, resetMark}, leftOut, false, true},
+		"reset within a response":           {[]string{leftOut[:len(leftOut)-9] + resetMark}, leftOut, false, false},
+		"closed within a response":          {[]string{leftOut[:len(leftOut)-9] + closeMark}, leftOut, false, false},
+		"no response to the first":          {[]string{""}, leftOut, false, false},
+		"stalled within a response":         {[]string{leftOut[:len(leftOut)-9]}, leftOut, false, false},
+		"no response later":                 {[]string{listResponse(3, false), listResponse(3, false), ""}, leftOut, false, false},
+		"no response later, then rejected":  {[]string{listResponse(3, false), "", refused(503)}, leftOut, false, true},
+		"a watch is closed":                 {[]string{listResponse(3, false), closeMark}, leftOut, false, true},
 		"a watch is reset":                  {[]string{listResponse(3, false), resetMark}, leftOut, false, true},
-		"silent, then refused":              {[]string{"", "", refused(503)}, leftOut, false, false},
+		"no responses, then rejected":       {[]string{"", "", refused(503)}, leftOut, false, false},
 		"indented, as a change, in pieces":  {[]string{refused(503)}, "", true, false},
 		"a change that drains, after reset": {[]string{resetMark}, "", false, true},
 	} {
@@ -103,7 +103,7 @@
 			var calls chan string
 			cfg.Discovery, calls = scriptedDiscovery(t, c.pieces, append(c.before, c.tells)...)
 			at, _ := startNode(t, cfg)
-			for call := ""; !strings.HasPrefix(call, "?index=9&"); { // it has been taken in
+			for call := ""; !strings.HasPrefix(call, "?index=9&"); { // the change was applied
 				call = <-calls
 			}
 			before := taken.Load()
@@ -114,7 +114,7 @@
 				}
 			}
 			if n := taken.Load() - before; n > 0 {
-				t.Errorf("%d were sent to a server that had left", n)
+				t.Errorf("got %d requests to a server that had left, want none", n)
 			}
 		})
 	}
@@ -129,13 +129,13 @@
 	}
 	good := list(`{"revision":9,"complete":true,"members":[` + line + `]}`)
 	for name, script := range map[string][]string{
-		"at once":                 {good},
+		"immediately":             {good},
 		"after nothing new":       {list(`{"revision":3,"members":[]}`), good},
-		"after a failed call":     {"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n", good},
-		"after a broken call":     {closeMark, good},
-		"after a bad body":        {list(`{"revision":5,"compl`), good},
-		"beside a bad entry":      {list(`{"revision":9,"complete":true,"members":[{"id":7},` + line + `]}`)},
-		"on a connection closed":  {list(`{"revision":3,"members":[]}`) + closeMark, good},
+		"after a failed poll":     {"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n", good},
+		"after a closed poll":     {closeMark, good},
+		"after a truncated body":  {list(`{"revision":5,"compl`), good},
+		"beside an invalid entry": {list(`{"revision":9,"complete":true,"members":[{"id":7},` + line + `]}`)},
+		"after a closed response": {list(`{"revision":3,"members":[]}`) + closeMark, good},
 		"as a change to the list": {list(`{"revision":9,"members":[` + line + `]}`)},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -161,12 +161,12 @@
 			at, _ := startNode(t, cfg)
 			for range script {
 				if call := <-calls; !strings.HasPrefix(call, "/discovery/hosts?index=2&") && !strings.HasPrefix(call, "/discovery/hosts?index=3&") {
-					t.Errorf("called %s", call)
+					t.Errorf("got poll %s, want revision 2 or 3", call)
 				}
 			}
 			told := time.Now()
 			if call := <-calls; !strings.HasPrefix(call, "/discovery/hosts?index=9&wait=") || time.Since(told) > 200*time.Millisecond {
-				t.Errorf("called %s, after %v", call, time.Since(told)) // the watch must go on
+				t.Errorf("got poll %s after %v, want revision 9 within 200 ms", call, time.Since(told)) // the watch must continue
 			}
 			close(next)
 			if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
--- a/internal/proxy/discoverymove_test.go
+++ b/internal/proxy/discoverymove_test.go
@@ -10,7 +10,7 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// An answer that was on its way as discovery's address changed still counts.
+// A response that arrives while the address of discovery changes is still used.
 func TestAnswerWhileDiscoveryMoves(t *testing.T) {
 	t.Parallel()
 	var place *watch.Target
@@ -27,6 +27,6 @@
 	w := watch.Watcher{Target: place}
 	defer w.Close()
 	if l, err := w.Poll(context.Background()); err != nil || l.Revision != 9 {
-		t.Errorf("told %d, %v", l.Revision, err)
+		t.Errorf("got revision %d, error %v, want revision 9", l.Revision, err)
 	}
 }
--- a/internal/proxy/distributedservers_test.go
+++ b/internal/proxy/distributedservers_test.go
@@ -14,8 +14,8 @@
 	"fernvane/internal/proxy/engine"
 )
 
-// A first catch-up comes in pieces, and what they have brought is handed over whole in the end: none of it is lost by that,
-// and what drains stays so.
+// The first catch-up arrives in parts and ends with the complete list. The complete list must not lose servers of earlier parts, and a
+// draining server stays draining.
 func TestDistributedServersInPieces(t *testing.T) {
 	cfg := config()
 	f := dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)
@@ -45,6 +45,6 @@
 		}
 	}
 	if !slices.Equal(used, []string{"a", "b"}) {
-		t.Errorf("used: %q of %d", used, len(lines))
+		t.Errorf("got usable servers %q of %d, want a and b", used, len(lines))
 	}
 }
--- a/internal/proxy/distribution_test.go
+++ b/internal/proxy/distribution_test.go
@@ -29,7 +29,7 @@
 	"fernvane/internal/route"
 )
 
-// newTestApplier is the part of a node that applies entries, before any socket.
+// newTestApplier returns a distributionApplier without a client, so that no socket is involved.
 func newTestApplier(t *testing.T) *distributionApplier {
 	t.Helper()
 	cfg := config()
@@ -52,7 +52,7 @@
 	return entryOf(distribution.KindServer, e.ID, clock, val)
 }
 
-// What becomes of servers by the order of their announcements; clocks are those of the writes.
+// The state of a server depends on the clocks of its announcements, not on the order in which they arrive.
 func TestDistributedServers(t *testing.T) {
 	up := incarnation.Entry{ID: "s", Address: "127.0.0.1:80", StartedUnixMS: 1000, Weight: 1}
 	draining := up
@@ -70,13 +70,13 @@
 		"up":                           {[]distribution.Entry{serverEntry(t, 1, up)}, true, incarnation.Up, "127.0.0.1:80"},
 		"moved":                        {[]distribution.Entry{serverEntry(t, 1, up), serverEntry(t, 2, moved)}, true, incarnation.Up, "127.0.0.1:81"},
 		"draining":                     {[]distribution.Entry{serverEntry(t, 1, up), serverEntry(t, 2, draining)}, false, incarnation.Draining, "127.0.0.1:80"},
-		"an older up after the drain":  {[]distribution.Entry{serverEntry(t, 1, up), serverEntry(t, 3, draining), serverEntry(t, 2, up)}, false, incarnation.Draining, "127.0.0.1:80"},
-		"the drain is called off":      {[]distribution.Entry{serverEntry(t, 1, up), serverEntry(t, 2, draining), serverEntry(t, 3, up)}, true, incarnation.Up, "127.0.0.1:80"},
+		"older up after the drain":     {[]distribution.Entry{serverEntry(t, 1, up), serverEntry(t, 3, draining), serverEntry(t, 2, up)}, false, incarnation.Draining, "127.0.0.1:80"},
+		"drain is canceled":            {[]distribution.Entry{serverEntry(t, 1, up), serverEntry(t, 2, draining), serverEntry(t, 3, up)}, true, incarnation.Up, "127.0.0.1:80"},
 		"deleted":                      {[]distribution.Entry{serverEntry(t, 1, up), entryOf(distribution.KindServer, "s", 2, nil)}, false, incarnation.Gone, "127.0.0.1:80"},
-		"an older up after the end":    {[]distribution.Entry{serverEntry(t, 1, up), entryOf(distribution.KindServer, "s", 3, nil), serverEntry(t, 2, up)}, false, incarnation.Gone, "127.0.0.1:80"},
-		"written again":                {[]distribution.Entry{serverEntry(t, 1, up), entryOf(distribution.KindServer, "s", 2, nil), serverEntry(t, 3, up)}, true, incarnation.Up, "127.0.0.1:80"},
-		"the next start":               {[]distribution.Entry{serverEntry(t, 1, draining), serverEntry(t, 2, restarted)}, true, incarnation.Up, "127.0.0.1:80"},
-		"a bad value, what was stands": {[]distribution.Entry{serverEntry(t, 1, up), entryOf(distribution.KindServer, "s", 2, []byte("bad"))}, true, incarnation.Up, "127.0.0.1:80"},
+		"older up after the deletion":  {[]distribution.Entry{serverEntry(t, 1, up), entryOf(distribution.KindServer, "s", 3, nil), serverEntry(t, 2, up)}, false, incarnation.Gone, "127.0.0.1:80"},
+		"written after the deletion":   {[]distribution.Entry{serverEntry(t, 1, up), entryOf(distribution.KindServer, "s", 2, nil), serverEntry(t, 3, up)}, true, incarnation.Up, "127.0.0.1:80"},
+		"restarted":                    {[]distribution.Entry{serverEntry(t, 1, draining), serverEntry(t, 2, restarted)}, true, incarnation.Up, "127.0.0.1:80"},
+		"invalid value, old one stays": {[]distribution.Entry{serverEntry(t, 1, up), entryOf(distribution.KindServer, "s", 2, []byte("bad"))}, true, incarnation.Up, "127.0.0.1:80"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newTestApplier(t)
@@ -85,17 +85,17 @@
 				d.ApplyServers([]distribution.Entry{e}, false)
 			}
 			lines, from, _, _ := d.dispatcher.Endpoints()
-			if len(lines) == 0 && c.condition == incarnation.Gone { // it is forgotten
+			if len(lines) == 0 && c.condition == incarnation.Gone { // the dispatcher has discarded it
 				return
 			}
 			if len(lines) != 1 || lines[0].IsUsable != c.used || lines[0].Condition != c.condition || lines[0].Address.String() != c.at || from != endpoints.SourceDistribution {
-				t.Errorf("%+v by %v", lines, from)
+				t.Errorf("got %+v from %v", lines, from)
 			}
 		})
 	}
 }
 
-// The first complete list removes what an earlier source had announced.
+// The first complete list removes the servers of earlier sources, and a list of discovery has no effect after it.
 func TestDistributedServersComplete(t *testing.T) {
 	d := newTestApplier(t)
 	d.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "old", Address: netip.MustParseAddrPort("127.0.0.1:9"), Size: 1}}, Complete: true}, endpoints.SourceConfig)
@@ -103,16 +103,16 @@
 	lines, _, _, _ := d.dispatcher.Endpoints()
 	for _, l := range lines {
 		if l.IsUsable != (l.ID == "s") {
-			t.Errorf("%+v", l)
+			t.Errorf("got %+v, want only server s usable", l)
 		}
 	}
 	d.applyDiscoveryList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "late", Address: netip.MustParseAddrPort("127.0.0.1:10"), Size: 1}}})
 	if lines, from, _, _ := d.dispatcher.Endpoints(); from != endpoints.SourceDistribution || len(lines) > 2 {
-		t.Errorf("discovery's word counts beside: %+v by %v", lines, from)
+		t.Errorf("list of discovery was applied: got %+v from %v", lines, from)
 	}
 }
 
-// Servers, routes and tenants that cannot be used are named with the reason; all others hold, with the last good value.
+// Invalid servers, routes and tenants are returned with the reason, and their last good versions stay in effect. All others are applied.
 func TestDistributedRejections(t *testing.T) {
 	text := func(kind distribution.Kind, name string, clock uint64, text string) distribution.Entry {
 		return entryOf(kind, name, clock, []byte(text))
@@ -126,7 +126,7 @@
 		what     string
 		give     func() []distribution.Rejection
 		rejected string
-		want     string // routes in force
+		want     string // routes in effect
 	}{
 		{"servers", func() []distribution.Rejection {
 			return d.ApplyServers([]distribution.Entry{text(distribution.KindServer, "s", 1, "x"), serverEntry(t, 1, incarnation.Entry{ID: "t", Address: "127.0.0.1:80", Weight: 1})}, true)
@@ -163,7 +163,7 @@
 		}
 		all := strings.Join(got, "; ")
 		if (all == "") != (c.rejected == "") || !strings.HasPrefix(all, c.rejected) {
-			t.Errorf("%s: rejected %q, not %q", c.what, all, c.rejected)
+			t.Errorf("%s: got rejections %q, want %q", c.what, all, c.rejected)
 		}
 		var routes []string
 		if set := d.dispatcher.Routes(); set != nil {
@@ -172,15 +172,15 @@
 			}
 		}
 		if strings.Join(routes, " ") != c.want {
-			t.Errorf("%s: routes in force: %q, not %q", c.what, routes, c.want)
+			t.Errorf("%s: got routes %q in effect, want %q", c.what, routes, c.want)
 		}
 	}
 	if d.quotas["dairy"] != 10 || len(d.quotas) != 1 {
-		t.Errorf("allowances in force: %v", d.quotas)
+		t.Errorf("got quotas %v in effect, want only 10 for dairy", d.quotas)
 	}
 }
 
-// The operator's file lies beneath the entries, also after it has changed.
+// The entries build on the operator's file, also after the file has changed.
 func TestDistributedRoutesOverOperatorFile(t *testing.T) {
 	d := newTestApplier(t)
 	file := func(text string) *route.Table {
@@ -216,7 +216,8 @@
 	}
 }
 
-// What holds in place of a newer version that cannot be used holds after a restart too, and is forgotten with it.
+// A last good version that is in effect in place of an invalid newer version is in effect after a restart too. It is removed when its entry is
+// deleted.
 func TestLastGoodAfterRestart(t *testing.T) {
 	dir := t.TempDir()
 	begin := func() *distributionApplier {
@@ -245,7 +246,7 @@
 			}
 		}
 		if most != want || want > 0 && d.quotas["dairy"] != 10 {
-			t.Errorf("%s: a body of %d bytes, not %d; allowances %v", what, most, want, d.quotas)
+			t.Errorf("%s: got a maximum body of %d bytes, want %d; quotas %v", what, most, want, d.quotas)
 		}
 	}
 	d := begin()
@@ -257,31 +258,31 @@
 	for range 2 {
 		d = begin()
 		if n := len(d.ApplyRoutes(second)) + len(d.ApplyTenants([]distribution.Entry{entry(distribution.KindTenant, "dairy", 2, minus)})); n != 2 {
-			t.Errorf("%d rejections", n)
+			t.Errorf("got %d rejections, want 2", n)
 		}
 		check(d, "after a restart", 7)
 	}
 	d.ApplyRoutes(first[1:])
 	d.ApplyTenants(nil)
 	if _, err := os.Stat(filepath.Join(dir, lastGoodFileName)); !os.IsNotExist(err) {
-		t.Errorf("it is still kept: %v", err)
+		t.Errorf("last good file still exists: got error %v, want not exist", err)
 	}
 	d = begin()
 	d.ApplyRoutes(second)
-	check(d, "after its end", 0)
+	check(d, "after the deletion", 0)
 	if err := os.WriteFile(filepath.Join(dir, lastGoodFileName), []byte("garbled"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, good, err := openLastGood(dir); err == nil || len(good) > 0 {
-		t.Errorf("garbled: %v, %v", good, err)
+		t.Errorf("malformed file: got entries %v, error %v, want no entries and an error", good, err)
 	}
 }
 
-// The distribution goes with no other source of servers.
+// The distribution must not be combined with another source of servers.
 func TestDistributionIsOnlyListSource(t *testing.T) {
 	for name, c := range map[string]Config{"registry": {Registry: &zookeeper.Config{}}, "planners": {Planners: &planconfig.Forwarder{}}, "snapshot": {Snapshot: &snapshot.Config{}}} {
 		if err := c.checkSingleListSource(); err == nil || !strings.Contains(err.Error(), "--"+name) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want one that names the flag", name, err)
 		}
 	}
 	if err := (&Config{}).checkSingleListSource(); err != nil {
@@ -289,7 +290,7 @@
 	}
 }
 
-// Allowances come in force in place of the settings', add up over services, and end with their entries.
+// Quotas of entries replace those of the settings, add up over services, and end when their entries are deleted.
 func TestDistributedTenants(t *testing.T) {
 	d := newTestApplier(t)
 	d.settings.TenantNames, d.settings.TenantQuotas = []string{"dairy"}, []float64{5}
@@ -320,18 +321,18 @@
 			t.Error(rejected)
 		}
 		var got []string
-		for _, tenant := range []string{"dairy", "mill"} { // Report names those with traffic only
+		for _, tenant := range []string{"dairy", "mill"} { // a report names only tenants with traffic
 			if allowance := d.dispatcher.Quota(tenant); allowance > 0 {
 				got = append(got, fmt.Sprint(tenant, " ", allowance))
 			}
 		}
 		if strings.Join(got, ", ") != c.want {
-			t.Errorf("in force: %q, not %q", got, c.want)
+			t.Errorf("got quotas %q in effect, want %q", got, c.want)
 		}
 	}
 }
 
-// A new node that reaches no control process asks discovery, and goes by control processes alone once there are some.
+// A new node that reaches no control process polls discovery, and uses only control processes once it has reached one.
 func TestDiscoveryFallback(t *testing.T) {
 	t.Parallel()
 	hosts, used := servers(t, 1, okResponse)
@@ -387,7 +388,7 @@
 	for by := time.Now().Add(20 * time.Second); used.Load() == 0; time.Sleep(20 * time.Millisecond) {
 		get(t, dial(t, node), "/check/1")
 		if time.Now().After(by) {
-			t.Fatal("the server of the distribution is never used")
+			t.Fatal("timeout after 20 s: server of the distribution got no request")
 		}
 	}
 	before := taken.Load()
@@ -397,6 +398,6 @@
 		}
 	}
 	if n := taken.Load() - before; n > 0 {
-		t.Errorf("%d requests to the server that only discovery names", n)
+		t.Errorf("got %d requests to the server that only discovery announces, want none", n)
 	}
 }
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -25,12 +25,12 @@
 var ids atomic.Int64
 
 const (
-	closeMark          = "\x00" // at the end of a script's line: the server closes the connection
+	closeMark          = "\x00" // at the end of a scripted response: the server closes the connection
 	okResponse         = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	notStartedResponse = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// standIn is a stand-in server that gives each connection to a function.
+// standIn starts a stand-in server that calls serve for each connection, and returns its address.
 func standIn(t *testing.T, lead func(net.Conn)) netip.AddrPort {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +49,8 @@
 	return ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// servers are stand-in servers that together answer by the lines of a script, one for each request.
+// servers starts n stand-in servers that together send the responses of a script, one per request, and repeat the last one. taken counts the
+// requests received.
 func servers(t *testing.T, n int, script ...string) (hosts []http1.Endpoint, taken *atomic.Int32) {
 	taken = new(atomic.Int32)
 	for i := range n {
@@ -79,7 +80,7 @@
 			NodeCount: 1, MaxAttempts: 4, ConnectTimeout: 100 * time.Millisecond, TrafficTypes: []policy.TrafficType{kind, binding}}}}
 }
 
-// startNode runs a node until the test ends, or until stop.
+// startNode runs a node until the test ends or stop is called, and returns its address.
 func startNode(t *testing.T, cfg Config) (at string, stop func() error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -123,13 +124,13 @@
 	return r
 }
 
-// submitNonIdempotent submits a non-idempotent request with a request ID of its own.
+// submitNonIdempotent submits a non-idempotent request with a unique request ID.
 func submitNonIdempotent(f *dispatch.Dispatcher) *dispatch.Request {
 	op, _ := f.Submit(dispatch.Arrival{ID: fmt.Append(nil, ids.Add(1)), RouteIndex: -1, TrafficType: 1, Timeout: time.Minute})
 	return op
 }
 
-// heldServer is a server that answers no request until it is released.
+// heldServer starts a server that sends no response until release is called. It sends to begun for each request.
 func heldServer(t *testing.T) (h http1.Endpoint, begun chan struct{}, release func()) {
 	begun = make(chan struct{}, 16)
 	until := make(chan struct{})
@@ -148,16 +149,16 @@
 	t.Helper()
 	for by := time.Now().Add(5 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(by) {
-			t.Fatalf("no %s", what)
+			t.Fatalf("timeout after 5 s: got no %s", what)
 		}
 	}
 }
 
-// testServer is a node without a listener, whose client connections are handed to it.
+// testServer is a node without a listener. Tests pass client connections to it directly.
 type testServer struct {
 	*Server
-	disconnected, open int // since the start; now
-	dialed             atomic.Int32
+	disconnected, open int          // disconnected clients since the start; open requests at the last count
+	dialed             atomic.Int32 // connects to servers
 }
 
 func newTestServer(t *testing.T, cfg Config) *testServer {
@@ -170,7 +171,7 @@
 	return l
 }
 
-// serveClient hands it a client that requests a path; done is closed when the client's connection has been served.
+// serveClient serves a new client connection that requests a path. done is closed when the connection is closed.
 func (l *testServer) serveClient(t *testing.T, path string) (client *net.TCPConn, done chan struct{}) {
 	near, client := connpair.TCP(t)
 	done = make(chan struct{})
@@ -182,14 +183,14 @@
 	return client, done
 }
 
-// count takes over the counts up to now.
+// count updates disconnected and open from the dispatcher's counts.
 func (l *testServer) count() *testServer {
 	c := l.dispatcher.Counts()
 	l.disconnected, l.open = l.disconnected+c.Disconnected, c.OpenRequests
 	return l
 }
 
-// holdDial makes the nth connect to a server wait for release; reached is closed when it waits.
+// holdDial makes the nth connect to a server wait until release is closed. reached is closed when it waits.
 func (l *testServer) holdDial(nth int32) (reached, release chan struct{}) {
 	reached, release = make(chan struct{}), make(chan struct{})
 	l.dialer.Control = func(string, string, syscall.RawConn) error {
--- a/internal/proxy/storedformat_test.go
+++ b/internal/proxy/storedformat_test.go
@@ -73,7 +73,7 @@
 	}
 	req := &http1.Request{Fields: []http1.Field{{Name: []byte("Client-Retry"), Value: []byte("1")}, {Name: []byte("Repeats"), Value: []byte("77")}}}
 	begin := func(id string) *journalEntry {
-		return j.begin(1, &message.RequestInfo{ID: []byte(id), Tenant: []byte("dairy")}, req)
+		return j.newEntry(1, &message.RequestInfo{ID: []byte(id), Tenant: []byte("dairy")}, req)
 	}
 	attempts := begin("attempts")
 	for how := dispatch.Succeeded; how <= dispatch.Abandoned; how++ {
