--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -230,7 +230,7 @@
 			kind.LatencyObjective, kind.ClientTimeout = time.Minute, time.Minute
 			at, _ := startNode(t, cfg)
 			if r := get(t, dial(t, at), "/check/1"); r.Status != c.status || taken.Load() != c.sent {
-				t.Errorf("answered %d after %d attempts", r.Status, taken.Load())
+				t.Errorf("unexpected status %d after %d attempts", r.Status, taken.Load())
 			}
 		})
 	}
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -110,7 +110,7 @@
 			client := dial(t, at)
 			for range 20 {
 				if r := get(t, client, "/check/1"); r.Status != 200 {
-					t.Errorf("answered %d", r.Status)
+					t.Errorf("got status %d, want 200", r.Status)
 				}
 			}
 			if n := taken.Load() - before; n > 0 {
@@ -170,7 +170,7 @@
 			}
 			close(next)
 			if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
-				t.Errorf("answered %d", r.Status)
+				t.Errorf("got status %d, want 200", r.Status)
 			}
 		})
 	}
--- a/internal/proxy/distribution_test.go
+++ b/internal/proxy/distribution_test.go
@@ -394,7 +394,7 @@
 	before := taken.Load()
 	for range 20 {
 		if r := get(t, dial(t, node), "/check/1"); r.Status != 200 {
-			t.Errorf("answered %d", r.Status)
+			t.Errorf("got status %d, want 200", r.Status)
 		}
 	}
 	if n := taken.Load() - before; n > 0 {
--- a/internal/proxy/endpointcache_test.go
+++ b/internal/proxy/endpointcache_test.go
@@ -17,7 +17,7 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// cachedList writes an endpoint list as a node left it that was killed.
+// cachedList writes an endpoint list like that of a node that was killed, and returns the configuration to load it.
 func cachedList(t *testing.T, change func(*snapshot.Snapshot), servers ...snapshot.Server) *snapshot.Config {
 	t.Helper()
 	dir := t.TempDir()
@@ -68,7 +68,7 @@
 	return snapshot.Server{ID: id, Condition: uint8(c), Address: a.at.String(), Weight: 1}
 }
 
-// sendConcurrently sends several requests at once, so that one server is not enough.
+// sendConcurrently sends more concurrent requests than one server handles.
 func sendConcurrently(t *testing.T, at string) {
 	t.Helper()
 	var all sync.WaitGroup
@@ -95,8 +95,8 @@
 	return r.Status
 }
 
-// A node starts on its own old list, with its source out of reach: draining servers get nothing, non-idempotent requests go only to a server
-// that has shown that it serves, and a server that says that it is another gets nothing more.
+// A node starts with its cached list while its source is unreachable: draining servers get no requests, non-idempotent requests go only to a
+// server that is proven to serve, and a server that identifies itself as another server gets no further requests.
 func TestStartFromCachedList(t *testing.T) {
 	t.Parallel()
 	up, drained, other := newCountingServer(t, ""), newCountingServer(t, ""), newCountingServer(t, "Server-Id: else\r\n")
@@ -105,12 +105,12 @@
 		up.server("up", incarnation.Up), drained.server("drained", incarnation.Draining), drained.server("gone", incarnation.Gone), other.server("other", incarnation.Up))
 	at, stop := startNode(t, cfg)
 	if status := bookStatus(t, at); status != 503 || up.count("book")+other.count("book") > 0 {
-		t.Errorf("a booking before any server is proved is answered %d", status)
+		t.Errorf("non-idempotent request before any server is proven: got status %d, want 503 without an attempt", status)
 	}
 	for up.count("check") == 0 || other.count("check") == 0 {
 		sendConcurrently(t, at)
 	}
-	for bookStatus(t, at) != 200 { // until the node has looked at the answer; where it came too late, at another one
+	for bookStatus(t, at) != 200 { // until the node has observed a response that arrived in time
 		sendConcurrently(t, at)
 	}
 	seen := other.count("check")
@@ -119,33 +119,33 @@
 		bookStatus(t, at)
 	}
 	if other.count("check") > seen+8 || other.count("book") > 0 || drained.count("check")+drained.count("book") > 0 {
-		t.Errorf("another server got %d checks and %d bookings, drained ones %d and %d", other.count("check")-seen, other.count("book"),
+		t.Errorf("server with another ID got %d idempotent and %d non-idempotent requests, draining ones %d and %d", other.count("check")-seen, other.count("book"),
 			drained.count("check"), drained.count("book"))
 	}
 	if err := stop(); err != nil {
 		t.Error(err)
 	}
 	store, _ := snapshot.Open(cfg.Snapshot.Dir, 3, wal.OSFileSystem{})
-	if all, _ := store.All(); len(all) != 1 { // it was never confirmed, so writing it would make it look new
-		t.Errorf("%d generations", len(all))
+	if all, _ := store.All(); len(all) != 1 { // the list was never confirmed, so writing it would make it look new
+		t.Errorf("got %d generations, want 1", len(all))
 	}
 }
 
-// Which cached lists are not used; the node starts all the same.
+// A node starts without its cached list if the list is invalid, too old, of another node or deployment, or older than the configuration's.
 func TestCachedListNotUsed(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		change func(*snapshot.Snapshot)
-		known  uint64 // revision of a list that the configuration brings; 0: none
+		known  uint64 // revision of the list in the configuration; 0: none
 		used   bool
 	}{
 		"good":               {nil, 0, true},
 		"another deployment": {func(s *snapshot.Snapshot) { s.Deployment = "e" }, 0, false},
 		"another node":       {func(s *snapshot.Snapshot) { s.Node = "m" }, 0, false},
 		"too old":            {func(s *snapshot.Snapshot) { s.ConfirmedUnixMS -= (2 * time.Hour).Milliseconds() }, 0, false},
-		"from ahead":         {func(s *snapshot.Snapshot) { s.ConfirmedUnixMS += (2 * time.Hour).Milliseconds() }, 0, true},
-		"a newer one known":  {nil, 8, false},
-		"an older one known": {nil, 6, true},
+		"from the future":    {func(s *snapshot.Snapshot) { s.ConfirmedUnixMS += (2 * time.Hour).Milliseconds() }, 0, true},
+		"newer configured":   {nil, 8, false},
+		"older configured":   {nil, 6, true},
 		"no address":         {func(s *snapshot.Snapshot) { s.Servers[0].Address = "" }, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -158,13 +158,13 @@
 			}
 			at, _ := startNode(t, cfg)
 			if status := get(t, dial(t, at), "/check/1").Status; (status == 200) != c.used {
-				t.Errorf("answered %d", status)
+				t.Errorf("unexpected status %d", status)
 			}
 		})
 	}
 }
 
-// awaitList takes the next list for a poll. ok is false where the node gives the poll up before: a list that was taken then would be lost.
+// awaitList returns the next list for a poll. ok is false if the node abandons the poll before: a list taken after that would be lost.
 func awaitList(c *http1.Conn, lists <-chan string) (list string, ok bool) {
 	givenUp := make(chan struct{})
 	go func() {
@@ -182,8 +182,8 @@
 	return list, ok
 }
 
-// What discovery announces first: changes are changes to the cached list, which is confirmed with them; a complete list that lacks servers
-// which serve is not applied at once. What was confirmed is written, the last time as a clean shutdown.
+// The first list of discovery after a start: an incomplete list changes the cached list and confirms it; a complete list that lacks proven
+// servers is not applied immediately. The confirmed list is written to disk, at the end marked as that of a clean shutdown.
 func TestCachedListConfirmed(t *testing.T) {
 	t.Parallel()
 	one, two := newCountingServer(t, ""), newCountingServer(t, "")
@@ -223,11 +223,11 @@
 	before := two.count("check")
 	for range 20 {
 		if status := get(t, dial(t, at), "/check/1").Status; status != 200 {
-			t.Fatalf("answered %d", status)
+			t.Fatalf("got status %d, want 200", status)
 		}
 	}
 	if two.count("check") > before {
-		t.Error("one that was told to drain is used")
+		t.Error("draining server got a request")
 	}
 	if err := stop(); err != nil {
 		t.Error(err)
@@ -238,11 +238,11 @@
 		states[s.ID] = s.Condition
 	}
 	if !got.IsCleanShutdown || got.Node != "n" || fmt.Sprint(states) != "map[old:1 one:0 two:1]" || got.Servers[1].ExecutedUnixMS == 0 || time.Since(time.UnixMilli(got.ConfirmedUnixMS)) > time.Minute {
-		t.Errorf("kept in the end: %+v", got)
+		t.Errorf("unexpected list on disk after the stop: %+v", got)
 	}
 }
 
-// A disk that fails costs the list only.
+// A node whose disk fails serves requests; only the stored list is missing.
 func TestListNotWritten(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
@@ -252,7 +252,7 @@
 	at, stop := startNode(t, cfg)
 	for range 20 {
 		if status := get(t, dial(t, at), "/check/1").Status; status != 200 {
-			t.Fatalf("answered %d", status)
+			t.Fatalf("got status %d, want 200", status)
 		}
 	}
 	if err := stop(); err != nil {
--- a/internal/proxy/endpointcacherace_test.go
+++ b/internal/proxy/endpointcacherace_test.go
@@ -12,8 +12,8 @@
 	"fernvane/internal/proxy/engine"
 )
 
-// Guards against a data race between the loading of the cached list and peers that ask for the node's list at its start; the race detector
-// finds it.
+// Guards against a data race between loading the cached list and peers that request the node's list at the same time. The race detector
+// reports it.
 func TestCachedListLoadsBesidePeers(t *testing.T) {
 	t.Parallel()
 	cfg := config()
@@ -34,12 +34,12 @@
 			default:
 			}
 			if c.encode() != nil {
-				t.Error("a list that is not confirmed was sent")
+				t.Error("got an encoded list before it was confirmed, want none")
 			}
 		}
 	}()
 	if _, isSuspect := c.load(http1.EndpointList{}); !isSuspect {
-		t.Error("the cached list was not used")
+		t.Error("cached list not used, want it used as suspect")
 	}
 	close(stop)
 	<-done
--- a/internal/proxy/fastcgi_test.go
+++ b/internal/proxy/fastcgi_test.go
@@ -19,7 +19,7 @@
 	"fernvane/internal/protocol/message"
 )
 
-// responder speaks FastCGI and answers each request with what answer makes of it; nil is silence.
+// responder starts a FastCGI server that sends the result of answer for each request, and nothing if it is nil.
 func responder(t *testing.T, answer func(*message.Request) *message.Answer) netip.AddrPort {
 	return standIn(t, func(nc net.Conn) {
 		defer nc.Close()
@@ -37,14 +37,14 @@
 	})
 }
 
-// startFastCGINode runs a node that clients reach in both protocols, with servers in both.
+// startFastCGINode runs a node that accepts clients in both protocols and uses FastCGI for servers of flavor "cgi".
 func startFastCGINode(t *testing.T, hosts ...http1.Endpoint) (http, cgi string, stop func() error) {
 	return startFastCGINodeWith(t, shutdownDelays{}, hosts...)
 }
 
 func startFastCGINodeWith(t *testing.T, u shutdownDelays, hosts ...http1.Endpoint) (http, cgi string, stop func() error) {
 	t.Helper()
-	// An address of its own: between its choice and its use a port of 127.0.0.1 may be dealt out to anybody's connection.
+	// Its own IP address: a free port of 127.0.0.1 may be assigned to any connection before the node listens on it.
 	pid := os.Getpid()
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.252.%d.%d:0", pid/250%250, pid%250+1))
 	if err != nil {
@@ -54,12 +54,12 @@
 	ln.Close()
 	cfg := config(hosts...)
 	cfg.shutdownDelays = u
-	for i := range cfg.Settings.TrafficTypes { // so that a busy machine changes no verdict
+	for i := range cfg.Settings.TrafficTypes { // long enough for a busy machine
 		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = 2*time.Second+u.extraTime, 4*time.Second+u.extraTime
 	}
 	cfg.Routes = routes(t, &cfg, fmt.Sprintf("[fastcgi]\nlisten = %q\nflavors = [\"cgi\"]", cgi))
 	http, stop = startNode(t, cfg)
-	get(t, dial(t, http), "/up") // it listens on both
+	get(t, dial(t, http), "/up") // the node listens on both addresses
 	return http, cgi, stop
 }
 
@@ -72,7 +72,7 @@
 		Fields: []message.Field{{Name: []byte("Host"), Value: []byte("h")}, {Name: []byte("Request-Id"), Value: []byte(id)}}}
 }
 
-// One request in the four pairings of protocols, and its answer by what the server does.
+// The answer to a request depends on the response of the server and not on the protocols of client and server.
 func TestProtocolPairings(t *testing.T) {
 	t.Parallel()
 	status := func(n int, never bool) func(*message.Request) *message.Answer {
@@ -146,11 +146,11 @@
 					}
 					mu.Lock()
 					if r.Status != c.status || c.body != "" && string(r.Body) != c.body || hops > c.hops || hops < 1 && c.status == 200 {
-						t.Errorf("%d %q after %d hops", r.Status, r.Body, hops)
+						t.Errorf("unexpected answer %d %q after %d attempts", r.Status, r.Body, hops)
 					}
 					mu.Unlock()
 					if c.status != 200 {
-						break // its servers are ejected now
+						break // the servers may be ejected now
 					}
 				}
 			})
@@ -158,8 +158,8 @@
 	}
 }
 
-// A hundred requests share a connection: one that is aborted while its attempt is in flight and one that is malformed harm no
-// other, and nothing more comes of the aborted one than its end.
+// A hundred requests share a connection. A request that is aborted while its attempt is in flight and a malformed request do not affect the
+// others, and the aborted request gets only an empty end of request.
 func TestSharedConnection(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -180,7 +180,7 @@
 			q.Target = []byte("/book/held")
 		}
 		if id == 8 {
-			q.Fields = nil // no id
+			q.Fields = nil // no request ID
 		}
 		wire = append(wire, fastcgi.AppendRequest(nil, id, q, "4.000", "1.2.3.4")...)
 	}
@@ -203,23 +203,23 @@
 		case id == 7 && len(a.Body) == 0 && a.Status == 0, id == 8 && a.Status == 400, a.Status == 200 && string(a.Body) == "POST /book/1 body", a.Status == 503:
 			whole = append(whole, id)
 		default:
-			t.Errorf("request %d: %d %q", id, a.Status, a.Body)
+			t.Errorf("request %d: unexpected answer %d %q", id, a.Status, a.Body)
 		}
 	}
 	if len(whole) != n || !slices.Contains(whole, 7) {
-		t.Errorf("%d answers", len(whole))
+		t.Errorf("got %d expected answers, want one per request", len(whole))
 	}
 	if err := stop(); err != nil {
 		t.Error(err)
 	}
 }
 
-// The connection of a FastCGI client that sends nothing, stalls or violates the protocol ends within 3 s.
+// The node closes the connection of a FastCGI client that sends nothing, stalls or violates the protocol within 3 s.
 func TestMalformedFastCGIClients(t *testing.T) {
 	t.Parallel()
 	_, cgi, _ := startFastCGINode(t)
 	whole := fastcgi.AppendRequest(nil, 1, post("x"), "1.000", "1.2.3.4")
-	for name, text := range map[string][]byte{"says nothing": nil, "half a header": whole[:5], "half a request": whole[:len(whole)-8], "HTTP": []byte("GET / HTTP/1.1\r\n\r\n"),
+	for name, text := range map[string][]byte{"sends nothing": nil, "half a header": whole[:5], "half a request": whole[:len(whole)-8], "HTTP": []byte("GET / HTTP/1.1\r\n\r\n"),
 		"the same id twice": append(slices.Clone(whole[:16]), whole[:16]...)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -227,7 +227,7 @@
 			nc.Write(text)
 			nc.SetReadDeadline(time.Now().Add(3 * time.Second))
 			if _, err := io.Copy(io.Discard, nc); err != nil && !errors.Is(err, syscall.ECONNRESET) {
-				t.Errorf("still open: %v", err)
+				t.Errorf("connection not closed within 3 s: %v", err)
 			}
 		})
 	}
--- a/internal/proxy/fastcgishutdown_test.go
+++ b/internal/proxy/fastcgishutdown_test.go
@@ -16,7 +16,8 @@
 	"fernvane/internal/proxy/engine"
 )
 
-// startHeldNode runs a node whose server holds requests for .../held until release is closed, and answers others at once.
+// startHeldNode runs a node whose server delays responses to requests for .../held until release is closed, and responds to all others
+// immediately.
 func startHeldNode(t *testing.T, u shutdownDelays) (http, cgi string, stop func() error, begun, release chan struct{}) {
 	begun, release = make(chan struct{}, 200), make(chan struct{})
 	at := standIn(t, func(nc net.Conn) {
@@ -31,7 +32,7 @@
 			c.Send(http1.AppendAnswer(nil, *echoed(&r)))
 		}
 	})
-	var hosts []http1.Endpoint // one server under many names, so that many attempts may be in flight
+	var hosts []http1.Endpoint // one server under many IDs, so that many attempts may be in flight
 	for i := range 100 {
 		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("s", i), Size: 1, Address: at})
 	}
@@ -49,7 +50,7 @@
 	return fastcgi.AppendRequest(nil, id, r, "50.000", "1.2.3.4")
 }
 
-// fastcgiTestClient is a client whose requests share a connection.
+// fastcgiTestClient is a FastCGI client with one connection.
 type fastcgiTestClient struct {
 	net.Conn
 	*fastcgi.ResponseReader
@@ -61,13 +62,13 @@
 	return fastcgiTestClient{nc, fastcgi.NewResponseReader(nc)}
 }
 
-// answer reads until a request has its answer; each other that comes before is given to others.
+// answer reads until the answer to a request arrives, and returns its status. It passes other answers to others.
 func (c fastcgiTestClient) answer(t *testing.T, to uint16, others func(id uint16, status int)) int {
 	t.Helper()
 	for {
 		id, r, err := c.Next()
 		if err != nil {
-			t.Fatalf("no answer to %d: %v", to, err)
+			t.Fatalf("read answer to request %d: %v", to, err)
 		}
 		if id == to {
 			return r.Status
@@ -76,7 +77,7 @@
 	}
 }
 
-// endsInOrder reads to the end; requests that are notified before it that they never ran are of no matter.
+// endsInOrder reads until the end of the connection. Before it, only notices that a request was not executed (status 0) are allowed.
 func (c fastcgiTestClient) endsInOrder(t *testing.T) {
 	t.Helper()
 	for {
@@ -85,53 +86,53 @@
 			return
 		}
 		if err != nil || r.Status != 0 {
-			t.Errorf("no end in order: %d is answered %d, %v", id, r.Status, err)
+			t.Errorf("got answer to request %d with status %d, error %v, want the end of the connection", id, r.Status, err)
 			return
 		}
 	}
 }
 
-// What ends a connection on which a request is open: it gets its answer first, and the connection ends in order.
+// When an error ends a connection with an open request, that request gets its answer first and the connection is closed without a reset.
 func TestCloseKeepsAcceptedRequests(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		behind []byte // sent behind the request that is held
-		told   uint16 // ID of a request that is notified first that it never ran; 0: none
+		behind []byte // sent after the delayed request
+		told   uint16 // ID of a request that first gets the notice that it was not executed; 0: none
 	}{
-		"what cannot be read":      {[]byte("GET / HTTP/1.1\r\n\r\n"), 0},
-		"an id that is open":       {encodeRequest(1, post("x"))[:16], 0},
-		"a request that stalls":    {encodeRequest(2, post("y"))[:40], 2},
-		"a record that stalls":     {encodeRequest(2, post("z"))[:5], 0},
-		"a stall and what follows": {append(encodeRequest(3, post("w"))[:40:40], encodeRequest(2, post("v"))[:16]...), 3},
+		"not FastCGI":               {[]byte("GET / HTTP/1.1\r\n\r\n"), 0},
+		"the ID of an open request": {encodeRequest(1, post("x"))[:16], 0},
+		"a request that stalls":     {encodeRequest(2, post("y"))[:40], 2},
+		"a record that stalls":      {encodeRequest(2, post("z"))[:5], 0},
+		"a stall and what follows":  {append(encodeRequest(3, post("w"))[:40:40], encodeRequest(2, post("v"))[:16]...), 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			_, cgi, _, begun, release := startHeldNode(t, shutdownDelays{extraTime: time.Minute})
 			nc := dialFastCGI(t, cgi)
-			nc.Write(append(encodeRequest(1, heldRequest("held "+name)), c.behind...)) // read at once, while the first is held
+			nc.Write(append(encodeRequest(1, heldRequest("held "+name)), c.behind...)) // read immediately, while the first request is delayed
 			<-begun
 			if c.told > 0 {
 				if id, r, err := nc.Next(); id != c.told || r.Status != 0 || err != nil {
-					t.Errorf("%d is told %d, %v", id, r.Status, err)
+					t.Errorf("got notice for request %d with status %d, error %v, want status 0", id, r.Status, err)
 				}
 			}
 			close(release)
 			if status := nc.answer(t, 1, func(uint16, int) {}); status != 200 {
-				t.Errorf("answered %d", status)
+				t.Errorf("got status %d, want 200", status)
 			}
 			nc.endsInOrder(t)
 		})
 	}
 }
 
-// SIGTERM with a hundred requests open on one connection, and more that keep coming: accepted requests are answered,
-// those that arrive until listening ends too, and those that arrive then are notified that they never ran.
+// Shutdown with a hundred requests open on one connection while further requests arrive. Accepted requests are answered, and so are requests
+// that arrive until the listener closes. Requests that arrive later get the notice that they were not executed.
 func TestStopSharedConnection(t *testing.T) {
 	t.Parallel()
 	coming := make(chan struct{})
 	http, cgi, stop, begun, release := startHeldNode(t, shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: time.Minute})
 	nc, idle := dialFastCGI(t, cgi), dialFastCGI(t, cgi)
-	const n, mark = 99, 1000 // a hundred with the one that asks how it stands
+	const n, mark = 99, 1000 // a hundred with the readiness check
 	var wire []byte
 	for id := uint16(1); id <= n; id++ {
 		wire = append(wire, encodeRequest(id, heldRequest(fmt.Sprint("stop-", id)))...)
@@ -139,13 +140,13 @@
 	up := post("up")
 	up.Method, up.Target, up.Body = []byte("GET"), []byte("/up"), nil
 	nc.Write(append(wire, encodeRequest(mark, up)...))
-	open := n // some may be rejected at once: so many are not forwarded together
+	open := n // some may be rejected immediately, above the concurrency limits
 	denied := func(id uint16, status int) {
 		if open--; id > n || status != 503 {
-			t.Errorf("%d is answered %d", id, status)
+			t.Errorf("request %d: got status %d, want 503 for a request of this test", id, status)
 		}
 	}
-	nc.answer(t, mark, denied) // all before it were read
+	nc.answer(t, mark, denied) // all requests before it were read
 	<-begun
 	done := make(chan error)
 	go func() { done <- stop() }()
@@ -153,24 +154,24 @@
 	}
 	nc.Write(encodeRequest(mark, up))
 	if status := nc.answer(t, mark, denied); status != 200 {
-		t.Errorf("answered %d while it stops", status)
+		t.Errorf("got status %d while draining, want 200", status)
 	}
 	idle.Write(encodeRequest(1, up))
 	if status := idle.answer(t, 1, denied); status != 200 {
-		t.Errorf("answered %d on an idle connection", status)
+		t.Errorf("got status %d on an idle connection, want 200", status)
 	}
 	idle.endsInOrder(t)
 	close(coming)
-	for status := 200; status != 0; { // notified that it never ran: its end alone
+	for status := 200; status != 0; { // status 0: not executed
 		nc.Write(encodeRequest(mark, up))
 		if status = nc.answer(t, mark, denied); status != 200 && status != 0 {
-			t.Fatalf("answered %d", status)
+			t.Fatalf("got status %d, want 200 or 0", status)
 		}
 	}
 	close(release)
 	for ; open > 0; open-- {
 		if id, r, err := nc.Next(); err != nil || r.Status != 200 && r.Status != 503 {
-			t.Fatalf("%d is answered %d, %v; %d are owed", id, r.Status, err, open)
+			t.Fatalf("request %d: got status %d, error %v, want 200 or 503; %d answers are missing", id, r.Status, err, open)
 		}
 	}
 	nc.endsInOrder(t)
@@ -179,13 +180,13 @@
 	}
 }
 
-// A client of either protocol that has sent on behind the last answer still gets all of it: the close is no reset.
+// A client of either protocol that sends further bytes after its last request still gets the complete answer: the close is not a reset.
 func TestNoResetBeforeAnswer(t *testing.T) {
 	t.Parallel()
 	body := strings.Repeat("x", 60<<10)
 	at := responder(t, func(*message.Request) *message.Answer { return &message.Answer{Status: 200, Body: []byte(body)} })
 	http, cgi, _ := startFastCGINode(t, http1.Endpoint{ID: "s", Size: 1, Flavor: "cgi", Address: at})
-	narrow := net.Dialer{Control: func(_, _ string, rc syscall.RawConn) error { // the answer waits at the node
+	narrow := net.Dialer{Control: func(_, _ string, rc syscall.RawConn) error { // most of the answer stays in the node's buffers
 		return rc.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 	}}
 	for name, c := range map[string]struct {
@@ -200,7 +201,7 @@
 				err := http1.NewConn(nc).ReadResponse(&r, http1.MaxAnswer)
 				return len(r.Body), err
 			}},
-		"FastCGI, what cannot be read": {cgi, append(encodeRequest(1, post("reset-3")), strings.Repeat("no record at all", 2000)...),
+		"FastCGI, malformed": {cgi, append(encodeRequest(1, post("reset-3")), strings.Repeat("no record at all", 2000)...),
 			func(nc net.Conn) (int, error) {
 				_, r, err := fastcgi.NewResponseReader(nc).Next()
 				return len(r.Body), err
@@ -216,13 +217,13 @@
 			nc.SetDeadline(time.Now().Add(time.Minute))
 			nc.Write(c.ask)
 			if n, err := c.read(nc); n != len(body) || err != nil {
-				t.Errorf("%d bytes of %d, %v", n, len(body), err)
+				t.Errorf("got a body of %d bytes, want %d, error %v", n, len(body), err)
 			}
 		})
 	}
 }
 
-// A request that arrives as the idle timeout passes is read all the same.
+// A request that arrives as the idle timeout passes is still read.
 func TestRequestCrossesIdleTimeout(t *testing.T) {
 	t.Parallel()
 	s := &Server{cfg: config()}
@@ -245,6 +246,6 @@
 	}
 	c := &fastcgiClientConn{server: s, tcp: nc.(*net.TCPConn), conn: f, client: s.dispatcher.AddClient(f), firstRequestDeadline: pastDeadline}
 	if call, err := f.NextRequest(c); err != nil || string(call.Request.Body) != "body" {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want the request", err)
 	}
 }
--- a/internal/proxy/httpclient_test.go
+++ b/internal/proxy/httpclient_test.go
@@ -24,14 +24,14 @@
 		status int
 	}{
 		"no HTTP":            {"hello\r\n\r\n", 400},
-		"no id":              {get + "\r\n", 400},
-		"a time-out of what": {get + "Request-Id: 1\r\nRequest-Timeout: x\r\n\r\n", 400},
-		"an empty time-out":  {get + "Request-Id: 1\r\nRequest-Timeout:\r\n\r\n", 400},
-		"no time at all":     {get + "Request-Id: 1\r\nRequest-Timeout: 0\r\n\r\n", 408},
-		"a method without":   {"HEAD /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n", 405},
-		"its time is up":     {get + "Request-Id: 1\r\nRequest-Timeout: 0.000000001\r\n\r\n", 408},
+		"no request ID":      {get + "\r\n", 400},
+		"invalid timeout":    {get + "Request-Id: 1\r\nRequest-Timeout: x\r\n\r\n", 400},
+		"an empty timeout":   {get + "Request-Id: 1\r\nRequest-Timeout:\r\n\r\n", 400},
+		"a timeout of 0":     {get + "Request-Id: 1\r\nRequest-Timeout: 0\r\n\r\n", 408},
+		"method not allowed": {"HEAD /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n", 405},
+		"timeout has passed": {get + "Request-Id: 1\r\nRequest-Timeout: 0.000000001\r\n\r\n", 408},
 		"stalls in the head": {get, 408},
-		"an endless wait":    {strings.Repeat("\r\n", 99), 431},
+		"blank lines only":   {strings.Repeat("\r\n", 99), 431},
 		"stalls in the body": {"POST /book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\nContent-Length: 9\r\n\r\nx", 408},
 		"a large head":       {get + "A: " + strings.Repeat("a", http1.MaxHead), 431},
 		"a large body":       {get + "Content-Length: 99999\r\n\r\n" + strings.Repeat("a", 99999), 413},
@@ -40,30 +40,30 @@
 			conn := dial(t, at)
 			io.WriteString(conn, c.in)
 			if r := readReply(t, conn); r.Status != c.status || !r.Close {
-				t.Errorf("answered %d, close %v", r.Status, r.Close)
+				t.Errorf("unexpected status %d, close %v", r.Status, r.Close)
 			}
 			if err := conn.ReadResponse(&http1.Response{}, 0); err != io.EOF {
-				t.Errorf("the connection ends with %v", err)
+				t.Errorf("got connection error %v, want EOF", err)
 			}
 		})
 	}
 	if taken.Load() != 0 {
-		t.Error("a server was sent something")
+		t.Error("server got a request, want none")
 	}
 }
 
-// Within 3 s of connecting a client gets an answer or the close, though abandon times are longer.
+// Within 3 s of the connect a slow client gets an answer or the close of its connection, even if the client timeout is longer.
 func TestSlowClients(t *testing.T) {
 	t.Parallel()
 	cfg := config()
 	cfg.Settings.TrafficTypes[0].ClientTimeout = time.Hour
 	at, _ := startNode(t, cfg)
 	for name, c := range map[string]struct{ once, again string }{
-		"says nothing": {},
-		"asks once":    {"GET /up HTTP/1.1\r\nHost: h\r\n\r\n", ""},
-		"half a head":  {"GET /check/1 HT", ""},
-		"half a body":  {"POST /book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\nContent-Length: 9\r\n\r\nx", ""},
-		"dribbles":     {"GET /check/1 HTTP/1.1\r\nA: ", "a"},
+		"sends nothing": {},
+		"one request":   {"GET /up HTTP/1.1\r\nHost: h\r\n\r\n", ""},
+		"half a head":   {"GET /check/1 HT", ""},
+		"half a body":   {"POST /book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\nContent-Length: 9\r\n\r\nx", ""},
+		"byte by byte":  {"GET /check/1 HTTP/1.1\r\nA: ", "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -73,24 +73,24 @@
 				io.WriteString(conn, c.again)
 				conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 				n, err := conn.Read(make([]byte, 99))
-				if name == "asks once" { // and has its answer
+				if name == "one request" { // the answer does not count
 					n = 0
 				}
 				if ended = n > 0 || err != nil && !errors.Is(err, http1.ErrTimeout); !ended && time.Since(began) > 3*time.Second {
-					t.Fatal("still open")
+					t.Fatal("connection neither answered nor closed within 3 s")
 				}
 			}
 		})
 	}
 }
 
-// A client that sends on behind its request and stays gets its answers, as long as what it sends can be held.
+// A client that sends its next request before the answer gets both answers, as long as the node can buffer the bytes.
 func TestPipelinedRequest(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		padding int
-		next    bool // the request behind is answered
-	}{"a request": {0, true}, "as much as is held": {7 << 10, true}, "more than is held": {60 << 10, false}} {
+		next    bool // the next request is answered
+	}{"a request": {0, true}, "as much as is buffered": {7 << 10, true}, "more than is buffered": {60 << 10, false}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h, begun, release := heldServer(t)
@@ -103,19 +103,19 @@
 			fmt.Fprintf(client, "GET /check/2 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\nX: %s\r\n\r\n", ids.Add(1), strings.Repeat("x", c.padding))
 			release()
 			if r := readReply(t, client); r.Status != 200 {
-				t.Errorf("the first is answered %d", r.Status)
+				t.Errorf("first request: got status %d, want 200", r.Status)
 			}
 			var r http1.Response
 			client.SetReadDeadline(time.Now().Add(10 * time.Second))
 			if err := client.ReadResponse(&r, http1.MaxAnswer); (err == nil && r.Status == 200) != c.next {
-				t.Errorf("the next is answered %d, %v", r.Status, err)
+				t.Errorf("next request: unexpected status %d, error %v", r.Status, err)
 			}
 		})
 	}
 }
 
-// A client that goes on sending behind its request, beyond what is held, still gets its answer whole, though it comes to
-// it slowly and sends on after the node has dealt with it.
+// A client that sends more bytes after its request than the node buffers still gets its complete answer, even if it reads the answer slowly
+// and sends further bytes after the node has written it.
 func TestAnswerAfterOverflow(t *testing.T) {
 	t.Parallel()
 	const size = 60 << 10
@@ -137,7 +137,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	narrow := net.Dialer{Control: func(_, _ string, rc syscall.RawConn) error { // the answer waits at the node
+	narrow := net.Dialer{Control: func(_, _ string, rc syscall.RawConn) error { // most of the answer stays in the node's buffers
 		return rc.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 	}}
 	client, err := narrow.Dial("tcp", ln.Addr().String())
@@ -158,19 +158,19 @@
 	fmt.Fprintf(client, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", ids.Add(1))
 	<-begun
 	io.WriteString(client, strings.Repeat("y", 40<<10))
-	await(t, "all that was sent is read", func() bool { return sockpeek.IsIdle(near) })
+	await(t, "read of all sent bytes", func() bool { return sockpeek.IsIdle(near) })
 	close(release)
 	first := make([]byte, 1)
 	if _, err := io.ReadFull(client, first); err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case <-done: // it has closed: what comes now is answered by a reset
-	case <-time.After(200 * time.Millisecond): // it waits for its client
+	case <-done: // the node has closed the connection: further bytes cause a reset
+	case <-time.After(200 * time.Millisecond): // the node waits for the client to read
 	}
 	io.WriteString(client, "y")
 	rest, err := io.ReadAll(client)
 	if err != nil || len(rest) < size {
-		t.Errorf("%d bytes of more than %d, %v", 1+len(rest), size, err)
+		t.Errorf("got %d bytes, want more than %d, error %v", 1+len(rest), size, err)
 	}
 }
--- a/internal/proxy/intentjournal_test.go
+++ b/internal/proxy/intentjournal_test.go
@@ -18,7 +18,7 @@
 	"fernvane/internal/testbed/standin/memdisk"
 )
 
-// entries are what a journal holds of all requests.
+// entries returns the entries of all requests in a journal, and the number of gaps.
 func entries(t *testing.T, d wal.FileSystem) (all []*intent.Entry, gaps int) {
 	t.Helper()
 	fold := intent.NewAssembler()
@@ -40,7 +40,7 @@
 	return readReply(t, c).Status
 }
 
-// What servers do with a non-idempotent request, and what the journal says of it when the node has stopped.
+// The journal of a stopped node has one entry per non-idempotent request, with its state, its answer and its attempts.
 func TestJournal(t *testing.T) {
 	t.Parallel()
 	const never = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
@@ -48,7 +48,7 @@
 		script []string
 		state  intent.State
 		told   string
-		hops   int // 0: by chance
+		hops   int // attempts; 0: any number
 	}{
 		"answered":              {[]string{okResponse}, intent.HasRun, "handled", 1},
 		"not started, then ok":  {[]string{never, okResponse}, intent.HasRun, "handled", 2},
@@ -66,22 +66,22 @@
 			cfg.Filesystem, cfg.Journal = d, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
 			at, stop := startNode(t, cfg)
 			book(t, at, "Client-Retry: 1\r\nRepeats: 77\r\n")
-			get(t, dial(t, at), "/check/1") // is not recorded
+			get(t, dial(t, at), "/check/1") // idempotent: not recorded
 			if err := stop(); err != nil {
 				t.Fatal(err)
 			}
 			all, _ := entries(t, d)
 			if len(all) != 1 {
-				t.Fatalf("%d entries", len(all))
+				t.Fatalf("got %d entries, want 1", len(all))
 			}
 			if e := all[0]; e.State() != c.state || e.ClientOutcome != c.told || c.hops > 0 && len(e.Attempts) != c.hops || e.Type != "book" || !e.IsRetry || e.RepeatOf != "77" {
-				t.Errorf("%v: %+v", e.State(), e)
+				t.Errorf("unexpected entry in state %v: %+v", e.State(), e)
 			}
 		})
 	}
 }
 
-// When a server reads the first byte of a non-idempotent request, its intent is durable.
+// The intent of a non-idempotent request is durable before a server receives its first byte.
 func TestIntentBeforeFirstByte(t *testing.T) {
 	t.Parallel()
 	d := memdisk.New()
@@ -99,12 +99,12 @@
 	cfg.Filesystem, cfg.Journal = d, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20}
 	node, _ := startNode(t, cfg)
 	if got := book(t, node, ""); got != 200 || late.Load() > 0 {
-		t.Errorf("answered %d, %d hops came before their intent", got, late.Load())
+		t.Errorf("got status %d, want 200; %d attempts without a durable intent, want none", got, late.Load())
 	}
 }
 
-// A disk that fails: non-idempotent requests are rejected, or served with a gap, as the operator's file says; others notice nothing,
-// and when the disk comes back the journal goes on.
+// While the disk fails, non-idempotent requests are rejected, or served with a gap in the journal, as the journal's file says. Other requests
+// are served. The journal continues when the disk works again.
 func TestDiskFull(t *testing.T) {
 	t.Parallel()
 	for _, choice := range []string{"deny", "serve"} {
@@ -116,39 +116,39 @@
 			cfg.Filesystem, cfg.Journal = d, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: choice, MaxWait: tomlfile.Duration(100 * time.Millisecond), SegmentBytes: 1 << 20}
 			at, stop := startNode(t, cfg)
 			if got := book(t, at, ""); got != 200 {
-				t.Fatalf("answered %d", got)
+				t.Fatalf("got status %d, want 200", got)
 			}
-			await(t, "end of the first", func() bool { all, _ := entries(t, d); return len(all) == 1 && all[0].ClientOutcome != "" })
+			await(t, "recorded answer to the first request", func() bool { all, _ := entries(t, d); return len(all) == 1 && all[0].ClientOutcome != "" })
 			d.Fill(true)
 			before := taken.Load()
 			want := map[string]int{"deny": 503, "serve": 200}[choice]
 			for range 3 {
 				if got := book(t, at, ""); got != want {
-					t.Errorf("answered %d, not %d", got, want)
+					t.Errorf("got status %d, want %d", got, want)
 				}
 				if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
-					t.Errorf("a check is answered %d", r.Status)
+					t.Errorf("idempotent request: got status %d, want 200", r.Status)
 				}
 			}
 			if got := int(taken.Load() - before); got != map[string]int{"deny": 3, "serve": 6}[choice] {
-				t.Errorf("%d hops", got)
+				t.Errorf("unexpected number of attempts: %d", got)
 			}
 			d.Fill(false)
-			await(t, "binding kept again", func() bool { return book(t, at, "") == 200 && gaps(t, d) > 0 })
+			await(t, "recorded request after the failure", func() bool { return book(t, at, "") == 200 && gaps(t, d) > 0 })
 			if err := stop(); err != nil {
 				t.Fatal(err)
 			}
 			for all, _ := entries(t, d); len(all) > 0; all = all[1:] {
 				if all[0].State() == intent.PossiblySent {
-					t.Errorf("%+v", all[0])
+					t.Errorf("got entry possibly sent, want its end recorded: %+v", all[0])
 				}
 			}
 		})
 	}
 }
 
-// A disk that is still writing an intent when the time for it is over: nothing is read of what it has yet to say, which the
-// race detector would tell.
+// Guards against a data race: if the wait for an intent ends while the disk still writes it, the result of the write must not be read. The
+// race detector reports such a read.
 func TestIntentWaitTimesOut(t *testing.T) {
 	t.Parallel()
 	cfg := config()
@@ -166,7 +166,7 @@
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := j.awaitDurable(over, w, time.Minute); err != errNotDurable && err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("got error %v, want errNotDurable or none", err)
 	}
 	<-w.Done()
 }
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -11,7 +11,7 @@
 	"fernvane/internal/proxy/engine"
 )
 
-// A connection enters the listener's queue as the deadline passes: the listener must not be closed with it in the queue.
+// A connection that enters the accept queue as the deadline passes must not be dropped by the close of the listener.
 func TestListenerClosesWithEmptyQueue(t *testing.T) {
 	t.Parallel()
 	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -31,11 +31,11 @@
 	}
 	s.clientTasks.Wait()
 	if len(led) == 0 {
-		t.Error("the connection was dropped with its listener")
+		t.Error("connection was dropped with the listener, want it served")
 	}
 }
 
-// isNoDelay reports whether a connection sends small writes at once.
+// isNoDelay reports whether a connection sends small writes immediately.
 func isNoDelay(t *testing.T, c syscall.Conn) bool {
 	t.Helper()
 	rc, err := c.SyscallConn()
@@ -49,12 +49,12 @@
 	return on != 0
 }
 
-// No small write is held back by the system, where a reset would take it along: on clients' connections, also those that
-// are taken as listening ends, and on servers'.
+// TCP_NODELAY is set on client connections, also on those accepted from the queue as the listener closes, and on server connections. A small
+// write that the operating system delays would be lost with a reset.
 func TestNoDelay(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
-	for name, closing := range map[string]bool{"while it serves": false, "as listening ends": true} {
+	for name, closing := range map[string]bool{"while serving": false, "as the listener closes": true} {
 		l := newTestServer(t, config(hosts...))
 		ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
@@ -73,7 +73,7 @@
 			})
 		}()
 		if !<-got {
-			t.Errorf("%s: a client's connection holds small writes back", name)
+			t.Errorf("%s: TCP_NODELAY is not set on the client connection", name)
 		}
 		ln.Close()
 		<-done
@@ -84,7 +84,7 @@
 	d := op.NextDecision(func() {})
 	conn, _, end := l.connect(t.Context(), d, time.Now().Add(time.Minute))
 	if end != dispatch.Succeeded || !isNoDelay(t, conn.(*http1.Conn).Conn.(*net.TCPConn)) {
-		t.Errorf("a server's connection (%s) holds small writes back", end)
+		t.Errorf("connect result %s, want Succeeded with TCP_NODELAY set on the server connection", end)
 	}
 	conn.Close()
 }
--- a/internal/proxy/logger_test.go
+++ b/internal/proxy/logger_test.go
@@ -13,7 +13,7 @@
 	return len(b), nil
 }
 
-// A reader of the log that has stopped must not hold up requests, nor the end of the node.
+// A log reader that has stopped reading must not block requests or the shutdown of the node.
 func TestLogNeverBlocks(t *testing.T) {
 	t.Parallel()
 	w := blockedWriter{make(chan struct{})}
--- a/internal/proxy/oneconnection_test.go
+++ b/internal/proxy/oneconnection_test.go
@@ -12,8 +12,8 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// A server that takes one connection and refuses others: a request that finds it in use waits for it, as long as it may. The old code
-// tried to connect until no attempt was left, and rejected the request within milliseconds.
+// A request for a server that accepts only one connection, which is in use, waits for that connection until its timeout. Guards against
+// rejecting the request within milliseconds, after connects have used up its attempts.
 func TestWaitForOnlyConnection(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,16 +66,16 @@
 	}
 	select {
 	case status := <-answers:
-		t.Fatalf("answered %d while the connection is in use", status)
+		t.Fatalf("got status %d while the connection is in use, want no answer", status)
 	case <-time.After(300 * time.Millisecond):
 	}
 	let()
 	if r := readReply(t, first); r.Status != 200 {
-		t.Errorf("the first is answered %d", r.Status)
+		t.Errorf("first request: got status %d, want 200", r.Status)
 	}
 	for range others {
 		if status := <-answers; status != 200 {
-			t.Errorf("another is answered %d", status)
+			t.Errorf("waiting request: got status %d, want 200", status)
 		}
 	}
 }
--- a/internal/proxy/partfailure_test.go
+++ b/internal/proxy/partfailure_test.go
@@ -13,7 +13,7 @@
 	"fernvane/internal/discovery/zookeeper"
 )
 
-// syncBuffer collects log lines of several goroutines.
+// syncBuffer is a buffer that is safe for concurrent use.
 type syncBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -31,8 +31,9 @@
 	return b.text.String()
 }
 
-// Guards against a part that fails (here a registry whose client cannot be built) leaving a node that logs nothing and does not stop.
-func TestNodeStopsAfterPartFailed(t *testing.T) {
+// Guards against a node that logs nothing and does not stop after one of its components has failed. Here the registry fails, because its
+// client cannot be created.
+func TestNodeStopsAfterComponentFailed(t *testing.T) {
 	t.Parallel()
 	const stopTimeout = 10 * time.Second
 	hosts, _ := servers(t, 1, okResponse)
@@ -45,10 +46,10 @@
 	}
 	log, stop, done := &syncBuffer{}, make(chan struct{}), make(chan error, 1)
 	go func() { done <- run(Signals{Stop: stop}, cfg, zerolog.New(log), ln.(*net.TCPListener)) }()
-	await(t, "log line of the part", func() bool { return strings.Contains(log.String(), "component failed") })
+	await(t, "log line of the failed component", func() bool { return strings.Contains(log.String(), "component failed") })
 	kept := dial(t, ln.Addr().String())
 	if r := get(t, kept, "/check/1"); r.Status != 200 || r.Close {
-		t.Errorf("answered %d, close %v", r.Status, r.Close)
+		t.Errorf("got status %d, close %v, want 200 without close", r.Status, r.Close)
 	}
 	close(stop)
 	select {
@@ -57,6 +58,6 @@
 			t.Error(err)
 		}
 	case <-time.After(stopTimeout):
-		t.Fatal("the node does not stop")
+		t.Fatal("node did not stop within 10 s")
 	}
 }
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -19,7 +19,7 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// tierConfig is the file of one node of a tier in which two others replicate each record.
+// tierConfig returns the configuration of a cluster member; two other members replicate each record.
 func tierConfig(t *testing.T, name string, seeds ...string) *peer.Config {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,7 +32,7 @@
 		RepairBytesPerSecond: 8 << 20, SlowAfter: tomlfile.Duration(50 * time.Millisecond), RetentionAge: tomlfile.Duration(time.Hour), ReconcileAfter: tomlfile.Duration(time.Minute), Plaintext: true}
 }
 
-// startHolder runs another node of the tier; stop ends it without a leave.
+// startHolder runs another cluster member as a replica holder; stop terminates it without announcing a leave.
 func startHolder(t *testing.T, cfg *peer.Config) (stop func()) {
 	t.Helper()
 	p, err := peer.New(cfg, cfg.Name, nil, zerolog.Nop())
@@ -54,7 +54,7 @@
 	return stop
 }
 
-// replicatedEntries are the entries that a node replicates.
+// replicatedEntries returns the entries in the replicas that a node stores.
 func replicatedEntries(t *testing.T, cfg *peer.Config) (all []*intent.Entry) {
 	t.Helper()
 	dirs, err := filepath.Glob(filepath.Join(cfg.ReplicaDir, "*"))
@@ -74,8 +74,8 @@
 	return all
 }
 
-// When a server reads the first byte of a non-idempotent request, two other machines have its intent on disk. When both are lost, such requests
-// are rejected or served as the operator's file says, others notice nothing, and with holders back all goes on.
+// Two other machines store the intent of a non-idempotent request before a server receives its first byte. While both are down, such requests
+// are rejected or served, as the journal's file says, and other requests are served. With new replica holders, requests are recorded again.
 func TestIntentReplicated(t *testing.T) {
 	t.Parallel()
 	for _, choice := range []string{"deny", "serve"} {
@@ -111,36 +111,36 @@
 			cfg.Journal = &wal.Config{Dir: t.TempDir(), Promise: wal.PromiseMachines, WhenFailing: choice, MaxWait: tomlfile.Duration(400 * time.Millisecond), SegmentBytes: 1 << 20}
 			cfg.Peers = tierConfig(t, "n", a.Listen, b.Listen)
 			at, _ := startNode(t, cfg)
-			await(t, "binding kept", func() bool { return book(t, at, "") == 200 })
+			await(t, "recorded request", func() bool { return book(t, at, "") == 200 })
 			for range 5 {
 				if got := book(t, at, ""); got != 200 {
-					t.Errorf("answered %d with both holders there", got)
+					t.Errorf("got status %d with both replica holders up, want 200", got)
 				}
 			}
 			if early.Load() > 0 {
-				t.Errorf("%d times a holder did not have what a server got", early.Load())
+				t.Errorf("got %d attempts whose intent a replica holder lacked, want none", early.Load())
 			}
 			down.Store(true)
 			stopA()
 			stopB()
 			want := map[string]int{"deny": 503, "serve": 200}[choice]
-			await(t, "holders missed", func() bool { return book(t, at, "") == want })
+			await(t, "expected status without replica holders", func() bool { return book(t, at, "") == want })
 			for range 3 {
 				began := time.Now()
 				if got := book(t, at, ""); got != want {
-					t.Errorf("answered %d without holders, not %d", got, want)
+					t.Errorf("got status %d without replica holders, want %d", got, want)
 				}
 				if took := time.Since(began); choice == "deny" && took > 5*time.Second {
-					t.Errorf("denied after %v", took)
+					t.Errorf("got a rejection after %v, want at most 5 s", took)
 				}
 				if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
-					t.Errorf("a check is answered %d", r.Status)
+					t.Errorf("idempotent request: got status %d, want 200", r.Status)
 				}
 			}
-			for i := range 2 { // others come in their place
+			for i := range 2 { // replacements join
 				startHolder(t, tierConfig(t, fmt.Sprint("c", i), cfg.Peers.Listen))
 			}
-			await(t, "binding kept again", func() bool { return book(t, at, "") == 200 })
+			await(t, "recorded request with new replica holders", func() bool { return book(t, at, "") == 200 })
 		})
 	}
 }
--- a/internal/proxy/plannerclient_test.go
+++ b/internal/proxy/plannerclient_test.go
@@ -18,7 +18,7 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// testPlanner is a planner that sends what the test says, and can be stopped.
+// testPlanner is a stand-in planner that sends changes on request of the test and records reports.
 type testPlanner struct {
 	t  *testing.T
 	ln net.Listener
@@ -77,7 +77,7 @@
 	}
 }
 
-// sendChange sends a change of plan, based on the latest report.
+// sendChange sends a change of the plan, based on the next report.
 func (u *testPlanner) sendChange(c plan.Change) {
 	u.t.Helper()
 	r := <-u.reports
@@ -95,8 +95,8 @@
 	return incarnation.Entry{ID: id, Address: at.String(), Weight: 1, Revision: 5}
 }
 
-// A forwarder that knows nothing gets its servers from a planner, without a word to discovery; a stale planner undoes no
-// drain; with all planners gone it goes on, asks discovery for what is newer, and takes up planners that return.
+// A forwarder without a list gets its servers from a planner and does not poll discovery. A stale planner does not revive a draining server.
+// When all planners are lost, the forwarder continues to serve and polls discovery for newer revisions.
 func TestPlannerClient(t *testing.T) {
 	t.Parallel()
 	hosts, taken := servers(t, 2, okResponse)
@@ -124,42 +124,42 @@
 	first.sendChange(plan.Change{Incarnations: []incarnation.Entry{a, b}, Servers: []plan.ServerShare{{ID: a.ID, Share: 0.5}, {ID: b.ID, Share: 0.5}}})
 	await(t, "an answer", func() bool { return get(t, dial(t, at), "/check/1").Status == 200 })
 	if len(calls) > 0 {
-		t.Errorf("discovery was asked: %s", <-calls)
+		t.Errorf("got discovery poll %s, want none", <-calls)
 	}
 	drained := a
 	drained.Condition, drained.Revision = incarnation.Draining, 6
 	first.sendChange(plan.Change{Incarnations: []incarnation.Entry{drained}})
 	second.sendChange(plan.Change{Incarnations: []incarnation.Entry{b}})
-	// The second one has not heard of the drain; what it says of it is old, whatever its plan is.
-	await(t, "word of the drain to the second planner", func() bool { return slices.Contains((<-second.reports).NewerIncarnations, drained) })
+	// The second planner has not received the drain; its announcement of that server is stale, whatever its plan.
+	await(t, "report of the drain to the second planner", func() bool { return slices.Contains((<-second.reports).NewerIncarnations, drained) })
 	second.sendChange(plan.Change{Incarnations: []incarnation.Entry{a}, Servers: []plan.ServerShare{{ID: a.ID, Share: 1}}})
 	first.stop()
 	second.sendChange(plan.Change{Incarnations: []incarnation.Entry{a}})
 	before := taken.Load()
 	for range 20 {
 		if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
-			t.Errorf("answered %d", r.Status)
+			t.Errorf("got status %d, want 200", r.Status)
 		}
 	}
 	if got := taken.Load() - before; got != 20 {
-		t.Errorf("%d attempts", got)
+		t.Errorf("got %d attempts, want 20", got)
 	}
 	second.stop()
-	call := <-calls // after a while, for what planners have not announced
+	call := <-calls // polls for revisions that planners have not announced
 	if want := "/discovery/hosts?index=6&wait=100"; call != want {
-		t.Errorf("called %s, not %s", call, want)
+		t.Errorf("got poll %s, want %s", call, want)
 	}
 	answers <- fmt.Sprintf(`{"revision":7,"members":[{"id":%q,"host_port":"%s","phase":"SERVING","size":1}]}`, a.ID, hosts[0].Address)
 	if call := <-calls; call != "/discovery/hosts?index=7&wait=2000" {
-		t.Errorf("called %s", call)
+		t.Errorf("got poll %s, want revision 7", call)
 	}
 	close(answers)
 	if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
-		t.Errorf("answered %d", r.Status)
+		t.Errorf("got status %d, want 200", r.Status)
 	}
 }
 
-// A draining server gets nothing new though a planner that was out of reach announces that it serves.
+// A draining server gets no new requests although a stale planner announces it as serving.
 func TestStalePlanner(t *testing.T) {
 	t.Parallel()
 	one, onTaken := servers(t, 1, okResponse)
@@ -175,19 +175,19 @@
 	u.sendChange(plan.Change{Incarnations: []incarnation.Entry{drained, b}})
 	await(t, "an answer", func() bool { return get(t, dial(t, at), "/check/1").Status == 200 })
 	u.sendChange(plan.Change{Incarnations: []incarnation.Entry{a}, Servers: []plan.ServerShare{{ID: "a", Share: 1}}})
-	for range 3 { // reports: the plan is followed by now
+	for range 3 { // reports: the plan was applied after them
 		<-u.reports
 	}
 	for range 10 {
 		get(t, dial(t, at), "/check/1")
 	}
 	if n := onTaken.Load(); n > 0 {
-		t.Errorf("%d attempts to a draining server", n)
+		t.Errorf("got %d attempts to a draining server, want none", n)
 	}
 }
 
-// A node that was killed starts on the list of its disk. Planners that tell the same list confirm all of it, though nothing in it
-// has changed, and a server that drains later takes no other with it.
+// A node that was killed starts with the list on its disk. A planner that announces the same list confirms all of it, although nothing has
+// changed, and a later drain of one server does not remove the others.
 func TestPlannersConfirmCachedList(t *testing.T) {
 	t.Parallel()
 	const fleet = 12
@@ -200,7 +200,7 @@
 		listed = append(listed, stand[i].server(id, incarnation.Up))
 		told = append(told, serving(id, stand[i].at))
 	}
-	const left = fleet - 1 // drains since before the node's start
+	const left = fleet - 1 // draining since before the node's start
 	listed[left].Condition, told[left].Condition = uint8(incarnation.Draining), incarnation.Draining
 	u := newTestPlanner(t)
 	cfg := config()
@@ -209,7 +209,7 @@
 	at, _ := startNode(t, cfg)
 	<-u.connected
 	if above := (<-u.reports).NewerIncarnations; len(above) > 1 || len(above) == 1 && above[0].Condition == incarnation.Up {
-		t.Errorf("the planner is told of %d servers that nobody has confirmed", len(above))
+		t.Errorf("got a report with %d incarnations, want none of unconfirmed servers", len(above))
 	}
 	u.sendChange(plan.Change{Incarnations: told})
 	store, err := snapshot.Open(cfg.Snapshot.Dir, 3, wal.OSFileSystem{})
@@ -223,7 +223,7 @@
 	drained := told[0]
 	drained.Condition, drained.Revision = incarnation.Draining, 9
 	u.sendChange(plan.Change{Incarnations: []incarnation.Entry{drained}})
-	await(t, "list on disk with two servers that drain and all others in use", func() bool {
+	await(t, "list on disk with two draining servers and all others up", func() bool {
 		kept, _, err := store.Newest()
 		conditions := map[uint8]int{}
 		if err == nil {
@@ -234,6 +234,6 @@
 		return conditions[uint8(incarnation.Up)] == fleet-2 && conditions[uint8(incarnation.Draining)] == 2
 	})
 	if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
-		t.Errorf("answered %d", r.Status)
+		t.Errorf("got status %d, want 200", r.Status)
 	}
 }
--- a/internal/proxy/readiness_test.go
+++ b/internal/proxy/readiness_test.go
@@ -9,8 +9,8 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// A node is ready at once where it knows of a server, whatever discovery does; one that knows of none is ready with its
-// first list, or when it has waited long enough.
+// A node with a usable server is ready immediately, whatever discovery does. A node without one is ready with its first list, or after
+// firstListTimeout.
 func TestReadiness(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
@@ -19,26 +19,26 @@
 	draining.Phase = http1.Draining
 	for name, c := range map[string]struct {
 		known   []http1.Endpoint
-		script  []string // of discovery, which is silent after it
-		waited  bool     // its time for a list is over
+		script  []string // responses of discovery, none after the last
+		waited  bool     // firstListTimeout has passed
 		first   int
-		later   int // when the script is over
+		later   int // status after the script
 		listens bool
 	}{
-		"a list is known, discovery refuses":       {hosts, nil, false, 200, 200, false},
-		"a list is known, discovery is silent":     {hosts, nil, false, 200, 200, true},
-		"a list is known, discovery is busy":       {hosts, []string{busy, busy, ""}, false, 200, 200, true},
-		"none is known, discovery refuses":         {nil, nil, false, 503, 503, false},
-		"none is known, discovery is silent":       {nil, []string{""}, false, 503, 503, true},
-		"none is known for long":                   {nil, []string{""}, true, 200, 200, true},
-		"none is known, busy, then listed":         {nil, []string{busy, busy, listResponse(9, true, listMember(hosts[0], "SERVING")), ""}, false, 503, 200, true},
-		"the known ones drain, then one is listed": {[]http1.Endpoint{draining}, []string{listResponse(9, false, listMember(hosts[0], "SERVING")), ""}, false, 503, 200, true},
+		"a list, discovery refuses connections":  {hosts, nil, false, 200, 200, false},
+		"a list, discovery does not respond":     {hosts, nil, false, 200, 200, true},
+		"a list, discovery is busy":              {hosts, []string{busy, busy, ""}, false, 200, 200, true},
+		"no list, discovery refuses connections": {nil, nil, false, 503, 503, false},
+		"no list, discovery does not respond":    {nil, []string{""}, false, 503, 503, true},
+		"no list within the timeout":             {nil, []string{""}, true, 200, 200, true},
+		"no list, busy, then a list":             {nil, []string{busy, busy, listResponse(9, true, listMember(hosts[0], "SERVING")), ""}, false, 503, 200, true},
+		"only draining servers, then one up":     {[]http1.Endpoint{draining}, []string{listResponse(9, false, listMember(hosts[0], "SERVING")), ""}, false, 503, 200, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			cfg := config(c.known...)
 			l := newTestServer(t, cfg)
-			if l.startedAt = time.Now().Add(time.Hour); c.waited { // never over, however slow the machine is
+			if l.startedAt = time.Now().Add(time.Hour); c.waited { // the timeout never passes, however slow the machine is
 				l.startedAt = time.Now().Add(-firstListTimeout - time.Second)
 			}
 			up := func() int {
@@ -47,7 +47,7 @@
 				return r.Status
 			}
 			if got := up(); got != c.first {
-				t.Errorf("at first %d", got)
+				t.Errorf("unexpected initial status %d", got)
 			}
 			at, calls := cfg.Discovery, chan string(nil)
 			if c.listens {
@@ -58,10 +58,10 @@
 			done := make(chan error)
 			go func() { done <- l.followDiscovery(ctx) }()
 			for range c.script {
-				<-calls // the next poll comes when the last list was applied
+				<-calls // the next poll follows when the last list was applied
 			}
 			if got := up(); got != c.later {
-				t.Errorf("later %d", got)
+				t.Errorf("unexpected status %d after the script", got)
 			}
 			cancel()
 			<-done
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -15,8 +15,7 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// A reload takes up the address that the file names, at once and past the environment's; what is of no use
-// leaves all as it was.
+// A reload applies a changed discovery address of the file immediately, in place of that of the environment. An invalid file changes nothing.
 func TestReload(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
@@ -29,8 +28,8 @@
 		says  []string
 		calls []string
 	}{
-		"its count is the same":  {[]string{list(9, false)}, []string{"?index=5&wait=100", "?index=9&wait=2000"}},
-		"it counts from another": {[]string{list(1, false), list(0, true)}, []string{"?index=5&wait=100", "", "?index=0&wait=2000"}},
+		"same revisions":        {[]string{list(9, false)}, []string{"?index=5&wait=100", "?index=9&wait=2000"}},
+		"independent revisions": {[]string{list(1, false), list(0, true)}, []string{"?index=5&wait=100", "", "?index=0&wait=2000"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -72,21 +71,21 @@
 			}
 			hup, stop, done := make(chan os.Signal), make(chan struct{}), make(chan error)
 			go func() { done <- run(Signals{hup, stop}, cfg, zerolog.Nop(), ln.(*net.TCPListener)) }()
-			<-called // the whole list
-			<-called // the watch, which is not answered
-			for _, useless := range []string{"", fmt.Sprintf(text, "nowhere"), fmt.Sprintf(text, "127.0.0.1:1")} {
-				file(useless)
+			<-called // the complete list
+			<-called // the next poll, which gets no response
+			for _, invalid := range []string{"", fmt.Sprintf(text, "nowhere"), fmt.Sprintf(text, "127.0.0.1:1")} {
+				file(invalid)
 				hup <- nil
 			}
 			file(fmt.Sprintf(text, after))
 			hup <- nil
 			for _, want := range c.calls {
 				if got := <-calledAfter; got != want {
-					t.Errorf("called %q, not %q", got, want)
+					t.Errorf("got poll %q, want %q", got, want)
 				}
 			}
 			if len(called) > 0 {
-				t.Error("the address before was called again")
+				t.Error("previous address was polled again")
 			}
 			close(stop)
 			if err := <-done; err != nil {
@@ -96,8 +95,8 @@
 	}
 }
 
-// A new configuration names another discovery while polls of the old one fail: the new one is polled at once and its list holds, also
-// where it refuses first and leaves out what drains.
+// A new configuration names another discovery address while polls of the old one fail. The new address is polled immediately and its list is
+// in effect, even if its first response is a rejection. Servers that its list lacks get no new requests.
 func TestListUpdateAfterReload(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
@@ -106,11 +105,11 @@
 	for name, c := range map[string]struct {
 		old, next []string
 	}{
-		"the old one refuses":       {[]string{closeMark, closeMark, closeMark, closeMark}, nil},
-		"the old one is silent":     {nil, nil},
-		"the new one refuses first": {nil, []string{"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", resetMark}},
-		"the new one is silent":     {nil, []string{""}},
-		"the new one counts anew":   {nil, []string{listResponse(1, false)}},
+		"old one fails":             {[]string{closeMark, closeMark, closeMark, closeMark}, nil},
+		"old one does not respond":  {nil, nil},
+		"new one rejects first":     {nil, []string{"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", resetMark}},
+		"new one does not respond":  {nil, []string{""}},
+		"new one has own revisions": {nil, []string{listResponse(1, false)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -148,11 +147,11 @@
 			client := dial(t, ln.Addr().String())
 			for range 20 {
 				if r := get(t, client, "/check/1"); r.Status != 200 {
-					t.Errorf("answered %d", r.Status)
+					t.Errorf("got status %d, want 200", r.Status)
 				}
 			}
 			if n := taken.Load() - sent; n > 0 {
-				t.Errorf("%d were sent to a server that had left", n)
+				t.Errorf("got %d requests to a server that had left, want none", n)
 			}
 			close(stop)
 			if err := <-done; err != nil {
--- a/internal/proxy/route_test.go
+++ b/internal/proxy/route_test.go
@@ -32,14 +32,14 @@
 
 const checks = "[[routes]]\nname = \"checks\"\ntype = \"check\"\n"
 
-// What clients meet at a route's limits.
+// Requests are matched with routes, whose limits apply to them.
 func TestRoutes(t *testing.T) {
 	t.Parallel()
 	const err500 = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
 		file   string
 		script []string
-		asks   []string // path, and a body behind a blank
+		asks   []string // path, and a body after a space
 		want   []int
 	}{
 		"no more than its rate":   {checks + "rate = 0.001\nburst = 2", []string{okResponse}, []string{"/check/1", "/check/1", "/check/1", "/book/1"}, []int{200, 200, 503, 200}},
@@ -61,15 +61,15 @@
 				conn := dial(t, at)
 				fmt.Fprintf(conn, "PUT %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\nContent-Length: %d\r\n\r\n%s", path, ids.Add(1), len(body), body)
 				if r := readReply(t, conn); r.Status != c.want[i] {
-					t.Errorf("%s: answered %d, not %d", ask, r.Status, c.want[i])
+					t.Errorf("%s: got status %d, want %d", ask, r.Status, c.want[i])
 				}
 			}
 		})
 	}
 }
 
-// The first server does not respond: the hedged request brings the answer at once, the first attempt is abandoned, and its server learns it by
-// the close.
+// The first server does not respond. The hedged request gets the answer, the first attempt is abandoned, and the close of its connection
+// notifies its server.
 func TestHedgedRequest(t *testing.T) {
 	t.Parallel()
 	var asked atomic.Int32
@@ -94,17 +94,17 @@
 	conn := dial(t, at)
 	fmt.Fprintf(conn, "PUT /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\nContent-Length: 4\r\n\r\nbody", ids.Add(1))
 	if r := readReply(t, conn); r.Status != 200 || string(r.Body) != "/check/1body" {
-		t.Errorf("answered %d %q", r.Status, r.Body)
+		t.Errorf("got status %d, body %q, want 200 with path and body of the request", r.Status, r.Body)
 	}
 	if !<-left {
-		t.Error("the first server was sent more")
+		t.Error("first server received more bytes, want a closed connection")
 	}
-	if r := get(t, conn, "/book/1"); r.Status != 200 { // the client's connection is whole
-		t.Errorf("then %d", r.Status)
+	if r := get(t, conn, "/book/1"); r.Status != 200 { // the client's connection stays usable
+		t.Errorf("next request: got status %d, want 200", r.Status)
 	}
 }
 
-// SIGHUP has the routes read again; a file of no use leaves the old ones, and what waits in a route that is removed is
+// A reload reads the routes again. An invalid file leaves the old routes in effect, and requests that wait in a route that is removed are
 // answered.
 func TestRoutesReload(t *testing.T) {
 	t.Parallel()
@@ -147,38 +147,38 @@
 	for range held {
 		go func() { statuses <- ask() }()
 	}
-	for s.dispatcher.Counts().OpenRequests < held { // all are in hand: one is sent, the others wait
+	for s.dispatcher.Counts().OpenRequests < held { // one is sent, the others wait
 		time.Sleep(time.Millisecond)
 	}
 	if got := ask(); got != 503 {
-		t.Errorf("one more than there are places for: %d", got)
+		t.Errorf("request beyond the queue: got status %d, want 503", got)
 	}
 	file("[[routes]]\nname = ")
 	s.reloadRoutes()
 	if got := ask(); got != 503 {
-		t.Errorf("after a file of no use: %d", got)
+		t.Errorf("after an invalid file: got status %d, want 503", got)
 	}
-	for taken.Load() == 0 { // the one that has the place is on its way
+	for taken.Load() == 0 { // until the admitted request was sent
 		time.Sleep(time.Millisecond)
 	}
 	if n := taken.Load(); n != 1 {
-		t.Errorf("%d were sent", n)
+		t.Errorf("got %d requests sent, want 1", n)
 	}
 	file("")
 	s.reloadRoutes()
 	close(release)
 	for range held {
 		if got := <-statuses; got != 200 {
-			t.Errorf("one that waited in the route that is gone: %d", got)
+			t.Errorf("request that waited in the removed route: got status %d, want 200", got)
 		}
 	}
 	if got := ask(); got != 200 {
-		t.Errorf("under no route: %d", got)
+		t.Errorf("without routes: got status %d, want 200", got)
 	}
 }
 
-// limitsChecker is a policy that checks, at each arrival, that the limits are those of the file that the request was matched with: the
-// timeout says how many attempts that file allows.
+// limitsChecker is a policy that checks at each arrival that the limits are those of the file that the request was matched with. The timeout
+// of the request, in hours, is the number of attempts that the file allows.
 type limitsChecker struct {
 	t     *testing.T
 	types []policy.TrafficType
@@ -190,14 +190,14 @@
 		m.types = in.TrafficTypes
 	case policy.RequestArrived:
 		if got := m.types[in.TrafficType].MaxAttempts; got != int(in.Timeout/time.Hour) {
-			m.t.Errorf("a request matched under %d attempts is under %d", in.Timeout/time.Hour, got)
+			m.t.Errorf("request was matched with a limit of %d attempts, got a limit of %d", in.Timeout/time.Hour, got)
 		}
 		return append(e, policy.Effect{Kind: policy.Reject, Request: in.Request})
 	}
 	return e
 }
 
-// Files change as fast as they can while requests arrive: none is matched with one and put under the limits of another.
+// Routes are replaced continuously while requests arrive. No request is matched with one file and limited by another.
 func TestRoutesAndLimitsOfOneFile(t *testing.T) {
 	t.Parallel()
 	cfg := config()
@@ -231,7 +231,7 @@
 	for i := 0; ; i++ {
 		select {
 		case <-done:
-			t.Logf("%d files, %d requests had to be matched again", i, moved.Load())
+			t.Logf("%d files applied, %d requests matched again", i, moved.Load())
 			return
 		default:
 			f.SetRoutes(sets[i%len(sets)])
--- a/internal/proxy/shadow_test.go
+++ b/internal/proxy/shadow_test.go
@@ -13,8 +13,8 @@
 	"fernvane/policy"
 )
 
-// A node that watches other settings answers as one that does not, over errors, refusals and broken connections, and counts
-// what the others would have had otherwise; its own settings are never otherwise.
+// A node with shadow settings answers like a node without them, also after errors, rejections and closed connections. It counts the decisions
+// in which the shadow settings differ, and counts none if they equal its own settings.
 func TestShadowSettings(t *testing.T) {
 	t.Parallel()
 	const failed = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
@@ -37,8 +37,8 @@
 		want   shadow.Difference
 		none   bool
 	}{
-		"its own settings":   {func(*policy.TrafficType) {}, 0, true},
-		"late answers earn":  {func(k *policy.TrafficType) { k.LateWeightShare = 0.5 }, shadow.TimeoutDiffers, false},
+		"equal settings":     {func(*policy.TrafficType) {}, 0, true},
+		"late answers count": {func(k *policy.TrafficType) { k.LateWeightShare = 0.5 }, shadow.TimeoutDiffers, false},
 		"was non-idempotent": {func(k *policy.TrafficType) { k.Idempotency = policy.Idempotent }, shadow.WouldRetry, false},
 		"was idempotent":     {func(k *policy.TrafficType) { k.Idempotency = policy.NonIdempotent }, shadow.WouldFail, false},
 	} {
@@ -50,20 +50,20 @@
 			}
 			watch := shadow.NewCandidate(&s)
 			if got := run(t, watch); !slices.Equal(got, alone) {
-				t.Errorf("answered %v, alone %v", got, alone)
+				t.Errorf("got statuses %v, want %v as without shadow settings", got, alone)
 			}
 			seen := watch.TakeCounts()
 			if seen.Compared == 0 || seen.HasFailed {
-				t.Errorf("compared %d, failed %v", seen.Compared, seen.HasFailed)
+				t.Errorf("got %d comparisons, failed %v, want some and no failure", seen.Compared, seen.HasFailed)
 			}
 			if c.none && seen.ByDifference != (shadow.Counts{}).ByDifference || !c.none && seen.ByDifference[c.want] == 0 {
-				t.Errorf("counted %v", seen.ByDifference)
+				t.Errorf("unexpected differences %v", seen.ByDifference)
 			}
 		})
 	}
 }
 
-// SIGHUP has the watched settings read again; those of no use leave the old ones watched.
+// A reload reads the shadow settings again. Invalid settings leave the old ones in effect.
 func TestShadowSettingsReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "watch.json")
 	cfg := config()
@@ -80,7 +80,7 @@
 		}
 		s.reloadShadow()
 		if got := cfg.Shadow.Settings(); got.MaxAttempts != c.hops {
-			t.Errorf("after %s: %d hops", c.text, got.MaxAttempts)
+			t.Errorf("after %s: unexpected maximum of %d attempts", c.text, got.MaxAttempts)
 		}
 	}
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -31,31 +31,31 @@
 	before := dial(t, at)
 	kept := dial(t, at)
 	if r := get(t, kept, "/up"); r.Close {
-		t.Error("closed before the stop")
+		t.Error("got an announced close before the shutdown, want none")
 	}
 	fmt.Fprint(before, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n")
 	<-begun
 	done := make(chan error)
 	go func() { done <- stop() }()
-	for !get(t, dial(t, at), "/up").Close { // connections are taken all the while
+	for !get(t, dial(t, at), "/up").Close { // connections are still accepted
 	}
 	if r := get(t, kept, "/up"); r.Status != 200 || !r.Close {
-		t.Errorf("a kept connection is answered %d, close %v", r.Status, r.Close)
+		t.Errorf("idle connection: got status %d, close %v, want 200 with close", r.Status, r.Close)
 	}
 	close(coming)
 	close(finish)
 	if r := readReply(t, before); r.Status != 200 || !r.Close {
-		t.Errorf("what was taken is answered %d, close %v", r.Status, r.Close)
+		t.Errorf("accepted request: got status %d, close %v, want 200 with close", r.Status, r.Close)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	if _, err := net.Dial("tcp", at); err == nil {
-		t.Error("still listening")
+		t.Error("connect succeeded after the shutdown, want an error")
 	}
 }
 
-// A stop past its deadline: accepted requests are answered all the same, and those that still arrive are answered at once.
+// After the answer deadline of a shutdown, accepted requests are still answered, and new requests fail immediately.
 func TestStopPastItsDeadline(t *testing.T) {
 	t.Parallel()
 	h, begun, release := heldServer(t)
@@ -75,36 +75,37 @@
 	for !get(t, dial(t, at), "/up").Close {
 	}
 	if r := get(t, kept, "/book/1"); r.Status == 200 {
-		t.Errorf("what came too late is answered %d", r.Status)
+		t.Errorf("request after the deadline: got status %d, want a failure", r.Status)
 	}
 	close(coming)
 	select {
 	case <-done:
-		t.Error("the node has ended over what it had taken")
-	case <-time.After(100 * time.Millisecond): // only a fault ends it before the release
+		t.Error("node stopped before an accepted request was answered")
+	case <-time.After(100 * time.Millisecond): // a correct node does not stop before the release
 	}
 	release()
 	if r := readReply(t, before); r.Status != 200 {
-		t.Errorf("what was taken is answered %d", r.Status)
+		t.Errorf("accepted request: got status %d, want 200", r.Status)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
-// What comes behind the last answer of a connection is not sent on, whoever ends it and in whichever protocol.
+// A request that follows the last answer of a connection is not sent to a server, whether the client or the node closes the connection, in
+// either protocol.
 func TestNothingReadAfterLastAnswer(t *testing.T) {
 	t.Parallel()
 	const second = "GET /check/behind HTTP/1.1\r\nHost: h\r\nRequest-Id: behind-%d\r\n\r\n"
 	for name, c := range map[string]struct {
 		first string
 		cgi   bool
-		stops bool // the node is about to end
+		stops bool // the node is draining
 	}{
-		"the client asked for the end": {first: "GET /check/1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\nRequest-Id: end-1\r\n\r\n"},
-		"the node stops":               {first: "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: end-2\r\n\r\n", stops: true},
-		"what cannot be read":          {first: "GET /check/1 HTTP/9\r\n\r\n"},
-		"no HTTP where records belong": {first: "GET / HTTP/1.1\r\n\r\n", cgi: true},
+		"close requested":   {first: "GET /check/1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\nRequest-Id: end-1\r\n\r\n"},
+		"node draining":     {first: "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: end-2\r\n\r\n", stops: true},
+		"malformed HTTP":    {first: "GET /check/1 HTTP/9\r\n\r\n"},
+		"malformed FastCGI": {first: "GET / HTTP/1.1\r\n\r\n", cgi: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -139,9 +140,9 @@
 				behindIt = string(encodeRequest(2, r))
 			}
 			client.SetDeadline(time.Now().Add(time.Minute))
-			io.WriteString(client, c.first+behindIt) // read together
-			io.WriteString(client, behindIt)         // or by itself
-			io.Copy(io.Discard, client)              // to the end
+			io.WriteString(client, c.first+behindIt) // read with the first request
+			io.WriteString(client, behindIt)         // read separately
+			io.Copy(io.Discard, client)              // until the close
 			close(coming)
 			if c.stops {
 				if err := <-done; err != nil {
@@ -151,13 +152,13 @@
 				stop()
 			}
 			if n := behind.Load(); n > 0 {
-				t.Errorf("%d were sent on", n)
+				t.Errorf("got %d requests sent to the server, want none", n)
 			}
 		})
 	}
 }
 
-// Requests on resting connections meet the node's closing them, as it stops: each that a server was sent is answered whole.
+// Requests arrive on idle connections while a shutdown closes these. Each request that a server received is answered completely.
 func TestRequestsCrossIdleClose(t *testing.T) {
 	t.Parallel()
 	const resting = 48
@@ -190,7 +191,7 @@
 	for i, c := range clients {
 		all.Go(func() {
 			<-begin
-			time.Sleep(time.Duration(i) * 4 * time.Millisecond) // over the whole of the stop
+			time.Sleep(time.Duration(i) * 4 * time.Millisecond) // spread over the shutdown
 			for {
 				id := fmt.Sprint("meets-", ids.Add(1))
 				if _, err := fmt.Fprintf(c, "GET /book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\n\r\n", id); err != nil {
@@ -217,7 +218,7 @@
 	all.Wait()
 	for id, n := range ran {
 		if n != 1 || !answered[id] {
-			t.Errorf("%s was sent on %d times, answered %v", id, n, answered[id])
+			t.Errorf("request %s: sent %d times, answered %v, want once and answered", id, n, answered[id])
 		}
 	}
 }
--- a/internal/proxy/storedformat_test.go
+++ b/internal/proxy/storedformat_test.go
@@ -25,7 +25,7 @@
 	"fernvane/internal/testbed/standin/memdisk"
 )
 
-// The file in testdata was written by an earlier version. It is read as that version meant it, and written alike.
+// The file in testdata was written by an earlier version. It is decoded to the entries of that version, and encoded to the same bytes.
 func TestLastGoodFileOfEarlierVersion(t *testing.T) {
 	earlier, err := os.ReadFile(filepath.Join("testdata", lastGoodFileName))
 	if err != nil {
@@ -45,7 +45,7 @@
 		{Key: distribution.Key{Service: "yard", Kind: distribution.KindTenant, Name: "dairy"}, Clock: 4, Origin: "root/1", Sequence: 9, Value: []byte("\x81\xf9\x49\x00")},
 	}
 	if !reflect.DeepEqual(entries, want) {
-		t.Errorf("read %+v", entries)
+		t.Errorf("unexpected entries %+v", entries)
 	}
 	empty := t.TempDir()
 	file, _, err := openLastGood(empty)
@@ -56,12 +56,12 @@
 		t.Fatal(err)
 	}
 	if written, err := os.ReadFile(filepath.Join(empty, lastGoodFileName)); err != nil || !bytes.Equal(written, earlier) {
-		t.Errorf("written %x, %v", written, err)
+		t.Errorf("got file %x, error %v, want the bytes of the earlier version", written, err)
 	}
 }
 
-// What the journal says of each end of an attempt and of each final answer is stored, and read by operators' tools. The lines in
-// testdata are the records of an earlier version, without the run and the times.
+// The records of each attempt result and of each final answer are stored, and operators' tools read them. The lines in testdata are the
+// records of an earlier version, without incarnation and times.
 func TestJournalRecordsOfEarlierVersion(t *testing.T) {
 	cfg := config()
 	disk := memdisk.New()
@@ -102,11 +102,11 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("recorded\n%s", got)
+		t.Errorf("records differ from those of the earlier version: got\n%s", got)
 	}
 }
 
-// Every key of the platform's configuration that a node reads.
+// A node reads each key of the platform's file.
 func TestConfigurationKeys(t *testing.T) {
 	cfg, err := LoadConfig(filepath.Join("testdata", "config.json"), func(string) string { return "" })
 	if err != nil {
@@ -114,12 +114,12 @@
 	}
 	got := fmt.Sprintf("%s %s %s %d %v %+v %v", cfg.Name, cfg.Listen, cfg.Discovery, cfg.Seed, cfg.Cores, cfg.Limits, cfg.SavedListErr)
 	if want := "node-1 127.0.0.1:8080 127.0.0.1:9090 2363233923 1.5 {MemoryMB:64 Sockets:256} <nil>"; got != want {
-		t.Errorf("read %s", got)
+		t.Errorf("unexpected configuration %s", got)
 	}
 	if n := len(cfg.SavedList.Hosts); cfg.SavedList.Revision != 12 || !cfg.SavedList.Complete || n != 1 || cfg.SavedList.Hosts[0].ID != "s-1" {
-		t.Errorf("list %+v", cfg.SavedList)
+		t.Errorf("unexpected saved list %+v", cfg.SavedList)
 	}
 	if s := cfg.Settings; s.MaxAttempts != 2 || len(s.TypeNames) != 1 || s.TypeNames[0] != "check" {
-		t.Errorf("settings %+v", s)
+		t.Errorf("unexpected settings %+v", s)
 	}
 }
--- a/internal/proxy/unrecordable_test.go
+++ b/internal/proxy/unrecordable_test.go
@@ -13,8 +13,8 @@
 	"fernvane/internal/testbed/standin/memdisk"
 )
 
-// Guards against a request being sent whose journal entry cannot be read back: it is rejected with 400 before any attempt, in both
-// protocols, and the journal goes on taking others.
+// Guards against sending a request whose journal entry could not be decoded later. Such a request is rejected with 400 before any attempt, and
+// the journal continues to record other requests.
 func TestUnrecordableRequestIsRejected(t *testing.T) {
 	t.Parallel()
 	for name, fields := range map[string]string{
@@ -34,25 +34,25 @@
 			c := dial(t, at)
 			fmt.Fprintf(c, "POST /book/1 HTTP/1.1\r\nHost: h\r\n"+fields+"Content-Length: 0\r\n\r\n", ids.Add(1))
 			if r := readReply(t, c); r.Status != 400 || !r.Close {
-				t.Errorf("answered %d, close %v", r.Status, r.Close)
+				t.Errorf("got status %d, close %v, want 400 with close", r.Status, r.Close)
 			}
 			if n := taken.Load(); n > 0 {
 				t.Errorf("%d attempts were sent", n)
 			}
 			if status := book(t, at, ""); status != 200 {
-				t.Errorf("the next request is answered %d", status)
+				t.Errorf("next request: got status %d, want 200", status)
 			}
 			if err := stop(); err != nil {
 				t.Fatal(err)
 			}
 			if all, gaps := entries(t, d); len(all) != 1 || gaps > 0 {
-				t.Errorf("%d entries, %d gaps", len(all), gaps)
+				t.Errorf("got %d entries and %d gaps, want 1 entry without gaps", len(all), gaps)
 			}
 		})
 	}
 }
 
-// The same as TestUnrecordableRequestIsRejected for a client that speaks FastCGI.
+// TestUnrecordableFastCGIRequestIsRejected is TestUnrecordableRequestIsRejected for a FastCGI client.
 func TestUnrecordableFastCGIRequestIsRejected(t *testing.T) {
 	t.Parallel()
 	hosts, taken := servers(t, 1, okResponse)
@@ -61,12 +61,12 @@
 	cgi := address.Free(t)
 	cfg.Routes = routes(t, &cfg, fmt.Sprintf("[fastcgi]\nlisten = %q\nflavors = [\"cgi\"]", cgi))
 	at, _ := startNode(t, cfg)
-	get(t, dial(t, at), "/up") // it listens on both
+	get(t, dial(t, at), "/up") // the node listens on both addresses
 	nc := dialFastCGI(t, cgi)
 	nc.Write(encodeRequest(1, &message.Request{Method: []byte("POST"), Target: []byte("/book/1"), Fields: []message.Field{
 		{Name: []byte("Request-Id"), Value: fmt.Appendf(nil, "\xff%d", ids.Add(1))}}}))
 	if _, r, err := nc.Next(); err != nil || r.Status != 400 {
-		t.Errorf("answered %d, %v", r.Status, err)
+		t.Errorf("got status %d, error %v, want 400", r.Status, err)
 	}
 	if n := taken.Load(); n > 0 {
 		t.Errorf("%d attempts were sent", n)
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -21,18 +21,18 @@
 		timeUp bool
 		want   dispatch.AttemptResult
 	}{
-		"refused":                    {&net.OpError{Err: syscall.ECONNREFUSED}, false, dispatch.ConnectRefused},
-		"no way there":               {&net.OpError{Err: syscall.EHOSTUNREACH}, false, dispatch.ConnectRefused},
-		"not in the time for it":     {&net.OpError{Err: http1.ErrTimeout}, false, dispatch.ConnectTimeout},
-		"not in the attempt's time":  {&net.OpError{Err: http1.ErrTimeout}, true, dispatch.ExpiredUnsent},
-		"called off":                 {&net.OpError{Err: context.Canceled}, false, dispatch.ExpiredUnsent},
-		"no descriptor":              {&net.OpError{Err: os.NewSyscallError("socket", syscall.EMFILE)}, false, dispatch.NoDescriptor},
-		"no port":                    {&net.OpError{Err: os.NewSyscallError("connect", syscall.EADDRNOTAVAIL)}, false, dispatch.NoDescriptor},
-		"an address that is not one": {&net.AddrError{Err: "missing port"}, false, dispatch.ConnectRefused},
+		"refused":          {&net.OpError{Err: syscall.ECONNREFUSED}, false, dispatch.ConnectRefused},
+		"host unreachable": {&net.OpError{Err: syscall.EHOSTUNREACH}, false, dispatch.ConnectRefused},
+		"connect timeout":  {&net.OpError{Err: http1.ErrTimeout}, false, dispatch.ConnectTimeout},
+		"attempt deadline": {&net.OpError{Err: http1.ErrTimeout}, true, dispatch.ExpiredUnsent},
+		"canceled":         {&net.OpError{Err: context.Canceled}, false, dispatch.ExpiredUnsent},
+		"no descriptor":    {&net.OpError{Err: os.NewSyscallError("socket", syscall.EMFILE)}, false, dispatch.NoDescriptor},
+		"no port":          {&net.OpError{Err: os.NewSyscallError("connect", syscall.EADDRNOTAVAIL)}, false, dispatch.NoDescriptor},
+		"invalid address":  {&net.AddrError{Err: "missing port"}, false, dispatch.ConnectRefused},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := connectResult(c.err, c.timeUp); got != c.want {
-				t.Errorf("ended %s", got)
+				t.Errorf("unexpected result %s", got)
 			}
 		})
 	}
@@ -45,12 +45,12 @@
 	at, _ := startNode(t, config(hosts...))
 	for range 4 {
 		if r := get(t, dial(t, at), "/book/1"); r.Status != 200 {
-			t.Errorf("answered %d", r.Status)
+			t.Errorf("got status %d, want 200", r.Status)
 		}
 	}
 }
 
-// A server that closes a connection just before it is used again must not cost a request.
+// A server that closes an idle connection just before its reuse must not fail a request.
 func TestStaleConnection(t *testing.T) {
 	t.Parallel()
 	closed := make(chan struct{})
@@ -65,26 +65,25 @@
 	node, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: at, Size: 1}))
 	for range 3 {
 		if r := get(t, dial(t, node), "/book/1"); r.Status != 200 {
-			t.Errorf("answered %d", r.Status)
+			t.Errorf("got status %d, want 200", r.Status)
 		}
 		<-closed
 	}
 }
 
-// Half a line that a server sends on a resting connection is no part of any answer: the next request goes out on another
-// connection, once.
+// Bytes that a server sends on an idle connection are not part of any response. The next request is sent once, on another connection.
 func TestUnsolicitedBytesFromServer(t *testing.T) {
 	t.Parallel()
 	const half = "HTTP/1.1 2"
 	for name, c := range map[string]struct {
-		with, behind string // sent with the first answer, and once it has been passed on
+		with, behind string // sent with the first response, and after it was passed on
 		ended        bool
 	}{
-		"with the answer":          {half, "", false},
-		"behind it":                {"", half, false},
-		"behind it, and a close":   {"", half, true},
-		"nothing, and a close":     {"", "", true},
-		"a whole answer behind it": {"", okResponse, false},
+		"with the response":         {half, "", false},
+		"after it":                  {"", half, false},
+		"after it, and a close":     {"", half, true},
+		"nothing, and a close":      {"", "", true},
+		"a complete response after": {"", okResponse, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -109,12 +108,12 @@
 			node, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: at, Size: 1}))
 			client := dial(t, node)
 			if r := get(t, client, "/book/1"); r.Status != 200 || string(r.Body) != "ok" {
-				t.Errorf("answered %d %q", r.Status, r.Body)
+				t.Errorf("got status %d, body %q, want 200 \"ok\"", r.Status, r.Body)
 			}
 			close(passed)
 			<-sent
 			if r := get(t, client, "/book/1"); r.Status != 200 || string(r.Body) != "on" || taken.Load() != 2 {
-				t.Errorf("then %d %q after %d requests", r.Status, r.Body, taken.Load())
+				t.Errorf("next request: got status %d, body %q after %d requests, want 200 \"on\" after 2", r.Status, r.Body, taken.Load())
 			}
 		})
 	}
