--- a/internal/proxy/announceclose_test.go
+++ b/internal/proxy/announceclose_test.go
@@ -43,18 +43,18 @@
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, smallBufferBytes)
 		})
 	}}
-	far, err := dialer.Dial("tcp", ln.Addr().String())
+	remote, err := dialer.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { far.Close() })
+	t.Cleanup(func() { remote.Close() })
 	accepted, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	near = accepted.(*net.TCPConn)
 	near.SetWriteBuffer(smallBufferBytes)
-	return near, http1.NewConn(far)
+	return near, http1.NewConn(remote)
 }
 
 // Guards against a shutdown that closes a connection although its last answer did not announce the close: the shutdown starts after the
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -17,41 +17,41 @@
 	"fernvane/policy"
 )
 
-// partialConn is a connection whose writes accept the first takes bytes and whose reads return an error.
+// partialConn is a connection whose writes accept the first acceptedBytes bytes and whose reads return an error.
 type partialConn struct {
 	net.Conn
-	takes int
-	write error
-	read  error
+	acceptedBytes int
+	writeErr      error
+	readErr       error
 }
 
-func (p partialConn) Write(b []byte) (int, error) { return min(len(b), p.takes), p.write }
-func (p partialConn) Read([]byte) (int, error)    { return 0, p.read }
+func (p partialConn) Write(b []byte) (int, error) { return min(len(b), p.acceptedBytes), p.writeErr }
+func (p partialConn) Read([]byte) (int, error)    { return 0, p.readErr }
 
 // Before the last byte of the request is written, a failed attempt was certainly not executed; afterwards it may have been.
 func TestExchange(t *testing.T) {
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	x := &forwarding{message: &http1.Request{Method: []byte("GET"), Target: []byte("/check/and/more/than/forty/bytes")}}
+	f := &forwarding{message: &http1.Request{Method: []byte("GET"), Target: []byte("/check/and/more/than/forty/bytes")}}
 	for name, c := range map[string]struct {
 		conn partialConn
 		ctx  context.Context
 		want dispatch.AttemptResult
 	}{
-		"nothing written":           {partialConn{write: syscall.EPIPE}, nil, dispatch.WriteFailed},
-		"written in part":           {partialConn{takes: 40, write: syscall.ECONNRESET}, nil, dispatch.WriteFailed},
-		"no time to write":          {partialConn{takes: 40, write: http1.ErrTimeout}, nil, dispatch.ExpiredUnsent},
-		"written, then reset":       {partialConn{takes: 1 << 20, read: syscall.ECONNRESET}, nil, dispatch.ConnectionLost},
-		"written, then closed":      {partialConn{takes: 1 << 20, read: io.EOF}, nil, dispatch.ConnectionLost},
-		"written, then silence":     {partialConn{takes: 1 << 20, read: http1.ErrTimeout}, nil, dispatch.ResponseTimeout},
-		"written, then canceled":    {partialConn{takes: 1 << 20, read: http1.ErrTimeout}, canceled, dispatch.Abandoned},
-		"written completely, reset": {partialConn{takes: 1 << 20, write: syscall.ECONNRESET, read: syscall.ECONNRESET}, nil, dispatch.ConnectionLost},
+		"nothing written":           {partialConn{writeErr: syscall.EPIPE}, nil, dispatch.WriteFailed},
+		"written in part":           {partialConn{acceptedBytes: 40, writeErr: syscall.ECONNRESET}, nil, dispatch.WriteFailed},
+		"no time to write":          {partialConn{acceptedBytes: 40, writeErr: http1.ErrTimeout}, nil, dispatch.ExpiredUnsent},
+		"written, then reset":       {partialConn{acceptedBytes: 1 << 20, readErr: syscall.ECONNRESET}, nil, dispatch.ConnectionLost},
+		"written, then closed":      {partialConn{acceptedBytes: 1 << 20, readErr: io.EOF}, nil, dispatch.ConnectionLost},
+		"written, then silence":     {partialConn{acceptedBytes: 1 << 20, readErr: http1.ErrTimeout}, nil, dispatch.ResponseTimeout},
+		"written, then canceled":    {partialConn{acceptedBytes: 1 << 20, readErr: http1.ErrTimeout}, canceled, dispatch.Abandoned},
+		"written completely, reset": {partialConn{acceptedBytes: 1 << 20, writeErr: syscall.ECONNRESET, readErr: syscall.ECONNRESET}, nil, dispatch.ConnectionLost},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c.ctx == nil {
 				c.ctx = context.Background()
 			}
-			if got := exchange(c.ctx, http1.NewConn(c.conn), x, time.Second, &http1.Response{}); got != c.want {
+			if got := exchange(c.ctx, http1.NewConn(c.conn), f, time.Second, &http1.Response{}); got != c.want {
 				t.Errorf("unexpected result %s", got)
 			}
 		})
@@ -61,17 +61,17 @@
 // An abandoned attempt closes its connection, which notifies the server.
 func TestAbandonedAttemptClosesConnection(t *testing.T) {
 	t.Parallel()
-	gone := make(chan bool, 1)
+	disconnected := make(chan bool, 1)
 	server := standIn(t, func(nc net.Conn) {
 		c := http1.NewConn(nc)
 		c.ReadRequest(&http1.Request{})
-		gone <- c.WaitDisconnected()
+		disconnected <- c.WaitDisconnected()
 	})
 	at, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: server, Size: 1}))
 	if r := get(t, dial(t, at), "/book/1"); r.Status != 504 {
 		t.Errorf("got status %d, want 504", r.Status)
 	}
-	if !<-gone {
+	if !<-disconnected {
 		t.Error("server received more bytes, want a closed connection")
 	}
 }
@@ -79,13 +79,13 @@
 // An attempt that was decided before its server left is not written after the drain grace.
 func TestNothingSentAfterDrainGrace(t *testing.T) {
 	t.Parallel()
-	hosts, taken := servers(t, 1, okResponse)
+	hosts, received := servers(t, 1, okResponse)
 	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	t.Cleanup(s.dispatcher.Stop)
 	s.dispatcher.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
 	for _, phase := range []http1.Condition{http1.Draining, http1.Deleted} {
-		op := submitNonIdempotent(s.dispatcher)
-		d := op.NextDecision(func() {})
+		request := submitNonIdempotent(s.dispatcher)
+		d := request.NextDecision(func() {})
 		if d.Action != dispatch.SendAttempt {
 			t.Fatalf("got action %d, want SendAttempt", d.Action)
 		}
@@ -96,11 +96,11 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		req := &http1.Request{Method: []byte("POST"), Target: []byte("/book/1")}
-		end, _ := s.attempt(context.Background(), d, &forwarding{request: op, message: req, composeAnswer: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }})
-		if end != dispatch.ExpiredUnsent || taken.Load() > 0 {
-			t.Errorf("got result %v, %d attempts sent; want ExpiredUnsent, none sent", end, taken.Load())
+		result, _ := s.attempt(context.Background(), d, &forwarding{request: request, message: req, composeAnswer: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }})
+		if result != dispatch.ExpiredUnsent || received.Load() > 0 {
+			t.Errorf("got result %v, %d attempts sent; want ExpiredUnsent, none sent", result, received.Load())
 		}
-		op.AttemptEnded(d.Attempt, end, nil)
+		request.AttemptEnded(d.Attempt, result, nil)
 		s.dispatcher.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceDiscovery)
 	}
 }
@@ -108,7 +108,7 @@
 // When a client disconnects while its attempt connects, its request is not sent.
 func TestNothingSentAfterDisconnect(t *testing.T) {
 	t.Parallel()
-	hosts, taken := servers(t, 1, okResponse)
+	hosts, received := servers(t, 1, okResponse)
 	cfg := config()
 	cfg.Settings.ConnectTimeout = time.Minute // longer than a connect takes on a busy machine
 	s := &Server{cfg: cfg, dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
@@ -120,18 +120,18 @@
 		want        dispatch.AttemptResult
 	}{"disconnected": {true, false, dispatch.ExpiredUnsent}, "disconnected, not notified": {true, true, dispatch.ExpiredUnsent}, "connected": {false, false, dispatch.Succeeded}} {
 		t.Run(name, func(t *testing.T) {
-			before := taken.Load()
-			op := submitNonIdempotent(s.dispatcher)
-			defer op.Close()
-			d := op.NextDecision(func() {})
+			before := received.Load()
+			request := submitNonIdempotent(s.dispatcher)
+			defer request.Close()
+			d := request.NextDecision(func() {})
 			if c.leave && !c.seen {
-				op.ClientDisconnected()
+				request.ClientDisconnected()
 			}
-			end, _ := s.attempt(context.Background(), d, &forwarding{request: op, message: req, isDisconnected: func() bool { return c.seen }, composeAnswer: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }})
-			if sent := taken.Load() > before; end != c.want || sent == c.leave {
-				t.Errorf("unexpected result %s, sent %v", end, sent)
+			result, _ := s.attempt(context.Background(), d, &forwarding{request: request, message: req, isDisconnected: func() bool { return c.seen }, composeAnswer: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }})
+			if sent := received.Load() > before; result != c.want || sent == c.leave {
+				t.Errorf("unexpected result %s, sent %v", result, sent)
 			}
-			op.AttemptEnded(d.Attempt, end, nil)
+			request.AttemptEnded(d.Attempt, result, nil)
 		})
 	}
 }
@@ -143,18 +143,18 @@
 	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.dispatcher.Stop()
 	s.dispatcher.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
-	held := make(chan net.Conn, 1)
-	kept := dial(t, standIn(t, func(c net.Conn) { held <- c }).String())
-	kept.Conn.(*net.TCPConn).CloseWrite()
+	accepted := make(chan net.Conn, 1)
+	reused := dial(t, standIn(t, func(c net.Conn) { accepted <- c }).String())
+	reused.Conn.(*net.TCPConn).CloseWrite()
 	s.dispatcher.AcquireServerDescriptor()
-	s.dispatcher.PutIdle(hosts[0].ID, false, kept)
+	s.dispatcher.PutIdle(hosts[0].ID, false, reused)
 	req := &http1.Request{Method: []byte("GET"), Target: []byte("/book/1")}
-	op := submitNonIdempotent(s.dispatcher)
-	defer op.Close()
-	if end, _ := s.attempt(context.Background(), op.NextDecision(func() {}), &forwarding{request: op, message: req, composeAnswer: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }}); end != dispatch.StaleConnection {
-		t.Errorf("got result %s, want StaleConnection", end)
+	request := submitNonIdempotent(s.dispatcher)
+	defer request.Close()
+	if result, _ := s.attempt(context.Background(), request.NextDecision(func() {}), &forwarding{request: request, message: req, composeAnswer: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }}); result != dispatch.StaleConnection {
+		t.Errorf("got result %s, want StaleConnection", result)
 	}
-	(<-held).Close()
+	(<-accepted).Close()
 }
 
 // A response that never ends, or that has no length and is reset, fails a non-idempotent request after one attempt, and the client receives
@@ -163,8 +163,8 @@
 	t.Parallel()
 	const noLength = "HTTP/1.1 200 OK\r\n\r\n"
 	for name, c := range map[string]struct {
-		begins, goesOn string // goesOn is sent without an end
-		reset          bool
+		first, repeated string // repeated is sent until a write fails
+		reset           bool
 	}{
 		"a head":               {"HTTP/1.1 200 OK\r\n", "A: b\r\n", false},
 		"informational":        {"", "HTTP/1.1 102 Processing\r\n\r\n", false},
@@ -177,24 +177,24 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var taken atomic.Int32
-			lead := func(nc net.Conn) {
+			var received atomic.Int32
+			serve := func(nc net.Conn) {
 				defer nc.Close()
 				if http1.NewConn(nc).ReadRequest(&http1.Request{}) != nil {
 					return
 				}
-				taken.Add(1)
-				_, err := io.WriteString(nc, c.begins)
-				for err == nil && c.goesOn != "" {
-					_, err = io.WriteString(nc, c.goesOn)
+				received.Add(1)
+				_, err := io.WriteString(nc, c.first)
+				for err == nil && c.repeated != "" {
+					_, err = io.WriteString(nc, c.repeated)
 				}
 				if c.reset {
 					nc.(*net.TCPConn).SetLinger(0)
 				}
 			}
-			at, _ := startNode(t, config(http1.Endpoint{ID: "a", Address: standIn(t, lead), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, lead), Size: 1}))
-			if r := get(t, dial(t, at), "/book/1"); r.Status != 502 && r.Status != 504 || taken.Load() != 1 {
-				t.Errorf("got status %d after %d attempts, want 502 or 504 after 1", r.Status, taken.Load())
+			at, _ := startNode(t, config(http1.Endpoint{ID: "a", Address: standIn(t, serve), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, serve), Size: 1}))
+			if r := get(t, dial(t, at), "/book/1"); r.Status != 502 && r.Status != 504 || received.Load() != 1 {
+				t.Errorf("got status %d after %d attempts, want 502 or 504 after 1", r.Status, received.Load())
 			}
 		})
 	}
@@ -213,24 +213,24 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var taken atomic.Int32
-			lead := func(nc net.Conn) {
+			var received atomic.Int32
+			serve := func(nc net.Conn) {
 				defer nc.Close()
 				for conn := http1.NewConn(nc); conn.ReadRequest(&http1.Request{}) == nil; {
-					if taken.Add(1) == 1 {
+					if received.Add(1) == 1 {
 						time.Sleep(20 * time.Millisecond) // longer than the short window
 						return
 					}
 					io.WriteString(nc, okResponse)
 				}
 			}
-			cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, lead), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, lead), Size: 1})
-			kind := &cfg.Settings.TrafficTypes[0]
-			kind.Idempotency, kind.KeyScope, kind.KeyRetention = policy.IdempotentWithKey, policy.KeyScopeAll, c.window
-			kind.LatencyObjective, kind.ClientTimeout = time.Minute, time.Minute
+			cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, serve), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, serve), Size: 1})
+			trafficType := &cfg.Settings.TrafficTypes[0]
+			trafficType.Idempotency, trafficType.KeyScope, trafficType.KeyRetention = policy.IdempotentWithKey, policy.KeyScopeAll, c.window
+			trafficType.LatencyObjective, trafficType.ClientTimeout = time.Minute, time.Minute
 			at, _ := startNode(t, cfg)
-			if r := get(t, dial(t, at), "/check/1"); r.Status != c.status || taken.Load() != c.sent {
-				t.Errorf("unexpected status %d after %d attempts", r.Status, taken.Load())
+			if r := get(t, dial(t, at), "/check/1"); r.Status != c.status || received.Load() != c.sent {
+				t.Errorf("unexpected status %d after %d attempts", r.Status, received.Load())
 			}
 		})
 	}
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -26,12 +26,12 @@
 				return
 			}
 			go func() {
-				for f := fastcgi.NewClientConn(nc, nil); ; {
-					call, err := f.NextRequest(nil)
+				for conn := fastcgi.NewClientConn(nc, nil); ; {
+					call, err := conn.NextRequest(nil)
 					if err != nil {
 						return
 					}
-					f.Answer(call, call.Append(nil, answer))
+					conn.Answer(call, call.Append(nil, answer))
 				}
 			}()
 		}
@@ -68,18 +68,18 @@
 				stop, done := make(chan struct{}), make(chan error, 1)
 				go func() { done <- run(Signals{Stop: stop}, cfg, zerolog.Nop(), ln.(*net.TCPListener)) }()
 				nc, _ := net.Dial("tcp", ln.Addr().String())
-				var l upstreamConn = http1.NewConn(nc)
-				l.SendRequest(&message.Request{Method: []byte("GET"), Target: []byte("/up")}, time.Second, "")
-				l.ReceiveResponse(&message.Response{})
+				var client upstreamConn = http1.NewConn(nc)
+				client.SendRequest(&message.Request{Method: []byte("GET"), Target: []byte("/up")}, time.Second, "")
+				client.ReceiveResponse(&message.Response{})
 				if front == "cgi" {
 					nc, _ = net.Dial("tcp", free.Addr().String())
-					l = fastcgi.NewServerConn(nc, nil, nil)
+					client = fastcgi.NewServerConn(nc, nil, nil)
 				}
 				b.ReportAllocs()
 				for b.Loop() {
 					var r message.Response
-					l.SendRequest(post(fmt.Sprint(ids.Add(1))), time.Second, "1.2.3.4")
-					if err := l.ReceiveResponse(&r); err != nil || r.Status != 200 {
+					client.SendRequest(post(fmt.Sprint(ids.Add(1))), time.Second, "1.2.3.4")
+					if err := client.ReceiveResponse(&r); err != nil || r.Status != 200 {
 						b.Fatal(r.Status, err)
 					}
 				}
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -12,9 +12,9 @@
 	const good = `{"name":"n","listen":"127.0.0.1:80","discovery":"127.0.0.1:81","seed":"x","limits":{"memory_mb":64,"sockets":256},
 		"known":{"revision":1,"members":[]},"settings":{"limits":{"mostHops":2},"trafficTypes":[{"name":"a","targetTime":5,"idempotency":"safe"}]}}`
 	for name, c := range map[string]struct {
-		old, new string
-		env      string
-		wrong    string // part of the error, which is one line
+		old, new  string
+		env       string
+		wantError string // part of the error, which is one line
 	}{
 		"good":              {},
 		"listen overridden": {`"127.0.0.1:80"`, `""`, "127.0.0.2:80", ""},
@@ -39,11 +39,11 @@
 				}
 				return ""
 			})
-			if c.wrong == "" {
+			if c.wantError == "" {
 				if err != nil || cfg.Limits.Sockets < 1 || cfg.Limits.Sockets > maxSockets || c.env != "" && cfg.Listen.String() != c.env {
 					t.Errorf("got configuration %+v, error %v, want no error", cfg, err)
 				}
-			} else if err == nil || !strings.Contains(err.Error(), c.wrong) || strings.Contains(err.Error(), "\n") {
+			} else if err == nil || !strings.Contains(err.Error(), c.wantError) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("unexpected error %v", err)
 			}
 		})
--- a/internal/proxy/descriptors_test.go
+++ b/internal/proxy/descriptors_test.go
@@ -75,8 +75,8 @@
 func TestGoodClientsAmongMalformed(t *testing.T) {
 	t.Parallel()
 	const (
-		bad, good, each = 120, 4, 6
-		triesMost       = 50
+		bad, good, requestsPerClient = 120, 4, 6
+		maxAttempts                  = 50
 	)
 	hosts, _ := servers(t, 2, okResponse)
 	cfg := config(hosts...)
@@ -86,20 +86,20 @@
 	}
 	at, _ := startNode(t, cfg)
 	kinds := []struct {
-		say   string
+		text  string
 		leave bool
 	}{
 		{"hello\r\n\r\n", false}, {strings.Repeat("x", 100<<10), true}, {"POST /book/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 9999999\r\n\r\nx", false},
 		{"GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: ", false}, {strings.Repeat("GET / HTTP/1.1\r\n\r\n", 500), true}, {"", false},
 	}
-	over := make(chan struct{})
+	stopFlood := make(chan struct{})
 	var flood, all sync.WaitGroup
 	for i := range bad {
 		flood.Go(func() {
 			kind := kinds[i%len(kinds)]
 			for {
 				if c, err := net.Dial("tcp", at); err == nil {
-					io.WriteString(c, kind.say)
+					io.WriteString(c, kind.text)
 					if !kind.leave {
 						closed := make(chan struct{})
 						go func() {
@@ -108,13 +108,13 @@
 						}()
 						select {
 						case <-closed:
-						case <-over:
+						case <-stopFlood:
 						}
 					}
 					c.Close()
 				}
 				select {
-				case <-over:
+				case <-stopFlood:
 					return
 				default:
 				}
@@ -123,10 +123,10 @@
 	}
 	for i := range good {
 		all.Go(func() {
-			for range each {
+			for range requestsPerClient {
 				request := fmt.Sprintf("GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: good-%d\r\n\r\n", ids.Add(1))
 				status, err := 0, errors.New("not attempted")
-				for try := 0; err != nil && try < triesMost; try++ {
+				for attempt := 0; err != nil && attempt < maxAttempts; attempt++ {
 					status, err = getOnce(at, request, i%2 == 0)
 				}
 				if err != nil || status != 200 {
@@ -136,7 +136,7 @@
 		})
 	}
 	all.Wait()
-	close(over)
+	close(stopFlood)
 	flood.Wait()
 }
 
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -21,47 +21,47 @@
 func TestDisconnectWhileWaiting(t *testing.T) {
 	t.Parallel()
 	// Each case starts a request and lets it wait. It returns a function that ends the wait, and the number of attempts sent before.
-	type waiting func(t *testing.T, l *testServer, ask func(), taken <-chan func(say string)) (end func(), sent int)
-	const full = 4 // concurrency limit of a server before its first response
+	type waiting func(t *testing.T, node *testServer, send func(), received <-chan func(response string)) (end func(), sent int)
+	const serverLimit = 4 // concurrency limit of a server before its first response
 	waits := map[string]waiting{
-		"a connect": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
-			reached, release := l.holdDial(1)
-			ask()
+		"a connect": func(t *testing.T, node *testServer, send func(), received <-chan func(string)) (func(), int) {
+			reached, release := node.holdDial(1)
+			send()
 			<-reached
 			return func() { close(release) }, 0
 		},
-		"a slot": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
+		"a slot": func(t *testing.T, node *testServer, send func(), received <-chan func(string)) (func(), int) {
 			var others []func(string)
-			for range 2 * full {
-				l.serveClient(t, "/check/other")
+			for range 2 * serverLimit {
+				node.serveClient(t, "/check/other")
 			}
-			for range 2 * full { // two servers
-				others = append(others, <-taken)
+			for range 2 * serverLimit { // two servers
+				others = append(others, <-received)
 			}
-			ask()
-			await(t, "further open request", func() bool { return l.count().open == 2*full+1 })
+			send()
+			await(t, "further open request", func() bool { return node.count().open == 2*serverLimit+1 })
 			return func() {
 				for _, answer := range others {
 					answer(okResponse)
 				}
-			}, 2 * full
+			}, 2 * serverLimit
 		},
-		"a response before a retry": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
-			ask()
-			answer := <-taken
+		"a response before a retry": func(t *testing.T, node *testServer, send func(), received <-chan func(string)) (func(), int) {
+			send()
+			answer := <-received
 			return func() { answer(errorResponse) }, 1
 		},
-		"the connect of a retry": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
-			reached, release := l.holdDial(2)
-			ask()
-			(<-taken)(errorResponse)
+		"the connect of a retry": func(t *testing.T, node *testServer, send func(), received <-chan func(string)) (func(), int) {
+			reached, release := node.holdDial(2)
+			send()
+			(<-received)(errorResponse)
 			<-reached
 			return func() { close(release) }, 1
 		},
-		"the connect of a hedged request": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
-			reached, release := l.holdDial(2)
-			ask()
-			answer := <-taken
+		"the connect of a hedged request": func(t *testing.T, node *testServer, send func(), received <-chan func(string)) (func(), int) {
+			reached, release := node.holdDial(2)
+			send()
+			answer := <-received
 			<-reached
 			return func() {
 				close(release)
@@ -81,22 +81,22 @@
 			c.Close()
 		},
 	}
-	for what, bring := range waits {
-		for how, leave := range ways {
+	for what, startWaiting := range waits {
+		for how, disconnect := range ways {
 			t.Run(what+", "+how, func(t *testing.T) {
 				t.Parallel()
-				taken := make(chan func(string), 16)
+				received := make(chan func(string), 16)
 				var sent atomic.Int32
-				lead := func(nc net.Conn) {
+				serve := func(nc net.Conn) {
 					defer nc.Close()
 					for c := http1.NewConn(nc); c.ReadRequest(&http1.Request{}) == nil; {
 						sent.Add(1)
-						said := make(chan struct{})
-						taken <- func(say string) { io.WriteString(nc, say); close(said) }
-						<-said
+						responded := make(chan struct{})
+						received <- func(response string) { io.WriteString(nc, response); close(responded) }
+						<-responded
 					}
 				}
-				cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, lead), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, lead), Size: 1})
+				cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, serve), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, serve), Size: 1})
 				for i := range cfg.Settings.TrafficTypes {
 					cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
 				}
@@ -104,27 +104,27 @@
 				if what == "the connect of a hedged request" {
 					cfg.Routes = routes(t, &cfg, checks+"copy_after = \"1ms\"\ncopy_share = 1.0")
 				}
-				l := newTestServer(t, cfg)
+				node := newTestServer(t, cfg)
 				var client *net.TCPConn
 				var done chan struct{}
-				end, before := bring(t, l, func() { client, done = l.serveClient(t, "/check/1") }, taken)
-				leave(client)
-				await(t, "detected disconnect", func() bool { return l.count().disconnected == 1 })
+				end, before := startWaiting(t, node, func() { client, done = node.serveClient(t, "/check/1") }, received)
+				disconnect(client)
+				await(t, "detected disconnect", func() bool { return node.count().disconnected == 1 })
 				end()
-				over := make(chan struct{})
-				defer close(over)
+				finished := make(chan struct{})
+				defer close(finished)
 				go func() {
 					for {
 						select {
-						case answer := <-taken: // an attempt that must not have been sent
+						case answer := <-received: // an attempt that must not have been sent
 							answer(okResponse)
-						case <-over:
+						case <-finished:
 							return
 						}
 					}
 				}()
 				<-done
-				l.clientTasks.Wait()
+				node.clientTasks.Wait()
 				if n := int(sent.Load()); n != before {
 					t.Errorf("got %d attempts after the disconnect, want none", n-before)
 				}
@@ -138,23 +138,23 @@
 	for name, behind := range map[string]int{"no bytes": 0, "a request": 80, "more than is buffered": 200 << 10} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			gone := make(chan net.Conn, 1)
-			at := standIn(t, func(c net.Conn) { gone <- c })
+			accepted := make(chan net.Conn, 1)
+			at := standIn(t, func(c net.Conn) { accepted <- c })
 			near := dial(t, at.String())
 			s := &Server{dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 			defer s.dispatcher.Stop()
 			s.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "s", Address: at, Size: 1}}}, endpoints.SourceConfig)
-			op := submitNonIdempotent(s.dispatcher)
-			if d := op.NextDecision(func() {}); d.Action != dispatch.SendAttempt {
+			request := submitNonIdempotent(s.dispatcher)
+			if d := request.NextDecision(func() {}); d.Action != dispatch.SendAttempt {
 				t.Fatalf("got action %d, want SendAttempt", d.Action)
 			}
-			defer (&httpClientConn{s, near}).WatchDisconnect(op.ClientDisconnected)()
-			far := <-gone
+			defer (&httpClientConn{s, near}).WatchDisconnect(request.ClientDisconnected)()
+			remote := <-accepted
 			go func() { // while the attempt is in flight
-				far.Write(make([]byte, behind))
-				far.Close()
+				remote.Write(make([]byte, behind))
+				remote.Close()
 			}()
-			if d := op.NextDecision(func() {}); d.Action != dispatch.Drop {
+			if d := request.NextDecision(func() {}); d.Action != dispatch.Drop {
 				t.Errorf("got action %d, want Drop", d.Action)
 			}
 		})
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -19,23 +19,23 @@
 // the last. calls receives the query of each poll. An empty response leaves the connection open.
 func scriptedDiscovery(t *testing.T, pieces bool, script ...string) (at netip.AddrPort, calls chan string) {
 	calls = make(chan string, 64)
-	var said atomic.Int32
+	var polls atomic.Int32
 	at = standIn(t, func(nc net.Conn) {
 		defer nc.Close()
 		var r http1.Request
 		for c := http1.NewConn(nc); c.ReadRequest(&r) == nil; {
 			calls <- strings.TrimPrefix(string(r.Target), "/discovery/hosts")
-			n := int(said.Add(1))
+			n := int(polls.Add(1))
 			if n > len(script) {
 				continue // the poll gets no response
 			}
-			say := strings.TrimRight(script[n-1], closeMark+resetMark)
+			response := strings.TrimRight(script[n-1], closeMark+resetMark)
 			if pieces {
-				for i := range say {
-					io.WriteString(nc, say[i:i+1])
+				for i := range response {
+					io.WriteString(nc, response[i:i+1])
 				}
 			} else {
-				io.WriteString(nc, say)
+				io.WriteString(nc, response)
 			}
 			switch {
 			case strings.HasSuffix(script[n-1], resetMark):
@@ -49,8 +49,8 @@
 	return at, calls
 }
 
-func listResponse(revision int, whole bool, members ...string) string {
-	body := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, whole, strings.Join(members, ","))
+func listResponse(revision int, isComplete bool, members ...string) string {
+	body := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, isComplete, strings.Join(members, ","))
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
@@ -65,55 +65,55 @@
 	hosts, _ := servers(t, 1, okResponse)
 	kept := hosts[0]
 	kept.ID = "stays"
-	refused := func(status int) string {
+	rejection := func(status int) string {
 		return fmt.Sprintf("HTTP/1.1 %d No\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n", status)
 	}
 	leftOut := listResponse(9, true, listMember(kept, "SERVING"))
 	for name, c := range map[string]struct {
 		before []string // responses to the polls before the change
-		tells  string   // response with the change; empty: an indented change that announces the server as draining
+		change string   // response with the change; empty: an indented change that announces the server as draining
 		pieces bool
 		asked  bool // the settings require requests for the list
 	}{
 		"immediately, left out":             {nil, leftOut, false, false},
 		"immediately, in pieces":            {nil, leftOut, true, false},
-		"rejected for a while":              {[]string{refused(503), refused(429), refused(503)}, leftOut, false, true},
-		"rejected and closed":               {[]string{refused(503) + closeMark, refused(429) + closeMark}, leftOut, false, true},
+		"rejected for a while":              {[]string{rejection(503), rejection(429), rejection(503)}, leftOut, false, true},
+		"rejected and closed":               {[]string{rejection(503) + closeMark, rejection(429) + closeMark}, leftOut, false, true},
 		"reset without a response":          {[]string{resetMark, resetMark}, leftOut, false, true},
 		"reset within a response":           {[]string{leftOut[:len(leftOut)-9] + resetMark}, leftOut, false, false},
 		"closed within a response":          {[]string{leftOut[:len(leftOut)-9] + closeMark}, leftOut, false, false},
 		"no response to the first":          {[]string{""}, leftOut, false, false},
 		"stalled within a response":         {[]string{leftOut[:len(leftOut)-9]}, leftOut, false, false},
 		"no response later":                 {[]string{listResponse(3, false), listResponse(3, false), ""}, leftOut, false, false},
-		"no response later, then rejected":  {[]string{listResponse(3, false), "", refused(503)}, leftOut, false, true},
+		"no response later, then rejected":  {[]string{listResponse(3, false), "", rejection(503)}, leftOut, false, true},
 		"a watch is closed":                 {[]string{listResponse(3, false), closeMark}, leftOut, false, true},
 		"a watch is reset":                  {[]string{listResponse(3, false), resetMark}, leftOut, false, true},
-		"no responses, then rejected":       {[]string{"", "", refused(503)}, leftOut, false, false},
-		"indented, as a change, in pieces":  {[]string{refused(503)}, "", true, false},
+		"no responses, then rejected":       {[]string{"", "", rejection(503)}, leftOut, false, false},
+		"indented, as a change, in pieces":  {[]string{rejection(503)}, "", true, false},
 		"a change that drains, after reset": {[]string{resetMark}, "", false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			gone, taken := servers(t, 1, okResponse)
-			if c.tells == "" {
-				c.tells = listResponse(9, false, "\n  "+strings.ReplaceAll(listMember(gone[0], "DRAINING"), ",", ",\n    "))
+			left, received := servers(t, 1, okResponse)
+			if c.change == "" {
+				c.change = listResponse(9, false, "\n  "+strings.ReplaceAll(listMember(left[0], "DRAINING"), ",", ",\n    "))
 			}
-			cfg := config(gone[0], kept)
+			cfg := config(left[0], kept)
 			cfg.SavedList.Revision, cfg.Settings.MustRequestEndpoints = 2, c.asked
 			var calls chan string
-			cfg.Discovery, calls = scriptedDiscovery(t, c.pieces, append(c.before, c.tells)...)
+			cfg.Discovery, calls = scriptedDiscovery(t, c.pieces, append(c.before, c.change)...)
 			at, _ := startNode(t, cfg)
 			for call := ""; !strings.HasPrefix(call, "?index=9&"); { // the change was applied
 				call = <-calls
 			}
-			before := taken.Load()
+			before := received.Load()
 			client := dial(t, at)
 			for range 20 {
 				if r := get(t, client, "/check/1"); r.Status != 200 {
 					t.Errorf("got status %d, want 200", r.Status)
 				}
 			}
-			if n := taken.Load() - before; n > 0 {
+			if n := received.Load() - before; n > 0 {
 				t.Errorf("got %d requests to a server that had left, want none", n)
 			}
 		})
@@ -151,9 +151,9 @@
 				var r http1.Request
 				for c := http1.NewConn(nc); c.ReadRequest(&r) == nil; {
 					calls <- string(r.Target)
-					say := <-next
-					io.WriteString(nc, strings.TrimSuffix(say, closeMark))
-					if strings.HasSuffix(say, closeMark) {
+					response := <-next
+					io.WriteString(nc, strings.TrimSuffix(response, closeMark))
+					if strings.HasSuffix(response, closeMark) {
 						return
 					}
 				}
@@ -164,9 +164,9 @@
 					t.Errorf("got poll %s, want revision 2 or 3", call)
 				}
 			}
-			told := time.Now()
-			if call := <-calls; !strings.HasPrefix(call, "/discovery/hosts?index=9&wait=") || time.Since(told) > 200*time.Millisecond {
-				t.Errorf("got poll %s after %v, want revision 9 within 200 ms", call, time.Since(told)) // the watch must continue
+			listSentAt := time.Now()
+			if call := <-calls; !strings.HasPrefix(call, "/discovery/hosts?index=9&wait=") || time.Since(listSentAt) > 200*time.Millisecond {
+				t.Errorf("got poll %s after %v, want revision 9 within 200 ms", call, time.Since(listSentAt)) // the watch must continue
 			}
 			close(next)
 			if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
--- a/internal/proxy/discoverymove_test.go
+++ b/internal/proxy/discoverymove_test.go
@@ -13,20 +13,20 @@
 // A response that arrives while the address of discovery changes is still used.
 func TestAnswerWhileDiscoveryMoves(t *testing.T) {
 	t.Parallel()
-	var place *watch.Target
-	named := make(chan struct{})
+	var target *watch.Target
+	targetSet := make(chan struct{})
 	at := standIn(t, func(nc net.Conn) {
 		defer nc.Close()
-		<-named
+		<-targetSet
 		http1.NewConn(nc).ReadRequest(&http1.Request{})
-		place.Replace()
+		target.Replace()
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 27\r\n\r\n{\"revision\":9,\"members\":[]}")
 	})
-	place = watch.NewTarget(at)
-	close(named)
-	w := watch.Watcher{Target: place}
+	target = watch.NewTarget(at)
+	close(targetSet)
+	w := watch.Watcher{Target: target}
 	defer w.Close()
-	if l, err := w.Poll(context.Background()); err != nil || l.Revision != 9 {
-		t.Errorf("got revision %d, error %v, want revision 9", l.Revision, err)
+	if list, err := w.Poll(context.Background()); err != nil || list.Revision != 9 {
+		t.Errorf("got revision %d, error %v, want revision 9", list.Revision, err)
 	}
 }
--- a/internal/proxy/distributedservers_test.go
+++ b/internal/proxy/distributedservers_test.go
@@ -18,9 +18,9 @@
 // draining server stays draining.
 func TestDistributedServersInPieces(t *testing.T) {
 	cfg := config()
-	f := dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)
-	defer f.Stop()
-	d := &distributionApplier{dispatcher: f, settings: &cfg.Settings, logger: zerolog.Nop(), incarnations: incarnation.NewTable(), parsed: map[distribution.Key]parsedFragment{}}
+	dispatcher := dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)
+	defer dispatcher.Stop()
+	applier := &distributionApplier{dispatcher: dispatcher, settings: &cfg.Settings, logger: zerolog.Nop(), incarnations: incarnation.NewTable(), parsed: map[distribution.Key]parsedFragment{}}
 	entry := func(id string, clock uint64, condition incarnation.Condition) distribution.Entry {
 		v, err := value.EncodeServer(incarnation.Entry{ID: id, Address: fmt.Sprint("127.0.0.1:", clock), Weight: 1, Condition: condition})
 		if err != nil {
@@ -30,21 +30,21 @@
 	}
 	a, b, drained := entry("a", 1, incarnation.Up), entry("b", 2, incarnation.Up), entry("c", 3, incarnation.Draining)
 	for _, piece := range []struct {
-		entries []distribution.Entry
-		whole   bool
+		entries    []distribution.Entry
+		isComplete bool
 	}{{[]distribution.Entry{a}, false}, {[]distribution.Entry{drained}, false}, {[]distribution.Entry{a, b, drained}, true}} {
-		if rejected := d.ApplyServers(piece.entries, piece.whole); len(rejected) > 0 {
+		if rejected := applier.ApplyServers(piece.entries, piece.isComplete); len(rejected) > 0 {
 			t.Fatal(rejected)
 		}
 	}
-	var used []string
-	lines, _, _, _ := f.Endpoints()
-	for _, l := range lines {
-		if l.IsUsable {
-			used = append(used, l.ID)
+	var usable []string
+	records, _, _, _ := dispatcher.Endpoints()
+	for _, record := range records {
+		if record.IsUsable {
+			usable = append(usable, record.ID)
 		}
 	}
-	if !slices.Equal(used, []string{"a", "b"}) {
-		t.Errorf("got usable servers %q of %d, want a and b", used, len(lines))
+	if !slices.Equal(usable, []string{"a", "b"}) {
+		t.Errorf("got usable servers %q of %d, want a and b", usable, len(records))
 	}
 }
--- a/internal/proxy/distribution_test.go
+++ b/internal/proxy/distribution_test.go
@@ -33,9 +33,9 @@
 func newTestApplier(t *testing.T) *distributionApplier {
 	t.Helper()
 	cfg := config()
-	f := dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)
-	t.Cleanup(f.Stop)
-	return &distributionApplier{dispatcher: f, settings: &cfg.Settings, logger: zerolog.Nop(), incarnations: incarnation.NewTable(), parsed: map[distribution.Key]parsedFragment{}}
+	dispatcher := dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)
+	t.Cleanup(dispatcher.Stop)
+	return &distributionApplier{dispatcher: dispatcher, settings: &cfg.Settings, logger: zerolog.Nop(), incarnations: incarnation.NewTable(), parsed: map[distribution.Key]parsedFragment{}}
 }
 
 func entryOf(kind distribution.Kind, name string, clock uint64, val []byte) distribution.Entry {
@@ -62,7 +62,7 @@
 	moved := up
 	moved.Address = "127.0.0.1:81"
 	for name, c := range map[string]struct {
-		told      []distribution.Entry
+		announced []distribution.Entry
 		used      bool
 		condition incarnation.Condition
 		at        string
@@ -79,17 +79,17 @@
 		"invalid value, old one stays": {[]distribution.Entry{serverEntry(t, 1, up), entryOf(distribution.KindServer, "s", 2, []byte("bad"))}, true, incarnation.Up, "127.0.0.1:80"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newTestApplier(t)
-			d.ApplyServers(nil, true)
-			for _, e := range c.told {
-				d.ApplyServers([]distribution.Entry{e}, false)
+			applier := newTestApplier(t)
+			applier.ApplyServers(nil, true)
+			for _, e := range c.announced {
+				applier.ApplyServers([]distribution.Entry{e}, false)
 			}
-			lines, from, _, _ := d.dispatcher.Endpoints()
-			if len(lines) == 0 && c.condition == incarnation.Gone { // the dispatcher has discarded it
+			records, from, _, _ := applier.dispatcher.Endpoints()
+			if len(records) == 0 && c.condition == incarnation.Gone { // the dispatcher has discarded it
 				return
 			}
-			if len(lines) != 1 || lines[0].IsUsable != c.used || lines[0].Condition != c.condition || lines[0].Address.String() != c.at || from != endpoints.SourceDistribution {
-				t.Errorf("got %+v from %v", lines, from)
+			if len(records) != 1 || records[0].IsUsable != c.used || records[0].Condition != c.condition || records[0].Address.String() != c.at || from != endpoints.SourceDistribution {
+				t.Errorf("got %+v from %v", records, from)
 			}
 		})
 	}
@@ -97,18 +97,18 @@
 
 // The first complete list removes the servers of earlier sources, and a list of discovery has no effect after it.
 func TestDistributedServersComplete(t *testing.T) {
-	d := newTestApplier(t)
-	d.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "old", Address: netip.MustParseAddrPort("127.0.0.1:9"), Size: 1}}, Complete: true}, endpoints.SourceConfig)
-	d.ApplyServers([]distribution.Entry{serverEntry(t, 1, incarnation.Entry{ID: "s", Address: "127.0.0.1:80", Weight: 1})}, true)
-	lines, _, _, _ := d.dispatcher.Endpoints()
-	for _, l := range lines {
-		if l.IsUsable != (l.ID == "s") {
-			t.Errorf("got %+v, want only server s usable", l)
+	applier := newTestApplier(t)
+	applier.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "old", Address: netip.MustParseAddrPort("127.0.0.1:9"), Size: 1}}, Complete: true}, endpoints.SourceConfig)
+	applier.ApplyServers([]distribution.Entry{serverEntry(t, 1, incarnation.Entry{ID: "s", Address: "127.0.0.1:80", Weight: 1})}, true)
+	records, _, _, _ := applier.dispatcher.Endpoints()
+	for _, record := range records {
+		if record.IsUsable != (record.ID == "s") {
+			t.Errorf("got %+v, want only server s usable", record)
 		}
 	}
-	d.applyDiscoveryList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "late", Address: netip.MustParseAddrPort("127.0.0.1:10"), Size: 1}}})
-	if lines, from, _, _ := d.dispatcher.Endpoints(); from != endpoints.SourceDistribution || len(lines) > 2 {
-		t.Errorf("list of discovery was applied: got %+v from %v", lines, from)
+	applier.applyDiscoveryList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "late", Address: netip.MustParseAddrPort("127.0.0.1:10"), Size: 1}}})
+	if records, from, _, _ := applier.dispatcher.Endpoints(); from != endpoints.SourceDistribution || len(records) > 2 {
+		t.Errorf("list of discovery was applied: got %+v from %v", records, from)
 	}
 }
 
@@ -121,44 +121,44 @@
 		return text(distribution.KindTenant, name, clock, allowance)
 	}
 	const ten, minus = "\x81\xf9\x49\x00", "\x81\xf9\xc9\x00" // [10.0], [-10.0]
-	d := newTestApplier(t)
+	applier := newTestApplier(t)
 	for _, c := range []struct {
 		what     string
-		give     func() []distribution.Rejection
+		apply    func() []distribution.Rejection
 		rejected string
 		want     string // routes in effect
 	}{
 		{"servers", func() []distribution.Rejection {
-			return d.ApplyServers([]distribution.Entry{text(distribution.KindServer, "s", 1, "x"), serverEntry(t, 1, incarnation.Entry{ID: "t", Address: "127.0.0.1:80", Weight: 1})}, true)
+			return applier.ApplyServers([]distribution.Entry{text(distribution.KindServer, "s", 1, "x"), serverEntry(t, 1, incarnation.Entry{ID: "t", Address: "127.0.0.1:80", Weight: 1})}, true)
 		}, "hire/server/s: the value of a server cannot be read", ""},
 		{"a server of another name", func() []distribution.Rejection {
 			e := serverEntry(t, 1, incarnation.Entry{ID: "t", Address: "127.0.0.1:80", Weight: 1})
 			e.Key.Name = "u"
-			return d.ApplyServers([]distribution.Entry{e}, false)
+			return applier.ApplyServers([]distribution.Entry{e}, false)
 		}, "hire/server/u: its value is of server \"t\"", ""},
 		{"routes", func() []distribution.Rejection {
-			return d.ApplyRoutes([]distribution.Entry{text(distribution.KindRoute, "a", 1, "type = \"check\"\nhops = 2"), text(distribution.KindRoute, "b", 2, "type = \"dance\""),
+			return applier.ApplyRoutes([]distribution.Entry{text(distribution.KindRoute, "a", 1, "type = \"check\"\nhops = 2"), text(distribution.KindRoute, "b", 2, "type = \"dance\""),
 				text(distribution.KindPool, "p", 3, "servers = [\"s*\"]")})
 		}, "hire/route/b: no traffic type \"dance\": there are check, book", "hire/a"},
 		{"a route's next value", func() []distribution.Rejection {
-			return d.ApplyRoutes([]distribution.Entry{text(distribution.KindRoute, "a", 4, "type = \"check\"\nhops = 9"), text(distribution.KindRoute, "b", 5, "type = \"book\"")})
+			return applier.ApplyRoutes([]distribution.Entry{text(distribution.KindRoute, "a", 4, "type = \"check\"\nhops = 9"), text(distribution.KindRoute, "b", 5, "type = \"book\"")})
 		}, "hire/route/a: route \"hire/a\", type check: 9 attempts, but the settings allow 4", "hire/a hire/b"},
 		{"the same again", func() []distribution.Rejection {
-			return d.ApplyRoutes([]distribution.Entry{text(distribution.KindRoute, "a", 4, "type = \"check\"\nhops = 9"), text(distribution.KindRoute, "b", 6, "hops = ")})
+			return applier.ApplyRoutes([]distribution.Entry{text(distribution.KindRoute, "a", 4, "type = \"check\"\nhops = 9"), text(distribution.KindRoute, "b", 6, "hops = ")})
 		}, "hire/route/a: route \"hire/a\", type check: 9 attempts, but the settings allow 4; hire/route/b: route hire/b:1: ", "hire/a hire/b"},
 		{"deleted", func() []distribution.Rejection {
-			return d.ApplyRoutes([]distribution.Entry{text(distribution.KindRoute, "b", 7, "type = \"book\"")})
+			return applier.ApplyRoutes([]distribution.Entry{text(distribution.KindRoute, "b", 7, "type = \"book\"")})
 		}, "", "hire/b"},
 		{"tenants", func() []distribution.Rejection {
-			return d.ApplyTenants([]distribution.Entry{tenant("dairy", 1, ten), tenant("orchards", 1, minus), tenant("mill", 1, "x")})
+			return applier.ApplyTenants([]distribution.Entry{tenant("dairy", 1, ten), tenant("orchards", 1, minus), tenant("mill", 1, "x")})
 		}, "hire/tenant/orchards: allowance -10: a number of 0 or more is wanted; hire/tenant/mill: the value of a tenant cannot be read", "hire/b"},
 		{"a tenant's next value", func() []distribution.Rejection {
-			return d.ApplyTenants([]distribution.Entry{tenant("dairy", 2, minus)})
+			return applier.ApplyTenants([]distribution.Entry{tenant("dairy", 2, minus)})
 		},
 			"hire/tenant/dairy: allowance -10", "hire/b"},
 	} {
 		var got []string
-		for _, r := range c.give() {
+		for _, r := range c.apply() {
 			got = append(got, r.Key.String()+": "+r.Reason)
 		}
 		all := strings.Join(got, "; ")
@@ -166,8 +166,8 @@
 			t.Errorf("%s: got rejections %q, want %q", c.what, all, c.rejected)
 		}
 		var routes []string
-		if set := d.dispatcher.Routes(); set != nil {
-			for _, r := range set.Routes {
+		if table := applier.dispatcher.Routes(); table != nil {
+			for _, r := range table.Routes {
 				routes = append(routes, r.Name)
 			}
 		}
@@ -175,43 +175,43 @@
 			t.Errorf("%s: got routes %q in effect, want %q", c.what, routes, c.want)
 		}
 	}
-	if d.quotas["dairy"] != 10 || len(d.quotas) != 1 {
-		t.Errorf("got quotas %v in effect, want only 10 for dairy", d.quotas)
+	if applier.quotas["dairy"] != 10 || len(applier.quotas) != 1 {
+		t.Errorf("got quotas %v in effect, want only 10 for dairy", applier.quotas)
 	}
 }
 
 // The entries build on the operator's file, also after the file has changed.
 func TestDistributedRoutesOverOperatorFile(t *testing.T) {
-	d := newTestApplier(t)
+	applier := newTestApplier(t)
 	file := func(text string) *route.Table {
-		set, err := route.Parse("f", []byte(text), d.settings)
+		table, err := route.Parse("f", []byte(text), applier.settings)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return set
+		return table
 	}
-	d.operatorRoutes = file("[defaults]\nbody_bytes = 7\n[[routes]]\nname = \"own\"\ntype = \"book\"\n")
-	d.ApplyRoutes([]distribution.Entry{entryOf(distribution.KindRoute, "a", 1, []byte("type = \"check\""))})
-	most := func() string {
-		set, sizes := d.dispatcher.Routes(), []string{}
-		for i, r := range set.Routes {
+	applier.operatorRoutes = file("[defaults]\nbody_bytes = 7\n[[routes]]\nname = \"own\"\ntype = \"book\"\n")
+	applier.ApplyRoutes([]distribution.Entry{entryOf(distribution.KindRoute, "a", 1, []byte("type = \"check\""))})
+	maxBodySizes := func() string {
+		table, sizes := applier.dispatcher.Routes(), []string{}
+		for i, r := range table.Routes {
 			kind := 0
 			if r.Type == "book" {
 				kind = 1
 			}
-			sizes = append(sizes, fmt.Sprint(r.Name, " ", set.MaxBodyBytes(i, kind, 99)))
+			sizes = append(sizes, fmt.Sprint(r.Name, " ", table.MaxBodyBytes(i, kind, 99)))
 		}
 		return strings.Join(sizes, ", ")
 	}
-	if got := most(); got != "own 7, hire/a 7" {
+	if got := maxBodySizes(); got != "own 7, hire/a 7" {
 		t.Error(got)
 	}
-	d.setOperatorRoutes(file("[defaults]\nbody_bytes = 8\n"))
-	if got := most(); got != "hire/a 8" {
+	applier.setOperatorRoutes(file("[defaults]\nbody_bytes = 8\n"))
+	if got := maxBodySizes(); got != "hire/a 8" {
 		t.Error(got)
 	}
-	d.setOperatorRoutes(nil)
-	if got := most(); got != "hire/a 99" {
+	applier.setOperatorRoutes(nil)
+	if got := maxBodySizes(); got != "hire/a 99" {
 		t.Error(got)
 	}
 }
@@ -220,16 +220,16 @@
 // deleted.
 func TestLastGoodAfterRestart(t *testing.T) {
 	dir := t.TempDir()
-	begin := func() *distributionApplier {
-		d := newTestApplier(t)
+	restart := func() *distributionApplier {
+		applier := newTestApplier(t)
 		var good []distribution.Entry
 		var err error
-		if d.lastGood, good, err = openLastGood(dir); err != nil {
+		if applier.lastGood, good, err = openLastGood(dir); err != nil {
 			t.Fatal(err)
 		}
-		d.effectiveTenants = map[distribution.Key]distribution.Entry{}
-		d.restoreLastGood(good)
-		return d
+		applier.effectiveTenants = map[distribution.Key]distribution.Entry{}
+		applier.restoreLastGood(good)
+		return applier
 	}
 	entry := func(kind distribution.Kind, name string, clock uint64, v string) distribution.Entry {
 		return entryOf(kind, name, clock, []byte(v))
@@ -237,39 +237,39 @@
 	const ten, minus = "\x81\xf9\x49\x00", "\x81\xf9\xc9\x00" // [10.0], [-10.0]
 	first := []distribution.Entry{entry(distribution.KindRoute, "a", 1, "type = \"check\"\nbody_bytes = 7"), entry(distribution.KindRoute, "b", 2, "type = \"book\"")}
 	second := []distribution.Entry{first[1], entry(distribution.KindRoute, "a", 3, "type = \"dance\"")}
-	check := func(d *distributionApplier, what string, want int) {
+	check := func(applier *distributionApplier, what string, want int) {
 		t.Helper()
-		set, most := d.dispatcher.Routes(), 0
-		for i, r := range set.Routes {
+		table, maxBody := applier.dispatcher.Routes(), 0
+		for i, r := range table.Routes {
 			if r.Name == "hire/a" {
-				most = set.MaxBodyBytes(i, 0, 99)
+				maxBody = table.MaxBodyBytes(i, 0, 99)
 			}
 		}
-		if most != want || want > 0 && d.quotas["dairy"] != 10 {
-			t.Errorf("%s: got a maximum body of %d bytes, want %d; quotas %v", what, most, want, d.quotas)
+		if maxBody != want || want > 0 && applier.quotas["dairy"] != 10 {
+			t.Errorf("%s: got a maximum body of %d bytes, want %d; quotas %v", what, maxBody, want, applier.quotas)
 		}
 	}
-	d := begin()
-	d.ApplyRoutes(first)
-	d.ApplyTenants([]distribution.Entry{entry(distribution.KindTenant, "dairy", 1, ten)})
-	d.ApplyRoutes(second)
-	d.ApplyTenants([]distribution.Entry{entry(distribution.KindTenant, "dairy", 2, minus)})
-	check(d, "before", 7)
+	applier := restart()
+	applier.ApplyRoutes(first)
+	applier.ApplyTenants([]distribution.Entry{entry(distribution.KindTenant, "dairy", 1, ten)})
+	applier.ApplyRoutes(second)
+	applier.ApplyTenants([]distribution.Entry{entry(distribution.KindTenant, "dairy", 2, minus)})
+	check(applier, "before", 7)
 	for range 2 {
-		d = begin()
-		if n := len(d.ApplyRoutes(second)) + len(d.ApplyTenants([]distribution.Entry{entry(distribution.KindTenant, "dairy", 2, minus)})); n != 2 {
+		applier = restart()
+		if n := len(applier.ApplyRoutes(second)) + len(applier.ApplyTenants([]distribution.Entry{entry(distribution.KindTenant, "dairy", 2, minus)})); n != 2 {
 			t.Errorf("got %d rejections, want 2", n)
 		}
-		check(d, "after a restart", 7)
+		check(applier, "after a restart", 7)
 	}
-	d.ApplyRoutes(first[1:])
-	d.ApplyTenants(nil)
+	applier.ApplyRoutes(first[1:])
+	applier.ApplyTenants(nil)
 	if _, err := os.Stat(filepath.Join(dir, lastGoodFileName)); !os.IsNotExist(err) {
 		t.Errorf("last good file still exists: got error %v, want not exist", err)
 	}
-	d = begin()
-	d.ApplyRoutes(second)
-	check(d, "after the deletion", 0)
+	applier = restart()
+	applier.ApplyRoutes(second)
+	check(applier, "after the deletion", 0)
 	if err := os.WriteFile(filepath.Join(dir, lastGoodFileName), []byte("garbled"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -292,12 +292,12 @@
 
 // Quotas of entries replace those of the settings, add up over services, and end when their entries are deleted.
 func TestDistributedTenants(t *testing.T) {
-	d := newTestApplier(t)
-	d.settings.TenantNames, d.settings.TenantQuotas = []string{"dairy"}, []float64{5}
+	applier := newTestApplier(t)
+	applier.settings.TenantNames, applier.settings.TenantQuotas = []string{"dairy"}, []float64{5}
 	cfg := config()
-	cfg.Settings.TenantNames, cfg.Settings.TenantQuotas = d.settings.TenantNames, d.settings.TenantQuotas
-	d.dispatcher = dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)
-	t.Cleanup(d.dispatcher.Stop)
+	cfg.Settings.TenantNames, cfg.Settings.TenantQuotas = applier.settings.TenantNames, applier.settings.TenantQuotas
+	applier.dispatcher = dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)
+	t.Cleanup(applier.dispatcher.Stop)
 	of := func(service, name string, allowance float64) distribution.Entry {
 		v, err := value.EncodeTenant(value.Tenant{Allowance: allowance})
 		if err != nil {
@@ -308,8 +308,8 @@
 		return e
 	}
 	for _, c := range []struct {
-		told []distribution.Entry
-		want string
+		announced []distribution.Entry
+		want      string
 	}{
 		{nil, "dairy 5"},
 		{[]distribution.Entry{of("hire", "dairy", 10)}, "dairy 10"},
@@ -317,12 +317,12 @@
 		{[]distribution.Entry{of("hire", "mill", 4)}, "dairy 5, mill 4"},
 		{nil, "dairy 5"},
 	} {
-		if rejected := d.ApplyTenants(c.told); len(rejected) > 0 {
+		if rejected := applier.ApplyTenants(c.announced); len(rejected) > 0 {
 			t.Error(rejected)
 		}
 		var got []string
 		for _, tenant := range []string{"dairy", "mill"} { // a report names only tenants with traffic
-			if allowance := d.dispatcher.Quota(tenant); allowance > 0 {
+			if allowance := applier.dispatcher.Quota(tenant); allowance > 0 {
 				got = append(got, fmt.Sprint(tenant, " ", allowance))
 			}
 		}
@@ -336,7 +336,7 @@
 func TestDiscoveryFallback(t *testing.T) {
 	t.Parallel()
 	hosts, used := servers(t, 1, okResponse)
-	others, taken := servers(t, 1, okResponse)
+	others, received := servers(t, 1, okResponse)
 	cfg := config()
 	calls := make(chan struct{}, 999)
 	cfg.Discovery = standIn(t, func(nc net.Conn) {
@@ -348,16 +348,16 @@
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		}
 	})
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := held.Addr().(*net.TCPAddr).AddrPort()
-	held.Close()
+	at := listener.Addr().(*net.TCPAddr).AddrPort()
+	listener.Close()
 	cfg.Distribution = &client.Config{Control: []string{at.String()}, Addresses: []netip.AddrPort{at}, Services: []string{"hire"}, Directory: t.TempDir()}
 	node, _ := startNode(t, cfg)
 	<-calls
-	await(t, "request at the server that discovery names", func() bool { get(t, dial(t, node), "/check/1"); return taken.Load() > 0 })
+	await(t, "request at the server that discovery names", func() bool { get(t, dial(t, node), "/check/1"); return received.Load() > 0 })
 
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -372,7 +372,7 @@
 		}
 	}()
 	entry := serverEntry(t, 1, incarnation.Entry{ID: hosts[0].ID, Address: hosts[0].Address.String(), Weight: 1})
-	for by := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		s, err := client.Open(ctx, cfg.Distribution)
 		if err == nil {
 			_, err = s.Write([]distribution.Change{{Key: entry.Key, Value: entry.Value}})
@@ -381,23 +381,23 @@
 		if err == nil {
 			break
 		}
-		if time.Now().After(by) {
+		if time.Now().After(deadline) {
 			t.Fatal(err)
 		}
 	}
-	for by := time.Now().Add(20 * time.Second); used.Load() == 0; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); used.Load() == 0; time.Sleep(20 * time.Millisecond) {
 		get(t, dial(t, node), "/check/1")
-		if time.Now().After(by) {
+		if time.Now().After(deadline) {
 			t.Fatal("timeout after 20 s: server of the distribution got no request")
 		}
 	}
-	before := taken.Load()
+	before := received.Load()
 	for range 20 {
 		if r := get(t, dial(t, node), "/check/1"); r.Status != 200 {
 			t.Errorf("got status %d, want 200", r.Status)
 		}
 	}
-	if n := taken.Load() - before; n > 0 {
+	if n := received.Load() - before; n > 0 {
 		t.Errorf("got %d requests to the server that only discovery announces, want none", n)
 	}
 }
--- a/internal/proxy/fastcgi_test.go
+++ b/internal/proxy/fastcgi_test.go
@@ -23,15 +23,15 @@
 func responder(t *testing.T, answer func(*message.Request) *message.Answer) netip.AddrPort {
 	return standIn(t, func(nc net.Conn) {
 		defer nc.Close()
-		f := fastcgi.NewClientConn(nc, nil)
-		defer f.AbandonRequests()
+		conn := fastcgi.NewClientConn(nc, nil)
+		defer conn.AbandonRequests()
 		for {
-			call, err := f.NextRequest(nil)
+			request, err := conn.NextRequest(nil)
 			if err != nil {
 				return
 			}
-			if a := answer(call.Request); a != nil {
-				f.Answer(call, call.Append(nil, *a))
+			if a := answer(request.Request); a != nil {
+				conn.Answer(request, request.Append(nil, *a))
 			}
 		}
 	})
@@ -42,7 +42,7 @@
 	return startFastCGINodeWith(t, shutdownDelays{}, hosts...)
 }
 
-func startFastCGINodeWith(t *testing.T, u shutdownDelays, hosts ...http1.Endpoint) (http, cgi string, stop func() error) {
+func startFastCGINodeWith(t *testing.T, delays shutdownDelays, hosts ...http1.Endpoint) (http, cgi string, stop func() error) {
 	t.Helper()
 	// Its own IP address: a free port of 127.0.0.1 may be assigned to any connection before the node listens on it.
 	pid := os.Getpid()
@@ -53,9 +53,9 @@
 	cgi = ln.Addr().String()
 	ln.Close()
 	cfg := config(hosts...)
-	cfg.shutdownDelays = u
+	cfg.shutdownDelays = delays
 	for i := range cfg.Settings.TrafficTypes { // long enough for a busy machine
-		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = 2*time.Second+u.extraTime, 4*time.Second+u.extraTime
+		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = 2*time.Second+delays.extraTime, 4*time.Second+delays.extraTime
 	}
 	cfg.Routes = routes(t, &cfg, fmt.Sprintf("[fastcgi]\nlisten = %q\nflavors = [\"cgi\"]", cgi))
 	http, stop = startNode(t, cfg)
@@ -75,20 +75,20 @@
 // The answer to a request depends on the response of the server and not on the protocols of client and server.
 func TestProtocolPairings(t *testing.T) {
 	t.Parallel()
-	status := func(n int, never bool) func(*message.Request) *message.Answer {
+	status := func(n int, isNotStarted bool) func(*message.Request) *message.Answer {
 		return func(*message.Request) *message.Answer {
 			a := &message.Answer{Status: n}
-			if never {
+			if isNotStarted {
 				a.Fields = []message.Field{{Name: []byte("Not-Started"), Value: []byte("1")}}
 			}
 			return a
 		}
 	}
 	for name, c := range map[string]struct {
-		answer func(*message.Request) *message.Answer
-		status int
-		body   string
-		hops   int
+		answer   func(*message.Request) *message.Answer
+		status   int
+		body     string
+		attempts int
 	}{
 		"handled":       {echoed, 200, "POST /book/1 body", 1},
 		"an error":      {status(500, false), 502, "", 1},
@@ -101,10 +101,10 @@
 				t.Parallel()
 				front, back, _ := strings.Cut(pairing, " ")
 				var mu sync.Mutex
-				hops := 0
+				attempts := 0
 				counted := func(r *message.Request) *message.Answer {
 					mu.Lock()
-					hops++
+					attempts++
 					mu.Unlock()
 					return c.answer(r)
 				}
@@ -128,25 +128,25 @@
 					hosts = append(hosts, h)
 				}
 				http, cgi, _ := startFastCGINode(t, hosts...)
-				var l upstreamConn = http1.NewConn(dial(t, http).Conn)
+				var client upstreamConn = http1.NewConn(dial(t, http).Conn)
 				if front == "cgi" {
-					l = fastcgi.NewServerConn(dial(t, cgi).Conn, nil, nil)
+					client = fastcgi.NewServerConn(dial(t, cgi).Conn, nil, nil)
 				}
-				l.SetDeadline(time.Now().Add(10 * time.Second))
+				client.SetDeadline(time.Now().Add(10 * time.Second))
 				for range 2 { // the second on the reused connection
 					mu.Lock()
-					hops = 0
+					attempts = 0
 					mu.Unlock()
 					var r message.Response
-					if whole, err := l.SendRequest(post(fmt.Sprint(ids.Add(1))), 5*time.Second, "1.2.3.4"); !whole {
+					if isWritten, err := client.SendRequest(post(fmt.Sprint(ids.Add(1))), 5*time.Second, "1.2.3.4"); !isWritten {
 						t.Fatal(err)
 					}
-					if err := l.ReceiveResponse(&r); err != nil {
+					if err := client.ReceiveResponse(&r); err != nil {
 						t.Fatal(err)
 					}
 					mu.Lock()
-					if r.Status != c.status || c.body != "" && string(r.Body) != c.body || hops > c.hops || hops < 1 && c.status == 200 {
-						t.Errorf("unexpected answer %d %q after %d attempts", r.Status, r.Body, hops)
+					if r.Status != c.status || c.body != "" && string(r.Body) != c.body || attempts > c.attempts || attempts < 1 && c.status == 200 {
+						t.Errorf("unexpected answer %d %q after %d attempts", r.Status, r.Body, attempts)
 					}
 					mu.Unlock()
 					if c.status != 200 {
@@ -175,14 +175,14 @@
 	const n = 100
 	var wire []byte
 	for id := uint16(1); id <= n; id++ {
-		q := post(fmt.Sprint("shared-", id))
+		request := post(fmt.Sprint("shared-", id))
 		if id == 7 {
-			q.Target = []byte("/book/held")
+			request.Target = []byte("/book/held")
 		}
 		if id == 8 {
-			q.Fields = nil // no request ID
+			request.Fields = nil // no request ID
 		}
-		wire = append(wire, fastcgi.AppendRequest(nil, id, q, "4.000", "1.2.3.4")...)
+		wire = append(wire, fastcgi.AppendRequest(nil, id, request, "4.000", "1.2.3.4")...)
 	}
 	wire = append(wire, fastcgi.AppendAbort(nil, 7)...)
 	if _, err := nc.Write(wire); err != nil {
@@ -197,17 +197,17 @@
 		answers[id] = r
 	}
 	close(release)
-	var whole []uint16
+	var expected []uint16
 	for id, a := range answers {
 		switch {
 		case id == 7 && len(a.Body) == 0 && a.Status == 0, id == 8 && a.Status == 400, a.Status == 200 && string(a.Body) == "POST /book/1 body", a.Status == 503:
-			whole = append(whole, id)
+			expected = append(expected, id)
 		default:
 			t.Errorf("request %d: unexpected answer %d %q", id, a.Status, a.Body)
 		}
 	}
-	if len(whole) != n || !slices.Contains(whole, 7) {
-		t.Errorf("got %d expected answers, want one per request", len(whole))
+	if len(expected) != n || !slices.Contains(expected, 7) {
+		t.Errorf("got %d expected answers, want one per request", len(expected))
 	}
 	if err := stop(); err != nil {
 		t.Error(err)
@@ -218,9 +218,9 @@
 func TestMalformedFastCGIClients(t *testing.T) {
 	t.Parallel()
 	_, cgi, _ := startFastCGINode(t)
-	whole := fastcgi.AppendRequest(nil, 1, post("x"), "1.000", "1.2.3.4")
-	for name, text := range map[string][]byte{"sends nothing": nil, "half a header": whole[:5], "half a request": whole[:len(whole)-8], "HTTP": []byte("GET / HTTP/1.1\r\n\r\n"),
-		"the same id twice": append(slices.Clone(whole[:16]), whole[:16]...)} {
+	complete := fastcgi.AppendRequest(nil, 1, post("x"), "1.000", "1.2.3.4")
+	for name, text := range map[string][]byte{"sends nothing": nil, "half a header": complete[:5], "half a request": complete[:len(complete)-8], "HTTP": []byte("GET / HTTP/1.1\r\n\r\n"),
+		"the same id twice": append(slices.Clone(complete[:16]), complete[:16]...)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			nc := dial(t, cgi).Conn
--- a/internal/proxy/fastcgishutdown_test.go
+++ b/internal/proxy/fastcgishutdown_test.go
@@ -18,7 +18,7 @@
 
 // startHeldNode runs a node whose server delays responses to requests for .../held until release is closed, and responds to all others
 // immediately.
-func startHeldNode(t *testing.T, u shutdownDelays) (http, cgi string, stop func() error, begun, release chan struct{}) {
+func startHeldNode(t *testing.T, delays shutdownDelays) (http, cgi string, stop func() error, begun, release chan struct{}) {
 	begun, release = make(chan struct{}, 200), make(chan struct{})
 	at := standIn(t, func(nc net.Conn) {
 		defer nc.Close()
@@ -36,7 +36,7 @@
 	for i := range 100 {
 		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("s", i), Size: 1, Address: at})
 	}
-	http, cgi, stop = startFastCGINodeWith(t, u, hosts...)
+	http, cgi, stop = startFastCGINodeWith(t, delays, hosts...)
 	return http, cgi, stop, begun, release
 }
 
@@ -96,8 +96,8 @@
 func TestCloseKeepsAcceptedRequests(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		behind []byte // sent after the delayed request
-		told   uint16 // ID of a request that first gets the notice that it was not executed; 0: none
+		behind   []byte // sent after the delayed request
+		notified uint16 // ID of a request that first gets the notice that it was not executed; 0: none
 	}{
 		"not FastCGI":               {[]byte("GET / HTTP/1.1\r\n\r\n"), 0},
 		"the ID of an open request": {encodeRequest(1, post("x"))[:16], 0},
@@ -111,8 +111,8 @@
 			nc := dialFastCGI(t, cgi)
 			nc.Write(append(encodeRequest(1, heldRequest("held "+name)), c.behind...)) // read immediately, while the first request is delayed
 			<-begun
-			if c.told > 0 {
-				if id, r, err := nc.Next(); id != c.told || r.Status != 0 || err != nil {
+			if c.notified > 0 {
+				if id, r, err := nc.Next(); id != c.notified || r.Status != 0 || err != nil {
 					t.Errorf("got notice for request %d with status %d, error %v, want status 0", id, r.Status, err)
 				}
 			}
@@ -129,49 +129,49 @@
 // that arrive until the listener closes. Requests that arrive later get the notice that they were not executed.
 func TestStopSharedConnection(t *testing.T) {
 	t.Parallel()
-	coming := make(chan struct{})
-	http, cgi, stop, begun, release := startHeldNode(t, shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: time.Minute})
+	arrivalsEnd := make(chan struct{})
+	http, cgi, stop, begun, release := startHeldNode(t, shutdownDelays{awaitArrivals: func() { <-arrivalsEnd }, extraTime: time.Minute})
 	nc, idle := dialFastCGI(t, cgi), dialFastCGI(t, cgi)
-	const n, mark = 99, 1000 // a hundred with the readiness check
+	const n, readinessID = 99, 1000 // a hundred with the readiness check
 	var wire []byte
 	for id := uint16(1); id <= n; id++ {
 		wire = append(wire, encodeRequest(id, heldRequest(fmt.Sprint("stop-", id)))...)
 	}
-	up := post("up")
-	up.Method, up.Target, up.Body = []byte("GET"), []byte("/up"), nil
-	nc.Write(append(wire, encodeRequest(mark, up)...))
-	open := n // some may be rejected immediately, above the concurrency limits
-	denied := func(id uint16, status int) {
-		if open--; id > n || status != 503 {
+	readinessRequest := post("up")
+	readinessRequest.Method, readinessRequest.Target, readinessRequest.Body = []byte("GET"), []byte("/up"), nil
+	nc.Write(append(wire, encodeRequest(readinessID, readinessRequest)...))
+	pending := n // some may be rejected immediately, above the concurrency limits
+	checkRejected := func(id uint16, status int) {
+		if pending--; id > n || status != 503 {
 			t.Errorf("request %d: got status %d, want 503 for a request of this test", id, status)
 		}
 	}
-	nc.answer(t, mark, denied) // all requests before it were read
+	nc.answer(t, readinessID, checkRejected) // all requests before it were read
 	<-begun
 	done := make(chan error)
 	go func() { done <- stop() }()
 	for kept := dial(t, http); !get(t, kept, "/up").Close; {
 	}
-	nc.Write(encodeRequest(mark, up))
-	if status := nc.answer(t, mark, denied); status != 200 {
+	nc.Write(encodeRequest(readinessID, readinessRequest))
+	if status := nc.answer(t, readinessID, checkRejected); status != 200 {
 		t.Errorf("got status %d while draining, want 200", status)
 	}
-	idle.Write(encodeRequest(1, up))
-	if status := idle.answer(t, 1, denied); status != 200 {
+	idle.Write(encodeRequest(1, readinessRequest))
+	if status := idle.answer(t, 1, checkRejected); status != 200 {
 		t.Errorf("got status %d on an idle connection, want 200", status)
 	}
 	idle.endsInOrder(t)
-	close(coming)
+	close(arrivalsEnd)
 	for status := 200; status != 0; { // status 0: not executed
-		nc.Write(encodeRequest(mark, up))
-		if status = nc.answer(t, mark, denied); status != 200 && status != 0 {
+		nc.Write(encodeRequest(readinessID, readinessRequest))
+		if status = nc.answer(t, readinessID, checkRejected); status != 200 && status != 0 {
 			t.Fatalf("got status %d, want 200 or 0", status)
 		}
 	}
 	close(release)
-	for ; open > 0; open-- {
+	for ; pending > 0; pending-- {
 		if id, r, err := nc.Next(); err != nil || r.Status != 200 && r.Status != 503 {
-			t.Fatalf("request %d: got status %d, error %v, want 200 or 503; %d answers are missing", id, r.Status, err, open)
+			t.Fatalf("request %d: got status %d, error %v, want 200 or 503; %d answers are missing", id, r.Status, err, pending)
 		}
 	}
 	nc.endsInOrder(t)
@@ -186,7 +186,7 @@
 	body := strings.Repeat("x", 60<<10)
 	at := responder(t, func(*message.Request) *message.Answer { return &message.Answer{Status: 200, Body: []byte(body)} })
 	http, cgi, _ := startFastCGINode(t, http1.Endpoint{ID: "s", Size: 1, Flavor: "cgi", Address: at})
-	narrow := net.Dialer{Control: func(_, _ string, rc syscall.RawConn) error { // most of the answer stays in the node's buffers
+	dialer := net.Dialer{Control: func(_, _ string, rc syscall.RawConn) error { // most of the answer stays in the node's buffers
 		return rc.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 	}}
 	for name, c := range map[string]struct {
@@ -209,7 +209,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			nc, err := narrow.Dial("tcp", c.at)
+			nc, err := dialer.Dial("tcp", c.at)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -239,13 +239,13 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	f := fastcgi.NewClientConn(nc, s.dispatcher.MessageBudget())
+	conn := fastcgi.NewClientConn(nc, s.dispatcher.MessageBudget())
 	client.Write(encodeRequest(1, post("crossing")))
-	for !f.HasUnread() {
+	for !conn.HasUnread() {
 		time.Sleep(time.Millisecond)
 	}
-	c := &fastcgiClientConn{server: s, tcp: nc.(*net.TCPConn), conn: f, client: s.dispatcher.AddClient(f), firstRequestDeadline: pastDeadline}
-	if call, err := f.NextRequest(c); err != nil || string(call.Request.Body) != "body" {
+	c := &fastcgiClientConn{server: s, tcp: nc.(*net.TCPConn), conn: conn, client: s.dispatcher.AddClient(conn), firstRequestDeadline: pastDeadline}
+	if request, err := conn.NextRequest(c); err != nil || string(request.Request.Body) != "body" {
 		t.Errorf("got error %v, want the request", err)
 	}
 }
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -31,7 +31,7 @@
 )
 
 // standIn starts a stand-in server that calls serve for each connection, and returns its address.
-func standIn(t *testing.T, lead func(net.Conn)) netip.AddrPort {
+func standIn(t *testing.T, serve func(net.Conn)) netip.AddrPort {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -43,31 +43,31 @@
 			if err != nil {
 				return
 			}
-			go lead(c)
+			go serve(c)
 		}
 	}()
 	return ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// servers starts n stand-in servers that together send the responses of a script, one per request, and repeat the last one. taken counts the
+// servers starts n stand-in servers that together send the responses of a script, one per request, and repeat the last one. received counts the
 // requests received.
-func servers(t *testing.T, n int, script ...string) (hosts []http1.Endpoint, taken *atomic.Int32) {
-	taken = new(atomic.Int32)
+func servers(t *testing.T, n int, script ...string) (hosts []http1.Endpoint, received *atomic.Int32) {
+	received = new(atomic.Int32)
 	for i := range n {
 		at := standIn(t, func(nc net.Conn) {
 			defer nc.Close()
 			c := http1.NewConn(nc)
 			for c.ReadRequest(&http1.Request{}) == nil {
-				say := script[min(int(taken.Add(1)), len(script))-1]
-				io.WriteString(nc, strings.TrimSuffix(say, closeMark))
-				if strings.HasSuffix(say, closeMark) {
+				response := script[min(int(received.Add(1)), len(script))-1]
+				io.WriteString(nc, strings.TrimSuffix(response, closeMark))
+				if strings.HasSuffix(response, closeMark) {
 					return
 				}
 			}
 		})
 		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("s-", i), Address: at, Size: 1})
 	}
-	return hosts, taken
+	return hosts, received
 }
 
 func config(hosts ...http1.Endpoint) Config {
@@ -125,30 +125,30 @@
 }
 
 // submitNonIdempotent submits a non-idempotent request with a unique request ID.
-func submitNonIdempotent(f *dispatch.Dispatcher) *dispatch.Request {
-	op, _ := f.Submit(dispatch.Arrival{ID: fmt.Append(nil, ids.Add(1)), RouteIndex: -1, TrafficType: 1, Timeout: time.Minute})
-	return op
+func submitNonIdempotent(dispatcher *dispatch.Dispatcher) *dispatch.Request {
+	request, _ := dispatcher.Submit(dispatch.Arrival{ID: fmt.Append(nil, ids.Add(1)), RouteIndex: -1, TrafficType: 1, Timeout: time.Minute})
+	return request
 }
 
 // heldServer starts a server that sends no response until release is called. It sends to begun for each request.
 func heldServer(t *testing.T) (h http1.Endpoint, begun chan struct{}, release func()) {
 	begun = make(chan struct{}, 16)
-	until := make(chan struct{})
+	released := make(chan struct{})
 	at := standIn(t, func(nc net.Conn) {
 		defer nc.Close()
 		for c := http1.NewConn(nc); c.ReadRequest(&http1.Request{}) == nil; {
 			begun <- struct{}{}
-			<-until
+			<-released
 			io.WriteString(nc, okResponse)
 		}
 	})
-	return http1.Endpoint{ID: "s", Address: at, Size: 1}, begun, func() { close(until) }
+	return http1.Endpoint{ID: "s", Address: at, Size: 1}, begun, func() { close(released) }
 }
 
-func await(t *testing.T, what string, is func() bool) {
+func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for by := time.Now().Add(5 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(by) {
+	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("timeout after 5 s: got no %s", what)
 		}
 	}
@@ -162,39 +162,39 @@
 }
 
 func newTestServer(t *testing.T, cfg Config) *testServer {
-	l := &testServer{Server: &Server{cfg: cfg, dispatcher: dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)}}
-	t.Cleanup(l.dispatcher.Stop)
+	node := &testServer{Server: &Server{cfg: cfg, dispatcher: dispatch.New(cfg.Settings, 1, cfg.Limits, engine.NewPolicy)}}
+	t.Cleanup(node.dispatcher.Stop)
 	if cfg.Routes != nil {
-		l.dispatcher.SetRoutes(cfg.Routes)
+		node.dispatcher.SetRoutes(cfg.Routes)
 	}
-	l.dispatcher.ApplyList(cfg.SavedList, endpoints.SourceConfig)
-	return l
+	node.dispatcher.ApplyList(cfg.SavedList, endpoints.SourceConfig)
+	return node
 }
 
 // serveClient serves a new client connection that requests a path. done is closed when the connection is closed.
-func (l *testServer) serveClient(t *testing.T, path string) (client *net.TCPConn, done chan struct{}) {
+func (node *testServer) serveClient(t *testing.T, path string) (client *net.TCPConn, done chan struct{}) {
 	near, client := connpair.TCP(t)
 	done = make(chan struct{})
 	fmt.Fprintf(client, "GET %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", path, ids.Add(1))
 	go func() {
 		defer close(done)
-		l.serveHTTPConn(near)
+		node.serveHTTPConn(near)
 	}()
 	return client, done
 }
 
 // count updates disconnected and open from the dispatcher's counts.
-func (l *testServer) count() *testServer {
-	c := l.dispatcher.Counts()
-	l.disconnected, l.open = l.disconnected+c.Disconnected, c.OpenRequests
-	return l
+func (node *testServer) count() *testServer {
+	c := node.dispatcher.Counts()
+	node.disconnected, node.open = node.disconnected+c.Disconnected, c.OpenRequests
+	return node
 }
 
 // holdDial makes the nth connect to a server wait until release is closed. reached is closed when it waits.
-func (l *testServer) holdDial(nth int32) (reached, release chan struct{}) {
+func (node *testServer) holdDial(nth int32) (reached, release chan struct{}) {
 	reached, release = make(chan struct{}), make(chan struct{})
-	l.dialer.Control = func(string, string, syscall.RawConn) error {
-		if l.dialed.Add(1) == nth {
+	node.dialer.Control = func(string, string, syscall.RawConn) error {
+		if node.dialed.Add(1) == nth {
 			close(reached)
 			<-release
 		}
--- a/internal/proxy/httpclient_test.go
+++ b/internal/proxy/httpclient_test.go
@@ -16,7 +16,7 @@
 
 func TestMalformedRequests(t *testing.T) {
 	t.Parallel()
-	hosts, taken := servers(t, 1, okResponse)
+	hosts, received := servers(t, 1, okResponse)
 	at, _ := startNode(t, config(hosts...))
 	const get = "GET /check/1 HTTP/1.1\r\nHost: h\r\n"
 	for name, c := range map[string]struct {
@@ -47,7 +47,7 @@
 			}
 		})
 	}
-	if taken.Load() != 0 {
+	if received.Load() != 0 {
 		t.Error("server got a request, want none")
 	}
 }
@@ -58,7 +58,7 @@
 	cfg := config()
 	cfg.Settings.TrafficTypes[0].ClientTimeout = time.Hour
 	at, _ := startNode(t, cfg)
-	for name, c := range map[string]struct{ once, again string }{
+	for name, c := range map[string]struct{ first, repeated string }{
 		"sends nothing": {},
 		"one request":   {"GET /up HTTP/1.1\r\nHost: h\r\n\r\n", ""},
 		"half a head":   {"GET /check/1 HT", ""},
@@ -68,9 +68,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			conn, began := dial(t, at), time.Now()
-			io.WriteString(conn, c.once)
+			io.WriteString(conn, c.first)
 			for ended := false; !ended; {
-				io.WriteString(conn, c.again)
+				io.WriteString(conn, c.repeated)
 				conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 				n, err := conn.Read(make([]byte, 99))
 				if name == "one request" { // the answer does not count
@@ -131,16 +131,16 @@
 	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
 	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = time.Minute, time.Minute
 	cfg.shutdownDelays.extraLinger = time.Minute
-	l := newTestServer(t, cfg)
+	node := newTestServer(t, cfg)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	narrow := net.Dialer{Control: func(_, _ string, rc syscall.RawConn) error { // most of the answer stays in the node's buffers
+	dialer := net.Dialer{Control: func(_, _ string, rc syscall.RawConn) error { // most of the answer stays in the node's buffers
 		return rc.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 	}}
-	client, err := narrow.Dial("tcp", ln.Addr().String())
+	client, err := dialer.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,7 +152,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l.serveHTTPConn(near.(*net.TCPConn))
+		node.serveHTTPConn(near.(*net.TCPConn))
 	}()
 	client.SetDeadline(time.Now().Add(time.Minute))
 	fmt.Fprintf(client, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", ids.Add(1))
--- a/internal/proxy/intentjournal_test.go
+++ b/internal/proxy/intentjournal_test.go
@@ -19,18 +19,18 @@
 )
 
 // entries returns the entries of all requests in a journal, and the number of gaps.
-func entries(t *testing.T, d wal.FileSystem) (all []*intent.Entry, gaps int) {
+func entries(t *testing.T, disk wal.FileSystem) (all []*intent.Entry, gaps int) {
 	t.Helper()
-	fold := intent.NewAssembler()
-	if _, err := wal.Scan(d, "j", time.Time{}, func(r *intent.Record) error {
-		if e := fold.Add(r); e != nil {
+	assembler := intent.NewAssembler()
+	if _, err := wal.Scan(disk, "j", time.Time{}, func(r *intent.Record) error {
+		if e := assembler.Add(r); e != nil {
 			all = append(all, e)
 		}
 		return nil
 	}, nil); err != nil {
 		t.Fatal(err)
 	}
-	return append(all, fold.Incomplete()...), len(fold.Gaps)
+	return append(all, assembler.Incomplete()...), len(assembler.Gaps)
 }
 
 func book(t *testing.T, at string, fields string) int {
@@ -43,16 +43,16 @@
 // The journal of a stopped node has one entry per non-idempotent request, with its state, its answer and its attempts.
 func TestJournal(t *testing.T) {
 	t.Parallel()
-	const never = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+	const notStarted = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
-		script []string
-		state  intent.State
-		told   string
-		hops   int // attempts; 0: any number
+		script   []string
+		state    intent.State
+		outcome  string
+		attempts int // attempts; 0: any number
 	}{
 		"answered":              {[]string{okResponse}, intent.HasRun, "handled", 1},
-		"not started, then ok":  {[]string{never, okResponse}, intent.HasRun, "handled", 2},
-		"not started anywhere":  {[]string{never}, intent.NotSent, "denied", 0},
+		"not started, then ok":  {[]string{notStarted, okResponse}, intent.HasRun, "handled", 2},
+		"not started anywhere":  {[]string{notStarted}, intent.NotSent, "denied", 0},
 		"an error":              {[]string{"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"}, intent.PossiblySent, "written off", 1},
 		"the connection breaks": {[]string{closeMark}, intent.PossiblySent, "written off", 1},
 		"request fault":         {[]string{"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n"}, intent.PossiblySent, "written off", 1},
@@ -62,19 +62,19 @@
 			t.Parallel()
 			hosts, _ := servers(t, 3, c.script...)
 			cfg := config(hosts...)
-			d := memdisk.New()
-			cfg.Filesystem, cfg.Journal = d, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
+			disk := memdisk.New()
+			cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
 			at, stop := startNode(t, cfg)
 			book(t, at, "Client-Retry: 1\r\nRepeats: 77\r\n")
 			get(t, dial(t, at), "/check/1") // idempotent: not recorded
 			if err := stop(); err != nil {
 				t.Fatal(err)
 			}
-			all, _ := entries(t, d)
+			all, _ := entries(t, disk)
 			if len(all) != 1 {
 				t.Fatalf("got %d entries, want 1", len(all))
 			}
-			if e := all[0]; e.State() != c.state || e.ClientOutcome != c.told || c.hops > 0 && len(e.Attempts) != c.hops || e.Type != "book" || !e.IsRetry || e.RepeatOf != "77" {
+			if e := all[0]; e.State() != c.state || e.ClientOutcome != c.outcome || c.attempts > 0 && len(e.Attempts) != c.attempts || e.Type != "book" || !e.IsRetry || e.RepeatOf != "77" {
 				t.Errorf("unexpected entry in state %v: %+v", e.State(), e)
 			}
 		})
@@ -84,19 +84,19 @@
 // The intent of a non-idempotent request is durable before a server receives its first byte.
 func TestIntentBeforeFirstByte(t *testing.T) {
 	t.Parallel()
-	d := memdisk.New()
+	disk := memdisk.New()
 	var late atomic.Int32
 	at := standIn(t, func(nc net.Conn) {
 		defer nc.Close()
 		for c := http1.NewConn(nc); c.ReadRequest(&http1.Request{}) == nil; {
-			if all, _ := entries(t, d); len(all) != 1 || len(all[0].Attempts) != 1 || all[0].ClientOutcome != "" {
+			if all, _ := entries(t, disk); len(all) != 1 || len(all[0].Attempts) != 1 || all[0].ClientOutcome != "" {
 				late.Add(1)
 			}
 			io.WriteString(nc, okResponse)
 		}
 	})
 	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
-	cfg.Filesystem, cfg.Journal = d, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20}
+	cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20}
 	node, _ := startNode(t, cfg)
 	if got := book(t, node, ""); got != 200 || late.Load() > 0 {
 		t.Errorf("got status %d, want 200; %d attempts without a durable intent, want none", got, late.Load())
@@ -110,17 +110,17 @@
 	for _, choice := range []string{"deny", "serve"} {
 		t.Run(choice, func(t *testing.T) {
 			t.Parallel()
-			d := memdisk.New()
-			hosts, taken := servers(t, 3, okResponse)
+			disk := memdisk.New()
+			hosts, received := servers(t, 3, okResponse)
 			cfg := config(hosts...)
-			cfg.Filesystem, cfg.Journal = d, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: choice, MaxWait: tomlfile.Duration(100 * time.Millisecond), SegmentBytes: 1 << 20}
+			cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: choice, MaxWait: tomlfile.Duration(100 * time.Millisecond), SegmentBytes: 1 << 20}
 			at, stop := startNode(t, cfg)
 			if got := book(t, at, ""); got != 200 {
 				t.Fatalf("got status %d, want 200", got)
 			}
-			await(t, "recorded answer to the first request", func() bool { all, _ := entries(t, d); return len(all) == 1 && all[0].ClientOutcome != "" })
-			d.Fill(true)
-			before := taken.Load()
+			await(t, "recorded answer to the first request", func() bool { all, _ := entries(t, disk); return len(all) == 1 && all[0].ClientOutcome != "" })
+			disk.Fill(true)
+			before := received.Load()
 			want := map[string]int{"deny": 503, "serve": 200}[choice]
 			for range 3 {
 				if got := book(t, at, ""); got != want {
@@ -130,15 +130,15 @@
 					t.Errorf("idempotent request: got status %d, want 200", r.Status)
 				}
 			}
-			if got := int(taken.Load() - before); got != map[string]int{"deny": 3, "serve": 6}[choice] {
+			if got := int(received.Load() - before); got != map[string]int{"deny": 3, "serve": 6}[choice] {
 				t.Errorf("unexpected number of attempts: %d", got)
 			}
-			d.Fill(false)
-			await(t, "recorded request after the failure", func() bool { return book(t, at, "") == 200 && gaps(t, d) > 0 })
+			disk.Fill(false)
+			await(t, "recorded request after the failure", func() bool { return book(t, at, "") == 200 && gaps(t, disk) > 0 })
 			if err := stop(); err != nil {
 				t.Fatal(err)
 			}
-			for all, _ := entries(t, d); len(all) > 0; all = all[1:] {
+			for all, _ := entries(t, disk); len(all) > 0; all = all[1:] {
 				if all[0].State() == intent.PossiblySent {
 					t.Errorf("got entry possibly sent, want its end recorded: %+v", all[0])
 				}
@@ -159,19 +159,19 @@
 		t.Fatal(err)
 	}
 	defer j.close()
-	w, err := j.wal.Append(true, intent.Record{Kind: intent.Intent, Incarnation: j.incarnation, RequestNumber: 1, Server: "s"})
+	commit, err := j.wal.Append(true, intent.Record{Kind: intent.Intent, Incarnation: j.incarnation, RequestNumber: 1, Server: "s"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	over, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := j.awaitDurable(over, w, time.Minute); err != errNotDurable && err != nil {
+	if err := j.awaitDurable(canceled, commit, time.Minute); err != errNotDurable && err != nil {
 		t.Errorf("got error %v, want errNotDurable or none", err)
 	}
-	<-w.Done()
+	<-commit.Done()
 }
 
-func gaps(t *testing.T, d wal.FileSystem) int {
-	_, n := entries(t, d)
+func gaps(t *testing.T, disk wal.FileSystem) int {
+	_, n := entries(t, disk)
 	return n
 }
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -25,12 +25,12 @@
 	s.acceptDeadline = time.Now().Add(time.Minute)
 	s.isListenerClosing.Store(true)
 	dial(t, ln.Addr().String())
-	led := make(chan struct{}, 1)
-	if err := s.accept(ln, func(nc *net.TCPConn) { nc.Close(); led <- struct{}{} }); err != nil {
+	served := make(chan struct{}, 1)
+	if err := s.accept(ln, func(nc *net.TCPConn) { nc.Close(); served <- struct{}{} }); err != nil {
 		t.Fatal(err)
 	}
 	s.clientTasks.Wait()
-	if len(led) == 0 {
+	if len(served) == 0 {
 		t.Error("connection was dropped with the listener, want it served")
 	}
 }
@@ -55,19 +55,19 @@
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
 	for name, closing := range map[string]bool{"while serving": false, "as the listener closes": true} {
-		l := newTestServer(t, config(hosts...))
+		node := newTestServer(t, config(hosts...))
 		ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer ln.Close()
-		l.cfg.shutdownDelays.extraQuiet, l.acceptDeadline = -acceptQuietDuration, time.Now().Add(time.Minute) // each deadline has passed
-		l.isListenerClosing.Store(closing)
+		node.cfg.shutdownDelays.extraQuiet, node.acceptDeadline = -acceptQuietDuration, time.Now().Add(time.Minute) // each deadline has passed
+		node.isListenerClosing.Store(closing)
 		dial(t, ln.Addr().String())
 		got := make(chan bool, 1)
 		done := make(chan error, 1)
 		go func() {
-			done <- l.accept(ln, func(nc *net.TCPConn) {
+			done <- node.accept(ln, func(nc *net.TCPConn) {
 				got <- isNoDelay(t, nc)
 				nc.Close()
 			})
@@ -78,11 +78,11 @@
 		ln.Close()
 		<-done
 	}
-	l := newTestServer(t, config(hosts...))
-	op := submitNonIdempotent(l.dispatcher)
-	defer op.Close()
-	d := op.NextDecision(func() {})
-	conn, _, end := l.connect(t.Context(), d, time.Now().Add(time.Minute))
+	node := newTestServer(t, config(hosts...))
+	request := submitNonIdempotent(node.dispatcher)
+	defer request.Close()
+	d := request.NextDecision(func() {})
+	conn, _, end := node.connect(t.Context(), d, time.Now().Add(time.Minute))
 	if end != dispatch.Succeeded || !isNoDelay(t, conn.(*http1.Conn).Conn.(*net.TCPConn)) {
 		t.Errorf("connect result %s, want Succeeded with TCP_NODELAY set on the server connection", end)
 	}
--- a/internal/proxy/logger_test.go
+++ b/internal/proxy/logger_test.go
@@ -8,8 +8,8 @@
 
 type blockedWriter struct{ held chan struct{} }
 
-func (s blockedWriter) Write(b []byte) (int, error) {
-	<-s.held
+func (w blockedWriter) Write(b []byte) (int, error) {
+	<-w.held
 	return len(b), nil
 }
 
--- a/internal/proxy/oneconnection_test.go
+++ b/internal/proxy/oneconnection_test.go
@@ -20,9 +20,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked, release := make(chan struct{}), make(chan struct{})
-	let := sync.OnceFunc(func() { close(release) })
-	defer let()
+	received, release := make(chan struct{}), make(chan struct{})
+	releaseFirst := sync.OnceFunc(func() { close(release) })
+	defer releaseFirst()
 	go func() {
 		nc, err := ln.Accept()
 		ln.Close()
@@ -33,7 +33,7 @@
 		var r http1.Request
 		for c := http1.NewConn(nc); c.ReadRequest(&r) == nil; {
 			if strings.HasSuffix(string(r.Target), "/first") {
-				close(asked)
+				close(received)
 				<-release
 			}
 			io.WriteString(nc, okResponse)
@@ -51,7 +51,7 @@
 		return c
 	}
 	first := request("first")
-	<-asked
+	<-received
 	const others = 3
 	answers := make(chan int, others)
 	for range others {
@@ -69,7 +69,7 @@
 		t.Fatalf("got status %d while the connection is in use, want no answer", status)
 	case <-time.After(300 * time.Millisecond):
 	}
-	let()
+	releaseFirst()
 	if r := readReply(t, first); r.Status != 200 {
 		t.Errorf("first request: got status %d, want 200", r.Status)
 	}
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -19,8 +19,8 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// tierConfig returns the configuration of a cluster member; two other members replicate each record.
-func tierConfig(t *testing.T, name string, seeds ...string) *peer.Config {
+// clusterConfig returns the configuration of a cluster member; two other members replicate each record.
+func clusterConfig(t *testing.T, name string, seeds ...string) *peer.Config {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,14 +62,14 @@
 		t.Fatal(err)
 	}
 	for _, dir := range dirs {
-		fold := intent.NewAssembler()
+		assembler := intent.NewAssembler()
 		wal.Scan(wal.OSFileSystem{}, dir, time.Time{}, func(r *intent.Record) error {
-			if e := fold.Add(r); e != nil {
+			if e := assembler.Add(r); e != nil {
 				all = append(all, e)
 			}
 			return nil
 		}, nil)
-		all = append(all, fold.Incomplete()...)
+		all = append(all, assembler.Incomplete()...)
 	}
 	return all
 }
@@ -81,35 +81,35 @@
 	for _, choice := range []string{"deny", "serve"} {
 		t.Run(choice, func(t *testing.T) {
 			t.Parallel()
-			a := tierConfig(t, "a")
-			b := tierConfig(t, "b", a.Listen)
+			a := clusterConfig(t, "a")
+			b := clusterConfig(t, "b", a.Listen)
 			stopA, stopB := startHolder(t, a), startHolder(t, b)
-			var early, hops atomic.Int32
+			var missingIntents, attempts atomic.Int32
 			var down atomic.Bool
-			box := standIn(t, func(nc net.Conn) {
+			server := standIn(t, func(nc net.Conn) {
 				defer nc.Close()
 				for c := http1.NewConn(nc); ; {
 					var r http1.Request
 					if c.ReadRequest(&r) != nil {
 						return
 					}
-					if hops.Add(1); string(r.Method) == "POST" && !down.Load() {
+					if attempts.Add(1); string(r.Method) == "POST" && !down.Load() {
 						for _, other := range []*peer.Config{a, b} {
 							found := false
 							for _, e := range replicatedEntries(t, other) {
 								found = found || e.RequestID == string(r.Get("Request-Id"))
 							}
 							if !found {
-								early.Add(1)
+								missingIntents.Add(1)
 							}
 						}
 					}
 					io.WriteString(nc, okResponse)
 				}
 			})
-			cfg := config(http1.Endpoint{ID: "s", Address: box, Size: 1})
+			cfg := config(http1.Endpoint{ID: "s", Address: server, Size: 1})
 			cfg.Journal = &wal.Config{Dir: t.TempDir(), Promise: wal.PromiseMachines, WhenFailing: choice, MaxWait: tomlfile.Duration(400 * time.Millisecond), SegmentBytes: 1 << 20}
-			cfg.Peers = tierConfig(t, "n", a.Listen, b.Listen)
+			cfg.Peers = clusterConfig(t, "n", a.Listen, b.Listen)
 			at, _ := startNode(t, cfg)
 			await(t, "recorded request", func() bool { return book(t, at, "") == 200 })
 			for range 5 {
@@ -117,8 +117,8 @@
 					t.Errorf("got status %d with both replica holders up, want 200", got)
 				}
 			}
-			if early.Load() > 0 {
-				t.Errorf("got %d attempts whose intent a replica holder lacked, want none", early.Load())
+			if missingIntents.Load() > 0 {
+				t.Errorf("got %d attempts whose intent a replica holder lacked, want none", missingIntents.Load())
 			}
 			down.Store(true)
 			stopA()
@@ -138,7 +138,7 @@
 				}
 			}
 			for i := range 2 { // replacements join
-				startHolder(t, tierConfig(t, fmt.Sprint("c", i), cfg.Peers.Listen))
+				startHolder(t, clusterConfig(t, fmt.Sprint("c", i), cfg.Peers.Listen))
 			}
 			await(t, "recorded request with new replica holders", func() bool { return book(t, at, "") == 200 })
 		})
--- a/internal/proxy/plannerclient_test.go
+++ b/internal/proxy/plannerclient_test.go
@@ -35,8 +35,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &testPlanner{t: t, ln: ln, connected: make(chan struct{}, 99), reports: make(chan plan.Report, 999)}
-	t.Cleanup(u.stop)
+	planner := &testPlanner{t: t, ln: ln, connected: make(chan struct{}, 99), reports: make(chan plan.Report, 999)}
+	t.Cleanup(planner.stop)
 	go func() {
 		for {
 			nc, err := ln.Accept()
@@ -47,10 +47,10 @@
 			if _, err := c.Handshake("p", time.Now().Add(5*time.Second)); err != nil {
 				continue
 			}
-			u.mu.Lock()
-			u.conn = c
-			u.mu.Unlock()
-			u.connected <- struct{}{}
+			planner.mu.Lock()
+			planner.conn = c
+			planner.mu.Unlock()
+			planner.connected <- struct{}{}
 			go func() {
 				for {
 					k, body, err := c.Receive(time.Now().Add(time.Minute))
@@ -59,37 +59,39 @@
 					}
 					var r plan.Report
 					if k == planwire.ReportKind && planwire.Decode(body, &r) == nil {
-						u.reports <- r
+						planner.reports <- r
 					}
 				}
 			}()
 		}
 	}()
-	return u
+	return planner
 }
 
-func (u *testPlanner) stop() {
-	u.ln.Close()
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.conn != nil {
-		u.conn.Close()
+func (planner *testPlanner) stop() {
+	planner.ln.Close()
+	planner.mu.Lock()
+	defer planner.mu.Unlock()
+	if planner.conn != nil {
+		planner.conn.Close()
 	}
 }
 
 // sendChange sends a change of the plan, based on the next report.
-func (u *testPlanner) sendChange(c plan.Change) {
-	u.t.Helper()
-	r := <-u.reports
+func (planner *testPlanner) sendChange(c plan.Change) {
+	planner.t.Helper()
+	r := <-planner.reports
 	c.Number, c.ReportSentAt, c.ReportingForwarders, c.Nodes, c.AdmittedShare = 1, r.SentAt, 1, 1, 1
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if err := u.conn.Send(planwire.ChangeKind, c); err != nil {
-		u.t.Error(err)
+	planner.mu.Lock()
+	defer planner.mu.Unlock()
+	if err := planner.conn.Send(planwire.ChangeKind, c); err != nil {
+		planner.t.Error(err)
 	}
 }
 
-func (u *testPlanner) at() netip.AddrPort { return netip.MustParseAddrPort(u.ln.Addr().String()) }
+func (planner *testPlanner) at() netip.AddrPort {
+	return netip.MustParseAddrPort(planner.ln.Addr().String())
+}
 
 func serving(id string, at netip.AddrPort) incarnation.Entry {
 	return incarnation.Entry{ID: id, Address: at.String(), Weight: 1, Revision: 5}
@@ -99,7 +101,7 @@
 // When all planners are lost, the forwarder continues to serve and polls discovery for newer revisions.
 func TestPlannerClient(t *testing.T) {
 	t.Parallel()
-	hosts, taken := servers(t, 2, okResponse)
+	hosts, received := servers(t, 2, okResponse)
 	calls := make(chan string, 99)
 	answers := make(chan string, 9)
 	cfg := config()
@@ -135,13 +137,13 @@
 	second.sendChange(plan.Change{Incarnations: []incarnation.Entry{a}, Servers: []plan.ServerShare{{ID: a.ID, Share: 1}}})
 	first.stop()
 	second.sendChange(plan.Change{Incarnations: []incarnation.Entry{a}})
-	before := taken.Load()
+	before := received.Load()
 	for range 20 {
 		if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
 			t.Errorf("got status %d, want 200", r.Status)
 		}
 	}
-	if got := taken.Load() - before; got != 20 {
+	if got := received.Load() - before; got != 20 {
 		t.Errorf("got %d attempts, want 20", got)
 	}
 	second.stop()
@@ -162,26 +164,26 @@
 // A draining server gets no new requests although a stale planner announces it as serving.
 func TestStalePlanner(t *testing.T) {
 	t.Parallel()
-	one, onTaken := servers(t, 1, okResponse)
+	one, drainingReceived := servers(t, 1, okResponse)
 	two, _ := servers(t, 1, okResponse)
-	u := newTestPlanner(t)
+	planner := newTestPlanner(t)
 	cfg := config()
-	cfg.Planners = &planconfig.Forwarder{Addresses: []netip.AddrPort{u.at()}}
+	cfg.Planners = &planconfig.Forwarder{Addresses: []netip.AddrPort{planner.at()}}
 	at, _ := startNode(t, cfg)
-	<-u.connected
+	<-planner.connected
 	a, b := serving("a", one[0].Address), serving("b", two[0].Address)
 	drained := a
 	drained.Condition = incarnation.Draining
-	u.sendChange(plan.Change{Incarnations: []incarnation.Entry{drained, b}})
+	planner.sendChange(plan.Change{Incarnations: []incarnation.Entry{drained, b}})
 	await(t, "an answer", func() bool { return get(t, dial(t, at), "/check/1").Status == 200 })
-	u.sendChange(plan.Change{Incarnations: []incarnation.Entry{a}, Servers: []plan.ServerShare{{ID: "a", Share: 1}}})
+	planner.sendChange(plan.Change{Incarnations: []incarnation.Entry{a}, Servers: []plan.ServerShare{{ID: "a", Share: 1}}})
 	for range 3 { // reports: the plan was applied after them
-		<-u.reports
+		<-planner.reports
 	}
 	for range 10 {
 		get(t, dial(t, at), "/check/1")
 	}
-	if n := onTaken.Load(); n > 0 {
+	if n := drainingReceived.Load(); n > 0 {
 		t.Errorf("got %d attempts to a draining server, want none", n)
 	}
 }
@@ -190,28 +192,28 @@
 // changed, and a later drain of one server does not remove the others.
 func TestPlannersConfirmCachedList(t *testing.T) {
 	t.Parallel()
-	const fleet = 12
-	stand := make([]*countingServer, fleet)
+	const serverCount = 12
+	backends := make([]*countingServer, serverCount)
 	var listed []snapshot.Server
-	var told []incarnation.Entry
-	for i := range stand {
-		stand[i] = newCountingServer(t, "")
+	var announced []incarnation.Entry
+	for i := range backends {
+		backends[i] = newCountingServer(t, "")
 		id := fmt.Sprint("s", i)
-		listed = append(listed, stand[i].server(id, incarnation.Up))
-		told = append(told, serving(id, stand[i].at))
+		listed = append(listed, backends[i].server(id, incarnation.Up))
+		announced = append(announced, serving(id, backends[i].at))
 	}
-	const left = fleet - 1 // draining since before the node's start
-	listed[left].Condition, told[left].Condition = uint8(incarnation.Draining), incarnation.Draining
-	u := newTestPlanner(t)
+	const drainingIndex = serverCount - 1 // draining since before the node's start
+	listed[drainingIndex].Condition, announced[drainingIndex].Condition = uint8(incarnation.Draining), incarnation.Draining
+	planner := newTestPlanner(t)
 	cfg := config()
-	cfg.Planners = &planconfig.Forwarder{Addresses: []netip.AddrPort{u.at()}}
+	cfg.Planners = &planconfig.Forwarder{Addresses: []netip.AddrPort{planner.at()}}
 	cfg.Snapshot = cachedList(t, func(s *snapshot.Snapshot) { s.ConfirmedUnixMS -= (10 * time.Minute).Milliseconds() }, listed...)
 	at, _ := startNode(t, cfg)
-	<-u.connected
-	if above := (<-u.reports).NewerIncarnations; len(above) > 1 || len(above) == 1 && above[0].Condition == incarnation.Up {
-		t.Errorf("got a report with %d incarnations, want none of unconfirmed servers", len(above))
+	<-planner.connected
+	if unconfirmed := (<-planner.reports).NewerIncarnations; len(unconfirmed) > 1 || len(unconfirmed) == 1 && unconfirmed[0].Condition == incarnation.Up {
+		t.Errorf("got a report with %d incarnations, want none of unconfirmed servers", len(unconfirmed))
 	}
-	u.sendChange(plan.Change{Incarnations: told})
+	planner.sendChange(plan.Change{Incarnations: announced})
 	store, err := snapshot.Open(cfg.Snapshot.Dir, 3, wal.OSFileSystem{})
 	if err != nil {
 		t.Fatal(err)
@@ -220,9 +222,9 @@
 		kept, _, err := store.Newest()
 		return err == nil && time.Since(time.UnixMilli(kept.ConfirmedUnixMS)) < time.Minute
 	})
-	drained := told[0]
+	drained := announced[0]
 	drained.Condition, drained.Revision = incarnation.Draining, 9
-	u.sendChange(plan.Change{Incarnations: []incarnation.Entry{drained}})
+	planner.sendChange(plan.Change{Incarnations: []incarnation.Entry{drained}})
 	await(t, "list on disk with two draining servers and all others up", func() bool {
 		kept, _, err := store.Newest()
 		conditions := map[uint8]int{}
@@ -231,7 +233,7 @@
 				conditions[server.Condition]++
 			}
 		}
-		return conditions[uint8(incarnation.Up)] == fleet-2 && conditions[uint8(incarnation.Draining)] == 2
+		return conditions[uint8(incarnation.Up)] == serverCount-2 && conditions[uint8(incarnation.Draining)] == 2
 	})
 	if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
 		t.Errorf("got status %d, want 200", r.Status)
--- a/internal/proxy/readiness_test.go
+++ b/internal/proxy/readiness_test.go
@@ -37,12 +37,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			cfg := config(c.known...)
-			l := newTestServer(t, cfg)
-			if l.startedAt = time.Now().Add(time.Hour); c.waited { // the timeout never passes, however slow the machine is
-				l.startedAt = time.Now().Add(-firstListTimeout - time.Second)
+			node := newTestServer(t, cfg)
+			if node.startedAt = time.Now().Add(time.Hour); c.waited { // the timeout never passes, however slow the machine is
+				node.startedAt = time.Now().Add(-firstListTimeout - time.Second)
 			}
 			up := func() int {
-				client, _ := l.serveClient(t, "/up")
+				client, _ := node.serveClient(t, "/up")
 				r := readReply(t, http1.NewConn(client))
 				return r.Status
 			}
@@ -53,10 +53,10 @@
 			if c.listens {
 				at, calls = scriptedDiscovery(t, false, c.script...)
 			}
-			l.discoveryTarget.Store(watch.NewTarget(at))
+			node.discoveryTarget.Store(watch.NewTarget(at))
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan error)
-			go func() { done <- l.followDiscovery(ctx) }()
+			go func() { done <- node.followDiscovery(ctx) }()
 			for range c.script {
 				<-calls // the next poll follows when the last list was applied
 			}
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -25,31 +25,31 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
 	for name, c := range map[string]struct {
-		says  []string
-		calls []string
+		responses []string
+		calls     []string
 	}{
 		"same revisions":        {[]string{list(9, false)}, []string{"?index=5&wait=100", "?index=9&wait=2000"}},
 		"independent revisions": {[]string{list(1, false), list(0, true)}, []string{"?index=5&wait=100", "", "?index=0&wait=2000"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			discovery := func(says []string) (at netip.AddrPort, calls chan string) {
+			discovery := func(responses []string) (at netip.AddrPort, calls chan string) {
 				calls = make(chan string, 9)
 				at = standIn(t, func(nc net.Conn) {
 					defer nc.Close()
 					var r http1.Request
 					for c := http1.NewConn(nc); c.ReadRequest(&r) == nil; {
 						calls <- strings.TrimPrefix(string(r.Target), "/discovery/hosts")
-						if len(says) > 0 {
-							io.WriteString(nc, says[0])
-							says = says[1:]
+						if len(responses) > 0 {
+							io.WriteString(nc, responses[0])
+							responses = responses[1:]
 						}
 					}
 				})
 				return at, calls
 			}
 			before, called := discovery([]string{list(5, true)})
-			after, calledAfter := discovery(c.says)
+			after, calledAfter := discovery(c.responses)
 			path := filepath.Join(t.TempDir(), "config.json")
 			file := func(text string) {
 				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -113,7 +113,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			gone, taken := servers(t, 1, okResponse)
+			left, received := servers(t, 1, okResponse)
 			before, called := scriptedDiscovery(t, false, c.old...)
 			after, calledAfter := scriptedDiscovery(t, false, append(c.next, listResponse(9, true, listMember(kept, "SERVING")))...)
 			path := filepath.Join(t.TempDir(), "config.json")
@@ -121,7 +121,7 @@
 				text := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"%s","known":{"revision":5,"complete":true,"members":[%s,%s]},
 					"settings":{"limits":{"mostHops":4,"connectTimeout":100,"connIdle":1000},
 					"trafficTypes":[{"name":"check","targetTime":5000,"abandonTime":5000,"idempotency":"safe"}]}}`,
-					discovery, listMember(gone[0], "SERVING"), listMember(kept, "SERVING"))
+					discovery, listMember(left[0], "SERVING"), listMember(kept, "SERVING"))
 				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 					t.Fatal(err)
 				}
@@ -143,14 +143,14 @@
 			for call := ""; !strings.HasPrefix(call, "?index=9&"); {
 				call = <-calledAfter
 			}
-			sent := taken.Load()
+			sent := received.Load()
 			client := dial(t, ln.Addr().String())
 			for range 20 {
 				if r := get(t, client, "/check/1"); r.Status != 200 {
 					t.Errorf("got status %d, want 200", r.Status)
 				}
 			}
-			if n := taken.Load() - sent; n > 0 {
+			if n := received.Load() - sent; n > 0 {
 				t.Errorf("got %d requests to a server that had left, want none", n)
 			}
 			close(stop)
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -38,12 +38,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			hosts, taken := servers(t, 4, c.script...)
+			hosts, received := servers(t, 4, c.script...)
 			at, _ := startNode(t, config(hosts...))
 			conn := dial(t, at)
 			r := get(t, conn, c.path)
-			if r.Status != c.status || taken.Load() != c.attempts && (c.attempts >= 0 || taken.Load() < -c.attempts || taken.Load() > 4) || r.Status == 200 && strings.TrimLeft(string(r.Body), "x") != "ok" {
-				t.Errorf("unexpected status %d, body %q after %d attempts", r.Status, r.Body, taken.Load())
+			if r.Status != c.status || received.Load() != c.attempts && (c.attempts >= 0 || received.Load() < -c.attempts || received.Load() > 4) || r.Status == 200 && strings.TrimLeft(string(r.Body), "x") != "ok" {
+				t.Errorf("unexpected status %d, body %q after %d attempts", r.Status, r.Body, received.Load())
 			}
 			if r := get(t, conn, "/up"); r.Status != 200 { // the connection stays usable
 				t.Errorf("next request: got status %d, want 200", r.Status)
--- a/internal/proxy/route_test.go
+++ b/internal/proxy/route_test.go
@@ -23,11 +23,11 @@
 
 func routes(t testing.TB, cfg *Config, text string) *route.Table {
 	t.Helper()
-	set, err := route.Parse("f", []byte(text), &cfg.Settings)
+	table, err := route.Parse("f", []byte(text), &cfg.Settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return set
+	return table
 }
 
 const checks = "[[routes]]\nname = \"checks\"\ntype = \"check\"\n"
@@ -72,21 +72,21 @@
 // notifies its server.
 func TestHedgedRequest(t *testing.T) {
 	t.Parallel()
-	var asked atomic.Int32
-	left := make(chan bool, 1)
-	lead := func(nc net.Conn) {
+	var received atomic.Int32
+	disconnected := make(chan bool, 1)
+	serve := func(nc net.Conn) {
 		defer nc.Close()
 		c := http1.NewConn(nc)
 		var r http1.Request
 		for c.ReadRequest(&r) == nil {
-			if asked.Add(1) == 1 {
-				left <- c.WaitDisconnected()
+			if received.Add(1) == 1 {
+				disconnected <- c.WaitDisconnected()
 				return
 			}
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s%s", len(r.Target)+len(r.Body), r.Target, r.Body)
 		}
 	}
-	cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, lead), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, lead), Size: 1})
+	cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, serve), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, serve), Size: 1})
 	cfg.Settings.HedgingAllowed = true
 	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = 20*time.Second, 30*time.Second
 	cfg.Routes = routes(t, &cfg, checks+"copy_after = \"60ms\"\ncopy_share = 1.0")
@@ -96,7 +96,7 @@
 	if r := readReply(t, conn); r.Status != 200 || string(r.Body) != "/check/1body" {
 		t.Errorf("got status %d, body %q, want 200 with path and body of the request", r.Status, r.Body)
 	}
-	if !<-left {
+	if !<-disconnected {
 		t.Error("first server received more bytes, want a closed connection")
 	}
 	if r := get(t, conn, "/book/1"); r.Status != 200 { // the client's connection stays usable
@@ -109,12 +109,12 @@
 func TestRoutesReload(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	var taken atomic.Int32
+	var received atomic.Int32
 	at := standIn(t, func(nc net.Conn) {
 		defer nc.Close()
 		c := http1.NewConn(nc)
 		for c.ReadRequest(&http1.Request{}) == nil {
-			taken.Add(1)
+			received.Add(1)
 			<-release
 			io.WriteString(nc, okResponse)
 		}
@@ -158,10 +158,10 @@
 	if got := ask(); got != 503 {
 		t.Errorf("after an invalid file: got status %d, want 503", got)
 	}
-	for taken.Load() == 0 { // until the admitted request was sent
+	for received.Load() == 0 { // until the admitted request was sent
 		time.Sleep(time.Millisecond)
 	}
-	if n := taken.Load(); n != 1 {
+	if n := received.Load(); n != 1 {
 		t.Errorf("got %d requests sent, want 1", n)
 	}
 	file("")
@@ -201,28 +201,28 @@
 func TestRoutesAndLimitsOfOneFile(t *testing.T) {
 	t.Parallel()
 	cfg := config()
-	f := dispatch.New(cfg.Settings, 1, cfg.Limits, func(s policy.Settings, _ uint32) engine.Decider { return &limitsChecker{t: t, types: s.TrafficTypes} })
-	defer f.Stop()
-	var sets []*route.Table
-	hops := map[*route.Table]int{}
+	dispatcher := dispatch.New(cfg.Settings, 1, cfg.Limits, func(s policy.Settings, _ uint32) engine.Decider { return &limitsChecker{t: t, types: s.TrafficTypes} })
+	defer dispatcher.Stop()
+	var tables []*route.Table
+	attemptLimits := map[*route.Table]int{}
 	for n := 1; n <= 4; n++ {
-		set := routes(t, &cfg, checks+fmt.Sprintf("hops = %d", n))
-		sets, hops[set] = append(sets, set), n
+		table := routes(t, &cfg, checks+fmt.Sprintf("hops = %d", n))
+		tables, attemptLimits[table] = append(tables, table), n
 	}
-	f.SetRoutes(sets[0])
+	dispatcher.SetRoutes(tables[0])
 	done := make(chan struct{})
 	var wg sync.WaitGroup
-	moved := atomic.Int64{}
+	rematched := atomic.Int64{}
 	for range 4 {
 		wg.Go(func() {
 			for n := 0; n < 3000; n++ {
-				set := f.Routes()
-				r, k := set.Match(&route.Request{Path: []byte("/check/1")})
-				op, err := f.Submit(dispatch.Arrival{ID: fmt.Append(nil, ids.Add(1)), Routes: set, RouteIndex: r, TrafficType: k, Timeout: time.Duration(hops[set]) * time.Hour})
+				table := dispatcher.Routes()
+				routeIndex, trafficType := table.Match(&route.Request{Path: []byte("/check/1")})
+				request, err := dispatcher.Submit(dispatch.Arrival{ID: fmt.Append(nil, ids.Add(1)), Routes: table, RouteIndex: routeIndex, TrafficType: trafficType, Timeout: time.Duration(attemptLimits[table]) * time.Hour})
 				if err == dispatch.ErrRoutesChanged {
-					moved.Add(1)
+					rematched.Add(1)
 				} else if err == nil {
-					op.NextDecision(func() {})
+					request.NextDecision(func() {})
 				}
 			}
 		})
@@ -231,10 +231,10 @@
 	for i := 0; ; i++ {
 		select {
 		case <-done:
-			t.Logf("%d files applied, %d requests matched again", i, moved.Load())
+			t.Logf("%d files applied, %d requests matched again", i, rematched.Load())
 			return
 		default:
-			f.SetRoutes(sets[i%len(sets)])
+			dispatcher.SetRoutes(tables[i%len(tables)])
 		}
 	}
 }
--- a/internal/proxy/shadow_test.go
+++ b/internal/proxy/shadow_test.go
@@ -19,10 +19,10 @@
 	t.Parallel()
 	const failed = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 	script := []string{okResponse, failed, okResponse, notStartedResponse, okResponse, closeMark, okResponse, failed, failed, okResponse}
-	run := func(t *testing.T, watch *shadow.Candidate) (got []int) {
+	run := func(t *testing.T, candidate *shadow.Candidate) (got []int) {
 		hosts, _ := servers(t, 1, slices.Concat(script, script, script)...)
 		cfg := config(hosts...)
-		cfg.Shadow = watch
+		cfg.Shadow = candidate
 		at, _ := startNode(t, cfg)
 		for i := range 12 {
 			conn := dial(t, at)
@@ -48,16 +48,16 @@
 			for i := range s.TrafficTypes {
 				c.change(&s.TrafficTypes[i])
 			}
-			watch := shadow.NewCandidate(&s)
-			if got := run(t, watch); !slices.Equal(got, alone) {
+			candidate := shadow.NewCandidate(&s)
+			if got := run(t, candidate); !slices.Equal(got, alone) {
 				t.Errorf("got statuses %v, want %v as without shadow settings", got, alone)
 			}
-			seen := watch.TakeCounts()
-			if seen.Compared == 0 || seen.HasFailed {
-				t.Errorf("got %d comparisons, failed %v, want some and no failure", seen.Compared, seen.HasFailed)
+			counts := candidate.TakeCounts()
+			if counts.Compared == 0 || counts.HasFailed {
+				t.Errorf("got %d comparisons, failed %v, want some and no failure", counts.Compared, counts.HasFailed)
 			}
-			if c.none && seen.ByDifference != (shadow.Counts{}).ByDifference || !c.none && seen.ByDifference[c.want] == 0 {
-				t.Errorf("unexpected differences %v", seen.ByDifference)
+			if c.none && counts.ByDifference != (shadow.Counts{}).ByDifference || !c.none && counts.ByDifference[c.want] == 0 {
+				t.Errorf("unexpected differences %v", counts.ByDifference)
 			}
 		})
 	}
@@ -72,14 +72,14 @@
 	s := &Server{cfg: cfg, logger: zerolog.Nop()}
 	const text = `{"limits":{"mostHops":%d},"trafficTypes":[{"name":"check","targetTime":5,"idempotency":"safe"},{"name":"%s","targetTime":5,"idempotency":"safe"}]}`
 	for _, c := range []struct {
-		text string
-		hops int
+		text        string
+		maxAttempts int
 	}{{fmt.Sprintf(text, 3, "book"), 3}, {fmt.Sprintf(text, 2, "other"), 3}, {"{", 3}, {fmt.Sprintf(text, 2, "book"), 2}} {
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		s.reloadShadow()
-		if got := cfg.Shadow.Settings(); got.MaxAttempts != c.hops {
+		if got := cfg.Shadow.Settings(); got.MaxAttempts != c.maxAttempts {
 			t.Errorf("after %s: unexpected maximum of %d attempts", c.text, got.MaxAttempts)
 		}
 	}
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -25,8 +25,8 @@
 	})
 	cfg := config(http1.Endpoint{ID: "s", Address: server, Size: 1})
 	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = time.Minute, time.Minute
-	coming := make(chan struct{})
-	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: time.Minute}
+	arrivalsEnd := make(chan struct{})
+	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() { <-arrivalsEnd }, extraTime: time.Minute}
 	at, stop := startNode(t, cfg)
 	before := dial(t, at)
 	kept := dial(t, at)
@@ -42,7 +42,7 @@
 	if r := get(t, kept, "/up"); r.Status != 200 || !r.Close {
 		t.Errorf("idle connection: got status %d, close %v, want 200 with close", r.Status, r.Close)
 	}
-	close(coming)
+	close(arrivalsEnd)
 	close(finish)
 	if r := readReply(t, before); r.Status != 200 || !r.Close {
 		t.Errorf("accepted request: got status %d, close %v, want 200 with close", r.Status, r.Close)
@@ -63,8 +63,8 @@
 	for i := range cfg.Settings.TrafficTypes {
 		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
 	}
-	coming := make(chan struct{})
-	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: -time.Hour}
+	arrivalsEnd := make(chan struct{})
+	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() { <-arrivalsEnd }, extraTime: -time.Hour}
 	at, stop := startNode(t, cfg)
 	before, kept := dial(t, at), dial(t, at)
 	get(t, kept, "/up")
@@ -77,7 +77,7 @@
 	if r := get(t, kept, "/book/1"); r.Status == 200 {
 		t.Errorf("request after the deadline: got status %d, want a failure", r.Status)
 	}
-	close(coming)
+	close(arrivalsEnd)
 	select {
 	case <-done:
 		t.Error("node stopped before an accepted request was answered")
@@ -109,20 +109,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var behind atomic.Int32
+			var secondReceived atomic.Int32
 			at := standIn(t, func(nc net.Conn) {
 				defer nc.Close()
 				var r http1.Request
 				for c := http1.NewConn(nc); c.ReadRequest(&r) == nil; {
 					if strings.Contains(string(r.Target), "behind") {
-						behind.Add(1)
+						secondReceived.Add(1)
 					}
 					io.WriteString(nc, okResponse)
 				}
 			})
-			coming := make(chan struct{})
-			u := shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: time.Minute}
-			http, cgi, stop := startFastCGINodeWith(t, u, http1.Endpoint{ID: "s", Size: 1, Address: at})
+			arrivalsEnd := make(chan struct{})
+			delays := shutdownDelays{awaitArrivals: func() { <-arrivalsEnd }, extraTime: time.Minute}
+			http, cgi, stop := startFastCGINodeWith(t, delays, http1.Endpoint{ID: "s", Size: 1, Address: at})
 			done := make(chan error, 1)
 			if c.stops {
 				go func() { done <- stop() }()
@@ -133,17 +133,17 @@
 				http = cgi
 			}
 			client := dial(t, http)
-			behindIt := fmt.Sprintf(second, ids.Add(1))
+			secondRequest := fmt.Sprintf(second, ids.Add(1))
 			if c.cgi {
 				r := post("behind")
 				r.Target = []byte("/check/behind")
-				behindIt = string(encodeRequest(2, r))
+				secondRequest = string(encodeRequest(2, r))
 			}
 			client.SetDeadline(time.Now().Add(time.Minute))
-			io.WriteString(client, c.first+behindIt) // read with the first request
-			io.WriteString(client, behindIt)         // read separately
-			io.Copy(io.Discard, client)              // until the close
-			close(coming)
+			io.WriteString(client, c.first+secondRequest) // read with the first request
+			io.WriteString(client, secondRequest)         // read separately
+			io.Copy(io.Discard, client)                   // until the close
+			close(arrivalsEnd)
 			if c.stops {
 				if err := <-done; err != nil {
 					t.Error(err)
@@ -151,7 +151,7 @@
 			} else {
 				stop()
 			}
-			if n := behind.Load(); n > 0 {
+			if n := secondReceived.Load(); n > 0 {
 				t.Errorf("got %d requests sent to the server, want none", n)
 			}
 		})
@@ -161,7 +161,7 @@
 // Requests arrive on idle connections while a shutdown closes these. Each request that a server received is answered completely.
 func TestRequestsCrossIdleClose(t *testing.T) {
 	t.Parallel()
-	const resting = 48
+	const idleCount = 48
 	var mu sync.Mutex
 	ran, answered := map[string]int{}, map[string]bool{}
 	at := standIn(t, func(nc net.Conn) {
@@ -181,7 +181,7 @@
 	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() {}, extraTime: time.Minute, extraQuiet: -acceptQuietDuration}
 	node, stop := startNode(t, cfg)
 	var clients []*http1.Conn
-	for range resting {
+	for range idleCount {
 		c := dial(t, node)
 		get(t, c, "/up")
 		clients = append(clients, c)
--- a/internal/proxy/storedformat_test.go
+++ b/internal/proxy/storedformat_test.go
@@ -72,19 +72,19 @@
 		t.Fatal(err)
 	}
 	req := &http1.Request{Fields: []http1.Field{{Name: []byte("Client-Retry"), Value: []byte("1")}, {Name: []byte("Repeats"), Value: []byte("77")}}}
-	begin := func(id string) *journalEntry {
+	newEntry := func(id string) *journalEntry {
 		return j.newEntry(1, &message.RequestInfo{ID: []byte(id), Tenant: []byte("dairy")}, req)
 	}
-	attempts := begin("attempts")
-	for how := dispatch.Succeeded; how <= dispatch.Abandoned; how++ {
-		hop, err := attempts.recordIntent(context.Background(), "s", time.Now().Add(time.Minute))
+	attempts := newEntry("attempts")
+	for result := dispatch.Succeeded; result <= dispatch.Abandoned; result++ {
+		attempt, err := attempts.recordIntent(context.Background(), "s", time.Now().Add(time.Minute))
 		if err != nil {
 			t.Fatal(err)
 		}
-		attempts.recordAttemptEnd(hop, how)
+		attempts.recordAttemptEnd(attempt, result)
 	}
 	for _, outcome := range []answerOutcome{outcomeResponded, outcomeRejected, outcomeFailed, outcomeDisconnected} {
-		begin(string(outcome)).recordAnswer(outcome)
+		newEntry(string(outcome)).recordAnswer(outcome)
 	}
 	j.close()
 	var lines []string
--- a/internal/proxy/unrecordable_test.go
+++ b/internal/proxy/unrecordable_test.go
@@ -26,17 +26,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			hosts, taken := servers(t, 1, okResponse)
-			d := memdisk.New()
+			hosts, received := servers(t, 1, okResponse)
+			disk := memdisk.New()
 			cfg := config(hosts...)
-			cfg.Filesystem, cfg.Journal = d, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
+			cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
 			at, stop := startNode(t, cfg)
 			c := dial(t, at)
 			fmt.Fprintf(c, "POST /book/1 HTTP/1.1\r\nHost: h\r\n"+fields+"Content-Length: 0\r\n\r\n", ids.Add(1))
 			if r := readReply(t, c); r.Status != 400 || !r.Close {
 				t.Errorf("got status %d, close %v, want 400 with close", r.Status, r.Close)
 			}
-			if n := taken.Load(); n > 0 {
+			if n := received.Load(); n > 0 {
 				t.Errorf("%d attempts were sent", n)
 			}
 			if status := book(t, at, ""); status != 200 {
@@ -45,7 +45,7 @@
 			if err := stop(); err != nil {
 				t.Fatal(err)
 			}
-			if all, gaps := entries(t, d); len(all) != 1 || gaps > 0 {
+			if all, gaps := entries(t, disk); len(all) != 1 || gaps > 0 {
 				t.Errorf("got %d entries and %d gaps, want 1 entry without gaps", len(all), gaps)
 			}
 		})
@@ -55,7 +55,7 @@
 // TestUnrecordableFastCGIRequestIsRejected is TestUnrecordableRequestIsRejected for a FastCGI client.
 func TestUnrecordableFastCGIRequestIsRejected(t *testing.T) {
 	t.Parallel()
-	hosts, taken := servers(t, 1, okResponse)
+	hosts, received := servers(t, 1, okResponse)
 	cfg := config(hosts...)
 	cfg.Filesystem, cfg.Journal = memdisk.New(), &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20}
 	cgi := address.Free(t)
@@ -68,7 +68,7 @@
 	if _, r, err := nc.Next(); err != nil || r.Status != 400 {
 		t.Errorf("got status %d, error %v, want 400", r.Status, err)
 	}
-	if n := taken.Load(); n > 0 {
+	if n := received.Load(); n > 0 {
 		t.Errorf("%d attempts were sent", n)
 	}
 }
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -88,11 +88,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			passed, sent := make(chan struct{}), make(chan struct{})
-			var taken atomic.Int32
+			var received atomic.Int32
 			at := standIn(t, func(nc net.Conn) {
 				defer nc.Close()
 				for conn := http1.NewConn(nc); conn.ReadRequest(&http1.Request{}) == nil; {
-					if taken.Add(1) > 1 {
+					if received.Add(1) > 1 {
 						io.WriteString(nc, strings.Replace(okResponse, "ok", "on", 1))
 						continue
 					}
@@ -112,8 +112,8 @@
 			}
 			close(passed)
 			<-sent
-			if r := get(t, client, "/book/1"); r.Status != 200 || string(r.Body) != "on" || taken.Load() != 2 {
-				t.Errorf("next request: got status %d, body %q after %d requests, want 200 \"on\" after 2", r.Status, r.Body, taken.Load())
+			if r := get(t, client, "/book/1"); r.Status != 200 || string(r.Body) != "on" || received.Load() != 2 {
+				t.Errorf("next request: got status %d, body %q after %d requests, want 200 \"on\" after 2", r.Status, r.Body, received.Load())
 			}
 		})
 	}
