--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -18,8 +18,9 @@
 	s.discoveryTarget.Swap(watch.NewTarget(address)).Replace()
 }
 
-// followDiscovery polls discovery until the node stops. After a failed poll it waits until the policy requests a poll or the address of
-// discovery changes. While planners or control processes supply the list, it waits until discovery is needed as their fallback.
+// followDiscovery polls discovery until the node stops. It starts when the policy requests a poll or the address of discovery changes,
+// continues until a poll fails, and then waits again. While planners or control processes supply the list, it waits until discovery is
+// needed as their fallback.
 func (s *Server) followDiscovery(ctx context.Context) error {
 	w := &watch.Watcher{Target: s.discoveryTarget.Load(), Revision: s.cfg.SavedList.Revision, IsPushed: !s.cfg.Settings.MustRequestEndpoints}
 	defer w.Close()
--- a/internal/proxy/endpointcacheload.go
+++ b/internal/proxy/endpointcacheload.go
@@ -37,7 +37,7 @@
 		c.logger.Warn().Err(err).Msg("cached endpoint list not used")
 		return configured, false
 	}
-	c.mu.Lock() // peers may already ask for the list
+	c.mu.Lock() // peers may already request the list
 	defer c.mu.Unlock()
 	c.lastRevision = snap.Revision
 	l, servers := c.restore(snap)
--- a/internal/proxy/httpclient.go
+++ b/internal/proxy/httpclient.go
@@ -44,7 +44,7 @@
 			sendAnswer(conn, message.Answer{Status: 500})
 		}
 	}()
-	readTimeout := min(s.longestAbandonTime(), requestTimeout) // the client of a request that takes longer would have disconnected
+	readTimeout := min(s.longestClientTimeout(), requestTimeout) // the client of a request that takes longer would have disconnected
 	firstRequestDeadline := time.Now().Add(requestTimeout)     // zero: the first request was received
 	for {
 		if err := awaitHTTPRequest(c, firstRequestDeadline, readTimeout); err != nil {
--- a/internal/proxy/intentjournal.go
+++ b/internal/proxy/intentjournal.go
@@ -18,7 +18,7 @@
 	clientRetryField = "Client-Retry" // header with which clients may mark a retry
 	// maxStallShare is the share of the maximum wait for a record after which a pending write makes the journal slow.
 	maxStallShare      = 0.25
-	clusterJoinTimeout = 500 * time.Millisecond // at the start, for peers to report the incarnation of this node that they know
+	clusterJoinTimeout = 500 * time.Millisecond // at the start, for peers to report the last incarnation of this node
 )
 
 var errNotDurable = errors.New("intent not durable before its deadline")
@@ -83,7 +83,7 @@
 	return names
 }
 
-// failureMode says how requests are handled that cannot be recorded.
+// failureMode is how requests that cannot be recorded are handled.
 type failureMode bool
 
 const (
--- a/internal/proxy/intentjournal_test.go
+++ b/internal/proxy/intentjournal_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// While the disk fails, non-idempotent requests are rejected, or served with a gap in the journal, as the journal's file says. Other requests
+// While the disk fails, non-idempotent requests are rejected, or served with a gap in the journal, depending on the journal's file. Other requests
 // are served. The journal continues when the disk works again.
 func TestDiskFull(t *testing.T) {
 	t.Parallel()
--- a/internal/proxy/lastgood.go
+++ b/internal/proxy/lastgood.go
@@ -19,7 +19,7 @@
 type lastGoodFile struct {
 	path string
 
-	mu          sync.Mutex // held over the disk
+	mu          sync.Mutex // held during disk I/O
 	lastWritten []byte
 }
 
--- a/internal/proxy/loadconfig.go
+++ b/internal/proxy/loadconfig.go
@@ -95,7 +95,7 @@
 }
 
 // Reload reads the platform's file again. The environment variables are those of the start. A discovery address that has changed in the
-// file since then therefore takes precedence over PROXY_DISCOVERY.
+// file since the start therefore takes precedence over PROXY_DISCOVERY.
 func (c Config) Reload() (Config, error) {
 	next, err := readConfig(c.path, c.getenv)
 	if err != nil {
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -75,7 +75,7 @@
 }
 
 // Two other machines store the intent of a non-idempotent request before a server receives its first byte. While both are down, such requests
-// are rejected or served, as the journal's file says, and other requests are served. With new replica holders, requests are recorded again.
+// are rejected or served, depending on the journal's file, and other requests are served. With new replica holders, requests are recorded again.
 func TestIntentReplicated(t *testing.T) {
 	t.Parallel()
 	for _, choice := range []string{"deny", "serve"} {
--- a/internal/proxy/plannerclient.go
+++ b/internal/proxy/plannerclient.go
@@ -19,7 +19,7 @@
 const (
 	planUpdateInterval   = 250 * time.Millisecond // between two updates of the plan in effect
 	planUpdatesPerReport = 2                      // one report every 500 ms
-	maxNewerIncarnations = 64                     // incarnations per report that the planner does not know yet
+	maxNewerIncarnations = 64                     // incarnations per report that the planner has not announced
 	plannerStartTimeout  = time.Second            // without any endpoint from a planner, until discovery is polled
 )
 
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -221,7 +221,7 @@
 	}, nil
 }
 
-// applyInitialList applies the last known endpoint list, from the configuration or from the endpoint cache.
+// applyInitialList applies the saved endpoint list, from the configuration or from the endpoint cache.
 func (s *Server) applyInitialList() {
 	if s.cfg.SavedListErr != nil {
 		s.logger.Warn().Err(s.cfg.SavedListErr).Msg("saved endpoint list unreadable")
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	arrivalDuration     = 600 * time.Millisecond // clients open new connections for up to 0.4 s after SIGTERM
-	acceptQuietDuration = 150 * time.Millisecond // after arrivalDuration, without a new connection, until a listener closes
-	extraAcceptDuration = 500 * time.Millisecond // after arrivalDuration, until a listener closes although connections still arrive
-	killGrace           = 700 * time.Millisecond // the platform sends SIGKILL longestAbandonTime plus killGrace after SIGTERM
-	killMargin          = 200 * time.Millisecond // between the answer deadline and SIGKILL
-	maxKillAbandonTime  = 3 * time.Second        // upper bound of longestAbandonTime in the time of SIGKILL
-	idleCloseInterval   = 10 * time.Millisecond  // between two checks for idle connections during a shutdown
+	arrivalDuration      = 600 * time.Millisecond // clients open new connections for up to 0.4 s after SIGTERM
+	acceptQuietDuration  = 150 * time.Millisecond // after arrivalDuration, without a new connection, until a listener closes
+	extraAcceptDuration  = 500 * time.Millisecond // after arrivalDuration, until a listener closes although connections still arrive
+	killGrace            = 700 * time.Millisecond // the platform sends SIGKILL longestClientTimeout plus killGrace after SIGTERM
+	killMargin           = 200 * time.Millisecond // between the answer deadline and SIGKILL
+	maxKillClientTimeout = 3 * time.Second        // upper bound of longestClientTimeout in the time of SIGKILL
+	idleCloseInterval    = 10 * time.Millisecond  // between two checks for idle connections during a shutdown
 )
 
 // awaitStop waits until stop or replaced is closed, and drains the node then. It returns peer.ErrReplaced if another process with the same
@@ -39,8 +39,8 @@
 	now := time.Now()
 	extra := s.cfg.shutdownDelays.extraTime
 	s.acceptDeadline = now.Add(arrivalDuration + extraAcceptDuration + extra)
-	s.answerDeadline = now.Add(min(s.longestAbandonTime(), maxKillAbandonTime) + killGrace - killMargin + extra)
-	s.shutdownDeadline = now.Add(s.longestAbandonTime() + answerTimeout)
+	s.answerDeadline = now.Add(min(s.longestClientTimeout(), maxKillClientTimeout) + killGrace - killMargin + extra)
+	s.shutdownDeadline = now.Add(s.longestClientTimeout() + answerTimeout)
 	if s.shutdownDeadline.Before(s.answerDeadline) {
 		s.shutdownDeadline = s.answerDeadline
 	}
@@ -81,8 +81,8 @@
 	s.logger.Warn().Msg("stopped with connections open")
 }
 
-// longestAbandonTime returns the longest client timeout of all traffic types.
-func (s *Server) longestAbandonTime() time.Duration {
+// longestClientTimeout returns the longest client timeout of all traffic types.
+func (s *Server) longestClientTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, t := range s.cfg.Settings.TrafficTypes {
 		longest = max(longest, t.ClientTimeout)
