--- a/internal/proxy/httpclient.go
+++ b/internal/proxy/httpclient.go
@@ -45,7 +45,7 @@
 		}
 	}()
 	readTimeout := min(s.longestClientTimeout(), requestTimeout) // the client of a request that takes longer would have disconnected
-	firstRequestDeadline := time.Now().Add(requestTimeout)     // zero: the first request was received
+	firstRequestDeadline := time.Now().Add(requestTimeout)       // zero: the first request was received
 	for {
 		if err := awaitHTTPRequest(c, firstRequestDeadline, readTimeout); err != nil {
 			return
