--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -12,21 +12,21 @@
 	const good = `{"name":"n","listen":"127.0.0.1:80","discovery":"127.0.0.1:81","seed":"x","limits":{"memory_mb":64,"sockets":256},
 		"known":{"revision":1,"members":[]},"settings":{"limits":{"mostHops":2},"trafficTypes":[{"name":"a","targetTime":5,"idempotency":"safe"}]}}`
 	for name, c := range map[string]struct {
-		old, new string
-		env      string
-		wrong    string // in the one line
+		old, new  string
+		env       string
+		wantError string // part of the error, which is one line
 	}{
-		"good":                {},
-		"listen from outside": {`"127.0.0.1:80"`, `""`, "127.0.0.2:80", ""},
-		"no JSON":             {"{", "", "", "invalid"},
-		"cut off":             {`"}]}}`, "", "", "unexpected end"},
-		"no address":          {`"127.0.0.1:80"`, `"here"`, "", "listen"},
-		"no discovery":        {`"127.0.0.1:81"`, `""`, "", "discovery"},
-		"no settings":         {`"settings"`, `"settlings"`, "", "no settings"},
-		"no traffic types":    {`"trafficTypes"`, `"types"`, "", "no traffic types"},
-		"no attempts":         {`"mostHops":2`, `"mostHops":0`, "", "no attempt"},
-		"a list of no use":    {`"revision":1`, `"revision":"one"`, "", ""},
-		"limits of no use":    {`"sockets":256`, `"sockets":-1`, "", ""},
+		"good":              {},
+		"listen overridden": {`"127.0.0.1:80"`, `""`, "127.0.0.2:80", ""},
+		"no JSON":           {"{", "", "", "invalid"},
+		"truncated":         {`"}]}}`, "", "", "unexpected end"},
+		"no address":        {`"127.0.0.1:80"`, `"here"`, "", "listen"},
+		"no discovery":      {`"127.0.0.1:81"`, `""`, "", "discovery"},
+		"no settings":       {`"settings"`, `"settlings"`, "", "no settings"},
+		"no traffic types":  {`"trafficTypes"`, `"types"`, "", "no traffic types"},
+		"no attempts":       {`"mostHops":2`, `"mostHops":0`, "", "no attempt"},
+		"invalid list":      {`"revision":1`, `"revision":"one"`, "", ""},
+		"invalid limits":    {`"sockets":256`, `"sockets":-1`, "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
@@ -39,12 +39,12 @@
 				}
 				return ""
 			})
-			if c.wrong == "" {
+			if c.wantError == "" {
 				if err != nil || cfg.Limits.Sockets < 1 || cfg.Limits.Sockets > maxSockets || c.env != "" && cfg.Listen.String() != c.env {
-					t.Errorf("%+v, %v", cfg, err)
+					t.Errorf("got configuration %+v, error %v, want no error", cfg, err)
 				}
-			} else if err == nil || !strings.Contains(err.Error(), c.wrong) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %v", err)
+			} else if err == nil || !strings.Contains(err.Error(), c.wantError) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("unexpected error %v", err)
 			}
 		})
 	}
--- a/internal/proxy/descriptors_test.go
+++ b/internal/proxy/descriptors_test.go
@@ -18,16 +18,16 @@
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
 	cfg := config(hosts...)
-	cfg.Limits.Sockets = 1 // leaves room for the fewest connections
+	cfg.Limits.Sockets = 1 // allows the minimum number of connections
 	at, _ := startNode(t, cfg)
 	for i := range 4 * cfg.Limits.MaxConnections() {
-		if r := get(t, dial(t, at), "/check/1"); r.Status != 200 { // and stays, idle
-			t.Fatalf("the %d. client is answered %d", i, r.Status)
+		if r := get(t, dial(t, at), "/check/1"); r.Status != 200 { // the client stays connected, idle
+			t.Fatalf("client %d: got status %d, want 200", i, r.Status)
 		}
 	}
 }
 
-// With all descriptors busy, connections are still accepted and their requests rejected at once.
+// While all descriptors are in use, connections are still accepted and their requests are rejected immediately.
 func TestAllConnectionsBusy(t *testing.T) {
 	t.Parallel()
 	finish := make(chan struct{})
@@ -46,7 +46,7 @@
 	for range n {
 		go func() {
 			var r http1.Response
-			for r.Status == 0 { // one closed before its request was read is for the client to send once more
+			for r.Status == 0 { // the client retries if its connection was closed before its request was read
 				nc, err := net.Dial("tcp", at)
 				if err != nil {
 					break
@@ -66,17 +66,17 @@
 		}
 	}
 	if got[200] != 3 || got[503] != n-3 {
-		t.Errorf("answered %v", got)
+		t.Errorf("got counts by status %v, want 3 of 200 and all others 503", got)
 	}
 }
 
-// Good clients among a flood of bad ones that hold more connections than there is room for: each request gets its answer,
-// also one that comes byte by byte. A connection closed before its request was read is for the client to try once more.
+// Correct clients get their answers, also to requests that are sent byte by byte, while malformed clients hold more connections than the node
+// allows. A client retries if its connection was closed before its request was read.
 func TestGoodClientsAmongMalformed(t *testing.T) {
 	t.Parallel()
 	const (
-		bad, good, each = 120, 4, 6
-		triesMost       = 50
+		bad, good, requestsPerClient = 120, 4, 6
+		maxAttempts                  = 50
 	)
 	hosts, _ := servers(t, 2, okResponse)
 	cfg := config(hosts...)
@@ -86,35 +86,35 @@
 	}
 	at, _ := startNode(t, cfg)
 	kinds := []struct {
-		say   string
+		text  string
 		leave bool
 	}{
 		{"hello\r\n\r\n", false}, {strings.Repeat("x", 100<<10), true}, {"POST /book/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 9999999\r\n\r\nx", false},
 		{"GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: ", false}, {strings.Repeat("GET / HTTP/1.1\r\n\r\n", 500), true}, {"", false},
 	}
-	over := make(chan struct{})
+	stopFlood := make(chan struct{})
 	var flood, all sync.WaitGroup
 	for i := range bad {
 		flood.Go(func() {
 			kind := kinds[i%len(kinds)]
 			for {
 				if c, err := net.Dial("tcp", at); err == nil {
-					io.WriteString(c, kind.say)
+					io.WriteString(c, kind.text)
 					if !kind.leave {
 						closed := make(chan struct{})
 						go func() {
 							defer close(closed)
-							io.Copy(io.Discard, c) // until the node ends it
+							io.Copy(io.Discard, c) // until the node closes the connection
 						}()
 						select {
 						case <-closed:
-						case <-over:
+						case <-stopFlood:
 						}
 					}
 					c.Close()
 				}
 				select {
-				case <-over:
+				case <-stopFlood:
 					return
 				default:
 				}
@@ -123,25 +123,25 @@
 	}
 	for i := range good {
 		all.Go(func() {
-			for range each {
+			for range requestsPerClient {
 				request := fmt.Sprintf("GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: good-%d\r\n\r\n", ids.Add(1))
-				status, err := 0, errors.New("not tried")
-				for try := 0; err != nil && try < triesMost; try++ {
+				status, err := 0, errors.New("not attempted")
+				for attempt := 0; err != nil && attempt < maxAttempts; attempt++ {
 					status, err = getOnce(at, request, i%2 == 0)
 				}
 				if err != nil || status != 200 {
-					t.Errorf("answered %d, %v", status, err)
+					t.Errorf("got status %d, error %v, want 200", status, err)
 				}
 			}
 		})
 	}
 	all.Wait()
-	close(over)
+	close(stopFlood)
 	flood.Wait()
 }
 
-// once asks on a connection of its own, byte by byte where it is slow; the error is that of a connection that was closed or
-// reset with no answer.
+// getOnce sends a request on a new connection, byte by byte if slow. It returns an error if the connection was closed or reset without an
+// answer, and status -1 if neither an answer nor a close arrived.
 func getOnce(at, request string, slow bool) (int, error) {
 	nc, err := net.Dial("tcp", at)
 	if err != nil {
@@ -164,7 +164,7 @@
 	var r http1.Response
 	err = http1.NewConn(nc).ReadResponse(&r, http1.MaxAnswer)
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, syscall.ECONNRESET) {
-		return -1, nil // no end at all
+		return -1, nil // neither answered nor closed
 	}
 	return r.Status, err
 }
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -16,52 +16,52 @@
 	"fernvane/internal/testbed/standin/connpair"
 )
 
-// No attempt is sent for a client that has disconnected, whatever the attempt waited for and however the client disconnected. Each wait ends
-// only after that.
+// No attempt is sent for a client that has disconnected, whatever the attempt was waiting for and however the client disconnected. Each wait
+// ends only after the disconnect was detected.
 func TestDisconnectWhileWaiting(t *testing.T) {
 	t.Parallel()
-	// Each case brings a request to where it waits; it returns what ends the wait and how many attempts were sent before.
-	type waiting func(t *testing.T, l *testServer, ask func(), taken <-chan func(say string)) (end func(), sent int)
-	const full = 4 // attempts that the module has out at once before a server has answered
+	// Each case starts a request and lets it wait. It returns a function that ends the wait, and the number of attempts sent before.
+	type waiting func(t *testing.T, node *testServer, send func(), received <-chan func(response string)) (end func(), sent int)
+	const serverLimit = 4 // concurrency limit of a server before its first response
 	waits := map[string]waiting{
-		"a connection": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
-			reached, release := l.holdDial(1)
-			ask()
+		"a connect": func(t *testing.T, node *testServer, send func(), received <-chan func(string)) (func(), int) {
+			reached, release := node.holdDial(1)
+			send()
 			<-reached
 			return func() { close(release) }, 0
 		},
-		"its turn": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
+		"a slot": func(t *testing.T, node *testServer, send func(), received <-chan func(string)) (func(), int) {
 			var others []func(string)
-			for range 2 * full {
-				l.serveClient(t, "/check/other")
+			for range 2 * serverLimit {
+				node.serveClient(t, "/check/other")
 			}
-			for range 2 * full { // two servers
-				others = append(others, <-taken)
+			for range 2 * serverLimit { // two servers
+				others = append(others, <-received)
 			}
-			ask()
-			await(t, "one more is open", func() bool { return l.count().open == 2*full+1 })
+			send()
+			await(t, "further open request", func() bool { return node.count().open == 2*serverLimit+1 })
 			return func() {
 				for _, answer := range others {
 					answer(okResponse)
 				}
-			}, 2 * full
+			}, 2 * serverLimit
 		},
-		"the answer that another attempt would follow": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
-			ask()
-			answer := <-taken
+		"a response before a retry": func(t *testing.T, node *testServer, send func(), received <-chan func(string)) (func(), int) {
+			send()
+			answer := <-received
 			return func() { answer(errorResponse) }, 1
 		},
-		"a further attempt's connection": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
-			reached, release := l.holdDial(2)
-			ask()
-			(<-taken)(errorResponse)
+		"the connect of a retry": func(t *testing.T, node *testServer, send func(), received <-chan func(string)) (func(), int) {
+			reached, release := node.holdDial(2)
+			send()
+			(<-received)(errorResponse)
 			<-reached
 			return func() { close(release) }, 1
 		},
-		"a second copy's connection": func(t *testing.T, l *testServer, ask func(), taken <-chan func(string)) (func(), int) {
-			reached, release := l.holdDial(2)
-			ask()
-			answer := <-taken
+		"the connect of a hedged request": func(t *testing.T, node *testServer, send func(), received <-chan func(string)) (func(), int) {
+			reached, release := node.holdDial(2)
+			send()
+			answer := <-received
 			<-reached
 			return func() {
 				close(release)
@@ -72,61 +72,61 @@
 	ways := map[string]func(*net.TCPConn){
 		"close": func(c *net.TCPConn) { c.Close() },
 		"reset": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
-		"close behind half a request": func(c *net.TCPConn) {
+		"close after half a request": func(c *net.TCPConn) {
 			io.WriteString(c, "GET /check/2 HTTP/1.1\r\nHo")
 			c.Close()
 		},
-		"close behind more than is held": func(c *net.TCPConn) {
+		"close after more than is buffered": func(c *net.TCPConn) {
 			io.WriteString(c, "GET /check/2 HTTP/1.1\r\nX: "+strings.Repeat("x", 64<<10))
 			c.Close()
 		},
 	}
-	for what, bring := range waits {
-		for how, leave := range ways {
+	for what, startWaiting := range waits {
+		for how, disconnect := range ways {
 			t.Run(what+", "+how, func(t *testing.T) {
 				t.Parallel()
-				taken := make(chan func(string), 16)
+				received := make(chan func(string), 16)
 				var sent atomic.Int32
-				lead := func(nc net.Conn) {
+				serve := func(nc net.Conn) {
 					defer nc.Close()
 					for c := http1.NewConn(nc); c.ReadRequest(&http1.Request{}) == nil; {
 						sent.Add(1)
-						said := make(chan struct{})
-						taken <- func(say string) { io.WriteString(nc, say); close(said) }
-						<-said
+						responded := make(chan struct{})
+						received <- func(response string) { io.WriteString(nc, response); close(responded) }
+						<-responded
 					}
 				}
-				cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, lead), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, lead), Size: 1})
+				cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, serve), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, serve), Size: 1})
 				for i := range cfg.Settings.TrafficTypes {
 					cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
 				}
 				cfg.Settings.ConnectTimeout, cfg.Settings.HedgingAllowed = time.Minute, true
-				if what == "a second copy's connection" {
+				if what == "the connect of a hedged request" {
 					cfg.Routes = routes(t, &cfg, checks+"copy_after = \"1ms\"\ncopy_share = 1.0")
 				}
-				l := newTestServer(t, cfg)
+				node := newTestServer(t, cfg)
 				var client *net.TCPConn
 				var done chan struct{}
-				end, before := bring(t, l, func() { client, done = l.serveClient(t, "/check/1") }, taken)
-				leave(client)
-				await(t, "its leaving is seen", func() bool { return l.count().disconnected == 1 })
+				end, before := startWaiting(t, node, func() { client, done = node.serveClient(t, "/check/1") }, received)
+				disconnect(client)
+				await(t, "detected disconnect", func() bool { return node.count().disconnected == 1 })
 				end()
-				over := make(chan struct{})
-				defer close(over)
+				finished := make(chan struct{})
+				defer close(finished)
 				go func() {
 					for {
 						select {
-						case answer := <-taken: // what should not have been sent
+						case answer := <-received: // an attempt that must not have been sent
 							answer(okResponse)
-						case <-over:
+						case <-finished:
 							return
 						}
 					}
 				}()
 				<-done
-				l.clientTasks.Wait()
+				node.clientTasks.Wait()
 				if n := int(sent.Load()); n != before {
-					t.Errorf("%d attempts were sent after it had left", n-before)
+					t.Errorf("got %d attempts after the disconnect, want none", n-before)
 				}
 			})
 		}
@@ -135,33 +135,33 @@
 
 func TestDisconnectIsNoticed(t *testing.T) {
 	t.Parallel()
-	for name, behind := range map[string]int{"nothing behind": 0, "a request behind": 80, "more than is held": 200 << 10} {
+	for name, behind := range map[string]int{"no bytes": 0, "a request": 80, "more than is buffered": 200 << 10} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			gone := make(chan net.Conn, 1)
-			at := standIn(t, func(c net.Conn) { gone <- c })
+			accepted := make(chan net.Conn, 1)
+			at := standIn(t, func(c net.Conn) { accepted <- c })
 			near := dial(t, at.String())
 			s := &Server{dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 			defer s.dispatcher.Stop()
 			s.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "s", Address: at, Size: 1}}}, endpoints.SourceConfig)
-			op := submitNonIdempotent(s.dispatcher)
-			if d := op.NextDecision(func() {}); d.Action != dispatch.SendAttempt {
-				t.Fatalf("decided %d", d.Action)
+			request := submitNonIdempotent(s.dispatcher)
+			if d := request.NextDecision(func() {}); d.Action != dispatch.SendAttempt {
+				t.Fatalf("got action %d, want SendAttempt", d.Action)
 			}
-			defer (&httpClientConn{s, near}).WatchDisconnect(op.ClientDisconnected)()
-			far := <-gone
+			defer (&httpClientConn{s, near}).WatchDisconnect(request.ClientDisconnected)()
+			remote := <-accepted
 			go func() { // while the attempt is in flight
-				far.Write(make([]byte, behind))
-				far.Close()
+				remote.Write(make([]byte, behind))
+				remote.Close()
 			}()
-			if d := op.NextDecision(func() {}); d.Action != dispatch.Drop {
-				t.Errorf("decided %d", d.Action)
+			if d := request.NextDecision(func() {}); d.Action != dispatch.Drop {
+				t.Errorf("got action %d, want Drop", d.Action)
 			}
 		})
 	}
 }
 
-// A client that has disconnected before its request is read, with bytes behind it: the request is not submitted.
+// The request of a client that disconnects before its request is read, with further bytes after the request, is not submitted.
 func TestDisconnectBeforeRequestIsRead(t *testing.T) {
 	t.Parallel()
 	near, client := connpair.TCP(t)
@@ -171,11 +171,11 @@
 	defer s.dispatcher.Stop()
 	s.serveHTTPConn(near)
 	if n := s.dispatcher.Counts(); n.Disconnected+n.Rejected+n.Responded+n.Failed > 0 {
-		t.Errorf("taken: %+v", n)
+		t.Errorf("got counts %+v, want no submitted request", n)
 	}
 }
 
-// watchedConn notes whether it is still watched as its answer is sent.
+// watchedConn records whether it is still watched when its answer is sent.
 type watchedConn struct {
 	isWatched, isWatchedWhenSent bool
 }
@@ -191,18 +191,18 @@
 	return func() { w.isWatched = false }
 }
 
-// Watching for a disconnect reads ahead. The client's next request may follow its answer, so the watch ends before the answer is sent.
+// The watch for a disconnect reads ahead. After the answer the client may send its next request, so the watch ends before the answer is sent.
 func TestDisconnectWatchEndsBeforeAnswer(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
 	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.dispatcher.Stop()
-	for name, listed := range map[string][]http1.Endpoint{"denied": nil, "handled": hosts} {
+	for name, listed := range map[string][]http1.Endpoint{"rejected": nil, "handled": hosts} {
 		s.dispatcher.ApplyList(http1.EndpointList{Hosts: listed}, endpoints.SourceConfig)
 		req := &http1.Request{Method: []byte("GET"), Target: []byte("/check/1"), Fields: []http1.Field{{Name: []byte("Request-Id"), Value: []byte(name)}}}
 		w := &watchedConn{isWatchedWhenSent: true}
 		if err := s.serveRequest(w, req, time.Now()); err != nil || w.isWatchedWhenSent {
-			t.Errorf("%s: still watched: %v, %v", name, w.isWatchedWhenSent, err)
+			t.Errorf("%s: got watched %v when the answer was sent, want false; error %v", name, w.isWatchedWhenSent, err)
 		}
 	}
 }
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -11,7 +11,7 @@
 	"fernvane/internal/proxy/engine"
 )
 
-// A connection enters the listener's queue as the deadline passes: the listener must not be closed with it in the queue.
+// A connection that enters the accept queue as the deadline passes must not be dropped by the close of the listener.
 func TestListenerClosesWithEmptyQueue(t *testing.T) {
 	t.Parallel()
 	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -22,20 +22,20 @@
 	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.dispatcher.Stop()
 	s.cfg.shutdownDelays.extraQuiet = -acceptQuietDuration // each deadline has passed
-	s.acceptUntil = time.Now().Add(time.Minute)
+	s.acceptDeadline = time.Now().Add(time.Minute)
 	s.isListenerClosing.Store(true)
 	dial(t, ln.Addr().String())
-	led := make(chan struct{}, 1)
-	if err := s.accept(ln, func(nc *net.TCPConn) { nc.Close(); led <- struct{}{} }); err != nil {
+	served := make(chan struct{}, 1)
+	if err := s.accept(ln, func(nc *net.TCPConn) { nc.Close(); served <- struct{}{} }); err != nil {
 		t.Fatal(err)
 	}
 	s.clientTasks.Wait()
-	if len(led) == 0 {
-		t.Error("the connection was dropped with its listener")
+	if len(served) == 0 {
+		t.Error("connection was dropped with the listener, want it served")
 	}
 }
 
-// isNoDelay reports whether a connection sends small writes at once.
+// isNoDelay reports whether a connection sends small writes immediately.
 func isNoDelay(t *testing.T, c syscall.Conn) bool {
 	t.Helper()
 	rc, err := c.SyscallConn()
@@ -49,42 +49,42 @@
 	return on != 0
 }
 
-// No small write is held back by the system, where a reset would take it along: on clients' connections, also those that
-// are taken as listening ends, and on servers'.
+// TCP_NODELAY is set on client connections, also on those accepted from the queue as the listener closes, and on server connections. A small
+// write that the operating system delays would be lost with a reset.
 func TestNoDelay(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
-	for name, closing := range map[string]bool{"while it serves": false, "as listening ends": true} {
-		l := newTestServer(t, config(hosts...))
+	for name, closing := range map[string]bool{"while serving": false, "as the listener closes": true} {
+		node := newTestServer(t, config(hosts...))
 		ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer ln.Close()
-		l.cfg.shutdownDelays.extraQuiet, l.acceptUntil = -acceptQuietDuration, time.Now().Add(time.Minute) // each deadline has passed
-		l.isListenerClosing.Store(closing)
+		node.cfg.shutdownDelays.extraQuiet, node.acceptDeadline = -acceptQuietDuration, time.Now().Add(time.Minute) // each deadline has passed
+		node.isListenerClosing.Store(closing)
 		dial(t, ln.Addr().String())
 		got := make(chan bool, 1)
 		done := make(chan error, 1)
 		go func() {
-			done <- l.accept(ln, func(nc *net.TCPConn) {
+			done <- node.accept(ln, func(nc *net.TCPConn) {
 				got <- isNoDelay(t, nc)
 				nc.Close()
 			})
 		}()
 		if !<-got {
-			t.Errorf("%s: a client's connection holds small writes back", name)
+			t.Errorf("%s: TCP_NODELAY is not set on the client connection", name)
 		}
 		ln.Close()
 		<-done
 	}
-	l := newTestServer(t, config(hosts...))
-	op := submitNonIdempotent(l.dispatcher)
-	defer op.Close()
-	d := op.NextDecision(func() {})
-	conn, _, end := l.connect(t.Context(), d, time.Now().Add(time.Minute))
+	node := newTestServer(t, config(hosts...))
+	request := submitNonIdempotent(node.dispatcher)
+	defer request.Close()
+	d := request.NextDecision(func() {})
+	conn, _, end := node.connect(t.Context(), d, time.Now().Add(time.Minute))
 	if end != dispatch.Succeeded || !isNoDelay(t, conn.(*http1.Conn).Conn.(*net.TCPConn)) {
-		t.Errorf("a server's connection (%s) holds small writes back", end)
+		t.Errorf("connect result %s, want Succeeded with TCP_NODELAY set on the server connection", end)
 	}
 	conn.Close()
 }
--- a/internal/proxy/plannerclient_test.go
+++ b/internal/proxy/plannerclient_test.go
@@ -18,7 +18,7 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// testPlanner is a planner that sends what the test says, and can be stopped.
+// testPlanner is a stand-in planner that sends changes on request of the test and records reports.
 type testPlanner struct {
 	t  *testing.T
 	ln net.Listener
@@ -35,8 +35,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &testPlanner{t: t, ln: ln, connected: make(chan struct{}, 99), reports: make(chan plan.Report, 999)}
-	t.Cleanup(u.stop)
+	planner := &testPlanner{t: t, ln: ln, connected: make(chan struct{}, 99), reports: make(chan plan.Report, 999)}
+	t.Cleanup(planner.stop)
 	go func() {
 		for {
 			nc, err := ln.Accept()
@@ -47,10 +47,10 @@
 			if _, err := c.Handshake("p", time.Now().Add(5*time.Second)); err != nil {
 				continue
 			}
-			u.mu.Lock()
-			u.conn = c
-			u.mu.Unlock()
-			u.connected <- struct{}{}
+			planner.mu.Lock()
+			planner.conn = c
+			planner.mu.Unlock()
+			planner.connected <- struct{}{}
 			go func() {
 				for {
 					k, body, err := c.Receive(time.Now().Add(time.Minute))
@@ -59,47 +59,49 @@
 					}
 					var r plan.Report
 					if k == planwire.ReportKind && planwire.Decode(body, &r) == nil {
-						u.reports <- r
+						planner.reports <- r
 					}
 				}
 			}()
 		}
 	}()
-	return u
+	return planner
 }
 
-func (u *testPlanner) stop() {
-	u.ln.Close()
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.conn != nil {
-		u.conn.Close()
+func (planner *testPlanner) stop() {
+	planner.ln.Close()
+	planner.mu.Lock()
+	defer planner.mu.Unlock()
+	if planner.conn != nil {
+		planner.conn.Close()
 	}
 }
 
-// sendChange sends a change of plan, based on the latest report.
-func (u *testPlanner) sendChange(c plan.Change) {
-	u.t.Helper()
-	r := <-u.reports
+// sendChange sends a change of the plan, based on the next report.
+func (planner *testPlanner) sendChange(c plan.Change) {
+	planner.t.Helper()
+	r := <-planner.reports
 	c.Number, c.ReportSentAt, c.ReportingForwarders, c.Nodes, c.AdmittedShare = 1, r.SentAt, 1, 1, 1
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if err := u.conn.Send(planwire.ChangeKind, c); err != nil {
-		u.t.Error(err)
+	planner.mu.Lock()
+	defer planner.mu.Unlock()
+	if err := planner.conn.Send(planwire.ChangeKind, c); err != nil {
+		planner.t.Error(err)
 	}
 }
 
-func (u *testPlanner) at() netip.AddrPort { return netip.MustParseAddrPort(u.ln.Addr().String()) }
+func (planner *testPlanner) at() netip.AddrPort {
+	return netip.MustParseAddrPort(planner.ln.Addr().String())
+}
 
 func serving(id string, at netip.AddrPort) incarnation.Entry {
 	return incarnation.Entry{ID: id, Address: at.String(), Weight: 1, Revision: 5}
 }
 
-// A forwarder that knows nothing gets its servers from a planner, without a word to discovery; a stale planner undoes no
-// drain; with all planners gone it goes on, asks discovery for what is newer, and takes up planners that return.
+// A forwarder without a list gets its servers from a planner and does not poll discovery. A stale planner does not revive a draining server.
+// When all planners are lost, the forwarder continues to serve and polls discovery for newer revisions.
 func TestPlannerClient(t *testing.T) {
 	t.Parallel()
-	hosts, taken := servers(t, 2, okResponse)
+	hosts, received := servers(t, 2, okResponse)
 	calls := make(chan string, 99)
 	answers := make(chan string, 9)
 	cfg := config()
@@ -124,94 +126,94 @@
 	first.sendChange(plan.Change{Incarnations: []incarnation.Entry{a, b}, Servers: []plan.ServerShare{{ID: a.ID, Share: 0.5}, {ID: b.ID, Share: 0.5}}})
 	await(t, "an answer", func() bool { return get(t, dial(t, at), "/check/1").Status == 200 })
 	if len(calls) > 0 {
-		t.Errorf("discovery was asked: %s", <-calls)
+		t.Errorf("got discovery poll %s, want none", <-calls)
 	}
 	drained := a
 	drained.Condition, drained.Revision = incarnation.Draining, 6
 	first.sendChange(plan.Change{Incarnations: []incarnation.Entry{drained}})
 	second.sendChange(plan.Change{Incarnations: []incarnation.Entry{b}})
-	// The second one has not heard of the drain; what it says of it is old, whatever its plan is.
-	await(t, "word of the drain to the second planner", func() bool { return slices.Contains((<-second.reports).NewerIncarnations, drained) })
+	// The second planner has not received the drain; its announcement of that server is stale, whatever its plan.
+	await(t, "report of the drain to the second planner", func() bool { return slices.Contains((<-second.reports).NewerIncarnations, drained) })
 	second.sendChange(plan.Change{Incarnations: []incarnation.Entry{a}, Servers: []plan.ServerShare{{ID: a.ID, Share: 1}}})
 	first.stop()
 	second.sendChange(plan.Change{Incarnations: []incarnation.Entry{a}})
-	before := taken.Load()
+	before := received.Load()
 	for range 20 {
 		if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
-			t.Errorf("answered %d", r.Status)
+			t.Errorf("got status %d, want 200", r.Status)
 		}
 	}
-	if got := taken.Load() - before; got != 20 {
-		t.Errorf("%d attempts", got)
+	if got := received.Load() - before; got != 20 {
+		t.Errorf("got %d attempts, want 20", got)
 	}
 	second.stop()
-	call := <-calls // after a while, for what planners have not announced
+	call := <-calls // polls for revisions that planners have not announced
 	if want := "/discovery/hosts?index=6&wait=100"; call != want {
-		t.Errorf("called %s, not %s", call, want)
+		t.Errorf("got poll %s, want %s", call, want)
 	}
 	answers <- fmt.Sprintf(`{"revision":7,"members":[{"id":%q,"host_port":"%s","phase":"SERVING","size":1}]}`, a.ID, hosts[0].Address)
 	if call := <-calls; call != "/discovery/hosts?index=7&wait=2000" {
-		t.Errorf("called %s", call)
+		t.Errorf("got poll %s, want revision 7", call)
 	}
 	close(answers)
 	if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
-		t.Errorf("answered %d", r.Status)
+		t.Errorf("got status %d, want 200", r.Status)
 	}
 }
 
-// A draining server gets nothing new though a planner that was out of reach announces that it serves.
+// A draining server gets no new requests although a stale planner announces it as serving.
 func TestStalePlanner(t *testing.T) {
 	t.Parallel()
-	one, onTaken := servers(t, 1, okResponse)
+	one, drainingReceived := servers(t, 1, okResponse)
 	two, _ := servers(t, 1, okResponse)
-	u := newTestPlanner(t)
+	planner := newTestPlanner(t)
 	cfg := config()
-	cfg.Planners = &planconfig.Forwarder{Addresses: []netip.AddrPort{u.at()}}
+	cfg.Planners = &planconfig.Forwarder{Addresses: []netip.AddrPort{planner.at()}}
 	at, _ := startNode(t, cfg)
-	<-u.connected
+	<-planner.connected
 	a, b := serving("a", one[0].Address), serving("b", two[0].Address)
 	drained := a
 	drained.Condition = incarnation.Draining
-	u.sendChange(plan.Change{Incarnations: []incarnation.Entry{drained, b}})
+	planner.sendChange(plan.Change{Incarnations: []incarnation.Entry{drained, b}})
 	await(t, "an answer", func() bool { return get(t, dial(t, at), "/check/1").Status == 200 })
-	u.sendChange(plan.Change{Incarnations: []incarnation.Entry{a}, Servers: []plan.ServerShare{{ID: "a", Share: 1}}})
-	for range 3 { // reports: the plan is followed by now
-		<-u.reports
+	planner.sendChange(plan.Change{Incarnations: []incarnation.Entry{a}, Servers: []plan.ServerShare{{ID: "a", Share: 1}}})
+	for range 3 { // reports: the plan was applied after them
+		<-planner.reports
 	}
 	for range 10 {
 		get(t, dial(t, at), "/check/1")
 	}
-	if n := onTaken.Load(); n > 0 {
-		t.Errorf("%d attempts to a draining server", n)
+	if n := drainingReceived.Load(); n > 0 {
+		t.Errorf("got %d attempts to a draining server, want none", n)
 	}
 }
 
-// A node that was killed starts on the list of its disk. Planners that tell the same list confirm all of it, though nothing in it
-// has changed, and a server that drains later takes no other with it.
+// A node that was killed starts with the list on its disk. A planner that announces the same list confirms all of it, although nothing has
+// changed, and a later drain of one server does not remove the others.
 func TestPlannersConfirmCachedList(t *testing.T) {
 	t.Parallel()
-	const fleet = 12
-	stand := make([]*countingServer, fleet)
+	const serverCount = 12
+	backends := make([]*countingServer, serverCount)
 	var listed []snapshot.Server
-	var told []incarnation.Entry
-	for i := range stand {
-		stand[i] = newCountingServer(t, "")
+	var announced []incarnation.Entry
+	for i := range backends {
+		backends[i] = newCountingServer(t, "")
 		id := fmt.Sprint("s", i)
-		listed = append(listed, stand[i].server(id, incarnation.Up))
-		told = append(told, serving(id, stand[i].at))
+		listed = append(listed, backends[i].server(id, incarnation.Up))
+		announced = append(announced, serving(id, backends[i].at))
 	}
-	const left = fleet - 1 // drains since before the node's start
-	listed[left].Condition, told[left].Condition = uint8(incarnation.Draining), incarnation.Draining
-	u := newTestPlanner(t)
+	const drainingIndex = serverCount - 1 // draining since before the node's start
+	listed[drainingIndex].Condition, announced[drainingIndex].Condition = uint8(incarnation.Draining), incarnation.Draining
+	planner := newTestPlanner(t)
 	cfg := config()
-	cfg.Planners = &planconfig.Forwarder{Addresses: []netip.AddrPort{u.at()}}
+	cfg.Planners = &planconfig.Forwarder{Addresses: []netip.AddrPort{planner.at()}}
 	cfg.Snapshot = cachedList(t, func(s *snapshot.Snapshot) { s.ConfirmedUnixMS -= (10 * time.Minute).Milliseconds() }, listed...)
 	at, _ := startNode(t, cfg)
-	<-u.connected
-	if above := (<-u.reports).NewerIncarnations; len(above) > 1 || len(above) == 1 && above[0].Condition == incarnation.Up {
-		t.Errorf("the planner is told of %d servers that nobody has confirmed", len(above))
+	<-planner.connected
+	if unconfirmed := (<-planner.reports).NewerIncarnations; len(unconfirmed) > 1 || len(unconfirmed) == 1 && unconfirmed[0].Condition == incarnation.Up {
+		t.Errorf("got a report with %d incarnations, want none of unconfirmed servers", len(unconfirmed))
 	}
-	u.sendChange(plan.Change{Incarnations: told})
+	planner.sendChange(plan.Change{Incarnations: announced})
 	store, err := snapshot.Open(cfg.Snapshot.Dir, 3, wal.OSFileSystem{})
 	if err != nil {
 		t.Fatal(err)
@@ -220,10 +222,10 @@
 		kept, _, err := store.Newest()
 		return err == nil && time.Since(time.UnixMilli(kept.ConfirmedUnixMS)) < time.Minute
 	})
-	drained := told[0]
+	drained := announced[0]
 	drained.Condition, drained.Revision = incarnation.Draining, 9
-	u.sendChange(plan.Change{Incarnations: []incarnation.Entry{drained}})
-	await(t, "list on disk with two servers that drain and all others in use", func() bool {
+	planner.sendChange(plan.Change{Incarnations: []incarnation.Entry{drained}})
+	await(t, "list on disk with two draining servers and all others up", func() bool {
 		kept, _, err := store.Newest()
 		conditions := map[uint8]int{}
 		if err == nil {
@@ -231,9 +233,9 @@
 				conditions[server.Condition]++
 			}
 		}
-		return conditions[uint8(incarnation.Up)] == fleet-2 && conditions[uint8(incarnation.Draining)] == 2
+		return conditions[uint8(incarnation.Up)] == serverCount-2 && conditions[uint8(incarnation.Draining)] == 2
 	})
 	if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
-		t.Errorf("answered %d", r.Status)
+		t.Errorf("got status %d, want 200", r.Status)
 	}
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -25,37 +25,37 @@
 	})
 	cfg := config(http1.Endpoint{ID: "s", Address: server, Size: 1})
 	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = time.Minute, time.Minute
-	coming := make(chan struct{})
-	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: time.Minute}
+	arrivalsEnd := make(chan struct{})
+	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() { <-arrivalsEnd }, extraTime: time.Minute}
 	at, stop := startNode(t, cfg)
 	before := dial(t, at)
 	kept := dial(t, at)
 	if r := get(t, kept, "/up"); r.Close {
-		t.Error("closed before the stop")
+		t.Error("got an announced close before the shutdown, want none")
 	}
 	fmt.Fprint(before, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n")
 	<-begun
 	done := make(chan error)
 	go func() { done <- stop() }()
-	for !get(t, dial(t, at), "/up").Close { // connections are taken all the while
+	for !get(t, dial(t, at), "/up").Close { // connections are still accepted
 	}
 	if r := get(t, kept, "/up"); r.Status != 200 || !r.Close {
-		t.Errorf("a kept connection is answered %d, close %v", r.Status, r.Close)
+		t.Errorf("idle connection: got status %d, close %v, want 200 with close", r.Status, r.Close)
 	}
-	close(coming)
+	close(arrivalsEnd)
 	close(finish)
 	if r := readReply(t, before); r.Status != 200 || !r.Close {
-		t.Errorf("what was taken is answered %d, close %v", r.Status, r.Close)
+		t.Errorf("accepted request: got status %d, close %v, want 200 with close", r.Status, r.Close)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	if _, err := net.Dial("tcp", at); err == nil {
-		t.Error("still listening")
+		t.Error("connect succeeded after the shutdown, want an error")
 	}
 }
 
-// A stop past its deadline: accepted requests are answered all the same, and those that still arrive are answered at once.
+// After the answer deadline of a shutdown, accepted requests are still answered, and new requests fail immediately.
 func TestStopPastItsDeadline(t *testing.T) {
 	t.Parallel()
 	h, begun, release := heldServer(t)
@@ -63,8 +63,8 @@
 	for i := range cfg.Settings.TrafficTypes {
 		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
 	}
-	coming := make(chan struct{})
-	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: -time.Hour}
+	arrivalsEnd := make(chan struct{})
+	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() { <-arrivalsEnd }, extraTime: -time.Hour}
 	at, stop := startNode(t, cfg)
 	before, kept := dial(t, at), dial(t, at)
 	get(t, kept, "/up")
@@ -75,53 +75,54 @@
 	for !get(t, dial(t, at), "/up").Close {
 	}
 	if r := get(t, kept, "/book/1"); r.Status == 200 {
-		t.Errorf("what came too late is answered %d", r.Status)
+		t.Errorf("request after the deadline: got status %d, want a failure", r.Status)
 	}
-	close(coming)
+	close(arrivalsEnd)
 	select {
 	case <-done:
-		t.Error("the node has ended over what it had taken")
-	case <-time.After(100 * time.Millisecond): // only a fault ends it before the release
+		t.Error("node stopped before an accepted request was answered")
+	case <-time.After(100 * time.Millisecond): // a correct node does not stop before the release
 	}
 	release()
 	if r := readReply(t, before); r.Status != 200 {
-		t.Errorf("what was taken is answered %d", r.Status)
+		t.Errorf("accepted request: got status %d, want 200", r.Status)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
-// What comes behind the last answer of a connection is not sent on, whoever ends it and in whichever protocol.
+// A request that follows the last answer of a connection is not sent to a server, whether the client or the node closes the connection, in
+// either protocol.
 func TestNothingReadAfterLastAnswer(t *testing.T) {
 	t.Parallel()
 	const second = "GET /check/behind HTTP/1.1\r\nHost: h\r\nRequest-Id: behind-%d\r\n\r\n"
 	for name, c := range map[string]struct {
 		first string
 		cgi   bool
-		stops bool // the node is about to end
+		stops bool // the node is draining
 	}{
-		"the client asked for the end": {first: "GET /check/1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\nRequest-Id: end-1\r\n\r\n"},
-		"the node stops":               {first: "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: end-2\r\n\r\n", stops: true},
-		"what cannot be read":          {first: "GET /check/1 HTTP/9\r\n\r\n"},
-		"no HTTP where records belong": {first: "GET / HTTP/1.1\r\n\r\n", cgi: true},
+		"close requested":   {first: "GET /check/1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\nRequest-Id: end-1\r\n\r\n"},
+		"node draining":     {first: "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: end-2\r\n\r\n", stops: true},
+		"malformed HTTP":    {first: "GET /check/1 HTTP/9\r\n\r\n"},
+		"malformed FastCGI": {first: "GET / HTTP/1.1\r\n\r\n", cgi: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var behind atomic.Int32
+			var secondReceived atomic.Int32
 			at := standIn(t, func(nc net.Conn) {
 				defer nc.Close()
 				var r http1.Request
 				for c := http1.NewConn(nc); c.ReadRequest(&r) == nil; {
 					if strings.Contains(string(r.Target), "behind") {
-						behind.Add(1)
+						secondReceived.Add(1)
 					}
 					io.WriteString(nc, okResponse)
 				}
 			})
-			coming := make(chan struct{})
-			u := shutdownDelays{awaitArrivals: func() { <-coming }, extraTime: time.Minute}
-			http, cgi, stop := startFastCGINodeWith(t, u, http1.Endpoint{ID: "s", Size: 1, Address: at})
+			arrivalsEnd := make(chan struct{})
+			delays := shutdownDelays{awaitArrivals: func() { <-arrivalsEnd }, extraTime: time.Minute}
+			http, cgi, stop := startFastCGINodeWith(t, delays, http1.Endpoint{ID: "s", Size: 1, Address: at})
 			done := make(chan error, 1)
 			if c.stops {
 				go func() { done <- stop() }()
@@ -132,17 +133,17 @@
 				http = cgi
 			}
 			client := dial(t, http)
-			behindIt := fmt.Sprintf(second, ids.Add(1))
+			secondRequest := fmt.Sprintf(second, ids.Add(1))
 			if c.cgi {
 				r := post("behind")
 				r.Target = []byte("/check/behind")
-				behindIt = string(encodeRequest(2, r))
+				secondRequest = string(encodeRequest(2, r))
 			}
 			client.SetDeadline(time.Now().Add(time.Minute))
-			io.WriteString(client, c.first+behindIt) // read together
-			io.WriteString(client, behindIt)         // or by itself
-			io.Copy(io.Discard, client)              // to the end
-			close(coming)
+			io.WriteString(client, c.first+secondRequest) // read with the first request
+			io.WriteString(client, secondRequest)         // read separately
+			io.Copy(io.Discard, client)                   // until the close
+			close(arrivalsEnd)
 			if c.stops {
 				if err := <-done; err != nil {
 					t.Error(err)
@@ -150,17 +151,17 @@
 			} else {
 				stop()
 			}
-			if n := behind.Load(); n > 0 {
-				t.Errorf("%d were sent on", n)
+			if n := secondReceived.Load(); n > 0 {
+				t.Errorf("got %d requests sent to the server, want none", n)
 			}
 		})
 	}
 }
 
-// Requests on resting connections meet the node's closing them, as it stops: each that a server was sent is answered whole.
+// Requests arrive on idle connections while a shutdown closes these. Each request that a server received is answered completely.
 func TestRequestsCrossIdleClose(t *testing.T) {
 	t.Parallel()
-	const resting = 48
+	const idleCount = 48
 	var mu sync.Mutex
 	ran, answered := map[string]int{}, map[string]bool{}
 	at := standIn(t, func(nc net.Conn) {
@@ -180,7 +181,7 @@
 	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() {}, extraTime: time.Minute, extraQuiet: -acceptQuietDuration}
 	node, stop := startNode(t, cfg)
 	var clients []*http1.Conn
-	for range resting {
+	for range idleCount {
 		c := dial(t, node)
 		get(t, c, "/up")
 		clients = append(clients, c)
@@ -190,7 +191,7 @@
 	for i, c := range clients {
 		all.Go(func() {
 			<-begin
-			time.Sleep(time.Duration(i) * 4 * time.Millisecond) // over the whole of the stop
+			time.Sleep(time.Duration(i) * 4 * time.Millisecond) // spread over the shutdown
 			for {
 				id := fmt.Sprint("meets-", ids.Add(1))
 				if _, err := fmt.Fprintf(c, "GET /book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\n\r\n", id); err != nil {
@@ -217,7 +218,7 @@
 	all.Wait()
 	for id, n := range ran {
 		if n != 1 || !answered[id] {
-			t.Errorf("%s was sent on %d times, answered %v", id, n, answered[id])
+			t.Errorf("request %s: sent %d times, answered %v, want once and answered", id, n, answered[id])
 		}
 	}
 }
