--- a/internal/controlplane/plan/admission.go
+++ b/internal/controlplane/plan/admission.go
@@ -6,38 +6,38 @@
 )
 
 const (
-	overloadTimeoutShare = 0.1 // of the recent attempts that time out, from which less is admitted
-	overloadLatency      = 1.2 // mean latency over the objective, likewise
-	minOverloadAttempts  = 4.0 // recent attempts, below which nothing is concluded
-	admissionRate        = 0.7 // per second, by which the logarithm of the admitted share moves
-	maxOverloadFactor    = 2.0 // of admissionRate while the share falls
-	minAdmittedShare     = 0.2 // below it the forwarders' own concurrency limits decide
+	overloadTimeoutShare = 0.1 // min share of timeouts among recent attempts during overload
+	overloadLatencyRatio = 1.2 // min ratio of mean latency to latency objective during overload
+	minOverloadAttempts  = 4.0 // min recent attempts for detecting overload
+	admissionRate        = 0.7 // change of the admitted share's logarithm per second
+	maxOverloadFactor    = 2.0 // max multiple of admissionRate while the share decreases
+	minAdmittedShare     = 0.2 // concurrency limits of the forwarders handle further overload
 )
 
-// loadStats are recent attempts over all servers and forwarders, decaying with recentTimeConstant.
+// loadStats summarizes recent attempts over all servers and forwarders. All values decay with recentTimeConstant.
 type loadStats struct {
-	ended         float64 // completed or timed out
-	timedOut      float64
-	overObjective float64 // sum of latency over the objective of completed attempts
+	ended           float64 // completed or timed out
+	timedOut        float64
+	latencyRatioSum float64 // sum over completed attempts of the ratio of latency to latency objective
 }
 
-func (l *loadStats) decay(passed time.Duration) {
-	keep := decay(passed, recentTimeConstant)
-	l.ended *= keep
-	l.timedOut *= keep
-	l.overObjective *= keep
+func (l *loadStats) decay(elapsed time.Duration) {
+	retained := decayFactor(elapsed, recentTimeConstant)
+	l.ended *= retained
+	l.timedOut *= retained
+	l.latencyRatioSum *= retained
 }
 
-// updateAdmission lowers the admitted share while attempts time out over all forwarders and those that complete take longer
-// than their objective; else it raises the share.
-func (p *Planner) updateAdmission(passed time.Duration) {
-	meanOverObjective := p.load.overObjective / max(p.load.ended-p.load.timedOut, 1)
-	isOverloaded := p.load.ended > minOverloadAttempts && p.load.timedOut > overloadTimeoutShare*p.load.ended && meanOverObjective > overloadLatency
-	step := admissionRate * passed.Seconds()
+// updateAdmission decreases the admitted share while both the timeouts and the latency over all forwarders indicate overload.
+// Otherwise it increases the share.
+func (p *Planner) updateAdmission(elapsed time.Duration) {
+	meanLatencyRatio := p.load.latencyRatioSum / max(p.load.ended-p.load.timedOut, 1)
+	isOverloaded := p.load.ended > minOverloadAttempts && p.load.timedOut > overloadTimeoutShare*p.load.ended && meanLatencyRatio > overloadLatencyRatio
+	step := admissionRate * elapsed.Seconds()
 	if isOverloaded {
-		p.admitted *= math.Exp(-step * min(meanOverObjective-1, maxOverloadFactor))
+		p.admittedShare *= math.Exp(-step * min(meanLatencyRatio-1, maxOverloadFactor))
 	} else {
-		p.admitted *= math.Exp(step)
+		p.admittedShare *= math.Exp(step)
 	}
-	p.admitted = min(max(p.admitted, minAdmittedShare), 1)
+	p.admittedShare = min(max(p.admittedShare, minAdmittedShare), 1)
 }
--- a/internal/controlplane/plan/assignment.go
+++ b/internal/controlplane/plan/assignment.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	minSubsetSize    = 6    // servers of a forwarder: one may be ejected and one slow, and some are left to choose from
-	minHolders       = 3.0  // forwarders that use a server, on average
-	serversPerFlight = 2.0  // of a forwarder's subset for each attempt in flight, so that most attempts find an idle server
-	maxMovedShare    = 0.02 // of all slots in subsets that may move with one plan, beside those that must
-	overloadedFrom   = 1.3  // load over target load from which slots move away from a server
-	underloadedUpTo  = 0.8  // and up to which they move to a server
-	minDemand        = 0.1  // attempts per second that a forwarder without traffic counts as
-	minTargetLoad    = 1e-9 // guards divisions
+	minSubsetSize          = 6    // servers per forwarder; leaves a choice while one server is ejected and one is slow
+	minForwardersPerServer = 3.0  // average over all servers
+	serversPerAttempt      = 2.0  // servers in a subset per attempt in flight; lets most attempts find an idle server
+	maxMovedSlotShare      = 0.02 // share of all slots that one plan may move to balance load, in addition to required changes
+	overloadedRatio        = 1.3  // min ratio of load to target load at which slots move away from a server
+	underloadedRatio       = 0.8  // max ratio of load to target load at which slots move to a server
+	minDemand              = 0.1  // attempts per second assumed for a forwarder without traffic
+	minTargetLoad          = 1e-9 // prevents division by zero
 )
 
-// subsetServer is one slot of a forwarder's subset: a server, and the share that it gets.
+// subsetServer is one slot of a forwarder's subset.
 type subsetServer struct {
-	server int
-	share  float64 // of the forwarder's attempts
+	server int     // index in assignment.servers
+	share  float64 // share of the forwarder's attempts
 }
 
-// assignment is which servers each forwarder uses, and with which shares. Forwarders are rows in the order of their names,
-// servers columns in that of their IDs.
+// assignment contains the subset and the shares of each forwarder. Forwarders are indexed in the order of their names, and servers
+// in the order of their IDs.
 type assignment struct {
 	servers  []string
-	weights  []float64        // by server; 0: not to be used
+	weights  []float64        // by server; 0: not usable
 	demands  []float64        // by forwarder, attempts per second
-	inFlight []float64        // by forwarder, attempts
+	inFlight []float64        // by forwarder, attempts in flight
 	subsets  [][]subsetServer // by forwarder, sorted by server
 }
 
-// newAssignment starts from the shares that forwarders report, so that a plan continues from there, whichever planner made the
-// one before.
+// newAssignment returns an assignment with the shares that forwarders report. Each plan therefore continues from the shares in
+// effect, even if another planner computed them.
 func (p *Planner) newAssignment(forwarders, servers []string, ejections map[string]time.Duration) *assignment {
 	a := &assignment{servers: servers, weights: make([]float64, len(servers))}
 	for i, id := range servers {
@@ -49,7 +49,7 @@
 	return a
 }
 
-// add adds a forwarder with the shares that are in effect there.
+// add appends a forwarder with the shares in effect there. It omits unusable servers.
 func (a *assignment) add(f *forwarder) {
 	var subset []subsetServer
 	for i, id := range a.servers {
@@ -62,33 +62,33 @@
 	a.inFlight = append(a.inFlight, f.inFlight)
 }
 
-// targetLoad is what a server should get of a total demand: the share of its weight.
+// targetLoad returns a server's part of the total demand in proportion to its weight.
 func (a *assignment) targetLoad(server int, totalDemand, totalWeight float64) float64 {
 	return max(totalDemand*a.weights[server]/max(totalWeight, minDivisor), minTargetLoad)
 }
 
-// holderCounts counts, by server, the forwarders that use it.
-func (a *assignment) holderCounts() []int {
-	holders := make([]int, len(a.servers))
+// forwarderCounts returns the number of forwarders that use each server.
+func (a *assignment) forwarderCounts() []int {
+	counts := make([]int, len(a.servers))
 	for _, subset := range a.subsets {
-		for _, c := range subset {
-			holders[c.server]++
+		for _, slot := range subset {
+			counts[slot.server]++
 		}
 	}
-	return holders
+	return counts
 }
 
-// rebalancer moves slots with as few changes as will do. Each slot counts as an even part of its forwarder's demand; the
-// shares are fitted afterwards.
+// rebalancer changes the subsets with as few slot moves as possible. It assumes that a forwarder's demand is spread evenly over its
+// slots; fit computes the shares afterwards.
 type rebalancer struct {
 	*assignment
-	sizes       []int     // of the subsets, as they should be
+	sizes       []int     // target subset size by forwarder
 	loads       []float64 // by server, attempts per second
 	totalDemand float64
 	totalWeight float64
 }
 
-// rebalance gives each forwarder a subset of the size that it needs.
+// rebalance resizes the subsets to their target sizes, then moves slots from overloaded to underloaded servers.
 func (a *assignment) rebalance() {
 	r := rebalancer{assignment: a}
 	usable := 0
@@ -108,19 +108,19 @@
 	r.sumLoads()
 	r.shrink()
 	r.grow()
-	r.level(int(math.Ceil(maxMovedShare * float64(slots))))
+	r.moveExcessSlots(int(math.Ceil(maxMovedSlotShare * float64(slots))))
 	for _, subset := range a.subsets {
 		slices.SortFunc(subset, func(x, y subsetServer) int { return cmp.Compare(x.server, y.server) })
 	}
 }
 
-// setSizes sets the sizes that subsets should have, and returns their sum.
+// setSizes sets the target sizes of the subsets and returns their sum.
 func (r *rebalancer) setSizes(usable int) (slots int) {
 	r.sizes = make([]int, len(r.subsets))
-	forHolders := int(math.Ceil(minHolders * float64(usable) / float64(len(r.subsets))))
+	forServers := int(math.Ceil(minForwardersPerServer * float64(usable) / float64(len(r.subsets))))
 	for i := range r.subsets {
-		forDemand := minSubsetSize + int(math.Ceil(serversPerFlight*r.inFlight[i]))
-		r.sizes[i] = min(max(forDemand, forHolders), usable)
+		forDemand := minSubsetSize + int(math.Ceil(serversPerAttempt*r.inFlight[i]))
+		r.sizes[i] = min(max(forDemand, forServers), usable)
 		slots += r.sizes[i]
 	}
 	return slots
@@ -129,35 +129,35 @@
 func (r *rebalancer) sumLoads() {
 	r.loads = make([]float64, len(r.servers))
 	for i, subset := range r.subsets {
-		for _, c := range subset {
-			r.loads[c.server] += r.slotLoad(i)
+		for _, slot := range subset {
+			r.loads[slot.server] += r.slotLoad(i)
 		}
 	}
 }
 
-// slotLoad is what one slot of a forwarder counts as.
+// slotLoad returns the load of one slot of a forwarder in attempts per second.
 func (r *rebalancer) slotLoad(forwarder int) float64 {
 	return r.demands[forwarder] / float64(r.sizes[forwarder])
 }
 
-// add gives a forwarder a server.
+// add adds a server to a forwarder's subset.
 func (r *rebalancer) add(forwarder, server int) {
 	r.subsets[forwarder] = append(r.subsets[forwarder], subsetServer{server: server})
 	r.loads[server] += r.slotLoad(forwarder)
 }
 
-// remove takes the server at an index of its subset from a forwarder.
+// remove removes the server at an index of a forwarder's subset.
 func (r *rebalancer) remove(forwarder, index int) {
 	r.loads[r.subsets[forwarder][index].server] -= r.slotLoad(forwarder)
 	r.subsets[forwarder] = slices.Delete(r.subsets[forwarder], index, index+1)
 }
 
-// loadRatio is a server's load over its target load.
+// loadRatio returns the ratio of a server's load to its target load.
 func (r *rebalancer) loadRatio(server int) float64 {
 	return r.loads[server] / r.targetLoad(server, r.totalDemand, r.totalWeight)
 }
 
-// shrink removes the most loaded servers from subsets that are too large. One server too many may stay.
+// shrink removes the servers with the highest load ratio from subsets that are too large. A subset may keep one excess server.
 func (r *rebalancer) shrink() {
 	for i := range r.subsets {
 		for len(r.subsets[i]) > r.sizes[i]+1 {
@@ -172,8 +172,8 @@
 	}
 }
 
-// grow adds the least loaded servers to subsets that are too small, one server per forwarder and round, so that forwarders of
-// early names do not get the best ones.
+// grow adds the servers with the lowest load ratio to subsets that are too small. Each round adds at most one server per forwarder,
+// which avoids a preference for forwarders whose names sort first.
 func (r *rebalancer) grow() {
 	for hasAdded := true; hasAdded; {
 		hasAdded = false
@@ -189,7 +189,7 @@
 	}
 }
 
-// leastLoaded returns the server with the smallest load ratio that a forwarder does not use; -1 for none.
+// leastLoaded returns the usable server with the lowest load ratio that is not in the forwarder's subset, or -1 if there is none.
 func (r *rebalancer) leastLoaded(forwarder int) int {
 	best := -1
 	for server, weight := range r.weights {
@@ -200,11 +200,11 @@
 	return best
 }
 
-// level moves up to a number of slots from overloaded to underloaded servers.
-func (r *rebalancer) level(moves int) {
+// moveExcessSlots moves up to a number of slots from overloaded to underloaded servers.
+func (r *rebalancer) moveExcessSlots(moves int) {
 	for next := 0; moves > 0; moves-- {
 		most, least := r.loadExtremes()
-		if most < 0 || r.loadRatio(most) < overloadedFrom || r.loadRatio(least) > underloadedUpTo {
+		if most < 0 || r.loadRatio(most) < overloadedRatio || r.loadRatio(least) > underloadedRatio {
 			return
 		}
 		forwarder := r.moveSlot(next, most, least)
@@ -215,7 +215,7 @@
 	}
 }
 
-// loadExtremes returns the usable servers with the greatest and the smallest load ratio; -1 for none.
+// loadExtremes returns the usable servers with the highest and the lowest load ratio, or -1 if no server is usable.
 func (r *rebalancer) loadExtremes() (most, least int) {
 	most, least = -1, -1
 	for server, weight := range r.weights {
@@ -232,12 +232,12 @@
 	return most, least
 }
 
-// moveSlot moves the slot of the first forwarder that can move it, from one server to another, and returns that forwarder;
-// -1 for none. It starts at a forwarder, so that successive moves take turns.
+// moveSlot moves one slot from one server to another at the first forwarder that allows the move. It returns that forwarder, or -1
+// if no forwarder allows the move. The search begins at forwarder start; callers advance start to spread moves over forwarders.
 func (r *rebalancer) moveSlot(start, from, to int) int {
 	for n := range r.subsets {
 		i := (start + n) % len(r.subsets)
-		index := slices.IndexFunc(r.subsets[i], func(c subsetServer) bool { return c.server == from })
+		index := slices.IndexFunc(r.subsets[i], func(slot subsetServer) bool { return slot.server == from })
 		if index >= 0 && !hasServer(r.subsets[i], to) {
 			r.remove(i, index)
 			r.add(i, to)
@@ -248,5 +248,5 @@
 }
 
 func hasServer(subset []subsetServer, server int) bool {
-	return slices.ContainsFunc(subset, func(c subsetServer) bool { return c.server == server })
+	return slices.ContainsFunc(subset, func(slot subsetServer) bool { return slot.server == server })
 }
--- a/internal/controlplane/plan/change.go
+++ b/internal/controlplane/plan/change.go
@@ -8,10 +8,10 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-// minRelativeChange is the difference of a number below which it is not sent again.
+// minRelativeChange is the relative difference up to which a changed number is not sent again.
 const minRelativeChange = 0.02
 
-// Change is the difference between two plans sent one after the other on one connection.
+// Change is the difference between two consecutive plans on one connection. The scalar fields are those of the later plan.
 type Change struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -21,16 +21,16 @@
 	ReportingForwarders int
 	Nodes               int
 	AdmittedShare       float64
-	WithinAllowance     []TenantShare // all of them, if any has changed; empty: unchanged
+	WithinAllowance     []TenantShare // all shares if any has changed; empty: unchanged
 	Servers             []ServerShare // new or changed
 	RemovedServers      []string
 	Incarnations        []incarnation.Entry // new or changed
 }
 
-// Diff returns the change from one plan to the next, and the plan that the receiver is taken to hold after it. That differs from
-// next where a number has changed too little to be sent. An empty WithinAllowance cannot be sent: when the last tenant is gone,
-// held has no tenants while the receiver keeps the last ones, because Apply reads an empty list as unchanged.
-func Diff(before, next Plan) (c Change, held Plan) {
+// Diff returns the change from one plan to the next and the receiver's resulting plan. The resulting plan differs from next in
+// numbers whose change is too small to be sent. An empty WithinAllowance cannot be sent: after the last tenant is removed, result
+// contains no tenants, but the receiver keeps the last tenants because Apply treats an empty list as unchanged.
+func Diff(before, next Plan) (c Change, result Plan) {
 	c = Change{
 		PlannerStartMs:      next.PlannerStartMs,
 		Number:              next.Number,
@@ -39,48 +39,48 @@
 		Nodes:               next.Nodes,
 		AdmittedShare:       next.AdmittedShare,
 	}
-	held = next
-	held.WithinAllowance = before.WithinAllowance
+	result = next
+	result.WithinAllowance = before.WithinAllowance
 	if tenantSharesDiffer(before.WithinAllowance, next.WithinAllowance) {
-		c.WithinAllowance, held.WithinAllowance = next.WithinAllowance, next.WithinAllowance
+		c.WithinAllowance, result.WithinAllowance = next.WithinAllowance, next.WithinAllowance
 	}
-	c.Servers, c.RemovedServers, held.Servers = diffServers(before.Servers, next.Servers)
+	c.Servers, c.RemovedServers, result.Servers = diffServers(before.Servers, next.Servers)
 	c.Incarnations = changedIncarnations(before.Incarnations, next.Incarnations)
-	return c, held
+	return c, result
 }
 
-// diffServers returns the servers that are new or changed, those that are gone, and what the receiver holds after that.
-func diffServers(before, next []ServerShare) (changed []ServerShare, removed []string, held []ServerShare) {
+// diffServers returns the new or changed servers, the IDs of the removed servers, and the receiver's resulting servers.
+func diffServers(before, next []ServerShare) (changed []ServerShare, removed []string, result []ServerShare) {
 	remaining := make(map[string]ServerShare, len(before))
 	for _, s := range before {
 		remaining[s.ID] = s
 	}
-	held = slices.Clone(next)
+	result = slices.Clone(next)
 	for i, s := range next {
-		if old, ok := remaining[s.ID]; ok && isNearlySame(old, s) {
-			held[i] = old
+		if old, ok := remaining[s.ID]; ok && isUnchanged(old, s) {
+			result[i] = old
 		} else {
 			changed = append(changed, s)
 		}
 		delete(remaining, s.ID)
 	}
 	for _, s := range before {
-		if _, gone := remaining[s.ID]; gone {
+		if _, isRemoved := remaining[s.ID]; isRemoved {
 			removed = append(removed, s.ID)
 		}
 	}
-	return changed, removed, held
+	return changed, removed, result
 }
 
-// isNearlySame reports whether a server need not be sent again. An ejected one is always sent, as its remaining time
-// counts down.
-func isNearlySame(a, b ServerShare) bool {
-	return isNear(a.Share, b.Share) && isNear(a.SlowStartRate, b.SlowStartRate) && a.IsAvoided == b.IsAvoided &&
+// isUnchanged reports whether a server's entry can be omitted from a change. An ejected server is always sent because its remaining
+// time decreases.
+func isUnchanged(a, b ServerShare) bool {
+	return isClose(a.Share, b.Share) && isClose(a.SlowStartRate, b.SlowStartRate) && a.IsAvoided == b.IsAvoided &&
 		a.EjectionRemaining == 0 && b.EjectionRemaining == 0
 }
 
-// changedIncarnations returns the entries of next that before lacks. Both are sorted by ID; an entry that next no longer has
-// is not reported.
+// changedIncarnations returns the entries of next that are new or differ from before. Both slices are sorted by ID. Entries that are
+// missing in next are not reported.
 func changedIncarnations(before, next []incarnation.Entry) (changed []incarnation.Entry) {
 	i := 0
 	for _, e := range next {
@@ -94,16 +94,16 @@
 	return changed
 }
 
-func isNear(a, b float64) bool {
+func isClose(a, b float64) bool {
 	return math.Abs(a-b) <= minRelativeChange*max(math.Abs(a), math.Abs(b))
 }
 
 func tenantSharesDiffer(a, b []TenantShare) bool {
-	return !slices.EqualFunc(a, b, func(x, y TenantShare) bool { return x.Tenant == y.Tenant && isNear(x.Share, y.Share) })
+	return !slices.EqualFunc(a, b, func(x, y TenantShare) bool { return x.Tenant == y.Tenant && isClose(x.Share, y.Share) })
 }
 
-// Apply returns the plan that a change makes of the one before. Its Incarnations are those of the change alone: the receiver
-// joins them with what it knows.
+// Apply returns the plan that results from a change. Its Incarnations contain only those of the change; the receiver joins them with
+// its own incarnations.
 func Apply(before Plan, c Change) Plan {
 	next := Plan{
 		PlannerStartMs:      c.PlannerStartMs,
--- a/internal/controlplane/plan/doc.go
+++ b/internal/controlplane/plan/doc.go
@@ -1,13 +1,13 @@
-// Package plan decides, for one planner, what only the sum over all forwarders shows: which subset of the servers each
-// forwarder uses and with which shares, how fast servers in slow start may be sent requests by all forwarders together, which
-// servers are ejected or avoided, which share of the requests is admitted, and how much of each tenant's traffic is within its
-// allowance.
+// Package plan computes the plans that one planner sends to its forwarders. A plan contains the decisions that need the load
+// summed over all forwarders: the subset of servers that each forwarder uses and their shares, the request rates of servers in
+// slow start, the ejected and avoided servers, the share of requests to admit, and the share of each tenant's traffic that is
+// within its allowance.
 //
-// It is a state machine without I/O. The owner of a Planner, package planner, calls EndpointsUpdated and ReportReceived as
-// discovery and forwarders deliver them, and ComputePlans at a fixed interval. Between planner and forwarder only the
-// difference of two plans travels: Diff makes it, Apply adds it to the plan held before. Package planfollower decides at the
-// forwarder what of the plans takes effect.
+// The package is a state machine without I/O. Package planner owns a Planner. It calls EndpointsUpdated and ReportReceived when
+// discovery and forwarders deliver data, and ComputePlans at a fixed interval. A planner sends a forwarder only the difference
+// between two consecutive plans: Diff computes the difference, and Apply adds it to the forwarder's previous plan. Package
+// planfollower selects the plan that takes effect at a forwarder.
 //
-// The same inputs at the same times give the same plans. A Planner is not safe for concurrent use: its owner holds a lock
-// around every call. Times are durations since the owner's start, except where a field says that they are another clock's.
+// A Planner is deterministic: the same inputs at the same times give the same plans. It is not safe for concurrent use; the
+// owner holds a lock around every call. Times are durations since the owner's start unless a field's comment names another clock.
 package plan
--- a/internal/controlplane/plan/ejection.go
+++ b/internal/controlplane/plan/ejection.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	minFailures     = 4.0                    // recent failures before an ejection is considered
-	minFailureShare = 0.7                    // of the recent attempts, likewise
-	minReporters    = 2                      // forwarders that must report failures alone, where there are so many
-	reporterTimeout = 2 * recentTimeConstant // for which a forwarder's report of failures alone counts
+	minFailures     = 4.0                    // min recent failures for an ejection
+	minFailureShare = 0.7                    // min share of failures among recent attempts for an ejection
+	minReporters    = 2                      // min forwarders that report only failures; fewer if fewer forwarders exist
+	reporterTimeout = 2 * recentTimeConstant // validity of a forwarder's report of only failures
 	initialEjection = 500 * time.Millisecond // doubles with each consecutive ejection, as in package policy
 	maxEjection     = 4 * time.Second
-	maxDoublings    = 3   // with which maxEjection is reached; keeps the shift small
-	maxEjectedShare = 0.5 // of the servers: to eject more would overload the others
+	maxDoublings    = 3   // reaches maxEjection; limits the shift
+	maxEjectedShare = 0.5 // max share of servers ejected; more ejections would overload the others
 )
 
-// failureStats are the recent failures of a server.
+// failureStats counts the recent failures of a server.
 type failureStats struct {
-	attempts  float64                  // decaying
-	failed    float64                  // of them, timeouts included, decaying
-	reporters map[string]time.Duration // forwarders that saw failures alone, and when
+	attempts  float64                  // decays with recentTimeConstant
+	failed    float64                  // including timeouts; decays with recentTimeConstant
+	reporters map[string]time.Duration // time of the latest report by forwarders that report only failures
 }
 
-// add takes in one forwarder's counts.
+// add adds one forwarder's counts. A completed attempt removes the forwarder from the reporters.
 func (f *failureStats) add(now time.Duration, forwarder string, completed, timedOut, failed int) {
 	f.attempts += float64(completed) + float64(timedOut) + float64(failed)
 	f.failed += float64(timedOut) + float64(failed)
@@ -37,7 +37,7 @@
 	f.failed *= factor
 }
 
-// recentReporters counts the forwarders that saw failures alone lately.
+// recentReporters returns the number of forwarders that reported only failures within reporterTimeout.
 func (f *failureStats) recentReporters(now time.Duration) (n int) {
 	for _, at := range f.reporters {
 		if now-at < reporterTimeout {
@@ -47,20 +47,20 @@
 	return n
 }
 
-// reset forgets the failures that led to an ejection.
+// reset discards all failures and reporters. An ejection resets its causes, so that only new failures cause the next ejection.
 func (f *failureStats) reset() {
 	f.attempts, f.failed = 0, 0
 	clear(f.reporters)
 }
 
-// ejectionState is a server's ejection.
+// ejectionState is the ejection state of a server.
 type ejectionState struct {
-	consecutive int // ejections without a completed attempt in between
-	until       time.Duration
+	consecutive int           // ejections without a completed attempt in between
+	until       time.Duration // end of the current or latest ejection
 }
 
-// updateEjections ejects servers that several forwarders find failing, for longer each time, but never more than
-// maxEjectedShare of them. It returns the remaining times of all ejections by server.
+// updateEjections ejects failing servers. The duration doubles with each consecutive ejection, and at most maxEjectedShare of the
+// servers are ejected simultaneously. It returns the remaining times of all ejections by server ID.
 func (p *Planner) updateEjections(now time.Duration, servers []string) map[string]time.Duration {
 	ejected := 0
 	for _, id := range servers {
@@ -83,7 +83,7 @@
 	return remaining
 }
 
-// isFailing reports whether enough attempts failed, as seen by enough forwarders.
+// isFailing reports whether the failures and the number of reporting forwarders reach the limits for an ejection.
 func (s *server) isFailing(now time.Duration, forwarders int) bool {
 	return s.failures.failed >= minFailures && s.failures.failed >= minFailureShare*s.failures.attempts &&
 		s.failures.recentReporters(now) >= min(minReporters, forwarders)
--- a/internal/controlplane/plan/fit.go
+++ b/internal/controlplane/plan/fit.go
@@ -3,12 +3,12 @@
 import "slices"
 
 const (
-	fitRounds        = 15   // of proportional fitting
-	minRelativeShare = 0.01 // of the largest share of a subset; less is none
+	fitRounds        = 15   // iterations of proportional fitting
+	minRelativeShare = 0.01 // relative to the largest share of a subset; smaller shares are removed
 )
 
-// fit sets the shares within the subsets so that each server gets its target load as nearly as the subsets allow: shares of a
-// forwarder add up to 1, loads of a server to its target. The method is iterative proportional fitting.
+// fit computes the shares within the subsets by iterative proportional fitting. The shares of each forwarder add up to 1, and the
+// load of each server approximates its target load as closely as the subsets allow.
 func (a *assignment) fit() {
 	totalDemand, totalWeight := 0.0, 0.0
 	for _, demand := range a.demands {
@@ -18,17 +18,17 @@
 		totalWeight += weight
 	}
 	for i, subset := range a.subsets {
-		for c := range subset {
-			subset[c].share = a.weights[subset[c].server]
+		for j := range subset {
+			subset[j].share = a.weights[subset[j].server]
 		}
 		a.normalize(i)
 	}
 	for range fitRounds {
 		loads := a.shareLoads()
 		for i, subset := range a.subsets {
-			for c := range subset {
-				server := subset[c].server
-				subset[c].share *= a.targetLoad(server, totalDemand, totalWeight) / max(loads[server], minTargetLoad)
+			for j := range subset {
+				server := subset[j].server
+				subset[j].share *= a.targetLoad(server, totalDemand, totalWeight) / max(loads[server], minTargetLoad)
 			}
 			a.normalize(i)
 		}
@@ -38,38 +38,38 @@
 	}
 }
 
-// shareLoads is each server's load by the shares, in attempts per second.
+// shareLoads returns the load of each server under the current shares, in attempts per second.
 func (a *assignment) shareLoads() []float64 {
 	loads := make([]float64, len(a.servers))
 	for i, subset := range a.subsets {
-		for _, c := range subset {
-			loads[c.server] += c.share * a.demands[i]
+		for _, slot := range subset {
+			loads[slot.server] += slot.share * a.demands[i]
 		}
 	}
 	return loads
 }
 
-// dropSmallShares removes a forwarder's negligible shares.
+// dropSmallShares removes the servers with negligible shares from a forwarder's subset.
 func (a *assignment) dropSmallShares(forwarder int) {
 	largest := 0.0
-	for _, c := range a.subsets[forwarder] {
-		largest = max(largest, c.share)
+	for _, slot := range a.subsets[forwarder] {
+		largest = max(largest, slot.share)
 	}
-	a.subsets[forwarder] = slices.DeleteFunc(a.subsets[forwarder], func(c subsetServer) bool { return c.share < minRelativeShare*largest })
+	a.subsets[forwarder] = slices.DeleteFunc(a.subsets[forwarder], func(slot subsetServer) bool { return slot.share < minRelativeShare*largest })
 	a.normalize(forwarder)
 }
 
-// normalize makes a forwarder's shares add up to 1.
+// normalize scales a forwarder's shares to a sum of 1.
 func (a *assignment) normalize(forwarder int) {
 	subset, sum := a.subsets[forwarder], 0.0
-	for _, c := range subset {
-		sum += c.share
+	for _, slot := range subset {
+		sum += slot.share
 	}
-	for c := range subset {
+	for j := range subset {
 		if sum > 0 {
-			subset[c].share /= sum
+			subset[j].share /= sum
 		} else {
-			subset[c].share = 1 / float64(len(subset))
+			subset[j].share = 1 / float64(len(subset))
 		}
 	}
 }
--- a/internal/controlplane/plan/fleetplan.go
+++ b/internal/controlplane/plan/fleetplan.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// shareSteps is the resolution of shares: they are multiples of 1/shareSteps, which CBOR encodes as a half-precision number, in three
-// bytes with its head.
+// shareSteps is the resolution of shares. Multiples of 1/shareSteps fit into a half-precision number, which CBOR encodes in three
+// bytes including the initial byte.
 const shareSteps = 2048
 
-// FleetPlan is the result of one computation: the plans of all forwarders. It does not change afterwards.
+// FleetPlan contains the plans of all forwarders from one computation. It is immutable after ComputePlans returns.
 type FleetPlan struct {
-	common     Plan // what is the same for all
+	common     Plan // values that are equal for all forwarders
 	forwarders map[string]forwarderPlan
-	others     []ServerShare // what a forwarder is sent of servers outside its subset
+	unassigned []ServerShare // entries for servers outside a forwarder's subset
 }
 
-// forwarderPlan is what differs between forwarders.
+// forwarderPlan contains the values that differ between forwarders.
 type forwarderPlan struct {
 	reportSentAt time.Duration
-	servers      []ServerShare // its subset
+	servers      []ServerShare // entries for the forwarder's subset
 }
 
-// newFleetPlan returns a plan that assigns no servers yet.
+// newFleetPlan returns a FleetPlan without forwarders.
 func (p *Planner) newFleetPlan() *FleetPlan {
 	return &FleetPlan{forwarders: map[string]forwarderPlan{}, common: Plan{
 		PlannerStartMs:      p.startUnixMS,
-		Number:              p.number,
+		Number:              p.lastNumber,
 		ReportingForwarders: len(p.forwarders),
 		Nodes:               max(len(p.forwarders), 1),
-		AdmittedShare:       p.admitted,
+		AdmittedShare:       p.admittedShare,
 		WithinAllowance:     p.withinAllowance(),
 		Incarnations:        p.incarnations.All(),
 	}}
@@ -40,7 +40,7 @@
 	f.forwarders[name] = forwarderPlan{reportSentAt: reportSentAt, servers: servers}
 }
 
-// ForForwarder returns one forwarder's plan. A forwarder that has not reported yet is assigned no servers.
+// ForForwarder returns the plan of one forwarder. The plan of an unknown forwarder contains no servers.
 func (f *FleetPlan) ForForwarder(name string) Plan {
 	p := f.common
 	own, ok := f.forwarders[name]
@@ -49,7 +49,7 @@
 	}
 	p.ReportSentAt = own.reportSentAt
 	p.Servers = append([]ServerShare(nil), own.servers...)
-	for _, other := range f.others {
+	for _, other := range f.unassigned {
 		if !slices.ContainsFunc(own.servers, func(s ServerShare) bool { return s.ID == other.ID }) {
 			p.Servers = append(p.Servers, other)
 		}
@@ -57,24 +57,24 @@
 	return p
 }
 
-// serverShares returns what a forwarder is sent of the servers of its subset.
+// serverShares returns the plan entries for the servers in a forwarder's subset.
 func (p *Planner) serverShares(a *assignment, forwarder int, rates []float64, ejections map[string]time.Duration) (shares []ServerShare) {
-	for _, c := range a.subsets[forwarder] {
-		id := a.servers[c.server]
+	for _, slot := range a.subsets[forwarder] {
+		id := a.servers[slot.server]
 		shares = append(shares, ServerShare{
 			ID:                id,
-			Share:             math.Round(c.share*shareSteps) / shareSteps,
+			Share:             math.Round(slot.share*shareSteps) / shareSteps,
 			IsAvoided:         p.servers[id].isAvoided,
-			SlowStartRate:     rates[c.server],
+			SlowStartRate:     rates[slot.server],
 			EjectionRemaining: ejections[id],
 		})
 	}
 	return shares
 }
 
-// outsideShares returns what forwarders are sent of servers outside their subsets: those that are in slow start, ejected or
-// avoided.
-func (p *Planner) outsideShares(servers []string, rates []float64, ejections map[string]time.Duration) (shares []ServerShare) {
+// unassignedShares returns the plan entries that forwarders receive for servers outside their subsets. Only servers that are in slow
+// start, ejected or avoided have such an entry.
+func (p *Planner) unassignedShares(servers []string, rates []float64, ejections map[string]time.Duration) (shares []ServerShare) {
 	for i, id := range servers {
 		s := ServerShare{ID: id, IsAvoided: p.servers[id].isAvoided, EjectionRemaining: ejections[id]}
 		if rates[i] > 0 {
--- a/internal/controlplane/plan/forwarder.go
+++ b/internal/controlplane/plan/forwarder.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	forwarderTimeout  = 10 * time.Second // without a report, after which a forwarder no longer counts
+	forwarderTimeout  = 10 * time.Second // time without a report after which a forwarder is removed
 	rateTimeConstant  = 3 * time.Second
 	minReportInterval = 50 * time.Millisecond
-	minForwarderRate  = 1e-3 // attempts per second; less is none
+	minForwarderRate  = 1e-3 // attempts per second; a lower rate is set to 0
 )
 
-// forwarder is what is known of one forwarder.
+// forwarder is the state of one forwarder.
 type forwarder struct {
 	lastReport   time.Duration
-	reportSentAt time.Duration // by the forwarder's clock
+	reportSentAt time.Duration // forwarder's clock
 	settings     ForwarderSettings
-	rate         float64            // attempts per second, averaged
-	inFlight     float64            // attempts, averaged
-	shares       map[string]float64 // in effect, by server
+	rate         float64            // attempts per second, exponential average
+	inFlight     float64            // attempts in flight, exponential average
+	shares       map[string]float64 // shares in effect by server ID
 }
 
-// beginReport takes over what a report says of the forwarder itself.
+// beginReport stores a report's settings and shares. It discards shares outside 0 to 1.
 func (f *forwarder) beginReport(now time.Duration, r *Report) {
 	f.lastReport = now
 	f.reportSentAt = r.SentAt
@@ -35,19 +35,19 @@
 	}
 }
 
-// updateRates averages the attempts that ended in a report's interval, and those in flight at its end.
+// updateRates updates the averages of the attempt rate and of the attempts in flight from a report.
 func (f *forwarder) updateRates(r *Report, attempts int) {
 	interval := min(max(r.Interval, minReportInterval), rateTimeConstant)
-	keep := decay(interval, rateTimeConstant)
-	f.rate = keep*f.rate + (1-keep)*float64(attempts)/interval.Seconds()
+	retained := decayFactor(interval, rateTimeConstant)
+	f.rate = retained*f.rate + (1-retained)*float64(attempts)/interval.Seconds()
 	if f.rate < minForwarderRate {
 		f.rate = 0
 	}
-	f.inFlight = keep*f.inFlight + (1-keep)*float64(max(r.InFlight, 0))
+	f.inFlight = retained*f.inFlight + (1-retained)*float64(max(r.InFlight, 0))
 }
 
-// removeSilentForwarders drops forwarders that have not reported for forwarderTimeout.
-func (p *Planner) removeSilentForwarders(now time.Duration) {
+// expireForwarders removes forwarders without a report within forwarderTimeout.
+func (p *Planner) expireForwarders(now time.Duration) {
 	for name, f := range p.forwarders {
 		if now-f.lastReport <= forwarderTimeout {
 			continue
@@ -59,15 +59,15 @@
 	}
 }
 
-// combinedSettings are the most careful of all forwarders' settings.
+// combinedSettings are the strictest values of all forwarders' settings.
 type combinedSettings struct {
 	slowStartDuration time.Duration
 	initialCapacity   float64
-	crashLoadFactor   float64 // +Inf if no forwarder names one
-	forwarders        int     // that exist, reporting or not
+	crashLoadFactor   float64 // +Inf if no forwarder reports one
+	forwarders        int     // number of forwarders, including configured ones that do not report
 }
 
-// combineSettings combines the settings of forwarders.
+// combineSettings returns the strictest value of each setting over the forwarders.
 func (p *Planner) combineSettings(forwarders []string) combinedSettings {
 	c := combinedSettings{initialCapacity: 1, crashLoadFactor: math.Inf(1), forwarders: len(forwarders)}
 	for _, name := range forwarders {
--- a/internal/controlplane/plan/planner.go
+++ b/internal/controlplane/plan/planner.go
@@ -8,46 +8,46 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-// Bounds of what a planner holds.
+// Limits on the state of a Planner.
 const (
 	maxForwarders      = 4096
-	maxEntriesPerTable = 4096 // of servers, of tenants and of traffic types
+	maxEntriesPerTable = 4096 // applies to servers, tenants and traffic types separately
 )
 
-// Planner holds what one planner knows of forwarders, servers, traffic types and tenants.
+// Planner stores the state of all forwarders, servers, traffic types and tenants, and computes the plans.
 type Planner struct {
-	startUnixMS  int64
-	number       uint64        // of the last plan
-	lastComputed time.Duration // when that was
-	incarnations *incarnation.Table
-	forwarders   map[string]*forwarder
-	servers      map[string]*server
-	types        map[string]*trafficType
-	tenants      map[string]*tenant
-	load         loadStats
-	admitted     float64 // share of the requests, 0 to 1
+	startUnixMS   int64
+	lastNumber    uint64        // number of the latest plan
+	lastComputed  time.Duration // time of the latest plan
+	incarnations  *incarnation.Table
+	forwarders    map[string]*forwarder
+	servers       map[string]*server
+	types         map[string]*trafficType
+	tenants       map[string]*tenant
+	load          loadStats
+	admittedShare float64 // share of requests to admit, 0 to 1
 }
 
-// NewPlanner returns a planner without forwarders. startUnixMS is the time of its start, which distinguishes its plans from
-// those of other planners and of its earlier runs.
+// NewPlanner returns a Planner without forwarders. startUnixMS is the Unix time of the planner's start in ms. It distinguishes
+// the planner's plans from those of other planners and of earlier runs.
 func NewPlanner(startUnixMS int64) *Planner {
 	return &Planner{
-		startUnixMS:  startUnixMS,
-		incarnations: incarnation.NewTable(),
-		forwarders:   map[string]*forwarder{},
-		servers:      map[string]*server{},
-		types:        map[string]*trafficType{},
-		tenants:      map[string]*tenant{},
-		admitted:     1,
+		startUnixMS:   startUnixMS,
+		incarnations:  incarnation.NewTable(),
+		forwarders:    map[string]*forwarder{},
+		servers:       map[string]*server{},
+		types:         map[string]*trafficType{},
+		tenants:       map[string]*tenant{},
+		admittedShare: 1,
 	}
 }
 
-// EndpointsUpdated takes in a list of discovery's, or a part of one if isComplete is false.
+// EndpointsUpdated applies an endpoint list from discovery. If isComplete is false, the list contains only a part of the servers.
 func (p *Planner) EndpointsUpdated(now time.Duration, list []incarnation.Entry, isComplete bool) {
 	p.incarnations.ApplyDiscovery(now, list, isComplete)
 }
 
-// ReportReceived takes in a forwarder's report. A report of a forwarder beyond maxForwarders is ignored.
+// ReportReceived applies a forwarder's report. It ignores reports of new forwarders once maxForwarders are registered.
 func (p *Planner) ReportReceived(now time.Duration, name string, r *Report) {
 	f := p.forwarders[name]
 	if f == nil {
@@ -69,10 +69,10 @@
 	}
 }
 
-// ComputePlans advances the state to now and returns the plans of all forwarders.
+// ComputePlans advances the state to now and computes the plans of all forwarders.
 func (p *Planner) ComputePlans(now time.Duration) *FleetPlan {
 	p.advance(now)
-	p.number++
+	p.lastNumber++
 	fleet := p.newFleetPlan()
 	forwarders, servers := sortedKeys(p.forwarders), sortedKeys(p.servers)
 	settings := p.combineSettings(forwarders)
@@ -81,38 +81,38 @@
 	a := p.newAssignment(forwarders, servers, ejections)
 	a.rebalance()
 	a.fit()
-	rates := p.slowStartRates(servers, settings, a.holderCounts(), len(forwarders))
+	rates := p.slowStartRates(servers, settings, a.forwarderCounts(), len(forwarders))
 	for i, name := range forwarders {
 		fleet.add(name, p.forwarders[name].reportSentAt, p.serverShares(a, i, rates, ejections))
 	}
-	fleet.others = p.outsideShares(servers, rates, ejections)
+	fleet.unassigned = p.unassignedShares(servers, rates, ejections)
 	return fleet
 }
 
-// advance applies what the passing of time changes.
+// advance decays averages, expires stale state and synchronizes the servers with the endpoint list.
 func (p *Planner) advance(now time.Duration) {
-	passed := max(now-p.lastComputed, 0)
+	elapsed := max(now-p.lastComputed, 0)
 	p.lastComputed = now
-	p.removeSilentForwarders(now)
+	p.expireForwarders(now)
 	for _, t := range p.types {
-		t.advance(passed)
+		t.advance(elapsed)
 	}
-	p.decayTenants(passed)
-	p.updateAdmission(passed)
-	p.load.decay(passed)
+	p.decayTenants(elapsed)
+	p.updateAdmission(elapsed)
+	p.load.decay(elapsed)
 	p.incarnations.ExpireTombstones(now)
 	p.syncServers()
 	for _, s := range p.servers {
-		s.advance(passed)
+		s.advance(elapsed)
 	}
 }
 
-// decay is the factor of a sum that decays exponentially with a time constant.
-func decay(passed, timeConstant time.Duration) float64 {
-	return math.Exp(-passed.Seconds() / timeConstant.Seconds())
+// decayFactor returns the remaining fraction of a sum that decays exponentially with a time constant.
+func decayFactor(elapsed, timeConstant time.Duration) float64 {
+	return math.Exp(-elapsed.Seconds() / timeConstant.Seconds())
 }
 
-// sortedKeys returns the keys of a map in order, so that equal inputs give equal plans.
+// sortedKeys returns the keys of a map in sorted order. Iterating in this order makes plans deterministic.
 func sortedKeys[T any](m map[string]T) []string {
 	keys := make([]string, 0, len(m))
 	for key := range m {
--- a/internal/controlplane/plan/planner_test.go
+++ b/internal/controlplane/plan/planner_test.go
@@ -326,7 +326,7 @@
 				got[s.ID] = s
 			}
 			for _, s := range next.Servers {
-				if g, ok := got[s.ID]; !ok || !isNear(g.Share, s.Share) || g.EjectionRemaining != s.EjectionRemaining || g.IsAvoided != s.IsAvoided {
+				if g, ok := got[s.ID]; !ok || !isClose(g.Share, s.Share) || g.EjectionRemaining != s.EjectionRemaining || g.IsAvoided != s.IsAvoided {
 					t.Fatalf("%+v is held as %+v", s, g)
 				}
 			}
--- a/internal/controlplane/plan/report.go
+++ b/internal/controlplane/plan/report.go
@@ -6,33 +6,34 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-// Report is what one forwarder saw during an interval: sums by server and type, never single requests.
+// Report summarizes one forwarder's traffic during an interval. It contains sums by server, traffic type and tenant, and no single
+// requests.
 type Report struct {
 	_ struct{} `cbor:",toarray"`
 
-	SentAt            time.Duration // by the forwarder's clock; the plan returns it
-	Interval          time.Duration // that the sums cover
+	SentAt            time.Duration // forwarder's clock; returned in Plan.ReportSentAt
+	Interval          time.Duration // length of the interval
 	Settings          ForwarderSettings
-	InFlight          int // attempts
+	InFlight          int // attempts in flight at the end of the interval
 	Types             []TypeReport
-	Tenants           []TenantReport // with traffic in the interval; a tenant that is not named had none
+	Tenants           []TenantReport // tenants with traffic in the interval; all others had no traffic
 	Servers           []ServerReport
-	CurrentShares     []CurrentShare      // in effect at the forwarder
-	NewerIncarnations []incarnation.Entry // that are newer than what this planner has sent
+	CurrentShares     []CurrentShare      // shares in effect at the forwarder
+	NewerIncarnations []incarnation.Entry // incarnations newer than those that this planner has sent
 }
 
-// ForwarderSettings are those of a forwarder's settings that a planner needs.
+// ForwarderSettings are the settings of a forwarder that affect plans.
 type ForwarderSettings struct {
 	_ struct{} `cbor:",toarray"`
 
-	Nodes             int           // forwarders by the settings
-	SlowStartDuration time.Duration // after a server's start
-	InitialCapacity   float64       // share of its capacity that a server has at its start
-	CrashLoadFactor   float64       // load over its capacity at which a server crashes; 0: not known
-	TotalAllowance    float64       // requests per second of all tenants, over all nodes
+	Nodes             int           // configured number of forwarders
+	SlowStartDuration time.Duration // duration of slow start after a server's start
+	InitialCapacity   float64       // share of the full capacity at a server's start, 0 to 1
+	CrashLoadFactor   float64       // ratio of load to capacity at which a server crashes; 0: unknown
+	TotalAllowance    float64       // sum of all tenants' allowances in requests per second, over all forwarders
 }
 
-// TypeReport is a traffic type at one forwarder.
+// TypeReport contains the request counts of one traffic type at one forwarder.
 type TypeReport struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -42,38 +43,38 @@
 	Rejected   int
 }
 
-// TenantReport is one tenant's traffic at one forwarder.
+// TenantReport contains the request count of one tenant at one forwarder.
 type TenantReport struct {
 	_ struct{} `cbor:",toarray"`
 
 	Name      string
-	Allowance float64 // requests per second, over all nodes
+	Allowance float64 // requests per second, over all forwarders
 	Requests  int
 }
 
-// ServerReport is how one forwarder's attempts at one server ended.
+// ServerReport counts the results of one forwarder's attempts at one server.
 type ServerReport struct {
 	_ struct{} `cbor:",toarray"`
 
 	ID          string
 	Completions []Completions
 	TimedOut    int
-	Failed      int // errors, and connections that were not established
+	Failed      int // errors, including connections that could not be established
 }
 
-// Completions are the completed attempts of one type at one server.
+// Completions summarizes the completed attempts of one traffic type at one server.
 type Completions struct {
 	_ struct{} `cbor:",toarray"`
 
-	TypeIndex    int // in Report.Types
+	TypeIndex    int // index in Report.Types
 	Count        int
 	TotalLatency time.Duration
 }
 
-// CurrentShare is the share of its requests that a forwarder sends to one server.
+// CurrentShare is the share of requests that a forwarder currently sends to one server.
 type CurrentShare struct {
 	_ struct{} `cbor:",toarray"`
 
 	ID    string
-	Share float64 // all shares of a forwarder add up to 1
+	Share float64 // share of the forwarder's requests; the sum over all servers is 1
 }
--- a/internal/controlplane/plan/server.go
+++ b/internal/controlplane/plan/server.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	recentTimeConstant = 1 * time.Second // over which completions show how slow a server is now
-	recentPrior        = 3.0             // completions at its usual relative latency that are added, so that a few do not decide
-	usualTimeConstant  = 8 * time.Second // over which completions show how slow a server usually is
-	usualPrior         = 10.0            // completions at the types' usual latency that are added
-	slowdownFactor     = 1.6             // recent over usual relative latency from which a slowdown is more than chance
-	slowdownSampleRate = 0.1             // weight of completions during a slowdown in the usual relative latency
+	recentTimeConstant = 1 * time.Second // of the recent relative latency of a server
+	recentPrior        = 3.0             // number of assumed completions at the usual relative latency; limits the effect of few completions
+	usualTimeConstant  = 8 * time.Second // of the usual relative latency of a server
+	usualPrior         = 10.0            // number of assumed completions at the types' usual latency
+	slowdownFactor     = 1.6             // ratio of recent to usual relative latency that indicates a slowdown instead of noise
+	slowdownSampleRate = 0.1             // weight in the usual relative latency of completions during a slowdown
 )
 
-// server is what is known of one server in its current incarnation.
+// server is the state of one server in its current incarnation.
 type server struct {
 	incarnation incarnation.Entry
 	latency     relativeLatency
 	failures    failureStats
 	ejection    ejectionState
-	capacity    float64 // share of its capacity that it has in slow start; 1: warm
-	weight      float64 // share of the load beside other servers' weights
+	capacity    float64 // share of the full capacity during slow start; 1: warm
+	weight      float64 // relative share of the total load
 	isAvoided   bool
 }
 
-// samples are completions and the sum of their relative latency, which is latency over the usual latency of their type.
+// samples accumulates completions and the sum of their relative latencies. A relative latency is the ratio of an attempt's latency
+// to the usual latency of its traffic type.
 type samples struct {
 	count float64
 	total float64
@@ -42,30 +43,30 @@
 	s.total *= factor
 }
 
-// relativeLatency is the latency of a server over the usual latency of the types, beside the average server's.
+// relativeLatency tracks the relative latency of one server. The average server has a relative latency of 1.
 type relativeLatency struct {
-	pending samples // reported since the last plan
-	recent  samples // decaying with recentTimeConstant
-	usual   samples // decaying with usualTimeConstant
+	pending samples // reported since the latest plan
+	recent  samples // decays with recentTimeConstant
+	usual   samples // decays with usualTimeConstant
 }
 
-// ratios returns the usual relative latency, 1 being the average server's, and the recent one over the usual one.
+// ratios returns the usual relative latency, and the ratio of the recent to the usual relative latency.
 func (s *relativeLatency) ratios() (usual, recent float64) {
 	usual = (s.usual.total + usualPrior) / (s.usual.count + usualPrior)
 	recent = (s.recent.total + recentPrior*usual) / (s.recent.count + recentPrior) / usual
 	return usual, recent
 }
 
-// advance moves the pending completions into the decaying sums. During a slowdown they hardly count as usual, or a latency
-// spike of seconds would be taken for the server's usual relative latency.
-func (s *relativeLatency) advance(passed time.Duration) {
-	s.recent.decay(decay(passed, recentTimeConstant))
+// advance adds the pending completions to the decaying sums. During a slowdown they enter the usual sum with the reduced weight
+// slowdownSampleRate. Otherwise a latency spike of a few seconds would change the server's usual relative latency.
+func (s *relativeLatency) advance(elapsed time.Duration) {
+	s.recent.decay(decayFactor(elapsed, recentTimeConstant))
 	s.recent.add(s.pending, 1)
 	weight := 1.0
 	if _, recent := s.ratios(); recent > slowdownFactor {
 		weight = slowdownSampleRate
 	}
-	s.usual.decay(decay(passed, usualTimeConstant))
+	s.usual.decay(decayFactor(elapsed, usualTimeConstant))
 	s.usual.add(s.pending, weight)
 	s.pending = samples{}
 }
@@ -74,12 +75,13 @@
 	return &server{failures: failureStats{reporters: map[string]time.Duration{}}, capacity: 1}
 }
 
-func (s *server) advance(passed time.Duration) {
-	s.latency.advance(passed)
-	s.failures.decay(decay(passed, recentTimeConstant))
+func (s *server) advance(elapsed time.Duration) {
+	s.latency.advance(elapsed)
+	s.failures.decay(decayFactor(elapsed, recentTimeConstant))
 }
 
-// serverReported takes in what one forwarder reports of one server, and returns how many attempts ended.
+// serverReported applies one forwarder's report about one server and returns the number of ended attempts. It discards completions
+// with invalid values.
 func (p *Planner) serverReported(now time.Duration, forwarder string, r *Report, reported *ServerReport) (attempts int) {
 	s := p.servers[reported.ID]
 	if s == nil {
@@ -105,7 +107,7 @@
 	return completed + timedOut + failed
 }
 
-// completionsReported takes in completed attempts of one type.
+// completionsReported applies the completed attempts of one traffic type at a server.
 func (p *Planner) completionsReported(s *server, t *trafficType, c Completions) {
 	count := float64(c.Count)
 	latency := c.TotalLatency.Seconds() / count
@@ -113,19 +115,19 @@
 	s.latency.pending.total += count * latency / max(t.usualSeconds, minLatencySeconds)
 	t.count += count
 	t.total += c.TotalLatency.Seconds()
-	p.load.overObjective += count * latency / t.objective()
+	p.load.latencyRatioSum += count * latency / t.objective()
 	p.load.ended += count
 	s.ejection.consecutive = 0
 }
 
-// syncServers keeps servers for exactly the incarnations that serve. What was known of an earlier incarnation is dropped.
+// syncServers makes the servers match the incarnations in condition Up. It discards the state of earlier incarnations.
 func (p *Planner) syncServers() {
-	isServing := map[string]bool{}
+	isUp := map[string]bool{}
 	for _, e := range p.incarnations.All() {
 		if e.Condition != incarnation.Up {
 			continue
 		}
-		isServing[e.ID] = true
+		isUp[e.ID] = true
 		s := p.servers[e.ID]
 		if s == nil {
 			s = newServer()
@@ -137,7 +139,7 @@
 		s.incarnation = e
 	}
 	for id := range p.servers {
-		if !isServing[id] {
+		if !isUp[id] {
 			delete(p.servers, id)
 		}
 	}
--- a/internal/controlplane/plan/slowstart.go
+++ b/internal/controlplane/plan/slowstart.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	minConcurrencyShare = 0.5  // of CrashLoadFactor, read as attempts in flight: the least that a server in slow start is given by all
-	negligibleRate      = 1e-9 // attempts per second of a forwarder that sends a server nothing; 0 would mean no limit
+	minConcurrencyShare = 0.5  // of CrashLoadFactor as attempts in flight; min concurrency of a server in slow start over all forwarders
+	negligibleRate      = 1e-9 // attempts per second; effectively blocks requests, since a rate of 0 means no limit
 )
 
-// slowStartCapacity is the share of its capacity that a server has by its age. A server whose start is not known is warm.
+// slowStartCapacity returns the share of the full capacity that a server has at its age. A server with unknown start time is warm.
 func (p *Planner) slowStartCapacity(s *server, settings combinedSettings) float64 {
 	age := p.lastComputed - time.Duration(s.incarnation.StartedUnixMS-p.startUnixMS)*time.Millisecond
 	if s.incarnation.StartedUnixMS <= 0 || age >= settings.slowStartDuration {
@@ -20,10 +20,11 @@
 	return initial + (1-initial)*max(age.Seconds(), 0)/max(settings.slowStartDuration.Seconds(), minDivisor)
 }
 
-// slowStartRates returns, by server, how many attempts per second each of its holders may send it while it is in slow start;
-// 0: it is warm. All holders together send what a warm server of its weight is sent. If settings count more forwarders than
-// report here, the others are taken to send as much.
-func (p *Planner) slowStartRates(servers []string, settings combinedSettings, holders []int, reporting int) []float64 {
+// slowStartRates returns, by server, the limit in attempts per second for each forwarder that uses a server in slow start, or 0 for
+// a warm server. The sum over the forwarders equals the rate of a warm server of the same weight, or the rate that
+// minConcurrencyShare requires if that is higher. If more forwarders are configured than report to this planner, the others are
+// assumed to send requests at the same rate.
+func (p *Planner) slowStartRates(servers []string, settings combinedSettings, forwarderCounts []int, reporting int) []float64 {
 	totalRate, totalWeight, usualLatency := 0.0, 0.0, 0.0
 	for _, f := range p.forwarders {
 		totalRate += f.rate
@@ -45,7 +46,7 @@
 		if !math.IsInf(settings.crashLoadFactor, 1) && usualLatency > 0 {
 			rate = max(rate, minConcurrencyShare*settings.crashLoadFactor/usualLatency)
 		}
-		rates[i] = max(rate/float64(max(holders[i], 1))/max(nonReportingFactor, 1), negligibleRate)
+		rates[i] = max(rate/float64(max(forwarderCounts[i], 1))/max(nonReportingFactor, 1), negligibleRate)
 	}
 	return rates
 }
--- a/internal/controlplane/plan/tenants.go
+++ b/internal/controlplane/plan/tenants.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-const minTenantRate = 1e-9 // requests per second below which a tenant is forgotten: it is within its allowance
+const minTenantRate = 1e-9 // requests per second; tenants with a lower rate are removed, since they are within their allowance
 
-// tenant is one tenant's traffic over all forwarders, in requests per second.
+// tenant tracks one tenant's traffic over all forwarders in requests per second.
 type tenant struct {
 	allowance float64
-	rate      float64 // decaying with rateTimeConstant
+	rate      float64 // decays with rateTimeConstant
 }
 
-// tenantReported takes in one forwarder's traffic of a tenant. A tenant beyond maxEntriesPerTable is ignored.
+// tenantReported adds one forwarder's traffic of a tenant. It ignores new tenants once maxEntriesPerTable are stored.
 func (p *Planner) tenantReported(reported TenantReport) {
 	t := p.tenants[reported.Name]
 	if t == nil {
@@ -24,18 +24,18 @@
 	t.rate += float64(max(reported.Requests, 0)) / rateTimeConstant.Seconds()
 }
 
-func (p *Planner) decayTenants(passed time.Duration) {
-	keep := decay(passed, rateTimeConstant)
+func (p *Planner) decayTenants(elapsed time.Duration) {
+	retained := decayFactor(elapsed, rateTimeConstant)
 	for name, t := range p.tenants {
-		if t.rate *= keep; t.rate < minTenantRate {
+		if t.rate *= retained; t.rate < minTenantRate {
 			delete(p.tenants, name)
 		}
 	}
 }
 
-// withinAllowance returns the share of each tenant's requests that is within its allowance. As in package policy an allowance
-// grows with the other tenants' traffic where that exceeds their allowances, those without traffic included: what all send
-// beyond the sum of allowances is no one tenant's excess.
+// withinAllowance returns the share of each tenant's requests that is within its allowance. As in package policy, a tenant's
+// effective allowance grows in proportion when the other tenants' traffic exceeds the sum of their allowances, including the
+// allowances of tenants without traffic. A general excess over the sum of allowances is therefore not attributed to one tenant.
 func (p *Planner) withinAllowance() (shares []TenantShare) {
 	names := sortedKeys(p.tenants)
 	totalAllowance, totalRate := 0.0, 0.0
--- a/internal/controlplane/plan/weights.go
+++ b/internal/controlplane/plan/weights.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	weightExponent       = 1.5  // a server's weight is its relative latency to the power of -weightExponent; at 1 all would be equally busy
-	minRelativeLatency   = 0.3  // below it a server gets no more for being fast
-	minWeightFactor      = 0.02 // so that a slow server still gets enough to be seen to recover
-	avoidFactor          = 2.0  // recent over usual relative latency from which a server is avoided
-	maxAvoidedShare      = 0.25 // of the servers
-	maxNewlyAvoidedShare = 0.05 // of the servers with each plan, but at least one server
-	minDivisor           = 1e-9 // guards divisions
+	weightExponent       = 1.5  // weight = relative latency ^ -weightExponent; an exponent of 1 would make all servers equally busy
+	minRelativeLatency   = 0.3  // lower relative latencies do not increase the weight further
+	minWeightFactor      = 0.02 // leaves a slow server enough requests to detect its recovery
+	avoidFactor          = 2.0  // min ratio of recent to usual relative latency, over the median, of an avoided server
+	maxAvoidedShare      = 0.25 // max share of servers avoided
+	maxNewlyAvoidedShare = 0.05 // max share of servers newly avoided per plan; at least one server
+	minDivisor           = 1e-9 // prevents division by zero
 )
 
-// updateWeights sets which share of the load each server gets beside the others, and which servers are avoided.
+// updateWeights updates the weight, slow start capacity and avoidance of each server.
 func (p *Planner) updateWeights(servers []string, settings combinedSettings) {
 	recent := make(map[string]float64, len(servers))
 	for _, id := range servers {
@@ -33,8 +33,8 @@
 	p.updateAvoided(servers, recent)
 }
 
-// updateAvoided marks the servers to be avoided: those that have become slowest beside how they usually are, by their recent
-// over their usual relative latency. What slows half of the servers marks none.
+// updateAvoided marks the servers with the largest ratio of recent to usual relative latency as avoided. The ratio is compared with
+// the median over all servers, so a slowdown of at least half of the servers marks none.
 func (p *Planner) updateAvoided(servers []string, recent map[string]float64) {
 	bySlowdown := slices.Clone(servers)
 	slices.SortStableFunc(bySlowdown, func(a, b string) int { return cmp.Compare(recent[b], recent[a]) })
