--- a/internal/controlplane/planconfig/config.go
+++ b/internal/controlplane/planconfig/config.go
@@ -1,5 +1,5 @@
-// Package planconfig reads the files of forwarders, which name their planners, and of planners. Its callers are the commands
-// that start the processes.
+// Package planconfig loads and validates two configuration files: the planner list of a forwarder and the settings of a planner. The
+// commands that start these processes call it.
 package planconfig
 
 import (
@@ -19,40 +19,40 @@
 	defaultInterval = 500 * time.Millisecond
 )
 
-// TLS is the part of both files about keys.
+// TLS contains the TLS settings that both files share.
 type TLS struct {
 	Cert      string `toml:"cert"`
 	Key       string `toml:"key"`
 	CA        string `toml:"ca"`
-	Plaintext bool   `toml:"plaintext"` // without TLS, on loopback only
+	Plaintext bool   `toml:"plaintext"` // disables TLS; allowed on loopback addresses only
 }
 
-// Forwarder is a forwarder's file.
+// Forwarder is the configuration file of a forwarder.
 type Forwarder struct {
-	Planners []string `toml:"planners"` // addresses; all forwarders name them in the same order
-	Name     string   `toml:"name"`     // in the planners' certificates, by which the forwarder verifies them; not the forwarder's own
+	Planners []string `toml:"planners"` // planner addresses, in the same order at all forwarders
+	Name     string   `toml:"name"`     // expected name in the planners' certificates, not the name of the forwarder
 	TLS
 
 	Addresses []netip.AddrPort `toml:"-"`
 	Keys      *mtls.Keys       `toml:"-"` // nil: plaintext
 }
 
-// Planner is a planner's file.
+// Planner is the configuration file of a planner.
 type Planner struct {
-	Name      string            `toml:"name"` // its own, in its greeting and its log
+	Name      string            `toml:"name"` // name of the planner, sent in its hello frame and logged
 	Listen    string            `toml:"listen"`
 	Discovery string            `toml:"discovery"`
-	Registry  string            `toml:"registry"` // a registry's file, in place of discovery
-	Interval  tomlfile.Duration `toml:"every"`    // between two plans
+	Registry  string            `toml:"registry"` // path of a registry configuration file; replaces discovery
+	Interval  tomlfile.Duration `toml:"every"`    // interval between two plans
 	TLS
 
 	ListenAddress    netip.AddrPort    `toml:"-"`
 	DiscoveryAddress netip.AddrPort    `toml:"-"`
-	Ensemble         *zookeeper.Config `toml:"-"` // nil: discovery lists the servers
+	Ensemble         *zookeeper.Config `toml:"-"` // nil: discovery provides the endpoint list
 	Keys             *mtls.Keys        `toml:"-"` // nil: plaintext
 }
 
-// LoadForwarder reads a forwarder's file. The error names each fault by file and line.
+// LoadForwarder loads the configuration file of a forwarder. The error lists all faults with file and line.
 func LoadForwarder(path string) (*Forwarder, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
@@ -64,23 +64,23 @@
 		return nil, err
 	}
 	if len(c.Planners) == 0 || len(c.Planners) > maxPlanners {
-		f.Wrong("planners", "%d planners: from 1 to %d", len(c.Planners), maxPlanners)
+		f.Wrong("planners", "got %d planners, want 1 to %d", len(c.Planners), maxPlanners)
 	}
 	for i, p := range c.Planners {
 		address, err := netip.ParseAddrPort(p)
 		if err != nil {
-			f.Wrong("planners."+strconv.Itoa(i), "planner %q: an address and a port are wanted", p)
+			f.Wrong("planners."+strconv.Itoa(i), "planner %q is invalid, want IP address and port", p)
 		}
 		c.Addresses = append(c.Addresses, address)
 	}
 	if !c.Plaintext && c.Name == "" {
-		f.Wrong("name", "name says what the planners' certificates are for")
+		f.Wrong("name", "name missing, want name in the planners' certificates")
 	}
 	c.Keys = c.keys(f, c.Addresses)
 	return c, f.Err()
 }
 
-// LoadPlanner reads a planner's file. The error names each fault by file and line.
+// LoadPlanner loads the configuration file of a planner. The error lists all faults with file and line.
 func LoadPlanner(path string) (*Planner, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
@@ -92,28 +92,29 @@
 		return nil, err
 	}
 	if c.Name == "" {
-		f.Wrong("name", "a planner needs a name")
+		f.Wrong("name", "name missing, want name of this planner")
 	}
 	if c.ListenAddress, err = netip.ParseAddrPort(c.Listen); err != nil {
-		f.Wrong("listen", "listen %q: an address and a port are wanted", c.Listen)
+		f.Wrong("listen", "listen %q is invalid, want IP address and port", c.Listen)
 	}
 	if c.Registry != "" && c.Discovery != "" {
-		f.Wrong("registry", "either discovery or a registry")
+		f.Wrong("registry", "discovery and registry are both set, want only one")
 	} else if c.Registry != "" {
 		if c.Ensemble, err = zookeeper.Load(c.Registry); err != nil {
 			f.Wrong("registry", "%v", err)
 		}
 	} else if c.DiscoveryAddress, err = netip.ParseAddrPort(c.Discovery); err != nil {
-		f.Wrong("discovery", "discovery %q: an address and a port are wanted", c.Discovery)
+		f.Wrong("discovery", "discovery %q is invalid, want IP address and port", c.Discovery)
 	}
 	if c.Interval.Std() < minInterval || c.Interval.Std() > maxInterval {
-		f.Wrong("every", "every %s: from %s to %s", c.Interval.Std(), minInterval, maxInterval)
+		f.Wrong("every", "every %s is out of range, want %s to %s", c.Interval.Std(), minInterval, maxInterval)
 	}
 	c.Keys = c.keys(f, []netip.AddrPort{c.ListenAddress})
 	return c, f.Err()
 }
 
-// keys loads the files that are named. Without TLS all addresses must be on this machine.
+// keys loads the certificate and key files, or returns nil for plaintext. It records invalid files in f, and addresses that are not
+// loopback addresses if plaintext is set.
 func (t TLS) keys(f *tomlfile.File, addresses []netip.AddrPort) *mtls.Keys {
 	return mtls.KeysFromConfig(f, mtls.Files{Cert: t.Cert, Key: t.Key, CA: t.CA}, t.Plaintext, addresses)
 }
--- a/internal/controlplane/planfollower/doc.go
+++ b/internal/controlplane/planfollower/doc.go
@@ -1,7 +1,7 @@
-// Package planfollower decides, at one forwarder, which planner's plan takes effect, how its shares move from one plan to the
-// next, how a stale plan is phased out when no fresh one arrives, and when the forwarder polls discovery itself.
+// Package planfollower runs at each forwarder. It selects the planner whose plan takes effect, moves the shares gradually from one
+// plan to the next, phases out a stale plan while no fresh plan arrives, and reports when the forwarder must poll discovery.
 //
-// It is a state machine without I/O. Its owner, the node's planner connections in package proxy, calls PlanReceived for each
-// plan and Advance at a fixed interval, and applies what Advance returns. A Follower is not safe for concurrent use: its owner
+// The package is a state machine without I/O. The planner connections in package proxy own a Follower. They call PlanReceived for
+// each plan and Advance at a fixed interval, and apply the result of Advance. A Follower is not safe for concurrent use; the owner
 // holds a lock around every call. Times are durations since the owner's start.
 package planfollower
--- a/internal/controlplane/planfollower/follower.go
+++ b/internal/controlplane/planfollower/follower.go
@@ -9,46 +9,46 @@
 )
 
 const (
-	// expiryAge of a plan, from which the forwarder decides alone: freshAge, and the 10 s for which a planner still counts a
-	// forwarder that is silent.
+	// expiryAge is the age of a plan from which the forwarder decides without a plan. It is the sum of freshAge and the 10 s until a
+	// planner removes a forwarder without reports.
 	expiryAge       = 13 * time.Second
-	pollDelay       = 1 * time.Second // without a fresh plan, before a forwarder polls discovery itself
-	pollDelaySpread = 3 * time.Second // that Options.PollJitter spreads over: discovery has little capacity
+	pollDelay       = 1 * time.Second // min time without a fresh plan before a forwarder polls discovery
+	pollDelaySpread = 3 * time.Second // range of the additional delay; spreads polls because discovery has little capacity
 	noPlannerIndex  = -1
 )
 
-// Options of a forwarder.
+// Options are the settings of a Follower.
 type Options struct {
-	PlannerCount    int
-	ConfiguredNodes int     // forwarders by the settings, which count while no plan is in effect
-	PollJitter      float64 // 0 to 1: the forwarder's place in the spread of poll delays
+	PlannerCount    int     // number of configured planners
+	ConfiguredNodes int     // number of forwarders, used while no plan is in effect
+	PollJitter      float64 // 0 to 1, position of this forwarder in the range of poll delays
 }
 
-// Follower holds the plans received by one forwarder and what of them is in effect.
+// Follower stores the latest plan of each planner and the plan and shares in effect at one forwarder.
 type Follower struct {
 	options     Options
-	sources     []source           // by planner
-	followed    int                // planner whose plan is fresh and in effect; noPlannerIndex for none
-	inEffect    plan.Plan          // the last plan that was followed
-	age         time.Duration      // of inEffect
-	shares      map[string]float64 // in effect, by server; they add up to 1
+	sources     []source           // by planner index
+	followed    int                // index of the followed planner, whose plan is fresh and in effect; noPlannerIndex for none
+	inEffect    plan.Plan          // plan of the planner that is followed, or was followed last
+	age         time.Duration      // age of inEffect
+	shares      map[string]float64 // shares in effect by server ID; the sum is 1
 	lastAdvance time.Duration
-	lastFresh   time.Duration // when a plan was fresh last
+	lastFresh   time.Duration // latest time with a fresh plan
 }
 
-// Effective is what is in effect at the forwarder.
+// Effective contains the decisions in effect at the forwarder.
 type Effective struct {
-	HasPlan             bool // else the forwarder decides alone, and only Planner, PlanAge, Nodes and ShouldPollDiscovery are set
-	Planner             int  // that is followed; -1 without a fresh plan: the last one is being phased out, or there is none
+	HasPlan             bool // false: the forwarder decides without a plan, and only Planner, PlanAge, Nodes and ShouldPollDiscovery are set
+	Planner             int  // index of the followed planner; -1 without a fresh plan, while the latest plan is phased out or no plan exists
 	PlanAge             time.Duration
-	Nodes               int // forwarders that share the load
+	Nodes               int // number of forwarders that share the load
 	AdmittedShare       float64
-	WithinAllowance     []plan.TenantShare // none: the forwarder's own counts decide
+	WithinAllowance     []plan.TenantShare // empty: the forwarder uses its own request counts
 	Servers             []plan.ServerShare // sorted by ID
-	ShouldPollDiscovery bool
+	ShouldPollDiscovery bool               // set while no planner provides a fresh plan
 }
 
-// New returns a follower without a plan.
+// New returns a Follower without a plan.
 func New(options Options) *Follower {
 	return &Follower{
 		options:  options,
@@ -58,16 +58,16 @@
 	}
 }
 
-// PlanReceived takes in a planner's whole plan.
+// PlanReceived stores a complete plan of the planner with an index.
 func (f *Follower) PlanReceived(now time.Duration, planner int, p plan.Plan) {
 	f.sources[planner] = source{plan: p, hasPlan: true, receivedAt: now}
 }
 
-// Advance moves the state to now and returns what is in effect. isUp reports whether a server may be used.
+// Advance advances the state to now and returns the decisions in effect. isUp reports whether a server is usable.
 func (f *Follower) Advance(now time.Duration, isUp func(id string) bool) Effective {
-	passed := now - f.lastAdvance
+	elapsed := now - f.lastAdvance
 	f.lastAdvance = now
-	f.followFreshest(now, passed)
+	f.followFreshest(now, elapsed)
 	e := Effective{Planner: f.followed, PlanAge: f.age, ShouldPollDiscovery: now-f.lastFresh > f.pollDelay()}
 	if f.inEffect.Number == 0 || f.age >= expiryAge {
 		f.shares = map[string]float64{}
@@ -82,16 +82,16 @@
 	if f.isFollowing() {
 		e.WithinAllowance = f.inEffect.WithinAllowance
 	}
-	f.moveShares(passed, isUp)
+	f.moveShares(elapsed, isUp)
 	e.Servers = f.serverShares(now)
 	return e
 }
 
-// followFreshest selects the planner to follow and takes its plan into effect; without one the last plan ages.
-func (f *Follower) followFreshest(now, passed time.Duration) {
+// followFreshest selects the planner to follow and puts its plan into effect. Without a fresh plan the age of the latest plan increases.
+func (f *Follower) followFreshest(now, elapsed time.Duration) {
 	f.followed = f.selectPlanner(now)
 	if !f.isFollowing() {
-		f.age += passed
+		f.age += elapsed
 		return
 	}
 	followed := &f.sources[f.followed]
@@ -101,25 +101,26 @@
 	f.inEffect.Nodes = f.maxNodes(now, f.inEffect.Nodes)
 }
 
-// isFollowing reports whether a planner is followed at present.
+// isFollowing reports whether the plan in effect is fresh.
 func (f *Follower) isFollowing() bool { return f.followed != noPlannerIndex }
 
 func (f *Follower) pollDelay() time.Duration {
 	return pollDelay + time.Duration(f.options.PollJitter*float64(pollDelaySpread))
 }
 
-// admittedShare rises to 1 with the age of a plan that is no longer fresh: what is not known to be too much is admitted.
+// admittedShare returns the share of requests to admit. After the plan is no longer fresh, the share increases to 1 with the plan's
+// age, since the overload is no longer confirmed.
 func (f *Follower) admittedShare() float64 {
 	share := f.inEffect.AdmittedShare
 	if f.isFollowing() {
 		return share
 	}
-	decayed := float64(f.age-freshAge) / float64(expiryAge-freshAge)
-	return share + (1-share)*min(max(decayed, 0), 1)
+	progress := float64(f.age-freshAge) / float64(expiryAge-freshAge)
+	return share + (1-share)*min(max(progress, 0), 1)
 }
 
-// serverShares returns the servers of the plan, and those whose shares have not moved away yet though the plan has left them
-// out. Avoidance and ejections hold only while the plan is fresh.
+// serverShares returns the servers of the plan, and servers outside the plan that still have a share. Avoidance and ejections are in
+// effect only while the plan is fresh.
 func (f *Follower) serverShares(now time.Duration) (servers []plan.ServerShare) {
 	inPlan := make(map[string]bool, len(f.inEffect.Servers))
 	for _, planned := range f.inEffect.Servers {
@@ -140,7 +141,7 @@
 	return servers
 }
 
-// CurrentShares returns the shares in effect as reports carry them, sorted by server ID.
+// CurrentShares returns the shares in effect for a report, sorted by server ID.
 func (f *Follower) CurrentShares() []plan.CurrentShare {
 	shares := make([]plan.CurrentShare, 0, len(f.shares))
 	for id, share := range f.shares {
--- a/internal/controlplane/planfollower/shares.go
+++ b/internal/controlplane/planfollower/shares.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	maxMovePerSecond = 0.25 // of a forwarder's requests that may move between servers
-	minShare         = 1e-4 // of the requests; less is none
+	maxMovePerSecond = 0.25 // max share of a forwarder's requests that moves between servers per second
+	minShare         = 1e-4 // share of requests; smaller shares are removed
 )
 
-// moveShares moves the shares towards the plan's by at most maxMovePerSecond. The share of a server that must not be used is
-// removed at once, and the others grow in proportion.
-func (f *Follower) moveShares(passed time.Duration, isUp func(id string) bool) {
+// moveShares moves the shares towards those of the plan by at most maxMovePerSecond. It immediately removes the shares of unusable
+// servers and increases the other shares in proportion.
+func (f *Follower) moveShares(elapsed time.Duration, isUp func(id string) bool) {
 	target := f.targetShares(isUp)
 	remaining := f.removeDown(isUp)
 	switch {
@@ -29,7 +29,7 @@
 		distance += math.Abs(target[id]-f.shares[id]) / 2
 	}
 	step := 1.0
-	if maxMove := maxMovePerSecond * passed.Seconds(); distance > maxMove {
+	if maxMove := maxMovePerSecond * elapsed.Seconds(); distance > maxMove {
 		step = maxMove / distance
 	}
 	for id := range union(f.shares, target) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// targetShares are the plan's shares of the servers that may be used, which add up to 1. While the plan is fresh, a server that
-// it ejects has none, also after the ejection has run out: a later plan gives it a share again.
+// targetShares returns the plan's shares of the usable servers, normalized to a sum of 1. While the plan is fresh, it omits ejected
+// servers even after the ejection's end, because a later plan assigns them a share again.
 func (f *Follower) targetShares(isUp func(id string) bool) map[string]float64 {
 	target, sum := map[string]float64{}, 0.0
 	for _, s := range f.inEffect.Servers {
@@ -58,7 +58,7 @@
 	return target
 }
 
-// removeDown removes the shares of servers that must not be used, and returns the sum of the others.
+// removeDown removes the shares of unusable servers and returns the sum of the remaining shares.
 func (f *Follower) removeDown(isUp func(id string) bool) (remaining float64) {
 	for id, share := range f.shares {
 		if !isUp(id) {
@@ -70,14 +70,14 @@
 	return remaining
 }
 
-// normalize makes shares with a sum add up to 1.
+// normalize divides the shares by their sum.
 func (f *Follower) normalize(sum float64) {
 	for id := range f.shares {
 		f.shares[id] /= max(sum, minShare)
 	}
 }
 
-// union returns the keys of both maps.
+// union returns the set of keys that are in at least one of two maps.
 func union(a, b map[string]float64) map[string]struct{} {
 	keys := make(map[string]struct{}, len(a)+len(b))
 	for id := range a {
--- a/internal/controlplane/planfollower/source.go
+++ b/internal/controlplane/planfollower/source.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	freshAge           = 3 * time.Second // of a plan, up to which it is followed
-	minRelativeReports = 0.9             // of the most reporting forwarders of any planner, from which a planner may be followed
+	freshAge          = 3 * time.Second // max age of a plan that can be followed
+	minReportingRatio = 0.9             // min ratio of a planner's reporting forwarders to the maximum over all planners
 )
 
-// source is what was received from one planner.
+// source stores the latest plan received from one planner.
 type source struct {
 	plan       plan.Plan
 	hasPlan    bool
 	receivedAt time.Duration
 }
 
-// age of the plan: the time since this forwarder sent the report that it is based on, so that neither other clocks nor a slow
-// connection make it look newer. A plan without such a report counts as expired.
+// age returns the time since this forwarder sent the latest report that the plan includes. The age therefore does not depend on other
+// clocks, and a slow connection does not make the plan appear newer. A plan without such a report counts as expired.
 func (s *source) age(now time.Duration) time.Duration {
 	if !s.hasPlan || s.plan.ReportSentAt <= 0 {
 		return expiryAge
@@ -30,22 +30,23 @@
 
 func (s *source) isFresh(now time.Duration) bool { return s.age(now) < freshAge }
 
-// selectPlanner returns the first planner whose plan is fresh and that nearly as many forwarders report to as to any other;
-// noPlannerIndex for none. All forwarders list the planners in the same order, so that they
-// mostly agree, and none follows a planner that is cut off from most forwarders.
+// selectPlanner returns the index of the first planner with a fresh plan and a sufficient number of reporting forwarders, or
+// noPlannerIndex if there is none. Forwarders mostly select the same planner because all list the planners in the same order. The
+// minimum minReportingRatio excludes planners that are disconnected from most forwarders.
 func (f *Follower) selectPlanner(now time.Duration) int {
-	mostReporting := 0
+	maxReporting := 0
 	for i := range f.sources {
 		if s := &f.sources[i]; s.isFresh(now) {
-			mostReporting = max(mostReporting, s.plan.ReportingForwarders)
+			maxReporting = max(maxReporting, s.plan.ReportingForwarders)
 		}
 	}
 	return slices.IndexFunc(f.sources, func(s source) bool {
-		return s.isFresh(now) && float64(s.plan.ReportingForwarders) >= minRelativeReports*float64(mostReporting)
+		return s.isFresh(now) && float64(s.plan.ReportingForwarders) >= minReportingRatio*float64(maxReporting)
 	})
 }
 
-// maxNodes is the greatest number of forwarders that a fresh plan names: by a smaller one each forwarder would take too much.
+// maxNodes returns the largest number of forwarders in any fresh plan. With a smaller number each forwarder would claim too large a
+// part of the shared limits.
 func (f *Follower) maxNodes(now time.Duration, nodes int) int {
 	for i := range f.sources {
 		if s := &f.sources[i]; s.isFresh(now) {
--- a/internal/controlplane/planner/connection.go
+++ b/internal/controlplane/planner/connection.go
@@ -15,41 +15,42 @@
 )
 
 const (
-	handshakeTimeout   = 2 * time.Second // for a forwarder's TLS and greeting
-	reportTimeout      = 5 * time.Second // without a report, after which a connection is ended
-	maxConnections     = 4096            // those without a greeting included
-	maxReportedServers = 4096            // in a report; package plan keeps no more
+	handshakeTimeout   = 2 * time.Second // max duration of the TLS handshake and the hello frames
+	reportTimeout      = 5 * time.Second // max time between two reports before a connection is closed
+	maxConnections     = 4096            // including connections before the handshake
+	maxReportedServers = 4096            // per report; package plan stores no more servers
 )
 
-// errReplaced ends a forwarder's connection when another comes under its name: a forwarder has one, so the older is dead.
-var errReplaced = errors.New("replaced by another connection of the same name")
+// errReplaced is the reason for closing a connection after a newer one with the same forwarder name. A forwarder has only one
+// connection to a planner, so the older one is stale.
+var errReplaced = errors.New("connection replaced by newer connection of same forwarder")
 
-// forwarderConn is the connection of one forwarder.
+// forwarderConn is the connection of one forwarder with the state of its plan.
 type forwarderConn struct {
-	name string
-	conn *planwire.Conn
-	held plan.Plan      // as the forwarder holds it; of the sending goroutine
-	next chan plan.Plan // the latest plan that was not sent yet
+	name    string
+	conn    *planwire.Conn
+	sent    plan.Plan      // plan at the forwarder; used only by the sending goroutine
+	pending chan plan.Plan // buffer for the latest unsent plan
 }
 
-// replaceNext leaves a plan to be sent, in place of one that was not sent yet. Server.mu is held.
-func (f *forwarderConn) replaceNext(p plan.Plan) {
+// replacePending queues a plan for sending and discards an older unsent plan. The caller holds Server.mu.
+func (f *forwarderConn) replacePending(p plan.Plan) {
 	select {
-	case <-f.next:
+	case <-f.pending:
 	default:
 	}
-	f.next <- p
+	f.pending <- p
 }
 
-// serveConnection serves a forwarder's connection until it ends.
+// serveConnection serves a forwarder's connection until it is closed.
 func (s *Server) serveConnection(ctx context.Context, nc net.Conn) {
 	defer nc.Close()
 	stopClosing := context.AfterFunc(ctx, func() { nc.Close() })
 	defer stopClosing()
 	from := nc.RemoteAddr().String()
-	defer s.connectionEnded()
+	defer s.removeConnection()
 	if !s.addConnection() {
-		s.peerRejected(from, fmt.Errorf("too many connections (limit %d)", maxConnections))
+		s.peerRejected(from, fmt.Errorf("connection limit reached: %d connections", maxConnections))
 		return
 	}
 	conn, name, err := s.handshake(ctx, nc)
@@ -58,8 +59,8 @@
 		return
 	}
 	stopClosing()
-	defer context.AfterFunc(ctx, func() { conn.Close() })() // over TLS, which tells the forwarder
-	f := &forwarderConn{name: name, conn: conn, next: make(chan plan.Plan, 1)}
+	defer context.AfterFunc(ctx, func() { conn.Close() })() // a close over TLS notifies the forwarder
+	f := &forwarderConn{name: name, conn: conn, pending: make(chan plan.Plan, 1)}
 	s.addForwarder(f)
 	ended := make(chan struct{})
 	var sending errgroup.Group
@@ -74,7 +75,7 @@
 	s.log.Info().Str("forwarder", name).Str("from", from).Err(err).Msg("forwarder disconnected")
 }
 
-// addConnection counts a connection, and reports whether there is room for it.
+// addConnection counts a connection and reports whether the connection limit allows it.
 func (s *Server) addConnection() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,13 +83,13 @@
 	return s.connections <= maxConnections
 }
 
-func (s *Server) connectionEnded() {
+func (s *Server) removeConnection() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.connections--
 }
 
-// handshake does the TLS and greeting of a connection. It returns the forwarder's name.
+// handshake performs the TLS handshake and exchanges hello frames. It returns the secured connection and the forwarder's name.
 func (s *Server) handshake(ctx context.Context, nc net.Conn) (conn *planwire.Conn, name string, err error) {
 	deadline := time.Now().Add(handshakeTimeout)
 	if keys := s.config.Keys; keys != nil {
@@ -107,7 +108,7 @@
 	return conn, name, err
 }
 
-// addForwarder registers a forwarder, and ends an older connection under its name.
+// addForwarder registers a forwarder's connection and closes an older connection with the same forwarder name.
 func (s *Server) addForwarder(f *forwarderConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +118,7 @@
 	s.forwarders[f.name] = f
 }
 
-// removeForwarder returns false if another connection has come under the forwarder's name.
+// removeForwarder removes a forwarder's connection. It returns false if a newer connection has replaced it.
 func (s *Server) removeForwarder(f *forwarderConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,20 +129,20 @@
 	return true
 }
 
-// sendPlans sends what of each plan is new to the forwarder.
+// sendPlans sends the changes of each pending plan until the connection ends.
 func (s *Server) sendPlans(f *forwarderConn, ended <-chan struct{}) error {
 	for {
 		select {
 		case <-ended:
 			return nil
-		case next := <-f.next:
-			change, held := plan.Diff(f.held, next)
+		case next := <-f.pending:
+			change, result := plan.Diff(f.sent, next)
 			before := f.conn.SentBytes
 			if err := f.conn.Send(planwire.ChangeKind, change); err != nil {
 				f.conn.Close()
 				return err
 			}
-			f.held = held
+			f.sent = result
 			s.mu.Lock()
 			s.counts.sentBytes += f.conn.SentBytes - before
 			s.mu.Unlock()
@@ -149,7 +150,7 @@
 	}
 }
 
-// receiveReports takes in a forwarder's reports until its connection ends or it breaks the protocol.
+// receiveReports applies a forwarder's reports until the connection ends or the forwarder violates the protocol.
 func (s *Server) receiveReports(f *forwarderConn) error {
 	for {
 		kind, body, err := f.conn.Receive(time.Now().Add(reportTimeout))
@@ -159,7 +160,7 @@
 		if kind == planwire.RejectionKind {
 			var rejection planwire.Rejection
 			planwire.Decode(body, &rejection)
-			return fmt.Errorf("refused by the forwarder: %.200s", rejection.Reason)
+			return fmt.Errorf("rejected by forwarder: %.200s", rejection.Reason)
 		}
 		r, err := decodeReport(kind, body)
 		if err != nil {
@@ -172,20 +173,20 @@
 
 func decodeReport(kind planwire.Kind, body []byte) (*plan.Report, error) {
 	if kind != planwire.ReportKind {
-		return nil, fmt.Errorf("a frame of kind %d from a forwarder", kind)
+		return nil, fmt.Errorf("unexpected frame kind %d from forwarder, want report", kind)
 	}
 	r := &plan.Report{}
 	if err := planwire.Decode(body, r); err != nil {
 		return nil, err
 	}
 	if len(r.Servers) > maxReportedServers {
-		return nil, fmt.Errorf("a report of %d servers", len(r.Servers))
+		return nil, fmt.Errorf("report contains too many servers: %d", len(r.Servers))
 	}
 	return r, nil
 }
 
-// reportReceived takes in a report. Of servers of which the forwarder knows more, discovery may have listed something later:
-// that is taken in again.
+// reportReceived applies a report. Discovery may already have listed newer states of the servers in NewerIncarnations, so the
+// discovered entries of these servers are applied again after the report.
 func (s *Server) reportReceived(name string, r *plan.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,7 +204,7 @@
 	s.counts.reports++
 }
 
-// peerRejected notes a peer that broke the protocol, or that there is no room for.
+// peerRejected logs and counts a peer that violates the protocol or exceeds the connection limit.
 func (s *Server) peerRejected(from string, why error) {
 	s.log.Warn().Str("from", from).Err(why).Msg("peer rejected")
 	s.mu.Lock()
--- a/internal/controlplane/planner/counts.go
+++ b/internal/controlplane/planner/counts.go
@@ -7,16 +7,16 @@
 
 const countsInterval = 10 * time.Second
 
-// counts since the last line of the log. Server.mu is held around them.
+// counts contains the counters since the previous "counts" log line. Server.mu guards it.
 type counts struct {
 	reports       int
-	computations  int // of plans for all forwarders
+	computations  int // computations of the plans of all forwarders
 	rejectedPeers int
 	sentBytes     int
-	slowestPlan   time.Duration
+	slowestPlan   time.Duration // duration of the slowest computation
 }
 
-// runCounts logs the counts at an interval until the context ends.
+// runCounts logs and resets the counts every countsInterval until the context is canceled.
 func (s *Server) runCounts(ctx context.Context) {
 	tick := time.NewTicker(countsInterval)
 	defer tick.Stop()
--- a/internal/controlplane/planner/discovery.go
+++ b/internal/controlplane/planner/discovery.go
@@ -10,8 +10,8 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// followServers follows discovery, or a registry if the file names one, until the context ends. Planners send servers no
-// requests: what forwarders find out about a server comes by their reports.
+// followServers follows discovery, or the registry if one is configured, until the context is canceled. Planners send no requests to
+// servers; they receive the forwarders' observations of a server in reports.
 func (s *Server) followServers(ctx context.Context) error {
 	if s.config.Ensemble == nil {
 		watch.Follow(ctx, watch.NewTarget(s.config.DiscoveryAddress), watch.Listener{
@@ -31,7 +31,7 @@
 	})
 }
 
-// listReceived takes in discovery's list, or a part of it.
+// listReceived applies a complete or partial endpoint list from discovery.
 func (s *Server) listReceived(list http1.EndpointList) {
 	for _, err := range list.Skipped {
 		s.log.Warn().Err(err).Msg("list entry skipped")
@@ -46,10 +46,10 @@
 		s.discovered[e.ID] = e
 	}
 	s.planner.EndpointsUpdated(s.now(), entries, list.Complete)
-	s.hasList = s.hasList || list.Complete
+	s.hasServers = s.hasServers || list.Complete
 }
 
-// registryChanged takes in servers that have changed in the registry.
+// registryChanged applies changed servers from the registry.
 func (s *Server) registryChanged(changed []incarnation.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,5 +57,5 @@
 		s.discovered[e.ID] = e
 	}
 	s.planner.EndpointsUpdated(s.now(), changed, false)
-	s.hasList = true
+	s.hasServers = true
 }
--- a/internal/controlplane/planner/doc.go
+++ b/internal/controlplane/planner/doc.go
@@ -1,7 +1,7 @@
-// Package planner runs one planner process: it follows discovery or a registry, receives the forwarders' reports, computes plans
-// at an interval and sends each forwarder what has changed of its own. What is decided is in package plan; here are sockets and
-// clocks. Process is the entry point.
+// Package planner runs one planner process. It follows discovery or a registry, receives reports from forwarders, computes plans at
+// a fixed interval and sends each forwarder the changes of its plan. The package contains the network and clock code; package plan
+// contains the decisions. Process is the entry point.
 //
-// Server.mu guards the state, which the two goroutines of each connection (one receives reports, one sends plans), the computing
-// goroutine, the one that logs counts and the one that follows discovery share.
+// Server.mu guards the state shared by these goroutines: two per connection (one receives reports, one sends plans), one that computes
+// plans, one that logs counts and one that follows discovery.
 package planner
--- a/internal/controlplane/planner/process.go
+++ b/internal/controlplane/planner/process.go
@@ -11,10 +11,10 @@
 	"fernvane/internal/controlplane/planconfig"
 )
 
-// Process runs a planner until SIGTERM or SIGINT, logs to errs and returns the exit code.
-func Process(cfg *planconfig.Planner, errs io.Writer) int {
-	log := zerolog.New(errs).With().Timestamp().Logger()
-	signal.Ignore(syscall.SIGPIPE) // the planner must not end with the reader of its log
+// Process runs a planner until SIGTERM or SIGINT, writes its log to logOutput and returns the exit code.
+func Process(cfg *planconfig.Planner, logOutput io.Writer) int {
+	log := zerolog.New(logOutput).With().Timestamp().Logger()
+	signal.Ignore(syscall.SIGPIPE) // the planner must not terminate when the reader of its log does
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	if err := Run(ctx, cfg, log); err != nil {
--- a/internal/controlplane/planner/server.go
+++ b/internal/controlplane/planner/server.go
@@ -14,8 +14,8 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-// acceptRetry is the time after an accept that failed for a shortage, which passes.
-const acceptRetry = 10 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept, which is usually caused by a temporary shortage of resources.
+const acceptRetryDelay = 10 * time.Millisecond
 
 // Server is a running planner.
 type Server struct {
@@ -23,16 +23,17 @@
 	log       zerolog.Logger
 	startedAt time.Time
 
-	mu          sync.Mutex // never held over a socket
+	mu          sync.Mutex // never held during network I/O
 	planner     *plan.Planner
-	discovered  map[string]incarnation.Entry // what discovery has listed, as it listed it
-	hasList     bool                         // discovery's complete list, or anything of a registry, was received; else no plan is computed
-	forwarders  map[string]*forwarderConn    // by name
-	connections int
+	discovered  map[string]incarnation.Entry // latest entries from discovery or the registry, by server ID
+	hasServers  bool                         // set after the first complete list from discovery or change from the registry; required to compute plans
+	forwarders  map[string]*forwarderConn    // by forwarder name
+	connections int                          // open connections, including those before the handshake
 	counts      counts
 }
 
-// Run serves until the context ends. An error says that the address cannot be listened on.
+// Run runs a planner until the context is canceled. It returns an error if listening on the configured address or following the
+// registry fails.
 func Run(ctx context.Context, config *planconfig.Planner, log zerolog.Logger) error {
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(config.ListenAddress))
 	if err != nil {
@@ -65,10 +66,10 @@
 	return g.Wait()
 }
 
-// now is the time since the server's start.
+// now returns the time since the server's start.
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// accept takes connections of forwarders until the context ends.
+// accept accepts and serves connections of forwarders until the context is canceled.
 func (s *Server) accept(ctx context.Context, listener *net.TCPListener) {
 	var connections sync.WaitGroup
 	defer connections.Wait()
@@ -79,14 +80,14 @@
 			return
 		case err != nil:
 			s.log.Warn().Err(err).Msg("accept failed")
-			time.Sleep(acceptRetry)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		connections.Go(func() { s.serveConnection(ctx, nc) })
 	}
 }
 
-// computePlans computes plans at the configured interval, and leaves each forwarder's with its connection.
+// computePlans computes plans at the configured interval until the context is canceled.
 func (s *Server) computePlans(ctx context.Context) {
 	tick := time.NewTicker(s.config.Interval.Std())
 	defer tick.Stop()
@@ -100,16 +101,17 @@
 	}
 }
 
+// computeOnce computes all plans and passes each connected forwarder's plan to its connection.
 func (s *Server) computeOnce() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.hasList {
+	if !s.hasServers {
 		return
 	}
 	began := time.Now()
 	fleet := s.planner.ComputePlans(s.now())
 	for name, f := range s.forwarders {
-		f.replaceNext(fleet.ForForwarder(name))
+		f.replacePending(fleet.ForForwarder(name))
 	}
 	s.counts.computations++
 	s.counts.slowestPlan = max(s.counts.slowestPlan, time.Since(began))
--- a/internal/controlplane/planner/server_test.go
+++ b/internal/controlplane/planner/server_test.go
@@ -193,7 +193,7 @@
 		send func(p *peer)
 		why  string
 	}{
-		"a plan":             {func(p *peer) { p.Send(planwire.ChangeKind, plan.Change{}) }, "a frame of kind 4"},
+		"a plan":             {func(p *peer) { p.Send(planwire.ChangeKind, plan.Change{}) }, "unexpected frame kind 4"},
 		"no report":          {func(p *peer) { p.Send(planwire.ReportKind, "report") }, "cannot unmarshal"},
 		"an oversized frame": {func(p *peer) { p.Write([]byte{0xff, 0xff, 0xff, 0xff, 3}) }, ""},
 	} {
--- a/internal/controlplane/planwire/frames.go
+++ b/internal/controlplane/planwire/frames.go
@@ -1,5 +1,5 @@
-// Package planwire is the protocol of frames between forwarders and planners: reports one way, changes of plans the other, on
-// one connection that the forwarder opens. Its callers are package planner and the node's planner connections in package proxy.
+// Package planwire implements the wire protocol between forwarders and planners. A forwarder opens one connection to a planner, sends
+// reports and receives changes of its plan. Package planner and the planner connections in package proxy use it.
 package planwire
 
 import (
@@ -9,23 +9,23 @@
 	"fernvane/internal/cluster/framing"
 )
 
-// Version of the frames. A peer of another version is rejected.
+// Version is the version of the protocol. A peer with a different version is rejected.
 const Version = 2
 
-// maxBodyBytes holds a change with 4,096 incarnations of 200 bytes, and 224 KiB more. Reports are not sized by it: a forwarder's
-// that is longer cannot be sent.
+// maxBodyBytes is the size limit of a frame's body. It allows a change with 4,096 incarnations of 200 bytes and 224 KiB of other data.
+// Forwarders do not limit their reports to this size; sending a larger report fails.
 const maxBodyBytes = 1 << 20
 
-// Kind of a frame.
+// Kind is the kind of a frame.
 type Kind = framing.Kind
 
-// Kinds that every protocol has.
+// Kinds common to all framing protocols.
 const (
 	HelloKind     = framing.HelloKind     // the first frame of either side
-	RejectionKind = framing.RejectionKind // why a side ends the connection
+	RejectionKind = framing.RejectionKind // reason for closing the connection
 )
 
-// Kinds of this protocol.
+// Kinds specific to this protocol.
 const (
 	ReportKind = framing.FirstProtocolKind + iota // a plan.Report, from a forwarder
 	ChangeKind                                    // a plan.Change, from a planner
@@ -34,7 +34,7 @@
 
 var protocol = framing.Protocol{Version: Version, KindLimit: kindLimit, MaxBodyBytes: maxBodyBytes}
 
-// Bodies of frames and the connection, as package framing has them.
+// Types of package framing for the common frames and the connection.
 type (
 	// Hello is the body of a HelloKind frame.
 	Hello = framing.Hello
@@ -44,20 +44,20 @@
 	Conn = framing.Conn
 )
 
-// Why a frame cannot be accepted.
+// Errors of reading an invalid frame.
 var (
-	ErrTooLong = framing.ErrFrameTooLong
-	ErrKind    = framing.ErrUnknownKind
+	ErrFrameTooLong = framing.ErrFrameTooLong
+	ErrUnknownKind  = framing.ErrUnknownKind
 )
 
-// NewConn returns a connection of this protocol on nc. Its owner closes it.
+// NewConn returns a connection with this protocol on nc. The caller closes it.
 func NewConn(nc net.Conn) *Conn { return protocol.NewConn(nc) }
 
-// Append appends a frame to b.
+// Append appends an encoded frame to b.
 func Append(b []byte, k Kind, body any) ([]byte, error) { return protocol.Append(b, k, body) }
 
 // Read reads a frame. The body is valid until the next frame is read into the same buffer.
 func Read(r io.Reader, buffer []byte) (Kind, []byte, error) { return protocol.Read(r, buffer) }
 
-// Decode decodes a body strictly.
+// Decode decodes a body into a value. It rejects malformed data and data beyond the limits of package framing.
 func Decode(body []byte, into any) error { return framing.Decode(body, into) }
--- a/internal/controlplane/planwire/frames_test.go
+++ b/internal/controlplane/planwire/frames_test.go
@@ -34,9 +34,9 @@
 		"no name":            {framed(HelloKind, Hello{Version: Version}), "without a name"},
 		"a report first":     {framed(ReportKind, plan.Report{}), "before the greeting"},
 		"refused":            {framed(RejectionKind, Rejection{Reason: "too many"}), "refused by the peer: too many"},
-		"HTTP":               {[]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"), ErrTooLong.Error()},
-		"an oversized frame": {append(long, byte(HelloKind)), ErrTooLong.Error()},
-		"an unknown kind":    {[]byte{0, 0, 0, 0, 99}, ErrKind.Error()},
+		"HTTP":               {[]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"), ErrFrameTooLong.Error()},
+		"an oversized frame": {append(long, byte(HelloKind)), ErrFrameTooLong.Error()},
+		"an unknown kind":    {[]byte{0, 0, 0, 0, 99}, ErrUnknownKind.Error()},
 		"no CBOR":            {[]byte{0, 0, 0, 2, byte(HelloKind), 0xff, 0xff}, "cannot be read"},
 		"half a frame":       {framed(HelloKind, Hello{Version: Version, Name: "n1"})[:7], "EOF"},
 	} {
@@ -90,7 +90,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		k, body, err := Read(bytes.NewReader(b), nil)
 		if err != nil {
-			if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, ErrTooLong) || errors.Is(err, ErrKind) {
+			if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, ErrFrameTooLong) || errors.Is(err, ErrUnknownKind) {
 				return
 			}
 			t.Fatal(err)
