--- a/internal/controlplane/plan/planner_test.go
+++ b/internal/controlplane/plan/planner_test.go
@@ -16,30 +16,30 @@
 
 const ms = time.Millisecond
 
-// fleet drives a planner with forwarders that follow its plans at once.
-type fleet struct {
-	p     *Planner
-	now   time.Duration
-	held  map[string][]CurrentShare
-	names []string
-	ids   []string
+// testFleet runs a planner with forwarders that apply its plans immediately.
+type testFleet struct {
+	planner        *Planner
+	now            time.Duration
+	currentShares  map[string][]CurrentShare // by forwarder name
+	forwarderNames []string
+	serverIDs      []string
 }
 
-func newFleet(forwarders, servers int) *fleet {
-	w := &fleet{p: NewPlanner(0), now: time.Second, held: map[string][]CurrentShare{}}
+func newFleet(forwarders, servers int) *testFleet {
+	fleet := &testFleet{planner: NewPlanner(0), now: time.Second, currentShares: map[string][]CurrentShare{}}
 	for f := range forwarders {
-		w.names = append(w.names, fmt.Sprintf("n%03d", f))
+		fleet.forwarderNames = append(fleet.forwarderNames, fmt.Sprintf("n%03d", f))
 	}
 	var list []incarnation.Entry
 	for s := range servers {
-		w.ids = append(w.ids, fmt.Sprintf("s%03d", s))
-		list = append(list, incarnation.Entry{ID: w.ids[s], Weight: 1, Revision: 1})
+		fleet.serverIDs = append(fleet.serverIDs, fmt.Sprintf("s%03d", s))
+		list = append(list, incarnation.Entry{ID: fleet.serverIDs[s], Weight: 1, Revision: 1})
 	}
-	w.p.EndpointsUpdated(w.now, list, true)
-	return w
+	fleet.planner.EndpointsUpdated(fleet.now, list, true)
+	return fleet
 }
 
-// outcome is how one forwarder's attempts at one server ended in a step.
+// outcome counts the results of one forwarder's attempts at one server during a step.
 type outcome struct {
 	completed int
 	timedOut  int
@@ -47,28 +47,28 @@
 	latency   time.Duration // of each completed attempt
 }
 
-// step has each forwarder report half a second, by the outcomes that attempts returns, and returns the plan.
-func (w *fleet) step(attempts func(f, s int) outcome) *FleetPlan {
-	w.now += 500 * ms
-	for f, name := range w.names {
-		r := Report{SentAt: w.now, Interval: 500 * ms, InFlight: 1, CurrentShares: w.held[name], Settings: ForwarderSettings{Nodes: len(w.names), SlowStartDuration: 5 * time.Second, InitialCapacity: 0.4, CrashLoadFactor: 2.5},
+// step sends a report of half a second from each forwarder with the outcomes that attempts returns, and returns the resulting plans.
+func (fleet *testFleet) step(attempts func(f, s int) outcome) *FleetPlan {
+	fleet.now += 500 * ms
+	for f, name := range fleet.forwarderNames {
+		r := Report{SentAt: fleet.now, Interval: 500 * ms, InFlight: 1, CurrentShares: fleet.currentShares[name], Settings: ForwarderSettings{Nodes: len(fleet.forwarderNames), SlowStartDuration: 5 * time.Second, InitialCapacity: 0.4, CrashLoadFactor: 2.5},
 			Types: []TypeReport{{Name: "check", TargetTime: 200 * ms}}}
-		for s, id := range w.ids {
-			if d := attempts(f, s); d != (outcome{}) {
-				r.Servers = append(r.Servers, ServerReport{ID: id, TimedOut: d.timedOut, Failed: d.failed, Completions: []Completions{{TypeIndex: 0, Count: d.completed, TotalLatency: time.Duration(d.completed) * d.latency}}})
+		for s, id := range fleet.serverIDs {
+			if result := attempts(f, s); result != (outcome{}) {
+				r.Servers = append(r.Servers, ServerReport{ID: id, TimedOut: result.timedOut, Failed: result.failed, Completions: []Completions{{TypeIndex: 0, Count: result.completed, TotalLatency: time.Duration(result.completed) * result.latency}}})
 			}
 		}
-		w.p.ReportReceived(w.now, name, &r)
+		fleet.planner.ReportReceived(fleet.now, name, &r)
 	}
-	plans := w.p.ComputePlans(w.now)
-	for _, name := range w.names {
-		var held []CurrentShare
+	plans := fleet.planner.ComputePlans(fleet.now)
+	for _, name := range fleet.forwarderNames {
+		var shares []CurrentShare
 		for _, s := range plans.ForForwarder(name).Servers {
 			if s.Share > 0 {
-				held = append(held, CurrentShare{ID: s.ID, Share: s.Share})
+				shares = append(shares, CurrentShare{ID: s.ID, Share: s.Share})
 			}
 		}
-		w.held[name] = held
+		fleet.currentShares[name] = shares
 	}
 	return plans
 }
@@ -80,21 +80,22 @@
 	return outcome{}
 }
 
-// loads returns what each server gets by the shares, over an even share.
-func (w *fleet) loads(plans *FleetPlan) []float64 {
-	loads, at := make([]float64, len(w.ids)), map[string]int{}
-	for i, id := range w.ids {
-		at[id] = i
+// loads returns the ratio of each server's share to an equal share.
+func (fleet *testFleet) loads(plans *FleetPlan) []float64 {
+	loads, indexes := make([]float64, len(fleet.serverIDs)), map[string]int{}
+	for i, id := range fleet.serverIDs {
+		indexes[id] = i
 	}
-	for _, name := range w.names {
+	for _, name := range fleet.forwarderNames {
 		for _, s := range plans.ForForwarder(name).Servers {
-			loads[at[s.ID]] += s.Share * float64(len(w.ids)) / float64(len(w.names))
+			loads[indexes[s.ID]] += s.Share * float64(len(fleet.serverIDs)) / float64(len(fleet.forwarderNames))
 		}
 	}
 	return loads
 }
 
-// Equal reports at equal times give equal plans, and a new planner continues from the shares that forwarders report.
+// TestEqualReportsGiveEqualPlans checks that equal reports at equal times give equal plans, and that a new planner continues from the
+// shares that forwarders report.
 func TestEqualReportsGiveEqualPlans(t *testing.T) {
 	a, b := newFleet(40, 12), newFleet(40, 12)
 	var x, y *FleetPlan
@@ -102,30 +103,30 @@
 		x, y = a.step(healthy), b.step(healthy)
 	}
 	if p, q := text(t, x.ForForwarder("n007")), text(t, y.ForForwarder("n007")); p != q {
-		t.Errorf("%s\n%s", p, q)
+		t.Errorf("plans of two planners differ:\n%s\n%s", p, q)
 	}
-	b.p = NewPlanner(0)
-	b.p.EndpointsUpdated(b.now, a.p.incarnations.All(), true)
+	b.planner = NewPlanner(0)
+	b.planner.EndpointsUpdated(b.now, a.planner.incarnations.All(), true)
 	moved := 0
-	before := b.held
-	b.held = map[string][]CurrentShare{}
+	before := b.currentShares
+	b.currentShares = map[string][]CurrentShare{}
 	for n, h := range before {
-		b.held[n] = h
+		b.currentShares[n] = h
 	}
 	b.step(healthy)
 	for n := range before {
-		was := map[string]bool{}
+		hadServer := map[string]bool{}
 		for _, h := range before[n] {
-			was[h.ID] = true
+			hadServer[h.ID] = true
 		}
-		for _, h := range b.held[n] {
-			if !was[h.ID] {
+		for _, h := range b.currentShares[n] {
+			if !hadServer[h.ID] {
 				moved++
 			}
 		}
 	}
 	if moved > 20 { // of 280 slots
-		t.Errorf("a new planner moved %d slots", moved)
+		t.Errorf("new planner moved %d slots, want at most 20", moved)
 	}
 }
 
@@ -137,40 +138,41 @@
 	return string(b)
 }
 
-// For any number of forwarders and servers, subsets have their size, shares add up to 1 and servers get their target loads.
+// TestSubsetsAndShares checks the subset sizes, the sum of the shares and the load of each server for different numbers of forwarders
+// and servers.
 func TestSubsetsAndShares(t *testing.T) {
 	for _, c := range []struct{ forwarders, servers int }{{1, 1}, {1, 40}, {3, 13}, {16, 13}, {220, 52}, {557, 192}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
-			w := newFleet(c.forwarders, c.servers)
+			fleet := newFleet(c.forwarders, c.servers)
 			var plans *FleetPlan
 			for range 4 {
-				plans = w.step(healthy)
+				plans = fleet.step(healthy)
 			}
-			for _, n := range w.names {
+			for _, n := range fleet.forwarderNames {
 				sum, subset := 0.0, plans.ForForwarder(n).Servers
 				for _, s := range subset {
 					sum += s.Share
 				}
 				if len(subset) < min(minSubsetSize, c.servers) || math.Abs(sum-1) > 0.02 {
-					t.Fatalf("%s has %d servers with %.3f", n, len(subset), sum)
+					t.Fatalf("forwarder %s has %d servers with a total share of %.3f", n, len(subset), sum)
 				}
 			}
-			for s, l := range w.loads(plans) {
+			for s, l := range fleet.loads(plans) {
 				if l < 0.75 || l > 1.3 {
-					t.Errorf("server %d gets %.2f of an even share", s, l)
+					t.Errorf("server %d has %.2f times an equal share, want 0.75 to 1.3", s, l)
 				}
 			}
 		})
 	}
 }
 
-// Ejection, avoidance and admission by what forwarders report.
+// TestEjectionAvoidanceAdmission checks which reports cause ejections, avoidance and a reduced admitted share.
 func TestEjectionAvoidanceAdmission(t *testing.T) {
 	for name, c := range map[string]struct {
-		attempts func(f, s int) outcome
-		ejected  int // servers
-		avoided  int
-		admits   bool // everything
+		attempts  func(f, s int) outcome
+		ejected   int // number of ejected servers
+		avoided   int // number of avoided servers
+		admitsAll bool
 	}{
 		"all is healthy":             {healthy, 0, 0, true},
 		"two fail for all":           {func(f, s int) outcome { return failing(f, s, 2, 99) }, 2, 0, true},
@@ -179,23 +181,23 @@
 		"one is slow":                {func(f, s int) outcome { return slow(f, s, 1) }, 0, 1, true},
 		"all are slow":               {func(f, s int) outcome { return slow(f, s, 99) }, 0, 0, true},
 		"all are too slow": {func(f, s int) outcome {
-			if d := healthy(f, s); d.completed > 0 {
+			if result := healthy(f, s); result.completed > 0 {
 				return outcome{completed: 1, latency: 190 * ms, timedOut: 3}
 			}
 			return outcome{}
 		}, 0, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newFleet(20, 12)
+			fleet := newFleet(20, 12)
 			for range 20 {
-				w.step(healthy)
+				fleet.step(healthy)
 			}
 			var plans *FleetPlan
 			for range 2 {
-				plans = w.step(c.attempts)
+				plans = fleet.step(c.attempts)
 			}
 			ejected, avoided := map[string]bool{}, map[string]bool{}
-			for _, n := range w.names {
+			for _, n := range fleet.forwarderNames {
 				for _, s := range plans.ForForwarder(n).Servers {
 					if s.EjectionRemaining > 0 {
 						ejected[s.ID] = true
@@ -205,9 +207,9 @@
 					}
 				}
 			}
-			p := plans.ForForwarder(w.names[0])
-			if len(ejected) != c.ejected || len(avoided) != c.avoided || c.admits != (p.AdmittedShare == 1) {
-				t.Errorf("%d ejected, %d avoided, %.2f admitted", len(ejected), len(avoided), p.AdmittedShare)
+			p := plans.ForForwarder(fleet.forwarderNames[0])
+			if len(ejected) != c.ejected || len(avoided) != c.avoided || c.admitsAll != (p.AdmittedShare == 1) {
+				t.Errorf("got %d ejected and %d avoided servers, admitted share %.2f", len(ejected), len(avoided), p.AdmittedShare)
 			}
 		})
 	}
@@ -224,53 +226,55 @@
 }
 
 func slow(f, s, servers int) outcome {
-	d := healthy(f, s)
+	result := healthy(f, s)
 	if s < servers {
-		d.latency *= 5
+		result.latency *= 5
 	}
-	return d
+	return result
 }
 
-// All forwarders together send a server in slow start what a warm one gets, however many use it.
+// TestSlowStartRatesAddUp checks that the total rate of all forwarders to a server in slow start equals the rate of a warm server,
+// independent of the number of forwarders.
 func TestSlowStartRatesAddUp(t *testing.T) {
 	for _, forwarders := range []int{1, 20, 200} {
-		w := newFleet(forwarders, 12)
+		fleet := newFleet(forwarders, 12)
 		for range 8 {
-			w.step(healthy)
+			fleet.step(healthy)
 		}
-		w.p.EndpointsUpdated(w.now, []incarnation.Entry{{ID: "s003", Weight: 1, StartedUnixMS: w.now.Milliseconds(), Revision: 2}}, false)
-		plans := w.step(healthy)
+		fleet.planner.EndpointsUpdated(fleet.now, []incarnation.Entry{{ID: "s003", Weight: 1, StartedUnixMS: fleet.now.Milliseconds(), Revision: 2}}, false)
+		plans := fleet.step(healthy)
 		sum, rate := 0.0, 0.0
-		for _, n := range w.names {
+		for _, n := range fleet.forwarderNames {
 			for _, s := range plans.ForForwarder(n).Servers {
 				if s.ID == "s003" {
 					if s.SlowStartRate <= 0 {
-						t.Fatalf("%s has no limit", n)
+						t.Fatalf("forwarder %s has no slow start rate for s003", n)
 					}
 					sum += s.SlowStartRate
 				}
 			}
-			rate += w.p.forwarders[n].rate
+			rate += fleet.planner.forwarders[n].rate
 		}
 		floor := minConcurrencyShare * 2.5 / 0.020
 		if most := max(rate/12, floor) * 1.05; sum > most || sum < most/2 {
-			t.Errorf("%d forwarders may send it %.1f a second, a warm one gets %.1f", forwarders, sum, most)
+			t.Errorf("%d forwarders: total slow start rate %.1f per second, want half to all of %.1f per second", forwarders, sum, most)
 		}
 	}
 }
 
-// Forwarders that settings count but that don't report leave their part of the slow start rate unused.
-func TestSlowStartRatesLeaveRoomForForwardersNotReporting(t *testing.T) {
-	w := newFleet(20, 12)
-	w.names = w.names[:10]
-	w.step(healthy)
-	for _, f := range w.p.forwarders {
+// TestSlowStartRatesReserveForNonReporting checks that the slow start rate of configured forwarders without reports is left
+// unused.
+func TestSlowStartRatesReserveForNonReporting(t *testing.T) {
+	fleet := newFleet(20, 12)
+	fleet.forwarderNames = fleet.forwarderNames[:10]
+	fleet.step(healthy)
+	for _, f := range fleet.planner.forwarders {
 		f.settings.Nodes = 20
 	}
-	w.p.EndpointsUpdated(w.now, []incarnation.Entry{{ID: "s003", Weight: 1, StartedUnixMS: w.now.Milliseconds(), Revision: 2}}, false)
-	plans := w.p.ComputePlans(w.now)
+	fleet.planner.EndpointsUpdated(fleet.now, []incarnation.Entry{{ID: "s003", Weight: 1, StartedUnixMS: fleet.now.Milliseconds(), Revision: 2}}, false)
+	plans := fleet.planner.ComputePlans(fleet.now)
 	sum := 0.0
-	for _, n := range w.names {
+	for _, n := range fleet.forwarderNames {
 		for _, s := range plans.ForForwarder(n).Servers {
 			if s.ID == "s003" {
 				sum += s.SlowStartRate
@@ -278,11 +282,11 @@
 		}
 	}
 	if most := 1.05 * minConcurrencyShare * 2.5 / 0.020 / 2; sum > most {
-		t.Errorf("ten of twenty may send %.1f a second, of %.1f", sum, most)
+		t.Errorf("ten of twenty forwarders: total slow start rate %.1f per second, want at most %.1f", sum, most)
 	}
 }
 
-// A tenant's share within its allowance is by its requests at all forwarders.
+// TestTenantSharesWithinAllowance checks that a tenant's share within its allowance includes its requests at all forwarders.
 func TestTenantSharesWithinAllowance(t *testing.T) {
 	p := NewPlanner(0)
 	for i := range 60 {
@@ -293,23 +297,23 @@
 		}
 		p.ComputePlans(now)
 	}
-	for _, w := range p.withinAllowance() {
-		want := map[string]float64{"big": 0.5, "small": 1}[w.Tenant] // 200 and 100 a second
-		if math.Abs(w.Share-want) > 0.1 {
-			t.Errorf("%s: %.2f, not %.2f", w.Tenant, w.Share, want)
+	for _, share := range p.withinAllowance() {
+		want := map[string]float64{"big": 0.5, "small": 1}[share.Tenant] // rates of 200 and 100 requests per second
+		if math.Abs(share.Share-want) > 0.1 {
+			t.Errorf("tenant %s: share within allowance got %.2f, want %.2f", share.Tenant, share.Share, want)
 		}
 	}
 }
 
-// Changes applied in sequence give the plan, except for numbers that hardly differ.
+// TestDiffAndApply checks that changes applied in sequence give the latest plan, except for numbers within minRelativeChange.
 func TestDiffAndApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var sent, held Plan
+		var sent, received Plan
 		incarnations := incarnation.NewTable()
 		for n := range rapid.IntRange(1, 12).Draw(t, "plans") {
 			next := Plan{Number: uint64(n + 1), Nodes: n, AdmittedShare: 0.5}
 			for s := range 6 {
-				if rapid.Bool().Draw(t, "there") {
+				if rapid.Bool().Draw(t, "listed") {
 					next.Servers = append(next.Servers, ServerShare{ID: fmt.Sprint(s), Share: rapid.Float64Range(0, 1).Draw(t, "share"),
 						EjectionRemaining: time.Duration(rapid.IntRange(0, 1).Draw(t, "ejected")), IsAvoided: rapid.Bool().Draw(t, "avoided")})
 				}
@@ -319,116 +323,117 @@
 			}
 			var c Change
 			c, sent = Diff(sent, next)
-			held = Apply(held, c)
+			received = Apply(received, c)
 			incarnations.Join(0, c.Incarnations)
 			got := map[string]ServerShare{}
-			for _, s := range held.Servers {
+			for _, s := range received.Servers {
 				got[s.ID] = s
 			}
 			for _, s := range next.Servers {
 				if g, ok := got[s.ID]; !ok || !isClose(g.Share, s.Share) || g.EjectionRemaining != s.EjectionRemaining || g.IsAvoided != s.IsAvoided {
-					t.Fatalf("%+v is held as %+v", s, g)
+					t.Fatalf("want server %+v, got %+v", s, g)
 				}
 			}
-			if len(got) != len(next.Servers) || len(held.Servers) != len(got) || held.Number != next.Number {
-				t.Fatalf("%d servers, not %d", len(held.Servers), len(next.Servers))
+			if len(got) != len(next.Servers) || len(received.Servers) != len(got) || received.Number != next.Number {
+				t.Fatalf("got %d servers, want %d", len(received.Servers), len(next.Servers))
 			}
 			for _, e := range next.Incarnations {
 				if h, ok := incarnations.Get(e.ID); !ok || incarnation.Compare(h, e) < 0 {
-					t.Fatalf("the incarnation %+v was not sent", e)
+					t.Fatalf("incarnation %+v missing in the changes", e)
 				}
 			}
 		}
 	})
 }
 
-// Impossible values of one forwarder don't affect the others' plans.
-func TestImpossibleReportIsHarmless(t *testing.T) {
-	w := newFleet(5, 6)
-	w.step(healthy)
-	huge := Report{Interval: -1, InFlight: -9, Types: []TypeReport{{}}, CurrentShares: []CurrentShare{{ID: "s000", Share: math.NaN()}, {ID: "s001", Share: 1e300}},
+// TestInvalidReportDoesNotAffectOthers checks that invalid values in one forwarder's report do not affect the plans of others.
+func TestInvalidReportDoesNotAffectOthers(t *testing.T) {
+	fleet := newFleet(5, 6)
+	fleet.step(healthy)
+	invalid := Report{Interval: -1, InFlight: -9, Types: []TypeReport{{}}, CurrentShares: []CurrentShare{{ID: "s000", Share: math.NaN()}, {ID: "s001", Share: 1e300}},
 		Servers: []ServerReport{{ID: "s000", TimedOut: -5, Failed: -5, Completions: []Completions{{TypeIndex: 9, Count: 1}, {TypeIndex: -1, Count: 1}, {TypeIndex: 0, Count: -7, TotalLatency: 1}}}}}
-	w.p.ReportReceived(w.now, "odd", &huge)
-	plans := w.step(healthy)
-	for _, n := range w.names {
+	fleet.planner.ReportReceived(fleet.now, "odd", &invalid)
+	plans := fleet.step(healthy)
+	for _, n := range fleet.forwarderNames {
 		for _, s := range plans.ForForwarder(n).Servers {
 			if !(s.Share >= 0 && s.Share <= 1) || math.IsNaN(s.SlowStartRate) {
-				t.Errorf("%s: %+v", n, s)
+				t.Errorf("forwarder %s: invalid plan entry %+v", n, s)
 			}
 		}
 	}
 }
 
-// The largest deployment: 557 forwarders and 192 servers.
+// BenchmarkPlan measures one computation for the largest deployment: 557 forwarders and 192 servers.
 func BenchmarkPlan(b *testing.B) {
-	w := newFleet(557, 192)
+	fleet := newFleet(557, 192)
 	for range 4 {
-		w.step(healthy)
+		fleet.step(healthy)
 	}
 	b.ResetTimer()
 	for b.Loop() {
-		w.p.ComputePlans(w.now)
+		fleet.planner.ComputePlans(fleet.now)
 	}
 }
 
-// The first plan, when no forwarder has a subset yet.
+// BenchmarkFirstPlan measures the first computation, in which no forwarder has a subset yet.
 func BenchmarkFirstPlan(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
-		w := newFleet(557, 192)
-		w.step(healthy)
-		for _, f := range w.p.forwarders {
+		fleet := newFleet(557, 192)
+		fleet.step(healthy)
+		for _, f := range fleet.planner.forwarders {
 			f.shares = nil
 		}
 		b.StartTimer()
-		w.p.ComputePlans(w.now)
+		fleet.planner.ComputePlans(fleet.now)
 	}
 }
 
-// What a planner sends to 557 forwarders in a second when latencies vary at random, as changes and as plans plans.
+// BenchmarkBytes measures the bytes per second that a planner sends to 557 forwarders with random latencies, as changes and as full
+// plans.
 func BenchmarkBytes(b *testing.B) {
-	w := newFleet(557, 192)
+	fleet := newFleet(557, 192)
 	random := rand.New(rand.NewPCG(1, 1))
 	attempts := func(f, s int) outcome {
-		d := healthy(f, s)
-		d.latency = time.Duration(float64(d.latency) * (0.5 + random.Float64()))
-		return d
+		result := healthy(f, s)
+		result.latency = time.Duration(float64(result.latency) * (0.5 + random.Float64()))
+		return result
 	}
 	sent := map[string]Plan{}
-	changes, fullBytes, steps := 0, 0, 0
+	changedBytes, fullBytes, steps := 0, 0, 0
 	for range 4 {
-		w.step(attempts)
+		fleet.step(attempts)
 	}
 	for b.Loop() {
-		plans := w.step(attempts)
-		for _, n := range w.names {
+		plans := fleet.step(attempts)
+		for _, n := range fleet.forwarderNames {
 			next := plans.ForForwarder(n)
 			var c Change
 			c, sent[n] = Diff(sent[n], next)
-			text, _ := planwire.Append(nil, planwire.ChangeKind, c)
-			all, _ := planwire.Append(nil, planwire.ChangeKind, next)
-			if steps > 0 { // the first is plans
-				changes += len(text)
+			change, _ := planwire.Append(nil, planwire.ChangeKind, c)
+			full, _ := planwire.Append(nil, planwire.ChangeKind, next)
+			if steps > 0 { // the first change contains the full plan
+				changedBytes += len(change)
 			}
-			fullBytes += len(all)
+			fullBytes += len(full)
 		}
 		steps++
 	}
-	b.ReportMetric(2*float64(changes)/float64(max(steps-1, 1)), "changed-B/s")
+	b.ReportMetric(2*float64(changedBytes)/float64(max(steps-1, 1)), "changed-B/s")
 	b.ReportMetric(2*float64(fullBytes)/float64(steps), "full-B/s")
 }
 
-// A tenant that reports don't name counts like one that is named without traffic.
+// TestUnnamedTenantHasNoTraffic checks that a tenant missing in reports gives the same shares as a tenant reported without traffic.
 func TestUnnamedTenantHasNoTraffic(t *testing.T) {
 	const idle, allowance = 50, 100.0
-	share := func(named bool, now *time.Duration, p *Planner, asked int) (busy float64, isNamed bool) {
+	share := func(named bool, now *time.Duration, p *Planner, requests int) (busy float64, isNamed bool) {
 		for range 60 {
 			*now += 500 * ms
 			r := Report{Interval: 500 * ms, Settings: ForwarderSettings{TotalAllowance: (idle + 2) * allowance}}
-			if asked > 0 || named {
-				r.Tenants = append(r.Tenants, TenantReport{Name: "busy", Allowance: allowance, Requests: asked})
+			if requests > 0 || named {
+				r.Tenants = append(r.Tenants, TenantReport{Name: "busy", Allowance: allowance, Requests: requests})
 			}
-			r.Tenants = append(r.Tenants, TenantReport{Name: "other", Allowance: allowance, Requests: 70}) // beyond its allowance too
+			r.Tenants = append(r.Tenants, TenantReport{Name: "other", Allowance: allowance, Requests: 70}) // also exceeds its allowance
 			for i := range idle {
 				if named {
 					r.Tenants = append(r.Tenants, TenantReport{Name: fmt.Sprint("idle", i), Allowance: allowance})
@@ -437,9 +442,9 @@
 			p.ReportReceived(*now, "f", &r)
 			p.ComputePlans(*now)
 		}
-		for _, w := range p.withinAllowance() {
-			if w.Tenant == "busy" {
-				return w.Share, true
+		for _, tenantShare := range p.withinAllowance() {
+			if tenantShare.Tenant == "busy" {
+				return tenantShare.Share, true
 			}
 		}
 		return 1, false
@@ -452,13 +457,13 @@
 			share(named, &now, p, 0)
 		}
 		if got, isNamed := share(named, &now, p, 0); got != 1 || isNamed && !named {
-			t.Errorf("named %v: without traffic its share is %g, named %v", named, got, isNamed)
+			t.Errorf("named %v: share without traffic got %g, reported %v, want 1", named, got, isNamed)
 		}
 		if got, _ := share(named, &now, p, 100); math.Abs(got-shares[named]) > 1e-6 {
-			t.Errorf("named %v: %g, and %g after a pause", named, shares[named], got)
+			t.Errorf("named %v: share %g before a pause, %g after it", named, shares[named], got)
 		}
 	}
 	if got, want := shares[false], shares[true]; math.Abs(got-want) > 1e-6 || want > 0.6 || want < 0.4 {
-		t.Errorf("%.3f where idle tenants are not named, %.3f where they are", got, want)
+		t.Errorf("share of busy tenant: %.3f without idle tenants in reports, %.3f with them", got, want)
 	}
 }
--- a/internal/controlplane/plan/scenario_test.go
+++ b/internal/controlplane/plan/scenario_test.go
@@ -12,27 +12,27 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew; only where decisions are meant to change")
+var update = flag.Bool("update", false, "rewrite the golden files; only for intended changes of decisions")
 
-// describePlan is one forwarder's plan as text. Numbers are rounded: some sums run over maps.
+// describePlan writes one forwarder's plan as text. It rounds numbers because some sums iterate over maps in random order.
 func describePlan(out *strings.Builder, name string, p Plan) {
-	fmt.Fprintf(out, "%s: number %d, heard %v, seen %d, nodes %d, admit %.6g\n", name, p.Number, p.ReportSentAt, p.ReportingForwarders, p.Nodes, p.AdmittedShare)
-	for _, w := range p.WithinAllowance {
-		fmt.Fprintf(out, "  tenant %s %.6g\n", w.Tenant, w.Share)
+	fmt.Fprintf(out, "%s: number %d, report sent at %v, reporting %d, nodes %d, admitted %.6g\n", name, p.Number, p.ReportSentAt, p.ReportingForwarders, p.Nodes, p.AdmittedShare)
+	for _, share := range p.WithinAllowance {
+		fmt.Fprintf(out, "  tenant %s %.6g\n", share.Tenant, share.Share)
 	}
 	for _, s := range p.Servers {
-		fmt.Fprintf(out, "  server %s share %.6g avoid %t pace %.6g rest %v\n", s.ID, s.Share, s.IsAvoided, s.SlowStartRate, s.EjectionRemaining)
+		fmt.Fprintf(out, "  server %s share %.6g avoided %t slow start rate %.6g ejected for %v\n", s.ID, s.Share, s.IsAvoided, s.SlowStartRate, s.EjectionRemaining)
 	}
-	fmt.Fprintf(out, "  %d lives\n", len(p.Incarnations))
+	fmt.Fprintf(out, "  %d incarnations\n", len(p.Incarnations))
 }
 
-// TestScenario pins the plans of a fixed course of events: a calm start, failing and slow servers, a start and a drain,
-// overload, forwarders that leave.
+// TestScenario compares the plans of a fixed sequence of events with a golden file: normal load, failing and slow servers, a server
+// start and a drain, overload, and forwarders that leave.
 func TestScenario(t *testing.T) {
-	w := newFleet(20, 12)
+	fleet := newFleet(20, 12)
 	tenants := []TenantReport{{Name: "big", Allowance: 100, Requests: 40}, {Name: "small", Allowance: 50, Requests: 5}}
 	overload := func(f, s int) outcome {
-		if d := healthy(f, s); d.completed > 0 {
+		if result := healthy(f, s); result.completed > 0 {
 			return outcome{completed: 1, latency: 190 * ms, timedOut: 3}
 		}
 		return outcome{}
@@ -49,24 +49,24 @@
 		{"calm again", nil, 12, healthy},
 		{"two servers are slow", nil, 4, func(f, s int) outcome { return slow(f, s, 2) }},
 		{"a server starts, another drains", func() {
-			w.p.EndpointsUpdated(w.now, []incarnation.Entry{{ID: "s003", Weight: 2, StartedUnixMS: w.now.Milliseconds(), Revision: 2},
+			fleet.planner.EndpointsUpdated(fleet.now, []incarnation.Entry{{ID: "s003", Weight: 2, StartedUnixMS: fleet.now.Milliseconds(), Revision: 2},
 				{ID: "s004", Weight: 1, Condition: incarnation.Draining, Revision: 2}}, false)
 		}, 4, healthy},
 		{"tenants", func() {
-			for _, name := range w.names {
-				w.p.ReportReceived(w.now, name, &Report{SentAt: w.now, Interval: 500 * ms, InFlight: 3, CurrentShares: w.held[name], Tenants: tenants,
+			for _, name := range fleet.forwarderNames {
+				fleet.planner.ReportReceived(fleet.now, name, &Report{SentAt: fleet.now, Interval: 500 * ms, InFlight: 3, CurrentShares: fleet.currentShares[name], Tenants: tenants,
 					Settings: ForwarderSettings{Nodes: 24, SlowStartDuration: 5 * time.Second, InitialCapacity: 0.4, CrashLoadFactor: 2.5, TotalAllowance: 200}})
 			}
 		}, 2, healthy},
 		{"overload", nil, 6, overload},
-		{"half of the forwarders leave", func() { w.names = w.names[:10] }, 24, healthy},
+		{"half of the forwarders leave", func() { fleet.forwarderNames = fleet.forwarderNames[:10] }, 24, healthy},
 	} {
 		if phase.begin != nil {
 			phase.begin()
 		}
 		var plans *FleetPlan
 		for range phase.steps {
-			plans = w.step(phase.attempts)
+			plans = fleet.step(phase.attempts)
 		}
 		fmt.Fprintf(&out, "# %s\n", phase.name)
 		for _, name := range []string{"n000", "n007", "unknown"} {
@@ -76,7 +76,7 @@
 	compareGolden(t, filepath.Join("testdata", "scenario.txt"), out.String())
 }
 
-// compareGolden compares a text with a file's.
+// compareGolden compares a text with a golden file.
 func compareGolden(t *testing.T, path, got string) {
 	t.Helper()
 	if *update {
@@ -91,10 +91,10 @@
 	want := strings.Split(string(golden), "\n")
 	for i, line := range strings.Split(got, "\n") {
 		if i >= len(want) || line != want[i] {
-			t.Fatalf("line %d is\n%s\nof\n%s", i+1, line, got)
+			t.Fatalf("line %d differs from the golden file, got\n%s\nin\n%s", i+1, line, got)
 		}
 	}
 	if len(got) != len(golden) {
-		t.Errorf("%d bytes, %d were", len(got), len(golden))
+		t.Errorf("got %d bytes, want %d", len(got), len(golden))
 	}
 }
--- a/internal/controlplane/planfollower/follower.go
+++ b/internal/controlplane/planfollower/follower.go
@@ -45,7 +45,7 @@
 	AdmittedShare       float64
 	WithinAllowance     []plan.TenantShare // empty: the forwarder uses its own request counts
 	Servers             []plan.ServerShare // sorted by ID
-	ShouldPollDiscovery bool               // set while no planner provides a fresh plan
+	ShouldPollDiscovery bool               // set after the forwarder's poll delay without a fresh plan
 }
 
 // New returns a Follower without a plan.
--- a/internal/controlplane/planfollower/follower_test.go
+++ b/internal/controlplane/planfollower/follower_test.go
@@ -12,9 +12,9 @@
 
 const ms = time.Millisecond
 
-func all(string) bool { return true }
+func allUp(string) bool { return true }
 
-// planOf returns a plan that is based on a report of a moment.
+// planOf returns a plan that includes a report sent at a given time.
 func planOf(reportSentAt time.Duration, reporting int, shares ...float64) plan.Plan {
 	p := plan.Plan{PlannerStartMs: 1, Number: 1, ReportSentAt: reportSentAt, ReportingForwarders: reporting, Nodes: reporting, AdmittedShare: 0.4, WithinAllowance: []plan.TenantShare{{Tenant: "a", Share: 0.5}}}
 	for i, s := range shares {
@@ -23,7 +23,7 @@
 	return p
 }
 
-// Which plan is in effect, by what planners sent and when.
+// TestPlanInEffect checks which plan is in effect, depending on the plans received and their ages.
 func TestPlanInEffect(t *testing.T) {
 	type received struct {
 		at      time.Duration
@@ -32,48 +32,48 @@
 	}
 	const s = time.Second
 	for name, c := range map[string]struct {
-		plans   []received
-		at      time.Duration
-		hasPlan bool
-		planner int
-		nodes   int
-		admit   float64
-		within  bool
-		polls   bool
+		plans           []received
+		at              time.Duration
+		hasPlan         bool
+		planner         int
+		nodes           int
+		admitted        float64
+		hasTenantShares bool
+		polls           bool
 	}{
 		"no planner, at the start": {nil, 500 * ms, false, -1, 9, 0, false, false},
 		"no planner":               {nil, 3 * s, false, -1, 9, 0, false, true},
 		"one planner":              {[]received{{s, 0, planOf(s, 20)}}, 2 * s, true, 0, 20, 0.4, true, false},
-		"a plan without a report of this forwarder": {[]received{{2 * s, 0, planOf(0, 20)}}, 2500 * ms, false, -1, 9, 0, false, false},
-		"the first planner is preferred":            {[]received{{s, 1, planOf(s, 20)}, {s, 0, planOf(s, 19)}}, 2 * s, true, 0, 20, 0.4, true, false},
-		"the first planner hears few forwarders":    {[]received{{s, 0, planOf(s, 9)}, {s, 1, planOf(s, 20)}}, 2 * s, true, 1, 20, 0.4, true, false},
-		"the first planner has stalled":             {[]received{{s, 0, planOf(s, 20)}, {5 * s, 1, planOf(5*s, 20)}}, 5 * s, true, 1, 20, 0.4, true, false},
-		"a plan received late is old":               {[]received{{s, 0, planOf(s, 20)}, {8 * s, 0, planOf(2*s, 20)}}, 8 * s, true, -1, 20, 0.64, false, true},
-		"planner lost for a while":                  {[]received{{s, 0, planOf(s, 20)}}, 9 * s, true, -1, 20, 0.7, false, true},
-		"planner lost for long":                     {[]received{{s, 0, planOf(s, 20)}}, 15 * s, false, -1, 9, 0, false, true},
-		"planner back after long":                   {[]received{{s, 0, planOf(s, 20)}, {20 * s, 1, planOf(20*s, 20)}}, 20 * s, true, 1, 20, 0.4, true, false},
+		"a plan without a report of this forwarder":  {[]received{{2 * s, 0, planOf(0, 20)}}, 2500 * ms, false, -1, 9, 0, false, false},
+		"the first planner is preferred":             {[]received{{s, 1, planOf(s, 20)}, {s, 0, planOf(s, 19)}}, 2 * s, true, 0, 20, 0.4, true, false},
+		"few forwarders report to the first planner": {[]received{{s, 0, planOf(s, 9)}, {s, 1, planOf(s, 20)}}, 2 * s, true, 1, 20, 0.4, true, false},
+		"the first planner has stalled":              {[]received{{s, 0, planOf(s, 20)}, {5 * s, 1, planOf(5*s, 20)}}, 5 * s, true, 1, 20, 0.4, true, false},
+		"a plan received late is old":                {[]received{{s, 0, planOf(s, 20)}, {8 * s, 0, planOf(2*s, 20)}}, 8 * s, true, -1, 20, 0.64, false, true},
+		"planner lost for 8 s":                       {[]received{{s, 0, planOf(s, 20)}}, 9 * s, true, -1, 20, 0.7, false, true},
+		"planner lost for 14 s":                      {[]received{{s, 0, planOf(s, 20)}}, 15 * s, false, -1, 9, 0, false, true},
+		"planner back after 19 s":                    {[]received{{s, 0, planOf(s, 20)}, {20 * s, 1, planOf(20*s, 20)}}, 20 * s, true, 1, 20, 0.4, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := New(Options{PlannerCount: 2, ConfiguredNodes: 9, PollJitter: 0.5})
 			var e Effective
 			for now := 250 * ms; now <= c.at; now += 250 * ms {
-				for _, w := range c.plans {
-					if w.at == now {
-						f.PlanReceived(now, w.planner, w.plan)
+				for _, r := range c.plans {
+					if r.at == now {
+						f.PlanReceived(now, r.planner, r.plan)
 					}
 				}
-				e = f.Advance(now, all)
+				e = f.Advance(now, allUp)
 			}
-			if e.HasPlan != c.hasPlan || e.Planner != c.planner || e.Nodes != c.nodes || e.ShouldPollDiscovery != c.polls || len(e.WithinAllowance) > 0 != c.within ||
-				e.AdmittedShare < c.admit-0.05 || e.AdmittedShare > c.admit+0.05 {
-				t.Errorf("%+v", e)
+			if e.HasPlan != c.hasPlan || e.Planner != c.planner || e.Nodes != c.nodes || e.ShouldPollDiscovery != c.polls || len(e.WithinAllowance) > 0 != c.hasTenantShares ||
+				e.AdmittedShare < c.admitted-0.05 || e.AdmittedShare > c.admitted+0.05 {
+				t.Errorf("unexpected state in effect: %+v", e)
 			}
 		})
 	}
 }
 
-// However plans differ, no more than maxMovePerSecond of the requests moves, except away from
-// servers that must not be used; and shares add up to 1.
+// TestSharesMoveGradually checks that at most maxMovePerSecond of the requests moves between servers, except away from unusable
+// servers, and that the shares add up to 1.
 func TestSharesMoveGradually(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := New(Options{PlannerCount: 3, ConfiguredNodes: 9})
@@ -101,16 +101,16 @@
 				rise += max(s.Share-before[s.ID], 0)
 			}
 			if e.HasPlan && sum > 0 && (sum < 0.99 || sum > 1.01) {
-				t.Fatalf("shares add up to %f", sum)
+				t.Fatalf("sum of shares got %f, want 1", sum)
 			}
 			if before != nil && !changedUp && e.HasPlan && rise > maxMovePerSecond*0.25+0.001 {
-				t.Fatalf("%.3f of the requests moved at once: %v to %v", rise, before, after)
+				t.Fatalf("%.3f of the requests moved in one step: %v to %v", rise, before, after)
 			}
 			if before = after; !e.HasPlan || sum == 0 {
 				before = nil
 			}
 			if up["3"] == false && after["3"] > 0 {
-				t.Fatal("a server that is down has a share")
+				t.Fatal("server 3 is down but has a share")
 			}
 		}
 	})
--- a/internal/controlplane/planfollower/scenario_test.go
+++ b/internal/controlplane/planfollower/scenario_test.go
@@ -12,10 +12,10 @@
 	"fernvane/internal/controlplane/plan"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew; only where decisions are meant to change")
+var update = flag.Bool("update", false, "rewrite the golden files; only for intended changes of decisions")
 
-// TestScenario pins what holds in a fixed course of events: two planners, a server that goes down, an ejection, a planner that
-// falls silent and both of them lost for good.
+// TestScenario compares the state in effect during a fixed sequence of events with a golden file: two planners, a server that goes
+// down, an ejection, the loss of one planner and the permanent loss of both.
 func TestScenario(t *testing.T) {
 	f := New(Options{PlannerCount: 2, ConfiguredNodes: 9, PollJitter: 0.5})
 	down := map[string]bool{}
@@ -34,12 +34,12 @@
 		}
 		down["2"] = step >= 20 && step < 26
 		e := f.Advance(now, func(id string) bool { return !down[id] })
-		fmt.Fprintf(&out, "%v: planned %t, from %d, age %v, nodes %d, admit %.6g, within %d, ask %t\n", now, e.HasPlan, e.Planner, e.PlanAge, e.Nodes, e.AdmittedShare,
+		fmt.Fprintf(&out, "%v: has plan %t, planner %d, age %v, nodes %d, admitted %.6g, tenants %d, poll %t\n", now, e.HasPlan, e.Planner, e.PlanAge, e.Nodes, e.AdmittedShare,
 			len(e.WithinAllowance), e.ShouldPollDiscovery)
 		for _, s := range e.Servers {
-			fmt.Fprintf(&out, "  %s share %.6g avoid %t pace %.6g rest %v\n", s.ID, s.Share, s.IsAvoided, s.SlowStartRate, s.EjectionRemaining)
+			fmt.Fprintf(&out, "  %s share %.6g avoided %t slow start rate %.6g ejected for %v\n", s.ID, s.Share, s.IsAvoided, s.SlowStartRate, s.EjectionRemaining)
 		}
-		fmt.Fprintf(&out, "  held%s\n", describeHeld(f.CurrentShares()))
+		fmt.Fprintf(&out, "  current%s\n", describeShares(f.CurrentShares()))
 	}
 	path := filepath.Join("testdata", "scenario.txt")
 	if *update {
@@ -54,17 +54,17 @@
 	want, got := strings.Split(string(golden), "\n"), strings.Split(out.String(), "\n")
 	for i, line := range got {
 		if i >= len(want) || line != want[i] {
-			t.Fatalf("line %d is\n%s\nof\n%s", i+1, line, out.String())
+			t.Fatalf("line %d differs from the golden file, got\n%s\nin\n%s", i+1, line, out.String())
 		}
 	}
 	if len(got) != len(want) {
-		t.Errorf("%d lines, %d were", len(got), len(want))
+		t.Errorf("got %d lines, want %d", len(got), len(want))
 	}
 }
 
-func describeHeld(held []plan.CurrentShare) (text string) {
-	for _, h := range held {
-		text += fmt.Sprintf(" %s %.6g", h.ID, h.Share)
+func describeShares(shares []plan.CurrentShare) (text string) {
+	for _, s := range shares {
+		text += fmt.Sprintf(" %s %.6g", s.ID, s.Share)
 	}
 	return text
 }
--- a/internal/controlplane/planner/server_test.go
+++ b/internal/controlplane/planner/server_test.go
@@ -26,14 +26,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-type unobserved struct{}
+// noObserver ignores the announcements of the stand-in discovery.
+type noObserver struct{}
 
-func (unobserved) Announced(int, string, string, int64, time.Time) {}
+func (noObserver) Announced(int, string, string, int64, time.Time) {}
 
-// start runs a planner beside a discovery of its own.
-func start(t *testing.T, k *mtls.Keys) (at string, list *discovery.Service) {
+// startPlanner starts a planner with its own stand-in discovery. It returns the planner's address and the discovery.
+func startPlanner(t *testing.T, keys *mtls.Keys) (address string, list *discovery.Service) {
 	t.Helper()
-	list = discovery.New(discovery.Settings{LinesPerS: 1e6, Timeout: time.Second}, 1, unobserved{})
+	list = discovery.New(discovery.Settings{LinesPerS: 1e6, Timeout: time.Second}, 1, noObserver{})
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -46,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := &planconfig.Planner{Name: "p", Interval: tomlfile.Duration(50 * time.Millisecond), DiscoveryAddress: netip.MustParseAddrPort(free.Addr().String()), Keys: k}
+	cfg := &planconfig.Planner{Name: "p", Interval: tomlfile.Duration(50 * time.Millisecond), DiscoveryAddress: netip.MustParseAddrPort(free.Addr().String()), Keys: keys}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- run(ctx, cfg, zerolog.Nop(), ln.(*net.TCPListener)) }()
@@ -64,103 +65,109 @@
 	return discovery.Entry{ID: id, Phase: phase, Addresses: []string{"127.0.0.1:9"}}
 }
 
-// peer is a forwarder that speaks the protocol from this test.
-type peer struct {
+// testForwarder is a forwarder that implements the wire protocol in the test.
+type testForwarder struct {
 	t *testing.T
 	*planwire.Conn
-	held  plan.Plan
-	lives *incarnation.Table
+	plan         plan.Plan
+	incarnations *incarnation.Table
 }
 
-func join(t *testing.T, at, name string) *peer {
+// connect connects a forwarder to a planner and completes the handshake.
+func connect(t *testing.T, address, name string) *testForwarder {
 	t.Helper()
-	nc, err := net.Dial("tcp", at)
+	nc, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	p := &peer{t: t, Conn: planwire.NewConn(nc), lives: incarnation.NewTable()}
-	if _, err := p.Handshake(name, time.Now().Add(5*time.Second)); err != nil {
+	f := &testForwarder{t: t, Conn: planwire.NewConn(nc), incarnations: incarnation.NewTable()}
+	if _, err := f.Handshake(name, time.Now().Add(5*time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return f
 }
 
-func (p *peer) report(r plan.Report) {
-	p.t.Helper()
-	if err := p.Send(planwire.ReportKind, r); err != nil {
-		p.t.Fatal(err)
+func (f *testForwarder) report(r plan.Report) {
+	f.t.Helper()
+	if err := f.Send(planwire.ReportKind, r); err != nil {
+		f.t.Fatal(err)
 	}
 }
 
-// until receives changes until a condition holds.
-func (p *peer) until(what string, is func() bool) {
-	p.t.Helper()
-	for by := time.Now().Add(5 * time.Second); !is(); {
-		k, body, err := p.Receive(by)
+// waitUntil receives changes until a condition is true, for at most 5 s.
+func (f *testForwarder) waitUntil(event string, isTrue func() bool) {
+	f.t.Helper()
+	for deadline := time.Now().Add(5 * time.Second); !isTrue(); {
+		k, body, err := f.Receive(deadline)
 		if err != nil {
-			p.t.Fatalf("%s: %v", what, err)
+			f.t.Fatalf("wait for %s: %v", event, err)
 		}
 		var c plan.Change
 		if k == planwire.ChangeKind && planwire.Decode(body, &c) == nil {
-			p.held = plan.Apply(p.held, c)
-			p.lives.Join(0, c.Incarnations)
+			f.plan = plan.Apply(f.plan, c)
+			f.incarnations.Join(0, c.Incarnations)
 		}
 	}
 }
 
-func (p *peer) condition(id string) incarnation.Condition {
-	e, ok := p.lives.Get(id)
+// condition returns a server's condition, or 99 for an unknown server.
+func (f *testForwarder) condition(id string) incarnation.Condition {
+	e, ok := f.incarnations.Get(id)
 	if !ok {
 		return 99
 	}
 	return e.Condition
 }
 
-// Two forwarders receive their subsets and learn of a drain; what one of them knows reaches the other by the planner.
+// TestForwardersReceivePlansAndUpdates checks that two forwarders receive their subsets and a drain, and that the planner passes a newer
+// incarnation from one forwarder to the other.
 func TestForwardersReceivePlansAndUpdates(t *testing.T) {
 	t.Parallel()
-	at, list := start(t, nil)
+	address, list := startPlanner(t, nil)
 	for i := range 8 {
 		list.Set(entry(fmt.Sprint("s", i), discovery.Serving))
 	}
-	a, b := join(t, at, "a"), join(t, at, "b")
+	a, b := connect(t, address, "a"), connect(t, address, "b")
 	report := plan.Report{SentAt: 7 * time.Second, Interval: 500 * time.Millisecond}
 	a.report(report)
 	b.report(report)
-	for _, p := range []*peer{a, b} {
-		p.until("a subset of its own", func() bool {
-			return p.held.ReportingForwarders == 2 && len(p.held.Servers) >= 6 && p.held.ReportSentAt == 7*time.Second
+	for _, f := range []*testForwarder{a, b} {
+		f.waitUntil("first subset", func() bool {
+			return f.plan.ReportingForwarders == 2 && len(f.plan.Servers) >= 6 && f.plan.ReportSentAt == 7*time.Second
 		})
 	}
 	list.Set(entry("s3", discovery.Draining))
-	a.until("the drain", func() bool { return a.condition("s3") == incarnation.Draining })
-	a.until("no share of it", func() bool {
-		for _, s := range a.held.Servers {
+	a.waitUntil("drain of s3", func() bool { return a.condition("s3") == incarnation.Draining })
+	a.waitUntil("removal of s3's share", func() bool {
+		for _, s := range a.plan.Servers {
 			if s.ID == "s3" {
 				return false
 			}
 		}
 		return true
 	})
-	// a knows of an end that discovery has not listed yet; b learns of it.
+	// Forwarder a reports a removed server that discovery has not listed yet. The planner notifies forwarder b.
 	report.NewerIncarnations = []incarnation.Entry{{ID: "s4", Condition: incarnation.Gone, Revision: 100}}
 	a.report(report)
-	b.until("what a knows", func() bool { return b.condition("s4") == incarnation.Gone })
+	b.waitUntil("removal of s4 reported by a", func() bool { return b.condition("s4") == incarnation.Gone })
 	list.Set(entry("s3", discovery.Serving))
-	b.until("the drain called off", func() bool { e, _ := b.lives.Get("s3"); return e.Condition == incarnation.Up && e.Generation == 1 })
+	b.waitUntil("cancellation of the drain of s3", func() bool {
+		e, _ := b.incarnations.Get("s3")
+		return e.Condition == incarnation.Up && e.Generation == 1
+	})
 }
 
-// A planner on a registry sends forwarders the servers as they register, drain and vanish.
+// TestRegistryAsSource checks that a planner with a registry sends forwarders the servers that register, drain and disappear.
 func TestRegistryAsSource(t *testing.T) {
 	t.Parallel()
-	r := standin.New(nil)
-	server, err := r.Listen("127.0.0.1:0", 0)
+	registry := standin.New(nil)
+	server, err := registry.Listen("127.0.0.1:0", 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	own := r.Own(time.Hour, map[string][]byte{"/hire/a": []byte("127.0.0.1:1")})
-	r.Own(time.Hour, map[string][]byte{"/hire/b": []byte("127.0.0.1:2")})
+	session := registry.Own(time.Hour, map[string][]byte{"/hire/a": []byte("127.0.0.1:1")})
+	registry.Own(time.Hour, map[string][]byte{"/hire/b": []byte("127.0.0.1:2")})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -173,77 +180,77 @@
 	t.Cleanup(func() {
 		cancel()
 		<-done
-		r.Close()
+		registry.Close()
 	})
-	p := join(t, ln.Addr().String(), "f")
-	p.until("both", func() bool { return p.condition("a") == incarnation.Up && p.condition("b") == incarnation.Up })
-	own.Set("/hire/a", []byte(`{"address":"127.0.0.1","port":1,"status":"DRAINING"}`))
-	p.until("the drain", func() bool { return p.condition("a") == incarnation.Draining })
-	own.End()
-	p.until("the end", func() bool { return p.condition("a") == incarnation.Gone })
+	f := connect(t, ln.Addr().String(), "f")
+	f.waitUntil("servers a and b", func() bool { return f.condition("a") == incarnation.Up && f.condition("b") == incarnation.Up })
+	session.Set("/hire/a", []byte(`{"address":"127.0.0.1","port":1,"status":"DRAINING"}`))
+	f.waitUntil("drain of a", func() bool { return f.condition("a") == incarnation.Draining })
+	session.End()
+	f.waitUntil("removal of a", func() bool { return f.condition("a") == incarnation.Gone })
 }
 
-// A message that violates the protocol ends that connection alone, with a reason.
+// TestProtocolViolationsAreRejected checks that a protocol violation closes only the connection of the sender, with a reason.
 func TestProtocolViolationsAreRejected(t *testing.T) {
 	t.Parallel()
-	at, list := start(t, nil)
+	address, list := startPlanner(t, nil)
 	list.Set(entry("s", discovery.Serving))
-	well := join(t, at, "well")
+	valid := connect(t, address, "well")
 	for name, c := range map[string]struct {
-		send func(p *peer)
-		why  string
+		send   func(f *testForwarder)
+		reason string
 	}{
-		"a plan":             {func(p *peer) { p.Send(planwire.ChangeKind, plan.Change{}) }, "unexpected frame kind 4"},
-		"no report":          {func(p *peer) { p.Send(planwire.ReportKind, "report") }, "cannot unmarshal"},
-		"an oversized frame": {func(p *peer) { p.Write([]byte{0xff, 0xff, 0xff, 0xff, 3}) }, ""},
+		"a plan":             {func(f *testForwarder) { f.Send(planwire.ChangeKind, plan.Change{}) }, "unexpected frame kind 4"},
+		"an invalid report":  {func(f *testForwarder) { f.Send(planwire.ReportKind, "report") }, "cannot unmarshal"},
+		"an oversized frame": {func(f *testForwarder) { f.Write([]byte{0xff, 0xff, 0xff, 0xff, 3}) }, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := join(t, at, "bad")
-			c.send(p)
+			f := connect(t, address, "bad")
+			c.send(f)
 			for {
-				k, body, err := p.Receive(time.Now().Add(5 * time.Second))
+				k, body, err := f.Receive(time.Now().Add(5 * time.Second))
 				if k == planwire.RejectionKind {
 					var r planwire.Rejection
-					if planwire.Decode(body, &r); !strings.Contains(r.Reason, c.why) {
-						t.Errorf("%q", r.Reason)
+					if planwire.Decode(body, &r); !strings.Contains(r.Reason, c.reason) {
+						t.Errorf("unexpected rejection reason %q", r.Reason)
 					}
 					return
 				}
 				if err != nil {
-					if c.why != "" || strings.Contains(err.Error(), "timeout") {
-						t.Errorf("ended with %v", err)
+					if c.reason != "" || strings.Contains(err.Error(), "timeout") {
+						t.Errorf("connection ended without the expected rejection: %v", err)
 					}
 					return
 				}
 			}
 		})
 	}
-	well.report(plan.Report{SentAt: 1, Interval: time.Second})
-	well.until("a plan all the same", func() bool { return len(well.held.Servers) == 1 })
+	valid.report(plan.Report{SentAt: 1, Interval: time.Second})
+	valid.waitUntil("plan after the violations of other forwarders", func() bool { return len(valid.plan.Servers) == 1 })
 }
 
-// A second connection under a forwarder's name ends the older one.
+// TestReconnectReplacesOlderConnection checks that a second connection with the same forwarder name closes the older connection.
 func TestReconnectReplacesOlderConnection(t *testing.T) {
 	t.Parallel()
-	at, list := start(t, nil)
+	address, list := startPlanner(t, nil)
 	list.Set(entry("s", discovery.Serving))
-	older := join(t, at, "a")
+	older := connect(t, address, "a")
 	older.report(plan.Report{SentAt: 1, Interval: time.Second})
-	older.until("a plan", func() bool { return len(older.held.Servers) == 1 }) // it is accepted: connections may overtake each other
-	newer := join(t, at, "a")
+	older.waitUntil("plan on the older connection", func() bool { return len(older.plan.Servers) == 1 }) // ensures that the planner accepts the older connection first
+	newer := connect(t, address, "a")
 	newer.report(plan.Report{SentAt: 1, Interval: time.Second})
-	newer.until("a plan", func() bool { return newer.held.ReportingForwarders == 1 && len(newer.held.Servers) == 1 })
+	newer.waitUntil("plan on the newer connection", func() bool { return newer.plan.ReportingForwarders == 1 && len(newer.plan.Servers) == 1 })
 	for {
 		if _, _, err := older.Receive(time.Now().Add(5 * time.Second)); err != nil {
 			if strings.Contains(err.Error(), "timeout") {
-				t.Error("the older connection is open")
+				t.Error("older connection is still open after 5 s")
 			}
 			return
 		}
 	}
 }
 
-// Over TLS only forwarders of the same authority are accepted.
+// TestTLS checks that a planner with TLS accepts only forwarders with certificates of its own authority.
 func TestTLS(t *testing.T) {
 	t.Parallel()
 	load := func(a *certauthority.Authority, name string) *mtls.Keys {
@@ -259,14 +266,14 @@
 	}
 	ours, _ := certauthority.New("ours")
 	theirs, _ := certauthority.New("theirs")
-	at, list := start(t, load(ours, "planner"))
+	address, list := startPlanner(t, load(ours, "planner"))
 	list.Set(entry("s", discovery.Serving))
 	for name, c := range map[string]struct {
-		keys *mtls.Keys
-		well bool
+		keys       *mtls.Keys
+		isAccepted bool
 	}{"ours": {load(ours, "node"), true}, "theirs": {load(theirs, "node"), false}, "plaintext": {nil, false}} {
 		t.Run(name, func(t *testing.T) {
-			nc, err := net.Dial("tcp", at)
+			nc, err := net.Dial("tcp", address)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -276,8 +283,8 @@
 			}
 			nc.SetDeadline(time.Now().Add(5 * time.Second))
 			peer, err := planwire.NewConn(nc).Handshake("n", time.Now().Add(5*time.Second))
-			if (err == nil && peer == "p") != c.well {
-				t.Errorf("%q, %v", peer, err)
+			if (err == nil && peer == "p") != c.isAccepted {
+				t.Errorf("handshake got planner name %q, error %v", peer, err)
 			}
 		})
 	}
--- a/internal/controlplane/planwire/golden_test.go
+++ b/internal/controlplane/planwire/golden_test.go
@@ -15,12 +15,12 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew; only for a new version of the protocol")
+var update = flag.Bool("update", false, "rewrite the golden files; only for a new version of the protocol")
 
 var goldenIncarnation = incarnation.Entry{ID: "fast-1", StartedUnixMS: 1700000000123, Generation: 2, Condition: incarnation.Draining, Revision: 41,
 	Address: "127.0.0.1:8081", Zone: "z1", MachineKind: "large", Cell: 7, Weight: 1.5}
 
-// goldenFrames has one frame of each kind, with every field set to a value of its own.
+// goldenFrames contains one frame of each kind. Every field has a nonzero value.
 var goldenFrames = []struct {
 	name string
 	kind Kind
@@ -47,7 +47,7 @@
 	}},
 }
 
-// TestGoldenFrames pins the bytes of each frame between forwarders and planners, which other versions of the program read.
+// TestGoldenFrames compares the encoding of each frame kind with a golden file, because other versions of the program must decode it.
 func TestGoldenFrames(t *testing.T) {
 	for _, c := range goldenFrames {
 		t.Run(c.name, func(t *testing.T) {
@@ -58,7 +58,7 @@
 			}
 			golden := goldenBytes(t, c.name, written)
 			if !bytes.Equal(written, golden) {
-				t.Errorf("written as\n%x, was\n%x", written, golden)
+				t.Errorf("encoded frame got\n%x, want\n%x", written, golden)
 			}
 			kind, body, err := Read(bytes.NewReader(golden), nil)
 			if err != nil {
@@ -69,13 +69,13 @@
 				t.Fatal(err)
 			}
 			if kind != c.kind || !reflect.DeepEqual(read.Interface(), c.body) {
-				t.Errorf("read as kind %d\n%+v, was kind %d\n%+v", kind, read.Elem(), c.kind, c.body)
+				t.Errorf("decoded frame got kind %d\n%+v, want kind %d\n%+v", kind, read.Elem(), c.kind, c.body)
 			}
 		})
 	}
 }
 
-// goldenBytes reads the golden file of a frame.
+// goldenBytes returns the content of a frame's golden file.
 func goldenBytes(t *testing.T, name string, written []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "frames", name+".hex")
@@ -95,7 +95,7 @@
 	return golden
 }
 
-// requireFieldsSet fails on a field that is zero: its place in the bytes would not be pinned.
+// requireFieldsSet fails the test for each field that is zero, because the golden file would not verify the position of such a field.
 func requireFieldsSet(t *testing.T, v reflect.Value, path string) {
 	t.Helper()
 	switch {
