--- a/internal/controlplane/plan/ejection.go
+++ b/internal/controlplane/plan/ejection.go
@@ -47,7 +47,7 @@
 	return n
 }
 
-// reset discards all failures and reporters. An ejection resets its causes, so that only new failures cause the next ejection.
+// reset discards all failures and reporters. It is called at an ejection, so that only later failures lead to the next ejection.
 func (f *failureStats) reset() {
 	f.attempts, f.failed = 0, 0
 	clear(f.reporters)
--- a/internal/controlplane/planfollower/follower.go
+++ b/internal/controlplane/planfollower/follower.go
@@ -36,8 +36,8 @@
 	lastFresh   time.Duration // latest time with a fresh plan
 }
 
-// Effective contains the decisions in effect at the forwarder.
-type Effective struct {
+// Decisions contains the values that the forwarder applies.
+type Decisions struct {
 	HasPlan             bool // false: the forwarder decides without a plan, and only Planner, PlanAge, Nodes and ShouldPollDiscovery are set
 	Planner             int  // index of the followed planner; -1 without a fresh plan, while the latest plan is phased out or no plan exists
 	PlanAge             time.Duration
@@ -64,11 +64,11 @@
 }
 
 // Advance advances the state to now and returns the decisions in effect. isUp reports whether a server is usable.
-func (f *Follower) Advance(now time.Duration, isUp func(id string) bool) Effective {
+func (f *Follower) Advance(now time.Duration, isUp func(id string) bool) Decisions {
 	elapsed := now - f.lastAdvance
 	f.lastAdvance = now
 	f.followFreshest(now, elapsed)
-	e := Effective{Planner: f.followed, PlanAge: f.age, ShouldPollDiscovery: now-f.lastFresh > f.pollDelay()}
+	e := Decisions{Planner: f.followed, PlanAge: f.age, ShouldPollDiscovery: now-f.lastFresh > f.pollDelay()}
 	if f.inEffect.Number == 0 || f.age >= expiryAge {
 		f.shares = map[string]float64{}
 		f.inEffect = plan.Plan{}
--- a/internal/controlplane/planfollower/follower_test.go
+++ b/internal/controlplane/planfollower/follower_test.go
@@ -55,7 +55,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := New(Options{PlannerCount: 2, ConfiguredNodes: 9, PollJitter: 0.5})
-			var e Effective
+			var e Decisions
 			for now := 250 * ms; now <= c.at; now += 250 * ms {
 				for _, r := range c.plans {
 					if r.at == now {
--- a/internal/controlplane/planner/server.go
+++ b/internal/controlplane/planner/server.go
@@ -17,7 +17,7 @@
 // acceptRetryDelay is the delay after a failed accept, which is usually caused by a temporary shortage of resources.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// Server is a running planner.
+// Server is a running planner. It contains the network connections and the state machine of package plan.
 type Server struct {
 	config    *planconfig.Planner
 	log       zerolog.Logger
