--- a/internal/controlplane/planfollower/follower.go
+++ b/internal/controlplane/planfollower/follower.go
@@ -68,23 +68,23 @@
 	elapsed := now - f.lastAdvance
 	f.lastAdvance = now
 	f.followFreshest(now, elapsed)
-	e := Decisions{Planner: f.followed, PlanAge: f.age, ShouldPollDiscovery: now-f.lastFresh > f.pollDelay()}
+	d := Decisions{Planner: f.followed, PlanAge: f.age, ShouldPollDiscovery: now-f.lastFresh > f.pollDelay()}
 	if f.inEffect.Number == 0 || f.age >= expiryAge {
 		f.shares = map[string]float64{}
 		f.inEffect = plan.Plan{}
-		e.Planner = noPlannerIndex
-		e.Nodes = f.options.ConfiguredNodes
-		return e
+		d.Planner = noPlannerIndex
+		d.Nodes = f.options.ConfiguredNodes
+		return d
 	}
-	e.HasPlan = true
-	e.Nodes = max(f.inEffect.Nodes, 1)
-	e.AdmittedShare = f.admittedShare()
+	d.HasPlan = true
+	d.Nodes = max(f.inEffect.Nodes, 1)
+	d.AdmittedShare = f.admittedShare()
 	if f.isFollowing() {
-		e.WithinAllowance = f.inEffect.WithinAllowance
+		d.WithinAllowance = f.inEffect.WithinAllowance
 	}
 	f.moveShares(elapsed, isUp)
-	e.Servers = f.serverShares(now)
-	return e
+	d.Servers = f.serverShares(now)
+	return d
 }
 
 // followFreshest selects the planner to follow and puts its plan into effect. Without a fresh plan the age of the latest plan increases.
--- a/internal/controlplane/planfollower/follower_test.go
+++ b/internal/controlplane/planfollower/follower_test.go
@@ -55,18 +55,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := New(Options{PlannerCount: 2, ConfiguredNodes: 9, PollJitter: 0.5})
-			var e Decisions
+			var d Decisions
 			for now := 250 * ms; now <= c.at; now += 250 * ms {
 				for _, r := range c.plans {
 					if r.at == now {
 						f.PlanReceived(now, r.planner, r.plan)
 					}
 				}
-				e = f.Advance(now, allUp)
+				d = f.Advance(now, allUp)
 			}
-			if e.HasPlan != c.hasPlan || e.Planner != c.planner || e.Nodes != c.nodes || e.ShouldPollDiscovery != c.polls || len(e.WithinAllowance) > 0 != c.hasTenantShares ||
-				e.AdmittedShare < c.admitted-0.05 || e.AdmittedShare > c.admitted+0.05 {
-				t.Errorf("unexpected state in effect: %+v", e)
+			if d.HasPlan != c.hasPlan || d.Planner != c.planner || d.Nodes != c.nodes || d.ShouldPollDiscovery != c.polls || len(d.WithinAllowance) > 0 != c.hasTenantShares ||
+				d.AdmittedShare < c.admitted-0.05 || d.AdmittedShare > c.admitted+0.05 {
+				t.Errorf("unexpected state in effect: %+v", d)
 			}
 		})
 	}
@@ -93,20 +93,20 @@
 			if rapid.IntRange(0, 9).Draw(t, "changes") == 0 {
 				up["3"], changedUp = !up["3"], true
 			}
-			e := f.Advance(now, func(id string) bool { return up[id] })
+			d := f.Advance(now, func(id string) bool { return up[id] })
 			after, sum, rise := map[string]float64{}, 0.0, 0.0
-			for _, s := range e.Servers {
+			for _, s := range d.Servers {
 				after[s.ID] = s.Share
 				sum += s.Share
 				rise += max(s.Share-before[s.ID], 0)
 			}
-			if e.HasPlan && sum > 0 && (sum < 0.99 || sum > 1.01) {
+			if d.HasPlan && sum > 0 && (sum < 0.99 || sum > 1.01) {
 				t.Fatalf("sum of shares got %f, want 1", sum)
 			}
-			if before != nil && !changedUp && e.HasPlan && rise > maxMovePerSecond*0.25+0.001 {
+			if before != nil && !changedUp && d.HasPlan && rise > maxMovePerSecond*0.25+0.001 {
 				t.Fatalf("%.3f of the requests moved in one step: %v to %v", rise, before, after)
 			}
-			if before = after; !e.HasPlan || sum == 0 {
+			if before = after; !d.HasPlan || sum == 0 {
 				before = nil
 			}
 			if up["3"] == false && after["3"] > 0 {
--- a/internal/controlplane/planfollower/scenario_test.go
+++ b/internal/controlplane/planfollower/scenario_test.go
@@ -33,10 +33,10 @@
 			f.PlanReceived(now, 0, planOf(now-9*time.Second, 30, 1))
 		}
 		down["2"] = step >= 20 && step < 26
-		e := f.Advance(now, func(id string) bool { return !down[id] })
-		fmt.Fprintf(&out, "%v: has plan %t, planner %d, age %v, nodes %d, admitted %.6g, tenants %d, poll %t\n", now, e.HasPlan, e.Planner, e.PlanAge, e.Nodes, e.AdmittedShare,
-			len(e.WithinAllowance), e.ShouldPollDiscovery)
-		for _, s := range e.Servers {
+		d := f.Advance(now, func(id string) bool { return !down[id] })
+		fmt.Fprintf(&out, "%v: has plan %t, planner %d, age %v, nodes %d, admitted %.6g, tenants %d, poll %t\n", now, d.HasPlan, d.Planner, d.PlanAge, d.Nodes, d.AdmittedShare,
+			len(d.WithinAllowance), d.ShouldPollDiscovery)
+		for _, s := range d.Servers {
 			fmt.Fprintf(&out, "  %s share %.6g avoided %t slow start rate %.6g ejected for %v\n", s.ID, s.Share, s.IsAvoided, s.SlowStartRate, s.EjectionRemaining)
 		}
 		fmt.Fprintf(&out, "  current%s\n", describeShares(f.CurrentShares()))
