--- a/internal/cluster/framing/frame.go
+++ b/internal/cluster/framing/frame.go
@@ -68,28 +68,28 @@
 
 // Append appends a frame to b.
 func (p *Protocol) Append(b []byte, k Kind, body any) ([]byte, error) {
-	text, err := encoding.Marshal(body)
+	encoded, err := encoding.Marshal(body)
 	if err != nil {
 		return b, err
 	}
-	if len(text) > p.MaxBodyBytes {
+	if len(encoded) > p.MaxBodyBytes {
 		return b, ErrFrameTooLong
 	}
-	n := len(text)
+	n := len(encoded)
 	if p.HasChecksums {
 		n += checksumBytes
 	}
 	b = binary.BigEndian.AppendUint32(b, uint32(n))
 	b = append(b, byte(k))
-	b = append(b, text...)
+	b = append(b, encoded...)
 	if p.HasChecksums {
-		b = binary.BigEndian.AppendUint32(b, checksum(k, text))
+		b = binary.BigEndian.AppendUint32(b, checksum(k, encoded))
 	}
 	return b, nil
 }
 
-func checksum(k Kind, text []byte) uint32 {
-	return crc32.Update(crc32.Update(0, castagnoli, []byte{byte(k)}), castagnoli, text)
+func checksum(k Kind, encoded []byte) uint32 {
+	return crc32.Update(crc32.Update(0, castagnoli, []byte{byte(k)}), castagnoli, encoded)
 }
 
 // Read reads a frame. The body that it returns is valid until the next frame is read into the same buffer.
--- a/internal/cluster/membership/input.go
+++ b/internal/cluster/membership/input.go
@@ -6,8 +6,8 @@
 func (t *Table) Connected(now time.Duration, name string) {
 	p := t.peer(name)
 	p.isConnected = true
-	p.lastHeard = now
-	p.sendsAll = true
+	p.lastContact = now
+	p.needsFullUpdate = true
 	p.state = reachable
 }
 
@@ -20,38 +20,38 @@
 }
 
 // HeardFrom is called when anything came from a node.
-func (t *Table) HeardFrom(now time.Duration, name string) {
+func (t *Table) RecordContact(now time.Duration, name string) {
 	if p := t.peers[name]; p != nil {
-		p.lastHeard = now
+		p.lastContact = now
 		p.observe(messageReceived, now)
 	}
 }
 
 // CanHear reports whether this node hears another now.
-func (t *Table) CanHear(now time.Duration, name string) bool {
+func (t *Table) CanReach(now time.Duration, name string) bool {
 	p := t.peers[name]
-	return p != nil && p.isHeard(now)
+	return p != nil && p.isReachable(now)
 }
 
 // HandleMessage takes in a message of another node and returns the answer, if there is one. Messages of other packages
 // only show that the node is alive.
 func (t *Table) HandleMessage(now time.Duration, from string, message any) (out []Outgoing) {
-	t.HeardFrom(now, from)
+	t.RecordContact(now, from)
 	p := t.peer(from)
 	switch m := message.(type) {
 	case *Heartbeat:
 		if m.Digest == t.digest {
-			p.differsSince = 0
-		} else if p.differsSince == 0 {
-			p.differsSince = now
+			p.digestDiffersSince = 0
+		} else if p.digestDiffersSince == 0 {
+			p.digestDiffersSince = now
 		}
 	case *Update:
 		t.MergeMembers(now, from, m.Members)
 	case *LivenessQuery:
-		return []Outgoing{{from, &LivenessReply{Name: m.Name, IsHeard: t.CanHear(now, m.Name)}}}
+		return []Outgoing{{from, &LivenessReply{Name: m.Name, IsReachable: t.CanReach(now, m.Name)}}}
 	case *LivenessReply:
-		if subject := t.peers[m.Name]; subject != nil && m.IsHeard {
-			subject.observe(heardByOther, now)
+		if subject := t.peers[m.Name]; subject != nil && m.IsReachable {
+			subject.observe(reachableByOther, now)
 		}
 	}
 	return nil
@@ -69,12 +69,12 @@
 			t.mergeSelf(now, m)
 			continue
 		}
-		was, isKnown := t.members[m.Name]
-		if !isKnown && len(t.members) >= maxMembers || isKnown && Compare(was, m) >= 0 {
+		previous, isKnown := t.members[m.Name]
+		if !isKnown && len(t.members) >= maxMembers || isKnown && Compare(previous, m) >= 0 {
 			continue
 		}
 		t.set(m, now)
-		t.spread(m.Name, from)
+		t.gossip(m.Name, from)
 	}
 }
 
@@ -82,27 +82,27 @@
 func (t *Table) mergeSelf(now time.Duration, m Member) {
 	switch {
 	case m.Incarnation > t.self.Incarnation:
-		t.highestOwnHeard = max(t.highestOwnHeard, m.Incarnation)
+		t.highestOwnIncarnation = max(t.highestOwnIncarnation, m.Incarnation)
 	case m.Incarnation == t.self.Incarnation && t.self.Condition != Left && Compare(m, t.self) > 0:
 		t.self.Refutations = m.Refutations + 1
 		t.set(t.self, now)
-		t.spread(t.self.Name, "")
+		t.gossip(t.self.Name, "")
 	case m.Incarnation < t.self.Incarnation || Compare(m, t.self) < 0: // it is older than what this node says
-		t.spread(t.self.Name, "")
+		t.gossip(t.self.Name, "")
 	}
 }
 
 // StartLaterIncarnation gives this node an incarnation after all that were heard of. It is called for a node that has
 // only just started and IsReplaced: its clock was set back between two starts.
 func (t *Table) StartLaterIncarnation(now time.Duration) {
-	t.self.Incarnation = t.highestOwnHeard + 1
+	t.self.Incarnation = t.highestOwnIncarnation + 1
 	t.set(t.self, now)
-	t.spread(t.self.Name, "")
+	t.gossip(t.self.Name, "")
 }
 
 // Leave is called when the node shuts down gracefully; the next Tick notifies the others.
 func (t *Table) Leave(now time.Duration) {
 	t.self.Condition = Left
 	t.set(t.self, now)
-	t.spread(t.self.Name, "")
+	t.gossip(t.self.Name, "")
 }
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -30,8 +30,8 @@
 	LivenessReply struct {
 		_ struct{} `cbor:",toarray"`
 
-		Name    string
-		IsHeard bool
+		Name        string
+		IsReachable bool
 	}
 )
 
--- a/internal/cluster/membership/reachability.go
+++ b/internal/cluster/membership/reachability.go
@@ -19,7 +19,7 @@
 const (
 	messageReceived  event = iota
 	silenceDetected        // nothing came for silenceTimeout
-	heardByOther           // another watcher hears it
+	reachableByOther       // another watcher hears it
 	queryTimedOut          // no watcher has said that it hears it
 	suspicionRefuted       // the node itself says that it is alive, though this node does not hear it
 	queryDue               // it is time to ask the watchers again
@@ -45,7 +45,7 @@
 	reachable: {
 		messageReceived:  {reachable, noAction},
 		silenceDetected:  {querying, queryWatchers},
-		heardByOther:     {reachable, noAction},
+		reachableByOther: {reachable, noAction},
 		queryTimedOut:    {reachable, noAction},
 		suspicionRefuted: {reachable, noAction},
 		queryDue:         {reachable, noAction},
@@ -53,7 +53,7 @@
 	querying: {
 		messageReceived:  {reachable, noAction},
 		silenceDetected:  {querying, noAction},
-		heardByOther:     {partitioned, noAction},
+		reachableByOther: {partitioned, noAction},
 		queryTimedOut:    {unreachable, suspect},
 		suspicionRefuted: {querying, noAction},
 		queryDue:         {querying, noAction},
@@ -61,7 +61,7 @@
 	partitioned: {
 		messageReceived:  {reachable, noAction},
 		silenceDetected:  {partitioned, noAction},
-		heardByOther:     {partitioned, noAction},
+		reachableByOther: {partitioned, noAction},
 		queryTimedOut:    {partitioned, noAction},
 		suspicionRefuted: {partitioned, noAction},
 		queryDue:         {querying, queryWatchers},
@@ -69,7 +69,7 @@
 	unreachable: {
 		messageReceived:  {reachable, noAction},
 		silenceDetected:  {unreachable, noAction},
-		heardByOther:     {partitioned, noAction},
+		reachableByOther: {partitioned, noAction},
 		queryTimedOut:    {unreachable, noAction},
 		suspicionRefuted: {partitioned, noAction},
 		queryDue:         {querying, queryWatchers},
--- a/internal/cluster/membership/simulation_test.go
+++ b/internal/cluster/membership/simulation_test.go
@@ -12,14 +12,14 @@
 
 // simulation is a cluster in virtual time: the tables as nodes run them, connections that take a while, cut paths.
 type simulation struct {
-	now    time.Duration
-	nodes  map[string]*simulatedNode
-	names  []string
-	queue  eventQueue
-	seq    int
-	cut    func(from, to string) bool
-	bytes  int
-	chance *rand.Rand
+	now   time.Duration
+	nodes map[string]*simulatedNode
+	names []string
+	queue eventQueue
+	seq   int
+	cut   func(from, to string) bool
+	bytes int
+	rng   *rand.Rand
 }
 
 type simulatedNode struct {
@@ -49,7 +49,7 @@
 }
 
 func newSimulation(seed uint64) *simulation {
-	return &simulation{now: time.Second, nodes: map[string]*simulatedNode{}, cut: func(string, string) bool { return false }, chance: rand.New(rand.NewPCG(seed, 1))}
+	return &simulation{now: time.Second, nodes: map[string]*simulatedNode{}, cut: func(string, string) bool { return false }, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
 func (s *simulation) after(d time.Duration, do func()) {
@@ -76,7 +76,7 @@
 	for _, seed := range seeds {
 		s.dial(name, n, seed)
 	}
-	s.after(time.Duration(s.chance.Int64N(int64(25*time.Millisecond))), func() { s.tick(name, n, seeds) })
+	s.after(time.Duration(s.rng.Int64N(int64(25*time.Millisecond))), func() { s.tick(name, n, seeds) })
 }
 
 func (s *simulation) tick(name string, n *simulatedNode, seeds []string) {
@@ -147,7 +147,7 @@
 		if s.cut(name, o.To) {
 			continue
 		}
-		s.after(time.Duration(1+s.chance.IntN(3))*time.Millisecond, func() {
+		s.after(time.Duration(1+s.rng.IntN(3))*time.Millisecond, func() {
 			if to := s.nodes[o.To]; to != nil && to.isUp && to.links[name] && s.nodes[name] == n {
 				s.send(o.To, to, to.table.HandleMessage(s.now, name, o.Message))
 			}
@@ -156,7 +156,7 @@
 }
 
 // countSeen counts the running nodes that know a node in a condition.
-func (s *simulation) countSeen(of string, c Condition) (n int) {
+func (s *simulation) countObservers(of string, c Condition) (n int) {
 	for name, x := range s.nodes {
 		if m, ok := x.table.Get(of); name != of && x.isUp && ok && m.Condition == c {
 			n++
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -37,28 +37,28 @@
 	peers          map[string]*peerView
 	rings          [ringCount]ring
 
-	lastTick        time.Duration
-	lastHeartbeat   time.Duration
-	lastReconnect   time.Duration
-	reconnects      uint32
-	isIsolated      bool  // it watches some nodes and hears no node at all: most likely it is cut off itself, and suspects nobody
-	highestOwnHeard int64 // the latest incarnation of this node's own name that was heard of
+	lastTick              time.Duration
+	lastHeartbeat         time.Duration
+	lastReconnect         time.Duration
+	reconnectAttempts     uint32
+	isIsolated            bool  // it watches some nodes and hears no node at all: most likely it is cut off itself, and suspects nobody
+	highestOwnIncarnation int64 // the latest incarnation of this node's own name that was heard of
 }
 
 // peerView is what this node sees of another by itself.
 type peerView struct {
-	isConnected    bool
-	lastHeard      time.Duration
-	state          reachability
-	stateSince     time.Duration
-	pending        map[string]bool // members that are sent to it with the next update
-	sendsAll       bool            // all members are sent to it with the next update
-	differsSince   time.Duration   // since when its digest has differed; 0: it is the same
-	lastFullUpdate time.Duration
+	isConnected        bool
+	lastContact        time.Duration
+	state              reachability
+	stateSince         time.Duration
+	pending            map[string]bool // members that are sent to it with the next update
+	needsFullUpdate    bool            // all members are sent to it with the next update
+	digestDiffersSince time.Duration   // since when its digest has differed; 0: it is the same
+	lastFullUpdate     time.Duration
 }
 
-func (p *peerView) isHeard(now time.Duration) bool {
-	return p.isConnected && now-p.lastHeard < silenceTimeout
+func (p *peerView) isReachable(now time.Duration) bool {
+	return p.isConnected && now-p.lastContact < silenceTimeout
 }
 
 // New knows of nobody but the node itself.
@@ -94,7 +94,7 @@
 func (t *Table) Digest() uint64 { return t.digest }
 
 // IsReplaced reports that a later incarnation of this node's own name was heard of.
-func (t *Table) IsReplaced() bool { return t.highestOwnHeard > t.self.Incarnation }
+func (t *Table) IsReplaced() bool { return t.highestOwnIncarnation > t.self.Incarnation }
 
 var crcTable = crc64.MakeTable(crc64.ECMA)
 
@@ -107,13 +107,13 @@
 
 // set replaces what is known of a member.
 func (t *Table) set(m Member, now time.Duration) {
-	was, isKnown := t.members[m.Name]
+	previous, isKnown := t.members[m.Name]
 	if isKnown {
-		t.digest -= memberDigest(was)
+		t.digest -= memberDigest(previous)
 	}
 	t.digest += memberDigest(m)
 	t.members[m.Name] = m
-	if !isKnown || was.Condition != m.Condition || was.Incarnation != m.Incarnation {
+	if !isKnown || previous.Condition != m.Condition || previous.Incarnation != m.Incarnation {
 		t.conditionSince[m.Name] = now
 	}
 	for i := range t.rings {
@@ -123,17 +123,17 @@
 			t.rings[i].remove(m.Name)
 		}
 	}
-	if p := t.peers[m.Name]; p != nil && isKnown && (was.Incarnation != m.Incarnation || was.Refutations < m.Refutations) {
+	if p := t.peers[m.Name]; p != nil && isKnown && (previous.Incarnation != m.Incarnation || previous.Refutations < m.Refutations) {
 		p.observe(suspicionRefuted, now)
-		if was.Incarnation != m.Incarnation {
+		if previous.Incarnation != m.Incarnation {
 			p.state = reachable
-			p.lastHeard = now
+			p.lastContact = now
 		}
 	}
 }
 
 // forget removes a member that died or left long ago.
-func (t *Table) forget(m Member) {
+func (t *Table) removeTombstone(m Member) {
 	t.digest -= memberDigest(m)
 	delete(t.members, m.Name)
 	delete(t.conditionSince, m.Name)
@@ -141,7 +141,7 @@
 }
 
 // spread sends a member to all connected nodes, except the one that it came from.
-func (t *Table) spread(name, from string) {
+func (t *Table) gossip(name, from string) {
 	for other, p := range t.peers {
 		if p.isConnected && other != from {
 			p.pending[name] = true
--- a/internal/cluster/membership/table_test.go
+++ b/internal/cluster/membership/table_test.go
@@ -11,10 +11,10 @@
 
 // What happens to a node of a cluster of 16, and in which condition the others know it 8 s later.
 func TestConditions(t *testing.T) {
-	cutOff := func(in, out bool, whom ...string) func(*simulation) {
+	cutOff := func(in, out bool, isolated ...string) func(*simulation) {
 		return func(s *simulation) {
 			set := map[string]bool{}
-			for _, w := range whom {
+			for _, w := range isolated {
 				set[w] = true
 			}
 			s.cut = func(from, to string) bool { return set[from] != set[to] && (out && set[from] || in && set[to]) }
@@ -60,20 +60,20 @@
 			for seed := range uint64(5) {
 				s := newCluster(seed, 16)
 				s.run(5 * time.Second)
-				if n := s.countSeen("n3", Alive); n != 15 {
+				if n := s.countObservers("n3", Alive); n != 15 {
 					t.Fatalf("%d of 15 know it at first", n)
 				}
 				c.happens(s)
 				s.run(13 * time.Second)
-				seen := s.countSeen("n3", c.want)
+				seen := s.countObservers("n3", c.want)
 				if want := 15; name == "the other half is cut off" && seen >= 8 { // those on its side
 				} else if seen != want {
-					t.Fatalf("seed %d: %d of %d know it as %v; %d as suspected, %d as dead", seed, seen, want, c.want, s.countSeen("n3", Suspected), s.countSeen("n3", Dead))
+					t.Fatalf("seed %d: %d of %d know it as %v; %d as suspected, %d as dead", seed, seen, want, c.want, s.countObservers("n3", Suspected), s.countObservers("n3", Dead))
 				}
 				s.cut = func(string, string) bool { return false }
 				if s.nodes["n3"].isUp {
 					s.run(23 * time.Second)
-					if n := s.countSeen("n3", Alive); n != 15 {
+					if n := s.countObservers("n3", Alive); n != 15 {
 						t.Errorf("seed %d: %d of 15 know it as alive 10 s after the paths are whole", seed, n)
 					}
 				}
@@ -91,10 +91,10 @@
 				Refutations: uint32(rapid.IntRange(0, 2).Draw(t, "refutations")), Condition: Condition(rapid.IntRange(0, 3).Draw(t, "condition"))}
 		}), 1, 12).Draw(t, "reports")
 		for _, w := range reports {
-			was, ok := a.Get(w.Name)
+			previous, ok := a.Get(w.Name)
 			a.MergeMembers(time.Second, "", []Member{w})
-			if is, _ := a.Get(w.Name); ok && Compare(is, was) < 0 {
-				t.Fatalf("%+v went back to %+v", was, is)
+			if is, _ := a.Get(w.Name); ok && Compare(is, previous) < 0 {
+				t.Fatalf("%+v went back to %+v", previous, is)
 			}
 		}
 		for _, i := range rapid.Permutation(reports).Draw(t, "order") {
@@ -151,23 +151,23 @@
 		s.bytes = 0
 		from := s.now
 		s.run(s.now + 4*time.Second)
-		calm := float64(s.bytes) / (s.now - from).Seconds() / float64(n)
+		idleBytesPerSecond := float64(s.bytes) / (s.now - from).Seconds() / float64(n)
 		s.crash("n5", false)
 		from, s.bytes = s.now, 0
 		suspected, dead := time.Duration(0), time.Duration(0)
 		for dead == 0 && s.now < from+20*time.Second {
 			s.run(s.now + 50*time.Millisecond)
-			if suspected == 0 && s.countSeen("n5", Suspected)+s.countSeen("n5", Dead) >= n-1 {
+			if suspected == 0 && s.countObservers("n5", Suspected)+s.countObservers("n5", Dead) >= n-1 {
 				suspected = s.now - from
 			}
-			if s.countSeen("n5", Dead) == n-1 {
+			if s.countObservers("n5", Dead) == n-1 {
 				dead = s.now - from
 			}
 		}
 		t.Logf("%4d nodes: all joined at once know each other after %v (%.0f kB each); calm %.0f bytes a second each; a death is suspected by all after %v, known after %v",
-			n, joined, float64(atJoin)/float64(n)/1000, calm, suspected, dead)
-		if dead == 0 || dead > 8*time.Second || calm > 4000 {
-			t.Errorf("%d nodes: a death takes %v, calm %.0f bytes a second", n, dead, calm)
+			n, joined, float64(atJoin)/float64(n)/1000, idleBytesPerSecond, suspected, dead)
+		if dead == 0 || dead > 8*time.Second || idleBytesPerSecond > 4000 {
+			t.Errorf("%d nodes: a death takes %v, calm %.0f bytes a second", n, dead, idleBytesPerSecond)
 		}
 		for name, x := range s.nodes {
 			for _, m := range x.table.Members() {
--- a/internal/cluster/membership/tick.go
+++ b/internal/cluster/membership/tick.go
@@ -14,11 +14,11 @@
 	}
 	t.lastTick = now
 	watched := t.Watched()
-	t.isIsolated = len(watched) > 0 && !t.hearsAnyone(now)
+	t.isIsolated = len(watched) > 0 && !t.hasReachablePeer(now)
 	for _, name := range watched {
 		out = t.watch(now, name, out)
 	}
-	t.endTimeouts(now)
+	t.expireMembers(now)
 	return t.sendUpdates(now, out)
 }
 
@@ -26,7 +26,7 @@
 // others.
 func (t *Table) resumeAfterStall(now time.Duration) {
 	for _, p := range t.peers {
-		p.lastHeard = now
+		p.lastContact = now
 		p.stateSince = now
 	}
 	for name := range t.conditionSince {
@@ -34,9 +34,9 @@
 	}
 }
 
-func (t *Table) hearsAnyone(now time.Duration) bool {
+func (t *Table) hasReachablePeer(now time.Duration) bool {
 	for _, p := range t.peers {
-		if p.isHeard(now) {
+		if p.isReachable(now) {
 			return true
 		}
 	}
@@ -44,16 +44,16 @@
 }
 
 // endTimeouts declares suspected members dead and forgets old tombstones.
-func (t *Table) endTimeouts(now time.Duration) {
+func (t *Table) expireMembers(now time.Duration) {
 	for name, m := range t.members {
 		since := now - t.conditionSince[name]
 		switch {
 		case m.Condition == Suspected && !t.isIsolated && since > suspicionTimeout:
 			m.Condition = Dead
 			t.set(m, now)
-			t.spread(name, "")
+			t.gossip(name, "")
 		case !m.Condition.IsLive() && since > tombstoneRetention && name != t.self.Name:
-			t.forget(m)
+			t.removeTombstone(m)
 		}
 	}
 }
@@ -68,7 +68,7 @@
 		if !p.isConnected {
 			continue
 		}
-		t.planFullUpdate(now, p)
+		t.scheduleFullUpdate(now, p)
 		if len(p.pending) > 0 {
 			out = t.appendUpdates(name, p, out)
 		} else if isHeartbeatDue {
@@ -80,15 +80,15 @@
 }
 
 // planFullUpdate sends a node all members if it is new, or if its digest has differed for long.
-func (t *Table) planFullUpdate(now time.Duration, p *peerView) {
-	if p.differsSince > 0 && now-p.differsSince > fullUpdateDelay && now-p.lastFullUpdate > fullUpdateDelay {
-		p.sendsAll = true
+func (t *Table) scheduleFullUpdate(now time.Duration, p *peerView) {
+	if p.digestDiffersSince > 0 && now-p.digestDiffersSince > fullUpdateDelay && now-p.lastFullUpdate > fullUpdateDelay {
+		p.needsFullUpdate = true
 	}
-	if !p.sendsAll {
+	if !p.needsFullUpdate {
 		return
 	}
-	p.sendsAll = false
-	p.differsSince = 0
+	p.needsFullUpdate = false
+	p.digestDiffersSince = 0
 	p.lastFullUpdate = now
 	for name := range t.members {
 		p.pending[name] = true
--- a/internal/cluster/membership/watch.go
+++ b/internal/cluster/membership/watch.go
@@ -37,15 +37,15 @@
 		return ""
 	}
 	slices.Sort(dead)
-	t.reconnects++
-	return dead[hashName(t.self.Name, byte(t.reconnects))%uint32(len(dead))]
+	t.reconnectAttempts++
+	return dead[hashName(t.self.Name, byte(t.reconnectAttempts))%uint32(len(dead))]
 }
 
 // watch applies timeouts to a watched node.
 func (t *Table) watch(now time.Duration, name string, out []Outgoing) []Outgoing {
 	p := t.peer(name)
-	if p.stateSince == 0 && p.lastHeard == 0 { // newly watched: it has the time of a silence to be connected
-		p.lastHeard = now
+	if p.stateSince == 0 && p.lastContact == 0 { // newly watched: it has the time of a silence to be connected
+		p.lastContact = now
 		p.stateSince = now
 	}
 	e, ok := t.watchEvent(now, p)
@@ -60,7 +60,7 @@
 		if m := t.members[name]; m.Condition == Alive {
 			m.Condition = Suspected
 			t.set(m, now)
-			t.spread(name, "")
+			t.gossip(name, "")
 		}
 	}
 	return out
@@ -68,15 +68,15 @@
 
 // watchEvent is what time has made of a watched node; ok is false for nothing.
 func (t *Table) watchEvent(now time.Duration, p *peerView) (e event, ok bool) {
-	inState := now - p.stateSince
+	timeInState := now - p.stateSince
 	switch {
-	case p.isHeard(now):
+	case p.isReachable(now):
 		return messageReceived, true
-	case p.state == querying && inState > queryTimeout:
+	case p.state == querying && timeInState > queryTimeout:
 		return queryTimedOut, !t.isIsolated
-	case (p.state == partitioned || p.state == unreachable) && inState > queryInterval:
+	case (p.state == partitioned || p.state == unreachable) && timeInState > queryInterval:
 		return queryDue, true
-	case now-p.lastHeard >= silenceTimeout:
+	case now-p.lastContact >= silenceTimeout:
 		return silenceDetected, true
 	}
 	return 0, false
--- a/internal/cluster/mtls/mtls.go
+++ b/internal/cluster/mtls/mtls.go
@@ -40,11 +40,11 @@
 // LoadKeys reads the files.
 func LoadKeys(f Files) (*Keys, error) {
 	k := &Keys{files: f}
-	return k, k.read()
+	return k, k.load()
 }
 
 // read replaces the keys, unless a file is of no use.
-func (k *Keys) read() error {
+func (k *Keys) load() error {
 	modTimes, err := k.files.modTimes()
 	if err != nil {
 		return err
@@ -53,12 +53,12 @@
 	if err != nil {
 		return fmt.Errorf("%s, %s: %v", k.files.Cert, k.files.Key, err)
 	}
-	text, err := os.ReadFile(k.files.CA)
+	caPEM, err := os.ReadFile(k.files.CA)
 	if err != nil {
 		return err
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(text) {
+	if !pool.AppendCertsFromPEM(caPEM) {
 		return fmt.Errorf("%s: no certificate of an authority in it", k.files.CA)
 	}
 	k.cert = cert
@@ -102,7 +102,7 @@
 		if modTimes, err := k.files.modTimes(); err != nil {
 			k.reloadError = err
 		} else if modTimes != k.modTimes {
-			k.reloadError = k.read()
+			k.reloadError = k.load()
 		}
 	}
 	return k.cert, k.pool
--- a/internal/cluster/peer/client.go
+++ b/internal/cluster/peer/client.go
@@ -52,7 +52,7 @@
 			}
 		}
 	}
-	c.nameUnanswered()
+	c.keyUnansweredByName()
 	return c
 }
 
@@ -72,28 +72,28 @@
 			s, err := queryStatus(ctx, c.cfg, address, verify)
 			mu.Lock()
 			defer mu.Unlock()
-			c.note(address, s, err)
+			c.addResponse(address, s, err)
 		})
 	}
 	wg.Wait()
 }
 
 // note takes in one node's answer.
-func (c *Client) note(address string, s *Status, err error) {
+func (c *Client) addResponse(address string, s *Status, err error) {
 	if err != nil {
 		c.Unanswered[address] = err
 		return
 	}
 	c.Answered[s.Self.Name] = s
 	for _, m := range append(s.Members, s.Self) {
-		if was, ok := c.Members[m.Name]; !ok || membership.Compare(was, m) < 0 {
+		if previous, ok := c.Members[m.Name]; !ok || membership.Compare(previous, m) < 0 {
 			c.Members[m.Name] = m
 		}
 	}
 }
 
 // nameUnanswered puts those that did not answer under their names, where these are known.
-func (c *Client) nameUnanswered() {
+func (c *Client) keyUnansweredByName() {
 	unanswered := map[string]error{}
 	for _, m := range c.Members {
 		if err := c.Unanswered[m.Address]; err != nil && c.Answered[m.Name] == nil && m.Condition != membership.Left {
--- a/internal/cluster/peer/commandserver.go
+++ b/internal/cluster/peer/commandserver.go
@@ -78,7 +78,7 @@
 		return conn.Reject(err)
 	}
 	sender := recordsSender{conn: conn, filter: requestFilter{id: q.RequestID, matched: map[intent.RequestKey]bool{}}}
-	dirs, err := n.recordFolders()
+	dirs, err := n.recordDirs()
 	for _, dir := range dirs {
 		report, scanErr := wal.Scan(n.files, dir, time.Unix(0, q.SinceUnixNano), func(r *intent.Record) error {
 			return sender.add(ctx, r)
@@ -96,7 +96,7 @@
 }
 
 // recordFolders are the journal's folder and those of the stored replicas, as far as they can be listed. It locks mu.
-func (n *Node) recordFolders() (dirs []string, err error) {
+func (n *Node) recordDirs() (dirs []string, err error) {
 	n.mu.Lock()
 	journal := n.journal
 	n.mu.Unlock()
@@ -118,7 +118,7 @@
 }
 
 func (s *recordsSender) add(ctx context.Context, r *intent.Record) error {
-	if !s.filter.fits(r) || r.Kind == intent.ChunkHeader {
+	if !s.filter.matches(r) || r.Kind == intent.ChunkHeader {
 		return nil
 	}
 	var err error
@@ -144,7 +144,7 @@
 	matched map[intent.RequestKey]bool
 }
 
-func (f *requestFilter) fits(r *intent.Record) bool {
+func (f *requestFilter) matches(r *intent.Record) bool {
 	if f.id == "" || r.Kind == intent.Gap {
 		return true
 	}
--- a/internal/cluster/peer/connection.go
+++ b/internal/cluster/peer/connection.go
@@ -75,7 +75,7 @@
 			return
 		case <-c.wake:
 		}
-		for _, message := range c.takeQueue() {
+		for _, message := range c.drainQueue() {
 			if c.conn.Send(kindOf(message), message) != nil {
 				c.conn.Close()
 				return
@@ -84,7 +84,7 @@
 	}
 }
 
-func (c *connection) takeQueue() []any {
+func (c *connection) drainQueue() []any {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	queue := c.queue
--- a/internal/cluster/peer/connections.go
+++ b/internal/cluster/peer/connections.go
@@ -16,20 +16,20 @@
 	connectionReviewInterval = 250 * time.Millisecond // between two looks at which connections are wanted
 	initialRedialWait        = 100 * time.Millisecond
 	maxRedialWait            = 2 * time.Second
-	messageWantDuration      = 3 * time.Second // how long a connection is wanted for one message
+	pendingMessageTimeout    = 3 * time.Second // how long a connection is wanted for one message
 	unwantedTimeout          = 3 * time.Second // until a connection that is not wanted is closed
 	maxConnectedNodes        = 256             // a further node is rejected, and asks another one
-	maxWaitingMessages       = 8               // to a node without a connection
+	maxPendingMessages       = 8               // to a node without a connection
 )
 
 // connections are those with other nodes, and which are wanted. They belong to the Node and are under its lock.
 type connections struct {
-	open        map[string][]*connection // by the other node's name
-	wantedUntil map[string]time.Duration
-	waiting     map[string][]any // messages for nodes to which there is no connection yet
-	dialing     map[string]bool
-	redials     map[string]redial
-	lastReview  time.Duration
+	open            map[string][]*connection // by the other node's name
+	wantedUntil     map[string]time.Duration
+	pendingMessages map[string][]any // messages for nodes to which there is no connection yet
+	dialing         map[string]bool
+	redials         map[string]redial
+	lastReview      time.Duration
 }
 
 // redial is the last attempt to connect to a node that has not led to a connection.
@@ -40,11 +40,11 @@
 
 func newConnections() connections {
 	return connections{
-		open:        map[string][]*connection{},
-		wantedUntil: map[string]time.Duration{},
-		waiting:     map[string][]any{},
-		dialing:     map[string]bool{},
-		redials:     map[string]redial{},
+		open:            map[string][]*connection{},
+		wantedUntil:     map[string]time.Duration{},
+		pendingMessages: map[string][]any{},
+		dialing:         map[string]bool{},
+		redials:         map[string]redial{},
 	}
 }
 
@@ -58,10 +58,10 @@
 func (c *connections) add(added *connection) {
 	name := added.name
 	c.open[name] = append(c.open[name], added)
-	for _, message := range c.waiting[name] {
+	for _, message := range c.pendingMessages[name] {
 		added.queueMessage(message)
 	}
-	delete(c.waiting, name)
+	delete(c.pendingMessages, name)
 	delete(c.redials, name)
 }
 
@@ -77,26 +77,26 @@
 }
 
 // connected takes in a connection. mu is not held.
-func (n *Node) connected(c *connection, who membership.Member) {
+func (n *Node) connected(c *connection, remote membership.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
 	c.lastWanted = now
 	n.table.Connected(now, c.name)
 	n.connections.add(c)
-	n.table.MergeMembers(now, c.name, []membership.Member{who})
-	n.afterChange(now)
+	n.table.MergeMembers(now, c.name, []membership.Member{remote})
+	n.applyChanges(now)
 }
 
 // handleDuplicateName notifies another process of this node's own name; the connection is not used otherwise. mu is not
 // held.
-func (n *Node) handleDuplicateName(c *connection, who membership.Member) {
+func (n *Node) handleDuplicateName(c *connection, remote membership.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
-	n.table.MergeMembers(now, c.name, []membership.Member{who})
+	n.table.MergeMembers(now, c.name, []membership.Member{remote})
 	c.queueMessage(&membership.Update{Members: []membership.Member{n.table.Self()}})
-	n.afterChange(now)
+	n.applyChanges(now)
 }
 
 // disconnected removes a connection that has ended. mu is not held.
@@ -111,7 +111,7 @@
 	if n.origin != nil {
 		n.send(now, n.origin.Disconnected(now, c.name))
 	}
-	n.afterChange(now)
+	n.applyChanges(now)
 }
 
 // send queues messages on their connections. For a node without one a connection is wanted, and the message waits for it;
@@ -126,9 +126,9 @@
 		if m, ok := n.table.Get(o.To); !ok || !m.Condition.IsLive() {
 			continue
 		}
-		c.wantedUntil[o.To] = now + messageWantDuration
-		if _, isBatch := o.Message.(*replication.Batch); !isBatch && len(c.waiting[o.To]) < maxWaitingMessages {
-			c.waiting[o.To] = append(c.waiting[o.To], o.Message)
+		c.wantedUntil[o.To] = now + pendingMessageTimeout
+		if _, isBatch := o.Message.(*replication.Batch); !isBatch && len(c.pendingMessages[o.To]) < maxPendingMessages {
+			c.pendingMessages[o.To] = append(c.pendingMessages[o.To], o.Message)
 		}
 	}
 }
@@ -167,7 +167,7 @@
 		if until < now {
 			delete(c.wantedUntil, name)
 			if !c.isOpen(name) {
-				delete(c.waiting, name)
+				delete(c.pendingMessages, name)
 			}
 			continue
 		}
@@ -189,7 +189,7 @@
 }
 
 // seek connects to an address of the configuration whenever no live node is connected that is reached there.
-func (n *Node) seek(ctx context.Context, address string) {
+func (n *Node) connectToSeed(ctx context.Context, address string) {
 	for wait := initialRedialWait; ctx.Err() == nil; wait = min(2*wait, maxRedialWait) {
 		if !n.isConnectedTo(address) {
 			n.connect(ctx, address)
--- a/internal/cluster/peer/copy.go
+++ b/internal/cluster/peer/copy.go
@@ -63,7 +63,7 @@
 }
 
 // endCopiedBatch notes that a batch of a copy is acknowledged. mu is held.
-func (n *Node) endCopiedBatch(from string, ack *replication.Ack) {
+func (n *Node) acknowledgeCopiedBatch(from string, ack *replication.Ack) {
 	if unacked := n.copies[replication.CopyTask{Stream: ack.Stream, To: from}]; unacked != nil {
 		select {
 		case <-unacked:
--- a/internal/cluster/peer/endpointlists.go
+++ b/internal/cluster/peer/endpointlists.go
@@ -26,7 +26,7 @@
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	replies := make(chan []byte, maxListSources)
-	asked := n.askForLists(replies)
+	asked := n.requestEndpointLists(replies)
 	defer func() {
 		n.mu.Lock()
 		n.lists.replies = nil
@@ -46,7 +46,7 @@
 }
 
 // askForLists has answers go to replies and returns how many nodes were asked. It locks mu.
-func (n *Node) askForLists(replies chan []byte) (asked int) {
+func (n *Node) requestEndpointLists(replies chan []byte) (asked int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lists.replies = replies
@@ -85,7 +85,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
-	n.table.HeardFrom(now, c.name)
+	n.table.RecordContact(now, c.name)
 	c.queueMessage(&endpointList{Text: text})
-	n.afterChange(now)
+	n.applyChanges(now)
 }
--- a/internal/cluster/peer/format_test.go
+++ b/internal/cluster/peer/format_test.go
@@ -54,7 +54,7 @@
 		{"beat", heartbeatKind, &membership.Heartbeat{Digest: 1<<63 + 5}},
 		{"news", updateKind, &membership.Update{Members: []membership.Member{sampleMember("n1"), {Name: "n9"}}}},
 		{"ask", livenessQueryKind, &membership.LivenessQuery{Name: "n4"}},
-		{"tell", livenessReplyKind, &membership.LivenessReply{Name: "n4", IsHeard: true}},
+		{"tell", livenessReplyKind, &membership.LivenessReply{Name: "n4", IsReachable: true}},
 		{"offer", offerKind, &replication.Offer{Stream: s, FromOrigin: true, Ranges: ranges}},
 		{"have", inventoryKind, &replication.Inventory{Stream: s, Ranges: ranges, RejectReason: replication.ReasonLaterIncarnation}},
 		{"batch", batchKind, &replication.Batch{Stream: s, First: 41, Count: 3, FromOrigin: true, Frames: []byte{1, 2, 3}}},
--- a/internal/cluster/peer/handshake.go
+++ b/internal/cluster/peer/handshake.go
@@ -21,8 +21,8 @@
 
 var (
 	errTooManyConnections = errors.New("too many connections are here: ask another node")
-	errCallerUnknown      = errors.New("a caller that does not say who it is")
-	errPeerUnknown        = errors.New("a peer that does not say who it is")
+	errCallerIntroMissing = errors.New("a caller that does not say who it is")
+	errPeerIntroMissing   = errors.New("a peer that does not say who it is")
 )
 
 // accept takes connections of other nodes and of commands until the context ends.
@@ -72,7 +72,7 @@
 	}
 	var caller intro
 	if kind != introKind || framing.Decode(body, &caller) != nil {
-		return conn.Reject(errCallerUnknown)
+		return conn.Reject(errCallerIntroMissing)
 	}
 	if caller.Deployment != n.cfg.Deployment {
 		return conn.Reject(fmt.Errorf("this is deployment %q", n.cfg.Deployment))
@@ -98,10 +98,10 @@
 
 // connect opens a connection to an address and serves it until it ends.
 func (n *Node) connect(ctx context.Context, address string) {
-	conn, who, err := dial(ctx, n.cfg, n.cfg.ListenAddress.Addr(), address, n.name, n.self())
+	conn, remote, err := dial(ctx, n.cfg, n.cfg.ListenAddress.Addr(), address, n.name, n.self())
 	if err == nil {
 		defer context.AfterFunc(ctx, func() { conn.Close() })()
-		err = n.serveNode(newConnection(conn, who.Member.Name, true), who.Member)
+		err = n.serveNode(newConnection(conn, remote.Member.Name, true), remote.Member)
 	}
 	if ctx.Err() == nil {
 		n.log.Debug().Err(err).Str("address", address).Msg("dialed connection ended")
@@ -110,14 +110,14 @@
 
 // dial opens a connection to an address, says who this is and returns who answers. With a self that has no incarnation
 // the caller is a command, which gets no answer to its intro. from is the local address, if it is a specified one.
-func dial(ctx context.Context, cfg *Config, from netip.Addr, address, name string, self membership.Member) (conn *framing.Conn, who intro, err error) {
+func dial(ctx context.Context, cfg *Config, from netip.Addr, address, name string, self membership.Member) (conn *framing.Conn, remote intro, err error) {
 	d := net.Dialer{Deadline: time.Now().Add(dialTimeout)}
 	if from.IsValid() && !from.IsUnspecified() { // the address by which the others know this node
 		d.LocalAddr = &net.TCPAddr{IP: from.AsSlice()}
 	}
 	nc, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return nil, who, err
+		return nil, remote, err
 	}
 	defer func() {
 		if err != nil {
@@ -134,28 +134,28 @@
 	}
 	conn = protocol.NewConn(wrapped)
 	if _, err = conn.Handshake(name, deadline); err != nil {
-		return nil, who, err
+		return nil, remote, err
 	}
 	if err = conn.Send(introKind, intro{Deployment: cfg.Deployment, Member: self}); err != nil {
-		return nil, who, err
+		return nil, remote, err
 	}
 	if self.Incarnation == 0 {
-		return conn, who, nil
+		return conn, remote, nil
 	}
-	who, err = receiveIntro(conn, deadline)
-	return conn, who, err
+	remote, err = receiveIntro(conn, deadline)
+	return conn, remote, err
 }
 
-func receiveIntro(conn *framing.Conn, deadline time.Time) (who intro, err error) {
+func receiveIntro(conn *framing.Conn, deadline time.Time) (remote intro, err error) {
 	kind, body, err := conn.Receive(deadline)
 	switch {
 	case err != nil:
 	case kind == framing.RejectionKind:
 		err = framing.RejectionError(body)
 	case kind != introKind:
-		err = errPeerUnknown
+		err = errPeerIntroMissing
 	default:
-		err = framing.Decode(body, &who)
+		err = framing.Decode(body, &remote)
 	}
-	return who, err
+	return remote, err
 }
--- a/internal/cluster/peer/journal.go
+++ b/internal/cluster/peer/journal.go
@@ -40,9 +40,9 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	select {
-	case <-n.journalDecided:
+	case <-n.journalConfigured:
 	default:
-		close(n.journalDecided)
+		close(n.journalConfigured)
 	}
 	n.journal = dir
 	if !isReplicated {
@@ -51,8 +51,8 @@
 	now := n.now()
 	stream := replication.Stream{Name: n.name, Incarnation: n.table.Self().Incarnation}
 	n.origin = replication.NewOrigin(now, stream, n.candidate(), n.cfg.Replicas, n.cfg.SlowAfter.Std())
-	n.usedDigest = 0 // has afterChange give the members to the origin
-	n.afterChange(now)
+	n.appliedDigest = 0 // has afterChange give the members to the origin
+	n.applyChanges(now)
 }
 
 // ReplicateChunk takes in a chunk of the journal before it is written here (wal.Options.OnChunk). A chunk that nobody
@@ -63,7 +63,7 @@
 	now := n.now()
 	_, out := n.origin.Append(now, count, frames, isAwaited)
 	n.send(now, out)
-	n.finishCommits()
+	n.resolveCommits()
 }
 
 // RecordsStored is called when records of the journal are written here, and synced if someone waits for them
@@ -80,7 +80,7 @@
 	defer n.mu.Unlock()
 	c := &Commit{sequence: sequence, done: make(chan struct{})}
 	n.commits = append(n.commits, c)
-	n.finishCommits()
+	n.resolveCommits()
 	return c
 }
 
@@ -95,7 +95,7 @@
 }
 
 // finishCommits ends the commits that are decided. mu is held.
-func (n *Node) finishCommits() {
+func (n *Node) resolveCommits() {
 	if len(n.commits) == 0 {
 		return
 	}
--- a/internal/cluster/peer/message.go
+++ b/internal/cluster/peer/message.go
@@ -133,7 +133,7 @@
 }
 
 // emptyMessage is what a frame from a node is decoded into; nil for a kind that nodes do not send.
-func emptyMessage(k framing.Kind) any {
+func newMessage(k framing.Kind) any {
 	switch k {
 	case heartbeatKind:
 		return &membership.Heartbeat{}
@@ -164,7 +164,7 @@
 	if k == framing.RejectionKind {
 		return nil, framing.RejectionError(body)
 	}
-	if message = emptyMessage(k); message == nil {
+	if message = newMessage(k); message == nil {
 		return nil, fmt.Errorf("a frame of kind %d from a node", k)
 	}
 	return message, framing.Decode(body, message)
--- a/internal/cluster/peer/node.go
+++ b/internal/cluster/peer/node.go
@@ -38,24 +38,24 @@
 	store     *replicastore.Store
 	copyLimit *rate.Limiter
 
-	replaced       chan struct{} // closed when a later incarnation is known
-	firstUpdate    chan struct{} // closed when another node has sent members
-	journalDecided chan struct{} // closed by StartJournal
-
-	mu          sync.Mutex // never held over a socket or the disk
-	table       *membership.Table
-	replicas    *replication.ReplicaTable
-	origin      *replication.Origin // nil: the node's journal is not replicated
-	journal     string              // the folder of the node's journal; "" for none
-	isLoaded    bool                // what is on disk is known
-	earlyOffers []earlyOffer        // that came before that
-	connections connections
-	commits     []*Commit                              // that are waited for
-	copies      map[replication.CopyTask]chan struct{} // each holds one for every batch that is not acknowledged
-	lists       endpointLists
-	lifecycle   lifecycle
-	usedDigest  uint64 // of the members that replication last got
-	isShort     bool   // commits are stalled, and the log says so (logShortage)
+	replaced          chan struct{} // closed when a later incarnation is known
+	firstUpdate       chan struct{} // closed when another node has sent members
+	journalConfigured chan struct{} // closed by StartJournal
+
+	mu               sync.Mutex // never held over a socket or the disk
+	table            *membership.Table
+	replicas         *replication.ReplicaTable
+	origin           *replication.Origin // nil: the node's journal is not replicated
+	journal          string              // the folder of the node's journal; "" for none
+	isLoaded         bool                // what is on disk is known
+	earlyOffers      []earlyOffer        // that came before that
+	connections      connections
+	commits          []*Commit                              // that are waited for
+	copies           map[replication.CopyTask]chan struct{} // each holds one for every batch that is not acknowledged
+	lists            endpointLists
+	lifecycle        lifecycle
+	appliedDigest    uint64 // of the members that replication last got
+	isShortageLogged bool   // commits are stalled, and the log says so (logShortage)
 }
 
 // lifecycle is how far the node has come.
@@ -95,20 +95,20 @@
 		Machine:     cfg.Machine,
 	}
 	n := &Node{
-		cfg:            cfg,
-		name:           name,
-		log:            log,
-		files:          files,
-		started:        time.Now().Add(-time.Second), // 0 is never
-		listener:       listener,
-		store:          replicastore.Open(cfg.ReplicaDir, files, replicaSegmentBytes),
-		copyLimit:      rate.NewLimiter(rate.Limit(cfg.RepairBytesPerSecond), maxBodyBytes),
-		replaced:       make(chan struct{}),
-		firstUpdate:    make(chan struct{}),
-		journalDecided: make(chan struct{}),
-		table:          membership.New(self),
-		connections:    newConnections(),
-		copies:         map[replication.CopyTask]chan struct{}{},
+		cfg:               cfg,
+		name:              name,
+		log:               log,
+		files:             files,
+		started:           time.Now().Add(-time.Second), // 0 is never
+		listener:          listener,
+		store:             replicastore.Open(cfg.ReplicaDir, files, replicaSegmentBytes),
+		copyLimit:         rate.NewLimiter(rate.Limit(cfg.RepairBytesPerSecond), maxBodyBytes),
+		replaced:          make(chan struct{}),
+		firstUpdate:       make(chan struct{}),
+		journalConfigured: make(chan struct{}),
+		table:             membership.New(self),
+		connections:       newConnections(),
+		copies:            map[replication.CopyTask]chan struct{}{},
 	}
 	n.replicas = replication.NewReplicaTable(n.candidate(), cfg.Replicas, cfg.MaxReplicaBytes, cfg.RetentionAge.Std())
 	return n, nil
@@ -159,7 +159,7 @@
 	g.Go(func() error { return n.accept(ctx) })
 	g.Go(func() error { n.loadReplicas(ctx); return nil })
 	for _, address := range n.cfg.Peers {
-		g.Go(func() error { n.seek(ctx, address); return nil })
+		g.Go(func() error { n.connectToSeed(ctx, address); return nil })
 	}
 	g.Go(func() error { return n.cleanUp(ctx) })
 	g.Go(func() error { return n.reconcile(ctx) })
@@ -178,7 +178,7 @@
 	n.lifecycle.isLeaving = true
 	n.table.Leave(now)
 	n.send(now, n.table.Tick(now))
-	n.afterChange(now)
+	n.applyChanges(now)
 	n.mu.Unlock()
 	time.Sleep(tickInterval) // for the message to be written
 }
--- a/internal/cluster/peer/reconcile.go
+++ b/internal/cluster/peer/reconcile.go
@@ -27,7 +27,7 @@
 	}
 	ticker := time.NewTicker(max(n.cfg.ReconcileAfter.Std()/4, minReconcileInterval))
 	defer ticker.Stop()
-	closedAt := map[replication.Stream]uint64{} // with how many records reconcileStream left no entry of a stream
+	reconciledCounts := map[replication.Stream]uint64{} // with how many records reconcileStream left no entry of a stream
 	for {
 		select {
 		case <-ctx.Done():
@@ -35,15 +35,15 @@
 		case <-ticker.C:
 		}
 		executions := executionLoader{node: n}
-		for _, s := range n.streamsToReconcile(closedAt) {
-			left, err := n.reconcileStream(s, &executions)
+		for _, s := range n.streamsToReconcile(reconciledCounts) {
+			undecided, err := n.reconcileStream(s, &executions)
 			if err != nil {
 				n.log.Error().Err(err).Stringer("stream", s).Msg("journal not reconciled")
 				continue
 			}
-			if left == 0 {
+			if undecided == 0 {
 				n.mu.Lock()
-				closedAt[s] = n.replicas.Ranges(s).Count()
+				reconciledCounts[s] = n.replicas.Ranges(s).Count()
 				n.mu.Unlock()
 			}
 		}
@@ -51,14 +51,14 @@
 }
 
 // streamsToReconcile locks mu.
-func (n *Node) streamsToReconcile(closedAt map[replication.Stream]uint64) (streams []replication.Stream) {
+func (n *Node) streamsToReconcile(reconciledCounts map[replication.Stream]uint64) (streams []replication.Stream) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.isLoaded {
 		return nil
 	}
 	for _, s := range n.replicas.Streams() {
-		if n.replicas.ShouldReconcile(n.now(), s, n.cfg.ReconcileAfter.Std()) && closedAt[s] != n.replicas.Ranges(s).Count() {
+		if n.replicas.ShouldReconcile(n.now(), s, n.cfg.ReconcileAfter.Std()) && reconciledCounts[s] != n.replicas.Ranges(s).Count() {
 			streams = append(streams, s)
 		}
 	}
@@ -67,7 +67,7 @@
 
 // reconcileStream stores what execution records decide of a stream, and returns how many open entries they decide no
 // attempt of. An entry of which they decide some attempts and leave others open does not count.
-func (n *Node) reconcileStream(s replication.Stream, executions *executionLoader) (left int, err error) {
+func (n *Node) reconcileStream(s replication.Stream, executions *executionLoader) (undecided int, err error) {
 	open, err := n.openEntries(s)
 	if err != nil {
 		return 0, err
@@ -79,7 +79,7 @@
 	for _, e := range open {
 		reconciled := intent.Reconcile(e, executions.records, int64(reconcileSlack), time.Now().UnixNano())
 		if len(reconciled) == 0 {
-			left++
+			undecided++
 		}
 		records = append(records, reconciled...)
 	}
@@ -87,9 +87,9 @@
 		return 0, err
 	}
 	if len(records) > 0 {
-		n.log.Info().Stringer("stream", s).Int("attempts", len(records)).Int("open", left).Msg("journal of lost machine reconciled")
+		n.log.Info().Stringer("stream", s).Int("attempts", len(records)).Int("open", undecided).Msg("journal of lost machine reconciled")
 	}
-	return left, nil
+	return undecided, nil
 }
 
 // executionLoader reads the execution records once, when the first entry needs them. A source that cannot be read to its
@@ -115,7 +115,7 @@
 // before.
 func (n *Node) openEntries(s replication.Stream) (open []*intent.Entry, err error) {
 	merger := intent.NewMerger()
-	for _, dir := range n.foldersOf(s) {
+	for _, dir := range n.streamDirs(s) {
 		report, err := wal.Scan(n.files, dir, time.Time{}, func(r *intent.Record) error {
 			if int64(r.Incarnation) == s.Incarnation {
 				merger.Add(r)
@@ -136,7 +136,7 @@
 }
 
 // foldersOf returns the folders that may have records of a stream. It locks mu.
-func (n *Node) foldersOf(s replication.Stream) []string {
+func (n *Node) streamDirs(s replication.Stream) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	dirs := []string{n.store.StreamDir(s)}
--- a/internal/cluster/peer/reconcile_test.go
+++ b/internal/cluster/peer/reconcile_test.go
@@ -49,8 +49,8 @@
 		by = map[string]uint64{}
 		for _, s := range Query(context.Background(), anyNode().cfg, false).Answered {
 			for _, h := range s.StoredReplicas {
-				if base, who, ok := strings.Cut(h.Name, "~"); ok && base == "n0" {
-					by[who] = max(by[who], h.Ranges.Count())
+				if base, reconciler, ok := strings.Cut(h.Name, "~"); ok && base == "n0" {
+					by[reconciler] = max(by[reconciler], h.Ranges.Count())
 				}
 			}
 		}
@@ -94,9 +94,9 @@
 	if by := reconcilers(); len(by) != 2 || by[first] != 1 {
 		t.Errorf("reconciled by %v, at first by %s", by, first)
 	}
-	for who, n := range reconcilers() {
+	for reconciler, n := range reconcilers() {
 		if n != 1 {
-			t.Errorf("%s has reconciled %d attempts of two, one each", who, n)
+			t.Errorf("%s has reconciled %d attempts of two, one each", reconciler, n)
 		}
 	}
 }
--- a/internal/cluster/peer/session.go
+++ b/internal/cluster/peer/session.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	idleTimeout    = 3 * time.Second        // of a connection: twelve heartbeats
-	ownNameLinger  = 500 * time.Millisecond // for another process of this node's name to read that it is one
-	maxEarlyOffers = 1024
+	idleTimeout         = 3 * time.Second        // of a connection: twelve heartbeats
+	duplicateNameLinger = 500 * time.Millisecond // for another process of this node's name to read that it is one
+	maxEarlyOffers      = 1024
 	// reasonDiskFailed is the RejectReason of an Ack for whatever kept a batch from being written, a full queue and a
 	// closed store among it. The text is sent to other nodes.
 	reasonDiskFailed = "the disk takes nothing"
 )
 
 var (
-	errSelf    = errors.New("this node itself")
-	errOwnName = errors.New("another incarnation of this name")
+	errSelf          = errors.New("this node itself")
+	errDuplicateName = errors.New("another incarnation of this name")
 )
 
 // serveNode reads a connection with a node until it ends. It owns the connection's goroutines.
-func (n *Node) serveNode(c *connection, who membership.Member) error {
+func (n *Node) serveNode(c *connection, remote membership.Member) error {
 	defer c.close()
-	if c.name == "" || c.name == n.name && who.Incarnation == n.self().Incarnation {
+	if c.name == "" || c.name == n.name && remote.Incarnation == n.self().Incarnation {
 		return errSelf
 	}
 	readerDone := make(chan struct{})
@@ -39,11 +39,11 @@
 	goroutines.Go(func() { c.writeQueued(readerDone) })
 	goroutines.Go(func() { n.acknowledgeBatches(c) })
 	if c.name == n.name {
-		n.handleDuplicateName(c, who)
-		time.Sleep(ownNameLinger)
-		return errOwnName
+		n.handleDuplicateName(c, remote)
+		time.Sleep(duplicateNameLinger)
+		return errDuplicateName
 	}
-	n.connected(c, who)
+	n.connected(c, remote)
 	defer n.disconnected(c)
 	for {
 		kind, body, err := c.conn.Receive(time.Now().Add(idleTimeout))
@@ -74,7 +74,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
-	n.table.HeardFrom(now, c.name)
+	n.table.RecordContact(now, c.name)
 	switch m := message.(type) {
 	case *replication.Offer:
 		if n.isLoaded {
@@ -83,20 +83,20 @@
 			n.earlyOffers = append(n.earlyOffers, earlyOffer{from: c.name, offer: m})
 		}
 	case *replication.Inventory:
-		n.handleReplicationAnswer(now, c.name, m)
+		n.handleReplicationReply(now, c.name, m)
 	case *replication.Ack:
-		n.handleReplicationAnswer(now, c.name, m)
-		n.endCopiedBatch(c.name, m)
+		n.handleReplicationReply(now, c.name, m)
+		n.acknowledgeCopiedBatch(c.name, m)
 	default:
 		n.send(now, n.table.HandleMessage(now, c.name, m))
 	}
-	n.afterChange(now)
+	n.applyChanges(now)
 	if _, isUpdate := message.(*membership.Update); isUpdate {
-		n.noteFirstUpdate()
+		n.signalFirstUpdate()
 	}
 }
 
-func (n *Node) handleReplicationAnswer(now time.Duration, from string, message any) {
+func (n *Node) handleReplicationReply(now time.Duration, from string, message any) {
 	if n.origin != nil {
 		n.send(now, n.origin.HandleMessage(now, from, message))
 	}
@@ -104,7 +104,7 @@
 }
 
 // noteFirstUpdate has Join return. mu is held.
-func (n *Node) noteFirstUpdate() {
+func (n *Node) signalFirstUpdate() {
 	select {
 	case <-n.firstUpdate:
 	default:
@@ -146,7 +146,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
-	n.table.HeardFrom(now, c.name)
+	n.table.RecordContact(now, c.name)
 	ok, out := n.replicas.AdmitBatch(c.name, b, atUnixNano, time.Now().UnixNano())
 	if !n.isLoaded {
 		return false
@@ -170,14 +170,14 @@
 			ack.RejectReason = reasonDiskFailed
 			n.log.Error().Err(err).Stringer("stream", b.Stream).Msg("replica not stored")
 		} else {
-			n.noteBatchStored(b, pending.atUnixNano)
+			n.recordBatchStored(b, pending.atUnixNano)
 		}
 		c.queueMessage(ack)
 	}
 }
 
 // noteBatchStored locks mu.
-func (n *Node) noteBatchStored(b *replication.Batch, atUnixNano int64) {
+func (n *Node) recordBatchStored(b *replication.Batch, atUnixNano int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	end := b.First + uint64(b.Count)
--- a/internal/cluster/peer/storedreplicas.go
+++ b/internal/cluster/peer/storedreplicas.go
@@ -39,7 +39,7 @@
 // answered and no batch is taken.
 func (n *Node) loadReplicas(ctx context.Context) {
 	select {
-	case <-n.journalDecided:
+	case <-n.journalConfigured:
 	case <-ctx.Done():
 		return
 	}
@@ -63,7 +63,7 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		n.noteChunkFound(s, c, int64(len(c.Frames)))
+		n.recordChunkFound(s, c, int64(len(c.Frames)))
 		return nil
 	})
 	for _, u := range report.Unreadable {
@@ -91,13 +91,13 @@
 		if incarnation >= running || ctx.Err() != nil {
 			return ctx.Err()
 		}
-		n.noteChunkFound(replication.Stream{Name: n.name, Incarnation: incarnation}, c, 0)
+		n.recordChunkFound(replication.Stream{Name: n.name, Incarnation: incarnation}, c, 0)
 		return nil
 	})
 }
 
 // noteChunkFound locks mu.
-func (n *Node) noteChunkFound(s replication.Stream, c wal.Chunk, bytes int64) {
+func (n *Node) recordChunkFound(s replication.Stream, c wal.Chunk, bytes int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.replicas.RecordsStored(s, c.First, c.First+uint64(c.Count), bytes, c.AtUnixNano)
--- a/internal/cluster/peer/tick.go
+++ b/internal/cluster/peer/tick.go
@@ -35,7 +35,7 @@
 	if n.isLoaded {
 		n.send(now, n.replicas.Tick(now))
 	}
-	n.afterChange(now)
+	n.applyChanges(now)
 	n.logShortage(now)
 	if now-n.connections.lastReview >= connectionReviewInterval {
 		n.connections.lastReview = now
@@ -52,10 +52,10 @@
 		return
 	}
 	isShort := n.origin.StalledFor(now) > n.cfg.SlowAfter.Std()
-	if isShort == n.isShort {
+	if isShort == n.isShortageLogged {
 		return
 	}
-	n.isShort = isShort
+	n.isShortageLogged = isShort
 	if isShort {
 		n.log.Warn().Interface("holders", n.origin.Holders()).Int("uncommitted", n.origin.UncommittedCount()).Msg("too few replica holders")
 	} else {
@@ -65,12 +65,12 @@
 
 // afterChange is called after whatever may have changed something: replication gets the members and connections, and
 // commits that are decided end. mu is held.
-func (n *Node) afterChange(now time.Duration) {
+func (n *Node) applyChanges(now time.Duration) {
 	if n.table.IsReplaced() && !n.lifecycle.isReplaced {
 		n.handleReplaced(now)
 	}
-	if digest := n.table.Digest(); digest != n.usedDigest {
-		n.usedDigest = digest
+	if digest := n.table.Digest(); digest != n.appliedDigest {
+		n.appliedDigest = digest
 		n.updateNodes(now)
 	}
 	if n.origin == nil {
@@ -83,7 +83,7 @@
 			n.connections.want(name, now+connectionReviewInterval)
 		}
 	}
-	n.finishCommits()
+	n.resolveCommits()
 }
 
 // handleReplaced is called when a later incarnation of this node's name is known. Before it has joined the node takes a
--- a/internal/cluster/replicastore/store.go
+++ b/internal/cluster/replicastore/store.go
@@ -75,7 +75,7 @@
 // Append stores records of a stream; the Commit reports when they are durable. Where more comes than the disk takes it
 // blocks for a while, before it gives up with wal.ErrQueueFull.
 func (s *Store) Append(stream replication.Stream, records []intent.Record) (*wal.Commit, error) {
-	log, err := s.logOf(stream)
+	log, err := s.streamLog(stream)
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 }
 
 // logOf returns the log of a stream. The first caller opens it, others wait for that.
-func (s *Store) logOf(stream replication.Stream) (*wal.Log, error) {
+func (s *Store) streamLog(stream replication.Stream) (*wal.Log, error) {
 	s.mu.Lock()
 	if s.isClosed {
 		s.mu.Unlock()
@@ -150,13 +150,13 @@
 }
 
 // closeUnused closes the streams that fit and were not used since a moment.
-func (s *Store) closeUnused(since time.Time, fits func(replication.Stream) bool) {
-	for _, log := range s.takeUnused(since, fits) {
+func (s *Store) closeUnused(since time.Time, matches func(replication.Stream) bool) {
+	for _, log := range s.detachUnused(since, matches) {
 		log.Close()
 	}
 }
 
-func (s *Store) takeUnused(since time.Time, fits func(replication.Stream) bool) (logs []*wal.Log) {
+func (s *Store) detachUnused(since time.Time, matches func(replication.Stream) bool) (logs []*wal.Log) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for stream, o := range s.open {
@@ -165,7 +165,7 @@
 		default:
 			continue // it is being opened
 		}
-		if !fits(stream) || o.lastUsed.After(since) {
+		if !matches(stream) || o.lastUsed.After(since) {
 			continue
 		}
 		delete(s.open, stream)
--- a/internal/cluster/replication/admission.go
+++ b/internal/cluster/replication/admission.go
@@ -10,27 +10,27 @@
 	if o.FromOrigin {
 		t.highestIncarnation[o.Name] = max(t.highestIncarnation[o.Name], o.Incarnation)
 	}
-	h := t.streams[o.Stream]
-	if h != nil && !o.FromOrigin {
-		h.otherHolders[from] = true
+	stored := t.streams[o.Stream]
+	if stored != nil && !o.FromOrigin {
+		stored.otherHolders[from] = true
 	}
-	answer := &Inventory{Stream: o.Stream, RejectReason: t.rejectReason(o.Stream, o.FromOrigin)}
-	if h != nil {
-		answer.Ranges = h.ranges
-		if o.FromOrigin && len(o.Ranges) > 0 && answer.RejectReason == "" {
-			h.followOrigin(o.Ranges)
+	inventory := &Inventory{Stream: o.Stream, RejectReason: t.rejectReason(o.Stream, o.FromOrigin)}
+	if stored != nil {
+		inventory.Ranges = stored.ranges
+		if o.FromOrigin && len(o.Ranges) > 0 && inventory.RejectReason == "" {
+			stored.applyOriginRanges(o.Ranges)
 		}
 	}
-	return []Outgoing{{from, answer}}
+	return []Outgoing{{from, inventory}}
 }
 
 // followOrigin drops the records before the origin's first, which it has removed as too old or lost to damage at the start
 // of its journal, and notes those between its first and last that it lacks: it has lost them.
-func (h *storedStream) followOrigin(atOrigin Ranges) {
+func (stored *storedStream) applyOriginRanges(atOrigin Ranges) {
 	first := atOrigin[0].From
 	end := atOrigin[len(atOrigin)-1].To
-	h.ranges = h.ranges.Without(Ranges{{From: 0, To: first}})
-	h.lostByOrigin = Ranges{{From: first, To: end}}.Without(atOrigin)
+	stored.ranges = stored.ranges.Without(Ranges{{From: 0, To: first}})
+	stored.lostByOrigin = Ranges{{From: first, To: end}}.Without(atOrigin)
 }
 
 // rejectReason is why records of a stream are not taken; "" where they are.
@@ -58,7 +58,7 @@
 		return false, []Outgoing{{from, &Ack{Stream: b.Stream, First: b.First, Count: b.Count, RejectReason: reason}}}
 	}
 	records := b.records()
-	if h := t.streams[b.Stream]; h != nil && h.ranges.Contains(records.From, records.To) {
+	if stored := t.streams[b.Stream]; stored != nil && stored.ranges.Contains(records.From, records.To) {
 		return false, []Outgoing{{from, &Ack{Stream: b.Stream, First: b.First, Count: b.Count}}}
 	}
 	return true, nil
@@ -76,41 +76,41 @@
 
 // handleInventory takes in the answer to an offer, or an inventory of a node that has found records damaged.
 func (t *ReplicaTable) handleInventory(now time.Duration, from string, m *Inventory) {
-	h := t.streams[m.Stream]
-	if h == nil || h.targets[from] == nil || !m.Ranges.isValid() {
+	stored := t.streams[m.Stream]
+	if stored == nil || stored.targets[from] == nil || !m.Ranges.isValid() {
 		return
 	}
-	to := h.targets[from]
-	to.hasAnswered = true
-	to.stored = m.Ranges
-	to.rejectedAt = 0
+	dest := stored.targets[from]
+	dest.hasReplied = true
+	dest.stored = m.Ranges
+	dest.rejectedAt = 0
 	if m.RejectReason != "" {
-		t.noteReject(now, to)
+		t.recordReject(now, dest)
 	}
 	if len(m.Ranges) > 0 {
-		h.otherHolders[from] = true
+		stored.otherHolders[from] = true
 	}
 }
 
 func (t *ReplicaTable) handleAck(now time.Duration, from string, m *Ack) {
-	h := t.streams[m.Stream]
-	if h == nil || m.Count <= 0 {
+	stored := t.streams[m.Stream]
+	if stored == nil || m.Count <= 0 {
 		return
 	}
 	records := m.records()
-	to := h.targets[from]
+	dest := stored.targets[from]
 	switch {
-	case to != nil && m.RejectReason != "":
-		t.noteReject(now, to)
-	case to != nil:
-		to.stored = to.stored.With(records.From, records.To)
-		h.otherHolders[from] = true
+	case dest != nil && m.RejectReason != "":
+		t.recordReject(now, dest)
+	case dest != nil:
+		dest.stored = dest.stored.With(records.From, records.To)
+		stored.otherHolders[from] = true
 	case from == m.Name: // what the origin had lost is back there
-		h.lostByOrigin = h.lostByOrigin.Without(Ranges{records})
+		stored.lostByOrigin = stored.lostByOrigin.Without(Ranges{records})
 	}
 }
 
-func (t *ReplicaTable) noteReject(now time.Duration, to *target) {
-	to.rejectedAt = max(now, 1) // 0 is never
+func (t *ReplicaTable) recordReject(now time.Duration, dest *target) {
+	dest.rejectedAt = max(now, 1) // 0 is never
 	t.candidatesVersion++
 }
--- a/internal/cluster/replication/candidate.go
+++ b/internal/cluster/replication/candidate.go
@@ -39,14 +39,14 @@
 // selectCandidates takes count healthy candidates: each on a machine of its own, and on as many sites as there are.
 // Within that it takes those that are preferred first, and then by rank. Machines and sites of those in taken hold the
 // stream already.
-func selectCandidates(ranked []Candidate, count int, preferred map[string]bool, taken []Candidate) (selected []Candidate) {
+func selectCandidates(ranked []Candidate, count int, preferred map[string]bool, occupied []Candidate) (selected []Candidate) {
 	machines := map[string]bool{}
 	sites := map[string]bool{}
-	for _, c := range taken {
+	for _, c := range occupied {
 		machines[c.Machine] = true
 		sites[c.Site] = true
 	}
-	take := func(fits func(Candidate) bool) {
+	selectWhere := func(fits func(Candidate) bool) {
 		for _, c := range ranked {
 			if len(selected) < count && c.IsHealthy && !machines[c.Machine] && fits(c) {
 				machines[c.Machine] = true
@@ -55,9 +55,9 @@
 			}
 		}
 	}
-	take(func(c Candidate) bool { return preferred[c.Name] && !sites[c.Site] })
-	take(func(c Candidate) bool { return !sites[c.Site] })
-	take(func(c Candidate) bool { return preferred[c.Name] })
-	take(func(Candidate) bool { return true })
+	selectWhere(func(c Candidate) bool { return preferred[c.Name] && !sites[c.Site] })
+	selectWhere(func(c Candidate) bool { return !sites[c.Site] })
+	selectWhere(func(c Candidate) bool { return preferred[c.Name] })
+	selectWhere(func(Candidate) bool { return true })
 	return selected
 }
--- a/internal/cluster/replication/holder.go
+++ b/internal/cluster/replication/holder.go
@@ -121,7 +121,7 @@
 func (h *holder) isReceiving() bool { return h.state == inSync || h.state == lagging }
 
 // isUnanswered reports whether it has not reported yet what it has.
-func (h *holder) isUnanswered() bool { return h.state == selected || h.state == offered }
+func (h *holder) isAwaitingInventory() bool { return h.state == selected || h.state == offered }
 
 // Holder describes a holder to commands. It is sent as a CBOR array and printed as JSON by field name: the
 // order of the fields and the tags stay.
--- a/internal/cluster/replication/origin.go
+++ b/internal/cluster/replication/origin.go
@@ -21,7 +21,7 @@
 )
 
 // notShort is the value of Origin.shortSince where there are enough holders.
-const notShort = -1
+const noShortage = -1
 
 // Origin is the stream of this node's running incarnation, and decides who holds it.
 type Origin struct {
@@ -30,11 +30,11 @@
 	required   int           // how many other machines hold a record before it is committed
 	ackTimeout time.Duration // a holder that has not acknowledged a record within it is replaced
 
-	candidates []Candidate // ranked
-	holders    map[string]*holder
-	avoided    map[string]time.Duration // when a holder was last slow, lost or rejecting
-	lastReview time.Duration
-	shortSince time.Duration // since when too few holders are in sync; notShort: there are enough
+	candidates    []Candidate // ranked
+	holders       map[string]*holder
+	avoided       map[string]time.Duration // when a holder was last slow, lost or rejecting
+	lastReview    time.Duration
+	shortageSince time.Duration // since when too few holders are in sync; notShort: there are enough
 
 	stored      Ranges // that are written to this node's own disk, not all of them synced
 	queue       []queuedRecords
@@ -52,16 +52,16 @@
 // not acknowledged a record within ackTimeout is replaced.
 func NewOrigin(now time.Duration, s Stream, self Candidate, required int, ackTimeout time.Duration) *Origin {
 	return &Origin{
-		stream:      s,
-		self:        self,
-		required:    required,
-		ackTimeout:  ackTimeout,
-		holders:     map[string]*holder{},
-		avoided:     map[string]time.Duration{},
-		shortSince:  now,
-		next:        1,
-		firstQueued: 1,
-		committed:   1,
+		stream:        s,
+		self:          self,
+		required:      required,
+		ackTimeout:    ackTimeout,
+		holders:       map[string]*holder{},
+		avoided:       map[string]time.Duration{},
+		shortageSince: now,
+		next:          1,
+		firstQueued:   1,
+		committed:     1,
 	}
 }
 
@@ -84,8 +84,8 @@
 
 // StalledFor is how long the oldest record has waited to be committed, or how long there have been too few holders.
 func (o *Origin) StalledFor(now time.Duration) (stalled time.Duration) {
-	if o.shortSince >= 0 {
-		stalled = now - o.shortSince
+	if o.shortageSince >= 0 {
+		stalled = now - o.shortageSince
 	}
 	if i := o.firstUncommitted(); i >= 0 {
 		stalled = max(stalled, now-o.queue[i].queuedAt)
@@ -199,15 +199,15 @@
 // isOverdue reports whether a holder does not answer, or the oldest uncommitted record (its index in the queue, -1 for
 // none) has waited for it too long.
 func (o *Origin) isOverdue(now time.Duration, h *holder, uncommitted int) bool {
-	inState := now - h.stateSince
-	if h.isUnanswered() && inState > offerTimeout {
+	timeInState := now - h.stateSince
+	if h.isAwaitingInventory() && timeInState > offerTimeout {
 		return true
 	}
 	if uncommitted < 0 || uncommitted >= len(o.queue) {
 		return false
 	}
 	oldest := o.queue[uncommitted]
-	return now-oldest.queuedAt > o.ackTimeout && h.acked < oldest.next && inState > o.ackTimeout
+	return now-oldest.queuedAt > o.ackTimeout && h.acked < oldest.next && timeInState > o.ackTimeout
 }
 
 // wasAvoidedRecently reports whether a holder was replaced so recently that it isn't replaced again.
--- a/internal/cluster/replication/reconciliation.go
+++ b/internal/cluster/replication/reconciliation.go
@@ -8,16 +8,16 @@
 // ShouldReconcile reports whether this node reconciles a stream whose incarnation has been gone for so long: it is the
 // first of the nodes that should hold the stream, and lacks nothing that another was seen to have.
 func (t *ReplicaTable) ShouldReconcile(now time.Duration, s Stream, after time.Duration) bool {
-	h := t.streams[s]
-	if h == nil || !h.isOrphanFor(now, max(after, orphanDelay)) || s.IsReconciliation() {
+	stored := t.streams[s]
+	if stored == nil || !stored.isOrphanedFor(now, max(after, orphanDelay)) || s.IsReconciliation() {
 		return false
 	}
-	for _, to := range h.targets {
-		if len(to.stored.Without(h.ranges)) > 0 {
+	for _, dest := range stored.targets {
+		if len(dest.stored.Without(stored.ranges)) > 0 {
 			return false
 		}
 	}
-	holders := t.desiredHolders(s, h)
+	holders := t.desiredHolders(s, stored)
 	return len(holders) > 0 && holders[0].Name == t.self.Name
 }
 
--- a/internal/cluster/replication/replicatable.go
+++ b/internal/cluster/replication/replicatable.go
@@ -68,7 +68,7 @@
 type target struct {
 	incarnation int64 // when it was asked; a later one may have lost its disk
 	offeredAt   time.Duration
-	hasAnswered bool
+	hasReplied  bool
 	stored      Ranges
 	rejectedAt  time.Duration // 0: it has not rejected
 }
@@ -91,62 +91,62 @@
 // RecordsStored is called when records of a stream are durable on this node's disk, and for those that are found there
 // at the start.
 func (t *ReplicaTable) RecordsStored(s Stream, from, to uint64, bytes, lastRecordUnixNano int64) {
-	h := t.stream(s)
-	h.ranges = h.ranges.With(from, to)
-	if h.verification.isRunning {
-		h.verification.found = h.verification.found.With(from, to)
+	stored := t.stream(s)
+	stored.ranges = stored.ranges.With(from, to)
+	if stored.verification.isRunning {
+		stored.verification.found = stored.verification.found.With(from, to)
 	}
-	h.bytes += bytes
-	h.lastRecordNano = max(h.lastRecordNano, lastRecordUnixNano)
+	stored.bytes += bytes
+	stored.lastRecordNano = max(stored.lastRecordNano, lastRecordUnixNano)
 	t.storedBytes += bytes
 }
 
 func (t *ReplicaTable) stream(s Stream) *storedStream {
-	h := t.streams[s]
-	if h == nil {
-		h = &storedStream{orphanedSince: notOrphaned, targets: map[string]*target{}, otherHolders: map[string]bool{}}
-		t.streams[s] = h
-		t.updateOrphan(s, h, 0)
+	stored := t.streams[s]
+	if stored == nil {
+		stored = &storedStream{orphanedSince: notOrphaned, targets: map[string]*target{}, otherHolders: map[string]bool{}}
+		t.streams[s] = stored
+		t.updateOrphanState(s, stored, 0)
 	}
-	return h
+	return stored
 }
 
 // StreamRemoved is called when a stream is no longer on this node's disk.
 func (t *ReplicaTable) StreamRemoved(s Stream) {
-	if h := t.streams[s]; h != nil {
-		t.storedBytes -= h.bytes
+	if stored := t.streams[s]; stored != nil {
+		t.storedBytes -= stored.bytes
 		delete(t.streams, s)
 	}
 }
 
 // BeginVerification is called before a stream is read from disk again. What is stored meanwhile counts to it.
 func (t *ReplicaTable) BeginVerification(s Stream) {
-	if h := t.streams[s]; h != nil {
-		h.verification = verification{isRunning: true}
+	if stored := t.streams[s]; stored != nil {
+		stored.verification = verification{isRunning: true}
 	}
 }
 
 // EndVerification takes in what was found undamaged. Where that is less than was thought, other holders are notified.
 func (t *ReplicaTable) EndVerification(s Stream, found Ranges) (out []Outgoing) {
-	h := t.streams[s]
-	if h == nil || !h.verification.isRunning {
+	stored := t.streams[s]
+	if stored == nil || !stored.verification.isRunning {
 		return nil
 	}
-	left := h.verification.found
+	left := stored.verification.found
 	for _, r := range found {
 		left = left.With(r.From, r.To)
 	}
-	hasLost := len(h.ranges.Without(left)) > 0
-	h.ranges = left
-	h.verification = verification{}
+	hasLost := len(stored.ranges.Without(left)) > 0
+	stored.ranges = left
+	stored.verification = verification{}
 	if !hasLost {
 		return nil
 	}
-	names := maps.Clone(h.otherHolders)
+	names := maps.Clone(stored.otherHolders)
 	names[s.Name] = true
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		if name != t.self.Name {
-			out = append(out, Outgoing{name, &Inventory{Stream: s, Ranges: h.ranges}})
+			out = append(out, Outgoing{name, &Inventory{Stream: s, Ranges: stored.ranges}})
 		}
 	}
 	return out
@@ -164,33 +164,33 @@
 			t.candidates = append(t.candidates, n.Candidate)
 		}
 	}
-	for s, h := range t.streams {
-		t.updateOrphan(s, h, now)
+	for s, stored := range t.streams {
+		t.updateOrphanState(s, stored, now)
 	}
 }
 
 // updateOrphan notes whether the incarnation of a stream is gone. Of a node that nobody has named yet nothing is known
 // shortly after the start.
-func (t *ReplicaTable) updateOrphan(s Stream, h *storedStream, now time.Duration) {
+func (t *ReplicaTable) updateOrphanState(s Stream, stored *storedStream, now time.Duration) {
 	if s.IsReconciliation() {
-		h.orphanedSince = max(h.orphanedSince, 0)
+		stored.orphanedSince = max(stored.orphanedSince, 0)
 		return
 	}
 	n, isKnown := t.nodes[s.Name]
 	switch isLive := isKnown && n.IsLive && n.Incarnation <= s.Incarnation; {
 	case isLive:
-		h.orphanedSince = notOrphaned
-	case h.orphanedSince < 0 && (isKnown || now > orphanDelay):
-		h.orphanedSince = now
+		stored.orphanedSince = notOrphaned
+	case stored.orphanedSince < 0 && (isKnown || now > orphanDelay):
+		stored.orphanedSince = now
 	}
 }
 
 // isOrphan reports whether the incarnation of the stream is gone.
-func (h *storedStream) isOrphan() bool { return h.orphanedSince >= 0 }
+func (stored *storedStream) isOrphan() bool { return stored.orphanedSince >= 0 }
 
 // isOrphanFor reports whether it has been gone for so long.
-func (h *storedStream) isOrphanFor(now, least time.Duration) bool {
-	return h.isOrphan() && now-h.orphanedSince >= least
+func (stored *storedStream) isOrphanedFor(now, least time.Duration) bool {
+	return stored.isOrphan() && now-stored.orphanedSince >= least
 }
 
 // Streams returns the streams that are held, in order.
@@ -202,16 +202,16 @@
 
 // Ranges returns the records of a stream that are held.
 func (t *ReplicaTable) Ranges(s Stream) Ranges {
-	if h := t.streams[s]; h != nil {
-		return h.ranges
+	if stored := t.streams[s]; stored != nil {
+		return stored.ranges
 	}
 	return nil
 }
 
 // FirstRecord is the first record of a stream that is held, 0 for none.
 func (t *ReplicaTable) FirstRecord(s Stream) uint64 {
-	if h := t.streams[s]; h != nil && len(h.ranges) > 0 {
-		return h.ranges[0].From
+	if stored := t.streams[s]; stored != nil && len(stored.ranges) > 0 {
+		return stored.ranges[0].From
 	}
 	return 0
 }
@@ -223,7 +223,7 @@
 // ExpiredStreams returns the streams whose incarnation is gone and whose last record is older than the retention.
 func (t *ReplicaTable) ExpiredStreams(nowUnixNano int64) (expired []Stream) {
 	for _, s := range t.Streams() {
-		if h := t.streams[s]; t.retention > 0 && h.isOrphan() && nowUnixNano-h.lastRecordNano > int64(t.retention) {
+		if stored := t.streams[s]; t.retention > 0 && stored.isOrphan() && nowUnixNano-stored.lastRecordNano > int64(t.retention) {
 			expired = append(expired, s)
 		}
 	}
@@ -245,16 +245,16 @@
 // StoredReplicas describes all streams that are held.
 func (t *ReplicaTable) StoredReplicas() (replicas []StoredReplica) {
 	for _, s := range t.Streams() {
-		h := t.streams[s]
+		stored := t.streams[s]
 		r := StoredReplica{
 			Stream:             s,
-			Ranges:             h.ranges,
-			Bytes:              h.bytes,
-			LastRecordUnixNano: h.lastRecordNano,
-			IsOrphan:           h.isOrphan(),
+			Ranges:             stored.ranges,
+			Bytes:              stored.bytes,
+			LastRecordUnixNano: stored.lastRecordNano,
+			IsOrphan:           stored.isOrphan(),
 			MissingRecords:     map[string]uint64{},
 		}
-		for name := range h.targets {
+		for name := range stored.targets {
 			if n := t.MissingAt(s, name).Count(); n > 0 {
 				r.MissingRecords[name] = n
 			}
--- a/internal/cluster/replication/selection.go
+++ b/internal/cluster/replication/selection.go
@@ -38,7 +38,7 @@
 func (o *Origin) selectHolders(now time.Duration, out []Outgoing) []Outgoing {
 	current := map[string]bool{}
 	for name, h := range o.holders {
-		current[name] = h.isUnanswered() || h.state == inSync
+		current[name] = h.isAwaitingInventory() || h.state == inSync
 	}
 	self := []Candidate{o.self}
 	chosen := selectCandidates(o.usableCandidates(now, true), o.required, current, self)
@@ -97,7 +97,7 @@
 			continue
 		}
 		h := o.holders[name]
-		isUnused := h.isUnanswered() || h.state == rejected
+		isUnused := h.isAwaitingInventory() || h.state == rejected
 		isTimedOut := isUnused && now-h.stateSince > idleHolderTimeout
 		isExtra := len(o.holders) > o.required+maxExtraHolders && h.state != inSync
 		if complete >= o.required || isTimedOut || isExtra {
@@ -115,9 +115,9 @@
 		}
 	}
 	if count >= o.required {
-		o.shortSince = notShort
-	} else if o.shortSince < 0 {
-		o.shortSince = now
+		o.shortageSince = noShortage
+	} else if o.shortageSince < 0 {
+		o.shortageSince = now
 	}
 }
 
