--- a/internal/cluster/membership/input.go
+++ b/internal/cluster/membership/input.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Connected is called when a connection to or from a node is established. All members are sent to the node.
+// Connected records that a connection to or from a node is established, and schedules a full update to that node.
 func (t *Table) Connected(now time.Duration, name string) {
 	p := t.peer(name)
 	p.isConnected = true
@@ -11,7 +11,7 @@
 	p.state = reachable
 }
 
-// Disconnected is called when no connection to or from a node is left.
+// Disconnected records that the last connection to or from a node is closed.
 func (t *Table) Disconnected(name string) {
 	if p := t.peers[name]; p != nil {
 		p.isConnected = false
@@ -19,7 +19,7 @@
 	}
 }
 
-// HeardFrom is called when anything came from a node.
+// RecordContact records that a frame was received from a node.
 func (t *Table) RecordContact(now time.Duration, name string) {
 	if p := t.peers[name]; p != nil {
 		p.lastContact = now
@@ -27,14 +27,14 @@
 	}
 }
 
-// CanHear reports whether this node hears another now.
+// CanReach reports whether another node is connected and a message from it was received within silenceTimeout.
 func (t *Table) CanReach(now time.Duration, name string) bool {
 	p := t.peers[name]
 	return p != nil && p.isReachable(now)
 }
 
-// HandleMessage takes in a message of another node and returns the answer, if there is one. Messages of other packages
-// only show that the node is alive.
+// HandleMessage processes a message from another node and returns the reply, if any. A message type of another package
+// only counts as contact with the node.
 func (t *Table) HandleMessage(now time.Duration, from string, message any) (out []Outgoing) {
 	t.RecordContact(now, from)
 	p := t.peer(from)
@@ -57,9 +57,9 @@
 	return nil
 }
 
-// MergeMembers takes in reports of members, from a node or, with from "", from elsewhere. Those that are older than what
-// is known change nothing, nor do those of further members when maxMembers are known, dead ones and those that left
-// included.
+// MergeMembers merges reports of members that were received from a node; from is "" for reports of another source.
+// Reports older than the stored state are ignored. When maxMembers members are stored, including dead ones and those
+// that left, reports of unknown members are ignored too.
 func (t *Table) MergeMembers(now time.Duration, from string, members []Member) {
 	for _, m := range members {
 		if m.Condition >= conditions || m.Name == "" {
@@ -78,7 +78,7 @@
 	}
 }
 
-// mergeSelf takes in what others say of this node, and refutes that it is not alive.
+// mergeSelf merges another node's report of this node, and refutes a report that it is not alive.
 func (t *Table) mergeSelf(now time.Duration, m Member) {
 	switch {
 	case m.Incarnation > t.self.Incarnation:
@@ -87,20 +87,20 @@
 		t.self.Refutations = m.Refutations + 1
 		t.set(t.self, now)
 		t.gossip(t.self.Name, "")
-	case m.Incarnation < t.self.Incarnation || Compare(m, t.self) < 0: // it is older than what this node says
+	case m.Incarnation < t.self.Incarnation || Compare(m, t.self) < 0: // the report is outdated
 		t.gossip(t.self.Name, "")
 	}
 }
 
-// StartLaterIncarnation gives this node an incarnation after all that were heard of. It is called for a node that has
-// only just started and IsReplaced: its clock was set back between two starts.
+// StartLaterIncarnation gives this node an incarnation number above every reported one. The caller uses it when
+// IsReplaced is true for a node that has just started: its clock was set back between two starts.
 func (t *Table) StartLaterIncarnation(now time.Duration) {
 	t.self.Incarnation = t.highestOwnIncarnation + 1
 	t.set(t.self, now)
 	t.gossip(t.self.Name, "")
 }
 
-// Leave is called when the node shuts down gracefully; the next Tick notifies the others.
+// Leave marks this node as Left when it shuts down gracefully; the next Tick notifies the connected nodes.
 func (t *Table) Leave(now time.Duration) {
 	t.self.Condition = Left
 	t.set(t.self, now)
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -2,15 +2,16 @@
 
 import "cmp"
 
-// Condition of a member within one incarnation, between two refutations; it only grows. The numbers are sent.
+// Condition is the liveness state of a member. Within one incarnation it only increases until the member refutes it. The
+// numbers are sent.
 type Condition uint8
 
 const (
-	// Alive is a member that its watchers hear.
+	// Alive is a member from which its watchers receive messages.
 	Alive Condition = iota
-	// Suspected is a member that none of its watchers hears. It may still refute that.
+	// Suspected is a member from which none of the queried watchers receives messages. It may still refute the suspicion.
 	Suspected
-	// Dead is a member that was suspected for too long.
+	// Dead is a member that did not refute a suspicion within suspicionTimeout.
 	Dead
 	// Left is a member that shut down gracefully.
 	Left
@@ -19,7 +20,7 @@
 
 var conditionNames = [conditions]string{"alive", "suspected", "dead", "left"}
 
-// String is the condition's name in the output of commands.
+// String returns the condition's name as commands print it.
 func (c Condition) String() string {
 	if c >= conditions {
 		return "unknown"
@@ -27,24 +28,24 @@
 	return conditionNames[c]
 }
 
-// IsLive reports that a member is counted on: it has neither left nor is it dead.
+// IsLive reports whether a member is Alive or Suspected.
 func (c Condition) IsLive() bool { return c <= Suspected }
 
-// Member is what is known of one node. It is sent as a CBOR array and printed as JSON by field name: the order of the
-// fields and the tags stay.
+// Member is the state of one node as reported to the cluster. It is sent as a CBOR array and printed as JSON by field
+// name, so the order of the fields, their names and their tags must not change.
 type Member struct {
 	_ struct{} `cbor:",toarray"`
 
 	Name        string
-	Incarnation int64  `json:"Up"`   // Unix time in ns of the node's start, or one above the latest known (StartLaterIncarnation)
-	Refutations uint32 `json:"Turn"` // raised only by the node itself, when it refutes what is said of it
+	Incarnation int64  `json:"Up"`   // Unix time in ns of the node's start, or one above the highest known incarnation (StartLaterIncarnation)
+	Refutations uint32 `json:"Turn"` // incremented only by the node itself, when it refutes a report
 	Condition   Condition
-	Address     string // where other nodes reach it
+	Address     string // to which other nodes connect
 	Site        string
-	Machine     string // nodes on one machine are lost together
+	Machine     string // failure domain: nodes on one machine fail together
 }
 
-// Compare orders two reports of one member: the greater one is valid.
+// Compare orders two reports of one member; the greater one supersedes the other.
 func Compare(a, b Member) int {
 	return cmp.Or(
 		cmp.Compare(a.Incarnation, b.Incarnation),
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -1,32 +1,32 @@
 package membership
 
-// Messages between nodes. They are sent as CBOR arrays: the order of the fields stays. Any message at all shows that its
-// sender is alive.
+// Messages between nodes. They are sent as CBOR arrays, so the order of the fields must not change. A message of any type
+// proves that its sender is alive.
 type (
-	// Heartbeat is sent each HeartbeatInterval where there is no Update to send.
+	// Heartbeat is sent every HeartbeatInterval if no Update is pending.
 	Heartbeat struct {
 		_ struct{} `cbor:",toarray"`
 
-		// Digest of all that the sender knows of members. A receiver whose own digest differs for long sends all it
-		// knows.
+		// Digest covers the sender's member table. A receiver whose own digest differs for fullUpdateDelay sends all of
+		// its members.
 		Digest uint64
 	}
 
-	// Update has members that the receiver may not know.
+	// Update carries members whose state has changed, or all members.
 	Update struct {
 		_ struct{} `cbor:",toarray"`
 
 		Members []Member
 	}
 
-	// LivenessQuery asks a watcher of a silent node whether it hears that node.
+	// LivenessQuery asks a watcher of a silent node whether it still receives messages from that node.
 	LivenessQuery struct {
 		_ struct{} `cbor:",toarray"`
 
 		Name string
 	}
 
-	// LivenessReply answers a LivenessQuery.
+	// LivenessReply is the reply to a LivenessQuery.
 	LivenessReply struct {
 		_ struct{} `cbor:",toarray"`
 
@@ -35,8 +35,8 @@
 	}
 )
 
-// Outgoing is a message that the caller sends. To is connected, or a connection is wanted for the message. It is the same
-// type as replication.Outgoing, so package peer sends both in one way.
+// Outgoing is a message for the caller to send. If the node To is not connected, the caller opens a connection for the
+// message. It is the same type as replication.Outgoing, so package peer sends both through one function.
 type Outgoing = struct {
 	To      string
 	Message any
--- a/internal/cluster/membership/reachability.go
+++ b/internal/cluster/membership/reachability.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// reachability is how this node sees a node that it watches.
+// reachability is the state of a watched node from this node's point of view.
 type reachability uint8
 
 const (
 	reachable   reachability = iota
-	querying                 // it is silent, and its other watchers are asked
-	partitioned              // they hear it: the path between is cut, or passes one way only
-	unreachable              // nobody hears it: it is suspected
+	querying                 // silent; its other watchers are being queried
+	partitioned              // another watcher receives its messages: the path to this node is cut, at least in one direction
+	unreachable              // no queried watcher receives its messages: it is suspected
 	reachabilities
 )
 
-// event is what happens to a watched node.
+// event is an input of a watched node's state machine.
 type event uint8
 
 const (
 	messageReceived  event = iota
-	silenceDetected        // nothing came for silenceTimeout
-	reachableByOther       // another watcher hears it
-	queryTimedOut          // no watcher has said that it hears it
-	suspicionRefuted       // the node itself says that it is alive, though this node does not hear it
-	queryDue               // it is time to ask the watchers again
+	silenceDetected        // no message was received for silenceTimeout
+	reachableByOther       // another watcher receives its messages
+	queryTimedOut          // no watcher confirmed it within queryTimeout
+	suspicionRefuted       // the node refuted the suspicion through others, though it is silent here
+	queryDue               // the watchers are to be queried again
 	events
 )
 
-// action is what follows from an event.
+// action is the output of a watched node's state machine.
 type action uint8
 
 const (
@@ -40,7 +40,7 @@
 	do   action
 }
 
-// transitions say what follows from each event in each state of a watched node.
+// transitions gives the next state and the action for each event in each state of a watched node.
 var transitions = [reachabilities][events]transition{
 	reachable: {
 		messageReceived:  {reachable, noAction},
@@ -76,7 +76,7 @@
 	},
 }
 
-// observe moves what is seen of a node on by an event, and returns what follows from it.
+// observe applies an event to a node's state machine and returns the resulting action.
 func (p *peerView) observe(e event, now time.Duration) action {
 	t := transitions[p.state][e]
 	if t.next != p.state {
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// Times and bounds. A silence is four heartbeats, so that one that is late or lost makes nobody suspected; the other
-// times follow from it.
+// Times and bounds. silenceTimeout is four heartbeats, so that a single late or lost heartbeat causes no suspicion; the
+// other times are derived from it.
 const (
-	// HeartbeatInterval is the time between two messages to each connected node.
+	// HeartbeatInterval is the maximum time between two messages to each connected node.
 	HeartbeatInterval = 250 * time.Millisecond
 
 	silenceTimeout     = time.Second
-	queryTimeout       = 500 * time.Millisecond // for the other watchers to answer
-	queryInterval      = 2 * time.Second        // between two queries about a node that others hear
-	suspicionTimeout   = 2 * time.Second        // for a suspected node to hear of it and refute it
-	reconnectInterval  = time.Second            // between two attempts to reach a dead node, as after a partition
-	fullUpdateDelay    = 2 * time.Second        // until all members are sent to a node whose digest differs
-	tombstoneRetention = 10 * time.Minute       // for which a member that died or left is remembered
+	queryTimeout       = 500 * time.Millisecond // for the other watchers to reply
+	queryInterval      = 2 * time.Second        // between two queries about a partitioned or unreachable node
+	suspicionTimeout   = 2 * time.Second        // for a suspected node to receive the suspicion and refute it
+	reconnectInterval  = time.Second            // between two attempts to connect to a dead node, which may be back after a partition
+	fullUpdateDelay    = 2 * time.Second        // until a node whose digest differs is sent all members
+	tombstoneRetention = 10 * time.Minute       // of members that are dead or have left
 
 	maxQueriedWatchers = 3
-	maxMembers         = 8192 // further ones are not taken in, whatever a peer says
-	maxUpdateMembers   = 512  // in one Update: 60 kB
+	maxMembers         = 8192 // bounds memory, whatever peers report
+	maxUpdateMembers   = 512  // in one Update, about 60 kB
 )
 
-// Table is what one node knows of its cluster's members.
+// Table is one node's view of the members of its cluster.
 type Table struct {
 	self           Member
-	members        map[string]Member        // self among them
-	conditionSince map[string]time.Duration // when each member got its condition or incarnation, by this node's clock
+	members        map[string]Member        // by name, including self
+	conditionSince map[string]time.Duration // when each member's condition or incarnation last changed, by this node's clock
 	digest         uint64                   // sum over the members
 	peers          map[string]*peerView
 	rings          [ringCount]ring
@@ -41,19 +41,19 @@
 	lastHeartbeat         time.Duration
 	lastReconnect         time.Duration
 	reconnectAttempts     uint32
-	isIsolated            bool  // it watches some nodes and hears no node at all: most likely it is cut off itself, and suspects nobody
-	highestOwnIncarnation int64 // the latest incarnation of this node's own name that was heard of
+	isIsolated            bool  // no node is reachable: most likely this node itself is cut off, so it suspects no other
+	highestOwnIncarnation int64 // the highest incarnation of this node's own name that others reported
 }
 
-// peerView is what this node sees of another by itself.
+// peerView is what this node observes of another node directly.
 type peerView struct {
 	isConnected        bool
 	lastContact        time.Duration
 	state              reachability
 	stateSince         time.Duration
-	pending            map[string]bool // members that are sent to it with the next update
-	needsFullUpdate    bool            // all members are sent to it with the next update
-	digestDiffersSince time.Duration   // since when its digest has differed; 0: it is the same
+	pending            map[string]bool // names of the members to send with the next update
+	needsFullUpdate    bool            // the next update contains all members
+	digestDiffersSince time.Duration   // when its digest began to differ from this node's; 0 if they are equal
 	lastFullUpdate     time.Duration
 }
 
@@ -61,7 +61,7 @@
 	return p.isConnected && now-p.lastContact < silenceTimeout
 }
 
-// New knows of nobody but the node itself.
+// New returns a table whose only member is the node itself.
 func New(self Member) *Table {
 	t := &Table{
 		self:           self,
@@ -76,24 +76,24 @@
 	return t
 }
 
-// Self is the member that this node is.
+// Self returns this node's own member entry.
 func (t *Table) Self() Member { return t.self }
 
-// Get finds a member.
+// Get returns the member of a name, and whether there is one.
 func (t *Table) Get(name string) (Member, bool) {
 	m, ok := t.members[name]
 	return m, ok
 }
 
-// Members returns all members in the order of their names, including those that died or left recently.
+// Members returns all members sorted by name, including those that died or left within tombstoneRetention.
 func (t *Table) Members() []Member {
 	return slices.SortedFunc(maps.Values(t.members), func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Digest changes with all that is known of members.
+// Digest returns a checksum of all members. Two tables with the same members have the same digest.
 func (t *Table) Digest() uint64 { return t.digest }
 
-// IsReplaced reports that a later incarnation of this node's own name was heard of.
+// IsReplaced reports whether another node reported a later incarnation of this node's own name.
 func (t *Table) IsReplaced() bool { return t.highestOwnIncarnation > t.self.Incarnation }
 
 var crcTable = crc64.MakeTable(crc64.ECMA)
@@ -105,7 +105,7 @@
 	return crc64.Checksum(append(b, byte(m.Condition)), crcTable)
 }
 
-// set replaces what is known of a member.
+// set stores a member and updates the digest, the rings and the state machine of its peer.
 func (t *Table) set(m Member, now time.Duration) {
 	previous, isKnown := t.members[m.Name]
 	if isKnown {
@@ -132,7 +132,7 @@
 	}
 }
 
-// forget removes a member that died or left long ago.
+// removeTombstone removes a member whose tombstone has expired.
 func (t *Table) removeTombstone(m Member) {
 	t.digest -= memberDigest(m)
 	delete(t.members, m.Name)
@@ -140,7 +140,7 @@
 	delete(t.peers, m.Name)
 }
 
-// spread sends a member to all connected nodes, except the one that it came from.
+// gossip schedules a member for the next update to all connected nodes, except to the node that reported it.
 func (t *Table) gossip(name, from string) {
 	for other, p := range t.peers {
 		if p.isConnected && other != from {
--- a/internal/cluster/membership/tick.go
+++ b/internal/cluster/membership/tick.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Tick is called often, several times in each HeartbeatInterval. It ends timeouts and returns what is to be sent.
+// Tick applies timeouts and returns the messages to send. The caller calls it several times per HeartbeatInterval.
 func (t *Table) Tick(now time.Duration) (out []Outgoing) {
 	if now-t.lastTick > silenceTimeout {
 		t.resumeAfterStall(now)
@@ -22,8 +22,8 @@
 	return t.sendUpdates(now, out)
 }
 
-// resumeAfterStall restarts all timeouts: this process was stalled, so what it did not hear says nothing of the
-// others.
+// resumeAfterStall restarts all timeouts: this process was stalled, so the missing messages are no evidence that other
+// nodes are down.
 func (t *Table) resumeAfterStall(now time.Duration) {
 	for _, p := range t.peers {
 		p.lastContact = now
@@ -43,7 +43,7 @@
 	return false
 }
 
-// endTimeouts declares suspected members dead and forgets old tombstones.
+// expireMembers declares members dead whose suspicion has timed out, and removes expired tombstones.
 func (t *Table) expireMembers(now time.Duration) {
 	for name, m := range t.members {
 		since := now - t.conditionSince[name]
@@ -58,7 +58,7 @@
 	}
 }
 
-// sendUpdates sends pending updates, and heartbeats to those that get none.
+// sendUpdates appends the pending updates, and a heartbeat for each connected node that has none pending.
 func (t *Table) sendUpdates(now time.Duration, out []Outgoing) []Outgoing {
 	isHeartbeatDue := now-t.lastHeartbeat >= HeartbeatInterval
 	if isHeartbeatDue {
@@ -79,7 +79,8 @@
 	return out
 }
 
-// planFullUpdate sends a node all members if it is new, or if its digest has differed for long.
+// scheduleFullUpdate schedules all members for a node that has just connected, or whose digest has differed for
+// fullUpdateDelay.
 func (t *Table) scheduleFullUpdate(now time.Duration, p *peerView) {
 	if p.digestDiffersSince > 0 && now-p.digestDiffersSince > fullUpdateDelay && now-p.lastFullUpdate > fullUpdateDelay {
 		p.needsFullUpdate = true
--- a/internal/cluster/membership/watch.go
+++ b/internal/cluster/membership/watch.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Watched returns the nodes that this node watches: it keeps a connection to each.
+// Watched returns the nodes that this node watches. The caller maintains a connection to each.
 func (t *Table) Watched() []string { return t.neighbors(t.self.Name, -1) }
 
 // Watchers returns the nodes that watch a node.
@@ -20,8 +20,8 @@
 	return names
 }
 
-// ReconnectCandidate returns a dead node that is tried once more, "" for none: after a partition the two sides would not
-// find each other otherwise. It returns one each reconnectInterval at most.
+// ReconnectCandidate returns a dead node to connect to again, or "" if there is none. Without such attempts the two sides
+// of a healed partition would not find each other. It returns at most one node per reconnectInterval.
 func (t *Table) ReconnectCandidate(now time.Duration) string {
 	if now-t.lastReconnect < reconnectInterval {
 		return ""
@@ -44,7 +44,7 @@
 // watch applies timeouts to a watched node.
 func (t *Table) watch(now time.Duration, name string, out []Outgoing) []Outgoing {
 	p := t.peer(name)
-	if p.stateSince == 0 && p.lastContact == 0 { // newly watched: it has the time of a silence to be connected
+	if p.stateSince == 0 && p.lastContact == 0 { // newly watched: silenceTimeout starts now
 		p.lastContact = now
 		p.stateSince = now
 	}
@@ -66,7 +66,7 @@
 	return out
 }
 
-// watchEvent is what time has made of a watched node; ok is false for nothing.
+// watchEvent returns the event that is due for a watched node; ok is false if none is.
 func (t *Table) watchEvent(now time.Duration, p *peerView) (e event, ok bool) {
 	timeInState := now - p.stateSince
 	switch {
@@ -82,7 +82,7 @@
 	return 0, false
 }
 
-// appendQueries asks some of a node's other watchers whether they hear it.
+// appendQueries appends liveness queries about a node to at most maxQueriedWatchers of its other watchers.
 func (t *Table) appendQueries(name string, out []Outgoing) []Outgoing {
 	queried := 0
 	for _, watcher := range t.Watchers(name) {
