--- a/internal/cluster/replication/admission.go
+++ b/internal/cluster/replication/admission.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// HandleOffer answers a node that reports what it has of a stream.
+// HandleOffer processes a node's report of the records that it stores of a stream, and replies with this node's Inventory.
 func (t *ReplicaTable) HandleOffer(now time.Duration, from string, o *Offer) []Outgoing {
 	if o.Name == "" || !o.Ranges.isValid() {
 		return nil
@@ -24,8 +24,8 @@
 	return []Outgoing{{from, inventory}}
 }
 
-// followOrigin drops the records before the origin's first, which it has removed as too old or lost to damage at the start
-// of its journal, and notes those between its first and last that it lacks: it has lost them.
+// applyOriginRanges drops the records before the origin's first one, which the origin removed after the retention or lost
+// to damage at the start of its journal. Records between its first and last that the origin lacks are recorded as lost.
 func (stored *storedStream) applyOriginRanges(atOrigin Ranges) {
 	first := atOrigin[0].From
 	end := atOrigin[len(atOrigin)-1].To
@@ -33,7 +33,7 @@
 	stored.lostByOrigin = Ranges{{From: first, To: end}}.Without(atOrigin)
 }
 
-// rejectReason is why records of a stream are not taken; "" where they are.
+// rejectReason returns why records of a stream are rejected, or "" if they are admitted.
 func (t *ReplicaTable) rejectReason(s Stream, fromOrigin bool) string {
 	_, isKnown := t.streams[s]
 	switch {
@@ -47,8 +47,8 @@
 	return ""
 }
 
-// AdmitBatch reports whether a batch is to be written; if not, out answers its sender. batchUnixNano is the time of the
-// batch's last record.
+// AdmitBatch reports whether a batch is to be written. If not, out contains the reply to its sender. batchUnixNano is the
+// time of the batch's last record.
 func (t *ReplicaTable) AdmitBatch(from string, b *Batch, batchUnixNano, nowUnixNano int64) (ok bool, out []Outgoing) {
 	reason := t.rejectReason(b.Stream, b.FromOrigin)
 	if reason == "" && t.retention > 0 && nowUnixNano-batchUnixNano > int64(t.retention) {
@@ -64,7 +64,7 @@
 	return true, nil
 }
 
-// HandleMessage takes in an Inventory or an Ack of a node; others are ignored.
+// HandleMessage processes an Inventory or an Ack from a node and ignores other messages.
 func (t *ReplicaTable) HandleMessage(now time.Duration, from string, message any) {
 	switch m := message.(type) {
 	case *Inventory:
@@ -74,7 +74,7 @@
 	}
 }
 
-// handleInventory takes in the answer to an offer, or an inventory of a node that has found records damaged.
+// handleInventory processes the reply to an offer, or the inventory of a node that has found damaged records.
 func (t *ReplicaTable) handleInventory(now time.Duration, from string, m *Inventory) {
 	stored := t.streams[m.Stream]
 	if stored == nil || stored.targets[from] == nil || !m.Ranges.isValid() {
@@ -105,12 +105,12 @@
 	case dest != nil:
 		dest.stored = dest.stored.With(records.From, records.To)
 		stored.otherHolders[from] = true
-	case from == m.Name: // what the origin had lost is back there
+	case from == m.Name: // the origin has stored records again that it had lost
 		stored.lostByOrigin = stored.lostByOrigin.Without(Ranges{records})
 	}
 }
 
 func (t *ReplicaTable) recordReject(now time.Duration, dest *target) {
-	dest.rejectedAt = max(now, 1) // 0 is never
+	dest.rejectedAt = max(now, 1) // 0 means that it has not rejected
 	t.candidatesVersion++
 }
--- a/internal/cluster/replication/candidate.go
+++ b/internal/cluster/replication/candidate.go
@@ -6,16 +6,17 @@
 	"slices"
 )
 
-// Candidate is a node that may hold a replica.
+// Candidate is a node that may be selected as a replica holder.
 type Candidate struct {
 	Name      string
 	Site      string
-	Machine   string // nodes on one machine are lost together
-	IsHealthy bool   // it can be counted on now
+	Machine   string // failure domain: nodes on one machine fail together
+	IsHealthy bool   // may be selected
 }
 
-// rankCandidates orders candidates for a stream by rendezvous hashing, the same at all nodes: one node more or less moves
-// only what it holds itself. A reconciliation is ranked like the stream that it reconciles, to be on the same nodes.
+// rankCandidates orders candidates for a stream by rendezvous hashing. All nodes compute the same order, and adding or
+// removing a node moves only the replicas of that node. A reconciliation stream is ranked like the stream that it
+// reconciles, so both are stored on the same nodes.
 func rankCandidates(stream Stream, candidates []Candidate) []Candidate {
 	type rankedCandidate struct {
 		Candidate
@@ -36,9 +37,9 @@
 	return ranked
 }
 
-// selectCandidates takes count healthy candidates: each on a machine of its own, and on as many sites as there are.
-// Within that it takes those that are preferred first, and then by rank. Machines and sites of those in taken hold the
-// stream already.
+// selectCandidates selects up to count healthy candidates on distinct machines and on as many distinct sites as possible.
+// Among candidates that are equal in this respect it selects preferred ones first, then by rank. The candidates in
+// occupied already store the stream, so their machines are excluded and other sites are favored.
 func selectCandidates(ranked []Candidate, count int, preferred map[string]bool, occupied []Candidate) (selected []Candidate) {
 	machines := map[string]bool{}
 	sites := map[string]bool{}
--- a/internal/cluster/replication/holder.go
+++ b/internal/cluster/replication/holder.go
@@ -6,46 +6,47 @@
 	"time"
 )
 
-// holderState is the state of a holder, as the origin sees it.
+// holderState is the state of a replica holder from the origin's point of view.
 type holderState uint8
 
 const (
-	selected holderState = iota // and not connected yet
-	offered                     // it was asked what it has
-	inSync                      // it is sent all new records
-	lagging                     // it has not acknowledged a record in time; it is still sent all new records
-	rejected                    // it takes no records
+	selected holderState = iota // selected, not connected yet
+	offered                     // sent an Offer, its Inventory is awaited
+	inSync                      // receives all new records
+	lagging                     // receives all new records, but has not acknowledged one in time
+	rejected                    // has rejected records
 	holderStates
 )
 
-// HolderInSync is the State of a Holder that is sent all new records and acknowledges them in time.
+// HolderInSync is the State of a Holder that receives all new records and acknowledges them in time.
 const HolderInSync = "level"
 
-// holderStateNames are printed by commands and log lines, and are sent in a Holder (JSON "Stand"): the words stay.
+// holderStateNames are printed by commands and in log lines, and sent in a Holder (JSON key "Stand"), so they must not
+// change.
 var holderStateNames = [holderStates]string{selected: "called", offered: "offered", inSync: HolderInSync, lagging: "late", rejected: "refused"}
 
-// holderEvent is what happens to a holder.
+// holderEvent is an input of a holder's state machine.
 type holderEvent uint8
 
 const (
-	holderConnected    holderEvent = iota // a connection to it is established
-	holderDisconnected                    // none is left
-	inventoryReceived                     // it has reported what it has
-	ackOverdue                            // it does not answer, or a record has waited too long for it
-	caughtUp                              // no record waits for it
-	recordsRejected                       // it takes no records
-	reselected                            // it is selected again after it rejected
+	holderConnected    holderEvent = iota // a connection to the holder is established
+	holderDisconnected                    // the last connection to the holder is closed
+	inventoryReceived                     // the holder has reported its ranges
+	ackOverdue                            // the holder does not reply, or has not acknowledged a record in time
+	caughtUp                              // the holder has acknowledged all records
+	recordsRejected                       // the holder rejects records
+	reselected                            // the holder is selected again after it rejected records
 	holderEvents
 )
 
-// holderAction is what follows from an event.
+// holderAction is the output of a holder's state machine.
 type holderAction uint8
 
 const (
 	noAction      holderAction = iota
-	sendOffer                  // send it an Offer with what there is
-	sendQueued                 // send it what is not committed
-	selectAnother              // avoid it for a while, and select another one
+	sendOffer                  // send the holder an Offer with the stored ranges
+	sendQueued                 // send the holder all uncommitted records
+	selectAnother              // avoid the holder for avoidDuration and select another one
 )
 
 type holderTransition struct {
@@ -53,7 +54,7 @@
 	do   holderAction
 }
 
-// holderTransitions say what follows from each event in each state of a holder.
+// holderTransitions gives the next state and the action for each event in each state of a holder.
 var holderTransitions = [holderStates][holderEvents]holderTransition{
 	selected: {
 		holderConnected:    {offered, sendOffer},
@@ -102,7 +103,7 @@
 	},
 }
 
-// holder is a node that was selected to hold the origin's stream.
+// holder is a node that was selected to store a replica of the origin's stream.
 type holder struct {
 	candidate    Candidate
 	state        holderState
@@ -111,20 +112,20 @@
 	offeredAt    time.Duration
 	rejectReason string
 
-	stored   Ranges          // what is durable there, as it has reported
-	acked    uint64          // all from where the sending began up to and without this are durable there, or left the queue
+	stored   Ranges          // reported by the holder as durable
+	acked    uint64          // all records before this and since the start of sending are durable there or were dropped from the queue
 	next     uint64          // the next record to send
-	inFlight map[uint64]bool // batches that are sent and not acknowledged, by their first records
+	inFlight map[uint64]bool // unacknowledged batches, by the number of their first record
 }
 
-// isReceiving reports whether it is sent all new records.
+// isReceiving reports whether the holder is sent all new records.
 func (h *holder) isReceiving() bool { return h.state == inSync || h.state == lagging }
 
-// isUnanswered reports whether it has not reported yet what it has.
+// isAwaitingInventory reports whether the holder has not yet reported its ranges.
 func (h *holder) isAwaitingInventory() bool { return h.state == selected || h.state == offered }
 
-// Holder describes a holder to commands. It is sent as a CBOR array and printed as JSON by field name: the
-// order of the fields and the tags stay.
+// Holder describes a replica holder to commands. It is sent as a CBOR array and printed as JSON by field name, so the
+// order of the fields, their names and their tags must not change.
 type Holder struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -132,10 +133,10 @@
 	State          string `json:"Stand"`
 	RejectReason   string `json:"Refusal"`
 	Acked          uint64
-	MissingRecords uint64 `json:"Lacks"` // that are still to be copied to it from disk
+	MissingRecords uint64 `json:"Lacks"` // number of records that remain to be copied from disk
 }
 
-// Holders describes all holders, in the order of their names.
+// Holders returns descriptions of all holders, sorted by name.
 func (o *Origin) Holders() (holders []Holder) {
 	for _, name := range slices.Sorted(maps.Keys(o.holders)) {
 		h := o.holders[name]
--- a/internal/cluster/replication/message.go
+++ b/internal/cluster/replication/message.go
@@ -1,17 +1,18 @@
 package replication
 
-// Messages between nodes. They are sent as CBOR arrays, with the fields of Stream in place: the order of the fields
-// stays.
+// Messages between nodes. They are sent as CBOR arrays with the fields of Stream inlined, so the order of the fields must
+// not change.
 type (
-	// Offer reports what the sender has of a stream, and asks what the receiver has.
+	// Offer reports which records of a stream the sender stores, and requests the receiver's Inventory.
 	Offer struct {
 		_ struct{} `cbor:",toarray"`
 		Stream
-		FromOrigin bool // the sender is the incarnation whose stream it is
+		FromOrigin bool // the sender is the incarnation that writes the stream
 		Ranges     Ranges
 	}
 
-	// Inventory answers an Offer with what the sender has. With a RejectReason the sender takes no records of the stream.
+	// Inventory is the reply to an Offer and lists the records that the sender stores. If RejectReason is set, the sender
+	// rejects records of the stream.
 	Inventory struct {
 		_ struct{} `cbor:",toarray"`
 		Stream
@@ -19,7 +20,7 @@
 		RejectReason string
 	}
 
-	// Batch holds consecutive records, as frames of the journal.
+	// Batch contains consecutive records, encoded as journal frames.
 	Batch struct {
 		_ struct{} `cbor:",toarray"`
 		Stream
@@ -29,7 +30,7 @@
 		Frames     []byte
 	}
 
-	// Ack says that a Batch is durable at the sender, or with a RejectReason that it is not.
+	// Ack confirms that a Batch is durable at the sender, or rejects it if RejectReason is set.
 	Ack struct {
 		_ struct{} `cbor:",toarray"`
 		Stream
@@ -39,9 +40,9 @@
 	}
 )
 
-// Why records are not taken, as a RejectReason. The texts are sent to other nodes.
+// Values of RejectReason. The texts are sent to other nodes, so they must not change.
 const (
-	// ReasonLaterIncarnation says that a later incarnation of the origin is known.
+	// ReasonLaterIncarnation means that a later incarnation of the origin is known.
 	ReasonLaterIncarnation = "a later life of this name is known"
 
 	reasonFull           = "no room is left"
@@ -49,15 +50,15 @@
 	reasonExpired        = "older than what is kept"
 )
 
-// Outgoing is a message that the caller sends. To is connected, or a connection is wanted for the message. It is the same
-// type as membership.Outgoing, so package peer sends both in one way.
+// Outgoing is a message for the caller to send. If the node To is not connected, the caller opens a connection for the
+// message. It is the same type as membership.Outgoing, so package peer sends both through one function.
 type Outgoing = struct {
 	To      string
 	Message any
 }
 
-// records are those of the batch.
+// records returns the range of the records in the batch.
 func (b *Batch) records() Range { return Range{From: b.First, To: b.First + uint64(b.Count)} }
 
-// records are those that are acknowledged.
+// records returns the range of the acknowledged records.
 func (a *Ack) records() Range { return Range{From: a.First, To: a.First + uint64(a.Count)} }
--- a/internal/cluster/replication/origin.go
+++ b/internal/cluster/replication/origin.go
@@ -8,48 +8,48 @@
 
 // Times and bounds of an origin.
 const (
-	avoidDuration     = 5 * time.Second  // a holder that was slow, rejected or was lost is not selected, if others can be
-	idleHolderTimeout = 10 * time.Second // until a holder that is no longer wanted, and has not answered or rejects, is released
-	offerTimeout      = 2 * time.Second  // an offer without an answer is made again
-	reviewInterval    = time.Second      // between two reviews of who holds what
+	avoidDuration     = 5 * time.Second  // for which a slow, lost or rejecting holder is not selected if others are available
+	idleHolderTimeout = 10 * time.Second // until a superseded holder that has not replied, or rejects records, is released
+	offerTimeout      = 2 * time.Second  // until an offer without a reply is re-sent
+	reviewInterval    = time.Second      // between two reviews of the selected holders
 
-	maxQueuedRecords   = 16 << 10 // that wait for holders; older ones wait on disk
+	maxQueuedRecords   = 16 << 10 // uncommitted records in memory; older ones are copied from disk
 	maxQueuedBytes     = 8 << 20
-	maxExtraHolders    = 2         // beyond those required, while some are lagging
-	maxBatchBytes      = 256 << 10 // sent at a time
-	maxInFlightBatches = 64        // to one holder; further records wait in the queue
+	maxExtraHolders    = 2         // beyond the required number, while some holders are lagging
+	maxBatchBytes      = 256 << 10 // of the frames in one Batch
+	maxInFlightBatches = 64        // per holder; further records wait in the queue
 )
 
-// notShort is the value of Origin.shortSince where there are enough holders.
+// noShortage is the value of Origin.shortageSince while enough holders are in sync.
 const noShortage = -1
 
-// Origin is the stream of this node's running incarnation, and decides who holds it.
+// Origin replicates the stream of this node's running incarnation and selects its replica holders.
 type Origin struct {
 	stream     Stream
 	self       Candidate
-	required   int           // how many other machines hold a record before it is committed
-	ackTimeout time.Duration // a holder that has not acknowledged a record within it is replaced
+	required   int           // number of other machines on which a record must be durable to be committed
+	ackTimeout time.Duration // after which a holder that has not acknowledged a record is replaced
 
-	candidates    []Candidate // ranked
+	candidates    []Candidate // in ranked order
 	holders       map[string]*holder
 	avoided       map[string]time.Duration // when a holder was last slow, lost or rejecting
 	lastReview    time.Duration
-	shortageSince time.Duration // since when too few holders are in sync; notShort: there are enough
+	shortageSince time.Duration // when fewer holders than required became in sync; noShortage if enough are
 
-	stored      Ranges // that are written to this node's own disk, not all of them synced
+	stored      Ranges // written to this node's own disk, not necessarily synced
 	queue       []queuedRecords
 	queuedBytes int
-	next        uint64 // the number of the next record
-	firstQueued uint64 // older records that aren't committed wait on disk for a holder
-	committed   uint64 // all before this are durable at enough holders, or have left the queue before they were
+	next        uint64 // number of the next record
+	firstQueued uint64 // number of the first queued record; older uncommitted records are copied from disk
+	committed   uint64 // all records before this are durable at enough holders, or overflowed the queue before they were
 
-	// SawLaterIncarnation is set when a holder rejects records because it knows of a later incarnation of this node.
-	// Nothing reads it: a node stops when membership reports that incarnation.
+	// SawLaterIncarnation is set when a holder rejects records because it knows a later incarnation of this node. It is
+	// informational and not read: a node stops when membership reports that incarnation.
 	SawLaterIncarnation bool
 }
 
-// NewOrigin begins a stream. required is how many other machines hold a record before it is committed. A holder that has
-// not acknowledged a record within ackTimeout is replaced.
+// NewOrigin returns an origin with an empty stream. required is the number of other machines on which a record must be
+// durable to be committed. A holder that has not acknowledged a record within ackTimeout is replaced.
 func NewOrigin(now time.Duration, s Stream, self Candidate, required int, ackTimeout time.Duration) *Origin {
 	return &Origin{
 		stream:        s,
@@ -65,24 +65,25 @@
 	}
 }
 
-// Stream is the origin's own.
+// Stream returns the stream that the origin replicates.
 func (o *Origin) Stream() Stream { return o.stream }
 
-// Committed is the first record that is not committed. A record before it may have left the queue because too many waited
-// (Append): it is on this node's disk, and is copied to holders from there.
+// Committed returns the number of the first uncommitted record. An earlier record may also have overflowed the queue
+// (Append): such a record is on this node's disk and is copied to holders from there.
 func (o *Origin) Committed() uint64 { return o.committed }
 
-// FirstQueued is the first record that may still be committed soon. An older one that is not committed waits on disk
-// until it is copied to a holder.
+// FirstQueued returns the number of the first record that is sent to holders from memory. Older uncommitted records are
+// copied to holders from disk.
 func (o *Origin) FirstQueued() uint64 { return o.firstQueued }
 
-// NextNumber is the number that the next record gets.
+// NextNumber returns the number of the next record.
 func (o *Origin) NextNumber() uint64 { return o.next }
 
-// UncommittedCount is how many records wait to be committed.
+// UncommittedCount returns the number of queued records that are not committed.
 func (o *Origin) UncommittedCount() int { return int(o.next - max(o.committed, o.firstQueued)) }
 
-// StalledFor is how long the oldest record has waited to be committed, or how long there have been too few holders.
+// StalledFor returns how long the oldest uncommitted record has been queued, or how long too few holders have been in
+// sync, whichever is longer.
 func (o *Origin) StalledFor(now time.Duration) (stalled time.Duration) {
 	if o.shortageSince >= 0 {
 		stalled = now - o.shortageSince
@@ -93,15 +94,15 @@
 	return stalled
 }
 
-// RecordsStored is called when records are written to this node's own disk, and synced if someone waits for them.
+// RecordsStored records that a range was written to this node's own disk, and synced if a commit of it is awaited.
 func (o *Origin) RecordsStored(from, to uint64) { o.stored = o.stored.With(from, to) }
 
-// StoredRanges are the records that are written to this node's own disk.
+// StoredRanges returns the records that are written to this node's own disk.
 func (o *Origin) StoredRanges() Ranges { return o.stored }
 
-// RecordsLost is called when records on this node's own disk were found to be damaged. Holders are notified of what is
-// left, and send back what is missing between the first and the last record left. What is missing before the first looks
-// to them as if it had expired: they drop it too.
+// RecordsLost removes records that were found damaged on this node's own disk, and offers the remaining ones to the
+// holders. The holders send back the records that are missing between the first and the last remaining one. They cannot
+// distinguish records that are missing before the first from expired ones, so they drop those too.
 func (o *Origin) RecordsLost(now time.Duration, lost Ranges) (out []Outgoing) {
 	o.stored = o.stored.Without(lost)
 	for _, name := range slices.Sorted(maps.Keys(o.holders)) {
@@ -112,12 +113,12 @@
 	return out
 }
 
-// RecordsExpired is called when records are no longer on this node's own disk because they were too old.
+// RecordsExpired records that all records before a number were removed from this node's own disk after the retention.
 func (o *Origin) RecordsExpired(before uint64) {
 	o.stored = o.stored.Without(Ranges{{From: 0, To: before}})
 }
 
-// HandleMessage takes in an Inventory or an Ack of a holder; others are ignored.
+// HandleMessage processes an Inventory or an Ack from a holder and ignores other messages.
 func (o *Origin) HandleMessage(now time.Duration, from string, message any) []Outgoing {
 	h := o.holders[from]
 	if h == nil {
@@ -172,12 +173,12 @@
 	return o.advance(now, h, recordsRejected, nil)
 }
 
-// Tick is called often. It replaces holders that are overdue and sends what is queued.
+// Tick replaces overdue holders, re-sends offers and returns the queued records to send.
 func (o *Origin) Tick(now time.Duration) (out []Outgoing) {
 	uncommitted := o.firstUncommitted()
 	for _, name := range slices.Sorted(maps.Keys(o.holders)) {
 		h := o.holders[name]
-		if h == nil || h.state == rejected { // it was released meanwhile
+		if h == nil || h.state == rejected { // nil: released by an earlier iteration
 			continue
 		}
 		if o.isOverdue(now, h, uncommitted) && h.state != lagging && !o.wasAvoidedRecently(now, name) {
@@ -196,8 +197,8 @@
 	return out
 }
 
-// isOverdue reports whether a holder does not answer, or the oldest uncommitted record (its index in the queue, -1 for
-// none) has waited for it too long.
+// isOverdue reports whether a holder has not replied in time, or has not acknowledged the oldest uncommitted record within
+// ackTimeout. uncommitted is that record's index in the queue, -1 for none.
 func (o *Origin) isOverdue(now time.Duration, h *holder, uncommitted int) bool {
 	timeInState := now - h.stateSince
 	if h.isAwaitingInventory() && timeInState > offerTimeout {
@@ -210,7 +211,7 @@
 	return now-oldest.queuedAt > o.ackTimeout && h.acked < oldest.next && timeInState > o.ackTimeout
 }
 
-// wasAvoidedRecently reports whether a holder was replaced so recently that it isn't replaced again.
+// wasAvoidedRecently reports whether a holder was replaced within avoidDuration, so that it is not replaced again.
 func (o *Origin) wasAvoidedRecently(now time.Duration, name string) bool {
 	since, ok := o.avoided[name]
 	return ok && now-since <= avoidDuration
--- a/internal/cluster/replication/queue.go
+++ b/internal/cluster/replication/queue.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// queuedRecords are consecutive records that wait for holders.
+// queuedRecords is a chunk of consecutive records that are queued for the holders.
 type queuedRecords struct {
 	first    uint64
-	next     uint64 // the number after the last of them
+	next     uint64 // number after the last record
 	queuedAt time.Duration
 	frames   []byte
 }
 
-// Append numbers count records and queues them, as the frames that go to disk. If someone waits for them they are sent at
-// once, else with the next Tick. It returns the number of the first.
+// Append assigns numbers to count records and queues them in the encoding of the journal. If isAwaited is set they are
+// sent immediately, else by the next Tick. It returns the number of the first record. If the queue exceeds its bounds,
+// the oldest records leave it and are copied to holders from disk instead.
 func (o *Origin) Append(now time.Duration, count int, frames []byte, isAwaited bool) (first uint64, out []Outgoing) {
 	first = o.next
 	o.next += uint64(count)
 	o.queue = append(o.queue, queuedRecords{first: first, next: o.next, queuedAt: now, frames: frames})
 	o.queuedBytes += len(frames)
 	for len(o.queue) > 1 && (o.next-o.queue[0].first > maxQueuedRecords || o.queuedBytes > maxQueuedBytes) {
-		o.firstQueued = o.queue[0].next // it is on disk, and is copied to holders from there
+		o.firstQueued = o.queue[0].next
 		o.dequeue()
 	}
 	if isAwaited {
@@ -32,14 +33,14 @@
 	return first, out
 }
 
-// dequeue removes the first of the queue.
+// dequeue removes the oldest chunk from the queue.
 func (o *Origin) dequeue() {
 	o.queuedBytes -= len(o.queue[0].frames)
 	o.queue[0].frames = nil
 	o.queue = o.queue[1:]
 }
 
-// firstUncommitted is the queue's first that is not committed; -1 for none.
+// firstUncommitted returns the index of the oldest queued chunk that is not committed, -1 for none.
 func (o *Origin) firstUncommitted() int {
 	return slices.IndexFunc(o.queue, func(q queuedRecords) bool { return q.next > o.committed })
 }
@@ -51,7 +52,7 @@
 	return out
 }
 
-// sendTo sends a holder what it has not been sent, in batches.
+// sendTo appends batches with the queued records that a holder has not been sent.
 func (o *Origin) sendTo(h *holder, out []Outgoing) []Outgoing {
 	if !h.isReceiving() {
 		return out
@@ -59,7 +60,7 @@
 	h.next = max(h.next, o.firstQueued)
 	h.acked = max(h.acked, o.firstQueued)
 	i, _ := slices.BinarySearchFunc(o.queue, h.next, func(q queuedRecords, n uint64) int { return cmp.Compare(q.first, n) })
-	if i > 0 && o.queue[i-1].next > h.next { // it has a part of these: records that come twice change nothing
+	if i > 0 && o.queue[i-1].next > h.next { // the holder has a part of this chunk; storing records twice is harmless
 		i--
 	}
 	for i < len(o.queue) && len(h.inFlight) < maxInFlightBatches {
@@ -77,8 +78,8 @@
 	return out
 }
 
-// commit finds up to which record enough machines have all that did not overflow the queue, and removes from the queue
-// what is committed and was sent to all holders.
+// commit advances committed to the highest number before which enough machines have acknowledged all records that did not
+// overflow the queue. It then removes chunks from the queue that are committed and were sent to all holders.
 func (o *Origin) commit() {
 	ackedByMachine := map[string]uint64{}
 	for _, h := range o.holders {
@@ -97,7 +98,7 @@
 	}
 }
 
-// isSentToAll reports whether all holders that are sent new records have been sent all before a record.
+// isSentToAll reports whether all receiving holders have been sent all records before next.
 func (o *Origin) isSentToAll(next uint64) bool {
 	for _, h := range o.holders {
 		if h.isReceiving() && h.next < next {
@@ -107,7 +108,7 @@
 	return true
 }
 
-// MissingAt is what of this node's own disk a holder does not have and is to be copied to it.
+// MissingAt returns the records on this node's own disk that a holder lacks and that are to be copied to it.
 func (o *Origin) MissingAt(name string) Ranges {
 	h := o.holders[name]
 	if h == nil || h.state != inSync {
@@ -116,7 +117,7 @@
 	return o.missingAt(h)
 }
 
-// missingAt leaves out what is queued: that is sent from memory.
+// missingAt excludes queued records, which are sent from memory.
 func (o *Origin) missingAt(h *holder) Ranges {
 	queued := Range{From: o.firstQueued, To: max(o.next, o.firstQueued)}
 	return o.stored.Without(h.stored).Without(Ranges{queued})
--- a/internal/cluster/replication/ranges.go
+++ b/internal/cluster/replication/ranges.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Range is a run of consecutive records of a stream, from From up to but without To. Records are numbered from 1.
+// Range is the half-open interval [From, To) of record numbers in a stream. Records are numbered from 1.
 type Range struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -10,13 +10,14 @@
 	To   uint64
 }
 
-// Ranges is a set of records. The ranges are in order and don't touch. Methods that change the set return a new one.
+// Ranges is a set of record numbers as sorted ranges that neither overlap nor touch. Methods that modify the set return a
+// new one.
 type Ranges []Range
 
-// maxRanges of one stream that a peer may send.
+// maxRanges is the maximum number of ranges of one stream that a peer may send.
 const maxRanges = 1024
 
-// With is the set and one more range.
+// With returns the union of the set and a range.
 func (r Ranges) With(from, to uint64) Ranges {
 	if from >= to {
 		return r
@@ -36,7 +37,7 @@
 	return slices.Replace(slices.Clone(r), first, end, Range{From: from, To: to})
 }
 
-// Without is what of the set other does not have.
+// Without returns the records of the set that are not in other.
 func (r Ranges) Without(other Ranges) (left Ranges) {
 	for _, x := range r {
 		from := x.From
@@ -66,7 +67,7 @@
 	return from >= to
 }
 
-// EndOfRange is the end of the range that has a record, or the record itself where none has it.
+// EndOfRange returns the end of the range that contains a record, or the record itself if no range contains it.
 func (r Ranges) EndOfRange(record uint64) uint64 {
 	for _, x := range r {
 		if x.From <= record && record < x.To {
@@ -76,7 +77,7 @@
 	return record
 }
 
-// Count is how many records the set has.
+// Count returns the number of records in the set.
 func (r Ranges) Count() (n uint64) {
 	for _, x := range r {
 		n += x.To - x.From
@@ -84,7 +85,7 @@
 	return n
 }
 
-// isValid reports whether ranges that a peer sent are in order and within bounds.
+// isValid reports whether ranges that a peer sent are sorted, disjoint and at most maxRanges.
 func (r Ranges) isValid() bool {
 	last := uint64(0)
 	for _, x := range r {
--- a/internal/cluster/replication/reconciliation.go
+++ b/internal/cluster/replication/reconciliation.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// ShouldReconcile reports whether this node reconciles a stream whose incarnation has been gone for so long: it is the
-// first of the nodes that should hold the stream, and lacks nothing that another was seen to have.
+// ShouldReconcile reports whether this node reconciles a stream. It does if the stream's incarnation has been gone for at
+// least after, this node is first among the desired holders, and it lacks no record that another holder has reported.
 func (t *ReplicaTable) ShouldReconcile(now time.Duration, s Stream, after time.Duration) bool {
 	stored := t.streams[s]
 	if stored == nil || !stored.isOrphanedFor(now, max(after, orphanDelay)) || s.IsReconciliation() {
@@ -21,12 +21,12 @@
 	return len(holders) > 0 && holders[0].Name == t.self.Name
 }
 
-// ReconciliationStream is the stream in which this node reconciles entries of another stream.
+// ReconciliationStream returns the stream to which this node writes reconciliations of another stream's entries.
 func (t *ReplicaTable) ReconciliationStream(s Stream) Stream {
 	return Stream{Name: s.Name + reconcilerSeparator + t.self.Name, Incarnation: s.Incarnation}
 }
 
-// ReconciliationStreams returns the streams held here that reconcile entries of a stream.
+// ReconciliationStreams returns the stored streams that reconcile entries of a stream.
 func (t *ReplicaTable) ReconciliationStreams(s Stream) (streams []Stream) {
 	for _, r := range t.Streams() {
 		name, _, ok := strings.Cut(r.Name, reconcilerSeparator)
--- a/internal/cluster/replication/repair.go
+++ b/internal/cluster/replication/repair.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// CopyTask is a stream of which records are to be copied to a node.
+// CopyTask identifies a copy of a stream's records to a node.
 type CopyTask struct {
 	Stream
 	To string
 }
 
-// Tick is called often. It has streams whose incarnation is gone offered to the nodes that should hold them.
+// Tick returns offers of orphaned streams to their desired holders. It acts at most once per reviewInterval.
 func (t *ReplicaTable) Tick(now time.Duration) (out []Outgoing) {
 	if now-t.lastTick < reviewInterval {
 		return nil
@@ -28,7 +28,7 @@
 	return out
 }
 
-// offerOrphan offers a stream to the nodes that should hold it, and forgets targets that no longer should.
+// offerOrphan offers a stream to its desired holders and removes targets that are no longer desired.
 func (t *ReplicaTable) offerOrphan(now time.Duration, s Stream, stored *storedStream, out []Outgoing) []Outgoing {
 	wanted := map[string]bool{}
 	for _, c := range t.desiredHolders(s, stored) {
@@ -42,7 +42,7 @@
 			stored.targets[c.Name] = dest
 		}
 		if dest.isOfferDue(now, stored.ranges) {
-			dest.offeredAt = max(now, 1) // 0 is never
+			dest.offeredAt = max(now, 1) // 0 means that no offer was sent
 			out = append(out, Outgoing{c.Name, &Offer{Stream: s, Ranges: stored.ranges}})
 		}
 	}
@@ -72,8 +72,8 @@
 	return dest.hasReplied && len(held.Without(dest.stored)) == 0
 }
 
-// desiredHolders are the nodes that should hold a stream whose incarnation is gone, in order: a later incarnation of its
-// node, and others by rank, one more than are required beside an origin.
+// desiredHolders returns the nodes that should store an orphaned stream, in order: a later incarnation of its node first,
+// then others by rank. Their number is required+1, because the origin's own copy is lost.
 func (t *ReplicaTable) desiredHolders(s Stream, stored *storedStream) []Candidate {
 	if stored.desiredVersion == t.candidatesVersion && stored.desired != nil {
 		return stored.desired
@@ -94,7 +94,7 @@
 	return stored.desired
 }
 
-// WantedConnections returns the nodes to which a connection is needed for streams whose incarnation is gone.
+// WantedConnections returns the nodes to which connections are needed to repair orphaned streams.
 func (t *ReplicaTable) WantedConnections() []string {
 	wanted := map[string]bool{}
 	for s, stored := range t.streams {
@@ -107,8 +107,8 @@
 	return slices.Sorted(maps.Keys(wanted))
 }
 
-// MissingAt is what is held here of a stream and is to be copied to a node: what a live origin has lost, or what a node
-// that should hold an orphan does not have.
+// MissingAt returns the stored records of a stream that are to be copied to a node: records that a live origin has lost,
+// or records of an orphaned stream that a desired holder lacks.
 func (t *ReplicaTable) MissingAt(s Stream, name string) Ranges {
 	stored := t.streams[s]
 	if stored == nil {
@@ -127,7 +127,7 @@
 	return stored.ranges.Without(dest.stored)
 }
 
-// CopyTasks returns the copies that this node makes now. The holders of an orphan begin one after the other.
+// CopyTasks returns the copies that this node should make now. The holders of an orphaned stream start at staggered times.
 func (t *ReplicaTable) CopyTasks(now time.Duration) (tasks []CopyTask) {
 	for _, s := range t.Streams() {
 		stored := t.streams[s]
@@ -149,7 +149,7 @@
 	return tasks
 }
 
-// copyDelay is how long this node waits until it copies an orphan, by its rank among the holders.
+// copyDelay returns how long this node waits before it copies an orphaned stream, by its rank among the known holders.
 func (t *ReplicaTable) copyDelay(s Stream, stored *storedStream) time.Duration {
 	holders := []Candidate{t.self}
 	for _, c := range t.candidates {
--- a/internal/cluster/replication/replicatable.go
+++ b/internal/cluster/replication/replicatable.go
@@ -9,73 +9,73 @@
 
 // Times and bounds of a replica table.
 const (
-	orphanDelay             = 3 * time.Second  // until copies of a lost incarnation's stream are made: it may only be restarting
-	copyStagger             = time.Second      // between the beginnings of holders of one stream, so that one copies, not all
-	incompleteOfferInterval = 10 * time.Second // between offers to a node that lacks some
-	completeOfferInterval   = 10 * time.Minute // between offers to a node that has all
-	rejectRetention         = 10 * time.Second // for which a node that rejected is remembered when it is no longer wanted
+	orphanDelay             = 3 * time.Second  // until an orphaned stream is copied: its node may only be restarting
+	copyStagger             = time.Second      // between the starts of one stream's holders, so that usually only one copies
+	incompleteOfferInterval = 10 * time.Second // between offers to a node that lacks records
+	completeOfferInterval   = 10 * time.Minute // between offers to a node that has all records
+	rejectRetention         = 10 * time.Second // of a target that rejected and is no longer desired
 	maxStreams              = 4096
 )
 
 // notOrphaned is the value of storedStream.orphanedSince while the incarnation is live.
 const notOrphaned = -1
 
-// Node is what is known of a node that may have streams.
+// Node is a cluster member that may be the origin or a holder of streams.
 type Node struct {
 	Candidate
 	Incarnation int64
 	IsLive      bool
 }
 
-// ReplicaTable is what a node holds of other nodes' streams, and of its own earlier incarnations.
+// ReplicaTable tracks the streams that a node stores for other nodes and for its own earlier incarnations.
 type ReplicaTable struct {
 	self               Candidate
-	required           int // how many machines hold a stream, beside the origin's
+	required           int // number of machines that store a stream, in addition to the origin's
 	maxBytes           int64
-	retention          time.Duration // older records are not taken; 0: all are
+	retention          time.Duration // older records are rejected; 0: none are
 	streams            map[Stream]*storedStream
 	storedBytes        int64 // see StoredBytes
 	nodes              map[string]Node
-	highestIncarnation map[string]int64 // of each name that was heard of
-	candidates         []Candidate      // the nodes that are live
-	candidatesVersion  int              // raised by each change of the candidates, and of who rejects
+	highestIncarnation map[string]int64 // of each reported node name
+	candidates         []Candidate      // the live nodes
+	candidatesVersion  int              // incremented when the candidates or the set of rejecting targets change
 	lastTick           time.Duration
 }
 
-// storedStream is a stream as it is held here.
+// storedStream is the state of one stream in the table.
 type storedStream struct {
 	ranges         Ranges
 	verification   verification
-	bytes          int64         // that were taken in
+	bytes          int64         // received, see StoredBytes
 	lastRecordNano int64         // Unix time of the last record
-	orphanedSince  time.Duration // since when its incarnation is gone; notOrphaned: it is live
-	lostByOrigin   Ranges        // records in it that its origin has lost
+	orphanedSince  time.Duration // since when the incarnation is gone; notOrphaned if it is live
+	lostByOrigin   Ranges        // records that the origin has lost
 	otherHolders   map[string]bool
-	targets        map[string]*target // the nodes that should hold it, where its incarnation is gone
+	targets        map[string]*target // desired holders of an orphaned stream, by node name
 
 	// desired is a cache of desiredHolders, valid for one version of the candidates.
 	desired        []Candidate
 	desiredVersion int
 }
 
-// verification is a reading of the stream from disk that is under way.
+// verification is the state of a running re-read of a stream from disk.
 type verification struct {
 	isRunning bool
 	found     Ranges
 }
 
-// target is a node that should hold a stream whose incarnation is gone.
+// target is the state of a desired holder of an orphaned stream.
 type target struct {
-	incarnation int64 // when it was asked; a later one may have lost its disk
+	incarnation int64 // of the node when the offer was sent; a later incarnation may have lost its disk
 	offeredAt   time.Duration
 	hasReplied  bool
 	stored      Ranges
-	rejectedAt  time.Duration // 0: it has not rejected
+	rejectedAt  time.Duration // 0 if it has not rejected
 }
 
-// NewReplicaTable returns an empty table. required is how many machines hold each stream beside the origin's. New
-// streams are rejected when StoredBytes reaches nine tenths of maxBytes, all records when it reaches maxBytes. Records
-// older than retention are rejected; with 0 none are.
+// NewReplicaTable returns an empty table. required is the number of machines that store each stream in addition to the
+// origin's. New streams are rejected when StoredBytes reaches nine tenths of maxBytes, all records when it reaches
+// maxBytes. Records older than retention are rejected; with 0 none are.
 func NewReplicaTable(self Candidate, required int, maxBytes int64, retention time.Duration) *ReplicaTable {
 	return &ReplicaTable{
 		self:               self,
@@ -88,8 +88,8 @@
 	}
 }
 
-// RecordsStored is called when records of a stream are durable on this node's disk, and for those that are found there
-// at the start.
+// RecordsStored records that a range of a stream is durable on this node's disk. It is also called for records that are
+// found there at startup.
 func (t *ReplicaTable) RecordsStored(s Stream, from, to uint64, bytes, lastRecordUnixNano int64) {
 	stored := t.stream(s)
 	stored.ranges = stored.ranges.With(from, to)
@@ -111,7 +111,7 @@
 	return stored
 }
 
-// StreamRemoved is called when a stream is no longer on this node's disk.
+// StreamRemoved records that a stream is removed from this node's disk.
 func (t *ReplicaTable) StreamRemoved(s Stream) {
 	if stored := t.streams[s]; stored != nil {
 		t.storedBytes -= stored.bytes
@@ -119,14 +119,16 @@
 	}
 }
 
-// BeginVerification is called before a stream is read from disk again. What is stored meanwhile counts to it.
+// BeginVerification starts the verification of a stream that is about to be re-read from disk. Records that are stored
+// until EndVerification count as found.
 func (t *ReplicaTable) BeginVerification(s Stream) {
 	if stored := t.streams[s]; stored != nil {
 		stored.verification = verification{isRunning: true}
 	}
 }
 
-// EndVerification takes in what was found undamaged. Where that is less than was thought, other holders are notified.
+// EndVerification replaces the ranges of a stream by the records that were found undamaged. If records are lost, it
+// returns Inventory messages that notify the origin and the other holders.
 func (t *ReplicaTable) EndVerification(s Stream, found Ranges) (out []Outgoing) {
 	stored := t.streams[s]
 	if stored == nil || !stored.verification.isRunning {
@@ -152,8 +154,8 @@
 	return out
 }
 
-// SetNodes is called when the members have changed, with all nodes. This node's own incarnation counts as well: streams
-// of its earlier ones are orphans.
+// SetNodes replaces the known nodes after a membership change. The nodes include this node, so that streams of its earlier
+// incarnations become orphans.
 func (t *ReplicaTable) SetNodes(now time.Duration, nodes []Node) {
 	t.candidates = t.candidates[:0]
 	t.candidatesVersion++
@@ -169,8 +171,8 @@
 	}
 }
 
-// updateOrphan notes whether the incarnation of a stream is gone. Of a node that nobody has named yet nothing is known
-// shortly after the start.
+// updateOrphanState records whether the incarnation of a stream is gone. A node that is not among the known nodes counts
+// as gone only orphanDelay after the start, because membership may not have reported it yet.
 func (t *ReplicaTable) updateOrphanState(s Stream, stored *storedStream, now time.Duration) {
 	if s.IsReconciliation() {
 		stored.orphanedSince = max(stored.orphanedSince, 0)
@@ -185,22 +187,22 @@
 	}
 }
 
-// isOrphan reports whether the incarnation of the stream is gone.
+// isOrphan reports whether the stream's incarnation is gone.
 func (stored *storedStream) isOrphan() bool { return stored.orphanedSince >= 0 }
 
-// isOrphanFor reports whether it has been gone for so long.
+// isOrphanedFor reports whether the stream's incarnation has been gone for at least a duration.
 func (stored *storedStream) isOrphanedFor(now, least time.Duration) bool {
 	return stored.isOrphan() && now-stored.orphanedSince >= least
 }
 
-// Streams returns the streams that are held, in order.
+// Streams returns the stored streams, sorted by name and incarnation.
 func (t *ReplicaTable) Streams() []Stream {
 	return slices.SortedFunc(maps.Keys(t.streams), func(a, b Stream) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 }
 
-// Ranges returns the records of a stream that are held.
+// Ranges returns the stored records of a stream.
 func (t *ReplicaTable) Ranges(s Stream) Ranges {
 	if stored := t.streams[s]; stored != nil {
 		return stored.ranges
@@ -208,7 +210,7 @@
 	return nil
 }
 
-// FirstRecord is the first record of a stream that is held, 0 for none.
+// FirstRecord returns the number of the first stored record of a stream, 0 for none.
 func (t *ReplicaTable) FirstRecord(s Stream) uint64 {
 	if stored := t.streams[s]; stored != nil && len(stored.ranges) > 0 {
 		return stored.ranges[0].From
@@ -216,11 +218,11 @@
 	return 0
 }
 
-// StoredBytes is how many bytes were taken in for the streams that are held. What was removed of such a stream since, was
-// found damaged or came twice still counts.
+// StoredBytes returns the number of bytes received for all stored streams. It also counts records that were received
+// twice, trimmed since, or found damaged.
 func (t *ReplicaTable) StoredBytes() int64 { return t.storedBytes }
 
-// ExpiredStreams returns the streams whose incarnation is gone and whose last record is older than the retention.
+// ExpiredStreams returns the orphaned streams whose last record is older than the retention.
 func (t *ReplicaTable) ExpiredStreams(nowUnixNano int64) (expired []Stream) {
 	for _, s := range t.Streams() {
 		if stored := t.streams[s]; t.retention > 0 && stored.isOrphan() && nowUnixNano-stored.lastRecordNano > int64(t.retention) {
@@ -230,8 +232,8 @@
 	return expired
 }
 
-// StoredReplica describes a stream that is held, to commands. It is sent as a CBOR array and printed as JSON by field
-// name, with the fields of Stream in place: the order of the fields and the tags stay.
+// StoredReplica describes a stored stream to commands. It is sent as a CBOR array and printed as JSON by field name, with
+// the fields of Stream inlined, so the order of the fields, their names and their tags must not change.
 type StoredReplica struct {
 	_ struct{} `cbor:",toarray"`
 	Stream
@@ -239,10 +241,10 @@
 	Bytes              int64
 	LastRecordUnixNano int64             `json:"Last"`
 	IsOrphan           bool              `json:"Orphan"`
-	MissingRecords     map[string]uint64 `json:"Lacks"` // that are still to be copied, by node
+	MissingRecords     map[string]uint64 `json:"Lacks"` // number of records that remain to be copied, by node
 }
 
-// StoredReplicas describes all streams that are held.
+// StoredReplicas returns descriptions of all stored streams.
 func (t *ReplicaTable) StoredReplicas() (replicas []StoredReplica) {
 	for _, s := range t.Streams() {
 		stored := t.streams[s]
--- a/internal/cluster/replication/selection.go
+++ b/internal/cluster/replication/selection.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// SetCandidates is called when the members have changed, with all nodes but this one.
+// SetCandidates replaces the candidates after a membership change and selects holders anew. The candidates are all nodes
+// except this one.
 func (o *Origin) SetCandidates(now time.Duration, candidates []Candidate) []Outgoing {
 	o.candidates = rankCandidates(o.stream, candidates)
 	return o.selectHolders(now, nil)
 }
 
-// WantedConnections returns the nodes to which a connection is to be kept.
+// WantedConnections returns the nodes to which the caller should maintain a connection.
 func (o *Origin) WantedConnections() []string { return slices.Sorted(maps.Keys(o.holders)) }
 
-// Connected is called when a connection to a node is established, and may be called again while it is open.
+// Connected records that a connection to a node is established. Further calls while it is open have no effect.
 func (o *Origin) Connected(now time.Duration, name string) []Outgoing {
 	if h := o.holders[name]; h != nil && !h.isConnected {
 		h.isConnected = true
@@ -24,7 +25,7 @@
 	return nil
 }
 
-// Disconnected is called when no connection to a node is left.
+// Disconnected records that the last connection to a node is closed.
 func (o *Origin) Disconnected(now time.Duration, name string) []Outgoing {
 	if h := o.holders[name]; h != nil && h.isConnected {
 		h.isConnected = false
@@ -33,8 +34,8 @@
 	return nil
 }
 
-// selectHolders sees to it that enough holders are selected: first of those that nothing speaks against, then, where
-// these are too few, of all that do not reject.
+// selectHolders selects the required number of holders. It first considers only candidates that are neither lagging nor
+// avoided; if these are too few, it considers all that have not rejected records recently.
 func (o *Origin) selectHolders(now time.Duration, out []Outgoing) []Outgoing {
 	current := map[string]bool{}
 	for name, h := range o.holders {
@@ -55,7 +56,7 @@
 		}
 		h.candidate = c
 		if h.state == rejected {
-			h.isConnected = false // has Connected called again for a connection that is open
+			h.isConnected = false // so that Connected takes effect for a connection that is already open
 			out = o.advance(now, h, reselected, out)
 		}
 	}
@@ -64,8 +65,8 @@
 	return out
 }
 
-// usableCandidates are the candidates, healthy only where they may be selected. A strict choice leaves out those that are
-// lagging or avoided; those that rejected recently are always left out.
+// usableCandidates returns all candidates with IsHealthy set only for those that may be selected. Candidates that rejected
+// records recently are excluded, and with isStrict also those that are lagging or avoided.
 func (o *Origin) usableCandidates(now time.Duration, isStrict bool) []Candidate {
 	usable := slices.Clone(o.candidates)
 	for i := range usable {
@@ -83,8 +84,8 @@
 	return usable
 }
 
-// releaseHolders releases holders that are not wanted: when those that are wanted have all there is, when they have not
-// answered or reject for too long, or when there are too many.
+// releaseHolders releases a holder that is not wanted in each of these cases: the wanted holders have all records, the
+// holder has not replied or has rejected records for idleHolderTimeout, or there are more than maxExtraHolders extra ones.
 func (o *Origin) releaseHolders(now time.Duration, wanted map[string]bool) {
 	complete := 0
 	for name := range wanted {
@@ -106,7 +107,7 @@
 	}
 }
 
-// updateShortage notes since when too few holders are in sync.
+// updateShortage records since when fewer holders than required have been in sync.
 func (o *Origin) updateShortage(now time.Duration) {
 	count := 0
 	for _, h := range o.holders {
@@ -121,7 +122,7 @@
 	}
 }
 
-// advance moves a holder on by an event and does what follows.
+// advance applies an event to a holder's state machine and performs the resulting action.
 func (o *Origin) advance(now time.Duration, h *holder, e holderEvent, out []Outgoing) []Outgoing {
 	t := holderTransitions[h.state][e]
 	if t.next != h.state {
@@ -140,14 +141,14 @@
 		out = o.sendTo(h, out)
 		o.commit()
 	case selectAnother:
-		o.avoided[h.candidate.Name] = max(now, 1) // 0 is never
+		o.avoided[h.candidate.Name] = max(now, 1) // 0 means that it was not avoided
 		out = o.selectHolders(now, out)
 	}
 	o.updateShortage(now)
 	return out
 }
 
-// offerTo tells a holder what of the stream is on this node's own disk.
+// offerTo returns an Offer to a holder with the records that are on this node's own disk.
 func (o *Origin) offerTo(h *holder) Outgoing {
 	return Outgoing{h.candidate.Name, &Offer{Stream: o.stream, FromOrigin: true, Ranges: o.stored}}
 }
