--- a/internal/cluster/peer/cleanup.go
+++ b/internal/cluster/peer/cleanup.go
@@ -13,7 +13,7 @@
 
 const cleanupInterval = time.Minute
 
-// cleanUp closes and removes stored replicas that are no longer needed, until the context ends.
+// cleanUp periodically closes idle streams and removes expired records, until the context is canceled.
 func (n *Node) cleanUp(ctx context.Context) error {
 	ticker := time.NewTicker(cleanupInterval)
 	defer ticker.Stop()
@@ -39,14 +39,14 @@
 	}
 }
 
-// findExpired returns the streams that are removed, which no longer count, and of the others the first record that is
-// still needed where that is not the stream's first. A stream with entries that are not reconciled is kept beyond its
-// time.
+// findExpired removes expired streams from the replica table and returns them. For each remaining stream that was trimmed
+// it returns the first record that is still needed. A stream with unreconciled entries is retained beyond the retention.
 func (n *Node) findExpired() (expired []replication.Stream, firstRecords map[replication.Stream]uint64) {
 	n.mu.Lock()
 	expired = n.replicas.ExpiredStreams(time.Now().UnixNano())
 	n.mu.Unlock()
-	// The lock is free while entries are read: records that are stored in an expired stream meanwhile go with it.
+	// The lock is not held while entries are read. Records that are stored in an expired stream meanwhile are removed
+	// with it.
 	expired = slices.DeleteFunc(expired, func(s replication.Stream) bool {
 		open, err := n.openEntries(s)
 		return err != nil || len(open) > 0
@@ -68,7 +68,7 @@
 	return expired, firstRecords
 }
 
-// expireOwnRecords notes which records of the running journal were removed because they were too old.
+// expireOwnRecords informs the origin which records of the running journal were removed after the retention.
 func (n *Node) expireOwnRecords() {
 	n.mu.Lock()
 	origin := n.origin
@@ -92,9 +92,9 @@
 	}
 }
 
-// firstChunk returns the first chunk of a segment, which has the incarnation of all its chunks.
+// firstChunk returns the first chunk of a segment. All chunks of a segment have the same incarnation.
 func (n *Node) firstChunk(s wal.Segment) (first wal.Chunk, ok bool) {
-	errFound := errors.New("the first chunk is found")
+	errFound := errors.New("first chunk found")
 	_, err := wal.ScanChunks(n.files, s, func(c wal.Chunk) error {
 		first = c
 		return errFound
--- a/internal/cluster/peer/client.go
+++ b/internal/cluster/peer/client.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	commandTimeout       = 5 * time.Minute // for a node to read all that it stores
+	commandTimeout       = 5 * time.Minute // allows a node to read all of its stored records
 	statusTimeout        = 5 * time.Second
 	maxConcurrentQueries = 16
-	commandName          = "command" // by which commands greet nodes
+	commandName          = "command" // name in the Hello of a command
 )
 
-// Client is what the nodes of a cluster have answered to a command. It belongs to the goroutine that made it.
+// Client collects the responses of a cluster's nodes to a command. It must be used by one goroutine only.
 type Client struct {
 	cfg *Config
-	// Members are the nodes that were found, by name.
+	// Members contains the discovered nodes by name.
 	Members map[string]membership.Member
-	// Answered are the answers of those that could be asked, by name.
+	// Answered contains the responses by node name.
 	Answered map[string]*Status
-	// Unanswered says why others could not be asked, by name or, where that is not known, by address.
+	// Unanswered contains the error of each node that did not respond, by name or, if the name is unknown, by address.
 	Unanswered map[string]error
 }
 
-// Query finds the nodes of a cluster, by the addresses of the configuration and by their members, and asks each for its
-// Status. With verify each node first reads all that it stores.
+// Query discovers the nodes of a cluster from the configured addresses and the members that the nodes report, and requests
+// the Status of each node. With verify each node first re-reads all of its stored records.
 func Query(ctx context.Context, cfg *Config, verify bool) *Client {
 	c := &Client{
 		cfg:        cfg,
@@ -56,7 +56,7 @@
 	return c
 }
 
-// queryAll asks at addresses that were not asked yet.
+// queryAll queries the addresses that were not queried yet.
 func (c *Client) queryAll(ctx context.Context, addresses []string, asked map[string]bool, verify bool) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -78,7 +78,7 @@
 	wg.Wait()
 }
 
-// note takes in one node's answer.
+// addResponse adds one node's response or error.
 func (c *Client) addResponse(address string, s *Status, err error) {
 	if err != nil {
 		c.Unanswered[address] = err
@@ -92,7 +92,7 @@
 	}
 }
 
-// nameUnanswered puts those that did not answer under their names, where these are known.
+// keyUnansweredByName replaces the addresses in Unanswered by node names where these are known.
 func (c *Client) keyUnansweredByName() {
 	unanswered := map[string]error{}
 	for _, m := range c.Members {
@@ -127,7 +127,7 @@
 	case kind == framing.RejectionKind:
 		return nil, framing.RejectionError(body)
 	case kind != statusKind:
-		return nil, fmt.Errorf("a frame of kind %d in place of an answer", kind)
+		return nil, fmt.Errorf("unexpected frame of kind %d, expected status", kind)
 	}
 	s := &Status{}
 	return s, framing.Decode(body, s)
@@ -138,10 +138,10 @@
 	return conn, err
 }
 
-// Records asks each node that answered for all its records, or those of one request id; each is called for every record,
-// from one goroutine. What several nodes have comes several times. A node that does not send all moves from Answered
-// to Unanswered. corrupt counts the places that nodes could not read; err is an error that each has
-// returned, which ends the call.
+// Records requests all records, or those of one request ID, from each node in Answered, and calls each for every record
+// from the calling goroutine. A record that several nodes store is passed several times. A node that does not send all
+// of its records moves from Answered to Unanswered. corrupt is the number of unreadable places that the nodes reported.
+// If each returns an error, Records stops and returns it as err.
 func (c *Client) Records(ctx context.Context, since time.Time, id string, each func(*intent.Record) error) (corrupt int, err error) {
 	for name := range c.Answered {
 		query := recordsQuery{SinceUnixNano: since.UnixNano(), RequestID: id}
@@ -161,7 +161,7 @@
 	return corrupt, nil
 }
 
-// callerError is an error of the caller's function, not of a node.
+// callerError wraps an error that the caller's function returned, as opposed to an error of a node.
 type callerError struct{ error }
 
 func (c *Client) recordsOf(ctx context.Context, address string, query recordsQuery, each func(*intent.Record) error) (corrupt int, err error) {
@@ -179,7 +179,7 @@
 			return corrupt, err
 		}
 		if kind != recordsKind {
-			return corrupt, fmt.Errorf("a frame of kind %d in place of records", kind)
+			return corrupt, fmt.Errorf("unexpected frame of kind %d, expected records", kind)
 		}
 		var part recordsPart
 		if err := framing.Decode(body, &part); err != nil {
--- a/internal/cluster/peer/clusterstate.go
+++ b/internal/cluster/peer/clusterstate.go
@@ -7,9 +7,9 @@
 	"fernvane/internal/cluster/replication"
 )
 
-// HasEnoughAnswers reports whether those that answered hold all that was ever committed: no more machines are missing
-// than the largest Replicas among the answers, and all have read what they store. It relies on all nodes being configured
-// with the same replicas.
+// HasEnoughAnswers reports whether the responding nodes together store every committed record. That is the case if at
+// most as many machines are missing as the largest Replicas among the responses, and all responding nodes have loaded
+// their replicas. It assumes that all nodes are configured with the same number of replicas.
 func (c *Client) HasEnoughAnswers() bool {
 	if len(c.Answered) == 0 {
 		return false
@@ -32,8 +32,8 @@
 	return len(missing) <= replicas
 }
 
-// completeHolders are the nodes that have each stream complete, as far as any node has it. The origin counts where it
-// answers.
+// completeHolders returns, for each stream, the nodes that store every record of it that any responding node stores. The
+// origin of a running stream counts if it responded.
 func (c *Client) completeHolders() map[replication.Stream][]string {
 	known := map[replication.Stream]replication.Ranges{}
 	for _, s := range c.Answered {
@@ -57,7 +57,7 @@
 	return holders
 }
 
-// CopyCounts counts on how many machines each stream is complete.
+// CopyCounts returns the number of machines on which each stream is complete.
 func (c *Client) CopyCounts() map[replication.Stream]int {
 	counts := map[replication.Stream]int{}
 	for stream, names := range c.completeHolders() {
@@ -70,9 +70,10 @@
 	return counts
 }
 
-// SurvivesLoss reports whether a node's journal, of its running and its earlier incarnations, is complete after the
-// loss of some nodes with their disks. A node that has only a part of it, from a time when others did not answer, does
-// not count. It is false where the node does not say who holds its journal.
+// SurvivesLoss reports whether the journal of a node, including those of its earlier incarnations, remains complete if
+// the lost nodes fail together with their disks. A node that stores only a part of a stream, from a time when other
+// holders did not respond, does not count. The result is false if the node itself did not respond, because its holders
+// are then unknown.
 func (c *Client) SurvivesLoss(name string, lost []string) bool {
 	isLost := func(name string) bool { return slices.Contains(lost, name) }
 	own := c.Answered[name]
@@ -94,18 +95,18 @@
 	return true
 }
 
-// hasAllRecords reports whether a holder has all records but those that are on their way to it.
+// hasAllRecords reports whether a holder has all records except those in flight.
 func hasAllRecords(h replication.Holder) bool {
 	return h.State == replication.HolderInSync && h.MissingRecords == 0
 }
 
-// Shortfall says which stream has too few copies, "" if none has: each stream whose incarnation is gone on
-// as many machines as replicas and one, each running one at its holders up to what is on its way.
+// Shortfall describes a stream that has too few copies, or returns "" if none has. An orphaned stream must be complete on
+// one machine more than the configured replicas; a running one at all of its holders, except for records in flight.
 func (c *Client) Shortfall() string {
 	copies := c.CopyCounts()
 	for name, s := range c.Answered {
 		if !s.IsReady {
-			return name + " is still reading what it holds"
+			return name + " is still loading its replicas"
 		}
 		complete := 0
 		for _, h := range s.Holders {
@@ -114,18 +115,19 @@
 			}
 		}
 		if s.Stream.Incarnation != 0 && complete < s.Replicas {
-			return fmt.Sprintf("%s is held by %d of %d others: %+v", name, complete, s.Replicas, s.Holders)
+			return fmt.Sprintf("journal of %s is in sync at %d of %d holders: %+v", name, complete, s.Replicas, s.Holders)
 		}
 		for _, r := range s.StoredReplicas {
 			if r.IsOrphan && copies[r.Stream] < s.Replicas+1 {
-				return fmt.Sprintf("%s stands on %d of %d machines", r.Stream, copies[r.Stream], s.Replicas+1)
+				return fmt.Sprintf("stream %s is complete on %d of %d machines", r.Stream, copies[r.Stream], s.Replicas+1)
 			}
 		}
 	}
 	return ""
 }
 
-// HoldersOf returns the nodes that have some of a node's journal, of its running or an earlier incarnation, itself first.
+// HoldersOf returns the nodes that store records of a node's journal, of its running or an earlier incarnation. The node
+// itself comes first, the others are sorted by name.
 func (c *Client) HoldersOf(name string) []string {
 	holders := []string{name}
 	for other, s := range c.Answered {
--- a/internal/cluster/peer/commandserver.go
+++ b/internal/cluster/peer/commandserver.go
@@ -11,9 +11,9 @@
 	"fernvane/internal/journal/wal"
 )
 
-const recordsPartBytes = 256 << 10 // of records in one frame
+const recordsPartBytes = 256 << 10 // of records in one frame, after which it is sent
 
-// Status returns the state of the node.
+// Status returns the state of the node as commands display it.
 func (n *Node) Status() *Status {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -36,7 +36,7 @@
 	return s
 }
 
-// serveCommand answers a caller that is no node, until it disconnects.
+// serveCommand serves the queries of a command until it disconnects.
 func (n *Node) serveCommand(ctx context.Context, conn *framing.Conn) error {
 	for {
 		kind, body, err := conn.Receive(time.Now().Add(commandTimeout))
@@ -49,7 +49,7 @@
 		case recordsQueryKind:
 			err = n.serveRecords(ctx, conn, body)
 		default:
-			err = conn.Reject(fmt.Errorf("a frame of kind %d from a command", kind))
+			err = conn.Reject(fmt.Errorf("unexpected frame of kind %d from command", kind))
 		}
 		if err != nil {
 			return err
@@ -71,7 +71,7 @@
 	return conn.Send(statusKind, s)
 }
 
-// serveRecords sends all records that are stored here, in parts.
+// serveRecords sends all records that this node stores and that match the query, in parts.
 func (n *Node) serveRecords(ctx context.Context, conn *framing.Conn, body []byte) error {
 	var q recordsQuery
 	if err := framing.Decode(body, &q); err != nil {
@@ -95,7 +95,8 @@
 	return sender.send()
 }
 
-// recordFolders are the journal's folder and those of the stored replicas, as far as they can be listed. It locks mu.
+// recordDirs returns the journal's folder and the folders of the stored replicas. If listing fails, it returns the folders
+// found so far with the error. It locks mu.
 func (n *Node) recordDirs() (dirs []string, err error) {
 	n.mu.Lock()
 	journal := n.journal
@@ -137,10 +138,10 @@
 	return err
 }
 
-// requestFilter takes the records of requests with an id, or that repeat it. Only a request's first records name its id,
-// and the records that reconcile it come after them.
+// requestFilter selects the records of requests with an ID, and of requests that repeat one with that ID. Only the first
+// records of a request contain its ID; later records, including those that reconcile it, are matched by request key.
 type requestFilter struct {
-	id      string // "" takes all
+	id      string // "" matches all records
 	matched map[intent.RequestKey]bool
 }
 
--- a/internal/cluster/peer/config.go
+++ b/internal/cluster/peer/config.go
@@ -19,52 +19,52 @@
 	minReplicaBytes         = 16 << 20
 	minSlowAfter            = 5 * time.Millisecond
 	maxSlowAfter            = 5 * time.Second
-	minReconcileAfter       = 5 * time.Second // a node that is away for less may only be restarting
+	minReconcileAfter       = 5 * time.Second // a node that is down for less may only be restarting
 )
 
-// Config is an operator's file of the cluster.
+// Config is the operator's configuration file of a cluster node.
 type Config struct {
-	Name       string   `toml:"name"`       // the node's own; by default the one in its configuration
-	Listen     string   `toml:"listen"`     // address and port for other nodes
-	Advertise  string   `toml:"advertise"`  // where they reach it; by default Listen
-	Peers      []string `toml:"peers"`      // addresses of some nodes that are there at the start
-	Deployment string   `toml:"deployment"` // nodes of another one are rejected
+	Name       string   `toml:"name"`       // node name; by default the one in the node's configuration
+	Listen     string   `toml:"listen"`     // address and port on which to accept connections of other nodes
+	Advertise  string   `toml:"advertise"`  // address to which other nodes connect; by default Listen
+	Peers      []string `toml:"peers"`      // seed addresses: some nodes that run at the start
+	Deployment string   `toml:"deployment"` // cluster name; nodes of another deployment are rejected
 	Site       string   `toml:"site"`
-	Machine    string   `toml:"machine"` // nodes on one machine are lost together; by default the address
+	Machine    string   `toml:"machine"` // failure domain: nodes on one machine fail together; by default the advertised address
 
-	Replicas             int               `toml:"replicas"` // how many other machines hold what this node's journal has
-	ReplicaDir           string            `toml:"held"`     // the folder of what this node holds for others
+	Replicas             int               `toml:"replicas"` // number of other machines that store this node's journal
+	ReplicaDir           string            `toml:"held"`     // folder of the replicas that this node stores for others
 	MaxReplicaBytes      int64             `toml:"held_bytes"`
 	RetentionAge         tomlfile.Duration `toml:"keep_for"`
-	RepairBytesPerSecond int64             `toml:"repair_bytes"` // to other nodes, when a holder is lost
-	SlowAfter            tomlfile.Duration `toml:"slow_after"`   // a holder that takes longer is replaced
+	RepairBytesPerSecond int64             `toml:"repair_bytes"` // rate limit of copies to other nodes, as after the loss of a holder
+	SlowAfter            tomlfile.Duration `toml:"slow_after"`   // a holder that takes longer to acknowledge a record is replaced
 
-	ExecutionRecords []string          `toml:"dockets"`    // files or URLs by which journals of lost machines are reconciled
-	ReconcileAfter   tomlfile.Duration `toml:"gone_after"` // how long a machine is away until they are
+	ExecutionRecords []string          `toml:"dockets"`    // files or URLs of the execution records that reconcile journals of lost machines
+	ReconcileAfter   tomlfile.Duration `toml:"gone_after"` // how long a machine must be gone before its journal is reconciled
 
-	TLSName   string `toml:"tls_name"` // that the nodes' certificates are for
+	TLSName   string `toml:"tls_name"` // server name in the nodes' certificates
 	Cert      string `toml:"cert"`
 	Key       string `toml:"key"`
 	CA        string `toml:"ca"`
 	Plaintext bool   `toml:"plaintext"` // without TLS, on loopback only
 
-	// ListenAddress is Listen, parsed.
+	// ListenAddress is the parsed value of Listen.
 	ListenAddress netip.AddrPort `toml:"-"`
-	// Keys are those of Cert, Key and CA; nil for plaintext.
+	// Keys contains the loaded Cert, Key and CA; nil for plaintext.
 	Keys *mtls.Keys `toml:"-"`
 }
 
-// Names become names of folders. A stream's name is that of a node, or of a node and of another that reconciles its
-// entries.
+// Names are used as folder names, so their characters are restricted. The name of a stream is a node name, or in a
+// reconciliation stream two node names separated by "~".
 var (
 	nodeNames   = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 	streamNames = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}(~[A-Za-z0-9][A-Za-z0-9._-]{0,63})?$`)
 )
 
-// nodeNameRule says what nodeNames matches.
+// nodeNameRule describes nodeNames in error messages.
 const nodeNameRule = "letters, digits, dots, dashes and underscores, a letter or digit first, 64 at most"
 
-// LoadConfig reads the file. The error names each fault by file and line.
+// LoadConfig reads and checks a configuration file. The error lists each invalid setting with file and line.
 func LoadConfig(path string) (*Config, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
@@ -88,14 +88,15 @@
 	return c, f.Err()
 }
 
-// checkAddresses fills in what follows from other settings and returns all addresses, the node's own first.
+// checkAddresses checks the name and addresses and fills in their defaults. It returns all addresses: Listen, Advertise,
+// then the peers.
 func (c *Config) checkAddresses(f *tomlfile.File) []netip.AddrPort {
 	if c.Name != "" && !nodeNames.MatchString(c.Name) {
-		f.Wrong("name", "name %q: "+nodeNameRule, c.Name)
+		f.Wrong("name", "name %q: expected "+nodeNameRule, c.Name)
 	}
 	var err error
 	if c.ListenAddress, err = netip.ParseAddrPort(c.Listen); err != nil {
-		f.Wrong("listen", "listen %q: an address and a port are wanted", c.Listen)
+		f.Wrong("listen", "listen %q: expected address and port", c.Listen)
 	}
 	if c.Advertise == "" {
 		c.Advertise = c.Listen
@@ -104,19 +105,19 @@
 	check := func(key, what, text string) {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
-			f.Wrong(key, "%s %q: an address and a port are wanted", what, text)
+			f.Wrong(key, "%s %q: expected address and port", what, text)
 		}
 		addresses = append(addresses, a)
 	}
 	check("advertise", "advertise", c.Advertise)
 	if len(c.Peers) > maxSeedAddresses {
-		f.Wrong("peers", "%d peers: %d at most, the others are learned of", len(c.Peers), maxSeedAddresses)
+		f.Wrong("peers", "%d peers: expected at most %d, gossip discovers further nodes", len(c.Peers), maxSeedAddresses)
 	}
 	for i, p := range c.Peers {
 		check("peers."+strconv.Itoa(i), "peer", p)
 	}
 	if c.Deployment == "" {
-		f.Wrong("deployment", "deployment says which nodes belong together")
+		f.Wrong("deployment", "deployment not set: nodes of one cluster need the same deployment name")
 	}
 	if advertised := addresses[1]; c.Machine == "" && advertised.IsValid() {
 		c.Machine = advertised.Addr().String()
@@ -126,28 +127,28 @@
 
 func (c *Config) checkBounds(f *tomlfile.File) {
 	if c.Replicas < 1 || c.Replicas > maxReplicas {
-		f.Wrong("replicas", "replicas %d: from 1 to %d", c.Replicas, maxReplicas)
+		f.Wrong("replicas", "replicas %d: expected 1 to %d", c.Replicas, maxReplicas)
 	}
 	if st, err := os.Stat(c.ReplicaDir); c.ReplicaDir == "" || err != nil || !st.IsDir() {
 		f.Wrong("held", "held %q is not an existing directory", c.ReplicaDir)
 	}
 	if c.MaxReplicaBytes < minReplicaBytes {
-		f.Wrong("held_bytes", "held_bytes %d: %d at least", c.MaxReplicaBytes, minReplicaBytes)
+		f.Wrong("held_bytes", "held_bytes %d: expected at least %d", c.MaxReplicaBytes, minReplicaBytes)
 	}
 	if c.RepairBytesPerSecond < minRepairBytesPerSecond {
-		f.Wrong("repair_bytes", "repair_bytes %d: %d a second at least", c.RepairBytesPerSecond, minRepairBytesPerSecond)
+		f.Wrong("repair_bytes", "repair_bytes %d: expected at least %d bytes per second", c.RepairBytesPerSecond, minRepairBytesPerSecond)
 	}
 	if c.SlowAfter.Std() < minSlowAfter || c.SlowAfter.Std() > maxSlowAfter {
-		f.Wrong("slow_after", "slow_after %s: from 5ms to 5s", c.SlowAfter.Std())
+		f.Wrong("slow_after", "slow_after %s: expected 5ms to 5s", c.SlowAfter.Std())
 	}
 	if c.ReconcileAfter.Std() < minReconcileAfter {
-		f.Wrong("gone_after", "gone_after %s: 5s at least, a node may only be starting again", c.ReconcileAfter.Std())
+		f.Wrong("gone_after", "gone_after %s: expected at least 5s, a node that is down for less may be restarting", c.ReconcileAfter.Std())
 	}
 }
 
 func (c *Config) loadKeys(f *tomlfile.File, addresses []netip.AddrPort) {
 	if !c.Plaintext && c.TLSName == "" {
-		f.Wrong("tls_name", "tls_name says what the nodes' certificates are for")
+		f.Wrong("tls_name", "tls_name not set: expected the server name in the nodes' certificates")
 	}
 	c.Keys = mtls.KeysFromConfig(f, mtls.Files{Cert: c.Cert, Key: c.Key, CA: c.CA}, c.Plaintext, addresses)
 }
--- a/internal/cluster/peer/connection.go
+++ b/internal/cluster/peer/connection.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	maxQueuedBytes = 16 << 20 // of messages on one connection
-	maxPendingAcks = 256      // batches from one connection that wait for the disk
+	maxQueuedBytes = 16 << 20 // of queued messages per connection
+	maxPendingAcks = 256      // batches per connection that wait for the disk
 )
 
-// connection is one connection with another node.
+// connection is an established connection with another node.
 type connection struct {
 	conn        *framing.Conn
 	name        string        // of the other node
-	isDialed    bool          // by this node
-	lastWanted  time.Duration // if it was dialed; under the Node's lock
+	isDialed    bool          // opened by this node
+	lastWanted  time.Duration // of a dialed connection; guarded by the Node's lock
 	pendingAcks chan pendingAck
 
-	wake chan struct{} // has the writer look at the queue
+	wake chan struct{} // signals the writer that messages are queued
 
 	mu          sync.Mutex
 	queue       []any // messages
@@ -38,8 +38,8 @@
 	}
 }
 
-// queueMessage has a message sent. It does not block: a connection on which too much waits is closed, without a log line
-// but the debug one of each connection that ends.
+// queueMessage queues a message for sending and does not block. A connection whose queue exceeds maxQueuedBytes is closed.
+// Only the debug line that every ended connection produces logs this.
 func (c *connection) queueMessage(message any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// close ends the connection; its reader and writer end with it.
+// close closes the connection, which terminates its reader and writer.
 func (c *connection) close() {
 	c.mu.Lock()
 	c.isClosed = true
@@ -67,7 +67,7 @@
 	c.conn.Close()
 }
 
-// writeQueued sends queued messages until the connection or its reader ends.
+// writeQueued sends queued messages until sending fails or the reader has terminated.
 func (c *connection) writeQueued(readerDone <-chan struct{}) {
 	for {
 		select {
--- a/internal/cluster/peer/connections.go
+++ b/internal/cluster/peer/connections.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	connectionReviewInterval = 250 * time.Millisecond // between two looks at which connections are wanted
+	connectionReviewInterval = 250 * time.Millisecond // between two reviews of the wanted connections
 	initialRedialWait        = 100 * time.Millisecond
 	maxRedialWait            = 2 * time.Second
-	pendingMessageTimeout    = 3 * time.Second // how long a connection is wanted for one message
-	unwantedTimeout          = 3 * time.Second // until a connection that is not wanted is closed
-	maxConnectedNodes        = 256             // a further node is rejected, and asks another one
-	maxPendingMessages       = 8               // to a node without a connection
+	pendingMessageTimeout    = 3 * time.Second // how long a connection is wanted for a pending message
+	unwantedTimeout          = 3 * time.Second // until an unwanted connection is closed
+	maxConnectedNodes        = 256             // further nodes are rejected and connect to another node
+	maxPendingMessages       = 8               // per node without a connection
 )
 
-// connections are those with other nodes, and which are wanted. They belong to the Node and are under its lock.
+// connections tracks the open and the wanted connections of a Node. It is guarded by the Node's lock.
 type connections struct {
 	open            map[string][]*connection // by the other node's name
 	wantedUntil     map[string]time.Duration
-	pendingMessages map[string][]any // messages for nodes to which there is no connection yet
+	pendingMessages map[string][]any // for nodes that are not connected yet
 	dialing         map[string]bool
 	redials         map[string]redial
 	lastReview      time.Duration
 }
 
-// redial is the last attempt to connect to a node that has not led to a connection.
+// redial is the last failed attempt to connect to a node.
 type redial struct {
 	at   time.Duration
-	wait time.Duration // until the next one
+	wait time.Duration // until the next attempt
 }
 
 func newConnections() connections {
@@ -54,7 +54,7 @@
 	c.wantedUntil[name] = max(c.wantedUntil[name], until)
 }
 
-// add takes in a connection, and sends the messages that have waited for it.
+// add registers an open connection and queues the messages that are pending for its node.
 func (c *connections) add(added *connection) {
 	name := added.name
 	c.open[name] = append(c.open[name], added)
@@ -65,7 +65,7 @@
 	delete(c.redials, name)
 }
 
-// remove reports whether no connection to the node is left.
+// remove removes a connection and reports whether it was the last one to its node.
 func (c *connections) remove(removed *connection) (isLast bool) {
 	name := removed.name
 	c.open[name] = slices.DeleteFunc(c.open[name], func(o *connection) bool { return o == removed })
@@ -76,7 +76,7 @@
 	return true
 }
 
-// connected takes in a connection. mu is not held.
+// connected registers a new connection with a node and merges the member that the node sent. It locks mu.
 func (n *Node) connected(c *connection, remote membership.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -88,8 +88,8 @@
 	n.applyChanges(now)
 }
 
-// handleDuplicateName notifies another process of this node's own name; the connection is not used otherwise. mu is not
-// held.
+// handleDuplicateName notifies another process that uses this node's name. The connection is not used otherwise. It locks
+// mu.
 func (n *Node) handleDuplicateName(c *connection, remote membership.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -99,7 +99,7 @@
 	n.applyChanges(now)
 }
 
-// disconnected removes a connection that has ended. mu is not held.
+// disconnected removes a closed connection. It locks mu.
 func (n *Node) disconnected(c *connection) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -114,8 +114,8 @@
 	n.applyChanges(now)
 }
 
-// send queues messages on their connections. For a node without one a connection is wanted, and the message waits for it;
-// batches do not wait, they are sent again. mu is held.
+// send queues messages on the connections to their receivers. For a live receiver without a connection it requests one and
+// stores the message as pending. Batches are not stored, because they are re-sent anyway. mu must be held.
 func (n *Node) send(now time.Duration, out []membership.Outgoing) {
 	c := &n.connections
 	for _, o := range out {
@@ -133,7 +133,8 @@
 	}
 }
 
-// reviewConnections notes which connections are wanted, and closes those that have not been for a while. mu is held.
+// reviewConnections updates which connections are wanted, and closes dialed ones that were unwanted for unwantedTimeout. mu
+// must be held.
 func (n *Node) reviewConnections(now time.Duration) {
 	wanted := n.table.Watched()
 	if n.origin != nil {
@@ -160,7 +161,7 @@
 	}
 }
 
-// dialWanted opens connections that are wanted and not there. mu is held.
+// dialWanted starts dialing nodes whose connection is wanted and not open. mu must be held.
 func (n *Node) dialWanted(ctx context.Context, g *errgroup.Group, now time.Duration) {
 	c := &n.connections
 	for name, until := range c.wantedUntil {
@@ -188,7 +189,7 @@
 	}
 }
 
-// seek connects to an address of the configuration whenever no live node is connected that is reached there.
+// connectToSeed dials a configured address whenever no live node with that address is connected.
 func (n *Node) connectToSeed(ctx context.Context, address string) {
 	for wait := initialRedialWait; ctx.Err() == nil; wait = min(2*wait, maxRedialWait) {
 		if !n.isConnectedTo(address) {
@@ -202,7 +203,7 @@
 	}
 }
 
-// isConnectedTo reports whether an address is this node's own, or that of a live node with a connection. It locks mu.
+// isConnectedTo reports whether an address is this node's own or that of a connected live node. It locks mu.
 func (n *Node) isConnectedTo(address string) bool {
 	if address == n.cfg.Advertise {
 		return true
--- a/internal/cluster/peer/copy.go
+++ b/internal/cluster/peer/copy.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	maxUnackedBatches = 8 // of one copy
+	maxUnackedBatches = 8 // per copy
 	copyAckTimeout    = 2 * time.Second
-	// copyBatchBytes holds about 300 records of usual length, so the unacknowledged ones mostly fit the holder's queue.
+	// copyBatchBytes is enough for about 300 records of usual length, so that the unacknowledged batches usually fit into
+	// the holder's queue.
 	copyBatchBytes = 64 << 10
 )
 
-// errNothingToCopy ends a copy to a node that is disconnected, acknowledges too slowly, or lacks nothing any more. What is
-// left begins again with a later copy.
-var errNothingToCopy = errors.New("the node is disconnected, acknowledges too slowly, or lacks nothing")
+// errNothingToCopy ends a copy to a node that is disconnected, acknowledges too slowly, or no longer lacks records. A later
+// copy sends the remaining records.
+var errNothingToCopy = errors.New("copy ended: receiver disconnected, acknowledging too slowly, or complete")
 
-// startCopies starts the copies that are this node's to make and not under way, each in a goroutine. mu is held.
+// startCopies starts a goroutine for each copy that this node should make and that is not running yet. mu must be held.
 func (n *Node) startCopies(ctx context.Context, g *errgroup.Group, now time.Duration) {
 	var tasks []replication.CopyTask
 	if n.isLoaded {
@@ -49,7 +50,7 @@
 	}
 }
 
-// runCopy makes one copy. The log says that it ended, with how many records were sent, whether or not that was all.
+// runCopy runs one copy. When it ends, complete or not, the number of records sent is logged.
 func (n *Node) runCopy(ctx context.Context, task replication.CopyTask, unacked chan struct{}) {
 	began := time.Now()
 	c := &replicaCopy{node: n, task: task, unacked: unacked}
@@ -62,7 +63,7 @@
 	}
 }
 
-// endCopiedBatch notes that a batch of a copy is acknowledged. mu is held.
+// acknowledgeCopiedBatch releases the slot of an acknowledged batch of a copy. mu must be held.
 func (n *Node) acknowledgeCopiedBatch(from string, ack *replication.Ack) {
 	if unacked := n.copies[replication.CopyTask{Stream: ack.Stream, To: from}]; unacked != nil {
 		select {
@@ -72,7 +73,7 @@
 	}
 }
 
-// missingAt is what a task's receiver does not have. mu is held.
+// missingAt returns the records that a task's receiver lacks. mu must be held.
 func (n *Node) missingAt(task replication.CopyTask) replication.Ranges {
 	if n.isOwnStream(task.Stream) {
 		return n.origin.MissingAt(task.To)
@@ -80,23 +81,23 @@
 	return n.replicas.MissingAt(task.Stream, task.To)
 }
 
-// isOwnStream reports whether a stream is that of this node's running incarnation. mu is held.
+// isOwnStream reports whether a stream is that of this node's running incarnation. mu must be held.
 func (n *Node) isOwnStream(s replication.Stream) bool {
 	return n.origin != nil && s == n.origin.Stream()
 }
 
-// replicaCopy is one stream on its way from this node's disk to another node.
+// replicaCopy copies one stream from this node's disk to another node.
 type replicaCopy struct {
 	node        *Node
 	task        replication.CopyTask
 	isOwnStream bool
-	unacked     chan struct{}      // holds one for each batch that is not acknowledged
-	batch       *replication.Batch // consecutive chunks that go together; nil: none are collected
-	records     int                // sent so far
+	unacked     chan struct{}      // contains one element per unacknowledged batch
+	batch       *replication.Batch // collects consecutive chunks; nil if empty
+	records     int                // number of records sent
 }
 
-// run sends what the receiver lacks, at the rate that all copies of this node keep to, and waits for the acknowledgements,
-// for copyAckTimeout at most.
+// run sends the records that the receiver lacks, within the rate limit that all copies of this node share. Then it waits
+// up to copyAckTimeout for the acknowledgements.
 func (c *replicaCopy) run(ctx context.Context) error {
 	n := c.node
 	n.mu.Lock()
@@ -115,8 +116,8 @@
 	return err
 }
 
-// add takes a chunk into the batch if the receiver lacks any of it, and sends the batch first where the chunk doesn't
-// fit.
+// add appends a chunk to the batch if the receiver lacks any of its records. If the chunk does not fit, the batch is sent
+// first.
 func (c *replicaCopy) add(ctx context.Context, chunk wal.Chunk) error {
 	n := c.node
 	n.mu.Lock()
@@ -144,13 +145,13 @@
 	return nil
 }
 
-// fits reports whether a chunk follows on the batch and leaves it small enough.
+// fits reports whether a chunk directly follows the batch's records and the batch stays within copyBatchBytes.
 func (c *replicaCopy) fits(chunk wal.Chunk) bool {
 	b := c.batch
 	return b == nil || b.First+uint64(b.Count) == chunk.First && len(b.Frames)+len(chunk.Frames) <= copyBatchBytes
 }
 
-// flush sends the batch, once the rate allows it and enough of those before are acknowledged.
+// flush sends the batch once the rate limit permits it and fewer than maxUnackedBatches are unacknowledged.
 func (c *replicaCopy) flush(ctx context.Context) error {
 	b := c.batch
 	if b == nil {
--- a/internal/cluster/peer/doc.go
+++ b/internal/cluster/peer/doc.go
@@ -1,16 +1,17 @@
-// Package peer runs a node's part in its cluster: connections to the other nodes, who of them is alive, and the replicas
-// of their journals. Who is alive is decided by package membership, who holds what by package replication; this package
-// has the sockets, the disk (package replicastore) and the clock.
+// Package peer runs a node in its cluster: it connects to the other nodes, detects failed ones, and replicates journals.
+// Package membership decides which nodes are alive and package replication where replicas are stored; this package
+// provides the sockets, the disk (package replicastore) and the clock.
 //
-// The proxy makes a Node, calls Run in a goroutine of its own, then Join before it starts its journal and StartJournal
-// with the journal's folder. In a replicated journal the wal.Log hands each chunk to ReplicateChunk, and the proxy waits
-// for the Commit that CommitOf returns before it sends an attempt. At shutdown it calls Leave and ends Run's context.
+// The proxy creates a Node, calls Run in a separate goroutine, then Join before it opens its journal, and StartJournal
+// with the journal's folder. If the journal is replicated, the wal.Log passes each chunk to ReplicateChunk, and the proxy
+// waits for the Commit that CommitOf returns before it sends an attempt. At shutdown the proxy calls Leave and cancels
+// Run's context.
 //
-// The state of a Node is under its one lock, which is never held over a socket or the disk. A connection's queue has a lock
-// of its own, which is taken within that of the Node and never the other way round. The goroutines are: one that
-// ticks, one that accepts, one for each configured address, three for each connection (one reads and hands in messages,
-// one writes what is queued, one acknowledges batches when they are durable), one for each copy of a replica, and one each
-// for loading, cleanup and reconciliation.
+// One lock guards the state of a Node. It is never held during socket or disk I/O. A connection's queue has a separate
+// lock; if both are needed, the Node's lock is acquired first. A Node runs these goroutines: one ticks, one accepts
+// connections, one per configured seed address connects, three per connection (one reads and processes messages, one
+// writes queued messages, one acknowledges batches when they are durable), one per running replica copy, and one each for
+// loading, cleanup and reconciliation.
 //
-// Commands that ask for the state of the nodes use Query, which returns a Client.
+// Commands query the state of the nodes with Query, which returns a Client.
 package peer
--- a/internal/cluster/peer/endpointlists.go
+++ b/internal/cluster/peer/endpointlists.go
@@ -3,25 +3,27 @@
 import "time"
 
 const (
-	maxListSources   = 4  // nodes that are asked for their lists
-	listFrameReserve = 64 // bytes that a frame needs beside the list
+	maxListSources   = 4  // nodes that are queried for their lists
+	listFrameReserve = 64 // bytes of a frame in addition to the list
 )
 
-// endpointLists serves nodes that start without an endpoint list on their own disk. It is under the Node's lock.
+// endpointLists exchanges cached endpoint lists, for nodes that start without one on their own disk. It is guarded by the
+// Node's lock.
 type endpointLists struct {
-	current func() []byte // the list as it is cached here; nil: none is
-	replies chan []byte   // lists of other nodes, while they are asked for
+	current func() []byte // returns the list cached by this node; nil if there is none
+	replies chan []byte   // lists of other nodes, non-nil while FetchEndpointLists runs
 }
 
-// SetEndpointList says how to get the endpoint list as this node has it cached, for nodes that ask. It is called at most
-// once, before other nodes may ask.
+// SetEndpointList sets the function that returns this node's cached endpoint list, which is sent to nodes that request it.
+// It must be called at most once, before other nodes can connect.
 func (n *Node) SetEndpointList(current func() []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lists.current = current
 }
 
-// FetchEndpointLists asks a few other nodes for the endpoint lists that they have cached, and returns what came in time.
+// FetchEndpointLists requests the cached endpoint lists of up to maxListSources connected nodes and returns those received
+// within the timeout.
 func (n *Node) FetchEndpointLists(timeout time.Duration) (lists [][]byte) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -45,7 +47,8 @@
 	return lists
 }
 
-// askForLists has answers go to replies and returns how many nodes were asked. It locks mu.
+// requestEndpointLists sends the queries, directs the responses to replies and returns the number of queried nodes. It
+// locks mu.
 func (n *Node) requestEndpointLists(replies chan []byte) (asked int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -59,18 +62,18 @@
 	return asked
 }
 
-// handleEndpointList hands on an answer while FetchEndpointLists waits for one. It locks mu.
+// handleEndpointList passes a response to FetchEndpointLists if it is waiting for one. It locks mu.
 func (n *Node) handleEndpointList(m *endpointList) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	select {
-	case n.lists.replies <- m.Text: // never ready while it is nil
+	case n.lists.replies <- m.Text: // a nil channel is never ready
 	default:
 	}
 }
 
-// handleEndpointListQuery answers with this node's list, without one that no frame holds. It locks mu, though not while
-// the list is made.
+// handleEndpointListQuery responds with this node's list, or with an empty one if the list exceeds a frame. It locks mu,
+// except while the list is built.
 func (n *Node) handleEndpointListQuery(c *connection) {
 	n.mu.Lock()
 	current := n.lists.current
--- a/internal/cluster/peer/node.go
+++ b/internal/cluster/peer/node.go
@@ -20,65 +20,65 @@
 const (
 	tickInterval        = 25 * time.Millisecond
 	replicaSegmentBytes = 16 << 20
-	leaveTimeout        = 300 * time.Millisecond // for holders to acknowledge the last records
+	leaveTimeout        = 300 * time.Millisecond // for holders to acknowledge the last records at shutdown
 )
 
-// ErrReplaced says that a later incarnation of this node's name is known, so two processes run under it. The node must
-// stop.
-var ErrReplaced = errors.New("a later incarnation of this node's name is known: two processes run under it")
+// ErrReplaced means that a later incarnation of this node's name is running, so two processes use one name. This node
+// must stop.
+var ErrReplaced = errors.New("later incarnation of this node's name is running: two processes use one name")
 
-// Node is a running node's part in its cluster. Its methods may be called by any goroutine.
+// Node is a running member of a cluster. Its methods may be called from any goroutine.
 type Node struct {
 	cfg       *Config
 	name      string
 	log       zerolog.Logger
 	files     wal.FileSystem
-	started   time.Time // zero of the clock that membership and replication see
+	started   time.Time // zero point of the durations passed to membership and replication
 	listener  net.Listener
 	store     *replicastore.Store
 	copyLimit *rate.Limiter
 
-	replaced          chan struct{} // closed when a later incarnation is known
-	firstUpdate       chan struct{} // closed when another node has sent members
+	replaced          chan struct{} // closed when a later incarnation of this node's name is known
+	firstUpdate       chan struct{} // closed when the first membership update is received
 	journalConfigured chan struct{} // closed by StartJournal
 
-	mu               sync.Mutex // never held over a socket or the disk
+	mu               sync.Mutex // never held during socket or disk I/O
 	table            *membership.Table
 	replicas         *replication.ReplicaTable
-	origin           *replication.Origin // nil: the node's journal is not replicated
-	journal          string              // the folder of the node's journal; "" for none
-	isLoaded         bool                // what is on disk is known
-	earlyOffers      []earlyOffer        // that came before that
+	origin           *replication.Origin // nil if the node's journal is not replicated
+	journal          string              // folder of the node's journal; "" for none
+	isLoaded         bool                // the stored replicas have been read from disk
+	earlyOffers      []earlyOffer        // received before isLoaded
 	connections      connections
-	commits          []*Commit                              // that are waited for
-	copies           map[replication.CopyTask]chan struct{} // each holds one for every batch that is not acknowledged
+	commits          []*Commit                              // not decided yet
+	copies           map[replication.CopyTask]chan struct{} // running copies; each channel contains one element per unacknowledged batch
 	lists            endpointLists
 	lifecycle        lifecycle
-	appliedDigest    uint64 // of the members that replication last got
-	isShortageLogged bool   // commits are stalled, and the log says so (logShortage)
+	appliedDigest    uint64 // of the members that replication last received
+	isShortageLogged bool   // a shortage of holders has been logged (logShortage)
 }
 
-// lifecycle is how far the node has come.
+// lifecycle is the node's progress from start to shutdown.
 type lifecycle struct {
-	hasJoined  bool // its incarnation does not change any more
+	hasJoined  bool // the incarnation is final
 	isReplaced bool
 	isLeaving  bool
 }
 
-// earlyOffer is an offer that waits until the stored replicas are known.
+// earlyOffer is an offer that waits until the stored replicas are loaded.
 type earlyOffer struct {
 	from  string
 	offer *replication.Offer
 }
 
-// New listens for other nodes. name is the node's own unless the configuration has another; files is the disk beneath the
-// replicas, nil for the system's.
+// New creates a node and listens for other nodes. name is used unless the configuration sets a name. files is the file
+// system of the replicas; nil means the operating system's.
 func New(cfg *Config, name string, files wal.FileSystem, log zerolog.Logger) (*Node, error) {
 	if cfg.Name != "" {
 		name = cfg.Name
 	}
 	if !nodeNames.MatchString(name) {
-		return nil, errors.New("the node's name " + name + " is not a valid node name: " + nodeNameRule)
+		return nil, errors.New("invalid node name " + name + ": expected " + nodeNameRule)
 	}
 	if files == nil {
 		files = wal.OSFileSystem{}
@@ -99,7 +99,7 @@
 		name:              name,
 		log:               log,
 		files:             files,
-		started:           time.Now().Add(-time.Second), // 0 is never
+		started:           time.Now().Add(-time.Second), // so that a current time is never 0
 		listener:          listener,
 		store:             replicastore.Open(cfg.ReplicaDir, files, replicaSegmentBytes),
 		copyLimit:         rate.NewLimiter(rate.Limit(cfg.RepairBytesPerSecond), maxBodyBytes),
@@ -116,7 +116,7 @@
 
 func (n *Node) now() time.Duration { return time.Since(n.started) }
 
-// self locks mu.
+// self returns this node's own member entry. It locks mu.
 func (n *Node) self() membership.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -127,12 +127,13 @@
 	return replication.Candidate{Name: n.name, Site: n.cfg.Site, Machine: n.cfg.Machine, IsHealthy: true}
 }
 
-// Replaced is closed when another process has been started under this node's name since. The node must stop.
+// Replaced returns a channel that is closed when a process with a later incarnation of this node's name is known. The
+// node must then stop.
 func (n *Node) Replaced() <-chan struct{} { return n.replaced }
 
-// Join waits until another node is reached, up to a timeout, and returns the node's incarnation. If another node was
-// reached it is after all others of its name that are known there, whatever the clock says; else it is the time of the
-// start.
+// Join waits for the first membership update, up to a timeout, and returns this node's incarnation. If an update was
+// received, the incarnation is later than all incarnations of its name known to the sender, even if the clock was set
+// back. Otherwise it is the start time.
 func (n *Node) Join(ctx context.Context, timeout time.Duration) int64 {
 	if len(n.cfg.Peers) > 0 {
 		select {
@@ -148,7 +149,7 @@
 	return n.table.Self().Incarnation
 }
 
-// Run takes part in the cluster until the context ends.
+// Run runs the node until the context is canceled.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -167,8 +168,8 @@
 	return g.Wait()
 }
 
-// Leave notifies the others that this node shuts down, once holders have the records that are in flight or after
-// leaveTimeout.
+// Leave notifies the other nodes of a graceful shutdown. Before that it waits up to leaveTimeout for the holders to
+// acknowledge records in flight.
 func (n *Node) Leave() {
 	for deadline := time.Now().Add(leaveTimeout); n.hasUncommitted() && time.Now().Before(deadline); {
 		time.Sleep(tickInterval)
