--- a/internal/cluster/peer/config.go
+++ b/internal/cluster/peer/config.go
@@ -62,7 +62,7 @@
 )
 
 // nodeNameRule describes nodeNames in error messages.
-const nodeNameRule = "letters, digits, dots, dashes and underscores, a letter or digit first, 64 at most"
+const nodeNameRule = "at most 64 letters, digits, dots, dashes and underscores, a letter or digit first"
 
 // LoadConfig reads and checks a configuration file. The error lists each invalid setting with file and line.
 func LoadConfig(path string) (*Config, error) {
--- a/internal/cluster/peer/handshake.go
+++ b/internal/cluster/peer/handshake.go
@@ -20,12 +20,12 @@
 )
 
 var (
-	errTooManyConnections = errors.New("too many connections are here: ask another node")
-	errCallerIntroMissing = errors.New("a caller that does not say who it is")
-	errPeerIntroMissing   = errors.New("a peer that does not say who it is")
+	errTooManyConnections = errors.New("too many connections: connect to another node")
+	errCallerIntroMissing = errors.New("no valid intro frame received from caller")
+	errPeerIntroMissing   = errors.New("no intro frame received from peer")
 )
 
-// accept takes connections of other nodes and of commands until the context ends.
+// accept accepts and serves connections of other nodes and of commands until the context is canceled.
 func (n *Node) accept(ctx context.Context) error {
 	var serving sync.WaitGroup
 	defer serving.Wait()
@@ -35,7 +35,7 @@
 			return nil
 		}
 		if err != nil {
-			n.log.Warn().Err(err).Msg("accepting a connection failed")
+			n.log.Warn().Err(err).Msg("accepting peer connection failed")
 			select {
 			case <-ctx.Done():
 			case <-time.After(acceptRetryWait):
@@ -52,7 +52,7 @@
 	}
 }
 
-// serveAccepted greets a caller and serves it as a command or a node.
+// serveAccepted performs the handshake of an accepted connection and serves the caller as a command or a node.
 func (n *Node) serveAccepted(ctx context.Context, nc net.Conn) error {
 	deadline := time.Now().Add(handshakeTimeout)
 	nc.SetDeadline(deadline)
@@ -75,7 +75,7 @@
 		return conn.Reject(errCallerIntroMissing)
 	}
 	if caller.Deployment != n.cfg.Deployment {
-		return conn.Reject(fmt.Errorf("this is deployment %q", n.cfg.Deployment))
+		return conn.Reject(fmt.Errorf("deployment mismatch: expected %q", n.cfg.Deployment))
 	}
 	if caller.Member.Incarnation == 0 {
 		return n.serveCommand(ctx, conn)
@@ -89,14 +89,14 @@
 	return n.serveNode(newConnection(conn, caller.Member.Name, false), caller.Member)
 }
 
-// isAtConnectionLimit reports whether there are too many connections to take one of a node that has none here. It locks mu.
+// isAtConnectionLimit reports whether too many nodes are connected to accept one that is not connected yet. It locks mu.
 func (n *Node) isAtConnectionLimit(name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.connections.open) >= maxConnectedNodes && n.connections.open[name] == nil
 }
 
-// connect opens a connection to an address and serves it until it ends.
+// connect opens a connection to an address and serves it until it is closed.
 func (n *Node) connect(ctx context.Context, address string) {
 	conn, remote, err := dial(ctx, n.cfg, n.cfg.ListenAddress.Addr(), address, n.name, n.self())
 	if err == nil {
@@ -108,11 +108,11 @@
 	}
 }
 
-// dial opens a connection to an address, says who this is and returns who answers. With a self that has no incarnation
-// the caller is a command, which gets no answer to its intro. from is the local address, if it is a specified one.
+// dial opens a connection to an address, sends this side's intro and returns the remote's. If self has no incarnation the
+// caller is a command, which receives no intro in return. from is the local address unless it is invalid or unspecified.
 func dial(ctx context.Context, cfg *Config, from netip.Addr, address, name string, self membership.Member) (conn *framing.Conn, remote intro, err error) {
 	d := net.Dialer{Deadline: time.Now().Add(dialTimeout)}
-	if from.IsValid() && !from.IsUnspecified() { // the address by which the others know this node
+	if from.IsValid() && !from.IsUnspecified() { // connect from the address that other nodes know
 		d.LocalAddr = &net.TCPAddr{IP: from.AsSlice()}
 	}
 	nc, err := d.DialContext(ctx, "tcp", address)
--- a/internal/cluster/peer/journal.go
+++ b/internal/cluster/peer/journal.go
@@ -8,34 +8,34 @@
 	"fernvane/internal/cluster/replication"
 )
 
-// Why a record is not committed.
+// Errors of a record that is not committed.
 var (
-	// ErrQueueOverflow says that too many records wait for holders. The record is on this node's disk, and is copied
-	// to holders from there.
-	ErrQueueOverflow = errors.New("too many records wait for holders")
-	// ErrStopped says that the node shuts down.
-	ErrStopped = errors.New("the node stops")
+	// ErrQueueOverflow means that the record left the replication queue because too many records were uncommitted. The
+	// record is on this node's disk and is copied to holders from there.
+	ErrQueueOverflow = errors.New("replication queue overflow: too many uncommitted records")
+	// ErrStopped means that the node is shutting down.
+	ErrStopped = errors.New("node is shutting down")
 )
 
-// replacedStall is what StalledFor returns when records cannot be committed at all.
+// replacedStall is the result of StalledFor when records cannot be committed at all.
 const replacedStall = time.Hour
 
-// Commit reports when a record is committed: it is durable at enough other nodes.
+// Commit reports when a record is committed, which means durable at the required number of other nodes.
 type Commit struct {
 	sequence uint64
 	done     chan struct{}
 	err      error
 }
 
-// Done is closed when the record is committed, or when it is known that this is not going to be reported.
+// Done returns a channel that is closed when the record is committed, or when its commit can no longer be reported.
 func (c *Commit) Done() <-chan struct{} { return c.done }
 
-// Err is nil if the record is committed, or else ErrQueueOverflow, ErrReplaced or ErrStopped. It is called after Done is
-// closed.
+// Err returns nil if the record is committed, otherwise ErrQueueOverflow, ErrReplaced or ErrStopped. It must be called
+// after Done is closed.
 func (c *Commit) Err() error { return c.err }
 
-// StartJournal says which folder this incarnation's journal is in, "" for none, and whether it is replicated. It is
-// called once, after Join; until then nothing is stored for other nodes.
+// StartJournal sets the folder of this incarnation's journal, "" for none, and whether the journal is replicated. It must
+// be called once, after Join; until then the node stores nothing for other nodes.
 func (n *Node) StartJournal(dir string, isReplicated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -51,12 +51,12 @@
 	now := n.now()
 	stream := replication.Stream{Name: n.name, Incarnation: n.table.Self().Incarnation}
 	n.origin = replication.NewOrigin(now, stream, n.candidate(), n.cfg.Replicas, n.cfg.SlowAfter.Std())
-	n.appliedDigest = 0 // has afterChange give the members to the origin
+	n.appliedDigest = 0 // makes applyChanges pass the members to the origin
 	n.applyChanges(now)
 }
 
-// ReplicateChunk takes in a chunk of the journal before it is written here (wal.Options.OnChunk). A chunk that nobody
-// waits for goes out with others.
+// ReplicateChunk queues a chunk of the journal for the holders before it is written locally (wal.Options.OnChunk). A chunk
+// that is not awaited is sent with the next tick, together with others.
 func (n *Node) ReplicateChunk(first uint64, count int, frames []byte, isAwaited bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -66,7 +66,7 @@
 	n.resolveCommits()
 }
 
-// RecordsStored is called when records of the journal are written here, and synced if someone waits for them
+// RecordsStored informs the origin that records of the journal are written locally, and synced if they are awaited
 // (wal.Options.OnStored).
 func (n *Node) RecordsStored(first uint64, count int) {
 	n.mu.Lock()
@@ -74,7 +74,7 @@
 	n.origin.RecordsStored(first, first+uint64(count))
 }
 
-// CommitOf returns the Commit of a record, by its number in the journal.
+// CommitOf returns the Commit of the record with a number in the journal.
 func (n *Node) CommitOf(sequence uint64) *Commit {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -84,7 +84,8 @@
 	return c
 }
 
-// StalledFor is how long records have waited for holders, or how long there have been too few.
+// StalledFor returns how long the oldest uncommitted record has waited, or how long too few holders have been in sync,
+// whichever is longer. Without a replicated journal, or after the node was replaced, it returns replacedStall.
 func (n *Node) StalledFor() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -94,7 +95,7 @@
 	return n.origin.StalledFor(n.now())
 }
 
-// finishCommits ends the commits that are decided. mu is held.
+// resolveCommits closes the commits whose outcome is known. mu must be held.
 func (n *Node) resolveCommits() {
 	if len(n.commits) == 0 {
 		return
--- a/internal/cluster/peer/message.go
+++ b/internal/cluster/peer/message.go
@@ -8,14 +8,14 @@
 	"fernvane/internal/cluster/replication"
 )
 
-// version of the messages between nodes. A node of another version is rejected.
+// version is the protocol version between nodes. Nodes with another version are rejected.
 const version = 1
 
-// maxBodyBytes holds a batch of 1,024 records of 250 bytes, and more. Sending a chunk of longer records fails with
-// framing.ErrFrameTooLong, which ends the connection.
+// maxBodyBytes is enough for a batch of 1,024 records of 250 bytes, and more. Sending a larger chunk fails with
+// framing.ErrFrameTooLong, which closes the connection.
 const maxBodyBytes = 1 << 20
 
-// Kinds of frames. The numbers are sent.
+// Kinds of frames. The numbers are sent, so they must not change.
 const (
 	introKind = framing.FirstProtocolKind + iota
 	heartbeatKind
@@ -37,9 +37,9 @@
 
 var protocol = framing.Protocol{Version: version, KindLimit: kinds, MaxBodyBytes: maxBodyBytes, HasChecksums: true}
 
-// The messages below are sent as CBOR arrays: the order of the fields stays.
+// The messages below are sent as CBOR arrays, so the order of the fields must not change.
 type (
-	// intro says who a caller is, after the hello. A caller without an incarnation is a command, not a node.
+	// intro identifies the sender after the hello. A caller without an incarnation is a command, not a node.
 	intro struct {
 		_ struct{} `cbor:",toarray"`
 
@@ -47,37 +47,37 @@
 		Member     membership.Member
 	}
 
-	// statusQuery asks a node for its Status.
+	// statusQuery requests the Status of a node.
 	statusQuery struct {
 		_ struct{} `cbor:",toarray"`
 
-		Verify bool // all stored replicas are read first, and what is damaged is not counted
+		Verify bool // re-read all stored replicas first, and exclude damaged records
 	}
 
-	// recordsQuery asks for all records that a node has, of its own journal and of others.
+	// recordsQuery requests all records that a node stores, of its own journal and of replicas.
 	recordsQuery struct {
 		_ struct{} `cbor:",toarray"`
 
-		SinceUnixNano int64  // only segments that were changed since
-		RequestID     string // only of requests with this id, or that repeat it; "" for all
+		SinceUnixNano int64  // only segments modified since this time
+		RequestID     string // only requests with this ID, or that repeat it; "" for all
 	}
 
-	// recordsPart is a part of the answer to a recordsQuery.
+	// recordsPart is one part of the response to a recordsQuery.
 	recordsPart struct {
 		_ struct{} `cbor:",toarray"`
 
-		Frames  []byte // of the journal
+		Frames  []byte // journal frames
 		IsLast  bool
-		Corrupt int    // places that could not be read
-		Failure string // why it ended early; "" where it did not
+		Corrupt int    // number of unreadable places
+		Failure string // error that ended the response early; "" for none
 	}
 
-	// endpointListQuery asks for the endpoint list that a node has cached.
+	// endpointListQuery requests the endpoint list that a node has cached.
 	endpointListQuery struct {
 		_ struct{} `cbor:",toarray"`
 	}
 
-	// endpointList is the list as it is on that node's disk; empty for none.
+	// endpointList contains the endpoint list cached on the sender's disk; empty for none.
 	endpointList struct {
 		_ struct{} `cbor:",toarray"`
 
@@ -85,27 +85,27 @@
 	}
 )
 
-// Status is the state of a node. It is sent as a CBOR array and printed as JSON by field name: the order of the fields
-// and the tags stay.
+// Status is the state of a node as commands display it. It is sent as a CBOR array and printed as JSON by field name, so
+// the order of the fields, their names and their tags must not change.
 type Status struct {
 	_ struct{} `cbor:",toarray"`
 
 	Self           membership.Member
 	Members        []membership.Member
-	IsReady        bool               `json:"Ready"` // it has read what it stores
-	Replicas       int                // how many other machines hold its journal, as configured
-	Stream         replication.Stream // of its running incarnation; none where it has no replicated journal
-	Next           uint64             // number of the next record
-	Committed      uint64             `json:"Kept"` // first record that is not committed
+	IsReady        bool               `json:"Ready"` // the stored replicas are loaded
+	Replicas       int                // configured number of other machines that store its journal
+	Stream         replication.Stream // of its running incarnation; zero without a replicated journal
+	Next           uint64             // number of the next record in Stream
+	Committed      uint64             `json:"Kept"` // number of the first uncommitted record
 	Uncommitted    int                `json:"Waits"`
 	Holders        []replication.Holder
 	StoredReplicas []replication.StoredReplica `json:"Holdings"`
 	StoredBytes    int64                       `json:"Bytes"`
 	MaxBytes       int64                       `json:"Most"`
-	Damage         []string                    `json:"Faults"` // what could not be read, if that was asked for
+	Damage         []string                    `json:"Faults"` // unreadable places, if verification was requested
 }
 
-// kindOf is the kind of the frame that carries a message between nodes.
+// kindOf returns the kind of the frame that carries a message between nodes.
 func kindOf(message any) framing.Kind {
 	switch message.(type) {
 	case *membership.Heartbeat:
@@ -129,10 +129,10 @@
 	case *endpointList:
 		return endpointListKind
 	}
-	panic(fmt.Sprintf("no frame carries a %T", message)) // only this package's own messages are sent
+	panic(fmt.Sprintf("no frame kind for message type %T", message)) // unreachable: callers send only the types above
 }
 
-// emptyMessage is what a frame from a node is decoded into; nil for a kind that nodes do not send.
+// newMessage returns an empty message to decode a frame from a node into, or nil for a kind that nodes do not send.
 func newMessage(k framing.Kind) any {
 	switch k {
 	case heartbeatKind:
@@ -159,18 +159,18 @@
 	return nil
 }
 
-// decodeMessage reads a frame from a node. A rejection is an error.
+// decodeMessage decodes a frame from a node. A rejection is returned as an error.
 func decodeMessage(k framing.Kind, body []byte) (message any, err error) {
 	if k == framing.RejectionKind {
 		return nil, framing.RejectionError(body)
 	}
 	if message = newMessage(k); message == nil {
-		return nil, fmt.Errorf("a frame of kind %d from a node", k)
+		return nil, fmt.Errorf("unexpected frame of kind %d from node", k)
 	}
 	return message, framing.Decode(body, message)
 }
 
-// queuedBytes is about what a message takes while it waits to be sent.
+// queuedBytes estimates the memory of a queued message.
 func queuedBytes(message any) int {
 	const overhead, perMember = 64, 128
 	switch m := message.(type) {
@@ -184,7 +184,7 @@
 	return overhead
 }
 
-// scenarioKinds are the names by which the testbed's scenarios wait for a frame. Scenario files have them: the words stay.
+// scenarioKinds maps the names that the testbed's scenario files use for frames to their kinds. The names must not change.
 var scenarioKinds = map[string]framing.Kind{
 	"beat":  heartbeatKind,
 	"news":  updateKind,
@@ -196,5 +196,5 @@
 	"ack":   ackKind,
 }
 
-// FrameKindByName is the kind of a frame by the name that scenarios of the testbed use; 0 for none.
+// FrameKindByName returns the kind of the frame to which the testbed's scenarios refer by a name, 0 for none.
 func FrameKindByName(name string) byte { return byte(scenarioKinds[name]) }
--- a/internal/cluster/peer/node_test.go
+++ b/internal/cluster/peer/node_test.go
@@ -125,8 +125,8 @@
 	}{
 		"HTTP":               {[]byte("GET / HTTP/1.1\r\n\r\n"), ""},
 		"another version":    {old, "version 1 is spoken here"},
-		"another deployment": {other, `this is deployment`},
-		"a heartbeat first":  {heartbeat, "does not say who it is"},
+		"another deployment": {other, `deployment mismatch: expected`},
+		"a heartbeat first":  {heartbeat, "no valid intro frame received"},
 		"an invalid batch":   {batch, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/cluster/peer/reconcile.go
+++ b/internal/cluster/peer/reconcile.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	reconcileSlack       = 5 * time.Second // an attempt that began so shortly before an execution record ends may still run
+	reconcileSlack       = 5 * time.Second // an attempt that began within it before an execution record ends may still run
 	minReconcileInterval = time.Second
-	reconciledBytes      = 64 // about what one record takes on disk
+	reconciledBytes      = 64 // approximate size of one record on disk
 )
 
-// reconcile decides entries of lost machines by the servers' execution records, where the configuration names any: each
-// stream is reconciled by the one node that is first of its holders, and by the next if that one is lost too. It returns
-// when the context ends.
+// reconcile resolves open entries in the journals of lost machines from the servers' execution records, if any are
+// configured. The first of a stream's desired holders reconciles it, and the next one if the first is lost too. It returns
+// when the context is canceled.
 func (n *Node) reconcile(ctx context.Context) error {
 	if len(n.cfg.ExecutionRecords) == 0 {
 		return nil
 	}
 	ticker := time.NewTicker(max(n.cfg.ReconcileAfter.Std()/4, minReconcileInterval))
 	defer ticker.Stop()
-	reconciledCounts := map[replication.Stream]uint64{} // with how many records reconcileStream left no entry of a stream
+	reconciledCounts := map[replication.Stream]uint64{} // number of records with which a stream had no undecided entry
 	for {
 		select {
 		case <-ctx.Done():
@@ -50,7 +50,8 @@
 	}
 }
 
-// streamsToReconcile locks mu.
+// streamsToReconcile returns the streams that this node should reconcile and that have new records since they were last
+// fully reconciled. It locks mu.
 func (n *Node) streamsToReconcile(reconciledCounts map[replication.Stream]uint64) (streams []replication.Stream) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -65,8 +66,8 @@
 	return streams
 }
 
-// reconcileStream stores what execution records decide of a stream, and returns how many open entries they decide no
-// attempt of. An entry of which they decide some attempts and leave others open does not count.
+// reconcileStream stores reconciliations of a stream's open entries from the execution records. It returns the number of
+// open entries without any decided attempt. An entry with some decided attempts does not count, even if others are open.
 func (n *Node) reconcileStream(s replication.Stream, executions *executionLoader) (undecided int, err error) {
 	open, err := n.openEntries(s)
 	if err != nil {
@@ -92,8 +93,8 @@
 	return undecided, nil
 }
 
-// executionLoader reads the execution records once, when the first entry needs them. A source that cannot be read to its
-// end is logged and not used.
+// executionLoader loads the execution records lazily and only once. A source that is not readable to its end is logged and
+// skipped.
 type executionLoader struct {
 	node    *Node
 	records intent.ExecutionRecords
@@ -111,8 +112,8 @@
 	}
 }
 
-// openEntries returns the entries of a stream that may have run, by all that this node has of it and of who reconciled it
-// before.
+// openEntries returns the entries of a stream that may have run, according to all records of the stream and of its
+// reconciliations that this node stores.
 func (n *Node) openEntries(s replication.Stream) (open []*intent.Entry, err error) {
 	merger := intent.NewMerger()
 	for _, dir := range n.streamDirs(s) {
@@ -135,7 +136,7 @@
 	return open, nil
 }
 
-// foldersOf returns the folders that may have records of a stream. It locks mu.
+// streamDirs returns the folders that may contain records of a stream or of its reconciliations. It locks mu.
 func (n *Node) streamDirs(s replication.Stream) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -149,7 +150,8 @@
 	return dirs
 }
 
-// storeReconciled stores records that reconcile a stream, in a stream of their own, which is copied like any other.
+// storeReconciled stores records that reconcile a stream in a separate reconciliation stream, which is replicated like any
+// other.
 func (n *Node) storeReconciled(s replication.Stream, records []intent.Record) error {
 	for len(records) > 0 {
 		count := min(len(records), wal.MaxChunkRecords)
@@ -161,7 +163,7 @@
 	return nil
 }
 
-// storeReconciledChunk stores records as one chunk. A command can read them from disk shortly before Status names them.
+// storeReconciledChunk stores records as one chunk. A command can read them from disk shortly before Status lists them.
 func (n *Node) storeReconciledChunk(s replication.Stream, records []intent.Record) error {
 	n.mu.Lock()
 	own := n.replicas.ReconciliationStream(s)
--- a/internal/cluster/peer/session.go
+++ b/internal/cluster/peer/session.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	idleTimeout         = 3 * time.Second        // of a connection: twelve heartbeats
-	duplicateNameLinger = 500 * time.Millisecond // for another process of this node's name to read that it is one
+	idleTimeout         = 3 * time.Second        // of a connection, twelve heartbeats
+	duplicateNameLinger = 500 * time.Millisecond // for another process with this node's name to read the notification
 	maxEarlyOffers      = 1024
-	// reasonDiskFailed is the RejectReason of an Ack for whatever kept a batch from being written, a full queue and a
-	// closed store among it. The text is sent to other nodes.
+	// reasonDiskFailed is the RejectReason of an Ack for any failure to write a batch, including a full queue and a closed
+	// store. The text is sent to other nodes, so it must not change.
 	reasonDiskFailed = "the disk takes nothing"
 )
 
 var (
-	errSelf          = errors.New("this node itself")
-	errDuplicateName = errors.New("another incarnation of this name")
+	errSelf          = errors.New("peer is unnamed or this node itself")
+	errDuplicateName = errors.New("peer is another incarnation of this node's name")
 )
 
-// serveNode reads a connection with a node until it ends. It owns the connection's goroutines.
+// serveNode reads and processes messages from a node until the connection is closed. It owns the connection's goroutines.
 func (n *Node) serveNode(c *connection, remote membership.Member) error {
 	defer c.close()
 	if c.name == "" || c.name == n.name && remote.Incarnation == n.self().Incarnation {
@@ -69,7 +69,7 @@
 	}
 }
 
-// handleMessage hands a message to membership or replication. It locks mu.
+// handleMessage passes a message to membership or replication. It locks mu.
 func (n *Node) handleMessage(c *connection, message any) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -103,7 +103,7 @@
 	n.replicas.HandleMessage(now, from, message)
 }
 
-// noteFirstUpdate has Join return. mu is held.
+// signalFirstUpdate unblocks Join. mu must be held.
 func (n *Node) signalFirstUpdate() {
 	select {
 	case <-n.firstUpdate:
@@ -112,24 +112,25 @@
 	}
 }
 
-// pendingAck is a batch that is on its way to the disk.
+// pendingAck is a batch that is being written to disk.
 type pendingAck struct {
 	batch      *replication.Batch
 	atUnixNano int64 // of its last chunk
 	commit     *wal.Commit
-	err        error // why it is not on its way
+	err        error // why it could not be queued for the disk
 }
 
-// handleBatch has a batch written, if it is admitted; acknowledgeBatches answers it. It blocks, and with it the reading of
-// the connection, while the disk takes too little or too many acknowledgements are pending. An error is a batch that
-// cannot be read or holds other records than it says; it ends the connection, and the sender sends it over the next one.
+// handleBatch queues an admitted batch for the disk; acknowledgeBatches acknowledges it. It blocks, and so stops reading
+// from the connection, while the disk queue is full or too many acknowledgements are pending. It returns an error if a
+// batch is malformed or its records do not match its header; this closes the connection, and the sender re-sends the batch
+// over the next one.
 func (n *Node) handleBatch(c *connection, b *replication.Batch) error {
 	chunk, records, err := wal.DecodeChunks(b.Frames)
 	if err != nil {
 		return err
 	}
 	if int64(chunk.Incarnation) != b.Incarnation || chunk.First != b.First || chunk.Count != b.Count || !streamNames.MatchString(b.Name) {
-		return fmt.Errorf("a batch of %s that holds another", b.Stream)
+		return fmt.Errorf("batch header of stream %s does not match its records, or the name is invalid", b.Stream)
 	}
 	if !n.admitBatch(c, b, chunk.AtUnixNano) {
 		return nil
@@ -140,8 +141,8 @@
 	return nil
 }
 
-// admitBatch answers a batch that is not to be written. Before the stored replicas are known batches are dropped, and
-// sent again later. It locks mu.
+// admitBatch reports whether a batch is to be written, and replies to one that is not. Until the stored replicas are
+// loaded it drops batches without a reply; senders re-send them later. It locks mu.
 func (n *Node) admitBatch(c *connection, b *replication.Batch, atUnixNano int64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -155,7 +156,7 @@
 	return ok
 }
 
-// acknowledgeBatches answers batches in the order in which they came, each when it is durable. It waits for the disk
+// acknowledgeBatches acknowledges batches in the order of their arrival, each when it is durable. It waits for the disk
 // without a timeout.
 func (n *Node) acknowledgeBatches(c *connection) {
 	for pending := range c.pendingAcks {
@@ -176,13 +177,13 @@
 	}
 }
 
-// noteBatchStored locks mu.
+// recordBatchStored updates the replica table, and the origin if the batch restores its own records. It locks mu.
 func (n *Node) recordBatchStored(b *replication.Batch, atUnixNano int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	end := b.First + uint64(b.Count)
 	n.replicas.RecordsStored(b.Stream, b.First, end, int64(len(b.Frames)), atUnixNano)
-	if n.origin != nil && b.Stream == n.origin.Stream() { // what was damaged in the journal has come back
+	if n.origin != nil && b.Stream == n.origin.Stream() { // a holder sent back records that were damaged in the journal
 		n.origin.RecordsStored(b.First, end)
 	}
 }
--- a/internal/cluster/peer/storedreplicas.go
+++ b/internal/cluster/peer/storedreplicas.go
@@ -12,8 +12,8 @@
 	"fernvane/internal/journal/wal"
 )
 
-// readStream reads the chunks of a stream that are here: those stored for others, and for an incarnation of this node
-// those in its own journal.
+// readStream reads the chunks of a stream that this node stores: those in the replica store and, for an incarnation of
+// this node, those in its own journal.
 func (n *Node) readStream(s replication.Stream, each func(wal.Chunk) error) (report wal.ScanReport, err error) {
 	n.mu.Lock()
 	journal := n.journal
@@ -35,8 +35,8 @@
 	return report, err
 }
 
-// loadReplicas finds out what is on disk once it is known which folder the journal is in. Until it is done no offer is
-// answered and no batch is taken.
+// loadReplicas waits for StartJournal and then loads the stored streams from disk. Until it has finished, the node replies
+// to no offers and admits no batches.
 func (n *Node) loadReplicas(ctx context.Context) {
 	select {
 	case <-n.journalConfigured:
@@ -57,7 +57,7 @@
 	n.log.Info().Int("streams", len(streams)).Int("records", records).Dur("took", time.Since(began)).Msg("replicas loaded")
 }
 
-// loadStream returns how many records of a stream are stored.
+// loadStream loads one stored stream and returns the number of its records.
 func (n *Node) loadStream(ctx context.Context, s replication.Stream) (records int) {
 	report, err := n.store.ReadStream(s, func(c wal.Chunk) error {
 		if ctx.Err() != nil {
@@ -75,9 +75,9 @@
 	return report.Records
 }
 
-// loadOwnJournal notes what earlier incarnations of this node have left in its journal. The journal's bytes do not count
-// as those of replicas. A journal that cannot be read to its end is noted up to there, without a log line: the scan that
-// the proxy makes at its start reports it.
+// loadOwnJournal loads the records that earlier incarnations of this node left in its journal. They do not count toward
+// the bytes of the stored replicas. If reading fails, the records before the failure are loaded and nothing is logged: the
+// proxy's scan at startup reports the error.
 func (n *Node) loadOwnJournal(ctx context.Context) {
 	n.mu.Lock()
 	journal := n.journal
@@ -96,14 +96,14 @@
 	})
 }
 
-// noteChunkFound locks mu.
+// recordChunkFound adds a chunk that was found on disk to the replica table. It locks mu.
 func (n *Node) recordChunkFound(s replication.Stream, c wal.Chunk, bytes int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.replicas.RecordsStored(s, c.First, c.First+uint64(c.Count), bytes, c.AtUnixNano)
 }
 
-// answerEarlyOffers locks mu.
+// answerEarlyOffers marks the replicas as loaded and replies to the offers received before that. It locks mu.
 func (n *Node) answerEarlyOffers() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -115,7 +115,8 @@
 	n.earlyOffers = nil
 }
 
-// verify reads all that is stored again. What is damaged no longer counts, and the nodes that copy it again are notified.
+// verify re-reads all stored records. Damaged records are removed from the table, and the nodes that can send them again
+// are notified.
 func (n *Node) verify(ctx context.Context) (damage []string) {
 	damage = n.verifyOwnJournal(ctx)
 	n.mu.Lock()
@@ -146,8 +147,8 @@
 	return damage
 }
 
-// verifyOwnJournal reads the running incarnation's journal again. What is damaged comes back from its holders, and is
-// stored beside it. A torn end is no damage: its write may be under way.
+// verifyOwnJournal re-reads the running incarnation's journal. Its holders send damaged records back, which are stored as
+// a replica in addition to the journal. A torn end is not reported as damage, because its write may be in progress.
 func (n *Node) verifyOwnJournal(ctx context.Context) (damage []string) {
 	n.mu.Lock()
 	origin := n.origin
@@ -176,7 +177,7 @@
 	return damage
 }
 
-// findRecords reads a stream and returns which records are undamaged.
+// findRecords reads a stream and returns its undamaged records.
 func (n *Node) findRecords(ctx context.Context, s replication.Stream) (found replication.Ranges, report wal.ScanReport, err error) {
 	report, err = n.readStream(s, func(c wal.Chunk) error {
 		found = found.With(c.First, c.First+uint64(c.Count))
--- a/internal/cluster/peer/tick.go
+++ b/internal/cluster/peer/tick.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// tick moves all on by time, and starts copies and dials in g.
+// tick applies timeouts in membership and replication, and starts copies and dials as goroutines of g.
 func (n *Node) tick(ctx context.Context, g *errgroup.Group) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,8 +45,8 @@
 	n.dialWanted(ctx, g, now)
 }
 
-// logShortage says when commits are stalled, and when they are no longer: too few holders are in sync, or with enough of
-// them the oldest record has waited longer than slow_after. mu is held.
+// logShortage logs when commits begin and cease to be stalled for longer than slow_after: because too few holders are in
+// sync, or because the oldest record has waited that long despite enough holders. mu must be held.
 func (n *Node) logShortage(now time.Duration) {
 	if n.origin == nil {
 		return
@@ -63,8 +63,8 @@
 	}
 }
 
-// afterChange is called after whatever may have changed something: replication gets the members and connections, and
-// commits that are decided end. mu is held.
+// applyChanges is called after each possible change of state. It passes changed members and connections to replication and
+// resolves commits. mu must be held.
 func (n *Node) applyChanges(now time.Duration) {
 	if n.table.IsReplaced() && !n.lifecycle.isReplaced {
 		n.handleReplaced(now)
@@ -86,8 +86,8 @@
 	n.resolveCommits()
 }
 
-// handleReplaced is called when a later incarnation of this node's name is known. Before it has joined the node takes a
-// still later one: its clock was set back. After that it must stop. mu is held.
+// handleReplaced is called when a later incarnation of this node's name is known. A node that has not joined yet assumes
+// that its clock was set back and starts a still later incarnation; a node that has joined must stop. mu must be held.
 func (n *Node) handleReplaced(now time.Duration) {
 	if !n.lifecycle.hasJoined {
 		n.table.StartLaterIncarnation(now)
@@ -98,7 +98,7 @@
 	n.log.Error().Err(ErrReplaced).Msg("stopping, replaced by a later incarnation")
 }
 
-// updateNodes gives replication the members. mu is held.
+// updateNodes passes the current members to replication. mu must be held.
 func (n *Node) updateNodes(now time.Duration) {
 	var nodes []replication.Node
 	var candidates []replication.Candidate
