--- a/internal/cluster/framing/conn.go
+++ b/internal/cluster/framing/conn.go
@@ -10,10 +10,10 @@
 
 const (
 	maxNameBytes = 200             // of a peer's name
-	sendTimeout  = 2 * time.Second // for a peer to take a frame
+	sendTimeout  = 2 * time.Second // to write a frame
 )
 
-// Hello is the first frame of each side. It is sent as a CBOR array: the order of the fields stays.
+// Hello is the first frame of each side. It is sent as a CBOR array, so the order of the fields must not change.
 type Hello struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -21,14 +21,14 @@
 	Name    string
 }
 
-// Rejection is the last frame to a peer that is rejected.
+// Rejection is the last frame to a rejected peer.
 type Rejection struct {
 	_ struct{} `cbor:",toarray"`
 
 	Reason string
 }
 
-// Conn is one connection. One goroutine may send while another receives.
+// Conn sends and receives frames on a connection. One goroutine may send while another receives.
 type Conn struct {
 	net.Conn
 	protocol *Protocol
@@ -36,17 +36,19 @@
 	received []byte // buffer of Receive
 	sent     []byte // buffer of Send
 
-	// SentBytes and SentFrames count what Send has written; they belong to the goroutine that sends.
+	// SentBytes and SentFrames count the bytes and frames that Send has written. Only the sending goroutine may access
+	// them.
 	SentBytes  int
 	SentFrames int
 }
 
-// NewConn carries frames on a connection. The caller closes it.
+// NewConn returns a Conn that uses a network connection. The caller closes it.
 func (p *Protocol) NewConn(nc net.Conn) *Conn {
 	return &Conn{Conn: nc, protocol: p, reader: bufio.NewReader(nc)}
 }
 
-// Send writes a frame. After an error the connection is of no use any more: a part of the frame may be written.
+// Send writes a frame. After an error the connection must not be used any more, because a part of the frame may have
+// been written.
 func (c *Conn) Send(k Kind, body any) (err error) {
 	if c.sent, err = c.protocol.Append(c.sent[:0], k, body); err != nil {
 		return err
@@ -58,7 +60,7 @@
 	return err
 }
 
-// Receive waits for a frame until a deadline. The body is valid until the next call.
+// Receive reads a frame, or fails at the deadline. The body is valid until the next call.
 func (c *Conn) Receive(deadline time.Time) (k Kind, body []byte, err error) {
 	c.SetReadDeadline(deadline)
 	k, body, err = c.protocol.Read(c.reader, c.received)
@@ -66,7 +68,7 @@
 	return k, body, err
 }
 
-// Handshake sends this side's Hello and returns the name in the other's.
+// Handshake sends this side's Hello and returns the name in the peer's Hello.
 func (c *Conn) Handshake(name string, deadline time.Time) (peer string, err error) {
 	if err := c.Send(HelloKind, Hello{Version: c.protocol.Version, Name: name}); err != nil {
 		return "", err
@@ -74,8 +76,8 @@
 	return c.ReceiveHello(deadline)
 }
 
-// ReceiveHello reads the other side's Hello and returns its name. A peer of another version, or with a hello that makes
-// no sense, is rejected. The reasons are sent to it as they stand here.
+// ReceiveHello reads the peer's Hello and returns the name in it. A peer with another version or an invalid Hello is
+// rejected, and the returned error is sent to it as the reason.
 func (c *Conn) ReceiveHello(deadline time.Time) (peer string, err error) {
 	k, body, err := c.Receive(deadline)
 	if err != nil {
@@ -87,24 +89,24 @@
 	case HelloKind:
 		return c.checkHello(body)
 	}
-	return "", c.Reject(errors.New("a frame before the greeting"))
+	return "", c.Reject(errors.New("unexpected frame before the greeting"))
 }
 
 func (c *Conn) checkHello(body []byte) (peer string, err error) {
 	var h Hello
 	if err := Decode(body, &h); err != nil {
-		return "", c.Reject(fmt.Errorf("a greeting that cannot be read: %v", err))
+		return "", c.Reject(fmt.Errorf("decode hello: %v", err))
 	}
 	if h.Version != c.protocol.Version {
 		return "", c.Reject(fmt.Errorf("version %d is spoken here, not %d", c.protocol.Version, h.Version))
 	}
 	if h.Name == "" || len(h.Name) > maxNameBytes {
-		return "", c.Reject(errors.New("a peer without a name"))
+		return "", c.Reject(errors.New("peer name in hello is empty or too long"))
 	}
 	return h.Name, nil
 }
 
-// RejectionError is why a peer has ended a connection, from the body of its Rejection.
+// RejectionError returns the reason in the body of a peer's Rejection as an error.
 func RejectionError(body []byte) error {
 	var r Rejection
 	if err := Decode(body, &r); err != nil {
@@ -113,7 +115,7 @@
 	return fmt.Errorf("refused by the peer: %.200s", r.Reason)
 }
 
-// Reject tells the peer why the connection ends, and returns that reason. The caller closes the connection.
+// Reject sends the reason to the peer in a Rejection, and returns the reason. The caller closes the connection.
 func (c *Conn) Reject(reason error) error {
 	c.Send(RejectionKind, Rejection{Reason: reason.Error()})
 	return reason
--- a/internal/cluster/framing/frame.go
+++ b/internal/cluster/framing/frame.go
@@ -10,39 +10,39 @@
 )
 
 const (
-	maxElements   = 8192 // of an array within a body
-	maxDepth      = 8    // of arrays within arrays
+	maxElements   = 8192 // of an array or map in a body
+	maxDepth      = 8    // of nested arrays and maps
 	headerBytes   = 5
 	checksumBytes = 4
 )
 
-// Kind of a frame. Each protocol's own kinds begin with FirstProtocolKind.
+// Kind is the message type of a frame. Each protocol numbers its own kinds from FirstProtocolKind.
 type Kind uint8
 
 const (
 	// HelloKind is the first frame of each side.
 	HelloKind Kind = 1 + iota
-	// RejectionKind says why a connection is ended.
+	// RejectionKind is the kind of a Rejection, the last frame before a connection is closed.
 	RejectionKind
 	// FirstProtocolKind is the first of a protocol's own kinds.
 	FirstProtocolKind
 )
 
-// Protocol is what two ends have to agree on.
+// Protocol contains the parameters on which both ends of a connection must agree.
 type Protocol struct {
 	Version      int  // a peer of another version is rejected
 	KindLimit    Kind // one after the last kind
 	MaxBodyBytes int
-	HasChecksums bool // for ends that may meet without TLS, on links that change bytes
+	HasChecksums bool // for connections without TLS, on which links may corrupt bytes
 }
 
-// Why a frame cannot be sent or taken.
+// Errors of sending and receiving frames.
 var (
-	// ErrFrameTooLong says that the body is longer than MaxBodyBytes.
-	ErrFrameTooLong = errors.New("a frame is longer than any may be")
-	// ErrUnknownKind says that the protocol has no such kind.
-	ErrUnknownKind = errors.New("a frame of an unknown kind")
-	// ErrChecksum says that the frame was changed on its way.
+	// ErrFrameTooLong means that the body is longer than MaxBodyBytes.
+	ErrFrameTooLong = errors.New("frame longer than any may be")
+	// ErrUnknownKind means that the protocol does not define the kind.
+	ErrUnknownKind = errors.New("unknown frame kind")
+	// ErrChecksum means that the frame was corrupted in transit.
 	ErrChecksum = errors.New("frame checksum mismatch")
 )
 
@@ -61,12 +61,12 @@
 
 func must[T any](mode T, err error) T {
 	if err != nil {
-		panic(err) // the options are this file's own
+		panic(err) // unreachable: the options are constants
 	}
 	return mode
 }
 
-// Append appends a frame to b.
+// Append appends an encoded frame to b.
 func (p *Protocol) Append(b []byte, k Kind, body any) ([]byte, error) {
 	encoded, err := encoding.Marshal(body)
 	if err != nil {
@@ -92,7 +92,8 @@
 	return crc32.Update(crc32.Update(0, castagnoli, []byte{byte(k)}), castagnoli, encoded)
 }
 
-// Read reads a frame. The body that it returns is valid until the next frame is read into the same buffer.
+// Read reads a frame into buffer, which it grows if necessary. The returned body is valid until the next frame is read
+// into the same buffer.
 func (p *Protocol) Read(r io.Reader, buffer []byte) (k Kind, body []byte, err error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -116,7 +117,7 @@
 	return k, body, nil
 }
 
-// check looks at a frame's header.
+// check validates the length and kind in a frame's header.
 func (p *Protocol) check(length uint32, k Kind) error {
 	maxLength := uint32(p.MaxBodyBytes)
 	if p.HasChecksums {
@@ -133,5 +134,5 @@
 	return nil
 }
 
-// Decode reads a body strictly.
+// Decode decodes a body. It rejects tags, items of indefinite length, and arrays beyond the bounds above.
 func Decode(body []byte, into any) error { return decoding.Unmarshal(body, into) }
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -2,14 +2,15 @@
 
 import "cmp"
 
-// Condition is the liveness state of a member. Within one incarnation it only increases until the member refutes it. The
-// numbers are sent.
+// Condition is the liveness state of a member. Within one incarnation it only increases until the member refutes it.
+// The numbers are sent.
 type Condition uint8
 
 const (
 	// Alive is a member from which its watchers receive messages.
 	Alive Condition = iota
-	// Suspected is a member from which none of the queried watchers receives messages. It may still refute the suspicion.
+	// Suspected is a member from which none of the queried watchers receives messages. It may still refute the
+	// suspicion.
 	Suspected
 	// Dead is a member that did not refute a suspicion within suspicionTimeout.
 	Dead
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -1,7 +1,7 @@
 package membership
 
-// Messages between nodes. They are sent as CBOR arrays, so the order of the fields must not change. A message of any type
-// proves that its sender is alive.
+// Messages between nodes. They are sent as CBOR arrays, so the order of the fields must not change. A message of any
+// type proves that its sender is alive.
 type (
 	// Heartbeat is sent every HeartbeatInterval if no Update is pending.
 	Heartbeat struct {
--- a/internal/cluster/membership/ring.go
+++ b/internal/cluster/membership/ring.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// neighbor returns the node offset positions after a name, or before it for a negative offset. It returns "" if the name
-// is not on the ring or is the only one.
+// neighbor returns the node offset positions after a name, or before it for a negative offset. It returns "" if the
+// name is not on the ring or is the only one.
 func (r *ring) neighbor(name string, offset int) string {
 	_, i, found := r.find(name)
 	if !found || len(r.positions) < 2 {
@@ -51,7 +51,8 @@
 	return r.positions[(i+offset+len(r.positions))%len(r.positions)].name
 }
 
-// hashName is FNV-1a with a finalizer: node names often differ in their last bytes only, which FNV-1a alone mixes poorly.
+// hashName is FNV-1a with a finalizer: node names often differ in their last bytes only, which FNV-1a alone mixes
+// poorly.
 func hashName(name string, ring byte) uint32 {
 	h := uint32(2166136261) ^ uint32(ring)*0x9E3779B9
 	for i := range len(name) {
--- a/internal/cluster/membership/watch.go
+++ b/internal/cluster/membership/watch.go
@@ -20,8 +20,8 @@
 	return names
 }
 
-// ReconnectCandidate returns a dead node to connect to again, or "" if there is none. Without such attempts the two sides
-// of a healed partition would not find each other. It returns at most one node per reconnectInterval.
+// ReconnectCandidate returns a dead node to connect to again, or "" if there is none. Without such attempts the two
+// sides of a healed partition would not find each other. It returns at most one node per reconnectInterval.
 func (t *Table) ReconnectCandidate(now time.Duration) string {
 	if now-t.lastReconnect < reconnectInterval {
 		return ""
--- a/internal/cluster/mtls/config.go
+++ b/internal/cluster/mtls/config.go
@@ -6,8 +6,9 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// KeysFromConfig loads the keys that an operator's file names under cert, key and ca. It returns nil where the file says
-// plaintext, for which all addresses must be loopback ones, and where something is wrong, which f notes by its line.
+// KeysFromConfig loads the keys from the files that a configuration names under cert, key and ca. It returns nil if the
+// configuration sets plaintext, for which all addresses must be loopback addresses, and if a setting is invalid.
+// Invalid settings are reported to f with their lines.
 func KeysFromConfig(f *tomlfile.File, files Files, isPlaintext bool, addresses []netip.AddrPort) *Keys {
 	if isPlaintext {
 		checkPlaintext(f, files, addresses)
@@ -22,7 +23,7 @@
 		{"ca", files.CA},
 	} {
 		if file.path == "" {
-			f.Wrong(file.key, "%s names no file; cert, key and ca are wanted, or plaintext = true on loopback", file.key)
+			f.Wrong(file.key, "%s not set: expected cert, key and ca, or plaintext = true on loopback addresses", file.key)
 			return nil
 		}
 	}
@@ -37,7 +38,7 @@
 func checkPlaintext(f *tomlfile.File, files Files, addresses []netip.AddrPort) {
 	for _, address := range addresses {
 		if err := CheckLoopback(address); address.IsValid() && err != nil {
-			f.Wrong("plaintext", "%s: %v", address, err)
+			f.Wrong("plaintext", "address %s: %v", address, err)
 		}
 	}
 	if files != (Files{}) {
--- a/internal/cluster/mtls/mtls.go
+++ b/internal/cluster/mtls/mtls.go
@@ -1,6 +1,6 @@
-// Package mtls gives both ends of a connection their TLS: each shows a certificate of one authority and takes no other.
-// Nodes, planners and control processes use it between each other. Keys come from files, which are read again when they
-// change; files of no use leave the old keys in force.
+// Package mtls implements mutual TLS between nodes, planners and control processes. Each side presents a certificate
+// that is signed by a common authority, and rejects others. Keys are loaded from files and reloaded when the files
+// change. If reloading fails, the previous keys remain in effect.
 package mtls
 
 import (
@@ -15,35 +15,36 @@
 	"time"
 )
 
-// reloadInterval is how often the files' times are looked at, when connections are made.
+// reloadInterval is the minimum time between two checks of the files' modification times. Checks happen only when
+// connections are established.
 const reloadInterval = time.Second
 
-// Files are where the keys are.
+// Files contains the paths of the PEM files.
 type Files struct {
-	Cert string // this side's own
-	Key  string // of Cert
-	CA   string // the authority of both sides
+	Cert string // certificate of this side
+	Key  string // private key of Cert
+	CA   string // certificate of the authority that signs both sides' certificates
 }
 
-// Keys are what the files hold. Its methods may be called by any goroutine.
+// Keys contains the keys that were loaded from Files. Its methods may be called from any goroutine.
 type Keys struct {
 	files Files
 
 	mu          sync.Mutex
 	cert        tls.Certificate
 	pool        *x509.CertPool
-	modTimes    fileTimes // when the keys were read
+	modTimes    fileTimes // of the files when the keys were loaded
 	lastCheck   time.Time
 	reloadError error
 }
 
-// LoadKeys reads the files.
+// LoadKeys loads the keys from the files.
 func LoadKeys(f Files) (*Keys, error) {
 	k := &Keys{files: f}
 	return k, k.load()
 }
 
-// read replaces the keys, unless a file is of no use.
+// load replaces the keys, or leaves them unchanged if a file is invalid.
 func (k *Keys) load() error {
 	modTimes, err := k.files.modTimes()
 	if err != nil {
@@ -51,7 +52,7 @@
 	}
 	cert, err := tls.LoadX509KeyPair(k.files.Cert, k.files.Key)
 	if err != nil {
-		return fmt.Errorf("%s, %s: %v", k.files.Cert, k.files.Key, err)
+		return fmt.Errorf("load certificate %s with key %s: %v", k.files.Cert, k.files.Key, err)
 	}
 	caPEM, err := os.ReadFile(k.files.CA)
 	if err != nil {
@@ -59,7 +60,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(caPEM) {
-		return fmt.Errorf("%s: no certificate of an authority in it", k.files.CA)
+		return fmt.Errorf("load CA file %s: no valid PEM certificate found", k.files.CA)
 	}
 	k.cert = cert
 	k.pool = pool
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// fileTimes are when the files were last changed.
+// fileTimes contains the modification times of the files.
 type fileTimes struct {
 	cert time.Time
 	key  time.Time
@@ -93,7 +94,7 @@
 	return st.ModTime(), nil
 }
 
-// current returns the keys in force, read again if the files have changed.
+// current returns the keys in effect, after reloading them if the files have changed.
 func (k *Keys) current() (tls.Certificate, *x509.CertPool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -108,15 +109,14 @@
 	return k.cert, k.pool
 }
 
-// ReloadError is what was wrong with the files when they had changed; nil if nothing was. Callers log it; package peer does
-// not.
+// ReloadError returns the error of the last reload, nil if it succeeded. Callers log it, except for package peer.
 func (k *Keys) ReloadError() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.reloadError
 }
 
-// ServerConn is the end that listens.
+// ServerConn returns the TLS connection of the accepting side.
 func (k *Keys) ServerConn(nc net.Conn) *tls.Conn {
 	return tls.Server(nc, &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		cert, pool := k.current()
@@ -129,7 +129,7 @@
 	}})
 }
 
-// ClientConn is the end that dials; name is what the other side's certificate must be for.
+// ClientConn returns the TLS connection of the dialing side. The server's certificate must be valid for name.
 func (k *Keys) ClientConn(nc net.Conn, name string) *tls.Conn {
 	cert, pool := k.current()
 	return tls.Client(nc, &tls.Config{
@@ -140,10 +140,10 @@
 	})
 }
 
-// ErrPlaintextNotLoopback says that a connection without TLS must stay on this machine.
-var ErrPlaintextNotLoopback = errors.New("plaintext is for loopback addresses only: name cert, key and ca")
+// ErrPlaintextNotLoopback means that an address without TLS is not a loopback address.
+var ErrPlaintextNotLoopback = errors.New("plaintext allowed on loopback addresses only: set cert, key and ca")
 
-// CheckLoopback returns ErrPlaintextNotLoopback for an address that may not be used without TLS.
+// CheckLoopback returns ErrPlaintextNotLoopback unless the address is a loopback address, which needs no TLS.
 func CheckLoopback(address netip.AddrPort) error {
 	if !address.Addr().IsLoopback() {
 		return ErrPlaintextNotLoopback
--- a/internal/cluster/peer/cleanup.go
+++ b/internal/cluster/peer/cleanup.go
@@ -39,8 +39,9 @@
 	}
 }
 
-// findExpired removes expired streams from the replica table and returns them. For each remaining stream that was trimmed
-// it returns the first record that is still needed. A stream with unreconciled entries is retained beyond the retention.
+// findExpired removes expired streams from the replica table and returns them. For each remaining stream that was
+// trimmed it returns the first record that is still needed. A stream with unreconciled entries is retained beyond the
+// retention.
 func (n *Node) findExpired() (expired []replication.Stream, firstRecords map[replication.Stream]uint64) {
 	n.mu.Lock()
 	expired = n.replicas.ExpiredStreams(time.Now().UnixNano())
--- a/internal/cluster/peer/client.go
+++ b/internal/cluster/peer/client.go
@@ -33,8 +33,8 @@
 	Unanswered map[string]error
 }
 
-// Query discovers the nodes of a cluster from the configured addresses and the members that the nodes report, and requests
-// the Status of each node. With verify each node first re-reads all of its stored records.
+// Query discovers the nodes of a cluster from the configured addresses and the members that the nodes report, and
+// requests the Status of each node. With verify each node first re-reads all of its stored records.
 func Query(ctx context.Context, cfg *Config, verify bool) *Client {
 	c := &Client{
 		cfg:        cfg,
--- a/internal/cluster/peer/clusterstate.go
+++ b/internal/cluster/peer/clusterstate.go
@@ -32,8 +32,8 @@
 	return len(missing) <= replicas
 }
 
-// completeHolders returns, for each stream, the nodes that store every record of it that any responding node stores. The
-// origin of a running stream counts if it responded.
+// completeHolders returns, for each stream, the nodes that store every record of it that any responding node stores.
+// The origin of a running stream counts if it responded.
 func (c *Client) completeHolders() map[replication.Stream][]string {
 	known := map[replication.Stream]replication.Ranges{}
 	for _, s := range c.Answered {
@@ -100,8 +100,8 @@
 	return h.State == replication.HolderInSync && h.MissingRecords == 0
 }
 
-// Shortfall describes a stream that has too few copies, or returns "" if none has. An orphaned stream must be complete on
-// one machine more than the configured replicas; a running one at all of its holders, except for records in flight.
+// Shortfall describes a stream that has too few copies, or returns "" if none has. An orphaned stream must be complete
+// on one machine more than the configured replicas; a running one at all of its holders, except for records in flight.
 func (c *Client) Shortfall() string {
 	copies := c.CopyCounts()
 	for name, s := range c.Answered {
@@ -126,8 +126,8 @@
 	return ""
 }
 
-// HoldersOf returns the nodes that store records of a node's journal, of its running or an earlier incarnation. The node
-// itself comes first, the others are sorted by name.
+// HoldersOf returns the nodes that store records of a node's journal, of its running or an earlier incarnation. The
+// node itself comes first, the others are sorted by name.
 func (c *Client) HoldersOf(name string) []string {
 	holders := []string{name}
 	for other, s := range c.Answered {
--- a/internal/cluster/peer/commandserver.go
+++ b/internal/cluster/peer/commandserver.go
@@ -95,8 +95,8 @@
 	return sender.send()
 }
 
-// recordDirs returns the journal's folder and the folders of the stored replicas. If listing fails, it returns the folders
-// found so far with the error. It locks mu.
+// recordDirs returns the journal's folder and the folders of the stored replicas. If listing fails, it returns the
+// folders found so far with the error. It locks mu.
 func (n *Node) recordDirs() (dirs []string, err error) {
 	n.mu.Lock()
 	journal := n.journal
@@ -138,8 +138,9 @@
 	return err
 }
 
-// requestFilter selects the records of requests with an ID, and of requests that repeat one with that ID. Only the first
-// records of a request contain its ID; later records, including those that reconcile it, are matched by request key.
+// requestFilter selects the records of requests with an ID, and of requests that repeat one with that ID. Only the
+// first records of a request contain its ID; later records, including those that reconcile it, are matched by request
+// key.
 type requestFilter struct {
 	id      string // "" matches all records
 	matched map[intent.RequestKey]bool
--- a/internal/cluster/peer/config.go
+++ b/internal/cluster/peer/config.go
@@ -88,8 +88,8 @@
 	return c, f.Err()
 }
 
-// checkAddresses checks the name and addresses and fills in their defaults. It returns all addresses: Listen, Advertise,
-// then the peers.
+// checkAddresses checks the name and addresses and fills in their defaults. It returns all addresses: Listen,
+// Advertise, then the peers.
 func (c *Config) checkAddresses(f *tomlfile.File) []netip.AddrPort {
 	if c.Name != "" && !nodeNames.MatchString(c.Name) {
 		f.Wrong("name", "name %q: expected "+nodeNameRule, c.Name)
--- a/internal/cluster/peer/connection.go
+++ b/internal/cluster/peer/connection.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// queueMessage queues a message for sending and does not block. A connection whose queue exceeds maxQueuedBytes is closed.
-// Only the debug line that every ended connection produces logs this.
+// queueMessage queues a message for sending and does not block. A connection whose queue exceeds maxQueuedBytes is
+// closed. Only the debug line that every ended connection produces logs this.
 func (c *connection) queueMessage(message any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/peer/connections.go
+++ b/internal/cluster/peer/connections.go
@@ -88,8 +88,8 @@
 	n.applyChanges(now)
 }
 
-// handleDuplicateName notifies another process that uses this node's name. The connection is not used otherwise. It locks
-// mu.
+// handleDuplicateName notifies another process that uses this node's name. The connection is not used otherwise. It
+// locks mu.
 func (n *Node) handleDuplicateName(c *connection, remote membership.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -114,8 +114,8 @@
 	n.applyChanges(now)
 }
 
-// send queues messages on the connections to their receivers. For a live receiver without a connection it requests one and
-// stores the message as pending. Batches are not stored, because they are re-sent anyway. mu must be held.
+// send queues messages on the connections to their receivers. For a live receiver without a connection it requests one
+// and stores the message as pending. Batches are not stored, because they are re-sent anyway. mu must be held.
 func (n *Node) send(now time.Duration, out []membership.Outgoing) {
 	c := &n.connections
 	for _, o := range out {
@@ -133,8 +133,8 @@
 	}
 }
 
-// reviewConnections updates which connections are wanted, and closes dialed ones that were unwanted for unwantedTimeout. mu
-// must be held.
+// reviewConnections updates which connections are wanted, and closes dialed ones that were unwanted for
+// unwantedTimeout. mu must be held.
 func (n *Node) reviewConnections(now time.Duration) {
 	wanted := n.table.Watched()
 	if n.origin != nil {
--- a/internal/cluster/peer/copy.go
+++ b/internal/cluster/peer/copy.go
@@ -15,13 +15,13 @@
 const (
 	maxUnackedBatches = 8 // per copy
 	copyAckTimeout    = 2 * time.Second
-	// copyBatchBytes is enough for about 300 records of usual length, so that the unacknowledged batches usually fit into
-	// the holder's queue.
+	// copyBatchBytes is enough for about 300 records of usual length, so that the unacknowledged batches usually fit
+	// into the holder's queue.
 	copyBatchBytes = 64 << 10
 )
 
-// errNothingToCopy ends a copy to a node that is disconnected, acknowledges too slowly, or no longer lacks records. A later
-// copy sends the remaining records.
+// errNothingToCopy ends a copy to a node that is disconnected, acknowledges too slowly, or no longer lacks records. A
+// later copy sends the remaining records.
 var errNothingToCopy = errors.New("copy ended: receiver disconnected, acknowledging too slowly, or complete")
 
 // startCopies starts a goroutine for each copy that this node should make and that is not running yet. mu must be held.
@@ -96,8 +96,8 @@
 	records     int                // number of records sent
 }
 
-// run sends the records that the receiver lacks, within the rate limit that all copies of this node share. Then it waits
-// up to copyAckTimeout for the acknowledgements.
+// run sends the records that the receiver lacks, within the rate limit that all copies of this node share. Then it
+// waits up to copyAckTimeout for the acknowledgements.
 func (c *replicaCopy) run(ctx context.Context) error {
 	n := c.node
 	n.mu.Lock()
@@ -116,8 +116,8 @@
 	return err
 }
 
-// add appends a chunk to the batch if the receiver lacks any of its records. If the chunk does not fit, the batch is sent
-// first.
+// add appends a chunk to the batch if the receiver lacks any of its records. If the chunk does not fit, the batch is
+// sent first.
 func (c *replicaCopy) add(ctx context.Context, chunk wal.Chunk) error {
 	n := c.node
 	n.mu.Lock()
--- a/internal/cluster/peer/endpointlists.go
+++ b/internal/cluster/peer/endpointlists.go
@@ -7,23 +7,23 @@
 	listFrameReserve = 64 // bytes of a frame in addition to the list
 )
 
-// endpointLists exchanges cached endpoint lists, for nodes that start without one on their own disk. It is guarded by the
-// Node's lock.
+// endpointLists exchanges cached endpoint lists, for nodes that start without one on their own disk. It is guarded by
+// the Node's lock.
 type endpointLists struct {
 	current func() []byte // returns the list cached by this node; nil if there is none
 	replies chan []byte   // lists of other nodes, non-nil while FetchEndpointLists runs
 }
 
-// SetEndpointList sets the function that returns this node's cached endpoint list, which is sent to nodes that request it.
-// It must be called at most once, before other nodes can connect.
+// SetEndpointList sets the function that returns this node's cached endpoint list, which is sent to nodes that request
+// it. It must be called at most once, before other nodes can connect.
 func (n *Node) SetEndpointList(current func() []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lists.current = current
 }
 
-// FetchEndpointLists requests the cached endpoint lists of up to maxListSources connected nodes and returns those received
-// within the timeout.
+// FetchEndpointLists requests the cached endpoint lists of up to maxListSources connected nodes and returns those
+// received within the timeout.
 func (n *Node) FetchEndpointLists(timeout time.Duration) (lists [][]byte) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -72,8 +72,8 @@
 	}
 }
 
-// handleEndpointListQuery responds with this node's list, or with an empty one if the list exceeds a frame. It locks mu,
-// except while the list is built.
+// handleEndpointListQuery responds with this node's list, or with an empty one if the list exceeds a frame. It locks
+// mu, except while the list is built.
 func (n *Node) handleEndpointListQuery(c *connection) {
 	n.mu.Lock()
 	current := n.lists.current
--- a/internal/cluster/peer/format_test.go
+++ b/internal/cluster/peer/format_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// storedFrames are the lines of testdata/frames.txt: the name of a message and its frame in hex, as the build of 7af5c59
-// wrote it.
+// storedFrames are the lines of testdata/frames.txt: the name of a message and its frame in hex, as the build of
+// 7af5c59 wrote it.
 func storedFrames(t *testing.T) map[string]string {
 	t.Helper()
 	f, err := os.Open("testdata/frames.txt")
--- a/internal/cluster/peer/handshake.go
+++ b/internal/cluster/peer/handshake.go
@@ -89,7 +89,8 @@
 	return n.serveNode(newConnection(conn, caller.Member.Name, false), caller.Member)
 }
 
-// isAtConnectionLimit reports whether too many nodes are connected to accept one that is not connected yet. It locks mu.
+// isAtConnectionLimit reports whether too many nodes are connected to accept one that is not connected yet. It locks
+// mu.
 func (n *Node) isAtConnectionLimit(name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -108,8 +109,9 @@
 	}
 }
 
-// dial opens a connection to an address, sends this side's intro and returns the remote's. If self has no incarnation the
-// caller is a command, which receives no intro in return. from is the local address unless it is invalid or unspecified.
+// dial opens a connection to an address, sends this side's intro and returns the remote's. If self has no incarnation
+// the caller is a command, which receives no intro in return. from is the local address unless it is invalid or
+// unspecified.
 func dial(ctx context.Context, cfg *Config, from netip.Addr, address, name string, self membership.Member) (conn *framing.Conn, remote intro, err error) {
 	d := net.Dialer{Deadline: time.Now().Add(dialTimeout)}
 	if from.IsValid() && !from.IsUnspecified() { // connect from the address that other nodes know
--- a/internal/cluster/peer/journal.go
+++ b/internal/cluster/peer/journal.go
@@ -34,8 +34,8 @@
 // after Done is closed.
 func (c *Commit) Err() error { return c.err }
 
-// StartJournal sets the folder of this incarnation's journal, "" for none, and whether the journal is replicated. It must
-// be called once, after Join; until then the node stores nothing for other nodes.
+// StartJournal sets the folder of this incarnation's journal, "" for none, and whether the journal is replicated. It
+// must be called once, after Join; until then the node stores nothing for other nodes.
 func (n *Node) StartJournal(dir string, isReplicated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -55,8 +55,8 @@
 	n.applyChanges(now)
 }
 
-// ReplicateChunk queues a chunk of the journal for the holders before it is written locally (wal.Options.OnChunk). A chunk
-// that is not awaited is sent with the next tick, together with others.
+// ReplicateChunk queues a chunk of the journal for the holders before it is written locally (wal.Options.OnChunk). A
+// chunk that is not awaited is sent with the next tick, together with others.
 func (n *Node) ReplicateChunk(first uint64, count int, frames []byte, isAwaited bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/cluster/peer/message.go
+++ b/internal/cluster/peer/message.go
@@ -85,8 +85,8 @@
 	}
 )
 
-// Status is the state of a node as commands display it. It is sent as a CBOR array and printed as JSON by field name, so
-// the order of the fields, their names and their tags must not change.
+// Status is the state of a node as commands display it. It is sent as a CBOR array and printed as JSON by field name,
+// so the order of the fields, their names and their tags must not change.
 type Status struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -184,7 +184,8 @@
 	return overhead
 }
 
-// scenarioKinds maps the names that the testbed's scenario files use for frames to their kinds. The names must not change.
+// scenarioKinds maps the names that the testbed's scenario files use for frames to their kinds. The names must not
+// change.
 var scenarioKinds = map[string]framing.Kind{
 	"beat":  heartbeatKind,
 	"news":  updateKind,
--- a/internal/cluster/peer/node_test.go
+++ b/internal/cluster/peer/node_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Two processes run under one name: the later one goes on, the earlier one is notified. A clock that was set back between
-// two starts changes nothing.
+// Two processes run under one name: the later one goes on, the earlier one is notified. A clock that was set back
+// between two starts changes nothing.
 func TestTwoProcessesOfOneName(t *testing.T) {
 	t.Parallel()
 	a := start(t, "n0", "")
--- a/internal/cluster/peer/reconcile.go
+++ b/internal/cluster/peer/reconcile.go
@@ -19,8 +19,8 @@
 )
 
 // reconcile resolves open entries in the journals of lost machines from the servers' execution records, if any are
-// configured. The first of a stream's desired holders reconciles it, and the next one if the first is lost too. It returns
-// when the context is canceled.
+// configured. The first of a stream's desired holders reconciles it, and the next one if the first is lost too. It
+// returns when the context is canceled.
 func (n *Node) reconcile(ctx context.Context) error {
 	if len(n.cfg.ExecutionRecords) == 0 {
 		return nil
@@ -66,8 +66,9 @@
 	return streams
 }
 
-// reconcileStream stores reconciliations of a stream's open entries from the execution records. It returns the number of
-// open entries without any decided attempt. An entry with some decided attempts does not count, even if others are open.
+// reconcileStream stores reconciliations of a stream's open entries from the execution records. It returns the number
+// of open entries without any decided attempt. An entry with some decided attempts does not count, even if others are
+// open.
 func (n *Node) reconcileStream(s replication.Stream, executions *executionLoader) (undecided int, err error) {
 	open, err := n.openEntries(s)
 	if err != nil {
@@ -93,8 +94,8 @@
 	return undecided, nil
 }
 
-// executionLoader loads the execution records lazily and only once. A source that is not readable to its end is logged and
-// skipped.
+// executionLoader loads the execution records lazily and only once. A source that is not readable to its end is logged
+// and skipped.
 type executionLoader struct {
 	node    *Node
 	records intent.ExecutionRecords
@@ -150,8 +151,8 @@
 	return dirs
 }
 
-// storeReconciled stores records that reconcile a stream in a separate reconciliation stream, which is replicated like any
-// other.
+// storeReconciled stores records that reconcile a stream in a separate reconciliation stream, which is replicated like
+// any other.
 func (n *Node) storeReconciled(s replication.Stream, records []intent.Record) error {
 	for len(records) > 0 {
 		count := min(len(records), wal.MaxChunkRecords)
--- a/internal/cluster/peer/reconcile_test.go
+++ b/internal/cluster/peer/reconcile_test.go
@@ -12,8 +12,8 @@
 	"fernvane/internal/journal/intent"
 )
 
-// A machine is lost for good: what it left open is reconciled by the servers' execution records, by one node; when that one
-// is lost too, another reconciles what the records have only then, and nothing twice.
+// A machine is lost for good: what it left open is reconciled by the servers' execution records, by one node; when that
+// one is lost too, another reconciles what the records have only then, and nothing twice.
 func TestReconcileLostMachine(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "executions.jsonl")
--- a/internal/cluster/peer/session.go
+++ b/internal/cluster/peer/session.go
@@ -15,8 +15,8 @@
 	idleTimeout         = 3 * time.Second        // of a connection, twelve heartbeats
 	duplicateNameLinger = 500 * time.Millisecond // for another process with this node's name to read the notification
 	maxEarlyOffers      = 1024
-	// reasonDiskFailed is the RejectReason of an Ack for any failure to write a batch, including a full queue and a closed
-	// store. The text is sent to other nodes, so it must not change.
+	// reasonDiskFailed is the RejectReason of an Ack for any failure to write a batch, including a full queue and a
+	// closed store. The text is sent to other nodes, so it must not change.
 	reasonDiskFailed = "the disk takes nothing"
 )
 
@@ -25,7 +25,8 @@
 	errDuplicateName = errors.New("peer is another incarnation of this node's name")
 )
 
-// serveNode reads and processes messages from a node until the connection is closed. It owns the connection's goroutines.
+// serveNode reads and processes messages from a node until the connection is closed. It owns the connection's
+// goroutines.
 func (n *Node) serveNode(c *connection, remote membership.Member) error {
 	defer c.close()
 	if c.name == "" || c.name == n.name && remote.Incarnation == n.self().Incarnation {
@@ -120,10 +121,10 @@
 	err        error // why it could not be queued for the disk
 }
 
-// handleBatch queues an admitted batch for the disk; acknowledgeBatches acknowledges it. It blocks, and so stops reading
-// from the connection, while the disk queue is full or too many acknowledgements are pending. It returns an error if a
-// batch is malformed or its records do not match its header; this closes the connection, and the sender re-sends the batch
-// over the next one.
+// handleBatch queues an admitted batch for the disk; acknowledgeBatches acknowledges it. It blocks, and so stops
+// reading from the connection, while the disk queue is full or too many acknowledgements are pending. It returns an
+// error if a batch is malformed or its records do not match its header; this closes the connection, and the sender
+// re-sends the batch over the next one.
 func (n *Node) handleBatch(c *connection, b *replication.Batch) error {
 	chunk, records, err := wal.DecodeChunks(b.Frames)
 	if err != nil {
--- a/internal/cluster/peer/storedreplicas.go
+++ b/internal/cluster/peer/storedreplicas.go
@@ -35,8 +35,8 @@
 	return report, err
 }
 
-// loadReplicas waits for StartJournal and then loads the stored streams from disk. Until it has finished, the node replies
-// to no offers and admits no batches.
+// loadReplicas waits for StartJournal and then loads the stored streams from disk. Until it has finished, the node
+// replies to no offers and admits no batches.
 func (n *Node) loadReplicas(ctx context.Context) {
 	select {
 	case <-n.journalConfigured:
@@ -76,8 +76,8 @@
 }
 
 // loadOwnJournal loads the records that earlier incarnations of this node left in its journal. They do not count toward
-// the bytes of the stored replicas. If reading fails, the records before the failure are loaded and nothing is logged: the
-// proxy's scan at startup reports the error.
+// the bytes of the stored replicas. If reading fails, the records before the failure are loaded and nothing is logged:
+// the proxy's scan at startup reports the error.
 func (n *Node) loadOwnJournal(ctx context.Context) {
 	n.mu.Lock()
 	journal := n.journal
@@ -115,8 +115,8 @@
 	n.earlyOffers = nil
 }
 
-// verify re-reads all stored records. Damaged records are removed from the table, and the nodes that can send them again
-// are notified.
+// verify re-reads all stored records. Damaged records are removed from the table, and the nodes that can send them
+// again are notified.
 func (n *Node) verify(ctx context.Context) (damage []string) {
 	damage = n.verifyOwnJournal(ctx)
 	n.mu.Lock()
@@ -147,8 +147,8 @@
 	return damage
 }
 
-// verifyOwnJournal re-reads the running incarnation's journal. Its holders send damaged records back, which are stored as
-// a replica in addition to the journal. A torn end is not reported as damage, because its write may be in progress.
+// verifyOwnJournal re-reads the running incarnation's journal. Its holders send damaged records back, which are stored
+// as a replica in addition to the journal. A torn end is not reported as damage, because its write may be in progress.
 func (n *Node) verifyOwnJournal(ctx context.Context) (damage []string) {
 	n.mu.Lock()
 	origin := n.origin
--- a/internal/cluster/peer/tick.go
+++ b/internal/cluster/peer/tick.go
@@ -45,8 +45,8 @@
 	n.dialWanted(ctx, g, now)
 }
 
-// logShortage logs when commits begin and cease to be stalled for longer than slow_after: because too few holders are in
-// sync, or because the oldest record has waited that long despite enough holders. mu must be held.
+// logShortage logs when commits begin and cease to be stalled for longer than slow_after: because too few holders are
+// in sync, or because the oldest record has waited that long despite enough holders. mu must be held.
 func (n *Node) logShortage(now time.Duration) {
 	if n.origin == nil {
 		return
@@ -63,8 +63,8 @@
 	}
 }
 
-// applyChanges is called after each possible change of state. It passes changed members and connections to replication and
-// resolves commits. mu must be held.
+// applyChanges is called after each possible change of state. It passes changed members and connections to replication
+// and resolves commits. mu must be held.
 func (n *Node) applyChanges(now time.Duration) {
 	if n.table.IsReplaced() && !n.lifecycle.isReplaced {
 		n.handleReplaced(now)
@@ -86,8 +86,9 @@
 	n.resolveCommits()
 }
 
-// handleReplaced is called when a later incarnation of this node's name is known. A node that has not joined yet assumes
-// that its clock was set back and starts a still later incarnation; a node that has joined must stop. mu must be held.
+// handleReplaced is called when a later incarnation of this node's name is known. A node that has not joined yet
+// assumes that its clock was set back and starts a still later incarnation; a node that has joined must stop. mu must
+// be held.
 func (n *Node) handleReplaced(now time.Duration) {
 	if !n.lifecycle.hasJoined {
 		n.table.StartLaterIncarnation(now)
--- a/internal/cluster/peer/verify_test.go
+++ b/internal/cluster/peer/verify_test.go
@@ -10,7 +10,8 @@
 	"fernvane/internal/journal/wal"
 )
 
-// A replica, or the journal that it is of, is damaged on its disk: verifying finds that out, and the records are restored.
+// A replica, or the journal that it is of, is damaged on its disk: verifying finds that out, and the records are
+// restored.
 func TestVerifyRestoresDamagedRecords(t *testing.T) {
 	t.Parallel()
 	for name, dir := range map[string]func(nodes []*testNode) (*testNode, string){
--- a/internal/cluster/replicastore/read.go
+++ b/internal/cluster/replicastore/read.go
@@ -8,16 +8,16 @@
 	"fernvane/internal/journal/wal"
 )
 
-// ReadStream calls each for the complete chunks of a stream, in order. An error of each ends it.
+// ReadStream calls each for the complete chunks of a stream, in order, and stops if each returns an error.
 func (s *Store) ReadStream(stream replication.Stream, each func(wal.Chunk) error) (wal.ScanReport, error) {
 	return ReadDir(s.files, s.StreamDir(stream), 0, each)
 }
 
-// errOtherIncarnation ends the reading of a segment of another incarnation.
-var errOtherIncarnation = errors.New("a segment of another incarnation")
+// errOtherIncarnation stops the scan of a segment of another incarnation.
+var errOtherIncarnation = errors.New("segment of another incarnation")
 
-// ReadDir calls each for the complete chunks in a folder of segments, of one incarnation or, with 0, of all. A segment is
-// one incarnation's.
+// ReadDir calls each for the complete chunks in a folder of segments. It reads the segments of one incarnation, or of
+// all if incarnation is 0. All chunks of a segment have the same incarnation.
 func ReadDir(files wal.FileSystem, dir string, incarnation uint64, each func(wal.Chunk) error) (total wal.ScanReport, err error) {
 	segments, err := wal.ListSegments(files, dir)
 	if err != nil {
--- a/internal/cluster/replicastore/store.go
+++ b/internal/cluster/replicastore/store.go
@@ -1,7 +1,7 @@
-// Package replicastore stores replicas of other nodes' journals on disk: a folder for each stream, in it segments as a
-// journal has them (package wal), so that whoever reads a journal reads a replica.
+// Package replicastore stores replicas of other nodes' journals on disk. Each stream has a folder with segments in the
+// journal's format (package wal), so the same code reads journals and replicas.
 //
-// Package peer owns the Store and calls it from many goroutines. What the folders hold is decided by package replication.
+// Package peer owns the Store and calls it from many goroutines. Package replication decides which records are stored.
 package replicastore
 
 import (
@@ -19,9 +19,9 @@
 )
 
 const (
-	idleTimeout       = 30 * time.Second     // until a stream that gets nothing is closed
-	queueFullTimeout  = time.Second          // for the disk to take some of what waits for it
-	queueFullInterval = 5 * time.Millisecond // between two attempts meanwhile
+	idleTimeout       = 30 * time.Second     // until a stream without appended records is closed
+	queueFullTimeout  = time.Second          // for the disk to write some of the queued records
+	queueFullInterval = 5 * time.Millisecond // between two attempts to append to a full queue
 )
 
 // Store is a folder of replicas. Its methods may be called by any goroutine.
@@ -30,30 +30,30 @@
 	files        wal.FileSystem
 	segmentBytes int64
 
-	mu       sync.Mutex // never held over the disk
+	mu       sync.Mutex // never held during disk I/O
 	open     map[replication.Stream]*openStream
 	isClosed bool
 }
 
-// openStream is a stream that is written.
+// openStream is a stream that is open for appending.
 type openStream struct {
 	ready    chan struct{} // closed when log or err is set
 	log      *wal.Log
 	err      error
-	lastUsed time.Time // under the Store's lock
+	lastUsed time.Time // guarded by the Store's lock
 }
 
-// Open returns the store in a folder that is there.
+// Open returns a store in an existing folder.
 func Open(dir string, files wal.FileSystem, segmentBytes int64) *Store {
 	return &Store{dir: dir, files: files, segmentBytes: segmentBytes, open: map[replication.Stream]*openStream{}}
 }
 
-// StreamDir is the folder of one stream.
+// StreamDir returns the folder of a stream.
 func (s *Store) StreamDir(stream replication.Stream) string {
 	return filepath.Join(s.dir, stream.String())
 }
 
-// Streams returns the streams that have a folder. Other entries of the store's folder are passed over.
+// Streams returns the streams that have a folder. It ignores other entries of the store's folder.
 func (s *Store) Streams() (streams []replication.Stream, err error) {
 	entries, err := os.ReadDir(s.dir)
 	for _, e := range entries {
@@ -64,7 +64,7 @@
 	return streams, err
 }
 
-// parseStream reads the name of a stream's folder.
+// parseStream parses the name of a stream's folder.
 func parseStream(folder string) (stream replication.Stream, ok bool) {
 	name, incarnation, _ := strings.Cut(folder, "@")
 	n, err := strconv.ParseInt(incarnation, 10, 64)
@@ -72,8 +72,8 @@
 	return stream, err == nil && stream.String() == folder
 }
 
-// Append stores records of a stream; the Commit reports when they are durable. Where more comes than the disk takes it
-// blocks for a while, before it gives up with wal.ErrQueueFull.
+// Append stores records of a stream. The Commit reports when they are durable. If the write queue is full, Append
+// blocks for up to queueFullTimeout and then fails with wal.ErrQueueFull.
 func (s *Store) Append(stream replication.Stream, records []intent.Record) (*wal.Commit, error) {
 	log, err := s.streamLog(stream)
 	if err != nil {
@@ -87,7 +87,7 @@
 	return commit, err
 }
 
-// logOf returns the log of a stream. The first caller opens it, others wait for that.
+// streamLog returns the log of a stream. The first caller opens it, concurrent callers wait until it is open.
 func (s *Store) streamLog(stream replication.Stream) (*wal.Log, error) {
 	s.mu.Lock()
 	if s.isClosed {
@@ -135,13 +135,13 @@
 	})
 }
 
-// CloseIdle closes streams that got nothing for a while; later records go to a new segment.
+// CloseIdle closes streams to which nothing was appended for idleTimeout. Later records start a new segment.
 func (s *Store) CloseIdle() {
 	s.closeUnused(time.Now().Add(-idleTimeout), func(replication.Stream) bool { return true })
 }
 
-// Close closes all streams but those that are being opened: such a one stays open, and takes the records of the Append
-// that opens it. Later calls of Append fail with wal.ErrClosed.
+// Close closes all streams, except those that are being opened: such a stream stays open and stores the records of the
+// Append that opens it. Later calls of Append fail with wal.ErrClosed.
 func (s *Store) Close() {
 	s.mu.Lock()
 	s.isClosed = true
@@ -149,7 +149,7 @@
 	s.closeUnused(time.Now(), func(replication.Stream) bool { return true })
 }
 
-// closeUnused closes the streams that fit and were not used since a moment.
+// closeUnused closes the matching streams that were not used after a time.
 func (s *Store) closeUnused(since time.Time, matches func(replication.Stream) bool) {
 	for _, log := range s.detachUnused(since, matches) {
 		log.Close()
@@ -163,7 +163,7 @@
 		select {
 		case <-o.ready:
 		default:
-			continue // it is being opened
+			continue // being opened
 		}
 		if !matches(stream) || o.lastUsed.After(since) {
 			continue
@@ -176,19 +176,20 @@
 	return logs
 }
 
-// Remove removes a stream. It does not close one that is being opened: its segment may be removed under it.
+// Remove closes a stream and deletes its folder. It does not close a stream that is being opened, so the segment of
+// such a stream may be deleted while it is open.
 func (s *Store) Remove(stream replication.Stream) error {
 	s.closeUnused(time.Now(), func(other replication.Stream) bool { return other == stream })
 	return os.RemoveAll(s.StreamDir(stream))
 }
 
-// TrimBefore removes the segments of a stream that hold only records before a number.
+// TrimBefore deletes the segments of a stream that contain only records before a number. It keeps the last segment.
 func (s *Store) TrimBefore(stream replication.Stream, first uint64) error {
 	segments, err := wal.ListSegments(s.files, s.StreamDir(stream))
 	if err != nil || len(segments) < 2 {
 		return err
 	}
-	for _, segment := range segments[:len(segments)-1] { // the last may be written to
+	for _, segment := range segments[:len(segments)-1] { // the last one may still be written
 		isNeeded := false
 		if _, err := wal.ScanChunks(s.files, segment, func(c wal.Chunk) error {
 			isNeeded = isNeeded || c.First+uint64(c.Count) > first
--- a/internal/cluster/replication/admission.go
+++ b/internal/cluster/replication/admission.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// HandleOffer processes a node's report of the records that it stores of a stream, and replies with this node's Inventory.
+// HandleOffer processes a node's report of the records that it stores of a stream, and replies with this node's
+// Inventory.
 func (t *ReplicaTable) HandleOffer(now time.Duration, from string, o *Offer) []Outgoing {
 	if o.Name == "" || !o.Ranges.isValid() {
 		return nil
@@ -24,8 +25,9 @@
 	return []Outgoing{{from, inventory}}
 }
 
-// applyOriginRanges drops the records before the origin's first one, which the origin removed after the retention or lost
-// to damage at the start of its journal. Records between its first and last that the origin lacks are recorded as lost.
+// applyOriginRanges drops the records before the origin's first one, which the origin removed after the retention or
+// lost to damage at the start of its journal. Records between its first and last that the origin lacks are recorded as
+// lost.
 func (stored *storedStream) applyOriginRanges(atOrigin Ranges) {
 	first := atOrigin[0].From
 	end := atOrigin[len(atOrigin)-1].To
@@ -47,8 +49,8 @@
 	return ""
 }
 
-// AdmitBatch reports whether a batch is to be written. If not, out contains the reply to its sender. batchUnixNano is the
-// time of the batch's last record.
+// AdmitBatch reports whether a batch is to be written. If not, out contains the reply to its sender. batchUnixNano is
+// the time of the batch's last record.
 func (t *ReplicaTable) AdmitBatch(from string, b *Batch, batchUnixNano, nowUnixNano int64) (ok bool, out []Outgoing) {
 	reason := t.rejectReason(b.Stream, b.FromOrigin)
 	if reason == "" && t.retention > 0 && nowUnixNano-batchUnixNano > int64(t.retention) {
--- a/internal/cluster/replication/candidate.go
+++ b/internal/cluster/replication/candidate.go
@@ -37,9 +37,9 @@
 	return ranked
 }
 
-// selectCandidates selects up to count healthy candidates on distinct machines and on as many distinct sites as possible.
-// Among candidates that are equal in this respect it selects preferred ones first, then by rank. The candidates in
-// occupied already store the stream, so their machines are excluded and other sites are favored.
+// selectCandidates selects up to count healthy candidates on distinct machines and on as many distinct sites as
+// possible. Among candidates that are equal in this respect it selects preferred ones first, then by rank. The
+// candidates in occupied already store the stream, so their machines are excluded and other sites are favored.
 func selectCandidates(ranked []Candidate, count int, preferred map[string]bool, occupied []Candidate) (selected []Candidate) {
 	machines := map[string]bool{}
 	sites := map[string]bool{}
--- a/internal/cluster/replication/message.go
+++ b/internal/cluster/replication/message.go
@@ -1,7 +1,7 @@
 package replication
 
-// Messages between nodes. They are sent as CBOR arrays with the fields of Stream inlined, so the order of the fields must
-// not change.
+// Messages between nodes. They are sent as CBOR arrays with the fields of Stream inlined, so the order of the fields
+// must not change.
 type (
 	// Offer reports which records of a stream the sender stores, and requests the receiver's Inventory.
 	Offer struct {
@@ -11,8 +11,8 @@
 		Ranges     Ranges
 	}
 
-	// Inventory is the reply to an Offer and lists the records that the sender stores. If RejectReason is set, the sender
-	// rejects records of the stream.
+	// Inventory is the reply to an Offer and lists the records that the sender stores. If RejectReason is set, the
+	// sender rejects records of the stream.
 	Inventory struct {
 		_ struct{} `cbor:",toarray"`
 		Stream
--- a/internal/cluster/replication/origin.go
+++ b/internal/cluster/replication/origin.go
@@ -197,8 +197,8 @@
 	return out
 }
 
-// isOverdue reports whether a holder has not replied in time, or has not acknowledged the oldest uncommitted record within
-// ackTimeout. uncommitted is that record's index in the queue, -1 for none.
+// isOverdue reports whether a holder has not replied in time, or has not acknowledged the oldest uncommitted record
+// within ackTimeout. uncommitted is that record's index in the queue, -1 for none.
 func (o *Origin) isOverdue(now time.Duration, h *holder, uncommitted int) bool {
 	timeInState := now - h.stateSince
 	if h.isAwaitingInventory() && timeInState > offerTimeout {
--- a/internal/cluster/replication/queue.go
+++ b/internal/cluster/replication/queue.go
@@ -78,8 +78,8 @@
 	return out
 }
 
-// commit advances committed to the highest number before which enough machines have acknowledged all records that did not
-// overflow the queue. It then removes chunks from the queue that are committed and were sent to all holders.
+// commit advances committed to the highest number before which enough machines have acknowledged all records that did
+// not overflow the queue. It then removes chunks from the queue that are committed and were sent to all holders.
 func (o *Origin) commit() {
 	ackedByMachine := map[string]uint64{}
 	for _, h := range o.holders {
--- a/internal/cluster/replication/ranges.go
+++ b/internal/cluster/replication/ranges.go
@@ -10,8 +10,8 @@
 	To   uint64
 }
 
-// Ranges is a set of record numbers as sorted ranges that neither overlap nor touch. Methods that modify the set return a
-// new one.
+// Ranges is a set of record numbers as sorted ranges that neither overlap nor touch. Methods that modify the set return
+// a new one.
 type Ranges []Range
 
 // maxRanges is the maximum number of ranges of one stream that a peer may send.
--- a/internal/cluster/replication/repair.go
+++ b/internal/cluster/replication/repair.go
@@ -72,8 +72,8 @@
 	return dest.hasReplied && len(held.Without(dest.stored)) == 0
 }
 
-// desiredHolders returns the nodes that should store an orphaned stream, in order: a later incarnation of its node first,
-// then others by rank. Their number is required+1, because the origin's own copy is lost.
+// desiredHolders returns the nodes that should store an orphaned stream, in order: a later incarnation of its node
+// first, then others by rank. Their number is required+1, because the origin's own copy is lost.
 func (t *ReplicaTable) desiredHolders(s Stream, stored *storedStream) []Candidate {
 	if stored.desiredVersion == t.candidatesVersion && stored.desired != nil {
 		return stored.desired
@@ -107,8 +107,8 @@
 	return slices.Sorted(maps.Keys(wanted))
 }
 
-// MissingAt returns the stored records of a stream that are to be copied to a node: records that a live origin has lost,
-// or records of an orphaned stream that a desired holder lacks.
+// MissingAt returns the stored records of a stream that are to be copied to a node: records that a live origin has
+// lost, or records of an orphaned stream that a desired holder lacks.
 func (t *ReplicaTable) MissingAt(s Stream, name string) Ranges {
 	stored := t.streams[s]
 	if stored == nil {
@@ -127,7 +127,8 @@
 	return stored.ranges.Without(dest.stored)
 }
 
-// CopyTasks returns the copies that this node should make now. The holders of an orphaned stream start at staggered times.
+// CopyTasks returns the copies that this node should make now. The holders of an orphaned stream start at staggered
+// times.
 func (t *ReplicaTable) CopyTasks(now time.Duration) (tasks []CopyTask) {
 	for _, s := range t.Streams() {
 		stored := t.streams[s]
--- a/internal/cluster/replication/replicatable.go
+++ b/internal/cluster/replication/replicatable.go
@@ -154,8 +154,8 @@
 	return out
 }
 
-// SetNodes replaces the known nodes after a membership change. The nodes include this node, so that streams of its earlier
-// incarnations become orphans.
+// SetNodes replaces the known nodes after a membership change. The nodes include this node, so that streams of its
+// earlier incarnations become orphans.
 func (t *ReplicaTable) SetNodes(now time.Duration, nodes []Node) {
 	t.candidates = t.candidates[:0]
 	t.candidatesVersion++
@@ -171,8 +171,8 @@
 	}
 }
 
-// updateOrphanState records whether the incarnation of a stream is gone. A node that is not among the known nodes counts
-// as gone only orphanDelay after the start, because membership may not have reported it yet.
+// updateOrphanState records whether the incarnation of a stream is gone. A node that is not among the known nodes
+// counts as gone only orphanDelay after the start, because membership may not have reported it yet.
 func (t *ReplicaTable) updateOrphanState(s Stream, stored *storedStream, now time.Duration) {
 	if s.IsReconciliation() {
 		stored.orphanedSince = max(stored.orphanedSince, 0)
@@ -232,8 +232,8 @@
 	return expired
 }
 
-// StoredReplica describes a stored stream to commands. It is sent as a CBOR array and printed as JSON by field name, with
-// the fields of Stream inlined, so the order of the fields, their names and their tags must not change.
+// StoredReplica describes a stored stream to commands. It is sent as a CBOR array and printed as JSON by field name,
+// with the fields of Stream inlined, so the order of the fields, their names and their tags must not change.
 type StoredReplica struct {
 	_ struct{} `cbor:",toarray"`
 	Stream
--- a/internal/cluster/replication/selection.go
+++ b/internal/cluster/replication/selection.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// SetCandidates replaces the candidates after a membership change and selects holders anew. The candidates are all nodes
-// except this one.
+// SetCandidates replaces the candidates after a membership change and selects holders anew. The candidates are all
+// nodes except this one.
 func (o *Origin) SetCandidates(now time.Duration, candidates []Candidate) []Outgoing {
 	o.candidates = rankCandidates(o.stream, candidates)
 	return o.selectHolders(now, nil)
@@ -65,8 +65,8 @@
 	return out
 }
 
-// usableCandidates returns all candidates with IsHealthy set only for those that may be selected. Candidates that rejected
-// records recently are excluded, and with isStrict also those that are lagging or avoided.
+// usableCandidates returns all candidates with IsHealthy set only for those that may be selected. Candidates that
+// rejected records recently are excluded, and with isStrict also those that are lagging or avoided.
 func (o *Origin) usableCandidates(now time.Duration, isStrict bool) []Candidate {
 	usable := slices.Clone(o.candidates)
 	for i := range usable {
@@ -85,7 +85,8 @@
 }
 
 // releaseHolders releases a holder that is not wanted in each of these cases: the wanted holders have all records, the
-// holder has not replied or has rejected records for idleHolderTimeout, or there are more than maxExtraHolders extra ones.
+// holder has not replied or has rejected records for idleHolderTimeout, or there are more than maxExtraHolders extra
+// ones.
 func (o *Origin) releaseHolders(now time.Duration, wanted map[string]bool) {
 	complete := 0
 	for name := range wanted {
--- a/internal/cluster/replication/stream.go
+++ b/internal/cluster/replication/stream.go
@@ -21,8 +21,8 @@
 // String returns the name of the stream's folder.
 func (s Stream) String() string { return fmt.Sprintf("%s@%d", s.Name, s.Incarnation) }
 
-// IsReconciliation reports whether the stream's records reconcile entries of another stream. Such a stream has no running
-// origin.
+// IsReconciliation reports whether the stream's records reconcile entries of another stream. Such a stream has no
+// running origin.
 func (s Stream) IsReconciliation() bool { return strings.Contains(s.Name, reconcilerSeparator) }
 
 // nodeName returns the name of the node whose entries the stream contains or reconciles.
