--- a/internal/cluster/framing/conn.go
+++ b/internal/cluster/framing/conn.go
@@ -95,13 +95,13 @@
 func (c *Conn) checkHello(body []byte) (peer string, err error) {
 	var h Hello
 	if err := Decode(body, &h); err != nil {
-		return "", c.Reject(fmt.Errorf("decode hello: %v", err))
+		return "", c.Reject(fmt.Errorf("hello cannot be read: %v", err))
 	}
 	if h.Version != c.protocol.Version {
 		return "", c.Reject(fmt.Errorf("version %d is spoken here, not %d", c.protocol.Version, h.Version))
 	}
 	if h.Name == "" || len(h.Name) > maxNameBytes {
-		return "", c.Reject(errors.New("peer name in hello is empty or too long"))
+		return "", c.Reject(errors.New("hello without a name, or name too long"))
 	}
 	return h.Name, nil
 }
--- a/internal/cluster/framing/frame.go
+++ b/internal/cluster/framing/frame.go
@@ -41,7 +41,7 @@
 	// ErrFrameTooLong means that the body is longer than MaxBodyBytes.
 	ErrFrameTooLong = errors.New("frame longer than any may be")
 	// ErrUnknownKind means that the protocol does not define the kind.
-	ErrUnknownKind = errors.New("unknown frame kind")
+	ErrUnknownKind = errors.New("frame of unknown kind")
 	// ErrChecksum means that the frame was corrupted in transit.
 	ErrChecksum = errors.New("frame checksum mismatch")
 )
--- a/internal/cluster/mtls/config.go
+++ b/internal/cluster/mtls/config.go
@@ -38,7 +38,7 @@
 func checkPlaintext(f *tomlfile.File, files Files, addresses []netip.AddrPort) {
 	for _, address := range addresses {
 		if err := CheckLoopback(address); address.IsValid() && err != nil {
-			f.Wrong("plaintext", "address %s: %v", address, err)
+			f.Wrong("plaintext", "%s: %v", address, err)
 		}
 	}
 	if files != (Files{}) {
