--- a/internal/cluster/membership/simulation_test.go
+++ b/internal/cluster/membership/simulation_test.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// simulation is a cluster in virtual time: the tables as nodes run them, connections that take a while, cut paths.
+// simulation is a cluster in virtual time. Each node runs a Table; connections take time, and paths can be cut.
 type simulation struct {
 	now   time.Duration
 	nodes map[string]*simulatedNode
@@ -24,7 +24,7 @@
 
 type simulatedNode struct {
 	table *Table
-	isUp  bool // the process runs
+	isUp  bool // the process is running
 	links map[string]bool
 }
 
@@ -66,7 +66,7 @@
 	s.now = until
 }
 
-// start starts a node that knows the addresses of some others.
+// start starts a node with seed addresses.
 func (s *simulation) start(name string, seeds ...string) {
 	n := &simulatedNode{table: New(Member{Name: name, Incarnation: int64(s.now), Address: name, Machine: name}), isUp: true, links: map[string]bool{}}
 	if s.nodes[name] == nil {
@@ -114,7 +114,7 @@
 	})
 }
 
-// crash ends a process; those connected to it notice at once, as by a reset, or not.
+// crash terminates a process. With reset the connected nodes notice immediately, as by a connection reset.
 func (s *simulation) crash(name string, reset bool) {
 	n := s.nodes[name]
 	n.isUp = false
@@ -129,7 +129,7 @@
 func (s *simulation) send(name string, n *simulatedNode, out []Outgoing) {
 	for _, o := range out {
 		if !n.links[o.To] {
-			if _, ask := o.Message.(*LivenessQuery); ask { // a connection is made for it
+			if _, ask := o.Message.(*LivenessQuery); ask { // opens a connection for the query
 				s.dial(name, n, o.To)
 				s.after(5*time.Millisecond, func() {
 					if n.links[o.To] {
@@ -155,7 +155,7 @@
 	}
 }
 
-// countSeen counts the running nodes that know a node in a condition.
+// countObservers counts the running nodes whose table has another node in a condition.
 func (s *simulation) countObservers(of string, c Condition) (n int) {
 	for name, x := range s.nodes {
 		if m, ok := x.table.Get(of); name != of && x.isUp && ok && m.Condition == c {
--- a/internal/cluster/membership/table_test.go
+++ b/internal/cluster/membership/table_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// What happens to a node of a cluster of 16, and in which condition the others know it 8 s later.
+// Something happens to one node of a cluster of 16. 8 s later the others must report it in the expected condition, and as
+// alive again 10 s after all paths are restored.
 func TestConditions(t *testing.T) {
 	cutOff := func(in, out bool, isolated ...string) func(*simulation) {
 		return func(s *simulation) {
@@ -27,12 +28,12 @@
 		"nothing":                           {func(*simulation) {}, Alive},
 		"it crashes, and connections break": {func(s *simulation) { s.crash("n3", true) }, Dead},
 		"its machine is lost":               {func(s *simulation) { s.crash("n3", false) }, Dead},
-		"it is cut off":                     {cutOff(true, true, "n3"), Dead},
-		"nobody hears it":                   {cutOff(false, true, "n3"), Dead},
-		"it hears nobody":                   {cutOff(true, false, "n3"), Alive},
+		"it is partitioned":                 {cutOff(true, true, "n3"), Dead},
+		"its outgoing messages are lost":    {cutOff(false, true, "n3"), Dead},
+		"its incoming messages are lost":    {cutOff(true, false, "n3"), Alive},
 		"the path to one node is cut":       {func(s *simulation) { s.cut = func(a, b string) bool { return a+b == "n3n7" || a+b == "n7n3" } }, Alive},
 		"one way of the path to half the nodes is cut": {func(s *simulation) {
-			s.cut = func(a, b string) bool { return a == "n3" && len(b) > 2 } // n10 to n15 do not hear it
+			s.cut = func(a, b string) bool { return a == "n3" && len(b) > 2 } // n10 to n15 receive nothing from it
 		}, Alive},
 		"it leaves gracefully": {func(s *simulation) {
 			n := s.nodes["n3"]
@@ -40,7 +41,7 @@
 			s.send("n3", n, n.table.Tick(s.now))
 			s.after(20*time.Millisecond, func() { s.crash("n3", true) })
 		}, Left},
-		"it restarts at once": {func(s *simulation) {
+		"it restarts immediately": {func(s *simulation) {
 			s.crash("n3", true)
 			s.after(300*time.Millisecond, func() { s.start("n3", "n0") })
 		}, Alive},
@@ -61,20 +62,20 @@
 				s := newCluster(seed, 16)
 				s.run(5 * time.Second)
 				if n := s.countObservers("n3", Alive); n != 15 {
-					t.Fatalf("%d of 15 know it at first", n)
+					t.Fatalf("before the event: got %d nodes that report n3 as alive, want 15", n)
 				}
 				c.happens(s)
 				s.run(13 * time.Second)
 				seen := s.countObservers("n3", c.want)
-				if want := 15; name == "the other half is cut off" && seen >= 8 { // those on its side
+				if want := 15; name == "the other half is cut off" && seen >= 8 { // the nodes on its side of the partition
 				} else if seen != want {
-					t.Fatalf("seed %d: %d of %d know it as %v; %d as suspected, %d as dead", seed, seen, want, c.want, s.countObservers("n3", Suspected), s.countObservers("n3", Dead))
+					t.Fatalf("seed %d: got %d nodes, want %d, that report n3 as %v; %d report suspected, %d dead", seed, seen, want, c.want, s.countObservers("n3", Suspected), s.countObservers("n3", Dead))
 				}
 				s.cut = func(string, string) bool { return false }
 				if s.nodes["n3"].isUp {
 					s.run(23 * time.Second)
 					if n := s.countObservers("n3", Alive); n != 15 {
-						t.Errorf("seed %d: %d of 15 know it as alive 10 s after the paths are whole", seed, n)
+						t.Errorf("seed %d: 10 s after all paths are restored: got %d nodes that report n3 as alive, want 15", seed, n)
 					}
 				}
 			}
@@ -82,8 +83,9 @@
 	}
 }
 
-// An incarnation cannot go back, whatever order reports come in; only the node itself refutes what is said of it.
-func TestReportsCannotGoBack(t *testing.T) {
+// Stored reports never regress, and the result does not depend on the order of the reports. Only the node itself refutes
+// reports of itself.
+func TestReportsNeverRegress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(Member{Name: "a", Incarnation: 1}), New(Member{Name: "b", Incarnation: 1})
 		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Member {
@@ -94,7 +96,7 @@
 			previous, ok := a.Get(w.Name)
 			a.MergeMembers(time.Second, "", []Member{w})
 			if is, _ := a.Get(w.Name); ok && Compare(is, previous) < 0 {
-				t.Fatalf("%+v went back to %+v", previous, is)
+				t.Fatalf("report %+v regressed to %+v", previous, is)
 			}
 		}
 		for _, i := range rapid.Permutation(reports).Draw(t, "order") {
@@ -102,25 +104,26 @@
 		}
 		for _, name := range []string{"x", "y"} {
 			if x, y := a.members[name], b.members[name]; Compare(x, y) != 0 {
-				t.Fatalf("%+v or %+v, by the order", x, y)
+				t.Fatalf("result depends on the order of reports: %+v or %+v", x, y)
 			}
 		}
 		self := New(Member{Name: "x", Incarnation: 2})
 		self.MergeMembers(time.Second, "", reports)
 		for _, w := range reports {
 			if w.Name == "x" && w.Incarnation == 2 && Compare(w, self.Self()) > 0 {
-				t.Fatalf("%+v is not refuted by %+v", w, self.Self())
+				t.Fatalf("report %+v is not refuted by own entry %+v", w, self.Self())
 			}
 			if w.Name == "x" && w.Incarnation > 2 && !self.IsReplaced() {
-				t.Fatal("a later incarnation was not noticed")
+				t.Fatal("IsReplaced is false after a report of a later incarnation")
 			}
 		}
 	})
 }
 
-var large = flag.Bool("large", false, "3,000 nodes as well, which takes minutes")
+var large = flag.Bool("large", false, "also simulate 3,000 nodes, which takes minutes")
 
-// What watching costs and how long it takes, by the size of the cluster. Run with -v for the figures.
+// The traffic of an idle node and the time to detect a dead node stay within bounds at each cluster size. -v prints the
+// measured values.
 func TestWatchingAtScale(t *testing.T) {
 	sizes := []int{16, 220}
 	if *large {
@@ -129,7 +132,7 @@
 	for _, n := range sizes {
 		s := newSimulation(7)
 		s.start("n0")
-		for i := 1; i < n; i++ { // all at once
+		for i := 1; i < n; i++ { // all nodes join simultaneously
 			s.start(fmt.Sprint("n", i), "n0")
 		}
 		joined := time.Duration(0)
@@ -144,7 +147,7 @@
 			}
 		}
 		if joined == 0 {
-			t.Fatalf("%d nodes do not all know each other", n)
+			t.Fatalf("%d nodes: membership not complete at all nodes within 60 s", n)
 		}
 		atJoin := s.bytes
 		s.run(s.now + 5*time.Second)
@@ -164,15 +167,15 @@
 				dead = s.now - from
 			}
 		}
-		t.Logf("%4d nodes: all joined at once know each other after %v (%.0f kB each); calm %.0f bytes a second each; a death is suspected by all after %v, known after %v",
+		t.Logf("%4d nodes: membership complete %v after a simultaneous join (%.0f kB per node); idle traffic %.0f bytes/s per node; failure suspected by all after %v, declared dead after %v",
 			n, joined, float64(atJoin)/float64(n)/1000, idleBytesPerSecond, suspected, dead)
 		if dead == 0 || dead > 8*time.Second || idleBytesPerSecond > 4000 {
-			t.Errorf("%d nodes: a death takes %v, calm %.0f bytes a second", n, dead, idleBytesPerSecond)
+			t.Errorf("%d nodes: failure declared dead after %v, want at most 8 s; idle traffic %.0f bytes/s per node, want at most 4000", n, dead, idleBytesPerSecond)
 		}
 		for name, x := range s.nodes {
 			for _, m := range x.table.Members() {
 				if m.Name != "n5" && m.Condition != Alive {
-					t.Fatalf("%s knows %s as %v, and it runs", name, m.Name, m.Condition)
+					t.Fatalf("%s reports the running node %s as %v, want alive", name, m.Name, m.Condition)
 				}
 			}
 		}
--- a/internal/cluster/mtls/mtls_test.go
+++ b/internal/cluster/mtls/mtls_test.go
@@ -34,7 +34,7 @@
 	return k
 }
 
-// handshake connects two ends and returns how it went for each.
+// handshake performs a TLS handshake between two ends and returns the error of each.
 func handshake(server, client *Keys, name string) (serverErr, clientErr error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,7 +71,8 @@
 	return <-done, clientErr
 }
 
-// Who shows which certificate, and whether the handshake succeeds.
+// A handshake succeeds only if the client's certificate is valid, signed by the same authority, and the server's
+// certificate has the expected name.
 func TestHandshakes(t *testing.T) {
 	ours, theirs := authority(t), authority(t)
 	planner := loadKeys(t, ours, "planner", time.Hour)
@@ -88,13 +89,13 @@
 		t.Run(title, func(t *testing.T) {
 			t.Parallel()
 			if serverErr, clientErr := handshake(planner, c.client, c.name); (serverErr == nil && clientErr == nil) != c.ok {
-				t.Errorf("%v, %v", serverErr, clientErr)
+				t.Errorf("server error %v, client error %v", serverErr, clientErr)
 			}
 		})
 	}
 }
 
-// Files that change are read again, and files of no use leave the old keys in force.
+// Changed files are reloaded; invalid files leave the previous keys in effect.
 func TestReload(t *testing.T) {
 	old, next := authority(t), authority(t)
 	dir := t.TempDir()
@@ -107,7 +108,7 @@
 		t.Fatal(err)
 	}
 	node, nodeNext := loadKeys(t, old, "node", time.Hour), loadKeys(t, next, "node", time.Hour)
-	touch := func() { // the files' times are as coarse as the system's clock
+	touch := func() { // sets the times explicitly, because file times may be too coarse to differ
 		later := time.Now().Add(time.Minute)
 		for _, f := range []string{cert, key, ca} {
 			os.Chtimes(f, later, later)
@@ -119,7 +120,7 @@
 	}
 	touch()
 	if serverErr, clientErr := handshake(server, node, "planner"); serverErr != nil || clientErr != nil || server.ReloadError() == nil {
-		t.Errorf("%v, %v, reload error %v", serverErr, clientErr, server.ReloadError())
+		t.Errorf("with an invalid certificate file: server error %v, client error %v, reload error %v", serverErr, clientErr, server.ReloadError())
 	}
 	if _, _, _, err := next.Write(dir, "planner", time.Now().Add(time.Hour)); err != nil {
 		t.Fatal(err)
@@ -128,10 +129,10 @@
 	os.Chtimes(cert, later, later)
 	server.lastCheck = time.Time{}
 	if serverErr, clientErr := handshake(server, nodeNext, "planner"); serverErr != nil || clientErr != nil || server.ReloadError() != nil {
-		t.Errorf("with new keys: %v, %v, reload error %v", serverErr, clientErr, server.ReloadError())
+		t.Errorf("with new keys: server error %v, client error %v, reload error %v", serverErr, clientErr, server.ReloadError())
 	}
 	if serverErr, clientErr := handshake(server, node, "planner"); serverErr == nil && clientErr == nil {
-		t.Error("the old authority is still taken")
+		t.Error("a certificate of the previous authority is still accepted")
 	}
 }
 
@@ -144,12 +145,12 @@
 	os.WriteFile(empty, nil, 0o600)
 	for _, f := range []Files{{}, {cert, key, "/nowhere"}, {key, cert, ca}, {cert, key, empty}} {
 		if _, err := LoadKeys(f); err == nil {
-			t.Errorf("%+v is taken", f)
+			t.Errorf("LoadKeys(%+v) succeeded, want an error", f)
 		}
 	}
 	for address, ok := range map[string]bool{"127.0.0.1:1": true, "[::1]:1": true, "10.0.0.1:1": false, "0.0.0.0:1": false} {
 		if err := CheckLoopback(netip.MustParseAddrPort(address)); (err == nil) != ok {
-			t.Errorf("%s: %v", address, err)
+			t.Errorf("CheckLoopback(%s): got error %v", address, err)
 		}
 	}
 }
--- a/internal/cluster/replicastore/format_test.go
+++ b/internal/cluster/replicastore/format_test.go
@@ -47,7 +47,7 @@
 	defer s.Close()
 	streams, err := s.Streams()
 	if err != nil || !reflect.DeepEqual(streams, []replication.Stream{{Name: "n0", Incarnation: storedRun}, {Name: "n0~n1", Incarnation: storedRun}}) {
-		t.Fatalf("%v, %v", streams, err)
+		t.Fatalf("Streams: got %v, error %v", streams, err)
 	}
 	for of, want := range storedStreams() {
 		t.Run(of.String(), func(t *testing.T) {
@@ -59,16 +59,16 @@
 				}
 				first := records[0]
 				if all.Incarnation != p.Incarnation || p.Incarnation != storedRun || p.First != uint64(first.From) || p.Count != first.Count || p.AtUnixNano != first.AtUnixNano {
-					t.Errorf("%+v, and its records are %+v", p, all)
+					t.Errorf("chunk %+v does not match its decoded records %+v", p, all)
 				}
 				got = append(got, records)
 				return nil
 			})
 			if err != nil || len(report.Unreadable) > 0 || report.Segments != 1 {
-				t.Fatalf("%+v, %v", report, err)
+				t.Fatalf("ReadStream: got report %+v, error %v", report, err)
 			}
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("read as\n%+v, not\n%+v", got, want)
+				t.Errorf("got records\n%+v, want\n%+v", got, want)
 			}
 		})
 	}
@@ -95,7 +95,7 @@
 			t.Fatal(err)
 		}
 		if got, err := os.ReadFile(filepath.Join(dir, folder, storedSegment)); err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%s: written as\n%x, not\n%x; %v", folder, got, want, err)
+			t.Errorf("segment in %s: got\n%x, want\n%x, error %v", folder, got, want, err)
 		}
 	}
 }
--- a/internal/cluster/replicastore/store_test.go
+++ b/internal/cluster/replicastore/store_test.go
@@ -11,7 +11,7 @@
 	"fernvane/internal/testbed/standin/memdisk"
 )
 
-// More comes at once than a slow disk takes: Append blocks, everything is stored in the end, and no gap is recorded.
+// Records are appended faster than a slow disk writes them: Append blocks, all records are stored, and no gap is recorded.
 func TestSlowDisk(t *testing.T) {
 	dir := t.TempDir()
 	slow := memdisk.SlowFiles{Takes: func() time.Duration { return 30 * time.Millisecond }, Full: func() bool { return false }}
@@ -38,14 +38,14 @@
 	}
 	s.Close()
 	if _, err := s.Append(stream, nil); !errors.Is(err, wal.ErrClosed) {
-		t.Errorf("after Close: %v", err)
+		t.Errorf("Append after Close: got error %v, want wal.ErrClosed", err)
 	}
 	var found replication.Ranges
 	if _, err := s.ReadStream(stream, func(c wal.Chunk) error {
 		found = found.With(c.First, c.First+uint64(c.Count))
 		return nil
 	}); err != nil || !found.Contains(1, next) {
-		t.Errorf("%v of %d records are stored, %v", found, next-1, err)
+		t.Errorf("got stored records %v, want all %d, error %v", found, next-1, err)
 	}
 	gaps := 0
 	wal.Scan(wal.OSFileSystem{}, s.StreamDir(stream), time.Time{}, func(r *intent.Record) error {
@@ -55,18 +55,18 @@
 		return nil
 	}, nil)
 	if streams, err := s.Streams(); gaps > 0 || err != nil || len(streams) != 1 || streams[0] != stream {
-		t.Errorf("%d gaps, streams %v, %v", gaps, streams, err)
+		t.Errorf("got %d gaps, want 0; streams %v, error %v", gaps, streams, err)
 	}
 	if err := s.TrimBefore(stream, next); err != nil {
 		t.Fatal(err)
 	}
 	if segments, _ := wal.ListSegments(slow, s.StreamDir(stream)); len(segments) != 1 {
-		t.Errorf("%d segments are left of records that are not needed", len(segments))
+		t.Errorf("got %d segments after TrimBefore, want 1", len(segments))
 	}
 	if err := s.Remove(stream); err != nil {
 		t.Fatal(err)
 	}
 	if streams, _ := s.Streams(); len(streams) != 0 {
-		t.Errorf("streams %v are left", streams)
+		t.Errorf("got streams %v after Remove, want none", streams)
 	}
 }
--- a/internal/cluster/replication/candidate_test.go
+++ b/internal/cluster/replication/candidate_test.go
@@ -13,7 +13,7 @@
 	return all
 }
 
-// Holders are on machines of their own, on as many sites as there are, and one node less moves little.
+// Selected holders are on distinct machines and distinct sites, and removing one node moves few replicas.
 func TestSelectCandidates(t *testing.T) {
 	all := testCandidates(12)
 	moved := 0
@@ -28,7 +28,7 @@
 			sites[c.Site] = true
 		}
 		if len(selected) != 2 || len(machines) != 3 || len(sites) != 3 {
-			t.Fatalf("%v for %v", selected, self)
+			t.Fatalf("selected %v for origin %v, want 2 on other machines and sites", selected, self)
 		}
 		fewer := others[:len(others)-1]
 		for _, c := range selectCandidates(rankCandidates(Stream{Name: name}, fewer), 2, nil, []Candidate{self}) {
@@ -38,6 +38,6 @@
 		}
 	}
 	if moved > 100 {
-		t.Errorf("%d of 400 moved for one node less", moved)
+		t.Errorf("removing one node moved %d of 400 replicas, want at most 100", moved)
 	}
 }
--- a/internal/cluster/replication/origin_test.go
+++ b/internal/cluster/replication/origin_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// simulation is a small cluster in virtual time: one origin, holders that may lose their disks, connections that break.
+// simulation is a small cluster in virtual time with one origin. Holders may lose their disks and connections may break.
 type simulation struct {
 	now         time.Duration
 	candidates  []Candidate
 	origin      *Origin
-	disk        map[string]Ranges // what lasts at each node, by its disk
+	disk        map[string]Ranges // durable records at each node
 	replicas    map[string]*ReplicaTable
 	connected   map[string]bool
 	alive       map[string]bool
@@ -68,7 +68,7 @@
 
 func (s *simulation) send(out []Outgoing) { s.inFlight = append(s.inFlight, out...) }
 
-// disconnect ends the connection with a node: what was on its way is lost.
+// disconnect closes the connection with a node; messages in flight are lost.
 func (s *simulation) disconnect(name string) {
 	if s.connected[name] {
 		delete(s.connected, name)
@@ -78,7 +78,7 @@
 	}
 }
 
-// step lets time pass; connections come up, and what is on its way arrives.
+// step advances the time, opens wanted connections and, with deliver, delivers the messages in flight.
 func (s *simulation) step(d time.Duration, deliver bool) {
 	s.now += d
 	for _, name := range s.origin.WantedConnections() {
@@ -139,7 +139,7 @@
 	s.answers = append(s.answers, answer{from, message})
 }
 
-// holders counts the disks on which a record stands.
+// holders counts the disks on which a record is stored.
 func (s *simulation) holders(n uint64) (count int) {
 	for _, r := range s.disk {
 		if r.Contains(n, n+1) {
@@ -149,8 +149,8 @@
 	return count
 }
 
-// Whatever happens to holders and connections: a committed record is on as many disks as required when it is committed,
-// and when all nodes are back every record is committed.
+// For any sequence of failures of holders and connections, a record is durable on the required number of disks when it is
+// committed, and every record is committed after all nodes have recovered.
 func TestCommittedIsStored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		required := rapid.IntRange(1, 3).Draw(t, "required")
@@ -160,7 +160,7 @@
 		check := func() {
 			for n := before; n < s.origin.Committed(); n++ {
 				if s.holders(n) < required {
-					t.Fatalf("record %d is committed, and on %d disks, not %d", n, s.holders(n), required)
+					t.Fatalf("record %d is committed but stored on %d disks, want %d", n, s.holders(n), required)
 				}
 			}
 			before = s.origin.Committed()
@@ -178,7 +178,7 @@
 				s.step(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms"))*time.Millisecond, true)
 			case 6:
 				s.step(time.Duration(rapid.IntRange(1, 100).Draw(t, "ms"))*time.Millisecond, false)
-			case 7: // it crashes, with its disk or without
+			case 7: // crash, with or without loss of the disk
 				switch rapid.SampledFrom([]string{"disk kept", "disk lost", "an old disk"}).Draw(t, "with") {
 				case "disk lost":
 					delete(s.disk, name)
@@ -216,23 +216,23 @@
 		}
 		for n := uint64(1); n < stored; n++ {
 			if s.holders(n) < required {
-				t.Fatalf("30 s after all nodes are back record %d of %d stands on %d of %d disks: %+v", n, stored-1, s.holders(n), required, s.origin.Holders())
+				t.Fatalf("30 s after all nodes recovered: record %d of %d is stored on %d disks, want %d: %+v", n, stored-1, s.holders(n), required, s.origin.Holders())
 			}
 		}
 		if s.origin.Committed() < stored {
-			t.Fatalf("30 s after all nodes are back %d are committed of %d: %+v", s.origin.Committed(), stored, s.origin.Holders())
+			t.Fatalf("30 s after all nodes recovered: first uncommitted record is %d, want %d: %+v", s.origin.Committed(), stored, s.origin.Holders())
 		}
 	})
 }
 
-// A holder that falls silent delays commits no longer than it takes to notice; it is replaced once.
+// A holder that becomes silent delays commits only until the ack timeout, and is replaced by one holder.
 func TestSilentHolder(t *testing.T) {
 	s := newSimulation(6, 2)
 	for range 20 {
 		s.step(10*time.Millisecond, true)
 	}
 	silent := s.origin.WantedConnections()[0]
-	s.partitioned[silent] = true // unnoticed
+	s.partitioned[silent] = true // the origin is not notified
 	first, out := s.origin.Append(s.now, 1, []byte{1}, true)
 	s.send(out)
 	began := s.now
@@ -240,12 +240,12 @@
 		s.step(5*time.Millisecond, true)
 	}
 	if took := s.now - began; took > 100*time.Millisecond {
-		t.Errorf("a record was committed after %v, with %s silent: %+v", took, silent, s.origin.Holders())
+		t.Errorf("record committed after %v with silent holder %s, want at most 100 ms: %+v", took, silent, s.origin.Holders())
 	}
 	if n := len(s.origin.WantedConnections()); n != 3 {
-		t.Errorf("%d holders", n)
+		t.Errorf("got %d holders, want 3", n)
 	}
 	if stalled := s.origin.StalledFor(s.now); stalled > 0 {
-		t.Errorf("stalled for %v", stalled)
+		t.Errorf("StalledFor: got %v, want 0", stalled)
 	}
 }
--- a/internal/cluster/replication/ranges_test.go
+++ b/internal/cluster/replication/ranges_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// Ranges behave as sets of numbers.
+// Ranges are equivalent to sets of record numbers.
 func TestRanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) (r Ranges, set map[uint64]bool) {
@@ -26,16 +26,16 @@
 		left := a.Without(b)
 		for _, r := range []Ranges{a, b, left} {
 			if !r.isValid() {
-				t.Fatalf("%v is not valid", r)
+				t.Fatalf("ranges %v are not valid", r)
 			}
 		}
 		for x := uint64(1); x < 40; x++ {
 			if a.Contains(x, x+1) != inA[x] || left.Contains(x, x+1) != (inA[x] && !inB[x]) {
-				t.Fatalf("%d of %v without %v: %v", x, a, b, left)
+				t.Fatalf("record %d: %v without %v gives %v", x, a, b, left)
 			}
 		}
 		if a.Count() != uint64(len(inA)) {
-			t.Fatalf("%v has %d records", a, len(inA))
+			t.Fatalf("Count of %v: want %d", a, len(inA))
 		}
 	})
 }
--- a/internal/cluster/replication/replicatable_test.go
+++ b/internal/cluster/replication/replicatable_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Which records are admitted, and why not.
+// Each case is a batch that the table admits, or rejects for a reason.
 func TestAdmitBatch(t *testing.T) {
 	const clock = int64(time.Hour)
 	s := Stream{Name: "a", Incarnation: 5}
@@ -13,14 +13,14 @@
 		prepare func(*ReplicaTable)
 		origin  bool
 		at      int64
-		reason  string // "": they are admitted
-		hasAll  bool   // it has them already, and acknowledges them
+		reason  string // "" if the batch is admitted or acknowledged
+		hasAll  bool   // the records are stored already and are acknowledged again
 	}{
 		"a new stream": {func(*ReplicaTable) {}, true, clock, "", false},
-		"an incarnation before a later one": {func(table *ReplicaTable) {
+		"a superseded incarnation": {func(table *ReplicaTable) {
 			table.SetNodes(0, []Node{{Candidate: Candidate{Name: "a"}, Incarnation: 6, IsLive: true}})
 		}, true, clock, ReasonLaterIncarnation, false},
-		"the same, copied by others": {func(table *ReplicaTable) {
+		"a superseded incarnation, copied by another node": {func(table *ReplicaTable) {
 			table.SetNodes(0, []Node{{Candidate: Candidate{Name: "a"}, Incarnation: 6, IsLive: true}})
 		}, false, clock, "", false},
 		"a later incarnation was offered": {func(table *ReplicaTable) {
@@ -37,13 +37,14 @@
 			c.prepare(table)
 			ok, out := table.AdmitBatch("a", &Batch{Stream: s, First: 10, Count: 2, FromOrigin: c.origin}, c.at, clock)
 			if ok != (c.reason == "" && !c.hasAll) || !ok && out[0].Message.(*Ack).RejectReason != c.reason {
-				t.Errorf("admitted: %v, %+v", ok, out)
+				t.Errorf("got admitted %v with replies %+v", ok, out)
 			}
 		})
 	}
 }
 
-// The incarnation of a stream ends: who offers it to whom, and when each holder begins to copy it.
+// After the incarnation of a stream ends, its holders offer the stream only when the node had time to restart, and start
+// to copy it at staggered times.
 func TestOrphanedStream(t *testing.T) {
 	all := testCandidates(6)
 	for i := range all {
@@ -78,16 +79,16 @@
 		t.Errorf("a live node's stream was offered to %v", to)
 	}
 	if to := offered(newTable(1, false), 2*time.Second); len(to) > 0 {
-		t.Errorf("offered to %v before the node could be back", to)
+		t.Errorf("offered to %v before the node had time to restart", to)
 	}
 	dead := newTable(1, false)
 	if to := offered(dead, 10*time.Second); len(to) < 2 || to["n0"] {
 		t.Errorf("a dead node's stream was offered to %v", to)
 	}
 	if to := offered(newTable(2, true), 10*time.Second); !to["n0"] {
-		t.Errorf("a returned node was not offered its earlier stream: %v", to)
+		t.Errorf("a restarted node was not offered its earlier stream: offered to %v", to)
 	}
-	// Two holders know of each other: one begins at once, the other after it.
+	// Two holders that know each other start at different times.
 	other := NewReplicaTable(all[2], 2, 1<<30, 0)
 	other.SetNodes(0, nodesWith(1, true))
 	other.RecordsStored(s, 1, 10, 1, 1)
@@ -108,6 +109,6 @@
 	}
 	a, b := begins(dead, "n2"), begins(other, "n1")
 	if a == 0 || b == 0 || a-b < time.Second/2 && b-a < time.Second/2 {
-		t.Errorf("the copies begin at %v and %v", a, b)
+		t.Errorf("copies start at %v and %v, want both and at least 0.5 s apart", a, b)
 	}
 }
