--- a/internal/cluster/membership/table_test.go
+++ b/internal/cluster/membership/table_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Something happens to one node of a cluster of 16. 8 s later the others must report it in the expected condition, and as
-// alive again 10 s after all paths are restored.
+// Something happens to one node of a cluster of 16. 8 s later the others must report it in the expected condition, and
+// as alive again 10 s after all paths are restored.
 func TestConditions(t *testing.T) {
 	cutOff := func(in, out bool, isolated ...string) func(*simulation) {
 		return func(s *simulation) {
@@ -83,8 +83,8 @@
 	}
 }
 
-// Stored reports never regress, and the result does not depend on the order of the reports. Only the node itself refutes
-// reports of itself.
+// Stored reports never regress, and the result does not depend on the order of the reports. Only the node itself
+// refutes reports of itself.
 func TestReportsNeverRegress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(Member{Name: "a", Incarnation: 1}), New(Member{Name: "b", Incarnation: 1})
--- a/internal/cluster/peer/clusterstate_test.go
+++ b/internal/cluster/peer/clusterstate_test.go
@@ -7,7 +7,7 @@
 	"fernvane/internal/cluster/replication"
 )
 
-// Which journals survive the loss of nodes: those that a node that is left has complete.
+// A journal survives the loss of nodes if one of the remaining nodes stores it completely.
 func TestSurvivesLoss(t *testing.T) {
 	now, before := replication.Stream{Name: "a", Incarnation: 2}, replication.Stream{Name: "a", Incarnation: 1}
 	stored := func(s replication.Stream, to uint64) replication.StoredReplica {
@@ -22,10 +22,10 @@
 	}{
 		"nothing is lost":                            {nil, nil, nil, nil, true},
 		"another node":                               {nil, nil, nil, []string{"c"}, true},
-		"the holder is left":                         {[]replication.Holder{inSync}, []replication.StoredReplica{stored(now, 9)}, nil, []string{"a"}, true},
+		"its holder remains":                         {[]replication.Holder{inSync}, []replication.StoredReplica{stored(now, 9)}, nil, []string{"a"}, true},
 		"lost with its holder":                       {[]replication.Holder{inSync}, []replication.StoredReplica{stored(now, 9)}, nil, []string{"a", "b"}, false},
-		"a part is left":                             {[]replication.Holder{inSync}, []replication.StoredReplica{stored(now, 9)}, []replication.StoredReplica{stored(now, 3)}, []string{"a", "b"}, false},
-		"the holder lacks some":                      {[]replication.Holder{{Name: "b", State: replication.HolderInSync, MissingRecords: 2}}, nil, nil, []string{"a"}, false},
+		"only a part remains":                        {[]replication.Holder{inSync}, []replication.StoredReplica{stored(now, 9)}, []replication.StoredReplica{stored(now, 3)}, []string{"a", "b"}, false},
+		"the holder lacks records":                   {[]replication.Holder{{Name: "b", State: replication.HolderInSync, MissingRecords: 2}}, nil, nil, []string{"a"}, false},
 		"the holder was only offered it":             {[]replication.Holder{{Name: "b", State: "offered"}}, nil, nil, []string{"a"}, false},
 		"an earlier incarnation, its holder is lost": {nil, []replication.StoredReplica{stored(before, 9)}, []replication.StoredReplica{stored(before, 3)}, []string{"b"}, false},
 		"an earlier incarnation that another has":    {nil, []replication.StoredReplica{stored(before, 9)}, []replication.StoredReplica{stored(before, 9)}, []string{"b"}, true},
@@ -38,7 +38,7 @@
 				of = "unasked"
 			}
 			if got := (&Client{Answered: answered}).SurvivesLoss(of, c.lost); got != c.want {
-				t.Errorf("survives: %v", got)
+				t.Errorf("SurvivesLoss: got %v", got)
 			}
 		})
 	}
--- a/internal/cluster/peer/format_test.go
+++ b/internal/cluster/peer/format_test.go
@@ -15,7 +15,7 @@
 	"fernvane/internal/cluster/replication"
 )
 
-// frameSample is a message with each of its fields set to a value of its own.
+// frameSample is a message whose fields all have distinct values.
 type frameSample struct {
 	name    string
 	kind    framing.Kind
@@ -68,8 +68,8 @@
 	}
 }
 
-// storedFrames are the lines of testdata/frames.txt: the name of a message and its frame in hex, as the build of
-// 7af5c59 wrote it.
+// storedFrames returns the frames of testdata/frames.txt, which commit 7af5c59 wrote. Each line is the name of a
+// message and its frame in hex.
 func storedFrames(t *testing.T) map[string]string {
 	t.Helper()
 	f, err := os.Open("testdata/frames.txt")
@@ -92,38 +92,38 @@
 	want := storedFrames(t)
 	samples := frameSamples()
 	if len(want) != len(samples) || int(kinds) != int(framing.FirstProtocolKind)+len(samples) {
-		t.Fatalf("%d frames are stored, %d messages sampled, of %d kinds", len(want), len(samples), kinds-framing.FirstProtocolKind)
+		t.Fatalf("got %d stored frames and %d samples, want one of each for %d kinds", len(want), len(samples), kinds-framing.FirstProtocolKind)
 	}
 	for _, s := range samples {
 		t.Run(s.name, func(t *testing.T) {
 			got, err := protocol.Append(nil, s.kind, s.message)
 			if err != nil || hex.EncodeToString(got) != want[s.name] {
-				t.Fatalf("written as %x, not %s; %v", got, want[s.name], err)
+				t.Fatalf("Append: got %x, want %s, error %v", got, want[s.name], err)
 			}
 			kind, body, err := protocol.Read(bytes.NewReader(got), nil)
 			if err != nil || kind != s.kind {
-				t.Fatalf("read as kind %d, %v", kind, err)
+				t.Fatalf("Read: got kind %d, error %v", kind, err)
 			}
 			back := reflect.New(reflect.TypeOf(s.message).Elem()).Interface()
 			if err := framing.Decode(body, back); err != nil || !reflect.DeepEqual(back, s.message) {
-				t.Errorf("read as %+v, %v", back, err)
+				t.Errorf("Decode: got %+v, error %v", back, err)
 			}
 		})
 	}
 }
 
-// Messages between nodes are found by their frame's kind, and the other way round; scenarios name some of the kinds.
+// Each message between nodes maps to its frame's kind and back. Scenario files refer to some of the kinds by name.
 func TestFrameKinds(t *testing.T) {
 	named := map[string]byte{"beat": 4, "news": 5, "ask": 6, "tell": 7, "offer": 8, "have": 9, "batch": 10, "ack": 11}
 	for _, s := range frameSamples() {
 		if FrameKindByName(s.name) != named[s.name] {
-			t.Errorf("%s is kind %d for scenarios", s.name, FrameKindByName(s.name))
+			t.Errorf("FrameKindByName(%q): got %d", s.name, FrameKindByName(s.name))
 		}
 		if named[s.name] == 0 && s.name != "list" && s.name != "listAsk" {
-			continue // a command's, or the introduction
+			continue // a command's frame, or the intro
 		}
 		if kindOf(s.message) != s.kind {
-			t.Errorf("%s goes out as kind %d", s.name, kindOf(s.message))
+			t.Errorf("kindOf(%s): got %d", s.name, kindOf(s.message))
 		}
 		frame, err := protocol.Append(nil, s.kind, s.message)
 		if err != nil {
@@ -134,12 +134,12 @@
 			t.Fatal(err)
 		}
 		if back, err := decodeMessage(k, body); err != nil || !reflect.DeepEqual(back, s.message) {
-			t.Errorf("%s comes in as %+v, %v", s.name, back, err)
+			t.Errorf("decodeMessage of %s: got %+v, error %v", s.name, back, err)
 		}
 	}
 }
 
-// The status as `fernvane replicas --json` prints it.
+// The JSON output of `fernvane replicas --json` must not change.
 func TestStatusJSON(t *testing.T) {
 	want, err := os.ReadFile("testdata/status.json")
 	if err != nil {
@@ -147,10 +147,10 @@
 	}
 	got, err := json.Marshal(sampleStatus())
 	if err != nil || string(got) != strings.TrimSpace(string(want)) {
-		t.Errorf("printed as\n%s, not\n%s; %v", got, want, err)
+		t.Errorf("Marshal: got\n%s, want\n%s, error %v", got, want, err)
 	}
 	back := &Status{}
 	if err := json.Unmarshal(want, back); err != nil || !reflect.DeepEqual(back, sampleStatus()) {
-		t.Errorf("read as %+v, %v", back, err)
+		t.Errorf("Unmarshal: got %+v, error %v", back, err)
 	}
 }
--- a/internal/cluster/peer/helpers_test.go
+++ b/internal/cluster/peer/helpers_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testNode is one node of a cluster in this process.
+// testNode is a node of a cluster whose nodes all run in this process.
 type testNode struct {
 	*Node
 	cfg    *Config
@@ -40,13 +40,13 @@
 	return ln.Addr().String()
 }
 
-// start starts a node of a cluster, on the folder of an earlier one or, with "", an empty one.
+// start starts a node in the folder of an earlier one, or in a new folder if dir is "".
 func start(t *testing.T, name, dir string, seeds ...string) *testNode {
 	t.Helper()
 	return startWith(t, name, dir, "", seeds...)
 }
 
-// seed is an address for other nodes to start with; of no node one at which nobody answers.
+// seed returns the node's address as a seed for other nodes. For a nil node it returns an address without a listener.
 func (m *testNode) seed() string {
 	if m == nil {
 		return "127.0.0.1:1"
@@ -54,7 +54,7 @@
 	return m.cfg.Listen
 }
 
-// startWith starts a node that reconciles journals of lost machines by a file of execution records.
+// startWith starts a node that reconciles journals of lost machines from a file of execution records.
 func startWith(t *testing.T, name, dir, file string, seeds ...string) *testNode {
 	t.Helper()
 	if dir == "" {
@@ -108,7 +108,7 @@
 	return m
 }
 
-// crash ends a node without telling the others.
+// crash stops a node without notifying the others.
 func (m *testNode) crash() {
 	if m.cancel != nil {
 		m.cancel()
@@ -122,12 +122,12 @@
 	t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within 30 s: %s", what)
+			t.Fatalf("condition not met within 30 s: %s", what)
 		}
 	}
 }
 
-// commit stores an intent, and returns when it is committed.
+// commit appends an intent and waits until it is committed.
 func (m *testNode) commit(t *testing.T, number uint64) {
 	t.Helper()
 	eventually(t, "an intent is committed", func() bool {
@@ -146,7 +146,7 @@
 	})
 }
 
-// findIDs returns the request ids that the nodes of a cluster have, and whether enough nodes answered.
+// findIDs returns the request IDs that the nodes of a cluster store, and whether enough nodes responded.
 func findIDs(t *testing.T, cfg *Config) (ids map[string]bool, enough bool) {
 	t.Helper()
 	client := Query(context.Background(), cfg, false)
--- a/internal/cluster/peer/message_test.go
+++ b/internal/cluster/peer/message_test.go
@@ -12,8 +12,8 @@
 	"fernvane/internal/journal/wal"
 )
 
-// A byte that a link changes is noticed, whichever it is: without a checksum it could make a node believe that a later
-// incarnation of its own name is known, and stop.
+// A corrupted byte is detected at any position of a frame. Without a checksum it could pretend that a later incarnation
+// of a node's name is known, and the node would stop.
 func TestChangedByte(t *testing.T) {
 	t.Parallel()
 	frame, err := protocol.Append(nil, updateKind, &membership.Update{Members: []membership.Member{{Name: "n1", Incarnation: 1_800_000_000_000_000_000, Address: "127.0.0.1:1"}}})
@@ -24,7 +24,7 @@
 		b := slices.Clone(frame)
 		b[i] ^= 0x10
 		if k, body, err := protocol.Read(strings.NewReader(string(b)), nil); err == nil {
-			t.Errorf("byte %d of kind %d was taken: %x", i, k, body)
+			t.Errorf("frame with corrupted byte %d was accepted as kind %d with body %x", i, k, body)
 		}
 	}
 }
@@ -32,7 +32,7 @@
 func FuzzFrames(f *testing.F) {
 	for _, message := range []any{&membership.Update{Members: []membership.Member{{Name: "a", Incarnation: 1}}}, &replication.Offer{Ranges: replication.Ranges{{From: 1, To: 2}}}, &replication.Inventory{}, &replication.Ack{}, &membership.LivenessReply{}} {
 		b, _ := protocol.Append(nil, kindOf(message), message)
-		f.Add(b[4], b[5:len(b)-4]) // the kind, and the body without its length and checksum
+		f.Add(b[4], b[5:len(b)-4]) // kind and body, without length and checksum
 	}
 	f.Fuzz(func(t *testing.T, k byte, body []byte) {
 		message, err := decodeMessage(framing.Kind(k), body)
--- a/internal/cluster/peer/node_test.go
+++ b/internal/cluster/peer/node_test.go
@@ -20,7 +20,7 @@
 	"fernvane/internal/testbed/standin/certauthority"
 )
 
-// Two machines are lost, then a third; their records are found at the nodes that are left, which restore the copies.
+// Two machines are lost, then a third. The remaining nodes store all records and restore the number of copies.
 func TestMachinesLost(t *testing.T) {
 	t.Parallel()
 	nodes := []*testNode{start(t, "n0", "")}
@@ -52,11 +52,11 @@
 		ids, enough := findIDs(t, node.cfg)
 		for id := range want {
 			if !ids[id] {
-				t.Errorf("%s is not found with %d nodes lost", id, missing)
+				t.Errorf("record %s not found with %d nodes lost", id, missing)
 			}
 		}
 		if enough != (missing <= 2) {
-			t.Errorf("%d nodes are missing: enough is %v", missing, enough)
+			t.Errorf("HasEnoughAnswers with %d nodes lost: got %v", missing, enough)
 		}
 	}
 	checkFound(nodes[0], 0)
@@ -64,24 +64,24 @@
 	nodes[4].crash()
 	checkFound(nodes[0], 2)
 	eventually(t, "their streams are on three machines again", complete(nodes[0], 3, 5))
-	nodes[0].crash() // a third one, when the copies are restored
+	nodes[0].crash() // a third loss, after the copies are restored
 	ids, enough := findIDs(t, nodes[1].cfg)
 	if len(ids) != len(want) || enough {
-		t.Errorf("%d of %d are found at two of five nodes; enough is %v", len(ids), len(want), enough)
+		t.Errorf("at two of five nodes: got %d records, want %d; HasEnoughAnswers: got %v, want false", len(ids), len(want), enough)
 	}
-	// One returns with its disk, another without: the copies are restored, and nothing comes twice.
+	// One node restarts with its disk, another without: the copies are restored, and no record is duplicated.
 	back := start(t, "n3", nodes[3].dir, nodes[1].cfg.Listen)
 	start(t, "n4", "", nodes[1].cfg.Listen)
 	back.commit(t, 9)
 	want["n3-9"] = true
 	eventually(t, "all streams are on three machines in the end", complete(nodes[1], 4, 6))
 	if ids, _ := findIDs(t, nodes[2].cfg); len(ids) != len(want) {
-		t.Errorf("%d of %d are found", len(ids), len(want))
+		t.Errorf("after restarts: got %d records, want %d", len(ids), len(want))
 	}
 }
 
-// Two processes run under one name: the later one goes on, the earlier one is notified. A clock that was set back
-// between two starts changes nothing.
+// If two processes use one name, the earlier one is notified to stop and the later one continues. A node whose clock
+// was set back between two starts still gets a later incarnation.
 func TestTwoProcessesOfOneName(t *testing.T) {
 	t.Parallel()
 	a := start(t, "n0", "")
@@ -90,11 +90,11 @@
 	select {
 	case <-b.Replaced():
 	case <-time.After(20 * time.Second):
-		t.Fatal("the earlier one was not notified")
+		t.Fatal("the earlier process was not notified within 20 s")
 	}
 	select {
 	case <-second.Replaced():
-		t.Error("the later one was notified to stop")
+		t.Error("the later process was notified to stop")
 	default:
 	}
 	second.crash()
@@ -105,11 +105,11 @@
 	a.mu.Unlock()
 	again := start(t, "n1", "", a.cfg.Listen)
 	if incarnation := again.self().Incarnation; incarnation <= later {
-		t.Errorf("it began incarnation %d, behind %d", incarnation, later)
+		t.Errorf("got incarnation %d, want one after %d", incarnation, later)
 	}
 }
 
-// Callers that are no nodes of the cluster are rejected, and nothing is stored.
+// Callers that are not nodes of the cluster are rejected, and nothing is stored for them.
 func TestRejectedCallers(t *testing.T) {
 	t.Parallel()
 	a := start(t, "n0", "")
@@ -139,16 +139,16 @@
 			nc.Write(c.sent)
 			got, err := io.ReadAll(nc)
 			if err != nil && !strings.Contains(err.Error(), "reset") || !strings.Contains(string(got), c.answer) {
-				t.Errorf("%q, %v", got, err)
+				t.Errorf("got response %q, error %v", got, err)
 			}
 		})
 	}
 	if entries, _ := os.ReadDir(a.cfg.ReplicaDir); len(entries) > 0 {
-		t.Errorf("%v is stored", entries)
+		t.Errorf("got stored replicas %v, want none", entries)
 	}
 }
 
-// With keys, only nodes that show a certificate of the authority become members.
+// With TLS keys, only nodes with a certificate of the authority become members.
 func TestOtherAuthority(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -196,7 +196,7 @@
 	b := run(file("b", ours, address(t), fmt.Sprintf("%q", listen)), "b")
 	run(file("c", theirs, address(t), fmt.Sprintf("%q", listen)), "c")
 	eventually(t, "two nodes of one authority know each other", func() bool { return len(a.Status().Members) == 2 && len(b.Status().Members) == 2 })
-	time.Sleep(3 * initialRedialWait) // the third has tried by now; the check holds whenever it has
+	time.Sleep(3 * initialRedialWait) // for the third node to dial; the check is valid whether or not it has
 	if len(a.Status().Members) != 2 {
 		t.Error("a node of another authority became a member")
 	}
--- a/internal/cluster/peer/reconcile_test.go
+++ b/internal/cluster/peer/reconcile_test.go
@@ -12,8 +12,8 @@
 	"fernvane/internal/journal/intent"
 )
 
-// A machine is lost for good: what it left open is reconciled by the servers' execution records, by one node; when that
-// one is lost too, another reconciles what the records have only then, and nothing twice.
+// After the permanent loss of a machine, exactly one node reconciles its open entries from the servers' execution
+// records. If that node is lost too, another reconciles the entries that the records contain only then, and none twice.
 func TestReconcileLostMachine(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "executions.jsonl")
@@ -31,7 +31,7 @@
 	nodes := map[string]*testNode{"n0": startWith(t, "n0", "", file)}
 	for i := 1; i < 6; i++ {
 		name := fmt.Sprint("n", i)
-		nodes[name] = startWith(t, name, "", file, nodes["n0"].cfg.Listen, nodes["n1"].seed())
+		nodes[name] = startWith(t, name, "", file, nodes["n0"].cfg.Listen, nodes["n1"].seed()) // n1 itself gets an unused address
 	}
 	nodes["n0"].commit(t, 0)
 	nodes["n0"].commit(t, 1)
@@ -72,12 +72,12 @@
 		}
 		return s
 	}
-	eventually(t, "what the record has is reconciled", func() bool { return state("n0-0") == intent.HasRun && state("n0-1") == intent.PossiblySent })
-	// A record can be read a moment before the status of its node names it.
-	eventually(t, "a status names the reconciliation", func() bool { return len(reconcilers()) > 0 })
+	eventually(t, "the attempt in the execution record is reconciled", func() bool { return state("n0-0") == intent.HasRun && state("n0-1") == intent.PossiblySent })
+	// A record can be read shortly before the status of its node lists it.
+	eventually(t, "a status lists the reconciliation", func() bool { return len(reconcilers()) > 0 })
 	by := reconcilers()
 	if len(by) != 1 {
-		t.Fatalf("reconciled by %v", by)
+		t.Fatalf("got reconciliations by %v, want one node", by)
 	}
 	var first string
 	for first = range by {
@@ -89,14 +89,14 @@
 	nodes[first].crash()
 	delete(nodes, first)
 	writeRecord("n0-0", "n0-1")
-	eventually(t, "the next node reconciles what is left", func() bool { return state("n0-1") == intent.HasRun })
-	eventually(t, "a status names the second reconciliation", func() bool { return len(reconcilers()) > 1 })
+	eventually(t, "the next node reconciles the remaining attempt", func() bool { return state("n0-1") == intent.HasRun })
+	eventually(t, "a status lists the second reconciliation", func() bool { return len(reconcilers()) > 1 })
 	if by := reconcilers(); len(by) != 2 || by[first] != 1 {
-		t.Errorf("reconciled by %v, at first by %s", by, first)
+		t.Errorf("got reconciliations by %v, want two nodes, one attempt by %s", by, first)
 	}
 	for reconciler, n := range reconcilers() {
 		if n != 1 {
-			t.Errorf("%s has reconciled %d attempts of two, one each", reconciler, n)
+			t.Errorf("%s reconciled %d attempts, want 1", reconciler, n)
 		}
 	}
 }
--- a/internal/cluster/peer/verify_test.go
+++ b/internal/cluster/peer/verify_test.go
@@ -10,8 +10,7 @@
 	"fernvane/internal/journal/wal"
 )
 
-// A replica, or the journal that it is of, is damaged on its disk: verifying finds that out, and the records are
-// restored.
+// Verification detects damage of a replica or of the running journal on disk, and the damaged records are restored.
 func TestVerifyRestoresDamagedRecords(t *testing.T) {
 	t.Parallel()
 	for name, dir := range map[string]func(nodes []*testNode) (*testNode, string){
@@ -36,7 +35,7 @@
 				t.Fatal(segments, err)
 			}
 			text, _ := os.ReadFile(segments[0].Path)
-			for _, i := range []int{len(text) / 3, len(text) / 2} { // between the first and the last
+			for _, i := range []int{len(text) / 3, len(text) / 2} { // between the first and the last record
 				text[i] ^= 0x55
 			}
 			if err := os.WriteFile(segments[0].Path, text, 0o600); err != nil {
@@ -44,7 +43,7 @@
 			}
 			client := Query(context.Background(), nodes[0].cfg, true)
 			if s := client.Answered[node.name]; s == nil || len(s.Damage) == 0 {
-				t.Fatalf("the damage was not found: %+v", client.Answered)
+				t.Fatalf("verification reported no damage: %+v", client.Answered)
 			}
 			eventually(t, "the stream is complete on three machines again", func() bool {
 				complete := 0
--- a/internal/cluster/replicastore/format_test.go
+++ b/internal/cluster/replicastore/format_test.go
@@ -18,8 +18,8 @@
 	storedAt      = 1_800_000_000_000_000_100
 )
 
-// storedStreams are the replicas under testdata, written by the build of 7af5c59: a node's stream in two chunks, and
-// what another node has settled of it.
+// storedStreams returns the records of the replicas under testdata, which commit 7af5c59 wrote: a node's stream in two
+// chunks, and another node's reconciliation of it.
 func storedStreams() map[replication.Stream][][]intent.Record {
 	return map[replication.Stream][][]intent.Record{
 		{Name: "n0", Incarnation: storedRun}: {
--- a/internal/cluster/replicastore/store_test.go
+++ b/internal/cluster/replicastore/store_test.go
@@ -11,7 +11,8 @@
 	"fernvane/internal/testbed/standin/memdisk"
 )
 
-// Records are appended faster than a slow disk writes them: Append blocks, all records are stored, and no gap is recorded.
+// Records are appended faster than a slow disk writes them: Append blocks, all records are stored, and no gap is
+// recorded.
 func TestSlowDisk(t *testing.T) {
 	dir := t.TempDir()
 	slow := memdisk.SlowFiles{Takes: func() time.Duration { return 30 * time.Millisecond }, Full: func() bool { return false }}
--- a/internal/cluster/replication/origin_test.go
+++ b/internal/cluster/replication/origin_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// simulation is a small cluster in virtual time with one origin. Holders may lose their disks and connections may break.
+// simulation is a small cluster in virtual time with one origin. Holders may lose their disks and connections may
+// break.
 type simulation struct {
 	now         time.Duration
 	candidates  []Candidate
@@ -149,8 +150,8 @@
 	return count
 }
 
-// For any sequence of failures of holders and connections, a record is durable on the required number of disks when it is
-// committed, and every record is committed after all nodes have recovered.
+// For any sequence of failures of holders and connections, a record is durable on the required number of disks when it
+// is committed, and every record is committed after all nodes have recovered.
 func TestCommittedIsStored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		required := rapid.IntRange(1, 3).Draw(t, "required")
--- a/internal/cluster/replication/replicatable_test.go
+++ b/internal/cluster/replication/replicatable_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// After the incarnation of a stream ends, its holders offer the stream only when the node had time to restart, and start
-// to copy it at staggered times.
+// After the incarnation of a stream ends, its holders offer the stream only when the node had time to restart, and
+// start to copy it at staggered times.
 func TestOrphanedStream(t *testing.T) {
 	all := testCandidates(6)
 	for i := range all {
