--- a/internal/cluster/peer/format_test.go
+++ b/internal/cluster/peer/format_test.go
@@ -117,7 +117,7 @@
 	named := map[string]byte{"beat": 4, "news": 5, "ask": 6, "tell": 7, "offer": 8, "have": 9, "batch": 10, "ack": 11}
 	for _, s := range frameSamples() {
 		if FrameKindByName(s.name) != named[s.name] {
-			t.Errorf("FrameKindByName(%q): got %d", s.name, FrameKindByName(s.name))
+			t.Errorf("FrameKindByName(%s): got %d", s.name, FrameKindByName(s.name))
 		}
 		if named[s.name] == 0 && s.name != "list" && s.name != "listAsk" {
 			continue // a command's frame, or the intro
--- a/internal/cluster/peer/node.go
+++ b/internal/cluster/peer/node.go
@@ -23,9 +23,9 @@
 	leaveTimeout        = 300 * time.Millisecond // for holders to acknowledge the last records at shutdown
 )
 
-// ErrReplaced means that a later incarnation of this node's name is running, so two processes use one name. This node
+// ErrReplaced means that a later incarnation of this node's name is known, so two processes use one name. This node
 // must stop.
-var ErrReplaced = errors.New("later incarnation of this node's name is running: two processes use one name")
+var ErrReplaced = errors.New("later incarnation of this node's name is known: two processes use one name")
 
 // Node is a running member of a cluster. Its methods may be called from any goroutine.
 type Node struct {
