--- a/internal/cluster/peer/connections.go
+++ b/internal/cluster/peer/connections.go
@@ -32,7 +32,7 @@
 	lastReview      time.Duration
 }
 
-// redial is the last failed attempt to connect to a node.
+// redial is the last attempt to connect to a node since it was last connected.
 type redial struct {
 	at   time.Duration
 	wait time.Duration // until the next attempt
