--- a/internal/cluster/membership/simulation_test.go
+++ b/internal/cluster/membership/simulation_test.go
@@ -129,7 +129,7 @@
 func (s *simulation) send(name string, n *simulatedNode, out []Outgoing) {
 	for _, o := range out {
 		if !n.links[o.To] {
-			if _, ask := o.Message.(*LivenessQuery); ask { // opens a connection for the query
+			if _, isQuery := o.Message.(*LivenessQuery); isQuery { // opens a connection for the query
 				s.dial(name, n, o.To)
 				s.after(5*time.Millisecond, func() {
 					if n.links[o.To] {
--- a/internal/cluster/peer/client.go
+++ b/internal/cluster/peer/client.go
@@ -42,12 +42,12 @@
 		Answered:   map[string]*Status{},
 		Unanswered: map[string]error{},
 	}
-	asked := map[string]bool{}
+	queried := map[string]bool{}
 	for addresses := append(slices.Clone(cfg.Peers), cfg.Advertise); len(addresses) > 0; {
-		c.queryAll(ctx, addresses, asked, verify)
+		c.queryAll(ctx, addresses, queried, verify)
 		addresses = nil
 		for _, m := range c.Members {
-			if m.Condition != membership.Left && !asked[m.Address] {
+			if m.Condition != membership.Left && !queried[m.Address] {
 				addresses = append(addresses, m.Address)
 			}
 		}
@@ -57,15 +57,15 @@
 }
 
 // queryAll queries the addresses that were not queried yet.
-func (c *Client) queryAll(ctx context.Context, addresses []string, asked map[string]bool, verify bool) {
+func (c *Client) queryAll(ctx context.Context, addresses []string, queried map[string]bool, verify bool) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrentQueries)
 	for _, address := range addresses {
-		if asked[address] {
+		if queried[address] {
 			continue
 		}
-		asked[address] = true
+		queried[address] = true
 		wg.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
--- a/internal/cluster/peer/endpointlists.go
+++ b/internal/cluster/peer/endpointlists.go
@@ -28,13 +28,13 @@
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	replies := make(chan []byte, maxListSources)
-	asked := n.requestEndpointLists(replies)
+	queried := n.requestEndpointLists(replies)
 	defer func() {
 		n.mu.Lock()
 		n.lists.replies = nil
 		n.mu.Unlock()
 	}()
-	for range asked {
+	for range queried {
 		select {
 		case text := <-replies:
 			if len(text) > 0 {
@@ -49,17 +49,17 @@
 
 // requestEndpointLists sends the queries, directs the responses to replies and returns the number of queried nodes. It
 // locks mu.
-func (n *Node) requestEndpointLists(replies chan []byte) (asked int) {
+func (n *Node) requestEndpointLists(replies chan []byte) (queried int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lists.replies = replies
 	for _, open := range n.connections.open {
-		if asked < maxListSources {
-			asked++
+		if queried < maxListSources {
+			queried++
 			open[0].queueMessage(&endpointListQuery{})
 		}
 	}
-	return asked
+	return queried
 }
 
 // handleEndpointList passes a response to FetchEndpointLists if it is waiting for one. It locks mu.
--- a/internal/cluster/peer/node_test.go
+++ b/internal/cluster/peer/node_test.go
@@ -120,8 +120,8 @@
 	heartbeat, _ := protocol.Append(slices.Clone(hello), heartbeatKind, membership.Heartbeat{})
 	batch, _ := protocol.Append(slices.Clone(node), batchKind, replication.Batch{Stream: replication.Stream{Name: "../x", Incarnation: 1}, First: 1, Count: 1, Frames: []byte("no chunk")})
 	for name, c := range map[string]struct {
-		sent   []byte
-		answer string
+		sent     []byte
+		response string
 	}{
 		"HTTP":               {[]byte("GET / HTTP/1.1\r\n\r\n"), ""},
 		"another version":    {old, "version 1 is spoken here"},
@@ -138,7 +138,7 @@
 			nc.SetDeadline(time.Now().Add(10 * time.Second))
 			nc.Write(c.sent)
 			got, err := io.ReadAll(nc)
-			if err != nil && !strings.Contains(err.Error(), "reset") || !strings.Contains(string(got), c.answer) {
+			if err != nil && !strings.Contains(err.Error(), "reset") || !strings.Contains(string(got), c.response) {
 				t.Errorf("got response %q, error %v", got, err)
 			}
 		})
--- a/internal/cluster/peer/reconcile.go
+++ b/internal/cluster/peer/reconcile.go
@@ -167,9 +167,9 @@
 // storeReconciledChunk stores records as one chunk. A command can read them from disk shortly before Status lists them.
 func (n *Node) storeReconciledChunk(s replication.Stream, records []intent.Record) error {
 	n.mu.Lock()
-	own := n.replicas.ReconciliationStream(s)
+	reconciliation := n.replicas.ReconciliationStream(s)
 	first := uint64(1)
-	if stored := n.replicas.Ranges(own); len(stored) > 0 {
+	if stored := n.replicas.Ranges(reconciliation); len(stored) > 0 {
 		first = stored[len(stored)-1].To
 	}
 	n.mu.Unlock()
@@ -181,7 +181,7 @@
 		From:        int64(first),
 		Count:       len(records),
 	}
-	commit, err := n.store.Append(own, append([]intent.Record{header}, records...))
+	commit, err := n.store.Append(reconciliation, append([]intent.Record{header}, records...))
 	if err != nil {
 		return err
 	}
@@ -191,6 +191,6 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.replicas.RecordsStored(own, first, first+uint64(len(records)), int64(reconciledBytes*len(records)), now)
+	n.replicas.RecordsStored(reconciliation, first, first+uint64(len(records)), int64(reconciledBytes*len(records)), now)
 	return nil
 }
--- a/internal/cluster/peer/storedreplicas.go
+++ b/internal/cluster/peer/storedreplicas.go
@@ -53,7 +53,7 @@
 		records += n.loadStream(ctx, s)
 	}
 	n.loadOwnJournal(ctx)
-	n.answerEarlyOffers()
+	n.replyToEarlyOffers()
 	n.log.Info().Int("streams", len(streams)).Int("records", records).Dur("took", time.Since(began)).Msg("replicas loaded")
 }
 
@@ -103,8 +103,8 @@
 	n.replicas.RecordsStored(s, c.First, c.First+uint64(c.Count), bytes, c.AtUnixNano)
 }
 
-// answerEarlyOffers marks the replicas as loaded and replies to the offers received before that. It locks mu.
-func (n *Node) answerEarlyOffers() {
+// replyToEarlyOffers marks the replicas as loaded and replies to the offers received before that. It locks mu.
+func (n *Node) replyToEarlyOffers() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.isLoaded = true
--- a/internal/cluster/replication/candidate.go
+++ b/internal/cluster/replication/candidate.go
@@ -47,9 +47,9 @@
 		machines[c.Machine] = true
 		sites[c.Site] = true
 	}
-	selectWhere := func(fits func(Candidate) bool) {
+	selectWhere := func(isEligible func(Candidate) bool) {
 		for _, c := range ranked {
-			if len(selected) < count && c.IsHealthy && !machines[c.Machine] && fits(c) {
+			if len(selected) < count && c.IsHealthy && !machines[c.Machine] && isEligible(c) {
 				machines[c.Machine] = true
 				sites[c.Site] = true
 				selected = append(selected, c)
--- a/internal/cluster/replication/origin_test.go
+++ b/internal/cluster/replication/origin_test.go
@@ -20,10 +20,10 @@
 	alive       map[string]bool
 	partitioned map[string]bool
 	inFlight    []Outgoing // from the origin to holders
-	answers     []answer   // from holders to the origin
+	replies     []reply    // from holders to the origin
 }
 
-type answer struct {
+type reply struct {
 	from    string
 	message any
 }
@@ -74,7 +74,7 @@
 	if s.connected[name] {
 		delete(s.connected, name)
 		s.inFlight = slices.DeleteFunc(s.inFlight, func(o Outgoing) bool { return o.To == name })
-		s.answers = slices.DeleteFunc(s.answers, func(a answer) bool { return a.from == name })
+		s.replies = slices.DeleteFunc(s.replies, func(a reply) bool { return a.from == name })
 		s.send(s.origin.Disconnected(s.now, name))
 	}
 }
@@ -106,23 +106,23 @@
 		switch m := o.Message.(type) {
 		case *Offer:
 			for _, a := range table.HandleOffer(s.now, "n0", m) {
-				s.answer(o.To, a.Message)
+				s.reply(o.To, a.Message)
 			}
 		case *Batch:
 			ok, out := table.AdmitBatch("n0", m, 0, 0)
 			for _, a := range out {
-				s.answer(o.To, a.Message)
+				s.reply(o.To, a.Message)
 			}
 			if ok {
 				s.disk[o.To] = s.disk[o.To].With(m.First, m.First+uint64(m.Count))
 				table.RecordsStored(m.Stream, m.First, m.First+uint64(m.Count), 0, 0)
-				s.answer(o.To, &Ack{Stream: m.Stream, First: m.First, Count: m.Count})
+				s.reply(o.To, &Ack{Stream: m.Stream, First: m.First, Count: m.Count})
 			}
 		}
 	}
-	answers := s.answers
-	s.answers = nil
-	for _, b := range answers {
+	replies := s.replies
+	s.replies = nil
+	for _, b := range replies {
 		s.send(s.origin.HandleMessage(s.now, b.from, b.message))
 	}
 	for _, name := range s.origin.WantedConnections() { // copies from disk
@@ -136,8 +136,8 @@
 	}
 }
 
-func (s *simulation) answer(from string, message any) {
-	s.answers = append(s.answers, answer{from, message})
+func (s *simulation) reply(from string, message any) {
+	s.replies = append(s.replies, reply{from, message})
 }
 
 // holders counts the disks on which a record is stored.
