--- a/internal/cluster/peer/reconcile.go
+++ b/internal/cluster/peer/reconcile.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	reconcileSlack       = 5 * time.Second // an attempt that began so shortly before an execution record ends may still run
+	reconcileSlack       = 5 * time.Second // an attempt that began within it before an execution record ends may still run
 	minReconcileInterval = time.Second
-	reconciledBytes      = 64 // about what one record takes on disk
+	reconciledBytes      = 64 // approximate size of one record on disk
 )
 
-// reconcile decides entries of lost machines by the servers' execution records, where the configuration names any: each
-// stream is reconciled by the one node that is first of its holders, and by the next if that one is lost too. It returns
-// when the context ends.
+// reconcile resolves open entries in the journals of lost machines from the servers' execution records, if any are
+// configured. The first of a stream's desired holders reconciles it, and the next one if the first is lost too. It
+// returns when the context is canceled.
 func (n *Node) reconcile(ctx context.Context) error {
 	if len(n.cfg.ExecutionRecords) == 0 {
 		return nil
 	}
 	ticker := time.NewTicker(max(n.cfg.ReconcileAfter.Std()/4, minReconcileInterval))
 	defer ticker.Stop()
-	closedAt := map[replication.Stream]uint64{} // with how many records reconcileStream left no entry of a stream
+	reconciledCounts := map[replication.Stream]uint64{} // number of records with which a stream had no undecided entry
 	for {
 		select {
 		case <-ctx.Done():
@@ -35,39 +35,41 @@
 		case <-ticker.C:
 		}
 		executions := executionLoader{node: n}
-		for _, s := range n.streamsToReconcile(closedAt) {
-			left, err := n.reconcileStream(s, &executions)
+		for _, s := range n.streamsToReconcile(reconciledCounts) {
+			undecided, err := n.reconcileStream(s, &executions)
 			if err != nil {
 				n.log.Error().Err(err).Stringer("stream", s).Msg("journal not reconciled")
 				continue
 			}
-			if left == 0 {
+			if undecided == 0 {
 				n.mu.Lock()
-				closedAt[s] = n.replicas.Ranges(s).Count()
+				reconciledCounts[s] = n.replicas.Ranges(s).Count()
 				n.mu.Unlock()
 			}
 		}
 	}
 }
 
-// streamsToReconcile locks mu.
-func (n *Node) streamsToReconcile(closedAt map[replication.Stream]uint64) (streams []replication.Stream) {
+// streamsToReconcile returns the streams that this node should reconcile and that have new records since they were last
+// fully reconciled. It locks mu.
+func (n *Node) streamsToReconcile(reconciledCounts map[replication.Stream]uint64) (streams []replication.Stream) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.isLoaded {
 		return nil
 	}
 	for _, s := range n.replicas.Streams() {
-		if n.replicas.ShouldReconcile(n.now(), s, n.cfg.ReconcileAfter.Std()) && closedAt[s] != n.replicas.Ranges(s).Count() {
+		if n.replicas.ShouldReconcile(n.now(), s, n.cfg.ReconcileAfter.Std()) && reconciledCounts[s] != n.replicas.Ranges(s).Count() {
 			streams = append(streams, s)
 		}
 	}
 	return streams
 }
 
-// reconcileStream stores what execution records decide of a stream, and returns how many open entries they decide no
-// attempt of. An entry of which they decide some attempts and leave others open does not count.
-func (n *Node) reconcileStream(s replication.Stream, executions *executionLoader) (left int, err error) {
+// reconcileStream stores reconciliations of a stream's open entries from the execution records. It returns the number
+// of open entries without any decided attempt. An entry with some decided attempts does not count, even if others are
+// open.
+func (n *Node) reconcileStream(s replication.Stream, executions *executionLoader) (undecided int, err error) {
 	open, err := n.openEntries(s)
 	if err != nil {
 		return 0, err
@@ -79,7 +81,7 @@
 	for _, e := range open {
 		reconciled := intent.Reconcile(e, executions.records, int64(reconcileSlack), time.Now().UnixNano())
 		if len(reconciled) == 0 {
-			left++
+			undecided++
 		}
 		records = append(records, reconciled...)
 	}
@@ -87,13 +89,13 @@
 		return 0, err
 	}
 	if len(records) > 0 {
-		n.log.Info().Stringer("stream", s).Int("attempts", len(records)).Int("open", left).Msg("journal of lost machine reconciled")
+		n.log.Info().Stringer("stream", s).Int("attempts", len(records)).Int("open", undecided).Msg("journal of lost machine reconciled")
 	}
-	return left, nil
+	return undecided, nil
 }
 
-// executionLoader reads the execution records once, when the first entry needs them. A source that cannot be read to its
-// end is logged and not used.
+// executionLoader loads the execution records lazily and only once. A source that is not readable to its end is logged
+// and skipped.
 type executionLoader struct {
 	node    *Node
 	records intent.ExecutionRecords
@@ -111,11 +113,11 @@
 	}
 }
 
-// openEntries returns the entries of a stream that may have run, by all that this node has of it and of who reconciled it
-// before.
+// openEntries returns the entries of a stream that may have run, according to all records of the stream and of its
+// reconciliations that this node stores.
 func (n *Node) openEntries(s replication.Stream) (open []*intent.Entry, err error) {
 	merger := intent.NewMerger()
-	for _, dir := range n.foldersOf(s) {
+	for _, dir := range n.streamDirs(s) {
 		report, err := wal.Scan(n.files, dir, time.Time{}, func(r *intent.Record) error {
 			if int64(r.Incarnation) == s.Incarnation {
 				merger.Add(r)
@@ -135,8 +137,8 @@
 	return open, nil
 }
 
-// foldersOf returns the folders that may have records of a stream. It locks mu.
-func (n *Node) foldersOf(s replication.Stream) []string {
+// streamDirs returns the folders that may contain records of a stream or of its reconciliations. It locks mu.
+func (n *Node) streamDirs(s replication.Stream) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	dirs := []string{n.store.StreamDir(s)}
@@ -149,7 +151,8 @@
 	return dirs
 }
 
-// storeReconciled stores records that reconcile a stream, in a stream of their own, which is copied like any other.
+// storeReconciled stores records that reconcile a stream in a separate reconciliation stream, which is replicated like
+// any other.
 func (n *Node) storeReconciled(s replication.Stream, records []intent.Record) error {
 	for len(records) > 0 {
 		count := min(len(records), wal.MaxChunkRecords)
@@ -161,12 +164,12 @@
 	return nil
 }
 
-// storeReconciledChunk stores records as one chunk. A command can read them from disk shortly before Status names them.
+// storeReconciledChunk stores records as one chunk. A command can read them from disk shortly before Status lists them.
 func (n *Node) storeReconciledChunk(s replication.Stream, records []intent.Record) error {
 	n.mu.Lock()
-	own := n.replicas.ReconciliationStream(s)
+	reconciliation := n.replicas.ReconciliationStream(s)
 	first := uint64(1)
-	if stored := n.replicas.Ranges(own); len(stored) > 0 {
+	if stored := n.replicas.Ranges(reconciliation); len(stored) > 0 {
 		first = stored[len(stored)-1].To
 	}
 	n.mu.Unlock()
@@ -178,7 +181,7 @@
 		From:        int64(first),
 		Count:       len(records),
 	}
-	commit, err := n.store.Append(own, append([]intent.Record{header}, records...))
+	commit, err := n.store.Append(reconciliation, append([]intent.Record{header}, records...))
 	if err != nil {
 		return err
 	}
@@ -188,6 +191,6 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.replicas.RecordsStored(own, first, first+uint64(len(records)), int64(reconciledBytes*len(records)), now)
+	n.replicas.RecordsStored(reconciliation, first, first+uint64(len(records)), int64(reconciledBytes*len(records)), now)
 	return nil
 }
--- a/internal/cluster/replication/admission.go
+++ b/internal/cluster/replication/admission.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// HandleOffer answers a node that reports what it has of a stream.
+// HandleOffer processes a node's report of the records that it stores of a stream, and replies with this node's
+// Inventory.
 func (t *ReplicaTable) HandleOffer(now time.Duration, from string, o *Offer) []Outgoing {
 	if o.Name == "" || !o.Ranges.isValid() {
 		return nil
@@ -10,30 +11,31 @@
 	if o.FromOrigin {
 		t.highestIncarnation[o.Name] = max(t.highestIncarnation[o.Name], o.Incarnation)
 	}
-	h := t.streams[o.Stream]
-	if h != nil && !o.FromOrigin {
-		h.otherHolders[from] = true
+	stored := t.streams[o.Stream]
+	if stored != nil && !o.FromOrigin {
+		stored.otherHolders[from] = true
 	}
-	answer := &Inventory{Stream: o.Stream, RejectReason: t.rejectReason(o.Stream, o.FromOrigin)}
-	if h != nil {
-		answer.Ranges = h.ranges
-		if o.FromOrigin && len(o.Ranges) > 0 && answer.RejectReason == "" {
-			h.followOrigin(o.Ranges)
+	inventory := &Inventory{Stream: o.Stream, RejectReason: t.rejectReason(o.Stream, o.FromOrigin)}
+	if stored != nil {
+		inventory.Ranges = stored.ranges
+		if o.FromOrigin && len(o.Ranges) > 0 && inventory.RejectReason == "" {
+			stored.applyOriginRanges(o.Ranges)
 		}
 	}
-	return []Outgoing{{from, answer}}
+	return []Outgoing{{from, inventory}}
 }
 
-// followOrigin drops the records before the origin's first, which it has removed as too old or lost to damage at the start
-// of its journal, and notes those between its first and last that it lacks: it has lost them.
-func (h *storedStream) followOrigin(atOrigin Ranges) {
+// applyOriginRanges drops the records before the origin's first one, which the origin removed after the retention or
+// lost to damage at the start of its journal. Records between its first and last that the origin lacks are recorded as
+// lost.
+func (stored *storedStream) applyOriginRanges(atOrigin Ranges) {
 	first := atOrigin[0].From
 	end := atOrigin[len(atOrigin)-1].To
-	h.ranges = h.ranges.Without(Ranges{{From: 0, To: first}})
-	h.lostByOrigin = Ranges{{From: first, To: end}}.Without(atOrigin)
+	stored.ranges = stored.ranges.Without(Ranges{{From: 0, To: first}})
+	stored.lostByOrigin = Ranges{{From: first, To: end}}.Without(atOrigin)
 }
 
-// rejectReason is why records of a stream are not taken; "" where they are.
+// rejectReason returns why records of a stream are rejected, or "" if they are admitted.
 func (t *ReplicaTable) rejectReason(s Stream, fromOrigin bool) string {
 	_, isKnown := t.streams[s]
 	switch {
@@ -47,8 +49,8 @@
 	return ""
 }
 
-// AdmitBatch reports whether a batch is to be written; if not, out answers its sender. batchUnixNano is the time of the
-// batch's last record.
+// AdmitBatch reports whether a batch is to be written. If not, out contains the reply to its sender. batchUnixNano is
+// the time of the batch's last record.
 func (t *ReplicaTable) AdmitBatch(from string, b *Batch, batchUnixNano, nowUnixNano int64) (ok bool, out []Outgoing) {
 	reason := t.rejectReason(b.Stream, b.FromOrigin)
 	if reason == "" && t.retention > 0 && nowUnixNano-batchUnixNano > int64(t.retention) {
@@ -58,13 +60,13 @@
 		return false, []Outgoing{{from, &Ack{Stream: b.Stream, First: b.First, Count: b.Count, RejectReason: reason}}}
 	}
 	records := b.records()
-	if h := t.streams[b.Stream]; h != nil && h.ranges.Contains(records.From, records.To) {
+	if stored := t.streams[b.Stream]; stored != nil && stored.ranges.Contains(records.From, records.To) {
 		return false, []Outgoing{{from, &Ack{Stream: b.Stream, First: b.First, Count: b.Count}}}
 	}
 	return true, nil
 }
 
-// HandleMessage takes in an Inventory or an Ack of a node; others are ignored.
+// HandleMessage processes an Inventory or an Ack from a node and ignores other messages.
 func (t *ReplicaTable) HandleMessage(now time.Duration, from string, message any) {
 	switch m := message.(type) {
 	case *Inventory:
@@ -74,43 +76,43 @@
 	}
 }
 
-// handleInventory takes in the answer to an offer, or an inventory of a node that has found records damaged.
+// handleInventory processes the reply to an offer, or the inventory of a node that has found damaged records.
 func (t *ReplicaTable) handleInventory(now time.Duration, from string, m *Inventory) {
-	h := t.streams[m.Stream]
-	if h == nil || h.targets[from] == nil || !m.Ranges.isValid() {
+	stored := t.streams[m.Stream]
+	if stored == nil || stored.targets[from] == nil || !m.Ranges.isValid() {
 		return
 	}
-	to := h.targets[from]
-	to.hasAnswered = true
-	to.stored = m.Ranges
-	to.rejectedAt = 0
+	dest := stored.targets[from]
+	dest.hasReplied = true
+	dest.stored = m.Ranges
+	dest.rejectedAt = 0
 	if m.RejectReason != "" {
-		t.noteReject(now, to)
+		t.recordReject(now, dest)
 	}
 	if len(m.Ranges) > 0 {
-		h.otherHolders[from] = true
+		stored.otherHolders[from] = true
 	}
 }
 
 func (t *ReplicaTable) handleAck(now time.Duration, from string, m *Ack) {
-	h := t.streams[m.Stream]
-	if h == nil || m.Count <= 0 {
+	stored := t.streams[m.Stream]
+	if stored == nil || m.Count <= 0 {
 		return
 	}
 	records := m.records()
-	to := h.targets[from]
+	dest := stored.targets[from]
 	switch {
-	case to != nil && m.RejectReason != "":
-		t.noteReject(now, to)
-	case to != nil:
-		to.stored = to.stored.With(records.From, records.To)
-		h.otherHolders[from] = true
-	case from == m.Name: // what the origin had lost is back there
-		h.lostByOrigin = h.lostByOrigin.Without(Ranges{records})
+	case dest != nil && m.RejectReason != "":
+		t.recordReject(now, dest)
+	case dest != nil:
+		dest.stored = dest.stored.With(records.From, records.To)
+		stored.otherHolders[from] = true
+	case from == m.Name: // the origin has stored records again that it had lost
+		stored.lostByOrigin = stored.lostByOrigin.Without(Ranges{records})
 	}
 }
 
-func (t *ReplicaTable) noteReject(now time.Duration, to *target) {
-	to.rejectedAt = max(now, 1) // 0 is never
+func (t *ReplicaTable) recordReject(now time.Duration, dest *target) {
+	dest.rejectedAt = max(now, 1) // 0 means that it has not rejected
 	t.candidatesVersion++
 }
--- a/internal/cluster/replication/candidate.go
+++ b/internal/cluster/replication/candidate.go
@@ -6,16 +6,17 @@
 	"slices"
 )
 
-// Candidate is a node that may hold a replica.
+// Candidate is a node that may be selected as a replica holder.
 type Candidate struct {
 	Name      string
 	Site      string
-	Machine   string // nodes on one machine are lost together
-	IsHealthy bool   // it can be counted on now
+	Machine   string // failure domain: nodes on one machine fail together
+	IsHealthy bool   // may be selected
 }
 
-// rankCandidates orders candidates for a stream by rendezvous hashing, the same at all nodes: one node more or less moves
-// only what it holds itself. A reconciliation is ranked like the stream that it reconciles, to be on the same nodes.
+// rankCandidates orders candidates for a stream by rendezvous hashing. All nodes compute the same order, and adding or
+// removing a node moves only the replicas of that node. A reconciliation stream is ranked like the stream that it
+// reconciles, so both are stored on the same nodes.
 func rankCandidates(stream Stream, candidates []Candidate) []Candidate {
 	type rankedCandidate struct {
 		Candidate
@@ -36,28 +37,28 @@
 	return ranked
 }
 
-// selectCandidates takes count healthy candidates: each on a machine of its own, and on as many sites as there are.
-// Within that it takes those that are preferred first, and then by rank. Machines and sites of those in taken hold the
-// stream already.
-func selectCandidates(ranked []Candidate, count int, preferred map[string]bool, taken []Candidate) (selected []Candidate) {
+// selectCandidates selects up to count healthy candidates on distinct machines and on as many distinct sites as
+// possible. Among candidates that are equal in this respect it selects preferred ones first, then by rank. The
+// candidates in occupied already store the stream, so their machines are excluded and other sites are favored.
+func selectCandidates(ranked []Candidate, count int, preferred map[string]bool, occupied []Candidate) (selected []Candidate) {
 	machines := map[string]bool{}
 	sites := map[string]bool{}
-	for _, c := range taken {
+	for _, c := range occupied {
 		machines[c.Machine] = true
 		sites[c.Site] = true
 	}
-	take := func(fits func(Candidate) bool) {
+	selectWhere := func(isEligible func(Candidate) bool) {
 		for _, c := range ranked {
-			if len(selected) < count && c.IsHealthy && !machines[c.Machine] && fits(c) {
+			if len(selected) < count && c.IsHealthy && !machines[c.Machine] && isEligible(c) {
 				machines[c.Machine] = true
 				sites[c.Site] = true
 				selected = append(selected, c)
 			}
 		}
 	}
-	take(func(c Candidate) bool { return preferred[c.Name] && !sites[c.Site] })
-	take(func(c Candidate) bool { return !sites[c.Site] })
-	take(func(c Candidate) bool { return preferred[c.Name] })
-	take(func(Candidate) bool { return true })
+	selectWhere(func(c Candidate) bool { return preferred[c.Name] && !sites[c.Site] })
+	selectWhere(func(c Candidate) bool { return !sites[c.Site] })
+	selectWhere(func(c Candidate) bool { return preferred[c.Name] })
+	selectWhere(func(Candidate) bool { return true })
 	return selected
 }
--- a/internal/cluster/replication/replicatable.go
+++ b/internal/cluster/replication/replicatable.go
@@ -9,73 +9,73 @@
 
 // Times and bounds of a replica table.
 const (
-	orphanDelay             = 3 * time.Second  // until copies of a lost incarnation's stream are made: it may only be restarting
-	copyStagger             = time.Second      // between the beginnings of holders of one stream, so that one copies, not all
-	incompleteOfferInterval = 10 * time.Second // between offers to a node that lacks some
-	completeOfferInterval   = 10 * time.Minute // between offers to a node that has all
-	rejectRetention         = 10 * time.Second // for which a node that rejected is remembered when it is no longer wanted
+	orphanDelay             = 3 * time.Second  // until an orphaned stream is copied: its node may only be restarting
+	copyStagger             = time.Second      // between the starts of one stream's holders, so that usually only one copies
+	incompleteOfferInterval = 10 * time.Second // between offers to a node that lacks records
+	completeOfferInterval   = 10 * time.Minute // between offers to a node that has all records
+	rejectRetention         = 10 * time.Second // of a target that rejected and is no longer desired
 	maxStreams              = 4096
 )
 
 // notOrphaned is the value of storedStream.orphanedSince while the incarnation is live.
 const notOrphaned = -1
 
-// Node is what is known of a node that may have streams.
+// Node is a cluster member that may be the origin or a holder of streams.
 type Node struct {
 	Candidate
 	Incarnation int64
 	IsLive      bool
 }
 
-// ReplicaTable is what a node holds of other nodes' streams, and of its own earlier incarnations.
+// ReplicaTable tracks the streams that a node stores for other nodes and for its own earlier incarnations.
 type ReplicaTable struct {
 	self               Candidate
-	required           int // how many machines hold a stream, beside the origin's
+	required           int // number of machines that store a stream, in addition to the origin's
 	maxBytes           int64
-	retention          time.Duration // older records are not taken; 0: all are
+	retention          time.Duration // older records are rejected; 0: none are
 	streams            map[Stream]*storedStream
 	storedBytes        int64 // see StoredBytes
 	nodes              map[string]Node
-	highestIncarnation map[string]int64 // of each name that was heard of
-	candidates         []Candidate      // the nodes that are live
-	candidatesVersion  int              // raised by each change of the candidates, and of who rejects
+	highestIncarnation map[string]int64 // of each reported node name
+	candidates         []Candidate      // the live nodes
+	candidatesVersion  int              // incremented when the candidates or the set of rejecting targets change
 	lastTick           time.Duration
 }
 
-// storedStream is a stream as it is held here.
+// storedStream is the state of one stream in the table.
 type storedStream struct {
 	ranges         Ranges
 	verification   verification
-	bytes          int64         // that were taken in
+	bytes          int64         // received, see StoredBytes
 	lastRecordNano int64         // Unix time of the last record
-	orphanedSince  time.Duration // since when its incarnation is gone; notOrphaned: it is live
-	lostByOrigin   Ranges        // records in it that its origin has lost
+	orphanedSince  time.Duration // since when the incarnation is gone; notOrphaned if it is live
+	lostByOrigin   Ranges        // records that the origin has lost
 	otherHolders   map[string]bool
-	targets        map[string]*target // the nodes that should hold it, where its incarnation is gone
+	targets        map[string]*target // desired holders of an orphaned stream, by node name
 
 	// desired is a cache of desiredHolders, valid for one version of the candidates.
 	desired        []Candidate
 	desiredVersion int
 }
 
-// verification is a reading of the stream from disk that is under way.
+// verification is the state of a running re-read of a stream from disk.
 type verification struct {
 	isRunning bool
 	found     Ranges
 }
 
-// target is a node that should hold a stream whose incarnation is gone.
+// target is the state of a desired holder of an orphaned stream.
 type target struct {
-	incarnation int64 // when it was asked; a later one may have lost its disk
+	incarnation int64 // of the node when the offer was sent; a later incarnation may have lost its disk
 	offeredAt   time.Duration
-	hasAnswered bool
+	hasReplied  bool
 	stored      Ranges
-	rejectedAt  time.Duration // 0: it has not rejected
+	rejectedAt  time.Duration // 0 if it has not rejected
 }
 
-// NewReplicaTable returns an empty table. required is how many machines hold each stream beside the origin's. New
-// streams are rejected when StoredBytes reaches nine tenths of maxBytes, all records when it reaches maxBytes. Records
-// older than retention are rejected; with 0 none are.
+// NewReplicaTable returns an empty table. required is the number of machines that store each stream in addition to the
+// origin's. New streams are rejected when StoredBytes reaches nine tenths of maxBytes, all records when it reaches
+// maxBytes. Records older than retention are rejected; with 0 none are.
 func NewReplicaTable(self Candidate, required int, maxBytes int64, retention time.Duration) *ReplicaTable {
 	return &ReplicaTable{
 		self:               self,
@@ -88,72 +88,74 @@
 	}
 }
 
-// RecordsStored is called when records of a stream are durable on this node's disk, and for those that are found there
-// at the start.
+// RecordsStored records that a range of a stream is durable on this node's disk. It is also called for records that are
+// found there at startup.
 func (t *ReplicaTable) RecordsStored(s Stream, from, to uint64, bytes, lastRecordUnixNano int64) {
-	h := t.stream(s)
-	h.ranges = h.ranges.With(from, to)
-	if h.verification.isRunning {
-		h.verification.found = h.verification.found.With(from, to)
+	stored := t.stream(s)
+	stored.ranges = stored.ranges.With(from, to)
+	if stored.verification.isRunning {
+		stored.verification.found = stored.verification.found.With(from, to)
 	}
-	h.bytes += bytes
-	h.lastRecordNano = max(h.lastRecordNano, lastRecordUnixNano)
+	stored.bytes += bytes
+	stored.lastRecordNano = max(stored.lastRecordNano, lastRecordUnixNano)
 	t.storedBytes += bytes
 }
 
 func (t *ReplicaTable) stream(s Stream) *storedStream {
-	h := t.streams[s]
-	if h == nil {
-		h = &storedStream{orphanedSince: notOrphaned, targets: map[string]*target{}, otherHolders: map[string]bool{}}
-		t.streams[s] = h
-		t.updateOrphan(s, h, 0)
+	stored := t.streams[s]
+	if stored == nil {
+		stored = &storedStream{orphanedSince: notOrphaned, targets: map[string]*target{}, otherHolders: map[string]bool{}}
+		t.streams[s] = stored
+		t.updateOrphanState(s, stored, 0)
 	}
-	return h
+	return stored
 }
 
-// StreamRemoved is called when a stream is no longer on this node's disk.
+// StreamRemoved records that a stream is removed from this node's disk.
 func (t *ReplicaTable) StreamRemoved(s Stream) {
-	if h := t.streams[s]; h != nil {
-		t.storedBytes -= h.bytes
+	if stored := t.streams[s]; stored != nil {
+		t.storedBytes -= stored.bytes
 		delete(t.streams, s)
 	}
 }
 
-// BeginVerification is called before a stream is read from disk again. What is stored meanwhile counts to it.
+// BeginVerification starts the verification of a stream that is about to be re-read from disk. Records that are stored
+// until EndVerification count as found.
 func (t *ReplicaTable) BeginVerification(s Stream) {
-	if h := t.streams[s]; h != nil {
-		h.verification = verification{isRunning: true}
+	if stored := t.streams[s]; stored != nil {
+		stored.verification = verification{isRunning: true}
 	}
 }
 
-// EndVerification takes in what was found undamaged. Where that is less than was thought, other holders are notified.
+// EndVerification replaces the ranges of a stream by the records that were found undamaged. If records are lost, it
+// returns Inventory messages that notify the origin and the other holders.
 func (t *ReplicaTable) EndVerification(s Stream, found Ranges) (out []Outgoing) {
-	h := t.streams[s]
-	if h == nil || !h.verification.isRunning {
+	stored := t.streams[s]
+	if stored == nil || !stored.verification.isRunning {
 		return nil
 	}
-	left := h.verification.found
+	left := stored.verification.found
 	for _, r := range found {
 		left = left.With(r.From, r.To)
 	}
-	hasLost := len(h.ranges.Without(left)) > 0
-	h.ranges = left
-	h.verification = verification{}
+	hasLost := len(stored.ranges.Without(left)) > 0
+	stored.ranges = left
+	stored.verification = verification{}
 	if !hasLost {
 		return nil
 	}
-	names := maps.Clone(h.otherHolders)
+	names := maps.Clone(stored.otherHolders)
 	names[s.Name] = true
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		if name != t.self.Name {
-			out = append(out, Outgoing{name, &Inventory{Stream: s, Ranges: h.ranges}})
+			out = append(out, Outgoing{name, &Inventory{Stream: s, Ranges: stored.ranges}})
 		}
 	}
 	return out
 }
 
-// SetNodes is called when the members have changed, with all nodes. This node's own incarnation counts as well: streams
-// of its earlier ones are orphans.
+// SetNodes replaces the known nodes after a membership change. The nodes include this node, so that streams of its
+// earlier incarnations become orphans.
 func (t *ReplicaTable) SetNodes(now time.Duration, nodes []Node) {
 	t.candidates = t.candidates[:0]
 	t.candidatesVersion++
@@ -164,74 +166,74 @@
 			t.candidates = append(t.candidates, n.Candidate)
 		}
 	}
-	for s, h := range t.streams {
-		t.updateOrphan(s, h, now)
+	for s, stored := range t.streams {
+		t.updateOrphanState(s, stored, now)
 	}
 }
 
-// updateOrphan notes whether the incarnation of a stream is gone. Of a node that nobody has named yet nothing is known
-// shortly after the start.
-func (t *ReplicaTable) updateOrphan(s Stream, h *storedStream, now time.Duration) {
+// updateOrphanState records whether the incarnation of a stream is gone. A node that is not among the known nodes
+// counts as gone only orphanDelay after the start, because membership may not have reported it yet.
+func (t *ReplicaTable) updateOrphanState(s Stream, stored *storedStream, now time.Duration) {
 	if s.IsReconciliation() {
-		h.orphanedSince = max(h.orphanedSince, 0)
+		stored.orphanedSince = max(stored.orphanedSince, 0)
 		return
 	}
 	n, isKnown := t.nodes[s.Name]
 	switch isLive := isKnown && n.IsLive && n.Incarnation <= s.Incarnation; {
 	case isLive:
-		h.orphanedSince = notOrphaned
-	case h.orphanedSince < 0 && (isKnown || now > orphanDelay):
-		h.orphanedSince = now
+		stored.orphanedSince = notOrphaned
+	case stored.orphanedSince < 0 && (isKnown || now > orphanDelay):
+		stored.orphanedSince = now
 	}
 }
 
-// isOrphan reports whether the incarnation of the stream is gone.
-func (h *storedStream) isOrphan() bool { return h.orphanedSince >= 0 }
+// isOrphan reports whether the stream's incarnation is gone.
+func (stored *storedStream) isOrphan() bool { return stored.orphanedSince >= 0 }
 
-// isOrphanFor reports whether it has been gone for so long.
-func (h *storedStream) isOrphanFor(now, least time.Duration) bool {
-	return h.isOrphan() && now-h.orphanedSince >= least
+// isOrphanedFor reports whether the stream's incarnation has been gone for at least a duration.
+func (stored *storedStream) isOrphanedFor(now, least time.Duration) bool {
+	return stored.isOrphan() && now-stored.orphanedSince >= least
 }
 
-// Streams returns the streams that are held, in order.
+// Streams returns the stored streams, sorted by name and incarnation.
 func (t *ReplicaTable) Streams() []Stream {
 	return slices.SortedFunc(maps.Keys(t.streams), func(a, b Stream) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 }
 
-// Ranges returns the records of a stream that are held.
+// Ranges returns the stored records of a stream.
 func (t *ReplicaTable) Ranges(s Stream) Ranges {
-	if h := t.streams[s]; h != nil {
-		return h.ranges
+	if stored := t.streams[s]; stored != nil {
+		return stored.ranges
 	}
 	return nil
 }
 
-// FirstRecord is the first record of a stream that is held, 0 for none.
+// FirstRecord returns the number of the first stored record of a stream, 0 for none.
 func (t *ReplicaTable) FirstRecord(s Stream) uint64 {
-	if h := t.streams[s]; h != nil && len(h.ranges) > 0 {
-		return h.ranges[0].From
+	if stored := t.streams[s]; stored != nil && len(stored.ranges) > 0 {
+		return stored.ranges[0].From
 	}
 	return 0
 }
 
-// StoredBytes is how many bytes were taken in for the streams that are held. What was removed of such a stream since, was
-// found damaged or came twice still counts.
+// StoredBytes returns the number of bytes received for all stored streams. It also counts records that were received
+// twice, trimmed since, or found damaged.
 func (t *ReplicaTable) StoredBytes() int64 { return t.storedBytes }
 
-// ExpiredStreams returns the streams whose incarnation is gone and whose last record is older than the retention.
+// ExpiredStreams returns the orphaned streams whose last record is older than the retention.
 func (t *ReplicaTable) ExpiredStreams(nowUnixNano int64) (expired []Stream) {
 	for _, s := range t.Streams() {
-		if h := t.streams[s]; t.retention > 0 && h.isOrphan() && nowUnixNano-h.lastRecordNano > int64(t.retention) {
+		if stored := t.streams[s]; t.retention > 0 && stored.isOrphan() && nowUnixNano-stored.lastRecordNano > int64(t.retention) {
 			expired = append(expired, s)
 		}
 	}
 	return expired
 }
 
-// StoredReplica describes a stream that is held, to commands. It is sent as a CBOR array and printed as JSON by field
-// name, with the fields of Stream in place: the order of the fields and the tags stay.
+// StoredReplica describes a stored stream to commands. It is sent as a CBOR array and printed as JSON by field name,
+// with the fields of Stream inlined, so the order of the fields, their names and their tags must not change.
 type StoredReplica struct {
 	_ struct{} `cbor:",toarray"`
 	Stream
@@ -239,22 +241,22 @@
 	Bytes              int64
 	LastRecordUnixNano int64             `json:"Last"`
 	IsOrphan           bool              `json:"Orphan"`
-	MissingRecords     map[string]uint64 `json:"Lacks"` // that are still to be copied, by node
+	MissingRecords     map[string]uint64 `json:"Lacks"` // number of records that remain to be copied, by node
 }
 
-// StoredReplicas describes all streams that are held.
+// StoredReplicas returns descriptions of all stored streams.
 func (t *ReplicaTable) StoredReplicas() (replicas []StoredReplica) {
 	for _, s := range t.Streams() {
-		h := t.streams[s]
+		stored := t.streams[s]
 		r := StoredReplica{
 			Stream:             s,
-			Ranges:             h.ranges,
-			Bytes:              h.bytes,
-			LastRecordUnixNano: h.lastRecordNano,
-			IsOrphan:           h.isOrphan(),
+			Ranges:             stored.ranges,
+			Bytes:              stored.bytes,
+			LastRecordUnixNano: stored.lastRecordNano,
+			IsOrphan:           stored.isOrphan(),
 			MissingRecords:     map[string]uint64{},
 		}
-		for name := range h.targets {
+		for name := range stored.targets {
 			if n := t.MissingAt(s, name).Count(); n > 0 {
 				r.MissingRecords[name] = n
 			}
