--- a/internal/discovery/endpoints/doc.go
+++ b/internal/discovery/endpoints/doc.go
@@ -1,18 +1,18 @@
-// Package endpoints keeps what a node or planner knows of upstream servers. It is free of I/O and of locks: the caller
-// owns each value and passes the time in.
+// Package endpoints merges the endpoint lists that a node or planner receives about upstream servers. It performs no I/O
+// and takes no locks: the caller owns each value and passes in the current time.
 //
-// A View merges what all sources announce (discovery, a registry, planners, the distribution, a cached list) into one
-// Record per server. Package dispatch holds one under its lock.
+// A View merges the announcements of all sources (discovery, a registry, planners, the distribution, a cached list) into
+// one Record per server. Package dispatch guards its View with a lock.
 //
-// A Set turns the entries of a registry with ephemeral nodes, such as ZooKeeper, into announcements that a View can take
-// over. A registry says less than discovery: an entry that disappears may mean a stopped server, a lost session or a
-// fault of the registry. A Set also uses what attempts show about servers. Its rules:
+// A Set converts the entries of a registry with ephemeral nodes, such as ZooKeeper, into announcements that a View can
+// apply. A registry conveys less than discovery: the removal of an entry may be due to a stopped server, an expired
+// session or a fault of the registry. A Set therefore also evaluates the results of attempts. Its rules:
 //
-//   - An entry that disappears takes its server out of use at once. If it comes back within a few seconds and the server
-//     was alive all along, the server keeps its incarnation, and with it all that is known of it.
-//   - A server that several attempts in a row cannot connect to is suspected: it is out of use until it responds or a
-//     growing time has passed.
-//   - If most entries disappear together, the registry is suspected and not the servers: the last list is retained.
+//   - When an entry is removed, its server is immediately taken out of use. If the entry is added again within a few
+//     seconds and the server was alive throughout, the server keeps its incarnation and therefore its accumulated state.
+//   - A server is suspected after several consecutive failed connection attempts. It is out of use until it responds or
+//     until a timeout, which grows with each suspicion, has expired.
+//   - If most entries are removed together, the registry is suspected instead of the servers, and the last list is retained.
 //
 // Package zookeeper drives a Set.
 package endpoints
--- a/internal/discovery/endpoints/endpoint.go
+++ b/internal/discovery/endpoints/endpoint.go
@@ -7,17 +7,17 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-// Source is who announces endpoints. Its numbers are stored in list snapshots.
+// Source identifies the origin of an announcement. Its numeric values are stored in list snapshots.
 type Source uint8
 
-// The sources. New ones are added at the end, since the numbers are stored.
+// The sources. New sources are added at the end because the numeric values are stored.
 const (
-	SourceConfig       Source = iota // the list in the configuration, of unknown age
-	SourceSnapshot                   // the node's own list snapshot, as far as it is trusted
+	SourceConfig       Source = iota // the list in the configuration, whose age is unknown
+	SourceSnapshot                   // the node's own list snapshot, to the extent that it is trusted
 	SourceDiscovery                  // polled by this node
 	SourceRegistry                   // read by this node
-	SourcePlanners                   // who have polled discovery
-	SourceDistribution               // control processes, or this node's copy of their entries
+	SourcePlanners                   // received from planners, which poll discovery
+	SourceDistribution               // received from control processes, or loaded from this node's copy of their entries
 )
 
 var sourceNames = [...]string{
@@ -29,44 +29,44 @@
 	SourceDistribution: "distribution",
 }
 
-// String returns the source's name in the log.
+// String returns the name of the source as it is logged.
 func (s Source) String() string { return sourceNames[s] }
 
-// Endpoint is what a source announces of one server.
+// Endpoint describes one server as announced by a source.
 type Endpoint struct {
 	ID            string
 	Zone          string
 	MachineKind   string
-	Address       netip.AddrPort // not valid if the source does not say
-	Cell          int            // the failure domain inside the zone
+	Address       netip.AddrPort // invalid if the source omits it
+	Cell          int            // failure domain inside the zone
 	Weight        float64        // capacity relative to other servers
-	StartedUnixMS int64          // 0 if the source does not say
+	StartedUnixMS int64          // 0 if the source omits it
 	Condition     incarnation.Condition
 }
 
-// Record is what a View holds of one server.
+// Record is the state of one server in a View.
 type Record struct {
 	Endpoint
-	Source      Source        // of the last announcement
-	AnnouncedAt time.Duration // the last announcement
-	IsUsable    bool          // may get new requests: announced as up, and not removed or replaced since
-	LeftAt      time.Duration // since when it is not usable; valid only if IsUsable is false
-	IsReplaced  bool          // it was usable until another server came to its address, so it is certainly gone
-	ExecutedAt  time.Duration // when it last answered a request that it had executed
-	HasExecuted bool          // whether it ever did; see Observation.HasExecuted
+	Source        Source        // source of the last announcement
+	AnnouncedAt   time.Duration // time of the last announcement
+	IsUsable      bool          // may receive new requests: announced as up, and not removed or replaced since
+	UnusableSince time.Duration // when the server became unusable; valid only if IsUsable is false
+	IsReplaced    bool          // the server was usable until another server was announced at its address, so it has terminated
+	ExecutedAt    time.Duration // time of its last response to a request that it had executed
+	HasExecuted   bool          // whether ExecutedAt is set; see Observation.HasExecuted
 }
 
-// Update is what an announcement changes.
+// Update lists the changes caused by an announcement.
 type Update struct {
-	Changed   []Record // in the order in which they are to be applied
-	CloseIdle []string // servers whose idle connections are of no use any more, in the order of their IDs
+	Changed   []Record // in the order in which the caller applies them
+	CloseIdle []string // IDs of servers whose idle connections are obsolete, sorted
 }
 
-// Observation is what an attempt shows about a server. Without any of its bools, the request could not be delivered: no
-// connection was made, or a new one broke before the last byte was written.
+// Observation is the result of an attempt as evidence about a server. If none of its flags is set, the request was not
+// delivered: the connection could not be established, or a new connection broke before the last byte was written.
 type Observation struct {
 	Server        string
 	HasResponded  bool
-	HasExecuted   bool // the response is a success, or finds the request itself faulty (4xx but 408 and 429)
-	IsOtherServer bool // the response names another server
+	HasExecuted   bool // the response is a success, or a client error (4xx except 408 and 429)
+	IsOtherServer bool // the response identifies another server
 }
--- a/internal/discovery/endpoints/set.go
+++ b/internal/discovery/endpoints/set.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// flapWindow is for how long an entry that has disappeared may come back as the same incarnation.
+	// flapWindow is the time within which a removed entry may be added again as the same incarnation.
 	flapWindow = 5 * time.Second
-	// maxAliveAge is how long ago a server may have responded at most, when its entry disappeared, to count as alive then.
-	// If its entry was made anew between two lists, it counts from the second list.
+	// maxAliveAge is the maximum age of a server's last response, at the removal of its entry, for the server to be considered
+	// alive at that time. If its entry was recreated between two lists, the age is measured at the second list.
 	maxAliveAge = 1 * time.Second
 
-	// massRemovalWindow is the time within which entries disappear together. The registry is suspected if more than
-	// massRemovalShare of the servers do, and at least minMassRemoval: one or two servers are not protected.
+	// massRemovalWindow is the time within which removals are counted together. The registry is suspected if more than
+	// massRemovalShare of the servers are removed, and at least minMassRemoval: one or two servers are not protected.
 	massRemovalWindow = 2 * time.Second
 	massRemovalShare  = 0.5
 	minMassRemoval    = 3
 
-	// minConnectFailures without a response between them, each within connectFailureWindow of the one before, make a server
-	// suspected.
+	// minConnectFailures is the number of connection failures after which a server is suspected. Each must follow the previous
+	// one within connectFailureWindow, without a response in between.
 	minConnectFailures   = 3
 	connectFailureWindow = 1 * time.Second
-	// initialSuspicion is for how long a server is suspected the first time. It doubles, up to maxSuspicion, each time that
-	// the server is suspected again without a response as a usable one.
+	// initialSuspicion is the duration of the first suspicion of a server. It doubles, up to maxSuspicion, with each further
+	// suspicion, and is reset when the server responds while it is usable.
 	initialSuspicion = 1 * time.Second
 	maxSuspicion     = 8 * time.Second
-	// maxDoublings keeps the doubling from an overflow; maxSuspicion is reached before.
+	// maxDoublings prevents an overflow of the doubling; maxSuspicion is reached earlier.
 	maxDoublings = 10
 )
 
-// RegistryEntry is a server as the registry lists it.
+// RegistryEntry describes a server as listed by the registry.
 type RegistryEntry struct {
 	ID            string
 	Address       string
@@ -43,47 +43,47 @@
 	Cell          int
 	Weight        float64
 	IsDraining    bool
-	OwnerSession  int64 // the session that made the entry
-	CreatedZxid   int64 // when the entry was made, by the registry's transaction count
-	CreatedUnixMS int64 // the same by the registry's clock
-	StartedUnixMS int64 // the process's start as it says itself; 0 if it does not
+	OwnerSession  int64 // session that created the entry
+	CreatedZxid   int64 // transaction ID of the entry's creation
+	CreatedUnixMS int64 // time of the entry's creation by the registry's clock
+	StartedUnixMS int64 // start time that the server process reports; 0 if it reports none
 }
 
-// server is what a Set knows of one server.
+// server is the state of one server in a Set.
 type server struct {
 	state               State
 	stateSince          time.Duration
 	listed              RegistryEntry
-	announced           incarnation.Entry // as it was announced last
+	announced           incarnation.Entry // last announced entry
 	lastResponseAt      time.Duration
 	lastFailureAt       time.Duration
 	consecutiveFailures int
-	suspicionCount      int // since it last responded while usable
+	suspicionCount      int // since the last response while the server was usable
 }
 
-// MassRemoval says whether the registry is suspected to have lost most entries together.
+// MassRemoval reports whether the registry is suspected of having lost most entries together.
 type MassRemoval struct {
 	IsSuspected bool
-	Removed     int // servers that are retained, or missing for at most massRemovalWindow
-	Total       int // servers that are usable, or missing, which lasts for flapWindow
+	Removed     int // number of servers that are retained, or missing for at most massRemovalWindow
+	Total       int // number of servers that are usable or missing; a server is missing for at most flapWindow
 }
 
-// Set follows the servers of one registry. Each method takes the time, applies an input and returns the entries that are
-// to be announced because of it.
+// Set tracks the servers of one registry. Each method that applies an input takes the current time and returns the entries
+// to announce as a result.
 type Set struct {
 	servers     map[string]*server
-	revision    uint64 // of the last announcement
+	revision    uint64 // revision of the last announced entry
 	massRemoval MassRemoval
 
-	// Of the method that is running.
+	// State of the method call in progress.
 	now     time.Duration
 	changed []incarnation.Entry
 }
 
-// NewSet returns a Set that knows no server.
+// NewSet returns an empty Set.
 func NewSet() *Set { return &Set{servers: map[string]*server{}} }
 
-// ApplyList takes over all entries that the registry lists now.
+// ApplyList applies the complete list of the registry.
 func (s *Set) ApplyList(now time.Duration, all []RegistryEntry) []incarnation.Entry {
 	s.begin(now)
 	isListed := make(map[string]bool, len(all))
@@ -92,8 +92,8 @@
 		s.applyEntry(entry)
 	}
 	for _, id := range s.sortedIDs() {
-		if one := s.servers[id]; !isListed[id] && one.state != StateRetained {
-			s.step(one, entryRemoved)
+		if srv := s.servers[id]; !isListed[id] && srv.state != StateRetained {
+			s.step(srv, entryRemoved)
 		}
 	}
 	s.detectMassRemoval(isListed)
@@ -101,57 +101,59 @@
 }
 
 func (s *Set) applyEntry(entry RegistryEntry) {
-	one := s.servers[entry.ID]
-	if one == nil {
-		one = &server{}
-		s.servers[entry.ID] = one
+	srv := s.servers[entry.ID]
+	if srv == nil {
+		srv = &server{}
+		s.servers[entry.ID] = srv
 	}
-	before := one.listed
-	one.listed = entry
+	before := srv.listed
+	srv.listed = entry
 	switch {
 	case entry.IsDraining:
-		s.step(one, drainListed)
-	case one.state != StateAbsent && s.isNewIncarnation(one, before, entry):
-		s.step(one, newIncarnationListed)
+		s.step(srv, drainListed)
+	case srv.state != StateAbsent && s.isNewIncarnation(srv, before, entry):
+		s.step(srv, newIncarnationListed)
 	default:
-		s.step(one, entryListed)
+		s.step(srv, entryListed)
 	}
-	if one.announced.Address != entry.Address && one.state == StatePresent { // an incarnation does not move
-		s.announce(one, announceNewIncarnation)
+	if srv.announced.Address != entry.Address && srv.state == StatePresent { // the address of an incarnation is constant
+		s.announce(srv, announceNewIncarnation)
 	}
 }
 
-// isNewIncarnation reports whether a listed entry is of another incarnation of the server than the entry before:
+// isNewIncarnation reports whether a listed entry belongs to another incarnation of the server than the previous entry:
 //
-//   - If both name the process's start, that decides.
-//   - The same entry, made by the same session and transaction, is of the same incarnation.
-//   - An entry that was made anew is of the same incarnation if the server was alive all along. One that was out of the list
-//     must have come back within flapWindow, have responded at most maxAliveAge before it disappeared, and have had no
-//     failure since. One that was in every list must have responded within maxAliveAge from now, with no failure since.
-func (s *Set) isNewIncarnation(one *server, before, listed RegistryEntry) bool {
+//   - If both entries contain the start time of the process, the start times are compared.
+//   - An entry created by the same session and transaction belongs to the same incarnation.
+//   - A recreated entry belongs to the same incarnation if the server was alive throughout. If the entry was removed from the
+//     list, it must be listed again within flapWindow, and the server must have responded at most maxAliveAge before the
+//     removal, without a connection failure since the removal. If the entry is in every list, the server must have responded
+//     within the last maxAliveAge, without a connection failure since that response.
+func (s *Set) isNewIncarnation(srv *server, before, listed RegistryEntry) bool {
 	if listed.StartedUnixMS != 0 && before.StartedUnixMS != 0 {
 		return listed.StartedUnixMS != before.StartedUnixMS
 	}
 	if listed.OwnerSession == before.OwnerSession && listed.CreatedZxid == before.CreatedZxid {
 		return false
 	}
-	if one.state != StateMissing && one.state != StateRetained { // the entry was made anew between two lists
-		return s.now-one.lastResponseAt > maxAliveAge || one.lastFailureAt > one.lastResponseAt
+	if srv.state != StateMissing && srv.state != StateRetained { // the entry was recreated between two lists
+		return s.now-srv.lastResponseAt > maxAliveAge || srv.lastFailureAt > srv.lastResponseAt
 	}
-	return s.now-one.stateSince > flapWindow ||
-		one.stateSince-one.lastResponseAt > maxAliveAge ||
-		one.lastFailureAt >= one.stateSince
+	return s.now-srv.stateSince > flapWindow ||
+		srv.stateSince-srv.lastResponseAt > maxAliveAge ||
+		srv.lastFailureAt >= srv.stateSince
 }
 
-// detectMassRemoval retains the servers that have disappeared together with most others, but for those with a failure since.
-// It removes the retained ones that are not listed once the registry is not suspected any more. That is so when most servers
-// are listed again, and also when too few are still retained, because attempts could not connect to the others.
+// detectMassRemoval retains the servers that were removed together with most others, except servers with a connection
+// failure since their removal. Once the registry is no longer suspected, it removes the retained servers that are not listed.
+// The suspicion ends when most servers are listed again, or when too few servers are still retained because connections to
+// the others failed.
 func (s *Set) detectMassRemoval(isListed map[string]bool) {
 	removed, total := 0, 0
-	for _, one := range s.servers {
-		switch one.state {
+	for _, srv := range s.servers {
+		switch srv.state {
 		case StateMissing:
-			if s.now-one.stateSince <= massRemovalWindow {
+			if s.now-srv.stateSince <= massRemovalWindow {
 				removed++
 			}
 			total++
@@ -165,101 +167,101 @@
 	isSuspected := removed >= minMassRemoval && float64(removed) > massRemovalShare*float64(total)
 	s.massRemoval = MassRemoval{isSuspected, removed, total}
 	for _, id := range s.sortedIDs() {
-		one := s.servers[id]
+		srv := s.servers[id]
 		switch {
-		case isSuspected && one.state == StateMissing &&
-			s.now-one.stateSince <= massRemovalWindow && one.lastFailureAt < one.stateSince:
-			s.step(one, massRemoved)
-		case !isSuspected && one.state == StateRetained && !isListed[id]:
-			s.step(one, entryRemoved)
+		case isSuspected && srv.state == StateMissing &&
+			s.now-srv.stateSince <= massRemovalWindow && srv.lastFailureAt < srv.stateSince:
+			s.step(srv, massRemoved)
+		case !isSuspected && srv.state == StateRetained && !isListed[id]:
+			s.step(srv, entryRemoved)
 		}
 	}
 }
 
-// MassRemoval returns what the last list says of a mass removal. While one is suspected, the servers that have disappeared
-// are retained.
+// MassRemoval returns whether the last applied list indicates a mass removal. While a mass removal is suspected, the removed
+// servers are retained.
 func (s *Set) MassRemoval() MassRemoval { return s.massRemoval }
 
-// ConnectFailed takes over that an attempt could not connect to a server.
+// ConnectFailed records that an attempt could not connect to a server.
 func (s *Set) ConnectFailed(now time.Duration, id string) []incarnation.Entry {
 	s.begin(now)
-	one := s.servers[id]
-	if one == nil {
+	srv := s.servers[id]
+	if srv == nil {
 		return nil
 	}
-	if now-one.lastFailureAt > connectFailureWindow || one.lastResponseAt > one.lastFailureAt {
-		one.consecutiveFailures = 0
+	if now-srv.lastFailureAt > connectFailureWindow || srv.lastResponseAt > srv.lastFailureAt {
+		srv.consecutiveFailures = 0
 	}
-	one.lastFailureAt = now
-	one.consecutiveFailures++
-	if one.consecutiveFailures >= minConnectFailures {
-		s.step(one, connectFailed)
-		one.consecutiveFailures = 0
+	srv.lastFailureAt = now
+	srv.consecutiveFailures++
+	if srv.consecutiveFailures >= minConnectFailures {
+		s.step(srv, connectFailed)
+		srv.consecutiveFailures = 0
 	}
 	return s.changed
 }
 
-// ResponseReceived takes over that a server has responded to an attempt.
+// ResponseReceived records that a server has responded to an attempt.
 func (s *Set) ResponseReceived(now time.Duration, id string) []incarnation.Entry {
 	s.begin(now)
-	one := s.servers[id]
-	if one == nil {
+	srv := s.servers[id]
+	if srv == nil {
 		return nil
 	}
-	one.lastResponseAt, one.consecutiveFailures = now, 0
-	if one.state == StatePresent {
-		one.suspicionCount = 0
+	srv.lastResponseAt, srv.consecutiveFailures = now, 0
+	if srv.state == StatePresent {
+		srv.suspicionCount = 0
 	}
-	s.step(one, responseReceived)
+	s.step(srv, responseReceived)
 	return s.changed
 }
 
-// Tick applies what the time alone changes. It is called every few tens of milliseconds.
+// Tick applies expired timeouts and discards absent servers. It is called every few tens of milliseconds.
 func (s *Set) Tick(now time.Duration) []incarnation.Entry {
 	s.begin(now)
 	for _, id := range s.sortedIDs() {
-		one := s.servers[id]
-		if timeout, ok := one.timeout(); ok && now-one.stateSince >= timeout {
-			s.step(one, timerExpired)
+		srv := s.servers[id]
+		if timeout, ok := srv.timeout(); ok && now-srv.stateSince >= timeout {
+			s.step(srv, timerExpired)
 		}
-		if one.state == StateAbsent {
+		if srv.state == StateAbsent {
 			delete(s.servers, id)
 		}
 	}
 	return s.changed
 }
 
-// timeout is how long a server stays in its state, if that is limited.
-func (one *server) timeout() (timeout time.Duration, ok bool) {
-	switch one.state {
+// timeout returns how long a server stays in its current state; ok is false if the state has no time limit.
+func (srv *server) timeout() (timeout time.Duration, ok bool) {
+	switch srv.state {
 	case StateMissing:
 		return flapWindow, true
 	case StateSuspected:
-		return min(initialSuspicion<<min(one.suspicionCount-1, maxDoublings), maxSuspicion), true
+		return min(initialSuspicion<<min(srv.suspicionCount-1, maxDoublings), maxSuspicion), true
 	}
 	return 0, false
 }
 
 func (s *Set) begin(now time.Duration) { s.now, s.changed = now, nil }
 
-func (s *Set) step(one *server, in input) {
-	t := transitions[one.state][in]
-	if t.next != one.state {
-		one.state, one.stateSince = t.next, s.now
+func (s *Set) step(srv *server, in input) {
+	t := transitions[srv.state][in]
+	if t.next != srv.state {
+		srv.state, srv.stateSince = t.next, s.now
 		if t.next == StateSuspected {
-			one.suspicionCount++
+			srv.suspicionCount++
 		}
 	}
-	s.announce(one, t.effect)
+	s.announce(srv, t.effect)
 }
 
-// announce adds a server's entry, as an effect changes it, to what the running method returns.
-func (s *Set) announce(one *server, e effect) {
+// announce applies an effect to a server's entry and adds the entry to the result of the method call in progress.
+func (s *Set) announce(srv *server, e effect) {
 	if e == noEffect {
 		return
 	}
 	s.revision++
-	listed, last := &one.listed, &one.announced
+	listed, last := &srv.listed, &srv.announced
 	next := incarnation.Entry{
 		ID:            listed.ID,
 		StartedUnixMS: last.StartedUnixMS,
@@ -274,7 +276,7 @@
 	switch e {
 	case announceNewIncarnation:
 		next.StartedUnixMS, next.Generation = max(cmp.Or(listed.StartedUnixMS, listed.CreatedUnixMS), last.StartedUnixMS), 0
-		if last.ID != "" && next.StartedUnixMS == last.StartedUnixMS { // two starts within a millisecond, or by clocks that differ
+		if last.ID != "" && next.StartedUnixMS == last.StartedUnixMS { // two starts within one millisecond, or clocks that differ
 			next.StartedUnixMS++
 		}
 	case announceReinstated:
@@ -286,7 +288,7 @@
 	case announceGone:
 		next.Condition = incarnation.Gone
 	}
-	one.announced = next
+	srv.announced = next
 	s.changed = append(s.changed, next)
 }
 
@@ -294,8 +296,8 @@
 
 // State returns the state of a server.
 func (s *Set) State(id string) State {
-	if one := s.servers[id]; one != nil {
-		return one.state
+	if srv := s.servers[id]; srv != nil {
+		return srv.state
 	}
 	return StateAbsent
 }
--- a/internal/discovery/endpoints/transitions.go
+++ b/internal/discovery/endpoints/transitions.go
@@ -1,41 +1,41 @@
 package endpoints
 
-// State of a server in a Set.
+// State is the state of a server in a Set.
 type State uint8
 
 // The states of a server.
 const (
-	StateAbsent    State = iota // not known, or gone
+	StateAbsent    State = iota // unknown or gone
 	StatePresent                // listed and usable
-	StateSuspected              // listed, but attempts cannot connect; not usable
+	StateSuspected              // listed, but connection attempts fail; not usable
 	StateDraining               // listed as draining
-	StateMissing                // not listed any more; remembered for flapWindow, not usable
-	StateRetained               // not listed any more, as most others; usable while the registry is suspected
+	StateMissing                // no longer listed; tracked for flapWindow, not usable
+	StateRetained               // removed together with most others; usable while the registry is suspected
 	stateCount
 )
 
-// input is what happens to a server.
+// input is an event that affects a server.
 type input uint8
 
 const (
-	entryListed          input = iota // by the same incarnation
-	newIncarnationListed              // by another incarnation
-	drainListed                       // as draining
+	entryListed          input = iota // listed as the same incarnation
+	newIncarnationListed              // listed as another incarnation
+	drainListed                       // listed as draining
 	entryRemoved
-	massRemoved // together with most others
+	massRemoved // entry removed together with most others
 	connectFailed
 	responseReceived
 	timerExpired
 	inputCount
 )
 
-// effect is what a Set announces when a server changes its state.
+// effect is the announcement that a transition causes.
 type effect uint8
 
 const (
 	noEffect               effect = iota
-	announceNewIncarnation        // up, as a new incarnation
-	announceReinstated            // up, as the incarnation that it had, in a new generation
+	announceNewIncarnation        // up as a new incarnation
+	announceReinstated            // up as the same incarnation, in a new generation
 	announceDraining
 	announceGone
 )
@@ -45,7 +45,7 @@
 	effect effect
 }
 
-// transitions holds what each input does in each state.
+// transitions maps each state and input to the next state and the effect.
 var transitions = [stateCount][inputCount]transition{
 	StateAbsent: {
 		entryListed:          {StatePresent, announceNewIncarnation},
--- a/internal/discovery/endpoints/view.go
+++ b/internal/discovery/endpoints/view.go
@@ -8,21 +8,21 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-// View is the merged endpoint list of one node: the last announcement of each server, from whichever source.
+// View is the merged endpoint list of one node. It contains the last announcement of each server from any source.
 type View struct {
 	records         map[string]*Record
-	byAddress       map[netip.AddrPort][]string // IDs of servers that were last announced there
+	byAddress       map[netip.AddrPort][]string // IDs of the servers whose last announced address is the key
 	lastSource      Source
 	lastAnnouncedAt time.Duration
 	listCount       int
-	recordVisits    int // records walked over by announcements, counted for tests
+	recordVisits    int // number of records that announcements visited, counted for tests
 
-	// IgnoreRemovals keeps a server usable that is announced as gone, or left out, without having drained before, until
-	// Forget is called for it.
+	// IgnoreRemovals keeps a server usable until Forget is called for it, even if the server is announced as gone or omitted
+	// from a full list without having drained before.
 	IgnoreRemovals bool
 }
 
-// addressChange says whether an announcement names another address of a server than the last one, or none.
+// addressChange reports whether an announcement contains a different address of a server than the previous one, or none.
 type addressChange uint8
 
 const (
@@ -35,8 +35,9 @@
 	return &View{records: map[string]*Record{}, byAddress: map[netip.AddrPort][]string{}}
 }
 
-// Apply takes over an announcement. Servers that a full list does not name have left. A new server at the address of a
-// known one replaces that one, even if its own source says so only later: requests sent there would reach the new server.
+// Apply applies an announcement. Servers that a full list omits become unusable. A new server at the address of a known
+// server replaces it, even before the source of the known server announces its end, because requests sent to the address
+// would reach the new server.
 func (v *View) Apply(now time.Duration, source Source, announced []Endpoint, isFullList bool) Update {
 	update := Update{Changed: make([]Record, 0, len(announced))}
 	v.lastSource, v.lastAnnouncedAt = source, now
@@ -45,7 +46,7 @@
 	}
 	touched := make(map[string]addressChange, len(announced))
 	if isFullList {
-		v.removeAll(now, touched)
+		v.markAllUnusable(now, touched)
 	}
 	for _, endpoint := range announced {
 		v.recordVisits++
@@ -63,18 +64,18 @@
 	return update
 }
 
-// removeAll marks all servers as left, before a full list names those that have not.
-func (v *View) removeAll(now time.Duration, touched map[string]addressChange) {
+// markAllUnusable marks all servers as unusable before a full list is applied, which marks the listed servers as usable again.
+func (v *View) markAllUnusable(now time.Duration, touched map[string]addressChange) {
 	for id, record := range v.records {
 		v.recordVisits++
 		touched[id] = addressKept
 		if !v.IgnoreRemovals {
-			record.markLeft(now)
+			record.markUnusable(now)
 		}
 	}
 }
 
-// applyOne takes over what is announced of one server. A server that is announced as gone and was not known is not kept.
+// applyOne applies the announcement of one server. An unknown server that is announced as gone is not stored.
 func (v *View) applyOne(now time.Duration, source Source, endpoint Endpoint, touched map[string]addressChange) Record {
 	record := v.records[endpoint.ID]
 	if record == nil {
@@ -99,14 +100,14 @@
 	case endpoint.Condition == incarnation.Up:
 		record.IsUsable, record.IsReplaced = true, false
 	case endpoint.Condition == incarnation.Draining || !v.IgnoreRemovals:
-		record.markLeft(now)
+		record.markUnusable(now)
 	}
 	return *record
 }
 
-// replaceAt takes the usable servers at an address out of use, since another server has come there, and appends their
-// records, as gone, to changed. Those that had left before, such as draining ones, stay as they are. None of them is known
-// by the address any more, unless it is announced there again.
+// replaceAt marks the usable servers at an address as replaced, because a new server was announced there, and appends their
+// records, with the condition Gone, to changed. Servers that were already unusable, such as draining ones, do not change. All
+// of them are removed from the address index until they are announced at the address again.
 func (v *View) replaceAt(now time.Duration, address netip.AddrPort, changed []Record, touched map[string]addressChange) []Record {
 	ids := v.byAddress[address]
 	delete(v.byAddress, address)
@@ -120,28 +121,28 @@
 		if !record.IsUsable {
 			continue
 		}
-		record.markLeft(now)
+		record.markUnusable(now)
 		record.IsReplaced = true
-		gone := *record
-		gone.Condition = incarnation.Gone
-		changed = append(changed, gone)
+		replaced := *record
+		replaced.Condition = incarnation.Gone
+		changed = append(changed, replaced)
 	}
 	return changed
 }
 
-func (r *Record) markLeft(now time.Duration) {
+func (r *Record) markUnusable(now time.Duration) {
 	if r.IsUsable {
-		r.IsUsable, r.LeftAt = false, now
+		r.IsUsable, r.UnusableSince = false, now
 	}
 }
 
-// HasLeft reports whether a server has not been usable for more than grace, or is not known.
+// HasLeft reports whether a server has been unusable for longer than grace, or is unknown.
 func (v *View) HasLeft(now time.Duration, id string, grace time.Duration) bool {
 	record := v.records[id]
-	return record == nil || !record.IsUsable && now-record.LeftAt > grace
+	return record == nil || !record.IsUsable && now-record.UnusableSince > grace
 }
 
-// Get returns the record of a server.
+// Get returns the record of a server; ok is false if the server is unknown.
 func (v *View) Get(id string) (record Record, ok bool) {
 	if r := v.records[id]; r != nil {
 		return *r, true
@@ -149,7 +150,7 @@
 	return Record{}, false
 }
 
-// All returns all records in the order of their IDs, and a count that grows with every list but empty lists of changes.
+// All returns all records sorted by ID, and the number of applied lists except empty lists of changes.
 func (v *View) All() (all []Record, listCount int) {
 	for _, id := range v.sortedIDs() {
 		all = append(all, *v.records[id])
@@ -162,14 +163,14 @@
 	return v.lastSource, v.lastAnnouncedAt
 }
 
-// MarkExecuted records that a server has answered a request that it had executed.
+// MarkExecuted records that a server has responded to a request that it had executed.
 func (v *View) MarkExecuted(now time.Duration, id string) {
 	if record := v.records[id]; record != nil {
 		record.ExecutedAt, record.HasExecuted = now, true
 	}
 }
 
-// Forget removes a server. The caller has nothing in flight there any more.
+// Forget removes the record of a server. The caller must have no requests in flight to it.
 func (v *View) Forget(id string) {
 	if record := v.records[id]; record != nil {
 		v.removeAddress(id, record.Address)
@@ -177,7 +178,7 @@
 	}
 }
 
-// setAddress has a server be known by an address, which may be the one that it had.
+// setAddress moves a server from one address to another in the address index. The two may be equal.
 func (v *View) setAddress(id string, from, to netip.AddrPort) {
 	if from != to {
 		v.removeAddress(id, from)
--- a/internal/discovery/incarnation/entry.go
+++ b/internal/discovery/incarnation/entry.go
@@ -1,44 +1,46 @@
-// Package incarnation holds what is known of servers in a form that never goes back, however late or often it is heard.
+// Package incarnation represents the state of servers as join-semilattice entries: the state of a server never regresses,
+// even if updates are received late, repeatedly or out of order.
 //
-// An Entry describes one server. Entries of one server are ordered: by its incarnation (its start, and its generation
-// within that start), within one incarnation by condition, Up before Draining before Gone, and then by the revision of
-// their source. The greater entry holds. Join is therefore commutative, associative and idempotent, and everybody who has
-// heard the same entries holds the same, in whatever order planners, control processes and nodes pass them on.
+// An Entry describes one server. The entries of one server are ordered by incarnation (start time, and generation within
+// that start), within one incarnation by condition (Up before Draining before Gone), and then by the revision of their
+// source. The greatest entry is in effect. Join is therefore commutative, associative and idempotent, and all processes
+// that have received the same entries have the same state, regardless of the order in which planners, control processes
+// and nodes forward them.
 //
-// A Table holds one entry per server. Each planner, control process and node has its own, and guards it with a lock of its
-// own. The package is free of I/O.
+// A Table contains one entry per server. Each planner, control process and node has its own Table and guards it with its
+// own lock. The package performs no I/O.
 package incarnation
 
 import "cmp"
 
-// Condition of a server; within one incarnation it only grows. Its numbers are stored and sent.
+// Condition is the condition of a server. Within one incarnation it only increases. Its numeric values are stored and sent.
 type Condition uint8
 
 // The conditions of a server.
 const (
-	Up       Condition = iota // serves
-	Draining                  // finishes its requests and gets no new ones
-	Gone                      // has stopped
+	Up       Condition = iota // accepts new requests
+	Draining                  // completes its requests and receives no new ones
+	Gone                      // has terminated
 )
 
-// Entry is what is known of one server. It is stored and sent as a CBOR array, so the order of its fields stays as it is.
-// Entries are compared by their fields from StartedUnixMS to Revision, then by the others.
+// Entry is the state of one server. It is stored and sent as a CBOR array, so the order of its fields must not change.
+// Entries are compared by the fields from StartedUnixMS to Revision, then by the remaining fields.
 type Entry struct {
 	_ struct{} `cbor:",toarray"`
 
 	ID            string
-	StartedUnixMS int64     // 0 if it is not known
-	Generation    uint32    // how often the server was reinstated since its start, as when a drain is canceled
-	Condition     Condition // within the incarnation, which is StartedUnixMS and Generation
-	Revision      uint64    // of the source that announced this
+	StartedUnixMS int64     // 0 if unknown
+	Generation    uint32    // how often the server was reinstated since its start, for example after a canceled drain
+	Condition     Condition // condition of the incarnation, which StartedUnixMS and Generation identify
+	Revision      uint64    // revision of the source that announced the entry
 	Address       string    // host:port
 	Zone          string
 	MachineKind   string
-	Cell          int // the failure domain inside the zone
+	Cell          int // failure domain inside the zone
 	Weight        float64
 }
 
-// Compare orders two entries of one server, as cmp.Compare does.
+// Compare compares two entries of one server. Its result has the meaning of that of cmp.Compare.
 func Compare(a, b Entry) int {
 	return cmp.Or(
 		cmp.Compare(a.StartedUnixMS, b.StartedUnixMS),
--- a/internal/discovery/incarnation/table.go
+++ b/internal/discovery/incarnation/table.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// tombstoneRetention is how long a server that has gone is remembered. A planner that was away for longer starts anew.
+	// tombstoneRetention is how long the entry of a gone server is stored. A planner that was disconnected for longer starts
+	// with an empty table.
 	tombstoneRetention = 10 * time.Minute
-	// maxEntries limits a table, whatever a peer sends. Entries of further servers are ignored: they are neither returned as
-	// changed nor logged. A list snapshot has a limit of its own.
+	// maxEntries limits the size of a table, regardless of what peers send. Entries of further servers are ignored: they are
+	// neither returned as changed nor logged. List snapshots have a separate limit.
 	maxEntries = 8192
 )
 
-// Table holds the entries of all servers that one process knows.
+// Table contains the entries of all servers known to one process.
 type Table struct {
 	entries   map[string]Entry
 	goneSince map[string]time.Duration
@@ -24,17 +25,17 @@
 	return &Table{entries: map[string]Entry{}, goneSince: map[string]time.Duration{}}
 }
 
-// Get returns the entry of a server.
+// Get returns the entry of a server; ok is false if the server is unknown.
 func (t *Table) Get(id string) (entry Entry, ok bool) {
 	entry, ok = t.entries[id]
 	return entry, ok
 }
 
-// Len returns the number of entries, including those of servers that have gone.
+// Len returns the number of entries, including tombstones of gone servers.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Join takes over entries that another process holds, and returns those that were greater than the table's own, in the
-// order given.
+// Join merges entries received from another process and returns, in the given order, those that were greater than the
+// entries of the table.
 func (t *Table) Join(now time.Duration, entries []Entry) (changed []Entry) {
 	for _, entry := range entries {
 		own, isKnown := t.entries[entry.ID]
@@ -53,29 +54,30 @@
 	return changed
 }
 
-// ApplyDiscovery takes over entries that discovery announces, with revisions of discovery, and returns those that changed
-// the table. Within one start, discovery can reinstate a server that was draining or gone only at a later revision than
-// that of its entry; this begins a new generation. Older announcements, as from a replica of discovery that lags, change
-// nothing. Servers that a full list does not name have gone, if the list is not older than their entries.
+// ApplyDiscovery applies entries announced by discovery, with its revisions, and returns the entries that changed the
+// table. Within one start, discovery can reinstate a draining or gone server only at a later revision than that of the
+// server's entry; this begins a new generation. Older announcements, for example from a lagging replica of discovery, have
+// no effect. Servers that a full list omits become Gone, unless the list is older than their entries.
 func (t *Table) ApplyDiscovery(now time.Duration, list []Entry, isFullList bool) (changed []Entry) {
 	revision := uint64(0)
-	isNamed := make(map[string]bool, len(list))
+	isListed := make(map[string]bool, len(list))
 	var announced []Entry
 	for _, entry := range list {
-		isNamed[entry.ID], revision = true, max(revision, entry.Revision)
-		if entry, ok := t.withinIncarnation(entry); ok {
+		isListed[entry.ID], revision = true, max(revision, entry.Revision)
+		if entry, ok := t.assignIncarnation(entry); ok {
 			announced = append(announced, entry)
 		}
 	}
 	if isFullList {
-		announced = t.appendUnnamed(announced, isNamed, revision)
+		announced = t.appendOmitted(announced, isListed, revision)
 	}
 	return t.Join(now, announced)
 }
 
-// withinIncarnation completes an announced entry that names no later start than the table's entry: it is about the same
-// incarnation, or reinstates the server. ok is false if the announcement is too old to do so.
-func (t *Table) withinIncarnation(announced Entry) (entry Entry, ok bool) {
+// assignIncarnation assigns an announced entry to an incarnation. If its start is not later than that of the table's entry,
+// the announcement concerns the same incarnation or reinstates the server in a new generation. ok is false if the
+// announcement is too old to reinstate the server.
+func (t *Table) assignIncarnation(announced Entry) (entry Entry, ok bool) {
 	own, isKnown := t.entries[announced.ID]
 	if !isKnown || announced.StartedUnixMS > own.StartedUnixMS {
 		return announced, true
@@ -90,11 +92,11 @@
 	return announced, true
 }
 
-// appendUnnamed appends, as gone, the servers that a full list of that revision does not name.
-func (t *Table) appendUnnamed(announced []Entry, isNamed map[string]bool, revision uint64) []Entry {
+// appendOmitted appends a Gone entry for each server that a full list of the given revision omits.
+func (t *Table) appendOmitted(announced []Entry, isListed map[string]bool, revision uint64) []Entry {
 	for _, id := range t.sortedIDs() {
 		entry := t.entries[id]
-		if !isNamed[id] && entry.Condition != Gone && entry.Revision <= revision {
+		if !isListed[id] && entry.Condition != Gone && entry.Revision <= revision {
 			entry.Condition, entry.Revision = Gone, revision
 			announced = append(announced, entry)
 		}
@@ -102,7 +104,7 @@
 	return announced
 }
 
-// NewerThan returns at most limit entries in which the table is ahead of what another process holds.
+// NewerThan returns at most limit entries of the table that are greater than the entries of another process.
 func (t *Table) NewerThan(other map[string]Entry, limit int) (newer []Entry) {
 	for _, id := range t.sortedIDs() {
 		own := t.entries[id]
@@ -118,7 +120,7 @@
 	return newer
 }
 
-// All returns the entries in the order of their IDs.
+// All returns the entries sorted by ID.
 func (t *Table) All() []Entry {
 	all := make([]Entry, 0, len(t.entries))
 	for _, id := range t.sortedIDs() {
@@ -127,7 +129,7 @@
 	return all
 }
 
-// ExpireTombstones removes servers that have been gone for longer than tombstoneRetention.
+// ExpireTombstones removes the entries of servers that have been gone for longer than tombstoneRetention.
 func (t *Table) ExpireTombstones(now time.Duration) {
 	for id, since := range t.goneSince {
 		if now-since > tombstoneRetention {
