--- a/internal/discovery/snapshot/config.go
+++ b/internal/discovery/snapshot/config.go
@@ -7,16 +7,16 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// Config is the operator's file of the list snapshots.
+// Config is the operator's configuration file for list snapshots.
 type Config struct {
 	Dir            string            `toml:"dir"`
-	Deployment     string            `toml:"deployment"` // a list of another deployment is not used
-	WriteInterval  tomlfile.Duration `toml:"every"`      // the least time between two generations
+	Deployment     string            `toml:"deployment"` // a list written for another deployment is not used
+	WriteInterval  tomlfile.Duration `toml:"every"`      // minimum time between two generations
 	MaxGenerations int               `toml:"keep"`
-	MaxAge         tomlfile.Duration `toml:"oldest"` // a list that was confirmed longer ago is not used
+	MaxAge         tomlfile.Duration `toml:"oldest"` // a list whose last confirmation is older is not used
 }
 
-// Load reads the file. The error names each fault by file and line.
+// Load reads and validates the file. The error lists each invalid setting with file and line.
 func Load(path string) (*Config, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
@@ -35,16 +35,16 @@
 		f.Wrong("dir", "dir %q is not an existing directory", c.Dir)
 	}
 	if c.Deployment == "" {
-		f.Wrong("deployment", "deployment is not named: a list of another one must not be taken for this one's")
+		f.Wrong("deployment", "deployment is empty: the name prevents the use of a list that was written for another deployment")
 	}
 	if c.WriteInterval.Std() < 100*time.Millisecond || c.WriteInterval.Std() > time.Hour {
-		f.Wrong("every", "every %s: from 100ms to 1h", c.WriteInterval.Std())
+		f.Wrong("every", "every %s is out of range: want 100ms to 1h", c.WriteInterval.Std())
 	}
 	if c.MaxGenerations < 2 || c.MaxGenerations > 100 {
-		f.Wrong("keep", "keep %d: from 2 to 100 generations, so that one that is spoilt leaves another", c.MaxGenerations)
+		f.Wrong("keep", "keep %d is out of range: want 2 to 100 generations, so that another remains if one is corrupt", c.MaxGenerations)
 	}
 	if c.MaxAge.Std() < time.Minute {
-		f.Wrong("oldest", "oldest %s: a minute at least", c.MaxAge.Std())
+		f.Wrong("oldest", "oldest %s is too short: want at least 1m", c.MaxAge.Std())
 	}
 	return c, f.Err()
 }
--- a/internal/discovery/snapshot/format.go
+++ b/internal/discovery/snapshot/format.go
@@ -12,24 +12,24 @@
 const (
 	magic        = "FVLIST"
 	version      = 1
-	headerBytes  = len(magic) + 2 + 4 + 4 // magic, version, length of the body, checksum
+	headerBytes  = len(magic) + 2 + 4 + 4 // magic bytes, version, body length, checksum
 	maxBodyBytes = 16 << 20
-	maxServers   = 10_000 // incarnation.Table has a limit of its own
+	maxServers   = 10_000 // incarnation.Table has a separate limit
 )
 
-// Reasons why Decode does not accept a file.
+// Errors that Decode returns for a rejected file.
 var (
-	// ErrCorrupt says that the file is incomplete, damaged or no list snapshot.
+	// ErrCorrupt reports that the file is truncated, damaged or not a list snapshot.
 	ErrCorrupt = errors.New("incomplete or damaged")
-	// ErrNewerVersion says that a newer version of this program wrote the file.
+	// ErrNewerVersion reports that a newer version of this program wrote the file.
 	ErrNewerVersion = errors.New("written by a newer version")
 )
 
-// Encode returns the file that holds a snapshot. It fails for more than maxServers servers, but does not check maxBodyBytes,
-// beyond which Decode does not accept the file.
+// Encode returns the file contents for a snapshot. It returns an error for more than maxServers servers, but does not check
+// maxBodyBytes, above which Decode rejects the file.
 func Encode(s *Snapshot) ([]byte, error) {
 	if len(s.Servers) > maxServers {
-		return nil, fmt.Errorf("%d servers: %d at most", len(s.Servers), maxServers)
+		return nil, fmt.Errorf("encode snapshot: %d servers exceed the limit of %d", len(s.Servers), maxServers)
 	}
 	body, err := cbor.Marshal(s)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return append(b, body...), nil
 }
 
-// Decode returns the snapshot that a file holds, or an error that is ErrCorrupt or ErrNewerVersion.
+// Decode returns the snapshot encoded in a file, or an error that matches ErrCorrupt or ErrNewerVersion.
 func Decode(b []byte) (*Snapshot, error) {
 	if len(b) < headerBytes || string(b[:len(magic)]) != magic {
 		return nil, ErrCorrupt
@@ -58,17 +58,17 @@
 	if err := decodeMode.Unmarshal(b[headerBytes:], s); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
-	isNamed := make(map[string]bool, len(s.Servers))
+	isSeen := make(map[string]bool, len(s.Servers))
 	for _, server := range s.Servers {
-		if server.ID == "" || isNamed[server.ID] {
-			return nil, fmt.Errorf("%w: server %.40q is named twice, or not at all", ErrCorrupt, server.ID)
+		if server.ID == "" || isSeen[server.ID] {
+			return nil, fmt.Errorf("%w: server ID %.40q is empty or duplicate", ErrCorrupt, server.ID)
 		}
-		isNamed[server.ID] = true
+		isSeen[server.ID] = true
 	}
 	return s, nil
 }
 
-// isIntact reports whether the length and the checksum of a file with a complete header are right.
+// isIntact reports whether the length and the checksum of a file with a complete header are correct.
 func isIntact(b []byte) bool {
 	header, body := b[:headerBytes-4], b[headerBytes:]
 	length := binary.LittleEndian.Uint32(header[len(header)-4:])
@@ -78,15 +78,15 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// checksum is over the header before the checksum itself, and the body.
+// checksum returns the checksum of the body and of the header fields before the checksum.
 func checksum(header, body []byte) uint32 {
 	return crc32.Update(crc32.Update(0, castagnoli, header), castagnoli, body)
 }
 
 var decodeMode = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: maxServers, MaxNestedLevels: 4, MaxMapPairs: 16}.DecMode()
+	mode, err := cbor.DecOptions{MaxArrayElements: maxServers, MaxNestedLevels: 4, MaxMapPairs: 16}.DecMode()
 	if err != nil {
 		panic(err) // the options are constant
 	}
-	return m
+	return mode
 }()
--- a/internal/discovery/snapshot/snapshot.go
+++ b/internal/discovery/snapshot/snapshot.go
@@ -1,15 +1,15 @@
 package snapshot
 
-// Snapshot is an endpoint list with what is known of its age. Times are Unix time in ms by the node's clock.
+// Snapshot is an endpoint list with the times that determine its age. Times are Unix times in ms by the node's clock.
 type Snapshot struct {
 	_ struct{} `cbor:",toarray"`
 
-	Node            string // the node that wrote it
+	Node            string // name of the node that wrote the snapshot
 	Deployment      string
 	WrittenUnixMS   int64
-	ConfirmedUnixMS int64  // when a source last announced endpoints, or that nothing has changed
-	IsCleanShutdown bool   // written as the node stopped in good order
-	Revision        uint64 // of the source, to continue from
+	ConfirmedUnixMS int64  // when a source last announced endpoints or confirmed that the list is unchanged
+	IsCleanShutdown bool   // written during a graceful shutdown
+	Revision        uint64 // revision of the source, from which a watch continues
 	Servers         []Server
 }
 
@@ -18,7 +18,7 @@
 	_ struct{} `cbor:",toarray"`
 
 	ID              string
-	StartedUnixMS   int64 // 0 if it is not known
+	StartedUnixMS   int64 // 0 if unknown
 	Condition       uint8 // an incarnation.Condition
 	Address         string
 	Zone            string
@@ -27,5 +27,5 @@
 	Weight          float64
 	Source          uint8 // an endpoints.Source
 	AnnouncedUnixMS int64
-	ExecutedUnixMS  int64 // when it last answered this node's request that it had executed; 0 if it never did
+	ExecutedUnixMS  int64 // time of the last response to a request of this node that the server had executed; 0 if none
 }
--- a/internal/discovery/snapshot/store.go
+++ b/internal/discovery/snapshot/store.go
@@ -12,14 +12,14 @@
 	"fernvane/internal/journal/wal"
 )
 
-// Names of files: list-000000000001.snap, with .new appended while it is written.
+// File names have the form list-000000000001.snap, with .new appended while the file is being written.
 const (
 	filePrefix    = "list-"
 	fileSuffix    = ".snap"
 	partialSuffix = ".new"
 )
 
-// Store is a folder with generations.
+// Store is a folder of generations.
 type Store struct {
 	dir            string
 	files          wal.FileSystem
@@ -29,13 +29,13 @@
 
 // Generation is one file of a Store.
 type Generation struct {
-	Number   uint64 // grows with each generation
+	Number   uint64 // increases with each generation
 	Path     string
 	Snapshot *Snapshot // nil if Err is set
-	Err      error     // why the file cannot be used
+	Err      error     // why the file is unusable
 }
 
-// Open returns the Store of a folder that exists. It keeps at most maxGenerations.
+// Open returns the Store of an existing folder. The Store retains at most maxGenerations.
 func Open(dir string, maxGenerations int, files wal.FileSystem) (*Store, error) {
 	s := &Store{dir: dir, files: files, maxGenerations: max(maxGenerations, 1), nextNumber: 1}
 	numbers, err := s.numbers()
@@ -48,9 +48,9 @@
 	return s, nil
 }
 
-// Write stores the next generation and removes the oldest ones. A file is synced before it gets its name, and has its name
-// before older ones are removed, so wherever that is interrupted, the newest complete generation is this one or the one
-// before.
+// Write stores the next generation and removes the oldest ones. A file is synced before it is renamed to its final name, and
+// renamed before older files are removed. If Write is interrupted at any point, the newest complete generation is therefore
+// this one or the previous one.
 func (s *Store) Write(snapshot *Snapshot) error {
 	b, err := Encode(snapshot)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return s.Prune(s.maxGenerations)
 }
 
-// writeFile writes and syncs a file under another name, and renames it.
+// writeFile writes and syncs a file under a temporary name, then renames it to its final name.
 func (s *Store) writeFile(path string, b []byte) error {
 	f, err := s.files.Create(path + partialSuffix)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return err
 }
 
-// Prune removes all but the newest generations, and files whose writing was interrupted.
+// Prune removes all but the newest maxGenerations generations, and the remains of interrupted writes.
 func (s *Store) Prune(maxGenerations int) error {
 	infos, err := s.files.List(s.dir)
 	if err != nil {
@@ -106,7 +106,7 @@
 	return errors.Join(errs, err)
 }
 
-// All reads every generation, the newest first.
+// All reads all generations, newest first.
 func (s *Store) All() ([]Generation, error) {
 	numbers, err := s.numbers()
 	if err != nil {
@@ -115,26 +115,26 @@
 	slices.Reverse(numbers)
 	var all []Generation
 	for _, number := range numbers {
-		g := Generation{Number: number, Path: s.path(number)}
-		g.Snapshot, g.Err = s.read(g.Path)
-		all = append(all, g)
+		generation := Generation{Number: number, Path: s.path(number)}
+		generation.Snapshot, generation.Err = s.read(generation.Path)
+		all = append(all, generation)
 	}
 	return all, nil
 }
 
-// Newest returns the newest generation that can be used, nil if there is none, and why newer ones cannot. One of a newer
-// version of the program ends the search: what is older was left behind on purpose.
+// Newest returns the newest usable generation, or nil if there is none, and the errors of newer generations. The search ends
+// at a generation of a newer program version, because the older generations are outdated and deliberately not used in its place.
 func (s *Store) Newest() (newest *Snapshot, unusable []error, err error) {
 	all, err := s.All()
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, g := range all {
-		if g.Err == nil {
-			return g.Snapshot, unusable, nil
+	for _, generation := range all {
+		if generation.Err == nil {
+			return generation.Snapshot, unusable, nil
 		}
-		unusable = append(unusable, fmt.Errorf("%s: %w", g.Path, g.Err))
-		if errors.Is(g.Err, ErrNewerVersion) {
+		unusable = append(unusable, fmt.Errorf("read snapshot %s: %w", generation.Path, generation.Err))
+		if errors.Is(generation.Err, ErrNewerVersion) {
 			break
 		}
 	}
@@ -154,7 +154,7 @@
 	return Decode(b)
 }
 
-// numbers returns the numbers of all generations, the oldest first.
+// numbers returns the numbers of all generations, oldest first.
 func (s *Store) numbers() (all []uint64, err error) {
 	infos, err := s.files.List(s.dir)
 	if err != nil {
--- a/internal/discovery/staleness/evaluator.go
+++ b/internal/discovery/staleness/evaluator.go
@@ -9,60 +9,62 @@
 )
 
 const (
-	// minConnectFailures without an executed request between them make a proven server suspected; other responses do not
-	// interrupt the count. One is enough for a server on trial.
+	// minConnectFailures is the number of connection failures after which a proven server is suspected. Only an executed
+	// request resets the count; other responses do not. A server on trial is suspected after the first failure.
 	minConnectFailures = 2
-	// initialSuspicion is for how long a server is suspected the first time. It doubles each time, up to maxSuspicion.
+	// initialSuspicion is the duration of the first suspicion of a server. It doubles with each further suspicion, up to
+	// maxSuspicion.
 	initialSuspicion = 1 * time.Second
 	maxSuspicion     = 30 * time.Second
-	// maxDoublings keeps the doubling from an overflow; maxSuspicion is reached before.
+	// maxDoublings prevents an overflow of the doubling; maxSuspicion is reached earlier.
 	maxDoublings = 10
-	// minTrials are allowed at once whatever fails. level.minInitialTrials is about the start.
+	// minTrials is the lower limit of the maximum number of concurrent trials after failures. level.minInitialTrials applies to
+	// the start.
 	minTrials = 1
 )
 
-// Server is one of a cached list.
+// Server is a server of a cached list.
 type Server struct {
 	ID          string
-	IsUp        bool // else it was draining or gone, and stays excluded until a source says otherwise
-	HasExecuted bool // it has executed a request for the node that wrote the list
+	IsUp        bool // if false, the server was draining or gone and stays excluded until a source announces it as up
+	HasExecuted bool // the server executed a request of the node that wrote the list
 }
 
-// server is what an Evaluator knows of one server.
+// server is the state of one server in an Evaluator.
 type server struct {
 	Server
 	status              Status
 	statusSince         time.Duration
-	trialOrder          uint32 // differs by node
-	consecutiveFailures int    // to connect, since it last executed a request or became suspected
+	trialOrder          uint32 // pseudorandom, depends on the node name
+	consecutiveFailures int    // connection failures since the last executed request or suspicion
 	suspicionCount      int
 }
 
-// Evaluator follows the servers of one cached list. Its methods that report what happened to a server ignore unknown IDs.
+// Evaluator tracks the servers of one cached list. Methods that report events of a server ignore unknown IDs.
 type Evaluator struct {
 	level      level
 	levelIndex int
 	servers    map[string]*server
-	order      []*server // in the order of trials
-	maxTrials  int       // at once
-	hasChanged bool      // since the last call of Usable
+	order      []*server // order in which servers are put on trial
+	maxTrials  int       // maximum number of concurrent trials
+	hasChanged bool      // whether a status changed since the last call of Usable
 }
 
-// New returns the Evaluator of a list with these servers, at the time 0, and starts the first trials. The order of trials
-// depends on the node's name, so that nodes which start together on one list do not try the same servers first.
+// New returns an Evaluator for a list with the given servers and starts the first trials at time 0. The order of trials
+// depends on the node's name, so that nodes that start simultaneously with the same list do not try the same servers first.
 func New(list CachedList, node string, all []Server) *Evaluator {
 	e := &Evaluator{levelIndex: list.Level(), servers: map[string]*server{}, hasChanged: true}
 	e.level = levels[e.levelIndex]
-	up := 0
+	upCount := 0
 	for _, s := range all {
-		one := &server{Server: s, trialOrder: crc32.ChecksumIEEE([]byte(node + "/" + s.ID))}
+		srv := &server{Server: s, trialOrder: crc32.ChecksumIEEE([]byte(node + "/" + s.ID))}
 		if s.IsUp {
-			up++
+			upCount++
 		} else {
-			one.status = Excluded
+			srv.status = Excluded
 		}
-		e.servers[s.ID] = one
-		e.order = append(e.order, one)
+		e.servers[s.ID] = srv
+		e.order = append(e.order, srv)
 	}
 	slices.SortFunc(e.order, func(a, b *server) int {
 		return cmp.Or(
@@ -71,12 +73,12 @@
 			cmp.Compare(a.ID, b.ID),
 		)
 	})
-	e.maxTrials = max(e.level.minInitialTrials, int(math.Ceil(e.level.trialShare*float64(up))))
+	e.maxTrials = max(e.level.minInitialTrials, int(math.Ceil(e.level.trialShare*float64(upCount))))
 	e.startTrials(0)
 	return e
 }
 
-// executedRank puts servers that have executed a request before those that have not.
+// executedRank returns the sort rank of a server. Servers that have executed a request are put on trial first.
 func (s *server) executedRank() int {
 	if s.HasExecuted {
 		return 1
@@ -84,14 +86,14 @@
 	return 0
 }
 
-// Level returns the list's staleness level.
+// Level returns the staleness level of the list.
 func (e *Evaluator) Level() int { return e.levelIndex }
 
-// RequestExecuted reports that a server has answered a request with success, or found the request itself faulty.
+// RequestExecuted reports that a server has responded to a request with a success or a client error.
 func (e *Evaluator) RequestExecuted(now time.Duration, id string) { e.step(now, id, requestExecuted) }
 
-// ResponseWithoutProof reports that a server has responded with an error of its own or a refusal, whether or not it executed
-// the request. That does not prove that it serves: it may be draining.
+// ResponseWithoutProof reports that a server has responded with a server error or a rejection, whether or not it executed
+// the request. Such a response does not prove that the server serves requests: it may be draining.
 func (e *Evaluator) ResponseWithoutProof(now time.Duration, id string) {
 	e.step(now, id, responseWithoutProof)
 }
@@ -109,15 +111,15 @@
 	e.step(now, id, connectFailed)
 }
 
-// WrongServer reports that another server responds at a server's address.
+// WrongServer reports that another server responds at the address of a server.
 func (e *Evaluator) WrongServer(now time.Duration, id string) { e.step(now, id, wrongServer) }
 
-// suspicionTimeout is for how long a suspected server stays so.
+// suspicionTimeout returns the duration of the current suspicion.
 func (s *server) suspicionTimeout() time.Duration {
 	return min(initialSuspicion<<min(s.suspicionCount-1, maxDoublings), maxSuspicion)
 }
 
-// Tick applies what the time alone changes. It is called every few tens of milliseconds.
+// Tick ends expired suspicions and starts trials. It is called every few tens of milliseconds.
 func (e *Evaluator) Tick(now time.Duration) {
 	for _, s := range e.order {
 		if s.status == Suspected && now-s.statusSince >= s.suspicionTimeout() {
@@ -142,9 +144,9 @@
 func (e *Evaluator) apply(now time.Duration, s *server, in input) {
 	t := transitions[s.status][in]
 	switch t.trialChange {
-	case moreTrials:
+	case increaseTrials:
 		e.maxTrials += e.level.trialsPerProven
-	case fewerTrials:
+	case decreaseTrials:
 		e.maxTrials = max(e.maxTrials-1, minTrials)
 	}
 	if t.next == s.status {
@@ -157,7 +159,7 @@
 	s.status, s.statusSince, e.hasChanged = t.next, now, true
 }
 
-// startTrials puts servers on trial while more are allowed: first those that were never suspected.
+// startTrials puts untried servers on trial until maxTrials is reached, beginning with those that were never suspected.
 func (e *Evaluator) startTrials(now time.Duration) {
 	onTrial := 0
 	for _, s := range e.order {
@@ -168,20 +170,20 @@
 	for _, wasSuspected := range []bool{false, true} {
 		for _, s := range e.order {
 			if onTrial < e.maxTrials && s.status == Untried && (s.suspicionCount > 0) == wasSuspected {
-				e.apply(now, s, trialOffered)
+				e.apply(now, s, trialStarted)
 				onTrial++
 			}
 		}
 	}
 }
 
-// UsableServer is a server that may be used now.
+// UsableServer is a server that may currently receive requests.
 type UsableServer struct {
 	ID       string
-	IsProven bool // else it gets idempotent requests only
+	IsProven bool // if false, the server receives idempotent requests only
 }
 
-// Usable returns the servers that may be used, in the order of their IDs, and whether that has changed since the last call.
+// Usable returns the usable servers sorted by ID, and whether a status has changed since the last call.
 func (e *Evaluator) Usable() (all []UsableServer, hasChanged bool) {
 	for _, s := range e.order {
 		if s.status == OnTrial || s.status == Proven {
@@ -193,7 +195,7 @@
 	return all, hasChanged
 }
 
-// Status returns a server's status; Excluded if it is not known.
+// Status returns the status of a server, or Excluded if the server is unknown.
 func (e *Evaluator) Status(id string) Status {
 	if s := e.servers[id]; s != nil {
 		return s.status
--- a/internal/discovery/staleness/level.go
+++ b/internal/discovery/staleness/level.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// maxClockSkew is how far clocks may differ. A list that was confirmed later than that in the future shows that a clock
-// was set back.
+// maxClockSkew is the tolerated difference between clocks. A list confirmed further in the future indicates that a clock was
+// set back.
 const maxClockSkew = 5 * time.Second
 
-// CachedList is what is known of the age of a cached list.
+// CachedList describes the age of a cached list.
 type CachedList struct {
-	Age             time.Duration // since a source confirmed it, by the clock; below 0 if that lies in the future
-	IsCleanShutdown bool          // the node that wrote it stopped in good order
+	Age             time.Duration // time since a source confirmed the list, by the clock; negative if the confirmation is in the future
+	IsCleanShutdown bool          // the list was written during a graceful shutdown
 }
 
-// level says what may be done with a list of a certain age.
+// level contains the limits on trials for lists up to a certain age.
 type level struct {
 	maxAge           time.Duration
-	trialShare       float64 // of the servers that are up, on trial at once
-	minInitialTrials int     // on trial at once at the start, whatever the share
-	// trialsPerProven are further ones on trial at once each time that a server becomes proven. They are not taken back when
-	// it becomes suspected.
+	trialShare       float64 // share of the servers that are up that may be on trial concurrently
+	minInitialTrials int     // minimum number of concurrent trials at the start, regardless of trialShare
+	// trialsPerProven is the number of concurrent trials added each time a server becomes proven. They are not withdrawn when
+	// the server becomes suspected.
 	trialsPerProven int
 }
 
-// levels are ordered from the freshest list. A running node keeps its list for some seconds too when its source fails;
-// within minutes a part of a fleet may be replaced, within hours most of it.
+// levels are ordered from the freshest list to the oldest. The first level puts all servers on trial, because a running node
+// whose source fails also uses its list for some seconds. Within minutes a part of a fleet may be replaced, within hours most
+// of it.
 var levels = [LevelCount]level{
 	{maxAge: 10 * time.Second, trialShare: 1, minInitialTrials: 1, trialsPerProven: 1},
 	{maxAge: 2 * time.Minute, trialShare: 0.5, minInitialTrials: 4, trialsPerProven: 2},
@@ -39,13 +40,13 @@
 // LevelCount is the number of staleness levels.
 const LevelCount = 5
 
-// Level returns the list's staleness level, from 0 to LevelCount-1: by its age, one more after a crash, and the highest if
-// it comes from the future.
+// Level returns the staleness level of the list, from 0 to LevelCount-1. The level depends on the age of the list, is one
+// higher after a crash, and is the highest if the confirmation is in the future.
 func (l CachedList) Level() int {
 	if l.Age < -maxClockSkew {
 		return len(levels) - 1
 	}
-	i := slices.IndexFunc(levels[:], func(one level) bool { return l.Age <= one.maxAge })
+	i := slices.IndexFunc(levels[:], func(candidate level) bool { return l.Age <= candidate.maxAge })
 	if !l.IsCleanShutdown {
 		i++
 	}
--- a/internal/discovery/staleness/status.go
+++ b/internal/discovery/staleness/status.go
@@ -1,23 +1,23 @@
 package staleness
 
-// Status is how far a server of a cached list is trusted.
+// Status is the degree to which a server of a cached list is trusted.
 type Status uint8
 
 // The statuses of a server.
 const (
 	Untried   Status = iota // not used yet
-	OnTrial                 // gets idempotent requests
-	Proven                  // has executed a request since the start; gets any request
-	Suspected               // could not be connected to; tried again later
-	Excluded                // not used: draining or gone before the start, or another server is at its address
+	OnTrial                 // receives idempotent requests only
+	Proven                  // has executed a request since the start; receives any request
+	Suspected               // connection failed; put on trial again after a timeout
+	Excluded                // not used: draining or gone before the start, or its address belongs to another server
 	statusCount
 )
 
-// input is what happens to a server.
+// input is an event that affects a server.
 type input uint8
 
 const (
-	trialOffered         input = iota // its turn has come
+	trialStarted         input = iota // the number of concurrent trials permits another one
 	requestExecuted                   // see Evaluator.RequestExecuted
 	responseWithoutProof              // see Evaluator.ResponseWithoutProof
 	connectFailed
@@ -26,13 +26,13 @@
 	inputCount
 )
 
-// trialChange is how a transition changes the number of trials that are allowed at once.
+// trialChange is the effect of a transition on the maximum number of concurrent trials.
 type trialChange uint8
 
 const (
-	keepTrials  trialChange = iota
-	moreTrials              // by level.trialsPerProven
-	fewerTrials             // by one, to minTrials at least
+	keepTrials     trialChange = iota
+	increaseTrials             // increase by level.trialsPerProven
+	decreaseTrials             // decrease by one, but not below minTrials
 )
 
 type transition struct {
@@ -40,10 +40,10 @@
 	trialChange trialChange
 }
 
-// transitions holds what each input does in each status.
+// transitions maps each status and input to the next status and the trial change.
 var transitions = [statusCount][inputCount]transition{
 	Untried: {
-		trialOffered:         {OnTrial, keepTrials},
+		trialStarted:         {OnTrial, keepTrials},
 		requestExecuted:      {Untried, keepTrials},
 		responseWithoutProof: {Untried, keepTrials},
 		connectFailed:        {Untried, keepTrials},
@@ -51,23 +51,23 @@
 		timerExpired:         {Untried, keepTrials},
 	},
 	OnTrial: {
-		trialOffered:         {OnTrial, keepTrials},
-		requestExecuted:      {Proven, moreTrials},
+		trialStarted:         {OnTrial, keepTrials},
+		requestExecuted:      {Proven, increaseTrials},
 		responseWithoutProof: {OnTrial, keepTrials},
-		connectFailed:        {Suspected, fewerTrials},
-		wrongServer:          {Excluded, fewerTrials},
+		connectFailed:        {Suspected, decreaseTrials},
+		wrongServer:          {Excluded, decreaseTrials},
 		timerExpired:         {OnTrial, keepTrials},
 	},
 	Proven: {
-		trialOffered:         {Proven, keepTrials},
+		trialStarted:         {Proven, keepTrials},
 		requestExecuted:      {Proven, keepTrials},
 		responseWithoutProof: {Proven, keepTrials},
 		connectFailed:        {Suspected, keepTrials},
-		wrongServer:          {Excluded, fewerTrials},
+		wrongServer:          {Excluded, decreaseTrials},
 		timerExpired:         {Proven, keepTrials},
 	},
 	Suspected: {
-		trialOffered:         {Suspected, keepTrials},
+		trialStarted:         {Suspected, keepTrials},
 		requestExecuted:      {Suspected, keepTrials},
 		responseWithoutProof: {Suspected, keepTrials},
 		connectFailed:        {Suspected, keepTrials},
@@ -75,7 +75,7 @@
 		timerExpired:         {Untried, keepTrials},
 	},
 	Excluded: {
-		trialOffered:         {Excluded, keepTrials},
+		trialStarted:         {Excluded, keepTrials},
 		requestExecuted:      {Excluded, keepTrials},
 		responseWithoutProof: {Excluded, keepTrials},
 		connectFailed:        {Excluded, keepTrials},
--- a/internal/discovery/watch/entries.go
+++ b/internal/discovery/watch/entries.go
@@ -8,26 +8,26 @@
 	"fernvane/internal/protocol/http1"
 )
 
-var conditions = [...]incarnation.Condition{
+var entryConditions = [...]incarnation.Condition{
 	http1.Serving:  incarnation.Up,
 	http1.Draining: incarnation.Draining,
 	http1.Deleted:  incarnation.Gone,
 }
 
-var phases = [...]http1.Condition{
+var http1Conditions = [...]http1.Condition{
 	incarnation.Up:       http1.Serving,
 	incarnation.Draining: http1.Draining,
 	incarnation.Gone:     http1.Deleted,
 }
 
-// EntriesFromList returns a list of discovery as incarnation entries.
+// EntriesFromList converts an endpoint list of discovery into incarnation entries.
 func EntriesFromList(list http1.EndpointList) []incarnation.Entry {
 	entries := make([]incarnation.Entry, 0, len(list.Hosts))
 	for _, host := range list.Hosts {
 		entry := incarnation.Entry{
 			ID:            host.ID,
 			StartedUnixMS: host.UpSinceMS,
-			Condition:     conditions[host.Phase],
+			Condition:     entryConditions[host.Phase],
 			Revision:      list.Revision,
 			Zone:          host.Zone,
 			MachineKind:   host.Flavor,
@@ -42,8 +42,8 @@
 	return entries
 }
 
-// ListFromEntries returns incarnation entries as a list of changes, as a node applies it. Entries that cannot be used are
-// left out and named in the list's Skipped.
+// ListFromEntries converts incarnation entries into a list of changes that a node can apply. Invalid entries are omitted, and
+// their errors are added to the Skipped field of the list.
 func ListFromEntries(entries []incarnation.Entry) http1.EndpointList {
 	list := http1.EndpointList{}
 	for _, entry := range entries {
@@ -60,7 +60,7 @@
 
 func hostFromEntry(entry incarnation.Entry) (http1.Endpoint, error) {
 	if entry.Condition > incarnation.Gone || entry.ID == "" {
-		return http1.Endpoint{}, fmt.Errorf("server %.40q in unknown condition %d", entry.ID, entry.Condition)
+		return http1.Endpoint{}, fmt.Errorf("server %.40q: ID is empty or condition %d is unknown", entry.ID, entry.Condition)
 	}
 	host := http1.Endpoint{
 		ID:        entry.ID,
@@ -69,12 +69,12 @@
 		Cell:      entry.Cell,
 		Size:      entry.Weight,
 		UpSinceMS: entry.StartedUnixMS,
-		Phase:     phases[entry.Condition],
+		Phase:     http1Conditions[entry.Condition],
 	}
 	var err error
 	host.Address, err = netip.ParseAddrPort(entry.Address)
 	if err != nil && host.Phase == http1.Serving {
-		return host, fmt.Errorf("server %.40q has no usable address", entry.ID)
+		return host, fmt.Errorf("server %.40q: address is missing or invalid", entry.ID)
 	}
 	return host, nil
 }
--- a/internal/discovery/watch/follow.go
+++ b/internal/discovery/watch/follow.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	// initialRetryDelay is the pause after a first failed poll. It doubles with each further one, up to maxRetryDelay, since
-	// discovery has little capacity.
+	// initialRetryDelay is the mean pause after the first failed poll. It doubles with each consecutive failure, up to
+	// maxRetryDelay, because discovery has little capacity.
 	initialRetryDelay = 250 * time.Millisecond
 	maxRetryDelay     = 4 * time.Second
 )
 
-// Listener receives what Follow learns. Its functions are called one after another.
+// Listener receives the results of Follow. Its functions are called sequentially.
 type Listener struct {
-	// OnList receives a full list first, then changes, or a full list again if discovery counts its revisions anew. Follow
-	// asks for the full list and does not check that the response is one: that stands in EndpointList.Complete.
+	// OnList receives a full list first and lists of changes afterwards. It receives a full list again if discovery has reset
+	// its revisions. Follow requests the full list but does not verify that the response is one; EndpointList.Complete states
+	// it.
 	OnList func(http1.EndpointList)
-	// OnError receives why a poll failed. It is repeated.
+	// OnError receives the error of a failed poll. Follow retries the poll.
 	OnError func(error)
 }
 
@@ -29,7 +30,7 @@
 	w := Watcher{Target: target, WantsFullList: true}
 	defer w.Close()
 	for delay := initialRetryDelay; ctx.Err() == nil; {
-		began := time.Now()
+		startedAt := time.Now()
 		list, err := w.Poll(ctx)
 		if ctx.Err() != nil {
 			return
@@ -41,13 +42,13 @@
 			continue
 		}
 		delay = initialRetryDelay
-		if !list.Complete && list.Revision < w.Revision { // discovery counts its revisions anew
+		if !list.Complete && list.Revision < w.Revision { // discovery has reset its revisions
 			w.WantsFullList = true
 			continue
 		}
 		w.WantsFullList, w.Revision = false, list.Revision
 		listener.OnList(list)
-		sleep(ctx, MinPollInterval-time.Since(began))
+		sleep(ctx, MinPollInterval-time.Since(startedAt))
 	}
 }
 
--- a/internal/discovery/watch/watcher.go
+++ b/internal/discovery/watch/watcher.go
@@ -11,54 +11,54 @@
 )
 
 const (
-	// pollWait is how long discovery may hold back its response while nothing changes. A silent connection is noticed only
+	// pollWait is how long discovery may delay its response while nothing changes. An unresponsive connection is detected only
 	// when a response is overdue, so the wait is short; continuing a watch costs discovery nothing.
 	pollWait = 2 * time.Second
-	// responseSlack is how long beyond the wait the response to a watch that continues may take.
+	// responseSlack is the time beyond the wait within which the response to a continued watch must arrive.
 	responseSlack = 1500 * time.Millisecond
-	// firstPollWait is the wait of the first call on a connection.
+	// firstPollWait replaces pollWait for the first call on a connection.
 	firstPollWait = 100 * time.Millisecond
-	// queuedResponseSlack is the slack of such a call, which waits in discovery's queue.
+	// queuedResponseSlack replaces responseSlack for the first call on a connection, which waits in discovery's queue.
 	queuedResponseSlack = 4 * time.Second
-	// replacedSlack is for how long a response is awaited after the target has been replaced.
+	// replacedSlack is how long a poll waits for a response after its target has been replaced.
 	replacedSlack = 300 * time.Millisecond
-	// dialTimeout is for a connection to discovery.
+	// dialTimeout limits the time to connect to discovery.
 	dialTimeout = time.Second
-	// maxListBytes limits a response.
+	// maxListBytes limits the size of a response.
 	maxListBytes = 1 << 20
 
-	// MinPollInterval is the least time between the beginnings of two polls. Discovery wants a watch to be continued within
+	// MinPollInterval is the minimum time between the starts of two polls. Discovery requires that a watch is continued within
 	// 200 ms.
 	MinPollInterval = 25 * time.Millisecond
 )
 
-var pastDeadline = time.Unix(1, 0) // ends reads and writes that are under way
+var pastDeadline = time.Unix(1, 0) // as a deadline, ends reads and writes in progress
 
-// Target is an address of discovery.
+// Target is a configured address of discovery.
 type Target struct {
 	Address  netip.AddrPort
 	Replaced context.Context    // done when another address has been configured
 	Replace  context.CancelFunc // ends Replaced
 }
 
-// NewTarget returns a target that is not replaced yet.
+// NewTarget returns a target that has not been replaced.
 func NewTarget(address netip.AddrPort) *Target {
 	t := &Target{Address: address}
 	t.Replaced, t.Replace = context.WithCancel(context.Background())
 	return t
 }
 
-// Watcher polls one target. The caller sets its fields between polls; their zero values mean the changes after revision 0.
+// Watcher polls one target. The caller sets its fields between polls; their zero values request the changes after revision 0.
 type Watcher struct {
 	Target        *Target
-	HasMoved      bool   // for the caller only: the target was replaced and the new one has not responded yet
-	WantsFullList bool   // else the changes after Revision
-	IsPushed      bool   // discovery is an agent without a queue: it responds to a first call at once
-	Revision      uint64 // of the last list
+	HasMoved      bool   // used by the caller only: the target was replaced and the new one has not responded yet
+	WantsFullList bool   // request the full list instead of the changes after Revision
+	IsPushed      bool   // discovery is an agent without a queue, which responds to a first call immediately
+	Revision      uint64 // revision of the last received list
 	conn          *http1.Conn
 }
 
-// Close ends the connection; the next poll opens another.
+// Close closes the connection; the next poll opens a new one.
 func (w *Watcher) Close() {
 	if w.conn != nil {
 		w.conn.Close()
@@ -66,7 +66,7 @@
 	}
 }
 
-// timeouts returns how long discovery may hold back its response, and how long the response may take beyond that.
+// timeouts returns how long discovery may delay its response, and the additional time within which it must arrive.
 func (w *Watcher) timeouts() (wait, slack time.Duration) {
 	switch {
 	case w.conn != nil:
@@ -77,15 +77,15 @@
 	return firstPollWait, queuedResponseSlack
 }
 
-// Poll returns the list, or its changes, as soon as there are any or the wait is over. The first poll on a connection waits
-// only briefly, to learn soon whether discovery responds and, at a new target, whether Revision means anything there. On an
-// error the connection is closed, and the caller polls again after a pause.
+// Poll returns the list or its changes as soon as there are changes or the wait has expired. The first poll on a connection
+// waits only briefly, to detect early whether discovery responds and, at a new target, whether Revision is valid there. On an
+// error the connection is closed, and the caller retries after a pause.
 func (w *Watcher) Poll(ctx context.Context) (http1.EndpointList, error) {
 	if w.conn != nil && !w.conn.IsIdle() {
 		w.Close()
 	}
 	wait, slack := w.timeouts()
-	deadline := time.Now().Add(wait + slack) // the connect is part of it
+	deadline := time.Now().Add(wait + slack) // includes the connect
 	if w.conn == nil {
 		if err := w.connect(ctx); err != nil {
 			return http1.EndpointList{}, err
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// exchange makes one call; isReusable reports whether the connection can be used for the next.
+// exchange makes one call; isReusable reports whether the connection can be used for another call.
 func exchange(conn *http1.Conn, host string, call http1.EndpointListCall) (
 	list http1.EndpointList, isReusable bool, err error,
 ) {
@@ -128,7 +128,7 @@
 		return list, false, err
 	}
 	if response.Status != 200 {
-		return list, false, fmt.Errorf("discovery responded with status %d", response.Status)
+		return list, false, fmt.Errorf("discovery responded with status %d, want 200", response.Status)
 	}
 	list, err = http1.ParseEndpointList(response.Body)
 	return list, !response.Close, err
--- a/internal/discovery/zookeeper/config.go
+++ b/internal/discovery/zookeeper/config.go
@@ -11,17 +11,17 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// Config is the operator's file of the registry.
+// Config is the operator's configuration file for the registry.
 type Config struct {
-	Servers        []string          `toml:"servers"` // addresses of the ensemble, host:port
+	Servers        []string          `toml:"servers"` // addresses of the ensemble as host:port
 	Chroot         string            `toml:"chroot"`
-	Path           string            `toml:"path"` // whose children are the servers
+	Path           string            `toml:"path"` // parent node of the server entries
 	SessionTimeout tomlfile.Duration `toml:"session"`
-	AuthFile       string            `toml:"auth_file"` // holds Credentials
-	Credentials    string            `toml:"-"`         // user:password, for the digest scheme
+	AuthFile       string            `toml:"auth_file"` // file that contains Credentials
+	Credentials    string            `toml:"-"`         // user:password for the digest scheme
 }
 
-// Load reads the file. The error names each fault by file and line.
+// Load reads and validates the file. The error lists each invalid setting with file and line.
 func Load(file string) (*Config, error) {
 	text, err := tomlfile.Read(file)
 	if err != nil {
@@ -33,11 +33,11 @@
 		return nil, err
 	}
 	if len(c.Servers) == 0 || len(c.Servers) > 16 {
-		f.Wrong("servers", "%d servers of the registry: from 1 to 16", len(c.Servers))
+		f.Wrong("servers", "%d registry servers configured: want 1 to 16", len(c.Servers))
 	}
 	for i, s := range c.Servers {
 		if _, err := netip.ParseAddrPort(s); err != nil {
-			f.Wrong("servers."+strconv.Itoa(i), "server %q: an address and a port are wanted", s)
+			f.Wrong("servers."+strconv.Itoa(i), "server %q is not an IP address with a port", s)
 		}
 	}
 	for key, p := range map[string]string{"path": c.Path, "chroot": c.Chroot} {
@@ -45,22 +45,22 @@
 			continue
 		}
 		if !strings.HasPrefix(p, "/") || path.Clean(p) != p {
-			f.Wrong(key, "%s %q: a whole path such as /services/hire", key, p)
+			f.Wrong(key, "%s %q is not an absolute path in canonical form such as /services/hire", key, p)
 		}
 	}
 	if c.SessionTimeout.Std() < 500*time.Millisecond || c.SessionTimeout.Std() > 40*time.Second {
-		f.Wrong("session", "session %s: from 500ms to 40s", c.SessionTimeout.Std())
+		f.Wrong("session", "session %s is out of range: want 500ms to 40s", c.SessionTimeout.Std())
 	}
 	if c.AuthFile != "" {
 		secret, err := os.ReadFile(c.AuthFile)
 		if c.Credentials = strings.TrimSpace(string(secret)); err != nil || !strings.Contains(c.Credentials, ":") {
-			f.Wrong("auth_file", "%s holds no user:password", c.AuthFile)
+			f.Wrong("auth_file", "%s is unreadable or does not contain user:password", c.AuthFile)
 		}
 	}
 	return c, f.Err()
 }
 
-// fullPath is Path below Chroot.
+// fullPath returns Path below Chroot.
 func (c *Config) fullPath() string {
 	if c.Chroot == "" || c.Chroot == "/" {
 		return c.Path
--- a/internal/discovery/zookeeper/doc.go
+++ b/internal/discovery/zookeeper/doc.go
@@ -1,8 +1,8 @@
-// Package zookeeper reads a ZooKeeper registry in which servers stand as ephemeral nodes under one path, in place of
-// discovery.
+// Package zookeeper reads a ZooKeeper registry that replaces discovery. Servers are registered there as ephemeral nodes
+// under one path.
 //
-// Follow is what nodes, planners and control processes call: it runs a Reader, which keeps the registry's entries up to
-// date by watches, passes the lists and what attempts show through an endpoints.Set, and reports what that announces to a
-// Listener, from one goroutine. Entries are read by ParseEntry in the forms of Curator's service discovery, of Twitter's
-// server sets, or as plain host:port.
+// Nodes, planners and control processes call Follow. It runs a Reader, which keeps the registry's entries up to date by
+// watches, passes the lists and the results of attempts through an endpoints.Set, and reports the announcements of the Set
+// to a Listener from one goroutine. ParseEntry decodes entries in the formats of Curator's service discovery and of
+// Twitter's server sets, and entries that consist of host:port.
 package zookeeper
--- a/internal/discovery/zookeeper/follow.go
+++ b/internal/discovery/zookeeper/follow.go
@@ -10,24 +10,24 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-// tickInterval is the time between two calls of endpoints.Set.Tick.
+// tickInterval is the time between calls of endpoints.Set.Tick.
 const tickInterval = 50 * time.Millisecond
 
-// Listener receives what Follow learns. OnChange and OnMassRemoval are called from one goroutine, OnError from another.
+// Listener receives the results of Follow. OnChange and OnMassRemoval are called from one goroutine, OnError from another.
 type Listener struct {
 	Now          func() time.Duration
-	Observations <-chan endpoints.Observation // what attempts show about servers; nil if nobody sends any
+	Observations <-chan endpoints.Observation // results of attempts; nil if there are none
 
-	// OnChange receives the entries that have changed; isFirst says that these are all.
+	// OnChange receives the changed entries; if isFirst is set, they are the complete list.
 	OnChange func(changed []incarnation.Entry, isFirst bool)
-	// OnError receives what cannot be read of the registry.
+	// OnError receives errors of reading the registry or of parsing its entries.
 	OnError func(error)
-	// OnMassRemoval is called when the registry begins or ceases to be suspected of having lost most entries. While it is,
+	// OnMassRemoval is called when a suspicion that the registry has lost most entries begins or ends. During the suspicion
 	// the last list is retained.
 	OnMassRemoval func(endpoints.MassRemoval)
 }
 
-// Follow reads the registry until the context ends. It fails only if the client cannot be built.
+// Follow reads the registry until the context ends. It returns an error only if the client cannot be created.
 func Follow(ctx context.Context, c *Config, l Listener) error {
 	conn, err := Dial(c)
 	if err != nil {
@@ -36,7 +36,7 @@
 	lists := make(chan []endpoints.RegistryEntry, 1)
 	reader := NewReader(conn, c, func(all []endpoints.RegistryEntry) {
 		select {
-		case <-lists: // an older list
+		case <-lists: // discard an older list that is still queued
 		default:
 		}
 		lists <- all
@@ -50,7 +50,7 @@
 	return g.Wait()
 }
 
-// followSet applies lists, observations and the time to an endpoint set.
+// followSet applies lists, observations and timer ticks to an endpoint set and reports its changes to the listener.
 func (l *Listener) followSet(ctx context.Context, lists <-chan []endpoints.RegistryEntry) {
 	set := endpoints.NewSet()
 	isSuspected, isFirst := false, true
@@ -63,11 +63,11 @@
 			return
 		case all := <-lists:
 			changed = set.ApplyList(l.Now(), all)
-		case o := <-l.Observations:
-			if o.HasResponded { // else, also if another server responded, it counts as a failure to connect
-				changed = set.ResponseReceived(l.Now(), o.Server)
+		case observation := <-l.Observations:
+			if observation.HasResponded { // otherwise, or if another server responded, it counts as a connection failure
+				changed = set.ResponseReceived(l.Now(), observation.Server)
 			} else {
-				changed = set.ConnectFailed(l.Now(), o.Server)
+				changed = set.ConnectFailed(l.Now(), observation.Server)
 			}
 		case <-tick.C:
 			changed = set.Tick(l.Now())
--- a/internal/discovery/zookeeper/parse.go
+++ b/internal/discovery/zookeeper/parse.go
@@ -10,17 +10,17 @@
 	"fernvane/internal/discovery/endpoints"
 )
 
-const maxDataBytes = 16 << 10 // of an entry
+const maxDataBytes = 16 << 10 // maximum size of the data of an entry
 
-// entryData is what an entry's JSON may say. The keys of both common recipes stand side by side.
+// entryData is the JSON data of an entry. It contains the keys of both supported formats.
 type entryData struct {
-	// Curator's service discovery.
+	// Keys of Curator's service discovery.
 	Address string      `json:"address"`
 	Port    int         `json:"port"`
 	Enabled *bool       `json:"enabled"`
 	Payload *attributes `json:"payload"`
 
-	// Server sets.
+	// Keys of Twitter's server sets.
 	Endpoint *struct {
 		Host string `json:"host"`
 		Port int    `json:"port"`
@@ -30,7 +30,7 @@
 	attributes
 }
 
-// attributes are keys of this project, in the entry itself or in its payload.
+// attributes are keys specific to this project, in the entry itself or in its payload.
 type attributes struct {
 	Zone          string  `json:"zone"`
 	MachineKind   string  `json:"flavor"`
@@ -39,60 +39,60 @@
 	StartedUnixMS int64   `json:"started_ms"`
 }
 
-// ParseEntry reads the data of an entry, JSON or plain host:port. The error says what is wrong with it.
+// ParseEntry decodes the data of an entry, which is either JSON or host:port. The error describes the invalid part.
 func ParseEntry(id string, data []byte) (endpoints.RegistryEntry, error) {
 	entry := endpoints.RegistryEntry{ID: id, Weight: 1}
 	text := strings.TrimSpace(string(data[:min(len(data), maxDataBytes+1)]))
 	switch {
 	case len(data) > maxDataBytes:
-		return entry, fmt.Errorf("%d bytes of data: %d at most", len(data), maxDataBytes)
+		return entry, fmt.Errorf("%d bytes of data exceed the limit of %d", len(data), maxDataBytes)
 	case text == "":
-		return entry, errors.New("no data")
+		return entry, errors.New("data is empty")
 	case !strings.HasPrefix(text, "{"):
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return entry, fmt.Errorf("%.60q is neither JSON nor an address and port", text)
+			return entry, fmt.Errorf("data %.60q is neither JSON nor an IP address with a port", text)
 		}
 		entry.Address = address.String()
 		return entry, nil
 	}
-	var e entryData
-	if err := json.Unmarshal([]byte(text), &e); err != nil {
-		return entry, fmt.Errorf("its JSON cannot be read: %v", err)
+	var decoded entryData
+	if err := json.Unmarshal([]byte(text), &decoded); err != nil {
+		return entry, fmt.Errorf("decode JSON: %v", err)
 	}
-	return e.complete(entry)
+	return decoded.complete(entry)
 }
 
-// complete returns an entry with what its JSON says.
-func (e *entryData) complete(entry endpoints.RegistryEntry) (endpoints.RegistryEntry, error) {
-	host, port := e.Address, e.Port
-	if e.Endpoint != nil {
-		host, port = e.Endpoint.Host, e.Endpoint.Port
+// complete returns the entry with the fields from its JSON data.
+func (decoded *entryData) complete(entry endpoints.RegistryEntry) (endpoints.RegistryEntry, error) {
+	host, port := decoded.Address, decoded.Port
+	if decoded.Endpoint != nil {
+		host, port = decoded.Endpoint.Host, decoded.Endpoint.Port
 	}
 	address, err := netip.ParseAddr(host)
 	if err != nil || port < 1 || port > 65535 {
-		return entry, fmt.Errorf("no usable address in it: %.60q port %d", host, port)
+		return entry, fmt.Errorf("missing or invalid address: host %.60q, port %d", host, port)
 	}
 	entry.Address = netip.AddrPortFrom(address, uint16(port)).String()
-	a := e.attributes
-	if e.Payload != nil {
-		a = *e.Payload
+	attrs := decoded.attributes
+	if decoded.Payload != nil {
+		attrs = *decoded.Payload
 	}
-	entry.Zone, entry.MachineKind, entry.Cell, entry.StartedUnixMS = a.Zone, a.MachineKind, a.Cell, a.StartedUnixMS
-	if a.Weight > 0 {
-		entry.Weight = a.Weight
+	entry.Zone, entry.MachineKind, entry.Cell, entry.StartedUnixMS = attrs.Zone, attrs.MachineKind, attrs.Cell, attrs.StartedUnixMS
+	if attrs.Weight > 0 {
+		entry.Weight = attrs.Weight
 	}
-	entry.IsDraining, err = e.isDraining()
+	entry.IsDraining, err = decoded.isDraining()
 	return entry, err
 }
 
-// isDraining reports what the entry says of the server's condition; without a status the server is up unless disabled.
-func (e *entryData) isDraining() (bool, error) {
-	switch strings.ToUpper(e.Status) {
+// isDraining reports whether the entry's status is a draining one; without a status the server is up unless disabled.
+func (decoded *entryData) isDraining() (bool, error) {
+	switch strings.ToUpper(decoded.Status) {
 	case "", "ALIVE", "UP", "SERVING":
-		return e.Enabled != nil && !*e.Enabled, nil
+		return decoded.Enabled != nil && !*decoded.Enabled, nil
 	case "DRAINING", "STOPPING", "DEAD", "VANISHED", "STOPPED":
 		return true, nil
 	}
-	return false, fmt.Errorf("unknown status %.40q", e.Status)
+	return false, fmt.Errorf("unknown status %.40q", decoded.Status)
 }
--- a/internal/discovery/zookeeper/reader.go
+++ b/internal/discovery/zookeeper/reader.go
@@ -13,41 +13,43 @@
 )
 
 const (
-	// minReadInterval is the least time between two readings, so that a burst of events is one reading.
+	// minReadInterval is the minimum time between two reads, so that a burst of events causes one read.
 	minReadInterval = 50 * time.Millisecond
-	// readIntervalSpread is added to it at random, so that the readers of one change come one after another.
+	// readIntervalSpread is the maximum random addition to minReadInterval. It spreads the reads that one change causes in
+	// many readers.
 	readIntervalSpread = 50 * time.Millisecond
-	// initialRetryDelay is the pause after a first failed reading. It doubles with each further one, up to maxRetryDelay.
+	// initialRetryDelay is the mean pause after the first failed read. It doubles with each consecutive readErr, up to
+	// maxRetryDelay.
 	initialRetryDelay = 100 * time.Millisecond
 	maxRetryDelay     = 2 * time.Second
-	// maxConcurrentReads limits the entries that are read at the same time.
+	// maxConcurrentReads limits the number of entries that are read concurrently.
 	maxConcurrentReads = 16
 )
 
-// childrenEvent stands in Reader.events for the watch of the children; it is the name of no entry.
+// childrenEvent represents the watch of the children in Reader.events; no entry has this name.
 const childrenEvent = ""
 
-// Reader follows the children of one path. conn, path and events do not change and are used by several goroutines; all
-// other fields are used by the goroutine of Run only.
+// Reader tracks the children of one path. The fields conn, path and events are constant and used by several goroutines; all
+// other fields are used only by the goroutine of Run.
 type Reader struct {
 	conn     Conn
 	path     string
 	onChange func([]endpoints.RegistryEntry)
 	onError  func(error)
 
-	entries map[string]endpoints.RegistryEntry // by name; zero but for the ID until they are read
-	// unreadable are the entries whose data cannot be parsed. They are left out of the lists, so a server that was in use
-	// goes out of use as if its entry had been removed. They are watched as the others and read again when their data
-	// changes, not whenever the children do: each reading leaves a watch behind.
+	entries map[string]endpoints.RegistryEntry // by name; only the ID is set until the entry has been read
+	// unreadable contains the entries whose data is invalid. They are omitted from the lists, so a server that was in use is
+	// taken out of use as if its entry had been removed. They are watched like other entries and are read again only when
+	// their data changes, not on every change of the children, because each read creates a watch.
 	unreadable map[string]bool
-	// watched are the entries whose data is watched. The watch ends with its one event.
+	// watched contains the entries whose data is watched. A watch ends with its single event.
 	watched         map[string]bool
 	childrenWatched bool
-	events          chan string // names of entries whose watch has fired, or childrenEvent
+	events          chan string // names of entries whose watches have fired, or childrenEvent
 }
 
-// NewReader returns a Reader that calls onChange with all entries whenever they have changed, and onError with what cannot
-// be read. Both are called from Run.
+// NewReader returns a Reader that calls onChange with all valid entries after each change, and onError with read and parse
+// errors. Run calls both functions.
 func NewReader(conn Conn, c *Config, onChange func([]endpoints.RegistryEntry), onError func(error)) *Reader {
 	return &Reader{
 		conn:       conn,
@@ -61,7 +63,7 @@
 	}
 }
 
-// Run follows the path until the context ends, and closes the connection. It returns nil.
+// Run tracks the path until the context ends, then closes the connection. It always returns nil.
 func (r *Reader) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// readable returns all entries but those that cannot be parsed.
+// readable returns all entries except those with invalid data.
 func (r *Reader) readable() []endpoints.RegistryEntry {
 	all := make([]endpoints.RegistryEntry, 0, len(r.entries))
 	for name, entry := range r.entries {
@@ -100,8 +102,8 @@
 	return all
 }
 
-// awaitEvents waits for an event and takes those that come within the read interval with it. It returns false if the
-// context has ended.
+// awaitEvents waits for an event and also processes the events that arrive within the following read interval. It returns
+// false if the context has ended.
 func (r *Reader) awaitEvents(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
@@ -130,7 +132,7 @@
 	delete(r.watched, name)
 }
 
-// awaitWatch starts a goroutine that passes on the one event of a watch.
+// awaitWatch starts a goroutine that forwards the single event of a watch to r.events.
 func (r *Reader) awaitWatch(ctx context.Context, name string, events <-chan zk.Event) {
 	go func() {
 		select {
@@ -145,7 +147,7 @@
 	}()
 }
 
-// readUnwatched reads the children and the entries that are not watched, and watches them.
+// readUnwatched reads and watches the children and entries that are currently not watched.
 func (r *Reader) readUnwatched(ctx context.Context) (hasChanged bool, err error) {
 	if !r.childrenWatched {
 		if err := r.readChildren(ctx); err != nil {
@@ -158,11 +160,11 @@
 	return hasChanged || hasRead, err
 }
 
-// readChildren takes over which entries there are.
+// readChildren reads the list of children and adds and removes entries accordingly.
 func (r *Reader) readChildren(ctx context.Context) error {
 	names, _, events, err := r.conn.ChildrenW(r.path)
 	if err != nil {
-		return fmt.Errorf("%s: %w", r.path, err)
+		return fmt.Errorf("list children of %s: %w", r.path, err)
 	}
 	r.awaitWatch(ctx, childrenEvent, events)
 	isListed := make(map[string]bool, len(names))
@@ -186,7 +188,7 @@
 	delete(r.unreadable, name)
 }
 
-// entryResult is the registry's reply to the reading of one entry.
+// entryResult is the registry's response to the read of one entry.
 type entryResult struct {
 	name   string
 	data   []byte
@@ -195,7 +197,8 @@
 	err    error
 }
 
-// readEntries reads all entries that are not watched. hasRead reports whether there were any; err is that of one of them.
+// readEntries reads all entries that are not watched. hasRead reports whether there were any; err is the error of the last
+// read that failed.
 func (r *Reader) readEntries(ctx context.Context) (hasRead bool, err error) {
 	var names []string
 	for name := range r.entries {
@@ -215,27 +218,27 @@
 	for range names {
 		result := <-results
 		hasRead = true
-		if failure := r.applyEntry(ctx, &result); failure != nil {
-			err = failure
+		if readErr := r.applyEntry(ctx, &result); readErr != nil {
+			err = readErr
 		}
 	}
 	return hasRead, err
 }
 
-// applyEntry takes over what was read of an entry. An entry that cannot be parsed is left out and is no error.
+// applyEntry applies the result of reading an entry. Invalid data is reported to onError and is not returned as an error.
 func (r *Reader) applyEntry(ctx context.Context, result *entryResult) error {
-	if errors.Is(result.err, zk.ErrNoNode) { // removed since the children were read; their watch says so too
+	if errors.Is(result.err, zk.ErrNoNode) { // removed since the children were read; the watch of the children reports it too
 		r.removeEntry(result.name)
 		return nil
 	}
 	if result.err != nil {
-		return fmt.Errorf("%s/%s: %w", r.path, result.name, result.err)
+		return fmt.Errorf("read entry %s/%s: %w", r.path, result.name, result.err)
 	}
 	r.watched[result.name] = true
 	r.awaitWatch(ctx, result.name, result.events)
 	entry, err := ParseEntry(result.name, result.data)
 	if err != nil {
-		r.onError(fmt.Errorf("%s/%s: %w", r.path, result.name, err))
+		r.onError(fmt.Errorf("parse entry %s/%s: %w", r.path, result.name, err))
 		r.unreadable[result.name] = true
 		return nil
 	}
@@ -247,7 +250,7 @@
 	return nil
 }
 
-// sleep returns false if the context ends first.
+// sleep pauses for the duration. It returns false if the context ends earlier.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
