--- a/internal/discovery/endpoints/bench_test.go
+++ b/internal/discovery/endpoints/bench_test.go
@@ -11,12 +11,13 @@
 func announcedUp(from, to int) []Endpoint {
 	var list []Endpoint
 	for i := from; i < to; i++ {
-		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)
-		list = append(list, Endpoint{ID: fmt.Sprint("server-", i), Address: at, Condition: incarnation.Up})
+		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)
+		list = append(list, Endpoint{ID: fmt.Sprint("server-", i), Address: address, Condition: incarnation.Up})
 	}
 	return list
 }
 
+// BenchmarkWholeList applies a full list to an empty view.
 func BenchmarkWholeList(b *testing.B) {
 	for _, servers := range []int{200, 2_000, 20_000, 200_000} {
 		list := announcedUp(0, servers)
@@ -28,7 +29,7 @@
 	}
 }
 
-// One server more, with a tenth of the others drained before.
+// BenchmarkOneChange applies a list of changes with one new server to a view in which a tenth of the servers is draining.
 func BenchmarkOneChange(b *testing.B) {
 	for _, servers := range []int{200, 2_000, 20_000, 200_000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
--- a/internal/discovery/endpoints/set_test.go
+++ b/internal/discovery/endpoints/set_test.go
@@ -18,20 +18,20 @@
 	return RegistryEntry{ID: id, Address: "127.0.0.1:9", OwnerSession: owner, CreatedZxid: owner, CreatedUnixMS: owner, Weight: 1}
 }
 
-// joined is what a node holds after joining the announced entries.
-type joined struct{ table *incarnation.Table }
+// nodeTable is the table of a node that has joined all announced entries.
+type nodeTable struct{ table *incarnation.Table }
 
-func (node joined) take(changed []incarnation.Entry) { node.table.Join(0, changed) }
-func (node joined) condition(id string) string {
-	e, ok := node.table.Get(id)
+func (node nodeTable) join(changed []incarnation.Entry) { node.table.Join(0, changed) }
+func (node nodeTable) condition(id string) string {
+	entry, ok := node.table.Get(id)
 	if !ok {
 		return "-"
 	}
-	return []string{"up", "draining", "gone"}[e.Condition]
+	return []string{"up", "draining", "gone"}[entry.Condition]
 }
 
-// Events of one server among five, the condition in which a node holds it at the end, and whether that is still the
-// incarnation it began with.
+// TestServerHistories applies events of one server among five and compares its final condition in a node's table, and whether
+// the server still has its initial incarnation.
 func TestServerHistories(t *testing.T) {
 	type event struct {
 		at   time.Duration
@@ -45,82 +45,82 @@
 	}{
 		"listed":                              {nil, "up", true},
 		"removed":                             {[]event{{2 * s, "removed"}}, "draining", true},
-		"removed for long":                    {[]event{{2 * s, "removed"}, {9 * s, "wait"}}, "gone", true},
-		"flaps, alive":                        {[]event{{1900 * ms, "answer"}, {2 * s, "removed"}, {3 * s, "back"}}, "up", true},
+		"removed for longer than flapWindow":  {[]event{{2 * s, "removed"}, {9 * s, "wait"}}, "gone", true},
+		"flaps, alive":                        {[]event{{1900 * ms, "response"}, {2 * s, "removed"}, {3 * s, "back"}}, "up", true},
 		"flaps, not seen alive":               {[]event{{2 * s, "removed"}, {3 * s, "back"}}, "up", false},
-		"flaps, and connects fail":            {[]event{{1900 * ms, "answer"}, {2 * s, "removed"}, {2100 * ms, "fail"}, {3 * s, "back"}}, "up", false},
-		"back too late":                       {[]event{{1900 * ms, "answer"}, {2 * s, "removed"}, {9 * s, "wait"}, {10 * s, "back"}}, "up", false},
+		"flaps, and connects fail":            {[]event{{1900 * ms, "response"}, {2 * s, "removed"}, {2100 * ms, "fail"}, {3 * s, "back"}}, "up", false},
+		"back too late":                       {[]event{{1900 * ms, "response"}, {2 * s, "removed"}, {9 * s, "wait"}, {10 * s, "back"}}, "up", false},
 		"drains":                              {[]event{{2 * s, "drain"}}, "draining", true},
 		"a drain is canceled":                 {[]event{{2 * s, "drain"}, {3 * s, "undrain"}}, "up", true},
 		"drains and is removed":               {[]event{{2 * s, "drain"}, {3 * s, "removed"}}, "gone", true},
 		"dead before the registry removes it": {[]event{{2 * s, "fail"}, {2 * s, "fail"}, {2 * s, "fail"}}, "draining", true},
 		"two failures are not enough":         {[]event{{2 * s, "fail"}, {2 * s, "fail"}}, "up", true},
 		"suspected, and tried again":          {[]event{{2 * s, "fail"}, {2 * s, "fail"}, {2 * s, "fail"}, {3100 * ms, "wait"}}, "up", true},
-		"suspected, and it responds":          {[]event{{2 * s, "fail"}, {2 * s, "fail"}, {2 * s, "fail"}, {2100 * ms, "answer"}}, "up", true},
+		"suspected, and it responds":          {[]event{{2 * s, "fail"}, {2 * s, "fail"}, {2 * s, "fail"}, {2100 * ms, "response"}}, "up", true},
 		"all removed":                         {[]event{{2 * s, "all removed"}}, "up", true},
 		"all removed, and it is dead":         {[]event{{2 * s, "all removed"}, {3 * s, "fail"}, {3 * s, "fail"}, {3 * s, "fail"}}, "draining", true},
 		"all removed, it was draining":        {[]event{{1 * s, "drain"}, {2 * s, "all removed"}}, "gone", true},
 		"all removed one by one":              {[]event{{2 * s, "removed"}, {2100 * ms, "all removed"}}, "up", true},
-		"all but it come back":                {[]event{{2 * s, "all removed"}, {4 * s, "others back"}}, "draining", true},
+		"all removed, the others come back":   {[]event{{2 * s, "all removed"}, {4 * s, "others back"}}, "draining", true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			set, node := NewSet(), joined{incarnation.NewTable()}
+			set, node := NewSet(), nodeTable{incarnation.NewTable()}
 			list := func(which ...RegistryEntry) []RegistryEntry { return which }
 			others := list(registryEntry("b", 2), registryEntry("c", 3), registryEntry("d", 4), registryEntry("e", 5))
 			entry := registryEntry("a", 1)
-			node.take(set.ApplyList(0, append(list(entry), others...)))
+			node.join(set.ApplyList(0, append(list(entry), others...)))
 			first, _ := node.table.Get("a")
 			for at, i := 50*ms, 0; i < len(c.events); at += 50 * ms {
-				node.take(set.Tick(at))
+				node.join(set.Tick(at))
 				for ; i < len(c.events) && c.events[i].at <= at; i++ {
 					switch c.events[i].what {
 					case "removed":
-						node.take(set.ApplyList(at, others))
+						node.join(set.ApplyList(at, others))
 					case "all removed":
-						node.take(set.ApplyList(at, nil))
+						node.join(set.ApplyList(at, nil))
 					case "others back":
-						node.take(set.ApplyList(at, others))
+						node.join(set.ApplyList(at, others))
 					case "back":
 						entry.OwnerSession, entry.CreatedZxid, entry.CreatedUnixMS = 99, 99, 99
-						node.take(set.ApplyList(at, append(list(entry), others...)))
+						node.join(set.ApplyList(at, append(list(entry), others...)))
 					case "drain", "undrain":
 						entry.IsDraining = c.events[i].what == "drain"
-						node.take(set.ApplyList(at, append(list(entry), others...)))
+						node.join(set.ApplyList(at, append(list(entry), others...)))
 					case "fail":
-						node.take(set.ConnectFailed(at, "a"))
-					case "answer":
-						node.take(set.ResponseReceived(at, "a"))
+						node.join(set.ConnectFailed(at, "a"))
+					case "response":
+						node.join(set.ResponseReceived(at, "a"))
 					}
 				}
 			}
 			last, _ := node.table.Get("a")
 			if node.condition("a") != c.want || (last.StartedUnixMS == first.StartedUnixMS) != c.same {
-				t.Errorf("%s, up %d, %d at first", node.condition("a"), last.StartedUnixMS, first.StartedUnixMS)
+				t.Errorf("got condition %s, started at %d, initially %d", node.condition("a"), last.StartedUnixMS, first.StartedUnixMS)
 			}
 		})
 	}
 }
 
-// check compares what a node holds with rules that do not use the Set's own states.
-func check(t interface{ Fatalf(string, ...any) }, set *Set, node joined, isListed map[string]bool, draining map[string]bool, history string) {
+// checkNode compares a node's table with the registry's list and the Set's states.
+func checkNode(t interface{ Fatalf(string, ...any) }, set *Set, node nodeTable, isListed map[string]bool, draining map[string]bool, history string) {
 	for _, id := range []string{"a", "b", "c"} {
 		c := node.condition(id)
 		switch {
 		case draining[id] && c == "up":
-			t.Fatalf("%s: %s is listed as draining, and is up", history, id)
+			t.Fatalf("%s: %s is listed as draining, but its condition is up", history, id)
 		case !isListed[id] && c == "up" && set.State(id) != StateRetained:
-			t.Fatalf("%s: %s is not listed, and is up", history, id)
+			t.Fatalf("%s: %s is not listed and not retained, but its condition is up", history, id)
 		case !isListed[id] && c == "up" && !set.MassRemoval().IsSuspected:
-			t.Fatalf("%s: %s is retained without suspicion", history, id)
+			t.Fatalf("%s: %s is retained, but no mass removal is suspected", history, id)
 		case set.State(id) == StatePresent && c != "up", set.State(id) == StateDraining && c == "up":
-			t.Fatalf("%s: %s is %s in state %d", history, id, c, set.State(id))
+			t.Fatalf("%s: %s has condition %s in state %d", history, id, c, set.State(id))
 		}
 	}
 }
 
-// All interleavings of six events of three servers: a server that is not listed is usable only while a mass removal is
-// suspected, no drain is undone without a new entry, and entries never go back. CI plays sequences of four events,
-// ROSTER_DEPTH=6 those of six.
+// TestAllInterleavings applies all sequences of six kinds of events of three servers: an unlisted server is usable only while
+// a mass removal is suspected, and no drain is undone without a new entry, and entries never regress. The sequences have four events, or as many as
+// ROSTER_DEPTH sets.
 func TestAllInterleavings(t *testing.T) {
 	depth := 4
 	if n, err := strconv.Atoi(os.Getenv("ROSTER_DEPTH")); err == nil {
@@ -128,11 +128,11 @@
 	}
 	var events [][2]string
 	for _, id := range []string{"a", "b", "c"} {
-		for _, e := range []string{"removed", "back", "drain", "fails", "answer", "wait"} {
+		for _, e := range []string{"removed", "back", "drain", "failures", "response", "wait"} {
 			events = append(events, [2]string{id, e})
 		}
 	}
-	for first := range events[:6] { // of the first server; the others differ by their names only
+	for first := range events[:6] { // first events of server a; sequences that begin with another server differ only in names
 		t.Run(events[first][0]+" "+events[first][1], func(t *testing.T) {
 			t.Parallel()
 			indices := make([]int, depth)
@@ -150,72 +150,72 @@
 	}
 }
 
-// Random longer ones.
+// TestLongInterleavings applies random sequences of 5 to 60 events.
 func TestLongInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(5, 60).Draw(t, "length")
 		playEvents(t, func(i int) ([2]string, bool) {
 			return [2]string{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"),
-				rapid.SampledFrom([]string{"removed", "back", "drain", "fails", "answer", "wait"}).Draw(t, "event")}, i < n
+				rapid.SampledFrom([]string{"removed", "back", "drain", "failures", "response", "wait"}).Draw(t, "event")}, i < n
 		})
 	})
 }
 
 func playEvents(t interface{ Fatalf(string, ...any) }, next func(i int) ([2]string, bool)) {
-	set, node := NewSet(), joined{incarnation.NewTable()}
+	set, node := NewSet(), nodeTable{incarnation.NewTable()}
 	now, owner := time.Duration(0), int64(10)
-	state := map[string]RegistryEntry{}
+	entries := map[string]RegistryEntry{}
 	isListed, draining := map[string]bool{}, map[string]bool{}
 	list := func() []RegistryEntry {
 		var all []RegistryEntry
 		for _, id := range []string{"a", "b", "c"} {
 			if isListed[id] {
-				all = append(all, state[id])
+				all = append(all, entries[id])
 			}
 		}
 		return all
 	}
 	for i, id := range []string{"a", "b", "c"} {
-		state[id], isListed[id] = registryEntry(id, int64(i+1)), true
+		entries[id], isListed[id] = registryEntry(id, int64(i+1)), true
 	}
-	node.take(set.ApplyList(now, list()))
+	node.join(set.ApplyList(now, list()))
 	history := ""
 	for i := 0; ; i++ {
-		m, more := next(i)
-		if !more {
+		event, hasMore := next(i)
+		if !hasMore {
 			return
 		}
-		id := m[0]
-		history += fmt.Sprint(" ", id, " ", m[1])
+		id := event[0]
+		history += fmt.Sprint(" ", id, " ", event[1])
 		now += 300 * ms
-		node.take(set.Tick(now))
-		switch m[1] {
+		node.join(set.Tick(now))
+		switch event[1] {
 		case "removed":
 			isListed[id] = false
 		case "back":
 			if !isListed[id] {
 				owner++
-				state[id], isListed[id], draining[id] = registryEntry(id, owner), true, false
+				entries[id], isListed[id], draining[id] = registryEntry(id, owner), true, false
 			}
 		case "drain":
 			if isListed[id] {
-				l := state[id]
-				l.IsDraining = true
-				state[id], draining[id] = l, true
+				entry := entries[id]
+				entry.IsDraining = true
+				entries[id], draining[id] = entry, true
 			}
-		case "fails":
+		case "failures":
 			for range minConnectFailures {
-				node.take(set.ConnectFailed(now, id))
+				node.join(set.ConnectFailed(now, id))
 			}
-		case "answer":
-			node.take(set.ResponseReceived(now, id))
+		case "response":
+			node.join(set.ResponseReceived(now, id))
 		case "wait":
 			now += 6 * time.Second
-			node.take(set.Tick(now))
+			node.join(set.Tick(now))
 		}
-		if m[1] == "removed" || m[1] == "back" || m[1] == "drain" {
-			node.take(set.ApplyList(now, list()))
+		if event[1] == "removed" || event[1] == "back" || event[1] == "drain" {
+			node.join(set.ApplyList(now, list()))
 		}
-		check(t, set, node, isListed, draining, history)
+		checkNode(t, set, node, isListed, draining, history)
 	}
 }
--- a/internal/discovery/endpoints/view_test.go
+++ b/internal/discovery/endpoints/view_test.go
@@ -18,7 +18,7 @@
 	return endpoint
 }
 
-// What each list changes, step by step.
+// TestViewUpdates applies lists step by step and compares the update of the last step and the usable servers.
 func TestViewUpdates(t *testing.T) {
 	type step struct {
 		announced  []Endpoint
@@ -27,11 +27,11 @@
 	up := func(id string, port uint16) Endpoint { return announced(id, port, incarnation.Up) }
 	for name, c := range map[string]struct {
 		steps   []step
-		changed string // changed by the last step
+		changed string // IDs and conditions that the last step changed
 		idle    []string
 		usable  []string
 	}{
-		"two":                                {[]step{{[]Endpoint{up("a", 1), up("b", 2)}, true}}, "a0 b0", []string{"a", "b"}, []string{"a", "b"}},
+		"two servers":                        {[]step{{[]Endpoint{up("a", 1), up("b", 2)}, true}}, "a0 b0", []string{"a", "b"}, []string{"a", "b"}},
 		"the same again":                     {[]step{{[]Endpoint{up("a", 1)}, true}, {[]Endpoint{up("a", 1)}, true}}, "a0", nil, []string{"a"}},
 		"left out of a full list":            {[]step{{[]Endpoint{up("a", 1), up("b", 2)}, true}, {[]Endpoint{up("b", 2)}, true}}, "b0", []string{"a"}, []string{"b"}},
 		"not changed":                        {[]step{{[]Endpoint{up("a", 1), up("b", 2)}, true}, {[]Endpoint{up("b", 2)}, false}}, "b0", nil, []string{"a", "b"}},
@@ -54,7 +54,7 @@
 				retaining.Apply(time.Duration(i), SourceDiscovery, s.announced, s.isFullList)
 			}
 			if record, _ := retaining.Get("a"); record.IsUsable != (slices.Contains(c.usable, "a") || name == "left out of a full list" || name == "announced as gone") {
-				t.Errorf("with IgnoreRemovals, a is usable: %v", record.IsUsable)
+				t.Errorf("with IgnoreRemovals: server a has IsUsable %v", record.IsUsable)
 			}
 			lines := ""
 			for i, record := range update.Changed {
@@ -70,14 +70,14 @@
 				}
 			}
 			if lines != c.changed || !slices.Equal(update.CloseIdle, c.idle) || !slices.Equal(usable, c.usable) {
-				t.Errorf("changed %q, close idle %v, usable %v", lines, update.CloseIdle, usable)
+				t.Errorf("got changed %q, close idle %v, usable %v", lines, update.CloseIdle, usable)
 			}
 		})
 	}
 }
 
-// All sequences of four announcements about three servers at two addresses: a usable server was announced as up last, no
-// full list without it came since, and no new server came to its address since.
+// TestViewAllSequences applies all sequences of four announcements of three servers at two addresses. A server is usable if
+// its last announcement was up, and since then no full list omitted it and no new server was announced at its address.
 func TestViewAllSequences(t *testing.T) {
 	type event struct {
 		announced  Endpoint
@@ -94,7 +94,7 @@
 		seen bool
 	}
 	var play func(path []event, depth int)
-	played := 0
+	sequences := 0
 	play = func(path []event, depth int) {
 		if depth > 0 {
 			for _, e := range events {
@@ -102,14 +102,14 @@
 			}
 			return
 		}
-		played++
+		sequences++
 		v, model := NewView(), map[string]*modelRecord{}
 		for i, e := range path {
 			v.Apply(time.Duration(i), SourceRegistry, []Endpoint{e.announced}, e.isFullList)
 			m := model[e.announced.ID]
 			if e.isFullList {
-				for _, o := range model {
-					o.up = false
+				for _, other := range model {
+					other.up = false
 				}
 			}
 			if m == nil {
@@ -117,9 +117,9 @@
 				model[e.announced.ID] = m
 			}
 			if e.announced.Condition == incarnation.Up && !m.seen {
-				for _, o := range model {
-					if o != m && o.up && o.port == e.announced.Address.Port() {
-						o.up = false
+				for _, other := range model {
+					if other != m && other.up && other.port == e.announced.Address.Port() {
+						other.up = false
 					}
 				}
 			}
@@ -127,18 +127,19 @@
 				m.port = e.announced.Address.Port()
 			}
 			m.seen = m.seen || e.announced.Condition != incarnation.Gone
-			for id, m := range model {
-				if record, _ := v.Get(id); record.IsUsable != m.up || m.seen && record.Address.Port() != m.port {
-					t.Fatalf("after %v: %s is %+v, not %+v", path[:i+1], id, record, *m)
+			for id, want := range model {
+				if record, _ := v.Get(id); record.IsUsable != want.up || want.seen && record.Address.Port() != want.port {
+					t.Fatalf("after %v: server %s: got %+v, want %+v", path[:i+1], id, record, *want)
 				}
 			}
 		}
 	}
 	play(nil, 4)
-	t.Logf("%d sequences", played)
+	t.Logf("%d sequences", sequences)
 }
 
-// The cost of one change grows neither with the servers nor with those that drain. A full list visits each once.
+// TestViewUpdateCost checks that the cost of one change grows neither with the number of servers nor with the number of
+// draining ones, and that a full list visits each record at most three times.
 func TestViewUpdateCost(t *testing.T) {
 	cost := func(servers int) (change, fullList int) {
 		v := NewView()
@@ -152,18 +153,19 @@
 		fullList, from = v.recordVisits-from, v.recordVisits
 		update := v.Apply(0, SourceDiscovery, announcedUp(servers, servers+1), false)
 		if len(update.Changed) != 1 || len(update.CloseIdle) != 1 {
-			t.Errorf("%d records changed, %d servers' connections to close", len(update.Changed), len(update.CloseIdle))
+			t.Errorf("got %d changed records and %d servers with connections to close, want 1 and 1", len(update.Changed), len(update.CloseIdle))
 		}
 		return v.recordVisits - from, fullList
 	}
 	few, _ := cost(1_000)
 	many, fullList := cost(20_000)
 	if many > few || fullList > 3*20_000 {
-		t.Errorf("a change visits %d records among 1,000, %d among 20,000; a full list of those: %d", few, many, fullList)
+		t.Errorf("one change visits %d records among 1,000 and %d among 20,000; a full list of 20,000 visits %d", few, many, fullList)
 	}
 }
 
-// The index by address holds each known server at the address that was announced last, and no other.
+// TestViewIndexByAddress checks that the address index contains each server at most once, at its last announced address, and
+// contains every usable server.
 func TestViewIndexByAddress(t *testing.T) {
 	v := NewView()
 	for i := range 3_000 {
@@ -176,17 +178,17 @@
 		for at, ids := range v.byAddress {
 			for _, id := range ids {
 				if record := v.records[id]; record == nil || record.Address != at || seen[id] {
-					t.Fatalf("step %d: %s is not at %s, or twice", i, id, at)
+					t.Fatalf("step %d: server %s is indexed at %s, which is not its address, or is indexed twice", i, id, at)
 				}
 				seen[id] = true
 			}
 			if len(ids) == 0 {
-				t.Fatalf("step %d: nothing is at %s", i, at)
+				t.Fatalf("step %d: address %s is indexed without servers", i, at)
 			}
 		}
 		for id, record := range v.records {
 			if record.IsUsable && !seen[id] {
-				t.Fatalf("step %d: %s is usable and not found by its address", i, id)
+				t.Fatalf("step %d: usable server %s is missing from the address index", i, id)
 			}
 		}
 	}
--- a/internal/discovery/incarnation/format_test.go
+++ b/internal/discovery/incarnation/format_test.go
@@ -7,8 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestEntryEncoding compares an entry's CBOR form, which planners, nodes and the distribution store and exchange, with the
-// bytes that the first build with this format wrote.
+// TestEntryEncoding compares the CBOR encoding of an entry, which planners, nodes and the distribution store and exchange,
+// with the bytes written by the first build with this format.
 func TestEntryEncoding(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -21,16 +21,16 @@
 		{"gone", Entry{ID: "t", Condition: Gone}, "8a61740000020060606000fb0000000000000000"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b, err := cbor.Marshal(c.entry)
+			encoded, err := cbor.Marshal(c.entry)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := hex.EncodeToString(b); got != c.want {
-				t.Errorf("encoded as\n%s, want\n%s", got, c.want)
+			if got := hex.EncodeToString(encoded); got != c.want {
+				t.Errorf("got encoding\n%s, want\n%s", got, c.want)
 			}
-			var back Entry
-			if err := cbor.Unmarshal(b, &back); err != nil || back != c.entry {
-				t.Errorf("decoded as %+v, %v", back, err)
+			var decoded Entry
+			if err := cbor.Unmarshal(encoded, &decoded); err != nil || decoded != c.entry {
+				t.Errorf("got decoded entry %+v, %v", decoded, err)
 			}
 		})
 	}
