--- a/internal/discovery/snapshot/format_test.go
+++ b/internal/discovery/snapshot/format_test.go
@@ -13,7 +13,7 @@
 	"fernvane/internal/journal/wal"
 )
 
-// storedFiles are the files in testdata, written by the first build with this format, and what each of them holds.
+// storedFiles returns the decoded contents of the files in testdata, which the first build with this format wrote.
 func storedFiles() map[string]*Snapshot {
 	return map[string]*Snapshot{
 		"all-fields.snap": {
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestStoredFilesAreRead reads files that an earlier build wrote and compares each field.
+// TestStoredFilesAreRead decodes files written by an earlier build and compares each field.
 func TestStoredFilesAreRead(t *testing.T) {
 	for name, want := range storedFiles() {
 		t.Run(name, func(t *testing.T) {
@@ -47,13 +47,13 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("read\n%+v, written was\n%+v", got, want)
+				t.Errorf("decoded\n%+v, want\n%+v", got, want)
 			}
 		})
 	}
 }
 
-// TestStoredFilesAreWrittenAlike writes what the files of the earlier build hold and compares the bytes.
+// TestStoredFilesAreWrittenAlike writes the contents of the files of the earlier build and compares the bytes.
 func TestStoredFilesAreWrittenAlike(t *testing.T) {
 	for name, snapshot := range storedFiles() {
 		t.Run(name, func(t *testing.T) {
@@ -74,13 +74,13 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(written, stored) {
-				t.Errorf("written\n%x, stored is\n%x", written, stored)
+				t.Errorf("wrote\n%x, want\n%x", written, stored)
 			}
 		})
 	}
 }
 
-// TestConfigKeys reads every key of the file by the name that operators' files have.
+// TestConfigKeys reads a file with every key under the name used in operators' files.
 func TestConfigKeys(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "snapshot.toml")
--- a/internal/discovery/snapshot/snapshot_test.go
+++ b/internal/discovery/snapshot/snapshot_test.go
@@ -14,117 +14,119 @@
 	"fernvane/internal/testbed/standin/memdisk"
 )
 
-func of(n int64) *Snapshot {
+// newSnapshot returns a snapshot of two servers, written at time n.
+func newSnapshot(n int64) *Snapshot {
 	return &Snapshot{Node: "n", Deployment: "d", WrittenUnixMS: n, ConfirmedUnixMS: n - 1, Revision: uint64(n),
 		Servers: []Server{{ID: "a", StartedUnixMS: n, Address: "127.0.0.1:1", Zone: "north", Weight: 1, AnnouncedUnixMS: n, ExecutedUnixMS: n}, {ID: "b", Condition: 1}}}
 }
 
-// What was encoded is decoded again. Files that are corrupt, of a newer version or no snapshots are errors.
+// TestDecode checks that an encoded snapshot is decoded unchanged, and that corrupt files, files of a newer version and files
+// that are not snapshots are rejected.
 func TestDecode(t *testing.T) {
-	good, err := Encode(of(7))
+	encoded, err := Encode(newSnapshot(7))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := Decode(good)
-	if err != nil || s.WrittenUnixMS != 7 || len(s.Servers) != 2 || s.Servers[0] != of(7).Servers[0] {
-		t.Fatalf("%+v, %v", s, err)
+	s, err := Decode(encoded)
+	if err != nil || s.WrittenUnixMS != 7 || len(s.Servers) != 2 || s.Servers[0] != newSnapshot(7).Servers[0] {
+		t.Fatalf("decoded %+v, %v", s, err)
 	}
 	twice, _ := Encode(&Snapshot{Servers: []Server{{ID: "a"}, {ID: "a"}}})
-	newer := bytes.Clone(good)
+	newer := bytes.Clone(encoded)
 	newer[len(magic)+1]++
-	flipped := bytes.Clone(good)
+	flipped := bytes.Clone(encoded)
 	flipped[len(flipped)-3] ^= 1
 	for name, c := range map[string]struct {
 		text []byte
 		want error
 	}{
-		"nothing": {nil, ErrCorrupt}, "noise": {[]byte(strings.Repeat("x", 99)), ErrCorrupt}, "cut off": {good[:len(good)-1], ErrCorrupt},
-		"longer": {append(bytes.Clone(good), 0), ErrCorrupt}, "a bit": {flipped, ErrCorrupt}, "newer": {newer, ErrNewerVersion}, "named twice": {twice, ErrCorrupt},
+		"empty": {nil, ErrCorrupt}, "noise": {[]byte(strings.Repeat("x", 99)), ErrCorrupt}, "truncated": {encoded[:len(encoded)-1], ErrCorrupt},
+		"trailing byte": {append(bytes.Clone(encoded), 0), ErrCorrupt}, "flipped bit": {flipped, ErrCorrupt}, "newer version": {newer, ErrNewerVersion}, "duplicate ID": {twice, ErrCorrupt},
 	} {
 		if _, err := Decode(c.text); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v", name, err)
 		}
 	}
 	if _, err := Encode(&Snapshot{Servers: make([]Server, maxServers+1)}); err == nil {
-		t.Error("too many servers are taken")
+		t.Error("Encode accepts more than maxServers servers")
 	}
 }
 
-// Decoding any bytes neither panics nor returns more than they hold.
+// FuzzDecode checks that decoding arbitrary bytes does not panic and does not return more data than was encoded.
 func FuzzDecode(f *testing.F) {
-	good, _ := Encode(of(7))
-	f.Add(good)
+	encoded, _ := Encode(newSnapshot(7))
+	f.Add(encoded)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s, err := Decode(b)
 		if (s == nil) != (err != nil) {
 			t.Fatal(s, err)
 		}
 		if s != nil {
-			if again, err := Encode(s); err != nil || len(again) > len(b)+64 {
-				t.Fatalf("%d bytes make %d, %v", len(b), len(again), err)
+			if reencoded, err := Encode(s); err != nil || len(reencoded) > len(b)+64 {
+				t.Fatalf("%d bytes are encoded as %d bytes after decoding, %v", len(b), len(reencoded), err)
 			}
 		}
 	})
 }
 
-// The machine dies at each step of writing, or the disk fails there. The newest complete generation is then this one or the
-// one before, and writing goes on.
+// TestCrashAtEachStep has the machine crash or the disk fail at each step of a write. The newest complete generation is then
+// this one or the previous one, and later writes succeed.
 func TestCrashAtEachStep(t *testing.T) {
-	chance := rand.New(rand.NewPCG(1, 2))
-	for _, trouble := range []memdisk.Fault{memdisk.Dead, memdisk.Short, memdisk.Full, memdisk.Lying} {
+	random := rand.New(rand.NewPCG(1, 2))
+	for _, fault := range []memdisk.Fault{memdisk.Dead, memdisk.Short, memdisk.Full, memdisk.Lying} {
 		for step := 1; step <= 12; step++ {
-			name := fmt.Sprintf("trouble %d at step %d", trouble, step)
-			d := memdisk.New()
-			s, err := Open("dir", 2, d)
+			name := fmt.Sprintf("fault %d at step %d", fault, step)
+			disk := memdisk.New()
+			s, err := Open("dir", 2, disk)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for i := int64(1); i <= 3; i++ {
-				if err := s.Write(of(i)); err != nil {
+				if err := s.Write(newSnapshot(i)); err != nil {
 					t.Fatal(err)
 				}
 			}
-			from := d.Operations()
-			d.Meet = func(n int) memdisk.Fault {
+			from := disk.Operations()
+			disk.Meet = func(n int) memdisk.Fault {
 				if n == from+step {
-					return trouble
+					return fault
 				}
 				return memdisk.None
 			}
 			last := int64(3)
-			for i := int64(4); i <= 6; i++ { // two complete writes are more than twelve steps
-				if s.Write(of(i)) == nil {
+			for i := int64(4); i <= 6; i++ { // two complete writes take more than twelve steps
+				if s.Write(newSnapshot(i)) == nil {
 					last = i
-				} else if trouble == memdisk.Dead {
+				} else if fault == memdisk.Dead {
 					break
 				}
 			}
-			d.Meet = func(int) memdisk.Fault { return memdisk.None }
-			if trouble == memdisk.Dead {
-				d.Crash(chance)
+			disk.Meet = func(int) memdisk.Fault { return memdisk.None }
+			if fault == memdisk.Dead {
+				disk.Crash(random)
 			}
-			again, err := Open("dir", 2, d)
+			reopened, err := Open("dir", 2, disk)
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, _, err := again.Newest()
+			got, _, err := reopened.Newest()
 			if err != nil || got == nil || got.WrittenUnixMS < last || got.WrittenUnixMS > last+1 {
-				t.Fatalf("%s: %+v after %d, %v", name, got, last, err)
+				t.Fatalf("%s: got newest generation %+v after writing %d, %v", name, got, last, err)
 			}
-			if err := again.Write(of(9)); err != nil {
-				t.Fatalf("%s: %v", name, err)
+			if err := reopened.Write(newSnapshot(9)); err != nil {
+				t.Fatalf("%s: write after reopening: %v", name, err)
 			}
-			if got, _, _ := again.Newest(); got == nil || got.WrittenUnixMS != 9 {
-				t.Fatalf("%s: not written on: %+v", name, got)
+			if got, _, _ := reopened.Newest(); got == nil || got.WrittenUnixMS != 9 {
+				t.Fatalf("%s: got newest generation %+v after a later write", name, got)
 			}
-			if files, _ := d.List("dir"); len(files) != 2 {
-				t.Errorf("%s: %v are left", name, files)
+			if files, _ := disk.List("dir"); len(files) != 2 {
+				t.Errorf("%s: got files %v, want 2", name, files)
 			}
 		}
 	}
 }
 
-// A corrupt generation is skipped and reported; one of a newer version ends the search.
+// TestNewest checks that a corrupt generation is skipped and reported, and that one of a newer version ends the search.
 func TestNewest(t *testing.T) {
 	dir := t.TempDir()
 	s, err := Open(dir, 3, wal.OSFileSystem{})
@@ -132,26 +134,26 @@
 		t.Fatal(err)
 	}
 	for i := range int64(5) {
-		if err := s.Write(of(i + 1)); err != nil {
+		if err := s.Write(newSnapshot(i + 1)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	files, _ := filepath.Glob(filepath.Join(dir, "*"))
 	if len(files) != 3 {
-		t.Fatalf("%v", files)
+		t.Fatalf("got files %v, want 3", files)
 	}
-	spoil := func(path string, do func(b []byte)) {
+	modify := func(path string, do func(b []byte)) {
 		b, _ := os.ReadFile(path)
 		do(b)
 		os.WriteFile(path, b, 0o600)
 	}
-	spoil(files[2], func(b []byte) { b[len(b)-1] ^= 1 })
-	got, faults, err := s.Newest()
-	if err != nil || got == nil || got.WrittenUnixMS != 4 || len(faults) != 1 || !strings.Contains(faults[0].Error(), files[2]) {
-		t.Errorf("%+v, %v, %v", got, faults, err)
+	modify(files[2], func(b []byte) { b[len(b)-1] ^= 1 })
+	got, unusable, err := s.Newest()
+	if err != nil || got == nil || got.WrittenUnixMS != 4 || len(unusable) != 1 || !strings.Contains(unusable[0].Error(), files[2]) {
+		t.Errorf("got %+v, %v, %v", got, unusable, err)
 	}
-	spoil(files[1], func(b []byte) { b[len(magic)+1] = version + 1 })
-	if got, faults, _ := s.Newest(); got != nil || len(faults) != 2 {
-		t.Errorf("what lies behind a newer version is used: %+v, %v", got, faults)
+	modify(files[1], func(b []byte) { b[len(magic)+1] = version + 1 })
+	if got, unusable, _ := s.Newest(); got != nil || len(unusable) != 2 {
+		t.Errorf("got %+v, %v although a newer version precedes all usable generations", got, unusable)
 	}
 }
--- a/internal/discovery/staleness/evaluator_test.go
+++ b/internal/discovery/staleness/evaluator_test.go
@@ -16,7 +16,7 @@
 	return all
 }
 
-// The staleness level of a list, and how many of its 40 servers are on trial at first.
+// TestLevels compares the staleness level of a list and the number of its 40 servers that are on trial initially.
 func TestLevels(t *testing.T) {
 	for name, c := range map[string]struct {
 		list   CachedList
@@ -37,13 +37,13 @@
 		t.Run(name, func(t *testing.T) {
 			evaluator := New(c.list, "n", serversUp(40))
 			if all, changed := evaluator.Usable(); evaluator.Level() != c.level || len(all) != c.trials || !changed {
-				t.Errorf("level %d, %d on trial", evaluator.Level(), len(all))
+				t.Errorf("got level %d, %d servers on trial", evaluator.Level(), len(all))
 			}
 		})
 	}
 }
 
-// Events of one server of a list that is ten minutes old, and its status after them.
+// TestStatuses applies events of one server of a list that is ten minutes old and compares its final status.
 func TestStatuses(t *testing.T) {
 	const serve, reject, connectFail, other, wait = "serve", "reject", "connect fail", "other", "wait"
 	for name, c := range map[string]struct {
@@ -84,33 +84,35 @@
 				}
 			}
 			if got := evaluator.Status("a"); got != c.want {
-				t.Errorf("status %d, not %d", got, c.want)
+				t.Errorf("got status %d, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-// Nodes that start together on one list do not try the same servers first.
+// TestNodesTryDifferentServers checks that nodes that start simultaneously with the same list do not try the same servers
+// first.
 func TestNodesTryDifferentServers(t *testing.T) {
-	first := map[string]int{}
+	trials := map[string]int{}
 	for n := range 100 {
 		all, _ := New(CachedList{time.Hour, true}, fmt.Sprint("n", n), serversUp(50)).Usable()
 		for _, u := range all {
-			first[u.ID]++
+			trials[u.ID]++
 		}
 	}
-	for id, n := range first { // 500 trials over 50 servers: 10 each
+	for id, n := range trials { // 500 trials of 50 servers: 10 each on average
 		if n > 30 {
-			t.Errorf("%s is tried by %d of 100 nodes at first", id, n)
+			t.Errorf("server %s is tried first by %d of 100 nodes", id, n)
 		}
 	}
-	if len(first) < 45 {
-		t.Errorf("only %d of 50 are tried by anybody", len(first))
+	if len(trials) < 45 {
+		t.Errorf("only %d of 50 servers are tried first by some node", len(trials))
 	}
 }
 
-// Whatever happens, excluded servers are never usable, no server is proven that has not executed a request since the start,
-// no more are on trial than allowed, and once all servers serve, all are proven.
+// TestEvaluatorInvariants checks for random events that excluded servers are never usable, that a server is proven only if it
+// has executed a request since the start, that no more servers are on trial than allowed, and that all servers that are not
+// excluded are proven once they execute requests.
 func TestEvaluatorInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Server
@@ -124,7 +126,7 @@
 		age := time.Duration(rapid.Int64Range(-1e12, 1e15).Draw(t, "age"))
 		evaluator, now := New(CachedList{age, rapid.Bool().Draw(t, "clean")}, "n", all), time.Duration(0)
 		hasExecuted, excluded := map[string]bool{}, map[string]bool{}
-		maxOnTrial := evaluator.maxTrials // the most that were allowed
+		maxOnTrial := evaluator.maxTrials // largest limit so far
 		for _, s := range all {
 			excluded[s.ID] = !s.IsUp
 		}
@@ -132,11 +134,11 @@
 			id := all[rapid.IntRange(0, len(all)-1).Draw(t, "which")].ID
 			now += time.Duration(rapid.Int64Range(0, 3e9).Draw(t, "later"))
 			usable, _ := evaluator.Usable()
-			used := slices.ContainsFunc(usable, func(u UsableServer) bool { return u.ID == id })
+			wasUsable := slices.ContainsFunc(usable, func(u UsableServer) bool { return u.ID == id })
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
 				evaluator.RequestExecuted(now, id)
-				hasExecuted[id] = hasExecuted[id] || used
+				hasExecuted[id] = hasExecuted[id] || wasUsable
 			case 1:
 				evaluator.ResponseWithoutProof(now, id)
 			case 2:
@@ -151,14 +153,14 @@
 			onTrial := 0
 			for _, u := range usable {
 				if excluded[u.ID] || u.IsProven && !hasExecuted[u.ID] {
-					t.Fatalf("%s is usable, excluded %v, has executed %v", u.ID, excluded[u.ID], hasExecuted[u.ID])
+					t.Fatalf("server %s is usable: excluded %v, has executed %v", u.ID, excluded[u.ID], hasExecuted[u.ID])
 				}
 				if !u.IsProven {
 					onTrial++
 				}
 			}
 			if maxOnTrial = max(maxOnTrial, evaluator.maxTrials); onTrial > maxOnTrial || evaluator.maxTrials < minTrials {
-				t.Fatalf("%d on trial, %d are allowed", onTrial, evaluator.maxTrials)
+				t.Fatalf("got %d servers on trial, current limit %d", onTrial, evaluator.maxTrials)
 			}
 		}
 		for range 200 {
@@ -171,7 +173,7 @@
 		}
 		for _, s := range all {
 			if want := map[bool]Status{true: Excluded, false: Proven}[excluded[s.ID]]; evaluator.Status(s.ID) != want {
-				t.Fatalf("%s ends as %d, not %d", s.ID, evaluator.Status(s.ID), want)
+				t.Fatalf("server %s: got final status %d, want %d", s.ID, evaluator.Status(s.ID), want)
 			}
 		}
 	})
--- a/internal/discovery/watch/format_test.go
+++ b/internal/discovery/watch/format_test.go
@@ -16,42 +16,42 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// TestCallsSent compares the bytes of calls to discovery with those of the first build that made them.
+// TestCallsSent compares the bytes of calls to discovery with those of the first build with this protocol.
 func TestCallsSent(t *testing.T) {
-	const answer = `{"revision":1099511627776,"complete":true,"members":[]}`
+	const response = `{"revision":1099511627776,"complete":true,"members":[]}`
 	for _, c := range []struct {
 		name     string
 		whole    bool
 		revision uint64
-		want     string // of the second call on a connection, whose wait is longer
-		first    string // of the first one
+		want     string // second call on a connection, whose wait is longer
+		first    string // first call on a connection
 	}{
 		{"whole list", true, 7, "GET /discovery/hosts HTTP/1.1\r\nHost: %s\r\n\r\n", "GET /discovery/hosts HTTP/1.1\r\nHost: %s\r\n\r\n"},
 		{"changes after a revision", false, 1 << 40, "GET /discovery/hosts?index=1099511627776&wait=2000 HTTP/1.1\r\nHost: %s\r\n\r\n",
 			"GET /discovery/hosts?index=1099511627776&wait=100 HTTP/1.1\r\nHost: %s\r\n\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ln, err := net.Listen("tcp", "127.0.0.1:0")
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			calls, done := make(chan string, 8), make(chan struct{})
 			go func() {
 				defer close(done)
-				answerCalls(ln, answer, calls)
+				respondToCalls(listener, response, calls)
 			}()
-			at := netip.MustParseAddrPort(ln.Addr().String())
-			w := Watcher{Target: NewTarget(at), WantsFullList: c.whole, Revision: c.revision}
+			address := netip.MustParseAddrPort(listener.Addr().String())
+			w := Watcher{Target: NewTarget(address), WantsFullList: c.whole, Revision: c.revision}
 			t.Cleanup(func() {
 				w.Close()
-				ln.Close()
+				listener.Close()
 				<-done
 			})
 			for _, want := range []string{c.first, c.want} {
 				if _, err := w.Poll(context.Background()); err != nil {
 					t.Fatal(err)
 				}
-				if got, want := <-calls, fmt.Sprintf(want, at); got != want {
+				if got, want := <-calls, fmt.Sprintf(want, address); got != want {
 					t.Errorf("sent\n%q, want\n%q", got, want)
 				}
 			}
@@ -59,9 +59,9 @@
 	}
 }
 
-// answerCalls accepts one connection and answers each call on it alike, until it is closed.
-func answerCalls(ln net.Listener, answer string, calls chan<- string) {
-	conn, err := ln.Accept()
+// respondToCalls accepts one connection and sends the same response to each call until the connection is closed.
+func respondToCalls(listener net.Listener, response string, calls chan<- string) {
+	conn, err := listener.Accept()
 	if err != nil {
 		return
 	}
@@ -74,11 +74,11 @@
 		}
 		calls <- sent.String()
 		sent.Reset()
-		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(response), response)
 	}
 }
 
-// TestEntriesOfAList turns a list with every field into entries and back.
+// TestEntriesOfAList converts a list with every field into entries and back.
 func TestEntriesOfAList(t *testing.T) {
 	list := http1.EndpointList{Revision: 9, Hosts: []http1.Endpoint{
 		{ID: "a", Address: netip.MustParseAddrPort("127.0.0.1:80"), Zone: "north", Flavor: "large", Cell: 3, Size: 2.5, UpSinceMS: 7, Phase: http1.Serving},
@@ -92,9 +92,9 @@
 	}
 	entries := EntriesFromList(list)
 	if !reflect.DeepEqual(entries, want) {
-		t.Errorf("entries %+v, want %+v", entries, want)
+		t.Errorf("got entries %+v, want %+v", entries, want)
 	}
-	if back := ListFromEntries(entries); !reflect.DeepEqual(back, list) {
-		t.Errorf("back as %+v, want %+v", back, list)
+	if converted := ListFromEntries(entries); !reflect.DeepEqual(converted, list) {
+		t.Errorf("got list %+v, want %+v", converted, list)
 	}
 }
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -12,8 +12,9 @@
 	"fernvane/policy"
 )
 
-// What a silent watch has missed counts as announced 6 s after it fell silent, with a grace of some hundred ms. By then the
-// silence must be noticed, the next call made (the decision module waits for up to 0.38 s) and answered.
+// TestUnansweredPollTimesOut bounds the timeouts of polls that receive no response. A change during such a poll counts as
+// announced 6 s after the connection became unresponsive, with a grace of some hundred ms. Within that time the poll must time
+// out, the decision module must pause (up to 0.38 s), and the next poll must receive its response.
 func TestUnansweredPollTimesOut(t *testing.T) {
 	for name, c := range map[string]struct {
 		w        Watcher
@@ -25,15 +26,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if wait, slack := c.w.timeouts(); wait <= 0 || slack <= 0 || wait+slack > c.maxTotal {
-				t.Errorf("waits %v and %v more", wait, slack)
+				t.Errorf("got wait %v and slack %v", wait, slack)
 			}
 		})
 	}
 }
 
-// A change counts as announced 6 s after discovery had it and could be reached, whatever failed before. Calls are refused
-// until the decision module's pause has grown to its longest; the clock is that of a synctest bubble, so the pause is exact.
-// The longest call without an answer, the longest pause and the time for the answer stay within the 6 s.
+// TestChangesAnnouncedInTimeAfterFailures checks the worst case of the timing described in the package comment: a change
+// counts as announced 6 s after discovery had it and was reachable, regardless of previous failures. Calls are refused until
+// the pause of the decision module has reached its maximum; the clock is that of a synctest bubble, so the pause is exact.
+// The longest call without a response, the longest pause and the time for the response add up to at most 6 s.
 func TestChangesAnnouncedInTimeAfterFailures(t *testing.T) {
 	const (
 		announcedWithin = 6 * time.Second
@@ -68,15 +70,15 @@
 					<-dispatcher.PollRequested()
 					for range failures {
 						dispatcher.DiscoveryFailed()
-						began := time.Now()
+						startedAt := time.Now()
 						<-dispatcher.PollRequested()
-						longestPause = max(longestPause, time.Since(began))
+						longestPause = max(longestPause, time.Since(startedAt))
 					}
 				})
 			}
 			wait, slack := c.w.timeouts()
 			if sum := wait + slack + longestPause + responseTime; sum > announcedWithin {
-				t.Errorf("%v: %v without an answer, a pause of %v, %v for the answer", sum, wait+slack, longestPause, responseTime)
+				t.Errorf("got a total of %v: %v without a response, a pause of %v, %v for the response", sum, wait+slack, longestPause, responseTime)
 			}
 		})
 	}
