--- a/internal/discovery/endpoints/set_test.go
+++ b/internal/discovery/endpoints/set_test.go
@@ -119,8 +119,8 @@
 }
 
 // TestAllInterleavings applies all sequences of six kinds of events of three servers: an unlisted server is usable only while
-// a mass removal is suspected, no drain is undone without a new entry, and entries never regress. The sequences have four
-// events, or as many as ROSTER_DEPTH sets; ROSTER_DEPTH=6 is the thorough run.
+// a mass removal is suspected, no drain is undone without a new entry, and entries never regress. CI runs sequences of four
+// events; ROSTER_DEPTH=6 runs sequences of six.
 func TestAllInterleavings(t *testing.T) {
 	depth := 4
 	if n, err := strconv.Atoi(os.Getenv("ROSTER_DEPTH")); err == nil {
--- a/internal/discovery/incarnation/table.go
+++ b/internal/discovery/incarnation/table.go
@@ -104,7 +104,8 @@
 	return announced
 }
 
-// NewerThan returns at most limit entries of the table that are greater than the entries of another process.
+// NewerThan returns at most limit entries of the table that are greater than those of another process. Gone entries that the
+// other process lacks are omitted.
 func (t *Table) NewerThan(other map[string]Entry, limit int) (newer []Entry) {
 	for _, id := range t.sortedIDs() {
 		own := t.entries[id]
--- a/internal/discovery/incarnation/table_test.go
+++ b/internal/discovery/incarnation/table_test.go
@@ -12,7 +12,7 @@
 // drawEntry draws an entry from few values, so that entries often differ in one field only.
 func drawEntry(t *rapid.T, id string) Entry {
 	n := func(limit int, label string) int { return rapid.IntRange(0, limit).Draw(t, label) }
-	return Entry{ID: id, StartedUnixMS: int64(n(2, "up")), Generation: uint32(n(1, "turn")), Condition: Condition(n(2, "condition")),
+	return Entry{ID: id, StartedUnixMS: int64(n(2, "start")), Generation: uint32(n(1, "generation")), Condition: Condition(n(2, "condition")),
 		Revision: uint64(n(3, "revision")), Address: fmt.Sprint("127.0.0.1:", n(1, "port")+1)}
 }
 
@@ -124,7 +124,7 @@
 				switch last := history[len(history)-1]; {
 				case last.Condition == Up:
 					announce(Draining, 0)
-				case last.Condition == Draining && rapid.Bool().Draw(t, "called back"):
+				case last.Condition == Draining && rapid.Bool().Draw(t, "reinstated"):
 					announce(Up, last.StartedUnixMS)
 				case last.Condition == Draining:
 					announce(Gone, 0)
--- a/internal/discovery/watch/doc.go
+++ b/internal/discovery/watch/doc.go
@@ -6,7 +6,7 @@
 //
 // # Timing
 //
-// For a node, a change counts as announced 6 s after discovery had it and was reachable, whichever calls failed, were
+// For a node, a change counts as announced 6 s after discovery had it and was reachable, even if calls failed, were
 // refused or timed out in between. In the worst case, a call that began just before the change receives no response and
 // ends by its timeout (firstPollWait and queuedResponseSlack, including the connect: 4.1 s), the decision module pauses
 // (dispatch.maxPollPause with its jitter: 1.125 s), and 0.75 s remain for the call that receives the response. A refused
--- a/internal/discovery/zookeeper/conn.go
+++ b/internal/discovery/zookeeper/conn.go
@@ -20,7 +20,7 @@
 	conn, _, err := zk.Connect(c.Servers, c.SessionTimeout.Std(), zk.WithLogInfo(false), zk.WithLogger(discardLogger{}),
 		zk.WithMaxBufferSize(maxReplyBytes))
 	if err == nil && c.Credentials != "" {
-		go conn.AddAuth("digest", []byte(c.Credentials)) // blocks until the first connection; the client repeats the authentication on later connections
+		go conn.AddAuth("digest", []byte(c.Credentials)) // blocks until connected; the client repeats it on later connections
 	}
 	return conn, err
 }
--- a/internal/discovery/zookeeper/format_test.go
+++ b/internal/discovery/zookeeper/format_test.go
@@ -20,7 +20,7 @@
 	standin "fernvane/internal/testbed/standin/zookeeper"
 )
 
-// TestEntryKeys reads every key that an entry's JSON may have.
+// TestEntryKeys decodes entries with every supported JSON key.
 func TestEntryKeys(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -46,7 +46,7 @@
 	}
 }
 
-// TestConfigKeys reads every key of the file by the name that operators' files have.
+// TestConfigKeys reads a file with every key under the name used in operators' files.
 func TestConfigKeys(t *testing.T) {
 	dir := t.TempDir()
 	secret, path := filepath.Join(dir, "secret"), filepath.Join(dir, "registry.toml")
@@ -68,7 +68,7 @@
 	}
 }
 
-// recorder relays connections to a registry and keeps what clients send.
+// recorder stores the bytes that a client sends to a registry.
 type recorder struct {
 	mu   sync.Mutex
 	sent bytes.Buffer
@@ -80,7 +80,7 @@
 	return r.sent.Write(b)
 }
 
-// frames are the whole frames that were sent so far, without their lengths.
+// frames returns the complete frames sent so far, without their length prefixes.
 func (r *recorder) frames() (all [][]byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,10 +96,11 @@
 	return all
 }
 
-// relay accepts one connection and copies it to and from a registry until the client closes it.
+// relay accepts one connection and relays it to a registry until the client closes it. r records the bytes that the client
+// sends.
 func relay(t *testing.T, to string) (r *recorder, address string) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +108,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		client, err := ln.Accept()
+		client, err := listener.Accept()
 		if err != nil {
 			return
 		}
@@ -116,29 +117,29 @@
 		if err != nil {
 			return
 		}
-		answers := make(chan struct{})
+		responses := make(chan struct{})
 		go func() {
-			defer close(answers)
+			defer close(responses)
 			io.Copy(client, server)
 			client.Close()
 		}()
 		io.Copy(io.MultiWriter(r, server), client)
 		server.Close()
-		<-answers
+		<-responses
 	}()
 	t.Cleanup(func() {
-		ln.Close()
+		listener.Close()
 		<-done
 	})
-	return r, ln.Addr().String()
+	return r, listener.Addr().String()
 }
 
-// TestFramesSent compares the frames that a reader of one entry sends with those of the first build that read a registry.
+// TestFramesSent compares the frames that a Reader of one entry sends with those of the first build that read a registry.
 func TestFramesSent(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		auth string
-		want []string // by operation code, since the credentials are sent beside the rest; the number of the call is left out
+		want []string // sorted by operation code, because the credentials are sent concurrently; without the call numbers
 	}{
 		{"without credentials", "", []string{
 			"00000000000000000000000000009c4000000000000000000000001000000000000000000000000000000000", // begin a session of 40 s
@@ -172,7 +173,7 @@
 			done := make(chan error, 1)
 			go func() { done <- reader.Run(ctx) }()
 			if all := <-listed; len(all) != 1 || all[0].ID != "a" {
-				t.Errorf("listed %+v", all)
+				t.Errorf("got entries %+v, want a", all)
 			}
 			var got []string
 			for by := time.Now().Add(20 * time.Second); len(got) < len(c.want) && time.Now().Before(by); time.Sleep(5 * time.Millisecond) {
@@ -189,8 +190,8 @@
 	}
 }
 
-// withoutNumbers are frames in hexadecimal: the first, which begins the session, and the others without the number of the
-// call, in the order of their operation codes.
+// withoutNumbers returns frames in hexadecimal: first the frame that begins the session, then the others without their call
+// numbers, sorted by operation code.
 func withoutNumbers(frames [][]byte) (all []string) {
 	for i, f := range frames {
 		if i > 0 {
--- a/internal/discovery/zookeeper/herd_test.go
+++ b/internal/discovery/zookeeper/herd_test.go
@@ -14,58 +14,58 @@
 	standin "fernvane/internal/testbed/standin/zookeeper"
 )
 
-// TestHerd measures what 500 readers ask of an ensemble of three while 50 servers come and go, ten times a second. It is
-// long, and runs with HERD=1 only.
+// TestHerd measures the calls that 500 Readers make to an ensemble of three servers while entries are removed and added ten
+// times per second. It is long, so it runs only with HERD=1.
 func TestHerd(t *testing.T) {
 	if os.Getenv("HERD") == "" {
-		t.Skip("HERD=1 has it run")
+		t.Skip("set HERD=1 to run this test")
 	}
-	r := standin.New(nil)
-	var at []string
+	registry := standin.New(nil)
+	var addresses []string
 	for range 3 {
-		s, err := r.Listen("127.0.0.1:0", 0)
+		s, err := registry.Listen("127.0.0.1:0", 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		at = append(at, s.Address())
+		addresses = append(addresses, s.Address())
 	}
-	var own []*standin.Owned
-	put := func(i int) *standin.Owned {
-		return r.Own(time.Hour, map[string][]byte{fmt.Sprintf("/hire/b%d", i): data(i + 1)})
+	var owned []*standin.Owned
+	addEntry := func(i int) *standin.Owned {
+		return registry.Own(time.Hour, map[string][]byte{fmt.Sprintf("/hire/b%d", i): data(i + 1)})
 	}
 	for i := range 50 {
-		own = append(own, put(i))
+		owned = append(owned, addEntry(i))
 	}
-	cfg := &Config{Servers: at, Path: "/hire", SessionTimeout: tomlfile.Duration(6 * time.Second)}
+	config := &Config{Servers: addresses, Path: "/hire", SessionTimeout: tomlfile.Duration(6 * time.Second)}
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
+	var readers sync.WaitGroup
 	var announced atomic.Int64
 	for range 500 {
-		conn, err := Dial(cfg)
+		conn, err := Dial(config)
 		if err != nil {
 			t.Fatal(err)
 		}
-		reader := NewReader(conn, cfg, func([]endpoints.RegistryEntry) { announced.Add(1) }, func(error) {})
-		all.Go(func() { reader.Run(ctx) })
+		reader := NewReader(conn, config, func([]endpoints.RegistryEntry) { announced.Add(1) }, func(error) {})
+		readers.Go(func() { reader.Run(ctx) })
 	}
 	for announced.Load() < 500 {
 		time.Sleep(10 * time.Millisecond)
 	}
-	began, calls := time.Now(), r.Calls()
+	startedAt, calls := time.Now(), registry.Calls()
 	for i := range 100 {
-		own[i%50].End()
+		owned[i%50].End()
 		time.Sleep(50 * time.Millisecond)
-		own[i%50] = put(i % 50)
+		owned[i%50] = addEntry(i % 50)
 		time.Sleep(50 * time.Millisecond)
 	}
-	took := time.Since(began).Seconds()
-	callsPerSecond := float64(r.Calls()-calls) / took
-	t.Logf("%.0f calls a second by 500 readers at %.0f changes a second: %.1f each", callsPerSecond, 200/took, callsPerSecond/500)
-	// At the rate of readings, the children and an entry are read.
+	seconds := time.Since(startedAt).Seconds()
+	callsPerSecond := float64(registry.Calls()-calls) / seconds
+	t.Logf("%.0f calls per second by 500 readers at %.0f changes per second: %.1f per reader", callsPerSecond, 200/seconds, callsPerSecond/500)
+	// Each read of a Reader consists of at most two calls: one for the children and one for an entry.
 	if maxCallsPerSecond := 500 * (1 / minReadInterval.Seconds()) * 2; callsPerSecond > maxCallsPerSecond {
-		t.Errorf("more than %.0f", maxCallsPerSecond)
+		t.Errorf("calls per second exceed the limit of %.0f", maxCallsPerSecond)
 	}
 	cancel()
-	all.Wait()
-	r.Close()
+	readers.Wait()
+	registry.Close()
 }
--- a/internal/discovery/zookeeper/parse.go
+++ b/internal/discovery/zookeeper/parse.go
@@ -86,7 +86,7 @@
 	return entry, err
 }
 
-// isDraining reports whether the entry's status is a draining one; without a status the server is up unless disabled.
+// isDraining reports whether the server is draining according to its status; without a status it is up unless disabled.
 func (decoded *entryData) isDraining() (bool, error) {
 	switch strings.ToUpper(decoded.Status) {
 	case "", "ALIVE", "UP", "SERVING":
--- a/internal/discovery/zookeeper/reader_test.go
+++ b/internal/discovery/zookeeper/reader_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// The forms of an entry's data, and what is wrong with others.
+// TestParse parses entry data in all supported formats and compares the errors of invalid data.
 func TestParse(t *testing.T) {
 	for data, want := range map[string]string{
 		`127.0.0.1:80`:   "127.0.0.1:80",
@@ -38,40 +38,41 @@
 		`{"address":"127.0.0.1","port":80,"status":"ODD"}`: "! unknown status",
 		strings.Repeat("x", maxDataBytes+1):                "! bytes of data",
 	} {
-		l, err := ParseEntry("id", []byte(data))
-		got := strings.TrimSpace(l.Address + " " + l.Zone)
-		if l.IsDraining {
+		entry, err := ParseEntry("id", []byte(data))
+		got := strings.TrimSpace(entry.Address + " " + entry.Zone)
+		if entry.IsDraining {
 			got += " draining"
 		}
-		if why, bad := strings.CutPrefix(want, "! "); bad != (err != nil) || bad && !strings.Contains(err.Error(), why) || !bad && got != want {
-			t.Errorf("%.60q: %q, %v", data, got, err)
+		if wantErr, isInvalid := strings.CutPrefix(want, "! "); isInvalid != (err != nil) || isInvalid && !strings.Contains(err.Error(), wantErr) || !isInvalid && got != want {
+			t.Errorf("data %.60q: got %q, %v", data, got, err)
 		}
 	}
 }
 
-// ensemble is a stand-in registry with two addresses, and a Reader of it.
+// ensemble is a stand-in registry with two addresses and a Reader of it.
 type ensemble struct {
-	t       *testing.T
-	r       *standin.Registry
-	servers []*standin.Server
-	mu      sync.Mutex
-	now     []string
-	faults  []string
+	t        *testing.T
+	registry *standin.Registry
+	servers  []*standin.Server
+	mu       sync.Mutex
+	listed   []string // entries that the Reader listed last
+	errs     []string // errors that the Reader reported
 }
 
-func begin(t *testing.T, session time.Duration) *ensemble {
+// startEnsemble starts a stand-in registry and a Reader of it with the given session timeout.
+func startEnsemble(t *testing.T, session time.Duration) *ensemble {
 	t.Helper()
-	e := &ensemble{t: t, r: standin.New(nil)}
-	var at []string
+	e := &ensemble{t: t, registry: standin.New(nil)}
+	var addresses []string
 	for range 2 {
-		s, err := e.r.Listen("127.0.0.1:0", 0)
+		s, err := e.registry.Listen("127.0.0.1:0", 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		e.servers, at = append(e.servers, s), append(at, s.Address())
+		e.servers, addresses = append(e.servers, s), append(addresses, s.Address())
 	}
-	e.r.Own(time.Hour, map[string][]byte{"/services/hire/.keep": []byte("127.0.0.1:1")})
-	cfg := &Config{Servers: at, Path: "/hire", Chroot: "/services", SessionTimeout: tomlfile.Duration(session)}
+	e.registry.Own(time.Hour, map[string][]byte{"/services/hire/.keep": []byte("127.0.0.1:1")})
+	cfg := &Config{Servers: addresses, Path: "/hire", Chroot: "/services", SessionTimeout: tomlfile.Duration(session)}
 	conn, err := Dial(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -80,22 +81,22 @@
 	done := make(chan error, 1)
 	reader := NewReader(conn, cfg, func(all []endpoints.RegistryEntry) {
 		var names []string
-		for _, l := range all {
-			name := l.ID
-			if l.IsDraining {
+		for _, entry := range all {
+			name := entry.ID
+			if entry.IsDraining {
 				name += " draining"
 			}
-			if l.ID != ".keep" {
+			if entry.ID != ".keep" {
 				names = append(names, name)
 			}
 		}
 		slices.Sort(names)
 		e.mu.Lock()
-		e.now = names
+		e.listed = names
 		e.mu.Unlock()
 	}, func(err error) {
 		e.mu.Lock()
-		e.faults = append(e.faults, err.Error())
+		e.errs = append(e.errs, err.Error())
 		e.mu.Unlock()
 	})
 	go func() { done <- reader.Run(ctx) }()
@@ -104,80 +105,83 @@
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
-		e.r.Close()
+		e.registry.Close()
 	})
 	return e
 }
 
-func (e *ensemble) until(want ...string) {
+// waitFor waits until the Reader lists the wanted entries, and fails the test otherwise.
+func (e *ensemble) waitFor(want ...string) {
 	e.t.Helper()
-	if !e.comes(want...) {
+	if !e.lists(want...) {
 		e.t.FailNow()
 	}
 }
 
+// data returns the data of an entry for a server at the given port.
 func data(port int) []byte { return fmt.Appendf(nil, "127.0.0.1:%d", port) }
 
-// Events of entries and of the ensemble, and that the Reader holds what is there in the end.
+// TestReader applies events of entries and failures of the ensemble and checks that the Reader lists the current entries after
+// each of them.
 func TestReader(t *testing.T) {
 	t.Parallel()
-	e := begin(t, time.Second)
-	a := e.r.Own(time.Hour, map[string][]byte{"/services/hire/a": data(1)})
-	b := e.r.Own(time.Hour, map[string][]byte{"/services/hire/b": data(2)})
-	e.until("a", "b")
+	e := startEnsemble(t, time.Second)
+	a := e.registry.Own(time.Hour, map[string][]byte{"/services/hire/a": data(1)})
+	b := e.registry.Own(time.Hour, map[string][]byte{"/services/hire/b": data(2)})
+	e.waitFor("a", "b")
 	b.Set("/services/hire/b", []byte(`{"address":"127.0.0.1","port":2,"status":"DRAINING"}`))
-	e.until("a", "b draining")
-	e.r.Own(time.Hour, map[string][]byte{"/services/hire/bad": []byte("nowhere")})
+	e.waitFor("a", "b draining")
+	e.registry.Own(time.Hour, map[string][]byte{"/services/hire/bad": []byte("nowhere")})
 	b.End()
-	e.until("a")
-	// Events in flight are lost with the connections; what changed meanwhile is seen all the same.
+	e.waitFor("a")
+	// Events in flight are lost with the connections, but the changes are detected after the reconnect.
 	for _, s := range e.servers {
 		s.Set(0, 300*time.Millisecond, false)
 	}
-	c := e.r.Own(time.Hour, map[string][]byte{"/services/hire/c": data(3)})
+	c := e.registry.Own(time.Hour, map[string][]byte{"/services/hire/c": data(3)})
 	for _, s := range e.servers {
 		s.Break()
 		s.Set(0, 0, false)
 	}
-	e.until("a", "c")
-	// The ensemble is out of reach for longer than the session lives.
-	e.r.Refuse(true)
+	e.waitFor("a", "c")
+	// The ensemble is unreachable for longer than the session timeout.
+	e.registry.Refuse(true)
 	for _, s := range e.servers {
 		s.Break()
 	}
 	a.End()
 	c.Set("/services/hire/c", []byte(`{"address":"127.0.0.1","port":3,"status":"STOPPING"}`))
 	time.Sleep(1500 * time.Millisecond) // the session expires
-	e.r.Refuse(false)
-	e.until("c draining")
-	e.r.Own(time.Hour, map[string][]byte{"/services/hire/d": data(4)})
-	e.until("c draining", "d")
+	e.registry.Refuse(false)
+	e.waitFor("c draining")
+	e.registry.Own(time.Hour, map[string][]byte{"/services/hire/d": data(4)})
+	e.waitFor("c draining", "d")
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !slices.ContainsFunc(e.faults, func(f string) bool { return strings.Contains(f, "/services/hire/bad: ") }) {
-		t.Errorf("the bad entry is not named: %v", e.faults)
+	if !slices.ContainsFunc(e.errs, func(message string) bool { return strings.Contains(message, "/services/hire/bad: ") }) {
+		t.Errorf("got errors %v, want one that names the invalid entry", e.errs)
 	}
 }
 
-// A server's session expires in time, and late.
+// TestExpiry checks that an entry is listed until its session expires, both when the expiry is on time and when it is late.
 func TestExpiry(t *testing.T) {
 	t.Parallel()
-	e := begin(t, time.Second)
-	a := e.r.Own(300*time.Millisecond, map[string][]byte{"/services/hire/a": data(1)})
-	b := e.r.Own(300*time.Millisecond, map[string][]byte{"/services/hire/b": data(2)})
-	e.until("a", "b")
+	e := startEnsemble(t, time.Second)
+	a := e.registry.Own(300*time.Millisecond, map[string][]byte{"/services/hire/a": data(1)})
+	b := e.registry.Own(300*time.Millisecond, map[string][]byte{"/services/hire/b": data(2)})
+	e.waitFor("a", "b")
 	a.Silence()
-	e.until("b")
-	e.r.Late(time.Hour)
+	e.waitFor("b")
+	e.registry.Late(time.Hour)
 	b.Silence()
 	time.Sleep(600 * time.Millisecond)
-	e.until("b")
-	e.r.Late(0)
-	e.until()
+	e.waitFor("b")
+	e.registry.Late(0)
+	e.waitFor()
 }
 
-// Sessions are lost again and again, by their connections and by expiry, beside an entry that cannot be parsed. The Reader
-// goes on, and neither a watch nor a goroutine that waits for it is left over. LOSSES=10000 loses so many, with parallel
+// TestSessionLosses repeatedly breaks connections and expires sessions while one entry is invalid. The Reader continues, and
+// neither watches nor goroutines that wait for them leak. LOSSES=10000 sets the number of losses, divided among parallel
 // Readers.
 func TestSessionLosses(t *testing.T) {
 	losses, readers := 16, 1
@@ -185,61 +189,62 @@
 		readers = 50
 		losses = all / readers
 	}
-	var es []*ensemble
+	var ensembles []*ensemble
 	for range readers {
-		e := begin(t, 500*time.Millisecond)
-		e.until()
-		e.r.Own(time.Hour, map[string][]byte{"/services/hire/bad": []byte("nowhere")})
-		es = append(es, e)
+		e := startEnsemble(t, 500*time.Millisecond)
+		e.waitFor()
+		e.registry.Own(time.Hour, map[string][]byte{"/services/hire/bad": []byte("nowhere")})
+		ensembles = append(ensembles, e)
 	}
 	var all sync.WaitGroup
-	for _, e := range es {
+	for _, e := range ensembles {
 		all.Go(func() {
 			for i := range losses {
 				if i%2 == 0 {
-					e.r.Lose()
+					e.registry.Lose()
 				} else {
 					for _, s := range e.servers {
 						s.Break()
 					}
 				}
-				own := e.r.Own(time.Hour, map[string][]byte{"/services/hire/x": data(i + 1)})
-				if !e.comes("x") {
+				owned := e.registry.Own(time.Hour, map[string][]byte{"/services/hire/x": data(i + 1)})
+				if !e.lists("x") {
 					return
 				}
-				if own.End(); !e.comes() {
+				if owned.End(); !e.lists() {
 					return
 				}
 			}
 		})
 	}
 	all.Wait()
-	const stand = 3 // those of the children, .keep and bad
+	const watchesPerReader = 3 // of the children, .keep and bad
 	waiting, watches := 0, 0
 	for by := time.Now().Add(20 * time.Second); time.Now().Before(by); time.Sleep(20 * time.Millisecond) {
 		buf := make([]byte, 8<<20)
 		waiting = strings.Count(string(buf[:runtime.Stack(buf, true)]), "(*Reader).awaitWatch.func1(")
 		watches = 0
-		for _, e := range es {
-			watches += e.r.Watches()
+		for _, e := range ensembles {
+			watches += e.registry.Watches()
 		}
-		if waiting == stand*readers && watches == stand*readers {
+		if waiting == watchesPerReader*readers && watches == watchesPerReader*readers {
 			return
 		}
 	}
-	t.Errorf("%d wait for %d watches, of %d readers", waiting, watches, readers)
+	t.Errorf("got %d waiting goroutines and %d watches for %d readers", waiting, watches, readers)
 }
 
-// comes is until, for any goroutine.
-func (e *ensemble) comes(want ...string) bool {
+// lists waits until the Reader lists the wanted entries and reports whether it did. Unlike waitFor, it may be called from any
+// goroutine.
+func (e *ensemble) lists(want ...string) bool {
 	for by := time.Now().Add(20 * time.Second); time.Now().Before(by); time.Sleep(5 * time.Millisecond) {
 		e.mu.Lock()
-		got := e.now
+		got := e.listed
 		e.mu.Unlock()
 		if slices.Equal(got, want) {
 			return true
 		}
 	}
-	e.t.Errorf("not listed: %v; %v", want, e.faults)
+	e.t.Errorf("want entries %v; got errors %v", want, e.errs)
 	return false
 }
