--- a/internal/journal/intent/assembler.go
+++ b/internal/journal/intent/assembler.go
@@ -7,7 +7,7 @@
 
 // Assembler builds entries from the records of one journal. It holds only those entries that may still change.
 type Assembler struct {
-	open map[RequestKey]*Entry
+	incomplete map[RequestKey]*Entry
 	// Gaps are the Gap records that were added.
 	Gaps []Record
 	// HasDamage is set by the caller where records could not be read: an entry without its end may have had more attempts
@@ -16,7 +16,7 @@
 }
 
 // NewAssembler returns an Assembler without entries.
-func NewAssembler() *Assembler { return &Assembler{open: map[RequestKey]*Entry{}} }
+func NewAssembler() *Assembler { return &Assembler{incomplete: map[RequestKey]*Entry{}} }
 
 // Add takes in a record and returns the entry that is complete with it, nil for none. Records of unknown kinds and chunk
 // headers are passed over.
@@ -29,14 +29,14 @@
 		return nil
 	}
 	key := r.Key()
-	e := a.open[key]
+	e := a.incomplete[key]
 	if e == nil {
 		e = &Entry{Incarnation: r.Incarnation, RequestNumber: r.RequestNumber}
-		a.open[key] = e
+		a.incomplete[key] = e
 	}
 	e.add(r)
 	if e.IsComplete() {
-		delete(a.open, key)
+		delete(a.incomplete, key)
 		return e
 	}
 	return nil
@@ -44,8 +44,8 @@
 
 // Incomplete returns the entries that are not complete, by their time. It is called when all records were added.
 func (a *Assembler) Incomplete() []*Entry {
-	entries := make([]*Entry, 0, len(a.open))
-	for _, e := range a.open {
+	entries := make([]*Entry, 0, len(a.incomplete))
+	for _, e := range a.incomplete {
 		e.MayLackRecords = a.HasDamage && e.ClientOutcome == ""
 		entries = append(entries, e)
 	}
--- a/internal/journal/intent/attempt.go
+++ b/internal/journal/intent/attempt.go
@@ -11,7 +11,7 @@
 }
 
 // Proof is what is known of the attempt.
-func (a Attempt) Proof() Proof { return proofs[a.state] }
+func (a Attempt) Proof() Proof { return proofByState[a.state] }
 
 // attemptState is what the records so far say of an attempt.
 type attemptState uint8
@@ -22,10 +22,10 @@
 	stateUnproven                     // ended, and may have run
 	stateRan
 	stateNeverRan
-	attemptStates
+	attemptStateCount
 )
 
-var proofs = [attemptStates]Proof{stateRan: Ran, stateNeverRan: NeverRan}
+var proofByState = [attemptStateCount]Proof{stateRan: Ran, stateNeverRan: NeverRan}
 
 // evidence is what one record says of an attempt.
 type evidence uint8
@@ -37,7 +37,7 @@
 	endedNeverRan
 	executionFound   // the server's execution record has the request
 	executionMissing // it does not, and covers the time of the attempt
-	evidences
+	evidenceCount
 )
 
 // transition is what evidence makes of an attempt's state.
@@ -49,7 +49,7 @@
 // transitions has a row for each state. Evidence that contradicts an earlier end changes nothing, except that a proof of
 // having run overrides one of never having run. Evidence that comes again, as when records were written again after a
 // failure, changes nothing either.
-var transitions = [attemptStates][evidences]transition{
+var transitions = [attemptStateCount][evidenceCount]transition{
 	stateUnknown: {
 		intentRecorded:   {next: stateIntended},
 		endedUnproven:    {next: stateUnproven},
@@ -93,7 +93,7 @@
 }
 
 // evidenceOf gives what a record of an attempt says, by its kind and proof.
-var evidenceOf = map[Kind][3]evidence{
+var evidenceByKind = map[Kind][3]evidence{
 	Intent:       {PossiblyRan: intentRecorded, Ran: intentRecorded, NeverRan: intentRecorded},
 	AttemptEnded: {PossiblyRan: endedUnproven, Ran: endedRan, NeverRan: endedNeverRan},
 	Reconciled:   {PossiblyRan: endedUnproven, Ran: executionFound, NeverRan: executionMissing},
@@ -104,7 +104,7 @@
 	if r.Server != "" {
 		a.Server = r.Server
 	}
-	t := transitions[a.state][evidenceOf[r.Kind][r.Proof]]
+	t := transitions[a.state][evidenceByKind[r.Kind][r.Proof]]
 	a.state = t.next
 	switch r.Kind {
 	case Intent:
--- a/internal/journal/intent/entry.go
+++ b/internal/journal/intent/entry.go
@@ -17,11 +17,11 @@
 	HasRun
 	// Unknown is a request of which no attempt is known, while too few nodes were asked to say that there was none.
 	Unknown
-	states
+	stateCount
 )
 
 // stateNames are the words of commands and their output, which stay: "ran" is HasRun, "not-known" is Unknown.
-var stateNames = [states]string{"not-sent", "possibly-sent", "ran", "not-known"}
+var stateNames = [stateCount]string{"not-sent", "possibly-sent", "ran", "not-known"}
 
 // String is the state's name in commands and their output.
 func (s State) String() string { return stateNames[s] }
--- a/internal/journal/intent/reconcile.go
+++ b/internal/journal/intent/reconcile.go
@@ -10,7 +10,7 @@
 }
 
 // lists reports whether any record of the server has a request.
-func (x *ExecutionRecord) lists(id string) bool {
+func (x *ExecutionRecord) contains(id string) bool {
 	for ; x != nil; x = x.Next {
 		if x.RequestIDs[id] {
 			return true
@@ -57,7 +57,7 @@
 			Server:        a.Server,
 		}
 		switch {
-		case executed.lists(e.RequestID):
+		case executed.contains(e.RequestID):
 			r.Proof = Ran
 		case executed.covers(a.AtUnixNano, slackNanos):
 			r.Proof = NeverRan
--- a/internal/journal/wal/chunk.go
+++ b/internal/journal/wal/chunk.go
@@ -7,21 +7,21 @@
 	"fernvane/internal/journal/intent"
 )
 
-// MaxChunkRecords is how many numbered records follow one header at most: about 250 kB, and up to 4 MB where each has
+// MaxChunkRecords is the maximum number of records in a chunk: typically about 250 kB, and at most 4 MB if each record has
 // maxRecordBytes.
 const MaxChunkRecords = 1024
 
-// Chunk is a run of numbered records as it is stored in a segment.
+// Chunk is a sequence of consecutively numbered records as stored in a segment.
 type Chunk struct {
-	Incarnation uint64 // whose stream it is of
-	First       uint64 // number of its first record; numbers start at 1
+	Incarnation uint64 // of the process whose stream contains the records
+	First       uint64 // sequence number of the first record; numbers start at 1
 	Count       int
-	AtUnixNano  int64  // when it was first written
-	Frames      []byte // the header's frame and those of the records
+	AtUnixNano  int64  // when the chunk was first written
+	Frames      []byte // the frames of the header and the records
 }
 
-// chunkOf is the chunk that a header begins.
-func chunkOf(header *intent.Record, frames []byte) Chunk {
+// newChunk returns the chunk that starts with a header.
+func newChunk(header *intent.Record, frames []byte) Chunk {
 	return Chunk{
 		Incarnation: header.Incarnation,
 		First:       uint64(header.From),
@@ -31,47 +31,47 @@
 	}
 }
 
-// end is the number after the last record.
+// end returns the sequence number after the last record.
 func (c *Chunk) end() uint64 { return c.First + uint64(c.Count) }
 
-// DecodeChunks reads chunks that another node sent, checking each checksum. All must be complete, of one incarnation, and
-// each must follow on the one before. It returns them as one chunk, and all records with the headers among them.
-func DecodeChunks(frames []byte) (all Chunk, records []intent.Record, err error) {
-	left := 0 // records that the present chunk still lacks
+// DecodeChunks decodes chunks that another node sent, and verifies each checksum. The chunks must be complete and
+// consecutive, and belong to one incarnation. It returns them merged into one chunk, and all records including the headers.
+func DecodeChunks(frames []byte) (merged Chunk, records []intent.Record, err error) {
+	remaining := 0 // records of the current chunk that are not decoded yet
 	for b := frames; len(b) > 0; {
 		var r intent.Record
 		n, ok := decodeFrame(b, &r)
 		switch {
 		case n == 0 || !ok:
-			return all, nil, fmt.Errorf("frame %d of a chunk cannot be read", len(records))
-		case left > 0 && r.Kind == intent.ChunkHeader:
-			return all, nil, errors.New("a second header within a chunk")
-		case left > 0:
-			left--
+			return merged, nil, fmt.Errorf("decode chunk: frame %d invalid or truncated", len(records))
+		case remaining > 0 && r.Kind == intent.ChunkHeader:
+			return merged, nil, errors.New("decode chunk: got a header, want a record of the chunk before it")
+		case remaining > 0:
+			remaining--
 		default:
-			if err := all.extend(&r, frames, len(records) == 0); err != nil {
-				return all, nil, err
+			if err := merged.extend(&r, frames, len(records) == 0); err != nil {
+				return merged, nil, err
 			}
-			left = r.Count
+			remaining = r.Count
 		}
 		records = append(records, r)
 		b = b[n:]
 	}
-	if left > 0 || len(records) == 0 {
-		return all, nil, fmt.Errorf("a chunk lacks %d records", left)
+	if remaining > 0 || len(records) == 0 {
+		return merged, nil, fmt.Errorf("decode chunk: data empty or truncated, %d records missing", remaining)
 	}
-	return all, records, nil
+	return merged, records, nil
 }
 
-// extend takes in the header of the next chunk, which must follow on those before.
+// extend adds the header of the next chunk, which must continue the sequence numbers of the chunks before it.
 func (c *Chunk) extend(header *intent.Record, frames []byte, isFirst bool) error {
 	switch {
 	case header.Kind != intent.ChunkHeader || header.From <= 0 || header.Count <= 0 || header.Count > MaxChunkRecords:
-		return errors.New("a chunk without a valid header")
+		return errors.New("decode chunk: header missing or invalid")
 	case isFirst:
-		*c = chunkOf(header, frames)
+		*c = newChunk(header, frames)
 	case header.Incarnation != c.Incarnation || uint64(header.From) != c.end():
-		return fmt.Errorf("a chunk from %d behind one up to %d", header.From, c.end())
+		return fmt.Errorf("decode chunk: got first record %d, want record %d of the same incarnation", header.From, c.end())
 	default:
 		c.Count += header.Count
 		c.AtUnixNano = max(c.AtUnixNano, header.AtUnixNano)
@@ -79,27 +79,27 @@
 	return nil
 }
 
-// ScanChunks calls each for the complete chunks of one segment, in order; what is damaged or cut off is passed over. The
+// ScanChunks calls each for the complete chunks of one segment, in order. It skips damaged and truncated chunks. The
 // chunk's Frames are valid until each returns.
 func ScanChunks(files FileSystem, s Segment, each func(Chunk) error) (ScanReport, error) {
 	var report ScanReport
 	var c Chunk
-	got := -1 // records of the present chunk; -1: outside of one
+	decoded := -1 // records of the current chunk; -1: no chunk has started
 	err := scanSegment(files, s, &report, func(r *intent.Record) (err error) {
 		switch {
 		case r.Kind == intent.ChunkHeader:
-			c = chunkOf(r, c.Frames[:0])
-			got = 0
-		case got < 0:
+			c = newChunk(r, c.Frames[:0])
+			decoded = 0
+		case decoded < 0:
 			return nil
 		default:
-			got++
+			decoded++
 		}
 		if c.Frames, err = AppendFrame(c.Frames, r); err != nil {
 			return err
 		}
-		if got == c.Count {
-			got = -1
+		if decoded == c.Count {
+			decoded = -1
 			return each(c)
 		}
 		return nil
--- a/internal/journal/wal/config.go
+++ b/internal/journal/wal/config.go
@@ -7,22 +7,22 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// What a stored intent survives (Config.Promise).
+// Durability levels of a stored intent (values of Config.Promise).
 const (
-	promiseProcess = "process" // a crash of the process
-	promiseMachine = "machine" // a crash of the machine
-	// PromiseMachines is the loss of as many machines with their disks as there are replicas. It needs other nodes to
-	// hold them (package peer).
+	promiseProcess = "process" // survives a crash of the process
+	promiseMachine = "machine" // survives a crash of the machine
+	// PromiseMachines makes an intent survive the loss of as many machines with their disks as there are replicas. It
+	// requires other nodes as replica holders (package peer).
 	PromiseMachines = "machines"
 )
 
-// What becomes of requests that the journal cannot store (Config.WhenFailing).
+// Policies for requests that the journal cannot store (values of Config.WhenFailing).
 const (
-	whenFailingReject = "deny"
-	whenFailingServe  = "serve"
+	whenFailingReject = "deny"  // reject the request
+	whenFailingServe  = "serve" // serve the request and count it in a Gap record
 )
 
-// Bounds of the settings.
+// Allowed ranges of the settings.
 const (
 	minWait         = time.Millisecond
 	maxWait         = 10 * time.Second
@@ -30,24 +30,24 @@
 	maxSegmentBytes = 1 << 30
 )
 
-// Config is an operator's file of the journal.
+// Config contains the journal's settings from a TOML file.
 type Config struct {
 	Dir            string            `toml:"dir"`
-	Promise        string            `toml:"promise"`      // process, machine or machines
-	WhenFailing    string            `toml:"when_failing"` // deny or serve
-	MaxWait        tomlfile.Duration `toml:"wait_most"`    // for an intent to be durable
-	IncludesKeyed  bool              `toml:"fingerprinted"`
-	RepeatOfField  string            `toml:"repeats_field"` // the request's header field with the id that it repeats
+	Promise        string            `toml:"promise"`       // process, machine or machines
+	WhenFailing    string            `toml:"when_failing"`  // deny or serve
+	MaxWait        tomlfile.Duration `toml:"wait_most"`     // maximum wait for an intent to be durable
+	IncludesKeyed  bool              `toml:"fingerprinted"` // also record requests with an idempotency key
+	RepeatOfField  string            `toml:"repeats_field"` // header field with the ID of the request that this one repeats
 	SegmentBytes   int64             `toml:"segment_bytes"`
 	RetentionAge   tomlfile.Duration `toml:"keep_for"`
 	RetentionBytes int64             `toml:"keep_bytes"`
 }
 
-// RejectsWhenFailing reports what becomes of requests that the journal cannot store: they are rejected, or else served
-// and counted as a gap.
+// RejectsWhenFailing reports whether requests that the journal cannot store are rejected. Otherwise they are served and
+// counted in a Gap record.
 func (c *Config) RejectsWhenFailing() bool { return c.WhenFailing == whenFailingReject }
 
-// LoadConfig reads the file. The error names each fault by file and line.
+// LoadConfig reads and validates a configuration file. The error lists each invalid setting with file and line.
 func LoadConfig(path string) (*Config, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
@@ -64,23 +64,23 @@
 	if err != nil {
 		return nil, err
 	}
-	if st, err := os.Stat(c.Dir); c.Dir == "" || err != nil || !st.IsDir() {
+	if info, err := os.Stat(c.Dir); c.Dir == "" || err != nil || !info.IsDir() {
 		f.Wrong("dir", "dir %q is not an existing directory", c.Dir)
 	}
 	if c.Promise != promiseProcess && c.Promise != promiseMachine && c.Promise != PromiseMachines {
-		f.Wrong("promise", "promise %q is none of process, machine and machines", c.Promise)
+		f.Wrong("promise", "promise %q must be process, machine or machines", c.Promise)
 	}
 	if c.WhenFailing != whenFailingReject && c.WhenFailing != whenFailingServe {
-		f.Wrong("when_failing", "when_failing %q: deny rejects non-idempotent requests while the journal cannot be written, serve records a gap; one must be chosen", c.WhenFailing)
+		f.Wrong("when_failing", "when_failing %q must be deny (reject non-idempotent requests while the journal is not writable) or serve (serve them and record a gap)", c.WhenFailing)
 	}
 	if c.MaxWait.Std() < minWait || c.MaxWait.Std() > maxWait {
-		f.Wrong("wait_most", "wait_most %s: from 1ms to 10s", c.MaxWait.Std())
+		f.Wrong("wait_most", "wait_most %s must be from 1ms to 10s", c.MaxWait.Std())
 	}
 	if c.SegmentBytes < minSegmentBytes || c.SegmentBytes > maxSegmentBytes {
-		f.Wrong("segment_bytes", "segment_bytes %d: from 4096 to 1073741824", c.SegmentBytes)
+		f.Wrong("segment_bytes", "segment_bytes %d must be from 4096 to 1073741824", c.SegmentBytes)
 	}
 	if c.RetentionBytes > 0 && c.RetentionBytes < 2*c.SegmentBytes {
-		f.Wrong("keep_bytes", "keep_bytes %d is less than two segments", c.RetentionBytes)
+		f.Wrong("keep_bytes", "keep_bytes %d is less than two segments of segment_bytes", c.RetentionBytes)
 	}
 	return c, f.Err()
 }
--- a/internal/journal/wal/config_test.go
+++ b/internal/journal/wal/config_test.go
@@ -9,12 +9,12 @@
 	. "fernvane/internal/journal/wal"
 )
 
-// Which configuration files are valid, and what is wrong with others.
+// LoadConfig accepts valid files and names the invalid setting of others.
 func TestConfig(t *testing.T) {
 	dir := t.TempDir()
 	for text, wrong := range map[string]string{
 		"dir = \"DIR\"\nwhen_failing = \"deny\"":                      "",
-		"dir = \"DIR\"":                                               "one must be chosen",
+		"dir = \"DIR\"":                                               "must be deny (reject non-idempotent",
 		"dir = \"/nowhere\"\nwhen_failing = \"deny\"":                 "f.toml:1: dir",
 		"dir = \"DIR\"\nwhen_failing = \"serve\"\npromise = \"all\"":  "f.toml:3: promise",
 		"dir = \"DIR\"\nwhen_failing = \"serve\"\nkeep = 3":           "unknown key",
@@ -25,7 +25,7 @@
 		path := filepath.Join(dir, "f.toml")
 		os.WriteFile(path, []byte(strings.Replace(text, "DIR", dir, 1)), 0o600)
 		if _, err := LoadConfig(path); (err == nil) != (wrong == "") || err != nil && !strings.Contains(err.Error(), wrong) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("load %q: got error %v", text, err)
 		}
 	}
 }
--- a/internal/journal/wal/filesystem.go
+++ b/internal/journal/wal/filesystem.go
@@ -7,30 +7,31 @@
 	"time"
 )
 
-// FileSystem is the disk beneath a journal. OSFileSystem is the real one; tests use one that fails on purpose.
+// FileSystem is the storage of a journal. OSFileSystem is the operating system's; tests use a file system that injects
+// faults.
 type FileSystem interface {
-	// Create makes a file that was not there before; the error is os.ErrExist where it was.
+	// Create creates a file for appending. The error is os.ErrExist if the file already exists.
 	Create(path string) (File, error)
-	// Open opens a file to be read.
+	// Open opens a file for reading.
 	Open(path string) (io.ReadCloser, error)
-	// List returns the regular files of a folder, in no order.
+	// List returns the regular files of a directory in unspecified order.
 	List(dir string) ([]FileInfo, error)
-	// Remove removes a file.
+	// Remove deletes a file.
 	Remove(path string) error
-	// Rename gives a file another name in its folder, replacing one that has it.
+	// Rename renames a file within its directory and replaces an existing file of the new name.
 	Rename(path, to string) error
-	// SyncDir makes the folder's own entries survive a crash of the machine.
+	// SyncDir syncs the directory's entries, so that created and renamed files survive a crash of the machine.
 	SyncDir(dir string) error
 }
 
-// File is a file that is written.
+// File is a file that is open for writing.
 type File interface {
 	io.WriteCloser
-	// Sync makes what was written survive a crash of the machine.
+	// Sync makes all written data survive a crash of the machine.
 	Sync() error
 }
 
-// FileInfo describes a file of a folder.
+// FileInfo describes a file of a directory.
 type FileInfo struct {
 	Name    string
 	Size    int64
@@ -40,15 +41,15 @@
 // OSFileSystem is the operating system's file system.
 type OSFileSystem struct{}
 
-// Create makes a file that was not there before.
+// Create creates a file for appending, readable only by its owner. It fails if the file exists.
 func (OSFileSystem) Create(path string) (File, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
 }
 
-// Open opens a file to be read.
+// Open opens a file for reading.
 func (OSFileSystem) Open(path string) (io.ReadCloser, error) { return os.Open(path) }
 
-// List returns the regular files of a folder, by name. A file that is removed meanwhile is left out.
+// List returns the regular files of a directory, sorted by name. It omits files that are removed while it runs.
 func (OSFileSystem) List(dir string) ([]FileInfo, error) {
 	entries, err := os.ReadDir(dir)
 	var files []FileInfo
@@ -60,13 +61,13 @@
 	return files, err
 }
 
-// Remove removes a file.
+// Remove deletes a file.
 func (OSFileSystem) Remove(path string) error { return os.Remove(path) }
 
-// Rename gives a file another name.
+// Rename renames a file and replaces an existing file of the new name.
 func (OSFileSystem) Rename(path, to string) error { return os.Rename(path, to) }
 
-// SyncDir makes the folder's own entries durable.
+// SyncDir syncs the directory's entries to disk.
 func (OSFileSystem) SyncDir(dir string) error {
 	d, err := os.Open(filepath.Clean(dir))
 	if err != nil {
--- a/internal/journal/wal/frame.go
+++ b/internal/journal/wal/frame.go
@@ -11,27 +11,27 @@
 	"fernvane/internal/journal/intent"
 )
 
-// A frame is a marker (2 bytes), the length of the body (4), a checksum over length and body (4), all little-endian, and
-// the record as CBOR.
+// A frame consists of a marker (2 bytes), the length of the body (4), a checksum over length and body (4), all
+// little-endian, and the body: the record as CBOR.
 const (
-	frameMarker      = 0xB1D7 // by which the next frame is found after bytes that cannot be read
+	frameMarker      = 0xB1D7 // used to find the next frame after damaged bytes
 	frameHeaderBytes = 10
 	maxRecordBytes   = 4 << 10
-	maxNumberBytes   = 256 // more than all of a record but the bytes of its strings takes
+	maxNumberBytes   = 256 // upper bound for the encoded size of a record without the bytes of its strings
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrUnreadable says that a record could not be read back once it was stored: it is longer than maxRecordBytes, or one of
-// its strings is not valid UTF-8.
-var ErrUnreadable = errors.New("the record is too long or its text is not valid UTF-8")
+// ErrInvalidRecord means that a record cannot be stored, because decoding it would fail: it is longer than maxRecordBytes,
+// or one of its strings is not valid UTF-8.
+var ErrInvalidRecord = errors.New("journal record too long or not valid UTF-8")
 
-// CheckRecord returns ErrUnreadable for a record that could not be read back.
+// CheckRecord returns ErrInvalidRecord for a record that cannot be stored.
 func CheckRecord(r *intent.Record) error {
 	textBytes := 0
 	for _, s := range []string{r.RequestID, r.Tenant, r.Type, r.Server, r.RepeatOf, r.Outcome} {
 		if !utf8.ValidString(s) {
-			return ErrUnreadable
+			return ErrInvalidRecord
 		}
 		textBytes += len(s)
 	}
@@ -42,16 +42,16 @@
 	return err
 }
 
-// encodeRecord returns a record as CBOR. Its strings must be valid UTF-8.
+// encodeRecord encodes a record as CBOR. Its strings must be valid UTF-8.
 func encodeRecord(r *intent.Record) ([]byte, error) {
 	body, err := cbor.Marshal(r)
 	if err == nil && len(body) > maxRecordBytes {
-		return nil, ErrUnreadable
+		return nil, ErrInvalidRecord
 	}
 	return body, err
 }
 
-// AppendFrame appends a record to b as it is stored in a segment. A record that could not be read back is ErrUnreadable.
+// AppendFrame appends the frame of a record to b. It returns ErrInvalidRecord for a record that cannot be stored.
 func AppendFrame(b []byte, r *intent.Record) ([]byte, error) {
 	if err := CheckRecord(r); err != nil {
 		return b, err
@@ -66,15 +66,15 @@
 	return append(b, body...), nil
 }
 
-// checksum covers the length too, so that a changed length is noticed.
+// checksum also covers the length, so that a damaged length is detected.
 func checksum(length uint32, body []byte) uint32 {
 	var encoded [4]byte
 	binary.LittleEndian.PutUint32(encoded[:], length)
 	return crc32.Update(crc32.Update(0, castagnoli, encoded[:]), castagnoli, body)
 }
 
-// decodeFrame reads the frame at the start of b into r and returns its length. The length is 0 where b ends within the
-// frame; ok is false where b does not begin with a valid frame, or with one that is longer than maxRecordBytes.
+// decodeFrame decodes the frame at the start of b into r and returns its length. The length is 0 if b ends within the
+// frame. ok is false if b does not start with a valid frame, or the frame's body is longer than maxRecordBytes.
 func decodeFrame(b []byte, r *intent.Record) (n int, ok bool) {
 	if len(b) < frameHeaderBytes {
 		return 0, len(b) < 2 || binary.LittleEndian.Uint16(b) == frameMarker
@@ -94,13 +94,13 @@
 	return n, true
 }
 
-// DecodeFrames calls each for the records in b, which must hold complete frames and nothing else.
+// DecodeFrames decodes the frames in b and calls each for every record. b must consist of complete frames.
 func DecodeFrames(b []byte, each func(*intent.Record) error) error {
 	for len(b) > 0 {
 		var r intent.Record
 		n, ok := decodeFrame(b, &r)
 		if n == 0 || !ok {
-			return errors.New("a record cannot be read")
+			return errors.New("decode frames: invalid or truncated frame")
 		}
 		if err := each(&r); err != nil {
 			return err
--- a/internal/journal/wal/log.go
+++ b/internal/journal/wal/log.go
@@ -12,90 +12,90 @@
 const (
 	maxQueuedRecords     = 8192
 	defaultRetryInterval = 500 * time.Millisecond
-	// slowWriteWindow is how long the last write counts in StalledFor after its end.
+	// slowWriteWindow is how long StalledFor includes the duration of the last write after its end.
 	slowWriteWindow = time.Second
 )
 
-// Why a record is not stored.
+// Errors of Log.Append and Commit.Err.
 var (
-	// ErrQueueFull says that too many records wait to be written. The caller may append again a little later.
-	ErrQueueFull = errors.New("too many records wait for the disk")
-	// ErrDiskFailing says that writes have failed, and that no segment takes records yet. It wraps the reason.
-	ErrDiskFailing = errors.New("the disk takes no records")
-	// ErrClosed says that the Log was closed.
-	ErrClosed = errors.New("the journal is closed")
+	// ErrQueueFull means that maxQueuedRecords would be exceeded. The caller may retry after a short wait.
+	ErrQueueFull = errors.New("journal write queue full")
+	// ErrDiskFailing means that writes have failed and that no segment is writable yet. It wraps the cause.
+	ErrDiskFailing = errors.New("journal not writable")
+	// ErrClosed means that the Log has been closed.
+	ErrClosed = errors.New("journal closed")
 )
 
-// Options of a Log.
+// Options configures a Log.
 type Options struct {
-	Dir             string // a folder that is there
+	Dir             string // must exist
 	FileSystem      FileSystem
-	Fsync           bool // a record survives a crash of the machine, not only of the process
+	Fsync           bool // records survive a crash of the machine, not only of the process
 	MaxSegmentBytes int64
-	RetentionAge    time.Duration // older segments are removed; 0: none are
-	RetentionBytes  int64         // of all segments; 0: no bound
-	Incarnation     uint64        // of the process, named by Gap records and chunk headers
-	RetryInterval   time.Duration // between two attempts to write again after a failure; 0: half a second
-	// OmitGaps leaves out Gap records, for a caller that appends again what was refused.
+	RetentionAge    time.Duration // older segments are removed; 0: no limit
+	RetentionBytes  int64         // total size of all segments; 0: no limit
+	Incarnation     uint64        // of the process; stored in Gap records and chunk headers
+	RetryInterval   time.Duration // between recovery attempts after a write failure; 0: defaultRetryInterval
+	// OmitGaps disables Gap records, for a caller that retries rejected records.
 	OmitGaps bool
-	// OnChunk, if set, has records numbered. It is called with each chunk's frames before they are written here, and with
-	// whether anyone waits for a record in it. It is called by the writer and must not block.
+	// OnChunk, if set, enables numbering of records. The writer calls it with the frames of each chunk before it writes
+	// them to the segment; isAwaited reports whether a Commit waits for a record of the chunk. OnChunk must not block.
 	OnChunk func(first uint64, count int, frames []byte, isAwaited bool)
-	// OnStored is called by the writer when the records of a chunk are written, and with Fsync synced if someone waits for
-	// a record of their batch. It must be set with OnChunk, and must not block.
+	// OnStored is called by the writer after the records of a chunk are written. With Fsync they are also synced if a
+	// Commit waits for a record of the same batch. It is required with OnChunk, and must not block.
 	OnStored func(first uint64, count int)
 	// OnHealthChange, if set, is called with the reason when writes begin to fail, and with nil when they succeed again.
 	OnHealthChange func(error)
 }
 
-// Log is a journal that is written. Its methods may be called by any goroutine.
+// Log appends records to a journal. Its methods are safe for concurrent use.
 type Log struct {
 	options Options
-	wake    chan struct{} // has the writer look at the queue; closed by Close
-	done    chan struct{} // closed when the writer has ended
+	wake    chan struct{} // signals the writer that the queue is not empty; closed by Close
+	done    chan struct{} // closed when the writer has terminated
 
-	mu       sync.Mutex // never held over a file
+	mu       sync.Mutex // not held during file operations
 	queue    []queuedRecord
-	failure  error // why no records are taken; nil: they are
+	failure  error // why records are rejected; nil: the journal is writable
 	isClosed bool
 	write    writeTimes
 	gap      gap
 
-	// The fields below belong to the writer goroutine.
+	// The fields below are used only by the writer goroutine.
 	segment struct {
 		file   File // nil after a failure
 		bytes  int64
 		number uint64
 	}
-	frames   []byte         // of the present batch
-	chunks   []writtenChunk // of the present batch, where records are numbered
+	frames   []byte         // encoded frames of the current batch
+	chunks   []writtenChunk // chunks of the current batch; empty if records are not numbered
 	sequence uint64         // of the last numbered record
 }
 
-// writeTimes are those of the present and the last write.
+// writeTimes contains the times of the current and the last write.
 type writeTimes struct {
-	began time.Time // of the write that is under way; zero: there is none
-	ended time.Time // of the last one
-	took  time.Duration
+	began time.Time     // of the current write; zero: no write is in progress
+	ended time.Time     // of the last write
+	took  time.Duration // of the last write
 }
 
 // gap counts records that were not stored since the last Gap record.
 type gap struct {
 	records int
-	since   time.Time
+	since   time.Time // when the first of them was lost
 }
 
-// queuedRecord waits to be written.
+// queuedRecord is a record in the write queue.
 type queuedRecord struct {
 	record     intent.Record
-	commit     *Commit // nil: nobody waits for it
-	sequence   uint64  // 0: it has no number yet
-	atUnixNano int64   // of the first of a chunk: when it was written first
+	commit     *Commit // nil: no caller waits for the record
+	sequence   uint64  // 0: not numbered yet
+	atUnixNano int64   // in the first record of a chunk: the time of the chunk's first write
 }
 
-// Open starts a new segment after the existing ones. It changes none of those, so other processes may read the folder
-// meanwhile. They may also write segments of their own, but RetentionAge and RetentionBytes remove older segments whoever
-// writes them.
+// Open starts a Log with a new segment after the existing ones. It does not change existing segments, so other processes
+// may read the directory at the same time. Other processes may also write segments of their own, but RetentionAge and
+// RetentionBytes remove old segments of all processes.
 func Open(o Options) (*Log, error) {
 	l := &Log{options: o, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	if err := l.createSegment(); err != nil {
@@ -105,14 +105,14 @@
 	return l, nil
 }
 
-// Append queues records, in order. With wait it returns a Commit for the last of them; without, they may be lost
-// with the process. The error is ErrUnreadable, ErrQueueFull, ErrDiskFailing or ErrClosed; then none of the records is
-// stored.
+// Append queues records in order. With wait it returns a Commit for the last record; without wait the Commit is nil, and
+// the records may be lost when the process crashes. The error is ErrInvalidRecord, ErrQueueFull, ErrDiskFailing or
+// ErrClosed; on an error none of the records is stored.
 func (l *Log) Append(wait bool, records ...intent.Record) (*Commit, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.refusal(records); err != nil {
-		l.countLost(len(records))
+	if err := l.rejectionReason(records); err != nil {
+		l.addToGap(len(records))
 		return nil, err
 	}
 	var commit *Commit
@@ -133,8 +133,8 @@
 	return commit, nil
 }
 
-// refusal is why records cannot be queued now, nil if they can. mu is held.
-func (l *Log) refusal(records []intent.Record) error {
+// rejectionReason returns why records cannot be queued now, or nil if they can. The caller holds mu.
+func (l *Log) rejectionReason(records []intent.Record) error {
 	for i := range records {
 		if err := CheckRecord(&records[i]); err != nil {
 			return err
@@ -151,9 +151,8 @@
 	return nil
 }
 
-// StalledFor is how long the write that is under way has taken, or how long the last one took, if that ended within the
-// last second: a disk that was slow a moment ago may be slow again. Only the last write counts, however long those before
-// it took.
+// StalledFor returns the duration of the current write so far, or of the last write if that is longer and ended within
+// slowWriteWindow: a disk that was slow recently may still be slow. Earlier writes are not included.
 func (l *Log) StalledFor() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,23 +166,23 @@
 	return max(took, time.Since(l.write.began))
 }
 
-// Failure is why no records are taken now, nil where they are.
+// Failure returns why records are rejected now, or nil if the journal is writable.
 func (l *Log) Failure() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.failure
 }
 
-// CountMissed counts a request that was served before its record was durable, though Append took that record. A Gap
-// record counts it when the disk takes records again.
+// CountMissed counts a request that was served before its record was durable, although Append had accepted that record.
+// The next Gap record includes it.
 func (l *Log) CountMissed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.countLost(1)
+	l.addToGap(1)
 }
 
-// countLost counts records for the next Gap record. mu is held.
-func (l *Log) countLost(records int) {
+// addToGap counts records for the next Gap record. The caller holds mu.
+func (l *Log) addToGap(records int) {
 	if l.options.OmitGaps {
 		return
 	}
@@ -193,7 +192,7 @@
 	l.gap.records += records
 }
 
-// gapRecord counts the records that were not stored. mu is held.
+// gapRecord returns a Gap record with the number of records that were not stored. The caller holds mu.
 func (l *Log) gapRecord() intent.Record {
 	return intent.Record{
 		Kind:        intent.Gap,
@@ -204,7 +203,7 @@
 	}
 }
 
-// Close writes what is queued and ends the writer. It may be called again.
+// Close writes the queued records and terminates the writer. Further calls have no effect.
 func (l *Log) Close() {
 	l.mu.Lock()
 	wasClosed := l.isClosed
--- a/internal/journal/wal/recovery.go
+++ b/internal/journal/wal/recovery.go
@@ -7,13 +7,13 @@
 	"fernvane/internal/journal/intent"
 )
 
-// recoverFrom is called by the writer when a batch could not be written. It has Append refuse records, and returns when a
-// new segment takes them again or the Log is closed. Each try leaves a segment, empty where only the write failed; in a
-// Log with OnChunk each also numbers and hands on a Gap record.
+// recoverFrom is called by the writer when a batch could not be written. It makes Append reject records, and returns when
+// a new segment is writable or the Log is closed. Each attempt leaves a segment behind, which is empty if only the write
+// failed. In a Log with OnChunk, each attempt also numbers a Gap record and passes it to OnChunk.
 func (l *Log) recoverFrom(reason error, lost []queuedRecord) {
 	l.mu.Lock()
 	l.failure = reason
-	l.countLostBatch(lost)
+	l.addBatchToGap(lost)
 	l.mu.Unlock()
 	l.reportHealth(reason)
 	for {
@@ -32,40 +32,42 @@
 		}
 		l.mu.Lock()
 		l.failure = nil
-		l.gap.records -= counted // others may have been lost since
+		l.gap.records -= counted // more records may have been lost meanwhile
 		l.mu.Unlock()
 		l.reportHealth(nil)
 		return
 	}
 }
 
-// failQueue fails the records that were queued before the failure was known, and reports whether the Log is closed.
+// failQueue fails the records that were queued before the failure was detected, and reports whether the Log is closed.
 func (l *Log) failQueue(reason error) (isClosed bool) {
 	l.mu.Lock()
 	isClosed = l.isClosed
 	queue := l.queue
 	l.queue = nil
-	l.countLost(len(queue))
+	l.addToGap(len(queue))
 	l.mu.Unlock()
-	finish(queue, reason)
+	finishCommits(queue, reason)
 	return isClosed
 }
 
-// countLostBatch counts a batch that was not written, and for a Gap record in it those that it counted. mu is held.
-func (l *Log) countLostBatch(batch []queuedRecord) {
+// addBatchToGap counts the records of a batch that was not written. For a Gap record it adds that record's count. The
+// caller holds mu.
+func (l *Log) addBatchToGap(batch []queuedRecord) {
 	for i := range batch {
 		r := &batch[i].record
 		if r.Kind != intent.Gap {
-			l.countLost(1)
+			l.addToGap(1)
 			continue
 		}
-		l.countLost(r.Count)
+		l.addToGap(r.Count)
 		l.gap.since = time.Unix(0, r.From)
 	}
 }
 
-// writeGap writes how many records were lost into the new segment, and returns that number. It also shows that the disk takes
-// records. With OmitGaps it writes nothing: only the next batch shows whether the disk takes records.
+// writeGap writes a Gap record to the new segment and returns the number of lost records in it. A successful write also
+// proves that the disk is writable. With OmitGaps nothing is written, so only the next batch shows whether the disk is
+// writable.
 func (l *Log) writeGap() (counted int, err error) {
 	if l.options.OmitGaps {
 		return 0, nil
@@ -73,7 +75,7 @@
 	l.mu.Lock()
 	record := l.gapRecord()
 	l.mu.Unlock()
-	err = l.writeBatch([]queuedRecord{{record: record, commit: &Commit{}}}) // with a commit, so that it is synced
+	err = l.writeBatch([]queuedRecord{{record: record, commit: &Commit{}}}) // the commit makes writeBatch sync the record
 	return record.Count, err
 }
 
--- a/internal/journal/wal/scan.go
+++ b/internal/journal/wal/scan.go
@@ -10,25 +10,25 @@
 	"fernvane/internal/journal/intent"
 )
 
-const scanReadBytes = 128 << 10 // at a time
+const scanReadBytes = 128 << 10 // size of one read
 
-// UnreadableRange is a place in a segment that cannot be read.
+// UnreadableRange is a range of bytes in a segment that contains no valid record.
 type UnreadableRange struct {
 	Path   string
 	Offset int64
 	Bytes  int64
-	IsTorn bool // the file ends in bytes that are no valid record: an unfinished write, or damage
+	IsTorn bool // the range is at the end of the file: an unfinished write, or damage to the last record
 }
 
-// String describes the range.
+// String describes the range by file, length and offset.
 func (u UnreadableRange) String() string {
 	if u.IsTorn {
-		return fmt.Sprintf("%s: %d bytes at %d are the start of a record that was not written whole", u.Path, u.Bytes, u.Offset)
+		return fmt.Sprintf("%s: %d bytes at offset %d: last record incomplete or damaged", u.Path, u.Bytes, u.Offset)
 	}
-	return fmt.Sprintf("%s: %d bytes at %d cannot be read; records behind them were read", u.Path, u.Bytes, u.Offset)
+	return fmt.Sprintf("%s: %d bytes at offset %d are damaged; later records were read", u.Path, u.Bytes, u.Offset)
 }
 
-// ScanReport is what was read.
+// ScanReport contains the totals of a scan and the ranges that could not be decoded.
 type ScanReport struct {
 	Segments   int
 	Records    int
@@ -36,7 +36,8 @@
 	Unreadable []UnreadableRange
 }
 
-// CorruptCount counts the unreadable ranges that are no torn ends. Damage to the last record of a segment is not counted.
+// CorruptCount returns the number of unreadable ranges that are not torn ends. Damage to the last record of a segment
+// cannot be distinguished from a torn end and is not counted.
 func (r *ScanReport) CorruptCount() (n int) {
 	for _, u := range r.Unreadable {
 		if !u.IsTorn {
@@ -46,8 +47,9 @@
 	return n
 }
 
-// Scan calls each for all records of the segments that were changed since a moment, in order, in little memory. progress,
-// if any, is called with the bytes that were read and those of all segments. An error of each ends the scan.
+// Scan calls each for every record of the segments modified since a time, in order. It reads in blocks, so its memory use
+// does not depend on the size of the journal. progress, if not nil, is called with the bytes read so far and the total
+// bytes of the segments. An error from each ends the scan.
 func Scan(files FileSystem, dir string, since time.Time, each func(*intent.Record) error, progress func(read, total int64)) (ScanReport, error) {
 	var report ScanReport
 	segments, err := ListSegments(files, dir)
@@ -72,7 +74,7 @@
 	return report, nil
 }
 
-// scanSegment reads one segment. progress, if any, is called with the bytes of the segment that were read.
+// scanSegment scans one segment. progress, if not nil, is called with the bytes of the segment decoded so far.
 func scanSegment(files FileSystem, s Segment, report *ScanReport, each func(*intent.Record) error, progress func(read int64)) error {
 	f, err := files.Open(s.Path)
 	if err != nil {
@@ -94,33 +96,33 @@
 			progress(scan.offset)
 		}
 		if err != nil {
-			return fmt.Errorf("%s: %w", s.Path, err)
+			return fmt.Errorf("read segment %s: %w", s.Path, err)
 		}
 	}
 }
 
-// segmentScan is a segment while it is read.
+// segmentScan is the state of the scan of one segment.
 type segmentScan struct {
 	path           string
 	report         *ScanReport
 	each           func(*intent.Record) error
 	record         intent.Record
-	buffer         []byte // read and not decoded yet
-	offset         int64  // of the buffer's first byte in the segment
-	isAtEnd        bool   // the file has nothing after the buffer
-	unreadableFrom int64  // where the present unreadable range begins; -1: there is none
+	buffer         []byte // read but not decoded yet
+	offset         int64  // position of the buffer's first byte in the segment
+	isAtEnd        bool   // no bytes follow the buffer in the file
+	unreadableFrom int64  // offset of the current unreadable range; -1: none
 }
 
-// decode hands on the records in the buffer and keeps what may be the start of a further one. After bytes that cannot be
-// read it looks for the next frame that can, byte by byte.
+// decode calls each for the records in the buffer and retains bytes that may be the start of an incomplete frame. After
+// invalid bytes it searches for the next valid frame byte by byte.
 func (s *segmentScan) decode() error {
 	i := 0
 	for {
 		s.record = intent.Record{}
 		n, ok := decodeFrame(s.buffer[i:], &s.record)
-		left := len(s.buffer) - i
-		if n == 0 && (left == 0 || !s.isAtEnd && left < frameHeaderBytes+maxRecordBytes) {
-			break // nothing is left, or more is needed to tell
+		remaining := len(s.buffer) - i
+		if n == 0 && (remaining == 0 || !s.isAtEnd && remaining < frameHeaderBytes+maxRecordBytes) {
+			break // the buffer is empty, or may end within a frame
 		}
 		if n == 0 || !ok {
 			if s.unreadableFrom < 0 {
@@ -141,7 +143,7 @@
 	return nil
 }
 
-// endUnreadable reports the present unreadable range, if there is one.
+// endUnreadable adds the current unreadable range, if any, to the report.
 func (s *segmentScan) endUnreadable(end int64, isTorn bool) {
 	if s.unreadableFrom < 0 {
 		return
@@ -155,7 +157,7 @@
 	s.unreadableFrom = -1
 }
 
-// read reads the next bytes of the file after those in the buffer.
+// read appends the next block of the file to the buffer.
 func (s *segmentScan) read(f io.Reader) error {
 	if cap(s.buffer)-len(s.buffer) < scanReadBytes {
 		s.buffer = slices.Grow(s.buffer, scanReadBytes)
--- a/internal/journal/wal/segment.go
+++ b/internal/journal/wal/segment.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	segmentSuffix = ".bindings" // the name that deployed journals have
-	// maxCreateAttempts bounds the numbers that other processes may have taken before creating a segment is an error.
+	segmentSuffix = ".bindings" // unchanged for compatibility with deployed journals
+	// maxCreateAttempts limits how many consecutive numbers, taken by other processes meanwhile, createSegment skips.
 	maxCreateAttempts = 100
 )
 
-// Segment is one file of a journal. Its number orders it among the others.
+// Segment is one file of a journal. Segments are ordered by their numbers.
 type Segment struct {
 	Number uint64
 	Path   string
@@ -25,7 +25,7 @@
 
 func segmentName(number uint64) string { return fmt.Sprintf("%020d%s", number, segmentSuffix) }
 
-// ListSegments returns the files of a journal in their order. Other files in the folder are passed over.
+// ListSegments returns the segments of a journal, ordered by number. It ignores other files in the directory.
 func ListSegments(files FileSystem, dir string) ([]Segment, error) {
 	all, err := files.List(dir)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return segments, nil
 }
 
-// createSegment makes a segment with the next free number, which is written from then on.
+// createSegment creates a segment with the next free number and makes it the active segment.
 func (l *Log) createSegment() error {
 	segments, err := ListSegments(l.options.FileSystem, l.options.Dir)
 	if err != nil {
@@ -55,7 +55,7 @@
 		l.segment.number++
 		f, err := l.options.FileSystem.Create(filepath.Join(l.options.Dir, segmentName(l.segment.number)))
 		if errors.Is(err, os.ErrExist) {
-			continue // another process's
+			continue // created by another process
 		}
 		if err != nil {
 			return err
@@ -70,10 +70,10 @@
 		l.segment.bytes = 0
 		return nil
 	}
-	return fmt.Errorf("%s: no number is free", l.options.Dir)
+	return fmt.Errorf("%s: create segment: no free segment number found", l.options.Dir)
 }
 
-// rotate ends the segment that is written and begins the next one.
+// rotate closes the active segment, creates the next one and applies the retention limits.
 func (l *Log) rotate() error {
 	if l.options.Fsync {
 		if err := l.segment.file.Sync(); err != nil {
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// removeExpired removes segments that are too old or too many, the oldest first, never the one that is written. What
-// cannot be removed now is tried again at the next rotation.
+// removeExpired removes segments that exceed the retention limits, the oldest first, but never the active segment. A failed
+// removal is retried at the next rotation.
 func (l *Log) removeExpired() {
 	segments, err := ListSegments(l.options.FileSystem, l.options.Dir)
 	if err != nil {
--- a/internal/journal/wal/writer.go
+++ b/internal/journal/wal/writer.go
@@ -9,14 +9,14 @@
 	"fernvane/internal/journal/intent"
 )
 
-// writtenChunk is a chunk of the batch that is being written.
+// writtenChunk identifies a chunk of the batch that is being written.
 type writtenChunk struct {
-	first uint64
+	first uint64 // sequence number of the first record
 	count int
 }
 
-// run is the writer goroutine. It takes all that is queued at once, so one sync serves all records that came during the
-// last one.
+// run is the writer goroutine. It writes all queued records as one batch, so that one sync makes all records durable that
+// were appended during the previous sync (group commit).
 func (l *Log) run() {
 	defer close(l.done)
 	for range l.wake {
@@ -26,8 +26,8 @@
 	l.closeSegment()
 }
 
-// flush writes the queue. When writing fails it begins a new segment and tries once more: the end of a segment that has
-// failed may be anywhere, so it is not written again.
+// flush writes the queue. When the write fails, it creates a new segment and retries once. A segment with a failed write
+// is not reused, because an unknown part of the batch may be at its end.
 func (l *Log) flush() {
 	batch := l.takeBatch()
 	err := l.writeBatch(batch)
@@ -42,14 +42,14 @@
 	l.write.took = l.write.ended.Sub(l.write.began)
 	l.write.began = time.Time{}
 	l.mu.Unlock()
-	finish(batch, err)
+	finishCommits(batch, err)
 	if err != nil {
 		l.recoverFrom(err, batch)
 	}
 }
 
-// takeBatch takes the queue, after a Gap record where records were lost before it. The count begins again at 0: if the batch
-// is not written, countLostBatch adds what the Gap record counted.
+// takeBatch removes all records from the queue and returns them, after a Gap record if records were lost before them. It
+// resets the gap count: if the batch cannot be written, addBatchToGap adds the count of its Gap record again.
 func (l *Log) takeBatch() []queuedRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,8 +63,8 @@
 	return batch
 }
 
-// finish ends the commits of the batch.
-func finish(batch []queuedRecord, err error) {
+// finishCommits reports the result of the batch to the callers that wait for it.
+func finishCommits(batch []queuedRecord, err error) {
 	for _, q := range batch {
 		if q.commit != nil {
 			q.commit.finish(err)
@@ -88,7 +88,7 @@
 	}
 }
 
-// writeBatch writes records and, with Options.Fsync and where someone waits for one, syncs them.
+// writeBatch writes records. With Options.Fsync it syncs the segment if a caller waits for one of the records.
 func (l *Log) writeBatch(batch []queuedRecord) error {
 	if len(batch) == 0 {
 		return nil
@@ -110,7 +110,7 @@
 		return err
 	}
 	if n < len(l.frames) {
-		return fmt.Errorf("%d of %d bytes were written", n, len(l.frames))
+		return fmt.Errorf("write segment: wrote %d of %d bytes", n, len(l.frames))
 	}
 	if l.options.Fsync && isAwaited(batch) {
 		if err := l.segment.file.Sync(); err != nil {
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// encode puts a batch into frames, in chunks where records are numbered.
+// encode encodes a batch into l.frames, grouped into chunks if records are numbered.
 func (l *Log) encode(batch []queuedRecord) error {
 	l.frames = l.frames[:0]
 	l.chunks = l.chunks[:0]
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// encodeChunk puts records into a chunk and hands it on. Records get their numbers once: a chunk that is written again
-// after a failure keeps its numbers and its time, and is not handed on again.
+// encodeChunk encodes records as one chunk and passes it to OnChunk. Sequence numbers are assigned once: a chunk that is
+// rewritten after a failure has the same numbers and time, and is not passed to OnChunk again.
 func (l *Log) encodeChunk(records []queuedRecord) error {
 	isNew := records[0].sequence == 0
 	if isNew {
