--- a/internal/journal/execution/execution.go
+++ b/internal/journal/execution/execution.go
@@ -1,9 +1,10 @@
-// Package execution reads servers' execution records: what each server says that it has run. A text is JSON lines: first
-// {"server":"ID","from":"TIME","to":"TIME"}, which says for what time the list is complete, then {"id":"REQUEST-ID"} for
-// each request that was run. Times are RFC 3339. The records of several servers may follow each other in one text.
+// Package execution reads servers' execution records, which list the requests that a server ran. The format is JSON lines:
+// a header {"server":"ID","from":"TIME","to":"TIME"} with the time range for which the list is complete, then
+// {"id":"REQUEST-ID"} for each request that ran. Times are RFC 3339. One file may contain the records of several servers,
+// one after the other.
 //
-// The command `fernvane bindings reconcile` and nodes that reconcile the journals of lost machines (package peer) read
-// them, and hand them to intent.Reconcile.
+// The command `fernvane bindings reconcile`, and nodes that reconcile the journals of lost machines (package peer), read
+// execution records and pass them to intent.Reconcile.
 package execution
 
 import (
@@ -25,7 +26,7 @@
 	fetchTimeout = time.Minute
 )
 
-// line is one line of the text: the head of a server's record, or a request in it.
+// line is one line of the format: the header of a server's record, or a request in the record.
 type line struct {
 	Server string     `json:"server"`
 	From   *time.Time `json:"from"`
@@ -33,8 +34,8 @@
 	ID     string     `json:"id"`
 }
 
-// Read reads a text and adds its records beside earlier ones of the same servers. An error names the line, and the text as
-// name. After an error nothing is added: a record that lacks requests would say of them that they never ran.
+// Read adds the records from r to records, and retains earlier records of the same servers. Errors contain name and the line
+// number. On an error nothing is added: a truncated record would prove that the requests it lacks never ran.
 func Read(name string, r io.Reader, records intent.ExecutionRecords) error {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLineBytes)
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// appendLine takes in one line: the head of a further record, or a request of the last one.
+// appendLine parses one line: the header of a new record, which it appends, or a request of the last record.
 func appendLine(read []*intent.ExecutionRecord, text string) ([]*intent.ExecutionRecord, error) {
 	var l line
 	d := json.NewDecoder(strings.NewReader(text))
@@ -69,7 +70,7 @@
 	}
 	switch {
 	case l.Server != "" && (l.From == nil || l.To == nil):
-		return nil, fmt.Errorf("server %q: a server needs from and to", l.Server)
+		return nil, fmt.Errorf("server %q: from and to are required", l.Server)
 	case l.Server != "":
 		read = append(read, &intent.ExecutionRecord{
 			Server:       l.Server,
@@ -78,7 +79,7 @@
 			RequestIDs:   map[string]bool{},
 		})
 	case l.ID == "":
-		return nil, errors.New("neither a server nor an id")
+		return nil, errors.New("line has neither server nor id")
 	case len(read) == 0:
 		return nil, errors.New("an id before any server")
 	default:
@@ -87,7 +88,7 @@
 	return read, nil
 }
 
-// Load reads a file, or what an http or https URL answers, and adds its records as Read does.
+// Load reads a file, or the response of an http or https URL, and adds its records as Read does.
 func Load(source string, records intent.ExecutionRecords) error {
 	if strings.HasPrefix(source, "http://") || strings.HasPrefix(source, "https://") {
 		return fetch(source, records)
@@ -108,7 +109,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s: answered %s", url, resp.Status)
+		return fmt.Errorf("fetch %s: got status %s, want 200 OK", url, resp.Status)
 	}
 	return Read(url, resp.Body, records)
 }
--- a/internal/journal/intent/assembler.go
+++ b/internal/journal/intent/assembler.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// Assembler builds entries from the records of one journal. It holds only those entries that may still change.
+// Assembler builds entries from the records of one journal. It stores only entries that are not complete.
 type Assembler struct {
 	incomplete map[RequestKey]*Entry
 	// Gaps are the Gap records that were added.
 	Gaps []Record
-	// HasDamage is set by the caller where records could not be read: an entry without its end may have had more attempts
-	// than are known.
+	// HasDamage is set by the caller if records could not be decoded: an entry without a ClientNotified record may then
+	// lack attempts.
 	HasDamage bool
 }
 
 // NewAssembler returns an Assembler without entries.
 func NewAssembler() *Assembler { return &Assembler{incomplete: map[RequestKey]*Entry{}} }
 
-// Add takes in a record and returns the entry that is complete with it, nil for none. Records of unknown kinds and chunk
-// headers are passed over.
+// Add adds a record. It returns the entry if the record completes it, and nil otherwise. Chunk headers and records of
+// unknown kinds are ignored.
 func (a *Assembler) Add(r *Record) *Entry {
 	switch {
 	case r.Kind == 0 || r.Kind >= ChunkHeader:
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// Incomplete returns the entries that are not complete, by their time. It is called when all records were added.
+// Incomplete returns the entries that are not complete, ordered by time. It must be called after all records are added.
 func (a *Assembler) Incomplete() []*Entry {
 	entries := make([]*Entry, 0, len(a.incomplete))
 	for _, e := range a.incomplete {
--- a/internal/journal/intent/attempt.go
+++ b/internal/journal/intent/attempt.go
@@ -1,25 +1,25 @@
 package intent
 
-// Attempt is one sending of a request to one server, as far as records show.
+// Attempt combines the records of one attempt of a request.
 type Attempt struct {
 	Server          string
 	AtUnixNano      int64
 	EndedAtUnixNano int64
 	Outcome         string
-	IsReconciled    bool // the server's execution record was consulted
+	IsReconciled    bool // a Reconciled record was added
 	state           attemptState
 }
 
-// Proof is what is known of the attempt.
+// Proof returns whether the attempt is known to have run.
 func (a Attempt) Proof() Proof { return proofByState[a.state] }
 
-// attemptState is what the records so far say of an attempt.
+// attemptState is what the records added so far prove about an attempt.
 type attemptState uint8
 
 const (
-	stateUnknown  attemptState = iota // no intent was read, as when an older segment is gone
-	stateIntended                     // about to be sent: it may have been
-	stateUnproven                     // ended, and may have run
+	stateUnknown  attemptState = iota // no record yet; the intent may have been in a removed segment
+	stateIntended                     // the intent was stored: the attempt may have been sent
+	stateUnproven                     // the attempt ended and may have run
 	stateRan
 	stateNeverRan
 	attemptStateCount
@@ -27,7 +27,7 @@
 
 var proofByState = [attemptStateCount]Proof{stateRan: Ran, stateNeverRan: NeverRan}
 
-// evidence is what one record says of an attempt.
+// evidence is what a single record proves about an attempt.
 type evidence uint8
 
 const (
@@ -35,20 +35,20 @@
 	endedUnproven
 	endedRan
 	endedNeverRan
-	executionFound   // the server's execution record has the request
-	executionMissing // it does not, and covers the time of the attempt
+	executionFound   // the server's execution record contains the request
+	executionMissing // the execution record covers the time of the attempt and does not contain the request
 	evidenceCount
 )
 
-// transition is what evidence makes of an attempt's state.
+// transition is the effect of evidence on an attempt's state.
 type transition struct {
 	next       attemptState
-	isConflict bool // the evidence contradicts what was known
+	isConflict bool // the evidence contradicts the previous state
 }
 
-// transitions has a row for each state. Evidence that contradicts an earlier end changes nothing, except that a proof of
-// having run overrides one of never having run. Evidence that comes again, as when records were written again after a
-// failure, changes nothing either.
+// transitions has a row for each state. Evidence that contradicts an earlier end does not change the state, except that
+// proof that the attempt ran overrides proof that it never ran. Duplicate evidence, for example from records rewritten
+// after a write failure, does not change the state either.
 var transitions = [attemptStateCount][evidenceCount]transition{
 	stateUnknown: {
 		intentRecorded:   {next: stateIntended},
@@ -92,14 +92,14 @@
 	},
 }
 
-// evidenceOf gives what a record of an attempt says, by its kind and proof.
+// evidenceByKind maps the kind and proof of a record to its evidence.
 var evidenceByKind = map[Kind][3]evidence{
 	Intent:       {PossiblyRan: intentRecorded, Ran: intentRecorded, NeverRan: intentRecorded},
 	AttemptEnded: {PossiblyRan: endedUnproven, Ran: endedRan, NeverRan: endedNeverRan},
 	Reconciled:   {PossiblyRan: endedUnproven, Ran: executionFound, NeverRan: executionMissing},
 }
 
-// add takes in a record of the attempt and reports whether it contradicts what was known.
+// add updates the attempt from a record and reports whether the record contradicts the previous state.
 func (a *Attempt) add(r *Record) (isConflict bool) {
 	if r.Server != "" {
 		a.Server = r.Server
--- a/internal/journal/intent/doc.go
+++ b/internal/journal/intent/doc.go
@@ -1,14 +1,13 @@
-// Package intent says what is known of a non-idempotent request: from before its first attempt is sent to the outcome
-// that its client was notified of, and after a crash.
+// Package intent determines whether non-idempotent requests were executed, from their write-ahead records. The records
+// cover a request from before its first attempt is sent until its client is notified of the outcome, and survive a crash.
 //
-// The proxy has a Record stored before it sends an attempt and after each event of the request (package wal stores them).
-// Whoever reads records back adds them to an Assembler, which builds one Entry per request from them; a Merger does
-// the same for records that several nodes hold. Entry.State says what may be claimed: an attempt counts as possibly sent
-// from its intent on, until its end or the server's own execution record proves more. Lost records lead to no claim that
-// all records together would not support. Nor do records that come twice, as long as their entry is not complete: an
-// Assembler forgets a complete entry, and begins another one with a record that comes after it. A Merger passes such a
-// record over.
+// The proxy stores a Record before it sends an attempt and after each event of the request (package wal). A reader adds
+// the records to an Assembler, which builds one Entry per request; a Merger does the same for records of which several
+// nodes have copies. Entry.State returns only what the records prove: an attempt counts as possibly sent from its intent
+// until its end, or the server's execution record, proves more. Lost records never lead to a claim that the complete
+// records would not support. Duplicate records do not either, unless they follow the completion of their entry: an
+// Assembler discards a complete entry and starts a new one for a later record. A Merger ignores such a record.
 //
-// The package does no I/O and takes no locks: an Assembler, a Merger and their entries belong to the goroutine that adds
-// records.
+// The package does no I/O and takes no locks: an Assembler or a Merger and its entries must be used by one goroutine at a
+// time.
 package intent
--- a/internal/journal/intent/entry.go
+++ b/internal/journal/intent/entry.go
@@ -2,39 +2,40 @@
 
 import "slices"
 
-// maxAttempts of an entry: a record that makes no sense must not take memory. Records of further attempts are passed over.
+// maxAttempts limits the attempts of an entry, so that a corrupt attempt number does not exhaust memory. Records with a
+// higher attempt number are ignored.
 const maxAttempts = 64
 
-// State of an entry, by its attempts.
+// State is what is known about the execution of a request.
 type State uint8
 
 const (
-	// NotSent is a request of which no attempt was sent, or each provably never ran.
+	// NotSent means that no attempt was sent, or that every attempt provably never ran.
 	NotSent State = iota
-	// PossiblySent is a request of which some attempt may have run.
+	// PossiblySent means that at least one attempt may have run.
 	PossiblySent
-	// HasRun is a request of which some attempt provably ran.
+	// HasRun means that at least one attempt provably ran.
 	HasRun
-	// Unknown is a request of which no attempt is known, while too few nodes were asked to say that there was none.
+	// Unknown means that no attempt was found that may have run, but too few nodes were queried to rule one out.
 	Unknown
 	stateCount
 )
 
-// stateNames are the words of commands and their output, which stay: "ran" is HasRun, "not-known" is Unknown.
+// stateNames are part of the command-line interface and must not change: "ran" is HasRun, "not-known" is Unknown.
 var stateNames = [stateCount]string{"not-sent", "possibly-sent", "ran", "not-known"}
 
-// String is the state's name in commands and their output.
+// String returns the state's name in command arguments and output.
 func (s State) String() string { return stateNames[s] }
 
-// ParseState finds a state by its name; ok is false where there is none of that name.
+// ParseState returns the state with a name; ok is false if the name is unknown.
 func ParseState(name string) (s State, ok bool) {
 	i := slices.Index(stateNames[:], name)
 	return State(max(i, 0)), i >= 0
 }
 
-// Entry is what is known of one request.
+// Entry combines the records of one request.
 type Entry struct {
-	Incarnation   uint64 // of the node that took it
+	Incarnation   uint64 // of the node that received the request
 	RequestNumber uint64 // within the incarnation
 	RequestID     string
 	Tenant        string
@@ -43,19 +44,19 @@
 	IsRetry       bool
 	AtUnixNano    int64 // of the earliest record
 
-	// Attempts are those about to be sent, by their numbers in the journal: one that is missing was lost to it.
+	// Attempts are indexed by attempt number. An attempt without records is zero.
 	Attempts []Attempt
 
-	ClientOutcome      string // "" where it isn't known
+	ClientOutcome      string // outcome reported to the client; "" if unknown
 	NotifiedAtUnixNano int64
-	Conflicts          int  // records that contradict what was known
-	MayLackRecords     bool // further attempts may be in records that cannot be read
-	TooFewNodesAsked   bool // too few of the nodes that may hold records were asked
-	attemptsAtOutcome  int  // how many there were when the client was notified
-	isUnsent           bool // an Unsent record was read
+	Conflicts          int  // number of records that contradict earlier ones
+	MayLackRecords     bool // unreadable records may contain further attempts
+	TooFewNodesAsked   bool // not enough of the nodes that may have records were queried
+	attemptsAtOutcome  int  // number of attempts when the client was notified
+	isUnsent           bool // an Unsent record was added
 }
 
-// State is what may be claimed of the request. It claims no more than the records prove.
+// State returns the strongest statement about the request that the records prove.
 func (e *Entry) State() State {
 	s := NotSent
 	if e.MayLackRecords || e.lacksAttempts() {
@@ -75,12 +76,13 @@
 	return s
 }
 
-// lacksAttempts reports whether there were attempts, or may have been, of which no record was read.
+// lacksAttempts reports whether there were, or may have been, attempts without any record.
 func (e *Entry) lacksAttempts() bool {
 	return len(e.Attempts) < e.attemptsAtOutcome || len(e.Attempts) == 0 && e.ClientOutcome == "" && !e.isUnsent
 }
 
-// IsComplete reports that nothing more can come for the entry: the client was notified, and each attempt is proven.
+// IsComplete reports whether no further records are expected: the client was notified, and for each attempt it is proven
+// whether it ran.
 func (e *Entry) IsComplete() bool {
 	return e.ClientOutcome != "" && e.State() != PossiblySent && !e.hasUnprovenAttempt() && len(e.Attempts) >= e.attemptsAtOutcome
 }
@@ -89,7 +91,7 @@
 	return slices.ContainsFunc(e.Attempts, func(a Attempt) bool { return a.Proof() == PossiblyRan })
 }
 
-// add takes in a record of the entry. A record with an attempt number or a proof out of bounds changes no attempt.
+// add updates the entry from a record. An attempt number or proof out of range leaves the attempts unchanged.
 func (e *Entry) add(r *Record) {
 	if e.AtUnixNano == 0 || r.AtUnixNano < e.AtUnixNano {
 		e.AtUnixNano = r.AtUnixNano
--- a/internal/journal/intent/merger.go
+++ b/internal/journal/intent/merger.go
@@ -1,11 +1,11 @@
 package intent
 
-// Merger builds entries from the records that several nodes hold of the same requests: a record that comes again changes
-// nothing.
+// Merger builds entries from the copies of records on several nodes. Duplicate records have no effect: a Merger ignores
+// records of complete entries and Gap records that it already has.
 type Merger struct {
 	Assembler
 	complete map[RequestKey]struct{}
-	gaps     map[Record]bool
+	gaps     map[Record]bool // Gap records added so far
 }
 
 // NewMerger returns a Merger without entries.
@@ -17,7 +17,8 @@
 	}
 }
 
-// Add takes in a record and returns the entry that is complete with it, nil for none; each entry is returned once.
+// Add adds a record. It returns the entry if the record completes it, and nil otherwise. Each entry is returned at most
+// once.
 func (m *Merger) Add(r *Record) *Entry {
 	if r.Kind == Gap {
 		if m.gaps[*r] {
--- a/internal/journal/intent/reconcile.go
+++ b/internal/journal/intent/reconcile.go
@@ -1,15 +1,15 @@
 package intent
 
-// ExecutionRecord is what one server says that it has run, of all requests that it took between two moments.
+// ExecutionRecord lists the requests that a server ran, of all requests that it received in a time range.
 type ExecutionRecord struct {
 	Server       string
 	FromUnixNano int64
 	ToUnixNano   int64
 	RequestIDs   map[string]bool
-	Next         *ExecutionRecord // another record of the same server; nil: there is none
+	Next         *ExecutionRecord // further record of the same server; nil: none
 }
 
-// lists reports whether any record of the server has a request.
+// contains reports whether any record of the server lists a request.
 func (x *ExecutionRecord) contains(id string) bool {
 	for ; x != nil; x = x.Next {
 		if x.RequestIDs[id] {
@@ -19,8 +19,8 @@
 	return false
 }
 
-// covers reports whether one record of the server has all attempts that began at a moment. One that began within slackNanos
-// of the record's end may still be running.
+// covers reports whether a record of the server is complete for attempts that began at atUnixNano. Attempts that began
+// within slackNanos before the end of the record are not covered, because they may still have been running.
 func (x *ExecutionRecord) covers(atUnixNano, slackNanos int64) bool {
 	for ; x != nil; x = x.Next {
 		if atUnixNano >= x.FromUnixNano && atUnixNano+slackNanos <= x.ToUnixNano {
@@ -30,22 +30,22 @@
 	return false
 }
 
-// ExecutionRecords are the execution records of servers, by server name.
+// ExecutionRecords maps a server's name to the list of its execution records.
 type ExecutionRecords map[string]*ExecutionRecord
 
-// Add adds a record beside those that the server has already.
+// Add adds a record and retains earlier records of the same server.
 func (e ExecutionRecords) Add(x *ExecutionRecord) {
 	x.Next = e[x.Server]
 	e[x.Server] = x
 }
 
-// Reconcile decides attempts of an entry that may have run, by the execution records of their servers.
-// It changes nothing: it returns Reconciled records for the caller to store. An attempt whose time an execution record
-// does not cover is decided only if the request is in it.
+// Reconcile uses the execution records of servers to determine whether an entry's unproven attempts ran. It does not modify
+// the entry, but returns Reconciled records for the caller to store. An attempt at a time that no execution record of its
+// server covers is reconciled only if a record lists the request.
 func Reconcile(e *Entry, executions ExecutionRecords, slackNanos, nowUnixNano int64) (reconciled []Record) {
 	for i, a := range e.Attempts {
-		executed := executions[a.Server]
-		if a.Proof() != PossiblyRan || executed == nil {
+		execution := executions[a.Server]
+		if a.Proof() != PossiblyRan || execution == nil {
 			continue
 		}
 		r := Record{
@@ -57,9 +57,9 @@
 			Server:        a.Server,
 		}
 		switch {
-		case executed.contains(e.RequestID):
+		case execution.contains(e.RequestID):
 			r.Proof = Ran
-		case executed.covers(a.AtUnixNano, slackNanos):
+		case execution.covers(a.AtUnixNano, slackNanos):
 			r.Proof = NeverRan
 		default:
 			continue
--- a/internal/journal/intent/record.go
+++ b/internal/journal/intent/record.go
@@ -1,67 +1,68 @@
 package intent
 
-// Kind of a record. The numbers are stored.
+// Kind is the type of a record. The numbers are part of the stored format.
 type Kind uint8
 
 const (
-	// Unsent says that a request has ended and that no attempt of it was about to be sent.
+	// Unsent records that a request ended before any of its attempts was about to be sent.
 	Unsent Kind = 1 + iota
-	// Intent says that an attempt is about to be sent. It repeats the fields of the request, so that it can be read
-	// alone.
+	// Intent records that an attempt is about to be sent. It repeats the fields of the request, so that it is complete
+	// without other records.
 	Intent
-	// AttemptEnded says how an attempt went, and what that proves.
+	// AttemptEnded records the outcome of an attempt and its proof.
 	AttemptEnded
-	// ClientNotified says which outcome the client was notified of, and after how many attempts.
+	// ClientNotified records the outcome that was reported to the client, and the number of attempts.
 	ClientNotified
-	// Reconciled says what the server's execution record proves of an attempt.
+	// Reconciled records what the server's execution record proves about an attempt.
 	Reconciled
-	// Gap counts records that were not stored, or not before their request was served.
+	// Gap counts records that were not stored, or that were stored only after their request was served.
 	Gap
-	// ChunkHeader says that the Count records after it are those from number From on of their incarnation's stream.
+	// ChunkHeader means that the following Count records have the sequence numbers from From on in the stream of their
+	// incarnation.
 	ChunkHeader
 )
 
-// Proof is what is known of an attempt. The numbers are stored.
+// Proof is whether an attempt is known to have run. The numbers are part of the stored format.
 type Proof uint8
 
 const (
-	// PossiblyRan is an attempt that was sent and may have run.
+	// PossiblyRan means that the attempt may have been sent and may have run.
 	PossiblyRan Proof = iota
-	// Ran is an attempt that provably ran.
+	// Ran means that the attempt provably ran.
 	Ran
-	// NeverRan is an attempt that provably never ran.
+	// NeverRan means that the attempt provably never ran.
 	NeverRan
 )
 
-// Record is one line of the journal. Which fields it has follows from its kind. It is stored as a CBOR array: the order
-// of the fields is that of the stored data.
+// Record is one record of the journal. Its kind determines which fields are set. It is stored as a CBOR array, so the order
+// of the fields is part of the stored format.
 type Record struct {
 	_ struct{} `cbor:",toarray"`
 
 	Kind          Kind
-	Incarnation   uint64 // of the node's process: Unix time in ns of its start
-	RequestNumber uint64 // counts within the incarnation
-	Attempt       int    // counts from 0 within the request
+	Incarnation   uint64 // of the node's process: its start time in Unix ns
+	RequestNumber uint64 // within the incarnation
+	Attempt       int    // attempt number within the request, from 0
 	AtUnixNano    int64
-	RequestID     string // as the client gave it
+	RequestID     string // as sent by the client
 	Tenant        string
 	Type          string
 	Server        string
-	RepeatOf      string // the id that the client names as repeated
-	IsRetry       bool   // the client marks the request as a retry
-	Outcome       string // of the attempt, or the one that the client was notified of
+	RepeatOf      string // ID of the request that this one repeats, according to the client
+	IsRetry       bool   // the client marked the request as a retry
+	Outcome       string // of the attempt, or the one reported to the client
 	Proof         Proof
-	From          int64 // of a Gap its start in Unix ns; of a ChunkHeader the number of the first record
-	Count         int   // of a Gap records; of ClientNotified attempts; of a ChunkHeader records
+	From          int64 // Gap: start in Unix ns; ChunkHeader: sequence number of the first record
+	Count         int   // Gap and ChunkHeader: number of records; ClientNotified: number of attempts
 }
 
-// RequestKey identifies a request among all nodes' journals.
+// RequestKey identifies a request across the journals of all nodes.
 type RequestKey struct {
-	Incarnation   uint64 // of the node that took it
+	Incarnation   uint64 // of the node that received the request
 	RequestNumber uint64 // within the incarnation
 }
 
-// Key is that of the request that the record is about.
+// Key returns the key of the record's request.
 func (r *Record) Key() RequestKey {
 	return RequestKey{Incarnation: r.Incarnation, RequestNumber: r.RequestNumber}
 }
--- a/internal/journal/wal/chunk.go
+++ b/internal/journal/wal/chunk.go
@@ -45,7 +45,7 @@
 		case n == 0 || !ok:
 			return merged, nil, fmt.Errorf("decode chunk: frame %d invalid or truncated", len(records))
 		case remaining > 0 && r.Kind == intent.ChunkHeader:
-			return merged, nil, errors.New("decode chunk: got a header, want a record of the chunk before it")
+			return merged, nil, errors.New("decode chunk: next header found before the chunk's last record")
 		case remaining > 0:
 			remaining--
 		default:
--- a/internal/journal/wal/log.go
+++ b/internal/journal/wal/log.go
@@ -16,7 +16,7 @@
 	slowWriteWindow = time.Second
 )
 
-// Errors of Log.Append and Commit.Err.
+// Errors of Log.Append.
 var (
 	// ErrQueueFull means that maxQueuedRecords would be exceeded. The caller may retry after a short wait.
 	ErrQueueFull = errors.New("journal write queue full")
@@ -151,8 +151,8 @@
 	return nil
 }
 
-// StalledFor returns the duration of the current write so far, or of the last write if that is longer and ended within
-// slowWriteWindow: a disk that was slow recently may still be slow. Earlier writes are not included.
+// StalledFor returns the longer of two durations: that of the write in progress, and that of the last write if it ended
+// within slowWriteWindow, because a disk that was slow recently may still be slow. Earlier writes are not included.
 func (l *Log) StalledFor() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
