--- a/internal/journal/execution/format_test.go
+++ b/internal/journal/execution/format_test.go
@@ -8,7 +8,7 @@
 	"fernvane/internal/journal/intent"
 )
 
-func TestFileIsRead(t *testing.T) {
+func TestLoadFile(t *testing.T) {
 	got := map[string]*intent.ExecutionRecord{}
 	if err := Load("testdata/executions.jsonl", got); err != nil {
 		t.Fatal(err)
@@ -19,6 +19,6 @@
 		"s-2": {Server: "s-2", FromUnixNano: at(8), ToUnixNano: at(9), RequestIDs: map[string]bool{}},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v", got)
+		t.Errorf("load: got records %+v", got)
 	}
 }
--- a/internal/journal/intent/entry_test.go
+++ b/internal/journal/intent/entry_test.go
@@ -20,8 +20,8 @@
 	return Record{Kind: ClientNotified, Incarnation: 1, RequestNumber: 1, AtUnixNano: 7, Outcome: outcome, Count: attempts}
 }
 
-// Which records were read of a request, and what may be claimed of it.
-func TestClaims(t *testing.T) {
+// The state of an entry, whether it is complete, and its conflicts, by the records that were read.
+func TestEntryState(t *testing.T) {
 	unsent := Record{Kind: Unsent, Incarnation: 1, RequestNumber: 1, AtUnixNano: 1, RequestID: "x"}
 	for name, c := range map[string]struct {
 		read       []Record
@@ -42,10 +42,10 @@
 		"a first intent was lost":                  {[]Record{intent(1), ended(1, NeverRan), notified("denied", 2)}, PossiblySent, false, 0},
 		"in the execution record":                  {[]Record{intent(0), reconciled(0, Ran)}, HasRun, false, 0},
 		"not in the execution record":              {[]Record{intent(0), ended(0, PossiblyRan), notified("written off", 1), reconciled(0, NeverRan)}, NotSent, true, 0},
-		"execution record against a proof":         {[]Record{intent(0), ended(0, NeverRan), reconciled(0, Ran)}, HasRun, false, 1},
+		"execution record contradicts a proof":     {[]Record{intent(0), ended(0, NeverRan), reconciled(0, Ran)}, HasRun, false, 1},
 		"execution record does not undo an answer": {[]Record{intent(0), ended(0, Ran), reconciled(0, NeverRan)}, HasRun, false, 1},
-		"all twice":                             {[]Record{intent(0), ended(0, Ran), intent(0), ended(0, Ran), notified("handled", 1)}, HasRun, true, 0},
-		"an intent written again behind an end": {[]Record{intent(0), ended(0, NeverRan), intent(0), notified("denied", 1)}, NotSent, true, 0},
+		"each record twice":                        {[]Record{intent(0), ended(0, Ran), intent(0), ended(0, Ran), notified("handled", 1)}, HasRun, true, 0},
+		"an intent rewritten after an end":         {[]Record{intent(0), ended(0, NeverRan), intent(0), notified("denied", 1)}, NotSent, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assembler := NewAssembler()
@@ -60,15 +60,15 @@
 				e = assembler.Incomplete()[0]
 			}
 			if e.State() != c.state || (done != nil) != c.isComplete || e.Conflicts != c.conflicts {
-				t.Errorf("%v, complete %v, %d conflicts: %+v", e.State(), done != nil, e.Conflicts, e)
+				t.Errorf("got state %v, complete %v, %d conflicts: %+v", e.State(), done != nil, e.Conflicts, e)
 			}
 		})
 	}
 }
 
-// Whichever records are lost, nothing is claimed that all records together would not claim; an entry without its end counts
-// as damaged where records are known to be lost.
-func TestLossClaimsNoMore(t *testing.T) {
+// For any lost records, an entry claims nothing that the complete records would not claim. The assembler is notified that
+// records were lost, as the caller does for unreadable ranges.
+func TestLostRecordsClaimNoMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Record
 		truth := NotSent
@@ -101,7 +101,7 @@
 			e = incomplete[0]
 		}
 		if e != nil && e.State() != PossiblySent && e.State() != truth && !(truth == PossiblySent && e.State() == HasRun) {
-			t.Fatalf("%v is claimed of %v", e.State(), truth)
+			t.Fatalf("got state %v, want possibly-sent or %v", e.State(), truth)
 		}
 	})
 }
--- a/internal/journal/intent/reconcile_test.go
+++ b/internal/journal/intent/reconcile_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What an execution record decides, by the time that it covers.
+// The proof that an execution record gives, depending on whether it lists the request and covers its time.
 func TestReconcile(t *testing.T) {
 	for name, c := range map[string]struct {
 		at    int64
@@ -29,7 +29,7 @@
 				got += fmt.Sprint(s.Proof)
 			}
 			if got != c.proof {
-				t.Errorf("reconciled as %q", got)
+				t.Errorf("got proofs %q", got)
 			}
 		})
 	}
--- a/internal/journal/wal/chunk_test.go
+++ b/internal/journal/wal/chunk_test.go
@@ -12,31 +12,31 @@
 	"fernvane/internal/testbed/standin/memdisk"
 )
 
-// Numbered records on a disk that fails once, at each of its operations: numbers have no holes, chunks that were handed on
-// are on disk as they were, and what was committed can be read.
+// Appends numbered records to a disk that fails once, at each of its operations in turn. Sequence numbers must have no
+// gaps, chunks passed to OnChunk must be stored unchanged, and committed records must be readable.
 func TestNumberedRecordsUnderFaults(t *testing.T) {
 	for _, fault := range []memdisk.Fault{memdisk.None, memdisk.Short, memdisk.Full, memdisk.Lying} {
 		for at := range 12 {
 			t.Run(fmt.Sprintf("%d at %d", fault, at), func(t *testing.T) {
-				d := memdisk.New()
-				d.Meet = func(n int) memdisk.Fault {
+				disk := memdisk.New()
+				disk.Meet = func(n int) memdisk.Fault {
 					if n == at {
 						return fault
 					}
 					return memdisk.None
 				}
 				var mu sync.Mutex
-				handedOn, stored := map[uint64][]byte{}, map[uint64]bool{}
+				passedOn, stored := map[uint64][]byte{}, map[uint64]bool{}
 				next := uint64(1)
-				options := Options{Dir: "j", FileSystem: d, Fsync: true, MaxSegmentBytes: 600, Incarnation: 7, RetryInterval: time.Millisecond,
+				options := Options{Dir: "j", FileSystem: disk, Fsync: true, MaxSegmentBytes: 600, Incarnation: 7, RetryInterval: time.Millisecond,
 					OnChunk: func(first uint64, n int, frames []byte, _ bool) {
 						mu.Lock()
 						defer mu.Unlock()
 						if first != next {
-							t.Errorf("%d behind %d", first, next)
+							t.Errorf("OnChunk: got first record %d, want %d", first, next)
 						}
 						next = first + uint64(n)
-						handedOn[first] = frames
+						passedOn[first] = frames
 					},
 					OnStored: func(first uint64, _ int) {
 						mu.Lock()
@@ -47,7 +47,7 @@
 				for err != nil {
 					l, err = Open(options)
 				}
-				committed := map[uint64]bool{} // requests
+				committed := map[uint64]bool{} // by request number
 				for number := uint64(1); number <= 10; number++ {
 					commit, err := l.Append(true, intent.Record{Kind: intent.Intent, Incarnation: 7, RequestNumber: number, RequestID: fmt.Sprint(number), Server: "s"})
 					if err != nil {
@@ -61,18 +61,18 @@
 				}
 				l.Close()
 				read := map[uint64]bool{}
-				segments, err := ListSegments(d, "j")
+				segments, err := ListSegments(disk, "j")
 				if err != nil {
 					t.Fatal(err)
 				}
 				for _, s := range segments {
-					if _, err := ScanChunks(d, s, func(c Chunk) error {
-						if !bytes.Equal(c.Frames, handedOn[c.First]) {
-							t.Errorf("chunk %d is not on disk as it was handed on", c.First)
+					if _, err := ScanChunks(disk, s, func(c Chunk) error {
+						if !bytes.Equal(c.Frames, passedOn[c.First]) {
+							t.Errorf("chunk %d: stored frames differ from those passed to OnChunk", c.First)
 						}
-						all, records, err := DecodeChunks(c.Frames)
-						if err != nil || all.First != c.First || all.Count != c.Count || all.Incarnation != 7 {
-							t.Errorf("%+v read as %+v, %v", c, all, err)
+						decoded, records, err := DecodeChunks(c.Frames)
+						if err != nil || decoded.First != c.First || decoded.Count != c.Count || decoded.Incarnation != 7 {
+							t.Errorf("chunk %+v decoded as %+v, error %v", c, decoded, err)
 						}
 						for _, r := range records {
 							read[r.RequestNumber] = true
@@ -85,21 +85,21 @@
 				}
 				for number := range committed {
 					if !read[number] {
-						t.Errorf("request %d was committed, and is not read", number)
+						t.Errorf("request %d was committed but not found by the scan", number)
 					}
 				}
 				for first := range stored {
-					t.Errorf("chunk %d was reported as stored, and is not read", first)
+					t.Errorf("chunk %d was reported to OnStored but not found by the scan", first)
 				}
 				if len(committed) < 8 {
-					t.Errorf("%d of 10 were committed", len(committed))
+					t.Errorf("got %d of 10 requests committed, want at least 8", len(committed))
 				}
 			})
 		}
 	}
 }
 
-// Chunks that are cut, mixed or counted wrong are rejected.
+// DecodeChunks rejects chunks that are truncated, not consecutive, of several incarnations, or have a wrong record count.
 func TestInvalidChunks(t *testing.T) {
 	frame := func(r intent.Record) []byte {
 		b, err := AppendFrame(nil, &r)
@@ -111,28 +111,28 @@
 	header := func(incarnation uint64, from int64, n int) []byte {
 		return frame(intent.Record{Kind: intent.ChunkHeader, Incarnation: incarnation, From: from, Count: n})
 	}
-	one := frame(intent.Record{Kind: intent.Intent, Incarnation: 1, RequestNumber: 1, RequestID: "x"})
+	record := frame(intent.Record{Kind: intent.Intent, Incarnation: 1, RequestNumber: 1, RequestID: "x"})
 	join := func(frames ...[]byte) []byte { return bytes.Join(frames, nil) }
 	for name, c := range map[string]struct {
 		frames []byte
-		count  int // of records; 0: it is invalid
+		count  int // number of records; 0: invalid
 	}{
-		"one":                 {join(header(1, 1, 1), one), 1},
-		"two in sequence":     {join(header(1, 1, 1), one, header(1, 2, 2), one, one), 3},
+		"one":                 {join(header(1, 1, 1), record), 1},
+		"two in sequence":     {join(header(1, 1, 1), record, header(1, 2, 2), record, record), 3},
 		"nothing":             {nil, 0},
-		"no header":           {one, 0},
-		"too few":             {join(header(1, 1, 2), one), 0},
-		"too many":            {join(header(1, 1, 1), one, one), 0},
-		"a hole":              {join(header(1, 1, 1), one, header(1, 3, 1), one), 0},
-		"of two incarnations": {join(header(1, 1, 1), one, header(2, 2, 1), one), 0},
-		"a header within":     {join(header(1, 1, 2), one, header(1, 3, 1), one), 0},
-		"cut off":             {join(header(1, 1, 1), one)[:40], 0},
-		"from 0":              {join(header(1, 0, 1), one), 0},
+		"no header":           {record, 0},
+		"too few":             {join(header(1, 1, 2), record), 0},
+		"too many":            {join(header(1, 1, 1), record, record), 0},
+		"a sequence gap":      {join(header(1, 1, 1), record, header(1, 3, 1), record), 0},
+		"of two incarnations": {join(header(1, 1, 1), record, header(2, 2, 1), record), 0},
+		"a header within":     {join(header(1, 1, 2), record, header(1, 3, 1), record), 0},
+		"cut off":             {join(header(1, 1, 1), record)[:40], 0},
+		"from 0":              {join(header(1, 0, 1), record), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			chunk, _, err := DecodeChunks(c.frames)
 			if (err == nil) != (c.count > 0) || err == nil && chunk.Count != c.count {
-				t.Errorf("%d records, %v", chunk.Count, err)
+				t.Errorf("got %d records, error %v", chunk.Count, err)
 			}
 		})
 	}
--- a/internal/journal/wal/gap_test.go
+++ b/internal/journal/wal/gap_test.go
@@ -10,8 +10,8 @@
 	"fernvane/internal/testbed/standin/memdisk"
 )
 
-// missed returns how many records the gaps of a journal count.
-func missed(t *testing.T, d FileSystem) (count int) {
+// countedInGaps returns the sum of the counts of all Gap records of a journal.
+func countedInGaps(t *testing.T, d FileSystem) (count int) {
 	t.Helper()
 	if _, err := Scan(d, "j", time.Time{}, func(r *intent.Record) error {
 		if r.Kind == intent.Gap {
@@ -24,21 +24,21 @@
 	return count
 }
 
-// Guards against records that were counted as missed being forgotten, when the Gap record that counts them is not written, or others are
-// missed while it is: a journal that forgets them claims to be complete.
-func TestNoMissedRecordIsForgotten(t *testing.T) {
-	const before = 5
+// Guards against losing the count of missed records when the write of their Gap record fails, or when more records are
+// missed during that write: the journal would then appear complete.
+func TestGapsCountAllMissedRecords(t *testing.T) {
+	const missedBefore = 5
 	var l *Log
 	var isFull, missesMore atomic.Bool
-	var during atomic.Int32
+	var missedDuringWrite atomic.Int32
 	d := memdisk.New()
 	d.Meet = func(int) memdisk.Fault {
 		if isFull.Load() {
 			return memdisk.Full
 		}
-		if missesMore.Load() { // at each operation, the write of the gap among them
+		if missesMore.Load() { // at each operation, including the write of the Gap record
 			l.CountMissed()
-			during.Add(1)
+			missedDuringWrite.Add(1)
 		}
 		return memdisk.None
 	}
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	for range before {
+	for range missedBefore {
 		l.CountMissed()
 	}
 	isFull.Store(true)
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	if <-commit.Done(); commit.Err() == nil || <-health == nil {
-		t.Fatal("written to a full disk")
+		t.Fatal("append to a full disk: got no error, want one")
 	}
 	missesMore.Store(true)
 	isFull.Store(false)
@@ -72,7 +72,7 @@
 	if <-last.Done(); last.Err() != nil {
 		t.Fatal(last.Err())
 	}
-	if got, want := missed(t, d), before+1+int(during.Load()); got != want {
-		t.Errorf("gaps count %d, %d were missed", got, want)
+	if got, want := countedInGaps(t, d), missedBefore+1+int(missedDuringWrite.Load()); got != want {
+		t.Errorf("got %d records counted in gaps, want %d", got, want)
 	}
 }
--- a/internal/journal/wal/helpers_test.go
+++ b/internal/journal/wal/helpers_test.go
@@ -13,26 +13,28 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// truth is what really became of requests, by what was acknowledged.
+// truth records which requests were really sent and ran.
 type truth struct {
-	sent map[uint64]bool // its intent was committed, so the attempt was sent
+	sent map[uint64]bool // the intent was committed, so the attempt was sent
 	ran  map[uint64]bool
 }
 
-func open(t testing.TB, d FileSystem, segment int64) *Log {
+// openLog opens a journal, or returns nil if the disk fails.
+func openLog(t testing.TB, disk FileSystem, segmentBytes int64) *Log {
 	t.Helper()
-	l, err := Open(Options{Dir: "j", FileSystem: d, Fsync: true, MaxSegmentBytes: segment, Incarnation: 1, RetryInterval: time.Millisecond})
+	l, err := Open(Options{Dir: "j", FileSystem: disk, Fsync: true, MaxSegmentBytes: segmentBytes, Incarnation: 1, RetryInterval: time.Millisecond})
 	if err != nil {
 		return nil
 	}
 	return l
 }
 
-// script sends requests in turn, as a node would: each attempt only after its intent is committed, and some never run.
-func script(l *Log, n int) truth {
-	tr := truth{sent: map[uint64]bool{}, ran: map[uint64]bool{}}
+// runScript journals n requests one after the other, as a node would: each attempt is sent only after its intent is
+// committed, and some attempts never run. With a nil Log no request is sent.
+func runScript(l *Log, n int) truth {
+	requests := truth{sent: map[uint64]bool{}, ran: map[uint64]bool{}}
 	if l == nil {
-		return tr
+		return requests
 	}
 	for number := uint64(1); number <= uint64(n); number++ {
 		id := fmt.Sprintf("%016x", number)
@@ -44,22 +46,22 @@
 			l.Append(false, intent.Record{Kind: intent.AttemptEnded, Incarnation: 1, RequestNumber: number, AtUnixNano: 2, Outcome: "not kept", Proof: intent.NeverRan})
 			continue
 		}
-		tr.sent[number] = true
+		requests.sent[number] = true
 		proof := intent.Proof(number % 3)
-		tr.ran[number] = proof != intent.NeverRan
+		requests.ran[number] = proof != intent.NeverRan
 		l.Append(false, intent.Record{Kind: intent.AttemptEnded, Incarnation: 1, RequestNumber: number, AtUnixNano: 2, Proof: proof},
 			intent.Record{Kind: intent.ClientNotified, Incarnation: 1, RequestNumber: number, AtUnixNano: 3, Outcome: "handled", Count: 1})
 	}
-	return tr
+	return requests
 }
 
-// checkClaims reads a journal and checks that it claims nothing that is not true.
-func checkClaims(t testing.TB, d FileSystem, tr truth, what string) (r ScanReport, all map[uint64]*intent.Entry) {
+// checkClaims reads a journal and checks that the states of its entries agree with the truth.
+func checkClaims(t testing.TB, disk FileSystem, requests truth, what string) (r ScanReport, all map[uint64]*intent.Entry) {
 	t.Helper()
 	assembler := intent.NewAssembler()
 	all = map[uint64]*intent.Entry{}
-	r, err := Scan(d, "j", time.Time{}, func(rec *intent.Record) error {
-		if e := assembler.Add(rec); e != nil {
+	r, err := Scan(disk, "j", time.Time{}, func(record *intent.Record) error {
+		if e := assembler.Add(record); e != nil {
 			all[e.RequestNumber] = e
 		}
 		return nil
@@ -73,17 +75,17 @@
 	}
 	for number, e := range all {
 		switch s := e.State(); {
-		case s == intent.NotSent && tr.ran[number]:
-			t.Fatalf("%s: request %d ran, and the journal says that it was not sent", what, number)
-		case s == intent.HasRun && !tr.ran[number]:
-			t.Fatalf("%s: request %d did not run, and the journal says that it did", what, number)
+		case s == intent.NotSent && requests.ran[number]:
+			t.Fatalf("%s: request %d ran, but its journal state is not-sent", what, number)
+		case s == intent.HasRun && !requests.ran[number]:
+			t.Fatalf("%s: request %d did not run, but its journal state is ran", what, number)
 		}
 	}
 	return r, all
 }
 
-// fill writes entries as a node does, of three records each.
-func fill(b testing.TB, dir string, entries int) {
+// appendEntries writes entries of three records each, as a node does.
+func appendEntries(b testing.TB, dir string, entries int) {
 	l, err := Open(Options{Dir: dir, FileSystem: OSFileSystem{}, MaxSegmentBytes: 16 << 20})
 	if err != nil {
 		b.Fatal(err)
--- a/internal/journal/wal/log_test.go
+++ b/internal/journal/wal/log_test.go
@@ -17,15 +17,15 @@
 	"fernvane/internal/testbed/standin/memdisk"
 )
 
-// Each write, sync and creation of a scripted run meets each fault, once or from then on, and the machine crashes at the
-// end: whatever was committed is there, and no entry claims more than was known.
+// Injects each fault at each write, sync and creation of a scripted run, for one operation, for several or for all later
+// ones, and crashes the machine at the end. Committed intents must be readable, and no entry may claim more than is true.
 func TestEachOperationFails(t *testing.T) {
 	plain := memdisk.New()
-	l := open(t, plain, 600)
-	script(l, 24)
+	l := openLog(t, plain, 600)
+	runScript(l, 24)
 	l.Close()
 	if plain.Operations() < 40 {
-		t.Fatalf("the script touches the disk %d times", plain.Operations())
+		t.Fatalf("script: got %d disk operations, want at least 40", plain.Operations())
 	}
 	cases := 0
 	for n := 1; n <= plain.Operations(); n++ {
@@ -40,24 +40,24 @@
 					}
 					return memdisk.None
 				}
-				l := open(t, d, 600)
-				tr := script(l, 24)
+				l := openLog(t, d, 600)
+				requests := runScript(l, 24)
 				if l != nil {
 					l.Close()
 				}
 				d.Crash(rand.New(rand.NewPCG(uint64(n), uint64(fault))))
-				r, all := checkClaims(t, d, tr, what)
-				for number := range tr.sent {
+				report, all := checkClaims(t, d, requests, what)
+				for number := range requests.sent {
 					if all[number] == nil {
-						t.Fatalf("%s: the intent of %d was committed, and is gone", what, number)
+						t.Fatalf("%s: intent of request %d was committed but not found by the scan", what, number)
 					}
 				}
-				if r.CorruptCount() > 0 && fault != memdisk.Short {
-					t.Fatalf("%s: %v", what, r.Unreadable)
+				if report.CorruptCount() > 0 && fault != memdisk.Short {
+					t.Fatalf("%s: got unreadable ranges %v, want none but torn ends", what, report.Unreadable)
 				}
 				d.Meet = func(int) memdisk.Fault { return memdisk.None }
-				if second := open(t, d, 600); second == nil { // it can be written again
-					t.Fatalf("%s: no journal can be opened", what)
+				if second := openLog(t, d, 600); second == nil { // the journal must be writable again
+					t.Fatalf("%s: reopen journal: failed on a disk without faults", what)
 				} else {
 					second.Close()
 				}
@@ -67,9 +67,9 @@
 	t.Logf("%d cases", cases)
 }
 
-// The journal beside a list in memory: whatever is appended, rotated and opened again, all that was committed is read back,
-// in order.
-func TestAgainstMemory(t *testing.T) {
+// Compares the journal with a list in memory: after any sequence of appends, rotations and reopenings, all records are read
+// back in order.
+func TestReadBackMatchesAppended(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := memdisk.New()
 		var want []string
@@ -96,12 +96,12 @@
 			got = append(got, fmt.Sprint(r.Incarnation, r.RequestNumber, r.RequestID))
 			return nil
 		}, nil); err != nil || strings.Join(got, "|") != strings.Join(want, "|") {
-			t.Fatalf("%v: %q, not %q", err, got, want)
+			t.Fatalf("scan: error %v, got records %q, want %q", err, got, want)
 		}
 	})
 }
 
-// A disk takes nothing for a while: records are refused at once, and a gap counts them afterwards.
+// While the disk is full, records are rejected immediately; a Gap record counts them afterwards.
 func TestGapAfterFailure(t *testing.T) {
 	d := memdisk.New()
 	health := make(chan error, 9)
@@ -116,14 +116,14 @@
 		t.Fatal(err)
 	}
 	if <-commit.Done(); !errors.Is(commit.Err(), memdisk.ErrDisk) || <-health == nil {
-		t.Errorf("%v", commit.Err())
+		t.Errorf("append to a full disk: got error %v, want memdisk.ErrDisk", commit.Err())
 	}
 	if _, err := l.Append(true, intent.Record{Kind: intent.Intent, RequestNumber: 2}); !errors.Is(err, ErrDiskFailing) || l.Failure() == nil {
-		t.Errorf("%v", err)
+		t.Errorf("append while failing: got error %v, want ErrDiskFailing", err)
 	}
 	d.Fill(false)
 	if err := <-health; err != nil || l.Failure() != nil {
-		t.Errorf("%v, %v", err, l.Failure())
+		t.Errorf("after recovery: got health %v, failure %v, want none", err, l.Failure())
 	}
 	gap := 0
 	Scan(d, "j", time.Time{}, func(r *intent.Record) error {
@@ -133,11 +133,11 @@
 		return nil
 	}, nil)
 	if gap != 2 {
-		t.Errorf("a gap of %d", gap)
+		t.Errorf("got %d records counted in gaps, want 2", gap)
 	}
 }
 
-// On the system's disk: rotation, retention, a torn end, and a reader beside the writer.
+// Covers rotation, retention, a torn end and a concurrent reader on the operating system's file system.
 func TestOnSystemDisk(t *testing.T) {
 	dir := t.TempDir()
 	l, err := Open(Options{Dir: dir, FileSystem: OSFileSystem{}, MaxSegmentBytes: 4 << 10, RetentionBytes: 16 << 10})
@@ -150,24 +150,24 @@
 			t.Fatal(err)
 		}
 		<-commit.Done()
-		if number == 1000 { // read while it is written
+		if number == 1000 { // scan while the journal is open for writing
 			if r, err := Scan(OSFileSystem{}, dir, time.Time{}, func(*intent.Record) error { return nil }, nil); err != nil || len(r.Unreadable) > 0 || r.Records == 0 {
-				t.Errorf("%+v, %v", r, err)
+				t.Errorf("scan while writing: got report %+v, error %v", r, err)
 			}
 		}
 	}
 	l.Close()
 	segments, err := ListSegments(OSFileSystem{}, dir)
 	if err != nil || len(segments) < 3 || len(segments) > 6 {
-		t.Fatalf("%d segments, %v", len(segments), err)
+		t.Fatalf("got %d segments, error %v, want 3 to 6 segments", len(segments), err)
 	}
 	last := segments[len(segments)-1]
 	text, _ := os.ReadFile(last.Path)
 	os.WriteFile(last.Path, text[:len(text)-5], 0o600)
-	os.WriteFile(filepath.Join(dir, "notes.txt"), []byte("not ours"), 0o600)
+	os.WriteFile(filepath.Join(dir, "notes.txt"), []byte("no segment"), 0o600)
 	newest := uint64(0)
 	r, err := Scan(OSFileSystem{}, dir, time.Time{}, func(r *intent.Record) error { newest = r.RequestNumber; return nil }, nil)
 	if err != nil || newest != 1998 || len(r.Unreadable) != 1 || !r.Unreadable[0].IsTorn {
-		t.Errorf("up to %d, %v, %v", newest, r.Unreadable, err)
+		t.Errorf("got newest request %d, unreadable ranges %v, error %v, want request 1998 and one torn end", newest, r.Unreadable, err)
 	}
 }
--- a/internal/journal/wal/scan_test.go
+++ b/internal/journal/wal/scan_test.go
@@ -11,31 +11,32 @@
 	"fernvane/internal/testbed/standin/memdisk"
 )
 
-// Bits flip anywhere: what is hit is reported, all else is read, and nothing more is claimed.
+// Flips bits at random places: the damaged ranges are reported, all other records are read, and no entry claims more than
+// is true.
 func TestFlippedBits(t *testing.T) {
 	for seed := range uint64(400) {
 		d := memdisk.New()
-		l := open(t, d, 900)
-		tr := script(l, 24)
+		l := openLog(t, d, 900)
+		requests := runScript(l, 24)
 		l.Close()
-		undamaged, _ := checkClaims(t, d, tr, "undamaged")
-		chance := rand.New(rand.NewPCG(seed, 5))
-		flips := 1 + chance.IntN(4)
-		d.Flip(chance, flips)
-		r, _ := checkClaims(t, d, tr, fmt.Sprint("seed ", seed))
+		undamaged, _ := checkClaims(t, d, requests, "undamaged")
+		random := rand.New(rand.NewPCG(seed, 5))
+		flips := 1 + random.IntN(4)
+		d.Flip(random, flips)
+		r, _ := checkClaims(t, d, requests, fmt.Sprint("seed ", seed))
 		if len(r.Unreadable) == 0 {
-			t.Fatalf("seed %d: nothing was found", seed)
+			t.Fatalf("seed %d: got no unreadable range, want at least one", seed)
 		}
-		if lost := undamaged.Records - r.Records; lost > 2*flips { // a length that was hit may take the next one with it
-			t.Fatalf("seed %d: %d flipped bits cost %d records", seed, flips, lost)
+		if lost := undamaged.Records - r.Records; lost > 2*flips { // a damaged length may also cost the next record
+			t.Fatalf("seed %d: %d flipped bits, got %d lost records, want at most two per bit", seed, flips, lost)
 		}
 	}
 }
 
-// Recovery of a million entries: all segments are read, and entries assembled.
+// Measures the recovery of a million entries: reads all segments and assembles the entries.
 func BenchmarkRecover(b *testing.B) {
 	dir := b.TempDir()
-	fill(b, dir, 1_000_000)
+	appendEntries(b, dir, 1_000_000)
 	b.ResetTimer()
 	for b.Loop() {
 		assembler, n := intent.NewAssembler(), 0
--- a/internal/journal/wal/unreadable_test.go
+++ b/internal/journal/wal/unreadable_test.go
@@ -14,8 +14,8 @@
 	"fernvane/internal/testbed/standin/memdisk"
 )
 
-// Guards against records that are reported durable and cannot be read back: whatever strings they have, Append refuses a record or a
-// scan finds it as it was.
+// Guards against records that are reported durable but cannot be decoded: for any strings, either Append rejects a record
+// or a scan returns it unchanged.
 func TestAcknowledgedRecordsAreReadable(t *testing.T) {
 	text := rapid.Custom(func(t *rapid.T) string {
 		s := string(rapid.SliceOfN(rapid.Byte(), 0, 12).Draw(t, "bytes"))
@@ -45,21 +45,21 @@
 		l.Close()
 		var found []intent.Record
 		report, err := Scan(d, "j", time.Time{}, func(r *intent.Record) error {
-			if r.Kind != intent.Gap { // counts what was refused
+			if r.Kind != intent.Gap { // Gap records count rejected records
 				found = append(found, *r)
 			}
 			return nil
 		}, nil)
 		if err != nil || len(report.Unreadable) > 0 {
-			t.Fatalf("%v, %v", report.Unreadable, err)
+			t.Fatalf("scan: got unreadable ranges %v, error %v, want none", report.Unreadable, err)
 		}
 		if !reflect.DeepEqual(found, acknowledged) {
-			t.Fatalf("acknowledged %s, found %s", describe(acknowledged), describe(found))
+			t.Fatalf("want acknowledged records %s, got %s", describe(acknowledged), describe(found))
 		}
 	})
 }
 
-// describe says of records how long their strings are.
+// describe returns the request numbers of records and the lengths of their strings.
 func describe(records []intent.Record) string {
 	var texts []string
 	for _, r := range records {
