--- a/internal/journal/wal/recovery.go
+++ b/internal/journal/wal/recovery.go
@@ -32,7 +32,7 @@
 		}
 		l.mu.Lock()
 		l.failure = nil
-		l.gap.records -= counted // more records may have been lost meanwhile
+		l.gap.records -= counted // more records may have been lost since the Gap record was made
 		l.mu.Unlock()
 		l.reportHealth(nil)
 		return
--- a/internal/journal/wal/segment.go
+++ b/internal/journal/wal/segment.go
@@ -12,7 +12,7 @@
 
 const (
 	segmentSuffix = ".bindings" // unchanged for compatibility with deployed journals
-	// maxCreateAttempts limits how many consecutive numbers, taken by other processes meanwhile, createSegment skips.
+	// maxCreateAttempts limits how many consecutive numbers createSegment skips that other processes have taken.
 	maxCreateAttempts = 100
 )
 
