--- a/internal/route/assemble.go
+++ b/internal/route/assemble.go
@@ -9,126 +9,129 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// maxCompileRounds bounds the compilations of one Assemble. Each drops the fragments that the one
-// before found at fault, which may leave others without the route that they fall back to.
+// maxCompileRounds is the maximum number of compilations in one Assemble. Each compilation leaves out the fragments that
+// the previous one found invalid, which may remove the fallback of other fragments.
 const maxCompileRounds = 16
 
-// Candidate is a fragment to put in force, with the one of its name that was in force before, if any.
+// Candidate is a fragment to put into effect, with the fragment of the same name that is in effect now.
 type Candidate struct {
 	Fragment
-	Previous *Fragment
+	Previous *Fragment // nil: none
 }
 
 // Assembled is the result of Assemble.
 type Assembled struct {
 	Table    *Table
-	Used     []*Fragment   // by candidate: the fragment in force; nil: none
-	Unusable map[int]error // by candidate: why it is not in force
+	Used     []*Fragment   // by candidate: the fragment in effect; nil: none
+	Unusable map[int]error // by candidate: why it is not in effect
 }
 
-var errUnresolved = errors.New("too many fragments depend on others that cannot be used")
+var errUnresolved = errors.New("assemble routes: too many fragments depend on invalid fragments")
 
-// Assemble compiles one table of the operator's file, nil for none, and the candidates. A candidate that cannot be used is
-// left out and its reason returned in Unusable; its previous fragment stays in its place. Of two that match the
-// same requests the later one is left out; of a cycle of fallbacks all are. The error is of the operator's file itself, or that no table was found in
-// maxCompileRounds.
-func Assemble(own *Table, s *settings.Settings, candidates []Candidate) (Assembled, error) {
-	a := Assembled{Used: make([]*Fragment, len(candidates)), Unusable: map[int]error{}}
-	last := make([]*Fragment, len(candidates))
+// Assemble compiles the operator's file, nil for none, and the candidates to one table. An invalid candidate is replaced by
+// its previous fragment, or left out if there is none or it is invalid too, and the reason is returned in Unusable. Of two
+// candidates that match the same requests the later one is invalid; of a cycle of fallbacks all are. The error is that of
+// the operator's file itself, or reports that maxCompileRounds compilations have not led to a valid table.
+func Assemble(operatorTable *Table, s *settings.Settings, candidates []Candidate) (Assembled, error) {
+	result := Assembled{Used: make([]*Fragment, len(candidates)), Unusable: map[int]error{}}
+	previous := make([]*Fragment, len(candidates))
 	for i := range candidates {
-		a.Used[i], last[i] = &candidates[i].Fragment, candidates[i].Previous
-		if candidates[i].route == nil && candidates[i].pool == nil { // could not be parsed
-			a.Used[i], last[i] = last[i], nil
+		result.Used[i], previous[i] = &candidates[i].Fragment, candidates[i].Previous
+		if candidates[i].route == nil && candidates[i].pool == nil { // text of the candidate could not be parsed
+			result.Used[i], previous[i] = previous[i], nil
 		}
 	}
 	for range maxCompileRounds {
-		table, faults := compileFragments(own, s, a.Used)
+		table, faults := compileFragments(operatorTable, s, result.Used)
 		if len(faults.byFragment) == 0 {
 			if err := faults.file.Err(); err != nil {
-				return a, err
+				return result, err
 			}
-			a.Table = table
-			return a, nil
+			result.Table = table
+			return result, nil
 		}
-		for i, why := range faults.byFragment {
-			if a.Unusable[i] == nil {
-				a.Unusable[i] = why
+		for i, reason := range faults.byFragment {
+			if result.Unusable[i] == nil {
+				result.Unusable[i] = reason
 			}
-			a.Used[i], last[i] = last[i], nil
+			result.Used[i], previous[i] = previous[i], nil
 		}
 	}
-	return a, errUnresolved
+	return result, errUnresolved
 }
 
-// fragmentFaults attributes faults to fragments. It is nil where only the operator's file is checked.
+// fragmentFaults attributes faults to fragments. A nil *fragmentFaults attributes all faults to the operator's file.
 type fragmentFaults struct {
 	file       *tomlfile.File
-	routes     []int // candidates by route of the table; -1: of the operator's file
-	pools      []int // likewise
-	current    int   // candidate, or -1
-	byFragment map[int]error
+	routes     []int         // candidate by route of the table; -1: a route of the operator's file
+	pools      []int         // candidate by pool of the table; -1: a pool of the operator's file
+	current    int           // selected candidate; -1: the operator's file
+	byFragment map[int]error // first fault by candidate
 }
 
-func (p *fragmentFaults) selectRoute(i int) {
-	if p != nil {
-		p.current = p.routes[i]
+// selectRoute attributes the faults that follow to the fragment of a route.
+func (f *fragmentFaults) selectRoute(i int) {
+	if f != nil {
+		f.current = f.routes[i]
 	}
 }
 
-func (p *fragmentFaults) selectPool(i int) {
-	if p != nil {
-		p.current = p.pools[i]
+// selectPool attributes the faults that follow to the fragment of a pool.
+func (f *fragmentFaults) selectPool(i int) {
+	if f != nil {
+		f.current = f.pools[i]
 	}
 }
 
 // selectOperatorFile attributes the faults that follow to the operator's file.
-func (p *fragmentFaults) selectOperatorFile() {
-	if p != nil {
-		p.current = -1
+func (f *fragmentFaults) selectOperatorFile() {
+	if f != nil {
+		f.current = -1
 	}
 }
 
-// record notes a fault where a fragment is selected, and reports whether it did.
-func (p *fragmentFaults) record(format string, args ...any) bool {
-	if p == nil || p.current < 0 {
+// record records a fault of the selected fragment. It returns false if no fragment is selected.
+func (f *fragmentFaults) record(format string, args ...any) bool {
+	if f == nil || f.current < 0 {
 		return false
 	}
-	p.assign(p.current, fmt.Errorf(format, args...))
+	f.assign(f.current, fmt.Errorf(format, args...))
 	return true
 }
 
-func (p *fragmentFaults) assign(candidate int, why error) {
-	if p.byFragment[candidate] == nil {
-		p.byFragment[candidate] = why
+// assign records a fault of a candidate, unless the candidate already has one.
+func (f *fragmentFaults) assign(candidate int, why error) {
+	if f.byFragment[candidate] == nil {
+		f.byFragment[candidate] = why
 	}
 }
 
-// compileFragments compiles a table, and returns which fragments are at fault.
-func compileFragments(own *Table, s *settings.Settings, fragments []*Fragment) (*Table, *fragmentFaults) {
+// compileFragments compiles the operator's file and fragments to one table, and returns the faults of the fragments.
+func compileFragments(operatorTable *Table, s *settings.Settings, fragments []*Fragment) (*Table, *fragmentFaults) {
 	base, source := &tomlfile.File{Name: "distribution"}, &File{}
-	if own != nil {
-		copied, file := *own.source, *own.file
-		source, base = &copied, &file
+	if operatorTable != nil {
+		sourceCopy, fileCopy := *operatorTable.source, *operatorTable.file
+		source, base = &sourceCopy, &fileCopy
 		source.Pools, source.Routes = slices.Clone(source.Pools), slices.Clone(source.Routes)
 	}
 	faults := &fragmentFaults{file: base, current: -1, byFragment: map[int]error{}}
 	faults.pools = slices.Repeat([]int{-1}, len(source.Pools))
 	faults.routes = slices.Repeat([]int{-1}, len(source.Routes))
-	for i, p := range fragments {
+	for i, fragment := range fragments {
 		switch {
-		case p == nil:
-		case p.isPool():
+		case fragment == nil:
+		case fragment.isPool():
 			if len(source.Pools) >= maxPools {
-				faults.assign(i, fmt.Errorf("%d pools at most", maxPools))
+				faults.assign(i, fmt.Errorf("more than %d pools", maxPools))
 				continue
 			}
-			source.Pools, faults.pools = append(source.Pools, *p.pool), append(faults.pools, i)
+			source.Pools, faults.pools = append(source.Pools, *fragment.pool), append(faults.pools, i)
 		default:
 			if len(source.Routes) >= maxRoutes {
-				faults.assign(i, fmt.Errorf("%d routes at most", maxRoutes))
+				faults.assign(i, fmt.Errorf("more than %d routes", maxRoutes))
 				continue
 			}
-			source.Routes, faults.routes = append(source.Routes, *p.route), append(faults.routes, i)
+			source.Routes, faults.routes = append(source.Routes, *fragment.route), append(faults.routes, i)
 		}
 	}
 	resolveServiceNames(source, fragments, faults)
@@ -138,18 +141,19 @@
 	if n := len(table.Profiles); n > maxProfiles {
 		for _, first := range table.firstRoute[maxProfiles:] {
 			if candidate := faults.routes[first]; candidate >= 0 {
-				faults.assign(candidate, fmt.Errorf("%d different sets of figures: %d at most; routes with the same figures share one", n, maxProfiles))
+				faults.assign(candidate, fmt.Errorf("%d distinct sets of limits, at most %d allowed; routes with equal limits share one", n, maxProfiles))
 			}
 		}
 	}
 	return table, faults
 }
 
-// resolveServiceNames has names in a service's routes stand for fragments of the same service, where there are such.
+// resolveServiceNames qualifies the names of pools and fallbacks in routes of a service, if the same service has a fragment
+// with that name.
 func resolveServiceNames(source *File, fragments []*Fragment, faults *fragmentFaults) {
 	pools, routes := map[string]bool{}, map[string]bool{}
-	for _, p := range source.Pools {
-		pools[p.Name] = true
+	for _, pool := range source.Pools {
+		pools[pool.Name] = true
 	}
 	for _, r := range source.Routes {
 		routes[r.Name] = true
@@ -164,12 +168,13 @@
 	}
 }
 
+// qualifyOwn returns the qualified name if it is known, otherwise name itself.
 func qualifyOwn(name *string, service string, known map[string]bool) *string {
 	if name == nil {
 		return nil
 	}
-	if own := qualified(service, *name); known[own] {
-		return &own
+	if qualifiedName := qualified(service, *name); known[qualifiedName] {
+		return &qualifiedName
 	}
 	return name
 }
--- a/internal/route/assemble_test.go
+++ b/internal/route/assemble_test.go
@@ -6,41 +6,41 @@
 	"testing"
 )
 
-func routePart(t testing.TB, service, name, text string) Fragment {
+func routeFragment(t testing.TB, service, name, text string) Fragment {
 	t.Helper()
-	p, err := ParseRoute(service, name, []byte(text))
+	fragment, err := ParseRoute(service, name, []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return fragment
 }
 
-func poolPart(t testing.TB, service, name, text string) Fragment {
+func poolFragment(t testing.TB, service, name, text string) Fragment {
 	t.Helper()
-	p, err := ParsePool(service, name, []byte(text))
+	fragment, err := ParsePool(service, name, []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return fragment
 }
 
 func TestParseFragments(t *testing.T) {
 	for name, c := range map[string]struct {
 		pool bool
 		text string
-		want string // in the error; "" for none
+		want string // substring of the error; "" for none
 	}{
-		"keys alone":           {false, "type = \"check\"\nhops = 2", ""},
-		"with its header":      {false, "# of the desk\n[[routes]]\nname = \"a\"\ntype = \"check\"", ""},
-		"named as its key":     {false, "name = \"a\"\ntype = \"check\"", ""},
-		"named otherwise":      {false, "name = \"b\"\ntype = \"check\"", "route s/a: its text names it \"b\""},
-		"two of them":          {false, "[[routes]]\ntype = \"check\"\n[[routes]]\ntype = \"book\"", "route s/a: 2 routes: one is wanted"},
-		"an unknown key":       {false, "type = \"check\"\nhop = 2", "route s/a:2: unknown key \"hop\""},
-		"defaults beside it":   {false, "[defaults]\nhops = 2\n[[routes]]\ntype = \"check\"", "unknown key \"defaults\""},
-		"no TOML":              {false, "type = ", "route s/a:1: "},
-		"a pool":               {true, "sites = [\"north\"]", ""},
-		"a pool, with header":  {true, "[[pools]]\nname = \"a\"\nsites = [\"north\"]", ""},
-		"a pool of wrong type": {true, "sites = 3", "pool s/a:1: "},
+		"keys alone":                {false, "type = \"check\"\nhops = 2", ""},
+		"with its header":           {false, "# a comment\n[[routes]]\nname = \"a\"\ntype = \"check\"", ""},
+		"name equals its key":       {false, "name = \"a\"\ntype = \"check\"", ""},
+		"name differs from its key": {false, "name = \"b\"\ntype = \"check\"", "route s/a: its text names it \"b\""},
+		"two routes":                {false, "[[routes]]\ntype = \"check\"\n[[routes]]\ntype = \"book\"", "route s/a: 2 routes, exactly one expected"},
+		"an unknown key":            {false, "type = \"check\"\nhop = 2", "route s/a:2: unknown key \"hop\""},
+		"defaults in addition":      {false, "[defaults]\nhops = 2\n[[routes]]\ntype = \"check\"", "unknown key \"defaults\""},
+		"invalid TOML":              {false, "type = ", "route s/a:1: "},
+		"a pool":                    {true, "sites = [\"north\"]", ""},
+		"a pool, with header":       {true, "[[pools]]\nname = \"a\"\nsites = [\"north\"]", ""},
+		"a pool of wrong type":      {true, "sites = 3", "pool s/a:1: "},
 	} {
 		t.Run(name, func(t *testing.T) {
 			parse := ParseRoute
@@ -49,117 +49,118 @@
 			}
 			_, err := parse("s", "a", []byte(c.text))
 			if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%v, not %q", err, c.want)
+				t.Errorf("got error %v, want %q", err, c.want)
 			}
 		})
 	}
 }
 
-// Each part that cannot be used is named with its reason; all others hold, with the operator's file beneath them.
+// TestAssemble checks that each invalid fragment is returned with its reason, and that all other fragments are in effect
+// together with the operator's file.
 func TestAssemble(t *testing.T) {
-	const file = "[defaults]\nhops = 3\n[class.book]\nrate = 5.0\n[[pools]]\nname = \"quick\"\nsites = [\"north\"]\n[[routes]]\nname = \"own\"\npath = \"/check/own\"\n"
-	type part struct{ kind, service, name, text, last string }
+	const operatorFile = "[defaults]\nhops = 3\n[class.book]\nrate = 5.0\n[[pools]]\nname = \"quick\"\nsites = [\"north\"]\n[[routes]]\nname = \"own\"\npath = \"/check/own\"\n"
+	type fragment struct{ kind, service, name, text, previous string }
 	for name, c := range map[string]struct {
-		file  string
-		parts []part
-		holds string         // routes of the set, in order, with their hops and rate
-		wrong map[int]string // in the reason, by part
+		operatorFile string
+		fragments    []fragment
+		routes       string         // routes of the table, in order, with hops, rate, pool and fallback
+		unusable     map[int]string // substring of the reason, by fragment
 	}{
-		"nothing": {file, nil, "own 3 -", nil},
-		"no file": {"", []part{{"route", "s", "a", "type = \"check\"\nrate = 7.0", ""}}, "s/a 0 7", nil},
-		"defaults and class hold for parts": {file, []part{{"route", "s", "a", "type = \"book\"", ""}, {"route", "", "b", "type = \"check\"\nhops = 2", ""}},
+		"nothing": {operatorFile, nil, "own 3 -", nil},
+		"no file": {"", []fragment{{"route", "s", "a", "type = \"check\"\nrate = 7.0", ""}}, "s/a 0 7", nil},
+		"defaults and class apply to fragments": {operatorFile, []fragment{{"route", "s", "a", "type = \"book\"", ""}, {"route", "", "b", "type = \"check\"\nhops = 2", ""}},
 			"own 3 -, s/a 3 5, b 2 -", nil},
-		"one name in two services": {"", []part{{"route", "s", "a", "path = \"/check/s\"", ""}, {"route", "t", "a", "path = \"/check/t\"", ""}},
+		"one name in two services": {"", []fragment{{"route", "s", "a", "path = \"/check/s\"", ""}, {"route", "t", "a", "path = \"/check/t\"", ""}},
 			"s/a 0 -, t/a 0 -", nil},
-		"an unknown type, others hold": {file, []part{{"route", "s", "a", "type = \"dance\"", ""}, {"route", "s", "b", "type = \"book\"", ""}},
+		"unknown type, others in effect": {operatorFile, []fragment{{"route", "s", "a", "type = \"dance\"", ""}, {"route", "s", "b", "type = \"book\"", ""}},
 			"own 3 -, s/b 3 5", map[int]string{0: "no traffic type \"dance\""}},
-		"what held before holds on": {"", []part{{"route", "s", "a", "type = \"check\"\nhops = 9", "type = \"check\"\nhops = 2"}},
+		"invalid, previous version in effect": {"", []fragment{{"route", "s", "a", "type = \"check\"\nhops = 9", "type = \"check\"\nhops = 2"}},
 			"s/a 2 -", map[int]string{0: "9 attempts, but the settings allow 4"}},
-		"nor can that be used": {"", []part{{"route", "s", "a", "type = \"check\"\nhops = 9", "type = \"check\"\nhops = 8"}},
+		"invalid, previous version invalid too": {"", []fragment{{"route", "s", "a", "type = \"check\"\nhops = 9", "type = \"check\"\nhops = 8"}},
 			"", map[int]string{0: "9 attempts, but the settings allow 4"}},
-		"the later of two that clash is out": {"", []part{{"route", "s", "a", "type = \"check\"", ""}, {"route", "t", "b", "type = \"check\"", ""}},
-			"s/a 0 -", map[int]string{1: "route \"t/b\" and route \"s/a\" fit the same requests"}},
-		"the file's route goes before": {file, []part{{"route", "s", "a", "path = \"/check/own\"", ""}},
-			"own 3 -", map[int]string{0: "route \"s/a\" and route \"own\" of line 8 fit the same requests"}},
-		"a name of the file's": {file, []part{{"route", "", "own", "type = \"check\"", ""}},
-			"own 3 -", map[int]string{0: "a second route \"own\"; the first is in line 9"}},
-		"a pool of the service": {file, []part{{"pool", "s", "quick", "sites = [\"south\"]", ""}, {"route", "s", "a", "type = \"check\"\npool = \"quick\"", ""}},
+		"later of two equal routes is left out": {"", []fragment{{"route", "s", "a", "type = \"check\"", ""}, {"route", "t", "b", "type = \"check\"", ""}},
+			"s/a 0 -", map[int]string{1: "route \"t/b\" and route \"s/a\" match the same requests"}},
+		"route of the file is kept": {operatorFile, []fragment{{"route", "s", "a", "path = \"/check/own\"", ""}},
+			"own 3 -", map[int]string{0: "route \"s/a\" and route \"own\" (line 8) match the same requests"}},
+		"name of a route of the file": {operatorFile, []fragment{{"route", "", "own", "type = \"check\"", ""}},
+			"own 3 -", map[int]string{0: "duplicate route \"own\", first defined in line 9"}},
+		"a pool of the service": {operatorFile, []fragment{{"pool", "s", "quick", "sites = [\"south\"]", ""}, {"route", "s", "a", "type = \"check\"\npool = \"quick\"", ""}},
 			"own 3 -, s/a 3 - s/quick", nil},
-		"a pool of the file": {file, []part{{"route", "s", "a", "type = \"check\"\npool = \"quick\"", ""}}, "own 3 -, s/a 3 - quick", nil},
-		"a pool of another service": {file, []part{{"pool", "t", "slow", "sites = [\"south\"]", ""}, {"route", "s", "a", "type = \"check\"\npool = \"slow\"", ""}},
-			"own 3 -", map[int]string{1: "no pool \"slow\""}},
-		"a pool at no site": {file, []part{{"pool", "s", "far", "sites = [\"moon\"]", ""}, {"route", "s", "a", "type = \"check\"\npool = \"far\"", ""}},
-			"own 3 -", map[int]string{0: "no site \"moon\"", 1: "no pool \"far\""}},
-		"a fallback within the service": {"", []part{{"route", "s", "a", "path = \"/check/a\"\nat_once = 1\nfallback = \"b\"", ""}, {"route", "s", "b", "type = \"check\"", ""}},
+		"a pool of the file": {operatorFile, []fragment{{"route", "s", "a", "type = \"check\"\npool = \"quick\"", ""}}, "own 3 -, s/a 3 - quick", nil},
+		"a pool of another service": {operatorFile, []fragment{{"pool", "t", "slow", "sites = [\"south\"]", ""}, {"route", "s", "a", "type = \"check\"\npool = \"slow\"", ""}},
+			"own 3 -", map[int]string{1: "unknown pool \"slow\""}},
+		"pool at an unknown site": {operatorFile, []fragment{{"pool", "s", "far", "sites = [\"moon\"]", ""}, {"route", "s", "a", "type = \"check\"\npool = \"far\"", ""}},
+			"own 3 -", map[int]string{0: "unknown site \"moon\"", 1: "unknown pool \"far\""}},
+		"a fallback within the service": {"", []fragment{{"route", "s", "a", "path = \"/check/a\"\nat_once = 1\nfallback = \"b\"", ""}, {"route", "s", "b", "type = \"check\"", ""}},
 			"s/a 0 - >s/b, s/b 0 -", nil},
-		"a fallback to what cannot be used": {"", []part{{"route", "s", "a", "path = \"/check/a\"\nfallback = \"b\"", ""}, {"route", "s", "b", "type = \"check\"\nhops = 9", ""},
+		"fallback to an invalid route": {"", []fragment{{"route", "s", "a", "path = \"/check/a\"\nfallback = \"b\"", ""}, {"route", "s", "b", "type = \"check\"\nhops = 9", ""},
 			{"route", "s", "c", "type = \"book\"", ""}},
 			"s/c 0 -", map[int]string{0: "falls back to \"b\", which does not exist", 1: "9 attempts"}},
-		"fallbacks in a circle": {"", []part{{"route", "s", "a", "path = \"/check/a\"\nfallback = \"b\"", ""}, {"route", "s", "b", "type = \"check\"\nfallback = \"a\"", ""}},
-			"", map[int]string{0: "go in a circle", 1: "go in a circle"}},
-		"one that cannot be read, and held before": {"", []part{{"route", "s", "a", "hops = ", "type = \"check\"\nhops = 2"}}, "s/a 2 -", nil},
+		"cycle of fallbacks": {"", []fragment{{"route", "s", "a", "path = \"/check/a\"\nfallback = \"b\"", ""}, {"route", "s", "b", "type = \"check\"\nfallback = \"a\"", ""}},
+			"", map[int]string{0: "form a cycle", 1: "form a cycle"}},
+		"invalid TOML, previous version in effect": {"", []fragment{{"route", "s", "a", "hops = ", "type = \"check\"\nhops = 2"}}, "s/a 2 -", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var own *Table
-			if c.file != "" {
+			var operatorTable *Table
+			if c.operatorFile != "" {
 				var err error
-				if own, err = Parse("f", []byte(c.file), testSettings()); err != nil {
+				if operatorTable, err = Parse("f", []byte(c.operatorFile), testSettings()); err != nil {
 					t.Fatal(err)
 				}
 			}
 			var candidates []Candidate
-			for _, p := range c.parts {
+			for _, f := range c.fragments {
 				parse := ParseRoute
-				if p.kind == "pool" {
+				if f.kind == "pool" {
 					parse = ParsePool
 				}
-				one := Candidate{}
-				one.Fragment, _ = parse(p.service, p.name, []byte(p.text))
-				if p.last != "" {
-					last := routePart(t, p.service, p.name, p.last)
-					one.Previous = &last
+				candidate := Candidate{}
+				candidate.Fragment, _ = parse(f.service, f.name, []byte(f.text))
+				if f.previous != "" {
+					previous := routeFragment(t, f.service, f.name, f.previous)
+					candidate.Previous = &previous
 				}
-				candidates = append(candidates, one)
+				candidates = append(candidates, candidate)
 			}
-			a, err := Assemble(own, testSettings(), candidates)
+			assembled, err := Assemble(operatorTable, testSettings(), candidates)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := described(a.Table); got != c.holds {
-				t.Errorf("%q holds, not %q", got, c.holds)
+			if got := described(assembled.Table); got != c.routes {
+				t.Errorf("got routes %q, want %q", got, c.routes)
 			}
-			if len(a.Unusable) != len(c.wrong) {
-				t.Errorf("unusable: %v", a.Unusable)
+			if len(assembled.Unusable) != len(c.unusable) {
+				t.Errorf("got unusable fragments %v", assembled.Unusable)
 			}
-			for i, want := range c.wrong {
-				if a.Unusable[i] == nil || !strings.Contains(a.Unusable[i].Error(), want) {
-					t.Errorf("part %d: %v, not %q", i, a.Unusable[i], want)
+			for i, want := range c.unusable {
+				if assembled.Unusable[i] == nil || !strings.Contains(assembled.Unusable[i].Error(), want) {
+					t.Errorf("fragment %d: got %v, want %q", i, assembled.Unusable[i], want)
 				}
 			}
-			if own != nil && own.file.Err() != nil {
-				t.Errorf("the file has got faults: %v", own.file.Err())
+			if operatorTable != nil && operatorTable.file.Err() != nil {
+				t.Errorf("operator's file has new faults: %v", operatorTable.file.Err())
 			}
 		})
 	}
 }
 
-func described(s *Table) string {
+func described(table *Table) string {
 	var lines []string
-	for _, r := range s.Routes {
-		for k, p := range r.profileByType {
-			if p < 0 {
+	for _, r := range table.Routes {
+		for trafficType, profile := range r.profileByType {
+			if profile < 0 {
 				continue
 			}
-			l, rate := r.limitsByType[k], "-"
-			if l.Rate != nil {
-				rate = fmt.Sprint(*l.Rate)
+			limits, rate := r.limitsByType[trafficType], "-"
+			if limits.Rate != nil {
+				rate = fmt.Sprint(*limits.Rate)
 			}
-			line := fmt.Sprintf("%s %d %s", r.Name, valueOr(l.MaxAttempts, 0), rate)
-			if l.Pool != nil {
-				line += " " + *l.Pool
+			line := fmt.Sprintf("%s %d %s", r.Name, valueOr(limits.MaxAttempts, 0), rate)
+			if limits.Pool != nil {
+				line += " " + *limits.Pool
 			}
 			if r.fallback >= 0 {
-				line += " >" + s.Routes[r.fallback].Name
+				line += " >" + table.Routes[r.fallback].Name
 			}
 			lines = append(lines, line)
 		}
@@ -167,37 +168,37 @@
 	return strings.Join(lines, ", ")
 }
 
-// Beyond what a node can hold, the later parts are left out and the others hold.
+// TestAssembleBounds checks that fragments above the bounds of a table are left out, the later ones first.
 func TestAssembleBounds(t *testing.T) {
 	var candidates []Candidate
 	for i := range maxPools + 2 {
-		candidates = append(candidates, Candidate{Fragment: poolPart(t, "s", fmt.Sprint("p", i), "sites = [\"north\"]")})
+		candidates = append(candidates, Candidate{Fragment: poolFragment(t, "s", fmt.Sprint("p", i), "sites = [\"north\"]")})
 	}
 	for i := range maxProfiles + 5 {
 		text := fmt.Sprintf("path = \"/check/%d\"\nkeep = %v", i, float64(i+1)/1000)
-		candidates = append(candidates, Candidate{Fragment: routePart(t, "s", fmt.Sprint("r", i), text)})
+		candidates = append(candidates, Candidate{Fragment: routeFragment(t, "s", fmt.Sprint("r", i), text)})
 	}
-	a, err := Assemble(nil, testSettings(), candidates)
+	assembled, err := Assemble(nil, testSettings(), candidates)
 	if err != nil {
 		t.Fatal(err)
 	}
-	base := len(testSettings().TrafficTypes)
-	if len(a.Table.Pools) != maxPools || len(a.Table.Profiles) != maxProfiles || len(a.Table.Routes) != maxProfiles-base {
-		t.Errorf("%d pools, %d profiles, %d routes", len(a.Table.Pools), len(a.Table.Profiles), len(a.Table.Routes))
+	settingsTypes := len(testSettings().TrafficTypes)
+	if len(assembled.Table.Pools) != maxPools || len(assembled.Table.Profiles) != maxProfiles || len(assembled.Table.Routes) != maxProfiles-settingsTypes {
+		t.Errorf("got %d pools, %d profiles, %d routes", len(assembled.Table.Pools), len(assembled.Table.Profiles), len(assembled.Table.Routes))
 	}
-	if len(a.Unusable) != 2+5+base {
-		t.Errorf("%d unusable", len(a.Unusable))
+	if len(assembled.Unusable) != 2+5+settingsTypes {
+		t.Errorf("got %d unusable fragments", len(assembled.Unusable))
 	}
 }
 
-// What one rebuild costs a node that serves many routes, of which one has changed.
+// BenchmarkAssemble measures one Assemble, which a node runs whenever one of its many routes changes.
 func BenchmarkAssemble(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := testSettings()
 			candidates := make([]Candidate, n)
 			for i := range candidates {
-				candidates[i].Fragment = routePart(b, fmt.Sprint("s", i%50), fmt.Sprint("r", i), fmt.Sprintf("path = \"/check/%d/**\"\nrate = 100.0", i))
+				candidates[i].Fragment = routeFragment(b, fmt.Sprint("s", i%50), fmt.Sprint("r", i), fmt.Sprintf("path = \"/check/%d/**\"\nrate = 100.0", i))
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/route/check.go
+++ b/internal/route/check.go
@@ -12,7 +12,7 @@
 	"fernvane/policy"
 )
 
-// outcomes are the file's words for how an attempt may end.
+// outcomes maps the names of outcomes in the file to the outcomes of an attempt.
 var outcomes = map[string]policy.OutcomeSet{
 	"refused":     1 << policy.Overloaded,
 	"unreachable": 1<<policy.Unreachable | 1<<policy.NotStarted,
@@ -21,10 +21,11 @@
 	"broken":      1 << policy.ConnectionBroken,
 }
 
-// outcomesThatMayHaveRun are those after which a non-idempotent type is never retried.
+// outcomesThatMayHaveRun are the outcomes after which a request may have run, so that a non-idempotent type is never
+// retried.
 var outcomesThatMayHaveRun = []string{"error", "timeout", "broken"}
 
-// Load reads and parses the operator's file at path. See Parse for the error.
+// Load reads and compiles the operator's file at path. See Parse for the error.
 func Load(path string, s *settings.Settings) (*Table, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
@@ -33,8 +34,8 @@
 	return Parse(path, text, s)
 }
 
-// Parse compiles the text of an operator's file under the node's settings. The error is a tomlfile.Faults with every
-// fault and its line, or that of reading TOML.
+// Parse compiles the text of an operator's file and checks it against the settings of the node. The error is of type
+// tomlfile.Faults and holds every fault with its line.
 func Parse(name string, text []byte, s *settings.Settings) (*Table, error) {
 	var file File
 	f, err := tomlfile.Parse(name, text, &file)
@@ -49,30 +50,31 @@
 	return table, nil
 }
 
+// checker compiles and checks an operator's file, with or without fragments.
 type checker struct {
 	*tomlfile.File
 	file      *File
 	settings  *settings.Settings
-	pools     map[string]uint64
-	routes    map[string]int
-	fragments *fragmentFaults // nil: only the operator's file is checked
+	pools     map[string]uint64 // bit of the pool, by name
+	routes    map[string]int    // index of the route, by name
+	fragments *fragmentFaults   // nil: only the operator's file is checked
 }
 
 func newChecker(f *tomlfile.File, file *File, s *settings.Settings) checker {
 	return checker{File: f, file: file, settings: s, pools: map[string]uint64{}, routes: map[string]int{}}
 }
 
-// Wrong records a fault of the selected fragment, or of the operator's file.
+// Wrong records a fault of the selected fragment, or of the operator's file if no fragment is selected.
 func (c *checker) Wrong(path, format string, args ...any) {
 	if !c.fragments.record(format, args...) {
 		c.File.Wrong(path, format, args...)
 	}
 }
 
-// otherLine names the line of the second route of a fault that concerns two.
+// otherLine returns the line of the other route of a fault that concerns two routes, as a suffix of its name.
 func (c *checker) otherLine(i int) string {
 	if line := c.Line("routes." + strconv.Itoa(i)); line > 0 {
-		return fmt.Sprintf(" of line %d", line)
+		return fmt.Sprintf(" (line %d)", line)
 	}
 	return ""
 }
@@ -92,12 +94,12 @@
 	if at := c.file.FastCGI.Listen; at != "" {
 		var err error
 		if table.Listen, err = netip.ParseAddrPort(at); err != nil {
-			c.Wrong("fastcgi.listen", "%q is no address with a port", at)
+			c.Wrong("fastcgi.listen", "listen address %q is invalid: host:port expected", at)
 		}
 	}
 	for _, site := range c.file.FastCGI.Sites {
 		if !slices.Contains(c.settings.Zones, site) {
-			c.Wrong("fastcgi.sites", "no site %q: there are %s", site, strings.Join(c.settings.Zones, ", "))
+			c.Wrong("fastcgi.sites", "unknown site %q: known sites are %s", site, strings.Join(c.settings.Zones, ", "))
 		}
 	}
 	for name := range c.file.Class {
@@ -106,22 +108,22 @@
 		}
 	}
 	if len(c.file.Routes) > maxRoutes {
-		c.Wrong("routes."+strconv.Itoa(maxRoutes), "%d routes: %d at most", len(c.file.Routes), maxRoutes)
+		c.Wrong("routes."+strconv.Itoa(maxRoutes), "%d routes, at most %d allowed", len(c.file.Routes), maxRoutes)
 		return table
 	}
 	for i := range c.file.Routes {
 		c.fragments.selectRoute(i)
-		r := &c.file.Routes[i]
-		if _, twice := c.routes[r.Name]; r.Name == "" {
-			c.Wrong(at(i, "name"), "a route without a name")
-		} else if twice {
+		route := &c.file.Routes[i]
+		if _, duplicate := c.routes[route.Name]; route.Name == "" {
+			c.Wrong(at(i, "name"), "route has no name")
+		} else if duplicate {
 			first := ""
-			if line := c.Line(at(c.routes[r.Name], "name")); line > 0 {
-				first = fmt.Sprintf("; the first is in line %d", line)
+			if line := c.Line(at(c.routes[route.Name], "name")); line > 0 {
+				first = fmt.Sprintf(", first defined in line %d", line)
 			}
-			c.Wrong(at(i, "name"), "a second route %q%s", r.Name, first)
+			c.Wrong(at(i, "name"), "duplicate route %q%s", route.Name, first)
 		} else {
-			c.routes[r.Name] = i
+			c.routes[route.Name] = i
 		}
 	}
 	for i := range c.file.Routes {
@@ -131,35 +133,37 @@
 	c.checkFallbacks(table)
 	c.fragments.selectOperatorFile()
 	if n := len(table.Profiles); n > maxProfiles {
-		c.Wrong("routes", "%d different sets of figures: %d at most; routes with the same figures share one", n, maxProfiles)
+		c.Wrong("routes", "%d distinct sets of limits, at most %d allowed; routes with equal limits share one", n, maxProfiles)
 	}
 	return table
 }
 
+// at returns the path of a key of a route in the file.
 func at(route int, key string) string { return "routes." + strconv.Itoa(route) + "." + key }
 
+// checkPools checks the pools and adds them to the table.
 func (c *checker) checkPools(table *Table) {
 	defer c.fragments.selectOperatorFile()
-	for i, p := range c.file.Pools {
+	for i, pool := range c.file.Pools {
 		c.fragments.selectPool(i)
 		key := "pools." + strconv.Itoa(i)
-		if _, twice := c.pools[p.Name]; p.Name == "" || twice {
-			c.Wrong(key+".name", "each pool needs a name of its own")
+		if _, duplicate := c.pools[pool.Name]; pool.Name == "" || duplicate {
+			c.Wrong(key+".name", "pool name is missing or already in use")
 		}
 		if i >= maxPools {
-			c.Wrong(key, "%d pools: %d at most", len(c.file.Pools), maxPools)
+			c.Wrong(key, "%d pools, at most %d allowed", len(c.file.Pools), maxPools)
 			return
 		}
-		if len(p.Sites)+len(p.Flavors)+len(p.Servers) == 0 {
-			c.Wrong(key, "pool %q names neither sites nor flavors nor servers", p.Name)
+		if len(pool.Sites)+len(pool.Flavors)+len(pool.Servers) == 0 {
+			c.Wrong(key, "pool %q sets none of sites, flavors and servers", pool.Name)
 		}
-		for _, site := range p.Sites {
+		for _, site := range pool.Sites {
 			if !slices.Contains(c.settings.Zones, site) {
-				c.Wrong(key+".sites", "no site %q: there are %s", site, strings.Join(c.settings.Zones, ", "))
+				c.Wrong(key+".sites", "unknown site %q: known sites are %s", site, strings.Join(c.settings.Zones, ", "))
 			}
 		}
-		c.pools[p.Name] = 1 << i
-		table.Pools = append(table.Pools, p)
+		c.pools[pool.Name] = 1 << i
+		table.Pools = append(table.Pools, pool)
 	}
 }
 
@@ -167,47 +171,47 @@
 func (c *checker) checkRoute(table *Table, i int) {
 	r := &c.file.Routes[i]
 	path, ok := c.checkPath(r, i)
-	for _, m := range r.Methods {
-		if m == "" || strings.ToUpper(m) != m || strings.ContainsAny(m, " \t\r\n/") {
-			c.Wrong(at(i, "methods"), "%q is no method", m)
+	for _, method := range r.Methods {
+		if method == "" || strings.ToUpper(method) != method || strings.ContainsAny(method, " \t\r\n/") {
+			c.Wrong(at(i, "methods"), "invalid method %q: name in upper case expected", method)
 		}
 	}
-	for _, t := range r.Tenants {
-		if _, known := table.tenants[t]; !known {
-			c.Wrong(at(i, "tenants"), "no tenant %q: there are %s", t, strings.Join(c.settings.TenantNames, ", "))
+	for _, tenant := range r.Tenants {
+		if _, known := table.tenants[tenant]; !known {
+			c.Wrong(at(i, "tenants"), "unknown tenant %q: known tenants are %s", tenant, strings.Join(c.settings.TenantNames, ", "))
 		}
 	}
 	if len(r.Headers) > maxHeaders {
-		c.Wrong(at(i, "headers"), "%d headers: %d at most", len(r.Headers), maxHeaders)
+		c.Wrong(at(i, "headers"), "%d headers, at most %d allowed", len(r.Headers), maxHeaders)
 	}
 	for name := range r.Headers {
 		if name == "" || strings.ContainsAny(name, " \t\r\n:") {
-			c.Wrong(at(i, "headers"), "%q is no name of a field", name)
+			c.Wrong(at(i, "headers"), "invalid header name %q", name)
 		}
 	}
-	var kinds []int
+	var trafficTypes []int
 	if ok {
-		kinds = c.trafficTypes(table, r, i, path)
+		trafficTypes = c.trafficTypes(table, r, i, path)
 	}
-	byKind, limits := slices.Repeat([]int{-1}, len(c.settings.TrafficTypes)), make([]Limits, len(c.settings.TrafficTypes))
-	for _, k := range kinds {
-		p, l := c.profile(r, i, k)
-		byKind[k], limits[k] = table.profile(p, i), l
+	profileByType, limits := slices.Repeat([]int{-1}, len(c.settings.TrafficTypes)), make([]Limits, len(c.settings.TrafficTypes))
+	for _, trafficType := range trafficTypes {
+		p, derived := c.profile(r, i, trafficType)
+		profileByType[trafficType], limits[trafficType] = table.profile(p, i), derived
 	}
-	table.Routes = append(table.Routes, compiledRoute{Route: *r, Line: c.Line("routes." + strconv.Itoa(i)), profileByType: byKind, limitsByType: limits, classType: -1, fallback: -1})
+	table.Routes = append(table.Routes, compiledRoute{Route: *r, Line: c.Line("routes." + strconv.Itoa(i)), profileByType: profileByType, limitsByType: limits, classType: -1, fallback: -1})
 	last := &table.Routes[i]
-	if r.Class != "" && len(kinds) == 1 {
-		last.classType = kinds[0]
+	if r.Class != "" && len(trafficTypes) == 1 {
+		last.classType = trafficTypes[0]
 	}
 	if ok {
 		if clash := table.tree.add(path, r, i); clash >= 0 {
-			c.Wrong("routes."+strconv.Itoa(i), "route %q and route %q%s fit the same requests, and neither is more specific", r.Name,
+			c.Wrong("routes."+strconv.Itoa(i), "route %q and route %q%s match the same requests, and neither is more specific", r.Name,
 				c.file.Routes[clash].Name, c.otherLine(clash))
 		}
 	}
 }
 
-// checkPath checks a route's path, which its type may imply, and returns its segments.
+// checkPath checks the path of a route and returns its segments. A path that is not set is derived from the traffic type.
 func (c *checker) checkPath(r *Route, i int) ([]string, bool) {
 	if r.Path == "" {
 		r.Path = "/**"
@@ -215,50 +219,50 @@
 			r.Path = "/" + r.Type + "/**"
 		}
 	}
-	p := pathSegments(r.Path)
-	wrong := func(form string, args ...any) ([]string, bool) {
-		c.Wrong(at(i, "path"), form, args...)
+	segments := pathSegments(r.Path)
+	wrong := func(format string, args ...any) ([]string, bool) {
+		c.Wrong(at(i, "path"), format, args...)
 		return nil, false
 	}
 	switch {
 	case r.Path[0] != '/':
 		return wrong("path %q does not begin with /", r.Path)
-	case len(p) > maxPathSegments:
-		return wrong("a path of %d parts: %d at most", len(p), maxPathSegments)
-	case len(p) == 0:
-		return wrong("path %q has no part; /** is for all", r.Path)
+	case len(segments) > maxPathSegments:
+		return wrong("path has %d segments, at most %d allowed", len(segments), maxPathSegments)
+	case len(segments) == 0:
+		return wrong("path %q has no segment; /** matches every path", r.Path)
 	case strings.ContainsAny(r.Path, "?# \t\r\n"):
-		return wrong("path %q has a character that no path has", r.Path)
+		return wrong("path %q contains a space, a line break, ? or #", r.Path)
 	}
-	for k, part := range p {
+	for position, segment := range segments {
 		switch {
-		case part == "" && k < len(p)-1:
-			return wrong("path %q has an empty part", r.Path)
-		case part == anyRest && k < len(p)-1:
-			return wrong("path %q: ** stands at the end only", r.Path)
-		case part != anySegment && part != anyRest && strings.Contains(part, anySegment):
-			return wrong("path %q: * stands for a whole part", r.Path)
+		case segment == "" && position < len(segments)-1:
+			return wrong("path %q has an empty segment", r.Path)
+		case segment == anyRest && position < len(segments)-1:
+			return wrong("path %q: ** is allowed only as the last segment", r.Path)
+		case segment != anySegment && segment != anyRest && strings.Contains(segment, anySegment):
+			return wrong("path %q: * must be a whole segment", r.Path)
 		}
 	}
-	if r.Type != "" && p[0] != r.Type && p[0] != anySegment && p[0] != anyRest {
-		return wrong("no path %s is of type %q, which is the first part", r.Path, r.Type)
+	if r.Type != "" && segments[0] != r.Type && segments[0] != anySegment && segments[0] != anyRest {
+		return wrong("path %s does not match type %q, which must be the first segment", r.Path, r.Type)
 	}
-	if r.Type != "" && p[0] != r.Type {
-		if p[0] == anyRest {
-			p = []string{r.Type, anyRest}
+	if r.Type != "" && segments[0] != r.Type {
+		if segments[0] == anyRest {
+			segments = []string{r.Type, anyRest}
 		} else {
-			p = append([]string{r.Type}, p[1:]...)
+			segments = append([]string{r.Type}, segments[1:]...)
 		}
-		r.Path = "/" + strings.Join(p, "/")
+		r.Path = "/" + strings.Join(segments, "/")
 	}
-	return p, true
+	return segments, true
 }
 
-// trafficTypes are the traffic types whose requests may match a route.
+// trafficTypes returns the traffic types whose requests can match a route.
 func (c *checker) trafficTypes(table *Table, r *Route, i int, path []string) []int {
 	find := func(key, name string) []int {
-		if k, ok := table.types[name]; ok {
-			return []int{k}
+		if trafficType, ok := table.types[name]; ok {
+			return []int{trafficType}
 		}
 		c.Wrong(at(i, key), "no traffic type %q: there are %s", name, strings.Join(c.settings.TypeNames, ", "))
 		return nil
@@ -272,12 +276,13 @@
 		return find("path", path[0])
 	}
 	all := make([]int, len(c.settings.TrafficTypes))
-	for k := range all {
-		all[k] = k
+	for trafficType := range all {
+		all[trafficType] = trafficType
 	}
 	return all
 }
 
+// tenant returns the index of a tenant; "other" has the index behind the last named tenant.
 func (c *checker) tenant(name string) (int, bool) {
 	if name == otherTenants {
 		return len(c.settings.TenantNames), true
--- a/internal/route/check_fallbacks.go
+++ b/internal/route/check_fallbacks.go
@@ -6,23 +6,24 @@
 	"strings"
 )
 
-// checkFallbacks finds fallbacks to routes that do not exist, that do not serve the type, or that form a cycle.
+// checkFallbacks links each route to its fallback, and records fallbacks that do not exist, that do not serve a traffic
+// type of the route, or that form a cycle.
 func (c *checker) checkFallbacks(table *Table) {
 	for i := range table.Routes {
 		c.fragments.selectRoute(i)
-		l := c.fallback(i)
-		if l == "" {
+		name := c.fallback(i)
+		if name == "" {
 			continue
 		}
-		to, ok := c.routes[l]
+		target, ok := c.routes[name]
 		if !ok {
-			c.Wrong(c.fallbackKey(i), "route %q falls back to %q, which does not exist", table.Routes[i].Name, l)
+			c.Wrong(c.fallbackKey(i), "route %q falls back to %q, which does not exist", table.Routes[i].Name, name)
 			continue
 		}
-		table.Routes[i].fallback = to
-		for k, p := range table.Routes[i].profileByType {
-			if p >= 0 && to != i && table.Routes[to].profileByType[k] < 0 {
-				c.Wrong(c.fallbackKey(i), "route %q falls back to %q, which is not for type %s", table.Routes[i].Name, l, c.settings.TypeNames[k])
+		table.Routes[i].fallback = target
+		for trafficType, profile := range table.Routes[i].profileByType {
+			if profile >= 0 && target != i && table.Routes[target].profileByType[trafficType] < 0 {
+				c.Wrong(c.fallbackKey(i), "route %q falls back to %q, which does not serve type %s", table.Routes[i].Name, name, c.settings.TypeNames[trafficType])
 				break
 			}
 		}
@@ -30,29 +31,31 @@
 	for i := range table.Routes {
 		c.fragments.selectRoute(i)
 		seen := []string{table.Routes[i].Name}
-		for at := table.Routes[i].fallback; at >= 0; at = table.Routes[at].fallback {
-			seen = append(seen, table.Routes[at].Name)
-			if at == i {
-				c.Wrong(c.fallbackKey(i), "the fallbacks go in a circle: %s", strings.Join(seen, ", "))
+		for next := table.Routes[i].fallback; next >= 0; next = table.Routes[next].fallback {
+			seen = append(seen, table.Routes[next].Name)
+			if next == i {
+				c.Wrong(c.fallbackKey(i), "fallbacks form a cycle: %s", strings.Join(seen, ", "))
 				break
 			}
-			if len(seen) > len(table.Routes) { // a cycle that this route leads into
+			if len(seen) > len(table.Routes) { // the route leads into a cycle without being part of it
 				break
 			}
 		}
 	}
 }
 
+// fallback returns the name of the fallback of a route, "" for none.
 func (c *checker) fallback(i int) string {
-	r := &c.file.Routes[i]
-	for _, l := range []Limits{r.Limits, c.file.Class[cmp.Or(r.Class, r.Type)], c.file.Defaults} {
-		if l.Fallback != nil {
-			return *l.Fallback
+	route := &c.file.Routes[i]
+	for _, limits := range []Limits{route.Limits, c.file.Class[cmp.Or(route.Class, route.Type)], c.file.Defaults} {
+		if limits.Fallback != nil {
+			return *limits.Fallback
 		}
 	}
 	return ""
 }
 
+// fallbackKey returns the path in the file at which a fault of a fallback is reported.
 func (c *checker) fallbackKey(i int) string {
 	if key := at(i, "fallback"); c.Has(key) {
 		return key
--- a/internal/route/doc.go
+++ b/internal/route/doc.go
@@ -1,13 +1,15 @@
-// Package route decides which limits a request is under and whether its route admits it. It is free of I/O.
+// Package route matches requests to the routes of the operator's file and enforces the limits of each route: it selects
+// the limits that apply to a request and decides whether the request is admitted. It performs no I/O.
 //
-// The operator's file (file.go) names routes, pools of servers and limits. Parse (check.go) turns its text into a
-// Table or returns every fault with its line. Table.Match (match.go) finds the route and traffic type of a request.
-// A Router (router.go) holds the Table in force over reloads: Router.Admit (limiter.go) takes a request under the
-// rates and concurrency limits of its route, or of the route's fallbacks, and Router.Release gives its slot back.
+// The operator's file (file.go) defines routes, pools of servers and limits. Parse (check.go) compiles its text into a
+// Table, or returns every fault with its line. Table.Match (match.go) finds the route and the traffic type of a request.
+// A Router (router.go) keeps the Table in effect and its counters across reloads: Router.Admit (limiter.go) admits a
+// request within the rates and concurrency limits of its route, or of the fallbacks of that route, and Router.Release
+// frees the slot of the request.
 //
-// What becomes of an admitted request is decided by package policy, to which each pair of a route and a traffic type
-// with limits of its own is a traffic type (Profile). Routes and pools that control processes distribute are Fragments,
-// which Assemble joins with the operator's file (assemble.go).
+// Package policy decides where an admitted request is sent. For the policy, each pair of a route and a traffic type with
+// limits of its own is a traffic type (Profile). Control processes distribute routes and pools as Fragments, which
+// Assemble combines with the operator's file (assemble.go).
 //
-// A Router belongs to the dispatcher, which calls it under its lock.
+// A Router is owned by the dispatcher, which calls it while holding the dispatcher's lock.
 package route
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -13,20 +13,20 @@
 	"fernvane/internal/config/settings"
 )
 
-// keys are the fields of Limits, in their order.
+// keys returns the fields of Limits in the order of their declaration.
 func keys() []reflect.StructField {
 	return reflect.VisibleFields(reflect.TypeFor[Limits]())
 }
 
-// value formats a limit as the file does; ok is false where it is not set.
+// value formats a limit in the notation of the file. ok is false if the limit is not set.
 func value(v reflect.Value) (text string, ok bool) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if v.IsNil() {
 			return "", false
 		}
-		if s, is := v.Interface().(*Duration); is {
-			return s.Std().String(), true
+		if duration, isDuration := v.Interface().(*Duration); isDuration {
+			return duration.Std().String(), true
 		}
 		return fmt.Sprint(v.Elem().Interface()), true
 	case reflect.Slice:
@@ -39,8 +39,8 @@
 			return "", false
 		}
 		var parts []string
-		for _, k := range v.MapKeys() {
-			parts = append(parts, fmt.Sprintf("%v=%v", k, v.MapIndex(k)))
+		for _, key := range v.MapKeys() {
+			parts = append(parts, fmt.Sprintf("%v=%v", key, v.MapIndex(key)))
 		}
 		sort.Strings(parts)
 		return strings.Join(parts, " "), true
@@ -48,24 +48,24 @@
 	return "", false
 }
 
-// PrintTable writes the limits of each route for each traffic type, with the lines that set them.
-func (s *Table) PrintTable(w io.Writer, cfg *settings.Settings) {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "line\troute\tpath\ttype\tlimits (line)")
-	for i := range s.Routes {
-		r := &s.Routes[i]
-		for k, p := range r.profileByType {
-			if p < 0 {
+// PrintTable writes a table with the limits of each route for each traffic type, and the lines that set them.
+func (t *Table) PrintTable(w io.Writer, cfg *settings.Settings) {
+	columns := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(columns, "line\troute\tpath\ttype\tlimits (line)")
+	for i := range t.Routes {
+		r := &t.Routes[i]
+		for trafficType, profile := range r.profileByType {
+			if profile < 0 {
 				continue
 			}
-			fmt.Fprintf(t, "%d\t%s\t%s%s\t%s\t%s\n", r.Line, r.Name, r.Path, r.conditions(), cfg.TypeNames[k], s.limits(i, k, cfg.TypeNames[k]))
+			fmt.Fprintf(columns, "%d\t%s\t%s%s\t%s\t%s\n", r.Line, r.Name, r.Path, r.conditions(), cfg.TypeNames[trafficType], t.limits(i, trafficType, cfg.TypeNames[trafficType]))
 		}
 	}
-	t.Flush()
-	fmt.Fprintf(w, "%d routes, %d sets of figures, %d pools; what no route fits is under the settings alone\n", len(s.Routes), len(s.Profiles), len(s.Pools))
+	columns.Flush()
+	fmt.Fprintf(w, "%d routes, %d distinct sets of limits, %d pools; requests without a matching route use the settings alone\n", len(t.Routes), len(t.Profiles), len(t.Pools))
 }
 
-// conditions are those of a route beside its path.
+// conditions returns the conditions of a route other than its path, in parentheses, or "" for none.
 func (r *Route) conditions() string {
 	var all []string
 	if len(r.Methods) > 0 {
@@ -84,73 +84,74 @@
 	return " (" + strings.Join(all, ", ") + ")"
 }
 
-func (s *Table) limits(route, kind int, typeName string) string {
-	var all []string
-	l := reflect.ValueOf(s.Routes[route].limitsByType[kind])
-	for _, f := range keys() {
-		text, ok := value(l.FieldByIndex(f.Index))
+// limits returns the limits of a route for one traffic type, with the lines that set them.
+func (t *Table) limits(route, trafficType int, typeName string) string {
+	var parts []string
+	values := reflect.ValueOf(t.Routes[route].limitsByType[trafficType])
+	for _, field := range keys() {
+		text, ok := value(values.FieldByIndex(field.Index))
 		if !ok {
 			continue
 		}
-		key := f.Tag.Get("toml")
-		all = append(all, fmt.Sprintf("%s %s (%d)", key, text, s.line(route, typeName, key)))
+		key := field.Tag.Get("toml")
+		parts = append(parts, fmt.Sprintf("%s %s (%d)", key, text, t.line(route, typeName, key)))
 	}
-	if len(all) == 0 {
-		return "the settings'"
+	if len(parts) == 0 {
+		return "settings only"
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(parts, ", ")
 }
 
-// line is where a limit of a route is set.
-func (s *Table) line(route int, typeName, key string) int {
+// line returns the line that sets a limit of a route.
+func (t *Table) line(route int, typeName, key string) int {
 	for _, place := range []string{"routes." + strconv.Itoa(route), "class." + typeName, "defaults"} {
-		if s.file.Has(place + "." + key) {
-			return s.file.Line(place + "." + key)
+		if t.file.Has(place + "." + key) {
+			return t.file.Line(place + "." + key)
 		}
 	}
-	return s.Routes[route].Line
+	return t.Routes[route].Line
 }
 
-// Explain writes which route a request matches, its limits, and why each other route does not match or comes after.
-func (s *Table) Explain(w io.Writer, q *Request, cfg *settings.Settings) {
-	route, kind := s.Match(q)
-	if kind < 0 {
-		fmt.Fprintf(w, "no traffic type: the first part of %s is none, and no route sets one; such a request is answered 404\n", q.Path)
+// Explain writes the route that a request matches, its limits, and why each other route does not match or is less specific.
+func (t *Table) Explain(w io.Writer, request *Request, cfg *settings.Settings) {
+	route, trafficType := t.Match(request)
+	if trafficType < 0 {
+		fmt.Fprintf(w, "no traffic type: the first segment of %s names none and no route assigns one; the request is answered with status 404\n", request.Path)
 		return
 	}
 	if route < 0 {
-		fmt.Fprintf(w, "no route; type %s under the settings alone\n", cfg.TypeNames[kind])
+		fmt.Fprintf(w, "no route; type %s uses the settings alone\n", cfg.TypeNames[trafficType])
 	} else {
-		r := &s.Routes[route]
-		fmt.Fprintf(w, "route %s (line %d), type %s\n", r.Name, r.Line, cfg.TypeNames[kind])
-		fmt.Fprintf(w, "  limits: %s\n", s.limits(route, kind, cfg.TypeNames[kind]))
-		for f := r.fallback; f >= 0; f = s.Routes[f].fallback {
-			fmt.Fprintf(w, "  falls back to %s (line %d)\n", s.Routes[f].Name, s.Routes[f].Line)
+		r := &t.Routes[route]
+		fmt.Fprintf(w, "route %s (line %d), type %s\n", r.Name, r.Line, cfg.TypeNames[trafficType])
+		fmt.Fprintf(w, "  limits: %s\n", t.limits(route, trafficType, cfg.TypeNames[trafficType]))
+		for fallback := r.fallback; fallback >= 0; fallback = t.Routes[fallback].fallback {
+			fmt.Fprintf(w, "  falls back to %s (line %d)\n", t.Routes[fallback].Name, t.Routes[fallback].Line)
 		}
 	}
-	for i := range s.Routes {
+	for i := range t.Routes {
 		if i == route {
 			continue
 		}
-		other := &s.Routes[i]
-		if why := other.matches(q); why != "" {
-			fmt.Fprintf(w, "not %s (line %d): %s\n", other.Name, other.Line, why)
+		other := &t.Routes[i]
+		if unmet := other.matches(request); unmet != "" {
+			fmt.Fprintf(w, "not %s (line %d): %s\n", other.Name, other.Line, unmet)
 		} else if route >= 0 {
-			_, by := compare(&s.Routes[route].Route, &other.Route)
-			fmt.Fprintf(w, "fits too, but after it: %s (line %d), decided by %s\n", other.Name, other.Line, by)
+			_, by := compare(&t.Routes[route].Route, &other.Route)
+			fmt.Fprintf(w, "also matches, but is less specific: %s (line %d), decided by %s\n", other.Name, other.Line, by)
 		}
 	}
 }
 
-// Schema is the JSON schema of the operator's file, which `fernvane check` prints.
+// Schema returns the JSON schema of the operator's file, which `fernvane check --schema` prints.
 func Schema() map[string]any {
 	limits := properties(reflect.TypeFor[Limits]())
 	route := properties(reflect.TypeFor[Route]())
 	pool := properties(reflect.TypeFor[Pool]())
-	object := func(p map[string]any) map[string]any {
-		return map[string]any{"type": "object", "properties": p, "additionalProperties": false}
+	object := func(keys map[string]any) map[string]any {
+		return map[string]any{"type": "object", "properties": keys, "additionalProperties": false}
 	}
-	list := func(of map[string]any) map[string]any { return map[string]any{"type": "array", "items": of} }
+	list := func(items map[string]any) map[string]any { return map[string]any{"type": "array", "items": items} }
 	top := object(map[string]any{
 		"fastcgi":  object(properties(reflect.TypeFor[FastCGI]())),
 		"defaults": object(limits),
@@ -162,37 +163,38 @@
 	return top
 }
 
+// properties returns the JSON schemas of the keys of a struct.
 func properties(t reflect.Type) map[string]any {
-	p := map[string]any{}
-	for _, f := range reflect.VisibleFields(t) {
-		key := f.Tag.Get("toml")
+	schemas := map[string]any{}
+	for _, field := range reflect.VisibleFields(t) {
+		key := field.Tag.Get("toml")
 		if key == "" {
 			continue
 		}
-		kind := f.Type
+		kind := field.Type
 		if kind.Kind() == reflect.Pointer {
 			kind = kind.Elem()
 		}
-		d := map[string]any{"description": f.Tag.Get("doc") + " (" + f.Tag.Get("unit") + ")"}
+		schema := map[string]any{"description": field.Tag.Get("doc") + " (" + field.Tag.Get("unit") + ")"}
 		switch {
 		case kind == reflect.TypeFor[Duration]():
-			d["type"], d["pattern"], d["examples"] = "string", `^[0-9.]+(ns|us|µs|ms|s|m|h)([0-9.]+(ns|us|µs|ms|s|m|h))*$`, []string{(250 * time.Millisecond).String()}
+			schema["type"], schema["pattern"], schema["examples"] = "string", `^[0-9.]+(ns|us|µs|ms|s|m|h)([0-9.]+(ns|us|µs|ms|s|m|h))*$`, []string{(250 * time.Millisecond).String()}
 		case kind.Kind() == reflect.Int:
-			d["type"] = "integer"
+			schema["type"] = "integer"
 		case kind.Kind() == reflect.Float64:
-			d["type"] = "number"
+			schema["type"] = "number"
 		case kind.Kind() == reflect.Slice:
-			d["type"], d["items"] = "array", map[string]any{"type": "string"}
+			schema["type"], schema["items"] = "array", map[string]any{"type": "string"}
 		case kind.Kind() == reflect.Map:
-			of := "number"
+			values := "number"
 			if kind.Elem().Kind() == reflect.String {
-				of = "string"
+				values = "string"
 			}
-			d["type"], d["additionalProperties"] = "object", map[string]any{"type": of}
+			schema["type"], schema["additionalProperties"] = "object", map[string]any{"type": values}
 		default:
-			d["type"] = "string"
+			schema["type"] = "string"
 		}
-		p[key] = d
+		schemas[key] = schema
 	}
-	return p
+	return schemas
 }
--- a/internal/route/fragment.go
+++ b/internal/route/fragment.go
@@ -7,8 +7,8 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// Fragment is a route or a pool that a control process distributes, outside the operator's file. It belongs to a
-// service, or to all services where Service is empty.
+// Fragment is a route or a pool that a control process distributes in addition to the operator's file. It belongs to one
+// service, or to all services if Service is empty.
 type Fragment struct {
 	Service string
 	Name    string
@@ -16,7 +16,7 @@
 	pool    *Pool  // nil for a route
 }
 
-// qualified is the name of a service's fragment among those of all services.
+// qualified returns the name of a fragment that is unique among the fragments of all services.
 func qualified(service, name string) string {
 	if service == "" {
 		return name
@@ -24,12 +24,12 @@
 	return service + "/" + name
 }
 
-// ParseRoute reads the text of one route, as it stands in the operator's file; its [[routes]] line may be left out.
+// ParseRoute parses the text of one route in the form of the operator's file. The [[routes]] line is optional.
 func ParseRoute(service, name string, text []byte) (Fragment, error) {
 	label := "route " + qualified(service, name)
-	var one Route
+	var route Route
 	if !hasHeader(text, "[[routes]]") {
-		if err := parseAlone(label, text, &one); err != nil {
+		if err := parseAlone(label, text, &route); err != nil {
 			return Fragment{}, err
 		}
 	} else {
@@ -40,23 +40,23 @@
 			return Fragment{}, err
 		}
 		if len(file.Routes) != 1 {
-			return Fragment{}, tomlfile.Faults{{File: label, Why: fmt.Sprintf("%d routes: one is wanted", len(file.Routes))}}
+			return Fragment{}, tomlfile.Faults{{File: label, Why: fmt.Sprintf("%d routes, exactly one expected", len(file.Routes))}}
 		}
-		one = file.Routes[0]
+		route = file.Routes[0]
 	}
-	if err := named(label, name, one.Name); err != nil {
+	if err := named(label, name, route.Name); err != nil {
 		return Fragment{}, err
 	}
-	one.Name = qualified(service, name)
-	return Fragment{Service: service, Name: name, route: &one}, nil
+	route.Name = qualified(service, name)
+	return Fragment{Service: service, Name: name, route: &route}, nil
 }
 
-// ParsePool reads the text of one pool, as it stands in the operator's file; its [[pools]] line may be left out.
+// ParsePool parses the text of one pool in the form of the operator's file. The [[pools]] line is optional.
 func ParsePool(service, name string, text []byte) (Fragment, error) {
 	label := "pool " + qualified(service, name)
-	var one Pool
+	var pool Pool
 	if !hasHeader(text, "[[pools]]") {
-		if err := parseAlone(label, text, &one); err != nil {
+		if err := parseAlone(label, text, &pool); err != nil {
 			return Fragment{}, err
 		}
 	} else {
@@ -67,18 +67,18 @@
 			return Fragment{}, err
 		}
 		if len(file.Pools) != 1 {
-			return Fragment{}, tomlfile.Faults{{File: label, Why: fmt.Sprintf("%d pools: one is wanted", len(file.Pools))}}
+			return Fragment{}, tomlfile.Faults{{File: label, Why: fmt.Sprintf("%d pools, exactly one expected", len(file.Pools))}}
 		}
-		one = file.Pools[0]
+		pool = file.Pools[0]
 	}
-	if err := named(label, name, one.Name); err != nil {
+	if err := named(label, name, pool.Name); err != nil {
 		return Fragment{}, err
 	}
-	one.Name = qualified(service, name)
-	return Fragment{Service: service, Name: name, pool: &one}, nil
+	pool.Name = qualified(service, name)
+	return Fragment{Service: service, Name: name, pool: &pool}, nil
 }
 
-// hasHeader reports whether a line of the text begins an entry of an array of tables.
+// hasHeader reports whether a line of the text begins with the header of an array of tables.
 func hasHeader(text []byte, header string) bool {
 	for line := range bytes.Lines(text) {
 		if bytes.HasPrefix(bytes.TrimSpace(line), []byte(header)) {
@@ -88,6 +88,7 @@
 	return false
 }
 
+// parseAlone parses the text of a fragment, which is invalid on any fault.
 func parseAlone(label string, text []byte, into any) error {
 	f, err := tomlfile.Parse(label, text, into)
 	if err != nil {
@@ -96,24 +97,24 @@
 	return f.Err()
 }
 
-// named checks that a text which names its fragment gives it the name of its key.
-func named(label, key, text string) error {
+// named checks that a fragment has a name, and that a name in its text is the same.
+func named(label, name, nameInText string) error {
 	switch {
-	case key == "":
-		return tomlfile.Faults{{File: label, Why: "a part without a name"}}
-	case text != "" && text != key:
-		return tomlfile.Faults{{File: label, Why: fmt.Sprintf("its text names it %q", text)}}
+	case name == "":
+		return tomlfile.Faults{{File: label, Why: "fragment has no name"}}
+	case nameInText != "" && nameInText != name:
+		return tomlfile.Faults{{File: label, Why: fmt.Sprintf("its text names it %q", nameInText)}}
 	}
 	return nil
 }
 
 // isPool reports whether the fragment is a pool; otherwise it is a route.
-func (p Fragment) isPool() bool { return p.pool != nil }
+func (f Fragment) isPool() bool { return f.pool != nil }
 
-// String names the fragment for logs and faults.
-func (p Fragment) String() string {
-	if p.isPool() {
-		return "pool " + qualified(p.Service, p.Name)
+// String returns the kind and the qualified name of the fragment, for log lines and faults.
+func (f Fragment) String() string {
+	if f.isPool() {
+		return "pool " + qualified(f.Service, f.Name)
 	}
-	return "route " + qualified(p.Service, p.Name)
+	return "route " + qualified(f.Service, f.Name)
 }
--- a/internal/route/limiter.go
+++ b/internal/route/limiter.go
@@ -8,38 +8,40 @@
 	"golang.org/x/time/rate"
 )
 
-// Rejection is why a route does not admit a request.
+// Rejection is the reason why a route does not admit a request.
 type Rejection uint8
 
 // Reasons for a rejection.
 const (
 	Admitted            Rejection = iota // no rejection
-	RateExceeded                         // above the route's rate
-	QueueFull                            // all slots are taken, of requests in flight and queued
-	TenantShareExceeded                  // the tenant's share of rate or slots is used up
+	RateExceeded                         // the rate of the route is exceeded
+	QueueFull                            // all slots for requests in flight and queued requests are in use
+	TenantShareExceeded                  // the tenant's share of the rate or of the slots is used up
 )
 
-func (d Rejection) String() string {
-	return [...]string{"admitted", "rate exceeded", "queue full", "tenant share exceeded"}[d]
+func (r Rejection) String() string {
+	return [...]string{"admitted", "rate exceeded", "queue full", "tenant share exceeded"}[r]
 }
 
-// Admission is what an admitted request holds until its answer. Its owner passes it to Router.Release once.
+// Admission is the slot of an admitted request. Its owner passes it to Router.Release exactly once, when the request is
+// answered.
 type Admission struct {
 	Type       int // traffic type of the policy
 	LimitIndex int // route limit of the policy; 0: none
 	tenant     int
 }
 
-// routeLimiter holds the limits of one route for one traffic type of the settings, and what counts against them.
+// routeLimiter holds the limits of one route for one traffic type of the settings, and the requests that count against
+// them.
 type routeLimiter struct {
 	key            limiterKey
-	isUsed         bool
-	maxInFlight    int // requests with an attempt in flight; 0: unlimited
-	capacity       int // requests in flight and queued; 0: unlimited
-	admitted       int
+	isUsed         bool // by the table in effect
+	maxInFlight    int  // requests with an attempt in flight; 0: unlimited
+	capacity       int  // requests in flight and queued; 0: unlimited
+	admitted       int  // requests admitted and not yet released
 	rateLimiter    *rate.Limiter
-	tenantShares   []float64 // by tenant; 0: not limited
-	tenantAdmitted []int     // requests admitted, by tenant
+	tenantShares   []float64 // by tenant, of the rate and of capacity; 0: not limited
+	tenantAdmitted []int     // requests admitted and not yet released, by tenant
 	tenantLimiters []*rate.Limiter
 	counts         LimiterCounts
 }
@@ -49,7 +51,7 @@
 	trafficType int
 }
 
-// LimiterCounts counts requests by what became of them at a limiter.
+// LimiterCounts counts the requests that a limiter has decided on, by decision.
 type LimiterCounts struct {
 	Admitted            int
 	RateExceeded        int
@@ -57,94 +59,95 @@
 	TenantShareExceeded int
 }
 
-// assignLimiters gives each route and type with a rate or a concurrency limit a limiter: the one it had before, if any.
-func (l *Router) assignLimiters(now time.Duration, table *Table) {
-	at := map[limiterKey]int{}
-	for i := 1; i < len(l.limiters); i++ {
-		l.limiters[i].isUsed, l.limiters[i].maxInFlight = false, 0 // an unused limiter stays until its last request is released
-		at[l.limiters[i].key] = i
+// assignLimiters assigns a limiter to each pair of a route and a traffic type with a rate or a concurrency limit. A pair
+// keeps the limiter that it had before.
+func (r *Router) assignLimiters(now time.Duration, table *Table) {
+	limiterOf := map[limiterKey]int{}
+	for i := 1; i < len(r.limiters); i++ {
+		r.limiters[i].isUsed, r.limiters[i].maxInFlight = false, 0 // an unused limiter is kept until its last request is released
+		limiterOf[r.limiters[i].key] = i
 	}
-	l.limiterByRoute = nil
+	r.limiterByRoute = nil
 	if table == nil {
 		return
 	}
 	var free []int
-	l.limiterByRoute = make([][]int, len(table.Routes))
+	r.limiterByRoute = make([][]int, len(table.Routes))
 	for i := range table.Routes {
-		r := &table.Routes[i]
-		l.limiterByRoute[i] = make([]int, len(r.profileByType))
-		for k, p := range r.profileByType {
-			if p < 0 || r.limitsByType[k].Rate == nil && r.limitsByType[k].MaxInFlight == nil {
+		route := &table.Routes[i]
+		r.limiterByRoute[i] = make([]int, len(route.profileByType))
+		for trafficType, profile := range route.profileByType {
+			if profile < 0 || route.limitsByType[trafficType].Rate == nil && route.limitsByType[trafficType].MaxInFlight == nil {
 				continue
 			}
-			name := limiterKey{r.Name, k}
-			g, ok := at[name]
+			key := limiterKey{route.Name, trafficType}
+			index, ok := limiterOf[key]
 			if !ok {
 				if free == nil {
-					free = l.unusedLimiters(table)
+					free = r.unusedLimiters(table)
 				}
 				if len(free) > 0 {
-					g, free = free[0], free[1:]
+					index, free = free[0], free[1:]
 				} else {
-					g = len(l.limiters)
-					l.limiters = append(l.limiters, routeLimiter{})
+					index = len(r.limiters)
+					r.limiters = append(r.limiters, routeLimiter{})
 				}
-				l.limiters[g] = routeLimiter{key: name, tenantAdmitted: make([]int, l.tenantCount+1)}
+				r.limiters[index] = routeLimiter{key: key, tenantAdmitted: make([]int, r.tenantCount+1)}
 			}
-			l.limiterByRoute[i][k] = g
-			l.limiters[g].isUsed = true
-			l.limiters[g].configure(now, &r.limitsByType[k], table, l.tenantCount)
+			r.limiterByRoute[i][trafficType] = index
+			r.limiters[index].isUsed = true
+			r.limiters[index].configure(now, &route.limitsByType[trafficType], table, r.tenantCount)
 		}
 	}
 }
 
-// unusedGates are those that neither the table nor an admitted request uses.
-func (l *Router) unusedLimiters(table *Table) []int {
+// unusedLimiters returns the limiters that are used neither by the table nor by an admitted request.
+func (r *Router) unusedLimiters(table *Table) []int {
 	free := []int{}
-	for i := 1; i < len(l.limiters); i++ {
-		g := &l.limiters[i]
-		if _, named := table.byName[g.key.route]; !named && !g.isUsed && g.admitted == 0 {
+	for i := 1; i < len(r.limiters); i++ {
+		limiter := &r.limiters[i]
+		if _, named := table.byName[limiter.key.route]; !named && !limiter.isUsed && limiter.admitted == 0 {
 			free = append(free, i)
 		}
 	}
 	return free
 }
 
-var epoch = time.Unix(0, 0) // zero time of the limiters
+var epoch = time.Unix(0, 0) // zero time of the rate limiters
 
-// configure applies limits. A limiter keeps its tokens over a reload, so that a reload allows no additional burst.
-func (g *routeLimiter) configure(now time.Duration, l *Limits, table *Table, tenants int) {
-	g.maxInFlight, g.capacity = valueOr(l.MaxInFlight, 0), 0
-	if g.maxInFlight > 0 {
-		g.capacity = g.maxInFlight + valueOr(l.MaxQueued, 0)
+// configure applies limits. Rate limiters keep their tokens, so that a reload allows no additional burst.
+func (l *routeLimiter) configure(now time.Duration, limits *Limits, table *Table, tenants int) {
+	l.maxInFlight, l.capacity = valueOr(limits.MaxInFlight, 0), 0
+	if l.maxInFlight > 0 {
+		l.capacity = l.maxInFlight + valueOr(limits.MaxQueued, 0)
 	}
-	g.tenantShares = make([]float64, tenants+1)
-	for name, share := range l.Tenants {
-		if t, ok := table.tenants[name]; ok {
-			g.tenantShares[t] = share
+	l.tenantShares = make([]float64, tenants+1)
+	for name, share := range limits.Tenants {
+		if tenant, ok := table.tenants[name]; ok {
+			l.tenantShares[tenant] = share
 		} else {
-			g.tenantShares[tenants] = share
+			l.tenantShares[tenants] = share
 		}
 	}
-	if l.Rate == nil {
-		g.rateLimiter, g.tenantLimiters = nil, nil
+	if limits.Rate == nil {
+		l.rateLimiter, l.tenantLimiters = nil, nil
 		return
 	}
-	burst := valueOr(l.Burst, int(max(*l.Rate/burstDivisor, 1)))
-	g.rateLimiter = updateLimiter(g.rateLimiter, now, *l.Rate, burst)
-	if g.tenantLimiters == nil {
-		g.tenantLimiters = make([]*rate.Limiter, tenants+1)
+	burst := valueOr(limits.Burst, int(max(*limits.Rate/burstDivisor, 1)))
+	l.rateLimiter = updateLimiter(l.rateLimiter, now, *limits.Rate, burst)
+	if l.tenantLimiters == nil {
+		l.tenantLimiters = make([]*rate.Limiter, tenants+1)
 	}
-	for t, share := range g.tenantShares {
+	for tenant, share := range l.tenantShares {
 		if share == 0 {
-			g.tenantLimiters[t] = nil
+			l.tenantLimiters[tenant] = nil
 			continue
 		}
-		g.tenantLimiters[t] = updateLimiter(g.tenantLimiters[t], now, *l.Rate*share, int(math.Ceil(float64(burst)*share)))
+		l.tenantLimiters[tenant] = updateLimiter(l.tenantLimiters[tenant], now, *limits.Rate*share, int(math.Ceil(float64(burst)*share)))
 	}
 }
 
-// updateLimiter changes old in place, or makes a limiter where there is none.
+// updateLimiter changes old in place, or returns a new limiter if old is nil.
 func updateLimiter(old *rate.Limiter, now time.Duration, perS float64, burst int) *rate.Limiter {
 	if old == nil {
 		return rate.NewLimiter(rate.Limit(perS), burst)
@@ -155,100 +158,100 @@
 	return old
 }
 
-// Admit asks a route, then its fallbacks in turn, to admit a request. A route below 0 is none, and admits all. The
-// rejection is that of the first route that gave one.
-func (l *Router) Admit(now time.Duration, route, kind, tenant int) (Admission, Rejection) {
-	t := tenant
-	if t < 0 || t > l.tenantCount {
-		t = l.tenantCount
+// Admit decides whether a route, or else one of its fallbacks in order, admits a request. A negative route means that the
+// request has no route, and always admits. The returned reason is that of the first route that rejects the request.
+func (r *Router) Admit(now time.Duration, route, trafficType, tenant int) (Admission, Rejection) {
+	tenantIndex := tenant
+	if tenantIndex < 0 || tenantIndex > r.tenantCount {
+		tenantIndex = r.tenantCount
 	}
 	if route < 0 {
-		l.types[kind].admitted++
-		return Admission{Type: kind, tenant: t}, Admitted
+		r.types[trafficType].admitted++
+		return Admission{Type: trafficType, tenant: tenantIndex}, Admitted
 	}
-	why := Admitted
-	for ; route >= 0; route = l.table.Routes[route].fallback {
-		r := &l.table.Routes[route]
-		if r.profileByType[kind] < 0 {
+	reason := Admitted
+	for ; route >= 0; route = r.table.Routes[route].fallback {
+		compiled := &r.table.Routes[route]
+		if compiled.profileByType[trafficType] < 0 {
 			break
 		}
-		g := &l.limiters[l.limiterByRoute[route][kind]]
-		rejection := g.admit(now, t)
+		limiter := &r.limiters[r.limiterByRoute[route][trafficType]]
+		rejection := limiter.admit(now, tenantIndex)
 		if rejection == Admitted {
-			k := l.typeOfProfile[r.profileByType[kind]]
-			l.types[k].admitted++
-			return Admission{Type: k, LimitIndex: l.limiterByRoute[route][kind], tenant: t}, Admitted
+			policyType := r.typeOfProfile[compiled.profileByType[trafficType]]
+			r.types[policyType].admitted++
+			return Admission{Type: policyType, LimitIndex: r.limiterByRoute[route][trafficType], tenant: tenantIndex}, Admitted
 		}
-		why = cmp.Or(why, rejection)
+		reason = cmp.Or(reason, rejection)
 	}
-	return Admission{}, why
+	return Admission{}, reason
 }
 
-func (g *routeLimiter) admit(now time.Duration, tenant int) (d Rejection) {
-	if !g.isUsed { // no limits
+func (l *routeLimiter) admit(now time.Duration, tenant int) (reason Rejection) {
+	if !l.isUsed { // no limits
 		return Admitted
 	}
 	at := epoch.Add(now)
-	own := (*rate.Limiter)(nil)
-	if g.tenantLimiters != nil {
-		own = g.tenantLimiters[tenant]
+	tenantLimiter := (*rate.Limiter)(nil)
+	if l.tenantLimiters != nil {
+		tenantLimiter = l.tenantLimiters[tenant]
 	}
-	share := g.tenantShares[tenant]
+	share := l.tenantShares[tenant]
 	switch {
-	case g.capacity > 0 && g.admitted >= g.capacity:
-		g.counts.QueueFull++
+	case l.capacity > 0 && l.admitted >= l.capacity:
+		l.counts.QueueFull++
 		return QueueFull
-	case g.capacity > 0 && share > 0 && float64(g.tenantAdmitted[tenant]) >= max(share*float64(g.capacity), 1):
-		g.counts.TenantShareExceeded++
+	case l.capacity > 0 && share > 0 && float64(l.tenantAdmitted[tenant]) >= max(share*float64(l.capacity), 1):
+		l.counts.TenantShareExceeded++
 		return TenantShareExceeded
-	case own != nil && own.TokensAt(at) < 1:
-		g.counts.TenantShareExceeded++
+	case tenantLimiter != nil && tenantLimiter.TokensAt(at) < 1:
+		l.counts.TenantShareExceeded++
 		return TenantShareExceeded
-	case g.rateLimiter != nil && !g.rateLimiter.AllowN(at, 1):
-		g.counts.RateExceeded++
+	case l.rateLimiter != nil && !l.rateLimiter.AllowN(at, 1):
+		l.counts.RateExceeded++
 		return RateExceeded
 	}
-	if own != nil {
-		own.AllowN(at, 1)
+	if tenantLimiter != nil {
+		tenantLimiter.AllowN(at, 1)
 	}
-	g.admitted++
-	g.tenantAdmitted[tenant]++
-	g.counts.Admitted++
+	l.admitted++
+	l.tenantAdmitted[tenant]++
+	l.counts.Admitted++
 	return Admitted
 }
 
-// Release gives back what a request held. The dispatcher calls it once for each Admission.
-func (l *Router) Release(g Admission) {
-	k := &l.types[g.Type]
-	if k.admitted--; k.admitted == 0 && !k.isUsed && g.Type >= l.settingsTypes {
-		k.isFree = true
+// Release frees the slot of a request. The dispatcher calls it once for each Admission.
+func (r *Router) Release(a Admission) {
+	state := &r.types[a.Type]
+	if state.admitted--; state.admitted == 0 && !state.isUsed && a.Type >= r.settingsTypes {
+		state.isFree = true
 	}
-	if g.LimitIndex > 0 {
-		r := &l.limiters[g.LimitIndex]
-		r.admitted--
-		r.tenantAdmitted[g.tenant]--
+	if a.LimitIndex > 0 {
+		limiter := &r.limiters[a.LimitIndex]
+		limiter.admitted--
+		limiter.tenantAdmitted[a.tenant]--
 	}
 }
 
-// TakeCounts calls each for every route with a rate or a concurrency limit that had requests since the last call, with
-// the number of requests admitted now, and starts the counts anew.
-func (l *Router) TakeCounts(each func(route string, admitted int, c LimiterCounts)) {
+// TakeCounts calls each for every route with a rate or a concurrency limit that has received requests since the last call
+// or still has admitted requests, passes the number of requests that are admitted now, and resets the counts.
+func (r *Router) TakeCounts(each func(route string, admitted int, counts LimiterCounts)) {
 	sums, admitted, names := map[string]LimiterCounts{}, map[string]int{}, []string{}
-	for i := 1; i < len(l.limiters); i++ {
-		g := &l.limiters[i]
-		if g.counts == (LimiterCounts{}) && g.admitted == 0 {
+	for i := 1; i < len(r.limiters); i++ {
+		limiter := &r.limiters[i]
+		if limiter.counts == (LimiterCounts{}) && limiter.admitted == 0 {
 			continue
 		}
-		s, ok := sums[g.key.route]
+		sum, ok := sums[limiter.key.route]
 		if !ok {
-			names = append(names, g.key.route)
+			names = append(names, limiter.key.route)
 		}
-		s.Admitted += g.counts.Admitted
-		s.RateExceeded += g.counts.RateExceeded
-		s.QueueFull += g.counts.QueueFull
-		s.TenantShareExceeded += g.counts.TenantShareExceeded
-		sums[g.key.route], admitted[g.key.route] = s, admitted[g.key.route]+g.admitted
-		g.counts = LimiterCounts{}
+		sum.Admitted += limiter.counts.Admitted
+		sum.RateExceeded += limiter.counts.RateExceeded
+		sum.QueueFull += limiter.counts.QueueFull
+		sum.TenantShareExceeded += limiter.counts.TenantShareExceeded
+		sums[limiter.key.route], admitted[limiter.key.route] = sum, admitted[limiter.key.route]+limiter.admitted
+		limiter.counts = LimiterCounts{}
 	}
 	for _, name := range names {
 		each(name, admitted[name], sums[name])
--- a/internal/route/loosest.go
+++ b/internal/route/loosest.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	maxStatedTime     = 24 * time.Hour // above any time that a file may state
-	maxStatedAttempts = 1000
+	maxStatedTime     = 24 * time.Hour // above any duration in a file
+	maxStatedAttempts = 1000           // above any number of attempts in a file
 )
 
-// UncheckedNotice names what a check under LoosestSettings leaves out; `fernvane check` prints it.
-const UncheckedNotice = "traffic types, tenants and sites are taken as the file names them; whether the settings have them, allow its times, attempts " +
-	"and hedged requests, and which types may run again is left unchecked"
+// UncheckedNotice describes what a check against LoosestSettings does not cover. `fernvane check` prints it.
+const UncheckedNotice = "traffic types, tenants and sites of the file are assumed to exist; the check does not cover whether the settings define them, allow " +
+	"the durations, attempts and hedged requests of the file, and allow retries of its traffic types"
 
-// LoosestSettings returns the loosest settings that the operator's file at path can be checked against: every traffic
-// type, tenant and site that it names, all types idempotent, limits above any. A file that is at fault under these is at
-// fault under all settings. The error is of reading or parsing the file.
+// LoosestSettings returns the least restrictive settings that the operator's file at path can be checked against: they
+// define every traffic type, tenant and site that the file names, all types are idempotent, and all bounds are above the
+// values of the file. A file that has faults under these settings has faults under any settings. The error is that of
+// reading or parsing the file.
 func LoosestSettings(path string) (*settings.Settings, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
@@ -31,52 +32,52 @@
 	}
 	s := &settings.Settings{Settings: policy.Settings{NodeCount: 1, MaxAttempts: maxStatedAttempts, HedgingAllowed: true}}
 	seen := map[string]bool{}
-	kind := func(name string) {
+	addType := func(name string) {
 		if name != "" && name != "*" && name != "**" && !seen["type "+name] {
 			seen["type "+name] = true
 			s.TypeNames = append(s.TypeNames, name)
 			s.TrafficTypes = append(s.TrafficTypes, policy.TrafficType{LatencyObjective: maxStatedTime, ClientTimeout: maxStatedTime, PriorityWeight: 1})
 		}
 	}
-	each := func(what string, into *[]string, names []string) {
-		for _, n := range names {
-			if !seen[what+n] {
-				seen[what+n] = true
-				*into = append(*into, n)
+	addNames := func(prefix string, names *[]string, added []string) {
+		for _, name := range added {
+			if !seen[prefix+name] {
+				seen[prefix+name] = true
+				*names = append(*names, name)
 			}
 		}
 	}
 	for name := range file.Class {
-		kind(name)
+		addType(name)
 	}
-	shares := func(l *Limits) {
-		for name := range l.Tenants {
+	addShares := func(limits *Limits) {
+		for name := range limits.Tenants {
 			if name != otherTenants {
-				each("tenant ", &s.TenantNames, []string{name})
+				addNames("tenant ", &s.TenantNames, []string{name})
 			}
 		}
 	}
-	shares(&file.Defaults)
-	for _, l := range file.Class {
-		shares(&l)
+	addShares(&file.Defaults)
+	for _, limits := range file.Class {
+		addShares(&limits)
 	}
-	each("site ", &s.Zones, file.FastCGI.Sites)
-	for _, p := range file.Pools {
-		each("site ", &s.Zones, p.Sites)
+	addNames("site ", &s.Zones, file.FastCGI.Sites)
+	for _, pool := range file.Pools {
+		addNames("site ", &s.Zones, pool.Sites)
 	}
 	for i := range file.Routes {
 		r := &file.Routes[i]
-		kind(r.Type)
-		kind(r.Class)
-		if p := pathSegments(r.Path); r.Class == "" && len(r.Path) > 0 && r.Path[0] == '/' && len(p) > 0 {
-			kind(p[0])
+		addType(r.Type)
+		addType(r.Class)
+		if segments := pathSegments(r.Path); r.Class == "" && len(r.Path) > 0 && r.Path[0] == '/' && len(segments) > 0 {
+			addType(segments[0])
 		}
-		each("tenant ", &s.TenantNames, r.Tenants)
-		shares(&r.Limits)
+		addNames("tenant ", &s.TenantNames, r.Tenants)
+		addShares(&r.Limits)
 	}
 	s.TenantQuotas = make([]float64, len(s.TenantNames))
-	if len(s.TrafficTypes) == 0 { // only limits for all
-		kind("any")
+	if len(s.TrafficTypes) == 0 { // the file has only limits for all traffic types
+		addType("any")
 	}
 	return s, nil
 }
--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Request is what a route is matched by.
+// Request holds the parts of a request that routes are matched by.
 type Request struct {
 	Method  []byte
 	Path    []byte
@@ -16,15 +16,15 @@
 	Headers HeaderGetter
 }
 
-// HeaderGetter returns the value of a header field, nil where it is absent.
+// HeaderGetter returns the value of a header field, or nil if the field is absent.
 type HeaderGetter interface{ Get(name string) []byte }
 
 const (
-	anySegment = "*"  // one path segment, not empty
-	anyRest    = "**" // at the end of a path: any segments, or none
+	anySegment = "*"  // matches one path segment that is not empty
+	anyRest    = "**" // at the end of a path: matches any number of segments
 )
 
-// pathSegments splits a path after its first slash.
+// pathSegments splits a path into its segments, without the slash at its start.
 func pathSegments(path string) []string {
 	if path == "/" || path == "" {
 		return nil
@@ -32,41 +32,44 @@
 	return strings.Split(strings.TrimPrefix(path, "/"), "/")
 }
 
-// audience is the method and tenant that an entry is for; "" is any.
+// methodTenant is the method and the tenant that an entry matches; "" matches any.
 type methodTenant struct{ method, tenant string }
 
+// header is a header field that a request must have.
 type header struct{ name, value string }
 
+// entry is a route in a leaf.
 type entry struct {
-	headers []header
-	route   int
+	headers []header // conditions, by name
+	route   int      // index in the table
 }
 
-// leaf holds the routes of one path by the other conditions that they have.
+// leaf holds the routes with one path, by their conditions on method and tenant.
 type leaf struct {
-	by    map[methodTenant][]entry // those with more headers first
-	forms [4]bool                  // which there are, most specific first: method and tenant, method, tenant, neither
+	by    map[methodTenant][]entry // entries with more headers first
+	forms [4]bool                  // whether by has keys that name: method and tenant; only the method; only the tenant; neither
 }
 
-// tree is a trie of path segments: the cost of a match grows with the segments of its path and hardly with the number of
-// routes.
+// tree is a trie of path segments. The cost of a match grows with the number of segments of the path, and hardly with the
+// number of routes.
 type tree struct {
 	literal    map[string]*tree
 	anySegment *tree
-	end        *leaf // the path ends here
-	rest       *leaf // any segments follow
+	end        *leaf // routes whose path ends here; nil: none
+	rest       *leaf // routes whose path continues with **; nil: none
 }
 
-// add inserts a route. It returns a route that matches the same requests with neither more specific, or -1.
-func (t *tree) add(path []string, r *Route, number int) (clash int) {
-	for i, part := range path {
+// add inserts a route. It returns an earlier route that can match the same request while neither is more specific, or -1
+// if there is none.
+func (t *tree) add(path []string, r *Route, index int) (clash int) {
+	for i, segment := range path {
 		switch {
-		case part == anyRest && i == len(path)-1:
+		case segment == anyRest && i == len(path)-1:
 			if t.rest == nil {
 				t.rest = &leaf{by: map[methodTenant][]entry{}}
 			}
-			return t.rest.add(r, number)
-		case part == anySegment:
+			return t.rest.add(r, index)
+		case segment == anySegment:
 			if t.anySegment == nil {
 				t.anySegment = &tree{}
 			}
@@ -75,18 +78,19 @@
 			if t.literal == nil {
 				t.literal = map[string]*tree{}
 			}
-			if t.literal[part] == nil {
-				t.literal[part] = &tree{}
+			if t.literal[segment] == nil {
+				t.literal[segment] = &tree{}
 			}
-			t = t.literal[part]
+			t = t.literal[segment]
 		}
 	}
 	if t.end == nil {
 		t.end = &leaf{by: map[methodTenant][]entry{}}
 	}
-	return t.end.add(r, number)
+	return t.end.add(r, index)
 }
 
+// orAny returns names, or the name that matches any if names is empty.
 func orAny(names []string) []string {
 	if len(names) == 0 {
 		return []string{""}
@@ -94,41 +98,43 @@
 	return names
 }
 
-func (l *leaf) add(r *Route, number int) (clash int) {
+// add inserts a route for each of its methods and tenants. See tree.add for the result.
+func (l *leaf) add(r *Route, index int) (clash int) {
 	clash = -1
-	e := entry{route: number}
+	added := entry{route: index}
 	for name, value := range r.Headers {
-		e.headers = append(e.headers, header{name, value})
+		added.headers = append(added.headers, header{name, value})
 	}
-	slices.SortFunc(e.headers, func(a, b header) int { return cmp.Compare(a.name, b.name) })
+	slices.SortFunc(added.headers, func(a, b header) int { return cmp.Compare(a.name, b.name) })
 	for _, method := range orAny(r.Methods) {
 		for _, tenant := range orAny(r.Tenants) {
-			w := methodTenant{method, tenant}
-			l.forms[w.form()] = true
-			for _, other := range l.by[w] {
-				if len(other.headers) == len(e.headers) && overlap(other.headers, e.headers) {
+			key := methodTenant{method, tenant}
+			l.forms[key.form()] = true
+			for _, other := range l.by[key] {
+				if len(other.headers) == len(added.headers) && overlap(other.headers, added.headers) {
 					clash = other.route
 				}
 			}
-			i, _ := slices.BinarySearchFunc(l.by[w], len(e.headers), func(x entry, n int) int { return n - len(x.headers) })
-			l.by[w] = slices.Insert(l.by[w], i, e)
+			position, _ := slices.BinarySearchFunc(l.by[key], len(added.headers), func(existing entry, count int) int { return count - len(existing.headers) })
+			l.by[key] = slices.Insert(l.by[key], position, added)
 		}
 	}
 	return clash
 }
 
-func (w methodTenant) form() int {
+// form returns the index in leaf.forms.
+func (m methodTenant) form() int {
 	form := 0
-	if w.method == "" {
+	if m.method == "" {
 		form += 2
 	}
-	if w.tenant == "" {
+	if m.tenant == "" {
 		form++
 	}
 	return form
 }
 
-// overlap reports whether a request can satisfy both lists: no field is required with two values.
+// overlap reports whether a request can satisfy both lists, which means that no field is required with two values.
 func overlap(a, b []header) bool {
 	for _, x := range a {
 		for _, y := range b {
@@ -140,11 +146,17 @@
 	return true
 }
 
-// match finds the most specific route of a request, -1 for none. It allocates nothing.
+// match returns the most specific route of a request, or -1 if no route matches. It allocates nothing.
 //
-// The order of routes, which is total over those that a table may hold together: the first segment in which two paths
-// differ decides, a literal before *, * before **, and a path that ends before one that ends in **; then a method named
-// before none; then a tenant named before none; then more headers before fewer.
+// Of two routes that match a request, the first difference in this order decides which one is more specific:
+//
+//   - the first path segment in which they differ: a literal before *, * before **, and a path that ends before a path
+//     that continues with **
+//   - a route with methods before a route without
+//   - a route with tenants before a route without
+//   - a route with more headers before a route with fewer
+//
+// The order is total for the routes of one table, because a table with two routes that it does not order is rejected.
 func (t *tree) match(path []byte, r *Request) int {
 	if len(path) == 0 {
 		if found := t.end.match(r); found >= 0 {
@@ -152,22 +164,22 @@
 		}
 		return t.rest.match(r)
 	}
-	part, more := nextSegment(path)
-	if next := t.literal[string(part)]; next != nil {
-		if found := next.match(more, r); found >= 0 {
+	segment, rest := nextSegment(path)
+	if next := t.literal[string(segment)]; next != nil {
+		if found := next.match(rest, r); found >= 0 {
 			return found
 		}
 	}
-	if t.anySegment != nil && len(part) > 0 {
-		if found := t.anySegment.match(more, r); found >= 0 {
+	if t.anySegment != nil && len(segment) > 0 {
+		if found := t.anySegment.match(rest, r); found >= 0 {
 			return found
 		}
 	}
 	return t.rest.match(r)
 }
 
-// nextSegment splits the first segment off the rest of a path, which begins with its slash.
-func nextSegment(path []byte) (part, more []byte) {
+// nextSegment splits a path, which begins with a slash, into its first segment and the rest.
+func nextSegment(path []byte) (segment, rest []byte) {
 	path = path[1:]
 	if i := bytes.IndexByte(path, '/'); i >= 0 {
 		return path[:i], path[i:]
@@ -175,34 +187,36 @@
 	return path, nil
 }
 
+// match returns the most specific route of the leaf that matches a request, or -1.
 func (l *leaf) match(r *Request) int {
 	if l == nil {
 		return -1
 	}
-	for form, there := range l.forms {
-		if !there {
+	for form, isPresent := range l.forms {
+		if !isPresent {
 			continue
 		}
-		var all []entry
+		var entries []entry
 		switch form {
 		case 0:
-			all = l.by[methodTenant{string(r.Method), string(r.Tenant)}]
+			entries = l.by[methodTenant{string(r.Method), string(r.Tenant)}]
 		case 1:
-			all = l.by[methodTenant{method: string(r.Method)}]
+			entries = l.by[methodTenant{method: string(r.Method)}]
 		case 2:
-			all = l.by[methodTenant{tenant: string(r.Tenant)}]
+			entries = l.by[methodTenant{tenant: string(r.Tenant)}]
 		case 3:
-			all = l.by[methodTenant{}]
+			entries = l.by[methodTenant{}]
 		}
-		for i := range all {
-			if all[i].matches(r) {
-				return all[i].route
+		for i := range entries {
+			if entries[i].matches(r) {
+				return entries[i].route
 			}
 		}
 	}
 	return -1
 }
 
+// matches reports whether a request has the header fields of the entry.
 func (e *entry) matches(r *Request) bool {
 	for _, h := range e.headers {
 		if r.Headers == nil || string(r.Headers.Get(h.name)) != h.value {
@@ -212,26 +226,27 @@
 	return true
 }
 
-// matches matches one route by itself and returns the condition that is not met, "" for a match. Explain uses it; tests
-// compare the tree with it.
-func (r *Route) matches(q *Request) (why string) {
-	if !matchesPath(pathSegments(r.Path), pathSegments(string(q.Path))) {
-		return fmt.Sprintf("the path is not %s", r.Path)
+// matches compares a request with a single route. It returns the condition that the request does not meet, or "" if the
+// route matches. Explain uses it, and tests use it as the reference for the tree.
+func (r *Route) matches(request *Request) (unmet string) {
+	if !matchesPath(pathSegments(r.Path), pathSegments(string(request.Path))) {
+		return fmt.Sprintf("path does not match %s", r.Path)
 	}
-	if len(r.Methods) > 0 && !slices.Contains(r.Methods, string(q.Method)) {
-		return fmt.Sprintf("the method is none of %s", strings.Join(r.Methods, ", "))
+	if len(r.Methods) > 0 && !slices.Contains(r.Methods, string(request.Method)) {
+		return fmt.Sprintf("method is none of %s", strings.Join(r.Methods, ", "))
 	}
-	if len(r.Tenants) > 0 && !slices.Contains(r.Tenants, string(q.Tenant)) {
-		return fmt.Sprintf("the tenant is none of %s", strings.Join(r.Tenants, ", "))
+	if len(r.Tenants) > 0 && !slices.Contains(r.Tenants, string(request.Tenant)) {
+		return fmt.Sprintf("tenant is none of %s", strings.Join(r.Tenants, ", "))
 	}
 	for name, value := range r.Headers {
-		if q.Headers == nil || string(q.Headers.Get(name)) != value {
-			return fmt.Sprintf("the field %s is not %q", name, value)
+		if request.Headers == nil || string(request.Headers.Get(name)) != value {
+			return fmt.Sprintf("header %s is not %q", name, value)
 		}
 	}
 	return ""
 }
 
+// matchesPath reports whether the segments of a path match those of a pattern.
 func matchesPath(pattern, path []string) bool {
 	for i, p := range pattern {
 		if p == anyRest && i == len(pattern)-1 {
@@ -244,42 +259,43 @@
 	return len(path) == len(pattern)
 }
 
-// compare tells which of two routes that match the same request is more specific (below 0: a), and what decides.
+// compare compares two routes that match the same request. order is negative if a is more specific, positive if b is, and
+// 0 if neither is; by names the condition that decides. See tree.match for the order.
 func compare(a, b *Route) (order int, by string) {
-	rank := func(p []string, i int) int {
+	rank := func(segments []string, i int) int {
 		switch {
-		case i == len(p):
+		case i == len(segments):
 			return 2
-		case p[i] == anyRest && i == len(p)-1:
+		case segments[i] == anyRest && i == len(segments)-1:
 			return 3
-		case p[i] == anySegment:
+		case segments[i] == anySegment:
 			return 1
 		}
 		return 0
 	}
-	x, y := pathSegments(a.Path), pathSegments(b.Path)
-	for i := range min(len(x), len(y)) + 1 {
-		if i > len(x) || i > len(y) {
+	aSegments, bSegments := pathSegments(a.Path), pathSegments(b.Path)
+	for i := range min(len(aSegments), len(bSegments)) + 1 {
+		if i > len(aSegments) || i > len(bSegments) {
 			break
 		}
-		if c := cmp.Compare(rank(x, i), rank(y, i)); c != 0 {
-			return c, fmt.Sprintf("part %d of the path", i+1)
+		if difference := cmp.Compare(rank(aSegments, i), rank(bSegments, i)); difference != 0 {
+			return difference, fmt.Sprintf("path segment %d", i+1)
 		}
 	}
-	named := func(names []string) int {
+	anyRank := func(names []string) int {
 		if len(names) > 0 {
 			return 0
 		}
 		return 1
 	}
-	if c := cmp.Compare(named(a.Methods), named(b.Methods)); c != 0 {
-		return c, "the method"
+	if difference := cmp.Compare(anyRank(a.Methods), anyRank(b.Methods)); difference != 0 {
+		return difference, "method"
 	}
-	if c := cmp.Compare(named(a.Tenants), named(b.Tenants)); c != 0 {
-		return c, "the tenant"
+	if difference := cmp.Compare(anyRank(a.Tenants), anyRank(b.Tenants)); difference != 0 {
+		return difference, "tenant"
 	}
-	if c := cmp.Compare(len(b.Headers), len(a.Headers)); c != 0 {
-		return c, "the number of headers"
+	if difference := cmp.Compare(len(b.Headers), len(a.Headers)); difference != 0 {
+		return difference, "number of headers"
 	}
 	return 0, ""
 }
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -9,165 +9,168 @@
 	"fernvane/policy"
 )
 
-// Update is what the policy and the dispatcher are given after a Replace.
+// Update describes the effect of Router.Replace for the policy and the dispatcher.
 type Update struct {
-	TrafficTypes     []policy.TrafficType
-	LearnFrom        []int
-	RouteLimits      []int
-	SelectionChanged bool // servers' labels or protocols may have changed
+	TrafficTypes     []policy.TrafficType // all traffic types of the policy
+	LearnFrom        []int                // by traffic type: the type whose statistics it starts with; its own index: none
+	RouteLimits      []int                // requests with an attempt in flight, by route limit; 0: unlimited
+	SelectionChanged bool                 // labels or protocols of servers may have changed
 }
 
-// typeState is a traffic type of the policy.
+// typeState is the state of one traffic type of the policy.
 type typeState struct {
 	profile    Profile
 	poolLabels uint64 // labels of the policy
-	admitted   int
-	isUsed     bool // by the table in force
-	isFree     bool
+	admitted   int    // requests admitted and not yet released
+	isUsed     bool   // by the table in effect
+	isFree     bool   // the index can be reused
 }
 
-// Router holds the routes of a running node over all reloads. It does not lock: the dispatcher calls it under its own
-// mutex.
+// Router holds the routes of a running node across reloads. It is not safe for concurrent use: the dispatcher calls it
+// while holding its own mutex.
 type Router struct {
 	table          *Table
 	settingsTypes  int // number of traffic types of the settings, the first of types
-	tenantCount    int // number of named tenants; also the index that stands for all others
+	tenantCount    int // number of named tenants; also the index of all other tenants
 	types          []typeState
-	limiters       []routeLimiter // by route limit of the policy; 0: none
-	typeOfProfile  []int          // by profile of the table
-	limiterByRoute [][]int
-	poolNames      []string // by bit of the policy's labels
-	bitOfPool      []int    // by pool of the table
+	limiters       []routeLimiter // by route limit of the policy; index 0 is unused
+	typeOfProfile  []int          // traffic type of the policy, by profile of the table
+	limiterByRoute [][]int        // by route and by traffic type of the settings; 0: no limiter
+	poolNames      []string       // by bit of the policy's labels
+	bitOfPool      []int          // bit of the policy's labels, by pool of the table
 }
 
-// NewRouter starts with the settings' own types and no routes.
+// NewRouter returns a Router with the traffic types of the settings and no routes.
 func NewRouter(s *settings.Settings) *Router {
-	l := &Router{settingsTypes: len(s.TrafficTypes), tenantCount: len(s.TenantNames), limiters: make([]routeLimiter, 1), poolNames: make([]string, maxPools)}
+	r := &Router{settingsTypes: len(s.TrafficTypes), tenantCount: len(s.TenantNames), limiters: make([]routeLimiter, 1), poolNames: make([]string, maxPools)}
 	for i, t := range s.TrafficTypes {
-		l.types = append(l.types, typeState{profile: Profile{BaseType: i, Type: t}})
+		r.types = append(r.types, typeState{profile: Profile{BaseType: i, Type: t}})
 	}
-	return l
+	return r
 }
 
-// Table is the table in force, nil for none.
-func (l *Router) Table() *Table { return l.table }
+// Table returns the table in effect, or nil if there is none.
+func (r *Router) Table() *Table { return r.table }
 
-// Replace puts another table in force, nil for none. An open request keeps its traffic type: a
-// type that stays the same keeps its index, one that has changed gets a new index, and the old index is reused
-// once its last request is released. Concurrency
-// limits change at once, also for open requests; counts and limiters go on under the route's name.
-func (l *Router) Replace(now time.Duration, table *Table) Update {
-	old := l.table
-	oldKindOf, oldBitOf := l.typeOfProfile, l.bitOfPool
-	l.table = table
-	l.bitOfPool = l.assignPools(table)
+// Replace puts another table into effect, or none if table is nil. An open request keeps its traffic type: an unchanged
+// type keeps its index, a changed type gets a new index, and the old index is reused once its last request is released.
+// Concurrency limits change immediately, also for open requests. Counters and limiters are kept under the name of the
+// route.
+func (r *Router) Replace(now time.Duration, table *Table) Update {
+	old := r.table
+	oldTypeOfProfile, oldBitOfPool := r.typeOfProfile, r.bitOfPool
+	r.table = table
+	r.bitOfPool = r.assignPools(table)
 	var profiles []Profile
 	if table != nil {
 		profiles = table.Profiles
 	}
-	for i := range l.types {
-		l.types[i].isUsed = i < l.settingsTypes
+	for i := range r.types {
+		r.types[i].isUsed = i < r.settingsTypes
 	}
-	like := make([]int, len(l.types))
-	for i := range like {
-		like[i] = i
+	learnFrom := make([]int, len(r.types))
+	for i := range learnFrom {
+		learnFrom[i] = i
 	}
-	l.typeOfProfile = make([]int, len(profiles))
-	for i, p := range profiles {
-		if i < l.settingsTypes {
-			l.typeOfProfile[i] = i
+	r.typeOfProfile = make([]int, len(profiles))
+	for i, profile := range profiles {
+		if i < r.settingsTypes {
+			r.typeOfProfile[i] = i
 			continue
 		}
-		pools := l.toLabels(p.Type.PoolLabels)
-		at := slices.IndexFunc(l.types, func(k typeState) bool { return !k.isFree && k.profile == p && k.poolLabels == pools })
-		if at < 0 {
-			if at = slices.IndexFunc(l.types, func(k typeState) bool { return k.isFree }); at < 0 {
-				at = len(l.types)
-				l.types, like = append(l.types, typeState{}), append(like, 0)
+		labels := r.toLabels(profile.Type.PoolLabels)
+		index := slices.IndexFunc(r.types, func(state typeState) bool {
+			return !state.isFree && state.profile == profile && state.poolLabels == labels
+		})
+		if index < 0 {
+			if index = slices.IndexFunc(r.types, func(state typeState) bool { return state.isFree }); index < 0 {
+				index = len(r.types)
+				r.types, learnFrom = append(r.types, typeState{}), append(learnFrom, 0)
 			}
-			l.types[at] = typeState{profile: p, poolLabels: pools}
-			like[at] = p.BaseType
-			if from := predecessor(old, oldKindOf, table, i); from >= 0 && !l.types[from].isFree && from != at {
-				like[at] = from
+			r.types[index] = typeState{profile: profile, poolLabels: labels}
+			learnFrom[index] = profile.BaseType
+			if previous := predecessor(old, oldTypeOfProfile, table, i); previous >= 0 && !r.types[previous].isFree && previous != index {
+				learnFrom[index] = previous
 			}
 		}
-		l.types[at].isUsed = true
-		l.typeOfProfile[i] = at
+		r.types[index].isUsed = true
+		r.typeOfProfile[i] = index
 	}
-	l.assignLimiters(now, table)
-	u := Update{LearnFrom: like, SelectionChanged: !slices.Equal(oldBitOf, l.bitOfPool) || !sameSelection(old, table)}
-	for i := range l.types {
-		l.types[i].isFree = !l.types[i].isUsed && l.types[i].admitted == 0
-		t := l.types[i].profile.Type
-		t.PoolLabels = l.types[i].poolLabels
-		u.TrafficTypes = append(u.TrafficTypes, t)
+	r.assignLimiters(now, table)
+	update := Update{LearnFrom: learnFrom, SelectionChanged: !slices.Equal(oldBitOfPool, r.bitOfPool) || !sameSelection(old, table)}
+	for i := range r.types {
+		r.types[i].isFree = !r.types[i].isUsed && r.types[i].admitted == 0
+		trafficType := r.types[i].profile.Type
+		trafficType.PoolLabels = r.types[i].poolLabels
+		update.TrafficTypes = append(update.TrafficTypes, trafficType)
 	}
-	for i := range l.limiters {
-		u.RouteLimits = append(u.RouteLimits, l.limiters[i].maxInFlight)
+	for i := range r.limiters {
+		update.RouteLimits = append(update.RouteLimits, r.limiters[i].maxInFlight)
 	}
-	return u
+	return update
 }
 
-// sameSelection reports whether two tables put every server into the same pools and have it speak the same protocol.
+// sameSelection reports whether two tables assign the same pools and the same protocol to every server.
 func sameSelection(a, b *Table) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
-	same := func(p, q Pool) bool {
+	sameServers := func(p, q Pool) bool {
 		return slices.Equal(p.Sites, q.Sites) && slices.Equal(p.Flavors, q.Flavors) && slices.Equal(p.Servers, q.Servers)
 	}
-	speaks := func(f FastCGI) Pool { return Pool{Sites: f.Sites, Flavors: f.Flavors, Servers: f.Servers} }
-	return slices.EqualFunc(a.Pools, b.Pools, same) && same(speaks(a.FastCGI), speaks(b.FastCGI))
+	selection := func(f FastCGI) Pool { return Pool{Sites: f.Sites, Flavors: f.Flavors, Servers: f.Servers} }
+	return slices.EqualFunc(a.Pools, b.Pools, sameServers) && sameServers(selection(a.FastCGI), selection(b.FastCGI))
 }
 
-// predecessor is the policy's index of the traffic type that the first route of a profile had before; -1: none.
-func predecessor(old *Table, kindOf []int, table *Table, profile int) int {
+// predecessor returns the policy's index of the traffic type that the first route of a profile had in the old table, or
+// -1 if there is none.
+func predecessor(old *Table, typeOfProfile []int, table *Table, profile int) int {
 	if old == nil {
 		return -1
 	}
-	was, ok := old.byName[table.Routes[table.firstRoute[profile]].Name]
+	oldRoute, ok := old.byName[table.Routes[table.firstRoute[profile]].Name]
 	if !ok {
 		return -1
 	}
-	if p := old.Routes[was].profileByType[table.Profiles[profile].BaseType]; p >= 0 {
-		return kindOf[p]
+	if oldProfile := old.Routes[oldRoute].profileByType[table.Profiles[profile].BaseType]; oldProfile >= 0 {
+		return typeOfProfile[oldProfile]
 	}
 	return -1
 }
 
-// assignPools gives each pool a bit, which stays with its name as long as an open request may select by it.
-func (l *Router) assignPools(table *Table) []int {
+// assignPools assigns a label bit to each pool. A pool name keeps its bit while an open request may select servers by it.
+func (r *Router) assignPools(table *Table) []int {
 	if table == nil {
 		return nil
 	}
-	held := uint64(0)
-	for _, k := range l.types {
-		if k.admitted > 0 {
-			held |= k.poolLabels
+	usedBits := uint64(0)
+	for _, state := range r.types {
+		if state.admitted > 0 {
+			usedBits |= state.poolLabels
 		}
 	}
-	bitOf := make([]int, len(table.Pools))
+	bitOfPool := make([]int, len(table.Pools))
 	for i, p := range table.Pools {
-		if bitOf[i] = slices.Index(l.poolNames, p.Name); bitOf[i] >= 0 {
-			held |= 1 << bitOf[i]
+		if bitOfPool[i] = slices.Index(r.poolNames, p.Name); bitOfPool[i] >= 0 {
+			usedBits |= 1 << bitOfPool[i]
 		}
 	}
 	for i, p := range table.Pools {
-		if bitOf[i] < 0 {
-			bit := bits.TrailingZeros64(^held)
-			if bit == maxPools { // all bits are in use by open requests: the last serves two names until they end
+		if bitOfPool[i] < 0 {
+			bit := bits.TrailingZeros64(^usedBits)
+			if bit == maxPools { // open requests use all bits: two pools share the last bit until those requests end
 				bit--
 			}
-			bitOf[i], l.poolNames[bit] = bit, p.Name
-			held |= 1 << bit
+			bitOfPool[i], r.poolNames[bit] = bit, p.Name
+			usedBits |= 1 << bit
 		}
 	}
-	return bitOf
+	return bitOfPool
 }
 
-// toLabels turns pools as the table numbers them into the policy's labels.
-func (l *Router) toLabels(pools uint64) (labels uint64) {
-	for i, bit := range l.bitOfPool {
+// toLabels converts a bit set of pools, numbered as in the table, to the policy's labels.
+func (r *Router) toLabels(pools uint64) (labels uint64) {
+	for i, bit := range r.bitOfPool {
 		if pools&(1<<i) != 0 {
 			labels |= 1 << bit
 		}
@@ -175,10 +178,10 @@
 	return labels
 }
 
-// Labels are the pools that a server is in, as policy.Endpoint.Labels has them.
-func (l *Router) Labels(id, site, flavor string) uint64 {
-	if l.table == nil {
+// Labels returns the pools of a server in the form of policy.Endpoint.Labels.
+func (r *Router) Labels(id, site, flavor string) uint64 {
+	if r.table == nil {
 		return 0
 	}
-	return l.toLabels(l.table.labels(id, site, flavor))
+	return r.toLabels(r.table.labels(id, site, flavor))
 }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -9,94 +9,95 @@
 	"fernvane/policy"
 )
 
-// otherTenants is the file's name for tenants that the settings do not name.
+// otherTenants is the key in the file for all tenants that the settings do not name.
 const otherTenants = "other"
 
-// Profile is a traffic type as the policy gets it: one of the settings' types under the limits of a route. Routes with
-// the same limits share a profile. The first profiles are the settings' own types.
+// Profile is a traffic type in the form that the policy uses: a traffic type of the settings with the limits of a route.
+// Routes with equal limits share a profile. The first profiles are the unchanged types of the settings.
 type Profile struct {
 	BaseType int // traffic type of the settings
 	Type     policy.TrafficType
-	Owner    string // the one route that it is for, where it has budgets of its own
+	Owner    string // name of the one route that uses the profile, if the profile has a retry or hedging budget; "": shared
 }
 
-// compiledRoute is a route with what compilation derived from it.
+// compiledRoute is a route with the values that compilation derives from it.
 type compiledRoute struct {
 	Route
-	Line          int
+	Line          int      // in the file; 0: not known
 	profileByType []int    // profile by traffic type; -1: the route does not serve the type
-	limitsByType  []Limits // by traffic type, with class and defaults joined in
-	classType     int      // traffic type that it assigns; -1: none
-	fallback      int      // route; -1: none
+	limitsByType  []Limits // by traffic type, including those of the class and the defaults
+	classType     int      // traffic type that the route assigns; -1: none
+	fallback      int      // index of the fallback route; -1: none
 }
 
-// Table is an operator's file that was read in full and found valid. It is immutable once Parse or Assemble returns it.
+// Table is a compiled operator's file without faults. It is immutable once Parse or Assemble has returned it.
 type Table struct {
 	Name     string
 	Routes   []compiledRoute
 	Profiles []Profile
 	Pools    []Pool
 	FastCGI  FastCGI
-	Listen   netip.AddrPort // listener of FastCGI clients; the zero value: none
+	Listen   netip.AddrPort // listen address for FastCGI clients; the zero value: none
 	tree     *tree
 	types    map[string]int
 	tenants  map[string]int
 
 	profileIndex map[Profile]int
-	firstRoute   []int // by profile: the first route that has it; -1: the settings' own
+	firstRoute   []int // by profile: the first route that uses it; -1: a type of the settings
 	byName       map[string]int
-	file         *tomlfile.File // lines of its keys
-	source       *File          // what the table was compiled from
+	file         *tomlfile.File // line of each key
+	source       *File          // input of the compilation
 }
 
-// profile returns the index of p, which it adds where it is new.
-func (s *Table) profile(p Profile, route int) int {
-	i, ok := s.profileIndex[p]
+// profile returns the index of a profile, and adds the profile if it is new.
+func (t *Table) profile(profile Profile, route int) int {
+	index, ok := t.profileIndex[profile]
 	if !ok {
-		i = len(s.Profiles)
-		s.profileIndex[p] = i
-		s.Profiles, s.firstRoute = append(s.Profiles, p), append(s.firstRoute, route)
+		index = len(t.Profiles)
+		t.profileIndex[profile] = index
+		t.Profiles, t.firstRoute = append(t.Profiles, profile), append(t.firstRoute, route)
 	}
-	return i
+	return index
 }
 
-// Match finds the route of a request and the traffic type that it is taken for. route is -1 where none matches or
-// the one that does is not for the type; kind is the index of the traffic type, -1 where there is none. It is called for each request, and allocates nothing.
-func (s *Table) Match(r *Request) (route, kind int) {
-	route, kind = -1, -1
+// Match returns the route of a request and the index of its traffic type. route is -1 if no route matches or if the
+// matching route does not serve the traffic type; trafficType is -1 if the request has none. Match is called for each
+// request and allocates nothing.
+func (t *Table) Match(r *Request) (route, trafficType int) {
+	route, trafficType = -1, -1
 	if len(r.Path) == 0 || r.Path[0] != '/' {
 		return -1, -1
 	}
 	first, _ := nextSegment(r.Path)
-	if k, ok := s.types[string(first)]; ok {
-		kind = k
+	if typeOfPath, ok := t.types[string(first)]; ok {
+		trafficType = typeOfPath
 	}
-	if route = s.tree.match(r.Path, r); route < 0 {
-		return -1, kind
+	if route = t.tree.match(r.Path, r); route < 0 {
+		return -1, trafficType
 	}
-	if c := s.Routes[route].classType; c >= 0 {
-		kind = c
+	if assigned := t.Routes[route].classType; assigned >= 0 {
+		trafficType = assigned
 	}
-	if kind >= 0 && s.Routes[route].profileByType[kind] < 0 {
-		return -1, kind
+	if trafficType >= 0 && t.Routes[route].profileByType[trafficType] < 0 {
+		return -1, trafficType
 	}
-	return route, kind
+	return route, trafficType
 }
 
-// MaxBodyBytes is the largest body that a route takes, most where the route does not limit it.
-func (s *Table) MaxBodyBytes(route, kind, most int) int {
-	if route < 0 || s.Routes[route].limitsByType[kind].MaxBodyBytes == nil {
-		return most
+// MaxBodyBytes returns the maximum size of a request body in bytes: the limit of the route if it is set, but at most limit.
+func (t *Table) MaxBodyBytes(route, trafficType, limit int) int {
+	if route < 0 || t.Routes[route].limitsByType[trafficType].MaxBodyBytes == nil {
+		return limit
 	}
-	return min(*s.Routes[route].limitsByType[kind].MaxBodyBytes, most)
+	return min(*t.Routes[route].limitsByType[trafficType].MaxBodyBytes, limit)
 }
 
 // AllowsHedging reports whether requests of a route may be hedged.
-func (s *Table) AllowsHedging(route, kind int) bool {
-	return route >= 0 && s.Routes[route].limitsByType[kind].HedgeAfter != nil
+func (t *Table) AllowsHedging(route, trafficType int) bool {
+	return route >= 0 && t.Routes[route].limitsByType[trafficType].HedgeAfter != nil
 }
 
-// matches reports whether a server matches a selection; an empty list matches all servers.
+// matches reports whether a server matches a selection. An empty list matches all servers.
 func matches(sites, flavors, servers []string, id, site, flavor string) bool {
 	return (len(sites) == 0 || slices.Contains(sites, site)) && (len(flavors) == 0 || slices.Contains(flavors, flavor)) &&
 		(len(servers) == 0 || slices.ContainsFunc(servers, func(pattern string) bool {
@@ -107,9 +108,9 @@
 		}))
 }
 
-// labels are the pools that a server is in, one bit each in the order of the file.
-func (s *Table) labels(id, site, flavor string) (labels uint64) {
-	for i, p := range s.Pools {
+// labels returns the pools of a server, one bit for each pool in the order of the file.
+func (t *Table) labels(id, site, flavor string) (labels uint64) {
+	for i, p := range t.Pools {
 		if matches(p.Sites, p.Flavors, p.Servers, id, site, flavor) {
 			labels |= 1 << i
 		}
@@ -117,11 +118,11 @@
 	return labels
 }
 
-// SpeaksFastCGI reports whether a server speaks FastCGI; servers that the file does not name speak HTTP.
-func (s *Table) SpeaksFastCGI(id, site, flavor string) bool {
-	if s == nil {
+// SpeaksFastCGI reports whether a server uses FastCGI. Servers that the file does not select use HTTP.
+func (t *Table) SpeaksFastCGI(id, site, flavor string) bool {
+	if t == nil {
 		return false
 	}
-	f := &s.FastCGI
+	f := &t.FastCGI
 	return len(f.Sites)+len(f.Flavors)+len(f.Servers) > 0 && matches(f.Sites, f.Flavors, f.Servers, id, site, flavor)
 }
