--- a/internal/config/settings/placement.go
+++ b/internal/config/settings/placement.go
@@ -12,20 +12,20 @@
 	"fernvane/policy"
 )
 
-// decodeDrainClose reads the time within which idle connections to a draining server are closed.
-func decodeDrainClose(text json.RawMessage) (time.Duration, error) {
+// decodeDrainClose decodes the time within which idle connections to a draining server are closed.
+func decodeDrainClose(raw json.RawMessage) (time.Duration, error) {
 	var ms *float64
-	if err := json.Unmarshal(text, &ms); err != nil || ms == nil {
-		return 0, fmt.Errorf("rules.drainClose is %.40q, a time in milliseconds is wanted", text)
+	if err := json.Unmarshal(raw, &ms); err != nil || ms == nil {
+		return 0, fmt.Errorf("rules.drainClose is %.40q: expected a time in ms", raw)
 	}
 	if *ms < 0 {
-		return 0, fmt.Errorf("rules.drainClose is %g, a time of 0 ms or more is wanted", *ms)
+		return 0, fmt.Errorf("rules.drainClose is %g ms: expected 0 ms or more", *ms)
 	}
 	return FromMillis(*ms), nil
 }
 
-// addPlacement decodes where the traffic type at index i may be sent, and returns the bit of that placement, 0 for
-// anywhere. Types with the same placement share one.
+// addPlacement decodes the placement of the traffic type at index i and returns the bit of the placement, or 0 if the type
+// may be sent to any server. Types with equal placements share a bit.
 func (s *Settings) addPlacement(i int, t *trafficType) (uint64, error) {
 	if t.DcsOnly == nil && t.AllowedOn == nil {
 		return 0, nil
@@ -39,27 +39,28 @@
 		return 0, fmt.Errorf("traffic type %d: allowedOn %w", i, err)
 	}
 	placement := policy.Placement{Zones: zones, MachineKinds: kinds}
-	at := slices.IndexFunc(s.Placements, func(p policy.Placement) bool { return reflect.DeepEqual(p, placement) })
-	if at < 0 {
-		at = len(s.Placements)
+	index := slices.IndexFunc(s.Placements, func(p policy.Placement) bool { return reflect.DeepEqual(p, placement) })
+	if index < 0 {
+		index = len(s.Placements)
 		s.Placements = append(s.Placements, placement)
 	}
-	if at >= policy.MaxPlacements {
-		return 0, fmt.Errorf("traffic type %d: dcsOnly and allowedOn bind types in more than %d different ways", i, policy.MaxPlacements)
+	if index >= policy.MaxPlacements {
+		return 0, fmt.Errorf("traffic type %d: dcsOnly and allowedOn define more than %d different placements", i, policy.MaxPlacements)
 	}
-	return 1 << at, nil
+	return 1 << index, nil
 }
 
-var errIndexList = errors.New("must be a list of indexes (from 0) or of names")
+var errIndexList = errors.New("must be a list of indexes from 0, or of names")
 
-// decodeIndexes reads a list of zones or kinds, each an index into names or a name. A name that is new is added to names,
-// for a server may yet carry it. An absent list is nil, an empty one is not.
-func decodeIndexes(text json.RawMessage, names *[]string) ([]int, error) {
-	if text == nil {
+// decodeIndexes decodes a list of zones or machine kinds, each an index into names or a name. A name that is not in names
+// is added, because a server that is listed later may have it. The result is nil for an absent list, but not for an empty
+// list.
+func decodeIndexes(raw json.RawMessage, names *[]string) ([]int, error) {
+	if raw == nil {
 		return nil, nil
 	}
 	var entries []json.RawMessage
-	if err := json.Unmarshal(text, &entries); err != nil || entries == nil {
+	if err := json.Unmarshal(raw, &entries); err != nil || entries == nil {
 		return nil, errIndexList
 	}
 	indexes := make([]int, 0, len(entries))
@@ -79,10 +80,10 @@
 	return slices.Compact(indexes), nil
 }
 
-// indexOf returns the index of name, which it appends to a copy of names where it is new.
+// indexOf returns the index of name in names. A new name is appended to a copy of names.
 func indexOf(name string, names *[]string) int {
-	if at := slices.Index(*names, name); at >= 0 {
-		return at
+	if index := slices.Index(*names, name); index >= 0 {
+		return index
 	}
 	*names = append(slices.Clone(*names), name)
 	return len(*names) - 1
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -11,40 +11,40 @@
 	"fernvane/policy"
 )
 
-// Settings are the policy's settings, and those that only a node on sockets needs.
+// Settings are the settings of the policy and those that only a node needs that serves connections.
 type Settings struct {
 	policy.Settings
 	TypeNames   []string
 	TenantNames []string
-	Zones       []string      // names by index: those of the settings, then others that placements name
-	Kinds       []string      // kinds of machine, likewise
-	ConnIdle    time.Duration // an idle connection is closed after this at the latest
-	DrainGrace  time.Duration // from the drain notice: attempts decided before it may still be sent for this long; below 0: not set
+	Zones       []string      // names by index: zones of the settings, then further zones that placements name
+	Kinds       []string      // names by index: machine kinds of the settings, then further kinds that placements name
+	ConnIdle    time.Duration // maximum time that a connection stays idle before it is closed
+	DrainGrace  time.Duration // time after a drain notice in which attempts that were decided before it may still be sent; below 0: not set
 }
 
-// CheckCompatible reports why other cannot run in shadow beside these settings: both must name the same traffic types and
-// tenants and, where other has placements, the same zones and kinds of machine, for servers carry these by their index
-// here. A nil error means that it can.
+// CheckCompatible returns an error if other cannot be used as shadow settings of these settings. Both must define the same
+// traffic types and tenants. If other has placements, both must also define the same zones and machine kinds, because
+// servers refer to zones and kinds by their index in these settings.
 func (s *Settings) CheckCompatible(other *Settings) error {
 	if !slices.Equal(s.TypeNames, other.TypeNames) {
-		return fmt.Errorf("settings name the traffic types %q, the node's own %q: both must name the same", other.TypeNames, s.TypeNames)
+		return fmt.Errorf("settings define traffic types %q, node uses %q: both must be equal", other.TypeNames, s.TypeNames)
 	}
 	if !slices.Equal(s.TenantNames, other.TenantNames) {
-		return fmt.Errorf("settings name the tenants %q, the node's own %q: both must name the same", other.TenantNames, s.TenantNames)
+		return fmt.Errorf("settings define tenants %q, node uses %q: both must be equal", other.TenantNames, s.TenantNames)
 	}
 	if len(other.Placements) > 0 && !(slices.Equal(s.Zones, other.Zones) && slices.Equal(s.Kinds, other.Kinds)) {
-		return fmt.Errorf("settings bind traffic types and name the zones %q and kinds %q, the node's own %q and %q: both must name the same",
+		return fmt.Errorf("settings with placements define zones %q and machine kinds %q, node uses %q and %q: both must be equal",
 			other.Zones, other.Kinds, s.Zones, s.Kinds)
 	}
 	return nil
 }
 
-// FromMillis converts milliseconds to a duration, rounded to a nanosecond.
+// FromMillis converts milliseconds to a duration, rounded to the nearest nanosecond.
 func FromMillis(ms float64) time.Duration {
 	return time.Duration(math.Round(ms * float64(time.Millisecond)))
 }
 
-// Decode reads the platform's JSON form. The error, in one line, is the first thing that makes the settings unusable.
+// Decode decodes the platform's JSON form of the settings. The error describes the first fault, in one line.
 func Decode(text []byte) (Settings, error) {
 	var raw object
 	if err := json.Unmarshal(text, &raw); err != nil {
--- a/internal/config/settings/wire.go
+++ b/internal/config/settings/wire.go
@@ -7,7 +7,7 @@
 	"fernvane/policy"
 )
 
-// object is the settings as the platform writes them; times are in milliseconds.
+// object is the platform's JSON form of the settings. All times are in milliseconds.
 type object struct {
 	GroupSize      int     `json:"groupSize"`
 	Me             int     `json:"me"`
@@ -45,7 +45,7 @@
 	TrafficTypes []trafficType `json:"trafficTypes"`
 }
 
-// trafficType is one entry of the traffic types, likewise.
+// trafficType is the platform's JSON form of a traffic type. All times are in milliseconds.
 type trafficType struct {
 	Name         string          `json:"name"`
 	Idempotency  string          `json:"idempotency"`
@@ -59,7 +59,7 @@
 	AllowedOn    json.RawMessage `json:"allowedOn"`
 }
 
-// policySettings maps the scalar settings to the policy's terms.
+// policySettings maps the scalar settings to the terms of the policy.
 func (raw *object) policySettings() policy.Settings {
 	return policy.Settings{
 		NodeCount:                max(raw.GroupSize, 1),
@@ -81,40 +81,40 @@
 	}
 }
 
-// decode maps the traffic type at index i of the list to the policy's terms.
+// decode maps the traffic type at index i of the list to the terms of the policy.
 func (t *trafficType) decode(i int) (policy.TrafficType, error) {
-	tt := policy.TrafficType{
+	decoded := policy.TrafficType{
 		LatencyObjective: FromMillis(t.TargetTime),
 		ClientTimeout:    FromMillis(t.AbandonTime),
 		KeyRetention:     FromMillis(t.Window),
 		PriorityWeight:   t.Revenue,
 		LateWeightShare:  t.TardyRevenue,
 	}
-	if tt.LatencyObjective <= 0 {
-		return tt, fmt.Errorf("traffic type %d has no target time", i)
+	if decoded.LatencyObjective <= 0 {
+		return decoded, fmt.Errorf("traffic type %d: targetTime must be above 0 ms", i)
 	}
 	if t.TardyRevenue < 0 || t.TardyRevenue > 1 {
-		return tt, fmt.Errorf("traffic type %d: tardyRevenue is %g, a share of the revenue from 0 to 1 is wanted", i, t.TardyRevenue)
+		return decoded, fmt.Errorf("traffic type %d: tardyRevenue is %g: expected a share of the revenue from 0 to 1", i, t.TardyRevenue)
 	}
 	switch t.Idempotency {
 	case "safe":
-		tt.Idempotency = policy.Idempotent
+		decoded.Idempotency = policy.Idempotent
 	case "keyed":
-		tt.Idempotency = policy.IdempotentWithKey
+		decoded.Idempotency = policy.IdempotentWithKey
 	case "unsafe":
-		tt.Idempotency = policy.NonIdempotent
+		decoded.Idempotency = policy.NonIdempotent
 	default:
-		return tt, fmt.Errorf("traffic type %d: unknown idempotency %q", i, t.Idempotency)
+		return decoded, fmt.Errorf("traffic type %d: unknown idempotency %q", i, t.Idempotency)
 	}
 	switch t.KeyScope {
 	case "all", "":
-		tt.KeyScope = policy.KeyScopeAll
+		decoded.KeyScope = policy.KeyScopeAll
 	case "zone":
-		tt.KeyScope = policy.KeyScopeZone
+		decoded.KeyScope = policy.KeyScopeZone
 	case "cell":
-		tt.KeyScope = policy.KeyScopeCell
+		decoded.KeyScope = policy.KeyScopeCell
 	default:
-		return tt, fmt.Errorf("traffic type %d: unknown keyScope %q", i, t.KeyScope)
+		return decoded, fmt.Errorf("traffic type %d: unknown keyScope %q", i, t.KeyScope)
 	}
-	return tt, nil
+	return decoded, nil
 }
--- a/internal/config/tomlfile/tomlfile.go
+++ b/internal/config/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads an operator's TOML file strictly and finds the line of each key, so that whatever is wrong
-// with a file can be said as file:line: reason.
+// Package tomlfile decodes an operator's TOML file strictly and records the line of each key, so that every fault of a file
+// is reported as file:line: reason.
 package tomlfile
 
 import (
@@ -19,13 +19,13 @@
 
 const (
 	maxFileBytes = 1 << 20
-	maxFaults    = 100 // each costs one more decoding of the text
+	maxFaults    = 100 // each fault costs another decoding of the text
 )
 
-// Fault is one thing that is wrong with a file, with the line where it stands.
+// Fault is one fault of a file.
 type Fault struct {
 	File string
-	Line int // 0: the whole file
+	Line int // 0: the fault concerns the whole file
 	Why  string
 }
 
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Why)
 }
 
-// Faults is the error of a file that cannot be used: all its faults, in the order of their lines.
+// Faults is the error of an invalid file. It holds all faults in the order of their lines.
 type Faults []Fault
 
 func (f Faults) Error() string {
@@ -47,47 +47,47 @@
 	return strings.Join(lines, "\n")
 }
 
-// File is a file that has been parsed, with the line of each key and the faults found so far.
+// File is a parsed file, with the line of each key and the faults that have been recorded so far.
 type File struct {
 	Name   string
-	lines  map[string]int
+	lines  map[string]int // line by path of the key or table
 	faults Faults
 }
 
-// Read returns the text of the file at path. The error is that of reading it, or Faults where it is over 1 MiB.
+// Read returns the text of the file at path. The error is that of reading, or Faults for a file larger than 1 MiB.
 func Read(path string) ([]byte, error) {
-	s, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if s.Size() > maxFileBytes {
+	if info.Size() > maxFileBytes {
 		return nil, Faults{{File: path, Why: fmt.Sprintf("larger than %d bytes", maxFileBytes)}}
 	}
 	return os.ReadFile(path)
 }
 
-// Duration is a duration as files write it: "250ms".
+// Duration is a duration that files write with a unit, such as "250ms".
 type Duration time.Duration
 
-// UnmarshalText reads the form of time.ParseDuration.
-func (s *Duration) UnmarshalText(b []byte) error {
-	d, err := time.ParseDuration(string(b))
+// UnmarshalText parses the notation of time.ParseDuration.
+func (d *Duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no time with a unit, such as 250ms", b)
+		return fmt.Errorf("invalid duration %q: number with a unit expected, such as 250ms", text)
 	}
-	*s = Duration(d)
+	*d = Duration(parsed)
 	return nil
 }
 
-// MarshalText writes that form.
-func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+// MarshalText returns the notation of time.Duration.String.
+func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Std returns s as a time.Duration.
-func (s Duration) Std() time.Duration { return time.Duration(s) }
+// Std returns d as a time.Duration.
+func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Parse decodes a text into a struct. Unknown keys and values of the wrong type are recorded with their lines and the rest
-// is decoded, so that the caller can check it and add faults (Wrong) before it asks for Err. A non-nil error, of type
-// Faults, means that the rest of the text could not be decoded.
+// Parse decodes a text into the struct that into points to. Unknown keys and values of the wrong type are recorded with
+// their lines, and the rest is decoded, so that the caller can check the rest and record further faults with Wrong before
+// it calls Err. A non-nil error, of type Faults, means that the rest of the text could not be decoded.
 func Parse(name string, text []byte, into any) (*File, error) {
 	f := &File{Name: name, lines: map[string]int{}}
 	if len(text) > maxFileBytes {
@@ -98,27 +98,27 @@
 	}
 	isValid := f.indexLines(text)
 	for range maxFaults {
-		d := toml.NewDecoder(bytes.NewReader(text))
-		d.DisallowUnknownFields()
-		err := d.Decode(into)
-		var strict *toml.StrictMissingError
-		var decode *toml.DecodeError
+		decoder := toml.NewDecoder(bytes.NewReader(text))
+		decoder.DisallowUnknownFields()
+		err := decoder.Decode(into)
+		var unknownKeys *toml.StrictMissingError
+		var decodeError *toml.DecodeError
 		switch {
 		case err == nil:
 			return f, nil
-		case errors.As(err, &strict):
-			for _, e := range strict.Errors {
-				row, _ := e.Position()
-				f.faults = append(f.faults, Fault{name, row, fmt.Sprintf("unknown key %q", strings.Join(e.Key(), "."))})
+		case errors.As(err, &unknownKeys):
+			for _, unknownKey := range unknownKeys.Errors {
+				line, _ := unknownKey.Position()
+				f.faults = append(f.faults, Fault{name, line, fmt.Sprintf("unknown key %q", strings.Join(unknownKey.Key(), "."))})
 			}
 			return f, nil
-		case errors.As(err, &decode):
-			row, _ := decode.Position()
-			f.faults = append(f.faults, Fault{name, row, strings.TrimPrefix(decode.Error(), "toml: ")})
+		case errors.As(err, &decodeError):
+			line, _ := decodeError.Position()
+			f.faults = append(f.faults, Fault{name, line, strings.TrimPrefix(decodeError.Error(), "toml: ")})
 			if !isValid {
 				return f, f.Err()
 			}
-			if text = withoutLine(text, row); text == nil { // a value over several lines
+			if text = withoutLine(text, line); text == nil { // the value spans several lines
 				return f, f.Err()
 			}
 		default:
@@ -129,82 +129,82 @@
 	return f, f.Err()
 }
 
-// withoutLine returns the text with one line emptied, so that the lines after it are decoded too; nil if there is no such
-// line or it is empty.
-func withoutLine(text []byte, row int) []byte {
+// withoutLine returns the text with one line emptied, so that the lines after it can be decoded. It returns nil if the line
+// does not exist or is already empty.
+func withoutLine(text []byte, line int) []byte {
 	lines := bytes.Split(text, []byte{'\n'})
-	if row < 1 || row > len(lines) || len(bytes.TrimSpace(lines[row-1])) == 0 {
+	if line < 1 || line > len(lines) || len(bytes.TrimSpace(lines[line-1])) == 0 {
 		return nil
 	}
 	lines = slices.Clone(lines)
-	lines[row-1] = nil
+	lines[line-1] = nil
 	return bytes.Join(lines, []byte{'\n'})
 }
 
-// firstInvalidLine is the first line that is not UTF-8.
+// firstInvalidLine returns the first line that is not valid UTF-8, or 0 if all lines are valid.
 func firstInvalidLine(text []byte) int {
 	line := 1
 	for i := 0; i < len(text); {
-		r, n := utf8.DecodeRune(text[i:])
-		if r == utf8.RuneError && n == 1 {
+		r, size := utf8.DecodeRune(text[i:])
+		if r == utf8.RuneError && size == 1 {
 			return line
 		}
 		if r == '\n' {
 			line++
 		}
-		i += n
+		i += size
 	}
 	return 0
 }
 
-// indexLines records the line of each table and key, and reports whether the text parses. Entries of arrays of tables
-// count from 0: "faults.2.at".
+// indexLines records the line of each table and key, and reports whether the text is valid TOML. A path numbers the entries
+// of an array of tables from 0: "faults.2.at".
 func (f *File) indexLines(text []byte) (isValid bool) {
-	var p unstable.Parser
-	p.Reset(text)
-	count := map[string]int{}
+	var parser unstable.Parser
+	parser.Reset(text)
+	entryCount := map[string]int{}
 	prefix := ""
-	var ends []int // offsets of line ends; the parser's own look-up scans the text for each key
-	for i, c := range text {
-		if c == '\n' {
-			ends = append(ends, i)
+	var lineEnds []int // offsets of line ends; the parser's own lookup of a line would scan the text for each key
+	for i, char := range text {
+		if char == '\n' {
+			lineEnds = append(lineEnds, i)
 		}
 	}
-	for p.NextExpression() {
-		e := p.Expression()
+	for parser.NextExpression() {
+		expression := parser.Expression()
 		var path []string
 		line := 0
-		for k := e.Key(); k.Next(); {
-			n := k.Node()
-			path = append(path, string(n.Data))
+		for keys := expression.Key(); keys.Next(); {
+			node := keys.Node()
+			path = append(path, string(node.Data))
 			if line == 0 {
-				line, _ = slices.BinarySearch(ends, int(p.Range(n.Data).Offset))
+				line, _ = slices.BinarySearch(lineEnds, int(parser.Range(node.Data).Offset))
 				line++
 			}
 		}
 		key := strings.Join(path, ".")
-		switch e.Kind {
+		switch expression.Kind {
 		case unstable.Table:
-			prefix = inArray(key, count)
+			prefix = inArray(key, entryCount)
 			f.lines[prefix] = line
 		case unstable.ArrayTable:
-			key = inArray(key, count)
-			prefix = key + "." + strconv.Itoa(count[key])
-			count[key]++
+			key = inArray(key, entryCount)
+			prefix = key + "." + strconv.Itoa(entryCount[key])
+			entryCount[key]++
 			f.lines[prefix] = line
 		case unstable.KeyValue:
 			f.lines[strings.TrimPrefix(prefix+"."+key, ".")] = line
 		}
 	}
-	return p.Error() == nil
+	return parser.Error() == nil
 }
 
-// inArray appends the index of the latest entry to each part of a path that is an array of tables.
-func inArray(key string, count map[string]int) string {
+// inArray inserts, behind each part of a path that is an array of tables, the index of the latest entry of that array.
+func inArray(key string, entryCount map[string]int) string {
 	parts := strings.Split(key, ".")
 	full := parts[0]
 	for _, part := range parts[1:] {
-		if n := count[full]; n > 0 {
+		if n := entryCount[full]; n > 0 {
 			full += "." + strconv.Itoa(n-1)
 		}
 		full += "." + part
@@ -218,7 +218,7 @@
 	return ok
 }
 
-// Line is the line of a key, or of the nearest table around it; 0 for neither.
+// Line returns the line of a key, or else of the innermost table that contains it, or 0 if the file has neither.
 func (f *File) Line(path string) int {
 	for path != "" {
 		if line, ok := f.lines[path]; ok {
@@ -238,7 +238,7 @@
 	f.faults = append(f.faults, Fault{f.Name, f.Line(path), fmt.Sprintf(format, args...)})
 }
 
-// Err returns all faults recorded so far, nil for none.
+// Err returns all faults recorded so far, or nil if there are none.
 func (f *File) Err() error {
 	if len(f.faults) == 0 {
 		return nil
