--- a/internal/protocol/connclose/lifecycle.go
+++ b/internal/protocol/connclose/lifecycle.go
@@ -1,17 +1,17 @@
-// Package connclose decides when a client's connection that several requests share may be closed, so that no admitted request
-// loses its answer. It is free of I/O: internal/proxy passes in what happens on the connection and carries out the effect
-// that comes back. A Lifecycle belongs to its connection, whose lock guards it.
+// Package connclose decides when a client connection that several requests share may be closed, so that no admitted request
+// loses its response. It performs no I/O: internal/proxy passes in the events of the connection and executes the returned
+// effects. A Lifecycle belongs to its connection, whose lock guards it.
 package connclose
 
-// State of a connection.
+// State is the state of a connection.
 type State uint8
 
 // States of a connection.
 const (
 	Open            State = iota // requests are admitted
-	ClosingWhenIdle              // requests are admitted; closes as soon as none is open
-	Draining                     // requests are rejected; closes as soon as every admitted one is answered
-	Closed                       // nothing is written any more
+	ClosingWhenIdle              // requests are admitted; the connection closes as soon as no request is open
+	Draining                     // requests are rejected; the connection closes once all admitted requests are answered
+	Closed                       // nothing is written anymore
 	states
 )
 
@@ -20,46 +20,46 @@
 
 // Events on a connection.
 const (
-	// RequestStarted: the first part of a request was read.
+	// RequestStarted means that the first part of a request was read.
 	RequestStarted Input = iota
-	// RequestReceived: a request was read completely.
+	// RequestReceived means that a request was read completely.
 	RequestReceived
-	// RequestAborted: a request that had started will not be completed, and its client was notified.
+	// RequestAborted means that a started request will not be completed and that its client was notified.
 	RequestAborted
-	// RequestAnswered: an admitted request has its answer.
+	// RequestAnswered means that an admitted request was answered.
 	RequestAnswered
-	// CloseRequested: the client asked for the connection to be closed, or the node shuts down.
+	// CloseRequested means that the client requested the close of the connection, or that the node shuts down.
 	CloseRequested
-	// IntakeStopped: no new request can be read, since shutdown is near, a request stalls or cannot be parsed. All
-	// incomplete requests were notified that they never ran.
+	// IntakeStopped means that no new request is read, because shutdown is near or a request stalls or cannot be parsed.
+	// The clients of all incomplete requests were notified that these never ran.
 	IntakeStopped
-	// IdleTimeout: no request has started within the time for the next one.
+	// IdleTimeout means that the time in which the next request must start has passed.
 	IdleTimeout
-	// Disconnected: the client has closed or broken the connection.
+	// Disconnected means that the client has closed the connection or that the connection is broken.
 	Disconnected
 	inputs
 )
 
-// Effect is what the caller must do.
+// Effect is the action that the caller must take.
 type Effect uint8
 
 // Effects of an event.
 const (
-	NoEffect   Effect = iota // nothing
-	Admit                    // the request goes on
-	Reject                   // the client is notified that the request never ran
-	CloseWrite               // shut down writing and go on reading for a while, so that no reset overtakes an answer
-	Close                    // close at once: the client has gone
+	NoEffect   Effect = iota // no action
+	Admit                    // process the request
+	Reject                   // notify the client that the request never ran
+	CloseWrite               // shut down writing and continue to read for a while, so that no reset overtakes a response
+	Close                    // close immediately: the client has disconnected
 )
 
-// transition is the state that an event leads to, and its effect.
+// transition is the next state and the effect of an event.
 type transition struct {
 	next   State
 	effect Effect
 }
 
-// table holds all decisions but two, which Handle makes: an idle timeout that crosses a request has no effect, and a closing connection
-// with nothing left to do is closed.
+// table holds all transitions except two, which Handle makes: an idle timeout while a request is open has no effect, and a
+// closing connection without open requests is closed.
 var table = [states][inputs]transition{
 	Open: {
 		RequestStarted:  {Open, Admit},
@@ -103,40 +103,40 @@
 	},
 }
 
-// Lifecycle is the state of one connection. The zero value is an open connection without requests.
+// Lifecycle is the state machine of one connection. The zero value is an open connection without requests.
 type Lifecycle struct {
 	state     State
-	receiving int // requests read in part
-	inFlight  int // admitted requests without an answer
+	receiving int // requests that were read in part
+	inFlight  int // admitted requests that are not answered
 }
 
-// State returns the state.
+// State returns the current state.
 func (l *Lifecycle) State() State { return l.state }
 
-// Receiving returns how many requests have been read in part.
+// Receiving returns the number of requests that were read in part.
 func (l *Lifecycle) Receiving() int { return l.receiving }
 
-// InFlight returns how many admitted requests have no answer yet.
+// InFlight returns the number of admitted requests that are not answered.
 func (l *Lifecycle) InFlight() int { return l.inFlight }
 
-// Handle applies an event and returns its effect: CloseWrite where it leaves a closing connection with nothing to do.
-func (l *Lifecycle) Handle(in Input) Effect {
-	if in == IdleTimeout && l.receiving+l.inFlight > 0 { // a request started as the timer fired
+// Handle applies an event and returns its effect. The effect is CloseWrite if a closing connection has no open request left.
+func (l *Lifecycle) Handle(input Input) Effect {
+	if input == IdleTimeout && l.receiving+l.inFlight > 0 { // a request started when the timer fired
 		return NoEffect
 	}
-	t := table[l.state][in]
+	t := table[l.state][input]
 	l.state = t.next
 	switch {
-	case in == RequestStarted && t.effect == Admit:
+	case input == RequestStarted && t.effect == Admit:
 		l.receiving++
-	case in == RequestReceived && t.effect == Admit:
+	case input == RequestReceived && t.effect == Admit:
 		l.receiving--
 		l.inFlight++
-	case in == RequestAborted:
+	case input == RequestAborted:
 		l.receiving--
-	case in == RequestAnswered:
+	case input == RequestAnswered:
 		l.inFlight--
-	case in == IntakeStopped:
+	case input == IntakeStopped:
 		l.receiving = 0
 	}
 	if l.inFlight+l.receiving == 0 && (l.state == ClosingWhenIdle || l.state == Draining) {
--- a/internal/protocol/http1/aliases.go
+++ b/internal/protocol/http1/aliases.go
@@ -8,22 +8,22 @@
 // Request is a complete request.
 type Request = message.Request
 
-// Response is a server's complete response.
+// Response is a complete response of a server.
 type Response = message.Response
 
-// Answer is what the node sends to a client.
+// Answer is the response that the node sends to a client.
 type Answer = message.Answer
 
-// Operation is what the fields of a request say that decisions need.
+// Operation holds the values of a request on which decisions depend.
 type Operation = message.RequestInfo
 
 // Malformed is the error of a request that cannot be served.
 type Malformed = message.RequestError
 
-// Pool bounds the memory that connections share.
+// Pool bounds the memory that connections use for large messages.
 type Pool = message.BufferBudget
 
-// Bounds and field names of package message.
+// Limits and field names of package message.
 const (
 	MaxHead        = message.MaxHead
 	MaxBody        = message.MaxBody
@@ -32,5 +32,5 @@
 	RequestTimeout = message.RequestTimeout
 )
 
-// NewPool returns a budget of so many bytes.
+// NewPool returns a budget of the given number of bytes.
 func NewPool(bytes int) *Pool { return message.NewBufferBudget(bytes) }
--- a/internal/protocol/http1/body.go
+++ b/internal/protocol/http1/body.go
@@ -9,36 +9,37 @@
 
 var errChunk = errors.New("a chunk cannot be read")
 
-// readBody reads a body of the given length or framing from c.readPos on, and leaves c.readPos behind it.
-func (c *Conn) readBody(length, most int) ([]byte, error) {
-	from := c.readPos
+// readBody reads a body of the given length or framing, at most limit bytes. The body starts at c.readPos, and c.readPos is
+// moved behind it.
+func (c *Conn) readBody(length, limit int) ([]byte, error) {
+	start := c.readPos
 	switch length {
 	case chunked:
-		return c.readChunks(most)
+		return c.readChunks(limit)
 	case untilClose:
 		for {
-			if c.fillPos-from > most {
+			if c.fillPos-start > limit {
 				return nil, errTooLarge
 			}
-			if err := c.fill(from + most + 1); err == io.EOF {
+			if err := c.fill(start + limit + 1); err == io.EOF {
 				c.readPos = c.fillPos
-				return c.buf[from:c.fillPos], nil
+				return c.buf[start:c.fillPos], nil
 			} else if err != nil {
 				return nil, err
 			}
 		}
 	}
-	if length > most {
+	if length > limit {
 		return nil, errTooLarge
 	}
-	if err := c.fillTo(from+length, from+length); err != nil {
+	if err := c.fillTo(start+length, start+length); err != nil {
 		return nil, err
 	}
-	c.readPos = from + length
-	return c.buf[from:c.readPos], nil
+	c.readPos = start + length
+	return c.buf[start:c.readPos], nil
 }
 
-// fillTo reads until the buffer is filled up to an offset.
+// fillTo reads until the buffer is filled up to the offset to.
 func (c *Conn) fillTo(to, limit int) error {
 	for c.fillPos < to {
 		if err := c.fill(max(limit, to)); err != nil {
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// unexpectedEOF turns an end of the stream within a body into io.ErrUnexpectedEOF.
+// unexpectedEOF converts io.EOF within a body to io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -56,12 +57,12 @@
 	return err
 }
 
-// readChunks joins the chunks in place: each is moved down to the end of the one before it.
-func (c *Conn) readChunks(most int) ([]byte, error) {
-	from := c.readPos
-	limit := from + most + maxTrailerBytes
-	for to := from; ; {
-		line, err := c.readLine(to, maxChunkLineBytes, limit)
+// readChunks reads a chunked body and joins the chunks in place: each chunk is moved to the end of the previous one.
+func (c *Conn) readChunks(maxBytes int) ([]byte, error) {
+	start := c.readPos
+	limit := start + maxBytes + maxTrailerBytes
+	for end := start; ; {
+		line, err := c.readLine(end, maxChunkLineBytes, limit)
 		if err != nil {
 			return nil, err
 		}
@@ -72,62 +73,62 @@
 			return nil, errChunk
 		}
 		if size == 0 {
-			return c.buf[from:to], c.skipTrailer(to, limit)
+			return c.buf[start:end], c.skipTrailer(end, limit)
 		}
-		n := int(size)
-		if to-from+n > most {
+		length := int(size)
+		if end-start+length > maxBytes {
 			return nil, errTooLarge
 		}
-		for c.fillPos-c.readPos < n+2 {
-			if err := c.readMore(to, limit); err != nil {
+		for c.fillPos-c.readPos < length+2 {
+			if err := c.readMore(end, limit); err != nil {
 				return nil, err
 			}
 		}
-		if c.buf[c.readPos+n] != '\r' || c.buf[c.readPos+n+1] != '\n' {
+		if c.buf[c.readPos+length] != '\r' || c.buf[c.readPos+length+1] != '\n' {
 			return nil, errChunk
 		}
-		to += copy(c.buf[to:], c.buf[c.readPos:c.readPos+n])
-		c.readPos += n + 2
+		end += copy(c.buf[end:], c.buf[c.readPos:c.readPos+length])
+		c.readPos += length + 2
 	}
 }
 
-// skipTrailer skips the fields after the last chunk.
-func (c *Conn) skipTrailer(to, limit int) error {
-	for passed := 0; passed <= maxTrailerBytes; {
-		line, err := c.readLine(to, maxTrailerBytes, limit)
+// skipTrailer skips the fields after the last chunk. The bytes before the offset end are kept.
+func (c *Conn) skipTrailer(end, limit int) error {
+	for skipped := 0; skipped <= maxTrailerBytes; {
+		line, err := c.readLine(end, maxTrailerBytes, limit)
 		if err != nil {
 			return err
 		}
 		if len(line) == 0 {
 			return nil
 		}
-		passed += len(line)
+		skipped += len(line)
 	}
 	return errChunk
 }
 
-// readLine reads the next line, without its end. What lies before the offset to is kept.
-func (c *Conn) readLine(to, most, limit int) ([]byte, error) {
+// readLine reads the next line and returns it without its line end. The bytes before the offset end are kept.
+func (c *Conn) readLine(end, maxBytes, limit int) ([]byte, error) {
 	for {
-		if i := bytes.Index(c.buf[c.readPos:c.fillPos], []byte("\r\n")); i >= 0 {
-			line := c.buf[c.readPos : c.readPos+i]
-			c.readPos += i + 2
+		if length := bytes.Index(c.buf[c.readPos:c.fillPos], []byte("\r\n")); length >= 0 {
+			line := c.buf[c.readPos : c.readPos+length]
+			c.readPos += length + 2
 			return line, nil
 		}
-		if c.fillPos-c.readPos > most {
+		if c.fillPos-c.readPos > maxBytes {
 			return nil, errChunk
 		}
-		if err := c.readMore(to, limit); err != nil {
+		if err := c.readMore(end, limit); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// readMore reads once. A full buffer is first compacted over the bytes between to and the unread ones.
-func (c *Conn) readMore(to, limit int) error {
-	if c.fillPos == len(c.buf) && c.readPos > to {
-		c.fillPos = to + copy(c.buf[to:], c.buf[c.readPos:c.fillPos])
-		c.readPos = to
+// readMore reads once. If the buffer is full, the unread bytes are first moved to the offset end.
+func (c *Conn) readMore(end, limit int) error {
+	if c.fillPos == len(c.buf) && c.readPos > end {
+		c.fillPos = end + copy(c.buf[end:], c.buf[c.readPos:c.fillPos])
+		c.readPos = end
 	}
 	return unexpectedEOF(c.fill(limit))
 }
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -1,8 +1,8 @@
-// Package http1 reads and writes HTTP/1.1 messages on plain connections, and discovery's endpoint list (endpointlist.go),
-// whose field names no other package knows. It decides nothing and sends nothing twice.
+// Package http1 reads and writes HTTP/1.1 messages on plain connections, and decodes the endpoint list of discovery
+// (endpointlist.go), whose field names no other package uses. It makes no decisions and never re-sends a message.
 //
-// A Conn belongs to the goroutine that serves its connection. While that goroutine does not read, another may wait in
-// WaitDisconnected; HasUnread and PeekDisconnected may be called from any goroutine at any time.
+// A Conn belongs to the goroutine that serves its connection. While that goroutine does not read, another goroutine may wait
+// in WaitDisconnected. HasUnread and PeekDisconnected may be called from any goroutine at any time.
 package http1
 
 import (
@@ -15,24 +15,24 @@
 	"fernvane/internal/protocol/sockpeek"
 )
 
-// Bounds of a connection's buffer, in bytes, and of what it reads.
+// Limits of the buffer of a connection, in bytes, and of the messages that it reads.
 const (
-	initialBufferBytes  = 2 << 10 // fits most messages
-	KeptBuffer          = 8 << 10 // of a buffer between messages; more is reserved from the budget
-	maxEmptyLines       = 8       // ahead of a message
-	maxInterimResponses = 8       // 1xx ahead of the response
-	maxChunkLineBytes   = 256
-	maxTrailerBytes     = 4 << 10 // after the last chunk
+	initialBufferBytes  = 2 << 10 // enough for most messages
+	KeptBuffer          = 8 << 10 // retained between messages; larger buffers are reserved from the budget
+	maxEmptyLines       = 8       // before a message
+	maxInterimResponses = 8       // 1xx responses before the final response
+	maxChunkLineBytes   = 256     // size line of a chunk
+	maxTrailerBytes     = 4 << 10 // fields after the last chunk
 )
 
 var (
-	errTooLarge = errors.New("too large")
+	errTooLarge = errors.New("message exceeds its size limit")
 	errNoMemory = errors.New("no memory for so large a message now")
-	errNoHead   = errors.New("it does not begin as a head")
+	errNoHead   = errors.New("start of a message head expected")
 )
 
-// Conn is a connection with its one buffer. A message that was read lies in the buffer: it is valid until the next message
-// is read or written on the same connection.
+// Conn is a connection with one buffer. A message that was read points into the buffer and is valid until the next message
+// is read from or written to the connection.
 type Conn struct {
 	net.Conn
 	buf      []byte
@@ -44,8 +44,8 @@
 	observer ReadObserver // nil: none
 }
 
-// ReadObserver is notified by a connection's reader before and after it blocks, as sockpeek.ReadObserver is. half: part of
-// a message has been read.
+// ReadObserver is notified before and after the reader of a connection blocks, as described for sockpeek.ReadObserver. half
+// reports whether a message has been read in part.
 type ReadObserver interface {
 	ReadBlocked(half bool)
 	ReadReady() bool
@@ -60,13 +60,14 @@
 // ReadReady implements sockpeek.ReadObserver.
 func (c *Conn) ReadReady() bool { return c.observer.ReadReady() }
 
-// NewConn wraps a connection from which nothing has been read.
+// NewConn returns a Conn for a connection from which nothing has been read.
 func NewConn(c net.Conn) *Conn { return &Conn{Conn: c} }
 
-// NewPooled is NewConn for a connection that shares a budget of memory with others.
+// NewPooled returns a Conn for a connection from which nothing has been read and whose large buffers are reserved from a
+// budget.
 func NewPooled(c net.Conn, p *Pool) *Conn { return &Conn{Conn: c, budget: p} }
 
-// ReleaseBuffers frees a buffer that a large message has grown. What was read is not valid after it.
+// ReleaseBuffers frees a buffer that has grown for a large message. Messages that were read are invalid afterwards.
 func (c *Conn) ReleaseBuffers() {
 	if len(c.buf) > KeptBuffer {
 		c.buf, c.readPos, c.fillPos = nil, 0, 0
@@ -75,7 +76,7 @@
 	}
 }
 
-// AwaitMessage returns once a message has begun to arrive.
+// AwaitMessage returns once the first bytes of a message have arrived.
 func (c *Conn) AwaitMessage() error {
 	c.begin()
 	for c.readPos == c.fillPos {
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// begin moves unread bytes to the start of the buffer, and frees one that a large message has grown.
+// begin moves unread bytes to the start of the buffer. It frees an empty buffer that has grown for a large message.
 func (c *Conn) begin() {
 	if c.readPos > 0 {
 		c.fillPos = copy(c.buf, c.buf[c.readPos:c.fillPos])
@@ -97,7 +98,7 @@
 	}
 }
 
-// fill reads once. A full buffer doubles, up to limit bytes.
+// fill reads once. A full buffer is doubled, up to limit bytes.
 func (c *Conn) fill(limit int) error {
 	if c.fillPos == len(c.buf) {
 		if c.fillPos >= limit {
@@ -126,7 +127,7 @@
 	}
 	c.fillPos += n
 	if n > 0 {
-		return nil // an error is returned again by the next read
+		return nil // the next read returns the error again
 	}
 	if err == nil {
 		err = io.ErrNoProgress
@@ -134,26 +135,26 @@
 	return err
 }
 
-// readHead reads up to the empty line and returns what is before it. It fails at once for bytes that are no prefix of
-// begins.
-func (c *Conn) readHead(begins string) ([]byte, error) {
+// readHead reads a message head up to its empty line and returns the head without that line. It fails immediately if the
+// first bytes differ from prefix.
+func (c *Conn) readHead(prefix string) ([]byte, error) {
 	c.begin()
-	for from, empty := 0, 0; ; {
-		for c.fillPos >= 2 && c.readPos == 0 && c.buf[0] == '\r' && c.buf[1] == '\n' { // an empty line ahead of the message
-			if empty++; empty > maxEmptyLines {
+	for searchFrom, emptyLines := 0, 0; ; {
+		for c.fillPos >= 2 && c.readPos == 0 && c.buf[0] == '\r' && c.buf[1] == '\n' { // an empty line before the message
+			if emptyLines++; emptyLines > maxEmptyLines {
 				return nil, errTooLarge
 			}
 			c.fillPos = copy(c.buf, c.buf[2:c.fillPos])
-			from = 0
+			searchFrom = 0
 		}
-		if i := bytes.Index(c.buf[from:c.fillPos], []byte("\r\n\r\n")); i >= 0 {
-			c.readPos = from + i + 4
-			return c.buf[:from+i+2], nil
+		if headEnd := bytes.Index(c.buf[searchFrom:c.fillPos], []byte("\r\n\r\n")); headEnd >= 0 {
+			c.readPos = searchFrom + headEnd + 4
+			return c.buf[:searchFrom+headEnd+2], nil
 		}
-		if n := min(c.fillPos, len(begins)); n > 0 && c.buf[0] != '\r' && string(c.buf[:n]) != begins[:n] {
+		if compared := min(c.fillPos, len(prefix)); compared > 0 && c.buf[0] != '\r' && string(c.buf[:compared]) != prefix[:compared] {
 			return nil, errNoHead
 		}
-		from = max(c.fillPos-3, 0)
+		searchFrom = max(c.fillPos-3, 0)
 		if err := c.fill(MaxHead); err != nil {
 			if err == io.EOF && c.fillPos > 0 {
 				err = io.ErrUnexpectedEOF
@@ -163,14 +164,14 @@
 	}
 }
 
-// Send writes a message and reports whether its last byte was written.
-func (c *Conn) Send(message []byte) (whole bool, err error) {
+// Send writes a message. complete reports whether the last byte was written.
+func (c *Conn) Send(message []byte) (complete bool, err error) {
 	n, err := c.Write(message)
 	return n == len(message), err
 }
 
-// Scratch returns an empty slice to build a message in: of the connection's own buffer where it holds nothing unread. What
-// was read before is overwritten.
+// Scratch returns an empty slice in which a message can be built. The slice uses the buffer of the connection unless the
+// buffer has unread bytes; messages that were read before are then overwritten.
 func (c *Conn) Scratch() []byte {
 	if c.readPos < c.fillPos {
 		return nil
@@ -179,13 +180,14 @@
 	return c.buf[:0]
 }
 
-// IsIdle reports that the connection is open and that nothing has arrived on it.
+// IsIdle reports whether the connection is open and has no unread bytes.
 func (c *Conn) IsIdle() bool {
 	_, err := sockpeek.Peek(c.Conn, false)
 	return err == syscall.EAGAIN && c.readPos == c.fillPos
 }
 
-// HasUnread reports that something has arrived that was not read yet. It may be called from any goroutine.
+// HasUnread reports whether bytes have arrived that were not read from the socket, or were only buffered while waiting for a
+// disconnect. It may be called from any goroutine.
 func (c *Conn) HasUnread() bool {
 	if c.ahead.bufferedCount.Load() > 0 {
 		return true
@@ -194,5 +196,5 @@
 	return err == nil && n > 0
 }
 
-// HasMore reports that something has arrived behind the message just read.
+// HasMore reports whether bytes have arrived behind the message that was read last.
 func (c *Conn) HasMore() bool { return c.readPos < c.fillPos || c.HasUnread() }
--- a/internal/protocol/http1/disconnect.go
+++ b/internal/protocol/http1/disconnect.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	maxReadAheadBytes = KeptBuffer // bytes that are kept: some small requests
-	maxOverflowBytes  = 1 << 20    // bytes beyond these that are dropped before the peer counts as gone
+	maxReadAheadBytes = KeptBuffer // buffered bytes, enough for some small requests
+	maxOverflowBytes  = 1 << 20    // further bytes that are dropped before the peer is treated as disconnected
 )
 
-// readAhead holds what arrived behind a request while it was open. It has to be read for a disconnect behind it to be
-// seen.
+// readAhead holds the bytes that arrived behind a request while the request was open. They must be read to detect a
+// disconnect behind them.
 type readAhead struct {
 	buffered      []byte
-	bufferedCount atomic.Int32 // length of buffered, for other goroutines
-	overflow      int          // bytes dropped; with any, what follows cannot be parsed
+	bufferedCount atomic.Int32 // length of buffered, readable by other goroutines
+	overflow      int          // dropped bytes; if any, the following messages cannot be parsed
 }
 
-// WaitDisconnected waits until the peer has closed or broken the connection, whatever it has sent before, and reports
-// true. It reports false when the read deadline passes, or for a kind of connection that cannot be peeked at.
+// WaitDisconnected waits until the peer has closed the connection or the connection is broken, and returns true. Bytes that
+// the peer sent before are buffered. It returns false when the read deadline passes, or if the type of the connection does
+// not support peeking.
 func (c *Conn) WaitDisconnected() bool { return c.disconnected(true) }
 
-// Disconnected is WaitDisconnected without the wait. The two must not be called concurrently.
+// Disconnected is like WaitDisconnected but does not wait. The two must not be called concurrently.
 func (c *Conn) Disconnected() bool { return c.disconnected(false) }
 
-// PeekDisconnected reports whether a disconnect can be seen without reading. It may be called beside WaitDisconnected, and
-// misses a disconnect behind unread bytes.
+// PeekDisconnected reports whether a disconnect is detected without reading. It may be called concurrently with
+// WaitDisconnected. It does not detect a disconnect behind unread bytes.
 func (c *Conn) PeekDisconnected() bool {
 	n, err := sockpeek.Peek(c.Conn, false)
 	return err == nil && n == 0 || err != nil && err != syscall.EAGAIN && err != syscall.ENOTSUP
@@ -50,7 +51,7 @@
 	}
 }
 
-// fillAhead reads what has arrived. An end of the stream is reported again by the next peek.
+// fillAhead reads the bytes that have arrived. The next peek reports an end of the stream again.
 func (c *Conn) fillAhead() error {
 	a := &c.ahead
 	if room := maxReadAheadBytes - len(a.buffered); room > 0 && a.overflow == 0 {
@@ -68,10 +69,10 @@
 	return err
 }
 
-// Overflowed reports that more arrived behind a request than is kept, so that no further message can be read.
+// Overflowed reports whether more bytes arrived behind a request than are buffered, so that no further message can be read.
 func (c *Conn) Overflowed() bool { return c.ahead.overflow > 0 }
 
-// take moves buffered bytes to b, where messages are parsed.
+// take moves buffered bytes to b, in which messages are parsed.
 func (a *readAhead) take(b []byte) int {
 	n := copy(b, a.buffered)
 	if a.buffered = a.buffered[n:]; len(a.buffered) == 0 {
--- a/internal/protocol/http1/endpointlist.go
+++ b/internal/protocol/http1/endpointlist.go
@@ -11,38 +11,38 @@
 
 const listPath = "/discovery/hosts"
 
-// Condition is that of a listed server.
+// Condition is the condition of a listed server.
 type Condition uint8
 
 // Conditions of a listed server.
 const (
-	Serving  Condition = iota // gets requests
-	Draining                  // gets no new ones
-	Deleted                   // is no longer listed
+	Serving  Condition = iota // receives requests
+	Draining                  // receives no new requests
+	Deleted                   // is removed from the list
 )
 
-// Endpoint is an entry of discovery's list.
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	ID        string
 	Address   netip.AddrPort
 	Zone      string
-	Flavor    string // kind of machine
-	Cell      int
+	Flavor    string // machine kind
+	Cell      int    // failure domain inside the zone
 	Phase     Condition
 	Size      float64
-	UpSinceMS int64 // Unix time in ms; 0: long ago
+	UpSinceMS int64 // start time as Unix time in ms; 0: not recent
 }
 
-// EndpointList is a response of discovery.
+// EndpointList is an endpoint list, or the changes of one, as returned by discovery.
 type EndpointList struct {
 	Revision uint64
-	Complete bool // the full list, not changes
+	Complete bool // full list, not changes
 	Hosts    []Endpoint
-	Skipped  []error // why entries were left out
+	Skipped  []error // errors of the entries that were skipped
 }
 
-// ParseEndpointList parses discovery's JSON. An entry that cannot be parsed is left out and named in Skipped; the error is
-// of the list itself.
+// ParseEndpointList decodes the JSON of an endpoint list. An invalid entry is skipped, and its error is added to Skipped.
+// The returned error is that of the list itself.
 func ParseEndpointList(body []byte) (EndpointList, error) {
 	var raw struct {
 		Revision *uint64
@@ -50,24 +50,24 @@
 		Members  []json.RawMessage
 	}
 	if err := json.Unmarshal(body, &raw); err != nil {
-		return EndpointList{}, fmt.Errorf("the list cannot be read: %w", err)
+		return EndpointList{}, fmt.Errorf("decode endpoint list: %w", err)
 	}
 	if raw.Revision == nil {
-		return EndpointList{}, errors.New("the list has no revision")
+		return EndpointList{}, errors.New("decode endpoint list: no revision")
 	}
-	l := EndpointList{Revision: *raw.Revision, Complete: raw.Complete}
-	for i, m := range raw.Members {
-		h, err := parseEndpoint(m)
+	list := EndpointList{Revision: *raw.Revision, Complete: raw.Complete}
+	for i, member := range raw.Members {
+		endpoint, err := parseEndpoint(member)
 		if err != nil {
-			l.Skipped = append(l.Skipped, fmt.Errorf("entry %d: %w", i, err))
+			list.Skipped = append(list.Skipped, fmt.Errorf("entry %d: %w", i, err))
 			continue
 		}
-		l.Hosts = append(l.Hosts, h)
+		list.Hosts = append(list.Hosts, endpoint)
 	}
-	return l, nil
+	return list, nil
 }
 
-func parseEndpoint(b []byte) (Endpoint, error) {
+func parseEndpoint(text []byte) (Endpoint, error) {
 	var raw struct {
 		ID        string
 		HostPort  string `json:"host_port"`
@@ -78,42 +78,43 @@
 		Size      float64
 		UpSinceMS float64 `json:"up_since_ms"`
 	}
-	if err := json.Unmarshal(b, &raw); err != nil {
+	if err := json.Unmarshal(text, &raw); err != nil {
 		return Endpoint{}, err
 	}
-	h := Endpoint{ID: raw.ID, Zone: raw.Locality, Flavor: raw.Flavor, Cell: raw.Cell, Size: raw.Size, UpSinceMS: int64(raw.UpSinceMS)}
-	if h.ID == "" {
-		return h, errors.New("no id")
+	endpoint := Endpoint{ID: raw.ID, Zone: raw.Locality, Flavor: raw.Flavor, Cell: raw.Cell, Size: raw.Size, UpSinceMS: int64(raw.UpSinceMS)}
+	if endpoint.ID == "" {
+		return endpoint, errors.New("server without an id")
 	}
 	switch raw.Phase {
 	case "SERVING":
 	case "DRAINING":
-		h.Phase = Draining
+		endpoint.Phase = Draining
 	case "DELETED":
-		h.Phase = Deleted
+		endpoint.Phase = Deleted
 	default:
-		return h, fmt.Errorf("server %.40q in unknown phase %.40q", h.ID, raw.Phase)
+		return endpoint, fmt.Errorf("server %.40q: unknown phase %.40q", endpoint.ID, raw.Phase)
 	}
 	var err error
-	if h.Address, err = netip.ParseAddrPort(raw.HostPort); err != nil && h.Phase == Serving {
-		return h, fmt.Errorf("server %.40q has no usable address", h.ID)
+	if endpoint.Address, err = netip.ParseAddrPort(raw.HostPort); err != nil && endpoint.Phase == Serving {
+		return endpoint, fmt.Errorf("server %.40q: invalid host_port", endpoint.ID)
 	}
-	return h, nil
+	return endpoint, nil
 }
 
-// EndpointListCall asks discovery for the full list, or for changes after a revision, for which discovery waits.
+// EndpointListCall is a request to discovery, either for the full list or for the changes after a revision. Discovery waits
+// for changes until Wait has passed.
 type EndpointListCall struct {
-	Whole bool
-	After uint64
-	Wait  time.Duration
+	Whole bool          // request the full list; After and Wait are ignored
+	After uint64        // revision
+	Wait  time.Duration // sent in ms
 }
 
-// AppendEndpointListCall appends the request of a call.
-func AppendEndpointListCall(b []byte, host string, l EndpointListCall) []byte {
+// AppendEndpointListCall appends the HTTP request of a call.
+func AppendEndpointListCall(b []byte, host string, call EndpointListCall) []byte {
 	b = append(b, "GET "+listPath...)
-	if !l.Whole {
-		b = strconv.AppendUint(append(b, "?index="...), l.After, 10)
-		b = strconv.AppendInt(append(b, "&wait="...), l.Wait.Milliseconds(), 10)
+	if !call.Whole {
+		b = strconv.AppendUint(append(b, "?index="...), call.After, 10)
+		b = strconv.AppendInt(append(b, "&wait="...), call.Wait.Milliseconds(), 10)
 	}
 	b = append(b, " HTTP/1.1\r\n"...)
 	return append(appendField(b, "Host", host), "\r\n"...)
--- a/internal/protocol/http1/header.go
+++ b/internal/protocol/http1/header.go
@@ -9,7 +9,7 @@
 	"fernvane/internal/protocol/message"
 )
 
-// ErrTimeout is the error of reads and writes whose deadline has passed.
+// ErrTimeout is the error of reads and writes after their deadline.
 var ErrTimeout = os.ErrDeadlineExceeded
 
 var (
@@ -20,8 +20,8 @@
 	errVersion = errors.New("not HTTP/1.0 or 1.1")
 )
 
-// parseFields parses the lines of a head. A lenient parser skips a field whose value has control characters, unless the
-// field says where the message ends.
+// parseFields parses the field lines of a head and appends them to into. If lenient is set, a field whose value has control
+// characters is skipped, unless the field determines where the message ends.
 func parseFields(lines []byte, into []Field, lenient bool) ([]Field, error) {
 	for len(lines) > 0 {
 		line, rest, _ := bytes.Cut(lines, []byte("\r\n"))
@@ -45,28 +45,28 @@
 	return into, nil
 }
 
-// isFraming reports whether a field says where the message ends.
+// isFraming reports whether a field determines where the message ends.
 func isFraming(f Field) bool {
 	return f.Is("Content-Length") || f.Is("Transfer-Encoding") || f.Is("Connection")
 }
 
-// Lengths of a body other than a number of bytes.
+// Special values of a body length.
 const (
-	untilClose = -1
-	chunked    = -2
-	noLength   = -3
+	untilClose = -1 // the body ends when the connection closes
+	chunked    = -2 // the body has chunked transfer coding
+	noLength   = -3 // the fields state no length
 )
 
-// bodyLength returns the length of the body that the fields state, or one of the constants above.
+// bodyLength returns the length of the body in bytes according to the fields, or chunked or noLength.
 func bodyLength(fields []Field) (int, error) {
-	length, coded := noLength, false
+	length, isChunked := noLength, false
 	for _, f := range fields {
 		switch {
 		case f.Is("Transfer-Encoding"):
-			if coded || !message.EqualFold(f.Value, "chunked") {
+			if isChunked || !message.EqualFold(f.Value, "chunked") {
 				return 0, errCoding
 			}
-			coded = true
+			isChunked = true
 		case f.Is("Content-Length"):
 			n, err := strconv.ParseUint(string(f.Value), 10, 31)
 			if err != nil || length != noLength && length != int(n) {
@@ -75,7 +75,7 @@
 			length = int(n)
 		}
 	}
-	if coded {
+	if isChunked {
 		if length != noLength { // two lengths would allow request smuggling
 			return 0, errLength
 		}
--- a/internal/protocol/http1/request.go
+++ b/internal/protocol/http1/request.go
@@ -8,8 +8,8 @@
 	"fernvane/internal/protocol/message"
 )
 
-// ReadRequest reads a complete request. The error is io.EOF where the client has closed between requests, and a
-// *message.RequestError for a request that is to be answered with an error.
+// ReadRequest reads a complete request. The error is io.EOF if the client has closed the connection between requests, and a
+// *message.RequestError if the request must be answered with an error status.
 func (c *Conn) ReadRequest(r *Request) error {
 	head, err := c.readHead("")
 	switch err {
@@ -44,16 +44,16 @@
 	return err
 }
 
-// parseRequestHead parses a request line and its fields into r, and returns the length of the body. The error is a
+// parseRequestHead parses a request line and its fields into r and returns the length of the body. The error is a
 // *message.RequestError.
 func parseRequestHead(head []byte, r *Request) (length int, isHTTP10 bool, err error) {
-	first, lines, _ := bytes.Cut(head, []byte("\r\n"))
-	method, rest, _ := bytes.Cut(first, []byte{' '})
+	requestLine, lines, _ := bytes.Cut(head, []byte("\r\n"))
+	method, rest, _ := bytes.Cut(requestLine, []byte{' '})
 	target, version, _ := bytes.Cut(rest, []byte{' '})
-	if _, after, ok := bytes.Cut(target, []byte("://")); ok && target[0] != '/' { // absolute form
+	if _, afterScheme, ok := bytes.Cut(target, []byte("://")); ok && target[0] != '/' { // absolute form
 		target = []byte{'/'}
-		if i := bytes.IndexByte(after, '/'); i >= 0 {
-			target = after[i:]
+		if pathStart := bytes.IndexByte(afterScheme, '/'); pathStart >= 0 {
+			target = afterScheme[pathStart:]
 		}
 	}
 	*r = Request{Method: method, Target: target, Fields: r.Fields[:0]}
--- a/internal/protocol/http1/response.go
+++ b/internal/protocol/http1/response.go
@@ -9,13 +9,13 @@
 	"fernvane/internal/protocol/message"
 )
 
-// ErrGarbled is an answer that is no HTTP, or larger than allowed.
+// ErrGarbled is the error of a response that cannot be parsed or that exceeds a size limit.
 var ErrGarbled = message.ErrMalformedResponse
 
-// ReadResponse reads a complete response with a body of at most so many bytes; interim ones (1xx) are skipped. The error
-// is ErrGarbled for one that cannot be parsed or is too large, io.EOF where the server closed before the head,
-// io.ErrUnexpectedEOF where it closed later, or that of reading.
-func (c *Conn) ReadResponse(r *Response, most int) error {
+// ReadResponse reads a complete response with a body of at most maxBody bytes, and skips interim responses (1xx). The error
+// is ErrGarbled if the response cannot be parsed or is too large, io.EOF if the server closed the connection before the
+// head, io.ErrUnexpectedEOF if it closed the connection later, or that of reading.
+func (c *Conn) ReadResponse(r *Response, maxBody int) error {
 	for interim := 0; ; interim++ {
 		head, err := c.readHead("HTTP/1.")
 		if err == errTooLarge || err == errNoHead || interim > maxInterimResponses {
@@ -24,8 +24,8 @@
 		if err != nil {
 			return err
 		}
-		first, lines, _ := bytes.Cut(head, []byte("\r\n"))
-		version, rest, _ := bytes.Cut(first, []byte{' '})
+		statusLine, lines, _ := bytes.Cut(head, []byte("\r\n"))
+		version, rest, _ := bytes.Cut(statusLine, []byte{' '})
 		code, _, _ := bytes.Cut(rest, []byte{' '})
 		status, err := strconv.ParseUint(string(code), 10, 16)
 		isHTTP10 := string(version) == "HTTP/1.0"
@@ -49,7 +49,7 @@
 		if status == 204 || status == 304 {
 			length = 0
 		}
-		r.Body, err = c.readBody(length, most)
+		r.Body, err = c.readBody(length, maxBody)
 		r.Close = length == untilClose || isHTTP10 || message.HasToken(r.Fields, "Connection", "close") || c.readPos < c.fillPos
 		switch {
 		case err == errTooLarge, err == errChunk:
@@ -61,10 +61,10 @@
 	}
 }
 
-// SendRequest forwards a request to a server, with the time left for it and the client's address, and reports whether its
-// last byte was written.
-func (c *Conn) SendRequest(r *Request, left time.Duration, from string) (whole bool, err error) {
-	return c.Send(AppendRequest(c.Scratch(), r, left, from))
+// SendRequest forwards a request to a server, with the time that is left for the request and the address of the client.
+// complete reports whether the last byte was written.
+func (c *Conn) SendRequest(r *Request, timeLeft time.Duration, clientAddress string) (complete bool, err error) {
+	return c.Send(AppendRequest(c.Scratch(), r, timeLeft, clientAddress))
 }
 
 // ReceiveResponse reads the response to a request. See ReadResponse for the error.
--- a/internal/protocol/http1/write.go
+++ b/internal/protocol/http1/write.go
@@ -9,6 +9,7 @@
 	"fernvane/internal/protocol/message"
 )
 
+// reasons holds the reason phrase of each status that the node sends.
 var reasons = [...]struct {
 	status int
 	phrase string
@@ -24,13 +25,14 @@
 	return append(append(b, value...), "\r\n"...)
 }
 
+// appendSeconds appends a duration in seconds with three decimals.
 func appendSeconds(b []byte, d time.Duration) []byte {
 	return strconv.AppendFloat(b, float64(d/time.Millisecond)/1000, 'f', 3, 64)
 }
 
-// AppendRequest appends a client's request as it is forwarded to a server, with the time left for it and the client's
-// address.
-func AppendRequest(b []byte, r *Request, left time.Duration, from string) []byte {
+// AppendRequest appends the client's request in the form in which it is forwarded to a server, with the time that is left
+// for the request and the address of the client.
+func AppendRequest(b []byte, r *Request, timeLeft time.Duration, clientAddress string) []byte {
 	b = append(append(append(b, r.Method...), ' '), r.Target...)
 	b = append(b, " HTTP/1.1\r\n"...)
 	for _, f := range r.Fields {
@@ -40,11 +42,11 @@
 		b = append(append(append(b, f.Name...), ": "...), f.Value...)
 		b = append(b, "\r\n"...)
 	}
-	if !r.Has("Host") { // of an HTTP/1.0 client; servers may reject a request without it
+	if !r.Has("Host") { // HTTP/1.0 client; servers may reject a request without Host
 		b = appendField(b, "Host", "")
 	}
-	b = appendField(b, message.ForwardedFor, from)
-	b = append(append(append(b, RequestTimeout...), ": "...), appendSeconds(nil, max(left, time.Millisecond))...)
+	b = appendField(b, message.ForwardedFor, clientAddress)
+	b = append(append(append(b, RequestTimeout...), ": "...), appendSeconds(nil, max(timeLeft, time.Millisecond))...)
 	b = append(b, "\r\n"...)
 	if len(r.Body) > 0 || string(r.Method) != "GET" {
 		b = appendField(b, "Content-Length", strconv.Itoa(len(r.Body)))
@@ -52,22 +54,23 @@
 	return append(append(b, "\r\n"...), r.Body...)
 }
 
-// closeField announces that a connection closes after the message.
+// closeField announces that the connection closes after the message.
 const closeField = "Connection: close\r\n"
 
-// AnnounceClose adds to an answer of AppendAnswer that the connection closes after it. The answer's memory is reused where it has room.
+// AnnounceClose adds closeField to an answer that AppendAnswer has built. It reuses the memory of the answer if the capacity
+// suffices.
 func AnnounceClose(answer []byte) []byte {
 	statusLineEnd := bytes.IndexByte(answer, '\n') + 1
 	return slices.Insert(answer, statusLineEnd, []byte(closeField)...)
 }
 
-// AppendAnswer appends an answer to a client.
+// AppendAnswer appends the answer to a client.
 func AppendAnswer(b []byte, a Answer) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = append(strconv.AppendInt(b, int64(a.Status), 10), ' ')
-	for _, r := range reasons {
-		if r.status == a.Status {
-			b = append(b, r.phrase...)
+	for _, reason := range reasons {
+		if reason.status == a.Status {
+			b = append(b, reason.phrase...)
 		}
 	}
 	b = append(b, "\r\n"...)
@@ -77,7 +80,7 @@
 			b = append(b, "\r\n"...)
 		}
 	}
-	if a.RetryAfter > 0 { // with a fraction, which the platform's clients read
+	if a.RetryAfter > 0 { // with a fraction, which the platform's clients accept
 		b = append(appendSeconds(append(b, "Retry-After: "...), a.RetryAfter), "\r\n"...)
 	}
 	b = appendField(b, "Content-Length", strconv.Itoa(len(a.Body)))
--- a/internal/protocol/message/message.go
+++ b/internal/protocol/message/message.go
@@ -1,6 +1,6 @@
-// Package message holds what all protocols have in common: requests, responses, header fields, the platform's field names,
-// and bounds of size. The parts of a message that was read lie in the buffer of its connection, and are valid until the
-// next message is read or written there; Request.Clone copies them.
+// Package message defines what all protocols share: requests, responses, header fields, the platform's field names, and
+// size limits. The byte slices of a message that was read point into the buffer of its connection. They are valid until the
+// next message is read from or written to the connection; Request.Clone copies them.
 package message
 
 import (
@@ -12,18 +12,18 @@
 	"time"
 )
 
-// Bounds of one message.
+// Limits of one message.
 const (
-	MaxHead   = 16 << 10 // bytes ahead of a body
-	MaxBody   = 64 << 10 // bytes
-	MaxAnswer = 1 << 20  // bytes
-	MaxFields = 100      // in one message
+	MaxHead   = 16 << 10 // bytes ahead of the body
+	MaxBody   = 64 << 10 // bytes of a request body
+	MaxAnswer = 1 << 20  // bytes of a response body
+	MaxFields = 100      // header fields
 )
 
 // Field is a header field.
 type Field struct{ Name, Value []byte }
 
-// IsToken reports whether b is a valid name of a field or a method.
+// IsToken reports whether b is a valid name of a header field or of a method.
 func IsToken(b []byte) bool {
 	for _, c := range b {
 		switch {
@@ -36,7 +36,7 @@
 	return len(b) > 0
 }
 
-// IsText reports whether b is free of control characters but tab.
+// IsText reports whether b contains no control characters other than tab.
 func IsText(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
@@ -46,10 +46,10 @@
 	return true
 }
 
-// Is reports whether the field has this name, without regard to case.
+// Is reports whether the field has the name, ignoring case.
 func (f Field) Is(name string) bool { return EqualFold(f.Name, name) }
 
-// EqualFold reports whether b and s are equal but for the case of ASCII letters.
+// EqualFold reports whether b and s are equal, ignoring the case of ASCII letters.
 func EqualFold(b []byte, s string) bool {
 	if len(b) != len(s) {
 		return false
@@ -69,7 +69,7 @@
 	return c
 }
 
-// Find returns the value of the first field with this name, nil where there is none.
+// Find returns the value of the first field with the name, or nil if there is none.
 func Find(fields []Field, name string) []byte {
 	for _, f := range fields {
 		if f.Is(name) {
@@ -79,14 +79,14 @@
 	return nil
 }
 
-// HasToken reports whether a field that is a comma-separated list contains a token.
-func HasToken(fields []Field, name, word string) bool {
+// HasToken reports whether a field whose value is a comma-separated list contains the token.
+func HasToken(fields []Field, name, token string) bool {
 	for _, f := range fields {
 		if !f.Is(name) {
 			continue
 		}
-		for part := range bytes.SplitSeq(f.Value, []byte{','}) {
-			if EqualFold(bytes.Trim(part, " \t"), word) {
+		for element := range bytes.SplitSeq(f.Value, []byte{','}) {
+			if EqualFold(bytes.Trim(element, " \t"), token) {
 				return true
 			}
 		}
@@ -94,54 +94,55 @@
 	return false
 }
 
-// IsEndToEnd reports whether a field is forwarded. Others (hop-by-hop fields) belong to the connection they came on.
+// IsEndToEnd reports whether a field is forwarded. The other fields (hop-by-hop) apply only to the connection on which
+// they were received.
 func IsEndToEnd(f Field, all []Field) bool {
-	for _, own := range []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
+	for _, name := range []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 		"Proxy-Authorization", "TE", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"} {
-		if f.Is(own) {
+		if f.Is(name) {
 			return false
 		}
 	}
 	return !HasToken(all, "Connection", string(f.Name))
 }
 
-// RequestError is the error of a request that cannot be served, with the status to answer it with.
+// RequestError is the error of a request that cannot be served, with the status of the response.
 type RequestError struct {
 	Status int
 	Why    string
 }
 
-// NewRequestError returns an error to be answered with status; why is logged and sent to the client.
+// NewRequestError returns a RequestError. why is logged and sent to the client.
 func NewRequestError(status int, why string) *RequestError {
 	return &RequestError{Status: status, Why: why}
 }
 
-func (m *RequestError) Error() string { return m.Why }
+func (e *RequestError) Error() string { return e.Why }
 
-// Request is a complete request. Its parts lie in the connection's buffer.
+// Request is a complete request. Its byte slices point into the buffer of its connection.
 type Request struct {
 	Method []byte
 	Target []byte
 	Fields []Field
 	Body   []byte
-	Close  bool // the connection closes after the answer
+	Close  bool // the connection closes after the response
 }
 
-// Path is the target without its query.
+// Path returns the target without its query.
 func (r *Request) Path() []byte {
 	path, _, _ := bytes.Cut(r.Target, []byte{'?'})
 	return path
 }
 
-// Get returns the value of a field, nil where there is none.
+// Get returns the value of a field, or nil if there is none.
 func (r *Request) Get(name string) []byte { return Find(r.Fields, name) }
 
-// Has reports whether there is such a field, even with an empty value.
+// Has reports whether the request has the field, including with an empty value.
 func (r *Request) Has(name string) bool {
 	return slices.ContainsFunc(r.Fields, func(f Field) bool { return f.Is(name) })
 }
 
-// Clone copies the request into memory of its own, which outlives the next read or write of its connection.
+// Clone returns a copy of the request that stays valid when its connection is read or written again.
 func (r *Request) Clone() *Request {
 	size := len(r.Method) + len(r.Target) + len(r.Body)
 	for _, f := range r.Fields {
@@ -164,58 +165,58 @@
 	RequestID      = "Request-Id"
 	RequestTimeout = "Request-Timeout" // seconds, as a decimal number
 	tenantField    = "Tenant"
-	ForwardedFor   = "X-Forwarded-For" // client's address; FastCGI requests carry only the last one
+	ForwardedFor   = "X-Forwarded-For" // client's address; a FastCGI request has only the last one
 	NotStarted     = "Not-Started"
-	ServerID       = "Server-Id" // of the server that answers; optional
+	ServerID       = "Server-Id" // id of the server that responds; optional
 	readyPath      = "/up"
 )
 
-// RequestInfo is what the fields and the path of a request say that decisions need.
+// RequestInfo holds the values of the fields and of the path of a request on which decisions depend.
 type RequestInfo struct {
 	ID      []byte
 	Type    []byte
 	Tenant  []byte
-	Timeout time.Duration // from when the client sent the request; below 0: not stated
+	Timeout time.Duration // since the client sent the request; below 0: not set
 }
 
-// IsReadiness reports whether this is a readiness probe of the node itself.
+// IsReadiness reports whether the request is a readiness probe of the node.
 func (r *Request) IsReadiness() bool { return string(r.Path()) == readyPath }
 
-// Info reads the RequestInfo. The error is a *RequestError.
+// Info returns the RequestInfo of the request. The error is a *RequestError.
 func (r *Request) Info() (RequestInfo, error) {
-	o := RequestInfo{ID: r.Get(RequestID), Tenant: r.Get(tenantField), Timeout: -1}
+	info := RequestInfo{ID: r.Get(RequestID), Tenant: r.Get(tenantField), Timeout: -1}
 	if string(r.Method) == "HEAD" || string(r.Method) == "CONNECT" {
-		return o, &RequestError{405, "this method is not served"} // their answers have no body to pass on
+		return info, &RequestError{405, "this method is not served"} // responses to these methods have no body to forward
 	}
-	if len(o.ID) == 0 {
-		return o, &RequestError{400, "the request has no id"}
+	if len(info.ID) == 0 {
+		return info, &RequestError{400, "the request has no id"}
 	}
-	o.Type, _, _ = bytes.Cut(r.Path()[1:], []byte{'/'})
-	if v := r.Get(RequestTimeout); r.Has(RequestTimeout) {
-		s, err := strconv.ParseFloat(string(v), 64)
-		if err != nil || math.IsNaN(s) || s < 0 || s > 1e6 {
-			return o, &RequestError{400, "the time-out cannot be read"}
+	info.Type, _, _ = bytes.Cut(r.Path()[1:], []byte{'/'})
+	if value := r.Get(RequestTimeout); r.Has(RequestTimeout) {
+		seconds, err := strconv.ParseFloat(string(value), 64)
+		if err != nil || math.IsNaN(seconds) || seconds < 0 || seconds > 1e6 {
+			return info, &RequestError{400, "the time-out cannot be read"}
 		}
-		o.Timeout = time.Duration(s * float64(time.Second))
+		info.Timeout = time.Duration(seconds * float64(time.Second))
 	}
-	return o, nil
+	return info, nil
 }
 
-// NotStarted reports whether the response says that the server has not begun the request.
+// NotStarted reports whether the response states that the server has not started the request.
 func (r *Response) NotStarted() bool {
 	return (r.Status == 503 || r.Status == 504) && string(Find(r.Fields, NotStarted)) == "1"
 }
 
-// RejectsRequest reports whether the response finds fault with the request itself. 408 and 429 are excluded: they tell of
-// the server's state.
+// RejectsRequest reports whether the response rejects the request as invalid. 408 and 429 are excluded because they depend
+// on the state of the server.
 func (r *Response) RejectsRequest() bool {
 	return r.Status >= 400 && r.Status < 500 && r.Status != 408 && r.Status != 429
 }
 
-// ErrMalformedResponse is the error of a response that cannot be parsed, or is larger than allowed.
-var ErrMalformedResponse = errors.New("the answer cannot be read")
+// ErrMalformedResponse is the error of a response that cannot be parsed or that exceeds a size limit.
+var ErrMalformedResponse = errors.New("response is malformed or exceeds a size limit")
 
-// Response is a server's complete response. Its parts lie in the connection's buffer.
+// Response is a complete response of a server. Its byte slices point into the buffer of its connection.
 type Response struct {
 	Status int
 	Fields []Field
@@ -223,13 +224,13 @@
 	Close  bool // the connection cannot be reused
 }
 
-// Answer is what the node sends to a client.
+// Answer is the response that the node sends to a client.
 type Answer struct {
 	Status     int
-	Fields     []Field // of the server's response, forwarded
+	Fields     []Field // forwarded from the server's response
 	Body       []byte
-	RetryAfter time.Duration // 0: none
-	Close      bool          // announce that the connection closes after it
+	RetryAfter time.Duration // 0: no Retry-After
+	Close      bool          // announce that the connection closes after the response
 }
 
 // IsTarget reports whether b is a valid request target in origin form.
--- a/internal/protocol/message/pool.go
+++ b/internal/protocol/message/pool.go
@@ -2,32 +2,32 @@
 
 import "sync/atomic"
 
-// BufferBudget bounds the memory that connections together use for large messages, beyond what each retains by itself. It
-// is safe for concurrent use. Reserve and Release of a nil budget are unlimited.
+// BufferBudget bounds the memory that all connections together use for large messages, in addition to the buffer that each
+// connection retains. It is safe for concurrent use. A nil budget is unlimited.
 type BufferBudget struct{ free atomic.Int64 }
 
-// NewBufferBudget returns a budget of so many bytes.
+// NewBufferBudget returns a budget of the given number of bytes.
 func NewBufferBudget(bytes int) *BufferBudget {
-	p := &BufferBudget{}
-	p.free.Store(int64(bytes))
-	return p
+	b := &BufferBudget{}
+	b.free.Store(int64(bytes))
+	return b
 }
 
-// Reserve takes n bytes, or reports false where fewer are left.
-func (p *BufferBudget) Reserve(n int) bool {
-	if p == nil || p.free.Add(int64(-n)) >= 0 {
+// Reserve reserves n bytes. It returns false and reserves nothing if fewer are left.
+func (b *BufferBudget) Reserve(n int) bool {
+	if b == nil || b.free.Add(int64(-n)) >= 0 {
 		return true
 	}
-	p.Release(n)
+	b.Release(n)
 	return false
 }
 
-// Release gives n reserved bytes back.
-func (p *BufferBudget) Release(n int) {
-	if p != nil {
-		p.free.Add(int64(n))
+// Release returns n reserved bytes to the budget.
+func (b *BufferBudget) Release(n int) {
+	if b != nil {
+		b.free.Add(int64(n))
 	}
 }
 
-// Available returns how many bytes are left. It must not be called on a nil budget.
-func (p *BufferBudget) Available() int64 { return p.free.Load() }
+// Available returns the number of bytes that are left. It must not be called on a nil budget.
+func (b *BufferBudget) Available() int64 { return b.free.Load() }
--- a/internal/protocol/sockpeek/accept.go
+++ b/internal/protocol/sockpeek/accept.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// AcceptQueued accepts a connection that is in a listener's queue, whatever the listener's deadline. It does not wait: with an empty queue
-// the error is syscall.EAGAIN.
+// AcceptQueued accepts a connection that is already in the queue of a listener, regardless of the deadline of the listener.
+// It does not wait: the error is syscall.EAGAIN if the queue is empty.
 func AcceptQueued(ln *net.TCPListener) (*net.TCPConn, error) {
 	rc, err := ln.SyscallConn()
 	if err != nil {
@@ -27,7 +27,7 @@
 		return nil, err
 	}
 	f := os.NewFile(uintptr(fd), "")
-	defer f.Close() // the connection has a descriptor of its own
+	defer f.Close() // net.FileConn has duplicated the descriptor
 	c, err := net.FileConn(f)
 	if err != nil {
 		return nil, err
--- a/internal/protocol/sockpeek/peek.go
+++ b/internal/protocol/sockpeek/peek.go
@@ -1,5 +1,6 @@
-// Package sockpeek looks at sockets beneath package net: what has arrived on a connection without reading it, reads that another goroutine
-// may end by a close only while nothing has arrived, and connections in a listener's queue.
+// Package sockpeek accesses sockets below the level of package net: it peeks at received bytes without reading them, reads
+// in a way that another goroutine can interrupt by a close only while nothing has arrived, and accepts the connections in
+// the queue of a listener.
 package sockpeek
 
 import (
@@ -8,9 +9,10 @@
 	"syscall"
 )
 
-// Peek returns how many bytes can be seen on a connection, at most one, without reading them. 0 without an error means that the other side
-// has closed. With nothing to see it waits where wait is set, until the read deadline; else the error is syscall.EAGAIN, also while another
-// goroutine reads and after the deadline. syscall.ENOTSUP: the connection is of a kind that cannot be looked at.
+// Peek returns the number of bytes that can be read from a connection, at most 1, without reading them. 0 without an error
+// means that the peer has closed the connection. If nothing has arrived, Peek waits until the read deadline if wait is set;
+// otherwise the error is syscall.EAGAIN, also while another goroutine reads and after the deadline. The error is
+// syscall.ENOTSUP if the type of the connection does not support peeking.
 func Peek(c net.Conn, wait bool) (n int, err error) {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
@@ -41,13 +43,13 @@
 	return n, peekErr
 }
 
-// IsIdle reports whether a connection is open and nothing has arrived on it.
+// IsIdle reports whether a connection is open and has no unread bytes.
 func IsIdle(c net.Conn) bool {
 	_, err := Peek(c, false)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// HasUnread reports whether something has arrived on a connection that was not read yet.
+// HasUnread reports whether a connection has unread bytes.
 func HasUnread(c net.Conn) bool {
 	n, err := Peek(c, false)
 	return err == nil && n > 0
--- a/internal/protocol/sockpeek/read.go
+++ b/internal/protocol/sockpeek/read.go
@@ -7,17 +7,18 @@
 	"syscall"
 )
 
-// ReadObserver observes the waits of a connection's reader. Whoever closes the connection does so only between the two calls, so that
-// nothing that was read is lost by the close.
+// ReadObserver is notified when the reader of a connection blocks. A goroutine that closes the connection does so only
+// between the two calls, so that the close loses nothing that was read.
 type ReadObserver interface {
-	// ReadBlocked is called before the reader waits, when all that was read is dealt with.
+	// ReadBlocked is called before the reader waits, when everything that was read has been processed.
 	ReadBlocked()
-	// ReadReady is called after the wait, before anything is read. It is false where the connection was closed meanwhile.
+	// ReadReady is called after the wait and before the next read. It returns false if the connection was closed during
+	// the wait.
 	ReadReady() bool
 }
 
-// Read reads from a connection whose waits are observed. Where the connection was closed during a wait it reads nothing and returns
-// net.ErrClosed.
+// Read reads from a connection and notifies the observer when it blocks. If the connection was closed during a wait, Read
+// reads nothing and returns net.ErrClosed.
 func Read(c net.Conn, b []byte, observer ReadObserver) (n int, err error) {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
