--- a/internal/protocol/fastcgi/clientconn.go
+++ b/internal/protocol/fastcgi/clientconn.go
@@ -15,245 +15,250 @@
 )
 
 const (
-	maxRequests    = 100 // open on one connection; more are rejected as overload
-	maxValuesBytes = 1 << 10
+	maxRequests    = 100     // open on one connection; further requests are rejected as overload
+	maxValuesBytes = 1 << 10 // of one GET_VALUES record
 )
 
-// ErrProtocol is the error of a client that violates the protocol. Nothing more can be read from its connection.
-var ErrProtocol = errors.New("the client does not keep to the protocol")
+// ErrProtocol is the error of a client that violates the protocol. Its connection cannot be read any further.
+var ErrProtocol = errors.New("client violates the FastCGI protocol")
 
-// Handler decides what becomes of a connection and its requests. NextRequest calls it from the goroutine that reads.
+// Handler makes the decisions about a connection and its requests. NextRequest calls it from the goroutine that reads.
 type Handler interface {
-	// AwaitReadable returns when something can be read. An error ends the reading and is returned by NextRequest. isPartial: a
-	// record has been read in part.
+	// AwaitReadable returns when the connection can be read. An error ends the reading and is returned by NextRequest.
+	// isPartial reports whether a record has been read in part.
 	AwaitReadable(isPartial bool) error
-	// RequestStarted decides on a request that begins: connclose.Admit, connclose.Reject (its client is notified that it never
-	// ran), or anything else to ignore it. isLast: the client wants the connection closed after it.
+	// RequestStarted decides about a request that starts. connclose.Admit admits it, connclose.Reject notifies the client
+	// that it never ran, and any other effect ignores it. isLast reports whether the client requests the close of the
+	// connection after this request.
 	RequestStarted(isLast bool) connclose.Effect
-	// RequestsRejected is called after a rejection was written.
+	// RequestsRejected is called after a rejection has been written.
 	RequestsRejected()
 	// RequestAborted is called when the client aborts a request before it is complete.
 	RequestAborted()
 }
 
-// ClientConn is a client's connection, on which several requests may be open. One goroutine reads (NextRequest); any may write.
+// ClientConn is a client connection on which several requests may be open. Only one goroutine may read (NextRequest); any
+// goroutine may write.
 type ClientConn struct {
 	net.Conn
 	records     reader
 	budget      *message.BufferBudget
 	handler     Handler
-	bytesRead   int // bytes read, and those of whole records
-	bytesParsed int
+	bytesRead   int // bytes read from the connection
+	bytesParsed int // bytes of complete records
 
 	mu   sync.Mutex
-	open map[uint16]*Request
+	open map[uint16]*Request // by ID; guarded by mu
 
-	writing sync.Mutex
+	writing sync.Mutex // held while records are written
 }
 
-// Request is one request on a connection. ClientConn.mu guards isDisconnected, isComplete and isForgotten; the other
+// Request is one request on a connection. ClientConn.mu guards isDisconnected, isComplete and isFreed; the other
 // unexported fields belong to the goroutine that reads, until the request is complete.
 type Request struct {
 	ID        uint16
 	Request   *message.Request
-	Malformed *message.RequestError // why it cannot be served; nil: it can
+	Malformed *message.RequestError // why the request cannot be served; nil: it can be served
 	StartedAt time.Time             // when its first record was read
 
 	disconnected   chan struct{}
 	isDisconnected bool
 	isComplete     bool
-	isForgotten    bool // its ID is free again
-	hasParams      bool // its params are complete
+	isFreed        bool // the ID can be used again
+	hasParams      bool // the params are complete
 	params         []byte
 	body           []byte
-	borrowed       int
-	readError      *message.RequestError // why the rest of it is read and dropped, as too large or for want of memory; nil: it is not
+	borrowed       int                   // bytes reserved from the budget
+	readError      *message.RequestError // why the rest of the request is dropped: too large or no memory; nil: it is not dropped
 }
 
-// Disconnected is closed when the client has aborted the request or its connection has ended.
-func (c *Request) Disconnected() <-chan struct{} { return c.disconnected }
+// Disconnected returns a channel that is closed when the client aborts the request or its connection ends.
+func (r *Request) Disconnected() <-chan struct{} { return r.disconnected }
 
-// NewClientConn wraps a connection from which nothing has been read.
+// NewClientConn returns a ClientConn for a connection from which nothing has been read.
 func NewClientConn(c net.Conn, p *message.BufferBudget) *ClientConn {
-	f := &ClientConn{Conn: c, budget: p, open: map[uint16]*Request{}}
-	f.records = newReader(source{f})
-	return f
+	clientConn := &ClientConn{Conn: c, budget: p, open: map[uint16]*Request{}}
+	clientConn.records = newReader(source{clientConn})
+	return clientConn
 }
 
-// source reads from the connection once the handler allows it.
-type source struct{ f *ClientConn }
+// source reads from the connection when the handler allows it.
+type source struct{ c *ClientConn }
 
 func (s source) Read(b []byte) (n int, err error) {
-	if s.f.handler != nil {
-		if err := s.f.handler.AwaitReadable(s.f.bytesRead > s.f.bytesParsed); err != nil {
+	if s.c.handler != nil {
+		if err := s.c.handler.AwaitReadable(s.c.bytesRead > s.c.bytesParsed); err != nil {
 			return 0, err
 		}
 	}
-	n, err = s.f.Conn.Read(b)
-	s.f.bytesRead += n
+	n, err = s.c.Conn.Read(b)
+	s.c.bytesRead += n
 	return n, err
 }
 
-// HasUnread reports that something has arrived that was not read yet.
-func (f *ClientConn) HasUnread() bool { return sockpeek.HasUnread(f.Conn) }
+// HasUnread reports whether the socket has unread bytes.
+func (c *ClientConn) HasUnread() bool { return sockpeek.HasUnread(c.Conn) }
 
-// AwaitReadable returns once something has arrived, without reading it. The error is io.EOF where the client has closed.
-func (f *ClientConn) AwaitReadable() error {
-	switch n, err := sockpeek.Peek(f.Conn, true); {
-	case err == syscall.ENOTSUP: // a kind of connection that cannot be peeked at
+// AwaitReadable returns once bytes have arrived, without reading them. The error is io.EOF if the client has closed the
+// connection.
+func (c *ClientConn) AwaitReadable() error {
+	switch available, err := sockpeek.Peek(c.Conn, true); {
+	case err == syscall.ENOTSUP: // the type of the connection does not support peeking
 		return nil
-	case err == nil && n == 0:
+	case err == nil && available == 0:
 		return io.EOF
 	default:
 		return err
 	}
 }
 
-// OldestPartial returns when the oldest incomplete request began; zero: there is none.
-func (f *ClientConn) OldestPartial() (oldest time.Time) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, c := range f.open {
-		if !c.isComplete && (oldest.IsZero() || c.StartedAt.Before(oldest)) {
-			oldest = c.StartedAt
+// OldestPartial returns the start time of the oldest incomplete request, or the zero time if there is none.
+func (c *ClientConn) OldestPartial() (oldest time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, r := range c.open {
+		if !r.isComplete && (oldest.IsZero() || r.StartedAt.Before(oldest)) {
+			oldest = r.StartedAt
 		}
 	}
 	return oldest
 }
 
-// NextRequest returns the next complete request. It handles all other records: management queries, rejected requests, aborts. A
-// nil handler admits every request. The error is ErrProtocol, that of the handler or that of reading.
-func (f *ClientConn) NextRequest(k Handler) (*Request, error) {
-	f.handler = k
+// NextRequest returns the next complete request. It processes all other records itself: management records, rejected
+// requests and aborts. A nil handler admits every request. The error is ErrProtocol, that of the handler or that of reading.
+func (c *ClientConn) NextRequest(handler Handler) (*Request, error) {
+	c.handler = handler
 	for {
-		rec, err := f.records.next()
+		rec, err := c.records.next()
 		if err != nil {
 			if err == errRecord {
 				err = ErrProtocol
 			}
 			return nil, err
 		}
-		f.bytesParsed = f.bytesRead - f.records.r.Buffered()
-		call, err := f.handleRecord(rec)
-		if call != nil || err != nil {
-			return call, err
+		c.bytesParsed = c.bytesRead - c.records.r.Buffered()
+		r, err := c.handleRecord(rec)
+		if r != nil || err != nil {
+			return r, err
 		}
 	}
 }
 
-func (f *ClientConn) handleRecord(rec record) (whole *Request, err error) {
+// handleRecord processes a record and returns the request that it completes, if any.
+func (c *ClientConn) handleRecord(rec record) (complete *Request, err error) {
 	if rec.id == 0 {
-		return nil, f.handleManagement(rec)
+		return nil, c.handleManagement(rec)
 	}
-	f.mu.Lock()
-	c, n := f.open[rec.id], len(f.open)
-	f.mu.Unlock()
+	c.mu.Lock()
+	r, openCount := c.open[rec.id], len(c.open)
+	c.mu.Unlock()
 	switch rec.kind {
 	case typeBegin:
 		switch {
-		case c != nil || len(rec.content) != 8:
+		case r != nil || len(rec.content) != 8:
 			return nil, ErrProtocol // the ID is in use
 		case rec.content[0] != 0 || rec.content[1] != responder:
-			return nil, f.write(appendEnd(nil, rec.id, 0, statusUnknownRole))
-		case n >= maxRequests:
-			return nil, f.writeRejection(rec.id)
+			return nil, c.write(appendEnd(nil, rec.id, 0, statusUnknownRole))
+		case openCount >= maxRequests:
+			return nil, c.writeRejection(rec.id)
 		}
-		if f.handler != nil {
-			switch f.handler.RequestStarted(rec.content[2]&flagKeep == 0) {
+		if c.handler != nil {
+			switch c.handler.RequestStarted(rec.content[2]&flagKeep == 0) {
 			case connclose.Admit:
 			case connclose.Reject:
-				err := f.writeRejection(rec.id)
-				f.handler.RequestsRejected()
+				err := c.writeRejection(rec.id)
+				c.handler.RequestsRejected()
 				return nil, err
 			default:
 				return nil, nil
 			}
 		}
-		c = &Request{ID: rec.id, StartedAt: time.Now(), disconnected: make(chan struct{})}
-		f.mu.Lock()
-		f.open[rec.id] = c
-		f.mu.Unlock()
+		r = &Request{ID: rec.id, StartedAt: time.Now(), disconnected: make(chan struct{})}
+		c.mu.Lock()
+		c.open[rec.id] = r
+		c.mu.Unlock()
 		return nil, nil
 	case typeAbort:
-		if c == nil {
+		if r == nil {
 			return nil, nil
 		}
-		if !c.isComplete {
-			err := f.EndAborted(c)
-			if f.handler != nil {
-				f.handler.RequestAborted()
+		if !r.isComplete {
+			err := c.EndAborted(r)
+			if c.handler != nil {
+				c.handler.RequestAborted()
 			}
 			return nil, err
 		}
-		f.markDisconnected(c)
+		c.markDisconnected(r)
 		return nil, nil
 	case typeParams, typeStdin, typeData:
-		if c == nil || c.isComplete {
-			return nil, nil // its request has ended
+		if r == nil || r.isComplete {
+			return nil, nil // the request has ended
 		}
-		return f.addToStream(c, rec)
+		return c.addToStream(r, rec)
 	}
-	return nil, f.writeUnknownType(rec.kind)
+	return nil, c.writeUnknownType(rec.kind)
 }
 
-// writeUnknownType answers a record of an unknown type.
-func (f *ClientConn) writeUnknownType(kind byte) error {
-	return f.write(appendRecord(nil, typeUnknown, 0, []byte{kind, 0, 0, 0, 0, 0, 0, 0}))
+// writeUnknownType writes the response to a record of an unknown type.
+func (c *ClientConn) writeUnknownType(kind byte) error {
+	return c.write(appendRecord(nil, typeUnknown, 0, []byte{kind, 0, 0, 0, 0, 0, 0, 0}))
 }
 
-// addToStream handles a part of a request and returns the request when it is complete, at the end of its STDIN.
-func (f *ClientConn) addToStream(c *Request, rec record) (*Request, error) {
+// addToStream processes a part of a request and returns the request when it is complete, which is at the end of its STDIN.
+func (c *ClientConn) addToStream(r *Request, rec record) (*Request, error) {
 	switch {
-	case rec.kind == typeData: // for another role
-	case rec.kind == typeParams && c.hasParams, rec.kind == typeStdin && !c.hasParams:
+	case rec.kind == typeData: // only other roles use this stream
+	case rec.kind == typeParams && r.hasParams, rec.kind == typeStdin && !r.hasParams:
 		return nil, ErrProtocol
 	case rec.kind == typeParams && len(rec.content) == 0:
-		c.hasParams = true
+		r.hasParams = true
 	case rec.kind == typeParams:
-		c.readError = f.appendBounded(c, &c.params, rec.content, message.MaxHead, 431, "the params are too large")
+		r.readError = c.appendBounded(r, &r.params, rec.content, message.MaxHead, 431, "the params are too large")
 	case len(rec.content) > 0:
-		c.readError = f.appendBounded(c, &c.body, rec.content, message.MaxBody, 413, "the body is too large")
+		r.readError = c.appendBounded(r, &r.body, rec.content, message.MaxBody, 413, "the body is too large")
 	default:
-		f.mu.Lock()
-		c.isComplete = true
-		f.mu.Unlock()
-		if c.Malformed = c.readError; c.Malformed == nil {
+		c.mu.Lock()
+		r.isComplete = true
+		c.mu.Unlock()
+		if r.Malformed = r.readError; r.Malformed == nil {
 			var err error
-			if c.Request, err = request(c.params, c.body); err != nil {
-				errors.As(err, &c.Malformed)
+			if r.Request, err = request(r.params, r.body); err != nil {
+				errors.As(err, &r.Malformed)
 			}
 		}
-		return c, nil
+		return r, nil
 	}
 	return nil, nil
 }
 
-// appendBounded appends to a stream within its bound and the budget; the error is what to answer.
-func (f *ClientConn) appendBounded(c *Request, to *[]byte, content []byte, most, status int, why string) *message.RequestError {
+// appendBounded appends to a stream, within its size limit and the budget. The error is to be sent to the client.
+func (c *ClientConn) appendBounded(r *Request, to *[]byte, content []byte, most, status int, reason string) *message.RequestError {
 	switch {
-	case c.readError != nil:
-		return c.readError
+	case r.readError != nil:
+		return r.readError
 	case len(*to)+len(content) > most:
-		f.releaseBuffers(c)
-		return message.NewRequestError(status, why)
-	case !f.budget.Reserve(len(content)):
-		f.releaseBuffers(c)
+		c.releaseBuffers(r)
+		return message.NewRequestError(status, reason)
+	case !c.budget.Reserve(len(content)):
+		c.releaseBuffers(r)
 		return message.NewRequestError(503, "no memory for so large a message now")
 	}
-	c.borrowed += len(content)
+	r.borrowed += len(content)
 	*to = append(*to, content...)
 	return nil
 }
 
-func (f *ClientConn) releaseBuffers(c *Request) {
-	f.budget.Release(c.borrowed)
-	c.params, c.body, c.borrowed = nil, nil, 0
+// releaseBuffers drops the streams of a request and returns their memory to the budget.
+func (c *ClientConn) releaseBuffers(r *Request) {
+	c.budget.Release(r.borrowed)
+	r.params, r.body, r.borrowed = nil, nil, 0
 }
 
-// handleManagement answers records of the connection itself.
-func (f *ClientConn) handleManagement(rec record) error {
+// handleManagement responds to a management record, which belongs to the connection and not to a request.
+func (c *ClientConn) handleManagement(rec record) error {
 	if rec.kind != typeGetValues {
-		return f.writeUnknownType(rec.kind)
+		return c.writeUnknownType(rec.kind)
 	}
 	if len(rec.content) > maxValuesBytes {
 		return ErrProtocol
@@ -271,74 +276,76 @@
 			values = appendPair(values, string(p.name), "1")
 		}
 	}
-	return f.write(appendRecord(nil, typeValues, 0, values))
+	return c.write(appendRecord(nil, typeValues, 0, values))
 }
 
-func (f *ClientConn) markDisconnected(c *Request) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if !c.isDisconnected {
-		c.isDisconnected = true
-		close(c.disconnected)
+// markDisconnected closes the Disconnected channel of a request.
+func (c *ClientConn) markDisconnected(r *Request) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !r.isDisconnected {
+		r.isDisconnected = true
+		close(r.disconnected)
 	}
 }
 
-// AbandonRequests marks all open requests as disconnected and forgets incomplete ones. The reader calls it when the connection has
-// ended.
-func (f *ClientConn) AbandonRequests() {
-	for _, c := range f.openRequests(nil) {
-		if f.markDisconnected(c); !c.isComplete {
-			f.forget(c)
+// AbandonRequests marks all open requests as disconnected and discards the incomplete ones. The reader calls it when the
+// connection has ended.
+func (c *ClientConn) AbandonRequests() {
+	for _, r := range c.openRequests(nil) {
+		if c.markDisconnected(r); !r.isComplete {
+			c.freeID(r)
 		}
 	}
 }
 
-// openRequests returns the open requests but those for which but reports true.
-func (f *ClientConn) openRequests(but func(*Request) bool) []*Request {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	requests := make([]*Request, 0, len(f.open))
-	for _, c := range f.open {
-		if but == nil || !but(c) {
-			requests = append(requests, c)
+// openRequests returns the open requests other than those for which except returns true. A nil except excludes none.
+func (c *ClientConn) openRequests(except func(*Request) bool) []*Request {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	requests := make([]*Request, 0, len(c.open))
+	for _, r := range c.open {
+		if except == nil || !except(r) {
+			requests = append(requests, r)
 		}
 	}
 	return requests
 }
 
-// RejectPartial rejects all incomplete requests. Only the reader may call it.
-func (f *ClientConn) RejectPartial() error {
+// RejectPartial rejects all incomplete requests. Only the goroutine that reads may call it.
+func (c *ClientConn) RejectPartial() error {
 	var errs error
-	for _, c := range f.openRequests(func(c *Request) bool { return c.isComplete }) {
-		errs = errors.Join(errs, f.Reject(c))
+	for _, r := range c.openRequests(func(r *Request) bool { return r.isComplete }) {
+		errs = errors.Join(errs, c.Reject(r))
 	}
 	return errs
 }
 
-// Reject writes that a request never ran.
-func (f *ClientConn) Reject(c *Request) error {
-	f.forget(c)
-	return f.writeRejection(c.ID)
+// Reject notifies the client that a request never ran.
+func (c *ClientConn) Reject(r *Request) error {
+	c.freeID(r)
+	return c.writeRejection(r.ID)
 }
 
-func (f *ClientConn) writeRejection(id uint16) error {
-	return f.write(appendEnd(nil, id, 0, statusOverloaded))
+// writeRejection writes the END_REQUEST of a request that never ran.
+func (c *ClientConn) writeRejection(id uint16) error {
+	return c.write(appendEnd(nil, id, 0, statusOverloaded))
 }
 
-// forget frees the ID of a request. It is called before the end of the request is written, for the client may then use
-// the ID again at once.
-func (f *ClientConn) forget(c *Request) {
-	f.releaseBuffers(c)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if !c.isForgotten {
-		c.isForgotten = true
-		delete(f.open, c.ID)
+// freeID frees the ID and the buffers of a request. It is called before END_REQUEST is written, because the client may use
+// the ID again as soon as it has received END_REQUEST.
+func (c *ClientConn) freeID(r *Request) {
+	c.releaseBuffers(r)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !r.isFreed {
+		r.isFreed = true
+		delete(c.open, r.ID)
 	}
 }
 
-// Append appends an answer to the request, with its END_REQUEST.
-func (c *Request) Append(b []byte, a message.Answer) []byte {
+// Append appends the answer to the request and its END_REQUEST.
+func (r *Request) Append(b []byte, a message.Answer) []byte {
 	head := append(strconv.AppendInt([]byte("Status: "), int64(a.Status), 10), "\r\n"...)
 	for _, f := range a.Fields {
 		if message.IsEndToEnd(f, a.Fields) && !f.Is("Status") {
@@ -352,39 +359,39 @@
 	}
 	head = strconv.AppendInt(append(head, "Content-Length: "...), int64(len(a.Body)), 10)
 	head = append(head, "\r\n\r\n"...)
-	b = appendStream(b, typeStdout, c.ID, append(head, a.Body...))
-	return appendEnd(b, c.ID, 0, statusComplete)
+	b = appendStream(b, typeStdout, r.ID, append(head, a.Body...))
+	return appendEnd(b, r.ID, 0, statusComplete)
 }
 
-// Answer writes what Append has built, and ends the request. An aborted request gets its END_REQUEST alone.
-func (f *ClientConn) Answer(c *Request, answer []byte) error {
-	f.mu.Lock()
-	aborted := c.isDisconnected
-	f.mu.Unlock()
+// Answer writes an answer that Append has built and ends the request. For an aborted request only END_REQUEST is written.
+func (c *ClientConn) Answer(r *Request, answer []byte) error {
+	c.mu.Lock()
+	aborted := r.isDisconnected
+	c.mu.Unlock()
 	if aborted {
-		return f.EndAborted(c)
+		return c.EndAborted(r)
 	}
-	f.forget(c)
-	return f.write(answer)
+	c.freeID(r)
+	return c.write(answer)
 }
 
-// EndAborted ends a request that its client has aborted.
-func (f *ClientConn) EndAborted(c *Request) error {
-	f.forget(c)
-	return f.write(appendEnd(nil, c.ID, 0, statusComplete))
+// EndAborted writes the END_REQUEST of a request that its client has aborted.
+func (c *ClientConn) EndAborted(r *Request) error {
+	c.freeID(r)
+	return c.write(appendEnd(nil, r.ID, 0, statusComplete))
 }
 
-// write writes complete records, one caller at a time.
-func (f *ClientConn) write(b []byte) error {
-	f.writing.Lock()
-	defer f.writing.Unlock()
-	f.SetWriteDeadline(time.Now().Add(writeTimeout))
-	n, err := f.Write(b)
-	if n < len(b) {
-		f.Close() // after half a record no response can be parsed
+// write writes complete records. Concurrent calls are serialized.
+func (c *ClientConn) write(b []byte) error {
+	c.writing.Lock()
+	defer c.writing.Unlock()
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	written, err := c.Write(b)
+	if written < len(b) {
+		c.Close() // the client cannot parse a response behind an incomplete record
 		return errors.Join(io.ErrShortWrite, err)
 	}
 	return nil
 }
 
-const writeTimeout = 2 * time.Second // for a client to receive what is written
+const writeTimeout = 2 * time.Second // for writing to a client
--- a/internal/protocol/fastcgi/fastcgi_test.go
+++ b/internal/protocol/fastcgi/fastcgi_test.go
@@ -249,7 +249,7 @@
 				} else {
 					calls = append(calls, fmt.Sprint(call.ID, ":", string(call.Request.Body)))
 				}
-				f.forget(call)
+				f.freeID(call)
 			}
 			var told []string
 			for r := newReader(&conn.out); ; {
--- a/internal/protocol/fastcgi/params.go
+++ b/internal/protocol/fastcgi/params.go
@@ -8,15 +8,15 @@
 	"fernvane/internal/protocol/message"
 )
 
-// The mapping between HTTP requests and params. A field X-Y is HTTP_X_Y. Fields whose names contain an underscore are left
-// out, for X_Y and X-Y would be the same param and a client could forge one with the other. HTTP_PROXY is left out both
-// ways, for programs read it as a setting of theirs. Content-Type and Content-Length have params of their own, and
-// hop-by-hop fields are not forwarded.
+// Params of an HTTP request. The field X-Y is mapped to HTTP_X_Y. Fields with an underscore in their name are dropped,
+// because X_Y and X-Y would become the same param and a client could forge one with the other. HTTP_PROXY is dropped in both
+// directions, because programs interpret it as a proxy setting. Content-Type and Content-Length have params of their own,
+// and hop-by-hop fields are not forwarded.
 //
 //	REQUEST_METHOD    method                 REQUEST_URI     target
-//	SCRIPT_NAME       path                   QUERY_STRING    behind the question mark
+//	SCRIPT_NAME       path                   QUERY_STRING    query without the question mark
 //	CONTENT_LENGTH    bytes of STDIN         CONTENT_TYPE    Content-Type
-//	REMOTE_ADDR       client's address       HTTP_*          the other fields
+//	REMOTE_ADDR       client's address       HTTP_*          all other fields
 const (
 	paramMethod = "REQUEST_METHOD"
 	paramURI    = "REQUEST_URI"
@@ -29,8 +29,9 @@
 	prefix      = "HTTP_"
 )
 
-// appendParams appends the params of a request, with the time left for it in seconds and the client's address.
-func appendParams(b []byte, r *message.Request, left, from string) []byte {
+// appendParams appends the params of a request, with the time that is left for the request in seconds and the address of
+// the client.
+func appendParams(b []byte, r *message.Request, timeLeft, clientAddress string) []byte {
 	path, query, _ := bytes.Cut(r.Target, []byte{'?'})
 	b = appendPair(b, "GATEWAY_INTERFACE", "CGI/1.1")
 	b = appendPair(b, "SERVER_PROTOCOL", "HTTP/1.1")
@@ -41,7 +42,7 @@
 	b = appendPair(b, paramURI, string(r.Target))
 	b = appendPair(b, paramScript, string(path))
 	b = appendPair(b, paramQuery, string(query))
-	b = appendPair(b, "REMOTE_ADDR", from)
+	b = appendPair(b, "REMOTE_ADDR", clientAddress)
 	if len(r.Body) > 0 || string(r.Method) != "GET" {
 		b = appendPair(b, paramLength, strconv.Itoa(len(r.Body)))
 	}
@@ -56,10 +57,11 @@
 			}
 		}
 	}
-	b = appendPair(b, param([]byte(message.ForwardedFor)), from)
-	return appendPair(b, param([]byte(message.RequestTimeout)), left)
+	b = appendPair(b, param([]byte(message.ForwardedFor)), clientAddress)
+	return appendPair(b, param([]byte(message.RequestTimeout)), timeLeft)
 }
 
+// param returns the name of the param of a field.
 func param(field []byte) string {
 	return prefix + strings.ReplaceAll(strings.ToUpper(string(field)), "-", "_")
 }
@@ -67,38 +69,38 @@
 // paramReader builds a request from its params.
 type paramReader struct {
 	request *message.Request
-	script  []byte
-	info    []byte
-	query   []byte
-	length  int // stated length of the body in bytes; -1: not stated
+	script  []byte // SCRIPT_NAME
+	info    []byte // PATH_INFO
+	query   []byte // QUERY_STRING
+	length  int    // CONTENT_LENGTH in bytes; -1: not set
 }
 
-// request builds a request of params and a body. The error is a *message.RequestError.
+// request builds a request from its params and its body. The error is a *message.RequestError.
 func request(params []byte, body []byte) (*message.Request, error) {
 	pairs, err := parsePairs(params, nil)
 	if err != nil {
 		return nil, message.NewRequestError(400, "the params cannot be read")
 	}
 	r := &message.Request{Method: []byte("GET"), Body: body}
-	in := paramReader{request: r, length: -1}
-	for _, p := range pairs {
-		if !message.IsText(p.value) {
+	p := paramReader{request: r, length: -1}
+	for _, entry := range pairs {
+		if !message.IsText(entry.value) {
 			return nil, message.NewRequestError(400, "a param cannot be read")
 		}
-		if err := in.take(string(p.name), p.value); err != nil {
+		if err := p.take(string(entry.name), entry.value); err != nil {
 			return nil, err
 		}
 		if len(r.Fields) > message.MaxFields {
 			return nil, message.NewRequestError(431, "too many fields")
 		}
 	}
-	if in.length >= 0 && in.length != len(body) { // a mismatch would allow request smuggling
+	if p.length >= 0 && p.length != len(body) { // a mismatch would allow request smuggling
 		return nil, message.NewRequestError(400, "the body is not as long as it is said to be")
 	}
 	if len(r.Target) == 0 {
-		r.Target = append(append([]byte(nil), in.script...), in.info...)
-		if len(in.query) > 0 {
-			r.Target = append(append(r.Target, '?'), in.query...)
+		r.Target = append(append([]byte(nil), p.script...), p.info...)
+		if len(p.query) > 0 {
+			r.Target = append(append(r.Target, '?'), p.query...)
 		}
 	}
 	if !message.IsToken(r.Method) || !message.IsTarget(r.Target) {
@@ -107,26 +109,26 @@
 	return r, nil
 }
 
-// take reads one param.
-func (in *paramReader) take(name string, value []byte) error {
-	r := in.request
+// take processes one param.
+func (p *paramReader) take(name string, value []byte) error {
+	r := p.request
 	switch name {
 	case paramMethod:
 		r.Method = value
 	case paramURI:
 		r.Target = value
 	case paramScript:
-		in.script = value
+		p.script = value
 	case paramInfo:
-		in.info = value
+		p.info = value
 	case paramQuery:
-		in.query = value
+		p.query = value
 	case paramType:
 		if len(value) > 0 {
 			r.Fields = append(r.Fields, message.Field{Name: []byte("Content-Type"), Value: value})
 		}
 	case paramLength:
-		return in.takeLength(value)
+		return p.takeLength(value)
 	case paramProxy:
 	default:
 		field, ok := strings.CutPrefix(name, prefix)
@@ -144,30 +146,30 @@
 	return nil
 }
 
-// takeLength reads the stated length of the body, which must be the same wherever it is stated.
-func (in *paramReader) takeLength(value []byte) error {
+// takeLength processes a length of the body. If the length is set more than once, all values must be equal.
+func (p *paramReader) takeLength(value []byte) error {
 	if len(value) == 0 {
 		return nil
 	}
 	n, err := strconv.ParseUint(string(value), 10, 31)
-	if err != nil || in.length >= 0 && in.length != int(n) {
+	if err != nil || p.length >= 0 && p.length != int(n) {
 		return message.NewRequestError(400, "the length of the body is not clear")
 	}
-	in.length = int(n)
+	p.length = int(n)
 	return nil
 }
 
-// response parses what a responder has written: a CGI head and the body. The error is message.ErrMalformedResponse.
-func response(out []byte, r *message.Response) error {
+// response parses the output of a responder, which is a CGI head and a body. The error is message.ErrMalformedResponse.
+func response(output []byte, r *message.Response) error {
 	*r = message.Response{Status: 200, Fields: r.Fields[:0]}
-	stated := -1
+	statedLength := -1
 	for lines := 0; ; lines++ {
-		i := bytes.IndexByte(out, '\n')
-		if i < 0 || i > message.MaxHead || lines > message.MaxFields {
+		lineEnd := bytes.IndexByte(output, '\n')
+		if lineEnd < 0 || lineEnd > message.MaxHead || lines > message.MaxFields {
 			return message.ErrMalformedResponse
 		}
-		line := bytes.TrimSuffix(out[:i], []byte{'\r'})
-		out = out[i+1:]
+		line := bytes.TrimSuffix(output[:lineEnd], []byte{'\r'})
+		output = output[lineEnd+1:]
 		if len(line) == 0 {
 			break
 		}
@@ -180,25 +182,25 @@
 		switch {
 		case f.Is("Status"):
 			code, _, _ := bytes.Cut(value, []byte{' '})
-			n, err := strconv.ParseUint(string(code), 10, 16)
-			if err != nil || len(code) != 3 || n < 200 || n > 599 {
+			number, err := strconv.ParseUint(string(code), 10, 16)
+			if err != nil || len(code) != 3 || number < 200 || number > 599 {
 				return message.ErrMalformedResponse
 			}
-			r.Status = int(n)
+			r.Status = int(number)
 		case f.Is("Location") && r.Status == 200:
 			r.Status = 302
 			r.Fields = append(r.Fields, f)
 		case f.Is("Content-Length"):
-			n, err := strconv.ParseUint(string(value), 10, 31)
+			number, err := strconv.ParseUint(string(value), 10, 31)
 			if err != nil {
 				return message.ErrMalformedResponse
 			}
-			stated = int(n)
+			statedLength = int(number)
 		default:
 			r.Fields = append(r.Fields, f)
 		}
 	}
-	if r.Body = out; stated >= 0 && stated != len(out) { // cut off, or too long
+	if r.Body = output; statedLength >= 0 && statedLength != len(output) { // truncated or too long
 		return message.ErrMalformedResponse
 	}
 	return nil
--- a/internal/protocol/fastcgi/record.go
+++ b/internal/protocol/fastcgi/record.go
@@ -1,7 +1,7 @@
-// Package fastcgi reads and writes FastCGI 1.0, from its published specification: records and name-value pairs (record.go),
-// the mapping of HTTP requests to params (params.go), connections from clients, on which several requests may be open
-// (ClientConn), and connections to responders, with one request at a time (ServerConn). It decides nothing and sends
-// nothing twice. The memory of ClientConn and ServerConn is bounded whatever a peer sends.
+// Package fastcgi reads and writes FastCGI 1.0 as defined by its published specification: records and name-value pairs
+// (record.go), the mapping between HTTP requests and params (params.go), connections from clients, on which several requests
+// may be open (ClientConn), and connections to responders, with one request at a time (ServerConn). It makes no decisions
+// and never re-sends a request. The memory of ClientConn and ServerConn is bounded for any input of a peer.
 package fastcgi
 
 import (
@@ -11,7 +11,7 @@
 	"io"
 )
 
-// Types of records.
+// Record types.
 const (
 	typeBegin     = 1
 	typeAbort     = 2
@@ -29,11 +29,11 @@
 const (
 	version         = 1
 	headerLen       = 8
-	maxContentBytes = 65535 // of one record
-	responder       = 1     // the one role that is supported
-	flagKeep        = 1
-	shortName       = 127 // longest name or value whose length takes one byte
-	longLength      = 1 << 31
+	maxContentBytes = 65535   // in one record
+	responder       = 1       // the only supported role
+	flagKeep        = 1       // keep the connection open after the request
+	shortName       = 127     // maximum length of a name or value whose length is encoded in one byte
+	longLength      = 1 << 31 // set in a length that is encoded in four bytes
 )
 
 // Protocol statuses of END_REQUEST.
@@ -44,18 +44,18 @@
 	statusUnknownRole = 3
 )
 
-var errRecord = errors.New("a record cannot be read")
+var errRecord = errors.New("malformed FastCGI record")
 
-// record is one record. Its content is valid until the next is read.
+// record is one record. Its content is valid until the next record is read.
 type record struct {
 	kind    byte
 	id      uint16
 	content []byte
 }
 
-const readBufferBytes = 4 << 10 // holds most records whole
+const readBufferBytes = 4 << 10 // enough for most records
 
-// reader reads records from a stream into one buffer.
+// reader reads records from a stream. All records share one buffer.
 type reader struct {
 	r       *bufio.Reader
 	header  [headerLen]byte
@@ -64,7 +64,7 @@
 
 func newReader(r io.Reader) reader { return reader{r: bufio.NewReaderSize(r, readBufferBytes)} }
 
-// next reads a record with its padding. The error is io.EOF only between records.
+// next reads a record and its padding. The error is io.EOF only if the stream ends between records.
 func (r *reader) next() (record, error) {
 	if _, err := io.ReadFull(r.r, r.header[:]); err != nil {
 		return record{}, err
@@ -76,17 +76,17 @@
 	if cap(r.content) < length+padding {
 		r.content = make([]byte, 0, max(length+padding, 1024))
 	}
-	all := r.content[:length+padding]
-	if _, err := io.ReadFull(r.r, all); err != nil {
+	contentAndPadding := r.content[:length+padding]
+	if _, err := io.ReadFull(r.r, contentAndPadding); err != nil {
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
 		}
 		return record{}, err
 	}
-	return record{kind: r.header[1], id: binary.BigEndian.Uint16(r.header[2:]), content: all[:length]}, nil
+	return record{kind: r.header[1], id: binary.BigEndian.Uint16(r.header[2:]), content: contentAndPadding[:length]}, nil
 }
 
-// appendRecord appends one record, padded to a multiple of eight bytes as the specification advises.
+// appendRecord appends one record, padded to a multiple of eight bytes as the specification recommends.
 func appendRecord(b []byte, kind byte, id uint16, content []byte) []byte {
 	padding := -len(content) & 7
 	b = append(b, version, kind, byte(id>>8), byte(id), byte(len(content)>>8), byte(len(content)), byte(padding), 0)
@@ -94,7 +94,7 @@
 	return append(b, make([]byte, padding)...)
 }
 
-// appendStream appends a stream in as many records as it needs, with the empty one that ends it.
+// appendStream appends a stream in as many records as necessary, followed by the empty record that ends the stream.
 func appendStream(b []byte, kind byte, id uint16, content []byte) []byte {
 	for len(content) > 0 {
 		n := min(len(content), maxContentBytes)
@@ -107,6 +107,7 @@
 // pair is a name-value pair of PARAMS or GET_VALUES.
 type pair struct{ name, value []byte }
 
+// appendLength appends the length of a name or value in one byte or four.
 func appendLength(b []byte, n int) []byte {
 	if n <= shortName {
 		return append(b, byte(n))
@@ -119,7 +120,7 @@
 	return append(append(b, name...), value...)
 }
 
-// length reads a length in either form; ok is false where it is cut off.
+// length decodes a length of one byte or four. ok is false if the length is truncated.
 func length(b []byte) (n int, rest []byte, ok bool) {
 	switch {
 	case len(b) == 0:
@@ -135,28 +136,29 @@
 // parsePairs parses a complete stream of pairs.
 func parsePairs(b []byte, into []pair) ([]pair, error) {
 	for len(b) > 0 {
-		name, rest, ok := length(b)
+		nameLength, rest, ok := length(b)
 		if !ok {
 			return into, errRecord
 		}
-		value, rest, ok := length(rest)
-		if !ok || name > len(rest) || value > len(rest)-name {
+		valueLength, rest, ok := length(rest)
+		if !ok || nameLength > len(rest) || valueLength > len(rest)-nameLength {
 			return into, errRecord
 		}
-		into = append(into, pair{rest[:name], rest[name : name+value]})
-		b = rest[name+value:]
+		into = append(into, pair{rest[:nameLength], rest[nameLength : nameLength+valueLength]})
+		b = rest[nameLength+valueLength:]
 	}
 	return into, nil
 }
 
-// appendEnd appends the END_REQUEST of a request.
-func appendEnd(b []byte, id uint16, app uint32, status byte) []byte {
+// appendEnd appends the END_REQUEST record of a request.
+func appendEnd(b []byte, id uint16, appStatus uint32, status byte) []byte {
 	var body [8]byte
-	binary.BigEndian.PutUint32(body[:], app)
+	binary.BigEndian.PutUint32(body[:], appStatus)
 	body[4] = status
 	return appendRecord(b, typeEnd, id, body[:])
 }
 
+// appendBegin appends the BEGIN_REQUEST record of a request.
 func appendBegin(b []byte, id uint16, flags byte) []byte {
 	return appendRecord(b, typeBegin, id, []byte{0, responder, flags, 0, 0, 0, 0, 0})
 }
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -186,8 +186,7 @@
 	return err == syscall.EAGAIN && c.readPos == c.fillPos
 }
 
-// HasUnread reports whether bytes have arrived that were not read from the socket, or were only buffered while waiting for a
-// disconnect. It may be called from any goroutine.
+// HasUnread reports whether the socket or the read-ahead buffer has unread bytes. It may be called from any goroutine.
 func (c *Conn) HasUnread() bool {
 	if c.ahead.bufferedCount.Load() > 0 {
 		return true
