--- a/internal/protocol/connclose/lifecycle_test.go
+++ b/internal/protocol/connclose/lifecycle_test.go
@@ -5,101 +5,103 @@
 	"testing"
 )
 
-// world is what a client and a node believe, kept beside a life.
-type world struct {
+// model tracks the requests and the close of a connection independently of the Lifecycle.
+type model struct {
 	Lifecycle
-	coming, open int // as the caller counts them
-	over         bool
-	gone         bool
-	noMore       bool
-	last         bool
+	started, open  int // requests read in part, and admitted requests that are not answered
+	closed         bool
+	disconnected   bool
+	intakeStopped  bool
+	closeRequested bool
 }
 
-// can tells which inputs may come: a caller does not tell of the end of what has not begun.
-func (w *world) can(in Input) bool {
-	switch in {
+// isPossible reports whether an event can occur. A caller reports the end of a request only after its start.
+func (m *model) isPossible(input Input) bool {
+	switch input {
 	case RequestReceived, RequestAborted:
-		return w.coming > 0
+		return m.started > 0
 	case RequestAnswered:
-		return w.open > 0
+		return m.open > 0
 	}
 	return true
 }
 
-func (w *world) step(in Input) (wrong string) {
-	quiet := w.coming+w.open == 0
-	effect := w.Handle(in)
-	took := effect == Admit
-	switch in {
+// step passes an event to the Lifecycle and returns the rule that the effect violates, "" for none.
+func (m *model) step(input Input) (violation string) {
+	isIdle := m.started+m.open == 0
+	effect := m.Handle(input)
+	admitted := effect == Admit
+	switch input {
 	case RequestStarted:
-		if took {
-			w.coming++
+		if admitted {
+			m.started++
 		}
 	case RequestReceived:
-		if w.coming--; took {
-			w.open++
+		if m.started--; admitted {
+			m.open++
 		}
 	case RequestAborted:
-		w.coming--
+		m.started--
 	case RequestAnswered:
-		w.open--
+		m.open--
 	case CloseRequested:
-		w.last = true
+		m.closeRequested = true
 	case IntakeStopped:
-		w.noMore, w.coming = true, 0
+		m.intakeStopped, m.started = true, 0
 	case Disconnected:
-		w.gone, w.coming = true, 0
+		m.disconnected, m.started = true, 0
 	}
-	ends := effect == CloseWrite || effect == Close
-	due := w.open+w.coming == 0 && (w.last || w.noMore) || in == IdleTimeout && quiet
+	closes := effect == CloseWrite || effect == Close
+	mustClose := m.open+m.started == 0 && (m.closeRequested || m.intakeStopped) || input == IdleTimeout && isIdle
 	switch {
-	case w.over && effect != NoEffect:
-		return "something is done after the end"
-	case w.noMore && took:
-		return "taken when nothing more is"
-	case (in == RequestStarted || in == RequestReceived) && !w.over && !took && !w.noMore:
-		return "not taken without a reason"
-	case effect == CloseWrite && w.open > 0:
-		return "ended with an answer owed"
-	case effect == CloseWrite && w.coming > 0:
-		return "ended with a request on its way"
-	case !ends && !w.over && due && !w.gone:
-		return "not ended when nothing is left to do"
-	case ends && !due && in != Disconnected:
-		return "ended too early"
+	case m.closed && effect != NoEffect:
+		return "effect after the close"
+	case m.intakeStopped && admitted:
+		return "request admitted after IntakeStopped"
+	case (input == RequestStarted || input == RequestReceived) && !m.closed && !admitted && !m.intakeStopped:
+		return "request not admitted without a reason"
+	case effect == CloseWrite && m.open > 0:
+		return "closed with an admitted request that is not answered"
+	case effect == CloseWrite && m.started > 0:
+		return "closed with a request that was read in part"
+	case !closes && !m.closed && mustClose && !m.disconnected:
+		return "not closed although no request is open"
+	case closes && !mustClose && input != Disconnected:
+		return "closed too early"
 	}
-	w.over = w.over || ends
+	m.closed = m.closed || closes
 	return ""
 }
 
-// All orders of inputs with up to four requests, by the states of the world that they lead to: no answer owed is lost, nothing is taken
-// that is not answered, and each connection that is to end does.
+// TestAllOrders runs all orders of events with up to four open requests, by the states of the model that they reach. It checks
+// that no response to an admitted request is lost, that no request is admitted after IntakeStopped, and that each connection
+// that must close does so.
 func TestAllOrders(t *testing.T) {
-	seen := map[world]bool{}
-	type place struct {
-		w    world
+	seen := map[model]bool{}
+	type node struct {
+		m    model
 		path string
 	}
-	at := []place{{}}
-	for len(at) > 0 {
-		var next []place
-		for _, p := range at {
-			for in := range inputs {
-				w := p.w
-				if !w.can(in) || w.coming+w.open > 3 {
+	current := []node{{}}
+	for len(current) > 0 {
+		var next []node
+		for _, visited := range current {
+			for input := range inputs {
+				m := visited.m
+				if !m.isPossible(input) || m.started+m.open > 3 {
 					continue
 				}
-				path := fmt.Sprint(p.path, " ", in)
-				if wrong := w.step(in); wrong != "" {
-					t.Fatalf("inputs%s: %s", path, wrong)
+				path := fmt.Sprint(visited.path, " ", input)
+				if violation := m.step(input); violation != "" {
+					t.Fatalf("events%s: %s", path, violation)
 				}
-				if !seen[w] {
-					seen[w] = true
-					next = append(next, place{w, path})
+				if !seen[m] {
+					seen[m] = true
+					next = append(next, node{m, path})
 				}
 			}
 		}
-		at = next
+		current = next
 	}
 	t.Logf("%d states", len(seen))
 }
--- a/internal/protocol/fastcgi/fastcgi_test.go
+++ b/internal/protocol/fastcgi/fastcgi_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// What is written is read again, however it is cut into records and reads.
+// TestRoundTrip checks that written pairs are read back unchanged, for any division into records and reads.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOf(rapid.StringMatching(`[A-Z]{1,300}`)).Draw(t, "names")
@@ -41,7 +41,7 @@
 		for {
 			rec, err := r.next()
 			if err != nil || rec.kind != typeParams || rec.id != 7 {
-				t.Fatalf("%+v, %v", rec, err)
+				t.Fatalf("got record %+v, error %v", rec, err)
 			}
 			if len(rec.content) == 0 {
 				break
@@ -50,41 +50,41 @@
 		}
 		pairs, err := parsePairs(got, nil)
 		if err != nil || len(pairs) != len(names) {
-			t.Fatalf("%d pairs of %d, %v", len(pairs), len(names), err)
+			t.Fatalf("got %d pairs, want %d, error %v", len(pairs), len(names), err)
 		}
 		for i, p := range pairs {
 			if string(p.name) != names[i] || len(p.value) != len(names[i])%200 {
-				t.Fatalf("pair %d is %q", i, p.name)
+				t.Fatalf("pair %d: got name %q", i, p.name)
 			}
 		}
 	})
 }
 
-// Nothing that a peer sends may bring a reader down or have it keep more than a message may hold.
+// FuzzPeers checks that no input of a peer makes a reader panic or retain reserved memory.
 func FuzzPeers(f *testing.F) {
 	f.Add(appendStream(appendStream(appendBegin(nil, 1, 1), typeParams, 1, appendPair(nil, "REQUEST_URI", "/a")), typeStdin, 1, nil))
 	f.Add(appendEnd(appendStream(nil, typeStdout, 1, []byte("Status: 200\r\n\r\nx")), 1, 0, 0))
-	f.Fuzz(func(t *testing.T, in []byte) {
-		pool := message.NewBufferBudget(1 << 20)
-		front := NewClientConn(&script{in: bytes.NewReader(in)}, pool)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		budget := message.NewBufferBudget(1 << 20)
+		clientConn := NewClientConn(&script{in: bytes.NewReader(input)}, budget)
 		for {
-			call, err := front.NextRequest(nil)
+			req, err := clientConn.NextRequest(nil)
 			if err != nil {
 				break
 			}
-			front.Answer(call, call.Append(nil, message.Answer{Status: 200}))
+			clientConn.Answer(req, req.Append(nil, message.Answer{Status: 200}))
 		}
-		front.AbandonRequests()
-		if free := pool.Available(); free != 1<<20 {
-			t.Errorf("%d bytes are not given back", 1<<20-free)
+		clientConn.AbandonRequests()
+		if available := budget.Available(); available != 1<<20 {
+			t.Errorf("got %d bytes that were not released", 1<<20-available)
 		}
-		back := NewServerConn(&script{in: bytes.NewReader(in)}, pool, nil)
-		back.ReceiveResponse(&message.Response{})
-		back.ReleaseBuffers()
+		serverConn := NewServerConn(&script{in: bytes.NewReader(input)}, budget, nil)
+		serverConn.ReceiveResponse(&message.Response{})
+		serverConn.ReleaseBuffers()
 	})
 }
 
-// script is a connection that brings a text, and takes all.
+// script is a connection that delivers a given input and records the output.
 type script struct {
 	net.Conn
 	in  io.Reader
@@ -96,9 +96,9 @@
 func (s *script) SetWriteDeadline(time.Time) error { return nil }
 func (s *script) Close() error                     { return nil }
 
-// What a responder says, and what it means.
-func TestReplies(t *testing.T) {
-	out := func(text string) []byte { return appendStream(nil, typeStdout, 1, []byte(text)) }
+// TestResponses checks the response that is derived from the output of a responder.
+func TestResponses(t *testing.T) {
+	stdout := func(text string) []byte { return appendStream(nil, typeStdout, 1, []byte(text)) }
 	end := func(b []byte, app uint32, status byte) []byte { return appendEnd(b, 1, app, status) }
 	padded := func(b []byte) []byte { // 255 bytes of padding behind a record
 		n := len(b)
@@ -107,62 +107,62 @@
 		return append(b, make([]byte, 255)...)
 	}
 	for name, c := range map[string]struct {
-		says   []byte
-		status int // 0: an error
-		body   string
-		err    error
-		never  bool
-		again  bool
+		output     []byte
+		status     int // 0: an error
+		body       string
+		err        error
+		notStarted bool
+		reusable   bool
 	}{
-		"an answer":                    {end(out("Status: 200 OK\r\nX: y\r\n\r\nhello"), 0, 0), 200, "hello", nil, false, true},
-		"no status":                    {end(out("Content-Type: a/b\n\nhello"), 0, 0), 200, "hello", nil, false, true},
-		"an error":                     {end(out("Status: 500 No\r\n\r\n"), 0, 0), 500, "", nil, false, true},
-		"turned away, by its head":     {end(out("Status: 503 No\r\nNot-Started: 1\r\n\r\n"), 0, 0), 503, "", nil, true, true},
+		"a response":                   {end(stdout("Status: 200 OK\r\nX: y\r\n\r\nhello"), 0, 0), 200, "hello", nil, false, true},
+		"no status":                    {end(stdout("Content-Type: a/b\n\nhello"), 0, 0), 200, "hello", nil, false, true},
+		"an error":                     {end(stdout("Status: 500 No\r\n\r\n"), 0, 0), 500, "", nil, false, true},
+		"not started, by its head":     {end(stdout("Status: 503 No\r\nNot-Started: 1\r\n\r\n"), 0, 0), 503, "", nil, true, true},
 		"overloaded":                   {end(nil, 0, statusOverloaded), 503, "", nil, true, true},
-		"cannot share":                 {end(nil, 0, statusCantMPX), 503, "", nil, true, true},
+		"no multiplexing":              {end(nil, 0, statusCantMPX), 503, "", nil, true, true},
 		"another role":                 {end(nil, 0, statusUnknownRole), 503, "", nil, true, true},
-		"overloaded, but it has begun": {end(out("Status: 200\r\n\r\nx"), 0, statusOverloaded), 0, "", message.ErrMalformedResponse, false, false},
-		"a status of nobody":           {end(nil, 0, 9), 0, "", message.ErrMalformedResponse, false, false},
-		"it failed behind its answer":  {end(out("Status: 200\r\n\r\nx"), 3, 0), 500, "x", nil, false, true},
-		"a redirect":                   {end(out("Location: /x\r\n\r\n"), 0, 0), 302, "", nil, false, true},
-		"in many records":              {end(append(out("Status: 2"), out("00\r\n\r\nhello")...), 0, 0), 200, "hello", nil, false, true},
-		"padding of 255":               {end(padded(out("Status: 200\r\n\r\nhello")), 0, 0), 200, "hello!", nil, false, true},
-		"STDERR between":               {end(append(appendStream(nil, typeStderr, 1, []byte("oh")), out("Status: 200\r\n\r\nx")...), 0, 0), 200, "x", nil, false, true},
+		"overloaded, but started":      {end(stdout("Status: 200\r\n\r\nx"), 0, statusOverloaded), 0, "", message.ErrMalformedResponse, false, false},
+		"unknown protocol status":      {end(nil, 0, 9), 0, "", message.ErrMalformedResponse, false, false},
+		"failed after its response":    {end(stdout("Status: 200\r\n\r\nx"), 3, 0), 500, "x", nil, false, true},
+		"a redirect":                   {end(stdout("Location: /x\r\n\r\n"), 0, 0), 302, "", nil, false, true},
+		"in many records":              {end(append(stdout("Status: 2"), stdout("00\r\n\r\nhello")...), 0, 0), 200, "hello", nil, false, true},
+		"padding of 255":               {end(padded(stdout("Status: 200\r\n\r\nhello")), 0, 0), 200, "hello!", nil, false, true},
+		"STDERR between records":       {end(append(appendStream(nil, typeStderr, 1, []byte("oh")), stdout("Status: 200\r\n\r\nx")...), 0, 0), 200, "x", nil, false, true},
 		"endless STDERR":               {appendStream(nil, typeStderr, 1, make([]byte, maxStderrBytes+1)), 0, "", message.ErrMalformedResponse, false, false},
-		"shorter than it says":         {end(out("Content-Length: 9\r\n\r\nhello"), 0, 0), 0, "", message.ErrMalformedResponse, false, false},
-		"longer than it says":          {end(out("Content-Length: 2\r\n\r\nhello"), 0, 0), 0, "", message.ErrMalformedResponse, false, false},
-		"END before the head is whole": {end(out("Status: 200\r\n"), 0, 0), 0, "", message.ErrMalformedResponse, false, false},
-		"nothing but END":              {end(nil, 0, 0), 0, "", message.ErrMalformedResponse, false, false},
-		"another's id":                 {appendEnd(nil, 2, 0, 0), 0, "", message.ErrMalformedResponse, false, false},
+		"shorter than Content-Length":  {end(stdout("Content-Length: 9\r\n\r\nhello"), 0, 0), 0, "", message.ErrMalformedResponse, false, false},
+		"longer than Content-Length":   {end(stdout("Content-Length: 2\r\n\r\nhello"), 0, 0), 0, "", message.ErrMalformedResponse, false, false},
+		"END_REQUEST within the head":  {end(stdout("Status: 200\r\n"), 0, 0), 0, "", message.ErrMalformedResponse, false, false},
+		"END_REQUEST alone":            {end(nil, 0, 0), 0, "", message.ErrMalformedResponse, false, false},
+		"unknown request ID":           {appendEnd(nil, 2, 0, 0), 0, "", message.ErrMalformedResponse, false, false},
 		"HTTP":                         {[]byte("HTTP/1.1 400 Bad Request\r\n\r\n"), 0, "", message.ErrMalformedResponse, false, false},
-		"cut within a record":          {out("Status: 200\r\n\r\nhello")[:12], 0, "", io.ErrUnexpectedEOF, false, false},
-		"cut behind a record":          {appendRecord(nil, typeStdout, 1, []byte("Status: 200\r\n\r\nx")), 0, "", io.ErrUnexpectedEOF, false, false},
-		"cut within the END":           {end(out("Status: 200\r\n\r\nx"), 0, 0)[:44], 0, "", io.ErrUnexpectedEOF, false, false},
-		"closed with no word":          {nil, 0, "", io.ErrUnexpectedEOF, false, false},
-		"a head without end":           {out("X: " + strings.Repeat("x", message.MaxHead+9)), 0, "", io.ErrUnexpectedEOF, false, false},
-		"too large":                    {out(strings.Repeat("x", message.MaxHead+message.MaxAnswer+1)), 0, "", message.ErrMalformedResponse, false, false},
-		"an unknown record, of none":   {end(append(appendRecord(nil, typeUnknown, 0, make([]byte, 8)), out("Status: 200\r\n\r\nx")...), 0, 0), 200, "x", nil, false, true},
+		"truncated within a record":    {stdout("Status: 200\r\n\r\nhello")[:12], 0, "", io.ErrUnexpectedEOF, false, false},
+		"truncated after a record":     {appendRecord(nil, typeStdout, 1, []byte("Status: 200\r\n\r\nx")), 0, "", io.ErrUnexpectedEOF, false, false},
+		"truncated within END_REQUEST": {end(stdout("Status: 200\r\n\r\nx"), 0, 0)[:44], 0, "", io.ErrUnexpectedEOF, false, false},
+		"closed without output":        {nil, 0, "", io.ErrUnexpectedEOF, false, false},
+		"a head without end":           {stdout("X: " + strings.Repeat("x", message.MaxHead+9)), 0, "", io.ErrUnexpectedEOF, false, false},
+		"too large":                    {stdout(strings.Repeat("x", message.MaxHead+message.MaxAnswer+1)), 0, "", message.ErrMalformedResponse, false, false},
+		"unknown management record":    {end(append(appendRecord(nil, typeUnknown, 0, make([]byte, 8)), stdout("Status: 200\r\n\r\nx")...), 0, 0), 200, "x", nil, false, true},
 		"an unknown record":            {appendRecord(nil, 77, 1, nil), 0, "", message.ErrMalformedResponse, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewServerConn(&script{in: iotest.OneByteReader(bytes.NewReader(c.says))}, nil, nil)
+			b := NewServerConn(&script{in: iotest.OneByteReader(bytes.NewReader(c.output))}, nil, nil)
 			var r message.Response
 			err := b.ReceiveResponse(&r)
-			if !errors.Is(err, c.err) || err == nil && (r.Status != c.status || string(r.Body) != c.body || r.NotStarted() != c.never) || b.IsReusable(&r) != c.again {
-				t.Errorf("%d %q, never ran %v, again %v, %v", r.Status, r.Body, r.NotStarted(), b.IsReusable(&r), err)
+			if !errors.Is(err, c.err) || err == nil && (r.Status != c.status || string(r.Body) != c.body || r.NotStarted() != c.notStarted) || b.IsReusable(&r) != c.reusable {
+				t.Errorf("got status %d, body %q, not started %v, reusable %v, error %v", r.Status, r.Body, r.NotStarted(), b.IsReusable(&r), err)
 			}
 		})
 	}
 }
 
-// A responder that nobody here wrote: the standard library's.
+// TestStandardResponder runs requests against the FastCGI responder of the standard library.
 func TestStandardResponder(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	go fcgi.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	defer listener.Close()
+	go fcgi.Serve(listener, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.Header().Set("X-Seen", r.Header.Get("Request-Id")+" "+r.Header.Get("Request-Timeout"))
 		if r.URL.Path == "/hire-book/no" {
@@ -170,35 +170,36 @@
 		}
 		fmt.Fprintf(w, "%s %s %s", r.Method, r.URL.RequestURI(), body)
 	}))
-	nc, err := net.Dial("tcp", ln.Addr().String())
+	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	b := NewServerConn(nc, nil, nil)
-	nc.SetDeadline(time.Now().Add(10 * time.Second))
-	for _, target := range []string{"/hire-book/1?a=b", "/hire-book/no", "/hire-book/" + strings.Repeat("x", 9000)} { // on one connection
-		q := &message.Request{Method: []byte("POST"), Target: []byte(target), Body: bytes.Repeat([]byte("y"), 60000),
+	defer conn.Close()
+	serverConn := NewServerConn(conn, nil, nil)
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	for _, target := range []string{"/hire-book/1?a=b", "/hire-book/no", "/hire-book/" + strings.Repeat("x", 9000)} { // all on one connection
+		req := &message.Request{Method: []byte("POST"), Target: []byte(target), Body: bytes.Repeat([]byte("y"), 60000),
 			Fields: []message.Field{{Name: []byte("Host"), Value: []byte("h")}, {Name: []byte("Request-Id"), Value: []byte("0a")}}}
-		if whole, err := b.SendRequest(q, 250*time.Millisecond, "1.2.3.4"); !whole {
+		if complete, err := serverConn.SendRequest(req, 250*time.Millisecond, "1.2.3.4"); !complete {
 			t.Fatal(err)
 		}
 		var r message.Response
-		if err := b.ReceiveResponse(&r); err != nil {
+		if err := serverConn.ReceiveResponse(&r); err != nil {
 			t.Fatal(err)
 		}
 		want := 200
 		if target == "/hire-book/no" {
 			want = 500
 		}
-		if r.Status != want || string(r.Body) != "POST "+target+" "+string(q.Body) || string(message.Find(r.Fields, "X-Seen")) != "0a 0.250" || !b.IsReusable(&r) {
-			t.Errorf("%s: %d, %.60q, %s", target, r.Status, r.Body, message.Find(r.Fields, "X-Seen"))
+		if r.Status != want || string(r.Body) != "POST "+target+" "+string(req.Body) || string(message.Find(r.Fields, "X-Seen")) != "0a 0.250" || !serverConn.IsReusable(&r) {
+			t.Errorf("%s: got status %d, body %.60q, X-Seen %s", target, r.Status, r.Body, message.Find(r.Fields, "X-Seen"))
 		}
-		b.ReleaseBuffers()
+		serverConn.ReleaseBuffers()
 	}
 }
 
-// What clients send on one connection, and what they are told: records of the answer, by request.
+// TestClientConnRecords checks the requests that are read from a client connection, and the records that are written in
+// response.
 func TestClientConnRecords(t *testing.T) {
 	begin := func(id uint16) []byte { return appendBegin(nil, id, flagKeep) }
 	params := func(id uint16, more ...string) []byte {
@@ -211,111 +212,112 @@
 	stdin := func(id uint16, body string) []byte { return appendStream(nil, typeStdin, id, []byte(body)) }
 	join := func(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
 	for name, c := range map[string]struct {
-		sends []byte
-		calls string // whole requests: id, body or why it is bad
-		told  string // records that are written without a call
-		err   error
+		sends    []byte
+		requests string // complete requests: ID, and body or reason of the error
+		written  string // records that are written in addition to answers: type and ID
+		err      error
 	}{
 		"one":                       {join(begin(1), params(1), stdin(1, "abc")), "1:abc", "", io.EOF},
 		"two, interleaved":          {join(begin(1), begin(2), params(2), params(1), stdin(2, "two"), stdin(1, "one")), "2:two 1:one", "", io.EOF},
-		"an id that is open":        {join(begin(1), begin(1)), "", "", ErrProtocol},
+		"ID in use":                 {join(begin(1), begin(1)), "", "", ErrProtocol},
 		"another role":              {join(appendRecord(nil, typeBegin, 1, []byte{0, 3, 1, 0, 0, 0, 0, 0}), params(1), stdin(1, "")), "", "3/1", io.EOF},
-		"aborted on its way":        {join(begin(1), params(1), appendRecord(nil, typeAbort, 1, nil), stdin(1, "abc")), "", "3/1", io.EOF},
-		"aborted by nobody":         {appendRecord(nil, typeAbort, 9, nil), "", "", io.EOF},
+		"aborted before complete":   {join(begin(1), params(1), appendRecord(nil, typeAbort, 1, nil), stdin(1, "abc")), "", "3/1", io.EOF},
+		"abort of an unknown ID":    {appendRecord(nil, typeAbort, 9, nil), "", "", io.EOF},
 		"a length that is wrong":    {join(begin(1), params(1, paramLength, "9"), stdin(1, "abc")), "1:the body is not as long as it is said to be", "", io.EOF},
 		"two lengths":               {join(begin(1), params(1, paramLength, "3", paramLength, "4"), stdin(1, "abc")), "1:the length of the body is not clear", "", io.EOF},
 		"a huge body":               {join(begin(1), params(1), stdin(1, strings.Repeat("x", 70_000)), begin(2), params(2), stdin(2, "")), "1:the body is too large 2:", "", io.EOF},
 		"huge params":               {join(begin(1), params(1, "HTTP_X", strings.Repeat("x", 20_000)), stdin(1, "")), "1:the params are too large", "", io.EOF},
-		"params that break off":     {join(begin(1), appendStream(nil, typeParams, 1, []byte{200, 0}), stdin(1, "")), "1:the params cannot be read", "", io.EOF},
+		"truncated params":          {join(begin(1), appendStream(nil, typeParams, 1, []byte{200, 0}), stdin(1, "")), "1:the params cannot be read", "", io.EOF},
 		"a line break in a param":   {join(begin(1), params(1, "HTTP_X", "a\r\nHost: b"), stdin(1, "")), "1:a param cannot be read", "", io.EOF},
 		"a body before the params":  {join(begin(1), stdin(1, "abc")), "", "", ErrProtocol},
-		"no HTTP":                   {[]byte("GET / HTTP/1.1\r\n\r\n"), "", "", ErrProtocol},
-		"a question":                {appendRecord(nil, typeGetValues, 0, appendPair(nil, "FCGI_MPXS_CONNS", "")), "", "10/0", io.EOF},
-		"an unknown question":       {appendRecord(nil, 99, 0, nil), "", "11/0", io.EOF},
-		"a question that is broken": {appendRecord(nil, typeGetValues, 0, []byte{200}), "", "", ErrProtocol},
+		"HTTP":                      {[]byte("GET / HTTP/1.1\r\n\r\n"), "", "", ErrProtocol},
+		"GET_VALUES":                {appendRecord(nil, typeGetValues, 0, appendPair(nil, "FCGI_MPXS_CONNS", "")), "", "10/0", io.EOF},
+		"unknown management record": {appendRecord(nil, 99, 0, nil), "", "11/0", io.EOF},
+		"malformed GET_VALUES":      {appendRecord(nil, typeGetValues, 0, []byte{200}), "", "", ErrProtocol},
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn := &script{in: iotest.OneByteReader(bytes.NewReader(c.sends))}
 			f := NewClientConn(conn, message.NewBufferBudget(1<<20))
-			var calls []string
+			var requests []string
 			var err error
 			for {
-				var call *Request
-				if call, err = f.NextRequest(nil); err != nil {
+				var req *Request
+				if req, err = f.NextRequest(nil); err != nil {
 					break
 				}
-				if call.Malformed != nil {
-					calls = append(calls, fmt.Sprint(call.ID, ":", call.Malformed.Why))
+				if req.Malformed != nil {
+					requests = append(requests, fmt.Sprint(req.ID, ":", req.Malformed.Why))
 				} else {
-					calls = append(calls, fmt.Sprint(call.ID, ":", string(call.Request.Body)))
+					requests = append(requests, fmt.Sprint(req.ID, ":", string(req.Request.Body)))
 				}
-				f.freeID(call)
+				f.freeID(req)
 			}
-			var told []string
+			var written []string
 			for r := newReader(&conn.out); ; {
 				rec, err := r.next()
 				if err != nil {
 					break
 				}
-				told = append(told, fmt.Sprint(rec.kind, "/", rec.id))
+				written = append(written, fmt.Sprint(rec.kind, "/", rec.id))
 			}
-			if got := strings.Join(calls, " "); got != c.calls || strings.Join(told, " ") != c.told || !errors.Is(err, c.err) {
-				t.Errorf("calls %q, told %q, %v", got, told, err)
+			if got := strings.Join(requests, " "); got != c.requests || strings.Join(written, " ") != c.written || !errors.Is(err, c.err) {
+				t.Errorf("got requests %q, written records %q, error %v", got, written, err)
 			}
 		})
 	}
 }
 
-// echoing asks again under the same id as soon as its answer is written.
-type echoing struct {
+// reusingConn calls next as soon as its first output is written, as a client that uses the same ID again.
+type reusingConn struct {
 	script
 	next func()
 }
 
-func (e *echoing) Write(b []byte) (int, error) {
-	n, err := e.script.Write(b)
-	if next := e.next; next != nil {
-		e.next = nil
+func (c *reusingConn) Write(b []byte) (int, error) {
+	n, err := c.script.Write(b)
+	if next := c.next; next != nil {
+		c.next = nil
 		next()
 	}
 	return n, err
 }
 
-// An id is free for its client from the moment at which the end of its request is written, not only after it.
-func TestIdIsFreeBehindItsEnd(t *testing.T) {
-	one := appendStream(appendStream(appendBegin(nil, 1, flagKeep), typeParams, 1, appendPair(appendPair(nil, paramMethod, "GET"), paramURI, "/a")), typeStdin, 1, nil)
-	conn := &echoing{script: script{in: bytes.NewReader(append(one, one...))}}
-	f := NewClientConn(conn, nil)
-	call, err := f.NextRequest(nil)
+// TestIDIsReusableAfterEnd checks that a client can use an ID again as soon as END_REQUEST is written, before Answer has
+// returned.
+func TestIDIsReusableAfterEnd(t *testing.T) {
+	encoded := appendStream(appendStream(appendBegin(nil, 1, flagKeep), typeParams, 1, appendPair(appendPair(nil, paramMethod, "GET"), paramURI, "/a")), typeStdin, 1, nil)
+	conn := &reusingConn{script: script{in: bytes.NewReader(append(encoded, encoded...))}}
+	clientConn := NewClientConn(conn, nil)
+	first, err := clientConn.NextRequest(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var second *Request
-	conn.next = func() { second, err = f.NextRequest(nil) }
-	f.Answer(call, call.Append(nil, message.Answer{Status: 200}))
+	conn.next = func() { second, err = clientConn.NextRequest(nil) }
+	clientConn.Answer(first, first.Append(nil, message.Answer{Status: 200}))
 	if second == nil || err != nil {
-		t.Fatalf("the next request under the same id: %v", err)
+		t.Fatalf("next request with the same ID: got error %v", err)
 	}
 }
 
-// Fields become params and back, and none can pass for another.
+// TestParams checks that fields are mapped to params and back, and that no field can forge another.
 func TestParams(t *testing.T) {
-	q := &message.Request{Method: []byte("POST"), Target: []byte("/a/b?c=d"), Body: []byte("xyz")}
+	sent := &message.Request{Method: []byte("POST"), Target: []byte("/a/b?c=d"), Body: []byte("xyz")}
 	for name, value := range map[string]string{"Host": "h", "Request-Id": "7", "X_Tenant": "forged", "Proxy": "evil", "Connection": "X-Hop", "X-Hop": "1",
 		"Content-Type": "t/u", "Request-Timeout": "9", "X-Forwarded-For": "9.9.9.9"} {
-		q.Fields = append(q.Fields, message.Field{Name: []byte(name), Value: []byte(value)})
+		sent.Fields = append(sent.Fields, message.Field{Name: []byte(name), Value: []byte(value)})
 	}
-	r, err := request(appendParams(nil, q, "0.100", "1.2.3.4"), q.Body)
+	received, err := request(appendParams(nil, sent, "0.100", "1.2.3.4"), sent.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(r.Method) != "POST" || string(r.Target) != "/a/b?c=d" || string(r.Body) != "xyz" {
-		t.Errorf("%s %s %s", r.Method, r.Target, r.Body)
+	if string(received.Method) != "POST" || string(received.Target) != "/a/b?c=d" || string(received.Body) != "xyz" {
+		t.Errorf("got %s %s %s", received.Method, received.Target, received.Body)
 	}
 	for name, want := range map[string]string{"Host": "h", "Request-Id": "7", "X-Tenant": "", "Proxy": "", "X-Hop": "", "Content-Type": "t/u",
 		"Request-Timeout": "0.100", "X-Forwarded-For": "1.2.3.4"} {
-		if got := string(r.Get(name)); got != want {
-			t.Errorf("%s is %q, not %q", name, got, want)
+		if got := string(received.Get(name)); got != want {
+			t.Errorf("%s: got %q, want %q", name, got, want)
 		}
 	}
 }
--- a/internal/protocol/http1/aliases.go
+++ b/internal/protocol/http1/aliases.go
@@ -14,14 +14,14 @@
 // Answer is the response that the node sends to a client.
 type Answer = message.Answer
 
-// Operation holds the values of a request on which decisions depend.
-type Operation = message.RequestInfo
+// RequestInfo holds the values of a request on which decisions depend.
+type RequestInfo = message.RequestInfo
 
 // Malformed is the error of a request that cannot be served.
 type Malformed = message.RequestError
 
-// Pool bounds the memory that connections use for large messages.
-type Pool = message.BufferBudget
+// BufferBudget bounds the memory that connections use for large messages.
+type BufferBudget = message.BufferBudget
 
 // Limits and field names of package message.
 const (
@@ -32,5 +32,5 @@
 	RequestTimeout = message.RequestTimeout
 )
 
-// NewPool returns a budget of the given number of bytes.
-func NewPool(bytes int) *Pool { return message.NewBufferBudget(bytes) }
+// NewBufferBudget returns a budget of the given number of bytes.
+func NewBufferBudget(bytes int) *BufferBudget { return message.NewBufferBudget(bytes) }
