--- a/internal/protocol/fastcgi/params.go
+++ b/internal/protocol/fastcgi/params.go
@@ -87,7 +87,7 @@
 		if !message.IsText(entry.value) {
 			return nil, message.NewRequestError(400, "a param cannot be read")
 		}
-		if err := p.take(string(entry.name), entry.value); err != nil {
+		if err := p.add(string(entry.name), entry.value); err != nil {
 			return nil, err
 		}
 		if len(r.Fields) > message.MaxFields {
@@ -109,8 +109,8 @@
 	return r, nil
 }
 
-// take processes one param.
-func (p *paramReader) take(name string, value []byte) error {
+// add processes one param.
+func (p *paramReader) add(name string, value []byte) error {
 	r := p.request
 	switch name {
 	case paramMethod:
@@ -128,7 +128,7 @@
 			r.Fields = append(r.Fields, message.Field{Name: []byte("Content-Type"), Value: value})
 		}
 	case paramLength:
-		return p.takeLength(value)
+		return p.setLength(value)
 	case paramProxy:
 	default:
 		field, ok := strings.CutPrefix(name, prefix)
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// takeLength processes a length of the body. If the length is set more than once, all values must be equal.
-func (p *paramReader) takeLength(value []byte) error {
+// setLength processes a stated length of the body. If the length is set more than once, all values must be equal.
+func (p *paramReader) setLength(value []byte) error {
 	if len(value) == 0 {
 		return nil
 	}
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -119,7 +119,7 @@
 	var err error
 	switch {
 	case len(c.ahead.buffered) > 0:
-		n = c.ahead.take(c.buf[c.fillPos:])
+		n = c.ahead.moveTo(c.buf[c.fillPos:])
 	case c.observer != nil:
 		n, err = sockpeek.Read(c.Conn, c.buf[c.fillPos:], c)
 	default:
--- a/internal/protocol/http1/disconnect.go
+++ b/internal/protocol/http1/disconnect.go
@@ -72,8 +72,8 @@
 // Overflowed reports whether more bytes arrived behind a request than are buffered, so that no further message can be read.
 func (c *Conn) Overflowed() bool { return c.ahead.overflow > 0 }
 
-// take moves buffered bytes to b, in which messages are parsed.
-func (a *readAhead) take(b []byte) int {
+// moveTo moves buffered bytes to b, in which messages are parsed.
+func (a *readAhead) moveTo(b []byte) int {
 	n := copy(b, a.buffered)
 	if a.buffered = a.buffered[n:]; len(a.buffered) == 0 {
 		a.buffered = nil
--- a/internal/route/check.go
+++ b/internal/route/check.go
@@ -25,7 +25,7 @@
 // retried.
 var outcomesThatMayHaveRun = []string{"error", "timeout", "broken"}
 
-// Load reads and compiles the operator's file at path. See Parse for the error.
+// Load reads and compiles the operator's file at path. The error is that of tomlfile.Read or of Parse.
 func Load(path string, s *settings.Settings) (*Table, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -12,7 +12,7 @@
 // Update describes the effect of Router.Replace for the policy and the dispatcher.
 type Update struct {
 	TrafficTypes     []policy.TrafficType // all traffic types of the policy
-	LearnFrom        []int                // by traffic type: the type whose statistics it starts with; its own index: none
+	LearnFrom        []int                // by traffic type: its own index if unchanged, else the type whose latencies it starts with
 	RouteLimits      []int                // requests with an attempt in flight, by route limit; 0: unlimited
 	SelectionChanged bool                 // labels or protocols of servers may have changed
 }
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -16,8 +16,8 @@
 	return table
 }
 
-// take tries to admit count requests for a path and returns the admissions.
-func take(r *Router, now time.Duration, path string, tenant, count int) (admissions []Admission) {
+// admit tries to admit count requests for a path and returns the admissions.
+func admit(r *Router, now time.Duration, path string, tenant, count int) (admissions []Admission) {
 	for range count {
 		route, trafficType := r.Table().Match(&Request{Path: []byte(path)})
 		if admission, rejection := r.Admit(now, route, trafficType, tenant); rejection == Admitted {
@@ -35,26 +35,26 @@
 		play func(r *Router) []int
 		want []int
 	}{
-		"concurrency limit": {threeLines + "at_once = 2\nwaiting = 3", func(r *Router) []int { return []int{len(take(r, 0, "/check/x", 0, 9))} }, []int{5}},
+		"concurrency limit": {threeLines + "at_once = 2\nwaiting = 3", func(r *Router) []int { return []int{len(admit(r, 0, "/check/x", 0, 9))} }, []int{5}},
 		"slot is released": {threeLines + "at_once = 2", func(r *Router) []int {
-			r.Release(take(r, 0, "/check/x", 0, 9)[0])
-			return []int{len(take(r, 0, "/check/x", 0, 9))}
+			r.Release(admit(r, 0, "/check/x", 0, 9)[0])
+			return []int{len(admit(r, 0, "/check/x", 0, 9))}
 		}, []int{1}},
 		"a rate": {threeLines + "rate = 10\nburst = 4", func(r *Router) []int {
-			return []int{len(take(r, 0, "/check/x", 0, 9)), len(take(r, second/2, "/check/x", 0, 9)), len(take(r, 9*second, "/check/x", 0, 9))}
+			return []int{len(admit(r, 0, "/check/x", 0, 9)), len(admit(r, second/2, "/check/x", 0, 9)), len(admit(r, 9*second, "/check/x", 0, 9))}
 		}, []int{4, 4, 4}},
-		"another type is not counted": {threeLines + "at_once = 2", func(r *Router) []int { take(r, 0, "/check/x", 0, 9); return []int{len(take(r, 0, "/book/x", 0, 9))} }, []int{9}},
+		"another type is not counted": {threeLines + "at_once = 2", func(r *Router) []int { admit(r, 0, "/check/x", 0, 9); return []int{len(admit(r, 0, "/book/x", 0, 9))} }, []int{9}},
 		"burst of one tenant leaves the share of another": {threeLines + "rate = 100\nburst = 10\ntenant_shares = {dairy = 0.5, orchards = 0.5}", func(r *Router) []int {
-			return []int{len(take(r, 0, "/check/x", 0, 50)), len(take(r, 0, "/check/x", 1, 5))}
+			return []int{len(admit(r, 0, "/check/x", 0, 50)), len(admit(r, 0, "/check/x", 1, 5))}
 		}, []int{5, 5}},
 		"tenant shares of slots": {threeLines + "at_once = 4\ntenant_shares = {dairy = 0.25, other = 0.5}", func(r *Router) []int {
-			return []int{len(take(r, 0, "/check/x", 0, 9)), len(take(r, 0, "/check/x", 7, 9)), len(take(r, 0, "/check/x", 1, 9))}
+			return []int{len(admit(r, 0, "/check/x", 0, 9)), len(admit(r, 0, "/check/x", 7, 9)), len(admit(r, 0, "/check/x", 1, 9))}
 		}, []int{1, 2, 1}},
 		"rejected requests use the fallback": {threeLines + "at_once = 2\nfallback = \"b\"\n[[routes]]\nname = \"b\"\npath = \"/check/slow/**\"\nat_once = 3", func(r *Router) []int {
-			return []int{len(take(r, 0, "/check/x", 0, 9)), len(take(r, 0, "/check/slow/x", 0, 9))}
+			return []int{len(admit(r, 0, "/check/x", 0, 9)), len(admit(r, 0, "/check/slow/x", 0, 9))}
 		}, []int{5, 0}},
 		"tenant over its share leaves the rest of the rate": {threeLines + "rate = 10\nburst = 10\ntenant_shares = {dairy = 0.1}", func(r *Router) []int {
-			return []int{len(take(r, 0, "/check/x", 0, 50)), len(take(r, 0, "/check/x", 1, 50))}
+			return []int{len(admit(r, 0, "/check/x", 0, 50)), len(admit(r, 0, "/check/x", 1, 50))}
 		}, []int{1, 9}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -72,18 +72,18 @@
 	fileText := func(more string) string { return threeLines + more }
 	r := NewRouter(testSettings())
 	r.Replace(0, parse(t, fileText("hops = 2\nat_once = 500\nwaiting = 10")))
-	open := take(r, 0, "/check/x", 0, 500)
+	open := admit(r, 0, "/check/x", 0, 500)
 
 	// An unchanged file keeps indexes and counts.
 	update := r.Replace(0, parse(t, fileText("hops = 2\nat_once = 500\nwaiting = 10")))
-	if admitted := take(r, 0, "/check/x", 0, 99); len(admitted) != 10 || admitted[0].Type != open[0].Type || update.LearnFrom[open[0].Type] != open[0].Type {
+	if admitted := admit(r, 0, "/check/x", 0, 99); len(admitted) != 10 || admitted[0].Type != open[0].Type || update.LearnFrom[open[0].Type] != open[0].Type {
 		t.Errorf("after an unchanged file: got %d admitted of traffic type %d, want 10 of type %d", len(admitted), admitted[0].Type, open[0].Type)
 	}
 
 	// A changed limit gets a new index that learns from the old one, which is kept. The concurrency limit is now below the
 	// number of open requests.
 	update = r.Replace(0, parse(t, fileText("hops = 3\nat_once = 100")))
-	if len(take(r, 0, "/check/x", 0, 9)) != 0 {
+	if len(admit(r, 0, "/check/x", 0, 9)) != 0 {
 		t.Error("got requests admitted above the new limit")
 	}
 	oldType := open[0].Type
@@ -103,7 +103,7 @@
 	for range 510 {
 		r.Release(open[0])
 	}
-	if admitted := take(r, 0, "/check/x", 0, 1)[0]; admitted.Type != 0 || admitted.LimitIndex != 0 {
+	if admitted := admit(r, 0, "/check/x", 0, 1)[0]; admitted.Type != 0 || admitted.LimitIndex != 0 {
 		t.Errorf("without a route: got %+v, want type 0 and no limit", admitted)
 	}
 
@@ -111,7 +111,7 @@
 	types, limiters := len(r.types), len(r.limiters)
 	for i := range 50 {
 		r.Replace(0, parse(t, fmt.Sprintf("[[routes]]\nname = \"r%d\"\ntype = \"check\"\nhops = %d\nat_once = 3\nwait = \"%dms\"", i, 1+i%4, i+1)))
-		for _, admission := range take(r, 0, "/check/x", 0, 3) {
+		for _, admission := range admit(r, 0, "/check/x", 0, 3) {
 			r.Release(admission)
 		}
 	}
@@ -129,7 +129,7 @@
 		if i == 0 {
 			want = 4
 		}
-		if got := len(take(r, 0, "/check/x", 0, 9)); got != want {
+		if got := len(admit(r, 0, "/check/x", 0, 9)); got != want {
 			t.Errorf("file %d: got %d admitted, want %d", i, got, want)
 		}
 	}
@@ -141,7 +141,7 @@
 	r := NewRouter(testSettings())
 	pool := func(name, site string) string { return fmt.Sprintf("[[pools]]\nname = %q\nsites = [%q]\n", name, site) }
 	update := r.Replace(0, parse(t, pool("a", "north")+pool("b", "south")+threeLines+"pool = \"b\""))
-	open := take(r, 0, "/check/x", 0, 1)[0]
+	open := admit(r, 0, "/check/x", 0, 1)[0]
 	required := update.TrafficTypes[open.Type].PoolLabels
 	if required == 0 || r.Labels("s", "south", "") != required || r.Labels("s", "north", "")&required != 0 {
 		t.Fatalf("got required labels %b, labels of south %b, of north %b", required, r.Labels("s", "south", ""), r.Labels("s", "north", ""))
