--- a/internal/route/check.go
+++ b/internal/route/check.go
@@ -79,6 +79,7 @@
 	return ""
 }
 
+// compile checks the file and returns its table. The table is valid only if no fault was recorded.
 func (c *checker) compile() *Table {
 	table := &Table{Name: c.Name, tree: &tree{}, types: map[string]int{}, tenants: map[string]int{},
 		profileIndex: map[Profile]int{}, byName: c.routes, file: c.File, source: c.file}
--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -156,7 +156,7 @@
 //   - a route with tenants before a route without
 //   - a route with more headers before a route with fewer
 //
-// The order is total for the routes of one table, because a table with two routes that it does not order is rejected.
+// A table is rejected if two of its routes can match the same request and none of these differences orders them.
 func (t *tree) match(path []byte, r *Request) int {
 	if len(path) == 0 {
 		if found := t.end.match(r); found >= 0 {
