--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts instances of the decisions for the operators' simulator, over standard input and output. What
-// it cannot use of the input goes to standard error, and the run goes on.
+// Command adapter runs instances of the dispatch engine for the operators' simulator, over standard input and output. It
+// reports invalid input lines to standard error and continues.
 package main
 
 import (
@@ -21,39 +21,39 @@
 	}
 }
 
-// run answers batches until the input ends between two of them.
-func run(in io.Reader, out, errs io.Writer) error {
-	warn := func(message string) { fmt.Fprintln(errs, "adapter:", message) }
-	r, w := simwire.NewReader(in, warn), simwire.NewWriter(out)
-	instances := instances{engines: map[int]*engine.Engine[uint32]{}, out: w, warn: warn}
+// run replies to batches until the input ends between two of them.
+func run(in io.Reader, out, stderr io.Writer) error {
+	warn := func(message string) { fmt.Fprintln(stderr, "adapter:", message) }
+	reader, writer := simwire.NewReader(in, warn), simwire.NewWriter(out)
+	instances := instances{engines: map[int]*engine.Engine[uint32]{}, out: writer, warn: warn}
 	for {
-		b, err := r.Read()
+		batch, err := reader.Read()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		for i := range b.Events {
-			e := &b.Events[i]
-			w.ForInstance(e.Instance)
-			instances.handle(b.Now, e)
+		for i := range batch.Events {
+			e := &batch.Events[i]
+			writer.ForInstance(e.Instance)
+			instances.handle(batch.Now, e)
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
-// instances are the instances that the simulator runs, by their numbers.
+// instances holds the running instances by the numbers that the simulator gives them.
 type instances struct {
 	engines   map[int]*engine.Engine[uint32]
-	endpoints []engine.Endpoint[uint32] // used again for each list
+	endpoints []engine.Endpoint[uint32] // reused for each list
 	out       *simwire.Writer
 	warn      func(string)
 }
 
-// handle starts or ends an instance, or hands it an event.
+// handle starts or stops an instance, or delivers an event to it.
 func (s *instances) handle(now time.Duration, e *simwire.Event) {
 	switch e.Kind {
 	case simwire.InstanceStarted:
@@ -70,15 +70,16 @@
 	}
 	instance := s.engines[e.Instance]
 	if instance == nil {
-		s.warn(fmt.Sprintf("dropped an event for instance %d, which does not run", e.Instance))
+		s.warn(fmt.Sprintf("event dropped: instance %d not running", e.Instance))
 		return
 	}
 	if !s.deliver(now, instance, e) {
-		s.warn(fmt.Sprintf("dropped an event of instance %d for an unknown request or server", e.Instance))
+		s.warn(fmt.Sprintf("event of instance %d dropped: unknown request or server", e.Instance))
 	}
 }
 
-// deliver hands an event to its instance. It returns false if the event names something that the instance does not know.
+// deliver passes an event to its instance. It returns false if the event names a request or a server that the instance does
+// not know.
 func (s *instances) deliver(now time.Duration, instance *engine.Engine[uint32], e *simwire.Event) bool {
 	switch e.Kind {
 	case simwire.EndpointsUpdated:
--- a/cmd/fernvane/bindings_json_test.go
+++ b/cmd/fernvane/bindings_json_test.go
@@ -14,17 +14,17 @@
 	"fernvane/internal/journal/wal"
 )
 
-// fullJournal writes one entry with each field set, and one with none that may be left out.
+// fullJournal writes a journal of two entries: one with every field set, and one without any optional field.
 func fullJournal(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	l, err := wal.Open(wal.Options{Dir: dir, FileSystem: wal.OSFileSystem{}, MaxSegmentBytes: 1 << 20})
+	log, err := wal.Open(wal.Options{Dir: dir, FileSystem: wal.OSFileSystem{}, MaxSegmentBytes: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
 	at := time.Date(2026, 1, 31, 9, 0, 0, 0, time.UTC).UnixNano()
 	ms := int64(time.Millisecond)
-	l.Append(false,
+	log.Append(false,
 		intent.Record{Kind: intent.Intent, Incarnation: 7, RequestNumber: 3, Attempt: 0, AtUnixNano: at, RequestID: "id-3", Tenant: "dairy", Type: "hire-book", Server: "s1", RepeatOf: "id-0", IsRetry: true},
 		intent.Record{Kind: intent.AttemptEnded, Incarnation: 7, RequestNumber: 3, Attempt: 0, AtUnixNano: at + 5*ms, Outcome: "cut off", Proof: intent.PossiblyRan},
 		intent.Record{Kind: intent.Intent, Incarnation: 7, RequestNumber: 3, Attempt: 1, AtUnixNano: at + 6*ms, RequestID: "id-3", Tenant: "dairy", Type: "hire-book", Server: "s2", RepeatOf: "id-0", IsRetry: true},
@@ -32,11 +32,11 @@
 		intent.Record{Kind: intent.Reconciled, Incarnation: 7, RequestNumber: 3, Attempt: 0, AtUnixNano: at + 99*ms, Server: "s1", Proof: intent.NeverRan},
 		intent.Record{Kind: intent.ClientNotified, Incarnation: 7, RequestNumber: 3, AtUnixNano: at + 10*ms, Outcome: "handled", Count: 2},
 		intent.Record{Kind: intent.Unsent, Incarnation: 8, RequestNumber: 4, AtUnixNano: at + 20*ms, RequestID: "id-4", Type: "hire-pay"})
-	l.Close()
+	log.Close()
 	return dir
 }
 
-// Entries as programs read them, in the files that the build of 7af5c59 printed.
+// TestBindingsPrinted compares the JSON and CSV output of entries with stored files, because other programs read this output.
 func TestBindingsPrinted(t *testing.T) {
 	dir := fullJournal(t)
 	for name, c := range map[string]struct {
@@ -52,14 +52,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if code, out, errs := command(append([]string{"--dir", dir}, c.args...)...); code != 0 || out != string(want) || errs != "" {
-				t.Errorf("exit %d: printed as\n%s, not\n%s; %s", code, out, want, errs)
+			if code, out, stderr := runBindings(append([]string{"--dir", dir}, c.args...)...); code != 0 || out != string(want) || stderr != "" {
+				t.Errorf("exit %d, printed\n%s\nwant\n%s\nstandard error: %s", code, out, want, stderr)
 			}
 		})
 	}
 }
 
-// A cluster as `fernvane replicas --json` prints it.
+// TestReplicasPrinted compares the output of `fernvane replicas --json` with a stored file.
 func TestReplicasPrinted(t *testing.T) {
 	member := membership.Member{Name: "n1", Incarnation: 11, Refutations: 7, Condition: membership.Dead, Address: "127.0.0.1:81", Site: "east", Machine: "m-4"}
 	tier := &peer.Client{Answered: map[string]*peer.Status{"n1": {
@@ -74,6 +74,6 @@
 	printTier(&out, tier, true)
 	want, err := os.ReadFile("testdata/replicas.jsonl")
 	if err != nil || out.String() != string(want) {
-		t.Errorf("printed as\n%s, not\n%s; %v", out.String(), want, err)
+		t.Errorf("printed\n%s\nwant\n%s\nerror: %v", out.String(), want, err)
 	}
 }
--- a/cmd/fernvane/check.go
+++ b/cmd/fernvane/check.go
@@ -21,23 +21,23 @@
 	"fernvane/internal/route"
 )
 
-// example is settings of this project's own, as a configuration holds them, to try files against.
+// example holds sample settings in the format of a configuration. Files can be checked against it without a configuration.
 //
 //go:embed example.json
 var example []byte
 
-const exampleName = "example" // of the settings that this program brings
+const exampleName = "example" // value of --settings that selects the embedded settings
 
-func checkCommand(errs io.Writer, getenv func(string) string) *cobra.Command {
+func checkCommand(stderr io.Writer, getenv func(string) string) *cobra.Command {
 	f := files{getenv: getenv}
 	var schema bool
-	var set, planFile string
-	c := &cobra.Command{Use: "check", Short: "Read files and tell what a node would make of them",
-		Long: `check reads the configuration and tells what a node would make of it; with an operator's file, what each route gets and from
-which line. Every fault is told, by file and line, with exit 2.
+	var settingsName, planFile string
+	c := &cobra.Command{Use: "check", Short: "Validate files and print the configuration that a node would use",
+		Long: `check reads the configuration and prints what a node would use. With an operator's file it also prints the limits of each
+route and the lines that set them. It prints every fault with its file and line and exits with 2.
 
-Without a configuration each file that is named is checked by itself; what needs settings is said to be left unchecked, or
-is checked against those of a JSON file, or of an example that this program brings.`,
+Without a configuration each named file is checked separately. Checks that need settings are reported as omitted, or use the
+settings of a JSON file or of the embedded example.`,
 		Example: `  fernvane check --config config.json --operator operator.toml
   fernvane check --operator deploy/operator.example.toml
   fernvane check --operator deploy/operator.example.toml --settings example
@@ -46,37 +46,37 @@
 			out := c.OutOrStdout()
 			switch {
 			case schema:
-				e := json.NewEncoder(out)
-				e.SetIndent("", "  ")
-				return e.Encode(route.Schema())
+				encoder := json.NewEncoder(out)
+				encoder.SetIndent("", "  ")
+				return encoder.Encode(route.Schema())
 			case f.config != "":
-				return checkAll(out, errs, &f)
+				return checkAll(out, stderr, &f)
 			case f.operator+f.planners+f.bindings+f.registries+f.snapshot+f.peers+f.distribution+planFile == "":
-				return configError{errors.New("no configuration is named: --config FILE; or name a file to check by itself")}
+				return configError{errors.New("no configuration named: use --config FILE, or name a file to check separately")}
 			}
-			return checkEach(out, &f, planFile, set)
+			return checkEach(out, &f, planFile, settingsName)
 		}}
 	f.flags(c.Flags())
 	c.Flags().BoolVar(&schema, "schema", false, "print the JSON schema of the operator's file")
-	c.Flags().StringVar(&planFile, "file", "", "a planner's TOML `file`, checked by itself")
-	settingsFlag(c, &set)
+	c.Flags().StringVar(&planFile, "file", "", "check this planner's TOML `file` separately")
+	settingsFlag(c, &settingsName)
 	return c
 }
 
-func settingsFlag(c *cobra.Command, set *string) {
-	c.Flags().StringVar(set, "settings", "", "without a configuration: the settings to check against, a JSON `file` or the word example")
+func settingsFlag(c *cobra.Command, settingsName *string) {
+	c.Flags().StringVar(settingsName, "settings", "", "without a configuration: check against the settings in this JSON `file`, or, for the word example, the embedded ones")
 }
 
-// checkAll loads all files as a node does at its start, and prints what it would use.
-func checkAll(out, errs io.Writer, f *files) error {
+// checkAll loads all files as a starting node does, and prints the configuration that the node would use.
+func checkAll(out, stderr io.Writer, f *files) error {
 	cfg, err := f.load()
 	if err != nil {
 		return err
 	}
 	if cfg.SavedListErr != nil {
-		fmt.Fprintf(errs, "fernvane: the saved list cannot be used: %v\n", cfg.SavedListErr)
+		fmt.Fprintf(stderr, "fernvane: saved list not used: %v\n", cfg.SavedListErr)
 	}
-	fmt.Fprintf(out, "%s listens on %s, follows %s, knows %d servers, has room for %d connections\n",
+	fmt.Fprintf(out, "%s listens on %s, uses discovery at %s, starts with %d listed servers, accepts up to %d connections\n",
 		cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.SavedList.Hosts), cfg.Limits.MaxConnections())
 	printPlanners(out, cfg.Planners)
 	printJournal(out, cfg.Journal)
@@ -85,7 +85,7 @@
 	printPeers(out, cfg.Peers)
 	printDistribution(out, cfg.Distribution)
 	if cfg.Shadow != nil {
-		fmt.Fprintln(out, "watches other settings beside its own; decides by its own")
+		fmt.Fprintln(out, "compares its decisions with those of the watched settings, which have no effect")
 	}
 	if cfg.Routes != nil {
 		cfg.Routes.PrintTable(out, &cfg.Settings)
@@ -93,62 +93,62 @@
 	return nil
 }
 
-// checkEach loads each named file by itself, and returns the faults of all.
-func checkEach(out io.Writer, f *files, planFile, set string) error {
-	var all error
+// checkEach loads each named file separately, and returns the faults of all files.
+func checkEach(out io.Writer, f *files, planFile, settingsName string) error {
+	var faults error
 	if f.operator != "" {
-		all = errors.Join(all, checkOperator(out, f.operator, set))
+		faults = errors.Join(faults, checkOperator(out, f.operator, settingsName))
 	}
 	if f.planners != "" {
 		p, err := planconfig.LoadForwarder(f.planners)
-		if all = errors.Join(all, err); err == nil {
+		if faults = errors.Join(faults, err); err == nil {
 			printPlanners(out, p)
 		}
 	}
 	if f.bindings != "" {
 		b, err := wal.LoadConfig(f.bindings)
-		if all = errors.Join(all, err); err == nil {
+		if faults = errors.Join(faults, err); err == nil {
 			printJournal(out, b)
 		}
 	}
 	if f.registries != "" {
 		r, err := zookeeper.Load(f.registries)
-		if all = errors.Join(all, err); err == nil {
+		if faults = errors.Join(faults, err); err == nil {
 			printRegistry(out, r)
 		}
 	}
 	if f.snapshot != "" {
 		s, err := snapshot.Load(f.snapshot)
-		if all = errors.Join(all, err); err == nil {
+		if faults = errors.Join(faults, err); err == nil {
 			printSnapshot(out, s)
 		}
 	}
 	if f.peers != "" {
 		p, err := peer.LoadConfig(f.peers)
-		if all = errors.Join(all, err); err == nil {
+		if faults = errors.Join(faults, err); err == nil {
 			printPeers(out, p)
 		}
 	}
 	if f.distribution != "" {
 		d, err := client.Load(f.distribution)
-		if all = errors.Join(all, err); err == nil {
+		if faults = errors.Join(faults, err); err == nil {
 			printDistribution(out, d)
 		}
 	}
 	if planFile != "" {
 		p, err := planconfig.LoadPlanner(planFile)
-		if all = errors.Join(all, err); err == nil {
+		if faults = errors.Join(faults, err); err == nil {
 			fmt.Fprintf(out, "%s listens on %s and plans every %s\n", p.Name, p.ListenAddress, p.Interval.Std())
 		}
 	}
-	if all != nil {
-		return configError{all}
+	if faults != nil {
+		return configError{faults}
 	}
 	return nil
 }
 
-func checkOperator(out io.Writer, path, set string) error {
-	s, note, err := settingsFor(path, set)
+func checkOperator(out io.Writer, path, settingsName string) error {
+	s, note, err := settingsFor(path, settingsName)
 	if err != nil {
 		return err
 	}
@@ -163,42 +163,42 @@
 	return nil
 }
 
-// settingsFor returns the settings to check an operator's file against, and a note to print about them.
-func settingsFor(operator, set string) (s *settings.Settings, note string, err error) {
-	switch set {
+// settingsFor returns the settings to check an operator's file against, and a note that says which settings they are.
+func settingsFor(operator, settingsName string) (s *settings.Settings, note string, err error) {
+	switch settingsName {
 	case "":
 		s, err = route.LoosestSettings(operator)
-		return s, "Without settings: " + route.UncheckedNotice + ". Name --config FILE, --settings FILE or --settings " + exampleName + ".", err
+		return s, "Checked without settings: " + route.UncheckedNotice + ". Use --config FILE, --settings FILE or --settings " + exampleName + ".", err
 	case exampleName:
 		known, err := settings.Decode(example)
-		return &known, "Against the settings that this program brings as an example.", err
+		return &known, "Checked against the embedded example settings.", err
 	}
-	known, err := proxy.ReadSettings(set)
+	known, err := proxy.ReadSettings(settingsName)
 	return &known, "", err
 }
 
 func explainCommand(getenv func(string) string) *cobra.Command {
 	f := files{getenv: getenv}
-	var tenant, set string
+	var tenant, settingsName string
 	fields := headers{}
-	c := &cobra.Command{Use: "explain METHOD PATH", Short: "Tell which route of the operator's file a request takes, and why",
+	c := &cobra.Command{Use: "explain METHOD PATH", Short: "Print which route of the operator's file a request matches, and why",
 		Example: "  fernvane explain --operator deploy/operator.example.toml POST /hire-book/baler --tenant dorset-dairy --header X-Counter=1",
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) != 2 || !strings.HasPrefix(args[1], "/") {
-				return errors.New("explain wants a METHOD and a PATH that begins with /")
+				return errors.New("explain: expected METHOD and PATH, with PATH beginning with /")
 			}
 			return nil
 		}, RunE: func(c *cobra.Command, args []string) error {
 			out := c.OutOrStdout()
 			if f.operator == "" {
-				return errors.New("explain wants an operator's file: --operator FILE")
+				return errors.New("explain: no operator's file named: use --operator FILE")
 			}
 			routes, s, note, err := (*route.Table)(nil), (*settings.Settings)(nil), "", error(nil)
 			if f.config != "" {
 				var cfg proxy.Config
 				cfg, err = f.load()
 				routes, s = cfg.Routes, &cfg.Settings
-			} else if s, note, err = settingsFor(f.operator, set); err == nil {
+			} else if s, note, err = settingsFor(f.operator, settingsName); err == nil {
 				routes, err = route.Load(f.operator, s)
 			}
 			if err != nil {
@@ -212,26 +212,26 @@
 			return nil
 		}}
 	f.flags(c.Flags())
-	c.Flags().StringVar(&tenant, "tenant", "", "the request's `tenant`")
-	c.Flags().Var(fields, "header", "a field of the request, as NAME=VALUE; may be given again")
-	settingsFlag(c, &set)
+	c.Flags().StringVar(&tenant, "tenant", "", "set the `tenant` of the request")
+	c.Flags().Var(fields, "header", "add a header field to the request, as NAME=VALUE; may be repeated")
+	settingsFlag(c, &settingsName)
 	return c
 }
 
 func printPlanners(out io.Writer, p *planconfig.Forwarder) {
 	if p != nil {
-		fmt.Fprintf(out, "follows the planners %s, TLS %v\n", strings.Join(p.Planners, ", "), p.Keys != nil)
+		fmt.Fprintf(out, "follows planners %s, TLS %v\n", strings.Join(p.Planners, ", "), p.Keys != nil)
 	}
 }
 
 func printJournal(out io.Writer, b *wal.Config) {
 	if b != nil {
-		fmt.Fprintf(out, "keeps bindings in %s against the %s's death; while it cannot they are: %s\n", b.Dir, b.Promise,
+		fmt.Fprintf(out, "writes the journal of bindings to %s, which survives loss of the %s; while writes fail, non-idempotent requests are %s\n", b.Dir, b.Promise,
 			whenFailing(b))
 	}
 }
 
-// whenFailing is what becomes of non-idempotent requests while the journal cannot be written.
+// whenFailing says how non-idempotent requests are handled while journal writes fail.
 func whenFailing(b *wal.Config) string {
 	if b.RejectsWhenFailing() {
 		return "denied"
@@ -241,19 +241,19 @@
 
 func printSnapshot(out io.Writer, s *snapshot.Config) {
 	if s != nil {
-		fmt.Fprintf(out, "keeps its list of servers in %s for %s, %d generations, one each %s at most\n", s.Dir, s.Deployment, s.MaxGenerations, s.WriteInterval.Std())
+		fmt.Fprintf(out, "writes its server list to %s for deployment %s, keeps %d generations, writes at most one every %s\n", s.Dir, s.Deployment, s.MaxGenerations, s.WriteInterval.Std())
 	}
 }
 
 func printPeers(out io.Writer, p *peer.Config) {
 	if p != nil {
-		fmt.Fprintf(out, "meets other nodes of %s on %s, TLS %v; holds replicas in %s, %d of each record on other machines\n", p.Deployment, p.Listen, p.Keys != nil, p.ReplicaDir, p.Replicas)
+		fmt.Fprintf(out, "joins the other nodes of deployment %s on %s, TLS %v; stores their replicas in %s; replicas of each record on other machines: %d\n", p.Deployment, p.Listen, p.Keys != nil, p.ReplicaDir, p.Replicas)
 	}
 }
 
 func printDistribution(out io.Writer, d *client.Config) {
 	if d != nil {
-		fmt.Fprintf(out, "follows the control processes %s for %d services, TLS %v; holds entries in %s, waits %s at a start to be current\n",
+		fmt.Fprintf(out, "follows control processes %s for %d services, TLS %v; stores entries in %s, waits up to %s at start to become current\n",
 			strings.Join(d.Control, ", "), len(d.Services), d.Keys != nil, d.Directory, d.StartTimeout.Std())
 	}
 }
--- a/cmd/fernvane/config.go
+++ b/cmd/fernvane/config.go
@@ -16,19 +16,19 @@
 	"fernvane/internal/controlplane/distribution/tree"
 )
 
-const maxEntryRead = distribution.MaxValueBytes + 1 // bytes that are read of one entry's text
+const maxEntryRead = distribution.MaxValueBytes + 1 // bytes of an entry that are read: one more than allowed, to detect a longer entry
 
-// errNoSuchEntry: the entry to be deleted does not exist.
-var errNoSuchEntry = errors.New("nothing of that name is held")
+// errNoSuchEntry is returned for the deletion of an entry that does not exist.
+var errNoSuchEntry = errors.New("entry does not exist")
 
-// configAccess is how the commands of config reach a control process.
+// configAccess opens sessions with control processes for the subcommands of config.
 type configAccess struct {
 	path string
 }
 
 func (a *configAccess) load() (*client.Config, error) {
 	if a.path == "" {
-		return nil, errors.New("which control processes? --file FILE")
+		return nil, errors.New("no control processes named: use --file FILE")
 	}
 	config, err := client.LoadAccess(a.path)
 	if err != nil {
@@ -47,19 +47,19 @@
 
 func configCommand(getenv func(string) string) *cobra.Command {
 	a := &configAccess{}
-	root := &cobra.Command{Use: "config", Short: "Change what control processes distribute, and tell which nodes have it in force",
-		Long: `config writes routes, pools, tenants and servers at a control process, from where they spread to all others and to the nodes
-of their service, and tells how nodes stand. The file names control processes, the preferred one first, and the keys: that of a
-node will do. Exit codes: 0 done, or all nodes current; 1 refused, or some node behind, unreachable or rejecting; 2 the command
-line or a file is of no use, or no control process answers.`,
+	root := &cobra.Command{Use: "config", Short: "Change the configuration that control processes distribute, and print which nodes have applied it",
+		Long: `config writes routes, pools, tenants and servers to a control process, which distributes them to the other control processes and
+to the nodes of each service, and prints the status of nodes. The file names the control processes, the preferred one first, and
+the TLS keys; a node's file is accepted too. Exit codes: 0 done, or all nodes current; 1 write rejected, or some node behind,
+unreachable or rejecting; 2 command line or file invalid, or no control process responds.`,
 		Example: "  fernvane config --file distribution.toml status"}
-	root.PersistentFlags().StringVar(&a.path, "file", getenv("PROXY_DISTRIBUTION"), "the control processes' TOML `file`; or PROXY_DISTRIBUTION")
+	root.PersistentFlags().StringVar(&a.path, "file", getenv("PROXY_DISTRIBUTION"), "read the addresses of control processes from this TOML `file`; or PROXY_DISTRIBUTION")
 	root.AddCommand(configPut(a), configDelete(a), configApply(a), configStatus(a))
 	root.SetContext(context.Background())
 	return root
 }
 
-// entryFlags name one entry.
+// entryFlags are the flags that identify one entry.
 type entryFlags struct {
 	service string
 	kind    string
@@ -67,9 +67,9 @@
 }
 
 func (f *entryFlags) add(c *cobra.Command) {
-	c.Flags().StringVar(&f.service, "service", "", "the `service` that it is of; none for what is for every node")
-	c.Flags().StringVar(&f.kind, "kind", "", "server, route, tenant or pool")
-	c.Flags().StringVar(&f.name, "name", "", "its `name`")
+	c.Flags().StringVar(&f.service, "service", "", "select the `service` of the entry; empty for an entry of all nodes")
+	c.Flags().StringVar(&f.kind, "kind", "", "select the kind of the entry: server, route, tenant or pool")
+	c.Flags().StringVar(&f.name, "name", "", "select the `name` of the entry")
 }
 
 func (f *entryFlags) key() (distribution.Key, error) {
@@ -79,14 +79,14 @@
 	}
 	key := distribution.Key{Service: f.service, Kind: kind, Name: f.name}
 	if f.name == "" {
-		return key, errors.New("which entry? --name NAME")
+		return key, errors.New("no entry named: use --name NAME")
 	}
 	return key, key.Validate()
 }
 
 func configPut(a *configAccess) *cobra.Command {
 	var entry entryFlags
-	c := &cobra.Command{Use: "put FILE", Short: "Write one entry from a file, - for the standard input", Args: exactArgs("put wants one FILE", 1),
+	c := &cobra.Command{Use: "put FILE", Short: "Write one entry from a file, or from standard input for -", Args: exactArgs("put: expected one FILE", 1),
 		Example: "  fernvane config --file distribution.toml put --service hire --kind route --name checks route.toml",
 		RunE: func(c *cobra.Command, args []string) error {
 			key, err := entry.key()
@@ -113,19 +113,19 @@
 
 func configDelete(a *configAccess) *cobra.Command {
 	var entry entryFlags
-	c := &cobra.Command{Use: "delete", Short: "Delete one entry", Args: exactArgs("delete takes flags alone", 0),
+	c := &cobra.Command{Use: "delete", Short: "Delete one entry", Args: exactArgs("delete: expected flags only", 0),
 		Example: "  fernvane config --file distribution.toml delete --service hire --kind route --name checks",
 		RunE: func(c *cobra.Command, _ []string) error {
 			key, err := entry.key()
 			if err != nil {
 				return err
 			}
-			held, err := readEntries(c.Context(), a, []string{key.Service})
+			stored, err := readEntries(c.Context(), a, []string{key.Service})
 			if err != nil {
 				return err
 			}
-			if !slices.ContainsFunc(held, func(e distribution.Entry) bool { return e.Key == key }) {
-				return fmt.Errorf("%w: %s", errNoSuchEntry, key)
+			if !slices.ContainsFunc(stored, func(e distribution.Entry) bool { return e.Key == key }) {
+				return fmt.Errorf("delete: %w: %s", errNoSuchEntry, key)
 			}
 			return writeChanges(c, a, []distribution.Change{{Key: key, Deleted: true}})
 		}}
@@ -134,47 +134,47 @@
 }
 
 func configApply(a *configAccess) *cobra.Command {
-	var dry bool
+	var dryRun bool
 	var kinds []string
-	c := &cobra.Command{Use: "apply DIR|FILE", Short: "Make the entries of services equal to files", Args: exactArgs("apply wants one DIR or FILE", 1),
-		Long: `apply reads a file of a service, or all files of a folder, and writes what differs from what is held; what the files do not name of
-their services is deleted. It prints each difference. Servers are left alone unless a file names some, or --kinds does: where a
-control process takes them from discovery or a registry, they are not the files'.`,
+	c := &cobra.Command{Use: "apply DIR|FILE", Short: "Write and delete entries so that services match their files", Args: exactArgs("apply: expected one DIR or FILE", 1),
+		Long: `apply reads the file of one service, or all files of a folder, and writes the entries that differ from those of a control process.
+Entries of these services that the files do not name are deleted. It prints each difference. Servers are compared only if a file
+names some or --kinds includes them, because a control process may take servers from discovery or a registry.`,
 		Example: "  fernvane config --file distribution.toml apply --dry-run services",
 		RunE: func(c *cobra.Command, args []string) error {
 			files, err := tree.Load(args[0])
 			if err != nil {
 				return err
 			}
-			of, err := kindsOf(kinds, files)
+			selected, err := kindsOf(kinds, files)
 			if err != nil {
 				return err
 			}
-			held, err := readEntries(c.Context(), a, files.Services)
+			stored, err := readEntries(c.Context(), a, files.Services)
 			if err != nil {
 				return err
 			}
-			all := files.Differences(held, of)
+			differences := files.Differences(stored, selected)
 			out := c.OutOrStdout()
-			for _, d := range all {
+			for _, d := range differences {
 				fmt.Fprint(out, d)
 			}
 			switch {
-			case len(all) == 0:
+			case len(differences) == 0:
 				fmt.Fprintln(out, "nothing differs")
 				return nil
-			case dry:
-				fmt.Fprintf(out, "%d entries differ; nothing was written\n", len(all))
+			case dryRun:
+				fmt.Fprintf(out, "%d entries differ; nothing was written\n", len(differences))
 				return nil
 			}
-			return writeChanges(c, a, tree.Changes(all))
+			return writeChanges(c, a, tree.Changes(differences))
 		}}
-	c.Flags().BoolVar(&dry, "dry-run", false, "print what differs and write nothing")
-	c.Flags().StringSliceVar(&kinds, "kinds", nil, "of these `kinds` alone; by default routes, pools and tenants, and servers where files name them")
+	c.Flags().BoolVar(&dryRun, "dry-run", false, "print the differences and write nothing")
+	c.Flags().StringSliceVar(&kinds, "kinds", nil, "compare only entries of these `kinds`; default: routes, pools and tenants, and servers if a file names any")
 	return c
 }
 
-// kindsOf are the kinds of entries that files are to be equal in.
+// kindsOf returns the named kinds of entries, or by default those that apply compares for the files.
 func kindsOf(named []string, files *tree.Tree) ([]distribution.Kind, error) {
 	if len(named) == 0 {
 		kinds := []distribution.Kind{distribution.KindRoute, distribution.KindPool, distribution.KindTenant}
@@ -194,11 +194,11 @@
 	return kinds, nil
 }
 
-// exactArgs accepts n arguments, and otherwise fails with the message what.
-func exactArgs(what string, n int) cobra.PositionalArgs {
+// exactArgs accepts exactly n arguments, and fails with the given message for any other number.
+func exactArgs(message string, n int) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) != n {
-			return errors.New(what)
+			return errors.New(message)
 		}
 		return nil
 	}
@@ -215,12 +215,12 @@
 	}
 	text, err := io.ReadAll(io.LimitReader(in, maxEntryRead))
 	if err == nil && len(text) == maxEntryRead {
-		err = fmt.Errorf("%s: larger than %d bytes", path, distribution.MaxValueBytes)
+		err = fmt.Errorf("read entry %s: larger than %d bytes", path, distribution.MaxValueBytes)
 	}
 	return text, err
 }
 
-// readEntries reads what a control process holds of services.
+// readEntries returns the entries of services that a control process stores.
 func readEntries(ctx context.Context, a *configAccess, services []string) ([]distribution.Entry, error) {
 	s, err := a.open(ctx)
 	if err != nil {
@@ -240,10 +240,10 @@
 	if err != nil {
 		return err
 	}
-	what := changes[0].Key.String()
+	summary := changes[0].Key.String()
 	if n := len(changes); n > 1 {
-		what = fmt.Sprintf("%d entries", n)
+		summary = fmt.Sprintf("%d entries", n)
 	}
-	fmt.Fprintf(c.OutOrStdout(), "written at %s: %s, up to %s %d\n", s.Control, what, strings.TrimSpace(string(written.Origin)), written.Sequence)
+	fmt.Fprintf(c.OutOrStdout(), "written at %s: %s, up to %s %d\n", s.Control, summary, strings.TrimSpace(string(written.Origin)), written.Sequence)
 	return nil
 }
--- a/cmd/fernvane/config_status.go
+++ b/cmd/fernvane/config_status.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	statusPollInterval = 200 * time.Millisecond // between two status queries while waiting for nodes
-	// statusStableFor is how long all nodes must be current before waiting ends: a control process reports nodes of other
-	// control processes up to a second late.
+	statusPollInterval = 200 * time.Millisecond // between two status queries during a wait
+	// statusStableFor is how long all nodes must stay current before a wait ends. It exceeds one second, because a control
+	// process reports the nodes of other control processes up to a second late.
 	statusStableFor = 1300 * time.Millisecond
 )
 
-var errNodesBehind = errors.New("not all nodes have in force what is held")
+var errNodesBehind = errors.New("not all expected nodes are current")
 
 // nodeView is the status of one node as the command prints it.
 type nodeView struct {
@@ -46,7 +46,7 @@
 	Control  string     `json:"control"`
 	Revision uint64     `json:"revision"`
 	Current  bool       `json:"current"`
-	Rejected []string   `json:"rejected,omitempty"` // entries that the control process cannot hold
+	Rejected []string   `json:"rejected,omitempty"` // entries that the control process cannot store
 	Nodes    []nodeView `json:"nodes"`
 }
 
@@ -60,11 +60,11 @@
 func configStatus(a *configAccess) *cobra.Command {
 	var asJSON bool
 	var options statusOptions
-	c := &cobra.Command{Use: "status", Short: "Tell of every node whether it has in force what is held",
-		Long: `status asks a control process for all nodes that it knows of: a root knows all, a relay those below it. What it tells of nodes at
-other control processes may be a second old; with --within the command waits until all were current for longer than that.`,
+	c := &cobra.Command{Use: "status", Short: "Print for each node whether it has applied all entries",
+		Long: `status prints the nodes that a control process reports: a root reports all nodes, a relay those below it. The status of nodes at
+other control processes may be a second old. With --within the command waits until all nodes have been current for longer than that.`,
 		Example: "  fernvane config --file distribution.toml status --within 6s --expect 12",
-		Args:    exactArgs("status takes flags alone", 0),
+		Args:    exactArgs("status: expected flags only", 0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			config, err := a.load()
 			if err != nil {
@@ -84,30 +84,30 @@
 			}
 			return err
 		}}
-	c.Flags().BoolVar(&asJSON, "json", false, "JSON, for programs")
-	c.Flags().DurationVar(&options.within, "within", 0, "wait so long at most until all nodes are current")
-	c.Flags().IntVar(&options.expect, "expect", 0, "so many nodes at least must be current")
-	c.Flags().BoolVar(&options.reachable, "reachable", false, "leave out who cannot be reached, as nodes that are down")
+	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
+	c.Flags().DurationVar(&options.within, "within", 0, "wait at most this long until all nodes are current")
+	c.Flags().IntVar(&options.expect, "expect", 0, "require at least this many current nodes")
+	c.Flags().BoolVar(&options.reachable, "reachable", false, "ignore unreachable nodes, such as nodes that are down")
 	return c
 }
 
 // readStatusUntilCurrent queries until all nodes have been current for statusStableFor, or options.within has passed.
 func readStatusUntilCurrent(ctx context.Context, config *client.Config, options statusOptions) (v *statusView, err error) {
-	by, since := time.Now().Add(options.within), time.Time{}
+	deadline, currentSince := time.Now().Add(options.within), time.Time{}
 	for {
 		v, err = readStatus(ctx, config, options)
 		now := time.Now()
 		switch {
 		case err != nil || !v.Current:
-			since = time.Time{}
-		case since.IsZero():
-			since = now
+			currentSince = time.Time{}
+		case currentSince.IsZero():
+			currentSince = now
 		}
-		if options.within <= 0 || !since.IsZero() && now.Sub(since) >= statusStableFor {
+		if options.within <= 0 || !currentSince.IsZero() && now.Sub(currentSince) >= statusStableFor {
 			return v, err
 		}
-		if now.After(by) {
-			if err == nil { // all current, but not for long enough to be sure of it
+		if now.After(deadline) {
+			if err == nil { // all nodes may be current, but not yet for statusStableFor
 				v.Current = false
 			}
 			return v, err
@@ -129,30 +129,30 @@
 	return newStatusView(s.Control, self, nodes, options), nil
 }
 
-// newStatusView derives the state of each node. A control process is current if it holds the revision of the queried one,
-// a node if it has applied all that its control process has for it.
+// newStatusView derives the state of each node. A control process is current if it has the revision of the queried one. A
+// node is current if it has applied all entries that its control process has for it.
 func newStatusView(control string, self distribution.NodeStatus, nodes []distribution.NodeStatus, options statusOptions) *statusView {
 	v := &statusView{Control: control, Revision: self.Revision, Current: !self.IsCatchingUp, Rejected: rejectionTexts(self.Rejected)}
-	count := 0
-	for _, s := range nodes {
-		if s.Name == self.Name {
+	currentNodes := 0
+	for _, status := range nodes {
+		if status.Name == self.Name {
 			continue
 		}
-		n := nodeView{Name: s.Name, Role: s.Role.String(), Region: s.Region, Zone: s.Zone, Via: s.Via, State: stateOf(self, s), Revision: s.Revision,
-			LagSeconds: s.Lag.Round(time.Millisecond).Seconds(), Pending: s.PendingKeys}
-		n.Rejected = rejectionTexts(s.Rejected)
-		if !s.IsConnected && s.DisconnectedMs > 0 {
-			n.Unreachable = time.UnixMilli(s.DisconnectedMs).UTC().Format(time.RFC3339)
+		n := nodeView{Name: status.Name, Role: status.Role.String(), Region: status.Region, Zone: status.Zone, Via: status.Via, State: stateOf(self, status),
+			Revision: status.Revision, LagSeconds: status.Lag.Round(time.Millisecond).Seconds(), Pending: status.PendingKeys}
+		n.Rejected = rejectionTexts(status.Rejected)
+		if !status.IsConnected && status.DisconnectedMs > 0 {
+			n.Unreachable = time.UnixMilli(status.DisconnectedMs).UTC().Format(time.RFC3339)
 		}
-		if s.Role == distribution.RoleNode && n.State == "current" {
-			count++
+		if status.Role == distribution.RoleNode && n.State == "current" {
+			currentNodes++
 		}
-		if s.IsConnected || !options.reachable {
+		if status.IsConnected || !options.reachable {
 			v.Current = v.Current && n.State == "current"
 		}
 		v.Nodes = append(v.Nodes, n)
 	}
-	v.Current = v.Current && count >= options.expect
+	v.Current = v.Current && currentNodes >= options.expect
 	slices.SortFunc(v.Nodes, func(a, b nodeView) int { return cmp.Or(cmp.Compare(a.Role, b.Role), cmp.Compare(a.Name, b.Name)) })
 	return v
 }
--- a/cmd/fernvane/config_status_golden_test.go
+++ b/cmd/fernvane/config_status_golden_test.go
@@ -11,7 +11,7 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-// TestStatusGolden pins what fernvane config status prints, as JSON for programs and as text.
+// TestStatusGolden compares the JSON and the text that `fernvane config status` prints with golden files.
 func TestStatusGolden(t *testing.T) {
 	self := distribution.NodeStatus{Name: "root-1", Role: distribution.RoleControl, Revision: 31, HasAcknowledged: true, IsConnected: true}
 	nodes := []distribution.NodeStatus{
@@ -35,7 +35,7 @@
 			t.Fatal(err)
 		}
 		if got != string(golden) {
-			t.Errorf("%s: printed\n%swas\n%s", name, got, golden)
+			t.Errorf("%s: got\n%swant\n%s", name, got, golden)
 		}
 	}
 }
--- a/cmd/fernvane/config_test.go
+++ b/cmd/fernvane/config_test.go
@@ -7,8 +7,8 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-// Who counts as current, by what a control process tells.
-func TestViewOf(t *testing.T) {
+// TestNewStatusView checks which nodes count as current, given the statuses that a control process reports.
+func TestNewStatusView(t *testing.T) {
 	self := distribution.NodeStatus{Name: "a", Role: distribution.RoleControl, Revision: 9, HasAcknowledged: true, IsConnected: true}
 	node := distribution.NodeStatus{Name: "n", Role: distribution.RoleNode, Via: "a", Revision: 7, HasAcknowledged: true, IsConnected: true}
 	with := func(s distribution.NodeStatus, change func(*distribution.NodeStatus)) distribution.NodeStatus {
@@ -22,39 +22,39 @@
 	for name, c := range map[string]struct {
 		self    distribution.NodeStatus
 		nodes   []distribution.NodeStatus
-		asked   statusOptions
+		options statusOptions
 		state   string // of the first node
 		current bool
 	}{
-		"nobody":               {self, nil, statusOptions{}, "", true},
-		"nobody, one expected": {self, nil, statusOptions{expect: 1}, "", false},
+		"no nodes":             {self, nil, statusOptions{}, "", true},
+		"no nodes, one wanted": {self, nil, statusOptions{expect: 1}, "", false},
 		"one":                  {self, []distribution.NodeStatus{node, self}, statusOptions{expect: 1}, "current", true},
-		"a relay is no node":   {self, []distribution.NodeStatus{relay}, statusOptions{expect: 1}, "current", false},
+		"relays do not count":  {self, []distribution.NodeStatus{relay}, statusOptions{expect: 1}, "current", false},
 		"a relay behind":       {self, []distribution.NodeStatus{with(relay, func(s *distribution.NodeStatus) { s.Revision = 8 })}, statusOptions{}, "behind", false},
-		"something waits":      {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) { s.PendingKeys = 1 })}, statusOptions{}, "behind", false},
-		"something is under way": {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) { s.UnacknowledgedBytes = 1 })}, statusOptions{}, "behind",
+		"an entry is pending":  {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) { s.PendingKeys = 1 })}, statusOptions{}, "behind", false},
+		"bytes unacknowledged": {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) { s.UnacknowledgedBytes = 1 })}, statusOptions{}, "behind",
 			false},
-		"catching up":      {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) { s.IsCatchingUp = true })}, statusOptions{}, "behind", false},
-		"nothing was told": {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) { s.HasAcknowledged = false })}, statusOptions{}, "behind", false},
+		"catching up":       {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) { s.IsCatchingUp = true })}, statusOptions{}, "behind", false},
+		"no acknowledgment": {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) { s.HasAcknowledged = false })}, statusOptions{}, "behind", false},
 		"one rejects": {self, []distribution.NodeStatus{with(node, func(s *distribution.NodeStatus) {
 			s.Rejected = []distribution.Rejection{{Key: distribution.Key{Service: "s", Kind: distribution.KindRoute, Name: "r"}, Reason: "no"}}
 		})}, statusOptions{}, "rejecting", false},
-		"one is gone":                     {self, []distribution.NodeStatus{lost}, statusOptions{}, "unreachable", false},
-		"one is gone, and is left out":    {self, []distribution.NodeStatus{lost}, statusOptions{reachable: true}, "unreachable", true},
-		"one that is left out, but wants": {self, []distribution.NodeStatus{lost}, statusOptions{reachable: true, expect: 1}, "unreachable", false},
-		"the one asked is not current":    {with(self, func(s *distribution.NodeStatus) { s.IsCatchingUp = true }), []distribution.NodeStatus{node}, statusOptions{}, "current", false},
+		"one unreachable":                     {self, []distribution.NodeStatus{lost}, statusOptions{}, "unreachable", false},
+		"one unreachable, ignored":            {self, []distribution.NodeStatus{lost}, statusOptions{reachable: true}, "unreachable", true},
+		"one unreachable, ignored and wanted": {self, []distribution.NodeStatus{lost}, statusOptions{reachable: true, expect: 1}, "unreachable", false},
+		"the queried one is catching up":      {with(self, func(s *distribution.NodeStatus) { s.IsCatchingUp = true }), []distribution.NodeStatus{node}, statusOptions{}, "current", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v := newStatusView("at", c.self, c.nodes, c.asked)
+			v := newStatusView("at", c.self, c.nodes, c.options)
 			state := ""
 			if len(v.Nodes) > 0 {
 				state = v.Nodes[0].State
 			}
 			if v.Current != c.current || state != c.state {
-				t.Errorf("%+v", v)
+				t.Errorf("got %+v", v)
 			}
 			if state == "unreachable" && v.Nodes[0].Unreachable != "2026-01-02T03:04:05Z" {
-				t.Errorf("since %q", v.Nodes[0].Unreachable)
+				t.Errorf("unreachable since %q", v.Nodes[0].Unreachable)
 			}
 		})
 	}
--- a/cmd/fernvane/crowded_test.go
+++ b/cmd/fernvane/crowded_test.go
@@ -18,24 +18,25 @@
 	"fernvane/internal/testbed/standin/address"
 )
 
-// crowd keeps so many idle connections to an address, of each kind in turn: nothing asked, asked once, half a request. One
-// that is closed comes again. It returns when all have been accepted, or shut, once.
-func crowd(t *testing.T, at string, n int) {
-	kinds := []string{"", "GET /up HTTP/1.1\r\nHost: h\r\n\r\n", "GET /a/1 HTTP/1.1\r\nHo"}
-	over := make(chan struct{})
-	var all, came sync.WaitGroup
-	all.Add(n)
-	came.Add(n)
+// openIdleConnections keeps n idle connections to an address open until the test ends. The connections send nothing, one
+// request or half a request in turn. A closed connection is reopened. The function returns after each connection has been
+// accepted once.
+func openIdleConnections(t *testing.T, at string, n int) {
+	openings := []string{"", "GET /up HTTP/1.1\r\nHost: h\r\n\r\n", "GET /a/1 HTTP/1.1\r\nHo"}
+	done := make(chan struct{})
+	var running, opened sync.WaitGroup
+	running.Add(n)
+	opened.Add(n)
 	for i := range n {
 		go func() {
-			defer all.Done()
-			once := sync.OnceFunc(came.Done)
-			defer once()
+			defer running.Done()
+			markOpened := sync.OnceFunc(opened.Done)
+			defer markOpened()
 			for {
 				c, err := net.Dial("tcp", at)
 				if err == nil {
-					io.WriteString(c, kinds[i%len(kinds)])
-					once()
+					io.WriteString(c, openings[i%len(openings)])
+					markOpened()
 					closed := make(chan struct{})
 					go func() {
 						defer close(closed)
@@ -43,34 +44,35 @@
 					}()
 					select {
 					case <-closed:
-					case <-over:
+					case <-done:
 					}
 					c.Close()
 					<-closed
 				}
 				select {
-				case <-over:
+				case <-done:
 					return
 				case <-time.After(5 * time.Millisecond):
 				}
 			}
 		}()
 	}
-	came.Wait()
+	opened.Wait()
 	t.Cleanup(func() {
-		close(over)
-		all.Wait()
+		close(done)
+		running.Wait()
 	})
 }
 
-// Idle clients hold more connections than the node may have descriptors while discovery is down. At its return the list
-// is asked for and the watch goes on, and a server that only the list names is connected to; nothing meets the system's limit.
+// TestIdleClientsLeaveRoom guards against exhaustion of file descriptors by idle client connections. Clients open more
+// connections than the node has descriptors while discovery is down. After discovery returns, the node must still be able to
+// request the list, continue the watch and connect to a server, without reaching the descriptor limit of the system.
 func TestIdleClientsLeaveRoom(t *testing.T) {
-	for name, c := range map[string]struct{ told, descriptors int }{
-		"as told":                    {64, 64},
-		"fewer than told":            {1024, 48},
-		"hardly any":                 {24, 24},
-		"less than a node must have": {1, 22},
+	for name, c := range map[string]struct{ configured, descriptors int }{
+		"as configured":         {64, 64},
+		"fewer than configured": {1024, 48},
+		"close to the minimum":  {24, 24},
+		"below the minimum":     {1, 22},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -84,7 +86,7 @@
 			path := filepath.Join(t.TempDir(), "config.json")
 			text := fmt.Sprintf(`{"listen":%q,"discovery":%q,"limits":{"sockets":%d,"memory_mb":64},"settings":{"granularity":1,"discovery":"on_request",
 				"limits":{"mostHops":2,"connectTimeout":2000,"connIdle":20000},"rules":{"askWithin":10000},
-				"trafficTypes":[{"name":"a","targetTime":5000,"abandonTime":9000,"idempotency":"safe"}]}}`, at, discovery, c.told)
+				"trafficTypes":[{"name":"a","targetTime":5000,"abandonTime":9000,"idempotency":"safe"}]}}`, at, discovery, c.configured)
 			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
@@ -98,14 +100,14 @@
 			ended := make(chan error, 1)
 			go func() { ended <- cmd.Wait() }()
 			client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-			asked := 0
-			ask := func(path string) int {
-				asked++
+			requests := 0
+			get := func(path string) int {
+				requests++
 				req, err := http.NewRequest("GET", "http://"+at+path, nil)
 				if err != nil {
 					t.Fatal(err)
 				}
-				req.Header.Set("Request-Id", fmt.Sprint(name, asked))
+				req.Header.Set("Request-Id", fmt.Sprint(name, requests))
 				r, err := client.Do(req)
 				if err != nil {
 					return 0
@@ -114,16 +116,16 @@
 				r.Body.Close()
 				return r.StatusCode
 			}
-			within := func(what string, is func() bool) {
+			waitFor := func(what string, condition func() bool) {
 				t.Helper()
-				for by := time.Now().Add(20 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
-					if time.Now().After(by) {
-						t.Fatalf("never %s", what)
+				for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
+					if time.Now().After(deadline) {
+						t.Fatalf("timeout after 20 s: node not %s", what)
 					}
 				}
 			}
-			within("up", func() bool { return ask("/up") == 200 })
-			crowd(t, at, 3*c.descriptors)
+			waitFor("up", func() bool { return get("/up") == 200 })
+			openIdleConnections(t, at, 3*c.descriptors)
 			ln, err := net.Listen("tcp", discovery)
 			if err != nil {
 				t.Fatal(err)
@@ -137,19 +139,19 @@
 				}
 				fmt.Fprintf(w, `{"revision":3,"complete":true,"members":[{"id":"s","host_port":%q,"phase":"SERVING","size":1}]}`, server.Addr())
 			}))
-			within("listed", func() bool { return ask("/a/1") == 200 })
+			waitFor("listed", func() bool { return get("/a/1") == 200 })
 			for watched := false; !watched; {
 				watched = strings.Contains(<-calls, "index=3")
 			}
 			for range 5 {
-				within("served", func() bool { return ask("/a/1") == 200 })
+				waitFor("served", func() bool { return get("/a/1") == 200 })
 			}
 			cmd.Process.Signal(syscall.SIGTERM)
 			if err := <-ended; err != nil {
-				t.Errorf("ended: %v", err)
+				t.Errorf("node exited with %v, want success", err)
 			}
 			if n := strings.Count(log.String(), syscall.EMFILE.Error()); n > 0 {
-				t.Errorf("%d times a descriptor was wanted and there was none", n)
+				t.Errorf("%d system calls failed for lack of file descriptors, want 0", n)
 			}
 		})
 	}
--- a/cmd/fernvane/early_test.go
+++ b/cmd/fernvane/early_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// A reload that is asked for while a node reads its files, and a stop behind it: neither ends it by the system's hand, and
-// the file is read again.
+// TestReloadAsItStarts guards against signals that arrive before the node installs its handlers and terminate the process. A
+// SIGHUP during the first read of the configuration must cause a second read, and a following SIGTERM a regular exit.
 func TestReloadAsItStarts(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,8 +30,8 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	for i := range 2 { // the second is the reload's
-		f, err := os.OpenFile(path, os.O_WRONLY, 0) // returns when the node reads
+	for i := range 2 { // the second read is that of the reload
+		f, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until the node opens the file
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -46,6 +46,6 @@
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("ended: %v", err)
+		t.Errorf("node exited with %v, want success", err)
 	}
 }
--- a/cmd/fernvane/journalshow.go
+++ b/cmd/fernvane/journalshow.go
@@ -14,7 +14,7 @@
 	return time.Unix(0, ns).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
-// entryJSON is a journal entry as find, show and export print it; its keys are read by other programs.
+// entryJSON is a journal entry as find, show and export print it. Other programs read its keys.
 type entryJSON struct {
 	Incarnation   uint64        `json:"run"`
 	RequestNumber uint64        `json:"op"`
@@ -29,6 +29,7 @@
 	Attempts      []attemptJSON `json:"hops"`
 }
 
+// attemptJSON is an attempt of an entryJSON.
 type attemptJSON struct {
 	Server       string `json:"server"`
 	At           string `json:"at"`
@@ -39,19 +40,19 @@
 }
 
 func toJSON(e *intent.Entry) entryJSON {
-	s := entryJSON{Incarnation: e.Incarnation, RequestNumber: e.RequestNumber, ID: e.RequestID, Type: e.Type, Tenant: e.Tenant, RepeatOf: e.RepeatOf, IsRetry: e.IsRetry, At: formatTime(e.AtUnixNano),
-		State: e.State().String(), ClientOutcome: e.ClientOutcome, Attempts: []attemptJSON{}}
-	for _, h := range e.Attempts {
-		s.Attempts = append(s.Attempts, attemptJSON{h.Server, formatTime(h.AtUnixNano), formatTime(h.EndedAtUnixNano), h.Outcome,
-			[]string{"possibly sent", "ran", "never ran"}[h.Proof()], h.IsReconciled})
+	s := entryJSON{Incarnation: e.Incarnation, RequestNumber: e.RequestNumber, ID: e.RequestID, Type: e.Type, Tenant: e.Tenant, RepeatOf: e.RepeatOf, IsRetry: e.IsRetry,
+		At: formatTime(e.AtUnixNano), State: e.State().String(), ClientOutcome: e.ClientOutcome, Attempts: []attemptJSON{}}
+	for _, attempt := range e.Attempts {
+		s.Attempts = append(s.Attempts, attemptJSON{attempt.Server, formatTime(attempt.AtUnixNano), formatTime(attempt.EndedAtUnixNano), attempt.Outcome,
+			[]string{"possibly sent", "ran", "never ran"}[attempt.Proof()], attempt.IsReconciled})
 	}
 	return s
 }
 
 func attemptList(s entryJSON) string {
-	var all []string
-	for _, h := range s.Attempts {
-		all = append(all, h.Server+" "+h.Proof)
+	var attempts []string
+	for _, attempt := range s.Attempts {
+		attempts = append(attempts, attempt.Server+" "+attempt.Proof)
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(attempts, ", ")
 }
--- a/cmd/fernvane/journalsource.go
+++ b/cmd/fernvane/journalsource.go
@@ -32,13 +32,13 @@
 	anyState  bool
 }
 
-// parse reads the state and the time of the flags.
+// parse parses the flags --state and --since; now is the end of a relative time span.
 func (q *entryFilter) parse(now time.Time) error {
 	q.anyState = q.state == ""
 	if !q.anyState {
 		var ok bool
 		if q.wantState, ok = intent.ParseState(q.state); !ok {
-			return fmt.Errorf("--state %q: not-sent, possibly-sent, ran or not-known", q.state)
+			return fmt.Errorf("--state %q: expected not-sent, possibly-sent, ran or not-known", q.state)
 		}
 	}
 	if q.since == "" {
@@ -50,7 +50,7 @@
 	}
 	var err error
 	if q.from, err = time.Parse(time.RFC3339, q.since); err != nil {
-		return fmt.Errorf("--since %q: a span such as 2h, or a time such as 2026-01-31T09:00:00Z", q.since)
+		return fmt.Errorf("--since %q: expected a duration such as 2h or a time such as 2026-01-31T09:00:00Z", q.since)
 	}
 	return nil
 }
@@ -63,32 +63,32 @@
 	if q.server == "" {
 		return true
 	}
-	for _, h := range e.Attempts {
-		if h.Server == q.server {
+	for _, attempt := range e.Attempts {
+		if attempt.Server == q.server {
 			return true
 		}
 	}
 	return false
 }
 
-// journalSource is where entries are read from: one folder, or all nodes of a tier.
+// journalSource selects the journal to read: one folder, or the nodes of a tier.
 type journalSource struct {
 	dir   string
 	peers string
 	tier  bool
 }
 
-// resolve fills in the folder from PROXY_BINDINGS where no flag names a source.
+// resolve sets the folder from the file in PROXY_BINDINGS if no flag names a source.
 func (s *journalSource) resolve(getenv func(string) string) error {
 	switch {
 	case s.tier && s.peers == "":
-		return errors.New("which tier? --peers FILE")
+		return errors.New("no tier named: use --peers FILE")
 	case s.tier || s.dir != "":
 		return nil
 	}
 	path := getenv("PROXY_BINDINGS")
 	if path == "" {
-		return errors.New("which journal? --dir FOLDER")
+		return errors.New("no journal named: use --dir FOLDER")
 	}
 	cfg, err := wal.LoadConfig(path)
 	if err == nil {
@@ -97,113 +97,113 @@
 	return err
 }
 
-// entries calls each for all entries, or for those of one request ID: complete ones as they are read, the others at the
-// end.
-func (s *journalSource) entries(since time.Time, id string, errs io.Writer, each func(*intent.Entry) error) (wal.ScanReport, error) {
+// entries calls visit for all entries, or for those of one request ID. Complete entries are passed on as they are read,
+// incomplete ones at the end.
+func (s *journalSource) entries(since time.Time, id string, stderr io.Writer, visit func(*intent.Entry) error) (wal.ScanReport, error) {
 	if s.tier {
-		return wal.ScanReport{}, s.entriesOfTier(since, id, errs, each)
+		return wal.ScanReport{}, s.tierEntries(since, id, stderr, visit)
 	}
-	fold := intent.NewAssembler()
-	bar, done := progress(errs)
+	assembler := intent.NewAssembler()
+	drawProgress, clearProgress := progress(stderr)
 	report, err := wal.Scan(wal.OSFileSystem{}, s.dir, since, func(r *intent.Record) error {
-		if e := fold.Add(r); e != nil {
-			return each(e)
+		if e := assembler.Add(r); e != nil {
+			return visit(e)
 		}
 		return nil
-	}, bar)
-	done()
+	}, drawProgress)
+	clearProgress()
 	if err != nil {
 		return report, err
 	}
-	fold.HasDamage = report.CorruptCount() > 0
-	for _, e := range fold.Incomplete() {
-		if err := each(e); err != nil {
+	assembler.HasDamage = report.CorruptCount() > 0
+	for _, e := range assembler.Incomplete() {
+		if err := visit(e); err != nil {
 			return report, err
 		}
 	}
 	for _, f := range report.Unreadable {
-		fmt.Fprintln(errs, f)
+		fmt.Fprintln(stderr, f)
 	}
-	printGaps(errs, fold.Gaps)
+	printGaps(stderr, assembler.Gaps)
 	return report, nil
 }
 
-func printGaps(errs io.Writer, gaps []intent.Record) {
+func printGaps(stderr io.Writer, gaps []intent.Record) {
 	for _, g := range gaps {
-		fmt.Fprintf(errs, "from %s to %s %d records were not kept\n", formatTime(g.From), formatTime(g.AtUnixNano), g.Count)
+		fmt.Fprintf(stderr, "from %s to %s: %d records not written to the journal\n", formatTime(g.From), formatTime(g.AtUnixNano), g.Count)
 	}
 }
 
-// errTooFewAnswers: so many nodes did not answer that an entry may exist which was not found.
-var errTooFewAnswers = errors.New("too few nodes could be asked: what is not found here is not known, not \"not sent\"")
+// errTooFewResponses is returned if so many nodes did not respond that existing entries may not have been found.
+var errTooFewResponses = errors.New("too few nodes responded: entries that were not found may exist, and their state is not known")
 
-// entriesOfTier merges the journals and replicas of all nodes of a tier. It prints which nodes did not answer; where more
-// are missing than replicas allow for, no entry counts as not sent.
-func (s *journalSource) entriesOfTier(since time.Time, id string, errs io.Writer, each func(*intent.Entry) error) error {
+// tierEntries merges the journals and replicas of all nodes of a tier. It prints which nodes did not respond. If more
+// nodes are missing than the number of replicas allows, no entry counts as not sent.
+func (s *journalSource) tierEntries(since time.Time, id string, stderr io.Writer, visit func(*intent.Entry) error) error {
 	cfg, err := peer.LoadConfig(s.peers)
 	if err != nil {
 		return err
 	}
 	tier := peer.Query(context.Background(), cfg, false)
-	union := intent.NewMerger()
-	var all []*intent.Entry
+	merger := intent.NewMerger()
+	var complete []*intent.Entry
 	corrupt, err := tier.Records(context.Background(), since, id, func(r *intent.Record) error {
-		if e := union.Add(r); e != nil {
-			all = append(all, e)
+		if e := merger.Add(r); e != nil {
+			complete = append(complete, e)
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	union.HasDamage = corrupt > 0
+	merger.HasDamage = corrupt > 0
 	enough := tier.HasEnoughAnswers()
-	for _, e := range append(all, union.Incomplete()...) {
+	for _, e := range append(complete, merger.Incomplete()...) {
 		e.TooFewNodesAsked = !enough
-		if err := each(e); err != nil {
+		if err := visit(e); err != nil {
 			return err
 		}
 	}
-	printGaps(errs, union.Gaps)
-	fmt.Fprintf(errs, "%d nodes answered\n", len(tier.Answered))
+	printGaps(stderr, merger.Gaps)
+	fmt.Fprintf(stderr, "%d nodes responded\n", len(tier.Answered))
 	for _, name := range slices.Sorted(maps.Keys(tier.Unanswered)) {
-		fmt.Fprintf(errs, "could not be asked: %s: %v\n", name, tier.Unanswered[name])
+		fmt.Fprintf(stderr, "no response from %s: %v\n", name, tier.Unanswered[name])
 	}
 	if !enough {
-		return errTooFewAnswers
+		return errTooFewResponses
 	}
 	return nil
 }
 
-// progress draws a bar on a terminal.
-func progress(errs io.Writer) (bar func(read, all int64), done func()) {
-	f, ok := errs.(*os.File)
+// progress returns a function that draws a progress bar and one that clears it. They have no effect if stderr is no terminal.
+func progress(stderr io.Writer) (draw func(read, total int64), clearBar func()) {
+	f, ok := stderr.(*os.File)
 	if ok {
-		st, err := f.Stat()
-		ok = err == nil && st.Mode()&os.ModeCharDevice != 0
+		info, err := f.Stat()
+		ok = err == nil && info.Mode()&os.ModeCharDevice != 0
 	}
 	if !ok {
 		return nil, func() {}
 	}
-	begun, drawn := time.Now(), time.Time{}
-	return func(read, all int64) {
-			if now := time.Now(); now.Sub(begun) > progressInterval && now.Sub(drawn) > progressInterval && all > 0 {
-				drawn = now
-				n := int(40 * min(read, all) / all)
-				fmt.Fprintf(errs, "\r[%s%s] %d of %d MB", strings.Repeat("=", n), strings.Repeat(" ", 40-n), read>>20, all>>20)
+	startedAt, drawnAt := time.Now(), time.Time{}
+	return func(read, total int64) {
+			if now := time.Now(); now.Sub(startedAt) > progressInterval && now.Sub(drawnAt) > progressInterval && total > 0 {
+				drawnAt = now
+				filled := int(40 * min(read, total) / total)
+				fmt.Fprintf(stderr, "\r[%s%s] %d of %d MB", strings.Repeat("=", filled), strings.Repeat(" ", 40-filled), read>>20, total>>20)
 			}
 		}, func() {
-			if !drawn.IsZero() {
-				fmt.Fprint(errs, "\r\033[K")
+			if !drawnAt.IsZero() {
+				fmt.Fprint(stderr, "\r\033[K")
 			}
 		}
 }
 
 func (q *entryFilter) addFlags(c *cobra.Command) {
 	f := c.Flags()
-	f.StringVar(&q.id, "id", "", "the request's id, or one that it repeats")
-	f.StringVar(&q.server, "server", "", "a server that an attempt was for")
-	f.StringVar(&q.state, "state", "", "not-sent, possibly-sent, ran or not-known")
-	f.StringVar(&q.tenant, "tenant", "", "a tenant")
-	f.StringVar(&q.since, "since", "", "a span back (2h) or a time (2026-01-31T09:00:00Z)")
+	f.StringVar(&q.id, "id", "", "select entries of this request ID, or of requests that repeat it")
+	f.StringVar(&q.server, "server", "", "select entries with an attempt to this server")
+	f.StringVar(&q.state, "state", "", "select entries in this state: not-sent, possibly-sent, ran or not-known")
+	f.StringVar(&q.tenant, "tenant", "", "select entries of this tenant")
+	f.StringVar(&q.since, "since", "", "select entries since a duration ago (2h) or a time (2026-01-31T09:00:00Z)")
 }
--- a/cmd/fernvane/main.go
+++ b/cmd/fernvane/main.go
@@ -1,5 +1,5 @@
-// Command fernvane runs a node of the proxy (serve), a planner (plan) or a control process (control), and has commands that
-// check configuration and read what these processes store.
+// Command fernvane runs a node of the proxy (serve), a planner (plan) or a control process (control). Its other commands check
+// configuration, change distributed entries, and inspect the files and the status of these processes.
 package main
 
 import (
@@ -18,33 +18,34 @@
 	"fernvane/internal/proxy"
 )
 
-const exitUsage = 2 // bad command line or unusable file
+const exitUsage = 2 // exit code for an invalid command line or file
 
 func main() {
 	if len(os.Args) > 1 && os.Args[1] == "serve" {
-		proxy.CatchSignals() // ahead of all else, or a reload that is asked for as the node starts would end it
+		proxy.CatchSignals() // first, because a SIGHUP during the start would otherwise terminate the process
 	}
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr, os.Getenv))
 }
 
-// exitCode is the error of a command that has already printed its reason; the program ends with this code.
+// exitCode is the error of a command that has already reported its failure. The process exits with this code.
 type exitCode int
 
 func (e exitCode) Error() string { return fmt.Sprintf("exit %d", int(e)) }
 
-// configError wraps the fault of a configuration that cannot be used; the program ends with exitUsage.
+// configError wraps the fault of an invalid configuration. The process exits with exitUsage.
 type configError struct{ error }
 
-func run(args []string, out, errs io.Writer, getenv func(string) string) int {
+func run(args []string, stdout, stderr io.Writer, getenv func(string) string) int {
 	root := &cobra.Command{
 		Use:   "fernvane",
-		Short: "One node of a load-balancing proxy for fleets of HTTP and FastCGI servers",
-		Long: `fernvane is one node of a load-balancing proxy. It takes requests from clients, sends each to one of the servers that
-discovery or a registry names, and tells the client how it ended.
-
-Files are named by flags or by the environment: PROXY_CONFIG, PROXY_OPERATOR, PROXY_PLANNERS, PROXY_BINDINGS, PROXY_REGISTRY,
-PROXY_SNAPSHOT, PROXY_PEERS, PROXY_DISTRIBUTION, PROXY_PLAN, PROXY_CONTROL. Exit codes: 0 done, 1 it could not serve, a journal or a cached list
-is damaged, a node is behind, or too few nodes answer or hold replicas, 2 a file or the command line cannot be used.`,
+		Short: "Run and inspect a load-balancing proxy for HTTP and FastCGI servers",
+		Long: `fernvane runs one node of a load-balancing proxy. A node receives requests from clients, forwards each to one of the servers
+that discovery or a registry lists, and returns the response to the client.
+
+Files are named by flags or by environment variables: PROXY_CONFIG, PROXY_OPERATOR, PROXY_PLANNERS, PROXY_BINDINGS, PROXY_REGISTRY,
+PROXY_SNAPSHOT, PROXY_PEERS, PROXY_DISTRIBUTION, PROXY_PLAN, PROXY_CONTROL. Exit codes: 0 done; 1 serving failed, a write was
+rejected, a journal or cached list is damaged, a node is behind, or too few nodes respond or store replicas; 2 a file or the
+command line is invalid.`,
 		Example: `  fernvane serve --config config.json
   fernvane check --operator deploy/operator.example.toml
   fernvane explain --operator deploy/operator.example.toml POST /hire-book/baler --tenant dorset-dairy
@@ -52,12 +53,12 @@
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	root.SetArgs(withDoubleDashes(args))
-	root.SetOut(out)
-	root.SetErr(errs)
-	root.AddCommand(serveCommand(errs, getenv), checkCommand(errs, getenv), explainCommand(getenv), planCommand(errs, getenv), controlCommand(errs, getenv),
+	root.SetOut(stdout)
+	root.SetErr(stderr)
+	root.AddCommand(serveCommand(stderr, getenv), checkCommand(stderr, getenv), explainCommand(getenv), planCommand(stderr, getenv), controlCommand(stderr, getenv),
 		bindingsCommand(getenv), snapshotCommand(getenv), replicasCommand(getenv), configCommand(getenv), versionCommand())
 	if len(args) == 0 {
-		root.SetOut(errs)
+		root.SetOut(stderr)
 		root.SetArgs([]string{"--help"})
 		root.Execute()
 		return exitUsage
@@ -65,29 +66,29 @@
 	err := root.Execute()
 	var code exitCode
 	var faults tomlfile.Faults
-	var bad configError
+	var invalid configError
 	switch {
 	case err == nil:
 		return 0
 	case errors.As(err, &code):
 		return int(code)
-	case errors.Is(err, errJournalDamaged), errors.Is(err, errUnusableGeneration), errors.Is(err, errTooFewAnswers), errors.Is(err, errUnderReplicated),
+	case errors.Is(err, errJournalDamaged), errors.Is(err, errDamagedGeneration), errors.Is(err, errTooFewResponses), errors.Is(err, errUnderReplicated),
 		errors.Is(err, errNodesBehind), errors.Is(err, errNoSuchEntry), errors.As(err, new(*client.WriteRejectedError)):
-		fmt.Fprintf(errs, "fernvane: %v\n", err)
+		fmt.Fprintf(stderr, "fernvane: %v\n", err)
 		return 1
-	case errors.As(err, &faults): // each with its own file and line
-		fmt.Fprintln(errs, faults)
-	case errors.As(err, &bad):
-		fmt.Fprintf(errs, "fernvane: the configuration cannot be used: %v\n", err)
+	case errors.As(err, &faults): // each names its file and line
+		fmt.Fprintln(stderr, faults)
+	case errors.As(err, &invalid):
+		fmt.Fprintf(stderr, "fernvane: invalid configuration: %v\n", err)
 	default:
-		fmt.Fprintf(errs, "fernvane: %v\n", err)
+		fmt.Fprintf(stderr, "fernvane: %v\n", err)
 	}
 	return exitUsage
 }
 
 var singleDashFlag = regexp.MustCompile(`^-[a-z][a-z]`)
 
-// withDoubleDashes rewrites -flag to --flag: deploy lines of earlier versions have one dash.
+// withDoubleDashes rewrites -flag to --flag, because command lines for earlier versions have one dash.
 func withDoubleDashes(args []string) []string {
 	out := make([]string, 0, len(args))
 	for i, a := range args {
@@ -116,7 +117,7 @@
 	return info.Main.Version
 }
 
-// headers is a flag of header fields, each given as NAME=VALUE.
+// headers is a flag that collects header fields, each given as NAME=VALUE.
 type headers map[string]string
 
 func (h headers) String() string { return "" }
@@ -125,7 +126,7 @@
 func (h headers) Set(s string) error {
 	name, value, ok := strings.Cut(s, "=")
 	if !ok || name == "" {
-		return errors.New("a field is given as NAME=VALUE")
+		return errors.New("header field: expected NAME=VALUE")
 	}
 	h[strings.ToLower(name)] = value
 	return nil
--- a/cmd/fernvane/refused_test.go
+++ b/cmd/fernvane/refused_test.go
@@ -17,10 +17,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// forbid has the kernel end this process at its first call of those that the standing test refuses: other programs,
-// fork, io_uring, splice and sendfile. Threads are made by clone; clone3, whose flags a filter cannot see, is answered
-// ENOSYS, for which the C library falls back on clone.
-func forbid() error {
+// installSyscallFilter lets the kernel terminate this process at its first system call that the standing test forbids: exec,
+// fork, io_uring, splice and sendfile. Threads are created with clone. clone3 returns ENOSYS, because a filter cannot inspect its
+// flags, and the C library then falls back to clone.
+func installSyscallFilter() error {
 	const (
 		nr, archAt, flagsAt = 0, 4, 16 // offsets in seccomp_data; flags are clone's first argument
 		load                = unix.BPF_LD | unix.BPF_W | unix.BPF_ABS
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// A node under load makes none of the system calls that the standing test refuses, by its own code or by hidden paths
-// of the standard library (io.Copy between sockets splices). Each of them would end the process.
+// TestNoForbiddenCalls checks that a node under load makes no system call that the standing test forbids, neither in its own code nor in
+// the standard library, where for example io.Copy between sockets uses splice. Such a call terminates the process.
 func TestNoForbiddenCalls(t *testing.T) {
 	large := bytes.Repeat([]byte("x"), 60<<10)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -61,12 +61,12 @@
 	}))
 	defer server.Close()
 	var log bytes.Buffer
-	at, cmd, ended := begin(t, &log, fmt.Sprintf(`{"revision":1,"complete":true,"members":[{"id":"s","host_port":%q,"phase":"SERVING","size":1}]}`,
+	at, cmd, ended := startNode(t, &log, fmt.Sprintf(`{"revision":1,"complete":true,"members":[{"id":"s","host_port":%q,"phase":"SERVING","size":1}]}`,
 		server.Listener.Addr()), "FERNVANE_TEST_FORBID=1")
-	ask := func(method, path string, id int) (status, n int) {
-		q, _ := http.NewRequest(method, "http://"+at+path, bytes.NewReader(large))
-		q.Header.Set("Request-Id", fmt.Sprint("forbid-", id))
-		r, err := http.DefaultClient.Do(q)
+	send := func(method, path string, id int) (status, n int) {
+		request, _ := http.NewRequest(method, "http://"+at+path, bytes.NewReader(large))
+		request.Header.Set("Request-Id", fmt.Sprint("forbid-", id))
+		r, err := http.DefaultClient.Do(request)
 		if err != nil {
 			return 0, 0
 		}
@@ -75,29 +75,30 @@
 		return r.StatusCode, len(b)
 	}
 	for i := range 50 {
-		if status, n := ask("POST", "/a/b", 2*i+1); status != 200 || n != len(large) {
-			t.Fatalf("answered %d with %d bytes", status, n)
+		if status, n := send("POST", "/a/b", 2*i+1); status != 200 || n != len(large) {
+			t.Fatalf("got status %d with %d bytes, want the server's response", status, n)
 		}
-		if nc, err := net.Dial("tcp", at); err == nil { // what cannot be read is answered, and read to its end
+		if nc, err := net.Dial("tcp", at); err == nil { // the node responds to a malformed request and reads it to its end
 			fmt.Fprintf(nc, "POST /a/b HTTP/1.1\r\nHost: h\r\nContent-Length: x\r\n\r\n%s", large)
 			io.Copy(io.Discard, nc)
 			nc.Close()
 		}
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
-	ask("POST", "/a/b", 0)
+	send("POST", "/a/b", 0)
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := <-ended; err != nil {
-		t.Errorf("%v\n%s", err, log.String())
+		t.Errorf("node exited with %v, want success\n%s", err, log.String())
 	}
 }
 
-// The filter itself ends a process that starts another, or the test above could not fail.
+// TestForbiddenCallsEnd checks that the filter terminates a process that starts another one. Without it TestNoForbiddenCalls
+// could not fail.
 func TestForbiddenCallsEnd(t *testing.T) {
 	cmd := exec.Command(os.Args[0], "exec")
 	cmd.Env = append(os.Environ(), "FERNVANE_TEST_COMMAND=1", "FERNVANE_TEST_FORBID=1")
 	cmd.Run()
 	if st, ok := cmd.ProcessState.Sys().(syscall.WaitStatus); !ok || st.Signal() != syscall.SIGSYS {
-		t.Errorf("ended with %v", cmd.ProcessState)
+		t.Errorf("process exited with %v, want SIGSYS", cmd.ProcessState)
 	}
 }
--- a/cmd/fernvane/replicas.go
+++ b/cmd/fernvane/replicas.go
@@ -19,18 +19,18 @@
 
 const repairPollInterval = time.Second // between two status queries while replicas are repaired
 
-var errUnderReplicated = errors.New("not all that the tier keeps stands as often as it should")
+var errUnderReplicated = errors.New("too few replicas of some records, or no response from some nodes")
 
 func replicasCommand(getenv func(string) string) *cobra.Command {
 	var path string
 	var lines bool
-	root := &cobra.Command{Use: "replicas", Short: "Tell how often what nodes keep stands in their tier, and have it made whole",
+	root := &cobra.Command{Use: "replicas", Short: "Print and verify the replicas of a tier, and wait for their repair",
 		Example: "  fernvane replicas --peers peers.toml status\n  fernvane replicas --peers peers.toml repair --for 5m"}
-	root.PersistentFlags().StringVar(&path, "peers", getenv("PROXY_PEERS"), "the tier's TOML `file`; or PROXY_PEERS")
-	root.PersistentFlags().BoolVar(&lines, "json", false, "JSON lines, one for each node, for programs")
-	look := func(c *cobra.Command, verify bool) (*peer.Client, error) {
+	root.PersistentFlags().StringVar(&path, "peers", getenv("PROXY_PEERS"), "read the tier's configuration from this TOML `file`; or PROXY_PEERS")
+	root.PersistentFlags().BoolVar(&lines, "json", false, "print JSON lines, one for each node")
+	query := func(c *cobra.Command, verify bool) (*peer.Client, error) {
 		if path == "" {
-			return nil, errors.New("which tier? --peers FILE")
+			return nil, errors.New("no tier named: use --peers FILE")
 		}
 		cfg, err := peer.LoadConfig(path)
 		if err != nil {
@@ -38,33 +38,33 @@
 		}
 		return peer.Query(c.Context(), cfg, verify), nil
 	}
-	var most time.Duration
-	repair := &cobra.Command{Use: "repair", Short: "Have all nodes read what they hold, and wait until it stands as often as it should", Args: cobra.NoArgs,
+	var timeout time.Duration
+	repair := &cobra.Command{Use: "repair", Short: "Let all nodes verify their stored records, and wait until each record has enough replicas", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			t, err := look(c, true)
+			t, err := query(c, true)
 			if err != nil {
 				return err
 			}
 			printTier(c.OutOrStdout(), t, lines)
-			for by := time.Now().Add(most); replicationError(t) != nil && time.Now().Before(by); {
+			for deadline := time.Now().Add(timeout); replicationError(t) != nil && time.Now().Before(deadline); {
 				fmt.Fprintln(c.ErrOrStderr(), t.Shortfall())
 				time.Sleep(repairPollInterval)
-				if t, err = look(c, false); err != nil {
+				if t, err = query(c, false); err != nil {
 					return err
 				}
 			}
 			fmt.Fprintln(c.ErrOrStderr(), "whole:", replicationError(t) == nil)
 			return replicationError(t)
 		}}
-	repair.Flags().DurationVar(&most, "for", time.Minute, "how long to wait")
+	repair.Flags().DurationVar(&timeout, "for", time.Minute, "wait at most this long")
 	for _, v := range []struct {
 		use    string
 		short  string
 		verify bool
-	}{{"status", "Tell which nodes live, what each keeps and holds, and what lacks", false},
-		{"verify", "Have all nodes read what they hold, and tell what is damaged", true}} {
+	}{{"status", "Print the condition of each node, its records and replicas, and missing replicas", false},
+		{"verify", "Let all nodes verify their stored records, and print damaged ones", true}} {
 		root.AddCommand(&cobra.Command{Use: v.use, Short: v.short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-			t, err := look(c, v.verify)
+			t, err := query(c, v.verify)
 			if err != nil {
 				return err
 			}
@@ -77,7 +77,7 @@
 	return root
 }
 
-// replicationError is errUnderReplicated where records lack replicas or a node did not answer, nil otherwise.
+// replicationError returns errUnderReplicated if records lack replicas or a node did not respond, and nil otherwise.
 func replicationError(t *peer.Client) error {
 	if t.Shortfall() != "" || len(t.Unanswered) > 0 || len(t.Answered) == 0 {
 		return errUnderReplicated
@@ -85,12 +85,12 @@
 	return nil
 }
 
-// printTier writes the status of each node, and what lacks replicas.
+// printTier prints the status of each node and the records that lack replicas.
 func printTier(out io.Writer, t *peer.Client, lines bool) {
 	if lines {
-		e := json.NewEncoder(out)
+		encoder := json.NewEncoder(out)
 		for _, name := range slices.Sorted(maps.Keys(t.Answered)) {
-			e.Encode(t.Answered[name])
+			encoder.Encode(t.Answered[name])
 		}
 		return
 	}
@@ -100,7 +100,7 @@
 		m := t.Members[name]
 		s := t.Answered[name]
 		if s == nil {
-			why := "it was not asked"
+			why := "not queried"
 			if err := t.Unanswered[name]; err != nil {
 				why = err.Error()
 			}
@@ -117,7 +117,7 @@
 	w.Flush()
 	for _, name := range slices.Sorted(maps.Keys(t.Unanswered)) {
 		if _, known := t.Members[name]; !known {
-			fmt.Fprintf(out, "nobody answers at %s: %v\n", name, t.Unanswered[name])
+			fmt.Fprintf(out, "no response from %s: %v\n", name, t.Unanswered[name])
 		}
 	}
 	for name, s := range t.Answered {
@@ -128,6 +128,6 @@
 	if why := t.Shortfall(); why != "" {
 		fmt.Fprintln(out, "lacking:", why)
 	} else if len(t.Answered) > 0 {
-		fmt.Fprintln(out, "all that these nodes keep stands as often as it should")
+		fmt.Fprintln(out, "all records of these nodes have enough replicas")
 	}
 }
--- a/cmd/fernvane/serve.go
+++ b/cmd/fernvane/serve.go
@@ -12,7 +12,7 @@
 	"fernvane/internal/proxy"
 )
 
-// files are the paths of a node's files, each named by a flag or an environment variable.
+// files holds the paths of a node's files. A flag or an environment variable names each.
 type files struct {
 	getenv       func(string) string
 	config       string
@@ -28,22 +28,22 @@
 
 func (f *files) flags(set *pflag.FlagSet) {
 	for _, v := range []struct {
-		to   *string
-		name string
-		env  string
-		help string
+		target *string
+		name   string
+		env    string
+		help   string
 	}{
-		{&f.config, "config", "PROXY_CONFIG", "the platform's configuration, a JSON `file`"},
-		{&f.operator, "operator", "PROXY_OPERATOR", "limits by route, a TOML `file`"},
-		{&f.planners, "planners", "PROXY_PLANNERS", "the planners to follow, a TOML `file`"},
-		{&f.bindings, "bindings", "PROXY_BINDINGS", "keep a journal of bindings, by this TOML `file`"},
-		{&f.registries, "registry", "PROXY_REGISTRY", "read servers from a registry of ephemeral nodes, by this TOML `file`"},
-		{&f.snapshot, "snapshot", "PROXY_SNAPSHOT", "keep the list of servers on disk for the next start, by this TOML `file`"},
-		{&f.peers, "peers", "PROXY_PEERS", "join the other nodes of the tier and store replicas for them, by this TOML `file`"},
-		{&f.distribution, "distribution", "PROXY_DISTRIBUTION", "follow control processes for servers, routes and tenants, by this TOML `file`"},
-		{&f.watch, "watch", "PROXY_WATCH", "count where these settings would decide otherwise, a JSON `file`"},
+		{&f.config, "config", "PROXY_CONFIG", "read the platform's configuration from this JSON `file`"},
+		{&f.operator, "operator", "PROXY_OPERATOR", "read the limits of routes from this TOML `file`"},
+		{&f.planners, "planners", "PROXY_PLANNERS", "follow the planners that this TOML `file` names"},
+		{&f.bindings, "bindings", "PROXY_BINDINGS", "write a journal of bindings as this TOML `file` configures"},
+		{&f.registries, "registry", "PROXY_REGISTRY", "read servers from the registry of ephemeral nodes that this TOML `file` names"},
+		{&f.snapshot, "snapshot", "PROXY_SNAPSHOT", "store the server list on disk for the next start as this TOML `file` configures"},
+		{&f.peers, "peers", "PROXY_PEERS", "join the other nodes of the tier and store replicas for them as this TOML `file` configures"},
+		{&f.distribution, "distribution", "PROXY_DISTRIBUTION", "receive servers, routes and tenants from the control processes that this TOML `file` names"},
+		{&f.watch, "watch", "PROXY_WATCH", "count decisions that would differ under the settings in this JSON `file`"},
 	} {
-		set.StringVar(v.to, v.name, f.getenv(v.env), v.help+"; or "+v.env)
+		set.StringVar(v.target, v.name, f.getenv(v.env), v.help+"; or "+v.env)
 	}
 }
 
@@ -75,7 +75,7 @@
 	return cfg, nil
 }
 
-// exitWith turns the exit code of a process into the error of its command.
+// exitWith converts the exit code of a process to the error of its command.
 func exitWith(code int) error {
 	if code == 0 {
 		return nil
@@ -83,10 +83,10 @@
 	return exitCode(code)
 }
 
-func serveCommand(errs io.Writer, getenv func(string) string) *cobra.Command {
+func serveCommand(stderr io.Writer, getenv func(string) string) *cobra.Command {
 	f := files{getenv: getenv}
 	var verbose bool
-	c := &cobra.Command{Use: "serve", Short: "Run a node until SIGTERM; SIGHUP has it read its files again",
+	c := &cobra.Command{Use: "serve", Short: "Run a node until SIGTERM; SIGHUP reloads its files",
 		Example: "  PROXY_CONFIG=config.json fernvane serve\n  fernvane serve --config config.json --operator operator.toml --bindings bindings.toml",
 		Args:    cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			cfg, err := f.load()
@@ -97,14 +97,14 @@
 			if verbose {
 				level = zerolog.DebugLevel
 			}
-			return exitWith(proxy.RunProcess(cfg, errs, level))
+			return exitWith(proxy.RunProcess(cfg, stderr, level))
 		}}
 	f.flags(c.Flags())
 	c.Flags().BoolVar(&verbose, "verbose", false, "log each attempt that does not end with a complete response")
 	return c
 }
 
-func planCommand(errs io.Writer, getenv func(string) string) *cobra.Command {
+func planCommand(stderr io.Writer, getenv func(string) string) *cobra.Command {
 	var path string
 	c := &cobra.Command{Use: "plan", Short: "Run a planner until SIGTERM", Example: "  fernvane plan --file planner.toml",
 		Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
@@ -112,8 +112,8 @@
 			if err != nil {
 				return configError{err}
 			}
-			return exitWith(planner.Process(cfg, errs))
+			return exitWith(planner.Process(cfg, stderr))
 		}}
-	c.Flags().StringVar(&path, "file", getenv("PROXY_PLAN"), "the planner's TOML `file`; or PROXY_PLAN")
+	c.Flags().StringVar(&path, "file", getenv("PROXY_PLAN"), "read the planner's configuration from this TOML `file`; or PROXY_PLAN")
 	return c
 }
--- a/cmd/fernvane/snapshot.go
+++ b/cmd/fernvane/snapshot.go
@@ -18,29 +18,29 @@
 	"fernvane/internal/journal/wal"
 )
 
-var errUnusableGeneration = errors.New("a generation cannot be gone by")
+var errDamagedGeneration = errors.New("damaged generations found")
 
 func snapshotCommand(getenv func(string) string) *cobra.Command {
 	g := &snapshotFolder{getenv: getenv}
-	root := &cobra.Command{Use: "snapshot", Short: "Look at the lists of servers that a node keeps on disk, also while it writes them",
+	root := &cobra.Command{Use: "snapshot", Short: "Inspect the server lists that a node stores on disk; safe while a node writes them",
 		Example: "  fernvane snapshot show --dir DIR\n  fernvane snapshot verify --dir DIR"}
-	root.PersistentFlags().StringVar(&g.dir, "dir", "", "the node's `folder`; by default that of the file in PROXY_SNAPSHOT")
+	root.PersistentFlags().StringVar(&g.dir, "dir", "", "read the lists in this `folder`; default: the folder that the PROXY_SNAPSHOT file names")
 	root.AddCommand(snapshotShow(g), snapshotVerify(g), snapshotDiff(g), snapshotPrune(g))
 	return root
 }
 
-// snapshotFolder is the folder of snapshots that the command is about.
+// snapshotFolder is the folder of snapshots that a command reads.
 type snapshotFolder struct {
 	getenv func(string) string
 	dir    string
 }
 
-// read opens the folder and reads all generations, newest first. A folder without any is an error.
+// read opens the folder and reads all generations, newest first. It returns an error for a folder without generations.
 func (g *snapshotFolder) read() (*snapshot.Store, []snapshot.Generation, error) {
 	if g.dir == "" {
 		path := g.getenv("PROXY_SNAPSHOT")
 		if path == "" {
-			return nil, nil, errors.New("which lists? --dir FOLDER")
+			return nil, nil, errors.New("no folder of lists named: use --dir FOLDER")
 		}
 		cfg, err := snapshot.Load(path)
 		if err != nil {
@@ -54,92 +54,92 @@
 	}
 	all, err := store.All()
 	if err == nil && len(all) == 0 {
-		err = fmt.Errorf("%s holds no list", g.dir)
+		err = fmt.Errorf("read lists in %s: no list found", g.dir)
 	}
 	return store, all, err
 }
 
 func snapshotShow(g *snapshotFolder) *cobra.Command {
-	var lines bool
-	show := &cobra.Command{Use: "show", Short: "Print the newest complete generation, and how far a start would believe it", Args: cobra.NoArgs,
+	var asJSON bool
+	show := &cobra.Command{Use: "show", Short: "Print the newest complete generation, and the suspicion level that a start would assign to it", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			_, all, err := g.read()
 			if err != nil {
 				return err
 			}
-			i := slices.IndexFunc(all, func(g snapshot.Generation) bool { return g.Snapshot != nil })
+			i := slices.IndexFunc(all, func(generation snapshot.Generation) bool { return generation.Snapshot != nil })
 			if i < 0 {
 				return fmt.Errorf("%s: %w", all[0].Path, all[0].Err)
 			}
-			if lines {
+			if asJSON {
 				return json.NewEncoder(c.OutOrStdout()).Encode(newListJSON(all[i].Snapshot))
 			}
 			printList(c.OutOrStdout(), all[i].Snapshot, time.Now())
 			return nil
 		}}
-	show.Flags().BoolVar(&lines, "json", false, "for programs")
+	show.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return show
 }
 
 func snapshotVerify(g *snapshotFolder) *cobra.Command {
-	return &cobra.Command{Use: "verify", Short: "Read every generation and name what is wrong", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "verify", Short: "Read every generation and print damaged ones", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			_, all, err := g.read()
 			if err != nil {
 				return err
 			}
-			bad := 0
-			for _, one := range all {
-				if one.Err != nil {
-					bad++
-					fmt.Fprintf(c.ErrOrStderr(), "%s: %v\n", one.Path, one.Err)
+			damaged := 0
+			for _, generation := range all {
+				if generation.Err != nil {
+					damaged++
+					fmt.Fprintf(c.ErrOrStderr(), "%s: %v\n", generation.Path, generation.Err)
 				}
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d generations, %d whole\n", len(all), len(all)-bad)
-			if bad > 0 {
-				return errUnusableGeneration
+			fmt.Fprintf(c.OutOrStdout(), "%d generations, %d whole\n", len(all), len(all)-damaged)
+			if damaged > 0 {
+				return errDamagedGeneration
 			}
 			return nil
 		}}
 }
 
 func snapshotDiff(g *snapshotFolder) *cobra.Command {
-	return &cobra.Command{Use: "diff", Short: "Tell what changed between the two newest whole generations", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "diff", Short: "Print the changes between the two newest complete generations", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			_, all, err := g.read()
 			if err != nil {
 				return err
 			}
-			var whole []*snapshot.Snapshot
-			for _, one := range all {
-				if one.Snapshot != nil && len(whole) < 2 {
-					whole = append(whole, one.Snapshot)
+			var complete []*snapshot.Snapshot
+			for _, generation := range all {
+				if generation.Snapshot != nil && len(complete) < 2 {
+					complete = append(complete, generation.Snapshot)
 				}
 			}
-			if len(whole) < 2 {
-				return errors.New("there are no two whole generations")
+			if len(complete) < 2 {
+				return errors.New("compare generations: expected two complete ones, found fewer")
 			}
-			printChanges(c.OutOrStdout(), whole[1], whole[0])
+			printChanges(c.OutOrStdout(), complete[1], complete[0])
 			return nil
 		}}
 }
 
 func snapshotPrune(g *snapshotFolder) *cobra.Command {
 	var keep int
-	prune := &cobra.Command{Use: "prune", Short: "Remove all but the newest generations; only while no node writes there", Args: cobra.NoArgs,
+	prune := &cobra.Command{Use: "prune", Short: "Remove all but the newest generations; unsafe while a node writes to the folder", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			store, all, err := g.read()
 			if err != nil {
 				return err
 			}
 			if keep < 1 {
-				return fmt.Errorf("--keep %d: one at least", keep)
+				return fmt.Errorf("--keep %d: expected at least 1", keep)
 			}
 			err = store.Prune(keep)
 			fmt.Fprintf(c.OutOrStdout(), "%d generations removed\n", max(len(all)-keep, 0))
 			return err
 		}}
-	prune.Flags().IntVar(&keep, "keep", 3, "how many stay")
+	prune.Flags().IntVar(&keep, "keep", 3, "keep this many generations")
 	return prune
 }
 
@@ -153,36 +153,37 @@
 }
 
 func printList(out io.Writer, s *snapshot.Snapshot, now time.Time) {
-	k := staleness.CachedList{Age: now.Sub(time.UnixMilli(s.ConfirmedUnixMS)), IsCleanShutdown: s.IsCleanShutdown}
-	fmt.Fprintf(out, "node %s of %s, revision %d, %d servers, written %s, confirmed %s ago, ended in good order: %v\n", s.Node, s.Deployment, s.Revision,
-		len(s.Servers), formatTime(s.WrittenUnixMS*1e6), k.Age.Round(time.Second), s.IsCleanShutdown)
-	fmt.Fprintf(out, "a start now would take it with suspicion %d of %d\n", k.Level(), staleness.LevelCount-1)
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "server\taddress\tzone\tcondition\theard\tran")
-	for _, one := range s.Servers {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", one.ID, one.Address, one.Zone, conditionName(one.Condition), formatTime(one.AnnouncedUnixMS*1e6), formatTime(one.ExecutedUnixMS*1e6))
+	cached := staleness.CachedList{Age: now.Sub(time.UnixMilli(s.ConfirmedUnixMS)), IsCleanShutdown: s.IsCleanShutdown}
+	fmt.Fprintf(out, "node %s of %s, revision %d, %d servers, written %s, confirmed %s ago, clean shutdown: %v\n", s.Node, s.Deployment, s.Revision,
+		len(s.Servers), formatTime(s.WrittenUnixMS*1e6), cached.Age.Round(time.Second), s.IsCleanShutdown)
+	fmt.Fprintf(out, "suspicion level at a start now: %d of %d\n", cached.Level(), staleness.LevelCount-1)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "server\taddress\tzone\tcondition\theard\tran")
+	for _, server := range s.Servers {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", server.ID, server.Address, server.Zone, conditionName(server.Condition),
+			formatTime(server.AnnouncedUnixMS*1e6), formatTime(server.ExecutedUnixMS*1e6))
 	}
-	t.Flush()
+	table.Flush()
 }
 
 func printChanges(out io.Writer, before, after *snapshot.Snapshot) {
-	was := map[string]snapshot.Server{}
+	previous := map[string]snapshot.Server{}
 	for _, s := range before.Servers {
-		was[s.ID] = s
+		previous[s.ID] = s
 	}
 	var lines []string
 	for _, s := range after.Servers {
-		b, known := was[s.ID]
-		delete(was, s.ID)
+		old, known := previous[s.ID]
+		delete(previous, s.ID)
 		switch {
 		case !known:
 			lines = append(lines, fmt.Sprintf("+ %s %s %s", s.ID, s.Address, conditionName(s.Condition)))
-		case b.Condition != s.Condition || b.Address != s.Address || b.StartedUnixMS != s.StartedUnixMS:
-			lines = append(lines, fmt.Sprintf("~ %s %s %s, was %s %s", s.ID, s.Address, conditionName(s.Condition), b.Address, conditionName(b.Condition)))
+		case old.Condition != s.Condition || old.Address != s.Address || old.StartedUnixMS != s.StartedUnixMS:
+			lines = append(lines, fmt.Sprintf("~ %s %s %s, was %s %s", s.ID, s.Address, conditionName(s.Condition), old.Address, conditionName(old.Condition)))
 		}
 	}
-	for id, b := range was {
-		lines = append(lines, fmt.Sprintf("- %s %s %s", id, b.Address, conditionName(b.Condition)))
+	for id, old := range previous {
+		lines = append(lines, fmt.Sprintf("- %s %s %s", id, old.Address, conditionName(old.Condition)))
 	}
 	slices.SortFunc(lines, func(a, b string) int { return cmp.Compare(a[2:], b[2:]) })
 	for _, l := range lines {
@@ -191,7 +192,7 @@
 	fmt.Fprintf(out, "%d changes from revision %d to %d\n", len(lines), before.Revision, after.Revision)
 }
 
-// listJSON is a snapshot as show prints it for programs.
+// listJSON is a snapshot as show --json prints it.
 type listJSON struct {
 	Node       string       `json:"node"`
 	Deployment string       `json:"deployment"`
@@ -202,6 +203,7 @@
 	Servers    []serverJSON `json:"servers"`
 }
 
+// serverJSON is a server of a listJSON.
 type serverJSON struct {
 	ID        string `json:"id"`
 	Address   string `json:"address"`
@@ -213,8 +215,9 @@
 
 func newListJSON(s *snapshot.Snapshot) listJSON {
 	l := listJSON{s.Node, s.Deployment, s.Revision, formatTime(s.WrittenUnixMS * 1e6), formatTime(s.ConfirmedUnixMS * 1e6), s.IsCleanShutdown, []serverJSON{}}
-	for _, one := range s.Servers {
-		l.Servers = append(l.Servers, serverJSON{one.ID, one.Address, one.Zone, conditionName(one.Condition), formatTime(one.AnnouncedUnixMS * 1e6), formatTime(one.ExecutedUnixMS * 1e6)})
+	for _, server := range s.Servers {
+		l.Servers = append(l.Servers, serverJSON{server.ID, server.Address, server.Zone, conditionName(server.Condition),
+			formatTime(server.AnnouncedUnixMS * 1e6), formatTime(server.ExecutedUnixMS * 1e6)})
 	}
 	return l
 }
--- a/cmd/fernvane/snapshot_golden_test.go
+++ b/cmd/fernvane/snapshot_golden_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// storedSnapshots is a folder with stored snapshots as generations, from the oldest.
+// storedSnapshots returns a folder with the named snapshots as generations, the oldest first.
 func storedSnapshots(t *testing.T, names ...string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -25,8 +25,8 @@
 	return dir
 }
 
-// TestSnapshotOutput compares what the commands print of stored snapshots, to the byte. Of `show` as text the first two
-// lines are left out: they tell the age.
+// TestSnapshotOutput compares the output of the commands for stored snapshots byte by byte. It omits the first two lines of the
+// text of `show`, because they contain the age.
 func TestSnapshotOutput(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -59,12 +59,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := storedSnapshots(t, c.stored...)
-			var out, errs bytes.Buffer
+			var out, stderr bytes.Buffer
 			args := append(append([]string{"snapshot"}, c.command...), "--dir", dir)
-			code := run(args, &out, &errs, func(string) string { return "" })
+			code := run(args, &out, &stderr, func(string) string { return "" })
 			lines := strings.SplitAfter(out.String(), "\n")
-			if got := strings.Join(lines[min(c.skip, len(lines)):], ""); code != c.code || got != c.want || errs.Len() > 0 {
-				t.Errorf("exit %d, printed\n%s\nwant\n%s\n%s", code, got, c.want, errs.String())
+			if got := strings.Join(lines[min(c.skip, len(lines)):], ""); code != c.code || got != c.want || stderr.Len() > 0 {
+				t.Errorf("exit %d, printed\n%s\nwant\n%s\n%s", code, got, c.want, stderr.String())
 			}
 		})
 	}
