--- a/cmd/fernvane/bindings.go
+++ b/cmd/fernvane/bindings.go
@@ -169,7 +169,7 @@
 		return errors.Join(err, rows.Error())
 	}}
 	filter.addFlags(c)
-	c.Flags().StringVar(&format, "format", "jsonl", "print csv or jsonl")
+	c.Flags().StringVar(&format, "format", "jsonl", "print in this format: csv or jsonl")
 	return c
 }
 
--- a/cmd/fernvane/check.go
+++ b/cmd/fernvane/check.go
@@ -85,7 +85,7 @@
 	printPeers(out, cfg.Peers)
 	printDistribution(out, cfg.Distribution)
 	if cfg.Shadow != nil {
-		fmt.Fprintln(out, "compares its decisions with those of the watched settings, which have no effect")
+		fmt.Fprintln(out, "compares its decisions with those of the watched settings without applying them")
 	}
 	if cfg.Routes != nil {
 		cfg.Routes.PrintTable(out, &cfg.Settings)
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -1,8 +1,8 @@
-// Package simwire reads and writes the text lines of the operators' simulator and translates their words to the terms
-// of package policy. It decides nothing. Command adapter is its only user.
+// Package simwire decodes and encodes the text protocol of the operators' simulator and translates its terms to those of package
+// policy. It makes no decisions. Only command adapter uses it.
 //
-// The simulator writes batches, each closed by a line of its own, and waits for the reply to each. A line that cannot be
-// used is reported and left out.
+// The simulator writes batches, each terminated by the line eof_batch, and waits for the reply to each. Invalid lines are reported
+// and ignored.
 package simwire
 
 import (
@@ -12,25 +12,25 @@
 	"fernvane/policy"
 )
 
-// Kind says what has happened to an instance.
+// Kind is the kind of an event.
 type Kind uint8
 
 const (
-	// InstanceStarted brings Seed and Settings, or Err.
+	// InstanceStarted starts an instance. It has Seed and Settings, or Err.
 	InstanceStarted Kind = iota
-	// InstanceKilled ends an instance at once.
+	// InstanceKilled stops an instance immediately.
 	InstanceKilled
-	// EndpointsUpdated brings Scope and Endpoints.
+	// EndpointsUpdated is an endpoint list or a change of it. It has Scope and Endpoints.
 	EndpointsUpdated
-	// RequestArrived brings Request, TrafficType, Tenant, Key, IsClientRetry and Timeout.
+	// RequestArrived has Request, TrafficType, Tenant, Key, IsClientRetry and Timeout.
 	RequestArrived
-	// AttemptEnded brings Request, Attempt, Server, Outcome, Elapsed and ClientAnswered.
+	// AttemptEnded has Request, Attempt, Server, Outcome, Elapsed and ClientAnswered.
 	AttemptEnded
-	// ClientLeft says that Request needs no answer any more.
+	// ClientLeft reports that Request needs no response any more.
 	ClientLeft
-	// TimerFired follows Writer.SetTimer.
+	// TimerFired reports the end of the duration passed to Writer.SetTimer.
 	TimerFired
-	// Ignored events are valid and of no use to the policy.
+	// Ignored marks valid events that the policy does not use.
 	Ignored
 )
 
@@ -46,7 +46,7 @@
 	HasStartTime bool
 }
 
-// Event is one event of a batch. The kind says which fields count.
+// Event is one event of a batch. Its kind determines which fields are set.
 type Event struct {
 	Kind     Kind
 	Instance int
@@ -68,17 +68,17 @@
 
 	Seed     uint32
 	Settings policy.Settings
-	Err      error // why the settings cannot be used
+	Err      error // why the settings are invalid
 }
 
-// Batch is what happened at one moment.
+// Batch holds the events of one point in time.
 type Batch struct {
 	Now    time.Duration
 	Events []Event
 }
 
-// event appends the event of a line to the batch.
-func (r *Reader) event(tag string, p *parser) *Event {
+// appendEvent decodes the event of a line and appends it to the batch.
+func (r *Reader) appendEvent(tag string, p *parser) *Event {
 	r.batch.Events = append(r.batch.Events, Event{Kind: Ignored})
 	e := &r.batch.Events[len(r.batch.Events)-1]
 	switch tag {
@@ -92,13 +92,13 @@
 	case "discovery":
 		e.Kind, e.Scope = EndpointsUpdated, p.scope()
 		if e.Scope != policy.Unavailable {
-			e.Endpoints = r.list(p)
+			e.Endpoints = r.namedList(p)
 		}
 	case "arrival":
 		p.requestArrived(e)
 	case "verdict":
 		p.attemptEnded(e)
-	case "left", "begun": // once a streamed answer has begun, no other answer is owed
+	case "left", "begun": // a request whose streamed response has begun needs no other response
 		e.Kind, e.Request = ClientLeft, p.requestID()
 	case "deadline_hit":
 		e.Kind = TimerFired
@@ -109,8 +109,8 @@
 	return e
 }
 
-// list returns the endpoint list that a line names.
-func (r *Reader) list(p *parser) []Endpoint {
+// namedList returns the endpoint list that a line names.
+func (r *Reader) namedList(p *parser) []Endpoint {
 	endpoints, ok := r.lists[p.int("list", true)]
 	if !ok {
 		p.fail("unknown list")
@@ -124,8 +124,8 @@
 	e.Timeout = p.duration("timeBudget", true)
 	subject, _ := p.find("subject")
 	e.Key = policy.HashKey(subject)
-	again, _ := p.find("againByClient")
-	e.IsClientRetry = string(again) == "1"
+	clientRetry, _ := p.find("againByClient")
+	e.IsClientRetry = string(clientRetry) == "1"
 }
 
 func (p *parser) attemptEnded(e *Event) {
--- a/internal/simwire/parser.go
+++ b/internal/simwire/parser.go
@@ -10,7 +10,7 @@
 	"fernvane/policy"
 )
 
-// parser reads the fields of one line and keeps the first error.
+// parser decodes the fields of one line and records the first error.
 type parser struct {
 	fields []field
 	err    error
@@ -31,33 +31,33 @@
 	return nil, false
 }
 
-// int reads a number from 0 on. An absent one is 0, and an error if isRequired.
+// int decodes an integer from 0 to math.MaxInt32. An absent field yields 0, with an error if isRequired.
 func (p *parser) int(name string, isRequired bool) int {
 	v, ok := p.find(name)
 	if !ok {
 		if isRequired {
-			p.fail(name + " is missing")
+			p.fail(name + " missing")
 		}
 		return 0
 	}
 	n, err := strconv.Atoi(string(v))
 	if err != nil || n < 0 || n > math.MaxInt32 {
-		p.fail(name + " is not a small number")
+		p.fail(name + ": expected an integer from 0 to 2147483647")
 		return 0
 	}
 	return n
 }
 
-// number reads a finite number, with a default for an absent one.
-func (p *parser) number(name string, absent float64) float64 {
+// number decodes a finite number. An absent or invalid field yields fallback.
+func (p *parser) number(name string, fallback float64) float64 {
 	v, ok := p.find(name)
 	if !ok {
-		return absent
+		return fallback
 	}
 	x, err := strconv.ParseFloat(string(v), 64)
 	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		p.fail(name + " is not a number")
-		return absent
+		p.fail(name + ": expected a finite number")
+		return fallback
 	}
 	return x
 }
@@ -65,18 +65,18 @@
 func (p *parser) parseDuration(name string, v []byte) time.Duration {
 	x, err := strconv.ParseFloat(string(v), 64)
 	if err != nil || math.IsNaN(x) || math.Abs(x) > 1e12 {
-		p.fail(name + " is not a time")
+		p.fail(name + ": expected a time in ms, at most 1e12")
 		return 0
 	}
 	return settings.FromMillis(x)
 }
 
-// duration reads a number of milliseconds, as int does.
+// duration decodes a number of milliseconds. An absent field yields 0, with an error if isRequired.
 func (p *parser) duration(name string, isRequired bool) time.Duration {
 	v, ok := p.find(name)
 	if !ok {
 		if isRequired {
-			p.fail(name + " is missing")
+			p.fail(name + " missing")
 		}
 		return 0
 	}
@@ -87,7 +87,7 @@
 	v, _ := p.find("job")
 	n, err := strconv.ParseUint(string(v), 16, 64)
 	if err != nil || len(v) != 16 {
-		p.fail("job is not 16 hex digits")
+		p.fail("job: expected 16 hex digits")
 	}
 	return n
 }
@@ -96,12 +96,12 @@
 	v, _ := p.find("server")
 	n, err := strconv.ParseUint(string(v), 10, 32)
 	if err != nil {
-		p.fail("server is not a number")
+		p.fail("server: expected an unsigned 32-bit integer")
 	}
 	return uint32(n)
 }
 
-// endpoint reads an entry of an endpoint list.
+// endpoint decodes an entry of an endpoint list.
 func (p *parser) endpoint() Endpoint {
 	e := Endpoint{
 		Server:      p.server(),
@@ -111,14 +111,14 @@
 		Condition:   p.condition(),
 		Weight:      p.number("scale", 1),
 	}
-	if at, ok := p.find("lastStart"); ok {
-		e.StartedAt = p.parseDuration("lastStart", at)
+	if startedAt, ok := p.find("lastStart"); ok {
+		e.StartedAt = p.parseDuration("lastStart", startedAt)
 		e.HasStartTime = e.StartedAt != 0
 	}
 	return e
 }
 
-// seed folds the 64 bits of entropy of an instance into 32.
+// seed folds the 64-bit entropy of an instance into 32 bits.
 func (p *parser) seed() uint32 {
 	text, _ := p.find("entropy")
 	if n, err := strconv.ParseInt(string(text), 10, 64); err == nil {
@@ -126,7 +126,7 @@
 	}
 	u, err := strconv.ParseUint(string(text), 10, 64)
 	if err != nil {
-		p.fail("entropy is not a number")
+		p.fail("entropy: expected a 64-bit integer")
 		return 0
 	}
 	return uint32(u) ^ uint32(u>>32)
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -8,36 +8,36 @@
 	"io"
 )
 
-// ErrTruncated is returned for input that ends inside a batch.
-var ErrTruncated = errors.New("input ended in the middle of a batch")
+// ErrTruncated is returned if the input ends inside a batch.
+var ErrTruncated = errors.New("input truncated inside a batch")
 
 const (
-	bufferBytes     = 1 << 16 // of the reader and the writer
-	maxListCapacity = 4096    // endpoints for which memory is taken before they are read
+	bufferBytes     = 1 << 16 // buffer size of the reader and the writer
+	maxListCapacity = 4096    // endpoints of a list for which memory is allocated in advance
 )
 
-// Reader turns lines into batches.
+// Reader decodes batches from lines.
 type Reader struct {
 	in     *bufio.Reader
 	warn   func(string)
-	lists  map[int][]Endpoint // by number; they outlive their batch
+	lists  map[int][]Endpoint // endpoint lists by number; later batches may refer to them
 	batch  Batch
 	line   []byte
 	fields []field
 }
 
-// field is one name and value of a line, in the memory of the line.
+// field is one name and value of a line. Both refer to the memory of the line.
 type field struct {
 	name  []byte
 	value []byte
 }
 
-// NewReader returns a reader of r. It calls warn for each line that cannot be used.
+// NewReader returns a reader of r. The reader calls warn for each invalid line.
 func NewReader(r io.Reader, warn func(string)) *Reader {
 	return &Reader{in: bufio.NewReaderSize(r, bufferBytes), warn: warn, lists: map[int][]Endpoint{}}
 }
 
-// readLine reads the next line, however long, without its end.
+// readLine reads the next line of any length into r.line, without its line end.
 func (r *Reader) readLine() error {
 	r.line = r.line[:0]
 	for {
@@ -54,7 +54,7 @@
 	}
 }
 
-// split cuts a line into its tag and fields. The field env takes the rest of the line.
+// split splits a line into its tag and fields. The field env extends to the end of the line.
 func (r *Reader) split() (tag []byte) {
 	r.fields = r.fields[:0]
 	tag, remaining, _ := bytes.Cut(r.line, []byte{'\t'})
@@ -71,44 +71,44 @@
 	return tag
 }
 
-// progress is where Read is inside a batch.
-type progress struct {
-	isOpen      bool // the batch's first line was read
-	instance    int  // of the events that follow
+// batchState is the state of Read inside a batch.
+type batchState struct {
+	isOpen      bool // the first line of the batch was read
+	instance    int  // instance of the following events
 	hasInstance bool
-	list        int // number of the list whose entries follow, or -1
-	missing     int // entries of it
+	list        int // number of the list that the following entries belong to, or -1
+	missing     int // entries of that list still to be read
 }
 
 // Read returns the next batch, io.EOF between two batches, or ErrTruncated inside one. The batch is valid until the
 // next call.
 func (r *Reader) Read() (*Batch, error) {
 	r.batch.Events = r.batch.Events[:0]
-	at := progress{list: -1}
+	state := batchState{list: -1}
 	for {
 		if err := r.readLine(); err != nil {
-			return nil, endOfInput(err, !at.isOpen && len(r.line) == 0)
+			return nil, endOfInput(err, !state.isOpen && len(r.line) == 0)
 		}
 		if len(r.line) == 0 {
 			continue
 		}
 		tag := string(r.split())
-		if !at.isOpen && tag != "batch" {
-			r.warn(fmt.Sprintf("dropped a %.20q line outside a batch", tag))
+		if !state.isOpen && tag != "batch" {
+			r.warn(fmt.Sprintf("line %.20q dropped: outside any batch", tag))
 			continue
 		}
-		if at.missing > 0 && tag != "entry" {
-			r.warn(fmt.Sprintf("list %d misses %d entries", at.list, at.missing))
-			at.missing = 0
+		if state.missing > 0 && tag != "entry" {
+			r.warn(fmt.Sprintf("list %d incomplete: %d entries missing", state.list, state.missing))
+			state.missing = 0
 		}
 		if tag == "eof_batch" {
 			return &r.batch, nil
 		}
-		r.take(tag, &at)
+		r.handleLine(tag, &state)
 	}
 }
 
-// endOfInput returns the error of Read for one of readLine.
+// endOfInput converts an error of readLine to the error of Read.
 func endOfInput(err error, isBetweenBatches bool) error {
 	if errors.Is(err, io.EOF) && !isBetweenBatches {
 		return ErrTruncated
@@ -116,62 +116,62 @@
 	return err
 }
 
-// take takes in a line. A line that cannot be used is reported and leaves no event.
-func (r *Reader) take(tag string, at *progress) {
+// handleLine decodes a line. It reports an invalid line and removes its event.
+func (r *Reader) handleLine(tag string, state *batchState) {
 	p := parser{fields: r.fields}
-	e := r.parse(tag, &p, at)
-	if e != nil && p.err == nil && !at.hasInstance {
-		p.fail("no instance named")
+	e := r.parse(tag, &p, state)
+	if e != nil && p.err == nil && !state.hasInstance {
+		p.fail("no instance selected by target_instance")
 	}
 	if p.err != nil {
 		if e != nil {
 			r.batch.Events = r.batch.Events[:len(r.batch.Events)-1]
 		}
-		r.warn(fmt.Sprintf("dropped a %.20q line: %v", tag, p.err))
+		r.warn(fmt.Sprintf("line %.20q dropped: %v", tag, p.err))
 		return
 	}
 	if e != nil {
-		e.Instance = at.instance
+		e.Instance = state.instance
 	}
 }
 
-// parse reads a line and returns its event, if it is one.
-func (r *Reader) parse(tag string, p *parser, at *progress) *Event {
+// parse decodes a line and returns its event, or nil if the line is no event.
+func (r *Reader) parse(tag string, p *parser, state *batchState) *Event {
 	switch tag {
 	case "batch":
 		now := p.duration("now", true)
 		if p.err == nil {
 			r.batch.Now = now
-			if at.isOpen {
-				r.warn("a batch line inside a batch")
+			if state.isOpen {
+				r.warn("batch line inside a batch")
 			}
 		}
-		at.isOpen = true
+		state.isOpen = true
 	case "target_instance":
-		at.instance = p.int("who", true)
-		at.hasInstance = p.err == nil
+		state.instance = p.int("who", true)
+		state.hasInstance = p.err == nil
 	case "manifest":
-		r.beginList(p, at)
+		r.beginList(p, state)
 	case "entry":
 		e := p.endpoint()
-		if at.missing <= 0 {
-			p.fail("entry without a list")
+		if state.missing <= 0 {
+			p.fail("entry outside a list")
 		}
-		at.missing--
+		state.missing--
 		if p.err == nil {
-			r.lists[at.list] = append(r.lists[at.list], e)
+			r.lists[state.list] = append(r.lists[state.list], e)
 		}
 	default:
-		return r.event(tag, p)
+		return r.appendEvent(tag, p)
 	}
 	return nil
 }
 
-func (r *Reader) beginList(p *parser, at *progress) {
-	at.list, at.missing = p.int("list", true), p.int("entries", true)
+func (r *Reader) beginList(p *parser, state *batchState) {
+	state.list, state.missing = p.int("list", true), p.int("entries", true)
 	if p.err != nil {
-		at.list, at.missing = -1, 0
+		state.list, state.missing = -1, 0
 		return
 	}
-	r.lists[at.list] = make([]Endpoint, 0, min(max(at.missing, 0), maxListCapacity))
+	r.lists[state.list] = make([]Endpoint, 0, min(max(state.missing, 0), maxListCapacity))
 }
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -10,19 +10,19 @@
 
 const hexDigits = "0123456789abcdef"
 
-// Writer collects the reply to one batch. It is the engine.EffectHandler of all instances.
+// Writer encodes the reply to one batch. It is the engine.EffectHandler of all instances.
 type Writer struct {
 	out      *bufio.Writer
-	instance int // of the lines written last, or -1
+	instance int // instance of the last lines, or -1
 	buf      []byte
 }
 
-// NewWriter returns a writer of replies to w.
+// NewWriter returns a Writer that writes replies to w.
 func NewWriter(w io.Writer) *Writer {
 	return &Writer{out: bufio.NewWriterSize(w, bufferBytes), instance: -1}
 }
 
-// ForInstance names the instance whose effects follow.
+// ForInstance selects the instance of the following effects.
 func (w *Writer) ForInstance(instance int) {
 	if instance != w.instance {
 		w.instance = instance
@@ -49,7 +49,7 @@
 
 func (w *Writer) end() { w.buf = append(w.buf, '\n') }
 
-// SendAttempt sends a request to a server.
+// SendAttempt writes the command to send an attempt of a request to a server, with a timeout.
 func (w *Writer) SendAttempt(request uint64, server uint32, timeout time.Duration) {
 	w.request("forward", request)
 	w.uint("server", uint64(server))
@@ -57,7 +57,7 @@
 	w.end()
 }
 
-// Reject rejects a request; retryAfter is left out if it is 0.
+// Reject writes the command to reject a request. It omits retryAfter if it is 0.
 func (w *Writer) Reject(request uint64, retryAfter time.Duration) {
 	w.request("turn_away", request)
 	if retryAfter > 0 {
@@ -66,33 +66,33 @@
 	w.end()
 }
 
-// Fail answers that the outcome of a request is unknown.
+// Fail writes the command to end a request with an unknown outcome.
 func (w *Writer) Fail(request uint64) {
 	w.request("lose", request)
 	w.end()
 }
 
-// SetTimer sets the timer of the instance.
+// SetTimer writes the command to set the timer of the instance.
 func (w *Writer) SetTimer(after time.Duration) {
 	w.buf = append(w.buf, "schedule"...)
 	w.duration("fromNow", after)
 	w.buf = append(w.buf, "\tcookie=w\n"...)
 }
 
-// Subscribe requests the endpoint list.
+// Subscribe writes the command to subscribe to the endpoint list.
 func (w *Writer) Subscribe() { w.buf = append(w.buf, "listen\tenable=1\n"...) }
 
-// CloseIdle closes idle connections to a server.
+// CloseIdle writes the command to close idle connections to a server.
 func (w *Writer) CloseIdle(server uint32) {
 	w.buf = append(w.buf, "release"...)
 	w.uint("server", uint64(server))
 	w.end()
 }
 
-// Forget writes nothing: the simulator does not use server ids again.
+// Forget writes nothing, because the simulator does not reuse server IDs.
 func (w *Writer) Forget(uint32) {}
 
-// Broken reports that an instance cannot work, and why.
+// Broken reports that an instance could not be started, with the reason.
 func (w *Writer) Broken(reason string) {
 	clean := bytes.Map(func(r rune) rune {
 		if r < ' ' {
@@ -103,7 +103,7 @@
 	w.buf = append(append(append(w.buf, "broken\tmessage="...), clean...), '\n')
 }
 
-// Flush ends the reply and writes it.
+// Flush terminates the reply and writes it to the output.
 func (w *Writer) Flush() error {
 	w.buf = append(w.buf, "eor\n"...)
 	_, err := w.out.Write(w.buf)
--- a/internal/tools/codetable/codetable_test.go
+++ b/internal/tools/codetable/codetable_test.go
@@ -20,7 +20,7 @@
 		"_":           "",
 	} {
 		if got := strings.Join(wordsOf(identifier), " "); got != want {
-			t.Errorf("%s is %q, expected %q", identifier, got, want)
+			t.Errorf("%s: got %q, want %q", identifier, got, want)
 		}
 	}
 }
@@ -29,7 +29,7 @@
 	"\n| where | words |\n| --- | --- |\n| `internal/shop` (its lines) | `cart` | |\n| `internal/shop` | `cart` | |\n\n`hop` in a line of its own is no row.\n"
 
 // tree writes a module with one fault of each kind, each beside what is just allowed.
-func tree(t *testing.T) string {
+func sourceTree(t *testing.T) string {
 	t.Helper()
 	root := t.TempDir()
 	body := func(lines int) string { return strings.Repeat("\tprintln()\n", lines) }
@@ -58,7 +58,7 @@
 func TestCounts(t *testing.T) {
 	t.Parallel()
 	c := newCount(parseGlossary(glossary))
-	if err := c.readTree(tree(t)); err != nil {
+	if err := c.readTree(sourceTree(t)); err != nil {
 		t.Fatal(err)
 	}
 	want := []string{
@@ -67,19 +67,19 @@
 		"internal/a/a.go:9: Hops has no doc comment",
 		"internal/b/c: no package comment",
 	}
-	if got := c.named(); !slices.Equal(got, want) {
-		t.Errorf("named\n%s\nexpected\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+	if got := c.details(); !slices.Equal(got, want) {
+		t.Errorf("got details\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
-	if len(c.packages) != 2 || c.oneLevel() != 2 || c.crowded != 1 {
-		t.Errorf("%d packages, %d on one level, %d rows; expected 2, 2, 1", len(c.packages), c.oneLevel(), c.crowded)
+	if len(c.packages) != 2 || c.topLevelPackages() != 2 || c.wideRows != 1 {
+		t.Errorf("got %d packages, %d on the top level, %d wide rows; want 2, 2, 1", len(c.packages), c.topLevelPackages(), c.wideRows)
 	}
 	if code, tests, pages := c.wordTotals(); code != 3 || tests != 1 || pages != 3 {
-		t.Errorf("words %d, %d, %d; expected 3, 1, 3", code, tests, pages)
+		t.Errorf("got %d uses in code, %d in tests, %d in pages; want 3, 1, 3", code, tests, pages)
 	}
 	if len(c.words) != 2 {
-		t.Errorf("words are %v; expected hop and box", c.words)
+		t.Errorf("got words %v, want hop and box", c.words)
 	}
-	if most := c.words["hop"].most(); most != "internal/a 1, internal/b/c 1" {
-		t.Errorf("hop stands in %q", most)
+	if top := c.words["hop"].topFolders(); top != "internal/a 1, internal/b/c 1" {
+		t.Errorf("got top folders %q of hop", top)
 	}
 }
--- a/internal/tools/codetable/count.go
+++ b/internal/tools/codetable/count.go
@@ -14,47 +14,47 @@
 )
 
 const (
-	longFile     = 400 // lines that a file has at most
-	longFunction = 60  // lines that a function has at most, from func to its brace
-	crowdedRow   = 3   // names in one row of struct fields
+	maxFileLines     = 400
+	maxFunctionLines = 60 // from the keyword func to the closing brace
+	wideRowNames     = 3  // names in a row of struct fields from which the row counts as wide
 )
 
-// wellKnown are methods whose meaning the standard library fixes.
-var wellKnown = map[string]bool{"Error": true, "String": true}
+// standardMethods are methods of interfaces of the standard library. They need no doc comment.
+var standardMethods = map[string]bool{"Error": true, "String": true}
 
-// use is how often a word stands in identifiers of code and of tests, and as a word of its own in pages.
-type use struct {
+// wordUse counts the uses of a word: in identifiers of code, in identifiers of tests, and as a separate word in pages.
+type wordUse struct {
 	code     int
 	tests    int
 	pages    int
-	packages map[string]int // identifiers of code by folder
+	packages map[string]int // uses in identifiers of code by folder
 }
 
-// count is what was found in a tree.
+// count holds the figures of a source tree.
 type count struct {
 	lines         int
-	packages      map[string]bool // folders with code, and whether one of their files describes the package
+	packages      map[string]bool // by folder with code: whether one of its files has a package comment
 	longFiles     []string
 	longFunctions []string
 	undocumented  []string
-	crowded       int
-	words         map[string]*use
-	form          map[string]*use // by form of a word
+	wideRows      int
+	words         map[string]*wordUse // by coined word
+	forms         map[string]*wordUse // by form of a word
 }
 
 func newCount(words []word) *count {
-	c := &count{packages: map[string]bool{}, words: map[string]*use{}, form: map[string]*use{}}
+	c := &count{packages: map[string]bool{}, words: map[string]*wordUse{}, forms: map[string]*wordUse{}}
 	for _, w := range words {
-		u := &use{packages: map[string]int{}}
+		u := &wordUse{packages: map[string]int{}}
 		c.words[w.coined] = u
 		for _, form := range w.forms {
-			c.form[form] = u
+			c.forms[form] = u
 		}
 	}
 	return c
 }
 
-// readTree takes in every Go file and every page under root, leaving out hidden folders, testdata and the glossary itself.
+// readTree counts every Go file and every page under root, except in hidden folders and testdata. It skips the glossary itself.
 func (c *count) readTree(root string) error {
 	return filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
@@ -90,7 +90,7 @@
 	}
 	notLetter := func(r rune) bool { return r > 127 || !isLetter(byte(r)) }
 	for _, word := range strings.FieldsFunc(string(text), notLetter) {
-		if u := c.form[strings.ToLower(word)]; u != nil {
+		if u := c.forms[strings.ToLower(word)]; u != nil {
 			u.pages++
 		}
 	}
@@ -98,8 +98,8 @@
 }
 
 func (c *count) readCode(path, relative string) error {
-	files := token.NewFileSet()
-	file, err := parser.ParseFile(files, path, nil, parser.ParseComments)
+	fileSet := token.NewFileSet()
+	file, err := parser.ParseFile(fileSet, path, nil, parser.ParseComments)
 	if err != nil {
 		return err
 	}
@@ -109,14 +109,14 @@
 	if isTest {
 		return nil
 	}
-	lines := files.File(file.Pos()).LineCount()
+	lines := fileSet.File(file.Pos()).LineCount()
 	c.lines += lines
-	if lines > longFile {
+	if lines > maxFileLines {
 		c.longFiles = append(c.longFiles, fmt.Sprintf("%s: %d lines", relative, lines))
 	}
 	c.packages[folder] = c.packages[folder] || file.Doc != nil
 	for _, declaration := range file.Decls {
-		c.declaration(files, relative, declaration)
+		c.declaration(fileSet, relative, declaration)
 	}
 	ast.Inspect(file, func(n ast.Node) bool {
 		if s, ok := n.(*ast.StructType); ok {
@@ -134,7 +134,7 @@
 			return true
 		}
 		for _, part := range wordsOf(name.Name) {
-			u := c.form[part]
+			u := c.forms[part]
 			switch {
 			case u == nil:
 			case isTest:
@@ -148,26 +148,26 @@
 	})
 }
 
-func (c *count) declaration(files *token.FileSet, relative string, declaration ast.Decl) {
+func (c *count) declaration(fileSet *token.FileSet, relative string, declaration ast.Decl) {
 	switch d := declaration.(type) {
 	case *ast.FuncDecl:
-		first, last := files.Position(d.Pos()).Line, files.Position(d.End()).Line
-		if lines := last - first + 1; lines > longFunction {
+		first, last := fileSet.Position(d.Pos()).Line, fileSet.Position(d.End()).Line
+		if lines := last - first + 1; lines > maxFunctionLines {
 			c.longFunctions = append(c.longFunctions, fmt.Sprintf("%s:%d: %s has %d lines", relative, first, d.Name.Name, lines))
 		}
-		if d.Doc == nil && d.Name.IsExported() && !wellKnown[d.Name.Name] && receiverExported(d) {
+		if d.Doc == nil && d.Name.IsExported() && !standardMethods[d.Name.Name] && receiverExported(d) {
 			c.notDocumented(relative, first, d.Name.Name)
 		}
 	case *ast.GenDecl:
 		for _, spec := range d.Specs {
-			c.spec(files, relative, d, spec)
+			c.spec(fileSet, relative, d, spec)
 		}
 	}
 }
 
-// spec counts exported types, and exported constants and variables whose group has no comment either.
-func (c *count) spec(files *token.FileSet, relative string, group *ast.GenDecl, spec ast.Spec) {
-	line := files.Position(spec.Pos()).Line
+// spec records exported types, constants and variables without a doc comment. A comment of the group counts as a doc comment.
+func (c *count) spec(fileSet *token.FileSet, relative string, group *ast.GenDecl, spec ast.Spec) {
+	line := fileSet.Position(spec.Pos()).Line
 	switch s := spec.(type) {
 	case *ast.TypeSpec:
 		if s.Name.IsExported() && s.Doc == nil && group.Doc == nil {
@@ -189,7 +189,7 @@
 	c.undocumented = append(c.undocumented, fmt.Sprintf("%s:%d: %s has no doc comment", relative, line, name))
 }
 
-// receiverExported is false for methods of types that the package keeps to itself.
+// receiverExported reports whether a function has no receiver or its receiver type is exported.
 func receiverExported(d *ast.FuncDecl) bool {
 	if d.Recv == nil {
 		return true
@@ -211,18 +211,18 @@
 
 func (c *count) structRows(s *ast.StructType) {
 	for _, row := range s.Fields.List {
-		if len(row.Names) >= crowdedRow {
-			c.crowded++
+		if len(row.Names) >= wideRowNames {
+			c.wideRows++
 		}
 	}
 }
 
-// oneLevel is how many folders directly under internal/ hold a package or lead to one.
-func (c *count) oneLevel() int {
+// topLevelPackages returns the number of folders directly under internal/ that contain packages, at any depth.
+func (c *count) topLevelPackages() int {
 	folders := map[string]bool{}
 	for folder := range c.packages {
-		if below, ok := strings.CutPrefix(folder, "internal/"); ok {
-			first, _, _ := strings.Cut(below, "/")
+		if path, ok := strings.CutPrefix(folder, "internal/"); ok {
+			first, _, _ := strings.Cut(path, "/")
 			folders[first] = true
 		}
 	}
@@ -239,8 +239,8 @@
 	return folders
 }
 
-// named lists all that the table counts by number alone.
-func (c *count) named() []string {
+// details lists the files, functions, names and packages that the table only counts.
+func (c *count) details() []string {
 	return slices.Concat(c.longFiles, c.longFunctions, c.undocumented, c.undescribed())
 }
 
@@ -253,9 +253,9 @@
 	return code, tests, pages
 }
 
-// most names the folders that use a word most, with counts.
-func (u *use) most() string {
-	const shown = 6
+// topFolders returns the folders with the most uses of a word, with their counts.
+func (u *wordUse) topFolders() string {
+	const maxShown = 6
 	folders := slices.SortedFunc(maps.Keys(u.packages), func(a, b string) int {
 		if d := u.packages[b] - u.packages[a]; d != 0 {
 			return d
@@ -263,10 +263,10 @@
 		return strings.Compare(a, b)
 	})
 	var parts []string
-	for _, folder := range folders[:min(shown, len(folders))] {
+	for _, folder := range folders[:min(maxShown, len(folders))] {
 		parts = append(parts, fmt.Sprintf("%s %d", folder, u.packages[folder]))
 	}
-	if more := len(folders) - shown; more > 0 {
+	if more := len(folders) - maxShown; more > 0 {
 		parts = append(parts, fmt.Sprintf("%d more", more))
 	}
 	return strings.Join(parts, ", ")
--- a/internal/tools/codetable/glossary.go
+++ b/internal/tools/codetable/glossary.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// word is a row of the glossary: a coined word with the forms that count as it.
+// word is a row of the glossary: a coined word and the forms under which its uses are counted.
 type word struct {
 	coined string
 	forms  []string
 }
 
-// parseGlossary reads the rows of the page's tables whose first cell is a word, or a word and its forms, in backquotes.
+// parseGlossary returns the table rows of the page whose first cell consists of a word, or a word and its forms, in backquotes.
 func parseGlossary(page string) (words []word) {
 	for line := range strings.Lines(page) {
 		cells := strings.Split(line, "|")
@@ -22,7 +22,7 @@
 	return words
 }
 
-// formsOf are the words in a cell; none where anything else stands in it.
+// formsOf returns the words in a cell, or none if the cell contains anything else.
 func formsOf(cell string) (forms []string) {
 	for form := range strings.SplitSeq(cell, ",") {
 		form = strings.TrimSpace(form)
@@ -35,10 +35,10 @@
 	return forms
 }
 
-// wordsOf splits an identifier at underscores and where its case changes: "newHTTPHop2" is new, http and hop.
+// wordsOf splits an identifier at characters other than letters and at changes of case: "newHTTPHop2" yields new, http and hop.
 func wordsOf(identifier string) (parts []string) {
 	start := 0
-	cut := func(end int) {
+	endPart := func(end int) {
 		if end > start {
 			parts = append(parts, strings.ToLower(identifier[start:end]))
 		}
@@ -47,7 +47,7 @@
 	for i := range len(identifier) {
 		c := identifier[i]
 		if !isLetter(c) {
-			cut(i)
+			endPart(i)
 			start = i + 1
 			continue
 		}
@@ -56,10 +56,10 @@
 		}
 		followedByLower := i+1 < len(identifier) && isLetter(identifier[i+1]) && !isUpper(identifier[i+1])
 		if !isUpper(identifier[i-1]) || followedByLower {
-			cut(i)
+			endPart(i)
 		}
 	}
-	cut(len(identifier))
+	endPart(len(identifier))
 	return parts
 }
 
--- a/internal/tools/codetable/main.go
+++ b/internal/tools/codetable/main.go
@@ -1,6 +1,6 @@
-// Command codetable prints how readable the module's code is in figures: packages on one level, long files and functions, exported
-// names without a doc comment, findings of the linter, and the words of docs/GLOSSARY.md that still stand. It uses nothing of the
-// module and nothing of the module uses it.
+// Command codetable prints readability figures of the module's code: packages on one level, long files and functions, exported
+// names without a doc comment, findings of the linter, and remaining uses of the words in docs/GLOSSARY.md. It imports no package
+// of the module, and no package imports it.
 //
 //	go run ./internal/tools/codetable [-list] [-lint] [-words] [DIRECTORY]
 package main
@@ -27,45 +27,45 @@
 }
 
 func main() {
-	var o options
-	flag.BoolVar(&o.list, "list", false, "name each long file, long function and undocumented name")
-	flag.BoolVar(&o.lint, "lint", false, "count staticcheck's findings as well, which takes longer")
-	flag.BoolVar(&o.words, "words", false, "print a row for each word of the glossary, and the packages that use it")
-	flag.StringVar(&o.glossary, "glossary", "docs/GLOSSARY.md", "the page whose table names the words")
+	var opts options
+	flag.BoolVar(&opts.list, "list", false, "print each long file, long function and undocumented name")
+	flag.BoolVar(&opts.lint, "lint", false, "count the findings of staticcheck too, which takes longer")
+	flag.BoolVar(&opts.words, "words", false, "print a row for each word of the glossary, with the packages that use it")
+	flag.StringVar(&opts.glossary, "glossary", "docs/GLOSSARY.md", "read the words from the tables of this page")
 	flag.Parse()
-	o.root = "."
+	opts.root = "."
 	if flag.NArg() > 0 {
-		o.root = flag.Arg(0)
+		opts.root = flag.Arg(0)
 	}
-	if err := run(os.Stdout, o); err != nil {
+	if err := run(os.Stdout, opts); err != nil {
 		fmt.Fprintln(os.Stderr, "codetable:", err)
 		os.Exit(1)
 	}
 }
 
-func run(out io.Writer, o options) error {
-	page, err := os.ReadFile(o.glossary)
+func run(out io.Writer, opts options) error {
+	page, err := os.ReadFile(opts.glossary)
 	if err != nil {
 		return err
 	}
 	words := parseGlossary(string(page))
 	c := newCount(words)
-	if err := c.readTree(o.root); err != nil {
+	if err := c.readTree(opts.root); err != nil {
 		return err
 	}
-	if o.words {
+	if opts.words {
 		return writeWords(out, c, words)
 	}
 	findings := "not run"
-	if o.lint {
-		if findings, err = lint(o.root); err != nil {
+	if opts.lint {
+		if findings, err = lint(opts.root); err != nil {
 			return err
 		}
 	}
-	if err := writeTable(out, c, findings); err != nil || !o.list {
+	if err := writeTable(out, c, findings); err != nil || !opts.list {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "\n%s\n", strings.Join(c.named(), "\n"))
+	_, err = fmt.Fprintf(out, "\n%s\n", strings.Join(c.details(), "\n"))
 	return err
 }
 
@@ -78,12 +78,12 @@
 	}{
 		{"lines of Go without tests", c.lines},
 		{"packages", len(c.packages)},
-		{"packages directly under internal/", c.oneLevel()},
-		{fmt.Sprintf("files over %d lines, without tests", longFile), len(c.longFiles)},
-		{fmt.Sprintf("functions over %d lines, without tests", longFunction), len(c.longFunctions)},
+		{"packages directly under internal/", c.topLevelPackages()},
+		{fmt.Sprintf("files over %d lines, without tests", maxFileLines), len(c.longFiles)},
+		{fmt.Sprintf("functions over %d lines, without tests", maxFunctionLines), len(c.longFunctions)},
 		{"exported names without a doc comment", len(c.undocumented)},
 		{"packages without a doc comment", len(c.undescribed())},
-		{fmt.Sprintf("rows of struct fields with %d names or more", crowdedRow), c.crowded},
+		{fmt.Sprintf("rows of struct fields with %d names or more", wideRowNames), c.wideRows},
 		{"findings of staticcheck", findings},
 		{"coined words in identifiers, without tests", code},
 		{"coined words in identifiers of tests", tests},
@@ -98,23 +98,23 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "word\tidentifiers\ttests\tpages\tpackages")
 	for _, word := range words {
-		n := c.words[word.coined]
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\n", word.coined, n.code, n.tests, n.pages, n.most())
+		uses := c.words[word.coined]
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\n", word.coined, uses.code, uses.tests, uses.pages, uses.topFolders())
 	}
 	return w.Flush()
 }
 
-// lint counts staticcheck's findings in the module at root.
+// lint returns the number of staticcheck findings in the module at root.
 func lint(root string) (string, error) {
 	command := exec.Command("go", "tool", "staticcheck", "-checks", "all", "./...")
 	command.Dir = root
 	found, err := command.Output()
-	var ended *exec.ExitError
-	if err != nil && !errors.As(err, &ended) {
+	var exit *exec.ExitError
+	if err != nil && !errors.As(err, &exit) {
 		return "", err
 	}
 	if err != nil && len(found) == 0 {
-		return "", fmt.Errorf("staticcheck in %s: %w: %s", filepath.Clean(root), err, ended.Stderr)
+		return "", fmt.Errorf("run staticcheck in %s: %w: %s", filepath.Clean(root), err, exit.Stderr)
 	}
 	return fmt.Sprint(strings.Count(string(found), "\n")), nil
 }
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -1,4 +1,4 @@
-// Package knownred holds the tests of .ci/tests, which runs the module's tests and lets those that KNOWN-RED.txt names fail.
+// Package knownred tests the script .ci/tests, which runs the module's tests and tolerates failures of those in KNOWN-RED.txt.
 package knownred
 
 import (
@@ -10,8 +10,9 @@
 	"testing"
 )
 
-// The module that the script is tried on: in a two tests fail, in b a test of the same name fails where the environment says so.
-var module = map[string]string{
+// scratchModule holds the files of the module for which the tests run the script. Two tests of package a fail. A test of the same
+// name in package b fails if SCRATCH_B_FAILS is set.
+var scratchModule = map[string]string{
 	"go.mod": "module scratch\n\ngo 1.26\n",
 	"a/a_test.go": `package a
 
@@ -48,6 +49,7 @@
 	malformed = "not 'package Test | command | seed N | what was seen | issue N'"
 )
 
+// TestOnlyListedTestsMayFail checks the result and the output of the script for valid and malformed lists of known failures.
 func TestOnlyListedTestsMayFail(t *testing.T) {
 	script, err := filepath.Abs("../../../.ci/tests")
 	if err != nil {
@@ -55,38 +57,38 @@
 	}
 	for _, c := range []struct {
 		name   string
-		list   string // KNOWN-RED.txt; empty: there is none
-		with   string // a package that is there beside a and b
+		list   string // content of KNOWN-RED.txt; empty for no file
+		with   string // additional file of scratchModule, besides those of a and b
 		env    string
 		passes bool
-		says   []string
-		last   string // how the last line of standard output begins
+		wanted []string // parts of the output
+		last   string   // prefix of the last line of standard output
 	}{
 		{name: "no file", last: "FAIL"},
-		{name: "all that fail are listed", list: bad + part, passes: true, last: "ok",
-			says: []string{"known red: ./a TestBad fails", "known red: |     a_test.go:6: a fault", "known red: ./a TestPart/bad fails"}},
-		{name: "one that fails is not listed", list: bad, last: "FAIL", says: []string{"a fault of a part"}},
-		{name: "a listed one passes", list: bad + part + good, passes: true, last: "ok",
-			says: []string{"known red: ./a TestGood passes: take it out of KNOWN-RED.txt"}},
-		{name: "the same name in another package fails", list: bad + part, env: "SCRATCH_B_FAILS=1", last: "FAIL",
-			says: []string{"a fault of b"}},
-		{name: "four lines", list: bad + part + good + bad, says: []string{"KNOWN-RED.txt: 4 lines, 3 at most"}},
-		{name: "no issue", list: "a TestBad | go test ./a | seed none | a fault\n", says: []string{malformed}},
-		{name: "issue without a number", list: "a TestBad | go test ./a | seed none | a fault | issue\n", says: []string{malformed}},
-		{name: "nothing seen", list: "a TestBad | go test ./a | seed none |  | issue 1\n", says: []string{malformed}},
-		{name: "no command", list: "a TestBad |  | seed none | a fault | issue 1\n", says: []string{malformed}},
-		{name: "no seed", list: "a TestBad | go test ./a | a fault | issue 1\n", says: []string{malformed}},
-		{name: "the form before", list: "a TestBad: a fault (issue 1)\n", says: []string{malformed}},
-		{name: "a pattern", list: "a Test.* | go test ./a | seed none | everything | issue 1\n", says: []string{malformed}},
-		{name: "no such test", list: "a TestNone | go test ./a | seed none | gone | issue 1\n", says: []string{"./a has no test TestNone that runs"}},
-		{name: "no such subtest", list: "a TestPart/none | go test ./a | seed none | gone | issue 1\n", says: []string{"./a has no test TestPart/none that runs"}},
+		{name: "all failing tests listed", list: bad + part, passes: true, last: "ok",
+			wanted: []string{"known red: ./a TestBad fails", "known red: |     a_test.go:6: a fault", "known red: ./a TestPart/bad fails"}},
+		{name: "a failing test not listed", list: bad, last: "FAIL", wanted: []string{"a fault of a part"}},
+		{name: "a listed test passes", list: bad + part + good, passes: true, last: "ok",
+			wanted: []string{"known red: ./a TestGood passes: take it out of KNOWN-RED.txt"}},
+		{name: "a test of the same name in another package fails", list: bad + part, env: "SCRATCH_B_FAILS=1", last: "FAIL",
+			wanted: []string{"a fault of b"}},
+		{name: "four lines", list: bad + part + good + bad, wanted: []string{"KNOWN-RED.txt: 4 lines, 3 at most"}},
+		{name: "no issue", list: "a TestBad | go test ./a | seed none | a fault\n", wanted: []string{malformed}},
+		{name: "issue without a number", list: "a TestBad | go test ./a | seed none | a fault | issue\n", wanted: []string{malformed}},
+		{name: "no observation", list: "a TestBad | go test ./a | seed none |  | issue 1\n", wanted: []string{malformed}},
+		{name: "no command", list: "a TestBad |  | seed none | a fault | issue 1\n", wanted: []string{malformed}},
+		{name: "no seed", list: "a TestBad | go test ./a | a fault | issue 1\n", wanted: []string{malformed}},
+		{name: "previous format", list: "a TestBad: a fault (issue 1)\n", wanted: []string{malformed}},
+		{name: "a pattern", list: "a Test.* | go test ./a | seed none | everything | issue 1\n", wanted: []string{malformed}},
+		{name: "no such test", list: "a TestNone | go test ./a | seed none | gone | issue 1\n", wanted: []string{"./a has no test TestNone that runs"}},
+		{name: "no such subtest", list: "a TestPart/none | go test ./a | seed none | gone | issue 1\n", wanted: []string{"./a has no test TestPart/none that runs"}},
 		{name: "a package that does not build", list: "c TestBroken | go test ./c | seed none | does not build | issue 1\n", with: "c/c_test.go",
-			says: []string{"./c TestBroken did not run"}},
+			wanted: []string{"./c TestBroken did not run"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
-			for name, text := range module {
+			for name, text := range scratchModule {
 				if !strings.HasPrefix(name, "c/") || name == c.with {
 					write(t, filepath.Join(dir, name), text)
 				}
@@ -94,26 +96,26 @@
 			if c.list != "" {
 				write(t, filepath.Join(dir, "KNOWN-RED.txt"), c.list)
 			}
-			run := exec.Command(script)
-			run.Dir = dir
-			run.Env = append(os.Environ(), "GOWORK=off", "GOFLAGS=", c.env)
-			var errors strings.Builder
-			run.Stderr = &errors
-			out, err := run.Output()
-			if passed := exit(t, err) == 0; passed != c.passes {
-				t.Errorf("ended with %v, expected to pass: %t", err, c.passes)
+			command := exec.Command(script)
+			command.Dir = dir
+			command.Env = append(os.Environ(), "GOWORK=off", "GOFLAGS=", c.env)
+			var stderr strings.Builder
+			command.Stderr = &stderr
+			out, err := command.Output()
+			if passed := exitStatus(t, err) == 0; passed != c.passes {
+				t.Errorf("script returned %v, want success: %t", err, c.passes)
 			}
-			for _, says := range c.says {
-				if !strings.Contains(string(out)+errors.String(), says) {
-					t.Errorf("does not say %q", says)
+			for _, wanted := range c.wanted {
+				if !strings.Contains(string(out)+stderr.String(), wanted) {
+					t.Errorf("output lacks %q", wanted)
 				}
 			}
 			lines := strings.Split(strings.TrimSpace(string(out)), "\n")
 			if last := lines[len(lines)-1]; !strings.HasPrefix(last, c.last) {
-				t.Errorf("last line is %q, not %s", last, c.last)
+				t.Errorf("got last line %q, want prefix %s", last, c.last)
 			}
 			if t.Failed() {
-				t.Logf("%s%s", out, errors.String())
+				t.Logf("%s%s", out, stderr.String())
 			}
 		})
 	}
@@ -129,12 +131,12 @@
 	}
 }
 
-// exit is the status that a command ended with.
-func exit(t *testing.T, err error) int {
+// exitStatus returns the exit status of a command.
+func exitStatus(t *testing.T, err error) int {
 	t.Helper()
-	var ended *exec.ExitError
-	if errors.As(err, &ended) {
-		return ended.ExitCode()
+	var exit *exec.ExitError
+	if errors.As(err, &exit) {
+		return exit.ExitCode()
 	}
 	if err != nil {
 		t.Fatal(err)
