--- a/cmd/fernvane/distribution_test.go
+++ b/cmd/fernvane/distribution_test.go
@@ -17,7 +17,7 @@
 	"fernvane/internal/testbed/standin/address"
 )
 
-const processTimeout = 30 * time.Second // for a process to start or a change to arrive
+const processTimeout = 30 * time.Second // limit for the start of a process and for the arrival of a change
 
 // process is a child process that runs the program under test.
 type process struct {
@@ -143,7 +143,7 @@
 
 // postStatus sends a node a request with a body of size bytes and returns the status of the response. It repeats a request
 // that the node rejects with 503 for lack of capacity, because that says nothing about the limit of the body. A node that has
-// just started rejects requests because it must treat its servers as cold.
+// just started may reject requests, because it must treat its servers as cold.
 func (c *testCluster) postStatus(node, size int) int {
 	c.t.Helper()
 	for deadline := time.Now().Add(processTimeout); ; {
