--- a/internal/controlplane/distribution/budget.go
+++ b/internal/controlplane/distribution/budget.go
@@ -12,13 +12,13 @@
 	defaultControlBytes = 4 << 20
 )
 
-// How much of a budget may be saved up.
+// Capacities of token buckets, as the time in which the budget refills them.
 const (
-	totalBurst      = 250 * time.Millisecond // of the whole budget
-	subscriberBurst = 1 * time.Second        // of a subscriber's
+	totalBurst      = 250 * time.Millisecond // of the total budget
+	subscriberBurst = 1 * time.Second        // of a subscriber's budget
 )
 
-// Budget is what a control process may send, in bytes per second. A field that is zero takes its default.
+// Budget limits the bytes per second that a control process sends. A field that is zero takes its default.
 type Budget struct {
 	TotalBytesPerSecond   int
 	NodeBytesPerSecond    int // to one node
@@ -32,7 +32,7 @@
 	return b
 }
 
-// forRole returns the bytes per second to one subscriber of a role.
+// forRole returns the limit in bytes per second for one subscriber of a role.
 func (b Budget) forRole(r Role) int {
 	if r == RoleControl || r == RoleReader {
 		return b.ControlBytesPerSecond
@@ -40,7 +40,7 @@
 	return b.NodeBytesPerSecond
 }
 
-// tokenBucket holds a budget that time refills. It may be overdrawn by one batch.
+// tokenBucket is a token bucket that may be overdrawn by one batch.
 type tokenBucket struct {
 	rate       float64 // bytes per second
 	capacity   float64 // bytes
@@ -61,7 +61,7 @@
 	}
 }
 
-// wait returns how long it takes until the bucket holds more than minTokens.
+// wait returns the time until the bucket contains more than minTokens.
 func (b *tokenBucket) wait(now time.Duration, minTokens float64) time.Duration {
 	b.refill(now)
 	if b.tokens > minTokens {
--- a/internal/controlplane/distribution/digest.go
+++ b/internal/controlplane/distribution/digest.go
@@ -1,8 +1,8 @@
 package distribution
 
-// The digest of a service is the sum of the hashes of its live entries: the same in any order, and kept up as entries come and
-// go. Deletions are not in it, since holders prune them at different moments; a holder that lacks a deletion has the live entry
-// in its digest.
+// The digest of a service is the sum of the hashes of its live entries, so it is independent of their order and is updated
+// incrementally. Deletions are excluded, because stores prune them at different times; a store that lacks a deletion still
+// includes the live entry in its digest.
 
 // Parameters of FNV-1a, 64 bits.
 const (
@@ -12,8 +12,8 @@
 
 // ServiceDigest returns the digest of a service; 0 if it has no entries.
 func (s *Store) ServiceDigest(service string) uint64 {
-	if of := s.services[service]; of != nil {
-		return of.digest
+	if svc := s.services[service]; svc != nil {
+		return svc.digest
 	}
 	return 0
 }
@@ -21,17 +21,17 @@
 // TotalDigest returns the sum of all services' digests.
 func (s *Store) TotalDigest() uint64 { return s.digest }
 
-// removeDigest takes an item out of the digests.
-func (s *Store) removeDigest(of *service, name string, id itemID, it item) {
+// removeDigest subtracts an item's hash from the digests.
+func (s *Store) removeDigest(svc *service, name string, id itemID, it item) {
 	if it.deleted {
 		return
 	}
 	h := hashEntry(name, id, s.origins.names[it.origin], it.clock, it.sequence)
-	of.digest -= h
+	svc.digest -= h
 	s.digest -= h
 }
 
-// hashEntry is FNV-1a over key and version, mixed so that sums of similar entries don't collide.
+// hashEntry returns the FNV-1a hash of key and version, with its bits mixed so that sums of similar entries don't collide.
 func hashEntry(serviceName string, id itemID, origin Origin, clock, sequence uint64) uint64 {
 	h := uint64(fnvOffset)
 	h = hashText(h, serviceName)
@@ -43,7 +43,7 @@
 	return mixBits(h)
 }
 
-// hashText adds a text and a terminator, which is no byte of UTF-8.
+// hashText hashes a text and a terminator, a byte that does not occur in UTF-8.
 func hashText(h uint64, text string) uint64 {
 	for i := range len(text) {
 		h = (h ^ uint64(text[i])) * fnvPrime
@@ -51,7 +51,7 @@
 	return (h ^ 0xff) * fnvPrime
 }
 
-// hashNumber adds the bytes of a number, the lowest first.
+// hashNumber hashes the bytes of a number in little-endian order.
 func hashNumber(h, n uint64) uint64 {
 	for range 8 {
 		h = (h ^ n&0xff) * fnvPrime
@@ -60,7 +60,7 @@
 	return h
 }
 
-// mixBits is the finalizer of splitmix64.
+// mixBits applies the finalizer of splitmix64.
 func mixBits(h uint64) uint64 {
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>27) * 0x94d049bb133111eb
--- a/internal/controlplane/distribution/errors.go
+++ b/internal/controlplane/distribution/errors.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Why an entry or a write is rejected.
+// Reasons for the rejection of an entry or a write.
 var (
-	ErrInvalidKey    = errors.New("key not allowed")
-	ErrInvalidValue  = errors.New("value not allowed")
-	ErrInvalidOrigin = errors.New("origin not allowed")
-	ErrChangeCount   = errors.New("too many or no changes in one write")
+	ErrInvalidKey    = errors.New("invalid key")
+	ErrInvalidValue  = errors.New("invalid value")
+	ErrInvalidOrigin = errors.New("invalid origin")
+	ErrChangeCount   = errors.New("invalid number of changes in one write")
 	ErrStoreFull     = errors.New("store is full")
-	ErrClockAhead    = errors.New("clock is too far ahead")
-	ErrStaleOrigin   = errors.New("others may hold more of this origin than this disk")
+	ErrClockAhead    = errors.New("clock too far ahead")
+	ErrStaleOrigin   = errors.New("stale origin: other stores may have writes of it that this store lacks")
 )
 
-// EntryError says why an entry is rejected; it wraps ErrInvalidKey, ErrInvalidValue or ErrInvalidOrigin.
+// EntryError reports why an entry is rejected. It wraps ErrInvalidKey, ErrInvalidValue or ErrInvalidOrigin.
 type EntryError struct {
 	Key    Key
 	Reason error
@@ -26,10 +26,10 @@
 
 func (e *EntryError) Error() string { return fmt.Sprintf("%.120s: %v: %s", e.Key, e.Reason, e.Detail) }
 
-// Unwrap returns the reason.
+// Unwrap returns Reason.
 func (e *EntryError) Unwrap() error { return e.Reason }
 
-// LimitError says which limit of a store would be exceeded; it wraps ErrStoreFull.
+// LimitError reports which limit of a store would be exceeded. It wraps ErrStoreFull.
 type LimitError struct {
 	Resource string
 	Needed   int
@@ -37,17 +37,17 @@
 }
 
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("%v: %d of at most %d %s", ErrStoreFull, e.Needed, e.Max, e.Resource)
+	return fmt.Sprintf("%v: needs %d, limit %d %s", ErrStoreFull, e.Needed, e.Max, e.Resource)
 }
 
 // Unwrap returns ErrStoreFull.
 func (e *LimitError) Unwrap() error { return ErrStoreFull }
 
-// ClockError says by how much the newest clock held is ahead of the wall clock; it wraps ErrClockAhead.
+// ClockError reports by how much the store's newest clock is ahead of the wall clock. It wraps ErrClockAhead.
 type ClockError struct{ Ahead time.Duration }
 
 func (e *ClockError) Error() string {
-	return fmt.Sprintf("%v: the newest change held is %v ahead of this machine's clock", ErrClockAhead, e.Ahead.Round(time.Millisecond))
+	return fmt.Sprintf("%v: newest entry in the store is %v ahead of this machine's clock", ErrClockAhead, e.Ahead.Round(time.Millisecond))
 }
 
 // Unwrap returns ErrClockAhead.
--- a/internal/controlplane/distribution/failback.go
+++ b/internal/controlplane/distribution/failback.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// maxFailbackDoublings is how often the delay of a failback doubles at most.
 const maxFailbackDoublings = 4
 
-// failback is the return to a preferred upstream, one earlier in the order than the current one. The earlier ones are probed one
-// by one, and a good upstream is left only for one that has just answered: a control process that was away gets its
-// subscribers back, spread over time, and one that is down costs them nothing. Without it a rolling restart of control
-// processes would leave all subscribers at the last ones.
+// failback is the state of the failback to a preferred upstream, one that precedes the current one in the order. The preceding
+// upstreams are probed in turn, and a working connection is closed only after another upstream has responded to a probe. A
+// control process that has restarted therefore regains its subscribers, spread over time, and an unavailable one does not
+// disturb them. Without failback, a rolling restart of control processes would leave all subscribers at the last ones of their
+// orders.
 type failback struct {
-	probeAt       time.Duration // when the next probe is due
+	probeAt       time.Duration // time at which the next probe is due
 	isProbing     bool
-	nextProbe     int // index of the upstream to be probed next
-	answered      int // index of the upstream that has answered a probe
-	hasAnswer     bool
-	unstableCount int  // failbacks in a row that did not last, the one under way included
+	nextProbe     int // index of the next upstream to probe
+	candidate     int // index of the upstream that responded to a probe
+	hasCandidate  bool
+	unstableCount int  // consecutive failbacks that did not last, including the current one
 	isUnderWay    bool // the current connection or attempt is a failback
 }
 
-// scheduleProbe begins the wait for a probe, when an upstream has connected.
+// scheduleProbe schedules the first probe after an upstream has connected.
 func (s *Subscriber) scheduleProbe(now time.Duration) {
-	s.failback.hasAnswer = false
+	s.failback.hasCandidate = false
 	s.failback.nextProbe = 0
 	s.failback.probeAt = now + s.probeDelay()
 }
 
-// probeDelay is spread by half to both sides, so that subscribers that moved together don't return together.
+// probeDelay returns the delay of the next probe with a jitter of 50 % in both directions, so that subscribers that failed over
+// simultaneously don't fail back simultaneously.
 func (s *Subscriber) probeDelay() time.Duration {
 	delay := s.options.FailbackDelay << min(s.failback.unstableCount, maxFailbackDoublings)
 	return delay/2 + time.Duration(s.draw()*float64(delay))
 }
 
-// startProbe returns the upstream to be probed now, if one is due.
+// startProbe returns the upstream to probe now, if a probe is due.
 func (s *Subscriber) startProbe(now time.Duration) (upstream int, isDue bool) {
 	f := &s.failback
 	if s.options.FailbackDelay <= 0 || f.isProbing || s.state != StateCurrent || s.upstream == 0 || now < f.probeAt {
@@ -42,34 +43,34 @@
 	return f.nextProbe % s.upstream, true
 }
 
-// ProbeEnded says whether the upstream of a probe has answered.
-func (s *Subscriber) ProbeEnded(now time.Duration, upstream int, hasAnswered bool) {
+// ProbeEnded records whether the upstream responded to a probe.
+func (s *Subscriber) ProbeEnded(now time.Duration, upstream int, hasResponded bool) {
 	f := &s.failback
 	f.isProbing = false
-	if hasAnswered && s.link.isConnected && upstream < s.upstream {
-		f.hasAnswer, f.answered = true, upstream
+	if hasResponded && s.link.isConnected && upstream < s.upstream {
+		f.hasCandidate, f.candidate = true, upstream
 		return
 	}
 	f.nextProbe = upstream + 1
 	f.probeAt = now + s.probeDelay()
 }
 
-// startFailback ends the current connection in favor of a preferred upstream that has answered, and reports whether it did.
+// startFailback ends the current connection if a preferred upstream has responded to a probe, and reports whether it did.
 func (s *Subscriber) startFailback(now time.Duration) bool {
 	f := &s.failback
-	if !f.hasAnswer || !s.link.isConnected {
+	if !f.hasCandidate || !s.link.isConnected {
 		return false
 	}
-	f.hasAnswer = false
+	f.hasCandidate = false
 	s.UpstreamLost(now)
-	s.upstream = f.answered
+	s.upstream = f.candidate
 	s.backoff = backoff{retryAt: now}
 	f.isUnderWay = true
 	f.unstableCount++
 	return true
 }
 
-// endFailback takes in the end of the current connection or attempt: a failback that lasted makes up for those that did not.
+// endFailback processes the end of the current connection or attempt. A failback that lasted resets the count of unstable ones.
 func (s *Subscriber) endFailback(now time.Duration) {
 	if s.link.isConnected && s.failback.isUnderWay && now-s.link.startedAt >= s.options.FailbackDelay {
 		s.failback.unstableCount = 0
--- a/internal/controlplane/distribution/lanes.go
+++ b/internal/controlplane/distribution/lanes.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// What a publisher sends is scheduled in two lanes: fresh changes and catch-ups. While both wait, fresh changes take freshShare
-// bytes for each byte of catch-ups; one lane alone takes all. Within a lane subscribers take turns of equal bytes, by deficit
-// round robin. A subscriber's catch-up keeps to its own budget, and goes out in pieces of half a second of it; a fresh change
-// may overdraw the subscriber's budget by a second, so that a catch-up under way does not delay it.
+// A publisher schedules batches in two lanes: fresh changes and catch-ups. While both lanes have work, fresh changes receive
+// freshShare bytes for each byte of catch-ups; a lane without competition uses the whole budget. Within a lane, deficit round
+// robin gives subscribers equal shares. The catch-up of a subscriber stays within the subscriber's own budget, and is sent in
+// batches of at most half a second of it. Fresh changes may overdraw the subscriber's budget by one second, so that
+// a catch-up in progress does not delay them.
 const (
 	freshShare   = 3
-	turnBytes    = 4 << 10 // of a subscriber's turn
+	turnBytes    = 4 << 10 // quantum of the deficit round robin
 	maxOverdraft = 1 * time.Second
 )
 
@@ -24,11 +25,11 @@
 	laneCount
 )
 
-// lane is the queue of subscribers for which something waits, and whose own budgets allow it to be sent.
+// lane is the queue of subscribers with pending changes whose own budgets permit sending.
 type lane struct {
-	queue []*subscription
-	head  int
-	taken int // bytes while the other lane waited too
+	queue     []*subscription
+	head      int
+	sentBytes int // bytes sent while the other lane was not empty
 }
 
 func (l *lane) push(s *subscription) { l.queue = append(l.queue, s) }
@@ -46,11 +47,11 @@
 
 func (l *lane) isEmpty() bool { return l.head == len(l.queue) }
 
-// turn is a subscriber's place in one lane.
+// turn is a subscriber's scheduling state in one lane.
 type turn struct {
 	isQueued   bool
-	isSleeping bool // until the subscriber's budget has filled
-	deficit    int  // bytes that it may still send in this turn; negative after a larger batch
+	isSleeping bool // waits until the subscriber's budget has refilled
+	deficit    int  // remaining bytes of the turn; negative after a larger batch
 }
 
 // sleeper is a subscription that waits for its own budget.
@@ -60,7 +61,7 @@
 	wakeAt       time.Duration
 }
 
-// sleepers is a heap by wakeAt.
+// sleepers is a min-heap ordered by wakeAt.
 type sleepers []sleeper
 
 func (h sleepers) Len() int           { return len(h) }
@@ -73,15 +74,15 @@
 	return last
 }
 
-// hasWaiting reports whether something waits for a subscriber in a lane.
-func (s *subscription) hasWaiting(lane laneIndex) bool {
+// hasWaiting reports whether a subscriber has pending work in a lane.
+func (s *subscription) hasPending(lane laneIndex) bool {
 	if lane == freshLane {
 		return len(s.fresh.keys) > 0
 	}
-	return s.catchUp.isOwed && (len(s.catchUp.keys) > 0 || len(s.catchUp.services) > 0 || len(s.fresh.keys) == 0)
+	return s.catchUp.needsComplete && (len(s.catchUp.keys) > 0 || len(s.catchUp.services) > 0 || len(s.fresh.keys) == 0)
 }
 
-// minTokens is what a subscriber's bucket must hold more than for a lane.
+// minTokens returns the number of tokens that the subscriber's bucket must exceed before a lane may send.
 func (s *subscription) minTokens(lane laneIndex) float64 {
 	if lane == freshLane {
 		return -s.bucket.rate * maxOverdraft.Seconds()
@@ -89,11 +90,11 @@
 	return 0
 }
 
-// enqueue puts a subscription into those lanes in which something waits for it, or lets it sleep until its budget allows that.
+// enqueue adds a subscription to the lanes in which it has pending work, or suspends it until its budget permits sending.
 func (p *Publisher) enqueue(now time.Duration, s *subscription) {
 	for lane := range laneCount {
 		turn := &s.turns[lane]
-		if turn.isQueued || turn.isSleeping || !s.hasWaiting(lane) || s.inFlight.bytes >= maxUnacknowledgedBytes {
+		if turn.isQueued || turn.isSleeping || !s.hasPending(lane) || s.inFlight.bytes >= maxUnacknowledgedBytes {
 			continue
 		}
 		if wait := s.bucket.wait(now, s.minTokens(lane)); wait > 0 {
@@ -106,7 +107,7 @@
 	}
 }
 
-// wakeSleepers enqueues the subscriptions whose own budgets have filled.
+// wakeSleepers enqueues the subscriptions whose own budgets have refilled.
 func (p *Publisher) wakeSleepers(now time.Duration) {
 	for len(p.asleep) > 0 && p.asleep[0].wakeAt <= now {
 		due := heap.Pop(&p.asleep).(sleeper)
@@ -117,7 +118,7 @@
 	}
 }
 
-// nextWake returns how long it takes until a sleeper wakes; WaitForever for none.
+// nextWake returns the time until the next sleeper wakes, or WaitForever if there is none.
 func (p *Publisher) nextWake(now time.Duration) time.Duration {
 	if len(p.asleep) == 0 {
 		return WaitForever
@@ -125,19 +126,19 @@
 	return p.asleep[0].wakeAt - now
 }
 
-// selectLane returns the lane whose turn it is, by the bytes taken while both waited.
+// selectLane returns the lane to serve next, by the bytes that each has sent while both were not empty.
 func (p *Publisher) selectLane() (lane laneIndex, ok bool) {
 	fresh, catchUp := &p.lanes[freshLane], &p.lanes[catchUpLane]
 	switch {
 	case fresh.isEmpty() && catchUp.isEmpty():
 		return 0, false
 	case catchUp.isEmpty():
-		fresh.taken, catchUp.taken = 0, 0
+		fresh.sentBytes, catchUp.sentBytes = 0, 0
 		return freshLane, true
 	case fresh.isEmpty():
-		fresh.taken, catchUp.taken = 0, 0
+		fresh.sentBytes, catchUp.sentBytes = 0, 0
 		return catchUpLane, true
-	case fresh.taken <= freshShare*catchUp.taken:
+	case fresh.sentBytes <= freshShare*catchUp.sentBytes:
 		return freshLane, true
 	}
 	return catchUpLane, true
--- a/internal/controlplane/distribution/limits.go
+++ b/internal/controlplane/distribution/limits.go
@@ -12,14 +12,14 @@
 	defaultMaxClockAhead = 10 * time.Second
 )
 
-// entryOverheadBytes is what an entry takes in memory beside its name and value, by BenchmarkStoreMemory.
+// entryOverheadBytes is the memory of an entry without its name and value; see BenchmarkStoreMemory.
 const entryOverheadBytes = 128
 
 // Limits bound a store. A field that is zero takes its default.
 type Limits struct {
 	MaxBytes      int
 	MaxEntries    int
-	MaxClockAhead time.Duration // of the newest clock held before the wall clock, beyond which writes are rejected
+	MaxClockAhead time.Duration // lead of the store's newest clock over the wall clock, beyond which writes are rejected
 }
 
 func (l Limits) withDefaults() Limits {
@@ -29,7 +29,7 @@
 	return l
 }
 
-// checkCapacity returns a *LimitError if the store cannot grow by that much.
+// checkCapacity returns a *LimitError if growth by entries, bytes and services would exceed a limit.
 func (s *Store) checkCapacity(entries, bytes, services int) error {
 	if services > 0 && len(s.services)+services > MaxServices {
 		return &LimitError{"services", len(s.services) + services, MaxServices}
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// growth returns by how many entries and bytes the store grows if a key takes a value of valueBytes.
+// growth returns the entries and bytes by which the store grows if a key is set to a value of valueBytes.
 func (s *Store) growth(k Key, valueBytes int) (entries, bytes int) {
 	if held, ok := s.item(k); ok {
 		return 0, valueBytes - len(held.value)
--- a/internal/controlplane/distribution/merge.go
+++ b/internal/controlplane/distribution/merge.go
@@ -1,14 +1,14 @@
 package distribution
 
-// Merge takes in entries of other holders. It returns those that won and those that were rejected: for their size, their key
-// (unknown kind, no name, not UTF-8), their origin, or because the store is full. An entry that the vector covers
-// and whose key is not held was deleted and pruned: it does not come back.
+// Merge merges entries of other stores. It returns the entries that won and those that were rejected: because of their size,
+// their key (unknown kind, no name, not UTF-8) or their origin, or because the store is full. If the vector covers an entry
+// whose key is not stored, the key was deleted and the deletion pruned: the entry is discarded.
 func (s *Store) Merge(entries []Entry) (changed []Entry, rejected []Rejection) {
 	return s.merge(entries, nil)
 }
 
-// merge also accepts covered entries that are not held, in services that are being repaired from a sender that covers all that
-// this store covers.
+// merge is Merge, but in repaired services it also accepts covered entries whose keys are not stored: there the sender covers
+// all that this store covers.
 func (s *Store) merge(entries []Entry, repaired map[string]bool) (changed []Entry, rejected []Rejection) {
 	for _, e := range entries {
 		if !s.IsInScope(e.Key.Service) {
@@ -46,7 +46,7 @@
 	return s.checkCapacity(entries, bytes, newServices)
 }
 
-// covers reports whether an entry is covered, by what holds for its service.
+// covers reports whether the store covers an entry, by the vector that applies to its service.
 func (s *Store) covers(e Entry) bool {
 	if v, isUnsynced := s.unsynced[e.Key.Service]; isUnsynced {
 		return v.Covers(e)
@@ -54,15 +54,15 @@
 	return s.vector.Covers(e)
 }
 
-// ReplaceServices ends the full sync of services: what is held of them, was not received and is covered by the sender is
-// removed and returned.
+// ReplaceServices ends the full sync of services: it removes and returns their entries that were not received and that the
+// sender covers.
 func (s *Store) ReplaceServices(services []string, received map[Key]bool, through Vector) (removed []Entry) {
 	for _, name := range services {
-		of := s.services[name]
-		if of == nil {
+		svc := s.services[name]
+		if svc == nil {
 			continue
 		}
-		for id, it := range of.items {
+		for id, it := range svc.items {
 			e := s.entry(name, id, it)
 			if !received[e.Key] && through.Covers(e) {
 				removed = append(removed, e)
@@ -73,11 +73,11 @@
 	return removed
 }
 
-// AdvanceVector raises the vector by what a sender has completed.
+// AdvanceVector joins the vector of a complete batch or of digests into the store's vector.
 func (s *Store) AdvanceVector(v Vector) {
 	s.ObserveVector(v)
 	s.vector.Join(v)
 }
 
-// IsBehind reports whether another holder covers something that this store does not.
+// IsBehind reports whether the vector of another store covers a write that this store does not cover.
 func (s *Store) IsBehind(v Vector) bool { return !s.vector.CoversAll(v) }
--- a/internal/controlplane/distribution/messages.go
+++ b/internal/controlplane/distribution/messages.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Role of a subscriber.
+// Role is the kind of process that a subscriber is.
 type Role uint8
 
-// The roles, as they stand on the wire.
+// The roles. Their numbers are sent on the wire.
 const (
 	RoleNode Role = 1 + iota
 	RoleControl
-	RoleReader // a command that reads what is held, and is in no status
+	RoleReader // a command that reads entries; excluded from status reports
 )
 
 // String returns the role's name.
@@ -25,7 +25,7 @@
 	return "unknown"
 }
 
-// Subscription is what a subscriber asks for.
+// Subscription is a subscriber's request for the entries of services.
 type Subscription struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -35,24 +35,24 @@
 	Zone             string
 	Services         []string
 	AllServices      bool
-	Vector           Vector   // what the subscriber covers of these services
-	UnsyncedServices []string // that the vector does not cover: they get a full sync
+	Vector           Vector   // the subscriber's coverage of these services
+	UnsyncedServices []string // services that the vector does not apply to: they receive a full sync
 }
 
-// Batch is what a subscriber is sent. The batches of a subscription are numbered from 1.
+// Batch is one message of entries to a subscriber. The batches of a subscription are numbered from 1.
 type Batch struct {
 	_ struct{} `cbor:",toarray"`
 
 	Number        uint64
 	Entries       []Entry
-	ResetServices []string // in full sync from this batch until the next complete one
+	ResetServices []string // services in full sync from this batch until the next complete one
 	ResetsAll     bool     // all subscribed services are in full sync
-	IsComplete    bool     // everything up to Through was sent, by this batch or earlier ones
-	Through       Vector   // if complete: the origins that advanced since the last one; all of them at first and after a reset
-	Pruned        Vector   // if complete: deletions up to which the sender may have forgotten, as far as new
+	IsComplete    bool     // this batch and the earlier ones contain everything up to Through
+	Through       Vector   // if complete: origins that advanced since the last complete batch; all in the first and after a reset
+	Pruned        Vector   // if complete: new part of the vector up to which the sender may have pruned deletions
 }
 
-// Rejection is an entry that a subscriber could not apply or hold.
+// Rejection reports an entry that a subscriber could not apply or store.
 type Rejection struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -61,25 +61,26 @@
 	IsStoreFull bool
 }
 
-// Acknowledgement says up to which batch a subscriber has applied what it was sent.
+// Acknowledgement reports the last batch that a subscriber has applied.
 type Acknowledgement struct {
 	_ struct{} `cbor:",toarray"`
 
 	BatchNumber uint64
-	Applied     Vector // may be left out where it has not grown
+	Applied     Vector // may be omitted if it has not advanced
 	Rejected    []Rejection
 }
 
-// Digests let a subscriber see whether it holds what its server holds. It compares them if it covers no more than the server.
+// Digests let a subscriber verify that its entries equal those of its server. The subscriber compares them only if the server
+// covers all that the subscriber covers.
 type Digests struct {
 	_ struct{} `cbor:",toarray"`
 
-	Total    uint64            // of all services, for subscribers of all
-	Services map[string]uint64 // for other subscribers
-	Through  Vector            // the origins that advanced since the last complete batch or digests
+	Total    uint64            // digest of all services, for subscribers to all services
+	Services map[string]uint64 // digest of each service, for other subscribers
+	Through  Vector            // origins that advanced since the last complete batch or digests
 }
 
-// NodeStatus is what a publisher knows of one subscriber.
+// NodeStatus is the replication status of one subscriber.
 type NodeStatus struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -87,25 +88,25 @@
 	Role                Role
 	Region              string
 	Zone                string
-	Via                 string // control process that it is subscribed to
-	Revision            uint64 // total of the vector that it has applied
-	AcknowledgedClock   uint64 // newest clock of what it has acknowledged
+	Via                 string // control process that serves the subscription
+	Revision            uint64 // Vector.Total of the applied vector
+	AcknowledgedClock   uint64 // newest clock of all acknowledged entries
 	Lag                 time.Duration
 	PendingKeys         int
 	UnacknowledgedBytes int
 	HasAcknowledged     bool
 	IsCatchingUp        bool
 	IsConnected         bool
-	DisconnectedMs      int64 // Unix time in ms when its connection ended; 0 while it is connected, or if nobody saw it end
+	DisconnectedMs      int64 // Unix time in ms when the connection ended; 0 while connected, or if the end was not observed
 	Rejected            []Rejection
 }
 
-// Approximate sizes on the wire, by which budgets count.
+// Approximate encoded sizes in bytes, which are charged to budgets.
 const (
-	entryWireBytes       = 40 // of an entry in a batch, beside its name and value
-	batchWireBytes       = 40 // of a batch, beside its entries
-	originWireBytes      = 10 // of an origin in a vector, beside its name
-	serviceNameWireBytes = 2  // of a service's name, beside it
+	entryWireBytes       = 40 // overhead of an entry in a batch, without its name and value
+	batchWireBytes       = 40 // overhead of a batch, without its entries
+	originWireBytes      = 10 // overhead of an origin in a vector, without its name
+	serviceNameWireBytes = 2  // overhead of a service name
 )
 
 func (e Entry) wireBytes() int { return entryWireBytes + len(e.Key.Name) + len(e.Value) }
@@ -117,7 +118,7 @@
 	return n
 }
 
-// Size returns about how many bytes the batch takes on the wire, as budgets count it.
+// Size returns the approximate encoded size of the batch in bytes, as charged to budgets.
 func (b Batch) Size() int {
 	n := batchWireBytes + b.Through.wireBytes() + b.Pruned.wireBytes()
 	for _, name := range b.ResetServices {
--- a/internal/controlplane/distribution/nextbatch.go
+++ b/internal/controlplane/distribution/nextbatch.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// WaitForever is the wait of NextBatch if nothing waits to be sent.
+// WaitForever is the wait that NextBatch returns if nothing is pending.
 const WaitForever = time.Duration(math.MaxInt64)
 
 const (
-	maxBatchBytes          = 32 << 10               // of a batch, unless one entry is larger
-	maxUnacknowledgedBytes = 4 * maxBatchBytes      // of a subscriber, before it is sent more
-	minPieceBytes          = 4 << 10                // of a batch, where the subscriber's budget is small
-	catchUpPiece           = 500 * time.Millisecond // of a subscriber's budget, in one batch of its catch-up
+	maxBatchBytes          = 32 << 10               // of a batch, unless a single entry is larger
+	maxUnacknowledgedBytes = 4 * maxBatchBytes      // of a subscriber; at this limit sending pauses
+	minPieceBytes          = 4 << 10                // lower bound of the batch size for small budgets
+	catchUpPiece           = 500 * time.Millisecond // share of the subscriber's budget in one catch-up batch
 )
 
-// NextBatch returns a batch to be sent now and its subscriber, or how long to wait: until then, or until the publisher is
-// called with something new. WaitForever means that nothing waits.
+// NextBatch returns the next batch to send and its subscription. If ok is false, the caller calls again after wait, or earlier
+// after another input to the publisher. A wait of WaitForever means that nothing is pending.
 func (p *Publisher) NextBatch(now time.Duration) (id SubscriptionID, b Batch, ok bool, wait time.Duration) {
 	p.wakeSleepers(now)
 	for {
@@ -34,8 +34,8 @@
 	}
 }
 
-// takeTurn looks at the first subscription of a lane and, if it may send, makes its batch. Else it returns nil, and the lane
-// has moved on.
+// takeTurn makes a batch for the first subscription of a lane if that may send. Otherwise it returns nil after it has removed
+// the subscription from the head of the lane.
 func (p *Publisher) takeTurn(now time.Duration, index laneIndex, b *Batch) (*subscription, int) {
 	lane := &p.lanes[index]
 	s := lane.front()
@@ -48,7 +48,7 @@
 		}
 		return nil, 0
 	}
-	if turn.deficit <= 0 { // the turn begins
+	if turn.deficit <= 0 { // start of the turn
 		turn.deficit += turnBytes
 		if turn.deficit <= 0 {
 			lane.pop()
@@ -59,11 +59,11 @@
 	bytes := p.makeBatch(now, s, index, b)
 	s.bucket.tokens -= float64(bytes)
 	turn.deficit -= bytes
-	lane.taken += bytes
-	if turn.deficit <= 0 || !s.hasWaiting(index) {
+	lane.sentBytes += bytes
+	if turn.deficit <= 0 || !s.hasPending(index) {
 		lane.pop()
 		turn.isQueued = false
-		if !s.hasWaiting(index) {
+		if !s.hasPending(index) {
 			turn.deficit = 0
 		}
 		p.enqueue(now, s)
@@ -71,13 +71,13 @@
 	return s, bytes
 }
 
-// maySend reports whether a subscription that was queued in a lane may still send.
+// maySend reports whether a subscription in a lane's queue may still send.
 func (p *Publisher) maySend(now time.Duration, s *subscription, lane laneIndex) bool {
-	return p.isSubscribed(s) && s.hasWaiting(lane) && s.inFlight.bytes < maxUnacknowledgedBytes &&
+	return p.isSubscribed(s) && s.hasPending(lane) && s.inFlight.bytes < maxUnacknowledgedBytes &&
 		s.bucket.wait(now, s.minTokens(lane)) == 0
 }
 
-// makeBatch makes a subscriber's next batch of a lane and returns its size in bytes.
+// makeBatch builds a subscriber's next batch of a lane and returns its size in bytes.
 func (p *Publisher) makeBatch(now time.Duration, s *subscription, lane laneIndex, b *Batch) (bytes int) {
 	s.batchNumber++
 	*b = Batch{Number: s.batchNumber}
@@ -135,7 +135,8 @@
 	}
 }
 
-// collectKeys collects the keys that the subscriber lacks of the next service of its catch-up, or all of them for a reset.
+// collectKeys collects the keys to send for the next service of the catch-up: those that the subscriber lacks, or all in a
+// reset.
 func (p *Publisher) collectKeys(s *subscription, b *Batch, sent *sentBatch) {
 	name := s.catchUp.services[0]
 	s.catchUp.services = s.catchUp.services[1:]
@@ -149,8 +150,8 @@
 	s.catchUp.keys = p.store.serviceKeysSince(covered, name)
 }
 
-// addEntry adds a key's winner to a batch. If there is none, its deletion was pruned or the key was removed; then
-// resetIfPruned and ResyncServices start a full sync of the service.
+// addEntry adds the winning entry of a key to a batch. If there is none, the key's deletion was pruned or the key was removed;
+// in these cases resetIfPruned or ResyncServices starts a full sync of the service.
 func (p *Publisher) addEntry(k Key, b *Batch, sent *sentBatch) {
 	e, ok := p.store.Entry(k)
 	if !ok {
@@ -161,10 +162,9 @@
 	sent.newestClock = max(sent.newestClock, e.Clock)
 }
 
-// completeBatch says with a batch that everything was sent. The first such batch, and one after a reset, names the whole
-// vector.
+// completeBatch marks a batch as complete. The first complete batch, and each one that ends a reset, contains the whole vector.
 func (p *Publisher) completeBatch(s *subscription, b *Batch, sent *sentBatch) {
-	s.catchUp.isOwed = false
+	s.catchUp.needsComplete = false
 	if s.isPartial {
 		return
 	}
@@ -178,7 +178,7 @@
 	s.sentPruned.Join(b.Pruned)
 	sent.bytes += b.Through.wireBytes() + b.Pruned.wireBytes()
 	s.reset.isAllUnderWay = false
-	if p.store.Vector().CoversAll(s.Vector) { // else entries that the subscriber covers may still arrive here, and must be sent on
+	if p.store.Vector().CoversAll(s.Vector) { // otherwise entries that the subscriber covers may still arrive at this store and must be forwarded
 		clear(s.reset.services)
 	}
 }
--- a/internal/controlplane/distribution/origin.go
+++ b/internal/controlplane/distribution/origin.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// ownOrigin is the origin under which a store writes.
+// ownOrigin is the state of the origin under which a store writes.
 type ownOrigin struct {
 	origin   Origin
 	sequence uint64 // of the last write
-	restored uint64 // sequence as it was on disk at the start
-	isStale  bool   // others hold more of this origin than this store
+	restored uint64 // sequence restored from disk at the start
+	isStale  bool   // another store covers writes of this origin that this store lacks
 }
 
 // Origin returns the origin under which this store writes.
 func (s *Store) Origin() Origin { return s.own.origin }
 
-// ObserveVector looks whether another holder's vector shows this store's origin to be stale.
+// ObserveVector marks this store's origin as stale if the vector of another store covers more writes of it.
 func (s *Store) ObserveVector(v Vector) { s.observeSequence(s.own.origin, v[s.own.origin]) }
 
 func (s *Store) observeSequence(origin Origin, sequence uint64) {
@@ -25,13 +25,14 @@
 	}
 }
 
-// IsStale reports whether others hold or may hold more of this store's origin than the store, as if two runs
-// had taken the same origin: the numbers of further writes would be taken as known. A control process takes a random origin at
-// each start, so that this does not happen in practice. No write is accepted until RenewOrigin.
+// IsStale reports whether other stores have or may have writes of this store's origin that this store lacks, as if two runs
+// used the same origin. Other stores would then treat further writes as already received, because their sequence numbers are
+// covered. A control process draws a random origin at each start, so this does not occur in practice. Writes are rejected
+// until RenewOrigin.
 func (s *Store) IsStale() bool { return s.own.isStale }
 
-// RenewOrigin gives the store another origin, and writes again under it what was written under the old one since the restore.
-// The caller saves and announces the returned entries as those of a Write.
+// RenewOrigin assigns a new origin to the store, and rewrites under it the entries that were written under the old one since
+// the restore. The caller saves and publishes the returned entries like those of a Write.
 func (s *Store) RenewOrigin(wall time.Time, origin Origin) []Entry {
 	old := s.own
 	s.own = ownOrigin{origin: origin}
@@ -41,8 +42,8 @@
 		delete(s.vector, old.origin)
 	}
 	var rewritten []Entry
-	for name, of := range s.services {
-		for id, it := range of.items {
+	for name, svc := range s.services {
+		for id, it := range svc.items {
 			if s.origins.names[it.origin] == old.origin && it.sequence > old.restored {
 				rewritten = append(rewritten, s.entry(name, id, it))
 			}
--- a/internal/controlplane/distribution/prune.go
+++ b/internal/controlplane/distribution/prune.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// PruneDeletions forgets deletions with clocks below olderThan, and returns their keys. Those that the vector does not cover
-// are kept: no subscriber could be found to be behind them.
+// PruneDeletions removes deletions with clocks below olderThan, and returns their keys. Deletions that the vector does not
+// cover are retained: without coverage the store could not detect subscribers that lack them.
 func (s *Store) PruneDeletions(olderThan uint64) []Key {
 	var dropped []Key
 	for k, clock := range s.deletions {
@@ -21,5 +21,5 @@
 	return dropped
 }
 
-// AdvancePruned takes in which deletions a sender may have forgotten.
+// AdvancePruned joins a sender's vector of pruned deletions into the store's.
 func (s *Store) AdvancePruned(v Vector) { s.pruned.Join(v) }
--- a/internal/controlplane/distribution/publisher.go
+++ b/internal/controlplane/distribution/publisher.go
@@ -11,57 +11,57 @@
 type SubscriptionID uint64
 
 const (
-	slowTimeout    = 5 * time.Second  // without an acknowledgement of what was sent, after which a subscriber is cut off
-	digestInterval = 10 * time.Second // to a subscriber for which nothing waits
+	slowTimeout    = 5 * time.Second  // without an acknowledgement of sent batches, after which a subscriber is disconnected
+	digestInterval = 10 * time.Second // between digests to a subscriber without pending changes
 )
 
-// Publisher decides what each subscriber of a store is sent, and when. What waits for a subscriber is a set of keys; what is
-// sent is their winners at that moment. A change costs as much as its service has subscribers, however many other services
-// have.
+// Publisher selects and schedules the entries that are sent to each subscriber of a store. The pending changes of a subscriber
+// are a set of keys; the winning entries at the time of sending are sent. The cost of a change is proportional to the number
+// of subscribers of its service, and does not depend on the subscribers of other services.
 type Publisher struct {
-	store         *Store
-	budget        Budget
-	subscriptions map[SubscriptionID]*subscription
-	lastID        SubscriptionID
-	byService     map[string]map[SubscriptionID]*subscription
-	ofAllServices map[SubscriptionID]*subscription
-	bucket        tokenBucket // of the whole budget
-	lanes         [laneCount]lane
-	asleep        sleepers
-	digestQueue   *list.List // subscriptions by when their digests are due
-	visited       int        // subscriptions looked at by EntriesChanged, which tests count
+	store                  *Store
+	budget                 Budget
+	subscriptions          map[SubscriptionID]*subscription
+	lastID                 SubscriptionID
+	byService              map[string]map[SubscriptionID]*subscription
+	allServicesSubscribers map[SubscriptionID]*subscription
+	bucket                 tokenBucket // for the total budget
+	lanes                  [laneCount]lane
+	asleep                 sleepers
+	digestQueue            *list.List // subscriptions, ordered by the times at which their digests are due
+	visited                int        // subscriptions visited by EntriesChanged, for tests
 }
 
-// NewPublisher returns a publisher of a store.
+// NewPublisher returns a publisher of a store without subscriptions.
 func NewPublisher(store *Store, budget Budget) *Publisher {
 	budget = budget.withDefaults()
 	return &Publisher{
-		store:         store,
-		budget:        budget,
-		subscriptions: map[SubscriptionID]*subscription{},
-		byService:     map[string]map[SubscriptionID]*subscription{},
-		ofAllServices: map[SubscriptionID]*subscription{},
-		bucket:        newTokenBucket(budget.TotalBytesPerSecond, totalBurst),
-		digestQueue:   list.New(),
+		store:                  store,
+		budget:                 budget,
+		subscriptions:          map[SubscriptionID]*subscription{},
+		byService:              map[string]map[SubscriptionID]*subscription{},
+		allServicesSubscribers: map[SubscriptionID]*subscription{},
+		bucket:                 newTokenBucket(budget.TotalBytesPerSecond, totalBurst),
+		digestQueue:            list.New(),
 	}
 }
 
-// Subscribe starts a subscription by what the subscriber lacks. If its vector is ahead of the store's, see Store.IsBehind, the
-// caller asks the subscriber for what is missing here.
-func (p *Publisher) Subscribe(now time.Duration, asked Subscription) SubscriptionID {
-	return p.subscribe(now, asked, false)
+// Subscribe starts a subscription, and first sends the entries that the subscriber lacks. If its vector is ahead of the
+// store's (see Store.IsBehind), the caller requests the missing entries from the subscriber.
+func (p *Publisher) Subscribe(now time.Duration, request Subscription) SubscriptionID {
+	return p.subscribe(now, request, false)
 }
 
-// SubscribePartial sends what another holder lacks from a store of only some of its services. No batch is complete and no
-// digests are sent, as the store says nothing of the other services.
-func (p *Publisher) SubscribePartial(now time.Duration, asked Subscription) SubscriptionID {
-	return p.subscribe(now, asked, true)
+// SubscribePartial starts a subscription for a peer that subscribes to more services than this store replicates. No batch is
+// marked complete and no digests are sent, because the store has no information about the other services.
+func (p *Publisher) SubscribePartial(now time.Duration, request Subscription) SubscriptionID {
+	return p.subscribe(now, request, true)
 }
 
-func (p *Publisher) subscribe(now time.Duration, asked Subscription, isPartial bool) SubscriptionID {
-	p.store.ObserveVector(asked.Vector)
+func (p *Publisher) subscribe(now time.Duration, request Subscription, isPartial bool) SubscriptionID {
+	p.store.ObserveVector(request.Vector)
 	p.lastID++
-	s := newSubscription(now, p.lastID, asked, isPartial, p.budget.forRole(asked.Role))
+	s := newSubscription(now, p.lastID, request, isPartial, p.budget.forRole(request.Role))
 	p.subscriptions[s.id] = s
 	p.index(s)
 	if !isPartial {
@@ -73,11 +73,11 @@
 	return s.id
 }
 
-// index registers a subscription for changes of its services, and queues these for its catch-up.
+// index registers a subscription for changes of its services, and queues these services for its catch-up.
 func (p *Publisher) index(s *subscription) {
 	names := s.Services
 	if s.AllServices {
-		p.ofAllServices[s.id] = s
+		p.allServicesSubscribers[s.id] = s
 		s.Services = nil
 		names = p.store.Services()
 	}
@@ -87,23 +87,23 @@
 			continue
 		}
 		s.services[name] = true
-		of := p.byService[name]
-		if of == nil {
-			of = map[SubscriptionID]*subscription{}
-			p.byService[name] = of
+		subscribers := p.byService[name]
+		if subscribers == nil {
+			subscribers = map[SubscriptionID]*subscription{}
+			p.byService[name] = subscribers
 		}
-		of[s.id] = s
+		subscribers[s.id] = s
 	}
 }
 
-// Unsubscribe ends a subscription. An unknown one is ignored.
+// Unsubscribe ends a subscription. An unknown ID is ignored.
 func (p *Publisher) Unsubscribe(id SubscriptionID) {
 	s := p.subscriptions[id]
 	if s == nil {
 		return
 	}
 	delete(p.subscriptions, id)
-	delete(p.ofAllServices, id)
+	delete(p.allServicesSubscribers, id)
 	for name := range s.services {
 		delete(p.byService[name], id)
 		if len(p.byService[name]) == 0 {
@@ -115,13 +115,13 @@
 
 func (p *Publisher) isSubscribed(s *subscription) bool { return p.subscriptions[s.id] == s }
 
-// EntriesChanged announces new winners of the store. They wait for the subscribers of their services.
+// EntriesChanged queues new winning entries of the store for the subscribers of their services.
 func (p *Publisher) EntriesChanged(now time.Duration, entries []Entry) {
 	for _, e := range entries {
 		for _, s := range p.byService[e.Key.Service] {
 			p.addFresh(now, s, e)
 		}
-		for _, s := range p.ofAllServices {
+		for _, s := range p.allServicesSubscribers {
 			p.addFresh(now, s, e)
 		}
 	}
@@ -132,7 +132,7 @@
 	if s.Vector.Covers(e) && !s.isReset(e.Key.Service) {
 		return
 	}
-	if _, isWaiting := s.fresh.since[e.Key]; isWaiting {
+	if _, isPending := s.fresh.since[e.Key]; isPending {
 		return
 	}
 	s.fresh.since[e.Key] = now
@@ -140,15 +140,15 @@
 	p.enqueue(now, s)
 }
 
-// VectorLearned says what a subscriber covers as it was learned otherwise, as from its own batches in the other direction: that
-// need not be sent.
+// VectorLearned records writes that a subscriber covers according to another source, such as its own batches in the opposite
+// direction. These writes are not sent to it.
 func (p *Publisher) VectorLearned(id SubscriptionID, v Vector) {
 	if s := p.subscriptions[id]; s != nil {
 		s.Vector.Join(v)
 	}
 }
 
-// BatchAcknowledged takes in a subscriber's acknowledgement.
+// BatchAcknowledged processes a subscriber's acknowledgement.
 func (p *Publisher) BatchAcknowledged(now time.Duration, id SubscriptionID, a Acknowledgement) {
 	s := p.subscriptions[id]
 	if s == nil {
@@ -174,8 +174,8 @@
 	p.enqueue(now, s)
 }
 
-// SlowSubscribers returns those that have not acknowledged for slowTimeout what they were sent. The caller cuts them off; they
-// come back with their vectors.
+// SlowSubscribers returns the subscribers with sent batches and no acknowledgement for slowTimeout. The caller disconnects
+// them; they resume from their vectors when they reconnect.
 func (p *Publisher) SlowSubscribers(now time.Duration) (slow []SubscriptionID) {
 	for id, s := range p.subscriptions {
 		if len(s.inFlight.batches) > 0 && now-s.inFlight.lastProgress >= slowTimeout {
@@ -186,7 +186,7 @@
 	return slow
 }
 
-// SubscriberStatus returns the status of one subscriber, and whether there is one.
+// SubscriberStatus returns the status of a subscriber, and whether the subscription exists.
 func (p *Publisher) SubscriberStatus(now time.Duration, id SubscriptionID) (NodeStatus, bool) {
 	s := p.subscriptions[id]
 	if s == nil {
@@ -195,7 +195,7 @@
 	return s.status(now), true
 }
 
-// sortedSet returns names in order, each once.
+// sortedSet returns the names sorted and without duplicates.
 func sortedSet(names []string) []string {
 	set := make(map[string]bool, len(names))
 	for _, name := range names {
--- a/internal/controlplane/distribution/publisherdigests.go
+++ b/internal/controlplane/distribution/publisherdigests.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// NextDigests returns the digests of the next subscriber for which nothing waits and whose digests are due. The caller repeats
-// the call while ok is true.
+// NextDigests returns the digests for the next subscriber whose digests are due and that has no pending changes. The caller
+// repeats the call while ok is true.
 func (p *Publisher) NextDigests(now time.Duration) (id SubscriptionID, d Digests, ok bool) {
 	for e := p.digestQueue.Front(); e != nil; e = p.digestQueue.Front() {
 		s := e.Value.(*subscription)
@@ -12,7 +12,7 @@
 		}
 		s.digestAt = now + digestInterval
 		p.digestQueue.MoveToBack(e)
-		if s.isPartial || s.hasWaiting(freshLane) || s.hasWaiting(catchUpLane) || len(s.inFlight.batches) > 0 {
+		if s.isPartial || s.hasPending(freshLane) || s.hasPending(catchUpLane) || len(s.inFlight.batches) > 0 {
 			continue
 		}
 		if p.resetIfPruned(s) {
@@ -25,7 +25,7 @@
 	return 0, Digests{}, false
 }
 
-// digestsFor returns one sum for a subscriber of all services, one of each service for others.
+// digestsFor returns the total digest for a subscriber to all services, and the digest of each service for other subscribers.
 func (p *Publisher) digestsFor(s *subscription) Digests {
 	d := Digests{Total: p.store.TotalDigest(), Through: p.store.Vector().AheadOf(s.sentVector)}
 	s.sentVector.Join(d.Through)
@@ -38,11 +38,11 @@
 	return d
 }
 
-// ServiceDigests returns the digests of all services, for a subscriber of all whose sum differs.
+// ServiceDigests returns the digests of all services, for a subscriber to all services whose total digest differs.
 func (p *Publisher) ServiceDigests() map[string]uint64 {
 	digests := make(map[string]uint64, len(p.store.services))
-	for name, of := range p.store.services {
-		digests[name] = of.digest
+	for name, svc := range p.store.services {
+		digests[name] = svc.digest
 	}
 	return digests
 }
--- a/internal/controlplane/distribution/receiver.go
+++ b/internal/controlplane/distribution/receiver.go
@@ -5,42 +5,42 @@
 	"slices"
 )
 
-// Receiver takes in the batches of one subscription, at the subscriber's end. A subscriber whose services change ends its
+// Receiver processes the batches of one subscription at the subscriber's end. A subscriber whose services change closes its
 // connection and subscribes again with a new Receiver.
 type Receiver struct {
 	store        *Store
-	through      Vector // the sender's vector as far as it has said
+	through      Vector // join of the vectors received from the sender
 	lastBatch    uint64 // number
-	isStoreFull  bool   // an entry was rejected for want of room: the vector does not advance any more on this connection
+	isStoreFull  bool   // an entry was rejected because the store was full: the vector no longer advances on this connection
 	transfer     transfer
 	repair       repair
-	toMarkSynced map[string]bool // services that were unsynced at the subscription, or had a full sync since
+	toMarkSynced map[string]bool // services that were unsynced at the start of the subscription, or had a full sync since
 }
 
-// transfer is the services in full sync.
+// transfer is the state of the services in full sync.
 type transfer struct {
-	isAll    bool // of all services
+	isAll    bool // all services are in full sync
 	services map[string]bool
-	received map[Key]bool // keys of their entries
+	received map[Key]bool // keys received for these services
 }
 
-// repair is the services that were asked for because their digests differed from those of a sender that covers everything
-// held here.
+// repair is the state of the services that were requested because their digests differed from those of a sender that covers
+// all writes that this store covers.
 type repair struct {
 	services map[string]bool
-	attempts map[string]int // in a row
+	attempts map[string]int // consecutive repairs of a service
 }
 
-// BatchResult is what a batch has changed.
+// BatchResult lists the effects of a batch.
 type BatchResult struct {
-	Changed        []Entry     // new winners, deletions included
-	Removed        []Entry     // entries that ended without a deletion being sent; for an Applier they count as deleted
-	ResyncServices []string    // in which something came or ended that no vector shows: for Publisher.ResyncServices
-	Rejected       []Rejection // those of a full store keep the vector from advancing, others do not
-	IsComplete     bool        // the vector has advanced; the caller saves it with the entries, or after them
+	Changed        []Entry     // new winning entries, deletions included
+	Removed        []Entry     // entries removed without a deletion; an Applier treats them as deleted
+	ResyncServices []string    // services with additions or removals that no vector shows: input of Publisher.ResyncServices
+	Rejected       []Rejection // rejections with IsStoreFull prevent the vector from advancing, others do not
+	IsComplete     bool        // the vector has advanced; the caller saves it with the entries or after them
 }
 
-// NewReceiver returns a receiver for a subscription that begins now.
+// NewReceiver returns a receiver for a new subscription of the store.
 func NewReceiver(store *Store) *Receiver {
 	r := &Receiver{
 		store:        store,
@@ -55,8 +55,8 @@
 	return r
 }
 
-// ReceiveBatch merges a batch into the store, and with a complete one advances its vector. A batch that was received before is
-// ignored.
+// ReceiveBatch merges a batch into the store, and advances the store's vector if the batch is complete. A batch that was already
+// received is ignored.
 func (r *Receiver) ReceiveBatch(b Batch) (result BatchResult) {
 	if b.Number <= r.lastBatch {
 		return BatchResult{}
@@ -78,11 +78,11 @@
 	return result
 }
 
-// IsStoreFull reports whether an entry that came on this connection was rejected for want of room. Then what the sender has is
-// not all held here, whatever comes later.
+// IsStoreFull reports whether an entry of this connection was rejected because the store was full. The store then stays
+// incomplete for the rest of the connection, whatever is received later.
 func (r *Receiver) IsStoreFull() bool { return r.isStoreFull }
 
-// recordTransfer notes what a batch says of services in full sync.
+// recordTransfer records the services that a batch puts into full sync, and the keys received for such services.
 func (r *Receiver) recordTransfer(b Batch) {
 	t := &r.transfer
 	t.isAll = t.isAll || b.ResetsAll
@@ -96,7 +96,7 @@
 	}
 }
 
-// complete ends the full syncs under way and advances the vector.
+// complete ends the full syncs in progress and advances the vector.
 func (r *Receiver) complete(b Batch, result *BatchResult) {
 	r.through.Join(b.Through)
 	result.Removed = r.store.ReplaceServices(r.finishTransfers(), r.transfer.received, b.Through)
@@ -115,10 +115,10 @@
 	result.IsComplete = true
 }
 
-// finishTransfers ends the full syncs under way and the repairs among them, notes the services in toMarkSynced, and returns those
-// of which nothing stays that was not received. A service that is being repaired keeps
-// what it holds, since either side may have lost something: the sender receives it in turn if it subscribes here. A node, which
-// nobody subscribes to, takes over the sender's entries at the second attempt.
+// finishTransfers ends the full syncs in progress and the repairs among them, adds their services to toMarkSynced, and returns
+// the services whose other entries are to be removed. A service in repair retains its entries, because either side may have
+// lost some: the sender receives them from here if it subscribes to this process. A node has no subscribers, so it adopts the
+// sender's entries at the second attempt.
 func (r *Receiver) finishTransfers() []string {
 	var services []string
 	for _, name := range slices.Sorted(maps.Keys(r.transfer.services)) {
@@ -135,10 +135,10 @@
 	return services
 }
 
-// CompareDigests takes in digests, which a sender sends when nothing waits, so that they also advance the vector. It returns
-// the services that need a full sync, whether a subscriber of all is to ask for the digests of all services, and whether the
-// vector has advanced. A store that covers what the sender does not is not compared, nor is one that is
-// full or in a full sync: then all results are zero.
+// CompareDigests compares the store with the digests of a sender. A sender sends digests when nothing is pending, so they also
+// advance the vector. It returns the services that need a full sync, whether a subscriber to all services must request the
+// digests of each service, and whether the vector has advanced. Digests are not compared if the store covers writes that the
+// sender does not cover. During a full sync, or with a full store, the digests are ignored and all results are zero.
 func (r *Receiver) CompareDigests(d Digests) (services []string, needsServiceDigests, hasAdvanced bool) {
 	if r.isStoreFull || r.transfer.isAll || len(r.transfer.services) > 0 {
 		return nil, false, false
@@ -165,8 +165,8 @@
 	return services, false, hasAdvanced
 }
 
-// comparedServices returns the services of digests that are this store's. A store of all services receives the digests of all:
-// a service that is not named has no entries at the sender.
+// comparedServices returns the services to compare: those of the digests that are in the store's scope. A store of all services
+// receives the digests of all, so a service without a digest has no entries at the sender and is compared too.
 func (r *Receiver) comparedServices(d Digests) []string {
 	names := slices.Collect(maps.Keys(d.Services))
 	if r.store.scope == nil {
--- a/internal/controlplane/distribution/resync.go
+++ b/internal/controlplane/distribution/resync.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// resetUnsynced starts a full sync of the services that a new subscriber's vector does not cover.
+// resetUnsynced starts a full sync of the services that a new subscriber reports as unsynced.
 func (p *Publisher) resetUnsynced(s *subscription) {
 	for _, name := range s.UnsyncedServices {
 		if s.AllServices || s.services[name] {
@@ -11,8 +11,8 @@
 	}
 }
 
-// resetIfPruned starts a full sync of everything if deletions that a subscriber lacks may be forgotten here, and reports whether
-// it did. Their pruning may have been learned from another holder since the subscription began.
+// resetIfPruned starts a full sync of all services if deletions that a subscriber lacks may have been pruned from this store,
+// and reports whether it did. The store may have received the pruned vector from another store after the subscription started.
 func (p *Publisher) resetIfPruned(s *subscription) bool {
 	pruned := p.store.Pruned()
 	if s.isPartial || pruned.isCoveredBy(s.Vector, s.sentVector, s.reset.forPruned) {
@@ -20,7 +20,7 @@
 	}
 	s.reset.forPruned = pruned.Clone()
 	s.reset.isAllPending = true
-	s.catchUp.isOwed = true
+	s.catchUp.needsComplete = true
 	names := s.Services
 	if s.AllServices {
 		names = p.store.Services()
@@ -32,19 +32,21 @@
 	return true
 }
 
-// ResyncServices starts a full sync of services to their subscribers, as after entries were removed here without a deletion.
+// ResyncServices starts a full sync of services for all their subscribers, as after entries were removed from this store without
+// a deletion.
 func (p *Publisher) ResyncServices(now time.Duration, services []string) {
 	for _, name := range services {
 		for _, s := range p.byService[name] {
 			p.ResyncSubscriber(now, s.id, []string{name})
 		}
-		for _, s := range p.ofAllServices {
+		for _, s := range p.allServicesSubscribers {
 			p.ResyncSubscriber(now, s.id, []string{name})
 		}
 	}
 }
 
-// ResyncSubscriber starts a full sync of services to one subscriber, which has asked for them or seen that its digests differ.
+// ResyncSubscriber starts a full sync of services for one subscriber, as after it has requested them or reported that its
+// digests differ.
 func (p *Publisher) ResyncSubscriber(now time.Duration, id SubscriptionID, services []string) {
 	s := p.subscriptions[id]
 	if s == nil || s.isPartial {
@@ -54,7 +56,7 @@
 		if !s.AllServices && !s.services[name] {
 			continue
 		}
-		if !s.catchUp.isOwed {
+		if !s.catchUp.needsComplete {
 			s.catchUp.since = now
 		}
 		s.resetService(name)
@@ -62,8 +64,7 @@
 	p.enqueue(now, s)
 }
 
-// DeletionsPruned says that the store has forgotten deletions of some keys. Subscribers that were not sent them get a
-// full sync of everything.
+// DeletionsPruned starts a full sync of all services for each subscriber that has not been sent the pruned deletions.
 func (p *Publisher) DeletionsPruned(now time.Duration, keys []Key) {
 	if len(keys) == 0 {
 		return
--- a/internal/controlplane/distribution/scope.go
+++ b/internal/controlplane/distribution/scope.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// SetScope says which services this store is for; without a call it is for all. What it holds of others is removed and
-// returned. A service that is new stays unsynced until its full sync has ended. After a restart the caller calls Restore,
-// then SetScope with the new scope, then MarkUnsynced with the services that the vector on disk does not cover.
+// SetScope sets the services that the store replicates; by default it replicates all. Entries of other services are removed
+// and returned. A service that is added to a scope stays unsynced until its full sync has ended. After a restart the caller
+// calls Restore, then SetScope with the new scope, then MarkUnsynced with the services that the vector on disk does not apply to.
 func (s *Store) SetScope(services []string) (removed []Entry) {
 	scope := make(map[string]bool, len(services))
 	for _, name := range services {
@@ -30,14 +30,14 @@
 	return removed
 }
 
-// IsInScope reports whether a service is one of this store's.
+// IsInScope reports whether the store replicates a service.
 func (s *Store) IsInScope(service string) bool { return s.scope == nil || s.scope[service] }
 
-// UnsyncedServices returns the services that the vector does not cover yet, in order.
+// UnsyncedServices returns the sorted names of the services that the vector does not apply to yet.
 func (s *Store) UnsyncedServices() []string { return slices.Sorted(maps.Keys(s.unsynced)) }
 
-// MarkUnsynced says that the vector does not cover some services of the scope, as after a restart before they were received.
-// It is for nodes: a control process whose disk was damaged has its whole file renamed and starts empty.
+// MarkUnsynced marks services in scope that the vector does not apply to, as after a restart before their full sync has ended.
+// Only nodes use it: a control process with a damaged disk renames its whole file and starts empty.
 func (s *Store) MarkUnsynced(services []string) {
 	for _, name := range services {
 		if s.scope[name] && s.unsynced[name] == nil {
@@ -46,8 +46,8 @@
 	}
 }
 
-// serviceReceived says that the full sync of a service has ended, up to a vector. The service stays unsynced until that covers the
-// store's vector: a server that has lost its disk may have less.
+// serviceReceived records that the full sync of a service has ended, up to a vector. The service stays unsynced until its own
+// vector covers the store's vector, because a server that has lost its disk may cover less.
 func (s *Store) serviceReceived(name string, through Vector) {
 	v, isUnsynced := s.unsynced[name]
 	if !isUnsynced {
--- a/internal/controlplane/distribution/store.go
+++ b/internal/controlplane/distribution/store.go
@@ -5,24 +5,24 @@
 	"strings"
 )
 
-// Store holds the winning entry of each key, deletions included, and what it covers.
+// Store contains the winning entry of each key, deletions included, and the vector of the writes that it covers.
 type Store struct {
 	limits      Limits
 	services    map[string]*service
 	origins     originNames
 	vector      Vector
-	pruned      Vector         // by origin the greatest sequence of a deletion that was forgotten
-	deletions   map[Key]uint64 // deletions held, and their clocks
-	newestClock uint64         // seen in any entry
+	pruned      Vector         // by origin, the greatest sequence of a pruned deletion
+	deletions   map[Key]uint64 // clocks of the stored deletions
+	newestClock uint64         // greatest clock of any entry received or written
 	digest      uint64         // of all services
 	entries     int
 	bytes       int
 	own         ownOrigin
-	scope       map[string]bool   // services that the store is for; nil: all
-	unsynced    map[string]Vector // services of the scope that the vector does not cover yet, and what covers them instead
+	scope       map[string]bool   // services that the store replicates; nil for all
+	unsynced    map[string]Vector // services in scope that vector does not apply to yet, with their own vectors
 }
 
-// service is the entries of one service.
+// service contains the entries of one service.
 type service struct {
 	items  map[itemID]item
 	digest uint64
@@ -34,22 +34,22 @@
 	kind Kind
 }
 
-// item is an entry as the store keeps it.
+// item is the compact in-memory form of an entry.
 type item struct {
 	value    []byte
 	clock    uint64
 	sequence uint64
-	origin   uint32 // index of originNames
+	origin   uint32 // index into originNames.names
 	deleted  bool
 }
 
-// originNames keeps one copy of each origin's name.
+// originNames interns the names of origins.
 type originNames struct {
 	names   []Origin
 	indexes map[Origin]uint32
 }
 
-// index returns the index of an origin, which it adds if it is new.
+// index returns the index of an origin, and adds a new one.
 func (o *originNames) index(origin Origin) uint32 {
 	index, ok := o.indexes[origin]
 	if !ok {
@@ -61,7 +61,7 @@
 	return index
 }
 
-// NewStore returns an empty store. A node, which never writes, has origin "".
+// NewStore returns an empty store. The store of a node, which never writes, has origin "".
 func NewStore(origin Origin, limits Limits) *Store {
 	return &Store{
 		limits:    limits.withDefaults(),
@@ -75,8 +75,9 @@
 	}
 }
 
-// Restore takes in what a disk held, before anything else. If the store's own origin is found there, the origin is stale and no
-// write is accepted until RenewOrigin: the disk may be an old copy. Entries that are not valid are dropped without notice.
+// Restore loads the contents of a disk, and must be the first call. If the disk contains entries of the store's own origin,
+// the origin is stale and writes are rejected until RenewOrigin: the disk may be an old copy. Invalid entries are discarded
+// without a report.
 func (s *Store) Restore(entries []Entry, vector, pruned Vector) {
 	for _, e := range entries {
 		if e.Validate() == nil {
@@ -96,16 +97,16 @@
 	}
 }
 
-// item returns what is held of a key.
+// item returns the stored item of a key.
 func (s *Store) item(k Key) (item, bool) {
-	if of := s.services[k.Service]; of != nil {
-		it, ok := of.items[itemID{k.Name, k.Kind}]
+	if svc := s.services[k.Service]; svc != nil {
+		it, ok := svc.items[itemID{k.Name, k.Kind}]
 		return it, ok
 	}
 	return item{}, false
 }
 
-// entry returns an item as an entry.
+// entry converts an item to an Entry.
 func (s *Store) entry(serviceName string, id itemID, it item) Entry {
 	return Entry{
 		Key:      Key{Service: serviceName, Kind: id.kind, Name: id.name},
@@ -117,51 +118,51 @@
 	}
 }
 
-// put sets a key's entry and keeps the sums.
+// put stores an entry, and updates sizes, digests and the newest clock.
 func (s *Store) put(e Entry) {
-	of := s.services[e.Key.Service]
-	if of == nil {
-		of = &service{items: map[itemID]item{}}
-		s.services[strings.Clone(e.Key.Service)] = of
+	svc := s.services[e.Key.Service]
+	if svc == nil {
+		svc = &service{items: map[itemID]item{}}
+		s.services[strings.Clone(e.Key.Service)] = svc
 	}
 	id := itemID{e.Key.Name, e.Key.Kind}
 	entries, bytes := s.growth(e.Key, len(e.Value))
 	s.entries += entries
 	s.bytes += bytes
-	if before, ok := of.items[id]; ok {
-		s.removeDigest(of, e.Key.Service, id, before)
+	if before, ok := svc.items[id]; ok {
+		s.removeDigest(svc, e.Key.Service, id, before)
 	}
-	of.items[id] = item{value: e.Value, clock: e.Clock, sequence: e.Sequence, origin: s.origins.index(e.Origin), deleted: e.Deleted}
+	svc.items[id] = item{value: e.Value, clock: e.Clock, sequence: e.Sequence, origin: s.origins.index(e.Origin), deleted: e.Deleted}
 	if e.Deleted {
 		s.deletions[e.Key] = e.Clock
 	} else {
 		delete(s.deletions, e.Key)
 		h := hashEntry(e.Key.Service, id, e.Origin, e.Clock, e.Sequence)
-		of.digest += h
+		svc.digest += h
 		s.digest += h
 	}
 	s.newestClock = max(s.newestClock, e.Clock)
 }
 
-// remove forgets a key.
+// remove removes a key without a deletion entry.
 func (s *Store) remove(k Key) {
-	of := s.services[k.Service]
+	svc := s.services[k.Service]
 	id := itemID{k.Name, k.Kind}
-	before, ok := of.items[id]
+	before, ok := svc.items[id]
 	if !ok {
 		return
 	}
-	s.removeDigest(of, k.Service, id, before)
+	s.removeDigest(svc, k.Service, id, before)
 	s.entries--
 	s.bytes -= entryOverheadBytes + len(k.Name) + len(before.value)
-	delete(of.items, id)
+	delete(svc.items, id)
 	delete(s.deletions, k)
-	if len(of.items) == 0 {
+	if len(svc.items) == 0 {
 		delete(s.services, k.Service)
 	}
 }
 
-// removeAll forgets the keys of entries, which it sorts by key.
+// removeAll removes the keys of entries, which it sorts by key.
 func (s *Store) removeAll(entries []Entry) {
 	slices.SortFunc(entries, compareByKey)
 	for _, e := range entries {
@@ -169,7 +170,7 @@
 	}
 }
 
-// Entry returns the winner of a key, which may be a deletion. The caller does not change its value.
+// Entry returns the winning entry of a key, which may be a deletion. The caller must not modify its value.
 func (s *Store) Entry(k Key) (Entry, bool) {
 	it, ok := s.item(k)
 	if !ok {
@@ -178,14 +179,14 @@
 	return s.entry(k.Service, itemID{k.Name, k.Kind}, it), true
 }
 
-// LiveEntries returns the entries of a service that are not deletions, by key.
+// LiveEntries returns the entries of a service that are not deletions, sorted by key.
 func (s *Store) LiveEntries(service string) []Entry {
-	of := s.services[service]
-	if of == nil {
+	svc := s.services[service]
+	if svc == nil {
 		return nil
 	}
-	entries := make([]Entry, 0, len(of.items))
-	for id, it := range of.items {
+	entries := make([]Entry, 0, len(svc.items))
+	for id, it := range svc.items {
 		if !it.deleted {
 			entries = append(entries, s.entry(service, id, it))
 		}
@@ -194,7 +195,7 @@
 	return entries
 }
 
-// Services returns the names of all services that hold entries, in order.
+// Services returns the sorted names of all services with entries.
 func (s *Store) Services() []string {
 	names := make([]string, 0, len(s.services))
 	for name := range s.services {
@@ -204,8 +205,8 @@
 	return names
 }
 
-// KeysSince returns the keys of the entries that a holder of a vector lacks, deletions included, by service and key: of some
-// services, or of all. It costs as much as these services hold.
+// KeysSince returns the keys of the entries that a vector does not cover, deletions included, sorted by service and key. It
+// selects the given services, or all. Its cost is proportional to the number of entries in these services.
 func (s *Store) KeysSince(v Vector, services []string, all bool) []Key {
 	if all {
 		services = s.Services()
@@ -218,15 +219,15 @@
 }
 
 func (s *Store) serviceKeysSince(v Vector, service string) (keys []Key) {
-	of := s.services[service]
-	if of == nil {
+	svc := s.services[service]
+	if svc == nil {
 		return nil
 	}
 	covered := make([]uint64, len(s.origins.names))
 	for i, origin := range s.origins.names {
 		covered[i] = v[origin]
 	}
-	for id, it := range of.items {
+	for id, it := range svc.items {
 		if it.sequence > covered[it.origin] {
 			keys = append(keys, Key{Service: service, Kind: id.kind, Name: id.name})
 		}
@@ -235,13 +236,13 @@
 	return keys
 }
 
-// Vector returns what this store covers. The caller does not change it.
+// Vector returns the vector of the writes that this store covers. The caller must not modify it.
 func (s *Store) Vector() Vector { return s.vector }
 
-// Pruned returns, by origin, the greatest sequence of a deletion that may be forgotten here.
+// Pruned returns, by origin, the greatest sequence of a deletion that may have been pruned from this store.
 func (s *Store) Pruned() Vector { return s.pruned }
 
-// Clock returns the newest clock seen.
+// Clock returns the greatest clock of any entry received or written.
 func (s *Store) Clock() uint64 { return s.newestClock }
 
 // Size returns the number of entries, deletions included, and their bytes in memory.
--- a/internal/controlplane/distribution/subscriber.go
+++ b/internal/controlplane/distribution/subscriber.go
@@ -8,46 +8,46 @@
 const (
 	defaultStartTimeout = 2 * time.Second
 	defaultMaxBackoff   = 10 * time.Second
-	connectTimeout      = 1 * time.Second  // for an upstream to answer, before the next one is tried
-	silenceTimeout      = 25 * time.Second // without a message, after which an upstream is left; digests come every 10 s
-	isolationTimeout    = 10 * time.Second // without an upstream
-	incompleteTimeout   = 2 * time.Second  // between a message and the complete batch that follows it
-	tickInterval        = 1 * time.Second  // Tick is called at least so often
+	connectTimeout      = 1 * time.Second  // for an upstream to respond, before the next one is attempted
+	silenceTimeout      = 25 * time.Second // without a message, after which an upstream is disconnected; digests arrive every 10 s
+	isolationTimeout    = 10 * time.Second // without an upstream, after which the state is StateIsolated
+	incompleteTimeout   = 2 * time.Second  // from a message to the complete batch that follows it
+	tickInterval        = 1 * time.Second  // longest interval between calls of Tick
 )
 
-// SubscriberOptions are a subscriber's. A field that is zero takes its default.
+// SubscriberOptions configure a Subscriber. A field that is zero takes its default.
 type SubscriberOptions struct {
-	UpstreamCount int           // in the order in which they are tried, the preferred one first
-	StartTimeout  time.Duration // that a start waits for everything before it serves by what it holds
-	JitterSeed    string        // of backoffs: the subscriber's name
+	UpstreamCount int           // upstreams are attempted in order of their index, the preferred one first
+	StartTimeout  time.Duration // wait for a complete batch at the start, before the process serves from its stored configuration
+	JitterSeed    string        // seed of the backoff jitter: the subscriber's name
 	MaxBackoff    time.Duration
-	FailbackDelay time.Duration // until a preferred upstream is probed; 0: never
+	FailbackDelay time.Duration // until a preferred upstream is probed; 0 disables failback
 }
 
-// Action is what the caller does about connections.
+// Action tells the caller how to change its connections.
 type Action struct {
-	ShouldDial       bool // connect to Upstream; the caller then calls UpstreamConnected or UpstreamLost
-	ShouldDisconnect bool // first end the current connection or attempt, without a call of UpstreamLost
-	Upstream         int  // index of the one to connect to
-	IsFailback       bool // the connection that ends was good: a preferred upstream has answered a probe
-	ShouldProbe      bool // see whether ProbeUpstream answers, beside the current connection; the caller then calls ProbeEnded
-	ProbeUpstream    int  // index of the one to probe
+	ShouldDial       bool // connect to Upstream, then call UpstreamConnected or UpstreamLost
+	ShouldDisconnect bool // first close the current connection or attempt, without a call of UpstreamLost
+	Upstream         int  // index of the upstream to connect to
+	IsFailback       bool // the closed connection worked: a preferred upstream has responded to a probe
+	ShouldProbe      bool // probe ProbeUpstream without closing the current connection, then call ProbeEnded
+	ProbeUpstream    int  // index of the upstream to probe
 }
 
-// Subscriber decides which upstream is followed, and when the process may serve.
+// Subscriber selects the upstream to follow, and determines when the process may serve.
 type Subscriber struct {
 	options   SubscriberOptions
 	state     State
 	startedAt time.Duration
-	upstream  int // followed, tried, or to be tried next
+	upstream  int // index of the upstream that is connected, being attempted, or attempted next
 	link      linkState
 	freshness freshness
 	backoff   backoff
 	failback  failback
-	drawCount int // of random draws
+	drawCount int // number of calls of draw
 }
 
-// linkState is the current connection or attempt.
+// linkState is the state of the current connection or attempt.
 type linkState struct {
 	isDialing         bool
 	isConnected       bool
@@ -56,15 +56,15 @@
 	disconnectedSince time.Duration
 }
 
-// freshness is how far what was received is complete.
+// freshness records when the received configuration was last complete.
 type freshness struct {
-	isIncomplete    bool // something was received that no complete batch has followed
+	isIncomplete    bool // a message was received that no complete batch has followed yet
 	incompleteSince time.Duration
-	wasCurrent      bool // ever since the start
+	wasCurrent      bool // the subscriber was current at least once since its start
 	lastCurrent     time.Duration
 }
 
-// NewSubscriber returns a subscriber that starts at a moment.
+// NewSubscriber returns a subscriber that starts at now.
 func NewSubscriber(now time.Duration, options SubscriberOptions) *Subscriber {
 	options.StartTimeout = cmp.Or(options.StartTimeout, defaultStartTimeout)
 	options.MaxBackoff = cmp.Or(options.MaxBackoff, defaultMaxBackoff)
@@ -77,16 +77,16 @@
 	}
 }
 
-// State returns the subscriber's state.
+// State returns the subscriber's connection and freshness state.
 func (s *Subscriber) State() State { return s.state }
 
-// CanServe reports whether the process may serve by what it holds.
+// CanServe reports whether the process may serve from its stored configuration.
 func (s *Subscriber) CanServe() bool { return s.state != StateStarting && s.state != StateCatchingUp }
 
-// Upstream returns the index of the upstream followed or tried, and whether it is connected.
+// Upstream returns the index of the current upstream, and whether it is connected.
 func (s *Subscriber) Upstream() (index int, isConnected bool) { return s.upstream, s.link.isConnected }
 
-// Staleness returns how long ago the subscriber was current. isKnown is false if it never was since its start.
+// Staleness returns the time since the subscriber was last current. isKnown is false if it has not been current since its start.
 func (s *Subscriber) Staleness(now time.Duration) (age time.Duration, isKnown bool) {
 	if s.state == StateCurrent {
 		return 0, true
@@ -94,7 +94,7 @@
 	return now - s.freshness.lastCurrent, s.freshness.wasCurrent
 }
 
-// UpstreamConnected says that the current upstream has answered.
+// UpstreamConnected records that the handshake with the current upstream has completed.
 func (s *Subscriber) UpstreamConnected(now time.Duration) {
 	s.link.isDialing, s.link.isConnected = false, true
 	s.link.lastMessage, s.link.startedAt = now, now
@@ -102,7 +102,8 @@
 	s.apply(connected)
 }
 
-// MessageReceived says that the upstream has sent something, and whether everything that it has was received with it.
+// MessageReceived records a message of the upstream. isComplete reports whether the subscriber has now received all entries
+// that the upstream has.
 func (s *Subscriber) MessageReceived(now time.Duration, isComplete bool) {
 	if !s.link.isConnected {
 		return
@@ -119,7 +120,7 @@
 	s.apply(completed)
 }
 
-// UpstreamLost says that the current connection or attempt has ended, also by a rejection.
+// UpstreamLost records that the current connection or attempt has ended, including by a rejection.
 func (s *Subscriber) UpstreamLost(now time.Duration) {
 	if !s.link.isConnected && !s.link.isDialing {
 		return
@@ -133,22 +134,22 @@
 	s.endFailback(now)
 	s.link.isDialing, s.link.isConnected = false, false
 	s.freshness.isIncomplete = false
-	s.upstream = (s.upstream + 1) % s.options.UpstreamCount // not back to the one that was just lost
+	s.upstream = (s.upstream + 1) % s.options.UpstreamCount // the upstream that was just lost is attempted last
 	s.scheduleRetry(now)
 	s.apply(lost)
 }
 
-// Tick applies what the passing of time changes. It returns what the caller does, and when it calls Tick again at the latest.
-func (s *Subscriber) Tick(now time.Duration) (do Action, next time.Duration) {
+// Tick applies timeouts. It returns the action to perform, and the latest time of the next call of Tick.
+func (s *Subscriber) Tick(now time.Duration) (action Action, next time.Duration) {
 	if now-s.startedAt >= s.options.StartTimeout {
 		s.apply(startTimedOut)
 	}
 	switch {
 	case s.isUnresponsive(now):
-		do.ShouldDisconnect = true
+		action.ShouldDisconnect = true
 		s.UpstreamLost(now)
 	case s.startFailback(now):
-		do.ShouldDisconnect, do.IsFailback = true, true
+		action.ShouldDisconnect, action.IsFailback = true, true
 	}
 	if s.freshness.isIncomplete && now-s.freshness.incompleteSince >= incompleteTimeout {
 		s.apply(incompleteTimedOut)
@@ -157,14 +158,14 @@
 		s.apply(isolationTimedOut)
 	}
 	if !s.link.isConnected && !s.link.isDialing && now >= s.backoff.retryAt {
-		do.ShouldDial, do.Upstream = true, s.upstream
+		action.ShouldDial, action.Upstream = true, s.upstream
 		s.link.isDialing, s.link.startedAt = true, now
 	}
-	do.ProbeUpstream, do.ShouldProbe = s.startProbe(now)
-	return do, s.nextTick(now)
+	action.ProbeUpstream, action.ShouldProbe = s.startProbe(now)
+	return action, s.nextTick(now)
 }
 
-// isUnresponsive reports whether the current upstream has been silent for too long.
+// isUnresponsive reports whether the current upstream has exceeded connectTimeout or silenceTimeout.
 func (s *Subscriber) isUnresponsive(now time.Duration) bool {
 	return s.link.isDialing && now-s.link.startedAt >= connectTimeout || s.link.isConnected && now-s.link.lastMessage >= silenceTimeout
 }
--- a/internal/controlplane/distribution/subscriberstate.go
+++ b/internal/controlplane/distribution/subscriberstate.go
@@ -1,38 +1,38 @@
 package distribution
 
-// State of a subscriber.
+// State is the connection and freshness state of a subscriber.
 type State uint8
 
-// The states.
+// The states. In all but the first two the process may serve.
 const (
-	StateStarting   State = iota // no upstream has answered yet; the process does not serve yet
-	StateCatchingUp              // one has, and sends what is missing; the process does not serve yet
-	StateCurrent                 // everything that the upstream has was received
-	StateBehind                  // the process serves by what it holds while it reconnects or catches up
-	StateIsolated                // it serves by what it holds, and no upstream has answered for isolationTimeout
+	StateStarting   State = iota // no upstream is connected yet
+	StateCatchingUp              // an upstream is connected and sends the missing entries
+	StateCurrent                 // all entries that the upstream has were received
+	StateBehind                  // the process serves from its stored configuration while it reconnects or catches up
+	StateIsolated                // the process serves from its stored configuration without an upstream for isolationTimeout
 	stateLimit
 )
 
-// String returns the state's name in logs and in the status.
+// String returns the state's name, as used in logs and in the status.
 func (s State) String() string {
 	return [...]string{"starting", "catching up", "current", "behind", "isolated"}[s]
 }
 
-// stateInput is what a state changes by.
+// stateInput is an input of the state machine.
 type stateInput uint8
 
 const (
-	connected          stateInput = iota // an upstream has answered
-	completed                            // everything that it has was received
+	connected          stateInput = iota // an upstream has connected
+	completed                            // a complete batch was received
 	lost                                 // the connection or attempt has ended
-	startTimedOut                        // the time that a start may wait is over
-	isolationTimedOut                    // no upstream for isolationTimeout
-	incompleteTimedOut                   // something was received and not completed for incompleteTimeout
+	startTimedOut                        // SubscriberOptions.StartTimeout has elapsed since the start
+	isolationTimedOut                    // no upstream was connected for isolationTimeout
+	incompleteTimedOut                   // no complete batch followed a message within incompleteTimeout
 	stateInputLimit
 )
 
-// transitions are all changes of state. A process that serves never stops: only StateStarting and StateCatchingUp don't serve,
-// and no other state leads to them.
+// transitions is the transition table. A process that serves never stops serving: only StateStarting and StateCatchingUp don't
+// serve, and no other state leads to them.
 var transitions = [stateLimit][stateInputLimit]State{
 	StateStarting: {
 		connected:          StateCatchingUp,
--- a/internal/controlplane/distribution/subscription.go
+++ b/internal/controlplane/distribution/subscription.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-const maxRejections = 16 // kept of a subscriber
+const maxRejections = 16 // stored for each subscriber
 
 // subscription is a publisher's state of one subscriber.
 type subscription struct {
-	Subscription // Vector is kept up to date with acknowledgements
+	Subscription // acknowledgements advance Vector
 
 	id         SubscriptionID
 	services   map[string]bool
-	isPartial  bool   // the store holds only some of the subscriber's services: no batch is complete
-	sentVector Vector // this store's, as far as complete batches and digests have said it
-	sentPruned Vector // likewise its pruned vector
+	isPartial  bool   // the store has only some of the subscriber's services: no batch is complete
+	sentVector Vector // part of the store's vector that complete batches and digests have sent
+	sentPruned Vector // part of the store's pruned vector that complete batches have sent
 
 	reset    resetState
 	fresh    freshChanges
@@ -34,48 +34,49 @@
 	rejected          []Rejection
 }
 
-// resetState is the full syncs to a subscriber, which do not go by its vector: entries that are not sent end there.
+// resetState is the state of the full syncs to a subscriber. They ignore the subscriber's vector, and the subscriber removes
+// entries that are not sent.
 type resetState struct {
 	services      map[string]bool
-	isAllPending  bool   // all services are to be, also those not held here; the next batch says so
-	isAllUnderWay bool   // a batch has said so, and no complete one has followed
-	forPruned     Vector // pruned deletions that the last reset of all makes up for
+	isAllPending  bool   // the next batch starts a full sync of all services, including those without entries in this store
+	isAllUnderWay bool   // a batch has started a full sync of all services, and no complete batch has followed
+	forPruned     Vector // pruned vector that the last full sync of all services accounts for
 }
 
-// freshChanges are keys that changed since they were sent.
+// freshChanges is the set of keys that changed since they were last sent.
 type freshChanges struct {
 	keys  []Key                 // oldest first
-	since map[Key]time.Duration // when each one changed
+	since map[Key]time.Duration // time of the first unsent change of each key
 }
 
-// catchUp is what a subscriber lacked when it subscribed (delta sync), and its full syncs.
+// catchUp is the state of the delta sync after a subscription, and of full syncs.
 type catchUp struct {
-	isOwed   bool // a complete batch is owed
-	since    time.Duration
-	services []string        // whose keys were not collected yet
-	isQueued map[string]bool // the same as a set
-	keys     []Key           // collected, and still to be sent
+	needsComplete bool // a complete batch must still be sent
+	since         time.Duration
+	services      []string        // services whose keys were not collected yet
+	isQueued      map[string]bool // services as a set
+	keys          []Key           // collected keys that were not sent yet
 }
 
-// inFlight is what was sent and is not acknowledged.
+// inFlight is the state of the batches that were sent and not acknowledged.
 type inFlight struct {
 	batches      []sentBatch
 	bytes        int
-	lastProgress time.Duration // last acknowledgement, or the sending of the first batch after one
+	lastProgress time.Duration // time of the last acknowledgement, or of the first batch sent after it
 }
 
 // sentBatch is a batch that has not been acknowledged yet.
 type sentBatch struct {
 	number      uint64
 	bytes       int
-	oldestSince time.Duration // of its changes
+	oldestSince time.Duration // time of its oldest change
 	newestClock uint64
 }
 
-func newSubscription(now time.Duration, id SubscriptionID, asked Subscription, isPartial bool, bytesPerSecond int) *subscription {
-	asked.Vector = asked.Vector.Clone()
+func newSubscription(now time.Duration, id SubscriptionID, request Subscription, isPartial bool, bytesPerSecond int) *subscription {
+	request.Vector = request.Vector.Clone()
 	s := &subscription{
-		Subscription: asked,
+		Subscription: request,
 		id:           id,
 		services:     map[string]bool{},
 		isPartial:    isPartial,
@@ -83,7 +84,7 @@
 		sentPruned:   Vector{},
 		reset:        resetState{services: map[string]bool{}, forPruned: Vector{}},
 		fresh:        freshChanges{since: map[Key]time.Duration{}},
-		catchUp:      catchUp{isOwed: true, since: now, isQueued: map[string]bool{}},
+		catchUp:      catchUp{needsComplete: true, since: now, isQueued: map[string]bool{}},
 		inFlight:     inFlight{lastProgress: now},
 		bucket:       newTokenBucket(bytesPerSecond, subscriberBurst),
 		digestAt:     now + digestInterval,
@@ -92,7 +93,7 @@
 	return s
 }
 
-// queueCatchUp has a service's keys collected.
+// queueCatchUp adds a service to the catch-up.
 func (s *subscription) queueCatchUp(service string) {
 	if !s.catchUp.isQueued[service] {
 		s.catchUp.isQueued[service] = true
@@ -103,7 +104,7 @@
 // resetService starts a full sync of a service.
 func (s *subscription) resetService(service string) {
 	s.reset.services[service] = true
-	s.catchUp.isOwed = true
+	s.catchUp.needsComplete = true
 	s.queueCatchUp(service)
 }
 
@@ -112,7 +113,7 @@
 	return s.reset.isAllPending || s.reset.isAllUnderWay || s.reset.services[service]
 }
 
-// recordRejections keeps the newest rejections, one of a key; one without a reason withdraws it.
+// recordRejections stores the newest rejections, one for each key. A rejection without a reason removes that of its key.
 func (s *subscription) recordRejections(rejected []Rejection) {
 	for _, r := range rejected {
 		s.rejected = slices.DeleteFunc(s.rejected, func(other Rejection) bool { return other.Key == r.Key })
@@ -125,7 +126,7 @@
 	}
 }
 
-// status returns what is known of the subscriber.
+// status returns the subscriber's replication status.
 func (s *subscription) status(now time.Duration) NodeStatus {
 	return NodeStatus{
 		Name:                s.Name,
@@ -138,17 +139,17 @@
 		PendingKeys:         len(s.fresh.keys) + len(s.catchUp.keys),
 		UnacknowledgedBytes: s.inFlight.bytes,
 		HasAcknowledged:     s.hasAcknowledged,
-		IsCatchingUp:        s.catchUp.isOwed,
+		IsCatchingUp:        s.catchUp.needsComplete,
 		IsConnected:         true,
 		Rejected:            slices.Clone(s.rejected),
 	}
 }
 
-// lag is the age of the oldest change that is not acknowledged, whether it waits or was sent. During a catch-up it is the time
-// since that began.
+// lag returns the age of the oldest change that is pending or not acknowledged. During a catch-up it is at least the time since
+// the catch-up started.
 func (s *subscription) lag(now time.Duration) time.Duration {
 	oldest := now
-	if s.catchUp.isOwed {
+	if s.catchUp.needsComplete {
 		oldest = min(oldest, s.catchUp.since)
 	}
 	if len(s.fresh.keys) > 0 {
--- a/internal/controlplane/distribution/vector.go
+++ b/internal/controlplane/distribution/vector.go
@@ -2,14 +2,14 @@
 
 import "maps"
 
-// Vector is a version vector: by origin, up to which sequence a holder has everything of its services. Of each write up to
-// there it holds that version of the key or a greater one, or knows that the key was deleted.
+// Vector is a version vector: it maps each origin to the sequence up to which a store covers all writes to its services. For
+// each covered write the store has that version of the key or a greater one, or has applied a deletion of the key.
 type Vector map[Origin]uint64
 
-// Covers reports whether an entry is within the vector.
+// Covers reports whether the vector includes the entry's write.
 func (v Vector) Covers(e Entry) bool { return e.Sequence <= v[e.Origin] }
 
-// CoversAll reports whether the vector covers all that another covers.
+// CoversAll reports whether the vector covers every write that other covers.
 func (v Vector) CoversAll(other Vector) bool {
 	for origin, sequence := range other {
 		if v[origin] < sequence {
@@ -19,18 +19,18 @@
 	return true
 }
 
-// Join raises the vector to the greater of both, and reports whether it has grown.
-func (v Vector) Join(other Vector) (hasGrown bool) {
+// Join raises the vector to the element-wise maximum of both, and reports whether it has advanced.
+func (v Vector) Join(other Vector) (hasAdvanced bool) {
 	for origin, sequence := range other {
 		if sequence > v[origin] {
 			v[origin] = sequence
-			hasGrown = true
+			hasAdvanced = true
 		}
 	}
-	return hasGrown
+	return hasAdvanced
 }
 
-// AheadOf returns the part of the vector that another does not cover.
+// AheadOf returns the elements of the vector that other does not cover.
 func (v Vector) AheadOf(other Vector) Vector {
 	ahead := Vector{}
 	for origin, sequence := range v {
@@ -41,7 +41,7 @@
 	return ahead
 }
 
-// isCoveredBy reports whether the others together cover all of the vector.
+// isCoveredBy reports whether each element of the vector is covered by at least one of the others.
 func (v Vector) isCoveredBy(others ...Vector) bool {
 	for origin, sequence := range v {
 		isCovered := false
@@ -55,7 +55,7 @@
 	return true
 }
 
-// Clone returns a copy, which is not nil.
+// Clone returns a copy, which is never nil.
 func (v Vector) Clone() Vector {
 	if v == nil {
 		return Vector{}
@@ -63,7 +63,7 @@
 	return maps.Clone(v)
 }
 
-// Total returns the number of changes that the vector covers, which commands show as the revision. RenewOrigin may lower it.
+// Total returns the number of changes that the vector covers, which commands print as the revision. RenewOrigin may lower it.
 func (v Vector) Total() (total uint64) {
 	for _, sequence := range v {
 		total += sequence
--- a/internal/controlplane/distribution/world_test.go
+++ b/internal/controlplane/distribution/world_test.go
@@ -391,7 +391,7 @@
 func (w *world) busy() bool {
 	for _, h := range w.holders {
 		for _, s := range h.pub.subscriptions {
-			if s.hasWaiting(freshLane) || s.hasWaiting(catchUpLane) || len(s.inFlight.batches) > 0 {
+			if s.hasPending(freshLane) || s.hasPending(catchUpLane) || len(s.inFlight.batches) > 0 {
 				return true
 			}
 		}
--- a/internal/controlplane/distribution/write.go
+++ b/internal/controlplane/distribution/write.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Write makes changes under this store's origin, all or none. The caller has the entries on disk before it confirms them. The
+// Write applies changes atomically under the store's origin. The caller saves the entries to disk before it confirms them. The
 // error wraps one of the errors of this package, such as ErrStoreFull.
 func (s *Store) Write(wall time.Time, changes []Change) ([]Entry, error) {
 	if err := s.checkWrite(wall, changes); err != nil {
@@ -20,7 +20,7 @@
 	return entries, nil
 }
 
-// writeOne gives an entry the next version of this store's origin and holds it.
+// writeOne assigns the next version of the store's origin to an entry and stores it.
 func (s *Store) writeOne(wall time.Time, e Entry) Entry {
 	s.newestClock = max(ClockAt(wall), s.newestClock+1)
 	s.own.sequence++
@@ -29,16 +29,16 @@
 	return e
 }
 
-// checkWrite returns why changes must not be written, if so.
+// checkWrite returns an error if the changes cannot be written.
 func (s *Store) checkWrite(wall time.Time, changes []Change) error {
 	if s.own.origin == "" {
-		return fmt.Errorf("%w: a holder without one does not write", ErrInvalidOrigin)
+		return fmt.Errorf("%w: store without an origin is read-only", ErrInvalidOrigin)
 	}
 	if s.own.isStale {
 		return ErrStaleOrigin
 	}
 	if len(changes) == 0 || len(changes) > MaxChanges {
-		return fmt.Errorf("%w: %d of at most %d", ErrChangeCount, len(changes), MaxChanges)
+		return fmt.Errorf("%w: got %d, limit %d", ErrChangeCount, len(changes), MaxChanges)
 	}
 	if ahead := ClockTime(s.newestClock).Sub(wall); s.newestClock > 0 && ahead > s.limits.MaxClockAhead {
 		return &ClockError{ahead}
