--- a/internal/controlplane/distribution/control/accept.go
+++ b/internal/controlplane/distribution/control/accept.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	acceptRetry       = 10 * time.Millisecond // after a shortage, which passes
-	handshakeTimeout  = 2 * time.Second       // for a peer's TLS and greeting
+	acceptRetry       = 10 * time.Millisecond // after a failed accept, as in a temporary shortage of descriptors
+	handshakeTimeout  = 2 * time.Second       // for the TLS handshake and the greeting
 	lingerTimeout     = 300 * time.Millisecond
-	maxUnsubscribed   = 64 // connections, as of commands, so that they take no subscriber's place
+	maxUnsubscribed   = 64 // connections without a subscription, as of commands; bounded so that subscribers can connect
 	keepAliveIdle     = 5 * time.Second
 	keepAliveInterval = 2 * time.Second
 	keepAliveCount    = 3
 )
 
-// keepAlive has the system notice within about ten seconds that a peer's machine is gone.
+// keepAlive makes the operating system detect the loss of a peer's machine within about ten seconds.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 
-// errTooManyConnections rejects a connection for want of room.
-var errTooManyConnections = errors.New("too many connections, ask another control process")
+// errTooManyConnections rejects a connection beyond the limits.
+var errTooManyConnections = errors.New("too many connections: try another control process")
 
-// accept takes connections of subscribers and of commands, until the context ends.
+// accept accepts connections of subscribers and commands until the context ends.
 func (s *Server) accept(ctx context.Context, listener *net.TCPListener) {
 	var connections sync.WaitGroup
 	defer connections.Wait()
@@ -81,7 +81,7 @@
 	s.serveLink(ctx, newLink(s, conn, peer, nil))
 }
 
-// handshake does the TLS and greeting of an accepted connection.
+// handshake performs the TLS handshake and the greeting on an accepted connection.
 func (s *Server) handshake(ctx context.Context, nc net.Conn) (conn *framing.Conn, peer string, err error) {
 	deadline := time.Now().Add(handshakeTimeout)
 	if s.config.Keys != nil {
@@ -98,14 +98,15 @@
 	return conn, peer, err
 }
 
-// logReloadError logs that changed keys could not be read. The ones read before are used.
+// logReloadError logs a failed reload of changed keys. The previous keys stay in use.
 func (s *Server) logReloadError() {
 	if err := s.config.Keys.ReloadError(); err != nil {
 		s.log.Error().Err(err).Msg("keys not reloaded")
 	}
 }
 
-// linger reads on for a moment after a rejection was sent: a close with unread bytes would take it from the peer.
+// linger continues to read for lingerTimeout after a rejection was sent: a close with unread bytes resets the connection, and
+// the peer could lose the rejection.
 func linger(conn net.Conn) {
 	if half, ok := conn.(interface{ CloseWrite() error }); ok {
 		half.CloseWrite()
@@ -114,7 +115,7 @@
 	io.Copy(io.Discard, conn)
 }
 
-// peerRejected notes a peer that broke the protocol, or that there is no room for.
+// peerRejected logs and counts a peer that violated the protocol or exceeded a connection limit.
 func (s *Server) peerRejected(from string, why error) {
 	s.log.Warn().Str("from", from).Err(why).Msg("peer rejected")
 	s.mu.Lock()
@@ -122,5 +123,5 @@
 	s.counts.rejectedPeers++
 }
 
-// describePeer is a peer in log lines.
+// describePeer formats a peer's name and address for log lines.
 func describePeer(name, from string) string { return fmt.Sprintf("%s at %s", name, from) }
--- a/internal/controlplane/distribution/control/config.go
+++ b/internal/controlplane/distribution/control/config.go
@@ -25,7 +25,7 @@
 	maxFailbackDelay       = 24 * time.Hour
 )
 
-// Defaults of the file.
+// Defaults of optional settings.
 const (
 	defaultTotalBytesPerSecond   = 8 << 20
 	defaultNodeBytesPerSecond    = 16 << 10
@@ -35,26 +35,26 @@
 	defaultFailbackDelay         = time.Minute
 )
 
-// Config is a control process's file.
+// Config contains the settings of a control process.
 type Config struct {
 	Name                  string            `toml:"name"`
 	Region                string            `toml:"region"`
 	Zone                  string            `toml:"zone"`
 	Listen                string            `toml:"listen"`
-	Disk                  string            `toml:"disk"`       // file of what this process holds
-	DiskBytes             int               `toml:"disk_bytes"` // largest size of it; 0 for any
+	Disk                  string            `toml:"disk"`       // path of the file that stores the entries
+	DiskBytes             int               `toml:"disk_bytes"` // maximum size of the file; 0 for no limit
 	Upstreams             []string          `toml:"upstreams"`
-	Follow                string            `toml:"follow"` // all upstreams, or one at a time
+	Follow                string            `toml:"follow"` // followAll or followOne
 	TotalBytesPerSecond   int               `toml:"out_bytes"`
 	NodeBytesPerSecond    int               `toml:"node_bytes"`
 	ControlBytesPerSecond int               `toml:"control_bytes"`
 	MaxConnections        int               `toml:"connections"`
 	DeletionRetention     tomlfile.Duration `toml:"keep_deleted"`
-	FailbackDelay         tomlfile.Duration `toml:"return_after"` // until an upstream preferred to the one followed is probed; 0: never
-	Discovery             string            `toml:"discovery"`    // servers come from here
-	Registry              string            `toml:"registry"`     // or from the registry that this file names
-	Service               string            `toml:"service"`      // and are of this service
-	TLSName               string            `toml:"tls_name"`     // that the upstreams' certificates are for
+	FailbackDelay         tomlfile.Duration `toml:"return_after"` // delay before a preferred upstream is probed; 0 disables failback
+	Discovery             string            `toml:"discovery"`    // address of the discovery service that lists servers
+	Registry              string            `toml:"registry"`     // path of the settings of the registry that lists servers
+	Service               string            `toml:"service"`      // service of the listed servers
+	TLSName               string            `toml:"tls_name"`     // server name in the upstreams' certificates
 	Cert                  string            `toml:"cert"`
 	Key                   string            `toml:"key"`
 	CA                    string            `toml:"ca"`
@@ -64,19 +64,19 @@
 	UpstreamAddresses []netip.AddrPort    `toml:"-"`
 	DiscoveryAddress  netip.AddrPort      `toml:"-"`
 	Ensemble          *zookeeper.Config   `toml:"-"`
-	Keys              *mtls.Keys          `toml:"-"` // nil: plaintext
-	StoreLimits       distribution.Limits `toml:"-"` // zero: the defaults
+	Keys              *mtls.Keys          `toml:"-"` // nil for plaintext
+	StoreLimits       distribution.Limits `toml:"-"` // zero for the defaults
 }
 
-// The two ways to follow several upstreams, in the file's words.
+// Values of Config.Follow.
 const (
-	followAll = "all"
-	followOne = "one"
+	followAll = "all" // follow all upstreams simultaneously
+	followOne = "one" // follow one upstream at a time, in order of preference
 )
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// Load reads the file. The error names each fault by file and line.
+// Load reads and validates a settings file. The error lists each fault with its file and line.
 func Load(path string) (*Config, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
@@ -105,60 +105,60 @@
 
 func (c *Config) checkNames(f *tomlfile.File) {
 	if !namePattern.MatchString(c.Name) {
-		f.Wrong("name", "name %q: letters, digits, dots, dashes and underscores, a letter or digit first, 64 at most", c.Name)
+		f.Wrong("name", "name %q: must start with a letter or digit, and contain only letters, digits, dots, dashes and underscores, at most 64 characters", c.Name)
 	}
 	checkOptionalName(f, "region", c.Region)
 	checkOptionalName(f, "zone", c.Zone)
 	if c.Follow != followAll && c.Follow != followOne {
-		f.Wrong("follow", "follow %q: all for roots, one for relays", c.Follow)
+		f.Wrong("follow", "follow %q: want all (for roots) or one (for relays)", c.Follow)
 	}
 }
 
 func checkOptionalName(f *tomlfile.File, key, text string) {
 	if text != "" && !namePattern.MatchString(text) {
-		f.Wrong(key, "%s %q: letters, digits, dots, dashes and underscores, a letter or digit first, 64 at most", key, text)
+		f.Wrong(key, "%s %q: must start with a letter or digit, and contain only letters, digits, dots, dashes and underscores, at most 64 characters", key, text)
 	}
 }
 
 func (c *Config) checkAddresses(f *tomlfile.File) {
 	var err error
 	if c.ListenAddress, err = netip.ParseAddrPort(c.Listen); err != nil {
-		f.Wrong("listen", "listen %q: an address and a port are wanted", c.Listen)
+		f.Wrong("listen", "listen %q: want an IP address and a port", c.Listen)
 	}
 	if len(c.Upstreams) > maxUpstreams {
-		f.Wrong("upstreams", "%d upstreams: %d at most", len(c.Upstreams), maxUpstreams)
+		f.Wrong("upstreams", "%d upstreams: at most %d", len(c.Upstreams), maxUpstreams)
 	}
 	addresses := []netip.AddrPort{c.ListenAddress}
 	for i, text := range c.Upstreams {
 		address, err := netip.ParseAddrPort(text)
 		switch {
 		case err != nil:
-			f.Wrong("upstreams."+strconv.Itoa(i), "upstream %q: an address and a port are wanted", text)
+			f.Wrong("upstreams."+strconv.Itoa(i), "upstream %q: want an IP address and a port", text)
 		case address == c.ListenAddress:
-			f.Wrong("upstreams."+strconv.Itoa(i), "upstream %q is this process itself", text)
+			f.Wrong("upstreams."+strconv.Itoa(i), "upstream %q: address of this process itself", text)
 		}
 		c.UpstreamAddresses = append(c.UpstreamAddresses, address)
 	}
 	if !c.Plaintext && c.TLSName == "" && len(c.Upstreams) > 0 {
-		f.Wrong("tls_name", "tls_name says what the upstreams' certificates are for")
+		f.Wrong("tls_name", "tls_name is required with upstreams: server name in their certificates")
 	}
 	c.Keys = mtls.KeysFromConfig(f, mtls.Files{Cert: c.Cert, Key: c.Key, CA: c.CA}, c.Plaintext, append(addresses, c.UpstreamAddresses...))
 }
 
 func (c *Config) checkDisk(f *tomlfile.File) {
 	if c.Disk == "" {
-		f.Wrong("disk", "disk names no file")
+		f.Wrong("disk", "disk is required: path of the file that stores the entries")
 	} else if st, err := os.Stat(filepath.Dir(c.Disk)); err != nil || !st.IsDir() {
-		f.Wrong("disk", "disk %q is in no folder that is there", c.Disk)
+		f.Wrong("disk", "disk %q: parent is not an existing directory", c.Disk)
 	}
 	if c.DiskBytes != 0 && c.DiskBytes < minDiskBytes {
-		f.Wrong("disk_bytes", "disk_bytes %d: %d at least, or 0 for any size", c.DiskBytes, minDiskBytes)
+		f.Wrong("disk_bytes", "disk_bytes %d: must be at least %d, or 0 for no limit", c.DiskBytes, minDiskBytes)
 	}
 	if d := c.FailbackDelay.Std(); d < 0 || d > maxFailbackDelay {
-		f.Wrong("return_after", "return_after %s: from 0s to %s", d, maxFailbackDelay)
+		f.Wrong("return_after", "return_after %s: must be from 0s to %s", d, maxFailbackDelay)
 	}
 	if c.DeletionRetention.Std() < minDeletionRetention {
-		f.Wrong("keep_deleted", "keep_deleted %s: %s at least, longer than any process is away", c.DeletionRetention.Std(), minDeletionRetention)
+		f.Wrong("keep_deleted", "keep_deleted %s: must be at least %s, and exceed the longest disconnection of any process", c.DeletionRetention.Std(), minDeletionRetention)
 	}
 }
 
@@ -167,13 +167,13 @@
 	checkBytesPerSecond(f, "node_bytes", c.NodeBytesPerSecond, minPeerBytesPerSecond)
 	checkBytesPerSecond(f, "control_bytes", c.ControlBytesPerSecond, minPeerBytesPerSecond)
 	if c.MaxConnections < 1 || c.MaxConnections > connectionsLimit {
-		f.Wrong("connections", "connections %d: from 1 to %d", c.MaxConnections, connectionsLimit)
+		f.Wrong("connections", "connections %d: must be from 1 to %d", c.MaxConnections, connectionsLimit)
 	}
 }
 
 func checkBytesPerSecond(f *tomlfile.File, key string, bytes, least int) {
 	if bytes < least || bytes > maxBytesPerSecond {
-		f.Wrong(key, "%s %d: from %d to %d a second", key, bytes, least, maxBytesPerSecond)
+		f.Wrong(key, "%s %d: must be from %d to %d bytes per second", key, bytes, least, maxBytesPerSecond)
 	}
 }
 
@@ -181,24 +181,24 @@
 	var err error
 	switch {
 	case c.Discovery != "" && c.Registry != "":
-		f.Wrong("registry", "either discovery or a registry")
+		f.Wrong("registry", "either discovery or registry may be set, not both")
 	case c.Registry != "":
 		if c.Ensemble, err = zookeeper.Load(c.Registry); err != nil {
 			f.Wrong("registry", "%v", err)
 		}
 	case c.Discovery != "":
 		if c.DiscoveryAddress, err = netip.ParseAddrPort(c.Discovery); err != nil {
-			f.Wrong("discovery", "discovery %q: an address and a port are wanted", c.Discovery)
+			f.Wrong("discovery", "discovery %q: want an IP address and a port", c.Discovery)
 		}
 	case c.Service != "":
-		f.Wrong("service", "service says whose servers discovery or a registry lists, and neither is named")
+		f.Wrong("service", "service requires discovery or registry")
 	}
 	if c.hasSource() && (c.Service == "" || len(c.Service) > distribution.MaxNameBytes) {
-		f.Wrong("service", "service %q: whose servers the source lists, %d bytes at most", c.Service, distribution.MaxNameBytes)
+		f.Wrong("service", "service %q: required with discovery or registry, at most %d bytes", c.Service, distribution.MaxNameBytes)
 	}
 }
 
-// hasSource reports whether this process writes the servers of a source.
+// hasSource reports whether this process writes the servers that discovery or a registry lists.
 func (c *Config) hasSource() bool { return c.Discovery != "" || c.Registry != "" }
 
 func (c *Config) budget() distribution.Budget {
--- a/internal/controlplane/distribution/control/control_test.go
+++ b/internal/controlplane/distribution/control/control_test.go
@@ -81,7 +81,7 @@
 // A process whose upstreams don't answer accepts no write and serves nobody until it has waited for them.
 func TestStartWaitsForUpstreams(t *testing.T) {
 	t.Parallel()
-	m := startAlone(t, settings(t, "r", address.Free(t), disks(t)("r"), address.Free(t)), zerolog.Nop(), startAloneTimeout)
+	m := startWith(t, settings(t, "r", address.Free(t), disks(t)("r"), address.Free(t)), zerolog.Nop(), defaultStartTimeout)
 	n := node("n", "s")
 	n.subscribe(t, m.at)
 	if _, err := tryWrite(m.at, route("s", "x")); err == nil || err.Error() != errNotCurrent.Error() {
@@ -102,7 +102,7 @@
 	if early {
 		t.Error("it serves a node as if it were current")
 	}
-	if m.now() < startAloneTimeout {
+	if m.now() < defaultStartTimeout {
 		t.Errorf("current after %v", m.now())
 	}
 	wait(t, "a complete batch", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.complete })
@@ -208,7 +208,7 @@
 	for n := 0; err == nil && n < 20_000; n += 1000 {
 		_, err = tryWrite(a.at, routes("s", n, n+1000)...)
 	}
-	if err == nil || !strings.Contains(err.Error(), "in force from memory") {
+	if err == nil || !strings.Contains(err.Error(), "in effect from memory") {
 		t.Fatalf("answered: %v", err)
 	}
 	agree(t, a, b)
--- a/internal/controlplane/distribution/control/counts.go
+++ b/internal/controlplane/distribution/control/counts.go
@@ -4,18 +4,18 @@
 
 const countsInterval = 10 * time.Second
 
-// counts since the last line of the log. Server.mu is held around them.
+// counts are the events since the last log line of counts. Server.mu guards them.
 type counts struct {
 	sentBatches     int
 	sentBytes       int
 	receivedBatches int
 	mergedEntries   int
 	writes          int
-	changes         int // of writes
+	changes         int // in writes
 	pulls           int // sent
-	rejectedEntries int // received and not held
+	rejectedEntries int // received and not stored
 	rejectedPeers   int
-	disconnected    int // slow peers
+	disconnected    int // peers disconnected as slow
 }
 
 // logCounts logs the counts and sets them to zero.
--- a/internal/controlplane/distribution/control/doc.go
+++ b/internal/controlplane/distribution/control/doc.go
@@ -1,8 +1,8 @@
-// Package control runs one control process: a replica of all configuration, which serves nodes and other control processes,
-// follows its own upstreams, accepts writes and, if its file says so, writes the servers that discovery or a registry lists.
-// What is decided is in package distribution; here are sockets, the disk and clocks. Process is the entry point.
+// Package control runs a control process: a replica of all configuration that serves nodes and other control processes,
+// follows its own upstreams, accepts writes and, if configured, writes the servers that discovery or a registry lists. Package
+// distribution contains the protocol logic; this package adds sockets, the disk and clocks. Process is the entry point.
 //
-// A Server's state is shared by its goroutines under Server.mu: one per connection reads and one writes, one publishes, one
-// per follower leads the connection to an upstream. A connection's queue of messages has a lock of its own, which may be taken
-// under Server.mu but not the other way round.
+// The goroutines of a Server share its state under Server.mu: each connection has one that reads and one that writes, one
+// goroutine publishes, and each follower has one that manages the connection to an upstream. The message queue of
+// a connection has its own lock, which may be acquired while Server.mu is held, but not vice versa.
 package control
--- a/internal/controlplane/distribution/control/faults_test.go
+++ b/internal/controlplane/distribution/control/faults_test.go
@@ -169,7 +169,7 @@
 			}
 		}
 		_, err := tryWriteWithin(f.a.at, 2*time.Second, route("s", "on-a-full-disk"))
-		return err != nil && strings.Contains(err.Error(), "in force from memory")
+		return err != nil && strings.Contains(err.Error(), "in effect from memory")
 	}
 	wait(t, "a full disk", filled)
 	f.writer.reach(t, 50)
--- a/internal/controlplane/distribution/control/follower.go
+++ b/internal/controlplane/distribution/control/follower.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	dialTimeout  = time.Second            // for a connection, its TLS and its greeting
-	maxBackoff   = 2 * time.Second        // control processes are few, and regions that meet again are to agree within seconds
-	pingAfter    = 2 * time.Second        // of an upstream's silence
-	pingTimeout  = 2 * time.Second        // for it to say anything
-	pingInterval = 500 * time.Millisecond // between two looks at its silence
+	dialTimeout  = time.Second            // for the TCP connection, the TLS handshake and the greeting
+	maxBackoff   = 2 * time.Second        // short, because control processes are few and regions must converge within seconds after a partition
+	pingAfter    = 2 * time.Second        // without a frame, after which an upstream is pinged
+	pingTimeout  = 2 * time.Second        // from a ping to the next frame
+	pingInterval = 500 * time.Millisecond // between checks for a silent upstream
 )
 
-// follower follows one of its upstreams at a time. Its run goroutine owns it, except for what is under Server.mu.
+// follower maintains a connection to one of its upstreams at a time. The goroutine of run owns the fields that Server.mu does
+// not guard.
 type follower struct {
 	server    *Server
 	upstreams []netip.AddrPort
-	lastFault string // of the last attempt, so that it is logged once
+	lastFault string // of the last attempt, to log repeated faults once
 
-	// Under Server.mu.
+	// Guarded by Server.mu.
 	subscriber *distribution.Subscriber
 	link       *link         // nil without a connection
-	pingedAt   time.Duration // 0: the upstream was not pinged
+	pingedAt   time.Duration // time of the last ping on this connection; 0 for none
 }
 
-// attempt is a connection, or the attempt to make one.
+// attempt is a connection to an upstream, or an attempt to establish one.
 type attempt struct {
 	upstream netip.AddrPort
 	cancel   context.CancelFunc
-	done     chan error // receives why it has ended
+	done     chan error // receives the cause of the end
 }
 
-// newFollowers makes the followers that the file asks for: one of all upstreams, or one of each.
+// newFollowers creates the configured followers: one for all upstreams, or one for each.
 func (s *Server) newFollowers() []*follower {
 	if len(s.config.UpstreamAddresses) == 0 {
 		return nil
@@ -63,22 +64,22 @@
 	s.followers = append(s.followers, &follower{server: s, upstreams: upstreams, subscriber: subscriber})
 }
 
-// run follows upstreams until the context ends.
+// run maintains the connection to an upstream until the context ends.
 func (f *follower) run(ctx context.Context) {
 	none := &attempt{cancel: func() {}}
 	current := none
-	probes := make(chan probeResult, 1) // the subscriber asks for one at a time
+	probes := make(chan probeResult, 1) // the subscriber requests one probe at a time
 	for {
-		do, wait := f.tick(current)
-		if do.ShouldDisconnect && current != none {
+		action, wait := f.tick(current)
+		if action.ShouldDisconnect && current != none {
 			f.attemptEnded(current, <-current.done)
 			current = none
 		}
-		if do.ShouldDial {
-			current = f.startAttempt(ctx, f.upstreams[do.Upstream])
+		if action.ShouldDial {
+			current = f.startAttempt(ctx, f.upstreams[action.Upstream])
 		}
-		if do.ShouldProbe {
-			go func() { probes <- f.probe(ctx, do.ProbeUpstream) }()
+		if action.ShouldProbe {
+			go func() { probes <- f.probe(ctx, action.ProbeUpstream) }()
 		}
 		t := time.NewTimer(min(wait, pingInterval))
 		select {
@@ -101,17 +102,17 @@
 	}
 }
 
-// tick asks the subscriber what is to be done, and cancels the current attempt if that is to end.
-func (f *follower) tick(current *attempt) (do distribution.Action, wait time.Duration) {
+// tick returns the subscriber's next action, and cancels the current attempt if the action closes it.
+func (f *follower) tick(current *attempt) (action distribution.Action, wait time.Duration) {
 	s := f.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	do, next := f.subscriber.Tick(now)
-	if do.ShouldDisconnect {
+	action, next := f.subscriber.Tick(now)
+	if action.ShouldDisconnect {
 		current.cancel()
 	}
-	return do, next - now
+	return action, next - now
 }
 
 func (f *follower) upstreamLost() {
@@ -123,10 +124,10 @@
 func (f *follower) probeEnded(p probeResult) {
 	f.server.mu.Lock()
 	defer f.server.mu.Unlock()
-	f.subscriber.ProbeEnded(f.server.now(), p.upstream, p.hasAnswered)
+	f.subscriber.ProbeEnded(f.server.now(), p.upstream, p.hasResponded)
 }
 
-// attemptEnded logs why a connection or an attempt has ended, unless the last one had the same end.
+// attemptEnded logs the end of a connection or an attempt, unless the previous one ended with the same upstream and cause.
 func (f *follower) attemptEnded(a *attempt, err error) {
 	s := f.server
 	s.mu.Lock()
@@ -143,7 +144,7 @@
 	}
 }
 
-// startAttempt begins an attempt at an upstream.
+// startAttempt starts an attempt to connect to an upstream.
 func (f *follower) startAttempt(ctx context.Context, upstream netip.AddrPort) *attempt {
 	ctx, cancel := context.WithCancel(ctx)
 	a := &attempt{upstream: upstream, cancel: cancel, done: make(chan error, 1)}
@@ -154,7 +155,7 @@
 	return a
 }
 
-// connect makes a connection to an upstream and serves it until it ends.
+// connect establishes a connection to an upstream and serves it until it ends.
 func (f *follower) connect(ctx context.Context, upstream netip.AddrPort) error {
 	nc, deadline, err := dialUpstream(ctx, upstream)
 	if err != nil {
@@ -173,7 +174,7 @@
 	return f.server.serveLink(ctx, l)
 }
 
-// dialUpstream connects to an upstream, which must have greeted by the deadline.
+// dialUpstream connects to an upstream. The handshake must complete by the returned deadline.
 func dialUpstream(ctx context.Context, upstream netip.AddrPort) (nc net.Conn, deadline time.Time, err error) {
 	deadline = time.Now().Add(dialTimeout)
 	d := net.Dialer{Deadline: deadline, KeepAliveConfig: keepAlive}
@@ -181,7 +182,7 @@
 	return nc, deadline, err
 }
 
-// handshake does the TLS and greeting of a connection to an upstream.
+// handshake performs the TLS handshake and the greeting on a connection to an upstream.
 func (f *follower) handshake(ctx context.Context, nc net.Conn, deadline time.Time) (conn *framing.Conn, peer string, err error) {
 	config := f.server.config
 	if config.Keys != nil {
@@ -198,13 +199,13 @@
 	return conn, peer, err
 }
 
-// probeResult is how the probe of an upstream has ended.
+// probeResult is the result of the probe of an upstream.
 type probeResult struct {
-	upstream    int
-	hasAnswered bool
+	upstream     int
+	hasResponded bool
 }
 
-// probe sees whether an upstream answers, beside the current connection.
+// probe tests whether an upstream completes the handshake on a separate connection.
 func (f *follower) probe(ctx context.Context, upstream int) probeResult {
 	nc, deadline, err := dialUpstream(ctx, f.upstreams[upstream])
 	if err != nil {
@@ -216,7 +217,7 @@
 	return probeResult{upstream, err == nil}
 }
 
-// subscribe subscribes to all services at an upstream. It returns false if the attempt has been given up.
+// subscribe subscribes to all services at an upstream. It returns false if the attempt was canceled.
 func (f *follower) subscribe(ctx context.Context, l *link) bool {
 	s := f.server
 	s.mu.Lock()
@@ -241,7 +242,7 @@
 	return true
 }
 
-// pingIfSilent pings a silent upstream, and leaves it if that is not answered.
+// pingIfSilent pings a silent upstream, and closes the connection if no frame follows within pingTimeout.
 func (f *follower) pingIfSilent() {
 	s := f.server
 	s.mu.Lock()
--- a/internal/controlplane/distribution/control/helpers_test.go
+++ b/internal/controlplane/distribution/control/helpers_test.go
@@ -31,7 +31,7 @@
 	}))
 }
 
-const aloneInTests = 500 * time.Millisecond // in place of startAloneTimeout
+const testStartTimeout = 500 * time.Millisecond // replaces defaultStartTimeout
 
 const patience = 30 * time.Second // of a test for what must come; no verdict hangs on it
 
@@ -66,11 +66,11 @@
 
 func start(t *testing.T, config *Config) *member {
 	t.Helper()
-	return startAlone(t, config, zerolog.Nop(), aloneInTests)
+	return startWith(t, config, zerolog.Nop(), testStartTimeout)
 }
 
-// startAlone starts a member that waits for upstreams for a given time.
-func startAlone(t *testing.T, config *Config, log zerolog.Logger, alone time.Duration) *member {
+// startWith starts a member with a log and a start timeout.
+func startWith(t *testing.T, config *Config, log zerolog.Logger, startTimeout time.Duration) *member {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(config.ListenAddress))
 	if err != nil {
@@ -81,7 +81,7 @@
 		listener.Close()
 		t.Fatal(err)
 	}
-	s.aloneTimeout = alone
+	s.startTimeout = startTimeout
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &member{Server: s, at: config.ListenAddress.String(), cancel: cancel, done: make(chan error, 1)}
 	go func() { m.done <- s.run(ctx, listener) }()
--- a/internal/controlplane/distribution/control/link.go
+++ b/internal/controlplane/distribution/control/link.go
@@ -14,48 +14,49 @@
 )
 
 const (
-	silenceTimeout = 30 * time.Second // of a peer, which pings after two seconds
-	// maxQueuedMessages wait for a peer beside batches, which are bounded by what it has not acknowledged.
+	silenceTimeout = 30 * time.Second // without a frame; peers ping after two seconds of silence
+	// maxQueuedMessages limits the queued messages of a connection other than batches, which the limit on unacknowledged
+	// bytes bounds.
 	maxQueuedMessages = 400
 )
 
-// Why a connection is ended from here.
+// Reasons for which this process closes a connection.
 var (
-	errQueueFull = errors.New("peer accepts too few messages")
+	errQueueFull = errors.New("message queue full: peer reads too slowly")
 	errSlow      = errors.New("no acknowledgement from peer within 5 s")
-	errReplaced  = errors.New("replaced by another connection of the same name")
+	errReplaced  = errors.New("replaced by a newer connection of the same name")
 	errSilent    = errors.New("no frame from peer")
 )
 
-// link is one connection with a subscriber, an upstream or a command.
+// link is a connection to a subscriber, an upstream or a command.
 type link struct {
 	server   *Server
 	conn     *framing.Conn
 	peer     string
 	from     string    // address
-	follower *follower // of a connection to an upstream; nil for an accepted one
+	follower *follower // owner of a connection to an upstream; nil for an accepted connection
 	outbox   outbox
 
 	lastFrame atomic.Int64 // nanoseconds after the server's start
 
-	// Under Server.mu.
+	// Guarded by Server.mu.
 	isSubscribed     bool
 	subscription     distribution.Subscription
-	sending          distribution.SubscriptionID // what this process sends; 0 for nothing
-	receiver         *distribution.Receiver      // of what it receives; nil until it has asked for something
-	deferredPull     *wire.Pull                  // of an upstream, until this process has caught up with it
-	hasCaughtUp      bool                        // with the upstream, once
+	sending          distribution.SubscriptionID // subscription that this process serves on the connection; 0 for none
+	receiver         *distribution.Receiver      // receives the peer's batches; nil until this process has requested some
+	deferredPull     *wire.Pull                  // continuous pull of an upstream, until this process has caught up with it
+	hasCaughtUp      bool                        // this process has received a complete batch of the upstream
 	reportedStatuses map[string]distribution.NodeStatus
 }
 
-// outbox is the messages that wait to be written to a connection.
+// outbox is the queue of messages to write to a connection.
 type outbox struct {
-	mu         sync.Mutex
-	queue      []any         // wire.Message, or an error that is the rejection and the last
-	nonBatches int           // of them
-	wake       chan struct{} // of the writing goroutine
-	isClosed   bool
-	closedFor  error // why the connection was ended from here
+	mu          sync.Mutex
+	queue       []any         // each a wire.Message; a final error is sent as the rejection
+	nonBatches  int           // messages in the queue other than batches
+	wake        chan struct{} // wakes the writing goroutine
+	isClosed    bool
+	closeReason error // reason for which this process closed the connection
 }
 
 func newLink(s *Server, conn *framing.Conn, peer string, f *follower) *link {
@@ -70,8 +71,8 @@
 	}
 }
 
-// enqueue has a message sent, or an error as the rejection that ends the connection. It waits for nothing: a peer that takes too
-// little is disconnected.
+// enqueue queues a message, or an error that is sent as a rejection and ends the connection. It does not block: a peer that
+// reads too slowly is disconnected.
 func (l *link) enqueue(m any) {
 	o := &l.outbox
 	o.mu.Lock()
@@ -90,7 +91,7 @@
 	o.signal()
 }
 
-// take returns what waits, and whether the connection is still open.
+// take removes and returns the queued messages, and reports whether the connection is open.
 func (o *outbox) take() (queue []any, isOpen bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -106,21 +107,21 @@
 	}
 }
 
-// close closes the connection for a reason; the first one counts.
+// close closes the connection. The reason of the first call is stored.
 func (l *link) close(why error) {
 	l.outbox.mu.Lock()
 	defer l.outbox.mu.Unlock()
 	l.closeLocked(why)
 }
 
-// closeLocked is close while outbox.mu is held. Of a TLS connection it closes the one below: a close of TLS would wait until it
-// has said so.
+// closeLocked is close with outbox.mu held. It closes the TCP connection below TLS, because a TLS close blocks until its alert is
+// written.
 func (l *link) closeLocked(why error) {
 	o := &l.outbox
 	if o.isClosed {
 		return
 	}
-	o.isClosed, o.queue, o.closedFor = true, nil, why
+	o.isClosed, o.queue, o.closeReason = true, nil, why
 	if secured, ok := l.conn.Conn.(*tls.Conn); ok {
 		secured.NetConn().Close()
 	} else {
@@ -129,14 +130,14 @@
 	o.signal()
 }
 
-// closedFor returns why the connection was ended from here; nil if it was not.
-func (l *link) closedFor() error {
+// closeReason returns the reason for which this process closed the connection, or nil if it did not.
+func (l *link) closeReason() error {
 	l.outbox.mu.Lock()
 	defer l.outbox.mu.Unlock()
-	return l.outbox.closedFor
+	return l.outbox.closeReason
 }
 
-// runWriter writes what is enqueued, until the connection ends.
+// runWriter writes queued messages until the connection ends.
 func (l *link) runWriter(ctx context.Context) {
 	for {
 		select {
@@ -176,12 +177,12 @@
 	return true
 }
 
-// protocolError is a violation of the protocol by a peer, which is sent it as the rejection.
+// protocolError is a violation of the protocol by a peer. It is sent to the peer as a rejection.
 type protocolError struct{ error }
 
 func (e *protocolError) Unwrap() error { return e.error }
 
-// read takes a peer's messages until its connection ends or the peer breaks the protocol, which is a *protocolError.
+// read handles a peer's messages until the connection ends, or returns a *protocolError if the peer violates the protocol.
 func (l *link) read() error {
 	for {
 		kind, body, err := l.conn.Receive(time.Now().Add(silenceTimeout))
--- a/internal/controlplane/distribution/control/links.go
+++ b/internal/controlplane/distribution/control/links.go
@@ -9,13 +9,13 @@
 	"fernvane/internal/controlplane/distribution/wire"
 )
 
-// linkTable is the connections of a server. Server.mu is held around it.
+// linkTable contains the connections of a server. Server.mu guards it.
 type linkTable struct {
-	accepted     int // connections, those without a greeting included
+	accepted     int // accepted connections, including those before the greeting
 	greeted      map[*link]bool
-	unsubscribed int // accepted ones with a greeting that have not subscribed
+	unsubscribed int // accepted connections after the greeting without a subscription
 	subscribers  map[string]*link
-	waiting      map[*link]bool // subscribers that are served once this process is current
+	waiting      map[*link]bool // subscribers that are served when this process becomes current
 	publishing   map[distribution.SubscriptionID]*link
 }
 
@@ -28,7 +28,7 @@
 	}
 }
 
-// serveLink serves a connection after its greeting until it ends, and returns why it did.
+// serveLink serves a connection after its greeting until it ends, and returns the cause of the end.
 func (s *Server) serveLink(ctx context.Context, l *link) error {
 	ctx, cancel := context.WithCancel(ctx)
 	writerDone := make(chan struct{})
@@ -45,7 +45,7 @@
 	if fault := (*protocolError)(nil); errors.As(err, &fault) {
 		s.peerRejected(describePeer(l.peer, l.from), err)
 		l.enqueue(fault.error)
-		<-writerDone // the rejection is the last that is written
+		<-writerDone // until the rejection, the last message, was written
 		linger(l.conn.Conn)
 	}
 	l.close(nil)
@@ -53,13 +53,13 @@
 	<-writerDone
 	l.conn.Close()
 	s.removeLink(l)
-	if why := l.closedFor(); why != nil {
+	if why := l.closeReason(); why != nil {
 		return why
 	}
 	return err
 }
 
-// addLink adds a connection, and reports whether there is room for it.
+// addLink adds a connection, and reports whether it is within maxUnsubscribed.
 func (s *Server) addLink(l *link) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +71,7 @@
 	return s.links.unsubscribed <= maxUnsubscribed
 }
 
-// removeLink forgets a connection that has ended.
+// removeLink removes a connection that has ended.
 func (s *Server) removeLink(l *link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,11 +87,11 @@
 	s.nodes.linkEnded(l, isCurrentLink)
 	if isCurrentLink {
 		delete(s.links.subscribers, l.peer)
-		s.log.Info().Str("subscriber", l.peer).Str("from", l.from).Err(l.closedFor()).Msg("subscriber disconnected")
+		s.log.Info().Str("subscriber", l.peer).Str("from", l.from).Err(l.closeReason()).Msg("subscriber disconnected")
 	}
 }
 
-// handle does what a message asks for. A *protocolError ends the connection.
+// handle processes a message. A *protocolError ends the connection.
 func (s *Server) handle(l *link, m wire.Message) error {
 	switch m := m.(type) {
 	case *wire.Subscribe:
@@ -109,9 +109,9 @@
 	case *wire.Write:
 		s.write(l, m)
 	case *wire.StatusQuery:
-		s.answerStatus(l, m)
+		s.sendStatus(l, m)
 	default:
-		return &protocolError{fmt.Errorf("a control process is not sent a %T", m)}
+		return &protocolError{fmt.Errorf("control process does not accept message %T", m)}
 	}
 	return nil
 }
--- a/internal/controlplane/distribution/control/nodes.go
+++ b/internal/controlplane/distribution/control/nodes.go
@@ -12,28 +12,29 @@
 
 const (
 	reportInterval       = time.Second
-	maxReportedStatuses  = 1000 // to one upstream at a time
+	maxReportedStatuses  = 1000 // in one round of reports to an upstream
 	maxStatusesInMessage = 100
 	maxNodes             = 1 << 15
-	forgetAfter          = time.Hour // without a connection
+	nodeRetention        = time.Hour // after the disconnection of a node
 )
 
-// nodeRecord is what is known of a subscriber, here or at a process below.
+// nodeRecord is the last known status of a subscriber of this process or of another one.
 type nodeRecord struct {
 	status         distribution.NodeStatus
-	reportedBy     *link // nil for this process's own subscriber
+	reportedBy     *link // nil for a subscriber of this process
 	disconnectedAt time.Time
 }
 
-// nodeTable is all subscribers that are seen here or reported, by name. Server.mu is held around it.
+// nodeTable contains the subscribers of this process and those that other processes report, by name. Server.mu guards it.
 type nodeTable map[string]*nodeRecord
 
-// own notes a subscriber of this process.
-func (t nodeTable) own(status distribution.NodeStatus) { t.put(&nodeRecord{status: status}) }
+// putOwn stores the status of a subscriber of this process.
+func (t nodeTable) putOwn(status distribution.NodeStatus) { t.put(&nodeRecord{status: status}) }
 
-// reported notes a subscriber that another process reports. One that is connected here is known better here, and a report that
-// one has disconnected elsewhere does not say where it has gone.
-func (t nodeTable) reported(by *link, status distribution.NodeStatus) {
+// putReported stores a status that another process reports. The status of a subscriber that is connected to this process takes
+// precedence, and a report of a disconnection does not replace a connection reported by another process, because the
+// subscriber may have moved there.
+func (t nodeTable) putReported(by *link, status distribution.NodeStatus) {
 	held := t[status.Name]
 	if held != nil && held.status.IsConnected && held.reportedBy != by && (held.reportedBy == nil || !status.IsConnected) {
 		return
@@ -52,8 +53,8 @@
 	t[r.status.Name] = r
 }
 
-// linkEnded notes that a connection has ended, and with it the view of the nodes that it reported. isSubscriber says that the
-// peer itself was subscribed by it.
+// linkEnded marks the nodes that an ended connection reported as disconnected. isSubscriber reports that the peer itself had
+// subscribed on this connection; then it is marked too.
 func (t nodeTable) linkEnded(l *link, isSubscriber bool) {
 	for name, r := range t {
 		if r.reportedBy == l || r.reportedBy == nil && isSubscriber && name == l.peer {
@@ -65,31 +66,31 @@
 	}
 }
 
-// forgetOld drops nodes that have been disconnected for forgetAfter.
-func (t nodeTable) forgetOld() {
+// removeExpired removes nodes that have been disconnected for nodeRetention.
+func (t nodeTable) removeExpired() {
 	maps.DeleteFunc(t, func(_ string, r *nodeRecord) bool {
-		return !r.status.IsConnected && time.Since(r.disconnectedAt) > forgetAfter
+		return !r.status.IsConnected && time.Since(r.disconnectedAt) > nodeRetention
 	})
 }
 
-// nodesReported takes in a report of a process below or beside.
+// nodesReported stores the statuses that another control process reports.
 func (s *Server) nodesReported(l *link, statuses []distribution.NodeStatus) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, status := range statuses {
 		if status.Name != s.config.Name {
-			s.nodes.reported(l, status)
+			s.nodes.putReported(l, status)
 		}
 	}
 }
 
-// reportNodes tells upstreams of the subscribers whose statuses have changed.
+// reportNodes reports the changed statuses of subscribers to the upstreams.
 func (s *Server) reportNodes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.updateOwnNodes()
-	s.nodes.forgetOld()
-	upstreams := map[string]bool{} // that hear each other's reports themselves
+	s.nodes.removeExpired()
+	upstreams := map[string]bool{} // names; upstreams report to each other directly
 	for _, f := range s.followers {
 		if f.link != nil {
 			upstreams[f.link.peer] = true
@@ -102,7 +103,7 @@
 	}
 }
 
-// updateOwnNodes notes the statuses of this process's own subscribers. s.mu is held.
+// updateOwnNodes updates the statuses of this process's own subscribers. s.mu is held.
 func (s *Server) updateOwnNodes() {
 	for name, l := range s.links.subscribers {
 		if l.subscription.Role == distribution.RoleReader {
@@ -120,11 +121,11 @@
 			}
 		}
 		status.Name, status.Via = name, s.config.Name
-		s.nodes.own(status)
+		s.nodes.putOwn(status)
 	}
 }
 
-// reportTo sends one upstream the statuses that have changed. s.mu is held.
+// reportTo sends the changed statuses to one upstream. s.mu is held.
 func (s *Server) reportTo(l *link, upstreams map[string]bool) {
 	var changed []distribution.NodeStatus
 	for name, r := range s.nodes {
@@ -155,7 +156,7 @@
 		a.DisconnectedMs == b.DisconnectedMs
 }
 
-// ownStatus is this process's own status. s.mu is held.
+// ownStatus returns this process's own status. s.mu is held.
 func (s *Server) ownStatus() distribution.NodeStatus {
 	return distribution.NodeStatus{
 		Name:              s.config.Name,
@@ -165,14 +166,14 @@
 		Revision:          s.store.Vector().Total(),
 		AcknowledgedClock: s.store.Clock(),
 		HasAcknowledged:   s.isCurrent,
-		IsCatchingUp:      !s.isCurrent || len(s.unheld) > 0,
+		IsCatchingUp:      !s.isCurrent || len(s.unstored) > 0,
 		IsConnected:       true,
-		Rejected:          s.unheld,
+		Rejected:          s.unstored,
 	}
 }
 
-// answerStatus tells a command of all nodes that are known here.
-func (s *Server) answerStatus(l *link, m *wire.StatusQuery) {
+// sendStatus sends the statuses of this process and of all known nodes to a command.
+func (s *Server) sendStatus(l *link, m *wire.StatusQuery) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.updateOwnNodes()
--- a/internal/controlplane/distribution/control/peers_test.go
+++ b/internal/controlplane/distribution/control/peers_test.go
@@ -216,7 +216,7 @@
 	wait(t, "current", m.isCurrent)
 	m.mu.Lock()
 	for n := range 2000 {
-		m.nodes.own(distribution.NodeStatus{Name: fmt.Sprint("node-", n), Role: distribution.RoleNode, IsConnected: true})
+		m.nodes.putOwn(distribution.NodeStatus{Name: fmt.Sprint("node-", n), Role: distribution.RoleNode, IsConnected: true})
 	}
 	m.mu.Unlock()
 	conn := command(t, m.at, nil)
--- a/internal/controlplane/distribution/control/process.go
+++ b/internal/controlplane/distribution/control/process.go
@@ -9,10 +9,10 @@
 	"github.com/rs/zerolog"
 )
 
-// Process runs a control process until SIGTERM or SIGINT, logs to errs and returns the exit code.
+// Process runs a control process until SIGTERM or SIGINT, writes its log to errs and returns the exit code.
 func Process(config *Config, errs io.Writer) int {
 	log := zerolog.New(errs).With().Timestamp().Logger()
-	signal.Ignore(syscall.SIGPIPE) // the process must not end with the reader of its log
+	signal.Ignore(syscall.SIGPIPE) // the process must not terminate when the reader of its log does
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	if err := Run(ctx, config, log); err != nil {
--- a/internal/controlplane/distribution/control/publish.go
+++ b/internal/controlplane/distribution/control/publish.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	publishInterval  = 250 * time.Millisecond // at most, between two runs of the publishing goroutine
-	batchesPerLocked = 32                     // made while the lock is held once
+	publishInterval  = 250 * time.Millisecond // longest interval between runs of the publishing goroutine
+	batchesPerLocked = 32                     // batches made during one hold of the lock
 )
 
-// publish sends subscribers what waits for them, as the budgets allow, until the context ends.
+// publish sends pending entries to subscribers, within the budgets, until the context ends.
 func (s *Server) publish(ctx context.Context) {
 	t := time.NewTimer(0)
 	defer t.Stop()
@@ -35,7 +35,7 @@
 	}
 }
 
-// publishDue hands over what may be sent now, and returns how long to wait.
+// publishDue queues the batches and digests that may be sent now, and returns the time until the next call.
 func (s *Server) publishDue() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +66,7 @@
 	}
 }
 
-// disconnectSlow ends the connections of peers that don't acknowledge. s.mu is held.
+// disconnectSlow closes the connections of peers that don't acknowledge batches in time. s.mu is held.
 func (s *Server) disconnectSlow() {
 	for _, id := range s.publisher.SlowSubscribers(s.now()) {
 		l := s.links.publishing[id]
--- a/internal/controlplane/distribution/control/receive.go
+++ b/internal/controlplane/distribution/control/receive.go
@@ -8,11 +8,11 @@
 	"fernvane/internal/controlplane/distribution/wire"
 )
 
-// errUnrequestedBatch rejects a peer that sends batches without a Pull or a subscription of this process.
-var errUnrequestedBatch = errors.New("a batch that was not asked for")
+// errUnrequestedBatch rejects a peer that sends batches without a pull or a subscription of this process.
+var errUnrequestedBatch = errors.New("batch was not requested")
 
-// receiveBatch takes in a batch of an upstream, or of a subscriber that was asked, passes on what is new and acknowledges it
-// with as many rejections as a message takes.
+// receiveBatch merges a batch of an upstream, or of a subscriber after a pull. It forwards new entries, and acknowledges the batch
+// with as many rejections as fit into a message.
 func (s *Server) receiveBatch(l *link, b distribution.Batch) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,7 +25,7 @@
 	if result.IsComplete && l.sending != 0 {
 		s.publisher.VectorLearned(l.sending, b.Through)
 	}
-	s.passOn(result)
+	s.propagate(result)
 	s.recordRejected(l, result.Rejected)
 	acknowledgement := distribution.Acknowledgement{BatchNumber: b.Number, Rejected: wire.TruncateRejections(result.Rejected)}
 	if result.IsComplete {
@@ -39,9 +39,9 @@
 	return nil
 }
 
-// passOn saves what a batch has changed, and passes it on to subscribers. The pruned vector that came with it is not saved. s.mu
+// propagate saves the effects of a batch and forwards them to subscribers. The pruned vector of the batch is not saved. s.mu
 // is held.
-func (s *Server) passOn(result distribution.BatchResult) {
+func (s *Server) propagate(result distribution.BatchResult) {
 	now := s.now()
 	s.publisher.EntriesChanged(now, result.Changed)
 	var removed []distribution.Key
@@ -61,29 +61,30 @@
 	s.signalPublish()
 }
 
-// upstreamBatchReceived notes a batch of an upstream. s.mu is held.
+// upstreamBatchReceived updates the follower after a batch of an upstream, and on a complete batch makes this process current.
+// s.mu is held.
 func (s *Server) upstreamBatchReceived(l *link, isComplete bool) {
 	s.lastBatch = s.now()
 	l.follower.subscriber.MessageReceived(s.lastBatch, isComplete)
 	if !isComplete {
 		return
 	}
-	s.unheld = nil
+	s.unstored = nil
 	l.hasCaughtUp = true
 	s.becomeCurrent(l.peer)
 	if l.deferredPull != nil {
-		s.answerUpstreamPull(l, l.deferredPull)
+		s.serveUpstreamPull(l, l.deferredPull)
 	}
 }
 
-// recordRejected counts the entries of a batch that were rejected, keeps for the status those for which the store has no room, and logs
-// why the first was rejected, unless the last log gave the same reason. s.mu is held.
+// recordRejected counts the rejected entries of a batch, stores those rejected by a full store for the status, and logs the reason
+// of the first one unless the last logged reason is equal. s.mu is held.
 func (s *Server) recordRejected(l *link, rejected []distribution.Rejection) {
 	s.counts.rejectedEntries += len(rejected)
 	for _, r := range rejected {
-		isKnown := slices.ContainsFunc(s.unheld, func(other distribution.Rejection) bool { return other.Key == r.Key })
+		isKnown := slices.ContainsFunc(s.unstored, func(other distribution.Rejection) bool { return other.Key == r.Key })
 		if r.IsStoreFull && !isKnown {
-			s.unheld = wire.TruncateRejections(append(s.unheld, r))
+			s.unstored = wire.TruncateRejections(append(s.unstored, r))
 		}
 	}
 	if len(rejected) == 0 || s.lastRejection == rejected[0].Reason {
@@ -94,7 +95,7 @@
 		Msg("entries rejected")
 }
 
-// batchAcknowledged takes in a peer's acknowledgement.
+// batchAcknowledged processes a peer's acknowledgement.
 func (s *Server) batchAcknowledged(l *link, a distribution.Acknowledgement) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,8 +107,8 @@
 	s.signalPublish()
 }
 
-// compareDigests compares what is held here with what the peer holds, and asks for what differs. Digests of an upstream count as
-// a complete message, whether or not they were equal or could be compared, unless the store is full.
+// compareDigests compares the store with a peer's digests, and requests the services that differ. Digests of an upstream count
+// as a complete message, whether or not they are equal or can be compared, unless the store is full.
 func (s *Server) compareDigests(l *link, m *wire.Digests) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,19 +128,19 @@
 	}
 }
 
-// handlePull gives a peer what it asks for.
+// handlePull sends a peer the entries or digests that it requests.
 func (s *Server) handlePull(l *link, m *wire.Pull) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	isUpstream := l.follower != nil
 	switch {
 	case m.IsContinuous && !isUpstream:
-		// a subscriber is sent everything by its subscription
+		// the subscription already covers all entries
 	case m.IsContinuous:
 		if l.hasCaughtUp || !m.Vector.CoversAll(s.store.Vector()) {
-			s.answerUpstreamPull(l, m)
+			s.serveUpstreamPull(l, m)
 		} else {
-			l.deferredPull = m // what the upstream is about to send need not go back to it
+			l.deferredPull = m // until the upstream's entries have arrived, which need not be sent back to it
 		}
 	case m.WantsDigests:
 		l.enqueue(&wire.Digests{Digests: distribution.Digests{Services: s.publisher.ServiceDigests()}, IsAllServices: true})
@@ -147,12 +148,12 @@
 		s.publisher.ResyncSubscriber(s.now(), l.sending, m.Services)
 		s.signalPublish()
 	case !isUpstream:
-		l.enqueue(&wire.Pull{}) // the answer to a ping
+		l.enqueue(&wire.Pull{}) // response to a ping
 	}
 }
 
-// answerUpstreamPull sends an upstream what it lacks, and from then on what changes. s.mu is held.
-func (s *Server) answerUpstreamPull(l *link, m *wire.Pull) {
+// serveUpstreamPull starts to send an upstream the entries that it lacks, and all later changes. s.mu is held.
+func (s *Server) serveUpstreamPull(l *link, m *wire.Pull) {
 	l.deferredPull = nil
 	s.startSending(l, distribution.Subscription{Name: l.peer, Role: distribution.RoleControl, AllServices: true, Vector: m.Vector})
 }
--- a/internal/controlplane/distribution/control/server.go
+++ b/internal/controlplane/distribution/control/server.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	startAloneTimeout = 5 * time.Second        // without a batch of an upstream, after which a start goes by what it holds
-	diskCloseTimeout  = 700 * time.Millisecond // of the second in which a process ends
-	pruneInterval     = time.Minute
-	startCheck        = 100 * time.Millisecond // between two looks whether a start may go on alone
+	defaultStartTimeout = 5 * time.Second        // without a batch of an upstream, after which a starting process serves its stored entries
+	diskCloseTimeout    = 700 * time.Millisecond // shutdown as a whole is to take at most a second
+	pruneInterval       = time.Minute
+	startCheckInterval  = 100 * time.Millisecond // between checks of the start timeout
 )
 
 // Server is a running control process.
@@ -26,24 +26,25 @@
 	config       *Config
 	log          zerolog.Logger
 	startedAt    time.Time
-	aloneTimeout time.Duration // startAloneTimeout, except in tests
+	startTimeout time.Duration // defaultStartTimeout, except in tests
 	disk         *disk.Disk
-	wakePublish  chan struct{} // of the publishing goroutine
+	wakePublish  chan struct{} // wakes the publishing goroutine
 
-	mu            sync.Mutex // never held over a socket or the disk
+	mu            sync.Mutex // not held during I/O on sockets or the disk
 	store         *distribution.Store
 	publisher     *distribution.Publisher
 	isCurrent     bool          // subscribers are served, and writes accepted
-	lastBatch     time.Duration // of an upstream, or the start
+	lastBatch     time.Duration // time of the last batch of an upstream; 0 for none since the start
 	followers     []*follower
 	links         linkTable
 	nodes         nodeTable
-	unheld        []distribution.Rejection // for which the store has no room, since the last complete batch
-	lastRejection string                   // last reason for which entries were rejected, so that it is logged once
+	unstored      []distribution.Rejection // entries rejected because the store is full, since the last complete batch
+	lastRejection string                   // last logged reason of a rejection, to log each once
 	counts        counts
 }
 
-// Run serves until the context ends. An error says that the process cannot start, as when its address or its disk is in use.
+// Run runs a control process until the context ends. It returns an error if the process cannot start, as when its address or
+// its disk is in use.
 func Run(ctx context.Context, config *Config, log zerolog.Logger) error {
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(config.ListenAddress))
 	if err != nil {
@@ -57,13 +58,13 @@
 	return s.run(ctx, listener)
 }
 
-// newServer reads the disk.
+// newServer opens the disk and returns a server with the entries stored there.
 func newServer(config *Config, log zerolog.Logger) (*Server, error) {
 	s := &Server{
 		config:       config,
 		log:          log,
 		startedAt:    time.Now(),
-		aloneTimeout: startAloneTimeout,
+		startTimeout: defaultStartTimeout,
 		wakePublish:  make(chan struct{}, 1),
 		links:        newLinkTable(),
 		nodes:        nodeTable{},
@@ -92,8 +93,8 @@
 	}
 }
 
-// restore starts from what the disk held. An earlier run of this process may have announced more than that, as after it was
-// killed or an old copy was put back: each run writes under an origin of its own.
+// restore initializes store and publisher from the entries on disk. An earlier run of this process may have published more
+// entries, as after a kill or after the disk was replaced by an old copy, so each run writes under its own origin.
 func (s *Server) restore(loaded disk.Loaded) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +112,7 @@
 	return distribution.NewOrigin(s.config.Name, rand.Uint64())
 }
 
-// snapshot returns everything that the disk should hold.
+// snapshot returns all entries and the vector, for the disk to save again.
 func (s *Server) snapshot() ([]distribution.Entry, distribution.Vector) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,10 +125,10 @@
 	return all, s.store.Vector().Clone()
 }
 
-// now is the time since the server's start.
+// now returns the time since the server's start.
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// run starts the server's goroutines and waits for their end.
+// run starts the server's goroutines, waits for them to return and closes the disk.
 func (s *Server) run(ctx context.Context, listener *net.TCPListener) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, f := range s.newFollowers() {
@@ -140,7 +141,7 @@
 		interval time.Duration
 		do       func()
 	}{
-		{startCheck, s.checkStart},
+		{startCheckInterval, s.checkStart},
 		{reportInterval, s.reportNodes},
 		{pruneInterval, s.prune},
 		{countsInterval, s.logCounts},
@@ -162,7 +163,7 @@
 	return err
 }
 
-// repeat calls a function at an interval until the context ends.
+// repeat calls do at an interval until the context ends.
 func repeat(ctx context.Context, interval time.Duration, do func()) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
@@ -176,7 +177,7 @@
 	}
 }
 
-// sleep returns false if the context ends first.
+// sleep waits for d. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(max(d, 0))
 	defer t.Stop()
@@ -188,16 +189,16 @@
 	}
 }
 
-// checkStart has this process go by what it holds when no upstream has sent anything for a while.
+// checkStart lets a starting process serve its stored entries after startTimeout without a batch of an upstream.
 func (s *Server) checkStart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.isCurrent && s.now()-s.lastBatch >= s.aloneTimeout {
+	if !s.isCurrent && s.now()-s.lastBatch >= s.startTimeout {
 		s.becomeCurrent("no upstream")
 	}
 }
 
-// becomeCurrent serves the subscribers that have waited. s.mu is held.
+// becomeCurrent marks this process as current and starts to serve the waiting subscribers. s.mu is held.
 func (s *Server) becomeCurrent(by string) {
 	if s.isCurrent {
 		return
@@ -211,8 +212,8 @@
 	clear(s.links.waiting)
 }
 
-// renewOriginIfStale takes another origin if others hold more of this run's than this process has written, which random origins
-// exclude in practice. s.mu is held.
+// renewOriginIfStale replaces the origin if other stores cover more writes of it than this process has made. Random origins make
+// this practically impossible. s.mu is held.
 func (s *Server) renewOriginIfStale() {
 	if !s.store.IsStale() {
 		return
@@ -225,7 +226,7 @@
 	s.log.Warn().Str("before", string(before)).Str("origin", string(s.store.Origin())).Int("rewritten", len(rewritten)).Msg("stale origin replaced")
 }
 
-// prune forgets deletions past their retention. Subscribers that were not sent them get a full sync.
+// prune removes deletions whose retention has expired. Subscribers that were not sent them receive a full sync.
 func (s *Server) prune() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/distribution/control/source.go
+++ b/internal/controlplane/distribution/control/source.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	sourceRetry      = time.Second // after changes that could not be written
+	sourceRetry      = time.Second // after a rejected write
 	maxSourceChanges = 1024        // in one write
 )
 
-// runSource writes the servers that discovery or a registry lists. Only one control process does so for a source.
+// runSource writes the servers that discovery or a registry lists. Only one control process may do so for each source.
 func (s *Server) runSource(ctx context.Context) error {
 	servers := newSourcedServers(s)
 	done := make(chan struct{})
@@ -43,7 +43,7 @@
 	})
 }
 
-// followDiscovery follows discovery's list, a whole one at first.
+// followDiscovery watches the list of the discovery service; the first list received is complete.
 func (s *Server) followDiscovery(ctx context.Context, servers *sourcedServers) {
 	watch.Follow(ctx, watch.NewTarget(s.config.DiscoveryAddress), watch.Listener{
 		OnError: func(err error) { s.log.Warn().Err(err).Msg("discovery failed") },
@@ -56,16 +56,16 @@
 	})
 }
 
-// sourcedServers is what a source lists, on its way into the store.
+// sourcedServers synchronizes the servers that a source lists with the store.
 type sourcedServers struct {
 	server *Server
 	wake   chan struct{}
 
-	// Under Server.mu.
+	// Guarded by Server.mu.
 	listed      map[string]incarnation.Entry
-	isComplete  bool            // discovery has sent a complete list: other servers of the service are gone. Never set for a registry
-	changed     map[string]bool // names of servers to be compared with the store
-	comparesAll bool            // all are to be compared
+	isComplete  bool            // discovery has sent a complete list: unlisted servers are deleted. Never set for a registry
+	changed     map[string]bool // names of servers to compare with the store
+	comparesAll bool            // the next comparison includes all servers
 }
 
 func newSourcedServers(s *Server) *sourcedServers {
@@ -78,7 +78,7 @@
 	}
 }
 
-// update takes in a list, or a part of one.
+// update records a complete list, or changes of a list.
 func (t *sourcedServers) update(entries []incarnation.Entry, isComplete bool) {
 	s := t.server
 	s.mu.Lock()
@@ -97,7 +97,7 @@
 	}
 }
 
-// runWriter writes what has changed, until the context ends. What could not be written is tried again.
+// runWriter writes changed servers to the store until the context ends, and retries rejected writes after sourceRetry.
 func (t *sourcedServers) runWriter(ctx context.Context) {
 	for {
 		select {
@@ -120,8 +120,8 @@
 	}
 }
 
-// nextChanges returns what the store holds differently from the source. A server that differs is compared again after it was
-// written.
+// nextChanges returns the next changes that make the store match the source. A server that differs is compared again after
+// its change was written.
 func (t *sourcedServers) nextChanges() []distribution.Change {
 	s := t.server
 	s.mu.Lock()
@@ -143,7 +143,7 @@
 	return changes
 }
 
-// compareAll marks all servers that are listed as changed, and after a complete list of discovery all that are held.
+// compareAll marks all listed servers as changed, and after a complete list of discovery also all servers in the store.
 func (t *sourcedServers) compareAll() {
 	s := t.server
 	t.comparesAll = false
@@ -158,7 +158,7 @@
 	}
 }
 
-// changeOf returns the change that brings a server's entry to what the source lists, and whether there is one.
+// changeOf returns the change that makes a server's entry match the source, and whether one is needed.
 func (t *sourcedServers) changeOf(name string) (c distribution.Change, differs bool) {
 	c.Key = distribution.Key{Service: t.server.config.Service, Kind: distribution.KindServer, Name: name}
 	held, isHeld := t.server.store.Entry(c.Key)
@@ -171,24 +171,24 @@
 	var before incarnation.Entry
 	if isHeld && cbor.Unmarshal(held.Value, &before) == nil {
 		listed = nextGeneration(before, listed)
-		before.Revision = listed.Revision // a new revision alone is no change
+		before.Revision = listed.Revision // a different revision alone is not written
 		if before == listed {
 			return c, false
 		}
-	} else if held.Deleted { // it is back: its generation must be above all that it had
+	} else if held.Deleted { // a deleted server returns: its generation must exceed all earlier ones
 		listed.Generation = max(listed.Generation, uint32(distribution.ClockTime(held.Clock).Unix()))
 	}
 	value, err := cbor.Marshal(listed)
 	if err != nil {
-		t.server.log.Error().Err(err).Str("server", name).Msg("server skipped")
+		t.server.log.Error().Err(err).Str("server", name).Msg("server not encoded")
 		return c, false
 	}
 	c.Value = value
 	return c, true
 }
 
-// nextGeneration returns what a source lists of a server as later than what was written before: within one start a server goes
-// back, as when a drain is called off, by a new generation.
+// nextGeneration returns the listed state of a server with a start and generation that order it after the state written before.
+// Within one start a server returns to an earlier condition, as when a drain is canceled, only with a new generation.
 func nextGeneration(before, listed incarnation.Entry) incarnation.Entry {
 	if listed.StartedUnixMS > before.StartedUnixMS {
 		return listed
--- a/internal/controlplane/distribution/control/write.go
+++ b/internal/controlplane/distribution/control/write.go
@@ -9,10 +9,10 @@
 	"fernvane/internal/controlplane/distribution/wire"
 )
 
-// errNotCurrent rejects writes while this process does not know what others hold.
-var errNotCurrent = errors.New("this control process is not current yet: ask another, or again in a few seconds")
+// errNotCurrent rejects writes while this process may lack entries of other control processes.
+var errNotCurrent = errors.New("control process is not current yet: try another one, or retry in a few seconds")
 
-// write makes the changes of a command, and answers when they are on the disk.
+// write applies the changes of a command, and sends the result after they are saved to disk.
 func (s *Server) write(l *link, m *wire.Write) {
 	result := &wire.WriteResult{ID: m.ID}
 	entries, err := s.change(m.Changes)
@@ -31,9 +31,9 @@
 	l.enqueue(result)
 }
 
-// change makes changes under this process's origin, announces them, and returns when they are on the disk. If both entries and an
-// error are returned, the entries are in effect but not on the disk. If the process is killed before they are, others may hold
-// what its disk lacks: its next run writes under another origin and receives them back.
+// change applies changes under this process's origin, publishes them, and returns after they are saved to disk. If it returns
+// both entries and an error, the entries are in effect but not on disk. If the process is killed before they are saved, other
+// stores may have entries that its disk lacks: the next run writes under another origin and receives these entries back.
 func (s *Server) change(changes []distribution.Change) ([]distribution.Entry, error) {
 	entries, saved, err := s.startChange(changes)
 	if err != nil {
@@ -41,12 +41,13 @@
 	}
 	s.signalPublish()
 	if err = <-saved; err != nil {
-		err = fmt.Errorf("in force from memory, but %w", err)
+		err = fmt.Errorf("changes in effect from memory only: %w", err)
 	}
 	return entries, err
 }
 
-// startChange makes changes and has them saved. The vector covers the entries at once, so they are announced at once too.
+// startChange applies changes and starts to save them. The vector covers the entries immediately, so they are published
+// immediately too.
 func (s *Server) startChange(changes []distribution.Change) (entries []distribution.Entry, saved <-chan error, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
