--- a/internal/controlplane/distribution/converge_test.go
+++ b/internal/controlplane/distribution/converge_test.go
@@ -10,11 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-var worldServices = []string{"", "a", "b"}
+var simulatedServices = []string{"", "a", "b"}
 
-// twoRegions is two regions of a root, a relay and two nodes each; the roots know each other.
-func twoRegions(w *world) {
-	var roots []*holder
+// addTwoRegions adds two regions with a root, a relay and two nodes each. The roots subscribe to each other.
+func addTwoRegions(w *simulation) {
+	var roots []*process
 	for _, region := range []string{"east", "west"} {
 		root := w.add(region+"-root", region, RoleControl)
 		relay := w.add(region+"-relay", region, RoleControl)
@@ -27,27 +27,27 @@
 	w.connectable(roots[1], roots[0])
 }
 
-// anyOf draws a holder that is of a kind.
-func (w *world) anyOf(t *rapid.T, fits func(*holder) bool) *holder {
-	var all []*holder
-	for _, h := range w.holders {
+// anyOf draws one of the processes that satisfy a predicate.
+func (w *simulation) anyOf(t *rapid.T, fits func(*process) bool) *process {
+	var all []*process
+	for _, h := range w.processes {
 		if fits(h) {
 			all = append(all, h)
 		}
 	}
-	return all[rapid.IntRange(0, len(all)-1).Draw(t, "holder")]
+	return all[rapid.IntRange(0, len(all)-1).Draw(t, "process")]
 }
 
-func isControl(h *holder) bool { return h.role == RoleControl }
-func isNode(h *holder) bool    { return h.role == RoleNode }
-func isAny(*holder) bool       { return true }
+func isControl(h *process) bool { return h.role == RoleControl }
+func isNode(h *process) bool    { return h.role == RoleNode }
+func isAny(*process) bool       { return true }
 
 func drawKey(t *rapid.T) Key {
-	return Key{Service: rapid.SampledFrom(worldServices).Draw(t, "service"), Kind: KindServer, Name: rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "name")}
+	return Key{Service: rapid.SampledFrom(simulatedServices).Draw(t, "service"), Kind: KindServer, Name: rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "name")}
 }
 
-// actions are what happens in a world. The regions are apart while cut is true.
-func actions(w *world, cut *bool) map[string]func(*rapid.T) {
+// actions returns the random events of a simulation. The regions are partitioned while cut is true.
+func actions(w *simulation, cut *bool) map[string]func(*rapid.T) {
 	mayOpen := func(l *link) bool { return !*cut || l.subscriber.region == l.server.region }
 	write := func(deleted bool) func(*rapid.T) {
 		return func(t *rapid.T) {
@@ -91,7 +91,7 @@
 		"disconnect": func(t *rapid.T) { w.close(link(t)) },
 		"flow": func(t *rapid.T) {
 			for range 5 {
-				for _, h := range w.holders {
+				for _, h := range w.processes {
 					h.sendDue(5)
 				}
 				for _, l := range w.links {
@@ -118,11 +118,11 @@
 		"disk lost": func(t *rapid.T) { w.anyOf(t, isAny).restart(nil) },
 		"save": func(t *rapid.T) {
 			h := w.anyOf(t, isAny)
-			h.saved = append(h.saved, h.disk())
+			h.savedDisks = append(h.savedDisks, h.disk())
 		},
 		"old disk": func(t *rapid.T) {
-			if h := w.anyOf(t, isAny); len(h.saved) > 0 {
-				h.restart(h.saved[rapid.IntRange(0, len(h.saved)-1).Draw(t, "disk")])
+			if h := w.anyOf(t, isAny); len(h.savedDisks) > 0 {
+				h.restart(h.savedDisks[rapid.IntRange(0, len(h.savedDisks)-1).Draw(t, "disk")])
 			}
 		},
 		"node's services": func(t *rapid.T) {
@@ -134,14 +134,14 @@
 				}
 			}
 			h.store.SetScope(h.services)
-			maps.DeleteFunc(h.floor, func(k Key, _ Entry) bool { return !slices.Contains(h.services, k.Service) })
+			maps.DeleteFunc(h.newest, func(k Key, _ Entry) bool { return !slices.Contains(h.services, k.Service) })
 		},
 		"a day": func(t *rapid.T) {
 			*cut = false
 			w.converge()
 			w.now += 25 * time.Hour
-			w.keepCoveredDisks()
-			for _, h := range w.holders {
+			w.discardUncoveredDisks()
+			for _, h := range w.processes {
 				if rapid.Bool().Draw(t, "prunes") {
 					h.prune(ClockAt(w.wall().Add(-24 * time.Hour)))
 				}
@@ -150,18 +150,18 @@
 	}
 }
 
-// keepCoveredDisks drops old disks with writes that nobody received: beyond the retention of deletions these
-// are outside of what is promised.
-func (w *world) keepCoveredDisks() {
+// discardUncoveredDisks discards saved disks with writes that no control process has received: after the retention of deletions,
+// convergence is not guaranteed for them.
+func (w *simulation) discardUncoveredDisks() {
 	vector := Vector{}
-	for _, h := range w.holders {
+	for _, h := range w.processes {
 		if h.role == RoleControl {
 			vector.Join(h.store.Vector())
 		}
 	}
-	for _, h := range w.holders {
+	for _, h := range w.processes {
 		var kept []*disk
-		for _, d := range h.saved {
+		for _, d := range h.savedDisks {
 			covered := true
 			for _, e := range d.entries {
 				covered = covered && vector.Covers(e)
@@ -170,27 +170,28 @@
 				kept = append(kept, d)
 			}
 		}
-		h.saved = kept
+		h.savedDisks = kept
 	}
 }
 
-// TestStoresConverge has writes, losses, duplicates, lost and old disks and regions apart in any order. No holder goes back in
-// any key; after healing each holds the winners of its services, and what was deleted stays so.
+// TestStoresConverge applies writes, message losses and duplicates, lost and old disks, and partitions in random order. No
+// process may replace a key's entry by an older version. After healing, each process must have the winning entries of its
+// services, and deleted keys must stay deleted.
 func TestStoresConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t.Fatalf)
-		twoRegions(w)
+		w := newSimulation(t.Fatalf)
+		addTwoRegions(w)
 		cut := false
 		t.Repeat(actions(w, &cut))
 		best := w.winners()
 		w.converge()
-		w.check(w.after(best))
+		w.check(w.expectedAfter(best))
 	})
 }
 
-// after returns the winners expected by those of before: writes that were made again since hold the same values in greater
-// versions.
-func (w *world) after(best map[Key]Entry) map[Key]Entry {
+// expectedAfter returns the expected winners, from the winners before healing: entries that were rewritten since have the same values
+// with greater versions.
+func (w *simulation) expectedAfter(best map[Key]Entry) map[Key]Entry {
 	for k, e := range w.winners() {
 		if before, ok := best[k]; ok && Compare(before, e) < 0 {
 			best[k] = e
--- a/internal/controlplane/distribution/prune_test.go
+++ b/internal/controlplane/distribution/prune_test.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// pruneDeletion has a root write and delete an entry, and prune the deletion a day later. Before the deletion each
-// holder's disk was saved.
-func pruneDeletion(w *world, root *holder) {
+// pruneDeletion writes and deletes an entry at a root, and prunes the deletion at all processes a day later. Each process's
+// disk is saved before the deletion.
+func pruneDeletion(w *simulation, root *process) {
 	root.write(Change{Key: key("a", "1"), Value: []byte("v")}, Change{Key: key("a", "2"), Value: []byte("stays")})
 	w.converge()
-	for _, h := range w.holders {
-		h.saved = append(h.saved, h.disk())
+	for _, h := range w.processes {
+		h.savedDisks = append(h.savedDisks, h.disk())
 	}
 	root.write(Change{Key: key("a", "1"), Deleted: true})
 	w.converge()
 	w.now += 25 * time.Hour
-	for _, h := range w.holders {
+	for _, h := range w.processes {
 		h.prune(ClockAt(w.wall().Add(-24 * time.Hour)))
 	}
 }
 
-func wantOnly(t *testing.T, w *world, name string) {
+func wantOnly(t *testing.T, w *simulation, name string) {
 	t.Helper()
-	for _, h := range w.holders {
+	for _, h := range w.processes {
 		if got := h.store.LiveEntries("a"); len(got) != 1 || got[0].Key.Name != name {
-			t.Errorf("%s holds %+v, want %s alone", h.name, got, name)
+			t.Errorf("%s: got entries %+v, want only %s", h.name, got, name)
 		}
 	}
 }
 
-// A holder whose disk is older than the retention of deletions receives one by a reset.
+// A process with a disk older than the retention of deletions receives a pruned deletion by a full sync.
 func TestOldDiskReceivesPrunedDeletions(t *testing.T) {
 	for _, old := range []string{"relay", "node", "both"} {
 		t.Run(old, func(t *testing.T) {
 			w, root, relay, node := chain(t)
 			pruneDeletion(w, root)
-			for _, h := range []*holder{relay, node} {
+			for _, h := range []*process{relay, node} {
 				if h.name == old || old == "both" {
-					h.restart(h.saved[0])
+					h.restart(h.savedDisks[0])
 				}
 			}
 			w.converge()
@@ -47,26 +47,26 @@
 	}
 }
 
-// The node is connected and current before its relay learns that a deletion was pruned.
+// The node is connected and current before its relay receives the pruned vector.
 func TestPrunedDeletionReachesConnectedSubscribers(t *testing.T) {
 	w, root, relay, node := chain(t)
 	pruneDeletion(w, root)
-	relay.restart(relay.saved[0])
-	node.restart(node.saved[0])
+	relay.restart(relay.savedDisks[0])
+	node.restart(node.savedDisks[0])
 	up := w.links[0]
 	w.links = w.links[1:]
 	w.converge()
 	if len(node.store.LiveEntries("a")) != 2 {
-		t.Fatal("the node is not yet to know")
+		t.Fatal("the node received the deletion before its relay was connected")
 	}
 	w.links = append(w.links, up)
 	w.converge()
 	wantOnly(t, w, "2")
 }
 
-// A service that its sender no longer holds anything of changes during a reset of all: the change is sent too.
+// A service without entries at the sender changes during a full sync of all services: the change must be sent too.
 func TestChangeDuringResetOfAll(t *testing.T) {
-	w := newWorld(t.Fatalf)
+	w := newSimulation(t.Fatalf)
 	root := w.add("root", "", RoleControl)
 	relay := w.add("relay", "", RoleControl)
 	w.connectable(relay, root)
@@ -78,17 +78,17 @@
 	root.restart(nil)
 	l := w.links[0]
 	w.open(l)
-	for w.deliver(l, true, false) || w.deliver(l, false, false) { // both have subscribed, nothing is sent
+	for w.deliver(l, true, false) || w.deliver(l, false, false) { // both are subscribed, no batch was sent
 	}
 	root.write(Change{Key: key("a", "3"), Value: []byte("new")})
 	root.sendDue(10)
-	for w.deliver(l, false, false) { // the relay has the change before it sends
+	for w.deliver(l, false, false) { // the relay receives the change before it sends batches
 	}
 	w.converge()
 	wantOnly(t, w, "3")
 }
 
-// A server that has lost its disk has nothing of a newly subscribed service: that does not complete the service.
+// A full sync from a server that has lost its disk does not mark a newly subscribed service as synced.
 func TestNewServiceFromServerWithLostDisk(t *testing.T) {
 	w, root, relay, node := chain(t)
 	root.write(Change{Key: key("b", "1")}, Change{Key: key("a", "1")})
@@ -101,17 +101,17 @@
 	w.links = w.links[1:]
 	w.converge()
 	if missing := node.store.UnsyncedServices(); len(missing) != 1 {
-		t.Fatalf("missing %v, want b", missing)
+		t.Fatalf("got unsynced services %v, want b", missing)
 	}
 	w.close(down)
 	w.links = append(w.links, up)
 	w.converge()
 	if len(node.store.LiveEntries("b")) != 1 || len(node.store.UnsyncedServices()) != 0 {
-		t.Fatalf("holds %v, missing %v", node.store.LiveEntries("b"), node.store.UnsyncedServices())
+		t.Fatalf("got entries %v, unsynced services %v, want one entry and none", node.store.LiveEntries("b"), node.store.UnsyncedServices())
 	}
 }
 
-// A batch that is received twice does not restart a reset.
+// A duplicate batch does not restart a full sync.
 func TestDuplicateBatchIsIgnored(t *testing.T) {
 	s := NewStore("", Limits{})
 	r := NewReceiver(s)
@@ -124,6 +124,6 @@
 	r.ReceiveBatch(first)
 	r.ReceiveBatch(Batch{Number: 3, IsComplete: true, Through: Vector{"x/1": 2}})
 	if got := s.LiveEntries("a"); len(got) != 2 {
-		t.Fatalf("holds %+v", got)
+		t.Fatalf("got entries %+v, want 2", got)
 	}
 }
--- a/internal/controlplane/distribution/scale_test.go
+++ b/internal/controlplane/distribution/scale_test.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	withinZone    = 1 * time.Millisecond  // one way
-	betweenRegion = 40 * time.Millisecond // one way
-	applyDelay    = 20 * time.Millisecond // at a node or relay, before it acknowledges
-	maxApplyDelay = 6 * time.Second       // the operators' figure
+	withinZone    = 1 * time.Millisecond  // one-way latency
+	betweenRegion = 40 * time.Millisecond // one-way latency
+	applyDelay    = 20 * time.Millisecond // before a node or relay acknowledges
+	maxApplyDelay = 6 * time.Second       // target for a change to take effect on all nodes
 )
 
-// fleet is the tree in virtual time: publishers, stores of control processes and receivers of these are the real ones;
-// nodes only count what they are sent and acknowledge.
+// fleet simulates control processes and nodes in virtual time. Control processes use real stores, publishers and receivers;
+// nodes only count received bytes and acknowledge.
 type fleet struct {
 	t             *testing.T
 	now           time.Duration
@@ -25,14 +25,14 @@
 	order         int
 	controls      []*control
 	nodes         []*countingNode
-	pendingWrites map[uint64]*pendingWrite // by sequence of the root that writes
+	pendingWrites map[uint64]*pendingWrite // by sequence of the writing root
 }
 
-// pendingWrite is a change that nodes are to apply.
+// pendingWrite is a change that nodes must apply.
 type pendingWrite struct {
 	at    time.Duration
-	need  int
-	times []time.Duration
+	need  int             // number of nodes that must apply it
+	times []time.Duration // from the write to the application by each node
 }
 
 type control struct {
@@ -40,7 +40,7 @@
 	store     *Store
 	pub       *Publisher
 	receive   map[SubscriptionID]func(SubscriptionID, Batch)
-	out       []int // bytes by second
+	out       []int // sent bytes, by second
 	sendAt    time.Duration
 	isSendSet bool
 	receiver  *Receiver
@@ -48,8 +48,8 @@
 
 type countingNode struct {
 	services []string
-	in       map[int]int // bytes by second
-	current  time.Duration
+	in       map[int]int   // received bytes, by second
+	current  time.Duration // time of the first complete batch
 	entries  int
 }
 
@@ -95,7 +95,7 @@
 	return c
 }
 
-// sendDue sends all that may be sent now, and runs again when the publisher says.
+// sendDue sends all batches that may be sent now, and schedules the next call at the time that the publisher returns.
 func (c *control) sendDue() {
 	for {
 		id, b, ok, wait := c.pub.NextBatch(c.f.now)
@@ -123,7 +123,7 @@
 	}
 }
 
-// follow has one control process subscribe to another.
+// follow subscribes one control process to another.
 func (c *control) follow(up *control, latency time.Duration) {
 	c.receiver = NewReceiver(c.store)
 	id := up.pub.Subscribe(c.f.now, Subscription{Name: string(c.store.Origin()), Role: RoleControl, AllServices: true, Vector: c.store.Vector().Clone()})
@@ -148,7 +148,7 @@
 		f.after(withinZone, func() {
 			n.in[int(f.now/time.Second)] += b.Size()
 			n.entries += len(b.Entries)
-			f.after(applyDelay, func() { n.inForce(f, b) })
+			f.after(applyDelay, func() { n.applyBatch(f, b) })
 			f.after(applyDelay+withinZone, func() {
 				up.pub.BatchAcknowledged(f.now, id, Acknowledgement{BatchNumber: b.Number})
 				up.sendDue()
@@ -158,7 +158,7 @@
 	up.sendDue()
 }
 
-func (n *countingNode) inForce(f *fleet, b Batch) {
+func (n *countingNode) applyBatch(f *fleet, b Batch) {
 	if b.IsComplete && n.current == 0 {
 		n.current = f.now
 	}
@@ -184,14 +184,14 @@
 	root.sendDue()
 }
 
-// size of a fleet to be simulated.
+// fleetSize is the size of a simulated fleet.
 type fleetSize struct {
 	nodes, services, perService, ofNode int
 }
 
 const zones = 6
 
-func playedFleet(t *testing.T, size fleetSize, rng *rand.Rand) *fleet {
+func newFleet(t *testing.T, size fleetSize, rng *rand.Rand) *fleet {
 	f := &fleet{t: t, pendingWrites: map[uint64]*pendingWrite{}}
 	origin := NewOrigin("writer", 7)
 	var entries []Entry
@@ -224,11 +224,12 @@
 	return f
 }
 
-// times returns when each node applied each change, in order; a change that is not applied everywhere fails.
+// times returns the sorted delays with which each node applied each change. A change that was not applied by all its nodes fails
+// the test.
 func (f *fleet) times() (all []time.Duration) {
 	for sequence, w := range f.pendingWrites {
 		if len(w.times) < w.need {
-			f.t.Errorf("change %d is in force at %d of %d nodes", sequence, len(w.times), w.need)
+			f.t.Errorf("change %d was applied by %d of %d nodes, want all", sequence, len(w.times), w.need)
 		}
 		all = append(all, w.times...)
 	}
@@ -237,46 +238,46 @@
 	return all
 }
 
-func (f *fleet) say(what string, from, to time.Duration) {
+func (f *fleet) report(what string, from, to time.Duration) {
 	all := f.times()
 	if len(all) == 0 {
-		f.t.Fatalf("%s: no change came anywhere", what)
+		f.t.Fatalf("%s: no change was applied by any node", what)
 	}
-	most, sum, outMost := 0, 0, 0
+	nodeMax, sum, controlMax := 0, 0, 0
 	for _, n := range f.nodes {
 		for second := int(from / time.Second); second < int(to/time.Second); second++ {
-			most = max(most, n.in[second])
+			nodeMax = max(nodeMax, n.in[second])
 			sum += n.in[second]
 		}
 	}
 	for _, c := range f.controls {
 		for second := int(from / time.Second); second < min(int(to/time.Second), len(c.out)); second++ {
-			outMost = max(outMost, c.out[second])
+			controlMax = max(controlMax, c.out[second])
 		}
 	}
 	last := all[len(all)-1]
-	f.t.Logf("%s: to a node %.0f bytes a second in the mean, %d in the worst second; from a control process %d in its worst second; in force p50 %v, p99 %v, last %v (%d)",
-		what, float64(sum)/float64(len(f.nodes))/(to-from).Seconds(), most, outMost, all[len(all)/2], all[len(all)*99/100], last, len(all))
+	f.t.Logf("%s: bytes per second to a node: mean %.0f, maximum %d; from a control process: maximum %d; delay of changes: p50 %v, p99 %v, maximum %v (%d samples)",
+		what, float64(sum)/float64(len(f.nodes))/(to-from).Seconds(), nodeMax, controlMax, all[len(all)/2], all[len(all)*99/100], last, len(all))
 	if last > maxApplyDelay {
-		f.t.Errorf("%s: the last change came after %v, must %v", what, last, maxApplyDelay)
+		f.t.Errorf("%s: got a maximum delay of %v, want at most %v", what, last, maxApplyDelay)
 	}
-	if most > 3*defaultNodeBytes+defaultNodeBytes/2 { // a second's budget, what was saved up, what a fresh change may take in advance, a piece
-		f.t.Errorf("%s: a node was sent %d bytes in a second", what, most)
+	if nodeMax > 3*defaultNodeBytes+defaultNodeBytes/2 { // a second's budget, the burst, the overdraft of fresh changes, and a catch-up batch
+		f.t.Errorf("%s: got %d bytes to a node in one second, above the limit", what, nodeMax)
 	}
-	if outMost > defaultTotalBytes*5/4+maxBatchBytes { // and what was saved up, and one batch
-		f.t.Errorf("%s: a control process sent %d bytes in a second", what, outMost)
+	if controlMax > defaultTotalBytes*5/4+maxBatchBytes { // a second's budget, the burst, and one batch
+		f.t.Errorf("%s: got %d bytes from a control process in one second, above the limit", what, controlMax)
 	}
 }
 
-// TestFleetInVirtualTime starts all nodes at once with empty disks while changes go on, then plays a day's rate of changes
-// and a burst. Each change must be applied at the last node in time.
+// TestFleetInVirtualTime starts all nodes simultaneously with empty disks during ongoing changes, then applies changes at
+// the rate of a day, and a burst. Each change must be applied by its last node within maxApplyDelay.
 func TestFleetInVirtualTime(t *testing.T) {
 	size := fleetSize{nodes: 5800, services: 6000, perService: 33, ofNode: 8}
-	if raceEnabled { // a tenth: it takes minutes there
+	if raceEnabled { // a tenth of the size: the full test takes minutes under the race detector
 		size = fleetSize{nodes: 580, services: 600, perService: 33, ofNode: 8}
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	f := playedFleet(t, size, rng)
+	f := newFleet(t, size, rng)
 	f.run(time.Second)
 	for i, n := range f.nodes {
 		n.follow(f, f.controls[3+i%zones], nil)
@@ -285,7 +286,7 @@
 		f.write(key(service, fmt.Sprintf("server-%d", rng.IntN(size.perService))), fmt.Sprint(f.now))
 	}
 	service := func() string { return fmt.Sprintf("service-%d", rng.IntN(size.services)) }
-	for second := 1; second <= 10; second++ { // one for all nodes and five for some, each second
+	for second := 1; second <= 10; second++ { // each second one change for all nodes, and five for the nodes of one service
 		f.after(time.Duration(second)*time.Second-f.now, func() {
 			change("")
 			for range 5 {
@@ -297,21 +298,21 @@
 	var current []time.Duration
 	for _, n := range f.nodes {
 		if n.current == 0 {
-			t.Fatal("a node is never current")
+			t.Fatal("node has not received a complete batch within 30s")
 		}
 		current = append(current, n.current-time.Second)
 	}
 	slices.Sort(current)
-	t.Logf("start of %d nodes with empty disks: current p50 %v, p99 %v, last %v", size.nodes, current[len(current)/2],
+	t.Logf("start of %d nodes with empty disks: time until current p50 %v, p99 %v, maximum %v", size.nodes, current[len(current)/2],
 		current[len(current)*99/100], current[len(current)-1])
-	f.say("start of all", time.Second, 30*time.Second)
+	f.report("start of all", time.Second, 30*time.Second)
 	const day = 8500
-	for i := range 60 * day / 86400 { // a minute of a day's rate
+	for i := range 60 * day / 86400 { // one minute at the rate of a day
 		f.after(time.Duration(i)*86400*time.Second/day, func() { change(service()) })
 	}
 	f.run(95 * time.Second)
-	f.say("a day's rate", 30*time.Second, 95*time.Second)
-	for range day / 20 { // a twentieth of a day's changes in one second, every twentieth of them for all nodes
+	f.report("a day's rate", 30*time.Second, 95*time.Second)
+	for range day / 20 { // a twentieth of a day's changes in one second, about one in twenty of them for all nodes
 		f.after(time.Duration(rng.IntN(1000))*time.Millisecond, func() {
 			if rng.IntN(20) == 0 {
 				change("")
@@ -321,5 +322,5 @@
 		})
 	}
 	f.run(120 * time.Second)
-	f.say("a twentieth of a day's changes in a second", 95*time.Second, 120*time.Second)
+	f.report("a twentieth of a day's changes in a second", 95*time.Second, 120*time.Second)
 }
--- a/internal/controlplane/distribution/store_test.go
+++ b/internal/controlplane/distribution/store_test.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// wall is where the tests' clocks begin.
+// wall is the wall-clock time at the start of the tests.
 var wall = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
 func key(service, name string) Key { return Key{Service: service, Kind: KindServer, Name: name} }
 
-// writeOne writes one change that must be taken.
+// writeOne writes one value and fails the test if the write is rejected.
 func writeOne(t testing.TB, s *Store, at time.Time, k Key, value string) Entry {
 	t.Helper()
 	entries, err := s.Write(at, []Change{{Key: k, Value: []byte(value)}})
@@ -26,7 +26,7 @@
 	return entries[0]
 }
 
-// send has a publisher send all that waits for one subscriber, in virtual time, and the receiver take it in.
+// send delivers all pending batches of the only subscription of a publisher to a receiver, in virtual time.
 func send(t testing.TB, p *Publisher, r *Receiver, id SubscriptionID, now time.Duration) (all []BatchResult) {
 	t.Helper()
 	for range 100_000 {
@@ -45,7 +45,7 @@
 		all = append(all, got)
 		p.BatchAcknowledged(now, id, Acknowledgement{BatchNumber: b.Number, Applied: r.store.Vector().Clone()})
 	}
-	t.Fatal("it never ends")
+	t.Fatal("batches still pending after 100,000 steps")
 	return nil
 }
 
@@ -60,19 +60,19 @@
 	r := NewReceiver(node)
 	got := send(t, p, r, id, 0)
 	if len(got) != 1 || !got[0].IsComplete || len(got[0].Changed) != 1 {
-		t.Fatalf("received %+v, want one complete batch of one entry", got)
+		t.Fatalf("got results %+v, want one complete batch with one entry", got)
 	}
 	e := writeOne(t, server, wall, key("a", "1"), "two")
 	p.EntriesChanged(0, []Entry{e})
 	send(t, p, r, id, 0)
 	if held, _ := node.Entry(key("a", "1")); string(held.Value) != "two" {
-		t.Fatalf("holds %q, want two", held.Value)
+		t.Fatalf("got value %q, want two", held.Value)
 	}
 	if !node.Vector().CoversAll(server.Vector()) {
-		t.Fatalf("vector %v, want %v", node.Vector(), server.Vector())
+		t.Fatalf("got vector %v, want %v", node.Vector(), server.Vector())
 	}
 	if node.ServiceDigest("a") != server.ServiceDigest("a") || node.ServiceDigest("a") == 0 {
-		t.Fatal("digests differ")
+		t.Fatal("digests differ or are zero")
 	}
 }
 
@@ -105,16 +105,16 @@
 			writeOne(t, s, wall, key("z", "0"), "")
 			_, err := s.Write(test.at, test.changes)
 			if !errors.Is(err, test.want) {
-				t.Fatalf("error %v, want %v", err, test.want)
+				t.Fatalf("got error %v, want %v", err, test.want)
 			}
 			if entries, _ := s.Size(); entries != 1 || s.Vector().Total() != 1 {
-				t.Fatalf("holds %d entries, vector %v after a refused write", entries, s.Vector())
+				t.Fatalf("got %d entries, vector %v after a rejected write, want 1 entry and total 1", entries, s.Vector())
 			}
 		})
 	}
-	t.Run("a holder that never writes", func(t *testing.T) {
+	t.Run("a store without an origin", func(t *testing.T) {
 		if _, err := NewStore("", Limits{}).Write(wall, []Change{good}); !errors.Is(err, ErrInvalidOrigin) {
-			t.Fatalf("error %v", err)
+			t.Fatalf("got error %v, want ErrInvalidOrigin", err)
 		}
 	})
 	t.Run("too many services", func(t *testing.T) {
@@ -123,7 +123,7 @@
 			writeOne(t, s, wall, key(strconv.Itoa(i), "1"), "")
 		}
 		if _, err := s.Write(wall, []Change{{Key: key("one more", "1")}}); !errors.Is(err, ErrStoreFull) {
-			t.Fatalf("error %v", err)
+			t.Fatalf("got error %v, want ErrStoreFull", err)
 		}
 	})
 }
@@ -148,29 +148,29 @@
 	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	other.Merge(all)
 	if s.TotalDigest() != other.TotalDigest() {
-		t.Error("the same entries in another order have another digest")
+		t.Error("digests of the same entries in different orders differ")
 	}
 	entries, size := s.Size()
 	otherEntries, otherSize := other.Size()
 	if entries != otherEntries || size != otherSize {
-		t.Errorf("size %d, %d, in another order %d, %d", entries, size, otherEntries, otherSize)
+		t.Errorf("got %d entries of %d bytes, in another order %d of %d", entries, size, otherEntries, otherSize)
 	}
 	sum := uint64(0)
 	for _, name := range s.Services() {
 		sum += s.ServiceDigest(name)
 	}
 	if sum != s.TotalDigest() || sum == 0 {
-		t.Errorf("services' digests sum up to %x, in all %x", sum, s.TotalDigest())
+		t.Errorf("sum of service digests is %x, total digest %x, want equal and not zero", sum, s.TotalDigest())
 	}
 	s.PruneDeletions(^uint64(0))
 	if s.TotalDigest() != other.TotalDigest() {
-		t.Error("forgetting deletions changes the digest")
+		t.Error("pruning of deletions changed the digest")
 	}
-	for _, e := range held(s) {
+	for _, e := range allEntries(s) {
 		s.remove(e.Key)
 	}
 	if entries, size := s.Size(); entries != 0 || size != 0 || s.TotalDigest() != 0 {
-		t.Errorf("empty, yet %d entries, %d bytes, digest %x", entries, size, s.TotalDigest())
+		t.Errorf("after removal of all keys: got %d entries, %d bytes, digest %x, want 0", entries, size, s.TotalDigest())
 	}
 }
 
@@ -190,7 +190,7 @@
 		s := NewStore("", Limits{})
 		s.Merge([]Entry{e})
 		if seen[s.TotalDigest()] {
-			t.Errorf("%+v has the digest of another", e)
+			t.Errorf("digest of %+v equals that of another entry", e)
 		}
 		seen[s.TotalDigest()] = true
 	}
@@ -207,7 +207,7 @@
 			s.Merge([]Entry{e})
 		}
 		if got, _ := s.Entry(k); Compare(got, tied) != 0 {
-			t.Errorf("order %d: holds %+v", i, got)
+			t.Errorf("order %d: got %+v, want the entry of origin b/1", i, got)
 		}
 	}
 }
@@ -219,13 +219,12 @@
 	second.Key.Name = "2"
 	unnumbered := good
 	unnumbered.Sequence = 0
-	changed, refused := s.Merge([]Entry{good, second, unnumbered})
-	if len(changed) != 1 || len(refused) != 2 || !refused[0].IsStoreFull || refused[1].IsStoreFull {
-		t.Fatalf("changed %v, refused %+v", changed, refused)
+	changed, rejected := s.Merge([]Entry{good, second, unnumbered})
+	if len(changed) != 1 || len(rejected) != 2 || !rejected[0].IsStoreFull || rejected[1].IsStoreFull {
+		t.Fatalf("got changed %v, rejected %+v, want 1 changed, 2 rejected and the first one by a full store", changed, rejected)
 	}
 }
 
-// A store that is full does not advance its vector.
 func TestVectorDoesNotAdvanceWhileStoreIsFull(t *testing.T) {
 	server := NewStore(NewOrigin("root", 1), Limits{})
 	writeOne(t, server, wall, key("a", "1"), "v")
@@ -235,7 +234,7 @@
 	id := p.Subscribe(0, Subscription{Name: "n", Role: RoleNode, Services: []string{"a"}})
 	send(t, p, NewReceiver(node), id, 0)
 	if node.Vector().Total() != 0 {
-		t.Fatalf("vector %v without room for all", node.Vector())
+		t.Fatalf("got vector %v with a full store, want none", node.Vector())
 	}
 }
 
@@ -244,7 +243,7 @@
 	ahead := ClockAt(wall.Add(9*time.Second)) + 7
 	s.Merge([]Entry{{Key: key("a", "1"), Clock: ahead, Origin: "x/1", Sequence: 1}})
 	if e := writeOne(t, s, wall, key("a", "1"), "v"); e.Clock <= ahead {
-		t.Fatalf("clock %d, seen was %d", e.Clock, ahead)
+		t.Fatalf("got clock %d, want more than the received %d", e.Clock, ahead)
 	}
 }
 
@@ -258,10 +257,10 @@
 	s.Merge([]Entry{entry("1", 1), entry("2", 2), entry("3", 3), elsewhere})
 	removed := s.ReplaceServices([]string{"a"}, map[Key]bool{key("a", "1"): true}, Vector{"x/1": 2})
 	if len(removed) != 1 || removed[0].Key.Name != "2" {
-		t.Fatalf("removed %+v, want 2", removed)
+		t.Fatalf("removed %+v, want entry 2", removed)
 	}
 	if entries, _ := s.Size(); entries != 3 {
-		t.Fatalf("%d entries are left, want 3", entries)
+		t.Fatalf("got %d remaining entries, want 3", entries)
 	}
 }
 
@@ -272,21 +271,21 @@
 		t.Fatal(err)
 	}
 	if dropped := s.PruneDeletions(ClockAt(wall)); len(dropped) != 0 {
-		t.Fatalf("forgot %v too early", dropped)
+		t.Fatalf("pruned %v before the cutoff", dropped)
 	}
 	if dropped := s.PruneDeletions(ClockAt(wall.Add(time.Second))); len(dropped) != 1 {
-		t.Fatalf("forgot %v", dropped)
+		t.Fatalf("pruned %v, want 1 key", dropped)
 	}
 	if changed, _ := s.Merge([]Entry{e}); len(changed) != 0 {
-		t.Fatalf("%v is back", changed)
+		t.Fatalf("pruned key was stored again: %v", changed)
 	}
 	if (Vector{s.Origin(): 1}).CoversAll(s.Pruned()) || !s.Vector().CoversAll(s.Pruned()) {
-		t.Fatal("who lacks the deletion is behind, who has it is not")
+		t.Fatal("pruned vector must exceed vectors without the deletion, and must be covered by vectors with it")
 	}
-	foreign := NewStore("", Limits{}) // it holds a deletion beyond its vector
+	foreign := NewStore("", Limits{}) // with a deletion that its vector does not cover
 	foreign.Merge([]Entry{{Key: key("a", "1"), Clock: 5, Origin: "x/1", Sequence: 1, Deleted: true}})
 	if dropped := foreign.PruneDeletions(^uint64(0)); len(dropped) != 0 {
-		t.Fatalf("forgot %v, which its vector does not cover", dropped)
+		t.Fatalf("pruned %v, which the vector does not cover", dropped)
 	}
 }
 
@@ -297,29 +296,29 @@
 	old := NewStore(origin, Limits{})
 	old.Restore([]Entry{e}, s.Vector(), nil)
 	if _, err := old.Write(wall, []Change{{Key: key("a", "2")}}); !errors.Is(err, ErrStaleOrigin) {
-		t.Fatalf("a write by an origin that was on the disk: %v", err)
+		t.Fatalf("write under a restored origin: got error %v, want ErrStaleOrigin", err)
 	}
 	old.RenewOrigin(wall, NewOrigin("root", 2))
 	if e := writeOne(t, old, wall, key("a", "2"), "v"); e.Origin == origin || e.Sequence != 1 {
-		t.Fatalf("written as %s %d", e.Origin, e.Sequence)
+		t.Fatalf("got origin %s, sequence %d, want a new origin and 1", e.Origin, e.Sequence)
 	}
 	if old.Vector()[origin] != 1 {
-		t.Fatalf("vector %v", old.Vector())
+		t.Fatalf("got vector %v, want 1 for the restored origin", old.Vector())
 	}
-	// A copy that wrote before it was found to be stale: its writes are made again.
+	// A store that wrote before its origin was found to be stale rewrites its entries.
 	blind := NewStore(origin, Limits{})
 	writeOne(t, blind, wall, key("a", "3"), "mine")
 	blind.ObserveVector(Vector{origin: 5})
 	if !blind.IsStale() {
-		t.Fatal("not stale though others hold more")
+		t.Fatal("origin is not stale after another store's vector exceeded it")
 	}
 	again := blind.RenewOrigin(wall, NewOrigin("root", 3))
 	if len(again) != 1 || again[0].Origin == origin || string(again[0].Value) != "mine" || blind.Vector()[origin] != 0 {
-		t.Fatalf("again %+v, vector %v", again, blind.Vector())
+		t.Fatalf("got rewritten entries %+v, vector %v, want one entry under a new origin", again, blind.Vector())
 	}
 }
 
-// An overwritten entry's sequence is covered: no holder waits for it.
+// The sequences of overwritten entries count as covered, although the entries are never sent.
 func TestOverwrittenSequencesAreCovered(t *testing.T) {
 	server := NewStore(NewOrigin("root", 1), Limits{})
 	for i := range 10 {
@@ -329,14 +328,14 @@
 	p := NewPublisher(server, Budget{})
 	got := send(t, p, NewReceiver(node), p.Subscribe(0, Subscription{Name: "n", Role: RoleNode, Services: []string{"a"}}), 0)
 	if len(got[0].Changed) != 1 || node.Vector()[server.Origin()] != 10 {
-		t.Fatalf("%d entries, vector %v", len(got[0].Changed), node.Vector())
+		t.Fatalf("got %d entries, vector %v, want 1 entry and sequence 10", len(got[0].Changed), node.Vector())
 	}
 	if keys := server.KeysSince(node.Vector(), []string{"a"}, false); len(keys) != 0 {
-		t.Fatalf("lacks %v", keys)
+		t.Fatalf("got missing keys %v, want none", keys)
 	}
 }
 
-// BenchmarkStoreMemory prints the bytes that an entry with a name of 16 and a value of 60 bytes takes.
+// BenchmarkStoreMemory reports the memory of an entry with a name of 16 bytes and a value of 60 bytes.
 func BenchmarkStoreMemory(b *testing.B) {
 	const entries = 480_000
 	for range b.N {
--- a/internal/controlplane/distribution/subscriber_test.go
+++ b/internal/controlplane/distribution/subscriber_test.go
@@ -9,7 +9,7 @@
 	const ms = time.Millisecond
 	type step struct {
 		at     time.Duration
-		do     string // connected, received, complete, lost, passed
+		do     string // input: connected, received, complete, lost, or passed for the passing of time
 		state  State
 		serves bool
 	}
@@ -19,18 +19,18 @@
 	}{
 		{"current at the start", []step{{0, "passed", StateStarting, false}, {10 * ms, "connected", StateCatchingUp, false}, {20 * ms, "received", StateCatchingUp, false},
 			{30 * ms, "complete", StateCurrent, true}, {3 * time.Second, "passed", StateCurrent, true}}},
-		{"serves from what it holds when nobody answers", []step{{0, "passed", StateStarting, false}, {10 * ms, "lost", StateStarting, false},
+		{"serves stored entries without an upstream", []step{{0, "passed", StateStarting, false}, {10 * ms, "lost", StateStarting, false},
 			{1999 * ms, "passed", StateStarting, false}, {2000 * ms, "passed", StateIsolated, true}, {2100 * ms, "connected", StateBehind, true}, {2200 * ms, "complete", StateCurrent, true}}},
-		{"serves while it is caught up for long", []step{{0, "passed", StateStarting, false}, {10 * ms, "connected", StateCatchingUp, false},
+		{"serves during a long catch-up", []step{{0, "passed", StateStarting, false}, {10 * ms, "connected", StateCatchingUp, false},
 			{2000 * ms, "passed", StateBehind, true}, {2500 * ms, "complete", StateCurrent, true}}},
-		{"lost while it is caught up", []step{{0, "passed", StateStarting, false}, {10 * ms, "connected", StateCatchingUp, false}, {20 * ms, "lost", StateStarting, false},
+		{"upstream lost during the catch-up", []step{{0, "passed", StateStarting, false}, {10 * ms, "connected", StateCatchingUp, false}, {20 * ms, "lost", StateStarting, false},
 			{30 * ms, "passed", StateStarting, false}, {40 * ms, "connected", StateCatchingUp, false}}},
-		{"loses its upstream", []step{{0, "passed", StateStarting, false}, {0, "connected", StateCatchingUp, false}, {0, "complete", StateCurrent, true},
+		{"upstream lost while current", []step{{0, "passed", StateStarting, false}, {0, "connected", StateCatchingUp, false}, {0, "complete", StateCurrent, true},
 			{50 * ms, "lost", StateBehind, true}, {9 * time.Second, "passed", StateBehind, true}, {9100 * ms, "lost", StateBehind, true}, {10050 * ms, "passed", StateIsolated, true},
 			{10060 * ms, "connected", StateBehind, true}, {10070 * ms, "complete", StateCurrent, true}}},
-		{"falls behind what it is sent", []step{{0, "passed", StateStarting, false}, {0, "connected", StateCatchingUp, false}, {0, "complete", StateCurrent, true},
+		{"no complete batch in time", []step{{0, "passed", StateStarting, false}, {0, "connected", StateCatchingUp, false}, {0, "complete", StateCurrent, true},
 			{1 * ms, "received", StateCurrent, true}, {2000 * ms, "passed", StateCurrent, true}, {2001 * ms, "passed", StateBehind, true}, {2002 * ms, "complete", StateCurrent, true}}},
-		{"an upstream that says nothing is left", []step{{0, "passed", StateStarting, false}, {0, "connected", StateCatchingUp, false}, {0, "complete", StateCurrent, true},
+		{"silent upstream", []step{{0, "passed", StateStarting, false}, {0, "connected", StateCatchingUp, false}, {0, "complete", StateCurrent, true},
 			{24 * time.Second, "passed", StateCurrent, true}, {25 * time.Second, "passed", StateBehind, true}}},
 	}
 	for _, test := range tests {
@@ -50,7 +50,7 @@
 					s.Tick(step.at)
 				}
 				if s.State() != step.state || s.CanServe() != step.serves {
-					t.Fatalf("step %d, %s at %v: %v, serves %v; want %v, %v", i, step.do, step.at, s.State(), s.CanServe(), step.state, step.serves)
+					t.Fatalf("step %d, %s at %v: got %v, serves %v, want %v, serves %v", i, step.do, step.at, s.State(), s.CanServe(), step.state, step.serves)
 				}
 			}
 		})
@@ -62,7 +62,7 @@
 	for state := StateCurrent; state < stateLimit; state++ {
 		for in := range stateInputLimit {
 			if next := transitions[state][in]; next < StateCurrent {
-				t.Errorf("%v leads to %v", state, next)
+				t.Errorf("serving state %v changes to non-serving state %v", state, next)
 			}
 		}
 	}
@@ -73,27 +73,27 @@
 	dial := func(at time.Duration, want int) {
 		t.Helper()
 		if do, _ := s.Tick(at); !do.ShouldDial || do.Upstream != want {
-			t.Fatalf("at %v: %+v, want upstream %d", at, do, want)
+			t.Fatalf("at %v: got %+v, want a dial of upstream %d", at, do, want)
 		}
 	}
 	dial(0, 0)
 	s.UpstreamLost(1)
 	dial(1, 1)
 	if do, again := s.Tick(500 * time.Millisecond); do.ShouldDial || again > 1*time.Second+1 {
-		t.Fatalf("an attempt in hand: %+v, again %v", do, again)
+		t.Fatalf("attempt in progress: got %+v, next tick at %v, want no dial", do, again)
 	}
 	if do, _ := s.Tick(1*time.Second + 1); !do.ShouldDisconnect || !do.ShouldDial || do.Upstream != 2 {
-		t.Fatalf("an attempt without an answer: %+v", do)
+		t.Fatalf("attempt timed out: got %+v, want a dial of upstream 2", do)
 	}
 	s.UpstreamConnected(1100 * time.Millisecond)
 	s.MessageReceived(1200*time.Millisecond, true)
 	if do, _ := s.Tick(20 * time.Second); do.ShouldDial || do.ShouldDisconnect {
-		t.Fatalf("it is left for another: %+v", do)
+		t.Fatalf("working connection: got %+v, want no dial and no disconnect", do)
 	}
 	s.UpstreamLost(21 * time.Second)
-	do, again := s.Tick(21 * time.Second) // the third failure in a row: a round of all is over
+	do, again := s.Tick(21 * time.Second) // the third consecutive failure ends a round of attempts
 	if do.ShouldDial || again <= 21*time.Second || again > 21*time.Second+2*initialBackoff {
-		t.Fatalf("%+v, again %v: no back-off after a round", do, again)
+		t.Fatalf("got %+v, next tick at %v, want a backoff after a round", do, again)
 	}
 	dial(again, 0)
 	for range 100 {
@@ -101,6 +101,6 @@
 		_, again = s.Tick(again)
 	}
 	if waited := s.backoffAfter(100); waited > defaultMaxBackoff || waited < defaultMaxBackoff/2 {
-		t.Fatalf("backs off for %v", waited)
+		t.Fatalf("got a backoff of %v, want from half of defaultMaxBackoff to all of it", waited)
 	}
 }
--- a/internal/controlplane/distribution/world_test.go
+++ b/internal/controlplane/distribution/world_test.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// world is a tree of holders and their connections in virtual time. Each connection keeps the order of its messages; one
-// that ends loses those under way.
-type world struct {
-	fail    func(format string, args ...any)
-	now     time.Duration
-	holders []*holder
-	links   []*link
-	drawn   uint64
-	writes  []Entry
-	pruned  map[Key]Entry // the greatest deletion of a key that somebody has forgotten
-}
-
-// holder is a control process or a node.
-type holder struct {
-	w        *world
-	name     string
-	region   string
-	role     Role
-	services []string
-	store    *Store
-	pub      *Publisher
-	routes   map[SubscriptionID]route
-	floor    map[Key]Entry // the greatest version of each key that it has had
-	saved    []*disk
+// simulation contains processes and their connections in virtual time. Each connection preserves the order of its messages, and
+// loses those in flight when it ends.
+type simulation struct {
+	fail        func(format string, args ...any)
+	now         time.Duration
+	processes   []*process
+	links       []*link
+	originCount uint64 // number of origins drawn
+	writes      []Entry
+	pruned      map[Key]Entry // by key, the greatest deletion that any process has pruned
+}
+
+// process is a control process or a node.
+type process struct {
+	w          *simulation
+	name       string
+	region     string
+	role       Role
+	services   []string
+	store      *Store
+	pub        *Publisher
+	routes     map[SubscriptionID]route
+	newest     map[Key]Entry // the greatest version of each key that it has stored
+	savedDisks []*disk
 }
 
 type route struct {
 	l  *link
-	up bool // the batches go from the subscriber to the server
+	up bool // the batches are sent from the subscriber to the server
 }
 
-// disk is what a holder has written.
+// disk is the state that a process has saved.
 type disk struct {
 	entries  []Entry
 	vector   Vector
@@ -47,54 +47,54 @@
 	services []string
 }
 
-// link is where a subscriber may connect to a server.
+// link is a possible connection of a subscriber to a server.
 type link struct {
-	subscriber, server *holder
+	subscriber, server *process
 	open               bool
 	down, up           direction
 	toSubscriber       []message
 	toServer           []message
 }
 
-// direction of batches on a link.
+// direction is the state of the batches that are sent in one direction of a link.
 type direction struct {
 	id       SubscriptionID
 	receiver *Receiver
 }
 
-// message is one of Subscription, Batch, Acknowledgement, Digests, []string (services wanted whole) and askDigests.
+// message contains a Subscription, pullRequest, Batch, Acknowledgement, Digests, []string (services to send in full) or digestRequest.
 type message struct {
-	up   bool // of the batches from the subscriber to the server
+	up   bool // belongs to the batches that are sent from the subscriber to the server
 	body any
 }
 
 type (
-	follow     struct{ vector Vector } // a server asks for what it lacks
-	askDigests struct{}
+	pullRequest   struct{ vector Vector } // request of a server for the entries that it lacks
+	digestRequest struct{}                // request for the digests of all services
 )
 
-func newWorld(fail func(format string, args ...any)) *world {
-	return &world{fail: fail, pruned: map[Key]Entry{}}
+func newSimulation(fail func(format string, args ...any)) *simulation {
+	return &simulation{fail: fail, pruned: map[Key]Entry{}}
 }
 
-func (w *world) wall() time.Time { return wall.Add(w.now) }
+func (w *simulation) wall() time.Time { return wall.Add(w.now) }
 
-func (w *world) add(name, region string, role Role, services ...string) *holder {
-	h := &holder{w: w, name: name, region: region, role: role, services: services}
+func (w *simulation) add(name, region string, role Role, services ...string) *process {
+	h := &process{w: w, name: name, region: region, role: role, services: services}
 	h.start(nil)
-	w.holders = append(w.holders, h)
+	w.processes = append(w.processes, h)
 	return h
 }
 
-func (w *world) connectable(subscriber *holder, servers ...*holder) {
+func (w *simulation) connectable(subscriber *process, servers ...*process) {
 	for _, s := range servers {
 		w.links = append(w.links, &link{subscriber: subscriber, server: s})
 	}
 }
 
-// chain is a root, a relay that follows it and a node of service a that follows the relay.
-func chain(t *testing.T) (w *world, root, relay, node *holder) {
-	w = newWorld(t.Fatalf)
+// chain returns a simulation of a root, a relay that subscribes to it, and a node of service a that subscribes to the relay.
+func chain(t *testing.T) (w *simulation, root, relay, node *process) {
+	w = newSimulation(t.Fatalf)
 	root = w.add("root", "", RoleControl)
 	relay = w.add("relay", "", RoleControl)
 	node = w.add("node", "", RoleNode, "a")
@@ -103,15 +103,15 @@
 	return w, root, relay, node
 }
 
-// start begins a process on a disk, or on a new one.
-func (h *holder) start(d *disk) {
+// start starts a process from a saved disk, or from an empty one.
+func (h *process) start(d *disk) {
 	origin := Origin("")
 	if h.role == RoleControl {
-		h.w.drawn++
-		origin = NewOrigin(h.name, h.w.drawn)
+		h.w.originCount++
+		origin = NewOrigin(h.name, h.w.originCount)
 	}
 	h.store = NewStore(origin, Limits{})
-	h.floor = map[Key]Entry{}
+	h.newest = map[Key]Entry{}
 	if d != nil {
 		h.store.Restore(d.entries, d.vector, d.pruned)
 	}
@@ -122,22 +122,22 @@
 		}
 		h.store.SetScope(h.services)
 	}
-	for _, e := range held(h.store) {
-		h.floor[e.Key] = e
+	for _, e := range allEntries(h.store) {
+		h.newest[e.Key] = e
 	}
 	h.pub = NewPublisher(h.store, Budget{})
 	h.routes = map[SubscriptionID]route{}
 }
 
-func (h *holder) disk() *disk {
+func (h *process) disk() *disk {
 	d := &disk{vector: h.store.Vector().Clone(), pruned: h.store.Pruned().Clone(), missing: h.store.UnsyncedServices(),
 		services: slices.Clone(h.services)}
-	d.entries = held(h.store)
+	d.entries = allEntries(h.store)
 	return d
 }
 
-// held is all entries of a store, deletions included.
-func held(s *Store) (entries []Entry) {
+// allEntries returns all entries of a store, deletions included.
+func allEntries(s *Store) (entries []Entry) {
 	for _, k := range s.KeysSince(nil, nil, true) {
 		e, _ := s.Entry(k)
 		entries = append(entries, e)
@@ -145,7 +145,7 @@
 	return entries
 }
 
-func (h *holder) restart(d *disk) {
+func (h *process) restart(d *disk) {
 	for _, l := range h.w.links {
 		if l.subscriber == h || l.server == h {
 			h.w.close(l)
@@ -154,7 +154,7 @@
 	h.start(d)
 }
 
-func (w *world) open(l *link) {
+func (w *simulation) open(l *link) {
 	if l.open {
 		return
 	}
@@ -165,7 +165,7 @@
 		Vector: s.store.Vector().Clone(), UnsyncedServices: s.store.UnsyncedServices()}})
 }
 
-func (w *world) close(l *link) {
+func (w *simulation) close(l *link) {
 	if !l.open {
 		return
 	}
@@ -176,20 +176,20 @@
 	*l = link{subscriber: l.subscriber, server: l.server}
 }
 
-// write makes changes at a control process.
-func (h *holder) write(changes ...Change) {
+// write applies changes at a control process.
+func (h *process) write(changes ...Change) {
 	entries, err := h.store.Write(h.w.wall(), changes)
 	if err != nil {
 		h.w.fail("%s: write: %v", h.name, err)
 		return
 	}
 	h.w.writes = append(h.w.writes, entries...)
-	h.took(BatchResult{Changed: entries})
+	h.applyResult(BatchResult{Changed: entries})
 }
 
-// hasWhatItCovers looks whether the vector tells the truth: of each write that it covers the holder has that version or a
-// greater one, or it covers a later deletion.
-func (h *holder) hasWhatItCovers() {
+// checkCoverage verifies the vector: for each covered write the store must have that version of the key or a greater one, or
+// cover a later deletion.
+func (h *process) checkCoverage() {
 	for _, e := range h.w.writes {
 		if !h.store.IsInScope(e.Key.Service) || !h.store.covers(e) {
 			continue
@@ -198,34 +198,33 @@
 			continue
 		}
 		if !slices.ContainsFunc(h.w.writes, func(d Entry) bool { return d.Key == e.Key && d.Deleted && Compare(d, e) > 0 && h.store.covers(d) }) {
-			h.w.fail("%s covers %+v and lacks it", h.name, e)
+			h.w.fail("%s: vector covers %+v, but the store lacks it", h.name, e)
 		}
 	}
 }
 
-// took is what a process does with what has changed in its store.
-func (h *holder) took(got BatchResult) {
+// applyResult publishes the changes of a store, and verifies the invariants of the process.
+func (h *process) applyResult(got BatchResult) {
 	for _, e := range got.Changed {
-		before, ok := h.floor[e.Key]
+		before, ok := h.newest[e.Key]
 		if c := Compare(before, e); ok && (c > 0 || c == 0 && !e.Deleted) { // a pruned deletion may be received again
-			h.w.fail("%s went back from %+v to %+v", h.name, before, e)
+			h.w.fail("%s: replaced %+v by the older %+v", h.name, before, e)
 		}
-		h.floor[e.Key] = e
+		h.newest[e.Key] = e
 	}
 	h.pub.EntriesChanged(h.w.now, got.Changed)
 	h.pub.ResyncServices(h.w.now, got.ResyncServices)
 	if got.IsComplete {
-		h.hasWhatItCovers()
+		h.checkCoverage()
 	}
 	if h.store.IsStale() {
-		h.w.fail("%s: its origin was drawn at its start, and somebody knows more of it", h.name)
+		h.w.fail("%s: origin is stale although it was drawn at the start", h.name)
 	}
 }
 
-// prune prunes deletions.
-func (h *holder) prune(olderThan uint64) {
+func (h *process) prune(olderThan uint64) {
 	before := map[Key]Entry{}
-	for _, e := range held(h.store) {
+	for _, e := range allEntries(h.store) {
 		before[e.Key] = e
 	}
 	keys := h.store.PruneDeletions(olderThan)
@@ -237,8 +236,8 @@
 	h.pub.DeletionsPruned(h.w.now, keys)
 }
 
-// sendDue has a holder send up to a number of batches, and its digests.
-func (h *holder) sendDue(maxBatches int) (moved bool) {
+// sendDue sends up to maxBatches batches and the digests that are due, and reports whether it sent any message.
+func (h *process) sendDue(maxBatches int) (moved bool) {
 	for range maxBatches {
 		id, b, ok, _ := h.pub.NextBatch(h.w.now)
 		if !ok {
@@ -257,10 +256,10 @@
 	}
 }
 
-func (h *holder) sendTo(id SubscriptionID, body any) {
+func (h *process) sendTo(id SubscriptionID, body any) {
 	r, ok := h.routes[id]
 	if !ok {
-		h.w.fail("%s: a batch for nobody", h.name)
+		h.w.fail("%s: message for an unknown subscription", h.name)
 		return
 	}
 	if r.up {
@@ -270,8 +269,8 @@
 	}
 }
 
-// deliver hands over the first message of one way of a link; again says that it comes twice.
-func (w *world) deliver(l *link, toServer, again bool) (moved bool) {
+// deliver delivers the first message in one direction of a link, a batch twice if again is set. It reports whether there was one.
+func (w *simulation) deliver(l *link, toServer, again bool) (moved bool) {
 	queue, at, other := &l.toSubscriber, l.subscriber, l.server
 	if toServer {
 		queue, at, other = &l.toServer, l.server, l.subscriber
@@ -288,10 +287,10 @@
 	return true
 }
 
-func (w *world) handle(l *link, at, other *holder, m message) {
-	way := &l.down
+func (w *simulation) handle(l *link, at, other *process, m message) {
+	side := &l.down
 	if m.up {
-		way = &l.up
+		side = &l.up
 	}
 	answer := func(body any) {
 		if at == l.server {
@@ -302,11 +301,11 @@
 	}
 	switch body := m.body.(type) {
 	case Subscription:
-		w.subscribed(l, at, other, body)
-	case follow:
-		w.followed(l, at, other, body)
+		w.handleSubscription(l, at, other, body)
+	case pullRequest:
+		w.handlePull(l, at, other, body)
 	case Batch:
-		got := way.receiver.ReceiveBatch(body)
+		got := side.receiver.ReceiveBatch(body)
 		if body.IsComplete {
 			back := l.up.id
 			if m.up {
@@ -314,82 +313,82 @@
 			}
 			at.pub.VectorLearned(back, body.Through)
 		}
-		at.took(got)
+		at.applyResult(got)
 		answer(Acknowledgement{BatchNumber: body.Number, Applied: at.store.Vector().Clone()})
 	case Acknowledgement:
-		at.pub.BatchAcknowledged(w.now, way.id, body)
-		at.took(BatchResult{})
+		at.pub.BatchAcknowledged(w.now, side.id, body)
+		at.applyResult(BatchResult{})
 	case Digests:
-		services, total, _ := way.receiver.CompareDigests(body)
-		at.took(BatchResult{})
+		services, total, _ := side.receiver.CompareDigests(body)
+		at.applyResult(BatchResult{})
 		if total {
-			answer(askDigests{})
+			answer(digestRequest{})
 		} else if len(services) > 0 {
 			answer(services)
 		}
 	case []string:
-		at.pub.ResyncSubscriber(w.now, way.id, body)
-	case askDigests:
+		at.pub.ResyncSubscriber(w.now, side.id, body)
+	case digestRequest:
 		answer(Digests{Services: at.pub.ServiceDigests()})
 	}
 }
 
-func (w *world) subscribed(l *link, at, other *holder, asked Subscription) {
-	l.down.id = at.pub.Subscribe(w.now, asked)
+func (w *simulation) handleSubscription(l *link, at, other *process, request Subscription) {
+	l.down.id = at.pub.Subscribe(w.now, request)
 	at.routes[l.down.id] = route{l, false}
-	at.took(BatchResult{})
-	if asked.Role == RoleNode && !at.store.IsBehind(asked.Vector) {
+	at.applyResult(BatchResult{})
+	if request.Role == RoleNode && !at.store.IsBehind(request.Vector) {
 		return
 	}
 	l.up.receiver = NewReceiver(at.store)
-	l.toSubscriber = append(l.toSubscriber, message{true, follow{at.store.Vector().Clone()}})
+	l.toSubscriber = append(l.toSubscriber, message{true, pullRequest{at.store.Vector().Clone()}})
 }
 
-func (w *world) followed(l *link, at, other *holder, asked follow) {
-	s := Subscription{Name: other.name, Role: RoleControl, AllServices: true, Vector: asked.vector}
+func (w *simulation) handlePull(l *link, at, other *process, request pullRequest) {
+	s := Subscription{Name: other.name, Role: RoleControl, AllServices: true, Vector: request.vector}
 	if at.role == RoleNode {
 		l.up.id = at.pub.SubscribePartial(w.now, s)
 	} else {
 		l.up.id = at.pub.Subscribe(w.now, s)
 	}
 	at.routes[l.up.id] = route{l, true}
-	at.took(BatchResult{})
+	at.applyResult(BatchResult{})
 }
 
-// converge connects all and runs until nothing is sent any more and all digests agree.
-func (w *world) converge() {
+// converge opens all links and runs until no message is sent and no store changes over several digest intervals.
+func (w *simulation) converge() {
 	for _, l := range w.links {
 		w.open(l)
 	}
-	quiet := 0
-	for round := 0; quiet < 4; round++ {
+	idleRounds := 0
+	for round := 0; idleRounds < 4; round++ {
 		if round > 3000 {
-			w.fail("it does not converge")
+			w.fail("stores have not converged after 3000 rounds")
 			return
 		}
 		moved := false
-		for _, h := range w.holders {
+		for _, h := range w.processes {
 			moved = h.sendDue(100) || moved
 		}
 		if !moved {
 			w.now += time.Second
 		}
-		before := w.sum()
+		before := w.fingerprint()
 		for _, l := range w.links {
 			for w.deliver(l, true, false) || w.deliver(l, false, false) {
 			}
 		}
-		if w.sum() != before || w.busy() {
-			quiet = 0
+		if w.fingerprint() != before || w.busy() {
+			idleRounds = 0
 			continue
 		}
 		w.now += digestInterval
-		quiet++
+		idleRounds++
 	}
 }
 
-func (w *world) busy() bool {
-	for _, h := range w.holders {
+func (w *simulation) busy() bool {
+	for _, h := range w.processes {
 		for _, s := range h.pub.subscriptions {
 			if s.hasPending(freshLane) || s.hasPending(catchUpLane) || len(s.inFlight.batches) > 0 {
 				return true
@@ -399,25 +398,25 @@
 	return false
 }
 
-func (w *world) sum() string {
+func (w *simulation) fingerprint() string {
 	text := ""
-	for _, h := range w.holders {
+	for _, h := range w.processes {
 		text += fmt.Sprintf("%x %d ", h.store.TotalDigest(), h.store.Vector().Total())
 	}
 	return text
 }
 
-// winners returns the greatest version of each key that anybody holds, or that was forgotten as deleted while there is still a
-// control process that covers it.
-func (w *world) winners() map[Key]Entry {
+// winners returns the greatest version of each key that any process has stored, or that was pruned as a deletion while a control
+// process still covers it.
+func (w *simulation) winners() map[Key]Entry {
 	best := map[Key]Entry{}
 	for k, e := range w.pruned {
 		if w.covered(e) {
 			best[k] = e
 		}
 	}
-	for _, h := range w.holders {
-		for _, e := range held(h.store) {
+	for _, h := range w.processes {
+		for _, e := range allEntries(h.store) {
 			if Compare(best[e.Key], e) < 0 {
 				best[e.Key] = e
 			}
@@ -426,13 +425,13 @@
 	return best
 }
 
-func (w *world) covered(e Entry) bool {
-	return slices.ContainsFunc(w.holders, func(h *holder) bool { return h.role == RoleControl && h.store.Vector().Covers(e) })
+func (w *simulation) covered(e Entry) bool {
+	return slices.ContainsFunc(w.processes, func(h *process) bool { return h.role == RoleControl && h.store.Vector().Covers(e) })
 }
 
-// check has each holder hold just the winners of its services.
-func (w *world) check(expected map[Key]Entry) {
-	for _, h := range w.holders {
+// check verifies that each process has exactly the winning entries of its services.
+func (w *simulation) check(expected map[Key]Entry) {
+	for _, h := range w.processes {
 		for k, e := range expected {
 			if h.role == RoleNode && !slices.Contains(h.services, k.Service) {
 				continue
@@ -440,20 +439,20 @@
 			got, ok := h.store.Entry(k)
 			if e.Deleted {
 				if ok && !got.Deleted {
-					w.fail("%s: %s is back: holds %+v after %+v", h.name, k, got, e)
+					w.fail("%s: %s: got %+v after the deletion %+v", h.name, k, got, e)
 				}
 				continue
 			}
 			if !ok || got.Deleted || Compare(got, e) < 0 || string(got.Value) != string(e.Value) {
-				w.fail("%s: %s: holds %v %+v, want %+v", h.name, k, ok, got, e)
+				w.fail("%s: %s: got (stored %v) %+v, want %+v", h.name, k, ok, got, e)
 			}
 		}
-		for _, e := range held(h.store) {
+		for _, e := range allEntries(h.store) {
 			if h.role == RoleNode && !slices.Contains(h.services, e.Key.Service) {
-				w.fail("%s: holds %s of another's", h.name, e.Key)
+				w.fail("%s: stores %s of a service that it does not subscribe to", h.name, e.Key)
 			}
 			if _, ok := expected[e.Key]; !ok {
-				w.fail("%s: holds %+v that nobody pendingWrites", h.name, e)
+				w.fail("%s: stores %+v, which no process has written", h.name, e)
 			}
 		}
 	}
