--- a/internal/controlplane/distribution/control/bounds_test.go
+++ b/internal/controlplane/distribution/control/bounds_test.go
@@ -10,8 +10,8 @@
 	"fernvane/internal/testbed/standin/address"
 )
 
-// Guards against an acknowledgement that its receiver takes for a violation of the protocol: more rejections, or longer texts in them, than a
-// message takes. A peer sends entries that cannot be held, and goes on being connected.
+// Guards against an acknowledgement that its receiver treats as a protocol violation, because it has more rejections, or longer
+// texts in them, than a message permits. A peer that sends entries that cannot be stored must stay connected.
 func TestAcknowledgementsKeepBounds(t *testing.T) {
 	t.Parallel()
 	for name, key := range map[string]func(n int) distribution.Key{
@@ -25,8 +25,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			m := start(t, settings(t, "a", address.Free(t), disks(t)("a")))
-			wait(t, "current", m.isCurrent)
-			conn, err := greeted(m.at, "peer", nil)
+			wait(t, "the processes to be current", m.isCurrent)
+			conn, err := dialAndGreet(m.at, "peer", nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -38,7 +38,7 @@
 				entries = append(entries, distribution.Entry{Key: key(n), Origin: "peer/1", Clock: 1, Sequence: uint64(n + 1), Value: []byte("v")})
 			}
 			for {
-				received, err := next(conn, patience)
+				received, err := receiveMessage(conn, waitTimeout)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -49,7 +49,7 @@
 					}
 				case *wire.Acknowledge:
 					if n := len(received.Acknowledgement.Rejected); n == 0 {
-						t.Error("nothing was rejected")
+						t.Error("got no rejections, want at least one")
 					}
 					return
 				}
@@ -58,13 +58,13 @@
 	}
 }
 
-// Guards against an error text that its receiver takes for a violation of the protocol, since it was cut by runes and not by bytes.
+// Guards against an error text that its receiver treats as a protocol violation, because it was truncated by runes instead of bytes.
 func TestWriteErrorKeepsBounds(t *testing.T) {
 	t.Parallel()
 	m := start(t, settings(t, "a", address.Free(t), disks(t)("a")))
-	wait(t, "current", m.isCurrent)
+	wait(t, "the processes to be current", m.isCurrent)
 	written, err := tryWrite(m.at, route("s", strings.Repeat("€", 300)))
 	if written == nil || err == nil || !strings.Contains(err.Error(), "€€€") {
-		t.Errorf("%+v, %v", written, err)
+		t.Errorf("got result %+v, error %v, want a result with a truncated error", written, err)
 	}
 }
--- a/internal/controlplane/distribution/control/command_test.go
+++ b/internal/controlplane/distribution/control/command_test.go
@@ -13,10 +13,10 @@
 	"fernvane/internal/controlplane/distribution/wire"
 )
 
-// command is a connection of an operator's.
-func command(t *testing.T, at string, keys *mtls.Keys) *framing.Conn {
+// openCommand opens a connection of an operator's command.
+func openCommand(t *testing.T, at string, keys *mtls.Keys) *framing.Conn {
 	t.Helper()
-	conn, err := greeted(at, "operator", keys)
+	conn, err := dialAndGreet(at, "operator", keys)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 	return conn
 }
 
-func greeted(at, name string, keys *mtls.Keys) (*framing.Conn, error) {
+func dialAndGreet(at, name string, keys *mtls.Keys) (*framing.Conn, error) {
 	nc, err := net.DialTimeout("tcp", at, time.Second)
 	if err != nil {
 		return nil, err
@@ -40,8 +40,8 @@
 	return conn, nil
 }
 
-// next is a message, but signs of life.
-func next(conn *framing.Conn, within time.Duration) (wire.Message, error) {
+// receiveMessage receives a message, or returns a rejection as an error.
+func receiveMessage(conn *framing.Conn, within time.Duration) (wire.Message, error) {
 	kind, body, err := conn.Receive(time.Now().Add(within))
 	if err != nil {
 		return nil, err
@@ -52,13 +52,13 @@
 	return wire.Decode(kind, body)
 }
 
-// tryWrite writes at an address and returns the result.
+// tryWrite sends a write to the process at an address, and returns its result within 10 s.
 func tryWrite(at string, changes ...distribution.Change) (*wire.WriteResult, error) {
 	return tryWriteWithin(at, 10*time.Second, changes...)
 }
 
 func tryWriteWithin(at string, within time.Duration, changes ...distribution.Change) (*wire.WriteResult, error) {
-	conn, err := greeted(at, "operator", nil)
+	conn, err := dialAndGreet(at, "operator", nil)
 	if err != nil {
 		return nil, err
 	}
@@ -66,13 +66,13 @@
 	if err := wire.Send(conn, &wire.Write{ID: 7, Changes: changes}); err != nil {
 		return nil, err
 	}
-	m, err := next(conn, within)
+	m, err := receiveMessage(conn, within)
 	if err != nil {
 		return nil, err
 	}
 	written, ok := m.(*wire.WriteResult)
 	if !ok || written.ID != 7 {
-		return nil, fmt.Errorf("answered by %T", m)
+		return nil, fmt.Errorf("unexpected response %T", m)
 	}
 	if written.Error != "" {
 		return written, errors.New(written.Error)
@@ -89,9 +89,9 @@
 	return written
 }
 
-// query asks for the state of all.
+// query requests the status of a process and of all nodes that it knows.
 func query(at string) (self distribution.NodeStatus, nodes map[string]distribution.NodeStatus, err error) {
-	conn, err := greeted(at, "operator", nil)
+	conn, err := dialAndGreet(at, "operator", nil)
 	if err != nil {
 		return self, nil, err
 	}
@@ -101,13 +101,13 @@
 	}
 	nodes = map[string]distribution.NodeStatus{}
 	for {
-		m, err := next(conn, 10*time.Second)
+		m, err := receiveMessage(conn, 10*time.Second)
 		if err != nil {
 			return self, nil, err
 		}
 		answer, ok := m.(*wire.StatusAnswer)
 		if !ok {
-			return self, nil, fmt.Errorf("answered by %T", m)
+			return self, nil, fmt.Errorf("unexpected response %T", m)
 		}
 		for _, status := range answer.Nodes {
 			nodes[status.Name] = status
@@ -118,9 +118,9 @@
 	}
 }
 
-// digests asks a process for the digests of all services it holds.
+// digests requests the digests of all services from a process.
 func digests(at string) (map[string]uint64, error) {
-	conn, err := greeted(at, "digests", nil)
+	conn, err := dialAndGreet(at, "digests", nil)
 	if err != nil {
 		return nil, err
 	}
@@ -128,12 +128,12 @@
 	if err := wire.Send(conn, &wire.Pull{WantsDigests: true}); err != nil {
 		return nil, err
 	}
-	m, err := next(conn, 2*time.Second)
+	m, err := receiveMessage(conn, 2*time.Second)
 	if err != nil {
 		return nil, err
 	}
 	if d, ok := m.(*wire.Digests); ok {
 		return d.Digests.Services, nil
 	}
-	return nil, fmt.Errorf("answered by %T", m)
+	return nil, fmt.Errorf("unexpected response %T", m)
 }
--- a/internal/controlplane/distribution/control/config_test.go
+++ b/internal/controlplane/distribution/control/config_test.go
@@ -12,7 +12,7 @@
 	"fernvane/internal/testbed/standin/certauthority"
 )
 
-// Each fault of a file is reported by its line.
+// Each fault of a settings file is reported with its line.
 func TestFileFaults(t *testing.T) {
 	t.Parallel()
 	const good = "name = \"r\"\nlisten = \"127.0.0.1:7461\"\ndisk = \"DIR/control.db\"\nplaintext = true\n"
@@ -52,13 +52,13 @@
 				t.Error(err)
 			case c.want == "":
 			case !errors.As(err, &faults) || !strings.Contains(faults[0].Error(), c.want):
-				t.Errorf("%v, not %q", err, c.want)
+				t.Errorf("got error %v, want %q", err, c.want)
 			}
 		})
 	}
 }
 
-// The example file is valid, except for paths that must exist on this machine.
+// The example file is valid, apart from paths that must exist on this machine.
 func TestExampleFile(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile(filepath.Join("..", "..", "..", "..", "deploy", "control.example.toml"))
@@ -75,8 +75,8 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(dir, "control.toml")
-	stands := strings.NewReplacer("/var/lib/fernvane", dir, "/etc/fernvane/control.crt", cert, "/etc/fernvane/control.key", key, "/etc/fernvane/ca.crt", ca)
-	if err := os.WriteFile(path, []byte(stands.Replace(string(text))), 0o600); err != nil {
+	paths := strings.NewReplacer("/var/lib/fernvane", dir, "/etc/fernvane/control.crt", cert, "/etc/fernvane/control.key", key, "/etc/fernvane/ca.crt", ca)
+	if err := os.WriteFile(path, []byte(paths.Replace(string(text))), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	c, err := Load(path)
@@ -84,6 +84,6 @@
 		t.Fatal(err)
 	}
 	if c.Name != "root-1" || c.Follow != followAll || len(c.UpstreamAddresses) != 2 || c.Keys == nil || c.budget().NodeBytesPerSecond != 16<<10 {
-		t.Errorf("%+v", c)
+		t.Errorf("got config %+v, want the values of the example file", c)
 	}
 }
--- a/internal/controlplane/distribution/control/control_test.go
+++ b/internal/controlplane/distribution/control/control_test.go
@@ -15,8 +15,8 @@
 	"fernvane/internal/testbed/standin/faultproxy"
 )
 
-// tree is two roots that follow each other and a relay below them.
-func tree(t *testing.T) (a, b, r *member) {
+// startTree starts two roots that follow each other, and a relay that follows one of them.
+func startTree(t *testing.T) (a, b, r *member) {
 	t.Helper()
 	disk := disks(t)
 	at := map[string]string{"a": address.Free(t), "b": address.Free(t), "r": address.Free(t)}
@@ -24,14 +24,14 @@
 	first.Follow, second.Follow = followAll, followAll
 	a, b = start(t, first), start(t, second)
 	r = start(t, settings(t, "r", at["r"], disk("r"), at["a"], at["b"]))
-	wait(t, "all current", func() bool { return a.isCurrent() && b.isCurrent() && r.isCurrent() })
+	wait(t, "all control processes to be current", func() bool { return a.isCurrent() && b.isCurrent() && r.isCurrent() })
 	return a, b, r
 }
 
 // Writes at any control process reach all of them, and nodes receive those of their services.
 func TestWritesReachAllHolders(t *testing.T) {
 	t.Parallel()
-	a, b, r := tree(t)
+	a, b, r := startTree(t)
 	n := node("n", "", "s")
 	n.subscribe(t, r.at)
 	for i, m := range []*member{a, b, r} {
@@ -43,22 +43,22 @@
 			wait(t, name, func() bool { return n.holds(route(service, fmt.Sprint(name, i))) })
 		}
 		if n.holds(route("other", fmt.Sprint("not-for-n-", i))) {
-			t.Error("a node has what is of a service that it does not serve")
+			t.Error("node received an entry of a service that it does not subscribe to")
 		}
 	}
 	gone := route("s", "at-1")
 	gone.Value, gone.Deleted = nil, true
 	write(t, r.at, gone)
-	wait(t, "a deletion everywhere", func() bool {
+	wait(t, "the deletion at all processes", func() bool {
 		return !a.holds("at-1") && !b.holds("at-1") && !n.holds(route("s", "at-1"))
 	})
 	agree(t, a, b, r)
 }
 
-// A write beyond a bound is answered by an error and changes nothing.
+// An invalid write returns an error and changes nothing.
 func TestInvalidWritesAreRejected(t *testing.T) {
 	t.Parallel()
-	a, _, _ := tree(t)
+	a, _, _ := startTree(t)
 	before := a.state()
 	for name, changes := range map[string][]distribution.Change{
 		"no name":         {{Key: distribution.Key{Service: "s", Kind: distribution.KindRoute}}},
@@ -69,29 +69,29 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if written, err := tryWrite(a.at, changes...); err == nil || strings.Contains(err.Error(), "\n") || written == nil {
-				t.Errorf("%+v, %v", written, err)
+				t.Errorf("got result %+v, error %v, want a result with an error of one line", written, err)
 			}
 		})
 	}
 	if a.state() != before {
-		t.Error("something was written")
+		t.Error("rejected writes changed the store")
 	}
 }
 
-// A process whose upstreams don't answer accepts no write and serves nobody until it has waited for them.
+// A process whose upstreams don't respond rejects writes and serves no subscribers until the start timeout.
 func TestStartWaitsForUpstreams(t *testing.T) {
 	t.Parallel()
 	m := startWith(t, settings(t, "r", address.Free(t), disks(t)("r"), address.Free(t)), zerolog.Nop(), defaultStartTimeout)
 	n := node("n", "s")
 	n.subscribe(t, m.at)
 	if _, err := tryWrite(m.at, route("s", "x")); err == nil || err.Error() != errNotCurrent.Error() {
-		t.Errorf("a write: %v", err)
+		t.Errorf("write before the process is current: got error %v, want errNotCurrent", err)
 	}
 	if self, _, err := query(m.at); err != nil || !self.IsCatchingUp || self.HasAcknowledged {
-		t.Errorf("it says that it is %+v, %v", self, err)
+		t.Errorf("got status %+v, error %v, want catching up and not acknowledged", self, err)
 	}
 	early := false
-	wait(t, "current", func() bool {
+	wait(t, "the processes to be current", func() bool {
 		n.mu.Lock()
 		complete := n.complete
 		n.mu.Unlock()
@@ -100,43 +100,43 @@
 		return current
 	})
 	if early {
-		t.Error("it serves a node as if it were current")
+		t.Error("node received a complete batch before the process was current")
 	}
 	if m.now() < defaultStartTimeout {
-		t.Errorf("current after %v", m.now())
+		t.Errorf("process was current after %v, want at least defaultStartTimeout", m.now())
 	}
 	wait(t, "a complete batch", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.complete })
 	write(t, m.at, route("s", "x"))
-	wait(t, "the write", func() bool { return n.holds(route("s", "x")) })
+	wait(t, "the write at the node", func() bool { return n.holds(route("s", "x")) })
 }
 
-// Without upstreams and after a clean shutdown a process is current at once.
+// After a clean shutdown, a process without upstreams is current immediately.
 func TestCleanStartWithoutUpstreamsIsCurrent(t *testing.T) {
 	t.Parallel()
 	disk, at := disks(t), address.Free(t)
 	m := start(t, settings(t, "a", at, disk("a")))
-	wait(t, "current", m.isCurrent)
+	wait(t, "the processes to be current", m.isCurrent)
 	origin := write(t, m.at, route("s", "x")).Origin
 	m.stop(t)
 	m = start(t, settings(t, "a", at, disk("a")))
 	if !m.isCurrent() || !m.holds("x") {
-		t.Errorf("current %t, holds what was written %t", m.isCurrent(), m.holds("x"))
+		t.Errorf("got current %t, stored entry %t, want true for both", m.isCurrent(), m.holds("x"))
 	}
 	if again := write(t, m.at, route("s", "y")); again.Origin == origin || again.Origin.Name() != "a" || again.Sequence != 1 {
-		t.Errorf("written as %+v", again)
+		t.Errorf("got result %+v, want sequence 1 of a new origin of a", again)
 	}
 }
 
-// A control process with a new disk receives back what its nodes hold.
+// A control process that has lost its disk receives the entries back from its nodes.
 func TestLostDiskIsRestoredFromNodes(t *testing.T) {
 	t.Parallel()
 	disk, at := disks(t), address.Free(t)
 	m := start(t, settings(t, "a", at, disk("a")))
 	n := node("n", "", "s")
 	n.subscribe(t, m.at)
-	wait(t, "current", m.isCurrent)
+	wait(t, "the processes to be current", m.isCurrent)
 	write(t, m.at, routes("s", 0, 500)...)
-	wait(t, "all at the node", func() bool { return n.holds(route("s", "route-499")) })
+	wait(t, "all entries at the node", func() bool { return n.holds(route("s", "route-499")) })
 	before := m.state()
 	m.stop(t)
 	n.leave()
@@ -145,15 +145,15 @@
 	}
 	m = start(t, settings(t, "a", at, disk("a")))
 	n.subscribe(t, m.at)
-	wait(t, "all back", func() bool { return m.state() == before })
+	wait(t, "all entries at the control process", func() bool { return m.state() == before })
 	for i := range 500 {
 		if !n.holds(route("s", fmt.Sprint("route-", i))) {
-			t.Fatalf("the node has lost route-%d", i)
+			t.Fatalf("route-%d is missing at the node", i)
 		}
 	}
 }
 
-// After an old copy of the disk is put back the process writes under another origin.
+// A process that starts from an old copy of its disk writes under a new origin.
 func TestOldDiskWritesUnderNewOrigin(t *testing.T) {
 	t.Parallel()
 	for name, clean := range map[string]bool{"copied while in use": false, "copied at rest": true} {
@@ -162,7 +162,7 @@
 			at, bt := address.Free(t), address.Free(t)
 			first, second := settings(t, "a", at, disk("a"), bt), settings(t, "b", bt, disk("b"), at)
 			a, b := start(t, first), start(t, second)
-			wait(t, "current", func() bool { return a.isCurrent() && b.isCurrent() })
+			wait(t, "the processes to be current", func() bool { return a.isCurrent() && b.isCurrent() })
 			write(t, a.at, routes("s", 0, 10)...)
 			if clean {
 				a.stop(t)
@@ -173,7 +173,7 @@
 			}
 			if clean {
 				a = start(t, first)
-				wait(t, "current", a.isCurrent)
+				wait(t, "the processes to be current", a.isCurrent)
 			}
 			origin := write(t, a.at, routes("s", 10, 20)...).Origin
 			agree(t, a, b)
@@ -182,20 +182,20 @@
 				t.Fatal(err)
 			}
 			a = start(t, first)
-			wait(t, "current", a.isCurrent)
+			wait(t, "the processes to be current", a.isCurrent)
 			again := write(t, a.at, routes("s", 20, 30)...)
 			if again.Origin == origin {
-				t.Errorf("written under the same origin %q", origin)
+				t.Errorf("got origin %q again, want a new one", origin)
 			}
 			agree(t, a, b)
 			if a.size() != 30 || b.size() != 30 {
-				t.Errorf("%d and %d entries of 30", a.size(), b.size())
+				t.Errorf("got %d and %d entries, want 30", a.size(), b.size())
 			}
 		})
 	}
 }
 
-// With a full disk the writer receives an error, and the change spreads all the same.
+// With a full disk the writer receives an error, but the changes take effect and are replicated.
 func TestFullDiskServesFromMemory(t *testing.T) {
 	t.Parallel()
 	disk := disks(t)
@@ -203,13 +203,13 @@
 	first := settings(t, "a", at, disk("a"), bt)
 	first.DiskBytes = 256 << 10
 	a, b := start(t, first), start(t, settings(t, "b", bt, disk("b"), at))
-	wait(t, "current", func() bool { return a.isCurrent() && b.isCurrent() })
+	wait(t, "the processes to be current", func() bool { return a.isCurrent() && b.isCurrent() })
 	var err error
 	for n := 0; err == nil && n < 20_000; n += 1000 {
 		_, err = tryWrite(a.at, routes("s", n, n+1000)...)
 	}
 	if err == nil || !strings.Contains(err.Error(), "in effect from memory") {
-		t.Fatalf("answered: %v", err)
+		t.Fatalf("got error %v, want one about changes in effect from memory", err)
 	}
 	agree(t, a, b)
 	if _, err := tryWrite(b.at, route("s", "later")); err != nil {
@@ -218,15 +218,15 @@
 	agree(t, a, b)
 }
 
-// Every root reports each node's status: what it has applied, by which process, and that it has disconnected.
+// Each root reports the status of every node: the applied revision, the process that serves it, and its disconnection.
 func TestStatusIsReportedToRoots(t *testing.T) {
 	t.Parallel()
-	a, b, r := tree(t)
+	a, b, r := startTree(t)
 	n := node("n", "s")
 	n.subscribe(t, r.at)
 	written := write(t, b.at, route("s", "x"))
 	for _, m := range []*member{a, b, r} {
-		wait(t, "the node's state at "+m.config.Name, func() bool {
+		wait(t, "the node's status at "+m.config.Name, func() bool {
 			self, nodes, err := query(m.at)
 			status := nodes["n"]
 			return err == nil && self.HasAcknowledged && status.IsConnected && status.Via == "r" && status.AcknowledgedClock == written.Clock && status.Lag == 0 &&
@@ -235,7 +235,7 @@
 	}
 	n.leave()
 	for _, m := range []*member{a, b, r} {
-		wait(t, "it has gone at "+m.config.Name, func() bool {
+		wait(t, "the node's disconnection at "+m.config.Name, func() bool {
 			_, nodes, err := query(m.at)
 			status, known := nodes["n"]
 			return err == nil && known && !status.IsConnected
@@ -243,55 +243,55 @@
 	}
 }
 
-// Holders that differ under equal vectors are repaired by digests, and only what differs is sent.
+// Stores that differ despite equal vectors are repaired by digests, and only the differing services are sent.
 func TestDigestsRepairDifferences(t *testing.T) {
 	t.Parallel()
-	a, b, r := tree(t)
+	a, b, r := startTree(t)
 	write(t, a.at, routes("s", 0, 50)...)
 	write(t, a.at, routes("other", 0, 50)...)
 	agree(t, a, b, r)
 	r.mu.Lock()
-	r.store.ReplaceServices([]string{"s"}, nil, r.store.Vector()) // as a fault of the disk or of this program might
+	r.store.ReplaceServices([]string{"s"}, nil, r.store.Vector()) // simulates a fault of the disk or of this program
 	received := r.counts.mergedEntries
 	r.mu.Unlock()
 	if r.state() == a.state() {
-		t.Fatal("no difference")
+		t.Fatal("stores are equal, want a difference")
 	}
 	n := node("n", "s")
 	n.subscribe(t, r.at)
-	wait(t, "a node that receives as little", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.complete })
+	wait(t, "a complete batch at the node", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.complete })
 	agree(t, a, b, r)
-	wait(t, "the node receives the rest", func() bool { return n.holds(route("s", "route-0")) && n.holds(route("s", "route-49")) })
+	wait(t, "the repaired entries at the node", func() bool { return n.holds(route("s", "route-0")) && n.holds(route("s", "route-49")) })
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if n := r.counts.mergedEntries - received; n != 50 && received > 0 && n > 50 {
-		t.Errorf("%d entries came anew", n)
+		t.Errorf("got %d entries received during the repair, want 50", n)
 	}
 }
 
-// A silent connection is left within seconds, and what was written meanwhile is received by another.
+// A silent upstream is disconnected within seconds, and the entries written meanwhile are received from another one.
 func TestSilentUpstreamIsDisconnected(t *testing.T) {
 	t.Parallel()
 	disk := disks(t)
 	at, bt := address.Free(t), address.Free(t)
 	first, second := settings(t, "a", at, disk("a"), bt), settings(t, "b", bt, disk("b"), at)
 	a, b := start(t, first), start(t, second)
-	wait(t, "current", func() bool { return a.isCurrent() && b.isCurrent() })
+	wait(t, "the processes to be current", func() bool { return a.isCurrent() && b.isCurrent() })
 	proxy, err := faultproxy.Listen(at)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer proxy.Close()
 	r := start(t, settings(t, "r", address.Free(t), disk("r"), proxy.Address(), bt))
-	wait(t, "it follows", r.isCurrent)
+	wait(t, "the relay to be current", r.isCurrent)
 	proxy.Cut(faultproxy.Down, true)
 	write(t, a.at, route("s", "x"))
-	wait(t, "it comes by the other", func() bool { return r.holds("x") })
+	wait(t, "the entry from the other upstream", func() bool { return r.holds("x") })
 	agree(t, a, b, r)
 }
 
-// Partitioned regions both accept changes: the later change of one key wins everywhere, and changes of different keys
-// both hold.
+// Partitioned regions both accept changes. After the partition, the later change of the same key wins everywhere, and changes of
+// different keys are all in effect.
 func TestPartitionedRegionsConverge(t *testing.T) {
 	t.Parallel()
 	disk := disks(t)
@@ -306,7 +306,7 @@
 	}
 	a := start(t, settings(t, "a", at, disk("a"), proxies[0].Address()))
 	b := start(t, settings(t, "b", bt, disk("b"), proxies[1].Address()))
-	wait(t, "current", func() bool { return a.isCurrent() && b.isCurrent() })
+	wait(t, "the processes to be current", func() bool { return a.isCurrent() && b.isCurrent() })
 	write(t, a.at, route("s", "both"))
 	agree(t, a, b)
 	for _, w := range proxies {
@@ -321,7 +321,7 @@
 	write(t, a.at, of("first"), route("s", "of-a"))
 	write(t, b.at, of("second"), route("s", "of-b"))
 	if a.state() == b.state() {
-		t.Fatal("not apart")
+		t.Fatal("stores are equal during the partition, want a difference")
 	}
 	for _, w := range proxies {
 		w.Cut(faultproxy.Up, false)
@@ -333,18 +333,18 @@
 		e, _ := m.store.Entry(of("").Key)
 		m.mu.Unlock()
 		if string(e.Value) != "second" || !m.holds("of-a") || !m.holds("of-b") {
-			t.Errorf("%s holds %q, of a %t, of b %t", m.config.Name, e.Value, m.holds("of-a"), m.holds("of-b"))
+			t.Errorf("%s: got value %q, entry of a %t, entry of b %t, want second and both entries", m.config.Name, e.Value, m.holds("of-a"), m.holds("of-b"))
 		}
 	}
 }
 
-// A relay that is ahead of an upstream that lost its disk sends it what it lacks.
+// A relay sends the missing entries to an upstream that has lost its disk.
 func TestRelayAheadOfRoot(t *testing.T) {
 	t.Parallel()
 	disk, at := disks(t), address.Free(t)
 	a := start(t, settings(t, "a", at, disk("a")))
 	r := start(t, settings(t, "r", address.Free(t), disk("r"), at))
-	wait(t, "current", func() bool { return a.isCurrent() && r.isCurrent() })
+	wait(t, "the processes to be current", func() bool { return a.isCurrent() && r.isCurrent() })
 	write(t, a.at, routes("s", 0, 300)...)
 	agree(t, a, r)
 	before := r.state()
@@ -353,33 +353,33 @@
 		t.Fatal(err)
 	}
 	a = start(t, settings(t, "a", at, disk("a")))
-	wait(t, "all back", func() bool { return a.state() == before })
+	wait(t, "all entries at the root", func() bool { return a.state() == before })
 	if r.state() != before {
-		t.Error("the relay has gone back")
+		t.Error("entries of the relay changed, want the state before the restart")
 	}
-	wait(t, "current again", a.isCurrent)
+	wait(t, "the root to be current again", a.isCurrent)
 	write(t, a.at, route("s", "later"))
 	agree(t, a, r)
 }
 
-// A process shuts down at once, with everything on its disk.
+// A shutdown closes all connections and saves all entries to disk.
 func TestShutdownSavesEverything(t *testing.T) {
 	t.Parallel()
 	disk, at := disks(t), address.Free(t)
 	m := start(t, settings(t, "a", at, disk("a")))
-	wait(t, "current", m.isCurrent)
-	conns := []*framing.Conn{command(t, at, nil), command(t, at, nil)}
+	wait(t, "the processes to be current", m.isCurrent)
+	conns := []*framing.Conn{openCommand(t, at, nil), openCommand(t, at, nil)}
 	n := node("n", "s")
 	n.subscribe(t, at)
 	write(t, at, routes("s", 0, 100)...)
 	before := m.state()
 	m.stop(t)
 	for _, conn := range conns {
-		if _, err := next(conn, patience); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("a connection: %v", err)
+		if _, err := receiveMessage(conn, waitTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("connection after the shutdown: got error %v, want a close", err)
 		}
 	}
 	if m = start(t, settings(t, "a", at, disk("a"))); m.state() != before || !m.isCurrent() {
-		t.Errorf("after the next start it holds %s, not %s; current %t", m.state(), before, m.isCurrent())
+		t.Errorf("after the next start: got digest %s, want %s; current %t, want true", m.state(), before, m.isCurrent())
 	}
 }
--- a/internal/controlplane/distribution/control/failback_test.go
+++ b/internal/controlplane/distribution/control/failback_test.go
@@ -9,7 +9,7 @@
 	"fernvane/internal/testbed/standin/address"
 )
 
-// A relay fails back to the root that its file names first when that one answers again.
+// A relay fails back to its first upstream when that is available again.
 func TestFailbackToPreferredUpstream(t *testing.T) {
 	dir := t.TempDir()
 	first := settings(t, "first", address.Free(t), filepath.Join(dir, "first.db"))
@@ -20,14 +20,14 @@
 	start(t, config)
 	follows := func(upstream *member) {
 		t.Helper()
-		wait(t, "the upstream is followed", func() bool {
+		wait(t, "the relay to subscribe to the upstream", func() bool {
 			upstream.mu.Lock()
 			defer upstream.mu.Unlock()
 			return upstream.links.subscribers["relay"] != nil
 		})
 	}
 	follows(root)
-	for range 2 { // and once more
+	for range 2 { // the second round verifies that failback works repeatedly
 		root.stop(t)
 		follows(second)
 		root = start(t, first)
--- a/internal/controlplane/distribution/control/faults_test.go
+++ b/internal/controlplane/distribution/control/faults_test.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	longCut  = 7 * time.Second // past the ends of pings, of slow peers and of starts
+	longCut  = 7 * time.Second // longer than the timeouts of pings, slow peers and starts
 	shortCut = time.Second
 )
 
-// Faults between processes of the program, each amid changes at all of them. Afterwards all hold the same, nothing that was
-// acknowledged is lost, and no node went back.
+// Each fault of processes, disks or the network occurs during continuous writes at all control processes. Afterwards all
+// processes must have the same entries and all acknowledged writes, and no node may have received an older version of a key.
 func TestFaults(t *testing.T) {
 	t.Parallel()
 	cut := func(span time.Duration, directions []faultproxy.Direction, names ...string) func(*testing.T, *fleet) {
@@ -31,7 +31,7 @@
 					}
 				}
 				if cut {
-					time.Sleep(span) // the fault's length
+					time.Sleep(span) // duration of the fault
 				}
 			}
 		}
@@ -48,10 +48,10 @@
 	for name, fault := range map[string]func(*testing.T, *fleet){
 		"root killed":                  func(t *testing.T, f *fleet) { f.a.kill(); f.a.start(t) },
 		"relay killed":                 func(t *testing.T, f *fleet) { f.r.kill(); f.r.start(t) },
-		"root killed for long":         func(t *testing.T, f *fleet) { f.a.kill(); f.writer.reach(t, 100); f.a.start(t) },
-		"root killed repeatedly":       killedAgain,
-		"all killed at once":           allKilled,
-		"root shut down":               func(t *testing.T, f *fleet) { f.a.end(t); f.writer.reach(t, 20); f.a.start(t) },
+		"root killed for long":         func(t *testing.T, f *fleet) { f.a.kill(); f.writer.waitAcknowledged(t, 100); f.a.start(t) },
+		"root killed repeatedly":       killRepeatedly,
+		"all killed at once":           killAll,
+		"root shut down":               func(t *testing.T, f *fleet) { f.a.end(t); f.writer.waitAcknowledged(t, 20); f.a.start(t) },
 		"root stopped":                 stopped(root, longCut),
 		"relay stopped":                stopped(relay, longCut),
 		"root stopped briefly":         stopped(root, shortCut),
@@ -62,15 +62,15 @@
 		"nodes cut off":                cut(longCut, both, "nr", "mb"),
 		"regions partitioned":          cut(longCut, both, "ab", "ba"),
 		"regions partitioned one way":  cut(longCut, both[1:], "ab", "ba"),
-		"disk old":                     oldDisk,
-		"disk empty":                   emptyDisk,
-		"disk damaged":                 garbledDisk,
-		"disk full":                    fullDisk,
-		"bytes damaged on the network": garbledWire,
-		"killed in a large change":     killedInAChange,
-		"killed while alone":           killedAlone,
-		"relay ahead of its roots":     relayAhead,
-		"relay killed catching up":     killedCatchingUp,
+		"disk old":                     restoreOldDisk,
+		"disk empty":                   deleteDisk,
+		"disk damaged":                 damageDisk,
+		"disk full":                    fillDisk,
+		"bytes damaged on the network": damageTraffic,
+		"killed in a large change":     killDuringChange,
+		"killed while alone":           killPartitioned,
+		"relay ahead of its roots":     deleteRootDisks,
+		"relay killed catching up":     killCatchingUp,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -78,26 +78,26 @@
 			fault(t, f)
 			ended := time.Now()
 			f.writer.end()
-			f.settleSince(t, "from the fault's end", ended)
+			f.waitConvergedSince(t, "convergence after the end of the fault", ended)
 			f.writer.begin()
-			f.writer.reach(t, 50)
+			f.writer.waitAcknowledged(t, 50)
 			f.checkConverged(t)
 		})
 	}
 }
 
-func killedAgain(t *testing.T, f *fleet) {
+func killRepeatedly(t *testing.T, f *fleet) {
 	for n := range 5 {
 		f.a.kill()
 		f.a.start(t)
-		wait(t, "it takes writes", func() bool {
+		wait(t, "an accepted write", func() bool {
 			_, err := tryWriteWithin(f.a.at, time.Second, route("s", fmt.Sprint("again-", n)))
 			return err == nil
 		})
 	}
 }
 
-func allKilled(t *testing.T, f *fleet) {
+func killAll(t *testing.T, f *fleet) {
 	for _, p := range f.all() {
 		p.kill()
 	}
@@ -106,13 +106,13 @@
 	}
 }
 
-// oldDisk puts a copy back that is older than what the others have had from this process.
-func oldDisk(t *testing.T, f *fleet) {
+// restoreOldDisk replaces the disk by a copy that lacks writes which other processes have received from this one.
+func restoreOldDisk(t *testing.T, f *fleet) {
 	old, err := os.ReadFile(f.a.disk)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.writer.reach(t, 300)
+	f.writer.waitAcknowledged(t, 300)
 	f.a.kill()
 	if err := os.WriteFile(f.a.disk, old, 0o600); err != nil {
 		t.Fatal(err)
@@ -120,7 +120,7 @@
 	f.a.start(t)
 }
 
-func emptyDisk(t *testing.T, f *fleet) {
+func deleteDisk(t *testing.T, f *fleet) {
 	f.a.kill()
 	if err := os.Remove(f.a.disk); err != nil {
 		t.Fatal(err)
@@ -128,7 +128,7 @@
 	f.a.start(t)
 }
 
-func garbledDisk(t *testing.T, f *fleet) {
+func damageDisk(t *testing.T, f *fleet) {
 	f.a.kill()
 	file, err := os.OpenFile(f.a.disk, os.O_RDWR, 0)
 	if err != nil {
@@ -146,17 +146,18 @@
 	}
 	file.Close()
 	f.a.start(t)
-	wait(t, "it takes writes", func() bool { _, err := tryWriteWithin(f.a.at, time.Second, route("s", "x")); return err == nil })
+	wait(t, "an accepted write", func() bool { _, err := tryWriteWithin(f.a.at, time.Second, route("s", "x")); return err == nil })
 	if n := f.a.log.lines("set_aside"); n != 1 {
-		t.Errorf("%d lines about the damaged file", n)
+		t.Errorf("got %d log lines about the damaged file, want 1", n)
 	}
 	if kept, _ := os.ReadDir(strings.TrimSuffix(f.a.disk, "/a.db")); !strings.Contains(fmt.Sprint(kept), "a.db.damaged-") {
-		t.Errorf("the damaged file is not kept: %v", kept)
+		t.Errorf("got directory %v, want the renamed damaged file", kept)
 	}
 }
 
-// fullDisk has a root's disk full amid changes: they are refused there or held in memory, and go on when there is room.
-func fullDisk(t *testing.T, f *fleet) {
+// fillDisk fills a root's disk during writes: the root must reject them or apply them in memory, and resume when its disk may
+// grow again.
+func fillDisk(t *testing.T, f *fleet) {
 	f.a.end(t)
 	f.configure(t, f.a, "disk_bytes = 300000\n")
 	f.a.start(t)
@@ -172,48 +173,48 @@
 		return err != nil && strings.Contains(err.Error(), "in effect from memory")
 	}
 	wait(t, "a full disk", filled)
-	f.writer.reach(t, 50)
+	f.writer.waitAcknowledged(t, 50)
 	if n := f.a.log.lines("disk not writable"); n != 1 {
-		t.Errorf("%d lines about the full disk", n)
+		t.Errorf("got %d log lines about the full disk, want 1", n)
 	}
 	f.a.kill()
 	f.configure(t, f.a, "")
 	f.a.start(t)
 }
 
-func garbledWire(t *testing.T, f *fleet) {
+func damageTraffic(t *testing.T, f *fleet) {
 	for _, name := range []string{"ra", "rb", "ab", "ba", "nr", "mb"} {
 		f.proxies[name].Garble(faultproxy.Up, 3)
 		f.proxies[name].Garble(faultproxy.Down, 3)
 	}
-	wait(t, "garbled", func() bool { return f.proxies["ab"].Garbled(faultproxy.Up) && f.proxies["ab"].Garbled(faultproxy.Down) })
+	wait(t, "damaged bytes in both directions", func() bool { return f.proxies["ab"].Garbled(faultproxy.Up) && f.proxies["ab"].Garbled(faultproxy.Down) })
 	for _, c := range f.proxies {
 		c.Garble(faultproxy.Up, 0)
 		c.Garble(faultproxy.Down, 0)
 	}
 }
 
-// killedInAChange kills a root while it takes a large change; nobody hears of it whether it holds.
-func killedInAChange(t *testing.T, f *fleet) {
+// killDuringChange kills a root during a large write, whose writer may receive no result.
+func killDuringChange(t *testing.T, f *fleet) {
 	done := make(chan error, 1)
 	go func() {
 		_, err := tryWriteWithin(f.a.at, 5*time.Second, routes("large", 0, distribution.MaxChanges)...)
 		done <- err
 	}()
-	wait(t, "part of it is elsewhere", func() bool {
+	wait(t, "part of the write at another process", func() bool {
 		d, err := digests(f.b.at)
 		return err == nil && d["large"] != 0
 	})
 	f.a.kill()
 	acknowledged := <-done == nil
 	f.a.start(t)
-	f.settleLarge(t, acknowledged)
+	f.checkLargeChange(t, acknowledged)
 }
 
-// killedAlone kills a root that nobody hears, just as it has acknowledged changes: its disk is their only holder.
-func killedAlone(t *testing.T, f *fleet) {
+// killPartitioned kills a partitioned root immediately after it has acknowledged writes, which are stored only on its disk.
+func killPartitioned(t *testing.T, f *fleet) {
 	f.writer.end()
-	f.waitConverged(t, "before")
+	f.waitConverged(t, "convergence before the fault")
 	alone := []string{"ab", "ba", "ra"}
 	for _, name := range alone {
 		f.proxies[name].Cut(faultproxy.Up, true)
@@ -221,34 +222,34 @@
 	}
 	changes := routes("alone", 0, 20)
 	for _, c := range changes {
-		if _, err := tryWriteWithin(f.a.at, patience, c); err != nil {
+		if _, err := tryWriteWithin(f.a.at, waitTimeout, c); err != nil {
 			t.Fatal(err)
 		}
 	}
 	f.a.kill()
 	if d, err := digests(f.b.at); err != nil || d["alone"] != 0 {
-		t.Fatalf("another has heard of it: %v", err)
+		t.Fatalf("write reached another process, or digests failed: %v", err)
 	}
 	f.a.start(t)
 	for _, name := range alone {
-		f.proxies[name].Break() // what was on its way went with the process
+		f.proxies[name].Break() // data in flight is lost with the process
 		f.proxies[name].Cut(faultproxy.Up, false)
 		f.proxies[name].Cut(faultproxy.Down, false)
 	}
-	f.waitConverged(t, "after the kill")
+	f.waitConverged(t, "convergence after the kill")
 	all := f.heldEntries(t, f.b)
 	for _, c := range changes {
 		if !all.holds(c) {
-			t.Errorf("%s is lost", c.Key.Name)
+			t.Errorf("acknowledged write of %s is lost", c.Key.Name)
 		}
 	}
 	f.writer.begin()
 }
 
-func (f *fleet) settleLarge(t *testing.T, acknowledged bool) {
+func (f *fleet) checkLargeChange(t *testing.T, acknowledged bool) {
 	t.Helper()
 	f.writer.end()
-	f.waitConverged(t, "after the kill")
+	f.waitConverged(t, "convergence after the kill")
 	n := 0
 	all := f.heldEntries(t, f.b)
 	for _, c := range routes("large", 0, distribution.MaxChanges) {
@@ -256,17 +257,17 @@
 			n++
 		}
 	}
-	t.Logf("acknowledged %t, %d of %d changes hold", acknowledged, n, distribution.MaxChanges)
+	t.Logf("acknowledged %t, %d of %d changes stored", acknowledged, n, distribution.MaxChanges)
 	if acknowledged && n != distribution.MaxChanges {
-		t.Errorf("%d of %d acknowledged changes hold", n, distribution.MaxChanges)
+		t.Errorf("got %d of %d acknowledged changes, want all", n, distribution.MaxChanges)
 	}
 	f.writer.begin()
 }
 
-// relayAhead has both roots lose their disks: the relay and the nodes hold all that there was.
-func relayAhead(t *testing.T, f *fleet) {
+// deleteRootDisks deletes the disks of both roots: only the relay and the nodes still have the entries.
+func deleteRootDisks(t *testing.T, f *fleet) {
 	f.writer.end()
-	f.waitConverged(t, "before")
+	f.waitConverged(t, "convergence before the fault")
 	for _, p := range []*process{f.a, f.b} {
 		p.kill()
 		if err := os.Remove(p.disk); err != nil {
@@ -278,8 +279,8 @@
 	f.writer.begin()
 }
 
-// killedCatchingUp kills a relay while it fills a new disk.
-func killedCatchingUp(t *testing.T, f *fleet) {
+// killCatchingUp kills a relay during its catch-up with an empty disk.
+func killCatchingUp(t *testing.T, f *fleet) {
 	for n := range 4 {
 		changes := routes("large", n*500, n*500+500)
 		for i := range changes {
@@ -295,20 +296,20 @@
 	}
 	f.configure(t, f.r, "control_bytes = 200000\n")
 	f.r.start(t)
-	wait(t, "some of it", func() bool { d, err := digests(f.r.at); return err == nil && d["large"] != 0 })
+	wait(t, "a part of the entries at the relay", func() bool { d, err := digests(f.r.at); return err == nil && d["large"] != 0 })
 	f.r.kill()
 	f.configure(t, f.r, "")
 	f.r.start(t)
 }
 
-// What all control processes have lost is received back from the nodes.
+// Entries that all control processes have lost are received back from the nodes.
 func TestNodesAheadOfAllControlProcesses(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.writer.end()
-	f.waitConverged(t, "before")
+	f.waitConverged(t, "convergence before the fault")
 	for _, n := range []*subscriber{f.near, f.far} {
-		wait(t, "all at "+n.name, func() bool { return f.writer.lacking(n, n.services) == nil })
+		wait(t, "all acknowledged writes at "+n.name, func() bool { return f.writer.missing(n, n.services) == nil })
 	}
 	for _, p := range f.all() {
 		p.kill()
@@ -319,17 +320,17 @@
 	for _, p := range f.all() {
 		p.start(t)
 	}
-	wait(t, "all that nodes hold", func() bool {
+	wait(t, "all entries of the nodes at a root", func() bool {
 		_, err := digests(f.a.at)
-		return err == nil && f.writer.lacking(f.heldEntries(t, f.a), f.near.services) == nil
+		return err == nil && f.writer.missing(f.heldEntries(t, f.a), f.near.services) == nil
 	})
-	f.waitConverged(t, "after the loss")
+	f.waitConverged(t, "convergence after the loss")
 	for _, p := range f.all() {
 		f.writer.check(t, p.name, f.heldEntries(t, p), f.near.services)
 	}
 }
 
-// SIGTERM ends a process also while its peers are stopped.
+// SIGTERM terminates a process even while its peers are suspended.
 func TestShutdownBesideStoppedPeers(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
--- a/internal/controlplane/distribution/control/helpers_test.go
+++ b/internal/controlplane/distribution/control/helpers_test.go
@@ -33,19 +33,19 @@
 
 const testStartTimeout = 500 * time.Millisecond // replaces defaultStartTimeout
 
-const patience = 30 * time.Second // of a test for what must come; no verdict hangs on it
+const waitTimeout = 30 * time.Second // upper bound of waits for expected events; no test measures it
 
-// wait polls until something holds.
+// wait polls until a condition is true.
 func wait(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	for by := time.Now().Add(patience); !done(); time.Sleep(5 * time.Millisecond) {
+	for by := time.Now().Add(waitTimeout); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(by) {
-			t.Fatal("never: ", what)
+			t.Fatal("timeout while waiting for ", what)
 		}
 	}
 }
 
-// member is a control process within this one.
+// member is a control process that runs within the test process.
 type member struct {
 	*Server
 	at     string
@@ -53,7 +53,7 @@
 	done   chan error
 }
 
-// settings of a member, as its file would have them.
+// settings returns the settings of a member.
 func settings(t *testing.T, name, at, path string, upstreams ...string) *Config {
 	t.Helper()
 	c := &Config{Name: name, Region: "region", Zone: "zone-" + name, Disk: path, Follow: followOne, TotalBytesPerSecond: 8 << 20, NodeBytesPerSecond: 1 << 20,
@@ -107,7 +107,7 @@
 	return m.Server.isCurrent
 }
 
-// state is what a member holds, in one text.
+// state returns the digest of a member's store.
 func (m *member) state() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -140,7 +140,7 @@
 	})
 }
 
-// route is a change of one entry.
+// route returns a change that sets one route.
 func route(service, name string) distribution.Change {
 	return distribution.Change{Key: distribution.Key{Service: service, Kind: distribution.KindRoute, Name: name}, Value: []byte("value of " + name)}
 }
@@ -152,19 +152,19 @@
 	return all
 }
 
-// subscriber is a node, or another holder, that speaks the protocol from this test.
+// subscriber is a node, or another subscriber, that the test implements.
 type subscriber struct {
 	name     string
 	role     distribution.Role
 	services []string
 
-	mu        sync.Mutex
-	store     *distribution.Store
-	publisher *distribution.Publisher
-	newest    map[distribution.Key]uint64 // clocks of what it has held
-	back      error                       // it was led back to an older version
-	complete  bool
-	err       error
+	mu         sync.Mutex
+	store      *distribution.Store
+	publisher  *distribution.Publisher
+	newest     map[distribution.Key]uint64 // greatest clock received for each key
+	regression error                       // a key was replaced by an older version
+	complete   bool
+	err        error
 
 	conn *framing.Conn
 	send sync.Mutex
@@ -178,7 +178,7 @@
 	return s
 }
 
-// subscribe connects and follows until it is left or the connection ends.
+// subscribe connects to a control process and processes its messages until the connection ends or the test does.
 func (s *subscriber) subscribe(t *testing.T, at string) {
 	t.Helper()
 	if err := s.connect(at); err != nil {
@@ -188,7 +188,7 @@
 }
 
 func (s *subscriber) connect(at string) error {
-	conn, err := greeted(at, s.name, nil)
+	conn, err := dialAndGreet(at, s.name, nil)
 	if err != nil {
 		return err
 	}
@@ -199,18 +199,18 @@
 		UnsyncedServices: s.store.UnsyncedServices()}
 	receiver := distribution.NewReceiver(s.store)
 	s.mu.Unlock()
-	s.tell(&wire.Subscribe{Subscription: subscription})
+	s.sendMessage(&wire.Subscribe{Subscription: subscription})
 	go func() {
 		defer close(s.done)
 		for {
-			m, err := next(conn, time.Hour)
+			m, err := receiveMessage(conn, time.Hour)
 			if err != nil {
 				s.mu.Lock()
 				s.err = err
 				s.mu.Unlock()
 				return
 			}
-			s.take(receiver, m)
+			s.handle(receiver, m)
 		}
 	}()
 	return nil
@@ -223,50 +223,50 @@
 	}
 }
 
-func (s *subscriber) tell(m wire.Message) {
+func (s *subscriber) sendMessage(m wire.Message) {
 	s.send.Lock()
 	defer s.send.Unlock()
 	wire.Send(s.conn, m)
 }
 
-func (s *subscriber) take(receiver *distribution.Receiver, m wire.Message) {
+func (s *subscriber) handle(receiver *distribution.Receiver, m wire.Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch m := m.(type) {
 	case *wire.Batch:
 		got := receiver.ReceiveBatch(m.Batch)
-		s.note(got.Changed)
+		s.checkVersions(got.Changed)
 		s.complete = s.complete || got.IsComplete
 		a := distribution.Acknowledgement{BatchNumber: m.Number}
 		if got.IsComplete {
 			a.Applied = s.store.Vector().Clone()
 		}
-		s.tell(&wire.Acknowledge{Acknowledgement: a})
+		s.sendMessage(&wire.Acknowledge{Acknowledgement: a})
 	case *wire.Pull:
 		if m.IsContinuous {
 			s.upload(m)
 		}
 	case *wire.Digests:
 		if services, _, _ := receiver.CompareDigests(m.Digests); len(services) > 0 {
-			s.tell(&wire.Pull{Services: services})
+			s.sendMessage(&wire.Pull{Services: services})
 		}
 	}
 }
 
-// note sees that no key goes back.
-func (s *subscriber) note(changed []distribution.Entry) {
+// checkVersions records an error if a key is replaced by an older version.
+func (s *subscriber) checkVersions(changed []distribution.Entry) {
 	if s.newest == nil {
 		s.newest = map[distribution.Key]uint64{}
 	}
 	for _, e := range changed {
 		if e.Clock < s.newest[e.Key] {
-			s.back = fmt.Errorf("%v goes back by %v", e.Key, distribution.ClockTime(s.newest[e.Key]).Sub(distribution.ClockTime(e.Clock)))
+			s.regression = fmt.Errorf("%v replaced by a version older by %v", e.Key, distribution.ClockTime(s.newest[e.Key]).Sub(distribution.ClockTime(e.Clock)))
 		}
 		s.newest[e.Key] = e.Clock
 	}
 }
 
-// upload sends at once all that the other side lacks.
+// upload immediately sends all entries that the control process lacks.
 func (s *subscriber) upload(m *wire.Pull) {
 	s.publisher.SubscribePartial(0, distribution.Subscription{Name: "upstream", Role: distribution.RoleControl, Services: s.services, Vector: m.Vector})
 	for {
@@ -274,7 +274,7 @@
 		if !ok {
 			return
 		}
-		s.tell(&wire.Batch{Batch: batch})
+		s.sendMessage(&wire.Batch{Batch: batch})
 	}
 }
 
--- a/internal/controlplane/distribution/control/peers_test.go
+++ b/internal/controlplane/distribution/control/peers_test.go
@@ -17,12 +17,12 @@
 	"fernvane/internal/testbed/standin/faultproxy"
 )
 
-// A subscriber that takes nothing is disconnected, and others are served meanwhile.
+// A subscriber that does not read is disconnected, and the others are served meanwhile.
 func TestSlowSubscriberIsDisconnected(t *testing.T) {
 	t.Parallel()
 	m := start(t, settings(t, "a", address.Free(t), disks(t)("a")))
-	wait(t, "current", m.isCurrent)
-	conn := command(t, m.at, nil)
+	wait(t, "the processes to be current", m.isCurrent)
+	conn := openCommand(t, m.at, nil)
 	wire.Send(conn, &wire.Subscribe{Subscription: distribution.Subscription{Name: "operator", Role: distribution.RoleNode, Services: []string{"s"}}})
 	n := node("n", "s")
 	n.subscribe(t, m.at)
@@ -36,21 +36,21 @@
 		c := route("s", fmt.Sprint("route-", i%100))
 		c.Value = []byte(strings.Repeat("v", 8000+i))
 		write(t, m.at, c)
-		wait(t, "the other is served", func() bool { return n.holds(c) })
-		if m.now() > patience {
-			t.Fatal("never cut off")
+		wait(t, "the change at the other subscriber", func() bool { return n.holds(c) })
+		if m.now() > waitTimeout {
+			t.Fatal("slow subscriber was not disconnected within 30s")
 		}
 	}
 	if n.ended() != nil {
-		t.Errorf("the other was cut off: %v", n.ended())
+		t.Errorf("other subscriber was disconnected: %v", n.ended())
 	}
 }
 
-// A message that violates the protocol ends that connection alone, with one log line.
+// A message that violates the protocol is rejected and ends only its own connection.
 func TestProtocolViolationsAreRejected(t *testing.T) {
 	t.Parallel()
 	m := start(t, settings(t, "a", address.Free(t), disks(t)("a")))
-	wait(t, "current", m.isCurrent)
+	wait(t, "the processes to be current", m.isCurrent)
 	n := node("n", "s")
 	n.subscribe(t, m.at)
 	subscribe := &wire.Subscribe{Subscription: distribution.Subscription{Name: "x", Role: distribution.RoleNode, Services: []string{"s"}}}
@@ -80,7 +80,7 @@
 			errOwnName.Error()},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conn, err := greeted(m.at, c.name, nil)
+			conn, err := dialAndGreet(m.at, c.name, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -89,7 +89,7 @@
 				t.Fatal(err)
 			}
 			for err == nil {
-				_, err = next(conn, patience)
+				_, err = receiveMessage(conn, waitTimeout)
 			}
 			if !strings.Contains(err.Error(), c.want) || !strings.HasPrefix(err.Error(), "refused by the peer") || strings.Contains(err.Error(), "\n") {
 				t.Error(err)
@@ -103,36 +103,36 @@
 		}
 		defer conn.Close()
 		conn.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
-		conn.SetReadDeadline(time.Now().Add(patience))
+		conn.SetReadDeadline(time.Now().Add(waitTimeout))
 		for b := make([]byte, 100); err == nil; {
 			_, err = conn.Read(b)
 		}
 		if os.IsTimeout(err) {
-			t.Error("it is left open")
+			t.Error("connection without a greeting was not closed")
 		}
 	})
 	write(t, m.at, route("s", "x"))
-	wait(t, "others are served", func() bool { return n.holds(route("s", "x")) })
+	wait(t, "the change at another subscriber", func() bool { return n.holds(route("s", "x")) })
 }
 
-// Connections beyond the file's bound are rejected, and the others are kept.
+// Connections beyond the configured limit are rejected, and the others stay open.
 func TestConnectionsAreBounded(t *testing.T) {
 	t.Parallel()
 	config := settings(t, "a", address.Free(t), disks(t)("a"))
 	config.MaxConnections = 2
 	m := start(t, config)
-	wait(t, "current", m.isCurrent)
+	wait(t, "the processes to be current", m.isCurrent)
 	n := node("n", "s")
 	n.subscribe(t, m.at)
-	conn := command(t, m.at, nil)
-	if _, err := greeted(m.at, "third", nil); err == nil || !strings.Contains(err.Error(), errTooManyConnections.Error()) {
-		t.Errorf("a third: %v", err)
+	conn := openCommand(t, m.at, nil)
+	if _, err := dialAndGreet(m.at, "third", nil); err == nil || !strings.Contains(err.Error(), errTooManyConnections.Error()) {
+		t.Errorf("third connection: got error %v, want errTooManyConnections", err)
 	}
 	wire.Send(conn, &wire.Write{ID: 1, Changes: []distribution.Change{route("s", "x")}})
-	wait(t, "the first is served", func() bool { return n.holds(route("s", "x")) })
+	wait(t, "the change at the first subscriber", func() bool { return n.holds(route("s", "x")) })
 	conn.Close()
-	wait(t, "room again", func() bool {
-		conn, err := greeted(m.at, "third", nil)
+	wait(t, "an accepted connection after a close", func() bool {
+		conn, err := dialAndGreet(m.at, "third", nil)
 		if err == nil {
 			conn.Close()
 		}
@@ -140,35 +140,35 @@
 	})
 }
 
-// Connections that never subscribe leave room for subscribers.
+// Connections without a subscription are limited, so that subscribers can connect.
 func TestIdleCommandsAreBounded(t *testing.T) {
 	t.Parallel()
 	m := start(t, settings(t, "a", address.Free(t), disks(t)("a")))
 	for range maxUnsubscribed {
-		command(t, m.at, nil)
+		openCommand(t, m.at, nil)
 	}
-	wait(t, "all are there", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return m.links.unsubscribed == maxUnsubscribed })
-	conn := command(t, m.at, nil)
-	if _, err := next(conn, patience); err == nil || !strings.Contains(err.Error(), errTooManyConnections.Error()) {
-		t.Errorf("one more: %v", err)
+	wait(t, "all connections", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return m.links.unsubscribed == maxUnsubscribed })
+	conn := openCommand(t, m.at, nil)
+	if _, err := receiveMessage(conn, waitTimeout); err == nil || !strings.Contains(err.Error(), errTooManyConnections.Error()) {
+		t.Errorf("connection beyond the limit: got error %v, want errTooManyConnections", err)
 	}
 }
 
-// A second connection under a node's name ends the older one.
+// A second connection with a node's name closes the older one.
 func TestReconnectReplacesOlderConnection(t *testing.T) {
 	t.Parallel()
 	m := start(t, settings(t, "a", address.Free(t), disks(t)("a")))
-	wait(t, "current", m.isCurrent)
+	wait(t, "the processes to be current", m.isCurrent)
 	first, second := node("n", "s"), node("n", "s")
 	first.subscribe(t, m.at)
-	wait(t, "one", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return m.links.subscribers["n"] != nil })
+	wait(t, "the first subscription", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return m.links.subscribers["n"] != nil })
 	second.subscribe(t, m.at)
-	wait(t, "the older has ended", func() bool { return first.ended() != nil })
+	wait(t, "the end of the older connection", func() bool { return first.ended() != nil })
 	write(t, m.at, route("s", "x"))
-	wait(t, "the newer is served", func() bool { return second.holds(route("s", "x")) })
+	wait(t, "the change at the newer connection", func() bool { return second.holds(route("s", "x")) })
 }
 
-// Over TLS only peers with keys of the same authority are accepted.
+// With TLS, only peers with certificates of the same authority are accepted.
 func TestOtherAuthoritiesAreRejected(t *testing.T) {
 	t.Parallel()
 	authority := func() *certauthority.Authority {
@@ -197,29 +197,29 @@
 	second := settings(t, "b", address.Free(t), disk("b"), at)
 	second.Keys, second.TLSName = load(ours, "control"), "control"
 	b := start(t, second)
-	wait(t, "current", func() bool { return a.isCurrent() && b.isCurrent() })
-	conn := command(t, a.at, load(ours, "operator"))
+	wait(t, "the processes to be current", func() bool { return a.isCurrent() && b.isCurrent() })
+	conn := openCommand(t, a.at, load(ours, "operator"))
 	wire.Send(conn, &wire.Write{ID: 1, Changes: []distribution.Change{route("s", "x")}})
-	wait(t, "the other has it", func() bool { return b.holds("x") })
+	wait(t, "the change at the other process", func() bool { return b.holds("x") })
 	for name, k := range map[string]*mtls.Keys{"of another authority": load(theirs, "operator"), "none": nil} {
-		if conn, err := greeted(a.at, "operator", k); err == nil {
+		if conn, err := dialAndGreet(a.at, "operator", k); err == nil {
 			conn.Close()
-			t.Errorf("keys %s are taken", name)
+			t.Errorf("peer was accepted with keys: %s", name)
 		}
 	}
 }
 
-// A peer that queries and takes no answer is disconnected before much waits for it.
+// A peer that sends queries without reading the responses is disconnected, and its message queue stays bounded.
 func TestAnswersAreBounded(t *testing.T) {
 	t.Parallel()
 	m := start(t, settings(t, "a", address.Free(t), disks(t)("a")))
-	wait(t, "current", m.isCurrent)
+	wait(t, "the processes to be current", m.isCurrent)
 	m.mu.Lock()
 	for n := range 2000 {
 		m.nodes.putOwn(distribution.NodeStatus{Name: fmt.Sprint("node-", n), Role: distribution.RoleNode, IsConnected: true})
 	}
 	m.mu.Unlock()
-	conn := command(t, m.at, nil)
+	conn := openCommand(t, m.at, nil)
 	var err error
 	for n := 0; err == nil && n < 100_000; n++ {
 		err = wire.Send(conn, &wire.StatusQuery{ID: uint64(n)})
@@ -227,18 +227,18 @@
 		for l := range m.links.greeted {
 			l.outbox.mu.Lock()
 			if len(l.outbox.queue) > maxQueuedMessages {
-				t.Errorf("%d messages wait", len(l.outbox.queue))
+				t.Errorf("got %d queued messages, want at most maxQueuedMessages", len(l.outbox.queue))
 			}
 			l.outbox.mu.Unlock()
 		}
 		m.mu.Unlock()
 	}
 	if err == nil {
-		t.Fatal("never cut off")
+		t.Fatal("peer was not disconnected after 100,000 queries")
 	}
 }
 
-// What a relay receives from its root is not sent back.
+// A relay does not send the entries that it receives from its root back to it.
 func TestReceivedEntriesAreNotSentBack(t *testing.T) {
 	t.Parallel()
 	disk, at := disks(t), address.Free(t)
@@ -249,7 +249,7 @@
 	}
 	defer proxy.Close()
 	r := start(t, settings(t, "r", address.Free(t), disk("r"), proxy.Address()))
-	wait(t, "current", func() bool { return a.isCurrent() && r.isCurrent() })
+	wait(t, "the processes to be current", func() bool { return a.isCurrent() && r.isCurrent() })
 	for n := range 30 {
 		c := route("s", fmt.Sprint("large-", n))
 		c.Value = []byte(strings.Repeat("v", 10_000))
@@ -259,7 +259,7 @@
 	write(t, r.at, route("s", "from below"))
 	agree(t, a, r)
 	if up, down := proxy.Bytes(faultproxy.Up), proxy.Bytes(faultproxy.Down); down < 300_000 || up > 30_000 {
-		t.Errorf("%d bytes went up, %d down", up, down)
+		t.Errorf("got %d bytes to the root and %d from it, want at most 30,000 and at least 300,000", up, down)
 	}
 	r.stop(t)
 }
--- a/internal/controlplane/distribution/control/process_test.go
+++ b/internal/controlplane/distribution/control/process_test.go
@@ -20,7 +20,7 @@
 	"fernvane/internal/testbed/standin/faultproxy"
 )
 
-// fernvane is the program, built once for all tests that need it; the folder that it is in goes with them.
+// fernvane builds the program once for all tests that need it, and returns its path. TestMain removes its directory.
 var (
 	built    atomic.Bool
 	fernvane = sync.OnceValues(build)
@@ -39,10 +39,10 @@
 	return path, nil
 }
 
-// turns bounds how many fleets run at a time.
-var turns = make(chan struct{}, 4)
+// fleetSlots limits the number of fleets that run concurrently.
+var fleetSlots = make(chan struct{}, 4)
 
-// process is one control process of the program.
+// process is a control process that runs as a child process.
 type process struct {
 	name, at, disk, file string
 	cmd                  *exec.Cmd
@@ -50,7 +50,7 @@
 	log                  *output
 }
 
-// output is a process's log, over all its runs.
+// output collects a process's log over all its runs.
 type output struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -68,7 +68,7 @@
 	return o.text.String()
 }
 
-// lines counts those that hold a text.
+// lines returns the number of log lines that contain a text.
 func (o *output) lines(with string) (n int) {
 	for line := range strings.Lines(o.String()) {
 		if strings.Contains(line, with) {
@@ -97,7 +97,7 @@
 
 func (p *process) signal(s syscall.Signal) { p.cmd.Process.Signal(s) }
 
-// kill ends it as a loss of the machine would.
+// kill terminates the process without a shutdown, like a loss of its machine.
 func (p *process) kill() {
 	if p.ended == nil {
 		return
@@ -107,7 +107,7 @@
 	p.ended = nil
 }
 
-// end shuts it down cleanly.
+// end terminates the process with a graceful shutdown.
 func (p *process) end(t *testing.T) {
 	t.Helper()
 	began := time.Now()
@@ -115,21 +115,21 @@
 	select {
 	case err := <-p.ended:
 		if err != nil {
-			t.Errorf("%s ends with %v", p.name, err)
+			t.Errorf("%s: got exit error %v, want none", p.name, err)
 		}
-		t.Logf("%s ends after %v", p.name, time.Since(began).Round(time.Millisecond))
-	case <-time.After(patience):
-		t.Errorf("%s does not end", p.name)
+		t.Logf("%s terminated after %v", p.name, time.Since(began).Round(time.Millisecond))
+	case <-time.After(waitTimeout):
+		t.Errorf("%s has not terminated within 30s", p.name)
 		p.kill()
 	}
 	p.ended = nil
 }
 
-// fleet is two roots in two regions, a relay in the first that prefers its root, and a node at the relay and one at the
-// second root. A fault proxy stands between all processes.
+// fleet is two roots in two regions, a relay in the first region that prefers its root, a node that subscribes to the relay and
+// one that subscribes to the second root. Each connection passes through a fault proxy.
 type fleet struct {
 	a, b, r   *process
-	proxies   map[string]*faultproxy.Proxy // by who dials and whom: "ra"
+	proxies   map[string]*faultproxy.Proxy // by the initials of the dialing process and its target, as "ra"
 	near, far *subscriber
 	writer    *writer
 	stop      chan struct{}
@@ -138,8 +138,8 @@
 
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
-	turns <- struct{}{}
-	t.Cleanup(func() { <-turns })
+	fleetSlots <- struct{}{}
+	t.Cleanup(func() { <-fleetSlots })
 	f := &fleet{proxies: map[string]*faultproxy.Proxy{}, stop: make(chan struct{})}
 	dir := t.TempDir()
 	processes := map[string]*process{}
@@ -159,19 +159,19 @@
 		f.configure(t, p, "")
 		p.start(t)
 	}
-	f.waitConverged(t, "all current")
+	f.waitConverged(t, "convergence after the start")
 	f.near, f.far = node("near", "", "s"), node("far", "", "s")
 	f.follow(f.near, f.proxies["nr"].Address())
 	f.follow(f.far, f.proxies["mb"].Address())
 	f.writer = &writer{fleet: f, acknowledged: map[distribution.Key]distribution.Entry{}}
 	f.writer.begin()
-	f.writer.reach(t, 50)
+	f.writer.waitAcknowledged(t, 50)
 	return f
 }
 
 func (f *fleet) all() []*process { return []*process{f.a, f.b, f.r} }
 
-// configure writes a process's file.
+// configure writes a process's settings file.
 func (f *fleet) configure(t *testing.T, p *process, more string) {
 	t.Helper()
 	upstreams := map[string]string{
@@ -185,7 +185,7 @@
 	}
 }
 
-// follow has a node follow an address, again and again.
+// follow keeps a node connected to an address until the fleet stops.
 func (f *fleet) follow(n *subscriber, at string) {
 	f.running.Go(func() {
 		for {
@@ -223,29 +223,29 @@
 	f.running.Wait()
 }
 
-// waitConverged waits until all processes are current and hold the same, and tells how long it took.
+// waitConverged waits until all processes are current and their digests are equal, and logs the time that this took.
 func (f *fleet) waitConverged(t *testing.T, what string) {
 	t.Helper()
-	f.settleSince(t, what, time.Now())
+	f.waitConvergedSince(t, what, time.Now())
 }
 
-func (f *fleet) settleSince(t *testing.T, what string, began time.Time) {
+func (f *fleet) waitConvergedSince(t *testing.T, what string, began time.Time) {
 	t.Helper()
 	wait(t, what, func() bool {
 		first, err := digests(f.a.at)
 		for _, p := range f.all() {
-			other, fault := digests(p.at)
-			self, _, unasked := query(p.at)
-			if err = errors.Join(err, fault, unasked); err != nil || !self.HasAcknowledged || !maps.Equal(first, other) {
+			other, digestsErr := digests(p.at)
+			self, _, queryErr := query(p.at)
+			if err = errors.Join(err, digestsErr, queryErr); err != nil || !self.HasAcknowledged || !maps.Equal(first, other) {
 				return false
 			}
 		}
 		return true
 	})
-	t.Logf("%s: equal after %v", what, time.Since(began).Round(10*time.Millisecond))
+	t.Logf("%s: equal digests after %v", what, time.Since(began).Round(10*time.Millisecond))
 }
 
-// heldEntries returns all that a process holds, as a new subscriber of everything is sent it.
+// heldEntries returns a new subscriber to all services that has received all entries of a process.
 func (f *fleet) heldEntries(t *testing.T, p *process) *subscriber {
 	t.Helper()
 	all := &subscriber{name: "auditor", role: distribution.RoleNode, store: distribution.NewStore("", distribution.Limits{})}
@@ -253,32 +253,32 @@
 		t.Fatal(err)
 	}
 	defer all.leave()
-	wait(t, "all of "+p.name, func() bool { all.mu.Lock(); defer all.mu.Unlock(); return all.complete })
+	wait(t, "all entries of "+p.name, func() bool { all.mu.Lock(); defer all.mu.Unlock(); return all.complete })
 	return all
 }
 
-// checkConverged ends the writing and checks that all holders hold the same and everything acknowledged, and that no node
-// went back.
+// checkConverged stops the writer, and verifies that all processes and nodes have converged with all acknowledged writes, and that
+// no node has received an older version of a key.
 func (f *fleet) checkConverged(t *testing.T) {
 	t.Helper()
 	f.writer.end()
-	f.waitConverged(t, "after the fault")
+	f.waitConverged(t, "convergence after the fault")
 	for _, p := range f.all() {
 		f.writer.check(t, p.name, f.heldEntries(t, p), nil)
 	}
 	for _, n := range []*subscriber{f.near, f.far} {
-		wait(t, "all at "+n.name, func() bool { return f.writer.lacking(n, n.services) == nil })
+		wait(t, "all acknowledged writes at "+n.name, func() bool { return f.writer.missing(n, n.services) == nil })
 		f.writer.check(t, n.name, n, n.services)
 		n.mu.Lock()
-		if n.back != nil {
-			t.Errorf("%s: %v", n.name, n.back)
+		if n.regression != nil {
+			t.Errorf("%s: %v", n.name, n.regression)
 		}
 		n.mu.Unlock()
 	}
-	t.Logf("%d writes acknowledged, %d refused or unanswered", f.writer.count, f.writer.failed)
+	t.Logf("%d writes acknowledged, %d rejected or without a response", f.writer.count, f.writer.failed)
 }
 
-// writer writes at both roots and the relay in turn, and keeps what was acknowledged.
+// writer writes continuously at both roots and the relay, and records the acknowledged writes.
 type writer struct {
 	fleet   *fleet
 	running sync.WaitGroup
@@ -315,7 +315,7 @@
 	}
 }
 
-// write changes one of a few hundred keys, so that processes often change the same.
+// write changes one of a few hundred keys, so that processes often change the same key.
 func (w *writer) write(at string) {
 	w.mu.Lock()
 	w.written++
@@ -340,8 +340,8 @@
 	}
 }
 
-// reach waits until so many more writes were acknowledged.
-func (w *writer) reach(t *testing.T, more int) {
+// waitAcknowledged waits until a number of further writes were acknowledged.
+func (w *writer) waitAcknowledged(t *testing.T, more int) {
 	t.Helper()
 	w.mu.Lock()
 	from := w.count
@@ -349,8 +349,9 @@
 	wait(t, "more writes", func() bool { w.mu.Lock(); defer w.mu.Unlock(); return w.count >= from+more })
 }
 
-// lacking is the first acknowledged write that a holder does not hold, or a later one of its key.
-func (w *writer) lacking(s *subscriber, services []string) error {
+// missing returns an error that names an acknowledged write for which a subscriber has neither its version of the key nor a later
+// one.
+func (w *writer) missing(s *subscriber, services []string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s.mu.Lock()
@@ -367,9 +368,9 @@
 		switch {
 		case !ok && e.Deleted:
 		case !ok || distribution.Compare(held, e) < 0:
-			return fmt.Errorf("%v of clock %d: it holds clock %d (%t)", k, e.Clock, held.Clock, ok)
+			return fmt.Errorf("%v: want clock %d or later, got clock %d (stored: %t)", k, e.Clock, held.Clock, ok)
 		case held.Clock == e.Clock && held.Origin == e.Origin && !bytes.Equal(held.Value, e.Value):
-			return fmt.Errorf("%v holds %q, not %q", k, held.Value, e.Value)
+			return fmt.Errorf("%v: got value %q, want %q", k, held.Value, e.Value)
 		}
 	}
 	return nil
@@ -377,7 +378,7 @@
 
 func (w *writer) check(t *testing.T, name string, s *subscriber, services []string) {
 	t.Helper()
-	if err := w.lacking(s, services); err != nil {
-		t.Errorf("%s lacks %v", name, err)
+	if err := w.missing(s, services); err != nil {
+		t.Errorf("%s: acknowledged write missing: %v", name, err)
 	}
 }
--- a/internal/controlplane/distribution/control/source_test.go
+++ b/internal/controlplane/distribution/control/source_test.go
@@ -13,14 +13,14 @@
 	"fernvane/internal/testbed/standin/discovery"
 )
 
-type deaf struct{}
+type ignoredAnnouncements struct{}
 
-func (deaf) Announced(int, string, string, int64, time.Time) {}
+func (ignoredAnnouncements) Announced(int, string, string, int64, time.Time) {}
 
-// listed is discovery with two servers, and a control process that writes them.
-func listed(t *testing.T) (*discovery.Service, *member) {
+// startListed starts a discovery service with two servers, and a control process that writes them.
+func startListed(t *testing.T) (*discovery.Service, *member) {
 	t.Helper()
-	list := discovery.New(discovery.Settings{LinesPerS: 1e6, Timeout: time.Second}, 1, deaf{})
+	list := discovery.New(discovery.Settings{LinesPerS: 1e6, Timeout: time.Second}, 1, ignoredAnnouncements{})
 	t.Cleanup(list.Close)
 	at := address.Free(t)
 	if err := list.Serve(0, 0, at); err != nil {
@@ -34,7 +34,7 @@
 	return list, start(t, config)
 }
 
-// server is what the store holds of one.
+// server returns the stored state and entry of a server.
 func (m *member) server(t *testing.T, name string) (e incarnation.Entry, held distribution.Entry) {
 	t.Helper()
 	m.mu.Lock()
@@ -48,11 +48,11 @@
 	return e, held
 }
 
-// Servers that discovery lists are written as they change, and only then; within one start a server goes back by a new
-// generation only.
+// Servers that discovery lists are written only when they change. Within one start, a server returns to an earlier condition only
+// with a new generation.
 func TestListedServersAreWritten(t *testing.T) {
 	t.Parallel()
-	list, m := listed(t)
+	list, m := startListed(t)
 	is := func(name string, condition incarnation.Condition, turn bool) func() bool {
 		return func() bool {
 			e, held := m.server(t, name)
@@ -66,35 +66,35 @@
 	set("s1", discovery.Draining)
 	wait(t, "a drain", is("s1", incarnation.Draining, false))
 	set("s1", discovery.Serving)
-	wait(t, "the drain called off", is("s1", incarnation.Up, true))
+	wait(t, "the canceled drain", is("s1", incarnation.Up, true))
 	set("s2", discovery.Deleted)
-	wait(t, "a server gone", func() bool { _, held := m.server(t, "s2"); return held.Deleted })
+	wait(t, "the deletion of a server", func() bool { _, held := m.server(t, "s2"); return held.Deleted })
 	set("s2", discovery.Serving)
-	wait(t, "it is back", is("s2", incarnation.Up, true))
+	wait(t, "the return of the deleted server", is("s2", incarnation.Up, true))
 	_, held := m.server(t, "s2")
 	list.Down(true)
 	list.Down(false)
 	set("s3", discovery.Serving)
-	wait(t, "another one", is("s3", incarnation.Up, false))
+	wait(t, "a new server", is("s3", incarnation.Up, false))
 	if _, again := m.server(t, "s2"); again.Clock != held.Clock {
-		t.Error("a server that was listed again is written again")
+		t.Error("unchanged server was written again after discovery listed it again")
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.store.Vector().Total() != 7 {
-		t.Errorf("%d changes were written, not 7", m.store.Vector().Total())
+		t.Errorf("got %d written changes, want 7", m.store.Vector().Total())
 	}
 }
 
-// Servers that a complete list no longer names are deleted, also after a restart of this process.
+// Servers that are missing in a complete list are deleted, even after a restart of the control process.
 func TestUnlistedServersAreDeleted(t *testing.T) {
 	t.Parallel()
-	_, m := listed(t)
+	_, m := startListed(t)
 	wait(t, "both servers", func() bool { e, _ := m.server(t, "s1"); f, _ := m.server(t, "s2"); return e.ID+f.ID == "s1s2" })
 	_, before := m.server(t, "s2")
 	config := *m.config
 	m.stop(t)
-	rest := discovery.New(discovery.Settings{LinesPerS: 1e6, Timeout: time.Second}, 1, deaf{})
+	rest := discovery.New(discovery.Settings{LinesPerS: 1e6, Timeout: time.Second}, 1, ignoredAnnouncements{})
 	defer rest.Close()
 	at := address.Free(t)
 	if err := rest.Serve(0, 0, at); err != nil {
@@ -103,13 +103,13 @@
 	rest.Set(discovery.Entry{ID: "s2", Phase: discovery.Serving, Addresses: []string{"127.0.0.1:1"}})
 	config.DiscoveryAddress = netip.MustParseAddrPort(at)
 	m = start(t, &config)
-	wait(t, "one is gone", func() bool { _, held := m.server(t, "s1"); return held.Deleted })
+	wait(t, "the deletion of the unlisted server", func() bool { _, held := m.server(t, "s1"); return held.Deleted })
 	e, held := m.server(t, "s2")
 	if e.ID != "s2" {
-		t.Error("the other is gone too")
+		t.Error("listed server was deleted too")
 	}
 	if held.Clock != before.Clock {
-		t.Error("the other is written again, and nothing is new of it but the list's revision")
+		t.Error("listed server was written again although only its revision changed")
 	}
-	m.stop(t) // ahead of its discovery
+	m.stop(t) // before its discovery service stops
 }
--- a/internal/controlplane/distribution/control/storefull_test.go
+++ b/internal/controlplane/distribution/control/storefull_test.go
@@ -8,7 +8,7 @@
 	"fernvane/internal/testbed/standin/address"
 )
 
-// Guards against a control process whose store is full claiming to be current once it has compared digests.
+// Guards against a control process with a full store that reports to be current after a comparison of digests.
 func TestFullRelayIsNotCurrent(t *testing.T) {
 	t.Parallel()
 	disk, at := disks(t), address.Free(t)
@@ -16,7 +16,7 @@
 	small := settings(t, "r", address.Free(t), disk("r"), at)
 	small.StoreLimits = distribution.Limits{MaxEntries: 2}
 	r := start(t, small)
-	wait(t, "a root", a.isCurrent)
+	wait(t, "the root to be current", a.isCurrent)
 	write(t, a.at, route("s", "1"), route("s", "2"))
 	agree(t, a, r)
 	ownStatus := func() distribution.NodeStatus {
@@ -24,9 +24,9 @@
 		defer r.mu.Unlock()
 		return r.ownStatus()
 	}
-	wait(t, "current", func() bool { return r.isCurrent() && !ownStatus().IsCatchingUp })
+	wait(t, "the processes to be current", func() bool { return r.isCurrent() && !ownStatus().IsCatchingUp })
 	write(t, a.at, route("s", "3"))
-	wait(t, "a status that names the entry", func() bool {
+	wait(t, "a status with the rejected entry", func() bool {
 		s := ownStatus()
 		return s.IsCatchingUp && len(s.Rejected) == 1 && s.Rejected[0].Key == route("s", "3").Key
 	})
@@ -35,23 +35,23 @@
 		defer r.mu.Unlock()
 		return r.followers[0].subscriber.State()
 	}
-	wait(t, "behind", func() bool { return state() == distribution.StateBehind })
+	wait(t, "the state behind", func() bool { return state() == distribution.StateBehind })
 	a.mu.Lock()
 	a.links.subscribers["r"].enqueue(&wire.Digests{Digests: distribution.Digests{Total: a.store.TotalDigest(), Through: a.store.Vector().Clone()}})
 	a.mu.Unlock()
 	changed := route("s", "1")
 	changed.Value = []byte("changed")
 	write(t, a.at, changed)
-	wait(t, "the change behind the digests", func() bool {
+	wait(t, "the change that follows the digests", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		e, _ := r.store.Entry(changed.Key)
 		return string(e.Value) == "changed"
 	})
 	if got := state(); got != distribution.StateBehind {
-		t.Errorf("it is %s with a full store", got)
+		t.Errorf("got state %s with a full store, want behind", got)
 	}
 	if s := ownStatus(); !s.IsCatchingUp || len(s.Rejected) != 1 {
-		t.Errorf("its status is %+v", s)
+		t.Errorf("got status %+v, want catching up with one rejection", s)
 	}
 }
