--- a/internal/controlplane/distribution/control/control_test.go
+++ b/internal/controlplane/distribution/control/control_test.go
@@ -40,9 +40,9 @@
 	agree(t, a, b, r)
 	for i := range 3 {
 		for service, name := range map[string]string{"s": "at-", "": "for-all-"} {
-			wait(t, name, func() bool { return n.holds(route(service, fmt.Sprint(name, i))) })
+			wait(t, name, func() bool { return n.has(route(service, fmt.Sprint(name, i))) })
 		}
-		if n.holds(route("other", fmt.Sprint("not-for-n-", i))) {
+		if n.has(route("other", fmt.Sprint("not-for-n-", i))) {
 			t.Error("node received an entry of a service that it does not subscribe to")
 		}
 	}
@@ -50,7 +50,7 @@
 	gone.Value, gone.Deleted = nil, true
 	write(t, r.at, gone)
 	wait(t, "the deletion at all processes", func() bool {
-		return !a.holds("at-1") && !b.holds("at-1") && !n.holds(route("s", "at-1"))
+		return !a.has("at-1") && !b.has("at-1") && !n.has(route("s", "at-1"))
 	})
 	agree(t, a, b, r)
 }
@@ -107,7 +107,7 @@
 	}
 	wait(t, "a complete batch", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.complete })
 	write(t, m.at, route("s", "x"))
-	wait(t, "the write at the node", func() bool { return n.holds(route("s", "x")) })
+	wait(t, "the write at the node", func() bool { return n.has(route("s", "x")) })
 }
 
 // After a clean shutdown, a process without upstreams is current immediately.
@@ -119,8 +119,8 @@
 	origin := write(t, m.at, route("s", "x")).Origin
 	m.stop(t)
 	m = start(t, settings(t, "a", at, disk("a")))
-	if !m.isCurrent() || !m.holds("x") {
-		t.Errorf("got current %t, stored entry %t, want true for both", m.isCurrent(), m.holds("x"))
+	if !m.isCurrent() || !m.has("x") {
+		t.Errorf("got current %t, stored entry %t, want true for both", m.isCurrent(), m.has("x"))
 	}
 	if again := write(t, m.at, route("s", "y")); again.Origin == origin || again.Origin.Name() != "a" || again.Sequence != 1 {
 		t.Errorf("got result %+v, want sequence 1 of a new origin of a", again)
@@ -136,7 +136,7 @@
 	n.subscribe(t, m.at)
 	wait(t, "the processes to be current", m.isCurrent)
 	write(t, m.at, routes("s", 0, 500)...)
-	wait(t, "all entries at the node", func() bool { return n.holds(route("s", "route-499")) })
+	wait(t, "all entries at the node", func() bool { return n.has(route("s", "route-499")) })
 	before := m.state()
 	m.stop(t)
 	n.leave()
@@ -147,7 +147,7 @@
 	n.subscribe(t, m.at)
 	wait(t, "all entries at the control process", func() bool { return m.state() == before })
 	for i := range 500 {
-		if !n.holds(route("s", fmt.Sprint("route-", i))) {
+		if !n.has(route("s", fmt.Sprint("route-", i))) {
 			t.Fatalf("route-%d is missing at the node", i)
 		}
 	}
@@ -261,7 +261,7 @@
 	n.subscribe(t, r.at)
 	wait(t, "a complete batch at the node", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.complete })
 	agree(t, a, b, r)
-	wait(t, "the repaired entries at the node", func() bool { return n.holds(route("s", "route-0")) && n.holds(route("s", "route-49")) })
+	wait(t, "the repaired entries at the node", func() bool { return n.has(route("s", "route-0")) && n.has(route("s", "route-49")) })
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if n := r.counts.mergedEntries - received; n != 50 && received > 0 && n > 50 {
@@ -286,7 +286,7 @@
 	wait(t, "the relay to be current", r.isCurrent)
 	proxy.Cut(faultproxy.Down, true)
 	write(t, a.at, route("s", "x"))
-	wait(t, "the entry from the other upstream", func() bool { return r.holds("x") })
+	wait(t, "the entry from the other upstream", func() bool { return r.has("x") })
 	agree(t, a, b, r)
 }
 
@@ -332,8 +332,8 @@
 		m.mu.Lock()
 		e, _ := m.store.Entry(of("").Key)
 		m.mu.Unlock()
-		if string(e.Value) != "second" || !m.holds("of-a") || !m.holds("of-b") {
-			t.Errorf("%s: got value %q, entry of a %t, entry of b %t, want second and both entries", m.config.Name, e.Value, m.holds("of-a"), m.holds("of-b"))
+		if string(e.Value) != "second" || !m.has("of-a") || !m.has("of-b") {
+			t.Errorf("%s: got value %q, entry of a %t, entry of b %t, want second and both entries", m.config.Name, e.Value, m.has("of-a"), m.has("of-b"))
 		}
 	}
 }
--- a/internal/controlplane/distribution/control/faults_test.go
+++ b/internal/controlplane/distribution/control/faults_test.go
@@ -239,7 +239,7 @@
 	f.waitConverged(t, "convergence after the kill")
 	all := f.heldEntries(t, f.b)
 	for _, c := range changes {
-		if !all.holds(c) {
+		if !all.has(c) {
 			t.Errorf("acknowledged write of %s is lost", c.Key.Name)
 		}
 	}
@@ -253,7 +253,7 @@
 	n := 0
 	all := f.heldEntries(t, f.b)
 	for _, c := range routes("large", 0, distribution.MaxChanges) {
-		if all.holds(c) {
+		if all.has(c) {
 			n++
 		}
 	}
--- a/internal/controlplane/distribution/control/helpers_test.go
+++ b/internal/controlplane/distribution/control/helpers_test.go
@@ -114,7 +114,7 @@
 	return fmt.Sprintf("%016x", m.store.TotalDigest())
 }
 
-func (m *member) holds(name string) bool {
+func (m *member) has(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e, ok := m.store.Entry(route("s", name).Key)
@@ -278,7 +278,7 @@
 	}
 }
 
-func (s *subscriber) holds(c distribution.Change) bool {
+func (s *subscriber) has(c distribution.Change) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.store.Entry(c.Key)
--- a/internal/controlplane/distribution/control/nodes.go
+++ b/internal/controlplane/distribution/control/nodes.go
@@ -35,8 +35,8 @@
 // precedence, and a report of a disconnection does not replace a connection reported by another process, because the
 // subscriber may have moved there.
 func (t nodeTable) putReported(by *link, status distribution.NodeStatus) {
-	held := t[status.Name]
-	if held != nil && held.status.IsConnected && held.reportedBy != by && (held.reportedBy == nil || !status.IsConnected) {
+	stored := t[status.Name]
+	if stored != nil && stored.status.IsConnected && stored.reportedBy != by && (stored.reportedBy == nil || !status.IsConnected) {
 		return
 	}
 	t.put(&nodeRecord{status: status, reportedBy: by})
--- a/internal/controlplane/distribution/control/peers_test.go
+++ b/internal/controlplane/distribution/control/peers_test.go
@@ -36,7 +36,7 @@
 		c := route("s", fmt.Sprint("route-", i%100))
 		c.Value = []byte(strings.Repeat("v", 8000+i))
 		write(t, m.at, c)
-		wait(t, "the change at the other subscriber", func() bool { return n.holds(c) })
+		wait(t, "the change at the other subscriber", func() bool { return n.has(c) })
 		if m.now() > waitTimeout {
 			t.Fatal("slow subscriber was not disconnected within 30s")
 		}
@@ -112,7 +112,7 @@
 		}
 	})
 	write(t, m.at, route("s", "x"))
-	wait(t, "the change at another subscriber", func() bool { return n.holds(route("s", "x")) })
+	wait(t, "the change at another subscriber", func() bool { return n.has(route("s", "x")) })
 }
 
 // Connections beyond the configured limit are rejected, and the others stay open.
@@ -129,7 +129,7 @@
 		t.Errorf("third connection: got error %v, want errTooManyConnections", err)
 	}
 	wire.Send(conn, &wire.Write{ID: 1, Changes: []distribution.Change{route("s", "x")}})
-	wait(t, "the change at the first subscriber", func() bool { return n.holds(route("s", "x")) })
+	wait(t, "the change at the first subscriber", func() bool { return n.has(route("s", "x")) })
 	conn.Close()
 	wait(t, "an accepted connection after a close", func() bool {
 		conn, err := dialAndGreet(m.at, "third", nil)
@@ -165,7 +165,7 @@
 	second.subscribe(t, m.at)
 	wait(t, "the end of the older connection", func() bool { return first.ended() != nil })
 	write(t, m.at, route("s", "x"))
-	wait(t, "the change at the newer connection", func() bool { return second.holds(route("s", "x")) })
+	wait(t, "the change at the newer connection", func() bool { return second.has(route("s", "x")) })
 }
 
 // With TLS, only peers with certificates of the same authority are accepted.
@@ -200,7 +200,7 @@
 	wait(t, "the processes to be current", func() bool { return a.isCurrent() && b.isCurrent() })
 	conn := openCommand(t, a.at, load(ours, "operator"))
 	wire.Send(conn, &wire.Write{ID: 1, Changes: []distribution.Change{route("s", "x")}})
-	wait(t, "the change at the other process", func() bool { return b.holds("x") })
+	wait(t, "the change at the other process", func() bool { return b.has("x") })
 	for name, k := range map[string]*mtls.Keys{"of another authority": load(theirs, "operator"), "none": nil} {
 		if conn, err := dialAndGreet(a.at, "operator", k); err == nil {
 			conn.Close()
--- a/internal/controlplane/distribution/control/process_test.go
+++ b/internal/controlplane/distribution/control/process_test.go
@@ -364,13 +364,13 @@
 		if services != nil && !of[k.Service] {
 			continue
 		}
-		held, ok := s.store.Entry(k)
+		stored, ok := s.store.Entry(k)
 		switch {
 		case !ok && e.Deleted:
-		case !ok || distribution.Compare(held, e) < 0:
-			return fmt.Errorf("%v: want clock %d or later, got clock %d (stored: %t)", k, e.Clock, held.Clock, ok)
-		case held.Clock == e.Clock && held.Origin == e.Origin && !bytes.Equal(held.Value, e.Value):
-			return fmt.Errorf("%v: got value %q, want %q", k, held.Value, e.Value)
+		case !ok || distribution.Compare(stored, e) < 0:
+			return fmt.Errorf("%v: want clock %d or later, got clock %d (stored: %t)", k, e.Clock, stored.Clock, ok)
+		case stored.Clock == e.Clock && stored.Origin == e.Origin && !bytes.Equal(stored.Value, e.Value):
+			return fmt.Errorf("%v: got value %q, want %q", k, stored.Value, e.Value)
 		}
 	}
 	return nil
--- a/internal/controlplane/distribution/control/source.go
+++ b/internal/controlplane/distribution/control/source.go
@@ -161,22 +161,22 @@
 // changeOf returns the change that makes a server's entry match the source, and whether one is needed.
 func (t *sourcedServers) changeOf(name string) (c distribution.Change, differs bool) {
 	c.Key = distribution.Key{Service: t.server.config.Service, Kind: distribution.KindServer, Name: name}
-	held, isHeld := t.server.store.Entry(c.Key)
-	isHeld = isHeld && !held.Deleted
+	stored, isStored := t.server.store.Entry(c.Key)
+	isStored = isStored && !stored.Deleted
 	listed, isListed := t.listed[name]
 	if !isListed || listed.Condition == incarnation.Gone {
 		c.Deleted = true
-		return c, isHeld
+		return c, isStored
 	}
 	var before incarnation.Entry
-	if isHeld && cbor.Unmarshal(held.Value, &before) == nil {
+	if isStored && cbor.Unmarshal(stored.Value, &before) == nil {
 		listed = nextGeneration(before, listed)
 		before.Revision = listed.Revision // a different revision alone is not written
 		if before == listed {
 			return c, false
 		}
-	} else if held.Deleted { // a deleted server returns: its generation must exceed all earlier ones
-		listed.Generation = max(listed.Generation, uint32(distribution.ClockTime(held.Clock).Unix()))
+	} else if stored.Deleted { // a deleted server returns: its generation must exceed all earlier ones
+		listed.Generation = max(listed.Generation, uint32(distribution.ClockTime(stored.Clock).Unix()))
 	}
 	value, err := cbor.Marshal(listed)
 	if err != nil {
--- a/internal/controlplane/distribution/control/source_test.go
+++ b/internal/controlplane/distribution/control/source_test.go
@@ -35,17 +35,17 @@
 }
 
 // server returns the stored state and entry of a server.
-func (m *member) server(t *testing.T, name string) (e incarnation.Entry, held distribution.Entry) {
+func (m *member) server(t *testing.T, name string) (e incarnation.Entry, stored distribution.Entry) {
 	t.Helper()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	held, ok := m.store.Entry(distribution.Key{Service: "hire", Kind: distribution.KindServer, Name: name})
-	if ok && !held.Deleted {
-		if err := cbor.Unmarshal(held.Value, &e); err != nil {
+	stored, ok := m.store.Entry(distribution.Key{Service: "hire", Kind: distribution.KindServer, Name: name})
+	if ok && !stored.Deleted {
+		if err := cbor.Unmarshal(stored.Value, &e); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return e, held
+	return e, stored
 }
 
 // Servers that discovery lists are written only when they change. Within one start, a server returns to an earlier condition only
@@ -55,8 +55,8 @@
 	list, m := startListed(t)
 	is := func(name string, condition incarnation.Condition, turn bool) func() bool {
 		return func() bool {
-			e, held := m.server(t, name)
-			return e.ID == name && !held.Deleted && e.Condition == condition && (e.Generation > 0) == turn && e.Address == "127.0.0.1:1"
+			e, stored := m.server(t, name)
+			return e.ID == name && !stored.Deleted && e.Condition == condition && (e.Generation > 0) == turn && e.Address == "127.0.0.1:1"
 		}
 	}
 	wait(t, "both servers", func() bool { return is("s1", incarnation.Up, false)() && is("s2", incarnation.Up, false)() })
@@ -68,15 +68,15 @@
 	set("s1", discovery.Serving)
 	wait(t, "the canceled drain", is("s1", incarnation.Up, true))
 	set("s2", discovery.Deleted)
-	wait(t, "the deletion of a server", func() bool { _, held := m.server(t, "s2"); return held.Deleted })
+	wait(t, "the deletion of a server", func() bool { _, stored := m.server(t, "s2"); return stored.Deleted })
 	set("s2", discovery.Serving)
 	wait(t, "the return of the deleted server", is("s2", incarnation.Up, true))
-	_, held := m.server(t, "s2")
+	_, stored := m.server(t, "s2")
 	list.Down(true)
 	list.Down(false)
 	set("s3", discovery.Serving)
 	wait(t, "a new server", is("s3", incarnation.Up, false))
-	if _, again := m.server(t, "s2"); again.Clock != held.Clock {
+	if _, again := m.server(t, "s2"); again.Clock != stored.Clock {
 		t.Error("unchanged server was written again after discovery listed it again")
 	}
 	m.mu.Lock()
@@ -103,12 +103,12 @@
 	rest.Set(discovery.Entry{ID: "s2", Phase: discovery.Serving, Addresses: []string{"127.0.0.1:1"}})
 	config.DiscoveryAddress = netip.MustParseAddrPort(at)
 	m = start(t, &config)
-	wait(t, "the deletion of the unlisted server", func() bool { _, held := m.server(t, "s1"); return held.Deleted })
-	e, held := m.server(t, "s2")
+	wait(t, "the deletion of the unlisted server", func() bool { _, stored := m.server(t, "s1"); return stored.Deleted })
+	e, stored := m.server(t, "s2")
 	if e.ID != "s2" {
 		t.Error("listed server was deleted too")
 	}
-	if held.Clock != before.Clock {
+	if stored.Clock != before.Clock {
 		t.Error("listed server was written again although only its revision changed")
 	}
 	m.stop(t) // before its discovery service stops
--- a/internal/controlplane/distribution/lanes.go
+++ b/internal/controlplane/distribution/lanes.go
@@ -50,7 +50,7 @@
 // turn is a subscriber's scheduling state in one lane.
 type turn struct {
 	isQueued   bool
-	isSleeping bool // waits until the subscriber's budget has refilled
+	isSleeping bool // until the subscriber's budget has refilled
 	deficit    int  // remaining bytes of the turn; negative after a larger batch
 }
 
@@ -74,7 +74,7 @@
 	return last
 }
 
-// hasWaiting reports whether a subscriber has pending work in a lane.
+// hasPending reports whether a subscriber has pending work in a lane.
 func (s *subscription) hasPending(lane laneIndex) bool {
 	if lane == freshLane {
 		return len(s.fresh.keys) > 0
--- a/internal/controlplane/distribution/limits.go
+++ b/internal/controlplane/distribution/limits.go
@@ -45,8 +45,8 @@
 
 // growth returns the entries and bytes by which the store grows if a key is set to a value of valueBytes.
 func (s *Store) growth(k Key, valueBytes int) (entries, bytes int) {
-	if held, ok := s.item(k); ok {
-		return 0, valueBytes - len(held.value)
+	if stored, ok := s.item(k); ok {
+		return 0, valueBytes - len(stored.value)
 	}
 	return 1, entryOverheadBytes + len(k.Name) + valueBytes
 }
--- a/internal/controlplane/distribution/merge.go
+++ b/internal/controlplane/distribution/merge.go
@@ -20,8 +20,8 @@
 		}
 		s.observeSequence(e.Origin, e.Sequence)
 		s.newestClock = max(s.newestClock, e.Clock)
-		held, ok := s.Entry(e.Key)
-		if ok && Compare(held, e) >= 0 {
+		stored, ok := s.Entry(e.Key)
+		if ok && Compare(stored, e) >= 0 {
 			continue
 		}
 		if !ok && s.covers(e) && !repaired[e.Key.Service] {
--- a/internal/controlplane/distribution/publisher_test.go
+++ b/internal/controlplane/distribution/publisher_test.go
@@ -327,8 +327,8 @@
 			}
 			node.store.put(Entry{Key: key("a", "3"), Clock: 1, Origin: root.store.Origin(), Sequence: 1})
 			w.converge()
-			if held := node.store.LiveEntries("a"); len(held) != 2 {
-				t.Errorf("got entries %v at the node, want 2", held)
+			if stored := node.store.LiveEntries("a"); len(stored) != 2 {
+				t.Errorf("got entries %v at the node, want 2", stored)
 			}
 		})
 	}
--- a/internal/controlplane/distribution/store.go
+++ b/internal/controlplane/distribution/store.go
@@ -49,7 +49,7 @@
 	indexes map[Origin]uint32
 }
 
-// index returns the index of an origin, and adds a new one.
+// index returns the index of an origin, which it adds if it is new.
 func (o *originNames) index(origin Origin) uint32 {
 	index, ok := o.indexes[origin]
 	if !ok {
--- a/internal/controlplane/distribution/store_test.go
+++ b/internal/controlplane/distribution/store_test.go
@@ -65,8 +65,8 @@
 	e := writeOne(t, server, wall, key("a", "1"), "two")
 	p.EntriesChanged(0, []Entry{e})
 	send(t, p, r, id, 0)
-	if held, _ := node.Entry(key("a", "1")); string(held.Value) != "two" {
-		t.Fatalf("got value %q, want two", held.Value)
+	if stored, _ := node.Entry(key("a", "1")); string(stored.Value) != "two" {
+		t.Fatalf("got value %q, want two", stored.Value)
 	}
 	if !node.Vector().CoversAll(server.Vector()) {
 		t.Fatalf("got vector %v, want %v", node.Vector(), server.Vector())
--- a/internal/controlplane/distribution/subscriber.go
+++ b/internal/controlplane/distribution/subscriber.go
@@ -24,7 +24,7 @@
 	FailbackDelay time.Duration // until a preferred upstream is probed; 0 disables failback
 }
 
-// Action tells the caller how to change its connections.
+// Action lists the changes of connections that the caller performs.
 type Action struct {
 	ShouldDial       bool // connect to Upstream, then call UpstreamConnected or UpstreamLost
 	ShouldDisconnect bool // first close the current connection or attempt, without a call of UpstreamLost
