--- a/internal/controlplane/distribution/disk/disk.go
+++ b/internal/controlplane/distribution/disk/disk.go
@@ -1,8 +1,9 @@
-// Package disk keeps the entries of a distribution.Store, its vector and the origin of its latest run in one file, so
-// that what a process holds is there at its next start. Packages client and control open one Disk each and save to it what their stores take in.
+// Package disk persists the entries of a distribution.Store, its vector and the origin of the store's latest run in one
+// bbolt file, so that a process loads them at its next start. Packages client and control each open one Disk and save to it
+// the changes that their stores accept.
 //
-// One goroutine writes, in transactions of a bounded rate, so that no caller waits for the disk except in Close. A file that is
-// damaged is renamed, a file that cannot be written is tried again, and in both cases the process goes on from memory.
+// A single goroutine writes transactions at a bounded rate, so that no caller waits for the disk except in Close. A damaged
+// file is renamed, a failed write is retried, and in both cases the process continues from memory.
 package disk
 
 import (
@@ -16,75 +17,76 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-// defaultWriteInterval is the least time between two transactions, each of which waits for the disk twice.
+// defaultWriteInterval is the minimum time between two transactions. Each transaction syncs the file twice.
 const defaultWriteInterval = 100 * time.Millisecond
 
-// Why a file cannot be opened, or something not be saved.
+// Errors of Open and SaveDurably.
 var (
-	ErrNewerFormat = errors.New("written by a newer version of this program")
-	ErrInUse       = errors.New("another process has it open")
-	ErrClosed      = errors.New("the disk is closed")
+	ErrNewerFormat = errors.New("file written by a newer version of this program")
+	ErrInUse       = errors.New("file locked by another process")
+	ErrClosed      = errors.New("disk closed")
 )
 
-// Options of a file. Callbacks run on the writing goroutine, or on Open's; those that are nil are not called.
+// Options configure a Disk. Callbacks run on the writer goroutine, or on the goroutine that calls Open. Nil callbacks are
+// skipped.
 type Options struct {
-	// WriteInterval is the least time between two transactions; 100 ms if it is 0.
+	// WriteInterval is the minimum time between two transactions; 0 selects 100 ms.
 	WriteInterval time.Duration
-	// MaxBytes is the largest size of the file; 0 for any.
+	// MaxBytes is the maximum size of the file; 0 means no limit.
 	MaxBytes int
-	// OnFault is called once when the file can no longer be written, and with nil when it can be again.
+	// OnFault is called with the error of the first failed write, and with nil after the next successful one.
 	OnFault func(error)
-	// OnQuarantine is called when a damaged file has been renamed, with its new path and the damage.
-	OnQuarantine func(path string, why error)
-	// Snapshot returns everything that the file should hold, for a new file in place of one found to be damaged in use.
+	// OnQuarantine is called after a damaged file was renamed, with its new path and the cause.
+	OnQuarantine func(path string, cause error)
+	// Snapshot returns the complete content for the new file that replaces one found to be damaged while in use.
 	Snapshot func() ([]distribution.Entry, distribution.Vector)
 }
 
-// Loaded is what a file held.
+// Loaded is the content of a file when it was opened.
 type Loaded struct {
-	// Origin is that of the run that wrote the file; empty for a new file. The next run takes another.
+	// Origin is the origin of the run that wrote the file; empty for a new file. The next run uses a different one.
 	Origin distribution.Origin
-	// IsClean reports that the last process to write the file ended with everything in it.
+	// IsClean reports whether the last process to write the file saved everything before it closed the file.
 	IsClean bool
 	Entries []distribution.Entry
 	Vector  distribution.Vector
 	Pruned  distribution.Vector
 }
 
-// Disk is an open file. Its methods may be called from any goroutine, and only Close waits for the disk.
+// Disk is an open file. Its methods are safe for concurrent use, and only Close waits for the disk.
 type Disk struct {
 	path         string
 	options      Options
-	maxBytes     atomic.Int64  // of the file; 0 for any
-	transactions atomic.Uint64 // written so far
+	maxBytes     atomic.Int64  // maximum file size; 0 means no limit
+	transactions atomic.Uint64 // committed since Open
 
 	wake    chan struct{}
 	stop    chan struct{}
 	stopped chan struct{}
 
-	// Of the writing goroutine, until stopped is closed.
-	file    *file // nil while there is none
-	isClean bool  // everything was written before the file was closed
+	// Owned by the writer goroutine until stopped is closed.
+	file    *file // nil while no file is open
+	isClean bool  // all changes were written before the file was closed
 
-	mu        sync.Mutex // never held over the disk
+	mu        sync.Mutex // not held during disk I/O
 	queue     queue
-	state     ownerState
+	state     metadata
 	isClosing bool
-	fault     error // why the file cannot be written at present
+	fault     error // error of the latest write; nil after a successful one
 }
 
-// ownerState is what the file holds beside entries, and which of it is to be written.
-type ownerState struct {
+// metadata is the content of the file apart from entries, with flags for the parts to be written.
+type metadata struct {
 	vector        distribution.Vector
 	origin        distribution.Origin
 	pruned        distribution.Vector
-	isChanged     bool // vector or origin
+	isChanged     bool // vector or origin changed since they were last written
 	prunedChanged bool
 }
 
-// Open reads a file, or creates one. An error is one that the process must not go on from, such as ErrNewerFormat, ErrInUse or
-// a directory that does not exist. A damaged file is renamed and counts as empty. If a file cannot be written for want of space,
-// the Disk goes on trying.
+// Open reads a file or creates one. It returns an error only for faults that the process must not ignore, such as
+// ErrNewerFormat, ErrInUse or a missing directory. A damaged file is renamed and treated as empty. If the disk is full, Open
+// succeeds and the Disk keeps retrying.
 func Open(path string, options Options) (*Disk, Loaded, error) {
 	d := &Disk{
 		path:    path,
@@ -128,7 +130,7 @@
 	return o
 }
 
-// SetOrigin has the file keep another origin, under which its owner writes from now on.
+// SetOrigin schedules a write of the origin that the owner uses from now on.
 func (d *Disk) SetOrigin(origin distribution.Origin) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -136,8 +138,8 @@
 	d.signal()
 }
 
-// Save has entries written, others removed, and the vector written after all of them. A vector that is nil stays as it is. Of
-// what has not been written yet, only the last change of each key is.
+// Save schedules writes of entries, removals of keys, and a write of the vector after all of them. A nil vector leaves the
+// stored vector unchanged. Only the latest pending change of each key is written.
 func (d *Disk) Save(entries []distribution.Entry, removed []distribution.Key, vector distribution.Vector) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,7 +153,7 @@
 	d.signal()
 }
 
-// Prune has pruned deletions removed. The vector of what may be pruned is written ahead of that.
+// Prune schedules the removal of pruned deletions. The pruned vector is written before them.
 func (d *Disk) Prune(removed []distribution.Key, pruned distribution.Vector) {
 	d.mu.Lock()
 	d.state.pruned, d.state.prunedChanged = pruned.Clone(), true
@@ -159,8 +161,8 @@
 	d.Save(nil, removed, nil)
 }
 
-// SaveDurably has entries written ahead of all that Save was given. The channel receives nil when they are in the file, or why
-// they are not; they are tried again all the same.
+// SaveDurably schedules writes of entries ahead of all changes passed to Save. The channel receives nil once the entries are
+// in the file, or the error of a failed write. Failed writes are retried in either case.
 func (d *Disk) SaveDurably(entries []distribution.Entry, vector distribution.Vector) <-chan error {
 	done := make(chan error, 1)
 	d.mu.Lock()
@@ -185,7 +187,7 @@
 	}
 }
 
-// signal wakes the writer.
+// signal wakes the writer goroutine.
 func (d *Disk) signal() {
 	select {
 	case d.wake <- struct{}{}:
@@ -193,22 +195,22 @@
 	}
 }
 
-// PendingCount returns how many entries wait to be written.
+// PendingCount returns the number of entries that are not yet written.
 func (d *Disk) PendingCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.queue.pending)
 }
 
-// Fault returns why the file cannot be written at present; nil if it can.
+// Fault returns the error of the latest write; nil after a successful one.
 func (d *Disk) Fault() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.fault
 }
 
-// Close writes what waits until the context ends, and ends the writer. The file counts as clean only if everything was written;
-// else Close returns an error.
+// Close writes the pending changes and stops the writer, and waits for both until the context is done. The file is marked as
+// clean only if all changes were written; otherwise Close returns an error.
 func (d *Disk) Close(ctx context.Context) error {
 	d.mu.Lock()
 	isFirst := !d.isClosing
--- a/internal/controlplane/distribution/disk/disk_test.go
+++ b/internal/controlplane/distribution/disk/disk_test.go
@@ -186,7 +186,7 @@
 	if b.keys[0] != urgent.Key || !more || b.vector != nil || b.through != 1 {
 		t.Errorf("first %v, more %t, vector %v, through %d", b.keys[0], more, b.vector, b.through)
 	}
-	d.giveBack(b)
+	d.requeueBatch(b)
 }
 
 // A vector is never in the file without the entries that it covers, wherever the writing ends.
@@ -296,11 +296,11 @@
 		"an old entry": func([]byte) []byte {
 			old := entry(7)
 			old.Clock--
-			sealed, err := encodeEntry(first, old)
+			checksummed, err := encodeEntry(first, old)
 			if err != nil {
 				t.Fatal(err)
 			}
-			return edited(func(tx *bbolt.Tx) error { return tx.Bucket(entriesBucket).Put(first, sealed) })
+			return edited(func(tx *bbolt.Tx) error { return tx.Bucket(entriesBucket).Put(first, checksummed) })
 		},
 		"half a page":      func(b []byte) []byte { return b[:2000] },
 		"three pages":      func(b []byte) []byte { return b[:3*4096] },
@@ -424,7 +424,7 @@
 		t.Fatal(err)
 	}
 	if err := db.Update(func(tx *bbolt.Tx) error {
-		return tx.Bucket(stateBucket).Put(formatKey, seal(formatKey, []byte{0, formatVersion + 1}))
+		return tx.Bucket(stateBucket).Put(formatKey, prependChecksum(formatKey, []byte{0, formatVersion + 1}))
 	}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/distribution/disk/file.go
+++ b/internal/controlplane/distribution/disk/file.go
@@ -19,12 +19,12 @@
 
 const (
 	formatVersion = 1
-	lockTimeout   = time.Second // for another process that is just ending
-	growthBytes   = 1 << 20     // by which the file grows
+	lockTimeout   = time.Second // allows a previous process to terminate
+	growthBytes   = 1 << 20     // allocation step of the file
 	fileMode      = os.FileMode(0o600)
 )
 
-// The file's two buckets and the keys in the second.
+// Names of the file's two buckets, and the keys of the state bucket.
 var (
 	entriesBucket = []byte("entries")
 	stateBucket   = []byte("state")
@@ -33,16 +33,17 @@
 	vectorKey     = []byte("vector")
 	prunedKey     = []byte("pruned")
 	totalsKey     = []byte("totals")
-	cleanKey      = []byte("clean") // there only while no process has the file open
+	cleanKey      = []byte("clean") // present only while no process has the file open
 )
 
-// file is an open bbolt file.
+// file is an open bbolt database.
 type file struct {
 	db     *bbolt.DB
 	totals totals
 }
 
-// openFile opens a file and reads all of it. The error is errDamaged if the file is.
+// openFile opens a file and loads its content. The error wraps errDamaged if the file is damaged. A panic, as bbolt raises on
+// an invalid page, counts as damage.
 func openFile(path string, maxBytes int) (f *file, loaded Loaded, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -63,7 +64,7 @@
 	return f, loaded, nil
 }
 
-// classifyOpenError tells a damaged file from one that is in use or cannot be accessed.
+// classifyOpenError distinguishes a damaged file from a locked or inaccessible one.
 func classifyOpenError(err error) error {
 	var pathError *fs.PathError
 	var errno syscall.Errno
@@ -78,12 +79,12 @@
 
 func (f *file) close() { f.db.Close() }
 
-// load reads the file, and marks it as open.
+// load reads the file and removes its clean mark.
 func (f *file) load(loaded *Loaded) error {
 	isNew := false
 	err := f.db.View(func(tx *bbolt.Tx) error {
 		if st, err := os.Stat(f.db.Path()); err != nil || st.Size() < tx.Size() {
-			return fmt.Errorf("%w: it is cut short", errDamaged)
+			return fmt.Errorf("%w: truncated: file smaller than its database", errDamaged)
 		}
 		state, entries := tx.Bucket(stateBucket), tx.Bucket(entriesBucket)
 		if state == nil && entries == nil {
@@ -102,13 +103,13 @@
 		return f.db.Update(f.create)
 	}
 	err = f.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(stateBucket).Delete(cleanKey) })
-	if err != nil { // the file can be read, but after this process it must not look clean
+	if err != nil { // the clean mark is still in the file, but after this run the file must not count as clean
 		loaded.IsClean = false
 	}
 	return nil
 }
 
-// create makes the buckets of a new file.
+// create creates the buckets and the initial state of a new file.
 func (f *file) create(tx *bbolt.Tx) error {
 	if _, err := tx.CreateBucket(entriesBucket); err != nil {
 		return err
@@ -117,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	if err := state.Put(formatKey, seal(formatKey, binary.BigEndian.AppendUint16(nil, formatVersion))); err != nil {
+	if err := state.Put(formatKey, prependChecksum(formatKey, binary.BigEndian.AppendUint16(nil, formatVersion))); err != nil {
 		return err
 	}
 	if err := putState(state, vectorKey, distribution.Vector{}); err != nil {
@@ -126,7 +127,7 @@
 	return putState(state, totalsKey, totals{})
 }
 
-// read takes everything out of a file, after its format version.
+// read checks the format version and loads the state and all entries.
 func (f *file) read(state, entries *bbolt.Bucket, loaded *Loaded) error {
 	if err := checkFormat(state); err != nil {
 		return err
@@ -149,27 +150,27 @@
 }
 
 func checkFormat(state *bbolt.Bucket) error {
-	version, err := unseal(formatKey, state.Get(formatKey))
+	version, err := verifyChecksum(formatKey, state.Get(formatKey))
 	if err != nil || len(version) != 2 {
-		return fmt.Errorf("%w: its format cannot be read", errDamaged)
+		return fmt.Errorf("%w: format version missing or invalid", errDamaged)
 	}
 	if n := binary.BigEndian.Uint16(version); n > formatVersion {
-		return fmt.Errorf("%w: format %d, %d is known here", ErrNewerFormat, n, formatVersion)
+		return fmt.Errorf("%w: format %d, newest supported format %d", ErrNewerFormat, n, formatVersion)
 	}
 	return nil
 }
 
-// preallocatedEntries bounds what is allocated by the count that a file claims.
+// preallocatedEntries limits the allocation made from the entry count that a file claims.
 const preallocatedEntries = 1 << 16
 
 func (f *file) readEntries(entries *bbolt.Bucket, expected totals, loaded *Loaded) error {
 	loaded.Entries = make([]distribution.Entry, 0, min(expected.Count, preallocatedEntries))
-	err := entries.ForEach(func(key, sealed []byte) error {
-		e, err := decodeEntry(key, sealed)
+	err := entries.ForEach(func(key, checksummed []byte) error {
+		e, err := decodeEntry(key, checksummed)
 		if err != nil {
-			return fmt.Errorf("%w: the entry %.80q", errDamaged, key)
+			return fmt.Errorf("%w: entry %.80q invalid", errDamaged, key)
 		}
-		f.totals.add(sealed)
+		f.totals.add(checksummed)
 		loaded.Entries = append(loaded.Entries, e)
 		return nil
 	})
@@ -177,12 +178,12 @@
 		return err
 	}
 	if f.totals != expected {
-		return fmt.Errorf("%w: %d entries of %d", errDamaged, f.totals.Count, expected.Count)
+		return fmt.Errorf("%w: totals of entries differ: got %d entries, want %d", errDamaged, f.totals.Count, expected.Count)
 	}
 	return nil
 }
 
-// write writes a batch in one transaction: all of it or nothing.
+// write writes a batch atomically, in one transaction.
 func (f *file) write(b batch) error {
 	next := f.totals
 	err := f.db.Update(func(tx *bbolt.Tx) error {
@@ -206,12 +207,12 @@
 	if c.isRemoval {
 		return entries.Delete(key)
 	}
-	sealed, err := encodeEntry(key, c.entry)
+	checksummed, err := encodeEntry(key, c.entry)
 	if err != nil {
 		return err
 	}
-	next.add(sealed)
-	return entries.Put(key, sealed)
+	next.add(checksummed)
+	return entries.Put(key, checksummed)
 }
 
 func writeState(state *bbolt.Bucket, b batch, next totals) error {
@@ -239,28 +240,28 @@
 	return nil
 }
 
-// putState writes a sealed value of the state bucket.
+// putState writes a value with its checksum to the state bucket.
 func putState(state *bbolt.Bucket, key []byte, value any) error {
-	text, err := cbor.Marshal(value)
+	encoded, err := cbor.Marshal(value)
 	if err != nil {
 		return err
 	}
-	return state.Put(key, seal(key, text))
+	return state.Put(key, prependChecksum(key, encoded))
 }
 
-// getState reads a sealed value of the state bucket. The error is errDamaged.
+// getState reads a value of the state bucket and verifies its checksum. The error wraps errDamaged.
 func getState(state *bbolt.Bucket, key []byte, into any) error {
-	text, err := unseal(key, state.Get(key))
+	encoded, err := verifyChecksum(key, state.Get(key))
 	if err == nil {
-		err = cbor.Unmarshal(text, into)
+		err = cbor.Unmarshal(encoded, into)
 	}
 	if err != nil {
-		return fmt.Errorf("%w: its %s", errDamaged, key)
+		return fmt.Errorf("%w: state %s invalid", errDamaged, key)
 	}
 	return nil
 }
 
-// getOptionalState is getState for a value that may be missing.
+// getOptionalState is like getState, but leaves into unchanged if the value is missing.
 func getOptionalState(state *bbolt.Bucket, key []byte, into any) error {
 	if state.Get(key) == nil {
 		return nil
--- a/internal/controlplane/distribution/disk/quarantine.go
+++ b/internal/controlplane/distribution/disk/quarantine.go
@@ -9,18 +9,18 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-// quarantine renames a damaged file to a name that tells when it was found.
-func (d *Disk) quarantine(why error) error {
-	to := fmt.Sprintf("%s.damaged-%s", d.path, time.Now().UTC().Format("20060102T150405.000"))
-	if err := os.Rename(d.path, to); err != nil {
+// quarantine renames a damaged file, with the current time in its new name.
+func (d *Disk) quarantine(cause error) error {
+	newPath := fmt.Sprintf("%s.damaged-%s", d.path, time.Now().UTC().Format("20060102T150405.000"))
+	if err := os.Rename(d.path, newPath); err != nil {
 		return err
 	}
-	d.options.OnQuarantine(to, why)
+	d.options.OnQuarantine(newPath, cause)
 	return nil
 }
 
-// reopen opens or creates the file if that failed before. What a file holds by then is not loaded. One that is damaged, as when
-// there was space for half of a new file, is renamed.
+// reopen opens or creates the file if no file is open. Existing content is not loaded. A damaged file is renamed; a disk that
+// fills up while a file is created leaves such a file.
 func (d *Disk) reopen() error {
 	if d.file != nil {
 		return nil
@@ -37,23 +37,23 @@
 	return err
 }
 
-// replaceFile renames a file that was found to be damaged in use, and starts another with everything that its owner holds. It
-// returns an error in any case, so that the batch that failed waits again.
-func (d *Disk) replaceFile(why error) error {
-	if err := d.quarantine(why); err != nil {
+// replaceFile renames a file that was found to be damaged while in use, creates a new one and schedules a write of the owner's
+// snapshot. It always returns an error, so that the caller requeues the failed batch.
+func (d *Disk) replaceFile(cause error) error {
+	if err := d.quarantine(cause); err != nil {
 		return err
 	}
 	if err := d.reopen(); err != nil {
 		return err
 	}
 	if d.options.Snapshot != nil {
-		d.refill(d.options.Snapshot())
+		d.rewriteAll(d.options.Snapshot())
 	}
-	return why
+	return cause
 }
 
-// refill has everything that the owner holds written to a new file, except where a newer change waits.
-func (d *Disk) refill(entries []distribution.Entry, vector distribution.Vector) {
+// rewriteAll schedules writes of the owner's complete content to a new file, except for keys with a newer pending change.
+func (d *Disk) rewriteAll(entries []distribution.Entry, vector distribution.Vector) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range entries {
--- a/internal/controlplane/distribution/disk/queue.go
+++ b/internal/controlplane/distribution/disk/queue.go
@@ -7,44 +7,44 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-// Bounds of a transaction, so that none occupies the disk for long.
+// Bounds of a transaction, so that a single one does not occupy the disk for long.
 const (
 	maxBatchEntries = 2048
-	maxBatchBytes   = 1 << 20 // of names and values
+	maxBatchBytes   = 1 << 20 // names and values
 )
 
-// queue is the changes that wait to be written, the last one of each key. Disk.mu is held around its methods.
+// queue holds the pending changes, the latest one of each key. Callers hold Disk.mu.
 type queue struct {
-	pending map[distribution.Key]change
-	urgent  []distribution.Key // written ahead of others
-	others  []distribution.Key
-	added   uint64 // urgent changes so far
-	taken   uint64 // of them, those that are no longer in urgent
-	waiters []waiter
+	pending     map[distribution.Key]change
+	urgent      []distribution.Key // written before normal keys
+	normal      []distribution.Key
+	urgentAdded uint64 // number of urgent changes queued so far
+	urgentTaken uint64 // number of those that were moved to a batch
+	waiters     []waiter
 }
 
-// change is what an entry becomes.
+// change is a pending write or removal of an entry.
 type change struct {
 	entry     distribution.Entry
 	isRemoval bool
 }
 
-// waiter is notified when all urgent changes up to its own are in the file.
+// waiter is notified once all urgent changes up to its own are in the file.
 type waiter struct {
-	through uint64 // of the changes counted by queue.added
+	through uint64 // value of queue.urgentAdded after its changes
 	done    chan<- error
 }
 
-// batch is what one transaction writes.
+// batch is the content of one transaction.
 type batch struct {
 	keys    []distribution.Key
 	changes []change
-	bytes   int                 // of names and values
-	through uint64              // of the urgent changes, those that are in the file with this batch
-	vector  distribution.Vector // nil while entries that it covers wait
-	pruned  distribution.Vector // nil: as it was
-	origin  distribution.Origin // empty: as it was
-	isClean bool                // marks the file as clean
+	bytes   int                 // names and values
+	through uint64              // number of urgent changes in the file after this batch
+	vector  distribution.Vector // nil while entries that it covers are pending
+	pruned  distribution.Vector // nil leaves it unchanged
+	origin  distribution.Origin // empty leaves it unchanged
+	isClean bool                // whether to mark the file as clean
 }
 
 func (b *batch) isEmpty() bool {
@@ -61,7 +61,7 @@
 
 func (q *queue) put(k distribution.Key, c change) {
 	if _, isQueued := q.pending[k]; !isQueued {
-		q.others = append(q.others, k)
+		q.normal = append(q.normal, k)
 	}
 	q.pending[k] = c
 }
@@ -71,19 +71,19 @@
 		q.urgent = append(q.urgent, e.Key)
 		q.pending[e.Key] = change{entry: e}
 	}
-	q.added += uint64(len(entries))
-	q.waiters = append(q.waiters, waiter{q.added, done})
+	q.urgentAdded += uint64(len(entries))
+	q.waiters = append(q.waiters, waiter{q.urgentAdded, done})
 }
 
 // take moves changes to a batch until it is full.
 func (q *queue) take(b *batch) {
 	q.urgent = q.takeKeys(q.urgent, b)
-	q.taken = q.added - uint64(len(q.urgent))
-	b.through = q.taken
-	q.others = q.takeKeys(q.others, b)
+	q.urgentTaken = q.urgentAdded - uint64(len(q.urgent))
+	b.through = q.urgentTaken
+	q.normal = q.takeKeys(q.normal, b)
 }
 
-// takeKeys moves the changes of keys to a batch and returns the keys that are left. A key may be queued twice.
+// takeKeys moves the changes of keys to a batch until it is full, and returns the remaining keys. A key may be queued twice.
 func (q *queue) takeKeys(keys []distribution.Key, b *batch) []distribution.Key {
 	for len(keys) > 0 && !b.isFull() {
 		k := keys[0]
@@ -96,14 +96,14 @@
 	return keys
 }
 
-// takeLast ends the taking of everything that waited: keys that are left have nothing pending.
-func (q *queue) takeLast(b *batch) {
-	q.urgent, q.others = nil, nil
-	q.taken, b.through = q.added, q.added
+// markDrained clears the key lists after the last pending change was taken. Remaining keys are duplicates without a change.
+func (q *queue) markDrained(b *batch) {
+	q.urgent, q.normal = nil, nil
+	q.urgentTaken, b.through = q.urgentAdded, q.urgentAdded
 }
 
-// giveBack has a batch that failed wait again, except where a newer change waits.
-func (q *queue) giveBack(b *batch) {
+// requeueBatch queues the changes of a failed batch again, except for keys with a newer pending change.
+func (q *queue) requeueBatch(b *batch) {
 	for i, k := range b.keys {
 		if _, hasNewer := q.pending[k]; !hasNewer {
 			q.pending[k] = b.changes[i]
@@ -112,8 +112,8 @@
 	q.requeue()
 }
 
-// requeue queues all pending changes as not urgent.
-func (q *queue) requeue() { q.others = slices.Collect(maps.Keys(q.pending)) }
+// requeue queues all pending changes as normal.
+func (q *queue) requeue() { q.normal = slices.Collect(maps.Keys(q.pending)) }
 
 // confirm notifies the waiters whose changes are in the file.
 func (q *queue) confirm(through uint64) {
@@ -128,12 +128,12 @@
 	q.waiters = remaining
 }
 
-// failAll notifies all waiters why their changes are not in the file. Nothing is urgent any more.
-func (q *queue) failAll(why error) {
+// failAll notifies all waiters of a failure. Their changes remain queued as normal.
+func (q *queue) failAll(cause error) {
 	for _, w := range q.waiters {
-		w.done <- why
+		w.done <- cause
 	}
 	q.waiters = nil
-	q.urgent, q.taken = nil, q.added
+	q.urgent, q.urgentTaken = nil, q.urgentAdded
 	q.requeue()
 }
--- a/internal/controlplane/distribution/disk/record.go
+++ b/internal/controlplane/distribution/disk/record.go
@@ -10,15 +10,15 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-// errDamaged says that a file does not hold what was written to it.
-var errDamaged = errors.New("file is damaged")
+// errDamaged reports that the content of a file is incomplete or corrupted.
+var errDamaged = errors.New("file damaged")
 
-// checksumBytes stand ahead of each value.
+// checksumBytes is the size of the checksum that precedes each stored value.
 const checksumBytes = 4
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// record is an entry as the file holds it, without its key.
+// record is the stored form of an entry, without its key.
 type record struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -29,52 +29,53 @@
 	Value    []byte
 }
 
-// totals are checked when a file is read, so that entries that have vanished from it are noticed.
+// totals are verified when a file is loaded, so that missing and outdated entries are detected.
 type totals struct {
 	_ struct{} `cbor:",toarray"`
 
 	Count uint64
-	Sum   uint64 // of the entries' checksums
+	Sum   uint64 // sum of the entries' checksums
 }
 
-func (t *totals) add(sealed []byte) {
-	if sealed != nil {
+func (t *totals) add(checksummed []byte) {
+	if checksummed != nil {
 		t.Count++
-		t.Sum += uint64(binary.BigEndian.Uint32(sealed))
+		t.Sum += uint64(binary.BigEndian.Uint32(checksummed))
 	}
 }
 
-func (t *totals) remove(sealed []byte) {
-	if sealed != nil {
+func (t *totals) remove(checksummed []byte) {
+	if checksummed != nil {
 		t.Count--
-		t.Sum -= uint64(binary.BigEndian.Uint32(sealed))
+		t.Sum -= uint64(binary.BigEndian.Uint32(checksummed))
 	}
 }
 
-// seal returns a text behind a checksum over key and text.
-func seal(key, text []byte) []byte {
-	sealed := make([]byte, 0, checksumBytes+len(text))
-	sealed = binary.BigEndian.AppendUint32(sealed, checksum(key, text))
-	return append(sealed, text...)
+// prependChecksum returns data preceded by a checksum over key and data.
+func prependChecksum(key, data []byte) []byte {
+	checksummed := make([]byte, 0, checksumBytes+len(data))
+	checksummed = binary.BigEndian.AppendUint32(checksummed, checksum(key, data))
+	return append(checksummed, data...)
 }
 
-// unseal checks the checksum and returns the text, which is the file's own: it is valid only during the transaction.
-func unseal(key, sealed []byte) ([]byte, error) {
-	if len(sealed) < checksumBytes {
+// verifyChecksum verifies the checksum and returns the data after it. The result aliases the database's memory and is valid
+// only during the transaction.
+func verifyChecksum(key, checksummed []byte) ([]byte, error) {
+	if len(checksummed) < checksumBytes {
 		return nil, errDamaged
 	}
-	text := sealed[checksumBytes:]
-	if binary.BigEndian.Uint32(sealed) != checksum(key, text) {
+	data := checksummed[checksumBytes:]
+	if binary.BigEndian.Uint32(checksummed) != checksum(key, data) {
 		return nil, errDamaged
 	}
-	return text, nil
+	return data, nil
 }
 
-func checksum(key, text []byte) uint32 {
-	return crc32.Update(crc32.Update(0, castagnoli, key), castagnoli, text)
+func checksum(key, data []byte) uint32 {
+	return crc32.Update(crc32.Update(0, castagnoli, key), castagnoli, data)
 }
 
-// appendKey writes a key so that the entries of a service are adjacent.
+// appendKey appends the stored form of a key, which makes the entries of a service adjacent.
 func appendKey(b []byte, k distribution.Key) []byte {
 	b = binary.AppendUvarint(b, uint64(len(k.Service)))
 	b = append(b, k.Service...)
@@ -92,22 +93,22 @@
 	return distribution.Key{Service: string(service), Kind: distribution.Kind(kindAndName[0]), Name: string(kindAndName[1:])}, nil
 }
 
-// encodeEntry seals an entry under its key's text.
+// encodeEntry encodes an entry, with a checksum that covers its stored key.
 func encodeEntry(key []byte, e distribution.Entry) ([]byte, error) {
-	text, err := cbor.Marshal(record{Clock: e.Clock, Origin: e.Origin, Sequence: e.Sequence, Deleted: e.Deleted, Value: e.Value})
+	data, err := cbor.Marshal(record{Clock: e.Clock, Origin: e.Origin, Sequence: e.Sequence, Deleted: e.Deleted, Value: e.Value})
 	if err != nil {
 		return nil, err
 	}
-	return seal(key, text), nil
+	return prependChecksum(key, data), nil
 }
 
-func decodeEntry(key, sealed []byte) (e distribution.Entry, err error) {
-	text, err := unseal(key, sealed)
+func decodeEntry(key, checksummed []byte) (e distribution.Entry, err error) {
+	data, err := verifyChecksum(key, checksummed)
 	if err != nil {
 		return e, err
 	}
 	var r record
-	if err := cbor.Unmarshal(text, &r); err != nil {
+	if err := cbor.Unmarshal(data, &r); err != nil {
 		return e, errDamaged
 	}
 	k, err := decodeKey(key)
--- a/internal/controlplane/distribution/disk/writer.go
+++ b/internal/controlplane/distribution/disk/writer.go
@@ -12,13 +12,13 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-// retryInterval is the time after a transaction that failed.
+// retryInterval is the delay after a failed transaction.
 const retryInterval = time.Second
 
-// runWriter is the writing goroutine, until the disk is closed.
+// runWriter writes batches until the disk is closed. It is the body of the writer goroutine.
 func (d *Disk) runWriter() {
 	defer close(d.stopped)
-	debug.SetPanicOnFault(true) // a file that is cut short beneath its mapping must not end the program
+	debug.SetPanicOnFault(true) // access to the mapping of a truncated file must not terminate the program
 	for isOpen := true; isOpen; {
 		select {
 		case <-d.stop:
@@ -34,7 +34,7 @@
 	d.finish()
 }
 
-// sleep returns false if the disk is closed meanwhile.
+// sleep waits for a duration. It returns false immediately when the disk is closed.
 func (d *Disk) sleep(duration time.Duration) bool {
 	t := time.NewTimer(duration)
 	defer t.Stop()
@@ -46,8 +46,8 @@
 	}
 }
 
-// finish writes everything that waits and closes the file. After the first error it gives up; the file is marked as clean only
-// if nothing waits any more.
+// finish writes the pending changes and closes the file. It stops at the first error; the file is marked as clean only if no
+// change is pending.
 func (d *Disk) finish() {
 	for d.PendingCount() > 0 {
 		if d.writeBatch() != nil {
@@ -71,7 +71,7 @@
 	return d.state.vector
 }
 
-// writeBatch writes one batch. After an error everything in it waits again.
+// writeBatch writes one batch. After an error it requeues the batch.
 func (d *Disk) writeBatch() error {
 	if err := d.reopen(); err != nil {
 		d.recordFault(err)
@@ -87,7 +87,7 @@
 		err = d.replaceFile(err)
 	}
 	if err != nil {
-		d.giveBack(b)
+		d.requeueBatch(b)
 		d.recordFault(err)
 		d.signal()
 		return err
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// takeBatch collects the next batch. The vector and the origin go with the last of what waits.
+// takeBatch collects the next batch. The vector and the origin are part of the batch with the last pending change.
 func (d *Disk) takeBatch() (b batch, hasMore bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -110,7 +110,7 @@
 	if len(d.queue.pending) > 0 {
 		return b, true
 	}
-	d.queue.takeLast(&b)
+	d.queue.markDrained(&b)
 	if d.state.isChanged {
 		b.vector, b.origin = d.state.vector, d.state.origin
 		d.state.isChanged = false
@@ -118,11 +118,11 @@
 	return b, false
 }
 
-// commit writes a batch in one transaction. A panic within the file's own structure counts as damage.
+// commit writes a batch in one transaction. A panic, as bbolt raises on an invalid page, counts as damage.
 func (d *Disk) commit(b batch) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			d.file = nil // not closed: its locks may be held for good
+			d.file = nil // not closed: the panic may have left its locks held
 			err = fmt.Errorf("%w: %v", errDamaged, p)
 		}
 	}()
@@ -133,16 +133,16 @@
 	return err
 }
 
-// giveBack has a batch that failed wait again.
-func (d *Disk) giveBack(b batch) {
+// requeueBatch queues a failed batch again.
+func (d *Disk) requeueBatch(b batch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.queue.giveBack(&b)
+	d.queue.requeueBatch(&b)
 	d.state.prunedChanged = d.state.prunedChanged || b.pruned != nil
 	d.state.isChanged = true
 }
 
-// confirm notifies those that wait for a batch that it is in the file.
+// confirm clears the fault after a successful write and notifies the waiters of a batch.
 func (d *Disk) confirm(b batch) {
 	d.mu.Lock()
 	d.queue.confirm(b.through)
@@ -154,19 +154,19 @@
 	}
 }
 
-// recordFault notes why the file cannot be written, and notifies everyone who waits. OnFault is called for the first fault only.
-func (d *Disk) recordFault(why error) {
+// recordFault records the error of a write and notifies all waiters. OnFault is called for the first fault only.
+func (d *Disk) recordFault(cause error) {
 	d.mu.Lock()
 	isFirst := d.fault == nil
-	d.fault = why
-	d.queue.failAll(fmt.Errorf("not on the disk: %w", why))
+	d.fault = cause
+	d.queue.failAll(fmt.Errorf("entries not saved to disk: %w", cause))
 	d.mu.Unlock()
 	if isFirst {
-		d.options.OnFault(fmt.Errorf("%s: %w", d.path, why))
+		d.options.OnFault(fmt.Errorf("%s: %w", d.path, cause))
 	}
 }
 
-// isRetryable reports whether an error may pass by itself.
+// isRetryable reports whether an error may be temporary, such as a full disk.
 func isRetryable(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG) || errors.Is(err, syscall.EIO) ||
 		errors.Is(err, bbolterrors.ErrMaxSizeReached)
--- a/internal/controlplane/distribution/tree/difference.go
+++ b/internal/controlplane/distribution/tree/difference.go
@@ -10,50 +10,51 @@
 	"fernvane/internal/controlplane/distribution/value"
 )
 
-// Difference is a change to be made, with what is held before it.
+// Difference is a change to write, with the stored value that it replaces.
 type Difference struct {
 	distribution.Change
-	HeldValue []byte
-	IsHeld    bool
+	StoredValue []byte
+	IsStored    bool
 }
 
-// Differences returns the changes of some kinds that make what is held of the tree's services equal to the tree, in the order
-// of their keys. What is held and not in the tree is deleted.
-func (t *Tree) Differences(held []distribution.Entry, kinds []distribution.Kind) []Difference {
+// Differences returns the changes, sorted by key, that make the stored entries of the tree's services equal to the tree. It
+// considers only the given kinds. Stored entries that the tree lacks are deleted.
+func (t *Tree) Differences(stored []distribution.Entry, kinds []distribution.Kind) []Difference {
 	before := map[distribution.Key][]byte{}
 	var all []Difference
-	for _, e := range held {
+	for _, e := range stored {
 		if !slices.Contains(kinds, e.Key.Kind) || !slices.Contains(t.Services, e.Key.Service) {
 			continue
 		}
 		before[e.Key] = e.Value
-		if _, stays := t.Values[e.Key]; !stays {
-			all = append(all, Difference{Change: distribution.Change{Key: e.Key, Deleted: true}, HeldValue: e.Value, IsHeld: true})
+		if _, isInTree := t.Values[e.Key]; !isInTree {
+			all = append(all, Difference{Change: distribution.Change{Key: e.Key, Deleted: true}, StoredValue: e.Value, IsStored: true})
 		}
 	}
 	for key, v := range t.Values {
-		heldValue, isHeld := before[key]
-		if !slices.Contains(kinds, key.Kind) || isHeld && isEqual(key.Kind, heldValue, v) {
+		storedValue, isStored := before[key]
+		if !slices.Contains(kinds, key.Kind) || isStored && isEqual(key.Kind, storedValue, v) {
 			continue
 		}
-		all = append(all, Difference{Change: distribution.Change{Key: key, Value: v}, HeldValue: heldValue, IsHeld: isHeld})
+		all = append(all, Difference{Change: distribution.Change{Key: key, Value: v}, StoredValue: storedValue, IsStored: isStored})
 	}
 	slices.SortFunc(all, func(a, b Difference) int { return distribution.CompareKeys(a.Key, b.Key) })
 	return all
 }
 
-// isEqual reports whether two values have the same content. Revisions and generations are a source's own, and in no tree.
+// isEqual reports whether two values have the same content. It ignores a server's revision and generation, which the source of
+// a write assigns and which operators' files do not contain.
 func isEqual(kind distribution.Kind, a, b []byte) bool {
 	if kind != distribution.KindServer {
 		return bytes.Equal(a, b)
 	}
-	one, errOne := value.DecodeServerValue(a)
-	other, errOther := value.DecodeServerValue(b)
-	one.Revision, other.Revision, one.Generation, other.Generation = 0, 0, 0, 0
-	return errOne == nil && errOther == nil && one == other
+	serverA, errA := value.DecodeServerValue(a)
+	serverB, errB := value.DecodeServerValue(b)
+	serverA.Revision, serverB.Revision, serverA.Generation, serverB.Generation = 0, 0, 0, 0
+	return errA == nil && errB == nil && serverA == serverB
 }
 
-// Changes returns the changes to be written.
+// Changes returns the changes of a list of differences.
 func Changes(all []Difference) []distribution.Change {
 	changes := make([]distribution.Change, 0, len(all))
 	for _, d := range all {
@@ -62,20 +63,20 @@
 	return changes
 }
 
-// String returns the difference for people: a line for the entry, and below it the lines that are removed and added.
+// String formats the difference for display: one line for the entry, followed by the removed and the added lines.
 func (d Difference) String() string {
 	sign := "+"
 	switch {
 	case d.Deleted:
 		sign = "-"
-	case d.IsHeld:
+	case d.IsStored:
 		sign = "~"
 	}
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s %s\n", sign, d.Key)
 	before, after := []string(nil), []string(nil)
-	if d.IsHeld {
-		before = Lines(d.Key.Kind, d.HeldValue)
+	if d.IsStored {
+		before = Lines(d.Key.Kind, d.StoredValue)
 	}
 	if !d.Deleted {
 		after = Lines(d.Key.Kind, d.Value)
--- a/internal/controlplane/distribution/tree/entry.go
+++ b/internal/controlplane/distribution/tree/entry.go
@@ -12,7 +12,8 @@
 	"fernvane/internal/route"
 )
 
-// ParseEntry reads the text of a single entry and returns its value. path names the text in errors, which are tomlfile.Faults.
+// ParseEntry parses the TOML text of a single entry and returns the entry's value. Errors are tomlfile.Faults that name path as
+// the file.
 func ParseEntry(path string, text []byte, key distribution.Key) ([]byte, error) {
 	switch key.Kind {
 	case distribution.KindServer:
@@ -30,7 +31,7 @@
 		return nil, err
 	}
 	if f.Has("id") && s.ID != key.Name {
-		f.Wrong("id", "the text is of server %q, not %q", s.ID, key.Name)
+		f.Wrong("id", "file defines server %q, want %q", s.ID, key.Name)
 	}
 	s.ID = key.Name
 	v, err := s.encode(true)
@@ -56,7 +57,7 @@
 	return v, f.Err()
 }
 
-// parseRouteOrPool reads the text of a single route or pool, with or without its table header.
+// parseRouteOrPool parses the text of a single route or pool, with or without its table header.
 func parseRouteOrPool(path string, text []byte, key distribution.Key) ([]byte, error) {
 	parse, list := route.ParseRoute, "routes"
 	if key.Kind == distribution.KindPool {
@@ -75,7 +76,7 @@
 	return canonical(table)
 }
 
-// withPath has faults name the file that they are in.
+// withPath returns the faults of err with path as their file.
 func withPath(err error, path string) error {
 	var faults tomlfile.Faults
 	if !errors.As(err, &faults) {
--- a/internal/controlplane/distribution/tree/fileentries.go
+++ b/internal/controlplane/distribution/tree/fileentries.go
@@ -14,7 +14,7 @@
 	"fernvane/internal/route"
 )
 
-// addEntries adds the entries of a service's file.
+// addEntries adds the entries of one service's file.
 func (t *Tree) addEntries(f *tomlfile.File, text []byte, service string, file *File) error {
 	var raw struct {
 		Pools  []map[string]any `toml:"pools"`
@@ -23,13 +23,13 @@
 	if err := toml.Unmarshal(text, &raw); err != nil {
 		return tomlfile.Faults{{File: f.Name, Why: err.Error()}}
 	}
-	add := func(at string, kind distribution.Kind, name string, value []byte, err error) {
-		t.addEntry(f, at, distribution.Change{Key: distribution.Key{Service: service, Kind: kind, Name: name}, Value: value}, err)
+	add := func(keyPath string, kind distribution.Kind, name string, value []byte, err error) {
+		t.addEntry(f, keyPath, distribution.Change{Key: distribution.Key{Service: service, Kind: kind, Name: name}, Value: value}, err)
 	}
 	for i, s := range file.Servers {
-		at := "servers." + strconv.Itoa(i)
-		v, err := s.encode(f.Has(at + ".size"))
-		add(at, distribution.KindServer, s.ID, v, err)
+		keyPath := "servers." + strconv.Itoa(i)
+		v, err := s.encode(f.Has(keyPath + ".size"))
+		add(keyPath, distribution.KindServer, s.ID, v, err)
 	}
 	for i, p := range file.Pools {
 		v, err := canonical(raw.Pools[i])
@@ -52,22 +52,22 @@
 	return f.Err()
 }
 
-// addEntry adds one entry, which was read at a key path of a file.
-func (t *Tree) addEntry(f *tomlfile.File, at string, change distribution.Change, err error) {
+// addEntry adds one entry, or records a fault at the entry's key path in the file.
+func (t *Tree) addEntry(f *tomlfile.File, keyPath string, change distribution.Change, err error) {
 	_, isDuplicate := t.Values[change.Key]
 	switch {
 	case err != nil:
-		f.Wrong(at, "%v", err)
+		f.Wrong(keyPath, "%v", err)
 	case isDuplicate:
-		f.Wrong(at, "a second %s %q", change.Key.Kind, change.Key.Name)
+		f.Wrong(keyPath, "duplicate %s %q", change.Key.Kind, change.Key.Name)
 	case change.Validate() != nil:
-		f.Wrong(at, "%v", change.Validate())
+		f.Wrong(keyPath, "%v", change.Validate())
 	default:
 		t.Values[change.Key] = change.Value
 	}
 }
 
-// encode returns the server's value. If hasSize is false its size is 1.
+// encode returns the server's value. Without hasSize, the size is 1.
 func (s Server) encode(hasSize bool) ([]byte, error) {
 	e := incarnation.Entry{ID: s.ID, Address: s.Address, Zone: s.Zone, MachineKind: s.Flavor, Cell: s.Cell, Weight: s.Size}
 	if !hasSize {
@@ -82,8 +82,8 @@
 	return value.EncodeServer(e)
 }
 
-// canonical returns the text of a route or a pool in one form, whatever the order and the spacing in which it was written, so
-// that equal content is equal text. The name is left out, since the key has it.
+// canonical returns the canonical TOML text of a route or a pool, so that equal content gives equal text regardless of key order
+// and spacing. It omits the name, which is part of the entry's key.
 func canonical(table map[string]any) ([]byte, error) {
 	table = maps.Clone(table)
 	delete(table, "name")
--- a/internal/controlplane/distribution/tree/lines.go
+++ b/internal/controlplane/distribution/tree/lines.go
@@ -10,10 +10,11 @@
 	"fernvane/internal/controlplane/distribution/value"
 )
 
-// conditionNames are the conditions as operators read them.
+// conditionNames are the displayed names of the conditions, by value.
 var conditionNames = [...]string{"up", "draining", "gone"}
 
-// Lines returns a value for people, a line for each part. A value that cannot be decoded gives the error as a line.
+// Lines formats a value for display, with one line per field. For a value that fails to decode it returns the error as the only
+// line.
 func Lines(kind distribution.Kind, v []byte) []string {
 	e := distribution.Entry{Value: v}
 	switch kind {
--- a/internal/controlplane/distribution/tree/tree.go
+++ b/internal/controlplane/distribution/tree/tree.go
@@ -1,6 +1,6 @@
-// Package tree reads the files that operators write of configuration to be distributed, one of each service, as entries, and
-// finds how these differ from what is held. The commands below "fernvane config" are its callers. Nothing of it is shared
-// between goroutines.
+// Package tree parses operators' configuration files, one file per service, into entries for distribution, and computes the
+// differences between these entries and those stored at a control process. The subcommands of "fernvane config" use it. Its
+// types are not safe for concurrent use.
 package tree
 
 import (
@@ -24,51 +24,51 @@
 	Zone     string    `toml:"zone"`
 	Flavor   string    `toml:"flavor"`
 	Cell     int       `toml:"cell"`
-	Size     float64   `toml:"size"`     // 1 if it is left out
-	Started  time.Time `toml:"started"`  // of its process
-	Draining bool      `toml:"draining"` // gets nothing new
+	Size     float64   `toml:"size"`     // relative capacity; 1 by default
+	Started  time.Time `toml:"started"`  // start of the server's process
+	Draining bool      `toml:"draining"` // receives no new requests
 }
 
-// Tenant is the text of a single tenant.
+// Tenant is the content of a file for a single tenant.
 type Tenant struct {
 	Allowance float64 `toml:"allowance"` // requests per second
 }
 
 // File is the configuration of one service.
 type File struct {
-	Service string             `toml:"service"` // "" for what is for every node; by default the file's name
+	Service string             `toml:"service"` // "" for entries of every node; by default the base name of the file
 	Tenants map[string]float64 `toml:"tenants"` // allowances, requests per second
 	Servers []Server           `toml:"servers"`
 	Pools   []route.Pool       `toml:"pools"`
 	Routes  []route.Route      `toml:"routes"`
 }
 
-// Values are the values of entries by their keys.
+// Values maps the keys of entries to their values.
 type Values map[distribution.Key][]byte
 
-// Tree is the content of all files.
+// Tree is the combined content of all files.
 type Tree struct {
-	Services   []string // of the files, in order
+	Services   []string // one per file, sorted
 	Values     Values
-	HasServers bool // some file names servers
+	HasServers bool // whether any file lists servers
 }
 
 const fileSuffix = ".toml"
 
-// Load reads a file, or all files of a directory that end in .toml. The error names each fault by file and line; if a file is
-// wrong it is a tomlfile.Faults.
+// Load reads a single file, or all files of a directory whose names end in .toml. The error of an invalid file is a
+// tomlfile.Faults, which lists each fault with its file and line.
 func Load(path string) (*Tree, error) {
-	st, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	paths := []string{path}
-	if st.IsDir() {
+	if info.IsDir() {
 		if paths, err = filepath.Glob(filepath.Join(path, "*"+fileSuffix)); err != nil {
 			return nil, err
 		}
 		if len(paths) == 0 {
-			return nil, fmt.Errorf("%s: no file in it ends in %s", path, fileSuffix)
+			return nil, fmt.Errorf("%s: directory contains no %s files", path, fileSuffix)
 		}
 	}
 	t := &Tree{Values: Values{}}
@@ -90,7 +90,7 @@
 	return t, nil
 }
 
-// addFile reads the file of one service.
+// addFile parses the file of one service and adds its entries.
 func (t *Tree) addFile(path string) error {
 	text, err := tomlfile.Read(path)
 	if err != nil {
@@ -106,7 +106,7 @@
 		service = strings.TrimSuffix(filepath.Base(path), fileSuffix)
 	}
 	if slices.Contains(t.Services, service) {
-		f.Wrong("service", "service %q stands in another file too", service)
+		f.Wrong("service", "service %q also defined in another file", service)
 	}
 	t.Services = append(t.Services, service)
 	t.HasServers = t.HasServers || f.Has("servers.0")
--- a/internal/controlplane/distribution/tree/tree_test.go
+++ b/internal/controlplane/distribution/tree/tree_test.go
@@ -11,7 +11,7 @@
 	"fernvane/internal/controlplane/distribution/value"
 )
 
-func write(t *testing.T, path, text string) {
+func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -39,12 +39,12 @@
 headers = {x = "1"}
 `
 
-// The files of a directory are entries of the services that they name, or are named by.
+// TestLoad checks the entries of a directory's files. A file's service is the one that it names or, by default, its base name.
 func TestLoad(t *testing.T) {
 	dir := t.TempDir()
-	write(t, filepath.Join(dir, "hire.toml"), hire)
-	write(t, filepath.Join(dir, "all.toml"), "service = \"\"\n[[routes]]\nname = \"checks\"\ntype = \"check\"\n")
-	write(t, filepath.Join(dir, "notes.txt"), "not of these")
+	writeFile(t, filepath.Join(dir, "hire.toml"), hire)
+	writeFile(t, filepath.Join(dir, "all.toml"), "service = \"\"\n[[routes]]\nname = \"checks\"\ntype = \"check\"\n")
+	writeFile(t, filepath.Join(dir, "notes.txt"), "ignored: no .toml suffix")
 	tr, err := Load(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -63,11 +63,11 @@
 		"hire/tenant/dairy: allowance = 40.5",
 	}
 	if !slices.Equal(got, want) || !slices.Equal(tr.Services, []string{"", "hire"}) || !tr.HasServers {
-		t.Errorf("%q of %q", got, tr.Services)
+		t.Errorf("got entries %q, services %q", got, tr.Services)
 	}
 }
 
-// Each fault is reported by its file and line.
+// TestLoadFaults checks that each fault is reported with its file and line.
 func TestLoadFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
@@ -77,47 +77,47 @@
 		"a route's unknown key": {"[[routes]]\nname = \"r\"\nhop = 2", []string{"a.toml:3: unknown key"}},
 		"a wrong type":          {"[[routes]]\nname = \"r\"\nhops = \"two\"", []string{"a.toml:3: "}},
 		"no name":               {"[[routes]]\ntype = \"check\"", []string{"a.toml:1: "}},
-		"twice":                 {"[[pools]]\nname = \"p\"\nsites = [\"a\"]\n[[pools]]\nname = \"p\"\nsites = [\"b\"]", []string{"a.toml:4: a second pool \"p\""}},
+		"a duplicate pool":      {"[[pools]]\nname = \"p\"\nsites = [\"a\"]\n[[pools]]\nname = \"p\"\nsites = [\"b\"]", []string{"a.toml:4: duplicate pool \"p\""}},
 		"no address":            {"[[servers]]\nid = \"s\"", []string{"a.toml:1: address \"\""}},
-		"no id":                 {"[[servers]]\naddress = \"127.0.0.1:1\"", []string{"a.toml:1: a server without an id"}},
-		"below 0":               {"[tenants]\ndairy = 1.0\nmill = -1.0", []string{"a.toml:3: allowance -1"}},
+		"no id":                 {"[[servers]]\naddress = \"127.0.0.1:1\"", []string{"a.toml:1: server without an id"}},
+		"a negative allowance":  {"[tenants]\ndairy = 1.0\nmill = -1.0", []string{"a.toml:3: allowance -1"}},
 		"two faults":            {"[tenants]\nmill = -1.0\n[[servers]]\nid = \"s\"", []string{"a.toml:2: ", "a.toml:3: "}},
 		"a long name":           {"[tenants]\n" + strings.Repeat("x", 300) + " = 1.0", []string{"a.toml:2: "}},
-		"no TOML":               {"[[routes", []string{"a.toml:1: "}},
+		"invalid TOML":          {"[[routes", []string{"a.toml:1: "}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "a.toml")
-			write(t, path, c.text)
+			writeFile(t, path, c.text)
 			_, err := Load(path)
 			if err == nil {
-				t.Fatal("taken")
+				t.Fatal("got no error")
 			}
 			lines := strings.Split(err.Error(), "\n")
 			if len(lines) != len(c.want) {
-				t.Fatalf("%q", lines)
+				t.Fatalf("got errors %q", lines)
 			}
 			for i, want := range c.want {
 				if !strings.Contains(lines[i], want) {
-					t.Errorf("%q, not %q", lines[i], want)
+					t.Errorf("got %q, want %q", lines[i], want)
 				}
 			}
 		})
 	}
-	if _, err := Load(t.TempDir()); err == nil || !strings.Contains(err.Error(), "no file in it ends in .toml") {
-		t.Errorf("an empty folder: %v", err)
+	if _, err := Load(t.TempDir()); err == nil || !strings.Contains(err.Error(), "directory contains no .toml files") {
+		t.Errorf("empty directory: got error %v", err)
 	}
 	dir := t.TempDir()
-	write(t, filepath.Join(dir, "a.toml"), "")
-	write(t, filepath.Join(dir, "b.toml"), "service = \"a\"")
-	if _, err := Load(dir); err == nil || !strings.Contains(err.Error(), "b.toml:1: service \"a\" stands in another file too") {
-		t.Errorf("a service twice: %v", err)
+	writeFile(t, filepath.Join(dir, "a.toml"), "")
+	writeFile(t, filepath.Join(dir, "b.toml"), "service = \"a\"")
+	if _, err := Load(dir); err == nil || !strings.Contains(err.Error(), "b.toml:1: service \"a\" also defined in another file") {
+		t.Errorf("duplicate service: got error %v", err)
 	}
 }
 
-// Differences are by content, of the tree.s services and the kinds asked for.
+// TestDifferences checks that values are compared by content, and only for the tree's services and the requested kinds.
 func TestDifferences(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "hire.toml")
-	write(t, path, hire)
+	writeFile(t, path, hire)
 	tr, err := Load(path)
 	if err != nil {
 		t.Fatal(err)
@@ -126,23 +126,23 @@
 	entry := func(service string, kind distribution.Kind, name string, v []byte) distribution.Entry {
 		return distribution.Entry{Key: distribution.Key{Service: service, Kind: kind, Name: name}, Value: v}
 	}
-	one := func(kind distribution.Kind, name, text string) distribution.Entry {
+	parsed := func(kind distribution.Kind, name, text string) distribution.Entry {
 		v, err := ParseEntry("f", []byte(text), distribution.Key{Service: "hire", Kind: kind, Name: name})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return entry("hire", kind, name, v)
 	}
-	var held []distribution.Entry
+	var stored []distribution.Entry
 	for key, v := range tr.Values {
-		held = append(held, distribution.Entry{Key: key, Value: v})
+		stored = append(stored, distribution.Entry{Key: key, Value: v})
 	}
-	turned, err := value.DecodeServerValue(tr.Values[distribution.Key{Service: "hire", Kind: distribution.KindServer, Name: "s1"}])
+	reinstated, err := value.DecodeServerValue(tr.Values[distribution.Key{Service: "hire", Kind: distribution.KindServer, Name: "s1"}])
 	if err != nil {
 		t.Fatal(err)
 	}
-	turned.Generation = 3
-	back, err := value.EncodeServer(turned)
+	reinstated.Generation = 3
+	reinstatedValue, err := value.EncodeServer(reinstated)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,19 +152,19 @@
 		want   string
 	}{
 		"nothing": {func(h []distribution.Entry) []distribution.Entry { return h }, all, ""},
-		"another form of the same": {func(h []distribution.Entry) []distribution.Entry {
-			return append(without(h, "checks"), one(distribution.KindRoute, "checks", "[[routes]]\nheaders = {\"x\"=\"1\"}\nhop_time=\"250ms\"\ntype=\"check\""))
+		"equal content in another form": {func(h []distribution.Entry) []distribution.Entry {
+			return append(without(h, "checks"), parsed(distribution.KindRoute, "checks", "[[routes]]\nheaders = {\"x\"=\"1\"}\nhop_time=\"250ms\"\ntype=\"check\""))
 		}, all, ""},
-		"a server's turns": {func(h []distribution.Entry) []distribution.Entry {
-			return append(without(h, "s1"), entry("hire", distribution.KindServer, "s1", back))
+		"another generation of a server": {func(h []distribution.Entry) []distribution.Entry {
+			return append(without(h, "s1"), entry("hire", distribution.KindServer, "s1", reinstatedValue))
 		}, all, ""},
 		"another value": {func(h []distribution.Entry) []distribution.Entry {
-			return append(without(h, "dairy"), one(distribution.KindTenant, "dairy", "allowance = 7.0"))
+			return append(without(h, "dairy"), parsed(distribution.KindTenant, "dairy", "allowance = 7.0"))
 		}, all, "~ hire/tenant/dairy\n    - allowance = 7\n    + allowance = 40.5\n"},
-		"one that lacks": {func(h []distribution.Entry) []distribution.Entry { return without(h, "quick") }, all,
+		"a missing entry": {func(h []distribution.Entry) []distribution.Entry { return without(h, "quick") }, all,
 			"+ hire/pool/quick\n    + sites = ['north']\n"},
-		"one too many": {func(h []distribution.Entry) []distribution.Entry {
-			return append(h, one(distribution.KindRoute, "old", "type = \"book\""))
+		"an extra entry": {func(h []distribution.Entry) []distribution.Entry {
+			return append(h, parsed(distribution.KindRoute, "old", "type = \"book\""))
 		}, all, "- hire/route/old\n    - type = 'book'\n"},
 		"of another service": {func(h []distribution.Entry) []distribution.Entry {
 			return append(h, entry("yard", distribution.KindRoute, "old", nil))
@@ -173,21 +173,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := ""
-			for _, d := range tr.Differences(c.change(slices.Clone(held)), c.kinds) {
+			for _, d := range tr.Differences(c.change(slices.Clone(stored)), c.kinds) {
 				got += d.String()
 			}
 			if got != c.want {
-				t.Errorf("%q, not %q", got, c.want)
+				t.Errorf("got %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-func without(held []distribution.Entry, name string) []distribution.Entry {
-	return slices.DeleteFunc(held, func(e distribution.Entry) bool { return e.Key.Name == name })
+func without(stored []distribution.Entry, name string) []distribution.Entry {
+	return slices.DeleteFunc(stored, func(e distribution.Entry) bool { return e.Key.Name == name })
 }
 
-// The text of a single entry is accepted, or refused by its line.
+// TestParseEntry checks the value of a single entry's text, or the line of its fault.
 func TestParseEntry(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind       distribution.Kind
@@ -196,26 +196,26 @@
 	}{
 		"a route":                 {distribution.KindRoute, "type = \"check\"\nhops = 2", "hops = 2, type = 'check'", ""},
 		"a route with its header": {distribution.KindRoute, "[[routes]]\nname = \"n\"\ntype = \"check\"", "type = 'check'", ""},
-		"another's":               {distribution.KindRoute, "name = \"m\"", "", "f: its text names it \"m\""},
+		"a route of another name": {distribution.KindRoute, "name = \"m\"", "", "f: its text names it \"m\""},
 		"an unknown key":          {distribution.KindRoute, "type = \"check\"\nhop = 2", "", "f:2: unknown key"},
 		"a pool":                  {distribution.KindPool, "servers = [\"s*\"]", "servers = ['s*']", ""},
 		"a tenant":                {distribution.KindTenant, "allowance = 0", "allowance = 0", ""},
-		"a tenant of nothing":     {distribution.KindTenant, "", "", "f: allowance is missing"},
-		"a tenant below 0":        {distribution.KindTenant, "\nallowance = -2.0", "", "f:2: allowance -2"},
+		"no allowance":            {distribution.KindTenant, "", "", "f: allowance is missing"},
+		"a negative allowance":    {distribution.KindTenant, "\nallowance = -2.0", "", "f:2: allowance -2"},
 		"a server":                {distribution.KindServer, "address = \"127.0.0.1:1\"", "address = \"127.0.0.1:1\", condition = up, size = 1", ""},
-		"a server without":        {distribution.KindServer, "size = 2.0", "", "f: address \"\""},
-		"another's server":        {distribution.KindServer, "id = \"m\"\naddress = \"127.0.0.1:1\"", "", "f:1: the text is of server \"m\", not \"n\""},
+		"no address":              {distribution.KindServer, "size = 2.0", "", "f: address \"\""},
+		"another server's id":     {distribution.KindServer, "id = \"m\"\naddress = \"127.0.0.1:1\"", "", "f:1: file defines server \"m\", want \"n\""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v, err := ParseEntry("f", []byte(c.text), distribution.Key{Service: "s", Kind: c.kind, Name: "n"})
 			if c.fault != "" {
 				if err == nil || !strings.HasPrefix(err.Error(), c.fault) {
-					t.Errorf("%v, not %q", err, c.fault)
+					t.Errorf("got error %v, want %q", err, c.fault)
 				}
 				return
 			}
 			if got := strings.Join(Lines(c.kind, v), ", "); err != nil || got != c.want {
-				t.Errorf("%q, %v", got, err)
+				t.Errorf("got lines %q, error %v", got, err)
 			}
 		})
 	}
--- a/internal/controlplane/distribution/value/golden_test.go
+++ b/internal/controlplane/distribution/value/golden_test.go
@@ -8,7 +8,7 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-// TestGoldenValues pins the bytes of servers' and tenants' values, which are on disk, on the wire and compared with each other.
+// TestGoldenValues fixes the encoding of servers' and tenants' values, which are stored, sent and compared.
 func TestGoldenValues(t *testing.T) {
 	server := incarnation.Entry{ID: "fast-1", StartedUnixMS: 1700000000123, Generation: 2, Condition: incarnation.Draining, Revision: 41,
 		Address: "127.0.0.1:8081", Zone: "z1", MachineKind: "large", Cell: 7, Weight: 1.5}
@@ -23,7 +23,7 @@
 			t.Fatal(err)
 		}
 		if got := hex.EncodeToString(b); got != goldenServer {
-			t.Errorf("written as\n%s, was\n%s", got, goldenServer)
+			t.Errorf("encoded as\n%s, want\n%s", got, goldenServer)
 		}
 		golden, err := hex.DecodeString(goldenServer)
 		if err != nil {
@@ -31,7 +31,7 @@
 		}
 		e := distribution.Entry{Key: distribution.Key{Kind: distribution.KindServer, Name: "fast-1"}, Clock: 41, Value: golden}
 		if got, err := DecodeServer(e); err != nil || got != server {
-			t.Errorf("read as %+v, %v", got, err)
+			t.Errorf("decoded as %+v, error %v", got, err)
 		}
 	})
 	t.Run("tenant", func(t *testing.T) {
@@ -40,14 +40,14 @@
 			t.Fatal(err)
 		}
 		if got := hex.EncodeToString(b); got != goldenTenant {
-			t.Errorf("written as\n%s, was\n%s", got, goldenTenant)
+			t.Errorf("encoded as\n%s, want\n%s", got, goldenTenant)
 		}
 		golden, err := hex.DecodeString(goldenTenant)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got, err := DecodeTenant(distribution.Entry{Value: golden}); err != nil || got != tenant {
-			t.Errorf("read as %+v, %v", got, err)
+			t.Errorf("decoded as %+v, error %v", got, err)
 		}
 	})
 }
--- a/internal/controlplane/distribution/value/value.go
+++ b/internal/controlplane/distribution/value/value.go
@@ -1,7 +1,7 @@
-// Package value encodes and decodes the values of distributed entries. A server's value is its incarnation and a tenant's its
-// allowance, both as CBOR; a route's and a pool's is the TOML text of an operator's file, which package tree writes and package
-// route reads. Callers are the commands, by package tree, and the
-// node. Control processes read and write servers' values in package control, without this package's validation.
+// Package value encodes and decodes the values of distributed entries. The value of a server is its incarnation and the value
+// of a tenant is its allowance, both as CBOR. The value of a route or a pool is TOML text from an operator's file; package tree
+// writes it and package route parses it. The commands, through package tree, and the node use this package. Control processes
+// read and write servers' values in package control, without this package's validation.
 package value
 
 import (
@@ -16,7 +16,7 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-// Tenant is a tenant's value.
+// Tenant is the value of a tenant's entry.
 type Tenant struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -30,12 +30,12 @@
 
 func must[T any](mode T, err error) T {
 	if err != nil {
-		panic(err) // the options are this file's own
+		panic(err) // the options are constants, so an error is a programming error
 	}
 	return mode
 }
 
-// EncodeServer returns a server's value. The revision is left out, since it is that of the entry.
+// EncodeServer validates and encodes a server's value. It omits the revision, which is the entry's clock.
 func EncodeServer(e incarnation.Entry) ([]byte, error) {
 	e.Revision = 0
 	if err := validateServer(e); err != nil {
@@ -44,7 +44,8 @@
 	return encoding.Marshal(e)
 }
 
-// DecodeServer decodes a server's entry as an incarnation at the entry's revision. A deletion is one that is gone.
+// DecodeServer decodes a server's entry. The revision of the result is the entry's clock. A deleted entry yields the condition
+// Gone.
 func DecodeServer(e distribution.Entry) (incarnation.Entry, error) {
 	if e.Deleted {
 		return incarnation.Entry{ID: e.Key.Name, Condition: incarnation.Gone, Revision: e.Clock}, nil
@@ -57,7 +58,7 @@
 	return server, err
 }
 
-// DecodeServerValue decodes a server's value without its entry.
+// DecodeServerValue decodes and validates a server's value. The revision of the result is 0.
 func DecodeServerValue(v []byte) (server incarnation.Entry, err error) {
 	if err := decoding.Unmarshal(v, &server); err != nil {
 		return server, errors.New("the value of a server cannot be read")
@@ -68,21 +69,21 @@
 func validateServer(e incarnation.Entry) error {
 	switch {
 	case e.ID == "":
-		return errors.New("a server without an id")
+		return errors.New("server without an id")
 	case e.Condition > incarnation.Gone:
 		return fmt.Errorf("unknown condition %d", e.Condition)
 	case math.IsNaN(e.Weight) || math.IsInf(e.Weight, 0) || e.Weight < 0:
-		return fmt.Errorf("size %v: a number of 0 or more is wanted", e.Weight)
+		return fmt.Errorf("size %v: want a finite number of at least 0", e.Weight)
 	case e.StartedUnixMS < 0:
-		return fmt.Errorf("started %d: Unix time in ms is wanted", e.StartedUnixMS)
+		return fmt.Errorf("started %d: want Unix time in ms", e.StartedUnixMS)
 	}
-	if at, err := netip.ParseAddrPort(e.Address); (err != nil || at.Port() == 0) && e.Condition == incarnation.Up {
-		return fmt.Errorf("address %.60q: an address and a port are wanted", e.Address)
+	if address, err := netip.ParseAddrPort(e.Address); (err != nil || address.Port() == 0) && e.Condition == incarnation.Up {
+		return fmt.Errorf("address %.60q: want IP address and port", e.Address)
 	}
 	return nil
 }
 
-// EncodeTenant returns a tenant's value.
+// EncodeTenant validates and encodes a tenant's value.
 func EncodeTenant(t Tenant) ([]byte, error) {
 	if err := validateTenant(t); err != nil {
 		return nil, err
@@ -90,7 +91,7 @@
 	return encoding.Marshal(t)
 }
 
-// DecodeTenant decodes a tenant's entry that is not deleted.
+// DecodeTenant decodes and validates the value of a tenant's entry. The entry must not be deleted.
 func DecodeTenant(e distribution.Entry) (Tenant, error) {
 	var t Tenant
 	if err := decoding.Unmarshal(e.Value, &t); err != nil {
--- a/internal/controlplane/distribution/wire/batch.go
+++ b/internal/controlplane/distribution/wire/batch.go
@@ -7,7 +7,7 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-// packedBatch is a batch as it stands on the wire: its entries name services and origins by their indexes in the lists.
+// packedBatch is the wire form of a batch. Its entries refer to services and origins by index into the batch's lists.
 type packedBatch struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -22,7 +22,7 @@
 	Pruned        distribution.Vector
 }
 
-// packedEntry is an entry of a packedBatch.
+// packedEntry is the wire form of an entry in a packedBatch.
 type packedEntry struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -36,7 +36,7 @@
 	Value    []byte
 }
 
-// indexOf returns the index of a name in a list, to which a new name is added.
+// indexOf returns the index of a name in a list, and appends the name if it is new.
 func indexOf[T comparable](list *[]T, indexes map[T]int, name T) int {
 	index, ok := indexes[name]
 	if !ok {
@@ -74,10 +74,11 @@
 	return p
 }
 
-// unpackBatch reads a batch. Its entries are validated by the store, which rejects single ones and takes the others.
-func unpackBatch(text []byte, b *distribution.Batch) error {
+// unpackBatch decodes a batch. The store validates the entries, because it rejects invalid entries individually and accepts
+// the rest of the batch.
+func unpackBatch(body []byte, b *distribution.Batch) error {
 	var p packedBatch
-	if err := framing.Decode(text, &p); err != nil {
+	if err := framing.Decode(body, &p); err != nil {
 		return err
 	}
 	*b = distribution.Batch{
@@ -94,7 +95,7 @@
 	for i := range p.Entries {
 		e := &p.Entries[i]
 		if e.Service < 0 || e.Service >= len(p.Services) || e.Origin < 0 || e.Origin >= len(p.Origins) {
-			return fmt.Errorf("%w: an entry of no service or origin", ErrOutOfBounds)
+			return fmt.Errorf("%w: entry refers to an unlisted service or origin", ErrOutOfBounds)
 		}
 		b.Entries = append(b.Entries, distribution.Entry{
 			Key:      distribution.Key{Service: p.Services[e.Service], Kind: e.Kind, Name: e.Name},
--- a/internal/controlplane/distribution/wire/codec.go
+++ b/internal/controlplane/distribution/wire/codec.go
@@ -7,40 +7,43 @@
 	"fernvane/internal/cluster/framing"
 )
 
-// ErrOutOfBounds says that a message exceeds a bound of the protocol.
-var ErrOutOfBounds = errors.New("a message breaks a bound")
+// ErrOutOfBounds reports a message that exceeds a limit of the protocol or lacks a required field.
+var ErrOutOfBounds = errors.New("message out of bounds")
 
-// Send writes a message to a connection.
-func Send(c *framing.Conn, m Message) error { return c.Send(m.kind(), body(m)) }
+// Send writes a message to a connection as one frame.
+func Send(c *framing.Conn, m Message) error { return c.Send(m.kind(), frameBody(m)) }
 
-// Append appends a message's frame to b.
-func Append(b []byte, m Message) ([]byte, error) { return Protocol.Append(b, m.kind(), body(m)) }
+// Append appends a message's frame to b and returns the extended slice.
+func Append(frames []byte, m Message) ([]byte, error) {
+	return Protocol.Append(frames, m.kind(), frameBody(m))
+}
 
-// body is what of a message is encoded.
-func body(m Message) any {
+// frameBody returns the value to encode as the body of a message's frame.
+func frameBody(m Message) any {
 	if b, ok := m.(*Batch); ok {
 		return packBatch(&b.Batch)
 	}
 	return m
 }
 
-// Decode reads the body of a frame strictly. The error wraps framing.ErrUnknownKind, ErrOutOfBounds or the decoder's error.
-func Decode(k framing.Kind, text []byte) (Message, error) {
+// Decode decodes and validates the body of a frame. The error wraps framing.ErrUnknownKind, ErrOutOfBounds or the decoder's
+// error.
+func Decode(k framing.Kind, body []byte) (Message, error) {
 	m := newMessage(k)
 	if m == nil {
 		return nil, fmt.Errorf("%w: %d", framing.ErrUnknownKind, k)
 	}
 	var err error
 	if b, ok := m.(*Batch); ok {
-		err = unpackBatch(text, &b.Batch)
+		err = unpackBatch(body, &b.Batch)
 	} else {
-		err = framing.Decode(text, m)
+		err = framing.Decode(body, m)
 	}
 	if err == nil {
 		err = m.validate()
 	}
 	if err != nil {
-		return nil, fmt.Errorf("a %T that cannot be read: %w", m, err)
+		return nil, fmt.Errorf("decode %T: %w", m, err)
 	}
 	return m, nil
 }
--- a/internal/controlplane/distribution/wire/doc.go
+++ b/internal/controlplane/distribution/wire/doc.go
@@ -1,6 +1,6 @@
-// Package wire is the protocol by which configuration is distributed: messages as frames of package framing, between nodes,
-// relays and root control processes, and with the commands that write and query. Send and Decode are its entry points; packages
-// client and control are its callers.
+// Package wire implements the protocol of configuration distribution. Nodes, relays, root control processes and the commands
+// that write or query configuration exchange its messages as frames of package framing. Send and Decode are the entry points;
+// packages client and control call them.
 //
-// Messages are CBOR arrays: the order of a message's fields is part of the protocol, their names are not.
+// Messages are encoded as CBOR arrays: the order of a message's fields is part of the protocol, their names are not.
 package wire
--- a/internal/controlplane/distribution/wire/messages.go
+++ b/internal/controlplane/distribution/wire/messages.go
@@ -5,10 +5,10 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-// Version of the protocol.
+// Version is the version of the protocol.
 const Version = 1
 
-// maxBodyBytes bounds a frame's body.
+// maxBodyBytes is the maximum size of a frame's body.
 const maxBodyBytes = 1 << 20
 
 // Kinds of frames.
@@ -26,59 +26,59 @@
 	kindLimit
 )
 
-// Protocol of the connections. Each frame carries a checksum.
+// Protocol describes the frames of a connection. Each frame carries a checksum.
 var Protocol = &framing.Protocol{Version: Version, KindLimit: kindLimit, MaxBodyBytes: maxBodyBytes, HasChecksums: true}
 
-// Message is one of the messages of this file, as a pointer.
+// Message is implemented by pointers to the message types of this file.
 type Message interface {
 	kind() framing.Kind
 	validate() error
 }
 
-// Subscribe is a subscriber's first message.
+// Subscribe is the first message of a subscriber.
 type Subscribe struct {
 	_ struct{} `cbor:",toarray"`
 
 	Subscription distribution.Subscription
 }
 
-// Batch carries entries to a subscriber, or back from one that was asked by a Pull.
+// Batch carries entries to a subscriber, or from a subscriber in response to a Pull.
 type Batch struct{ distribution.Batch }
 
-// Acknowledge says up to which batch entries are applied.
+// Acknowledge confirms a batch, with the vector of the applied entries and the rejected entries.
 type Acknowledge struct {
 	_ struct{} `cbor:",toarray"`
 
 	Acknowledgement distribution.Acknowledgement
-	ApplyLagMs      int64 // from receipt to application, of the last batch
+	ApplyLagMs      int64 // time from receipt to application of the last batch
 }
 
-// Digests are those of a server whose subscriber was sent everything.
+// Digests carries the server's digests to a subscriber that was sent all entries, for comparison with its own.
 type Digests struct {
 	_ struct{} `cbor:",toarray"`
 
 	Digests       distribution.Digests
-	IsAllServices bool // an answer to Pull.WantsDigests: there are no other services. Receivers don't read it
+	IsAllServices bool // response to Pull.WantsDigests that covers all services. Receivers do not read it
 }
 
-// Pull asks the other side for what is missing here. One that asks for nothing is a ping, which is answered by one.
+// Pull requests entries or digests that the sender lacks. An empty Pull is a ping, and an empty Pull is the response to it.
 type Pull struct {
 	_ struct{} `cbor:",toarray"`
 
-	IsContinuous bool                // send what Vector lacks, and from then on what changes, in batches as to a subscriber
-	Vector       distribution.Vector // if continuous, what the asking side covers
-	Services     []string            // in which a full sync is asked for
-	WantsDigests bool                // of all services
+	IsContinuous bool                // requests all entries that Vector does not cover and all later changes, in batches as to a subscriber
+	Vector       distribution.Vector // entries that the sender has; only if continuous
+	Services     []string            // services to sync in full
+	WantsDigests bool                // requests the digests of all services
 }
 
-// Report tells an upstream of the nodes that are seen here, as far as their status has changed.
+// Report notifies an upstream of nodes whose status at the sender has changed.
 type Report struct {
 	_ struct{} `cbor:",toarray"`
 
 	Nodes []distribution.NodeStatus
 }
 
-// Write asks for changes, all or none.
+// Write requests changes, which are applied atomically.
 type Write struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -86,7 +86,7 @@
 	Changes []distribution.Change
 }
 
-// WriteResult answers a Write, by an error or by the last entry's version.
+// WriteResult is the response to a Write. It carries an error or the version of the last entry.
 type WriteResult struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -97,14 +97,14 @@
 	Sequence uint64
 }
 
-// StatusQuery asks for the status of all nodes that are known.
+// StatusQuery requests the status of all known nodes.
 type StatusQuery struct {
 	_ struct{} `cbor:",toarray"`
 
 	ID uint64
 }
 
-// StatusAnswer answers a StatusQuery. If there are many nodes, several answers carry them.
+// StatusAnswer is the response to a StatusQuery. The nodes may be split among several messages.
 type StatusAnswer struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -125,7 +125,7 @@
 func (*StatusQuery) kind() framing.Kind  { return statusQueryKind }
 func (*StatusAnswer) kind() framing.Kind { return statusAnswerKind }
 
-// newMessage returns an empty message of a kind; nil if the kind is unknown.
+// newMessage returns an empty message of a kind, or nil if the kind is unknown.
 func newMessage(k framing.Kind) Message {
 	switch k {
 	case subscribeKind:
--- a/internal/controlplane/distribution/wire/truncate.go
+++ b/internal/controlplane/distribution/wire/truncate.go
@@ -9,7 +9,7 @@
 
 const ellipsis = "..."
 
-// TruncateText returns a text as a message takes it: valid UTF-8, and one that is too long cut between two runes.
+// TruncateText returns a text that passes the validation of messages: valid UTF-8, truncated at a rune boundary if too long.
 func TruncateText(text string) string {
 	text = strings.ToValidUTF8(text, string(utf8.RuneError))
 	if len(text) <= maxTextBytes {
@@ -22,7 +22,7 @@
 	return text[:end] + ellipsis
 }
 
-// TruncateRejections returns as many rejections as a message takes, with texts that it takes.
+// TruncateRejections returns the leading rejections up to the limit of a message, with their texts truncated.
 func TruncateRejections(rejected []distribution.Rejection) []distribution.Rejection {
 	bounded := make([]distribution.Rejection, 0, min(len(rejected), maxRejections))
 	for _, r := range rejected[:cap(bounded)] {
--- a/internal/controlplane/distribution/wire/validate.go
+++ b/internal/controlplane/distribution/wire/validate.go
@@ -7,17 +7,17 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-// Bounds of messages, beside those of package distribution.
+// Limits of messages, in addition to those of package distribution.
 const (
-	maxStatuses   = 8192 // in one message
-	maxRejections = 64   // in one message
-	maxTextBytes  = 300  // of a reason or a name
+	maxStatuses   = 8192 // per message
+	maxRejections = 64   // per message or status
+	maxTextBytes  = 300  // per reason or name
 )
 
 func (m *Subscribe) validate() error {
 	s := &m.Subscription
 	if s.Name == "" || s.Role < distribution.RoleNode || s.Role > distribution.RoleReader {
-		return fmt.Errorf("%w: a subscriber without a name or a role", ErrOutOfBounds)
+		return fmt.Errorf("%w: subscriber name missing or role unknown", ErrOutOfBounds)
 	}
 	if err := validateTexts("name", s.Name, s.Region, s.Zone); err != nil {
 		return err
@@ -66,10 +66,10 @@
 
 func (m *Report) validate() error { return validateStatuses(m.Nodes) }
 
-// validate checks the number of changes only. The store validates each change and answers with its own error.
+// validate checks only the number of changes. The store validates each change and reports a more specific error.
 func (m *Write) validate() error {
 	if len(m.Changes) == 0 || len(m.Changes) > distribution.MaxChanges {
-		return fmt.Errorf("%w: %d changes, 1 to %d may be", ErrOutOfBounds, len(m.Changes), distribution.MaxChanges)
+		return fmt.Errorf("%w: %d changes, want 1 to %d", ErrOutOfBounds, len(m.Changes), distribution.MaxChanges)
 	}
 	return nil
 }
@@ -85,10 +85,10 @@
 	return validateStatuses(m.Nodes)
 }
 
-func validateTexts(what string, texts ...string) error {
+func validateTexts(field string, texts ...string) error {
 	for _, text := range texts {
 		if len(text) > maxTextBytes || !utf8.ValidString(text) {
-			return fmt.Errorf("%w: a %s of more than %d bytes or not UTF-8", ErrOutOfBounds, what, maxTextBytes)
+			return fmt.Errorf("%w: %s longer than %d bytes or not UTF-8", ErrOutOfBounds, field, maxTextBytes)
 		}
 	}
 	return nil
@@ -96,11 +96,11 @@
 
 func validateServices(names []string) error {
 	if len(names) > distribution.MaxServices {
-		return fmt.Errorf("%w: %d services, at most %d may be", ErrOutOfBounds, len(names), distribution.MaxServices)
+		return fmt.Errorf("%w: %d services, want at most %d", ErrOutOfBounds, len(names), distribution.MaxServices)
 	}
 	for _, name := range names {
 		if len(name) > distribution.MaxNameBytes || !utf8.ValidString(name) {
-			return fmt.Errorf("%w: a service's name of more than %d bytes or not UTF-8", ErrOutOfBounds, distribution.MaxNameBytes)
+			return fmt.Errorf("%w: service name longer than %d bytes or not UTF-8", ErrOutOfBounds, distribution.MaxNameBytes)
 		}
 	}
 	return nil
@@ -108,11 +108,11 @@
 
 func validateVector(v distribution.Vector) error {
 	if len(v) > distribution.MaxOrigins {
-		return fmt.Errorf("%w: %d origins, at most %d may be", ErrOutOfBounds, len(v), distribution.MaxOrigins)
+		return fmt.Errorf("%w: %d origins, want at most %d", ErrOutOfBounds, len(v), distribution.MaxOrigins)
 	}
 	for origin := range v {
 		if origin == "" || len(origin) > distribution.MaxOriginBytes || !utf8.ValidString(string(origin)) {
-			return fmt.Errorf("%w: an origin's name of none or more than %d bytes, or not UTF-8", ErrOutOfBounds, distribution.MaxOriginBytes)
+			return fmt.Errorf("%w: origin empty, longer than %d bytes or not UTF-8", ErrOutOfBounds, distribution.MaxOriginBytes)
 		}
 	}
 	return nil
@@ -120,7 +120,7 @@
 
 func validateRejections(rejected []distribution.Rejection) error {
 	if len(rejected) > maxRejections {
-		return fmt.Errorf("%w: %d rejections, at most %d may be", ErrOutOfBounds, len(rejected), maxRejections)
+		return fmt.Errorf("%w: %d rejections, want at most %d", ErrOutOfBounds, len(rejected), maxRejections)
 	}
 	for _, r := range rejected {
 		if err := validateTexts("text", r.Key.Service, r.Key.Name, r.Reason); err != nil {
@@ -132,7 +132,7 @@
 
 func validateStatuses(statuses []distribution.NodeStatus) error {
 	if len(statuses) > maxStatuses {
-		return fmt.Errorf("%w: %d nodes, at most %d may be", ErrOutOfBounds, len(statuses), maxStatuses)
+		return fmt.Errorf("%w: %d nodes, want at most %d", ErrOutOfBounds, len(statuses), maxStatuses)
 	}
 	for i := range statuses {
 		s := &statuses[i]
