--- a/internal/controlplane/distribution/client/apply.go
+++ b/internal/controlplane/distribution/client/apply.go
@@ -9,25 +9,25 @@
 	"fernvane/internal/controlplane/distribution/wire"
 )
 
-// applyInterval is the least time between two rebuilds of routes or tenants, each of which costs up to 80 ms.
+// applyInterval is the minimum time between two rebuilds of routes or tenants. A rebuild takes up to 80 ms.
 const applyInterval = 200 * time.Millisecond
 
-// pendingChanges is what was received and is not applied or acknowledged yet.
+// pendingChanges describes what was received but not yet applied or acknowledged.
 type pendingChanges struct {
-	hasRoutes         bool // or pools
+	hasRoutes         bool // routes or pools changed
 	hasTenants        bool
-	lastApplied       time.Duration // routes or tenants; 0: never
-	serversApplied    bool          // all that are held, once
-	batchNumber       uint64        // of the last batch, to be acknowledged; 0 for none
-	batchAt           time.Time     // when it was received
-	isIncomplete      bool          // more is to come before the vector advances
-	advancedByDigests bool          // the vector has advanced without a batch, to be acknowledged
+	lastApplied       time.Duration // time of the last rebuild of routes or tenants; 0 before the first
+	serversApplied    bool          // whether the complete set of servers was applied
+	batchNumber       uint64        // last batch to acknowledge; 0 for none
+	batchReceivedAt   time.Time     // receipt of the last batch
+	isIncomplete      bool          // further batches follow before the vector advances
+	advancedByDigests bool          // digests advanced the vector, which is to be acknowledged
 }
 
-// applyRestored applies what the disk held.
+// applyRestored applies the entries that were loaded from disk.
 func (c *Client) applyRestored() {
 	c.mu.Lock()
-	servers := c.heldEntries(distribution.KindServer)
+	servers := c.liveEntries(distribution.KindServer)
 	entries, _ := c.store.Size()
 	c.mu.Unlock()
 	if entries == 0 {
@@ -38,8 +38,8 @@
 	c.applyRoutesAndTenants()
 }
 
-// heldEntries returns all live entries of some kinds. c.mu is held.
-func (c *Client) heldEntries(kinds ...distribution.Kind) (all []distribution.Entry) {
+// liveEntries returns all stored entries of some kinds that are not deleted. The caller holds c.mu.
+func (c *Client) liveEntries(kinds ...distribution.Kind) (all []distribution.Entry) {
 	for _, name := range c.config.scope() {
 		for _, e := range c.store.LiveEntries(name) {
 			if slices.Contains(kinds, e.Key.Kind) {
@@ -50,9 +50,9 @@
 	return all
 }
 
-// receiveBatch takes a batch into the store, has it saved, and applies its servers at once. Routes and tenants wait for
-// applyDue.
-func (c *Client) receiveBatch(b distribution.Batch, at time.Time) {
+// receiveBatch merges a batch into the store, schedules its save to disk, and applies its servers immediately. applyDue applies
+// routes and tenants later.
+func (c *Client) receiveBatch(b distribution.Batch, receivedAt time.Time) {
 	now := c.now()
 	c.mu.Lock()
 	result := c.link.receiver.ReceiveBatch(b)
@@ -64,21 +64,22 @@
 	var servers []distribution.Entry
 	appliesAll := result.IsComplete && !c.pending.serversApplied
 	if appliesAll {
-		servers = c.heldEntries(distribution.KindServer)
+		servers = c.liveEntries(distribution.KindServer)
 	}
 	c.mu.Unlock()
 	c.disk.Save(result.Changed, keysOf(result.Removed), vector)
-	changedServers := c.sortChanges(result)
+	changedServers := c.recordChanges(result)
 	if !appliesAll {
 		servers = changedServers
 	}
 	c.applyServers(servers, appliesAll)
-	c.recordUnheld(result.Rejected)
-	c.pending.batchNumber, c.pending.batchAt, c.pending.isIncomplete = b.Number, at, !result.IsComplete
+	c.recordStoreRejections(result.Rejected)
+	c.pending.batchNumber, c.pending.batchReceivedAt, c.pending.isIncomplete = b.Number, receivedAt, !result.IsComplete
 }
 
-// sortChanges returns the servers that a batch has changed, removed ones as deletions, and notes what of other kinds has.
-func (c *Client) sortChanges(result distribution.BatchResult) (servers []distribution.Entry) {
+// recordChanges returns the servers that a batch changed, with removed servers as deletions, and records which other kinds
+// changed.
+func (c *Client) recordChanges(result distribution.BatchResult) (servers []distribution.Entry) {
 	changed := slices.Clone(result.Changed)
 	for _, e := range result.Removed {
 		e.Deleted, e.Value = true, nil
@@ -104,8 +105,9 @@
 	return keys
 }
 
-// recordUnheld records entries that the store rejected. Nothing has them sent again when the reason is over.
-func (c *Client) recordUnheld(rejected []distribution.Rejection) {
+// recordStoreRejections records entries that the store rejected. The control process does not
+// re-send them when the reason no longer applies.
+func (c *Client) recordStoreRejections(rejected []distribution.Rejection) {
 	if len(rejected) == 0 {
 		return
 	}
@@ -114,7 +116,7 @@
 	c.addRejections(rejected)
 }
 
-// applyServers applies the servers that changed, or all that are held.
+// applyServers applies the changed servers, or the complete set if isComplete.
 func (c *Client) applyServers(servers []distribution.Entry, isComplete bool) {
 	if len(servers) == 0 && !isComplete {
 		return
@@ -132,8 +134,8 @@
 	c.addRejections(rejected)
 }
 
-// compareDigests compares what is held with what the control process holds. If nothing is to be asked for, also because nothing
-// could be compared, the digests count as a complete message, unless the store is full.
+// compareDigests compares the store with the digests of the control process and requests a full sync of the services that
+// differ. If none differ, or none are comparable, the digests count as a complete message unless the store is full.
 func (c *Client) compareDigests(d distribution.Digests) {
 	c.mu.Lock()
 	services, _, hasAdvanced := c.link.receiver.CompareDigests(d)
@@ -150,8 +152,8 @@
 	}
 }
 
-// applyDue applies routes and tenants when that is due, and acknowledges what is applied. It returns how long something has yet
-// to wait; 0 for nothing. A node that does not serve yet applies what it catches up with when that is complete.
+// applyDue applies routes and tenants when they are due, and acknowledges them. It returns the time until pending changes are
+// due; 0 if none are pending. A node that does not yet serve applies the entries it catches up with only once they are complete.
 func (c *Client) applyDue(now time.Duration) time.Duration {
 	c.mu.Lock()
 	canServe := c.subscriber.CanServe()
@@ -171,16 +173,16 @@
 	return 0
 }
 
-// applyRoutesAndTenants applies routes with pools, and tenants, where some have changed.
+// applyRoutesAndTenants applies all routes and pools if any changed, and all tenants if any changed.
 func (c *Client) applyRoutesAndTenants() {
 	c.mu.Lock()
 	var routes, tenants []distribution.Entry
 	if c.pending.hasRoutes {
-		routes = c.heldEntries(distribution.KindRoute, distribution.KindPool)
+		routes = c.liveEntries(distribution.KindRoute, distribution.KindPool)
 		slices.SortFunc(routes, distribution.Compare)
 	}
 	if c.pending.hasTenants {
-		tenants = c.heldEntries(distribution.KindTenant)
+		tenants = c.liveEntries(distribution.KindTenant)
 	}
 	c.mu.Unlock()
 	if c.pending.hasRoutes {
@@ -192,16 +194,16 @@
 	c.pending.hasRoutes, c.pending.hasTenants = false, false
 }
 
-// acknowledge tells the control process what was received and, if isApplied and everything up to a vector is here, what is
-// applied. Until a batch is complete, rejections are neither logged nor sent, unless the store is full: then none will be.
+// acknowledge confirms the last batch to the control process. If isApplied and no batch is incomplete, it also reports the applied
+// vector. Rejections are logged and sent only then, or if the store is full, because no batch completes with a full store.
 func (c *Client) acknowledge(isApplied bool) {
 	isApplied = isApplied && !c.pending.isIncomplete
 	isStoreFull := c.link != nil && c.link.receiver != nil && c.link.receiver.IsStoreFull()
 	if isApplied || isStoreFull {
 		c.logRejections()
 	}
-	hasNews := c.pending.batchNumber != 0 || c.pending.advancedByDigests
-	if c.link == nil || c.link.reported == nil || !hasNews {
+	needsAcknowledgement := c.pending.batchNumber != 0 || c.pending.advancedByDigests
+	if c.link == nil || c.link.reportedVector == nil || !needsAcknowledgement {
 		return
 	}
 	if c.link.isOverflowed {
@@ -211,11 +213,11 @@
 	m := &wire.Acknowledge{Acknowledgement: distribution.Acknowledgement{BatchNumber: c.pending.batchNumber}}
 	if isApplied {
 		c.mu.Lock()
-		m.Acknowledgement.Applied = c.store.Vector().AheadOf(c.link.reported)
+		m.Acknowledgement.Applied = c.store.Vector().AheadOf(c.link.reportedVector)
 		c.mu.Unlock()
-		c.link.reported.Join(m.Acknowledgement.Applied)
-		if !c.pending.batchAt.IsZero() {
-			m.ApplyLagMs = time.Since(c.pending.batchAt).Milliseconds()
+		c.link.reportedVector.Join(m.Acknowledgement.Applied)
+		if !c.pending.batchReceivedAt.IsZero() {
+			m.ApplyLagMs = time.Since(c.pending.batchReceivedAt).Milliseconds()
 		}
 	}
 	if isApplied || isStoreFull {
--- a/internal/controlplane/distribution/client/client.go
+++ b/internal/controlplane/distribution/client/client.go
@@ -15,22 +15,22 @@
 
 const (
 	entriesFile       = "entries.db"
-	diskWriteInterval = 500 * time.Millisecond // what a crash loses is received again
-	closeTimeout      = 2 * time.Second        // for what waits to be written at the end
+	diskWriteInterval = 500 * time.Millisecond // entries lost in a crash are received again
+	closeTimeout      = 2 * time.Second        // for the final writes
 )
 
-// Applier puts entries into effect. Each method returns the entries that cannot be used; the last good value of such a key
-// stays in effect. Calls come one at a time, from Run's goroutine.
+// Applier puts entries into effect. Each method returns the entries that it rejects; the last valid value of a rejected key stays
+// in effect. Run's goroutine makes all calls sequentially.
 type Applier interface {
-	// ApplyServers takes the servers that changed, deletions included, or all that are held if isComplete.
+	// ApplyServers applies changed servers including deletions, or replaces all servers if isComplete.
 	ApplyServers(servers []distribution.Entry, isComplete bool) []distribution.Rejection
-	// ApplyRoutes takes all routes and pools that are held, the oldest version first.
+	// ApplyRoutes replaces all routes and pools. They are ordered from the oldest version to the newest.
 	ApplyRoutes(all []distribution.Entry) []distribution.Rejection
-	// ApplyTenants takes all tenants that are held.
+	// ApplyTenants replaces all tenants.
 	ApplyTenants(all []distribution.Entry) []distribution.Rejection
 }
 
-// Client is a node's end.
+// Client is a node's client of the distribution.
 type Client struct {
 	config    *Config
 	applier   Applier
@@ -39,25 +39,25 @@
 	startedAt time.Time
 	canServe  chan struct{} // closed when the node may serve
 	events    chan event
-	running   sync.WaitGroup // goroutines of connections
+	running   sync.WaitGroup // goroutines of connections and probes
 
-	mu         sync.Mutex // never held over a socket, the disk or the applier
+	mu         sync.Mutex // not held during network or disk I/O or calls of the applier
 	store      *distribution.Store
 	subscriber *distribution.Subscriber
-	upstream   string // address of the control process that is connected; "" for none
+	upstream   string // address of the connected control process; "" for none
 	rejections rejections
 	syncMark   syncMark
 
-	// Of Run's goroutine alone.
-	link      *link // the current connection or attempt; nil for none
+	// Owned by Run's goroutine.
+	link      *link // current connection or connection attempt; nil for none
 	lastLink  int   // number of the last link
-	isServing bool  // canServe is closed
+	isServing bool  // whether canServe is closed
 	lastState distribution.State
 	pending   pendingChanges
 	markState markState
 }
 
-// New opens what the node has on disk. The applier is not called before Run.
+// New opens the node's file of entries and restores the store from it. The applier is not called before Run.
 func New(config *Config, applier Applier, log zerolog.Logger) (*Client, error) {
 	c := &Client{
 		config:     config,
@@ -72,8 +72,8 @@
 	opened, loaded, err := disk.Open(filepath.Join(config.Directory, entriesFile), disk.Options{
 		WriteInterval: diskWriteInterval,
 		OnFault:       c.diskFault,
-		OnQuarantine: func(path string, why error) {
-			log.Error().Err(why).Str("set_aside", path).Msg("distribution: damaged disk file renamed, entries are received again")
+		OnQuarantine: func(path string, cause error) {
+			log.Error().Err(cause).Str("set_aside", path).Msg("distribution: damaged disk file renamed, entries are received again")
 		},
 		Snapshot: c.snapshot,
 	})
@@ -83,7 +83,7 @@
 	c.disk = opened
 	c.restore(loaded)
 	startTimeout := config.StartTimeout.Std()
-	if startTimeout == 0 { // the file says not to wait; for the subscriber 0 is its default
+	if startTimeout == 0 { // the file disables the wait, but the subscriber treats 0 as its default
 		startTimeout = time.Nanosecond
 	}
 	c.subscriber = distribution.NewSubscriber(c.now(), distribution.SubscriberOptions{
@@ -95,7 +95,7 @@
 	return c, nil
 }
 
-// now is the time since the client's start.
+// now returns the time since the client's start.
 func (c *Client) now() time.Duration { return time.Since(c.startedAt) }
 
 func (c *Client) diskFault(err error) {
@@ -106,7 +106,7 @@
 	}
 }
 
-// snapshot returns everything that the disk should hold.
+// snapshot returns the content of the store for a new file on disk.
 func (c *Client) snapshot() ([]distribution.Entry, distribution.Vector) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,10 +118,10 @@
 	return all, c.store.Vector().Clone()
 }
 
-// Started is closed when the node may serve: it is current, or has waited for its start timeout.
+// Started returns a channel that is closed when the node may serve, which is when it is current or its start timeout has expired.
 func (c *Client) Started() <-chan struct{} { return c.canServe }
 
-// Run follows control processes until the context ends, and then closes the disk.
+// Run follows control processes until the context is done, and then closes the disk.
 func (c *Client) Run(ctx context.Context) error {
 	defer c.Close()
 	c.applyRestored()
@@ -141,25 +141,25 @@
 	}
 }
 
-// Close closes the disk. Run does so itself; only the owner of a client that was never run calls it.
+// Close closes the disk. Run calls it on return; other callers need it only for a client that was never run.
 func (c *Client) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if err := c.disk.Close(ctx); err != nil {
-		c.log.Error().Err(err).Msg("distribution: not everything saved at close")
+		c.log.Error().Err(err).Msg("distribution: unsaved entries at close")
 		return
 	}
 	c.saveFinalMark()
 }
 
-// tick does what time has made due, and returns how long to wait until the next tick.
+// tick executes everything that is due, and returns the time until the next tick.
 func (c *Client) tick(ctx context.Context) time.Duration {
 	now := c.now()
 	c.mu.Lock()
-	do, next := c.subscriber.Tick(now)
+	action, next := c.subscriber.Tick(now)
 	state, canServe := c.subscriber.State(), c.subscriber.CanServe()
 	c.mu.Unlock()
-	c.act(ctx, do)
+	c.execute(ctx, action)
 	wait := next - now
 	for _, due := range []time.Duration{c.applyDue(now), c.sendUpload(now), c.pingIfSilent(now)} {
 		if due > 0 {
@@ -174,26 +174,26 @@
 	return max(wait, time.Millisecond)
 }
 
-// act does what the subscriber has decided about connections.
-func (c *Client) act(ctx context.Context, do distribution.Action) {
+// execute carries out the subscriber's decision about connections.
+func (c *Client) execute(ctx context.Context, action distribution.Action) {
 	switch {
-	case do.IsFailback:
-		c.log.Info().Str("control", c.config.Control[do.Upstream]).Msg("distribution: failing back to preferred control process")
+	case action.IsFailback:
+		c.log.Info().Str("control", c.config.Control[action.Upstream]).Msg("distribution: failing back to preferred control process")
 		c.disconnect()
-	case do.ShouldDisconnect:
-		c.endLink(errNoAnswer, false)
+	case action.ShouldDisconnect:
+		c.endLink(errNoResponse, false)
 	}
-	if do.ShouldProbe {
-		c.startProbe(ctx, do.ProbeUpstream)
+	if action.ShouldProbe {
+		c.startProbe(ctx, action.ProbeUpstream)
 	}
-	if do.ShouldDial {
-		c.startLink(ctx, do.Upstream)
+	if action.ShouldDial {
+		c.startLink(ctx, action.Upstream)
 	}
 }
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
-// startServing lets the node serve.
+// startServing allows the node to serve.
 func (c *Client) startServing() {
 	if c.isServing {
 		return
--- a/internal/controlplane/distribution/client/config.go
+++ b/internal/controlplane/distribution/client/config.go
@@ -23,57 +23,57 @@
 	maxFailbackDelay     = 24 * time.Hour
 )
 
-// Config is an operator's file of the distribution, of a node or of a command.
+// Config is an operator's file for the distribution client of a node or a command.
 type Config struct {
-	Control       []string          `toml:"control"`      // addresses of control processes, the preferred one first
-	Services      []string          `toml:"services"`     // that the node serves
-	Region        string            `toml:"region"`       // of the node, for the status
-	Zone          string            `toml:"zone"`         // likewise
-	Directory     string            `toml:"directory"`    // that exists, for what the node holds
-	StartTimeout  tomlfile.Duration `toml:"start_within"` // that a start waits to be current
-	FailbackDelay tomlfile.Duration `toml:"return_after"` // until a control process preferred to the one followed is probed; 0: never
-	TLSName       string            `toml:"tls_name"`     // that the control processes' certificates are for
+	Control       []string          `toml:"control"`      // addresses of control processes, in order of preference
+	Services      []string          `toml:"services"`     // services that the node serves
+	Region        string            `toml:"region"`       // of the node, as reported in its status
+	Zone          string            `toml:"zone"`         // of the node, as reported in its status
+	Directory     string            `toml:"directory"`    // existing directory for the node's stored entries
+	StartTimeout  tomlfile.Duration `toml:"start_within"` // maximum wait at startup for the node to be current
+	FailbackDelay tomlfile.Duration `toml:"return_after"` // delay before probes of more preferred control processes; 0 disables failback
+	TLSName       string            `toml:"tls_name"`     // name in the control processes' certificates
 	Cert          string            `toml:"cert"`
 	Key           string            `toml:"key"`
 	CA            string            `toml:"ca"`
-	Plaintext     bool              `toml:"plaintext"` // without TLS, on loopback only
+	Plaintext     bool              `toml:"plaintext"` // disables TLS; only for loopback addresses
 
-	Name        string              `toml:"-"` // of the node
+	Name        string              `toml:"-"` // name of the node
 	Addresses   []netip.AddrPort    `toml:"-"`
-	Keys        *mtls.Keys          `toml:"-"` // nil: plaintext
-	StoreLimits distribution.Limits `toml:"-"` // zero: the defaults
+	Keys        *mtls.Keys          `toml:"-"` // nil for plaintext
+	StoreLimits distribution.Limits `toml:"-"` // zero values select the defaults
 }
 
-// Load reads the file of a node. The error names each fault by file and line.
+// Load reads and validates the file of a node. The error lists each fault with its file and line.
 func Load(path string) (*Config, error) {
 	c, f, err := parse(path)
 	if err != nil {
 		return nil, err
 	}
 	if len(c.Services) == 0 || len(c.Services) > maxServices {
-		f.Wrong("services", "%d services: from 1 to %d", len(c.Services), maxServices)
+		f.Wrong("services", "%d services: want 1 to %d", len(c.Services), maxServices)
 	}
 	for i, name := range c.Services {
 		switch {
 		case name == "" || len(name) > distribution.MaxNameBytes:
-			f.Wrong("services."+strconv.Itoa(i), "service %.40q: a name of 1 to %d bytes is wanted", name, distribution.MaxNameBytes)
+			f.Wrong("services."+strconv.Itoa(i), "service %.40q: want a name of 1 to %d bytes", name, distribution.MaxNameBytes)
 		case slices.Contains(c.Services[:i], name):
-			f.Wrong("services."+strconv.Itoa(i), "service %q is named twice", name)
+			f.Wrong("services."+strconv.Itoa(i), "service %q listed twice", name)
 		}
 	}
-	if st, err := os.Stat(c.Directory); c.Directory == "" || err != nil || !st.IsDir() {
-		f.Wrong("directory", "directory %q is no folder that is there", c.Directory)
+	if info, err := os.Stat(c.Directory); c.Directory == "" || err != nil || !info.IsDir() {
+		f.Wrong("directory", "directory %q does not exist or is not a directory", c.Directory)
 	}
 	if d := c.StartTimeout.Std(); d < 0 || d > maxStartTimeout {
-		f.Wrong("start_within", "start_within %s: from 0s to %s", d, maxStartTimeout)
+		f.Wrong("start_within", "start_within %s: want 0s to %s", d, maxStartTimeout)
 	}
 	if d := c.FailbackDelay.Std(); d < 0 || d > maxFailbackDelay {
-		f.Wrong("return_after", "return_after %s: from 0s to %s", d, maxFailbackDelay)
+		f.Wrong("return_after", "return_after %s: want 0s to %s", d, maxFailbackDelay)
 	}
 	return c, f.Err()
 }
 
-// LoadAccess reads as much of the file as a command needs: where control processes are, and the keys.
+// LoadAccess reads the file for a command. It validates only the settings for the connection to control processes.
 func LoadAccess(path string) (*Config, error) {
 	c, f, err := parse(path)
 	if err != nil {
@@ -93,27 +93,27 @@
 		return nil, nil, err
 	}
 	if len(c.Control) == 0 || len(c.Control) > maxControlProcesses {
-		f.Wrong("control", "%d control processes: from 1 to %d", len(c.Control), maxControlProcesses)
+		f.Wrong("control", "%d control processes: want 1 to %d", len(c.Control), maxControlProcesses)
 	}
 	for i, address := range c.Control {
 		parsed, err := netip.ParseAddrPort(address)
 		if err != nil || parsed.Port() == 0 {
-			f.Wrong("control."+strconv.Itoa(i), "control process %q: an address and a port are wanted", address)
+			f.Wrong("control."+strconv.Itoa(i), "control process %q: want IP address and port", address)
 		}
 		c.Addresses = append(c.Addresses, parsed)
 	}
 	if !c.Plaintext && c.TLSName == "" {
-		f.Wrong("tls_name", "tls_name says what the control processes' certificates are for")
+		f.Wrong("tls_name", "tls_name is missing: want the name in the control processes' certificates")
 	}
 	c.Keys = mtls.KeysFromConfig(f, mtls.Files{Cert: c.Cert, Key: c.Key, CA: c.CA}, c.Plaintext, c.Addresses)
 	return c, f, nil
 }
 
-// scope returns the services that the node holds entries of: its own, and "", which is for every node.
+// scope returns the services whose entries the node stores: its own, and "" for entries of every node.
 func (c *Config) scope() []string { return append([]string{""}, c.Services...) }
 
-// secure wraps a connection to a control process in TLS, if the file names keys. If changed keys could not be read, it returns
-// both a connection with those read before and an error that is errKeysNotReloaded.
+// secure wraps a connection to a control process in TLS unless the file selects plaintext. If changed keys fail to load, it
+// returns both a connection with the previous keys and an error that wraps errKeysNotReloaded.
 func (c *Config) secure(connection net.Conn) (net.Conn, error) {
 	if c.Keys == nil {
 		return connection, nil
@@ -125,5 +125,5 @@
 	return secured, nil
 }
 
-// errKeysNotReloaded says that changed keys could not be read; the connection is good all the same.
+// errKeysNotReloaded reports that changed keys failed to load. The connection with the previous keys is usable.
 var errKeysNotReloaded = errors.New("keys not reloaded")
--- a/internal/controlplane/distribution/client/doc.go
+++ b/internal/controlplane/distribution/client/doc.go
@@ -1,7 +1,7 @@
-// Package client is a node's end of the distribution. It follows one of the control processes of its file, keeps what it
-// receives on disk, and hands the entries to an Applier, which puts them into effect. The same file leads commands to a control
-// process: see Session.
+// Package client implements a node's client of configuration distribution. It subscribes to one of the control processes of
+// its configuration file, persists the received entries, and passes them to an Applier, which puts them into effect. Commands
+// connect to a control process with the same file: see Session.
 //
-// One goroutine, Run's, owns the connection and everything that is applied. Goroutines of a connection only read and write
-// frames and hand events to it. Store and subscriber are shared with Status and the disk's writer, under Client.mu.
+// The goroutine of Client.Run owns the connection and the state of what is applied. The goroutines of a connection only read and
+// write frames and send events to it. Client.mu guards the store and the subscriber, which Status and the disk's writer also use.
 package client
--- a/internal/controlplane/distribution/client/follow.go
+++ b/internal/controlplane/distribution/client/follow.go
@@ -8,7 +8,7 @@
 	"fernvane/internal/controlplane/distribution/wire"
 )
 
-// handle takes in an event of the current connection. Events of earlier connections are ignored.
+// handle processes an event of a probe or of the current connection. It ignores events of earlier connections.
 func (c *Client) handle(e event) {
 	if e.isProbe {
 		c.mu.Lock()
@@ -25,16 +25,16 @@
 	case e.isConnected:
 		c.subscribe()
 	default:
-		c.receive(e.message, e.at)
+		c.receive(e.message, e.receivedAt)
 	}
 }
 
-// subscribe subscribes at a control process that has answered.
+// subscribe sends the subscription to a newly connected control process.
 func (c *Client) subscribe() {
 	c.mu.Lock()
 	c.subscriber.UpstreamConnected(c.now())
 	c.upstream = c.config.Control[c.link.upstream]
-	asked := distribution.Subscription{
+	subscription := distribution.Subscription{
 		Name:             c.config.Name,
 		Role:             distribution.RoleNode,
 		Region:           c.config.Region,
@@ -44,19 +44,19 @@
 		UnsyncedServices: c.store.UnsyncedServices(),
 	}
 	c.link.receiver = distribution.NewReceiver(c.store)
-	c.link.reported = asked.Vector.Clone()
+	c.link.reportedVector = subscription.Vector.Clone()
 	c.mu.Unlock()
 	c.log.Info().Str("control", c.upstream).Msg("distribution: control process connected")
-	c.link.send(&wire.Subscribe{Subscription: asked})
+	c.link.send(&wire.Subscribe{Subscription: subscription})
 }
 
-// receive takes in a message.
-func (c *Client) receive(m wire.Message, at time.Time) {
+// receive processes a message from the control process.
+func (c *Client) receive(m wire.Message, receivedAt time.Time) {
 	c.link.lastMessage = c.now()
 	c.link.isPinged = false
 	switch m := m.(type) {
 	case *wire.Batch:
-		c.receiveBatch(m.Batch, at)
+		c.receiveBatch(m.Batch, receivedAt)
 	case *wire.Digests:
 		c.compareDigests(m.Digests)
 	case *wire.Pull:
@@ -64,23 +64,24 @@
 	case *wire.Acknowledge:
 		c.uploadAcknowledged(m.Acknowledgement)
 	default:
-		c.rejectLink(fmt.Errorf("a %T from a control process", m))
+		c.rejectLink(fmt.Errorf("unexpected %T from control process", m))
 	}
 }
 
-// rejectLink ends a connection whose other side does not keep to the protocol, after telling it why.
-func (c *Client) rejectLink(why error) {
-	c.link.reject(why)
+// rejectLink sends the reason to a control process that violated the protocol, and closes the connection.
+func (c *Client) rejectLink(cause error) {
+	c.link.reject(cause)
 	c.link.isRejected = true
-	c.endLink(why, true)
+	c.endLink(cause, true)
 }
 
-// endLink ends the current connection or attempt. The subscriber is notified unless it has decided so itself.
-func (c *Client) endLink(why error, notifiesSubscriber bool) {
+// endLink closes the current connection or attempt. It notifies the subscriber if notifiesSubscriber, which is false for a
+// decision of the subscriber itself.
+func (c *Client) endLink(cause error, notifiesSubscriber bool) {
 	if c.link == nil {
 		return
 	}
-	c.log.Warn().Err(why).Str("control", c.config.Control[c.link.upstream]).Msg("distribution: control process disconnected")
+	c.log.Warn().Err(cause).Str("control", c.config.Control[c.link.upstream]).Msg("distribution: control process disconnected")
 	c.disconnect()
 	if !notifiesSubscriber {
 		return
@@ -90,7 +91,7 @@
 	c.mu.Unlock()
 }
 
-// disconnect closes the current connection. One that is being rejected closes itself when the rejection has been sent.
+// disconnect closes the current connection. A rejected connection closes after its writer has sent the rejection.
 func (c *Client) disconnect() {
 	if c.link == nil {
 		return
@@ -105,8 +106,8 @@
 	c.mu.Unlock()
 }
 
-// pingIfSilent asks a silent control process whether it is there, and leaves one that does not answer. It returns how long to
-// wait until the next look; 0 if none is followed.
+// pingIfSilent pings a silent control process, and disconnects from one that does not respond in time. It returns the time until
+// the next check; 0 if no control process is connected.
 func (c *Client) pingIfSilent(now time.Duration) time.Duration {
 	l := c.link
 	if l == nil || l.receiver == nil {
@@ -115,7 +116,7 @@
 	silence := now - l.lastMessage
 	switch {
 	case silence >= pingAfter+pingTimeout:
-		c.endLink(errSilent, true)
+		c.endLink(errPingTimeout, true)
 		return time.Millisecond
 	case silence >= pingAfter && !l.isPinged:
 		l.isPinged = true
--- a/internal/controlplane/distribution/client/link.go
+++ b/internal/controlplane/distribution/client/link.go
@@ -15,66 +15,66 @@
 )
 
 const (
-	dialTimeout       = time.Second      // for a connection, its TLS and its greeting
-	silenceTimeout    = 25 * time.Second // without a frame; pings end a silent connection sooner
-	maxQueuedMessages = 64               // that wait for a control process to take them
-	pingAfter         = 2 * time.Second  // of silence
-	pingTimeout       = 1500 * time.Millisecond
+	dialTimeout       = time.Second             // for the connection, TLS handshake and protocol handshake
+	silenceTimeout    = 25 * time.Second        // read deadline of a frame; pings detect a silent connection sooner
+	maxQueuedMessages = 64                      // messages queued for a control process
+	pingAfter         = 2 * time.Second         // silence before a ping
+	pingTimeout       = 1500 * time.Millisecond // for any message after a ping
 )
 
-// keepAlive has the system notice within five seconds that a machine is gone.
+// keepAlive makes the kernel detect a lost machine within five seconds.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3}
 
-// Why a connection is ended from here.
+// Reasons for which the client closes a connection.
 var (
-	errQueueFull = errors.New("peer accepts no messages")
-	errSilent    = errors.New("no frame from peer")
-	errEnded     = errors.New("connection ended")
+	errQueueFull        = errors.New("outgoing queue full: control process reads no messages")
+	errPingTimeout      = errors.New("no frame from control process within ping timeout")
+	errConnectionClosed = errors.New("connection closed")
 )
 
-// protocolError is a violation of the protocol by the other side, which is sent it as the rejection.
+// protocolError is a protocol violation by the control process, to which it is sent as the rejection.
 type protocolError struct{ error }
 
-// event is what the goroutines of connections hand to Run's.
+// event is sent from the goroutines of connections and probes to Run's goroutine.
 type event struct {
-	link        int // number
+	link        int // number of the link
 	isConnected bool
 	message     wire.Message
-	at          time.Time // of the message
+	receivedAt  time.Time // receipt of the message
 	err         error
 
-	isProbe  bool // a probe of an upstream has ended, which has no link
-	upstream int  // of the probe
+	isProbe  bool // end of a probe, which has no link
+	upstream int  // index of the probed upstream
 }
 
-// link is one attempt at an upstream, and the connection that comes of it.
+// link is one connection attempt to an upstream and the resulting connection.
 type link struct {
 	number    int
-	upstream  int // index
+	upstream  int // index of the upstream
 	cancel    context.CancelFunc
-	out       chan wire.Message
-	rejection chan error // why the connection ends, to be sent to the other side
+	outgoing  chan wire.Message
+	rejection chan error // reason for closing the connection, to be sent to the control process
 
-	// Of Run's goroutine alone.
+	// Owned by Run's goroutine.
 	receiver           *distribution.Receiver // nil until connected
-	reported           distribution.Vector    // applied, as the other side knows it; nil until connected
+	reportedVector     distribution.Vector    // applied vector as reported to the control process; nil until connected
 	reportedRejections map[distribution.Key]string
 	upload             upload
 	lastMessage        time.Duration
 	isPinged           bool
-	isOverflowed       bool // a message found no room in out
+	isOverflowed       bool // a message was dropped because outgoing was full
 	isRejected         bool
 }
 
-// startLink begins an attempt at an upstream.
-func (c *Client) startLink(running context.Context, upstream int) {
+// startLink starts a connection attempt to an upstream.
+func (c *Client) startLink(parent context.Context, upstream int) {
 	c.lastLink++
-	ctx, cancel := context.WithCancel(running)
+	ctx, cancel := context.WithCancel(parent)
 	l := &link{
 		number:             c.lastLink,
 		upstream:           upstream,
 		cancel:             cancel,
-		out:                make(chan wire.Message, maxQueuedMessages),
+		outgoing:           make(chan wire.Message, maxQueuedMessages),
 		rejection:          make(chan error, 1),
 		reportedRejections: map[distribution.Key]string{},
 		lastMessage:        c.now(),
@@ -84,27 +84,27 @@
 		defer cancel()
 		err := l.run(ctx, c.config, c.events, c.log)
 		if err == nil {
-			err = errEnded
+			err = errConnectionClosed
 		}
-		notify(running, c.events, event{link: l.number, err: err}) // not ctx: also of a connection that has ended itself
+		notify(parent, c.events, event{link: l.number, err: err}) // not ctx, which is done when the link has cancelled itself
 	})
 }
 
-// startProbe sees whether a control process answers, beside the current connection.
-func (c *Client) startProbe(running context.Context, upstream int) {
+// startProbe tests whether an upstream accepts a connection, independently of the current connection.
+func (c *Client) startProbe(parent context.Context, upstream int) {
 	c.running.Go(func() {
-		conn, err := Dial(running, c.config, c.config.Addresses[upstream], c.config.Name)
+		conn, err := Dial(parent, c.config, c.config.Addresses[upstream], c.config.Name)
 		if errors.Is(err, errKeysNotReloaded) {
 			err = nil
 		}
 		if conn != nil {
 			conn.Close()
 		}
-		notify(running, c.events, event{isProbe: true, upstream: upstream, err: err})
+		notify(parent, c.events, event{isProbe: true, upstream: upstream, err: err})
 	})
 }
 
-// notify hands over an event. It returns false if the context ended before.
+// notify sends an event. It returns false if the context is done first.
 func notify(ctx context.Context, events chan<- event, e event) bool {
 	select {
 	case events <- e:
@@ -114,7 +114,7 @@
 	}
 }
 
-// run connects, and reads and writes until the connection ends.
+// run connects to the upstream, and reads and writes messages until the connection closes.
 func (l *link) run(ctx context.Context, config *Config, events chan<- event, log zerolog.Logger) error {
 	conn, err := Dial(ctx, config, config.Addresses[l.upstream], config.Name)
 	if errors.Is(err, errKeysNotReloaded) {
@@ -137,7 +137,7 @@
 	}()
 	err = l.read(ctx, conn, events)
 	if errors.As(err, new(*protocolError)) {
-		l.reject(err) // the writer sends it and ends
+		l.reject(err) // the writer sends the rejection and returns
 	} else {
 		l.cancel()
 	}
@@ -150,11 +150,11 @@
 		select {
 		case <-ctx.Done():
 			return
-		case why := <-l.rejection:
-			conn.Reject(why)
+		case cause := <-l.rejection:
+			conn.Reject(cause)
 			l.cancel()
 			return
-		case m := <-l.out:
+		case m := <-l.outgoing:
 			if err := wire.Send(conn, m); err != nil {
 				return
 			}
@@ -175,35 +175,35 @@
 		if err != nil {
 			return &protocolError{err}
 		}
-		if !notify(ctx, events, event{link: l.number, message: m, at: time.Now()}) {
+		if !notify(ctx, events, event{link: l.number, message: m, receivedAt: time.Now()}) {
 			return nil
 		}
 	}
 }
 
-// send queues a message. If the upstream takes nothing, the next acknowledgement ends the connection.
+// send queues a message. If the queue is full, the next acknowledgement closes the connection.
 func (l *link) send(m wire.Message) {
 	select {
-	case l.out <- m:
+	case l.outgoing <- m:
 	default:
 		l.isOverflowed = true
 	}
 }
 
-// reject sends the other side why the connection ends, and ends it.
-func (l *link) reject(why error) {
+// reject schedules the rejection, after which the writer closes the connection.
+func (l *link) reject(cause error) {
 	select {
-	case l.rejection <- why:
+	case l.rejection <- cause:
 	default:
 	}
 }
 
-// Dial opens a connection to a control process, with its TLS and greeting. If keys could not be reloaded it returns both a good
-// connection and an error; every other error comes without a connection.
-func Dial(ctx context.Context, config *Config, at netip.AddrPort, name string) (*framing.Conn, error) {
+// Dial connects to a control process and completes the TLS and protocol handshakes. If changed keys fail to load, it returns both
+// a usable connection and an error. For every other error the connection is nil.
+func Dial(ctx context.Context, config *Config, address netip.AddrPort, name string) (*framing.Conn, error) {
 	deadline := time.Now().Add(dialTimeout)
 	dialer := net.Dialer{Deadline: deadline, KeepAliveConfig: keepAlive}
-	connection, err := dialer.DialContext(ctx, "tcp", at.String())
+	connection, err := dialer.DialContext(ctx, "tcp", address.String())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/distribution/client/protocol_test.go
+++ b/internal/controlplane/distribution/client/protocol_test.go
@@ -51,7 +51,7 @@
 		"another version":      {other, "version 1 is spoken here"},
 		"HTTP":                 {[]byte("HTTP/1.1 400 Bad Request\r\n\r\n"), "longer than any may be"},
 		"refused":              {append(slices.Clone(greeting), refusal...), "refused by the peer: no room"},
-		"a message of others'": {append(slices.Clone(greeting), write...), "a *wire.Write from a control process"},
+		"a message of others'": {append(slices.Clone(greeting), write...), "unexpected *wire.Write from control process"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -123,7 +123,7 @@
 		"no port":              {strings.Replace(base, ":7560", ":0", 1), ":1: control process \"127.0.0.1:0\"", ":1: control process"},
 		"plain beyond":         {strings.Replace(base, "127.0.0.1", "10.0.0.1", 1), "loopback", "loopback"},
 		"no folder":            {strings.Replace(base, dir, dir+"/none", 1), ":3: directory", ""},
-		"a service twice":      {strings.Replace(base, "\"hire\"", "\"hire\", \"hire\"", 1), ":2: service \"hire\" is named twice", ""},
+		"a service twice":      {strings.Replace(base, "\"hire\"", "\"hire\", \"hire\"", 1), ":2: service \"hire\" listed twice", ""},
 		"a service of nothing": {strings.Replace(base, "\"hire\"", "\"\"", 1), ":2: service \"\"", ""},
 		"too long a start":     {base + "start_within = \"2m\"\n", ":5: start_within 2m0s", ""},
 		"too long a return":    {base + "return_after = \"25h\"\n", ":5: return_after 25h0m0s", ""},
--- a/internal/controlplane/distribution/client/rejections.go
+++ b/internal/controlplane/distribution/client/rejections.go
@@ -9,19 +9,19 @@
 	"fernvane/internal/controlplane/distribution/wire"
 )
 
-const maxRejections = 64 // in one message, and in a status
+const maxRejections = 64 // per message and per status
 
-// rejections are the entries that cannot be used, by key.
+// rejections maps the keys of rejected entries to their rejections.
 type rejections map[distribution.Key]rejection
 
-// rejection is why an entry cannot be used.
+// rejection is the reason for which an entry was rejected by the store or the applier.
 type rejection struct {
-	version  distribution.Entry // without its value
+	version  distribution.Entry // stored entry without its value; zero if none is stored
 	reason   string
 	isLogged bool
 }
 
-// first returns as many rejections as a message takes, in the order of their keys.
+// first returns the first maxRejections rejections in key order.
 func (r rejections) first() (all []distribution.Rejection) {
 	keys := slices.SortedFunc(maps.Keys(r), distribution.CompareKeys)
 	for _, k := range keys[:min(len(keys), maxRejections)] {
@@ -30,13 +30,13 @@
 	return all
 }
 
-// addRejections records entries that could not be held or applied. c.mu is held.
+// addRejections records entries that were rejected by the store or the applier. The caller holds c.mu.
 func (c *Client) addRejections(rejected []distribution.Rejection) {
 	for _, r := range rejected {
 		next := rejection{reason: wire.TruncateText(r.Reason)}
-		if held, ok := c.store.Entry(r.Key); ok {
-			held.Value = nil
-			next.version = held
+		if stored, ok := c.store.Entry(r.Key); ok {
+			stored.Value = nil
+			next.version = stored
 		}
 		if before, ok := c.rejections[r.Key]; ok && before.reason == next.reason && distribution.Compare(before.version, next.version) == 0 {
 			next.isLogged = before.isLogged
@@ -45,7 +45,7 @@
 	}
 }
 
-// replaceRejections replaces the rejections of some kinds, of which everything held was applied.
+// replaceRejections replaces all rejections of some kinds, after all entries of these kinds were applied.
 func (c *Client) replaceRejections(rejected []distribution.Rejection, kinds ...distribution.Kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +57,7 @@
 	c.addRejections(rejected)
 }
 
-// logRejections logs each entry that cannot be used once.
+// logRejections logs each rejected entry that was not logged before.
 func (c *Client) logRejections() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,8 +72,8 @@
 	}
 }
 
-// unreportedRejections returns what the other side does not know yet, and notes that it does now. A rejection without a reason
-// withdraws an earlier one.
+// unreportedRejections returns the changes since the rejections last reported to the control process, and marks them as reported.
+// A rejection without a reason withdraws an earlier one.
 func (l *link) unreportedRejections(current rejections) (unreported []distribution.Rejection) {
 	for k := range l.reportedRejections {
 		if _, isRejected := current[k]; !isRejected && len(unreported) < maxRejections {
--- a/internal/controlplane/distribution/client/session.go
+++ b/internal/controlplane/distribution/client/session.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	answerTimeout   = 5 * time.Second // for a control process to answer a command, between two messages
-	maxWriteBytes   = 512 << 10       // of values in one write
-	maxWriteChanges = 2000            // in one write
+	responseTimeout = 5 * time.Second // for each message from a control process
+	maxWriteBytes   = 512 << 10       // values in one write
+	maxWriteChanges = 2000            // changes in one write
 )
 
-// ErrNoControlProcess says that no control process has answered.
-var ErrNoControlProcess = errors.New("no control process answers")
+// ErrNoControlProcess reports that no control process responded.
+var ErrNoControlProcess = errors.New("no control process responded")
 
-// WriteRejectedError is a control process's answer to a write that it did not accept, or that is not on its disk.
+// WriteRejectedError reports a write that a control process rejected, or accepted but failed to save to its disk.
 type WriteRejectedError struct{ Reason string }
 
-func (e *WriteRejectedError) Error() string { return "the control process answers: " + e.Reason }
+func (e *WriteRejectedError) Error() string { return "control process reported: " + e.Reason }
 
-// Session is a command's connection to the first control process that answers. It is not safe for concurrent use.
+// Session is a command's connection to a control process. It is not safe for concurrent use.
 type Session struct {
-	Control string // its address
+	Control string // address of the control process
 	conn    *framing.Conn
-	lastID  uint64 // of a request
+	lastID  uint64 // ID of the last request
 }
 
-// Open connects to the first control process of the file that answers. The caller closes the session. The error wraps
+// Open connects to the first control process of the configuration that responds. The caller closes the session. The error wraps
 // ErrNoControlProcess.
 func Open(ctx context.Context, config *Config) (*Session, error) {
 	host, _ := os.Hostname()
@@ -50,7 +50,7 @@
 	return nil, noControlProcess(reasons)
 }
 
-// noControlProcess adds the reasons, which are joined, to ErrNoControlProcess.
+// noControlProcess returns ErrNoControlProcess with the joined reasons on one line.
 func noControlProcess(reasons error) error {
 	text := ""
 	if joined, ok := reasons.(interface{ Unwrap() []error }); ok {
@@ -61,12 +61,12 @@
 	return fmt.Errorf("%w%s", ErrNoControlProcess, text)
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (s *Session) Close() { s.conn.Close() }
 
 // receive waits for the next message.
 func (s *Session) receive() (wire.Message, error) {
-	kind, body, err := s.conn.Receive(time.Now().Add(answerTimeout))
+	kind, body, err := s.conn.Receive(time.Now().Add(responseTimeout))
 	if err != nil {
 		return nil, err
 	}
@@ -76,19 +76,19 @@
 	return wire.Decode(kind, body)
 }
 
-// noAnswer is the error of a request that changes nothing.
-func (s *Session) noAnswer(err error) error {
+// noResponse returns the error of a failed request without side effects.
+func (s *Session) noResponse(err error) error {
 	return fmt.Errorf("%w; %s: %v", ErrNoControlProcess, s.Control, err)
 }
 
-// outcomeUnknown is the error of a write that may have been made.
+// outcomeUnknown returns the error of a write that may have taken effect.
 func (s *Session) outcomeUnknown(err error) error {
-	return fmt.Errorf("%w: %s took the change and did not answer (%v): it may be in effect, and writing it again is safe",
+	return fmt.Errorf("%w: write to %s: no result (%v): the change may be in effect, and a retry is safe",
 		ErrNoControlProcess, s.Control, err)
 }
 
-// Write makes changes, in as many writes as they need, and returns the last result. Each write is made as a whole or not at
-// all. The error is a *WriteRejectedError, or wraps ErrNoControlProcess if the outcome is not known.
+// Write writes changes, split into as many requests as needed, and returns the last result. Each request is atomic. The error is
+// a *WriteRejectedError, or wraps ErrNoControlProcess if the outcome is unknown.
 func (s *Session) Write(changes []distribution.Change) (result *wire.WriteResult, err error) {
 	for len(changes) > 0 {
 		n, bytes := 0, 0
@@ -125,36 +125,35 @@
 	}
 }
 
-// Status asks for the status of the control process itself and of all nodes that it knows. The error wraps
-// ErrNoControlProcess.
+// Status requests the status of the control process and of all nodes known to it. The error wraps ErrNoControlProcess.
 func (s *Session) Status() (self distribution.NodeStatus, nodes []distribution.NodeStatus, err error) {
 	s.lastID++
 	if err := wire.Send(s.conn, &wire.StatusQuery{ID: s.lastID}); err != nil {
-		return self, nil, s.noAnswer(err)
+		return self, nil, s.noResponse(err)
 	}
 	for {
 		m, err := s.receive()
 		if err != nil {
-			return self, nil, s.noAnswer(err)
+			return self, nil, s.noResponse(err)
 		}
-		answer, ok := m.(*wire.StatusAnswer)
-		if !ok || answer.ID != s.lastID {
+		response, ok := m.(*wire.StatusAnswer)
+		if !ok || response.ID != s.lastID {
 			continue
 		}
-		self, nodes = answer.Self, append(nodes, answer.Nodes...)
-		if answer.IsLast {
+		self, nodes = response.Self, append(nodes, response.Nodes...)
+		if response.IsLast {
 			return self, nodes, nil
 		}
 	}
 }
 
-// Read reads all entries that are held of some services. The session can only be closed afterwards.
+// Read returns all live entries of some services. After it, the only valid call on the session is Close.
 func (s *Session) Read(services []string) ([]distribution.Entry, error) {
 	store := distribution.NewStore("", distribution.Limits{})
 	store.SetScope(services)
-	asked := distribution.Subscription{Name: "reader", Role: distribution.RoleReader, Services: services}
-	if err := wire.Send(s.conn, &wire.Subscribe{Subscription: asked}); err != nil {
-		return nil, s.noAnswer(err)
+	subscription := distribution.Subscription{Name: "reader", Role: distribution.RoleReader, Services: services}
+	if err := wire.Send(s.conn, &wire.Subscribe{Subscription: subscription}); err != nil {
+		return nil, s.noResponse(err)
 	}
 	if err := s.receiveAll(distribution.NewReceiver(store)); err != nil {
 		return nil, err
@@ -166,12 +165,12 @@
 	return all, nil
 }
 
-// receiveAll receives batches until one is complete.
+// receiveAll receives and acknowledges batches until one is complete.
 func (s *Session) receiveAll(receiver *distribution.Receiver) error {
 	for {
 		m, err := s.receive()
 		if err != nil {
-			return s.noAnswer(err)
+			return s.noResponse(err)
 		}
 		batch, ok := m.(*wire.Batch)
 		if !ok {
@@ -186,7 +185,7 @@
 		}
 		acknowledge := &wire.Acknowledge{Acknowledgement: distribution.Acknowledgement{BatchNumber: batch.Number}}
 		if err := wire.Send(s.conn, acknowledge); err != nil {
-			return s.noAnswer(err)
+			return s.noResponse(err)
 		}
 	}
 }
--- a/internal/controlplane/distribution/client/status.go
+++ b/internal/controlplane/distribution/client/status.go
@@ -6,18 +6,18 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-// Status of a node as it knows it itself.
+// Status is the status of a node as reported by the node itself.
 type Status struct {
 	State            distribution.State
-	Revision         uint64 // total of the vector
+	Revision         uint64 // number of changes that the vector covers
 	NewestChange     time.Time
-	Upstream         string        // the control process followed; "" for none
-	Staleness        time.Duration // since the node was last current
-	IsStalenessKnown bool          // whether it ever was
+	Upstream         string        // address of the connected control process; "" for none
+	Staleness        time.Duration // time since the node was last current
+	IsStalenessKnown bool          // whether a time at which the node was current is known
 	Rejected         []distribution.Rejection
 }
 
-// Status returns the node's status.
+// Status returns the current status of the node.
 func (c *Client) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -36,7 +36,7 @@
 	return s
 }
 
-// describeStaleness says by how much the node is behind, as far as that is known.
+// describeStaleness describes how far the node is behind, as the value of a log key.
 func (s Status) describeStaleness() string {
 	switch {
 	case s.State == distribution.StateCurrent:
@@ -44,7 +44,7 @@
 	case s.IsStalenessKnown:
 		return s.Staleness.Round(time.Second / 10).String()
 	case s.Revision == 0:
-		return "unknown: nothing is held"
+		return "unknown: no entries stored"
 	}
 	return "unknown"
 }
--- a/internal/controlplane/distribution/client/syncmark.go
+++ b/internal/controlplane/distribution/client/syncmark.go
@@ -12,40 +12,40 @@
 )
 
 const (
-	syncMarkFile = "held.json"      // the name that deployed nodes have on disk
-	markInterval = 10 * time.Second // between two updates of the file
+	syncMarkFile = "held.json"      // fixed: deployed nodes have a file of this name
+	markInterval = 10 * time.Second // minimum time between two updates of the file
 )
 
-// syncMark says for which services the vector on disk holds, and when the node was current last. It is the content of
-// syncMarkFile.
+// syncMark is the content of syncMarkFile: the services that the vector on disk covers, and the last time at which the node was
+// current.
 type syncMark struct {
 	Services []string  `json:"Services"`
 	Current  time.Time `json:"Current"`
 }
 
-// markState is how far the mark is on disk. It belongs to Run's goroutine.
+// markState tracks the saved mark. Run's goroutine owns it.
 type markState struct {
 	lastRefresh    time.Time
 	saved          syncMark
-	syncedServices []string // services that the vector covered at the last refresh, when nothing waited to be written
+	syncedServices []string // services that the vector covered at the last refresh; nil if writes were pending then
 }
 
-// restore takes in what the disk held. Services that its vector does not cover get a full sync; what is held of them is in
-// effect until then.
+// restore initializes the store from the content of the disk. Services that the stored vector does not cover get a full sync;
+// their stored entries stay in effect until then.
 func (c *Client) restore(loaded disk.Loaded) {
 	services := c.config.scope()
 	c.store.Restore(loaded.Entries, loaded.Vector, loaded.Pruned)
 	c.disk.Save(nil, keysOf(c.store.SetScope(services)), nil)
 	saved, err := readSyncMark(c.config.Directory)
 	if err != nil && !os.IsNotExist(err) {
-		c.log.Error().Err(err).Msg("distribution: sync mark unreadable, all services are received again")
+		c.log.Error().Err(err).Msg("distribution: sync mark unreadable, full sync of all services")
 	}
 	c.syncMark.Current = saved.Current
 	if len(loaded.Entries) > 0 || len(loaded.Vector) > 0 {
 		c.store.MarkUnsynced(slices.DeleteFunc(services, func(name string) bool { return slices.Contains(saved.Services, name) }))
 	}
 	c.syncMark.Services = c.syncedServices()
-	c.saveMark() // ahead of whatever raises the vector
+	c.saveMark() // before the vector on disk can advance
 }
 
 // syncedServices returns the services that the vector covers.
@@ -54,8 +54,8 @@
 	return slices.DeleteFunc(c.config.scope(), func(name string) bool { return slices.Contains(unsynced, name) })
 }
 
-// refreshMark updates the mark every markInterval. A service counts as saved if nothing waited to be written at two refreshes:
-// what waited in the writer at the first is in the file at the second.
+// refreshMark updates the mark every markInterval. A service counts as saved if no writes were pending at two consecutive
+// refreshes, because changes in the writer's hands at the first refresh are in the file at the second.
 func (c *Client) refreshMark() {
 	if time.Since(c.markState.lastRefresh) < markInterval {
 		return
@@ -76,7 +76,7 @@
 	c.saveMark()
 }
 
-// saveFinalMark updates the mark after the disk has been closed with everything in it.
+// saveFinalMark updates the mark after the disk was closed without unsaved entries.
 func (c *Client) saveFinalMark() {
 	c.mu.Lock()
 	c.syncMark.Services = c.syncedServices()
@@ -85,14 +85,14 @@
 	c.saveMark()
 }
 
-// markCurrent notes the time if the node is current. c.mu is held.
+// markCurrent records the current time if the node is current. The caller holds c.mu.
 func (c *Client) markCurrent() {
 	if c.subscriber.State() == distribution.StateCurrent {
 		c.syncMark.Current = time.Now()
 	}
 }
 
-// saveMark writes the mark if it has changed.
+// saveMark writes the mark if it differs from the saved one.
 func (c *Client) saveMark() {
 	c.mu.Lock()
 	next := syncMark{Services: slices.Clone(c.syncMark.Services), Current: c.syncMark.Current}
@@ -109,24 +109,24 @@
 }
 
 func readSyncMark(directory string) (m syncMark, err error) {
-	text, err := os.ReadFile(filepath.Join(directory, syncMarkFile))
+	content, err := os.ReadFile(filepath.Join(directory, syncMarkFile))
 	if err != nil {
 		return m, err
 	}
-	if err := json.Unmarshal(text, &m); err != nil {
+	if err := json.Unmarshal(content, &m); err != nil {
 		return syncMark{}, err
 	}
 	return m, nil
 }
 
-// writeSyncMark replaces the file as a whole.
+// writeSyncMark replaces the file atomically.
 func writeSyncMark(directory string, m syncMark) error {
-	text, err := json.Marshal(m)
+	content, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
 	path := filepath.Join(directory, syncMarkFile)
-	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
+	if err := os.WriteFile(path+".new", content, 0o600); err != nil {
 		return err
 	}
 	return os.Rename(path+".new", path)
--- a/internal/controlplane/distribution/client/upload.go
+++ b/internal/controlplane/distribution/client/upload.go
@@ -7,16 +7,16 @@
 	"fernvane/internal/controlplane/distribution/wire"
 )
 
-// uploadBudget is what a control process is sent of what it lacks, in bytes per second: 16 KiB/s.
+// uploadBudget is the rate limit of uploads to a control process, in bytes per second.
 const uploadBudget = 16 << 10
 
-// upload sends a control process what it lacks and this node holds, as after the control process lost its disk.
+// upload is the transfer of stored entries to a control process that lacks them, for example because it lost its disk.
 type upload struct {
-	publisher    *distribution.Publisher // nil until the control process asks
+	publisher    *distribution.Publisher // nil until the first request of the control process
 	subscription distribution.SubscriptionID
 }
 
-// startUpload begins to send what a control process asks for. A Pull that asks for nothing is a ping.
+// startUpload starts to send the requested entries to the control process. An empty Pull is a ping response and starts nothing.
 func (c *Client) startUpload(m *wire.Pull) {
 	if !m.IsContinuous && len(m.Services) == 0 {
 		return
@@ -39,10 +39,10 @@
 		Services: services,
 		Vector:   m.Vector,
 	})
-	c.log.Info().Str("control", c.upstream).Msg("distribution: sending control process what it lacks")
+	c.log.Info().Str("control", c.upstream).Msg("distribution: uploading missing entries to control process")
 }
 
-// sendUpload sends what is due, and returns how long to wait for more; 0 if nothing waits.
+// sendUpload sends the batches that are due, and returns the time until the next one; 0 if none is pending.
 func (c *Client) sendUpload(now time.Duration) time.Duration {
 	l := c.link
 	if l == nil || l.upload.publisher == nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-// uploadAcknowledged takes in what the control process has taken.
+// uploadAcknowledged processes an acknowledgement of uploaded entries.
 func (c *Client) uploadAcknowledged(a distribution.Acknowledgement) {
 	u := &c.link.upload
 	if u.publisher == nil {
