--- a/internal/controlplane/distribution/disk/golden_test.go
+++ b/internal/controlplane/distribution/disk/golden_test.go
@@ -19,15 +19,15 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew; only for a new format of the file")
+var update = flag.Bool("update", false, "rewrite the golden files; only for a new file format")
 
-// The golden file, packed, and its tables as text.
+// goldenFile is the compressed golden file, goldenTables its tables as text.
 const (
 	goldenFile   = "testdata/format1.db.gz"
 	goldenTables = "testdata/format1.txt"
 )
 
-// golden is what the golden file holds. Vectors hold one origin: the order of a map's pairs in the file is not fixed.
+// golden is the content of the golden file. Its vectors have a single origin because the stored order of map entries is not fixed.
 var golden = Loaded{
 	Origin:  "root/00000000000000a1",
 	IsClean: true,
@@ -43,7 +43,7 @@
 	Pruned: distribution.Vector{"relay/00000000000000b2": 1},
 }
 
-// writeGolden writes a file that holds all that golden does.
+// writeGolden writes a file with the content of golden.
 func writeGolden(t *testing.T, path string) {
 	t.Helper()
 	d, _, err := Open(path, Options{WriteInterval: time.Millisecond})
@@ -52,27 +52,27 @@
 	}
 	d.SetOrigin(golden.Origin)
 	d.Save(golden.Entries, nil, golden.Vector)
-	d.Prune([]distribution.Key{{Service: "ferries", Kind: distribution.KindRoute, Name: "never held"}}, golden.Pruned)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	d.Prune([]distribution.Key{{Service: "ferries", Kind: distribution.KindRoute, Name: "never stored"}}, golden.Pruned)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if err := d.Close(ctx); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// tables is a file's tables as text, a line for each name in their order.
+// tables returns the buckets of a file as text, with one line per key in stored order.
 func tables(t *testing.T, path string) string {
 	t.Helper()
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: patience})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: testTimeout})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer db.Close()
 	var text strings.Builder
 	err = db.View(func(tx *bbolt.Tx) error {
-		return tx.ForEach(func(table []byte, names *bbolt.Bucket) error {
-			return names.ForEach(func(name, value []byte) error {
-				_, err := fmt.Fprintf(&text, "%s %q %x\n", table, name, value)
+		return tx.ForEach(func(bucket []byte, keys *bbolt.Bucket) error {
+			return keys.ForEach(func(key, value []byte) error {
+				_, err := fmt.Fprintf(&text, "%s %q %x\n", bucket, key, value)
 				return err
 			})
 		})
@@ -83,7 +83,7 @@
 	return text.String()
 }
 
-// TestGoldenFileIsRead reads a file of format 1 that was written by the version of the program that brought this test.
+// TestGoldenFileIsRead checks that a stored file of format 1 still loads.
 func TestGoldenFileIsRead(t *testing.T) {
 	if *update {
 		packGolden(t)
@@ -94,11 +94,11 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(loaded, golden) {
-		t.Errorf("read as\n%+v, was\n%+v", loaded, golden)
+		t.Errorf("got content\n%+v, want\n%+v", loaded, golden)
 	}
 }
 
-// TestGoldenFileIsWritten writes the same content and compares the tables: where pages lie in the file is not fixed.
+// TestGoldenFileIsWritten writes the same content and compares the tables, since the layout of pages in the file is not fixed.
 func TestGoldenFileIsWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entries.db")
 	writeGolden(t, path)
@@ -113,10 +113,10 @@
 		t.Fatal(err)
 	}
 	if written != string(text) {
-		t.Errorf("written as\n%swas\n%s", written, text)
+		t.Errorf("got tables\n%swant\n%s", written, text)
 	}
-	if held := tables(t, unpackGolden(t)); held != string(text) {
-		t.Errorf("the golden file holds\n%s, its text\n%s", held, text)
+	if stored := tables(t, unpackGolden(t)); stored != string(text) {
+		t.Errorf("golden file: got tables\n%swant\n%s", stored, text)
 	}
 }
 
@@ -126,7 +126,7 @@
 	d, loaded, err := Open(path, Options{WriteInterval: time.Millisecond})
 	if err == nil {
 		t.Cleanup(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
 			if err := d.Close(ctx); err != nil {
 				t.Error(err)
@@ -136,7 +136,7 @@
 	return d, loaded, err
 }
 
-// unpackGolden copies the golden file to a folder of the test.
+// unpackGolden decompresses the golden file into a temporary directory and returns its path.
 func unpackGolden(t *testing.T) string {
 	t.Helper()
 	packed, err := os.Open(goldenFile)
@@ -159,7 +159,7 @@
 	return path
 }
 
-// packGolden writes the golden file anew.
+// packGolden rewrites the golden file.
 func packGolden(t *testing.T) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "entries.db")
--- a/internal/controlplane/distribution/wire/golden_test.go
+++ b/internal/controlplane/distribution/wire/golden_test.go
@@ -15,9 +15,9 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew; only for a new version of the protocol")
+var update = flag.Bool("update", false, "rewrite the golden files; only for a new protocol version")
 
-// Vectors hold one origin: the order of a map's pairs on the wire is not fixed.
+// Values of the golden messages. Vectors have a single origin because the encoded order of map entries is not fixed.
 var (
 	goldenVector    = distribution.Vector{"root/00000000000000a1": 9}
 	goldenKey       = distribution.Key{Service: "ferries", Kind: distribution.KindRoute, Name: "checks"}
@@ -27,7 +27,7 @@
 		DisconnectedMs: 1700000000456, Rejected: []distribution.Rejection{goldenRejection}}
 )
 
-// goldenMessages has each message with every field set to a value of its own.
+// goldenMessages contains each type of message, with every field set to a distinct value.
 var goldenMessages = []Message{
 	&Subscribe{Subscription: distribution.Subscription{Name: "n1", Role: distribution.RoleReader, Region: "north", Zone: "z1", Services: []string{"", "ferries"},
 		AllServices: true, Vector: goldenVector, UnsyncedServices: []string{"trams"}}},
@@ -48,49 +48,49 @@
 	&StatusAnswer{ID: 15, Self: goldenStatus, Nodes: []distribution.NodeStatus{goldenStatus}, IsLast: true},
 }
 
-// goldenNames are the golden files' names, in the order of the messages.
+// goldenNames contains the base names of the golden files, in the order of the messages.
 var goldenNames = []string{"subscribe", "batch", "acknowledge", "digests", "want", "report", "write", "written", "query", "answer"}
 
-// TestGoldenMessages pins the bytes of each message between nodes, control processes and commands, which other versions of the
-// program read.
+// TestGoldenMessages fixes the encoding of each message between nodes, control processes and commands, which other versions of
+// the program decode.
 func TestGoldenMessages(t *testing.T) {
 	if want := int(kindLimit) - int(subscribeKind); len(goldenMessages) != want || len(goldenNames) != want {
-		t.Fatalf("%d messages and %d names, %d kinds", len(goldenMessages), len(goldenNames), want)
+		t.Fatalf("got %d messages and %d names, want %d of each", len(goldenMessages), len(goldenNames), want)
 	}
 	for i, m := range goldenMessages {
 		t.Run(goldenNames[i], func(t *testing.T) {
-			if _, isBatch := m.(*Batch); !isBatch { // its second entry is a deletion, which has no value
+			if _, isBatch := m.(*Batch); !isBatch { // the second entry is a deletion, which has no value
 				requireFieldsSet(t, reflect.ValueOf(m).Elem(), goldenNames[i])
 			}
-			written, err := Append(nil, m)
+			encoded, err := Append(nil, m)
 			if err != nil {
 				t.Fatal(err)
 			}
-			golden := goldenBytes(t, goldenNames[i], written)
-			if !bytes.Equal(written, golden) {
-				t.Errorf("written as\n%x, was\n%x", written, golden)
+			golden := goldenBytes(t, goldenNames[i], encoded)
+			if !bytes.Equal(encoded, golden) {
+				t.Errorf("encoded as\n%x, want\n%x", encoded, golden)
 			}
 			kind, body, err := Protocol.Read(bytes.NewReader(golden), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			read, err := Decode(kind, body)
+			decoded, err := Decode(kind, body)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !reflect.DeepEqual(read, m) {
-				t.Errorf("read as\n%+v, was\n%+v", read, m)
+			if !reflect.DeepEqual(decoded, m) {
+				t.Errorf("decoded as\n%+v, want\n%+v", decoded, m)
 			}
 		})
 	}
 }
 
-// goldenBytes reads the golden file of a message.
-func goldenBytes(t *testing.T, name string, written []byte) []byte {
+// goldenBytes returns the content of a message's golden file, after rewriting it if -update is set.
+func goldenBytes(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "frames", name+".hex")
 	if *update {
-		if err := os.WriteFile(path, []byte(hex.EncodeToString(written)+"\n"), 0o644); err != nil {
+		if err := os.WriteFile(path, []byte(hex.EncodeToString(encoded)+"\n"), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -105,7 +105,7 @@
 	return golden
 }
 
-// requireFieldsSet fails on a field that is zero: its place in the bytes would not be pinned.
+// requireFieldsSet fails if a field is zero, because the golden file would not fix the position of such a field.
 func requireFieldsSet(t *testing.T, v reflect.Value, path string) {
 	t.Helper()
 	switch {
