--- a/internal/controlplane/distribution/client/applier_test.go
+++ b/internal/controlplane/distribution/client/applier_test.go
@@ -7,95 +7,95 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-// recordingApplier records what is applied. Values that begin with "bad" cannot be used.
+// recordingApplier records the applied entries and calls. It rejects values that begin with "bad".
 type recordingApplier struct {
 	mu      sync.Mutex
 	applied map[distribution.Key]string
 	calls   map[string]int
-	history []string // of values of servers, as they came in force
+	history []string // values of servers in the order of their application
 }
 
 func newRecordingApplier() *recordingApplier {
 	return &recordingApplier{applied: map[distribution.Key]string{}, calls: map[string]int{}}
 }
 
-func bad(e distribution.Entry) bool { return len(e.Value) >= 3 && string(e.Value[:3]) == "bad" }
+func isBad(e distribution.Entry) bool { return len(e.Value) >= 3 && string(e.Value[:3]) == "bad" }
 
-func (l *recordingApplier) ApplyServers(changed []distribution.Entry, whole bool) (rejected []distribution.Rejection) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.calls["servers"]++
-	if whole {
-		l.calls["whole"]++
-		for k := range l.applied {
+func (a *recordingApplier) ApplyServers(changed []distribution.Entry, isComplete bool) (rejected []distribution.Rejection) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.calls["servers"]++
+	if isComplete {
+		a.calls["complete"]++
+		for k := range a.applied {
 			if k.Kind == distribution.KindServer {
-				delete(l.applied, k)
+				delete(a.applied, k)
 			}
 		}
 	}
 	for _, e := range changed {
 		switch {
-		case bad(e):
+		case isBad(e):
 			rejected = append(rejected, distribution.Rejection{Key: e.Key, Reason: "a bad value"})
 		case e.Deleted:
-			delete(l.applied, e.Key)
+			delete(a.applied, e.Key)
 		default:
-			l.applied[e.Key] = string(e.Value)
-			l.history = append(l.history, string(e.Value))
+			a.applied[e.Key] = string(e.Value)
+			a.history = append(a.history, string(e.Value))
 		}
 	}
 	return rejected
 }
 
-func (l *recordingApplier) ApplyRoutes(all []distribution.Entry) []distribution.Rejection {
-	return l.replace("routes", all, distribution.KindRoute, distribution.KindPool)
+func (a *recordingApplier) ApplyRoutes(all []distribution.Entry) []distribution.Rejection {
+	return a.replace("routes", all, distribution.KindRoute, distribution.KindPool)
 }
 
-func (l *recordingApplier) ApplyTenants(all []distribution.Entry) []distribution.Rejection {
-	return l.replace("tenants", all, distribution.KindTenant)
+func (a *recordingApplier) ApplyTenants(all []distribution.Entry) []distribution.Rejection {
+	return a.replace("tenants", all, distribution.KindTenant)
 }
 
-func (l *recordingApplier) replace(call string, all []distribution.Entry, kinds ...distribution.Kind) (rejected []distribution.Rejection) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.calls[call]++
+func (a *recordingApplier) replace(call string, all []distribution.Entry, kinds ...distribution.Kind) (rejected []distribution.Rejection) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.calls[call]++
 	next := map[distribution.Key]string{}
 	for _, e := range all {
 		next[e.Key] = string(e.Value)
-		if bad(e) {
+		if isBad(e) {
 			rejected = append(rejected, distribution.Rejection{Key: e.Key, Reason: "a bad value"})
-			next[e.Key] = l.applied[e.Key]
+			next[e.Key] = a.applied[e.Key]
 		}
 	}
 	for _, kind := range kinds {
-		for k := range l.applied {
+		for k := range a.applied {
 			if k.Kind == kind {
-				delete(l.applied, k)
+				delete(a.applied, k)
 			}
 		}
 	}
 	for k, v := range next {
-		l.applied[k] = v
+		a.applied[k] = v
 	}
 	return rejected
 }
 
-func (l *recordingApplier) value(k distribution.Key) string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.applied[k]
+func (a *recordingApplier) value(k distribution.Key) string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.applied[k]
 }
 
-func (l *recordingApplier) all() map[distribution.Key]string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return maps.Clone(l.applied)
+func (a *recordingApplier) all() map[distribution.Key]string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return maps.Clone(a.applied)
 }
 
-func (l *recordingApplier) size() int { return len(l.all()) }
+func (a *recordingApplier) size() int { return len(a.all()) }
 
-func (l *recordingApplier) count(call string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.calls[call]
+func (a *recordingApplier) count(call string) int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.calls[call]
 }
--- a/internal/controlplane/distribution/client/client_test.go
+++ b/internal/controlplane/distribution/client/client_test.go
@@ -23,32 +23,33 @@
 	}
 }
 
-func started(t *testing.T, n *node) {
+func waitStarted(t *testing.T, n *testNode) {
 	t.Helper()
 	select {
 	case <-n.Started():
-	case <-time.After(patience):
-		t.Fatal("it never starts")
+	case <-time.After(testTimeout):
+		t.Fatal("timed out waiting for the node to start")
 	}
 }
 
-// What is written at a control process is applied at all nodes of the service, and its status says so.
+// TestChangesAreApplied checks that all nodes of a service apply what is written at a control process, and that the control process
+// reports it.
 func TestChangesAreApplied(t *testing.T) {
-	c := newControl(t, "root/1")
+	c := newFakeControl(t, "root/1")
 	c.write(put("hire", distribution.KindServer, "s1", "up"), put("hire", distribution.KindRoute, "r1", "first"), put("", distribution.KindTenant, "dairy", "5"))
-	var nodes []*node
+	var nodes []*testNode
 	names := []string{"n1", "n2", "n3"}
 	for _, name := range names {
-		nodes = append(nodes, startNode(t, config(t, name, []string{"hire"}, c.address())))
+		nodes = append(nodes, startNode(t, nodeConfig(t, name, []string{"hire"}, c.address())))
 	}
 	for _, n := range nodes {
-		started(t, n)
+		waitStarted(t, n)
 		if s := n.Status(); s.State != distribution.StateCurrent || s.Revision != 3 {
-			t.Errorf("starts as %+v", s)
+			t.Errorf("got status %+v at start", s)
 		}
 		if n.value(key("hire", distribution.KindServer, "s1")) != "up" || n.value(key("hire", distribution.KindRoute, "r1")) != "first" ||
-			n.value(key("", distribution.KindTenant, "dairy")) != "5" || n.count("whole") != 1 {
-			t.Errorf("at its start holds %v", n.all())
+			n.value(key("", distribution.KindTenant, "dairy")) != "5" || n.count("complete") != 1 {
+			t.Errorf("got applied %v at start", n.all())
 		}
 	}
 	c.write(put("hire", distribution.KindRoute, "r1", "second"), distribution.Change{Key: key("hire", distribution.KindServer, "s1"), Deleted: true},
@@ -56,129 +57,130 @@
 	for i, n := range nodes {
 		c.waitApplied(names[i])
 		if n.value(key("hire", distribution.KindRoute, "r1")) != "second" || n.value(key("hire", distribution.KindServer, "s2")) != "up" || n.size() != 2 {
-			t.Errorf("%s has in force %v", names[i], n.all())
+			t.Errorf("%s: got applied %v", names[i], n.all())
 		}
 		if s, _ := c.status(names[i]); s.Region != "r" || s.Zone != "z" || len(s.Rejected) > 0 || s.Lag > 0 {
-			t.Errorf("seen as %+v", s)
+			t.Errorf("got status at control process %+v", s)
 		}
 	}
 }
 
-// A node receives the entries of its services and nothing of others, by the bytes that are sent.
+// TestNodesReceiveTheirServicesOnly checks by the number of sent bytes that a node receives only the entries of its services.
 func TestNodesReceiveTheirServicesOnly(t *testing.T) {
-	c := newControl(t, "root/1")
+	c := newFakeControl(t, "root/1")
 	const size = 40 << 10
 	c.write(put("hire", distribution.KindRoute, "small", "x"), put("yard", distribution.KindRoute, "large", strings.Repeat("y", size)))
-	small, large := startNode(t, config(t, "small", []string{"hire"}, c.address())), startNode(t, config(t, "large", []string{"yard"}, c.address()))
-	started(t, small)
-	started(t, large)
+	small, large := startNode(t, nodeConfig(t, "small", []string{"hire"}, c.address())), startNode(t, nodeConfig(t, "large", []string{"yard"}, c.address()))
+	waitStarted(t, small)
+	waitStarted(t, large)
 	c.write(put("yard", distribution.KindRoute, "large", strings.Repeat("z", size)))
 	c.waitApplied("large")
 	c.mu.Lock()
-	few, many := c.names["small"], c.names["large"]
+	few, many := c.sentBytes["small"], c.sentBytes["large"]
 	c.mu.Unlock()
 	if few > 1<<10 || many < 2*size {
-		t.Errorf("%d bytes to the one, %d to the other", few, many)
+		t.Errorf("got %d bytes to the small node, %d to the large", few, many)
 	}
 	if small.value(key("yard", distribution.KindRoute, "large")) != "" || large.value(key("hire", distribution.KindRoute, "small")) != "" {
-		t.Error("a node holds what is not of its services")
+		t.Error("a node applied entries of another service")
 	}
 }
 
-// An entry that cannot be used is left out by itself, logged upstream and logged once; the last good value stays, others hold,
-// other entries, and a value that can be used ends that.
+// TestUnusableEntries checks that a rejected entry is reported to the control process and logged once, that its last valid value and
+// other entries stay in effect, and that a later valid value clears the rejection.
 func TestUnusableEntries(t *testing.T) {
 	for name, kind := range map[string]distribution.Kind{"server": distribution.KindServer, "route": distribution.KindRoute, "tenant": distribution.KindTenant} {
 		t.Run(name, func(t *testing.T) {
-			c := newControl(t, "root/1")
+			c := newFakeControl(t, "root/1")
 			c.write(put("hire", kind, "a", "good"))
-			n := startNode(t, config(t, "n", []string{"hire"}, c.address()))
-			started(t, n)
+			n := startNode(t, nodeConfig(t, "n", []string{"hire"}, c.address()))
+			waitStarted(t, n)
 			c.write(put("hire", kind, "a", "bad"), put("hire", kind, "b", "good"))
 			c.waitApplied("n")
-			c.write(put("hire", distribution.KindPool, "p", "more")) // what else comes does not tell of it again
+			c.write(put("hire", distribution.KindPool, "p", "more")) // a further change does not log the rejection again
 			c.waitApplied("n")
 			if n.value(key("hire", kind, "a")) != "good" || n.value(key("hire", kind, "b")) != "good" {
-				t.Errorf("in force: %v", n.all())
+				t.Errorf("got applied %v", n.all())
 			}
 			s, _ := c.status("n")
 			if len(s.Rejected) != 1 || s.Rejected[0].Key != key("hire", kind, "a") || s.Rejected[0].Reason != "a bad value" {
-				t.Errorf("rejected, as seen upstream: %v", s.Rejected)
+				t.Errorf("got rejections at control process %v", s.Rejected)
 			}
 			if got := n.Status().Rejected; len(got) != 1 {
-				t.Errorf("rejected, as the node knows: %v", got)
+				t.Errorf("got rejections in the node's status %v, want 1", got)
 			}
 			n.log.mu.Lock()
 			if logged := strings.Count(strings.Join(n.log.lines, ""), "entry rejected"); logged != 1 {
-				t.Errorf("logged %d times: %q", logged, n.log.lines)
+				t.Errorf("got %d log lines of the rejection, want 1: %q", logged, n.log.lines)
 			}
 			n.log.mu.Unlock()
 			c.write(put("hire", kind, "a", "better"))
 			c.waitApplied("n")
 			if s, _ := c.status("n"); len(s.Rejected) != 0 || n.value(key("hire", kind, "a")) != "better" {
-				t.Errorf("after a good value: %v in force, rejected %v", n.applied, s.Rejected)
+				t.Errorf("after a valid value: got applied %v, rejections %v", n.applied, s.Rejected)
 			}
 		})
 	}
 }
 
-// Successive changes cost one rebuild of routes in each applyInterval, not one each.
+// TestRebuildsAreCoalesced checks that successive changes cause at most one rebuild of routes per applyInterval.
 func TestRebuildsAreCoalesced(t *testing.T) {
-	c := newControl(t, "root/1")
-	n := startNode(t, config(t, "n", []string{"hire"}, c.address()))
-	started(t, n)
-	before, began := n.count("routes"), time.Now()
+	c := newFakeControl(t, "root/1")
+	n := startNode(t, nodeConfig(t, "n", []string{"hire"}, c.address()))
+	waitStarted(t, n)
+	before, startedAt := n.count("routes"), time.Now()
 	for range 100 {
 		c.write(put("hire", distribution.KindRoute, "a", time.Now().String()))
 		time.Sleep(5 * time.Millisecond)
 	}
 	c.waitApplied("n")
-	if rebuilds, most := n.count("routes")-before, int(time.Since(began)/applyInterval)+2; rebuilds < 2 || rebuilds > most {
-		t.Errorf("%d rebuilds, %d at most", rebuilds, most)
+	if rebuilds, maximum := n.count("routes")-before, int(time.Since(startedAt)/applyInterval)+2; rebuilds < 2 || rebuilds > maximum {
+		t.Errorf("got %d rebuilds, want 2 to %d", rebuilds, maximum)
 	}
 }
 
-// Without a control process a node starts from its disk after its start timeout and says that it is behind; a control
-// process that answers later makes it current.
+// TestStartsFromDisk checks that a node without a control process starts from its disk after its start timeout with the state
+// isolated, and becomes current when a control process responds later.
 func TestStartsFromDisk(t *testing.T) {
-	c := newControl(t, "root/1")
+	c := newFakeControl(t, "root/1")
 	c.write(put("hire", distribution.KindServer, "s1", "up"), put("hire", distribution.KindRoute, "r1", "first"))
-	cfg := config(t, "n", []string{"hire"}, c.address())
+	cfg := nodeConfig(t, "n", []string{"hire"}, c.address())
 	n := startNode(t, cfg)
-	started(t, n)
+	waitStarted(t, n)
 	n.stop()
 	store, at := c.store, c.address()
 	c.kill()
 
 	cfg.StartTimeout = 0
 	n = startNode(t, cfg)
-	started(t, n)
+	waitStarted(t, n)
 	if s := n.Status(); s.State != distribution.StateIsolated || s.Revision != 2 || !s.IsStalenessKnown || s.Upstream != "" {
-		t.Errorf("starts as %+v", s)
+		t.Errorf("got status %+v at start", s)
 	}
 	if n.value(key("hire", distribution.KindServer, "s1")) != "up" || n.value(key("hire", distribution.KindRoute, "r1")) != "first" {
-		t.Errorf("in force: %v", n.all())
+		t.Errorf("got applied %v", n.all())
 	}
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c = controlAt(t, ln, store)
+	c = newFakeControlAt(t, ln, store)
 	c.write(put("hire", distribution.KindRoute, "r1", "second"))
 	c.waitApplied("n")
 	if n.value(key("hire", distribution.KindRoute, "r1")) != "second" || n.Status().State != distribution.StateCurrent {
-		t.Errorf("in force: %v, %+v", n.applied, n.Status())
+		t.Errorf("got applied %v, status %+v", n.applied, n.Status())
 	}
-	if c.names["n"] > 500 { // what its disk holds is not sent again
-		t.Errorf("%d bytes for one change", c.names["n"])
+	if c.sentBytes["n"] > 500 { // entries that are stored on disk are not re-sent
+		t.Errorf("got %d bytes for one change, want at most 500", c.sentBytes["n"])
 	}
 }
 
-// A control process with an older state, or one that resets services to old entries, does not take a node back.
+// TestNodeKeepsNewerEntries checks that a control process with older entries, or a batch that resets services to older entries, does
+// not replace the newer entries of a node.
 func TestNodeKeepsNewerEntries(t *testing.T) {
-	early := newControl(t, "root/1")
+	early := newFakeControl(t, "root/1")
 	early.write(put("hire", distribution.KindServer, "s1", "v1"))
-	late := newControl(t, "other/1")
+	late := newFakeControl(t, "other/1")
 	first, _ := early.store.Entry(key("hire", distribution.KindServer, "s1"))
 	late.store.Merge([]distribution.Entry{first})
 	late.store.AdvanceVector(early.store.Vector())
@@ -186,32 +188,32 @@
 	if err != nil || len(second) != 2 {
 		t.Fatal(err)
 	}
-	cfg := config(t, "n", []string{"hire"}, late.address(), early.address())
+	cfg := nodeConfig(t, "n", []string{"hire"}, late.address(), early.address())
 	n := startNode(t, cfg)
-	started(t, n)
+	waitStarted(t, n)
 	late.kill()
-	until(t, func() bool { return n.Status().Upstream == early.address() }, "the older one is followed")
+	waitUntil(t, func() bool { return n.Status().Upstream == early.address() }, "the control process with older entries is followed")
 	early.write(put("hire", distribution.KindRoute, "after", "x"))
-	until(t, func() bool { return n.value(key("hire", distribution.KindRoute, "after")) == "x" }, "it is logged of what comes after")
-	const last = 90 // number of a batch that is the last
+	waitUntil(t, func() bool { return n.value(key("hire", distribution.KindRoute, "after")) == "x" }, "a later change is applied")
+	const last = 90 // number of the last batch
 	early.mu.Lock()
-	for _, p := range early.conns {
+	for _, p := range early.peers {
 		wire.Send(p.conn, &wire.Batch{Batch: distribution.Batch{Number: last, Entries: []distribution.Entry{first}, ResetServices: []string{"hire"}, IsComplete: true,
 			Through: distribution.Vector{first.Origin: 1}}})
 	}
 	early.mu.Unlock()
-	until(t, func() bool {
+	waitUntil(t, func() bool {
 		early.mu.Lock()
 		defer early.mu.Unlock()
 		return early.acknowledged == last
-	}, "the last batch is in force")
+	}, "the last batch is acknowledged")
 	if n.value(key("hire", distribution.KindServer, "s1")) != "v2" || n.value(key("hire", distribution.KindServer, "s2")) != "v1" || n.Status().Revision < 3 {
-		t.Errorf("in force: %v, %+v", n.applied, n.Status())
+		t.Errorf("got applied %v, status %+v", n.applied, n.Status())
 	}
 }
 
-// An older copy of the disk, a damaged one and one without a valid sync mark serve for a start, or are quarantined,
-// and all end with what the control process holds.
+// TestStartFromOldOrDamagedDisk checks that a node starts with an older, missing or damaged file of entries or sync mark, that only
+// a damaged file of entries is quarantined, and that the node ends with the entries of the control process.
 func TestStartFromOldOrDamagedDisk(t *testing.T) {
 	copyOf := func(t *testing.T, from, to string) {
 		t.Helper()
@@ -222,26 +224,26 @@
 		writeFile(t, to, string(text))
 	}
 	for name, c := range map[string]struct {
-		damage func(t *testing.T, dir, old string)
-		aside  bool
+		damage        func(t *testing.T, dir, old string)
+		isQuarantined bool
 	}{
-		"as it was": {func(*testing.T, string, string) {}, false},
+		"unchanged": {func(*testing.T, string, string) {}, false},
 		"an older copy": {func(t *testing.T, dir, old string) {
 			copyOf(t, filepath.Join(old, entriesFile), filepath.Join(dir, entriesFile))
 		}, false},
-		"empty": {func(t *testing.T, dir, _ string) { os.Remove(filepath.Join(dir, entriesFile)) }, false},
+		"no entries file": {func(t *testing.T, dir, _ string) { os.Remove(filepath.Join(dir, entriesFile)) }, false},
 		"garbled": {func(t *testing.T, dir, _ string) {
 			writeFile(t, filepath.Join(dir, entriesFile), strings.Repeat("garbled", 9000))
 		}, true},
-		"no mark":        {func(t *testing.T, dir, _ string) { os.Remove(filepath.Join(dir, syncMarkFile)) }, false},
-		"a garbled mark": {func(t *testing.T, dir, _ string) { writeFile(t, filepath.Join(dir, syncMarkFile), "{\"Servi") }, false},
+		"no sync mark":        {func(t *testing.T, dir, _ string) { os.Remove(filepath.Join(dir, syncMarkFile)) }, false},
+		"a garbled sync mark": {func(t *testing.T, dir, _ string) { writeFile(t, filepath.Join(dir, syncMarkFile), "{\"Servi") }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ctl := newControl(t, "root/1")
+			ctl := newFakeControl(t, "root/1")
 			ctl.write(put("hire", distribution.KindServer, "s1", "v1"), put("hire", distribution.KindServer, "s2", "v1"))
-			cfg, old := config(t, "n", []string{"hire"}, ctl.address()), t.TempDir()
+			cfg, old := nodeConfig(t, "n", []string{"hire"}, ctl.address()), t.TempDir()
 			n := startNode(t, cfg)
-			started(t, n)
+			waitStarted(t, n)
 			n.stop()
 			copyOf(t, filepath.Join(cfg.Directory, entriesFile), filepath.Join(old, entriesFile))
 			ctl.write(put("hire", distribution.KindServer, "s1", "v2"), distribution.Change{Key: key("hire", distribution.KindServer, "s2"), Deleted: true})
@@ -251,77 +253,78 @@
 			c.damage(t, cfg.Directory, old)
 			ctl.write(put("hire", distribution.KindServer, "s3", "v1"))
 			n = startNode(t, cfg)
-			started(t, n)
+			waitStarted(t, n)
 			ctl.waitApplied("n")
 			if n.value(key("hire", distribution.KindServer, "s1")) != "v2" || n.value(key("hire", distribution.KindServer, "s2")) != "" ||
 				n.value(key("hire", distribution.KindServer, "s3")) != "v1" {
-				t.Errorf("in force: %v", n.all())
+				t.Errorf("got applied %v", n.all())
 			}
 			files, _ := filepath.Glob(filepath.Join(cfg.Directory, entriesFile+".damaged-*"))
-			if (len(files) > 0) != c.aside {
-				t.Errorf("set aside: %v", files)
+			if (len(files) > 0) != c.isQuarantined {
+				t.Errorf("got quarantined files %v", files)
 			}
 		})
 	}
 }
 
-// A node whose services change is sent the new ones whole, and drops the ones that it no longer serves.
+// TestChangedServices checks that a node whose services change receives the added services in full and drops the removed ones.
 func TestChangedServices(t *testing.T) {
-	c := newControl(t, "root/1")
+	c := newFakeControl(t, "root/1")
 	c.write(put("hire", distribution.KindServer, "s1", "up"), put("yard", distribution.KindServer, "s2", "up"))
-	cfg := config(t, "n", []string{"hire"}, c.address())
+	cfg := nodeConfig(t, "n", []string{"hire"}, c.address())
 	n := startNode(t, cfg)
-	started(t, n)
+	waitStarted(t, n)
 	n.stop()
 	for _, services := range [][]string{{"hire", "yard"}, {"yard"}, {"hire"}} {
 		cfg.Services = services
 		n = startNode(t, cfg)
-		started(t, n)
+		waitStarted(t, n)
 		c.waitApplied("n")
 		if n.size() != len(services) {
-			t.Errorf("with %v in force: %v", services, n.all())
+			t.Errorf("services %v: got applied %v", services, n.all())
 		}
 		n.stop()
 	}
 }
 
-// A control process that lost its disk is sent what the node holds; one that is ahead in nothing is not asked.
+// TestUploadToControlProcessWithLostDisk checks that a node uploads its entries to a control process without them, and then applies
+// the changes of that control process.
 func TestUploadToControlProcessWithLostDisk(t *testing.T) {
-	c := newControl(t, "root/1")
+	c := newFakeControl(t, "root/1")
 	c.write(put("hire", distribution.KindServer, "s1", "up"), put("", distribution.KindTenant, "dairy", "5"), distribution.Change{Key: key("hire", distribution.KindRoute, "r"), Deleted: true})
-	emptied := newControl(t, "root/2")
-	n := startNode(t, config(t, "n", []string{"hire"}, c.address(), emptied.address()))
-	started(t, n)
+	emptied := newFakeControl(t, "root/2")
+	n := startNode(t, nodeConfig(t, "n", []string{"hire"}, c.address(), emptied.address()))
+	waitStarted(t, n)
 	c.kill()
-	until(t, func() bool {
+	waitUntil(t, func() bool {
 		emptied.mu.Lock()
 		defer emptied.mu.Unlock()
-		_, server := emptied.store.Entry(key("hire", distribution.KindServer, "s1"))
-		_, tenant := emptied.store.Entry(key("", distribution.KindTenant, "dairy"))
-		gone, known := emptied.store.Entry(key("hire", distribution.KindRoute, "r"))
-		return server && tenant && known && gone.Deleted
-	}, "the emptied one holds all")
+		_, hasServer := emptied.store.Entry(key("hire", distribution.KindServer, "s1"))
+		_, hasTenant := emptied.store.Entry(key("", distribution.KindTenant, "dairy"))
+		deleted, isKnown := emptied.store.Entry(key("hire", distribution.KindRoute, "r"))
+		return hasServer && hasTenant && isKnown && deleted.Deleted
+	}, "the emptied control process stores all entries")
 	emptied.write(put("hire", distribution.KindServer, "s2", "up"))
-	until(t, func() bool { return n.value(key("hire", distribution.KindServer, "s2")) == "up" }, "its own changes are in force")
+	waitUntil(t, func() bool { return n.value(key("hire", distribution.KindServer, "s2")) == "up" }, "its changes are applied")
 	if n.value(key("hire", distribution.KindServer, "s1")) != "up" {
-		t.Errorf("in force: %v", n.all())
+		t.Errorf("got applied %v", n.all())
 	}
 }
 
-// Digests that differ have a service sent whole.
+// TestDigestsRepairDifferences checks that differing digests cause a full sync of the service.
 func TestDigestsRepairDifferences(t *testing.T) {
-	c := newControl(t, "root/1")
+	c := newFakeControl(t, "root/1")
 	c.write(put("hire", distribution.KindServer, "s1", "up"))
-	n := startNode(t, config(t, "n", []string{"hire"}, c.address()))
-	started(t, n)
-	c.mu.Lock() // an entry that was lost on the way, as by a fault of either side
+	n := startNode(t, nodeConfig(t, "n", []string{"hire"}, c.address()))
+	waitStarted(t, n)
+	c.mu.Lock() // an entry missing at the node, as after a fault of either side
 	lost := distribution.Entry{Key: key("hire", distribution.KindServer, "s2"), Clock: 1 << 40, Origin: "other/1", Sequence: 1, Value: []byte("up")}
 	c.store.Merge([]distribution.Entry{lost})
 	c.store.AdvanceVector(distribution.Vector{"other/1": 1})
-	for _, p := range c.conns {
+	for _, p := range c.peers {
 		wire.Send(p.conn, &wire.Digests{Digests: distribution.Digests{Services: map[string]uint64{"": c.store.ServiceDigest(""), "hire": c.store.ServiceDigest("hire")},
 			Through: c.store.Vector().Clone()}})
 	}
 	c.mu.Unlock()
-	until(t, func() bool { return n.value(key("hire", distribution.KindServer, "s2")) == "up" }, "the lost one is in force")
+	waitUntil(t, func() bool { return n.value(key("hire", distribution.KindServer, "s2")) == "up" }, "the missing entry is applied")
 }
--- a/internal/controlplane/distribution/client/control_test.go
+++ b/internal/controlplane/distribution/client/control_test.go
@@ -16,25 +16,25 @@
 	"fernvane/internal/controlplane/distribution/wire"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// control is a control process by hand: a store and a publisher behind a listener.
-type control struct {
-	t     *testing.T
-	ln    net.Listener
-	begun time.Time
+// fakeControl is a minimal control process: a store and a publisher behind a listener.
+type fakeControl struct {
+	t         *testing.T
+	ln        net.Listener
+	startedAt time.Time
 
 	mu        sync.Mutex
 	store     *distribution.Store
 	publisher *distribution.Publisher
-	conns     map[distribution.SubscriptionID]*peer
-	names     map[string]int // bytes sent, by node
-	wants     []wire.Pull
+	peers     map[distribution.SubscriptionID]*peer
+	sentBytes map[string]int // by name of node
+	pulls     []wire.Pull    // received
 	offered   []distribution.Entry
 
-	acknowledged uint64 // newest batch that any node has
+	acknowledged uint64 // newest batch number that any node acknowledged
 	wake         chan struct{}
-	quiet        bool // answers nothing
+	isSilent     bool // whether pings get no response
 	done         sync.WaitGroup
 	stop         context.CancelFunc
 }
@@ -44,43 +44,43 @@
 	name string
 }
 
-// newControl begins one; the origin tells its disk's incarnation.
-func newControl(t *testing.T, origin string) *control {
+// newFakeControl starts a fake control process. The origin identifies the incarnation of its disk.
+func newFakeControl(t *testing.T, origin string) *fakeControl {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return controlAt(t, ln, distribution.NewStore(distribution.Origin(origin), distribution.Limits{}))
+	return newFakeControlAt(t, ln, distribution.NewStore(distribution.Origin(origin), distribution.Limits{}))
 }
 
-func controlAt(t *testing.T, ln net.Listener, store *distribution.Store) *control {
+func newFakeControlAt(t *testing.T, ln net.Listener, store *distribution.Store) *fakeControl {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &control{t: t, ln: ln, begun: time.Now(), store: store, publisher: distribution.NewPublisher(store, distribution.Budget{NodeBytesPerSecond: 1 << 20}),
-		conns: map[distribution.SubscriptionID]*peer{}, names: map[string]int{}, wake: make(chan struct{}, 1), stop: cancel}
+	c := &fakeControl{t: t, ln: ln, startedAt: time.Now(), store: store, publisher: distribution.NewPublisher(store, distribution.Budget{NodeBytesPerSecond: 1 << 20}),
+		peers: map[distribution.SubscriptionID]*peer{}, sentBytes: map[string]int{}, wake: make(chan struct{}, 1), stop: cancel}
 	c.done.Go(c.accept)
 	c.done.Go(func() { c.publish(ctx) })
 	t.Cleanup(c.kill)
 	return c
 }
 
-func (c *control) now() time.Duration { return time.Since(c.begun) }
+func (c *fakeControl) now() time.Duration { return time.Since(c.startedAt) }
 
-func (c *control) address() string { return c.ln.Addr().String() }
+func (c *fakeControl) address() string { return c.ln.Addr().String() }
 
-// kill ends it as a kill of the process does.
-func (c *control) kill() {
+// kill closes the listener and all connections, as the death of the process does.
+func (c *fakeControl) kill() {
 	c.stop()
 	c.ln.Close()
 	c.mu.Lock()
-	for _, p := range c.conns {
+	for _, p := range c.peers {
 		p.conn.Close()
 	}
 	c.mu.Unlock()
 	c.done.Wait()
 }
 
-func (c *control) accept() {
+func (c *fakeControl) accept() {
 	for {
 		nc, err := c.ln.Accept()
 		if err != nil {
@@ -88,30 +88,30 @@
 		}
 		c.done.Go(func() {
 			defer nc.Close()
-			c.lead(nc)
+			c.serve(nc)
 		})
 	}
 }
 
-func (c *control) lead(nc net.Conn) {
+func (c *fakeControl) serve(nc net.Conn) {
 	conn := wire.Protocol.NewConn(nc)
-	by := time.Now().Add(patience)
-	if _, err := conn.Handshake("control", by); err != nil {
+	deadline := time.Now().Add(testTimeout)
+	if _, err := conn.Handshake("control", deadline); err != nil {
 		return
 	}
-	kind, body, err := conn.Receive(by)
+	kind, body, err := conn.Receive(deadline)
 	if err != nil {
 		return
 	}
 	m, err := wire.Decode(kind, body)
-	asked, ok := m.(*wire.Subscribe)
+	subscribe, ok := m.(*wire.Subscribe)
 	if err != nil || !ok {
 		return
 	}
 	c.mu.Lock()
-	id := c.publisher.Subscribe(c.now(), asked.Subscription)
-	c.conns[id] = &peer{conn, asked.Subscription.Name}
-	if c.store.IsBehind(asked.Subscription.Vector) {
+	id := c.publisher.Subscribe(c.now(), subscribe.Subscription)
+	c.peers[id] = &peer{conn, subscribe.Subscription.Name}
+	if c.store.IsBehind(subscribe.Subscription.Vector) {
 		wire.Send(conn, &wire.Pull{IsContinuous: true, Vector: c.store.Vector().Clone()})
 	}
 	c.mu.Unlock()
@@ -120,22 +120,22 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.publisher.Unsubscribe(id)
-		delete(c.conns, id)
+		delete(c.peers, id)
 	}()
 	for {
-		kind, body, err := conn.Receive(time.Now().Add(patience))
+		kind, body, err := conn.Receive(time.Now().Add(testTimeout))
 		if err != nil {
 			return
 		}
 		if m, err = wire.Decode(kind, body); err != nil {
 			return
 		}
-		c.take(id, conn, m)
+		c.handle(id, conn, m)
 		c.signal()
 	}
 }
 
-func (c *control) take(id distribution.SubscriptionID, conn *framing.Conn, m wire.Message) {
+func (c *fakeControl) handle(id distribution.SubscriptionID, conn *framing.Conn, m wire.Message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch m := m.(type) {
@@ -143,9 +143,9 @@
 		c.publisher.BatchAcknowledged(c.now(), id, m.Acknowledgement)
 		c.acknowledged = max(c.acknowledged, m.Acknowledgement.BatchNumber)
 	case *wire.Pull:
-		c.wants = append(c.wants, *m)
+		c.pulls = append(c.pulls, *m)
 		c.publisher.ResyncSubscriber(c.now(), id, m.Services)
-		if !m.IsContinuous && len(m.Services) == 0 && !c.quiet {
+		if !m.IsContinuous && len(m.Services) == 0 && !c.isSilent {
 			wire.Send(conn, &wire.Acknowledge{})
 		}
 	case *wire.Batch:
@@ -156,15 +156,15 @@
 	}
 }
 
-func (c *control) signal() {
+func (c *fakeControl) signal() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// publish sends what the publisher says, until the context ends.
-func (c *control) publish(ctx context.Context) {
+// publish sends the publisher's batches until the context is done.
+func (c *fakeControl) publish(ctx context.Context) {
 	for {
 		wait := c.sendDue()
 		timer := time.NewTimer(min(wait, time.Second))
@@ -179,7 +179,7 @@
 	}
 }
 
-func (c *control) sendDue() time.Duration {
+func (c *fakeControl) sendDue() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
@@ -187,15 +187,15 @@
 		if !ok {
 			return wait
 		}
-		p := c.conns[id]
+		p := c.peers[id]
 		before := p.conn.SentBytes
 		wire.Send(p.conn, &wire.Batch{Batch: b})
-		c.names[p.name] += p.conn.SentBytes - before
+		c.sentBytes[p.name] += p.conn.SentBytes - before
 	}
 }
 
-// write changes entries there.
-func (c *control) write(changes ...distribution.Change) []distribution.Entry {
+// write writes changes at the fake control process.
+func (c *fakeControl) write(changes ...distribution.Change) []distribution.Entry {
 	c.t.Helper()
 	c.mu.Lock()
 	entries, err := c.store.Write(time.Now(), changes)
@@ -210,10 +210,10 @@
 	return entries
 }
 
-func (c *control) status(name string) (distribution.NodeStatus, bool) {
+func (c *fakeControl) status(name string) (distribution.NodeStatus, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for id, p := range c.conns {
+	for id, p := range c.peers {
 		if s, ok := c.publisher.SubscriberStatus(c.now(), id); ok && p.name == name {
 			return s, true
 		}
@@ -221,10 +221,10 @@
 	return distribution.NodeStatus{}, false
 }
 
-// waitApplied waits until a node has acknowledged all that is here.
-func (c *control) waitApplied(name string) {
+// waitApplied waits until a node has acknowledged all entries.
+func (c *fakeControl) waitApplied(name string) {
 	c.t.Helper()
-	until(c.t, func() bool {
+	waitUntil(c.t, func() bool {
 		s, ok := c.status(name)
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -232,10 +232,10 @@
 	}, "%s has applied everything", name)
 }
 
-func until(t *testing.T, is func() bool, what string, args ...any) {
+func waitUntil(t *testing.T, condition func() bool, what string, args ...any) {
 	t.Helper()
-	for by := time.Now().Add(patience); !is(); {
-		if time.Now().After(by) {
+	for deadline := time.Now().Add(testTimeout); !condition(); {
+		if time.Now().After(deadline) {
 			t.Fatalf("timed out: "+what, args...)
 		}
 		time.Sleep(2 * time.Millisecond)
@@ -250,29 +250,29 @@
 	return distribution.Change{Key: key(service, kind, name), Value: []byte(value)}
 }
 
-// node is a client that runs.
-type node struct {
+// testNode is a running client with a recording applier.
+type testNode struct {
 	*Client
 	*recordingApplier
-	log  *logged
+	log  *logRecorder
 	stop func()
 }
 
-type logged struct {
+type logRecorder struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *logRecorder) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lines = append(l.lines, string(b))
 	return len(b), nil
 }
 
-func startNode(t *testing.T, config *Config) *node {
+func startNode(t *testing.T, config *Config) *testNode {
 	t.Helper()
-	n := &node{recordingApplier: newRecordingApplier(), log: &logged{}}
+	n := &testNode{recordingApplier: newRecordingApplier(), log: &logRecorder{}}
 	var err error
 	if n.Client, err = New(config, n.recordingApplier, zerolog.New(n.log)); err != nil {
 		t.Fatal(err)
@@ -290,8 +290,8 @@
 	return n
 }
 
-// config is of a node that follows some addresses.
-func config(t *testing.T, name string, services []string, controls ...string) *Config {
+// nodeConfig returns the configuration of a node that follows control processes at some addresses.
+func nodeConfig(t *testing.T, name string, services []string, controls ...string) *Config {
 	t.Helper()
 	text := fmt.Sprintf("control = %s\nservices = %s\nregion = \"r\"\nzone = \"z\"\ndirectory = %q\nplaintext = true\nstart_within = \"30s\"\n",
 		list(controls), list(services), t.TempDir())
--- a/internal/controlplane/distribution/client/failback_test.go
+++ b/internal/controlplane/distribution/client/failback_test.go
@@ -8,28 +8,29 @@
 	"fernvane/internal/controlplane/distribution"
 )
 
-// A node goes back to the control process that its file names first once that one answers again, and no change is missed on the way.
+// TestFailbackToPreferredControlProcess checks that a node returns to the first control process of its file once that one responds
+// again, and that it misses no change.
 func TestFailbackToPreferredControlProcess(t *testing.T) {
 	t.Parallel()
 	a, b := pair(t)
-	c := config(t, "n", []string{"hire"}, a.at, b.at)
+	c := nodeConfig(t, "n", []string{"hire"}, a.address, b.address)
 	c.FailbackDelay = tomlfile.Duration(50 * time.Millisecond)
 	n := startNode(t, c)
-	follows := func(r *running, value string) {
+	requireFollows := func(r *controlProcess, value string) {
 		t.Helper()
-		until(t, func() bool { return n.Status().Upstream == r.at }, "%s is followed", r.at)
-		until(t, func() bool { return n.value(key("hire", distribution.KindServer, "s")) == value }, "%s is in force", value)
+		waitUntil(t, func() bool { return n.Status().Upstream == r.address }, "%s is followed", r.address)
+		waitUntil(t, func() bool { return n.value(key("hire", distribution.KindServer, "s")) == value }, "value %s is applied", value)
 	}
 	a.write(put("hire", distribution.KindServer, "s", "v1"))
-	started(t, n)
-	follows(a, "v1")
-	for _, value := range []string{"v2", "v3"} { // and once more
+	waitStarted(t, n)
+	requireFollows(a, "v1")
+	for _, value := range []string{"v2", "v3"} { // failback also works repeatedly
 		a.stop()
 		b.write(put("hire", distribution.KindServer, "s", value))
-		follows(b, value)
+		requireFollows(b, value)
 		a.start()
-		follows(a, value)
+		requireFollows(a, value)
 	}
 	b.write(put("hire", distribution.KindServer, "s", "v4"))
-	follows(a, "v4")
+	requireFollows(a, "v4")
 }
--- a/internal/controlplane/distribution/client/faults_test.go
+++ b/internal/controlplane/distribution/client/faults_test.go
@@ -17,17 +17,17 @@
 	"fernvane/internal/testbed/standin/faultproxy"
 )
 
-// running is a control process of the program within this one.
-type running struct {
-	t    *testing.T
-	file string
-	at   string
-	stop func()
+// controlProcess is a real control process that runs inside the test process.
+type controlProcess struct {
+	t       *testing.T
+	file    string
+	address string
+	stop    func()
 }
 
-func startControl(t *testing.T, name, at, dir string, upstreams ...string) *running {
+func startControl(t *testing.T, name, at, dir string, upstreams ...string) *controlProcess {
 	t.Helper()
-	r := &running{t: t, at: at, file: filepath.Join(t.TempDir(), name+".toml")}
+	r := &controlProcess{t: t, address: at, file: filepath.Join(t.TempDir(), name+".toml")}
 	text := fmt.Sprintf("name = %q\nlisten = %q\ndisk = %q\nupstreams = %s\nfollow = \"all\"\nplaintext = true\nnode_bytes = 1000000\n",
 		name, at, filepath.Join(dir, name+".db"), list(upstreams))
 	writeFile(t, r.file, text)
@@ -36,7 +36,7 @@
 	return r
 }
 
-func (r *running) start() {
+func (r *controlProcess) start() {
 	r.t.Helper()
 	c, err := process.Load(r.file)
 	if err != nil {
@@ -53,11 +53,11 @@
 	})
 }
 
-// write makes a change there, once the process takes one.
-func (r *running) write(changes ...distribution.Change) {
+// write retries a write until the control process accepts it.
+func (r *controlProcess) write(changes ...distribution.Change) {
 	r.t.Helper()
-	access := accessTo(r.t, r.at)
-	until(r.t, func() bool {
+	access := accessTo(r.t, r.address)
+	waitUntil(r.t, func() bool {
 		s, err := Open(context.Background(), access)
 		if err != nil {
 			return false
@@ -65,13 +65,13 @@
 		defer s.Close()
 		_, err = s.Write(changes)
 		return err == nil
-	}, "%s takes a write", r.at)
+	}, "%s accepts a write", r.address)
 }
 
-// accessTo is a command's file.
+// accessTo returns a command's configuration for one control process.
 func accessTo(t *testing.T, at string) *Config {
 	t.Helper()
-	path := filepath.Join(t.TempDir(), "ask.toml")
+	path := filepath.Join(t.TempDir(), "command.toml")
 	writeFile(t, path, fmt.Sprintf("control = [%q]\nplaintext = true\n", at))
 	c, err := LoadAccess(path)
 	if err != nil {
@@ -80,15 +80,15 @@
 	return c
 }
 
-// pair is two control processes that follow each other.
-func pair(t *testing.T) (a, b *running) {
+// pair starts two control processes that follow each other.
+func pair(t *testing.T) (a, b *controlProcess) {
 	t.Helper()
 	dir, at := t.TempDir(), []string{address.Free(t), address.Free(t)}
 	return startControl(t, "a", at[0], dir, at[1]), startControl(t, "b", at[1], dir, at[0])
 }
 
-// Whatever happens to the control process that a node follows, or to the network between, what is written at the other is
-// applied, and so is what is written after the fault.
+// TestFaultsOfControlProcessAndNetwork checks that a node applies a change written at the other control process during a fault of
+// the network to the one that it follows, and a change written after the fault.
 func TestFaultsOfControlProcessAndNetwork(t *testing.T) {
 	for name, c := range map[string]struct{ fault, repair func(*faultproxy.Proxy) }{
 		"cut towards the node": {func(w *faultproxy.Proxy) { w.Cut(faultproxy.Down, true) }, func(w *faultproxy.Proxy) { w.Cut(faultproxy.Down, false) }},
@@ -101,74 +101,75 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			a, b := pair(t)
-			proxy, err := faultproxy.Listen(a.at)
+			proxy, err := faultproxy.Listen(a.address)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer proxy.Close()
 			b.write(put("hire", distribution.KindServer, "s", "v1"), put("hire", distribution.KindRoute, "r", "v1"))
-			n := startNode(t, config(t, "n", []string{"hire"}, proxy.Address(), b.at))
-			started(t, n)
-			holds := func(v string) {
+			n := startNode(t, nodeConfig(t, "n", []string{"hire"}, proxy.Address(), b.address))
+			waitStarted(t, n)
+			requireApplied := func(v string) {
 				t.Helper()
-				until(t, func() bool {
+				waitUntil(t, func() bool {
 					return n.value(key("hire", distribution.KindServer, "s")) == v && n.value(key("hire", distribution.KindRoute, "r")) == v
 				}, "%s is applied", v)
 			}
-			holds("v1")
+			requireApplied("v1")
 			c.fault(proxy)
 			b.write(put("hire", distribution.KindServer, "s", "v2"), put("hire", distribution.KindRoute, "r", "v2"))
-			holds("v2")
+			requireApplied("v2")
 			c.repair(proxy)
 			a.write(put("hire", distribution.KindServer, "s", "v3"), put("hire", distribution.KindRoute, "r", "v3"))
-			holds("v3")
+			requireApplied("v3")
 			n.recordingApplier.mu.Lock()
 			defer n.recordingApplier.mu.Unlock()
 			for i, v := range n.history[1:] {
 				if v < n.history[i] {
-					t.Errorf("went back: %v", n.history)
+					t.Errorf("got history %v, want ascending values", n.history)
 				}
 			}
 		})
 	}
 }
 
-// A node that is ahead of all control processes, which have lost their disks, sends them what it holds.
+// TestControlProcessesLoseTheirDisks checks that a node uploads its entries to a control process that lost its disk.
 func TestControlProcessesLoseTheirDisks(t *testing.T) {
 	dir, at := t.TempDir(), address.Free(t)
 	a := startControl(t, "a", at, dir)
 	a.write(put("hire", distribution.KindServer, "s", "v1"), put("", distribution.KindTenant, "dairy", "5"))
-	n := startNode(t, config(t, "n", []string{"hire"}, at))
-	started(t, n)
-	until(t, func() bool { return n.size() == 2 }, "all is in force")
+	n := startNode(t, nodeConfig(t, "n", []string{"hire"}, at))
+	waitStarted(t, n)
+	waitUntil(t, func() bool { return n.size() == 2 }, "all entries are applied")
 	a.stop()
 	if err := os.Remove(filepath.Join(dir, "a.db")); err != nil {
 		t.Fatal(err)
 	}
 	a.start()
-	other := startNode(t, config(t, "other", []string{"hire"}, at))
-	started(t, other)
-	until(t, func() bool {
+	other := startNode(t, nodeConfig(t, "other", []string{"hire"}, at))
+	waitStarted(t, other)
+	waitUntil(t, func() bool {
 		return other.size() == 2 && other.value(key("hire", distribution.KindServer, "s")) == "v1"
-	}, "another node gets what the first held")
+	}, "another node receives the entries of the first")
 	a.write(put("hire", distribution.KindServer, "s", "v2"))
-	for _, m := range []*node{n, other} {
-		until(t, func() bool { return m.value(key("hire", distribution.KindServer, "s")) == "v2" }, "the next change is in force")
+	for _, m := range []*testNode{n, other} {
+		waitUntil(t, func() bool { return m.value(key("hire", distribution.KindServer, "s")) == "v2" }, "the next change is applied")
 		if m.size() != 2 {
-			t.Errorf("in force: %v", m.all())
+			t.Errorf("applied: %v", m.all())
 		}
 	}
 }
 
-// The status of nodes at their control process names what they reject.
+// TestStatusAtControl checks that control processes report a connected node with its rejections, and a disconnected one with the
+// time of its disconnection.
 func TestStatusAtControl(t *testing.T) {
 	a, b := pair(t)
-	n := startNode(t, config(t, "n", []string{"hire"}, a.at))
+	n := startNode(t, nodeConfig(t, "n", []string{"hire"}, a.address))
 	a.write(put("hire", distribution.KindRoute, "r", "bad"))
-	started(t, n)
-	for _, r := range []*running{a, b} {
-		until(t, func() bool {
-			s, err := Open(context.Background(), accessTo(t, r.at))
+	waitStarted(t, n)
+	for _, r := range []*controlProcess{a, b} {
+		waitUntil(t, func() bool {
+			s, err := Open(context.Background(), accessTo(t, r.address))
 			if err != nil {
 				return false
 			}
@@ -180,26 +181,27 @@
 				}
 			}
 			return false
-		}, "%s tells of the node", r.at)
+		}, "%s reports the node", r.address)
 	}
 	n.stop()
-	until(t, func() bool {
-		s, err := Open(context.Background(), accessTo(t, b.at))
+	waitUntil(t, func() bool {
+		s, err := Open(context.Background(), accessTo(t, b.address))
 		if err != nil {
 			return false
 		}
 		defer s.Close()
 		self, nodes, err := s.Status()
 		for _, status := range nodes {
-			if status.Name == "n" && !status.IsConnected && time.Since(time.UnixMilli(status.DisconnectedMs)) < patience && len(nodes) == 2 {
+			if status.Name == "n" && !status.IsConnected && time.Since(time.UnixMilli(status.DisconnectedMs)) < testTimeout && len(nodes) == 2 {
 				return err == nil && self.HasAcknowledged
 			}
 		}
 		return false
-	}, "the other tells since when it is gone")
+	}, "the other control process reports when the node disconnected")
 }
 
-// Entries of a session are those of the services asked for, many more than one batch takes.
+// TestSessionReadsMoreThanOneBatch checks that a session reads exactly the entries of the requested services, across several
+// batches.
 func TestSessionReadsMoreThanOneBatch(t *testing.T) {
 	a := startControl(t, "a", address.Free(t), t.TempDir())
 	var changes []distribution.Change
@@ -208,13 +210,13 @@
 	}
 	a.write(changes...)
 	a.write(put("yard", distribution.KindRoute, "r", "x"), distribution.Change{Key: key("hire", distribution.KindRoute, "r7"), Deleted: true})
-	s, err := Open(context.Background(), accessTo(t, a.at))
+	s, err := Open(context.Background(), accessTo(t, a.address))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	all, err := s.Read([]string{"hire"})
 	if err != nil || len(all) != 4999 {
-		t.Errorf("%d entries, %v", len(all), err)
+		t.Errorf("got %d entries, error %v, want 4999, nil", len(all), err)
 	}
 }
--- a/internal/controlplane/distribution/client/golden_test.go
+++ b/internal/controlplane/distribution/client/golden_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestGoldenMark pins the file that says what the entries on a node's disk are of, which other versions of the program read.
+// TestGoldenMark fixes the format of the sync mark on a node's disk, which other versions of the program read.
 func TestGoldenMark(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "held.json"))
 	if err != nil {
@@ -24,9 +24,9 @@
 		t.Fatal(err)
 	}
 	if string(written)+"\n" != string(text) {
-		t.Errorf("written as %s, was %s", written, text)
+		t.Errorf("got file %s, want %s", written, text)
 	}
 	if read, err := readSyncMark("testdata"); err != nil || !reflect.DeepEqual(read, want) {
-		t.Errorf("read as %+v, %v", read, err)
+		t.Errorf("got mark %+v, error %v", read, err)
 	}
 }
--- a/internal/controlplane/distribution/disk/disk_test.go
+++ b/internal/controlplane/distribution/disk/disk_test.go
@@ -154,7 +154,7 @@
 }
 
 // TestKilledProcessLeavesUncleanFile checks that a process killed before its first write leaves a file without a clean mark. The
-// copy of the open file stands for the file of the killed process.
+// copy of the open file represents the file of the killed process.
 func TestKilledProcessLeavesUncleanFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entries.db")
 	writeCleanFile(t, path, entries(1, 10), distribution.Vector{"a/1": 10})
@@ -264,9 +264,9 @@
 
 // TestDamagedAtOpen checks that each kind of damage quarantines the file with one callback, and that the disk starts empty.
 func TestDamagedAtOpen(t *testing.T) {
-	whole := filepath.Join(t.TempDir(), "whole.db")
-	writeCleanFile(t, whole, entries(1, 300), distribution.Vector{"a/1": 300})
-	text, err := os.ReadFile(whole)
+	original := filepath.Join(t.TempDir(), "original.db")
+	writeCleanFile(t, original, entries(1, 300), distribution.Vector{"a/1": 300})
+	text, err := os.ReadFile(original)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -343,9 +343,9 @@
 // before the last transactions, as after a crash during them. In the last case it is not clean and its vector covers no missing
 // entry.
 func TestFlippedBits(t *testing.T) {
-	whole := filepath.Join(t.TempDir(), "whole.db")
-	writeCleanFile(t, whole, entries(1, 300), distribution.Vector{"a/1": 300})
-	text, err := os.ReadFile(whole)
+	original := filepath.Join(t.TempDir(), "original.db")
+	writeCleanFile(t, original, entries(1, 300), distribution.Vector{"a/1": 300})
+	text, err := os.ReadFile(original)
 	if err != nil {
 		t.Fatal(err)
 	}
