--- a/internal/controlplane/distribution/disk/disk.go
+++ b/internal/controlplane/distribution/disk/disk.go
@@ -72,7 +72,7 @@
 	queue     queue
 	state     metadata
 	isClosing bool
-	fault     error // error of the latest write; nil after a successful one
+	fault     error // error that currently prevents writes; nil if the file is writable
 }
 
 // metadata is the content of the file apart from entries, with flags for the parts to be written.
@@ -202,7 +202,7 @@
 	return len(d.queue.pending)
 }
 
-// Fault returns the error of the latest write; nil after a successful one.
+// Fault returns the error that currently prevents writes; nil if the file is writable.
 func (d *Disk) Fault() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
