--- a/internal/testbed/badclients.go
+++ b/internal/testbed/badclients.go
@@ -12,9 +12,9 @@
 	"fernvane/internal/testbed/scenario"
 )
 
-const badClientTimeout = 3 * time.Second // for an error or a close, from the connection
+const badClientTimeout = 3 * time.Second // for an error response or a close, counted from connecting
 
-// badClientCount counts the clients that sent malformed input.
+// badClientCount counts clients that connected to send malformed input. It is safe for concurrent use.
 type badClientCount struct {
 	mu sync.Mutex
 	n  int
@@ -26,23 +26,23 @@
 	return b.n
 }
 
-// malformed is what bad clients send. An answer must not be a success.
+// malformed lists the inputs of bad clients. A node may answer them only with a 4xx or 5xx status.
 var malformed = []struct{ name, text string }{
-	{"no HTTP", "hello\r\n\r\n"},
-	{"noise", "\x00\xff\x16\x03\x01\x02\r\n\r\n"},
-	{"a head without end", "GET /hire-check/1 HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 40<<10)},
-	{"a negative length", "POST /hire-book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nContent-Length: -5\r\n\r\n"},
-	{"a huge length", "POST /hire-book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nContent-Length: 99999999999\r\n\r\n"},
-	{"two lengths", "POST /hire-book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nContent-Length: 4\r\nContent-Length: 60\r\n\r\nabcd"},
-	{"a length and chunks", "POST /hire-book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /hire-check/2 HTTP/1.1\r\nHost: h\r\nRequest-Id: %[1]s\r\n\r\n"},
-	{"a body that does not come", "POST /hire-book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nContent-Length: 50\r\n\r\nhalf"},
-	{"a type that does not exist", "GET /dance/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\n\r\n"},
-	{"no id", "GET /hire-check/1 HTTP/1.1\r\nHost: h\r\n\r\n"},
-	{"a time-out of what", "GET /hire-check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Timeout: soon\r\n\r\n"},
-	{"nothing", ""},
+	{"not HTTP", "hello\r\n\r\n"},
+	{"random bytes", "\x00\xff\x16\x03\x01\x02\r\n\r\n"},
+	{"unterminated header", "GET /hire-check/1 HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 40<<10)},
+	{"negative content length", "POST /hire-book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nContent-Length: -5\r\n\r\n"},
+	{"huge content length", "POST /hire-book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nContent-Length: 99999999999\r\n\r\n"},
+	{"two content lengths", "POST /hire-book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nContent-Length: 4\r\nContent-Length: 60\r\n\r\nabcd"},
+	{"content length and chunked encoding", "POST /hire-book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /hire-check/2 HTTP/1.1\r\nHost: h\r\nRequest-Id: %[1]s\r\n\r\n"},
+	{"truncated body", "POST /hire-book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nContent-Length: 50\r\n\r\nhalf"},
+	{"unknown traffic type", "GET /dance/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\n\r\n"},
+	{"missing request ID", "GET /hire-check/1 HTTP/1.1\r\nHost: h\r\n\r\n"},
+	{"malformed request timeout", "GET /hire-check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Timeout: soon\r\n\r\n"},
+	{"no input", ""},
 }
 
-// sendMalformed connects clients to all nodes in turn, at the fault's rate, each with other malformed input.
+// sendMalformed connects bad clients to the nodes in turn, at the fault's rate. Consecutive clients send different inputs.
 func (env *environment) sendMalformed(f *scenario.Fault) {
 	env.wg.Go(func() {
 		every := time.NewTicker(time.Duration(float64(time.Second) / f.Size))
@@ -61,42 +61,45 @@
 	})
 }
 
-// sendOneMalformed runs the i-th bad client and reports to the audit if it gets neither an error nor a close in time.
+// sendOneMalformed runs the i-th bad client. It reports to the audit if the node responds with a success, or with neither
+// an error nor a close within badClientTimeout.
 func (env *environment) sendOneMalformed(i int) {
-	r := malformed[i%len(malformed)]
-	n := (i / len(malformed)) % len(env.nodes)
-	began := time.Now()
-	c, err := net.DialTimeout("tcp", env.nodeAddress(n), badClientTimeout)
+	input := malformed[i%len(malformed)]
+	node := (i / len(malformed)) % len(env.nodes)
+	startedAt := time.Now()
+	c, err := net.DialTimeout("tcp", env.nodeAddress(node), badClientTimeout)
 	if err != nil {
-		return // the node is stopped
+		return // the node is down
 	}
 	defer c.Close()
 	env.badClients.mu.Lock()
 	env.badClients.n++
 	env.badClients.mu.Unlock()
-	c.SetDeadline(began.Add(badClientTimeout + env.Scenario.Rules.Slack.Std()))
-	text := r.text
+	c.SetDeadline(startedAt.Add(badClientTimeout + env.Scenario.Rules.Slack.Std()))
+	text := input.text
 	if strings.Contains(text, "%") {
 		text = fmt.Sprintf(text, fmt.Sprintf("ffff%012x", i))
 	}
 	io.WriteString(c, text)
-	first := make([]byte, 12)
-	got, err := io.ReadFull(c, first)
-	answer := string(first[:got])
-	why := ""
+	prefix := make([]byte, 12)
+	n, err := io.ReadFull(c, prefix)
+	response := string(prefix[:n])
+	violation := ""
 	switch {
-	case strings.HasPrefix(answer, "HTTP/1.1 4"), strings.HasPrefix(answer, "HTTP/1.1 5"):
-	case got > 0:
-		why = fmt.Sprintf("%s: answered %q", r.name, answer)
-	case time.Since(began) > badClientTimeout && err != nil && isTimeout(err):
-		why = fmt.Sprintf("%s: neither an error nor a close in %s", r.name, badClientTimeout)
+	case strings.HasPrefix(response, "HTTP/1.1 4"), strings.HasPrefix(response, "HTTP/1.1 5"):
+	case n > 0:
+		violation = fmt.Sprintf("%s: got response %q, want 4xx or 5xx", input.name, response)
+	case time.Since(startedAt) > badClientTimeout && err != nil && isTimeout(err):
+		violation = fmt.Sprintf("%s: neither error response nor close within %s", input.name, badClientTimeout)
 	}
-	if why != "" {
-		env.observer.record(func(a *audit.Audit, _ time.Duration) { a.BadClientUnanswered(fmt.Sprintf("node %d: %s", n, why)) })
+	if violation != "" {
+		env.observer.record(func(a *audit.Audit, _ time.Duration) {
+			a.BadClientUnanswered(fmt.Sprintf("node %d: %s", node, violation))
+		})
 	}
 }
 
-// isTimeout reports whether an error is a timeout of the network.
+// isTimeout reports whether an error is a network timeout.
 func isTimeout(err error) bool {
 	netErr, ok := err.(net.Error)
 	return ok && netErr.Timeout()
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -17,7 +17,7 @@
 	sweepInterval       = 20 * time.Millisecond  // of checks of open requests
 	resubscribeDelay    = time.Second            // after discovery was unavailable
 	sendBeforeTimeout   = 100 * time.Millisecond // when "deaf" sends, before the client's timeout
-	lateBy              = 400 * time.Millisecond // when "late" answers, after the client's timeout and any slack
+	lateDelay           = 400 * time.Millisecond // when "late" answers, after the client's timeout and any slack
 	answerBeforeTimeout = 5 * time.Millisecond   // before the client's timeout, when a request is answered at the latest
 )
 
@@ -56,14 +56,14 @@
 
 // request is the state of a request.
 type request struct {
-	isOpen     bool
-	isInFlight bool
-	typeIndex  int
-	limit      time.Duration // the client's timeout
-	target     time.Duration
-	attempts   []int
-	mayRun     int // server of the first attempt that may have run; -1: none
-	firstRun   time.Duration
+	isOpen        bool
+	isInFlight    bool
+	typeIndex     int
+	limit         time.Duration // the client's timeout
+	target        time.Duration
+	attempts      []int
+	possiblyRanAt int // server of the first attempt that may have run; -1: none
+	firstRunAt    time.Duration
 }
 
 // decider is a baseline or broken policy.
@@ -90,7 +90,7 @@
 }
 
 // breaks reports whether this is the broken policy of a name.
-func (d *decider) breaks(broken string) bool { return d.isBroken && d.name == broken }
+func (d *decider) isBrokenPolicy(broken string) bool { return d.isBroken && d.name == broken }
 
 // chance returns the next random number in [0, 1).
 func (d *decider) chance() float64 {
@@ -131,13 +131,13 @@
 	}
 	t := &d.settings.TrafficTypes[in.TrafficType]
 	o := &d.requests[in.Request]
-	*o = request{isOpen: true, typeIndex: in.TrafficType, attempts: o.attempts[:0], mayRun: -1, limit: d.now + in.Timeout,
+	*o = request{isOpen: true, typeIndex: in.TrafficType, attempts: o.attempts[:0], possiblyRanAt: -1, limit: d.now + in.Timeout,
 		target: d.now + min(t.LatencyObjective, in.Timeout)}
-	if d.breaks("silent") && d.chance() < 0.05 || d.breaks("late") && d.chance() < 0.05 {
+	if d.isBrokenPolicy("silent") && d.chance() < 0.05 || d.isBrokenPolicy("late") && d.chance() < 0.05 {
 		o.isInFlight = true // as if an attempt were in flight without an outcome
 		return
 	}
-	if d.breaks("deaf") && d.chance() < 0.3 {
+	if d.isBrokenPolicy("deaf") && d.chance() < 0.3 {
 		o.target = o.limit
 		return // it is sent shortly before the timeout, whether or not its client is connected
 	}
@@ -181,7 +181,7 @@
 // mayPlace reports whether a request's type may be sent to a server.
 func (d *decider) mayPlace(o *request, s int) bool {
 	for i, to := range d.settings.Placements {
-		bound := d.settings.TrafficTypes[o.typeIndex].PlacementBit&(1<<i) != 0 && !d.breaks("misplaces")
+		bound := d.settings.TrafficTypes[o.typeIndex].PlacementBit&(1<<i) != 0 && !d.isBrokenPolicy("misplaces")
 		if bound && (to.Zones != nil && !slices.Contains(to.Zones, d.zone[s]) || to.MachineKinds != nil && !slices.Contains(to.MachineKinds, d.machine[s])) {
 			return false
 		}
@@ -191,14 +191,14 @@
 
 // inGroup reports whether a server is in the key scope of the attempt that may have run.
 func (d *decider) inGroup(o *request, s int) bool {
-	if o.mayRun < 0 || d.settings.TrafficTypes[o.typeIndex].Idempotency != policy.IdempotentWithKey || d.breaks("wrong-group") {
+	if o.possiblyRanAt < 0 || d.settings.TrafficTypes[o.typeIndex].Idempotency != policy.IdempotentWithKey || d.isBrokenPolicy("wrong-group") {
 		return true
 	}
 	switch d.settings.TrafficTypes[o.typeIndex].KeyScope {
 	case policy.KeyScopeZone:
-		return d.zone[s] == d.zone[o.mayRun]
+		return d.zone[s] == d.zone[o.possiblyRanAt]
 	case policy.KeyScopeCell:
-		return d.cell[s] == d.cell[o.mayRun]
+		return d.cell[s] == d.cell[o.possiblyRanAt]
 	}
 	return true
 }
@@ -238,24 +238,24 @@
 	o := &d.requests[in.Request]
 	o.isInFlight = false
 	ran := in.Outcome != policy.Overloaded && in.Outcome != policy.Unreachable && in.Outcome != policy.NotStarted
-	if ran && o.mayRun < 0 {
-		o.mayRun, o.firstRun = in.Server, d.now-in.Elapsed
+	if ran && o.possiblyRanAt < 0 {
+		o.possiblyRanAt, o.firstRunAt = in.Server, d.now-in.Elapsed
 	}
 	if !o.isOpen || in.Outcome == policy.Success || in.ClientAnswered {
 		o.isOpen = false
 		return
 	}
 	t := &d.settings.TrafficTypes[o.typeIndex]
-	may := o.mayRun < 0 || t.Idempotency == policy.Idempotent || d.breaks("repeats-binding") ||
-		t.Idempotency == policy.IdempotentWithKey && (d.now < o.firstRun+t.KeyRetention-2*sweepInterval || d.breaks("past-window"))
+	may := o.possiblyRanAt < 0 || t.Idempotency == policy.Idempotent || d.isBrokenPolicy("repeats-binding") ||
+		t.Idempotency == policy.IdempotentWithKey && (d.now < o.firstRunAt+t.KeyRetention-2*sweepInterval || d.isBrokenPolicy("past-window"))
 	most := d.settings.MaxAttempts
-	if d.breaks("too-many-hops") {
+	if d.isBrokenPolicy("too-many-hops") {
 		most = 1 << 30
 	}
 	if may && len(o.attempts) < most && d.now < o.target && d.send(in.Request) {
 		return
 	}
-	if d.isSafeToRetry(o) || d.breaks("denies-after-run") {
+	if d.isSafeToRetry(o) || d.isBrokenPolicy("denies-after-run") {
 		d.reject(in.Request)
 	} else {
 		d.fail(in.Request)
@@ -265,7 +265,7 @@
 // isSafeToRetry reports whether a rejected request may be retried by the client.
 func (d *decider) isSafeToRetry(o *request) bool {
 	t := &d.settings.TrafficTypes[o.typeIndex]
-	return o.mayRun < 0 && !o.isInFlight || t.Idempotency == policy.Idempotent || t.Idempotency == policy.IdempotentWithKey && t.KeyScope == policy.KeyScopeAll
+	return o.possiblyRanAt < 0 && !o.isInFlight || t.Idempotency == policy.Idempotent || t.Idempotency == policy.IdempotentWithKey && t.KeyScope == policy.KeyScopeAll
 }
 
 // endpointsUpdated takes over an endpoint list.
@@ -274,7 +274,7 @@
 		d.isSubscribed, d.subscribeAt = false, d.now+resubscribeDelay
 		return
 	}
-	if in.Scope != policy.Incremental && !d.breaks("ignores-drains") {
+	if in.Scope != policy.Incremental && !d.isBrokenPolicy("ignores-drains") {
 		clear(d.ready)
 	}
 	for _, l := range in.Endpoints {
@@ -289,7 +289,7 @@
 		} else {
 			d.started[l.Server] = -time.Hour
 		}
-		if l.Condition == policy.Up || !d.breaks("ignores-drains") {
+		if l.Condition == policy.Up || !d.isBrokenPolicy("ignores-drains") {
 			d.ready[l.Server] = l.Condition == policy.Up
 		}
 	}
@@ -301,13 +301,13 @@
 	for i := range d.requests {
 		o := &d.requests[i]
 		limit := o.limit - answerBeforeTimeout - sweepInterval
-		if d.breaks("late") && len(o.attempts) == 0 {
-			limit = o.limit + lateBy
+		if d.isBrokenPolicy("late") && len(o.attempts) == 0 {
+			limit = o.limit + lateDelay
 		}
-		if d.breaks("deaf") && o.isOpen && len(o.attempts) == 0 && d.now >= limit-sendBeforeTimeout && d.send(i) {
+		if d.isBrokenPolicy("deaf") && o.isOpen && len(o.attempts) == 0 && d.now >= limit-sendBeforeTimeout && d.send(i) {
 			continue
 		}
-		if !o.isOpen || d.now < limit || d.breaks("silent") {
+		if !o.isOpen || d.now < limit || d.isBrokenPolicy("silent") {
 			continue
 		}
 		if d.isSafeToRetry(o) || len(o.attempts) == 0 {
--- a/internal/testbed/bench.go
+++ b/internal/testbed/bench.go
@@ -25,19 +25,19 @@
 
 const benchServers = 8
 
-// BenchOptions of a comparison of one node with direct requests.
+// BenchOptions configures a comparison of requests through one node with direct requests.
 type BenchOptions struct {
-	Command     []string // runs one node
-	Env         []string
-	Connections []int // numbers of concurrent clients to measure with
+	Command     []string // command line of a node process
+	Env         []string // added to this process's environment
+	Connections []int    // concurrent clients, one measurement for each number
 	Duration    time.Duration
-	Rates       []float64 // requests per second, each with each number of clients; none: closed loop
+	Rates       []float64 // requests per second, combined with each number of clients; empty: closed loop
 }
 
-// BenchRow is one measurement.
+// BenchRow is the result of one measurement, as it is written to reports.
 type BenchRow struct {
 	Connections     int           `json:"connections"`
-	Rate            float64       `json:"rate,omitempty"` // offered requests per second; 0: closed loop
+	Rate            float64       `json:"rate,omitempty"` // requests offered per second; 0: closed loop
 	Route           string        `json:"way"`
 	PerSecond       float64       `json:"per_second"`
 	P50             time.Duration `json:"p50_ns"`
@@ -46,8 +46,8 @@
 	CPUMicroseconds float64       `json:"cpu_us_each"`
 }
 
-// Bench measures clients that send one request after the other through a node and directly, in turn, against servers that
-// answer at once.
+// Bench measures sequential clients directly and through a node, one after the other, against servers that respond
+// immediately.
 func Bench(ctx context.Context, o BenchOptions) (rows []BenchRow, err error) {
 	dir, err := os.MkdirTemp("", "testbed-")
 	if err != nil {
@@ -59,8 +59,8 @@
 		return nil, err
 	}
 	s.Nodes.Count, s.Sites = 1, []string{"one"}
-	for i := range s.Types { // so that no timeout limits the load
-		s.Types[i].Target, s.Types[i].Abandon = scenario.Span(2*time.Second), scenario.Span(3*time.Second)
+	for i := range s.Types { // long enough that no timeout limits the load
+		s.Types[i].LatencyObjective, s.Types[i].AbandonTime = scenario.Span(2*time.Second), scenario.Span(3*time.Second)
 	}
 	env := &environment{Options: Options{Scenario: s}, processes: newProcessManager()}
 	defer close(env.processes.commands)
@@ -73,35 +73,35 @@
 	if err != nil {
 		return nil, err
 	}
-	known, _ := json.Marshal(object{"revision": 1, "complete": true, "members": members})
+	endpointList, _ := json.Marshal(object{"revision": 1, "complete": true, "members": members})
 	p := &process{command: o.Command, env: o.Env, dir: dir}
-	at := env.nodeAddress(0)
-	if err := p.writeConfig(s, at, env.discoveryAddress(0, 0), "1", known); err != nil {
+	address := env.nodeAddress(0)
+	if err := p.writeConfig(s, address, env.discoveryAddress(0, 0), "1", endpointList); err != nil {
 		return nil, err
 	}
-	crashed := make(chan string, 1)
-	if err := p.start(env.processes, func(why string) { crashed <- why }); err != nil {
+	exited := make(chan string, 1)
+	if err := p.start(env.processes, func(why string) { exited <- why }); err != nil {
 		return nil, err
 	}
 	defer p.stop(syscall.SIGTERM)
-	balancer := connbalancer.New(1, []connbalancer.Node{{Address: at}})
+	balancer := connbalancer.New(1, []connbalancer.Node{{Address: address}})
 	ready, cancel := context.WithTimeout(ctx, maxStartTime)
 	defer cancel()
 	if err := balancer.Started(ready, 0); err != nil {
 		return nil, err
 	}
-	if rows, err = measureAll(ctx, o, p, at, addresses); err != nil {
+	if rows, err = measureAll(ctx, o, p, address, addresses); err != nil {
 		return nil, err
 	}
 	select {
-	case why := <-crashed:
-		return nil, errors.New("the node has ended: " + why)
+	case why := <-exited:
+		return nil, errors.New("node process exited: " + why)
 	default:
 		return rows, nil
 	}
 }
 
-// measureAll measures both routes for each number of connections and each rate.
+// measureAll measures both routes for each combination of a number of connections and a rate.
 func measureAll(ctx context.Context, o BenchOptions, p *process, node string, servers []string) (rows []BenchRow, err error) {
 	rates := o.Rates
 	if len(rates) == 0 {
@@ -109,17 +109,17 @@
 	}
 	for _, n := range o.Connections {
 		for _, rate := range rates {
-			both, err := measureBoth(ctx, p, benchClients{count: n, duration: o.Duration, rate: rate}, servers, node)
+			pair, err := measureBoth(ctx, p, benchClients{count: n, duration: o.Duration, rate: rate}, servers, node)
 			if err != nil {
 				return nil, err
 			}
-			rows = append(rows, both...)
+			rows = append(rows, pair...)
 		}
 	}
 	return rows, nil
 }
 
-// measureBoth measures the same clients directly and through the node.
+// measureBoth measures the same load directly and through the node.
 func measureBoth(ctx context.Context, p *process, c benchClients, servers []string, node string) (rows []BenchRow, err error) {
 	for _, route := range []struct {
 		name string
@@ -147,13 +147,14 @@
 	if err != nil {
 		return 0
 	}
-	f := strings.Fields(string(b[strings.LastIndexByte(string(b), ')')+1:]))
-	user, _ := strconv.Atoi(f[11])
-	system, _ := strconv.Atoi(f[12])
-	return time.Duration(user+system) * 10 * time.Millisecond // a clock tick of the system
+	fields := strings.Fields(string(b[strings.LastIndexByte(string(b), ')')+1:]))
+	user, _ := strconv.Atoi(fields[11])
+	system, _ := strconv.Atoi(fields[12])
+	return time.Duration(user+system) * 10 * time.Millisecond // a kernel clock tick
 }
 
-// StartInstantServer starts a server that answers at once, for measuring a load generator. stop must be called.
+// StartInstantServer starts a server that responds immediately, to measure a load generator against. The caller must
+// call stop.
 func StartInstantServer() (address string, stop func(), err error) {
 	_, addresses, stop, err := startInstantServers(1)
 	if err != nil {
@@ -162,7 +163,7 @@
 	return addresses[0], stop, nil
 }
 
-// startInstantServers starts n servers that answer at once. closeAll must be called, after an error too.
+// startInstantServers starts n servers that respond immediately. The caller must call closeAll, even after an error.
 func startInstantServers(n int) (members []object, addresses []string, closeAll func(), err error) {
 	var listeners []net.Listener
 	closeAll = func() {
@@ -170,7 +171,7 @@
 			l.Close()
 		}
 	}
-	answer := http1.AppendAnswer(nil, http1.Answer{Status: 200, Body: []byte(strings.Repeat("x", 150))})
+	response := http1.AppendAnswer(nil, http1.Answer{Status: 200, Body: []byte(strings.Repeat("x", 150))})
 	for i := range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -190,7 +191,7 @@
 					c := http1.NewConn(nc)
 					var req http1.Request
 					for c.ReadRequest(&req) == nil {
-						if isComplete, _ := c.Send(answer); !isComplete {
+						if isComplete, _ := c.Send(response); !isComplete {
 							return
 						}
 					}
@@ -201,20 +202,20 @@
 	return members, addresses, closeAll, nil
 }
 
-// benchClients are concurrent clients, each with one request at a time: the next follows when the answer came or, with a
-// rate, when it is due.
+// benchClients are concurrent clients with one request in flight each. In a closed loop a client sends its next request
+// when the previous response has arrived; with a rate, when the request is also due.
 type benchClients struct {
 	count    int
 	duration time.Duration
-	rate     float64 // requests per second of all clients; 0: closed loop
+	rate     float64 // requests per second over all clients; 0: closed loop
 }
 
-// dueAt returns when the k-th request of a client is due.
+// dueAt returns the scheduled time of the k-th request of a client.
 func (c benchClients) dueAt(startedAt time.Time, client, k int) time.Time {
 	return startedAt.Add(time.Duration(float64(k*c.count+client) / c.rate * float64(time.Second)))
 }
 
-// run runs the clients for their duration and sums up.
+// run runs the clients for their duration and aggregates their results.
 func (c benchClients) run(ctx context.Context, to []string) (BenchRow, error) {
 	startedAt := time.Now()
 	var mu sync.Mutex
@@ -236,15 +237,16 @@
 	}
 	slices.Sort(all)
 	if len(all) == 0 {
-		return BenchRow{}, errors.New("nothing was answered")
+		return BenchRow{}, errors.New("no responses received")
 	}
 	return BenchRow{Connections: c.count, Rate: c.rate, PerSecond: float64(len(all)) / c.duration.Seconds(), P50: all[len(all)/2], P99: all[len(all)*99/100],
 		Rejected: rejected}, nil
 }
 
-// runOne runs one client and returns the latency of each request and the number of rejected ones. With a rate, latency
-// counts from when the request was due, so an answer that delays the next request adds to that one's latency.
-func (c benchClients) runOne(ctx context.Context, start time.Time, client int, to string) (took []time.Duration, rejected int, err error) {
+// runOne runs one client and returns the latency of each request and the number of requests that were not handled. With
+// a rate, latency counts from the scheduled time, so that a slow response also adds to the latency of the requests that
+// it delays.
+func (c benchClients) runOne(ctx context.Context, start time.Time, client int, to string) (latencies []time.Duration, rejected int, err error) {
 	nc, err := net.Dial("tcp", to)
 	if err != nil {
 		return nil, 0, err
@@ -266,21 +268,21 @@
 		b := append(conn.Scratch(), "GET /hire-check/1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: "...)
 		b = load.AppendID(b, uint64(client+1)<<32|uint64(k))
 		if _, err := conn.Send(append(b, "\r\nRequest-Timeout: 2.000\r\n\r\n"...)); err != nil {
-			return took, rejected, err
+			return latencies, rejected, err
 		}
 		if err := conn.ReadResponse(&r, http1.MaxAnswer); err != nil {
-			return took, rejected, err
+			return latencies, rejected, err
 		}
-		if took = append(took, time.Since(startedAt)); r.Status != 200 {
+		if latencies = append(latencies, time.Since(startedAt)); r.Status != 200 {
 			rejected++
 		}
 		if r.Close {
 			nc.Close()
 			if nc, err = net.Dial("tcp", to); err != nil {
-				return took, rejected, err
+				return latencies, rejected, err
 			}
 			conn = http1.NewConn(nc)
 		}
 	}
-	return took, rejected, nil
+	return latencies, rejected, nil
 }
--- a/internal/testbed/brokennode.go
+++ b/internal/testbed/brokennode.go
@@ -5,8 +5,8 @@
 	"fernvane/internal/testbed/baseline"
 )
 
-// Configure sets a policy of package baseline in a node's configuration, by its name. For one that breaks a rule on
-// purpose it also replaces the parts of the node that would keep the rule. ok is false if there is no such policy.
+// Configure sets the named policy of package baseline in a node's configuration. For a policy that violates a rule on
+// purpose, it also replaces the components of the node that enforce the rule. ok is false if the policy is unknown.
 func Configure(cfg *proxy.Config, policyName string) (ok bool) {
 	if cfg.NewPolicy, ok = baseline.Find(policyName); !ok {
 		return false
@@ -22,12 +22,12 @@
 	return true
 }
 
-// noDrainGuard allows attempts at servers whose drain grace has passed.
+// noDrainGuard allows attempts at servers after their drain grace has expired.
 type noDrainGuard struct{}
 
 func (noDrainGuard) IsTooLateToWrite(string) bool { return false }
 
-// ignoredDisconnects reports no client as disconnected.
+// ignoredDisconnects reports every client as connected.
 type ignoredDisconnects struct{ proxy.DisconnectWatcher }
 
 func (ignoredDisconnects) IsDisconnected() bool { return false }
--- a/internal/testbed/build.go
+++ b/internal/testbed/build.go
@@ -19,8 +19,8 @@
 	"fernvane/internal/testbed/standin/server"
 )
 
-// build starts servers, discovery and nodes and returns when the connection balancer knows all nodes.
-func (env *environment) build(ctx context.Context) error {
+// setUp starts servers, discovery, planners and nodes, and returns when the connection balancer routes to all nodes.
+func (env *environment) setUp(ctx context.Context) error {
 	var err error
 	if env.network, err = loopback.Reserve(); err != nil {
 		return err
@@ -28,7 +28,7 @@
 	s := env.Scenario
 	env.observer = newObserver(s, env.Requests, env.start)
 	env.discovery = discovery.New(discovery.Settings{LinesPerS: s.Discovery.LinesPerS, CallLines: s.Discovery.CallLines,
-		Timeout: s.Discovery.Timeout.Std(), Spread: s.Discovery.Spread.Std()}, s.Seed, discovered{env.observer})
+		Timeout: s.Discovery.Timeout.Std(), Spread: s.Discovery.Spread.Std()}, s.Seed, discoveryObserver{env.observer})
 	for i := range s.Servers {
 		for n := range s.Servers[i].Count {
 			m, err := env.addServer(&s.Servers[i], fmt.Sprintf("%s-%d", s.Servers[i].Kind, n))
@@ -46,7 +46,7 @@
 	if err := env.serveDiscovery(); err != nil {
 		return err
 	}
-	ready, cancel := context.WithTimeoutCause(ctx, maxStartTime, errors.New("the nodes take too long to start"))
+	ready, cancel := context.WithTimeoutCause(ctx, maxStartTime, errors.New("node start timed out"))
 	defer cancel()
 	g, ready := errgroup.WithContext(ready)
 	g.SetLimit(maxConcurrentStarts)
@@ -82,22 +82,22 @@
 	return g.Wait()
 }
 
-// nodeAddress returns where a node listens for HTTP.
+// nodeAddress returns the HTTP listen address of a node.
 func (env *environment) nodeAddress(n int) string {
 	return env.network.Address(n/250, n%250+1, nodePort)
 }
 
-// fastCGIAddress returns where a node listens for FastCGI.
+// fastCGIAddress returns the FastCGI listen address of a node.
 func (env *environment) fastCGIAddress(n int) string {
 	return env.network.Address(n/250, n%250+1, fastCGIPort)
 }
 
-// discoveryAddress returns where discovery listens for a node or planner after a number of moves.
+// discoveryAddress returns the address of discovery for a node or planner, after discovery has moved a number of times.
 func (env *environment) discoveryAddress(n, moves int) string {
 	return env.network.Address(200+moves, 1, discoveryPort+n)
 }
 
-// serveDiscovery has discovery listen at its present addresses, one for each node and planner.
+// serveDiscovery makes discovery listen on its current addresses, one for each node and planner.
 func (env *environment) serveDiscovery() error {
 	for n := range env.Scenario.Nodes.Count + env.Scenario.Planners.Count {
 		if err := env.discovery.Serve(n, n%len(env.Scenario.Sites), env.discoveryAddress(n, env.addresses)); err != nil {
@@ -107,13 +107,13 @@
 	return nil
 }
 
-// addServer starts a server that discovery does not know yet.
-func (env *environment) addServer(k *scenario.Servers, name string) (*standinServer, error) {
+// addServer starts a server without announcing it to discovery.
+func (env *environment) addServer(spec *scenario.Servers, name string) (*standinServer, error) {
 	s, n := env.Scenario, len(env.servers)
 	site := n % len(s.Sites)
 	cell := 0
-	if k.GroupSize > 0 {
-		cell = n / k.GroupSize
+	if spec.GroupSize > 0 {
+		cell = n / spec.GroupSize
 	}
 	addresses := make([]string, len(s.Sites))
 	for i := range addresses {
@@ -126,33 +126,34 @@
 		return s.Net.Cross.Std()
 	}
 	id := server.Identity{Number: n, Name: name, Site: site, Cell: cell}
-	b, err := server.NewServer(id, server.Settings{Cores: k.Cores, Speed: k.Speed, Queue: k.Queue, ColdShare: k.ColdShare, ColdFor: k.ColdFor.Std(),
-		KeyGain: k.KeyGain, KeyFor: k.KeyFor.Std(), Keys: k.Keys, Drops: k.Drops, OverloadFactor: s.Rules.FallMultiple,
-		OverloadWindow: s.Rules.FallWindow.Std(), Handshake: k.Handshake.Std(), Connections: k.Connections, FastCGI: k.FastCGI}, env.start, addresses, latency, env.observer)
+	standin, err := server.NewServer(id, server.Settings{Cores: spec.Cores, Speed: spec.Speed, Queue: spec.Queue, ColdShare: spec.SlowStartCapacity, ColdFor: spec.SlowStartDuration.Std(),
+		KeyGain: spec.CacheGain, KeyFor: spec.CacheDuration.Std(), Keys: spec.CacheSize, Drops: spec.RejectsExpired, OverloadFactor: s.Rules.OverloadFactor,
+		OverloadWindow: s.Rules.OverloadWindow.Std(), Handshake: spec.Handshake.Std(), Connections: spec.Connections, FastCGI: spec.FastCGI}, env.start, addresses, latency, env.observer)
 	if err != nil {
 		return nil, err
 	}
-	b.Set(func(f *server.Faults) { f.Err = k.ErrorRate })
-	m := &standinServer{Server: b, spec: k}
+	standin.Set(func(f *server.Faults) { f.Err = spec.ErrorRate })
+	m := &standinServer{Server: standin, spec: spec}
 	env.servers = append(env.servers, m)
 	env.observer.record(func(a *audit.Audit, _ time.Duration) {
 		env.observer.servers[name] = n
-		a.Server(audit.Server{Name: name, Site: site, Cell: cell, Kind: k.Kind})
+		a.Server(audit.Server{Name: name, Site: site, Cell: cell, Kind: spec.Kind})
 	})
 	return m, nil
 }
 
-// fastCGIUse reports whether clients or servers of the scenario speak FastCGI, and which kinds of servers.
+// fastCGIUse reports whether clients or servers of the scenario speak FastCGI, and the kinds of servers that do.
 func (env *environment) fastCGIUse() (isUsed bool, kinds []string) {
-	for _, b := range env.Scenario.Servers {
-		if b.FastCGI {
-			kinds = append(kinds, b.Kind)
+	for _, s := range env.Scenario.Servers {
+		if s.FastCGI {
+			kinds = append(kinds, s.Kind)
 		}
 	}
 	return env.Scenario.Clients.FastCGI || len(kinds) > 0, kinds
 }
 
-// writeOperatorFiles writes the version of the operator's file to all nodes, each by a rename, so that no node reads a part.
+// writeOperatorFiles writes a version of the operator's file for each node. It renames complete files into place, so that
+// no node reads a partial one.
 func (env *environment) writeOperatorFiles(version int) error {
 	isUsed, kinds := env.fastCGIUse()
 	if len(env.Scenario.Operators) == 0 && !isUsed {
@@ -176,19 +177,20 @@
 	return nil
 }
 
-// writeNodeConfig writes a node's configuration, with discovery's present list if the scenario wants it.
+// writeNodeConfig writes a node's configuration, with discovery's current endpoint list if the scenario starts nodes
+// with it.
 func (env *environment) writeNodeConfig(n int) error {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	seed := fmt.Sprintf("%d-%d-%d", env.Scenario.Seed, n, time.Since(env.start)/time.Second)
-	var known json.RawMessage
+	var endpointList json.RawMessage
 	if env.Scenario.Lists.Start == "known" {
-		known = env.discovery.List(n % len(env.Scenario.Sites))
+		endpointList = env.discovery.List(n % len(env.Scenario.Sites))
 	}
-	return env.nodes[n].writeConfig(env.Scenario, env.nodeAddress(n), env.discoveryAddress(n, env.addresses), seed, known)
+	return env.nodes[n].writeConfig(env.Scenario, env.nodeAddress(n), env.discoveryAddress(n, env.addresses), seed, endpointList)
 }
 
-// startNode starts a node on its present configuration and waits until the connection balancer knows it.
+// startNode starts a node with its current configuration and waits until the connection balancer routes to it.
 func (env *environment) startNode(ctx context.Context, n int) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -199,7 +201,7 @@
 		cancel(fmt.Errorf("node %d has ended: %s", n, why))
 		env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, why) })
 		env.observer.nodeDown(n, true)
-		env.balancer.Ended(n, env.Scenario.Nodes.Notice.Std())
+		env.balancer.Ended(n, env.Scenario.Nodes.CrashNotice.Std())
 	})
 	if err != nil {
 		return err
--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	maxSeeds                 = 3 // nodes that each knows at its start
+	maxSeeds                 = 3 // peers in the configuration of each node
 	maxReplicationWait       = 60 * time.Second
 	replicationPollInterval  = 100 * time.Millisecond
-	maxDowntime              = 700 * time.Millisecond // of a lost machine
-	lossIntervalWithoutPeers = 2 * time.Second        // there is no replication to wait for
-	lastLossBeforeEnd        = 8 * time.Second        // of a run; no loss begins later
+	maxDowntime              = 700 * time.Millisecond // of a lost machine until its node restarts
+	lossIntervalWithoutPeers = 2 * time.Second        // between losses, if nodes do not replicate
+	lastLossBeforeEnd        = 8 * time.Second        // no loss begins later than this before the fault ends
 )
 
-// lossCounts counts machines that were lost with their disks. mu guards it.
+// lossCounts counts machines that were lost with their disks. mu guards the other fields.
 type lossCounts struct {
 	mu                 sync.Mutex
 	machines           int
 	cycles             int
-	expectedLost       map[int]bool // nodes whose journals may be lost with all replicas
-	replicationSeconds float64      // how long it took until the entries of an earlier run were replicated
+	expectedLost       map[int]bool // nodes whose journal and replicas were all on lost machines
+	replicationSeconds float64      // until the entries of an earlier run were replicated; 0: they were not
 }
 
-// frameTriggers are faults that wait for a frame between nodes. mu guards them.
+// frameTriggers holds faults that are applied when a frame between nodes is forwarded. mu guards the other fields.
 type frameTriggers struct {
 	mu      sync.Mutex
 	pending []*frameTrigger
-	isOver  bool // the load is over; frames of stopping nodes trigger nothing
+	isOver  bool // the load has ended: frames of stopping nodes trigger no fault
 }
 
-// frameTrigger calls action at the remaining-th frame of a kind from or to a node.
+// frameTrigger calls action when the remaining-th frame of a kind from or to a node is forwarded.
 type frameTrigger struct {
 	kind      byte
 	node      int
@@ -50,17 +50,17 @@
 	action    func()
 }
 
-// peerListen returns where a node listens for other nodes, behind their links.
+// peerListen returns the address on which a node accepts connections from its peers, behind the simulated links.
 func (env *environment) peerListen(n int) string {
 	return env.network.Address(n/250, n%250+1, peerPort)
 }
 
-// peerAddress returns where other nodes reach a node, through the links between them.
+// peerAddress returns the address at which peers reach a node through the simulated links.
 func (env *environment) peerAddress(n int) string {
 	return env.network.Address(230+n/250, n%250+1, peerPort)
 }
 
-// setUpPeers configures the nodes to know each other through links that can fail, if the scenario has replicas.
+// setUpPeers configures the nodes as peers over links that faults can disturb, if the scenario has replicas.
 func (env *environment) setUpPeers() error {
 	s := env.Scenario
 	env.losses.expectedLost = map[int]bool{}
@@ -90,56 +90,56 @@
 	return nil
 }
 
-// frameForwarded is called for each frame between nodes before it is forwarded, and runs the triggers that it fires.
+// frameForwarded runs the triggers that a frame between nodes fires. The mesh calls it before it forwards the frame.
 func (env *environment) frameForwarded(from, to int, kind byte) {
 	env.frameTriggers.mu.Lock()
 	var due []func()
 	if env.frameTriggers.isOver {
 		env.frameTriggers.pending = nil
 	}
-	env.frameTriggers.pending = slices.DeleteFunc(env.frameTriggers.pending, func(s *frameTrigger) bool {
-		if s.kind != kind || s.node != from && s.node != to {
+	env.frameTriggers.pending = slices.DeleteFunc(env.frameTriggers.pending, func(t *frameTrigger) bool {
+		if t.kind != kind || t.node != from && t.node != to {
 			return false
 		}
-		if s.remaining--; s.remaining > 0 {
+		if t.remaining--; t.remaining > 0 {
 			return false
 		}
-		due = append(due, s.action)
+		due = append(due, t.action)
 		return true
 	})
 	env.frameTriggers.mu.Unlock()
-	for _, do := range due {
-		do()
+	for _, action := range due {
+		action()
 	}
 }
 
-// onFrame has do called when the frame that the fault names is forwarded.
-func (env *environment) onFrame(f *scenario.Fault, do func()) {
+// onFrame calls action when the frame that the fault specifies is forwarded.
+func (env *environment) onFrame(f *scenario.Fault, action func()) {
 	env.frameTriggers.mu.Lock()
 	defer env.frameTriggers.mu.Unlock()
-	env.frameTriggers.pending = append(env.frameTriggers.pending, &frameTrigger{peer.FrameKindByName(f.When), f.Nodes[0], f.Nth, do})
+	env.frameTriggers.pending = append(env.frameTriggers.pending, &frameTrigger{peer.FrameKindByName(f.When), f.Nodes[0], f.Nth, action})
 }
 
-// anyNodes returns the nodes that a fault names, or all.
-func (env *environment) anyNodes(f *scenario.Fault, chance *rand.Rand) []int {
+// anyNodes returns the nodes that a fault names or a share of all; all in random order if the fault specifies neither.
+func (env *environment) anyNodes(f *scenario.Fault, rng *rand.Rand) []int {
 	if len(f.Nodes) > 0 || f.Share > 0 {
-		return env.chosenNodes(f, chance)
+		return env.chosenNodes(f, rng)
 	}
-	return chance.Perm(len(env.nodes))
+	return rng.Perm(len(env.nodes))
 }
 
-// killNode kills a node's process.
+// killNode kills a node's process and writes the configuration for its restart.
 func (env *environment) killNode(n int) {
 	env.observer.nodeDown(n, true)
 	env.nodes[n].stop(syscall.SIGKILL)
-	env.balancer.Ended(n, env.Scenario.Nodes.Notice.Std())
+	env.balancer.Ended(n, env.Scenario.Nodes.CrashNotice.Std())
 	env.writeNodeConfig(n)
 }
 
-// pauseNode pauses a node's process for a time.
+// pauseNode stops a node's process with SIGSTOP and resumes it after duration.
 func (env *environment) pauseNode(ctx context.Context, n int, duration time.Duration) {
 	env.observer.nodePaused(n)
-	env.balancer.Ended(n, env.Scenario.Nodes.Notice.Std())
+	env.balancer.Ended(n, env.Scenario.Nodes.CrashNotice.Std())
 	env.nodes[n].signal(syscall.SIGSTOP)
 	env.after(duration, func() {
 		env.nodes[n].signal(syscall.SIGCONT)
--- a/internal/testbed/cold_test.go
+++ b/internal/testbed/cold_test.go
@@ -13,18 +13,18 @@
 )
 
 // moment is something that is due in a coldFleet.
-type moment struct {
+type timedEvent struct {
 	at time.Duration
 	do func()
 }
 
-type agenda []moment
+type eventQueue []timedEvent
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(moment)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Len() int           { return len(a) }
+func (a eventQueue) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a eventQueue) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)        { *a = append(*a, x.(timedEvent)) }
+func (a *eventQueue) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
@@ -33,37 +33,39 @@
 // coldServer works through what it is sent in turn, slower while it is cold.
 type coldServer struct {
 	started time.Duration // below 0: warm from the beginning
-	free    time.Duration
+	freeAt  time.Duration
 	recent  []time.Duration // attempts since its start, within the window
 }
 
 // coldFleet is a number of nodes before some servers, each node the shipped module, on a clock of its own.
 type coldFleet struct {
-	set      policy.Settings
-	work     time.Duration // of one request on a warm server
-	window   time.Duration
-	now      time.Duration
-	due      agenda
-	chance   *rand.Rand
-	nodes    []*coldNode
-	servers  []*coldServer
-	requests uint64
-	worst    float64 // most of what a cold server may get that one got
-	peak     string
-	fed      int // attempts at cold servers
+	set          policy.Settings
+	work         time.Duration // of one request on a warm server
+	window       time.Duration
+	now          time.Duration
+	events       eventQueue
+	chance       *rand.Rand
+	nodes        []*coldNode
+	servers      []*coldServer
+	requests     uint64
+	peakShare    float64 // most of what a cold server may get that one got
+	peakDetail   string
+	coldAttempts int // attempts at cold servers
 }
 
 type coldNode struct {
-	f        *coldFleet
-	engine   *engine.Engine[int]
-	woke     int // wakes asked for
-	attempts map[uint64]int
+	f               *coldFleet
+	engine          *engine.Engine[int]
+	timerGeneration int // wakes asked for
+	attempts        map[uint64]int
 }
 
-func (f *coldFleet) after(d time.Duration, do func()) { heap.Push(&f.due, moment{f.now + d, do}) }
+func (f *coldFleet) after(d time.Duration, do func()) {
+	heap.Push(&f.events, timedEvent{f.now + d, do})
+}
 
 // allows is N, what the settings allow a server to be sent within the window now, in requests of mean work.
-func (f *coldFleet) allows(s *coldServer) float64 {
+func (f *coldFleet) budget(s *coldServer) float64 {
 	return f.set.CrashLoadFactor * f.capacity(s) * f.window.Seconds() / f.work.Seconds()
 }
 
@@ -76,32 +78,32 @@
 }
 
 // sent counts an attempt at a server that is cold: beyond N only twice its root and two more are chance.
-func (f *coldFleet) sent(s int) {
+func (f *coldFleet) recordAttempt(s int) {
 	c := f.servers[s]
 	if f.capacity(c) >= 1 {
 		return
 	}
-	f.fed++
+	f.coldAttempts++
 	c.recent = append(c.recent, f.now)
 	for f.now-c.recent[0] >= f.window {
 		c.recent = c.recent[1:]
 	}
-	n := f.allows(c)
-	if part := float64(len(c.recent)) / (n + 2*math.Sqrt(n) + 2); part > f.worst {
-		f.worst = part
-		f.peak = fmt.Sprintf("server %d at %v: %d within %v, N is %.1f", s, f.now, len(c.recent), f.window, n)
+	n := f.budget(c)
+	if part := float64(len(c.recent)) / (n + 2*math.Sqrt(n) + 2); part > f.peakShare {
+		f.peakShare = part
+		f.peakDetail = fmt.Sprintf("server %d at %v: %d within %v, N is %.1f", s, f.now, len(c.recent), f.window, n)
 	}
 }
 
 func (n *coldNode) SendAttempt(job uint64, server int, allow time.Duration) {
 	f := n.f
-	f.sent(server)
+	f.recordAttempt(server)
 	hop := n.attempts[job]
 	n.attempts[job]++
 	c, sent := f.servers[server], f.now
-	c.free = max(c.free, f.now) + time.Duration(float64(f.work)/f.capacity(c)*f.chance.ExpFloat64())
+	c.freeAt = max(c.freeAt, f.now) + time.Duration(float64(f.work)/f.capacity(c)*f.chance.ExpFloat64())
 	in := policy.Input{Attempt: hop, Outcome: policy.Success, ClientAnswered: true}
-	took := c.free - f.now
+	took := c.freeAt - f.now
 	if took > allow {
 		took, in.Outcome, in.ClientAnswered = allow, policy.TimedOut, false
 	}
@@ -118,17 +120,17 @@
 func (n *coldNode) Forget(int)                   {}
 
 func (n *coldNode) SetTimer(after time.Duration) {
-	n.woke++
-	woke := n.woke
+	n.timerGeneration++
+	woke := n.timerGeneration
 	n.f.after(after, func() {
-		if n.woke == woke {
+		if n.timerGeneration == woke {
 			n.engine.TimerFired(n.f.now, n)
 		}
 	})
 }
 
 // list tells all nodes of servers.
-func (f *coldFleet) list(scope policy.UpdateScope, servers ...policy.Endpoint) {
+func (f *coldFleet) updateEndpoints(scope policy.UpdateScope, servers ...policy.Endpoint) {
 	members := make([]engine.Endpoint[int], 0, len(servers))
 	for _, m := range servers {
 		members = append(members, engine.Endpoint[int]{Server: m.Server, Info: m})
@@ -138,7 +140,7 @@
 	}
 }
 
-func (f *coldFleet) member(s int, c policy.Condition) policy.Endpoint {
+func (f *coldFleet) endpoint(s int, c policy.Condition) policy.Endpoint {
 	m := policy.Endpoint{Server: s, Rank: uint32(s) * 2654435761, Weight: 1, Condition: c}
 	if start := f.servers[s].started; start >= 0 {
 		m.StartedAt, m.HasStartTime = start, true
@@ -147,7 +149,7 @@
 }
 
 // arrivals come at a rate over all nodes, of which the idlest takes a part of what the busiest takes.
-func (f *coldFleet) arrivals(idle float64, rate func() float64) {
+func (f *coldFleet) scheduleArrivals(idle float64, rate func() float64) {
 	f.after(time.Duration(f.chance.ExpFloat64()/rate()*float64(time.Second)), func() {
 		i := f.chance.IntN(len(f.nodes))
 		if keep := idle + (1-idle)*float64(i)/float64(len(f.nodes)); f.chance.Float64() < keep {
@@ -155,13 +157,13 @@
 			n, t := f.nodes[i], f.set.TrafficTypes[0]
 			n.engine.RequestArrived(f.now, f.requests, policy.Input{Timeout: t.ClientTimeout}, n)
 		}
-		f.arrivals(idle, rate)
+		f.scheduleArrivals(idle, rate)
 	})
 }
 
 func (f *coldFleet) run(until time.Duration) {
-	for len(f.due) > 0 && f.due[0].at <= until {
-		m := heap.Pop(&f.due).(moment)
+	for len(f.events) > 0 && f.events[0].at <= until {
+		m := heap.Pop(&f.events).(timedEvent)
 		f.now = m.at
 		m.do()
 	}
@@ -169,7 +171,7 @@
 }
 
 // throng plays so many nodes before servers of which some are new, or return, as a burst of half as much again begins.
-func throng(nodes int, work time.Duration, cold int, returns bool, seed uint64) *coldFleet {
+func runColdFleet(nodes int, work time.Duration, cold int, returns bool, seed uint64) *coldFleet {
 	const (
 		count  = 12
 		load   = 0.9 // of all servers' capacity, were they warm
@@ -188,10 +190,10 @@
 	for s := range count {
 		f.servers = append(f.servers, &coldServer{started: -1})
 		if s < count-cold || returns {
-			first = append(first, f.member(s, policy.Up))
+			first = append(first, f.endpoint(s, policy.Up))
 		}
 		if s >= count-cold {
-			gone = append(gone, f.member(s, policy.Removed))
+			gone = append(gone, f.endpoint(s, policy.Removed))
 		}
 	}
 	for i := range nodes {
@@ -201,8 +203,8 @@
 		n.engine = engine.New[int](0, policy.New(set, uint32(seed)<<8|uint32(i)), n)
 		f.nodes = append(f.nodes, n)
 	}
-	f.list(policy.Full, first...)
-	f.arrivals(idle, func() float64 {
+	f.updateEndpoints(policy.Full, first...)
+	f.scheduleArrivals(idle, func() float64 {
 		rate := load * count / work.Seconds() / mean
 		if f.now >= begins-early {
 			rate *= burst
@@ -211,14 +213,14 @@
 	})
 	f.run(begins / 2)
 	if returns {
-		f.list(policy.Incremental, gone...)
+		f.updateEndpoints(policy.Incremental, gone...)
 	}
 	f.run(begins)
 	for s := count - cold; s < count; s++ {
-		f.servers[s].started, f.servers[s].free = f.now, f.now
-		back = append(back, f.member(s, policy.Up))
+		f.servers[s].started, f.servers[s].freeAt = f.now, f.now
+		back = append(back, f.endpoint(s, policy.Up))
 	}
-	f.list(policy.Incremental, back...)
+	f.updateEndpoints(policy.Incremental, back...)
 	f.run(begins + lasts)
 	return f
 }
@@ -237,9 +239,9 @@
 			}{{"a few new", 3, false}, {"a few return", 3, true}, {"half return", 6, true}} {
 				t.Run(fmt.Sprintf("%d nodes, work of %v, %s", nodes, work, c.about), func(t *testing.T) {
 					for seed := range uint64(seeds) {
-						f := throng(nodes, work, c.cold, c.returns, seed+1)
-						t.Logf("%d at cold servers, the most %.0f%% of what is chance: %s", f.fed, 100*f.worst, f.peak)
-						if f.fed == 0 || f.worst > 1 {
+						f := runColdFleet(nodes, work, c.cold, c.returns, seed+1)
+						t.Logf("%d at cold servers, the most %.0f%% of what is chance: %s", f.coldAttempts, 100*f.peakShare, f.peakDetail)
+						if f.coldAttempts == 0 || f.peakShare > 1 {
 							t.Error("cold servers got nothing, or more than their budget and its chance")
 						}
 					}
--- a/internal/testbed/distribution.go
+++ b/internal/testbed/distribution.go
@@ -24,17 +24,17 @@
 
 const (
 	distributionService      = "hire"
-	changeTimeout            = 30 * time.Second // for a change to be applied by all nodes
+	changeTimeout            = 30 * time.Second // for all nodes to apply a change
 	distributionPollInterval = 5 * time.Millisecond
 )
 
-// Distribution measures how long changes take to reach nodes through two root control processes and some relays while
-// faults are applied. All run in this process, over links that can be cut. Run is called once.
+// Distribution measures how long changes take to reach nodes through two root control processes and several relays while
+// faults are applied. All of them run in this process and are connected by links that can be cut. Run may be called once.
 type Distribution struct {
 	Nodes   int
 	Relays  int
-	Changes int    // after each fault
-	Dir     string // for disks
+	Changes int    // measured under each fault
+	Dir     string // holds the disk files
 
 	roots      []*controlProcess
 	relays     []*controlProcess
@@ -42,41 +42,41 @@
 	lastChange int // number of the last change
 }
 
-// DistributionRow is the result under one fault.
+// DistributionRow is the result of the changes under one fault.
 type DistributionRow struct {
 	Fault     string
-	Median    time.Duration // from the answer to a write until the last node applied it
+	Median    time.Duration // from the response to a write until the last node has applied the change
 	Max       time.Duration // of the slowest change
-	Rollbacks int           // changes by a node to an older value
+	Rollbacks int           // times that a node replaced a value by an older one
 }
 
-// controlProcess is a control process and the link by which all others reach it.
+// controlProcess is a control process and the link through which nodes and other control processes reach it.
 type controlProcess struct {
 	config *control.Config
 	link   *faultproxy.Proxy
 	stop   func() error
 }
 
-// distributionNode is a node's client, which records the changes that it applies.
+// distributionNode is the distribution client of a node. It records the changes that it applies.
 type distributionNode struct {
 	config *client.Config
 	client *client.Client
 	stop   func() error
 
 	mu        sync.Mutex
-	newest    int // number of the newest change
+	newest    int // number of the last applied change
 	rollbacks int
 }
 
-// ApplyServers ignores servers, which are never written here.
+// ApplyServers ignores server entries; Distribution writes none.
 func (n *distributionNode) ApplyServers([]distribution.Entry, bool) []distribution.Rejection {
 	return nil
 }
 
-// ApplyTenants ignores tenants, which are never written here.
+// ApplyTenants ignores tenant entries; Distribution writes none.
 func (n *distributionNode) ApplyTenants([]distribution.Entry) []distribution.Rejection { return nil }
 
-// ApplyRoutes records the change, and a rollback if it is older than one before.
+// ApplyRoutes records the applied change, and counts a rollback if it is older than the previous one.
 func (n *distributionNode) ApplyRoutes(all []distribution.Entry) []distribution.Rejection {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -97,13 +97,13 @@
 	return n.newest >= number
 }
 
-// Run measures under each fault in turn and reports each row.
+// Run measures changes under each fault, one after the other, and calls report with each result.
 func (d *Distribution) Run(ctx context.Context, report func(DistributionRow)) (err error) {
 	defer func() { err = errors.Join(err, d.stop()) }()
 	if err := d.start(ctx); err != nil {
 		return err
 	}
-	var relay *controlProcess // of the present fault
+	var relay *controlProcess // affected by the current fault
 	cut := func(link *faultproxy.Proxy, both, isCut bool) {
 		link.Cut(faultproxy.Down, isCut)
 		if both {
@@ -166,7 +166,7 @@
 	return row, nil
 }
 
-// measureChange writes a change at the first root and returns how long it takes until all nodes applied it.
+// measureChange writes a change to the first root and returns the time until all nodes have applied it.
 func (d *Distribution) measureChange(ctx context.Context) (time.Duration, error) {
 	d.lastChange++
 	change := distribution.Change{Key: distribution.Key{Service: distributionService, Kind: distribution.KindRoute, Name: "checks"}, Value: []byte(strconv.Itoa(d.lastChange))}
@@ -179,11 +179,11 @@
 	if err != nil {
 		return 0, err
 	}
-	began := time.Now()
+	writtenAt := time.Now()
 	for _, n := range d.nodes {
 		for !n.hasApplied(d.lastChange) {
-			if time.Since(began) > changeTimeout {
-				return 0, fmt.Errorf("a change is not applied by %s after %s", n.config.Name, changeTimeout)
+			if time.Since(writtenAt) > changeTimeout {
+				return 0, fmt.Errorf("change not applied by %s within %s", n.config.Name, changeTimeout)
 			}
 			select {
 			case <-ctx.Done():
@@ -192,14 +192,14 @@
 			}
 		}
 	}
-	return time.Since(began), nil
+	return time.Since(writtenAt), nil
 }
 
-// clientConfig returns the configuration of a session or node that uses control processes.
+// clientConfig returns the configuration of a session or node that connects to control processes at the addresses.
 func clientConfig(addresses ...string) *client.Config {
 	c := &client.Config{Control: addresses, Plaintext: true}
-	for _, at := range addresses {
-		c.Addresses = append(c.Addresses, netip.MustParseAddrPort(at))
+	for _, address := range addresses {
+		c.Addresses = append(c.Addresses, netip.MustParseAddrPort(address))
 	}
 	return c
 }
@@ -217,12 +217,12 @@
 			d.relays = append(d.relays, c)
 		}
 	}
-	at := func(c *controlProcess) netip.AddrPort { return netip.MustParseAddrPort(c.link.Address()) }
+	addrPort := func(c *controlProcess) netip.AddrPort { return netip.MustParseAddrPort(c.link.Address()) }
 	for i, c := range d.roots {
-		c.config.Follow, c.config.UpstreamAddresses = "all", []netip.AddrPort{at(d.roots[1-i])}
+		c.config.Follow, c.config.UpstreamAddresses = "all", []netip.AddrPort{addrPort(d.roots[1-i])}
 	}
 	for i, c := range d.relays {
-		c.config.UpstreamAddresses = []netip.AddrPort{at(d.roots[i%2]), at(d.roots[1-i%2])}
+		c.config.UpstreamAddresses = []netip.AddrPort{addrPort(d.roots[i%2]), addrPort(d.roots[1-i%2])}
 	}
 	for _, c := range slices.Concat(d.roots, d.relays) {
 		if err := c.start(ctx); err != nil {
@@ -249,7 +249,7 @@
 	return nil
 }
 
-// mostFollowedRelay returns the relay that most nodes follow.
+// mostFollowedRelay returns the relay with the most nodes connected.
 func (d *Distribution) mostFollowedRelay() *controlProcess {
 	count := map[string]int{}
 	for _, n := range d.nodes {
@@ -258,20 +258,20 @@
 	return slices.MaxFunc(d.relays, func(a, b *controlProcess) int { return count[a.link.Address()] - count[b.link.Address()] })
 }
 
-// newControl returns a control process that is not started yet, behind its link.
+// newControl returns a control process behind its link, without starting it.
 func (d *Distribution) newControl(i int) (*controlProcess, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	at := ln.Addr().(*net.TCPAddr).AddrPort()
+	address := ln.Addr().(*net.TCPAddr).AddrPort()
 	ln.Close()
-	link, err := faultproxy.Listen(at.String())
+	link, err := faultproxy.Listen(address.String())
 	if err != nil {
 		return nil, err
 	}
 	name := fmt.Sprint("control-", i)
-	return &controlProcess{link: link, stop: func() error { return nil }, config: &control.Config{Name: name, ListenAddress: at,
+	return &controlProcess{link: link, stop: func() error { return nil }, config: &control.Config{Name: name, ListenAddress: address,
 		Disk: filepath.Join(d.Dir, name+".db"), Follow: "one", TotalBytesPerSecond: 8 << 20, NodeBytesPerSecond: 16 << 10, ControlBytesPerSecond: 4 << 20, MaxConnections: 8192,
 		DeletionRetention: tomlfile.Duration(time.Hour)}}, nil
 }
@@ -300,13 +300,13 @@
 			}
 		}
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return errors.Join(errors.New("the first root accepts no writes"), err)
+			return errors.Join(errors.New("first root control process does not accept writes"), err)
 		}
 		time.Sleep(distributionPollInterval)
 	}
 }
 
-// loseDisk restarts a control process with an empty disk.
+// loseDisk stops a control process, deletes its disk file and starts it again.
 func (d *Distribution) loseDisk(ctx context.Context, c *controlProcess) error {
 	if err := c.stop(); err != nil {
 		return err
@@ -317,7 +317,7 @@
 	return c.start(ctx)
 }
 
-// restartNodes stops all nodes and starts them from their disks.
+// restartNodes stops all nodes and starts them again from their stored entries.
 func (d *Distribution) restartNodes(ctx context.Context) error {
 	for _, n := range d.nodes {
 		if err := n.stop(); err != nil {
@@ -333,14 +333,14 @@
 }
 
 func (n *distributionNode) start(ctx context.Context) error {
-	end, err := client.New(n.config, n, zerolog.Nop())
+	c, err := client.New(n.config, n, zerolog.Nop())
 	if err != nil {
 		return err
 	}
-	n.client = end
+	n.client = c
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan error, 1)
-	go func() { done <- end.Run(ctx) }()
+	go func() { done <- c.Run(ctx) }()
 	n.stop = sync.OnceValue(func() error {
 		cancel()
 		return <-done
@@ -348,7 +348,7 @@
 	return nil
 }
 
-// stop stops all that runs.
+// stop stops all nodes and control processes and closes the links.
 func (d *Distribution) stop() (err error) {
 	for _, n := range d.nodes {
 		err = errors.Join(err, n.stop())
--- a/internal/testbed/doc.go
+++ b/internal/testbed/doc.go
@@ -1,12 +1,12 @@
-// Package testbed runs a scenario with real node processes on loopback sockets against stand-ins for all that surrounds
-// them: servers, discovery or a registry, planners' links, the links between nodes, the connection balancer and clients.
+// Package testbed runs a scenario with real node processes on loopback sockets. Stand-ins replace everything around the
+// nodes: servers, discovery or a registry, the links to planners and between nodes, the connection balancer and clients.
 //
-// The command cmd/testbed calls Run with a scenario and its schedule (package load) and gets an Outcome: what clients
-// met, what the audit (package audit) found and what the processes used. Bench compares one node with direct requests;
-// Distribution measures how changes reach nodes through control processes. Package scale holds the runs of large
-// fleets.
+// The command cmd/testbed calls Run with a scenario and its schedule (package load) and receives an Outcome: the results
+// of the clients' requests, the verdicts of the audit (package audit) and the resource usage of the processes. Bench
+// compares requests through one node with direct requests. Distribution measures how long changes take to reach nodes
+// through control processes. Package scale runs large fleets.
 //
-// An environment owns all that one run starts. Faults are applied one at a time under its lock; stand-ins guard their
-// own state; the observer gathers what they see for the audit. Each run takes a network of the loopback range of its
-// own, so that several can run on one machine.
+// An environment owns everything that one run starts. Faults are applied one at a time under its lock. Stand-ins
+// synchronize their own state, and the observer reports their events to the audit. Each run reserves its own network of
+// the loopback range, so several runs can share one machine.
 package testbed
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -22,58 +22,59 @@
 	"fernvane/internal/testbed/standin/zookeeper"
 )
 
-// Ports of a run. Those of nodes are below the range of ephemeral ports, so that a restarted node finds its port free.
+// Ports of a run. Node ports are below the ephemeral port range, so that no other socket takes the port of a node while
+// it restarts.
 const (
 	nodePort      = 8443
 	fastCGIPort   = 8500
 	peerPort      = 8700
-	serverPort    = 9000  // plus the site of the caller
-	discoveryPort = 10000 // plus the number of the node; those of planners follow
+	serverPort    = 9000  // plus the site of the client
+	discoveryPort = 10000 // plus the number of the node; planners use the ports after those of nodes
 	plannerPort   = 12000
 )
 
 const (
 	maxConcurrentStarts = 16 // of node processes
 	maxStartTime        = 60 * time.Second
-	settleTime          = 300 * time.Millisecond  // between the last node's start and the load, for watches to begin
-	drainDelay          = 1500 * time.Millisecond // from the notification of a drain until the server rejects
-	exitDelay           = 500 * time.Millisecond  // from then until the server ends
-	plannedStopDelay    = 300 * time.Millisecond  // until the connection balancer removes a node that is stopped on purpose
+	settleTime          = 300 * time.Millisecond  // between the last node's start and the load, for the watches to be established
+	drainDelay          = 1500 * time.Millisecond // from the notification of a drain until the server rejects requests
+	exitDelay           = 500 * time.Millisecond  // from the first rejection until the server exits
+	plannedStopDelay    = 300 * time.Millisecond  // until the connection balancer removes a node that is stopped gracefully
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Scenario  *scenario.Scenario
 	Requests  []load.Request // the schedule
-	Command   []string       // runs one node; PROXY_CONFIG names its configuration
-	Planner   []string       // runs one planner; PROXY_PLAN names its configuration
-	Env       []string       // environment of the processes beside this one's own
-	Directory string         // for configurations and logs; "": a temporary one
+	Command   []string       // command line of a node; PROXY_CONFIG names its configuration
+	Planner   []string       // command line of a planner; PROXY_PLAN names its configuration
+	Env       []string       // added to this process's environment for nodes and planners
+	Directory string         // for configurations and logs; "": a temporary directory
 	Progress  func(at time.Duration, started, inFlight int)
 }
 
-// Outcome of a run.
+// Outcome is the result of a run.
 type Outcome struct {
 	*load.Result
 	Lateness       load.Lateness
 	Rules          []audit.Rule
 	NodeUsage      resourceUsage
 	DiscoveryCalls int
-	RejectedCalls  int     // discovery calls that were rejected
-	DiscoveryLines float64 // lines of discovery's answers
+	RejectedCalls  int     // calls that discovery rejected
+	DiscoveryLines float64 // lines in discovery's responses
 	PlannerUsage   resourceUsage
 	Journal        Journal
-	PlanBytes      int // sent by planners to nodes
-	BadClients     int // clients that sent malformed input
+	PlanBytes      int // bytes that planners sent to nodes
+	BadClients     int // clients that connected to send malformed input
 	Seconds        []audit.Second
 }
 
-// environment is all that runs for one run.
+// environment holds the stand-ins, processes and state of one run.
 type environment struct {
 	Options
-	network *loopback.Network // nil: none is reserved yet
+	network *loopback.Network // nil until it is reserved
 	start   time.Time
-	stopped chan struct{} // closed when the run is over
+	stopped chan struct{} // closed when the run ends
 	wg      sync.WaitGroup
 
 	observer  *observer
@@ -84,12 +85,12 @@
 	planners  []*process
 
 	discovery      *discovery.Service
-	mu             sync.Mutex               // guards addresses and the writing of node configurations
-	addresses      int                      // how often discovery has moved
-	registry       *zookeeper.Registry      // nil: nodes learn of servers from discovery
-	ensemble       []*zookeeper.Server      // addresses of the registry
+	mu             sync.Mutex               // guards addresses and serializes writes of node configurations
+	addresses      int                      // number of moves of discovery to new addresses
+	registry       *zookeeper.Registry      // nil: nodes get the endpoint list from discovery
+	ensemble       []*zookeeper.Server      // servers of the registry, one for each address
 	plannerProxies [][2]*plannerproxy.Proxy // by planner and half of the nodes
-	mesh           *mesh.Mesh               // links between nodes; nil: nodes do not know each other
+	mesh           *mesh.Mesh               // links between nodes; nil: nodes are not peers
 
 	faultMu       sync.Mutex // held while a fault is applied
 	frameTriggers frameTriggers
@@ -97,19 +98,18 @@
 	badClients    badClientCount
 }
 
-// standinServer is a server of the run with its state in discovery and the registry.
+// standinServer is a stand-in server with its state in discovery and the registry.
 type standinServer struct {
 	*server.Server
 	spec      *scenario.Servers
 	mu        sync.Mutex // guards the fields below
 	session   *zookeeper.Owned
 	startedAt time.Time // for the registry; zero: initialUptime before the run
-	isLeaving bool      // drains or has drained
-	changes   int       // announcements begun; an announcement that is not the last is dropped
+	isLeaving bool      // the server is draining or has drained
+	changes   int       // announcements scheduled; only the last one takes effect
 }
 
-// Run runs a scenario once. An error means that the run could not be carried out; violations of rules stand in the
-// Outcome.
+// Run runs a scenario once. An error means that the run could not be completed; the Outcome lists violations of rules.
 func Run(ctx context.Context, o Options) (*Outcome, error) {
 	env := &environment{Options: o, processes: newProcessManager(), stopped: make(chan struct{})}
 	defer close(env.processes.commands)
@@ -123,16 +123,16 @@
 	} else if err := os.MkdirAll(env.Directory, 0o755); err != nil {
 		return nil, err
 	}
-	env.start = time.Now() // moved when all is ready
+	env.start = time.Now() // the load starts later, when the nodes are ready
 	defer env.close()
-	if err := env.build(ctx); err != nil {
+	if err := env.setUp(ctx); err != nil {
 		return nil, err
 	}
-	return env.play(ctx)
+	return env.runLoad(ctx)
 }
 
-// announce tells discovery and the registry of a server's phase after a delay, unless another announcement of the server
-// begins before.
+// announce sets a server's phase in discovery and the registry after a delay, unless the server is announced again
+// before the delay has passed.
 func (env *environment) announce(m *standinServer, phase string, after time.Duration, startedAt time.Time) {
 	m.mu.Lock()
 	m.changes++
@@ -161,7 +161,8 @@
 	})
 }
 
-// after calls do after a delay in the background, or at once if there is none. It does not once the run is over.
+// after calls do in the background after a delay, or directly if the delay is 0. It does not call do after the run has
+// ended.
 func (env *environment) after(d time.Duration, do func()) {
 	if d <= 0 {
 		do()
@@ -178,8 +179,8 @@
 	})
 }
 
-// play sends the load while faults are applied, stops the processes and gathers the outcome.
-func (env *environment) play(ctx context.Context) (*Outcome, error) {
+// runLoad sends the load while faults are applied, then stops the processes and returns the outcome.
+func (env *environment) runLoad(ctx context.Context) (*Outcome, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	select {
@@ -187,7 +188,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	shift := time.Since(env.start) // the clock has run since the start of the environment
+	shift := time.Since(env.start) // time spent on the setup
 	requests := slices.Clone(env.Requests)
 	for i := range requests {
 		requests[i].At += shift
@@ -211,7 +212,7 @@
 	return env.outcome(g.Result, lateness, shift)
 }
 
-// outcome stops the processes and gathers what came of the run.
+// outcome stops the processes and collects the results of the run.
 func (env *environment) outcome(result *load.Result, lateness load.Lateness, shift time.Duration) (out *Outcome, err error) {
 	out = &Outcome{Result: result, Lateness: lateness, BadClients: env.badClients.count()}
 	for _, p := range append(slices.Clone(env.nodes), env.planners...) {
@@ -252,7 +253,7 @@
 	g.Wait()
 }
 
-// close ends all that runs.
+// close stops all processes and stand-ins and releases the network.
 func (env *environment) close() {
 	close(env.stopped)
 	env.wg.Wait()
--- a/internal/testbed/faultdiscovery.go
+++ b/internal/testbed/faultdiscovery.go
@@ -10,7 +10,7 @@
 	"fernvane/internal/testbed/standin/zookeeper"
 )
 
-// discoveryFaults are the faults of discovery and the registry.
+// discoveryFaults are the faults of discovery and the registry, by name.
 var discoveryFaults = map[string]faultFunc{
 	"discovery-down": func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		env.discovery.Down(true)
@@ -32,10 +32,10 @@
 			env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(-1, err.Error()) })
 		}
 	},
-	"registry-flap": func(env *environment, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
-		share := *f
-		share.Share = f.Size
-		env.flapSessions(&share, chance)
+	"registry-flap": func(env *environment, _ context.Context, f *scenario.Fault, rng *rand.Rand) {
+		sized := *f
+		sized.Share = f.Size
+		env.flapSessions(&sized, rng)
 	},
 	"registry-lag": ensembleFault(
 		func(_ *environment, f *scenario.Fault, s *zookeeper.Server) { s.Set(seconds(f), 0, false) },
--- a/internal/testbed/faultlinks.go
+++ b/internal/testbed/faultlinks.go
@@ -10,7 +10,7 @@
 	"fernvane/internal/testbed/standin/mesh"
 )
 
-// linkFaults are the faults of links between nodes.
+// linkFaults are the faults of links between nodes, by name.
 var linkFaults = map[string]faultFunc{
 	"cut-links":     linkFault(true, true, func(link *mesh.Direction, _ float64) { link.Cut = true }),
 	"cut-links-out": linkFault(true, false, func(link *mesh.Direction, _ float64) { link.Cut = true }),
@@ -30,7 +30,8 @@
 	},
 }
 
-// setLinks changes the links between some nodes and all others for a time, in the directions that are asked for.
+// setLinks changes the links between the given nodes and all others for a time. out selects the links from the given
+// nodes, in the links to them.
 func (env *environment) setLinks(nodes []int, duration time.Duration, out, in bool, change func(*mesh.Direction)) {
 	set := func(change func(*mesh.Direction)) {
 		for _, n := range nodes {
@@ -51,9 +52,9 @@
 	env.after(duration, func() { set(func(link *mesh.Direction) { *link = mesh.Direction{} }) })
 }
 
-// linkFault returns a fault that changes the links of the chosen nodes.
+// linkFault returns a fault that changes the links of the chosen nodes by the size of the fault.
 func linkFault(out, in bool, change func(*mesh.Direction, float64)) faultFunc {
-	return func(env *environment, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
-		env.setLinks(env.chosenNodes(f, chance), f.For.Std(), out, in, func(link *mesh.Direction) { change(link, f.Size) })
+	return func(env *environment, _ context.Context, f *scenario.Fault, rng *rand.Rand) {
+		env.setLinks(env.chosenNodes(f, rng), f.For.Std(), out, in, func(link *mesh.Direction) { change(link, f.Size) })
 	}
 }
--- a/internal/testbed/faultnodes.go
+++ b/internal/testbed/faultnodes.go
@@ -11,16 +11,16 @@
 	"fernvane/internal/testbed/scenario"
 )
 
-// nodeFaults are the faults of nodes, their disks and machines.
+// nodeFaults are the faults of nodes, their disks and machines, by name.
 var nodeFaults = map[string]faultFunc{
-	"kill-nodes": func(env *environment, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
-		for _, n := range env.chosenNodes(f, chance) {
+	"kill-nodes": func(env *environment, ctx context.Context, f *scenario.Fault, rng *rand.Rand) {
+		for _, n := range env.chosenNodes(f, rng) {
 			env.killNode(n)
 			env.after(f.For.Std(), func() { env.startNode(ctx, n) })
 		}
 	},
-	"restart-nodes": func(env *environment, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
-		for _, n := range env.chosenNodes(f, chance) {
+	"restart-nodes": func(env *environment, ctx context.Context, f *scenario.Fault, rng *rand.Rand) {
+		for _, n := range env.chosenNodes(f, rng) {
 			env.balancer.Ended(n, plannedStopDelay)
 			env.wg.Go(func() {
 				if err := env.nodes[n].stop(syscall.SIGTERM); err != nil {
@@ -32,44 +32,44 @@
 			})
 		}
 	},
-	"stop-nodes": func(env *environment, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
-		for _, n := range env.chosenNodes(f, chance) {
+	"stop-nodes": func(env *environment, ctx context.Context, f *scenario.Fault, rng *rand.Rand) {
+		for _, n := range env.chosenNodes(f, rng) {
 			env.pauseNode(ctx, n, f.For.Std())
 		}
 	},
-	"slow-disk": func(env *environment, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
-		nodes := env.anyNodes(f, chance)
-		env.setDisks(nodes, seconds(f).String())
-		env.after(f.For.Std(), func() { env.setDisks(nodes, "0s") })
+	"slow-disk": func(env *environment, _ context.Context, f *scenario.Fault, rng *rand.Rand) {
+		nodes := env.anyNodes(f, rng)
+		env.writeDiskFiles(nodes, seconds(f).String())
+		env.after(f.For.Std(), func() { env.writeDiskFiles(nodes, "0s") })
 	},
-	"full-disk": func(env *environment, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
-		nodes := env.anyNodes(f, chance)
-		env.setDisks(nodes, fullDiskText)
-		env.after(f.For.Std(), func() { env.setDisks(nodes, "0s") })
+	"full-disk": func(env *environment, _ context.Context, f *scenario.Fault, rng *rand.Rand) {
+		nodes := env.anyNodes(f, rng)
+		env.writeDiskFiles(nodes, fullDiskText)
+		env.after(f.For.Std(), func() { env.writeDiskFiles(nodes, "0s") })
 	},
-	"lose-machines": func(env *environment, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
-		for _, n := range env.chosenNodes(f, chance) {
+	"lose-machines": func(env *environment, ctx context.Context, f *scenario.Fault, rng *rand.Rand) {
+		for _, n := range env.chosenNodes(f, rng) {
 			env.loseMachine(n)
 			env.after(f.For.Std(), func() { env.startNode(ctx, n) })
 		}
 	},
-	"old-disk": func(env *environment, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
-		for _, n := range env.chosenNodes(f, chance) {
+	"old-disk": func(env *environment, ctx context.Context, f *scenario.Fault, rng *rand.Rand) {
+		for _, n := range env.chosenNodes(f, rng) {
 			env.killNode(n)
 			env.restoreDisk(n)
 			env.after(f.For.Std(), func() { env.startNode(ctx, n) })
 		}
 	},
-	"losses": func(env *environment, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
-		env.loseMachinesRepeatedly(ctx, f, chance)
+	"losses": func(env *environment, ctx context.Context, f *scenario.Fault, rng *rand.Rand) {
+		env.loseMachinesRepeatedly(ctx, f, rng)
 	},
-	"losses-beyond": func(env *environment, ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
-		env.loseAllHolders(ctx, f, chance)
+	"losses-beyond": func(env *environment, ctx context.Context, f *scenario.Fault, rng *rand.Rand) {
+		env.loseAllHolders(ctx, f, rng)
 	},
 	"reload": func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
-		every := time.Duration(float64(time.Minute) / f.Size)
-		for i := 0; time.Duration(i)*every < f.For.Std(); i++ {
-			env.after(time.Duration(i)*every, func() {
+		interval := time.Duration(float64(time.Minute) / f.Size)
+		for i := 0; time.Duration(i)*interval < f.For.Std(); i++ {
+			env.after(time.Duration(i)*interval, func() {
 				if err := env.writeOperatorFiles(i + 1); err != nil {
 					env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(-1, err.Error()) })
 				}
@@ -81,10 +81,10 @@
 	},
 }
 
-// chosenNodes returns the nodes that a fault names, or a share of all.
-func (env *environment) chosenNodes(f *scenario.Fault, chance *rand.Rand) []int {
+// chosenNodes returns the nodes that a fault names, or a random share of all.
+func (env *environment) chosenNodes(f *scenario.Fault, rng *rand.Rand) []int {
 	if len(f.Nodes) > 0 {
 		return f.Nodes
 	}
-	return chance.Perm(len(env.nodes))[:int(math.Ceil(f.Share*float64(len(env.nodes))))]
+	return rng.Perm(len(env.nodes))[:int(math.Ceil(f.Share*float64(len(env.nodes))))]
 }
--- a/internal/testbed/faultservers.go
+++ b/internal/testbed/faultservers.go
@@ -35,7 +35,7 @@
 	}),
 	"crash": eachServer(func(env *environment, f *scenario.Fault, m *standinServer) {
 		m.Crash()
-		env.serverDied(m, f.For.Std())
+		env.serverCrashed(m, f.For.Std())
 	}),
 	"cut-before": requestShare(func(b *server.Faults, s float64) { b.CutBefore = s }),
 	"cut-within": requestShare(func(b *server.Faults, s float64) { b.CutWithin = s }),
@@ -62,7 +62,7 @@
 		for _, m := range env.servers {
 			if env.Scenario.Sites[m.Site] == f.Site {
 				m.Vanish()
-				env.serverDied(m, f.For.Std())
+				env.serverCrashed(m, f.For.Std())
 			}
 		}
 	},
@@ -129,7 +129,7 @@
 }
 
 // serverDied has discovery notice that a server ended without a notification, and restarts the server after a time.
-func (env *environment) serverDied(m *standinServer, downtime time.Duration) {
+func (env *environment) serverCrashed(m *standinServer, downtime time.Duration) {
 	if env.registry != nil { // the session expires by itself
 		m.mu.Lock()
 		m.session.Silence()
--- a/internal/testbed/journal.go
+++ b/internal/testbed/journal.go
@@ -58,7 +58,7 @@
 func (env *environment) diskFile(n int) string { return env.nodes[n].file("disk", "txt") }
 
 // setDisks writes the disk files of nodes: a duration, or fullDiskText.
-func (env *environment) setDisks(nodes []int, text string) {
+func (env *environment) writeDiskFiles(nodes []int, text string) {
 	for _, n := range nodes {
 		path := env.diskFile(n)
 		if err := os.WriteFile(path+".new", []byte(text), 0o644); err == nil {
@@ -108,7 +108,7 @@
 	at := time.Now().UnixNano()
 	for op := uint64(1); op <= uint64(n); op++ {
 		r := intent.Record{Incarnation: run, RequestNumber: op, AtUnixNano: at, RequestID: fmt.Sprintf("before-%d", op), Tenant: "dairy", Type: "hire-book", Server: "quick-1", Count: 1, Proof: intent.Ran, Outcome: "answered"}
-		wait, err := log.Append(op%1000 == 0, recordsOf(r)...)
+		wait, err := log.Append(op%1000 == 0, answeredRequestRecords(r)...)
 		if err != nil {
 			return err
 		}
@@ -120,7 +120,7 @@
 }
 
 // recordsOf returns the three records that a journal holds of an answered request.
-func recordsOf(r intent.Record) []intent.Record {
+func answeredRequestRecords(r intent.Record) []intent.Record {
 	planned := r
 	planned.Kind = intent.Intent
 	planned.Outcome = ""
--- a/internal/testbed/load/client.go
+++ b/internal/testbed/load/client.go
@@ -45,13 +45,13 @@
 		method:  methods[requestType.Repeat],
 		path:    requestType.Path,
 		key:     scheduled.Key,
-		timeout: time.Duration(s.Clients.GivesUp * float64(requestType.Abandon)),
+		timeout: time.Duration(s.Clients.TimeoutShare * float64(requestType.AbandonTime)),
 	}
 	if r.method != "GET" {
 		r.body = body
 	}
 	if scheduled.Disconnects {
-		r.disconnectAfter = time.Duration(s.Clients.LeavesAt * float64(requestType.Abandon))
+		r.disconnectAfter = time.Duration(s.Clients.DisconnectAfter * float64(requestType.AbandonTime))
 		if place%2 == 0 && !g.FastCGI {
 			r.pipelined = []byte("GET ")
 		}
@@ -98,7 +98,7 @@
 			break
 		}
 		backoff := s.Clients.Backoff.Std()
-		if s.Clients.Exponent {
+		if s.Clients.DoublesBackoff {
 			backoff <<= n
 		}
 		select {
--- a/internal/testbed/load/draw.go
+++ b/internal/testbed/load/draw.go
@@ -79,17 +79,17 @@
 		}
 	}
 	r.Work = drawWork(&s.Types[r.Type], d.work)
-	r.Disconnects = d.disconnects.Float64() < s.Clients.Leaves
+	r.Disconnects = d.disconnects.Float64() < s.Clients.DisconnectShare
 }
 
 // drawWork draws a service time of the type's distribution.
 func drawWork(t *scenario.Type, r *rand.Rand) time.Duration {
 	mean := float64(t.Work)
-	switch t.Dist {
+	switch t.WorkDistribution {
 	case "exp":
 		return time.Duration(mean * r.ExpFloat64())
 	case "lognormal":
-		v := math.Log(1 + t.CV*t.CV)
+		v := math.Log(1 + t.VariationCoefficient*t.VariationCoefficient)
 		return time.Duration(mean * math.Exp(math.Sqrt(v)*r.NormFloat64()-v/2))
 	}
 	return time.Duration(mean)
--- a/internal/testbed/load/load_test.go
+++ b/internal/testbed/load/load_test.go
@@ -290,7 +290,7 @@
 	at := startServer(t, func(c net.Conn, r *http1.Request, n int) bool {
 		writeResponse(c, 200, string(r.Get(http1.RequestID)))
 		c.Read(make([]byte, 1))
-		time.Sleep(s.Types[0].Abandon.Std() + 50*time.Millisecond) // the client's time is over
+		time.Sleep(s.Types[0].AbandonTime.Std() + 50*time.Millisecond) // the client's time is over
 		return false
 	})
 	tries := &tryRecorder{}
--- a/internal/testbed/load/result.go
+++ b/internal/testbed/load/result.go
@@ -136,7 +136,7 @@
 	offered := r.RevenueOf(scheduled)
 	earned := 0.0
 	latency := last.Ended - scheduled.At
-	if outcome == Handled && latency <= r.scenario.Types[scheduled.Type].Target.Std() {
+	if outcome == Handled && latency <= r.scenario.Types[scheduled.Type].LatencyObjective.Std() {
 		r.Outcomes[WithinObjective]++
 		earned = offered
 	}
@@ -187,7 +187,7 @@
 func (r *Result) RevenueOf(scheduled *Request) float64 {
 	revenue := r.scenario.Types[scheduled.Type].Revenue
 	if scheduled.OverAllowance {
-		revenue *= r.scenario.Load.Over
+		revenue *= r.scenario.Load.OverageRevenue
 	}
 	return revenue
 }
--- a/internal/testbed/losses.go
+++ b/internal/testbed/losses.go
@@ -127,8 +127,8 @@
 				case 2:
 					env.setLinks(others[:2], duration, true, true, func(link *mesh.Direction) { link.Delay = 50 * time.Millisecond })
 				case 3:
-					env.setDisks(others[:1], "300ms")
-					env.after(duration, func() { env.setDisks(others[:1], "0s") })
+					env.writeDiskFiles(others[:1], "300ms")
+					env.after(duration, func() { env.writeDiskFiles(others[:1], "0s") })
 				case 4:
 					env.pauseNode(ctx, others[0], duration)
 				}
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -204,8 +204,8 @@
 func nodeSettings(s *scenario.Scenario, me int) object {
 	var types, tenants []object
 	for _, t := range s.Types {
-		trafficType := object{"name": t.Name, "targetTime": ms(t.Target), "abandonTime": ms(t.Abandon),
-			"window": ms(t.Window), "revenue": t.Revenue, "keyScope": t.Group,
+		trafficType := object{"name": t.Name, "targetTime": ms(t.LatencyObjective), "abandonTime": ms(t.AbandonTime),
+			"window": ms(t.KeyRetention), "revenue": t.Revenue, "keyScope": t.KeyScope,
 			"idempotency": map[string]string{"retriable": "safe", "fingerprinted": "keyed", "binding": "unsafe"}[t.Repeat]}
 		if t.OnlySites != nil {
 			trafficType["dcsOnly"] = t.OnlySites
@@ -220,18 +220,18 @@
 	}
 	startCapacity, slowStart := 1.0, scenario.Span(0)
 	for _, b := range s.Servers {
-		startCapacity = min(startCapacity, b.ColdShare)
-		slowStart = max(slowStart, b.ColdFor)
+		startCapacity = min(startCapacity, b.SlowStartCapacity)
+		slowStart = max(slowStart, b.SlowStartDuration)
 	}
 	rules := object{"askWithin": ms(s.Rules.AskWithin), "stopSendingWithin": ms(s.Rules.DrainGrace), "cold": ms(slowStart),
-		"fallMultiple": s.Rules.FallMultiple, "startCapacity": startCapacity}
+		"fallMultiple": s.Rules.OverloadFactor, "startCapacity": startCapacity}
 	if s.Rules.DrainClose > 0 {
 		rules["drainClose"] = ms(s.Rules.DrainClose)
 	}
 	return object{"groupSize": s.Nodes.Count, "me": me, "granularity": 2, "discovery": "on_request",
-		"overageRevenue": s.Load.Over, "dcs": s.Sites, "trafficTypes": types, "tenants": tenants,
+		"overageRevenue": s.Load.OverageRevenue, "dcs": s.Sites, "trafficTypes": types, "tenants": tenants,
 		"limits": object{"connIdle": 5000, "connectTimeout": 100, "maxRetryAfter": 0, "mostHops": s.Rules.MaxAttempts, "retryAfter": false,
-			"secondCopies": s.Rules.Copies},
+			"secondCopies": s.Rules.AllowsHedging},
 		"rules": rules}
 }
 
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -58,7 +58,7 @@
 		DrainGrace:    s.Rules.DrainGrace.Std(),
 		Slack:         s.Rules.Slack.Std(),
 		MaxAttempts:   s.Rules.MaxAttempts,
-		AllowsHedging: s.Rules.Copies,
+		AllowsHedging: s.Rules.AllowsHedging,
 		ClosesOnDrain: s.Rules.DrainClose > 0,
 		DrainClose:    s.Rules.DrainClose.Std(),
 	}
@@ -70,8 +70,8 @@
 		settings.Types = append(settings.Types, audit.Type{
 			Name:         t.Name,
 			Idempotency:  idempotencies[t.Repeat],
-			KeyScope:     keyScopes[t.Group],
-			KeyRetention: t.Window.Std(),
+			KeyScope:     keyScopes[t.KeyScope],
+			KeyRetention: t.KeyRetention.Std(),
 			Sites:        sites,
 			Kinds:        t.OnlyKinds,
 		})
@@ -183,7 +183,7 @@
 var conditions = map[string]audit.Condition{discovery.Serving: audit.Serving, discovery.Draining: audit.Draining, discovery.Deleted: audit.Removed}
 
 // Announced records what discovery notified a node of. What it notifies a planner of reaches nodes only by that planner.
-func (o discovered) Announced(node int, id, phase string, up int64, at time.Time) {
+func (o discoveryObserver) Announced(node int, id, phase string, up int64, at time.Time) {
 	if node >= o.scenario.Nodes.Count {
 		return
 	}
@@ -195,7 +195,7 @@
 }
 
 // discovered is the observer of the discovery stand-in, whose method differs from the registry's.
-type discovered struct{ *observer }
+type discoveryObserver struct{ *observer }
 
 var incarnations = [...]audit.Condition{incarnation.Up: audit.Serving, incarnation.Draining: audit.Draining, incarnation.Gone: audit.Removed}
 
--- a/internal/testbed/planner.go
+++ b/internal/testbed/planner.go
@@ -46,7 +46,7 @@
 		p := &process{kind: "planner-", number: n, command: env.Planner, env: env.Env, dir: env.Directory}
 		env.planners = append(env.planners, p)
 		text := fmt.Sprintf("name = \"p%d\"\nlisten = %q\ndiscovery = %q\nevery = %q\nplaintext = true\n",
-			n, env.plannerAddress(n), env.discoveryAddress(s.Nodes.Count+n, 0), s.Planners.Every.Std())
+			n, env.plannerAddress(n), env.discoveryAddress(s.Nodes.Count+n, 0), s.Planners.Interval.Std())
 		if err := os.WriteFile(p.planPath(), []byte(text), 0o644); err != nil {
 			return err
 		}
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -86,11 +86,11 @@
 	c.inRange("load.rate", s.Load.Rate, 0.1, maxRate)
 	c.inRange("load.swing", s.Load.Swing, 0, 0.95)
 	c.inRange("load.skew", s.Load.Skew, 0, 0.9)
-	c.inRange("load.over", s.Load.Over, 0, 1)
+	c.inRange("load.over", s.Load.OverageRevenue, 0, 1)
 	c.oneOf("load.shape", s.Load.Shape, "constant", "poisson", "bursts", "ramp", "wave")
-	c.inRange("clients.gives_up", s.Clients.GivesUp, 0.01, 1)
-	c.inRange("clients.leaves", s.Clients.Leaves, 0, 1)
-	c.inRange("clients.leaves_at", s.Clients.LeavesAt, 0.001, 1)
+	c.inRange("clients.gives_up", s.Clients.TimeoutShare, 0.01, 1)
+	c.inRange("clients.leaves", s.Clients.DisconnectShare, 0, 1)
+	c.inRange("clients.leaves_at", s.Clients.DisconnectAfter, 0.001, 1)
 	c.inRange("clients.retries", float64(s.Clients.Retries), 0, 10)
 	c.inRange("rules.drain_close", s.Rules.DrainClose.Std().Seconds(), 0, maxLength.Seconds())
 	c.inRange("rules.most_hops", float64(s.Rules.MaxAttempts), 1, 16)
@@ -106,13 +106,13 @@
 		shares += t.Share
 		c.inRange(key+".share", t.Share, 0, 1)
 		c.positive(key+".work", t.Work)
-		c.positive(key+".target", t.Target)
-		if t.Abandon < t.Target {
+		c.positive(key+".target", t.LatencyObjective)
+		if t.AbandonTime < t.LatencyObjective {
 			c.Wrong(key+".abandon", "clients of %s give up before its target time", t.Name)
 		}
-		c.oneOf(key+".dist", t.Dist, "constant", "exp", "lognormal")
+		c.oneOf(key+".dist", t.WorkDistribution, "constant", "exp", "lognormal")
 		c.oneOf(key+".repeat", t.Repeat, "retriable", "fingerprinted", "binding")
-		c.oneOf(key+".group", t.Group, "all", "zone", "cell")
+		c.oneOf(key+".group", t.KeyScope, "all", "zone", "cell")
 		for _, site := range t.OnlySites {
 			c.oneOf(key+".only_sites", site, s.Sites...)
 		}
@@ -149,8 +149,8 @@
 		c.inRange(key+".count", float64(b.Count), 1, maxServers)
 		c.inRange(key+".cores", float64(b.Cores), 1, 256)
 		c.inRange(key+".speed", b.Speed, 0.01, 1000)
-		c.inRange(key+".cold_share", b.ColdShare, 0.01, 1)
-		c.inRange(key+".key_gain", b.KeyGain, 0, 0.95)
+		c.inRange(key+".cold_share", b.SlowStartCapacity, 0.01, 1)
+		c.inRange(key+".key_gain", b.CacheGain, 0, 0.95)
 		c.inRange(key+".error_rate", b.ErrorRate, 0, 1)
 		if b.PauseEvery > 0 && b.PauseFor >= b.PauseEvery {
 			c.Wrong(key+".pause_for", "a pause of %s every %s leaves no time to work", b.PauseFor.Std(), b.PauseEvery.Std())
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -21,23 +21,23 @@
 	Base string `toml:"base"`
 	Seed uint64 `toml:"seed"`
 	// Length is how long requests arrive. The run ends when the last has ended.
-	Length    Span      `toml:"length"`
-	Sites     []string  `toml:"sites"`
-	Nodes     Nodes     `toml:"nodes"`
-	Planners  Planners  `toml:"planners"`
-	Journal   Journal   `toml:"journal"`
-	Peers     Peers     `toml:"peers"`
-	Registry  Registry  `toml:"registry"`
-	Lists     Lists     `toml:"lists"`
-	Servers   []Servers `toml:"boxes"`
-	Types     []Type    `toml:"types"`
-	Tenants   []Tenant  `toml:"tenants"`
-	Load      Traffic   `toml:"load"`
-	Clients   Clients   `toml:"clients"`
-	Net       Net       `toml:"net"`
-	Discovery Discovery `toml:"discovery"`
-	Rules     Rules     `toml:"rules"`
-	Faults    []Fault   `toml:"faults"`
+	Length    Span          `toml:"length"`
+	Sites     []string      `toml:"sites"`
+	Nodes     Nodes         `toml:"nodes"`
+	Planners  Planners      `toml:"planners"`
+	Journal   Journal       `toml:"journal"`
+	Peers     Peers         `toml:"peers"`
+	Registry  Registry      `toml:"registry"`
+	Lists     EndpointLists `toml:"lists"`
+	Servers   []Servers     `toml:"boxes"`
+	Types     []Type        `toml:"types"`
+	Tenants   []Tenant      `toml:"tenants"`
+	Load      Traffic       `toml:"load"`
+	Clients   Clients       `toml:"clients"`
+	Net       Net           `toml:"net"`
+	Discovery Discovery     `toml:"discovery"`
+	Rules     Rules         `toml:"rules"`
+	Faults    []Fault       `toml:"faults"`
 	// Operators are operator's files. Nodes start with the first; each reload takes the next.
 	Operators []string `toml:"operators"`
 	// Pairings runs the scenario with each pair of protocols of clients and servers, HTTP to HTTP first.
@@ -48,17 +48,17 @@
 
 // Nodes are the processes under test, distributed over the sites in turn.
 type Nodes struct {
-	Count    int     `toml:"count"`
-	Cores    float64 `toml:"cores"` // that each may use
-	MemoryMB int     `toml:"memory_mb"`
-	Sockets  int     `toml:"sockets"`
-	Notice   Span    `toml:"notice"` // until the connection balancer notices that one has crashed
+	Count       int     `toml:"count"`
+	Cores       float64 `toml:"cores"` // that each may use
+	MemoryMB    int     `toml:"memory_mb"`
+	Sockets     int     `toml:"sockets"`
+	CrashNotice Span    `toml:"notice"` // until the connection balancer notices that one has crashed
 }
 
 // Planners configures the planners; without any, each node decides by itself.
 type Planners struct {
-	Count int  `toml:"count"`
-	Every Span `toml:"every"` // between two plans
+	Count    int  `toml:"count"`
+	Interval Span `toml:"every"` // between two plans
 }
 
 // Peers configures the replication of journals between nodes, if there are replicas. Each node is a machine of its own.
@@ -83,47 +83,47 @@
 }
 
 // Lists configures which servers nodes know when they start.
-type Lists struct {
+type EndpointLists struct {
 	Start string `toml:"start"` // known: discovery's present list; kept: their stored list; none
 	Age   Span   `toml:"age"`   // added to the age of a stored list
 }
 
 // Servers configures the servers of one kind, distributed over the sites in turn.
 type Servers struct {
-	Kind        string  `toml:"kind"`
-	Count       int     `toml:"count"`
-	Cores       int     `toml:"cores"`
-	Speed       float64 `toml:"speed"` // of a core; work is stated for speed 1
-	Queue       int     `toml:"queue"` // requests that may wait
-	Connections int     `toml:"connections"`
-	Handshake   Span    `toml:"handshake"`   // work for each new connection
-	ColdShare   float64 `toml:"cold_share"`  // of its capacity at the begin of slow start
-	ColdFor     Span    `toml:"cold_for"`    // length of slow start
-	KeyGain     float64 `toml:"key_gain"`    // share of work that is saved for a cached key
-	KeyFor      Span    `toml:"key_for"`     // how long a key is cached
-	Keys        int     `toml:"keys"`        // cached keys at most
-	FastCGI     bool    `toml:"fastcgi"`     // servers speak FastCGI, not HTTP
-	Drops       bool    `toml:"drops"`       // requests whose timeout passed in the queue are rejected
-	GroupSize   int     `toml:"group_size"`  // servers of a cell, which share idempotency keys; 0: all are one cell
-	ErrorRate   float64 `toml:"error_rate"`  // share answered with 500 after their work
-	PauseEvery  Span    `toml:"pause_every"` // interval of pauses of the process; 0: none
-	PauseFor    Span    `toml:"pause_for"`
+	Kind              string  `toml:"kind"`
+	Count             int     `toml:"count"`
+	Cores             int     `toml:"cores"`
+	Speed             float64 `toml:"speed"` // of a core; work is stated for speed 1
+	Queue             int     `toml:"queue"` // requests that may wait
+	Connections       int     `toml:"connections"`
+	Handshake         Span    `toml:"handshake"`   // work for each new connection
+	SlowStartCapacity float64 `toml:"cold_share"`  // of its capacity at the begin of slow start
+	SlowStartDuration Span    `toml:"cold_for"`    // length of slow start
+	CacheGain         float64 `toml:"key_gain"`    // share of work that is saved for a cached key
+	CacheDuration     Span    `toml:"key_for"`     // how long a key is cached
+	CacheSize         int     `toml:"keys"`        // cached keys at most
+	FastCGI           bool    `toml:"fastcgi"`     // servers speak FastCGI, not HTTP
+	RejectsExpired    bool    `toml:"drops"`       // requests whose timeout passed in the queue are rejected
+	GroupSize         int     `toml:"group_size"`  // servers of a cell, which share idempotency keys; 0: all are one cell
+	ErrorRate         float64 `toml:"error_rate"`  // share answered with 500 after their work
+	PauseEvery        Span    `toml:"pause_every"` // interval of pauses of the process; 0: none
+	PauseFor          Span    `toml:"pause_for"`
 }
 
 // Type is a traffic type.
 type Type struct {
-	Name    string  `toml:"name"`
-	Path    string  `toml:"path"` // of its requests; by default the name, twice
-	Share   float64 `toml:"share"`
-	Work    Span    `toml:"work"` // mean, on a core of speed 1
-	Dist    string  `toml:"dist"` // constant, exp or lognormal
-	CV      float64 `toml:"cv"`   // of lognormal
-	Target  Span    `toml:"target"`
-	Abandon Span    `toml:"abandon"`
-	Revenue float64 `toml:"revenue"`
-	Repeat  string  `toml:"repeat"` // retriable (idempotent), fingerprinted (with a key) or binding (non-idempotent)
-	Group   string  `toml:"group"`  // of a keyed type: all, zone or cell
-	Window  Span    `toml:"window"` // for which servers drop repeats of a key
+	Name                 string  `toml:"name"`
+	Path                 string  `toml:"path"` // of its requests; by default the name, twice
+	Share                float64 `toml:"share"`
+	Work                 Span    `toml:"work"` // mean, on a core of speed 1
+	WorkDistribution     string  `toml:"dist"` // constant, exp or lognormal
+	VariationCoefficient float64 `toml:"cv"`   // of lognormal
+	LatencyObjective     Span    `toml:"target"`
+	AbandonTime          Span    `toml:"abandon"`
+	Revenue              float64 `toml:"revenue"`
+	Repeat               string  `toml:"repeat"` // retriable (idempotent), fingerprinted (with a key) or binding (non-idempotent)
+	KeyScope             string  `toml:"group"`  // of a keyed type: all, zone or cell
+	KeyRetention         Span    `toml:"window"` // for which servers drop repeats of a key
 	// Sites and kinds of server that it may be sent to; left out, all.
 	OnlySites []string `toml:"only_sites"`
 	OnlyKinds []string `toml:"only_kinds"`
@@ -138,28 +138,28 @@
 
 // Traffic configures how requests arrive.
 type Traffic struct {
-	Rate   float64 `toml:"rate"`   // requests per second
-	Shape  string  `toml:"shape"`  // constant, poisson, bursts, ramp or wave
-	Swing  float64 `toml:"swing"`  // share of the rate by which bursts, ramp and wave differ from it
-	Period Span    `toml:"period"` // of bursts and wave
-	Keys   int     `toml:"keys"`   // distinct ones; 0: requests carry none
-	Zipf   float64 `toml:"zipf"`   // exponent of the keys' popularity
-	Skew   float64 `toml:"skew"`   // share of the traffic that the first site has beyond its even part
-	Trace  string  `toml:"trace"`  // file of a recorded trace in the place of drawn requests
-	Over   float64 `toml:"over"`   // share of its revenue that a request beyond its tenant's allowance has
+	Rate           float64 `toml:"rate"`   // requests per second
+	Shape          string  `toml:"shape"`  // constant, poisson, bursts, ramp or wave
+	Swing          float64 `toml:"swing"`  // share of the rate by which bursts, ramp and wave differ from it
+	Period         Span    `toml:"period"` // of bursts and wave
+	Keys           int     `toml:"keys"`   // distinct ones; 0: requests carry none
+	Zipf           float64 `toml:"zipf"`   // exponent of the keys' popularity
+	Skew           float64 `toml:"skew"`   // share of the traffic that the first site has beyond its even part
+	Trace          string  `toml:"trace"`  // file of a recorded trace in the place of drawn requests
+	OverageRevenue float64 `toml:"over"`   // share of its revenue that a request beyond its tenant's allowance has
 }
 
 // Clients configures clients that retry and give up.
 type Clients struct {
-	Retries  int     `toml:"retries"`
-	Backoff  Span    `toml:"backoff"`
-	GivesUp  float64 `toml:"gives_up"` // share of the abandon time that is the client's timeout
-	FastCGI  bool    `toml:"fastcgi"`  // clients speak FastCGI, not HTTP
-	Exponent bool    `toml:"doubling"` // each backoff is twice the one before
+	Retries        int     `toml:"retries"`
+	Backoff        Span    `toml:"backoff"`
+	TimeoutShare   float64 `toml:"gives_up"` // share of the abandon time that is the client's timeout
+	FastCGI        bool    `toml:"fastcgi"`  // clients speak FastCGI, not HTTP
+	DoublesBackoff bool    `toml:"doubling"` // each backoff is twice the one before
 	// Leaves is the share of requests whose clients disconnect, after LeavesAt of the abandon time, and do not retry.
 	// Half of them have sent bytes behind their request.
-	Leaves   float64 `toml:"leaves"`
-	LeavesAt float64 `toml:"leaves_at"`
+	DisconnectShare float64 `toml:"leaves"`
+	DisconnectAfter float64 `toml:"leaves_at"`
 }
 
 // Net configures the latency between sites.
@@ -181,14 +181,14 @@
 
 // Rules configures the limits that the audit checks and nodes keep.
 type Rules struct {
-	DrainGrace   Span    `toml:"drain_grace"`
-	DrainClose   Span    `toml:"drain_close"` // until idle connections to a draining server must be closed; 0: not required
-	FallMultiple float64 `toml:"fall_multiple"`
-	FallWindow   Span    `toml:"fall_window"`
-	MaxAttempts  int     `toml:"most_hops"`
-	AskWithin    Span    `toml:"ask_within"`
-	Copies       bool    `toml:"copies"` // hedged requests are allowed
-	Slack        Span    `toml:"slack"`  // added to each limit, for scheduling delay of the machine
+	DrainGrace     Span    `toml:"drain_grace"`
+	DrainClose     Span    `toml:"drain_close"` // until idle connections to a draining server must be closed; 0: not required
+	OverloadFactor float64 `toml:"fall_multiple"`
+	OverloadWindow Span    `toml:"fall_window"`
+	MaxAttempts    int     `toml:"most_hops"`
+	AskWithin      Span    `toml:"ask_within"`
+	AllowsHedging  bool    `toml:"copies"` // hedged requests are allowed
+	Slack          Span    `toml:"slack"`  // added to each limit, for scheduling delay of the machine
 }
 
 // Fault is a fault that is applied at a given time. FaultKinds says what Size and Share mean.
@@ -238,7 +238,7 @@
 // WithStartLists returns the scenario with another Lists.Start.
 func (s *Scenario) WithStartLists(start string) *Scenario {
 	changed := *s
-	changed.Lists = Lists{Start: start}
+	changed.Lists = EndpointLists{Start: start}
 	return &changed
 }
 
--- a/internal/testbed/soak/audit.go
+++ b/internal/testbed/soak/audit.go
@@ -15,7 +15,7 @@
 	minIdleTime = 500 * time.Millisecond
 	// minCrowdedIdleTime is minIdleTime while descriptors are short. A node closes connections that were idle for 0.1 s for others then;
 	// clients notice an answer some time after it was sent.
-	minCrowdedIdleTime = 50 * time.Millisecond
+	minIdleTimeUnderShortage = 50 * time.Millisecond
 	// sendSlack is how long after its final answer a request may still arrive at a server that it was written to before.
 	sendSlack = 500 * time.Millisecond
 	// maxDetails is how many violations of a run are kept in words.
@@ -27,26 +27,26 @@
 
 // Rules of a stop.
 const (
-	Answered      Rule = "answered"       // each request that the node has read gets one whole final answer
-	CloseIsKnown  Rule = "close-is-known" // a connection is closed only after an answer that announced it, or when it was idle
-	LastIsWhole   Rule = "last-is-whole"  // an answer that announces the close arrives whole, whatever follows the request
-	NothingAfter  Rule = "nothing-after"  // nothing is sent to a server after the final answer
-	RunsOnce      Rule = "runs-once"      // no non-idempotent request runs twice
-	EndsInTime    Rule = "ends-in-time"   // the node ends by itself before it is killed
-	EndsCleanly   Rule = "ends-cleanly"   // with exit code 0 and without a panic
-	JournalIsFull Rule = "journal"        // what ran stands in the journal
+	Answered           Rule = "answered"       // each request that the node has read gets one whole final answer
+	CloseAnnounced     Rule = "close-is-known" // a connection is closed only after an answer that announced it, or when it was idle
+	LastAnswerComplete Rule = "last-is-whole"  // an answer that announces the close arrives whole, whatever follows the request
+	NothingAfter       Rule = "nothing-after"  // nothing is sent to a server after the final answer
+	RunsOnce           Rule = "runs-once"      // no non-idempotent request runs twice
+	ExitsInTime        Rule = "ends-in-time"   // the node ends by itself before it is killed
+	ExitsCleanly       Rule = "ends-cleanly"   // with exit code 0 and without a panic
+	JournalComplete    Rule = "journal"        // what ran stands in the journal
 )
 
 // Rules lists all rules in the order of reports.
-var Rules = []Rule{Answered, CloseIsKnown, LastIsWhole, NothingAfter, RunsOnce, EndsInTime, EndsCleanly, JournalIsFull}
+var Rules = []Rule{Answered, CloseAnnounced, LastAnswerComplete, NothingAfter, RunsOnce, ExitsInTime, ExitsCleanly, JournalComplete}
 
 // request is what is known of one request.
 type request struct {
-	isNonIdempotent bool
-	ran             int
-	lastReceived    time.Duration // at a server; 0: never
-	answered        time.Duration // 0: no answer came
-	isDropped       bool          // sent behind an answer that announced the close
+	isNonIdempotent    bool
+	ran                int
+	lastReceived       time.Duration // at a server; 0: never
+	answered           time.Duration // 0: no answer came
+	isBehindLastAnswer bool          // sent behind an answer that announced the close
 }
 
 // Audit collects what clients and servers see, and decides which rules were broken. It is safe for concurrent use. Times count from the
@@ -54,20 +54,20 @@
 type Audit struct {
 	minIdle time.Duration // minIdleTime, or minCrowdedIdleTime in a run with a crowd
 
-	mu        sync.Mutex
-	requests  map[string]*request
-	broken    map[Rule]int
-	details   []string
-	answers   int
-	crossings []time.Duration // idle times of HTTP connections that the node closed as a request was sent
-	fastCGI   int             // such connections that speak FastCGI, which cannot announce a close
+	mu                sync.Mutex
+	requests          map[string]*request
+	violations        map[Rule]int
+	details           []string
+	answers           int
+	closeRaces        []time.Duration // idle times of HTTP connections that the node closed as a request was sent
+	fastCGICloseRaces int             // such connections that speak FastCGI, which cannot announce a close
 }
 
 // NewAudit returns an audit without requests. hasCrowd says that descriptors are short.
 func NewAudit(hasCrowd bool) *Audit {
-	a := &Audit{minIdle: minIdleTime, requests: map[string]*request{}, broken: map[Rule]int{}}
+	a := &Audit{minIdle: minIdleTime, requests: map[string]*request{}, violations: map[Rule]int{}}
 	if hasCrowd {
-		a.minIdle = minCrowdedIdleTime
+		a.minIdle = minIdleTimeUnderShortage
 	}
 	return a
 }
@@ -106,10 +106,10 @@
 }
 
 // Dropped reports a request that was sent behind one whose answer announced the close: the node must not forward it.
-func (a *Audit) Dropped(id string) {
+func (a *Audit) SentBehindLastAnswer(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.requests[id].isDropped = true
+	a.requests[id].isBehindLastAnswer = true
 }
 
 // Closed reports a connection that the node closed between two requests. isCrossed says that a request was sent on it then.
@@ -118,24 +118,24 @@
 	defer a.mu.Unlock()
 	switch {
 	case !isFastCGI && idle < a.minIdle:
-		a.breakRule(CloseIsKnown, fmt.Sprintf("%s: closed after %s, and the last answer announced no close", when, idle.Round(time.Microsecond)))
+		a.addViolation(CloseAnnounced, fmt.Sprintf("%s: closed after %s, and the last answer announced no close", when, idle.Round(time.Microsecond)))
 	case isCrossed && isFastCGI:
-		a.fastCGI++
+		a.fastCGICloseRaces++
 	case isCrossed:
-		a.crossings = append(a.crossings, idle)
+		a.closeRaces = append(a.closeRaces, idle)
 	}
 }
 
 // Broken reports that a rule was broken.
-func (a *Audit) Broken(rule Rule, format string, args ...any) {
+func (a *Audit) Violation(rule Rule, format string, args ...any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.breakRule(rule, fmt.Sprintf(format, args...))
+	a.addViolation(rule, fmt.Sprintf(format, args...))
 }
 
 // breakRule counts a violation. mu is held.
-func (a *Audit) breakRule(rule Rule, detail string) {
-	a.broken[rule]++
+func (a *Audit) addViolation(rule Rule, detail string) {
+	a.violations[rule]++
 	if len(a.details) < maxDetails {
 		a.details = append(a.details, string(rule)+": "+detail)
 	}
@@ -148,17 +148,17 @@
 	defer a.mu.Unlock()
 	for _, id := range unread {
 		if r := a.requests[id]; r.lastReceived > 0 {
-			a.breakRule(Answered, id+" was forwarded and got no answer")
+			a.addViolation(Answered, id+" was forwarded and got no answer")
 		}
 	}
 	for id, r := range a.requests {
 		switch {
 		case r.isNonIdempotent && r.ran > 1:
-			a.breakRule(RunsOnce, fmt.Sprintf("%s ran %d times", id, r.ran))
-		case r.isDropped && r.lastReceived > 0:
-			a.breakRule(NothingAfter, id+" was sent behind the last answer of its connection and forwarded")
+			a.addViolation(RunsOnce, fmt.Sprintf("%s ran %d times", id, r.ran))
+		case r.isBehindLastAnswer && r.lastReceived > 0:
+			a.addViolation(NothingAfter, id+" was sent behind the last answer of its connection and forwarded")
 		case r.answered > 0 && r.lastReceived > r.answered+sendSlack:
-			a.breakRule(NothingAfter, fmt.Sprintf("%s reached a server %s after its answer", id, (r.lastReceived-r.answered).Round(time.Millisecond)))
+			a.addViolation(NothingAfter, fmt.Sprintf("%s reached a server %s after its answer", id, (r.lastReceived-r.answered).Round(time.Millisecond)))
 		}
 	}
 }
@@ -173,9 +173,9 @@
 		}
 		switch e := entries[id]; {
 		case e == nil && !hasGaps:
-			a.breakRule(JournalIsFull, id+" ran, and the journal has no entry of it")
+			a.addViolation(JournalComplete, id+" ran, and the journal has no entry of it")
 		case e != nil && e.State() == intent.NotSent:
-			a.breakRule(JournalIsFull, id+" ran, and the journal says that it was not sent")
+			a.addViolation(JournalComplete, id+" ran, and the journal says that it was not sent")
 		}
 	}
 }
@@ -194,10 +194,10 @@
 func (a *Audit) Counts() Counts {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	c := Counts{Requests: len(a.requests), Answers: a.answers, Broken: a.broken, IdleCrossings: len(a.crossings), FastCGICrossings: a.fastCGI,
+	c := Counts{Requests: len(a.requests), Answers: a.answers, Broken: a.violations, IdleCrossings: len(a.closeRaces), FastCGICrossings: a.fastCGICloseRaces,
 		Details: slices.Sorted(slices.Values(a.details))}
-	if len(a.crossings) > 0 {
-		c.ShortestIdle = slices.Min(a.crossings)
+	if len(a.closeRaces) > 0 {
+		c.ShortestIdle = slices.Min(a.closeRaces)
 	}
 	return c
 }
--- a/internal/testbed/soak/brokennode_test.go
+++ b/internal/testbed/soak/brokennode_test.go
@@ -21,32 +21,32 @@
 
 // Faults of a brokenNode.
 const (
-	isSound           brokenFault = "sound"
+	hasNoFault        brokenFault = "sound"
 	isSilent          brokenFault = "reads requests and never answers"
 	cutsAnswers       brokenFault = "breaks answers off"
 	cutsLastAnswers   brokenFault = "breaks off an answer behind which more was sent"
 	closesUnannounced brokenFault = "closes connections behind answers without a word"
 	forwardsTwice     brokenFault = "forwards each request twice"
 	forwardsLate      brokenFault = "forwards requests once more after the answer"
-	outlivesStop      brokenFault = "goes on after SIGTERM"
+	ignoresStop       brokenFault = "goes on after SIGTERM"
 	failsAtStop       brokenFault = "exits with a code"
 	panicsAtStop      brokenFault = "panics at the stop"
-	keepsNoJournal    brokenFault = "keeps no journal"
+	writesNoJournal   brokenFault = "keeps no journal"
 )
 
 // brokenRules says which rule a fault breaks; "": none.
 var brokenRules = map[brokenFault]Rule{
-	isSound:           "",
+	hasNoFault:        "",
 	isSilent:          Answered,
 	cutsAnswers:       Answered,
-	cutsLastAnswers:   LastIsWhole,
-	closesUnannounced: CloseIsKnown,
+	cutsLastAnswers:   LastAnswerComplete,
+	closesUnannounced: CloseAnnounced,
 	forwardsTwice:     RunsOnce,
 	forwardsLate:      NothingAfter,
-	outlivesStop:      EndsInTime,
-	failsAtStop:       EndsCleanly,
-	panicsAtStop:      EndsCleanly,
-	keepsNoJournal:    JournalIsFull,
+	ignoresStop:       ExitsInTime,
+	failsAtStop:       ExitsCleanly,
+	panicsAtStop:      ExitsCleanly,
+	writesNoJournal:   JournalComplete,
 }
 
 // brokenNode forwards each request to one server and has one fault. It closes idle connections only by its end.
@@ -85,10 +85,10 @@
 	go n.accept(ln)
 	<-stop
 	n.isDraining.Store(true)
-	time.Sleep(lateConnections + 100*time.Millisecond)
+	time.Sleep(connectWindow + 100*time.Millisecond)
 	ln.Close()
 	switch fault {
-	case outlivesStop:
+	case ignoresStop:
 		select {}
 	case failsAtStop:
 		return 3
--- a/internal/testbed/soak/client.go
+++ b/internal/testbed/soak/client.go
@@ -27,13 +27,13 @@
 }
 
 // countedConn records whether bytes were read.
-type countedConn struct {
+type trackedConn struct {
 	*net.TCPConn
 	hasRead bool
 }
 
 // Read reads and records whether bytes came.
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *trackedConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	c.hasRead = c.hasRead || n > 0
 	return n, err
@@ -47,7 +47,7 @@
 	isFastCGI bool
 	sent      int
 
-	counted    *countedConn
+	tracked    *trackedConn
 	conn       clientConn // nil: none is open
 	answeredAt time.Time  // when the last answer came on it; zero: none has
 }
@@ -62,7 +62,7 @@
 	defer c.close()
 	for ctx.Err() == nil {
 		if c.conn != nil && !c.conn.IsIdle() {
-			c.closedBetween(false)
+			c.closedBetweenRequests(false)
 		}
 		if c.conn == nil && !c.open(ctx) {
 			return
@@ -85,23 +85,23 @@
 	if c.isFastCGI {
 		address = c.run.fastCGIAddress()
 	}
-	if c.run.sinceStop() > lateConnections {
+	if c.run.sinceStop() > connectWindow {
 		return false
 	}
 	dialer := net.Dialer{}
 	nc, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		if ctx.Err() == nil {
-			c.run.audit.Broken(Answered, "client %d cannot connect %s after the stop: %v", c.number, c.run.sinceStop().Round(time.Millisecond), err)
+			c.run.audit.Violation(Answered, "client %d cannot connect %s after the stop: %v", c.number, c.run.sinceStop().Round(time.Millisecond), err)
 		}
 		return false
 	}
-	c.counted = &countedConn{TCPConn: nc.(*net.TCPConn)}
+	c.tracked = &trackedConn{TCPConn: nc.(*net.TCPConn)}
 	c.answeredAt = time.Time{}
 	if c.isFastCGI {
-		c.conn = fastcgi.NewServerConn(c.counted, nil, nil)
+		c.conn = fastcgi.NewServerConn(c.tracked, nil, nil)
 	} else {
-		c.conn = http1.NewConn(c.counted)
+		c.conn = http1.NewConn(c.tracked)
 	}
 	return true
 }
@@ -115,7 +115,7 @@
 
 // closedBetween reports that the node has closed the connection between two requests, and gives it up. isCrossed says that a request was
 // sent on it.
-func (c *client) closedBetween(isCrossed bool) {
+func (c *client) closedBetweenRequests(isCrossed bool) {
 	when := fmt.Sprintf("client %d, request sent %v, %s after the stop", c.number, isCrossed, c.run.sinceStop().Round(time.Millisecond))
 	c.run.audit.Closed(c.isFastCGI, isCrossed, time.Since(c.answeredAt), when)
 	c.close()
@@ -132,23 +132,23 @@
 	for _, id := range ids {
 		c.run.audit.Sending(id, isNonIdempotent(id))
 	}
-	c.counted.hasRead = false
+	c.tracked.hasRead = false
 	c.conn.SetDeadline(time.Now().Add(timeout + answerSlack))
 	for i, id := range ids {
 		if isWhole, err := c.conn.SendRequest(requestMessage(id), timeout, "127.0.0.1"); !isWhole {
-			c.ended(ids[i:], err)
+			c.endedWithoutAnswer(ids[i:], err)
 			return false
 		}
 	}
 	for i, id := range ids {
 		closes, err := c.receive(id)
 		if err != nil {
-			c.ended(ids[i:], err)
+			c.endedWithoutAnswer(ids[i:], err)
 			return false
 		}
 		if closes {
 			for _, behind := range ids[i+1:] {
-				c.run.audit.Dropped(behind)
+				c.run.audit.SentBehindLastAnswer(behind)
 			}
 			return false
 		}
@@ -165,33 +165,33 @@
 	c.answeredAt = time.Now()
 	c.run.audit.Answer(id, time.Since(c.run.start))
 	if resp.Status == 200 && !bytes.HasPrefix(resp.Body, []byte(id)) {
-		c.run.audit.Broken(Answered, "%s got the answer of another request", id)
+		c.run.audit.Violation(Answered, "%s got the answer of another request", id)
 	}
 	return message.HasToken(resp.Fields, "Connection", "close"), nil // resp.Close is also set by a second answer behind this one
 }
 
 // ended reports requests on a connection that ended before the answer to the first of them.
-func (c *client) ended(ids []string, err error) {
+func (c *client) endedWithoutAnswer(ids []string, err error) {
 	isReused := !c.answeredAt.IsZero()
 	since := c.run.sinceStop().Round(time.Millisecond)
 	switch {
 	case c.run.wasKilled():
-		c.run.audit.Broken(Answered, "%s had no answer when the node was killed", ids[0])
+		c.run.audit.Violation(Answered, "%s had no answer when the node was killed", ids[0])
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.run.audit.Broken(Answered, "%s had no answer %s after its deadline", ids[0], answerSlack)
-	case c.counted.hasRead:
+		c.run.audit.Violation(Answered, "%s had no answer %s after its deadline", ids[0], answerSlack)
+	case c.tracked.hasRead:
 		rule := Answered
 		if len(ids) > 1 {
-			rule = LastIsWhole
+			rule = LastAnswerComplete
 		}
-		c.run.audit.Broken(rule, "the answer to %s broke off %s after the stop: %v", ids[0], since, err)
+		c.run.audit.Violation(rule, "the answer to %s broke off %s after the stop: %v", ids[0], since, err)
 	case isReused:
 		c.run.addUnread(ids)
-		c.closedBetween(true)
+		c.closedBetweenRequests(true)
 	default:
 		c.run.addUnread(ids)
-		if !c.run.plan.HasCrowd { // for want of descriptors a new connection may be closed unread
-			c.run.audit.Broken(Answered, "%s was sent on a new connection that was closed %s after the stop: %v", ids[0], since, err)
+		if !c.run.plan.HasIdleClients { // for want of descriptors a new connection may be closed unread
+			c.run.audit.Violation(Answered, "%s was sent on a new connection that was closed %s after the stop: %v", ids[0], since, err)
 		}
 	}
 }
--- a/internal/testbed/soak/node.go
+++ b/internal/testbed/soak/node.go
@@ -144,14 +144,14 @@
 func (n *node) hasPanicked() bool { return bytes.Contains(n.log(), []byte("panic")) }
 
 // unwatched ignores what discovery notified the node of.
-type unwatched struct{}
+type nopWatcher struct{}
 
 // Announced implements discovery.Watcher.
-func (unwatched) Announced(int, string, string, int64, time.Time) {}
+func (nopWatcher) Announced(int, string, string, int64, time.Time) {}
 
 // newDiscovery returns discovery with entries for the servers.
 func newDiscovery(p *Plan, addresses []string) *discovery.Service {
-	d := discovery.New(discovery.Settings{LinesPerS: 1e5, CallLines: 1, Timeout: time.Second}, p.Seed, unwatched{})
+	d := discovery.New(discovery.Settings{LinesPerS: 1e5, CallLines: 1, Timeout: time.Second}, p.Seed, nopWatcher{})
 	for i, address := range addresses {
 		d.Set(discovery.Entry{ID: serverName(i), Site: "a", MachineKind: "m", Phase: discovery.Serving, Addresses: []string{address}})
 	}
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	killGrace       = 700 * time.Millisecond // SIGKILL comes the longest deadline and this after the first SIGTERM or SIGINT
-	lateConnections = 400 * time.Millisecond // for which new connections come after that signal
-	warmUp          = 500 * time.Millisecond // of load before the first signals
-	maxSignalLead   = 300 * time.Millisecond // of signals before the stop
-	maxSignalLag    = 1200 * time.Millisecond
+	killGrace     = 700 * time.Millisecond // SIGKILL comes the longest deadline and this after the first SIGTERM or SIGINT
+	connectWindow = 400 * time.Millisecond // for which new connections come after that signal
+	warmUp        = 500 * time.Millisecond // of load before the first signals
+	maxSignalLead = 300 * time.Millisecond // of signals before the stop
+	maxSignalLag  = 1200 * time.Millisecond
 
-	crowdSockets = 200 // descriptors of a node in a run with a crowd
-	crowdSize    = 220 // idle clients of such a run
-	freeSockets  = 1024
+	scarceSockets   = 200 // descriptors of a node in a run with a crowd
+	idleClientCount = 220 // idle clients of such a run
+	ampleSockets    = 1024
 )
 
 // timedSignal is a signal to the node, at a time counted from the stop.
@@ -28,21 +28,21 @@
 
 // Plan is all that a seed draws for a run.
 type Plan struct {
-	Seed         uint64
-	Deadline     time.Duration // the longest for which a client waits
-	Clients      int
-	MaxPause     time.Duration // of a client between two requests
-	FastCGIShare float64       // of the clients
-	PipelineRate float64       // share of requests behind which a client sends another at once
-	Servers      int
-	HangRate     float64       // share of requests that a server never answers
-	MaxWork      time.Duration // of a request at a server
-	DrainServer  bool          // a server drains as the node stops
-	DiscoveryOut bool          // discovery is down as the node stops
-	MovesList    bool          // a reload changes discovery's address just before the stop
-	HasJournal   bool
-	HasCrowd     bool
-	Signals      []timedSignal // in order; one of them, at 0, is the stop
+	Seed           uint64
+	Deadline       time.Duration // the longest for which a client waits
+	Clients        int
+	MaxPause       time.Duration // of a client between two requests
+	FastCGIShare   float64       // of the clients
+	PipelineRate   float64       // share of requests behind which a client sends another at once
+	Servers        int
+	HangRate       float64       // share of requests that a server never answers
+	MaxWork        time.Duration // of a request at a server
+	DrainServer    bool          // a server drains as the node stops
+	DiscoveryDown  bool          // discovery is down as the node stops
+	MovesDiscovery bool          // a reload changes discovery's address just before the stop
+	HasJournal     bool
+	HasIdleClients bool
+	Signals        []timedSignal // in order; one of them, at 0, is the stop
 }
 
 // NewPlan draws the plan of a seed.
@@ -51,25 +51,25 @@
 	upTo := func(d time.Duration) time.Duration { return time.Duration(chance.Int64N(int64(d))) }
 	isDrawn := func(share float64) bool { return chance.Float64() < share }
 	p := Plan{
-		Seed:         seed,
-		Deadline:     time.Second + upTo(2*time.Second),
-		Clients:      8 + chance.IntN(33),
-		MaxPause:     []time.Duration{time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond, 3 * time.Second}[chance.IntN(4)],
-		FastCGIShare: []float64{0, 0, 0.5}[chance.IntN(3)],
-		PipelineRate: []float64{0, 0.1}[chance.IntN(2)],
-		Servers:      3 + chance.IntN(3),
-		HangRate:     []float64{0, 0.01, 0.05}[chance.IntN(3)],
-		MaxWork:      []time.Duration{2 * time.Millisecond, 20 * time.Millisecond}[chance.IntN(2)],
-		DrainServer:  isDrawn(0.3),
-		DiscoveryOut: isDrawn(0.3),
-		MovesList:    isDrawn(0.3),
-		HasJournal:   isDrawn(0.4),
-		HasCrowd:     isDrawn(1.0 / 3),
+		Seed:           seed,
+		Deadline:       time.Second + upTo(2*time.Second),
+		Clients:        8 + chance.IntN(33),
+		MaxPause:       []time.Duration{time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond, 3 * time.Second}[chance.IntN(4)],
+		FastCGIShare:   []float64{0, 0, 0.5}[chance.IntN(3)],
+		PipelineRate:   []float64{0, 0.1}[chance.IntN(2)],
+		Servers:        3 + chance.IntN(3),
+		HangRate:       []float64{0, 0.01, 0.05}[chance.IntN(3)],
+		MaxWork:        []time.Duration{2 * time.Millisecond, 20 * time.Millisecond}[chance.IntN(2)],
+		DrainServer:    isDrawn(0.3),
+		DiscoveryDown:  isDrawn(0.3),
+		MovesDiscovery: isDrawn(0.3),
+		HasJournal:     isDrawn(0.4),
+		HasIdleClients: isDrawn(1.0 / 3),
 	}
 	for range chance.IntN(3) {
 		p.Signals = append(p.Signals, timedSignal{-upTo(maxSignalLead), syscall.SIGHUP})
 	}
-	if p.MovesList {
+	if p.MovesDiscovery {
 		p.Signals = append(p.Signals, timedSignal{-upTo(maxSignalLead / 10), syscall.SIGHUP})
 	}
 	stops := []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGINT}
@@ -83,10 +83,10 @@
 
 // Sockets returns how many descriptors the node has.
 func (p *Plan) Sockets() int {
-	if p.HasCrowd {
-		return crowdSockets
+	if p.HasIdleClients {
+		return scarceSockets
 	}
-	return freeSockets
+	return ampleSockets
 }
 
 // KillAfter returns when the node is killed, counted from the stop.
@@ -100,5 +100,5 @@
 	}
 	return fmt.Sprintf("deadline %s, %d clients (pause up to %s, FastCGI %.0f%%, pipelined %.0f%%), %d servers (work up to %s, %.0f%% hang, drain %v), discovery down %v, moves %v, journal %v, crowd %v, signals %s",
 		p.Deadline.Round(time.Millisecond), p.Clients, p.MaxPause, 100*p.FastCGIShare, 100*p.PipelineRate, p.Servers, p.MaxWork, 100*p.HangRate, p.DrainServer,
-		p.DiscoveryOut, p.MovesList, p.HasJournal, p.HasCrowd, strings.Join(signals, " "))
+		p.DiscoveryDown, p.MovesDiscovery, p.HasJournal, p.HasIdleClients, strings.Join(signals, " "))
 }
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -58,7 +58,7 @@
 
 // Run plays one plan. An error means that the run could not be carried out; broken rules stand in the Result.
 func Run(ctx context.Context, plan Plan, o Options) (result Result, err error) {
-	r := &run{plan: plan, audit: NewAudit(plan.HasCrowd), start: time.Now()}
+	r := &run{plan: plan, audit: NewAudit(plan.HasIdleClients), start: time.Now()}
 	if r.network, err = loopback.Reserve(); err != nil {
 		return result, err
 	}
@@ -76,7 +76,7 @@
 	if err := r.build(); err != nil {
 		return result, err
 	}
-	took, err := r.play(ctx)
+	took, err := r.execute(ctx)
 	if err != nil {
 		return result, err
 	}
@@ -127,21 +127,21 @@
 }
 
 // play sends load and signals, kills the node if it has not ended in time, and checks what came of it.
-func (r *run) play(ctx context.Context) (took time.Duration, err error) {
+func (r *run) execute(ctx context.Context) (took time.Duration, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var clients sync.WaitGroup
 	for i := range r.plan.Clients {
 		clients.Go(func() { newClient(r, i).serve(ctx) })
 	}
-	if r.plan.HasCrowd {
-		clients.Go(func() { runCrowd(ctx, r.httpAddress()) })
+	if r.plan.HasIdleClients {
+		clients.Go(func() { runIdleClients(ctx, r.httpAddress()) })
 	}
 	stopAt := time.Now().Add(warmUp + maxSignalLead)
 	if err := r.sendSignals(ctx, stopAt); err != nil {
 		return 0, err
 	}
-	r.awaitEnd()
+	r.awaitExit()
 	took = r.sinceStop()
 	clients.Wait()
 	r.checkNode()
@@ -157,7 +157,7 @@
 	if !sleepUntil(ctx, stopAt.Add(-maxSignalLead)) {
 		return ctx.Err()
 	}
-	if r.plan.MovesList {
+	if r.plan.MovesDiscovery {
 		if err := r.discovery.Serve(0, 0, r.discoveryAddress(1)); err != nil {
 			return err
 		}
@@ -196,17 +196,17 @@
 		r.servers[0].isDraining.Store(true)
 		r.discovery.Set(discovery.Entry{ID: serverName(0), Site: "a", MachineKind: "m", Phase: discovery.Draining, Addresses: []string{r.servers[0].listener.Address()}})
 	}
-	if r.plan.DiscoveryOut {
+	if r.plan.DiscoveryDown {
 		r.discovery.Down(true)
 	}
 }
 
 // awaitEnd waits until the node has ended, and kills it when its time is over.
-func (r *run) awaitEnd() {
+func (r *run) awaitExit() {
 	select {
 	case <-r.node.exited:
 	case <-time.After(time.Until(r.stoppedAt.Load().Add(r.plan.KillAfter()))):
-		r.audit.Broken(EndsInTime, "the node still ran %s after the stop", r.plan.KillAfter().Round(time.Millisecond))
+		r.audit.Violation(ExitsInTime, "the node still ran %s after the stop", r.plan.KillAfter().Round(time.Millisecond))
 		r.isKilled.Store(true)
 		r.node.kill()
 	}
@@ -215,10 +215,10 @@
 // checkNode checks how the process ended.
 func (r *run) checkNode() {
 	if code := r.node.cmd.ProcessState.ExitCode(); code != 0 && !r.wasKilled() {
-		r.audit.Broken(EndsCleanly, "exit code %d: %s", code, r.node.log())
+		r.audit.Violation(ExitsCleanly, "exit code %d: %s", code, r.node.log())
 	}
 	if r.node.hasPanicked() {
-		r.audit.Broken(EndsCleanly, "the log tells of a panic")
+		r.audit.Violation(ExitsCleanly, "the log tells of a panic")
 	}
 }
 
@@ -238,7 +238,7 @@
 		entries[e.RequestID] = e
 	}
 	if n := report.CorruptCount(); n > 0 {
-		r.audit.Broken(JournalIsFull, "%d ranges cannot be read", n)
+		r.audit.Violation(JournalComplete, "%d ranges cannot be read", n)
 	}
 	r.audit.CheckJournal(entries, len(merger.Gaps) > 0)
 	return nil
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -66,8 +66,8 @@
 		t.Run(string(fault), func(t *testing.T) {
 			t.Parallel()
 			plan := calmPlan()
-			plan.HasJournal = rule == JournalIsFull
-			if rule == LastIsWhole {
+			plan.HasJournal = rule == JournalComplete
+			if rule == LastAnswerComplete {
 				plan.PipelineRate = 0.5
 			}
 			command := []string{"/usr/bin/env", brokenVar + "=" + string(fault), os.Args[0]}
@@ -93,8 +93,8 @@
 		if p.String() != again.String() {
 			t.Fatalf("seed %d: %s, and %s", seed, p.String(), again.String())
 		}
-		for kind, is := range map[string]bool{"crowd": p.HasCrowd, "journal": p.HasJournal, "FastCGI": p.FastCGIShare > 0, "pipelined": p.PipelineRate > 0,
-			"hanging": p.HangRate > 0, "drain": p.DrainServer, "discovery": p.DiscoveryOut, "moves": p.MovesList, "signals": len(p.Signals) > 3} {
+		for kind, is := range map[string]bool{"crowd": p.HasIdleClients, "journal": p.HasJournal, "FastCGI": p.FastCGIShare > 0, "pipelined": p.PipelineRate > 0,
+			"hanging": p.HangRate > 0, "drain": p.DrainServer, "discovery": p.DiscoveryDown, "moves": p.MovesDiscovery, "signals": len(p.Signals) > 3} {
 			if is {
 				kinds[kind]++
 			}
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -44,7 +44,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-func play(t *testing.T, s *scenario.Scenario, policy string) *Outcome {
+func runScenario(t *testing.T, s *scenario.Scenario, policy string) *Outcome {
 	t.Helper()
 	out, err := Run(context.Background(), Options{Scenario: s, Requests: load.Plan(s), Command: []string{os.Args[0]}, Planner: []string{os.Args[0]}, Env: []string{policyVar + "=" + policy}})
 	if err != nil {
@@ -70,7 +70,7 @@
 			if s.Pairings {                                // both ends; the others are played by the command
 				s = s.WithFastCGI(true, true)
 			}
-			out := play(t, s, "")
+			out := runScenario(t, s, "")
 			for _, r := range out.Rules {
 				if r.Violations > 0 {
 					t.Errorf("%s broken %d times, first: %s", r.Name, r.Violations, r.FirstViolation)
@@ -93,7 +93,7 @@
 				t.Fatal(err)
 			}
 			s.Scale(0.6)
-			if !slices.ContainsFunc(play(t, s, name).Rules, func(r audit.Rule) bool { return r.Name == rule && r.Violations > 0 }) {
+			if !slices.ContainsFunc(runScenario(t, s, name).Rules, func(r audit.Rule) bool { return r.Name == rule && r.Violations > 0 }) {
 				t.Errorf("%s is not found broken", rule)
 			}
 		})
