--- a/internal/testbed/faultservers.go
+++ b/internal/testbed/faultservers.go
@@ -14,19 +14,19 @@
 	"fernvane/internal/testbed/standin/server"
 )
 
-// serverFaults are the faults of servers and sites.
+// serverFaults are the faults of servers and sites, by name.
 var serverFaults = map[string]faultFunc{
 	"slow": eachServer(func(env *environment, f *scenario.Fault, m *standinServer) {
-		slow := func(by float64) {
-			m.Model(func(b *server.Model, _ time.Duration, _ func(server.Event)) { b.Slow(by) })
+		setSlowdown := func(factor float64) {
+			m.Model(func(model *server.Model, _ time.Duration, _ func(server.Event)) { model.Slow(factor) })
 		}
-		slow(f.Size)
-		env.after(f.For.Std(), func() { slow(1) })
+		setSlowdown(f.Size)
+		env.after(f.For.Std(), func() { setSlowdown(1) })
 	}),
 	"hang": eachServer(func(env *environment, f *scenario.Fault, m *standinServer) {
-		m.Model(func(b *server.Model, now time.Duration, tell func(server.Event)) { b.Pause(now, tell) })
+		m.Model(func(model *server.Model, now time.Duration, report func(server.Event)) { model.Pause(now, report) })
 		env.after(f.For.Std(), func() {
-			m.Model(func(b *server.Model, now time.Duration, tell func(server.Event)) { b.Resume(now, tell) })
+			m.Model(func(model *server.Model, now time.Duration, report func(server.Event)) { model.Resume(now, report) })
 		})
 	}),
 	"pause": eachServer(func(env *environment, f *scenario.Fault, m *standinServer) {
@@ -37,16 +37,16 @@
 		m.Crash()
 		env.serverCrashed(m, f.For.Std())
 	}),
-	"cut-before": requestShare(func(b *server.Faults, s float64) { b.CutBefore = s }),
-	"cut-within": requestShare(func(b *server.Faults, s float64) { b.CutWithin = s }),
-	"cut-after":  requestShare(func(b *server.Faults, s float64) { b.CutAfter = s }),
-	"refuse":     requestShare(func(b *server.Faults, s float64) { b.Refuse = s }),
-	"error":      requestShare(func(b *server.Faults, s float64) { b.Err = s }),
-	"spoil":      requestShare(func(b *server.Faults, s float64) { b.Spoil = s }),
+	"cut-before": requestShare(func(faults *server.Faults, share float64) { faults.CutBefore = share }),
+	"cut-within": requestShare(func(faults *server.Faults, share float64) { faults.CutWithin = share }),
+	"cut-after":  requestShare(func(faults *server.Faults, share float64) { faults.CutAfter = share }),
+	"refuse":     requestShare(func(faults *server.Faults, share float64) { faults.Refuse = share }),
+	"error":      requestShare(func(faults *server.Faults, share float64) { faults.Err = share }),
+	"spoil":      requestShare(func(faults *server.Faults, share float64) { faults.Spoil = share }),
 	"cut-site": func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		cut := slices.Index(env.Scenario.Sites, f.Site)
 		servers := slices.Clone(env.servers)
-		both := func(do func(m *standinServer, site int)) {
+		eachCutLink := func(do func(m *standinServer, site int)) {
 			for _, m := range servers {
 				for site := range env.Scenario.Sites {
 					if (m.Site == cut) != (site == cut) {
@@ -55,8 +55,8 @@
 				}
 			}
 		}
-		both(func(m *standinServer, site int) { m.Hush(site) })
-		env.after(f.For.Std(), func() { both(func(m *standinServer, site int) { m.Speak(site) }) })
+		eachCutLink(func(m *standinServer, site int) { m.Hush(site) })
+		env.after(f.For.Std(), func() { eachCutLink(func(m *standinServer, site int) { m.Speak(site) }) })
 	},
 	"lose-site": func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		for _, m := range env.servers {
@@ -66,56 +66,56 @@
 			}
 		}
 	},
-	"shrink": func(env *environment, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
-		leave := int(math.Round((1 - f.Size) * float64(len(env.servers))))
-		for i, b := range chance.Perm(len(env.servers))[:leave] {
-			env.after(f.For.Std()*time.Duration(i)/time.Duration(max(leave, 1)), func() { env.drainServer(env.servers[b]) })
+	"shrink": func(env *environment, _ context.Context, f *scenario.Fault, rng *rand.Rand) {
+		drainCount := int(math.Round((1 - f.Size) * float64(len(env.servers))))
+		for i, n := range rng.Perm(len(env.servers))[:drainCount] {
+			env.after(f.For.Std()*time.Duration(i)/time.Duration(max(drainCount, 1)), func() { env.drainServer(env.servers[n]) })
 		}
 	},
-	"replace": func(env *environment, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
-		old := env.chosenServers(f, chance)
-		for i, m := range old {
-			fresh, err := env.addServer(m.spec, fmt.Sprintf("%s-new-%d", m.Name, i))
+	"replace": func(env *environment, _ context.Context, f *scenario.Fault, rng *rand.Rand) {
+		replaced := env.chosenServers(f, rng)
+		for i, m := range replaced {
+			added, err := env.addServer(m.spec, fmt.Sprintf("%s-new-%d", m.Name, i))
 			if err != nil {
 				env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(-1, err.Error()) })
 				return
 			}
-			fresh.Crash() // until its turn
-			env.after(f.For.Std()*time.Duration(i)/time.Duration(len(old)), func() {
+			added.Crash() // it stays down until it replaces m
+			env.after(f.For.Std()*time.Duration(i)/time.Duration(len(replaced)), func() {
 				env.drainServer(m)
-				env.startServer(fresh)
+				env.startServer(added)
 			})
 		}
 	},
 }
 
-// eachServer returns a fault of each of the chosen servers.
+// eachServer returns a fault that calls do for each chosen server.
 func eachServer(do func(*environment, *scenario.Fault, *standinServer)) faultFunc {
-	return func(env *environment, _ context.Context, f *scenario.Fault, chance *rand.Rand) {
-		for _, m := range env.chosenServers(f, chance) {
+	return func(env *environment, _ context.Context, f *scenario.Fault, rng *rand.Rand) {
+		for _, m := range env.chosenServers(f, rng) {
 			do(env, f, m)
 		}
 	}
 }
 
-// requestShare returns a fault of a share of the requests at the servers that the scenario names, or at all.
+// requestShare returns a fault that affects a share of the requests at the servers that the scenario names, or at all.
 func requestShare(set func(*server.Faults, float64)) faultFunc {
 	return func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		for _, m := range env.servers {
 			if len(f.Servers) > 0 && !slices.Contains(f.Servers, m.Name) {
 				continue
 			}
-			m.Set(func(b *server.Faults) { set(b, f.Share) })
-			env.after(f.For.Std(), func() { m.Set(func(b *server.Faults) { set(b, 0) }) })
+			m.Set(func(faults *server.Faults) { set(faults, f.Share) })
+			env.after(f.For.Std(), func() { m.Set(func(faults *server.Faults) { set(faults, 0) }) })
 		}
 	}
 }
 
-// chosenServers returns the servers that a fault names, or a share of all.
-func (env *environment) chosenServers(f *scenario.Fault, chance *rand.Rand) (chosen []*standinServer) {
+// chosenServers returns the servers that a fault names, or a random share of all.
+func (env *environment) chosenServers(f *scenario.Fault, rng *rand.Rand) (chosen []*standinServer) {
 	if len(f.Servers) == 0 {
 		n := int(math.Ceil(f.Share * float64(len(env.servers))))
-		for _, i := range chance.Perm(len(env.servers))[:n] {
+		for _, i := range rng.Perm(len(env.servers))[:n] {
 			chosen = append(chosen, env.servers[i])
 		}
 		return chosen
@@ -128,9 +128,10 @@
 	return chosen
 }
 
-// serverDied has discovery notice that a server ended without a notification, and restarts the server after a time.
+// serverCrashed makes discovery and the registry detect that a server exited without announcing it, and restarts the
+// server after its downtime.
 func (env *environment) serverCrashed(m *standinServer, downtime time.Duration) {
-	if env.registry != nil { // the session expires by itself
+	if env.registry != nil { // without heartbeats the session expires
 		m.mu.Lock()
 		m.session.Silence()
 		m.mu.Unlock()
@@ -139,7 +140,7 @@
 	env.after(downtime, func() { env.startServer(m) })
 }
 
-// startServer starts a server that has ended, in slow start, and announces it.
+// startServer starts a server that has exited, in slow start, and announces it.
 func (env *environment) startServer(m *standinServer) {
 	ok, err := m.Start()
 	if err != nil {
@@ -150,8 +151,8 @@
 	}
 }
 
-// drainServer shuts a server down gracefully: discovery announces the drain, the server rejects new requests drainDelay
-// later and ends exitDelay after that.
+// drainServer shuts a server down gracefully: discovery announces the drain, the server starts to reject new requests
+// drainDelay later, and exits exitDelay after that.
 func (env *environment) drainServer(m *standinServer) {
 	notice := env.Scenario.Discovery.Notice.Std()
 	m.mu.Lock()
@@ -165,18 +166,18 @@
 	})
 }
 
-// pauseRepeatedly pauses a server periodically, with a phase of its own, until the run is over.
+// pauseRepeatedly pauses a server periodically until the run ends. Servers start at different phases of the period.
 func (env *environment) pauseRepeatedly(m *standinServer) {
 	first := m.spec.PauseEvery.Std() * time.Duration(m.Number%7) / 7
 	for wait := first; ; wait = m.spec.PauseEvery.Std() - m.spec.PauseFor.Std() {
 		for i, d := range []time.Duration{wait, m.spec.PauseFor.Std()} {
 			select {
 			case <-time.After(d):
-				m.Model(func(b *server.Model, now time.Duration, tell func(server.Event)) {
+				m.Model(func(model *server.Model, now time.Duration, report func(server.Event)) {
 					if i == 0 {
-						b.Pause(now, tell)
+						model.Pause(now, report)
 					} else {
-						b.Resume(now, tell)
+						model.Resume(now, report)
 					}
 				})
 			case <-env.stopped:
--- a/internal/testbed/journal.go
+++ b/internal/testbed/journal.go
@@ -18,13 +18,14 @@
 )
 
 const (
-	diskVar          = "FERNLAB_DISK" // environment variable that names a node's disk file: how long each write takes
+	diskVar          = "FERNLAB_DISK" // environment variable with the path of a node's disk file, which holds the duration of each write
 	diskPollInterval = 20 * time.Millisecond
-	fullDiskText     = "full" // text of the disk file with which every write fails
+	fullDiskText     = "full" // content of the disk file that makes every write fail
 )
 
-// Disk returns the file system of a testbed node's data, slow or full as its disk file says; nil if the environment names
-// no such file. A node's command calls it before it starts the node.
+// Disk returns the file system for the data of a testbed node. It is slow or full as specified in the node's disk file,
+// which is read again while the node runs. Disk returns nil if the environment specifies no disk file. The node's
+// command calls it before it starts the node.
 func Disk(getenv func(string) string) wal.FileSystem {
 	path := getenv(diskVar)
 	if path == "" {
@@ -57,7 +58,7 @@
 
 func (env *environment) diskFile(n int) string { return env.nodes[n].file("disk", "txt") }
 
-// setDisks writes the disk files of nodes: a duration, or fullDiskText.
+// writeDiskFiles sets the content of the disk files of nodes: a duration, or fullDiskText.
 func (env *environment) writeDiskFiles(nodes []int, text string) {
 	for _, n := range nodes {
 		path := env.diskFile(n)
@@ -67,7 +68,7 @@
 	}
 }
 
-// setUpJournals configures the nodes' journals, if the scenario has any.
+// setUpJournals configures the nodes' journals, if the scenario enables them.
 func (env *environment) setUpJournals() error {
 	j := env.Scenario.Journal
 	if j.Promise == "" {
@@ -89,26 +90,26 @@
 	return nil
 }
 
-// writeEarlierJournal writes entries of an earlier run into the first node's journal, as many as the scenario says.
+// writeEarlierJournal writes the scenario's number of entries of an earlier run to the first node's journal.
 func (env *environment) writeEarlierJournal() error {
-	n := env.Scenario.Peers.Before
-	if n == 0 {
+	count := env.Scenario.Peers.Before
+	if count == 0 {
 		return nil
 	}
 	dir := env.nodes[0].journalDir()
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	const run = 1
-	log, err := wal.Open(wal.Options{Dir: dir, FileSystem: wal.OSFileSystem{}, MaxSegmentBytes: 16 << 20, Incarnation: run, OnChunk: func(uint64, int, []byte, bool) {}, OnStored: func(uint64, int) {}})
+	const incarnation = 1
+	log, err := wal.Open(wal.Options{Dir: dir, FileSystem: wal.OSFileSystem{}, MaxSegmentBytes: 16 << 20, Incarnation: incarnation, OnChunk: func(uint64, int, []byte, bool) {}, OnStored: func(uint64, int) {}})
 	if err != nil {
 		return err
 	}
 	defer log.Close()
 	at := time.Now().UnixNano()
-	for op := uint64(1); op <= uint64(n); op++ {
-		r := intent.Record{Incarnation: run, RequestNumber: op, AtUnixNano: at, RequestID: fmt.Sprintf("before-%d", op), Tenant: "dairy", Type: "hire-book", Server: "quick-1", Count: 1, Proof: intent.Ran, Outcome: "answered"}
-		wait, err := log.Append(op%1000 == 0, answeredRequestRecords(r)...)
+	for number := uint64(1); number <= uint64(count); number++ {
+		r := intent.Record{Incarnation: incarnation, RequestNumber: number, AtUnixNano: at, RequestID: fmt.Sprintf("before-%d", number), Tenant: "dairy", Type: "hire-book", Server: "quick-1", Count: 1, Proof: intent.Ran, Outcome: "answered"}
+		wait, err := log.Append(number%1000 == 0, answeredRequestRecords(r)...)
 		if err != nil {
 			return err
 		}
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// recordsOf returns the three records that a journal holds of an answered request.
+// answeredRequestRecords returns the three records that a journal stores for an answered request.
 func answeredRequestRecords(r intent.Record) []intent.Record {
 	planned := r
 	planned.Kind = intent.Intent
@@ -137,9 +138,9 @@
 	return []intent.Record{planned, ended, notified}
 }
 
-// waitReplicated measures in the background how long it takes until all entries are replicated.
+// waitReplicated measures, in the background, the time until all entries are replicated.
 func (env *environment) waitReplicated(ctx context.Context, into *float64) {
-	began := time.Now()
+	startedAt := time.Now()
 	env.wg.Go(func() {
 		for ctx.Err() == nil {
 			select {
@@ -149,7 +150,7 @@
 			}
 			if c := env.queryPeers(ctx); len(c.Answered) == len(env.nodes) && c.Shortfall() == "" {
 				env.losses.mu.Lock()
-				*into = time.Since(began).Seconds()
+				*into = time.Since(startedAt).Seconds()
 				env.losses.mu.Unlock()
 				return
 			}
@@ -157,31 +158,31 @@
 	})
 }
 
-// Journal sums up what the nodes' journals held after the run, against the servers' execution records. It is stored in
-// reports under the names of its fields and tags.
+// Journal summarizes the nodes' journals after the run, compared with the servers' execution records. Reports store it
+// under the names of its fields and tags.
 type Journal struct {
-	Entries         int // requests in the journals
+	Entries         int // requests with an entry in a journal
 	Ran             int // executions of non-idempotent requests
-	PossiblySent    int `json:"Possibly"` // entries that were possibly sent when the nodes had stopped
-	Open            int // of those, entries that execution records did not settle
-	Gaps            int // records that were not written, by the journals' own count
+	PossiblySent    int `json:"Possibly"` // entries in the state possibly sent after the nodes had stopped
+	Open            int // those of PossiblySent that execution records did not settle
+	Gaps            int // records that were not written, as counted in the journals
 	Bytes           int64
 	Losses          int     // machines lost with their disks
-	Cycles          int     // rounds of losses, each from all replicated to all replicated again
-	AnnouncedLost   int     // journals that were expected to be lost, with more machines than replicas
-	Lost            int     // executions that only such journals had held
-	PeerBytes       int64   `json:"Linked"` // bytes between nodes
+	Cycles          int     // rounds of losses; each starts when all entries are replicated
+	AnnouncedLost   int     // journals expected to be lost, because more machines than replicas were lost
+	Lost            int     // executions recorded only in such journals
+	PeerBytes       int64   `json:"Linked"` // bytes sent between nodes
 	RecoverySeconds float64 // until entries of an earlier run were replicated; 0: they were not
 }
 
-// entryKey identifies an entry: its node and request ID.
+// entryKey identifies a journal entry by node and request ID.
 type entryKey struct {
 	node int
 	id   uint64
 }
 
-// readJournals compares the nodes' journals with what the servers executed, reports differences to the audit and settles
-// open entries by the servers' execution records.
+// readJournals compares the nodes' journals with the executions at the servers, reports differences to the audit and
+// reconciles open entries with the servers' execution records.
 func (env *environment) readJournals() (sum Journal, err error) {
 	if env.Scenario.Journal.Promise == "" {
 		return sum, nil
@@ -205,14 +206,14 @@
 	}
 	sum.Entries = len(all)
 	records := map[string]*intent.ExecutionRecord{}
-	for _, b := range env.servers {
-		records[b.Name] = &intent.ExecutionRecord{Server: b.Name, FromUnixNano: 0, ToUnixNano: time.Now().Add(time.Hour).UnixNano(), RequestIDs: map[string]bool{}}
+	for _, server := range env.servers {
+		records[server.Name] = &intent.ExecutionRecord{Server: server.Name, FromUnixNano: 0, ToUnixNano: time.Now().Add(time.Hour).UnixNano(), RequestIDs: map[string]bool{}}
 	}
 	env.observer.record(func(a *audit.Audit, _ time.Duration) {
 		ran := env.compareWithRun(a, all, gaps, records, &sum)
 		for k, e := range all {
 			if e.State() == intent.HasRun && !ran[k] && e.Incarnation != 1 {
-				a.JournalError(fmt.Sprintf("node %d's journal says that %s ran, and no server has run it", k.node, e.RequestID))
+				a.JournalError(fmt.Sprintf("journal of node %d records an execution of %s, but no server executed it", k.node, e.RequestID))
 			}
 			if e.State() == intent.PossiblySent {
 				sum.PossiblySent++
@@ -225,13 +226,14 @@
 	return sum, nil
 }
 
-// journalDirs returns the folders that may hold each node's entries: its own, and those of the nodes with its replicas.
+// journalDirs returns, for each node, the directories that may hold its entries: its own journal and its replicas at
+// other nodes.
 func (env *environment) journalDirs() map[int][]string {
 	dirs := map[int][]string{}
 	for n, p := range env.nodes {
 		dirs[n] = append(dirs[n], p.journalDir())
 		replicas, _ := os.ReadDir(p.dataDir())
-		for _, dir := range replicas { // named after the node whose journal they replicate
+		for _, dir := range replicas { // the directory name starts with the name of the replicated node
 			name, _, _ := strings.Cut(dir.Name(), "@")
 			if of, err := strconv.Atoi(strings.TrimPrefix(name, "n")); err == nil {
 				dirs[of] = append(dirs[of], filepath.Join(p.dataDir(), dir.Name()))
@@ -241,7 +243,7 @@
 	return dirs
 }
 
-// readJournal adds one node's entries to all, and the node to gaps if its journal says that records are missing.
+// readJournal adds one node's entries to all. It adds the node to gaps if its journal reports missing records.
 func readJournal(n int, dirs []string, all map[entryKey]*intent.Entry, gaps map[int]bool, sum *Journal) error {
 	merger := intent.NewMerger()
 	add := func(e *intent.Entry) {
@@ -271,8 +273,8 @@
 	return nil
 }
 
-// compareWithRun fills the execution records with what the servers executed, reports to the audit what the journals lack
-// of it, and returns the entries that ran.
+// compareWithRun fills the execution records with the executions at the servers, reports executions that are missing or
+// wrong in the journals to the audit, and returns the entries that ran.
 func (env *environment) compareWithRun(a *audit.Audit, all map[entryKey]*intent.Entry, gaps map[int]bool, records map[string]*intent.ExecutionRecord, sum *Journal) map[entryKey]bool {
 	ran := map[entryKey]bool{}
 	a.EachExecution(func(typeIndex int) bool { return env.Scenario.Types[typeIndex].Repeat == "binding" }, func(id uint64, node, server int) {
@@ -285,15 +287,15 @@
 		case e == nil && env.losses.expectedLost[node]:
 			sum.Lost++
 		case e == nil && !gaps[node]:
-			a.JournalError(fmt.Sprintf("%s ran at %s, and node %d's journal has no entry of it", name, env.servers[server].Name, node))
+			a.JournalError(fmt.Sprintf("%s ran at %s, but the journal of node %d has no entry for it", name, env.servers[server].Name, node))
 		case e != nil && e.State() == intent.NotSent:
-			a.JournalError(fmt.Sprintf("%s ran at %s, and node %d's journal says that it was not sent", name, env.servers[server].Name, node))
+			a.JournalError(fmt.Sprintf("%s ran at %s, but the journal of node %d records it as not sent", name, env.servers[server].Name, node))
 		}
 	})
 	return ran
 }
 
-// settles reports whether execution records settle all that is open of an entry.
+// isSettled reports whether the execution records settle every open attempt of an entry.
 func isSettled(e *intent.Entry, records map[string]*intent.ExecutionRecord) bool {
 	settled := 0
 	for _, r := range intent.Reconcile(e, records, 0, time.Now().UnixNano()) {
--- a/internal/testbed/losses.go
+++ b/internal/testbed/losses.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// backUpDisks copies the disks of the nodes of an old-disk fault, for restoreDisk.
-func (env *environment) backUpDisks(f *scenario.Fault, chance *rand.Rand) {
-	for _, n := range env.chosenNodes(f, rand.New(rand.NewPCG(env.Scenario.Seed, uint64(chance.Uint32())))) {
+// backUpDisks copies the disks of the nodes that an old-disk fault affects. restoreDisk restores the copies.
+func (env *environment) backUpDisks(f *scenario.Fault, rng *rand.Rand) {
+	for _, n := range env.chosenNodes(f, rand.New(rand.NewPCG(env.Scenario.Seed, uint64(rng.Uint32())))) {
 		p := env.nodes[n]
 		for _, dir := range []string{p.journalDir(), p.dataDir()} {
 			os.RemoveAll(dir + ".old")
@@ -41,7 +41,7 @@
 	}
 }
 
-// restoreDisk puts a node's backed up disk in the place of its present one.
+// restoreDisk replaces a node's disk by its backup.
 func (env *environment) restoreDisk(n int) {
 	p := env.nodes[n]
 	for _, dir := range []string{p.journalDir(), p.dataDir()} {
@@ -52,7 +52,7 @@
 	}
 }
 
-// queryPeers queries the state of replication, as the node's command does.
+// queryPeers queries the nodes for their replication state, like the node's command.
 func (env *environment) queryPeers(ctx context.Context) *peer.Client {
 	cfg := &peer.Config{Deployment: "lab", Plaintext: true, Advertise: env.peerAddress(0), Replicas: env.Scenario.Peers.Replicas}
 	for n := range min(len(env.nodes), maxSeeds+1) {
@@ -61,7 +61,8 @@
 	return peer.Query(ctx, cfg, false)
 }
 
-// awaitReplicated waits until all nodes answer and all their entries are replicated.
+// awaitReplicated waits until all nodes respond and all their entries are replicated. Without replication it waits for
+// lossIntervalWithoutPeers.
 func (env *environment) awaitReplicated(ctx context.Context) error {
 	if env.mesh == nil {
 		select {
@@ -72,15 +73,15 @@
 	}
 	for deadline := time.Now().Add(maxReplicationWait); ; {
 		c := env.queryPeers(ctx)
-		why := c.Shortfall()
+		shortfall := c.Shortfall()
 		if len(c.Answered) < len(env.nodes) {
-			why = fmt.Sprintf("%d of %d nodes answer", len(c.Answered), len(env.nodes))
+			shortfall = fmt.Sprintf("%d of %d nodes respond", len(c.Answered), len(env.nodes))
 		}
-		if why == "" || ctx.Err() != nil {
+		if shortfall == "" || ctx.Err() != nil {
 			return ctx.Err()
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("not replicated within %s: %s", maxReplicationWait, why)
+			return fmt.Errorf("entries not replicated within %s: %s", maxReplicationWait, shortfall)
 		}
 		select {
 		case <-time.After(replicationPollInterval):
@@ -91,9 +92,10 @@
 	}
 }
 
-// loseMachinesRepeatedly loses as many machines at once as there are replicas, restarts them with empty disks and repeats
-// this when all is replicated. Meanwhile other nodes are cut off, paused or have slow disks.
-func (env *environment) loseMachinesRepeatedly(ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
+// loseMachinesRepeatedly loses as many machines at the same time as there are replicas and restarts them with empty
+// disks, again and again; each round starts when all entries are replicated. Meanwhile other nodes are partitioned, paused
+// or get slow disks.
+func (env *environment) loseMachinesRepeatedly(ctx context.Context, f *scenario.Fault, rng *rand.Rand) {
 	until := time.Now().Add(f.For.Std() - lastLossBeforeEnd)
 	env.wg.Go(func() {
 		for time.Now().Before(until) && ctx.Err() == nil {
@@ -103,13 +105,13 @@
 				}
 				return
 			}
-			order := chance.Perm(len(env.nodes))
+			order := rng.Perm(len(env.nodes))
 			n := max(env.Scenario.Peers.Replicas, 1)
 			lost, others := order[:n], order[n:]
 			var restarts sync.WaitGroup
 			for _, n := range lost {
-				delay := time.Duration(chance.Int64N(int64(200 * time.Millisecond)))
-				downtime := time.Duration(chance.Int64N(int64(maxDowntime)))
+				delay := time.Duration(rng.Int64N(int64(200 * time.Millisecond)))
+				downtime := time.Duration(rng.Int64N(int64(maxDowntime)))
 				restarts.Go(func() {
 					time.Sleep(delay)
 					env.loseMachine(n)
@@ -117,13 +119,13 @@
 					env.startNode(ctx, n)
 				})
 			}
-			duration := 100*time.Millisecond + time.Duration(chance.Int64N(int64(1500*time.Millisecond)))
+			duration := 100*time.Millisecond + time.Duration(rng.Int64N(int64(1500*time.Millisecond)))
 			if env.mesh != nil {
-				switch chance.IntN(6) {
+				switch rng.IntN(6) {
 				case 0:
 					env.setLinks(others[:1], duration, true, true, func(link *mesh.Direction) { link.Cut = true })
 				case 1:
-					env.setLinks(others[:1], duration, chance.IntN(2) == 0, chance.IntN(2) == 0, func(link *mesh.Direction) { link.Cut = true })
+					env.setLinks(others[:1], duration, rng.IntN(2) == 0, rng.IntN(2) == 0, func(link *mesh.Direction) { link.Cut = true })
 				case 2:
 					env.setLinks(others[:2], duration, true, true, func(link *mesh.Direction) { link.Delay = 50 * time.Millisecond })
 				case 3:
@@ -146,8 +148,9 @@
 	})
 }
 
-// loseAllHolders loses a node and all holders of its journal at once, and records before which journals that may lose.
-func (env *environment) loseAllHolders(ctx context.Context, f *scenario.Fault, chance *rand.Rand) {
+// loseAllHolders loses a node and all replica holders of its journal at the same time. Before that it records which
+// journals the loss can destroy.
+func (env *environment) loseAllHolders(ctx context.Context, f *scenario.Fault, rng *rand.Rand) {
 	until := time.Now().Add(f.For.Std())
 	env.wg.Go(func() {
 		if err := env.awaitReplicated(ctx); err != nil {
@@ -157,14 +160,14 @@
 			return
 		}
 		c := env.queryPeers(ctx)
-		n := chance.IntN(len(env.nodes))
-		if time.Now().After(until) { // on a slow machine the run would end before the loss does
+		n := rng.IntN(len(env.nodes))
+		if time.Now().After(until) { // replication took so long that the run would end before the machines restart
 			return
 		}
 		lost := c.HoldersOf(fmt.Sprint("n", n))
-		for of := range env.nodes {
-			if !c.SurvivesLoss(fmt.Sprint("n", of), lost) {
-				env.losses.expectedLost[of] = true
+		for node := range env.nodes {
+			if !c.SurvivesLoss(fmt.Sprint("n", node), lost) {
+				env.losses.expectedLost[node] = true
 			}
 		}
 		var restarts sync.WaitGroup
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -16,13 +16,14 @@
 )
 
 const (
-	maxStopTime = 5 * time.Second // for a node to end after SIGTERM
-	tailBytes   = 600             // of a node's log that are shown when it ends by itself
+	maxStopTime = 5 * time.Second // from the stop signal to SIGKILL
+	tailBytes   = 600             // of a process's log that are reported when it crashes
 )
 
-// process is a node or planner, over its restarts. mu guards its state; the rest is set before its first start.
+// process is a node or planner process and its restarts. mu guards the fields below it; the others are set before the
+// first start.
 type process struct {
-	kind    string // prefix of its files; "" for a node
+	kind    string // prefix of file names; "" for a node
 	number  int
 	command []string
 	env     []string
@@ -30,13 +31,13 @@
 
 	mu            sync.Mutex
 	cmd           *exec.Cmd
-	exited        chan struct{} // closed when the present process has exited
-	stopRequested bool          // the present process was told to end
+	exited        chan struct{} // closed when the current process has exited
+	stopRequested bool          // stop was called for the current process
 	usage         resourceUsage
 }
 
-// recordMemory records the resident memory of the running process. The system's own maximum would include the memory of
-// this process at the fork.
+// recordMemory records the resident memory of the running process. The kernel's maximum is not used, because it includes
+// the memory of the parent process at the fork.
 func (p *process) recordMemory() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,21 +50,21 @@
 	p.usage.RSSMB = max(p.usage.RSSMB, resident*float64(os.Getpagesize())/(1<<20))
 }
 
-// resourceUsage is what a group of processes used.
+// resourceUsage is the resource usage of a group of processes.
 type resourceUsage struct {
-	CPU   time.Duration // of all processes
-	RSSMB float64       // of the largest
+	CPU   time.Duration // sum over all processes
+	RSSMB float64       // of the largest process
 }
 
-// processManager starts processes from one thread. The system kills them when that thread ends, so that none outlives a
-// run that is killed. Closing commands ends it.
+// processManager starts processes from one OS thread. Their parent-death signal makes the kernel kill them when this
+// thread exits, so that no process outlives a killed testbed. Closing commands stops the manager.
 type processManager struct{ commands chan func() }
 
-// newProcessManager returns a manager with its thread.
+// newProcessManager starts a manager with its OS thread.
 func newProcessManager() *processManager {
 	m := &processManager{commands: make(chan func())}
 	go func() {
-		runtime.LockOSThread() // never given back: the thread ends with the goroutine
+		runtime.LockOSThread() // never unlocked: the thread exits with the goroutine
 		for start := range m.commands {
 			start()
 		}
@@ -71,14 +72,15 @@
 	return m
 }
 
-// start starts a process and returns when it runs.
+// start starts a process on the manager's thread and returns when it runs.
 func (m *processManager) start(c *exec.Cmd) error {
 	err := make(chan error)
 	m.commands <- func() { err <- c.Start() }
 	return <-err
 }
 
-// start runs the process on the configuration in its folder. onCrash is called when it exits without being told to.
+// start starts the process with the configuration files in its directory. It calls onCrash if the process exits before
+// stop is called.
 func (p *process) start(m *processManager, onCrash func(why string)) error {
 	log, err := os.OpenFile(p.logPath(), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
@@ -103,14 +105,14 @@
 	}
 	c.Stdout, c.Stderr = log, log
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	done := make(chan struct{})
+	exited := make(chan struct{})
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := m.start(c); err != nil {
 		return fmt.Errorf("node %d cannot be started: %w", p.number, err)
 	}
 	p.cmd = c
-	p.exited = done
+	p.exited = exited
 	p.stopRequested = false
 	go func() {
 		err := c.Wait()
@@ -120,7 +122,7 @@
 			p.usage.CPU += s.UserTime() + s.SystemTime()
 		}
 		p.mu.Unlock()
-		close(done)
+		close(exited)
 		if !stopRequested {
 			onCrash(fmt.Sprintf("%v: %s", err, p.logTail()))
 		}
@@ -128,9 +130,9 @@
 	return nil
 }
 
-// file returns the path of a file of the process.
-func (p *process) file(what, ending string) string {
-	return filepath.Join(p.dir, fmt.Sprintf("%s%s-%d.%s", p.kind, what, p.number, ending))
+// file returns the path of a file or directory of the process.
+func (p *process) file(name, extension string) string {
+	return filepath.Join(p.dir, fmt.Sprintf("%s%s-%d.%s", p.kind, name, p.number, extension))
 }
 
 func (p *process) logPath() string            { return p.file("node", "log") }
@@ -145,7 +147,7 @@
 func (p *process) snapshotDir() string        { return p.file("lists", "d") }
 func (p *process) journalDir() string         { return p.file("journal", "d") }
 
-// operatorPath returns the path of the node's operator's file.
+// operatorPath returns the path of the operator's file of the node.
 func (p *process) operatorPath() string { return p.file("operator", "toml") }
 
 // logTail returns the end of the process's log.
@@ -157,8 +159,8 @@
 	return string(bytes.TrimSpace(b[max(len(b)-tailBytes, 0):]))
 }
 
-// stop sends a signal and waits until the process exits; after maxStopTime it kills it. An error says that it did not exit
-// gracefully after SIGTERM.
+// stop sends a signal and waits until the process has exited; after maxStopTime it kills the process. It returns an error
+// if the process did not exit in time, or did not exit with code 0 after SIGTERM.
 func (p *process) stop(sig syscall.Signal) error {
 	p.mu.Lock()
 	if p.cmd == nil {
@@ -174,7 +176,7 @@
 	case <-time.After(maxStopTime):
 		c.Process.Kill()
 		<-exited
-		return fmt.Errorf("still running %s after SIGTERM", maxStopTime)
+		return fmt.Errorf("process still running %s after SIGTERM", maxStopTime)
 	}
 	if sig == syscall.SIGTERM && c.ProcessState.ExitCode() != 0 {
 		return fmt.Errorf("%s after SIGTERM: %s", c.ProcessState, p.logTail())
@@ -182,10 +184,10 @@
 	return nil
 }
 
-// reload has the node read its configuration again.
+// reload makes the node read its configuration again.
 func (p *process) reload() { p.signal(syscall.SIGHUP) }
 
-// signal sends a signal to the present process, if any.
+// signal sends a signal to the current process, if any.
 func (p *process) signal(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,14 +196,14 @@
 	}
 }
 
-// ms returns milliseconds, the unit of the node's settings.
+// ms converts a duration to milliseconds, the unit of durations in node settings.
 func ms(d scenario.Span) float64 { return float64(d.Std()) / float64(time.Millisecond) }
 
 // object is a JSON object.
 type object = map[string]any
 
-// nodeSettings returns the settings of a node of the scenario, under the names that nodes read.
-func nodeSettings(s *scenario.Scenario, me int) object {
+// nodeSettings returns the settings of a node of the scenario, under the keys of the node's configuration.
+func nodeSettings(s *scenario.Scenario, nodeIndex int) object {
 	var types, tenants []object
 	for _, t := range s.Types {
 		trafficType := object{"name": t.Name, "targetTime": ms(t.LatencyObjective), "abandonTime": ms(t.AbandonTime),
@@ -219,28 +221,28 @@
 		tenants = append(tenants, object{"name": t.Name, "allowancePerS": t.Allowance})
 	}
 	startCapacity, slowStart := 1.0, scenario.Span(0)
-	for _, b := range s.Servers {
-		startCapacity = min(startCapacity, b.SlowStartCapacity)
-		slowStart = max(slowStart, b.SlowStartDuration)
+	for _, server := range s.Servers {
+		startCapacity = min(startCapacity, server.SlowStartCapacity)
+		slowStart = max(slowStart, server.SlowStartDuration)
 	}
 	rules := object{"askWithin": ms(s.Rules.AskWithin), "stopSendingWithin": ms(s.Rules.DrainGrace), "cold": ms(slowStart),
 		"fallMultiple": s.Rules.OverloadFactor, "startCapacity": startCapacity}
 	if s.Rules.DrainClose > 0 {
 		rules["drainClose"] = ms(s.Rules.DrainClose)
 	}
-	return object{"groupSize": s.Nodes.Count, "me": me, "granularity": 2, "discovery": "on_request",
+	return object{"groupSize": s.Nodes.Count, "me": nodeIndex, "granularity": 2, "discovery": "on_request",
 		"overageRevenue": s.Load.OverageRevenue, "dcs": s.Sites, "trafficTypes": types, "tenants": tenants,
 		"limits": object{"connIdle": 5000, "connectTimeout": 100, "maxRetryAfter": 0, "mostHops": s.Rules.MaxAttempts, "retryAfter": false,
 			"secondCopies": s.Rules.AllowsHedging},
 		"rules": rules}
 }
 
-// writeConfig writes the node's configuration by a rename, so that the node never reads a part of it. known is the list of
-// servers that it starts with.
-func (p *process) writeConfig(s *scenario.Scenario, listen, discovery, seed string, known json.RawMessage) error {
+// writeConfig writes the node's configuration. It renames the complete file into place, so that the node never reads a
+// partial one. endpointList is the list of servers that the node starts with.
+func (p *process) writeConfig(s *scenario.Scenario, listen, discovery, seed string, endpointList json.RawMessage) error {
 	text, err := json.MarshalIndent(object{"name": fmt.Sprint("n", p.number), "listen": listen, "discovery": discovery, "seed": seed,
 		"limits": object{"cores": s.Nodes.Cores, "memory_mb": s.Nodes.MemoryMB, "sockets": s.Nodes.Sockets},
-		"known":  known, "settings": nodeSettings(s, p.number)}, "", " ")
+		"known":  endpointList, "settings": nodeSettings(s, p.number)}, "", " ")
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -14,8 +14,8 @@
 	"fernvane/internal/testbed/standin/server"
 )
 
-// observer reports to the audit what clients, servers, discovery and planners see. It is the load's Watcher and the
-// observer of each stand-in, and safe for concurrent use. Times count from start.
+// observer reports the events of clients, servers, discovery and planners to the audit. It implements load.Watcher and the
+// observer interface of each stand-in. It is safe for concurrent use. Times count from start.
 type observer struct {
 	start    time.Time
 	scenario *scenario.Scenario
@@ -23,13 +23,14 @@
 
 	mu           sync.Mutex
 	audit        *audit.Audit
-	servers      map[string]int                // numbers by ID
-	lastListed   map[int]map[int]bool          // by registry client: servers in its last list
-	missing      map[int]map[int]time.Duration // by registry client: when servers vanished from its list
-	drained      map[[2]int]bool
-	runningSince []time.Duration // by node: when it was started; never while it is down
+	servers      map[string]int                // server numbers by ID
+	lastListed   map[int]map[int]bool          // by node: servers in the last list that the registry sent to it
+	missing      map[int]map[int]time.Duration // by node: when servers disappeared from that list
+	drained      map[[2]int]bool               // by node and server: the registry notified the node of a drain
+	runningSince []time.Duration               // by node: time of its last start; never while it is down
 }
 
+// never is a time after the end of every run.
 const never = time.Duration(1<<62 - 1)
 
 func newObserver(s *scenario.Scenario, requests []load.Request, start time.Time) *observer {
@@ -46,13 +47,13 @@
 	}
 }
 
-// Idempotency and key scopes by their names in scenario files.
+// Idempotencies and key scopes by their names in scenario files.
 var (
 	idempotencies = map[string]audit.Idempotency{"fingerprinted": audit.IdempotentWithKey, "binding": audit.NonIdempotent}
 	keyScopes     = map[string]audit.KeyScope{"zone": audit.Zone, "cell": audit.Cell}
 )
 
-// auditSettings returns the limits of a scenario that the audit checks.
+// auditSettings returns the limits that the audit checks in a scenario.
 func auditSettings(s *scenario.Scenario) audit.Settings {
 	settings := audit.Settings{
 		DrainGrace:    s.Rules.DrainGrace.Std(),
@@ -79,7 +80,7 @@
 	return settings
 }
 
-// record calls report with the audit and the present time, under the lock.
+// record calls report with the audit and the current time, under the lock.
 func (o *observer) record(report func(a *audit.Audit, now time.Duration)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -117,7 +118,8 @@
 	return o.runningSince[endpoint.Node] <= since
 }
 
-// nodeDown records that a node's process ended.
+// nodeDown records that a node's process exited. onPurpose exempts the requests that it held from the rule that each
+// request is answered.
 func (o *observer) nodeDown(n int, onPurpose bool) {
 	o.record(func(a *audit.Audit, now time.Duration) {
 		o.runningSince[n] = never
@@ -132,7 +134,7 @@
 	o.record(func(a *audit.Audit, now time.Duration) { a.NodePaused(n, now) })
 }
 
-// nodeResumed records that a paused node goes on.
+// nodeResumed records that a paused node was resumed.
 func (o *observer) nodeResumed(n int) {
 	o.record(func(a *audit.Audit, now time.Duration) { a.NodeUp(n, now) })
 }
@@ -146,11 +148,11 @@
 }
 
 func (o *observer) FindRequest(id uint64) (server.RequestInfo, bool) {
-	place, number := load.FromID(id)
-	if place < 0 || place >= len(o.requests) || number > o.scenario.Clients.Retries {
+	index, try := load.FromID(id)
+	if index < 0 || index >= len(o.requests) || try > o.scenario.Clients.Retries {
 		return server.RequestInfo{}, false
 	}
-	request := &o.requests[place]
+	request := &o.requests[index]
 	return server.RequestInfo{Work: request.Work, Key: request.Key}, true
 }
 
@@ -182,33 +184,35 @@
 
 var conditions = map[string]audit.Condition{discovery.Serving: audit.Serving, discovery.Draining: audit.Draining, discovery.Deleted: audit.Removed}
 
-// Announced records what discovery notified a node of. What it notifies a planner of reaches nodes only by that planner.
-func (o discoveryObserver) Announced(node int, id, phase string, up int64, at time.Time) {
+// Announced records that discovery notified a node of a server's phase. Notifications of planners are ignored, because
+// nodes receive them only through the planner.
+func (o discoveryObserver) Announced(node int, id, phase string, startedAt int64, at time.Time) {
 	if node >= o.scenario.Nodes.Count {
 		return
 	}
 	o.record(func(a *audit.Audit, _ time.Duration) {
 		if number, ok := o.servers[id]; ok {
-			a.NodeNotified(node, number, conditions[phase], up, at.Sub(o.start))
+			a.NodeNotified(node, number, conditions[phase], startedAt, at.Sub(o.start))
 		}
 	})
 }
 
-// discovered is the observer of the discovery stand-in, whose method differs from the registry's.
+// discoveryObserver is the observer of the discovery stand-in. Its method Announced has other parameters than that of
+// the registry stand-in.
 type discoveryObserver struct{ *observer }
 
 var incarnations = [...]audit.Condition{incarnation.Up: audit.Serving, incarnation.Draining: audit.Draining, incarnation.Gone: audit.Removed}
 
-// Planned records what a planner notified a node of.
+// Planned records that a planner notified a node of servers' conditions.
 func (o *observer) Planned(forwarder string, entries []incarnation.Entry, at time.Time) {
 	var node int
 	if _, err := fmt.Sscanf(forwarder, "n%d", &node); err != nil {
 		return
 	}
 	o.record(func(a *audit.Audit, _ time.Duration) {
-		for _, l := range entries {
-			if number, ok := o.servers[l.ID]; ok {
-				a.NodeNotified(node, number, incarnations[l.Condition], l.StartedUnixMS, at.Sub(o.start))
+		for _, entry := range entries {
+			if number, ok := o.servers[entry.ID]; ok {
+				a.NodeNotified(node, number, incarnations[entry.Condition], entry.StartedUnixMS, at.Sub(o.start))
 			}
 		}
 	})
--- a/internal/testbed/planner.go
+++ b/internal/testbed/planner.go
@@ -14,18 +14,18 @@
 	"fernvane/internal/testbed/standin/plannerproxy"
 )
 
-// plannerAddress returns where a planner listens.
+// plannerAddress returns the listen address of a planner.
 func (env *environment) plannerAddress(n int) string {
 	return env.network.Address(220, n+1, plannerPort)
 }
 
-// plannerProxyAddress returns where a half of the nodes reaches a planner.
+// plannerProxyAddress returns the address at which one half of the nodes reaches a planner.
 func (env *environment) plannerProxyAddress(n, half int) string {
 	return env.network.Address(221, n+1, plannerPort+half)
 }
 
-// startPlanners starts the planners, each behind a proxy for either half of the nodes, and configures the nodes to use
-// them.
+// startPlanners starts the planners, each behind one proxy for each half of the nodes, and configures the nodes to use
+// these proxies.
 func (env *environment) startPlanners() error {
 	s := env.Scenario
 	if s.Planners.Count == 0 {
@@ -35,12 +35,12 @@
 	for n := range s.Planners.Count {
 		var halves [2]*plannerproxy.Proxy
 		for half := range halves {
-			r, err := plannerproxy.Listen(env.plannerProxyAddress(n, half), env.plannerAddress(n), env.observer)
+			proxy, err := plannerproxy.Listen(env.plannerProxyAddress(n, half), env.plannerAddress(n), env.observer)
 			if err != nil {
 				return err
 			}
-			halves[half] = r
-			addresses[half] = append(addresses[half], fmt.Sprintf("%q", r.Address()))
+			halves[half] = proxy
+			addresses[half] = append(addresses[half], fmt.Sprintf("%q", proxy.Address()))
 		}
 		env.plannerProxies = append(env.plannerProxies, halves)
 		p := &process{kind: "planner-", number: n, command: env.Planner, env: env.Env, dir: env.Directory}
@@ -63,32 +63,32 @@
 	return nil
 }
 
-// startPlanner starts a planner on its configuration.
+// startPlanner starts a planner with its configuration.
 func (env *environment) startPlanner(n int) error {
 	return env.planners[n].start(env.processes, func(why string) {
 		env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, "planner: "+why) })
 	})
 }
 
-// stopPlanners stops the planners gracefully and returns what they used and the bytes that they sent to nodes.
-func (env *environment) stopPlanners() (all resourceUsage, bytes int) {
+// stopPlanners stops the planners gracefully and returns their resource usage and the bytes that they sent to nodes.
+func (env *environment) stopPlanners() (usage resourceUsage, bytes int) {
 	for n, p := range env.planners {
 		p.signal(syscall.SIGCONT)
 		if err := p.stop(syscall.SIGTERM); err != nil {
 			env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, "planner: "+err.Error()) })
 		}
 		p.mu.Lock()
-		all.CPU += p.usage.CPU
-		all.RSSMB = max(all.RSSMB, p.usage.RSSMB)
+		usage.CPU += p.usage.CPU
+		usage.RSSMB = max(usage.RSSMB, p.usage.RSSMB)
 		p.mu.Unlock()
-		for _, r := range env.plannerProxies[n] {
-			bytes += r.Bytes()
+		for _, proxy := range env.plannerProxies[n] {
+			bytes += proxy.Bytes()
 		}
 	}
-	return all, bytes
+	return usage, bytes
 }
 
-// chosenPlanners returns the planners that a fault names, or all.
+// chosenPlanners returns the numbers of the planners that a fault names, or of all planners.
 func (env *environment) chosenPlanners(f *scenario.Fault) []int {
 	if len(f.Planners) > 0 {
 		return f.Planners
@@ -100,7 +100,7 @@
 	return all
 }
 
-// eachPlanner returns a fault that begins at each of the chosen planners and ends after its time.
+// eachPlanner returns a fault that calls begin for each chosen planner, and end when the fault's duration has passed.
 func eachPlanner(begin, end func(env *environment, f *scenario.Fault, n int)) faultFunc {
 	return func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		for _, n := range env.chosenPlanners(f) {
@@ -113,21 +113,21 @@
 // killPlanner kills a planner's process.
 func killPlanner(env *environment, _ *scenario.Fault, n int) { env.planners[n].stop(syscall.SIGKILL) }
 
-// restartPlanner starts a killed planner again.
+// restartPlanner starts a planner again after killPlanner.
 func restartPlanner(env *environment, _ *scenario.Fault, n int) {
 	if err := env.startPlanner(n); err != nil {
 		env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, err.Error()) })
 	}
 }
 
-// delayPlanner delays what a planner and the nodes send each other.
+// delayPlanner delays all data between a planner and the nodes by d.
 func delayPlanner(env *environment, n int, d time.Duration) {
-	for _, r := range env.plannerProxies[n] {
-		r.Delay(d)
+	for _, proxy := range env.plannerProxies[n] {
+		proxy.Delay(d)
 	}
 }
 
-// plannerFaults are the faults of planners and the links to them.
+// plannerFaults are the faults of planners and the links to them, by name.
 var plannerFaults = map[string]faultFunc{
 	"kill-planners": eachPlanner(killPlanner, restartPlanner),
 	"stop-planners": eachPlanner(
--- a/internal/testbed/registry.go
+++ b/internal/testbed/registry.go
@@ -18,22 +18,23 @@
 )
 
 const (
-	initialUptime = time.Hour // of servers that run before the nodes start
+	initialUptime = time.Hour // uptime at the start of the run of the servers that start with it
 	registryPort  = 13000     // plus the number of the node
-	// massRemovalWindow is in which removals count as one loss of the registry.
+	// massRemovalWindow is the time within which removals count as one mass removal by the registry.
 	massRemovalWindow = 2 * time.Second
 )
 
-// registryAddress returns an address of the ensemble for a node.
-func (env *environment) registryAddress(n, which int) string {
-	return env.network.Address(222, which+1, registryPort+n)
+// registryAddress returns the address of one server of the registry for a node.
+func (env *environment) registryAddress(n, member int) string {
+	return env.network.Address(222, member+1, registryPort+n)
 }
 
-// registryPath returns the path under which nodes of a site find servers, whose addresses differ by site.
+// registryPath returns the registry path that lists the servers for nodes of a site. Each site has its own list, because
+// the addresses of servers differ by site.
 func (env *environment) registryPath(site int) string { return "/services/" + env.Scenario.Sites[site] }
 
-// startRegistry starts the registry, if the scenario has one. Each node has addresses of its own, by which the observer
-// knows which node was notified.
+// startRegistry starts the registry, if the scenario has one. Each node connects to its own addresses, by which the
+// observer identifies the node that was notified.
 func (env *environment) startRegistry() error {
 	s := env.Scenario
 	if s.Registry.Addresses == 0 {
@@ -42,8 +43,8 @@
 	env.registry = zookeeper.New(env.observer)
 	for n, p := range env.nodes {
 		var addresses []string
-		for which := range s.Registry.Addresses {
-			server, err := env.registry.Listen(env.registryAddress(n, which), n)
+		for member := range s.Registry.Addresses {
+			server, err := env.registry.Listen(env.registryAddress(n, member), n)
 			if err != nil {
 				return err
 			}
@@ -61,21 +62,21 @@
 	return nil
 }
 
-// registryRecord returns a server's record for nodes of a site.
+// registryRecord returns the registry record of a server for nodes of a site.
 func (env *environment) registryRecord(m *standinServer, site int, status string) []byte {
 	host, port, _ := strings.Cut(m.Address(site), ":")
-	n := 0
-	fmt.Sscan(port, &n)
+	portNumber := 0
+	fmt.Sscan(port, &portNumber)
 	startedAt := m.startedAt
 	if startedAt.IsZero() {
 		startedAt = env.start.Add(-initialUptime)
 	}
-	b, _ := json.Marshal(object{"serviceEndpoint": object{"host": host, "port": n}, "status": status, "zone": env.Scenario.Sites[m.Site], "cell": m.Cell,
+	b, _ := json.Marshal(object{"serviceEndpoint": object{"host": host, "port": portNumber}, "status": status, "zone": env.Scenario.Sites[m.Site], "cell": m.Cell,
 		"flavor": m.spec.Kind, "size": 1, "started_ms": startedAt.UnixMilli()})
 	return b
 }
 
-// openSession registers a server in a session of its own.
+// openSession registers a server in a new session, with one ephemeral node for each site.
 func (env *environment) openSession(m *standinServer, startedAt time.Time) {
 	nodes := map[string][]byte{}
 	m.startedAt = startedAt
@@ -85,7 +86,7 @@
 	m.session = env.registry.Own(env.Scenario.Registry.Session.Std(), nodes)
 }
 
-// updateRegistry registers a server's phase, as announce does in discovery. The caller holds the server's lock.
+// updateRegistry updates the registry for a server's new phase. The caller holds the server's lock.
 func (env *environment) updateRegistry(m *standinServer, phase string, startedAt time.Time) {
 	switch phase {
 	case discovery.Serving:
@@ -99,63 +100,64 @@
 	}
 }
 
-// Announced records the list of servers that the registry sent to a node.
-func (o *observer) Announced(reader int, at string, children []zookeeper.Child, when time.Time) {
+// Announced records that the registry sent a list of servers to a node.
+func (o *observer) Announced(node int, listPath string, children []zookeeper.Child, sentAt time.Time) {
 	o.record(func(a *audit.Audit, _ time.Duration) {
 		present := map[int]bool{}
 		for _, c := range children {
-			if b, ok := o.servers[c.Name]; ok {
-				present[b] = true
-				a.NodeNotified(reader, b, audit.Serving, c.Czxid, when.Sub(o.start))
+			if server, ok := o.servers[c.Name]; ok {
+				present[server] = true
+				a.NodeNotified(node, server, audit.Serving, c.Czxid, sentAt.Sub(o.start))
 			}
 		}
-		// Servers that vanish with most others within massRemovalWindow are the registry's fault: nodes keep the last
-		// list then, except for servers that drain.
-		at := when.Sub(o.start)
-		missing := o.missing[reader]
+		// If most servers disappear within massRemovalWindow, nodes attribute this to the registry: they keep using their
+		// last list, except for servers that are draining. So the audit discards these removals.
+		at := sentAt.Sub(o.start)
+		missing := o.missing[node]
 		if missing == nil {
 			missing = map[int]time.Duration{}
-			o.missing[reader] = missing
+			o.missing[node] = missing
 		}
-		for b := range o.lastListed[reader] {
-			if !present[b] {
-				missing[b] = at
-				a.NodeNotified(reader, b, audit.Removed, 0, at)
+		for server := range o.lastListed[node] {
+			if !present[server] {
+				missing[server] = at
+				a.NodeNotified(node, server, audit.Removed, 0, at)
 			}
 		}
 		recent := 0
-		for b, since := range missing {
-			if present[b] {
-				delete(missing, b)
+		for server, since := range missing {
+			if present[server] {
+				delete(missing, server)
 			} else if at-since <= massRemovalWindow {
 				recent++
 			}
 		}
 		if recent >= 3 && 2*recent > recent+len(present) {
-			for b := range missing {
-				if !o.drained[[2]int{reader, b}] {
-					a.NotificationsDiscarded(reader, b, at)
+			for server := range missing {
+				if !o.drained[[2]int{node, server}] {
+					a.NotificationsDiscarded(node, server, at)
 				}
 			}
 		}
-		o.lastListed[reader] = present
+		o.lastListed[node] = present
 	})
 }
 
-// Data records a server's record that the registry sent to a node.
-func (o *observer) Data(reader int, at string, data []byte, when time.Time) {
+// Data records that the registry sent a server's record to a node. Only the drain of a server matters to the audit.
+func (o *observer) Data(node int, recordPath string, data []byte, sentAt time.Time) {
 	if !strings.Contains(string(data), `"DRAINING"`) {
 		return
 	}
 	o.record(func(a *audit.Audit, _ time.Duration) {
-		if b, ok := o.servers[path.Base(at)]; ok {
-			a.NodeNotified(reader, b, audit.Draining, 0, when.Sub(o.start))
-			o.drained[[2]int{reader, b}] = true
+		if server, ok := o.servers[path.Base(recordPath)]; ok {
+			a.NodeNotified(node, server, audit.Draining, 0, sentAt.Sub(o.start))
+			o.drained[[2]int{node, server}] = true
 		}
 	})
 }
 
-// ensembleFault returns a fault of all addresses of the registry that ends after its time.
+// ensembleFault returns a fault that calls begin for each server of the registry, and end when the fault's duration has
+// passed.
 func ensembleFault(begin, end func(env *environment, f *scenario.Fault, s *zookeeper.Server)) faultFunc {
 	return func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		for _, s := range env.ensemble {
@@ -169,10 +171,11 @@
 	}
 }
 
-// seconds returns the size of a fault as a duration.
+// seconds returns the size of a fault, in seconds, as a duration.
 func seconds(f *scenario.Fault) time.Duration { return time.Duration(f.Size * float64(time.Second)) }
 
-// addBadRecords registers unusable records beside those of servers for a time: huge, empty, noise, of another form.
+// addBadRecords registers invalid records beside those of servers for a time: huge, empty, random bytes, of the wrong
+// structure, with a host name that does not resolve.
 func (env *environment) addBadRecords(f *scenario.Fault) {
 	nodes := map[string][]byte{}
 	for site := range env.Scenario.Sites {
@@ -181,13 +184,14 @@
 			nodes[path.Join(env.registryPath(site), name)] = data
 		}
 	}
-	own := env.registry.Own(env.Scenario.Registry.Session.Std(), nodes)
-	env.after(f.For.Std(), own.End)
+	session := env.registry.Own(env.Scenario.Registry.Session.Std(), nodes)
+	env.after(f.For.Std(), session.End)
 }
 
-// flapSessions ends the sessions of a share of the servers, which keep running, and opens new ones after a time.
-func (env *environment) flapSessions(f *scenario.Fault, chance *rand.Rand) {
-	for _, m := range env.chosenServers(f, chance) {
+// flapSessions ends the registry sessions of a share of the servers, and opens new ones after a time. The servers keep
+// running and keep their start times.
+func (env *environment) flapSessions(f *scenario.Fault, rng *rand.Rand) {
+	for _, m := range env.chosenServers(f, rng) {
 		unlessLeaving := func(do func()) {
 			m.mu.Lock()
 			defer m.mu.Unlock()
--- a/internal/testbed/snapshots.go
+++ b/internal/testbed/snapshots.go
@@ -8,7 +8,7 @@
 	"fernvane/internal/journal/wal"
 )
 
-// setUpSnapshots configures each node to store its list of servers, if the scenario says so.
+// setUpSnapshots configures each node to store its endpoint list, if the scenario requests it.
 func (env *environment) setUpSnapshots() error {
 	if env.Scenario.Lists.Start != "kept" {
 		return nil
@@ -25,10 +25,11 @@
 	return nil
 }
 
-// ageSnapshot makes a node's stored list older, if the scenario says so, by a newer generation with earlier times.
+// ageSnapshot makes a node's stored endpoint list older, if the scenario requests it. It writes the list again as a new
+// generation with earlier times.
 func (env *environment) ageSnapshot(n int) error {
-	by := env.Scenario.Lists.Age.Std().Milliseconds()
-	if env.Scenario.Lists.Start != "kept" || by == 0 {
+	age := env.Scenario.Lists.Age.Std().Milliseconds()
+	if env.Scenario.Lists.Start != "kept" || age == 0 {
 		return nil
 	}
 	store, err := snapshot.Open(env.nodes[n].snapshotDir(), 3, wal.OSFileSystem{})
@@ -39,11 +40,11 @@
 	if err != nil || s == nil {
 		return err
 	}
-	s.WrittenUnixMS -= by
-	s.ConfirmedUnixMS -= by
+	s.WrittenUnixMS -= age
+	s.ConfirmedUnixMS -= age
 	for i := range s.Servers {
-		s.Servers[i].AnnouncedUnixMS -= by
-		s.Servers[i].ExecutedUnixMS -= min(by, s.Servers[i].ExecutedUnixMS)
+		s.Servers[i].AnnouncedUnixMS -= age
+		s.Servers[i].ExecutedUnixMS -= min(age, s.Servers[i].ExecutedUnixMS)
 	}
 	return store.Write(s)
 }
