--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -15,7 +15,7 @@
 	notifications map[[2]int][]notification // by node and server, in order of report
 	outages       map[int][]outage          // by node
 
-	// Violations that are reported as such, in words.
+	// Descriptions of violations that the observer reports directly.
 	unsolicited   []string
 	overloaded    []string
 	crashed       []string
@@ -23,10 +23,10 @@
 	badClients    []string
 	journalErrors []string
 
-	activityTimes map[[2]int][]time.Duration // cache of activity, by node and server; nil until it is computed
+	activityTimes map[[2]int][]time.Duration // cached results of activity, by node and server; nil until computed
 }
 
-// New returns an Audit without events that checks against the settings.
+// New returns an Audit without events. It checks the limits in settings.
 func New(settings Settings) *Audit {
 	return &Audit{
 		settings:      settings,
@@ -36,7 +36,7 @@
 	}
 }
 
-// Rule is the verdict on one rule. It is stored in journals.
+// Rule is the verdict on one rule. Reports store it.
 type Rule struct {
 	Name           string `json:"name"`
 	Description    string `json:"about"`
@@ -44,8 +44,8 @@
 	FirstViolation string `json:"worst,omitempty"`
 }
 
-// EachExecution calls visit for each execution that a server began of a client's request whose type is wanted, in no
-// order.
+// EachExecution calls visit for each execution of a client's request that a server began, if isWanted returns true for
+// the request's type. The order is unspecified.
 func (a *Audit) EachExecution(isWanted func(typeIndex int) bool, visit func(id uint64, node, server int)) {
 	for id, r := range a.requests {
 		for _, attempt := range r.attempts {
@@ -56,8 +56,8 @@
 	}
 }
 
-// Verdict returns for each rule how often it was violated, with the first violation in order of request IDs. Call it
-// after the last event.
+// Verdict returns, for each rule, the number of violations and the first violation in order of request IDs. Call it after
+// the last event.
 func (a *Audit) Verdict() []Rule {
 	ids := make([]uint64, 0, len(a.requests))
 	for id, r := range a.requests {
@@ -71,9 +71,9 @@
 		verdict := Rule{Name: rule.name, Description: rule.description}
 		for _, id := range ids {
 			r := a.requests[id]
-			if why := rule.violation(a, r); why != "" {
+			if violation := rule.violation(a, r); violation != "" {
 				name := a.settings.Types[r.typeIndex].Name
-				verdict.addViolations([]string{fmt.Sprintf("request %016x (%s): %s", id, name, why)})
+				verdict.addViolations([]string{fmt.Sprintf("request %016x (%s): %s", id, name, violation)})
 			}
 		}
 		if rule.name == oneAnswer {
@@ -84,7 +84,7 @@
 	return append(out, a.reportedRules()...)
 }
 
-// reportedRules returns the verdicts on the rules whose violations are reported as such.
+// reportedRules returns the verdicts on the rules whose violations the observer reports directly.
 func (a *Audit) reportedRules() []Rule {
 	var out []Rule
 	for _, rule := range []struct {
@@ -93,10 +93,10 @@
 		violations  []string
 	}{
 		{"known", "servers receive only requests that clients sent", a.unknown},
-		{"cold", "no server in slow start is overloaded", a.overloaded},
-		{"bad-clients", "malformed input is ended with an error or a close", a.badClients},
-		{"lives", "no node crashes", a.crashed},
-		{"journal", "the journal holds each execution of a non-idempotent request, and none as not sent", a.journalErrors},
+		{"cold", "servers in slow start are not overloaded", a.overloaded},
+		{"bad-clients", "malformed input is answered with an error or a close", a.badClients},
+		{"lives", "nodes do not crash", a.crashed},
+		{"journal", "the journal records each execution of a non-idempotent request, and records no executed request as not sent", a.journalErrors},
 	} {
 		verdict := Rule{Name: rule.name, Description: rule.description}
 		verdict.addViolations(rule.violations)
@@ -105,7 +105,7 @@
 	return out
 }
 
-// addViolations counts violations and keeps the first one.
+// addViolations adds violations to the count and stores the first one.
 func (r *Rule) addViolations(violations []string) {
 	r.Violations += len(violations)
 	if len(violations) > 0 && r.FirstViolation == "" {
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -9,20 +9,20 @@
 
 const ms = time.Millisecond
 
-// Each case reports the events of a run and names the rules that they violate, if any.
+// Each case reports the events of a run and lists the names of the rules that they violate, if any.
 func TestVerdict(t *testing.T) {
 	const check, book, keyed, zoned, placed, nowhere = 0, 1, 2, 3, 4, 5
 	settings := Settings{DrainGrace: 500 * ms, Slack: 50 * ms, MaxAttempts: 2, Types: []Type{
 		{Name: "check"}, {Name: "book", Idempotency: NonIdempotent}, {Name: "keyed", Idempotency: IdempotentWithKey, KeyRetention: time.Second},
 		{Name: "zoned", Idempotency: IdempotentWithKey, KeyScope: Zone, KeyRetention: time.Second}, {Name: "placed", Sites: []int{0}, Kinds: []string{"large", "huge"}},
 		{Name: "nowhere", Sites: []int{}}}, ClosesOnDrain: true, DrainClose: 300 * ms}
-	// attempt has a server receive the request, execute it and answer.
+	// attempt reports that a server received the request, executed it and responded.
 	attempt := func(a *Audit, server int, at time.Duration) {
 		a.AttemptReceived(1, server, at, at)
 		a.AttemptRan(1, server, at)
 		a.AttemptEnded(1, server, at+10*ms, false)
 	}
-	disconnected := func(a *Audit, server int, at time.Duration) { // received completely, then the connection breaks
+	disconnected := func(a *Audit, server int, at time.Duration) { // the server received the request completely, then the connection broke
 		a.AttemptReceived(1, server, at, at)
 		a.AttemptEnded(1, server, at+10*ms, false)
 	}
@@ -34,7 +34,7 @@
 		a.Sending(1, kind, 0)
 		a.Sent(1, 0)
 	}
-	pause := func(a *Audit, from, to time.Duration, removedAt ...time.Duration) { // and notifies of a removal at these times
+	pause := func(a *Audit, from, to time.Duration, removedAt ...time.Duration) { // the node is also notified that server 1 was removed at these times
 		a.NodePaused(0, from)
 		for _, at := range removedAt {
 			a.NodeNotified(0, 1, Removed, 0, at)
@@ -242,18 +242,18 @@
 				if r.Violations > 0 {
 					violated = append(violated, r.Name)
 					if r.FirstViolation == "" {
-						t.Errorf("%s: no violation is described", r.Name)
+						t.Errorf("rule %s: got no description of the violation", r.Name)
 					}
 				}
 			}
 			if got := strings.Join(violated, " "); got != c.violated {
-				t.Errorf("violated: %q", got)
+				t.Errorf("got violated rules %q", got)
 			}
 		})
 	}
 }
 
-// An execution whose answer the client got is not wasted, the others are.
+// Only executions whose answer the client did not get count as wasted.
 func TestSeconds(t *testing.T) {
 	a := New(Settings{Types: []Type{{Name: "x"}}})
 	a.Server(Server{Name: "b0"})
@@ -277,15 +277,15 @@
 	got := a.Seconds()
 	want := []Second{{Tries: 4, First: 4, Ran: 4, Wasted: 4, Busiest: 2}, {Retries: 4, Ran: 4, Wasted: 3, Handled: 1, Rejected: 1, Failed: 1, Unanswered: 1, Busiest: 2}}
 	if len(got) != 2 || got[0] != want[0] || got[1] != want[1] {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v", got)
 	}
 }
 
-// Journals of earlier runs hold seconds under these names.
+// Guards against renamed JSON keys: reports of earlier runs use these names.
 func TestSecondJSON(t *testing.T) {
 	got, err := json.Marshal(Second{Tries: 1, First: 2, Retries: 3, Ran: 4, Wasted: 5, Handled: 6, Rejected: 7, Failed: 8, Unanswered: 9, Busiest: 10})
 	const want = `{"Tries":1,"First":2,"Further":3,"Ran":4,"Vain":5,"Handled":6,"Rejected":7,"WrittenOff":8,"Lost":9,"Busiest":10}`
 	if err != nil || string(got) != want {
-		t.Errorf("%s, %v", got, err)
+		t.Errorf("got %s, error %v", got, err)
 	}
 }
--- a/internal/testbed/audit/events.go
+++ b/internal/testbed/audit/events.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// attempt is a request that a server received.
+// attempt is one attempt at a server, as the server observed it.
 type attempt struct {
 	server   int
 	first    time.Duration // first byte received
 	last     time.Duration // last byte received
-	ended    time.Duration // answered or connection ended; -1: not seen
-	neverRan bool          // the server answered that it did not and will not execute it
-	ran      time.Duration // execution started; -1: it did not
+	ended    time.Duration // time of the response or of the end of the connection; -1: not reported
+	neverRan bool          // the server responded that it has not executed it and will not
+	ran      time.Duration // start of the execution; -1: not executed
 }
 
-// request is one try of a client, with what servers saw of it.
+// request is one try of a client, with its attempts at servers.
 type request struct {
 	typeIndex    int
 	node         int
 	sent         time.Duration // last byte written by the client; -1: never
-	ended        time.Duration // -1: not yet
+	ended        time.Duration // end of the try; -1: not ended
 	end          End
 	status       int
-	isForeign    bool // its answer was made for another request
-	hasExtra     bool // bytes came after its answer
-	isFromClient bool // a client reported that it sends it
+	isForeign    bool // the client received the answer to another request
+	hasExtra     bool // the client received bytes after the answer
+	isFromClient bool // Sending was reported by a client
 	attempts     []attempt
 	idle         []idle
 }
 
-// idle is how long a connection to a server was unused after a request on it.
+// idle is a period in which a connection to a server was unused after a request.
 type idle struct {
 	server int
 	from   time.Duration
 	to     time.Duration
 }
 
-// notification is what a node was notified of about a server.
+// notification is a change of a server's condition of which a node was notified.
 type notification struct {
 	at        time.Duration
 	condition Condition
-	startedAt int64 // start of the server that the notification is about; 0: not given
-	isReset   bool  // the node lost or must ignore earlier notifications; the other fields are unset
+	startedAt int64 // start time of the server in the notification; 0: not given
+	isReset   bool  // the node lost or must ignore earlier notifications; only at is set
 }
 
-// outage is a time in which a node was stopped or paused.
+// outage is a period in which a node was stopped or paused.
 type outage struct {
 	from    time.Duration
 	to      time.Duration
@@ -55,10 +55,10 @@
 // ongoing is the end of an outage that has not ended.
 const ongoing = time.Duration(1 << 62)
 
-// Server adds the next server.
+// Server adds a server. Servers are numbered in the order in which they are added.
 func (a *Audit) Server(server Server) { a.servers = append(a.servers, server) }
 
-// request returns the record of a request, made on first use.
+// request returns the record of a request and creates it on first use.
 func (a *Audit) request(id uint64) *request {
 	r := a.requests[id]
 	if r == nil {
@@ -68,7 +68,7 @@
 	return r
 }
 
-// lastAttempt returns the latest attempt of r at a server, or an unused one if there is none.
+// lastAttempt returns the latest attempt of r at a server, or an unused attempt if there is none.
 func (r *request) lastAttempt(server int) *attempt {
 	for i := len(r.attempts) - 1; i >= 0; i-- {
 		if r.attempts[i].server == server {
@@ -78,7 +78,8 @@
 	return &attempt{}
 }
 
-// Sending reports that a client is about to write a request to a node. typeIndex is its place in Settings.Types.
+// Sending reports that a client starts to write a request to a node. typeIndex is the index of the request's type in
+// Settings.Types.
 func (a *Audit) Sending(id uint64, typeIndex, node int) {
 	r := a.request(id)
 	r.typeIndex = typeIndex
@@ -89,8 +90,8 @@
 // Sent reports that the client wrote the last byte of a request.
 func (a *Audit) Sent(id uint64, at time.Duration) { a.request(id).sent = at }
 
-// Ended reports how the client's try ended. isForeign says that the answer was made for another request, hasExtra that
-// bytes came after it.
+// Ended reports how the client's try ended. isForeign: the client received the answer to another request. hasExtra: the
+// client received bytes after the answer.
 func (a *Audit) Ended(id uint64, end End, status int, at time.Duration, isForeign, hasExtra bool) {
 	r := a.request(id)
 	r.ended = at
@@ -105,31 +106,31 @@
 	a.unsolicited = append(a.unsolicited, fmt.Sprintf("node %d", node))
 }
 
-// AttemptReceived reports that a server received a request, with the times of its first and last byte.
+// AttemptReceived reports that a server received a request. first and last are the times of its first and last byte.
 func (a *Audit) AttemptReceived(id uint64, server int, first, last time.Duration) {
 	r := a.request(id)
 	r.attempts = append(r.attempts, attempt{server: server, first: first, last: last, ended: -1, ran: -1})
 }
 
-// ConnectionIdle reports that a connection to a server was unused after request id, until it ended or the next request
-// came.
+// ConnectionIdle reports that a connection to a server was unused after the request with the given ID, until it was closed
+// or the next request arrived.
 func (a *Audit) ConnectionIdle(id uint64, server int, from, to time.Duration) {
 	r := a.request(id)
 	r.idle = append(r.idle, idle{server: server, from: from, to: to})
 }
 
 // UnknownRequest reports that a server received a request that no client sent.
-func (a *Audit) UnknownRequest(server int, what string) {
-	a.unknown = append(a.unknown, fmt.Sprintf("%q at %s", what, a.servers[server].Name))
+func (a *Audit) UnknownRequest(server int, id string) {
+	a.unknown = append(a.unknown, fmt.Sprintf("%q at %s", id, a.servers[server].Name))
 }
 
-// AttemptRan reports that a server began to execute its latest attempt of a request.
+// AttemptRan reports that a server began to execute the latest attempt of a request that it received.
 func (a *Audit) AttemptRan(id uint64, server int, at time.Duration) {
 	a.request(id).lastAttempt(server).ran = at
 }
 
-// AttemptEnded reports that a server's latest attempt of a request was answered or its connection ended. neverRan says
-// that the answer was a rejection before execution. Only the first report counts.
+// AttemptEnded reports that a server responded to the latest attempt of a request, or that its connection ended. neverRan:
+// the response was a rejection before execution. Later reports for the same attempt are ignored.
 func (a *Audit) AttemptEnded(id uint64, server int, at time.Duration, neverRan bool) {
 	if attempt := a.request(id).lastAttempt(server); attempt.ended < 0 {
 		attempt.ended = at
@@ -137,31 +138,32 @@
 	}
 }
 
-// NodeNotified reports that discovery or a planner notified a node of a server's condition. startedAt is the start of
-// the server that the notification names, 0 if none.
+// NodeNotified reports that discovery or a planner notified a node of a server's condition. startedAt is the start time of
+// the server in the notification, 0 if it has none.
 func (a *Audit) NodeNotified(node, server int, condition Condition, startedAt int64, at time.Duration) {
 	key := [2]int{node, server}
 	a.notifications[key] = append(a.notifications[key], notification{at: at, condition: condition, startedAt: startedAt})
 }
 
-// NotificationsDiscarded reports that a node must ignore earlier notifications that a server drains or was removed.
+// NotificationsDiscarded reports that a node must ignore earlier notifications that a server is draining or removed.
 func (a *Audit) NotificationsDiscarded(node, server int, at time.Duration) {
 	key := [2]int{node, server}
 	a.notifications[key] = append(a.notifications[key], notification{at: at, isReset: true})
 }
 
-// NodeDown reports that a node was stopped on purpose. Requests that it held are exempt from the rule of an answer.
+// NodeDown reports that a node was stopped on purpose. Requests in flight at it are exempt from the rule that each request
+// is answered.
 func (a *Audit) NodeDown(node int, at time.Duration) {
 	a.outages[node] = append(a.outages[node], outage{from: at, to: ongoing})
 }
 
-// NodePaused reports that a node's process was paused until NodeUp. It answers nothing meanwhile and loses no state.
+// NodePaused reports that a node's process was paused. Until NodeUp it answers no requests, but it loses no state.
 func (a *Audit) NodePaused(node int, at time.Duration) {
 	a.outages[node] = append(a.outages[node], outage{from: at, to: ongoing, isPause: true})
 }
 
-// NodeUp reports that a node was started again or resumed. A restarted node has lost its notifications; a resumed one
-// reads those that came during the pause only now.
+// NodeUp reports that a node was restarted or resumed. A restarted node has lost its notifications. A resumed node reads
+// the notifications that arrived during the pause only now.
 func (a *Audit) NodeUp(node int, at time.Duration) {
 	outages := a.outages[node]
 	if len(outages) == 0 {
@@ -177,7 +179,7 @@
 	a.resetNotifications(node, at)
 }
 
-// delayNotifications moves a node's notifications since a time to when it could read them.
+// delayNotifications moves the notifications of a node after a given time to the time at which it could read them.
 func (a *Audit) delayNotifications(node int, since, readAt time.Duration) {
 	for server := range a.servers {
 		notifications := a.notifications[[2]int{node, server}]
@@ -189,7 +191,7 @@
 	}
 }
 
-// resetNotifications marks that a node lost its notifications.
+// resetNotifications records that a node lost its notifications.
 func (a *Audit) resetNotifications(node int, at time.Duration) {
 	for server := range a.servers {
 		if len(a.notifications[[2]int{node, server}]) > 0 {
@@ -198,16 +200,20 @@
 	}
 }
 
-// Crashed reports that a node's process ended without being stopped.
-func (a *Audit) Crashed(node int, why string) {
-	a.crashed = append(a.crashed, fmt.Sprintf("node %d: %s", node, why))
+// Crashed reports that a node's process exited without being stopped.
+func (a *Audit) Crashed(node int, reason string) {
+	a.crashed = append(a.crashed, fmt.Sprintf("node %d: %s", node, reason))
 }
 
-// BadClientUnanswered reports that a client that sent malformed input got neither an error nor a close in time.
-func (a *Audit) BadClientUnanswered(what string) { a.badClients = append(a.badClients, what) }
+// BadClientUnanswered reports that a client received neither an error response nor a close in time for malformed input.
+func (a *Audit) BadClientUnanswered(description string) {
+	a.badClients = append(a.badClients, description)
+}
 
-// JournalError reports that a node's journal of non-idempotent requests lacks an execution or contradicts one.
-func (a *Audit) JournalError(what string) { a.journalErrors = append(a.journalErrors, what) }
+// JournalError reports that an execution is missing in a node's journal of non-idempotent requests, or contradicts it.
+func (a *Audit) JournalError(description string) {
+	a.journalErrors = append(a.journalErrors, description)
+}
 
 // ServerOverloaded reports that a server in slow start was overloaded.
 func (a *Audit) ServerOverloaded(server int, at time.Duration) {
--- a/internal/testbed/audit/rules.go
+++ b/internal/testbed/audit/rules.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// disconnectGrace is how long after its client disconnected an attempt may still begin.
+// disconnectGrace is the time after a client's disconnect within which attempts of its request may still begin.
 const disconnectGrace = 100 * time.Millisecond
 
-// oneAnswer is the rule that unsolicited responses violate too.
+// oneAnswer is the rule that unsolicited responses violate, too.
 const oneAnswer = "one-answer"
 
-// requestRules are checked for each request. violation returns in words how a request violates the rule, "" if it
-// does not.
+// requestRules are the rules that are checked for each request. violation returns a description of how a request violates
+// the rule, "" if it does not.
 var requestRules = []struct {
 	name        string
 	description string
 	violation   func(*Audit, *request) string
 }{
-	{"answered", "each request taken gets its final answer in time", (*Audit).unanswered},
-	{oneAnswer, "and no second one", (*Audit).answeredTwice},
-	{"own-answer", "made by a server for that very request", (*Audit).answeredForAnother},
-	{"nothing-after", "nothing is sent for it afterwards", (*Audit).sentAfterAnswer},
-	{"leavers", "nor after its client disconnected", (*Audit).sentAfterDisconnect},
-	{"no-second-effect", "what may have run is retried only as its type allows", (*Audit).repeatedUnsafely},
-	{"clean-denial", "a rejection only where a retry by the client is safe", (*Audit).rejectedUnsafely},
-	{"hops", "no more attempts than are allowed", (*Audit).tooManyAttempts},
-	{"one-at-a-time", "no second attempt while the first is in flight", (*Audit).sentConcurrently},
-	{"drains", "nothing new to a server that this node knows to be draining or removed", (*Audit).sentToDraining},
-	{"placement", "a type goes only to servers where its settings allow it", (*Audit).misplaced},
+	{"answered", "each accepted request gets its final answer in time", (*Audit).unanswered},
+	{oneAnswer, "no request gets a second answer", (*Audit).answeredTwice},
+	{"own-answer", "each answer was produced by a server for the same request", (*Audit).answeredForAnother},
+	{"nothing-after", "no attempt begins after the final answer", (*Audit).sentAfterAnswer},
+	{"leavers", "no attempt begins after the client disconnected", (*Audit).sentAfterDisconnect},
+	{"no-second-effect", "requests that may have run are retried only as their type allows", (*Audit).repeatedUnsafely},
+	{"clean-denial", "requests are rejected only if the client can safely retry them", (*Audit).rejectedUnsafely},
+	{"hops", "no request has more attempts than allowed", (*Audit).tooManyAttempts},
+	{"one-at-a-time", "no attempt begins while another is in flight", (*Audit).sentConcurrently},
+	{"drains", "no new attempts at servers that the node knows to be draining or removed", (*Audit).sentToDraining},
+	{"placement", "requests are sent only to servers that their type allows", (*Audit).misplaced},
 	{"closing", "idle connections to a draining server are closed in time", (*Audit).idleTooLong},
 }
 
-// isExempt reports whether a request needs no answer: its node was stopped while it held the request, or the client's
-// timeout passed while the node was paused.
+// isExempt reports whether a request needs no answer: its node was stopped while the request was in flight, or the
+// client's timeout expired while the node was paused.
 func (a *Audit) isExempt(r *request) bool {
 	for _, outage := range a.outages[r.node] {
 		overlaps := r.sent <= outage.to && r.ended >= outage.from
@@ -52,34 +52,34 @@
 	}
 	switch r.end {
 	case Unanswered:
-		why := fmt.Sprintf("no answer in %s", (r.ended - r.sent).Round(time.Millisecond))
+		violation := fmt.Sprintf("no answer within %s", (r.ended - r.sent).Round(time.Millisecond))
 		for _, outage := range a.outages[r.node] {
 			if since := r.sent - outage.to; since > 0 && since < time.Second {
-				why += fmt.Sprintf(", sent %s after node %d had come back", since.Round(time.Millisecond), r.node)
+				violation += fmt.Sprintf(", sent %s after node %d was up again", since.Round(time.Millisecond), r.node)
 			}
 		}
-		return why
+		return violation
 	case Dropped:
-		return fmt.Sprintf("connection closed with no answer after %s", (r.ended - r.sent).Round(time.Millisecond))
+		return fmt.Sprintf("connection closed without an answer after %s", (r.ended - r.sent).Round(time.Millisecond))
 	}
 	return ""
 }
 
-// answeredTwice reports a request after whose answer more bytes came.
+// answeredTwice reports a request whose client received more bytes after the answer.
 func (a *Audit) answeredTwice(r *request) string {
 	if r.hasExtra {
-		return "more than its answer came"
+		return "extra bytes received after the answer"
 	}
 	return ""
 }
 
-// answeredForAnother reports an answer that was made for another request, or a success without an execution.
+// answeredForAnother reports a request that got the answer to another request, or a success without an execution.
 func (a *Audit) answeredForAnother(r *request) string {
 	switch {
 	case r.isForeign:
-		return "answered with what was made for another"
+		return "got the answer to another request"
 	case r.isFromClient && r.ended >= 0 && r.handled() && !slices.ContainsFunc(r.attempts, hasRun):
-		return "handled, and no server has run it"
+		return "answered with success, but executed by no server"
 	}
 	return ""
 }
@@ -91,22 +91,22 @@
 	}
 	for _, attempt := range r.attempts {
 		if attempt.first > r.ended+a.settings.Slack {
-			return fmt.Sprintf("sent to %s %s after its answer", a.servers[attempt.server].Name,
+			return fmt.Sprintf("sent to %s %s after the final answer", a.servers[attempt.server].Name,
 				(attempt.first - r.ended).Round(time.Millisecond))
 		}
 	}
 	return ""
 }
 
-// sentAfterDisconnect reports an attempt that began after the client disconnected or gave up, whatever the request waited
-// for and whatever the client had sent behind it.
+// sentAfterDisconnect reports an attempt that began after the client disconnected or its timeout expired. This applies to
+// requests in every state, and also if the client had pipelined bytes after the request.
 func (a *Audit) sentAfterDisconnect(r *request) string {
 	if r.end != Disconnected && r.end != Unanswered || r.ended < 0 {
 		return ""
 	}
 	for _, attempt := range r.attempts {
 		if attempt.first > r.ended+disconnectGrace+a.settings.Slack {
-			return fmt.Sprintf("sent to %s %s after its client had disconnected", a.servers[attempt.server].Name,
+			return fmt.Sprintf("sent to %s %s after the client disconnected", a.servers[attempt.server].Name,
 				(attempt.first - r.ended).Round(time.Millisecond))
 		}
 	}
@@ -116,21 +116,21 @@
 // hasRun reports whether a server began to execute the attempt.
 func hasRun(x attempt) bool { return x.ran >= 0 }
 
-// mayHaveRun reports whether a server may have executed the attempt: it did not say that it never ran.
+// mayHaveRun reports whether a server may have executed the attempt: the server did not respond that it never ran.
 func (x *attempt) mayHaveRun() bool { return !x.neverRan }
 
-// sameGroup reports whether two servers share the scope of the keys of a type.
-func (a *Audit) sameGroup(t *Type, x, y int) bool {
+// sameGroup reports whether two servers share the idempotency keys of a type.
+func (a *Audit) sameGroup(t *Type, first, second int) bool {
 	switch t.KeyScope {
 	case Zone:
-		return a.servers[x].Site == a.servers[y].Site
+		return a.servers[first].Site == a.servers[second].Site
 	case Cell:
-		return a.servers[x].Cell == a.servers[y].Cell
+		return a.servers[first].Cell == a.servers[second].Cell
 	}
 	return true
 }
 
-// repeatedUnsafely reports an attempt after one that may have run, beyond what the type allows.
+// repeatedUnsafely reports an attempt that follows one that may have run, if the type does not allow it.
 func (a *Audit) repeatedUnsafely(r *request) string {
 	t := &a.settings.Types[r.typeIndex]
 	if t.Idempotency == Idempotent {
@@ -146,9 +146,9 @@
 			case t.Idempotency == NonIdempotent:
 				return fmt.Sprintf("sent to %s though it may have run at %s", to, from)
 			case !a.sameGroup(t, earlier.server, attempt.server):
-				return fmt.Sprintf("sent to %s though it may have run in another group, at %s", to, from)
+				return fmt.Sprintf("sent to %s though it may have run outside its key scope, at %s", to, from)
 			case attempt.first > earlier.last+t.KeyRetention:
-				return fmt.Sprintf("sent to %s %s after %s, which keeps keys for %s", to,
+				return fmt.Sprintf("sent to %s %s after %s, where keys expire after %s", to,
 					(attempt.first - earlier.last).Round(time.Millisecond), from, t.KeyRetention)
 			}
 		}
@@ -171,10 +171,10 @@
 	return ""
 }
 
-// tooManyAttempts reports a request with more attempts than are allowed.
+// tooManyAttempts reports a request with more attempts than Settings.MaxAttempts.
 func (a *Audit) tooManyAttempts(r *request) string {
 	if len(r.attempts) > a.settings.MaxAttempts {
-		return fmt.Sprintf("%d attempts", len(r.attempts))
+		return fmt.Sprintf("%d attempts sent", len(r.attempts))
 	}
 	return ""
 }
@@ -187,7 +187,7 @@
 	for i, attempt := range r.attempts {
 		for _, earlier := range r.attempts[:i] {
 			if earlier.ended >= 0 && attempt.first+a.settings.Slack < earlier.ended {
-				return fmt.Sprintf("sent to %s while %s still had it for %s", a.servers[attempt.server].Name, a.servers[earlier.server].Name,
+				return fmt.Sprintf("sent to %s while the attempt at %s was in flight for another %s", a.servers[attempt.server].Name, a.servers[earlier.server].Name,
 					(earlier.ended - attempt.first).Round(time.Millisecond))
 			}
 		}
@@ -195,9 +195,9 @@
 	return ""
 }
 
-// sentToDraining reports an attempt at a server of whose drain or removal the node was notified more than the grace before.
-// A notification that the server serves ends a drain only if it names a later start: an old one may come from a planner
-// that was unreachable.
+// sentToDraining reports an attempt at a draining or removed server that began more than the drain grace after the node was
+// notified of that condition. A notification that the server is serving ends the condition only if its start time is
+// later: a planner that was unreachable may send an outdated notification.
 func (a *Audit) sentToDraining(r *request) string {
 	for _, attempt := range r.attempts {
 		since, _ := a.drainingSince(r.node, attempt.server, attempt.first)
@@ -209,14 +209,14 @@
 	return ""
 }
 
-// drainingSince returns since when a node knew, at a given time, that a server is draining or removed, -1 if it did not,
-// and of which of the two it was notified first.
+// drainingSince returns the time of the first notification by which, at a given time, a node knew that a server was
+// draining or removed, with the condition in it. since is -1 if the node did not know it.
 func (a *Audit) drainingSince(node, server int, at time.Duration) (since time.Duration, first Condition) {
 	since = -1
 	startedAt := int64(0)
 	for _, n := range a.notifications[[2]int{node, server}] {
 		switch {
-		case n.at > at: // not yet
+		case n.at > at: // not yet received
 		case n.isReset:
 			since = -1
 			startedAt = 0
@@ -233,20 +233,20 @@
 	return since, first
 }
 
-// misplaced reports an attempt at a server that its type may not be sent to.
+// misplaced reports an attempt at a server that the request's type does not allow.
 func (a *Audit) misplaced(r *request) string {
 	t := &a.settings.Types[r.typeIndex]
 	for _, attempt := range r.attempts {
 		server := &a.servers[attempt.server]
 		if t.Sites != nil && !slices.Contains(t.Sites, server.Site) || t.Kinds != nil && !slices.Contains(t.Kinds, server.Kind) {
-			return fmt.Sprintf("sent to %s, of kind %q at site %d, which is not open to its type", server.Name, server.Kind, server.Site)
+			return fmt.Sprintf("sent to %s, of kind %q at site %d, which the traffic type does not allow", server.Name, server.Kind, server.Site)
 		}
 	}
 	return ""
 }
 
-// idleTooLong reports a connection to a draining server that stayed open unused for longer than DrainClose. The limit
-// counts from the notification or, if later, from the node's last send to the server or outcome from it.
+// idleTooLong reports a connection to a draining server that stayed open and unused for longer than DrainClose. This time
+// counts from the notification of the drain or, if later, from the start or end of the node's last attempt at the server.
 func (a *Audit) idleTooLong(r *request) string {
 	if !a.settings.ClosesOnDrain {
 		return ""
@@ -263,21 +263,21 @@
 			}
 		}
 		if idle.to > last+a.settings.DrainClose+a.settings.Slack {
-			return fmt.Sprintf("a connection of node %d to %s was idle for %s after the limit of its drain began",
+			return fmt.Sprintf("connection of node %d to draining server %s was idle for %s since the drain notification or its last activity",
 				r.node, a.servers[idle.server].Name, (idle.to - last).Round(time.Millisecond))
 		}
 	}
 	return ""
 }
 
-// activity returns when a node sent attempts to a server and when they ended.
+// activity returns the start and end times of all attempts of a node at a server.
 func (a *Audit) activity(node, server int) []time.Duration {
 	if a.activityTimes == nil {
 		a.activityTimes = map[[2]int][]time.Duration{}
 		for _, r := range a.requests {
 			for _, attempt := range r.attempts {
-				k := [2]int{r.node, attempt.server}
-				a.activityTimes[k] = append(a.activityTimes[k], attempt.first, attempt.ended)
+				key := [2]int{r.node, attempt.server}
+				a.activityTimes[key] = append(a.activityTimes[key], attempt.first, attempt.ended)
 			}
 		}
 	}
--- a/internal/testbed/audit/seconds.go
+++ b/internal/testbed/audit/seconds.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Second counts what happened in one second of a run, over all nodes and servers. It is stored in journals under the
-// names in its tags.
+// Second holds the counts of one second of a run, over all nodes and servers. Reports store it under the names of its
+// fields and tags.
 type Second struct {
-	Tries      int // tries of clients, by when they were sent
-	First      int // first attempts of tries, by when their first byte reached a server
-	Retries    int `json:"Further"` // attempts of tries after their first, likewise
+	Tries      int // tries of clients, in the second in which they were sent
+	First      int // first attempts of tries, in the second in which a server received the first byte
+	Retries    int `json:"Further"` // later attempts of tries, in the second in which a server received the first byte
 	Ran        int // attempts that servers began to execute
-	Wasted     int `json:"Vain"` // executions whose answer was not the one that the client got
+	Wasted     int `json:"Vain"` // executions whose answer the client did not get
 	Handled    int // tries that ended with status 200
 	Rejected   int // tries that ended with status 429 or 503
 	Failed     int `json:"WrittenOff"` // tries that ended with another status
 	Unanswered int `json:"Lost"`       // tries that ended without a complete response in time
-	Busiest    int // attempts of the node that sent the most
+	Busiest    int // attempts of the node with the most attempts
 }
 
 const (
@@ -27,10 +27,10 @@
 	statusHandled  = 200
 )
 
-// seconds accumulates the counts of a run, request by request.
+// seconds accumulates the counts of a run.
 type seconds struct {
 	all    []Second
-	byNode []map[int]int // per second, attempts by node
+	byNode []map[int]int // attempts by node, for each second
 }
 
 // at returns the counts of the second that t falls in.
@@ -93,7 +93,7 @@
 func (s *seconds) countAttempts(r *request) {
 	attempts := slices.Clone(r.attempts)
 	slices.SortFunc(attempts, func(a, b attempt) int { return cmp.Compare(a.first, b.first) })
-	answered := -1 // index of the attempt whose answer the client got: the last that had ended when the try did
+	answered := -1 // index of the attempt whose answer the client got: the last one that ended before the try
 	for i, attempt := range attempts {
 		if r.handled() && attempt.ran >= 0 && attempt.ended >= 0 && (answered < 0 || attempt.ended <= r.ended) {
 			answered = i
--- a/internal/testbed/audit/types.go
+++ b/internal/testbed/audit/types.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Idempotency says whether a request that may have run may be sent again.
+// Idempotency specifies whether a request that may have run may be sent again.
 type Idempotency uint8
 
 // Idempotency of traffic types.
 const (
 	Idempotent        Idempotency = iota // may run any number of times
-	IdempotentWithKey                    // servers of a group drop repeats for KeyRetention
+	IdempotentWithKey                    // servers in the key scope drop repeats for KeyRetention
 	NonIdempotent                        // must not run twice
 )
 
-// KeyScope is the group of servers that drops repeats of a request with an idempotency key.
+// KeyScope is the group of servers that share idempotency keys and drop repeats of a request.
 type KeyScope uint8
 
-// Groups of servers that recognize a key.
+// Key scopes.
 const (
 	All  KeyScope = iota // every server
 	Zone                 // the servers of one site
 	Cell                 // the servers of one cell
 )
 
-// Type holds what the rules need of a traffic type.
+// Type holds the properties of a traffic type that the rules check.
 type Type struct {
 	Name         string
 	Idempotency  Idempotency
 	KeyScope     KeyScope
 	KeyRetention time.Duration
-	Sites        []int    // sites whose servers may be sent it; nil: all
-	Kinds        []string // kinds of server that may be sent it; nil: all
+	Sites        []int    // sites whose servers may receive it; nil: all
+	Kinds        []string // kinds of servers that may receive it; nil: all
 }
 
-// Server is a server and its location.
+// Server is a stand-in server with its location and kind.
 type Server struct {
 	Name string
 	Site int
@@ -40,36 +40,36 @@
 	Kind string
 }
 
-// Settings are the limits that the rules check against.
+// Settings holds the traffic types and limits that the rules check.
 type Settings struct {
 	Types         []Type
 	DrainGrace    time.Duration
-	Slack         time.Duration // added to each limit, for scheduling delay of the machine
+	Slack         time.Duration // added to each limit to allow for scheduling delays
 	MaxAttempts   int
-	AllowsHedging bool // hedged requests are allowed
-	ClosesOnDrain bool // idle connections to a draining server must close within DrainClose
+	AllowsHedging bool // concurrent attempts of a request are allowed
+	ClosesOnDrain bool // idle connections to a draining server must be closed within DrainClose
 	DrainClose    time.Duration
 }
 
-// End is how a client's try of a request ended.
+// End specifies how a client's try of a request ended.
 type End uint8
 
 // Ends of a try.
 const (
-	Answered     End = iota // in time
-	Late                    // answered after the client's timeout, within Settings.Slack
-	Unanswered              // the client's timeout passed
-	Dropped                 // the connection ended without a complete response
-	Unsent                  // the request was not completely written
+	Answered     End = iota // within the client's timeout
+	Late                    // answered after the client's timeout, but within Settings.Slack
+	Unanswered              // not answered within the client's timeout and Settings.Slack
+	Dropped                 // the connection ended before the complete response
+	Unsent                  // the client did not write the complete request
 	Disconnected            // the client disconnected before its timeout
 )
 
-// Condition is the state of a server of which a node was notified.
+// Condition is the condition of a server in a notification.
 type Condition uint8
 
 // Conditions of a server.
 const (
-	Serving  Condition = iota // takes requests
-	Draining                  // finishes its requests and must get no new ones
+	Serving  Condition = iota // accepts requests
+	Draining                  // completes its requests and must receive no new ones
 	Removed                   // no longer exists
 )
