--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	shareTolerance = 0.001 // by which a sum of shares may differ from 1
+	shareTolerance = 0.001 // maximum difference of a sum of shares from 1
 	maxServers     = 2000
 	maxNodes       = 1000
 	maxPlanners    = 8
@@ -20,45 +20,45 @@
 	maxRate        = 100_000
 )
 
-// checker collects by key what is wrong with a file.
+// checker records the errors in a scenario file, each with its key.
 type checker struct{ *tomlfile.File }
 
-// lastName returns the last name of a dotted key.
+// lastName returns the last component of a dotted key.
 func lastName(key string) string { return key[strings.LastIndexByte(key, '.')+1:] }
 
-// inRange checks that a value is from least to most.
+// inRange checks that a value is between least and most, inclusive.
 func (c checker) inRange(key string, v, least, most float64) {
 	if !(v >= least && v <= most) {
-		c.Wrong(key, "%s is %v: from %v to %v", lastName(key), v, least, most)
+		c.Wrong(key, "%s is %v, want %v to %v", lastName(key), v, least, most)
 	}
 }
 
-// oneOf checks that a value is one of those allowed.
+// oneOf checks that a value is one of the allowed values.
 func (c checker) oneOf(key, v string, allowed ...string) {
 	if !slices.Contains(allowed, v) {
-		c.Wrong(key, "%q is none of %s", v, strings.Join(allowed, ", "))
+		c.Wrong(key, "%q is not one of %s", v, strings.Join(allowed, ", "))
 	}
 }
 
-// positive checks that a duration is above 0.
+// positive checks that a duration is greater than 0.
 func (c checker) positive(key string, d Span) {
 	if d <= 0 {
-		c.Wrong(key, "%s must be above 0", lastName(key))
+		c.Wrong(key, "%s must be greater than 0", lastName(key))
 	}
 }
 
-// check sets defaults and returns all that is wrong with the file.
+// check sets defaults and returns all errors in the file.
 func (s *Scenario) check(f *tomlfile.File) error {
 	s.setDefaults()
 	c := checker{f}
 	if s.Name == "" {
-		c.Wrong("name", "the scenario has no name")
+		c.Wrong("name", "scenario has no name")
 	}
 	c.inRange("length", s.Length.Std().Seconds(), 0.1, maxLength.Seconds())
 	s.checkNodes(c)
 	s.checkLoad(c)
 	if len(s.Sites) == 0 || len(s.Sites) > 16 {
-		c.Wrong("sites", "from 1 to 16 sites")
+		c.Wrong("sites", "number of sites out of range, want 1 to 16")
 	}
 	s.checkServers(c)
 	s.checkTypes(c)
@@ -78,7 +78,7 @@
 	c.inRange("registry.addresses", float64(s.Registry.Addresses), 0, 5)
 	c.inRange("planners.count", float64(s.Planners.Count), 0, maxPlanners)
 	if n := len(s.Sites); n > s.Nodes.Count {
-		c.Wrong("nodes.count", "%d sites, but %d nodes: the clients of each site need one", n, s.Nodes.Count)
+		c.Wrong("nodes.count", "%d sites, but %d nodes: each site needs at least one node", n, s.Nodes.Count)
 	}
 }
 
@@ -99,7 +99,7 @@
 func (s *Scenario) checkTypes(c checker) {
 	shares := 0.0
 	if len(s.Types) == 0 {
-		c.Wrong("types", "no traffic types")
+		c.Wrong("types", "scenario has no traffic types")
 	}
 	for i := range s.Types {
 		t, key := &s.Types[i], "types."+strconv.Itoa(i)
@@ -108,7 +108,7 @@
 		c.positive(key+".work", t.Work)
 		c.positive(key+".target", t.LatencyObjective)
 		if t.AbandonTime < t.LatencyObjective {
-			c.Wrong(key+".abandon", "clients of %s give up before its target time", t.Name)
+			c.Wrong(key+".abandon", "abandon time of type %s is shorter than its target time", t.Name)
 		}
 		c.oneOf(key+".dist", t.WorkDistribution, "constant", "exp", "lognormal")
 		c.oneOf(key+".repeat", t.Repeat, "retriable", "fingerprinted", "binding")
@@ -117,16 +117,16 @@
 			c.oneOf(key+".only_sites", site, s.Sites...)
 		}
 		for _, kind := range t.OnlyKinds {
-			if !slices.ContainsFunc(s.Servers, func(b Servers) bool { return b.Kind == kind }) {
-				c.Wrong(key+".only_kinds", "no boxes are of the kind %q", kind)
+			if !slices.ContainsFunc(s.Servers, func(group Servers) bool { return group.Kind == kind }) {
+				c.Wrong(key+".only_kinds", "no boxes of kind %q", kind)
 			}
 		}
-		if slices.ContainsFunc(s.Types[:i], func(o Type) bool { return o.Name == t.Name }) {
-			c.Wrong(key+".name", "a second type %q", t.Name)
+		if slices.ContainsFunc(s.Types[:i], func(earlier Type) bool { return earlier.Name == t.Name }) {
+			c.Wrong(key+".name", "duplicate type %q", t.Name)
 		}
 	}
 	if len(s.Types) > 0 && math.Abs(shares-1) > shareTolerance {
-		c.Wrong("types.0.share", "the shares of the types add up to %.3f, not 1", shares)
+		c.Wrong("types.0.share", "shares of types add up to %.3f, want 1", shares)
 	}
 }
 
@@ -137,39 +137,39 @@
 		c.inRange("tenants."+strconv.Itoa(i)+".share", t.Share, 0, 1)
 	}
 	if len(s.Tenants) > 0 && math.Abs(shares-1) > shareTolerance {
-		c.Wrong("tenants.0.share", "the shares of the tenants add up to %.3f, not 1", shares)
+		c.Wrong("tenants.0.share", "shares of tenants add up to %.3f, want 1", shares)
 	}
 }
 
 func (s *Scenario) checkServers(c checker) {
 	total := 0
-	for i, b := range s.Servers {
+	for i, group := range s.Servers {
 		key := "boxes." + strconv.Itoa(i)
-		total += b.Count
-		c.inRange(key+".count", float64(b.Count), 1, maxServers)
-		c.inRange(key+".cores", float64(b.Cores), 1, 256)
-		c.inRange(key+".speed", b.Speed, 0.01, 1000)
-		c.inRange(key+".cold_share", b.SlowStartCapacity, 0.01, 1)
-		c.inRange(key+".key_gain", b.CacheGain, 0, 0.95)
-		c.inRange(key+".error_rate", b.ErrorRate, 0, 1)
-		if b.PauseEvery > 0 && b.PauseFor >= b.PauseEvery {
-			c.Wrong(key+".pause_for", "a pause of %s every %s leaves no time to work", b.PauseFor.Std(), b.PauseEvery.Std())
+		total += group.Count
+		c.inRange(key+".count", float64(group.Count), 1, maxServers)
+		c.inRange(key+".cores", float64(group.Cores), 1, 256)
+		c.inRange(key+".speed", group.Speed, 0.01, 1000)
+		c.inRange(key+".cold_share", group.SlowStartCapacity, 0.01, 1)
+		c.inRange(key+".key_gain", group.CacheGain, 0, 0.95)
+		c.inRange(key+".error_rate", group.ErrorRate, 0, 1)
+		if group.PauseEvery > 0 && group.PauseFor >= group.PauseEvery {
+			c.Wrong(key+".pause_for", "pause of %s every %s leaves no time to work", group.PauseFor.Std(), group.PauseEvery.Std())
 		}
-		if b.Kind == "" || slices.ContainsFunc(s.Servers[:i], func(o Servers) bool { return o.Kind == b.Kind }) {
-			c.Wrong(key+".kind", "each kind of boxes needs a name of its own")
+		if group.Kind == "" || slices.ContainsFunc(s.Servers[:i], func(earlier Servers) bool { return earlier.Kind == group.Kind }) {
+			c.Wrong(key+".kind", "kind of boxes is empty or used twice")
 		}
 	}
 	if len(s.Servers) == 0 || total > maxServers {
-		c.Wrong("boxes", "%d boxes: from 1 to %d", total, maxServers)
+		c.Wrong("boxes", "%d boxes in total, want 1 to %d", total, maxServers)
 	}
 }
 
-// ServerNames returns the names of the servers at the start, kind by kind.
+// ServerNames returns the names of the servers that exist at the start of the run, grouped by kind.
 func (s *Scenario) ServerNames() []string {
 	var names []string
-	for _, b := range s.Servers {
-		for i := range b.Count {
-			names = append(names, fmt.Sprintf("%s-%d", b.Kind, i))
+	for _, group := range s.Servers {
+		for i := range group.Count {
+			names = append(names, fmt.Sprintf("%s-%d", group.Kind, i))
 		}
 	}
 	return names
--- a/internal/testbed/scenario/defaults.go
+++ b/internal/testbed/scenario/defaults.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// setDefault sets a value that was left out.
-func setDefault[T comparable](p *T, v T) {
+// setDefault sets a value that is zero.
+func setDefault[T comparable](target *T, value T) {
 	var zero T
-	if *p == zero {
-		*p = v
+	if *target == zero {
+		*target = value
 	}
 }
 
-// setDefaults sets all values that may be left out.
+// setDefaults sets the defaults of all optional values.
 func (s *Scenario) setDefaults() {
 	setDefault(&s.Nodes.Cores, 1)
 	setDefault(&s.Nodes.MemoryMB, 192)
@@ -27,14 +27,14 @@
 	setDefault(&s.Journal.MaxWait, Span(200*time.Millisecond))
 	setDefault(&s.Planners.Interval, Span(500*time.Millisecond))
 	for i := range s.Servers {
-		b := &s.Servers[i]
-		setDefault(&b.Cores, 1)
-		setDefault(&b.Speed, 1)
-		setDefault(&b.Queue, 300)
-		setDefault(&b.Connections, 700)
-		setDefault(&b.SlowStartCapacity, 0.4)
-		setDefault(&b.SlowStartDuration, Span(6*time.Second))
-		setDefault(&b.CacheSize, 60)
+		group := &s.Servers[i]
+		setDefault(&group.Cores, 1)
+		setDefault(&group.Speed, 1)
+		setDefault(&group.Queue, 300)
+		setDefault(&group.Connections, 700)
+		setDefault(&group.SlowStartCapacity, 0.4)
+		setDefault(&group.SlowStartDuration, Span(6*time.Second))
+		setDefault(&group.CacheSize, 60)
 	}
 	for i := range s.Types {
 		t := &s.Types[i]
--- a/internal/testbed/scenario/load.go
+++ b/internal/testbed/scenario/load.go
@@ -15,7 +15,7 @@
 //go:embed embedded/*.toml
 var embedded embed.FS
 
-// Names returns the names of the scenarios embedded in the program.
+// Names returns the names of the embedded scenarios.
 func Names() []string {
 	entries, _ := embedded.ReadDir("embedded")
 	names := make([]string, len(entries))
@@ -25,7 +25,8 @@
 	return names
 }
 
-// Load reads and checks a scenario: one of Names, or a file. Errors of the content are tomlfile.Faults.
+// Load reads and checks a scenario. name is one of Names, or the path of a file. Errors in the content are returned as
+// tomlfile.Faults.
 func Load(name string) (*Scenario, error) {
 	if slices.Contains(Names(), name) {
 		text, err := embedded.ReadFile(path.Join("embedded", name+".toml"))
@@ -35,7 +36,7 @@
 		return Parse(name+".toml", text)
 	}
 	if !strings.ContainsAny(name, "./") {
-		return nil, fmt.Errorf("no scenario %q: there are %s, and files", name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("no scenario %q: want one of %s, or the path of a file", name, strings.Join(Names(), ", "))
 	}
 	text, err := tomlfile.Read(name)
 	if err != nil {
@@ -44,15 +45,16 @@
 	return Parse(name, text)
 }
 
-// Parse reads and checks a scenario in a text, over the base that it names. name is the file in errors.
+// Parse reads and checks a scenario from a text. Settings that the text omits are taken from its base scenario, if it names
+// one. name is the file name in errors.
 func Parse(name string, text []byte) (*Scenario, error) {
 	s := &Scenario{}
-	var b struct{ Base string }
-	if toml.Unmarshal(text, &b) == nil && b.Base != "" {
-		if !slices.Contains(Names(), b.Base) || b.Base+".toml" == name {
-			return nil, tomlfile.Faults{{File: name, Line: 1, Why: fmt.Sprintf("no base %q: there are %s", b.Base, strings.Join(Names(), ", "))}}
+	var header struct{ Base string }
+	if toml.Unmarshal(text, &header) == nil && header.Base != "" {
+		if !slices.Contains(Names(), header.Base) || header.Base+".toml" == name {
+			return nil, tomlfile.Faults{{File: name, Line: 1, Why: fmt.Sprintf("unknown base %q: want one of %s", header.Base, strings.Join(Names(), ", "))}}
 		}
-		base, err := Load(b.Base)
+		base, err := Load(header.Base)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario holds what the testbed runs: a deployment of stand-ins, its load and the faults applied to it, read from
-// a TOML file. Commands call Load or Parse, which set defaults and check the whole file; the testbed only reads the result.
-// The package is data and checks, without state of its own. Files call servers boxes.
+// Package scenario defines the scenarios of the testbed: a deployment of nodes and stand-ins, its load and the faults
+// applied to it. A scenario is read from a TOML file. Commands call Load or Parse, which set defaults and check the whole
+// file; the testbed only reads the result. The package holds no state. Servers are called boxes in the files.
 package scenario
 
 import (
@@ -10,17 +10,17 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// Span is a duration in a file, with its unit.
+// Span is a duration in a scenario file, written with its unit.
 type Span = tomlfile.Duration
 
-// Scenario is the content of one file.
+// Scenario is the content of one scenario file.
 type Scenario struct {
 	Name  string `toml:"name"`
 	About string `toml:"about"`
-	// Base is a scenario of Names whose settings hold where this one sets none; its faults do not.
+	// Base names an embedded scenario whose settings are the defaults of this one. Its faults are not inherited.
 	Base string `toml:"base"`
 	Seed uint64 `toml:"seed"`
-	// Length is how long requests arrive. The run ends when the last has ended.
+	// Length is the time during which requests arrive. The run ends when the last request has ended.
 	Length    Span          `toml:"length"`
 	Sites     []string      `toml:"sites"`
 	Nodes     Nodes         `toml:"nodes"`
@@ -38,188 +38,188 @@
 	Discovery Discovery     `toml:"discovery"`
 	Rules     Rules         `toml:"rules"`
 	Faults    []Fault       `toml:"faults"`
-	// Operators are operator's files. Nodes start with the first; each reload takes the next.
+	// Operators are contents of the operator's file. Nodes start with the first one; each reload uses the next.
 	Operators []string `toml:"operators"`
-	// Pairings runs the scenario with each pair of protocols of clients and servers, HTTP to HTTP first.
+	// Pairings runs the scenario with each combination of client and server protocol, HTTP to HTTP first.
 	Pairings bool `toml:"pairings"`
-	// Baselines are policies to compare with on the same schedule, unless the command names some.
+	// Baselines are the policies to compare with on the same schedule, unless the command specifies others.
 	Baselines []string `toml:"baselines"`
 }
 
-// Nodes are the processes under test, distributed over the sites in turn.
+// Nodes configures the processes under test, which are distributed over the sites round-robin.
 type Nodes struct {
 	Count       int     `toml:"count"`
-	Cores       float64 `toml:"cores"` // that each may use
+	Cores       float64 `toml:"cores"` // CPU limit of each
 	MemoryMB    int     `toml:"memory_mb"`
 	Sockets     int     `toml:"sockets"`
-	CrashNotice Span    `toml:"notice"` // until the connection balancer notices that one has crashed
+	CrashNotice Span    `toml:"notice"` // time in which the connection balancer detects a crashed node
 }
 
-// Planners configures the planners; without any, each node decides by itself.
+// Planners configures the planners. Without planners each node decides without a plan.
 type Planners struct {
 	Count    int  `toml:"count"`
-	Interval Span `toml:"every"` // between two plans
+	Interval Span `toml:"every"` // between plans
 }
 
-// Peers configures the replication of journals between nodes, if there are replicas. Each node is a machine of its own.
+// Peers configures the replication of journals between nodes, if there are replicas. Each node is a separate machine.
 type Peers struct {
-	Replicas    int  `toml:"replicas"`     // of each journal, on other nodes
-	SlowAfter   Span `toml:"slow_after"`   // until a slow replica is replaced by another
-	RepairBytes int  `toml:"repair_bytes"` // per second that a node copies to others in repairs
-	Before      int  `toml:"before"`       // entries of an earlier run in the first node's journal, without replicas
+	Replicas    int  `toml:"replicas"`     // of each journal, at other nodes
+	SlowAfter   Span `toml:"slow_after"`   // delay after which a slow replica is replaced
+	RepairBytes int  `toml:"repair_bytes"` // bytes per second that a node sends to others in repairs
+	Before      int  `toml:"before"`       // unreplicated entries of an earlier run in the first node's journal
 }
 
-// Journal configures the nodes' journals of non-idempotent requests; without a promise there are nchanged.
+// Journal configures the nodes' journals of non-idempotent requests. Without a promise there are no journals.
 type Journal struct {
 	Promise     string `toml:"promise"`      // process, machine or machines
 	WhenFailing string `toml:"when_failing"` // deny or serve
-	MaxWait     Span   `toml:"wait_most"`
+	MaxWait     Span   `toml:"wait_most"`    // of a request for its record to be stored
 }
 
-// Registry configures a registry of ephemeral nodes in the place of discovery, if it has addresses.
+// Registry configures a registry of ephemeral nodes that replaces discovery, if it has addresses.
 type Registry struct {
 	Addresses int  `toml:"addresses"`
-	Session   Span `toml:"session"` // of servers and nodes
+	Session   Span `toml:"session"` // session timeout of servers and nodes
 }
 
-// Lists configures which servers nodes know when they start.
+// EndpointLists configures the endpoint list with which nodes start.
 type EndpointLists struct {
-	Start string `toml:"start"` // known: discovery's present list; kept: their stored list; none
+	Start string `toml:"start"` // known (discovery's current list), kept (the stored list) or none
 	Age   Span   `toml:"age"`   // added to the age of a stored list
 }
 
-// Servers configures the servers of one kind, distributed over the sites in turn.
+// Servers configures the servers of one kind, which are distributed over the sites round-robin.
 type Servers struct {
 	Kind              string  `toml:"kind"`
 	Count             int     `toml:"count"`
 	Cores             int     `toml:"cores"`
-	Speed             float64 `toml:"speed"` // of a core; work is stated for speed 1
-	Queue             int     `toml:"queue"` // requests that may wait
+	Speed             float64 `toml:"speed"` // of a core; Type.Work is the work at speed 1
+	Queue             int     `toml:"queue"` // requests that can wait
 	Connections       int     `toml:"connections"`
-	Handshake         Span    `toml:"handshake"`   // work for each new connection
-	SlowStartCapacity float64 `toml:"cold_share"`  // of its capacity at the begin of slow start
-	SlowStartDuration Span    `toml:"cold_for"`    // length of slow start
-	CacheGain         float64 `toml:"key_gain"`    // share of work that is saved for a cached key
-	CacheDuration     Span    `toml:"key_for"`     // how long a key is cached
-	CacheSize         int     `toml:"keys"`        // cached keys at most
-	FastCGI           bool    `toml:"fastcgi"`     // servers speak FastCGI, not HTTP
-	RejectsExpired    bool    `toml:"drops"`       // requests whose timeout passed in the queue are rejected
-	GroupSize         int     `toml:"group_size"`  // servers of a cell, which share idempotency keys; 0: all are one cell
-	ErrorRate         float64 `toml:"error_rate"`  // share answered with 500 after their work
-	PauseEvery        Span    `toml:"pause_every"` // interval of pauses of the process; 0: none
+	Handshake         Span    `toml:"handshake"`   // work of each new connection
+	SlowStartCapacity float64 `toml:"cold_share"`  // share of the capacity at the start of slow start
+	SlowStartDuration Span    `toml:"cold_for"`    // duration of slow start
+	CacheGain         float64 `toml:"key_gain"`    // share of the work that a cached key saves
+	CacheDuration     Span    `toml:"key_for"`     // time for which a key is cached
+	CacheSize         int     `toml:"keys"`        // maximum number of cached keys
+	FastCGI           bool    `toml:"fastcgi"`     // servers speak FastCGI instead of HTTP
+	RejectsExpired    bool    `toml:"drops"`       // requests whose timeout expired in the queue are rejected
+	GroupSize         int     `toml:"group_size"`  // servers in a cell, which share idempotency keys; 0: all servers are one cell
+	ErrorRate         float64 `toml:"error_rate"`  // share of requests answered with status 500 after their work
+	PauseEvery        Span    `toml:"pause_every"` // interval between pauses of the process; 0: no pauses
 	PauseFor          Span    `toml:"pause_for"`
 }
 
 // Type is a traffic type.
 type Type struct {
 	Name                 string  `toml:"name"`
-	Path                 string  `toml:"path"` // of its requests; by default the name, twice
+	Path                 string  `toml:"path"` // of its requests; default: /NAME/NAME
 	Share                float64 `toml:"share"`
-	Work                 Span    `toml:"work"` // mean, on a core of speed 1
+	Work                 Span    `toml:"work"` // mean service time on a core of speed 1
 	WorkDistribution     string  `toml:"dist"` // constant, exp or lognormal
-	VariationCoefficient float64 `toml:"cv"`   // of lognormal
+	VariationCoefficient float64 `toml:"cv"`   // coefficient of variation of lognormal
 	LatencyObjective     Span    `toml:"target"`
 	AbandonTime          Span    `toml:"abandon"`
 	Revenue              float64 `toml:"revenue"`
 	Repeat               string  `toml:"repeat"` // retriable (idempotent), fingerprinted (with a key) or binding (non-idempotent)
-	KeyScope             string  `toml:"group"`  // of a keyed type: all, zone or cell
-	KeyRetention         Span    `toml:"window"` // for which servers drop repeats of a key
-	// Sites and kinds of server that it may be sent to; left out, all.
+	KeyScope             string  `toml:"group"`  // scope of idempotency keys: all, zone or cell
+	KeyRetention         Span    `toml:"window"` // time for which servers drop repeats of a key
+	// Sites and kinds of servers that its requests may be sent to; absent: all.
 	OnlySites []string `toml:"only_sites"`
 	OnlyKinds []string `toml:"only_kinds"`
 }
 
-// Tenant is a group of clients with an allowance.
+// Tenant is a group of clients with a rate allowance.
 type Tenant struct {
 	Name      string  `toml:"name"`
 	Share     float64 `toml:"share"`     // of the traffic
-	Allowance float64 `toml:"allowance"` // requests per second; those beyond have less revenue. 0: unlimited
+	Allowance float64 `toml:"allowance"` // requests per second; requests beyond it earn less revenue. 0: unlimited
 }
 
-// Traffic configures how requests arrive.
+// Traffic configures the arrival of requests.
 type Traffic struct {
 	Rate           float64 `toml:"rate"`   // requests per second
 	Shape          string  `toml:"shape"`  // constant, poisson, bursts, ramp or wave
-	Swing          float64 `toml:"swing"`  // share of the rate by which bursts, ramp and wave differ from it
+	Swing          float64 `toml:"swing"`  // amplitude of bursts, ramp and wave as a share of the rate
 	Period         Span    `toml:"period"` // of bursts and wave
-	Keys           int     `toml:"keys"`   // distinct ones; 0: requests carry none
-	Zipf           float64 `toml:"zipf"`   // exponent of the keys' popularity
-	Skew           float64 `toml:"skew"`   // share of the traffic that the first site has beyond its even part
-	Trace          string  `toml:"trace"`  // file of a recorded trace in the place of drawn requests
-	OverageRevenue float64 `toml:"over"`   // share of its revenue that a request beyond its tenant's allowance has
+	Keys           int     `toml:"keys"`   // number of distinct affinity keys; 0: requests have none
+	Zipf           float64 `toml:"zipf"`   // exponent of the Zipf distribution of keys
+	Skew           float64 `toml:"skew"`   // share of the traffic that goes to the first site before the rest is divided evenly
+	Trace          string  `toml:"trace"`  // file with a recorded trace that replaces the drawn schedule
+	OverageRevenue float64 `toml:"over"`   // share of its revenue that a request beyond its tenant's allowance earns
 }
 
-// Clients configures clients that retry and give up.
+// Clients configures timeouts, retries and disconnects of clients.
 type Clients struct {
 	Retries        int     `toml:"retries"`
 	Backoff        Span    `toml:"backoff"`
-	TimeoutShare   float64 `toml:"gives_up"` // share of the abandon time that is the client's timeout
-	FastCGI        bool    `toml:"fastcgi"`  // clients speak FastCGI, not HTTP
-	DoublesBackoff bool    `toml:"doubling"` // each backoff is twice the one before
-	// Leaves is the share of requests whose clients disconnect, after LeavesAt of the abandon time, and do not retry.
-	// Half of them have sent bytes behind their request.
+	TimeoutShare   float64 `toml:"gives_up"` // client's timeout as a share of the abandon time
+	FastCGI        bool    `toml:"fastcgi"`  // clients speak FastCGI instead of HTTP
+	DoublesBackoff bool    `toml:"doubling"` // each backoff is twice the previous one
+	// DisconnectShare is the share of requests whose clients disconnect, after DisconnectAfter of the abandon time, and do
+	// not retry. Half of these clients pipeline bytes after the request.
 	DisconnectShare float64 `toml:"leaves"`
 	DisconnectAfter float64 `toml:"leaves_at"`
 }
 
-// Net configures the latency between sites.
+// Net configures the latency of links to servers.
 type Net struct {
-	Cross Span `toml:"cross"` // one way, between two sites
-	Same  Span `toml:"same"`
+	Cross Span `toml:"cross"` // one way, between different sites
+	Same  Span `toml:"same"`  // one way, within a site
 }
 
-// Discovery configures the stand-in of discovery.
+// Discovery configures the discovery stand-in.
 type Discovery struct {
-	Notice       Span    `toml:"notice"`        // until it knows of an announced drain or end
-	SilentNotice Span    `toml:"silent_notice"` // until it notices a crash
-	Add          Span    `toml:"add"`           // until it knows of a start
-	Spread       Span    `toml:"spread"`        // over which the notifications of a change are spread
+	Notice       Span    `toml:"notice"`        // time in which it detects an announced drain or exit
+	SilentNotice Span    `toml:"silent_notice"` // time in which it detects a crash
+	Add          Span    `toml:"add"`           // time in which it detects a start
+	Spread       Span    `toml:"spread"`        // time over which the notifications of a change are spread
 	LinesPerS    float64 `toml:"lines_per_s"`
 	CallLines    float64 `toml:"call_lines"`
 	Timeout      Span    `toml:"timeout"`
 }
 
-// Rules configures the limits that the audit checks and nodes keep.
+// Rules configures the limits that the audit checks and nodes comply with.
 type Rules struct {
 	DrainGrace     Span    `toml:"drain_grace"`
-	DrainClose     Span    `toml:"drain_close"` // until idle connections to a draining server must be closed; 0: not required
+	DrainClose     Span    `toml:"drain_close"` // time within which idle connections to a draining server must be closed; 0: no limit
 	OverloadFactor float64 `toml:"fall_multiple"`
 	OverloadWindow Span    `toml:"fall_window"`
 	MaxAttempts    int     `toml:"most_hops"`
 	AskWithin      Span    `toml:"ask_within"`
 	AllowsHedging  bool    `toml:"copies"` // hedged requests are allowed
-	Slack          Span    `toml:"slack"`  // added to each limit, for scheduling delay of the machine
+	Slack          Span    `toml:"slack"`  // added to each limit to allow for scheduling delays
 }
 
-// Fault is a fault that is applied at a given time. FaultKinds says what Size and Share mean.
+// Fault is a fault that is applied at a given time. FaultKinds defines the meaning of Size and Share for each kind.
 type Fault struct {
 	Kind    string   `toml:"kind"`
 	At      Span     `toml:"at"`
 	For     Span     `toml:"for"`
-	Servers []string `toml:"boxes"` // names: kind-number, from 0
-	Share   float64  `toml:"share"` // of the servers or nodes in the place of names, or of requests or traffic
+	Servers []string `toml:"boxes"` // names, KIND-NUMBER; numbers start at 0
+	Share   float64  `toml:"share"` // of the servers or nodes, if none is named, or of requests or traffic
 	Nodes   []int    `toml:"nodes"`
-	// Planners are numbers of planners; none: all.
+	// Planners are numbers of planners; empty: all.
 	Planners []int `toml:"planners"`
-	// Half is which nodes a fault of planners concerns: those with even (0) or odd (1) numbers.
+	// Half selects the nodes that a fault of planners affects: even (0) or odd (1) numbers.
 	Half int     `toml:"half"`
 	Site string  `toml:"site"`
 	Size float64 `toml:"size"` // in the unit of the kind
-	// When delays a fault until the Nth frame of this kind, one of FrameKinds, from or to the first of its nodes. The fault
-	// is applied before the frame is forwarded.
+	// When delays the fault until the Nth frame of this kind, one of FrameKinds, from or to the first of Nodes. The fault is
+	// applied before the frame is forwarded.
 	When string `toml:"when"`
 	Nth  int    `toml:"nth"`
 }
 
-// FrameKinds are the frames between nodes that When may name.
+// FrameKinds lists the kinds of frames between nodes that Fault.When may name.
 var FrameKinds = []string{"beat", "news", "ask", "tell", "offer", "have", "batch", "ack"}
 
 // End returns when the fault ends.
 func (f Fault) End() time.Duration { return f.At.Std() + f.For.Std() }
 
 // Scale multiplies the length of the scenario and the times of its faults.
-func (s *Scenario) Scale(by float64) {
-	scale := func(d *Span) { *d = Span(float64(*d) * by) }
+func (s *Scenario) Scale(factor float64) {
+	scale := func(d *Span) { *d = Span(float64(*d) * factor) }
 	scale(&s.Length)
 	for i := range s.Faults {
 		scale(&s.Faults[i].At)
@@ -227,7 +227,7 @@
 	}
 }
 
-// WithDiscovery returns the scenario with discovery in the place of the registry, on the same load and without the
+// WithDiscovery returns the scenario with discovery instead of the registry, with the same load and without the
 // registry's faults.
 func (s *Scenario) WithDiscovery() *Scenario {
 	changed := s.without(registry)
@@ -235,31 +235,31 @@
 	return changed
 }
 
-// WithStartLists returns the scenario with another Lists.Start.
+// WithStartLists returns the scenario with the given value of Lists.Start.
 func (s *Scenario) WithStartLists(start string) *Scenario {
 	changed := *s
 	changed.Lists = EndpointLists{Start: start}
 	return &changed
 }
 
-// WithoutPlanners returns the scenario without planners and their faults, on the same load.
+// WithoutPlanners returns the scenario without planners and their faults, with the same load.
 func (s *Scenario) WithoutPlanners() *Scenario {
 	changed := s.without(planners)
 	changed.Planners = Planners{}
 	return changed
 }
 
-// without returns the scenario without the faults of a target.
+// without returns the scenario without the faults of one target.
 func (s *Scenario) without(removed target) *Scenario {
 	changed := *s
 	changed.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(f Fault) bool {
-		k, _ := KindOf(f.Kind)
-		return k.target == removed
+		kind, _ := KindOf(f.Kind)
+		return kind.target == removed
 	})
 	return &changed
 }
 
-// WithFastCGI returns the scenario with clients and servers that speak FastCGI, or HTTP.
+// WithFastCGI returns the scenario with clients and servers that speak FastCGI, or HTTP if the argument is false.
 func (s *Scenario) WithFastCGI(clients, servers bool) *Scenario {
 	changed := *s
 	changed.Clients.FastCGI = clients
