--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -1,6 +1,7 @@
-// Package baseline holds policies for the testbed in the place of the project's own: simple ones to compare results with,
-// and broken ones that show that the audit finds each violation. Nodes of the testbed create them by Find; none is used
-// in production. A decider is driven by its engine, from one goroutine at a time.
+// Package baseline contains alternative policies for nodes in the testbed: simple ones, whose results are compared with
+// those of the project's policy, and broken ones, which show that the audit detects each kind of violation. Nodes of the
+// testbed create them with Find; production nodes do not use them. A decider is called by its engine, from one goroutine
+// at a time.
 package baseline
 
 import (
@@ -14,17 +15,17 @@
 )
 
 const (
-	sweepInterval       = 20 * time.Millisecond  // of checks of open requests
-	resubscribeDelay    = time.Second            // after discovery was unavailable
-	sendBeforeTimeout   = 100 * time.Millisecond // when "deaf" sends, before the client's timeout
-	lateDelay           = 400 * time.Millisecond // when "late" answers, after the client's timeout and any slack
-	answerBeforeTimeout = 5 * time.Millisecond   // before the client's timeout, when a request is answered at the latest
+	sweepInterval       = 20 * time.Millisecond  // between checks of open requests
+	resubscribeDelay    = time.Second            // after discovery became unavailable
+	sendBeforeTimeout   = 100 * time.Millisecond // time before the client's timeout at which "deaf" sends
+	lateDelay           = 400 * time.Millisecond // time after the client's timeout, beyond any slack, at which "late" answers
+	answerBeforeTimeout = 5 * time.Millisecond   // time before the client's timeout by which each request must be answered
 )
 
-// Names lists the baselines.
+// Names lists the baseline policies.
 var Names = []string{"random", "round-robin", "least-in-flight", "two-choices"}
 
-// Broken maps each broken policy to the rule that the audit must find violated.
+// Broken maps the name of each broken policy to the name of the rule that the audit must report as violated.
 var Broken = map[string]string{
 	"silent":           "answered",
 	"late":             "answered",
@@ -40,21 +41,22 @@
 	"hoards":           "closing",
 }
 
-// Find returns the factory of a baseline, a broken policy or the project's own; ok is false for any other name.
+// Find returns the factory of a baseline, of a broken policy, or of the project's policy if name is "" or "fernvane". ok is
+// false for an unknown name.
 func Find(name string) (factory engine.DeciderFactory, ok bool) {
-	_, broken := Broken[name]
+	_, isBroken := Broken[name]
 	switch {
 	case name == "" || name == "fernvane":
 		return engine.NewPolicy, true
-	case broken || slices.Contains(Names, name):
+	case isBroken || slices.Contains(Names, name):
 		return func(s policy.Settings, seed uint32) engine.Decider {
-			return &decider{settings: s, seed: seed, name: name, isBroken: broken}
+			return &decider{settings: s, seed: seed, name: name, isBroken: isBroken}
 		}, true
 	}
 	return nil, false
 }
 
-// request is the state of a request.
+// request is the state of a client request.
 type request struct {
 	isOpen        bool
 	isInFlight    bool
@@ -81,7 +83,7 @@
 	ready        []bool
 	zone         []int
 	cell         []int
-	machine      []int // kind of machine
+	machine      []int // machine kind
 	started      []time.Duration
 	inFlight     []int
 	next         int
@@ -89,11 +91,11 @@
 	subscribeAt  time.Duration
 }
 
-// breaks reports whether this is the broken policy of a name.
-func (d *decider) isBrokenPolicy(broken string) bool { return d.isBroken && d.name == broken }
+// isBrokenPolicy reports whether this is the broken policy with the given name.
+func (d *decider) isBrokenPolicy(name string) bool { return d.isBroken && d.name == name }
 
-// chance returns the next random number in [0, 1).
-func (d *decider) chance() float64 {
+// randomFloat returns the next pseudo-random number in [0, 1).
+func (d *decider) randomFloat() float64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint32(b[:4], d.seed)
 	binary.LittleEndian.PutUint32(b[4:], d.draws)
@@ -101,10 +103,10 @@
 	return float64(crc32.ChecksumIEEE(b[:])) / (1 << 32)
 }
 
-// emit adds an effect.
+// emit appends an effect to the effects of the current input.
 func (d *decider) emit(e policy.Effect) { d.effects = append(d.effects, e) }
 
-// Handle decides on one input.
+// Handle processes one input and returns effects with the resulting effects appended.
 func (d *decider) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
 	d.now, d.effects = now, effects
 	switch in.Kind {
@@ -124,151 +126,151 @@
 	return d.effects
 }
 
-// requestArrived sends a new request or rejects it.
+// requestArrived sends the first attempt of a new request, or rejects the request.
 func (d *decider) requestArrived(in *policy.Input) {
 	for in.Request >= len(d.requests) {
 		d.requests = append(d.requests, request{})
 	}
 	t := &d.settings.TrafficTypes[in.TrafficType]
-	o := &d.requests[in.Request]
-	*o = request{isOpen: true, typeIndex: in.TrafficType, attempts: o.attempts[:0], possiblyRanAt: -1, limit: d.now + in.Timeout,
+	r := &d.requests[in.Request]
+	*r = request{isOpen: true, typeIndex: in.TrafficType, attempts: r.attempts[:0], possiblyRanAt: -1, limit: d.now + in.Timeout,
 		target: d.now + min(t.LatencyObjective, in.Timeout)}
-	if d.isBrokenPolicy("silent") && d.chance() < 0.05 || d.isBrokenPolicy("late") && d.chance() < 0.05 {
-		o.isInFlight = true // as if an attempt were in flight without an outcome
+	if d.isBrokenPolicy("silent") && d.randomFloat() < 0.05 || d.isBrokenPolicy("late") && d.randomFloat() < 0.05 {
+		r.isInFlight = true // as if an attempt were in flight that never ends
 		return
 	}
-	if d.isBrokenPolicy("deaf") && d.chance() < 0.3 {
-		o.target = o.limit
-		return // it is sent shortly before the timeout, whether or not its client is connected
+	if d.isBrokenPolicy("deaf") && d.randomFloat() < 0.3 {
+		r.target = r.limit
+		return // sweep sends it shortly before the timeout, even if the client has disconnected
 	}
 	if !d.send(in.Request) {
 		d.reject(in.Request)
 	}
 }
 
-// reject rejects a request.
+// reject answers a request with a rejection, which the client may retry.
 func (d *decider) reject(request int) {
 	d.requests[request].isOpen = false
 	d.emit(policy.Effect{Kind: policy.Reject, Request: request})
 }
 
-// fail fails a request whose outcome is unknown.
+// fail answers a request whose outcome is unknown with a failure.
 func (d *decider) fail(request int) {
 	d.requests[request].isOpen = false
 	d.emit(policy.Effect{Kind: policy.Fail, Request: request})
 }
 
-// send sends an attempt if there is a server that the request may be sent to.
+// send sends an attempt to one of the servers that the request may be sent to. It returns false if there is none.
 func (d *decider) send(request int) bool {
-	o := &d.requests[request]
-	fits := make([]int, 0, len(d.ready))
+	r := &d.requests[request]
+	candidates := make([]int, 0, len(d.ready))
 	for s, ready := range d.ready {
-		if ready && !slices.Contains(o.attempts, s) && d.inGroup(o, s) && d.mayPlace(o, s) {
-			fits = append(fits, s)
+		if ready && !slices.Contains(r.attempts, s) && d.inGroup(r, s) && d.mayPlace(r, s) {
+			candidates = append(candidates, s)
 		}
 	}
-	if len(fits) == 0 {
+	if len(candidates) == 0 {
 		return false
 	}
-	s := d.choose(fits)
-	o.attempts = append(o.attempts, s)
-	o.isInFlight = true
+	s := d.choose(candidates)
+	r.attempts = append(r.attempts, s)
+	r.isInFlight = true
 	d.inFlight[s]++
-	d.emit(policy.Effect{Kind: policy.SendAttempt, Request: request, Server: s, Duration: max(o.target-d.now, time.Millisecond)})
+	d.emit(policy.Effect{Kind: policy.SendAttempt, Request: request, Server: s, Duration: max(r.target-d.now, time.Millisecond)})
 	return true
 }
 
-// mayPlace reports whether a request's type may be sent to a server.
-func (d *decider) mayPlace(o *request, s int) bool {
-	for i, to := range d.settings.Placements {
-		bound := d.settings.TrafficTypes[o.typeIndex].PlacementBit&(1<<i) != 0 && !d.isBrokenPolicy("misplaces")
-		if bound && (to.Zones != nil && !slices.Contains(to.Zones, d.zone[s]) || to.MachineKinds != nil && !slices.Contains(to.MachineKinds, d.machine[s])) {
+// mayPlace reports whether the request's type allows a server.
+func (d *decider) mayPlace(r *request, s int) bool {
+	for i, placement := range d.settings.Placements {
+		isRestricted := d.settings.TrafficTypes[r.typeIndex].PlacementBit&(1<<i) != 0 && !d.isBrokenPolicy("misplaces")
+		if isRestricted && (placement.Zones != nil && !slices.Contains(placement.Zones, d.zone[s]) || placement.MachineKinds != nil && !slices.Contains(placement.MachineKinds, d.machine[s])) {
 			return false
 		}
 	}
 	return true
 }
 
-// inGroup reports whether a server is in the key scope of the attempt that may have run.
-func (d *decider) inGroup(o *request, s int) bool {
-	if o.possiblyRanAt < 0 || d.settings.TrafficTypes[o.typeIndex].Idempotency != policy.IdempotentWithKey || d.isBrokenPolicy("wrong-group") {
+// inGroup reports whether a server shares idempotency keys with the server of the attempt that may have run.
+func (d *decider) inGroup(r *request, s int) bool {
+	if r.possiblyRanAt < 0 || d.settings.TrafficTypes[r.typeIndex].Idempotency != policy.IdempotentWithKey || d.isBrokenPolicy("wrong-group") {
 		return true
 	}
-	switch d.settings.TrafficTypes[o.typeIndex].KeyScope {
+	switch d.settings.TrafficTypes[r.typeIndex].KeyScope {
 	case policy.KeyScopeZone:
-		return d.zone[s] == d.zone[o.possiblyRanAt]
+		return d.zone[s] == d.zone[r.possiblyRanAt]
 	case policy.KeyScopeCell:
-		return d.cell[s] == d.cell[o.possiblyRanAt]
+		return d.cell[s] == d.cell[r.possiblyRanAt]
 	}
 	return true
 }
 
-// choose returns one of the servers that fit, which are in ascending order.
-func (d *decider) choose(fits []int) int {
-	any := func() int { return fits[int(d.chance()*float64(len(fits)))] }
+// choose selects one of the candidate servers, which are in ascending order.
+func (d *decider) choose(candidates []int) int {
+	anyCandidate := func() int { return candidates[int(d.randomFloat()*float64(len(candidates)))] }
 	switch d.name {
 	case "random":
-		return any()
+		return anyCandidate()
 	case "two-choices":
-		a, b := any(), any()
+		a, b := anyCandidate(), anyCandidate()
 		if d.inFlight[b] < d.inFlight[a] {
 			return b
 		}
 		return a
 	case "least-in-flight":
-		best, from := -1, int(d.chance()*float64(len(fits)))
-		for i := range fits {
-			if s := fits[(from+i)%len(fits)]; best < 0 || d.inFlight[s] < d.inFlight[best] {
+		best, first := -1, int(d.randomFloat()*float64(len(candidates)))
+		for i := range candidates {
+			if s := candidates[(first+i)%len(candidates)]; best < 0 || d.inFlight[s] < d.inFlight[best] {
 				best = s
 			}
 		}
 		return best
 	case "floods-cold":
-		return slices.MaxFunc(fits, func(a, b int) int { return int(d.started[a] - d.started[b]) })
+		return slices.MaxFunc(candidates, func(a, b int) int { return int(d.started[a] - d.started[b]) })
 	}
-	i, _ := slices.BinarySearch(fits, d.next)
-	s := fits[i%len(fits)]
+	i, _ := slices.BinarySearch(candidates, d.next)
+	s := candidates[i%len(candidates)]
 	d.next = s + 1
 	return s
 }
 
-// attemptEnded retries or answers a request after an attempt.
+// attemptEnded retries a request after an attempt, or answers it.
 func (d *decider) attemptEnded(in *policy.Input) {
 	d.inFlight[in.Server]--
-	o := &d.requests[in.Request]
-	o.isInFlight = false
-	ran := in.Outcome != policy.Overloaded && in.Outcome != policy.Unreachable && in.Outcome != policy.NotStarted
-	if ran && o.possiblyRanAt < 0 {
-		o.possiblyRanAt, o.firstRunAt = in.Server, d.now-in.Elapsed
+	r := &d.requests[in.Request]
+	r.isInFlight = false
+	mayHaveRun := in.Outcome != policy.Overloaded && in.Outcome != policy.Unreachable && in.Outcome != policy.NotStarted
+	if mayHaveRun && r.possiblyRanAt < 0 {
+		r.possiblyRanAt, r.firstRunAt = in.Server, d.now-in.Elapsed
 	}
-	if !o.isOpen || in.Outcome == policy.Success || in.ClientAnswered {
-		o.isOpen = false
+	if !r.isOpen || in.Outcome == policy.Success || in.ClientAnswered {
+		r.isOpen = false
 		return
 	}
-	t := &d.settings.TrafficTypes[o.typeIndex]
-	may := o.possiblyRanAt < 0 || t.Idempotency == policy.Idempotent || d.isBrokenPolicy("repeats-binding") ||
-		t.Idempotency == policy.IdempotentWithKey && (d.now < o.firstRunAt+t.KeyRetention-2*sweepInterval || d.isBrokenPolicy("past-window"))
-	most := d.settings.MaxAttempts
+	t := &d.settings.TrafficTypes[r.typeIndex]
+	mayRetry := r.possiblyRanAt < 0 || t.Idempotency == policy.Idempotent || d.isBrokenPolicy("repeats-binding") ||
+		t.Idempotency == policy.IdempotentWithKey && (d.now < r.firstRunAt+t.KeyRetention-2*sweepInterval || d.isBrokenPolicy("past-window"))
+	maxAttempts := d.settings.MaxAttempts
 	if d.isBrokenPolicy("too-many-hops") {
-		most = 1 << 30
+		maxAttempts = 1 << 30
 	}
-	if may && len(o.attempts) < most && d.now < o.target && d.send(in.Request) {
+	if mayRetry && len(r.attempts) < maxAttempts && d.now < r.target && d.send(in.Request) {
 		return
 	}
-	if d.isSafeToRetry(o) || d.isBrokenPolicy("denies-after-run") {
+	if d.isSafeToRetry(r) || d.isBrokenPolicy("denies-after-run") {
 		d.reject(in.Request)
 	} else {
 		d.fail(in.Request)
 	}
 }
 
-// isSafeToRetry reports whether a rejected request may be retried by the client.
-func (d *decider) isSafeToRetry(o *request) bool {
-	t := &d.settings.TrafficTypes[o.typeIndex]
-	return o.possiblyRanAt < 0 && !o.isInFlight || t.Idempotency == policy.Idempotent || t.Idempotency == policy.IdempotentWithKey && t.KeyScope == policy.KeyScopeAll
+// isSafeToRetry reports whether the client may safely retry the request after a rejection.
+func (d *decider) isSafeToRetry(r *request) bool {
+	t := &d.settings.TrafficTypes[r.typeIndex]
+	return r.possiblyRanAt < 0 && !r.isInFlight || t.Idempotency == policy.Idempotent || t.Idempotency == policy.IdempotentWithKey && t.KeyScope == policy.KeyScopeAll
 }
 
-// endpointsUpdated takes over an endpoint list.
+// endpointsUpdated applies an update of the endpoint list.
 func (d *decider) endpointsUpdated(in *policy.Input) {
 	if in.Scope == policy.Unavailable {
 		d.isSubscribed, d.subscribeAt = false, d.now+resubscribeDelay
@@ -277,40 +279,40 @@
 	if in.Scope != policy.Incremental && !d.isBrokenPolicy("ignores-drains") {
 		clear(d.ready)
 	}
-	for _, l := range in.Endpoints {
-		for l.Server >= len(d.ready) {
+	for _, endpoint := range in.Endpoints {
+		for endpoint.Server >= len(d.ready) {
 			d.ready, d.inFlight = append(d.ready, false), append(d.inFlight, 0)
 			d.zone, d.cell, d.machine = append(d.zone, 0), append(d.cell, 0), append(d.machine, 0)
 			d.started = append(d.started, 0)
 		}
-		d.zone[l.Server], d.cell[l.Server], d.machine[l.Server] = l.Zone, l.Cell, l.MachineKind
-		if l.HasStartTime {
-			d.started[l.Server] = l.StartedAt
+		d.zone[endpoint.Server], d.cell[endpoint.Server], d.machine[endpoint.Server] = endpoint.Zone, endpoint.Cell, endpoint.MachineKind
+		if endpoint.HasStartTime {
+			d.started[endpoint.Server] = endpoint.StartedAt
 		} else {
-			d.started[l.Server] = -time.Hour
+			d.started[endpoint.Server] = -time.Hour
 		}
-		if l.Condition == policy.Up || !d.isBrokenPolicy("ignores-drains") {
-			d.ready[l.Server] = l.Condition == policy.Up
+		if endpoint.Condition == policy.Up || !d.isBrokenPolicy("ignores-drains") {
+			d.ready[endpoint.Server] = endpoint.Condition == policy.Up
 		}
 	}
 }
 
-// sweep answers requests near their timeout and subscribes to discovery.
+// sweep answers requests near their timeout, and subscribes to discovery if it is not subscribed.
 func (d *decider) sweep() {
 	d.emit(policy.Effect{Kind: policy.SetTimer, Duration: sweepInterval})
 	for i := range d.requests {
-		o := &d.requests[i]
-		limit := o.limit - answerBeforeTimeout - sweepInterval
-		if d.isBrokenPolicy("late") && len(o.attempts) == 0 {
-			limit = o.limit + lateDelay
+		r := &d.requests[i]
+		limit := r.limit - answerBeforeTimeout - sweepInterval
+		if d.isBrokenPolicy("late") && len(r.attempts) == 0 {
+			limit = r.limit + lateDelay
 		}
-		if d.isBrokenPolicy("deaf") && o.isOpen && len(o.attempts) == 0 && d.now >= limit-sendBeforeTimeout && d.send(i) {
+		if d.isBrokenPolicy("deaf") && r.isOpen && len(r.attempts) == 0 && d.now >= limit-sendBeforeTimeout && d.send(i) {
 			continue
 		}
-		if !o.isOpen || d.now < limit || d.isBrokenPolicy("silent") {
+		if !r.isOpen || d.now < limit || d.isBrokenPolicy("silent") {
 			continue
 		}
-		if d.isSafeToRetry(o) || len(o.attempts) == 0 {
+		if d.isSafeToRetry(r) || len(r.attempts) == 0 {
 			d.reject(i)
 		} else {
 			d.fail(i)
--- a/internal/testbed/baseline/retention.go
+++ b/internal/testbed/baseline/retention.go
@@ -2,8 +2,8 @@
 
 import "fernvane/internal/proxy/dispatch"
 
-// IdleRetention returns the retention of idle connections for a node with a policy: nil, which is the shipped one, except
-// for the broken policy that keeps connections to draining servers.
+// IdleRetention returns the retention of idle connections for a node with the named policy: nil, which selects the default,
+// except for the broken policy that keeps connections to draining servers open.
 func IdleRetention(policy string) dispatch.IdleRetention {
 	if Broken[policy] == "closing" {
 		return retainAll{}
@@ -11,7 +11,7 @@
 	return nil
 }
 
-// retainAll keeps every idle connection until it expires.
+// retainAll keeps each idle connection open until its idle timeout expires.
 type retainAll struct{}
 
 func (retainAll) MayIdle(bool) bool { return true }
--- a/internal/testbed/load/client.go
+++ b/internal/testbed/load/client.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	pickInterval = 2 * time.Millisecond // between calls of a Picker that knows no node
-	minTimeLeft  = 5 * time.Millisecond // of a client's timeout for which it still sends
+	pickInterval = 2 * time.Millisecond // between calls of Picker.Pick while no node is known to serve
+	minTimeLeft  = 5 * time.Millisecond // remaining client timeout below which a try is not sent
 )
 
-// clientRequest is what the tries of a request send.
+// clientRequest is the content that each try of a request sends.
 type clientRequest struct {
 	method          string
 	path            string
 	tenant          string
 	key             int
 	body            []byte
-	timeout         time.Duration // how long the client waits for an answer
-	disconnectAfter time.Duration // when the client disconnects; 0: it does not
-	pipelined       []byte        // sent behind the request by a client that disconnects
+	timeout         time.Duration // the client's timeout
+	disconnectAfter time.Duration // time after which the client disconnects; 0: it does not
+	pipelined       []byte        // bytes that a client sends after the request before it disconnects
 }
 
-// methods are those of a type by its idempotency, in the words of scenario files.
+// methods maps the idempotency of a type, as named in scenario files, to the method of its requests.
 var methods = map[string]string{"retriable": "GET", "fingerprinted": "PUT", "binding": "POST"}
 
 var body = []byte("what the client sends, as long as a short form filled in at a counter")
 
-// clientRequest returns what the tries of the request at a place of the schedule send.
-func (g *Generator) clientRequest(place int) *clientRequest {
+// clientRequest returns the content of the request with the given index in the schedule.
+func (g *Generator) clientRequest(index int) *clientRequest {
 	s := g.Scenario
-	scheduled := &g.Requests[place]
+	scheduled := &g.Requests[index]
 	requestType := &s.Types[scheduled.Type]
 	r := &clientRequest{
 		method:  methods[requestType.Repeat],
@@ -52,7 +52,7 @@
 	}
 	if scheduled.Disconnects {
 		r.disconnectAfter = time.Duration(s.Clients.DisconnectAfter * float64(requestType.AbandonTime))
-		if place%2 == 0 && !g.FastCGI {
+		if index%2 == 0 && !g.FastCGI {
 			r.pipelined = []byte("GET ")
 		}
 	}
@@ -62,7 +62,7 @@
 	return r
 }
 
-// message returns the message of a try.
+// message returns the message of a try with the given ID.
 func (r *clientRequest) message(id uint64) *message.Request {
 	m := &message.Request{Method: []byte(r.method), Target: []byte(r.path), Body: r.body}
 	add := func(name string, value []byte) {
@@ -79,17 +79,17 @@
 	return m
 }
 
-// runRequest sends tries of a request until it is handled, its retries are used up, or a failure forbids a
-// non-idempotent one to be sent again.
-func (g *Generator) runRequest(ctx context.Context, place int) {
+// runRequest sends tries of a request until it is handled, its retries are exhausted, or the outcome of a non-idempotent
+// request does not allow a retry.
+func (g *Generator) runRequest(ctx context.Context, index int) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	s := g.Scenario
-	scheduled := &g.Requests[place]
-	r := g.clientRequest(place)
+	scheduled := &g.Requests[index]
+	r := g.clientRequest(index)
 	var t Try
 	for n := 0; ; n++ {
-		t = Try{ID: ID(place, n), Request: place, Number: n}
+		t = Try{ID: ID(index, n), Request: index, Number: n}
 		g.sendTry(ctx, scheduled.Site, r, &t, s.Rules.Slack.Std())
 		g.watcher.Ended(&t)
 		g.recordTry(&t)
@@ -109,13 +109,13 @@
 	g.recordOutcome(scheduled, &t)
 }
 
-// mayRetry reports whether a client may send a request again after a try that was not handled.
+// mayRetry reports whether a client may retry a request after a try that was not handled.
 func mayRetry(requestType *scenario.Type, t *Try) bool {
 	return t.isRejected() || t.End == Unsent || requestType.Repeat != "binding"
 }
 
-// sendTry sends a try and waits for its end. For slack beyond the client's timeout it still waits for an answer, which
-// tells a late one from none.
+// sendTry sends a try and waits until it ends. It waits for an answer for slack beyond the client's timeout, to
+// distinguish a late answer from a missing one.
 func (g *Generator) sendTry(ctx context.Context, site int, r *clientRequest, t *Try, slack time.Duration) {
 	t.Sent = -1
 	deadline := time.Now().Add(r.timeout)
@@ -157,8 +157,8 @@
 	}
 }
 
-// exchange sends a try on a connection and receives its answer. isComplete says that the request was completely
-// written, sentAt when its writing ended; an error means that no answer came.
+// exchange sends a try on a connection and receives its answer. isComplete: the request was completely written. sentAt is
+// the time at which writing ended. An error means that no answer was received.
 func (g *Generator) exchange(c idleConn, r *clientRequest, t *Try, left time.Duration, site int) (isComplete bool, sentAt time.Time, err error) {
 	g.watcher.Sending(t)
 	c.tracked.hasRead = false
@@ -173,13 +173,13 @@
 	return true, sentAt, g.receiveAnswer(c, t, &g.pools[site])
 }
 
-// end records the end of a try at the present time.
+// end records that a try ended now.
 func (g *Generator) end(t *Try, end End) {
 	t.End = end
 	t.Ended = time.Since(g.start)
 }
 
-// endWithoutAnswer returns how a try without an answer ended.
+// endWithoutAnswer returns the End of a try without an answer.
 func endWithoutAnswer(isComplete bool, err error, disconnects bool) End {
 	switch {
 	case !isComplete:
@@ -218,7 +218,8 @@
 	return nil
 }
 
-// connection returns an idle connection, if one may be used, or a new one; ok is false if none is open by the deadline.
+// connection returns an idle connection, if mayBeIdle allows it and one exists, or a new one. ok is false if no connection
+// could be opened before the deadline.
 func (g *Generator) connection(ctx context.Context, site int, deadline time.Time, t *Try, mayBeIdle bool) (c idleConn, wasIdle, ok bool) {
 	for mayBeIdle {
 		c, wasIdle = g.pools[site].get()
@@ -234,8 +235,8 @@
 	return c, false, ok
 }
 
-// closeStale closes an idle connection that the node closed or wrote to. Bytes on it are a second answer to its last
-// request.
+// closeStale closes an idle connection that the node closed or wrote to. Unread bytes on it count as an unsolicited
+// response.
 func (g *Generator) closeStale(c idleConn) {
 	if c.conn.HasUnread() {
 		g.watcher.UnsolicitedResponse(c.endpoint)
@@ -243,7 +244,7 @@
 	c.conn.Close()
 }
 
-// open opens a connection to a node of the Picker's choice. While it knows none, the client waits.
+// open opens a connection to the node that the Picker selects. While no node is known to serve, the client waits.
 func (g *Generator) open(ctx context.Context, site int, deadline time.Time, t *Try) (idleConn, bool) {
 	endpoint, ok := g.picker.Pick(site)
 	for !ok {
@@ -259,13 +260,13 @@
 		address = endpoint.FastCGI
 	}
 	dialer := net.Dialer{Deadline: deadline}
-	since := time.Now()
+	openedAt := time.Now()
 	nc, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return idleConn{}, false
 	}
 	tracked := &trackedConn{TCPConn: nc.(*net.TCPConn)}
-	c := idleConn{tracked: tracked, endpoint: endpoint, since: since}
+	c := idleConn{tracked: tracked, endpoint: endpoint, since: openedAt}
 	if g.FastCGI {
 		c.conn = fastcgi.NewServerConn(tracked, nil, nil)
 	} else {
--- a/internal/testbed/load/draw.go
+++ b/internal/testbed/load/draw.go
@@ -9,7 +9,8 @@
 	"fernvane/internal/testbed/scenario"
 )
 
-// Streams of random numbers. Each attribute has its own, so that a change of one leaves the others as they were.
+// Random number streams. Each attribute uses its own stream, so that changing the settings of one attribute does not
+// change the others.
 const (
 	arrivalStream = iota + 1
 	typeStream
@@ -21,13 +22,13 @@
 	hotKeyStream = keyStream + 100
 )
 
-// stream returns the random numbers of a stream for the scenario's seed.
-func stream(s *scenario.Scenario, which uint64) *rand.Rand {
-	return rand.New(rand.NewPCG(s.Seed, which))
+// stream returns the random number generator of a stream, seeded by the scenario.
+func stream(s *scenario.Scenario, id uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(s.Seed, id))
 }
 
-// attributeDraws draws the attributes of requests in order of the schedule.
-type attributeDraws struct {
+// attributeDrawer draws the attributes of requests in the order of the schedule.
+type attributeDrawer struct {
 	types       *rand.Rand
 	tenants     *rand.Rand
 	sites       *rand.Rand
@@ -41,9 +42,9 @@
 	keys         zipf
 }
 
-// newAttributeDraws returns the draws of a scenario at the start of their streams.
-func newAttributeDraws(s *scenario.Scenario) *attributeDraws {
-	return &attributeDraws{
+// newAttributeDraws returns a drawer for a scenario, at the start of its streams.
+func newAttributeDraws(s *scenario.Scenario) *attributeDrawer {
+	return &attributeDrawer{
 		types:        stream(s, typeStream),
 		tenants:      stream(s, tenantStream),
 		sites:        stream(s, siteStream),
@@ -57,7 +58,8 @@
 	}
 }
 
-// siteShare returns the share of clients at a site: Skew goes to the first, the rest to all alike.
+// siteShare returns the share of clients at a site: the first site gets Load.Skew, and the rest is divided evenly among all
+// sites.
 func siteShare(s *scenario.Scenario, site int) float64 {
 	share := (1 - s.Load.Skew) / float64(len(s.Sites))
 	if site == 0 {
@@ -66,15 +68,16 @@
 	return share
 }
 
-// draw sets the attributes of a request, each from one draw whatever its use, so that a fault changes nothing else.
-func (d *attributeDraws) draw(s *scenario.Scenario, r *Request) {
+// draw sets the attributes of a request. It always takes one number from each stream, even if the number is not used, so
+// that a fault does not change the attributes of other requests.
+func (d *attributeDrawer) draw(s *scenario.Scenario, r *Request) {
 	r.Type = pick(d.typeShares, d.types.Float64())
 	r.Tenant = pick(d.tenantShares, d.tenants.Float64())
 	r.Site = pick(d.siteShares, d.sites.Float64())
 	r.Key = d.keys.draw()
-	chance := d.hotKeys.Float64()
+	hotKeyDraw := d.hotKeys.Float64()
 	for _, fault := range s.Faults {
-		if fault.Kind == "hot-key" && r.At >= fault.At.Std() && r.At < fault.End() && chance < fault.Share {
+		if fault.Kind == "hot-key" && r.At >= fault.At.Std() && r.At < fault.End() && hotKeyDraw < fault.Share {
 			r.Key = s.Load.Keys + 1
 		}
 	}
@@ -82,7 +85,7 @@
 	r.Disconnects = d.disconnects.Float64() < s.Clients.DisconnectShare
 }
 
-// drawWork draws a service time of the type's distribution.
+// drawWork draws a service time from the type's distribution.
 func drawWork(t *scenario.Type, r *rand.Rand) time.Duration {
 	mean := float64(t.Work)
 	switch t.WorkDistribution {
@@ -106,13 +109,13 @@
 	return sums
 }
 
-// pick returns the place of a chance in [0, 1) among cumulative shares, -1 if there are none.
-func pick(sums []float64, chance float64) int {
-	i := sort.SearchFloat64s(sums, chance)
+// pick returns the index in the cumulative shares that a uniform random number in [0, 1) selects, -1 if there are none.
+func pick(sums []float64, uniform float64) int {
+	i := sort.SearchFloat64s(sums, uniform)
 	return min(i, len(sums)-1)
 }
 
-// zipf draws keys from 1 to n, the k-th in proportion to k to the power of -s.
+// zipf draws keys from 1 to n. The probability of key k is proportional to k to the power of -s.
 type zipf struct {
 	sums []float64 // cumulative
 	r    *rand.Rand
@@ -129,7 +132,7 @@
 	return z
 }
 
-// draw returns a key, 0 if there are none.
+// draw returns the next key, 0 if there are no keys.
 func (z zipf) draw() int {
 	if len(z.sums) == 0 {
 		return 0
--- a/internal/testbed/load/generator.go
+++ b/internal/testbed/load/generator.go
@@ -11,14 +11,14 @@
 
 const progressInterval = 250 * time.Millisecond
 
-// Generator sends one schedule, once.
+// Generator sends the requests of one schedule. It can be run once.
 type Generator struct {
 	Scenario  *scenario.Scenario
 	Requests  []Request
-	Shift     time.Duration                                 // how much later Requests are than the schedule that results count by
-	FastCGI   bool                                          // clients speak FastCGI, not HTTP
-	ChecksIDs bool                                          // an answer that does not begin with the ID of its try is foreign
-	Stall     func(at time.Duration) time.Duration          // see pace; for tests
+	Shift     time.Duration                                 // offset of Request.At from the schedule's own times, by which results are reported
+	FastCGI   bool                                          // clients speak FastCGI instead of HTTP
+	ChecksIDs bool                                          // an answer whose body does not begin with the ID of its try is reported as foreign
+	Stall     func(at time.Duration) time.Duration          // delays the generator in tests; see pace
 	Progress  func(at time.Duration, started, inFlight int) // called every progressInterval; may be nil
 
 	picker   Picker
@@ -29,15 +29,15 @@
 	*Result
 }
 
-// Run sends the schedule and returns when the last request has ended. Times of requests count from start. When ctx is
-// cancelled, it starts no more requests, and those in flight get no more tries.
+// Run sends the schedule and returns when the last request has ended. Request.At counts from start. After ctx is cancelled,
+// Run starts no more requests and no more tries of requests in flight.
 func (g *Generator) Run(ctx context.Context, start time.Time, picker Picker, watcher Watcher) Lateness {
 	g.start = start
 	g.picker = picker
 	g.watcher = watcher
 	g.pools = make([]pool, max(len(g.Scenario.Sites), 1))
 	g.Result = newResult(g.Scenario, g.Shift)
-	lateBy := make([]time.Duration, len(g.Requests)) // 0: never started
+	lateBy := make([]time.Duration, len(g.Requests)) // 0: not started
 	var wg sync.WaitGroup
 	done := make(chan struct{})
 	go g.reportProgress(done)
--- a/internal/testbed/load/lateness.go
+++ b/internal/testbed/load/lateness.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	lateAfter    = 10 * time.Millisecond  // a request that starts later than this is late by the generator's fault
-	maxLateShare = 0.01                   // of the requests; with more the run does not count
-	errorBin     = 100 * time.Millisecond // width of the bins of Lateness.MaxBinError
-	minBinCount  = 100                    // requests; in a smaller bin a single one weighs too much
+	lateAfter    = 10 * time.Millisecond  // delay after which a request counts as started late
+	maxLateShare = 0.01                   // share of late requests above which a run is invalid
+	errorBin     = 100 * time.Millisecond // bin width of Lateness.MaxBinError
+	minBinCount  = 100                    // requests; smaller bins are ignored, because a single request weighs too much in them
 )
 
-// Lateness is how far the generator fell behind its schedule.
+// Lateness describes how far the generator fell behind its schedule.
 type Lateness struct {
-	Max         time.Duration
-	LateShare   float64 // share of the started requests that were late
-	IsBehind    bool    // LateShare is too large for the run to count
-	MaxBinError float64 // largest relative error of the requests started in a bin against the schedule
+	Max         time.Duration // largest delay of a request
+	LateShare   float64       // share of the started requests that were late
+	IsBehind    bool          // LateShare is so large that the run is invalid
+	MaxBinError float64       // largest relative difference between started and scheduled requests in a bin
 }
 
-// lateness sums up by how much each request started late; 0 stands for one that was never started.
+// lateness aggregates the delays with which requests started; 0 marks a request that was not started.
 func lateness(requests []Request, lateBy []time.Duration, shift time.Duration) Lateness {
 	var l Lateness
 	late := 0
@@ -40,7 +40,7 @@
 	return l
 }
 
-// maxBinError compares when requests started with the schedule, in bins with enough requests.
+// maxBinError compares the start times of requests with the schedule, in bins with at least minBinCount requests.
 func maxBinError(requests []Request, lateBy []time.Duration, shift time.Duration) (worst float64) {
 	started := make([]Request, 0, len(requests))
 	planned := make([]Request, len(requests))
--- a/internal/testbed/load/load_test.go
+++ b/internal/testbed/load/load_test.go
@@ -28,7 +28,7 @@
 	return s
 }
 
-// The expected counts are worked out by hand.
+// The expected counts were calculated by hand from the rate and shape of the load.
 func TestPlan(t *testing.T) {
 	for name, c := range map[string]struct {
 		more       string
@@ -47,11 +47,11 @@
 			s := parseScenario(t, c.more)
 			got := CountPerBin(Plan(s), c.width)
 			if len(got) != len(c.want) {
-				t.Fatalf("%d bins: %v", len(got), got)
+				t.Fatalf("got %d bins: %v", len(got), got)
 			}
 			for i, want := range c.want {
 				if slack := max(c.deviations*math.Sqrt(float64(want)), 1); math.Abs(float64(got[i]-want)) > slack {
-					t.Errorf("bin %d holds %d, not %d", i, got[i], want)
+					t.Errorf("bin %d: got %d requests, want %d", i, got[i], want)
 				}
 			}
 		})
@@ -63,20 +63,20 @@
 	requests := Plan(s)
 	n := float64(len(requests))
 	var check, first, dairy, top, hot, late, work float64
-	for _, o := range requests {
-		add := func(sum *float64, is bool) {
-			if is {
+	for _, r := range requests {
+		add := func(sum *float64, isCounted bool) {
+			if isCounted {
 				*sum++
 			}
 		}
-		add(&check, o.Type == 0)
-		add(&first, o.Site == 0)
-		add(&dairy, o.Tenant == 0)
-		add(&top, o.Key == 1 && o.At < 10*time.Second)
-		add(&hot, o.Key == 101)
-		add(&late, o.At >= 10*time.Second)
-		if o.Type == 1 {
-			work += o.Work.Seconds()
+		add(&check, r.Type == 0)
+		add(&first, r.Site == 0)
+		add(&dairy, r.Tenant == 0)
+		add(&top, r.Key == 1 && r.At < 10*time.Second)
+		add(&hot, r.Key == 101)
+		add(&late, r.At >= 10*time.Second)
+		if r.Type == 1 {
+			work += r.Work.Seconds()
 		}
 	}
 	harmonic := 0.0
@@ -85,29 +85,29 @@
 	}
 	for name, c := range map[string]struct{ got, want float64 }{
 		"type":   {check / n, 0.67},
-		"site":   {first / n, 0.4}, // a quarter of 0.8, and 0.2
+		"site":   {first / n, 0.4}, // a skew of 0.2 and a quarter of the rest
 		"tenant": {dairy / n, 0.48},
 		"key":    {top / (n - late), 1 / harmonic},
 		"hot":    {hot / late, 0.25},
 		"work":   {work / (n - check), 0.066},
 	} {
 		if math.Abs(c.got-c.want) > 0.03*c.want+0.004 {
-			t.Errorf("%s: %.4f, not %.4f", name, c.got, c.want)
+			t.Errorf("%s: got %.4f, want %.4f", name, c.got, c.want)
 		}
 	}
 }
 
-// An allowance of 100 per second allows a burst of 100 and then 100 per second; requests beyond it are marked.
+// An allowance of 100 per second admits a burst of 100 requests and then 100 per second; requests beyond it are marked.
 func TestAllowance(t *testing.T) {
 	s := parseScenario(t, "length=\"4s\"\n[load]\nrate=400\nshape=\"constant\"\n[[tenants]]\nname=\"a\"\nshare=1\nallowance=100")
 	within := 0
-	for _, o := range Plan(s) {
-		if !o.OverAllowance {
+	for _, r := range Plan(s) {
+		if !r.OverAllowance {
 			within++
 		}
 	}
 	if math.Abs(float64(within)-500) > 2 {
-		t.Errorf("%d are within, not 500", within)
+		t.Errorf("got %d requests within the allowance, want 500", within)
 	}
 }
 
@@ -117,19 +117,19 @@
 	WriteTrace(&a, s, Plan(s))
 	WriteTrace(&b, s, Plan(s))
 	if !bytes.Equal(a.Bytes(), b.Bytes()) {
-		t.Error("two plans of the same seed differ")
+		t.Error("got different plans for the same seed")
 	}
 	requests, err := ReadTrace(bytes.NewReader(a.Bytes()), "t.csv", false, s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if WriteTrace(&c, s, requests); !bytes.Equal(a.Bytes(), c.Bytes()) {
-		t.Error("a trace differs after writing and reading")
+		t.Error("got a different trace after reading and writing it")
 	}
 	s.Seed++
 	c.Reset()
 	if WriteTrace(&c, s, Plan(s)); bytes.Equal(a.Bytes(), c.Bytes()) {
-		t.Error("another seed gives the same plan")
+		t.Error("got the same plan for another seed")
 	}
 }
 
@@ -145,8 +145,8 @@
 		"too few fields":           {head + "2,hire-check\n", false, "t:3: wrong number of fields"},
 		"negative time":            {head + "-1,hire-check,,,0,5\n", false, "t:3: at_ms"},
 		"time not a number":        {head + "soon,hire-check,,,0,5\n", false, "t:3: "},
-		"no header":                {"1,hire-check,,,0,5\n", false, "t:1: the first line must be"},
-		"no requests":              {"at_ms,type,tenant,site,key,work_ms\n", false, "no operations"},
+		"no header":                {"1,hire-check,,,0,5\n", false, "t:1: invalid header, want at_ms"},
+		"no requests":              {"at_ms,type,tenant,site,key,work_ms\n", false, "trace contains no requests"},
 		"JSON cut off":             {"{\"at_ms\":1,\"type\":\"hire-check\"}\n\n{\"at_ms\":", true, "t:3: "},
 		"JSON without time":        {"{\"type\":\"hire-check\"}\n", true, "t:1: at_ms"},
 		"JSON with an unknown key": {"{\"at_ms\":1,\"typ\":\"hire-check\"}\n", true, "t:1: "},
@@ -154,13 +154,14 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := ReadTrace(strings.NewReader(c.text), "t", c.json, s)
 			if err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("error: %v", err)
+				t.Errorf("got error %v", err)
 			}
 		})
 	}
 }
 
-// startServer runs a server that has respond answer each request, with its number from 1; false closes the connection.
+// startServer starts a server that calls respond for each request, with the request's number from 1. The server closes the
+// connection if respond returns false.
 func startServer(t *testing.T, respond func(net.Conn, *http1.Request, int) bool) FixedEndpoint {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -201,8 +202,8 @@
 	return true
 }
 
-// The outcome of one request, by how the node responds to each try. The client's timeout is 450 ms for a check and
-// 900 ms for a booking, the objectives are 200 and 500 ms.
+// Tests the outcome of one request for different responses of the node. The client's timeout is 450 ms for a check and
+// 900 ms for a booking; the latency objectives are 200 ms and 500 ms.
 func TestOutcomes(t *testing.T) {
 	echoID := func(c net.Conn, r *http1.Request) bool { return writeResponse(c, 200, string(r.Get(http1.RequestID))) }
 	for name, c := range map[string]struct {
@@ -240,34 +241,34 @@
 			g := &Generator{Scenario: s, Requests: []Request{{Type: kind}}, ChecksIDs: true}
 			g.Run(context.Background(), time.Now(), startServer(t, c.respond), tries)
 			if g.Tries != c.tries || g.Outcomes[c.want] != 1 {
-				t.Errorf("%d tries, outcomes %v", g.Tries, g.Outcomes)
+				t.Errorf("got %d tries and outcomes %v", g.Tries, g.Outcomes)
 			}
 			if last := tries.all[len(tries.all)-1]; c.end != nil && !c.end(last) {
-				t.Errorf("the last try ended as %+v", last)
+				t.Errorf("got last try %+v", last)
 			}
 		})
 	}
 }
 
-// tryRecorder keeps the tries that ended.
+// tryRecorder is a Watcher that records the ended tries.
 type tryRecorder struct {
 	NopWatcher
 	mu  sync.Mutex
 	all []Try
 }
 
-func (e *tryRecorder) Ended(t *Try) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.all = append(e.all, *t)
+func (r *tryRecorder) Ended(t *Try) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.all = append(r.all, *t)
 }
 
-// A request on an idle connection that the node closes at the same time is sent again.
+// A request is sent again if the node closes the idle connection while the request is sent.
 func TestCloseOfIdleConnection(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	at := startServer(t, func(c net.Conn, r *http1.Request, n int) bool {
 		writeResponse(c, 200, string(r.Get(http1.RequestID)))
-		if n == 1 { // reads no more, though the connection looks open
+		if n == 1 { // stops reading requests, though the connection still looks open
 			c.Read(make([]byte, 1))
 			closed <- struct{}{}
 			return false
@@ -278,30 +279,30 @@
 	g := &Generator{Scenario: s, Requests: []Request{{}, {At: 50 * time.Millisecond}}, ChecksIDs: true}
 	g.Run(context.Background(), time.Now(), at, NopWatcher{})
 	if <-closed; g.Outcomes[Handled] != 2 || g.Tries != 2 {
-		t.Errorf("outcomes %v after %d tries", g.Outcomes, g.Tries)
+		t.Errorf("got outcomes %v after %d tries", g.Outcomes, g.Tries)
 	}
 }
 
-// Guards against a request counting as dropped by the node whose connection was closed unread, only because its client had no time left to
-// send it again.
+// Guards against counting a request as dropped by the node if the node closed the connection unread and the client had no
+// time left to send the request again.
 func TestCloseOfIdleConnectionAfterDeadline(t *testing.T) {
 	s := parseScenario(t, "length=\"1s\"")
 	s.Clients.Retries, s.Rules.Slack = 0, scenario.Span(10*time.Second)
 	at := startServer(t, func(c net.Conn, r *http1.Request, n int) bool {
 		writeResponse(c, 200, string(r.Get(http1.RequestID)))
 		c.Read(make([]byte, 1))
-		time.Sleep(s.Types[0].AbandonTime.Std() + 50*time.Millisecond) // the client's time is over
+		time.Sleep(s.Types[0].AbandonTime.Std() + 50*time.Millisecond) // the client's timeout has expired
 		return false
 	})
 	tries := &tryRecorder{}
 	g := &Generator{Scenario: s, Requests: []Request{{}, {At: 50 * time.Millisecond}}, ChecksIDs: true}
 	g.Run(context.Background(), time.Now(), at, tries)
 	if last := tries.all[len(tries.all)-1]; len(tries.all) != 2 || last.End != Unsent {
-		t.Errorf("%d tries, the last ended as %+v", len(tries.all), last)
+		t.Errorf("got %d tries, the last one %+v", len(tries.all), last)
 	}
 }
 
-// A generator that stalls for 300 ms reports it, and its latencies include the stall.
+// A generator that stalls for 300 ms reports its lateness, and the measured latencies include the stall.
 func TestStallIsReported(t *testing.T) {
 	s := parseScenario(t, "length=\"1s\"\n[load]\nrate=500\nshape=\"constant\"")
 	at := startServer(t, func(c net.Conn, r *http1.Request, n int) bool { return writeResponse(c, 200, "") })
@@ -315,15 +316,15 @@
 	}}
 	late := g.Run(context.Background(), time.Now(), at, NopWatcher{})
 	if !late.IsBehind || late.Max < stall*9/10 || late.LateShare < 0.2 {
-		t.Errorf("lateness %+v", late)
+		t.Errorf("got lateness %+v", late)
 	}
 	if worst := time.Duration(g.ByType[0].Latency.Max()) * time.Microsecond; worst < stall*9/10 {
-		t.Errorf("the worst latency is %s", worst)
+		t.Errorf("got maximum latency %s", worst)
 	}
 }
 
-// At 20,000 requests per second, each bin of 100 ms starts what the schedule says. On a busy machine a bin may differ if
-// the generator reports that requests were late.
+// At 20,000 requests per second, the requests started in each bin of 100 ms match the schedule. On a busy machine a bin may
+// differ, but only if requests started late.
 func TestPaceAt20000PerSecond(t *testing.T) {
 	s := parseScenario(t, "length=\"1s\"\n[load]\nrate=20000\nshape=\"constant\"")
 	var mu sync.Mutex
@@ -345,14 +346,14 @@
 		}
 	}
 	if len(late) != 20000 {
-		t.Fatalf("%d started", len(late))
+		t.Fatalf("got %d started requests, want 20000", len(late))
 	}
 	for i, n := range started {
 		if n < 1980 || n > 2020 {
 			if behind == 0 {
-				t.Errorf("bin %d holds %d, and nothing was late", i, n)
+				t.Errorf("bin %d: got %d requests, though none was late", i, n)
 			}
-			t.Logf("bin %d holds %d; %d of 20,000 were late by over 1 ms", i, n, behind)
+			t.Logf("bin %d: got %d requests; %d of 20,000 were late by more than 1 ms", i, n, behind)
 		}
 	}
 }
--- a/internal/testbed/load/pace.go
+++ b/internal/testbed/load/pace.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	minSleep = 20 * time.Microsecond // a shorter sleep takes longer than it should
-	maxSleep = 50 * time.Millisecond // after which stop is looked at
+	minSleep = 20 * time.Microsecond // shorter sleeps overrun, so pace polls instead
+	maxSleep = 50 * time.Millisecond // interval of checks of stop
 )
 
-// pace calls begin for each request at its time and returns after the last, or when stop is closed. It never waits for
-// a request; all that is due begins at once. It sleeps by the system's clock in a thread of its own, because the
-// runtime's timers are late by up to a millisecond when all is idle.
+// pace calls begin for each request at its scheduled time, and returns after the last call or when stop is closed. begin
+// must not block: all requests that are due are started immediately. pace sleeps with nanosleep on a locked OS thread,
+// because timers of the Go runtime fire up to a millisecond late when the process is idle.
 //
-// stall, if not nil, is asked before each sleep how long to do nothing: tests use it to make the generator fall behind.
+// stall, if not nil, returns an extra delay before each sleep. Tests use it to make the generator fall behind.
 func pace(start time.Time, requests []Request, stop <-chan struct{}, stall func(at time.Duration) time.Duration, begin func(int)) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
--- a/internal/testbed/load/pool.go
+++ b/internal/testbed/load/pool.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	maxIdleTime    = 30 * time.Second       // a client closes a connection that is idle for longer
+	maxIdleTime    = 30 * time.Second       // after which a client closes an idle connection
 	maxIdleConns   = 512                    // per site
-	newConnTimeout = 100 * time.Millisecond // for which nodes keep a new connection without a request (docs/design.md)
+	newConnTimeout = 100 * time.Millisecond // after which nodes may close a new connection without a request (docs/design.md)
 )
 
-// conn is a client's connection, in either protocol.
+// conn is a client's connection, for HTTP or FastCGI.
 type conn interface {
 	io.Closer
 	SetDeadline(time.Time) error
@@ -30,30 +30,30 @@
 	ReleaseBuffers()
 }
 
-// idleConn is a connection between two requests, or a new one.
+// idleConn is a connection with no request in flight: an idle one, or a new one.
 type idleConn struct {
 	conn     conn
-	tracked  *trackedConn // below conn
+	tracked  *trackedConn // the connection that conn wraps
 	endpoint Endpoint
-	since    time.Time // when it became idle; for a new one, when its opening began
+	since    time.Time // time at which it became idle, or at which opening a new one began
 }
 
-// trackedConn records whether bytes were read. It is used by one goroutine at a time.
+// trackedConn is a TCP connection that records whether bytes were read. It is used by one goroutine at a time.
 type trackedConn struct {
 	*net.TCPConn
 	hasRead bool
 }
 
-// Read reads and records whether bytes came.
+// Read reads from the connection and records whether it returned bytes.
 func (c *trackedConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	c.hasRead = c.hasRead || n > 0
 	return n, err
 }
 
-// closedUnread reports whether a node closed a connection without having read the request: no byte came back and the
-// connection ended. It holds for every protocol, and only it tells the audit so. A running node answers whatever it has
-// read, so such a request may be sent again on a new connection.
+// closedUnread reports whether a node closed a connection before it read the request: the connection ended and no byte was
+// received. A running node answers each request that it has read, so such a request may be sent again on a new connection.
+// The check applies to all protocols, and is the only one by which the audit is notified of an unread request.
 func closedUnread(c idleConn, err error) bool {
 	if c.tracked.hasRead {
 		return false
@@ -66,9 +66,9 @@
 	return false
 }
 
-// mayResend reports whether a request that was not read may be sent again within its try: the node closed an idle
-// connection as the request was sent, or closed a new one because the client sent only after newConnTimeout. wasIdle
-// says that the connection was an idle one, isResent that the request was sent again already.
+// mayResend reports whether an unread request may be sent again within the same try: the node closed an idle connection
+// while the request was sent, or closed a new connection because the client sent its request only after newConnTimeout.
+// wasIdle: the connection had been idle. isResent: the request has already been sent again.
 func mayResend(c idleConn, wasIdle, isResent bool, sentAt time.Time, err error) bool {
 	if wasIdle {
 		return !isResent && closedUnread(c, err)
@@ -79,10 +79,10 @@
 // pool holds the idle connections of the clients of one site.
 type pool struct {
 	mu   sync.Mutex
-	idle []idleConn // by since
+	idle []idleConn // in ascending order of since
 }
 
-// get removes and returns the connection that became idle last.
+// get removes and returns the connection that became idle most recently.
 func (p *pool) get() (idleConn, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +95,7 @@
 	return c, true
 }
 
-// put adds a connection that became idle and closes the oldest if there are too many or it was idle for too long.
+// put adds an idle connection. It closes the oldest one if the pool is full or that one has been idle for too long.
 func (p *pool) put(c idleConn) {
 	p.mu.Lock()
 	var evicted conn
--- a/internal/testbed/load/pool_test.go
+++ b/internal/testbed/load/pool_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Which errors of a connection say that the node did not read the request.
+// Tests which connection errors mean that the node did not read the request.
 func TestClosedUnread(t *testing.T) {
 	for _, c := range []struct {
 		read bool
@@ -27,12 +27,12 @@
 		{true, syscall.ECONNRESET, false},
 	} {
 		if got := closedUnread(idleConn{tracked: &trackedConn{hasRead: c.read}}, c.err); got != c.want {
-			t.Errorf("%v, bytes %v: %v", c.err, c.read, got)
+			t.Errorf("error %v, bytes read %v: got %v", c.err, c.read, got)
 		}
 	}
 }
 
-// Requests that were not read are sent again, but never those of a new connection on which the client sent at once.
+// Unread requests are sent again, except on a new connection on which the client sent its request immediately.
 func TestMayResend(t *testing.T) {
 	for name, c := range map[string]struct {
 		wasIdle   bool
@@ -41,16 +41,16 @@
 		err       error
 		want      bool
 	}{
-		"idle connection":                      {true, false, time.Second, io.EOF, true},
-		"idle connection, sent again already":  {true, true, time.Second, io.EOF, false},
-		"new connection, sent at once":         {false, false, newConnTimeout - 1, io.EOF, false},
-		"second new connection, sent at once":  {false, true, newConnTimeout - 1, io.EOF, false},
-		"new connection, sent late":            {false, false, newConnTimeout, io.EOF, true},
-		"new connection, sent late, no answer": {false, false, time.Second, os.ErrDeadlineExceeded, false},
+		"idle connection":                         {true, false, time.Second, io.EOF, true},
+		"idle connection, already sent again":     {true, true, time.Second, io.EOF, false},
+		"new connection, sent immediately":        {false, false, newConnTimeout - 1, io.EOF, false},
+		"second new connection, sent immediately": {false, true, newConnTimeout - 1, io.EOF, false},
+		"new connection, sent late":               {false, false, newConnTimeout, io.EOF, true},
+		"new connection, sent late, no answer":    {false, false, time.Second, os.ErrDeadlineExceeded, false},
 	} {
 		opened := time.Now()
 		if got := mayResend(idleConn{tracked: &trackedConn{}, since: opened}, c.wasIdle, c.isResent, opened.Add(c.sentAfter), c.err); got != c.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: got %v", name, got)
 		}
 	}
 }
--- a/internal/testbed/load/rate.go
+++ b/internal/testbed/load/rate.go
@@ -7,9 +7,9 @@
 	"fernvane/internal/testbed/scenario"
 )
 
-const rateStep = time.Millisecond // in which the rate is integrated
+const rateStep = time.Millisecond // integration step of the rate
 
-// Rate returns the scenario's requests per second at a time.
+// Rate returns the scenario's rate at a given time, in requests per second.
 func Rate(s *scenario.Scenario, at time.Duration) float64 {
 	rate, swing := s.Load.Rate, s.Load.Swing
 	period := max(s.Load.Period.Std(), rateStep)
@@ -34,7 +34,7 @@
 			if at < fault.End() {
 				rate *= fault.Size
 			}
-		case "shrink": // falls linearly and stays low
+		case "shrink": // falls linearly and stays at Size
 			progress := min((at-fault.At.Std()).Seconds()/fault.For.Std().Seconds(), 1)
 			rate *= 1 - (1-fault.Size)*progress
 		}
--- a/internal/testbed/load/result.go
+++ b/internal/testbed/load/result.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// BinWidth is the width of one point of Result.Series.
+	// BinWidth is the bin width of Result.Series.
 	BinWidth      = 250 * time.Millisecond
 	minLatencyUS  = int64(1)
 	maxLatencyUS  = int64(60 * time.Second / time.Microsecond)
-	latencyDigits = 3 // significant digits that histograms keep
+	latencyDigits = 3 // significant digits of histograms
 )
 
-// Outcome is how a request ended, with all its tries.
+// Outcome is the final outcome of a request, after all its tries.
 type Outcome uint8
 
-// Outcomes of a request, by its last try.
+// Outcomes of a request, derived from its last try.
 const (
 	Handled           Outcome = iota // answered with success before the client's timeout
-	WithinObjective                  // handled within the latency objective of its type; counted in Handled as well
+	WithinObjective                  // handled within the latency objective of its type; also counted as Handled
 	Rejected                         // answered with a rejection
 	Failed                           // answered with another status, or the connection ended
 	NoAnswer                         // not answered before the client's timeout
-	Unreached                        // not sent: no node was reached
-	DisconnectedEarly                // its client disconnected; counts for no revenue
+	Unreached                        // not sent, because no node could be reached
+	DisconnectedEarly                // the client disconnected; the request has no revenue
 	outcomes
 )
 
-// Point is one bin of a series, by the scheduled time of requests.
+// Point is one bin of a time series. Requests belong to the bin of their scheduled time.
 type Point struct {
 	OfferedRevenue float64
 	EarnedRevenue  float64 // of requests answered within their objective
@@ -41,12 +41,12 @@
 	Latency        *hdrhistogram.Histogram
 }
 
-// Result holds the outcomes of a schedule. Its fields may be read when Generator.Run has returned.
+// Result holds the outcomes of a schedule. Its fields may be read after Generator.Run has returned.
 type Result struct {
 	mu       sync.Mutex // guards all but scenario and shift during the run
 	scenario *scenario.Scenario
 	shift    time.Duration
-	started  int // requests
+	started  int // requests with at least one try
 
 	Outcomes       [outcomes]int
 	Tries          int
@@ -59,12 +59,12 @@
 	Series         []Point
 }
 
-// Share is the part of a result that belongs to one type, tenant or site.
+// Share is the part of a result that concerns one type, tenant or site.
 type Share struct {
 	Name           string
 	OfferedRevenue float64
 	EarnedRevenue  float64
-	Latency        *hdrhistogram.Histogram // microseconds from the scheduled time, of requests handled or not answered
+	Latency        *hdrhistogram.Histogram // microseconds from the scheduled time, of requests that were handled or got no answer
 }
 
 func newHistogram() *hdrhistogram.Histogram {
@@ -86,7 +86,7 @@
 	return r
 }
 
-// startedCount returns how many requests were sent at least once.
+// startedCount returns the number of requests with at least one try.
 func (r *Result) startedCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +106,7 @@
 	}
 }
 
-// outcome returns the outcome of a request by its last try.
+// outcome returns the outcome of a request whose last try is t.
 func (t *Try) outcome() Outcome {
 	switch {
 	case t.End == Disconnected:
@@ -123,8 +123,8 @@
 	return NoAnswer
 }
 
-// recordOutcome counts a request by its last try, in the bin of its scheduled time. A request that got no answer counts
-// with the time that its client waited: otherwise a silent node would look fast.
+// recordOutcome counts a request by its last try, in the bin of its scheduled time. The latency of a request that got no
+// answer is the time that its client waited; without it, a node that does not answer would appear fast.
 func (r *Result) recordOutcome(scheduled *Request, last *Try) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -174,7 +174,7 @@
 	return &r.Series[bin]
 }
 
-// sharesOf returns the shares that a request counts in.
+// sharesOf returns the shares that a request belongs to.
 func (r *Result) sharesOf(scheduled *Request) []*Share {
 	shares := []*Share{&r.ByType[scheduled.Type], &r.BySite[scheduled.Site]}
 	if scheduled.Tenant >= 0 {
@@ -183,7 +183,7 @@
 	return shares
 }
 
-// RevenueOf returns the revenue that a request offers; over its tenant's allowance it is a part.
+// RevenueOf returns the revenue that a request offers. It is reduced for requests beyond their tenant's allowance.
 func (r *Result) RevenueOf(scheduled *Request) float64 {
 	revenue := r.scenario.Types[scheduled.Type].Revenue
 	if scheduled.OverAllowance {
@@ -192,7 +192,7 @@
 	return revenue
 }
 
-// ServiceShare returns the earned revenue over the offered revenue.
+// ServiceShare returns the ratio of earned to offered revenue, 0 if no revenue was offered.
 func (r *Result) ServiceShare() float64 {
 	if r.OfferedRevenue == 0 {
 		return 0
--- a/internal/testbed/load/trace.go
+++ b/internal/testbed/load/trace.go
@@ -19,10 +19,11 @@
 	"fernvane/internal/testbed/scenario"
 )
 
-// header is the first line of a trace in CSV: times in ms since the start, names as in the scenario, work in ms.
+// header is the first line of a CSV trace. Times are in ms since the start, work is in ms, and names are those of the
+// scenario.
 var header = []string{"at_ms", "type", "tenant", "site", "key", "work_ms"}
 
-// record is a line of a trace, in CSV or JSON.
+// record is one line of a CSV or JSON trace.
 type record struct {
 	AtMS   *float64 `json:"at_ms"`
 	Type   string   `json:"type"`
@@ -32,24 +33,24 @@
 	WorkMS float64  `json:"work_ms"`
 }
 
-// WriteTrace writes a schedule as CSV that ReadTrace reads.
+// WriteTrace writes a schedule as a CSV trace, which ReadTrace can read.
 func WriteTrace(w io.Writer, s *scenario.Scenario, requests []Request) error {
 	b := bufio.NewWriter(w)
 	fmt.Fprintln(b, strings.Join(header, ","))
 	ms := func(d time.Duration) string {
 		return strconv.FormatFloat(float64(d)/float64(time.Millisecond), 'f', 6, 64)
 	}
-	for _, o := range requests {
+	for _, r := range requests {
 		tenant := ""
-		if o.Tenant >= 0 {
-			tenant = s.Tenants[o.Tenant].Name
+		if r.Tenant >= 0 {
+			tenant = s.Tenants[r.Tenant].Name
 		}
-		fmt.Fprintf(b, "%s,%s,%s,%s,%d,%s\n", ms(o.At), s.Types[o.Type].Name, tenant, s.Sites[o.Site], o.Key, ms(o.Work))
+		fmt.Fprintf(b, "%s,%s,%s,%s,%d,%s\n", ms(r.At), s.Types[r.Type].Name, tenant, s.Sites[r.Site], r.Key, ms(r.Work))
 	}
 	return b.Flush()
 }
 
-// LoadTrace reads the trace in a file: JSON lines if its name ends in .jsonl or .json, else CSV.
+// LoadTrace reads a trace from a file: JSON lines if the extension is .jsonl or .json, otherwise CSV.
 func LoadTrace(path string, s *scenario.Scenario) ([]Request, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -60,16 +61,17 @@
 	return ReadTrace(f, path, ext == ".jsonl" || ext == ".json", s)
 }
 
-// ReadTrace reads a recorded trace and returns its requests in order of time; lines may have any order. Errors give name
-// and the line's number. A type, tenant or site that the scenario lacks is an error; an empty site is the first one.
+// ReadTrace reads a recorded trace and returns its requests sorted by time; the lines may be in any order. Errors contain
+// name and the line number. A type, tenant or site that is not in the scenario is an error; an empty site selects the
+// first one.
 func ReadTrace(r io.Reader, name string, isJSON bool, s *scenario.Scenario) ([]Request, error) {
 	var requests []Request
-	each := readCSV
+	read := readCSV
 	if isJSON {
-		each = readJSON
+		read = readJSON
 	}
 	lastLine := 0
-	err := each(r, func(line int, rec record) error {
+	err := read(r, func(line int, rec record) error {
 		lastLine = line
 		request, err := rec.request(s)
 		if err != nil {
@@ -82,92 +84,92 @@
 		return nil, err
 	}
 	if len(requests) == 0 {
-		return nil, fmt.Errorf("%s:%d: no operations", name, lastLine)
+		return nil, fmt.Errorf("%s:%d: trace contains no requests", name, lastLine)
 	}
 	slices.SortStableFunc(requests, func(a, b Request) int { return int(a.At - b.At) })
 	return requests, nil
 }
 
-// fromMS converts milliseconds.
+// fromMS converts milliseconds to a duration.
 func fromMS(ms float64) time.Duration {
 	return time.Duration(math.Round(ms * float64(time.Millisecond)))
 }
 
-// request returns the request of a record, or why the scenario cannot have it.
-func (r record) request(s *scenario.Scenario) (o Request, err error) {
-	find := func(what, name string, n int, of func(int) string) int {
+// request converts a record to a request of the scenario.
+func (r record) request(s *scenario.Scenario) (request Request, err error) {
+	find := func(attribute, name string, n int, nameOf func(int) string) int {
 		for i := range n {
-			if of(i) == name {
+			if nameOf(i) == name {
 				return i
 			}
 		}
 		if err == nil {
-			err = fmt.Errorf("no %s %q in the scenario", what, name)
+			err = fmt.Errorf("no %s %q in the scenario", attribute, name)
 		}
 		return 0
 	}
 	if r.AtMS == nil || !(*r.AtMS >= 0 && *r.AtMS < 1e9) {
-		return o, errors.New("at_ms must be 0 or more")
+		return request, errors.New("at_ms is missing or out of range, want 0 to 1e9")
 	}
 	if !(r.WorkMS >= 0 && r.WorkMS < 1e7) || r.Key < 0 {
-		return o, errors.New("work_ms and key must be 0 or more")
+		return request, errors.New("work_ms or key out of range, want work_ms from 0 to 1e7 and key 0 or more")
 	}
-	o = Request{At: fromMS(*r.AtMS), Tenant: -1, Key: r.Key,
+	request = Request{At: fromMS(*r.AtMS), Tenant: -1, Key: r.Key,
 		Work: fromMS(r.WorkMS)}
-	o.Type = find("type", r.Type, len(s.Types), func(i int) string { return s.Types[i].Name })
+	request.Type = find("type", r.Type, len(s.Types), func(i int) string { return s.Types[i].Name })
 	if r.Tenant != "" {
-		o.Tenant = find("tenant", r.Tenant, len(s.Tenants), func(i int) string { return s.Tenants[i].Name })
+		request.Tenant = find("tenant", r.Tenant, len(s.Tenants), func(i int) string { return s.Tenants[i].Name })
 	}
 	if r.Site != "" {
-		o.Site = find("site", r.Site, len(s.Sites), func(i int) string { return s.Sites[i] })
+		request.Site = find("site", r.Site, len(s.Sites), func(i int) string { return s.Sites[i] })
 	}
-	return o, err
+	return request, err
 }
 
 type (
-	// eachLine is called for each record; its error ends the reading.
+	// eachLine is called for each record. An error stops reading.
 	eachLine func(line int, r record) error
-	// badLine wraps the error of a line that cannot be parsed.
+	// badLine adds the position to a parse error of a line.
 	badLine func(line int, err error) error
 )
 
-// readCSV reads a trace in CSV.
+// readCSV reads a CSV trace and calls each for each record.
 func readCSV(r io.Reader, each eachLine, bad badLine) error {
 	c := csv.NewReader(r)
 	c.FieldsPerRecord = len(header)
 	for first := true; ; first = false {
-		f, err := c.Read()
+		fields, err := c.Read()
 		if err == io.EOF {
 			return nil
 		}
-		var parse *csv.ParseError
-		if errors.As(err, &parse) {
-			return bad(parse.Line, parse.Err)
+		var parseError *csv.ParseError
+		if errors.As(err, &parseError) {
+			return bad(parseError.Line, parseError.Err)
 		}
 		if err != nil {
 			return err
 		}
 		line, _ := c.FieldPos(0)
-		if first && slices.Equal(f, header) {
+		if first && slices.Equal(fields, header) {
 			continue
 		} else if first {
-			return bad(line, fmt.Errorf("the first line must be %s", strings.Join(header, ",")))
+			return bad(line, fmt.Errorf("invalid header, want %s", strings.Join(header, ",")))
 		}
 		var rec record
-		at, err1 := strconv.ParseFloat(f[0], 64)
-		key, err2 := strconv.Atoi(f[4])
-		work, err3 := strconv.ParseFloat(f[5], 64)
-		if err := errors.Join(err1, err2, err3); err != nil {
+		at, atErr := strconv.ParseFloat(fields[0], 64)
+		key, keyErr := strconv.Atoi(fields[4])
+		work, workErr := strconv.ParseFloat(fields[5], 64)
+		if err := errors.Join(atErr, keyErr, workErr); err != nil {
 			return bad(line, errors.New(strings.SplitN(err.Error(), "\n", 2)[0]))
 		}
-		rec = record{AtMS: &at, Type: f[1], Tenant: f[2], Site: f[3], Key: key, WorkMS: work}
+		rec = record{AtMS: &at, Type: fields[1], Tenant: fields[2], Site: fields[3], Key: key, WorkMS: work}
 		if err := each(line, rec); err != nil {
 			return err
 		}
 	}
 }
 
-// readJSON reads a trace of JSON lines; empty ones are skipped.
+// readJSON reads a trace of JSON lines and calls each for each record. It skips empty lines.
 func readJSON(r io.Reader, each eachLine, bad badLine) error {
 	lines := bufio.NewScanner(r)
 	for n := 1; lines.Scan(); n++ {
@@ -176,9 +178,9 @@
 			continue
 		}
 		var rec record
-		d := json.NewDecoder(bytes.NewReader(text))
-		d.DisallowUnknownFields()
-		if err := d.Decode(&rec); err != nil {
+		decoder := json.NewDecoder(bytes.NewReader(text))
+		decoder.DisallowUnknownFields()
+		if err := decoder.Decode(&rec); err != nil {
 			return bad(n, err)
 		}
 		if err := each(n, rec); err != nil {
--- a/internal/testbed/soak/client.go
+++ b/internal/testbed/soak/client.go
@@ -43,7 +43,7 @@
 type client struct {
 	run       *run
 	number    int
-	chance    *rand.Rand
+	rng       *rand.Rand
 	isFastCGI bool
 	sent      int
 
@@ -54,7 +54,7 @@
 
 func newClient(r *run, number int) *client {
 	isFastCGI := float64(number) < r.plan.FastCGIShare*float64(r.plan.Clients)
-	return &client{run: r, number: number, chance: rand.New(rand.NewPCG(r.plan.Seed, uint64(number))), isFastCGI: isFastCGI}
+	return &client{run: r, number: number, rng: rand.New(rand.NewPCG(r.plan.Seed, uint64(number))), isFastCGI: isFastCGI}
 }
 
 // serve sends requests until no connection can be had any more or ctx ends.
@@ -70,7 +70,7 @@
 		if !c.exchange() {
 			c.close()
 		}
-		if pause := time.Duration(c.chance.Int64N(int64(c.run.plan.MaxPause))); pause > time.Millisecond {
+		if pause := time.Duration(c.rng.Int64N(int64(c.run.plan.MaxPause))); pause > time.Millisecond {
 			select {
 			case <-ctx.Done():
 			case <-time.After(pause):
@@ -124,9 +124,9 @@
 // exchange sends a request, sometimes with another right behind it, and receives the answers. It returns false if the connection cannot
 // be used any more.
 func (c *client) exchange() bool {
-	timeout := c.run.plan.Deadline / time.Duration(1+c.chance.IntN(2))
+	timeout := c.run.plan.Deadline / time.Duration(1+c.rng.IntN(2))
 	ids := []string{c.nextID()}
-	if !c.isFastCGI && c.chance.Float64() < c.run.plan.PipelineRate {
+	if !c.isFastCGI && c.rng.Float64() < c.run.plan.PipelineRate {
 		ids = append(ids, c.nextID())
 	}
 	for _, id := range ids {
@@ -199,7 +199,7 @@
 // nextID returns the ID of the client's next request. Its parity says whether the request is idempotent.
 func (c *client) nextID() string {
 	c.sent++
-	return fmt.Sprintf("%04x%04x%07x%x", c.run.plan.Seed&0xffff, c.number, c.sent, c.chance.IntN(16))
+	return fmt.Sprintf("%04x%04x%07x%x", c.run.plan.Seed&0xffff, c.number, c.sent, c.rng.IntN(16))
 }
 
 // isNonIdempotent reports whether a request is one that must not run twice.
