--- a/internal/testbed/soak/audit.go
+++ b/internal/testbed/soak/audit.go
@@ -10,76 +10,76 @@
 )
 
 const (
-	// minIdleTime is how long a connection whose last answer announced no close must have been idle before the node closes it. A node
-	// listens on for 0.75 s after SIGTERM before it closes idle connections, and otherwise closes them after 2.1 s.
+	// minIdleTime is the minimum idle time after which a node may close a connection whose last answer did not announce the close. After
+	// SIGTERM a node continues to accept connections for 0.75 s before it closes idle ones; otherwise it closes them after 2.1 s.
 	minIdleTime = 500 * time.Millisecond
-	// minCrowdedIdleTime is minIdleTime while descriptors are short. A node closes connections that were idle for 0.1 s for others then;
-	// clients notice an answer some time after it was sent.
+	// minIdleTimeUnderShortage replaces minIdleTime while the node is short of file descriptors. It then closes connections that were
+	// idle for 0.1 s to admit others; the bound is lower, because clients receive an answer some time after it was sent.
 	minIdleTimeUnderShortage = 50 * time.Millisecond
-	// sendSlack is how long after its final answer a request may still arrive at a server that it was written to before.
+	// sendSlack is the time after the final answer within which a request that was already written may still arrive at a server.
 	sendSlack = 500 * time.Millisecond
-	// maxDetails is how many violations of a run are kept in words.
+	// maxDetails is the maximum number of violations of a run that are described.
 	maxDetails = 20
 )
 
-// Rule is a rule that a stop has to keep.
+// Rule is the name of a rule that a node must comply with when it is stopped.
 type Rule string
 
 // Rules of a stop.
 const (
-	Answered           Rule = "answered"       // each request that the node has read gets one whole final answer
-	CloseAnnounced     Rule = "close-is-known" // a connection is closed only after an answer that announced it, or when it was idle
-	LastAnswerComplete Rule = "last-is-whole"  // an answer that announces the close arrives whole, whatever follows the request
-	NothingAfter       Rule = "nothing-after"  // nothing is sent to a server after the final answer
-	RunsOnce           Rule = "runs-once"      // no non-idempotent request runs twice
-	ExitsInTime        Rule = "ends-in-time"   // the node ends by itself before it is killed
-	ExitsCleanly       Rule = "ends-cleanly"   // with exit code 0 and without a panic
-	JournalComplete    Rule = "journal"        // what ran stands in the journal
+	Answered           Rule = "answered"       // each request that the node has read gets one complete final answer
+	CloseAnnounced     Rule = "close-is-known" // a connection is closed only after an answer that announced the close, or while idle
+	LastAnswerComplete Rule = "last-is-whole"  // an answer that announces the close arrives completely, even if more requests were pipelined
+	NothingAfter       Rule = "nothing-after"  // no attempt is sent to a server after the final answer
+	RunsOnce           Rule = "runs-once"      // no non-idempotent request is executed twice
+	ExitsInTime        Rule = "ends-in-time"   // the node exits before it is killed
+	ExitsCleanly       Rule = "ends-cleanly"   // the node exits with code 0 and without a panic
+	JournalComplete    Rule = "journal"        // the journal records each execution of a non-idempotent request
 )
 
-// Rules lists all rules in the order of reports.
+// Rules lists all rules in the order in which they are reported.
 var Rules = []Rule{Answered, CloseAnnounced, LastAnswerComplete, NothingAfter, RunsOnce, ExitsInTime, ExitsCleanly, JournalComplete}
 
-// request is what is known of one request.
+// request is the state of one request.
 type request struct {
 	isNonIdempotent    bool
 	ran                int
-	lastReceived       time.Duration // at a server; 0: never
-	answered           time.Duration // 0: no answer came
-	isBehindLastAnswer bool          // sent behind an answer that announced the close
+	lastReceived       time.Duration // time of the last arrival at a server; 0: none
+	answered           time.Duration // time of the answer; 0: none
+	isBehindLastAnswer bool          // pipelined after a request whose answer announced the close
 }
 
-// Audit collects what clients and servers see, and decides which rules were broken. It is safe for concurrent use. Times count from the
-// start of the run.
+// Audit collects the events of clients and servers, and checks the rules. It is safe for concurrent use. Times count from the start of
+// the run.
 type Audit struct {
-	minIdle time.Duration // minIdleTime, or minCrowdedIdleTime in a run with a crowd
+	minIdle time.Duration // minIdleTime, or minIdleTimeUnderShortage
 
 	mu                sync.Mutex
 	requests          map[string]*request
 	violations        map[Rule]int
 	details           []string
 	answers           int
-	closeRaces        []time.Duration // idle times of HTTP connections that the node closed as a request was sent
-	fastCGICloseRaces int             // such connections that speak FastCGI, which cannot announce a close
+	closeRaces        []time.Duration // idle times of HTTP connections that the node closed while a request was sent
+	fastCGICloseRaces int             // such FastCGI connections; FastCGI cannot announce a close
 }
 
-// NewAudit returns an audit without requests. hasCrowd says that descriptors are short.
-func NewAudit(hasCrowd bool) *Audit {
+// NewAudit returns an audit without events. isShortOfSockets: the node is short of file descriptors during the run.
+func NewAudit(isShortOfSockets bool) *Audit {
 	a := &Audit{minIdle: minIdleTime, requests: map[string]*request{}, violations: map[Rule]int{}}
-	if hasCrowd {
+	if isShortOfSockets {
 		a.minIdle = minIdleTimeUnderShortage
 	}
 	return a
 }
 
-// Sending reports a request before its first byte is sent.
+// Sending reports that a client starts to send a request.
 func (a *Audit) Sending(id string, isNonIdempotent bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.requests[id] = &request{isNonIdempotent: isNonIdempotent}
 }
 
-// Received reports a request that arrived at a server.
+// Received reports that a request arrived at a server.
 func (a *Audit) Received(id string, at time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -97,7 +97,7 @@
 	}
 }
 
-// Answer reports a whole answer to a request.
+// Answer reports that a client received a complete answer to a request.
 func (a *Audit) Answer(id string, at time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -105,35 +105,37 @@
 	a.answers++
 }
 
-// Dropped reports a request that was sent behind one whose answer announced the close: the node must not forward it.
+// SentBehindLastAnswer reports a request that was pipelined after a request whose answer announced the close. The node must not forward
+// it.
 func (a *Audit) SentBehindLastAnswer(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.requests[id].isBehindLastAnswer = true
 }
 
-// Closed reports a connection that the node closed between two requests. isCrossed says that a request was sent on it then.
-func (a *Audit) Closed(isFastCGI, isCrossed bool, idle time.Duration, when string) {
+// Closed reports that the node closed a connection between two requests. isRace: a request was sent on it at the same time. description
+// identifies the connection in violations.
+func (a *Audit) Closed(isFastCGI, isRace bool, idle time.Duration, description string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
 	case !isFastCGI && idle < a.minIdle:
-		a.addViolation(CloseAnnounced, fmt.Sprintf("%s: closed after %s, and the last answer announced no close", when, idle.Round(time.Microsecond)))
-	case isCrossed && isFastCGI:
+		a.addViolation(CloseAnnounced, fmt.Sprintf("%s: connection closed after being idle for %s without an announcement in the last answer", description, idle.Round(time.Microsecond)))
+	case isRace && isFastCGI:
 		a.fastCGICloseRaces++
-	case isCrossed:
+	case isRace:
 		a.closeRaces = append(a.closeRaces, idle)
 	}
 }
 
-// Broken reports that a rule was broken.
+// Violation reports a violation of a rule.
 func (a *Audit) Violation(rule Rule, format string, args ...any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.addViolation(rule, fmt.Sprintf(format, args...))
 }
 
-// breakRule counts a violation. mu is held.
+// addViolation counts a violation. The caller holds mu.
 func (a *Audit) addViolation(rule Rule, detail string) {
 	a.violations[rule]++
 	if len(a.details) < maxDetails {
@@ -141,29 +143,29 @@
 	}
 }
 
-// Finish checks what is known only at the end. unread are requests on connections that ended without a byte of an answer: the node must
-// not have read them.
+// Finish checks the rules that can only be checked after the run. unread are the requests on connections that ended without a byte of an
+// answer: the node must not have read them.
 func (a *Audit) Finish(unread []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, id := range unread {
 		if r := a.requests[id]; r.lastReceived > 0 {
-			a.addViolation(Answered, id+" was forwarded and got no answer")
+			a.addViolation(Answered, id+" was forwarded but not answered")
 		}
 	}
 	for id, r := range a.requests {
 		switch {
 		case r.isNonIdempotent && r.ran > 1:
-			a.addViolation(RunsOnce, fmt.Sprintf("%s ran %d times", id, r.ran))
+			a.addViolation(RunsOnce, fmt.Sprintf("%s was executed %d times", id, r.ran))
 		case r.isBehindLastAnswer && r.lastReceived > 0:
-			a.addViolation(NothingAfter, id+" was sent behind the last answer of its connection and forwarded")
+			a.addViolation(NothingAfter, id+" was forwarded though the previous answer announced the close of the connection")
 		case r.answered > 0 && r.lastReceived > r.answered+sendSlack:
-			a.addViolation(NothingAfter, fmt.Sprintf("%s reached a server %s after its answer", id, (r.lastReceived-r.answered).Round(time.Millisecond)))
+			a.addViolation(NothingAfter, fmt.Sprintf("%s arrived at a server %s after its final answer", id, (r.lastReceived-r.answered).Round(time.Millisecond)))
 		}
 	}
 }
 
-// CheckJournal compares the entries of the node's journal with what ran.
+// CheckJournal compares the entries of the node's journal with the executions. hasGaps: the journal reports missing records.
 func (a *Audit) CheckJournal(entries map[string]*intent.Entry, hasGaps bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -173,9 +175,9 @@
 		}
 		switch e := entries[id]; {
 		case e == nil && !hasGaps:
-			a.addViolation(JournalComplete, id+" ran, and the journal has no entry of it")
+			a.addViolation(JournalComplete, id+" was executed, but the journal has no entry for it")
 		case e != nil && e.State() == intent.NotSent:
-			a.addViolation(JournalComplete, id+" ran, and the journal says that it was not sent")
+			a.addViolation(JournalComplete, id+" was executed, but the journal records it as not sent")
 		}
 	}
 }
@@ -184,9 +186,9 @@
 type Counts struct {
 	Requests, Answers int
 	Broken            map[Rule]int
-	IdleCrossings     int           // closes of idle HTTP connections that a request crossed
-	ShortestIdle      time.Duration // of these
-	FastCGICrossings  int
+	IdleCrossings     int           // HTTP connections that the node closed while idle, as a request was sent
+	ShortestIdle      time.Duration // shortest idle time of these connections
+	FastCGICrossings  int           // FastCGI connections that the node closed as a request was sent
 	Details           []string
 }
 
@@ -202,5 +204,5 @@
 	return c
 }
 
-// IsBroken reports whether any rule was broken.
+// IsBroken reports whether any rule was violated.
 func (c *Counts) IsBroken() bool { return len(c.Broken) > 0 }
--- a/internal/testbed/soak/brokennode_test.go
+++ b/internal/testbed/soak/brokennode_test.go
@@ -16,25 +16,25 @@
 	"fernvane/internal/protocol/message"
 )
 
-// brokenFault is what a brokenNode does wrong.
+// brokenFault is the fault of a brokenNode.
 type brokenFault string
 
 // Faults of a brokenNode.
 const (
-	hasNoFault        brokenFault = "sound"
-	isSilent          brokenFault = "reads requests and never answers"
-	cutsAnswers       brokenFault = "breaks answers off"
-	cutsLastAnswers   brokenFault = "breaks off an answer behind which more was sent"
-	closesUnannounced brokenFault = "closes connections behind answers without a word"
+	hasNoFault        brokenFault = "no fault"
+	isSilent          brokenFault = "reads requests and does not answer"
+	cutsAnswers       brokenFault = "truncates answers"
+	cutsLastAnswers   brokenFault = "truncates answers to requests followed by pipelined ones"
+	closesUnannounced brokenFault = "closes connections after answers without announcing it"
 	forwardsTwice     brokenFault = "forwards each request twice"
-	forwardsLate      brokenFault = "forwards requests once more after the answer"
-	ignoresStop       brokenFault = "goes on after SIGTERM"
-	failsAtStop       brokenFault = "exits with a code"
-	panicsAtStop      brokenFault = "panics at the stop"
-	writesNoJournal   brokenFault = "keeps no journal"
+	forwardsLate      brokenFault = "forwards requests again after the answer"
+	ignoresStop       brokenFault = "ignores SIGTERM"
+	failsAtStop       brokenFault = "exits with a nonzero code"
+	panicsAtStop      brokenFault = "panics after SIGTERM"
+	writesNoJournal   brokenFault = "writes no journal"
 )
 
-// brokenRules says which rule a fault breaks; "": none.
+// brokenRules maps each fault to the rule that it violates; "": none.
 var brokenRules = map[brokenFault]Rule{
 	hasNoFault:        "",
 	isSilent:          Answered,
@@ -49,7 +49,7 @@
 	writesNoJournal:   JournalComplete,
 }
 
-// brokenNode forwards each request to one server and has one fault. It closes idle connections only by its end.
+// brokenNode is a minimal node with one fault. It forwards each request to one server, and closes idle connections only when it exits.
 type brokenNode struct {
 	fault      brokenFault
 	server     string // address of the server
@@ -57,10 +57,10 @@
 	clients    sync.WaitGroup
 }
 
-// lateDelay is when forwardsLate forwards once more. A test of it needs a stop that comes later.
+// lateDelay is the time after which forwardsLate forwards a request again. A test of it needs a stop that comes later.
 const lateDelay = sendSlack + 50*time.Millisecond
 
-// runBrokenNode runs a brokenNode on a node's configuration, and returns its exit code.
+// runBrokenNode runs a brokenNode with a node's configuration and returns its exit code.
 func runBrokenNode(path string, fault brokenFault) int {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM)
@@ -77,7 +77,7 @@
 	if err != nil {
 		return 2
 	}
-	fastCGI, err := net.Listen("tcp", strings.Replace(config.Listen, fmt.Sprint(httpPort), fmt.Sprint(fastCGIPort), 1)) // is only opened
+	fastCGI, err := net.Listen("tcp", strings.Replace(config.Listen, fmt.Sprint(httpPort), fmt.Sprint(fastCGIPort), 1)) // only accepts connections
 	if err != nil {
 		return 2
 	}
@@ -109,7 +109,7 @@
 	}
 }
 
-// serve serves a client's connection until an answer has announced the close.
+// serve processes the requests of a client's connection until an answer has announced the close.
 func (n *brokenNode) serve(nc net.Conn) {
 	defer nc.Close()
 	c := http1.NewConn(nc)
@@ -134,7 +134,7 @@
 	}
 }
 
-// forward sends a request to the server, as often as the fault has it.
+// forward sends a request to the server, more than once if the fault requires it.
 func (n *brokenNode) forward(id string) {
 	n.forwardOnce(id)
 	if n.fault == forwardsTwice {
--- a/internal/testbed/soak/client.go
+++ b/internal/testbed/soak/client.go
@@ -15,31 +15,31 @@
 	"fernvane/internal/protocol/message"
 )
 
-// answerSlack is how long after its deadline a client still waits for an answer.
+// answerSlack is the time after a request's deadline for which a client still waits for the answer.
 const answerSlack = 2 * time.Second
 
-// clientConn is a client's connection, in either protocol.
+// clientConn is a client's connection, for HTTP or FastCGI.
 type clientConn interface {
 	net.Conn
 	IsIdle() bool
-	SendRequest(r *message.Request, remaining time.Duration, clientAddress string) (isWhole bool, err error)
+	SendRequest(r *message.Request, remaining time.Duration, clientAddress string) (isComplete bool, err error)
 	ReceiveResponse(r *message.Response) error
 }
 
-// countedConn records whether bytes were read.
+// trackedConn is a TCP connection that records whether bytes were read.
 type trackedConn struct {
 	*net.TCPConn
 	hasRead bool
 }
 
-// Read reads and records whether bytes came.
+// Read reads from the connection and records whether it returned bytes.
 func (c *trackedConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	c.hasRead = c.hasRead || n > 0
 	return n, err
 }
 
-// client sends requests one after the other, and keeps its connection until the node announces or makes its end.
+// client sends sequential requests. It uses a connection until the node announces its close or closes it.
 type client struct {
 	run       *run
 	number    int
@@ -48,8 +48,8 @@
 	sent      int
 
 	tracked    *trackedConn
-	conn       clientConn // nil: none is open
-	answeredAt time.Time  // when the last answer came on it; zero: none has
+	conn       clientConn // nil: no connection is open
+	answeredAt time.Time  // time of the last answer on conn; zero: none
 }
 
 func newClient(r *run, number int) *client {
@@ -57,7 +57,7 @@
 	return &client{run: r, number: number, rng: rand.New(rand.NewPCG(r.plan.Seed, uint64(number))), isFastCGI: isFastCGI}
 }
 
-// serve sends requests until no connection can be had any more or ctx ends.
+// serve sends requests until no connection can be opened or ctx ends.
 func (c *client) serve(ctx context.Context) {
 	defer c.close()
 	for ctx.Err() == nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-// open opens a connection. It returns false when the node takes none any more.
+// open opens a connection. It returns false if the node no longer has to accept connections, or did not accept this one.
 func (c *client) open(ctx context.Context) bool {
 	address := c.run.httpAddress()
 	if c.isFastCGI {
@@ -92,7 +92,7 @@
 	nc, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		if ctx.Err() == nil {
-			c.run.audit.Violation(Answered, "client %d cannot connect %s after the stop: %v", c.number, c.run.sinceStop().Round(time.Millisecond), err)
+			c.run.audit.Violation(Answered, "client %d failed to connect %s after the stop: %v", c.number, c.run.sinceStop().Round(time.Millisecond), err)
 		}
 		return false
 	}
@@ -113,16 +113,16 @@
 	}
 }
 
-// closedBetween reports that the node has closed the connection between two requests, and gives it up. isCrossed says that a request was
-// sent on it.
-func (c *client) closedBetweenRequests(isCrossed bool) {
-	when := fmt.Sprintf("client %d, request sent %v, %s after the stop", c.number, isCrossed, c.run.sinceStop().Round(time.Millisecond))
-	c.run.audit.Closed(c.isFastCGI, isCrossed, time.Since(c.answeredAt), when)
+// closedBetweenRequests reports that the node closed the connection between two requests, and closes the client's end. isRace: a request
+// was sent on it at the same time.
+func (c *client) closedBetweenRequests(isRace bool) {
+	description := fmt.Sprintf("client %d, request sent %v, %s after the stop", c.number, isRace, c.run.sinceStop().Round(time.Millisecond))
+	c.run.audit.Closed(c.isFastCGI, isRace, time.Since(c.answeredAt), description)
 	c.close()
 }
 
-// exchange sends a request, sometimes with another right behind it, and receives the answers. It returns false if the connection cannot
-// be used any more.
+// exchange sends a request, sometimes followed by a pipelined one, and receives the answers. It returns false if the connection is no
+// longer usable.
 func (c *client) exchange() bool {
 	timeout := c.run.plan.Deadline / time.Duration(1+c.rng.IntN(2))
 	ids := []string{c.nextID()}
@@ -135,7 +135,7 @@
 	c.tracked.hasRead = false
 	c.conn.SetDeadline(time.Now().Add(timeout + answerSlack))
 	for i, id := range ids {
-		if isWhole, err := c.conn.SendRequest(requestMessage(id), timeout, "127.0.0.1"); !isWhole {
+		if isComplete, err := c.conn.SendRequest(requestMessage(id), timeout, "127.0.0.1"); !isComplete {
 			c.endedWithoutAnswer(ids[i:], err)
 			return false
 		}
@@ -147,8 +147,8 @@
 			return false
 		}
 		if closes {
-			for _, behind := range ids[i+1:] {
-				c.run.audit.SentBehindLastAnswer(behind)
+			for _, pipelined := range ids[i+1:] {
+				c.run.audit.SentBehindLastAnswer(pipelined)
 			}
 			return false
 		}
@@ -156,7 +156,7 @@
 	return true
 }
 
-// receive receives one answer, and reports whether the connection closes after it.
+// receive receives the answer to a request, and returns whether it announces the close of the connection.
 func (c *client) receive(id string) (closes bool, err error) {
 	var resp message.Response
 	if err := c.conn.ReceiveResponse(&resp); err != nil {
@@ -165,44 +165,44 @@
 	c.answeredAt = time.Now()
 	c.run.audit.Answer(id, time.Since(c.run.start))
 	if resp.Status == 200 && !bytes.HasPrefix(resp.Body, []byte(id)) {
-		c.run.audit.Violation(Answered, "%s got the answer of another request", id)
+		c.run.audit.Violation(Answered, "%s got the answer to another request", id)
 	}
-	return message.HasToken(resp.Fields, "Connection", "close"), nil // resp.Close is also set by a second answer behind this one
+	return message.HasToken(resp.Fields, "Connection", "close"), nil // not resp.Close, which is also set if another answer follows this one
 }
 
-// ended reports requests on a connection that ended before the answer to the first of them.
+// endedWithoutAnswer reports requests on a connection that ended before the first of them was answered.
 func (c *client) endedWithoutAnswer(ids []string, err error) {
 	isReused := !c.answeredAt.IsZero()
 	since := c.run.sinceStop().Round(time.Millisecond)
 	switch {
 	case c.run.wasKilled():
-		c.run.audit.Violation(Answered, "%s had no answer when the node was killed", ids[0])
+		c.run.audit.Violation(Answered, "%s was not answered before the node was killed", ids[0])
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.run.audit.Violation(Answered, "%s had no answer %s after its deadline", ids[0], answerSlack)
+		c.run.audit.Violation(Answered, "%s was not answered within %s after its deadline", ids[0], answerSlack)
 	case c.tracked.hasRead:
 		rule := Answered
 		if len(ids) > 1 {
 			rule = LastAnswerComplete
 		}
-		c.run.audit.Violation(rule, "the answer to %s broke off %s after the stop: %v", ids[0], since, err)
+		c.run.audit.Violation(rule, "answer to %s incomplete: connection ended %s after the stop: %v", ids[0], since, err)
 	case isReused:
 		c.run.addUnread(ids)
 		c.closedBetweenRequests(true)
 	default:
 		c.run.addUnread(ids)
-		if !c.run.plan.HasIdleClients { // for want of descriptors a new connection may be closed unread
-			c.run.audit.Violation(Answered, "%s was sent on a new connection that was closed %s after the stop: %v", ids[0], since, err)
+		if !c.run.plan.HasIdleClients { // a node short of descriptors may close a new connection unread
+			c.run.audit.Violation(Answered, "%s not answered: new connection closed %s after the stop: %v", ids[0], since, err)
 		}
 	}
 }
 
-// nextID returns the ID of the client's next request. Its parity says whether the request is idempotent.
+// nextID returns the ID of the client's next request. Its last digit determines whether the request is non-idempotent.
 func (c *client) nextID() string {
 	c.sent++
 	return fmt.Sprintf("%04x%04x%07x%x", c.run.plan.Seed&0xffff, c.number, c.sent, c.rng.IntN(16))
 }
 
-// isNonIdempotent reports whether a request is one that must not run twice.
+// isNonIdempotent reports whether the request with the given ID is non-idempotent.
 func isNonIdempotent(id string) bool { return id[len(id)-1] < '4' }
 
 // requestMessage returns the message of a request.
--- a/internal/testbed/soak/crowd.go
+++ b/internal/testbed/soak/crowd.go
@@ -7,14 +7,14 @@
 	"sync"
 )
 
-// crowdTexts are what clients of a crowd send before they fall silent: nothing, a whole request, half of one.
+// idleClientInputs are the inputs that idle clients send before they stop sending: nothing, a complete request, a truncated request.
 var idleClientInputs = []string{
 	"",
 	"GET /up HTTP/1.1\r\nHost: h\r\n\r\n",
 	"POST /book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: ffff\r\nContent-Length: 9\r\n\r\nhalf",
 }
 
-// runCrowd connects clients that hold their connections idle until the node closes them or ctx ends.
+// runIdleClients opens idleClientCount connections that stay idle until the node closes them or ctx ends.
 func runIdleClients(ctx context.Context, address string) {
 	var wg sync.WaitGroup
 	for i := range idleClientCount {
--- a/internal/testbed/soak/node.go
+++ b/internal/testbed/soak/node.go
@@ -19,7 +19,7 @@
 	pollInterval = 5 * time.Millisecond
 )
 
-// node is the node process of a run, with its files in one directory.
+// node is the node process of a run. Its files are in one directory.
 type node struct {
 	dir     string
 	command []string
@@ -32,7 +32,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// settings returns the node's settings under the names of the platform.
+// settings returns the node's settings, under the keys of the node's configuration.
 func settings(p *Plan) object {
 	trafficType := func(name, idempotency string) object {
 		return object{"name": name, "idempotency": idempotency, "targetTime": milliseconds(p.Deadline / 4), "abandonTime": milliseconds(p.Deadline),
@@ -44,7 +44,7 @@
 		"rules":        object{"askWithin": 3000, "stopSendingWithin": 500, "cold": 0, "fallMultiple": 0, "startCapacity": 1}}
 }
 
-// configure writes the node's files.
+// configure writes the node's configuration files. It renames complete files into place, so that the node never reads a partial one.
 func (n *node) configure(p *Plan, listen, fastCGI, discoveryAddress string, list json.RawMessage) error {
 	config, err := json.Marshal(object{"name": "n0", "listen": listen, "discovery": discoveryAddress, "seed": fmt.Sprint(p.Seed),
 		"limits": object{"cores": 1, "memory_mb": 128, "sockets": p.Sockets()}, "known": list, "settings": settings(p)})
@@ -72,7 +72,7 @@
 func (n *node) path(name string) string { return filepath.Join(n.dir, name) }
 func (n *node) journalDir() string      { return n.path("journal") }
 
-// start starts the process and returns once it accepts connections at all addresses.
+// start starts the process and returns when it accepts connections at all addresses.
 func (n *node) start(p *Plan, addresses ...string) error {
 	log, err := os.Create(n.path("node.log"))
 	if err != nil {
@@ -93,7 +93,7 @@
 		n.cmd.Wait()
 		close(n.exited)
 	}()
-	for by := time.Now().Add(maxStartTime); time.Now().Before(by) && !n.hasExited(); time.Sleep(pollInterval) {
+	for deadline := time.Now().Add(maxStartTime); time.Now().Before(deadline) && !n.hasExited(); time.Sleep(pollInterval) {
 		if len(addresses) > 0 && accepts(addresses[0]) {
 			addresses = addresses[1:]
 		}
@@ -101,10 +101,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("the node does not start: %s", n.log())
+	return fmt.Errorf("node did not accept connections: %s", n.log())
 }
 
-// accepts reports whether connections are accepted at an address.
+// accepts reports whether a connection to an address is accepted.
 func accepts(address string) bool {
 	c, err := net.Dial("tcp", address)
 	if err == nil {
@@ -125,7 +125,7 @@
 // signal sends a signal to the process.
 func (n *node) signal(s syscall.Signal) { n.cmd.Process.Signal(s) }
 
-// kill kills the process if it still runs, and waits until it has exited.
+// kill kills the process if it is running, and waits until it has exited.
 func (n *node) kill() {
 	if n.cmd == nil || n.cmd.Process == nil {
 		return
@@ -134,22 +134,22 @@
 	<-n.exited
 }
 
-// log returns what the process has logged.
+// log returns the content of the process's log.
 func (n *node) log() []byte {
 	text, _ := os.ReadFile(n.path("node.log"))
 	return text
 }
 
-// hasPanicked reports whether the log tells of a panic.
+// hasPanicked reports whether the log contains a panic.
 func (n *node) hasPanicked() bool { return bytes.Contains(n.log(), []byte("panic")) }
 
-// unwatched ignores what discovery notified the node of.
+// nopWatcher is a discovery.Watcher that ignores all notifications.
 type nopWatcher struct{}
 
 // Announced implements discovery.Watcher.
 func (nopWatcher) Announced(int, string, string, int64, time.Time) {}
 
-// newDiscovery returns discovery with entries for the servers.
+// newDiscovery returns a discovery stand-in with entries for the servers.
 func newDiscovery(p *Plan, addresses []string) *discovery.Service {
 	d := discovery.New(discovery.Settings{LinesPerS: 1e5, CallLines: 1, Timeout: time.Second}, p.Seed, nopWatcher{})
 	for i, address := range addresses {
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -14,7 +14,7 @@
 	"fernvane/internal/testbed/standin/loopback"
 )
 
-// Ports of a run, on addresses of its own.
+// Ports of a run. Each run has its own addresses.
 const (
 	httpPort      = 8443
 	fastCGIPort   = 8500
@@ -22,20 +22,20 @@
 	discoveryPort = 10000
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	Command   []string // runs a node; PROXY_CONFIG names its configuration
-	Directory string   // for the node's files and log; "": a temporary one
+	Command   []string // command line of a node; PROXY_CONFIG names its configuration
+	Directory string   // for the node's files and log; "": a temporary directory
 }
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Plan Plan
 	Counts
-	Took time.Duration // from the stop until the node had ended
+	Took time.Duration // from the stop until the node had exited
 }
 
-// run is one run.
+// run holds the stand-ins, the node process and the state of one run.
 type run struct {
 	plan      Plan
 	audit     *Audit
@@ -45,7 +45,7 @@
 	discovery *discovery.Service
 	node      *node
 
-	stoppedAt atomic.Pointer[time.Time] // nil: the node was not told to stop yet
+	stoppedAt atomic.Pointer[time.Time] // time of the stop signal; nil: not sent yet
 	isKilled  atomic.Bool
 
 	mu     sync.Mutex
@@ -56,7 +56,7 @@
 	slices.SortStableFunc(signals, func(a, b timedSignal) int { return int(a.At - b.At) })
 }
 
-// Run plays one plan. An error means that the run could not be carried out; broken rules stand in the Result.
+// Run executes one plan. An error means that the run could not be completed; the Result lists violations of rules.
 func Run(ctx context.Context, plan Plan, o Options) (result Result, err error) {
 	r := &run{plan: plan, audit: NewAudit(plan.HasIdleClients), start: time.Now()}
 	if r.network, err = loopback.Reserve(); err != nil {
@@ -86,12 +86,12 @@
 func (r *run) httpAddress() string    { return r.network.Address(0, 1, httpPort) }
 func (r *run) fastCGIAddress() string { return r.network.Address(0, 1, fastCGIPort) }
 
-// discoveryAddress returns where discovery listens after a number of moves.
+// discoveryAddress returns the address of discovery after it has moved a number of times.
 func (r *run) discoveryAddress(moves int) string {
 	return r.network.Address(200+moves, 1, discoveryPort)
 }
 
-// build starts servers, discovery and the node.
+// build starts the servers, discovery and the node.
 func (r *run) build() error {
 	var addresses []string
 	for i := range r.plan.Servers {
@@ -126,7 +126,8 @@
 	}
 }
 
-// play sends load and signals, kills the node if it has not ended in time, and checks what came of it.
+// execute runs the load, sends the signals, kills the node if it does not exit in time, and checks the results. took is the time from the
+// stop until the node had exited.
 func (r *run) execute(ctx context.Context) (took time.Duration, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -152,7 +153,7 @@
 	return took, err
 }
 
-// sendSignals applies faults and sends all signals, those behind the stop on a goroutine of its own.
+// sendSignals applies the faults and sends all signals. It returns after the stop signal; a goroutine sends the later ones.
 func (r *run) sendSignals(ctx context.Context, stopAt time.Time) error {
 	if !sleepUntil(ctx, stopAt.Add(-maxSignalLead)) {
 		return ctx.Err()
@@ -190,7 +191,7 @@
 	return nil
 }
 
-// applyFaults has servers drain and discovery fail as the node stops.
+// applyFaults starts the faults that begin with the stop: the drain of a server and the outage of discovery.
 func (r *run) applyFaults() {
 	if r.plan.DrainServer {
 		r.servers[0].isDraining.Store(true)
@@ -201,28 +202,28 @@
 	}
 }
 
-// awaitEnd waits until the node has ended, and kills it when its time is over.
+// awaitExit waits until the node has exited, and kills it after Plan.KillAfter.
 func (r *run) awaitExit() {
 	select {
 	case <-r.node.exited:
 	case <-time.After(time.Until(r.stoppedAt.Load().Add(r.plan.KillAfter()))):
-		r.audit.Violation(ExitsInTime, "the node still ran %s after the stop", r.plan.KillAfter().Round(time.Millisecond))
+		r.audit.Violation(ExitsInTime, "node still running %s after the stop", r.plan.KillAfter().Round(time.Millisecond))
 		r.isKilled.Store(true)
 		r.node.kill()
 	}
 }
 
-// checkNode checks how the process ended.
+// checkNode checks the exit code and the log of the process.
 func (r *run) checkNode() {
 	if code := r.node.cmd.ProcessState.ExitCode(); code != 0 && !r.wasKilled() {
 		r.audit.Violation(ExitsCleanly, "exit code %d: %s", code, r.node.log())
 	}
 	if r.node.hasPanicked() {
-		r.audit.Violation(ExitsCleanly, "the log tells of a panic")
+		r.audit.Violation(ExitsCleanly, "node log contains a panic")
 	}
 }
 
-// checkJournal reads the node's journal and compares it with what ran.
+// checkJournal reads the node's journal and compares it with the executions.
 func (r *run) checkJournal() error {
 	merger, entries := intent.NewMerger(), map[string]*intent.Entry{}
 	report, err := wal.Scan(wal.OSFileSystem{}, r.node.journalDir(), time.Time{}, func(record *intent.Record) error {
@@ -238,13 +239,13 @@
 		entries[e.RequestID] = e
 	}
 	if n := report.CorruptCount(); n > 0 {
-		r.audit.Violation(JournalComplete, "%d ranges cannot be read", n)
+		r.audit.Violation(JournalComplete, "journal has %d corrupt ranges", n)
 	}
 	r.audit.CheckJournal(entries, len(merger.Gaps) > 0)
 	return nil
 }
 
-// sinceStop returns the time since the node was told to stop, below 0 before that.
+// sinceStop returns the time since the stop signal; it is negative before the signal.
 func (r *run) sinceStop() time.Duration {
 	if at := r.stoppedAt.Load(); at != nil {
 		return time.Since(*at)
@@ -260,7 +261,7 @@
 	r.unread = append(r.unread, ids...)
 }
 
-// sleepUntil returns at a time, or false when ctx has ended before.
+// sleepUntil waits until a time and returns true. It returns false if ctx ends before.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/testbed/soak/server.go
+++ b/internal/testbed/soak/server.go
@@ -11,7 +11,8 @@
 	"fernvane/internal/testbed/standin/link"
 )
 
-// server is a stand-in server. What it does with a request follows from the request's ID, so that each run of a seed has the same faults.
+// server is a stand-in server. Its behaviour for a request depends only on the request's ID, so that each run of a seed has the same
+// faults.
 type server struct {
 	plan       *Plan
 	start      time.Time
@@ -26,7 +27,7 @@
 	return s, err
 }
 
-// serve serves a connection, request by request.
+// serve processes the requests of a connection sequentially.
 func (s *server) serve(conn *link.Conn) {
 	c := http1.NewConn(conn)
 	var req message.Request
@@ -48,7 +49,7 @@
 	}
 }
 
-// draw returns a number below 1 for what may happen to a request.
-func draw(id, what string) float64 {
-	return float64(crc32.ChecksumIEEE([]byte(id+what))) / (1 << 32)
+// draw returns a pseudo-random number in [0, 1) for one aspect of a request.
+func draw(id, aspect string) float64 {
+	return float64(crc32.ChecksumIEEE([]byte(id+aspect))) / (1 << 32)
 }
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -14,17 +14,17 @@
 	"fernvane/internal/proxy"
 )
 
-// brokenVar names the fault of a brokenNode, which this program is then.
+// brokenVar is the environment variable that makes this program run as a brokenNode with the fault that it names.
 const brokenVar = "SOAK_BROKEN_NODE"
 
-// TestMain lets this very program run as a node.
+// TestMain lets the test binary also run as a node process.
 func TestMain(m *testing.M) {
 	path := os.Getenv("PROXY_CONFIG")
 	switch {
 	case os.Getenv(brokenVar) != "":
 		os.Exit(runBrokenNode(path, brokenFault(os.Getenv(brokenVar))))
 	case path != "":
-		proxy.CatchSignals() // as the node's own command does
+		proxy.CatchSignals() // like the node's command
 		cfg, err := proxy.LoadConfig(path, os.Getenv)
 		if err != nil {
 			os.Exit(2)
@@ -34,7 +34,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// Guards against stops that lose requests: the rules hold for the node on a fixed set of seeds.
+// Guards against a node that loses requests when it is stopped: no rule is violated on a fixed set of seeds.
 func TestStops(t *testing.T) {
 	const seeds, atOnce = 64, 6
 	var g errgroup.Group
@@ -46,7 +46,7 @@
 				t.Errorf("seed %d: %v", seed, err)
 			}
 			if result.IsBroken() {
-				t.Errorf("seed %d, ended %s after the stop: %s\n%v", seed, result.Took, result.Plan.String(), result.Details)
+				t.Errorf("seed %d, node exited %s after the stop: %s\n%v", seed, result.Took, result.Plan.String(), result.Details)
 			}
 			return nil
 		})
@@ -54,13 +54,13 @@
 	g.Wait()
 }
 
-// calmPlan is a plan without any fault or crowd.
+// calmPlan returns a plan without faults and idle clients.
 func calmPlan() Plan {
 	return Plan{Seed: 1, Deadline: time.Second, Clients: 8, MaxPause: 5 * time.Millisecond, Servers: 2, MaxWork: time.Millisecond,
 		Signals: []timedSignal{{0, syscall.SIGTERM}}}
 }
 
-// Each rule is found broken by a node that breaks it, and by a sound one none is.
+// The audit reports the expected violation for each broken node, and none for a node without a fault.
 func TestBrokenNodesAreFound(t *testing.T) {
 	for fault, rule := range brokenRules {
 		t.Run(string(fault), func(t *testing.T) {
@@ -76,36 +76,36 @@
 				t.Fatal(err)
 			}
 			if rule == "" && result.IsBroken() || rule != "" && result.Broken[rule] == 0 {
-				t.Errorf("broken %v, not %q: %v", result.Broken, rule, result.Details)
+				t.Errorf("got violations %v, want %q: %v", result.Broken, rule, result.Details)
 			}
 			if result.Answers == 0 && fault != isSilent && fault != cutsAnswers {
-				t.Error("nothing was answered")
+				t.Error("got no answers")
 			}
 		})
 	}
 }
 
-// A plan follows from its seed alone, and every kind of run is drawn.
+// A plan depends only on its seed, and every kind of run is drawn often enough.
 func TestPlans(t *testing.T) {
 	kinds := map[string]int{}
 	for seed := uint64(1); seed <= 200; seed++ {
 		p, again := NewPlan(seed), NewPlan(seed)
 		if p.String() != again.String() {
-			t.Fatalf("seed %d: %s, and %s", seed, p.String(), again.String())
+			t.Fatalf("seed %d: got plans %s and %s", seed, p.String(), again.String())
 		}
-		for kind, is := range map[string]bool{"crowd": p.HasIdleClients, "journal": p.HasJournal, "FastCGI": p.FastCGIShare > 0, "pipelined": p.PipelineRate > 0,
+		for kind, isDrawn := range map[string]bool{"idle clients": p.HasIdleClients, "journal": p.HasJournal, "FastCGI": p.FastCGIShare > 0, "pipelined": p.PipelineRate > 0,
 			"hanging": p.HangRate > 0, "drain": p.DrainServer, "discovery": p.DiscoveryDown, "moves": p.MovesDiscovery, "signals": len(p.Signals) > 3} {
-			if is {
+			if isDrawn {
 				kinds[kind]++
 			}
 		}
 	}
 	for kind, n := range kinds {
 		if n < 20 {
-			t.Errorf("%s in %d of 200 plans", kind, n)
+			t.Errorf("%s: got %d of 200 plans, want at least 20", kind, n)
 		}
 	}
 	if len(kinds) != 9 {
-		t.Errorf("drawn %v", kinds)
+		t.Errorf("got kinds %v, want 9", kinds)
 	}
 }
