--- a/internal/testbed/cold_test.go
+++ b/internal/testbed/cold_test.go
@@ -12,12 +12,13 @@
 	"fernvane/policy"
 )
 
-// moment is something that is due in a coldFleet.
+// timedEvent is a scheduled event of a coldFleet.
 type timedEvent struct {
 	at time.Duration
 	do func()
 }
 
+// eventQueue is a heap of events, ordered by time.
 type eventQueue []timedEvent
 
 func (a eventQueue) Len() int           { return len(a) }
@@ -30,33 +31,34 @@
 	return last
 }
 
-// coldServer works through what it is sent in turn, slower while it is cold.
+// coldServer processes its attempts sequentially, and slower while it is cold.
 type coldServer struct {
-	started time.Duration // below 0: warm from the beginning
+	started time.Duration // negative: warm from the beginning
 	freeAt  time.Duration
-	recent  []time.Duration // attempts since its start, within the window
+	recent  []time.Duration // times of its attempts while cold, within the window
 }
 
-// coldFleet is a number of nodes before some servers, each node the shipped module, on a clock of its own.
+// coldFleet simulates nodes in front of servers on a simulated clock. Each node runs the shipped policy.
 type coldFleet struct {
-	set          policy.Settings
-	work         time.Duration // of one request on a warm server
-	window       time.Duration
+	settings     policy.Settings
+	work         time.Duration // mean service time of a request on a warm server
+	window       time.Duration // of the budget of a cold server
 	now          time.Duration
 	events       eventQueue
-	chance       *rand.Rand
+	rng          *rand.Rand
 	nodes        []*coldNode
 	servers      []*coldServer
 	requests     uint64
-	peakShare    float64 // most of what a cold server may get that one got
-	peakDetail   string
-	coldAttempts int // attempts at cold servers
+	peakShare    float64 // largest ratio of a cold server's attempts to its budget with the allowance for random variation
+	peakDetail   string  // describes that case
+	coldAttempts int     // attempts at cold servers
 }
 
+// coldNode is a node of a coldFleet. It implements the effects of its engine.
 type coldNode struct {
-	f               *coldFleet
+	fleet           *coldFleet
 	engine          *engine.Engine[int]
-	timerGeneration int // wakes asked for
+	timerGeneration int // number of SetTimer calls; only the last timer fires
 	attempts        map[uint64]int
 }
 
@@ -64,22 +66,23 @@
 	heap.Push(&f.events, timedEvent{f.now + d, do})
 }
 
-// allows is N, what the settings allow a server to be sent within the window now, in requests of mean work.
+// budget returns N, the number of requests of mean work that the settings allow for a server within the window, at its current capacity.
 func (f *coldFleet) budget(s *coldServer) float64 {
-	return f.set.CrashLoadFactor * f.capacity(s) * f.window.Seconds() / f.work.Seconds()
+	return f.settings.CrashLoadFactor * f.capacity(s) * f.window.Seconds() / f.work.Seconds()
 }
 
 func (f *coldFleet) capacity(s *coldServer) float64 {
-	age := float64(f.now-s.started) / float64(f.set.SlowStartDuration)
+	age := float64(f.now-s.started) / float64(f.settings.SlowStartDuration)
 	if s.started < 0 || age >= 1 {
 		return 1
 	}
-	return f.set.SlowStartInitialCapacity + (1-f.set.SlowStartInitialCapacity)*age
+	return f.settings.SlowStartInitialCapacity + (1-f.settings.SlowStartInitialCapacity)*age
 }
 
-// sent counts an attempt at a server that is cold: beyond N only twice its root and two more are chance.
-func (f *coldFleet) recordAttempt(s int) {
-	c := f.servers[s]
+// recordAttempt counts an attempt at a server, if the server is cold. It allows 2*sqrt(N)+2 attempts beyond the budget N for random
+// variation.
+func (f *coldFleet) recordAttempt(server int) {
+	c := f.servers[server]
 	if f.capacity(c) >= 1 {
 		return
 	}
@@ -89,27 +92,27 @@
 		c.recent = c.recent[1:]
 	}
 	n := f.budget(c)
-	if part := float64(len(c.recent)) / (n + 2*math.Sqrt(n) + 2); part > f.peakShare {
-		f.peakShare = part
-		f.peakDetail = fmt.Sprintf("server %d at %v: %d within %v, N is %.1f", s, f.now, len(c.recent), f.window, n)
+	if share := float64(len(c.recent)) / (n + 2*math.Sqrt(n) + 2); share > f.peakShare {
+		f.peakShare = share
+		f.peakDetail = fmt.Sprintf("server %d at %v: %d attempts within %v, budget %.1f", server, f.now, len(c.recent), f.window, n)
 	}
 }
 
-func (n *coldNode) SendAttempt(job uint64, server int, allow time.Duration) {
-	f := n.f
+func (n *coldNode) SendAttempt(request uint64, server int, timeout time.Duration) {
+	f := n.fleet
 	f.recordAttempt(server)
-	hop := n.attempts[job]
-	n.attempts[job]++
-	c, sent := f.servers[server], f.now
-	c.freeAt = max(c.freeAt, f.now) + time.Duration(float64(f.work)/f.capacity(c)*f.chance.ExpFloat64())
-	in := policy.Input{Attempt: hop, Outcome: policy.Success, ClientAnswered: true}
-	took := c.freeAt - f.now
-	if took > allow {
-		took, in.Outcome, in.ClientAnswered = allow, policy.TimedOut, false
+	attempt := n.attempts[request]
+	n.attempts[request]++
+	c, sentAt := f.servers[server], f.now
+	c.freeAt = max(c.freeAt, f.now) + time.Duration(float64(f.work)/f.capacity(c)*f.rng.ExpFloat64())
+	in := policy.Input{Attempt: attempt, Outcome: policy.Success, ClientAnswered: true}
+	duration := c.freeAt - f.now
+	if duration > timeout {
+		duration, in.Outcome, in.ClientAnswered = timeout, policy.TimedOut, false
 	}
-	f.after(took, func() {
-		in.Elapsed = f.now - sent
-		n.engine.AttemptEnded(f.now, job, server, in, n)
+	f.after(duration, func() {
+		in.Elapsed = f.now - sentAt
+		n.engine.AttemptEnded(f.now, request, server, in, n)
 	})
 }
 
@@ -121,128 +124,130 @@
 
 func (n *coldNode) SetTimer(after time.Duration) {
 	n.timerGeneration++
-	woke := n.timerGeneration
-	n.f.after(after, func() {
-		if n.timerGeneration == woke {
-			n.engine.TimerFired(n.f.now, n)
+	generation := n.timerGeneration
+	n.fleet.after(after, func() {
+		if n.timerGeneration == generation {
+			n.engine.TimerFired(n.fleet.now, n)
 		}
 	})
 }
 
-// list tells all nodes of servers.
+// updateEndpoints sends an endpoint update to all nodes.
 func (f *coldFleet) updateEndpoints(scope policy.UpdateScope, servers ...policy.Endpoint) {
-	members := make([]engine.Endpoint[int], 0, len(servers))
-	for _, m := range servers {
-		members = append(members, engine.Endpoint[int]{Server: m.Server, Info: m})
+	endpoints := make([]engine.Endpoint[int], 0, len(servers))
+	for _, s := range servers {
+		endpoints = append(endpoints, engine.Endpoint[int]{Server: s.Server, Info: s})
 	}
 	for _, n := range f.nodes {
-		n.engine.EndpointsUpdated(f.now, scope, members, n)
+		n.engine.EndpointsUpdated(f.now, scope, endpoints, n)
 	}
 }
 
-func (f *coldFleet) endpoint(s int, c policy.Condition) policy.Endpoint {
-	m := policy.Endpoint{Server: s, Rank: uint32(s) * 2654435761, Weight: 1, Condition: c}
-	if start := f.servers[s].started; start >= 0 {
-		m.StartedAt, m.HasStartTime = start, true
+func (f *coldFleet) endpoint(server int, condition policy.Condition) policy.Endpoint {
+	endpoint := policy.Endpoint{Server: server, Rank: uint32(server) * 2654435761, Weight: 1, Condition: condition}
+	if start := f.servers[server].started; start >= 0 {
+		endpoint.StartedAt, endpoint.HasStartTime = start, true
 	}
-	return m
+	return endpoint
 }
 
-// arrivals come at a rate over all nodes, of which the idlest takes a part of what the busiest takes.
-func (f *coldFleet) scheduleArrivals(idle float64, rate func() float64) {
-	f.after(time.Duration(f.chance.ExpFloat64()/rate()*float64(time.Second)), func() {
-		i := f.chance.IntN(len(f.nodes))
-		if keep := idle + (1-idle)*float64(i)/float64(len(f.nodes)); f.chance.Float64() < keep {
+// scheduleArrivals schedules Poisson arrivals over all nodes. Nodes have different loads, which range from minShare of the busiest node's
+// load up to it.
+func (f *coldFleet) scheduleArrivals(minShare float64, rate func() float64) {
+	f.after(time.Duration(f.rng.ExpFloat64()/rate()*float64(time.Second)), func() {
+		i := f.rng.IntN(len(f.nodes))
+		if share := minShare + (1-minShare)*float64(i)/float64(len(f.nodes)); f.rng.Float64() < share {
 			f.requests++
-			n, t := f.nodes[i], f.set.TrafficTypes[0]
+			n, t := f.nodes[i], f.settings.TrafficTypes[0]
 			n.engine.RequestArrived(f.now, f.requests, policy.Input{Timeout: t.ClientTimeout}, n)
 		}
-		f.scheduleArrivals(idle, rate)
+		f.scheduleArrivals(minShare, rate)
 	})
 }
 
 func (f *coldFleet) run(until time.Duration) {
 	for len(f.events) > 0 && f.events[0].at <= until {
-		m := heap.Pop(&f.events).(timedEvent)
-		f.now = m.at
-		m.do()
+		event := heap.Pop(&f.events).(timedEvent)
+		f.now = event.at
+		event.do()
 	}
 	f.now = until
 }
 
-// throng plays so many nodes before servers of which some are new, or return, as a burst of half as much again begins.
-func runColdFleet(nodes int, work time.Duration, cold int, returns bool, seed uint64) *coldFleet {
+// runColdFleet simulates nodes in front of servers. After a warm phase, cold servers join the endpoint list, either new ones or ones that
+// were removed before. A burst of 1.5 times the load begins shortly before they join.
+func runColdFleet(nodes int, work time.Duration, coldCount int, areReturning bool, seed uint64) *coldFleet {
 	const (
-		count  = 12
-		load   = 0.9 // of all servers' capacity, were they warm
-		idle   = 0.25
-		mean   = idle + (1-idle)/2 // of the busiest node's arrivals
-		burst  = 1.5
-		begins = 12 * time.Second
-		lasts  = 10 * time.Second
-		early  = time.Second // by which the burst begins before
+		serverCount   = 12
+		load          = 0.9  // share of the capacity of all servers when warm
+		minShare      = 0.25 // load of the least loaded node, as a share of the busiest node's
+		meanShare     = minShare + (1-minShare)/2
+		burstFactor   = 1.5
+		joinAt        = 12 * time.Second // when the cold servers join
+		phaseDuration = 10 * time.Second // simulated time after the join
+		burstLead     = time.Second      // from the start of the burst to the join
 	)
-	f := &coldFleet{work: work, window: 2 * time.Second, chance: rand.New(rand.NewPCG(seed, uint64(nodes)))}
-	f.set = policy.Settings{NodeCount: nodes, MaxAttempts: 4, TimerGranularity: 2 * time.Millisecond, ConnectTimeout: 100 * time.Millisecond,
+	f := &coldFleet{work: work, window: 2 * time.Second, rng: rand.New(rand.NewPCG(seed, uint64(nodes)))}
+	f.settings = policy.Settings{NodeCount: nodes, MaxAttempts: 4, TimerGranularity: 2 * time.Millisecond, ConnectTimeout: 100 * time.Millisecond,
 		SlowStartDuration: 8 * time.Second, SlowStartInitialCapacity: 0.2, CrashLoadFactor: 2,
 		TrafficTypes: []policy.TrafficType{{LatencyObjective: 20 * work, ClientTimeout: 40 * work, PriorityWeight: 1}}}
-	var first, gone, back []policy.Endpoint
-	for s := range count {
+	var initial, removed, joining []policy.Endpoint
+	for s := range serverCount {
 		f.servers = append(f.servers, &coldServer{started: -1})
-		if s < count-cold || returns {
-			first = append(first, f.endpoint(s, policy.Up))
+		if s < serverCount-coldCount || areReturning {
+			initial = append(initial, f.endpoint(s, policy.Up))
 		}
-		if s >= count-cold {
-			gone = append(gone, f.endpoint(s, policy.Removed))
+		if s >= serverCount-coldCount {
+			removed = append(removed, f.endpoint(s, policy.Removed))
 		}
 	}
 	for i := range nodes {
-		n := &coldNode{f: f, attempts: map[uint64]int{}}
-		set := f.set
-		set.NodeIndex = i
-		n.engine = engine.New[int](0, policy.New(set, uint32(seed)<<8|uint32(i)), n)
+		n := &coldNode{fleet: f, attempts: map[uint64]int{}}
+		settings := f.settings
+		settings.NodeIndex = i
+		n.engine = engine.New[int](0, policy.New(settings, uint32(seed)<<8|uint32(i)), n)
 		f.nodes = append(f.nodes, n)
 	}
-	f.updateEndpoints(policy.Full, first...)
-	f.scheduleArrivals(idle, func() float64 {
-		rate := load * count / work.Seconds() / mean
-		if f.now >= begins-early {
-			rate *= burst
+	f.updateEndpoints(policy.Full, initial...)
+	f.scheduleArrivals(minShare, func() float64 {
+		rate := load * serverCount / work.Seconds() / meanShare
+		if f.now >= joinAt-burstLead {
+			rate *= burstFactor
 		}
 		return rate
 	})
-	f.run(begins / 2)
-	if returns {
-		f.updateEndpoints(policy.Incremental, gone...)
+	f.run(joinAt / 2)
+	if areReturning {
+		f.updateEndpoints(policy.Incremental, removed...)
 	}
-	f.run(begins)
-	for s := count - cold; s < count; s++ {
+	f.run(joinAt)
+	for s := serverCount - coldCount; s < serverCount; s++ {
 		f.servers[s].started, f.servers[s].freeAt = f.now, f.now
-		back = append(back, f.endpoint(s, policy.Up))
+		joining = append(joining, f.endpoint(s, policy.Up))
 	}
-	f.updateEndpoints(policy.Incremental, back...)
-	f.run(begins + lasts)
+	f.updateEndpoints(policy.Incremental, joining...)
+	f.run(joinAt + phaseDuration)
 	return f
 }
 
-// A cold server falls under the sum of what all nodes send. With four to thirty nodes, new servers and ones that return,
-// under a burst, none gets more than N and what the standing test puts down to chance.
-// One row after another: scenarios of the testbed run on the machine's clock.
+// Guards against cold servers that are overloaded by the sum of the attempts of all nodes. With 4 to 30 nodes and a burst of requests, no
+// new or returning server gets more attempts than its budget and the allowance for random variation.
+// The test is not parallel, because scenarios of the testbed depend on the machine's clock.
 func TestColdServersUnderAllNodes(t *testing.T) {
 	const seeds = 2
 	for _, nodes := range []int{4, 10, 20, 30} {
 		for _, work := range []time.Duration{20 * time.Millisecond, 60 * time.Millisecond, 150 * time.Millisecond} {
 			for _, c := range []struct {
-				about   string
-				cold    int
-				returns bool
-			}{{"a few new", 3, false}, {"a few return", 3, true}, {"half return", 6, true}} {
-				t.Run(fmt.Sprintf("%d nodes, work of %v, %s", nodes, work, c.about), func(t *testing.T) {
+				description  string
+				coldCount    int
+				areReturning bool
+			}{{"3 new", 3, false}, {"3 returning", 3, true}, {"6 returning", 6, true}} {
+				t.Run(fmt.Sprintf("%d nodes, work of %v, %s", nodes, work, c.description), func(t *testing.T) {
 					for seed := range uint64(seeds) {
-						f := runColdFleet(nodes, work, c.cold, c.returns, seed+1)
-						t.Logf("%d at cold servers, the most %.0f%% of what is chance: %s", f.coldAttempts, 100*f.peakShare, f.peakDetail)
+						f := runColdFleet(nodes, work, c.coldCount, c.areReturning, seed+1)
+						t.Logf("%d attempts at cold servers, peak %.0f%% of the allowed number: %s", f.coldAttempts, 100*f.peakShare, f.peakDetail)
 						if f.coldAttempts == 0 || f.peakShare > 1 {
-							t.Error("cold servers got nothing, or more than their budget and its chance")
+							t.Error("cold servers got no attempts, or more than the allowed number")
 						}
 					}
 				})
--- a/internal/testbed/distribution_test.go
+++ b/internal/testbed/distribution_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Every fault is played to its end, with each change in force at all nodes, none of which goes back.
+// Each fault runs to its end: all nodes apply every change, and none rolls back to an older one.
 func TestDistributionTrial(t *testing.T) {
 	t.Parallel()
 	d := Distribution{Nodes: 4, Relays: 2, Changes: 1, Dir: t.TempDir()}
@@ -12,10 +12,10 @@
 	err := d.Run(t.Context(), func(r DistributionRow) {
 		rows++
 		if r.Rollbacks > 0 || r.Median <= 0 || r.Max < r.Median {
-			t.Errorf("%+v", r)
+			t.Errorf("got row %+v", r)
 		}
 	})
 	if err != nil || rows != 8 {
-		t.Errorf("%d faults played: %v", rows, err)
+		t.Errorf("got %d rows, want 8; error %v", rows, err)
 	}
 }
--- a/internal/testbed/faults_test.go
+++ b/internal/testbed/faults_test.go
@@ -6,14 +6,14 @@
 	"fernvane/internal/testbed/scenario"
 )
 
-// Each kind of fault that a scenario may ask for is implemented, by one group.
+// Each kind of fault that scenario files can specify is implemented by exactly one group.
 func TestEachFaultKindIsImplemented(t *testing.T) {
 	total := 0
 	for _, group := range faultGroups {
 		total += len(group)
 	}
 	if total != len(scenario.FaultKinds) {
-		t.Errorf("%d faults are implemented, %d are known to scenarios", total, len(scenario.FaultKinds))
+		t.Errorf("got %d implemented faults, want the %d of scenario.FaultKinds", total, len(scenario.FaultKinds))
 	}
 	for _, kind := range scenario.FaultKinds {
 		groups := 0
@@ -23,7 +23,7 @@
 			}
 		}
 		if groups != 1 {
-			t.Errorf("%s is in %d groups", kind.Name, groups)
+			t.Errorf("fault %s: got %d groups, want 1", kind.Name, groups)
 		}
 	}
 }
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -20,9 +20,10 @@
 	"fernvane/internal/testbed/scenario"
 )
 
+// policyVar is the environment variable with the policy of a node.
 const policyVar = "LAB_TEST_POLICY"
 
-// TestMain lets this very program run as a node, so that the tests play with processes as the command does.
+// TestMain lets the test binary also run as a node or planner process, so that the tests run the same processes as the command.
 func TestMain(m *testing.M) {
 	if path := os.Getenv("PROXY_PLAN"); path != "" {
 		cfg, err := planconfig.LoadPlanner(path)
@@ -32,7 +33,7 @@
 		os.Exit(planner.Process(cfg, os.Stderr))
 	}
 	if os.Getenv("PROXY_CONFIG") != "" {
-		proxy.CatchSignals() // as the node's own command does
+		proxy.CatchSignals() // like the node's command
 		cfg, err := proxy.LoadConfig(os.Getenv("PROXY_CONFIG"), os.Getenv)
 		if err != nil {
 			os.Exit(2)
@@ -53,10 +54,10 @@
 	return out
 }
 
-// The rules hold for the node on every scenario that comes along, in a short form.
+// The node violates no rule in any embedded scenario, in a shortened form.
 func TestRulesHold(t *testing.T) {
 	for _, name := range scenario.Names() {
-		if strings.HasPrefix(name, "grown") { // takes all of a machine
+		if strings.HasPrefix(name, "grown") { // needs a whole machine
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
@@ -66,24 +67,24 @@
 				t.Fatal(err)
 			}
 			s.Scale(0.4)
-			s.Rules.Slack = scenario.Span(2 * time.Second) // so that a busy machine changes no verdict
-			if s.Pairings {                                // both ends; the others are played by the command
+			s.Rules.Slack = scenario.Span(2 * time.Second) // allows for scheduling delays on a busy machine
+			if s.Pairings {                                // FastCGI at both ends; the command runs the other combinations
 				s = s.WithFastCGI(true, true)
 			}
 			out := runScenario(t, s, "")
 			for _, r := range out.Rules {
 				if r.Violations > 0 {
-					t.Errorf("%s broken %d times, first: %s", r.Name, r.Violations, r.FirstViolation)
+					t.Errorf("rule %s violated %d times, first: %s", r.Name, r.Violations, r.FirstViolation)
 				}
 			}
 			if out.Outcomes[load.Handled] == 0 {
-				t.Error("nothing was handled")
+				t.Error("got no handled requests")
 			}
 		})
 	}
 }
 
-// Each broken policy is found out by the rule that it breaks.
+// The audit reports the expected violation for each broken policy.
 func TestBrokenPoliciesAreFound(t *testing.T) {
 	for name, rule := range baseline.Broken {
 		t.Run(name, func(t *testing.T) {
@@ -94,7 +95,7 @@
 			}
 			s.Scale(0.6)
 			if !slices.ContainsFunc(runScenario(t, s, name).Rules, func(r audit.Rule) bool { return r.Name == rule && r.Violations > 0 }) {
-				t.Errorf("%s is not found broken", rule)
+				t.Errorf("got no violation of rule %s", rule)
 			}
 		})
 	}
