--- a/internal/testbed/bench.go
+++ b/internal/testbed/bench.go
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	exited := make(chan string, 1)
-	if err := p.start(env.processes, func(why string) { exited <- why }); err != nil {
+	if err := p.start(env.processes, func(reason string) { exited <- reason }); err != nil {
 		return nil, err
 	}
 	defer p.stop(syscall.SIGTERM)
@@ -94,8 +94,8 @@
 		return nil, err
 	}
 	select {
-	case why := <-exited:
-		return nil, errors.New("node process exited: " + why)
+	case reason := <-exited:
+		return nil, errors.New("node process exited: " + reason)
 	default:
 		return rows, nil
 	}
--- a/internal/testbed/build.go
+++ b/internal/testbed/build.go
@@ -197,9 +197,9 @@
 	if err := env.ageSnapshot(n); err != nil {
 		return err
 	}
-	err := env.nodes[n].start(env.processes, func(why string) {
-		cancel(fmt.Errorf("node %d has ended: %s", n, why))
-		env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, why) })
+	err := env.nodes[n].start(env.processes, func(reason string) {
+		cancel(fmt.Errorf("node %d has ended: %s", n, reason))
+		env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, reason) })
 		env.observer.nodeDown(n, true)
 		env.balancer.Ended(n, env.Scenario.Nodes.CrashNotice.Std())
 	})
--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -23,7 +23,7 @@
 	replicationPollInterval  = 100 * time.Millisecond
 	maxDowntime              = 700 * time.Millisecond // of a lost machine until its node restarts
 	lossIntervalWithoutPeers = 2 * time.Second        // between losses, if nodes do not replicate
-	lastLossBeforeEnd        = 8 * time.Second        // no loss begins later than this before the fault ends
+	lastLossBeforeEnd        = 8 * time.Second        // final part of the fault in which no new loss begins
 )
 
 // lossCounts counts machines that were lost with their disks. mu guards the other fields.
--- a/internal/testbed/journal.go
+++ b/internal/testbed/journal.go
@@ -211,9 +211,9 @@
 	}
 	env.observer.record(func(a *audit.Audit, _ time.Duration) {
 		ran := env.compareWithRun(a, all, gaps, records, &sum)
-		for k, e := range all {
-			if e.State() == intent.HasRun && !ran[k] && e.Incarnation != 1 {
-				a.JournalError(fmt.Sprintf("journal of node %d records an execution of %s, but no server executed it", k.node, e.RequestID))
+		for key, e := range all {
+			if e.State() == intent.HasRun && !ran[key] && e.Incarnation != 1 {
+				a.JournalError(fmt.Sprintf("journal of node %d records an execution of %s, but no server executed it", key.node, e.RequestID))
 			}
 			if e.State() == intent.PossiblySent {
 				sum.PossiblySent++
@@ -279,11 +279,11 @@
 	ran := map[entryKey]bool{}
 	a.EachExecution(func(typeIndex int) bool { return env.Scenario.Types[typeIndex].Repeat == "binding" }, func(id uint64, node, server int) {
 		sum.Ran++
-		k := entryKey{node, id}
-		ran[k] = true
+		key := entryKey{node, id}
+		ran[key] = true
 		name := string(load.AppendID(nil, id))
 		records[env.servers[server].Name].RequestIDs[name] = true
-		switch e := all[k]; {
+		switch e := all[key]; {
 		case e == nil && env.losses.expectedLost[node]:
 			sum.Lost++
 		case e == nil && !gaps[node]:
--- a/internal/testbed/losses.go
+++ b/internal/testbed/losses.go
@@ -161,7 +161,7 @@
 		}
 		c := env.queryPeers(ctx)
 		n := rng.IntN(len(env.nodes))
-		if time.Now().After(until) { // replication took so long that the run would end before the machines restart
+		if time.Now().After(until) { // on a slow machine, replication can take so long that the run would end before the loss
 			return
 		}
 		lost := c.HoldersOf(fmt.Sprint("n", n))
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -81,7 +81,7 @@
 
 // start starts the process with the configuration files in its directory. It calls onCrash if the process exits before
 // stop is called.
-func (p *process) start(m *processManager, onCrash func(why string)) error {
+func (p *process) start(m *processManager, onCrash func(reason string)) error {
 	log, err := os.OpenFile(p.logPath(), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
 		return err
--- a/internal/testbed/planner.go
+++ b/internal/testbed/planner.go
@@ -65,8 +65,8 @@
 
 // startPlanner starts a planner with its configuration.
 func (env *environment) startPlanner(n int) error {
-	return env.planners[n].start(env.processes, func(why string) {
-		env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, "planner: "+why) })
+	return env.planners[n].start(env.processes, func(reason string) {
+		env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, "planner: "+reason) })
 	})
 }
 
