--- a/internal/testbed/scenario/defaults.go
+++ b/internal/testbed/scenario/defaults.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// setDefault sets a value that was left out.
-func setDefault[T comparable](p *T, v T) {
+// setDefault sets a value that is zero.
+func setDefault[T comparable](target *T, value T) {
 	var zero T
-	if *p == zero {
-		*p = v
+	if *target == zero {
+		*target = value
 	}
 }
 
-// setDefaults sets all values that may be left out.
+// setDefaults sets the defaults of all optional values.
 func (s *Scenario) setDefaults() {
 	setDefault(&s.Nodes.Cores, 1)
 	setDefault(&s.Nodes.MemoryMB, 192)
 	setDefault(&s.Nodes.Sockets, 1024)
-	setDefault(&s.Nodes.Notice, Span(2*time.Second))
+	setDefault(&s.Nodes.CrashNotice, Span(2*time.Second))
 	setDefault(&s.Registry.Session, Span(time.Second))
 	setDefault(&s.Journal.WhenFailing, "deny")
 	setDefault(&s.Lists.Start, "known")
@@ -25,32 +25,32 @@
 	setDefault(&s.Peers.SlowAfter, Span(50*time.Millisecond))
 	setDefault(&s.Peers.RepairBytes, 8<<20)
 	setDefault(&s.Journal.MaxWait, Span(200*time.Millisecond))
-	setDefault(&s.Planners.Every, Span(500*time.Millisecond))
+	setDefault(&s.Planners.Interval, Span(500*time.Millisecond))
 	for i := range s.Servers {
-		b := &s.Servers[i]
-		setDefault(&b.Cores, 1)
-		setDefault(&b.Speed, 1)
-		setDefault(&b.Queue, 300)
-		setDefault(&b.Connections, 700)
-		setDefault(&b.ColdShare, 0.4)
-		setDefault(&b.ColdFor, Span(6*time.Second))
-		setDefault(&b.Keys, 60)
+		group := &s.Servers[i]
+		setDefault(&group.Cores, 1)
+		setDefault(&group.Speed, 1)
+		setDefault(&group.Queue, 300)
+		setDefault(&group.Connections, 700)
+		setDefault(&group.SlowStartCapacity, 0.4)
+		setDefault(&group.SlowStartDuration, Span(6*time.Second))
+		setDefault(&group.CacheSize, 60)
 	}
 	for i := range s.Types {
 		t := &s.Types[i]
 		setDefault(&t.Path, "/"+t.Name+"/"+t.Name)
-		setDefault(&t.Dist, "exp")
-		setDefault(&t.CV, 1)
+		setDefault(&t.WorkDistribution, "exp")
+		setDefault(&t.VariationCoefficient, 1)
 		setDefault(&t.Revenue, 1)
 		setDefault(&t.Repeat, "retriable")
-		setDefault(&t.Group, "all")
+		setDefault(&t.KeyScope, "all")
 	}
 	setDefault(&s.Load.Shape, "poisson")
 	setDefault(&s.Load.Period, Span(2*time.Second))
 	setDefault(&s.Load.Zipf, 1)
-	setDefault(&s.Load.Over, 0.2)
-	setDefault(&s.Clients.GivesUp, 0.5)
-	setDefault(&s.Clients.LeavesAt, 0.05)
+	setDefault(&s.Load.OverageRevenue, 0.2)
+	setDefault(&s.Clients.TimeoutShare, 0.5)
+	setDefault(&s.Clients.DisconnectAfter, 0.05)
 	setDefault(&s.Clients.Backoff, Span(50*time.Millisecond))
 	setDefault(&s.Discovery.Notice, Span(time.Second))
 	setDefault(&s.Discovery.SilentNotice, Span(6*time.Second))
@@ -60,8 +60,8 @@
 	setDefault(&s.Discovery.CallLines, 40)
 	setDefault(&s.Discovery.Timeout, Span(3*time.Second))
 	setDefault(&s.Rules.DrainGrace, Span(500*time.Millisecond))
-	setDefault(&s.Rules.FallMultiple, 2.5)
-	setDefault(&s.Rules.FallWindow, Span(2*time.Second))
+	setDefault(&s.Rules.OverloadFactor, 2.5)
+	setDefault(&s.Rules.OverloadWindow, Span(2*time.Second))
 	setDefault(&s.Rules.MaxAttempts, 4)
 	setDefault(&s.Rules.AskWithin, Span(5*time.Second))
 	setDefault(&s.Rules.Slack, Span(50*time.Millisecond))
