--- a/cmd/testbed/distribution.go
+++ b/cmd/testbed/distribution.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	distributedWithin   = 6 * time.Second // the operators' figure for a change to be in force everywhere
-	maxDistributionWait = 500             // nodes in one process
+	maxDistributionTime  = 6 * time.Second // the operators' figure for a change to be in force everywhere
+	maxDistributionNodes = 500             // nodes in one process
 )
 
 func distributionCommand() *cobra.Command {
 	d := testbed.Distribution{}
 	c := &cobra.Command{Use: "distribution", Short: "Play nodes under control processes that end, lose disks and are cut off, and time changes until in force",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-			if d.Nodes < 1 || d.Nodes > maxDistributionWait || d.Relays < 2 || d.Changes < 1 {
-				return fmt.Errorf("from 1 to %d nodes, 2 relays at least and 1 change", maxDistributionWait)
+			if d.Nodes < 1 || d.Nodes > maxDistributionNodes || d.Relays < 2 || d.Changes < 1 {
+				return fmt.Errorf("from 1 to %d nodes, 2 relays at least and 1 change", maxDistributionNodes)
 			}
 			dir, err := os.MkdirTemp("", "testbed-distribution-")
 			if err != nil {
@@ -36,7 +36,7 @@
 			err = d.Run(c.Context(), func(r testbed.DistributionRow) {
 				fmt.Fprintf(c.ErrOrStderr(), "%s: %s\n", r.Fault, r.Max.Round(time.Millisecond))
 				fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", r.Fault, r.Median.Round(time.Millisecond), r.Max.Round(time.Millisecond), r.Rollbacks)
-				failed = failed || r.Max > distributedWithin || r.Rollbacks > 0
+				failed = failed || r.Max > maxDistributionTime || r.Rollbacks > 0
 			})
 			w.Flush()
 			if err == nil && failed {
--- a/cmd/testbed/losses.go
+++ b/cmd/testbed/losses.go
@@ -27,7 +27,7 @@
 				return err
 			}
 			l := &losses{wanted: n, seed: seed, promise: promise, command: command, progress: c.ErrOrStderr(),
-				broken: map[string]int{}, worst: map[string]string{}}
+				broken: map[string]int{}, firstViolation: map[string]string{}}
 			var g errgroup.Group
 			for range atOnce {
 				g.Go(func() error { return l.repeat(c.Context()) })
@@ -52,12 +52,12 @@
 	command  []string
 	progress io.Writer
 
-	mu     sync.Mutex
-	runs   uint64
-	sum    testbed.Journal
-	broken map[string]int
-	worst  map[string]string
-	fault  error
+	mu             sync.Mutex
+	runs           uint64
+	sum            testbed.Journal
+	broken         map[string]int
+	firstViolation map[string]string
+	err            error
 }
 
 // repeat runs one scenario after the other until enough machines were lost or a run fails.
@@ -78,7 +78,7 @@
 func (l *losses) next(ctx context.Context) (*scenario.Scenario, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.sum.Losses >= l.wanted || l.fault != nil || ctx.Err() != nil {
+	if l.sum.Losses >= l.wanted || l.err != nil || ctx.Err() != nil {
 		return nil, nil
 	}
 	l.runs++
@@ -100,7 +100,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		l.fault = err
+		l.err = err
 		return err
 	}
 	j := out.Journal
@@ -112,8 +112,8 @@
 	l.sum.Open += j.Open
 	l.sum.Gaps += j.Gaps
 	for _, r := range out.Rules {
-		if l.broken[r.Name] += r.Violations; r.Violations > 0 && l.worst[r.Name] == "" {
-			l.worst[r.Name] = r.FirstViolation
+		if l.broken[r.Name] += r.Violations; r.Violations > 0 && l.firstViolation[r.Name] == "" {
+			l.firstViolation[r.Name] = r.FirstViolation
 		}
 	}
 	fmt.Fprintf(l.progress, "seed %d: %d machines lost in %d cycles, service %.4f, %d dockets\n", s.Seed, j.Losses, j.Cycles, out.ServiceShare(), j.Ran)
@@ -126,7 +126,7 @@
 		l.sum.Losses, l.sum.Cycles, l.promise, l.sum.Entries, l.sum.Ran, l.sum.PossiblySent, l.sum.Open, l.sum.Gaps)
 	for name, n := range l.broken {
 		if n > 0 {
-			fmt.Fprintf(out, "broken %d times: %s: %s\n", n, name, l.worst[name])
+			fmt.Fprintf(out, "broken %d times: %s: %s\n", n, name, l.firstViolation[name])
 			err = exit(exitBroken)
 		}
 	}
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -44,10 +44,10 @@
 
 func main() {
 	if len(os.Args) == 2 && os.Args[1] == nodeCommand {
-		os.Exit(node(os.Stderr, os.Getenv))
+		os.Exit(runNode(os.Stderr, os.Getenv))
 	}
 	if len(os.Args) == 2 && os.Args[1] == planCommand {
-		os.Exit(plans(os.Stderr, os.Getenv))
+		os.Exit(runPlanner(os.Stderr, os.Getenv))
 	}
 	if len(os.Args) == 2 && os.Args[1] == scale.WorkerCommand {
 		os.Exit(scale.Worker(os.Stdin, os.Stdout, os.Stderr))
@@ -60,7 +60,7 @@
 }
 
 // node runs `fernvane serve` in this binary, with the policy that the environment names, and returns the exit code.
-func node(errs io.Writer, getenv func(string) string) int {
+func runNode(errs io.Writer, getenv func(string) string) int {
 	proxy.CatchSignals() // as the node's own command does
 	cfg, err := proxy.LoadConfig(getenv("PROXY_CONFIG"), getenv)
 	if err != nil {
@@ -88,7 +88,7 @@
 }
 
 // plans runs `fernvane plan` in this binary and returns the exit code.
-func plans(errs io.Writer, getenv func(string) string) int {
+func runPlanner(errs io.Writer, getenv func(string) string) int {
 	cfg, err := planconfig.LoadPlanner(getenv("PROXY_PLAN"))
 	if err != nil {
 		fmt.Fprintf(errs, "the planner's file cannot be used: %v\n", err)
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -64,7 +64,7 @@
 				f.baselines = s.Baselines
 			}
 			s.Pairings = s.Pairings || f.pairings
-			return play(c.Context(), c.OutOrStdout(), c.ErrOrStderr(), s, f)
+			return runScenario(c.Context(), c.OutOrStdout(), c.ErrOrStderr(), s, f)
 		},
 	}
 	fl := c.Flags()
@@ -101,7 +101,7 @@
 }
 
 // play runs the node alone and then the baselines concurrently, on the same schedule.
-func play(ctx context.Context, out, errs io.Writer, s *scenario.Scenario, f runFlags) error {
+func runScenario(ctx context.Context, out, errs io.Writer, s *scenario.Scenario, f runFlags) error {
 	others, err := chosenBaselines(f.baselines)
 	if err != nil {
 		return err
@@ -114,7 +114,7 @@
 		fmt.Fprintf(errs, "%s: starting %d nodes and %d boxes\n", s.Name, s.Nodes.Count, len(s.ServerNames()))
 		o.Progress = progress(errs, s.Length.Std())
 	}
-	r, err := once(ctx, o, name)
+	r, err := runOnce(ctx, o, name)
 	if err != nil {
 		return err
 	}
@@ -135,7 +135,7 @@
 		}
 		o := o
 		o.Scenario = s.WithoutPlanners()
-		more, err := beside(ctx, o, others)
+		more, err := runPolicies(ctx, o, others)
 		if err != nil {
 			return err
 		}
@@ -184,7 +184,7 @@
 		if o.Scenario = other; o.Directory != "" {
 			o.Directory += "-" + suffix
 		}
-		one, err := once(ctx, o, name)
+		one, err := runOnce(ctx, o, name)
 		if err == nil {
 			r.Baselines = append(r.Baselines, one)
 		}
@@ -258,7 +258,7 @@
 		if o.Directory != "" {
 			o.Directory = fmt.Sprint(o.Directory, "-", i+1)
 		}
-		wg.Go(func() { reports[i], faults[i] = once(ctx, o, name) })
+		wg.Go(func() { reports[i], faults[i] = runOnce(ctx, o, name) })
 	}
 	wg.Wait()
 	r.Baselines = append(r.Baselines, reports...)
@@ -266,7 +266,7 @@
 }
 
 // once runs a scenario once.
-func once(ctx context.Context, o testbed.Options, name string) (report.Report, error) {
+func runOnce(ctx context.Context, o testbed.Options, name string) (report.Report, error) {
 	out, err := testbed.Run(ctx, o)
 	if err != nil {
 		return report.Report{}, err
@@ -275,7 +275,7 @@
 }
 
 // beside runs policies concurrently, each in an environment of its own.
-func beside(ctx context.Context, o testbed.Options, policies []string) ([]report.Report, error) {
+func runPolicies(ctx context.Context, o testbed.Options, policies []string) ([]report.Report, error) {
 	reports, faults := make([]report.Report, len(policies)), make([]error, len(policies))
 	self, err := os.Executable()
 	if err != nil {
@@ -288,7 +288,7 @@
 		if i > 0 {
 			o.Progress = nil
 		}
-		wg.Go(func() { reports[i], faults[i] = once(ctx, o, name) })
+		wg.Go(func() { reports[i], faults[i] = runOnce(ctx, o, name) })
 	}
 	wg.Wait()
 	for _, err := range faults {
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -18,7 +18,7 @@
 		Long: "scale starts hollow nodes, many to a process, under real control processes on loopback connections: nodes as they ship,\n" +
 			"without clients and servers. It measures bytes, messages, CPU and memory of each role, and the time from a change until\n" +
 			"nodes go by it: when all start, at rest, under changes, for a new operator's file and in an event.\n\n" +
-			"A size over half of the machine's memory or 200 processes is refused, with exit code 2.\n\nEvents:\n" + events() +
+			"A size over half of the machine's memory or 200 processes is refused, with exit code 2.\n\nEvents:\n" + eventHelp() +
 			"\nWhat hollow nodes lack or share:\n  " + strings.Join(scale.Shared, "\n  "),
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -42,7 +42,7 @@
 	f.IntVar(&size.Nodes, "nodes", 64, "hollow nodes")
 	f.IntVar(&size.Servers, "servers", 192, "servers that discovery lists")
 	f.IntVar(&size.Services, "services", 8, "services that they belong to")
-	f.IntVar(&size.Serves, "serves", 0, "services that a node serves, where the plane sends it no others; 0 for all")
+	f.IntVar(&size.ServicesPerNode, "serves", 0, "services that a node serves, where the plane sends it no others; 0 for all")
 	f.IntVar(&size.Routes, "routes", 64, "routes of the operator's file; 0 for no file")
 	f.IntVar(&size.Tenants, "tenants", 16, "tenants of the settings")
 	f.IntVar(&size.Regions, "regions", 3, "regions")
@@ -52,7 +52,7 @@
 	f.Float64Var(&size.Restarts, "restarts", 0, "processes of nodes killed and started again a second, in a phase of their own")
 	f.StringVar(&size.Plane, "plane", "planners", strings.Join(scale.Planes(), " or "))
 	f.StringVar(&size.Event, "event", "", "what befalls in the end, see above")
-	f.DurationVar(&size.For, "for", 5*time.Second, "how long each phase takes")
+	f.DurationVar(&size.PhaseDuration, "for", 5*time.Second, "how long each phase takes")
 	f.Uint64Var(&size.Seed, "seed", 1, "of chance, and of who is hit")
 	f.BoolVar(&size.Membership, "membership", false, "nodes know each other, as with serve --peers")
 	f.BoolVar(&size.Snapshots, "snapshots", true, "nodes keep their list on disk, as with serve --snapshot")
@@ -60,7 +60,7 @@
 	return c
 }
 
-func events() string {
+func eventHelp() string {
 	var b strings.Builder
 	for _, e := range scale.Events {
 		fmt.Fprintf(&b, "  %-14s %s\n", e.Name, e.About)
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -25,8 +25,8 @@
 // soakFlags are the flags of `testbed soak`.
 type soakFlags struct {
 	seeds, first uint64
-	atOnce       int
-	time         time.Duration
+	concurrency  int
+	maxTime      time.Duration
 	keep         string
 	busy         int
 	node         string
@@ -43,8 +43,8 @@
 		RunE: func(c *cobra.Command, _ []string) error { return f.run(c.Context(), c.OutOrStdout(), c.ErrOrStderr()) }}
 	c.Flags().Uint64Var(&f.seeds, "seeds", 50, "how many seeds")
 	c.Flags().Uint64Var(&f.first, "first", 1, "the first seed")
-	c.Flags().IntVar(&f.atOnce, "at-once", 8, "runs at a time")
-	c.Flags().DurationVar(&f.time, "time", 0, "begin no run after this time; 0: no limit")
+	c.Flags().IntVar(&f.concurrency, "at-once", 8, "runs at a time")
+	c.Flags().DurationVar(&f.maxTime, "time", 0, "begin no run after this time; 0: no limit")
 	c.Flags().StringVar(&f.keep, "keep", "", "keep each run's files and logs in this directory")
 	c.Flags().IntVar(&f.busy, "busy", 0, "processes that use a core each, beside the runs")
 	c.Flags().StringVar(&f.node, "node", "", "command that runs a node; by default this build's")
@@ -68,9 +68,9 @@
 	sum := soakSum{broken: map[soak.Rule]int{}, out: progress}
 	began := time.Now()
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(f.atOnce)
+	g.SetLimit(f.concurrency)
 	for seed := f.first; seed < f.first+f.seeds; seed++ {
-		if f.time > 0 && time.Since(began) > f.time {
+		if f.maxTime > 0 && time.Since(began) > f.maxTime {
 			break
 		}
 		g.Go(func() error {
--- a/cmd/testbed/steps.go
+++ b/cmd/testbed/steps.go
@@ -45,10 +45,10 @@
 
 // stepRow is one run: a fault of node 1 at a step.
 type stepRow struct {
-	name string
-	s    *scenario.Scenario
-	line string
-	bad  bool
+	name     string
+	scenario *scenario.Scenario
+	line     string
+	isBroken bool
 }
 
 // stepRows returns all runs.
@@ -62,7 +62,7 @@
 						return nil, err
 					}
 					s.Seed = uint64(7000 + len(rows))
-					rows = append(rows, &stepRow{name: fmt.Sprintf("%s\t%s\t%s\t%d", phase, what, step, nth), s: s})
+					rows = append(rows, &stepRow{name: fmt.Sprintf("%s\t%s\t%s\t%d", phase, what, step, nth), scenario: s})
 				}
 			}
 		}
@@ -88,14 +88,14 @@
 }
 
 func (r *stepRow) play(ctx context.Context, command []string) error {
-	out, err := testbed.Run(ctx, testbed.Options{Scenario: r.s, Requests: load.Plan(r.s), Command: command})
+	out, err := testbed.Run(ctx, testbed.Options{Scenario: r.scenario, Requests: load.Plan(r.scenario), Command: command})
 	if err != nil {
 		return err
 	}
 	verdict := "kept"
 	for _, rule := range out.Rules {
 		if rule.Violations > 0 {
-			verdict, r.bad = fmt.Sprintf("%s broken %d times: %s", rule.Name, rule.Violations, rule.FirstViolation), true
+			verdict, r.isBroken = fmt.Sprintf("%s broken %d times: %s", rule.Name, rule.Violations, rule.FirstViolation), true
 		}
 	}
 	r.line = fmt.Sprintf("%s\t%d\t%d\t%.4f\t%s", r.name, out.Journal.Ran, out.Journal.PossiblySent, out.ServiceShare(), verdict)
@@ -108,7 +108,7 @@
 	fmt.Fprintln(t, "while\tbefalls node 1\tat\tnth\tdockets\tpossibly sent\tservice\trules")
 	for _, r := range rows {
 		fmt.Fprintln(t, r.line)
-		if r.bad {
+		if r.isBroken {
 			err = exit(exitBroken)
 		}
 	}
--- a/cmd/testbed/tools.go
+++ b/cmd/testbed/tools.go
@@ -268,7 +268,7 @@
 		wg.Go(func() {
 			atOnce <- struct{}{}
 			defer func() { <-atOnce }()
-			r, fault := once(ctx, testbed.Options{Scenario: s, Requests: ops, Command: []string{self, nodeCommand}, Env: []string{policyVar + "=" + name}}, name)
+			r, fault := runOnce(ctx, testbed.Options{Scenario: s, Requests: ops, Command: []string{self, nodeCommand}, Env: []string{policyVar + "=" + name}}, name)
 			mu.Lock()
 			defer mu.Unlock()
 			if fault != nil {
--- a/internal/testbed/capacity/capacity_test.go
+++ b/internal/testbed/capacity/capacity_test.go
@@ -42,7 +42,7 @@
 
 func TestFitSaysWhatItMissed(t *testing.T) {
 	s, err := Fit([]Point{{64, 64}, {128, 128}, {256, 256}, {512, 512}, {1024, 4096}})
-	if err != nil || !s.Unpredicted() || math.Abs(s.Missed+0.75) > 0.01 {
+	if err != nil || !s.Unpredicted() || math.Abs(s.PredictionError+0.75) > 0.01 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if _, err := Fit([]Point{{1, 1}, {2, 2}}); !errors.Is(err, errFewPoints) {
--- a/internal/testbed/capacity/fit.go
+++ b/internal/testbed/capacity/fit.go
@@ -49,16 +49,16 @@
 	Residual      float64 // root mean square of the deviations, each over the measured value
 	Largest       float64 // size
 	// Missed is by how much of the measured value the slope of all smaller sizes misses that of the largest size.
-	Missed float64
+	PredictionError float64
 }
 
 const (
-	fewestPoints = 3    // of which a slope can be told from another
-	maxMissed    = 0.25 // of the largest size's value, beyond which the slope is said not to have predicted it
+	minPoints          = 3    // of which a slope can be told from another
+	maxPredictionError = 0.25 // of the largest size's value, beyond which the slope is said not to have predicted it
 	// A more complex shape must leave clearly less behind: noise alone always favours the one that bends to it.
-	clearlyLess = 0.8
-	within      = 0.03 // residual beneath which a shape needs no better one
-	flat        = 0.1  // the same for the constant: a figure that stays within a tenth over all sizes does not grow
+	minImprovement   = 0.8
+	goodResidual     = 0.03 // residual beneath which a shape needs no better one
+	constantResidual = 0.1  // the same for the constant: a figure that stays within a tenth over all sizes does not grow
 )
 
 var errFewPoints = errors.New("a slope needs three sizes")
@@ -67,21 +67,21 @@
 func (s Slope) At(n float64) float64 { return s.Fixed + s.Factor*s.Shape.growth(n) }
 
 // Unpredicted reports that the smaller sizes did not predict the largest one within a quarter.
-func (s Slope) Unpredicted() bool { return math.Abs(s.Missed) > maxMissed }
+func (s Slope) Unpredicted() bool { return math.Abs(s.PredictionError) > maxPredictionError }
 
 // Fit finds the simplest shape that describes the points, by least squares of relative deviations: sizes double, so that
 // absolute ones would let the largest size alone decide.
 func Fit(points []Point) (Slope, error) {
 	points = slices.Clone(points)
 	slices.SortFunc(points, func(a, b Point) int { return cmpFloat(a.Size, b.Size) })
-	if len(points) < fewestPoints {
+	if len(points) < minPoints {
 		return Slope{}, errFewPoints
 	}
 	best := fit(points)
 	last := points[len(points)-1]
 	best.Largest = last.Size
 	if last.Value != 0 {
-		best.Missed = fit(points[:len(points)-1]).At(last.Size)/last.Value - 1
+		best.PredictionError = fit(points[:len(points)-1]).At(last.Size)/last.Value - 1
 	}
 	return best, nil
 }
@@ -98,15 +98,15 @@
 
 // fit tries each shape, the simplest first.
 func fit(points []Point) Slope {
-	best := shaped(Constant, points)
-	if best.Residual <= flat {
+	best := fitShape(Constant, points)
+	if best.Residual <= constantResidual {
 		return best
 	}
 	for _, shape := range []Shape{Linear, LogLinear, Square} {
-		if best.Residual <= within {
+		if best.Residual <= goodResidual {
 			break
 		}
-		if s := shaped(shape, points); s.Residual < clearlyLess*best.Residual {
+		if s := fitShape(shape, points); s.Residual < minImprovement*best.Residual {
 			best = s
 		}
 	}
@@ -114,7 +114,7 @@
 }
 
 // shaped fits one shape. Neither part is negative: a figure does not shrink with size, and costs nothing below zero.
-func shaped(shape Shape, points []Point) Slope {
+func fitShape(shape Shape, points []Point) Slope {
 	best := Slope{Shape: shape, Residual: math.Inf(1)}
 	for _, parts := range [][2]bool{{true, true}, {true, false}, {false, true}} {
 		s := solve(shape, points, parts[0], parts[1])
@@ -133,7 +133,7 @@
 	s := Slope{Shape: shape}
 	var ones, cross, squares, value, grown float64
 	for _, p := range points {
-		weight := 1 / math.Pow(max(math.Abs(p.Value), tiny), 2)
+		weight := 1 / math.Pow(max(math.Abs(p.Value), minDivisor), 2)
 		g := shape.growth(p.Size)
 		ones += weight
 		cross += weight * g
@@ -152,11 +152,11 @@
 	}
 	sum := 0.0
 	for _, p := range points {
-		deviation := (s.At(p.Size) - p.Value) / max(math.Abs(p.Value), tiny)
+		deviation := (s.At(p.Size) - p.Value) / max(math.Abs(p.Value), minDivisor)
 		sum += deviation * deviation
 	}
 	s.Residual = math.Sqrt(sum / float64(len(points)))
 	return s
 }
 
-const tiny = 1e-12 // in place of a measured zero, over which nothing can be divided
+const minDivisor = 1e-12 // in place of a measured zero, over which nothing can be divided
--- a/internal/testbed/capacity/page.go
+++ b/internal/testbed/capacity/page.go
@@ -25,7 +25,7 @@
 	command int     // number of the command that gave it
 }
 
-func (r *row) over() float64 {
+func (r *row) budgetRatio() float64 {
 	if r.Budget == 0 {
 		return 0
 	}
@@ -44,18 +44,18 @@
 func Print(w io.Writer, results *Results, target *Target) error {
 	p := &page{Results: results, target: target}
 	for i := range target.Figures {
-		if err := p.work(&target.Figures[i]); err != nil {
+		if err := p.extrapolate(&target.Figures[i]); err != nil {
 			return fmt.Errorf("%s, %s: %w", target.Figures[i].Role, target.Figures[i].What, err)
 		}
 	}
-	for _, part := range []func(io.Writer){p.targets, p.overBudget, p.roles, p.events, p.paths, p.largest, p.given} {
+	for _, part := range []func(io.Writer){p.targets, p.overBudget, p.roles, p.events, p.dataPaths, p.largestRuns, p.commandList} {
 		part(w)
 	}
 	return nil
 }
 
 // work extrapolates one figure.
-func (p *page) work(f *Figure) error {
+func (p *page) extrapolate(f *Figure) error {
 	s, err := p.Series(f.Source)
 	if err != nil {
 		return err
@@ -71,11 +71,11 @@
 	if f.Unit == "" {
 		f.Unit = s.Unit
 	}
-	p.rows = append(p.rows, row{Figure: f, series: s, slope: slope, target: size, value: f.Times * slope.At(size), command: p.number(s.Command)})
+	p.rows = append(p.rows, row{Figure: f, series: s, slope: slope, target: size, value: f.Times * slope.At(size), command: p.commandNumber(s.Command)})
 	return nil
 }
 
-func (p *page) number(command string) int {
+func (p *page) commandNumber(command string) int {
 	i := slices.Index(p.commands, command)
 	if i < 0 {
 		p.commands = append(p.commands, command)
@@ -100,11 +100,11 @@
 }
 
 func (p *page) overBudget(w io.Writer) {
-	over := slices.DeleteFunc(slices.Clone(p.rows), func(r row) bool { return r.over() <= 1 })
-	slices.SortStableFunc(over, func(a, b row) int { return cmp.Compare(b.over(), a.over()) })
+	over := slices.DeleteFunc(slices.Clone(p.rows), func(r row) bool { return r.budgetRatio() <= 1 })
+	slices.SortStableFunc(over, func(a, b row) int { return cmp.Compare(b.budgetRatio(), a.budgetRatio()) })
 	table(w, "Over budget, worst first", "role", "what", "at the target", "budget", "times over", "carried today by", "first limit met")
 	for _, r := range over {
-		line(w, r.Role, r.What, amount(r.value, r.Unit), amount(r.Budget, r.Unit)+", "+r.BudgetIs, number(r.over()), r.Carries, r.Limit)
+		line(w, r.Role, r.What, formatAmount(r.value, r.Unit), formatAmount(r.Budget, r.Unit)+", "+r.BudgetIs, formatNumber(r.budgetRatio()), r.Carries, r.Limit)
 	}
 	if len(over) == 0 {
 		fmt.Fprintln(w, "\nNothing is.")
@@ -122,7 +122,7 @@
 		table(w, "Role: "+role, "kind", "what", "measured", "slope (residual)", "at the target", "extrapolated", "budget", "carried by", "first limit met", "command")
 		for _, r := range p.rows {
 			if r.Role == role {
-				line(w, r.Kind, r.What, r.measured(), r.sloped(), amount(r.value, r.Unit), r.beyond(), r.budget(), r.Carries, r.Limit,
+				line(w, r.Kind, r.What, r.measuredCell(), r.slopeCell(), formatAmount(r.value, r.Unit), r.extrapolationCell(), r.budgetCell(), r.Carries, r.Limit,
 					fmt.Sprintf("(%d)", r.command))
 			}
 		}
@@ -130,10 +130,10 @@
 }
 
 // measured are the smallest and the largest size with their values.
-func (r *row) measured() string {
+func (r *row) measuredCell() string {
 	first, last := r.series.Points[0], r.series.Points[len(r.series.Points)-1]
-	text := fmt.Sprintf("%s at %s to %s at %s %s, %d sizes", amount(first.Value, r.series.Unit), number(first.Size), amount(last.Value, r.series.Unit),
-		number(last.Size), r.series.By, len(r.series.Points))
+	text := fmt.Sprintf("%s at %s to %s at %s %s, %d sizes", formatAmount(first.Value, r.series.Unit), formatNumber(first.Size), formatAmount(last.Value, r.series.Unit),
+		formatNumber(last.Size), r.series.By, len(r.series.Points))
 	if r.series.Fixed != "" {
 		text += "; " + r.series.Fixed
 	}
@@ -143,34 +143,34 @@
 	return text
 }
 
-func (r *row) sloped() string {
+func (r *row) slopeCell() string {
 	text := r.slope.Shape.String()
 	if r.slope.Shape != Constant {
-		text += ", " + amount(r.slope.Factor, r.series.Unit) + " x " + [...]string{Linear: "n", LogLinear: "n log n", Square: "n²"}[r.slope.Shape]
+		text += ", " + formatAmount(r.slope.Factor, r.series.Unit) + " x " + [...]string{Linear: "n", LogLinear: "n log n", Square: "n²"}[r.slope.Shape]
 		if r.slope.Fixed > 0 {
-			text += " and " + amount(r.slope.Fixed, r.series.Unit)
+			text += " and " + formatAmount(r.slope.Fixed, r.series.Unit)
 		}
 	}
 	text += fmt.Sprintf(" (%.2f)", r.slope.Residual)
 	if r.slope.Unpredicted() {
-		text += fmt.Sprintf("; the smaller sizes missed the largest by %+.0f%%", 100*r.slope.Missed)
+		text += fmt.Sprintf("; the smaller sizes missed the largest by %+.0f%%", 100*r.slope.PredictionError)
 	}
 	return text
 }
 
 // beyond is how far the target is from the largest size that was measured.
-func (r *row) beyond() string {
+func (r *row) extrapolationCell() string {
 	if r.target <= r.slope.Largest {
 		return "no"
 	}
-	return number(r.target/r.slope.Largest) + " times"
+	return formatNumber(r.target/r.slope.Largest) + " times"
 }
 
-func (r *row) budget() string {
+func (r *row) budgetCell() string {
 	if r.Budget == 0 {
 		return "none stated"
 	}
-	return fmt.Sprintf("%s, %s; %s of it", amount(r.Budget, r.Unit), r.BudgetIs, number(r.over()))
+	return fmt.Sprintf("%s, %s; %s of it", formatAmount(r.Budget, r.Unit), r.BudgetIs, formatNumber(r.budgetRatio()))
 }
 
 // events lists each run with an event, by plane, event and size.
@@ -178,24 +178,24 @@
 	table(w, "Changes in force, and events", "plane", "phase", "nodes", "servers", "changes", "p50 ms", "p99 ms", "last node ms", "not taken", "killed nodes back: last ms", "command")
 	for _, run := range p.Runs {
 		for _, ph := range run.Phases {
-			if ph.InForce == nil || run.Size.Event != ph.Name && !strings.Contains(run.Name, "-nodes-") {
+			if ph.ChangeLatency == nil || run.Size.Event != ph.Name && !strings.Contains(run.Name, "-nodes-") {
 				continue
 			}
 			back := ""
-			if ph.Returned != nil {
-				back = number(ph.Returned.Last)
-				if ph.Returned.Missing > 0 {
-					back += fmt.Sprintf("; %d not back", ph.Returned.Missing)
+			if ph.RestartLatency != nil {
+				back = formatNumber(ph.RestartLatency.Last)
+				if ph.RestartLatency.Missing > 0 {
+					back += fmt.Sprintf("; %d not back", ph.RestartLatency.Missing)
 				}
 			}
-			line(w, run.Size.Plane, ph.Name, number(float64(run.Size.Nodes)), number(float64(run.Size.Servers)), number(float64(ph.InForce.Changes)),
-				number(ph.InForce.P50), number(ph.InForce.P99), number(ph.InForce.Last), number(float64(ph.InForce.Missing)), back,
-				fmt.Sprintf("(%d)", p.number(run.Command)))
+			line(w, run.Size.Plane, ph.Name, formatNumber(float64(run.Size.Nodes)), formatNumber(float64(run.Size.Servers)), formatNumber(float64(ph.ChangeLatency.Changes)),
+				formatNumber(ph.ChangeLatency.P50), formatNumber(ph.ChangeLatency.P99), formatNumber(ph.ChangeLatency.Last), formatNumber(float64(ph.ChangeLatency.Missing)), back,
+				fmt.Sprintf("(%d)", p.commandNumber(run.Command)))
 		}
 	}
 }
 
-func (p *page) paths(w io.Writer) {
+func (p *page) dataPaths(w io.Writer) {
 	if len(p.Paths) == 0 {
 		return
 	}
@@ -203,16 +203,16 @@
 	for _, path := range p.Paths {
 		for i := 0; i+1 < len(path.Rows); i += 2 {
 			direct, node := path.Rows[i], path.Rows[i+1]
-			ms := func(ns float64) string { return amount(ns/1e6, "ms") }
-			line(w, number(node.Rate)+", "+number(math.Round(node.PerSecond)), number(float64(node.Connections)), ms(float64(direct.P99)), ms(float64(node.P99)),
-				ms(float64(node.P99-direct.P99)), "5.2 ms", amount(node.CPUMicroseconds/1000, "ms"), fmt.Sprintf("%.0f on %d cores", path.Machine.Load, path.Machine.Cores),
-				fmt.Sprintf("(%d)", p.number(path.Command)))
+			ms := func(ns float64) string { return formatAmount(ns/1e6, "ms") }
+			line(w, formatNumber(node.Rate)+", "+formatNumber(math.Round(node.PerSecond)), formatNumber(float64(node.Connections)), ms(float64(direct.P99)), ms(float64(node.P99)),
+				ms(float64(node.P99-direct.P99)), "5.2 ms", formatAmount(node.CPUMicroseconds/1000, "ms"), fmt.Sprintf("%.0f on %d cores", path.Machine.Load, path.Machine.Cores),
+				fmt.Sprintf("(%d)", p.commandNumber(path.Command)))
 		}
 	}
 }
 
 // largest is the largest run of each plane.
-func (p *page) largest(w io.Writer) {
+func (p *page) largestRuns(w io.Writer) {
 	largest := map[string]Run{}
 	for _, run := range p.Runs {
 		if run.Size.Nodes > largest[run.Size.Plane].Size.Nodes {
@@ -222,9 +222,9 @@
 	table(w, "Largest runs", "plane", "nodes", "servers", "processes", "memory in all", "nodes that knew all servers after the start", "command")
 	for _, plane := range slices.Sorted(mapKeys(largest)) {
 		run := largest[plane]
-		start := run.Phases[0].InForce
-		line(w, plane, number(float64(run.Size.Nodes)), number(float64(run.Size.Servers)), number(float64(run.Processes)), amount(run.Memory, "B"),
-			fmt.Sprintf("%s, the last after %s ms", number(float64(start.Taken)), number(start.Last)), fmt.Sprintf("(%d)", p.number(run.Command)))
+		start := run.Phases[0].ChangeLatency
+		line(w, plane, formatNumber(float64(run.Size.Nodes)), formatNumber(float64(run.Size.Servers)), formatNumber(float64(run.Processes)), formatAmount(run.Memory, "B"),
+			fmt.Sprintf("%s, the last after %s ms", formatNumber(float64(start.Applied)), formatNumber(start.Last)), fmt.Sprintf("(%d)", p.commandNumber(run.Command)))
 	}
 }
 
@@ -238,7 +238,7 @@
 	}
 }
 
-func (p *page) given(w io.Writer) {
+func (p *page) commandList(w io.Writer) {
 	fmt.Fprint(w, "\n## Commands\n\nThat of the largest size of each series; the smaller ones are the same with half of it, and so on.\n\n")
 	for i, c := range p.commands {
 		fmt.Fprintf(w, "%d. `%s`\n", i+1, c)
@@ -246,12 +246,12 @@
 }
 
 // number is short: three digits that say something.
-func number(v float64) string {
+func formatNumber(v float64) string {
 	switch {
 	case v == 0:
 		return "0"
 	case math.Abs(v) >= 100:
-		return grouped(math.Round(v))
+		return groupThousands(math.Round(v))
 	case math.Abs(v) >= 10:
 		return strings.TrimSuffix(fmt.Sprintf("%.1f", v), ".0")
 	case math.Abs(v) >= 0.0005:
@@ -261,7 +261,7 @@
 }
 
 // grouped has its thousands set apart.
-func grouped(v float64) string {
+func groupThousands(v float64) string {
 	digits := fmt.Sprintf("%.0f", math.Abs(v))
 	var b strings.Builder
 	if v < 0 {
@@ -277,7 +277,7 @@
 }
 
 // amount is a number with its unit, in the step of it that reads well.
-func amount(v float64, unit string) string {
+func formatAmount(v float64, unit string) string {
 	switch {
 	case unit == "B" || unit == "B/s":
 		for _, step := range []struct {
@@ -286,19 +286,19 @@
 		}{{1e9, "GB"}, {1e6, "MB"}, {1e4, "KB"}} {
 			if v >= step.from {
 				size := map[string]float64{"GB": 1e9, "MB": 1e6, "KB": 1e3}[step.name]
-				return number(v/size) + " " + step.name + strings.TrimPrefix(unit, "B")
+				return formatNumber(v/size) + " " + step.name + strings.TrimPrefix(unit, "B")
 			}
 		}
 	case unit == "ms" && v >= 10_000:
-		return number(v/1000) + " s"
+		return formatNumber(v/1000) + " s"
 	case unit == "ms" && v < 1 && v > 0:
-		return number(v*1000) + " us"
+		return formatNumber(v*1000) + " us"
 	}
 	if unit == "" {
-		return number(v)
+		return formatNumber(v)
 	}
 	if strings.HasPrefix(unit, "/") {
-		return number(v) + unit
+		return formatNumber(v) + unit
 	}
-	return number(v) + " " + unit
+	return formatNumber(v) + " " + unit
 }
--- a/internal/testbed/capacity/results.go
+++ b/internal/testbed/capacity/results.go
@@ -115,14 +115,14 @@
 	words := strings.Fields(source)
 	switch {
 	case len(words) == 2 && words[0] == "parts":
-		return r.part(words[1])
+		return r.partSeries(words[1])
 	case len(words) == 5 && words[0] == "scale":
-		return r.scaled(words[1], words[2], words[3], words[4])
+		return r.scaleSeries(words[1], words[2], words[3], words[4])
 	}
 	return nil, fmt.Errorf("source %q: `parts NAME` or `scale PLANE-DIMENSION PHASE ROLE FIELD`", source)
 }
 
-func (r *Results) part(name string) (*Series, error) {
+func (r *Results) partSeries(name string) (*Series, error) {
 	for _, p := range r.Parts {
 		for _, s := range p.Parts {
 			if s.Name != name {
@@ -156,7 +156,7 @@
 	return v, ok
 }
 
-func (r *Results) scaled(family, phase, role, field string) (*Series, error) {
+func (r *Results) scaleSeries(family, phase, role, field string) (*Series, error) {
 	s := &Series{}
 	for i := range r.Runs {
 		run := &r.Runs[i]
@@ -168,7 +168,7 @@
 		if !ok {
 			return nil, fmt.Errorf("%s: %q is no dimension of a run", family, s.By)
 		}
-		value, unit, exact, err := figure(run, phase, role, field)
+		value, unit, exact, err := phaseFigure(run, phase, role, field)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", run.Name, err)
 		}
@@ -178,7 +178,7 @@
 			s.Command, s.Cores = run.Command, run.Machine.Cores
 		}
 		s.Load = max(s.Load, run.Machine.Load)
-		s.Fixed = fixed(&run.Size, s.By)
+		s.Fixed = fixedDimensions(&run.Size, s.By)
 	}
 	if len(s.Points) == 0 {
 		return nil, fmt.Errorf("no run of %s", family)
@@ -188,7 +188,7 @@
 }
 
 // fixed are the other dimensions of a run.
-func fixed(s *scale.Size, by string) string {
+func fixedDimensions(s *scale.Size, by string) string {
 	var words []string
 	for _, name := range []string{"nodes", "servers", "routes", "tenants"} {
 		if v, _ := dimension(s, name); name != by {
@@ -199,7 +199,7 @@
 }
 
 // figure is one of a run's: of nodes and control processes for each, of others for all.
-func figure(run *Run, phase, role, field string) (value float64, unit string, exact bool, err error) {
+func phaseFigure(run *Run, phase, role, field string) (value float64, unit string, exact bool, err error) {
 	i := slices.IndexFunc(run.Phases, func(p scale.Phase) bool { return p.Name == phase })
 	if i < 0 {
 		return 0, "", false, fmt.Errorf("no phase %s", phase)
@@ -207,17 +207,17 @@
 	p := &run.Phases[i]
 	switch role {
 	case "in_force":
-		if p.InForce == nil {
+		if p.ChangeLatency == nil {
 			return 0, "", false, fmt.Errorf("no changes in phase %s", phase)
 		}
-		v, ok := map[string]float64{"p50": p.InForce.P50, "p99": p.InForce.P99, "last": p.InForce.Last}[field]
-		return v, "ms", false, known(ok, field)
+		v, ok := map[string]float64{"p50": p.ChangeLatency.P50, "p99": p.ChangeLatency.P99, "last": p.ChangeLatency.Last}[field]
+		return v, "ms", false, checkField(ok, field)
 	case "handed":
-		if p.InForce == nil || p.InForce.Taken == 0 {
+		if p.ChangeLatency == nil || p.ChangeLatency.Applied == 0 {
 			return 0, "", false, fmt.Errorf("no changes in phase %s", phase)
 		}
 		v, ok := map[string]int{"elements": p.Handed.Elements, "lists": p.Handed.Lists}[field]
-		return float64(v) / float64(p.InForce.Taken), "", true, known(ok, field)
+		return float64(v) / float64(p.ChangeLatency.Applied), "", true, checkField(ok, field)
 	}
 	o, ok := p.Roles[role]
 	if !ok {
@@ -232,10 +232,10 @@
 		"messages_in": {o.MessagesIn, "/s", true}, "messages_out": {o.MessagesOut, "/s", true}, "messages": {o.MessagesIn + o.MessagesOut, "/s", true},
 		"cpu": {o.CPU, "cores", false}, "memory": {o.Memory, "B", false},
 		"bytes_each": {(o.BytesIn + o.BytesOut) * p.Seconds, "B", true}}[field]
-	return v.value / n, v.unit, v.exact, known(ok, field)
+	return v.value / n, v.unit, v.exact, checkField(ok, field)
 }
 
-func known(ok bool, field string) error {
+func checkField(ok bool, field string) error {
 	if !ok {
 		return fmt.Errorf("no field %s", field)
 	}
--- a/internal/testbed/scale/change_test.go
+++ b/internal/testbed/scale/change_test.go
@@ -18,14 +18,14 @@
 // layoutOf is a layout on a net of its own.
 func layoutOf(t *testing.T, servers int) *Layout {
 	t.Helper()
-	number, held, err := claim()
+	number, held, err := reserveNetwork()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { held.Close() })
 	size := small("discovery", NoEvent)
 	size.Servers = servers
-	return &Layout{Size: size, Net: number, Dir: t.TempDir()}
+	return &Layout{Size: size, Network: number, Dir: t.TempDir()}
 }
 
 // told1 is what a node is sent for one changed server, in bytes on its connection, and how many servers that names.
@@ -39,14 +39,14 @@
 	defer source.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	w := watch.Watcher{Target: watch.NewTarget(parsed(l.discoveryAddress(discoveryPort))), WantsFullList: true}
+	w := watch.Watcher{Target: watch.NewTarget(mustParseAddress(l.discoveryAddress(discoveryPort))), WantsFullList: true}
 	defer w.Close()
 	list, err := w.Poll(ctx)
 	if err != nil || len(list.Hosts) != servers {
 		t.Fatalf("%d servers, %v", len(list.Hosts), err)
 	}
 	w.WantsFullList, w.Revision = false, list.Revision
-	m := newMeter(l.Net)
+	m := newMeter(l.Network)
 	if err := m.read(nobodyElse); err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 	if err := errors.Join(err, m.read(nobodyElse)); err != nil {
 		t.Fatal(err)
 	}
-	return m.flows()[roleNodes].less(before).BytesIn, len(list.Hosts)
+	return m.flows()[roleNodes].minus(before).BytesIn, len(list.Hosts)
 }
 
 // A node is sent as much for one change whether there are few servers or many.
@@ -81,7 +81,7 @@
 		defer f.Stop()
 		all := http1.EndpointList{Revision: 1, Complete: true}
 		for i := range servers {
-			all.Hosts = append(all.Hosts, http1.Endpoint{ID: serverID(1, i), Address: parsed(l.address(0, 1, 1024+i)), Size: 1})
+			all.Hosts = append(all.Hosts, http1.Endpoint{ID: serverID(1, i), Address: mustParseAddress(l.address(0, 1, 1024+i)), Size: 1})
 		}
 		f.ApplyList(all, endpoints.SourceDiscovery)
 		records, whole := r.take()
@@ -95,7 +95,7 @@
 		if n := after.Elements - whole.Elements; n != 1 {
 			t.Errorf("%d servers: %d lines for one change", servers, n)
 		}
-		if len(records) != 1 || records[0].Kind != markerTaken || !records[0].Draining || records[0].Marker != 0 {
+		if len(records) != 1 || records[0].Kind != markerApplied || !records[0].Draining || records[0].Marker != 0 {
 			t.Errorf("%d servers: %+v", servers, records)
 		}
 	}
--- a/internal/testbed/scale/component/files.go
+++ b/internal/testbed/scale/component/files.go
@@ -33,7 +33,9 @@
 	return text
 }
 
-func decoded(tenants int) (settings.Settings, error) { return settings.Decode(settingsText(tenants)) }
+func decodedSettings(tenants int) (settings.Settings, error) {
+	return settings.Decode(settingsText(tenants))
+}
 
 // operatorText is an operator's file of so many routes, each with a rate and places.
 func operatorText(routes int) []byte {
@@ -45,7 +47,7 @@
 }
 
 func routesOf(n int) (*route.Table, error) {
-	s, err := decoded(4)
+	s, err := decodedSettings(4)
 	if err != nil {
 		return nil, err
 	}
@@ -64,13 +66,13 @@
 }
 
 func files() []figure {
-	routes, tenants := doubled(64, 8192), doubled(256, 262_144)
+	routes, tenants := doublingSizes(64, 8192), doublingSizes(256, 262_144)
 	return []figure{
-		{Series{Name: "routes-bytes", About: "the operator's file", By: "routes", Unit: "B", Exact: true}, doubled(64, 131_072),
+		{Series{Name: "routes-bytes", About: "the operator's file", By: "routes", Unit: "B", Exact: true}, doublingSizes(64, 131_072),
 			func(n int) (float64, error) { return float64(len(operatorText(n))), nil }},
 		{Series{Name: "routes-read", About: "reading and checking it", By: "routes", Unit: "ms"}, routes, func(n int) (float64, error) {
 			var err error
-			took := timed(3, func() { _, err = routesOf(n) })
+			took := minCPUTime(3, func() { _, err = routesOf(n) })
 			return took, err
 		}},
 		{Series{Name: "routes-memory", About: "what is made of it", By: "routes", Unit: "B"}, routes, func(n int) (float64, error) {
@@ -86,7 +88,7 @@
 			func(n int) (float64, error) { return float64(len(settingsText(n))), nil }},
 		{Series{Name: "tenants-read", About: "decoding them", By: "tenants", Unit: "ms"}, tenants, func(n int) (float64, error) {
 			b := settingsText(n)
-			return timed(3, func() { settings.Decode(b) }), nil
+			return minCPUTime(3, func() { settings.Decode(b) }), nil
 		}},
 		{Series{Name: "tenants-memory", About: "a node's fleet and module with them, without traffic", By: "tenants", Unit: "B"}, tenants,
 			func(n int) (float64, error) {
@@ -98,7 +100,7 @@
 				})
 				return bytes, err
 			}},
-		{Series{Name: "report-bytes", About: "a node's report to a planner, with no traffic", By: "tenants", Unit: "B", Exact: true}, doubled(64, 8192),
+		{Series{Name: "report-bytes", About: "a node's report to a planner, with no traffic", By: "tenants", Unit: "B", Exact: true}, doublingSizes(64, 8192),
 			func(n int) (float64, error) {
 				r, err := reportOf(n)
 				if err != nil {
--- a/internal/testbed/scale/component/lists.go
+++ b/internal/testbed/scale/component/lists.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	services  = 6000
-	regions   = 3
-	zones     = 6
-	cells     = 40
-	startedAt = 1_764_000_000_000 // Unix ms; any that is long ago
+	services      = 6000
+	regions       = 3
+	zones         = 6
+	cells         = 40
+	startedUnixMS = 1_764_000_000_000 // Unix ms; any that is long ago
 )
 
-type nobody struct{}
+type discardWatcher struct{}
 
-func (nobody) Announced(int, string, string, int64, time.Time) {}
+func (discardWatcher) Announced(int, string, string, int64, time.Time) {}
 
 func entry(i int, phase string) discovery.Entry {
 	return discovery.Entry{ID: fmt.Sprintf("svc%04d-srv-%06d", i%services, i), Site: fmt.Sprintf("region-%d-zone-%d", i%regions, i%zones), Cell: i % cells,
-		MachineKind: fmt.Sprintf("svc%04d", i%services), Phase: phase, UpSince: time.UnixMilli(startedAt + int64(i)),
+		MachineKind: fmt.Sprintf("svc%04d", i%services), Phase: phase, UpSince: time.UnixMilli(startedUnixMS + int64(i)),
 		Addresses: []string{fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255)}}
 }
 
 // text is discovery's full list of so many servers.
-func text(servers int) []byte {
-	s := discovery.New(discovery.Settings{LinesPerS: 1e12, Timeout: time.Minute}, 1, nobody{})
+func encodedList(servers int) []byte {
+	s := discovery.New(discovery.Settings{LinesPerS: 1e12, Timeout: time.Minute}, 1, discardWatcher{})
 	for i := range servers {
 		s.Set(entry(i, discovery.Serving))
 	}
 	return s.List(0)
 }
 
-func list(servers int) http1.EndpointList {
-	l, err := http1.ParseEndpointList(text(servers))
+func parsedList(servers int) http1.EndpointList {
+	l, err := http1.ParseEndpointList(encodedList(servers))
 	if err != nil {
 		panic(err) // the stand-in's own form
 	}
@@ -49,7 +49,7 @@
 }
 
 func newDispatcher(tenants int) (*dispatch.Dispatcher, error) {
-	s, err := decoded(tenants)
+	s, err := decodedSettings(tenants)
 	if err != nil {
 		return nil, err
 	}
@@ -57,7 +57,7 @@
 }
 
 // filled returns a dispatcher that knows the servers of a list.
-func filled(l http1.EndpointList) (*dispatch.Dispatcher, error) {
+func newFilledDispatcher(l http1.EndpointList) (*dispatch.Dispatcher, error) {
 	f, err := newDispatcher(4)
 	if err == nil {
 		f.ApplyList(l, endpoints.SourceDiscovery)
@@ -67,37 +67,37 @@
 
 // lists are the figures of endpoint lists. The function is long because it is a table with one row for each figure.
 func lists() []figure {
-	sizes := doubled(256, 131_072)
+	sizes := doublingSizes(256, 131_072)
 	return []figure{
-		{Series{Name: "list-bytes", About: "a whole list of discovery", By: "servers", Unit: "B", Exact: true}, doubled(64, 262_144),
-			func(n int) (float64, error) { return float64(len(text(n))), nil }},
+		{Series{Name: "list-bytes", About: "a whole list of discovery", By: "servers", Unit: "B", Exact: true}, doublingSizes(64, 262_144),
+			func(n int) (float64, error) { return float64(len(encodedList(n))), nil }},
 		{Series{Name: "list-parse", About: "reading it", By: "servers", Unit: "ms"}, sizes, func(n int) (float64, error) {
-			b := text(n)
-			return timed(3, func() { http1.ParseEndpointList(b) }), nil
+			b := encodedList(n)
+			return minCPUTime(3, func() { http1.ParseEndpointList(b) }), nil
 		}},
-		{Series{Name: "list-taken", About: "a whole list into the node's book and module", By: "servers", Unit: "ms"}, doubled(2048, 262_144), func(n int) (float64, error) {
-			l := list(n)
+		{Series{Name: "list-taken", About: "a whole list into the node's book and module", By: "servers", Unit: "ms"}, doublingSizes(2048, 262_144), func(n int) (float64, error) {
+			l := parsedList(n)
 			least := math.Inf(1)
 			for range 3 {
 				f, err := newDispatcher(4)
 				if err != nil {
 					return 0, err
 				}
-				least = min(least, timed(1, func() { f.ApplyList(l, endpoints.SourceDiscovery) }))
+				least = min(least, minCPUTime(1, func() { f.ApplyList(l, endpoints.SourceDiscovery) }))
 				f.Stop()
 			}
 			return least, nil
 		}},
 		{Series{Name: "list-change", About: "one changed server into a node that knows so many", By: "servers", Unit: "ms"}, sizes, func(n int) (float64, error) {
-			l := list(n)
-			f, err := filled(l)
+			l := parsedList(n)
+			f, err := newFilledDispatcher(l)
 			if err != nil {
 				return 0, err
 			}
 			defer f.Stop()
 			one := http1.EndpointList{Revision: l.Revision + 1, Hosts: append([]http1.Endpoint(nil), l.Hosts[0])}
 			const rounds = 500
-			return timed(3, func() {
+			return minCPUTime(3, func() {
 				for i := range rounds {
 					one.Hosts[0].Phase = http1.Condition(i % 2)
 					f.ApplyList(one, endpoints.SourceDiscovery)
@@ -105,11 +105,11 @@
 			}) / rounds, nil
 		}},
 		{Series{Name: "list-memory", About: "a node's book and module of so many servers", By: "servers", Unit: "B"}, sizes, func(n int) (float64, error) {
-			l := list(n)
+			l := parsedList(n)
 			var f *dispatch.Dispatcher
 			var err error
 			bytes := retainedBytes(func() any {
-				f, err = filled(l)
+				f, err = newFilledDispatcher(l)
 				return f
 			})
 			if err == nil {
@@ -117,12 +117,12 @@
 			}
 			return bytes, err
 		}},
-		{Series{Name: "snapshot-bytes", About: "a node's copy of the list on disk", By: "servers", Unit: "B", Exact: true}, doubled(64, 8192),
+		{Series{Name: "snapshot-bytes", About: "a node's copy of the list on disk", By: "servers", Unit: "B", Exact: true}, doublingSizes(64, 8192),
 			func(n int) (float64, error) {
 				s := &snapshot.Snapshot{Node: "n", Deployment: "d"}
-				for _, h := range list(n).Hosts {
+				for _, h := range parsedList(n).Hosts {
 					s.Servers = append(s.Servers, snapshot.Server{ID: h.ID, StartedUnixMS: h.UpSinceMS, Address: h.Address.String(), Zone: h.Zone, MachineKind: h.Flavor,
-						Cell: h.Cell, Weight: h.Size, AnnouncedUnixMS: startedAt})
+						Cell: h.Cell, Weight: h.Size, AnnouncedUnixMS: startedUnixMS})
 				}
 				b, err := snapshot.Encode(s)
 				return float64(len(b)), err
--- a/internal/testbed/scale/component/parts.go
+++ b/internal/testbed/scale/component/parts.go
@@ -42,13 +42,13 @@
 
 // longestPoint is the processor time that one size may take, in milliseconds: the sizes of a series end with the first one
 // beyond it.
-const longestPoint = 6_000
+const maxPointMS = 6_000
 
 // figure is a series while it is measured.
 type figure struct {
-	series Series
-	sizes  []int
-	at     func(size int) (float64, error)
+	series  Series
+	sizes   []int
+	measure func(size int) (float64, error)
 }
 
 // Measure measures all parts, or those whose names are given.
@@ -56,20 +56,20 @@
 	var all []Series
 	figures := slices.Concat(files(), lists(), plans())
 	// Memory first: what other figures leave to the collector would be in the way of it.
-	slices.SortStableFunc(figures, func(a, b figure) int { return cmp.Compare(order(&a), order(&b)) })
+	slices.SortStableFunc(figures, func(a, b figure) int { return cmp.Compare(measurementOrder(&a), measurementOrder(&b)) })
 	for _, f := range figures {
 		if len(only) > 0 && !slices.Contains(only, f.series.Name) {
 			continue
 		}
 		s := f.series
 		for _, size := range f.sizes {
-			before := spent()
-			value, err := f.at(size)
+			before := cpuTime()
+			value, err := f.measure(size)
 			if err != nil {
 				return nil, fmt.Errorf("%s at %d: %w", s.Name, size, err)
 			}
 			s.Points = append(s.Points, Point{Size: float64(size), Value: value})
-			if spent()-before > longestPoint {
+			if cpuTime()-before > maxPointMS {
 				break
 			}
 		}
@@ -79,7 +79,7 @@
 	return all, nil
 }
 
-func order(f *figure) int {
+func measurementOrder(f *figure) int {
 	if f.series.Unit == "B" && !f.series.Exact {
 		return 0
 	}
@@ -87,7 +87,7 @@
 }
 
 // doubled are sizes from one to another, each twice the one before.
-func doubled(from, to int) (sizes []int) {
+func doublingSizes(from, to int) (sizes []int) {
 	for n := from; n <= to; n *= 2 {
 		sizes = append(sizes, n)
 	}
@@ -96,18 +96,18 @@
 
 // timed is the least processor time of some runs in milliseconds, the collector's included. What else runs on the machine
 // adds little to it, and to the clock's time without bound.
-func timed(runs int, run func()) float64 {
+func minCPUTime(runs int, run func()) float64 {
 	least := math.Inf(1)
 	for range runs {
-		before := spent()
+		before := cpuTime()
 		run()
-		least = min(least, spent()-before)
+		least = min(least, cpuTime()-before)
 	}
 	return least
 }
 
 // spent is the processor time of this process so far.
-func spent() float64 {
+func cpuTime() float64 {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
 		panic(err) // it fails for what is no process only
@@ -117,15 +117,15 @@
 
 // held is what making something leaves in memory, in bytes.
 func retainedBytes(make func() any) float64 {
-	before := heap()
+	before := heapBytes()
 	kept := make()
-	after := heap()
+	after := heapBytes()
 	runtime.KeepAlive(kept)
 	return max(after-before, 0)
 }
 
 // heap is what is in use, once what was put aside for a while or waits to be finalized has gone as well.
-func heap() float64 {
+func heapBytes() float64 {
 	const rounds = 4
 	var m runtime.MemStats
 	for range rounds {
--- a/internal/testbed/scale/component/parts_test.go
+++ b/internal/testbed/scale/component/parts_test.go
@@ -33,7 +33,7 @@
 		for _, all := range [][]figure{lists(), files(), plans()} {
 			for _, f := range all {
 				if f.series.Name == name {
-					return counted(f.at)
+					return counted(f.measure)
 				}
 			}
 		}
@@ -73,7 +73,7 @@
 
 // idleBytes are those of a plan after one that a node holds, with nothing new.
 func idleBytes(nodes, servers int) (float64, error) {
-	p, _ := planned(nodes, servers)
+	p, _ := newReportedPlanner(nodes, servers)
 	_, told := plan.Diff(plan.Plan{}, p.ComputePlans(time.Second).ForForwarder(nodeName(0)))
 	next := told
 	next.Number++
@@ -83,8 +83,8 @@
 }
 
 func changeAllocations(servers int) (float64, error) {
-	l := list(servers)
-	f, err := filled(l)
+	l := parsedList(servers)
+	f, err := newFilledDispatcher(l)
 	if err != nil {
 		return 0, err
 	}
@@ -98,12 +98,12 @@
 }
 
 func parseAllocations(servers int) (float64, error) {
-	b := text(servers)
+	b := encodedList(servers)
 	return testing.AllocsPerRun(3, func() { http1.ParseEndpointList(b) }), nil
 }
 
 func takeAllocations(servers int) (float64, error) {
-	l := list(servers)
+	l := parsedList(servers)
 	f, err := newDispatcher(4)
 	if err != nil {
 		return 0, err
--- a/internal/testbed/scale/component/plans.go
+++ b/internal/testbed/scale/component/plans.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	fixedServers = 192
-	fixedNodes   = 256
-	usedServers  = 16 // that a node reports attempts to
-	plannedAt    = startedAt + 90*24*3600*1000
+	fixedServers       = 192
+	fixedNodes         = 256
+	serversPerReport   = 16 // that a node reports attempts to
+	plannerStartUnixMS = startedUnixMS + 90*24*3600*1000
 )
 
 func nodeName(i int) string { return fmt.Sprintf("n%05d", i) }
@@ -28,14 +28,14 @@
 }
 
 // planned is a planner that has heard a report of each of its nodes.
-func planned(nodes, servers int) (*plan.Planner, []incarnation.Entry) {
-	p, known := plan.NewPlanner(plannedAt), incarnations(servers)
+func newReportedPlanner(nodes, servers int) (*plan.Planner, []incarnation.Entry) {
+	p, known := plan.NewPlanner(plannerStartUnixMS), incarnations(servers)
 	p.EndpointsUpdated(0, known, true)
 	for i := range nodes {
 		r := plan.Report{SentAt: time.Second, Interval: 500 * time.Millisecond, Types: []plan.TypeReport{{Name: "svc0001", TargetTime: 200 * time.Millisecond, Requests: 100}},
 			InFlight: 8, Settings: plan.ForwarderSettings{Nodes: nodes, SlowStartDuration: 5 * time.Second, InitialCapacity: 0.3, CrashLoadFactor: 2}}
-		for j := range usedServers {
-			r.Servers = append(r.Servers, plan.ServerReport{ID: known[(i*usedServers+j)%servers].ID, Completions: []plan.Completions{{Count: 6, TotalLatency: 300 * time.Millisecond}}})
+		for j := range serversPerReport {
+			r.Servers = append(r.Servers, plan.ServerReport{ID: known[(i*serversPerReport+j)%servers].ID, Completions: []plan.Completions{{Count: 6, TotalLatency: 300 * time.Millisecond}}})
 		}
 		p.ReportReceived(time.Second, nodeName(i), &r)
 	}
@@ -43,10 +43,10 @@
 }
 
 func planTime(nodes, servers int) float64 {
-	p, _ := planned(nodes, servers)
+	p, _ := newReportedPlanner(nodes, servers)
 	now := time.Second
 	p.ComputePlans(now) // the first one gives all parts at once
-	return timed(3, func() {
+	return minCPUTime(3, func() {
 		now += 500 * time.Millisecond
 		p.ComputePlans(now)
 	})
@@ -54,7 +54,7 @@
 
 // changeBytes are those of what a node is sent of the first plan, and of the next one with one changed server.
 func changeBytes(nodes, servers int) (first, next float64, err error) {
-	p, known := planned(nodes, servers)
+	p, known := newReportedPlanner(nodes, servers)
 	change, told := plan.Diff(plan.Plan{}, p.ComputePlans(time.Second).ForForwarder(nodeName(0)))
 	frame, err := planwire.Append(nil, planwire.ChangeKind, change)
 	if err != nil {
@@ -77,22 +77,22 @@
 func plans() []figure {
 	fixed := func(what string, n int) string { return fmt.Sprintf("%d %s", n, what) }
 	return []figure{
-		{Series{Name: "plan-by-nodes", About: "one plan", By: "nodes", Fixed: fixed("servers", fixedServers), Unit: "ms"}, doubled(64, 4096),
+		{Series{Name: "plan-by-nodes", About: "one plan", By: "nodes", Fixed: fixed("servers", fixedServers), Unit: "ms"}, doublingSizes(64, 4096),
 			func(n int) (float64, error) { return planTime(n, fixedServers), nil }},
-		{Series{Name: "plan-by-servers", About: "one plan", By: "servers", Fixed: fixed("nodes", fixedNodes), Unit: "ms"}, doubled(64, 4096),
+		{Series{Name: "plan-by-servers", About: "one plan", By: "servers", Fixed: fixed("nodes", fixedNodes), Unit: "ms"}, doublingSizes(64, 4096),
 			func(n int) (float64, error) { return planTime(fixedNodes, n), nil }},
 		{Series{Name: "first-plan-bytes", About: "a node's first plan, with all lives", By: "servers", Fixed: fixed("nodes", fixedNodes), Unit: "B", Exact: true},
-			doubled(64, 4096), func(n int) (float64, error) {
+			doublingSizes(64, 4096), func(n int) (float64, error) {
 				first, _, err := changeBytes(fixedNodes, n)
 				return first, err
 			}},
 		{Series{Name: "change-bytes-by-servers", About: "one changed server in a plan", By: "servers", Fixed: fixed("nodes", fixedNodes), Unit: "B", Exact: true},
-			doubled(64, 4096), func(n int) (float64, error) {
+			doublingSizes(64, 4096), func(n int) (float64, error) {
 				_, next, err := changeBytes(fixedNodes, n)
 				return next, err
 			}},
 		{Series{Name: "change-bytes-by-nodes", About: "one changed server in a plan", By: "nodes", Fixed: fixed("servers", fixedServers), Unit: "B", Exact: true},
-			doubled(64, 4096), func(n int) (float64, error) {
+			doublingSizes(64, 4096), func(n int) (float64, error) {
 				_, next, err := changeBytes(n, fixedServers)
 				return next, err
 			}},
--- a/internal/testbed/scale/conductor.go
+++ b/internal/testbed/scale/conductor.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	maxReadyTime    = 60 * time.Second
-	maxCompleteWait = 60 * time.Second       // for all nodes to know all servers
-	maxOrderTime    = 20 * time.Second       // for an order to be carried out
-	pollInterval    = time.Second            // at connections and processes
-	askEvery        = 100 * time.Millisecond // whether all nodes are where they should be
-	settle          = 2 * time.Second        // after the start, before the phase at rest
-	maxTrail        = 15 * time.Second       // after the last change of a phase, for the last node
-	maxFaults       = 20                     // kept
-	killedAfter     = time.Second            // of the event's phase
+	maxReadyTime          = 60 * time.Second
+	maxCompleteWait       = 60 * time.Second       // for all nodes to know all servers
+	maxOrderTime          = 20 * time.Second       // for an order to be carried out
+	pollInterval          = time.Second            // at connections and processes
+	conditionPollInterval = 100 * time.Millisecond // whether all nodes are where they should be
+	settleTime            = 2 * time.Second        // after the start, before the phase at rest
+	maxChangeWait         = 15 * time.Second       // after the last change of a phase, for the last node
+	maxFaults             = 20                     // kept
+	eventDelay            = time.Second            // of the event's phase
 )
 
 // Options of a run.
@@ -38,22 +38,22 @@
 // conductor leads a run.
 type conductor struct {
 	Options
-	layout    *Layout
-	machine   Machine
-	ledger    *ledger
-	meter     *meter
-	workers   []*process
-	controls  []*process
-	discovery *process
-	ways      *process // nil: none can be cut
-	answers   chan announcement
-	begun     time.Time
-	revision  int      // of the operator's file
-	returned  *InForce // nodes that an event killed, from their start on
+	layout         *Layout
+	machine        Machine
+	ledger         *ledger
+	meter          *meter
+	workers        []*process
+	controls       []*process
+	discovery      *process
+	regionLinks    *process // nil: none can be cut
+	responses      chan announcement
+	startedAt      time.Time
+	revision       int            // of the operator's file
+	restartLatency *ChangeLatency // nodes that an event killed, from their start on
 
-	mu     sync.Mutex
-	faults []string
-	max    float64 // memory
+	mu        sync.Mutex
+	faults    []string
+	maxMemory float64 // memory
 }
 
 // Run plays a size and returns what was measured.
@@ -68,7 +68,7 @@
 	if err := o.Size.Fits(machine.Memory); err != nil {
 		return nil, err
 	}
-	number, held, err := claim()
+	number, held, err := reserveNetwork()
 	if err != nil {
 		return nil, err
 	}
@@ -78,9 +78,9 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	c := &conductor{Options: o, layout: &Layout{Size: o.Size, Net: number, Dir: dir}, machine: machine,
-		meter: newMeter(number), answers: make(chan announcement, 1), begun: time.Now()}
-	c.ledger = newLedger(o.Size.Nodes, c.layout.served)
+	c := &conductor{Options: o, layout: &Layout{Size: o.Size, Network: number, Dir: dir}, machine: machine,
+		meter: newMeter(number), responses: make(chan announcement, 1), startedAt: time.Now()}
+	c.ledger = newLedger(o.Size.Nodes, c.layout.isServed)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	defer c.end()
@@ -97,13 +97,13 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return &Result{Command: o.CommandLine, At: c.begun.UTC().Truncate(time.Second), Machine: machine, Size: o.Size, Processes: c.layout.Size.Processes(),
-		Memory: c.max, Shared: Shared, Phases: phases, Faults: c.faults}, nil
+	return &Result{Command: o.CommandLine, At: c.startedAt.UTC().Truncate(time.Second), Machine: machine, Size: o.Size, Processes: c.layout.Size.Processes(),
+		Memory: c.maxMemory, Shared: Shared, Phases: phases, Faults: c.faults}, nil
 }
 
-func (c *conductor) say(format string, args ...any) {
+func (c *conductor) logProgress(format string, args ...any) {
 	if c.Progress != nil {
-		fmt.Fprintf(c.Progress, "%6.1fs %s\n", time.Since(c.begun).Seconds(), fmt.Sprintf(format, args...))
+		fmt.Fprintf(c.Progress, "%6.1fs %s\n", time.Since(c.startedAt).Seconds(), fmt.Sprintf(format, args...))
 	}
 }
 
@@ -128,39 +128,39 @@
 			c.controls = append(c.controls, c.process(roleControl, n))
 		}
 	}
-	if c.Size.Event == RegionsApart {
-		c.ways = c.process(roleCut, 0)
+	if c.Size.Event == RegionPartition {
+		c.regionLinks = c.process(roleRegionLinks, 0)
 	}
 	return nil
 }
 
 func (c *conductor) process(r role, n int) *process {
-	return &process{task: task{Role: r, Number: n, Layout: c.layout}, command: c.Command, hear: c.hear}
+	return &process{task: task{Role: r, Number: n, Layout: c.layout}, command: c.Command, handle: c.handle}
 }
 
 // all processes of the tool but the tool itself.
 func (c *conductor) all() []*process {
 	all := slices.Concat(c.workers, c.controls, []*process{c.discovery})
-	if c.ways != nil {
-		all = append(all, c.ways)
+	if c.regionLinks != nil {
+		all = append(all, c.regionLinks)
 	}
 	return all
 }
 
 // hear takes in what a process says.
-func (c *conductor) hear(p *process, t announcement) {
-	if t.Fault != "" {
+func (c *conductor) handle(p *process, t announcement) {
+	if t.Error != "" {
 		c.mu.Lock()
 		if len(c.faults) < maxFaults {
-			c.faults = append(c.faults, t.Fault)
+			c.faults = append(c.faults, t.Error)
 		}
 		c.mu.Unlock()
 	}
 	if p.task.Role == roleNodes {
-		c.ledger.heard(p.task.Number, t)
+		c.ledger.recordAnnouncement(p.task.Number, t)
 	}
-	if p == c.discovery && (t.Changed > 0 || t.Done || t.Fault != "") {
-		c.answers <- t
+	if p == c.discovery && (t.Changed > 0 || t.Done || t.Error != "") {
+		c.responses <- t
 	}
 }
 
@@ -190,7 +190,7 @@
 			sum += p.use().Memory
 		}
 		c.mu.Lock()
-		c.max = max(c.max, sum)
+		c.maxMemory = max(c.maxMemory, sum)
 		c.mu.Unlock()
 		if sum > memoryShare*c.machine.Memory {
 			cancel(errMemory)
@@ -202,14 +202,14 @@
 func (c *conductor) read() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.meter.read(c.inner)
+	return c.meter.read(c.nonNodeProcesses)
 }
 
 // inner are the processes whose connections to control processes are no node's.
-func (c *conductor) inner() (pids []int) {
+func (c *conductor) nonNodeProcesses() (pids []int) {
 	others := append([]*process{c.discovery}, c.controls...)
-	if c.ways != nil {
-		others = append(others, c.ways)
+	if c.regionLinks != nil {
+		others = append(others, c.regionLinks)
 	}
 	for _, p := range others {
 		if pid := p.pid(); pid > 0 {
@@ -224,7 +224,7 @@
 	at     time.Time
 	flows  map[role]flow
 	use    map[role]usage
-	handed handed
+	handed deliveryCounts
 }
 
 func (c *conductor) reading() (r reading, err error) {
@@ -246,23 +246,23 @@
 const roleTools role = "tools"
 
 // phase is what lies between two readings.
-func (c *conductor) phase(name string, from, to reading, in *InForce) Phase {
+func (c *conductor) phase(name string, from, to reading, in *ChangeLatency) Phase {
 	seconds := to.at.Sub(from.at).Seconds()
-	p := Phase{Name: name, Seconds: seconds, Roles: map[string]Role{}, InForce: in, Handed: handed{
+	p := Phase{Name: name, Seconds: seconds, Roles: map[string]Role{}, ChangeLatency: in, Handed: deliveryCounts{
 		Lists: to.handed.Lists - from.handed.Lists, Elements: to.handed.Elements - from.handed.Elements,
 		Plans: to.handed.Plans - from.handed.Plans, Reroutes: to.handed.Reroutes - from.handed.Reroutes}}
 	members := map[role]int{roleNodes: c.Size.Nodes, roleDiscovery: 1, roleTools: 1, roleControl: len(c.controls)}
 	if c.Size.Membership {
-		members[roleMembers] = c.Size.Nodes
+		members[roleMembership] = c.Size.Nodes
 	}
-	if c.ways != nil {
-		members[roleCut] = 1
+	if c.regionLinks != nil {
+		members[roleRegionLinks] = 1
 	}
 	for r, n := range members {
 		if n == 0 {
 			continue
 		}
-		f := to.flows[r].less(from.flows[r])
+		f := to.flows[r].minus(from.flows[r])
 		p.Roles[string(r)] = Role{Members: n, BytesIn: f.BytesIn / seconds, BytesOut: f.BytesOut / seconds, MessagesIn: f.SegmentsIn / seconds,
 			MessagesOut: f.SegmentsOut / seconds, CPU: (to.use[r].CPU - from.use[r].CPU) / seconds, Memory: to.use[r].Memory}
 	}
--- a/internal/testbed/scale/cut.go
+++ b/internal/testbed/scale/cut.go
@@ -11,17 +11,17 @@
 
 // ways are the connections from nodes to control processes of other regions, which can be cut without a word to either
 // side.
-type ways struct{ listeners []*link.Listener }
+type regionLinks struct{ listeners []*link.Listener }
 
-func newWays(l *Layout) (*ways, error) {
-	w := &ways{}
+func newRegionLinks(l *Layout) (*regionLinks, error) {
+	w := &regionLinks{}
 	for region := range l.Size.Regions {
 		for n := range l.Size.Control {
-			if l.controlIn(n) == region {
+			if l.controlRegion(n) == region {
 				continue
 			}
 			to := l.controlAddress(n)
-			listener, err := link.Listen(l.cutAddress(region, n), func(c *link.Conn) { pass(c, to) })
+			listener, err := link.Listen(l.cutAddress(region, n), func(c *link.Conn) { forward(c, to) })
 			if err != nil {
 				return nil, err
 			}
@@ -32,7 +32,7 @@
 }
 
 // pass leads a connection on to a control process.
-func pass(from *link.Conn, address string) {
+func forward(from *link.Conn, address string) {
 	defer from.Close()
 	to, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -52,7 +52,7 @@
 	both.Wait()
 }
 
-func (w *ways) cut(cut bool) {
+func (w *regionLinks) cut(cut bool) {
 	for _, l := range w.listeners {
 		if cut {
 			l.Silence()
@@ -62,7 +62,7 @@
 	}
 }
 
-func (w *ways) close() {
+func (w *regionLinks) close() {
 	for _, l := range w.listeners {
 		l.Close()
 	}
--- a/internal/testbed/scale/distribution.go
+++ b/internal/testbed/scale/distribution.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	startWithin   = 2 * time.Second
-	controlsNamed = 8 // by a node
-	servicesNamed = 1000
-	writesAtOnce  = 1000
-	writeAgain    = 200 * time.Millisecond
-	maxWriteTime  = 15 * time.Second // for a write, over all control processes that are tried
-	maxListBytes  = 2 * time.Minute  // for all servers to be written at the start
+	startTimeout        = 2 * time.Second
+	maxControlAddresses = 8 // by a node
+	maxServicesPerNode  = 1000
+	changesPerWrite     = 1000
+	writeRetryInterval  = 200 * time.Millisecond
+	maxWriteTime        = 15 * time.Second // for a write, over all control processes that are tried
+	maxInitialWriteTime = 2 * time.Minute  // for all servers to be written at the start
 )
 
 // distributionPlane has control processes hold all servers as keyed entries and send each node those of its services. The
@@ -42,8 +42,8 @@
 		return errors.New("--event discovery-away: changes are written at a control process; --event control-killed ends it")
 	case s.Control < s.Regions:
 		return fmt.Errorf("--control %d: each of %d regions wants a root", s.Control, s.Regions)
-	case s.Services > servicesNamed && (s.Serves == 0 || s.Serves > servicesNamed):
-		return fmt.Errorf("--serves %d: a node names %d services at most", s.Serves, servicesNamed)
+	case s.Services > maxServicesPerNode && (s.ServicesPerNode == 0 || s.ServicesPerNode > maxServicesPerNode):
+		return fmt.Errorf("--serves %d: a node names %d services at most", s.ServicesPerNode, maxServicesPerNode)
 	}
 	return nil
 }
@@ -54,13 +54,13 @@
 
 // upstreams of a control process, the preferred one first.
 func (l *Layout) upstreams(n int) (addresses []string, follow string) {
-	region := l.controlIn(n)
+	region := l.controlRegion(n)
 	if n >= l.Size.Regions {
-		addresses = append(addresses, l.reach(region, region))
+		addresses = append(addresses, l.controlAddressFrom(region, region))
 	}
 	for root := range l.Size.Regions {
 		if root != region {
-			addresses = append(addresses, l.reach(region, root))
+			addresses = append(addresses, l.controlAddressFrom(region, root))
 		}
 	}
 	if n < l.Size.Regions {
@@ -80,7 +80,7 @@
 			quoted += fmt.Sprintf("%q", u)
 		}
 		text := fmt.Sprintf("name = \"c%d\"\nregion = \"region-%d\"\nlisten = %q\ndisk = %q\nupstreams = [%s]\nfollow = %q\nplaintext = true\n",
-			n, l.controlIn(n), l.controlAddress(n), filepath.Join(l.Dir, fmt.Sprintf("control-%d.db", n)), quoted, follow)
+			n, l.controlRegion(n), l.controlAddress(n), filepath.Join(l.Dir, fmt.Sprintf("control-%d.db", n)), quoted, follow)
 		if err := os.WriteFile(l.controlPath(n), []byte(text), 0o644); err != nil {
 			return err
 		}
@@ -103,13 +103,13 @@
 	}
 	cfg.Snapshot = nil // what the node holds of the distribution stands on its disk anyway
 	c := &client.Config{Region: fmt.Sprint("region-", l.regionOf(node)), Zone: zoneName(l, l.zone(l.workerOf(node))), Directory: dir,
-		StartTimeout: tomlfile.Duration(startWithin), Plaintext: true}
+		StartTimeout: tomlfile.Duration(startTimeout), Plaintext: true}
 	for _, s := range l.servicesOf(node) {
 		c.Services = append(c.Services, serviceName(s))
 	}
 	for _, n := range l.preferred(node) {
-		at := l.reach(l.regionOf(node), n)
-		c.Control, c.Addresses = append(c.Control, at), append(c.Addresses, parsed(at))
+		at := l.controlAddressFrom(l.regionOf(node), n)
+		c.Control, c.Addresses = append(c.Control, at), append(c.Addresses, mustParseAddress(at))
 	}
 	cfg.Distribution = c
 	return nil
@@ -122,7 +122,7 @@
 	var relays, others []int
 	for n := range l.Size.Control {
 		switch {
-		case l.controlIn(n) == region && n >= l.Size.Regions:
+		case l.controlRegion(n) == region && n >= l.Size.Regions:
 			relays = append(relays, n)
 		case n != region:
 			others = append(others, n)
@@ -132,7 +132,7 @@
 		controls = append(controls, relays[(i+node/l.Size.workers())%len(relays)])
 	}
 	controls = append(append(controls, region), others...)
-	return controls[:min(len(controls), controlsNamed)]
+	return controls[:min(len(controls), maxControlAddresses)]
 }
 
 func serviceName(service int) string { return fmt.Sprintf("svc%04d", service) }
@@ -146,14 +146,14 @@
 
 func (distributionPlane) Source(l *Layout) (Source, error) {
 	w := &writer{layout: l, config: &client.Config{Name: "writer", Plaintext: true}}
-	for n := range min(l.Size.Control, controlsNamed) {
+	for n := range min(l.Size.Control, maxControlAddresses) {
 		at := l.controlAddress(n)
-		w.config.Control, w.config.Addresses = append(w.config.Control, at), append(w.config.Addresses, parsed(at))
+		w.config.Control, w.config.Addresses = append(w.config.Control, at), append(w.config.Addresses, mustParseAddress(at))
 	}
-	by := time.Now().Add(maxListBytes)
-	for first := 0; first < l.Size.Servers; first += writesAtOnce {
+	by := time.Now().Add(maxInitialWriteTime)
+	for first := 0; first < l.Size.Servers; first += changesPerWrite {
 		var changes []distribution.Change
-		for i := first; i < min(first+writesAtOnce, l.Size.Servers); i++ {
+		for i := first; i < min(first+changesPerWrite, l.Size.Servers); i++ {
 			c, err := w.server(i, incarnation.Up)
 			if err != nil {
 				return nil, err
@@ -192,7 +192,7 @@
 		if time.Now().After(by) {
 			return began, err
 		}
-		time.Sleep(writeAgain)
+		time.Sleep(writeRetryInterval)
 	}
 }
 
--- a/internal/testbed/scale/events.go
+++ b/internal/testbed/scale/events.go
@@ -8,14 +8,14 @@
 
 // Events that may befall a fleet.
 const (
-	NoEvent       = ""
-	RestartTenth  = "restart-tenth"
-	Rack          = "rack"
-	Zone          = "zone"
-	RegionsApart  = "regions-apart"
-	ControlKilled = "control-killed"
-	DiscoveryDown = "discovery-away"
-	StartAll      = "start-all"
+	NoEvent         = ""
+	RestartTenth    = "restart-tenth"
+	Rack            = "rack"
+	Zone            = "zone"
+	RegionPartition = "regions-apart"
+	ControlKilled   = "control-killed"
+	DiscoveryDown   = "discovery-away"
+	StartAll        = "start-all"
 )
 
 // Events lists what may befall, with what it means here.
@@ -23,7 +23,7 @@
 	{RestartTenth, "a tenth of the nodes' processes, one at least, are killed and started again"},
 	{Rack, "one process of nodes is killed, and back after half of the phase"},
 	{Zone, "all processes of a zone are killed, and back after half of the phase"},
-	{RegionsApart, "nodes and control processes of different regions do not reach each other for half of the phase; what comes to a node only after that counts from then"},
+	{RegionPartition, "nodes and control processes of different regions do not reach each other for half of the phase; what comes to a node only after that counts from then"},
 	{ControlKilled, "the first control process is killed, and back after half of the phase"},
 	{DiscoveryDown, "discovery cannot be reached for half of the phase; changes made meanwhile count from its return"},
 	{StartAll, "all nodes are killed and started at once"},
@@ -39,7 +39,7 @@
 		return nil
 	case !slices.Contains(names, s.Event):
 		return fmt.Errorf("--event %s: one of %s", s.Event, strings.Join(names, ", "))
-	case s.Event == RegionsApart && s.Regions < 2:
+	case s.Event == RegionPartition && s.Regions < 2:
 		return fmt.Errorf("--event %s needs two regions", s.Event)
 	}
 	return nil
--- a/internal/testbed/scale/hollow.go
+++ b/internal/testbed/scale/hollow.go
@@ -28,11 +28,11 @@
 }
 
 const (
-	snapshotEvery   = 10 * time.Second // a usual one of 2 s would have one disk write for all machines of a fleet
-	membersAtFirst  = 3                // whom a node asks for others
-	hollowSockets   = 128
-	hollowThreads   = "2"
-	logLevelOfNodes = zerolog.ErrorLevel
+	snapshotInterval = 10 * time.Second // a usual one of 2 s would have one disk write for all machines of a fleet
+	seedMembers      = 3                // whom a node asks for others
+	hollowSockets    = 128
+	hollowThreads    = "2"
+	logLevelOfNodes  = zerolog.ErrorLevel
 )
 
 // hollow is one node of a process.
@@ -59,7 +59,7 @@
 	// The limit that a node sets for its runtime is the process's, which all its nodes share.
 	cfg.Limits.MemoryMB *= len(l.nodesOf(l.workerOf(number)))
 	cfg.Limits.Sockets = hollowSockets
-	if err := l.beside(&cfg, number); err != nil {
+	if err := l.configureStorageAndPeers(&cfg, number); err != nil {
 		return nil, err
 	}
 	if err := planes[l.Size.Plane].Configure(l, number, &cfg); err != nil {
@@ -73,13 +73,13 @@
 }
 
 // beside sets up what a node has beside its list: its copy on disk, and other nodes.
-func (l *Layout) beside(cfg *proxy.Config, number int) error {
+func (l *Layout) configureStorageAndPeers(cfg *proxy.Config, number int) error {
 	if l.Size.Snapshots {
 		dir := l.snapshotDir(number)
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return err
 		}
-		cfg.Snapshot = &snapshot.Config{Dir: dir, Deployment: "scale", WriteInterval: tomlfile.Duration(snapshotEvery), MaxGenerations: 2, MaxAge: tomlfile.Duration(time.Hour)}
+		cfg.Snapshot = &snapshot.Config{Dir: dir, Deployment: "scale", WriteInterval: tomlfile.Duration(snapshotInterval), MaxGenerations: 2, MaxAge: tomlfile.Duration(time.Hour)}
 		cfg.Filesystem = wal.OSFileSystem{}
 	}
 	if !l.Size.Membership {
@@ -91,11 +91,11 @@
 	}
 	at := l.nodeAddress(number, memberPort)
 	var first []string
-	for i := range min(membersAtFirst, l.Size.Nodes-1) {
+	for i := range min(seedMembers, l.Size.Nodes-1) {
 		// Spread over the fleet, so that the first nodes are not asked by all.
-		first = append(first, l.nodeAddress((number+1+i*l.Size.Nodes/membersAtFirst)%l.Size.Nodes, memberPort))
+		first = append(first, l.nodeAddress((number+1+i*l.Size.Nodes/seedMembers)%l.Size.Nodes, memberPort))
 	}
-	cfg.Peers = &peer.Config{Name: cfg.Name, Listen: at, Advertise: at, ListenAddress: parsed(at), Peers: first, Deployment: "scale",
+	cfg.Peers = &peer.Config{Name: cfg.Name, Listen: at, Advertise: at, ListenAddress: mustParseAddress(at), Peers: first, Deployment: "scale",
 		Site: zoneName(l, l.zone(l.workerOf(number))), Machine: cfg.Name, Replicas: 1, ReplicaDir: dir, MaxReplicaBytes: 16 << 20,
 		RetentionAge: tomlfile.Duration(time.Hour), RepairBytesPerSecond: 1 << 20, SlowAfter: tomlfile.Duration(50 * time.Millisecond),
 		ReconcileAfter: tomlfile.Duration(time.Hour), Plaintext: true}
--- a/internal/testbed/scale/layout.go
+++ b/internal/testbed/scale/layout.go
@@ -12,31 +12,31 @@
 
 // Ports tell connections apart when they are counted: each kind has one on its serving side.
 const (
-	discoveryPort  = 18070 // discovery, for nodes
-	controlPort    = 18071 // control processes
-	memberPort     = 18072 // nodes, for each other
-	cutPort        = 18073 // ways between regions that can be cut
-	ownerPort      = 18074 // discovery, for control processes
-	nodePort       = 18080 // nodes, for clients; nobody connects
-	claimPort      = 18090 // held by the tool, so that two runs do not share a net
-	firstNet       = 2
-	lastNet        = 15 // those above belong to the testbed
-	maxMarkers     = 64 // servers that change
-	discoveryHost  = 251
-	controlHost    = 252
-	cutHost        = 253
-	nodesPerSubnet = 240
+	discoveryPort   = 18070 // discovery, for nodes
+	controlPort     = 18071 // control processes
+	memberPort      = 18072 // nodes, for each other
+	cutPort         = 18073 // ways between regions that can be cut
+	ownerPort       = 18074 // discovery, for control processes
+	nodePort        = 18080 // nodes, for clients; nobody connects
+	reservationPort = 18090 // held by the tool, so that two runs do not share a net
+	firstNetwork    = 2
+	lastNetwork     = 15 // those above belong to the testbed
+	maxMarkers      = 64 // servers that change
+	discoveryHost   = 251
+	controlHost     = 252
+	cutHost         = 253
+	nodesPerSubnet  = 240
 )
 
 // Layout says where everything of a run is.
 type Layout struct {
-	Size Size   `json:"size"`
-	Net  int    `json:"net"` // 127.Net.x.y
-	Dir  string `json:"dir"`
+	Size    Size   `json:"size"`
+	Network int    `json:"net"` // 127.Net.x.y
+	Dir     string `json:"dir"`
 }
 
 func (l *Layout) address(x, y, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", l.Net, x, y, port)
+	return fmt.Sprintf("127.%d.%d.%d:%d", l.Network, x, y, port)
 }
 
 func (l *Layout) nodeAddress(node, port int) string {
@@ -49,10 +49,10 @@
 func (l *Layout) cutAddress(region, n int) string { return l.address(cutHost, 1+region*64+n, cutPort) }
 
 // zone of a process of nodes, and region of a zone.
-func (l *Layout) zone(worker int) int   { return worker % l.Size.Zones }
-func (l *Layout) region(zone int) int   { return zone % l.Size.Regions }
-func (l *Layout) controlIn(n int) int   { return n % l.Size.Regions }
-func (l *Layout) workerOf(node int) int { return node % l.Size.workers() }
+func (l *Layout) zone(worker int) int     { return worker % l.Size.Zones }
+func (l *Layout) region(zone int) int     { return zone % l.Size.Regions }
+func (l *Layout) controlRegion(n int) int { return n % l.Size.Regions }
+func (l *Layout) workerOf(node int) int   { return node % l.Size.workers() }
 
 // regionOf a node.
 func (l *Layout) regionOf(node int) int { return l.region(l.zone(l.workerOf(node))) }
@@ -67,24 +67,24 @@
 
 // servicesOf are the services that a node serves.
 func (l *Layout) servicesOf(node int) (services []int) {
-	serves := l.serves()
+	serves := l.servicesPerNode()
 	for i := range serves {
 		services = append(services, (node*serves+i)%l.Size.Services)
 	}
 	return services
 }
 
-func (l *Layout) serves() int {
-	if l.Size.Serves == 0 || !planes[l.Size.Plane].Scoped() {
+func (l *Layout) servicesPerNode() int {
+	if l.Size.ServicesPerNode == 0 || !planes[l.Size.Plane].Scoped() {
 		return l.Size.Services
 	}
-	return l.Size.Serves
+	return l.Size.ServicesPerNode
 }
 
 // served reports whether a node is told of a server.
-func (l *Layout) served(node, server int) bool {
+func (l *Layout) isServed(node, server int) bool {
 	n := l.Size.Services
-	return ((server-node*l.serves())%n+n)%n < l.serves()
+	return ((server-node*l.servicesPerNode())%n+n)%n < l.servicesPerNode()
 }
 
 // serversOf counts the servers that a node is told of.
@@ -96,11 +96,11 @@
 }
 
 // parsed is an address that the layout has made.
-func parsed(address string) netip.AddrPort { return netip.MustParseAddrPort(address) }
+func mustParseAddress(address string) netip.AddrPort { return netip.MustParseAddrPort(address) }
 
 // reach is the address of a control process as those of a region reach it.
-func (l *Layout) reach(region, n int) string {
-	if l.controlIn(n) == region || l.Size.Event != RegionsApart {
+func (l *Layout) controlAddressFrom(region, n int) string {
+	if l.controlRegion(n) == region || l.Size.Event != RegionPartition {
 		return l.controlAddress(n)
 	}
 	return l.cutAddress(region, n)
@@ -110,8 +110,8 @@
 func (l *Layout) controlsFor(region int) (addresses []string) {
 	for _, own := range []bool{true, false} {
 		for n := range l.Size.Control {
-			if (l.controlIn(n) == region) == own {
-				addresses = append(addresses, l.reach(region, n))
+			if (l.controlRegion(n) == region) == own {
+				addresses = append(addresses, l.controlAddressFrom(region, n))
 			}
 		}
 	}
@@ -127,9 +127,9 @@
 }
 
 // claim finds a net that no other run holds; it is held until the listener is closed.
-func claim() (netNumber int, held net.Listener, err error) {
-	for n := firstNet; n <= lastNet; n++ {
-		if held, err = net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", n, claimPort)); err == nil {
+func reserveNetwork() (netNumber int, held net.Listener, err error) {
+	for n := firstNetwork; n <= lastNetwork; n++ {
+		if held, err = net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", n, reservationPort)); err == nil {
 			return n, held, nil
 		}
 	}
--- a/internal/testbed/scale/ledger_test.go
+++ b/internal/testbed/scale/ledger_test.go
@@ -10,88 +10,88 @@
 	began := time.Unix(1000, 0)
 	at := func(ms int) int64 { return began.Add(time.Duration(ms) * time.Millisecond).UnixNano() }
 	take := func(l *ledger, node, marker int, draining bool, ms int) {
-		l.heard(0, announcement{Records: []record{{Kind: markerTaken, Node: node, Marker: marker, Draining: draining, At: at(ms)}}})
+		l.recordAnnouncement(0, announcement{Records: []record{{Kind: markerApplied, Node: node, Marker: marker, Draining: draining, At: at(ms)}}})
 	}
 	for name, c := range map[string]struct {
 		play func(l *ledger)
-		want InForce
+		want ChangeLatency
 	}{
 		"all took it": {func(l *ledger) {
-			l.changed(0, true, began)
+			l.addChange(0, true, began)
 			for n := range 3 {
 				take(l, n, 0, true, 10*(n+1))
 			}
-		}, InForce{Changes: 1, Taken: 3, P50: 20, P99: 30, Last: 30}},
+		}, ChangeLatency{Changes: 1, Applied: 3, P50: 20, P99: 30, Last: 30}},
 		"one did not": {func(l *ledger) {
-			l.changed(0, true, began)
+			l.addChange(0, true, began)
 			take(l, 0, 0, true, 10)
 			take(l, 1, 0, true, 10)
-		}, InForce{Changes: 1, Taken: 2, P50: 10, P99: 10, Last: 10, Missing: 1}},
+		}, ChangeLatency{Changes: 1, Applied: 2, P50: 10, P99: 10, Last: 10, Missing: 1}},
 		"a state of before is not the change": {func(l *ledger) {
-			l.changed(0, true, began)
+			l.addChange(0, true, began)
 			for n := range 3 {
 				take(l, n, 0, false, 5)
 			}
-		}, InForce{Changes: 1, Missing: 3}},
+		}, ChangeLatency{Changes: 1, Missing: 3}},
 		"the first word counts": {func(l *ledger) {
-			l.changed(0, true, began)
+			l.addChange(0, true, began)
 			for n := range 3 {
 				take(l, n, 0, true, 10)
 				take(l, n, 0, true, 900)
 			}
-		}, InForce{Changes: 1, Taken: 3, P50: 10, P99: 10, Last: 10}},
+		}, ChangeLatency{Changes: 1, Applied: 3, P50: 10, P99: 10, Last: 10}},
 		"a server that a node does not serve": {func(l *ledger) {
-			l.changed(1, true, began)
+			l.addChange(1, true, began)
 			take(l, 0, 1, true, 10)
 			take(l, 1, 1, true, 10)
-		}, InForce{Changes: 1, Taken: 2, P50: 10, P99: 10, Last: 10}},
+		}, ChangeLatency{Changes: 1, Applied: 2, P50: 10, P99: 10, Last: 10}},
 		"a node that was down meanwhile is left out": {func(l *ledger) {
-			l.changed(0, true, began)
+			l.addChange(0, true, began)
 			take(l, 0, 0, true, 10)
 			take(l, 1, 0, true, 10)
-			l.lost(1, []int{2})
+			l.nodesKilled(1, []int{2})
 			take(l, 2, 0, true, 4000)
-		}, InForce{Changes: 1, Taken: 2, P50: 10, P99: 10, Last: 10, Down: 1}},
+		}, ChangeLatency{Changes: 1, Applied: 2, P50: 10, P99: 10, Last: 10, Down: 1}},
 		"one that had it before it went counts": {func(l *ledger) {
-			l.changed(0, true, began)
+			l.addChange(0, true, began)
 			for n := range 3 {
 				take(l, n, 0, true, 10)
 			}
-			l.lost(1, []int{2})
-		}, InForce{Changes: 1, Taken: 3, P50: 10, P99: 10, Last: 10}},
+			l.nodesKilled(1, []int{2})
+		}, ChangeLatency{Changes: 1, Applied: 3, P50: 10, P99: 10, Last: 10}},
 		"overtaken by the next change of the same server": {func(l *ledger) {
-			l.changed(0, true, began)
+			l.addChange(0, true, began)
 			take(l, 0, 0, true, 10)
-			l.changed(0, false, began.Add(50*time.Millisecond))
+			l.addChange(0, false, began.Add(50*time.Millisecond))
 			for n := range 3 {
 				take(l, n, 0, false, 60)
 			}
-		}, InForce{Changes: 2, Taken: 4, P50: 10, P99: 10, Last: 10}},
+		}, ChangeLatency{Changes: 2, Applied: 4, P50: 10, P99: 10, Last: 10}},
 		"regions apart: from when the node could hear of it": {func(l *ledger) {
-			l.changed(0, true, began)
+			l.addChange(0, true, began)
 			take(l, 0, 0, true, 10)
-			l.together(began.Add(500 * time.Millisecond))
+			l.partitionEnded(began.Add(500 * time.Millisecond))
 			take(l, 1, 0, true, 520)
 			take(l, 2, 0, true, 530)
-		}, InForce{Changes: 1, Taken: 3, P50: 20, P99: 30, Last: 30}},
+		}, ChangeLatency{Changes: 1, Applied: 3, P50: 20, P99: 30, Last: 30}},
 		"made after regions were apart": {func(l *ledger) {
-			l.together(began.Add(-time.Second))
-			l.changed(0, true, began)
+			l.partitionEnded(began.Add(-time.Second))
+			l.addChange(0, true, began)
 			for n := range 3 {
 				take(l, n, 0, true, 10)
 			}
-		}, InForce{Changes: 1, Taken: 3, P50: 10, P99: 10, Last: 10}},
+		}, ChangeLatency{Changes: 1, Applied: 3, P50: 10, P99: 10, Last: 10}},
 		"counted from a later moment": {func(l *ledger) {
-			l.counts(l.changed(0, true, began), at(100))
+			l.setMadeAt(l.addChange(0, true, began), at(100))
 			for n := range 3 {
 				take(l, n, 0, true, 150)
 			}
-		}, InForce{Changes: 1, Taken: 3, P50: 50, P99: 50, Last: 50}},
+		}, ChangeLatency{Changes: 1, Applied: 3, P50: 50, P99: 50, Last: 50}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newLedger(3, func(node, server int) bool { return node < 2 || server == 0 })
 			c.play(l)
-			if got := l.inForce(0); *got != c.want {
+			if got := l.changeLatency(0); *got != c.want {
 				t.Errorf("%+v, want %+v", *got, c.want)
 			}
 		})
@@ -100,7 +100,7 @@
 
 // Sizes that are refused, each by one line.
 func TestRefusedSizes(t *testing.T) {
-	well := Size{Nodes: 64, Servers: 192, Services: 8, Routes: 64, Tenants: 16, Regions: 3, Zones: 6, Control: 3, Churn: 2, Plane: "planners", For: time.Second}
+	well := Size{Nodes: 64, Servers: 192, Services: 8, Routes: 64, Tenants: 16, Regions: 3, Zones: 6, Control: 3, Churn: 2, Plane: "planners", PhaseDuration: time.Second}
 	for name, c := range map[string]struct {
 		change func(*Size)
 		memory float64
--- a/internal/testbed/scale/phases.go
+++ b/internal/testbed/scale/phases.go
@@ -14,20 +14,20 @@
 	for _, part := range []struct {
 		name   string
 		wanted bool
-		play   func(context.Context) (*InForce, error)
+		play   func(context.Context) (*ChangeLatency, error)
 	}{
-		{"start", true, c.startAll},
+		{"start", true, c.startPhase},
 		{"rest", true, c.restPhase},
-		{"changes", c.Size.Churn > 0, c.changes},
-		{"restarts", c.Size.Restarts > 0, c.restarts},
-		{"reload", c.Size.Routes > 0, c.reload},
-		{c.Size.Event, c.Size.Event != NoEvent, c.event},
+		{"changes", c.Size.Churn > 0, c.changesPhase},
+		{"restarts", c.Size.Restarts > 0, c.restartsPhase},
+		{"reload", c.Size.Routes > 0, c.reloadPhase},
+		{c.Size.Event, c.Size.Event != NoEvent, c.eventPhase},
 	} {
 		if !part.wanted {
 			continue
 		}
 		if part.name == "rest" {
-			pause(ctx, settle)
+			pause(ctx, settleTime)
 		}
 		before, err := c.reading()
 		if err != nil {
@@ -42,7 +42,7 @@
 			return nil, err
 		}
 		p := c.phase(part.name, before, after, in)
-		p.Returned = c.returned
+		p.RestartLatency = c.restartLatency
 		all = append(all, p)
 	}
 	return all, nil
@@ -58,8 +58,8 @@
 }
 
 // until waits for something to be so.
-func until(ctx context.Context, most time.Duration, is func() bool) bool {
-	for by := time.Now().Add(most); ctx.Err() == nil && time.Now().Before(by); pause(ctx, askEvery) {
+func waitUntil(ctx context.Context, most time.Duration, is func() bool) bool {
+	for by := time.Now().Add(most); ctx.Err() == nil && time.Now().Before(by); pause(ctx, conditionPollInterval) {
 		if is() {
 			return true
 		}
@@ -68,11 +68,11 @@
 }
 
 // startAll starts what nodes need and then all nodes at once.
-func (c *conductor) startAll(ctx context.Context) (*InForce, error) {
-	c.say("%d processes, about %.2f GB", c.Size.Processes(), c.Size.Memory()/1e9)
+func (c *conductor) startPhase(ctx context.Context) (*ChangeLatency, error) {
+	c.logProgress("%d processes, about %.2f GB", c.Size.Processes(), c.Size.Memory()/1e9)
 	first := slices.Concat([]*process{c.discovery}, c.controls)
-	if c.ways != nil {
-		first = append(first, c.ways)
+	if c.regionLinks != nil {
+		first = append(first, c.regionLinks)
 	}
 	for _, p := range first {
 		if err := p.start(); err != nil {
@@ -84,14 +84,14 @@
 			return nil, err
 		}
 	}
-	c.say("discovery's side and %d control processes are there", len(c.controls))
+	c.logProgress("discovery's side and %d control processes are there", len(c.controls))
 	began := time.Now()
 	if err := c.startNodes(c.workers); err != nil {
 		return nil, err
 	}
-	c.say("%d nodes have started", c.Size.Nodes)
+	c.logProgress("%d nodes have started", c.Size.Nodes)
 	c.waitComplete(ctx)
-	return c.ledger.start(began, c.nodesOf(c.workers)), nil
+	return c.ledger.startLatency(began, c.nodesOf(c.workers)), nil
 }
 
 func (c *conductor) startNodes(workers []*process) error {
@@ -121,36 +121,36 @@
 }
 
 func (c *conductor) waitComplete(ctx context.Context) {
-	if until(ctx, maxCompleteWait, c.ledger.allComplete) {
-		c.say("all nodes know all servers")
+	if waitUntil(ctx, maxCompleteWait, c.ledger.allComplete) {
+		c.logProgress("all nodes know all servers")
 		return
 	}
 	c.ledger.mu.Lock()
 	defer c.ledger.mu.Unlock()
-	c.say("%d of %d nodes know all servers after %s", c.ledger.countComplete(), c.Size.Nodes, maxCompleteWait)
+	c.logProgress("%d of %d nodes know all servers after %s", c.ledger.countComplete(), c.Size.Nodes, maxCompleteWait)
 }
 
-func (c *conductor) restPhase(ctx context.Context) (*InForce, error) {
-	c.say("at rest for %s", c.Size.For)
-	pause(ctx, c.Size.For)
+func (c *conductor) restPhase(ctx context.Context) (*ChangeLatency, error) {
+	c.logProgress("at rest for %s", c.Size.PhaseDuration)
+	pause(ctx, c.Size.PhaseDuration)
 	return nil, nil
 }
 
 // changes has servers drain and serve again, at an even pace.
-func (c *conductor) changes(ctx context.Context) (*InForce, error) {
-	c.say("%g changes a second for %s", c.Size.Churn, c.Size.For)
+func (c *conductor) changesPhase(ctx context.Context) (*ChangeLatency, error) {
+	c.logProgress("%g changes a second for %s", c.Size.Churn, c.Size.PhaseDuration)
 	from := c.ledger.count()
-	if err := c.churn(ctx, c.Size.For); err != nil {
+	if err := c.churn(ctx, c.Size.PhaseDuration); err != nil {
 		return nil, err
 	}
-	return c.trail(ctx, from), nil
+	return c.awaitChanges(ctx, from), nil
 }
 
 // trail waits for the last node, and tells how long all took.
-func (c *conductor) trail(ctx context.Context, from int) *InForce {
-	until(ctx, maxTrail, func() bool { return c.ledger.inForce(from).Missing == 0 })
-	in := c.ledger.inForce(from)
-	c.say("%d changes: in force after %.0f ms (p50), %.0f (p99), %.0f (last); %d not taken", in.Changes, in.P50, in.P99, in.Last, in.Missing)
+func (c *conductor) awaitChanges(ctx context.Context, from int) *ChangeLatency {
+	waitUntil(ctx, maxChangeWait, func() bool { return c.ledger.changeLatency(from).Missing == 0 })
+	in := c.ledger.changeLatency(from)
+	c.logProgress("%d changes: in force after %.0f ms (p50), %.0f (p99), %.0f (last); %d not taken", in.Changes, in.P50, in.P99, in.Last, in.Missing)
 	return in
 }
 
@@ -167,11 +167,11 @@
 
 // restarts kills the processes of nodes in turn and starts them again at once, at a steady rate and without changes, so that
 // what the phase costs beside rest is the restarts' own.
-func (c *conductor) restarts(ctx context.Context) (*InForce, error) {
-	c.say("%g processes of nodes a second start again for %s", c.Size.Restarts, c.Size.For)
+func (c *conductor) restartsPhase(ctx context.Context) (*ChangeLatency, error) {
+	c.logProgress("%g processes of nodes a second start again for %s", c.Size.Restarts, c.Size.PhaseDuration)
 	gap := time.Duration(float64(time.Second) / c.Size.Restarts)
 	began, nodes := time.Now(), map[int]bool{}
-	for n := 0; ctx.Err() == nil && time.Since(began) < c.Size.For; n++ {
+	for n := 0; ctx.Err() == nil && time.Since(began) < c.Size.PhaseDuration; n++ {
 		due := began.Add(time.Duration(n) * gap)
 		pause(ctx, time.Until(due))
 		victim := []*process{c.workers[n%len(c.workers)]}
@@ -184,8 +184,8 @@
 		}
 	}
 	c.waitComplete(ctx)
-	in := c.ledger.restarted(slices.Sorted(maps.Keys(nodes)))
-	c.say("%d nodes have started again: they know all servers after %.0f ms (p50), %.0f (last); %d do not", len(nodes), in.P50, in.Last, in.Missing)
+	in := c.ledger.restartLatency(slices.Sorted(maps.Keys(nodes)))
+	c.logProgress("%d nodes have started again: they know all servers after %.0f ms (p50), %.0f (last); %d do not", len(nodes), in.P50, in.Last, in.Missing)
 	return in, nil
 }
 
@@ -193,24 +193,24 @@
 func (c *conductor) change() (*change, error) {
 	n, markers := c.ledger.count(), c.layout.markers()
 	marker, draining := n%markers, n/markers%2 == 0
-	made := c.ledger.changed(marker, draining, time.Now()) // before it is made: nodes may tell of it at once
-	answer, err := c.ask(c.discovery, order{Do: doChange, Server: marker, Draining: draining})
+	made := c.ledger.addChange(marker, draining, time.Now()) // before it is made: nodes may tell of it at once
+	answer, err := c.sendAndWait(c.discovery, order{Do: doChange, Server: marker, Draining: draining})
 	if err != nil {
 		return nil, err
 	}
-	c.ledger.counts(made, answer.Changed)
+	c.ledger.setMadeAt(made, answer.Changed)
 	return made, nil
 }
 
 // ask gives discovery's side an order and waits until it was carried out.
-func (c *conductor) ask(p *process, o order) (announcement, error) {
+func (c *conductor) sendAndWait(p *process, o order) (announcement, error) {
 	if err := p.send(o); err != nil {
 		return announcement{}, err
 	}
 	select {
-	case t := <-c.answers:
-		if t.Fault != "" {
-			return t, fmt.Errorf("%s: %s", p.name(), t.Fault)
+	case t := <-c.responses:
+		if t.Error != "" {
+			return t, fmt.Errorf("%s: %s", p.name(), t.Error)
 		}
 		return t, nil
 	case <-time.After(maxOrderTime):
@@ -219,7 +219,7 @@
 }
 
 // reload has all nodes read a new revision of the operator's file.
-func (c *conductor) reload(ctx context.Context) (*InForce, error) {
+func (c *conductor) reloadPhase(ctx context.Context) (*ChangeLatency, error) {
 	c.revision++
 	if err := c.layout.writeRoutes(c.revision); err != nil {
 		return nil, err
@@ -230,14 +230,14 @@
 			return nil, err
 		}
 	}
-	until(ctx, maxCompleteWait, func() bool { return c.ledger.rerouted(began).Missing == 0 })
-	in := c.ledger.rerouted(began)
-	c.say("the operator's file is in force after %.0f ms (p50), %.0f (last); %d nodes have not taken it", in.P50, in.Last, in.Missing)
+	waitUntil(ctx, maxCompleteWait, func() bool { return c.ledger.reloadLatency(began).Missing == 0 })
+	in := c.ledger.reloadLatency(began)
+	c.logProgress("the operator's file is in force after %.0f ms (p50), %.0f (last); %d nodes have not taken it", in.P50, in.Last, in.Missing)
 	return in, nil
 }
 
 // event has what was asked for befall, while changes go on, and waits until all is well.
-func (c *conductor) event(ctx context.Context) (*InForce, error) {
+func (c *conductor) eventPhase(ctx context.Context) (*ChangeLatency, error) {
 	from := c.ledger.count()
 	stop, stopChurn := context.WithCancel(ctx)
 	defer stopChurn()
@@ -247,11 +247,11 @@
 			done <- nil
 			return
 		}
-		done <- c.churn(stop, c.Size.For)
+		done <- c.churn(stop, c.Size.PhaseDuration)
 	}()
-	pause(ctx, killedAfter)
-	c.say("%s", c.Size.Event)
-	err := c.befall(ctx)
+	pause(ctx, eventDelay)
+	c.logProgress("%s", c.Size.Event)
+	err := c.runEvent(ctx)
 	if err != nil {
 		stopChurn()
 	}
@@ -261,28 +261,28 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.returned == nil {
+	if c.restartLatency == nil {
 		c.waitComplete(ctx)
 	}
-	return c.trail(ctx, from), nil
+	return c.awaitChanges(ctx, from), nil
 }
 
 // befall brings an event about, and its end.
-func (c *conductor) befall(ctx context.Context) error {
-	half := c.Size.For / 2
+func (c *conductor) runEvent(ctx context.Context) error {
+	half := c.Size.PhaseDuration / 2
 	switch c.Size.Event {
-	case RegionsApart:
-		if err := c.ways.send(order{Do: doCut, On: true}); err != nil {
+	case RegionPartition:
+		if err := c.regionLinks.send(order{Do: doCutRegions, On: true}); err != nil {
 			return err
 		}
 		pause(ctx, half)
-		c.say("regions reach each other again")
-		c.ledger.together(time.Now())
-		return c.ways.send(order{Do: doCut})
+		c.logProgress("regions reach each other again")
+		c.ledger.partitionEnded(time.Now())
+		return c.regionLinks.send(order{Do: doCutRegions})
 	case ControlKilled:
 		c.controls[0].kill()
 		pause(ctx, half)
-		c.say("the control process is back")
+		c.logProgress("the control process is back")
 		return c.controls[0].start()
 	case DiscoveryDown:
 		return c.discoveryDown(ctx, half)
@@ -296,13 +296,13 @@
 	if c.Size.Event == Rack || c.Size.Event == Zone {
 		pause(ctx, half)
 	}
-	c.say("%d processes of nodes start again", len(killed))
+	c.logProgress("%d processes of nodes start again", len(killed))
 	began := time.Now()
 	if err := c.startNodes(killed); err != nil {
 		return err
 	}
 	c.waitComplete(ctx)
-	c.returned = c.ledger.start(began, c.nodesOf(killed))
+	c.restartLatency = c.ledger.startLatency(began, c.nodesOf(killed))
 	return nil
 }
 
@@ -313,13 +313,13 @@
 	}
 	all.Wait()
 	for _, w := range workers {
-		c.ledger.lost(w.task.Number, c.layout.nodesOf(w.task.Number))
+		c.ledger.nodesKilled(w.task.Number, c.layout.nodesOf(w.task.Number))
 	}
 }
 
 // away takes discovery out of reach, with a change meanwhile, which counts from its return.
 func (c *conductor) discoveryDown(ctx context.Context, length time.Duration) error {
-	if _, err := c.ask(c.discovery, order{Do: doSetDown, On: true}); err != nil {
+	if _, err := c.sendAndWait(c.discovery, order{Do: doSetDown, On: true}); err != nil {
 		return err
 	}
 	pause(ctx, length)
@@ -327,10 +327,10 @@
 	if err != nil {
 		return err
 	}
-	if _, err := c.ask(c.discovery, order{Do: doSetDown}); err != nil {
+	if _, err := c.sendAndWait(c.discovery, order{Do: doSetDown}); err != nil {
 		return err
 	}
-	c.say("discovery is back")
-	c.ledger.counts(made, time.Now().UnixNano())
+	c.logProgress("discovery is back")
+	c.ledger.setMadeAt(made, time.Now().UnixNano())
 	return nil
 }
--- a/internal/testbed/scale/plane.go
+++ b/internal/testbed/scale/plane.go
@@ -55,7 +55,7 @@
 func (discoveryPlane) Controls() bool { return false }
 
 func (discoveryPlane) Check(s *Size) error {
-	if s.Event == ControlKilled || s.Event == RegionsApart {
+	if s.Event == ControlKilled || s.Event == RegionPartition {
 		return fmt.Errorf("--event %s: plane %s has no control processes", s.Event, s.Plane)
 	}
 	return nil
@@ -93,7 +93,7 @@
 }
 
 // reachable waits for an address to be listened at.
-func reachable(ctx context.Context, address string) error {
+func waitListening(ctx context.Context, address string) error {
 	for ctx.Err() == nil {
 		c, err := net.DialTimeout("tcp", address, time.Second)
 		if err == nil {
--- a/internal/testbed/scale/process.go
+++ b/internal/testbed/scale/process.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	tailBytes = 400
-	lineBytes = 4 << 20 // of what a process says at a time
+	logTailBytes = 400
+	maxLineBytes = 4 << 20 // of what a process says at a time
 )
 
 // process is one of the tool's, over its restarts.
 type process struct {
 	task    task
 	command []string
-	hear    func(*process, announcement)
+	handle  func(*process, announcement)
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	ready chan struct{}
-	ended chan struct{}
-	asked bool    // to end
-	spent float64 // CPU seconds of those before
+	mu              sync.Mutex
+	cmd             *exec.Cmd
+	in              io.WriteCloser
+	ready           chan struct{}
+	ended           chan struct{}
+	isStopRequested bool    // to end
+	endedCPU        float64 // CPU seconds of those before
 }
 
 func (p *process) name() string { return fmt.Sprintf("%s-%d", p.task.Role, p.task.Number) }
@@ -56,7 +56,7 @@
 	}
 	ready, ended := make(chan struct{}), make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.in, p.ready, p.ended, p.asked = c, in, ready, ended, false
+	p.cmd, p.in, p.ready, p.ended, p.isStopRequested = c, in, ready, ended, false
 	p.mu.Unlock()
 	go p.listen(c, out, ready, ended)
 	return json.NewEncoder(in).Encode(p.task)
@@ -65,7 +65,7 @@
 // listen hears what the process says until it has ended.
 func (p *process) listen(c *exec.Cmd, out io.Reader, ready, ended chan struct{}) {
 	lines := bufio.NewScanner(out)
-	lines.Buffer(nil, lineBytes)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		var t announcement
 		if json.Unmarshal(lines.Bytes(), &t) != nil {
@@ -74,28 +74,28 @@
 		if t.Ready {
 			close(ready)
 		}
-		p.hear(p, t)
+		p.handle(p, t)
 	}
 	c.Wait()
 	p.mu.Lock()
-	asked := p.asked
+	asked := p.isStopRequested
 	p.cmd = nil
 	if s := c.ProcessState; s != nil {
-		p.spent += (s.UserTime() + s.SystemTime()).Seconds()
+		p.endedCPU += (s.UserTime() + s.SystemTime()).Seconds()
 	}
 	p.mu.Unlock()
 	close(ended)
 	if !asked {
-		p.hear(p, announcement{Fault: fmt.Sprintf("%s has ended: %s", p.name(), p.tail())})
+		p.handle(p, announcement{Error: fmt.Sprintf("%s has ended: %s", p.name(), p.logTail())})
 	}
 }
 
-func (p *process) tail() string {
+func (p *process) logTail() string {
 	b, err := os.ReadFile(p.task.Layout.logPath(p.name()))
 	if err != nil {
 		return err.Error()
 	}
-	return string(bytes.TrimSpace(b[max(len(b)-tailBytes, 0):]))
+	return string(bytes.TrimSpace(b[max(len(b)-logTailBytes, 0):]))
 }
 
 // tell gives an order.
@@ -115,7 +115,7 @@
 	case <-ready:
 		return nil
 	case <-ended:
-		return fmt.Errorf("%s has ended: %s", p.name(), p.tail())
+		return fmt.Errorf("%s has ended: %s", p.name(), p.logTail())
 	case <-time.After(most):
 		return fmt.Errorf("%s is not ready after %s", p.name(), most)
 	}
@@ -125,7 +125,7 @@
 func (p *process) kill() {
 	p.mu.Lock()
 	c, ended := p.cmd, p.ended
-	p.asked = true
+	p.isStopRequested = true
 	p.mu.Unlock()
 	if c == nil {
 		return
@@ -151,6 +151,6 @@
 	if p.cmd != nil {
 		u = usageOf(p.cmd.Process.Pid)
 	}
-	u.CPU += p.spent
+	u.CPU += p.endedCPU
 	return u
 }
--- a/internal/testbed/scale/records.go
+++ b/internal/testbed/scale/records.go
@@ -13,10 +13,10 @@
 type recordKind int
 
 const (
-	markerTaken     recordKind = iota // a changed server
+	markerApplied   recordKind = iota // a changed server
 	completeApplied                   // as many servers as there are of its services, a source having told
 	completeLost                      // fewer again
-	routesTaken                       // routes of the operator's file
+	routesApplied                     // routes of the operator's file
 	nodeStarted
 )
 
@@ -36,11 +36,11 @@
 
 	mu      sync.Mutex // taken under a fleet's lock; nothing is done under it but this
 	records []record
-	counts  handed
+	counts  deliveryCounts
 }
 
 // handed counts what modules were handed of lists.
-type handed struct {
+type deliveryCounts struct {
 	Lists    int `json:"lists"`
 	Elements int `json:"elements"` // lines of them
 	Plans    int `json:"plans"`
@@ -56,7 +56,7 @@
 }
 
 // take returns what has gathered since the last call, and the counts so far.
-func (r *recorder) take() ([]record, handed) {
+func (r *recorder) take() ([]record, deliveryCounts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	records := r.records
@@ -71,22 +71,22 @@
 }
 
 // observed is the shipped module, and notes what it has taken in once it has.
-type observed struct {
+type observedPolicy struct {
 	engine.Decider
-	recorder   *recorder
-	node       int
-	servers    int          // that it is to know
-	known      map[int]bool // those that have not gone, by their dense indices
-	isComplete bool
+	recorder        *recorder
+	node            int
+	expectedServers int          // that it is to know
+	known           map[int]bool // those that have not gone, by their dense indices
+	isComplete      bool
 }
 
 func (r *recorder) observe(number int, maker engine.DeciderFactory) engine.DeciderFactory {
 	return func(s policy.Settings, seed uint32) engine.Decider {
-		return &observed{Decider: maker(s, seed), recorder: r, node: number, servers: r.layout.serversOf(number), known: map[int]bool{}}
+		return &observedPolicy{Decider: maker(s, seed), recorder: r, node: number, expectedServers: r.layout.serversOf(number), known: map[int]bool{}}
 	}
 }
 
-func (o *observed) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
+func (o *observedPolicy) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
 	effects = o.Decider.Handle(now, in, effects)
 	if in.Kind != policy.EndpointsUpdated && in.Kind != policy.TrafficTypesChanged && in.Kind != policy.PlanChanged {
 		return effects
@@ -99,14 +99,14 @@
 		r.counts.Plans++
 	case policy.TrafficTypesChanged:
 		r.counts.Reroutes++
-		r.records = append(r.records, record{Kind: routesTaken, Node: o.node, At: at})
+		r.records = append(r.records, record{Kind: routesApplied, Node: o.node, At: at})
 	case policy.EndpointsUpdated:
-		o.listed(in, at)
+		o.endpointsUpdated(in, at)
 	}
 	return effects
 }
 
-func (o *observed) listed(in *policy.Input, at int64) {
+func (o *observedPolicy) endpointsUpdated(in *policy.Input, at int64) {
 	r := o.recorder
 	if in.Scope == policy.Full {
 		clear(o.known) // whom it does not name has gone
@@ -123,7 +123,7 @@
 	}
 	r.counts.Lists++
 	r.counts.Elements += len(in.Endpoints)
-	if whole := len(o.known) >= o.servers; whole != o.isComplete {
+	if whole := len(o.known) >= o.expectedServers; whole != o.isComplete {
 		o.isComplete = whole
 		kind := completeApplied
 		if !whole {
@@ -133,7 +133,7 @@
 	}
 	for _, m := range in.Endpoints {
 		if marker, ok := r.markers[m.Rank]; ok {
-			r.records = append(r.records, record{Kind: markerTaken, Node: o.node, Marker: marker, Draining: m.Condition == policy.Draining, At: at})
+			r.records = append(r.records, record{Kind: markerApplied, Node: o.node, Marker: marker, Draining: m.Condition == policy.Draining, At: at})
 		}
 	}
 }
--- a/internal/testbed/scale/result.go
+++ b/internal/testbed/scale/result.go
@@ -25,13 +25,13 @@
 
 // Phase is one part of a run.
 type Phase struct {
-	Name    string          `json:"name"`
-	Seconds float64         `json:"seconds"`
-	Roles   map[string]Role `json:"roles"`
-	InForce *InForce        `json:"in_force,omitempty"`
+	Name          string          `json:"name"`
+	Seconds       float64         `json:"seconds"`
+	Roles         map[string]Role `json:"roles"`
+	ChangeLatency *ChangeLatency  `json:"in_force,omitempty"`
 	// Returned is how long nodes that were killed took, from their start on, until they knew all servers.
-	Returned *InForce `json:"returned,omitempty"`
-	Handed   handed   `json:"handed"` // to the nodes' modules, of all nodes
+	RestartLatency *ChangeLatency `json:"returned,omitempty"`
+	Handed         deliveryCounts `json:"handed"` // to the nodes' modules, of all nodes
 }
 
 // Role is what all of one role paid together.
@@ -46,9 +46,9 @@
 }
 
 // InForce is how long changes took until nodes went by them.
-type InForce struct {
+type ChangeLatency struct {
 	Changes int     `json:"changes"`
-	Taken   int     `json:"taken"` // by nodes, over all changes
+	Applied int     `json:"taken"` // by nodes, over all changes
 	P50     float64 `json:"p50_ms"`
 	P99     float64 `json:"p99_ms"`
 	Last    float64 `json:"last_ms"`
@@ -56,8 +56,8 @@
 	Down    int     `json:"down"`    // by nodes that were down meanwhile: left out of the times
 }
 
-func newInForce(changes, missing, down int, took []time.Duration) *InForce {
-	f := &InForce{Changes: changes, Taken: len(took), Missing: missing, Down: down}
+func newChangeLatency(changes, missing, down int, took []time.Duration) *ChangeLatency {
+	f := &ChangeLatency{Changes: changes, Applied: len(took), Missing: missing, Down: down}
 	if len(took) == 0 {
 		return f
 	}
@@ -100,11 +100,11 @@
 		return err
 	}
 	for _, p := range r.Phases {
-		if f := p.InForce; f != nil {
+		if f := p.ChangeLatency; f != nil {
 			fmt.Fprintf(w, "%s: %d changes in force after %.0f ms (p50), %.0f (p99), %.0f (last node); %d not taken, %d apart of nodes that were down\n",
 				p.Name, f.Changes, f.P50, f.P99, f.Last, f.Missing, f.Down)
 		}
-		if f := p.Returned; f != nil {
+		if f := p.RestartLatency; f != nil {
 			fmt.Fprintf(w, "%s: killed nodes knew all servers %.0f ms (p50), %.0f (p99), %.0f (last) after their start; %d did not\n",
 				p.Name, f.P50, f.P99, f.Last, f.Missing)
 		}
--- a/internal/testbed/scale/run_test.go
+++ b/internal/testbed/scale/run_test.go
@@ -16,13 +16,13 @@
 
 func small(plane, event string) Size {
 	return Size{Nodes: 12, Servers: 40, Services: 4, Routes: 8, Tenants: 4, Regions: 2, Zones: 4, Control: 2, Churn: 5, Plane: plane, Event: event,
-		For: time.Second, Seed: 1}
+		PhaseDuration: time.Second, Seed: 1}
 }
 
 // scoped has each node serve half of the services.
 func scoped(event string) Size {
 	s := small("distribution", event)
-	s.Serves, s.Control = s.Services/2, 3
+	s.ServicesPerNode, s.Control = s.Services/2, 3
 	return s
 }
 
@@ -43,11 +43,11 @@
 		phases []string
 	}{
 		{"planners, a rack", small("planners", Rack), []string{"start", "rest", "changes", "reload", Rack}},
-		{"planners, regions apart", small("planners", RegionsApart), []string{"start", "rest", "changes", "reload", RegionsApart}},
+		{"planners, regions apart", small("planners", RegionPartition), []string{"start", "rest", "changes", "reload", RegionPartition}},
 		{"planners, one killed", small("planners", ControlKilled), []string{"start", "rest", "changes", "reload", ControlKilled}},
 		{"planners, restarts", restarting(small("planners", NoEvent)), []string{"start", "rest", "changes", "restarts", "reload"}},
 		{"distribution, restarts", restarting(scoped(NoEvent)), []string{"start", "rest", "changes", "restarts", "reload"}},
-		{"distribution, regions apart", scoped(RegionsApart), []string{"start", "rest", "changes", "reload", RegionsApart}},
+		{"distribution, regions apart", scoped(RegionPartition), []string{"start", "rest", "changes", "reload", RegionPartition}},
 		{"distribution, one killed", scoped(ControlKilled), []string{"start", "rest", "changes", "reload", ControlKilled}},
 		{"discovery, away", small("discovery", DiscoveryDown), []string{"start", "rest", "changes", "reload", DiscoveryDown}},
 		{"discovery, all started at once", small("discovery", StartAll), []string{"start", "rest", "changes", "reload", StartAll}},
@@ -65,10 +65,10 @@
 				if i >= len(c.phases) || p.Name != c.phases[i] {
 					t.Fatalf("phase %d is %q, want %q", i, p.Name, c.phases)
 				}
-				if f := p.InForce; f != nil && (f.Missing > 0 || f.Taken == 0) {
+				if f := p.ChangeLatency; f != nil && (f.Missing > 0 || f.Applied == 0) {
 					t.Errorf("%s: %+v", p.Name, f)
 				}
-				if f := p.Returned; f != nil && (f.Missing > 0 || f.Taken == 0) {
+				if f := p.RestartLatency; f != nil && (f.Missing > 0 || f.Applied == 0) {
 					t.Errorf("%s: returned: %+v", p.Name, f)
 				}
 				if n := p.Roles[string(roleNodes)]; n.Members != c.size.Nodes || p.Name == "start" && n.BytesIn == 0 {
--- a/internal/testbed/scale/size.go
+++ b/internal/testbed/scale/size.go
@@ -14,30 +14,30 @@
 
 // Size is what is played.
 type Size struct {
-	Nodes      int           `json:"nodes"`
-	Servers    int           `json:"servers"`
-	Services   int           `json:"services"`
-	Serves     int           `json:"serves,omitempty"` // services of a node, where the plane sends it no others; 0: all
-	Routes     int           `json:"routes"`
-	Tenants    int           `json:"tenants"`
-	Regions    int           `json:"regions"`
-	Zones      int           `json:"zones"`              // in all regions together
-	Control    int           `json:"control"`            // control processes
-	Churn      float64       `json:"churn"`              // changed servers a second
-	Restarts   float64       `json:"restarts,omitempty"` // processes of nodes killed and started again, a second
-	Plane      string        `json:"plane"`
-	Event      string        `json:"event"`
-	For        time.Duration `json:"for_ns"` // each phase
-	Seed       uint64        `json:"seed"`
-	Membership bool          `json:"membership"`
-	Snapshots  bool          `json:"snapshots"`
+	Nodes           int           `json:"nodes"`
+	Servers         int           `json:"servers"`
+	Services        int           `json:"services"`
+	ServicesPerNode int           `json:"serves,omitempty"` // services of a node, where the plane sends it no others; 0: all
+	Routes          int           `json:"routes"`
+	Tenants         int           `json:"tenants"`
+	Regions         int           `json:"regions"`
+	Zones           int           `json:"zones"`              // in all regions together
+	Control         int           `json:"control"`            // control processes
+	Churn           float64       `json:"churn"`              // changed servers a second
+	Restarts        float64       `json:"restarts,omitempty"` // processes of nodes killed and started again, a second
+	Plane           string        `json:"plane"`
+	Event           string        `json:"event"`
+	PhaseDuration   time.Duration `json:"for_ns"` // each phase
+	Seed            uint64        `json:"seed"`
+	Membership      bool          `json:"membership"`
+	Snapshots       bool          `json:"snapshots"`
 }
 
 // Bounds and estimates. What a node holds is estimated a little above what runs have measured; each run is watched as well.
 const (
 	maxProcesses    = 200
-	nodesTop        = 60_000 // addresses that a net has for them
-	serversTop      = 400_000
+	maxNodes        = 60_000 // addresses that a net has for them
+	maxServers      = 400_000
 	nodesPerProcess = 40
 	maxRestarts     = 10  // a second: one takes some tenths of a second, and the next waits for it
 	memoryShare     = 0.5 // of the machine's
@@ -46,10 +46,10 @@
 	serverBytes     = 1_500 // of a server at a node or a control process, collector's slack included
 	routeBytes      = 3_000
 	tenantBytes     = 500
-	followBytes     = 600 << 10 // of a node under control processes, beside what it holds of servers once more
-	tierBytes       = 7 << 20   // of a node in a tier, whose connections have buffers
+	subscriberBytes = 600 << 10 // of a node under control processes, beside what it holds of servers once more
+	membershipBytes = 7 << 20   // of a node in a tier, whose connections have buffers
 	memberBytes     = 700       // of another one that it knows
-	linkBytes       = 64e3      // of a control process's connection to a node
+	connectionBytes = 64e3      // of a control process's connection to a node
 )
 
 // Check tells in one line what is wrong with a size, without a look at the machine.
@@ -60,7 +60,7 @@
 		least int
 		top   int
 	}{
-		{"nodes", s.Nodes, 1, nodesTop}, {"servers", s.Servers, 1, serversTop}, {"services", s.Services, 1, serversTop}, {"serves", s.Serves, 0, s.Services},
+		{"nodes", s.Nodes, 1, maxNodes}, {"servers", s.Servers, 1, maxServers}, {"services", s.Services, 1, maxServers}, {"serves", s.ServicesPerNode, 0, s.Services},
 		{"routes", s.Routes, 0, 1_000_000}, {"tenants", s.Tenants, 0, 1_000_000}, {"regions", s.Regions, 1, 16},
 		{"zones", s.Zones, s.Regions, 64}, {"control", s.Control, 1, 64},
 	} {
@@ -74,8 +74,8 @@
 	if s.Restarts < 0 || s.Restarts > maxRestarts {
 		return fmt.Errorf("--restarts %g: from 0 to %d processes a second", s.Restarts, maxRestarts)
 	}
-	if s.For < time.Second || s.For > time.Hour {
-		return fmt.Errorf("--for %s: from 1s to 1h", s.For)
+	if s.PhaseDuration < time.Second || s.PhaseDuration > time.Hour {
+		return fmt.Errorf("--for %s: from 1s to 1h", s.PhaseDuration)
 	}
 	if _, ok := planes[s.Plane]; !ok {
 		return fmt.Errorf("--plane %s: one of %s", s.Plane, strings.Join(Planes(), ", "))
@@ -98,7 +98,7 @@
 	if s.controls() {
 		n += s.Control
 	}
-	if s.Event == RegionsApart {
+	if s.Event == RegionPartition {
 		n++
 	}
 	return n
@@ -110,21 +110,21 @@
 func (s *Size) Memory() float64 {
 	n := float64(s.Nodes)
 	servers := float64(s.Servers) // that a node holds
-	if s.Serves > 0 && planes[s.Plane].Scoped() {
-		servers *= float64(s.Serves) / float64(s.Services)
+	if s.ServicesPerNode > 0 && planes[s.Plane].Scoped() {
+		servers *= float64(s.ServicesPerNode) / float64(s.Services)
 	}
 	held := servers*serverBytes + float64(s.Routes)*routeBytes + float64(s.Tenants)*tenantBytes
 	sum := float64(s.Processes())*processBytes + n*(nodeBytes+held)
 	if s.Membership {
-		sum += n*tierBytes + n*n*memberBytes
+		sum += n*membershipBytes + n*n*memberBytes
 	}
 	if s.controls() {
-		sum += n * (followBytes + servers*serverBytes)
+		sum += n * (subscriberBytes + servers*serverBytes)
 		links := n * float64(s.Control)
 		if planes[s.Plane].Scoped() {
 			links = n // each node follows one control process
 		}
-		sum += links*linkBytes + float64(s.Control)*(n+serverBytes)*float64(s.Servers)
+		sum += links*connectionBytes + float64(s.Control)*(n+serverBytes)*float64(s.Servers)
 	}
 	return sum
 }
--- a/internal/testbed/scale/sockets.go
+++ b/internal/testbed/scale/sockets.go
@@ -11,19 +11,19 @@
 // The system's own count of each connection is read by its socket diagnostics, from outside of the processes that are
 // measured: no byte is counted in a way that costs them anything.
 const (
-	sockDiag      = 4  // NETLINK_SOCK_DIAG
-	diagByFamily  = 20 // SOCK_DIAG_BY_FAMILY
-	diagInfo      = 2  // INET_DIAG_INFO
-	allStates     = ^uint32(0)
-	requestBytes  = 56 // inet_diag_req_v2
-	messageBytes  = 72 // inet_diag_msg
-	bufferBytes   = 1 << 20
-	receivedAt    = 128 // offsets in tcp_info
-	segmentsInAt  = 152
-	segmentsOutAt = 156
-	sentAt        = 200
-	resentAt      = 208
-	minInfoBytes  = 216
+	sockDiag                 = 4  // NETLINK_SOCK_DIAG
+	diagByFamily             = 20 // SOCK_DIAG_BY_FAMILY
+	diagInfo                 = 2  // INET_DIAG_INFO
+	allStates                = ^uint32(0)
+	requestBytes             = 56 // inet_diag_req_v2
+	messageBytes             = 72 // inet_diag_msg
+	bufferBytes              = 1 << 20
+	bytesReceivedOffset      = 128 // offsets in tcp_info
+	segmentsInOffset         = 152
+	segmentsOutOffset        = 156
+	bytesSentOffset          = 200
+	bytesRetransmittedOffset = 208
+	minInfoBytes             = 216
 )
 
 // flow is what passed on the serving side of some connections.
@@ -37,12 +37,12 @@
 	f.SegmentsIn, f.SegmentsOut = f.SegmentsIn+o.SegmentsIn, f.SegmentsOut+o.SegmentsOut
 }
 
-func (f flow) less(o flow) flow {
+func (f flow) minus(o flow) flow {
 	return flow{f.BytesIn - o.BytesIn, f.BytesOut - o.BytesOut, f.SegmentsIn - o.SegmentsIn, f.SegmentsOut - o.SegmentsOut}
 }
 
 // turned is the same from the other side.
-func (f flow) turned() flow { return flow{f.BytesOut, f.BytesIn, f.SegmentsOut, f.SegmentsIn} }
+func (f flow) reversed() flow { return flow{f.BytesOut, f.BytesIn, f.SegmentsOut, f.SegmentsIn} }
 
 // socket is one as the system tells it.
 type socket struct {
@@ -55,7 +55,7 @@
 }
 
 // sockets asks for all TCP connections over IPv4 of this machine.
-func sockets(each func(*socket)) error {
+func forEachSocket(each func(*socket)) error {
 	fd, err := syscall.Socket(syscall.AF_NETLINK, syscall.SOCK_DGRAM|syscall.SOCK_CLOEXEC, sockDiag)
 	if err != nil {
 		return os.NewSyscallError("socket", err)
@@ -114,10 +114,10 @@
 			return s, false
 		}
 		if info := rest[syscall.SizeofRtAttr:length]; kind == diagInfo && len(info) >= minInfoBytes {
-			s.BytesOut = float64(binary.NativeEndian.Uint64(info[sentAt:]) - binary.NativeEndian.Uint64(info[resentAt:]))
-			s.BytesIn = float64(binary.NativeEndian.Uint64(info[receivedAt:]))
-			s.SegmentsIn = float64(binary.NativeEndian.Uint32(info[segmentsInAt:]))
-			s.SegmentsOut = float64(binary.NativeEndian.Uint32(info[segmentsOutAt:]))
+			s.BytesOut = float64(binary.NativeEndian.Uint64(info[bytesSentOffset:]) - binary.NativeEndian.Uint64(info[bytesRetransmittedOffset:]))
+			s.BytesIn = float64(binary.NativeEndian.Uint64(info[bytesReceivedOffset:]))
+			s.SegmentsIn = float64(binary.NativeEndian.Uint32(info[segmentsInOffset:]))
+			s.SegmentsOut = float64(binary.NativeEndian.Uint32(info[segmentsOutOffset:]))
 			return s, true
 		}
 		rest = rest[min((length+3)&^3, len(rest)):]
--- a/internal/testbed/scale/sockets_test.go
+++ b/internal/testbed/scale/sockets_test.go
@@ -11,7 +11,7 @@
 
 // What passes on a connection is counted on its serving side, whole, and stays counted when it has ended.
 func TestMeterCountsWhatPasses(t *testing.T) {
-	netNumber, held, err := claim()
+	netNumber, held, err := reserveNetwork()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 
 // A connection to a control process that is no node's is counted for the control process alone.
 func TestMeterTellsNodesFromOthers(t *testing.T) {
-	netNumber, held, err := claim()
+	netNumber, held, err := reserveNetwork()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/scale/standin.go
+++ b/internal/testbed/scale/standin.go
@@ -16,12 +16,12 @@
 	service *discovery.Service
 }
 
-type nobody struct{}
+type discardWatcher struct{}
 
-func (nobody) Announced(int, string, string, int64, time.Time) {}
+func (discardWatcher) Announced(int, string, string, int64, time.Time) {}
 
 func newStandin(l *Layout) (Source, error) {
-	s := &standin{layout: l, service: discovery.New(discovery.Settings{LinesPerS: listsPerS, Timeout: time.Minute}, l.Size.Seed, nobody{})}
+	s := &standin{layout: l, service: discovery.New(discovery.Settings{LinesPerS: listsPerS, Timeout: time.Minute}, l.Size.Seed, discardWatcher{})}
 	for i := range l.Size.Servers {
 		s.service.Set(s.entry(i, discovery.Serving))
 	}
--- a/internal/testbed/scale/worker.go
+++ b/internal/testbed/scale/worker.go
@@ -23,10 +23,10 @@
 type role string
 
 const (
-	roleNodes     role = "nodes"
-	roleControl   role = "control"
-	roleDiscovery role = "discovery"
-	roleCut       role = "ways" // between regions
+	roleNodes       role = "nodes"
+	roleControl     role = "control"
+	roleDiscovery   role = "discovery"
+	roleRegionLinks role = "ways" // between regions
 )
 
 // task is what a process is told at its start, on its standard input.
@@ -45,30 +45,30 @@
 }
 
 const (
-	doReload  = "reload" // nodes read the operator's file again
-	doChange  = "change" // a server drains, or serves again
-	doSetDown = "away"   // discovery cannot be reached, or can again
-	doCut     = "cut"    // ways between regions bring nothing, or again
+	doReload     = "reload" // nodes read the operator's file again
+	doChange     = "change" // a server drains, or serves again
+	doSetDown    = "away"   // discovery cannot be reached, or can again
+	doCutRegions = "cut"    // ways between regions bring nothing, or again
 )
 
 // told is a line of what a process says, on its standard output.
 type announcement struct {
-	Ready   bool     `json:"ready,omitempty"`
-	Records []record `json:"records,omitempty"`
-	Handed  *handed  `json:"handed,omitempty"`
-	Changed int64    `json:"changed,omitempty"` // when an order to change was carried out
-	Done    bool     `json:"done,omitempty"`    // another order was
-	Fault   string   `json:"fault,omitempty"`
+	Ready   bool            `json:"ready,omitempty"`
+	Records []record        `json:"records,omitempty"`
+	Handed  *deliveryCounts `json:"handed,omitempty"`
+	Changed int64           `json:"changed,omitempty"` // when an order to change was carried out
+	Done    bool            `json:"done,omitempty"`    // another order was
+	Error   string          `json:"fault,omitempty"`
 }
 
-const flushEvery = 100 * time.Millisecond
+const flushInterval = 100 * time.Millisecond
 
 // worker is one process.
 type worker struct {
 	task
-	out    sync.Mutex
-	encode *json.Encoder
-	orders *json.Decoder
+	writeMu sync.Mutex
+	encode  *json.Encoder
+	orders  *json.Decoder
 }
 
 // Worker runs a process of the tool until its standard input ends. It returns the exit code.
@@ -80,35 +80,35 @@
 		return 2
 	}
 	if err := w.run(); err != nil {
-		w.say(announcement{Fault: err.Error()})
+		w.send(announcement{Error: err.Error()})
 		fmt.Fprintln(errs, err)
 		return 1
 	}
 	return 0
 }
 
-func (w *worker) say(t announcement) {
-	w.out.Lock()
-	defer w.out.Unlock()
+func (w *worker) send(t announcement) {
+	w.writeMu.Lock()
+	defer w.writeMu.Unlock()
 	w.encode.Encode(t)
 }
 
 func (w *worker) run() error {
 	switch w.Role {
 	case roleNodes:
-		return w.nodes()
+		return w.runNodes()
 	case roleControl:
-		return w.control()
+		return w.runControl()
 	case roleDiscovery:
-		return w.discovery()
-	case roleCut:
-		return w.ways()
+		return w.runDiscovery()
+	case roleRegionLinks:
+		return w.runRegionLinks()
 	}
 	return fmt.Errorf("no role %q", w.Role)
 }
 
 // obey carries out orders until there are none any more.
-func (w *worker) obey(do func(order) announcement) error {
+func (w *worker) processOrders(do func(order) announcement) error {
 	for {
 		var o order
 		if err := w.orders.Decode(&o); errors.Is(err, io.EOF) {
@@ -116,11 +116,11 @@
 		} else if err != nil {
 			return err
 		}
-		w.say(do(o))
+		w.send(do(o))
 	}
 }
 
-func (w *worker) nodes() error {
+func (w *worker) runNodes() error {
 	r := newRecorder(w.Layout)
 	var all []*hollow
 	for _, n := range w.Layout.nodesOf(w.Number) {
@@ -133,19 +133,19 @@
 	for _, h := range all { // one that cannot serve says so in a log of its own
 		go func() {
 			if err := <-h.done; err != nil {
-				w.say(announcement{Fault: fmt.Sprintf("node %d: %v", h.number, err)})
+				w.send(announcement{Error: fmt.Sprintf("node %d: %v", h.number, err)})
 			}
 		}()
 	}
-	w.say(announcement{Ready: true})
+	w.send(announcement{Ready: true})
 	go func() {
-		for range time.Tick(flushEvery) {
+		for range time.Tick(flushInterval) {
 			if records, counts := r.take(); len(records) > 0 {
-				w.say(announcement{Records: records, Handed: &counts})
+				w.send(announcement{Records: records, Handed: &counts})
 			}
 		}
 	}()
-	return w.obey(func(o order) announcement {
+	return w.processOrders(func(o order) announcement {
 		for _, h := range all {
 			select {
 			case h.reload <- syscall.SIGHUP:
@@ -156,21 +156,21 @@
 	})
 }
 
-func (w *worker) control() error {
+func (w *worker) runControl() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return planes[w.Layout.Size.Plane].Control(ctx, w.Layout, w.Number) })
 	g.Go(func() error {
-		if err := reachable(ctx, w.Layout.controlAddress(w.Number)); err != nil {
+		if err := waitListening(ctx, w.Layout.controlAddress(w.Number)); err != nil {
 			return err
 		}
-		w.say(announcement{Ready: true})
+		w.send(announcement{Ready: true})
 		return nil
 	})
 	g.Go(func() error {
 		defer cancel()
-		return w.obey(func(order) announcement { return announcement{Done: true} })
+		return w.processOrders(func(order) announcement { return announcement{Done: true} })
 	})
 	if err := g.Wait(); err != nil && !errors.Is(err, context.Canceled) {
 		return err
@@ -178,35 +178,35 @@
 	return nil
 }
 
-func (w *worker) discovery() error {
+func (w *worker) runDiscovery() error {
 	source, err := planes[w.Layout.Size.Plane].Source(w.Layout)
 	if err != nil {
 		return err
 	}
 	defer source.Close()
-	w.say(announcement{Ready: true})
-	return w.obey(func(o order) announcement {
+	w.send(announcement{Ready: true})
+	return w.processOrders(func(o order) announcement {
 		if o.Do == doSetDown {
 			if err := source.SetDown(o.On); err != nil {
-				return announcement{Fault: err.Error()}
+				return announcement{Error: err.Error()}
 			}
 			return announcement{Done: true}
 		}
 		at, err := source.Change(o.Server, o.Draining)
 		if err != nil {
-			return announcement{Fault: err.Error()}
+			return announcement{Error: err.Error()}
 		}
 		return announcement{Changed: at.UnixNano()}
 	})
 }
 
-func (w *worker) ways() error {
-	ways, err := newWays(w.Layout)
+func (w *worker) runRegionLinks() error {
+	ways, err := newRegionLinks(w.Layout)
 	if err != nil {
 		return err
 	}
-	w.say(announcement{Ready: true})
-	err = w.obey(func(o order) announcement {
+	w.send(announcement{Ready: true})
+	err = w.processOrders(func(o order) announcement {
 		ways.cut(o.On)
 		return announcement{Done: true}
 	})
--- a/internal/testbed/standin/mesh/mesh.go
+++ b/internal/testbed/standin/mesh/mesh.go
@@ -23,42 +23,42 @@
 }
 
 const (
-	maxPieceBytes = 16 << 10
-	pollInterval  = 5 * time.Millisecond // at a link that is cut
-	behind        = 20 * time.Millisecond
-	headBytes     = 5 // of a frame: its length, and a byte for its kind
-	unknownWay    = -1
+	maxPieceBytes  = 16 << 10
+	pollInterval   = 5 * time.Millisecond // at a link that is cut
+	reorderDelay   = 20 * time.Millisecond
+	frameHeadBytes = 5 // of a frame: its length, and a byte for its kind
+	unknownProcess = -1
 )
 
 // Mesh holds all links of a group of processes.
 type Mesh struct {
-	mu        sync.Mutex
-	ways      map[[2]int]*Direction
-	who       map[string]int // by IP
-	addresses []net.Listener
-	packets   []net.PacketConn
-	conns     map[net.Conn]bool
-	sockets   map[int]net.PacketConn // by process: where its datagrams come out
-	done      bool
-	wg        sync.WaitGroup
-	bytes     int64
+	mu          sync.Mutex
+	faults      map[[2]int]*Direction
+	processByIP map[string]int // by IP
+	listeners   []net.Listener
+	packets     []net.PacketConn
+	conns       map[net.Conn]bool
+	sockets     map[int]net.PacketConn // by process: where its datagrams come out
+	closed      bool
+	wg          sync.WaitGroup
+	bytes       int64
 	// Frame is notified of each frame on a connection before it is forwarded, by its kind. nil: frames are not scanned.
 	Frame func(from, to int, kind byte)
 }
 
 // New returns a mesh without processes.
 func New() *Mesh {
-	return &Mesh{ways: map[[2]int]*Direction{}, who: map[string]int{}, conns: map[net.Conn]bool{}, sockets: map[int]net.PacketConn{}}
+	return &Mesh{faults: map[[2]int]*Direction{}, processByIP: map[string]int{}, conns: map[net.Conn]bool{}, sockets: map[int]net.PacketConn{}}
 }
 
 // Set changes the faults of a direction.
 func (f *Mesh) Set(from, to int, change func(*Direction)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := f.ways[[2]int{from, to}]
+	w := f.faults[[2]int{from, to}]
 	if w == nil {
 		w = &Direction{}
-		f.ways[[2]int{from, to}] = w
+		f.faults[[2]int{from, to}] = w
 	}
 	change(w)
 }
@@ -66,7 +66,7 @@
 func (f *Mesh) direction(from, to int) Direction {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if w := f.ways[[2]int{from, to}]; w != nil {
+	if w := f.faults[[2]int{from, to}]; w != nil {
 		return *w
 	}
 	return Direction{}
@@ -86,8 +86,8 @@
 		return err
 	}
 	f.mu.Lock()
-	f.who[ip] = n
-	f.addresses = append(f.addresses, ln)
+	f.processByIP[ip] = n
+	f.listeners = append(f.listeners, ln)
 	f.mu.Unlock()
 	f.wg.Go(func() {
 		for {
@@ -113,7 +113,7 @@
 		return err
 	}
 	f.mu.Lock()
-	f.who[ip] = n
+	f.processByIP[ip] = n
 	f.packets = append(f.packets, pc)
 	f.sockets[n] = pc
 	f.mu.Unlock()
@@ -145,7 +145,7 @@
 		times = 2
 	}
 	if rand.Float64() < w.Reorder {
-		wait += behind
+		wait += reorderDelay
 	}
 	if len(text) > 0 && rand.Float64() < w.Garble {
 		text[rand.IntN(len(text))] ^= byte(1 + rand.IntN(255))
@@ -169,16 +169,16 @@
 	host, _, err := net.SplitHostPort(a.String())
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n, ok := f.who[host]; ok && err == nil {
+	if n, ok := f.processByIP[host]; ok && err == nil {
 		return n
 	}
-	return unknownWay
+	return unknownProcess
 }
 
 func (f *Mesh) addConn(c net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.done {
+	if f.closed {
 		c.Close()
 		return false
 	}
@@ -202,7 +202,7 @@
 	for f.direction(from, n).Cut { // who connects to what is cut hears nothing of it
 		time.Sleep(pollInterval)
 		f.mu.Lock()
-		done := f.done
+		done := f.closed
 		f.mu.Unlock()
 		if done {
 			return
@@ -232,7 +232,7 @@
 		defer b.Close()
 		for p := range pieces {
 			time.Sleep(time.Until(p.due))
-			for f.direction(from, to).Cut && !f.isClosed(a) {
+			for f.direction(from, to).Cut && !f.isConnClosed(a) {
 				time.Sleep(pollInterval)
 			}
 			w := f.direction(from, to)
@@ -259,7 +259,7 @@
 		n, err := a.Read(buffer)
 		if n > 0 {
 			if f.Frame != nil {
-				look.at(buffer[:n], func(kind byte) { f.Frame(from, to, kind) })
+				look.scan(buffer[:n], func(kind byte) { f.Frame(from, to, kind) })
 			}
 			pieces <- piece{append([]byte(nil), buffer[:n]...), time.Now().Add(f.direction(from, to).Delay)}
 		}
@@ -272,17 +272,17 @@
 }
 
 // isClosed reports whether a connection was closed by closeConn or Close.
-func (f *Mesh) isClosed(c net.Conn) bool {
+func (f *Mesh) isConnClosed(c net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.done || !f.conns[c]
+	return f.closed || !f.conns[c]
 }
 
 // Close closes all links and waits for their goroutines.
 func (f *Mesh) Close() {
 	f.mu.Lock()
-	f.done = true
-	for _, ln := range f.addresses {
+	f.closed = true
+	for _, ln := range f.listeners {
 		ln.Close()
 	}
 	for _, pc := range f.packets {
@@ -301,16 +301,16 @@
 	skip int
 }
 
-func (l *frameScanner) at(b []byte, each func(kind byte)) {
+func (l *frameScanner) scan(b []byte, each func(kind byte)) {
 	for len(b) > 0 {
 		if l.skip > 0 {
 			n := min(l.skip, len(b))
 			b, l.skip = b[n:], l.skip-n
 			continue
 		}
-		n := min(headBytes-len(l.head), len(b))
+		n := min(frameHeadBytes-len(l.head), len(b))
 		l.head, b = append(l.head, b[:n]...), b[n:]
-		if len(l.head) == headBytes {
+		if len(l.head) == frameHeadBytes {
 			l.skip = int(binary.BigEndian.Uint32(l.head))
 			each(l.head[4])
 			l.head = l.head[:0]
--- a/internal/testbed/standin/mesh/mesh_test.go
+++ b/internal/testbed/standin/mesh/mesh_test.go
@@ -29,12 +29,12 @@
 		}
 	}()
 	f = New()
-	f.who["127.0.0.2"] = 0
+	f.processByIP["127.0.0.2"] = 0
 	if err := f.Join(1, "127.0.0.3", "127.0.0.4:0", ln.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 2)}}
-	a, err = d.Dial("tcp", f.addresses[0].Addr().String())
+	a, err = d.Dial("tcp", f.listeners[0].Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/standin/zookeeper/conn.go
+++ b/internal/testbed/standin/zookeeper/conn.go
@@ -133,7 +133,7 @@
 	q.long()
 	timeout := min(max(time.Duration(q.int())*time.Millisecond, minSessionTimeout), maxSessionTimeout)
 	id, passwd := q.long(), q.buffer()
-	if q.bad {
+	if q.isMalformed {
 		return false
 	}
 	r := s.r
--- a/internal/testbed/standin/zookeeper/jute.go
+++ b/internal/testbed/standin/zookeeper/jute.go
@@ -10,17 +10,17 @@
 
 const maxFrameBytes = 1 << 20 // bytes, as the real one's default
 
-var errGarbled = errors.New("a record that cannot be read")
+var errFrameTooLong = errors.New("a record that cannot be read")
 
 // reader takes a record apart; once it has met something wrong it gives zeros.
 type reader struct {
-	b   []byte
-	bad bool
+	b           []byte
+	isMalformed bool
 }
 
 func (r *reader) take(n int) []byte {
-	if r.bad || n < 0 || n > len(r.b) {
-		r.bad = true
+	if r.isMalformed || n < 0 || n > len(r.b) {
+		r.isMalformed = true
 		return nil
 	}
 	b := r.b[:n]
@@ -60,7 +60,7 @@
 func (r *reader) strings() []string {
 	n := r.int()
 	if n < 0 || int(n) > len(r.b)/4 {
-		r.bad = r.bad || n != -1
+		r.isMalformed = r.isMalformed || n != -1
 		return nil
 	}
 	all := make([]string, n)
@@ -119,7 +119,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n > maxFrameBytes {
-		return nil, errGarbled
+		return nil, errFrameTooLong
 	}
 	b := make([]byte, n)
 	_, err := io.ReadFull(from, b)
--- a/internal/testbed/standin/zookeeper/requests.go
+++ b/internal/testbed/standin/zookeeper/requests.go
@@ -32,7 +32,7 @@
 func (s *Server) request(c *conn, b []byte) bool {
 	q := reader{b: b}
 	xid, op := q.int(), q.int()
-	if q.bad {
+	if q.isMalformed {
 		return false
 	}
 	r := s.r
@@ -50,7 +50,7 @@
 		r.calls++
 	}
 	answer := s.answer(c, op, &q)
-	if q.bad {
+	if q.isMalformed {
 		answer.code = badArgs
 	}
 	var w writer
@@ -84,7 +84,7 @@
 	case opClose:
 		s.r.endSession(c.session, time.Now())
 	case opSync:
-		s.lagless(time.Now())
+		s.catchUpFully(time.Now())
 		a.body.string(q.string())
 	case opCreate:
 		a.code = s.create(c, q, &a.body)
@@ -95,7 +95,7 @@
 	case opExists, opGetData, opChildren, opChildren2:
 		s.read(c, op, q, &a)
 	case opWatches:
-		s.rewatch(c, q)
+		s.setWatches(c, q)
 	default:
 		a.code = unknownOp
 	}
@@ -176,7 +176,7 @@
 }
 
 // lagless has the server see all that was agreed on, as a sync does.
-func (s *Server) lagless(now time.Time) {
+func (s *Server) catchUpFully(now time.Time) {
 	lag := s.lag
 	s.lag = 0
 	s.r.catchUp(now)
@@ -189,7 +189,7 @@
 		q.int()
 		q.string()
 		q.string()
-		if q.bad {
+		if q.isMalformed {
 			return badArgs
 		}
 	}
@@ -200,7 +200,7 @@
 	}
 	up := r.head.nodes[parent(p)]
 	switch {
-	case q.bad || !isValidPath(p):
+	case q.isMalformed || !isValidPath(p):
 		return badArgs
 	case up == nil:
 		return noNode
@@ -220,7 +220,7 @@
 }
 
 // rewatch takes up a client's watches on a new connection; what has changed since is told at once.
-func (s *Server) rewatch(c *conn, q *reader) {
+func (s *Server) setWatches(c *conn, q *reader) {
 	since := q.long()
 	data, exist, child := q.strings(), q.strings(), q.strings()
 	for _, p := range data {
