--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -59,7 +59,7 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// node runs `fernvane serve` in this binary, with the policy that the environment names, and returns the exit code.
+// runNode runs `fernvane serve` in this binary, with the policy that the environment names, and returns the exit code.
 func runNode(errs io.Writer, getenv func(string) string) int {
 	proxy.CatchSignals() // as the node's own command does
 	cfg, err := proxy.LoadConfig(getenv("PROXY_CONFIG"), getenv)
@@ -87,7 +87,7 @@
 	return proxy.RunProcess(cfg, errs, zerolog.InfoLevel)
 }
 
-// plans runs `fernvane plan` in this binary and returns the exit code.
+// runPlanner runs `fernvane plan` in this binary and returns the exit code.
 func runPlanner(errs io.Writer, getenv func(string) string) int {
 	cfg, err := planconfig.LoadPlanner(getenv("PROXY_PLAN"))
 	if err != nil {
--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -109,8 +109,8 @@
 		"no report":           {[]string{"compare", good, good}, exitBadInput, "no report"},
 		"different schedules": {[]string{"compare", other, write(t, "o.json", `{"scenario":"y"}`)}, 0, ""},
 		"an unknown flag":     {[]string{"run", "--fast"}, exitBadInput, "unknown flag"},
-		"scale, too large":    {[]string{"scale", "--plane", "discovery", "--nodes", "50000"}, exitBadInput, "processes are needed: 200 at most"},
-		"scale, no plane":     {[]string{"scale", "--plane", "magic"}, exitBadInput, "--plane magic: one of discovery"},
+		"scale, too large":    {[]string{"scale", "--plane", "discovery", "--nodes", "50000"}, exitBadInput, "processes: at most 200 are allowed"},
+		"scale, no plane":     {[]string{"scale", "--plane", "magic"}, exitBadInput, "--plane magic: want one of discovery"},
 		"capacity, nothing":   {[]string{"capacity", "--results", filepath.Dir(bad) + "x"}, exitBadInput, "there are no results"},
 		"no address":          {[]string{"load"}, exitBadInput, "required flag(s) \"to\""},
 	} {
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -100,7 +100,7 @@
 	return names, nil
 }
 
-// play runs the node alone and then the baselines concurrently, on the same schedule.
+// runScenario runs the node alone and then the baselines concurrently, on the same schedule.
 func runScenario(ctx context.Context, out, errs io.Writer, s *scenario.Scenario, f runFlags) error {
 	others, err := chosenBaselines(f.baselines)
 	if err != nil {
@@ -265,7 +265,7 @@
 	return errors.Join(faults...)
 }
 
-// once runs a scenario once.
+// runOnce runs a scenario once.
 func runOnce(ctx context.Context, o testbed.Options, name string) (report.Report, error) {
 	out, err := testbed.Run(ctx, o)
 	if err != nil {
@@ -274,7 +274,7 @@
 	return report.New(o.Scenario, name, o.Requests, out), nil
 }
 
-// beside runs policies concurrently, each in an environment of its own.
+// runPolicies runs policies concurrently, each in an environment of its own.
 func runPolicies(ctx context.Context, o testbed.Options, policies []string) ([]report.Report, error) {
 	reports, faults := make([]report.Report, len(policies)), make([]error, len(policies))
 	self, err := os.Executable()
--- a/internal/testbed/capacity/fit.go
+++ b/internal/testbed/capacity/fit.go
@@ -48,7 +48,7 @@
 	Fixed, Factor float64
 	Residual      float64 // root mean square of the deviations, each over the measured value
 	Largest       float64 // size
-	// Missed is by how much of the measured value the slope of all smaller sizes misses that of the largest size.
+	// PredictionError is by how much of the measured value the slope of all smaller sizes misses that of the largest size.
 	PredictionError float64
 }
 
@@ -113,7 +113,7 @@
 	return best
 }
 
-// shaped fits one shape. Neither part is negative: a figure does not shrink with size, and costs nothing below zero.
+// fitShape fits one shape. Neither part is negative: a figure does not shrink with size, and costs nothing below zero.
 func fitShape(shape Shape, points []Point) Slope {
 	best := Slope{Shape: shape, Residual: math.Inf(1)}
 	for _, parts := range [][2]bool{{true, true}, {true, false}, {false, true}} {
--- a/internal/testbed/capacity/page.go
+++ b/internal/testbed/capacity/page.go
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// work extrapolates one figure.
+// extrapolate extrapolates one figure.
 func (p *page) extrapolate(f *Figure) error {
 	s, err := p.Series(f.Source)
 	if err != nil {
@@ -129,7 +129,7 @@
 	}
 }
 
-// measured are the smallest and the largest size with their values.
+// measuredCell are the smallest and the largest size with their values.
 func (r *row) measuredCell() string {
 	first, last := r.series.Points[0], r.series.Points[len(r.series.Points)-1]
 	text := fmt.Sprintf("%s at %s to %s at %s %s, %d sizes", formatAmount(first.Value, r.series.Unit), formatNumber(first.Size), formatAmount(last.Value, r.series.Unit),
@@ -158,7 +158,7 @@
 	return text
 }
 
-// beyond is how far the target is from the largest size that was measured.
+// extrapolationCell is how far the target is from the largest size that was measured.
 func (r *row) extrapolationCell() string {
 	if r.target <= r.slope.Largest {
 		return "no"
@@ -211,7 +211,7 @@
 	}
 }
 
-// largest is the largest run of each plane.
+// largestRuns is the largest run of each plane.
 func (p *page) largestRuns(w io.Writer) {
 	largest := map[string]Run{}
 	for _, run := range p.Runs {
@@ -245,7 +245,7 @@
 	}
 }
 
-// number is short: three digits that say something.
+// formatNumber is short: three digits that say something.
 func formatNumber(v float64) string {
 	switch {
 	case v == 0:
@@ -260,7 +260,7 @@
 	return fmt.Sprintf("%.1e", v)
 }
 
-// grouped has its thousands set apart.
+// groupThousands has its thousands set apart.
 func groupThousands(v float64) string {
 	digits := fmt.Sprintf("%.0f", math.Abs(v))
 	var b strings.Builder
@@ -276,7 +276,7 @@
 	return b.String()
 }
 
-// amount is a number with its unit, in the step of it that reads well.
+// formatAmount is a number with its unit, in the step of it that reads well.
 func formatAmount(v float64, unit string) string {
 	switch {
 	case unit == "B" || unit == "B/s":
--- a/internal/testbed/capacity/results.go
+++ b/internal/testbed/capacity/results.go
@@ -187,7 +187,7 @@
 	return s, nil
 }
 
-// fixed are the other dimensions of a run.
+// fixedDimensions are the other dimensions of a run.
 func fixedDimensions(s *scale.Size, by string) string {
 	var words []string
 	for _, name := range []string{"nodes", "servers", "routes", "tenants"} {
@@ -198,7 +198,7 @@
 	return strings.Join(words, ", ")
 }
 
-// figure is one of a run's: of nodes and control processes for each, of others for all.
+// phaseFigure is one of a run's: of nodes and control processes for each, of others for all.
 func phaseFigure(run *Run, phase, role, field string) (value float64, unit string, exact bool, err error) {
 	i := slices.IndexFunc(run.Phases, func(p scale.Phase) bool { return p.Name == phase })
 	if i < 0 {
--- a/internal/testbed/scale/change_test.go
+++ b/internal/testbed/scale/change_test.go
@@ -15,23 +15,23 @@
 	"fernvane/policy"
 )
 
-// layoutOf is a layout on a net of its own.
-func layoutOf(t *testing.T, servers int) *Layout {
+// newTestLayout returns a layout on a network of its own.
+func newTestLayout(t *testing.T, servers int) *Layout {
 	t.Helper()
-	number, held, err := reserveNetwork()
+	network, reservation, err := reserveNetwork()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { held.Close() })
+	t.Cleanup(func() { reservation.Close() })
 	size := small("discovery", NoEvent)
 	size.Servers = servers
-	return &Layout{Size: size, Network: number, Dir: t.TempDir()}
+	return &Layout{Size: size, Network: network, Dir: t.TempDir()}
 }
 
-// told1 is what a node is sent for one changed server, in bytes on its connection, and how many servers that names.
-func told1(t *testing.T, servers int) (bytes float64, named int) {
+// bytesOfChange returns the bytes that a node receives for one changed server, and the number of servers in them.
+func bytesOfChange(t *testing.T, servers int) (bytes float64, listed int) {
 	t.Helper()
-	l := layoutOf(t, servers)
+	l := newTestLayout(t, servers)
 	source, err := newStandin(l)
 	if err != nil {
 		t.Fatal(err)
@@ -43,11 +43,11 @@
 	defer w.Close()
 	list, err := w.Poll(ctx)
 	if err != nil || len(list.Hosts) != servers {
-		t.Fatalf("%d servers, %v", len(list.Hosts), err)
+		t.Fatalf("full list: got %d servers, error %v", len(list.Hosts), err)
 	}
 	w.WantsFullList, w.Revision = false, list.Revision
 	m := newMeter(l.Network)
-	if err := m.read(nobodyElse); err != nil {
+	if err := m.read(noProcesses); err != nil {
 		t.Fatal(err)
 	}
 	before := m.flows()[roleNodes]
@@ -55,26 +55,26 @@
 		t.Fatal(err)
 	}
 	list, err = w.Poll(ctx)
-	if err := errors.Join(err, m.read(nobodyElse)); err != nil {
+	if err := errors.Join(err, m.read(noProcesses)); err != nil {
 		t.Fatal(err)
 	}
 	return m.flows()[roleNodes].minus(before).BytesIn, len(list.Hosts)
 }
 
-// A node is sent as much for one change whether there are few servers or many.
+// TestBytesOfAChange checks that the bytes that a node receives for one change do not grow with the number of servers.
 func TestBytesOfAChange(t *testing.T) {
-	few, one := told1(t, 50)
-	many, another := told1(t, 2000)
-	const digits = 4 // that the revision may have more
-	if one != 1 || another != 1 || few == 0 || many > few+digits {
-		t.Errorf("%.0f bytes for %d of 50 servers, %.0f for %d of 2,000", few, one, many, another)
+	few, listedFew := bytesOfChange(t, 50)
+	many, listedMany := bytesOfChange(t, 2000)
+	const digits = 4 // more digits of the revision
+	if listedFew != 1 || listedMany != 1 || few == 0 || many > few+digits {
+		t.Errorf("one change: got %.0f bytes with %d servers of 50, %.0f bytes with %d of 2,000; want as many bytes, with 1 server", few, listedFew, many, listedMany)
 	}
 }
 
-// What a node's module is handed for one change is one line, whether the node knows few servers or many.
+// TestElementsOfAChange checks that a node's policy receives one endpoint for one change, independent of the number of servers.
 func TestElementsOfAChange(t *testing.T) {
 	for _, servers := range []int{50, 2000} {
-		l := layoutOf(t, servers)
+		l := newTestLayout(t, servers)
 		r := newRecorder(l)
 		s := settings.Settings{Settings: policy.Settings{NodeCount: 1, MaxAttempts: 1, TrafficTypes: []policy.TrafficType{{LatencyObjective: time.Second, ClientTimeout: time.Second}}}, TypeNames: []string{"a"}}
 		f := dispatch.New(s, 1, dispatch.Limits{MemoryMB: 128, Sockets: 256}, r.observe(0, engine.NewPolicy))
@@ -84,19 +84,19 @@
 			all.Hosts = append(all.Hosts, http1.Endpoint{ID: serverID(1, i), Address: mustParseAddress(l.address(0, 1, 1024+i)), Size: 1})
 		}
 		f.ApplyList(all, endpoints.SourceDiscovery)
-		records, whole := r.take()
-		if whole.Elements != servers || len(records) == 0 || records[0].Kind != completeApplied {
-			t.Fatalf("%d servers: handed %+v", servers, whole)
+		records, before := r.take()
+		if before.Elements != servers || len(records) == 0 || records[0].Kind != completeApplied {
+			t.Fatalf("%d servers: full list: got counts %+v, want each server once and the record of completion", servers, before)
 		}
 		drained := all.Hosts[0]
 		drained.Phase = http1.Draining
 		f.ApplyList(http1.EndpointList{Revision: 2, Hosts: []http1.Endpoint{drained}}, endpoints.SourceDiscovery)
 		records, after := r.take()
-		if n := after.Elements - whole.Elements; n != 1 {
-			t.Errorf("%d servers: %d lines for one change", servers, n)
+		if n := after.Elements - before.Elements; n != 1 {
+			t.Errorf("%d servers: one change: got %d endpoints, want 1", servers, n)
 		}
 		if len(records) != 1 || records[0].Kind != markerApplied || !records[0].Draining || records[0].Marker != 0 {
-			t.Errorf("%d servers: %+v", servers, records)
+			t.Errorf("%d servers: one change: got records %+v, want one of draining marker 0", servers, records)
 		}
 	}
 }
--- a/internal/testbed/scale/component/files.go
+++ b/internal/testbed/scale/component/files.go
@@ -13,7 +13,7 @@
 
 type object = map[string]any
 
-// settingsText are settings with three traffic types and so many tenants.
+// settingsText returns settings with three traffic types and a given number of tenants.
 func settingsText(tenants int) []byte {
 	all, types := []object{}, []object{}
 	for i := range tenants {
@@ -28,7 +28,7 @@
 		"limits": object{"connIdle": 5000, "connectTimeout": 100, "mostHops": 3},
 		"rules":  object{"askWithin": 2000, "stopSendingWithin": 500, "cold": 5000, "fallMultiple": 2, "startCapacity": 0.3}})
 	if err != nil {
-		panic(err) // of what stands above
+		panic(err) // the value above is encodable
 	}
 	return text
 }
@@ -37,7 +37,7 @@
 	return settings.Decode(settingsText(tenants))
 }
 
-// operatorText is an operator's file of so many routes, each with a rate and places.
+// operatorText returns an operator's file with a given number of routes, each with a rate limit and a concurrency limit.
 func operatorText(routes int) []byte {
 	var b bytes.Buffer
 	for i := range routes {
@@ -54,7 +54,7 @@
 	return route.Parse("operator.toml", operatorText(n), &s)
 }
 
-// reportOf is what a node under so many tenants, none of which sends anything, tells a planner.
+// reportOf returns the report to planners of a node with a given number of tenants, none of which sends requests.
 func reportOf(tenants int) (plan.Report, error) {
 	f, err := newDispatcher(tenants)
 	if err != nil {
@@ -70,12 +70,12 @@
 	return []figure{
 		{Series{Name: "routes-bytes", About: "the operator's file", By: "routes", Unit: "B", Exact: true}, doublingSizes(64, 131_072),
 			func(n int) (float64, error) { return float64(len(operatorText(n))), nil }},
-		{Series{Name: "routes-read", About: "reading and checking it", By: "routes", Unit: "ms"}, routes, func(n int) (float64, error) {
+		{Series{Name: "routes-read", About: "decoding and checking the operator's file", By: "routes", Unit: "ms"}, routes, func(n int) (float64, error) {
 			var err error
 			took := minCPUTime(3, func() { _, err = routesOf(n) })
 			return took, err
 		}},
-		{Series{Name: "routes-memory", About: "what is made of it", By: "routes", Unit: "B"}, routes, func(n int) (float64, error) {
+		{Series{Name: "routes-memory", About: "route table of the operator's file", By: "routes", Unit: "B"}, routes, func(n int) (float64, error) {
 			var err error
 			bytes := retainedBytes(func() any {
 				var s *route.Table
@@ -86,21 +86,21 @@
 		}},
 		{Series{Name: "tenants-bytes", About: "tenants in the settings", By: "tenants", Unit: "B", Exact: true}, tenants,
 			func(n int) (float64, error) { return float64(len(settingsText(n))), nil }},
-		{Series{Name: "tenants-read", About: "decoding them", By: "tenants", Unit: "ms"}, tenants, func(n int) (float64, error) {
+		{Series{Name: "tenants-read", About: "decoding settings with tenants", By: "tenants", Unit: "ms"}, tenants, func(n int) (float64, error) {
 			b := settingsText(n)
 			return minCPUTime(3, func() { settings.Decode(b) }), nil
 		}},
-		{Series{Name: "tenants-memory", About: "a node's fleet and module with them, without traffic", By: "tenants", Unit: "B"}, tenants,
+		{Series{Name: "tenants-memory", About: "a node's dispatcher and policy with tenants, without traffic", By: "tenants", Unit: "B"}, tenants,
 			func(n int) (float64, error) {
 				var err error
 				bytes := retainedBytes(func() any {
-					f, fault := newDispatcher(n)
-					err = fault
+					f, createErr := newDispatcher(n)
+					err = createErr
 					return f
 				})
 				return bytes, err
 			}},
-		{Series{Name: "report-bytes", About: "a node's report to a planner, with no traffic", By: "tenants", Unit: "B", Exact: true}, doublingSizes(64, 8192),
+		{Series{Name: "report-bytes", About: "a node's report to a planner, without traffic", By: "tenants", Unit: "B", Exact: true}, doublingSizes(64, 8192),
 			func(n int) (float64, error) {
 				r, err := reportOf(n)
 				if err != nil {
--- a/internal/testbed/scale/component/lists.go
+++ b/internal/testbed/scale/component/lists.go
@@ -18,7 +18,7 @@
 	regions       = 3
 	zones         = 6
 	cells         = 40
-	startedUnixMS = 1_764_000_000_000 // Unix ms; any that is long ago
+	startedUnixMS = 1_764_000_000_000 // any time long ago
 )
 
 type discardWatcher struct{}
@@ -31,7 +31,7 @@
 		Addresses: []string{fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255)}}
 }
 
-// text is discovery's full list of so many servers.
+// encodedList returns discovery's full list with a given number of servers, as on the wire.
 func encodedList(servers int) []byte {
 	s := discovery.New(discovery.Settings{LinesPerS: 1e12, Timeout: time.Minute}, 1, discardWatcher{})
 	for i := range servers {
@@ -43,7 +43,7 @@
 func parsedList(servers int) http1.EndpointList {
 	l, err := http1.ParseEndpointList(encodedList(servers))
 	if err != nil {
-		panic(err) // the stand-in's own form
+		panic(err) // the stand-in wrote it
 	}
 	return l
 }
@@ -56,7 +56,7 @@
 	return dispatch.New(s, 1, dispatch.Limits{MemoryMB: 128, Sockets: 256}, engine.NewPolicy), nil
 }
 
-// filled returns a dispatcher that knows the servers of a list.
+// newFilledDispatcher returns a dispatcher that knows the servers of a list.
 func newFilledDispatcher(l http1.EndpointList) (*dispatch.Dispatcher, error) {
 	f, err := newDispatcher(4)
 	if err == nil {
@@ -65,17 +65,17 @@
 	return f, err
 }
 
-// lists are the figures of endpoint lists. The function is long because it is a table with one row for each figure.
+// lists returns the figures of endpoint lists. The function is long because it is a table with one row per figure.
 func lists() []figure {
 	sizes := doublingSizes(256, 131_072)
 	return []figure{
-		{Series{Name: "list-bytes", About: "a whole list of discovery", By: "servers", Unit: "B", Exact: true}, doublingSizes(64, 262_144),
+		{Series{Name: "list-bytes", About: "full endpoint list of discovery", By: "servers", Unit: "B", Exact: true}, doublingSizes(64, 262_144),
 			func(n int) (float64, error) { return float64(len(encodedList(n))), nil }},
-		{Series{Name: "list-parse", About: "reading it", By: "servers", Unit: "ms"}, sizes, func(n int) (float64, error) {
+		{Series{Name: "list-parse", About: "decoding a full endpoint list", By: "servers", Unit: "ms"}, sizes, func(n int) (float64, error) {
 			b := encodedList(n)
 			return minCPUTime(3, func() { http1.ParseEndpointList(b) }), nil
 		}},
-		{Series{Name: "list-taken", About: "a whole list into the node's book and module", By: "servers", Unit: "ms"}, doublingSizes(2048, 262_144), func(n int) (float64, error) {
+		{Series{Name: "list-taken", About: "applying a full endpoint list to a node's dispatcher and policy", By: "servers", Unit: "ms"}, doublingSizes(2048, 262_144), func(n int) (float64, error) {
 			l := parsedList(n)
 			least := math.Inf(1)
 			for range 3 {
@@ -88,7 +88,7 @@
 			}
 			return least, nil
 		}},
-		{Series{Name: "list-change", About: "one changed server into a node that knows so many", By: "servers", Unit: "ms"}, sizes, func(n int) (float64, error) {
+		{Series{Name: "list-change", About: "applying one changed server at a node that knows the given number", By: "servers", Unit: "ms"}, sizes, func(n int) (float64, error) {
 			l := parsedList(n)
 			f, err := newFilledDispatcher(l)
 			if err != nil {
@@ -104,7 +104,7 @@
 				}
 			}) / rounds, nil
 		}},
-		{Series{Name: "list-memory", About: "a node's book and module of so many servers", By: "servers", Unit: "B"}, sizes, func(n int) (float64, error) {
+		{Series{Name: "list-memory", About: "a node's dispatcher and policy with the given number of servers", By: "servers", Unit: "B"}, sizes, func(n int) (float64, error) {
 			l := parsedList(n)
 			var f *dispatch.Dispatcher
 			var err error
@@ -117,7 +117,7 @@
 			}
 			return bytes, err
 		}},
-		{Series{Name: "snapshot-bytes", About: "a node's copy of the list on disk", By: "servers", Unit: "B", Exact: true}, doublingSizes(64, 8192),
+		{Series{Name: "snapshot-bytes", About: "a node's snapshot of the endpoint list on disk", By: "servers", Unit: "B", Exact: true}, doublingSizes(64, 8192),
 			func(n int) (float64, error) {
 				s := &snapshot.Snapshot{Node: "n", Deployment: "d"}
 				for _, h := range parsedList(n).Hosts {
--- a/internal/testbed/scale/component/parts.go
+++ b/internal/testbed/scale/component/parts.go
@@ -1,6 +1,6 @@
-// Package component measures what the parts of the control side cost by themselves, without a process or a socket: the bytes
-// of lists, files, reports and plans, and the time and memory that taking them in needs, at sizes that no run of whole
-// nodes reaches.
+// Package component measures parts of the control plane in isolation, without processes and sockets: the bytes of lists,
+// files, reports and plans, and the CPU time and memory of processing them. It reaches sizes beyond those of runs with
+// complete nodes.
 package component
 
 import (
@@ -14,24 +14,24 @@
 	"time"
 )
 
-// Series is one figure at several sizes, all else being fixed.
+// Series is one figure at several sizes of one dimension; the other dimensions are fixed.
 type Series struct {
 	Name   string  `json:"name"`
 	About  string  `json:"about"`
-	By     string  `json:"by"` // the dimension that grows
+	By     string  `json:"by"` // the dimension that varies
 	Fixed  string  `json:"fixed,omitempty"`
 	Unit   string  `json:"unit"`
-	Exact  bool    `json:"exact"` // counted; else processor time or memory, beside whatever ran on the machine
+	Exact  bool    `json:"exact"` // the figure is counted; else it is CPU time or memory, which other load on the machine affects
 	Points []Point `json:"points"`
 }
 
-// Point is a figure at a size.
+// Point is the value of a figure at one size.
 type Point struct {
 	Size  float64 `json:"size"`
 	Value float64 `json:"value"`
 }
 
-// Result is what a measurement of parts leaves behind.
+// Result is the result of a measurement. Its JSON encoding is a stored format.
 type Result struct {
 	Command string    `json:"command"`
 	At      time.Time `json:"at"`
@@ -40,22 +40,21 @@
 	Parts   []Series  `json:"parts"`
 }
 
-// longestPoint is the processor time that one size may take, in milliseconds: the sizes of a series end with the first one
-// beyond it.
+// maxPointMS is the CPU time after which a series ends: the first size that takes longer is its last.
 const maxPointMS = 6_000
 
-// figure is a series while it is measured.
+// figure is a series with the function that measures it.
 type figure struct {
 	series  Series
 	sizes   []int
 	measure func(size int) (float64, error)
 }
 
-// Measure measures all parts, or those whose names are given.
+// Measure measures all series, or those with the given names.
 func Measure(progress io.Writer, only ...string) ([]Series, error) {
 	var all []Series
 	figures := slices.Concat(files(), lists(), plans())
-	// Memory first: what other figures leave to the collector would be in the way of it.
+	// Memory comes first: garbage of other figures would distort it.
 	slices.SortStableFunc(figures, func(a, b figure) int { return cmp.Compare(measurementOrder(&a), measurementOrder(&b)) })
 	for _, f := range figures {
 		if len(only) > 0 && !slices.Contains(only, f.series.Name) {
@@ -66,7 +65,7 @@
 			before := cpuTime()
 			value, err := f.measure(size)
 			if err != nil {
-				return nil, fmt.Errorf("%s at %d: %w", s.Name, size, err)
+				return nil, fmt.Errorf("measure %s at size %d: %w", s.Name, size, err)
 			}
 			s.Points = append(s.Points, Point{Size: float64(size), Value: value})
 			if cpuTime()-before > maxPointMS {
@@ -86,7 +85,7 @@
 	return 1
 }
 
-// doubled are sizes from one to another, each twice the one before.
+// doublingSizes returns sizes from one to another, each twice the previous one.
 func doublingSizes(from, to int) (sizes []int) {
 	for n := from; n <= to; n *= 2 {
 		sizes = append(sizes, n)
@@ -94,8 +93,8 @@
 	return sizes
 }
 
-// timed is the least processor time of some runs in milliseconds, the collector's included. What else runs on the machine
-// adds little to it, and to the clock's time without bound.
+// minCPUTime returns the lowest CPU time of some runs in milliseconds, including garbage collection. Other load on the machine
+// affects CPU time little, but wall-clock time without bound.
 func minCPUTime(runs int, run func()) float64 {
 	least := math.Inf(1)
 	for range runs {
@@ -106,25 +105,25 @@
 	return least
 }
 
-// spent is the processor time of this process so far.
+// cpuTime returns the CPU time of this process so far in milliseconds.
 func cpuTime() float64 {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
-		panic(err) // it fails for what is no process only
+		panic(err) // fails only for invalid arguments
 	}
 	return float64(r.Utime.Nano()+r.Stime.Nano()) / 1e6
 }
 
-// held is what making something leaves in memory, in bytes.
-func retainedBytes(make func() any) float64 {
+// retainedBytes returns the growth of the heap by a value that a function makes, in bytes.
+func retainedBytes(create func() any) float64 {
 	before := heapBytes()
-	kept := make()
+	value := create()
 	after := heapBytes()
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(value)
 	return max(after-before, 0)
 }
 
-// heap is what is in use, once what was put aside for a while or waits to be finalized has gone as well.
+// heapBytes returns the heap in use after several collections, which also empty pools and run finalizers.
 func heapBytes() float64 {
 	const rounds = 4
 	var m runtime.MemStats
--- a/internal/testbed/scale/component/parts_test.go
+++ b/internal/testbed/scale/component/parts_test.go
@@ -12,13 +12,14 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// nLogN is by how much an n log n cost grows from one size to another, with a tenth for what rounds up, as maps do.
+// nLogN returns the growth of an n log n cost from one size to another, plus a tenth for rounding, as by the sizes of maps.
 func nLogN(from, to int) float64 {
 	a, b := float64(from), float64(to)
 	return 1.1 * b * math.Log2(b) / (a * math.Log2(a))
 }
 
-// What is counted of a part, at a size and at eight times that. Where a figure grows with the fleet today, the row says so.
+// TestGrowth compares counted figures at a size and at eight times that size. They may grow as n log n at most, and figures of
+// one change not at all.
 func TestGrowth(t *testing.T) {
 	counted := func(of func(n int) (float64, error)) func(t *testing.T, n int) float64 {
 		return func(t *testing.T, n int) float64 {
@@ -29,7 +30,7 @@
 			return v
 		}
 	}
-	part := func(name string) func(t *testing.T, n int) float64 {
+	series := func(name string) func(t *testing.T, n int) float64 {
 		for _, all := range [][]figure{lists(), files(), plans()} {
 			for _, f := range all {
 				if f.series.Name == name {
@@ -37,47 +38,47 @@
 				}
 			}
 		}
-		t.Fatalf("no part %q", name)
+		t.Fatalf("no series %q", name)
 		return nil
 	}
 	const small, large = 250, 2000
-	constant, whole := 1.0, nLogN(small, large)
+	constant, full := 1.0, nLogN(small, large)
 	for name, c := range map[string]struct {
 		of    func(t *testing.T, n int) float64
-		most  float64 // of the larger size's value over the smaller's
-		slack float64 // beside, in the figure's unit: numbers take more digits
+		most  float64 // ratio of the value at the larger size to that at the smaller
+		slack float64 // added to the limit, in the figure's unit: larger numbers have more digits
 	}{
-		"bytes of one changed server in a plan, by servers":            {part("change-bytes-by-servers"), constant, 8},
-		"bytes of one changed server in a plan, by nodes":              {part("change-bytes-by-nodes"), constant, 8},
-		"bytes of a plan that changes nothing, by servers":             {counted(func(n int) (float64, error) { return idleBytes(fixedNodes, n) }), constant, 8},
-		"bytes of a plan that changes nothing, by nodes":               {counted(func(n int) (float64, error) { return idleBytes(n, fixedServers) }), constant, 8},
-		"allocations of one changed server, by servers":                {counted(changeAllocations), constant, 4},
-		"bytes of a whole list":                                        {part("list-bytes"), whole, 0},
-		"bytes of a node's first plan":                                 {part("first-plan-bytes"), whole, 0},
-		"bytes of a copy on disk":                                      {part("snapshot-bytes"), whole, 0},
-		"bytes of the operator's file":                                 {part("routes-bytes"), whole, 0},
-		"bytes of tenants in the settings":                             {part("tenants-bytes"), whole, 0},
-		"bytes of a report, which tells tenants without traffic today": {part("report-bytes"), whole, 0},
-		"allocations of reading a whole list":                          {counted(parseAllocations), whole, 0},
-		"allocations of taking in a whole list":                        {counted(takeAllocations), whole, 0},
-		"allocations of reading the operator's file":                   {counted(routeAllocations), whole, 0},
+		"bytes of one changed server in a plan, by servers":         {series("change-bytes-by-servers"), constant, 8},
+		"bytes of one changed server in a plan, by nodes":           {series("change-bytes-by-nodes"), constant, 8},
+		"bytes of a plan that changes nothing, by servers":          {counted(func(n int) (float64, error) { return idleBytes(fixedNodes, n) }), constant, 8},
+		"bytes of a plan that changes nothing, by nodes":            {counted(func(n int) (float64, error) { return idleBytes(n, fixedServers) }), constant, 8},
+		"allocations of one changed server, by servers":             {counted(changeAllocations), constant, 4},
+		"bytes of a full list":                                      {series("list-bytes"), full, 0},
+		"bytes of a node's first plan":                              {series("first-plan-bytes"), full, 0},
+		"bytes of a snapshot on disk":                               {series("snapshot-bytes"), full, 0},
+		"bytes of the operator's file":                              {series("routes-bytes"), full, 0},
+		"bytes of tenants in the settings":                          {series("tenants-bytes"), full, 0},
+		"bytes of a report, which includes tenants without traffic": {series("report-bytes"), full, 0},
+		"allocations of decoding a full list":                       {counted(parseAllocations), full, 0},
+		"allocations of applying a full list":                       {counted(takeAllocations), full, 0},
+		"allocations of decoding the operator's file":               {counted(routeAllocations), full, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, b := c.of(t, small), c.of(t, large)
 			if a <= 0 || b > c.most*a+c.slack {
-				t.Errorf("%.0f at %d, %.0f at %d: at most %.0f is right", a, small, b, large, c.most*a+c.slack)
+				t.Errorf("got %.0f at size %d and %.0f at size %d, want at most %.0f", a, small, b, large, c.most*a+c.slack)
 			}
 		})
 	}
 }
 
-// idleBytes are those of a plan after one that a node holds, with nothing new.
+// idleBytes returns the bytes of a plan that changes nothing but its number.
 func idleBytes(nodes, servers int) (float64, error) {
 	p, _ := newReportedPlanner(nodes, servers)
-	_, told := plan.Diff(plan.Plan{}, p.ComputePlans(time.Second).ForForwarder(nodeName(0)))
-	next := told
+	_, sent := plan.Diff(plan.Plan{}, p.ComputePlans(time.Second).ForForwarder(nodeName(0)))
+	next := sent
 	next.Number++
-	change, _ := plan.Diff(told, next)
+	change, _ := plan.Diff(sent, next)
 	frame, err := planwire.Append(nil, planwire.ChangeKind, change)
 	return float64(len(frame)), err
 }
--- a/internal/testbed/scale/component/plans.go
+++ b/internal/testbed/scale/component/plans.go
@@ -12,7 +12,7 @@
 const (
 	fixedServers       = 192
 	fixedNodes         = 256
-	serversPerReport   = 16 // that a node reports attempts to
+	serversPerReport   = 16 // to which one node reports attempts
 	plannerStartUnixMS = startedUnixMS + 90*24*3600*1000
 )
 
@@ -27,7 +27,7 @@
 	return all
 }
 
-// planned is a planner that has heard a report of each of its nodes.
+// newReportedPlanner returns a planner that has received a report of each of its nodes, and its servers.
 func newReportedPlanner(nodes, servers int) (*plan.Planner, []incarnation.Entry) {
 	p, known := plan.NewPlanner(plannerStartUnixMS), incarnations(servers)
 	p.EndpointsUpdated(0, known, true)
@@ -45,43 +45,43 @@
 func planTime(nodes, servers int) float64 {
 	p, _ := newReportedPlanner(nodes, servers)
 	now := time.Second
-	p.ComputePlans(now) // the first one gives all parts at once
+	p.ComputePlans(now) // the first plan assigns all shares in one step
 	return minCPUTime(3, func() {
 		now += 500 * time.Millisecond
 		p.ComputePlans(now)
 	})
 }
 
-// changeBytes are those of what a node is sent of the first plan, and of the next one with one changed server.
+// changeBytes returns the bytes that a node receives for the first plan, and for the next one with one changed server.
 func changeBytes(nodes, servers int) (first, next float64, err error) {
 	p, known := newReportedPlanner(nodes, servers)
-	change, told := plan.Diff(plan.Plan{}, p.ComputePlans(time.Second).ForForwarder(nodeName(0)))
+	change, sent := plan.Diff(plan.Plan{}, p.ComputePlans(time.Second).ForForwarder(nodeName(0)))
 	frame, err := planwire.Append(nil, planwire.ChangeKind, change)
 	if err != nil {
 		return 0, 0, err
 	}
 	first = float64(len(frame))
-	// One of the servers that the node has no part of: who holds parts of it is another matter than the word of it.
+	// The changed server is one that the node has no share of, so that the plan's shares stay as they are.
 	changed := known[len(known)-1]
 	changed.Condition, changed.Revision = incarnation.Draining, uint64(servers)
 	before := p.ComputePlans(1500 * time.Millisecond).ForForwarder(nodeName(0))
-	_, told = plan.Diff(told, before)
+	_, sent = plan.Diff(sent, before)
 	p.EndpointsUpdated(1500*time.Millisecond, []incarnation.Entry{changed}, false)
 	after := before
 	after.Incarnations = p.ComputePlans(2 * time.Second).ForForwarder(nodeName(0)).Incarnations
-	change, _ = plan.Diff(told, after)
+	change, _ = plan.Diff(sent, after)
 	frame, err = planwire.Append(nil, planwire.ChangeKind, change)
 	return first, float64(len(frame)), err
 }
 
 func plans() []figure {
-	fixed := func(what string, n int) string { return fmt.Sprintf("%d %s", n, what) }
+	fixed := func(dimension string, n int) string { return fmt.Sprintf("%d %s", n, dimension) }
 	return []figure{
 		{Series{Name: "plan-by-nodes", About: "one plan", By: "nodes", Fixed: fixed("servers", fixedServers), Unit: "ms"}, doublingSizes(64, 4096),
 			func(n int) (float64, error) { return planTime(n, fixedServers), nil }},
 		{Series{Name: "plan-by-servers", About: "one plan", By: "servers", Fixed: fixed("nodes", fixedNodes), Unit: "ms"}, doublingSizes(64, 4096),
 			func(n int) (float64, error) { return planTime(fixedNodes, n), nil }},
-		{Series{Name: "first-plan-bytes", About: "a node's first plan, with all lives", By: "servers", Fixed: fixed("nodes", fixedNodes), Unit: "B", Exact: true},
+		{Series{Name: "first-plan-bytes", About: "a node's first plan, with all incarnations", By: "servers", Fixed: fixed("nodes", fixedNodes), Unit: "B", Exact: true},
 			doublingSizes(64, 4096), func(n int) (float64, error) {
 				first, _, err := changeBytes(fixedNodes, n)
 				return first, err
--- a/internal/testbed/scale/conductor.go
+++ b/internal/testbed/scale/conductor.go
@@ -14,28 +14,28 @@
 
 const (
 	maxReadyTime          = 60 * time.Second
-	maxCompleteWait       = 60 * time.Second       // for all nodes to know all servers
-	maxOrderTime          = 20 * time.Second       // for an order to be carried out
-	pollInterval          = time.Second            // at connections and processes
-	conditionPollInterval = 100 * time.Millisecond // whether all nodes are where they should be
-	settleTime            = 2 * time.Second        // after the start, before the phase at rest
-	maxChangeWait         = 15 * time.Second       // after the last change of a phase, for the last node
-	maxFaults             = 20                     // kept
-	eventDelay            = time.Second            // of the event's phase
+	maxCompleteWait       = 60 * time.Second       // until all nodes know all servers
+	maxOrderTime          = 20 * time.Second       // until an order is executed
+	pollInterval          = time.Second            // between reads of connections and processes
+	conditionPollInterval = 100 * time.Millisecond // of waitUntil
+	settleTime            = 2 * time.Second        // after the start, before the idle phase
+	maxChangeWait         = 15 * time.Second       // after the last change of a phase, until the last node has applied it
+	maxFaults             = 20                     // stored in the result
+	eventDelay            = time.Second            // from the begin of the event's phase to the event
 )
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
 	Size        Size
-	Command     []string // that runs a process: this binary and WorkerCommand
+	Command     []string // command line of a process: this binary and WorkerCommand
 	Progress    io.Writer
-	CommandLine string // the command as it was given
+	CommandLine string // the tool's own command line, for the result
 }
 
-// errMemory ends a run that takes more than half of the machine's memory.
-var errMemory = errors.New("the run takes more than half of this machine's memory")
+// errMemory is the cause of a run that was canceled because its processes exceeded their share of the machine's memory.
+var errMemory = errors.New("run canceled: its processes use more than half of this machine's memory")
 
-// conductor leads a run.
+// conductor coordinates a run: it starts and stops the processes, runs the phases and measures.
 type conductor struct {
 	Options
 	layout         *Layout
@@ -45,18 +45,18 @@
 	workers        []*process
 	controls       []*process
 	discovery      *process
-	regionLinks    *process // nil: none can be cut
+	regionLinks    *process // nil if the run does not partition regions
 	responses      chan announcement
 	startedAt      time.Time
 	revision       int            // of the operator's file
-	restartLatency *ChangeLatency // nodes that an event killed, from their start on
+	restartLatency *ChangeLatency // of nodes that an event killed
 
 	mu        sync.Mutex
 	faults    []string
 	maxMemory float64 // memory
 }
 
-// Run plays a size and returns what was measured.
+// Run runs a size and returns the measurements.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if err := o.Size.Check(); err != nil {
 		return nil, err
@@ -68,18 +68,18 @@
 	if err := o.Size.Fits(machine.Memory); err != nil {
 		return nil, err
 	}
-	number, held, err := reserveNetwork()
+	network, reservation, err := reserveNetwork()
 	if err != nil {
 		return nil, err
 	}
-	defer held.Close()
+	defer reservation.Close()
 	dir, err := os.MkdirTemp("", "testbed-scale-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	c := &conductor{Options: o, layout: &Layout{Size: o.Size, Network: number, Dir: dir}, machine: machine,
-		meter: newMeter(number), responses: make(chan announcement, 1), startedAt: time.Now()}
+	c := &conductor{Options: o, layout: &Layout{Size: o.Size, Network: network, Dir: dir}, machine: machine,
+		meter: newMeter(network), responses: make(chan announcement, 1), startedAt: time.Now()}
 	c.ledger = newLedger(o.Size.Nodes, c.layout.isServed)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -138,7 +138,7 @@
 	return &process{task: task{Role: r, Number: n, Layout: c.layout}, command: c.Command, handle: c.handle}
 }
 
-// all processes of the tool but the tool itself.
+// all returns all processes of the run except the tool itself.
 func (c *conductor) all() []*process {
 	all := slices.Concat(c.workers, c.controls, []*process{c.discovery})
 	if c.regionLinks != nil {
@@ -147,20 +147,20 @@
 	return all
 }
 
-// hear takes in what a process says.
-func (c *conductor) handle(p *process, t announcement) {
-	if t.Error != "" {
+// handle processes an announcement.
+func (c *conductor) handle(p *process, a announcement) {
+	if a.Error != "" {
 		c.mu.Lock()
 		if len(c.faults) < maxFaults {
-			c.faults = append(c.faults, t.Error)
+			c.faults = append(c.faults, a.Error)
 		}
 		c.mu.Unlock()
 	}
 	if p.task.Role == roleNodes {
-		c.ledger.recordAnnouncement(p.task.Number, t)
+		c.ledger.recordAnnouncement(p.task.Number, a)
 	}
-	if p == c.discovery && (t.Changed > 0 || t.Done || t.Error != "") {
-		c.responses <- t
+	if p == c.discovery && (a.Changed > 0 || a.Done || a.Error != "") {
+		c.responses <- a
 	}
 }
 
@@ -172,7 +172,8 @@
 	all.Wait()
 }
 
-// watch reads connections and processes now and then, and ends a run that grows too large.
+// watch periodically reads the traffic of connections and the memory of processes, and cancels a run that uses too much
+// memory.
 func (c *conductor) watch(ctx context.Context, cancel context.CancelCauseFunc) {
 	for tick := time.NewTicker(pollInterval); ; {
 		select {
@@ -205,7 +206,7 @@
 	return c.meter.read(c.nonNodeProcesses)
 }
 
-// inner are the processes whose connections to control processes are no node's.
+// nonNodeProcesses returns the ids of the processes other than nodes that connect to control processes.
 func (c *conductor) nonNodeProcesses() (pids []int) {
 	others := append([]*process{c.discovery}, c.controls...)
 	if c.regionLinks != nil {
@@ -219,7 +220,7 @@
 	return pids
 }
 
-// reading is what all roles have paid up to a moment.
+// reading is the resource usage of all roles since the start of the run.
 type reading struct {
 	at     time.Time
 	flows  map[role]flow
@@ -245,7 +246,7 @@
 
 const roleTools role = "tools"
 
-// phase is what lies between two readings.
+// phase returns the result of a phase from the readings before and after it.
 func (c *conductor) phase(name string, from, to reading, in *ChangeLatency) Phase {
 	seconds := to.at.Sub(from.at).Seconds()
 	p := Phase{Name: name, Seconds: seconds, Roles: map[string]Role{}, ChangeLatency: in, Handed: deliveryCounts{
--- a/internal/testbed/scale/cut.go
+++ b/internal/testbed/scale/cut.go
@@ -9,12 +9,12 @@
 	"fernvane/internal/testbed/standin/link"
 )
 
-// ways are the connections from nodes to control processes of other regions, which can be cut without a word to either
-// side.
+// regionLinks forwards connections to control processes of other regions. While the links are cut, connections stay open
+// and carry no bytes, and neither side is notified.
 type regionLinks struct{ listeners []*link.Listener }
 
 func newRegionLinks(l *Layout) (*regionLinks, error) {
-	w := &regionLinks{}
+	links := &regionLinks{}
 	for region := range l.Size.Regions {
 		for n := range l.Size.Control {
 			if l.controlRegion(n) == region {
@@ -25,13 +25,13 @@
 			if err != nil {
 				return nil, err
 			}
-			w.listeners = append(w.listeners, listener)
+			links.listeners = append(links.listeners, listener)
 		}
 	}
-	return w, nil
+	return links, nil
 }
 
-// pass leads a connection on to a control process.
+// forward forwards a connection to a control process until either side closes it.
 func forward(from *link.Conn, address string) {
 	defer from.Close()
 	to, err := net.DialTimeout("tcp", address, time.Second)
@@ -52,9 +52,9 @@
 	both.Wait()
 }
 
-func (w *regionLinks) cut(cut bool) {
-	for _, l := range w.listeners {
-		if cut {
+func (r *regionLinks) cut(isCut bool) {
+	for _, l := range r.listeners {
+		if isCut {
 			l.Silence()
 		} else {
 			l.EndSilence()
@@ -62,8 +62,8 @@
 	}
 }
 
-func (w *regionLinks) close() {
-	for _, l := range w.listeners {
+func (r *regionLinks) close() {
+	for _, l := range r.listeners {
 		l.Close()
 	}
 }
--- a/internal/testbed/scale/distribution.go
+++ b/internal/testbed/scale/distribution.go
@@ -21,16 +21,16 @@
 
 const (
 	startTimeout        = 2 * time.Second
-	maxControlAddresses = 8 // by a node
+	maxControlAddresses = 8 // in a node's configuration
 	maxServicesPerNode  = 1000
 	changesPerWrite     = 1000
 	writeRetryInterval  = 200 * time.Millisecond
-	maxWriteTime        = 15 * time.Second // for a write, over all control processes that are tried
-	maxInitialWriteTime = 2 * time.Minute  // for all servers to be written at the start
+	maxWriteTime        = 15 * time.Second // of a write, over all control processes that are tried
+	maxInitialWriteTime = 2 * time.Minute  // until all servers are written at the start
 )
 
-// distributionPlane has control processes hold all servers as keyed entries and send each node those of its services. The
-// first control process of each region is its root; roots follow each other, the others follow the root of their region.
+// distributionPlane has control processes store all servers as keyed entries and send each node the entries of its services.
+// The first control process of each region is its root; roots follow each other, the others follow the root of their region.
 type distributionPlane struct{}
 
 func (distributionPlane) Controls() bool { return true }
@@ -39,11 +39,11 @@
 func (distributionPlane) Check(s *Size) error {
 	switch {
 	case s.Event == DiscoveryDown:
-		return errors.New("--event discovery-away: changes are written at a control process; --event control-killed ends it")
+		return errors.New("--event discovery-away: plane distribution has no discovery: changes are written at a control process, which --event control-killed kills")
 	case s.Control < s.Regions:
-		return fmt.Errorf("--control %d: each of %d regions wants a root", s.Control, s.Regions)
+		return fmt.Errorf("--control %d: each of %d regions needs a root", s.Control, s.Regions)
 	case s.Services > maxServicesPerNode && (s.ServicesPerNode == 0 || s.ServicesPerNode > maxServicesPerNode):
-		return fmt.Errorf("--serves %d: a node names %d services at most", s.ServicesPerNode, maxServicesPerNode)
+		return fmt.Errorf("--serves %d: a node serves at most %d services on this plane", s.ServicesPerNode, maxServicesPerNode)
 	}
 	return nil
 }
@@ -52,7 +52,7 @@
 	return filepath.Join(l.Dir, fmt.Sprintf("control-%d.toml", n))
 }
 
-// upstreams of a control process, the preferred one first.
+// upstreams returns the upstreams of a control process, the preferred one first, and its setting follow.
 func (l *Layout) upstreams(n int) (addresses []string, follow string) {
 	region := l.controlRegion(n)
 	if n >= l.Size.Regions {
@@ -101,7 +101,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	cfg.Snapshot = nil // what the node holds of the distribution stands on its disk anyway
+	cfg.Snapshot = nil // the distribution client stores the node's entries on disk
 	c := &client.Config{Region: fmt.Sprint("region-", l.regionOf(node)), Zone: zoneName(l, l.zone(l.workerOf(node))), Directory: dir,
 		StartTimeout: tomlfile.Duration(startTimeout), Plaintext: true}
 	for _, s := range l.servicesOf(node) {
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// preferred are the control processes that a node names: the relays of its region, each node another one first, then the
-// root, then others.
+// preferred returns the control processes in a node's configuration, by preference: the relays of its region, rotated by
+// node, then the root of its region, then other roots and relays.
 func (l *Layout) preferred(node int) (controls []int) {
 	region := l.regionOf(node)
 	var relays, others []int
@@ -137,7 +137,7 @@
 
 func serviceName(service int) string { return fmt.Sprintf("svc%04d", service) }
 
-// writer changes servers by writes at a control process, at another one when that is lost.
+// writer is a Source that writes changes at a control process. It fails over to another one when the connection is lost.
 type writer struct {
 	layout  *Layout
 	config  *client.Config
@@ -150,7 +150,7 @@
 		at := l.controlAddress(n)
 		w.config.Control, w.config.Addresses = append(w.config.Control, at), append(w.config.Addresses, mustParseAddress(at))
 	}
-	by := time.Now().Add(maxInitialWriteTime)
+	deadline := time.Now().Add(maxInitialWriteTime)
 	for first := 0; first < l.Size.Servers; first += changesPerWrite {
 		var changes []distribution.Change
 		for i := first; i < min(first+changesPerWrite, l.Size.Servers); i++ {
@@ -160,7 +160,7 @@
 			}
 			changes = append(changes, c)
 		}
-		if _, err := w.write(changes, by); err != nil {
+		if _, err := w.write(changes, deadline); err != nil {
 			return nil, err
 		}
 	}
@@ -175,8 +175,9 @@
 	return distribution.Change{Key: key, Value: v}, err
 }
 
-// write tries until a control process has taken the changes; it returns when that try began.
-func (w *writer) write(changes []distribution.Change, by time.Time) (began time.Time, err error) {
+// write retries until a control process has acknowledged the changes or the deadline has passed. It returns when the last
+// attempt began.
+func (w *writer) write(changes []distribution.Change, deadline time.Time) (began time.Time, err error) {
 	for {
 		began = time.Now()
 		if w.session == nil {
@@ -189,7 +190,7 @@
 			w.session.Close()
 			w.session = nil
 		}
-		if time.Now().After(by) {
+		if time.Now().After(deadline) {
 			return began, err
 		}
 		time.Sleep(writeRetryInterval)
--- a/internal/testbed/scale/events.go
+++ b/internal/testbed/scale/events.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Events that may befall a fleet.
+// Names of events.
 const (
 	NoEvent         = ""
 	RestartTenth    = "restart-tenth"
@@ -18,15 +18,15 @@
 	StartAll        = "start-all"
 )
 
-// Events lists what may befall, with what it means here.
+// Events lists the events with their descriptions, for the help of the command.
 var Events = []struct{ Name, About string }{
-	{RestartTenth, "a tenth of the nodes' processes, one at least, are killed and started again"},
-	{Rack, "one process of nodes is killed, and back after half of the phase"},
-	{Zone, "all processes of a zone are killed, and back after half of the phase"},
-	{RegionPartition, "nodes and control processes of different regions do not reach each other for half of the phase; what comes to a node only after that counts from then"},
-	{ControlKilled, "the first control process is killed, and back after half of the phase"},
-	{DiscoveryDown, "discovery cannot be reached for half of the phase; changes made meanwhile count from its return"},
-	{StartAll, "all nodes are killed and started at once"},
+	{RestartTenth, "a tenth of the node processes, at least one, are killed and started again"},
+	{Rack, "one node process is killed, and started again after half of the phase"},
+	{Zone, "all node processes of a zone are killed, and started again after half of the phase"},
+	{RegionPartition, "nodes and control processes of different regions are partitioned for half of the phase; a change that a node applies only after that counts from the end of the partition"},
+	{ControlKilled, "the first control process is killed, and started again after half of the phase"},
+	{DiscoveryDown, "discovery is unreachable for half of the phase; changes made meanwhile count from its return"},
+	{StartAll, "all nodes are killed and started concurrently"},
 }
 
 func (s *Size) checkEvent() error {
@@ -38,14 +38,14 @@
 	case s.Event == NoEvent:
 		return nil
 	case !slices.Contains(names, s.Event):
-		return fmt.Errorf("--event %s: one of %s", s.Event, strings.Join(names, ", "))
+		return fmt.Errorf("--event %s: want one of %s", s.Event, strings.Join(names, ", "))
 	case s.Event == RegionPartition && s.Regions < 2:
-		return fmt.Errorf("--event %s needs two regions", s.Event)
+		return fmt.Errorf("--event %s: needs at least 2 regions", s.Event)
 	}
 	return nil
 }
 
-// victims are the nodes' processes that an event kills.
+// victims returns the node processes that the event kills.
 func (c *conductor) victims() (victims []int) {
 	all := len(c.workers)
 	switch c.layout.Size.Event {
--- a/internal/testbed/scale/hollow.go
+++ b/internal/testbed/scale/hollow.go
@@ -15,27 +15,28 @@
 	"fernvane/internal/proxy/engine"
 )
 
-// Shared is what hollow nodes lack or share, beside nodes that stand alone. The page and each result tell it.
+// Shared lists what hollow nodes lack or share compared with complete nodes. Each result and the help of the command contain
+// it.
 var Shared = []string{
-	"no clients and no servers: nothing is dialled but discovery, control processes and other nodes",
-	"nodes of one process share its runtime, collector and limits; a process has 2 threads",
-	"all nodes read one configuration and one operator's file; name, address and number differ",
-	"connections are plaintext on loopback: TLS's bytes and CPU are not in the figures",
-	"records of bindings are not kept: membership runs without replicas",
-	"discovery's side is the project's stand-in, with no limit to its capacity",
-	"messages are TCP segments with data, of up to 64 KB on loopback",
-	"bytes of a connection's last second before it ends may be missed",
+	"there are no clients and no servers: nodes connect only to discovery, control processes and other nodes",
+	"nodes of one process share its Go runtime, garbage collector and limits; a process has 2 threads",
+	"all nodes read the same configuration and operator's file; only name, address and number differ",
+	"connections are plaintext on loopback: the figures exclude bytes and CPU of TLS",
+	"there are no journals: membership runs without replicas",
+	"discovery is a stand-in without a capacity limit",
+	"messages are TCP segments with data, up to 64 KB each on loopback",
+	"bytes of the last second of a connection may be missing",
 }
 
 const (
-	snapshotInterval = 10 * time.Second // a usual one of 2 s would have one disk write for all machines of a fleet
-	seedMembers      = 3                // whom a node asks for others
+	snapshotInterval = 10 * time.Second // at the usual interval of 2 s, one disk would take the writes of a whole fleet
+	seedMembers      = 3                // addresses in a node's configuration, from which it learns of other members
 	hollowSockets    = 128
 	hollowThreads    = "2"
 	logLevelOfNodes  = zerolog.ErrorLevel
 )
 
-// hollow is one node of a process.
+// hollow is a hollow node.
 type hollow struct {
 	number int
 	reload chan os.Signal
@@ -43,7 +44,7 @@
 	done   chan error
 }
 
-// startHollow runs a node as it ships, on the files of the layout.
+// startHollow starts a complete node with the files of the layout. Only its policy is wrapped, to record inputs.
 func startHollow(l *Layout, number int, r *recorder) (*hollow, error) {
 	env := map[string]string{"PROXY_NAME": fmt.Sprintf("n%05d", number), "PROXY_LISTEN": l.nodeAddress(number, nodePort)}
 	if l.Size.Routes > 0 {
@@ -56,7 +57,7 @@
 	cfg.Settings.NodeIndex = number
 	cfg.Seed = uint32(l.Size.Seed) + uint32(number)
 	cfg.NewPolicy = r.observe(number, engine.NewPolicy)
-	// The limit that a node sets for its runtime is the process's, which all its nodes share.
+	// A node applies its memory limit to the Go runtime, which all nodes of the process share.
 	cfg.Limits.MemoryMB *= len(l.nodesOf(l.workerOf(number)))
 	cfg.Limits.Sockets = hollowSockets
 	if err := l.configureStorageAndPeers(&cfg, number); err != nil {
@@ -72,7 +73,7 @@
 	return h, nil
 }
 
-// beside sets up what a node has beside its list: its copy on disk, and other nodes.
+// configureStorageAndPeers configures the node's snapshot of the endpoint list on disk and its peers.
 func (l *Layout) configureStorageAndPeers(cfg *proxy.Config, number int) error {
 	if l.Size.Snapshots {
 		dir := l.snapshotDir(number)
@@ -90,12 +91,12 @@
 		return err
 	}
 	at := l.nodeAddress(number, memberPort)
-	var first []string
+	var seeds []string
 	for i := range min(seedMembers, l.Size.Nodes-1) {
-		// Spread over the fleet, so that the first nodes are not asked by all.
-		first = append(first, l.nodeAddress((number+1+i*l.Size.Nodes/seedMembers)%l.Size.Nodes, memberPort))
+		// Spread over the fleet, so that no node gets the join requests of all others.
+		seeds = append(seeds, l.nodeAddress((number+1+i*l.Size.Nodes/seedMembers)%l.Size.Nodes, memberPort))
 	}
-	cfg.Peers = &peer.Config{Name: cfg.Name, Listen: at, Advertise: at, ListenAddress: mustParseAddress(at), Peers: first, Deployment: "scale",
+	cfg.Peers = &peer.Config{Name: cfg.Name, Listen: at, Advertise: at, ListenAddress: mustParseAddress(at), Peers: seeds, Deployment: "scale",
 		Site: zoneName(l, l.zone(l.workerOf(number))), Machine: cfg.Name, Replicas: 1, ReplicaDir: dir, MaxReplicaBytes: 16 << 20,
 		RetentionAge: tomlfile.Duration(time.Hour), RepairBytesPerSecond: 1 << 20, SlowAfter: tomlfile.Duration(50 * time.Millisecond),
 		ReconcileAfter: tomlfile.Duration(time.Hour), Plaintext: true}
--- a/internal/testbed/scale/layout.go
+++ b/internal/testbed/scale/layout.go
@@ -10,28 +10,28 @@
 	"strings"
 )
 
-// Ports tell connections apart when they are counted: each kind has one on its serving side.
+// The port of the accepting side identifies the kind of a connection when traffic is counted.
 const (
-	discoveryPort   = 18070 // discovery, for nodes
+	discoveryPort   = 18070 // discovery, for connections of nodes
 	controlPort     = 18071 // control processes
-	memberPort      = 18072 // nodes, for each other
-	cutPort         = 18073 // ways between regions that can be cut
-	ownerPort       = 18074 // discovery, for control processes
-	nodePort        = 18080 // nodes, for clients; nobody connects
-	reservationPort = 18090 // held by the tool, so that two runs do not share a net
+	memberPort      = 18072 // nodes, for connections of other nodes
+	cutPort         = 18073 // forwarders between regions, whose connections can be cut
+	ownerPort       = 18074 // discovery, for connections of control processes
+	nodePort        = 18080 // nodes, for clients, of which a run has none
+	reservationPort = 18090 // listened on by the tool while it uses the network, so that runs never share one
 	firstNetwork    = 2
-	lastNetwork     = 15 // those above belong to the testbed
-	maxMarkers      = 64 // servers that change
+	lastNetwork     = 15 // higher ones are used by package loopback
+	maxMarkers      = 64 // servers that change during a run
 	discoveryHost   = 251
 	controlHost     = 252
 	cutHost         = 253
 	nodesPerSubnet  = 240
 )
 
-// Layout says where everything of a run is.
+// Layout assigns addresses, services, zones and file names to the parts of a run.
 type Layout struct {
 	Size    Size   `json:"size"`
-	Network int    `json:"net"` // 127.Net.x.y
+	Network int    `json:"net"` // second number of all addresses: 127.Network.x.y
 	Dir     string `json:"dir"`
 }
 
@@ -45,19 +45,19 @@
 func (l *Layout) discoveryAddress(port int) string { return l.address(discoveryHost, 1, port) }
 func (l *Layout) controlAddress(n int) string      { return l.address(controlHost, 1+n, controlPort) }
 
-// cutAddress is where nodes of a region reach a control process of another one.
+// cutAddress returns the forwarder address at which a region reaches a control process of another region.
 func (l *Layout) cutAddress(region, n int) string { return l.address(cutHost, 1+region*64+n, cutPort) }
 
-// zone of a process of nodes, and region of a zone.
+// zone returns the zone of a node process.
 func (l *Layout) zone(worker int) int     { return worker % l.Size.Zones }
 func (l *Layout) region(zone int) int     { return zone % l.Size.Regions }
 func (l *Layout) controlRegion(n int) int { return n % l.Size.Regions }
 func (l *Layout) workerOf(node int) int   { return node % l.Size.workers() }
 
-// regionOf a node.
+// regionOf returns the region of a node.
 func (l *Layout) regionOf(node int) int { return l.region(l.zone(l.workerOf(node))) }
 
-// nodesOf are the nodes of a process.
+// nodesOf returns the nodes of a process.
 func (l *Layout) nodesOf(worker int) (nodes []int) {
 	for n := worker; n < l.Size.Nodes; n += l.Size.workers() {
 		nodes = append(nodes, n)
@@ -65,11 +65,11 @@
 	return nodes
 }
 
-// servicesOf are the services that a node serves.
+// servicesOf returns the services that a node serves.
 func (l *Layout) servicesOf(node int) (services []int) {
-	serves := l.servicesPerNode()
-	for i := range serves {
-		services = append(services, (node*serves+i)%l.Size.Services)
+	perNode := l.servicesPerNode()
+	for i := range perNode {
+		services = append(services, (node*perNode+i)%l.Size.Services)
 	}
 	return services
 }
@@ -81,13 +81,13 @@
 	return l.Size.ServicesPerNode
 }
 
-// served reports whether a node is told of a server.
+// isServed reports whether a node receives a server's entry.
 func (l *Layout) isServed(node, server int) bool {
 	n := l.Size.Services
 	return ((server-node*l.servicesPerNode())%n+n)%n < l.servicesPerNode()
 }
 
-// serversOf counts the servers that a node is told of.
+// serversOf returns the number of servers that a node receives.
 func (l *Layout) serversOf(node int) (count int) {
 	for _, s := range l.servicesOf(node) {
 		count += (l.Size.Servers - s + l.Size.Services - 1) / l.Size.Services
@@ -95,10 +95,11 @@
 	return count
 }
 
-// parsed is an address that the layout has made.
+// mustParseAddress parses an address of the layout.
 func mustParseAddress(address string) netip.AddrPort { return netip.MustParseAddrPort(address) }
 
-// reach is the address of a control process as those of a region reach it.
+// controlAddressFrom returns the address at which a region reaches a control process: its own, or that of a forwarder if the
+// run partitions regions.
 func (l *Layout) controlAddressFrom(region, n int) string {
 	if l.controlRegion(n) == region || l.Size.Event != RegionPartition {
 		return l.controlAddress(n)
@@ -106,7 +107,7 @@
 	return l.cutAddress(region, n)
 }
 
-// controlsFor are the addresses of the control processes as nodes of a region reach them, those of their own region first.
+// controlsFor returns the addresses at which a region reaches the control processes, those of the region itself first.
 func (l *Layout) controlsFor(region int) (addresses []string) {
 	for _, own := range []bool{true, false} {
 		for n := range l.Size.Control {
@@ -126,14 +127,14 @@
 	return fmt.Sprintf("region-%d-zone-%d", l.region(zone), zone)
 }
 
-// claim finds a net that no other run holds; it is held until the listener is closed.
+// reserveNetwork reserves a loopback network that no other run uses, until the returned listener is closed.
 func reserveNetwork() (netNumber int, held net.Listener, err error) {
 	for n := firstNetwork; n <= lastNetwork; n++ {
 		if held, err = net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", n, reservationPort)); err == nil {
 			return n, held, nil
 		}
 	}
-	return 0, nil, fmt.Errorf("no loopback net is free: %v", err)
+	return 0, nil, fmt.Errorf("reserve loopback network: all are in use: %v", err)
 }
 
 type object = map[string]any
@@ -148,7 +149,7 @@
 func (l *Layout) planPath(n int) string      { return filepath.Join(l.Dir, fmt.Sprintf("plan-%d.toml", n)) }
 func (l *Layout) logPath(name string) string { return filepath.Join(l.Dir, name+".log") }
 
-// write makes the files that all nodes share.
+// write writes the files that all nodes share.
 func (l *Layout) write() error {
 	types := []object{}
 	for _, t := range []struct {
@@ -179,7 +180,7 @@
 	return l.writeRoutes(0)
 }
 
-// writeRoutes writes the operator's file, whose first route changes with each revision.
+// writeRoutes writes the operator's file. The rate of the first route differs between revisions.
 func (l *Layout) writeRoutes(revision int) error {
 	if l.Size.Routes == 0 {
 		return nil
--- a/internal/testbed/scale/ledger.go
+++ b/internal/testbed/scale/ledger.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ledger holds what was changed, and when each node had it in force.
+// ledger records changes of servers and when each node applied them. It is safe for concurrent use.
 type ledger struct {
 	nodes    int
 	isServed func(node, server int) bool
@@ -13,13 +13,13 @@
 	mu               sync.Mutex
 	changes          []*change
 	byMarker         map[int][]*change
-	partitionEndedAt int64   // when regions that were apart reached each other again; 0: they were not apart
-	startedAt        []int64 // by node, of its present life
-	completeAt       []int64 // likewise; 0: it does not know all servers yet
+	partitionEndedAt int64   // Unix ns: end of the partition between regions; 0: there was none
+	startedAt        []int64 // by node, Unix ns: last start
+	completeAt       []int64 // by node, Unix ns: when it knew all servers; 0: it does not yet
 	isDown           []bool
-	routesAppliedAt  []int64 // when it last took in routes
-	counts           map[int]deliveryCounts
-	endedCounts      deliveryCounts // of processes that have ended
+	routesAppliedAt  []int64                // by node, Unix ns: when it last applied routes
+	counts           map[int]deliveryCounts // by process of nodes
+	endedCounts      deliveryCounts         // sum over processes that have ended
 }
 
 // change is one change of a server.
@@ -27,10 +27,10 @@
 	marker       int
 	draining     bool
 	madeAt       int64
-	supersededAt int64 // when the same server changed again; 0: it has not
+	supersededAt int64 // Unix ns: time of the next change of the same server; 0: none
 	appliedAt    []int64
-	isUnserved   []bool // nodes that are not told of the server
-	wasDown      []bool // nodes that were down at some time from then on
+	isUnserved   []bool // by node: it does not serve the server's service
+	wasDown      []bool // by node: it was down at some time since the change
 }
 
 func newLedger(nodes int, served func(node, server int) bool) *ledger {
@@ -38,7 +38,7 @@
 		isDown: make([]bool, nodes), routesAppliedAt: make([]int64, nodes), counts: map[int]deliveryCounts{}}
 }
 
-// changed notes a change that is being made.
+// addChange adds a change that is about to be made.
 func (l *ledger) addChange(marker int, draining bool, now time.Time) *change {
 	at := now.UnixNano()
 	l.mu.Lock()
@@ -55,21 +55,21 @@
 	return c
 }
 
-// counts says from when on a change counts as made.
+// setMadeAt sets the time from which the latency of a change counts.
 func (l *ledger) setMadeAt(c *change, at int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.madeAt = at
 }
 
-// heard takes in what a process of nodes says.
-func (l *ledger) recordAnnouncement(worker int, t announcement) {
+// recordAnnouncement records an announcement of a process of nodes.
+func (l *ledger) recordAnnouncement(worker int, a announcement) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t.Handed != nil {
-		l.counts[worker] = *t.Handed
+	if a.Handed != nil {
+		l.counts[worker] = *a.Handed
 	}
-	for _, r := range t.Records {
+	for _, r := range a.Records {
 		switch r.Kind {
 		case nodeStarted:
 			l.startedAt[r.Node], l.completeAt[r.Node] = r.At, 0
@@ -85,7 +85,8 @@
 	}
 }
 
-// took books a change by the state that it leads to: what was told of the one before says nothing of it.
+// recordMarker records the change that a node's marker record confirms. A record with the state of an earlier change does not confirm a
+// later one.
 func (l *ledger) recordMarker(r record) {
 	for _, c := range l.byMarker[r.Marker] {
 		if c.draining == r.Draining && r.At >= c.madeAt && (c.supersededAt == 0 || r.At < c.supersededAt) && c.appliedAt[r.Node] == 0 {
@@ -94,7 +95,7 @@
 	}
 }
 
-// lost notes that nodes were killed.
+// nodesKilled records that a process and its nodes were killed.
 func (l *ledger) nodesKilled(worker int, nodes []int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,7 +113,7 @@
 	}
 }
 
-// allWhole reports whether each node knows all servers.
+// allComplete reports whether each node knows all servers.
 func (l *ledger) allComplete() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,7 +129,7 @@
 	return n
 }
 
-// handed are the sums over all processes of nodes.
+// handed returns the sums over all processes of nodes.
 func (l *ledger) handed() (sum deliveryCounts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,65 +141,65 @@
 	return sum
 }
 
-// start is how long nodes took, from a moment on, until they knew all servers.
+// startLatency returns how long nodes took from a common start until they knew all servers.
 func (l *ledger) startLatency(since time.Time, nodes []int) *ChangeLatency {
 	return l.completionLatency(nodes, func(int) int64 { return since.UnixNano() })
 }
 
-// restarted is the same for each node from its own last start on.
+// restartLatency returns how long nodes took from their own last start until they knew all servers.
 func (l *ledger) restartLatency(nodes []int) *ChangeLatency {
 	return l.completionLatency(nodes, func(node int) int64 { return l.startedAt[node] })
 }
 
-// knew is how long nodes took until they knew all servers, each from a moment of its own on.
+// completionLatency returns how long nodes took until they knew all servers, each from its own start.
 func (l *ledger) completionLatency(nodes []int, since func(node int) int64) *ChangeLatency {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var took []time.Duration
+	var latencies []time.Duration
 	missing := 0
 	for _, n := range nodes {
 		if l.completeAt[n] == 0 {
 			missing++
 		} else if from := since(n); l.completeAt[n] >= from {
-			took = append(took, time.Duration(l.completeAt[n]-from))
+			latencies = append(latencies, time.Duration(l.completeAt[n]-from))
 		}
 	}
-	return newChangeLatency(1, missing, 0, took)
+	return newChangeLatency(1, missing, 0, latencies)
 }
 
-// inForce is how long the changes since the n-th took. One that was overtaken by another of the same server counts only
-// where it was taken.
+// changeLatency returns the latency of the changes since the n-th. A change that was superseded by another one of the same
+// server counts only at nodes that applied it.
 func (l *ledger) changeLatency(from int) *ChangeLatency {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var took []time.Duration
+	var latencies []time.Duration
 	missing, down := 0, 0
 	for _, c := range l.changes[from:] {
 		for n, at := range c.appliedAt {
 			switch {
 			case c.isUnserved[n]:
-			case c.wasDown[n]: // whenever it had it then: that says how long it was down
+			case c.wasDown[n]: // its latency would measure the downtime
 				down++
 			case at > 0:
-				took = append(took, time.Duration(max(at-l.effectiveStart(c, at), 0)))
+				latencies = append(latencies, time.Duration(max(at-l.effectiveStart(c, at), 0)))
 			case c.supersededAt == 0:
 				missing++
 			}
 		}
 	}
-	return newChangeLatency(len(l.changes)-from, missing, down, took)
+	return newChangeLatency(len(l.changes)-from, missing, down, latencies)
 }
 
-// since is from when on a change counts at a node that took it at a moment: what was made while regions were apart, and
-// came to a node only after that, counts from when they reached each other again.
-func (l *ledger) effectiveStart(c *change, taken int64) int64 {
-	if taken > l.partitionEndedAt {
+// effectiveStart returns the time from which a change counts at a node that applied it at a given time. A change that was made
+// during a partition and applied after it counts from the end of the partition.
+func (l *ledger) effectiveStart(c *change, appliedAt int64) int64 {
+	if appliedAt > l.partitionEndedAt {
 		return max(c.madeAt, l.partitionEndedAt)
 	}
 	return c.madeAt
 }
 
-// together notes that regions reach each other again.
+// partitionEnded records the end of a partition between regions.
 func (l *ledger) partitionEnded(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -211,18 +212,18 @@
 	return len(l.changes)
 }
 
-// rerouted is how long nodes took to have the operator's file of a moment in force.
+// reloadLatency returns how long nodes took to apply the operator's file that was written at a given time.
 func (l *ledger) reloadLatency(since time.Time) *ChangeLatency {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var took []time.Duration
+	var latencies []time.Duration
 	missing := 0
 	for _, at := range l.routesAppliedAt {
 		if at >= since.UnixNano() {
-			took = append(took, time.Duration(at-since.UnixNano()))
+			latencies = append(latencies, time.Duration(at-since.UnixNano()))
 		} else {
 			missing++
 		}
 	}
-	return newChangeLatency(1, missing, 0, took)
+	return newChangeLatency(1, missing, 0, latencies)
 }
--- a/internal/testbed/scale/meter.go
+++ b/internal/testbed/scale/meter.go
@@ -6,14 +6,15 @@
 	"strings"
 )
 
-// meter adds up what passed on the connections of one net, by the port of their serving side. Connections to control
-// processes that are no node's, but each other's or those of discovery's side, are told by who holds their calling end.
+// meter sums the traffic of all connections of one loopback network, by the port of their accepting side. Connections from
+// control processes or the discovery process to control processes are distinguished from those of nodes by the process that
+// owns their dialing socket.
 type meter struct {
 	network   byte
-	sums      map[uint16]flow // from the serving side
-	nonNode   flow            // from the calling side: to control processes, of others than nodes
+	sums      map[uint16]flow // by port, from the accepting side
+	nonNode   flow            // from the dialing side: connections of other processes than nodes to control processes
 	last      map[uint64]flow
-	isNonNode map[uint64]bool // by calling end: it is no node's
+	isNonNode map[uint64]bool // by cookie of the dialing socket
 }
 
 const roleMembership role = "membership"
@@ -22,10 +23,10 @@
 	return &meter{network: byte(net), sums: map[uint16]flow{}, last: map[uint64]flow{}, isNonNode: map[uint64]bool{}}
 }
 
-// read brings the sums up to now. A connection that has ended since keeps what was counted of it. inner are the processes
-// whose connections to control processes are no node's.
-func (m *meter) read(inner func() []int) error {
-	seen, whose, callers := map[uint64]flow{}, map[uint64]bool{}, []*socket{}
+// read updates the sums. The traffic of a connection that has ended since the last call stays included up to that call.
+// nonNode returns the ids of the processes other than nodes that connect to control processes.
+func (m *meter) read(nonNode func() []int) error {
+	seen, isNonNode, callers := map[uint64]flow{}, map[uint64]bool{}, []*socket{}
 	err := forEachSocket(func(s *socket) {
 		if s.localIP[0] != 127 {
 			return
@@ -47,46 +48,46 @@
 	if err != nil {
 		return err
 	}
-	var held map[uint32]bool // asked for once only, and only where a connection is new
+	var inodes map[uint32]bool // read at most once, and only if there is a new connection
 	for _, c := range callers {
-		is, known := m.isNonNode[c.cookie]
+		isOther, known := m.isNonNode[c.cookie]
 		if !known {
-			if held == nil {
-				held = socketInodesOf(inner())
+			if inodes == nil {
+				inodes = socketInodesOf(nonNode())
 			}
-			is = held[c.inode]
+			isOther = inodes[c.inode]
 		}
-		if whose[c.cookie] = is; is {
+		if isNonNode[c.cookie] = isOther; isOther {
 			m.nonNode.add(c.flow.minus(m.last[c.cookie]))
 			seen[c.cookie] = c.flow
 		}
 	}
-	m.last, m.isNonNode = seen, whose
+	m.last, m.isNonNode = seen, isNonNode
 	return nil
 }
 
-// heldBy are the inodes of the sockets that processes hold.
+// socketInodesOf returns the inodes of the sockets that processes have open.
 func socketInodesOf(pids []int) map[uint32]bool {
-	held := map[uint32]bool{}
+	inodes := map[uint32]bool{}
 	for _, pid := range pids {
 		dir := fmt.Sprintf("/proc/%d/fd", pid)
 		entries, err := os.ReadDir(dir)
 		if err != nil {
-			continue // it has ended
+			continue // the process has ended
 		}
 		for _, e := range entries {
 			to, err := os.Readlink(dir + "/" + e.Name())
 			var inode uint32
 			if err == nil && strings.HasPrefix(to, "socket:") {
 				fmt.Sscanf(to, "socket:[%d]", &inode)
-				held[inode] = true
+				inodes[inode] = true
 			}
 		}
 	}
-	return held
+	return inodes
 }
 
-// flows of the roles, each from its own side.
+// flows returns the traffic of each role, as seen from its own side.
 func (m *meter) flows() map[role]flow {
 	nodes := m.sums[discoveryPort].reversed()
 	nodes.add(m.sums[controlPort].reversed().minus(m.nonNode))
@@ -97,6 +98,6 @@
 	discovery.add(m.sums[ownerPort])
 	members := m.sums[memberPort]
 	both := members.reversed()
-	both.add(members) // each connection has two nodes, and both their sides count
+	both.add(members) // each connection joins two nodes, and both sides count
 	return map[role]flow{roleNodes: nodes, roleControl: control, roleDiscovery: discovery, roleMembership: both}
 }
--- a/internal/testbed/scale/phases.go
+++ b/internal/testbed/scale/phases.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// phases plays all parts of a run, in order.
+// phases runs all phases that the size asks for, in order.
 func (c *conductor) phases(ctx context.Context) (all []Phase, err error) {
-	for _, part := range []struct {
-		name   string
-		wanted bool
-		play   func(context.Context) (*ChangeLatency, error)
+	for _, phase := range []struct {
+		name      string
+		isEnabled bool
+		run       func(context.Context) (*ChangeLatency, error)
 	}{
 		{"start", true, c.startPhase},
 		{"rest", true, c.restPhase},
@@ -23,17 +23,17 @@
 		{"reload", c.Size.Routes > 0, c.reloadPhase},
 		{c.Size.Event, c.Size.Event != NoEvent, c.eventPhase},
 	} {
-		if !part.wanted {
+		if !phase.isEnabled {
 			continue
 		}
-		if part.name == "rest" {
+		if phase.name == "rest" {
 			pause(ctx, settleTime)
 		}
 		before, err := c.reading()
 		if err != nil {
 			return nil, err
 		}
-		in, err := part.play(ctx)
+		in, err := phase.run(ctx)
 		if err != nil || ctx.Err() != nil {
 			return nil, err
 		}
@@ -41,7 +41,7 @@
 		if err != nil {
 			return nil, err
 		}
-		p := c.phase(part.name, before, after, in)
+		p := c.phase(phase.name, before, after, in)
 		p.RestartLatency = c.restartLatency
 		all = append(all, p)
 	}
@@ -57,34 +57,34 @@
 	}
 }
 
-// until waits for something to be so.
-func waitUntil(ctx context.Context, most time.Duration, is func() bool) bool {
-	for by := time.Now().Add(most); ctx.Err() == nil && time.Now().Before(by); pause(ctx, conditionPollInterval) {
-		if is() {
+// waitUntil polls a condition until it is true or the timeout has passed, and returns its last value.
+func waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
+	for deadline := time.Now().Add(timeout); ctx.Err() == nil && time.Now().Before(deadline); pause(ctx, conditionPollInterval) {
+		if condition() {
 			return true
 		}
 	}
-	return is()
+	return condition()
 }
 
-// startAll starts what nodes need and then all nodes at once.
+// startPhase starts discovery and the control processes, and then all nodes concurrently.
 func (c *conductor) startPhase(ctx context.Context) (*ChangeLatency, error) {
 	c.logProgress("%d processes, about %.2f GB", c.Size.Processes(), c.Size.Memory()/1e9)
-	first := slices.Concat([]*process{c.discovery}, c.controls)
+	services := slices.Concat([]*process{c.discovery}, c.controls)
 	if c.regionLinks != nil {
-		first = append(first, c.regionLinks)
+		services = append(services, c.regionLinks)
 	}
-	for _, p := range first {
+	for _, p := range services {
 		if err := p.start(); err != nil {
 			return nil, err
 		}
 	}
-	for _, p := range first {
+	for _, p := range services {
 		if err := p.await(maxReadyTime); err != nil {
 			return nil, err
 		}
 	}
-	c.logProgress("discovery's side and %d control processes are there", len(c.controls))
+	c.logProgress("discovery and %d control processes are ready", len(c.controls))
 	began := time.Now()
 	if err := c.startNodes(c.workers); err != nil {
 		return nil, err
@@ -96,16 +96,16 @@
 
 func (c *conductor) startNodes(workers []*process) error {
 	var all sync.WaitGroup
-	faults := make([]error, len(workers))
+	errs := make([]error, len(workers))
 	for i, w := range workers {
 		all.Go(func() {
-			if faults[i] = w.start(); faults[i] == nil {
-				faults[i] = w.await(maxReadyTime)
+			if errs[i] = w.start(); errs[i] == nil {
+				errs[i] = w.await(maxReadyTime)
 			}
 		})
 	}
 	all.Wait()
-	for _, err := range faults {
+	for _, err := range errs {
 		if err != nil {
 			return err
 		}
@@ -131,14 +131,14 @@
 }
 
 func (c *conductor) restPhase(ctx context.Context) (*ChangeLatency, error) {
-	c.logProgress("at rest for %s", c.Size.PhaseDuration)
+	c.logProgress("idle for %s", c.Size.PhaseDuration)
 	pause(ctx, c.Size.PhaseDuration)
 	return nil, nil
 }
 
-// changes has servers drain and serve again, at an even pace.
+// changesPhase sets servers to draining and serving at a constant rate.
 func (c *conductor) changesPhase(ctx context.Context) (*ChangeLatency, error) {
-	c.logProgress("%g changes a second for %s", c.Size.Churn, c.Size.PhaseDuration)
+	c.logProgress("%g changes per second for %s", c.Size.Churn, c.Size.PhaseDuration)
 	from := c.ledger.count()
 	if err := c.churn(ctx, c.Size.PhaseDuration); err != nil {
 		return nil, err
@@ -146,15 +146,15 @@
 	return c.awaitChanges(ctx, from), nil
 }
 
-// trail waits for the last node, and tells how long all took.
+// awaitChanges waits until all nodes have applied the changes since the n-th, or a timeout, and returns their latency.
 func (c *conductor) awaitChanges(ctx context.Context, from int) *ChangeLatency {
 	waitUntil(ctx, maxChangeWait, func() bool { return c.ledger.changeLatency(from).Missing == 0 })
 	in := c.ledger.changeLatency(from)
-	c.logProgress("%d changes: in force after %.0f ms (p50), %.0f (p99), %.0f (last); %d not taken", in.Changes, in.P50, in.P99, in.Last, in.Missing)
+	c.logProgress("%d changes: applied after %.0f ms (p50), %.0f ms (p99), %.0f ms (last); %d not applied", in.Changes, in.P50, in.P99, in.Last, in.Missing)
 	return in
 }
 
-// churn makes changes for a while.
+// churn makes changes at a constant rate for a given time.
 func (c *conductor) churn(ctx context.Context, length time.Duration) error {
 	gap := time.Duration(float64(time.Second) / c.Size.Churn)
 	for end := time.Now().Add(length); ctx.Err() == nil && time.Now().Before(end); pause(ctx, gap) {
@@ -165,12 +165,12 @@
 	return nil
 }
 
-// restarts kills the processes of nodes in turn and starts them again at once, at a steady rate and without changes, so that
-// what the phase costs beside rest is the restarts' own.
+// restartsPhase kills node processes one after the other and starts them again immediately, at a constant rate. No servers
+// change meanwhile, so that the difference to the idle phase is the cost of restarts alone.
 func (c *conductor) restartsPhase(ctx context.Context) (*ChangeLatency, error) {
-	c.logProgress("%g processes of nodes a second start again for %s", c.Size.Restarts, c.Size.PhaseDuration)
+	c.logProgress("%g node processes per second restart for %s", c.Size.Restarts, c.Size.PhaseDuration)
 	gap := time.Duration(float64(time.Second) / c.Size.Restarts)
-	began, nodes := time.Now(), map[int]bool{}
+	began, restarted := time.Now(), map[int]bool{}
 	for n := 0; ctx.Err() == nil && time.Since(began) < c.Size.PhaseDuration; n++ {
 		due := began.Add(time.Duration(n) * gap)
 		pause(ctx, time.Until(due))
@@ -180,45 +180,45 @@
 			return nil, err
 		}
 		for _, node := range c.nodesOf(victim) {
-			nodes[node] = true
+			restarted[node] = true
 		}
 	}
 	c.waitComplete(ctx)
-	in := c.ledger.restartLatency(slices.Sorted(maps.Keys(nodes)))
-	c.logProgress("%d nodes have started again: they know all servers after %.0f ms (p50), %.0f (last); %d do not", len(nodes), in.P50, in.Last, in.Missing)
+	in := c.ledger.restartLatency(slices.Sorted(maps.Keys(restarted)))
+	c.logProgress("%d nodes restarted: all servers known after %.0f ms (p50), %.0f ms (last); %d nodes do not know all", len(restarted), in.P50, in.Last, in.Missing)
 	return in, nil
 }
 
-// change has the next server drain, or serve again where all have drained.
+// change sets the next marker server to draining, or to serving in every second round over the markers.
 func (c *conductor) change() (*change, error) {
 	n, markers := c.ledger.count(), c.layout.markers()
 	marker, draining := n%markers, n/markers%2 == 0
-	made := c.ledger.addChange(marker, draining, time.Now()) // before it is made: nodes may tell of it at once
-	answer, err := c.sendAndWait(c.discovery, order{Do: doChange, Server: marker, Draining: draining})
+	made := c.ledger.addChange(marker, draining, time.Now()) // before the change is made: nodes may apply it before the response arrives
+	response, err := c.sendAndWait(c.discovery, order{Do: doChange, Server: marker, Draining: draining})
 	if err != nil {
 		return nil, err
 	}
-	c.ledger.setMadeAt(made, answer.Changed)
+	c.ledger.setMadeAt(made, response.Changed)
 	return made, nil
 }
 
-// ask gives discovery's side an order and waits until it was carried out.
+// sendAndWait sends an order to the discovery process and waits for its result.
 func (c *conductor) sendAndWait(p *process, o order) (announcement, error) {
 	if err := p.send(o); err != nil {
 		return announcement{}, err
 	}
 	select {
-	case t := <-c.responses:
-		if t.Error != "" {
-			return t, fmt.Errorf("%s: %s", p.name(), t.Error)
+	case response := <-c.responses:
+		if response.Error != "" {
+			return response, fmt.Errorf("%s: %s", p.name(), response.Error)
 		}
-		return t, nil
+		return response, nil
 	case <-time.After(maxOrderTime):
-		return announcement{}, fmt.Errorf("%s does not answer", p.name())
+		return announcement{}, fmt.Errorf("send order to %s: response timed out", p.name())
 	}
 }
 
-// reload has all nodes read a new revision of the operator's file.
+// reloadPhase has all nodes reload a new revision of the operator's file.
 func (c *conductor) reloadPhase(ctx context.Context) (*ChangeLatency, error) {
 	c.revision++
 	if err := c.layout.writeRoutes(c.revision); err != nil {
@@ -232,11 +232,11 @@
 	}
 	waitUntil(ctx, maxCompleteWait, func() bool { return c.ledger.reloadLatency(began).Missing == 0 })
 	in := c.ledger.reloadLatency(began)
-	c.logProgress("the operator's file is in force after %.0f ms (p50), %.0f (last); %d nodes have not taken it", in.P50, in.Last, in.Missing)
+	c.logProgress("operator's file applied after %.0f ms (p50), %.0f ms (last); %d nodes have not applied it", in.P50, in.Last, in.Missing)
 	return in, nil
 }
 
-// event has what was asked for befall, while changes go on, and waits until all is well.
+// eventPhase runs the event while changes continue and waits until all nodes know all servers and have applied all changes.
 func (c *conductor) eventPhase(ctx context.Context) (*ChangeLatency, error) {
 	from := c.ledger.count()
 	stop, stopChurn := context.WithCancel(ctx)
@@ -255,8 +255,8 @@
 	if err != nil {
 		stopChurn()
 	}
-	if fault := <-done; err == nil {
-		err = fault
+	if churnErr := <-done; err == nil {
+		err = churnErr
 	}
 	if err != nil {
 		return nil, err
@@ -267,7 +267,7 @@
 	return c.awaitChanges(ctx, from), nil
 }
 
-// befall brings an event about, and its end.
+// runEvent begins the event and, if it lasts for some time, ends it.
 func (c *conductor) runEvent(ctx context.Context) error {
 	half := c.Size.PhaseDuration / 2
 	switch c.Size.Event {
@@ -276,13 +276,13 @@
 			return err
 		}
 		pause(ctx, half)
-		c.logProgress("regions reach each other again")
+		c.logProgress("partition between regions ended")
 		c.ledger.partitionEnded(time.Now())
 		return c.regionLinks.send(order{Do: doCutRegions})
 	case ControlKilled:
 		c.controls[0].kill()
 		pause(ctx, half)
-		c.logProgress("the control process is back")
+		c.logProgress("control process starts again")
 		return c.controls[0].start()
 	case DiscoveryDown:
 		return c.discoveryDown(ctx, half)
@@ -296,7 +296,7 @@
 	if c.Size.Event == Rack || c.Size.Event == Zone {
 		pause(ctx, half)
 	}
-	c.logProgress("%d processes of nodes start again", len(killed))
+	c.logProgress("%d node processes start again", len(killed))
 	began := time.Now()
 	if err := c.startNodes(killed); err != nil {
 		return err
@@ -317,7 +317,8 @@
 	}
 }
 
-// away takes discovery out of reach, with a change meanwhile, which counts from its return.
+// discoveryDown makes discovery unreachable for a given time and makes a change meanwhile, which counts from discovery's
+// return.
 func (c *conductor) discoveryDown(ctx context.Context, length time.Duration) error {
 	if _, err := c.sendAndWait(c.discovery, order{Do: doSetDown, On: true}); err != nil {
 		return err
@@ -330,7 +331,7 @@
 	if _, err := c.sendAndWait(c.discovery, order{Do: doSetDown}); err != nil {
 		return err
 	}
-	c.logProgress("discovery is back")
+	c.logProgress("discovery reachable again")
 	c.ledger.setMadeAt(made, time.Now().UnixNano())
 	return nil
 }
--- a/internal/testbed/scale/plane.go
+++ b/internal/testbed/scale/plane.go
@@ -13,42 +13,43 @@
 	"fernvane/internal/proxy"
 )
 
-// Plane is a mechanism that carries changes of servers to nodes. Everything else of a run, the hollow nodes, the events,
-// what is counted and how, is the same for all of them.
+// Plane is a mechanism that distributes changes of servers to nodes. Hollow nodes, events and measurements of a run are the
+// same for all planes.
 type Plane interface {
 	// Controls reports whether there are control processes between discovery's side and the nodes.
 	Controls() bool
-	// Scoped reports whether a node is sent its own services alone.
+	// Scoped reports whether a node receives only the services that it serves.
 	Scoped() bool
-	// Check tells in one line why a size cannot be played.
+	// Check returns an error of one line if the plane does not support a size.
 	Check(s *Size) error
-	// Prepare writes the files that control processes and nodes read, before any of them starts.
+	// Prepare writes the files of control processes and nodes before any of them starts.
 	Prepare(l *Layout) error
-	// Control runs the n-th control process until the context ends. It returns when the process cannot go on.
+	// Control runs the n-th control process until the context ends or the process fails.
 	Control(ctx context.Context, l *Layout, n int) error
-	// Source is where changes are made: discovery's side, or a part of the plane itself that takes them. Control processes
-	// are starting beside it; it is there once all servers are listed.
+	// Source starts the process's source of changes and returns when it lists all servers. Control processes start
+	// concurrently.
 	Source(l *Layout) (Source, error)
-	// Configure has a node take part, by the configuration that it has loaded.
+	// Configure adds the plane's settings to the configuration that a node has loaded.
 	Configure(l *Layout, node int, cfg *proxy.Config) error
 }
 
-// Source is where servers change. It lives in the process of discovery's side.
+// Source changes servers. It runs in the discovery process: as the stand-in of discovery, or as a writer at the plane's
+// control processes.
 type Source interface {
-	// Change has one of the servers drain or serve again; it returns when the change was made.
+	// Change sets a server to draining or serving and returns the time of the change.
 	Change(server int, draining bool) (time.Time, error)
-	// Away takes the source out of reach, or brings it back.
-	SetDown(away bool) error
-	// Close ends it.
+	// SetDown makes the source unreachable, or reachable again.
+	SetDown(isDown bool) error
+	// Close closes the source's connections.
 	Close()
 }
 
 var planes = map[string]Plane{"discovery": discoveryPlane{}, "planners": plannersPlane{}, "distribution": distributionPlane{}}
 
-// Planes are the names of those that can be played.
+// Planes returns the names of all planes in order.
 func Planes() []string { return slices.Sorted(maps.Keys(planes)) }
 
-// discoveryPlane has each node watch discovery by itself.
+// discoveryPlane has each node watch discovery directly.
 type discoveryPlane struct{}
 
 func (discoveryPlane) Scoped() bool   { return false }
@@ -66,7 +67,7 @@
 func (discoveryPlane) Source(l *Layout) (Source, error)            { return newStandin(l) }
 func (discoveryPlane) Configure(*Layout, int, *proxy.Config) error { return nil }
 
-// plannersPlane has planners watch discovery, and nodes follow the planners.
+// plannersPlane has planners watch discovery, and nodes receive plans from the planners.
 type plannersPlane struct{ discoveryPlane }
 
 func (plannersPlane) Controls() bool    { return true }
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// reachable waits for an address to be listened at.
+// waitListening waits until an address accepts connections.
 func waitListening(ctx context.Context, address string) error {
 	for ctx.Err() == nil {
 		c, err := net.DialTimeout("tcp", address, time.Second)
@@ -104,5 +105,5 @@
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("%s is not listened at: %w", address, ctx.Err())
+	return fmt.Errorf("wait for listener at %s: %w", address, ctx.Err())
 }
--- a/internal/testbed/scale/process.go
+++ b/internal/testbed/scale/process.go
@@ -14,10 +14,10 @@
 
 const (
 	logTailBytes = 400
-	maxLineBytes = 4 << 20 // of what a process says at a time
+	maxLineBytes = 4 << 20 // of one announcement
 )
 
-// process is one of the tool's, over its restarts.
+// process is a process of the run as seen by the tool, over its restarts.
 type process struct {
 	task    task
 	command []string
@@ -28,13 +28,14 @@
 	in              io.WriteCloser
 	ready           chan struct{}
 	ended           chan struct{}
-	isStopRequested bool    // to end
-	endedCPU        float64 // CPU seconds of those before
+	isStopRequested bool    // by kill
+	endedCPU        float64 // CPU seconds of earlier starts
 }
 
 func (p *process) name() string { return fmt.Sprintf("%s-%d", p.task.Role, p.task.Number) }
 
-// start runs the process; it is ready when ready is closed. It ends with its standard input, and so with the tool.
+// start starts the process, which is ready when ready is closed. The process ends when its standard input does, so at the
+// latest with the tool.
 func (p *process) start() error {
 	log, err := os.OpenFile(p.task.Layout.logPath(p.name()), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
@@ -52,7 +53,7 @@
 		return err
 	}
 	if err := c.Start(); err != nil {
-		return fmt.Errorf("%s cannot be started: %w", p.name(), err)
+		return fmt.Errorf("start process %s: %w", p.name(), err)
 	}
 	ready, ended := make(chan struct{}), make(chan struct{})
 	p.mu.Lock()
@@ -62,31 +63,32 @@
 	return json.NewEncoder(in).Encode(p.task)
 }
 
-// listen hears what the process says until it has ended.
+// listen handles the announcements of the process until it has ended. An end that was not requested is reported as an
+// error.
 func (p *process) listen(c *exec.Cmd, out io.Reader, ready, ended chan struct{}) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		var t announcement
-		if json.Unmarshal(lines.Bytes(), &t) != nil {
-			continue // what is none of ours, as a panic's first line
+		var a announcement
+		if json.Unmarshal(lines.Bytes(), &a) != nil {
+			continue // not an announcement, such as the first line of a panic
 		}
-		if t.Ready {
+		if a.Ready {
 			close(ready)
 		}
-		p.handle(p, t)
+		p.handle(p, a)
 	}
 	c.Wait()
 	p.mu.Lock()
-	asked := p.isStopRequested
+	isStopRequested := p.isStopRequested
 	p.cmd = nil
 	if s := c.ProcessState; s != nil {
 		p.endedCPU += (s.UserTime() + s.SystemTime()).Seconds()
 	}
 	p.mu.Unlock()
 	close(ended)
-	if !asked {
-		p.handle(p, announcement{Error: fmt.Sprintf("%s has ended: %s", p.name(), p.logTail())})
+	if !isStopRequested {
+		p.handle(p, announcement{Error: fmt.Sprintf("process %s ended unexpectedly: %s", p.name(), p.logTail())})
 	}
 }
 
@@ -98,7 +100,7 @@
 	return string(bytes.TrimSpace(b[max(len(b)-logTailBytes, 0):]))
 }
 
-// tell gives an order.
+// send sends an order to the process.
 func (p *process) send(o order) error {
 	p.mu.Lock()
 	in := p.in
@@ -106,8 +108,8 @@
 	return json.NewEncoder(in).Encode(o)
 }
 
-// await waits for the process to be ready.
-func (p *process) await(most time.Duration) error {
+// await waits until the process is ready.
+func (p *process) await(timeout time.Duration) error {
 	p.mu.Lock()
 	ready, ended := p.ready, p.ended
 	p.mu.Unlock()
@@ -115,13 +117,13 @@
 	case <-ready:
 		return nil
 	case <-ended:
-		return fmt.Errorf("%s has ended: %s", p.name(), p.logTail())
-	case <-time.After(most):
-		return fmt.Errorf("%s is not ready after %s", p.name(), most)
+		return fmt.Errorf("process %s ended before it was ready: %s", p.name(), p.logTail())
+	case <-time.After(timeout):
+		return fmt.Errorf("process %s not ready within %s", p.name(), timeout)
 	}
 }
 
-// kill ends the process at once, and waits for its end.
+// kill kills the process and waits for its end.
 func (p *process) kill() {
 	p.mu.Lock()
 	c, ended := p.cmd, p.ended
@@ -134,7 +136,7 @@
 	<-ended
 }
 
-// pid of the running process, 0 for none.
+// pid returns the id of the running process, 0 if none runs.
 func (p *process) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,7 +146,7 @@
 	return p.cmd.Process.Pid
 }
 
-// use is what it has used so far, over its restarts.
+// use returns the CPU time of the process over its restarts and its present memory.
 func (p *process) use() (u usage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/scale/processes.go
+++ b/internal/testbed/scale/processes.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// usage of the machine by one process, or by all of a role.
+// usage is the resource usage of a process or of all processes of a role.
 type usage struct {
 	CPU    float64 // seconds so far
-	Memory float64 // bytes that it shares with no other process
+	Memory float64 // bytes that are not shared with other processes
 }
 
-const ticksPerS = 100 // of the times in /proc, on all machines that Go runs on
+const ticksPerS = 100 // unit of CPU times in /proc: USER_HZ is 100 on all platforms of Go
 
-// usageOf reads what a process has used; one that has ended counts for nothing.
+// usageOf reads the usage of a process from /proc. It is zero for a process that has ended.
 func usageOf(pid int) (u usage) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return u
 	}
-	// The second field is a name in brackets, which may hold anything.
+	// The second field is a name in parentheses, which may contain spaces and parentheses.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	const user, system = 11, 12
 	if len(fields) > system {
@@ -31,8 +31,8 @@
 	}
 	statm, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err == nil {
-		var whole, resident, shared float64
-		fmt.Sscan(string(statm), &whole, &resident, &shared)
+		var total, resident, shared float64
+		fmt.Sscan(string(statm), &total, &resident, &shared)
 		u.Memory = (resident - shared) * float64(os.Getpagesize())
 	}
 	return u
--- a/internal/testbed/scale/records.go
+++ b/internal/testbed/scale/records.go
@@ -9,40 +9,40 @@
 	"fernvane/policy"
 )
 
-// recordKind says what a node's module has taken in.
+// recordKind is the kind of a record.
 type recordKind int
 
 const (
-	markerApplied   recordKind = iota // a changed server
-	completeApplied                   // as many servers as there are of its services, a source having told
-	completeLost                      // fewer again
-	routesApplied                     // routes of the operator's file
+	markerApplied   recordKind = iota // a changed server was applied
+	completeApplied                   // the node knows all servers of its services, from a source other than its cache
+	completeLost                      // the node knows fewer servers again
+	routesApplied                     // routes of the operator's file were applied
 	nodeStarted
 )
 
-// record is one such moment. What counts is when the module holds it: nothing decides otherwise after that.
+// record is an event at a node. Its time is when the node's policy has processed the input: each later decision uses it.
 type record struct {
 	Kind     recordKind
 	Node     int
-	Marker   int  // of markerTaken
-	Draining bool // likewise
+	Marker   int  // of markerApplied
+	Draining bool // of markerApplied
 	At       int64
 }
 
-// recorder gathers the records of the nodes of one process, and counts what their modules were handed.
+// recorder collects the records of the nodes of one process and counts the inputs of their policies.
 type recorder struct {
 	layout  *Layout
-	markers map[uint32]int // by rank
+	markers map[uint32]int // number of a marker by the rank of its server
 
-	mu      sync.Mutex // taken under a fleet's lock; nothing is done under it but this
+	mu      sync.Mutex // locked while a dispatcher's lock is held; no other lock is taken under it
 	records []record
 	counts  deliveryCounts
 }
 
-// handed counts what modules were handed of lists.
+// deliveryCounts counts the inputs of policies.
 type deliveryCounts struct {
 	Lists    int `json:"lists"`
-	Elements int `json:"elements"` // lines of them
+	Elements int `json:"elements"` // endpoints in them
 	Plans    int `json:"plans"`
 	Reroutes int `json:"reroutes"`
 }
@@ -55,7 +55,7 @@
 	return r
 }
 
-// take returns what has gathered since the last call, and the counts so far.
+// take returns the records since the last call and the counts since the start.
 func (r *recorder) take() ([]record, deliveryCounts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,13 +70,13 @@
 	r.records = append(r.records, record{Kind: nodeStarted, Node: node, At: time.Now().UnixNano()})
 }
 
-// observed is the shipped module, and notes what it has taken in once it has.
+// observedPolicy wraps the node's policy and records inputs after the policy has processed them.
 type observedPolicy struct {
 	engine.Decider
 	recorder        *recorder
 	node            int
-	expectedServers int          // that it is to know
-	known           map[int]bool // those that have not gone, by their dense indices
+	expectedServers int          // of its services
+	known           map[int]bool // servers that were not removed, by index
 	isComplete      bool
 }
 
@@ -109,7 +109,7 @@
 func (o *observedPolicy) endpointsUpdated(in *policy.Input, at int64) {
 	r := o.recorder
 	if in.Scope == policy.Full {
-		clear(o.known) // whom it does not name has gone
+		clear(o.known) // a full list removes all servers that it does not contain
 	}
 	for _, m := range in.Endpoints {
 		if m.Condition == policy.Removed {
@@ -123,10 +123,10 @@
 	}
 	r.counts.Lists++
 	r.counts.Elements += len(in.Endpoints)
-	if whole := len(o.known) >= o.expectedServers; whole != o.isComplete {
-		o.isComplete = whole
+	if isComplete := len(o.known) >= o.expectedServers; isComplete != o.isComplete {
+		o.isComplete = isComplete
 		kind := completeApplied
-		if !whole {
+		if !isComplete {
 			kind = completeLost
 		}
 		r.records = append(r.records, record{Kind: kind, Node: o.node, At: at})
--- a/internal/testbed/scale/result.go
+++ b/internal/testbed/scale/result.go
@@ -10,31 +10,31 @@
 	"time"
 )
 
-// Result is a run, as it is kept.
+// Result is the result of a run. Its JSON encoding is a stored format.
 type Result struct {
 	Command   string    `json:"command"`
 	At        time.Time `json:"at"`
 	Machine   Machine   `json:"machine"`
 	Size      Size      `json:"size"`
 	Processes int       `json:"processes"`
-	Memory    float64   `json:"memory_bytes"` // the most of all processes together
+	Memory    float64   `json:"memory_bytes"` // maximum of the sum over all processes
 	Shared    []string  `json:"shared"`
 	Phases    []Phase   `json:"phases"`
 	Faults    []string  `json:"faults,omitempty"`
 }
 
-// Phase is one part of a run.
+// Phase is the result of one phase of a run.
 type Phase struct {
 	Name          string          `json:"name"`
 	Seconds       float64         `json:"seconds"`
 	Roles         map[string]Role `json:"roles"`
 	ChangeLatency *ChangeLatency  `json:"in_force,omitempty"`
-	// Returned is how long nodes that were killed took, from their start on, until they knew all servers.
+	// RestartLatency is how long killed nodes took from their start until they knew all servers.
 	RestartLatency *ChangeLatency `json:"returned,omitempty"`
-	Handed         deliveryCounts `json:"handed"` // to the nodes' modules, of all nodes
+	Handed         deliveryCounts `json:"handed"` // inputs of policies, sum over all nodes
 }
 
-// Role is what all of one role paid together.
+// Role is the resource usage of all members of a role together.
 type Role struct {
 	Members     int     `json:"members"`
 	BytesIn     float64 `json:"bytes_in_per_s"`
@@ -45,30 +45,32 @@
 	Memory      float64 `json:"memory_bytes"`
 }
 
-// InForce is how long changes took until nodes went by them.
+// ChangeLatency is the distribution of the times from a change until a node applied it.
 type ChangeLatency struct {
 	Changes int     `json:"changes"`
-	Applied int     `json:"taken"` // by nodes, over all changes
+	Applied int     `json:"taken"` // pairs of a change and a node that applied it
 	P50     float64 `json:"p50_ms"`
 	P99     float64 `json:"p99_ms"`
 	Last    float64 `json:"last_ms"`
-	Missing int     `json:"missing"` // not taken by nodes that were up all along when the phase ended
-	Down    int     `json:"down"`    // by nodes that were down meanwhile: left out of the times
+	Missing int     `json:"missing"` // pairs whose node was up throughout the phase and did not apply the change
+	Down    int     `json:"down"`    // pairs whose node was down at some time since the change; not part of the times
 }
 
-func newChangeLatency(changes, missing, down int, took []time.Duration) *ChangeLatency {
-	f := &ChangeLatency{Changes: changes, Applied: len(took), Missing: missing, Down: down}
-	if len(took) == 0 {
+func newChangeLatency(changes, missing, down int, latencies []time.Duration) *ChangeLatency {
+	f := &ChangeLatency{Changes: changes, Applied: len(latencies), Missing: missing, Down: down}
+	if len(latencies) == 0 {
 		return f
 	}
-	slices.Sort(took)
+	slices.Sort(latencies)
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-	at := func(share float64) float64 { return ms(took[min(int(share*float64(len(took))), len(took)-1)]) }
-	f.P50, f.P99, f.Last = at(0.5), at(0.99), ms(took[len(took)-1])
+	at := func(share float64) float64 {
+		return ms(latencies[min(int(share*float64(len(latencies))), len(latencies)-1)])
+	}
+	f.P50, f.P99, f.Last = at(0.5), at(0.99), ms(latencies[len(latencies)-1])
 	return f
 }
 
-// Save writes a result.
+// Save writes the result as JSON.
 func (r *Result) Save(path string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -77,10 +79,10 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// Text prints a result.
+// Text prints the result as tables and lines for people.
 func (r *Result) Text(w io.Writer) error {
 	s := &r.Size
-	fmt.Fprintf(w, "%d nodes, %d servers in %d services, %d routes, %d tenants, plane %s, %d control processes; %d processes, %.2f GB at most; load before %.1f on %d cores\n",
+	fmt.Fprintf(w, "%d nodes, %d servers in %d services, %d routes, %d tenants, plane %s, %d control processes; %d processes, %.2f GB at most; load average before the run %.1f on %d cores\n",
 		s.Nodes, s.Servers, s.Services, s.Routes, s.Tenants, s.Plane, s.Control, r.Processes, r.Memory/1e9, r.Machine.Load, r.Machine.Cores)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "phase\trole\tmembers\tB/s in\tB/s out\tmessages/s in\tout\tCPU s/s\tMB each\t")
@@ -101,11 +103,11 @@
 	}
 	for _, p := range r.Phases {
 		if f := p.ChangeLatency; f != nil {
-			fmt.Fprintf(w, "%s: %d changes in force after %.0f ms (p50), %.0f (p99), %.0f (last node); %d not taken, %d apart of nodes that were down\n",
+			fmt.Fprintf(w, "%s: %d changes applied after %.0f ms (p50), %.0f ms (p99), %.0f ms (last node); %d not applied, %d not counted because the node was down\n",
 				p.Name, f.Changes, f.P50, f.P99, f.Last, f.Missing, f.Down)
 		}
 		if f := p.RestartLatency; f != nil {
-			fmt.Fprintf(w, "%s: killed nodes knew all servers %.0f ms (p50), %.0f (p99), %.0f (last) after their start; %d did not\n",
+			fmt.Fprintf(w, "%s: killed nodes knew all servers %.0f ms (p50), %.0f ms (p99), %.0f ms (last) after their start; %d did not\n",
 				p.Name, f.P50, f.P99, f.Last, f.Missing)
 		}
 	}
--- a/internal/testbed/scale/run_test.go
+++ b/internal/testbed/scale/run_test.go
@@ -19,7 +19,7 @@
 		PhaseDuration: time.Second, Seed: 1}
 }
 
-// scoped has each node serve half of the services.
+// scoped returns a size of the distribution plane in which each node serves half of the services.
 func scoped(event string) Size {
 	s := small("distribution", event)
 	s.ServicesPerNode, s.Control = s.Services/2, 3
@@ -31,7 +31,8 @@
 	return s
 }
 
-// Each plane and event, played by real processes: in the end every node that is up has every change, and knows all servers.
+// TestRuns runs planes and events with real processes and checks that in the end every running node has applied every change
+// and knows all servers.
 func TestRuns(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -42,15 +43,15 @@
 		size   Size
 		phases []string
 	}{
-		{"planners, a rack", small("planners", Rack), []string{"start", "rest", "changes", "reload", Rack}},
-		{"planners, regions apart", small("planners", RegionPartition), []string{"start", "rest", "changes", "reload", RegionPartition}},
-		{"planners, one killed", small("planners", ControlKilled), []string{"start", "rest", "changes", "reload", ControlKilled}},
+		{"planners, rack killed", small("planners", Rack), []string{"start", "rest", "changes", "reload", Rack}},
+		{"planners, regions partitioned", small("planners", RegionPartition), []string{"start", "rest", "changes", "reload", RegionPartition}},
+		{"planners, one planner killed", small("planners", ControlKilled), []string{"start", "rest", "changes", "reload", ControlKilled}},
 		{"planners, restarts", restarting(small("planners", NoEvent)), []string{"start", "rest", "changes", "restarts", "reload"}},
 		{"distribution, restarts", restarting(scoped(NoEvent)), []string{"start", "rest", "changes", "restarts", "reload"}},
-		{"distribution, regions apart", scoped(RegionPartition), []string{"start", "rest", "changes", "reload", RegionPartition}},
-		{"distribution, one killed", scoped(ControlKilled), []string{"start", "rest", "changes", "reload", ControlKilled}},
-		{"discovery, away", small("discovery", DiscoveryDown), []string{"start", "rest", "changes", "reload", DiscoveryDown}},
-		{"discovery, all started at once", small("discovery", StartAll), []string{"start", "rest", "changes", "reload", StartAll}},
+		{"distribution, regions partitioned", scoped(RegionPartition), []string{"start", "rest", "changes", "reload", RegionPartition}},
+		{"distribution, one control process killed", scoped(ControlKilled), []string{"start", "rest", "changes", "reload", ControlKilled}},
+		{"discovery, unreachable", small("discovery", DiscoveryDown), []string{"start", "rest", "changes", "reload", DiscoveryDown}},
+		{"discovery, all nodes restarted", small("discovery", StartAll), []string{"start", "rest", "changes", "reload", StartAll}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -59,24 +60,24 @@
 				t.Fatal(err)
 			}
 			for _, f := range r.Faults {
-				t.Error("fault:", f)
+				t.Error("run reported an error:", f)
 			}
 			for i, p := range r.Phases {
 				if i >= len(c.phases) || p.Name != c.phases[i] {
-					t.Fatalf("phase %d is %q, want %q", i, p.Name, c.phases)
+					t.Fatalf("phase %d: got %q, want phases %q", i, p.Name, c.phases)
 				}
 				if f := p.ChangeLatency; f != nil && (f.Missing > 0 || f.Applied == 0) {
-					t.Errorf("%s: %+v", p.Name, f)
+					t.Errorf("phase %s: got latency %+v, want changes applied by all nodes", p.Name, f)
 				}
 				if f := p.RestartLatency; f != nil && (f.Missing > 0 || f.Applied == 0) {
-					t.Errorf("%s: returned: %+v", p.Name, f)
+					t.Errorf("phase %s: got restart latency %+v, want all killed nodes complete", p.Name, f)
 				}
 				if n := p.Roles[string(roleNodes)]; n.Members != c.size.Nodes || p.Name == "start" && n.BytesIn == 0 {
-					t.Errorf("%s: nodes %+v", p.Name, n)
+					t.Errorf("phase %s: got nodes %+v, want all nodes, with traffic at the start", p.Name, n)
 				}
 			}
 			if len(r.Phases) != len(c.phases) {
-				t.Errorf("%d phases, want %q", len(r.Phases), c.phases)
+				t.Errorf("got %d phases, want %q", len(r.Phases), c.phases)
 			}
 		})
 	}
--- a/internal/testbed/scale/size.go
+++ b/internal/testbed/scale/size.go
@@ -1,6 +1,9 @@
-// Package scale plays the control side of a fleet at full size on one machine: hollow nodes, which are nodes as they ship
-// without clients and servers, many to a process, under real control processes and on real loopback connections. It
-// measures what each role pays at rest, for changes and in events.
+// Package scale runs the control plane of a fleet at full size on one machine. Hollow nodes, which are complete nodes without
+// clients and servers, share processes; control processes run one to a process; all connections are real TCP connections on
+// loopback. A run measures bytes, messages, CPU and memory of each role when idle, under changes and during events.
+//
+// Run coordinates the processes of a run. It starts each one from the same binary by WorkerCommand, sends it orders on
+// standard input and receives its announcements on standard output.
 package scale
 
 import (
@@ -12,73 +15,74 @@
 	"time"
 )
 
-// Size is what is played.
+// Size is the size and shape of a run.
 type Size struct {
 	Nodes           int           `json:"nodes"`
 	Servers         int           `json:"servers"`
 	Services        int           `json:"services"`
-	ServicesPerNode int           `json:"serves,omitempty"` // services of a node, where the plane sends it no others; 0: all
+	ServicesPerNode int           `json:"serves,omitempty"` // services of a node, on planes that send a node only its services; 0: all
 	Routes          int           `json:"routes"`
 	Tenants         int           `json:"tenants"`
 	Regions         int           `json:"regions"`
-	Zones           int           `json:"zones"`              // in all regions together
+	Zones           int           `json:"zones"`              // sum over all regions
 	Control         int           `json:"control"`            // control processes
-	Churn           float64       `json:"churn"`              // changed servers a second
-	Restarts        float64       `json:"restarts,omitempty"` // processes of nodes killed and started again, a second
+	Churn           float64       `json:"churn"`              // changed servers per second
+	Restarts        float64       `json:"restarts,omitempty"` // node processes killed and started again per second
 	Plane           string        `json:"plane"`
 	Event           string        `json:"event"`
-	PhaseDuration   time.Duration `json:"for_ns"` // each phase
+	PhaseDuration   time.Duration `json:"for_ns"` // duration of each phase
 	Seed            uint64        `json:"seed"`
 	Membership      bool          `json:"membership"`
 	Snapshots       bool          `json:"snapshots"`
 }
 
-// Bounds and estimates. What a node holds is estimated a little above what runs have measured; each run is watched as well.
+// Limits of a size and estimates of its memory. The estimates are slightly above measured figures; the memory of each run is
+// monitored as well.
 const (
 	maxProcesses    = 200
-	maxNodes        = 60_000 // addresses that a net has for them
+	maxNodes        = 60_000 // addresses of a loopback network that are reserved for nodes
 	maxServers      = 400_000
 	nodesPerProcess = 40
-	maxRestarts     = 10  // a second: one takes some tenths of a second, and the next waits for it
-	memoryShare     = 0.5 // of the machine's
+	maxRestarts     = 10  // per second: a restart takes some tenths of a second, and restarts are sequential
+	memoryShare     = 0.5 // of the machine's memory
 	processBytes    = 12 << 20
 	nodeBytes       = 350 << 10
-	serverBytes     = 1_500 // of a server at a node or a control process, collector's slack included
+	serverBytes     = 1_500 // of a server at a node or a control process, with the garbage collector's overhead
 	routeBytes      = 3_000
 	tenantBytes     = 500
-	subscriberBytes = 600 << 10 // of a node under control processes, beside what it holds of servers once more
-	membershipBytes = 7 << 20   // of a node in a tier, whose connections have buffers
-	memberBytes     = 700       // of another one that it knows
-	connectionBytes = 64e3      // of a control process's connection to a node
+	subscriberBytes = 600 << 10 // of a node that follows control processes, in addition to its second copy of servers
+	membershipBytes = 7 << 20   // of a node with membership, mostly connection buffers
+	memberBytes     = 700       // of each other member at a node
+	connectionBytes = 64e3      // of a connection between a control process and a node
 )
 
-// Check tells in one line what is wrong with a size, without a look at the machine.
+// Check returns an error of one line if a size is invalid on any machine.
 func (s *Size) Check() error {
 	for _, f := range []struct {
 		name  string
 		value int
 		least int
-		top   int
+		most  int
 	}{
 		{"nodes", s.Nodes, 1, maxNodes}, {"servers", s.Servers, 1, maxServers}, {"services", s.Services, 1, maxServers}, {"serves", s.ServicesPerNode, 0, s.Services},
 		{"routes", s.Routes, 0, 1_000_000}, {"tenants", s.Tenants, 0, 1_000_000}, {"regions", s.Regions, 1, 16},
 		{"zones", s.Zones, s.Regions, 64}, {"control", s.Control, 1, 64},
 	} {
-		if f.value < f.least || f.value > f.top {
-			return fmt.Errorf("--%s %d: from %d to %d", f.name, f.value, f.least, f.top)
+		if f.value < f.least || f.value > f.most {
+			return fmt.Errorf("--%s %d: want %d to %d", f.name, f.value, f.least, f.most)
 		}
 	}
 	if s.Churn < 0 || s.Churn > 1000 {
-		return fmt.Errorf("--churn %g: from 0 to 1000 a second", s.Churn)
+		return fmt.Errorf("--churn %g: want 0 to 1000 per second", s.Churn)
 	}
 	if s.Restarts < 0 || s.Restarts > maxRestarts {
-		return fmt.Errorf("--restarts %g: from 0 to %d processes a second", s.Restarts, maxRestarts)
+		return fmt.Errorf("--restarts %g: want 0 to %d processes per second", s.Restarts, maxRestarts)
 	}
 	if s.PhaseDuration < time.Second || s.PhaseDuration > time.Hour {
-		return fmt.Errorf("--for %s: from 1s to 1h", s.PhaseDuration)
+		return fmt.Errorf("--for %s: want 1s to 1h", s.PhaseDuration)
 	}
 	if _, ok := planes[s.Plane]; !ok {
-		return fmt.Errorf("--plane %s: one of %s", s.Plane, strings.Join(Planes(), ", "))
+		return fmt.Errorf("--plane %s: want one of %s", s.Plane, strings.Join(Planes(), ", "))
 	}
 	if err := s.checkEvent(); err != nil {
 		return err
@@ -86,15 +90,16 @@
 	return planes[s.Plane].Check(s)
 }
 
-// workers is how many processes share the nodes: as many in each zone, two at least, so that one is a rack.
+// workers returns the number of node processes: the same in each zone, and at least two, so that one process can stand for a
+// rack.
 func (s *Size) workers() int {
 	each := max((s.Nodes+s.Zones*nodesPerProcess-1)/(s.Zones*nodesPerProcess), 2)
 	return min(each*s.Zones, max(s.Nodes, s.Zones))
 }
 
-// Processes is how many processes a size takes.
+// Processes returns the number of processes that a size needs.
 func (s *Size) Processes() int {
-	n := 1 + s.workers() + 1 // the tool, and discovery's side
+	n := 1 + s.workers() + 1 // the tool and the discovery process
 	if s.controls() {
 		n += s.Control
 	}
@@ -106,49 +111,49 @@
 
 func (s *Size) controls() bool { return planes[s.Plane].Controls() }
 
-// Memory estimates what a size takes, in bytes.
+// Memory estimates the memory of a size in bytes.
 func (s *Size) Memory() float64 {
 	n := float64(s.Nodes)
-	servers := float64(s.Servers) // that a node holds
+	servers := float64(s.Servers) // at a node
 	if s.ServicesPerNode > 0 && planes[s.Plane].Scoped() {
 		servers *= float64(s.ServicesPerNode) / float64(s.Services)
 	}
-	held := servers*serverBytes + float64(s.Routes)*routeBytes + float64(s.Tenants)*tenantBytes
-	sum := float64(s.Processes())*processBytes + n*(nodeBytes+held)
+	state := servers*serverBytes + float64(s.Routes)*routeBytes + float64(s.Tenants)*tenantBytes
+	sum := float64(s.Processes())*processBytes + n*(nodeBytes+state)
 	if s.Membership {
 		sum += n*membershipBytes + n*n*memberBytes
 	}
 	if s.controls() {
 		sum += n * (subscriberBytes + servers*serverBytes)
-		links := n * float64(s.Control)
+		connections := n * float64(s.Control)
 		if planes[s.Plane].Scoped() {
-			links = n // each node follows one control process
+			connections = n // each node follows one control process
 		}
-		sum += links*connectionBytes + float64(s.Control)*(n+serverBytes)*float64(s.Servers)
+		sum += connections*connectionBytes + float64(s.Control)*(n+serverBytes)*float64(s.Servers)
 	}
 	return sum
 }
 
-// Fits refuses a size that takes more than half of the machine's memory or too many processes.
+// Fits returns an error if a size needs more than half of the machine's memory or too many processes.
 func (s *Size) Fits(memory float64) error {
 	if n := s.Processes(); n > maxProcesses {
-		return fmt.Errorf("%d processes are needed: %d at most", n, maxProcesses)
+		return fmt.Errorf("size needs %d processes: at most %d are allowed", n, maxProcesses)
 	}
 	if need := s.Memory(); need > memoryShare*memory {
-		return fmt.Errorf("about %.1f GB of memory are needed: half of this machine's are %.1f", need/1e9, memoryShare*memory/1e9)
+		return fmt.Errorf("size needs about %.1f GB of memory: half of this machine's memory is %.1f GB", need/1e9, memoryShare*memory/1e9)
 	}
 	return nil
 }
 
-// Machine is where a run was made.
+// Machine describes the machine of a run.
 type Machine struct {
 	Cores  int     `json:"cores"`
 	Memory float64 `json:"memory_bytes"`
-	Load   float64 `json:"load_before"` // of the last minute: what ran beside
+	Load   float64 `json:"load_before"` // load average of the last minute before the run
 	Go     string  `json:"go"`
 }
 
-// ThisMachine looks at the one that the tool runs on.
+// ThisMachine describes the machine that the tool runs on.
 func ThisMachine() (Machine, error) {
 	m := Machine{Cores: runtime.NumCPU(), Go: runtime.Version()}
 	f, err := os.Open("/proc/meminfo")
@@ -163,7 +168,7 @@
 		}
 	}
 	if m.Memory == 0 {
-		return m, fmt.Errorf("/proc/meminfo tells no total")
+		return m, fmt.Errorf("read /proc/meminfo: MemTotal is missing")
 	}
 	load, err := os.ReadFile("/proc/loadavg")
 	if err == nil {
--- a/internal/testbed/scale/sockets.go
+++ b/internal/testbed/scale/sockets.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// The system's own count of each connection is read by its socket diagnostics, from outside of the processes that are
-// measured: no byte is counted in a way that costs them anything.
+// Byte counts of connections are read from the kernel by socket diagnostics (sock_diag), so that counting costs the measured
+// processes nothing.
 const (
 	sockDiag                 = 4  // NETLINK_SOCK_DIAG
 	diagByFamily             = 20 // SOCK_DIAG_BY_FAMILY
@@ -26,7 +26,7 @@
 	minInfoBytes             = 216
 )
 
-// flow is what passed on the serving side of some connections.
+// flow is the traffic of some connections, as seen from their accepting side unless stated otherwise.
 type flow struct {
 	BytesIn, BytesOut       float64
 	SegmentsIn, SegmentsOut float64 // with data
@@ -41,10 +41,10 @@
 	return flow{f.BytesIn - o.BytesIn, f.BytesOut - o.BytesOut, f.SegmentsIn - o.SegmentsIn, f.SegmentsOut - o.SegmentsOut}
 }
 
-// turned is the same from the other side.
+// reversed returns the same traffic as seen from the other side.
 func (f flow) reversed() flow { return flow{f.BytesOut, f.BytesIn, f.SegmentsOut, f.SegmentsIn} }
 
-// socket is one as the system tells it.
+// socket is a socket as reported by the kernel.
 type socket struct {
 	cookie            uint64
 	local, remote     uint16 // ports
@@ -54,7 +54,7 @@
 	inode uint32
 }
 
-// sockets asks for all TCP connections over IPv4 of this machine.
+// forEachSocket calls a function for each TCP connection over IPv4 of this machine.
 func forEachSocket(each func(*socket)) error {
 	fd, err := syscall.Socket(syscall.AF_NETLINK, syscall.SOCK_DGRAM|syscall.SOCK_CLOEXEC, sockDiag)
 	if err != nil {
@@ -89,7 +89,7 @@
 			case syscall.NLMSG_DONE:
 				return nil
 			case syscall.NLMSG_ERROR:
-				return fmt.Errorf("the system does not tell of its sockets")
+				return fmt.Errorf("read socket diagnostics: kernel returned an error message")
 			}
 			if s, ok := parseSocket(m.Data); ok {
 				each(&s)
@@ -98,7 +98,7 @@
 	}
 }
 
-// parseSocket reads one message; it is false for a socket that has no counts, as one that listens or has ended.
+// parseSocket decodes one message. ok is false for a socket without byte counts, such as one that listens or has ended.
 func parseSocket(data []byte) (s socket, ok bool) {
 	if len(data) < messageBytes {
 		return s, false
--- a/internal/testbed/scale/sockets_test.go
+++ b/internal/testbed/scale/sockets_test.go
@@ -9,15 +9,16 @@
 	"testing"
 )
 
-// What passes on a connection is counted on its serving side, whole, and stays counted when it has ended.
-func TestMeterCountsWhatPasses(t *testing.T) {
-	netNumber, held, err := reserveNetwork()
+// TestMeterCountsTraffic checks that the meter counts all bytes of a connection, once per reading, and that they stay counted
+// after the connection has ended.
+func TestMeterCountsTraffic(t *testing.T) {
+	network, reservation, err := reserveNetwork()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
-	const asked, answered = 300, 70_000
-	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.1:%d", netNumber, discoveryHost, discoveryPort))
+	defer reservation.Close()
+	const sentBytes, receivedBytes = 300, 70_000
+	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.1:%d", network, discoveryHost, discoveryPort))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,47 +31,48 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := client.Write(make([]byte, asked)); err != nil {
+	if _, err := client.Write(make([]byte, sentBytes)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(server, make([]byte, asked)); err != nil {
+	if _, err := io.ReadFull(server, make([]byte, sentBytes)); err != nil {
 		t.Fatal(err)
 	}
-	go server.Write(bytes.Repeat([]byte{1}, answered))
-	if _, err := io.ReadFull(client, make([]byte, answered)); err != nil {
+	go server.Write(bytes.Repeat([]byte{1}, receivedBytes))
+	if _, err := io.ReadFull(client, make([]byte, receivedBytes)); err != nil {
 		t.Fatal(err)
 	}
-	m := newMeter(netNumber)
+	m := newMeter(network)
 	check := func(when string) {
 		t.Helper()
-		if err := m.read(nobodyElse); err != nil {
+		if err := m.read(noProcesses); err != nil {
 			t.Fatal(err)
 		}
 		nodes, discovery := m.flows()[roleNodes], m.flows()[roleDiscovery]
-		if discovery.BytesIn != asked || discovery.BytesOut != answered || nodes.BytesOut != asked || nodes.BytesIn != answered {
-			t.Errorf("%s: nodes %+v, discovery %+v", when, nodes, discovery)
+		if discovery.BytesIn != sentBytes || discovery.BytesOut != receivedBytes || nodes.BytesOut != sentBytes || nodes.BytesIn != receivedBytes {
+			t.Errorf("%s: got nodes %+v and discovery %+v, want 300 bytes of requests and 70000 of responses", when, nodes, discovery)
 		}
 		if discovery.SegmentsOut < 1 || discovery.SegmentsIn < 1 {
-			t.Errorf("%s: no segments: %+v", when, discovery)
+			t.Errorf("%s: got flow %+v, want segments in both directions", when, discovery)
 		}
 	}
-	check("while it is open")
-	check("read twice")
+	check("connection open")
+	check("second reading")
 	client.Close()
 	server.Close()
-	check("when it has ended")
+	check("connection ended")
 }
 
-func nobodyElse() []int { return nil }
+func noProcesses() []int { return nil }
 
-// A connection to a control process that is no node's is counted for the control process alone.
-func TestMeterTellsNodesFromOthers(t *testing.T) {
-	netNumber, held, err := reserveNetwork()
+// TestMeterDistinguishesNodes checks that a connection to a control process from another process than a node counts for the
+// control process only.
+func TestMeterDistinguishesNodes(t *testing.T) {
+	network, reservation, err := reserveNetwork()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
-	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.1:%d", netNumber, controlHost, controlPort))
+	defer reservation.Close()
+	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.1:%d", network, controlHost, controlPort))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,16 +95,16 @@
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
-		inner []int
-		nodes float64
-	}{"a node's": {nil, sent}, "another's": {[]int{os.Getpid()}, 0}} {
-		m := newMeter(netNumber)
-		if err := m.read(func() []int { return c.inner }); err != nil {
+		nonNode []int
+		nodes   float64
+	}{"dialed by a node": {nil, sent}, "dialed by another process": {[]int{os.Getpid()}, 0}} {
+		m := newMeter(network)
+		if err := m.read(func() []int { return c.nonNode }); err != nil {
 			t.Fatal(err)
 		}
 		f := m.flows()
 		if f[roleNodes].BytesOut != c.nodes || f[roleControl].BytesIn != sent {
-			t.Errorf("%s: nodes %+v, control %+v", name, f[roleNodes], f[roleControl])
+			t.Errorf("connection %s: got nodes %+v, control %+v", name, f[roleNodes], f[roleControl])
 		}
 	}
 }
--- a/internal/testbed/scale/standin.go
+++ b/internal/testbed/scale/standin.go
@@ -7,10 +7,10 @@
 	"fernvane/internal/testbed/standin/discovery"
 )
 
-// listsPerS is far above what any size needs: the stand-in's modelled capacity is a deployment's figure, not the project's.
+// listsPerS is far above the need of any size: the capacity of a discovery service is not what a run measures.
 const listsPerS = 1e12
 
-// standin is discovery's side: the project's stand-in for the service that lists servers.
+// standin is a Source that changes the entries of a stand-in of discovery.
 type standin struct {
 	layout  *Layout
 	service *discovery.Service
@@ -50,8 +50,8 @@
 	return at, nil
 }
 
-func (s *standin) SetDown(away bool) error {
-	s.service.Down(away)
+func (s *standin) SetDown(isDown bool) error {
+	s.service.Down(isDown)
 	return nil
 }
 
--- a/internal/testbed/scale/worker.go
+++ b/internal/testbed/scale/worker.go
@@ -16,27 +16,27 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// WorkerCommand has the tool's own binary run as one of its processes.
+// WorkerCommand is the argument with which the tool's binary runs as a process of a scale run.
 const WorkerCommand = "scale-worker"
 
-// role of a process.
+// role is the task of a process in a run.
 type role string
 
 const (
 	roleNodes       role = "nodes"
 	roleControl     role = "control"
 	roleDiscovery   role = "discovery"
-	roleRegionLinks role = "ways" // between regions
+	roleRegionLinks role = "ways" // forwards connections between regions
 )
 
-// task is what a process is told at its start, on its standard input.
+// task is the first line of a process's standard input.
 type task struct {
 	Role   role    `json:"role"`
 	Number int     `json:"number"`
 	Layout *Layout `json:"layout"`
 }
 
-// order is what it is told later.
+// order is a later line of a process's standard input.
 type order struct {
 	Do       string `json:"do"`
 	Server   int    `json:"server,omitempty"`
@@ -45,25 +45,25 @@
 }
 
 const (
-	doReload     = "reload" // nodes read the operator's file again
-	doChange     = "change" // a server drains, or serves again
-	doSetDown    = "away"   // discovery cannot be reached, or can again
-	doCutRegions = "cut"    // ways between regions bring nothing, or again
+	doReload     = "reload" // nodes reload the operator's file
+	doChange     = "change" // a server is set to draining or serving
+	doSetDown    = "away"   // discovery becomes unreachable, or reachable again
+	doCutRegions = "cut"    // links between regions are cut, or restored
 )
 
-// told is a line of what a process says, on its standard output.
+// announcement is a line of a process's standard output.
 type announcement struct {
 	Ready   bool            `json:"ready,omitempty"`
 	Records []record        `json:"records,omitempty"`
 	Handed  *deliveryCounts `json:"handed,omitempty"`
-	Changed int64           `json:"changed,omitempty"` // when an order to change was carried out
-	Done    bool            `json:"done,omitempty"`    // another order was
+	Changed int64           `json:"changed,omitempty"` // Unix ns: time of the change that an order asked for
+	Done    bool            `json:"done,omitempty"`    // another order was executed
 	Error   string          `json:"fault,omitempty"`
 }
 
 const flushInterval = 100 * time.Millisecond
 
-// worker is one process.
+// worker is the process's own side of a task.
 type worker struct {
 	task
 	writeMu sync.Mutex
@@ -71,12 +71,12 @@
 	orders  *json.Decoder
 }
 
-// Worker runs a process of the tool until its standard input ends. It returns the exit code.
+// Worker runs a process of a scale run until its standard input ends and returns the exit code.
 func Worker(in io.Reader, out, errs io.Writer) int {
-	signal.Ignore(syscall.SIGINT, syscall.SIGPIPE) // the tool ends its processes, not the terminal
+	signal.Ignore(syscall.SIGINT, syscall.SIGPIPE) // the tool stops its processes; signals of the terminal must not
 	w := &worker{encode: json.NewEncoder(out), orders: json.NewDecoder(bufio.NewReader(in))}
 	if err := w.orders.Decode(&w.task); err != nil || w.Layout == nil {
-		fmt.Fprintln(errs, "a process of `testbed scale` is started by it alone")
+		fmt.Fprintln(errs, "decode task: this command is started by `testbed scale` only")
 		return 2
 	}
 	if err := w.run(); err != nil {
@@ -87,10 +87,10 @@
 	return 0
 }
 
-func (w *worker) send(t announcement) {
+func (w *worker) send(a announcement) {
 	w.writeMu.Lock()
 	defer w.writeMu.Unlock()
-	w.encode.Encode(t)
+	w.encode.Encode(a)
 }
 
 func (w *worker) run() error {
@@ -104,11 +104,11 @@
 	case roleRegionLinks:
 		return w.runRegionLinks()
 	}
-	return fmt.Errorf("no role %q", w.Role)
+	return fmt.Errorf("unknown role %q", w.Role)
 }
 
-// obey carries out orders until there are none any more.
-func (w *worker) processOrders(do func(order) announcement) error {
+// processOrders executes orders and sends their results until standard input ends.
+func (w *worker) processOrders(execute func(order) announcement) error {
 	for {
 		var o order
 		if err := w.orders.Decode(&o); errors.Is(err, io.EOF) {
@@ -116,7 +116,7 @@
 		} else if err != nil {
 			return err
 		}
-		w.send(do(o))
+		w.send(execute(o))
 	}
 }
 
@@ -130,7 +130,7 @@
 		}
 		all = append(all, h)
 	}
-	for _, h := range all { // one that cannot serve says so in a log of its own
+	for _, h := range all { // the cause of a failure is in the process's log as well
 		go func() {
 			if err := <-h.done; err != nil {
 				w.send(announcement{Error: fmt.Sprintf("node %d: %v", h.number, err)})
@@ -149,7 +149,7 @@
 		for _, h := range all {
 			select {
 			case h.reload <- syscall.SIGHUP:
-			default: // one that waits is enough
+			default: // a reload is already pending
 			}
 		}
 		return announcement{Done: true}
@@ -201,19 +201,19 @@
 }
 
 func (w *worker) runRegionLinks() error {
-	ways, err := newRegionLinks(w.Layout)
+	links, err := newRegionLinks(w.Layout)
 	if err != nil {
 		return err
 	}
 	w.send(announcement{Ready: true})
 	err = w.processOrders(func(o order) announcement {
-		ways.cut(o.On)
+		links.cut(o.On)
 		return announcement{Done: true}
 	})
-	ways.cut(false)
-	ways.close()
+	links.cut(false)
+	links.close()
 	return err
 }
 
-// environment of a process beside the tool's own.
+// environment returns the environment of a process: the tool's own and the number of threads.
 func environment() []string { return append(os.Environ(), "GOMAXPROCS="+hollowThreads) }
--- a/internal/testbed/standin/mesh/mesh.go
+++ b/internal/testbed/standin/mesh/mesh.go
@@ -271,7 +271,7 @@
 	writing.Wait()
 }
 
-// isClosed reports whether a connection was closed by closeConn or Close.
+// isConnClosed reports whether a connection was closed by closeConn or Close.
 func (f *Mesh) isConnClosed(c net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testbed/standin/zookeeper/requests.go
+++ b/internal/testbed/standin/zookeeper/requests.go
@@ -175,7 +175,7 @@
 	a.notifyWatcher = func() { s.r.watcher.Announced(s.reader, p, all, time.Now()) }
 }
 
-// lagless has the server see all that was agreed on, as a sync does.
+// catchUpFully has the server see all that was agreed on, as a sync does.
 func (s *Server) catchUpFully(now time.Time) {
 	lag := s.lag
 	s.lag = 0
@@ -219,7 +219,7 @@
 	return ok
 }
 
-// rewatch takes up a client's watches on a new connection; what has changed since is told at once.
+// setWatches takes up a client's watches on a new connection; what has changed since is told at once.
 func (s *Server) setWatches(c *conn, q *reader) {
 	since := q.long()
 	data, exist, child := q.strings(), q.strings(), q.strings()
