--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -106,12 +106,12 @@
 		"a bad trace":         {[]string{"run", good, "--trace", trace}, exitBadInput, "t.csv:2: no type \"hire-dance\""},
 		"no such node":        {[]string{"run", good, "--node", bad + "x", "--quiet"}, exitBadInput, "node 0 cannot be started"},
 		"a node that ends":    {[]string{"run", good, "--node", "/bin/false", "--quiet"}, exitBadInput, "node 0 has ended"},
-		"no report":           {[]string{"compare", good, good}, exitBadInput, "no report"},
+		"no report":           {[]string{"compare", good, good}, exitBadInput, "decode report "},
 		"different schedules": {[]string{"compare", other, write(t, "o.json", `{"scenario":"y"}`)}, 0, ""},
 		"an unknown flag":     {[]string{"run", "--fast"}, exitBadInput, "unknown flag"},
 		"scale, too large":    {[]string{"scale", "--plane", "discovery", "--nodes", "50000"}, exitBadInput, "processes: at most 200 are allowed"},
 		"scale, no plane":     {[]string{"scale", "--plane", "magic"}, exitBadInput, "--plane magic: want one of discovery"},
-		"capacity, nothing":   {[]string{"capacity", "--results", filepath.Dir(bad) + "x"}, exitBadInput, "there are no results"},
+		"capacity, nothing":   {[]string{"capacity", "--results", filepath.Dir(bad) + "x"}, exitBadInput, "has no .json files"},
 		"no address":          {[]string{"load"}, exitBadInput, "required flag(s) \"to\""},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/testbed/capacity/capacity_test.go
+++ b/internal/testbed/capacity/capacity_test.go
@@ -10,47 +10,49 @@
 	"testing"
 )
 
-// Each shape is told from points that follow it, also where they are off by some percent, and its extrapolation holds.
+// TestFit checks that each shape is recognized from points that follow it, exactly or within a few percent, and that its
+// extrapolation is within a tenth.
 func TestFit(t *testing.T) {
 	sizes := []float64{64, 128, 256, 512, 1024, 2048, 4096}
 	noise := []float64{1.02, 0.98, 1.03, 0.97, 1.01, 0.99, 1.02}
 	for name, c := range map[string]struct {
 		of    func(n float64) float64
 		shape Shape
-		far   float64 // at a hundred thousand
+		far   float64 // value at size 100,000
 	}{
-		"constant":            {func(float64) float64 { return 7 }, Constant, 7},
-		"linear":              {func(n float64) float64 { return 3 * n }, Linear, 3e5},
-		"linear from a start": {func(n float64) float64 { return 1000 + 5*n }, Linear, 501_000},
-		"n log n":             {func(n float64) float64 { return n * math.Log2(n) }, LogLinear, 1e5 * math.Log2(1e5)},
-		"square":              {func(n float64) float64 { return 10 + n*n }, Square, 1e10},
+		"constant":                 {func(float64) float64 { return 7 }, Constant, 7},
+		"linear":                   {func(n float64) float64 { return 3 * n }, Linear, 3e5},
+		"linear with a fixed part": {func(n float64) float64 { return 1000 + 5*n }, Linear, 501_000},
+		"n log n":                  {func(n float64) float64 { return n * math.Log2(n) }, LogLinear, 1e5 * math.Log2(1e5)},
+		"square":                   {func(n float64) float64 { return 10 + n*n }, Square, 1e10},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var exact, noisy []Point
 			for i, n := range sizes {
 				exact, noisy = append(exact, Point{n, c.of(n)}), append(noisy, Point{n, c.of(n) * noise[i]})
 			}
-			for what, points := range map[string][]Point{"exact": exact, "noisy": noisy} {
+			for kind, points := range map[string][]Point{"exact": exact, "noisy": noisy} {
 				s, err := Fit(points)
 				if err != nil || s.Shape != c.shape || math.Abs(s.At(1e5)/c.far-1) > 0.1 || s.Unpredicted() {
-					t.Errorf("%s: %+v, %v: %g at 1e5, want %v and %g", what, s, err, s.At(1e5), c.shape, c.far)
+					t.Errorf("%s points: got slope %+v, error %v, %g at 1e5; want shape %v and %g", kind, s, err, s.At(1e5), c.shape, c.far)
 				}
 			}
 		})
 	}
 }
 
-func TestFitSaysWhatItMissed(t *testing.T) {
+// TestFitReportsPredictionError checks the prediction error of a size that the smaller sizes do not predict.
+func TestFitReportsPredictionError(t *testing.T) {
 	s, err := Fit([]Point{{64, 64}, {128, 128}, {256, 256}, {512, 512}, {1024, 4096}})
 	if err != nil || !s.Unpredicted() || math.Abs(s.PredictionError+0.75) > 0.01 {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("got slope %+v, error %v, want prediction error -0.75", s, err)
 	}
 	if _, err := Fit([]Point{{1, 1}, {2, 2}}); !errors.Is(err, errFewPoints) {
-		t.Errorf("two points: %v", err)
+		t.Errorf("two points: got error %v, want errFewPoints", err)
 	}
 }
 
-// The page's tables are what the command prints from the committed results, and nothing else.
+// TestPage checks that the tables of docs/CAPACITY.md are the output of Print for the committed results.
 func TestPage(t *testing.T) {
 	const docs = "../../../docs"
 	r, err := LoadResults(filepath.Join(docs, "capacity"))
@@ -72,7 +74,7 @@
 	_, rest, begun := strings.Cut(string(page), Begin+"\n")
 	got, _, ended := strings.Cut(rest, End)
 	if !begun || !ended {
-		t.Fatalf("no %s and %s on the page", Begin, End)
+		t.Fatalf("page lacks the markers %s and %s", Begin, End)
 	}
 	if got == want.String() {
 		return
@@ -80,21 +82,21 @@
 	lines := strings.Split(want.String(), "\n")
 	for i, line := range strings.Split(got, "\n") {
 		if i >= len(lines) || line != lines[i] {
-			t.Fatalf("the page differs from `testbed capacity` in line %d of the tables: %q", i+1, line)
+			t.Fatalf("page differs from the output of `testbed capacity` in line %d of the tables: got %q", i+1, line)
 		}
 	}
-	t.Fatal("the page ends before `testbed capacity` does")
+	t.Fatal("page ends before the output of `testbed capacity`")
 }
 
-// Faults of a target file are told by line.
+// TestTargetFaults checks the errors of invalid target files.
 func TestTargetFaults(t *testing.T) {
-	well := "[sizes]\nnodes = 10.0\n\n[[figures]]\nrole = \"node\"\nkind = \"CPU\"\nwhat = \"w\"\nsource = \"parts x\"\ncarries = \"c\"\nlimit = \"l\"\n"
+	valid := "[sizes]\nnodes = 10.0\n\n[[figures]]\nrole = \"node\"\nkind = \"CPU\"\nwhat = \"w\"\nsource = \"parts x\"\ncarries = \"c\"\nlimit = \"l\"\n"
 	for name, c := range map[string]struct{ text, want string }{
-		"well":                    {well, ""},
-		"no figures":              {"[sizes]\nnodes = 10.0\n", "there are no figures"},
-		"an unknown kind":         {strings.Replace(well, `"CPU"`, `"x"`, 1), `target.toml:6: kind "x"`},
-		"a budget without reason": {well + "budget = 3.0\n", "a budget without its reason"},
-		"an unknown key":          {well + "colour = 3\n", "colour"},
+		"valid":                 {valid, ""},
+		"no figures":            {"[sizes]\nnodes = 10.0\n", "no figures: want at least one"},
+		"unknown kind":          {strings.Replace(valid, `"CPU"`, `"x"`, 1), `target.toml:6: kind "x"`},
+		"budget without reason": {valid + "budget = 3.0\n", "budget without budget_is"},
+		"unknown key":           {valid + "colour = 3\n", "colour"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "target.toml")
@@ -103,7 +105,7 @@
 			}
 			_, err := LoadTarget(path)
 			if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("error: got %v, want %q", err, c.want)
 			}
 		})
 	}
--- a/internal/testbed/capacity/fit.go
+++ b/internal/testbed/capacity/fit.go
@@ -1,5 +1,6 @@
-// Package capacity works out, from committed results of measurements, what each role of a deployment would need at a
-// target size, and renders that beside the budgets as the tables of docs/CAPACITY.md.
+// Package capacity extrapolates committed measurements to the resource needs of each role of a deployment at a target size.
+// It prints them with their budgets as the tables of docs/CAPACITY.md. LoadResults and LoadTarget read the input, Fit fits
+// the growth of a figure, and Print writes the tables.
 package capacity
 
 import (
@@ -14,10 +15,10 @@
 	Value float64 `json:"value"`
 }
 
-// Shape is how a figure grows with a size.
+// Shape is the function by which a figure grows with a size.
 type Shape int
 
-// Shapes that a figure may grow by.
+// Shapes of growth, from the simplest to the most complex.
 const (
 	Constant Shape = iota
 	Linear
@@ -29,7 +30,7 @@
 	return [...]string{"constant", "linear", "n log n", "square"}[s]
 }
 
-// growth is the shape's own term at a size.
+// growth returns the value of the shape's function at a size.
 func (s Shape) growth(n float64) float64 {
 	switch s {
 	case Linear:
@@ -42,35 +43,35 @@
 	return 0
 }
 
-// Slope is a fitted dependence: Fixed + Factor times the growth of its shape.
+// Slope is a fitted function: Fixed plus Factor times the growth of its shape.
 type Slope struct {
 	Shape         Shape
 	Fixed, Factor float64
-	Residual      float64 // root mean square of the deviations, each over the measured value
-	Largest       float64 // size
-	// PredictionError is by how much of the measured value the slope of all smaller sizes misses that of the largest size.
+	Residual      float64 // root mean square of the relative deviations from the measured values
+	Largest       float64 // largest measured size
+	// PredictionError is the relative error at the largest size of the slope that all smaller sizes give.
 	PredictionError float64
 }
 
 const (
-	minPoints          = 3    // of which a slope can be told from another
-	maxPredictionError = 0.25 // of the largest size's value, beyond which the slope is said not to have predicted it
-	// A more complex shape must leave clearly less behind: noise alone always favours the one that bends to it.
+	minPoints          = 3    // needed to distinguish shapes
+	maxPredictionError = 0.25 // above this share of the value at the largest size, the slope counts as not predicted
+	// A more complex shape must reduce the residual by this factor, because noise alone always favors more complex shapes.
 	minImprovement   = 0.8
-	goodResidual     = 0.03 // residual beneath which a shape needs no better one
-	constantResidual = 0.1  // the same for the constant: a figure that stays within a tenth over all sizes does not grow
+	goodResidual     = 0.03 // residual at or below which no more complex shape is tried
+	constantResidual = 0.1  // the same for the constant shape: a figure that varies by a tenth over all sizes does not grow
 )
 
-var errFewPoints = errors.New("a slope needs three sizes")
+var errFewPoints = errors.New("fit slope: fewer than 3 sizes were measured")
 
-// At extrapolates to a size.
+// At returns the value of the slope at a size.
 func (s Slope) At(n float64) float64 { return s.Fixed + s.Factor*s.Shape.growth(n) }
 
-// Unpredicted reports that the smaller sizes did not predict the largest one within a quarter.
+// Unpredicted reports whether the slope of the smaller sizes misses the value at the largest size by more than a quarter.
 func (s Slope) Unpredicted() bool { return math.Abs(s.PredictionError) > maxPredictionError }
 
-// Fit finds the simplest shape that describes the points, by least squares of relative deviations: sizes double, so that
-// absolute ones would let the largest size alone decide.
+// Fit returns the slope of the simplest shape that describes the points, by least squares of relative deviations. Sizes
+// double, so that with absolute deviations the largest size alone would decide.
 func Fit(points []Point) (Slope, error) {
 	points = slices.Clone(points)
 	slices.SortFunc(points, func(a, b Point) int { return cmpFloat(a.Size, b.Size) })
@@ -96,7 +97,7 @@
 	return 0
 }
 
-// fit tries each shape, the simplest first.
+// fit returns the best slope over all shapes, trying the simplest first.
 func fit(points []Point) Slope {
 	best := fitShape(Constant, points)
 	if best.Residual <= constantResidual {
@@ -128,7 +129,7 @@
 	return best
 }
 
-// solve is the weighted normal equation of the two parts, of which either may be left out.
+// solve solves the weighted normal equations for Fixed and Factor. Either may be left out, and is 0 then.
 func solve(shape Shape, points []Point, fixed, factor bool) Slope {
 	s := Slope{Shape: shape}
 	var ones, cross, squares, value, grown float64
@@ -159,4 +160,4 @@
 	return s
 }
 
-const minDivisor = 1e-12 // in place of a measured zero, over which nothing can be divided
+const minDivisor = 1e-12 // replaces a measured zero as divisor
--- a/internal/testbed/capacity/page.go
+++ b/internal/testbed/capacity/page.go
@@ -9,20 +9,20 @@
 	"strings"
 )
 
-// Markers enclose the tables on the page; what stands between them is printed by the command alone.
+// Begin and End enclose the tables on the page. The text between them is the output of Print.
 const (
 	Begin = "<!-- testbed capacity: begin -->"
 	End   = "<!-- testbed capacity: end -->"
 )
 
-// row is a figure worked out.
+// row is an extrapolated figure.
 type row struct {
 	*Figure
 	series  *Series
 	slope   Slope
-	target  float64 // size
-	value   float64 // there
-	command int     // number of the command that gave it
+	target  float64 // target size
+	value   float64 // at the target size
+	command int     // number of the command that measured it
 }
 
 func (r *row) budgetRatio() float64 {
@@ -32,7 +32,7 @@
 	return r.value / r.Budget
 }
 
-// page gathers what the tables share.
+// page is the state that the tables share.
 type page struct {
 	*Results
 	target   *Target
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// extrapolate extrapolates one figure.
+// extrapolate adds the row of a figure.
 func (p *page) extrapolate(f *Figure) error {
 	s, err := p.Series(f.Source)
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 	size, ok := p.target.Sizes[s.By]
 	if !ok {
-		return fmt.Errorf("the target has no size %q", s.By)
+		return fmt.Errorf("target file has no size %q", s.By)
 	}
 	if f.Unit == "" {
 		f.Unit = s.Unit
@@ -100,13 +100,13 @@
 }
 
 func (p *page) overBudget(w io.Writer) {
-	over := slices.DeleteFunc(slices.Clone(p.rows), func(r row) bool { return r.budgetRatio() <= 1 })
-	slices.SortStableFunc(over, func(a, b row) int { return cmp.Compare(b.budgetRatio(), a.budgetRatio()) })
+	exceeded := slices.DeleteFunc(slices.Clone(p.rows), func(r row) bool { return r.budgetRatio() <= 1 })
+	slices.SortStableFunc(exceeded, func(a, b row) int { return cmp.Compare(b.budgetRatio(), a.budgetRatio()) })
 	table(w, "Over budget, worst first", "role", "what", "at the target", "budget", "times over", "carried today by", "first limit met")
-	for _, r := range over {
+	for _, r := range exceeded {
 		line(w, r.Role, r.What, formatAmount(r.value, r.Unit), formatAmount(r.Budget, r.Unit)+", "+r.BudgetIs, formatNumber(r.budgetRatio()), r.Carries, r.Limit)
 	}
-	if len(over) == 0 {
+	if len(exceeded) == 0 {
 		fmt.Fprintln(w, "\nNothing is.")
 	}
 }
@@ -129,7 +129,7 @@
 	}
 }
 
-// measuredCell are the smallest and the largest size with their values.
+// measuredCell returns the smallest and the largest size with their values.
 func (r *row) measuredCell() string {
 	first, last := r.series.Points[0], r.series.Points[len(r.series.Points)-1]
 	text := fmt.Sprintf("%s at %s to %s at %s %s, %d sizes", formatAmount(first.Value, r.series.Unit), formatNumber(first.Size), formatAmount(last.Value, r.series.Unit),
@@ -158,7 +158,7 @@
 	return text
 }
 
-// extrapolationCell is how far the target is from the largest size that was measured.
+// extrapolationCell returns the ratio of the target size to the largest measured size.
 func (r *row) extrapolationCell() string {
 	if r.target <= r.slope.Largest {
 		return "no"
@@ -173,7 +173,7 @@
 	return fmt.Sprintf("%s, %s; %s of it", formatAmount(r.Budget, r.Unit), r.BudgetIs, formatNumber(r.budgetRatio()))
 }
 
-// events lists each run with an event, by plane, event and size.
+// events prints the latency of changes of each run, by plane, event and size.
 func (p *page) events(w io.Writer) {
 	table(w, "Changes in force, and events", "plane", "phase", "nodes", "servers", "changes", "p50 ms", "p99 ms", "last node ms", "not taken", "killed nodes back: last ms", "command")
 	for _, run := range p.Runs {
@@ -211,7 +211,7 @@
 	}
 }
 
-// largestRuns is the largest run of each plane.
+// largestRuns prints the largest run of each plane.
 func (p *page) largestRuns(w io.Writer) {
 	largest := map[string]Run{}
 	for _, run := range p.Runs {
@@ -245,7 +245,7 @@
 	}
 }
 
-// formatNumber is short: three digits that say something.
+// formatNumber formats a number with three significant digits.
 func formatNumber(v float64) string {
 	switch {
 	case v == 0:
@@ -260,7 +260,7 @@
 	return fmt.Sprintf("%.1e", v)
 }
 
-// groupThousands has its thousands set apart.
+// groupThousands formats a whole number with separators between thousands.
 func groupThousands(v float64) string {
 	digits := fmt.Sprintf("%.0f", math.Abs(v))
 	var b strings.Builder
@@ -276,7 +276,7 @@
 	return b.String()
 }
 
-// formatAmount is a number with its unit, in the step of it that reads well.
+// formatAmount formats a value with its unit, scaled to a prefix such as KB or GB.
 func formatAmount(v float64, unit string) string {
 	switch {
 	case unit == "B" || unit == "B/s":
--- a/internal/testbed/capacity/results.go
+++ b/internal/testbed/capacity/results.go
@@ -17,7 +17,7 @@
 	"fernvane/internal/testbed/scale/component"
 )
 
-// Path is a measurement of the data path.
+// Path is the result of a measurement of the data path. Its JSON encoding is a stored format.
 type Path struct {
 	Command string             `json:"command"`
 	At      time.Time          `json:"at"`
@@ -27,18 +27,18 @@
 
 // Run is a run of hollow nodes with the name of its file.
 type Run struct {
-	Name string // without its ending: PLANE-DIMENSION-SIZE, or PLANE-EVENT-SIZE
+	Name string // without extension: PLANE-DIMENSION-SIZE or PLANE-EVENT-SIZE
 	scale.Result
 }
 
-// Results are all that stand in a folder.
+// Results are all results of a folder.
 type Results struct {
 	Runs  []Run
 	Parts []component.Result
 	Paths []Path
 }
 
-// Save writes a result as it is committed.
+// Save writes a result as JSON in the form in which it is committed.
 func Save(path string, result any) error {
 	text, err := json.MarshalIndent(result, "", " ")
 	if err != nil {
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	if len(paths) == 0 {
-		return nil, fmt.Errorf("%s: there are no results", dir)
+		return nil, fmt.Errorf("read results: %s has no .json files", dir)
 	}
 	all := &Results{}
 	for _, path := range paths {
@@ -68,7 +68,7 @@
 	return all, nil
 }
 
-// read takes in one file, whose kind shows by what it holds.
+// read adds the result of one file. Its keys determine its kind.
 func (r *Results) read(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -92,12 +92,12 @@
 		err = json.Unmarshal(text, &p)
 		r.Paths = append(r.Paths, p)
 	default:
-		err = fmt.Errorf("neither a run, nor parts, nor a data path")
+		err = fmt.Errorf("unknown kind of result: want key phases, parts or rows")
 	}
 	return err
 }
 
-// Series is a figure by size, with where it comes from.
+// Series is a figure at several sizes, with its source.
 type Series struct {
 	By      string // dimension
 	Fixed   string
@@ -105,12 +105,12 @@
 	Exact   bool
 	Points  []Point
 	Command string
-	Load    float64 // of the machine before
+	Load    float64 // load average of the machine before the run
 	Cores   int
 }
 
-// Series finds what a row of the target file names: `parts NAME`, or `scale PLANE-DIMENSION PHASE ROLE FIELD`, where ROLE
-// may be in_force or handed.
+// Series returns the series that the source of a row of the target file names: `parts NAME` or
+// `scale PLANE-DIMENSION PHASE ROLE FIELD`, where ROLE may also be in_force or handed.
 func (r *Results) Series(source string) (*Series, error) {
 	words := strings.Fields(source)
 	switch {
@@ -119,7 +119,7 @@
 	case len(words) == 5 && words[0] == "scale":
 		return r.scaleSeries(words[1], words[2], words[3], words[4])
 	}
-	return nil, fmt.Errorf("source %q: `parts NAME` or `scale PLANE-DIMENSION PHASE ROLE FIELD`", source)
+	return nil, fmt.Errorf("source %q: want `parts NAME` or `scale PLANE-DIMENSION PHASE ROLE FIELD`", source)
 }
 
 func (r *Results) partSeries(name string) (*Series, error) {
@@ -135,12 +135,12 @@
 			return series, nil
 		}
 	}
-	return nil, fmt.Errorf("no part %q was measured", name)
+	return nil, fmt.Errorf("no measured part %q", name)
 }
 
 var runNames = regexp.MustCompile(`^([a-z]+)-([a-z-]+)-([0-9]+)$`)
 
-// family is what the runs of one series have in common.
+// family returns PLANE-DIMENSION of the run's name, "" if the name has another form.
 func (r *Run) family() string {
 	m := runNames.FindStringSubmatch(r.Name)
 	if m == nil {
@@ -149,7 +149,7 @@
 	return m[1] + "-" + m[2]
 }
 
-// dimensions of a run, by the flag's name.
+// dimension returns the size of a run in a dimension, which has the name of a flag.
 func dimension(s *scale.Size, name string) (float64, bool) {
 	v, ok := map[string]float64{"nodes": float64(s.Nodes), "servers": float64(s.Servers), "services": float64(s.Services),
 		"routes": float64(s.Routes), "tenants": float64(s.Tenants), "churn": s.Churn, "restarts": s.Restarts, "control": float64(s.Control)}[name]
@@ -166,7 +166,7 @@
 		_, s.By, _ = strings.Cut(family, "-")
 		size, ok := dimension(&run.Size, s.By)
 		if !ok {
-			return nil, fmt.Errorf("%s: %q is no dimension of a run", family, s.By)
+			return nil, fmt.Errorf("%s: unknown dimension %q", family, s.By)
 		}
 		value, unit, exact, err := phaseFigure(run, phase, role, field)
 		if err != nil {
@@ -181,13 +181,13 @@
 		s.Fixed = fixedDimensions(&run.Size, s.By)
 	}
 	if len(s.Points) == 0 {
-		return nil, fmt.Errorf("no run of %s", family)
+		return nil, fmt.Errorf("no run named %s-SIZE", family)
 	}
 	slices.SortFunc(s.Points, func(a, b Point) int { return cmpFloat(a.Size, b.Size) })
 	return s, nil
 }
 
-// fixedDimensions are the other dimensions of a run.
+// fixedDimensions returns the sizes of a run in the other dimensions.
 func fixedDimensions(s *scale.Size, by string) string {
 	var words []string
 	for _, name := range []string{"nodes", "servers", "routes", "tenants"} {
@@ -198,30 +198,30 @@
 	return strings.Join(words, ", ")
 }
 
-// phaseFigure is one of a run's: of nodes and control processes for each, of others for all.
+// phaseFigure returns a figure of a run's phase: of a role, the mean of its members.
 func phaseFigure(run *Run, phase, role, field string) (value float64, unit string, exact bool, err error) {
 	i := slices.IndexFunc(run.Phases, func(p scale.Phase) bool { return p.Name == phase })
 	if i < 0 {
-		return 0, "", false, fmt.Errorf("no phase %s", phase)
+		return 0, "", false, fmt.Errorf("run has no phase %s", phase)
 	}
 	p := &run.Phases[i]
 	switch role {
 	case "in_force":
 		if p.ChangeLatency == nil {
-			return 0, "", false, fmt.Errorf("no changes in phase %s", phase)
+			return 0, "", false, fmt.Errorf("phase %s has no changes", phase)
 		}
 		v, ok := map[string]float64{"p50": p.ChangeLatency.P50, "p99": p.ChangeLatency.P99, "last": p.ChangeLatency.Last}[field]
 		return v, "ms", false, checkField(ok, field)
 	case "handed":
 		if p.ChangeLatency == nil || p.ChangeLatency.Applied == 0 {
-			return 0, "", false, fmt.Errorf("no changes in phase %s", phase)
+			return 0, "", false, fmt.Errorf("phase %s has no changes", phase)
 		}
 		v, ok := map[string]int{"elements": p.Handed.Elements, "lists": p.Handed.Lists}[field]
 		return float64(v) / float64(p.ChangeLatency.Applied), "", true, checkField(ok, field)
 	}
 	o, ok := p.Roles[role]
 	if !ok {
-		return 0, "", false, fmt.Errorf("no role %s", role)
+		return 0, "", false, fmt.Errorf("run has no role %s", role)
 	}
 	n := float64(max(o.Members, 1))
 	v, ok := map[string]struct {
@@ -237,7 +237,7 @@
 
 func checkField(ok bool, field string) error {
 	if !ok {
-		return fmt.Errorf("no field %s", field)
+		return fmt.Errorf("unknown field %s", field)
 	}
 	return nil
 }
--- a/internal/testbed/capacity/target.go
+++ b/internal/testbed/capacity/target.go
@@ -6,39 +6,39 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// Target is the size that the deployment is to carry, and what it may cost there.
+// Target is the target file: the size of a deployment and the budgets of its figures.
 type Target struct {
-	// About are the operators' words, for the page.
+	// About are the rows of the page's first table.
 	About []Line `toml:"about"`
-	// Sizes are the target's dimensions by name.
+	// Sizes are the target sizes by dimension.
 	Sizes map[string]float64 `toml:"sizes"`
 	// Figures are the rows of the page.
 	Figures []Figure `toml:"figures"`
 }
 
-// Line is one of the target's own table.
+// Line is a row of the page's first table.
 type Line struct {
 	What   string `toml:"what"`
 	Target string `toml:"target"`
 }
 
-// Figure is one row: what a role pays at the target.
+// Figure is a row of a role's table: one resource need at the target size.
 type Figure struct {
 	Role     string  `toml:"role"`
 	Kind     string  `toml:"kind"` // state, messages, CPU, memory or time
 	What     string  `toml:"what"`
-	Source   string  `toml:"source"` // as Results.Series takes it
-	Times    float64 `toml:"times"`  // of the measured figure, as when it is paid so often in the budget's time; by default 1
-	Unit     string  `toml:"unit"`   // after Times; by default the source's
-	Budget   float64 `toml:"budget"` // 0: none is stated
+	Source   string  `toml:"source"` // argument of Results.Series
+	Times    float64 `toml:"times"`  // factor from the measured figure to the budgeted one; by default 1
+	Unit     string  `toml:"unit"`   // of the budgeted figure; by default the source's
+	Budget   float64 `toml:"budget"` // 0: none
 	BudgetIs string  `toml:"budget_is"`
-	Carries  string  `toml:"carries"` // the mechanism
-	Limit    string  `toml:"limit"`   // the first that it meets
+	Carries  string  `toml:"carries"` // the mechanism that meets the need today
+	Limit    string  `toml:"limit"`   // the first limit that the mechanism reaches
 }
 
 var kinds = map[string]bool{"state": true, "messages": true, "CPU": true, "memory": true, "time": true}
 
-// LoadTarget reads a target file; each fault is named by file and line.
+// LoadTarget reads a target file. Its error lists each fault with file and line.
 func LoadTarget(path string) (*Target, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
@@ -50,24 +50,24 @@
 		return nil, err
 	}
 	if len(t.Figures) == 0 {
-		f.Wrong("figures", "there are no figures")
+		f.Wrong("figures", "no figures: want at least one")
 	}
 	for i := range t.Figures {
 		g := &t.Figures[i]
 		at := func(key string) string { return fmt.Sprintf("figures.%d.%s", i, key) }
 		for _, v := range []struct{ key, value string }{{"role", g.Role}, {"what", g.What}, {"source", g.Source}, {"carries", g.Carries}} {
 			if v.value == "" {
-				f.Wrong(at(v.key), "a figure without %s", v.key)
+				f.Wrong(at(v.key), "figure without %s", v.key)
 			}
 		}
 		if !kinds[g.Kind] {
-			f.Wrong(at("kind"), "kind %q: state, messages, CPU, memory or time", g.Kind)
+			f.Wrong(at("kind"), "kind %q: want state, messages, CPU, memory or time", g.Kind)
 		}
 		if g.Budget < 0 || g.Times < 0 {
-			f.Wrong(at("budget"), "budget and times are not below 0")
+			f.Wrong(at("budget"), "negative budget or times: want at least 0")
 		}
 		if g.Budget > 0 && g.BudgetIs == "" {
-			f.Wrong(at("budget_is"), "a budget without its reason")
+			f.Wrong(at("budget_is"), "budget without budget_is")
 		}
 		if g.Times == 0 {
 			g.Times = 1
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -11,7 +11,7 @@
 // sorted returns the keys of a map in order.
 func sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// Compare writes two reports side by side, and says so if they are not of the same schedule.
+// Compare writes two reports side by side, with a warning if they do not have the same schedule.
 func Compare(w io.Writer, a, b *Report) {
 	if a.Scenario != b.Scenario || a.Seed != b.Seed || a.Offered != b.Offered {
 		fmt.Fprintf(w, "NOT THE SAME SCHEDULE: %s, seed %d, %d requests against %s, seed %d, %d requests\n\n",
@@ -44,19 +44,19 @@
 	fmt.Fprintf(w, "\nrules broken: A %s, B %s\n", a.brokenNames(), b.brokenNames())
 	for i, r := range []*Report{a, b} {
 		if r.Generator.Behind {
-			fmt.Fprintf(w, "NOT VALID: the generator fell behind in %c\n", 'A'+i)
+			fmt.Fprintf(w, "NOT VALID: generator fell behind in report %c\n", 'A'+i)
 		}
 	}
 }
 
-// worst returns the lowest service of a second.
+// worst returns the lowest mean service over a second.
 func (r *Report) worst() float64 {
 	least := 1.0
-	const n = 4 // points of a second
-	for i := 0; i+n <= len(r.Series); i++ {
+	const pointsPerSecond = 4
+	for i := 0; i+pointsPerSecond <= len(r.Series); i++ {
 		sum := 0.0
-		for _, p := range r.Series[i : i+n] {
-			sum += p.Service / n
+		for _, p := range r.Series[i : i+pointsPerSecond] {
+			sum += p.Service / pointsPerSecond
 		}
 		least = min(least, sum)
 	}
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -1,6 +1,5 @@
-// Package report presents the outcome of a testbed run as text, as JSON and as a plot, and compares two reports. The
-// command cmd/testbed creates a Report by New; it is a plain value without state of its own. JSON keys are a stored
-// format.
+// Package report presents the outcome of a testbed run as text, JSON or plot, and compares two reports. New creates a Report,
+// which is a plain value. Its JSON keys are a stored format.
 package report
 
 import (
@@ -32,7 +31,7 @@
 	Rejected          int                `json:"denied"`
 	WrittenOff        int                `json:"written_off"`
 	Unanswered        int                `json:"unanswered"`
-	Unreached         int                `json:"unreached"` // no node was reached
+	Unreached         int                `json:"unreached"` // clients reached no node
 	DisconnectedEarly int                `json:"left_early,omitempty"`
 	Tries             int                `json:"tries"`
 	Rules             []audit.Rule       `json:"rules"`
@@ -67,7 +66,7 @@
 	P99     float64 `json:"p99"`
 }
 
-// Generator is how far the load generator fell behind.
+// Generator is how late the load generator sent requests.
 type Generator struct {
 	LateMaxMS float64 `json:"late_max_ms"`
 	LateShare float64 `json:"late_share"`
@@ -75,14 +74,14 @@
 	WorstBin  float64 `json:"worst_bin"` // largest relative error against the schedule in 100 ms
 }
 
-// Discovery is how much nodes used discovery.
+// Discovery is the load of all nodes on discovery.
 type Discovery struct {
 	Calls  int     `json:"calls"`
 	Lines  float64 `json:"lines"`
 	Turned int     `json:"turned_away"`
 }
 
-// Use is the CPU time of a group of processes and the memory of the largest.
+// Use is the CPU time of a group of processes together and the memory of its largest process.
 type Use struct {
 	CPUSeconds float64 `json:"cpu_s"`
 	RSSMaxMB   float64 `json:"rss_max_mb"`
@@ -98,7 +97,7 @@
 	P99      float64 `json:"p99"`
 }
 
-// Fault is the time of a fault.
+// Fault is the kind and time of a fault.
 type Fault struct {
 	Kind  string  `json:"kind"`
 	FromS float64 `json:"from_s"`
@@ -140,9 +139,9 @@
 		r.Latency[t.Name] = Latency{quantile(t.Latency, 50), quantile(t.Latency, 99), quantile(t.Latency, 99.9),
 			float64(t.Latency.Max()) / 1000, ratio(t.EarnedRevenue, t.OfferedRevenue)}
 	}
-	for into, parts := range map[*map[string]Part][]load.Share{&r.ByTenant: o.ByTenant, &r.BySite: o.BySite} {
+	for target, parts := range map[*map[string]Part][]load.Share{&r.ByTenant: o.ByTenant, &r.BySite: o.BySite} {
 		for _, p := range parts {
-			(*into)[p.Name] = Part{ratio(p.EarnedRevenue, p.OfferedRevenue), quantile(p.Latency, 99)}
+			(*target)[p.Name] = Part{ratio(p.EarnedRevenue, p.OfferedRevenue), quantile(p.Latency, 99)}
 		}
 	}
 	for i, p := range o.Series {
@@ -159,7 +158,7 @@
 	return r
 }
 
-// millis returns milliseconds.
+// millis returns a duration in milliseconds.
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 // quantile returns a percentile in ms.
@@ -204,10 +203,10 @@
 		return r, err
 	}
 	if err := json.Unmarshal(b, &r); err != nil {
-		return r, fmt.Errorf("%s: no report: %w", path, err)
+		return r, fmt.Errorf("decode report %s: %w", path, err)
 	}
 	if r.Scenario == "" {
-		return r, fmt.Errorf("%s: no report: it names no scenario", path)
+		return r, fmt.Errorf("decode report %s: key scenario is missing", path)
 	}
 	return r, nil
 }
--- a/internal/testbed/report/text.go
+++ b/internal/testbed/report/text.go
@@ -10,7 +10,7 @@
 // Text writes the report as tables and lines for people.
 func (r *Report) Text(w io.Writer) {
 	if r.Generator.Behind {
-		fmt.Fprintf(w, "NOT VALID: the generator fell behind by up to %.0f ms, %.1f%% of the requests started late\n\n",
+		fmt.Fprintf(w, "NOT VALID: generator fell behind by up to %.0f ms, %.1f%% of the requests started late\n\n",
 			r.Generator.LateMaxMS, 100*r.Generator.LateShare)
 	}
 	fmt.Fprintf(w, "scenario %s, seed %d: %d nodes, %d servers, %d requests\n\n", r.Scenario, r.Seed, r.Nodes, r.Servers, r.Offered)
@@ -61,10 +61,10 @@
 	}
 }
 
-// writeUsage writes how the generator did and what the processes used.
+// writeUsage writes the lateness of the generator and the resource usage of the processes.
 func (r *Report) writeUsage(w io.Writer) {
 	fmt.Fprintf(w, "\ngenerator: at most %.1f ms late, %.2f%% of the requests late", r.Generator.LateMaxMS, 100*r.Generator.LateShare)
-	fmt.Fprintf(w, "; 100 ms differ by %.2f%% at most", 100*r.Generator.WorstBin)
+	fmt.Fprintf(w, "; intervals of 100 ms differ from the schedule by at most %.2f%%", 100*r.Generator.WorstBin)
 	fmt.Fprintf(w, "\ndiscovery: %d calls, %.0f lines, %d rejected", r.Discovery.Calls, r.Discovery.Lines, r.Discovery.Turned)
 	fmt.Fprintf(w, "\nnodes: %.2f s of CPU together, at most %.0f MB each", r.NodeUse.CPUSeconds, r.NodeUse.RSSMaxMB)
 	if r.PlannerUse.CPUSeconds > 0 {
@@ -74,7 +74,7 @@
 		fmt.Fprintf(w, "\njournals: %d entries, %d executions, %d possibly sent, %d of them not settled by execution records, %d records in gaps", j.Entries, j.Ran,
 			j.PossiblySent, j.Open, j.Gaps)
 		if j.PeerBytes > 0 || j.Losses > 0 {
-			fmt.Fprintf(w, "\nmachines: %d lost with their disks, %d rounds until all was replicated again; %d journals expected to be lost, %d executions of theirs are; %d bytes between nodes",
+			fmt.Fprintf(w, "\nmachines: %d lost with their disks, in %d rounds until all was replicated again; %d journals expected to be lost, %d of their executions lost; %d bytes between nodes",
 				j.Losses, j.Cycles, j.AnnouncedLost, j.Lost, j.PeerBytes)
 		}
 	}
@@ -84,7 +84,7 @@
 	fmt.Fprintln(w)
 }
 
-// Table writes the counts of tries and attempts by second.
+// Table writes a row with the counts of tries and attempts for each second.
 func (r *Report) Table(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "second\ttries\tfirst attempts\tretries\texecuted\twasted\thandled\trejected\tfailed\tunanswered\tbusiest node\t")
