--- a/cmd/testbed/capacity.go
+++ b/cmd/testbed/capacity.go
@@ -13,8 +13,8 @@
 func capacityCommand() *cobra.Command {
 	var results, target string
 	c := &cobra.Command{Use: "capacity", Short: "Print the tables of docs/CAPACITY.md from committed results and a target",
-		Long: `capacity fits how each measured figure grows, works it out at the size of the target file and sets it beside the budget.
-Results are the files of ` + "`testbed scale --json`, named PLANE-DIMENSION-SIZE.json or PLANE-EVENT-SIZE.json, of `testbed capacity\nmeasure` and of `testbed bench --json`.",
+		Long: `capacity fits the growth of each measured figure, extrapolates it to the sizes of the target file and prints it with its budget.
+Results are the files of ` + "`testbed scale --json`, named PLANE-DIMENSION-SIZE.json or PLANE-EVENT-SIZE.json, of `testbed capacity\nmeasure --json` and of `testbed bench --json`.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			r, err := capacity.LoadResults(results)
@@ -27,8 +27,8 @@
 			}
 			return capacity.Print(c.OutOrStdout(), r, t)
 		}}
-	c.Flags().StringVar(&results, "results", "docs/capacity", "`folder` of the results")
-	c.Flags().StringVar(&target, "target", "docs/capacity/target.toml", "target `file`")
+	c.Flags().StringVar(&results, "results", "docs/capacity", "read the results of this `folder`")
+	c.Flags().StringVar(&target, "target", "docs/capacity/target.toml", "read the target sizes and budgets of this `file`")
 	c.AddCommand(measureCommand())
 	return c
 }
@@ -36,7 +36,7 @@
 func measureCommand() *cobra.Command {
 	var json string
 	var only []string
-	c := &cobra.Command{Use: "measure", Short: "Measure what parts of the control side cost by themselves, at sizes that no run of nodes reaches", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "measure", Short: "Measure parts of the control plane in isolation, at sizes beyond those of runs with nodes", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			machine, err := scale.ThisMachine()
 			if err != nil {
@@ -49,6 +49,6 @@
 			return capacity.Save(json, r)
 		}}
 	c.Flags().StringVar(&json, "json", "", "write the result to a `file`")
-	c.Flags().StringSliceVar(&only, "only", nil, "parts to measure, by name; by default all")
+	c.Flags().StringSliceVar(&only, "only", nil, "measure only the parts of these names; by default all")
 	return c
 }
--- a/cmd/testbed/distribution.go
+++ b/cmd/testbed/distribution.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	maxDistributionTime  = 6 * time.Second // the operators' figure for a change to be in force everywhere
+	maxDistributionTime  = 6 * time.Second // required time until all nodes have applied a change
 	maxDistributionNodes = 500             // nodes in one process
 )
 
 func distributionCommand() *cobra.Command {
 	d := testbed.Distribution{}
-	c := &cobra.Command{Use: "distribution", Short: "Play nodes under control processes that end, lose disks and are cut off, and time changes until in force",
+	c := &cobra.Command{Use: "distribution", Short: "Measure the time until nodes apply changes while control processes crash, lose their disks and are cut off",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			if d.Nodes < 1 || d.Nodes > maxDistributionNodes || d.Relays < 2 || d.Changes < 1 {
-				return fmt.Errorf("from 1 to %d nodes, 2 relays at least and 1 change", maxDistributionNodes)
+				return fmt.Errorf("invalid size: want 1 to %d nodes, at least 2 relays and at least 1 change", maxDistributionNodes)
 			}
 			dir, err := os.MkdirTemp("", "testbed-distribution-")
 			if err != nil {
@@ -40,12 +40,12 @@
 			})
 			w.Flush()
 			if err == nil && failed {
-				err = errors.New("a change took more than 6 s, or a node went back")
+				err = errors.New("a change took more than 6 s, or a node reverted to an earlier revision")
 			}
 			return err
 		}}
-	c.Flags().IntVar(&d.Nodes, "nodes", 40, "nodes, all in this process")
-	c.Flags().IntVar(&d.Relays, "relays", 3, "relays below two roots")
-	c.Flags().IntVar(&d.Changes, "changes", 3, "changes after each fault")
+	c.Flags().IntVar(&d.Nodes, "nodes", 40, "run this number of nodes, all in this process")
+	c.Flags().IntVar(&d.Relays, "relays", 3, "run this number of relays below two roots")
+	c.Flags().IntVar(&d.Changes, "changes", 3, "make this number of changes after each fault")
 	return c
 }
--- a/cmd/testbed/journal.go
+++ b/cmd/testbed/journal.go
@@ -21,12 +21,12 @@
 	return []string{path, nodeCommand}, err
 }
 
-// killsCommand kills nodes at random times and compares their journals with what the servers executed.
+// killsCommand kills nodes at random times and compares their journals with the servers' execution records.
 func killsCommand() *cobra.Command {
 	var n int
 	var seed uint64
 	var promise string
-	c := &cobra.Command{Use: "kills", Short: "Kill nodes again and again, and compare their journals with the servers' execution records", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "kills", Short: "Kill nodes repeatedly and compare their journals with the servers' execution records", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			command, err := self()
 			if err != nil {
@@ -38,7 +38,7 @@
 			}
 			s.Seed, s.Journal.Promise, s.Faults = seed, promise, nil
 			chance := rand.New(rand.NewPCG(seed, 3))
-			const down, up = 200 * time.Millisecond, 250 * time.Millisecond // and a life of chance between
+			const down, up = 200 * time.Millisecond, 250 * time.Millisecond // a node runs for up plus a random time between kills
 			at := make([]time.Duration, s.Nodes.Count)
 			for i := range n {
 				node := i % len(at)
@@ -51,11 +51,11 @@
 				return err
 			}
 			j := out.Journal
-			fmt.Fprintf(c.OutOrStdout(), "%d kills in %s, promise %s: %d entries, %d dockets, %d possibly sent, %d of them not settled by dockets, %d words in gaps\n",
+			fmt.Fprintf(c.OutOrStdout(), "%d kills in %s, promise %s: %d entries, %d executions, %d possibly sent, %d of them not settled by execution records, %d records in gaps\n",
 				n, s.Length.Std(), promise, j.Entries, j.Ran, j.PossiblySent, j.Open, j.Gaps)
 			for _, r := range out.Rules {
 				if r.Violations > 0 {
-					fmt.Fprintf(c.OutOrStdout(), "broken %d times: %s: %s\n", r.Violations, r.Name, r.FirstViolation)
+					fmt.Fprintf(c.OutOrStdout(), "rule broken %d times: %s: %s\n", r.Violations, r.Name, r.FirstViolation)
 					err = exit(exitBroken)
 				}
 			}
@@ -64,15 +64,15 @@
 			}
 			return err
 		}}
-	c.Flags().IntVarP(&n, "kills", "n", 500, "how many kills")
-	c.Flags().Uint64Var(&seed, "seed", 53, "of their moments and of the load")
-	c.Flags().StringVar(&promise, "promise", "process", "process or machine")
+	c.Flags().IntVarP(&n, "kills", "n", 500, "kill nodes this number of times")
+	c.Flags().Uint64Var(&seed, "seed", 53, "seed the times of kills and the load")
+	c.Flags().StringVar(&promise, "promise", "process", "set the journal's promise: process or machine")
 	return c
 }
 
 // promisesCommand measures what the journal's promises cost a non-idempotent request.
 func promisesCommand() *cobra.Command {
-	return &cobra.Command{Use: "promises", Short: "What each of the journal's promises adds to a non-idempotent request", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "promises", Short: "Measure what each of the journal's promises adds to a non-idempotent request", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			command, err := self()
 			if err != nil {
@@ -94,7 +94,7 @@
 					return err
 				}
 				if out.Lateness.IsBehind {
-					return errors.Join(errors.New("the generator fell behind"), exit(exitInvalid))
+					return errors.Join(errors.New("result is invalid: load generator fell behind its schedule"), exit(exitInvalid))
 				}
 				var cells [2][3]float64
 				for _, k := range out.ByType {
@@ -112,12 +112,12 @@
 				} else {
 					promise = "none"
 				}
-				linked := 0.0
+				peerBytes := 0.0
 				if out.Journal.Entries > 0 {
-					linked = float64(out.Journal.PeerBytes) / float64(out.Journal.Entries)
+					peerBytes = float64(out.Journal.PeerBytes) / float64(out.Journal.Entries)
 				}
 				fmt.Fprintf(t, "%s\t%.4f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\t%.0f\t%.0f\t\n", promise, out.ServiceShare(), cells[1][0], cells[1][1], cells[1][2], cells[0][0],
-					cells[0][1], out.NodeUsage.CPU.Seconds(), each, linked)
+					cells[0][1], out.NodeUsage.CPU.Seconds(), each, peerBytes)
 			}
 			return t.Flush()
 		}}
@@ -127,7 +127,7 @@
 func repairCommand() *cobra.Command {
 	var n, rate int
 	var length time.Duration
-	c := &cobra.Command{Use: "repair", Short: "Time until a journal without replicas is replicated, and service meanwhile", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "repair", Short: "Measure the time until a journal without replicas is replicated, and the service meanwhile", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			command, err := self()
 			if err != nil {
@@ -148,7 +148,7 @@
 					return err
 				}
 				if out.Lateness.IsBehind {
-					return errors.Join(errors.New("the generator fell behind"), exit(exitInvalid))
+					return errors.Join(errors.New("result is invalid: load generator fell behind its schedule"), exit(exitInvalid))
 				}
 				for _, k := range out.ByType {
 					if k.Name == "hire-book" {
@@ -158,7 +158,7 @@
 				}
 				for _, r := range out.Rules {
 					if r.Violations > 0 {
-						fmt.Fprintf(c.OutOrStdout(), "broken %d times: %s: %s\n", r.Violations, r.Name, r.FirstViolation)
+						fmt.Fprintf(c.OutOrStdout(), "rule broken %d times: %s: %s\n", r.Violations, r.Name, r.FirstViolation)
 						err = exit(exitBroken)
 					}
 				}
@@ -168,8 +168,8 @@
 			}
 			return t.Flush()
 		}}
-	c.Flags().IntVar(&n, "entries", 1_000_000, "that one machine holds alone")
-	c.Flags().IntVar(&rate, "repair-bytes", 8<<20, "a second that a node copies")
-	c.Flags().DurationVar(&length, "length", 80*time.Second, "of the load")
+	c.Flags().IntVar(&n, "entries", 1_000_000, "begin with this number of entries that only one machine has stored")
+	c.Flags().IntVar(&rate, "repair-bytes", 8<<20, "limit repair to this number of bytes per second and node")
+	c.Flags().DurationVar(&length, "length", 80*time.Second, "send load for this time")
 	return c
 }
--- a/cmd/testbed/losses.go
+++ b/cmd/testbed/losses.go
@@ -17,10 +17,10 @@
 
 // lossesCommand loses machines with their disks repeatedly, in several runs at a time.
 func lossesCommand() *cobra.Command {
-	var n, atOnce int
+	var n, concurrency int
 	var seed uint64
 	var promise string
-	c := &cobra.Command{Use: "losses", Short: "Lose machines with their disks again and again, and look for each execution in the journals that are left", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "losses", Short: "Lose machines with their disks repeatedly, and check that each execution is in a remaining journal", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			command, err := self()
 			if err != nil {
@@ -29,7 +29,7 @@
 			l := &losses{wanted: n, seed: seed, promise: promise, command: command, progress: c.ErrOrStderr(),
 				broken: map[string]int{}, firstViolation: map[string]string{}}
 			var g errgroup.Group
-			for range atOnce {
+			for range concurrency {
 				g.Go(func() error { return l.repeat(c.Context()) })
 			}
 			if err := g.Wait(); err != nil {
@@ -37,14 +37,14 @@
 			}
 			return l.print(c.OutOrStdout())
 		}}
-	c.Flags().IntVarP(&n, "losses", "n", 1000, "how many, at least")
-	c.Flags().IntVar(&atOnce, "at-once", 3, "tiers of 12 nodes at a time")
-	c.Flags().Uint64Var(&seed, "seed", 6100, "before that of the first run")
-	c.Flags().StringVar(&promise, "promise", "machines", "process, machine or machines")
+	c.Flags().IntVarP(&n, "losses", "n", 1000, "lose at least this number of machines")
+	c.Flags().IntVar(&concurrency, "at-once", 3, "run this number of clusters of 12 nodes concurrently")
+	c.Flags().Uint64Var(&seed, "seed", 6100, "use this seed plus 1 for the first run, plus 2 for the second, and so on")
+	c.Flags().StringVar(&promise, "promise", "machines", "set the journal's promise: process, machine or machines")
 	return c
 }
 
-// losses are concurrent runs that lose machines until enough were lost.
+// losses repeats runs concurrently until enough machines were lost. It is safe for concurrent use.
 type losses struct {
 	wanted   int
 	seed     uint64
@@ -60,7 +60,7 @@
 	err            error
 }
 
-// repeat runs one scenario after the other until enough machines were lost or a run fails.
+// repeat runs scenarios, one after the other, until enough machines were lost or a run fails.
 func (l *losses) repeat(ctx context.Context) error {
 	for {
 		s, err := l.next(ctx)
@@ -74,7 +74,7 @@
 	}
 }
 
-// next returns the scenario of the next run, nil if no more are needed.
+// next returns the scenario of the next run, nil if none is needed.
 func (l *losses) next(ctx context.Context) (*scenario.Scenario, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,7 +95,7 @@
 	return s, nil
 }
 
-// add counts a run.
+// add adds the outcome of a run to the sums.
 func (l *losses) add(s *scenario.Scenario, out *testbed.Outcome, err error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,17 +116,17 @@
 			l.firstViolation[r.Name] = r.FirstViolation
 		}
 	}
-	fmt.Fprintf(l.progress, "seed %d: %d machines lost in %d cycles, service %.4f, %d dockets\n", s.Seed, j.Losses, j.Cycles, out.ServiceShare(), j.Ran)
+	fmt.Fprintf(l.progress, "seed %d: %d machines lost in %d cycles, service %.4f, %d executions\n", s.Seed, j.Losses, j.Cycles, out.ServiceShare(), j.Ran)
 	return nil
 }
 
-// print prints the sum. It returns an error if a rule was broken.
+// print prints the sums and each broken rule. It returns an error if a rule was broken.
 func (l *losses) print(out io.Writer) (err error) {
-	fmt.Fprintf(out, "%d machines lost in %d cycles, promise %s: %d entries, %d dockets, %d possibly sent, %d of them not settled by dockets, %d words in gaps\n",
+	fmt.Fprintf(out, "%d machines lost in %d cycles, promise %s: %d entries, %d executions, %d possibly sent, %d of them not settled by execution records, %d records in gaps\n",
 		l.sum.Losses, l.sum.Cycles, l.promise, l.sum.Entries, l.sum.Ran, l.sum.PossiblySent, l.sum.Open, l.sum.Gaps)
 	for name, n := range l.broken {
 		if n > 0 {
-			fmt.Fprintf(out, "broken %d times: %s: %s\n", n, name, l.firstViolation[name])
+			fmt.Fprintf(out, "rule broken %d times: %s: %s\n", n, name, l.firstViolation[name])
 			err = exit(exitBroken)
 		}
 	}
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -26,10 +26,10 @@
 const (
 	exitBroken   = 1 // a rule was broken
 	exitBadInput = 2
-	exitInvalid  = 3 // the generator fell behind: the run does not count
+	exitInvalid  = 3 // the load generator fell behind its schedule: the result is invalid
 )
 
-// Arguments and environment of the processes that the testbed starts of itself.
+// Arguments and environment variables of processes that the testbed starts from its own binary.
 const (
 	nodeCommand = "node"
 	planCommand = "planner"
@@ -37,7 +37,7 @@
 	profileVar  = "FERNLAB_CPUPROFILE"
 )
 
-// exit is the error of a command that has printed its result and ends with this code.
+// exit is the error of a command that has printed its result. Its value is the exit code.
 type exit int
 
 func (e exit) Error() string { return fmt.Sprintf("exit %d", int(e)) }
@@ -64,11 +64,11 @@
 	proxy.CatchSignals() // as the node's own command does
 	cfg, err := proxy.LoadConfig(getenv("PROXY_CONFIG"), getenv)
 	if err != nil {
-		fmt.Fprintf(errs, "the configuration cannot be used: %v\n", err)
+		fmt.Fprintf(errs, "load node configuration: %v\n", err)
 		return exitBadInput
 	}
 	if !testbed.Configure(&cfg, getenv(policyVar)) {
-		fmt.Fprintf(errs, "no policy %q\n", getenv(policyVar))
+		fmt.Fprintf(errs, "unknown policy %q\n", getenv(policyVar))
 		return exitBadInput
 	}
 	cfg.Filesystem = testbed.Disk(getenv)
@@ -91,7 +91,7 @@
 func runPlanner(errs io.Writer, getenv func(string) string) int {
 	cfg, err := planconfig.LoadPlanner(getenv("PROXY_PLAN"))
 	if err != nil {
-		fmt.Fprintf(errs, "the planner's file cannot be used: %v\n", err)
+		fmt.Fprintf(errs, "load planner configuration: %v\n", err)
 		return exitBadInput
 	}
 	return planner.Process(cfg, errs)
@@ -103,12 +103,13 @@
 	defer stop()
 	root := &cobra.Command{
 		Use:   "testbed",
-		Short: "Runs deployments on loopback with real nodes and stand-ins, and audits the rules",
-		Long: `testbed starts real node processes on loopback sockets, with stand-ins for servers, discovery, the
-connection balancer and clients, sends them load on a fixed schedule, and applies faults at given times. It reports
-service and latency, also of baseline policies under the same conditions, and whether the rules were kept.
+		Short: "Run deployments on loopback with real nodes and stand-ins, and audit the rules",
+		Long: `testbed starts real node processes on loopback sockets, with stand-ins for servers, discovery, the connection balancer and
+clients. It sends load on a fixed schedule and injects faults at given times. It reports service and latency of the nodes and
+of baseline policies under the same conditions, and which rules were broken.
 
-Exit codes: 0 all kept, 1 a rule was broken, 2 bad input, 3 the generator fell behind and the run does not count.`,
+Exit codes: 0 no rule was broken, 1 a rule was broken, 2 invalid input, 3 the load generator fell behind its schedule and the
+result is invalid.`,
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	root.SetArgs(args)
--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -10,7 +10,7 @@
 	"fernvane/internal/testbed/report"
 )
 
-// TestMain lets this very program run as a node, as the command does.
+// TestMain runs the test binary as a node if it was started as one, as the command does.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 2 && os.Args[1] == nodeCommand {
 		main()
@@ -48,14 +48,14 @@
 	return path
 }
 
-// A run from a file to its report, plot and comparison.
+// TestRunWritesItsReports checks the report, plot and comparison of a run from a scenario file.
 func TestRunWritesItsReports(t *testing.T) {
 	dir := t.TempDir()
 	scenario, out, plot := write(t, "small.toml", small), filepath.Join(dir, "a.json"), filepath.Join(dir, "a.svg")
 	var text, errs strings.Builder
 	code := run([]string{"run", scenario, "--quiet", "--baselines", "random", "--json", out, "--plot", plot}, &text, &errs)
-	if code != 0 && code != exitInvalid { // a busy machine is late: the report says so, and is written
-		t.Fatalf("exit %d: %s\n%s", code, errs.String(), text.String())
+	if code != 0 && code != exitInvalid { // on a busy machine the generator may be late: the report says so and is written all the same
+		t.Fatalf("got exit code %d, want 0 or 3: %s\n%s", code, errs.String(), text.String())
 	}
 	b, err := os.ReadFile(out)
 	if err != nil {
@@ -67,25 +67,25 @@
 	}
 	for _, k := range strings.Fields("scenario seed nodes boxes offered service answered_in_target handled denied written_off unanswered rules latency_ms generator baselines") {
 		if len(keys[k]) == 0 {
-			t.Errorf("the report has no %s", k)
+			t.Errorf("report lacks key %s", k)
 		}
 	}
 	r, err := report.Load(out)
 	if err != nil || r.Handled == 0 || len(r.Baselines) != 1 || r.Baselines[0].Policy != "random" {
-		t.Errorf("read again: %+v, %v", r, err)
+		t.Errorf("loaded report: got %+v, error %v, want handled requests and baseline random", r, err)
 	}
 	if b, err := os.ReadFile(plot); err != nil || !strings.Contains(string(b), "slow") || !strings.HasPrefix(string(b), "<?xml") {
-		t.Errorf("the plot: %v", err)
+		t.Errorf("plot: got error %v, want an SVG with the fault slow", err)
 	}
 	text.Reset()
-	late := code == exitInvalid // and only then the comparison may say that it is not valid
+	isLate := code == exitInvalid // only then may the comparison say that a report is not valid
 	if code := run([]string{"compare", out, out}, &text, &errs); code != 0 || !strings.Contains(text.String(), "hire-book p99 ms") ||
-		strings.Contains(text.String(), "NOT THE SAME") || strings.Contains(text.String(), "NOT") && !late {
-		t.Errorf("compared: %d\n%s", code, text.String())
+		strings.Contains(text.String(), "NOT THE SAME") || strings.Contains(text.String(), "NOT") && !isLate {
+		t.Errorf("compare: got exit code %d, want 0 and no warning:\n%s", code, text.String())
 	}
 }
 
-// What is refused, with which code and word.
+// TestBadInput checks exit code and message of invalid input.
 func TestBadInput(t *testing.T) {
 	bad := write(t, "bad.toml", "name = \"x\"\nbase = \"calm\"\n[load]\nrate = -1\nshapes = 3\n")
 	good := write(t, "good.toml", small)
@@ -96,30 +96,30 @@
 		code int
 		says string
 	}{
-		"a bad file":          {[]string{"check", bad}, exitBadInput, "bad.toml:5: unknown key \"load.shapes\""},
-		"run, a bad file":     {[]string{"run", bad}, exitBadInput, "bad.toml:5: "},
-		"a good file":         {[]string{"check", good}, 0, ""},
-		"no such scenario":    {[]string{"run", "dance"}, exitBadInput, "no scenario \"dance\""},
-		"no such file":        {[]string{"check", bad + "x"}, exitBadInput, "no such file"},
-		"no such baseline":    {[]string{"run", "calm", "--baselines", "magic"}, exitBadInput, "no baseline \"magic\""},
-		"no such policy":      {[]string{"run", "calm", "--policy", "magic"}, exitBadInput, "no policy \"magic\""},
-		"a bad trace":         {[]string{"run", good, "--trace", trace}, exitBadInput, "t.csv:2: no type \"hire-dance\""},
-		"no such node":        {[]string{"run", good, "--node", bad + "x", "--quiet"}, exitBadInput, "node 0 cannot be started"},
-		"a node that ends":    {[]string{"run", good, "--node", "/bin/false", "--quiet"}, exitBadInput, "node 0 has ended"},
-		"no report":           {[]string{"compare", good, good}, exitBadInput, "decode report "},
-		"different schedules": {[]string{"compare", other, write(t, "o.json", `{"scenario":"y"}`)}, 0, ""},
-		"an unknown flag":     {[]string{"run", "--fast"}, exitBadInput, "unknown flag"},
-		"scale, too large":    {[]string{"scale", "--plane", "discovery", "--nodes", "50000"}, exitBadInput, "processes: at most 200 are allowed"},
-		"scale, no plane":     {[]string{"scale", "--plane", "magic"}, exitBadInput, "--plane magic: want one of discovery"},
-		"capacity, nothing":   {[]string{"capacity", "--results", filepath.Dir(bad) + "x"}, exitBadInput, "has no .json files"},
-		"no address":          {[]string{"load"}, exitBadInput, "required flag(s) \"to\""},
+		"bad file":             {[]string{"check", bad}, exitBadInput, "bad.toml:5: unknown key \"load.shapes\""},
+		"run, bad file":        {[]string{"run", bad}, exitBadInput, "bad.toml:5: "},
+		"good file":            {[]string{"check", good}, 0, ""},
+		"no such scenario":     {[]string{"run", "dance"}, exitBadInput, "no scenario \"dance\""},
+		"no such file":         {[]string{"check", bad + "x"}, exitBadInput, "no such file"},
+		"no such baseline":     {[]string{"run", "calm", "--baselines", "magic"}, exitBadInput, "unknown baseline \"magic\""},
+		"no such policy":       {[]string{"run", "calm", "--policy", "magic"}, exitBadInput, "unknown policy \"magic\""},
+		"bad trace":            {[]string{"run", good, "--trace", trace}, exitBadInput, "t.csv:2: no type \"hire-dance\""},
+		"no such node":         {[]string{"run", good, "--node", bad + "x", "--quiet"}, exitBadInput, "node 0 cannot be started"},
+		"node that ends":       {[]string{"run", good, "--node", "/bin/false", "--quiet"}, exitBadInput, "node 0 has ended"},
+		"no report":            {[]string{"compare", good, good}, exitBadInput, "decode report "},
+		"different schedules":  {[]string{"compare", other, write(t, "o.json", `{"scenario":"y"}`)}, 0, ""},
+		"unknown flag":         {[]string{"run", "--fast"}, exitBadInput, "unknown flag"},
+		"scale, too large":     {[]string{"scale", "--plane", "discovery", "--nodes", "50000"}, exitBadInput, "processes: at most 200 are allowed"},
+		"scale, no plane":      {[]string{"scale", "--plane", "magic"}, exitBadInput, "--plane magic: want one of discovery"},
+		"capacity, no results": {[]string{"capacity", "--results", filepath.Dir(bad) + "x"}, exitBadInput, "has no .json files"},
+		"no address":           {[]string{"load"}, exitBadInput, "required flag(s) \"to\""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var out, errs strings.Builder
 			code := run(c.args, &out, &errs)
 			if code != c.code || !strings.Contains(errs.String(), c.says) {
-				t.Errorf("exit %d, %q", code, errs.String())
+				t.Errorf("got exit code %d with output %q", code, errs.String())
 			}
 		})
 	}
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -40,7 +40,7 @@
 	var f runFlags
 	c := &cobra.Command{
 		Use:   "run SCENARIO",
-		Short: "Run a scenario: one of `testbed list`, or a TOML file",
+		Short: "Run a scenario of `testbed list`, or of a TOML file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := scenario.Load(args[0])
@@ -69,18 +69,18 @@
 	}
 	fl := c.Flags()
 	fl.StringVar(&f.json, "json", "", "write the report to a `file` as JSON")
-	fl.StringVar(&f.plot, "plot", "", "draw service, denials and latency over time to an SVG `file`")
-	fl.StringVar(&f.node, "node", "", "run this `binary` with `serve` as the node, such as an earlier build")
-	fl.StringVar(&f.policy, "policy", "", "the policy of the nodes: fernvane, or a baseline by name")
-	fl.StringVar(&f.trace, "trace", "", "send a recorded trace (`file` of CSV or JSON lines) in place of the scenario's own load")
-	fl.StringVar(&f.operator, "operator", "", "run the nodes under this operator's `file`, or none, in place of the scenario's")
-	fl.StringVar(&f.keep, "keep", "", "keep the nodes' configurations and logs in this `folder`")
-	fl.StringSliceVar(&f.baselines, "baselines", nil, "policies to play beside the node: all, none, or some of "+strings.Join(baseline.Names, ","))
-	fl.Uint64Var(&f.seed, "seed", 0, "another `seed` than the scenario's")
-	fl.BoolVar(&f.pairings, "pairings", false, "play each pairing of HTTP and FastCGI, of clients and boxes")
-	fl.BoolVar(&f.alone, "alone", false, "play a scenario with planners only, not single-level after it")
-	fl.BoolVar(&f.seconds, "seconds", false, "tell second by second where tries and hops went")
-	fl.BoolVar(&f.quiet, "quiet", false, "show no progress")
+	fl.StringVar(&f.plot, "plot", "", "draw service, rejections and latency over time to an SVG `file`")
+	fl.StringVar(&f.node, "node", "", "run this `binary` with the argument serve as the node, such as an earlier build")
+	fl.StringVar(&f.policy, "policy", "", "run the nodes with this policy: fernvane, or the name of a baseline")
+	fl.StringVar(&f.trace, "trace", "", "send the requests of a trace `file` (CSV or JSON lines) instead of the scenario's load")
+	fl.StringVar(&f.operator, "operator", "", "run the nodes with this operator's `file` instead of the scenario's; none: without one")
+	fl.StringVar(&f.keep, "keep", "", "store the configurations and logs of the nodes in this `folder`")
+	fl.StringSliceVar(&f.baselines, "baselines", nil, "also run these baseline policies: all, none, or some of "+strings.Join(baseline.Names, ","))
+	fl.Uint64Var(&f.seed, "seed", 0, "use this `seed` instead of the scenario's")
+	fl.BoolVar(&f.pairings, "pairings", false, "run each combination of HTTP and FastCGI for clients and servers")
+	fl.BoolVar(&f.alone, "alone", false, "run the scenario only once, without its variants such as single-level")
+	fl.BoolVar(&f.seconds, "seconds", false, "print the counts of tries and attempts of each second")
+	fl.BoolVar(&f.quiet, "quiet", false, "print no progress")
 	return c
 }
 
@@ -94,7 +94,7 @@
 	}
 	for _, n := range names {
 		if !slices.Contains(baseline.Names, n) {
-			return nil, fmt.Errorf("no baseline %q: all, none, or some of %s", n, strings.Join(baseline.Names, ", "))
+			return nil, fmt.Errorf("unknown baseline %q: want all, none, or some of %s", n, strings.Join(baseline.Names, ", "))
 		}
 	}
 	return names, nil
@@ -111,7 +111,7 @@
 		return err
 	}
 	if !f.quiet {
-		fmt.Fprintf(errs, "%s: starting %d nodes and %d boxes\n", s.Name, s.Nodes.Count, len(s.ServerNames()))
+		fmt.Fprintf(errs, "%s: starting %d nodes and %d servers\n", s.Name, s.Nodes.Count, len(s.ServerNames()))
 		o.Progress = progress(errs, s.Length.Std())
 	}
 	r, err := runOnce(ctx, o, name)
@@ -131,7 +131,7 @@
 	}
 	if len(others) > 0 {
 		if !f.quiet {
-			fmt.Fprintf(errs, "\nbaselines, side by side: %s\n", strings.Join(others, ", "))
+			fmt.Fprintf(errs, "\nrunning baselines concurrently: %s\n", strings.Join(others, ", "))
 		}
 		o := o
 		o.Scenario = s.WithoutPlanners()
@@ -153,7 +153,7 @@
 // options returns the options of the node's own run and its name in the report.
 func (f *runFlags) options(s *scenario.Scenario) (o testbed.Options, name string, err error) {
 	if _, ok := baseline.Find(f.policy); !ok {
-		return o, "", fmt.Errorf("no policy %q", f.policy)
+		return o, "", fmt.Errorf("unknown policy %q", f.policy)
 	}
 	ops := load.Plan(s)
 	if f.trace != "" {
@@ -176,10 +176,11 @@
 		Env: []string{policyVar + "=" + f.policy}}, name, nil
 }
 
-// variants runs the scenario without planners, the registry or the stored list, if it has them.
+// variants runs the scenario again without its planners, registry or stored endpoint list, if it has them, and adds the reports
+// to the baselines of r.
 func variants(ctx context.Context, o testbed.Options, r *report.Report) error {
 	s := o.Scenario
-	play := func(other *scenario.Scenario, suffix, name string) error {
+	runVariant := func(other *scenario.Scenario, suffix, name string) error {
 		o := o
 		if o.Scenario = other; o.Directory != "" {
 			o.Directory += "-" + suffix
@@ -193,12 +194,12 @@
 	switch {
 	case s.Registry.Addresses > 0:
 		r.Policy = "registry"
-		if err := play(s.WithDiscovery(), "discovery", "discovery"); err != nil {
+		if err := runVariant(s.WithDiscovery(), "discovery", "discovery"); err != nil {
 			return err
 		}
 	case s.Planners.Count > 0:
 		r.Policy = "with planners"
-		if err := play(s.WithoutPlanners(), "single-level", "single-level"); err != nil {
+		if err := runVariant(s.WithoutPlanners(), "single-level", "single-level"); err != nil {
 			return err
 		}
 	}
@@ -206,13 +207,13 @@
 		return nil
 	}
 	r.Policy = "kept list"
-	if err := play(s.WithStartLists("known"), "known", "fresh list"); err != nil {
+	if err := runVariant(s.WithStartLists("known"), "known", "fresh list"); err != nil {
 		return err
 	}
-	return play(s.WithStartLists("none"), "none", "no list")
+	return runVariant(s.WithStartLists("none"), "none", "no list")
 }
 
-// write writes the report wherever the flags ask for it.
+// write writes the report to out and to the files that the flags name.
 func (f *runFlags) write(out io.Writer, r *report.Report) error {
 	if r.Text(out); f.seconds {
 		r.Table(out)
@@ -228,7 +229,7 @@
 	return nil
 }
 
-// verdict returns how the program exits.
+// verdict returns the exit code for a report as an error.
 func verdict(r *report.Report, pairings bool) error {
 	switch {
 	case r.Generator.Behind:
@@ -250,7 +251,7 @@
 // pairings runs the scenario with the other pairs of protocols concurrently.
 func pairings(ctx context.Context, o testbed.Options, r *report.Report) error {
 	names := []string{"FastCGI to HTTP", "HTTP to FastCGI", "FastCGI to FastCGI"}
-	reports, faults := make([]report.Report, len(names)), make([]error, len(names))
+	reports, errs := make([]report.Report, len(names)), make([]error, len(names))
 	var wg sync.WaitGroup
 	for i, name := range names {
 		o := o
@@ -258,11 +259,11 @@
 		if o.Directory != "" {
 			o.Directory = fmt.Sprint(o.Directory, "-", i+1)
 		}
-		wg.Go(func() { reports[i], faults[i] = runOnce(ctx, o, name) })
+		wg.Go(func() { reports[i], errs[i] = runOnce(ctx, o, name) })
 	}
 	wg.Wait()
 	r.Baselines = append(r.Baselines, reports...)
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 // runOnce runs a scenario once.
@@ -274,9 +275,9 @@
 	return report.New(o.Scenario, name, o.Requests, out), nil
 }
 
-// runPolicies runs policies concurrently, each in an environment of its own.
+// runPolicies runs the scenario with each policy concurrently, each in an environment of its own.
 func runPolicies(ctx context.Context, o testbed.Options, policies []string) ([]report.Report, error) {
-	reports, faults := make([]report.Report, len(policies)), make([]error, len(policies))
+	reports, errs := make([]report.Report, len(policies)), make([]error, len(policies))
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -288,10 +289,10 @@
 		if i > 0 {
 			o.Progress = nil
 		}
-		wg.Go(func() { reports[i], faults[i] = runOnce(ctx, o, name) })
+		wg.Go(func() { reports[i], errs[i] = runOnce(ctx, o, name) })
 	}
 	wg.Wait()
-	for _, err := range faults {
+	for _, err := range errs {
 		if err != nil {
 			return nil, err
 		}
@@ -308,13 +309,13 @@
 		}
 	}
 	last := time.Duration(-time.Second)
-	return func(at time.Duration, begun, open int) {
+	return func(at time.Duration, started, open int) {
 		switch {
 		case terminal:
-			fmt.Fprintf(errs, "\r%5.1f s of %.0f s: %d operations begun, %d open   ", at.Seconds(), length.Seconds(), begun, open)
+			fmt.Fprintf(errs, "\r%5.1f s of %.0f s: %d requests started, %d open   ", at.Seconds(), length.Seconds(), started, open)
 		case at-last >= time.Second:
 			last = at
-			fmt.Fprintf(errs, "%5.1f s of %.0f s: %d operations begun, %d open\n", at.Seconds(), length.Seconds(), begun, open)
+			fmt.Fprintf(errs, "%5.1f s of %.0f s: %d requests started, %d open\n", at.Seconds(), length.Seconds(), started, open)
 		}
 	}
 }
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -14,12 +14,12 @@
 func scaleCommand() *cobra.Command {
 	var size scale.Size
 	var json string
-	c := &cobra.Command{Use: "scale", Short: "Play the control side of a fleet with hollow nodes, and measure what each role pays",
-		Long: "scale starts hollow nodes, many to a process, under real control processes on loopback connections: nodes as they ship,\n" +
-			"without clients and servers. It measures bytes, messages, CPU and memory of each role, and the time from a change until\n" +
-			"nodes go by it: when all start, at rest, under changes, for a new operator's file and in an event.\n\n" +
-			"A size over half of the machine's memory or 200 processes is refused, with exit code 2.\n\nEvents:\n" + eventHelp() +
-			"\nWhat hollow nodes lack or share:\n  " + strings.Join(scale.Shared, "\n  "),
+	c := &cobra.Command{Use: "scale", Short: "Run the control plane of a fleet with hollow nodes and measure the resource usage of each role",
+		Long: "scale starts hollow nodes, many to a process, with real control processes and loopback connections. Hollow nodes are complete\n" +
+			"nodes without clients and servers. It measures bytes, messages, CPU and memory of each role, and the time from a change until\n" +
+			"nodes apply it: at the start, when idle, under changes, after a reload of the operator's file and during an event.\n\n" +
+			"A size that needs more than half of the machine's memory or 200 processes is rejected with exit code 2.\n\nEvents:\n" + eventHelp() +
+			"\nDifferences between hollow and complete nodes:\n  " + strings.Join(scale.Shared, "\n  "),
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			self, err := os.Executable()
@@ -39,23 +39,23 @@
 			return r.Text(c.OutOrStdout())
 		}}
 	f := c.Flags()
-	f.IntVar(&size.Nodes, "nodes", 64, "hollow nodes")
-	f.IntVar(&size.Servers, "servers", 192, "servers that discovery lists")
-	f.IntVar(&size.Services, "services", 8, "services that they belong to")
-	f.IntVar(&size.ServicesPerNode, "serves", 0, "services that a node serves, where the plane sends it no others; 0 for all")
-	f.IntVar(&size.Routes, "routes", 64, "routes of the operator's file; 0 for no file")
-	f.IntVar(&size.Tenants, "tenants", 16, "tenants of the settings")
-	f.IntVar(&size.Regions, "regions", 3, "regions")
-	f.IntVar(&size.Zones, "zones", 6, "zones, in all regions together")
-	f.IntVar(&size.Control, "control", 3, "control processes, where the plane has any")
-	f.Float64Var(&size.Churn, "churn", 2, "changed servers a second")
-	f.Float64Var(&size.Restarts, "restarts", 0, "processes of nodes killed and started again a second, in a phase of their own")
+	f.IntVar(&size.Nodes, "nodes", 64, "run this number of hollow nodes")
+	f.IntVar(&size.Servers, "servers", 192, "list this number of servers")
+	f.IntVar(&size.Services, "services", 8, "distribute the servers over this number of services")
+	f.IntVar(&size.ServicesPerNode, "serves", 0, "let a node serve this number of services, on planes that send a node only its services; 0: all")
+	f.IntVar(&size.Routes, "routes", 64, "put this number of routes into the operator's file; 0: no file")
+	f.IntVar(&size.Tenants, "tenants", 16, "put this number of tenants into the settings")
+	f.IntVar(&size.Regions, "regions", 3, "use this number of regions")
+	f.IntVar(&size.Zones, "zones", 6, "use this number of zones, sum over all regions")
+	f.IntVar(&size.Control, "control", 3, "run this number of control processes, on planes that have them")
+	f.Float64Var(&size.Churn, "churn", 2, "change this number of servers per second")
+	f.Float64Var(&size.Restarts, "restarts", 0, "restart this number of node processes per second, in a separate phase")
 	f.StringVar(&size.Plane, "plane", "planners", strings.Join(scale.Planes(), " or "))
-	f.StringVar(&size.Event, "event", "", "what befalls in the end, see above")
-	f.DurationVar(&size.PhaseDuration, "for", 5*time.Second, "how long each phase takes")
-	f.Uint64Var(&size.Seed, "seed", 1, "of chance, and of who is hit")
-	f.BoolVar(&size.Membership, "membership", false, "nodes know each other, as with serve --peers")
-	f.BoolVar(&size.Snapshots, "snapshots", true, "nodes keep their list on disk, as with serve --snapshot")
+	f.StringVar(&size.Event, "event", "", "run this event in the last phase; see above")
+	f.DurationVar(&size.PhaseDuration, "for", 5*time.Second, "run each phase for this time")
+	f.Uint64Var(&size.Seed, "seed", 1, "seed random choices and the choice of killed processes")
+	f.BoolVar(&size.Membership, "membership", false, "run membership between nodes, as with serve --peers")
+	f.BoolVar(&size.Snapshots, "snapshots", true, "store snapshots of the endpoint list on disk, as with serve --snapshot")
 	f.StringVar(&json, "json", "", "write the result to a `file`")
 	return c
 }
@@ -68,7 +68,7 @@
 	return b.String()
 }
 
-// commandLine is the command as it was given, without where it stands and where its result goes.
+// commandLine returns the command line without the path of the binary and without --json.
 func commandLine(c *cobra.Command) string {
 	words := []string{c.Root().Name()}
 	args := os.Args[1:]
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -32,26 +32,27 @@
 	node         string
 }
 
-// soakCommand stops nodes under use, one seed after the other.
+// soakCommand stops nodes that clients use, once for each seed.
 func soakCommand() *cobra.Command {
 	var f soakFlags
-	c := &cobra.Command{Use: "soak", Short: "Stop a node while clients use it, again and again, and check each stop",
-		Long: `soak starts a node with stand-ins for servers and discovery, has clients use it, and stops it by signals. Clients go on using
-their connections until the node is killed, which comes as early as the protocol allows. A seed draws settings, clients,
-faults and signals. --node plays another build: a command that runs one node, whose configuration PROXY_CONFIG names.`,
+	c := &cobra.Command{Use: "soak", Short: "Stop nodes repeatedly while clients use them, and check each stop",
+		Long: `soak starts a node with stand-ins for servers and discovery, sends requests of clients to it, and stops it by signals. Clients
+continue to use their connections until the node is killed, which happens as early as the protocol allows. A seed determines
+settings, clients, faults and signals. --node runs another build: a command that runs one node with the configuration file
+that PROXY_CONFIG names.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return f.run(c.Context(), c.OutOrStdout(), c.ErrOrStderr()) }}
-	c.Flags().Uint64Var(&f.seeds, "seeds", 50, "how many seeds")
-	c.Flags().Uint64Var(&f.first, "first", 1, "the first seed")
-	c.Flags().IntVar(&f.concurrency, "at-once", 8, "runs at a time")
-	c.Flags().DurationVar(&f.maxTime, "time", 0, "begin no run after this time; 0: no limit")
-	c.Flags().StringVar(&f.keep, "keep", "", "keep each run's files and logs in this directory")
-	c.Flags().IntVar(&f.busy, "busy", 0, "processes that use a core each, beside the runs")
-	c.Flags().StringVar(&f.node, "node", "", "command that runs a node; by default this build's")
+	c.Flags().Uint64Var(&f.seeds, "seeds", 50, "run this number of seeds")
+	c.Flags().Uint64Var(&f.first, "first", 1, "begin with this seed")
+	c.Flags().IntVar(&f.concurrency, "at-once", 8, "do this number of runs concurrently")
+	c.Flags().DurationVar(&f.maxTime, "time", 0, "start no run after this time; 0: no limit")
+	c.Flags().StringVar(&f.keep, "keep", "", "store the files and logs of each run in this directory")
+	c.Flags().IntVar(&f.busy, "busy", 0, "start this number of processes that use a core each during the runs")
+	c.Flags().StringVar(&f.node, "node", "", "run this command as the node; by default this build")
 	return c
 }
 
-// run plays all seeds and prints their sum. It returns an error if a rule was broken.
+// run runs all seeds and prints their sums. It returns an error if a rule was broken.
 func (f *soakFlags) run(ctx context.Context, out, progress io.Writer) error {
 	command, err := self()
 	if err != nil {
@@ -92,9 +93,9 @@
 	return sum.print(out)
 }
 
-// soakSum sums up runs. It is safe for concurrent use.
+// soakSum is the sum of the results of runs. It is safe for concurrent use.
 type soakSum struct {
-	out io.Writer // for each run with a broken rule
+	out io.Writer // receives the details of each run with a broken rule
 
 	mu                                  sync.Mutex
 	runs, brokenRuns, requests, answers int
@@ -121,14 +122,14 @@
 		return
 	}
 	s.brokenRuns++
-	fmt.Fprintf(s.out, "seed %d, ended %s after the stop: %s\n", r.Plan.Seed, r.Took.Round(time.Millisecond), r.Plan.String())
+	fmt.Fprintf(s.out, "seed %d: rule broken, node ended %s after the stop: %s\n", r.Plan.Seed, r.Took.Round(time.Millisecond), r.Plan.String())
 	for _, detail := range r.Details {
 		fmt.Fprintf(s.out, "  %s\n", detail)
 	}
 }
 
 func (s *soakSum) print(out io.Writer) error {
-	fmt.Fprintf(out, "%d stops, %d with a broken rule; %d requests, %d answers; closes of idle connections that a request crossed: %d HTTP (idle for %s at least), %d FastCGI\n",
+	fmt.Fprintf(out, "%d stops, %d with a broken rule; %d requests, %d responses; closes of idle connections that crossed a request: %d HTTP (idle for at least %s), %d FastCGI\n",
 		s.runs, s.brokenRuns, s.requests, s.answers, s.crossings, s.shortestIdle.Round(time.Millisecond), s.fastCGICrossings)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, rule := range soak.Rules {
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// startBusy starts processes that use a core each until stop is called or this process ends.
+// startBusy starts n processes that use a core each, until stop is called or this process ends.
 func startBusy(n int) (stop func(), err error) {
 	var processes []*exec.Cmd
 	var inputs []io.Closer
--- a/cmd/testbed/steps.go
+++ b/cmd/testbed/steps.go
@@ -18,8 +18,8 @@
 
 // stepsCommand loses a machine or stops a process at each step of replication and repair.
 func stepsCommand() *cobra.Command {
-	var atOnce int
-	c := &cobra.Command{Use: "steps", Short: "Lose, kill or stop a node at each step of copying, taking over and repairing, one after another", Args: cobra.NoArgs,
+	var concurrency int
+	c := &cobra.Command{Use: "steps", Short: "Lose, kill or stop a node at each step of copying and repairing a journal", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			command, err := self()
 			if err != nil {
@@ -30,7 +30,7 @@
 				return err
 			}
 			var g errgroup.Group
-			g.SetLimit(atOnce)
+			g.SetLimit(concurrency)
 			for _, r := range rows {
 				g.Go(func() error { return r.play(c.Context(), command) })
 			}
@@ -39,11 +39,11 @@
 			}
 			return printSteps(c.OutOrStdout(), rows)
 		}}
-	c.Flags().IntVar(&atOnce, "at-once", 4, "tiers of 6 nodes at a time")
+	c.Flags().IntVar(&concurrency, "at-once", 4, "run this number of clusters of 6 nodes concurrently")
 	return c
 }
 
-// stepRow is one run: a fault of node 1 at a step.
+// stepRow is one run, in which a fault hits node 1 at a step, and its row in the output.
 type stepRow struct {
 	name     string
 	scenario *scenario.Scenario
@@ -51,18 +51,18 @@
 	isBroken bool
 }
 
-// stepRows returns all runs.
+// stepRows returns a row for each combination of phase, fault, step and occurrence.
 func stepRows() (rows []*stepRow, err error) {
 	for _, phase := range []string{"copying", "repairing"} {
-		for _, what := range []string{"lose-machines", "kill-nodes", "stop-nodes"} {
+		for _, faultKind := range []string{"lose-machines", "kill-nodes", "stop-nodes"} {
 			for _, step := range []string{"news", "offer", "have", "batch", "ack"} {
 				for _, nth := range []int{1, 2, 5} {
-					s, err := stepScenario(phase == "repairing", what, step, nth)
+					s, err := stepScenario(phase == "repairing", faultKind, step, nth)
 					if err != nil {
 						return nil, err
 					}
 					s.Seed = uint64(7000 + len(rows))
-					rows = append(rows, &stepRow{name: fmt.Sprintf("%s\t%s\t%s\t%d", phase, what, step, nth), scenario: s})
+					rows = append(rows, &stepRow{name: fmt.Sprintf("%s\t%s\t%s\t%d", phase, faultKind, step, nth), scenario: s})
 				}
 			}
 		}
@@ -70,16 +70,16 @@
 	return rows, nil
 }
 
-// stepScenario has node 1 meet what at the nth time of a step, while node 0's journal is copied or, repairing, while it is
-// copied on after node 0 was lost with it.
-func stepScenario(repairing bool, what, step string, nth int) (*scenario.Scenario, error) {
+// stepScenario returns a scenario in which a fault hits node 1 at the nth occurrence of a step. Node 0's journal is copied
+// meanwhile; if isRepairing, node 0 is lost before, and its replicas are copied further.
+func stepScenario(isRepairing bool, faultKind, step string, nth int) (*scenario.Scenario, error) {
 	s, err := scenario.Load("replicas-losses")
 	if err != nil {
 		return nil, err
 	}
 	s.Nodes.Count, s.Load.Rate, s.Length = 6, 150, scenario.Span(9*time.Second)
-	s.Faults = []scenario.Fault{{Kind: what, At: scenario.Span(500 * time.Millisecond), For: scenario.Span(400 * time.Millisecond), Nodes: []int{1}, When: step, Nth: nth}}
-	if repairing {
+	s.Faults = []scenario.Fault{{Kind: faultKind, At: scenario.Span(500 * time.Millisecond), For: scenario.Span(400 * time.Millisecond), Nodes: []int{1}, When: step, Nth: nth}}
+	if isRepairing {
 		lost := scenario.Fault{Kind: "lose-machines", At: scenario.Span(time.Second), For: scenario.Span(6 * time.Second), Nodes: []int{0}}
 		s.Faults[0].At = scenario.Span(4 * time.Second)
 		s.Faults = append(s.Faults, lost)
--- a/cmd/testbed/tools.go
+++ b/cmd/testbed/tools.go
@@ -28,14 +28,14 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(t, "%s\t%s\t%d nodes, %d boxes\t%s\n", name, s.Length.Std(), s.Nodes.Count, len(s.ServerNames()), s.About)
+				fmt.Fprintf(t, "%s\t%s\t%d nodes, %d servers\t%s\n", name, s.Length.Std(), s.Nodes.Count, len(s.ServerNames()), s.About)
 			}
 			return t.Flush()
 		}}
 }
 
 func faultsCommand() *cobra.Command {
-	return &cobra.Command{Use: "faults", Short: "List the faults that a scenario may ask for", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "faults", Short: "List the kinds of faults of scenarios", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			for _, k := range scenario.FaultKinds {
@@ -46,7 +46,7 @@
 }
 
 func checkCommand() *cobra.Command {
-	return &cobra.Command{Use: "check FILE...", Short: "Print all that is wrong with scenarios", Args: cobra.MinimumNArgs(1),
+	return &cobra.Command{Use: "check FILE...", Short: "Print all errors of scenarios", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			bad := false
 			for _, name := range files {
@@ -56,7 +56,7 @@
 					bad = true
 					continue
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s: %s, %d nodes, %d boxes, %d operations, %d faults\n", name, s.Length.Std(), s.Nodes.Count,
+				fmt.Fprintf(c.OutOrStdout(), "%s: %s, %d nodes, %d servers, %d requests, %d faults\n", name, s.Length.Std(), s.Nodes.Count,
 					len(s.ServerNames()), len(load.Plan(s)), len(s.Faults))
 			}
 			if bad {
@@ -67,7 +67,7 @@
 }
 
 func scheduleCommand() *cobra.Command {
-	return &cobra.Command{Use: "schedule SCENARIO", Short: "Print a scenario's load as a trace, which --trace reads", Args: cobra.ExactArgs(1),
+	return &cobra.Command{Use: "schedule SCENARIO", Short: "Print the load of a scenario as a trace for `testbed run --trace`", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := scenario.Load(args[0])
 			if err != nil {
@@ -78,7 +78,7 @@
 }
 
 func compareCommand() *cobra.Command {
-	return &cobra.Command{Use: "compare A.json B.json", Short: "Set two reports side by side", Args: cobra.ExactArgs(2),
+	return &cobra.Command{Use: "compare A.json B.json", Short: "Print two reports side by side", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			a, err := report.Load(args[0])
 			if err != nil {
@@ -108,10 +108,10 @@
 
 func loadCommand() *cobra.Command {
 	var l loadFlags
-	c := &cobra.Command{Use: "load --to ADDRESS", Short: "Send a load to any HTTP address, with no stand-ins and no audit",
-		Long: `load sends the schedule of a scenario, or one given by flags, to one address: open loop, so that operations begin at
-their moments whatever becomes of those before. Latency counts from the scheduled moment. Where the generator itself falls
-behind, it says so first and exits 3.`,
+	c := &cobra.Command{Use: "load --to ADDRESS", Short: "Send load to an HTTP address, without stand-ins and without audit",
+		Long: `load sends the schedule of a scenario, or one given by flags, to one address. The load is open loop: a request starts at its
+scheduled time, independent of earlier ones. Latency is measured from the scheduled time. If the load generator falls behind
+its schedule, the report says so first and the exit code is 3.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			s, err := l.scenario(c.Flags().Changed)
@@ -121,15 +121,15 @@
 			return l.send(c, s)
 		}}
 	f := c.Flags()
-	f.StringVar(&l.to, "to", "", "host:port to send to; self for a server within that answers at once")
+	f.StringVar(&l.to, "to", "", "send to this host:port; self: to a server in this process that responds immediately")
 	c.MarkFlagRequired("to")
-	f.StringVar(&l.name, "scenario", "calm", "whose types, tenants, clients and load to send")
-	f.StringVar(&l.path, "path", "", "send requests of one type, with this path")
-	f.StringVar(&l.method, "method", "GET", "with --path: GET or POST")
-	f.Float64Var(&l.rate, "rate", 0, "operations a second")
-	f.DurationVar(&l.length, "for", 0, "how long")
-	f.StringVar(&l.shape, "shape", "", "constant, poisson, bursts, ramp or wave")
-	f.StringVar(&l.trace, "trace", "", "send a recorded trace (`file`)")
+	f.StringVar(&l.name, "scenario", "calm", "send the load of this scenario, with its types, tenants and clients")
+	f.StringVar(&l.path, "path", "", "send requests of a single type with this path")
+	f.StringVar(&l.method, "method", "GET", "use this method with --path: GET or POST")
+	f.Float64Var(&l.rate, "rate", 0, "send this number of requests per second")
+	f.DurationVar(&l.length, "for", 0, "send load for this time")
+	f.StringVar(&l.shape, "shape", "", "send load of this shape: constant, poisson, bursts, ramp or wave")
+	f.StringVar(&l.trace, "trace", "", "send the requests of a trace `file`")
 	f.StringVar(&l.json, "json", "", "write the report to a `file`")
 	return c
 }
@@ -160,7 +160,7 @@
 	return s, nil
 }
 
-// send sends the scenario's load and reports.
+// send sends the scenario's load and prints the report.
 func (l *loadFlags) send(c *cobra.Command, s *scenario.Scenario) (err error) {
 	ops := load.Plan(s)
 	if l.trace != "" {
@@ -198,7 +198,7 @@
 	var conns []int
 	var rates []float64
 	var each time.Duration
-	c := &cobra.Command{Use: "bench", Short: "Throughput and latency of one node against direct requests, closed loop", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "bench", Short: "Measure throughput and latency of one node and of direct requests, closed loop", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			self, err := os.Executable()
 			if err != nil {
@@ -228,15 +228,15 @@
 			return t.Flush()
 		}}
 	c.Flags().StringVar(&profile, "cpuprofile", "", "write a profile of the node to a `file`, for go tool pprof")
-	c.Flags().IntSliceVar(&conns, "connections", []int{1, 16, 64, 256}, "how many clients ask at a time, one after the other")
-	c.Flags().Float64SliceVar(&rates, "rate", nil, "requests a second at even moments, in place of as fast as answers come")
-	c.Flags().DurationVar(&each, "each", 2*time.Second, "how long each row takes")
+	c.Flags().IntSliceVar(&conns, "connections", []int{1, 16, 64, 256}, "measure with each of these numbers of concurrent clients")
+	c.Flags().Float64SliceVar(&rates, "rate", nil, "send at each of these constant rates in requests per second, instead of closed loop")
+	c.Flags().DurationVar(&each, "each", 2*time.Second, "measure each row for this time")
 	c.Flags().StringVar(&json, "json", "", "write the rows to a `file`")
 	return c
 }
 
 func proveCommand() *cobra.Command {
-	return &cobra.Command{Use: "prove", Short: "Show that the audit finds each rule broken by a policy that breaks it, and only there", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "prove", Short: "Check that the audit reports each rule as broken exactly for the policy that breaks it", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			bad, err := prove(c.Context(), func(line string) { fmt.Fprintln(c.OutOrStdout(), line) })
 			if err == nil && bad > 0 {
@@ -246,8 +246,8 @@
 		}}
 }
 
-// prove runs the scenario `proof` with each broken policy and with sound ones, and returns the number of wrong verdicts.
-func prove(ctx context.Context, say func(string)) (wrong int, err error) {
+// prove runs the scenario `proof` with each faulty policy and with correct ones, and returns the number of wrong verdicts.
+func prove(ctx context.Context, printLine func(string)) (wrong int, err error) {
 	s, err := scenario.Load("proof")
 	if err != nil {
 		return 0, err
@@ -263,16 +263,16 @@
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	atOnce := make(chan struct{}, 6)
+	slots := make(chan struct{}, 6)
 	for name, rule := range expect {
 		wg.Go(func() {
-			atOnce <- struct{}{}
-			defer func() { <-atOnce }()
-			r, fault := runOnce(ctx, testbed.Options{Scenario: s, Requests: ops, Command: []string{self, nodeCommand}, Env: []string{policyVar + "=" + name}}, name)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			r, runErr := runOnce(ctx, testbed.Options{Scenario: s, Requests: ops, Command: []string{self, nodeCommand}, Env: []string{policyVar + "=" + name}}, name)
 			mu.Lock()
 			defer mu.Unlock()
-			if fault != nil {
-				err = fault
+			if runErr != nil {
+				err = runErr
 				return
 			}
 			found, first := rule == "" && r.Broken() == 0, ""
@@ -282,14 +282,14 @@
 				}
 				found = found || v.Name == rule && v.Violations > 0
 			}
-			verdict := "as it should"
+			verdict := "as expected"
 			if !found {
 				verdict, wrong = "WRONG", wrong+1
 			}
 			if first == "" {
 				first = "no rule broken"
 			}
-			say(fmt.Sprintf("%-12s %-16s %s", verdict, name, first))
+			printLine(fmt.Sprintf("%-12s %-16s %s", verdict, name, first))
 		})
 	}
 	wg.Wait()
