--- a/internal/testbed/standin/address/address.go
+++ b/internal/testbed/standin/address/address.go
@@ -1,4 +1,4 @@
-// Package address chooses free addresses for processes that tests start.
+// Package address chooses free loopback addresses for processes that tests start.
 package address
 
 import (
@@ -14,9 +14,9 @@
 	used = map[string]bool{}
 )
 
-// Free returns an address on which nothing listens. Its host belongs to this process, because until the address is used the
-// system may give a port of 127.0.0.1 to any connection. It returns no address twice in a process, as the system now and
-// then reuses a port at once. It is safe for concurrent use.
+// Free returns an address on which nothing listens. Its IP address is used by this process only, because the kernel may assign
+// a port of 127.0.0.1 to any connection until the test uses it. Free returns no address twice in a process, although the kernel
+// sometimes reuses a port immediately. It is safe for concurrent use.
 func Free(t testing.TB) string {
 	t.Helper()
 	mu.Lock()
--- a/internal/testbed/standin/address/address_test.go
+++ b/internal/testbed/standin/address/address_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// The system alone would return some of so many addresses twice.
+// TestNoAddressTwice guards against the kernel's reuse of ports: of this many ports it would return some twice.
 func TestNoAddressTwice(t *testing.T) {
-	const many = 2000
+	const count = 2000
 	seen := map[string]bool{}
-	for range many {
+	for range count {
 		address := Free(t)
 		if seen[address] {
-			t.Fatal(address, " twice")
+			t.Fatal(address, " was returned twice")
 		}
 		seen[address] = true
 	}
--- a/internal/testbed/standin/certauthority/authority.go
+++ b/internal/testbed/standin/certauthority/authority.go
@@ -1,4 +1,4 @@
-// Package certauthority is a stand-in for an operator's certificate authority. Tests and the testbed have it write
+// Package certauthority is a stand-in for an operator's certificate authority. Tests and the testbed use it to write
 // certificates and keys for processes on one machine.
 package certauthority
 
@@ -15,14 +15,14 @@
 	"time"
 )
 
-// Authority signs certificates.
+// Authority is a certificate authority with its key in memory.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	der  []byte
 }
 
-// New returns an authority with a new key.
+// New returns an authority with a new key and a self-signed certificate that is valid for a day.
 func New(name string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/testbed/standin/connbalancer/balancer.go
+++ b/internal/testbed/standin/connbalancer/balancer.go
@@ -1,6 +1,6 @@
-// Package connbalancer is a stand-in for the connection balancer before the nodes. It distributes a site's connections
-// over the nodes that it takes for serving: a node counts as serving from a successful probe until some time after its
-// end. The testbed reports starts and ends of nodes; the load generator calls Pick.
+// Package connbalancer is a stand-in for the connection balancer in front of the nodes. It distributes the connections of a
+// site over its serving nodes. A node counts as serving from its first successful probe until some time after its end. The
+// testbed reports starts and ends of nodes; the load generator calls Pick.
 package connbalancer
 
 import (
@@ -19,11 +19,11 @@
 	maxProbeTime  = 500 * time.Millisecond
 )
 
-// Node is a node that may get connections.
+// Node is a node to which connections may be assigned.
 type Node struct {
 	Site    int
 	Address string
-	FastCGI string // address for clients that speak FastCGI
+	FastCGI string // address for FastCGI clients
 }
 
 // Balancer distributes connections. It is safe for concurrent use.
@@ -32,7 +32,7 @@
 	nodes      []Node
 	isServing  []bool
 	next       []int // by site, the round-robin position
-	generation []int // by node, the number of its starts
+	generation []int // by node, how often it was started
 }
 
 // New returns a balancer of nodes, none of which serves yet.
@@ -54,7 +54,7 @@
 	return load.Endpoint{}, false
 }
 
-// Started probes a node that was started until it serves, and gives it connections from then on.
+// Started probes a node that was started until it serves, and assigns connections to it from then on.
 func (b *Balancer) Started(ctx context.Context, n int) error {
 	b.mu.Lock()
 	b.generation[n]++
@@ -71,13 +71,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("node %d does not serve: %w", n, context.Cause(ctx))
+			return fmt.Errorf("wait until node %d serves: %w", n, context.Cause(ctx))
 		case <-time.After(probeInterval):
 		}
 	}
 }
 
-// Ended reports that a node ended or is about to. It gets no connections after the notice, unless it is started again.
+// Ended reports that a node has ended or is about to end. After the notice, no connections are assigned to it until it is
+// started again.
 func (b *Balancer) Ended(n int, notice time.Duration) {
 	b.mu.Lock()
 	generation := b.generation[n]
--- a/internal/testbed/standin/connpair/connpair.go
+++ b/internal/testbed/standin/connpair/connpair.go
@@ -1,4 +1,4 @@
-// Package connpair opens connections on loopback for tests that need both ends.
+// Package connpair opens TCP connections on loopback for tests that need both ends.
 package connpair
 
 import (
--- a/internal/testbed/standin/discovery/discovery.go
+++ b/internal/testbed/standin/discovery/discovery.go
@@ -1,6 +1,6 @@
-// Package discovery is a stand-in for the service that lists servers: full lists and watches by revision, with a delay and
-// with the capacity of one service for all nodes. It can be down, and it can move to new addresses. The testbed sets its
-// entries; a Watcher learns what each node was notified of. A Service is safe for concurrent use.
+// Package discovery is a stand-in for the discovery service, which lists servers. It serves full lists and watches by revision,
+// with a delay and a capacity that all nodes share. It can be down, and it can move to new addresses. The testbed sets its
+// entries; a Watcher is notified of the entries that each node received. A Service is safe for concurrent use.
 package discovery
 
 import (
@@ -17,10 +17,10 @@
 )
 
 const (
-	watchGap  = 200 * time.Millisecond // a watch continues if its next call comes within this time
+	watchGap  = 200 * time.Millisecond // maximum time between calls of the same watch
 	maxIdle   = 30 * time.Second
 	maxWait   = 60 * time.Second
-	moveGrace = 1500 * time.Millisecond // after a move, until the old address closes its connections
+	moveGrace = 1500 * time.Millisecond // from a move until the old address closes its connections
 )
 
 // Phase of an entry, as on the wire.
@@ -30,29 +30,29 @@
 	Deleted  = "DELETED"
 )
 
-// Entry is a line of the list.
+// Entry is an entry of the list.
 type Entry struct {
 	ID          string
 	Site        string
 	Cell        int
-	MachineKind string // kind of machine
+	MachineKind string
 	Phase       string
-	UpSince     time.Time // zero: not given
-	Addresses   []string  // by site of the caller
+	UpSince     time.Time // zero: not stated
+	Addresses   []string  // by the caller's site
 	revision    uint64
 }
 
-// Settings of the service.
+// Settings are the settings of the service.
 type Settings struct {
 	LinesPerS float64
-	CallLines float64 // cost of a call beside its entries, in lines
+	CallLines float64 // cost of a call in addition to its entries, in lines
 	Timeout   time.Duration
-	Spread    time.Duration // over which the notifications of a change are spread
+	Spread    time.Duration // interval over which the notifications of a change are spread at random
 }
 
 // Watcher is notified of each entry that was written to a node, from many goroutines.
 type Watcher interface {
-	// Announced reports an entry that a node got. up is the server's start in Unix milliseconds, 0 if not given.
+	// Announced reports an entry that a node received. up is the server's start in Unix milliseconds, 0 if not stated.
 	Announced(node int, id, phase string, up int64, at time.Time)
 }
 
@@ -66,7 +66,7 @@
 	entries   map[string]*Entry
 	order     []string
 	changed   chan struct{} // closed at each change
-	busyUntil time.Time     // when the queued calls will be done
+	busyUntil time.Time     // when the queued calls will be processed
 	isDown    bool
 	chance    *rand.Rand
 	lines     float64
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// Move retires the present addresses: they reject calls except those of running watches, and close after a grace.
+// Move retires the present addresses. They reject calls except those of running watches, and close after a grace period.
 func (s *Service) Move() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,7 +154,7 @@
 	}
 }
 
-// Use returns how many calls came, the lines that they cost, and how many were rejected.
+// Use returns the number of calls, their cost in lines, and the number of rejected calls.
 func (s *Service) Use() (calls int, lines float64, rejected int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +173,7 @@
 	UpSinceMS int64   `json:"up_since_ms"`
 }
 
-// list is an answer on the wire.
+// list is a response on the wire.
 type list struct {
 	Revision uint64 `json:"revision"`
 	Complete bool   `json:"complete"`
@@ -189,7 +189,7 @@
 	return l
 }
 
-// List returns the full list as a node of a site gets it, for a node's configuration.
+// List returns the full list on the wire for callers of a site, as a node's configuration contains it.
 func (s *Service) List(site int) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,7 +209,7 @@
 	return l
 }
 
-// serve answers the calls on one connection.
+// serve processes the calls on one connection.
 func (s *Service) serve(nc *link.Conn, p *endpoint) {
 	c := http1.NewConn(nc)
 	var req http1.Request
@@ -254,8 +254,8 @@
 	return after, min(time.Duration(ms)*time.Millisecond, maxWait), err == nil
 }
 
-// await waits until there is a change after a revision, with a random delay, or the wait is over. It returns false if the
-// connection is not idle any more.
+// await waits for a change after a revision, and then for a random part of Spread, or until the wait is over. It returns false
+// if the connection is closed or has further input.
 func (s *Service) await(c *http1.Conn, after uint64, wait time.Duration) bool {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
@@ -282,7 +282,7 @@
 	}
 }
 
-// queue has a call wait for the service's capacity. It returns false if the call is rejected: it would wait too long, or the
+// queue delays a call by the service's capacity. It returns false if the call is rejected because it would wait too long or the
 // service is down or has moved.
 func (s *Service) queue(p *endpoint, after uint64, isWatch, continues bool) bool {
 	s.mu.Lock()
--- a/internal/testbed/standin/discovery/discovery_test.go
+++ b/internal/testbed/standin/discovery/discovery_test.go
@@ -15,22 +15,23 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// announcements is a Watcher that records the entries that were written to nodes.
 type announcements struct {
 	mu  sync.Mutex
 	all []string
 }
 
-func (t *announcements) Announced(node int, id, phase string, _ int64, _ time.Time) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.all = append(t.all, fmt.Sprint(node, id, phase))
+func (a *announcements) Announced(node int, id, phase string, _ int64, _ time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.all = append(a.all, fmt.Sprint(node, id, phase))
 }
 
 const address = "127.0.0.1:0"
 
-func start(t *testing.T, f Settings) (*Service, *announcements, *http1.Conn) {
+func start(t *testing.T, settings Settings) (*Service, *announcements, *http1.Conn) {
 	w := &announcements{}
-	s := New(f, 1, w)
+	s := New(settings, 1, w)
 	t.Cleanup(s.Close)
 	if err := s.Serve(7, 0, address); err != nil {
 		t.Fatal(err)
@@ -62,7 +63,7 @@
 	return Entry{ID: id, Phase: phase, Addresses: []string{"127.0.0.1:1"}}
 }
 
-// Calls one after the other on one connection, and what each is told; changes come between them.
+// TestCalls makes consecutive calls on one connection, with changes between them, and checks each list.
 func TestCalls(t *testing.T) {
 	s, w, c := start(t, Settings{LinesPerS: 1e6, Timeout: time.Second})
 	s.Set(entry("a", Serving))
@@ -72,12 +73,12 @@
 		query  string
 		want   string
 	}{
-		{nil, "", "2 whole a0 b0"},
+		{nil, "", "2 complete a0 b0"},
 		{nil, "?index=1&wait=1000", "2 b0"},
 		{nil, "?index=2&wait=1", "2"},
 		{func() { s.Set(entry("a", Draining)) }, "?index=2&wait=1000", "3 a1"},
 		{func() { time.AfterFunc(20*time.Millisecond, func() { s.Set(entry("a", Deleted)) }) }, "?index=3&wait=4000", "4 a2"},
-		{nil, "", "4 whole b0"},
+		{nil, "", "4 complete b0"},
 	} {
 		if step.change != nil {
 			step.change()
@@ -85,53 +86,53 @@
 		l, status, err := call(c, step.query)
 		got := fmt.Sprint(l.Revision)
 		if l.Complete {
-			got += " whole"
+			got += " complete"
 		}
 		for _, h := range l.Hosts {
 			got += fmt.Sprintf(" %s%d", h.ID, h.Phase)
 		}
 		if err != nil || status != 200 || got != step.want {
-			t.Errorf("%q: %d %q, %v", step.query, status, got, err)
+			t.Errorf("call %q: got status %d, list %q, error %v", step.query, status, got, err)
 		}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if got := strings.Join(w.all, " "); !strings.Contains(got, "7aDRAINING 7aDELETED") {
-		t.Errorf("noted as told: %s", got)
+		t.Errorf("got announcements %s", got)
 	}
 }
 
-// Ways in which a call fails, and what the next one meets.
+// TestFailures checks how calls and new connections fail, and that calls succeed again afterwards.
 func TestFailures(t *testing.T) {
 	for name, c := range map[string]struct {
-		f       Settings
-		fail    func(*Service)
-		status  int // 0: the connection ends
-		refused bool
+		settings  Settings
+		fail      func(*Service)
+		status    int  // 0: the connection ends
+		isRefused bool // of new connections
 	}{
 		"over its capacity": {Settings{LinesPerS: 10, CallLines: 30, Timeout: time.Second}, func(*Service) {}, 503, false},
 		"down":              {Settings{LinesPerS: 1e6, Timeout: time.Second}, func(s *Service) { s.Down(true) }, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, _, conn := start(t, c.f)
+			s, _, conn := start(t, c.settings)
 			s.Set(entry("a", Serving))
-			at := s.addresses[0].listener.Address()
+			listenAddress := s.addresses[0].listener.Address()
 			c.fail(s)
 			_, status, err := call(conn, "")
 			if status != c.status || (err == nil) != (c.status > 0) {
-				t.Errorf("%d, %v", status, err)
+				t.Errorf("call: got status %d, error %v", status, err)
 			}
-			fresh, err := net.Dial("tcp", at)
-			if (err != nil) != c.refused {
-				t.Errorf("a new connection: %v", err)
+			fresh, err := net.Dial("tcp", listenAddress)
+			if (err != nil) != c.isRefused {
+				t.Errorf("new connection: got error %v", err)
 			}
 			if err == nil {
 				fresh.Close()
 			}
-			if c.refused {
+			if c.isRefused {
 				s.Down(false)
 				if l, status, err := call(dial(t, s), ""); err != nil || status != 200 || len(l.Hosts) != 1 {
-					t.Errorf("when it is back: %d, %v", status, err)
+					t.Errorf("after the failure: got status %d, error %v", status, err)
 				}
 			}
 		})
--- a/internal/testbed/standin/faultproxy/proxy.go
+++ b/internal/testbed/standin/faultproxy/proxy.go
@@ -1,5 +1,5 @@
 // Package faultproxy is a stand-in for the network between two processes. It forwards connections and can cut either
-// direction or corrupt bytes. While a direction is cut its bytes wait, as with TCP's own retransmissions; none are lost.
+// direction or corrupt bytes. Bytes of a direction that is cut wait, as they do during TCP retransmissions; none are lost.
 package faultproxy
 
 import (
@@ -13,7 +13,7 @@
 	maxDialTime = time.Second
 )
 
-// Direction of bytes.
+// Direction is a direction in which bytes are forwarded.
 type Direction uint8
 
 // Directions, as seen by the dialing side.
@@ -31,7 +31,7 @@
 	mu       sync.Mutex
 	target   string
 	cut      [directions]chan struct{} // closed while the direction is not cut
-	garble   [directions]int           // bytes that are still to be corrupted
+	garble   [directions]int           // number of bytes that will be corrupted
 	conns    map[net.Conn]bool
 	isClosed bool
 	bytes    [directions]int
@@ -75,7 +75,7 @@
 	p.running.Wait()
 }
 
-// Cut stops a direction without notifying either side, or forwards again, first what waited.
+// Cut stops a direction without notifying either side, or resumes it, beginning with the bytes that waited.
 func (p *Proxy) Cut(d Direction, isCut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,7 +114,7 @@
 	}
 }
 
-// Bytes returns how many bytes came in a direction.
+// Bytes returns how many bytes were received in a direction.
 func (p *Proxy) Bytes(d Direction) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/standin/faultproxy/proxy_test.go
+++ b/internal/testbed/standin/faultproxy/proxy_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echo answers each byte by itself.
+// echo starts a server that echoes all bytes, and returns its address.
 func echo(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,14 +35,15 @@
 	return listener.Addr().String()
 }
 
-func TestWhatPasses(t *testing.T) {
+// TestFaults checks the effect of each fault on a byte, and that Break closes connections.
+func TestFaults(t *testing.T) {
 	for name, test := range map[string]struct {
-		do     func(*Proxy)
-		undo   func(*Proxy)
-		got    byte
+		begin  func(*Proxy)
+		end    func(*Proxy)
+		want   byte
 		passes bool
 	}{
-		"well":         {func(*Proxy) {}, func(*Proxy) {}, 'x', true},
+		"no fault":     {func(*Proxy) {}, func(*Proxy) {}, 'x', true},
 		"cut up":       {func(c *Proxy) { c.Cut(Up, true) }, func(c *Proxy) { c.Cut(Up, false) }, 'x', false},
 		"cut down":     {func(c *Proxy) { c.Cut(Down, true) }, func(c *Proxy) { c.Cut(Down, false) }, 'x', false},
 		"garbled up":   {func(c *Proxy) { c.Garble(Up, 1) }, func(*Proxy) {}, 'x' ^ 0x55, true},
@@ -67,22 +68,22 @@
 			}
 			conn.Write([]byte("x"))
 			if got, err := ask(10 * time.Second); err != nil || got != 'x' {
-				t.Fatalf("%c, %v", got, err)
+				t.Fatalf("before the fault: got %c, error %v", got, err)
 			}
-			test.do(c)
+			test.begin(c)
 			conn.Write([]byte("x"))
 			if !test.passes {
 				if _, err := ask(100 * time.Millisecond); !os.IsTimeout(err) {
-					t.Errorf("it passes: %v", err)
+					t.Errorf("during the fault: got error %v, want a timeout", err)
 				}
 			}
-			test.undo(c)
-			if got, err := ask(10 * time.Second); err != nil || got != test.got {
-				t.Errorf("%q, %v", got, err)
+			test.end(c)
+			if got, err := ask(10 * time.Second); err != nil || got != test.want {
+				t.Errorf("after the fault: got %q, error %v", got, err)
 			}
 			c.Break()
 			if _, err := ask(10 * time.Second); err == nil || os.IsTimeout(err) {
-				t.Errorf("not broken: %v", err)
+				t.Errorf("after Break: got error %v, want a closed connection", err)
 			}
 		})
 	}
--- a/internal/testbed/standin/link/link.go
+++ b/internal/testbed/standin/link/link.go
@@ -1,6 +1,6 @@
-// Package link provides a listener whose network can fail. It can be silent, as when a site is cut off: connections stay
-// open but carry nothing, and new ones do not open; there are no resets. Or it can be stopped, as when a process ends. The
-// stand-ins of servers and discovery listen with it. A Listener is safe for concurrent use.
+// Package link provides a listener whose network can fail. A silence simulates a site that is cut off: connections stay open
+// and carry nothing, new ones do not open, and there are no resets. Stop simulates the end of a process. The stand-ins of
+// servers and discovery listen with it. A Listener is safe for concurrent use.
 package link
 
 import (
@@ -13,12 +13,12 @@
 )
 
 const (
-	fillTimeout       = 30 * time.Millisecond // in which a connection opens if the backlog is not full
-	fullAfterFailures = 3                     // in a row; a single one may be due to a busy machine
+	fillTimeout       = 30 * time.Millisecond // within this time a connection opens unless the backlog is full
+	fullAfterFailures = 3                     // consecutive; a single one may be due to a busy machine
 	maxFillers        = 8
 )
 
-// Listener accepts connections and has each served, unless it is stopped or silent.
+// Listener accepts connections and serves each in a goroutine, unless it is stopped or silent.
 type Listener struct {
 	address string
 	serve   func(*Conn)
@@ -27,7 +27,7 @@
 	mu      sync.Mutex
 	ln      *net.TCPListener
 	conns   map[*Conn]bool
-	silent  chan struct{} // closed when the silence ends; nil without one
+	silent  chan struct{} // closed when the silence ends; nil if there is none
 	fillers []net.Conn
 }
 
@@ -119,8 +119,8 @@
 	}
 }
 
-// closeNow closes a listener at once. Without the shutdown, a process that is being forked would share the socket until its
-// exec and keep the address in use.
+// closeNow closes a listener and frees its address immediately. Without the shutdown, a process that is being forked would
+// share the socket until its exec and keep the address in use.
 func closeNow(ln *net.TCPListener) {
 	if rc, err := ln.SyscallConn(); err == nil {
 		rc.Control(func(fd uintptr) { syscall.Shutdown(int(fd), syscall.SHUT_RD) })
@@ -134,7 +134,7 @@
 	l.wg.Wait()
 }
 
-// Silence begins a silence. It fills the shortened backlog, so that new connections do not open.
+// Silence begins a silence. It shortens the backlog and fills it, so that new connections do not open.
 func (l *Listener) Silence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,7 +155,7 @@
 	}
 }
 
-// EndSilence ends a silence. What was written meanwhile arrives.
+// EndSilence ends a silence. Bytes that were written meanwhile arrive.
 func (l *Listener) EndSilence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -166,7 +166,7 @@
 		c.Close()
 	}
 	l.fillers = nil
-	for l.ln != nil { // reset what opened as the silence began: its bytes have no known time
+	for l.ln != nil { // reset connections that opened as the silence began: the arrival time of their bytes is unknown
 		l.ln.SetDeadline(time.Now().Add(time.Millisecond))
 		c, err := l.ln.AcceptTCP()
 		if err != nil {
@@ -183,7 +183,7 @@
 	l.silent = nil
 }
 
-// backlog sets the length of the queue of connections that are not accepted yet.
+// backlog sets the maximum number of connections that wait to be accepted.
 func (l *Listener) backlog(n int) {
 	if rc, err := l.ln.SyscallConn(); err == nil {
 		rc.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
@@ -206,7 +206,7 @@
 	}
 }
 
-// Read reads; it holds back what comes in a silence.
+// Read reads from the connection. Bytes that arrive during a silence are returned after it.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	c.received = time.Now()
@@ -216,10 +216,10 @@
 	return n, err
 }
 
-// Received returns when the bytes read last arrived, which in a silence is before Read returned them.
+// Received returns when the last bytes that Read returned had arrived. In a silence, that is before Read returned them.
 func (c *Conn) Received() time.Time { return c.received }
 
-// Write writes after a silence, if there is one.
+// Write writes to the connection, during a silence only after its end.
 func (c *Conn) Write(b []byte) (int, error) {
 	if !c.awaitSilenceEnd() {
 		return 0, net.ErrClosed
@@ -227,14 +227,14 @@
 	return c.TCPConn.Write(b)
 }
 
-// WriteTo copies what Read returns. It hides the method of the TCP connection, which io.Copy would use and which ignores
-// silences.
+// WriteTo copies the bytes that Read returns. It hides the method of the TCP connection, which io.Copy would use and which
+// ignores silences.
 func (c *Conn) WriteTo(w io.Writer) (int64, error) { return io.Copy(w, struct{ io.Reader }{c}) }
 
-// ReadFrom copies to Write, for the same reason.
+// ReadFrom copies bytes to Write. It hides the TCP connection's method for the same reason.
 func (c *Conn) ReadFrom(r io.Reader) (int64, error) { return io.Copy(struct{ io.Writer }{c}, r) }
 
-// Close closes the connection, in a silence only after its end.
+// Close closes the connection, during a silence only after its end.
 func (c *Conn) Close() error {
 	c.awaitSilenceEnd()
 	return c.end()
--- a/internal/testbed/standin/link/link_test.go
+++ b/internal/testbed/standin/link/link_test.go
@@ -18,6 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// ask sends a byte and waits for its echo for 100 ms.
 func ask(t *testing.T, c net.Conn) error {
 	t.Helper()
 	if _, err := c.Write([]byte("x")); err != nil {
@@ -28,16 +29,16 @@
 	return err
 }
 
-// What each failure looks like from outside: on a connection that was open, and to one that is tried.
+// TestFailures checks the effect of each failure on an open connection and on a new one, and that both work again afterwards.
 func TestFailures(t *testing.T) {
 	for name, c := range map[string]struct {
-		fail, mend    func(*Listener)
+		begin, end    func(*Listener)
 		open, fresh   error
 		heals, resets bool
 	}{
-		"silence":       {(*Listener).Silence, (*Listener).EndSilence, os.ErrDeadlineExceeded, os.ErrDeadlineExceeded, true, false},
-		"death":         {(*Listener).Stop, func(l *Listener) { l.Reopen() }, syscall.ECONNRESET, syscall.ECONNREFUSED, false, true},
-		"death, silent": {func(l *Listener) { l.Silence(); l.Stop() }, func(l *Listener) { l.Reopen() }, syscall.ECONNRESET, syscall.ECONNREFUSED, false, true},
+		"silence":           {(*Listener).Silence, (*Listener).EndSilence, os.ErrDeadlineExceeded, os.ErrDeadlineExceeded, true, false},
+		"stop":              {(*Listener).Stop, func(l *Listener) { l.Reopen() }, syscall.ECONNRESET, syscall.ECONNREFUSED, false, true},
+		"stop in a silence": {func(l *Listener) { l.Silence(); l.Stop() }, func(l *Listener) { l.Reopen() }, syscall.ECONNRESET, syscall.ECONNREFUSED, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := Listen("127.0.0.1:0", echo)
@@ -53,24 +54,24 @@
 			if err := ask(t, open); err != nil {
 				t.Fatal(err)
 			}
-			c.fail(l)
+			c.begin(l)
 			if err := ask(t, open); !errors.Is(err, c.open) && !(c.resets && errors.Is(err, syscall.EPIPE)) {
-				t.Errorf("the open connection ends with %v", err)
+				t.Errorf("open connection: got error %v", err)
 			}
 			fresh, err := net.DialTimeout("tcp", l.Address(), 100*time.Millisecond)
 			if err == nil {
 				fresh.Close()
 			}
-			var late net.Error
-			timeUp := errors.As(err, &late) && late.Timeout()
-			if timeUp != (c.fresh == os.ErrDeadlineExceeded) || !timeUp && !errors.Is(err, c.fresh) {
-				t.Errorf("a new one ends with %v", err)
+			var netErr net.Error
+			isTimeout := errors.As(err, &netErr) && netErr.Timeout()
+			if isTimeout != (c.fresh == os.ErrDeadlineExceeded) || !isTimeout && !errors.Is(err, c.fresh) {
+				t.Errorf("new connection: got error %v", err)
 			}
-			c.mend(l)
-			if c.heals { // the byte that was asked in the silence is answered now
+			c.end(l)
+			if c.heals { // the byte that was sent during the silence is echoed now
 				open.SetReadDeadline(time.Now().Add(5 * time.Second))
 				if _, err := open.Read(make([]byte, 1)); err != nil {
-					t.Errorf("afterwards the open one ends with %v", err)
+					t.Errorf("open connection after the failure: got error %v", err)
 				}
 			}
 			after, err := net.DialTimeout("tcp", l.Address(), 5*time.Second)
@@ -79,14 +80,15 @@
 			}
 			defer after.Close()
 			if err := ask(t, after); err != nil {
-				t.Errorf("afterwards a new one ends with %v", err)
+				t.Errorf("new connection after the failure: got error %v", err)
 			}
 		})
 	}
 }
 
-// A listener that left can return at once, also while a process that the testbed is just starting shares its socket.
-func TestReturnsBesideAFork(t *testing.T) {
+// TestReopenDuringFork checks that a listener can reopen immediately after Stop even if a process that is being forked shares
+// its socket.
+func TestReopenDuringFork(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", func(*Conn) {})
 	if err != nil {
 		t.Fatal(err)
@@ -103,12 +105,13 @@
 	}
 }
 
-// Bytes that are copied on from a connection, or into it, stand still in a silence like those that are read and written. The old code
-// let io.Copy pass by it, and regions that the scale runs had cut off heard of each other all the time.
+// TestSilenceHoldsCopiedBytes checks that io.Copy from or to a connection waits during a silence. io.Copy uses the ReadFrom and
+// WriteTo methods of the TCP connection if Conn does not hide them; bytes then pass during a silence, and regions that scale
+// runs partition stay connected.
 func TestSilenceHoldsCopiedBytes(t *testing.T) {
 	for name, copying := range map[string]func(c *Conn, other net.Conn){
-		"from it": func(c *Conn, other net.Conn) { io.Copy(other, c) },
-		"into it": func(c *Conn, other net.Conn) { io.Copy(c, other) },
+		"from the connection": func(c *Conn, other net.Conn) { io.Copy(other, c) },
+		"to the connection":   func(c *Conn, other net.Conn) { io.Copy(c, other) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			near, far := connpair.TCP(t)
@@ -123,27 +126,27 @@
 			}
 			defer client.Close()
 			from, to := client, net.Conn(far)
-			if name == "into it" {
+			if name == "to the connection" {
 				from, to = far, client
 			}
-			passes := func(within time.Duration) error {
+			receive := func(within time.Duration) error {
 				to.SetReadDeadline(time.Now().Add(within))
 				_, err := io.ReadFull(to, make([]byte, 1))
 				return err
 			}
-			const patience = 10 * time.Second
+			const timeout = 10 * time.Second
 			from.Write([]byte("a"))
-			if err := passes(patience); err != nil {
+			if err := receive(timeout); err != nil {
 				t.Fatal(err)
 			}
 			l.Silence()
 			from.Write([]byte("b"))
-			if err := passes(100 * time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("in a silence: %v", err)
+			if err := receive(100 * time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+				t.Errorf("during a silence: got error %v, want a timeout", err)
 			}
 			l.EndSilence()
-			if err := passes(patience); err != nil {
-				t.Errorf("after it: %v", err)
+			if err := receive(timeout); err != nil {
+				t.Errorf("after the silence: got error %v", err)
 			}
 			near.Close() // ends the copying
 		})
--- a/internal/testbed/standin/loopback/loopback.go
+++ b/internal/testbed/standin/loopback/loopback.go
@@ -1,4 +1,4 @@
-// Package loopback gives each run of the testbed a network 127.x.0.0/16 of its own, so that runs side by side never share an address.
+// Package loopback reserves a network 127.x.0.0/16 for each run of the testbed, so that concurrent runs never share an address.
 package loopback
 
 import (
@@ -13,7 +13,7 @@
 	lastNetwork  = 250
 )
 
-// lockPort is a port of the network that is listened on while the network is reserved.
+// lockPort is the port on which a run listens while its network is reserved.
 const lockPort = 8999
 
 // Network is a reserved network.
@@ -32,13 +32,13 @@
 			return n, nil
 		}
 	}
-	return nil, fmt.Errorf("no loopback network is free: %w", lastErr)
+	return nil, fmt.Errorf("reserve loopback network: all are in use: %w", lastErr)
 }
 
-// Address returns an address of the network, with the last two numbers of its host.
+// Address returns an address of the network: third and fourth are the last two numbers of the IP address.
 func (n *Network) Address(third, fourth, port int) string {
 	return fmt.Sprintf("%s.%d.%d:%d", n.prefix, third, fourth, port)
 }
 
-// Release lets other runs use the network.
+// Release frees the network for other runs.
 func (n *Network) Release() { n.lock.Close() }
--- a/internal/testbed/standin/memdisk/memdisk.go
+++ b/internal/testbed/standin/memdisk/memdisk.go
@@ -1,6 +1,6 @@
-// Package memdisk is a stand-in for the disk below a journal. Disk holds files in memory and injects faults: short writes,
-// errors, crashes of the machine that lose unsynced data, flipped bits. SlowFiles delays or fails writes to the system's
-// own disk. Tests of the journal and the testbed use it.
+// Package memdisk is a stand-in for the disk of a journal. Disk stores files in memory and injects faults: short writes,
+// errors, crashes of the machine that lose unsynced data, and flipped bits. SlowFiles delays or fails writes to the real file
+// system. Tests of the journal and the testbed use it.
 package memdisk
 
 import (
@@ -18,16 +18,16 @@
 	"fernvane/internal/journal/wal"
 )
 
-// Fault is what happens to one operation on the disk.
+// Fault is the fault of one operation on the disk.
 type Fault uint8
 
-// Faults that a disk can have.
+// Faults of operations.
 const (
 	None  Fault = iota // no fault
-	Short              // half of the data is written, and reported so
-	Full               // an error, and nothing is written
-	Lying              // the data is written, and an error is reported
-	Dead               // the machine crashes here: no operation has an effect until Crash
+	Short              // half of the data is written, and the count says so
+	Full               // nothing is written, and an error is returned
+	Lying              // the data is written, and an error is returned
+	Dead               // the machine crashes: this and all later operations fail until Crash
 )
 
 // ErrDisk is the error of a failed operation.
@@ -43,12 +43,12 @@
 	Meet func(n int) Fault
 }
 
-// file is a file and what of it survives a crash.
+// file is a file with the state that survives a crash.
 type file struct {
 	disk         *Disk
 	content      []byte
 	synced       int
-	isNameSynced bool   // its name is synced
+	isNameSynced bool   // its present name is synced
 	syncedName   string // its synced name, if it was renamed since
 }
 
@@ -102,7 +102,7 @@
 	return f, nil
 }
 
-// Open returns the present content of a file.
+// Open returns a reader of the present content of a file.
 func (d *Disk) Open(path string) (io.ReadCloser, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -113,7 +113,7 @@
 	return io.NopCloser(bytes.NewReader(slices.Clone(f.content))), nil
 }
 
-// List returns the files below a folder.
+// List returns the files whose path begins with a folder's.
 func (d *Disk) List(dir string) (all []wal.FileInfo, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -235,11 +235,11 @@
 	}
 }
 
-// SlowFiles is the system's disk with slow or failing writes.
+// SlowFiles is the real file system with slow or failing writes.
 type SlowFiles struct {
 	wal.OSFileSystem
-	Takes func() time.Duration // how much longer a write takes; asked before each
-	Full  func() bool          // whether writes fail; asked before each
+	Takes func() time.Duration // delay of a write; called before each
+	Full  func() bool          // whether writes fail; called before each
 }
 
 // Create creates a file with slow writes.
@@ -257,7 +257,7 @@
 	of SlowFiles
 }
 
-// Write writes after the delay.
+// Write writes after the delay, or fails.
 func (s slow) Write(b []byte) (int, error) {
 	if s.of.Full() {
 		return 0, ErrDisk
--- a/internal/testbed/standin/mesh/mesh.go
+++ b/internal/testbed/standin/mesh/mesh.go
@@ -1,6 +1,7 @@
-// Package mesh is a stand-in for the network between nodes or other processes of a group. Each process is reached by the
-// others at an address of the mesh, which forwards streams and datagrams and can delay, corrupt or cut them. The sender is
-// known by its IP address. Each direction between two processes has faults of its own. A Mesh is safe for concurrent use.
+// Package mesh is a stand-in for the network between the processes of a group, such as nodes. Each process has an address in
+// the mesh, to which the others connect. The mesh forwards streams and datagrams and can delay, corrupt or cut them. It
+// identifies a sender by its IP address. Each direction between two processes has its own faults. A Mesh is safe for
+// concurrent use.
 package mesh
 
 import (
@@ -24,9 +25,9 @@
 
 const (
 	maxPieceBytes  = 16 << 10
-	pollInterval   = 5 * time.Millisecond // at a link that is cut
+	pollInterval   = 5 * time.Millisecond // of a link that is cut
 	reorderDelay   = 20 * time.Millisecond
-	frameHeadBytes = 5 // of a frame: its length, and a byte for its kind
+	frameHeadBytes = 5 // length and kind of a frame
 	unknownProcess = -1
 )
 
@@ -34,15 +35,15 @@
 type Mesh struct {
 	mu          sync.Mutex
 	faults      map[[2]int]*Direction
-	processByIP map[string]int // by IP
+	processByIP map[string]int
 	listeners   []net.Listener
 	packets     []net.PacketConn
 	conns       map[net.Conn]bool
-	sockets     map[int]net.PacketConn // by process: where its datagrams come out
+	sockets     map[int]net.PacketConn // by process: the socket from which its datagrams are forwarded
 	closed      bool
 	wg          sync.WaitGroup
 	bytes       int64
-	// Frame is notified of each frame on a connection before it is forwarded, by its kind. nil: frames are not scanned.
+	// Frame is called with the kind of each frame on a connection before the frame is forwarded. nil: frames are not scanned.
 	Frame func(from, to int, kind byte)
 }
 
@@ -52,91 +53,91 @@
 }
 
 // Set changes the faults of a direction.
-func (f *Mesh) Set(from, to int, change func(*Direction)) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	w := f.faults[[2]int{from, to}]
+func (m *Mesh) Set(from, to int, change func(*Direction)) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	w := m.faults[[2]int{from, to}]
 	if w == nil {
 		w = &Direction{}
-		f.faults[[2]int{from, to}] = w
+		m.faults[[2]int{from, to}] = w
 	}
 	change(w)
 }
 
-func (f *Mesh) direction(from, to int) Direction {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if w := f.faults[[2]int{from, to}]; w != nil {
+func (m *Mesh) direction(from, to int) Direction {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if w := m.faults[[2]int{from, to}]; w != nil {
 		return *w
 	}
 	return Direction{}
 }
 
 // Bytes returns how many bytes were forwarded on connections.
-func (f *Mesh) Bytes() int64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.bytes
+func (m *Mesh) Bytes() int64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.bytes
 }
 
-// Join adds process n, which sends from an IP. Connections to place are forwarded to where it listens.
-func (f *Mesh) Join(n int, ip, place, listens string) error {
-	ln, err := net.Listen("tcp", place)
+// Join adds process n, whose IP address is ip. Connections to address, its address in the mesh, are forwarded to target, where it listens.
+func (m *Mesh) Join(n int, ip, address, target string) error {
+	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
-	f.mu.Lock()
-	f.processByIP[ip] = n
-	f.listeners = append(f.listeners, ln)
-	f.mu.Unlock()
-	f.wg.Go(func() {
+	m.mu.Lock()
+	m.processByIP[ip] = n
+	m.listeners = append(m.listeners, ln)
+	m.mu.Unlock()
+	m.wg.Go(func() {
 		for {
 			nc, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			f.wg.Go(func() { f.forward(nc, n, listens) })
+			m.wg.Go(func() { m.forward(nc, n, target) })
 		}
 	})
 	return nil
 }
 
-// JoinPackets is Join for datagrams. The receiver sees the sender's place as their source.
-func (f *Mesh) JoinPackets(n int, ip, place, listens string) error {
-	pc, err := net.ListenPacket("udp", place)
+// JoinPackets is Join for datagrams. Their source is the sender's address in the mesh.
+func (m *Mesh) JoinPackets(n int, ip, address, target string) error {
+	pc, err := net.ListenPacket("udp", address)
 	if err != nil {
 		return err
 	}
-	to, err := net.ResolveUDPAddr("udp", listens)
+	to, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
 		pc.Close()
 		return err
 	}
-	f.mu.Lock()
-	f.processByIP[ip] = n
-	f.packets = append(f.packets, pc)
-	f.sockets[n] = pc
-	f.mu.Unlock()
-	f.wg.Go(func() {
+	m.mu.Lock()
+	m.processByIP[ip] = n
+	m.packets = append(m.packets, pc)
+	m.sockets[n] = pc
+	m.mu.Unlock()
+	m.wg.Go(func() {
 		buffer := make([]byte, 64<<10)
 		for {
 			size, from, err := pc.ReadFrom(buffer)
 			if err != nil {
 				return
 			}
-			f.forwardPacket(from, n, to, append([]byte(nil), buffer[:size]...))
+			m.forwardPacket(from, n, to, append([]byte(nil), buffer[:size]...))
 		}
 	})
 	return nil
 }
 
 // forwardPacket forwards a datagram with the faults of its direction.
-func (f *Mesh) forwardPacket(from net.Addr, n int, to net.Addr, text []byte) {
-	sender := f.sender(from)
-	w := f.direction(sender, n)
-	f.mu.Lock()
-	out := f.sockets[sender]
-	f.mu.Unlock()
+func (m *Mesh) forwardPacket(from net.Addr, n int, to net.Addr, text []byte) {
+	sender := m.sender(from)
+	w := m.direction(sender, n)
+	m.mu.Lock()
+	out := m.sockets[sender]
+	m.mu.Unlock()
 	if out == nil || w.Cut || rand.Float64() < w.Lose {
 		return
 	}
@@ -159,83 +160,84 @@
 		send()
 		return
 	}
-	f.wg.Go(func() {
+	m.wg.Go(func() {
 		time.Sleep(wait)
 		send()
 	})
 }
 
-func (f *Mesh) sender(a net.Addr) int {
+func (m *Mesh) sender(a net.Addr) int {
 	host, _, err := net.SplitHostPort(a.String())
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if n, ok := f.processByIP[host]; ok && err == nil {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if n, ok := m.processByIP[host]; ok && err == nil {
 		return n
 	}
 	return unknownProcess
 }
 
-func (f *Mesh) addConn(c net.Conn) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.closed {
+func (m *Mesh) addConn(c net.Conn) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.closed {
 		c.Close()
 		return false
 	}
-	f.conns[c] = true
+	m.conns[c] = true
 	return true
 }
 
-func (f *Mesh) closeConn(c net.Conn) {
+func (m *Mesh) closeConn(c net.Conn) {
 	c.Close()
-	f.mu.Lock()
-	delete(f.conns, c)
-	f.mu.Unlock()
+	m.mu.Lock()
+	delete(m.conns, c)
+	m.mu.Unlock()
 }
 
-func (f *Mesh) forward(down net.Conn, n int, listens string) {
-	if !f.addConn(down) {
+func (m *Mesh) forward(down net.Conn, n int, target string) {
+	if !m.addConn(down) {
 		return
 	}
-	defer f.closeConn(down)
-	from := f.sender(down.RemoteAddr())
-	for f.direction(from, n).Cut { // who connects to what is cut hears nothing of it
+	defer m.closeConn(down)
+	from := m.sender(down.RemoteAddr())
+	for m.direction(from, n).Cut { // a connection to a process that is cut off is accepted and carries nothing
 		time.Sleep(pollInterval)
-		f.mu.Lock()
-		done := f.closed
-		f.mu.Unlock()
+		m.mu.Lock()
+		done := m.closed
+		m.mu.Unlock()
 		if done {
 			return
 		}
 	}
-	up, err := net.DialTimeout("tcp", listens, time.Second)
-	if err != nil || !f.addConn(up) {
+	up, err := net.DialTimeout("tcp", target, time.Second)
+	if err != nil || !m.addConn(up) {
 		return
 	}
-	defer f.closeConn(up)
+	defer m.closeConn(up)
 	var both sync.WaitGroup
-	both.Go(func() { f.forwardPieces(down, up, from, n) })
-	both.Go(func() { f.forwardPieces(up, down, n, from) })
+	both.Go(func() { m.forwardPieces(down, up, from, n) })
+	both.Go(func() { m.forwardPieces(up, down, n, from) })
 	both.Wait()
 }
 
+// piece is a part of a stream, to be forwarded at a given time.
 type piece struct {
 	text []byte
 	due  time.Time
 }
 
 // forwardPieces forwards one direction piece by piece, each at its time.
-func (f *Mesh) forwardPieces(a, b net.Conn, from, to int) {
+func (m *Mesh) forwardPieces(a, b net.Conn, from, to int) {
 	pieces := make(chan piece, 64)
 	var writing sync.WaitGroup
 	writing.Go(func() {
 		defer b.Close()
 		for p := range pieces {
 			time.Sleep(time.Until(p.due))
-			for f.direction(from, to).Cut && !f.isConnClosed(a) {
+			for m.direction(from, to).Cut && !m.isConnClosed(a) {
 				time.Sleep(pollInterval)
 			}
-			w := f.direction(from, to)
+			w := m.direction(from, to)
 			if w.PerS > 0 {
 				time.Sleep(time.Duration(float64(len(p.text)) / w.PerS * float64(time.Second)))
 			}
@@ -246,22 +248,22 @@
 				a.Close()
 				break
 			}
-			f.mu.Lock()
-			f.bytes += int64(len(p.text))
-			f.mu.Unlock()
+			m.mu.Lock()
+			m.bytes += int64(len(p.text))
+			m.mu.Unlock()
 		}
 		for range pieces {
 		}
 	})
 	buffer := make([]byte, maxPieceBytes)
-	var look frameScanner
+	var scanner frameScanner
 	for {
 		n, err := a.Read(buffer)
 		if n > 0 {
-			if f.Frame != nil {
-				look.scan(buffer[:n], func(kind byte) { f.Frame(from, to, kind) })
+			if m.Frame != nil {
+				scanner.scan(buffer[:n], func(kind byte) { m.Frame(from, to, kind) })
 			}
-			pieces <- piece{append([]byte(nil), buffer[:n]...), time.Now().Add(f.direction(from, to).Delay)}
+			pieces <- piece{append([]byte(nil), buffer[:n]...), time.Now().Add(m.direction(from, to).Delay)}
 		}
 		if err != nil {
 			break
@@ -272,30 +274,30 @@
 }
 
 // isConnClosed reports whether a connection was closed by closeConn or Close.
-func (f *Mesh) isConnClosed(c net.Conn) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.closed || !f.conns[c]
+func (m *Mesh) isConnClosed(c net.Conn) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.closed || !m.conns[c]
 }
 
 // Close closes all links and waits for their goroutines.
-func (f *Mesh) Close() {
-	f.mu.Lock()
-	f.closed = true
-	for _, ln := range f.listeners {
+func (m *Mesh) Close() {
+	m.mu.Lock()
+	m.closed = true
+	for _, ln := range m.listeners {
 		ln.Close()
 	}
-	for _, pc := range f.packets {
+	for _, pc := range m.packets {
 		pc.Close()
 	}
-	for c := range f.conns {
+	for c := range m.conns {
 		c.Close()
 	}
-	f.mu.Unlock()
-	f.wg.Wait()
+	m.mu.Unlock()
+	m.wg.Wait()
 }
 
-// frameScanner finds the heads of frames in a stream.
+// frameScanner finds the heads of frames in the bytes of a stream.
 type frameScanner struct {
 	head []byte
 	skip int
--- a/internal/testbed/standin/mesh/mesh_test.go
+++ b/internal/testbed/standin/mesh/mesh_test.go
@@ -12,8 +12,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// pair is two processes that a fabric connects: what the first sends, the second echoes.
-func pair(t *testing.T) (f *Mesh, a net.Conn) {
+// pair returns a mesh of two processes and a connection from the first to the second, which echoes all bytes.
+func pair(t *testing.T) (m *Mesh, a net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.3:0")
 	if err != nil {
@@ -28,90 +28,91 @@
 			go func() { io.Copy(c, c); c.Close() }()
 		}
 	}()
-	f = New()
-	f.processByIP["127.0.0.2"] = 0
-	if err := f.Join(1, "127.0.0.3", "127.0.0.4:0", ln.Addr().String()); err != nil {
+	m = New()
+	m.processByIP["127.0.0.2"] = 0
+	if err := m.Join(1, "127.0.0.3", "127.0.0.4:0", ln.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 2)}}
-	a, err = d.Dial("tcp", f.listeners[0].Addr().String())
+	a, err = d.Dial("tcp", m.listeners[0].Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { a.Close(); ln.Close(); f.Close() })
-	return f, a
+	t.Cleanup(func() { a.Close(); ln.Close(); m.Close() })
+	return m, a
 }
 
-// echoed sends a text and returns what comes back of it in a while, and after how long.
-func echoed(a net.Conn, text []byte, most time.Duration) ([]byte, time.Duration) {
+// echoed sends a text and returns the bytes that come back within a time limit, and how long that took.
+func echoed(a net.Conn, text []byte, limit time.Duration) ([]byte, time.Duration) {
 	began := time.Now()
 	a.Write(text)
-	a.SetReadDeadline(time.Now().Add(most))
+	a.SetReadDeadline(time.Now().Add(limit))
 	got := make([]byte, len(text))
 	n, _ := io.ReadFull(a, got)
 	return got[:n], time.Since(began)
 }
 
-// What befalls each direction of a link, and that it passes when it is over.
-func TestWays(t *testing.T) {
+// TestDirections checks the effect of each fault on one direction of a connection, and that bytes are forwarded when the fault ends.
+func TestDirections(t *testing.T) {
 	text := bytes.Repeat([]byte("0123456789"), 100)
 	for name, c := range map[string]struct {
 		from, to int
-		way      Direction
-		comes    bool
+		faults   Direction
+		arrives  bool
 		same     bool
 		after    time.Duration
 	}{
-		"well":           {0, 1, Direction{}, true, true, 0},
-		"cut there":      {0, 1, Direction{Cut: true}, false, false, 0},
-		"cut back":       {1, 0, Direction{Cut: true}, false, false, 0},
-		"late":           {0, 1, Direction{Delay: 60 * time.Millisecond}, true, true, 60 * time.Millisecond},
-		"narrow":         {1, 0, Direction{PerS: 10_000}, true, true, 90 * time.Millisecond},
-		"garbled":        {0, 1, Direction{Garble: 1}, true, false, 0},
-		"another's ways": {2, 1, Direction{Cut: true}, true, true, 0},
+		"no fault":              {0, 1, Direction{}, true, true, 0},
+		"cut forward":           {0, 1, Direction{Cut: true}, false, false, 0},
+		"cut back":              {1, 0, Direction{Cut: true}, false, false, 0},
+		"delayed":               {0, 1, Direction{Delay: 60 * time.Millisecond}, true, true, 60 * time.Millisecond},
+		"limited":               {1, 0, Direction{PerS: 10_000}, true, true, 90 * time.Millisecond},
+		"garbled":               {0, 1, Direction{Garble: 1}, true, false, 0},
+		"other sender's faults": {2, 1, Direction{Cut: true}, true, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, a := pair(t)
-			f.Set(c.from, c.to, func(w *Direction) { *w = c.way })
-			most := 10 * time.Second
-			if !c.comes {
-				most = 100 * time.Millisecond
+			m, a := pair(t)
+			m.Set(c.from, c.to, func(d *Direction) { *d = c.faults })
+			limit := 10 * time.Second
+			if !c.arrives {
+				limit = 100 * time.Millisecond
 			}
-			got, took := echoed(a, text, most)
-			if (len(got) == len(text)) != c.comes || c.comes && bytes.Equal(got, text) != c.same || took < c.after {
-				t.Errorf("%d bytes after %v", len(got), took)
+			got, took := echoed(a, text, limit)
+			if (len(got) == len(text)) != c.arrives || c.arrives && bytes.Equal(got, text) != c.same || took < c.after {
+				t.Errorf("got %d bytes after %v", len(got), took)
 			}
-			f.Set(c.from, c.to, func(w *Direction) { *w = Direction{} })
-			if !c.comes {
+			m.Set(c.from, c.to, func(d *Direction) { *d = Direction{} })
+			if !c.arrives {
 				a.SetReadDeadline(time.Now().Add(10 * time.Second))
 				rest := make([]byte, len(text)-len(got))
 				if _, err := io.ReadFull(a, rest); err != nil {
-					t.Errorf("what was held back does not come: %v", err)
+					t.Errorf("bytes that waited during the cut did not arrive: %v", err)
 				}
 			}
 		})
 	}
 }
 
-const receiveBufferBytes = 1 << 20 // bytes: more than 400 datagrams as the system counts them
+const receiveBufferBytes = 1 << 20 // for more than 400 datagrams, by the kernel's accounting
 
-// Datagrams are lost, come twice or out of order by their ways, and their receiver sees their sender's place.
+// TestDatagrams checks that datagrams are lost, duplicated and reordered by the faults of their direction, and that their
+// source is the sender's address in the mesh.
 func TestDatagrams(t *testing.T) {
 	for name, c := range map[string]struct {
-		way         Direction
+		faults      Direction
 		least, most int // of 200
 	}{
-		"well":       {Direction{}, 200, 200},
-		"lost":       {Direction{Lose: 1}, 0, 0},
-		"twice":      {Direction{Twice: 1}, 400, 400},
-		"half lost":  {Direction{Lose: 0.5}, 40, 160},
-		"cut":        {Direction{Cut: true}, 0, 0},
-		"reordered":  {Direction{Reorder: 0.3}, 200, 200},
-		"a bit late": {Direction{Delay: 10 * time.Millisecond}, 200, 200},
+		"no fault":  {Direction{}, 200, 200},
+		"lost":      {Direction{Lose: 1}, 0, 0},
+		"twice":     {Direction{Twice: 1}, 400, 400},
+		"half lost": {Direction{Lose: 0.5}, 40, 160},
+		"cut":       {Direction{Cut: true}, 0, 0},
+		"reordered": {Direction{Reorder: 0.3}, 200, 200},
+		"delayed":   {Direction{Delay: 10 * time.Millisecond}, 200, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := New()
-			defer f.Close()
+			m := New()
+			defer m.Close()
 			var ends [2]net.PacketConn
 			for n, ip := range []string{"127.0.0.2", "127.0.0.3"} {
 				pc, err := net.ListenPacket("udp", ip+":0")
@@ -119,17 +120,17 @@
 					t.Fatal(err)
 				}
 				defer pc.Close()
-				pc.(*net.UDPConn).SetReadBuffer(receiveBufferBytes) // they are read only once all are sent; some 270 fit as it is
+				pc.(*net.UDPConn).SetReadBuffer(receiveBufferBytes) // the test reads only after sending all; the default buffer holds some 270
 				ends[n] = pc
-				if err := f.JoinPackets(n, ip, ip+":0", pc.LocalAddr().String()); err != nil {
+				if err := m.JoinPackets(n, ip, ip+":0", pc.LocalAddr().String()); err != nil {
 					t.Fatal(err)
 				}
 			}
-			f.Set(0, 1, func(w *Direction) { *w = c.way })
+			m.Set(0, 1, func(d *Direction) { *d = c.faults })
 			for i := range 200 {
-				ends[0].WriteTo([]byte{byte(i)}, f.sockets[1].LocalAddr())
+				ends[0].WriteTo([]byte{byte(i)}, m.sockets[1].LocalAddr())
 			}
-			got, last, behind := 0, -1, 0
+			got, last, reordered := 0, -1, 0
 			buffer := make([]byte, 10)
 			for {
 				wait := 300 * time.Millisecond
@@ -143,15 +144,15 @@
 				}
 				got++
 				if int(buffer[0]) < last {
-					behind++
+					reordered++
 				}
 				last = int(buffer[0])
-				if from.String() != f.sockets[0].LocalAddr().String() {
-					t.Fatalf("it comes from %v", from)
+				if from.String() != m.sockets[0].LocalAddr().String() {
+					t.Fatalf("got a datagram from %v, want the sender's mesh address", from)
 				}
 			}
-			if got < c.least || got > c.most || (c.way.Reorder > 0) != (behind > 0) && c.way.Delay == 0 {
-				t.Errorf("%d came, %d of them behind later ones", got, behind)
+			if got < c.least || got > c.most || (c.faults.Reorder > 0) != (reordered > 0) && c.faults.Delay == 0 {
+				t.Errorf("got %d datagrams, %d of them after later ones", got, reordered)
 			}
 		})
 	}
--- a/internal/testbed/standin/plannerproxy/proxy.go
+++ b/internal/testbed/standin/plannerproxy/proxy.go
@@ -1,5 +1,5 @@
-// Package plannerproxy is a stand-in for the network between nodes and a planner. It forwards their frames, can delay or
-// cut them, and reports to a Watcher what the planner notified each node of.
+// Package plannerproxy is a stand-in for the network between nodes and a planner. It forwards frames, can delay or cut them,
+// and reports to a Watcher the entries that the planner sent to each node.
 package plannerproxy
 
 import (
@@ -13,11 +13,11 @@
 	"fernvane/internal/discovery/incarnation"
 )
 
-const maxQueuedFrames = 256 // in one direction; the sender of more is blocked
+const maxQueuedFrames = 256 // per direction; a full queue blocks the sender
 
-// Watcher is notified of what planners send to nodes. It is called from many goroutines.
+// Watcher is notified of entries that planners send to nodes. It is called from many goroutines.
 type Watcher interface {
-	// Planned reports the entries of a change that was completely written to the node of a name.
+	// Planned reports the entries of a change that was written completely to the node of that name.
 	Planned(node string, entries []incarnation.Entry, at time.Time)
 }
 
@@ -72,14 +72,14 @@
 	p.wg.Wait()
 }
 
-// Delay delays each frame that comes from now on.
+// Delay delays each frame that is received from now on.
 func (p *Proxy) Delay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = d
 }
 
-// Cut stops both directions without notifying either side, or forwards again, first what waited.
+// Cut stops both directions without notifying either side, or resumes them, beginning with the frames that waited.
 func (p *Proxy) Cut(isCut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,7 +167,7 @@
 	both.Wait()
 }
 
-// frame is a frame to be forwarded at a time.
+// frame is a frame that is forwarded at a given time.
 type frame struct {
 	kind planwire.Kind
 	body []byte
--- a/internal/testbed/standin/server/model.go
+++ b/internal/testbed/standin/server/model.go
@@ -1,6 +1,7 @@
-// Package server is a stand-in for a server of the fleet. Model simulates its queue and cores without I/O; Server listens to
-// nodes for it, in HTTP or FastCGI, and injects faults. Work only takes time, no CPU, so that many servers fit on one
-// machine. The testbed calls Server's methods; a Watcher learns what the server sees. A Server guards its Model by a lock.
+// Package server is a stand-in for a server. Model simulates its queue and cores without I/O. Server accepts connections of
+// nodes in HTTP or FastCGI, passes their requests to a Model, which it guards by a lock, and injects faults. Work takes time but
+// no CPU, so that many servers fit on one machine. The testbed calls Server's methods; a Watcher is notified of requests,
+// executions and responses.
 package server
 
 import (
@@ -12,18 +13,18 @@
 type Settings struct {
 	Cores          int
 	Speed          float64 // of a core; work is stated for speed 1
-	Queue          int     // requests that may wait
-	ColdShare      float64 // of its capacity at the begin of slow start
+	Queue          int     // maximum number of waiting requests
+	ColdShare      float64 // share of its capacity at the begin of slow start
 	ColdFor        time.Duration
 	KeyGain        float64 // share of work that is saved for a cached key
 	KeyFor         time.Duration
-	Keys           int // cached keys at most
+	Keys           int // maximum number of cached keys
 	Drops          bool
-	OverloadFactor float64 // multiple of its present capacity that overloads a cold server; 0: none does
+	OverloadFactor float64 // multiple of its present capacity that overloads a cold server; 0: no load does
 	OverloadWindow time.Duration
-	Handshake      time.Duration // work of a new connection, with its first request
+	Handshake      time.Duration // additional work of the first request on a connection
 	FastCGI        bool          // speaks FastCGI, not HTTP
-	Connections    int           // at most; 0: unlimited
+	Connections    int           // maximum number; 0: unlimited
 }
 
 // Work is a request at a server.
@@ -31,7 +32,7 @@
 	ID       uint64
 	Work     time.Duration
 	Key      int           // 0: none
-	Deadline time.Duration // when its sender stops waiting
+	Deadline time.Duration // when the sender stops waiting
 }
 
 // Step is a step of a request at a server.
@@ -39,7 +40,7 @@
 
 // Steps of a request.
 const (
-	Began   Step = iota // execution began; from here on it has had its effect
+	Began   Step = iota // execution began; from here on the request counts as executed
 	Done                // execution ended
 	Expired             // its deadline passed in the queue; it did not run
 	Lost                // the server crashed with it
@@ -74,8 +75,8 @@
 	work time.Duration
 }
 
-// Model is the state machine of a server. Times count from a common start and must not decrease. Methods report events to
-// the function that they are given, in order of time. It is not safe for concurrent use.
+// Model is the state machine of a server. Times count from a common start and must not decrease. Methods report events, in
+// order of time, to the function that they receive. A Model is not safe for concurrent use.
 type Model struct {
 	settings     Settings
 	isRunning    bool
@@ -84,7 +85,7 @@
 	started      time.Duration
 	slowdown     float64 // factor by which work takes longer
 	isPaused     bool
-	pausedAt     time.Duration // of the pause
+	pausedAt     time.Duration // begin of the pause
 	queue        []Work
 	cores        []running
 	keys         map[int]time.Duration // cached keys: when each was last used
@@ -158,7 +159,7 @@
 	m.isOverloaded = float64(sum) > m.settings.OverloadFactor*capacity*float64(m.settings.OverloadWindow)
 }
 
-// Advance processes all that is due up to now.
+// Advance ends executions that are due by now and begins queued ones.
 func (m *Model) Advance(now time.Duration, report func(Event)) {
 	for {
 		at, ok := m.Next()
@@ -200,7 +201,8 @@
 	}
 }
 
-// cacheFactor returns the share of work that is left for a key, and caches the key in the place of the least recently used.
+// cacheFactor returns the share of work that a key leaves, and caches the key. The least recently used key is evicted if the
+// cache is full.
 func (m *Model) cacheFactor(now time.Duration, key int) float64 {
 	if key == 0 || m.settings.KeyGain == 0 {
 		return 1
--- a/internal/testbed/standin/server/peer.go
+++ b/internal/testbed/standin/server/peer.go
@@ -13,10 +13,10 @@
 
 // peer is the caller of a request, in either protocol.
 type peer interface {
-	// answer writes an answer and reports whether the connection can be used again.
+	// answer writes a response and reports whether the connection can be used again.
 	answer(message.Answer) bool
 	encode(message.Answer) []byte
-	// garbled returns one of several malformed forms of an answer.
+	// garbled returns one of several malformed forms of a response, chosen by request ID.
 	garbled(id uint64, a message.Answer) []byte
 	raw([]byte)
 	// disconnected waits until the caller disconnects or aborts and reports whether it did before the time set by peek.
@@ -45,9 +45,9 @@
 	switch id >> 8 % 4 {
 	case 0:
 		return []byte("\x00\x01 what? \xff\xfe\r\n\r\n")
-	case 1: // a head without end
+	case 1: // a header without end
 		return append([]byte("HTTP/1.1 200 OK\r\nX: "), fill...)
-	case 2: // more than the body has
+	case 2: // a longer body than the message carries
 		return append([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"), a.Body...)
 	}
 	return append([]byte("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n"), a.Body...)
@@ -65,30 +65,30 @@
 func (p fastCGIPeer) reset()                         { p.nc.Reset() }
 func (p fastCGIPeer) answer(a message.Answer) bool   { return p.f.Answer(p.c, p.encode(a)) == nil }
 
-// disconnected takes anything that comes for an end: an abort, or a close.
+// disconnected treats any further input as the end of the request: an abort or a close.
 func (p fastCGIPeer) disconnected() bool {
 	_, err := sockpeek.Peek(p.nc, true)
 	return err == nil
 }
 
 func (p fastCGIPeer) garbled(id uint64, a message.Answer) []byte {
-	switch whole := p.encode(a); id >> 8 % 4 {
+	switch full := p.encode(a); id >> 8 % 4 {
 	case 0:
 		return []byte("\x00\x01 what? \xff\xfe\r\n\r\n")
-	case 1: // a record of another request
-		whole[3] ^= 0x55
-		return whole
-	case 2: // the end before the answer's own length
+	case 1: // a record with the ID of another request
+		full[3] ^= 0x55
+		return full
+	case 2: // the end record before the stated length of the body
 		a.Body = append(a.Body, "more"...)
 		long := p.encode(a)
-		return append(long[:len(long)-24-8], whole[len(whole)-16:]...)
-	default: // a record that is longer than what comes
-		whole[4] = 0xff
-		return whole
+		return append(long[:len(long)-24-8], full[len(full)-16:]...)
+	default: // a record whose length exceeds the data
+		full[4] = 0xff
+		return full
 	}
 }
 
-// fastCGIHandler limits the time for each part of a request.
+// fastCGIHandler limits the time to read each part of a request.
 type fastCGIHandler struct{ nc *link.Conn }
 
 func (k fastCGIHandler) AwaitReadable(bool) error {
@@ -100,14 +100,14 @@
 func (fastCGIHandler) RequestAborted()                      {}
 
 // serveFastCGI serves a FastCGI connection, one request at a time.
-func (b *Server) serveFastCGI(nc *link.Conn, way time.Duration, full bool) {
+func (s *Server) serveFastCGI(nc *link.Conn, way time.Duration, full bool) {
 	f := fastcgi.NewClientConn(nc, nil)
 	defer f.AbandonRequests()
-	last := uint64(0) // request on it
+	last := uint64(0) // ID of the last request on the connection
 	for fresh := true; ; fresh = false {
-		idle := b.now()
+		idle := s.now()
 		call, err := f.NextRequest(fastCGIHandler{nc})
-		b.idle(last, idle)
+		s.idle(last, idle)
 		if err != nil {
 			return
 		}
@@ -117,8 +117,8 @@
 			return
 		}
 		last = idOf(call.Request)
-		came := nc.Received().Sub(b.start)
-		if !b.serveRequest(p, call.Request, came, came, way, fresh, full) || full {
+		came := nc.Received().Sub(s.start)
+		if !s.serveRequest(p, call.Request, came, came, way, fresh, full) || full {
 			return
 		}
 	}
--- a/internal/testbed/standin/server/server_test.go
+++ b/internal/testbed/standin/server/server_test.go
@@ -18,47 +18,49 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// notes is a watcher that writes down what it is told.
-type notes struct {
+// reports is a Watcher that records its notifications as words.
+type reports struct {
 	mu  sync.Mutex
 	all []string
 }
 
-func (n *notes) note(form string, args ...any) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.all = append(n.all, fmt.Sprintf(form, args...))
+func (r *reports) add(format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.all = append(r.all, fmt.Sprintf(format, args...))
 }
 
-func (n *notes) said() string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return strings.Join(n.all, " ")
+func (r *reports) words() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return strings.Join(r.all, " ")
 }
 
-func (n *notes) FindRequest(id uint64) (RequestInfo, bool) {
+func (r *reports) FindRequest(id uint64) (RequestInfo, bool) {
 	return RequestInfo{Work: 20 * ms}, id != 0xbad
 }
-func (n *notes) Attempt(id uint64, _ int, _, _ time.Duration)          { n.note("hop") }
-func (n *notes) Ran(uint64, int, time.Duration)                        { n.note("ran") }
-func (n *notes) AttemptEnded(_ uint64, _ int, _ time.Duration, u bool) { n.note("over:%v", u) }
-func (n *notes) Overloaded(int, time.Duration)                         { n.note("fell") }
-func (n *notes) Idle(uint64, int, time.Duration, time.Duration)        {}
-
-func start(t *testing.T, f Settings) (*Server, *notes) {
-	n := &notes{}
-	b, err := NewServer(Identity{Name: "b"}, f, time.Now(), []string{"127.0.0.1:0", "127.0.0.1:0"},
-		func(int) time.Duration { return 0 }, n)
+func (r *reports) Attempt(id uint64, _ int, _, _ time.Duration) { r.add("attempt") }
+func (r *reports) Ran(uint64, int, time.Duration)               { r.add("ran") }
+func (r *reports) AttemptEnded(_ uint64, _ int, _ time.Duration, neverRan bool) {
+	r.add("ended:%v", neverRan)
+}
+func (r *reports) Overloaded(int, time.Duration)                  { r.add("overloaded") }
+func (r *reports) Idle(uint64, int, time.Duration, time.Duration) {}
+
+func start(t *testing.T, settings Settings) (*Server, *reports) {
+	r := &reports{}
+	s, err := NewServer(Identity{Name: "b"}, settings, time.Now(), []string{"127.0.0.1:0", "127.0.0.1:0"},
+		func(int) time.Duration { return 0 }, r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(b.Close)
-	return b, n
+	t.Cleanup(s.Close)
+	return s, r
 }
 
-func dial(t *testing.T, at string) *http1.Conn {
+func dial(t *testing.T, address string) *http1.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", at)
+	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,49 +74,49 @@
 
 const good = "0000000000000100"
 
-// What a caller meets, and what the audit is told of it.
+// TestRequests checks the response of each kind of request and fault, and the reports to the watcher.
 func TestRequests(t *testing.T) {
-	status := func(n int, more string) func(*http1.Response, error) bool {
+	status := func(n int, body string) func(*http1.Response, error) bool {
 		return func(r *http1.Response, err error) bool {
-			return err == nil && r.Status == n && strings.Contains(string(r.Body), more)
+			return err == nil && r.Status == n && strings.Contains(string(r.Body), body)
 		}
 	}
-	ends := func(with error) func(*http1.Response, error) bool {
-		return func(_ *http1.Response, err error) bool { return errors.Is(err, with) }
+	ends := func(want error) func(*http1.Response, error) bool {
+		return func(_ *http1.Response, err error) bool { return errors.Is(err, want) }
 	}
-	set := func(f func(*Faults)) func(*Server) { return func(b *Server) { b.Set(f) } }
+	set := func(f func(*Faults)) func(*Server) { return func(s *Server) { s.Set(f) } }
 	for name, c := range map[string]struct {
 		before func(*Server)
 		id     string
-		meets  func(*http1.Response, error) bool
-		told   string
+		want   func(*http1.Response, error) bool
+		report string
 	}{
-		"answered":         {nil, good, status(200, good+" b"), "hop ran over:false"},
+		"executed":         {nil, good, status(200, good+" b"), "attempt ran ended:false"},
 		"no id":            {nil, "", status(404, ""), ""},
-		"nobody's id":      {nil, "0000000000000bad", status(400, ""), "hop"},
-		"no id at all":     {nil, "soon", status(400, ""), "hop"},
-		"draining":         {func(b *Server) { b.Drain(true) }, good, status(503, ""), "hop over:true"},
-		"refused":          {set(func(f *Faults) { f.Refuse = 1 }), good, status(503, ""), "hop over:true"},
-		"an error":         {set(func(f *Faults) { f.Err = 1 }), good, status(500, ""), "hop ran over:false"},
-		"cut before":       {set(func(f *Faults) { f.CutBefore = 1 }), good, ends(syscall.ECONNRESET), "hop over:false"},
-		"cut within":       {set(func(f *Faults) { f.CutWithin = 1 }), good, ends(io.ErrUnexpectedEOF), "hop ran over:false"},
-		"a spoilt answer":  {set(func(f *Faults) { f.Spoil = 1 }), "0000000000000000", ends(http1.ErrGarbled), "hop ran over:false"},
-		"a wrong length":   {set(func(f *Faults) { f.Spoil = 1 }), "0000000000000300", ends(http1.ErrGarbled), "hop ran over:false"},
-		"connections' end": {func(b *Server) { b.mu.Lock(); defer b.mu.Unlock(); b.conns = 5 }, good, status(503, ""), "hop over:true"},
-		"its process died": {func(b *Server) { time.AfterFunc(5*ms, b.Crash) }, good, ends(syscall.ECONNRESET), "hop ran over:false"},
-		"pushed over, cold": {func(b *Server) {
-			b.Crash()
-			b.Start()
-			b.Model(func(m *Model, _ time.Duration, _ func(Event)) { m.settings.OverloadFactor = 1e-9 })
-		}, good, ends(syscall.ECONNRESET), "hop over:false fell"},
+		"unknown id":       {nil, "0000000000000bad", status(400, ""), "attempt"},
+		"malformed id":     {nil, "soon", status(400, ""), "attempt"},
+		"draining":         {func(s *Server) { s.Drain(true) }, good, status(503, ""), "attempt ended:true"},
+		"rejected":         {set(func(f *Faults) { f.Refuse = 1 }), good, status(503, ""), "attempt ended:true"},
+		"error":            {set(func(f *Faults) { f.Err = 1 }), good, status(500, ""), "attempt ran ended:false"},
+		"cut before":       {set(func(f *Faults) { f.CutBefore = 1 }), good, ends(syscall.ECONNRESET), "attempt ended:false"},
+		"cut within":       {set(func(f *Faults) { f.CutWithin = 1 }), good, ends(io.ErrUnexpectedEOF), "attempt ran ended:false"},
+		"garbled response": {set(func(f *Faults) { f.Spoil = 1 }), "0000000000000000", ends(http1.ErrGarbled), "attempt ran ended:false"},
+		"wrong length":     {set(func(f *Faults) { f.Spoil = 1 }), "0000000000000300", ends(http1.ErrGarbled), "attempt ran ended:false"},
+		"full":             {func(s *Server) { s.mu.Lock(); defer s.mu.Unlock(); s.conns = 5 }, good, status(503, ""), "attempt ended:true"},
+		"crashed":          {func(s *Server) { time.AfterFunc(5*ms, s.Crash) }, good, ends(syscall.ECONNRESET), "attempt ran ended:false"},
+		"overloaded while cold": {func(s *Server) {
+			s.Crash()
+			s.Start()
+			s.Model(func(m *Model, _ time.Duration, _ func(Event)) { m.settings.OverloadFactor = 1e-9 })
+		}, good, ends(syscall.ECONNRESET), "attempt ended:false overloaded"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b, told := start(t, Settings{Cores: 1, Speed: 1, Queue: 9, ColdShare: 0.5, ColdFor: time.Hour, OverloadFactor: 9, OverloadWindow: time.Second, Connections: 5})
+			s, watcher := start(t, Settings{Cores: 1, Speed: 1, Queue: 9, ColdShare: 0.5, ColdFor: time.Hour, OverloadFactor: 9, OverloadWindow: time.Second, Connections: 5})
 			if c.before != nil {
-				c.before(b)
+				c.before(s)
 			}
-			conn := dial(t, b.Address(0))
+			conn := dial(t, s.Address(0))
 			if c.id == "" {
 				io.WriteString(conn, "GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
 			} else {
@@ -123,54 +125,55 @@
 			conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 			var r http1.Response
 			err := conn.ReadResponse(&r, 1<<20)
-			if !c.meets(&r, err) {
-				t.Errorf("answered %d %q, %v", r.Status, r.Body, err)
+			if !c.want(&r, err) {
+				t.Errorf("got status %d, body %q, error %v", r.Status, r.Body, err)
 			}
-			// A process that dies resets its connections before those who led them have told of it.
-			by := time.Now().Add(5 * time.Second)
-			for told.said() != c.told && time.Now().Before(by) {
+			// A crash resets connections before their goroutines have reported the ends of attempts.
+			deadline := time.Now().Add(5 * time.Second)
+			for watcher.words() != c.report && time.Now().Before(deadline) {
 				time.Sleep(ms)
 			}
-			if got := told.said(); got != c.told {
-				t.Errorf("told %q", got)
+			if got := watcher.words(); got != c.report {
+				t.Errorf("got reports %q", got)
 			}
 		})
 	}
 }
 
-// A caller that leaves ends the attempt but not the work; what waits behind it waits for that work.
-func TestLeavingStopsNoWork(t *testing.T) {
-	b, told := start(t, Settings{Cores: 1, Speed: 0.02, Queue: 9})
-	gone := dial(t, b.Address(0))
+// TestDisconnectStopsNoWork checks that a caller's disconnect ends the attempt but not its execution: the next request waits
+// until the execution ends.
+func TestDisconnectStopsNoWork(t *testing.T) {
+	s, watcher := start(t, Settings{Cores: 1, Speed: 0.02, Queue: 9})
+	first := dial(t, s.Address(0))
 	began := time.Now()
-	send(gone, good)
-	until := func(word string) {
-		for !strings.Contains(told.said(), word) {
+	send(first, good)
+	waitFor := func(word string) {
+		for !strings.Contains(watcher.words(), word) {
 			time.Sleep(ms)
 		}
 	}
-	until("ran")
-	gone.Close()
-	until("over")
-	next := dial(t, b.Address(0))
+	waitFor("ran")
+	first.Close()
+	waitFor("ended")
+	next := dial(t, s.Address(0))
 	send(next, "0000000000000200")
 	var r http1.Response
 	if err := next.ReadResponse(&r, 1<<20); err != nil || r.Status != 200 {
-		t.Fatalf("%d, %v", r.Status, err)
+		t.Fatalf("got status %d, error %v, want status 200", r.Status, err)
 	}
 	if took := time.Since(began); took < 1900*ms { // 20 ms of work take 1 s each
-		t.Errorf("both took %s: the first was dropped", took)
+		t.Errorf("both requests took %s, want at least 1.9 s: the first was dropped", took)
 	}
-	if got := told.said(); !strings.HasPrefix(got, "hop ran over:false hop ran") {
-		t.Errorf("told %q", got)
+	if got := watcher.words(); !strings.HasPrefix(got, "attempt ran ended:false attempt ran") {
+		t.Errorf("got reports %q", got)
 	}
 }
 
-// A site is cut off: its callers hear nothing, the others all.
+// TestCutOff checks that callers of a site that is cut off get timeouts, and callers of other sites get responses.
 func TestCutOff(t *testing.T) {
-	b, _ := start(t, Settings{Cores: 1, Speed: 1, Queue: 9})
-	ask := func(site int) error {
-		c, err := net.DialTimeout("tcp", b.Address(site), 200*ms)
+	s, _ := start(t, Settings{Cores: 1, Speed: 1, Queue: 9})
+	request := func(site int) error {
+		c, err := net.DialTimeout("tcp", s.Address(site), 200*ms)
 		if err != nil {
 			return err
 		}
@@ -180,56 +183,57 @@
 		send(conn, good)
 		return conn.ReadResponse(&http1.Response{}, 1<<20)
 	}
-	b.Hush(1)
-	if err := ask(0); err != nil {
-		t.Errorf("from a site not cut off: %v", err)
+	s.Hush(1)
+	if err := request(0); err != nil {
+		t.Errorf("site not cut off: got error %v", err)
 	}
 	var late net.Error
-	if err := ask(1); !errors.As(err, &late) || !late.Timeout() {
-		t.Errorf("from the site cut off: %v", err)
+	if err := request(1); !errors.As(err, &late) || !late.Timeout() {
+		t.Errorf("site cut off: got error %v, want a timeout", err)
 	}
-	b.Speak(1)
-	if err := ask(1); err != nil {
-		t.Errorf("afterwards: %v", err)
+	s.Speak(1)
+	if err := request(1); err != nil {
+		t.Errorf("after the cut: got error %v", err)
 	}
 }
 
-// watched tells on a channel of connections that stood unused.
-type watched struct {
-	*notes
+// idleReports is a Watcher that sends reports of idle connections to a channel.
+type idleReports struct {
+	*reports
 	idle chan string
 }
 
-func (w *watched) Idle(id uint64, box int, from, to time.Duration) {
-	w.idle <- fmt.Sprintf("%x at %d, %v", id, box, from >= 0 && to >= from)
+func (w *idleReports) Idle(id uint64, server int, from, to time.Duration) {
+	w.idle <- fmt.Sprintf("%x at %d, %v", id, server, from >= 0 && to >= from)
 }
 
-// A connection on which a request came last is told of as it ends, or as the next one comes.
+// TestIdle checks that a connection that was idle after a request is reported when the next request comes or the connection
+// ends.
 func TestIdle(t *testing.T) {
-	w := &watched{&notes{}, make(chan string, 8)}
-	b, err := NewServer(Identity{Name: "b", Number: 7}, Settings{Cores: 1, Speed: 1, Queue: 9}, time.Now(), []string{"127.0.0.1:0"},
+	w := &idleReports{&reports{}, make(chan string, 8)}
+	s, err := NewServer(Identity{Name: "b", Number: 7}, Settings{Cores: 1, Speed: 1, Queue: 9}, time.Now(), []string{"127.0.0.1:0"},
 		func(int) time.Duration { return 0 }, w)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(b.Close)
-	unused := dial(t, b.Address(0)) // never asked on: nothing is known of whose it is
+	t.Cleanup(s.Close)
+	unused := dial(t, s.Address(0)) // carries no request: nothing can be reported of it
 	unused.Close()
-	conn := dial(t, b.Address(0))
+	conn := dial(t, s.Address(0))
 	for _, id := range []string{good, "0000000000000200"} {
 		send(conn, id)
 		var r http1.Response
 		if err := conn.ReadResponse(&r, 1<<20); err != nil || r.Status != 200 {
-			t.Fatalf("%d, %v", r.Status, err)
+			t.Fatalf("got status %d, error %v, want status 200", r.Status, err)
 		}
 	}
 	conn.Close()
 	for _, want := range []string{"100 at 7, true", "200 at 7, true"} {
 		if got := <-w.idle; got != want {
-			t.Errorf("told %q, want %q", got, want)
+			t.Errorf("idle report: got %q, want %q", got, want)
 		}
 	}
 	if len(w.idle) > 0 {
-		t.Errorf("told %q beside", <-w.idle)
+		t.Errorf("got further idle report %q", <-w.idle)
 	}
 }
--- a/internal/testbed/standin/zookeeper/conn.go
+++ b/internal/testbed/standin/zookeeper/conn.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// conn is a client's connection. The registry's lock guards its watches, out its writes.
+// conn is a client's connection. The registry's lock guards its watches; out guards its writes.
 type conn struct {
 	net.Conn
 	s       *Server
@@ -19,14 +19,14 @@
 	out     sync.Mutex
 }
 
-// Garble makes one in so many replies malformed; 0 makes none.
+// Garble makes every n-th reply malformed, where n is each; 0: none.
 func (s *Server) Garble(each int) {
 	s.r.mu.Lock()
 	defer s.r.mu.Unlock()
 	s.garbleEvery = each
 }
 
-// garbled returns a malformed form of a reply, in turn: cut short, noise under its ID, lengths of 2 GB, an unknown ID.
+// garbled returns one of four malformed forms of a reply: truncated, noise with its ID, lengths of 2 GB, or an unknown ID.
 func garbled(which int, reply []byte) []byte {
 	wrong := bytes.Clone(reply)
 	switch which % 4 {
@@ -148,7 +148,7 @@
 	}
 	var w writer
 	w.int(0)
-	if se == nil || !bytes.Equal(se.passwd, passwd) && id != 0 { // it has expired, or is another's
+	if se == nil || !bytes.Equal(se.passwd, passwd) && id != 0 { // the session has expired, or the password is wrong
 		w.int(0)
 		w.long(0)
 		w.buffer(make([]byte, 16))
--- a/internal/testbed/standin/zookeeper/ensemble.go
+++ b/internal/testbed/standin/zookeeper/ensemble.go
@@ -12,13 +12,13 @@
 	minSessionTimeout  = 200 * time.Millisecond
 )
 
-// Child is a child in a list that a reader got, with the transaction that created it.
+// Child is a child in a list that a reader received, with the transaction that created it.
 type Child struct {
 	Name  string
 	Czxid int64
 }
 
-// Watcher is notified of what the reader at an address got, from many goroutines.
+// Watcher is notified of the data that readers received. Its methods are called from many goroutines.
 type Watcher interface {
 	// Announced reports a list of all children of a path.
 	Announced(reader int, path string, children []Child, at time.Time)
@@ -38,7 +38,7 @@
 	servers      []*Server
 	calls        int
 	expiryDelay  time.Duration // added to each session's timeout
-	refusesConns bool          // new connections are closed
+	refusesConns bool          // new connections are closed immediately
 	done         chan struct{}
 	wg           sync.WaitGroup
 }
@@ -63,8 +63,8 @@
 	lag            time.Duration
 	delay          time.Duration // of watch events
 	isSilent       bool
-	garbleEvery    int // one in so many replies is malformed; 0: none
-	garbledReplies int // replies since the last of them
+	garbleEvery    int // every n-th reply is malformed; 0: none
+	garbledReplies int // replies counted for garbleEvery
 	conns          map[*conn]bool
 }
 
@@ -129,7 +129,7 @@
 // Address returns where the server listens.
 func (s *Server) Address() string { return s.ln.Addr().String() }
 
-// Set changes the server's faults: how far it lags behind commits, how late it sends events, whether it sends nothing.
+// Set changes the server's faults: its lag behind commits, the delay of watch events, and whether it sends nothing.
 func (s *Server) Set(lag, delay time.Duration, silent bool) {
 	s.r.mu.Lock()
 	defer s.r.mu.Unlock()
@@ -145,14 +145,14 @@
 	}
 }
 
-// Late delays the expiry of sessions.
+// Late delays the expiry of sessions by d.
 func (r *Registry) Late(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expiryDelay = d
 }
 
-// Refuse makes new connections be closed, or accepted again.
+// Refuse sets whether new connections are closed immediately.
 func (r *Registry) Refuse(is bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -196,7 +196,7 @@
 	return n
 }
 
-// Calls returns the number of requests without pings.
+// Calls returns the number of requests, excluding pings.
 func (r *Registry) Calls() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -225,7 +225,7 @@
 	}
 }
 
-// commit commits a change; servers see it after their lag.
+// commit commits a change. Servers apply it after their lag.
 func (r *Registry) commit(c change) {
 	c.zxid = r.head.zxid + 1
 	r.log = append(r.log, c)
@@ -233,7 +233,7 @@
 	r.catchUp(time.Now())
 }
 
-// catchUp applies committed changes to servers by their lag and sends events.
+// catchUp applies committed changes to servers whose lag has passed and sends watch events.
 func (r *Registry) catchUp(now time.Time) {
 	for _, s := range r.servers {
 		for s.next < len(r.log) && !s.isSilent && now.Sub(r.log[s.next].at) >= s.lag {
--- a/internal/testbed/standin/zookeeper/jute.go
+++ b/internal/testbed/standin/zookeeper/jute.go
@@ -1,5 +1,5 @@
 // Package zookeeper is a stand-in for a ZooKeeper-style registry, written from its published wire protocol: jute records in
-// frames, sessions with time-outs and passwords, ephemeral nodes, watches that fire once, several addresses with lag.
+// frames, sessions with timeouts and passwords, ephemeral nodes, watches that fire once, several addresses with lag.
 package zookeeper
 
 import (
@@ -8,11 +8,11 @@
 	"io"
 )
 
-const maxFrameBytes = 1 << 20 // bytes, as the real one's default
+const maxFrameBytes = 1 << 20 // default of ZooKeeper
 
-var errFrameTooLong = errors.New("a record that cannot be read")
+var errFrameTooLong = errors.New("read frame: length exceeds 1 MiB")
 
-// reader takes a record apart; once it has met something wrong it gives zeros.
+// reader decodes a record. After the first malformed field it returns zero values.
 type reader struct {
 	b           []byte
 	isMalformed bool
@@ -70,7 +70,7 @@
 	return all
 }
 
-// writer puts a record together.
+// writer encodes a record.
 type writer []byte
 
 func (w *writer) int(v int32)  { *w = binary.BigEndian.AppendUint32(*w, uint32(v)) }
--- a/internal/testbed/standin/zookeeper/jute_test.go
+++ b/internal/testbed/standin/zookeeper/jute_test.go
@@ -10,7 +10,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Whatever a client sends, the ensemble answers or ends the connection, and goes on.
+// FuzzRequests checks that the ensemble replies to any input or ends the connection, and continues to work.
 func FuzzRequests(f *testing.F) {
 	var w writer
 	w.int(1)
@@ -54,7 +54,7 @@
 		hello.long(0)
 		hello.buffer(make([]byte, 16))
 		if !s.connect(c, hello) {
-			t.Fatal("no session")
+			t.Fatal("connect: no session was opened")
 		}
 		s.request(c, b)
 		r.mu.Lock()
--- a/internal/testbed/standin/zookeeper/owned.go
+++ b/internal/testbed/standin/zookeeper/owned.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Owned is a session of this process with its ephemeral nodes, as of a server that registers itself.
+// Owned is a session of this process with its ephemeral nodes, such as that of a server that registers itself.
 type Owned struct {
 	r *Registry
 	s *session
@@ -22,7 +22,7 @@
 	r.sessions[s.id] = s
 	for _, p := range slices.Sorted(maps.Keys(nodes)) {
 		r.createParents(p)
-		if old := r.head.nodes[p]; old != nil { // the session before has not expired yet
+		if old := r.head.nodes[p]; old != nil { // the previous session has not expired yet
 			r.commit(change{op: deleted, path: p, at: time.Now()})
 		}
 		r.commit(change{op: created, path: p, data: nodes[p], own: s.id, at: time.Now()})
--- a/internal/testbed/standin/zookeeper/requests.go
+++ b/internal/testbed/standin/zookeeper/requests.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Requests as on the wire.
+// Operations as on the wire.
 const (
 	opCreate    = 1
 	opDelete    = 2
@@ -21,14 +21,14 @@
 	opClose     = -11
 )
 
-// reply is what a request is answered with.
+// reply is the reply to a request.
 type reply struct {
 	code          int32
 	body          writer
-	notifyWatcher func() // tells the watcher what the reader was told, once it was; nil for nothing
+	notifyWatcher func() // called after the reply was sent; nil: nothing to report
 }
 
-// request answers one; false ends the connection.
+// request processes one request. It returns false if the connection ends.
 func (s *Server) request(c *conn, b []byte) bool {
 	q := reader{b: b}
 	xid, op := q.int(), q.int()
@@ -49,34 +49,34 @@
 	if op != opPing {
 		r.calls++
 	}
-	answer := s.answer(c, op, &q)
+	response := s.answer(c, op, &q)
 	if q.isMalformed {
-		answer.code = badArgs
+		response.code = badArgs
 	}
 	var w writer
 	w.int(xid)
 	w.long(s.tree.zxid)
-	w.int(answer.code)
-	if answer.code == ok {
-		w = append(w, answer.body...)
+	w.int(response.code)
+	if response.code == ok {
+		w = append(w, response.body...)
 	}
 	if s.garbleEvery > 0 && op != opPing && op != opClose {
 		if s.garbledReplies++; s.garbledReplies%s.garbleEvery == 0 {
 			which := s.garbledReplies / s.garbleEvery
 			r.mu.Unlock()
 			c.send(garbled(which, w))
-			return which%2 == 0 // some close behind it
+			return which%2 == 0 // some malformed replies end the connection
 		}
 	}
 	r.mu.Unlock()
 	c.send(w)
-	if answer.code == ok && r.watcher != nil && answer.notifyWatcher != nil {
-		answer.notifyWatcher()
+	if response.code == ok && r.watcher != nil && response.notifyWatcher != nil {
+		response.notifyWatcher()
 	}
 	return op != opClose
 }
 
-// answer does what is asked; the lock is held.
+// answer executes an operation and returns its reply. The caller holds the lock.
 func (s *Server) answer(c *conn, op int32, q *reader) (a reply) {
 	a.code = ok
 	switch op {
@@ -131,7 +131,7 @@
 	return ok
 }
 
-// read answers from the tree as this server has seen it, and sets the watch that is asked for.
+// read replies with the state of this server's tree and sets the watch that the request asks for.
 func (s *Server) read(c *conn, op int32, q *reader, a *reply) {
 	p, watch := q.string(), q.bool()
 	n := s.tree.nodes[p]
@@ -175,7 +175,7 @@
 	a.notifyWatcher = func() { s.r.watcher.Announced(s.reader, p, all, time.Now()) }
 }
 
-// catchUpFully has the server see all that was agreed on, as a sync does.
+// catchUpFully applies all committed changes to this server, as a sync does.
 func (s *Server) catchUpFully(now time.Time) {
 	lag := s.lag
 	s.lag = 0
@@ -219,7 +219,7 @@
 	return ok
 }
 
-// setWatches takes up a client's watches on a new connection; what has changed since is told at once.
+// setWatches sets a client's watches again on a new connection and immediately sends the events since its last transaction.
 func (s *Server) setWatches(c *conn, q *reader) {
 	since := q.long()
 	data, exist, child := q.strings(), q.strings(), q.strings()
--- a/internal/testbed/standin/zookeeper/tree.go
+++ b/internal/testbed/standin/zookeeper/tree.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Errors as on the wire.
+// Error codes and flags of creation as on the wire.
 const (
 	ok          = 0
 	unknownOp   = -6
@@ -25,7 +25,7 @@
 	flagSequent = 2
 )
 
-// Watch events as on the wire.
+// Kinds of watch events as on the wire.
 const (
 	created  = 1
 	deleted  = 2
@@ -33,7 +33,7 @@
 	children = 4
 )
 
-// node is a node with its counters, named as in the protocol.
+// node is a node of the tree. Its fields have the names of the protocol.
 type node struct {
 	data     []byte
 	children map[string]bool
@@ -58,7 +58,7 @@
 	own  int64
 }
 
-// tree is the state that one server sees.
+// tree is the state of one server.
 type tree struct {
 	nodes map[string]*node
 	zxid  int64
@@ -78,7 +78,7 @@
 
 func parent(p string) string { return path.Dir(p) }
 
-// apply applies a change that was checked and returns its watch events.
+// apply applies a committed change and returns its watch events.
 func (t *tree) apply(c change) []event {
 	t.zxid = c.zxid
 	ms := c.at.UnixMilli()
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// sequenced returns the path that a sequential node gets.
+// sequenced returns the path of the next sequential node with a prefix.
 func (t *tree) sequenced(p string) string {
 	n := int32(0)
 	if up := t.nodes[parent(p)]; up != nil {
