--- a/internal/testbed/standin/discovery/discovery.go
+++ b/internal/testbed/standin/discovery/discovery.go
@@ -68,31 +68,31 @@
 	changed   chan struct{} // closed at each change
 	busyUntil time.Time     // when the queued calls will be processed
 	isDown    bool
-	chance    *rand.Rand
+	random    *rand.Rand
 	lines     float64
 	calls     int
 	rejected  int
-	addresses []*endpoint
+	endpoints []*endpoint
 }
 
 // endpoint is the address for one node.
 type endpoint struct {
-	node     int
-	site     int
-	listener *link.Listener
-	isOld    bool
+	node      int
+	site      int
+	listener  *link.Listener
+	isRetired bool
 }
 
 // New returns a service without entries that does not listen yet.
 func New(settings Settings, seed uint64, w Watcher) *Service {
-	return &Service{settings: settings, watcher: w, entries: map[string]*Entry{}, changed: make(chan struct{}), chance: rand.New(rand.NewPCG(seed, 9))}
+	return &Service{settings: settings, watcher: w, entries: map[string]*Entry{}, changed: make(chan struct{}), random: rand.New(rand.NewPCG(seed, 9))}
 }
 
 // Close closes all addresses and waits for their connections.
 func (s *Service) Close() {
 	s.mu.Lock()
-	endpoints := s.addresses
-	s.addresses = nil
+	endpoints := s.endpoints
+	s.endpoints = nil
 	s.mu.Unlock()
 	for _, p := range endpoints {
 		p.listener.Close()
@@ -109,7 +109,7 @@
 	p.listener = l
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.addresses = append(s.addresses, p)
+	s.endpoints = append(s.endpoints, p)
 	return nil
 }
 
@@ -117,9 +117,9 @@
 func (s *Service) Move() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range s.addresses {
-		if !p.isOld {
-			p.isOld = true
+	for _, p := range s.endpoints {
+		if !p.isRetired {
+			p.isRetired = true
 			time.AfterFunc(moveGrace, p.listener.Stop)
 		}
 	}
@@ -143,12 +143,12 @@
 func (s *Service) Down(isDown bool) {
 	s.mu.Lock()
 	s.isDown = isDown
-	endpoints := append([]*endpoint(nil), s.addresses...)
+	endpoints := append([]*endpoint(nil), s.endpoints...)
 	s.mu.Unlock()
 	for _, p := range endpoints {
 		if isDown {
 			p.listener.Stop()
-		} else if !p.isOld {
+		} else if !p.isRetired {
 			p.listener.Reopen()
 		}
 	}
@@ -264,7 +264,7 @@
 		newer, changed := s.revision > after, s.changed
 		spread := time.Duration(0)
 		if newer && s.settings.Spread > 0 {
-			spread = time.Duration(s.chance.Int64N(int64(s.settings.Spread)))
+			spread = time.Duration(s.random.Int64N(int64(s.settings.Spread)))
 		}
 		s.mu.Unlock()
 		if newer {
@@ -301,7 +301,7 @@
 	}
 	done := s.busyUntil.Add(time.Duration(cost / s.settings.LinesPerS * float64(time.Second)))
 	s.calls++
-	isRejected := s.isDown || p.isOld && !continues || done.Sub(now) > s.settings.Timeout
+	isRejected := s.isDown || p.isRetired && !continues || done.Sub(now) > s.settings.Timeout
 	if isRejected {
 		s.rejected++
 	} else {
--- a/internal/testbed/standin/discovery/discovery_test.go
+++ b/internal/testbed/standin/discovery/discovery_test.go
@@ -40,7 +40,7 @@
 }
 
 func dial(t *testing.T, s *Service) *http1.Conn {
-	c, err := net.Dial("tcp", s.addresses[0].listener.Address())
+	c, err := net.Dial("tcp", s.endpoints[0].listener.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 		t.Run(name, func(t *testing.T) {
 			s, _, conn := start(t, c.settings)
 			s.Set(entry("a", Serving))
-			listenAddress := s.addresses[0].listener.Address()
+			listenAddress := s.endpoints[0].listener.Address()
 			c.fail(s)
 			_, status, err := call(conn, "")
 			if status != c.status || (err == nil) != (c.status > 0) {
--- a/internal/testbed/standin/link/link.go
+++ b/internal/testbed/standin/link/link.go
@@ -24,17 +24,17 @@
 	serve   func(*Conn)
 	wg      sync.WaitGroup
 
-	mu      sync.Mutex
-	ln      *net.TCPListener
-	conns   map[*Conn]bool
-	silent  chan struct{} // closed when the silence ends; nil if there is none
-	fillers []net.Conn
+	mu             sync.Mutex
+	ln             *net.TCPListener
+	conns          map[*Conn]bool
+	silent         chan struct{} // closed when the silence ends; nil if there is none
+	backlogFillers []net.Conn
 }
 
 // Conn is a connection that is silent while its listener is.
 type Conn struct {
 	*net.TCPConn
-	l        *Listener
+	listener *Listener
 	ended    chan struct{}
 	once     sync.Once
 	received time.Time
@@ -84,7 +84,7 @@
 			}
 			continue
 		}
-		c := &Conn{TCPConn: nc, l: l, ended: make(chan struct{})}
+		c := &Conn{TCPConn: nc, listener: l, ended: make(chan struct{})}
 		l.mu.Lock()
 		isCurrent := l.ln == ln
 		if isCurrent {
@@ -144,14 +144,14 @@
 	l.silent = make(chan struct{})
 	l.ln.SetDeadline(time.Unix(1, 0))
 	l.backlog(0)
-	for refused := 0; refused < fullAfterFailures && len(l.fillers) < maxFillers; {
+	for refused := 0; refused < fullAfterFailures && len(l.backlogFillers) < maxFillers; {
 		c, err := net.DialTimeout("tcp", l.address, fillTimeout)
 		if err != nil {
 			refused++
 			continue
 		}
 		refused = 0
-		l.fillers = append(l.fillers, c)
+		l.backlogFillers = append(l.backlogFillers, c)
 	}
 }
 
@@ -162,10 +162,10 @@
 	if l.silent == nil {
 		return
 	}
-	for _, c := range l.fillers {
+	for _, c := range l.backlogFillers {
 		c.Close()
 	}
-	l.fillers = nil
+	l.backlogFillers = nil
 	for l.ln != nil { // reset connections that opened as the silence began: the arrival time of their bytes is unknown
 		l.ln.SetDeadline(time.Now().Add(time.Millisecond))
 		c, err := l.ln.AcceptTCP()
@@ -192,9 +192,9 @@
 
 // awaitSilenceEnd waits for the end of a silence, if there is one. It returns false if the connection ends first.
 func (c *Conn) awaitSilenceEnd() bool {
-	c.l.mu.Lock()
-	silent := c.l.silent
-	c.l.mu.Unlock()
+	c.listener.mu.Lock()
+	silent := c.listener.silent
+	c.listener.mu.Unlock()
 	if silent == nil {
 		return true
 	}
@@ -249,8 +249,8 @@
 // end closes the connection and removes it from its listener.
 func (c *Conn) end() error {
 	c.once.Do(func() { close(c.ended) })
-	c.l.mu.Lock()
-	delete(c.l.conns, c)
-	c.l.mu.Unlock()
+	c.listener.mu.Lock()
+	delete(c.listener.conns, c)
+	c.listener.mu.Unlock()
 	return c.TCPConn.Close()
 }
--- a/internal/testbed/standin/memdisk/memdisk.go
+++ b/internal/testbed/standin/memdisk/memdisk.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// meet counts an operation and returns its fault.
-func (d *Disk) meet() Fault {
+// nextFault counts an operation and returns its fault.
+func (d *Disk) nextFault() Fault {
 	d.operations++
 	fault := d.Meet(d.operations)
 	d.isCrashed = d.isCrashed || fault == Dead
@@ -94,7 +94,7 @@
 	if d.files[path] != nil {
 		return nil, os.ErrExist
 	}
-	if d.meet() != None {
+	if d.nextFault() != None {
 		return nil, ErrDisk
 	}
 	f := &file{disk: d}
@@ -141,7 +141,7 @@
 	if f == nil {
 		return os.ErrNotExist
 	}
-	if d.meet() != None {
+	if d.nextFault() != None {
 		return ErrDisk
 	}
 	if f.isNameSynced {
@@ -156,7 +156,7 @@
 func (d *Disk) SyncDir(string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.meet() != None {
+	if d.nextFault() != None {
 		return ErrDisk
 	}
 	for _, f := range d.files {
@@ -169,7 +169,7 @@
 func (f *file) Write(b []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	switch f.disk.meet() {
+	switch f.disk.nextFault() {
 	case Short:
 		f.content = append(f.content, b[:len(b)/2]...)
 		return len(b) / 2, ErrDisk
@@ -187,7 +187,7 @@
 func (f *file) Sync() error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	if f.disk.meet() != None {
+	if f.disk.nextFault() != None {
 		return ErrDisk
 	}
 	f.synced = len(f.content)
@@ -248,20 +248,20 @@
 		return nil, ErrDisk
 	}
 	f, err := s.OSFileSystem.Create(path)
-	return slow{f, s}, err
+	return slowFile{f, s}, err
 }
 
-// slow is a file with slow writes.
-type slow struct {
+// slowFile is a file with slow writes.
+type slowFile struct {
 	wal.File
-	of SlowFiles
+	files SlowFiles
 }
 
 // Write writes after the delay, or fails.
-func (s slow) Write(b []byte) (int, error) {
-	if s.of.Full() {
+func (s slowFile) Write(b []byte) (int, error) {
+	if s.files.Full() {
 		return 0, ErrDisk
 	}
-	time.Sleep(s.of.Takes())
+	time.Sleep(s.files.Takes())
 	return s.File.Write(b)
 }
--- a/internal/testbed/standin/mesh/mesh.go
+++ b/internal/testbed/standin/mesh/mesh.go
@@ -80,7 +80,8 @@
 	return m.bytes
 }
 
-// Join adds process n, whose IP address is ip. Connections to address, its address in the mesh, are forwarded to target, where it listens.
+// Join adds process n, whose IP address is ip. Connections to address, its address in the mesh, are forwarded to target, where
+// it listens.
 func (m *Mesh) Join(n int, ip, address, target string) error {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/testbed/standin/server/model.go
+++ b/internal/testbed/standin/server/model.go
@@ -69,8 +69,8 @@
 	ends time.Duration
 }
 
-// offered is work that a cold server was sent.
-type offered struct {
+// offeredWork is work that was offered to a cold server.
+type offeredWork struct {
 	at   time.Duration
 	work time.Duration
 }
@@ -89,7 +89,7 @@
 	queue        []Work
 	cores        []running
 	keys         map[int]time.Duration // cached keys: when each was last used
-	offers       []offered             // while cold, within OverloadWindow
+	offers       []offeredWork         // while cold, within OverloadWindow
 }
 
 // New returns a running server that is warm.
@@ -147,9 +147,9 @@
 	if !m.isCold || m.settings.OverloadFactor <= 0 {
 		return
 	}
-	m.offers = append(m.offers, offered{now, work.Work})
+	m.offers = append(m.offers, offeredWork{now, work.Work})
 	sum := time.Duration(0)
-	m.offers = slices.DeleteFunc(m.offers, func(o offered) bool {
+	m.offers = slices.DeleteFunc(m.offers, func(o offeredWork) bool {
 		if o.at <= now-m.settings.OverloadWindow {
 			return true
 		}
--- a/internal/testbed/standin/server/peer.go
+++ b/internal/testbed/standin/server/peer.go
@@ -46,7 +46,7 @@
 	case 0:
 		return []byte("\x00\x01 what? \xff\xfe\r\n\r\n")
 	case 1: // a header without end
-		return append([]byte("HTTP/1.1 200 OK\r\nX: "), fill...)
+		return append([]byte("HTTP/1.1 200 OK\r\nX: "), filler...)
 	case 2: // a longer body than the message carries
 		return append([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"), a.Body...)
 	}
--- a/internal/testbed/standin/server/request.go
+++ b/internal/testbed/standin/server/request.go
@@ -131,13 +131,13 @@
 // offer offers an attempt to the model. If it overloads the server, the listeners stop.
 func (s *Server) offer(a *attempt, work Work) (verdict Admission) {
 	isOverloaded := false
-	s.do(func(now time.Duration) {
-		s.last++
-		s.attempts[s.last] = a
-		work.ID = s.last
-		verdict = s.model.Offer(now, work, s.event)
+	s.withLock(func(now time.Duration) {
+		s.lastAttempt++
+		s.attempts[s.lastAttempt] = a
+		work.ID = s.lastAttempt
+		verdict = s.model.Offer(now, work, s.handleEvent)
 		if verdict != Admitted {
-			delete(s.attempts, s.last)
+			delete(s.attempts, s.lastAttempt)
 		}
 		isOverloaded = verdict == Down && s.model.IsOverloaded()
 	})
@@ -190,14 +190,14 @@
 	return p.answer(message.Answer{Status: status, Fields: []message.Field{{Name: []byte(message.NotStarted), Value: []byte("1")}}})
 }
 
-var fill = bytes.Repeat([]byte{'.'}, fillBytes)
+var filler = bytes.Repeat([]byte{'.'}, fillerBytes)
 
 // reply responds to an executed request. The body begins with the request ID.
 func (s *Server) reply(p peer, id uint64, text string, f Faults) bool {
 	if isHit(id, "error", f.Err) {
 		return p.answer(message.Answer{Status: 500, Body: []byte("it failed")})
 	}
-	a := message.Answer{Status: 200, Body: fmt.Appendf(nil, "%s %s\n%s\n", text, s.Name, fill)}
+	a := message.Answer{Status: 200, Body: fmt.Appendf(nil, "%s %s\n%s\n", text, s.Name, filler)}
 	switch {
 	case isHit(id, "cut-within", f.CutWithin):
 		encoded := p.encode(a)
--- a/internal/testbed/standin/server/server.go
+++ b/internal/testbed/standin/server/server.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	maxIdle    = 5 * time.Second        // before an idle connection is closed
-	minLatency = 500 * time.Microsecond // shorter latencies are not simulated: timers are not precise enough
-	fillBytes  = 120                    // length of a response body after its first line
+	maxIdle     = 5 * time.Second        // before an idle connection is closed
+	minLatency  = 500 * time.Microsecond // shorter latencies are not simulated: timers are not precise enough
+	fillerBytes = 120                    // length of a response body after its first line
 )
 
 // RequestInfo is the part of a request that the message does not carry.
@@ -68,7 +68,7 @@
 	mu             sync.Mutex
 	model          *Model
 	attempts       map[uint64]*attempt
-	last           uint64
+	lastAttempt    uint64
 	timer          *time.Timer
 	conns          int
 	faults         Faults
@@ -85,7 +85,7 @@
 // NewServer starts a server that listens at an address for callers of each site.
 func NewServer(id Identity, settings Settings, start time.Time, addresses []string, cross func(from int) time.Duration, w Watcher) (*Server, error) {
 	s := &Server{Identity: id, settings: settings, start: start, watcher: w, latency: cross, model: New(settings), attempts: map[uint64]*attempt{}}
-	s.timer = time.AfterFunc(time.Hour, s.due)
+	s.timer = time.AfterFunc(time.Hour, s.advance)
 	for site, address := range addresses {
 		l, err := link.Listen(address, func(c *link.Conn) { s.serveConn(c, site) })
 		if err != nil {
@@ -112,9 +112,9 @@
 // now returns the time since the common start.
 func (s *Server) now() time.Duration { return time.Since(s.start) }
 
-// do calls f under the lock, sets the timer for the model's next event and, after it has released the lock, sends the pending
+// withLock calls f under the lock, sets the timer for the model's next event and, after it has released the lock, sends the pending
 // reports to the watcher.
-func (s *Server) do(f func(now time.Duration)) {
+func (s *Server) withLock(f func(now time.Duration)) {
 	s.mu.Lock()
 	now := s.now()
 	f(now)
@@ -129,11 +129,13 @@
 	}
 }
 
-// due advances the model to the present time.
-func (s *Server) due() { s.do(func(now time.Duration) { s.model.Advance(now, s.event) }) }
+// advance advances the model to the present time.
+func (s *Server) advance() {
+	s.withLock(func(now time.Duration) { s.model.Advance(now, s.handleEvent) })
+}
 
-// event handles an event of the model. The caller holds the lock.
-func (s *Server) event(e Event) {
+// handleEvent handles an event of the model. The caller holds the lock.
+func (s *Server) handleEvent(e Event) {
 	attempt := s.attempts[e.ID]
 	if attempt == nil {
 		return
@@ -148,18 +150,18 @@
 
 // Model calls f with the model under the lock.
 func (s *Server) Model(f func(m *Model, now time.Duration, report func(Event))) {
-	s.do(func(now time.Duration) { f(s.model, now, s.event) })
+	s.withLock(func(now time.Duration) { f(s.model, now, s.handleEvent) })
 }
 
 // Set changes the faults of later requests.
-func (s *Server) Set(change func(*Faults)) { s.do(func(time.Duration) { change(&s.faults) }) }
+func (s *Server) Set(change func(*Faults)) { s.withLock(func(time.Duration) { change(&s.faults) }) }
 
 // Drain makes the server reject new requests, or accept them again.
-func (s *Server) Drain(isDraining bool) { s.do(func(time.Duration) { s.draining = isDraining }) }
+func (s *Server) Drain(isDraining bool) { s.withLock(func(time.Duration) { s.draining = isDraining }) }
 
 // Crash ends the process: connections are reset and new ones refused.
 func (s *Server) Crash() {
-	s.do(func(now time.Duration) { s.model.Crash(now, s.event) })
+	s.withLock(func(now time.Duration) { s.model.Crash(now, s.handleEvent) })
 	for _, l := range s.listeners {
 		l.Stop()
 	}
@@ -170,7 +172,7 @@
 	for _, l := range s.listeners {
 		l.Silence()
 	}
-	s.do(func(now time.Duration) { s.model.Crash(now, s.event) })
+	s.withLock(func(now time.Duration) { s.model.Crash(now, s.handleEvent) })
 }
 
 // Start starts the process again, in slow start, and resets connections from before. ok is false if the model does not
@@ -179,7 +181,7 @@
 	for _, l := range s.listeners {
 		l.Stop()
 	}
-	s.do(func(now time.Duration) { ok = s.model.Start(now) })
+	s.withLock(func(now time.Duration) { ok = s.model.Start(now) })
 	if !ok {
 		return false, nil
 	}
--- a/internal/testbed/standin/zookeeper/conn.go
+++ b/internal/testbed/standin/zookeeper/conn.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// conn is a client's connection. The registry's lock guards its watches; out guards its writes.
+// conn is a client's connection. The registry's lock guards its watches; writeMu guards its writes.
 type conn struct {
 	net.Conn
-	s       *Server
-	session *session
-	data    map[string]bool // watches
-	child   map[string]bool
-	exist   map[string]bool
-	out     sync.Mutex
+	server       *Server
+	session      *session
+	dataWatches  map[string]bool // by path, as the other watches
+	childWatches map[string]bool
+	existWatches map[string]bool
+	writeMu      sync.Mutex
 }
 
 // Garble makes every n-th reply malformed, where n is each; 0: none.
 func (s *Server) Garble(each int) {
-	s.r.mu.Lock()
-	defer s.r.mu.Unlock()
+	s.registry.mu.Lock()
+	defer s.registry.mu.Unlock()
 	s.garbleEvery = each
 }
 
@@ -52,13 +52,13 @@
 		var sets []map[string]bool
 		switch e.kind {
 		case created:
-			sets = []map[string]bool{c.exist}
+			sets = []map[string]bool{c.existWatches}
 		case deleted:
-			sets = []map[string]bool{c.data, c.exist, c.child}
+			sets = []map[string]bool{c.dataWatches, c.existWatches, c.childWatches}
 		case changed:
-			sets = []map[string]bool{c.data, c.exist}
+			sets = []map[string]bool{c.dataWatches, c.existWatches}
 		case children:
-			sets = []map[string]bool{c.child}
+			sets = []map[string]bool{c.childWatches}
 		}
 		hit := false
 		for _, w := range sets {
@@ -81,8 +81,8 @@
 
 // send writes one frame.
 func (c *conn) send(body []byte) {
-	c.out.Lock()
-	defer c.out.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.SetWriteDeadline(time.Now().Add(time.Second))
 	c.Write(frame(body))
 }
@@ -90,14 +90,14 @@
 // serve serves a client's connection.
 func (s *Server) serve(nc net.Conn) {
 	defer nc.Close()
-	r := s.r
+	r := s.registry
 	r.mu.Lock()
 	refuse := r.refusesConns || s.isSilent
 	r.mu.Unlock()
 	if refuse {
 		return
 	}
-	c := &conn{Conn: nc, s: s, data: map[string]bool{}, child: map[string]bool{}, exist: map[string]bool{}}
+	c := &conn{Conn: nc, server: s, dataWatches: map[string]bool{}, childWatches: map[string]bool{}, existWatches: map[string]bool{}}
 	nc.SetReadDeadline(time.Now().Add(5 * time.Second))
 	first, err := readFrame(nc)
 	if err != nil || !s.connect(c, first) {
@@ -136,7 +136,7 @@
 	if q.isMalformed {
 		return false
 	}
-	r := s.r
+	r := s.registry
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	se := r.sessions[id]
--- a/internal/testbed/standin/zookeeper/ensemble.go
+++ b/internal/testbed/standin/zookeeper/ensemble.go
@@ -55,11 +55,11 @@
 
 // Server is one address of the ensemble.
 type Server struct {
-	r              *Registry
+	registry       *Registry
 	reader         int // the client of this address
 	ln             net.Listener
 	tree           *tree
-	next           int // place in the log
+	nextChange     int // place in the log
 	lag            time.Duration
 	delay          time.Duration // of watch events
 	isSilent       bool
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{r: r, reader: reader, ln: ln, tree: newTree(), conns: map[*conn]bool{}}
+	s := &Server{registry: r, reader: reader, ln: ln, tree: newTree(), conns: map[*conn]bool{}}
 	r.mu.Lock()
 	r.servers = append(r.servers, s)
 	r.catchUp(time.Now())
@@ -131,15 +131,15 @@
 
 // Set changes the server's faults: its lag behind commits, the delay of watch events, and whether it sends nothing.
 func (s *Server) Set(lag, delay time.Duration, silent bool) {
-	s.r.mu.Lock()
-	defer s.r.mu.Unlock()
+	s.registry.mu.Lock()
+	defer s.registry.mu.Unlock()
 	s.lag, s.delay, s.isSilent = lag, delay, silent
 }
 
 // Break closes all connections to the server. Delayed events are lost.
 func (s *Server) Break() {
-	s.r.mu.Lock()
-	defer s.r.mu.Unlock()
+	s.registry.mu.Lock()
+	defer s.registry.mu.Unlock()
 	for c := range s.conns {
 		c.Close()
 	}
@@ -190,7 +190,7 @@
 	n := 0
 	for _, s := range r.servers {
 		for c := range s.conns {
-			n += len(c.data) + len(c.child) + len(c.exist)
+			n += len(c.dataWatches) + len(c.childWatches) + len(c.existWatches)
 		}
 	}
 	return n
@@ -236,11 +236,11 @@
 // catchUp applies committed changes to servers whose lag has passed and sends watch events.
 func (r *Registry) catchUp(now time.Time) {
 	for _, s := range r.servers {
-		for s.next < len(r.log) && !s.isSilent && now.Sub(r.log[s.next].at) >= s.lag {
-			for _, e := range s.tree.apply(r.log[s.next]) {
+		for s.nextChange < len(r.log) && !s.isSilent && now.Sub(r.log[s.nextChange].at) >= s.lag {
+			for _, e := range s.tree.apply(r.log[s.nextChange]) {
 				s.fire(e)
 			}
-			s.next++
+			s.nextChange++
 		}
 	}
 }
--- a/internal/testbed/standin/zookeeper/jute_test.go
+++ b/internal/testbed/standin/zookeeper/jute_test.go
@@ -18,7 +18,7 @@
 	w.string("/a")
 	w.buffer([]byte("x"))
 	w.int(0)
-	w.int(flagEphem)
+	w.int(flagEphemeral)
 	f.Add([]byte(w))
 	var g writer
 	g.int(2)
@@ -46,7 +46,7 @@
 				}
 			}
 		}()
-		c := &conn{Conn: a, s: s, data: map[string]bool{}, child: map[string]bool{}, exist: map[string]bool{}}
+		c := &conn{Conn: a, server: s, dataWatches: map[string]bool{}, childWatches: map[string]bool{}, existWatches: map[string]bool{}}
 		var hello writer
 		hello.int(0)
 		hello.long(0)
--- a/internal/testbed/standin/zookeeper/owned.go
+++ b/internal/testbed/standin/zookeeper/owned.go
@@ -9,8 +9,8 @@
 
 // Owned is a session of this process with its ephemeral nodes, such as that of a server that registers itself.
 type Owned struct {
-	r *Registry
-	s *session
+	registry *Registry
+	session  *session
 }
 
 // Own opens a session with ephemeral nodes, by path, and creates missing parents. The session lasts until Silence or End.
@@ -25,7 +25,7 @@
 		if old := r.head.nodes[p]; old != nil { // the previous session has not expired yet
 			r.commit(change{op: deleted, path: p, at: time.Now()})
 		}
-		r.commit(change{op: created, path: p, data: nodes[p], own: s.id, at: time.Now()})
+		r.commit(change{op: created, path: p, data: nodes[p], owner: s.id, at: time.Now()})
 		s.ephemerals[p] = true
 	}
 	return &Owned{r, s}
@@ -43,25 +43,25 @@
 
 // Set changes the data of one of the nodes.
 func (o *Owned) Set(path string, data []byte) {
-	o.r.mu.Lock()
-	defer o.r.mu.Unlock()
-	if n := o.r.head.nodes[path]; n != nil && n.owner == o.s.id {
-		o.r.commit(change{op: changed, path: path, data: data, at: time.Now()})
+	o.registry.mu.Lock()
+	defer o.registry.mu.Unlock()
+	if n := o.registry.head.nodes[path]; n != nil && n.owner == o.session.id {
+		o.registry.commit(change{op: changed, path: path, data: data, at: time.Now()})
 	}
 }
 
 // Silence stops the session's heartbeats: it expires after its timeout.
 func (o *Owned) Silence() {
-	o.r.mu.Lock()
-	defer o.r.mu.Unlock()
-	o.s.lastHeard = time.Now()
+	o.registry.mu.Lock()
+	defer o.registry.mu.Unlock()
+	o.session.lastHeard = time.Now()
 }
 
 // End closes the session.
 func (o *Owned) End() {
-	o.r.mu.Lock()
-	defer o.r.mu.Unlock()
-	if o.r.sessions[o.s.id] == o.s {
-		o.r.endSession(o.s, time.Now())
+	o.registry.mu.Lock()
+	defer o.registry.mu.Unlock()
+	if o.registry.sessions[o.session.id] == o.session {
+		o.registry.endSession(o.session, time.Now())
 	}
 }
--- a/internal/testbed/standin/zookeeper/requests.go
+++ b/internal/testbed/standin/zookeeper/requests.go
@@ -35,7 +35,7 @@
 	if q.isMalformed {
 		return false
 	}
-	r := s.r
+	r := s.registry
 	r.mu.Lock()
 	if s.isSilent {
 		r.mu.Unlock()
@@ -82,7 +82,7 @@
 	switch op {
 	case opPing, opAuth:
 	case opClose:
-		s.r.endSession(c.session, time.Now())
+		s.registry.endSession(c.session, time.Now())
 	case opSync:
 		s.catchUpFully(time.Now())
 		a.body.string(q.string())
@@ -104,7 +104,7 @@
 
 func (s *Server) remove(q *reader) int32 {
 	p, version := q.string(), q.int()
-	n := s.r.head.nodes[p]
+	n := s.registry.head.nodes[p]
 	switch {
 	case n == nil:
 		return noNode
@@ -113,21 +113,21 @@
 	case len(n.children) > 0:
 		return notEmpty
 	}
-	s.r.commit(change{op: deleted, path: p, at: time.Now()})
+	s.registry.commit(change{op: deleted, path: p, at: time.Now()})
 	return ok
 }
 
 func (s *Server) setData(q *reader, body *writer) int32 {
 	p, data, version := q.string(), slices.Clone(q.buffer()), q.int()
-	n := s.r.head.nodes[p]
+	n := s.registry.head.nodes[p]
 	switch {
 	case n == nil:
 		return noNode
 	case version >= 0 && version != n.version:
 		return badVersion
 	}
-	s.r.commit(change{op: changed, path: p, data: data, at: time.Now()})
-	body.stat(s.r.head.nodes[p])
+	s.registry.commit(change{op: changed, path: p, data: data, at: time.Now()})
+	body.stat(s.registry.head.nodes[p])
 	return ok
 }
 
@@ -137,15 +137,15 @@
 	n := s.tree.nodes[p]
 	if n == nil {
 		if op == opExists && watch {
-			c.exist[p] = true
+			c.existWatches[p] = true
 		}
 		a.code = noNode
 		return
 	}
 	if watch && (op == opExists || op == opGetData) {
-		c.data[p] = true
+		c.dataWatches[p] = true
 	} else if watch {
-		c.child[p] = true
+		c.childWatches[p] = true
 	}
 	switch op {
 	case opExists:
@@ -154,7 +154,7 @@
 		a.body.buffer(n.data)
 		a.body.stat(n)
 		data := slices.Clone(n.data)
-		a.notifyWatcher = func() { s.r.watcher.Data(s.reader, p, data, time.Now()) }
+		a.notifyWatcher = func() { s.registry.watcher.Data(s.reader, p, data, time.Now()) }
 	default:
 		s.readChildren(p, a)
 		if op == opChildren2 {
@@ -164,7 +164,7 @@
 }
 
 func (s *Server) readChildren(p string, a *reply) {
-	names := s.tree.names(p)
+	names := s.tree.childNames(p)
 	a.body.strings(names)
 	var all []Child
 	for _, name := range names {
@@ -172,14 +172,14 @@
 			all = append(all, Child{name, c.czxid})
 		}
 	}
-	a.notifyWatcher = func() { s.r.watcher.Announced(s.reader, p, all, time.Now()) }
+	a.notifyWatcher = func() { s.registry.watcher.Announced(s.reader, p, all, time.Now()) }
 }
 
 // catchUpFully applies all committed changes to this server, as a sync does.
 func (s *Server) catchUpFully(now time.Time) {
 	lag := s.lag
 	s.lag = 0
-	s.r.catchUp(now)
+	s.registry.catchUp(now)
 	s.lag = lag
 }
 
@@ -194,8 +194,8 @@
 		}
 	}
 	flags := q.int()
-	r := s.r
-	if flags&flagSequent != 0 {
+	r := s.registry
+	if flags&flagSequential != 0 {
 		p = r.head.sequenced(p)
 	}
 	up := r.head.nodes[parent(p)]
@@ -205,13 +205,13 @@
 	case up == nil:
 		return noNode
 	case up.owner != 0:
-		return ephemeral
+		return noChildrenForEphemerals
 	case r.head.nodes[p] != nil:
 		return nodeExists
 	}
 	ch := change{op: created, path: p, data: data, at: time.Now()}
-	if flags&flagEphem != 0 {
-		ch.own = c.session.id
+	if flags&flagEphemeral != 0 {
+		ch.owner = c.session.id
 		c.session.ephemerals[p] = true
 	}
 	r.commit(ch)
@@ -224,7 +224,7 @@
 	since := q.long()
 	data, exist, child := q.strings(), q.strings(), q.strings()
 	for _, p := range data {
-		c.data[p] = true
+		c.dataWatches[p] = true
 		if n := s.tree.nodes[p]; n == nil {
 			s.fire(event{deleted, p})
 		} else if n.mzxid > since {
@@ -232,13 +232,13 @@
 		}
 	}
 	for _, p := range exist {
-		c.exist[p] = true
+		c.existWatches[p] = true
 		if s.tree.nodes[p] != nil {
 			s.fire(event{created, p})
 		}
 	}
 	for _, p := range child {
-		c.child[p] = true
+		c.childWatches[p] = true
 		if n := s.tree.nodes[p]; n == nil {
 			s.fire(event{deleted, p})
 		} else if n.pzxid > since {
--- a/internal/testbed/standin/zookeeper/tree.go
+++ b/internal/testbed/standin/zookeeper/tree.go
@@ -11,18 +11,18 @@
 
 // Error codes and flags of creation as on the wire.
 const (
-	ok          = 0
-	unknownOp   = -6
-	badArgs     = -8
-	noNode      = -101
-	badVersion  = -103
-	ephemeral   = -108
-	nodeExists  = -110
-	notEmpty    = -111
-	expired     = -112
-	authFailed  = -115
-	flagEphem   = 1
-	flagSequent = 2
+	ok                      = 0
+	unknownOp               = -6
+	badArgs                 = -8
+	noNode                  = -101
+	badVersion              = -103
+	noChildrenForEphemerals = -108
+	nodeExists              = -110
+	notEmpty                = -111
+	sessionExpired          = -112
+	authFailed              = -115
+	flagEphemeral           = 1
+	flagSequential          = 2
 )
 
 // Kinds of watch events as on the wire.
@@ -50,12 +50,12 @@
 
 // change is a committed change of the tree.
 type change struct {
-	zxid int64
-	at   time.Time
-	op   int
-	path string
-	data []byte
-	own  int64
+	zxid  int64
+	at    time.Time
+	op    int
+	path  string
+	data  []byte
+	owner int64
 }
 
 // tree is the state of one server.
@@ -90,7 +90,7 @@
 		}
 		p.children[path.Base(c.path)] = true
 		p.cversion, p.pzxid, p.counter = p.cversion+1, c.zxid, p.counter+1
-		t.nodes[c.path] = &node{data: c.data, children: map[string]bool{}, czxid: c.zxid, mzxid: c.zxid, pzxid: c.zxid, ctime: ms, mtime: ms, owner: c.own}
+		t.nodes[c.path] = &node{data: c.data, children: map[string]bool{}, czxid: c.zxid, mzxid: c.zxid, pzxid: c.zxid, ctime: ms, mtime: ms, owner: c.owner}
 		return []event{{created, c.path}, {children, parent(c.path)}}
 	case deleted:
 		if t.nodes[c.path] == nil {
@@ -115,7 +115,7 @@
 
 func join(p, name string) string { return path.Join(p, name) }
 
-func (t *tree) names(p string) []string {
+func (t *tree) childNames(p string) []string {
 	if n := t.nodes[p]; n != nil {
 		return slices.Sorted(maps.Keys(n.children))
 	}
