--- a/internal/testbed/scale/conductor.go
+++ b/internal/testbed/scale/conductor.go
@@ -247,9 +247,9 @@
 const roleTools role = "tools"
 
 // phase returns the result of a phase from the readings before and after it.
-func (c *conductor) phase(name string, from, to reading, in *ChangeLatency) Phase {
+func (c *conductor) phase(name string, from, to reading, latency *ChangeLatency) Phase {
 	seconds := to.at.Sub(from.at).Seconds()
-	p := Phase{Name: name, Seconds: seconds, Roles: map[string]Role{}, ChangeLatency: in, Handed: deliveryCounts{
+	p := Phase{Name: name, Seconds: seconds, Roles: map[string]Role{}, ChangeLatency: latency, Handed: deliveryCounts{
 		Lists: to.handed.Lists - from.handed.Lists, Elements: to.handed.Elements - from.handed.Elements,
 		Plans: to.handed.Plans - from.handed.Plans, Reroutes: to.handed.Reroutes - from.handed.Reroutes}}
 	members := map[role]int{roleNodes: c.Size.Nodes, roleDiscovery: 1, roleTools: 1, roleControl: len(c.controls)}
--- a/internal/testbed/scale/phases.go
+++ b/internal/testbed/scale/phases.go
@@ -33,7 +33,7 @@
 		if err != nil {
 			return nil, err
 		}
-		in, err := phase.run(ctx)
+		latency, err := phase.run(ctx)
 		if err != nil || ctx.Err() != nil {
 			return nil, err
 		}
@@ -41,7 +41,7 @@
 		if err != nil {
 			return nil, err
 		}
-		p := c.phase(phase.name, before, after, in)
+		p := c.phase(phase.name, before, after, latency)
 		p.RestartLatency = c.restartLatency
 		all = append(all, p)
 	}
@@ -149,9 +149,9 @@
 // awaitChanges waits until all nodes have applied the changes since the n-th, or a timeout, and returns their latency.
 func (c *conductor) awaitChanges(ctx context.Context, from int) *ChangeLatency {
 	waitUntil(ctx, maxChangeWait, func() bool { return c.ledger.changeLatency(from).Missing == 0 })
-	in := c.ledger.changeLatency(from)
-	c.logProgress("%d changes: applied after %.0f ms (p50), %.0f ms (p99), %.0f ms (last); %d not applied", in.Changes, in.P50, in.P99, in.Last, in.Missing)
-	return in
+	latency := c.ledger.changeLatency(from)
+	c.logProgress("%d changes: applied after %.0f ms (p50), %.0f ms (p99), %.0f ms (last); %d not applied", latency.Changes, latency.P50, latency.P99, latency.Last, latency.Missing)
+	return latency
 }
 
 // churn makes changes at a constant rate for a given time.
@@ -184,9 +184,9 @@
 		}
 	}
 	c.waitComplete(ctx)
-	in := c.ledger.restartLatency(slices.Sorted(maps.Keys(restarted)))
-	c.logProgress("%d nodes restarted: all servers known after %.0f ms (p50), %.0f ms (last); %d nodes do not know all", len(restarted), in.P50, in.Last, in.Missing)
-	return in, nil
+	latency := c.ledger.restartLatency(slices.Sorted(maps.Keys(restarted)))
+	c.logProgress("%d nodes restarted: all servers known after %.0f ms (p50), %.0f ms (last); %d nodes do not know all", len(restarted), latency.P50, latency.Last, latency.Missing)
+	return latency, nil
 }
 
 // change sets the next marker server to draining, or to serving in every second round over the markers.
@@ -231,9 +231,9 @@
 		}
 	}
 	waitUntil(ctx, maxCompleteWait, func() bool { return c.ledger.reloadLatency(began).Missing == 0 })
-	in := c.ledger.reloadLatency(began)
-	c.logProgress("operator's file applied after %.0f ms (p50), %.0f ms (last); %d nodes have not applied it", in.P50, in.Last, in.Missing)
-	return in, nil
+	latency := c.ledger.reloadLatency(began)
+	c.logProgress("operator's file applied after %.0f ms (p50), %.0f ms (last); %d nodes have not applied it", latency.P50, latency.Last, latency.Missing)
+	return latency, nil
 }
 
 // eventPhase runs the event while changes continue and waits until all nodes know all servers and have applied all changes.
--- a/internal/testbed/scale/records.go
+++ b/internal/testbed/scale/records.go
@@ -80,9 +80,9 @@
 	isComplete      bool
 }
 
-func (r *recorder) observe(number int, maker engine.DeciderFactory) engine.DeciderFactory {
+func (r *recorder) observe(number int, factory engine.DeciderFactory) engine.DeciderFactory {
 	return func(s policy.Settings, seed uint32) engine.Decider {
-		return &observedPolicy{Decider: maker(s, seed), recorder: r, node: number, expectedServers: r.layout.serversOf(number), known: map[int]bool{}}
+		return &observedPolicy{Decider: factory(s, seed), recorder: r, node: number, expectedServers: r.layout.serversOf(number), known: map[int]bool{}}
 	}
 }
 
--- a/internal/testbed/standin/mesh/mesh.go
+++ b/internal/testbed/standin/mesh/mesh.go
@@ -56,19 +56,19 @@
 func (m *Mesh) Set(from, to int, change func(*Direction)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	w := m.faults[[2]int{from, to}]
-	if w == nil {
-		w = &Direction{}
-		m.faults[[2]int{from, to}] = w
+	d := m.faults[[2]int{from, to}]
+	if d == nil {
+		d = &Direction{}
+		m.faults[[2]int{from, to}] = d
 	}
-	change(w)
+	change(d)
 }
 
 func (m *Mesh) direction(from, to int) Direction {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if w := m.faults[[2]int{from, to}]; w != nil {
-		return *w
+	if d := m.faults[[2]int{from, to}]; d != nil {
+		return *d
 	}
 	return Direction{}
 }
@@ -135,21 +135,21 @@
 // forwardPacket forwards a datagram with the faults of its direction.
 func (m *Mesh) forwardPacket(from net.Addr, n int, to net.Addr, text []byte) {
 	sender := m.sender(from)
-	w := m.direction(sender, n)
+	d := m.direction(sender, n)
 	m.mu.Lock()
 	out := m.sockets[sender]
 	m.mu.Unlock()
-	if out == nil || w.Cut || rand.Float64() < w.Lose {
+	if out == nil || d.Cut || rand.Float64() < d.Lose {
 		return
 	}
-	times, wait := 1, w.Delay
-	if rand.Float64() < w.Twice {
+	times, wait := 1, d.Delay
+	if rand.Float64() < d.Twice {
 		times = 2
 	}
-	if rand.Float64() < w.Reorder {
+	if rand.Float64() < d.Reorder {
 		wait += reorderDelay
 	}
-	if len(text) > 0 && rand.Float64() < w.Garble {
+	if len(text) > 0 && rand.Float64() < d.Garble {
 		text[rand.IntN(len(text))] ^= byte(1 + rand.IntN(255))
 	}
 	send := func() {
@@ -238,11 +238,11 @@
 			for m.direction(from, to).Cut && !m.isConnClosed(a) {
 				time.Sleep(pollInterval)
 			}
-			w := m.direction(from, to)
-			if w.PerS > 0 {
-				time.Sleep(time.Duration(float64(len(p.text)) / w.PerS * float64(time.Second)))
+			d := m.direction(from, to)
+			if d.PerS > 0 {
+				time.Sleep(time.Duration(float64(len(p.text)) / d.PerS * float64(time.Second)))
 			}
-			if rand.Float64() < w.Garble {
+			if rand.Float64() < d.Garble {
 				p.text[rand.IntN(len(p.text))] ^= byte(1 + rand.IntN(255))
 			}
 			if _, err := b.Write(p.text); err != nil {
