--- a/cmd/testbed/losses.go
+++ b/cmd/testbed/losses.go
@@ -17,19 +17,19 @@
 
 // lossesCommand loses machines with their disks repeatedly, in several runs at a time.
 func lossesCommand() *cobra.Command {
-	var n, atOnce int
+	var n, concurrency int
 	var seed uint64
 	var promise string
-	c := &cobra.Command{Use: "losses", Short: "Lose machines with their disks again and again, and look for each execution in the journals that are left", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "losses", Short: "Lose machines with their disks repeatedly, and check that each execution is in a remaining journal", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			command, err := self()
 			if err != nil {
 				return err
 			}
 			l := &losses{wanted: n, seed: seed, promise: promise, command: command, progress: c.ErrOrStderr(),
-				broken: map[string]int{}, worst: map[string]string{}}
+				broken: map[string]int{}, firstViolation: map[string]string{}}
 			var g errgroup.Group
-			for range atOnce {
+			for range concurrency {
 				g.Go(func() error { return l.repeat(c.Context()) })
 			}
 			if err := g.Wait(); err != nil {
@@ -37,14 +37,14 @@
 			}
 			return l.print(c.OutOrStdout())
 		}}
-	c.Flags().IntVarP(&n, "losses", "n", 1000, "how many, at least")
-	c.Flags().IntVar(&atOnce, "at-once", 3, "tiers of 12 nodes at a time")
-	c.Flags().Uint64Var(&seed, "seed", 6100, "before that of the first run")
-	c.Flags().StringVar(&promise, "promise", "machines", "process, machine or machines")
+	c.Flags().IntVarP(&n, "losses", "n", 1000, "lose at least this number of machines")
+	c.Flags().IntVar(&concurrency, "at-once", 3, "run this number of clusters of 12 nodes concurrently")
+	c.Flags().Uint64Var(&seed, "seed", 6100, "use this seed plus 1 for the first run, plus 2 for the second, and so on")
+	c.Flags().StringVar(&promise, "promise", "machines", "set the journal's promise: process, machine or machines")
 	return c
 }
 
-// losses are concurrent runs that lose machines until enough were lost.
+// losses repeats runs concurrently until enough machines were lost. It is safe for concurrent use.
 type losses struct {
 	wanted   int
 	seed     uint64
@@ -52,15 +52,15 @@
 	command  []string
 	progress io.Writer
 
-	mu     sync.Mutex
-	runs   uint64
-	sum    testbed.Journal
-	broken map[string]int
-	worst  map[string]string
-	fault  error
+	mu             sync.Mutex
+	runs           uint64
+	sum            testbed.Journal
+	broken         map[string]int
+	firstViolation map[string]string
+	err            error
 }
 
-// repeat runs one scenario after the other until enough machines were lost or a run fails.
+// repeat runs scenarios, one after the other, until enough machines were lost or a run fails.
 func (l *losses) repeat(ctx context.Context) error {
 	for {
 		s, err := l.next(ctx)
@@ -74,11 +74,11 @@
 	}
 }
 
-// next returns the scenario of the next run, nil if no more are needed.
+// next returns the scenario of the next run, nil if none is needed.
 func (l *losses) next(ctx context.Context) (*scenario.Scenario, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.sum.Losses >= l.wanted || l.fault != nil || ctx.Err() != nil {
+	if l.sum.Losses >= l.wanted || l.err != nil || ctx.Err() != nil {
 		return nil, nil
 	}
 	l.runs++
@@ -95,12 +95,12 @@
 	return s, nil
 }
 
-// add counts a run.
+// add adds the outcome of a run to the sums.
 func (l *losses) add(s *scenario.Scenario, out *testbed.Outcome, err error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		l.fault = err
+		l.err = err
 		return err
 	}
 	j := out.Journal
@@ -112,21 +112,21 @@
 	l.sum.Open += j.Open
 	l.sum.Gaps += j.Gaps
 	for _, r := range out.Rules {
-		if l.broken[r.Name] += r.Violations; r.Violations > 0 && l.worst[r.Name] == "" {
-			l.worst[r.Name] = r.FirstViolation
+		if l.broken[r.Name] += r.Violations; r.Violations > 0 && l.firstViolation[r.Name] == "" {
+			l.firstViolation[r.Name] = r.FirstViolation
 		}
 	}
-	fmt.Fprintf(l.progress, "seed %d: %d machines lost in %d cycles, service %.4f, %d dockets\n", s.Seed, j.Losses, j.Cycles, out.ServiceShare(), j.Ran)
+	fmt.Fprintf(l.progress, "seed %d: %d machines lost in %d cycles, service %.4f, %d executions\n", s.Seed, j.Losses, j.Cycles, out.ServiceShare(), j.Ran)
 	return nil
 }
 
-// print prints the sum. It returns an error if a rule was broken.
+// print prints the sums and each broken rule. It returns an error if a rule was broken.
 func (l *losses) print(out io.Writer) (err error) {
-	fmt.Fprintf(out, "%d machines lost in %d cycles, promise %s: %d entries, %d dockets, %d possibly sent, %d of them not settled by dockets, %d words in gaps\n",
+	fmt.Fprintf(out, "%d machines lost in %d cycles, promise %s: %d entries, %d executions, %d possibly sent, %d of them not settled by execution records, %d records in gaps\n",
 		l.sum.Losses, l.sum.Cycles, l.promise, l.sum.Entries, l.sum.Ran, l.sum.PossiblySent, l.sum.Open, l.sum.Gaps)
 	for name, n := range l.broken {
 		if n > 0 {
-			fmt.Fprintf(out, "broken %d times: %s: %s\n", n, name, l.worst[name])
+			fmt.Fprintf(out, "rule broken %d times: %s: %s\n", n, name, l.firstViolation[name])
 			err = exit(exitBroken)
 		}
 	}
--- a/internal/testbed/scale/cut.go
+++ b/internal/testbed/scale/cut.go
@@ -9,30 +9,30 @@
 	"fernvane/internal/testbed/standin/link"
 )
 
-// ways are the connections from nodes to control processes of other regions, which can be cut without a word to either
-// side.
-type ways struct{ listeners []*link.Listener }
+// regionLinks forwards connections to control processes of other regions. While the links are cut, connections stay open
+// and carry no bytes, and neither side is notified.
+type regionLinks struct{ listeners []*link.Listener }
 
-func newWays(l *Layout) (*ways, error) {
-	w := &ways{}
+func newRegionLinks(l *Layout) (*regionLinks, error) {
+	links := &regionLinks{}
 	for region := range l.Size.Regions {
 		for n := range l.Size.Control {
-			if l.controlIn(n) == region {
+			if l.controlRegion(n) == region {
 				continue
 			}
 			to := l.controlAddress(n)
-			listener, err := link.Listen(l.cutAddress(region, n), func(c *link.Conn) { pass(c, to) })
+			listener, err := link.Listen(l.cutAddress(region, n), func(c *link.Conn) { forward(c, to) })
 			if err != nil {
 				return nil, err
 			}
-			w.listeners = append(w.listeners, listener)
+			links.listeners = append(links.listeners, listener)
 		}
 	}
-	return w, nil
+	return links, nil
 }
 
-// pass leads a connection on to a control process.
-func pass(from *link.Conn, address string) {
+// forward forwards a connection to a control process until either side closes it.
+func forward(from *link.Conn, address string) {
 	defer from.Close()
 	to, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -52,9 +52,9 @@
 	both.Wait()
 }
 
-func (w *ways) cut(cut bool) {
-	for _, l := range w.listeners {
-		if cut {
+func (r *regionLinks) cut(isCut bool) {
+	for _, l := range r.listeners {
+		if isCut {
 			l.Silence()
 		} else {
 			l.EndSilence()
@@ -62,8 +62,8 @@
 	}
 }
 
-func (w *ways) close() {
-	for _, l := range w.listeners {
+func (r *regionLinks) close() {
+	for _, l := range r.listeners {
 		l.Close()
 	}
 }
--- a/internal/testbed/scale/records.go
+++ b/internal/testbed/scale/records.go
@@ -9,40 +9,40 @@
 	"fernvane/policy"
 )
 
-// recordKind says what a node's module has taken in.
+// recordKind is the kind of a record.
 type recordKind int
 
 const (
-	markerTaken     recordKind = iota // a changed server
-	completeApplied                   // as many servers as there are of its services, a source having told
-	completeLost                      // fewer again
-	routesTaken                       // routes of the operator's file
+	markerApplied   recordKind = iota // a changed server was applied
+	completeApplied                   // the node knows all servers of its services, from a source other than its cache
+	completeLost                      // the node knows fewer servers again
+	routesApplied                     // routes of the operator's file were applied
 	nodeStarted
 )
 
-// record is one such moment. What counts is when the module holds it: nothing decides otherwise after that.
+// record is an event at a node. Its time is when the node's policy has processed the input: each later decision uses it.
 type record struct {
 	Kind     recordKind
 	Node     int
-	Marker   int  // of markerTaken
-	Draining bool // likewise
+	Marker   int  // of markerApplied
+	Draining bool // of markerApplied
 	At       int64
 }
 
-// recorder gathers the records of the nodes of one process, and counts what their modules were handed.
+// recorder collects the records of the nodes of one process and counts the inputs of their policies.
 type recorder struct {
 	layout  *Layout
-	markers map[uint32]int // by rank
+	markers map[uint32]int // number of a marker by the rank of its server
 
-	mu      sync.Mutex // taken under a fleet's lock; nothing is done under it but this
+	mu      sync.Mutex // locked while a dispatcher's lock is held; no other lock is taken under it
 	records []record
-	counts  handed
+	counts  deliveryCounts
 }
 
-// handed counts what modules were handed of lists.
-type handed struct {
+// deliveryCounts counts the inputs of policies.
+type deliveryCounts struct {
 	Lists    int `json:"lists"`
-	Elements int `json:"elements"` // lines of them
+	Elements int `json:"elements"` // endpoints in them
 	Plans    int `json:"plans"`
 	Reroutes int `json:"reroutes"`
 }
@@ -55,8 +55,8 @@
 	return r
 }
 
-// take returns what has gathered since the last call, and the counts so far.
-func (r *recorder) take() ([]record, handed) {
+// take returns the records since the last call and the counts since the start.
+func (r *recorder) take() ([]record, deliveryCounts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	records := r.records
@@ -70,23 +70,23 @@
 	r.records = append(r.records, record{Kind: nodeStarted, Node: node, At: time.Now().UnixNano()})
 }
 
-// observed is the shipped module, and notes what it has taken in once it has.
-type observed struct {
+// observedPolicy wraps the node's policy and records inputs after the policy has processed them.
+type observedPolicy struct {
 	engine.Decider
-	recorder   *recorder
-	node       int
-	servers    int          // that it is to know
-	known      map[int]bool // those that have not gone, by their dense indices
-	isComplete bool
+	recorder        *recorder
+	node            int
+	expectedServers int          // of its services
+	known           map[int]bool // servers that were not removed, by index
+	isComplete      bool
 }
 
-func (r *recorder) observe(number int, maker engine.DeciderFactory) engine.DeciderFactory {
+func (r *recorder) observe(number int, factory engine.DeciderFactory) engine.DeciderFactory {
 	return func(s policy.Settings, seed uint32) engine.Decider {
-		return &observed{Decider: maker(s, seed), recorder: r, node: number, servers: r.layout.serversOf(number), known: map[int]bool{}}
+		return &observedPolicy{Decider: factory(s, seed), recorder: r, node: number, expectedServers: r.layout.serversOf(number), known: map[int]bool{}}
 	}
 }
 
-func (o *observed) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
+func (o *observedPolicy) Handle(now time.Duration, in *policy.Input, effects []policy.Effect) []policy.Effect {
 	effects = o.Decider.Handle(now, in, effects)
 	if in.Kind != policy.EndpointsUpdated && in.Kind != policy.TrafficTypesChanged && in.Kind != policy.PlanChanged {
 		return effects
@@ -99,17 +99,17 @@
 		r.counts.Plans++
 	case policy.TrafficTypesChanged:
 		r.counts.Reroutes++
-		r.records = append(r.records, record{Kind: routesTaken, Node: o.node, At: at})
+		r.records = append(r.records, record{Kind: routesApplied, Node: o.node, At: at})
 	case policy.EndpointsUpdated:
-		o.listed(in, at)
+		o.endpointsUpdated(in, at)
 	}
 	return effects
 }
 
-func (o *observed) listed(in *policy.Input, at int64) {
+func (o *observedPolicy) endpointsUpdated(in *policy.Input, at int64) {
 	r := o.recorder
 	if in.Scope == policy.Full {
-		clear(o.known) // whom it does not name has gone
+		clear(o.known) // a full list removes all servers that it does not contain
 	}
 	for _, m := range in.Endpoints {
 		if m.Condition == policy.Removed {
@@ -123,17 +123,17 @@
 	}
 	r.counts.Lists++
 	r.counts.Elements += len(in.Endpoints)
-	if whole := len(o.known) >= o.servers; whole != o.isComplete {
-		o.isComplete = whole
+	if isComplete := len(o.known) >= o.expectedServers; isComplete != o.isComplete {
+		o.isComplete = isComplete
 		kind := completeApplied
-		if !whole {
+		if !isComplete {
 			kind = completeLost
 		}
 		r.records = append(r.records, record{Kind: kind, Node: o.node, At: at})
 	}
 	for _, m := range in.Endpoints {
 		if marker, ok := r.markers[m.Rank]; ok {
-			r.records = append(r.records, record{Kind: markerTaken, Node: o.node, Marker: marker, Draining: m.Condition == policy.Draining, At: at})
+			r.records = append(r.records, record{Kind: markerApplied, Node: o.node, Marker: marker, Draining: m.Condition == policy.Draining, At: at})
 		}
 	}
 }
--- a/internal/testbed/scale/worker.go
+++ b/internal/testbed/scale/worker.go
@@ -16,27 +16,27 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// WorkerCommand has the tool's own binary run as one of its processes.
+// WorkerCommand is the argument with which the tool's binary runs as a process of a scale run.
 const WorkerCommand = "scale-worker"
 
-// role of a process.
+// role is the task of a process in a run.
 type role string
 
 const (
-	roleNodes     role = "nodes"
-	roleControl   role = "control"
-	roleDiscovery role = "discovery"
-	roleCut       role = "ways" // between regions
+	roleNodes       role = "nodes"
+	roleControl     role = "control"
+	roleDiscovery   role = "discovery"
+	roleRegionLinks role = "ways" // forwards connections between regions
 )
 
-// task is what a process is told at its start, on its standard input.
+// task is the first line of a process's standard input.
 type task struct {
 	Role   role    `json:"role"`
 	Number int     `json:"number"`
 	Layout *Layout `json:"layout"`
 }
 
-// order is what it is told later.
+// order is a later line of a process's standard input.
 type order struct {
 	Do       string `json:"do"`
 	Server   int    `json:"server,omitempty"`
@@ -45,70 +45,70 @@
 }
 
 const (
-	doReload  = "reload" // nodes read the operator's file again
-	doChange  = "change" // a server drains, or serves again
-	doSetDown = "away"   // discovery cannot be reached, or can again
-	doCut     = "cut"    // ways between regions bring nothing, or again
+	doReload     = "reload" // nodes reload the operator's file
+	doChange     = "change" // a server is set to draining or serving
+	doSetDown    = "away"   // discovery becomes unreachable, or reachable again
+	doCutRegions = "cut"    // links between regions are cut, or restored
 )
 
-// told is a line of what a process says, on its standard output.
+// announcement is a line of a process's standard output.
 type announcement struct {
-	Ready   bool     `json:"ready,omitempty"`
-	Records []record `json:"records,omitempty"`
-	Handed  *handed  `json:"handed,omitempty"`
-	Changed int64    `json:"changed,omitempty"` // when an order to change was carried out
-	Done    bool     `json:"done,omitempty"`    // another order was
-	Fault   string   `json:"fault,omitempty"`
+	Ready   bool            `json:"ready,omitempty"`
+	Records []record        `json:"records,omitempty"`
+	Handed  *deliveryCounts `json:"handed,omitempty"`
+	Changed int64           `json:"changed,omitempty"` // Unix ns: time of the change that an order asked for
+	Done    bool            `json:"done,omitempty"`    // another order was executed
+	Error   string          `json:"fault,omitempty"`
 }
 
-const flushEvery = 100 * time.Millisecond
+const flushInterval = 100 * time.Millisecond
 
-// worker is one process.
+// worker is the process's own side of a task.
 type worker struct {
 	task
-	out    sync.Mutex
-	encode *json.Encoder
-	orders *json.Decoder
+	writeMu sync.Mutex
+	encode  *json.Encoder
+	orders  *json.Decoder
 }
 
-// Worker runs a process of the tool until its standard input ends. It returns the exit code.
+// Worker runs a process of a scale run until its standard input ends and returns the exit code.
 func Worker(in io.Reader, out, errs io.Writer) int {
-	signal.Ignore(syscall.SIGINT, syscall.SIGPIPE) // the tool ends its processes, not the terminal
+	signal.Ignore(syscall.SIGINT, syscall.SIGPIPE) // the tool stops its processes; signals of the terminal must not
 	w := &worker{encode: json.NewEncoder(out), orders: json.NewDecoder(bufio.NewReader(in))}
 	if err := w.orders.Decode(&w.task); err != nil || w.Layout == nil {
-		fmt.Fprintln(errs, "a process of `testbed scale` is started by it alone")
+		fmt.Fprintln(errs, "decode task: this command is started by `testbed scale` only")
 		return 2
 	}
 	if err := w.run(); err != nil {
-		w.say(announcement{Fault: err.Error()})
+		w.send(announcement{Error: err.Error()})
 		fmt.Fprintln(errs, err)
 		return 1
 	}
 	return 0
 }
 
-func (w *worker) say(t announcement) {
-	w.out.Lock()
-	defer w.out.Unlock()
-	w.encode.Encode(t)
+func (w *worker) send(a announcement) {
+	w.writeMu.Lock()
+	defer w.writeMu.Unlock()
+	w.encode.Encode(a)
 }
 
 func (w *worker) run() error {
 	switch w.Role {
 	case roleNodes:
-		return w.nodes()
+		return w.runNodes()
 	case roleControl:
-		return w.control()
+		return w.runControl()
 	case roleDiscovery:
-		return w.discovery()
-	case roleCut:
-		return w.ways()
+		return w.runDiscovery()
+	case roleRegionLinks:
+		return w.runRegionLinks()
 	}
-	return fmt.Errorf("no role %q", w.Role)
+	return fmt.Errorf("unknown role %q", w.Role)
 }
 
-// obey carries out orders until there are none any more.
-func (w *worker) obey(do func(order) announcement) error {
+// processOrders executes orders and sends their results until standard input ends.
+func (w *worker) processOrders(execute func(order) announcement) error {
 	for {
 		var o order
 		if err := w.orders.Decode(&o); errors.Is(err, io.EOF) {
@@ -116,11 +116,11 @@
 		} else if err != nil {
 			return err
 		}
-		w.say(do(o))
+		w.send(execute(o))
 	}
 }
 
-func (w *worker) nodes() error {
+func (w *worker) runNodes() error {
 	r := newRecorder(w.Layout)
 	var all []*hollow
 	for _, n := range w.Layout.nodesOf(w.Number) {
@@ -130,47 +130,47 @@
 		}
 		all = append(all, h)
 	}
-	for _, h := range all { // one that cannot serve says so in a log of its own
+	for _, h := range all { // the cause of a failure is in the process's log as well
 		go func() {
 			if err := <-h.done; err != nil {
-				w.say(announcement{Fault: fmt.Sprintf("node %d: %v", h.number, err)})
+				w.send(announcement{Error: fmt.Sprintf("node %d: %v", h.number, err)})
 			}
 		}()
 	}
-	w.say(announcement{Ready: true})
+	w.send(announcement{Ready: true})
 	go func() {
-		for range time.Tick(flushEvery) {
+		for range time.Tick(flushInterval) {
 			if records, counts := r.take(); len(records) > 0 {
-				w.say(announcement{Records: records, Handed: &counts})
+				w.send(announcement{Records: records, Handed: &counts})
 			}
 		}
 	}()
-	return w.obey(func(o order) announcement {
+	return w.processOrders(func(o order) announcement {
 		for _, h := range all {
 			select {
 			case h.reload <- syscall.SIGHUP:
-			default: // one that waits is enough
+			default: // a reload is already pending
 			}
 		}
 		return announcement{Done: true}
 	})
 }
 
-func (w *worker) control() error {
+func (w *worker) runControl() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return planes[w.Layout.Size.Plane].Control(ctx, w.Layout, w.Number) })
 	g.Go(func() error {
-		if err := reachable(ctx, w.Layout.controlAddress(w.Number)); err != nil {
+		if err := waitListening(ctx, w.Layout.controlAddress(w.Number)); err != nil {
 			return err
 		}
-		w.say(announcement{Ready: true})
+		w.send(announcement{Ready: true})
 		return nil
 	})
 	g.Go(func() error {
 		defer cancel()
-		return w.obey(func(order) announcement { return announcement{Done: true} })
+		return w.processOrders(func(order) announcement { return announcement{Done: true} })
 	})
 	if err := g.Wait(); err != nil && !errors.Is(err, context.Canceled) {
 		return err
@@ -178,42 +178,42 @@
 	return nil
 }
 
-func (w *worker) discovery() error {
+func (w *worker) runDiscovery() error {
 	source, err := planes[w.Layout.Size.Plane].Source(w.Layout)
 	if err != nil {
 		return err
 	}
 	defer source.Close()
-	w.say(announcement{Ready: true})
-	return w.obey(func(o order) announcement {
+	w.send(announcement{Ready: true})
+	return w.processOrders(func(o order) announcement {
 		if o.Do == doSetDown {
 			if err := source.SetDown(o.On); err != nil {
-				return announcement{Fault: err.Error()}
+				return announcement{Error: err.Error()}
 			}
 			return announcement{Done: true}
 		}
 		at, err := source.Change(o.Server, o.Draining)
 		if err != nil {
-			return announcement{Fault: err.Error()}
+			return announcement{Error: err.Error()}
 		}
 		return announcement{Changed: at.UnixNano()}
 	})
 }
 
-func (w *worker) ways() error {
-	ways, err := newWays(w.Layout)
+func (w *worker) runRegionLinks() error {
+	links, err := newRegionLinks(w.Layout)
 	if err != nil {
 		return err
 	}
-	w.say(announcement{Ready: true})
-	err = w.obey(func(o order) announcement {
-		ways.cut(o.On)
+	w.send(announcement{Ready: true})
+	err = w.processOrders(func(o order) announcement {
+		links.cut(o.On)
 		return announcement{Done: true}
 	})
-	ways.cut(false)
-	ways.close()
+	links.cut(false)
+	links.close()
 	return err
 }
 
-// environment of a process beside the tool's own.
+// environment returns the environment of a process: the tool's own and the number of threads.
 func environment() []string { return append(os.Environ(), "GOMAXPROCS="+hollowThreads) }
--- a/internal/testbed/standin/zookeeper/ensemble.go
+++ b/internal/testbed/standin/zookeeper/ensemble.go
@@ -12,13 +12,13 @@
 	minSessionTimeout  = 200 * time.Millisecond
 )
 
-// Child is a child in a list that a reader got, with the transaction that created it.
+// Child is a child in a list that a reader received, with the transaction that created it.
 type Child struct {
 	Name  string
 	Czxid int64
 }
 
-// Watcher is notified of what the reader at an address got, from many goroutines.
+// Watcher is notified of the data that readers received. Its methods are called from many goroutines.
 type Watcher interface {
 	// Announced reports a list of all children of a path.
 	Announced(reader int, path string, children []Child, at time.Time)
@@ -38,7 +38,7 @@
 	servers      []*Server
 	calls        int
 	expiryDelay  time.Duration // added to each session's timeout
-	refusesConns bool          // new connections are closed
+	refusesConns bool          // new connections are closed immediately
 	done         chan struct{}
 	wg           sync.WaitGroup
 }
@@ -55,16 +55,16 @@
 
 // Server is one address of the ensemble.
 type Server struct {
-	r              *Registry
+	registry       *Registry
 	reader         int // the client of this address
 	ln             net.Listener
 	tree           *tree
-	next           int // place in the log
+	nextChange     int // place in the log
 	lag            time.Duration
 	delay          time.Duration // of watch events
 	isSilent       bool
-	garbleEvery    int // one in so many replies is malformed; 0: none
-	garbledReplies int // replies since the last of them
+	garbleEvery    int // every n-th reply is malformed; 0: none
+	garbledReplies int // replies counted for garbleEvery
 	conns          map[*conn]bool
 }
 
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{r: r, reader: reader, ln: ln, tree: newTree(), conns: map[*conn]bool{}}
+	s := &Server{registry: r, reader: reader, ln: ln, tree: newTree(), conns: map[*conn]bool{}}
 	r.mu.Lock()
 	r.servers = append(r.servers, s)
 	r.catchUp(time.Now())
@@ -129,30 +129,30 @@
 // Address returns where the server listens.
 func (s *Server) Address() string { return s.ln.Addr().String() }
 
-// Set changes the server's faults: how far it lags behind commits, how late it sends events, whether it sends nothing.
+// Set changes the server's faults: its lag behind commits, the delay of watch events, and whether it sends nothing.
 func (s *Server) Set(lag, delay time.Duration, silent bool) {
-	s.r.mu.Lock()
-	defer s.r.mu.Unlock()
+	s.registry.mu.Lock()
+	defer s.registry.mu.Unlock()
 	s.lag, s.delay, s.isSilent = lag, delay, silent
 }
 
 // Break closes all connections to the server. Delayed events are lost.
 func (s *Server) Break() {
-	s.r.mu.Lock()
-	defer s.r.mu.Unlock()
+	s.registry.mu.Lock()
+	defer s.registry.mu.Unlock()
 	for c := range s.conns {
 		c.Close()
 	}
 }
 
-// Late delays the expiry of sessions.
+// Late delays the expiry of sessions by d.
 func (r *Registry) Late(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expiryDelay = d
 }
 
-// Refuse makes new connections be closed, or accepted again.
+// Refuse sets whether new connections are closed immediately.
 func (r *Registry) Refuse(is bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -190,13 +190,13 @@
 	n := 0
 	for _, s := range r.servers {
 		for c := range s.conns {
-			n += len(c.data) + len(c.child) + len(c.exist)
+			n += len(c.dataWatches) + len(c.childWatches) + len(c.existWatches)
 		}
 	}
 	return n
 }
 
-// Calls returns the number of requests without pings.
+// Calls returns the number of requests, excluding pings.
 func (r *Registry) Calls() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -225,7 +225,7 @@
 	}
 }
 
-// commit commits a change; servers see it after their lag.
+// commit commits a change. Servers apply it after their lag.
 func (r *Registry) commit(c change) {
 	c.zxid = r.head.zxid + 1
 	r.log = append(r.log, c)
@@ -233,14 +233,14 @@
 	r.catchUp(time.Now())
 }
 
-// catchUp applies committed changes to servers by their lag and sends events.
+// catchUp applies committed changes to servers whose lag has passed and sends watch events.
 func (r *Registry) catchUp(now time.Time) {
 	for _, s := range r.servers {
-		for s.next < len(r.log) && !s.isSilent && now.Sub(r.log[s.next].at) >= s.lag {
-			for _, e := range s.tree.apply(r.log[s.next]) {
+		for s.nextChange < len(r.log) && !s.isSilent && now.Sub(r.log[s.nextChange].at) >= s.lag {
+			for _, e := range s.tree.apply(r.log[s.nextChange]) {
 				s.fire(e)
 			}
-			s.next++
+			s.nextChange++
 		}
 	}
 }
--- a/internal/testbed/standin/zookeeper/jute.go
+++ b/internal/testbed/standin/zookeeper/jute.go
@@ -1,5 +1,5 @@
 // Package zookeeper is a stand-in for a ZooKeeper-style registry, written from its published wire protocol: jute records in
-// frames, sessions with time-outs and passwords, ephemeral nodes, watches that fire once, several addresses with lag.
+// frames, sessions with timeouts and passwords, ephemeral nodes, watches that fire once, several addresses with lag.
 package zookeeper
 
 import (
@@ -8,19 +8,19 @@
 	"io"
 )
 
-const maxFrameBytes = 1 << 20 // bytes, as the real one's default
+const maxFrameBytes = 1 << 20 // default of ZooKeeper
 
-var errGarbled = errors.New("a record that cannot be read")
+var errFrameTooLong = errors.New("read frame: length exceeds 1 MiB")
 
-// reader takes a record apart; once it has met something wrong it gives zeros.
+// reader decodes a record. After the first malformed field it returns zero values.
 type reader struct {
-	b   []byte
-	bad bool
+	b           []byte
+	isMalformed bool
 }
 
 func (r *reader) take(n int) []byte {
-	if r.bad || n < 0 || n > len(r.b) {
-		r.bad = true
+	if r.isMalformed || n < 0 || n > len(r.b) {
+		r.isMalformed = true
 		return nil
 	}
 	b := r.b[:n]
@@ -60,7 +60,7 @@
 func (r *reader) strings() []string {
 	n := r.int()
 	if n < 0 || int(n) > len(r.b)/4 {
-		r.bad = r.bad || n != -1
+		r.isMalformed = r.isMalformed || n != -1
 		return nil
 	}
 	all := make([]string, n)
@@ -70,7 +70,7 @@
 	return all
 }
 
-// writer puts a record together.
+// writer encodes a record.
 type writer []byte
 
 func (w *writer) int(v int32)  { *w = binary.BigEndian.AppendUint32(*w, uint32(v)) }
@@ -119,7 +119,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n > maxFrameBytes {
-		return nil, errGarbled
+		return nil, errFrameTooLong
 	}
 	b := make([]byte, n)
 	_, err := io.ReadFull(from, b)
--- a/internal/testbed/standin/zookeeper/jute_test.go
+++ b/internal/testbed/standin/zookeeper/jute_test.go
@@ -10,7 +10,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Whatever a client sends, the ensemble answers or ends the connection, and goes on.
+// FuzzRequests checks that the ensemble replies to any input or ends the connection, and continues to work.
 func FuzzRequests(f *testing.F) {
 	var w writer
 	w.int(1)
@@ -18,7 +18,7 @@
 	w.string("/a")
 	w.buffer([]byte("x"))
 	w.int(0)
-	w.int(flagEphem)
+	w.int(flagEphemeral)
 	f.Add([]byte(w))
 	var g writer
 	g.int(2)
@@ -46,7 +46,7 @@
 				}
 			}
 		}()
-		c := &conn{Conn: a, s: s, data: map[string]bool{}, child: map[string]bool{}, exist: map[string]bool{}}
+		c := &conn{Conn: a, server: s, dataWatches: map[string]bool{}, childWatches: map[string]bool{}, existWatches: map[string]bool{}}
 		var hello writer
 		hello.int(0)
 		hello.long(0)
@@ -54,7 +54,7 @@
 		hello.long(0)
 		hello.buffer(make([]byte, 16))
 		if !s.connect(c, hello) {
-			t.Fatal("no session")
+			t.Fatal("connect: no session was opened")
 		}
 		s.request(c, b)
 		r.mu.Lock()
--- a/internal/testbed/standin/zookeeper/requests.go
+++ b/internal/testbed/standin/zookeeper/requests.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Requests as on the wire.
+// Operations as on the wire.
 const (
 	opCreate    = 1
 	opDelete    = 2
@@ -21,21 +21,21 @@
 	opClose     = -11
 )
 
-// reply is what a request is answered with.
+// reply is the reply to a request.
 type reply struct {
 	code          int32
 	body          writer
-	notifyWatcher func() // tells the watcher what the reader was told, once it was; nil for nothing
+	notifyWatcher func() // called after the reply was sent; nil: nothing to report
 }
 
-// request answers one; false ends the connection.
+// request processes one request. It returns false if the connection ends.
 func (s *Server) request(c *conn, b []byte) bool {
 	q := reader{b: b}
 	xid, op := q.int(), q.int()
-	if q.bad {
+	if q.isMalformed {
 		return false
 	}
-	r := s.r
+	r := s.registry
 	r.mu.Lock()
 	if s.isSilent {
 		r.mu.Unlock()
@@ -49,42 +49,42 @@
 	if op != opPing {
 		r.calls++
 	}
-	answer := s.answer(c, op, &q)
-	if q.bad {
-		answer.code = badArgs
+	response := s.answer(c, op, &q)
+	if q.isMalformed {
+		response.code = badArgs
 	}
 	var w writer
 	w.int(xid)
 	w.long(s.tree.zxid)
-	w.int(answer.code)
-	if answer.code == ok {
-		w = append(w, answer.body...)
+	w.int(response.code)
+	if response.code == ok {
+		w = append(w, response.body...)
 	}
 	if s.garbleEvery > 0 && op != opPing && op != opClose {
 		if s.garbledReplies++; s.garbledReplies%s.garbleEvery == 0 {
 			which := s.garbledReplies / s.garbleEvery
 			r.mu.Unlock()
 			c.send(garbled(which, w))
-			return which%2 == 0 // some close behind it
+			return which%2 == 0 // some malformed replies end the connection
 		}
 	}
 	r.mu.Unlock()
 	c.send(w)
-	if answer.code == ok && r.watcher != nil && answer.notifyWatcher != nil {
-		answer.notifyWatcher()
+	if response.code == ok && r.watcher != nil && response.notifyWatcher != nil {
+		response.notifyWatcher()
 	}
 	return op != opClose
 }
 
-// answer does what is asked; the lock is held.
+// answer executes an operation and returns its reply. The caller holds the lock.
 func (s *Server) answer(c *conn, op int32, q *reader) (a reply) {
 	a.code = ok
 	switch op {
 	case opPing, opAuth:
 	case opClose:
-		s.r.endSession(c.session, time.Now())
+		s.registry.endSession(c.session, time.Now())
 	case opSync:
-		s.lagless(time.Now())
+		s.catchUpFully(time.Now())
 		a.body.string(q.string())
 	case opCreate:
 		a.code = s.create(c, q, &a.body)
@@ -95,7 +95,7 @@
 	case opExists, opGetData, opChildren, opChildren2:
 		s.read(c, op, q, &a)
 	case opWatches:
-		s.rewatch(c, q)
+		s.setWatches(c, q)
 	default:
 		a.code = unknownOp
 	}
@@ -104,7 +104,7 @@
 
 func (s *Server) remove(q *reader) int32 {
 	p, version := q.string(), q.int()
-	n := s.r.head.nodes[p]
+	n := s.registry.head.nodes[p]
 	switch {
 	case n == nil:
 		return noNode
@@ -113,39 +113,39 @@
 	case len(n.children) > 0:
 		return notEmpty
 	}
-	s.r.commit(change{op: deleted, path: p, at: time.Now()})
+	s.registry.commit(change{op: deleted, path: p, at: time.Now()})
 	return ok
 }
 
 func (s *Server) setData(q *reader, body *writer) int32 {
 	p, data, version := q.string(), slices.Clone(q.buffer()), q.int()
-	n := s.r.head.nodes[p]
+	n := s.registry.head.nodes[p]
 	switch {
 	case n == nil:
 		return noNode
 	case version >= 0 && version != n.version:
 		return badVersion
 	}
-	s.r.commit(change{op: changed, path: p, data: data, at: time.Now()})
-	body.stat(s.r.head.nodes[p])
+	s.registry.commit(change{op: changed, path: p, data: data, at: time.Now()})
+	body.stat(s.registry.head.nodes[p])
 	return ok
 }
 
-// read answers from the tree as this server has seen it, and sets the watch that is asked for.
+// read replies with the state of this server's tree and sets the watch that the request asks for.
 func (s *Server) read(c *conn, op int32, q *reader, a *reply) {
 	p, watch := q.string(), q.bool()
 	n := s.tree.nodes[p]
 	if n == nil {
 		if op == opExists && watch {
-			c.exist[p] = true
+			c.existWatches[p] = true
 		}
 		a.code = noNode
 		return
 	}
 	if watch && (op == opExists || op == opGetData) {
-		c.data[p] = true
+		c.dataWatches[p] = true
 	} else if watch {
-		c.child[p] = true
+		c.childWatches[p] = true
 	}
 	switch op {
 	case opExists:
@@ -154,7 +154,7 @@
 		a.body.buffer(n.data)
 		a.body.stat(n)
 		data := slices.Clone(n.data)
-		a.notifyWatcher = func() { s.r.watcher.Data(s.reader, p, data, time.Now()) }
+		a.notifyWatcher = func() { s.registry.watcher.Data(s.reader, p, data, time.Now()) }
 	default:
 		s.readChildren(p, a)
 		if op == opChildren2 {
@@ -164,7 +164,7 @@
 }
 
 func (s *Server) readChildren(p string, a *reply) {
-	names := s.tree.names(p)
+	names := s.tree.childNames(p)
 	a.body.strings(names)
 	var all []Child
 	for _, name := range names {
@@ -172,14 +172,14 @@
 			all = append(all, Child{name, c.czxid})
 		}
 	}
-	a.notifyWatcher = func() { s.r.watcher.Announced(s.reader, p, all, time.Now()) }
+	a.notifyWatcher = func() { s.registry.watcher.Announced(s.reader, p, all, time.Now()) }
 }
 
-// lagless has the server see all that was agreed on, as a sync does.
-func (s *Server) lagless(now time.Time) {
+// catchUpFully applies all committed changes to this server, as a sync does.
+func (s *Server) catchUpFully(now time.Time) {
 	lag := s.lag
 	s.lag = 0
-	s.r.catchUp(now)
+	s.registry.catchUp(now)
 	s.lag = lag
 }
 
@@ -189,29 +189,29 @@
 		q.int()
 		q.string()
 		q.string()
-		if q.bad {
+		if q.isMalformed {
 			return badArgs
 		}
 	}
 	flags := q.int()
-	r := s.r
-	if flags&flagSequent != 0 {
+	r := s.registry
+	if flags&flagSequential != 0 {
 		p = r.head.sequenced(p)
 	}
 	up := r.head.nodes[parent(p)]
 	switch {
-	case q.bad || !isValidPath(p):
+	case q.isMalformed || !isValidPath(p):
 		return badArgs
 	case up == nil:
 		return noNode
 	case up.owner != 0:
-		return ephemeral
+		return noChildrenForEphemerals
 	case r.head.nodes[p] != nil:
 		return nodeExists
 	}
 	ch := change{op: created, path: p, data: data, at: time.Now()}
-	if flags&flagEphem != 0 {
-		ch.own = c.session.id
+	if flags&flagEphemeral != 0 {
+		ch.owner = c.session.id
 		c.session.ephemerals[p] = true
 	}
 	r.commit(ch)
@@ -219,12 +219,12 @@
 	return ok
 }
 
-// rewatch takes up a client's watches on a new connection; what has changed since is told at once.
-func (s *Server) rewatch(c *conn, q *reader) {
+// setWatches sets a client's watches again on a new connection and immediately sends the events since its last transaction.
+func (s *Server) setWatches(c *conn, q *reader) {
 	since := q.long()
 	data, exist, child := q.strings(), q.strings(), q.strings()
 	for _, p := range data {
-		c.data[p] = true
+		c.dataWatches[p] = true
 		if n := s.tree.nodes[p]; n == nil {
 			s.fire(event{deleted, p})
 		} else if n.mzxid > since {
@@ -232,13 +232,13 @@
 		}
 	}
 	for _, p := range exist {
-		c.exist[p] = true
+		c.existWatches[p] = true
 		if s.tree.nodes[p] != nil {
 			s.fire(event{created, p})
 		}
 	}
 	for _, p := range child {
-		c.child[p] = true
+		c.childWatches[p] = true
 		if n := s.tree.nodes[p]; n == nil {
 			s.fire(event{deleted, p})
 		} else if n.pzxid > since {
--- a/internal/testbed/standin/zookeeper/tree.go
+++ b/internal/testbed/standin/zookeeper/tree.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// Errors as on the wire.
+// Error codes and flags of creation as on the wire.
 const (
-	ok          = 0
-	unknownOp   = -6
-	badArgs     = -8
-	noNode      = -101
-	badVersion  = -103
-	ephemeral   = -108
-	nodeExists  = -110
-	notEmpty    = -111
-	expired     = -112
-	authFailed  = -115
-	flagEphem   = 1
-	flagSequent = 2
+	ok                      = 0
+	unknownOp               = -6
+	badArgs                 = -8
+	noNode                  = -101
+	badVersion              = -103
+	noChildrenForEphemerals = -108
+	nodeExists              = -110
+	notEmpty                = -111
+	sessionExpired          = -112
+	authFailed              = -115
+	flagEphemeral           = 1
+	flagSequential          = 2
 )
 
-// Watch events as on the wire.
+// Kinds of watch events as on the wire.
 const (
 	created  = 1
 	deleted  = 2
@@ -33,7 +33,7 @@
 	children = 4
 )
 
-// node is a node with its counters, named as in the protocol.
+// node is a node of the tree. Its fields have the names of the protocol.
 type node struct {
 	data     []byte
 	children map[string]bool
@@ -50,15 +50,15 @@
 
 // change is a committed change of the tree.
 type change struct {
-	zxid int64
-	at   time.Time
-	op   int
-	path string
-	data []byte
-	own  int64
+	zxid  int64
+	at    time.Time
+	op    int
+	path  string
+	data  []byte
+	owner int64
 }
 
-// tree is the state that one server sees.
+// tree is the state of one server.
 type tree struct {
 	nodes map[string]*node
 	zxid  int64
@@ -78,7 +78,7 @@
 
 func parent(p string) string { return path.Dir(p) }
 
-// apply applies a change that was checked and returns its watch events.
+// apply applies a committed change and returns its watch events.
 func (t *tree) apply(c change) []event {
 	t.zxid = c.zxid
 	ms := c.at.UnixMilli()
@@ -90,7 +90,7 @@
 		}
 		p.children[path.Base(c.path)] = true
 		p.cversion, p.pzxid, p.counter = p.cversion+1, c.zxid, p.counter+1
-		t.nodes[c.path] = &node{data: c.data, children: map[string]bool{}, czxid: c.zxid, mzxid: c.zxid, pzxid: c.zxid, ctime: ms, mtime: ms, owner: c.own}
+		t.nodes[c.path] = &node{data: c.data, children: map[string]bool{}, czxid: c.zxid, mzxid: c.zxid, pzxid: c.zxid, ctime: ms, mtime: ms, owner: c.owner}
 		return []event{{created, c.path}, {children, parent(c.path)}}
 	case deleted:
 		if t.nodes[c.path] == nil {
@@ -115,14 +115,14 @@
 
 func join(p, name string) string { return path.Join(p, name) }
 
-func (t *tree) names(p string) []string {
+func (t *tree) childNames(p string) []string {
 	if n := t.nodes[p]; n != nil {
 		return slices.Sorted(maps.Keys(n.children))
 	}
 	return nil
 }
 
-// sequenced returns the path that a sequential node gets.
+// sequenced returns the path of the next sequential node with a prefix.
 func (t *tree) sequenced(p string) string {
 	n := int32(0)
 	if up := t.nodes[parent(p)]; up != nil {
