--- a/cmd/fernvane/distribution_test.go
+++ b/cmd/fernvane/distribution_test.go
@@ -277,7 +277,7 @@
 		{[]string{"status", "--within", "6s", "--expect", "2"}, 0, "current"},
 		{append([]string{"put", malformed}, append(flags, "x")...), 2, "broken.toml:1: unknown key \"hop\"\n"},
 		{[]string{"put", route, "--kind", "route"}, 2, "fernvane: no entry named: use --name NAME\n"},
-		{[]string{"put", route, "--kind", "road", "--name", "x"}, 2, "fernvane: --kind: \"road\" is no kind"},
+		{[]string{"put", route, "--kind", "road", "--name", "x"}, 2, "fernvane: --kind: unknown kind \"road\": want server"},
 		{[]string{"put"}, 2, "fernvane: put: expected one FILE\n"},
 		{[]string{"status", "--expect", "3"}, 1, "fernvane: not all expected nodes are current\n"},
 	} {
