--- a/policy/admission.go
+++ b/policy/admission.go
@@ -15,9 +15,9 @@
 	maxSaturatedShare  = 0.8 // of the time, above which less is admitted
 	maxOverloadedShare = 0.2 // of the attempts, above which less is admitted
 	saturationMemory   = 500 * time.Millisecond
-	admissionSpeed     = 2.0  // a second, of the logarithm of the admitted share
+	admissionSpeed     = 2.0  // highest rise of the logarithm of the admitted share, a second
 	minAdmittedShare   = 0.02 // enough to detect the end of an overload
-	minHeadroom        = -2.0 // admission falls at most at twice the speed
+	minHeadroom        = -2.0 // the admitted share falls at most twice as fast as it rises
 
 	defaultMaxShedShare = 0.95 // of one traffic type, so that some requests of each type are served
 
@@ -47,17 +47,17 @@
 // admission sheds load at random while the node is saturated, starting with the classes of the lowest weight per
 // time.
 type admission struct {
-	saturated         float64 // share of the time
-	admitted          float64 // share of the offered load
-	maxAdmittedShare  float64 // by a plan; 0: all
-	overloaded        decay.FailureRate
-	maxPriorityWeight float64 // highest of all traffic types since the start; a reload never lowers it
+	saturated         float64           // share of the recent time in which the node was saturated
+	admitted          float64           // share of the offered load to admit
+	maxAdmittedShare  float64           // upper bound of admitted, set by a plan; 0: no bound
+	overloaded        decay.FailureRate // Overloaded outcomes, as a share of recent attempts
+	maxPriorityWeight float64           // highest of all traffic types since the start; a reload never lowers it
 
 	activeTypes  indexset.Set // traffic types with recent traffic; ticks visit no others
 	classes      []int        // of the active types, in ascending order of weight
 	arrivalRates []float64    // a second, by class
-	rejectShare  []float64    // by class
-	shedEntries  []shedEntry  // of the last tick, in the order of classes
+	rejectShare  []float64    // by class: share of its requests to shed
+	shedEntries  []shedEntry  // of the last tick, in the order of classes, and one of infinite weight at the end
 }
 
 // shedEntry is the load that remained to be shed before a class was processed.
@@ -143,7 +143,8 @@
 	return min(remaining/max(load, minDivisor), cmp.Or(p.settings.TrafficTypes[typeOfClass(class)].MaxShedShare, defaultMaxShedShare))
 }
 
-// activateType includes a traffic type in ticks again. Its classes get the reject shares of the last tick.
+// activateType includes a traffic type in ticks again. Its classes get the reject shares that the last tick would have
+// computed for them.
 func (p *Policy) activateType(trafficType int) {
 	a := &p.admission
 	if a.activeTypes.Has(trafficType) {
--- a/policy/attribution.go
+++ b/policy/attribution.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	attributionMargin    = 0.1                   // margin by which an attribute must fail more often than a server
+	attributionMargin    = 0.1                   // excess of an attribute's failure rate over the server's that attributes a failure to the request
 	attributionPrior     = 3.0                   // successes assumed in a new record, so that a single failure has little effect
 	attributionMemory    = 10.0                  // attempts that count in a server's record
 	attributesMemory     = 3 * attributionMemory // attempts that count in an attribute's record, and in all servers' together
@@ -17,8 +17,8 @@
 	attributionDecayTime = 10 * time.Second      // time in which a record decays to 1/e
 	keyRecordCount       = 256                   // records of keys; keys with equal checksum modulo this number share one
 
-	maxBreakingServers     = 1.5 // servers whose connections a traffic type recently broke; above it, the type is suspected
-	minAttributedShedRate  = 0.6 // failure rate from which requests with an attribute are shed
+	maxBreakingServers     = 1.5 // servers whose connections a traffic type recently broke (a decaying count), from which the type is the cause
+	minAttributedShedRate  = 0.6 // failure rate of an attribute from which requests with it are shed
 	fullAttributedShedRate = 0.9 // failure rate from which nearly all of them are shed
 
 	// minRecordCount is the count below which a record is cleared, so that ticks no longer visit it.
@@ -104,8 +104,8 @@
 	}
 	p.attribution.servers.Observe(s, failed, attributionMemory)
 	p.attribution.overall.Observe(failed, attributesMemory)
-	server := p.attribution.servers.At(s).Rate(attributionPrior) + attributionMargin
-	return failed > 0 && worst > max(server, p.attribution.overall.Rate(attributionPrior))
+	serverRate := p.attribution.servers.At(s).Rate(attributionPrior) + attributionMargin
+	return failed > 0 && worst > max(serverRate, p.attribution.overall.Rate(attributionPrior))
 }
 
 // recordBreak records a broken connection and reports whether the traffic type is the cause. The type of the highest
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -21,7 +21,7 @@
 	sustainedLoad float64 // attempts in flight that recent successes account for, each with its allowed time (Little's law)
 	provenLimit   float64 // limit that responses have shown to be sustainable
 	latencyRatio  float64 // time that attempts take over their allowed time, smoothed
-	successRate   float64 // a second
+	successRate   float64 // successful attempts a second, over rateMemory
 }
 
 // limit returns the number of attempts that may be in flight.
@@ -49,7 +49,8 @@
 	return unloaded.Seconds() + latencyHeadroomShare*(objective-unloaded).Seconds()
 }
 
-// isSaturated reports whether the number of attempts in flight has reached the limit.
+// isSaturated reports whether the number of attempts in flight has reached the limit, or its lower bound if that is
+// higher.
 func (p *Policy) isSaturated() bool {
 	least := minLimitPerServer * float64(p.subset.readyCount) / float64(p.settings.NodeCount)
 	return p.concurrency.inFlight >= max(p.concurrency.limit(), least, 1)
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -31,7 +31,7 @@
 // Each node maintains these invariants without coordination:
 //
 //  1. Each request gets exactly one final response (handled, rejected, or failed with unknown outcome), and no attempt
-//     is sent after it. Only transitions to stateDone respond (lifecycle.go), except that a request of an unknown
+//     is sent after it. Only transitions to stateDone produce it (lifecycle.go), except that a request of an unknown
 //     traffic type is rejected on arrival. The response is due before the client's timeout, but deadlines are checked
 //     on ticks only: with a TimerGranularity below tickInterval a deadline may fall between two ticks
 //     (minResponseLead).
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -70,7 +70,7 @@
 	p.servers.listedWeight[s] = cmp.Or(max(e.Weight, 0), 1)
 	p.updatePlacements(s)
 	p.readiness.SetLabels(s, e.Labels)
-	isStillUsed := e.Condition == Removed && p.readiness.Ready(s) && !e.AddressReassigned // handleUnlisted decides
+	isStillUsed := e.Condition == Removed && p.readiness.Ready(s) && !e.AddressReassigned // until handleUnlisted decides
 	p.setReady(s, e.Condition == Up || isStillUsed)
 	if e.Condition == Up && !wasListed && !isFirst {
 		p.addToSubsetByChance(s)
@@ -87,8 +87,8 @@
 	}
 }
 
-// addToSubsetByChance adds a new server to the subset with the same probability with which the subset contains any other, so
-// that the server is neither left out nor added by all nodes simultaneously.
+// addToSubsetByChance adds a newly listed server to the subset with the same probability with which the subset contains
+// any other, so that the server is neither left out nor added by all nodes simultaneously.
 func (p *Policy) addToSubsetByChance(s int) {
 	if p.subset.contains[s] || p.randomFloat()*float64(p.subset.readyCount+1) >= float64(len(p.subset.members)) {
 		return
@@ -114,8 +114,8 @@
 	p.plan.addServer(s)
 }
 
-// updatePlacements computes the placements that a server matches. It runs when a list names the server rather than at
-// each attempt.
+// updatePlacements computes the placements that a server matches. It runs when a list contains the server (and in WhatIf),
+// not at each attempt.
 func (p *Policy) updatePlacements(s int) {
 	matches := uint64(0)
 	for i, placement := range p.settings.Placements {
--- a/policy/input.go
+++ b/policy/input.go
@@ -10,7 +10,7 @@
 	Incremental UpdateScope = iota
 	// Full lists contain every endpoint: omitted ones are removed.
 	Full
-	// Cached lists are full lists stored by an earlier run.
+	// Cached lists are full lists that no source has confirmed yet: from the configuration or stored by an earlier run.
 	Cached
 	// Unavailable reports that requesting the list failed.
 	Unavailable
@@ -32,7 +32,7 @@
 type Endpoint struct {
 	Server            int    // dense index; at most one above all earlier ones
 	IndexReused       bool   // the index belonged to another server, which has no attempt in flight
-	Rank              uint32 // position in the rotation, identical at every node
+	Rank              uint32 // sort key of the rotation, identical at every node
 	Zone              int
 	MachineKind       int
 	Cell              int // failure domain inside a zone
@@ -76,13 +76,14 @@
 	// RequestArrived starts a request. It uses Request, TrafficType, Tenant, RouteLimit, Key, IsClientRetry and
 	// Timeout.
 	RequestArrived InputKind = iota
-	// AttemptEnded ends an attempt. It uses Request, Attempt, Server, Outcome, Elapsed and ClientAnswered.
+	// AttemptEnded ends an attempt. It uses Request, Attempt, Outcome and ClientAnswered. Policy ignores Server and
+	// Elapsed, which other implementations of engine.Decider use.
 	AttemptEnded
 	// ClientLeft ends a request that no longer needs a response. It uses Request.
 	ClientLeft
 	// EndpointsUpdated delivers an endpoint list. It uses Scope and Endpoints.
 	EndpointsUpdated
-	// TimerFired follows an earlier SetTimer.
+	// TimerFired follows an earlier SetTimer. The owner sends the first one after New.
 	TimerFired
 	// TrafficTypesChanged replaces the traffic types. It uses TrafficTypes, LearnFrom and RouteLimits.
 	TrafficTypesChanged
@@ -107,8 +108,8 @@
 	Timeout       time.Duration // time until the client gives up
 
 	Outcome        Outcome
-	Elapsed        time.Duration // since the attempt was sent; for other implementations, Policy measures its own times
-	ClientAnswered bool          // the client has received its final response
+	Elapsed        time.Duration // since the attempt was sent; Policy measures this time itself
+	ClientAnswered bool          // no response is needed after this attempt: the final one is decided, or the client has disconnected
 
 	Scope     UpdateScope
 	Endpoints []Endpoint
@@ -124,7 +125,7 @@
 	Quotas            []Quota   // changed quotas only
 }
 
-// Quota is the request rate that a tenant may use. All tenants up to the highest number received so far are known and
+// Quota is the request rate that a tenant may use. All tenants up to the highest index received so far are known and
 // have a quota of 0 until theirs is received.
 type Quota struct {
 	Tenant    int
--- a/policy/load.go
+++ b/policy/load.go
@@ -17,7 +17,10 @@
 	inFlight        []int
 	abandoned       []float64       // attempts that timed out and that the server may still process
 	abandonedSentAt []time.Duration // when the last of them was sent
-	lastResponseAt  []time.Duration // last response other than ClientError, or when the server last changed from idle to busy
+
+	// lastResponseAt is the time of the last Success, Failure or Overloaded outcome, except for failures attributed to the
+	// request, or the time at which the server was added or last changed from idle to busy.
+	lastResponseAt []time.Duration
 }
 
 // abandon counts an attempt that timed out. Without this count an unresponsive server would look idle.
@@ -26,7 +29,7 @@
 	l.abandonedSentAt[s] = max(l.abandonedSentAt[s], sentAt)
 }
 
-// clearAbandoned clears the abandoned attempts when an attempt sent after them gets a response: servers process requests in
+// clearAbandoned clears the abandoned attempts when an attempt sent after them succeeds: servers process requests in
 // order.
 func (l *serverLoad) clearAbandoned(s int, sentAt time.Duration) {
 	if sentAt >= l.abandonedSentAt[s] {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -38,8 +38,9 @@
 	p.dequeue()
 }
 
-// recordOutcome updates all statistics from the end of an attempt at a server. Failures attributed to the request,
-// and timeouts caused by a short client deadline, do not count against the server.
+// recordOutcome updates all statistics from the end of an attempt at a server. Failures attributed to the request, and
+// timeouts caused by a short client deadline, change neither the health, latency and pauses of the server nor the
+// concurrency limit.
 func (p *Policy) recordOutcome(s int, r *request, sentAt time.Duration, outcome Outcome) {
 	p.admission.overloaded.Observe(0, allAttemptsMemory)
 	p.subset.refusedConnects.Observe(0, allAttemptsMemory)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -73,7 +73,7 @@
 }
 
 // recordRecovery ends a server's ejection after a success. A server that was unreachable may have restarted before
-// the endpoint list reports it, so it goes through slow start after minRestartSilence.
+// the endpoint list reports it, so it goes through slow start if it was silent for longer than minRestartSilence.
 func (p *Policy) recordRecovery(s int) {
 	if p.outliers.unreachable[s] && p.now-p.load.lastResponseAt[s] > minRestartSilence {
 		p.startSlowStart(s, p.now)
@@ -83,14 +83,15 @@
 	p.suspicion.lower(s, p.now)
 }
 
-// recordFailure counts a failure and ejects the server after enough consecutive ones.
-func (p *Policy) recordFailure(s, enough int) {
+// recordFailure counts a failure, raises the suspicion of an unlisted server, and ejects the server once it has threshold
+// consecutive failures.
+func (p *Policy) recordFailure(s, threshold int) {
 	p.outliers.consecutive[s]++
 	if !p.readiness.Listed(s) {
 		p.suspicion.raise(s)
 	}
-	if p.outliers.consecutive[s] >= enough && !p.isEjected(s) {
-		p.eject(s, failures.AllTypes, p.outliers.consecutive[s]-enough, maxEjectedShare)
+	if p.outliers.consecutive[s] >= threshold && !p.isEjected(s) {
+		p.eject(s, failures.AllTypes, p.outliers.consecutive[s]-threshold, maxEjectedShare)
 	}
 }
 
@@ -132,21 +133,21 @@
 // server may only have run out of connections, so two such failures are needed to eject; the server leaves the subset
 // if the remaining members suffice.
 func (p *Policy) recordUnreachable(s int, elapsed time.Duration) {
-	enough := 1
+	threshold := 1
 	if elapsed < p.settings.ConnectTimeout/2 { // refused
-		enough = minConsecutiveFailures
+		threshold = minConsecutiveFailures
 		p.subset.refusedConnects.Failed++
 		if i := slices.Index(p.subset.members, s); i >= 0 && float64(len(p.subset.members)) > p.subset.peakInFlight+subsetSlack {
 			p.removeFromSubset(i)
 		}
 	}
-	p.recordFailure(s, enough)
-	p.outliers.unreachable[s] = p.outliers.unreachable[s] || p.outliers.consecutive[s] >= enough
+	p.recordFailure(s, threshold)
+	p.outliers.unreachable[s] = p.outliers.unreachable[s] || p.outliers.consecutive[s] >= threshold
 }
 
-// eject ejects a server for one traffic type or failures.AllTypes, with a duration that doubles for each doubling. It
-// does not eject if more than maxShare of the ready servers, or of the servers of one placement, would then be
-// ejected. A server that the list omits is ejected in any case.
+// eject ejects a server for one traffic type or failures.AllTypes. The ejection lasts for initialEjection, doubled
+// doublings times (at most maxDoublings) and randomized. The server is not ejected if more than maxShare of the ready
+// servers, or of the servers of one placement, would then be ejected, unless the endpoint list omits the server.
 func (p *Policy) eject(s, trafficType, doublings int, maxShare float64) {
 	if !p.pruneAndCheckEjection(s, trafficType, maxShare) && p.readiness.Listed(s) {
 		return
--- a/policy/pauseforecast.go
+++ b/policy/pauseforecast.go
@@ -21,12 +21,12 @@
 // with a line fitted to the onsets of the most recent ones.
 type pauseForecast struct {
 	consecutiveSpikes []int
-	count             []int           // pauses since the start
-	runStart          []time.Duration // onset of the consecutive spikes
-	lastSpike         []time.Duration // end of the last spike that belongs to a pause
-	onsets            [][maxOnsets]float64
-	next              []time.Duration // forecast onset; 0: none
-	interval          []time.Duration // between pauses, from the fitted line
+	count             []int                // pauses since the start
+	runStart          []time.Duration      // onset of the consecutive spikes
+	lastSpike         []time.Duration      // end of the last spike that belongs to a pause
+	onsets            [][maxOnsets]float64 // of the last pauses in seconds, oldest first; the first min(count, maxOnsets) are set
+	next              []time.Duration      // forecast onset; 0: none
+	interval          []time.Duration      // between pauses, from the fitted line
 }
 
 func (f *pauseForecast) addServer(s int) {
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -25,7 +25,7 @@
 // root of its weight as credit, and the server with the most credit is next: with equal weights this is plain round
 // robin.
 type picker struct {
-	position      int       // in the subset, start of the next round
+	position      int       // in subset.members: where the next walk starts
 	credit        []float64 // by server, in turns
 	weight        []float64 // by server: listed weight, reduced while the server is warming up, slow or suspected
 	totalWeight   float64   // of the subset
@@ -47,16 +47,20 @@
 type strictness int
 
 const (
-	strictnessRules    strictness = iota // servers that isExcluded names
+	strictnessRules    strictness = iota // only servers that isExcluded reports
 	strictnessHealth                     // also servers already tried for the request, and unhealthy ones
 	strictnessForecast                   // also servers near a forecast pause, above the mean load, or avoided by a plan
 	strictnessIdle                       // also servers with an attempt in flight
 )
 
-// canSend reports whether a request may have an attempt now, and picks the server for it. While the subset can grow,
-// its idle servers come first; if all are busy or skipped, the next server of the rotation joins. If none can join,
-// busy servers are allowed, and the strictness is lowered step by step. While connections are refused, only idle
-// servers get requests.
+// canSend reports whether a request may have an attempt now, and picks the server for it. A new or queued request needs
+// capacity under the concurrency limits of the node and of its route; the guards of retries and hedged attempts check
+// capacity themselves.
+//
+// While the subset can grow, its idle servers come first; if all are busy or skipped, another server joins
+// (growSubset). If none can join, busy servers are allowed, and the strictness is lowered step by step. While more than
+// maxRefusedConnectShare of the attempts have their connections refused, only idle servers get requests, and the
+// probability that a server joins falls as that share rises.
 func (p *Policy) canSend(request int) bool {
 	r := &p.requests.all[request]
 	if r.state != stateInFlight && (p.isSaturated() || !p.routes.hasCapacity(r.routeLimit)) {
@@ -140,14 +144,16 @@
 		t.KeyScope == KeyScopeCell && p.servers.cell[s] != p.servers.cell[r.firstRunServer]
 }
 
-// isAboveMeanLoad reports whether a server has more in flight than the mean for its weight.
+// isAboveMeanLoad reports whether a server has more attempts in flight, including abandoned ones, than the mean for its
+// weight.
 func (p *Policy) isAboveMeanLoad(s int) bool {
 	mean := meanLoadFactor * p.concurrency.inFlight * p.picker.weight[s] / max(p.picker.totalWeight, minDivisor)
 	return float64(p.load.inFlight[s])+p.load.abandoned[s] > mean
 }
 
-// updateWeights computes the capacity of each server of the subset, and the number of ready servers. Each level of
-// suspicion halves a server's turns, which are proportional to the square root of its weight.
+// updateWeights computes the weight of each server of the subset, the totals of weight and capacity, and the number of
+// ready servers. Each level of suspicion halves a server's turns, which are proportional to the square root of its
+// weight.
 func (p *Policy) updateWeights() {
 	k := &p.picker
 	k.totalWeight, k.totalCapacity, p.subset.readyCount = 0, 0, p.readiness.ReadyCount()
--- a/policy/plan.go
+++ b/policy/plan.go
@@ -27,15 +27,15 @@
 	return c
 }
 
-// updatePlan applies a plan. Servers that the plan no longer assigns to the node, or avoids, leave the subset unless
-// an attempt is in flight there.
+// updatePlan applies a plan. Servers that the plan no longer assigns to the node, or avoids, leave the subset, except a
+// server with an attempt in flight and the last member.
 func (p *Policy) updatePlan(in *Input) {
 	p.settings.NodeCount = in.NodeCount
 	p.quotaUsage.withinQuotaShares = in.WithinQuotaShares
 	p.admission.maxAdmittedShare = in.MaxAdmittedShare
-	before := map[int]float64{}
+	previousPreference := map[int]float64{}
 	for s := range p.plan.assigned.All() {
-		before[s] = p.plan.preference[s]
+		previousPreference[s] = p.plan.preference[s]
 		p.plan.preference[s], p.plan.slowStartRate[s] = 0, 0
 		p.plan.assigned.Remove(s)
 	}
@@ -48,7 +48,7 @@
 	}
 	for i := len(p.subset.members) - 1; i >= 0 && len(p.subset.members) > 1; i-- {
 		s := p.subset.members[i]
-		isUnassigned := p.plan.preference[s] == 0 && before[s] > 0
+		isUnassigned := p.plan.preference[s] == 0 && previousPreference[s] > 0
 		if (isUnassigned || p.plan.preference[s] < 0) && p.load.inFlight[s] == 0 {
 			p.removeFromSubset(i)
 		}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -19,7 +19,7 @@
 	now         time.Duration // of the current input
 	lastTick    time.Duration
 	effects     []Effect // of the current input
-	picked      int      // server selected by a guard of the lifecycle for the action that follows
+	picked      int      // server selected by a guard of the lifecycle, for the action of the same transition
 
 	requests    requestTable
 	dequeues    dequeueCounter
@@ -53,13 +53,13 @@
 	p.admission.admitted = 1
 	p.poll.backoff = initialPollBackoff
 	p.attribution.keys = make([]decay.FailureRate, keyRecordCount)
-	unlike := slices.Repeat([]int{-1}, len(s.TrafficTypes))
-	p.updateTrafficTypes(&Input{TrafficTypes: s.TrafficTypes, LearnFrom: unlike, RouteLimits: []int{0}})
+	noSources := slices.Repeat([]int{-1}, len(s.TrafficTypes))
+	p.updateTrafficTypes(&Input{TrafficTypes: s.TrafficTypes, LearnFrom: noSources, RouteLimits: []int{0}})
 	return p
 }
 
-// Handle processes one input at the time now, which is monotonic, and returns effects with its own appended. An input
-// that refers to an unknown or ended request or attempt has no effect.
+// Handle processes one input at the time now, which is monotonic, and returns effects with its own appended. The end
+// of an attempt that is unknown or has already ended, and ClientLeft for an unknown or done request, have no effect.
 func (p *Policy) Handle(now time.Duration, in *Input, effects []Effect) []Effect {
 	p.now, p.effects = now, effects
 	switch in.Kind {
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	maxQueueShare    = 0.3 // of the latency objective: longest time that a request may be queued
+	maxQueueShare    = 0.3 // of the latency objective: longest time in the queue, unless the type sets MaxQueueTime
 	minLatenciesLeft = 1.5 // typical latencies that must remain until the objective after queueing
 )
 
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -13,7 +13,7 @@
 	tenants           tenants.Table
 	total             float64   // of all quotas, in requests a second over all nodes
 	known             int       // tenants with a lower index have a quota
-	changed           bool      // they differ from those of the settings
+	changed           bool      // Settings.TenantQuotas is a modified copy, no longer the slice passed to New
 	withinQuotaShares []float64 // of a plan, by tenant; nil without one
 }
 
@@ -56,9 +56,9 @@
 // evenly over nodes, so the share rises with the ratio of the other tenants' traffic to their shares; it has slack
 // for the random variation of few arrivals.
 func (p *Policy) fairShare(tenant int) float64 {
-	nodes, own := float64(p.settings.NodeCount), p.settings.TenantQuotas[tenant]
-	otherShares := (p.quotaUsage.total - own) / nodes
+	nodes, quota := float64(p.settings.NodeCount), p.settings.TenantQuotas[tenant]
+	otherShares := (p.quotaUsage.total - quota) / nodes
 	otherRates := p.quotaUsage.tenants.TotalRate() - p.quotaUsage.tenants.ArrivalRate(tenant)
-	share := own / nodes * max(1, otherRates/max(otherShares, minDivisor))
+	share := quota / nodes * max(1, otherRates/max(otherShares, minDivisor))
 	return share + math.Sqrt(share/rateMemory.Seconds())
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -47,7 +47,7 @@
 	isClientRetry bool
 
 	arrivedAt      time.Duration
-	objectiveAt    time.Duration // latency objective less objectiveLeadGranularities: attempts are late from then on
+	objectiveAt    time.Duration // latency objective less a lead, at most clientDeadline: attempts are late from then on
 	clientDeadline time.Duration // when the client gives up
 
 	attempts            []attempt
@@ -55,7 +55,7 @@
 	firstRunServer      int           // server of the first attempt that may have run: retries stay in its key scope
 	firstRunAt          time.Duration // when that attempt was sent
 	lastOutcome         Outcome
-	isFailureAttributed bool // the last outcome that concerns the server or the request is a failure of the request
+	isFailureAttributed bool // the last outcome passed to recordAndAttribute is a failure of the request itself
 
 	lastDequeue int // number of the last dequeue run that tried the request
 }
@@ -128,7 +128,8 @@
 	p.advance(in.Request, onArrival)
 }
 
-// clientLeft ends a request that no longer needs a response. Its attempts in flight count until they end.
+// clientLeft ends a request that no longer needs a response. Its attempts in flight count as load of their servers, and
+// toward the concurrency limit, until they end.
 func (p *Policy) clientLeft(in *Input) {
 	if in.Request < len(p.requests.all) {
 		p.advance(in.Request, onResponseNotNeeded)
@@ -166,9 +167,10 @@
 	return p.now >= r.objectiveAt && p.settings.TrafficTypes[r.trafficType].LateWeightShare > 0
 }
 
-// reject sends the final response that the client may retry, with a Retry-After. If the client can still be served
-// within its objective, the Retry-After ends early enough for that; otherwise it is close to MaxRetryAfter, because
-// an earlier retry would meet the same overload. Both are randomized, so that clients do not retry simultaneously.
+// reject sends the final response that the client may retry, with a Retry-After unless MaxRetryAfter is 0. If the client
+// can still be served within its objective, the Retry-After ends early enough for that; otherwise it is close to
+// MaxRetryAfter, because an earlier retry would meet the same overload. Both are randomized, so that clients do not retry
+// simultaneously.
 func (p *Policy) reject(request int) {
 	r := &p.requests.all[request]
 	after := time.Duration(float64(p.settings.MaxRetryAfter) * (minRetryAfterShare + (1-minRetryAfterShare)*p.randomFloat()))
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -23,8 +23,8 @@
 	return budgets{retries: slices.Clone(b.retries), hedges: slices.Clone(b.hedges)}
 }
 
-// refillBudgets adds to the budgets of a type for requests and seconds, up to the amount that accumulates within
-// budgetMemorySeconds.
+// refillBudgets adds to the budgets of a type for requests and seconds. A budget is at most the amount that accumulates
+// within budgetMemorySeconds, or 1 if that is less.
 func (p *Policy) refillBudgets(trafficType int, requests, seconds float64) {
 	t, b := &p.settings.TrafficTypes[trafficType], &p.budgets
 	rates := p.admission.ratesOf(trafficType)
@@ -67,8 +67,9 @@
 	return p.hasRetryCapacity(r, t) && p.canSend(request)
 }
 
-// hasRetryCapacity reports whether servers have capacity for a retry. The first retry of a request with the highest
-// priority weight is always sent.
+// hasRetryCapacity reports whether servers have capacity for a retry. It is always true for the first retry of a request
+// with the highest priority weight. Other requests that may have run are not retried while the node is saturated. After
+// an Overloaded outcome the decision is random, with the share of overloaded attempts as the probability of no retry.
 func (p *Policy) hasRetryCapacity(r *request, t *TrafficType) bool {
 	if len(r.attempts) == 1 && t.PriorityWeight >= p.admission.maxPriorityWeight {
 		return true
@@ -94,12 +95,12 @@
 		p.load.lastResponseAt[s] = p.now
 	}
 	if p.outliers.ejections.Get(s, r.trafficType).Consecutive > 0 {
-		p.outliers.ejections.SetEjectedUntil(s, r.trafficType, r.objectiveAt) // a single attempt at a time on trial
+		p.outliers.ejections.SetEjectedUntil(s, r.trafficType, r.objectiveAt) // one trial attempt at a time
 	}
 	p.load.inFlight[s]++
 	p.concurrency.inFlight++
 	if p.attributedShedShare(r) > 0 {
-		p.uncountAttempts(request) // requests that can succeed have the whole limit
+		p.uncountAttempts(request) // requests that are likely to fail leave the whole limit to the others
 	}
 	if p.slowStart.servers.Has(s) {
 		p.slowStart.tokens[s]--
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -51,8 +51,8 @@
 	HedgeRatio          float64       // hedged attempts per request
 	PoolLabels          uint64        // bit set of labels; a server needs at least one of them
 
-	// MaxShedShare is the largest share of the type's requests that may be shed under overload. Requests whose
-	// attributes fail at every server may exceed it.
+	// MaxShedShare is the largest share of the type's requests that may be shed under overload. Requests that share an
+	// attribute (type, tenant or key) with requests that fail at every server may be shed beyond it.
 	MaxShedShare float64
 
 	PlacementBit uint64 // bit of the type's entry in Settings.Placements; 0: any server
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -37,7 +37,8 @@
 // isOutOfTokens reports whether a server is warming up and may get no attempt now.
 func (w *slowStart) isOutOfTokens(s int) bool { return w.servers.Has(s) && w.tokens[s] < 1 }
 
-// startSlowStart starts the warm-up of a server at the time since.
+// startSlowStart starts the warm-up of a server at the time since. It clears the server's failure counts and ends its
+// ejection for all types, since they result from attempts before the start.
 func (p *Policy) startSlowStart(s int, since time.Duration) {
 	p.slowStart.servers.Add(s)
 	p.slowStart.since[s], p.slowStart.tokens[s] = since, 0
@@ -46,7 +47,7 @@
 }
 
 // updateCapacityShare returns the share of its full capacity that a server has at least: it grows linearly over the
-// longest warm-up. A server that has progress up leaves slow start.
+// longest warm-up. A server whose warm-up has ended leaves slow start.
 func (p *Policy) updateCapacityShare(s int) float64 {
 	progress := float64(p.now-p.slowStart.since[s]) / float64(max(p.settings.SlowStartDuration, 1))
 	if progress >= 1 {
@@ -60,9 +61,9 @@
 }
 
 // refillSlowStart grants attempts to the servers in slow start. The load that crashes a server comes from all nodes,
-// so each node grants the rate that a warm server of the same weight handles for this node, reduced to the server's
-// least capacity. Tokens are granted and expire at random: nodes whose rates are far below one token a tick still add
-// up to the intended rate.
+// so each node grants the rate of a plan or else a share of the load that a warm server of the same weight handles for
+// this node, both reduced to the capacity that the server has at least. Tokens are granted and expire at random: nodes
+// whose rates are far below one token a tick still add up to the intended rate.
 func (p *Policy) refillSlowStart(elapsed time.Duration) {
 	if p.slowStart.servers.Len() == 0 {
 		return
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -14,7 +14,7 @@
 
 const (
 	subsetSlack             = 2.0              // servers above the peak in flight, so that one is idle while another works
-	minSuccessRatePerServer = 1.0              // per server: enough to identify slow servers within ten seconds
+	minSuccessRatePerServer = 1.0              // successes a second per server: enough to identify slow servers within ten seconds
 	subsetMemory            = 10 * time.Second // time for which servers that were needed count as needed
 
 	// goldenSection is the share of the rotation between the start positions of two consecutive nodes. It spreads any
@@ -160,8 +160,8 @@
 	p.picker.position = min(p.picker.position, max(len(p.subset.members)-1, 0))
 }
 
-// shrinkSubset removes the slowest server while the subset has more members than were needed recently and more than
-// the success rate suffices to compare.
+// shrinkSubset removes the slowest server if the subset has more members than were needed recently and more than the
+// success rate suffices to compare. Each tick removes at most one server.
 func (p *Policy) shrinkSubset(elapsed time.Duration) {
 	u := &p.subset
 	u.peakInFlight = max(u.peakInFlight*decayFactor(elapsed, subsetMemory), p.concurrency.inFlight)
