--- a/internal/proxy/dispatch/effects.go
+++ b/internal/proxy/dispatch/effects.go
@@ -9,7 +9,7 @@
 func (d *Dispatcher) effects() *effectHandler { return (*effectHandler)(d) }
 
 // SendAttempt starts an attempt. If no other attempt of the request is in flight, the request's own goroutine sends it.
-// Otherwise it is sent as a hedged attempt.
+// Otherwise it is sent as a hedged attempt. An attempt of a settled request is only recorded; NextDecision ends it unsent.
 func (h *effectHandler) SendAttempt(request uint64, server string, timeout time.Duration) {
 	r := h.requests.byID[request]
 	if r == nil {
--- a/internal/proxy/dispatch/endpoints.go
+++ b/internal/proxy/dispatch/endpoints.go
@@ -174,8 +174,8 @@
 	return false
 }
 
-// IsTooLateToWrite reports whether no attempt may be written to a server, because the server is unknown or has been draining
-// or removed for more than maxWriteDelay, which ends before Settings.DrainGrace. The time of the decision does not matter.
+// IsTooLateToWrite reports whether a server may no longer receive attempts: it is unknown, or it has been draining or removed
+// for more than maxWriteDelay, which ends before Settings.DrainGrace. The time of the decision does not matter.
 // Callers check it directly before they write an attempt, since a connect or the journal may have taken long.
 func (d *Dispatcher) IsTooLateToWrite(server string) bool {
 	d.mu.Lock()
--- a/internal/proxy/dispatch/endpoints_test.go
+++ b/internal/proxy/dispatch/endpoints_test.go
@@ -57,12 +57,12 @@
 					t.Errorf("attempt %d was sent to the server", decision.Attempt)
 				}
 			}
-			first := 0
+			decidedForServer := 0
 			for _, request := range waiting {
 				select { // decided before the server left
 				case <-request.ready:
 					if request.pending.Server == "a" {
-						first++
+						decidedForServer++
 					}
 					request.ready <- struct{}{}
 					decision := request.NextDecision(func() {})
@@ -71,7 +71,7 @@
 				default:
 				}
 			}
-			if first == 0 {
+			if decidedForServer == 0 {
 				t.Fatal("no attempt was sent to the server before it left")
 			}
 			for _, request := range waiting { // retries, and queued requests
--- a/internal/proxy/dispatch/quotas_test.go
+++ b/internal/proxy/dispatch/quotas_test.go
@@ -54,7 +54,7 @@
 	}
 	module.changed = nil
 	before := submit("c")
-	d.SetQuotas(map[string]float64{"b": 5, "a": 1, "c": 7, "bad": -1, "worse": math.NaN(), "worst": math.Inf(1)})
+	d.SetQuotas(map[string]float64{"b": 5, "a": 1, "c": 7, "negative": -1, "not a number": math.NaN(), "infinite": math.Inf(1)})
 	want := map[int]float64{1: 5, 2: 7} // the quota of a has not changed
 	got := map[int]float64{}
 	for _, c := range module.changed {
@@ -63,7 +63,7 @@
 	if !maps.Equal(got, want) || len(module.changed) != 2 {
 		t.Errorf("got changed quotas %v, want %v", module.changed, want)
 	}
-	if indices := []int{submit("a"), submit("b"), submit("c"), submit("bad")}; before != 2 || !slices.Equal(indices, []int{0, 1, 2, 3}) {
+	if indices := []int{submit("a"), submit("b"), submit("c"), submit("negative")}; before != 2 || !slices.Equal(indices, []int{0, 1, 2, 3}) {
 		t.Errorf("got index %d for the unknown tenant and then indices %v, want 2 and [0 1 2 3]", before, indices)
 	}
 	d.SetQuotas(map[string]float64{"b": 5})
--- a/internal/proxy/dispatch/request.go
+++ b/internal/proxy/dispatch/request.go
@@ -125,7 +125,8 @@
 }
 
 // BeginWrite reports whether an attempt may be written, which is false once the request is settled. If it is true, a
-// disconnect of the client no longer cancels the attempt, because its result gives information about the server.
+// disconnect of the client no longer cancels the attempt, because its result gives information about the server. The attempt
+// is still canceled if new requests lack capacity (abandonDisconnected).
 func (r *Request) BeginWrite(attempt int) bool {
 	r.dispatcher.mu.Lock()
 	defer r.dispatcher.unlock()
@@ -173,7 +174,7 @@
 }
 
 // ClientDisconnected reports that the client has disconnected. A later response is discarded. An attempt whose write has
-// begun continues, because its result gives information about the server.
+// begun continues, because its result gives information about the server, until new requests lack capacity.
 func (r *Request) ClientDisconnected() {
 	r.dispatcher.mu.Lock()
 	defer r.dispatcher.unlock()
--- a/internal/proxy/dispatch/retention.go
+++ b/internal/proxy/dispatch/retention.go
@@ -1,7 +1,7 @@
 package dispatch
 
 // IdleRetention is the rule for keeping idle connections to servers. The default is closeUnusable. The testbed has a
-// deliberately broken rule, which verifies that its checks detect the violation.
+// deliberately broken rule, with which it verifies that its checks detect the violation.
 type IdleRetention interface {
 	// MayIdle reports whether a connection that becomes idle is kept. isServerUsable states whether its server is usable.
 	MayIdle(isServerUsable bool) bool
--- a/internal/proxy/dispatch/submit.go
+++ b/internal/proxy/dispatch/submit.go
@@ -114,8 +114,8 @@
 	return r
 }
 
-// abandonDisconnected cancels the attempts of settled requests, such as those of disconnected clients, so that their
-// descriptors become available to requests with a client.
+// abandonDisconnected cancels all attempts of settled requests, also those of disconnected clients whose write has begun, so
+// that their descriptors become available to requests with a client.
 func (d *Dispatcher) abandonDisconnected() {
 	for _, r := range d.requests.byID {
 		for _, a := range r.inFlight {
--- a/internal/proxy/engine/engine.go
+++ b/internal/proxy/engine/engine.go
@@ -23,8 +23,8 @@
 // request is an open request. Its position in Engine.requests is its index.
 type request struct {
 	id        uint64
-	inFlight  int // number of attempts in flight
-	isSettled bool
+	inFlight  int   // number of attempts in flight
+	isSettled bool  // the final response is decided, or the client has disconnected
 	servers   []int // server of each attempt sent so far
 }
 
--- a/internal/proxy/engine/golden_test.go
+++ b/internal/proxy/engine/golden_test.go
@@ -207,15 +207,15 @@
 		h.updateEndpoints(policy.Incremental, []Endpoint[uint32]{h.endpoint(id, policy.Draining), h.endpoint(id, policy.Up)})
 	case r < 18:
 		var endpoints []Endpoint[uint32]
-		kept := h.servers[:0:0]
-		drop := h.rand.Float64() * 0.5
+		remaining := h.servers[:0:0]
+		removalShare := h.rand.Float64() * 0.5
 		for _, id := range h.servers {
-			if len(kept) < 2 || h.rand.Float64() > drop {
-				kept = append(kept, id)
+			if len(remaining) < 2 || h.rand.Float64() > removalShare {
+				remaining = append(remaining, id)
 				endpoints = append(endpoints, h.endpoint(id, policy.Up))
 			}
 		}
-		h.servers = kept
+		h.servers = remaining
 		h.updateEndpoints(policy.Full, append(endpoints, h.newEndpoints(h.rand.IntN(4))...))
 	default:
 		h.updateEndpoints(policy.Unavailable, nil)
@@ -232,31 +232,31 @@
 			in.WithinQuotaShares = append(in.WithinQuotaShares, h.rand.Float64()*1.5)
 		}
 	}
-	var shares []Assignment[uint32]
+	var assignments []Assignment[uint32]
 	for _, id := range h.servers {
 		if h.rand.IntN(3) == 0 {
 			s := policy.Assignment{Preference: float64(h.rand.IntN(4)-1) / 2, SlowStartRate: float64(h.rand.IntN(3))}
 			if h.rand.IntN(8) == 0 {
 				s.EjectFor = time.Second
 			}
-			shares = append(shares, Assignment[uint32]{Server: id, Info: s})
+			assignments = append(assignments, Assignment[uint32]{Server: id, Info: s})
 		}
 	}
-	h.engine.PlanChanged(h.now, in, shares, h)
+	h.engine.PlanChanged(h.now, in, assignments, h)
 }
 
 func (h *history) changeTrafficTypes() {
-	like := make([]int, len(h.settings.TrafficTypes))
-	for k := range like {
-		like[k] = k
+	latencySources := make([]int, len(h.settings.TrafficTypes))
+	for k := range latencySources {
+		latencySources[k] = k
 	}
 	types := append([]policy.TrafficType(nil), h.settings.TrafficTypes...)
 	if len(types) < 9 {
-		like = append(like, h.rand.IntN(len(types)+1)-1)
+		latencySources = append(latencySources, h.rand.IntN(len(types)+1)-1)
 		types = append(types, h.trafficType(len(types)))
 	}
 	h.settings.TrafficTypes, h.routeLimits = types, 1
-	h.engine.TrafficTypesChanged(h.now, policy.Input{TrafficTypes: types, LearnFrom: like, RouteLimits: []int{0, 5 + h.rand.IntN(30)}}, h)
+	h.engine.TrafficTypesChanged(h.now, policy.Input{TrafficTypes: types, LearnFrom: latencySources, RouteLimits: []int{0, 5 + h.rand.IntN(30)}}, h)
 }
 
 // endAttempt ends an attempt with an outcome that depends on whether its server is currently faulty.
--- a/internal/proxy/shadow/module_test.go
+++ b/internal/proxy/shadow/module_test.go
@@ -88,7 +88,7 @@
 // disable the evaluation.
 func TestComparisonsAreLimited(t *testing.T) {
 	for name, c := range map[string]struct {
-		shares      []float64
+		quotas      []float64 // of the candidate settings
 		maxCompared int
 		failed      bool
 	}{
@@ -99,7 +99,7 @@
 			s, evaluated := testSettings(), new(Candidate)
 			s.TenantQuotas = []float64{1}
 			module := NewModule(policy.New(s, 7), evaluated)
-			s.TenantQuotas = c.shares
+			s.TenantQuotas = c.quotas
 			evaluated.SetSettings(&settings.Settings{Settings: s})
 			for i := range 10 * maxComparisonsPerSecond {
 				module.Handle(0, &policy.Input{Kind: policy.RequestArrived, Request: i, Timeout: time.Second}, nil)
