--- a/policy/cost_test.go
+++ b/policy/cost_test.go
@@ -54,8 +54,8 @@
 			}
 			few, fewAllocs := cost(1_000)
 			many, manyAllocs := cost(20_000)
-			if many > 2*few+8 || many > 16*bits.Len(20_000) { // the logarithm is half larger
-				t.Errorf("visits per change: got %d with 1,000 servers and %d with 20,000, want about equal", few, many)
+			if many > 2*few+8 || many > 16*bits.Len(20_000) { // the logarithm is 1.5 times as large
+				t.Errorf("visits per change: got %d with 1,000 servers and %d with 20,000, want at most twice as many plus 8, and at most 16 log n", few, many)
 			}
 			if fewAllocs > 0 || manyAllocs > 0 { // copying any table would allocate
 				t.Errorf("allocations per change: got %g with 1,000 servers and %g with 20,000, want 0", fewAllocs, manyAllocs)
@@ -163,7 +163,7 @@
 		p.Handle(now+5*ms, &Input{Kind: AttemptEnded, Request: i, Outcome: Success, ClientAnswered: true}, nil)
 	}
 	if got := tick(1); got == 0 || got > 4*inUse { // tenants and servers once, types twice
-		t.Errorf("tick: got %d visits for %d active elements of each table, want 1 to 4 per element", got, inUse)
+		t.Errorf("tick: got %d visits for %d active elements of each table, want at least one, and at most 4 per element", got, inUse)
 	}
 	var effects []Effect
 	if got := testing.AllocsPerRun(20, func() { effects = p.Handle(now, &Input{Kind: TimerFired}, effects[:0]) }); got > 0 {
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -45,7 +45,7 @@
 		}},
 		"removed": {closes, func(t *testing.T, h *harness) {
 			if got := closed(drain(h, 0, Removed)); got != 1 {
-				t.Errorf("closes: got %d", got)
+				t.Errorf("closes at the notice: got %d, want 1", got)
 			}
 		}},
 		"after the last outcome": {closes, func(t *testing.T, h *harness) {
@@ -83,7 +83,7 @@
 		}},
 		"CloseOnDrain not set": {nil, func(t *testing.T, h *harness) {
 			if got := closed(drain(h, 0, Draining)) + closed(h.end(10*ms, 0, 0, Success)) + len(closedDuring(h, 20*ms, time.Second)); got != 0 {
-				t.Errorf("closes: got %d", got)
+				t.Errorf("closes without CloseOnDrain: got %d, want 0", got)
 			}
 		}},
 	} {
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -28,7 +28,7 @@
 				ready = append(ready, h.readiness.Ready(s))
 			}
 			if !reflect.DeepEqual(ready, c.want) {
-				t.Errorf("ready %v, want %v", ready, c.want)
+				t.Errorf("ready by server: got %v, want %v", ready, c.want)
 			}
 		})
 	}
--- a/policy/internal/failures/failures_test.go
+++ b/policy/internal/failures/failures_test.go
@@ -16,7 +16,7 @@
 
 func TestEntries(t *testing.T) {
 	const trafficType = 2
-	failed := func(table *Table) {
+	recordFailures := func(table *Table) {
 		e := table.GetOrCreate(1, trafficType)
 		e.Consecutive, e.LastAt, e.EjectedUntil = 3, time.Second, time.Minute
 		table.SetEjectedUntil(1, AllTypes, time.Hour)
@@ -43,7 +43,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := newTable(3)
-			failed(table)
+			recordFailures(table)
 			copied := table.Clone()
 			c.change(table)
 			if got := table.Get(1, trafficType); got != c.want || table.EjectedUntil(1, trafficType) != c.want.EjectedUntil {
--- a/policy/internal/tenants/tenants_test.go
+++ b/policy/internal/tenants/tenants_test.go
@@ -5,29 +5,29 @@
 // TestDecayDropsTenantsWithoutTraffic checks that the table stores only tenants with recent traffic, whatever their
 // indices.
 func TestDecayDropsTenantsWithoutTraffic(t *testing.T) {
-	const most, half, least = 389_999, 0.5, 0.2
+	const lastTenant, half, minimum = 389_999, 0.5, 0.2
 	var table Table
-	table.RecordArrival(most, 1)
+	table.RecordArrival(lastTenant, 1)
 	table.RecordArrival(5, 0.25)
 	table.FailureRate(7).Observe(1, 10)
-	if got := table.RecordArrival(most, 1); got != 2 || table.ArrivalRate(most) != 2 || table.TotalRate() != 2.25 || table.Len() != 3 {
+	if got := table.RecordArrival(lastTenant, 1); got != 2 || table.ArrivalRate(lastTenant) != 2 || table.TotalRate() != 2.25 || table.Len() != 3 {
 		t.Fatalf("got rate %g, and total rate %g of %d tenants, want 2, 2.25 and 3", got, table.TotalRate(), table.Len())
 	}
 	copied := table.Clone()
-	table.Decay(half, least, half, least)
-	if table.ArrivalRate(most) != 1 || table.ArrivalRate(5) != 0 || table.TotalRate() != 1 || table.Len() != 2 || table.Visits() != 3 {
-		t.Errorf("after decay: got rates %g and %g, total rate %g of %d tenants and %d visits, want 1, 0, 1, 2 and 3", table.ArrivalRate(most), table.ArrivalRate(5), table.TotalRate(), table.Len(), table.Visits())
+	table.Decay(half, minimum, half, minimum)
+	if table.ArrivalRate(lastTenant) != 1 || table.ArrivalRate(5) != 0 || table.TotalRate() != 1 || table.Len() != 2 || table.Visits() != 3 {
+		t.Errorf("after decay: got rates %g and %g, total rate %g of %d tenants and %d visits, want 1, 0, 1, 2 and 3", table.ArrivalRate(lastTenant), table.ArrivalRate(5), table.TotalRate(), table.Len(), table.Visits())
 	}
 	if got := table.FailureRate(7).Failed; got != half {
 		t.Errorf("failures of a tenant without arrivals: got %g, want 0.5", got)
 	}
 	for range 3 {
-		table.Decay(half, least, half, least)
+		table.Decay(half, minimum, half, minimum)
 	}
-	if table.Len() != 0 || table.TotalRate() != 0 || table.ArrivalRate(most) != 0 || table.ArrivalRate(most+1) != 0 {
+	if table.Len() != 0 || table.TotalRate() != 0 || table.ArrivalRate(lastTenant) != 0 || table.ArrivalRate(lastTenant+1) != 0 {
 		t.Errorf("after full decay: got %d tenants and total rate %g, want 0", table.Len(), table.TotalRate())
 	}
-	if copied.ArrivalRate(most) != 2 || copied.Len() != 3 || copied.FailureRate(7).Failed != 1 {
+	if copied.ArrivalRate(lastTenant) != 2 || copied.Len() != 3 || copied.FailureRate(7).Failed != 1 {
 		t.Error("clone changed with the table")
 	}
 }
--- a/policy/lifecycle_test.go
+++ b/policy/lifecycle_test.go
@@ -121,7 +121,7 @@
 				if e.Kind == Reject || e.Kind == Fail {
 					responses++
 					if e.Kind != c.want {
-						t.Errorf("got final response %v, want the kind of the case", e.Kind)
+						t.Errorf("got final response of kind %v, not the one of the case", e.Kind)
 					}
 				}
 			}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -30,7 +30,7 @@
 		outcome     Outcome
 		old         bool // sent before the previous attempt ended
 	}
-	a, b, q := end{trafficType: 2, outcome: TimedOut}, end{trafficType: 0, outcome: Success}, end{2, TimedOut, true}
+	timeout, success, concurrentTimeout := end{trafficType: 2, outcome: TimedOut}, end{trafficType: 0, outcome: Success}, end{2, TimedOut, true}
 	repeat := func(n int, outcome Outcome) (ends []end) {
 		for range n {
 			ends = append(ends, end{trafficType: 0, outcome: outcome})
@@ -42,22 +42,22 @@
 		want  []bool // unhealthy, by type
 		trial bool   // a trial attempt follows
 	}{
-		"two timeouts of one type":                   {[]end{a, b, a, b}, []bool{false, false, false, false}, false},
-		"three timeouts of one type, others succeed": {[]end{a, b, a, b, a, b}, []bool{false, false, true, false}, true},
-		"three timeouts of one type, then a success": {[]end{a, b, a, b, a, b, {trafficType: 2, outcome: Success}}, []bool{false, false, false, false}, false},
-		"timeouts in flight together":                {[]end{a, q, q, q, b}, []bool{false, false, false, false}, false},
-		"consecutive timeouts of two types":          {[]end{a, {trafficType: 0, outcome: TimedOut}}, []bool{true, true, true, true}, false},
+		"two timeouts of one type":                   {[]end{timeout, success, timeout, success}, []bool{false, false, false, false}, false},
+		"three timeouts of one type, others succeed": {[]end{timeout, success, timeout, success, timeout, success}, []bool{false, false, true, false}, true},
+		"three timeouts of one type, then a success": {[]end{timeout, success, timeout, success, timeout, success, {trafficType: 2, outcome: Success}}, []bool{false, false, false, false}, false},
+		"timeouts in flight together":                {[]end{timeout, concurrentTimeout, concurrentTimeout, concurrentTimeout, success}, []bool{false, false, false, false}, false},
+		"consecutive timeouts of two types":          {[]end{timeout, {trafficType: 0, outcome: TimedOut}}, []bool{true, true, true, true}, false},
 		"one connection refused":                     {repeat(1, Unreachable), []bool{false, false, true, false}, false},
 		"two refused":                                {repeat(2, Unreachable), []bool{true, true, true, true}, false},
 		"one broken connection":                      {repeat(1, ConnectionBroken), []bool{false, false, false, false}, false},
 		"only broken connections":                    {repeat(minSoftFailures, ConnectionBroken), []bool{true, true, true, true}, false},
-		"broken connections around a success":        {append(append(repeat(minSoftFailures-1, ConnectionBroken), b), repeat(1, ConnectionBroken)...), []bool{false, false, false, false}, false},
-		"client errors, then a success":              {append(repeat(minSoftFailures-1, ClientError), b), []bool{false, false, false, false}, false},
-		"client errors around a success":             {append(append(repeat(minSoftFailures-1, ClientError), b), repeat(1, ClientError)...), []bool{false, false, false, false}, false},
+		"broken connections around a success":        {append(append(repeat(minSoftFailures-1, ConnectionBroken), success), repeat(1, ConnectionBroken)...), []bool{false, false, false, false}, false},
+		"client errors, then a success":              {append(repeat(minSoftFailures-1, ClientError), success), []bool{false, false, false, false}, false},
+		"client errors around a success":             {append(append(repeat(minSoftFailures-1, ClientError), success), repeat(1, ClientError)...), []bool{false, false, false, false}, false},
 		"only client errors":                         {repeat(minSoftFailures, ClientError), []bool{true, true, true, true}, false},
 		"one client error too few":                   {repeat(minSoftFailures-1, ClientError), []bool{false, false, false, false}, false},
 		"overloaded twice consecutively":             {[]end{{trafficType: 0, outcome: Overloaded}, {trafficType: 2, outcome: Overloaded}}, []bool{true, true, true, true}, false},
-		"overloaded, success, overloaded":            {[]end{{trafficType: 0, outcome: Overloaded}, b, {trafficType: 2, outcome: Overloaded}}, []bool{false, false, true, false}, false},
+		"overloaded, success, overloaded":            {[]end{{trafficType: 0, outcome: Overloaded}, success, {trafficType: 2, outcome: Overloaded}}, []bool{false, false, true, false}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 4, func(s *Settings) { s.ConnectTimeout = 250 * ms }).fillSubset()
--- a/policy/picker_test.go
+++ b/policy/picker_test.go
@@ -104,7 +104,7 @@
 				}
 				for s, n := range turns {
 					if n < each-servers*maxTurnsAhead || n > each+servers*maxTurnsAhead {
-						t.Errorf("server %d: got %d turns, want about %d; all: %v", s, n, each, turns)
+						t.Errorf("server %d: got %d turns, want %d with a tolerance of servers*maxTurnsAhead; all: %v", s, n, each, turns)
 					}
 				}
 			}
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -45,7 +45,7 @@
 	north := Placement{Zones: []int{1}} // differs from the zone of the node
 	inNorth := func(s int) bool { return s%2 == 1 }
 	nowhere := func(int) bool { return false }
-	failing := func(outcome Outcome) func(*harness) []Effect {
+	sendingWith := func(outcome Outcome) func(*harness) []Effect {
 		return func(h *harness) []Effect { return h.sendMany(0, 60, outcome) }
 	}
 	for name, c := range map[string]struct {
@@ -55,22 +55,22 @@
 		allowed func(s int) bool
 		none    bool // no attempt is expected
 	}{
-		"a zone":                           {north, nil, failing(Success), inNorth, false},
-		"a machine kind":                   {Placement{MachineKinds: []int{1}}, nil, failing(Success), func(s int) bool { return s/2%2 == 1 }, false},
-		"a zone and a machine kind":        {Placement{Zones: []int{1}, MachineKinds: []int{1}}, nil, failing(Success), func(s int) bool { return s%4 == 3 }, false},
-		"two zones":                        {Placement{Zones: []int{0, 1}}, nil, failing(Success), func(int) bool { return true }, false},
-		"a zone without servers":           {Placement{Zones: []int{5}}, nil, failing(Success), nowhere, true},
-		"an empty list":                    {Placement{Zones: []int{}}, nil, failing(Success), nowhere, true},
+		"a zone":                           {north, nil, sendingWith(Success), inNorth, false},
+		"a machine kind":                   {Placement{MachineKinds: []int{1}}, nil, sendingWith(Success), func(s int) bool { return s/2%2 == 1 }, false},
+		"a zone and a machine kind":        {Placement{Zones: []int{1}, MachineKinds: []int{1}}, nil, sendingWith(Success), func(s int) bool { return s%4 == 3 }, false},
+		"two zones":                        {Placement{Zones: []int{0, 1}}, nil, sendingWith(Success), func(int) bool { return true }, false},
+		"a zone without servers":           {Placement{Zones: []int{5}}, nil, sendingWith(Success), nowhere, true},
+		"an empty list":                    {Placement{Zones: []int{}}, nil, sendingWith(Success), nowhere, true},
 		"all in the subset":                {north, nil, func(h *harness) []Effect { h.fillSubset(); return h.sendMany(0, 60, Success) }, inNorth, false},
-		"retries after errors":             {north, nil, failing(Failure), inNorth, false},
-		"retries after broken connections": {north, nil, failing(ConnectionBroken), inNorth, false},
-		"retries after overload":           {north, nil, failing(Overloaded), inNorth, false},
-		"all unreachable":                  {north, nil, failing(Unreachable), inNorth, false},
-		"all time out":                     {north, nil, failing(TimedOut), inNorth, false},
+		"retries after errors":             {north, nil, sendingWith(Failure), inNorth, false},
+		"retries after broken connections": {north, nil, sendingWith(ConnectionBroken), inNorth, false},
+		"retries after overload":           {north, nil, sendingWith(Overloaded), inNorth, false},
+		"all unreachable":                  {north, nil, sendingWith(Unreachable), inNorth, false},
+		"all time out":                     {north, nil, sendingWith(TimedOut), inNorth, false},
 		"hedged": {north, func(s *Settings) {
 			s.HedgingAllowed, s.TrafficTypes[bound].HedgeDelay, s.TrafficTypes[bound].HedgeRatio = true, 2*ms, 1
 		},
-			failing(Failure), inNorth, false},
+			sendingWith(Failure), inNorth, false},
 		"a pool of a route": {north, func(s *Settings) { s.TrafficTypes[bound].PoolLabels = 2 }, func(h *harness) []Effect {
 			h.listServers(0, Incremental, 12, func(endpoint *Endpoint) { endpoint.Labels = uint64(endpoint.Server/4%2 + 1) })
 			return h.sendMany(0, 60, Failure)
@@ -106,7 +106,7 @@
 			return h.sendMany(100*ms, 60, Failure)
 		}, func(s int) bool { return s/2%2 == 0 }, false},
 		"key scope": {north, func(s *Settings) { s.TrafficTypes[bound] = s.TrafficTypes[1]; s.TrafficTypes[bound].PlacementBit = 1 },
-			failing(Failure), inNorth, false},
+			sendingWith(Failure), inNorth, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newPlacementHarness(t, 12, c.to, c.change)
@@ -229,8 +229,8 @@
 // TestPlacementWhatIf checks that WhatIf uses the placements of the settings passed to it.
 func TestPlacementWhatIf(t *testing.T) {
 	for name, c := range map[string]struct {
-		own, other []Placement
-		want       int // zone
+		current, other []Placement
+		want           int // zone
 	}{
 		"placement in the other settings only": {nil, []Placement{{Zones: []int{1}}}, 1},
 		"different placements":                 {[]Placement{{Zones: []int{0}}}, []Placement{{Zones: []int{1}}}, 1},
@@ -238,7 +238,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			bit := func(p []Placement) uint64 { return uint64(len(p)) }
-			h := newHarness(t, 12, func(s *Settings) { s.Placements, s.TrafficTypes[bound].PlacementBit = c.own, bit(c.own) })
+			h := newHarness(t, 12, func(s *Settings) { s.Placements, s.TrafficTypes[bound].PlacementBit = c.current, bit(c.current) })
 			other := h.settings
 			other.TrafficTypes, other.Placements = slices.Clone(other.TrafficTypes), c.other
 			other.TrafficTypes[bound].PlacementBit = bit(c.other)
--- a/policy/plan_test.go
+++ b/policy/plan_test.go
@@ -37,13 +37,13 @@
 			h.at(0, Input{Kind: PlanChanged, NodeCount: 4, Assignments: c.first})
 			h.at(0, Input{Kind: PlanChanged, NodeCount: 4, Assignments: c.second})
 			if got := slices.Contains(h.subset.members, planned); got != c.isInSubset || got != h.subset.contains[planned] {
-				t.Errorf("in the subset %v, want %v", got, c.isInSubset)
+				t.Errorf("server in the subset: got %v, want %v", got, c.isInSubset)
 			}
 			if got := h.now < h.outliers.ejections.EjectedUntil(planned, failures.AllTypes); got != c.isEjected {
-				t.Errorf("ejected %v, want %v", got, c.isEjected)
+				t.Errorf("server ejected: got %v, want %v", got, c.isEjected)
 			}
 			if got := h.plan.slowStartRate[planned] > 0; got != c.hasSlowStart {
-				t.Errorf("slow-start rate %v, want %v", got, c.hasSlowStart)
+				t.Errorf("slow-start rate set: got %v, want %v", got, c.hasSlowStart)
 			}
 		})
 	}
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -16,7 +16,7 @@
 	}{
 		"within its share":                     {[]float64{4, 5}, 2, false},
 		"above its share":                      {[]float64{9, 5}, 2, true},
-		"above its share, the other equally":   {[]float64{9, 10}, 2, false},
+		"above an even share, as the other is": {[]float64{9, 10}, 2, false},
 		"far above its share, the other less":  {[]float64{30, 10}, 2, true},
 		"one arrival at one node among many":   {[]float64{0.33, 0.1}, 50, false},
 		"many arrivals at one node among many": {[]float64{3, 0.1}, 50, true},
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -13,8 +13,8 @@
 		trafficType int // 3 has the highest priority weight
 		outcome     Outcome
 		saturated   bool
-		broke       []int // servers whose connections broke before; the request is sent to server 0
-		ago         time.Duration
+		broke       []int         // servers whose connections broke before; the request is sent to server 0
+		ago         time.Duration // time from these breaks to the request
 		isRetried   bool
 	}{
 		"saturated":                      {0, Failure, true, nil, 0, false},
@@ -51,7 +51,7 @@
 	want        []EffectKind
 }
 
-// runRouteCases runs each case on a policy of its own.
+// runRouteCases runs each case on a separate policy.
 func runRouteCases(t *testing.T, cases map[string]routeCase) {
 	t.Helper()
 	for name, c := range cases {
--- a/policy/traffictype_test.go
+++ b/policy/traffictype_test.go
@@ -15,18 +15,18 @@
 		id, _ := h.arriveAt(h.now, 0, 2*time.Second)
 		h.end(h.now+30*ms, id, 0, Success)
 	}
-	held, _ := h.arriveAt(h.now, 0, 2*time.Second)
+	earlier, _ := h.arriveAt(h.now, 0, 2*time.Second)
 	types := slices.Clone(h.settings.TrafficTypes)
 	short := types[0]
 	short.MaxAttempts = 1
 	types = append(types, short)
-	learned := h.latency.typical[0]
+	typical := h.latency.typical[0]
 	h.at(h.now, Input{Kind: TrafficTypesChanged, TrafficTypes: types, LearnFrom: []int{0, 1, 2, 3, 0}, RouteLimits: []int{0}})
-	if h.latency.typical[0] != learned || h.latency.typical[4] != learned || h.latency.responseCounts[4] != h.latency.responseCounts[0] || len(h.admission.classes) != 10 {
-		t.Errorf("typical latency: was %s, got %s for the unchanged and %s for the new type; classes %v, want 10 of them", learned, h.latency.typical[0], h.latency.typical[4], h.admission.classes)
+	if h.latency.typical[0] != typical || h.latency.typical[4] != typical || h.latency.responseCounts[4] != h.latency.responseCounts[0] || len(h.admission.classes) != 10 {
+		t.Errorf("typical latency: was %s, got %s for the unchanged and %s for the new type; classes %v, want 10 of them", typical, h.latency.typical[0], h.latency.typical[4], h.admission.classes)
 	}
-	fresh, _ := h.arriveAt(h.now, 4, 2*time.Second)
-	for id, want := range map[int]EffectKind{held: SendAttempt, fresh: Reject} {
+	later, _ := h.arriveAt(h.now, 4, 2*time.Second)
+	for id, want := range map[int]EffectKind{earlier: SendAttempt, later: Reject} {
 		if e := effectKinds(h.end(h.now+10*ms, id, 0, Failure)); !slices.Equal(e, []EffectKind{want}) {
 			t.Errorf("request %d: got effects %v after a failure", id, e)
 		}
--- a/policy/whatif_test.go
+++ b/policy/whatif_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// playDay replays a fixed input sequence with failures; ask is called before each input. It returns all effects and
-// the number of inputs for which ask returned different effects.
-func playDay(t *testing.T, ask func(h *harness, now time.Duration, in *Input) []Effect) (all []Effect, differ int) {
+// replayInputs passes a fixed sequence of inputs, with failures, to a policy. It calls evaluate before each input, and
+// returns all effects and the number of inputs for which evaluate returned different effects.
+func replayInputs(t *testing.T, evaluate func(h *harness, now time.Duration, in *Input) []Effect) (all []Effect, differ int) {
 	h := newHarness(t, 5, func(s *Settings) {
 		s.MaxRetryAfter, s.HedgingAllowed, s.TenantQuotas = time.Second, true, []float64{40, 4}
 	})
 	handle := func(now time.Duration, in Input) []Effect {
-		want := ask(h, now, &in)
+		want := evaluate(h, now, &in)
 		got := h.at(now, in)
 		if !reflect.DeepEqual(want, got) {
 			differ++
@@ -39,7 +39,7 @@
 // TestWhatIfChangesNothing checks that WhatIf does not change the policy, and returns the same effects as Handle if
 // the settings are equal.
 func TestWhatIfChangesNothing(t *testing.T) {
-	alone, _ := playDay(t, func(*harness, time.Duration, *Input) []Effect { return nil })
+	withoutWhatIf, _ := replayInputs(t, func(*harness, time.Duration, *Input) []Effect { return nil })
 	for name, c := range map[string]struct {
 		change func(*Settings)
 		same   bool
@@ -50,13 +50,13 @@
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			watched, differ := playDay(t, func(h *harness, now time.Duration, in *Input) []Effect {
+			withWhatIf, differ := replayInputs(t, func(h *harness, now time.Duration, in *Input) []Effect {
 				s := h.settings
 				s.TrafficTypes = slices.Clone(s.TrafficTypes)
 				c.change(&s)
 				return h.WhatIf(&s, now, in, nil)
 			})
-			if !reflect.DeepEqual(alone, watched) {
+			if !reflect.DeepEqual(withoutWhatIf, withWhatIf) {
 				t.Error("effects of Handle differ between runs with and without WhatIf")
 			}
 			if (differ == 0) != c.same {
