--- a/internal/proxy/dispatch/counts.go
+++ b/internal/proxy/dispatch/counts.go
@@ -59,6 +59,7 @@
 }
 
 // RouteCounts calls f for each route with its own limits, with the counts of its requests since the previous call.
+// f is called with the lock held; it must not block or call the Dispatcher.
 func (d *Dispatcher) RouteCounts(f func(route string, inFlight int, c route.LimiterCounts)) {
 	d.mu.Lock()
 	defer d.unlock()
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -100,7 +100,7 @@
 	OverQuotaWeightShare float64   // share of the priority weight that requests above a tenant's quota retain
 
 	MustRequestEndpoints   bool          // the endpoint list is delivered only on request
-	RequestEndpointsWithin time.Duration // the pause after a failed request for the list is at most a quarter of this
+	RequestEndpointsWithin time.Duration // limits the backoff of requests for the list to a quarter of this, but not below initialPollBackoff
 	WeightsFollowLoad      bool          // listed weights decrease with the load of servers
 
 	SlowStartDuration        time.Duration
