--- a/internal/cluster/framing/conn.go
+++ b/internal/cluster/framing/conn.go
@@ -36,8 +36,8 @@
 	received []byte // buffer of Receive
 	sent     []byte // buffer of Send
 
-	// SentBytes and SentFrames count the bytes and frames that Send has written. Only the sending goroutine may access
-	// them.
+	// SentBytes and SentFrames count the bytes and frames that Send has written; a frame whose write failed counts too.
+	// Only the sending goroutine may access them.
 	SentBytes  int
 	SentFrames int
 }
@@ -101,7 +101,7 @@
 		return "", c.Reject(fmt.Errorf("version %d is spoken here, not %d", c.protocol.Version, h.Version))
 	}
 	if h.Name == "" || len(h.Name) > maxNameBytes {
-		return "", c.Reject(errors.New("hello without a name, or name too long"))
+		return "", c.Reject(errors.New("check hello: name missing or longer than the limit"))
 	}
 	return h.Name, nil
 }
--- a/internal/cluster/framing/frame.go
+++ b/internal/cluster/framing/frame.go
@@ -134,5 +134,6 @@
 	return nil
 }
 
-// Decode decodes a body. It rejects tags, items of indefinite length, and arrays beyond the bounds above.
+// Decode decodes a body. It rejects tags, items of indefinite length, and arrays and maps with more than maxElements
+// elements or nested more than maxDepth levels deep.
 func Decode(body []byte, into any) error { return decoding.Unmarshal(body, into) }
--- a/internal/cluster/membership/input.go
+++ b/internal/cluster/membership/input.go
@@ -78,7 +78,9 @@
 	}
 }
 
-// mergeSelf merges another node's report of this node, and refutes a report that it is not alive.
+// mergeSelf processes another node's report of this node. Unless this node has left, it refutes a report that would
+// supersede its own entry, by a higher number of refutations. After an outdated report it gossips its entry again. A
+// report of a later incarnation is only recorded (IsReplaced).
 func (t *Table) mergeSelf(now time.Duration, m Member) {
 	switch {
 	case m.Incarnation > t.self.Incarnation:
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -12,7 +12,8 @@
 	// Suspected is a member from which none of the queried watchers receives messages. It may still refute the
 	// suspicion.
 	Suspected
-	// Dead is a member that did not refute a suspicion within suspicionTimeout.
+	// Dead is a member that did not refute a suspicion within suspicionTimeout. It may still refute that later, for
+	// example when it is reconnected after a partition.
 	Dead
 	// Left is a member that shut down gracefully.
 	Left
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -7,8 +7,8 @@
 	Heartbeat struct {
 		_ struct{} `cbor:",toarray"`
 
-		// Digest covers the sender's member table. A receiver whose own digest differs for fullUpdateDelay sends all of
-		// its members.
+		// Digest is that of the sender's member table. A receiver whose own digest differs from it for
+		// fullUpdateDelay sends all of its members.
 		Digest uint64
 	}
 
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -41,7 +41,7 @@
 	lastHeartbeat         time.Duration
 	lastReconnect         time.Duration
 	reconnectAttempts     uint32
-	isIsolated            bool  // no node is reachable: most likely this node itself is cut off, so it suspects no other
+	isIsolated            bool  // no node is reachable, most likely because this node is cut off: it suspects none and declares none dead
 	highestOwnIncarnation int64 // the highest incarnation of this node's own name that others reported
 }
 
@@ -90,7 +90,8 @@
 	return slices.SortedFunc(maps.Values(t.members), func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Digest returns a checksum of all members. Two tables with the same members have the same digest.
+// Digest returns a checksum of the names, incarnations, refutations and conditions of all members. It does not cover
+// their addresses, sites and machines, which are constant within an incarnation.
 func (t *Table) Digest() uint64 { return t.digest }
 
 // IsReplaced reports whether another node reported a later incarnation of this node's own name.
--- a/internal/cluster/membership/tick.go
+++ b/internal/cluster/membership/tick.go
@@ -43,7 +43,8 @@
 	return false
 }
 
-// expireMembers declares members dead whose suspicion has timed out, and removes expired tombstones.
+// expireMembers declares members dead whose suspicion has timed out, unless this node is isolated, and removes expired
+// tombstones.
 func (t *Table) expireMembers(now time.Duration) {
 	for name, m := range t.members {
 		since := now - t.conditionSince[name]
--- a/internal/cluster/peer/clusterstate.go
+++ b/internal/cluster/peer/clusterstate.go
@@ -76,18 +76,18 @@
 // are then unknown.
 func (c *Client) SurvivesLoss(name string, lost []string) bool {
 	isLost := func(name string) bool { return slices.Contains(lost, name) }
-	own := c.Answered[name]
-	if own == nil {
+	status := c.Answered[name]
+	if status == nil {
 		return false
 	}
-	keepsJournal := own.Stream.Incarnation != 0
-	if keepsJournal && isLost(name) && !slices.ContainsFunc(own.Holders, func(h replication.Holder) bool {
+	hasJournal := status.Stream.Incarnation != 0
+	if hasJournal && isLost(name) && !slices.ContainsFunc(status.Holders, func(h replication.Holder) bool {
 		return hasAllRecords(h) && !isLost(h.Name)
 	}) {
 		return false
 	}
 	for stream, holders := range c.completeHolders() {
-		isEarlier := stream.Name == name && stream != own.Stream
+		isEarlier := stream.Name == name && stream != status.Stream
 		if isEarlier && !slices.ContainsFunc(holders, func(h string) bool { return !isLost(h) }) {
 			return false
 		}
--- a/internal/cluster/peer/commandserver.go
+++ b/internal/cluster/peer/commandserver.go
@@ -139,8 +139,8 @@
 }
 
 // requestFilter selects the records of requests with an ID, and of requests that repeat one with that ID. Only the
-// first records of a request contain its ID; later records, including those that reconcile it, are matched by request
-// key.
+// first records of a request contain its ID; the later ones are matched by request key. The records that reconcile a
+// request are read after them, because the folder of a reconciliation stream sorts after that of its stream.
 type requestFilter struct {
 	id      string // "" matches all records
 	matched map[intent.RequestKey]bool
--- a/internal/cluster/peer/connection.go
+++ b/internal/cluster/peer/connection.go
@@ -39,7 +39,7 @@
 }
 
 // queueMessage queues a message for sending and does not block. A connection whose queue exceeds maxQueuedBytes is
-// closed. Only the debug line that every ended connection produces logs this.
+// closed; the log contains only the debug line about the end of the connection, not this reason.
 func (c *connection) queueMessage(message any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/peer/connections.go
+++ b/internal/cluster/peer/connections.go
@@ -25,9 +25,9 @@
 // connections tracks the open and the wanted connections of a Node. It is guarded by the Node's lock.
 type connections struct {
 	open            map[string][]*connection // by the other node's name
-	wantedUntil     map[string]time.Duration
-	pendingMessages map[string][]any // for nodes that are not connected yet
-	dialing         map[string]bool
+	wantedUntil     map[string]time.Duration // by the other node's name; expired entries are not wanted
+	pendingMessages map[string][]any         // for nodes that are not connected yet
+	dialing         map[string]bool          // a dial is in progress or the dialed connection is open
 	redials         map[string]redial
 	lastReview      time.Duration
 }
--- a/internal/cluster/peer/copy.go
+++ b/internal/cluster/peer/copy.go
@@ -20,9 +20,9 @@
 	copyBatchBytes = 64 << 10
 )
 
-// errNothingToCopy ends a copy to a node that is disconnected, acknowledges too slowly, or no longer lacks records. A
-// later copy sends the remaining records.
-var errNothingToCopy = errors.New("copy ended: receiver disconnected, acknowledging too slowly, or complete")
+// errCopyEnded ends a copy to a node that is disconnected, acknowledges too slowly, or no longer lacks records. A later
+// copy sends the remaining records.
+var errCopyEnded = errors.New("copy ended: receiver disconnected, acknowledging too slowly, or complete")
 
 // startCopies starts a goroutine for each copy that this node should make and that is not running yet. mu must be held.
 func (n *Node) startCopies(ctx context.Context, g *errgroup.Group, now time.Duration) {
@@ -110,7 +110,7 @@
 	for deadline := time.Now().Add(copyAckTimeout); len(c.unacked) > 0 && time.Now().Before(deadline) && ctx.Err() == nil; {
 		time.Sleep(tickInterval)
 	}
-	if errors.Is(err, errNothingToCopy) {
+	if errors.Is(err, errCopyEnded) {
 		return nil
 	}
 	return err
@@ -125,7 +125,7 @@
 	isConnected := n.connections.isOpen(c.task.To)
 	n.mu.Unlock()
 	if len(missing) == 0 || !isConnected {
-		return errNothingToCopy
+		return errCopyEnded
 	}
 	end := chunk.First + uint64(chunk.Count)
 	present := replication.Ranges{{From: chunk.First, To: end}}.Without(missing)
@@ -166,7 +166,7 @@
 	select {
 	case c.unacked <- struct{}{}:
 	case <-timer.C:
-		return errNothingToCopy
+		return errCopyEnded
 	case <-ctx.Done():
 		return ctx.Err()
 	}
--- a/internal/cluster/peer/journal.go
+++ b/internal/cluster/peer/journal.go
@@ -10,17 +10,18 @@
 
 // Errors of a record that is not committed.
 var (
-	// ErrQueueOverflow means that the record left the replication queue because too many records were uncommitted. The
-	// record is on this node's disk and is copied to holders from there.
+	// ErrQueueOverflow means that the record left the replication queue because too many records were uncommitted. Once
+	// it is written to this node's disk, it is copied to holders from there.
 	ErrQueueOverflow = errors.New("replication queue overflow: too many uncommitted records")
 	// ErrStopped means that the node is shutting down.
 	ErrStopped = errors.New("node is shutting down")
 )
 
-// replacedStall is the result of StalledFor when records cannot be committed at all.
-const replacedStall = time.Hour
+// permanentStall is the result of StalledFor when records cannot be committed at all.
+const permanentStall = time.Hour
 
-// Commit reports when a record is committed, which means durable at the required number of other nodes.
+// Commit reports when a record is committed, which means durable on the disks of holders on the required number of other
+// machines. The record's durability on this node's own disk is reported by wal.Commit.
 type Commit struct {
 	sequence uint64
 	done     chan struct{}
@@ -85,12 +86,12 @@
 }
 
 // StalledFor returns how long the oldest uncommitted record has waited, or how long too few holders have been in sync,
-// whichever is longer. Without a replicated journal, or after the node was replaced, it returns replacedStall.
+// whichever is longer. Without a replicated journal, or after the node was replaced, it returns permanentStall.
 func (n *Node) StalledFor() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.lifecycle.isReplaced || n.origin == nil {
-		return replacedStall
+		return permanentStall
 	}
 	return n.origin.StalledFor(n.now())
 }
--- a/internal/cluster/peer/message.go
+++ b/internal/cluster/peer/message.go
@@ -11,8 +11,8 @@
 // version is the protocol version between nodes. Nodes with another version are rejected.
 const version = 1
 
-// maxBodyBytes is enough for a batch of 1,024 records of 250 bytes, and more. Sending a larger chunk fails with
-// framing.ErrFrameTooLong, which closes the connection.
+// maxBodyBytes is enough for a batch of 1,024 records (wal.MaxChunkRecords) of 250 bytes, and more. Sending a larger
+// chunk fails with framing.ErrFrameTooLong, which closes the connection.
 const maxBodyBytes = 1 << 20
 
 // Kinds of frames. The numbers are sent, so they must not change.
--- a/internal/cluster/peer/node.go
+++ b/internal/cluster/peer/node.go
@@ -131,9 +131,9 @@
 // node must then stop.
 func (n *Node) Replaced() <-chan struct{} { return n.replaced }
 
-// Join waits for the first membership update, up to a timeout, and returns this node's incarnation. If an update was
-// received, the incarnation is later than all incarnations of its name known to the sender, even if the clock was set
-// back. Otherwise it is the start time.
+// Join waits for the first membership update, up to a timeout, and returns this node's incarnation, which is final from
+// then on. Without configured seed addresses it does not wait. If an update was received, the incarnation is later than
+// all incarnations of its name known to the sender, even if the clock was set back. Otherwise it is the start time.
 func (n *Node) Join(ctx context.Context, timeout time.Duration) int64 {
 	if len(n.cfg.Peers) > 0 {
 		select {
--- a/internal/cluster/peer/reconcile.go
+++ b/internal/cluster/peer/reconcile.go
@@ -27,7 +27,7 @@
 	}
 	ticker := time.NewTicker(max(n.cfg.ReconcileAfter.Std()/4, minReconcileInterval))
 	defer ticker.Stop()
-	reconciledCounts := map[replication.Stream]uint64{} // number of records with which a stream had no undecided entry
+	reconciledCounts := map[replication.Stream]uint64{} // number of a stream's records when reconcileStream last left none undecided
 	for {
 		select {
 		case <-ctx.Done():
@@ -94,8 +94,8 @@
 	return undecided, nil
 }
 
-// executionLoader loads the execution records lazily and only once. A source that is not readable to its end is logged
-// and skipped.
+// executionLoader loads the execution records when the first open entry requires them, once per round of reconcile. A
+// source that is not readable to its end is logged and skipped.
 type executionLoader struct {
 	node    *Node
 	records intent.ExecutionRecords
--- a/internal/cluster/peer/session.go
+++ b/internal/cluster/peer/session.go
@@ -21,7 +21,7 @@
 )
 
 var (
-	errSelf          = errors.New("peer is unnamed or this node itself")
+	errSelf          = errors.New("peer has no name or is this node itself")
 	errDuplicateName = errors.New("peer is another incarnation of this node's name")
 )
 
--- a/internal/cluster/replicastore/store.go
+++ b/internal/cluster/replicastore/store.go
@@ -72,8 +72,9 @@
 	return stream, err == nil && stream.String() == folder
 }
 
-// Append stores records of a stream. The Commit reports when they are durable. If the write queue is full, Append
-// blocks for up to queueFullTimeout and then fails with wal.ErrQueueFull.
+// Append stores records of a stream, which include the headers of their chunks: the Store does not number records. The
+// Commit reports when they are durable. If the write queue is full, Append blocks for up to queueFullTimeout and then
+// fails with wal.ErrQueueFull.
 func (s *Store) Append(stream replication.Stream, records []intent.Record) (*wal.Commit, error) {
 	log, err := s.streamLog(stream)
 	if err != nil {
@@ -183,13 +184,15 @@
 	return os.RemoveAll(s.StreamDir(stream))
 }
 
-// TrimBefore deletes the segments of a stream that contain only records before a number. It keeps the last segment.
+// TrimBefore deletes the segments of a stream in which a scan finds no record with the number first or a later one.
+// That includes segments without a readable chunk. The last segment is never deleted, because it may be open for
+// writing.
 func (s *Store) TrimBefore(stream replication.Stream, first uint64) error {
 	segments, err := wal.ListSegments(s.files, s.StreamDir(stream))
 	if err != nil || len(segments) < 2 {
 		return err
 	}
-	for _, segment := range segments[:len(segments)-1] { // the last one may still be written
+	for _, segment := range segments[:len(segments)-1] {
 		isNeeded := false
 		if _, err := wal.ScanChunks(s.files, segment, func(c wal.Chunk) error {
 			isNeeded = isNeeded || c.First+uint64(c.Count) > first
--- a/internal/cluster/replication/admission.go
+++ b/internal/cluster/replication/admission.go
@@ -49,8 +49,8 @@
 	return ""
 }
 
-// AdmitBatch reports whether a batch is to be written. If not, out contains the reply to its sender. batchUnixNano is
-// the time of the batch's last record.
+// AdmitBatch reports whether a batch is to be written. If not, out contains the reply to its sender: a rejection, or an
+// acknowledgement if all records of the batch are stored already. batchUnixNano is the time of the batch's last chunk.
 func (t *ReplicaTable) AdmitBatch(from string, b *Batch, batchUnixNano, nowUnixNano int64) (ok bool, out []Outgoing) {
 	reason := t.rejectReason(b.Stream, b.FromOrigin)
 	if reason == "" && t.retention > 0 && nowUnixNano-batchUnixNano > int64(t.retention) {
--- a/internal/cluster/replication/holder.go
+++ b/internal/cluster/replication/holder.go
@@ -45,7 +45,7 @@
 const (
 	noAction      holderAction = iota
 	sendOffer                  // send the holder an Offer with the stored ranges
-	sendQueued                 // send the holder all uncommitted records
+	sendQueued                 // send the holder all uncommitted records that are in the queue
 	selectAnother              // avoid the holder for avoidDuration and select another one
 )
 
--- a/internal/cluster/replication/message.go
+++ b/internal/cluster/replication/message.go
@@ -11,8 +11,8 @@
 		Ranges     Ranges
 	}
 
-	// Inventory is the reply to an Offer and lists the records that the sender stores. If RejectReason is set, the
-	// sender rejects records of the stream.
+	// Inventory is the reply to an Offer and lists the records that the sender stores. It is also sent without an
+	// Offer after the sender found damaged records. If RejectReason is set, the sender rejects records of the stream.
 	Inventory struct {
 		_ struct{} `cbor:",toarray"`
 		Stream
--- a/internal/cluster/replication/origin.go
+++ b/internal/cluster/replication/origin.go
@@ -8,14 +8,16 @@
 
 // Times and bounds of an origin.
 const (
-	avoidDuration     = 5 * time.Second  // for which a slow, lost or rejecting holder is not selected if others are available
+	// avoidDuration is how long a slow or lost holder is not selected if others are available, and a rejecting holder
+	// is not selected at all.
+	avoidDuration     = 5 * time.Second
 	idleHolderTimeout = 10 * time.Second // until a superseded holder that has not replied, or rejects records, is released
-	offerTimeout      = 2 * time.Second  // until an offer without a reply is re-sent
+	offerTimeout      = 2 * time.Second  // until a holder that has not replied to an offer is replaced, and the offer is re-sent
 	reviewInterval    = time.Second      // between two reviews of the selected holders
 
-	maxQueuedRecords   = 16 << 10 // uncommitted records in memory; older ones are copied from disk
+	maxQueuedRecords   = 16 << 10 // in memory; the oldest beyond it leave the queue and are copied from disk
 	maxQueuedBytes     = 8 << 20
-	maxExtraHolders    = 2         // beyond the required number, while some holders are lagging
+	maxExtraHolders    = 2         // beyond the required number; further ones that are not in sync are released
 	maxBatchBytes      = 256 << 10 // of the frames in one Batch
 	maxInFlightBatches = 64        // per holder; further records wait in the queue
 )
@@ -43,8 +45,8 @@
 	firstQueued uint64 // number of the first queued record; older uncommitted records are copied from disk
 	committed   uint64 // all records before this are durable at enough holders, or overflowed the queue before they were
 
-	// SawLaterIncarnation is set when a holder rejects records because it knows a later incarnation of this node. It is
-	// informational and not read: a node stops when membership reports that incarnation.
+	// SawLaterIncarnation is set when a holder rejects records because a later incarnation of this node was reported to
+	// it. The field is informational and not read: a node stops when membership reports that incarnation.
 	SawLaterIncarnation bool
 }
 
--- a/internal/cluster/replication/queue.go
+++ b/internal/cluster/replication/queue.go
@@ -79,7 +79,8 @@
 }
 
 // commit advances committed to the highest number before which enough machines have acknowledged all records that did
-// not overflow the queue. It then removes chunks from the queue that are committed and were sent to all holders.
+// not overflow the queue. It then removes chunks from the queue that are committed and were sent to all holders that
+// receive new records.
 func (o *Origin) commit() {
 	ackedByMachine := map[string]uint64{}
 	for _, h := range o.holders {
--- a/internal/cluster/replication/reconciliation.go
+++ b/internal/cluster/replication/reconciliation.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// ShouldReconcile reports whether this node reconciles a stream. It does if the stream's incarnation has been gone for
-// at least after, this node is first among the desired holders, and it lacks no record that another holder has
-// reported.
+// ShouldReconcile reports whether this node reconciles a stream. That is the case if the stream's incarnation has been
+// gone for at least the duration after, this node is the first of the desired holders, and the replies of the others to
+// this node's offers list no record that this node lacks.
 func (t *ReplicaTable) ShouldReconcile(now time.Duration, s Stream, after time.Duration) bool {
 	stored := t.streams[s]
 	if stored == nil || !stored.isOrphanedFor(now, max(after, orphanDelay)) || s.IsReconciliation() {
--- a/internal/cluster/replication/repair.go
+++ b/internal/cluster/replication/repair.go
@@ -28,7 +28,8 @@
 	return out
 }
 
-// offerOrphan offers a stream to its desired holders and removes targets that are no longer desired.
+// offerOrphan offers a stream to its desired holders and removes targets that are no longer desired. A target that
+// rejected is not desired, and is removed only after rejectRetention, so that it is not selected again before.
 func (t *ReplicaTable) offerOrphan(now time.Duration, s Stream, stored *storedStream, out []Outgoing) []Outgoing {
 	wanted := map[string]bool{}
 	for _, c := range t.desiredHolders(s, stored) {
@@ -55,21 +56,21 @@
 	return out
 }
 
-func (dest *target) isOfferDue(now time.Duration, held Ranges) bool {
+func (dest *target) isOfferDue(now time.Duration, stored Ranges) bool {
 	sinceOffer := now - dest.offeredAt
 	switch {
 	case dest.offeredAt == 0:
 		return true
 	case !dest.hasReplied && sinceOffer > offerTimeout:
 		return true
-	case !dest.hasAll(held) && sinceOffer > incompleteOfferInterval:
+	case !dest.hasAll(stored) && sinceOffer > incompleteOfferInterval:
 		return true
 	}
 	return sinceOffer > completeOfferInterval
 }
 
-func (dest *target) hasAll(held Ranges) bool {
-	return dest.hasReplied && len(held.Without(dest.stored)) == 0
+func (dest *target) hasAll(stored Ranges) bool {
+	return dest.hasReplied && len(stored.Without(dest.stored)) == 0
 }
 
 // desiredHolders returns the nodes that should store an orphaned stream, in order: a later incarnation of its node
@@ -86,8 +87,8 @@
 	ranked := rankCandidates(s, candidates)
 	name := s.nodeName()
 	if i := slices.IndexFunc(ranked, func(c Candidate) bool { return c.Name == name }); i > 0 {
-		own := ranked[i]
-		ranked = append([]Candidate{own}, slices.Delete(ranked, i, i+1)...)
+		restarted := ranked[i]
+		ranked = append([]Candidate{restarted}, slices.Delete(ranked, i, i+1)...)
 	}
 	stored.desired = selectCandidates(ranked, t.required+1, nil, nil)
 	stored.desiredVersion = t.candidatesVersion
--- a/internal/cluster/replication/replicatable.go
+++ b/internal/cluster/replication/replicatable.go
@@ -13,7 +13,7 @@
 	copyStagger             = time.Second      // between the starts of one stream's holders, so that usually only one copies
 	incompleteOfferInterval = 10 * time.Second // between offers to a node that lacks records
 	completeOfferInterval   = 10 * time.Minute // between offers to a node that has all records
-	rejectRetention         = 10 * time.Second // of a target that rejected and is no longer desired
+	rejectRetention         = 10 * time.Second // until a stream may be offered again to a node that rejected it
 	maxStreams              = 4096
 )
 
@@ -46,11 +46,11 @@
 type storedStream struct {
 	ranges         Ranges
 	verification   verification
-	bytes          int64         // received, see StoredBytes
-	lastRecordNano int64         // Unix time of the last record
-	orphanedSince  time.Duration // since when the incarnation is gone; notOrphaned if it is live
-	lostByOrigin   Ranges        // records that the origin has lost
-	otherHolders   map[string]bool
+	bytes          int64              // received, see StoredBytes
+	lastRecordNano int64              // Unix time of the last record
+	orphanedSince  time.Duration      // since when the incarnation is gone; notOrphaned if it is live
+	lostByOrigin   Ranges             // records that the origin has lost
+	otherHolders   map[string]bool    // nodes other than the origin that have reported or acknowledged records
 	targets        map[string]*target // desired holders of an orphaned stream, by node name
 
 	// desired is a cache of desiredHolders, valid for one version of the candidates.
@@ -172,7 +172,8 @@
 }
 
 // updateOrphanState records whether the incarnation of a stream is gone. A node that is not among the known nodes
-// counts as gone only orphanDelay after the start, because membership may not have reported it yet.
+// counts as gone only orphanDelay after the start, because membership may not have reported it yet. A reconciliation
+// stream has no running origin and is always an orphan.
 func (t *ReplicaTable) updateOrphanState(s Stream, stored *storedStream, now time.Duration) {
 	if s.IsReconciliation() {
 		stored.orphanedSince = max(stored.orphanedSince, 0)
@@ -191,8 +192,8 @@
 func (stored *storedStream) isOrphan() bool { return stored.orphanedSince >= 0 }
 
 // isOrphanedFor reports whether the stream's incarnation has been gone for at least a duration.
-func (stored *storedStream) isOrphanedFor(now, least time.Duration) bool {
-	return stored.isOrphan() && now-stored.orphanedSince >= least
+func (stored *storedStream) isOrphanedFor(now, atLeast time.Duration) bool {
+	return stored.isOrphan() && now-stored.orphanedSince >= atLeast
 }
 
 // Streams returns the stored streams, sorted by name and incarnation.
--- a/internal/cluster/replication/selection.go
+++ b/internal/cluster/replication/selection.go
@@ -85,8 +85,8 @@
 }
 
 // releaseHolders releases a holder that is not wanted in each of these cases: the wanted holders have all records, the
-// holder has not replied or has rejected records for idleHolderTimeout, or there are more than maxExtraHolders extra
-// ones.
+// holder has not replied or has rejected records for idleHolderTimeout, or it is not in sync and there are more than
+// maxExtraHolders extra ones.
 func (o *Origin) releaseHolders(now time.Duration, wanted map[string]bool) {
 	complete := 0
 	for name := range wanted {
--- a/internal/discovery/endpoints/endpoint.go
+++ b/internal/discovery/endpoints/endpoint.go
@@ -66,7 +66,7 @@
 // delivered: the connection could not be established, or a new connection broke before the last byte was written.
 type Observation struct {
 	Server        string
-	HasResponded  bool
+	HasResponded  bool // Server itself responded
 	HasExecuted   bool // the response is a success, or a client error (4xx except 408 and 429)
-	IsOtherServer bool // the response identifies another server
+	IsOtherServer bool // another server responded at the address, as its response states; the other flags are not set
 }
--- a/internal/discovery/endpoints/view.go
+++ b/internal/discovery/endpoints/view.go
@@ -18,7 +18,7 @@
 	recordVisits    int // number of records that announcements visited, counted for tests
 
 	// IgnoreRemovals keeps a server usable until Forget is called for it, even if the server is announced as gone or omitted
-	// from a full list without having drained before.
+	// from a full list without having drained before. A server that drains or is replaced still becomes unusable.
 	IgnoreRemovals bool
 }
 
@@ -26,7 +26,7 @@
 type addressChange uint8
 
 const (
-	addressKept addressChange = iota
+	addressUnchanged addressChange = iota
 	addressChanged
 )
 
@@ -68,7 +68,7 @@
 func (v *View) markAllUnusable(now time.Duration, touched map[string]addressChange) {
 	for id, record := range v.records {
 		v.recordVisits++
-		touched[id] = addressKept
+		touched[id] = addressUnchanged
 		if !v.IgnoreRemovals {
 			record.markUnusable(now)
 		}
@@ -87,7 +87,7 @@
 	if endpoint.Address != record.Address {
 		touched[endpoint.ID] = addressChanged
 	} else if _, isTouched := touched[endpoint.ID]; !isTouched {
-		touched[endpoint.ID] = addressKept
+		touched[endpoint.ID] = addressUnchanged
 	}
 	if !endpoint.Address.IsValid() {
 		endpoint.Address = record.Address
@@ -115,7 +115,7 @@
 	for _, id := range ids {
 		v.recordVisits++
 		if _, isTouched := touched[id]; !isTouched {
-			touched[id] = addressKept
+			touched[id] = addressUnchanged
 		}
 		record := v.records[id]
 		if !record.IsUsable {
--- a/internal/discovery/incarnation/table.go
+++ b/internal/discovery/incarnation/table.go
@@ -38,9 +38,9 @@
 // entries of the table.
 func (t *Table) Join(now time.Duration, entries []Entry) (changed []Entry) {
 	for _, entry := range entries {
-		own, isKnown := t.entries[entry.ID]
+		current, isKnown := t.entries[entry.ID]
 		isFull := !isKnown && len(t.entries) >= maxEntries
-		if isFull || isKnown && Compare(own, entry) >= 0 {
+		if isFull || isKnown && Compare(current, entry) >= 0 {
 			continue
 		}
 		t.entries[entry.ID] = entry
@@ -57,7 +57,8 @@
 // ApplyDiscovery applies entries announced by discovery, with its revisions, and returns the entries that changed the
 // table. Within one start, discovery can reinstate a draining or gone server only at a later revision than that of the
 // server's entry; this begins a new generation. Older announcements, for example from a lagging replica of discovery, have
-// no effect. Servers that a full list omits become Gone, unless the list is older than their entries.
+// no effect. Servers that a full list omits become Gone, unless the list is older than their entries. The revision of a list
+// is the highest of its entries', so an empty full list has the revision 0 and removes no server with a later revision.
 func (t *Table) ApplyDiscovery(now time.Duration, list []Entry, isFullList bool) (changed []Entry) {
 	revision := uint64(0)
 	isListed := make(map[string]bool, len(list))
@@ -78,13 +79,13 @@
 // the announcement concerns the same incarnation or reinstates the server in a new generation. ok is false if the
 // announcement is too old to reinstate the server.
 func (t *Table) assignIncarnation(announced Entry) (entry Entry, ok bool) {
-	own, isKnown := t.entries[announced.ID]
-	if !isKnown || announced.StartedUnixMS > own.StartedUnixMS {
+	current, isKnown := t.entries[announced.ID]
+	if !isKnown || announced.StartedUnixMS > current.StartedUnixMS {
 		return announced, true
 	}
-	announced.StartedUnixMS, announced.Generation = own.StartedUnixMS, own.Generation
-	if announced.Condition < own.Condition {
-		if announced.Revision <= own.Revision {
+	announced.StartedUnixMS, announced.Generation = current.StartedUnixMS, current.Generation
+	if announced.Condition < current.Condition {
+		if announced.Revision <= current.Revision {
 			return announced, false
 		}
 		announced.Generation++
@@ -108,12 +109,12 @@
 // other process lacks are omitted.
 func (t *Table) NewerThan(other map[string]Entry, limit int) (newer []Entry) {
 	for _, id := range t.sortedIDs() {
-		own := t.entries[id]
-		theirs, isKnown := other[id]
-		if isKnown && Compare(own, theirs) <= 0 || !isKnown && own.Condition == Gone {
+		entry := t.entries[id]
+		otherEntry, isKnown := other[id]
+		if isKnown && Compare(entry, otherEntry) <= 0 || !isKnown && entry.Condition == Gone {
 			continue
 		}
-		newer = append(newer, own)
+		newer = append(newer, entry)
 		if len(newer) == limit {
 			break
 		}
--- a/internal/discovery/snapshot/snapshot.go
+++ b/internal/discovery/snapshot/snapshot.go
@@ -7,7 +7,7 @@
 	Node            string // name of the node that wrote the snapshot
 	Deployment      string
 	WrittenUnixMS   int64
-	ConfirmedUnixMS int64  // when a source last announced endpoints or confirmed that the list is unchanged
+	ConfirmedUnixMS int64  // when a source last announced endpoints or confirmed them unchanged; the age of the list counts from then
 	IsCleanShutdown bool   // written during a graceful shutdown
 	Revision        uint64 // revision of the source, from which a watch continues
 	Servers         []Server
--- a/internal/discovery/staleness/level.go
+++ b/internal/discovery/staleness/level.go
@@ -18,9 +18,9 @@
 
 // level contains the limits on trials for lists up to a certain age.
 type level struct {
-	maxAge           time.Duration
-	trialShare       float64 // share of the servers that are up that may be on trial concurrently
-	minInitialTrials int     // minimum number of concurrent trials at the start, regardless of trialShare
+	maxAge           time.Duration // of the lists to which the level applies, inclusive
+	trialShare       float64       // share of the servers that are up that may be on trial concurrently
+	minInitialTrials int           // minimum number of concurrent trials at the start, regardless of trialShare
 	// trialsPerProven is the number of concurrent trials added each time a server becomes proven. They are not withdrawn when
 	// the server becomes suspected.
 	trialsPerProven int
--- a/internal/discovery/staleness/status.go
+++ b/internal/discovery/staleness/status.go
@@ -8,7 +8,7 @@
 	Untried   Status = iota // not used yet
 	OnTrial                 // receives idempotent requests only
 	Proven                  // has executed a request since the start; receives any request
-	Suspected               // connection failed; put on trial again after a timeout
+	Suspected               // a connection failed; returns to Untried after a timeout
 	Excluded                // not used: draining or gone before the start, or its address belongs to another server
 	statusCount
 )
--- a/internal/discovery/zookeeper/follow.go
+++ b/internal/discovery/zookeeper/follow.go
@@ -64,7 +64,7 @@
 		case all := <-lists:
 			changed = set.ApplyList(l.Now(), all)
 		case observation := <-l.Observations:
-			if observation.HasResponded { // otherwise, or if another server responded, it counts as a connection failure
+			if observation.HasResponded { // a response of another server (IsOtherServer) counts as a connection failure
 				changed = set.ResponseReceived(l.Now(), observation.Server)
 			} else {
 				changed = set.ConnectFailed(l.Now(), observation.Server)
--- a/internal/discovery/zookeeper/reader.go
+++ b/internal/discovery/zookeeper/reader.go
@@ -18,7 +18,7 @@
 	// readIntervalSpread is the maximum random addition to minReadInterval. It spreads the reads that one change causes in
 	// many readers.
 	readIntervalSpread = 50 * time.Millisecond
-	// initialRetryDelay is the mean pause after the first failed read. It doubles with each consecutive readErr, up to
+	// initialRetryDelay is the mean pause after the first failed read. It doubles with each consecutive failure, up to
 	// maxRetryDelay.
 	initialRetryDelay = 100 * time.Millisecond
 	maxRetryDelay     = 2 * time.Second
--- a/internal/journal/intent/assembler.go
+++ b/internal/journal/intent/assembler.go
@@ -10,8 +10,8 @@
 	incomplete map[RequestKey]*Entry
 	// Gaps are the Gap records that were added.
 	Gaps []Record
-	// HasDamage is set by the caller if records could not be decoded: an entry without a ClientNotified record may then
-	// lack attempts.
+	// HasDamage is set by the caller, before it calls Incomplete, if records could not be decoded: an entry without a
+	// ClientNotified record may then lack attempts.
 	HasDamage bool
 }
 
--- a/internal/journal/intent/attempt.go
+++ b/internal/journal/intent/attempt.go
@@ -1,6 +1,6 @@
 package intent
 
-// Attempt combines the records of one attempt of a request.
+// Attempt combines the records of one attempt: one transmission of a request to one server.
 type Attempt struct {
 	Server          string
 	AtUnixNano      int64
--- a/internal/journal/intent/entry.go
+++ b/internal/journal/intent/entry.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// maxAttempts limits the attempts of an entry, so that a corrupt attempt number does not exhaust memory. Records with a
-// higher attempt number are ignored.
+// maxAttempts limits the attempts of an entry, so that a corrupt attempt number does not exhaust memory. Attempts with the
+// number maxAttempts or a higher one are ignored.
 const maxAttempts = 64
 
 // State is what is known about the execution of a request.
@@ -76,7 +76,8 @@
 	return s
 }
 
-// lacksAttempts reports whether there were, or may have been, attempts without any record.
+// lacksAttempts reports whether there were, or may have been, attempts of which no record was added: the client was
+// notified after more attempts than were found, or neither an attempt nor an outcome nor an Unsent record was found.
 func (e *Entry) lacksAttempts() bool {
 	return len(e.Attempts) < e.attemptsAtOutcome || len(e.Attempts) == 0 && e.ClientOutcome == "" && !e.isUnsent
 }
--- a/internal/journal/intent/merger.go
+++ b/internal/journal/intent/merger.go
@@ -4,8 +4,8 @@
 // records of complete entries and Gap records that it already has.
 type Merger struct {
 	Assembler
-	complete map[RequestKey]struct{}
-	gaps     map[Record]bool // Gap records added so far
+	complete map[RequestKey]struct{} // requests whose entries are complete
+	gaps     map[Record]bool         // Gap records added so far
 }
 
 // NewMerger returns a Merger without entries.
--- a/internal/journal/wal/commit.go
+++ b/internal/journal/wal/commit.go
@@ -1,7 +1,7 @@
 package wal
 
-// Commit reports when an appended record is durable, or that its write failed. After a failed write or sync the record may
-// still be on disk, even twice.
+// Commit reports when an appended record is durable, or that its write failed. Durable means that the record is written to
+// the segment and, with Options.Fsync, synced. After a failed write or sync the record may still be on disk, even twice.
 type Commit struct {
 	done     chan struct{}
 	err      error
--- a/internal/journal/wal/doc.go
+++ b/internal/journal/wal/doc.go
@@ -11,5 +11,9 @@
 // the disk; the returned Commit reports when they are durable. When a write fails, the writer creates a new segment and
 // retries; when the retry fails too, the Log rejects records until the disk is writable again (recovery.go).
 //
+// Open neither replays nor truncates the segments of earlier processes: it creates a new segment after them. An unfinished
+// write at the end of an earlier segment stays there, and readers report it as a torn end. What an earlier process did is
+// determined by reading its segments and passing the records to package intent.
+//
 // Scan, ScanChunks and ListSegments read a directory without a Log.
 package wal
--- a/internal/journal/wal/frame.go
+++ b/internal/journal/wal/frame.go
@@ -17,13 +17,13 @@
 	frameMarker      = 0xB1D7 // used to find the next frame after damaged bytes
 	frameHeaderBytes = 10
 	maxRecordBytes   = 4 << 10
-	maxNumberBytes   = 256 // upper bound for the encoded size of a record without the bytes of its strings
+	maxNonTextBytes  = 256 // upper bound for the encoded size of a record without the bytes of its strings
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrInvalidRecord means that a record cannot be stored, because decoding it would fail: it is longer than maxRecordBytes,
-// or one of its strings is not valid UTF-8.
+// ErrInvalidRecord means that a record is not stored because decoding it would fail: its encoded body is longer than
+// maxRecordBytes, or one of its strings is not valid UTF-8.
 var ErrInvalidRecord = errors.New("journal record too long or not valid UTF-8")
 
 // CheckRecord returns ErrInvalidRecord for a record that cannot be stored.
@@ -35,7 +35,7 @@
 		}
 		textBytes += len(s)
 	}
-	if textBytes <= maxRecordBytes-maxNumberBytes {
+	if textBytes <= maxRecordBytes-maxNonTextBytes {
 		return nil
 	}
 	_, err := encodeRecord(r)
--- a/internal/journal/wal/log.go
+++ b/internal/journal/wal/log.go
@@ -20,7 +20,8 @@
 var (
 	// ErrQueueFull means that maxQueuedRecords would be exceeded. The caller may retry after a short wait.
 	ErrQueueFull = errors.New("journal write queue full")
-	// ErrDiskFailing means that writes have failed and that no segment is writable yet. It wraps the cause.
+	// ErrDiskFailing means that writes have failed and that no segment is writable yet. Append returns it together with the
+	// cause in one error that wraps both.
 	ErrDiskFailing = errors.New("journal not writable")
 	// ErrClosed means that the Log has been closed.
 	ErrClosed = errors.New("journal closed")
@@ -107,7 +108,8 @@
 
 // Append queues records in order. With wait it returns a Commit for the last record; without wait the Commit is nil, and
 // the records may be lost when the process crashes. The error is ErrInvalidRecord, ErrQueueFull, ErrDiskFailing or
-// ErrClosed; on an error none of the records is stored.
+// ErrClosed; on an error none of the records is stored and, unless Options.OmitGaps is set, the next Gap record counts
+// them.
 func (l *Log) Append(wait bool, records ...intent.Record) (*Commit, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/journal/wal/scan.go
+++ b/internal/journal/wal/scan.go
@@ -36,8 +36,8 @@
 	Unreadable []UnreadableRange
 }
 
-// CorruptCount returns the number of unreadable ranges that are not torn ends. Damage to the last record of a segment
-// cannot be distinguished from a torn end and is not counted.
+// CorruptCount returns the number of unreadable ranges that are not at the end of a segment. Damage to the last record of a
+// segment cannot be distinguished from an unfinished write and is not counted.
 func (r *ScanReport) CorruptCount() (n int) {
 	for _, u := range r.Unreadable {
 		if !u.IsTorn {
--- a/internal/journal/wal/segment.go
+++ b/internal/journal/wal/segment.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	segmentSuffix = ".bindings" // unchanged for compatibility with deployed journals
+	segmentSuffix = ".bindings" // must not change: the segments of deployed journals have this suffix
 	// maxCreateAttempts limits how many consecutive numbers createSegment skips that other processes have taken.
 	maxCreateAttempts = 100
 )
@@ -70,10 +70,11 @@
 		l.segment.bytes = 0
 		return nil
 	}
-	return fmt.Errorf("%s: create segment: no free segment number found", l.options.Dir)
+	return fmt.Errorf("create segment in %s: no free segment number found", l.options.Dir)
 }
 
-// rotate closes the active segment, creates the next one and applies the retention limits.
+// rotate closes the active segment, creates the next one and applies the retention limits. With Options.Fsync it first syncs
+// the segment, which may end in records that no caller waits for.
 func (l *Log) rotate() error {
 	if l.options.Fsync {
 		if err := l.segment.file.Sync(); err != nil {
