--- a/internal/cluster/membership/simulation_test.go
+++ b/internal/cluster/membership/simulation_test.go
@@ -16,9 +16,9 @@
 	nodes map[string]*simulatedNode
 	names []string
 	queue eventQueue
-	seq   int
-	cut   func(from, to string) bool
-	bytes int
+	seq   int                        // of the last queued event, orders events of the same time
+	cut   func(from, to string) bool // whether messages on the path are lost
+	bytes int                        // sent by all nodes
 	rng   *rand.Rand
 }
 
--- a/internal/cluster/membership/table_test.go
+++ b/internal/cluster/membership/table_test.go
@@ -9,48 +9,48 @@
 	"pgregory.net/rapid"
 )
 
-// Something happens to one node of a cluster of 16. 8 s later the others must report it in the expected condition, and
-// as alive again 10 s after all paths are restored.
+// An event affects one node of a cluster of 16. 8 s later the others must report the node in the expected condition, and,
+// if its process is running, as alive 10 s after all paths are restored.
 func TestConditions(t *testing.T) {
 	cutOff := func(in, out bool, isolated ...string) func(*simulation) {
 		return func(s *simulation) {
 			set := map[string]bool{}
-			for _, w := range isolated {
-				set[w] = true
+			for _, name := range isolated {
+				set[name] = true
 			}
 			s.cut = func(from, to string) bool { return set[from] != set[to] && (out && set[from] || in && set[to]) }
 		}
 	}
 	for name, c := range map[string]struct {
-		happens func(*simulation)
-		want    Condition
+		apply func(*simulation)
+		want  Condition
 	}{
-		"nothing":                           {func(*simulation) {}, Alive},
-		"it crashes, and connections break": {func(s *simulation) { s.crash("n3", true) }, Dead},
-		"its machine is lost":               {func(s *simulation) { s.crash("n3", false) }, Dead},
-		"it is partitioned":                 {cutOff(true, true, "n3"), Dead},
-		"its outgoing messages are lost":    {cutOff(false, true, "n3"), Dead},
-		"its incoming messages are lost":    {cutOff(true, false, "n3"), Alive},
-		"the path to one node is cut":       {func(s *simulation) { s.cut = func(a, b string) bool { return a+b == "n3n7" || a+b == "n7n3" } }, Alive},
+		"nothing":                      {func(*simulation) {}, Alive},
+		"crash, connections are reset": {func(s *simulation) { s.crash("n3", true) }, Dead},
+		"loss of the machine":          {func(s *simulation) { s.crash("n3", false) }, Dead},
+		"partition":                    {cutOff(true, true, "n3"), Dead},
+		"outgoing messages are lost":   {cutOff(false, true, "n3"), Dead},
+		"incoming messages are lost":   {cutOff(true, false, "n3"), Alive},
+		"the path to one node is cut":  {func(s *simulation) { s.cut = func(a, b string) bool { return a+b == "n3n7" || a+b == "n7n3" } }, Alive},
 		"one way of the path to half the nodes is cut": {func(s *simulation) {
 			s.cut = func(a, b string) bool { return a == "n3" && len(b) > 2 } // n10 to n15 receive nothing from it
 		}, Alive},
-		"it leaves gracefully": {func(s *simulation) {
+		"graceful shutdown": {func(s *simulation) {
 			n := s.nodes["n3"]
 			n.table.Leave(s.now)
 			s.send("n3", n, n.table.Tick(s.now))
 			s.after(20*time.Millisecond, func() { s.crash("n3", true) })
 		}, Left},
-		"it restarts immediately": {func(s *simulation) {
+		"immediate restart": {func(s *simulation) {
 			s.crash("n3", true)
 			s.after(300*time.Millisecond, func() { s.start("n3", "n0") })
 		}, Alive},
-		"its process stalls for 1.5 s": {func(s *simulation) {
+		"process stalls for 1.5 s": {func(s *simulation) {
 			n := s.nodes["n3"]
 			n.isUp = false
 			s.after(1500*time.Millisecond, func() { n.isUp = true; s.tick("n3", n, nil) })
 		}, Alive},
-		"its process stalls for 6 s": {func(s *simulation) {
+		"process stalls for 6 s": {func(s *simulation) {
 			n := s.nodes["n3"]
 			n.isUp = false
 			s.after(6*time.Second, func() { n.isUp = true; s.tick("n3", n, nil) })
@@ -64,12 +64,12 @@
 				if n := s.countObservers("n3", Alive); n != 15 {
 					t.Fatalf("before the event: got %d nodes that report n3 as alive, want 15", n)
 				}
-				c.happens(s)
+				c.apply(s)
 				s.run(13 * time.Second)
 				seen := s.countObservers("n3", c.want)
 				if want := 15; name == "the other half is cut off" && seen >= 8 { // the nodes on its side of the partition
 				} else if seen != want {
-					t.Fatalf("seed %d: got %d nodes, want %d, that report n3 as %v; %d report suspected, %d dead", seed, seen, want, c.want, s.countObservers("n3", Suspected), s.countObservers("n3", Dead))
+					t.Fatalf("seed %d: got %d nodes, want %d, that report n3 as %v; got %d that report it as suspected, %d as dead", seed, seen, want, c.want, s.countObservers("n3", Suspected), s.countObservers("n3", Dead))
 				}
 				s.cut = func(string, string) bool { return false }
 				if s.nodes["n3"].isUp {
@@ -92,29 +92,29 @@
 			return Member{Name: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name"), Incarnation: int64(rapid.IntRange(1, 3).Draw(t, "incarnation")),
 				Refutations: uint32(rapid.IntRange(0, 2).Draw(t, "refutations")), Condition: Condition(rapid.IntRange(0, 3).Draw(t, "condition"))}
 		}), 1, 12).Draw(t, "reports")
-		for _, w := range reports {
-			previous, ok := a.Get(w.Name)
-			a.MergeMembers(time.Second, "", []Member{w})
-			if is, _ := a.Get(w.Name); ok && Compare(is, previous) < 0 {
-				t.Fatalf("report %+v regressed to %+v", previous, is)
+		for _, report := range reports {
+			previous, ok := a.Get(report.Name)
+			a.MergeMembers(time.Second, "", []Member{report})
+			if stored, _ := a.Get(report.Name); ok && Compare(stored, previous) < 0 {
+				t.Fatalf("stored entry %+v regressed to %+v", previous, stored)
 			}
 		}
-		for _, i := range rapid.Permutation(reports).Draw(t, "order") {
-			b.MergeMembers(time.Second, "", []Member{i})
+		for _, report := range rapid.Permutation(reports).Draw(t, "order") {
+			b.MergeMembers(time.Second, "", []Member{report})
 		}
 		for _, name := range []string{"x", "y"} {
 			if x, y := a.members[name], b.members[name]; Compare(x, y) != 0 {
-				t.Fatalf("result depends on the order of reports: %+v or %+v", x, y)
+				t.Fatalf("got entries %+v and %+v from two orders of the same reports, want equal ones", x, y)
 			}
 		}
 		self := New(Member{Name: "x", Incarnation: 2})
 		self.MergeMembers(time.Second, "", reports)
-		for _, w := range reports {
-			if w.Name == "x" && w.Incarnation == 2 && Compare(w, self.Self()) > 0 {
-				t.Fatalf("report %+v is not refuted by own entry %+v", w, self.Self())
+		for _, report := range reports {
+			if report.Name == "x" && report.Incarnation == 2 && Compare(report, self.Self()) > 0 {
+				t.Fatalf("report %+v of the node itself is not refuted by its entry %+v", report, self.Self())
 			}
-			if w.Name == "x" && w.Incarnation > 2 && !self.IsReplaced() {
-				t.Fatal("IsReplaced is false after a report of a later incarnation")
+			if report.Name == "x" && report.Incarnation > 2 && !self.IsReplaced() {
+				t.Fatal("IsReplaced after a report of a later incarnation: got false, want true")
 			}
 		}
 	})
--- a/internal/cluster/mtls/mtls_test.go
+++ b/internal/cluster/mtls/mtls_test.go
@@ -89,7 +89,7 @@
 		t.Run(title, func(t *testing.T) {
 			t.Parallel()
 			if serverErr, clientErr := handshake(planner, c.client, c.name); (serverErr == nil && clientErr == nil) != c.ok {
-				t.Errorf("server error %v, client error %v", serverErr, clientErr)
+				t.Errorf("handshake: got server error %v, client error %v", serverErr, clientErr)
 			}
 		})
 	}
@@ -120,7 +120,7 @@
 	}
 	touch()
 	if serverErr, clientErr := handshake(server, node, "planner"); serverErr != nil || clientErr != nil || server.ReloadError() == nil {
-		t.Errorf("with an invalid certificate file: server error %v, client error %v, reload error %v", serverErr, clientErr, server.ReloadError())
+		t.Errorf("handshake with an invalid certificate file: got server error %v, client error %v, reload error %v, want only a reload error", serverErr, clientErr, server.ReloadError())
 	}
 	if _, _, _, err := next.Write(dir, "planner", time.Now().Add(time.Hour)); err != nil {
 		t.Fatal(err)
@@ -129,10 +129,10 @@
 	os.Chtimes(cert, later, later)
 	server.lastCheck = time.Time{}
 	if serverErr, clientErr := handshake(server, nodeNext, "planner"); serverErr != nil || clientErr != nil || server.ReloadError() != nil {
-		t.Errorf("with new keys: server error %v, client error %v, reload error %v", serverErr, clientErr, server.ReloadError())
+		t.Errorf("handshake with new keys: got server error %v, client error %v, reload error %v, want none", serverErr, clientErr, server.ReloadError())
 	}
 	if serverErr, clientErr := handshake(server, node, "planner"); serverErr == nil && clientErr == nil {
-		t.Error("a certificate of the previous authority is still accepted")
+		t.Error("certificate of the previous authority accepted after the reload, want it rejected")
 	}
 }
 
@@ -145,7 +145,7 @@
 	os.WriteFile(empty, nil, 0o600)
 	for _, f := range []Files{{}, {cert, key, "/nowhere"}, {key, cert, ca}, {cert, key, empty}} {
 		if _, err := LoadKeys(f); err == nil {
-			t.Errorf("LoadKeys(%+v) succeeded, want an error", f)
+			t.Errorf("LoadKeys(%+v): got no error, want one", f)
 		}
 	}
 	for address, ok := range map[string]bool{"127.0.0.1:1": true, "[::1]:1": true, "10.0.0.1:1": false, "0.0.0.0:1": false} {
--- a/internal/cluster/peer/format_test.go
+++ b/internal/cluster/peer/format_test.go
@@ -81,7 +81,7 @@
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		name, frame, ok := strings.Cut(lines.Text(), " ")
 		if !ok {
-			t.Fatalf("no frame in %q", lines.Text())
+			t.Fatalf("stored line %q: want the name of a message and its frame", lines.Text())
 		}
 		frames[name] = frame
 	}
--- a/internal/cluster/peer/helpers_test.go
+++ b/internal/cluster/peer/helpers_test.go
@@ -30,6 +30,7 @@
 	done   chan error
 }
 
+// address returns a loopback address with a free port.
 func address(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -118,6 +119,7 @@
 	}
 }
 
+// eventually fails the test if a condition is not met within 30 s.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
--- a/internal/cluster/peer/message_test.go
+++ b/internal/cluster/peer/message_test.go
@@ -24,7 +24,7 @@
 		b := slices.Clone(frame)
 		b[i] ^= 0x10
 		if k, body, err := protocol.Read(strings.NewReader(string(b)), nil); err == nil {
-			t.Errorf("frame with corrupted byte %d was accepted as kind %d with body %x", i, k, body)
+			t.Errorf("frame with corrupted byte %d: accepted as kind %d with body %x, want an error", i, k, body)
 		}
 	}
 }
--- a/internal/cluster/peer/node_test.go
+++ b/internal/cluster/peer/node_test.go
@@ -52,7 +52,7 @@
 		ids, enough := findIDs(t, node.cfg)
 		for id := range want {
 			if !ids[id] {
-				t.Errorf("record %s not found with %d nodes lost", id, missing)
+				t.Errorf("record %s with %d nodes lost: not found, want it found", id, missing)
 			}
 		}
 		if enough != (missing <= 2) {
@@ -90,11 +90,11 @@
 	select {
 	case <-b.Replaced():
 	case <-time.After(20 * time.Second):
-		t.Fatal("the earlier process was not notified within 20 s")
+		t.Fatal("earlier process of the name: not notified to stop within 20 s")
 	}
 	select {
 	case <-second.Replaced():
-		t.Error("the later process was notified to stop")
+		t.Error("later process of the name: notified to stop, want only the earlier one notified")
 	default:
 	}
 	second.crash()
@@ -105,7 +105,7 @@
 	a.mu.Unlock()
 	again := start(t, "n1", "", a.cfg.Listen)
 	if incarnation := again.self().Incarnation; incarnation <= later {
-		t.Errorf("got incarnation %d, want one after %d", incarnation, later)
+		t.Errorf("got incarnation %d, want one higher than %d", incarnation, later)
 	}
 }
 
@@ -198,6 +198,6 @@
 	eventually(t, "two nodes of one authority know each other", func() bool { return len(a.Status().Members) == 2 && len(b.Status().Members) == 2 })
 	time.Sleep(3 * initialRedialWait) // for the third node to dial; the check is valid whether or not it has
 	if len(a.Status().Members) != 2 {
-		t.Error("a node of another authority became a member")
+		t.Error("node of another authority: became a member, want it rejected")
 	}
 }
--- a/internal/cluster/peer/reconcile_test.go
+++ b/internal/cluster/peer/reconcile_test.go
@@ -48,9 +48,9 @@
 	reconcilers := func() (by map[string]uint64) {
 		by = map[string]uint64{}
 		for _, s := range Query(context.Background(), anyNode().cfg, false).Answered {
-			for _, h := range s.StoredReplicas {
-				if base, reconciler, ok := strings.Cut(h.Name, "~"); ok && base == "n0" {
-					by[reconciler] = max(by[reconciler], h.Ranges.Count())
+			for _, replica := range s.StoredReplicas {
+				if base, reconciler, ok := strings.Cut(replica.Name, "~"); ok && base == "n0" {
+					by[reconciler] = max(by[reconciler], replica.Ranges.Count())
 				}
 			}
 		}
@@ -96,7 +96,7 @@
 	}
 	for reconciler, n := range reconcilers() {
 		if n != 1 {
-			t.Errorf("%s reconciled %d attempts, want 1", reconciler, n)
+			t.Errorf("reconciliation by %s: got %d attempts, want 1", reconciler, n)
 		}
 	}
 }
--- a/internal/cluster/peer/verify_test.go
+++ b/internal/cluster/peer/verify_test.go
@@ -43,7 +43,7 @@
 			}
 			client := Query(context.Background(), nodes[0].cfg, true)
 			if s := client.Answered[node.name]; s == nil || len(s.Damage) == 0 {
-				t.Fatalf("verification reported no damage: %+v", client.Answered)
+				t.Fatalf("verification: got no damage reported, want some: %+v", client.Answered)
 			}
 			eventually(t, "the stream is complete on three machines again", func() bool {
 				complete := 0
--- a/internal/cluster/replicastore/format_test.go
+++ b/internal/cluster/replicastore/format_test.go
@@ -47,25 +47,25 @@
 	defer s.Close()
 	streams, err := s.Streams()
 	if err != nil || !reflect.DeepEqual(streams, []replication.Stream{{Name: "n0", Incarnation: storedRun}, {Name: "n0~n1", Incarnation: storedRun}}) {
-		t.Fatalf("Streams: got %v, error %v", streams, err)
+		t.Fatalf("Streams: got %v, error %v, want the two under testdata", streams, err)
 	}
-	for of, want := range storedStreams() {
-		t.Run(of.String(), func(t *testing.T) {
+	for stream, want := range storedStreams() {
+		t.Run(stream.String(), func(t *testing.T) {
 			var got [][]intent.Record
-			report, err := s.ReadStream(of, func(p wal.Chunk) error {
-				all, records, err := wal.DecodeChunks(p.Frames)
+			report, err := s.ReadStream(stream, func(chunk wal.Chunk) error {
+				decoded, records, err := wal.DecodeChunks(chunk.Frames)
 				if err != nil {
 					return err
 				}
 				first := records[0]
-				if all.Incarnation != p.Incarnation || p.Incarnation != storedRun || p.First != uint64(first.From) || p.Count != first.Count || p.AtUnixNano != first.AtUnixNano {
-					t.Errorf("chunk %+v does not match its decoded records %+v", p, all)
+				if decoded.Incarnation != chunk.Incarnation || chunk.Incarnation != storedRun || chunk.First != uint64(first.From) || chunk.Count != first.Count || chunk.AtUnixNano != first.AtUnixNano {
+					t.Errorf("chunk %+v does not match the decoded chunk %+v", chunk, decoded)
 				}
 				got = append(got, records)
 				return nil
 			})
 			if err != nil || len(report.Unreadable) > 0 || report.Segments != 1 {
-				t.Fatalf("ReadStream: got report %+v, error %v", report, err)
+				t.Fatalf("ReadStream: got report %+v, error %v, want one undamaged segment", report, err)
 			}
 			if !reflect.DeepEqual(got, want) {
 				t.Errorf("got records\n%+v, want\n%+v", got, want)
@@ -77,14 +77,14 @@
 func TestReplicaBytes(t *testing.T) {
 	dir := t.TempDir()
 	s := Open(dir, wal.OSFileSystem{}, 1<<20)
-	for of, chunks := range storedStreams() {
+	for stream, chunks := range storedStreams() {
 		for _, records := range chunks {
-			w, err := s.Append(of, records)
+			commit, err := s.Append(stream, records)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if <-w.Done(); w.Err() != nil {
-				t.Fatal(w.Err())
+			if <-commit.Done(); commit.Err() != nil {
+				t.Fatal(commit.Err())
 			}
 		}
 	}
--- a/internal/cluster/replicastore/store_test.go
+++ b/internal/cluster/replicastore/store_test.go
@@ -56,7 +56,7 @@
 		return nil
 	}, nil)
 	if streams, err := s.Streams(); gaps > 0 || err != nil || len(streams) != 1 || streams[0] != stream {
-		t.Errorf("got %d gaps, want 0; streams %v, error %v", gaps, streams, err)
+		t.Errorf("got %d gaps, want 0; got streams %v, error %v, want one stream", gaps, streams, err)
 	}
 	if err := s.TrimBefore(stream, next); err != nil {
 		t.Fatal(err)
--- a/internal/cluster/replication/candidate_test.go
+++ b/internal/cluster/replication/candidate_test.go
@@ -28,7 +28,7 @@
 			sites[c.Site] = true
 		}
 		if len(selected) != 2 || len(machines) != 3 || len(sites) != 3 {
-			t.Fatalf("selected %v for origin %v, want 2 on other machines and sites", selected, self)
+			t.Fatalf("got selected candidates %v for origin %v, want 2 on other machines and sites", selected, self)
 		}
 		fewer := others[:len(others)-1]
 		for _, c := range selectCandidates(rankCandidates(Stream{Name: name}, fewer), 2, nil, []Candidate{self}) {
--- a/internal/cluster/replication/message_test.go
+++ b/internal/cluster/replication/message_test.go
@@ -28,7 +28,7 @@
 			back = &Ack{}
 		}
 		if err := cbor.Unmarshal(encoded, back); err != nil || fmt.Sprint(back) != fmt.Sprint(message) {
-			t.Errorf("encoded %v, decoded %v, error %v", message, back, err)
+			t.Errorf("message %v: got decoded %v, error %v", message, back, err)
 		}
 	}
 }
--- a/internal/cluster/replication/origin_test.go
+++ b/internal/cluster/replication/origin_test.go
@@ -140,7 +140,7 @@
 	s.replies = append(s.replies, reply{from, message})
 }
 
-// holders counts the disks on which a record is stored.
+// holders returns the number of disks on which a record is stored.
 func (s *simulation) holders(n uint64) (count int) {
 	for _, r := range s.disk {
 		if r.Contains(n, n+1) {
@@ -241,7 +241,7 @@
 		s.step(5*time.Millisecond, true)
 	}
 	if took := s.now - began; took > 100*time.Millisecond {
-		t.Errorf("record committed after %v with silent holder %s, want at most 100 ms: %+v", took, silent, s.origin.Holders())
+		t.Errorf("got a commit after %v with silent holder %s, want at most 100 ms: %+v", took, silent, s.origin.Holders())
 	}
 	if n := len(s.origin.WantedConnections()); n != 3 {
 		t.Errorf("got %d holders, want 3", n)
--- a/internal/cluster/replication/ranges_test.go
+++ b/internal/cluster/replication/ranges_test.go
@@ -31,11 +31,11 @@
 		}
 		for x := uint64(1); x < 40; x++ {
 			if a.Contains(x, x+1) != inA[x] || left.Contains(x, x+1) != (inA[x] && !inB[x]) {
-				t.Fatalf("record %d: %v without %v gives %v", x, a, b, left)
+				t.Fatalf("record %d: Contains of %v or Without(%v) = %v differs from the sets of record numbers", x, a, b, left)
 			}
 		}
 		if a.Count() != uint64(len(inA)) {
-			t.Fatalf("Count of %v: want %d", a, len(inA))
+			t.Fatalf("Count of %v: got another number, want %d", a, len(inA))
 		}
 	})
 }
--- a/internal/cluster/replication/replicatable_test.go
+++ b/internal/cluster/replication/replicatable_test.go
@@ -37,7 +37,7 @@
 			c.prepare(table)
 			ok, out := table.AdmitBatch("a", &Batch{Stream: s, First: 10, Count: 2, FromOrigin: c.origin}, c.at, clock)
 			if ok != (c.reason == "" && !c.hasAll) || !ok && out[0].Message.(*Ack).RejectReason != c.reason {
-				t.Errorf("got admitted %v with replies %+v", ok, out)
+				t.Errorf("AdmitBatch: got %v with replies %+v", ok, out)
 			}
 		})
 	}
@@ -76,17 +76,17 @@
 		return table
 	}
 	if to := offered(newTable(1, true), 10*time.Second); len(to) > 0 {
-		t.Errorf("a live node's stream was offered to %v", to)
+		t.Errorf("stream of a live node: got offers to %v, want none", to)
 	}
 	if to := offered(newTable(1, false), 2*time.Second); len(to) > 0 {
-		t.Errorf("offered to %v before the node had time to restart", to)
+		t.Errorf("stream of a dead node within 2 s, before a restart is ruled out: got offers to %v, want none", to)
 	}
 	dead := newTable(1, false)
 	if to := offered(dead, 10*time.Second); len(to) < 2 || to["n0"] {
-		t.Errorf("a dead node's stream was offered to %v", to)
+		t.Errorf("stream of a dead node: got offers to %v, want at least 2 nodes without n0", to)
 	}
 	if to := offered(newTable(2, true), 10*time.Second); !to["n0"] {
-		t.Errorf("a restarted node was not offered its earlier stream: offered to %v", to)
+		t.Errorf("earlier stream of a restarted node: got offers to %v, want n0 among them", to)
 	}
 	// Two holders that know each other start at different times.
 	other := NewReplicaTable(all[2], 2, 1<<30, 0)
@@ -109,6 +109,6 @@
 	}
 	a, b := begins(dead, "n2"), begins(other, "n1")
 	if a == 0 || b == 0 || a-b < time.Second/2 && b-a < time.Second/2 {
-		t.Errorf("copies start at %v and %v, want both and at least 0.5 s apart", a, b)
+		t.Errorf("copies by two holders: got starts at %v and %v (0: none), want both, at least 0.5 s apart", a, b)
 	}
 }
--- a/internal/discovery/endpoints/set_test.go
+++ b/internal/discovery/endpoints/set_test.go
@@ -113,7 +113,7 @@
 		case !isListed[id] && c == "up" && !set.MassRemoval().IsSuspected:
 			t.Fatalf("%s: %s is retained, but no mass removal is suspected", history, id)
 		case set.State(id) == StatePresent && c != "up", set.State(id) == StateDraining && c == "up":
-			t.Fatalf("%s: %s has condition %s in state %d", history, id, c, set.State(id))
+			t.Fatalf("%s: got condition of %s %s, which contradicts state %d", history, id, c, set.State(id))
 		}
 	}
 }
--- a/internal/discovery/endpoints/view_test.go
+++ b/internal/discovery/endpoints/view_test.go
@@ -160,7 +160,7 @@
 	few, _ := cost(1_000)
 	many, fullList := cost(20_000)
 	if many > few || fullList > 3*20_000 {
-		t.Errorf("one change visits %d records among 1,000 and %d among 20,000; a full list of 20,000 visits %d", few, many, fullList)
+		t.Errorf("one change: got %d visited records of 1,000 and %d of 20,000, want no more; full list of 20,000: got %d, want at most 60,000", few, many, fullList)
 	}
 }
 
@@ -178,7 +178,7 @@
 		for at, ids := range v.byAddress {
 			for _, id := range ids {
 				if record := v.records[id]; record == nil || record.Address != at || seen[id] {
-					t.Fatalf("step %d: server %s is indexed at %s, which is not its address, or is indexed twice", i, id, at)
+					t.Fatalf("step %d: server %s is indexed at %s, but is unknown, has another address or is indexed twice", i, id, at)
 				}
 				seen[id] = true
 			}
--- a/internal/discovery/incarnation/format_test.go
+++ b/internal/discovery/incarnation/format_test.go
@@ -30,7 +30,7 @@
 			}
 			var decoded Entry
 			if err := cbor.Unmarshal(encoded, &decoded); err != nil || decoded != c.entry {
-				t.Errorf("got decoded entry %+v, %v", decoded, err)
+				t.Errorf("got decoded entry %+v, error %v", decoded, err)
 			}
 		})
 	}
--- a/internal/discovery/incarnation/table_test.go
+++ b/internal/discovery/incarnation/table_test.go
@@ -28,7 +28,7 @@
 		x.Join(0, announced)
 		y.Join(0, append(slices.Clone(announced), rapid.Permutation(announced).Draw(t, "order")...))
 		if fmt.Sprint(x.All()) != fmt.Sprint(y.All()) {
-			t.Fatalf("tables differ: %v, %v", x.All(), y.All())
+			t.Fatalf("got entries %v and %v from two orders of the same entries, want equal ones", x.All(), y.All())
 		}
 	})
 }
@@ -71,7 +71,7 @@
 			}
 			e, _ := table.Get("s")
 			if got := fmt.Sprint([]string{"up", "draining", "gone"}[e.Condition], " ", e.Generation); got != c.want {
-				t.Errorf("got %s", got)
+				t.Errorf("got condition and generation %s", got)
 			}
 		})
 	}
@@ -154,7 +154,7 @@
 				t.Fatalf("drain undone: entry changed from %+v to %+v", before, after)
 			}
 			if expected := newest(); after.ID != "" && after.StartedUnixMS > expected.StartedUnixMS {
-				t.Fatalf("got %+v with a later start than discovery announced: %+v", after, expected)
+				t.Fatalf("got entry %+v, want a start not later than that announced by discovery: %+v", after, expected)
 			}
 		}
 	})
--- a/internal/discovery/snapshot/format_test.go
+++ b/internal/discovery/snapshot/format_test.go
@@ -47,7 +47,7 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("decoded\n%+v, want\n%+v", got, want)
+				t.Errorf("Decode: got\n%+v, want\n%+v", got, want)
 			}
 		})
 	}
@@ -74,7 +74,7 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(written, stored) {
-				t.Errorf("wrote\n%x, want\n%x", written, stored)
+				t.Errorf("Write: got file\n%x, want\n%x", written, stored)
 			}
 		})
 	}
@@ -94,6 +94,6 @@
 	}
 	want := Config{Dir: dir, Deployment: "hire", WriteInterval: tomlfile.Duration(3 * time.Second), MaxGenerations: 5, MaxAge: tomlfile.Duration(48 * time.Hour)}
 	if *got != want {
-		t.Errorf("read %+v, want %+v", *got, want)
+		t.Errorf("got config %+v, want %+v", *got, want)
 	}
 }
--- a/internal/discovery/snapshot/snapshot_test.go
+++ b/internal/discovery/snapshot/snapshot_test.go
@@ -29,7 +29,7 @@
 	}
 	s, err := Decode(encoded)
 	if err != nil || s.WrittenUnixMS != 7 || len(s.Servers) != 2 || s.Servers[0] != newSnapshot(7).Servers[0] {
-		t.Fatalf("decoded %+v, %v", s, err)
+		t.Fatalf("Decode: got %+v, error %v", s, err)
 	}
 	twice, _ := Encode(&Snapshot{Servers: []Server{{ID: "a"}, {ID: "a"}}})
 	newer := bytes.Clone(encoded)
@@ -48,7 +48,7 @@
 		}
 	}
 	if _, err := Encode(&Snapshot{Servers: make([]Server, maxServers+1)}); err == nil {
-		t.Error("Encode accepts more than maxServers servers")
+		t.Error("Encode of more than maxServers servers: got no error, want one")
 	}
 }
 
@@ -63,7 +63,7 @@
 		}
 		if s != nil {
 			if reencoded, err := Encode(s); err != nil || len(reencoded) > len(b)+64 {
-				t.Fatalf("%d bytes are encoded as %d bytes after decoding, %v", len(b), len(reencoded), err)
+				t.Fatalf("snapshot decoded from %d bytes: got %d bytes reencoded, error %v, want at most 64 bytes more", len(b), len(reencoded), err)
 			}
 		}
 	})
@@ -111,13 +111,13 @@
 			}
 			got, _, err := reopened.Newest()
 			if err != nil || got == nil || got.WrittenUnixMS < last || got.WrittenUnixMS > last+1 {
-				t.Fatalf("%s: got newest generation %+v after writing %d, %v", name, got, last, err)
+				t.Fatalf("%s: got newest generation %+v after writing generation %d, error %v, want this one or the next", name, got, last, err)
 			}
 			if err := reopened.Write(newSnapshot(9)); err != nil {
 				t.Fatalf("%s: write after reopening: %v", name, err)
 			}
 			if got, _, _ := reopened.Newest(); got == nil || got.WrittenUnixMS != 9 {
-				t.Fatalf("%s: got newest generation %+v after a later write", name, got)
+				t.Fatalf("%s: got newest generation %+v after a later write, want that of time 9", name, got)
 			}
 			if files, _ := disk.List("dir"); len(files) != 2 {
 				t.Errorf("%s: got files %v, want 2", name, files)
@@ -150,10 +150,10 @@
 	modify(files[2], func(b []byte) { b[len(b)-1] ^= 1 })
 	got, unusable, err := s.Newest()
 	if err != nil || got == nil || got.WrittenUnixMS != 4 || len(unusable) != 1 || !strings.Contains(unusable[0].Error(), files[2]) {
-		t.Errorf("got %+v, %v, %v", got, unusable, err)
+		t.Errorf("newest file corrupt: got snapshot %+v, unusable %v, error %v, want the snapshot of time 4 and one unusable file", got, unusable, err)
 	}
 	modify(files[1], func(b []byte) { b[len(magic)+1] = version + 1 })
 	if got, unusable, _ := s.Newest(); got != nil || len(unusable) != 2 {
-		t.Errorf("got %+v, %v although a newer version precedes all usable generations", got, unusable)
+		t.Errorf("newer version before all usable generations: got snapshot %+v, unusable %v, want no snapshot and two unusable files", got, unusable)
 	}
 }
--- a/internal/discovery/staleness/evaluator_test.go
+++ b/internal/discovery/staleness/evaluator_test.go
@@ -102,11 +102,11 @@
 	}
 	for id, n := range trials { // 500 trials of 50 servers: 10 each on average
 		if n > 30 {
-			t.Errorf("server %s is tried first by %d of 100 nodes", id, n)
+			t.Errorf("server %s: got %d of 100 nodes that try it first, want at most 30", id, n)
 		}
 	}
 	if len(trials) < 45 {
-		t.Errorf("only %d of 50 servers are tried first by some node", len(trials))
+		t.Errorf("got %d of 50 servers tried first by some node, want at least 45", len(trials))
 	}
 }
 
@@ -153,14 +153,14 @@
 			onTrial := 0
 			for _, u := range usable {
 				if excluded[u.ID] || u.IsProven && !hasExecuted[u.ID] {
-					t.Fatalf("server %s is usable: excluded %v, has executed %v", u.ID, excluded[u.ID], hasExecuted[u.ID])
+					t.Fatalf("server %s is usable, and proven or excluded: excluded %v, has executed %v", u.ID, excluded[u.ID], hasExecuted[u.ID])
 				}
 				if !u.IsProven {
 					onTrial++
 				}
 			}
 			if maxOnTrial = max(maxOnTrial, evaluator.maxTrials); onTrial > maxOnTrial || evaluator.maxTrials < minTrials {
-				t.Fatalf("got %d servers on trial, current limit %d", onTrial, evaluator.maxTrials)
+				t.Fatalf("got %d servers on trial with the current limit %d, want at most the largest limit so far and a limit of at least minTrials", onTrial, evaluator.maxTrials)
 			}
 		}
 		for range 200 {
--- a/internal/discovery/watch/format_test.go
+++ b/internal/discovery/watch/format_test.go
@@ -52,7 +52,7 @@
 					t.Fatal(err)
 				}
 				if got, want := <-calls, fmt.Sprintf(want, address); got != want {
-					t.Errorf("sent\n%q, want\n%q", got, want)
+					t.Errorf("got call\n%q, want\n%q", got, want)
 				}
 			}
 		})
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -26,7 +26,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if wait, slack := c.w.timeouts(); wait <= 0 || slack <= 0 || wait+slack > c.maxTotal {
-				t.Errorf("got wait %v and slack %v", wait, slack)
+				t.Errorf("got wait %v and slack %v, want positive ones with at most maxTotal in sum", wait, slack)
 			}
 		})
 	}
@@ -78,7 +78,7 @@
 			}
 			wait, slack := c.w.timeouts()
 			if sum := wait + slack + longestPause + responseTime; sum > announcedWithin {
-				t.Errorf("got a total of %v: %v without a response, a pause of %v, %v for the response", sum, wait+slack, longestPause, responseTime)
+				t.Errorf("got a total of %v, want at most announcedWithin: %v without a response, a pause of %v, %v for the response", sum, wait+slack, longestPause, responseTime)
 			}
 		})
 	}
--- a/internal/discovery/zookeeper/format_test.go
+++ b/internal/discovery/zookeeper/format_test.go
@@ -40,7 +40,7 @@
 				t.Fatal(err)
 			}
 			if got != c.want {
-				t.Errorf("read %+v, want %+v", got, c.want)
+				t.Errorf("got entry %+v, want %+v", got, c.want)
 			}
 		})
 	}
@@ -64,7 +64,7 @@
 	want := &Config{Servers: []string{"127.0.0.1:2181", "127.0.0.2:2181"}, Chroot: "/services", Path: "/hire", SessionTimeout: tomlfile.Duration(7 * time.Second),
 		AuthFile: secret, Credentials: "user:password"}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v, want %+v", got, want)
+		t.Errorf("got config %+v, want %+v", got, want)
 	}
 }
 
@@ -184,7 +184,7 @@
 				t.Error(err)
 			}
 			if !reflect.DeepEqual(got, c.want) {
-				t.Errorf("sent\n%q, want\n%q", got, c.want)
+				t.Errorf("got frames\n%q, want\n%q", got, c.want)
 			}
 		})
 	}
--- a/internal/discovery/zookeeper/herd_test.go
+++ b/internal/discovery/zookeeper/herd_test.go
@@ -63,7 +63,7 @@
 	t.Logf("%.0f calls per second by 500 readers at %.0f changes per second: %.1f per reader", callsPerSecond, 200/seconds, callsPerSecond/500)
 	// Each read of a Reader consists of at most two calls: one for the children and one for an entry.
 	if maxCallsPerSecond := 500 * (1 / minReadInterval.Seconds()) * 2; callsPerSecond > maxCallsPerSecond {
-		t.Errorf("calls per second exceed the limit of %.0f", maxCallsPerSecond)
+		t.Errorf("got more calls per second than the limit of %.0f", maxCallsPerSecond)
 	}
 	cancel()
 	readers.Wait()
--- a/internal/discovery/zookeeper/reader_test.go
+++ b/internal/discovery/zookeeper/reader_test.go
@@ -44,7 +44,7 @@
 			got += " draining"
 		}
 		if wantErr, isInvalid := strings.CutPrefix(want, "! "); isInvalid != (err != nil) || isInvalid && !strings.Contains(err.Error(), wantErr) || !isInvalid && got != want {
-			t.Errorf("data %.60q: got %q, %v", data, got, err)
+			t.Errorf("data %.60q: got %q, error %v", data, got, err)
 		}
 	}
 }
@@ -231,7 +231,7 @@
 			return
 		}
 	}
-	t.Errorf("got %d waiting goroutines and %d watches for %d readers", waiting, watches, readers)
+	t.Errorf("got %d waiting goroutines and %d watches for %d readers, want watchesPerReader of each per reader", waiting, watches, readers)
 }
 
 // lists waits until the Reader lists the wanted entries and reports whether it did. Unlike waitFor, it may be called from any
@@ -245,6 +245,6 @@
 			return true
 		}
 	}
-	e.t.Errorf("want entries %v; got errors %v", want, e.errs)
+	e.t.Errorf("entries %v not listed within 20 s, errors %v", want, e.errs)
 	return false
 }
--- a/internal/journal/wal/format_test.go
+++ b/internal/journal/wal/format_test.go
@@ -37,7 +37,7 @@
 		return nil
 	}, nil)
 	if err != nil || report.Segments != 1 || len(report.Unreadable) > 0 {
-		t.Fatalf("scan: got report %+v, error %v", report, err)
+		t.Fatalf("scan: got report %+v, error %v, want one undamaged segment", report, err)
 	}
 	if want := storedRecords(); !reflect.DeepEqual(got, want) {
 		t.Errorf("got records\n%+v, want\n%+v", got, want)
--- a/internal/journal/wal/helpers_test.go
+++ b/internal/journal/wal/helpers_test.go
@@ -67,7 +67,7 @@
 		return nil
 	}, nil)
 	if err != nil {
-		t.Fatalf("%s: %v", what, err)
+		t.Fatalf("%s: scan journal: %v", what, err)
 	}
 	assembler.HasDamage = r.CorruptCount() > 0
 	for _, e := range assembler.Incomplete() {
--- a/internal/journal/wal/log_test.go
+++ b/internal/journal/wal/log_test.go
@@ -57,7 +57,7 @@
 				}
 				d.Meet = func(int) memdisk.Fault { return memdisk.None }
 				if second := openLog(t, d, 600); second == nil { // the journal must be writable again
-					t.Fatalf("%s: reopen journal: failed on a disk without faults", what)
+					t.Fatalf("%s: reopen journal on a disk without faults: got an error, want none", what)
 				} else {
 					second.Close()
 				}
@@ -152,7 +152,7 @@
 		<-commit.Done()
 		if number == 1000 { // scan while the journal is open for writing
 			if r, err := Scan(OSFileSystem{}, dir, time.Time{}, func(*intent.Record) error { return nil }, nil); err != nil || len(r.Unreadable) > 0 || r.Records == 0 {
-				t.Errorf("scan while writing: got report %+v, error %v", r, err)
+				t.Errorf("scan while writing: got report %+v, error %v, want records without unreadable ranges", r, err)
 			}
 		}
 	}
--- a/internal/journal/wal/unreadable_test.go
+++ b/internal/journal/wal/unreadable_test.go
@@ -54,7 +54,7 @@
 			t.Fatalf("scan: got unreadable ranges %v, error %v, want none", report.Unreadable, err)
 		}
 		if !reflect.DeepEqual(found, acknowledged) {
-			t.Fatalf("want acknowledged records %s, got %s", describe(acknowledged), describe(found))
+			t.Fatalf("acknowledged records %s, but got %s from the scan", describe(acknowledged), describe(found))
 		}
 	})
 }
