--- a/internal/cluster/peer/config.go
+++ b/internal/cluster/peer/config.go
@@ -32,10 +32,10 @@
 	Site       string   `toml:"site"`
 	Machine    string   `toml:"machine"` // failure domain: nodes on one machine fail together; by default the advertised address
 
-	Replicas             int               `toml:"replicas"` // number of other machines that store this node's journal
-	ReplicaDir           string            `toml:"held"`     // folder of the replicas that this node stores for others
-	MaxReplicaBytes      int64             `toml:"held_bytes"`
-	RetentionAge         tomlfile.Duration `toml:"keep_for"`
+	Replicas             int               `toml:"replicas"`     // number of other machines that store this node's journal
+	ReplicaDir           string            `toml:"held"`         // folder of the replicas that this node stores for others
+	MaxReplicaBytes      int64             `toml:"held_bytes"`   // received bytes of these replicas, from which on records are rejected
+	RetentionAge         tomlfile.Duration `toml:"keep_for"`     // of replicas of lost incarnations; older records of any stream are rejected
 	RepairBytesPerSecond int64             `toml:"repair_bytes"` // rate limit of copies to other nodes, as after the loss of a holder
 	SlowAfter            tomlfile.Duration `toml:"slow_after"`   // a holder that takes longer to acknowledge a record is replaced
 
--- a/internal/cluster/replication/replicatable.go
+++ b/internal/cluster/replication/replicatable.go
@@ -36,7 +36,7 @@
 	streams            map[Stream]*storedStream
 	storedBytes        int64 // see StoredBytes
 	nodes              map[string]Node
-	highestIncarnation map[string]int64 // of each reported node name
+	highestIncarnation map[string]int64 // by node name, from membership and from offers of origins
 	candidates         []Candidate      // the live nodes
 	candidatesVersion  int              // incremented when the candidates or the set of rejecting targets change
 	lastTick           time.Duration
--- a/internal/discovery/incarnation/table.go
+++ b/internal/discovery/incarnation/table.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// tombstoneRetention is how long the entry of a gone server is stored. A planner that was disconnected for longer starts
-	// with an empty table.
+	// tombstoneRetention is how long the entry of a gone server is stored. After that the table would accept an earlier entry
+	// of the server again. A planner that was disconnected for longer is therefore expected to restart, with an empty table.
 	tombstoneRetention = 10 * time.Minute
 	// maxEntries limits the size of a table, regardless of what peers send. Entries of further servers are ignored: they are
 	// neither returned as changed nor logged. List snapshots have a separate limit.
--- a/internal/journal/wal/chunk.go
+++ b/internal/journal/wal/chunk.go
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// ScanChunks calls each for the complete chunks of one segment, in order. It skips damaged and truncated chunks. The
-// chunk's Frames are valid until each returns.
+// ScanChunks calls each for the complete chunks of one segment, in order. It skips damaged and truncated chunks: those with
+// fewer readable records than their header states. The chunk's Frames are valid until each returns.
 func ScanChunks(files FileSystem, s Segment, each func(Chunk) error) (ScanReport, error) {
 	var report ScanReport
 	var c Chunk
--- a/internal/journal/wal/config.go
+++ b/internal/journal/wal/config.go
@@ -38,9 +38,9 @@
 	MaxWait        tomlfile.Duration `toml:"wait_most"`     // maximum wait for an intent to be durable
 	IncludesKeyed  bool              `toml:"fingerprinted"` // also record requests with an idempotency key
 	RepeatOfField  string            `toml:"repeats_field"` // header field with the ID of the request that this one repeats
-	SegmentBytes   int64             `toml:"segment_bytes"`
-	RetentionAge   tomlfile.Duration `toml:"keep_for"`
-	RetentionBytes int64             `toml:"keep_bytes"`
+	SegmentBytes   int64             `toml:"segment_bytes"` // size limit of a segment; a single larger batch exceeds it
+	RetentionAge   tomlfile.Duration `toml:"keep_for"`      // older segments are removed; 0: no limit
+	RetentionBytes int64             `toml:"keep_bytes"`    // total size of all segments; 0: no limit
 }
 
 // RejectsWhenFailing reports whether requests that the journal cannot store are rejected. Otherwise they are served and
