--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -63,7 +63,7 @@
 }
 
 // prepareWrite makes the checks before the first byte of an attempt and journals its intent. It returns the number of the attempt in the
-// journal, and Succeeded or the result of an attempt that must not be written.
+// journal, and Succeeded if the attempt may be written, otherwise its result.
 func (s *Server) prepareWrite(ctx context.Context, d dispatch.Decision, f *forwarding, deadline time.Time) (number int, result dispatch.AttemptResult) {
 	if f.journalEntry != nil && (f.request.IsSettled() || s.isTooLateToWrite(d.Server)) { // no intent for an attempt that will not be sent
 		return 0, dispatch.ExpiredUnsent
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -54,12 +54,12 @@
 	shutdownDelays shutdownDelays
 }
 
-// shutdownDelays extends the durations of a shutdown. Only tests set it. The zero value adds nothing.
+// shutdownDelays changes the durations of a shutdown. Only tests set it. The zero value changes nothing.
 type shutdownDelays struct {
-	awaitArrivals func()        // returns when clients open no more connections; nil: waits for arrivalDuration
-	extraTime     time.Duration // until the listeners close, and until all requests must be answered
-	extraQuiet    time.Duration // without a new connection, until a listener closes
-	extraLinger   time.Duration // for a client to read its last answer before the close
+	awaitArrivals func()        // returns when clients open no more connections; nil: drain sleeps for arrivalDuration
+	extraTime     time.Duration // added to acceptDeadline and answerDeadline
+	extraQuiet    time.Duration // added to acceptQuietDuration
+	extraLinger   time.Duration // added to lingerDuration
 }
 
 // newDecider returns the factory of the component that makes the decisions of the node.
--- a/internal/proxy/configfile.go
+++ b/internal/proxy/configfile.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	maxMemoryMB = 192  // also the default
-	maxSockets  = 1024 // descriptors; also the default
+	maxMemoryMB = 192  // upper bound of the memory limit, also the default
+	maxSockets  = 1024 // upper bound of the descriptor limit, also the default if the operating system allows as many
 )
 
 // configFile is the JSON form of the platform's file.
@@ -112,7 +112,8 @@
 	return s, nil
 }
 
-// openFileLimit returns the operating system's limit of open descriptors, at most maxSockets. It may be lower than the configured limit.
+// openFileLimit returns the operating system's limit of open descriptors, at most maxSockets. If the configured limit is higher, this one is
+// used.
 func openFileLimit() int {
 	var r syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &r); err != nil {
@@ -121,6 +122,7 @@
 	return int(min(r.Cur, maxSockets))
 }
 
+// limitOrMax returns a configured limit, or maximum if none is configured or the configured one is higher.
 func limitOrMax(limit float64, maximum int) int {
 	if limit <= 0 || limit > float64(maximum) {
 		return maximum
--- a/internal/proxy/countslog.go
+++ b/internal/proxy/countslog.go
@@ -13,7 +13,8 @@
 
 const countsInterval = 10 * time.Second // between two log lines with counts
 
-// logCounts logs every countsInterval, until the node stops, how requests and attempts ended since the previous line.
+// logCounts logs counts every countsInterval until the node stops: how requests and attempts ended since the previous line, and the requests
+// and connections that are open now.
 func (s *Server) logCounts(ctx context.Context) error {
 	tick := time.NewTicker(countsInterval)
 	defer tick.Stop()
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// pollDiscovery polls once and applies the list. It reports whether to poll again: not after a failed poll, nor when ctx has ended.
+// pollDiscovery polls once and applies the list. It reports whether to poll again: not when ctx has ended, nor after a failed poll, unless
+// the address of discovery has changed meanwhile.
 func (s *Server) pollDiscovery(ctx context.Context, w *watch.Watcher) bool {
 	if w.Target.Replaced.Err() != nil {
 		w.Close()
--- a/internal/proxy/distributedroutes.go
+++ b/internal/proxy/distributedroutes.go
@@ -12,7 +12,7 @@
 	entry         distribution.Entry
 	fragment      route.Fragment
 	err           error              // why the entry could not be parsed
-	lastGood      *route.Fragment    // in effect, from this version or an earlier one; nil: none
+	lastGood      *route.Fragment    // in effect, parsed from this version or an earlier one; nil: none
 	lastGoodEntry distribution.Entry // entry that lastGood was parsed from
 }
 
--- a/internal/proxy/distributedtenants.go
+++ b/internal/proxy/distributedtenants.go
@@ -7,8 +7,8 @@
 	"fernvane/internal/controlplane/distribution/value"
 )
 
-// ApplyTenants puts the quotas of tenants in effect. They replace those of the settings. If several services name a tenant, its quotas add
-// up.
+// ApplyTenants puts the quotas of tenants in effect. A tenant without an entry has its quota of the settings. If several services name a
+// tenant, its quotas add up. An invalid entry is returned, and its last good version stays in effect.
 func (a *distributionApplier) ApplyTenants(all []distribution.Entry) (rejected []distribution.Rejection) {
 	defer a.saveLastGood()
 	a.mu.Lock()
--- a/internal/proxy/distribution.go
+++ b/internal/proxy/distribution.go
@@ -20,7 +20,8 @@
 const fallbackCheckInterval = 500 * time.Millisecond // between two checks whether discovery is needed
 
 // distributionApplier puts entries of the distribution in effect: servers, routes and pools, quotas of tenants. The client calls its Apply
-// methods from one goroutine. They return invalid entries with the reason; the last good versions of those stay in effect.
+// methods from one goroutine. They return invalid entries with the reason; the last good versions of those stay in effect, but a complete
+// list of servers removes a server whose entry is invalid.
 type distributionApplier struct {
 	client     *client.Client
 	dispatcher *dispatch.Dispatcher
@@ -40,12 +41,12 @@
 	parsed         map[distribution.Key]parsedFragment
 
 	// Tenants.
-	effectiveTenants map[distribution.Key]distribution.Entry
-	rejectedTenants  map[distribution.Key]bool // their newest version is invalid; an effective version may be missing
-	quotas           map[string]float64        // in effect, in requests per second, by tenant
+	effectiveTenants map[distribution.Key]distribution.Entry // newest valid versions
+	rejectedTenants  map[distribution.Key]bool               // newest version is invalid; effectiveTenants has an earlier one or none
+	quotas           map[string]float64                      // in effect, in requests per second, by tenant
 }
 
-// newDistributionApplier restores the last good versions from disk and creates the client, which does not run yet.
+// newDistributionApplier reads the last good versions from disk and creates the client, which does not run yet.
 func newDistributionApplier(cfg Config, d *dispatch.Dispatcher, log zerolog.Logger) (*distributionApplier, error) {
 	a := &distributionApplier{dispatcher: d, settings: &cfg.Settings, logger: log, incarnations: incarnation.NewTable(), operatorRoutes: cfg.Routes,
 		parsed: map[distribution.Key]parsedFragment{}, effectiveTenants: map[distribution.Key]distribution.Entry{}}
--- a/internal/proxy/endpointcache.go
+++ b/internal/proxy/endpointcache.go
@@ -27,15 +27,15 @@
 	logger     zerolog.Logger
 	store      *snapshot.Store
 	startedAt  time.Time
-	peers      *peer.Node // supply a list if the disk has none; nil: no peers
+	peers      *peer.Node // request a list from them if the disk has none; nil: no peers
 
 	writeMu sync.Mutex // serializes writes; held during disk I/O
 
-	mu              sync.Mutex           // not held during disk or socket I/O; may be held while the dispatcher's lock is acquired
-	evaluator       *staleness.Evaluator // of the suspect list; nil: no list, or it is confirmed
-	endpoints       map[string]endpoints.Endpoint
-	incompleteSince time.Time // when a list that lacks proven servers was first not applied; zero: never
-	lastRevision    uint64    // latest revision of the lists that sources have announced
+	mu              sync.Mutex                    // not held during disk or socket I/O; may be held while the dispatcher's lock is acquired
+	evaluator       *staleness.Evaluator          // of the suspect list; nil: no cached list is used, or it is confirmed
+	endpoints       map[string]endpoints.Endpoint // of the suspect list, by ID
+	incompleteSince time.Time                     // when a list that lacks proven servers was first not applied; zero: never
+	lastRevision    uint64                        // latest revision of the loaded list and of those that sources have announced
 }
 
 // newEndpointCache opens the directory of the stored lists. It reads no list yet.
@@ -51,8 +51,8 @@
 	return &endpointCache{cfg: cfg.Snapshot, nodeName: cfg.Name, dispatcher: d, logger: log, store: store, startedAt: time.Now()}, nil
 }
 
-// evaluate updates the usable servers of a suspect list by the observations of attempts. It returns when the list is confirmed or ctx has
-// ended.
+// evaluate updates the usable servers of a suspect list after each observation of an attempt, and as time passes. It returns when the list
+// is confirmed or ctx has ended.
 func (c *endpointCache) evaluate(ctx context.Context) error {
 	observations := c.dispatcher.Observations()
 	tick := time.NewTicker(evaluationInterval)
--- a/internal/proxy/endpointcacheconfirm.go
+++ b/internal/proxy/endpointcacheconfirm.go
@@ -14,9 +14,9 @@
 	minMissing             = 2                // a list that lacks fewer proven servers is applied
 )
 
-// confirm ends the suspicion of the cached list when a source announces a list, and returns the list to apply. An incomplete list of
-// discovery is a change to the cached list, which it confirms: the returned list then includes the cached one. ok is false if the list must
-// not be applied yet.
+// confirm ends the suspicion of the cached list when a source announces a list, and returns the list to apply. Without a suspect list it
+// returns l. An incomplete list of discovery contains only changes to the cached list, which it confirms: the returned list then includes the
+// cached one. ok is false if the list must not be applied yet, because it lacks most proven servers; the cached list stays suspect then.
 func (c *endpointCache) confirm(l http1.EndpointList, source endpoints.Source) (out http1.EndpointList, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/endpointcacheload.go
+++ b/internal/proxy/endpointcacheload.go
@@ -13,11 +13,11 @@
 	"fernvane/internal/protocol/http1"
 )
 
-const fetchTimeout = 500 * time.Millisecond // for peers to send their stored lists
+const fetchTimeout = 500 * time.Millisecond // for peers to send their lists
 
-// load loads the newest list on disk, or that of a peer if the disk has none. It returns that list as suspect, or the list of the
-// configuration if the loaded list is not usable or not newer. The list of the configuration carries no age
-// and is not suspect.
+// load loads the newest list on disk, or that of a peer if the disk has none. It returns that list as suspect, and passes its usable servers
+// to the dispatcher. If the loaded list is not usable or not newer, load returns the list of the configuration, which is not suspect because
+// its age is unknown.
 func (c *endpointCache) load(configured http1.EndpointList) (l http1.EndpointList, isSuspect bool) {
 	snap, faults, err := c.store.Newest()
 	isOwn := snap != nil
@@ -63,7 +63,8 @@
 	return nil
 }
 
-// restore sets the endpoints from a stored list. It leaves out invalid servers and reports them in Skipped. The caller holds mu.
+// restore sets c.endpoints from a loaded list, and returns the list in the form of discovery and in that of the evaluator. It leaves out
+// invalid servers and reports them in Skipped. The caller holds mu.
 func (c *endpointCache) restore(snap *snapshot.Snapshot) (l http1.EndpointList, servers []staleness.Server) {
 	c.endpoints = map[string]endpoints.Endpoint{}
 	l.Revision = snap.Revision
@@ -83,8 +84,8 @@
 	return l, servers
 }
 
-// fetchFromPeers returns the newest list that peers have stored, for a node whose own disk has none. It is treated like the list of a node
-// that crashed, because changes after it was written are unknown.
+// fetchFromPeers returns the most recently confirmed list of the connected peers, for a node whose own disk has none. The list is treated
+// like that of a node that crashed, because changes after it was encoded are unknown.
 func (c *endpointCache) fetchFromPeers() (newest *snapshot.Snapshot) {
 	for _, text := range c.peers.FetchEndpointLists(fetchTimeout) {
 		snap, err := snapshot.Decode(text)
--- a/internal/proxy/endpointcachewrite.go
+++ b/internal/proxy/endpointcachewrite.go
@@ -12,8 +12,8 @@
 // renewInterval is how often an unchanged list is written again: its trust at the next start depends on its age.
 const renewInterval = 30 * time.Second
 
-// writePeriodically writes the list when it has changed, and every renewInterval, until the node stops. If the disk fails, only the stored
-// list is out of date; the node continues to serve.
+// writePeriodically writes the list when it has changed, at most once per WriteInterval, and every renewInterval if it has not, until the
+// node stops. If the disk fails, only the stored list is out of date; the node continues to serve.
 func (c *endpointCache) writePeriodically(ctx context.Context) error {
 	tick := time.NewTicker(c.cfg.WriteInterval.Std())
 	defer tick.Stop()
@@ -48,7 +48,7 @@
 	return c.store.Write(snap)
 }
 
-// writeFinal writes the list marked as that of a clean shutdown.
+// writeFinal writes the list at the end of a graceful shutdown, and marks it as that of a clean shutdown.
 func (c *endpointCache) writeFinal() {
 	if snap, _ := c.snapshot(true); snap != nil {
 		if err := c.write(snap); err != nil {
--- a/internal/proxy/fastcgiclient.go
+++ b/internal/proxy/fastcgiclient.go
@@ -17,7 +17,7 @@
 	server   *Server
 	tcp      *net.TCPConn
 	conn     *fastcgi.ClientConn
-	client   *dispatch.Client // holds the descriptor, which the dispatcher may reclaim while the connection is idle
+	client   *dispatch.Client // owns the descriptor, which the dispatcher may reclaim while the connection is idle
 	requests sync.WaitGroup   // requests in progress
 
 	mu                   sync.Mutex
@@ -73,8 +73,8 @@
 	return effect
 }
 
-// RequestStarted decides whether to admit a request whose first record arrives. isLast reports that the
-// client wants the connection closed after it.
+// RequestStarted decides whether to admit a request whose first record arrives. isLast reports that the client wants the connection closed
+// after it.
 func (c *fastcgiClientConn) RequestStarted(isLast bool) connclose.Effect {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/fastcgiread.go
+++ b/internal/proxy/fastcgiread.go
@@ -9,8 +9,9 @@
 	"fernvane/internal/protocol/connclose"
 )
 
-// AwaitReadable returns when bytes have arrived that will be read. Until then the dispatcher may close the connection to free its
-// descriptor. isPartial reports that an incomplete record has arrived.
+// AwaitReadable returns nil when bytes have arrived, which the caller then reads. Until then the dispatcher may close the connection to free
+// its descriptor, but not while a complete request is unanswered, nor after the first request while part of a request has been read.
+// isPartial reports that an incomplete record has arrived.
 func (c *fastcgiClientConn) AwaitReadable(isPartial bool) error {
 	for {
 		c.setReadDeadline(isPartial)
@@ -29,7 +30,8 @@
 	}
 }
 
-// clearReadDeadline removes the read deadline, so that arrived bytes are read, unless the connection is closed for writing.
+// clearReadDeadline removes the read deadline, so that arrived bytes are read. If the connection is closed for writing, its linger deadline
+// stays.
 func (c *fastcgiClientConn) clearReadDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,8 +82,9 @@
 	return time.Now().Add(idleTimeout)
 }
 
-// handleTimeout handles a read deadline that has passed, and reports whether reading ends. If a request has stalled, all incomplete requests
-// are rejected and no new ones are admitted; complete requests are still answered.
+// handleTimeout handles a read deadline that has passed, and reports whether reading ends, which it does after the linger deadline. If a
+// request has stalled, all incomplete requests are rejected and no new ones are admitted; complete requests are still answered. An idle
+// connection is closed for writing.
 func (c *fastcgiClientConn) handleTimeout(isPartial bool) bool {
 	c.mu.Lock()
 	isLingerOver, isStalled := !c.lingerDeadline.IsZero(), c.lifecycle.Receiving() > 0 || isPartial
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -9,7 +9,8 @@
 )
 
 // startHedge returns the function that the dispatcher calls to send a hedged request, on its own goroutine beside the attempt in flight.
-// The first attempt uses the buffers of the client connection, so the hedged request has copies of the request and of the answer.
+// The first attempt uses the buffers of the client connection, so the hedged attempt sends a copy of the request and encodes its answer in
+// memory of its own.
 func (s *Server) startHedge(conn clientConn, req *message.Request, entry *journalEntry) func(*dispatch.Request, dispatch.Decision) {
 	req = req.Clone()
 	return func(request *dispatch.Request, d dispatch.Decision) {
--- a/internal/proxy/httpclient.go
+++ b/internal/proxy/httpclient.go
@@ -16,7 +16,7 @@
 	// open would use up the connections that other clients need.
 	idleTimeout = 2100 * time.Millisecond
 	// requestTimeout is how long a request may take to be received completely. The time of the first request starts when its connection is
-	// accepted. The platform expects the end of such a request within 3 s.
+	// accepted. The platform requires an answer or a close within 3 s of the connect.
 	requestTimeout = 2 * time.Second
 	answerTimeout  = 2 * time.Second        // for a client to receive its answer
 	lingerDuration = 300 * time.Millisecond // for a client to read its last answer before the close
@@ -26,8 +26,8 @@
 var errAnswerUnsent = errors.New("answer not written completely")
 
 // serveHTTPConn serves a client's HTTP connection, one request at a time, until it closes. It runs on its own goroutine. The dispatcher
-// observes the reads of the connection and may close it to free its descriptor, but only while no bytes of a request were read that is not
-// answered yet.
+// observes the reads of the connection and may close it to free its descriptor, but not while a complete request is unanswered, nor after the
+// first request while part of a request has been read.
 func (s *Server) serveHTTPConn(tcp *net.TCPConn) {
 	c := http1.NewPooled(tcp, s.dispatcher.MessageBudget())
 	var req message.Request
@@ -93,7 +93,8 @@
 	return err
 }
 
-// serveHTTPRequest serves one request of a connection. If too many client connections are idle, its answer closes the connection.
+// serveHTTPRequest serves one request of a connection. If too many client connections are idle, its answer closes the connection, unless
+// bytes of the next request have already arrived.
 func (s *Server) serveHTTPRequest(conn *httpRequestConn, receivedAt time.Time) error {
 	req := conn.request
 	req.Close = req.Close || s.dispatcher.HasTooManyIdleClients() && !conn.conn.HasMore()
@@ -106,8 +107,8 @@
 	return s.serveRequest(conn, req, receivedAt)
 }
 
-// rejectHTTP answers a request that was not received completely or is malformed, and gives the client time to read the answer before the
-// connection is closed. After other errors the client cannot receive an answer, and rejectHTTP does nothing.
+// rejectHTTP answers a request that was not received in time (408) or was rejected with a RequestError, and gives the client time to read the
+// answer before the connection is closed. After other errors the client cannot receive an answer, and rejectHTTP does nothing.
 func (s *Server) rejectHTTP(conn *httpRequestConn, err error) {
 	var bad *message.RequestError
 	if errors.Is(err, http1.ErrTimeout) && !errors.Is(err, errAnswerUnsent) {
--- a/internal/proxy/intentjournal.go
+++ b/internal/proxy/intentjournal.go
@@ -39,7 +39,8 @@
 	isClosed  atomic.Bool
 }
 
-// openJournal opens a new segment, and reads the segments of earlier runs in the background.
+// openJournal opens a new segment, and reads the segments of earlier runs in the background. A cluster member first joins the cluster,
+// because its incarnation must be later than those that peers know of its name, and replicates the journal if the journal's file promises it.
 func openJournal(cfg Config, log zerolog.Logger, peers *peer.Node) (*intentJournal, error) {
 	startedAt := time.Now()
 	j := &intentJournal{cfg: cfg.Journal, filesystem: cfg.Filesystem, logger: log, incarnation: uint64(startedAt.UnixNano()), journaledTypes: journaledTypes(&cfg)}
@@ -98,7 +99,8 @@
 	return "served, gap recorded"
 }
 
-// logHealth logs that writes to the journal fail, or succeed again if err is nil.
+// logHealth logs that writes to the journal fail, with the handling of the requests that cannot be recorded, or that they succeed again if
+// err is nil.
 func (j *intentJournal) logHealth(err error) {
 	if err == nil {
 		j.logger.Info().Msg("journal working again")
--- a/internal/proxy/intentjournalentry.go
+++ b/internal/proxy/intentjournalentry.go
@@ -72,8 +72,8 @@
 }
 
 // recordIntent makes the intent of an attempt durable before its first byte is written, and returns the number of the attempt in the journal.
-// After an error the attempt must not be written. While the journal fails or is slow and its file allows unrecorded requests,
-// recordIntent returns no error, does not wait, and counts the record as missed.
+// After an error the attempt must not be written. If the journal's file allows unrecorded requests, a failing or slow journal causes no error:
+// recordIntent does not wait for it, or waits until MaxWait or deadline has passed, and the record is counted in a gap.
 func (e *journalEntry) recordIntent(ctx context.Context, server string, deadline time.Time) (attempt int, err error) {
 	if e == nil {
 		return 0, nil
@@ -84,7 +84,7 @@
 	j := e.journal
 	rejects, isSlow := j.cfg.RejectsWhenFailing(), j.isSlow()
 	commit, err := j.wal.Append(rejects || !isSlow, r)
-	if err == nil && commit == nil { // queued without waiting for the result
+	if err == nil && commit == nil { // queued, but not waited for, because the journal is slow
 		j.wal.CountMissed()
 		return attempt, nil
 	}
--- a/internal/proxy/lastgood.go
+++ b/internal/proxy/lastgood.go
@@ -68,7 +68,8 @@
 	return nil
 }
 
-// restoreLastGood puts the stored last good entries in effect again.
+// restoreLastGood restores the stored entries as last good versions. ApplyRoutes and ApplyTenants put them in effect if the current versions
+// are still invalid.
 func (a *distributionApplier) restoreLastGood(entries []distribution.Entry) {
 	for _, e := range entries {
 		if e.Key.Kind == distribution.KindTenant {
@@ -81,7 +82,7 @@
 	}
 }
 
-// saveLastGood stores the entries that are in effect in place of invalid newer versions.
+// saveLastGood stores on disk the entries that are in effect in place of invalid newer versions.
 func (a *distributionApplier) saveLastGood() {
 	if a.lastGood == nil {
 		return
--- a/internal/proxy/loadconfig.go
+++ b/internal/proxy/loadconfig.go
@@ -16,7 +16,9 @@
 	"fernvane/internal/route"
 )
 
-const reservedPeerSockets = 64 // descriptors of a node for connections to its peers and for the replicas that it stores for them
+// reservedPeerSockets is the number of descriptors reserved for connections to peers and for the replicas that the node stores for them, at
+// most half of the descriptor limit.
+const reservedPeerSockets = 64
 
 // LoadConfig loads a node's configuration from the platform's file at path and from each further file named by an environment variable.
 // Environment variables take precedence over the same settings of the platform's file. An error names the invalid file and the reason.
@@ -65,8 +67,8 @@
 
 // checkSingleListSource returns an error if the distribution is combined with another source or store of the endpoint list.
 func (c *Config) checkSingleListSource() error {
-	for name, isOn := range map[string]bool{"registry": c.Registry != nil, "planners": c.Planners != nil, "snapshot": c.Snapshot != nil} {
-		if isOn {
+	for name, isConfigured := range map[string]bool{"registry": c.Registry != nil, "planners": c.Planners != nil, "snapshot": c.Snapshot != nil} {
+		if isConfigured {
 			return fmt.Errorf("--distribution supplies and stores the endpoint list: not allowed together with --%s", name)
 		}
 	}
@@ -83,19 +85,19 @@
 
 // readShadowSettings reads the settings whose decisions are compared with those of the node's own settings, and checks that both are
 // compatible.
-func readShadowSettings(path string, own *settings.Settings) (*settings.Settings, error) {
+func readShadowSettings(path string, current *settings.Settings) (*settings.Settings, error) {
 	s, err := ReadSettings(path)
 	if err != nil {
 		return nil, err
 	}
-	if err := own.CheckCompatible(&s); err != nil {
+	if err := current.CheckCompatible(&s); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return &s, nil
 }
 
-// Reload reads the platform's file again. The environment variables are those of the start. A discovery address that has changed in the
-// file since the start therefore takes precedence over PROXY_DISCOVERY.
+// Reload reads the platform's file again. The environment variables are those of the start. A discovery address that has changed in the file
+// since it was last read therefore takes precedence over PROXY_DISCOVERY. An unchanged one leaves the address in effect as it is.
 func (c Config) Reload() (Config, error) {
 	next, err := readConfig(c.path, c.getenv)
 	if err != nil {
--- a/internal/proxy/plannerclient.go
+++ b/internal/proxy/plannerclient.go
@@ -20,7 +20,7 @@
 	planUpdateInterval   = 250 * time.Millisecond // between two updates of the plan in effect
 	planUpdatesPerReport = 2                      // one report every 500 ms
 	maxNewerIncarnations = 64                     // incarnations per report that the planner has not announced
-	plannerStartTimeout  = time.Second            // without any endpoint from a planner, until discovery is polled
+	plannerStartTimeout  = time.Second            // after the start without a known server, until discovery is polled
 )
 
 // plannerClient follows planners: it sends them reports about the node's requests and applies the freshest plan to the dispatcher. No request
@@ -35,7 +35,7 @@
 	mu                sync.Mutex // not held during socket I/O; may be held while the dispatcher's lock is acquired
 	follower          *planfollower.Follower
 	incarnations      *incarnation.Table
-	planners          []plannerState // one per planner
+	planners          []plannerState // by index in cfg.Addresses
 	discoveryNeeded   chan struct{}  // closed while discovery must be polled
 	isDiscoveryNeeded bool           // discoveryNeeded is closed
 	hasAppliedPlan    bool           // the dispatcher follows a plan
--- a/internal/proxy/plannerendpoints.go
+++ b/internal/proxy/plannerendpoints.go
@@ -26,8 +26,8 @@
 }
 
 // applyIncarnations applies changed servers to the dispatcher. The caller holds mu, so that changes are applied in order. The first change
-// after a cached list confirms that list. All known servers are applied then, because the dispatcher has not received the servers that had
-// left before the start.
+// after a cached list confirms that list. All known servers are applied then, because the dispatcher has not received the servers that the
+// cached list has as draining or gone.
 func (p *plannerClient) applyIncarnations(changed []incarnation.Entry) {
 	if p.isListSuspect {
 		p.isListSuspect, changed = false, p.incarnations.All()
@@ -52,8 +52,9 @@
 	p.applyIncarnations(p.incarnations.ApplyDiscovery(p.dispatcher.Now(), watch.EntriesFromList(l), l.Complete))
 }
 
-// applySavedList adds the initial list to the known incarnations. From a suspect list it adds only servers that had left: an announcement of
-// any other server by a planner is then a change, which confirms the list, and reports do not announce unconfirmed servers to planners.
+// applySavedList adds the initial list to the known incarnations. From a suspect list it adds only servers that are draining or gone: an
+// announcement of any other server by a planner is then a change, which confirms the list, and reports do not announce unconfirmed servers to
+// planners.
 func (p *plannerClient) applySavedList(l http1.EndpointList, isSuspect bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// changedKeys returns the keys of the platform's file that have changed and that a running node does not apply. The keys seed and known are
-// not compared.
+// changedKeys returns the keys of the platform's file that have changed since the start and that a running node does not apply. The keys seed
+// and known are not compared.
 func (c Config) changedKeys(next Config) (keys []string) {
 	for _, k := range []struct {
 		key    string
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -13,7 +13,7 @@
 // errClientDisconnected reports that the client of a request has disconnected: the request gets no answer.
 var errClientDisconnected = errors.New("client disconnected")
 
-// serveRequest serves one request that was received completely, until its only answer is sent. It runs on the goroutine of the connection,
+// serveRequest serves one request, from its complete receipt until its only answer is sent. It runs on the goroutine of the connection,
 // or of the request if requests share the connection. It returns a *message.RequestError if the caller must reject the request with the
 // status of the error, errClientDisconnected if the request gets no answer, and any other error if the answer could not be written.
 func (s *Server) serveRequest(conn clientConn, req *message.Request, receivedAt time.Time) error {
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -19,8 +19,8 @@
 	"fernvane/internal/proxy/dispatch"
 )
 
-// memoryLimitShare is the share of the memory limit that is set as the limit of the garbage collector. The rest is headroom, since the
-// collector may exceed its limit.
+// memoryLimitShare is the share of the node's memory limit that is set as the memory limit of the Go runtime. The rest is headroom, because
+// that limit is a soft one, which the runtime may exceed.
 const memoryLimitShare = 0.75
 
 // Server is a running node. Its components are set before its goroutines start; nil components are disabled. drain sets the three times of a
@@ -112,7 +112,8 @@
 	return nil
 }
 
-// startSources creates the components that supply servers, routes and quotas. None of them runs yet.
+// startSources creates the components that supply servers, routes and quotas, none of which runs yet, and puts the routes of the operator's
+// file in effect.
 func (s *Server) startSources() (err error) {
 	s.discoveryTarget.Store(watch.NewTarget(s.cfg.Discovery))
 	if s.cfg.Planners != nil {
@@ -221,7 +222,8 @@
 	}, nil
 }
 
-// applyInitialList applies the saved endpoint list, from the configuration or from the endpoint cache.
+// applyInitialList applies the endpoint list that the node starts with: the cached list if the endpoint cache has a usable one, otherwise
+// the list of the configuration. A cached list is suspect: the endpoint cache itself passes its usable servers to the dispatcher.
 func (s *Server) applyInitialList() {
 	if s.cfg.SavedListErr != nil {
 		s.logger.Warn().Err(s.cfg.SavedListErr).Msg("saved endpoint list unreadable")
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -35,7 +35,8 @@
 	IsReusable(r *message.Response) bool
 }
 
-// connect takes an idle connection to a server or opens a new one. If conn is nil, result is the result of the attempt.
+// connect takes an idle connection to a server or opens a new one. It closes idle connections that the server has closed or has sent
+// unsolicited bytes on. If conn is nil, result is the result of the attempt.
 func (s *Server) connect(ctx context.Context, d dispatch.Decision, deadline time.Time) (conn upstreamConn, isReused bool, result dispatch.AttemptResult) {
 	for idle := s.dispatcher.TakeIdle(d.Server); idle != nil; idle = s.dispatcher.TakeIdle(d.Server) {
 		if conn := idle.(upstreamConn); conn.IsIdle() {
