--- a/cmd/fernvane/check.go
+++ b/cmd/fernvane/check.go
@@ -34,7 +34,7 @@
 	var settingsName, planFile string
 	c := &cobra.Command{Use: "check", Short: "Validate files and print the configuration that a node would use",
 		Long: `check reads the configuration and prints what a node would use. With an operator's file it also prints the limits of each
-route and the lines that set them. It prints every fault with its file and line and exits with 2.
+route and the lines that set them. Faults are printed with their file and line, and the exit code is 2.
 
 Without a configuration each named file is checked separately. Checks that need settings are reported as omitted, or use the
 settings of a JSON file or of the embedded example.`,
@@ -76,7 +76,7 @@
 	if cfg.SavedListErr != nil {
 		fmt.Fprintf(stderr, "fernvane: saved list not used: %v\n", cfg.SavedListErr)
 	}
-	fmt.Fprintf(out, "%s listens on %s, uses discovery at %s, starts with %d listed servers, accepts up to %d connections\n",
+	fmt.Fprintf(out, "%s listens on %s, discovery at %s, %d servers in the saved list, at most %d connections to clients and servers together\n",
 		cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.SavedList.Hosts), cfg.Limits.MaxConnections())
 	printPlanners(out, cfg.Planners)
 	printJournal(out, cfg.Journal)
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// settingsFor returns the settings to check an operator's file against, and a note that says which settings they are.
+// settingsFor returns the settings to check an operator's file against, and a note to print after the result, which is empty for named files.
 func settingsFor(operator, settingsName string) (s *settings.Settings, note string, err error) {
 	switch settingsName {
 	case "":
@@ -226,12 +226,12 @@
 
 func printJournal(out io.Writer, b *wal.Config) {
 	if b != nil {
-		fmt.Fprintf(out, "writes the journal of bindings to %s, which survives loss of the %s; while writes fail, non-idempotent requests are %s\n", b.Dir, b.Promise,
+		fmt.Fprintf(out, "writes the journal of bindings to %s, which survives loss of the %s; while writes fail or stall, requests that it records are %s\n", b.Dir, b.Promise,
 			whenFailing(b))
 	}
 }
 
-// whenFailing says how non-idempotent requests are handled while journal writes fail.
+// whenFailing returns how requests that the journal records are handled while its writes fail or stall.
 func whenFailing(b *wal.Config) string {
 	if b.RejectsWhenFailing() {
 		return "denied"
@@ -247,7 +247,7 @@
 
 func printPeers(out io.Writer, p *peer.Config) {
 	if p != nil {
-		fmt.Fprintf(out, "joins the other nodes of deployment %s on %s, TLS %v; stores their replicas in %s; replicas of each record on other machines: %d\n", p.Deployment, p.Listen, p.Keys != nil, p.ReplicaDir, p.Replicas)
+		fmt.Fprintf(out, "joins the other nodes of deployment %s, listens for them on %s, TLS %v; stores their replicas in %s; replicas of each record on other machines: %d\n", p.Deployment, p.Listen, p.Keys != nil, p.ReplicaDir, p.Replicas)
 	}
 }
 
--- a/cmd/fernvane/config.go
+++ b/cmd/fernvane/config.go
@@ -50,8 +50,8 @@
 	root := &cobra.Command{Use: "config", Short: "Change the configuration that control processes distribute, and print which nodes have applied it",
 		Long: `config writes routes, pools, tenants and servers to a control process, which distributes them to the other control processes and
 to the nodes of each service, and prints the status of nodes. The file names the control processes, the preferred one first, and
-the TLS keys; a node's file is accepted too. Exit codes: 0 done, or all nodes current; 1 write rejected, or some node behind,
-unreachable or rejecting; 2 command line or file invalid, or no control process responds.`,
+the TLS keys; a node's file is accepted too. Exit codes: 0 done, or all nodes current; 1 write rejected, entry to delete not found,
+or some node behind, unreachable or rejecting; 2 command line or file invalid, or no control process responds.`,
 		Example: "  fernvane config --file distribution.toml status"}
 	root.PersistentFlags().StringVar(&a.path, "file", getenv("PROXY_DISTRIBUTION"), "read the addresses of control processes from this TOML `file`; or PROXY_DISTRIBUTION")
 	root.AddCommand(configPut(a), configDelete(a), configApply(a), configStatus(a))
--- a/cmd/fernvane/config_status.go
+++ b/cmd/fernvane/config_status.go
@@ -52,9 +52,9 @@
 
 // statusOptions are the conditions under which nodes count as current.
 type statusOptions struct {
-	within    time.Duration
-	expect    int
-	reachable bool
+	within    time.Duration // maximum wait for all nodes to become current; 0: one query
+	expect    int           // minimum number of current nodes
+	reachable bool          // unreachable nodes are ignored
 }
 
 func configStatus(a *configAccess) *cobra.Command {
@@ -129,8 +129,9 @@
 	return newStatusView(s.Control, self, nodes, options), nil
 }
 
-// newStatusView derives the state of each node. A control process is current if it has the revision of the queried one. A
-// node is current if it has applied all entries that its control process has for it.
+// newStatusView derives the state of each node. A control process is current if it is connected, stores all entries and has at least
+// the revision of the queried one. A node is current if it is connected and has applied, without rejections, all entries that its
+// control process has for it.
 func newStatusView(control string, self distribution.NodeStatus, nodes []distribution.NodeStatus, options statusOptions) *statusView {
 	v := &statusView{Control: control, Revision: self.Revision, Current: !self.IsCatchingUp, Rejected: rejectionTexts(self.Rejected)}
 	currentNodes := 0
--- a/cmd/fernvane/journalsource.go
+++ b/cmd/fernvane/journalsource.go
@@ -78,7 +78,7 @@
 	tier  bool
 }
 
-// resolve sets the folder from the file in PROXY_BINDINGS if no flag names a source.
+// resolve sets the folder to that of the file that PROXY_BINDINGS names, if no flag names a source.
 func (s *journalSource) resolve(getenv func(string) string) error {
 	switch {
 	case s.tier && s.peers == "":
@@ -88,7 +88,7 @@
 	}
 	path := getenv("PROXY_BINDINGS")
 	if path == "" {
-		return errors.New("no journal named: use --dir FOLDER")
+		return errors.New("no journal named: use --dir FOLDER or set PROXY_BINDINGS")
 	}
 	cfg, err := wal.LoadConfig(path)
 	if err == nil {
@@ -137,8 +137,9 @@
 // errTooFewResponses is returned if so many nodes did not respond that existing entries may not have been found.
 var errTooFewResponses = errors.New("too few nodes responded: entries that were not found may exist, and their state is not known")
 
-// tierEntries merges the journals and replicas of all nodes of a tier. It prints which nodes did not respond. If more
-// nodes are missing than the number of replicas allows, no entry counts as not sent.
+// tierEntries calls visit for the entries of all nodes of a tier, merged from their journals and replicas. It prints which nodes did
+// not respond. If more nodes are missing than the number of replicas allows, no entry counts as not sent, and it returns
+// errTooFewResponses.
 func (s *journalSource) tierEntries(since time.Time, id string, stderr io.Writer, visit func(*intent.Entry) error) error {
 	cfg, err := peer.LoadConfig(s.peers)
 	if err != nil {
@@ -175,7 +176,8 @@
 	return nil
 }
 
-// progress returns a function that draws a progress bar and one that clears it. They have no effect if stderr is no terminal.
+// progress returns a function that draws a progress bar and one that clears it. If stderr is not a terminal, draw is nil and clearBar has no
+// effect.
 func progress(stderr io.Writer) (draw func(read, total int64), clearBar func()) {
 	f, ok := stderr.(*os.File)
 	if ok {
--- a/cmd/fernvane/main.go
+++ b/cmd/fernvane/main.go
@@ -43,9 +43,9 @@
 that discovery or a registry lists, and returns the response to the client.
 
 Files are named by flags or by environment variables: PROXY_CONFIG, PROXY_OPERATOR, PROXY_PLANNERS, PROXY_BINDINGS, PROXY_REGISTRY,
-PROXY_SNAPSHOT, PROXY_PEERS, PROXY_DISTRIBUTION, PROXY_PLAN, PROXY_CONTROL. Exit codes: 0 done; 1 serving failed, a write was
-rejected, a journal or cached list is damaged, a node is behind, or too few nodes respond or store replicas; 2 a file or the
-command line is invalid.`,
+PROXY_SNAPSHOT, PROXY_PEERS, PROXY_DISTRIBUTION, PROXY_WATCH, PROXY_PLAN, PROXY_CONTROL. Exit codes: 0 done; 1 serving failed, a
+write was rejected, an entry to delete does not exist, a journal or cached list is damaged, a node is behind, or too few nodes
+respond or store replicas; 2 a file or the command line is invalid.`,
 		Example: `  fernvane serve --config config.json
   fernvane check --operator deploy/operator.example.toml
   fernvane explain --operator deploy/operator.example.toml POST /hire-book/baler --tenant dorset-dairy
--- a/cmd/fernvane/replicas.go
+++ b/cmd/fernvane/replicas.go
@@ -23,11 +23,11 @@
 
 func replicasCommand(getenv func(string) string) *cobra.Command {
 	var path string
-	var lines bool
+	var asJSON bool
 	root := &cobra.Command{Use: "replicas", Short: "Print and verify the replicas of a tier, and wait for their repair",
 		Example: "  fernvane replicas --peers peers.toml status\n  fernvane replicas --peers peers.toml repair --for 5m"}
 	root.PersistentFlags().StringVar(&path, "peers", getenv("PROXY_PEERS"), "read the tier's configuration from this TOML `file`; or PROXY_PEERS")
-	root.PersistentFlags().BoolVar(&lines, "json", false, "print JSON lines, one for each node")
+	root.PersistentFlags().BoolVar(&asJSON, "json", false, "print JSON lines, one for each node")
 	query := func(c *cobra.Command, verify bool) (*peer.Client, error) {
 		if path == "" {
 			return nil, errors.New("no tier named: use --peers FILE")
@@ -41,20 +41,20 @@
 	var timeout time.Duration
 	repair := &cobra.Command{Use: "repair", Short: "Let all nodes verify their stored records, and wait until each record has enough replicas", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			t, err := query(c, true)
+			tier, err := query(c, true)
 			if err != nil {
 				return err
 			}
-			printTier(c.OutOrStdout(), t, lines)
-			for deadline := time.Now().Add(timeout); replicationError(t) != nil && time.Now().Before(deadline); {
-				fmt.Fprintln(c.ErrOrStderr(), t.Shortfall())
+			printTier(c.OutOrStdout(), tier, asJSON)
+			for deadline := time.Now().Add(timeout); replicationError(tier) != nil && time.Now().Before(deadline); {
+				fmt.Fprintln(c.ErrOrStderr(), tier.Shortfall())
 				time.Sleep(repairPollInterval)
-				if t, err = query(c, false); err != nil {
+				if tier, err = query(c, false); err != nil {
 					return err
 				}
 			}
-			fmt.Fprintln(c.ErrOrStderr(), "whole:", replicationError(t) == nil)
-			return replicationError(t)
+			fmt.Fprintln(c.ErrOrStderr(), "whole:", replicationError(tier) == nil)
+			return replicationError(tier)
 		}}
 	repair.Flags().DurationVar(&timeout, "for", time.Minute, "wait at most this long")
 	for _, v := range []struct {
@@ -64,12 +64,12 @@
 	}{{"status", "Print the condition of each node, its records and replicas, and missing replicas", false},
 		{"verify", "Let all nodes verify their stored records, and print damaged ones", true}} {
 		root.AddCommand(&cobra.Command{Use: v.use, Short: v.short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-			t, err := query(c, v.verify)
+			tier, err := query(c, v.verify)
 			if err != nil {
 				return err
 			}
-			printTier(c.OutOrStdout(), t, lines)
-			return replicationError(t)
+			printTier(c.OutOrStdout(), tier, asJSON)
+			return replicationError(tier)
 		}})
 	}
 	root.AddCommand(repair)
@@ -78,30 +78,30 @@
 }
 
 // replicationError returns errUnderReplicated if records lack replicas or a node did not respond, and nil otherwise.
-func replicationError(t *peer.Client) error {
-	if t.Shortfall() != "" || len(t.Unanswered) > 0 || len(t.Answered) == 0 {
+func replicationError(tier *peer.Client) error {
+	if tier.Shortfall() != "" || len(tier.Unanswered) > 0 || len(tier.Answered) == 0 {
 		return errUnderReplicated
 	}
 	return nil
 }
 
-// printTier prints the status of each node and the records that lack replicas.
-func printTier(out io.Writer, t *peer.Client, lines bool) {
-	if lines {
+// printTier prints the status of each node, damaged records and records that lack replicas, or only the statuses as JSON lines.
+func printTier(out io.Writer, tier *peer.Client, asJSON bool) {
+	if asJSON {
 		encoder := json.NewEncoder(out)
-		for _, name := range slices.Sorted(maps.Keys(t.Answered)) {
-			encoder.Encode(t.Answered[name])
+		for _, name := range slices.Sorted(maps.Keys(tier.Answered)) {
+			encoder.Encode(tier.Answered[name])
 		}
 		return
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "node\tcondition\tsite\tmachine\tkept of its own\theld by\tholds for others\tMB")
-	for _, name := range slices.Sorted(maps.Keys(t.Members)) {
-		m := t.Members[name]
-		s := t.Answered[name]
+	for _, name := range slices.Sorted(maps.Keys(tier.Members)) {
+		m := tier.Members[name]
+		s := tier.Answered[name]
 		if s == nil {
 			why := "not queried"
-			if err := t.Unanswered[name]; err != nil {
+			if err := tier.Unanswered[name]; err != nil {
 				why = err.Error()
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t-\t%s\t-\t-\n", name, m.Condition, m.Site, m.Machine, why)
@@ -115,19 +115,19 @@
 			strings.Join(holders, ", "), len(s.StoredReplicas), s.StoredBytes>>20, s.MaxBytes>>20)
 	}
 	w.Flush()
-	for _, name := range slices.Sorted(maps.Keys(t.Unanswered)) {
-		if _, known := t.Members[name]; !known {
-			fmt.Fprintf(out, "no response from %s: %v\n", name, t.Unanswered[name])
+	for _, name := range slices.Sorted(maps.Keys(tier.Unanswered)) {
+		if _, known := tier.Members[name]; !known {
+			fmt.Fprintf(out, "no response from %s: %v\n", name, tier.Unanswered[name])
 		}
 	}
-	for name, s := range t.Answered {
+	for name, s := range tier.Answered {
 		for _, f := range s.Damage {
 			fmt.Fprintf(out, "damaged at %s: %s\n", name, f)
 		}
 	}
-	if why := t.Shortfall(); why != "" {
+	if why := tier.Shortfall(); why != "" {
 		fmt.Fprintln(out, "lacking:", why)
-	} else if len(t.Answered) > 0 {
+	} else if len(tier.Answered) > 0 {
 		fmt.Fprintln(out, "all records of these nodes have enough replicas")
 	}
 }
--- a/cmd/fernvane/serve.go
+++ b/cmd/fernvane/serve.go
@@ -34,7 +34,7 @@
 		help   string
 	}{
 		{&f.config, "config", "PROXY_CONFIG", "read the platform's configuration from this JSON `file`"},
-		{&f.operator, "operator", "PROXY_OPERATOR", "read the limits of routes from this TOML `file`"},
+		{&f.operator, "operator", "PROXY_OPERATOR", "read routes and their limits from this TOML `file`"},
 		{&f.planners, "planners", "PROXY_PLANNERS", "follow the planners that this TOML `file` names"},
 		{&f.bindings, "bindings", "PROXY_BINDINGS", "write a journal of bindings as this TOML `file` configures"},
 		{&f.registries, "registry", "PROXY_REGISTRY", "read servers from the registry of ephemeral nodes that this TOML `file` names"},
@@ -100,7 +100,7 @@
 			return exitWith(proxy.RunProcess(cfg, stderr, level))
 		}}
 	f.flags(c.Flags())
-	c.Flags().BoolVar(&verbose, "verbose", false, "log each attempt that does not end with a complete response")
+	c.Flags().BoolVar(&verbose, "verbose", false, "also log debug lines, such as each sent attempt that ends without a complete response or that its server did not start")
 	return c
 }
 
--- a/cmd/fernvane/snapshot.go
+++ b/cmd/fernvane/snapshot.go
@@ -40,7 +40,7 @@
 	if g.dir == "" {
 		path := g.getenv("PROXY_SNAPSHOT")
 		if path == "" {
-			return nil, nil, errors.New("no folder of lists named: use --dir FOLDER")
+			return nil, nil, errors.New("no folder of lists named: use --dir FOLDER or set PROXY_SNAPSHOT")
 		}
 		cfg, err := snapshot.Load(path)
 		if err != nil {
@@ -61,7 +61,7 @@
 
 func snapshotShow(g *snapshotFolder) *cobra.Command {
 	var asJSON bool
-	show := &cobra.Command{Use: "show", Short: "Print the newest complete generation, and the suspicion level that a start would assign to it", Args: cobra.NoArgs,
+	show := &cobra.Command{Use: "show", Short: "Print the newest complete generation, and the staleness level that a start would assign to it", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			_, all, err := g.read()
 			if err != nil {
@@ -156,7 +156,7 @@
 	cached := staleness.CachedList{Age: now.Sub(time.UnixMilli(s.ConfirmedUnixMS)), IsCleanShutdown: s.IsCleanShutdown}
 	fmt.Fprintf(out, "node %s of %s, revision %d, %d servers, written %s, confirmed %s ago, clean shutdown: %v\n", s.Node, s.Deployment, s.Revision,
 		len(s.Servers), formatTime(s.WrittenUnixMS*1e6), cached.Age.Round(time.Second), s.IsCleanShutdown)
-	fmt.Fprintf(out, "suspicion level at a start now: %d of %d\n", cached.Level(), staleness.LevelCount-1)
+	fmt.Fprintf(out, "staleness level at a start now: %d of %d\n", cached.Level(), staleness.LevelCount-1)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "server\taddress\tzone\tcondition\theard\tran")
 	for _, server := range s.Servers {
