--- a/cmd/fernvane/bindings_test.go
+++ b/cmd/fernvane/bindings_test.go
@@ -44,9 +44,9 @@
 func TestBindingsCommands(t *testing.T) {
 	dir := writeJournal(t)
 	for name, c := range map[string]struct {
-		args     []string
-		code     int
-		has, not string // text that the output contains, and text that it does not contain
+		args            []string
+		code            int
+		contains, lacks string // text that the output must contain, and text that it must not contain
 	}{
 		"all":             {[]string{"find"}, 0, "4 entries", ""},
 		"by state":        {[]string{"find", "--state", "possibly-sent"}, 0, "2 entries", "id-0"},
@@ -64,7 +64,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			code, out, stderr := runBindings(append([]string{"--dir", dir}, c.args...)...)
-			if all := out + stderr; code != c.code || !strings.Contains(all, c.has) || c.not != "" && strings.Contains(all, c.not) || code != 0 && strings.Count(stderr, "\n") != 1 {
+			if all := out + stderr; code != c.code || !strings.Contains(all, c.contains) || c.lacks != "" && strings.Contains(all, c.lacks) || code != 0 && strings.Count(stderr, "\n") != 1 {
 				t.Errorf("exit %d, printed %s%s", code, out, stderr)
 			}
 		})
--- a/cmd/fernvane/config_test.go
+++ b/cmd/fernvane/config_test.go
@@ -51,10 +51,10 @@
 				state = v.Nodes[0].State
 			}
 			if v.Current != c.current || state != c.state {
-				t.Errorf("got %+v", v)
+				t.Errorf("unexpected status %+v", v)
 			}
 			if state == "unreachable" && v.Nodes[0].Unreachable != "2026-01-02T03:04:05Z" {
-				t.Errorf("unreachable since %q", v.Nodes[0].Unreachable)
+				t.Errorf("got unreachable since %q, want 2026-01-02T03:04:05Z", v.Nodes[0].Unreachable)
 			}
 		})
 	}
--- a/cmd/fernvane/distribution_test.go
+++ b/cmd/fernvane/distribution_test.go
@@ -88,13 +88,13 @@
 	}
 	for i := range nodes {
 		at := address.Free(t)
-		held := filepath.Join(c.dir, fmt.Sprintf("held-%d", i))
-		if err := os.Mkdir(held, 0o700); err != nil {
+		directory := filepath.Join(c.dir, fmt.Sprintf("held-%d", i))
+		if err := os.Mkdir(directory, 0o700); err != nil {
 			t.Fatal(err)
 		}
 		config := c.file(fmt.Sprintf("node-%d.json", i), fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":"127.0.0.1:1","settings":%s}`, i, at, example))
 		file := c.file(fmt.Sprintf("node-%d.toml", i), fmt.Sprintf("control = [%q, %q]\nservices = [\"hire\"]\ndirectory = %q\nplaintext = true\nstart_within = \"20s\"\n",
-			c.at[i%2], c.at[1-i%2], held))
+			c.at[i%2], c.at[1-i%2], directory))
 		c.nodes = append(c.nodes, launch(t, `"serving"`, "serve", "--config", config, "--distribution", file))
 		c.serving = append(c.serving, at)
 	}
--- a/cmd/fernvane/main_test.go
+++ b/cmd/fernvane/main_test.go
@@ -84,13 +84,13 @@
 	return at, cmd, ended
 }
 
-// TestRun checks exit codes and the number of error lines of command lines, valid and invalid.
+// TestRun checks the exit codes of valid and invalid command lines, and the number of lines that they print on standard error.
 func TestRun(t *testing.T) {
 	truncated := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(truncated, []byte(`{"listen":`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	valid := filepath.Join(t.TempDir(), "good.json")
+	valid := filepath.Join(t.TempDir(), "valid.json")
 	if err := os.WriteFile(valid, []byte(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{"limits":{"mostHops":2},"trafficTypes":
 		[{"name":"a","targetTime":5,"abandonTime":50,"idempotency":"safe"}]}}`), 0o600); err != nil {
 		t.Fatal(err)
@@ -153,10 +153,10 @@
 			var out, stderr strings.Builder
 			code := run(c.args, &out, &stderr, func(string) string { return "" })
 			if lines := strings.Count(stderr.String(), "\n"); code != c.code || c.lines > 0 && lines != c.lines {
-				t.Errorf("exit %d, error output %q", code, stderr.String())
+				t.Errorf("unexpected exit %d or number of lines in standard error %q", code, stderr.String())
 			}
 			if code == 0 && out.Len() == 0 {
-				t.Error("no output of a successful command")
+				t.Error("successful command printed nothing")
 			}
 		})
 	}
--- a/cmd/fernvane/replicas_test.go
+++ b/cmd/fernvane/replicas_test.go
@@ -127,11 +127,11 @@
 		})
 	}
 	stopC()
-	waitFor("the entry of a lost node, found in a replica", "bindings --tier --peers "+b+" show n2-sent", func(code int, out, stderr string) bool {
+	waitFor("entry of a stopped node from a replica", "bindings --tier --peers "+b+" show n2-sent", func(code int, out, stderr string) bool {
 		return code == 0 && strings.Contains(out, "possibly-sent") && strings.Contains(stderr, "no response from n2")
 	})
 	stopA()
-	waitFor("the state not-known instead of not-sent without two nodes", "bindings --tier --peers "+b+" find", func(code int, out, stderr string) bool {
+	waitFor("state not-known instead of not-sent without two nodes", "bindings --tier --peers "+b+" find", func(code int, out, stderr string) bool {
 		return code == 1 && !strings.Contains(out, "not-sent") && strings.Contains(out, "not-known") && strings.Contains(stderr, "not known")
 	})
 	if code, out, _ := execute("replicas --peers " + b + " status"); code != 1 || !strings.Contains(out, "n2") {
@@ -140,7 +140,7 @@
 }
 
 // TestTwoProcessesOfOneName starts two nodes of the same name. The later incarnation must serve, and the earlier one must
-// exit with 1 when it learns of the later one.
+// exit with 1 when it receives the later incarnation.
 func TestTwoProcessesOfOneName(t *testing.T) {
 	built := filepath.Join(t.TempDir(), "fernvane")
 	if out, err := exec.Command("go", "build", "-o", built, ".").CombinedOutput(); err != nil {
--- a/cmd/fernvane/snapshot_test.go
+++ b/cmd/fernvane/snapshot_test.go
@@ -33,9 +33,9 @@
 	files, _ := filepath.Glob(filepath.Join(damaged, "*"))
 	os.WriteFile(files[2], []byte("noise"), 0o600)
 	for name, c := range map[string]struct {
-		args []string
-		code int
-		has  string
+		args     []string
+		code     int
+		contains string
 	}{
 		"show":              {[]string{"show", "--dir", dir}, 0, "staleness level at a start now: 4 of 4"},
 		"show, as JSON":     {[]string{"show", "--dir", dir, "--json"}, 0, `"condition":"draining"`},
@@ -51,7 +51,7 @@
 		t.Run(name, func(t *testing.T) {
 			var out, stderr bytes.Buffer
 			code := run(append([]string{"snapshot"}, c.args...), &out, &stderr, func(string) string { return "" })
-			if all := out.String() + stderr.String(); code != c.code || !strings.Contains(all, c.has) {
+			if all := out.String() + stderr.String(); code != c.code || !strings.Contains(all, c.contains) {
 				t.Errorf("exit %d, printed %s", code, all)
 			}
 		})
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// An attempt that was decided before its server left is not written after the drain grace.
+// An attempt that was decided before its server started to drain or was removed is not written after the drain grace.
 func TestNothingSentAfterDrainGrace(t *testing.T) {
 	t.Parallel()
 	hosts, received := servers(t, 1, okResponse)
@@ -89,10 +89,10 @@
 		if d.Action != dispatch.SendAttempt {
 			t.Fatalf("got action %d, want SendAttempt", d.Action)
 		}
-		left := hosts[0]
-		left.Phase = phase
-		s.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{left}}, endpoints.SourceDiscovery)
-		for !s.dispatcher.IsTooLateToWrite(left.ID) {
+		removed := hosts[0]
+		removed.Phase = phase
+		s.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{removed}}, endpoints.SourceDiscovery)
+		for !s.dispatcher.IsTooLateToWrite(removed.ID) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		req := &http1.Request{Method: []byte("POST"), Target: []byte("/book/1")}
@@ -116,19 +116,19 @@
 	s.dispatcher.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
 	req := &http1.Request{Method: []byte("GET"), Target: []byte("/book/1")}
 	for name, c := range map[string]struct {
-		leave, seen bool // seen: only a direct check of the connection detects the disconnect
-		want        dispatch.AttemptResult
+		isDisconnected, isUnnotified bool // isUnnotified: only a direct check of the connection detects the disconnect
+		want                         dispatch.AttemptResult
 	}{"disconnected": {true, false, dispatch.ExpiredUnsent}, "disconnected, not notified": {true, true, dispatch.ExpiredUnsent}, "connected": {false, false, dispatch.Succeeded}} {
 		t.Run(name, func(t *testing.T) {
 			before := received.Load()
 			request := submitNonIdempotent(s.dispatcher)
 			defer request.Close()
 			d := request.NextDecision(func() {})
-			if c.leave && !c.seen {
+			if c.isDisconnected && !c.isUnnotified {
 				request.ClientDisconnected()
 			}
-			result, _ := s.attempt(context.Background(), d, &forwarding{request: request, message: req, isDisconnected: func() bool { return c.seen }, composeAnswer: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }})
-			if sent := received.Load() > before; result != c.want || sent == c.leave {
+			result, _ := s.attempt(context.Background(), d, &forwarding{request: request, message: req, isDisconnected: func() bool { return c.isUnnotified }, composeAnswer: func(a http1.Answer) []byte { return http1.AppendAnswer(nil, a) }})
+			if sent := received.Load() > before; result != c.want || sent == c.isDisconnected {
 				t.Errorf("unexpected result %s, sent %v", result, sent)
 			}
 			request.AttemptEnded(d.Attempt, result, nil)
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -9,14 +9,14 @@
 
 func TestConfig(t *testing.T) {
 	t.Parallel()
-	const good = `{"name":"n","listen":"127.0.0.1:80","discovery":"127.0.0.1:81","seed":"x","limits":{"memory_mb":64,"sockets":256},
+	const valid = `{"name":"n","listen":"127.0.0.1:80","discovery":"127.0.0.1:81","seed":"x","limits":{"memory_mb":64,"sockets":256},
 		"known":{"revision":1,"members":[]},"settings":{"limits":{"mostHops":2},"trafficTypes":[{"name":"a","targetTime":5,"idempotency":"safe"}]}}`
 	for name, c := range map[string]struct {
 		old, new  string
 		env       string
 		wantError string // part of the error, which is one line
 	}{
-		"good":              {},
+		"valid":             {},
 		"listen overridden": {`"127.0.0.1:80"`, `""`, "127.0.0.2:80", ""},
 		"no JSON":           {"{", "", "", "invalid"},
 		"truncated":         {`"}]}}`, "", "", "unexpected end"},
@@ -30,7 +30,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
-			if err := os.WriteFile(path, []byte(strings.Replace(good, c.old, c.new, 1)), 0o600); err != nil {
+			if err := os.WriteFile(path, []byte(strings.Replace(valid, c.old, c.new, 1)), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			cfg, err := LoadConfig(path, func(name string) string {
--- a/internal/proxy/descriptors_test.go
+++ b/internal/proxy/descriptors_test.go
@@ -72,11 +72,11 @@
 
 // Correct clients get their answers, also to requests that are sent byte by byte, while malformed clients hold more connections than the node
 // allows. A client retries if its connection was closed before its request was read.
-func TestGoodClientsAmongMalformed(t *testing.T) {
+func TestCorrectClientsAmongMalformed(t *testing.T) {
 	t.Parallel()
 	const (
-		bad, good, requestsPerClient = 120, 4, 6
-		maxAttempts                  = 50
+		malformedClients, correctClients, requestsPerClient = 120, 4, 6
+		maxAttempts                                         = 50
 	)
 	hosts, _ := servers(t, 2, okResponse)
 	cfg := config(hosts...)
@@ -86,21 +86,21 @@
 	}
 	at, _ := startNode(t, cfg)
 	kinds := []struct {
-		text  string
-		leave bool
+		text         string
+		closesItself bool // the client closes its connection after the text
 	}{
 		{"hello\r\n\r\n", false}, {strings.Repeat("x", 100<<10), true}, {"POST /book/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 9999999\r\n\r\nx", false},
 		{"GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: ", false}, {strings.Repeat("GET / HTTP/1.1\r\n\r\n", 500), true}, {"", false},
 	}
 	stopFlood := make(chan struct{})
-	var flood, all sync.WaitGroup
-	for i := range bad {
+	var flood, clients sync.WaitGroup
+	for i := range malformedClients {
 		flood.Go(func() {
 			kind := kinds[i%len(kinds)]
 			for {
 				if c, err := net.Dial("tcp", at); err == nil {
 					io.WriteString(c, kind.text)
-					if !kind.leave {
+					if !kind.closesItself {
 						closed := make(chan struct{})
 						go func() {
 							defer close(closed)
@@ -121,8 +121,8 @@
 			}
 		})
 	}
-	for i := range good {
-		all.Go(func() {
+	for i := range correctClients {
+		clients.Go(func() {
 			for range requestsPerClient {
 				request := fmt.Sprintf("GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: good-%d\r\n\r\n", ids.Add(1))
 				status, err := 0, errors.New("not attempted")
@@ -135,7 +135,7 @@
 			}
 		})
 	}
-	all.Wait()
+	clients.Wait()
 	close(stopFlood)
 	flood.Wait()
 }
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// The request of a client that disconnects before its request is read, with further bytes after the request, is not submitted.
+// A request is not submitted if its client disconnects before the node reads it, even if further bytes follow the request.
 func TestDisconnectBeforeRequestIsRead(t *testing.T) {
 	t.Parallel()
 	near, client := connpair.TCP(t)
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -63,43 +63,43 @@
 func TestListUpdateAfterFailedPolls(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
-	kept := hosts[0]
-	kept.ID = "stays"
+	remaining := hosts[0]
+	remaining.ID = "stays"
 	rejection := func(status int) string {
 		return fmt.Sprintf("HTTP/1.1 %d No\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n", status)
 	}
-	leftOut := listResponse(9, true, listMember(kept, "SERVING"))
+	withoutRemoved := listResponse(9, true, listMember(remaining, "SERVING"))
 	for name, c := range map[string]struct {
-		before []string // responses to the polls before the change
-		change string   // response with the change; empty: an indented change that announces the server as draining
-		pieces bool
-		asked  bool // the settings require requests for the list
+		before      []string // responses to the polls before the change
+		change      string   // response with the change; empty: an indented change that announces the server as draining
+		pieces      bool
+		mustRequest bool // the settings require requests for the list
 	}{
-		"immediately, left out":             {nil, leftOut, false, false},
-		"immediately, in pieces":            {nil, leftOut, true, false},
-		"rejected for a while":              {[]string{rejection(503), rejection(429), rejection(503)}, leftOut, false, true},
-		"rejected and closed":               {[]string{rejection(503) + closeMark, rejection(429) + closeMark}, leftOut, false, true},
-		"reset without a response":          {[]string{resetMark, resetMark}, leftOut, false, true},
-		"reset within a response":           {[]string{leftOut[:len(leftOut)-9] + resetMark}, leftOut, false, false},
-		"closed within a response":          {[]string{leftOut[:len(leftOut)-9] + closeMark}, leftOut, false, false},
-		"no response to the first":          {[]string{""}, leftOut, false, false},
-		"stalled within a response":         {[]string{leftOut[:len(leftOut)-9]}, leftOut, false, false},
-		"no response later":                 {[]string{listResponse(3, false), listResponse(3, false), ""}, leftOut, false, false},
-		"no response later, then rejected":  {[]string{listResponse(3, false), "", rejection(503)}, leftOut, false, true},
-		"a watch is closed":                 {[]string{listResponse(3, false), closeMark}, leftOut, false, true},
-		"a watch is reset":                  {[]string{listResponse(3, false), resetMark}, leftOut, false, true},
-		"no responses, then rejected":       {[]string{"", "", rejection(503)}, leftOut, false, false},
+		"immediately, left out":             {nil, withoutRemoved, false, false},
+		"immediately, in pieces":            {nil, withoutRemoved, true, false},
+		"rejected for a while":              {[]string{rejection(503), rejection(429), rejection(503)}, withoutRemoved, false, true},
+		"rejected and closed":               {[]string{rejection(503) + closeMark, rejection(429) + closeMark}, withoutRemoved, false, true},
+		"reset without a response":          {[]string{resetMark, resetMark}, withoutRemoved, false, true},
+		"reset within a response":           {[]string{withoutRemoved[:len(withoutRemoved)-9] + resetMark}, withoutRemoved, false, false},
+		"closed within a response":          {[]string{withoutRemoved[:len(withoutRemoved)-9] + closeMark}, withoutRemoved, false, false},
+		"no response to the first":          {[]string{""}, withoutRemoved, false, false},
+		"stalled within a response":         {[]string{withoutRemoved[:len(withoutRemoved)-9]}, withoutRemoved, false, false},
+		"no response later":                 {[]string{listResponse(3, false), listResponse(3, false), ""}, withoutRemoved, false, false},
+		"no response later, then rejected":  {[]string{listResponse(3, false), "", rejection(503)}, withoutRemoved, false, true},
+		"a watch is closed":                 {[]string{listResponse(3, false), closeMark}, withoutRemoved, false, true},
+		"a watch is reset":                  {[]string{listResponse(3, false), resetMark}, withoutRemoved, false, true},
+		"no responses, then rejected":       {[]string{"", "", rejection(503)}, withoutRemoved, false, false},
 		"indented, as a change, in pieces":  {[]string{rejection(503)}, "", true, false},
 		"a change that drains, after reset": {[]string{resetMark}, "", false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			left, received := servers(t, 1, okResponse)
+			removed, received := servers(t, 1, okResponse)
 			if c.change == "" {
-				c.change = listResponse(9, false, "\n  "+strings.ReplaceAll(listMember(left[0], "DRAINING"), ",", ",\n    "))
+				c.change = listResponse(9, false, "\n  "+strings.ReplaceAll(listMember(removed[0], "DRAINING"), ",", ",\n    "))
 			}
-			cfg := config(left[0], kept)
-			cfg.SavedList.Revision, cfg.Settings.MustRequestEndpoints = 2, c.asked
+			cfg := config(removed[0], remaining)
+			cfg.SavedList.Revision, cfg.Settings.MustRequestEndpoints = 2, c.mustRequest
 			var calls chan string
 			cfg.Discovery, calls = scriptedDiscovery(t, c.pieces, append(c.before, c.change)...)
 			at, _ := startNode(t, cfg)
@@ -114,7 +114,7 @@
 				}
 			}
 			if n := received.Load() - before; n > 0 {
-				t.Errorf("got %d requests to a server that had left, want none", n)
+				t.Errorf("got %d requests to a draining or removed server, want none", n)
 			}
 		})
 	}
@@ -127,15 +127,15 @@
 	list := func(body string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
-	good := list(`{"revision":9,"complete":true,"members":[` + line + `]}`)
+	lastList := list(`{"revision":9,"complete":true,"members":[` + line + `]}`)
 	for name, script := range map[string][]string{
-		"immediately":             {good},
-		"after nothing new":       {list(`{"revision":3,"members":[]}`), good},
-		"after a failed poll":     {"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n", good},
-		"after a closed poll":     {closeMark, good},
-		"after a truncated body":  {list(`{"revision":5,"compl`), good},
+		"immediately":             {lastList},
+		"after nothing new":       {list(`{"revision":3,"members":[]}`), lastList},
+		"after a failed poll":     {"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n", lastList},
+		"after a closed poll":     {closeMark, lastList},
+		"after a truncated body":  {list(`{"revision":5,"compl`), lastList},
 		"beside an invalid entry": {list(`{"revision":9,"complete":true,"members":[{"id":7},` + line + `]}`)},
-		"after a closed response": {list(`{"revision":3,"members":[]}`) + closeMark, good},
+		"after a closed response": {list(`{"revision":3,"members":[]}`) + closeMark, lastList},
 		"as a change to the list": {list(`{"revision":9,"members":[` + line + `]}`)},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/proxy/distribution_test.go
+++ b/internal/proxy/distribution_test.go
@@ -89,7 +89,7 @@
 				return
 			}
 			if len(records) != 1 || records[0].IsUsable != c.used || records[0].Condition != c.condition || records[0].Address.String() != c.at || from != endpoints.SourceDistribution {
-				t.Errorf("got %+v from %v", records, from)
+				t.Errorf("unexpected endpoints %+v from %v", records, from)
 			}
 		})
 	}
@@ -112,7 +112,8 @@
 	}
 }
 
-// Invalid servers, routes and tenants are returned with the reason, and their last good versions stay in effect. All others are applied.
+// Invalid servers, routes and tenants are returned with the reason, and all others are applied. The last good versions of invalid routes and
+// tenants stay in effect.
 func TestDistributedRejections(t *testing.T) {
 	text := func(kind distribution.Kind, name string, clock uint64, text string) distribution.Entry {
 		return entryOf(kind, name, clock, []byte(text))
@@ -222,13 +223,13 @@
 	dir := t.TempDir()
 	restart := func() *distributionApplier {
 		applier := newTestApplier(t)
-		var good []distribution.Entry
+		var stored []distribution.Entry
 		var err error
-		if applier.lastGood, good, err = openLastGood(dir); err != nil {
+		if applier.lastGood, stored, err = openLastGood(dir); err != nil {
 			t.Fatal(err)
 		}
 		applier.effectiveTenants = map[distribution.Key]distribution.Entry{}
-		applier.restoreLastGood(good)
+		applier.restoreLastGood(stored)
 		return applier
 	}
 	entry := func(kind distribution.Kind, name string, clock uint64, v string) distribution.Entry {
@@ -273,8 +274,8 @@
 	if err := os.WriteFile(filepath.Join(dir, lastGoodFileName), []byte("garbled"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, good, err := openLastGood(dir); err == nil || len(good) > 0 {
-		t.Errorf("malformed file: got entries %v, error %v, want no entries and an error", good, err)
+	if _, stored, err := openLastGood(dir); err == nil || len(stored) > 0 {
+		t.Errorf("malformed file: got entries %v, error %v, want no entries and an error", stored, err)
 	}
 }
 
@@ -332,7 +333,7 @@
 	}
 }
 
-// A new node that reaches no control process polls discovery, and uses only control processes once it has reached one.
+// A node that has reached no control process since its start polls discovery. Once a control process has announced servers, it uses only these.
 func TestDiscoveryFallback(t *testing.T) {
 	t.Parallel()
 	hosts, used := servers(t, 1, okResponse)
--- a/internal/proxy/endpointcache_test.go
+++ b/internal/proxy/endpointcache_test.go
@@ -113,13 +113,13 @@
 	for bookStatus(t, at) != 200 { // until the node has observed a response that arrived in time
 		sendConcurrently(t, at)
 	}
-	seen := other.count("check")
+	before := other.count("check")
 	for range 8 {
 		sendConcurrently(t, at)
 		bookStatus(t, at)
 	}
-	if other.count("check") > seen+8 || other.count("book") > 0 || drained.count("check")+drained.count("book") > 0 {
-		t.Errorf("server with another ID got %d idempotent and %d non-idempotent requests, draining ones %d and %d", other.count("check")-seen, other.count("book"),
+	if other.count("check") > before+8 || other.count("book") > 0 || drained.count("check")+drained.count("book") > 0 {
+		t.Errorf("got %d idempotent and %d non-idempotent requests to the server with another ID, %d and %d to the draining and gone servers", other.count("check")-before, other.count("book"),
 			drained.count("check"), drained.count("book"))
 	}
 	if err := stop(); err != nil {
@@ -131,15 +131,16 @@
 	}
 }
 
-// A node starts without its cached list if the list is invalid, too old, of another node or deployment, or older than the configuration's.
+// A node does not use its cached list if the list is too old, of another node or deployment, or not newer than that of the configuration. A server
+// without a valid address is left out.
 func TestCachedListNotUsed(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		change func(*snapshot.Snapshot)
-		known  uint64 // revision of the list in the configuration; 0: none
-		used   bool
+		change     func(*snapshot.Snapshot)
+		configured uint64 // revision of the list in the configuration; 0: none
+		used       bool
 	}{
-		"good":               {nil, 0, true},
+		"valid":              {nil, 0, true},
 		"another deployment": {func(s *snapshot.Snapshot) { s.Deployment = "e" }, 0, false},
 		"another node":       {func(s *snapshot.Snapshot) { s.Node = "m" }, 0, false},
 		"too old":            {func(s *snapshot.Snapshot) { s.ConfirmedUnixMS -= (2 * time.Hour).Milliseconds() }, 0, false},
@@ -153,8 +154,8 @@
 			server := newCountingServer(t, "")
 			cfg := config()
 			cfg.Snapshot = cachedList(t, c.change, server.server("s", incarnation.Up))
-			if c.known > 0 {
-				cfg.SavedList = http1.EndpointList{Revision: c.known, Hosts: []http1.Endpoint{{ID: "gone", Phase: http1.Deleted}}}
+			if c.configured > 0 {
+				cfg.SavedList = http1.EndpointList{Revision: c.configured, Hosts: []http1.Endpoint{{ID: "gone", Phase: http1.Deleted}}}
 			}
 			at, _ := startNode(t, cfg)
 			if status := get(t, dial(t, at), "/check/1").Status; (status == 200) != c.used {
@@ -164,20 +165,21 @@
 	}
 }
 
-// awaitList returns the next list for a poll. ok is false if the node abandons the poll before: a list taken after that would be lost.
+// awaitList returns the next list for a poll. ok is false if the node has abandoned the poll before or lists is closed. It takes no list for an
+// abandoned poll, because that list would be lost.
 func awaitList(c *http1.Conn, lists <-chan string) (list string, ok bool) {
-	givenUp := make(chan struct{})
+	disconnected := make(chan struct{})
 	go func() {
-		defer close(givenUp)
+		defer close(disconnected)
 		c.WaitDisconnected()
 	}()
 	select {
 	case list, ok = <-lists:
-	case <-givenUp:
+	case <-disconnected:
 		return "", false
 	}
 	c.SetReadDeadline(pastDeadline)
-	<-givenUp
+	<-disconnected
 	c.SetReadDeadline(time.Time{})
 	return list, ok
 }
--- a/internal/proxy/fastcgishutdown_test.go
+++ b/internal/proxy/fastcgishutdown_test.go
@@ -86,7 +86,7 @@
 			return
 		}
 		if err != nil || r.Status != 0 {
-			t.Errorf("got answer to request %d with status %d, error %v, want the end of the connection", id, r.Status, err)
+			t.Errorf("got response to request %d with status %d, error %v, want status 0 or the end of the connection", id, r.Status, err)
 			return
 		}
 	}
@@ -113,7 +113,7 @@
 			<-begun
 			if c.notified > 0 {
 				if id, r, err := nc.Next(); id != c.notified || r.Status != 0 || err != nil {
-					t.Errorf("got notice for request %d with status %d, error %v, want status 0", id, r.Status, err)
+					t.Errorf("got response to request %d with status %d, error %v, want the notice that the stalled request was not executed", id, r.Status, err)
 				}
 			}
 			close(release)
@@ -150,7 +150,7 @@
 	<-begun
 	done := make(chan error)
 	go func() { done <- stop() }()
-	for kept := dial(t, http); !get(t, kept, "/up").Close; {
+	for keepAlive := dial(t, http); !get(t, keepAlive, "/up").Close; {
 	}
 	nc.Write(encodeRequest(readinessID, readinessRequest))
 	if status := nc.answer(t, readinessID, checkRejected); status != 200 {
@@ -190,9 +190,9 @@
 		return rc.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 	}}
 	for name, c := range map[string]struct {
-		at   string
-		ask  []byte
-		read func(net.Conn) (n int, err error)
+		at      string
+		request []byte
+		read    func(net.Conn) (n int, err error)
 	}{
 		"HTTP": {http, []byte("GET /check/1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\nRequest-Id: reset-1\r\n\r\n" +
 			strings.Repeat("GET /check/2 HTTP/1.1\r\nHost: h\r\nRequest-Id: reset-2\r\n\r\n", 500)),
@@ -215,7 +215,7 @@
 			}
 			defer nc.Close()
 			nc.SetDeadline(time.Now().Add(time.Minute))
-			nc.Write(c.ask)
+			nc.Write(c.request)
 			if n, err := c.read(nc); n != len(body) || err != nil {
 				t.Errorf("got a body of %d bytes, want %d, error %v", n, len(body), err)
 			}
--- a/internal/proxy/httpclient_test.go
+++ b/internal/proxy/httpclient_test.go
@@ -48,7 +48,7 @@
 		})
 	}
 	if received.Load() != 0 {
-		t.Error("server got a request, want none")
+		t.Error("server received a request, want none")
 	}
 }
 
--- a/internal/proxy/intentjournal_test.go
+++ b/internal/proxy/intentjournal_test.go
@@ -48,7 +48,7 @@
 		script   []string
 		state    intent.State
 		outcome  string
-		attempts int // attempts; 0: any number
+		attempts int // 0: any number
 	}{
 		"answered":              {[]string{okResponse}, intent.HasRun, "handled", 1},
 		"not started, then ok":  {[]string{notStarted, okResponse}, intent.HasRun, "handled", 2},
@@ -85,12 +85,12 @@
 func TestIntentBeforeFirstByte(t *testing.T) {
 	t.Parallel()
 	disk := memdisk.New()
-	var late atomic.Int32
+	var withoutIntent atomic.Int32
 	at := standIn(t, func(nc net.Conn) {
 		defer nc.Close()
 		for c := http1.NewConn(nc); c.ReadRequest(&http1.Request{}) == nil; {
 			if all, _ := entries(t, disk); len(all) != 1 || len(all[0].Attempts) != 1 || all[0].ClientOutcome != "" {
-				late.Add(1)
+				withoutIntent.Add(1)
 			}
 			io.WriteString(nc, okResponse)
 		}
@@ -98,8 +98,8 @@
 	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
 	cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20}
 	node, _ := startNode(t, cfg)
-	if got := book(t, node, ""); got != 200 || late.Load() > 0 {
-		t.Errorf("got status %d, want 200; %d attempts without a durable intent, want none", got, late.Load())
+	if got := book(t, node, ""); got != 200 || withoutIntent.Load() > 0 {
+		t.Errorf("got status %d, want 200; %d attempts without a durable intent, want none", got, withoutIntent.Load())
 	}
 }
 
--- a/internal/proxy/logger_test.go
+++ b/internal/proxy/logger_test.go
@@ -6,10 +6,10 @@
 	"github.com/rs/zerolog"
 )
 
-type blockedWriter struct{ held chan struct{} }
+type blockedWriter struct{ release chan struct{} }
 
 func (w blockedWriter) Write(b []byte) (int, error) {
-	<-w.held
+	<-w.release
 	return len(b), nil
 }
 
@@ -19,8 +19,8 @@
 	w := blockedWriter{make(chan struct{})}
 	log, flush := NewLogger(w, zerolog.InfoLevel)
 	for range 10 * maxQueuedLogLines {
-		log.Warn().Msg("once more")
+		log.Warn().Msg("line")
 	}
 	flush()
-	close(w.held)
+	close(w.release)
 }
--- a/internal/proxy/partfailure_test.go
+++ b/internal/proxy/partfailure_test.go
@@ -47,8 +47,8 @@
 	log, stop, done := &syncBuffer{}, make(chan struct{}), make(chan error, 1)
 	go func() { done <- run(Signals{Stop: stop}, cfg, zerolog.New(log), ln.(*net.TCPListener)) }()
 	await(t, "log line of the failed component", func() bool { return strings.Contains(log.String(), "component failed") })
-	kept := dial(t, ln.Addr().String())
-	if r := get(t, kept, "/check/1"); r.Status != 200 || r.Close {
+	client := dial(t, ln.Addr().String())
+	if r := get(t, client, "/check/1"); r.Status != 200 || r.Close {
 		t.Errorf("got status %d, close %v, want 200 without close", r.Status, r.Close)
 	}
 	close(stop)
--- a/internal/proxy/plannerclient_test.go
+++ b/internal/proxy/plannerclient_test.go
@@ -211,7 +211,7 @@
 	at, _ := startNode(t, cfg)
 	<-planner.connected
 	if unconfirmed := (<-planner.reports).NewerIncarnations; len(unconfirmed) > 1 || len(unconfirmed) == 1 && unconfirmed[0].Condition == incarnation.Up {
-		t.Errorf("got a report with %d incarnations, want none of unconfirmed servers", len(unconfirmed))
+		t.Errorf("got a report with %d incarnations, want at most that of the draining server", len(unconfirmed))
 	}
 	planner.sendChange(plan.Change{Incarnations: announced})
 	store, err := snapshot.Open(cfg.Snapshot.Dir, 3, wal.OSFileSystem{})
@@ -219,17 +219,17 @@
 		t.Fatal(err)
 	}
 	await(t, "confirmed list on disk", func() bool {
-		kept, _, err := store.Newest()
-		return err == nil && time.Since(time.UnixMilli(kept.ConfirmedUnixMS)) < time.Minute
+		stored, _, err := store.Newest()
+		return err == nil && time.Since(time.UnixMilli(stored.ConfirmedUnixMS)) < time.Minute
 	})
 	drained := announced[0]
 	drained.Condition, drained.Revision = incarnation.Draining, 9
 	planner.sendChange(plan.Change{Incarnations: []incarnation.Entry{drained}})
 	await(t, "list on disk with two draining servers and all others up", func() bool {
-		kept, _, err := store.Newest()
+		stored, _, err := store.Newest()
 		conditions := map[uint8]int{}
 		if err == nil {
-			for _, server := range kept.Servers {
+			for _, server := range stored.Servers {
 				conditions[server.Condition]++
 			}
 		}
--- a/internal/proxy/readiness_test.go
+++ b/internal/proxy/readiness_test.go
@@ -18,12 +18,12 @@
 	draining := hosts[0]
 	draining.Phase = http1.Draining
 	for name, c := range map[string]struct {
-		known   []http1.Endpoint
-		script  []string // responses of discovery, none after the last
-		waited  bool     // firstListTimeout has passed
-		first   int
-		later   int // status after the script
-		listens bool
+		saved            []http1.Endpoint
+		script           []string // responses of discovery, none after the last
+		isTimedOut       bool     // firstListTimeout has passed
+		first            int      // status before the first poll
+		later            int      // status after the last response
+		discoveryListens bool
 	}{
 		"a list, discovery refuses connections":  {hosts, nil, false, 200, 200, false},
 		"a list, discovery does not respond":     {hosts, nil, false, 200, 200, true},
@@ -36,9 +36,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			cfg := config(c.known...)
+			cfg := config(c.saved...)
 			node := newTestServer(t, cfg)
-			if node.startedAt = time.Now().Add(time.Hour); c.waited { // the timeout never passes, however slow the machine is
+			if node.startedAt = time.Now().Add(time.Hour); c.isTimedOut { // the timeout never passes, however slow the machine is
 				node.startedAt = time.Now().Add(-firstListTimeout - time.Second)
 			}
 			up := func() int {
@@ -50,7 +50,7 @@
 				t.Errorf("unexpected initial status %d", got)
 			}
 			at, calls := cfg.Discovery, chan string(nil)
-			if c.listens {
+			if c.discoveryListens {
 				at, calls = scriptedDiscovery(t, false, c.script...)
 			}
 			node.discoveryTarget.Store(watch.NewTarget(at))
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -100,8 +100,8 @@
 func TestListUpdateAfterReload(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
-	kept := hosts[0]
-	kept.ID = "stays"
+	remaining := hosts[0]
+	remaining.ID = "stays"
 	for name, c := range map[string]struct {
 		old, next []string
 	}{
@@ -113,15 +113,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			left, received := servers(t, 1, okResponse)
+			removed, received := servers(t, 1, okResponse)
 			before, called := scriptedDiscovery(t, false, c.old...)
-			after, calledAfter := scriptedDiscovery(t, false, append(c.next, listResponse(9, true, listMember(kept, "SERVING")))...)
+			after, calledAfter := scriptedDiscovery(t, false, append(c.next, listResponse(9, true, listMember(remaining, "SERVING")))...)
 			path := filepath.Join(t.TempDir(), "config.json")
 			file := func(discovery netip.AddrPort) {
 				text := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"%s","known":{"revision":5,"complete":true,"members":[%s,%s]},
 					"settings":{"limits":{"mostHops":4,"connectTimeout":100,"connIdle":1000},
 					"trafficTypes":[{"name":"check","targetTime":5000,"abandonTime":5000,"idempotency":"safe"}]}}`,
-					discovery, listMember(left[0], "SERVING"), listMember(kept, "SERVING"))
+					discovery, listMember(removed[0], "SERVING"), listMember(remaining, "SERVING"))
 				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 					t.Fatal(err)
 				}
@@ -151,7 +151,7 @@
 				}
 			}
 			if n := received.Load() - sent; n > 0 {
-				t.Errorf("got %d requests to a server that had left, want none", n)
+				t.Errorf("got %d requests to a removed server, want none", n)
 			}
 			close(stop)
 			if err := <-done; err != nil {
--- a/internal/proxy/route_test.go
+++ b/internal/proxy/route_test.go
@@ -37,10 +37,10 @@
 	t.Parallel()
 	const err500 = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
-		file   string
-		script []string
-		asks   []string // path, and a body after a space
-		want   []int
+		file     string
+		script   []string
+		requests []string // path, and a body after a space
+		want     []int
 	}{
 		"no more than its rate":   {checks + "rate = 0.001\nburst = 2", []string{okResponse}, []string{"/check/1", "/check/1", "/check/1", "/book/1"}, []int{200, 200, 503, 200}},
 		"no larger body":          {checks + "body_bytes = 3", []string{okResponse}, []string{"/check/1 abc", "/check/1 abcd"}, []int{200, 413}},
@@ -56,12 +56,12 @@
 			cfg := config(hosts...)
 			cfg.Routes = routes(t, &cfg, c.file)
 			at, _ := startNode(t, cfg)
-			for i, ask := range c.asks {
-				path, body, _ := strings.Cut(ask, " ")
+			for i, request := range c.requests {
+				path, body, _ := strings.Cut(request, " ")
 				conn := dial(t, at)
 				fmt.Fprintf(conn, "PUT %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\nContent-Length: %d\r\n\r\n%s", path, ids.Add(1), len(body), body)
 				if r := readReply(t, conn); r.Status != c.want[i] {
-					t.Errorf("%s: got status %d, want %d", ask, r.Status, c.want[i])
+					t.Errorf("%s: got status %d, want %d", request, r.Status, c.want[i])
 				}
 			}
 		})
@@ -129,8 +129,8 @@
 			t.Fatal(err)
 		}
 	}
-	const held = 20
-	file(checks + fmt.Sprintf("at_once = 1\nwaiting = %d\nwait = \"10s\"", held-1))
+	const requestCount = 20
+	file(checks + fmt.Sprintf("at_once = 1\nwaiting = %d\nwait = \"10s\"", requestCount-1))
 	var err error
 	if cfg.Routes, err = route.Load(cfg.OperatorFile, &cfg.Settings); err != nil {
 		t.Fatal(err)
@@ -139,23 +139,23 @@
 	defer s.dispatcher.Stop()
 	s.dispatcher.SetRoutes(cfg.Routes)
 	s.applyInitialList()
-	statuses := make(chan int, held)
-	ask := func() int {
+	statuses := make(chan int, requestCount)
+	send := func() int {
 		server := standIn(t, func(nc net.Conn) { s.serveHTTPConn(nc.(*net.TCPConn)) })
 		return get(t, dial(t, server.String()), "/check/1").Status
 	}
-	for range held {
-		go func() { statuses <- ask() }()
+	for range requestCount {
+		go func() { statuses <- send() }()
 	}
-	for s.dispatcher.Counts().OpenRequests < held { // one is sent, the others wait
+	for s.dispatcher.Counts().OpenRequests < requestCount { // one is sent, the others wait
 		time.Sleep(time.Millisecond)
 	}
-	if got := ask(); got != 503 {
+	if got := send(); got != 503 {
 		t.Errorf("request beyond the queue: got status %d, want 503", got)
 	}
 	file("[[routes]]\nname = ")
 	s.reloadRoutes()
-	if got := ask(); got != 503 {
+	if got := send(); got != 503 {
 		t.Errorf("after an invalid file: got status %d, want 503", got)
 	}
 	for received.Load() == 0 { // until the admitted request was sent
@@ -167,18 +167,18 @@
 	file("")
 	s.reloadRoutes()
 	close(release)
-	for range held {
+	for range requestCount {
 		if got := <-statuses; got != 200 {
 			t.Errorf("request that waited in the removed route: got status %d, want 200", got)
 		}
 	}
-	if got := ask(); got != 200 {
+	if got := send(); got != 200 {
 		t.Errorf("without routes: got status %d, want 200", got)
 	}
 }
 
-// limitsChecker is a policy that checks at each arrival that the limits are those of the file that the request was matched with. The timeout
-// of the request, in hours, is the number of attempts that the file allows.
+// limitsChecker is a decision module that checks at each arrival that the limits are those of the file that the request was matched with.
+// The timeout of the request, in hours, is the number of attempts that the file allows.
 type limitsChecker struct {
 	t     *testing.T
 	types []policy.TrafficType
@@ -190,7 +190,7 @@
 		m.types = in.TrafficTypes
 	case policy.RequestArrived:
 		if got := m.types[in.TrafficType].MaxAttempts; got != int(in.Timeout/time.Hour) {
-			m.t.Errorf("request was matched with a limit of %d attempts, got a limit of %d", in.Timeout/time.Hour, got)
+			m.t.Errorf("request matched with a file that allows %d attempts, got a limit of %d attempts", in.Timeout/time.Hour, got)
 		}
 		return append(e, policy.Effect{Kind: policy.Reject, Request: in.Request})
 	}
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -29,8 +29,8 @@
 	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() { <-arrivalsEnd }, extraTime: time.Minute}
 	at, stop := startNode(t, cfg)
 	before := dial(t, at)
-	kept := dial(t, at)
-	if r := get(t, kept, "/up"); r.Close {
+	keepAlive := dial(t, at)
+	if r := get(t, keepAlive, "/up"); r.Close {
 		t.Error("got an announced close before the shutdown, want none")
 	}
 	fmt.Fprint(before, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n")
@@ -39,7 +39,7 @@
 	go func() { done <- stop() }()
 	for !get(t, dial(t, at), "/up").Close { // connections are still accepted
 	}
-	if r := get(t, kept, "/up"); r.Status != 200 || !r.Close {
+	if r := get(t, keepAlive, "/up"); r.Status != 200 || !r.Close {
 		t.Errorf("idle connection: got status %d, close %v, want 200 with close", r.Status, r.Close)
 	}
 	close(arrivalsEnd)
@@ -55,7 +55,8 @@
 	}
 }
 
-// After the answer deadline of a shutdown, accepted requests are still answered, and new requests fail immediately.
+// After the answer deadline of a shutdown, requests that were accepted before it are still answered, and new requests get a timeout
+// of 1 ms and fail.
 func TestStopPastItsDeadline(t *testing.T) {
 	t.Parallel()
 	h, begun, release := heldServer(t)
@@ -66,16 +67,16 @@
 	arrivalsEnd := make(chan struct{})
 	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() { <-arrivalsEnd }, extraTime: -time.Hour}
 	at, stop := startNode(t, cfg)
-	before, kept := dial(t, at), dial(t, at)
-	get(t, kept, "/up")
+	before, keepAlive := dial(t, at), dial(t, at)
+	get(t, keepAlive, "/up")
 	fmt.Fprintf(before, "GET /book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", ids.Add(1))
 	<-begun
 	done := make(chan error, 1)
 	go func() { done <- stop() }()
 	for !get(t, dial(t, at), "/up").Close {
 	}
-	if r := get(t, kept, "/book/1"); r.Status == 200 {
-		t.Errorf("request after the deadline: got status %d, want a failure", r.Status)
+	if r := get(t, keepAlive, "/book/1"); r.Status == 200 {
+		t.Errorf("request after the deadline: got status %d, want another than 200", r.Status)
 	}
 	close(arrivalsEnd)
 	select {
@@ -98,12 +99,12 @@
 	t.Parallel()
 	const second = "GET /check/behind HTTP/1.1\r\nHost: h\r\nRequest-Id: behind-%d\r\n\r\n"
 	for name, c := range map[string]struct {
-		first string
-		cgi   bool
-		stops bool // the node is draining
+		first      string
+		cgi        bool
+		isDraining bool // of the node
 	}{
 		"close requested":   {first: "GET /check/1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\nRequest-Id: end-1\r\n\r\n"},
-		"node draining":     {first: "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: end-2\r\n\r\n", stops: true},
+		"node draining":     {first: "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: end-2\r\n\r\n", isDraining: true},
 		"malformed HTTP":    {first: "GET /check/1 HTTP/9\r\n\r\n"},
 		"malformed FastCGI": {first: "GET / HTTP/1.1\r\n\r\n", cgi: true},
 	} {
@@ -124,9 +125,9 @@
 			delays := shutdownDelays{awaitArrivals: func() { <-arrivalsEnd }, extraTime: time.Minute}
 			http, cgi, stop := startFastCGINodeWith(t, delays, http1.Endpoint{ID: "s", Size: 1, Address: at})
 			done := make(chan error, 1)
-			if c.stops {
+			if c.isDraining {
 				go func() { done <- stop() }()
-				for kept := dial(t, http); !get(t, kept, "/up").Close; {
+				for keepAlive := dial(t, http); !get(t, keepAlive, "/up").Close; {
 				}
 			}
 			if c.cgi {
@@ -144,7 +145,7 @@
 			io.WriteString(client, secondRequest)         // read separately
 			io.Copy(io.Discard, client)                   // until the close
 			close(arrivalsEnd)
-			if c.stops {
+			if c.isDraining {
 				if err := <-done; err != nil {
 					t.Error(err)
 				}
--- a/internal/proxy/storedformat_test.go
+++ b/internal/proxy/storedformat_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// A node reads each key of the platform's file.
+// LoadConfig reads each key of the platform's file.
 func TestConfigurationKeys(t *testing.T) {
 	cfg, err := LoadConfig(filepath.Join("testdata", "config.json"), func(string) string { return "" })
 	if err != nil {
--- a/internal/proxy/unrecordable_test.go
+++ b/internal/proxy/unrecordable_test.go
@@ -37,7 +37,7 @@
 				t.Errorf("got status %d, close %v, want 400 with close", r.Status, r.Close)
 			}
 			if n := received.Load(); n > 0 {
-				t.Errorf("%d attempts were sent", n)
+				t.Errorf("got %d attempts sent, want none", n)
 			}
 			if status := book(t, at, ""); status != 200 {
 				t.Errorf("next request: got status %d, want 200", status)
@@ -69,6 +69,6 @@
 		t.Errorf("got status %d, error %v, want 400", r.Status, err)
 	}
 	if n := received.Load(); n > 0 {
-		t.Errorf("%d attempts were sent", n)
+		t.Errorf("got %d attempts sent, want none", n)
 	}
 }
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -17,9 +17,9 @@
 
 func TestConnectResult(t *testing.T) {
 	for name, c := range map[string]struct {
-		err    error
-		timeUp bool
-		want   dispatch.AttemptResult
+		err               error
+		isAttemptDeadline bool
+		want              dispatch.AttemptResult
 	}{
 		"refused":          {&net.OpError{Err: syscall.ECONNREFUSED}, false, dispatch.ConnectRefused},
 		"host unreachable": {&net.OpError{Err: syscall.EHOSTUNREACH}, false, dispatch.ConnectRefused},
@@ -31,7 +31,7 @@
 		"invalid address":  {&net.AddrError{Err: "missing port"}, false, dispatch.ConnectRefused},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := connectResult(c.err, c.timeUp); got != c.want {
+			if got := connectResult(c.err, c.isAttemptDeadline); got != c.want {
 				t.Errorf("unexpected result %s", got)
 			}
 		})
@@ -77,7 +77,7 @@
 	const half = "HTTP/1.1 2"
 	for name, c := range map[string]struct {
 		with, behind string // sent with the first response, and after it was passed on
-		ended        bool
+		isClosed     bool   // the server closes the connection after that
 	}{
 		"with the response":         {half, "", false},
 		"after it":                  {"", half, false},
@@ -99,7 +99,7 @@
 					io.WriteString(nc, okResponse+c.with)
 					<-passed
 					io.WriteString(nc, c.behind)
-					if c.ended {
+					if c.isClosed {
 						nc.Close()
 					}
 					close(sent)
