--- a/cmd/fernvane/check.go
+++ b/cmd/fernvane/check.go
@@ -51,7 +51,7 @@
 				return encoder.Encode(route.Schema())
 			case f.config != "":
 				return checkAll(out, stderr, &f)
-			case f.operator+f.planners+f.bindings+f.registries+f.snapshot+f.peers+f.distribution+planFile == "":
+			case f.operator+f.planners+f.bindings+f.registry+f.snapshot+f.peers+f.distribution+planFile == "":
 				return configError{errors.New("no configuration named: use --config FILE, or name a file to check separately")}
 			}
 			return checkEach(out, &f, planFile, settingsName)
@@ -111,8 +111,8 @@
 			printJournal(out, b)
 		}
 	}
-	if f.registries != "" {
-		r, err := zookeeper.Load(f.registries)
+	if f.registry != "" {
+		r, err := zookeeper.Load(f.registry)
 		if faults = errors.Join(faults, err); err == nil {
 			printRegistry(out, r)
 		}
@@ -170,11 +170,11 @@
 		s, err = route.LoosestSettings(operator)
 		return s, "Checked without settings: " + route.UncheckedNotice + ". Use --config FILE, --settings FILE or --settings " + exampleName + ".", err
 	case exampleName:
-		known, err := settings.Decode(example)
-		return &known, "Checked against the embedded example settings.", err
+		decoded, err := settings.Decode(example)
+		return &decoded, "Checked against the embedded example settings.", err
 	}
-	known, err := proxy.ReadSettings(settingsName)
-	return &known, "", err
+	read, err := proxy.ReadSettings(settingsName)
+	return &read, "", err
 }
 
 func explainCommand(getenv func(string) string) *cobra.Command {
@@ -226,7 +226,7 @@
 
 func printJournal(out io.Writer, b *wal.Config) {
 	if b != nil {
-		fmt.Fprintf(out, "writes the journal of bindings to %s, which survives loss of the %s; while writes fail or stall, requests that it records are %s\n", b.Dir, b.Promise,
+		fmt.Fprintf(out, "writes the journal of bindings to %s, which survives a crash of the %s; while writes fail or stall, requests that it records are %s\n", b.Dir, b.Promise,
 			whenFailing(b))
 	}
 }
--- a/cmd/fernvane/journalsource.go
+++ b/cmd/fernvane/journalsource.go
@@ -158,9 +158,9 @@
 		return err
 	}
 	merger.HasDamage = corrupt > 0
-	enough := tier.HasEnoughAnswers()
+	hasEnough := tier.HasEnoughAnswers()
 	for _, e := range append(complete, merger.Incomplete()...) {
-		e.TooFewNodesAsked = !enough
+		e.TooFewNodesAsked = !hasEnough
 		if err := visit(e); err != nil {
 			return err
 		}
@@ -170,7 +170,7 @@
 	for _, name := range slices.Sorted(maps.Keys(tier.Unanswered)) {
 		fmt.Fprintf(stderr, "no response from %s: %v\n", name, tier.Unanswered[name])
 	}
-	if !enough {
+	if !hasEnough {
 		return errTooFewResponses
 	}
 	return nil
--- a/cmd/fernvane/replicas.go
+++ b/cmd/fernvane/replicas.go
@@ -116,7 +116,7 @@
 	}
 	w.Flush()
 	for _, name := range slices.Sorted(maps.Keys(tier.Unanswered)) {
-		if _, known := tier.Members[name]; !known {
+		if _, isMember := tier.Members[name]; !isMember {
 			fmt.Fprintf(out, "no response from %s: %v\n", name, tier.Unanswered[name])
 		}
 	}
--- a/cmd/fernvane/serve.go
+++ b/cmd/fernvane/serve.go
@@ -19,7 +19,7 @@
 	operator     string
 	planners     string
 	bindings     string
-	registries   string
+	registry     string
 	snapshot     string
 	peers        string
 	distribution string
@@ -37,7 +37,7 @@
 		{&f.operator, "operator", "PROXY_OPERATOR", "read routes and their limits from this TOML `file`"},
 		{&f.planners, "planners", "PROXY_PLANNERS", "follow the planners that this TOML `file` names"},
 		{&f.bindings, "bindings", "PROXY_BINDINGS", "write a journal of bindings as this TOML `file` configures"},
-		{&f.registries, "registry", "PROXY_REGISTRY", "read servers from the registry of ephemeral nodes that this TOML `file` names"},
+		{&f.registry, "registry", "PROXY_REGISTRY", "read servers from the registry of ephemeral nodes that this TOML `file` names"},
 		{&f.snapshot, "snapshot", "PROXY_SNAPSHOT", "store the server list on disk for the next start as this TOML `file` configures"},
 		{&f.peers, "peers", "PROXY_PEERS", "join the other nodes of the tier and store replicas for them as this TOML `file` configures"},
 		{&f.distribution, "distribution", "PROXY_DISTRIBUTION", "receive servers, routes and tenants from the control processes that this TOML `file` names"},
@@ -57,7 +57,7 @@
 		case "PROXY_BINDINGS":
 			return f.bindings
 		case "PROXY_REGISTRY":
-			return f.registries
+			return f.registry
 		case "PROXY_SNAPSHOT":
 			return f.snapshot
 		case "PROXY_PEERS":
--- a/internal/proxy/endpointcacheload.go
+++ b/internal/proxy/endpointcacheload.go
@@ -20,8 +20,8 @@
 // its age is unknown.
 func (c *endpointCache) load(configured http1.EndpointList) (l http1.EndpointList, isSuspect bool) {
 	snap, faults, err := c.store.Newest()
-	isOwn := snap != nil
-	if !isOwn && c.peers != nil {
+	isFromDisk := snap != nil
+	if !isFromDisk && c.peers != nil {
 		snap = c.fetchFromPeers()
 	}
 	for _, f := range append(faults, err) {
@@ -33,7 +33,7 @@
 		return configured, false
 	}
 	age := time.Since(time.UnixMilli(snap.ConfirmedUnixMS))
-	if err := c.checkUsable(snap, isOwn, age, configured); err != nil {
+	if err := c.checkUsable(snap, isFromDisk, age, configured); err != nil {
 		c.logger.Warn().Err(err).Msg("cached endpoint list not used")
 		return configured, false
 	}
@@ -41,19 +41,19 @@
 	defer c.mu.Unlock()
 	c.lastRevision = snap.Revision
 	l, servers := c.restore(snap)
-	c.evaluator = staleness.New(staleness.CachedList{Age: age, IsCleanShutdown: snap.IsCleanShutdown && isOwn}, c.nodeName, servers)
+	c.evaluator = staleness.New(staleness.CachedList{Age: age, IsCleanShutdown: snap.IsCleanShutdown && isFromDisk}, c.nodeName, servers)
 	c.logger.Info().Str("of", snap.Node).Float64("age_s", age.Round(time.Second/10).Seconds()).Bool("clean", snap.IsCleanShutdown).
 		Int("grade", c.evaluator.Level()).Int("servers", len(servers)).Msg("cached endpoint list used")
 	c.applyUsableServers()
 	return l, true
 }
 
-// checkUsable returns an error if a list must not be used. isOwn reports that it comes from the node's own disk.
-func (c *endpointCache) checkUsable(snap *snapshot.Snapshot, isOwn bool, age time.Duration, configured http1.EndpointList) error {
+// checkUsable returns an error if a list must not be used. isFromDisk reports that the list comes from the node's own disk.
+func (c *endpointCache) checkUsable(snap *snapshot.Snapshot, isFromDisk bool, age time.Duration, configured http1.EndpointList) error {
 	switch {
 	case snap.Deployment != c.cfg.Deployment:
 		return fmt.Errorf("list of deployment %.60q, expected %q", snap.Deployment, c.cfg.Deployment)
-	case isOwn && snap.Node != c.nodeName:
+	case isFromDisk && snap.Node != c.nodeName:
 		return fmt.Errorf("list of node %.60q, expected %q", snap.Node, c.nodeName)
 	case age > c.cfg.MaxAge.Std():
 		return fmt.Errorf("maximum age exceeded: list was confirmed %s ago", age.Round(time.Minute))
--- a/internal/proxy/fastcgirequest.go
+++ b/internal/proxy/fastcgirequest.go
@@ -28,18 +28,18 @@
 	} else {
 		err = s.serveRequest(conn, r.Request, r.StartedAt)
 	}
-	var bad *message.RequestError
+	var rejection *message.RequestError
 	switch {
-	case errors.As(err, &bad):
-		s.rejectFastCGI(conn, bad)
+	case errors.As(err, &rejection):
+		s.rejectFastCGI(conn, rejection)
 	case errors.Is(err, errClientDisconnected):
 		c.EndAborted(r)
 	}
 }
 
-func (s *Server) rejectFastCGI(conn fastcgiRequestConn, bad *message.RequestError) {
-	s.logger.Warn().Str("client", conn.ClientAddress()).Int("status", bad.Status).Str("why", bad.Why).Msg("request rejected")
-	sendAnswer(conn, message.Answer{Status: bad.Status, Body: []byte(bad.Why + "\n")})
+func (s *Server) rejectFastCGI(conn fastcgiRequestConn, rejection *message.RequestError) {
+	s.logger.Warn().Str("client", conn.ClientAddress()).Int("status", rejection.Status).Str("why", rejection.Why).Msg("request rejected")
+	sendAnswer(conn, message.Answer{Status: rejection.Status, Body: []byte(rejection.Why + "\n")})
 }
 
 // fastcgiRequestConn is the clientConn of one request on a FastCGI connection.
--- a/internal/proxy/httpclient.go
+++ b/internal/proxy/httpclient.go
@@ -110,16 +110,16 @@
 // rejectHTTP answers a request that was not received in time (408) or was rejected with a RequestError, and gives the client time to read the
 // answer before the connection is closed. After other errors the client cannot receive an answer, and rejectHTTP does nothing.
 func (s *Server) rejectHTTP(conn *httpRequestConn, err error) {
-	var bad *message.RequestError
+	var rejection *message.RequestError
 	if errors.Is(err, http1.ErrTimeout) && !errors.Is(err, errAnswerUnsent) {
-		bad = &message.RequestError{Status: 408, Why: "the request did not come to its end"}
+		rejection = &message.RequestError{Status: 408, Why: "the request did not come to its end"}
 	}
-	if bad == nil && !errors.As(err, &bad) {
+	if rejection == nil && !errors.As(err, &rejection) {
 		return
 	}
-	s.logger.Warn().Str("client", conn.conn.RemoteAddr().String()).Int("status", bad.Status).Str("why", bad.Why).Msg("request rejected")
+	s.logger.Warn().Str("client", conn.conn.RemoteAddr().String()).Int("status", rejection.Status).Str("why", rejection.Why).Msg("request rejected")
 	conn.request.Close = true
-	sendAnswer(conn, message.Answer{Status: bad.Status, Body: []byte(bad.Why + "\n")})
+	sendAnswer(conn, message.Answer{Status: rejection.Status, Body: []byte(rejection.Why + "\n")})
 	s.discardUnread(conn.conn.Conn)
 }
 
--- a/internal/proxy/httpconn.go
+++ b/internal/proxy/httpconn.go
@@ -15,8 +15,9 @@
 	request *message.Request
 }
 
-// SendAnswer decides whether the connection closes after the answer, announces a close in the answer, and sets request.Close accordingly. The client may send its next
-// request on a connection whose close was not announced, so later events do not close the connection before it is idle.
+// SendAnswer decides whether the connection closes after the answer, announces a close in the answer, and sets request.Close accordingly.
+// The client may send its next request on a connection whose close was not announced, so later events do not close the connection before it is
+// idle.
 func (c *httpRequestConn) SendAnswer(answer []byte) error {
 	if c.server.isDraining.Load() || c.conn.Overflowed() {
 		c.request.Close = true
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -12,8 +12,8 @@
 const acceptRetryInterval = 5 * time.Millisecond // after an accept that failed for lack of system resources
 
 // accept accepts connections and serves each on its own goroutine. Once drain has set isListenerClosing, it closes the listener and returns
-// when no connection has arrived for acceptQuietDuration, or acceptDeadline has passed. A connection in the accept queue of the operating system may carry a request already, so the queue is checked
-// before the listener is closed.
+// when no connection has arrived for acceptQuietDuration, or acceptDeadline has passed. A connection in the accept queue of the
+// operating system may carry a request already, so the queue is checked before the listener is closed.
 func (s *Server) accept(ln *net.TCPListener, serveConn func(*net.TCPConn)) error {
 	quietDuration := acceptQuietDuration + s.cfg.shutdownDelays.extraQuiet
 	var quietSince time.Time // time of the last connection, or of the start of the closing; zero before the first connection
