--- a/internal/proxy/endpointcacheload.go
+++ b/internal/proxy/endpointcacheload.go
@@ -13,15 +13,15 @@
 	"fernvane/internal/protocol/http1"
 )
 
-const fetchTimeout = 500 * time.Millisecond // for peers to send their stored lists
+const fetchTimeout = 500 * time.Millisecond // for peers to send their lists
 
-// load loads the newest list on disk, or that of a peer if the disk has none. It returns that list as suspect, or the list of the
-// configuration if the loaded list is not usable or not newer. The list of the configuration carries no age
-// and is not suspect.
+// load loads the newest list on disk, or that of a peer if the disk has none. It returns that list as suspect, and passes its usable servers
+// to the dispatcher. If the loaded list is not usable or not newer, load returns the list of the configuration, which is not suspect because
+// its age is unknown.
 func (c *endpointCache) load(configured http1.EndpointList) (l http1.EndpointList, isSuspect bool) {
 	snap, faults, err := c.store.Newest()
-	isOwn := snap != nil
-	if !isOwn && c.peers != nil {
+	isFromDisk := snap != nil
+	if !isFromDisk && c.peers != nil {
 		snap = c.fetchFromPeers()
 	}
 	for _, f := range append(faults, err) {
@@ -33,7 +33,7 @@
 		return configured, false
 	}
 	age := time.Since(time.UnixMilli(snap.ConfirmedUnixMS))
-	if err := c.checkUsable(snap, isOwn, age, configured); err != nil {
+	if err := c.checkUsable(snap, isFromDisk, age, configured); err != nil {
 		c.logger.Warn().Err(err).Msg("cached endpoint list not used")
 		return configured, false
 	}
@@ -41,19 +41,19 @@
 	defer c.mu.Unlock()
 	c.lastRevision = snap.Revision
 	l, servers := c.restore(snap)
-	c.evaluator = staleness.New(staleness.CachedList{Age: age, IsCleanShutdown: snap.IsCleanShutdown && isOwn}, c.nodeName, servers)
+	c.evaluator = staleness.New(staleness.CachedList{Age: age, IsCleanShutdown: snap.IsCleanShutdown && isFromDisk}, c.nodeName, servers)
 	c.logger.Info().Str("of", snap.Node).Float64("age_s", age.Round(time.Second/10).Seconds()).Bool("clean", snap.IsCleanShutdown).
 		Int("grade", c.evaluator.Level()).Int("servers", len(servers)).Msg("cached endpoint list used")
 	c.applyUsableServers()
 	return l, true
 }
 
-// checkUsable returns an error if a list must not be used. isOwn reports that it comes from the node's own disk.
-func (c *endpointCache) checkUsable(snap *snapshot.Snapshot, isOwn bool, age time.Duration, configured http1.EndpointList) error {
+// checkUsable returns an error if a list must not be used. isFromDisk reports that the list comes from the node's own disk.
+func (c *endpointCache) checkUsable(snap *snapshot.Snapshot, isFromDisk bool, age time.Duration, configured http1.EndpointList) error {
 	switch {
 	case snap.Deployment != c.cfg.Deployment:
 		return fmt.Errorf("list of deployment %.60q, expected %q", snap.Deployment, c.cfg.Deployment)
-	case isOwn && snap.Node != c.nodeName:
+	case isFromDisk && snap.Node != c.nodeName:
 		return fmt.Errorf("list of node %.60q, expected %q", snap.Node, c.nodeName)
 	case age > c.cfg.MaxAge.Std():
 		return fmt.Errorf("maximum age exceeded: list was confirmed %s ago", age.Round(time.Minute))
@@ -63,7 +63,8 @@
 	return nil
 }
 
-// restore sets the endpoints from a stored list. It leaves out invalid servers and reports them in Skipped. The caller holds mu.
+// restore sets c.endpoints from a loaded list, and returns the list in the form of discovery and in that of the evaluator. It leaves out
+// invalid servers and reports them in Skipped. The caller holds mu.
 func (c *endpointCache) restore(snap *snapshot.Snapshot) (l http1.EndpointList, servers []staleness.Server) {
 	c.endpoints = map[string]endpoints.Endpoint{}
 	l.Revision = snap.Revision
@@ -83,8 +84,8 @@
 	return l, servers
 }
 
-// fetchFromPeers returns the newest list that peers have stored, for a node whose own disk has none. It is treated like the list of a node
-// that crashed, because changes after it was written are unknown.
+// fetchFromPeers returns the most recently confirmed list of the connected peers, for a node whose own disk has none. The list is treated
+// like that of a node that crashed, because changes after it was encoded are unknown.
 func (c *endpointCache) fetchFromPeers() (newest *snapshot.Snapshot) {
 	for _, text := range c.peers.FetchEndpointLists(fetchTimeout) {
 		snap, err := snapshot.Decode(text)
