--- a/internal/controlplane/distribution/client/apply.go
+++ b/internal/controlplane/distribution/client/apply.go
@@ -105,8 +105,8 @@
 	return keys
 }
 
-// recordStoreRejections records entries that the store rejected. The control process does not
-// re-send them when the reason no longer applies.
+// recordStoreRejections records entries that the store rejected. When a full store has space again, the control process does
+// not re-send them before the next connection.
 func (c *Client) recordStoreRejections(rejected []distribution.Rejection) {
 	if len(rejected) == 0 {
 		return
@@ -153,7 +153,7 @@
 }
 
 // applyDue applies routes and tenants when they are due, and acknowledges them. It returns the time until pending changes are
-// due; 0 if none are pending. A node that does not yet serve applies the entries it catches up with only once they are complete.
+// due; 0 if none are pending. A node that does not yet serve applies the routes and tenants of a catch-up only once it is complete.
 func (c *Client) applyDue(now time.Duration) time.Duration {
 	c.mu.Lock()
 	canServe := c.subscriber.CanServe()
--- a/internal/controlplane/distribution/client/link.go
+++ b/internal/controlplane/distribution/client/link.go
@@ -90,7 +90,7 @@
 	})
 }
 
-// startProbe tests whether an upstream accepts a connection, independently of the current connection.
+// startProbe tests whether an upstream completes the handshakes on a separate connection, and sends the result as an event.
 func (c *Client) startProbe(parent context.Context, upstream int) {
 	c.running.Go(func() {
 		conn, err := Dial(parent, c.config, c.config.Addresses[upstream], c.config.Name)
--- a/internal/controlplane/distribution/client/syncmark.go
+++ b/internal/controlplane/distribution/client/syncmark.go
@@ -54,8 +54,9 @@
 	return slices.DeleteFunc(c.config.scope(), func(name string) bool { return slices.Contains(unsynced, name) })
 }
 
-// refreshMark updates the mark every markInterval. A service counts as saved if no writes were pending at two consecutive
-// refreshes, because changes in the writer's hands at the first refresh are in the file at the second.
+// refreshMark updates the mark every markInterval. A service counts as saved if it was synced and no writes were pending at two
+// consecutive refreshes: a batch that the disk's writer had taken from the queue at the first refresh is in the file at the
+// second.
 func (c *Client) refreshMark() {
 	if time.Since(c.markState.lastRefresh) < markInterval {
 		return
--- a/internal/controlplane/distribution/control/accept.go
+++ b/internal/controlplane/distribution/control/accept.go
@@ -15,7 +15,7 @@
 
 const (
 	acceptRetry       = 10 * time.Millisecond // after a failed accept, as in a temporary shortage of descriptors
-	handshakeTimeout  = 2 * time.Second       // for the TLS handshake and the greeting
+	handshakeTimeout  = 2 * time.Second       // for the TLS handshake and the protocol handshake
 	lingerTimeout     = 300 * time.Millisecond
 	maxUnsubscribed   = 64 // connections without a subscription, as of commands; bounded so that subscribers can connect
 	keepAliveIdle     = 5 * time.Second
@@ -81,7 +81,7 @@
 	s.serveLink(ctx, newLink(s, conn, peer, nil))
 }
 
-// handshake performs the TLS handshake and the greeting on an accepted connection.
+// handshake performs the TLS and protocol handshakes on an accepted connection.
 func (s *Server) handshake(ctx context.Context, nc net.Conn) (conn *framing.Conn, peer string, err error) {
 	deadline := time.Now().Add(handshakeTimeout)
 	if s.config.Keys != nil {
@@ -116,8 +116,8 @@
 }
 
 // peerRejected logs and counts a peer that violated the protocol or exceeded a connection limit.
-func (s *Server) peerRejected(from string, why error) {
-	s.log.Warn().Str("from", from).Err(why).Msg("peer rejected")
+func (s *Server) peerRejected(from string, cause error) {
+	s.log.Warn().Str("from", from).Err(cause).Msg("peer rejected")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.rejectedPeers++
--- a/internal/controlplane/distribution/control/follower.go
+++ b/internal/controlplane/distribution/control/follower.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	dialTimeout  = time.Second            // for the TCP connection, the TLS handshake and the greeting
+	dialTimeout  = time.Second            // for the TCP connection, the TLS handshake and the protocol handshake
 	maxBackoff   = 2 * time.Second        // short, because control processes are few and regions must converge within seconds after a partition
 	pingAfter    = 2 * time.Second        // without a frame, after which an upstream is pinged
 	pingTimeout  = 2 * time.Second        // from a ping to the next frame
@@ -133,11 +133,11 @@
 	s.mu.Lock()
 	f.link, f.pingedAt = nil, 0
 	s.mu.Unlock()
-	why := "closed"
+	cause := "closed"
 	if err != nil {
-		why = err.Error()
+		cause = err.Error()
 	}
-	fault := a.upstream.String() + " " + why
+	fault := a.upstream.String() + " " + cause
 	if fault != f.lastFault {
 		f.lastFault = fault
 		s.log.Warn().Stringer("upstream", a.upstream).Err(err).Msg("upstream disconnected")
@@ -182,7 +182,7 @@
 	return nc, deadline, err
 }
 
-// handshake performs the TLS handshake and the greeting on a connection to an upstream.
+// handshake performs the TLS and protocol handshakes on a connection to an upstream.
 func (f *follower) handshake(ctx context.Context, nc net.Conn, deadline time.Time) (conn *framing.Conn, peer string, err error) {
 	config := f.server.config
 	if config.Keys != nil {
--- a/internal/controlplane/distribution/control/link.go
+++ b/internal/controlplane/distribution/control/link.go
@@ -108,20 +108,20 @@
 }
 
 // close closes the connection. The reason of the first call is stored.
-func (l *link) close(why error) {
+func (l *link) close(cause error) {
 	l.outbox.mu.Lock()
 	defer l.outbox.mu.Unlock()
-	l.closeLocked(why)
+	l.closeLocked(cause)
 }
 
 // closeLocked is close with outbox.mu held. It closes the TCP connection below TLS, because a TLS close blocks until its alert is
 // written.
-func (l *link) closeLocked(why error) {
+func (l *link) closeLocked(cause error) {
 	o := &l.outbox
 	if o.isClosed {
 		return
 	}
-	o.isClosed, o.queue, o.closeReason = true, nil, why
+	o.isClosed, o.queue, o.closeReason = true, nil, cause
 	if secured, ok := l.conn.Conn.(*tls.Conn); ok {
 		secured.NetConn().Close()
 	} else {
@@ -150,8 +150,8 @@
 			return
 		}
 		for _, m := range queue {
-			if why, isRejection := m.(error); isRejection {
-				l.conn.Reject(why)
+			if cause, isRejection := m.(error); isRejection {
+				l.conn.Reject(cause)
 				return
 			}
 			if !l.write(m.(wire.Message)) {
--- a/internal/controlplane/distribution/control/links.go
+++ b/internal/controlplane/distribution/control/links.go
@@ -11,9 +11,9 @@
 
 // linkTable contains the connections of a server. Server.mu guards it.
 type linkTable struct {
-	accepted     int // accepted connections, including those before the greeting
-	greeted      map[*link]bool
-	unsubscribed int // accepted connections after the greeting without a subscription
+	accepted     int // accepted connections, including those before the protocol handshake
+	established  map[*link]bool
+	unsubscribed int // accepted connections after the protocol handshake without a subscription
 	subscribers  map[string]*link
 	waiting      map[*link]bool // subscribers that are served when this process becomes current
 	publishing   map[distribution.SubscriptionID]*link
@@ -21,14 +21,14 @@
 
 func newLinkTable() linkTable {
 	return linkTable{
-		greeted:     map[*link]bool{},
+		established: map[*link]bool{},
 		subscribers: map[string]*link{},
 		waiting:     map[*link]bool{},
 		publishing:  map[distribution.SubscriptionID]*link{},
 	}
 }
 
-// serveLink serves a connection after its greeting until it ends, and returns the cause of the end.
+// serveLink serves a connection after its protocol handshake until it ends, and returns the cause of the end.
 func (s *Server) serveLink(ctx context.Context, l *link) error {
 	ctx, cancel := context.WithCancel(ctx)
 	writerDone := make(chan struct{})
@@ -53,8 +53,8 @@
 	<-writerDone
 	l.conn.Close()
 	s.removeLink(l)
-	if why := l.closeReason(); why != nil {
-		return why
+	if cause := l.closeReason(); cause != nil {
+		return cause
 	}
 	return err
 }
@@ -63,7 +63,7 @@
 func (s *Server) addLink(l *link) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.links.greeted[l] = true
+	s.links.established[l] = true
 	if l.follower != nil {
 		return true
 	}
@@ -75,7 +75,7 @@
 func (s *Server) removeLink(l *link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.links.greeted, l)
+	delete(s.links.established, l)
 	delete(s.links.waiting, l)
 	if l.follower == nil && !l.isSubscribed {
 		s.links.unsubscribed--
--- a/internal/controlplane/distribution/control/nodes.go
+++ b/internal/controlplane/distribution/control/nodes.go
@@ -28,8 +28,8 @@
 // nodeTable contains the subscribers of this process and those that other processes report, by name. Server.mu guards it.
 type nodeTable map[string]*nodeRecord
 
-// putOwn stores the status of a subscriber of this process.
-func (t nodeTable) putOwn(status distribution.NodeStatus) { t.put(&nodeRecord{status: status}) }
+// putSubscriber stores the status of a subscriber of this process.
+func (t nodeTable) putSubscriber(status distribution.NodeStatus) { t.put(&nodeRecord{status: status}) }
 
 // putReported stores a status that another process reports. The status of a subscriber that is connected to this process takes
 // precedence, and a report of a disconnection does not replace a connection reported by another process, because the
@@ -88,7 +88,7 @@
 func (s *Server) reportNodes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.updateOwnNodes()
+	s.updateSubscriberStatuses()
 	s.nodes.removeExpired()
 	upstreams := map[string]bool{} // names; upstreams report to each other directly
 	for _, f := range s.followers {
@@ -103,8 +103,8 @@
 	}
 }
 
-// updateOwnNodes updates the statuses of this process's own subscribers. s.mu is held.
-func (s *Server) updateOwnNodes() {
+// updateSubscriberStatuses updates the statuses of this process's subscribers. s.mu is held.
+func (s *Server) updateSubscriberStatuses() {
 	for name, l := range s.links.subscribers {
 		if l.subscription.Role == distribution.RoleReader {
 			continue
@@ -121,7 +121,7 @@
 			}
 		}
 		status.Name, status.Via = name, s.config.Name
-		s.nodes.putOwn(status)
+		s.nodes.putSubscriber(status)
 	}
 }
 
@@ -156,8 +156,8 @@
 		a.DisconnectedMs == b.DisconnectedMs
 }
 
-// ownStatus returns this process's own status. s.mu is held.
-func (s *Server) ownStatus() distribution.NodeStatus {
+// processStatus returns the status of this process. s.mu is held.
+func (s *Server) processStatus() distribution.NodeStatus {
 	return distribution.NodeStatus{
 		Name:              s.config.Name,
 		Role:              distribution.RoleControl,
@@ -176,14 +176,14 @@
 func (s *Server) sendStatus(l *link, m *wire.StatusQuery) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.updateOwnNodes()
+	s.updateSubscriberStatuses()
 	var all []distribution.NodeStatus
 	for _, name := range slices.Sorted(maps.Keys(s.nodes)) {
 		all = append(all, s.nodes[name].status)
 	}
 	for {
 		n := min(len(all), maxStatusesInMessage)
-		l.enqueue(&wire.StatusAnswer{ID: m.ID, Self: s.ownStatus(), Nodes: all[:n], IsLast: n == len(all)})
+		l.enqueue(&wire.StatusAnswer{ID: m.ID, Self: s.processStatus(), Nodes: all[:n], IsLast: n == len(all)})
 		if all = all[n:]; len(all) == 0 {
 			return
 		}
--- a/internal/controlplane/distribution/control/peers_test.go
+++ b/internal/controlplane/distribution/control/peers_test.go
@@ -216,7 +216,7 @@
 	wait(t, "the processes to be current", m.isCurrent)
 	m.mu.Lock()
 	for n := range 2000 {
-		m.nodes.putOwn(distribution.NodeStatus{Name: fmt.Sprint("node-", n), Role: distribution.RoleNode, IsConnected: true})
+		m.nodes.putSubscriber(distribution.NodeStatus{Name: fmt.Sprint("node-", n), Role: distribution.RoleNode, IsConnected: true})
 	}
 	m.mu.Unlock()
 	conn := openCommand(t, m.at, nil)
@@ -224,7 +224,7 @@
 	for n := 0; err == nil && n < 100_000; n++ {
 		err = wire.Send(conn, &wire.StatusQuery{ID: uint64(n)})
 		m.mu.Lock()
-		for l := range m.links.greeted {
+		for l := range m.links.established {
 			l.outbox.mu.Lock()
 			if len(l.outbox.queue) > maxQueuedMessages {
 				t.Errorf("got %d queued messages, want at most maxQueuedMessages", len(l.outbox.queue))
--- a/internal/controlplane/distribution/control/publish.go
+++ b/internal/controlplane/distribution/control/publish.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	publishInterval  = 250 * time.Millisecond // longest interval between runs of the publishing goroutine
-	batchesPerLocked = 32                     // batches made during one hold of the lock
+	publishInterval = 250 * time.Millisecond // longest interval between runs of the publishing goroutine
+	batchesPerLock  = 32                     // batches made before Server.mu is released
 )
 
 // publish sends pending entries to subscribers, within the budgets, until the context ends.
@@ -39,7 +39,7 @@
 func (s *Server) publishDue() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for range batchesPerLocked {
+	for range batchesPerLock {
 		id, batch, ok, wait := s.publisher.NextBatch(s.now())
 		if !ok {
 			s.sendDigests()
--- a/internal/controlplane/distribution/control/server.go
+++ b/internal/controlplane/distribution/control/server.go
@@ -16,7 +16,7 @@
 
 const (
 	defaultStartTimeout = 5 * time.Second        // without a batch of an upstream, after which a starting process serves its stored entries
-	diskCloseTimeout    = 700 * time.Millisecond // shutdown as a whole is to take at most a second
+	diskCloseTimeout    = 700 * time.Millisecond // part of the one second that a shutdown may take in total
 	pruneInterval       = time.Minute
 	startCheckInterval  = 100 * time.Millisecond // between checks of the start timeout
 )
@@ -72,8 +72,8 @@
 	opened, loaded, err := disk.Open(config.Disk, disk.Options{
 		MaxBytes: config.DiskBytes,
 		OnFault:  s.diskFault,
-		OnQuarantine: func(path string, why error) {
-			log.Error().Err(why).Str("set_aside", path).Msg("damaged disk file renamed")
+		OnQuarantine: func(path string, cause error) {
+			log.Error().Err(cause).Str("set_aside", path).Msg("damaged disk file renamed")
 		},
 		Snapshot: s.snapshot,
 	})
@@ -94,7 +94,9 @@
 }
 
 // restore initializes store and publisher from the entries on disk. An earlier run of this process may have published more
-// entries, as after a kill or after the disk was replaced by an old copy, so each run writes under its own origin.
+// entries, as after a kill or after the disk was replaced by an old copy, so each run writes under a new origin. Only after
+// a clean shutdown is a process without upstreams current immediately: otherwise nodes and other control processes may have
+// entries that its disk lacks, which it requests from them before it is current.
 func (s *Server) restore(loaded disk.Loaded) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/distribution/control/storefull_test.go
+++ b/internal/controlplane/distribution/control/storefull_test.go
@@ -22,7 +22,7 @@
 	ownStatus := func() distribution.NodeStatus {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.ownStatus()
+		return r.processStatus()
 	}
 	wait(t, "the processes to be current", func() bool { return r.isCurrent() && !ownStatus().IsCatchingUp })
 	write(t, a.at, route("s", "3"))
--- a/internal/controlplane/distribution/disk/disk.go
+++ b/internal/controlplane/distribution/disk/disk.go
@@ -85,8 +85,8 @@
 }
 
 // Open reads a file or creates one. It returns an error only for faults that the process must not ignore, such as
-// ErrNewerFormat, ErrInUse or a missing directory. A damaged file is renamed and treated as empty. If the disk is full, Open
-// succeeds and the Disk keeps retrying.
+// ErrNewerFormat, ErrInUse or a missing directory. A damaged file is renamed and treated as empty. If the disk is full or
+// reports an I/O error, Open succeeds without content, and the writer tries again to open the file.
 func Open(path string, options Options) (*Disk, Loaded, error) {
 	d := &Disk{
 		path:    path,
--- a/internal/controlplane/distribution/entry.go
+++ b/internal/controlplane/distribution/entry.go
@@ -86,7 +86,7 @@
 	_ struct{} `cbor:",toarray"`
 
 	Key      Key
-	Clock    uint64 // greater than any clock that the origin had received before; see ClockAt
+	Clock    uint64 // greater than any clock that the origin had received or assigned before; see ClockAt
 	Origin   Origin
 	Sequence uint64 // number of the change among those of its origin, from 1
 	Deleted  bool
--- a/internal/controlplane/distribution/failback.go
+++ b/internal/controlplane/distribution/failback.go
@@ -7,8 +7,8 @@
 // failback is the state of the failback to a preferred upstream, one that precedes the current one in the order. The preceding
 // upstreams are probed in turn, and a working connection is closed only after another upstream has responded to a probe. A
 // control process that has restarted therefore regains its subscribers, spread over time, and an unavailable one does not
-// disturb them. Without failback, a rolling restart of control processes would leave all subscribers at the last ones of their
-// orders.
+// disturb them. Without failback, subscribers would stay at the upstream to which they failed over: after a rolling restart,
+// the control process that restarted last would have no subscribers.
 type failback struct {
 	probeAt       time.Duration // time at which the next probe is due
 	isProbing     bool
@@ -27,7 +27,8 @@
 }
 
 // probeDelay returns the delay of the next probe with a jitter of 50 % in both directions, so that subscribers that failed over
-// simultaneously don't fail back simultaneously.
+// simultaneously don't fail back simultaneously. It doubles with each consecutive failback that did not last, up to
+// maxFailbackDoublings times.
 func (s *Subscriber) probeDelay() time.Duration {
 	delay := s.options.FailbackDelay << min(s.failback.unstableCount, maxFailbackDoublings)
 	return delay/2 + time.Duration(s.draw()*float64(delay))
--- a/internal/controlplane/distribution/lanes.go
+++ b/internal/controlplane/distribution/lanes.go
@@ -7,8 +7,8 @@
 
 // A publisher schedules batches in two lanes: fresh changes and catch-ups. While both lanes have work, fresh changes receive
 // freshShare bytes for each byte of catch-ups; a lane without competition uses the whole budget. Within a lane, deficit round
-// robin gives subscribers equal shares. The catch-up of a subscriber stays within the subscriber's own budget, and is sent in
-// batches of at most half a second of it. Fresh changes may overdraw the subscriber's budget by one second, so that
+// robin gives subscribers equal shares. The catch-up of a subscriber stays within the subscriber's budget, and is sent in
+// batches of about half a second of it. Fresh changes may overdraw the subscriber's budget by one second, so that
 // a catch-up in progress does not delay them.
 const (
 	freshShare   = 3
@@ -25,7 +25,7 @@
 	laneCount
 )
 
-// lane is the queue of subscribers with pending changes whose own budgets permit sending.
+// lane is the queue of subscribers with pending changes whose budgets permit sending.
 type lane struct {
 	queue     []*subscription
 	head      int
@@ -54,7 +54,7 @@
 	deficit    int  // remaining bytes of the turn; negative after a larger batch
 }
 
-// sleeper is a subscription that waits for its own budget.
+// sleeper is a subscription that waits until its budget has refilled.
 type sleeper struct {
 	subscription *subscription
 	lane         laneIndex
@@ -74,7 +74,8 @@
 	return last
 }
 
-// hasPending reports whether a subscriber has pending work in a lane.
+// hasPending reports whether a subscriber has pending work in a lane. After its last entry, a catch-up still has to send
+// a complete batch, which must also follow the pending fresh changes.
 func (s *subscription) hasPending(lane laneIndex) bool {
 	if lane == freshLane {
 		return len(s.fresh.keys) > 0
@@ -107,7 +108,7 @@
 	}
 }
 
-// wakeSleepers enqueues the subscriptions whose own budgets have refilled.
+// wakeSleepers enqueues the subscriptions whose budgets have refilled.
 func (p *Publisher) wakeSleepers(now time.Duration) {
 	for len(p.asleep) > 0 && p.asleep[0].wakeAt <= now {
 		due := heap.Pop(&p.asleep).(sleeper)
--- a/internal/controlplane/distribution/merge.go
+++ b/internal/controlplane/distribution/merge.go
@@ -7,8 +7,8 @@
 	return s.merge(entries, nil)
 }
 
-// merge is Merge, but in repaired services it also accepts covered entries whose keys are not stored: there the sender covers
-// all that this store covers.
+// merge is Merge, but in repaired services it also accepts covered entries whose keys are not stored. The sender of a repair
+// covers all writes that this store covers, so it does not send an entry whose deletion this store has pruned.
 func (s *Store) merge(entries []Entry, repaired map[string]bool) (changed []Entry, rejected []Rejection) {
 	for _, e := range entries {
 		if !s.IsInScope(e.Key.Service) {
--- a/internal/controlplane/distribution/messages.go
+++ b/internal/controlplane/distribution/messages.go
@@ -48,7 +48,7 @@
 	ResetServices []string // services in full sync from this batch until the next complete one
 	ResetsAll     bool     // all subscribed services are in full sync
 	IsComplete    bool     // this batch and the earlier ones contain everything up to Through
-	Through       Vector   // if complete: origins that advanced since the last complete batch; all in the first and after a reset
+	Through       Vector   // if complete: origins that advanced since the last complete batch or digests; all in the first and after a reset
 	Pruned        Vector   // if complete: new part of the vector up to which the sender may have pruned deletions
 }
 
@@ -61,7 +61,8 @@
 	IsStoreFull bool
 }
 
-// Acknowledgement reports the last batch that a subscriber has applied.
+// Acknowledgement confirms the receipt of the batches up to BatchNumber, and reports the vector of the applied entries. A node
+// that does not serve yet confirms the batches of a catch-up before it applies their routes and tenants.
 type Acknowledgement struct {
 	_ struct{} `cbor:",toarray"`
 
--- a/internal/controlplane/distribution/nextbatch.go
+++ b/internal/controlplane/distribution/nextbatch.go
@@ -9,10 +9,10 @@
 const WaitForever = time.Duration(math.MaxInt64)
 
 const (
-	maxBatchBytes          = 32 << 10               // of a batch, unless a single entry is larger
+	maxBatchBytes          = 32 << 10               // size from which a batch receives no further entry; the last entry may exceed it
 	maxUnacknowledgedBytes = 4 * maxBatchBytes      // of a subscriber; at this limit sending pauses
 	minPieceBytes          = 4 << 10                // lower bound of the batch size for small budgets
-	catchUpPiece           = 500 * time.Millisecond // share of the subscriber's budget in one catch-up batch
+	catchUpPiece           = 500 * time.Millisecond // of the subscriber's budget in one catch-up batch
 )
 
 // NextBatch returns the next batch to send and its subscription. If ok is false, the caller calls again after wait, or earlier
@@ -34,8 +34,8 @@
 	}
 }
 
-// takeTurn makes a batch for the first subscription of a lane if that may send. Otherwise it returns nil after it has removed
-// the subscription from the head of the lane.
+// takeTurn makes a batch for the first subscription of a lane. If this subscription may not send, takeTurn removes it from the
+// head of the lane and returns nil.
 func (p *Publisher) takeTurn(now time.Duration, index laneIndex, b *Batch) (*subscription, int) {
 	lane := &p.lanes[index]
 	s := lane.front()
--- a/internal/controlplane/distribution/publisher.go
+++ b/internal/controlplane/distribution/publisher.go
@@ -17,7 +17,7 @@
 
 // Publisher selects and schedules the entries that are sent to each subscriber of a store. The pending changes of a subscriber
 // are a set of keys; the winning entries at the time of sending are sent. The cost of a change is proportional to the number
-// of subscribers of its service, and does not depend on the subscribers of other services.
+// of subscribers of its service or of all services, and does not depend on the subscribers of other services.
 type Publisher struct {
 	store                  *Store
 	budget                 Budget
--- a/internal/controlplane/distribution/receiver.go
+++ b/internal/controlplane/distribution/receiver.go
@@ -116,9 +116,10 @@
 }
 
 // finishTransfers ends the full syncs in progress and the repairs among them, adds their services to toMarkSynced, and returns
-// the services whose other entries are to be removed. A service in repair retains its entries, because either side may have
-// lost some: the sender receives them from here if it subscribes to this process. A node has no subscribers, so it adopts the
-// sender's entries at the second attempt.
+// the services whose entries must be removed if the sender has not sent them. A service in repair retains its entries, because
+// either side may have lost some: if the sender subscribes to this process, its own comparison of digests requests them. A node
+// has no subscribers, so it removes such entries at the second attempt. A full sync of all services also removes the entries of
+// services in repair.
 func (r *Receiver) finishTransfers() []string {
 	var services []string
 	for _, name := range slices.Sorted(maps.Keys(r.transfer.services)) {
--- a/internal/controlplane/distribution/store.go
+++ b/internal/controlplane/distribution/store.go
@@ -17,7 +17,7 @@
 	digest      uint64         // of all services
 	entries     int
 	bytes       int
-	own         ownOrigin
+	writer      writerOrigin
 	scope       map[string]bool   // services that the store replicates; nil for all
 	unsynced    map[string]Vector // services in scope that vector does not apply to yet, with their own vectors
 }
@@ -70,7 +70,7 @@
 		vector:    Vector{},
 		pruned:    Vector{},
 		deletions: map[Key]uint64{},
-		own:       ownOrigin{origin: origin},
+		writer:    writerOrigin{origin: origin},
 		unsynced:  map[string]Vector{},
 	}
 }
@@ -83,17 +83,17 @@
 		if e.Validate() == nil {
 			s.put(e)
 		}
-		if e.Origin == s.own.origin {
-			s.own.sequence = max(s.own.sequence, e.Sequence)
+		if e.Origin == s.writer.origin {
+			s.writer.sequence = max(s.writer.sequence, e.Sequence)
 		}
 	}
 	s.vector.Join(vector)
 	s.pruned.Join(pruned)
-	s.own.sequence = max(s.own.sequence, s.vector[s.own.origin])
-	s.own.restored = s.own.sequence
-	if s.own.sequence > 0 {
-		s.vector[s.own.origin] = s.own.sequence
-		s.own.isStale = true
+	s.writer.sequence = max(s.writer.sequence, s.vector[s.writer.origin])
+	s.writer.restoredSequence = s.writer.sequence
+	if s.writer.sequence > 0 {
+		s.vector[s.writer.origin] = s.writer.sequence
+		s.writer.isStale = true
 	}
 }
 
--- a/internal/controlplane/distribution/subscriber.go
+++ b/internal/controlplane/distribution/subscriber.go
@@ -10,8 +10,8 @@
 	defaultMaxBackoff   = 10 * time.Second
 	connectTimeout      = 1 * time.Second  // for an upstream to respond, before the next one is attempted
 	silenceTimeout      = 25 * time.Second // without a message, after which an upstream is disconnected; digests arrive every 10 s
-	isolationTimeout    = 10 * time.Second // without an upstream, after which the state is StateIsolated
-	incompleteTimeout   = 2 * time.Second  // from a message to the complete batch that follows it
+	isolationTimeout    = 10 * time.Second // without an upstream, after which the state is StateIsolated; StartTimeout applies at the start
+	incompleteTimeout   = 2 * time.Second  // from an incomplete message to a complete one, after which the subscriber is not current
 	tickInterval        = 1 * time.Second  // longest interval between calls of Tick
 )
 
@@ -58,7 +58,7 @@
 
 // freshness records when the received configuration was last complete.
 type freshness struct {
-	isIncomplete    bool // a message was received that no complete batch has followed yet
+	isIncomplete    bool // an incomplete message was received, and no complete one has followed yet
 	incompleteSince time.Duration
 	wasCurrent      bool // the subscriber was current at least once since its start
 	lastCurrent     time.Duration
@@ -102,8 +102,8 @@
 	s.apply(connected)
 }
 
-// MessageReceived records a message of the upstream. isComplete reports whether the subscriber has now received all entries
-// that the upstream has.
+// MessageReceived records a batch or digests of the upstream. isComplete reports whether the subscriber has now received all
+// entries that the upstream has.
 func (s *Subscriber) MessageReceived(now time.Duration, isComplete bool) {
 	if !s.link.isConnected {
 		return
--- a/internal/controlplane/distribution/subscriberstate.go
+++ b/internal/controlplane/distribution/subscriberstate.go
@@ -9,7 +9,7 @@
 	StateCatchingUp              // an upstream is connected and sends the missing entries
 	StateCurrent                 // all entries that the upstream has were received
 	StateBehind                  // the process serves from its stored configuration while it reconnects or catches up
-	StateIsolated                // the process serves from its stored configuration without an upstream for isolationTimeout
+	StateIsolated                // the process serves from its stored configuration; no upstream for isolationTimeout, or from the start for StartTimeout
 	stateLimit
 )
 
@@ -23,11 +23,11 @@
 
 const (
 	connected          stateInput = iota // an upstream has connected
-	completed                            // a complete batch was received
+	completed                            // a complete message was received: a batch or digests
 	lost                                 // the connection or attempt has ended
 	startTimedOut                        // SubscriberOptions.StartTimeout has elapsed since the start
 	isolationTimedOut                    // no upstream was connected for isolationTimeout
-	incompleteTimedOut                   // no complete batch followed a message within incompleteTimeout
+	incompleteTimedOut                   // no complete message followed an incomplete one within incompleteTimeout
 	stateInputLimit
 )
 
--- a/internal/controlplane/distribution/tree/tree_test.go
+++ b/internal/controlplane/distribution/tree/tree_test.go
@@ -196,7 +196,7 @@
 	}{
 		"a route":                 {distribution.KindRoute, "type = \"check\"\nhops = 2", "hops = 2, type = 'check'", ""},
 		"a route with its header": {distribution.KindRoute, "[[routes]]\nname = \"n\"\ntype = \"check\"", "type = 'check'", ""},
-		"a route of another name": {distribution.KindRoute, "name = \"m\"", "", "f: its text names it \"m\""},
+		"a route of another name": {distribution.KindRoute, "name = \"m\"", "", "f: text defines name \"m\", want name of entry"},
 		"an unknown key":          {distribution.KindRoute, "type = \"check\"\nhop = 2", "", "f:2: unknown key"},
 		"a pool":                  {distribution.KindPool, "servers = [\"s*\"]", "servers = ['s*']", ""},
 		"a tenant":                {distribution.KindTenant, "allowance = 0", "allowance = 0", ""},
--- a/internal/controlplane/distribution/write.go
+++ b/internal/controlplane/distribution/write.go
@@ -16,25 +16,25 @@
 	for _, c := range changes {
 		entries = append(entries, s.writeOne(wall, Entry{Key: c.Key, Deleted: c.Deleted, Value: slices.Clone(c.Value)}))
 	}
-	s.vector[s.own.origin] = s.own.sequence
+	s.vector[s.writer.origin] = s.writer.sequence
 	return entries, nil
 }
 
 // writeOne assigns the next version of the store's origin to an entry and stores it.
 func (s *Store) writeOne(wall time.Time, e Entry) Entry {
 	s.newestClock = max(ClockAt(wall), s.newestClock+1)
-	s.own.sequence++
-	e.Clock, e.Origin, e.Sequence = s.newestClock, s.own.origin, s.own.sequence
+	s.writer.sequence++
+	e.Clock, e.Origin, e.Sequence = s.newestClock, s.writer.origin, s.writer.sequence
 	s.put(e)
 	return e
 }
 
 // checkWrite returns an error if the changes cannot be written.
 func (s *Store) checkWrite(wall time.Time, changes []Change) error {
-	if s.own.origin == "" {
+	if s.writer.origin == "" {
 		return fmt.Errorf("%w: store without an origin is read-only", ErrInvalidOrigin)
 	}
-	if s.own.isStale {
+	if s.writer.isStale {
 		return ErrStaleOrigin
 	}
 	if len(changes) == 0 || len(changes) > MaxChanges {
--- a/internal/route/fragment.go
+++ b/internal/route/fragment.go
@@ -40,11 +40,11 @@
 			return Fragment{}, err
 		}
 		if len(file.Routes) != 1 {
-			return Fragment{}, tomlfile.Faults{{File: label, Why: fmt.Sprintf("%d routes, exactly one expected", len(file.Routes))}}
+			return Fragment{}, tomlfile.Faults{{File: label, Why: fmt.Sprintf("got %d routes, want 1", len(file.Routes))}}
 		}
 		route = file.Routes[0]
 	}
-	if err := named(label, name, route.Name); err != nil {
+	if err := checkName(label, name, route.Name); err != nil {
 		return Fragment{}, err
 	}
 	route.Name = qualified(service, name)
@@ -67,11 +67,11 @@
 			return Fragment{}, err
 		}
 		if len(file.Pools) != 1 {
-			return Fragment{}, tomlfile.Faults{{File: label, Why: fmt.Sprintf("%d pools, exactly one expected", len(file.Pools))}}
+			return Fragment{}, tomlfile.Faults{{File: label, Why: fmt.Sprintf("got %d pools, want 1", len(file.Pools))}}
 		}
 		pool = file.Pools[0]
 	}
-	if err := named(label, name, pool.Name); err != nil {
+	if err := checkName(label, name, pool.Name); err != nil {
 		return Fragment{}, err
 	}
 	pool.Name = qualified(service, name)
@@ -97,13 +97,13 @@
 	return f.Err()
 }
 
-// named checks that a fragment has a name, and that a name in its text is the same.
-func named(label, name, nameInText string) error {
+// checkName checks that a fragment has a name, and that a name in its text is the same.
+func checkName(label, name, nameInText string) error {
 	switch {
 	case name == "":
 		return tomlfile.Faults{{File: label, Why: "fragment has no name"}}
 	case nameInText != "" && nameInText != name:
-		return tomlfile.Faults{{File: label, Why: fmt.Sprintf("its text names it %q", nameInText)}}
+		return tomlfile.Faults{{File: label, Why: fmt.Sprintf("text defines name %q, want name of entry", nameInText)}}
 	}
 	return nil
 }
