--- a/internal/controlplane/plan/fleetplan.go
+++ b/internal/controlplane/plan/fleetplan.go
@@ -43,14 +43,14 @@
 // ForForwarder returns the plan of one forwarder. The plan of an unknown forwarder contains no servers.
 func (f *FleetPlan) ForForwarder(name string) Plan {
 	p := f.common
-	own, ok := f.forwarders[name]
+	assigned, ok := f.forwarders[name]
 	if !ok {
 		return p
 	}
-	p.ReportSentAt = own.reportSentAt
-	p.Servers = append([]ServerShare(nil), own.servers...)
+	p.ReportSentAt = assigned.reportSentAt
+	p.Servers = append([]ServerShare(nil), assigned.servers...)
 	for _, other := range f.unassigned {
-		if !slices.ContainsFunc(own.servers, func(s ServerShare) bool { return s.ID == other.ID }) {
+		if !slices.ContainsFunc(assigned.servers, func(s ServerShare) bool { return s.ID == other.ID }) {
 			p.Servers = append(p.Servers, other)
 		}
 	}
--- a/internal/controlplane/plan/slowstart.go
+++ b/internal/controlplane/plan/slowstart.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	minConcurrencyShare = 0.5  // of CrashLoadFactor as attempts in flight; min concurrency of a server in slow start over all forwarders
+	minConcurrencyShare = 0.5  // min attempts in flight at a server in slow start, over all forwarders, as a share of CrashLoadFactor
 	negligibleRate      = 1e-9 // attempts per second; effectively blocks requests, since a rate of 0 means no limit
 )
 
--- a/internal/controlplane/plan/weights.go
+++ b/internal/controlplane/plan/weights.go
@@ -34,7 +34,7 @@
 }
 
 // updateAvoided marks the servers with the largest ratio of recent to usual relative latency as avoided. The ratio is compared with
-// the median over all servers, so a slowdown of at least half of the servers marks none.
+// the median over all servers, so a slowdown of more than half of the servers marks none.
 func (p *Planner) updateAvoided(servers []string, recent map[string]float64) {
 	bySlowdown := slices.Clone(servers)
 	slices.SortStableFunc(bySlowdown, func(a, b string) int { return cmp.Compare(recent[b], recent[a]) })
--- a/internal/controlplane/planfollower/follower.go
+++ b/internal/controlplane/planfollower/follower.go
@@ -67,7 +67,7 @@
 func (f *Follower) Advance(now time.Duration, isUp func(id string) bool) Decisions {
 	elapsed := now - f.lastAdvance
 	f.lastAdvance = now
-	f.followFreshest(now, elapsed)
+	f.followPlanner(now, elapsed)
 	d := Decisions{Planner: f.followed, PlanAge: f.age, ShouldPollDiscovery: now-f.lastFresh > f.pollDelay()}
 	if f.inEffect.Number == 0 || f.age >= expiryAge {
 		f.shares = map[string]float64{}
@@ -87,8 +87,8 @@
 	return d
 }
 
-// followFreshest selects the planner to follow and puts its plan into effect. Without a fresh plan the age of the latest plan increases.
-func (f *Follower) followFreshest(now, elapsed time.Duration) {
+// followPlanner selects the planner to follow and puts its plan into effect. Without a fresh plan the age of the latest plan increases.
+func (f *Follower) followPlanner(now, elapsed time.Duration) {
 	f.followed = f.selectPlanner(now)
 	if !f.isFollowing() {
 		f.age += elapsed
--- a/internal/controlplane/planner/connection.go
+++ b/internal/controlplane/planner/connection.go
@@ -205,8 +205,8 @@
 }
 
 // peerRejected logs and counts a peer that violates the protocol or exceeds the connection limit.
-func (s *Server) peerRejected(from string, why error) {
-	s.log.Warn().Str("from", from).Err(why).Msg("peer rejected")
+func (s *Server) peerRejected(from string, cause error) {
+	s.log.Warn().Str("from", from).Err(cause).Msg("peer rejected")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.rejectedPeers++
--- a/internal/controlplane/planner/server.go
+++ b/internal/controlplane/planner/server.go
@@ -23,7 +23,7 @@
 	log       zerolog.Logger
 	startedAt time.Time
 
-	mu          sync.Mutex // never held during network I/O
+	mu          sync.Mutex // not held during network I/O
 	planner     *plan.Planner
 	discovered  map[string]incarnation.Entry // latest entries from discovery or the registry, by server ID
 	hasServers  bool                         // set after the first complete list from discovery or change from the registry; required to compute plans
--- a/internal/route/assemble.go
+++ b/internal/route/assemble.go
@@ -23,7 +23,7 @@
 type Assembled struct {
 	Table    *Table
 	Used     []*Fragment   // by candidate: the fragment in effect; nil: none
-	Unusable map[int]error // by candidate: why it is not in effect
+	Unusable map[int]error // by candidate: the reason why it is not in effect
 }
 
 var errUnresolved = errors.New("assemble routes: too many fragments depend on invalid fragments")
@@ -100,9 +100,9 @@
 }
 
 // assign records a fault of a candidate, unless the candidate already has one.
-func (f *fragmentFaults) assign(candidate int, why error) {
+func (f *fragmentFaults) assign(candidate int, cause error) {
 	if f.byFragment[candidate] == nil {
-		f.byFragment[candidate] = why
+		f.byFragment[candidate] = cause
 	}
 }
 
@@ -163,13 +163,13 @@
 			continue
 		}
 		r, service := &source.Routes[i], fragments[candidate].Service
-		r.Pool = qualifyOwn(r.Pool, service, pools)
-		r.Fallback = qualifyOwn(r.Fallback, service, routes)
+		r.Pool = qualifyIfKnown(r.Pool, service, pools)
+		r.Fallback = qualifyIfKnown(r.Fallback, service, routes)
 	}
 }
 
-// qualifyOwn returns the qualified name if it is known, otherwise name itself.
-func qualifyOwn(name *string, service string, known map[string]bool) *string {
+// qualifyIfKnown returns the qualified name if it is known, otherwise name itself.
+func qualifyIfKnown(name *string, service string, known map[string]bool) *string {
 	if name == nil {
 		return nil
 	}
--- a/internal/route/check_limits.go
+++ b/internal/route/check_limits.go
@@ -144,7 +144,7 @@
 	} else if t.MaxQueueTime+t.AttemptTimeout > l.base.ClientTimeout {
 		l.wrong("wait", "wait of %s plus hop_time of %s exceeds the client timeout of %s", t.MaxQueueTime, t.AttemptTimeout, l.base.ClientTimeout)
 	}
-	t.MaxQueueTime = max(t.MaxQueueTime, time.Nanosecond) // 0 would mean the default of the policy
+	t.MaxQueueTime = max(t.MaxQueueTime, time.Nanosecond) // effectively no queue; 0 would mean the default of the policy
 }
 
 // rates checks the rate limit and the maximum size of a request body.
--- a/internal/route/limiter.go
+++ b/internal/route/limiter.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// unusedLimiters returns the limiters that are used neither by the table nor by an admitted request.
+// unusedLimiters returns the limiters whose routes are not in the table and that have no admitted requests.
 func (r *Router) unusedLimiters(table *Table) []int {
 	free := []int{}
 	for i := 1; i < len(r.limiters); i++ {
@@ -148,18 +148,18 @@
 }
 
 // updateLimiter changes old in place, or returns a new limiter if old is nil.
-func updateLimiter(old *rate.Limiter, now time.Duration, perS float64, burst int) *rate.Limiter {
+func updateLimiter(old *rate.Limiter, now time.Duration, perSecond float64, burst int) *rate.Limiter {
 	if old == nil {
-		return rate.NewLimiter(rate.Limit(perS), burst)
+		return rate.NewLimiter(rate.Limit(perSecond), burst)
 	}
 	at := epoch.Add(now)
-	old.SetLimitAt(at, rate.Limit(perS))
+	old.SetLimitAt(at, rate.Limit(perSecond))
 	old.SetBurstAt(at, burst)
 	return old
 }
 
-// Admit decides whether a route, or else one of its fallbacks in order, admits a request. A negative route means that the
-// request has no route, and always admits. The returned reason is that of the first route that rejects the request.
+// Admit decides whether a route, or else one of its fallbacks in order, admits a request. A request without a route, which
+// a negative route stands for, is always admitted. The returned reason is that of the first route that rejects the request.
 func (r *Router) Admit(now time.Duration, route, trafficType, tenant int) (Admission, Rejection) {
 	tenantIndex := tenant
 	if tenantIndex < 0 || tenantIndex > r.tenantCount {
@@ -233,8 +233,9 @@
 	}
 }
 
-// TakeCounts calls each for every route with a rate or a concurrency limit that has received requests since the last call
-// or still has admitted requests, passes the number of requests that are admitted now, and resets the counts.
+// TakeCounts calls the function each for every route with a rate or a concurrency limit that has received requests since the
+// last call or still has admitted requests, and resets the counts. admitted is the number of requests admitted and not yet
+// released.
 func (r *Router) TakeCounts(each func(route string, admitted int, counts LimiterCounts)) {
 	sums, admitted, names := map[string]LimiterCounts{}, map[string]int{}, []string{}
 	for i := 1; i < len(r.limiters); i++ {
--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -47,7 +47,7 @@
 // leaf holds the routes with one path, by their conditions on method and tenant.
 type leaf struct {
 	by    map[methodTenant][]entry // entries with more headers first
-	forms [4]bool                  // whether by has keys that name: method and tenant; only the method; only the tenant; neither
+	forms [4]bool                  // whether by has keys that name, most specific first: method and tenant; method; tenant; neither
 }
 
 // tree is a trie of path segments. The cost of a match grows with the number of segments of the path, and hardly with the
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -101,7 +101,7 @@
 func matches(sites, flavors, servers []string, id, site, flavor string) bool {
 	return (len(sites) == 0 || slices.Contains(sites, site)) && (len(flavors) == 0 || slices.Contains(flavors, flavor)) &&
 		(len(servers) == 0 || slices.ContainsFunc(servers, func(pattern string) bool {
-			if prefix, open := strings.CutSuffix(pattern, "*"); open {
+			if prefix, isPrefix := strings.CutSuffix(pattern, "*"); isPrefix {
 				return strings.HasPrefix(id, prefix)
 			}
 			return id == pattern
