--- a/internal/controlplane/distribution/client/client_test.go
+++ b/internal/controlplane/distribution/client/client_test.go
@@ -45,11 +45,11 @@
 	for _, n := range nodes {
 		waitStarted(t, n)
 		if s := n.Status(); s.State != distribution.StateCurrent || s.Revision != 3 {
-			t.Errorf("got status %+v at start", s)
+			t.Errorf("got status %+v at start, want state current and revision 3", s)
 		}
 		if n.value(key("hire", distribution.KindServer, "s1")) != "up" || n.value(key("hire", distribution.KindRoute, "r1")) != "first" ||
 			n.value(key("", distribution.KindTenant, "dairy")) != "5" || n.count("complete") != 1 {
-			t.Errorf("got applied %v at start", n.all())
+			t.Errorf("got applied %v at start, want server s1 up, route r1 first, tenant dairy 5 and one complete set of servers", n.all())
 		}
 	}
 	c.write(put("hire", distribution.KindRoute, "r1", "second"), distribution.Change{Key: key("hire", distribution.KindServer, "s1"), Deleted: true},
@@ -57,10 +57,10 @@
 	for i, n := range nodes {
 		c.waitApplied(names[i])
 		if n.value(key("hire", distribution.KindRoute, "r1")) != "second" || n.value(key("hire", distribution.KindServer, "s2")) != "up" || n.size() != 2 {
-			t.Errorf("%s: got applied %v", names[i], n.all())
+			t.Errorf("%s: got applied %v, want only route r1 second and server s2 up", names[i], n.all())
 		}
 		if s, _ := c.status(names[i]); s.Region != "r" || s.Zone != "z" || len(s.Rejected) > 0 || s.Lag > 0 {
-			t.Errorf("got status at control process %+v", s)
+			t.Errorf("got status %+v at the control process, want region r, zone z, no rejections and no lag", s)
 		}
 	}
 }
@@ -79,10 +79,10 @@
 	few, many := c.sentBytes["small"], c.sentBytes["large"]
 	c.mu.Unlock()
 	if few > 1<<10 || many < 2*size {
-		t.Errorf("got %d bytes to the small node, %d to the large", few, many)
+		t.Errorf("got %d bytes to the small node and %d to the large one, want at most 1 KiB and at least 80 KiB", few, many)
 	}
 	if small.value(key("yard", distribution.KindRoute, "large")) != "" || large.value(key("hire", distribution.KindRoute, "small")) != "" {
-		t.Error("a node applied entries of another service")
+		t.Error("entries of another service were applied by a node")
 	}
 }
 
@@ -100,14 +100,14 @@
 			c.write(put("hire", distribution.KindPool, "p", "more")) // a further change does not log the rejection again
 			c.waitApplied("n")
 			if n.value(key("hire", kind, "a")) != "good" || n.value(key("hire", kind, "b")) != "good" {
-				t.Errorf("got applied %v", n.all())
+				t.Errorf("got applied %v, want value good of a and b", n.all())
 			}
 			s, _ := c.status("n")
 			if len(s.Rejected) != 1 || s.Rejected[0].Key != key("hire", kind, "a") || s.Rejected[0].Reason != "a bad value" {
-				t.Errorf("got rejections at control process %v", s.Rejected)
+				t.Errorf("got rejections %v at the control process, want one of a for a bad value", s.Rejected)
 			}
 			if got := n.Status().Rejected; len(got) != 1 {
-				t.Errorf("got rejections in the node's status %v, want 1", got)
+				t.Errorf("got rejections %v in the node's status, want 1", got)
 			}
 			n.log.mu.Lock()
 			if logged := strings.Count(strings.Join(n.log.lines, ""), "entry rejected"); logged != 1 {
@@ -117,7 +117,7 @@
 			c.write(put("hire", kind, "a", "better"))
 			c.waitApplied("n")
 			if s, _ := c.status("n"); len(s.Rejected) != 0 || n.value(key("hire", kind, "a")) != "better" {
-				t.Errorf("after a valid value: got applied %v, rejections %v", n.applied, s.Rejected)
+				t.Errorf("after a valid value: got applied %v, rejections %v, want value better of a and no rejections", n.applied, s.Rejected)
 			}
 		})
 	}
@@ -155,10 +155,10 @@
 	n = startNode(t, cfg)
 	waitStarted(t, n)
 	if s := n.Status(); s.State != distribution.StateIsolated || s.Revision != 2 || !s.IsStalenessKnown || s.Upstream != "" {
-		t.Errorf("got status %+v at start", s)
+		t.Errorf("got status %+v at start, want state isolated, revision 2, a known staleness and no upstream", s)
 	}
 	if n.value(key("hire", distribution.KindServer, "s1")) != "up" || n.value(key("hire", distribution.KindRoute, "r1")) != "first" {
-		t.Errorf("got applied %v", n.all())
+		t.Errorf("got applied %v, want server s1 up and route r1 first", n.all())
 	}
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
@@ -168,16 +168,16 @@
 	c.write(put("hire", distribution.KindRoute, "r1", "second"))
 	c.waitApplied("n")
 	if n.value(key("hire", distribution.KindRoute, "r1")) != "second" || n.Status().State != distribution.StateCurrent {
-		t.Errorf("got applied %v, status %+v", n.applied, n.Status())
+		t.Errorf("got applied %v, status %+v, want route r1 second and state current", n.applied, n.Status())
 	}
 	if c.sentBytes["n"] > 500 { // entries that are stored on disk are not re-sent
 		t.Errorf("got %d bytes for one change, want at most 500", c.sentBytes["n"])
 	}
 }
 
-// TestNodeKeepsNewerEntries checks that a control process with older entries, or a batch that resets services to older entries, does
-// not replace the newer entries of a node.
-func TestNodeKeepsNewerEntries(t *testing.T) {
+// TestOlderEntriesDoNotReplaceNewer checks that a control process with older entries, or a batch that resets services to older
+// entries, does not replace the newer entries of a node.
+func TestOlderEntriesDoNotReplaceNewer(t *testing.T) {
 	early := newFakeControl(t, "root/1")
 	early.write(put("hire", distribution.KindServer, "s1", "v1"))
 	late := newFakeControl(t, "other/1")
@@ -208,7 +208,7 @@
 		return early.acknowledged == last
 	}, "the last batch is acknowledged")
 	if n.value(key("hire", distribution.KindServer, "s1")) != "v2" || n.value(key("hire", distribution.KindServer, "s2")) != "v1" || n.Status().Revision < 3 {
-		t.Errorf("got applied %v, status %+v", n.applied, n.Status())
+		t.Errorf("got applied %v, status %+v, want s1 v2, s2 v1 and a revision of at least 3", n.applied, n.Status())
 	}
 }
 
@@ -257,11 +257,11 @@
 			ctl.waitApplied("n")
 			if n.value(key("hire", distribution.KindServer, "s1")) != "v2" || n.value(key("hire", distribution.KindServer, "s2")) != "" ||
 				n.value(key("hire", distribution.KindServer, "s3")) != "v1" {
-				t.Errorf("got applied %v", n.all())
+				t.Errorf("got applied %v, want s1 v2, s3 v1 and no s2", n.all())
 			}
 			files, _ := filepath.Glob(filepath.Join(cfg.Directory, entriesFile+".damaged-*"))
 			if (len(files) > 0) != c.isQuarantined {
-				t.Errorf("got quarantined files %v", files)
+				t.Errorf("got quarantined files %v, want some only for garbled entries", files)
 			}
 		})
 	}
@@ -281,7 +281,7 @@
 		waitStarted(t, n)
 		c.waitApplied("n")
 		if n.size() != len(services) {
-			t.Errorf("services %v: got applied %v", services, n.all())
+			t.Errorf("services %v: got applied %v, want one entry of each", services, n.all())
 		}
 		n.stop()
 	}
@@ -303,11 +303,11 @@
 		_, hasTenant := emptied.store.Entry(key("", distribution.KindTenant, "dairy"))
 		deleted, isKnown := emptied.store.Entry(key("hire", distribution.KindRoute, "r"))
 		return hasServer && hasTenant && isKnown && deleted.Deleted
-	}, "the emptied control process stores all entries")
+	}, "storage of all entries at the emptied control process")
 	emptied.write(put("hire", distribution.KindServer, "s2", "up"))
-	waitUntil(t, func() bool { return n.value(key("hire", distribution.KindServer, "s2")) == "up" }, "its changes are applied")
+	waitUntil(t, func() bool { return n.value(key("hire", distribution.KindServer, "s2")) == "up" }, "application of the change at the emptied control process")
 	if n.value(key("hire", distribution.KindServer, "s1")) != "up" {
-		t.Errorf("got applied %v", n.all())
+		t.Errorf("got applied %v, want s1 up", n.all())
 	}
 }
 
--- a/internal/controlplane/distribution/client/control_test.go
+++ b/internal/controlplane/distribution/client/control_test.go
@@ -68,7 +68,7 @@
 
 func (c *fakeControl) address() string { return c.ln.Addr().String() }
 
-// kill closes the listener and all connections, as the death of the process does.
+// kill closes the listener and all connections, as the termination of the process does.
 func (c *fakeControl) kill() {
 	c.stop()
 	c.ln.Close()
--- a/internal/controlplane/distribution/client/faults_test.go
+++ b/internal/controlplane/distribution/client/faults_test.go
@@ -155,7 +155,7 @@
 	for _, m := range []*testNode{n, other} {
 		waitUntil(t, func() bool { return m.value(key("hire", distribution.KindServer, "s")) == "v2" }, "the next change is applied")
 		if m.size() != 2 {
-			t.Errorf("applied: %v", m.all())
+			t.Errorf("got applied %v, want 2 entries", m.all())
 		}
 	}
 }
--- a/internal/controlplane/distribution/client/golden_test.go
+++ b/internal/controlplane/distribution/client/golden_test.go
@@ -27,6 +27,6 @@
 		t.Errorf("got file %s, want %s", written, text)
 	}
 	if read, err := readSyncMark("testdata"); err != nil || !reflect.DeepEqual(read, want) {
-		t.Errorf("got mark %+v, error %v", read, err)
+		t.Errorf("got mark %+v, error %v, want the golden mark", read, err)
 	}
 }
--- a/internal/controlplane/distribution/client/protocol_test.go
+++ b/internal/controlplane/distribution/client/protocol_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	greeting, err := wire.Protocol.Append(nil, framing.HelloKind, framing.Hello{Version: wire.Version, Name: "evil"})
+	hello, err := wire.Protocol.Append(nil, framing.HelloKind, framing.Hello{Version: wire.Version, Name: "evil"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,15 +44,15 @@
 		sent   []byte
 		logged string
 	}{
-		"a flipped bit":         {append(slices.Clone(greeting), flipped...), "frame checksum mismatch"},
-		"half a frame":          {append(slices.Clone(greeting), frame[:len(frame)/2]...), "EOF"},
-		"too long":              {append(slices.Clone(greeting), 0xff, 0xff, 0xff, 0xff, 5), "longer than any may be"},
-		"an unknown kind":       {append(slices.Clone(greeting), 0, 0, 0, 4, 99), "unknown kind"},
+		"a flipped bit":         {append(slices.Clone(hello), flipped...), "frame checksum mismatch"},
+		"half a frame":          {append(slices.Clone(hello), frame[:len(frame)/2]...), "EOF"},
+		"too long":              {append(slices.Clone(hello), 0xff, 0xff, 0xff, 0xff, 5), "longer than any may be"},
+		"an unknown kind":       {append(slices.Clone(hello), 0, 0, 0, 4, 99), "unknown kind"},
 		"no greeting":           {frame, "before the greeting"},
 		"another version":       {otherVersion, "version 1 is spoken here"},
 		"HTTP":                  {[]byte("HTTP/1.1 400 Bad Request\r\n\r\n"), "longer than any may be"},
-		"refused":               {append(slices.Clone(greeting), rejectionFrame...), "refused by the peer: no room"},
-		"an unexpected message": {append(slices.Clone(greeting), write...), "unexpected *wire.Write from control process"},
+		"refused":               {append(slices.Clone(hello), rejectionFrame...), "refused by the peer: no room"},
+		"an unexpected message": {append(slices.Clone(hello), write...), "unexpected *wire.Write from control process"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -72,12 +72,12 @@
 					time.AfterFunc(50*time.Millisecond, func() { nc.Close() })
 				}
 			}()
-			good := newFakeControl(t, "root/1")
-			good.write(put("hire", distribution.KindServer, "s1", "up"))
-			n := startNode(t, nodeConfig(t, "n", []string{"hire"}, ln.Addr().String(), good.address()))
+			responsive := newFakeControl(t, "root/1")
+			responsive.write(put("hire", distribution.KindServer, "s1", "up"))
+			n := startNode(t, nodeConfig(t, "n", []string{"hire"}, ln.Addr().String(), responsive.address()))
 			waitStarted(t, n)
 			if n.size() != 1 || n.value(key("hire", distribution.KindServer, "s1")) != "up" {
-				t.Errorf("applied: %v", n.all())
+				t.Errorf("got applied %v, want only s1 up", n.all())
 			}
 			n.log.mu.Lock()
 			defer n.log.mu.Unlock()
@@ -95,7 +95,7 @@
 	n := startNode(t, nodeConfig(t, "n", []string{"hire"}, c.address(), next.address()))
 	waitStarted(t, n)
 	if n.Status().Upstream != c.address() {
-		t.Fatalf("got upstream %s, want the first one", n.Status().Upstream)
+		t.Fatalf("got upstream %s, want the first control process", n.Status().Upstream)
 	}
 	waitUntil(t, func() bool { // a responding control process stays connected
 		c.mu.Lock()
@@ -103,7 +103,7 @@
 		return len(c.pulls) >= 2
 	}, "two pings are received")
 	if n.Status().Upstream != c.address() {
-		t.Fatal("disconnected from a control process that responds to pings")
+		t.Fatal("node disconnected from a control process that responds to pings")
 	}
 	c.mu.Lock()
 	c.isSilent = true
--- a/internal/controlplane/distribution/control/bounds_test.go
+++ b/internal/controlplane/distribution/control/bounds_test.go
@@ -26,7 +26,7 @@
 			t.Parallel()
 			m := start(t, settings(t, "a", address.Free(t), disks(t)("a")))
 			wait(t, "the processes to be current", m.isCurrent)
-			conn, err := dialAndGreet(m.at, "peer", nil)
+			conn, err := dialPeer(m.at, "peer", nil)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/controlplane/distribution/control/command_test.go
+++ b/internal/controlplane/distribution/control/command_test.go
@@ -16,7 +16,7 @@
 // openCommand opens a connection of an operator's command.
 func openCommand(t *testing.T, at string, keys *mtls.Keys) *framing.Conn {
 	t.Helper()
-	conn, err := dialAndGreet(at, "operator", keys)
+	conn, err := dialPeer(at, "operator", keys)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 	return conn
 }
 
-func dialAndGreet(at, name string, keys *mtls.Keys) (*framing.Conn, error) {
+func dialPeer(at, name string, keys *mtls.Keys) (*framing.Conn, error) {
 	nc, err := net.DialTimeout("tcp", at, time.Second)
 	if err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 }
 
 func tryWriteWithin(at string, within time.Duration, changes ...distribution.Change) (*wire.WriteResult, error) {
-	conn, err := dialAndGreet(at, "operator", nil)
+	conn, err := dialPeer(at, "operator", nil)
 	if err != nil {
 		return nil, err
 	}
@@ -91,7 +91,7 @@
 
 // query requests the status of a process and of all nodes that it knows.
 func query(at string) (self distribution.NodeStatus, nodes map[string]distribution.NodeStatus, err error) {
-	conn, err := dialAndGreet(at, "operator", nil)
+	conn, err := dialPeer(at, "operator", nil)
 	if err != nil {
 		return self, nil, err
 	}
@@ -105,22 +105,22 @@
 		if err != nil {
 			return self, nil, err
 		}
-		answer, ok := m.(*wire.StatusAnswer)
+		response, ok := m.(*wire.StatusAnswer)
 		if !ok {
 			return self, nil, fmt.Errorf("unexpected response %T", m)
 		}
-		for _, status := range answer.Nodes {
+		for _, status := range response.Nodes {
 			nodes[status.Name] = status
 		}
-		if answer.IsLast {
-			return answer.Self, nodes, nil
+		if response.IsLast {
+			return response.Self, nodes, nil
 		}
 	}
 }
 
 // digests requests the digests of all services from a process.
 func digests(at string) (map[string]uint64, error) {
-	conn, err := dialAndGreet(at, "digests", nil)
+	conn, err := dialPeer(at, "digests", nil)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/distribution/control/config_test.go
+++ b/internal/controlplane/distribution/control/config_test.go
@@ -15,30 +15,30 @@
 // Each fault of a settings file is reported with its line.
 func TestFileFaults(t *testing.T) {
 	t.Parallel()
-	const good = "name = \"r\"\nlisten = \"127.0.0.1:7461\"\ndisk = \"DIR/control.db\"\nplaintext = true\n"
+	const valid = "name = \"r\"\nlisten = \"127.0.0.1:7461\"\ndisk = \"DIR/control.db\"\nplaintext = true\n"
 	dir := t.TempDir()
 	for name, c := range map[string]struct{ text, want string }{
-		"well":                {good, ""},
-		"a root":              {good + "upstreams = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\nfollow = \"all\"\n", ""},
-		"a source":            {good + "discovery = \"127.0.0.1:1\"\nservice = \"hire\"\n", ""},
-		"no name":             {strings.Replace(good, `"r"`, `"a b"`, 1), ":1: name"},
-		"no address":          {strings.Replace(good, "127.0.0.1:7461", "here", 1), ":2: listen"},
-		"no folder":           {strings.Replace(good, "DIR", "DIR/nowhere", 1), ":3: disk"},
-		"an unknown key":      {good + "upstream = \"127.0.0.1:1\"\n", ":5: unknown key"},
-		"not on loopback":     {strings.Replace(good, "127.0.0.1", "10.0.0.1", 1), ":4: 10.0.0.1"},
-		"a bad upstream":      {good + "upstreams = [\"127.0.0.1:1\",\n  \"there\"]\n", "upstream \"there\""},
-		"itself":              {good + "upstreams = [\"127.0.0.1:7461\"]\n", "this process itself"},
-		"follow":              {good + "follow = \"some\"\n", ":5: follow"},
-		"a small budget":      {good + "out_bytes = 10\n", ":5: out_bytes"},
-		"no connections":      {good + "connections = 0\n", ":5: connections"},
-		"a small disk":        {good + "disk_bytes = 10\n", ":5: disk_bytes"},
-		"short deletions":     {good + "keep_deleted = \"1s\"\n", ":5: keep_deleted"},
-		"long return":         {good + "return_after = \"25h\"\n", ":5: return_after"},
-		"a region's name":     {good + "region = \"no rth\"\n", ":5: region"},
-		"two sources":         {good + "discovery = \"127.0.0.1:1\"\nregistry = \"x\"\nservice = \"s\"\n", ":6: either"},
-		"a source of nothing": {good + "discovery = \"127.0.0.1:1\"\n", "service"},
-		"a service alone":     {good + "service = \"s\"\n", ":5: service"},
-		"no keys":             {strings.Replace(good, "plaintext = true\n", "", 1), "cert"},
+		"well":                {valid, ""},
+		"a root":              {valid + "upstreams = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\nfollow = \"all\"\n", ""},
+		"a source":            {valid + "discovery = \"127.0.0.1:1\"\nservice = \"hire\"\n", ""},
+		"no name":             {strings.Replace(valid, `"r"`, `"a b"`, 1), ":1: name"},
+		"no address":          {strings.Replace(valid, "127.0.0.1:7461", "here", 1), ":2: listen"},
+		"no folder":           {strings.Replace(valid, "DIR", "DIR/nowhere", 1), ":3: disk"},
+		"an unknown key":      {valid + "upstream = \"127.0.0.1:1\"\n", ":5: unknown key"},
+		"not on loopback":     {strings.Replace(valid, "127.0.0.1", "10.0.0.1", 1), ":4: 10.0.0.1"},
+		"a bad upstream":      {valid + "upstreams = [\"127.0.0.1:1\",\n  \"there\"]\n", "upstream \"there\""},
+		"itself":              {valid + "upstreams = [\"127.0.0.1:7461\"]\n", "this process itself"},
+		"follow":              {valid + "follow = \"some\"\n", ":5: follow"},
+		"a small budget":      {valid + "out_bytes = 10\n", ":5: out_bytes"},
+		"no connections":      {valid + "connections = 0\n", ":5: connections"},
+		"a small disk":        {valid + "disk_bytes = 10\n", ":5: disk_bytes"},
+		"short deletions":     {valid + "keep_deleted = \"1s\"\n", ":5: keep_deleted"},
+		"long return":         {valid + "return_after = \"25h\"\n", ":5: return_after"},
+		"a region's name":     {valid + "region = \"no rth\"\n", ":5: region"},
+		"two sources":         {valid + "discovery = \"127.0.0.1:1\"\nregistry = \"x\"\nservice = \"s\"\n", ":6: either"},
+		"a source of nothing": {valid + "discovery = \"127.0.0.1:1\"\n", "service"},
+		"a service alone":     {valid + "service = \"s\"\n", ":5: service"},
+		"no keys":             {strings.Replace(valid, "plaintext = true\n", "", 1), "cert"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "control.toml")
--- a/internal/controlplane/distribution/control/control_test.go
+++ b/internal/controlplane/distribution/control/control_test.go
@@ -29,7 +29,7 @@
 }
 
 // Writes at any control process reach all of them, and nodes receive those of their services.
-func TestWritesReachAllHolders(t *testing.T) {
+func TestWritesReachAllProcesses(t *testing.T) {
 	t.Parallel()
 	a, b, r := startTree(t)
 	n := node("n", "", "s")
@@ -46,9 +46,9 @@
 			t.Error("node received an entry of a service that it does not subscribe to")
 		}
 	}
-	gone := route("s", "at-1")
-	gone.Value, gone.Deleted = nil, true
-	write(t, r.at, gone)
+	deletion := route("s", "at-1")
+	deletion.Value, deletion.Deleted = nil, true
+	write(t, r.at, deletion)
 	wait(t, "the deletion at all processes", func() bool {
 		return !a.has("at-1") && !b.has("at-1") && !n.has(route("s", "at-1"))
 	})
--- a/internal/controlplane/distribution/control/faults_test.go
+++ b/internal/controlplane/distribution/control/faults_test.go
@@ -150,8 +150,8 @@
 	if n := f.a.log.lines("set_aside"); n != 1 {
 		t.Errorf("got %d log lines about the damaged file, want 1", n)
 	}
-	if kept, _ := os.ReadDir(strings.TrimSuffix(f.a.disk, "/a.db")); !strings.Contains(fmt.Sprint(kept), "a.db.damaged-") {
-		t.Errorf("got directory %v, want the renamed damaged file", kept)
+	if files, _ := os.ReadDir(strings.TrimSuffix(f.a.disk, "/a.db")); !strings.Contains(fmt.Sprint(files), "a.db.damaged-") {
+		t.Errorf("got directory %v, want the renamed damaged file", files)
 	}
 }
 
@@ -237,7 +237,7 @@
 		f.proxies[name].Cut(faultproxy.Down, false)
 	}
 	f.waitConverged(t, "convergence after the kill")
-	all := f.heldEntries(t, f.b)
+	all := f.storedEntries(t, f.b)
 	for _, c := range changes {
 		if !all.has(c) {
 			t.Errorf("acknowledged write of %s is lost", c.Key.Name)
@@ -251,7 +251,7 @@
 	f.writer.end()
 	f.waitConverged(t, "convergence after the kill")
 	n := 0
-	all := f.heldEntries(t, f.b)
+	all := f.storedEntries(t, f.b)
 	for _, c := range routes("large", 0, distribution.MaxChanges) {
 		if all.has(c) {
 			n++
@@ -322,11 +322,11 @@
 	}
 	wait(t, "all entries of the nodes at a root", func() bool {
 		_, err := digests(f.a.at)
-		return err == nil && f.writer.missing(f.heldEntries(t, f.a), f.near.services) == nil
+		return err == nil && f.writer.missing(f.storedEntries(t, f.a), f.near.services) == nil
 	})
 	f.waitConverged(t, "convergence after the loss")
 	for _, p := range f.all() {
-		f.writer.check(t, p.name, f.heldEntries(t, p), f.near.services)
+		f.writer.check(t, p.name, f.storedEntries(t, p), f.near.services)
 	}
 }
 
--- a/internal/controlplane/distribution/control/helpers_test.go
+++ b/internal/controlplane/distribution/control/helpers_test.go
@@ -188,7 +188,7 @@
 }
 
 func (s *subscriber) connect(at string) error {
-	conn, err := dialAndGreet(at, s.name, nil)
+	conn, err := dialPeer(at, s.name, nil)
 	if err != nil {
 		return err
 	}
--- a/internal/controlplane/distribution/control/peers_test.go
+++ b/internal/controlplane/distribution/control/peers_test.go
@@ -80,7 +80,7 @@
 			errOwnName.Error()},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conn, err := dialAndGreet(m.at, c.name, nil)
+			conn, err := dialPeer(m.at, c.name, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -108,7 +108,7 @@
 			_, err = conn.Read(b)
 		}
 		if os.IsTimeout(err) {
-			t.Error("connection without a greeting was not closed")
+			t.Error("connection without a hello frame was not closed")
 		}
 	})
 	write(t, m.at, route("s", "x"))
@@ -125,14 +125,14 @@
 	n := node("n", "s")
 	n.subscribe(t, m.at)
 	conn := openCommand(t, m.at, nil)
-	if _, err := dialAndGreet(m.at, "third", nil); err == nil || !strings.Contains(err.Error(), errTooManyConnections.Error()) {
+	if _, err := dialPeer(m.at, "third", nil); err == nil || !strings.Contains(err.Error(), errTooManyConnections.Error()) {
 		t.Errorf("third connection: got error %v, want errTooManyConnections", err)
 	}
 	wire.Send(conn, &wire.Write{ID: 1, Changes: []distribution.Change{route("s", "x")}})
 	wait(t, "the change at the first subscriber", func() bool { return n.has(route("s", "x")) })
 	conn.Close()
 	wait(t, "an accepted connection after a close", func() bool {
-		conn, err := dialAndGreet(m.at, "third", nil)
+		conn, err := dialPeer(m.at, "third", nil)
 		if err == nil {
 			conn.Close()
 		}
@@ -202,7 +202,7 @@
 	wire.Send(conn, &wire.Write{ID: 1, Changes: []distribution.Change{route("s", "x")}})
 	wait(t, "the change at the other process", func() bool { return b.has("x") })
 	for name, k := range map[string]*mtls.Keys{"of another authority": load(theirs, "operator"), "none": nil} {
-		if conn, err := dialAndGreet(a.at, "operator", k); err == nil {
+		if conn, err := dialPeer(a.at, "operator", k); err == nil {
 			conn.Close()
 			t.Errorf("peer was accepted with keys: %s", name)
 		}
@@ -210,7 +210,7 @@
 }
 
 // A peer that sends queries without reading the responses is disconnected, and its message queue stays bounded.
-func TestAnswersAreBounded(t *testing.T) {
+func TestQueuedResponsesAreBounded(t *testing.T) {
 	t.Parallel()
 	m := start(t, settings(t, "a", address.Free(t), disks(t)("a")))
 	wait(t, "the processes to be current", m.isCurrent)
--- a/internal/controlplane/distribution/control/process_test.go
+++ b/internal/controlplane/distribution/control/process_test.go
@@ -245,8 +245,8 @@
 	t.Logf("%s: equal digests after %v", what, time.Since(began).Round(10*time.Millisecond))
 }
 
-// heldEntries returns a new subscriber to all services that has received all entries of a process.
-func (f *fleet) heldEntries(t *testing.T, p *process) *subscriber {
+// storedEntries returns a new subscriber to all services that has received all entries of a process.
+func (f *fleet) storedEntries(t *testing.T, p *process) *subscriber {
 	t.Helper()
 	all := &subscriber{name: "auditor", role: distribution.RoleNode, store: distribution.NewStore("", distribution.Limits{})}
 	if err := all.connect(p.at); err != nil {
@@ -264,7 +264,7 @@
 	f.writer.end()
 	f.waitConverged(t, "convergence after the fault")
 	for _, p := range f.all() {
-		f.writer.check(t, p.name, f.heldEntries(t, p), nil)
+		f.writer.check(t, p.name, f.storedEntries(t, p), nil)
 	}
 	for _, n := range []*subscriber{f.near, f.far} {
 		wait(t, "all acknowledged writes at "+n.name, func() bool { return f.writer.missing(n, n.services) == nil })
--- a/internal/controlplane/distribution/disk/disk_test.go
+++ b/internal/controlplane/distribution/disk/disk_test.go
@@ -140,7 +140,7 @@
 	want = slices.Delete(want, 17, 18)
 	requireEntries(t, loaded.Entries, want)
 	if loaded.Origin != "a/1" || !loaded.IsClean || loaded.Vector["a/1"] != 5000 || loaded.Pruned["a/1"] != 25 {
-		t.Errorf("got origin %q, clean %t, vector %v, pruned %v", loaded.Origin, loaded.IsClean, loaded.Vector, loaded.Pruned)
+		t.Errorf("got origin %q, clean %t, vector %v, pruned %v, want a clean file of origin a/1, vector 5000, pruned 25", loaded.Origin, loaded.IsClean, loaded.Vector, loaded.Pruned)
 	}
 	if err := <-d.SaveDurably([]distribution.Entry{changed}, nil); err != nil {
 		t.Error(err)
@@ -185,7 +185,7 @@
 	d.SaveDurably([]distribution.Entry{urgent}, nil)
 	b, more := d.takeBatch()
 	if b.keys[0] != urgent.Key || !more || b.vector != nil || b.through != 1 {
-		t.Errorf("got first key %v, more %t, vector %v, through %d", b.keys[0], more, b.vector, b.through)
+		t.Errorf("got first key %v, more %t, vector %v, through %d, want the urgent key, more, no vector, through 1", b.keys[0], more, b.vector, b.through)
 	}
 	d.requeueBatch(b)
 }
@@ -206,7 +206,7 @@
 	}
 	_, loaded := openDisk(t, path, Options{})
 	if n := len(loaded.Entries); n <= 10 || n >= 30_000 || loaded.Vector["a/1"] != 10 || loaded.IsClean {
-		t.Errorf("got %d entries, vector %v, clean %t", n, loaded.Vector, loaded.IsClean)
+		t.Errorf("got %d entries, vector %v, clean %t, want 11 to 29,999 entries, vector 10, an unclean file", n, loaded.Vector, loaded.IsClean)
 	}
 }
 
@@ -237,7 +237,7 @@
 	_, loaded := openDisk(t, path, Options{})
 	requireEntries(t, loaded.Entries, entries(1, 5001))
 	if loaded.Vector["a/1"] != 5000 || !loaded.IsClean {
-		t.Errorf("got vector %v, clean %t", loaded.Vector, loaded.IsClean)
+		t.Errorf("got vector %v, clean %t, want vector 5000, a clean file", loaded.Vector, loaded.IsClean)
 	}
 }
 
@@ -258,7 +258,7 @@
 	_, loaded := openDisk(t, path, Options{})
 	requireEntries(t, loaded.Entries, entries(1, 10))
 	if loaded.Origin != "a/1" || loaded.Vector["a/1"] != 10 {
-		t.Errorf("origin %q, vector %v", loaded.Origin, loaded.Vector)
+		t.Errorf("got origin %q, vector %v, want a/1 and 10", loaded.Origin, loaded.Vector)
 	}
 }
 
@@ -415,7 +415,7 @@
 	_, loaded := openDisk(t, path, Options{})
 	requireEntries(t, loaded.Entries, entries(1, 5001))
 	if loaded.Origin != "a/1" || loaded.Vector["a/1"] != 5001 {
-		t.Errorf("origin %q, vector %v", loaded.Origin, loaded.Vector)
+		t.Errorf("got origin %q, vector %v, want a/1 and 5001", loaded.Origin, loaded.Vector)
 	}
 }
 
--- a/internal/controlplane/distribution/prune_test.go
+++ b/internal/controlplane/distribution/prune_test.go
@@ -7,25 +7,25 @@
 
 // pruneDeletion writes and deletes an entry at a root, and prunes the deletion at all processes a day later. Each process's
 // disk is saved before the deletion.
-func pruneDeletion(w *simulation, root *process) {
+func pruneDeletion(sim *simulation, root *process) {
 	root.write(Change{Key: key("a", "1"), Value: []byte("v")}, Change{Key: key("a", "2"), Value: []byte("stays")})
-	w.converge()
-	for _, h := range w.processes {
-		h.savedDisks = append(h.savedDisks, h.disk())
+	sim.converge()
+	for _, p := range sim.processes {
+		p.savedDisks = append(p.savedDisks, p.disk())
 	}
 	root.write(Change{Key: key("a", "1"), Deleted: true})
-	w.converge()
-	w.now += 25 * time.Hour
-	for _, h := range w.processes {
-		h.prune(ClockAt(w.wall().Add(-24 * time.Hour)))
+	sim.converge()
+	sim.now += 25 * time.Hour
+	for _, p := range sim.processes {
+		p.prune(ClockAt(sim.wall().Add(-24 * time.Hour)))
 	}
 }
 
-func wantOnly(t *testing.T, w *simulation, name string) {
+func wantOnly(t *testing.T, sim *simulation, name string) {
 	t.Helper()
-	for _, h := range w.processes {
-		if got := h.store.LiveEntries("a"); len(got) != 1 || got[0].Key.Name != name {
-			t.Errorf("%s: got entries %+v, want only %s", h.name, got, name)
+	for _, p := range sim.processes {
+		if got := p.store.LiveEntries("a"); len(got) != 1 || got[0].Key.Name != name {
+			t.Errorf("%s: got entries %+v, want only %s", p.name, got, name)
 		}
 	}
 }
@@ -34,78 +34,78 @@
 func TestOldDiskReceivesPrunedDeletions(t *testing.T) {
 	for _, old := range []string{"relay", "node", "both"} {
 		t.Run(old, func(t *testing.T) {
-			w, root, relay, node := chain(t)
-			pruneDeletion(w, root)
-			for _, h := range []*process{relay, node} {
-				if h.name == old || old == "both" {
-					h.restart(h.savedDisks[0])
+			sim, root, relay, node := chain(t)
+			pruneDeletion(sim, root)
+			for _, p := range []*process{relay, node} {
+				if p.name == old || old == "both" {
+					p.restart(p.savedDisks[0])
 				}
 			}
-			w.converge()
-			wantOnly(t, w, "2")
+			sim.converge()
+			wantOnly(t, sim, "2")
 		})
 	}
 }
 
 // The node is connected and current before its relay receives the pruned vector.
 func TestPrunedDeletionReachesConnectedSubscribers(t *testing.T) {
-	w, root, relay, node := chain(t)
-	pruneDeletion(w, root)
+	sim, root, relay, node := chain(t)
+	pruneDeletion(sim, root)
 	relay.restart(relay.savedDisks[0])
 	node.restart(node.savedDisks[0])
-	up := w.links[0]
-	w.links = w.links[1:]
-	w.converge()
+	up := sim.links[0]
+	sim.links = sim.links[1:]
+	sim.converge()
 	if len(node.store.LiveEntries("a")) != 2 {
-		t.Fatal("the node received the deletion before its relay was connected")
+		t.Fatal("node received the deletion before its relay was connected")
 	}
-	w.links = append(w.links, up)
-	w.converge()
-	wantOnly(t, w, "2")
+	sim.links = append(sim.links, up)
+	sim.converge()
+	wantOnly(t, sim, "2")
 }
 
 // A service without entries at the sender changes during a full sync of all services: the change must be sent too.
 func TestChangeDuringResetOfAll(t *testing.T) {
-	w := newSimulation(t.Fatalf)
-	root := w.add("root", "", RoleControl)
-	relay := w.add("relay", "", RoleControl)
-	w.connectable(relay, root)
-	pruneDeletion(w, root)
+	sim := newSimulation(t.Fatalf)
+	root := sim.add("root", "", RoleControl)
+	relay := sim.add("relay", "", RoleControl)
+	sim.addLinks(relay, root)
+	pruneDeletion(sim, root)
 	root.write(Change{Key: key("a", "2"), Deleted: true})
-	w.converge()
-	w.now += 25 * time.Hour
-	relay.prune(ClockAt(w.wall()))
+	sim.converge()
+	sim.now += 25 * time.Hour
+	relay.prune(ClockAt(sim.wall()))
 	root.restart(nil)
-	l := w.links[0]
-	w.open(l)
-	for w.deliver(l, true, false) || w.deliver(l, false, false) { // both are subscribed, no batch was sent
+	l := sim.links[0]
+	sim.open(l)
+	for sim.deliver(l, true, false) || sim.deliver(l, false, false) { // both are subscribed, no batch was sent
 	}
 	root.write(Change{Key: key("a", "3"), Value: []byte("new")})
 	root.sendDue(10)
-	for w.deliver(l, false, false) { // the relay receives the change before it sends batches
+	for sim.deliver(l, false, false) { // the relay receives the change before it sends batches
 	}
-	w.converge()
-	wantOnly(t, w, "3")
+	sim.converge()
+	wantOnly(t, sim, "3")
 }
 
 // A full sync from a server that has lost its disk does not mark a newly subscribed service as synced.
 func TestNewServiceFromServerWithLostDisk(t *testing.T) {
-	w, root, relay, node := chain(t)
+	sim, root, relay, node := chain(t)
 	root.write(Change{Key: key("b", "1")}, Change{Key: key("a", "1")})
-	w.converge()
+	sim.converge()
 	relay.restart(nil)
-	up, down := w.links[0], w.links[1]
-	w.close(down)
+	up, down := sim.links[0], sim.links[1]
+	sim.close(down)
 	node.services = []string{"a", "b"}
 	node.store.SetScope(node.services)
-	w.links = w.links[1:]
-	w.converge()
+	sim.links = sim.links[1:]
+	sim.converge()
 	if missing := node.store.UnsyncedServices(); len(missing) != 1 {
 		t.Fatalf("got unsynced services %v, want b", missing)
 	}
-	w.close(down)
-	w.links = append(w.links, up)
-	w.converge()
+	sim.close(down)
+	sim.links = append(sim.links, up)
+	sim.converge()
 	if len(node.store.LiveEntries("b")) != 1 || len(node.store.UnsyncedServices()) != 0 {
 		t.Fatalf("got entries %v, unsynced services %v, want one entry and none", node.store.LiveEntries("b"), node.store.UnsyncedServices())
 	}
--- a/internal/controlplane/distribution/publisher_test.go
+++ b/internal/controlplane/distribution/publisher_test.go
@@ -231,40 +231,40 @@
 
 // A server that has lost its disk does not revert its subscriber to an older state, and receives the missing entries from it.
 func TestSubscriberAheadOfServer(t *testing.T) {
-	w := newSimulation(t.Fatalf)
-	root := w.add("root", "", RoleControl)
-	node := w.add("node", "", RoleNode, "a")
-	w.connectable(node, root)
+	sim := newSimulation(t.Fatalf)
+	root := sim.add("root", "", RoleControl)
+	node := sim.add("node", "", RoleNode, "a")
+	sim.addLinks(node, root)
 	root.write(Change{Key: key("a", "1"), Value: []byte("first")}, Change{Key: key("a", "2"), Value: []byte("second")})
-	w.converge()
+	sim.converge()
 	root.restart(nil)
-	w.converge()
-	for _, h := range w.processes {
-		if got := h.store.LiveEntries("a"); len(got) != 2 || string(got[0].Value) != "first" {
-			t.Fatalf("%s: got entries %+v, want both entries", h.name, got)
+	sim.converge()
+	for _, member := range sim.processes {
+		if got := member.store.LiveEntries("a"); len(got) != 2 || string(got[0].Value) != "first" {
+			t.Fatalf("%s: got entries %+v, want both entries", member.name, got)
 		}
 	}
 	root.write(Change{Key: key("a", "1"), Value: []byte("third")})
-	w.converge()
+	sim.converge()
 	if e, _ := node.store.Entry(key("a", "1")); string(e.Value) != "third" {
 		t.Fatalf("got value %q at the node, want third", e.Value)
 	}
 }
 
 func TestNewServiceGetsFullSync(t *testing.T) {
-	w := newSimulation(t.Fatalf)
-	root := w.add("root", "", RoleControl)
-	node := w.add("node", "", RoleNode, "a")
-	w.connectable(node, root)
+	sim := newSimulation(t.Fatalf)
+	root := sim.add("root", "", RoleControl)
+	node := sim.add("node", "", RoleNode, "a")
+	sim.addLinks(node, root)
 	root.write(Change{Key: key("a", "1")}, Change{Key: key("b", "1")})
-	w.converge()
-	w.close(w.links[0])
+	sim.converge()
+	sim.close(sim.links[0])
 	node.services = []string{"a", "b"}
 	node.store.SetScope(node.services)
 	if missing := node.store.UnsyncedServices(); len(missing) != 1 || missing[0] != "b" {
 		t.Fatalf("got unsynced services %v, want b", missing)
 	}
-	w.converge()
+	sim.converge()
 	if len(node.store.LiveEntries("b")) != 1 || len(node.store.UnsyncedServices()) != 0 {
 		t.Fatalf("got entries %v, unsynced services %v, want one entry and none", node.store.LiveEntries("b"), node.store.UnsyncedServices())
 	}
@@ -310,23 +310,23 @@
 func TestDigestsRepairDifferences(t *testing.T) {
 	for _, lost := range []string{"root", "relay", "node"} {
 		t.Run(lost, func(t *testing.T) {
-			w, root, _, node := chain(t)
+			sim, root, _, node := chain(t)
 			root.write(Change{Key: key("a", "1")}, Change{Key: key("a", "2")})
-			w.converge()
-			for _, h := range w.processes {
-				if h.name == lost {
-					h.store.remove(key("a", "1"))
-					delete(h.newest, key("a", "1"))
+			sim.converge()
+			for _, member := range sim.processes {
+				if member.name == lost {
+					member.store.remove(key("a", "1"))
+					delete(member.newest, key("a", "1"))
 				}
 			}
-			w.converge()
-			for _, h := range w.processes {
-				if len(h.store.LiveEntries("a")) != 2 {
-					t.Errorf("%s: got entries %v, want 2", h.name, h.store.LiveEntries("a"))
+			sim.converge()
+			for _, member := range sim.processes {
+				if len(member.store.LiveEntries("a")) != 2 {
+					t.Errorf("%s: got entries %v, want 2", member.name, member.store.LiveEntries("a"))
 				}
 			}
 			node.store.put(Entry{Key: key("a", "3"), Clock: 1, Origin: root.store.Origin(), Sequence: 1})
-			w.converge()
+			sim.converge()
 			if stored := node.store.LiveEntries("a"); len(stored) != 2 {
 				t.Errorf("got entries %v at the node, want 2", stored)
 			}
@@ -335,8 +335,8 @@
 }
 
 // The cost of a change depends on the subscriptions and entries of its service, not on the size of the fleet.
-func TestCostOfAChangeIsThatOfItsService(t *testing.T) {
-	cost := func(otherNodes, otherServices int) (touched, allocs float64) {
+func TestCostOfChangeDependsOnlyOnItsService(t *testing.T) {
+	cost := func(otherNodes, otherServices int) (visits, allocs float64) {
 		store := newFilledStore(t, 1+otherServices, 20, 20)
 		p := NewPublisher(store, Budget{TotalBytesPerSecond: 1 << 30, NodeBytesPerSecond: 1 << 30})
 		for i := range otherNodes {
@@ -365,10 +365,10 @@
 		})
 		return float64(p.visited) / changes, allocs
 	}
-	touched, allocs := cost(10, 2)
-	manyTouched, manyAllocs := cost(3000, 300)
-	if touched != 3 || manyTouched != 3 {
-		t.Errorf("change visits %.0f subscriptions in a small fleet and %.0f in a large one, want 3", touched, manyTouched)
+	visits, allocs := cost(10, 2)
+	manyVisits, manyAllocs := cost(3000, 300)
+	if visits != 3 || manyVisits != 3 {
+		t.Errorf("change visits %.0f subscriptions in a small fleet and %.0f in a large one, want 3", visits, manyVisits)
 	}
 	if manyAllocs > 1.2*allocs {
 		t.Errorf("change makes %.0f allocations in a small fleet and %.0f in a large one, want at most 1.2 times as many", allocs, manyAllocs)
--- a/internal/controlplane/distribution/store_test.go
+++ b/internal/controlplane/distribution/store_test.go
@@ -78,7 +78,7 @@
 
 func TestWriteIsAtomic(t *testing.T) {
 	full := Limits{MaxEntries: 2}
-	good := Change{Key: key("a", "1"), Value: []byte("v")}
+	valid := Change{Key: key("a", "1"), Value: []byte("v")}
 	long := Key{Service: "a", Kind: KindServer, Name: strings.Repeat("x", MaxNameBytes+1)}
 	tests := []struct {
 		name    string
@@ -89,15 +89,15 @@
 	}{
 		{"none", Limits{}, nil, wall, ErrChangeCount},
 		{"too many", Limits{}, make([]Change, MaxChanges+1), wall, ErrChangeCount},
-		{"no name", Limits{}, []Change{good, {Key: key("a", "")}}, wall, ErrInvalidKey},
-		{"no kind", Limits{}, []Change{good, {Key: Key{Service: "a", Name: "1"}}}, wall, ErrInvalidKey},
-		{"a long name", Limits{}, []Change{good, {Key: long}}, wall, ErrInvalidKey},
-		{"not UTF-8", Limits{}, []Change{good, {Key: key("\xff", "1")}}, wall, ErrInvalidKey},
-		{"a long value", Limits{}, []Change{good, {Key: key("a", "2"), Value: make([]byte, MaxValueBytes+1)}}, wall, ErrInvalidValue},
-		{"a deletion with a value", Limits{}, []Change{good, {Key: key("a", "2"), Deleted: true, Value: []byte("v")}}, wall, ErrInvalidValue},
-		{"too many entries", full, []Change{good, {Key: key("a", "2")}, {Key: key("a", "3")}}, wall, ErrStoreFull},
-		{"too many bytes", Limits{MaxBytes: 300}, []Change{good, {Key: key("a", "2"), Value: make([]byte, 200)}}, wall, ErrStoreFull},
-		{"a clock ahead", Limits{}, []Change{good}, wall.Add(-11 * time.Second), ErrClockAhead},
+		{"no name", Limits{}, []Change{valid, {Key: key("a", "")}}, wall, ErrInvalidKey},
+		{"no kind", Limits{}, []Change{valid, {Key: Key{Service: "a", Name: "1"}}}, wall, ErrInvalidKey},
+		{"a long name", Limits{}, []Change{valid, {Key: long}}, wall, ErrInvalidKey},
+		{"not UTF-8", Limits{}, []Change{valid, {Key: key("\xff", "1")}}, wall, ErrInvalidKey},
+		{"a long value", Limits{}, []Change{valid, {Key: key("a", "2"), Value: make([]byte, MaxValueBytes+1)}}, wall, ErrInvalidValue},
+		{"a deletion with a value", Limits{}, []Change{valid, {Key: key("a", "2"), Deleted: true, Value: []byte("v")}}, wall, ErrInvalidValue},
+		{"too many entries", full, []Change{valid, {Key: key("a", "2")}, {Key: key("a", "3")}}, wall, ErrStoreFull},
+		{"too many bytes", Limits{MaxBytes: 300}, []Change{valid, {Key: key("a", "2"), Value: make([]byte, 200)}}, wall, ErrStoreFull},
+		{"a clock ahead", Limits{}, []Change{valid}, wall.Add(-11 * time.Second), ErrClockAhead},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -113,7 +113,7 @@
 		})
 	}
 	t.Run("a store without an origin", func(t *testing.T) {
-		if _, err := NewStore("", Limits{}).Write(wall, []Change{good}); !errors.Is(err, ErrInvalidOrigin) {
+		if _, err := NewStore("", Limits{}).Write(wall, []Change{valid}); !errors.Is(err, ErrInvalidOrigin) {
 			t.Fatalf("got error %v, want ErrInvalidOrigin", err)
 		}
 	})
@@ -214,12 +214,12 @@
 
 func TestMergeRejectsEntriesOutOfBounds(t *testing.T) {
 	s := NewStore("", Limits{MaxEntries: 1})
-	good := Entry{Key: key("a", "1"), Clock: 5, Origin: "x/1", Sequence: 1}
-	second := good
+	valid := Entry{Key: key("a", "1"), Clock: 5, Origin: "x/1", Sequence: 1}
+	second := valid
 	second.Key.Name = "2"
-	unnumbered := good
+	unnumbered := valid
 	unnumbered.Sequence = 0
-	changed, rejected := s.Merge([]Entry{good, second, unnumbered})
+	changed, rejected := s.Merge([]Entry{valid, second, unnumbered})
 	if len(changed) != 1 || len(rejected) != 2 || !rejected[0].IsStoreFull || rejected[1].IsStoreFull {
 		t.Fatalf("got changed %v, rejected %+v, want 1 changed, 2 rejected and the first one by a full store", changed, rejected)
 	}
@@ -238,7 +238,7 @@
 	}
 }
 
-func TestClockExceedsAnySeen(t *testing.T) {
+func TestClockExceedsReceivedClocks(t *testing.T) {
 	s := NewStore(NewOrigin("root", 1), Limits{})
 	ahead := ClockAt(wall.Add(9*time.Second)) + 7
 	s.Merge([]Entry{{Key: key("a", "1"), Clock: ahead, Origin: "x/1", Sequence: 1}})
@@ -247,7 +247,7 @@
 	}
 }
 
-func TestReplaceKeepsEntriesTheSenderDoesNotCover(t *testing.T) {
+func TestReplaceRetainsEntriesNotCoveredBySender(t *testing.T) {
 	s := NewStore("", Limits{})
 	entry := func(name string, sequence uint64) Entry {
 		return Entry{Key: key("a", name), Clock: 5, Origin: "x/1", Sequence: sequence}
@@ -264,7 +264,7 @@
 	}
 }
 
-func TestPrunedDeletionsDoNotComeBack(t *testing.T) {
+func TestPrunedDeletionsAreNotRevertedByMerge(t *testing.T) {
 	s := NewStore(NewOrigin("root", 1), Limits{})
 	e := writeOne(t, s, wall, key("a", "1"), "v")
 	if _, err := s.Write(wall, []Change{{Key: key("a", "1"), Deleted: true}}); err != nil {
--- a/internal/controlplane/distribution/tree/tree_test.go
+++ b/internal/controlplane/distribution/tree/tree_test.go
@@ -63,7 +63,7 @@
 		"hire/tenant/dairy: allowance = 40.5",
 	}
 	if !slices.Equal(got, want) || !slices.Equal(tr.Services, []string{"", "hire"}) || !tr.HasServers {
-		t.Errorf("got entries %q, services %q", got, tr.Services)
+		t.Errorf("got entries %q, services %q, want those of all.toml and hire.toml", got, tr.Services)
 	}
 }
 
@@ -94,7 +94,7 @@
 			}
 			lines := strings.Split(err.Error(), "\n")
 			if len(lines) != len(c.want) {
-				t.Fatalf("got errors %q", lines)
+				t.Fatalf("got faults %q, want as many as in the case", lines)
 			}
 			for i, want := range c.want {
 				if !strings.Contains(lines[i], want) {
@@ -104,13 +104,13 @@
 		})
 	}
 	if _, err := Load(t.TempDir()); err == nil || !strings.Contains(err.Error(), "directory contains no .toml files") {
-		t.Errorf("empty directory: got error %v", err)
+		t.Errorf("empty directory: got error %v, want one about missing files", err)
 	}
 	dir := t.TempDir()
 	writeFile(t, filepath.Join(dir, "a.toml"), "")
 	writeFile(t, filepath.Join(dir, "b.toml"), "service = \"a\"")
 	if _, err := Load(dir); err == nil || !strings.Contains(err.Error(), "b.toml:1: service \"a\" also defined in another file") {
-		t.Errorf("duplicate service: got error %v", err)
+		t.Errorf("duplicate service: got error %v, want one in b.toml", err)
 	}
 }
 
--- a/internal/controlplane/distribution/value/golden_test.go
+++ b/internal/controlplane/distribution/value/golden_test.go
@@ -31,7 +31,7 @@
 		}
 		e := distribution.Entry{Key: distribution.Key{Kind: distribution.KindServer, Name: "fast-1"}, Clock: 41, Value: golden}
 		if got, err := DecodeServer(e); err != nil || got != server {
-			t.Errorf("decoded as %+v, error %v", got, err)
+			t.Errorf("decoded as %+v, error %v, want the encoded server", got, err)
 		}
 	})
 	t.Run("tenant", func(t *testing.T) {
@@ -47,7 +47,7 @@
 			t.Fatal(err)
 		}
 		if got, err := DecodeTenant(distribution.Entry{Value: golden}); err != nil || got != tenant {
-			t.Errorf("decoded as %+v, error %v", got, err)
+			t.Errorf("decoded as %+v, error %v, want the encoded tenant", got, err)
 		}
 	})
 }
--- a/internal/controlplane/distribution/wire/messages_test.go
+++ b/internal/controlplane/distribution/wire/messages_test.go
@@ -121,8 +121,8 @@
 	})
 }
 
-// TestSizeIsAsOnTheWire checks that the size of a batch that budgets count approximates its encoded size.
-func TestSizeIsAsOnTheWire(t *testing.T) {
+// TestBatchSizeApproximatesEncodedSize checks that the size of a batch that budgets count approximates its encoded size.
+func TestBatchSizeApproximatesEncodedSize(t *testing.T) {
 	for _, entries := range []int{1, 50, 200} {
 		b := distribution.Batch{Number: 9, IsComplete: true, Through: distribution.Vector{origin: 1 << 40}, ResetServices: []string{"ferries"}}
 		for i := range entries {
--- a/internal/controlplane/distribution/world_test.go
+++ b/internal/controlplane/distribution/world_test.go
@@ -21,7 +21,7 @@
 
 // process is a control process or a node.
 type process struct {
-	w          *simulation
+	sim        *simulation
 	name       string
 	region     string
 	role       Role
@@ -77,62 +77,62 @@
 	return &simulation{fail: fail, pruned: map[Key]Entry{}}
 }
 
-func (w *simulation) wall() time.Time { return wall.Add(w.now) }
+func (sim *simulation) wall() time.Time { return wall.Add(sim.now) }
 
-func (w *simulation) add(name, region string, role Role, services ...string) *process {
-	h := &process{w: w, name: name, region: region, role: role, services: services}
-	h.start(nil)
-	w.processes = append(w.processes, h)
-	return h
+func (sim *simulation) add(name, region string, role Role, services ...string) *process {
+	p := &process{sim: sim, name: name, region: region, role: role, services: services}
+	p.start(nil)
+	sim.processes = append(sim.processes, p)
+	return p
 }
 
-func (w *simulation) connectable(subscriber *process, servers ...*process) {
+func (sim *simulation) addLinks(subscriber *process, servers ...*process) {
 	for _, s := range servers {
-		w.links = append(w.links, &link{subscriber: subscriber, server: s})
+		sim.links = append(sim.links, &link{subscriber: subscriber, server: s})
 	}
 }
 
 // chain returns a simulation of a root, a relay that subscribes to it, and a node of service a that subscribes to the relay.
-func chain(t *testing.T) (w *simulation, root, relay, node *process) {
-	w = newSimulation(t.Fatalf)
-	root = w.add("root", "", RoleControl)
-	relay = w.add("relay", "", RoleControl)
-	node = w.add("node", "", RoleNode, "a")
-	w.connectable(relay, root)
-	w.connectable(node, relay)
-	return w, root, relay, node
+func chain(t *testing.T) (sim *simulation, root, relay, node *process) {
+	sim = newSimulation(t.Fatalf)
+	root = sim.add("root", "", RoleControl)
+	relay = sim.add("relay", "", RoleControl)
+	node = sim.add("node", "", RoleNode, "a")
+	sim.addLinks(relay, root)
+	sim.addLinks(node, relay)
+	return sim, root, relay, node
 }
 
 // start starts a process from a saved disk, or from an empty one.
-func (h *process) start(d *disk) {
+func (p *process) start(d *disk) {
 	origin := Origin("")
-	if h.role == RoleControl {
-		h.w.originCount++
-		origin = NewOrigin(h.name, h.w.originCount)
+	if p.role == RoleControl {
+		p.sim.originCount++
+		origin = NewOrigin(p.name, p.sim.originCount)
 	}
-	h.store = NewStore(origin, Limits{})
-	h.newest = map[Key]Entry{}
+	p.store = NewStore(origin, Limits{})
+	p.newest = map[Key]Entry{}
 	if d != nil {
-		h.store.Restore(d.entries, d.vector, d.pruned)
+		p.store.Restore(d.entries, d.vector, d.pruned)
 	}
-	if h.role == RoleNode {
+	if p.role == RoleNode {
 		if d != nil {
-			h.store.SetScope(d.services)
-			h.store.MarkUnsynced(d.missing)
+			p.store.SetScope(d.services)
+			p.store.MarkUnsynced(d.missing)
 		}
-		h.store.SetScope(h.services)
+		p.store.SetScope(p.services)
 	}
-	for _, e := range allEntries(h.store) {
-		h.newest[e.Key] = e
+	for _, e := range allEntries(p.store) {
+		p.newest[e.Key] = e
 	}
-	h.pub = NewPublisher(h.store, Budget{})
-	h.routes = map[SubscriptionID]route{}
+	p.pub = NewPublisher(p.store, Budget{})
+	p.routes = map[SubscriptionID]route{}
 }
 
-func (h *process) disk() *disk {
-	d := &disk{vector: h.store.Vector().Clone(), pruned: h.store.Pruned().Clone(), missing: h.store.UnsyncedServices(),
-		services: slices.Clone(h.services)}
-	d.entries = allEntries(h.store)
+func (p *process) disk() *disk {
+	d := &disk{vector: p.store.Vector().Clone(), pruned: p.store.Pruned().Clone(), missing: p.store.UnsyncedServices(),
+		services: slices.Clone(p.services)}
+	d.entries = allEntries(p.store)
 	return d
 }
 
@@ -145,16 +145,16 @@
 	return entries
 }
 
-func (h *process) restart(d *disk) {
-	for _, l := range h.w.links {
-		if l.subscriber == h || l.server == h {
-			h.w.close(l)
+func (p *process) restart(d *disk) {
+	for _, l := range p.sim.links {
+		if l.subscriber == p || l.server == p {
+			p.sim.close(l)
 		}
 	}
-	h.start(d)
+	p.start(d)
 }
 
-func (w *simulation) open(l *link) {
+func (sim *simulation) open(l *link) {
 	if l.open {
 		return
 	}
@@ -165,7 +165,7 @@
 		Vector: s.store.Vector().Clone(), UnsyncedServices: s.store.UnsyncedServices()}})
 }
 
-func (w *simulation) close(l *link) {
+func (sim *simulation) close(l *link) {
 	if !l.open {
 		return
 	}
@@ -177,89 +177,89 @@
 }
 
 // write applies changes at a control process.
-func (h *process) write(changes ...Change) {
-	entries, err := h.store.Write(h.w.wall(), changes)
+func (p *process) write(changes ...Change) {
+	entries, err := p.store.Write(p.sim.wall(), changes)
 	if err != nil {
-		h.w.fail("%s: write: %v", h.name, err)
+		p.sim.fail("%s: write: %v", p.name, err)
 		return
 	}
-	h.w.writes = append(h.w.writes, entries...)
-	h.applyResult(BatchResult{Changed: entries})
+	p.sim.writes = append(p.sim.writes, entries...)
+	p.applyResult(BatchResult{Changed: entries})
 }
 
 // checkCoverage verifies the vector: for each covered write the store must have that version of the key or a greater one, or
 // cover a later deletion.
-func (h *process) checkCoverage() {
-	for _, e := range h.w.writes {
-		if !h.store.IsInScope(e.Key.Service) || !h.store.covers(e) {
+func (p *process) checkCoverage() {
+	for _, e := range p.sim.writes {
+		if !p.store.IsInScope(e.Key.Service) || !p.store.covers(e) {
 			continue
 		}
-		if got, ok := h.store.Entry(e.Key); ok && Compare(got, e) >= 0 || e.Deleted && !ok {
+		if got, ok := p.store.Entry(e.Key); ok && Compare(got, e) >= 0 || e.Deleted && !ok {
 			continue
 		}
-		if !slices.ContainsFunc(h.w.writes, func(d Entry) bool { return d.Key == e.Key && d.Deleted && Compare(d, e) > 0 && h.store.covers(d) }) {
-			h.w.fail("%s: vector covers %+v, but the store lacks it", h.name, e)
+		if !slices.ContainsFunc(p.sim.writes, func(d Entry) bool { return d.Key == e.Key && d.Deleted && Compare(d, e) > 0 && p.store.covers(d) }) {
+			p.sim.fail("%s: vector covers %+v, but the store lacks it", p.name, e)
 		}
 	}
 }
 
 // applyResult publishes the changes of a store, and verifies the invariants of the process.
-func (h *process) applyResult(got BatchResult) {
+func (p *process) applyResult(got BatchResult) {
 	for _, e := range got.Changed {
-		before, ok := h.newest[e.Key]
+		before, ok := p.newest[e.Key]
 		if c := Compare(before, e); ok && (c > 0 || c == 0 && !e.Deleted) { // a pruned deletion may be received again
-			h.w.fail("%s: replaced %+v by the older %+v", h.name, before, e)
+			p.sim.fail("%s: replaced %+v by the older %+v", p.name, before, e)
 		}
-		h.newest[e.Key] = e
+		p.newest[e.Key] = e
 	}
-	h.pub.EntriesChanged(h.w.now, got.Changed)
-	h.pub.ResyncServices(h.w.now, got.ResyncServices)
+	p.pub.EntriesChanged(p.sim.now, got.Changed)
+	p.pub.ResyncServices(p.sim.now, got.ResyncServices)
 	if got.IsComplete {
-		h.checkCoverage()
+		p.checkCoverage()
 	}
-	if h.store.IsStale() {
-		h.w.fail("%s: origin is stale although it was drawn at the start", h.name)
+	if p.store.IsStale() {
+		p.sim.fail("%s: origin is stale although it was drawn at the start", p.name)
 	}
 }
 
-func (h *process) prune(olderThan uint64) {
+func (p *process) prune(olderThan uint64) {
 	before := map[Key]Entry{}
-	for _, e := range allEntries(h.store) {
+	for _, e := range allEntries(p.store) {
 		before[e.Key] = e
 	}
-	keys := h.store.PruneDeletions(olderThan)
+	keys := p.store.PruneDeletions(olderThan)
 	for _, k := range keys {
-		if e := before[k]; Compare(h.w.pruned[k], e) < 0 {
-			h.w.pruned[k] = e
+		if e := before[k]; Compare(p.sim.pruned[k], e) < 0 {
+			p.sim.pruned[k] = e
 		}
 	}
-	h.pub.DeletionsPruned(h.w.now, keys)
+	p.pub.DeletionsPruned(p.sim.now, keys)
 }
 
 // sendDue sends up to maxBatches batches and the digests that are due, and reports whether it sent any message.
-func (h *process) sendDue(maxBatches int) (moved bool) {
+func (p *process) sendDue(maxBatches int) (moved bool) {
 	for range maxBatches {
-		id, b, ok, _ := h.pub.NextBatch(h.w.now)
+		id, b, ok, _ := p.pub.NextBatch(p.sim.now)
 		if !ok {
 			break
 		}
-		h.sendTo(id, b)
+		p.sendTo(id, b)
 		moved = true
 	}
 	for {
-		id, d, ok := h.pub.NextDigests(h.w.now)
+		id, d, ok := p.pub.NextDigests(p.sim.now)
 		if !ok {
 			return moved
 		}
-		h.sendTo(id, d)
+		p.sendTo(id, d)
 		moved = true
 	}
 }
 
-func (h *process) sendTo(id SubscriptionID, body any) {
-	r, ok := h.routes[id]
+func (p *process) sendTo(id SubscriptionID, body any) {
+	r, ok := p.routes[id]
 	if !ok {
-		h.w.fail("%s: message for an unknown subscription", h.name)
+		p.sim.fail("%s: message for an unknown subscription", p.name)
 		return
 	}
 	if r.up {
@@ -269,8 +269,8 @@
 	}
 }
 
-// deliver delivers the first message in one direction of a link, a batch twice if again is set. It reports whether there was one.
-func (w *simulation) deliver(l *link, toServer, again bool) (moved bool) {
+// deliver delivers the first message in one direction of a link, a batch twice if isDuplicated. It reports whether there was one.
+func (sim *simulation) deliver(l *link, toServer, isDuplicated bool) (moved bool) {
 	queue, at, other := &l.toSubscriber, l.subscriber, l.server
 	if toServer {
 		queue, at, other = &l.toServer, l.server, l.subscriber
@@ -280,19 +280,19 @@
 	}
 	m := (*queue)[0]
 	*queue = (*queue)[1:]
-	w.handle(l, at, other, m)
-	if _, isBatch := m.body.(Batch); isBatch && again && l.open {
-		w.handle(l, at, other, m)
+	sim.handle(l, at, other, m)
+	if _, isBatch := m.body.(Batch); isBatch && isDuplicated && l.open {
+		sim.handle(l, at, other, m)
 	}
 	return true
 }
 
-func (w *simulation) handle(l *link, at, other *process, m message) {
+func (sim *simulation) handle(l *link, at, other *process, m message) {
 	side := &l.down
 	if m.up {
 		side = &l.up
 	}
-	answer := func(body any) {
+	respond := func(body any) {
 		if at == l.server {
 			l.toSubscriber = append(l.toSubscriber, message{m.up, body})
 		} else {
@@ -301,9 +301,9 @@
 	}
 	switch body := m.body.(type) {
 	case Subscription:
-		w.handleSubscription(l, at, other, body)
+		sim.handleSubscription(l, at, other, body)
 	case pullRequest:
-		w.handlePull(l, at, other, body)
+		sim.handlePull(l, at, other, body)
 	case Batch:
 		got := side.receiver.ReceiveBatch(body)
 		if body.IsComplete {
@@ -314,27 +314,27 @@
 			at.pub.VectorLearned(back, body.Through)
 		}
 		at.applyResult(got)
-		answer(Acknowledgement{BatchNumber: body.Number, Applied: at.store.Vector().Clone()})
+		respond(Acknowledgement{BatchNumber: body.Number, Applied: at.store.Vector().Clone()})
 	case Acknowledgement:
-		at.pub.BatchAcknowledged(w.now, side.id, body)
+		at.pub.BatchAcknowledged(sim.now, side.id, body)
 		at.applyResult(BatchResult{})
 	case Digests:
 		services, total, _ := side.receiver.CompareDigests(body)
 		at.applyResult(BatchResult{})
 		if total {
-			answer(digestRequest{})
+			respond(digestRequest{})
 		} else if len(services) > 0 {
-			answer(services)
+			respond(services)
 		}
 	case []string:
-		at.pub.ResyncSubscriber(w.now, side.id, body)
+		at.pub.ResyncSubscriber(sim.now, side.id, body)
 	case digestRequest:
-		answer(Digests{Services: at.pub.ServiceDigests()})
+		respond(Digests{Services: at.pub.ServiceDigests()})
 	}
 }
 
-func (w *simulation) handleSubscription(l *link, at, other *process, request Subscription) {
-	l.down.id = at.pub.Subscribe(w.now, request)
+func (sim *simulation) handleSubscription(l *link, at, other *process, request Subscription) {
+	l.down.id = at.pub.Subscribe(sim.now, request)
 	at.routes[l.down.id] = route{l, false}
 	at.applyResult(BatchResult{})
 	if request.Role == RoleNode && !at.store.IsBehind(request.Vector) {
@@ -344,52 +344,52 @@
 	l.toSubscriber = append(l.toSubscriber, message{true, pullRequest{at.store.Vector().Clone()}})
 }
 
-func (w *simulation) handlePull(l *link, at, other *process, request pullRequest) {
+func (sim *simulation) handlePull(l *link, at, other *process, request pullRequest) {
 	s := Subscription{Name: other.name, Role: RoleControl, AllServices: true, Vector: request.vector}
 	if at.role == RoleNode {
-		l.up.id = at.pub.SubscribePartial(w.now, s)
+		l.up.id = at.pub.SubscribePartial(sim.now, s)
 	} else {
-		l.up.id = at.pub.Subscribe(w.now, s)
+		l.up.id = at.pub.Subscribe(sim.now, s)
 	}
 	at.routes[l.up.id] = route{l, true}
 	at.applyResult(BatchResult{})
 }
 
 // converge opens all links and runs until no message is sent and no store changes over several digest intervals.
-func (w *simulation) converge() {
-	for _, l := range w.links {
-		w.open(l)
+func (sim *simulation) converge() {
+	for _, l := range sim.links {
+		sim.open(l)
 	}
 	idleRounds := 0
 	for round := 0; idleRounds < 4; round++ {
 		if round > 3000 {
-			w.fail("stores have not converged after 3000 rounds")
+			sim.fail("stores have not converged after 3000 rounds")
 			return
 		}
 		moved := false
-		for _, h := range w.processes {
-			moved = h.sendDue(100) || moved
+		for _, p := range sim.processes {
+			moved = p.sendDue(100) || moved
 		}
 		if !moved {
-			w.now += time.Second
+			sim.now += time.Second
 		}
-		before := w.fingerprint()
-		for _, l := range w.links {
-			for w.deliver(l, true, false) || w.deliver(l, false, false) {
+		before := sim.fingerprint()
+		for _, l := range sim.links {
+			for sim.deliver(l, true, false) || sim.deliver(l, false, false) {
 			}
 		}
-		if w.fingerprint() != before || w.busy() {
+		if sim.fingerprint() != before || sim.hasPending() {
 			idleRounds = 0
 			continue
 		}
-		w.now += digestInterval
+		sim.now += digestInterval
 		idleRounds++
 	}
 }
 
-func (w *simulation) busy() bool {
-	for _, h := range w.processes {
-		for _, s := range h.pub.subscriptions {
+func (sim *simulation) hasPending() bool {
+	for _, p := range sim.processes {
+		for _, s := range p.pub.subscriptions {
 			if s.hasPending(freshLane) || s.hasPending(catchUpLane) || len(s.inFlight.batches) > 0 {
 				return true
 			}
@@ -398,25 +398,25 @@
 	return false
 }
 
-func (w *simulation) fingerprint() string {
+func (sim *simulation) fingerprint() string {
 	text := ""
-	for _, h := range w.processes {
-		text += fmt.Sprintf("%x %d ", h.store.TotalDigest(), h.store.Vector().Total())
+	for _, p := range sim.processes {
+		text += fmt.Sprintf("%x %d ", p.store.TotalDigest(), p.store.Vector().Total())
 	}
 	return text
 }
 
 // winners returns the greatest version of each key that any process has stored, or that was pruned as a deletion while a control
 // process still covers it.
-func (w *simulation) winners() map[Key]Entry {
+func (sim *simulation) winners() map[Key]Entry {
 	best := map[Key]Entry{}
-	for k, e := range w.pruned {
-		if w.covered(e) {
+	for k, e := range sim.pruned {
+		if sim.isCovered(e) {
 			best[k] = e
 		}
 	}
-	for _, h := range w.processes {
-		for _, e := range allEntries(h.store) {
+	for _, p := range sim.processes {
+		for _, e := range allEntries(p.store) {
 			if Compare(best[e.Key], e) < 0 {
 				best[e.Key] = e
 			}
@@ -425,34 +425,34 @@
 	return best
 }
 
-func (w *simulation) covered(e Entry) bool {
-	return slices.ContainsFunc(w.processes, func(h *process) bool { return h.role == RoleControl && h.store.Vector().Covers(e) })
+func (sim *simulation) isCovered(e Entry) bool {
+	return slices.ContainsFunc(sim.processes, func(p *process) bool { return p.role == RoleControl && p.store.Vector().Covers(e) })
 }
 
 // check verifies that each process has exactly the winning entries of its services.
-func (w *simulation) check(expected map[Key]Entry) {
-	for _, h := range w.processes {
+func (sim *simulation) check(expected map[Key]Entry) {
+	for _, p := range sim.processes {
 		for k, e := range expected {
-			if h.role == RoleNode && !slices.Contains(h.services, k.Service) {
+			if p.role == RoleNode && !slices.Contains(p.services, k.Service) {
 				continue
 			}
-			got, ok := h.store.Entry(k)
+			got, ok := p.store.Entry(k)
 			if e.Deleted {
 				if ok && !got.Deleted {
-					w.fail("%s: %s: got %+v after the deletion %+v", h.name, k, got, e)
+					sim.fail("%s: %s: got %+v after the deletion %+v", p.name, k, got, e)
 				}
 				continue
 			}
 			if !ok || got.Deleted || Compare(got, e) < 0 || string(got.Value) != string(e.Value) {
-				w.fail("%s: %s: got (stored %v) %+v, want %+v", h.name, k, ok, got, e)
+				sim.fail("%s: %s: got (stored %v) %+v, want %+v", p.name, k, ok, got, e)
 			}
 		}
-		for _, e := range allEntries(h.store) {
-			if h.role == RoleNode && !slices.Contains(h.services, e.Key.Service) {
-				w.fail("%s: stores %s of a service that it does not subscribe to", h.name, e.Key)
+		for _, e := range allEntries(p.store) {
+			if p.role == RoleNode && !slices.Contains(p.services, e.Key.Service) {
+				sim.fail("%s: stores %s of a service that it does not subscribe to", p.name, e.Key)
 			}
 			if _, ok := expected[e.Key]; !ok {
-				w.fail("%s: stores %+v, which no process has written", h.name, e)
+				sim.fail("%s: stores %+v, which no process has written", p.name, e)
 			}
 		}
 	}
