--- a/internal/controlplane/plan/planner_test.go
+++ b/internal/controlplane/plan/planner_test.go
@@ -110,17 +110,17 @@
 	moved := 0
 	before := b.currentShares
 	b.currentShares = map[string][]CurrentShare{}
-	for n, h := range before {
-		b.currentShares[n] = h
+	for n, shares := range before {
+		b.currentShares[n] = shares
 	}
 	b.step(healthy)
 	for n := range before {
 		hadServer := map[string]bool{}
-		for _, h := range before[n] {
-			hadServer[h.ID] = true
+		for _, share := range before[n] {
+			hadServer[share.ID] = true
 		}
-		for _, h := range b.currentShares[n] {
-			if !hadServer[h.ID] {
+		for _, share := range b.currentShares[n] {
+			if !hadServer[share.ID] {
 				moved++
 			}
 		}
@@ -154,12 +154,12 @@
 					sum += s.Share
 				}
 				if len(subset) < min(minSubsetSize, c.servers) || math.Abs(sum-1) > 0.02 {
-					t.Fatalf("forwarder %s has %d servers with a total share of %.3f", n, len(subset), sum)
+					t.Fatalf("forwarder %s: got %d servers with a total share of %.3f, want at least minSubsetSize or all servers, and a total of 1", n, len(subset), sum)
 				}
 			}
 			for s, l := range fleet.loads(plans) {
 				if l < 0.75 || l > 1.3 {
-					t.Errorf("server %d has %.2f times an equal share, want 0.75 to 1.3", s, l)
+					t.Errorf("server %d: got %.2f times an equal share, want 0.75 to 1.3", s, l)
 				}
 			}
 		})
@@ -209,7 +209,7 @@
 			}
 			p := plans.ForForwarder(fleet.forwarderNames[0])
 			if len(ejected) != c.ejected || len(avoided) != c.avoided || c.admitsAll != (p.AdmittedShare == 1) {
-				t.Errorf("got %d ejected and %d avoided servers, admitted share %.2f", len(ejected), len(avoided), p.AdmittedShare)
+				t.Errorf("got %d ejected and %d avoided servers, admitted share %.2f, want the values of the case", len(ejected), len(avoided), p.AdmittedShare)
 			}
 		})
 	}
@@ -335,11 +335,11 @@
 				}
 			}
 			if len(got) != len(next.Servers) || len(received.Servers) != len(got) || received.Number != next.Number {
-				t.Fatalf("got %d servers, want %d", len(received.Servers), len(next.Servers))
+				t.Fatalf("got %d servers, want %d with distinct IDs and the latest plan number", len(received.Servers), len(next.Servers))
 			}
 			for _, e := range next.Incarnations {
-				if h, ok := incarnations.Get(e.ID); !ok || incarnation.Compare(h, e) < 0 {
-					t.Fatalf("incarnation %+v missing in the changes", e)
+				if got, ok := incarnations.Get(e.ID); !ok || incarnation.Compare(got, e) < 0 {
+					t.Fatalf("incarnation %+v is missing in the changes", e)
 				}
 			}
 		}
@@ -357,7 +357,7 @@
 	for _, n := range fleet.forwarderNames {
 		for _, s := range plans.ForForwarder(n).Servers {
 			if !(s.Share >= 0 && s.Share <= 1) || math.IsNaN(s.SlowStartRate) {
-				t.Errorf("forwarder %s: invalid plan entry %+v", n, s)
+				t.Errorf("forwarder %s: got plan entry %+v, want a share of 0 to 1 and a valid slow start rate", n, s)
 			}
 		}
 	}
--- a/internal/controlplane/planfollower/follower_test.go
+++ b/internal/controlplane/planfollower/follower_test.go
@@ -66,7 +66,7 @@
 			}
 			if d.HasPlan != c.hasPlan || d.Planner != c.planner || d.Nodes != c.nodes || d.ShouldPollDiscovery != c.polls || len(d.WithinAllowance) > 0 != c.hasTenantShares ||
 				d.AdmittedShare < c.admitted-0.05 || d.AdmittedShare > c.admitted+0.05 {
-				t.Errorf("unexpected state in effect: %+v", d)
+				t.Errorf("got decisions %+v, want the values of the case", d)
 			}
 		})
 	}
@@ -101,16 +101,16 @@
 				rise += max(s.Share-before[s.ID], 0)
 			}
 			if d.HasPlan && sum > 0 && (sum < 0.99 || sum > 1.01) {
-				t.Fatalf("sum of shares got %f, want 1", sum)
+				t.Fatalf("got a sum of shares of %f, want 1", sum)
 			}
 			if before != nil && !changedUp && d.HasPlan && rise > maxMovePerSecond*0.25+0.001 {
-				t.Fatalf("%.3f of the requests moved in one step: %v to %v", rise, before, after)
+				t.Fatalf("got a move of %.3f of the requests in one step, want at most 0.0635: %v to %v", rise, before, after)
 			}
 			if before = after; !d.HasPlan || sum == 0 {
 				before = nil
 			}
 			if up["3"] == false && after["3"] > 0 {
-				t.Fatal("server 3 is down but has a share")
+				t.Fatal("got a share of server 3, which is down, want none")
 			}
 		}
 	})
--- a/internal/controlplane/planner/server_test.go
+++ b/internal/controlplane/planner/server_test.go
@@ -212,13 +212,13 @@
 				if k == planwire.RejectionKind {
 					var r planwire.Rejection
 					if planwire.Decode(body, &r); !strings.Contains(r.Reason, c.reason) {
-						t.Errorf("unexpected rejection reason %q", r.Reason)
+						t.Errorf("got rejection reason %q, want the one of the case", r.Reason)
 					}
 					return
 				}
 				if err != nil {
 					if c.reason != "" || strings.Contains(err.Error(), "timeout") {
-						t.Errorf("connection ended without the expected rejection: %v", err)
+						t.Errorf("got end of connection %v, want a rejection, or a close for an oversized frame", err)
 					}
 					return
 				}
@@ -284,7 +284,7 @@
 			nc.SetDeadline(time.Now().Add(5 * time.Second))
 			peer, err := planwire.NewConn(nc).Handshake("n", time.Now().Add(5*time.Second))
 			if (err == nil && peer == "p") != c.isAccepted {
-				t.Errorf("handshake got planner name %q, error %v", peer, err)
+				t.Errorf("got planner name %q, error %v, want a handshake only with keys of the same authority", peer, err)
 			}
 		})
 	}
--- a/internal/controlplane/planwire/frames_test.go
+++ b/internal/controlplane/planwire/frames_test.go
@@ -56,7 +56,7 @@
 					t.Errorf("got peer name %q, error %v, want n1 without error", peer, err)
 				}
 			} else if err == nil || !strings.Contains(err.Error(), c.wantError) {
-				t.Errorf("got error %v", err)
+				t.Errorf("got error %v, want the one of the case", err)
 			}
 		})
 	}
@@ -76,7 +76,7 @@
 		err = Decode(body, &decoded)
 	}
 	if err != nil || k != ReportKind || len(decoded.Servers) != 8 || decoded.NewerIncarnations[0] != r.NewerIncarnations[0] || decoded.Servers[0].Completions[0] != r.Servers[0].Completions[0] {
-		t.Errorf("got decoded report %+v, error %v", decoded, err)
+		t.Errorf("got decoded report %+v, error %v, want the encoded report", decoded, err)
 	}
 	if len(b) > 400 {
 		t.Errorf("got frame of %d bytes, want at most 400 bytes", len(b))
--- a/internal/controlplane/planwire/golden_test.go
+++ b/internal/controlplane/planwire/golden_test.go
@@ -58,7 +58,7 @@
 			}
 			golden := goldenBytes(t, c.name, written)
 			if !bytes.Equal(written, golden) {
-				t.Errorf("encoded frame got\n%x, want\n%x", written, golden)
+				t.Errorf("got encoded frame\n%x, want\n%x", written, golden)
 			}
 			kind, body, err := Read(bytes.NewReader(golden), nil)
 			if err != nil {
@@ -69,7 +69,7 @@
 				t.Fatal(err)
 			}
 			if kind != c.kind || !reflect.DeepEqual(read.Interface(), c.body) {
-				t.Errorf("decoded frame got kind %d\n%+v, want kind %d\n%+v", kind, read.Elem(), c.kind, c.body)
+				t.Errorf("got decoded frame of kind %d\n%+v, want kind %d\n%+v", kind, read.Elem(), c.kind, c.body)
 			}
 		})
 	}
--- a/internal/route/assemble_test.go
+++ b/internal/route/assemble_test.go
@@ -80,7 +80,7 @@
 			"", map[int]string{0: "9 attempts, but the settings allow 4"}},
 		"later of two equal routes is left out": {"", []fragment{{"route", "s", "a", "type = \"check\"", ""}, {"route", "t", "b", "type = \"check\"", ""}},
 			"s/a 0 -", map[int]string{1: "route \"t/b\" and route \"s/a\" match the same requests"}},
-		"route of the file is kept": {operatorFile, []fragment{{"route", "s", "a", "path = \"/check/own\"", ""}},
+		"route of the file stays in effect": {operatorFile, []fragment{{"route", "s", "a", "path = \"/check/own\"", ""}},
 			"own 3 -", map[int]string{0: "route \"s/a\" and route \"own\" (line 8) match the same requests"}},
 		"name of a route of the file": {operatorFile, []fragment{{"route", "", "own", "type = \"check\"", ""}},
 			"own 3 -", map[int]string{0: "duplicate route \"own\", first defined in line 9"}},
@@ -130,7 +130,7 @@
 				t.Errorf("got routes %q, want %q", got, c.routes)
 			}
 			if len(assembled.Unusable) != len(c.unusable) {
-				t.Errorf("got unusable fragments %v", assembled.Unusable)
+				t.Errorf("got unusable fragments %v, want those of the case", assembled.Unusable)
 			}
 			for i, want := range c.unusable {
 				if assembled.Unusable[i] == nil || !strings.Contains(assembled.Unusable[i].Error(), want) {
@@ -184,10 +184,10 @@
 	}
 	settingsTypes := len(testSettings().TrafficTypes)
 	if len(assembled.Table.Pools) != maxPools || len(assembled.Table.Profiles) != maxProfiles || len(assembled.Table.Routes) != maxProfiles-settingsTypes {
-		t.Errorf("got %d pools, %d profiles, %d routes", len(assembled.Table.Pools), len(assembled.Table.Profiles), len(assembled.Table.Routes))
+		t.Errorf("got %d pools, %d profiles, %d routes, want maxPools, maxProfiles and maxProfiles less the types of the settings", len(assembled.Table.Pools), len(assembled.Table.Profiles), len(assembled.Table.Routes))
 	}
 	if len(assembled.Unusable) != 2+5+settingsTypes {
-		t.Errorf("got %d unusable fragments", len(assembled.Unusable))
+		t.Errorf("got %d unusable fragments, want 7 and one for each type of the settings", len(assembled.Unusable))
 	}
 }
 
--- a/internal/route/check_test.go
+++ b/internal/route/check_test.go
@@ -195,7 +195,7 @@
 			name, got = routes.Routes[route].Name, routes.Profiles[routes.Routes[route].profileByType[kind]].Type
 		}
 		if name != c.route || got != c.want {
-			t.Errorf("%s: got route %q with %+v", path, name, got)
+			t.Errorf("%s: got route %q with %+v, want the route and limits of the case", path, name, got)
 		}
 	}
 	var printed strings.Builder
--- a/internal/route/match_test.go
+++ b/internal/route/match_test.go
@@ -10,7 +10,7 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// fields is a HeaderGetter.
+// fields is a HeaderGetter for tests, by the exact name of the field.
 type fields map[string]string
 
 func (f fields) Get(name string) []byte {
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -80,11 +80,11 @@
 		t.Errorf("after an unchanged file: got %d admitted of traffic type %d, want 10 of type %d", len(admitted), admitted[0].Type, open[0].Type)
 	}
 
-	// A changed limit gets a new index that learns from the old one, which is kept. The concurrency limit is now below the
-	// number of open requests.
+	// A changed limit gets a new index that starts with the latencies of the old one. The open requests retain the old index.
+	// The concurrency limit is now below the number of open requests.
 	update = r.Replace(0, parse(t, fileText("hops = 3\nat_once = 100")))
 	if len(admit(r, 0, "/check/x", 0, 9)) != 0 {
-		t.Error("got requests admitted above the new limit")
+		t.Error("got requests admitted above the new limit, want none")
 	}
 	oldType := open[0].Type
 	if update.TrafficTypes[oldType].MaxAttempts != 2 || update.LearnFrom[oldType] != oldType {
@@ -92,7 +92,7 @@
 	}
 	newType := len(update.TrafficTypes) - 1
 	if update.TrafficTypes[newType].MaxAttempts != 3 || update.LearnFrom[newType] != oldType || update.RouteLimits[open[0].LimitIndex] != 100 {
-		t.Errorf("new traffic type: got %+v learning from %d, route limits %v", update.TrafficTypes[newType], update.LearnFrom[newType], update.RouteLimits)
+		t.Errorf("new traffic type: got %+v learning from %d, route limits %v, want 3 attempts, the old type and a limit of 100", update.TrafficTypes[newType], update.LearnFrom[newType], update.RouteLimits)
 	}
 
 	// The route is removed while its requests are open: they keep their index, and their releases are counted.
@@ -116,7 +116,7 @@
 		}
 	}
 	if len(r.types) > types+1 || len(r.limiters) > limiters+1 {
-		t.Errorf("after 50 files: got %d types, had %d; got %d limiters, had %d", len(r.types), types, len(r.limiters), limiters)
+		t.Errorf("after 50 files: got %d types, %d before; got %d limiters, %d before; want at most one more of each", len(r.types), types, len(r.limiters), limiters)
 	}
 }
 
@@ -144,10 +144,10 @@
 	open := admit(r, 0, "/check/x", 0, 1)[0]
 	required := update.TrafficTypes[open.Type].PoolLabels
 	if required == 0 || r.Labels("s", "south", "") != required || r.Labels("s", "north", "")&required != 0 {
-		t.Fatalf("got required labels %b, labels of south %b, of north %b", required, r.Labels("s", "south", ""), r.Labels("s", "north", ""))
+		t.Fatalf("got required labels %b, labels of south %b, of north %b, want the required ones only for south", required, r.Labels("s", "south", ""), r.Labels("s", "north", ""))
 	}
 	update = r.Replace(0, parse(t, pool("b", "south")+pool("c", "north")+threeLines+"pool = \"c\""))
 	if update.TrafficTypes[open.Type].PoolLabels != required || r.Labels("s", "south", "") != required || r.Labels("s", "north", "")&required != 0 {
-		t.Errorf("after another file: got required labels %b, labels of south %b, of north %b", update.TrafficTypes[open.Type].PoolLabels, r.Labels("s", "south", ""), r.Labels("s", "north", ""))
+		t.Errorf("after another file: got required labels %b, labels of south %b, of north %b, want unchanged ones only for south", update.TrafficTypes[open.Type].PoolLabels, r.Labels("s", "south", ""), r.Labels("s", "north", ""))
 	}
 }
