--- a/internal/controlplane/distribution/client/faults_test.go
+++ b/internal/controlplane/distribution/client/faults_test.go
@@ -91,12 +91,12 @@
 // the network to the one that it follows, and a change written after the fault.
 func TestFaultsOfControlProcessAndNetwork(t *testing.T) {
 	for name, c := range map[string]struct{ fault, repair func(*faultproxy.Proxy) }{
-		"cut towards the node": {func(w *faultproxy.Proxy) { w.Cut(faultproxy.Down, true) }, func(w *faultproxy.Proxy) { w.Cut(faultproxy.Down, false) }},
-		"cut towards control":  {func(w *faultproxy.Proxy) { w.Cut(faultproxy.Up, true) }, func(w *faultproxy.Proxy) { w.Cut(faultproxy.Up, false) }},
-		"cut both ways": {func(w *faultproxy.Proxy) { w.Cut(faultproxy.Up, true); w.Cut(faultproxy.Down, true) },
-			func(w *faultproxy.Proxy) { w.Cut(faultproxy.Up, false); w.Cut(faultproxy.Down, false) }},
-		"garbled":    {func(w *faultproxy.Proxy) { w.Garble(faultproxy.Down, 3) }, func(*faultproxy.Proxy) {}},
-		"broken off": {func(w *faultproxy.Proxy) { w.Break() }, func(*faultproxy.Proxy) {}},
+		"cut towards the node": {func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Down, true) }, func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Down, false) }},
+		"cut towards control":  {func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Up, true) }, func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Up, false) }},
+		"cut both ways": {func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Up, true); proxy.Cut(faultproxy.Down, true) },
+			func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Up, false); proxy.Cut(faultproxy.Down, false) }},
+		"garbled":    {func(proxy *faultproxy.Proxy) { proxy.Garble(faultproxy.Down, 3) }, func(*faultproxy.Proxy) {}},
+		"broken off": {func(proxy *faultproxy.Proxy) { proxy.Break() }, func(*faultproxy.Proxy) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/controlplane/distribution/control/control_test.go
+++ b/internal/controlplane/distribution/control/control_test.go
@@ -265,7 +265,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if n := r.counts.mergedEntries - received; n != 50 && received > 0 && n > 50 {
-		t.Errorf("got %d entries received during the repair, want 50", n)
+		t.Errorf("got %d entries received during the repair, want at most 50", n)
 	}
 }
 
@@ -309,28 +309,28 @@
 	wait(t, "the processes to be current", func() bool { return a.isCurrent() && b.isCurrent() })
 	write(t, a.at, route("s", "both"))
 	agree(t, a, b)
-	for _, w := range proxies {
-		w.Cut(faultproxy.Up, true)
-		w.Cut(faultproxy.Down, true)
+	for _, proxy := range proxies {
+		proxy.Cut(faultproxy.Up, true)
+		proxy.Cut(faultproxy.Down, true)
 	}
-	of := func(value string) distribution.Change {
+	withValue := func(value string) distribution.Change {
 		c := route("s", "both")
 		c.Value = []byte(value)
 		return c
 	}
-	write(t, a.at, of("first"), route("s", "of-a"))
-	write(t, b.at, of("second"), route("s", "of-b"))
+	write(t, a.at, withValue("first"), route("s", "of-a"))
+	write(t, b.at, withValue("second"), route("s", "of-b"))
 	if a.state() == b.state() {
 		t.Fatal("stores are equal during the partition, want a difference")
 	}
-	for _, w := range proxies {
-		w.Cut(faultproxy.Up, false)
-		w.Cut(faultproxy.Down, false)
+	for _, proxy := range proxies {
+		proxy.Cut(faultproxy.Up, false)
+		proxy.Cut(faultproxy.Down, false)
 	}
 	agree(t, a, b)
 	for _, m := range []*member{a, b} {
 		m.mu.Lock()
-		e, _ := m.store.Entry(of("").Key)
+		e, _ := m.store.Entry(withValue("").Key)
 		m.mu.Unlock()
 		if string(e.Value) != "second" || !m.has("of-a") || !m.has("of-b") {
 			t.Errorf("%s: got value %q, entry of a %t, entry of b %t, want second and both entries", m.config.Name, e.Value, m.has("of-a"), m.has("of-b"))
--- a/internal/controlplane/distribution/control/process_test.go
+++ b/internal/controlplane/distribution/control/process_test.go
@@ -356,12 +356,12 @@
 	defer w.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	of := map[string]bool{}
+	isSelected := map[string]bool{}
 	for _, name := range services {
-		of[name] = true
+		isSelected[name] = true
 	}
 	for k, e := range w.acknowledged {
-		if services != nil && !of[k.Service] {
+		if services != nil && !isSelected[k.Service] {
 			continue
 		}
 		stored, ok := s.store.Entry(k)
--- a/internal/controlplane/distribution/control/source_test.go
+++ b/internal/controlplane/distribution/control/source_test.go
@@ -53,29 +53,31 @@
 func TestListedServersAreWritten(t *testing.T) {
 	t.Parallel()
 	list, m := startListed(t)
-	is := func(name string, condition incarnation.Condition, turn bool) func() bool {
+	hasCondition := func(name string, condition incarnation.Condition, hasNewGeneration bool) func() bool {
 		return func() bool {
 			e, stored := m.server(t, name)
-			return e.ID == name && !stored.Deleted && e.Condition == condition && (e.Generation > 0) == turn && e.Address == "127.0.0.1:1"
+			return e.ID == name && !stored.Deleted && e.Condition == condition && (e.Generation > 0) == hasNewGeneration && e.Address == "127.0.0.1:1"
 		}
 	}
-	wait(t, "both servers", func() bool { return is("s1", incarnation.Up, false)() && is("s2", incarnation.Up, false)() })
+	wait(t, "both servers", func() bool {
+		return hasCondition("s1", incarnation.Up, false)() && hasCondition("s2", incarnation.Up, false)()
+	})
 	set := func(id, phase string) {
 		list.Set(discovery.Entry{ID: id, Phase: phase, Addresses: []string{"127.0.0.1:1"}})
 	}
 	set("s1", discovery.Draining)
-	wait(t, "a drain", is("s1", incarnation.Draining, false))
+	wait(t, "a drain", hasCondition("s1", incarnation.Draining, false))
 	set("s1", discovery.Serving)
-	wait(t, "the canceled drain", is("s1", incarnation.Up, true))
+	wait(t, "the canceled drain", hasCondition("s1", incarnation.Up, true))
 	set("s2", discovery.Deleted)
 	wait(t, "the deletion of a server", func() bool { _, stored := m.server(t, "s2"); return stored.Deleted })
 	set("s2", discovery.Serving)
-	wait(t, "the return of the deleted server", is("s2", incarnation.Up, true))
+	wait(t, "the return of the deleted server", hasCondition("s2", incarnation.Up, true))
 	_, stored := m.server(t, "s2")
 	list.Down(true)
 	list.Down(false)
 	set("s3", discovery.Serving)
-	wait(t, "a new server", is("s3", incarnation.Up, false))
+	wait(t, "a new server", hasCondition("s3", incarnation.Up, false))
 	if _, again := m.server(t, "s2"); again.Clock != stored.Clock {
 		t.Error("unchanged server was written again after discovery listed it again")
 	}
--- a/internal/controlplane/distribution/control/storefull_test.go
+++ b/internal/controlplane/distribution/control/storefull_test.go
@@ -19,15 +19,15 @@
 	wait(t, "the root to be current", a.isCurrent)
 	write(t, a.at, route("s", "1"), route("s", "2"))
 	agree(t, a, r)
-	ownStatus := func() distribution.NodeStatus {
+	status := func() distribution.NodeStatus {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		return r.processStatus()
 	}
-	wait(t, "the processes to be current", func() bool { return r.isCurrent() && !ownStatus().IsCatchingUp })
+	wait(t, "the processes to be current", func() bool { return r.isCurrent() && !status().IsCatchingUp })
 	write(t, a.at, route("s", "3"))
 	wait(t, "a status with the rejected entry", func() bool {
-		s := ownStatus()
+		s := status()
 		return s.IsCatchingUp && len(s.Rejected) == 1 && s.Rejected[0].Key == route("s", "3").Key
 	})
 	state := func() distribution.State {
@@ -51,7 +51,7 @@
 	if got := state(); got != distribution.StateBehind {
 		t.Errorf("got state %s with a full store, want behind", got)
 	}
-	if s := ownStatus(); !s.IsCatchingUp || len(s.Rejected) != 1 {
+	if s := status(); !s.IsCatchingUp || len(s.Rejected) != 1 {
 		t.Errorf("got status %+v, want catching up with one rejection", s)
 	}
 }
--- a/internal/controlplane/distribution/failback_test.go
+++ b/internal/controlplane/distribution/failback_test.go
@@ -11,8 +11,8 @@
 	t.Helper()
 	s := NewSubscriber(0, SubscriberOptions{UpstreamCount: upstreams, JitterSeed: seed, FailbackDelay: time.Minute})
 	for want := range upstreams {
-		if do, _ := s.Tick(0); !do.ShouldDial || do.Upstream != want {
-			t.Fatalf("got %+v, want a dial of upstream %d", do, want)
+		if action, _ := s.Tick(0); !action.ShouldDial || action.Upstream != want {
+			t.Fatalf("got %+v, want a dial of upstream %d", action, want)
 		}
 		if want < upstreams-1 {
 			s.UpstreamLost(0)
@@ -28,12 +28,12 @@
 	t.Helper()
 	for at = from; at < from+time.Hour; at += time.Second {
 		s.MessageReceived(at, true) // digests arrive
-		do, again := s.Tick(at)
-		if do.ShouldDisconnect || do.ShouldDial || again > at+tickInterval {
-			t.Fatalf("at %v: got %+v, next tick at %v, want no connection change", at, do, again)
+		action, next := s.Tick(at)
+		if action.ShouldDisconnect || action.ShouldDial || next > at+tickInterval {
+			t.Fatalf("at %v: got %+v, next tick at %v, want no connection change", at, action, next)
 		}
-		if do.ShouldProbe {
-			return at, do.ProbeUpstream
+		if action.ShouldProbe {
+			return at, action.ProbeUpstream
 		}
 	}
 	t.Fatal("no probe within an hour")
@@ -47,7 +47,7 @@
 	if upstream != 0 || at < 30*time.Second || at > 91*time.Second {
 		t.Fatalf("got a probe of upstream %d at %v, want 0 from 30s to 91s", upstream, at)
 	}
-	if do, _ := s.Tick(at + time.Second); do.ShouldProbe {
+	if action, _ := s.Tick(at + time.Second); action.ShouldProbe {
 		t.Error("second probe before the end of the first one")
 	}
 	s.ProbeEnded(at, 0, false)
@@ -56,9 +56,9 @@
 		t.Fatalf("got a probe of upstream %d, want 1", upstream)
 	}
 	s.ProbeEnded(at, 1, true)
-	do, _ := s.Tick(at)
-	if !do.ShouldDisconnect || !do.IsFailback || !do.ShouldDial || do.Upstream != 1 || s.State() != StateBehind || !s.CanServe() {
-		t.Fatalf("got %+v, state %v, want a failback to upstream 1 and state behind", do, s.State())
+	action, _ := s.Tick(at)
+	if !action.ShouldDisconnect || !action.IsFailback || !action.ShouldDial || action.Upstream != 1 || s.State() != StateBehind || !s.CanServe() {
+		t.Fatalf("got %+v, state %v, want a failback to upstream 1 and state behind", action, s.State())
 	}
 	s.UpstreamConnected(at)
 	s.MessageReceived(at, true)
@@ -66,15 +66,15 @@
 		t.Fatalf("got a probe of upstream %d from upstream 1, want 0", upstream)
 	}
 	s.ProbeEnded(at, 0, true)
-	if do, _ := s.Tick(at); !do.IsFailback || do.Upstream != 0 {
-		t.Fatalf("got %+v, want a failback to upstream 0", do)
+	if action, _ := s.Tick(at); !action.IsFailback || action.Upstream != 0 {
+		t.Fatalf("got %+v, want a failback to upstream 0", action)
 	}
 	s.UpstreamConnected(at)
 	s.MessageReceived(at, true)
 	for end := at + time.Hour; at < end; at += time.Second {
 		s.MessageReceived(at, true)
-		if do, _ := s.Tick(at); do != (Action{}) {
-			t.Fatalf("connected to the most preferred upstream: got %+v, want no action", do)
+		if action, _ := s.Tick(at); action != (Action{}) {
+			t.Fatalf("connected to the most preferred upstream: got %+v, want no action", action)
 		}
 	}
 }
@@ -86,8 +86,8 @@
 		at, _ := awaitProbe(t, s, 0)
 		s.UpstreamLost(at)
 		s.ProbeEnded(at, 0, true)
-		if do, _ := s.Tick(at); do.IsFailback || !do.ShouldDial || do.Upstream != 0 {
-			t.Errorf("got %+v, want a dial of upstream 0 without failback", do)
+		if action, _ := s.Tick(at); action.IsFailback || !action.ShouldDial || action.Upstream != 0 {
+			t.Errorf("got %+v, want a dial of upstream 0 without failback", action)
 		}
 	})
 	t.Run("disabled", func(t *testing.T) {
@@ -95,8 +95,8 @@
 		s.options.FailbackDelay = 0
 		for at := time.Duration(0); at < 10*time.Minute; at += time.Second {
 			s.MessageReceived(at, true)
-			if do, _ := s.Tick(at); do != (Action{}) {
-				t.Fatalf("got %+v, want no action", do)
+			if action, _ := s.Tick(at); action != (Action{}) {
+				t.Fatalf("got %+v, want no action", action)
 			}
 		}
 	})
@@ -106,14 +106,14 @@
 		for at < 2*time.Hour {
 			at, _ = awaitProbe(t, s, at)
 			s.ProbeEnded(at, 0, true)
-			if do, _ := s.Tick(at); !do.IsFailback {
-				t.Fatalf("got %+v, want a failback", do)
+			if action, _ := s.Tick(at); !action.IsFailback {
+				t.Fatalf("got %+v, want a failback", action)
 			}
 			failbacks++
 			s.UpstreamConnected(at)
 			s.UpstreamLost(at)
-			if do, _ := s.Tick(at); !do.ShouldDial || do.Upstream != 1 {
-				t.Fatalf("got %+v, want a dial of upstream 1", do)
+			if action, _ := s.Tick(at); !action.ShouldDial || action.Upstream != 1 {
+				t.Fatalf("got %+v, want a dial of upstream 1", action)
 			}
 			s.UpstreamConnected(at)
 			s.MessageReceived(at, true)
--- a/internal/controlplane/distribution/subscriber_test.go
+++ b/internal/controlplane/distribution/subscriber_test.go
@@ -9,7 +9,7 @@
 	const ms = time.Millisecond
 	type step struct {
 		at     time.Duration
-		do     string // input: connected, received, complete, lost, or passed for the passing of time
+		do     string // input: connected, received (an incomplete message), complete, lost, or passed (of time)
 		state  State
 		serves bool
 	}
@@ -72,33 +72,33 @@
 	s := NewSubscriber(0, SubscriberOptions{UpstreamCount: 3, JitterSeed: "n"})
 	dial := func(at time.Duration, want int) {
 		t.Helper()
-		if do, _ := s.Tick(at); !do.ShouldDial || do.Upstream != want {
-			t.Fatalf("at %v: got %+v, want a dial of upstream %d", at, do, want)
+		if action, _ := s.Tick(at); !action.ShouldDial || action.Upstream != want {
+			t.Fatalf("at %v: got %+v, want a dial of upstream %d", at, action, want)
 		}
 	}
 	dial(0, 0)
 	s.UpstreamLost(1)
 	dial(1, 1)
-	if do, again := s.Tick(500 * time.Millisecond); do.ShouldDial || again > 1*time.Second+1 {
-		t.Fatalf("attempt in progress: got %+v, next tick at %v, want no dial", do, again)
+	if action, next := s.Tick(500 * time.Millisecond); action.ShouldDial || next > 1*time.Second+1 {
+		t.Fatalf("attempt in progress: got %+v, next tick at %v, want no dial", action, next)
 	}
-	if do, _ := s.Tick(1*time.Second + 1); !do.ShouldDisconnect || !do.ShouldDial || do.Upstream != 2 {
-		t.Fatalf("attempt timed out: got %+v, want a dial of upstream 2", do)
+	if action, _ := s.Tick(1*time.Second + 1); !action.ShouldDisconnect || !action.ShouldDial || action.Upstream != 2 {
+		t.Fatalf("attempt timed out: got %+v, want a dial of upstream 2", action)
 	}
 	s.UpstreamConnected(1100 * time.Millisecond)
 	s.MessageReceived(1200*time.Millisecond, true)
-	if do, _ := s.Tick(20 * time.Second); do.ShouldDial || do.ShouldDisconnect {
-		t.Fatalf("working connection: got %+v, want no dial and no disconnect", do)
+	if action, _ := s.Tick(20 * time.Second); action.ShouldDial || action.ShouldDisconnect {
+		t.Fatalf("working connection: got %+v, want no dial and no disconnect", action)
 	}
 	s.UpstreamLost(21 * time.Second)
-	do, again := s.Tick(21 * time.Second) // the third consecutive failure ends a round of attempts
-	if do.ShouldDial || again <= 21*time.Second || again > 21*time.Second+2*initialBackoff {
-		t.Fatalf("got %+v, next tick at %v, want a backoff after a round", do, again)
+	action, next := s.Tick(21 * time.Second) // the third consecutive failure ends a round of attempts
+	if action.ShouldDial || next <= 21*time.Second || next > 21*time.Second+2*initialBackoff {
+		t.Fatalf("got %+v, next tick at %v, want a backoff after a round", action, next)
 	}
-	dial(again, 0)
+	dial(next, 0)
 	for range 100 {
-		s.UpstreamLost(again)
-		_, again = s.Tick(again)
+		s.UpstreamLost(next)
+		_, next = s.Tick(next)
 	}
 	if waited := s.backoffAfter(100); waited > defaultMaxBackoff || waited < defaultMaxBackoff/2 {
 		t.Fatalf("got a backoff of %v, want from half of defaultMaxBackoff to all of it", waited)
