--- a/internal/controlplane/distribution/control/doc.go
+++ b/internal/controlplane/distribution/control/doc.go
@@ -3,6 +3,7 @@
 // distribution contains the protocol logic; this package adds sockets, the disk and clocks. Process is the entry point.
 //
 // The goroutines of a Server share its state under Server.mu: each connection has one that reads and one that writes, one
-// goroutine publishes, and each follower has one that manages the connection to an upstream. The message queue of
-// a connection has its own lock, which may be acquired while Server.mu is held, but not vice versa.
+// goroutine publishes, one accepts connections, and each follower has one that manages the connection to an upstream. Further
+// ones run periodic tasks and write the listed servers. The message queue of a connection has its own lock, which may be
+// acquired while Server.mu is held, but not vice versa.
 package control
--- a/internal/controlplane/distribution/doc.go
+++ b/internal/controlplane/distribution/doc.go
@@ -3,7 +3,7 @@
 //
 // It contains three state machines, which perform no I/O and read no clock:
 //
-//   - Store holds the winning entry of each key. Merging is a join, which is commutative, associative and idempotent, so
+//   - Store contains the winning entry of each key. Merging is a join, which is commutative, associative and idempotent, so
 //     messages may be reordered, duplicated or relayed. A version vector records which writes a store covers.
 //   - Publisher selects the entries that each subscriber of a store lacks, and schedules them within budgets in bytes per
 //     second. Receiver is the subscriber's end of one subscription.
