--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 build:
 	mkdir -p bin && go build -o bin/ ./cmd/...
 
-# As the operators' platform builds it: linked against the C library; needs a C compiler.
+# Builds the same way as the operators' platform: linked against the C library, which requires a C compiler.
 platform:
 	mkdir -p bin && CGO_ENABLED=1 go build -buildvcs=false -ldflags=-linkmode=external -o bin/ ./cmd/...
 
