--- a/cmd/fernvane/check.go
+++ b/cmd/fernvane/check.go
@@ -77,7 +77,7 @@
 		fmt.Fprintf(stderr, "fernvane: saved list not used: %v\n", cfg.SavedListErr)
 	}
 	fmt.Fprintf(out, "%s listens on %s, discovery at %s, %d servers in the saved list, at most %d connections to clients and servers together\n",
-		cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.SavedList.Hosts), cfg.Limits.MaxConnections())
+		cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.SavedList.Endpoints), cfg.Limits.MaxConnections())
 	printPlanners(out, cfg.Planners)
 	printJournal(out, cfg.Journal)
 	printRegistry(out, cfg.Registry)
@@ -226,7 +226,7 @@
 
 func printJournal(out io.Writer, b *wal.Config) {
 	if b != nil {
-		fmt.Fprintf(out, "writes the journal of bindings to %s, which survives a crash of the %s; while writes fail or stall, requests that it records are %s\n", b.Dir, b.Promise,
+		fmt.Fprintf(out, "writes the journal of bindings to %s, which survives a crash of the %s; while writes fail or stall, requests that it records are %s\n", b.Dir, b.Durability,
 			whenFailing(b))
 	}
 }
--- a/cmd/fernvane/config.go
+++ b/cmd/fernvane/config.go
@@ -30,7 +30,7 @@
 	if a.path == "" {
 		return nil, errors.New("no control processes named: use --file FILE")
 	}
-	config, err := client.LoadAccess(a.path)
+	config, err := client.LoadForCommand(a.path)
 	if err != nil {
 		return nil, configError{err}
 	}
--- a/cmd/fernvane/journalsource.go
+++ b/cmd/fernvane/journalsource.go
@@ -158,9 +158,9 @@
 		return err
 	}
 	merger.HasDamage = corrupt > 0
-	hasEnough := tier.HasEnoughAnswers()
+	hasEnough := tier.HasEnoughResponses()
 	for _, e := range append(complete, merger.Incomplete()...) {
-		e.TooFewNodesAsked = !hasEnough
+		e.TooFewNodesResponded = !hasEnough
 		if err := visit(e); err != nil {
 			return err
 		}
--- a/cmd/testbed/journal.go
+++ b/cmd/testbed/journal.go
@@ -43,8 +43,8 @@
 			for i := range n {
 				node := i % len(at)
 				at[node] += down + up + time.Duration(chance.Int64N(int64(900*time.Millisecond)))
-				s.Faults = append(s.Faults, scenario.Fault{Kind: "kill-nodes", At: scenario.Span(at[node]), For: scenario.Span(down), Nodes: []int{node}})
-				s.Length = max(s.Length, scenario.Span(at[node]+time.Second))
+				s.Faults = append(s.Faults, scenario.Fault{Kind: "kill-nodes", At: scenario.Duration(at[node]), For: scenario.Duration(down), Nodes: []int{node}})
+				s.Length = max(s.Length, scenario.Duration(at[node]+time.Second))
 			}
 			out, err := testbed.Run(c.Context(), testbed.Options{Scenario: s, Requests: load.Plan(s), Command: command})
 			if err != nil {
@@ -137,12 +137,12 @@
 			if err != nil {
 				return err
 			}
-			s.Faults, s.Length, s.Nodes.Count, s.Peers.RepairBytes = nil, scenario.Span(length), 6, rate
+			s.Faults, s.Length, s.Nodes.Count, s.Peers.RepairBytes = nil, scenario.Duration(length), 6, rate
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(t, "entries before\twhole after s\tservice\tbook p50 ms\tp99\tCPU s\t")
 			for _, before := range []int{0, n} {
 				one := *s
-				one.Peers.Before = before
+				one.Peers.EarlierEntries = before
 				out, err := testbed.Run(c.Context(), testbed.Options{Scenario: &one, Requests: load.Plan(&one), Command: command})
 				if err != nil {
 					return err
--- a/cmd/testbed/losses.go
+++ b/cmd/testbed/losses.go
@@ -87,8 +87,8 @@
 		return nil, err
 	}
 	s.Seed, s.Journal.Promise = l.seed+l.runs, l.promise
-	s.Length = scenario.Span(2 * time.Minute)
-	s.Faults[0].For = scenario.Span(118 * time.Second)
+	s.Length = scenario.Duration(2 * time.Minute)
+	s.Faults[0].For = scenario.Duration(118 * time.Second)
 	if l.promise != "machines" {
 		s.Peers.Replicas = 0
 	}
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -71,7 +71,7 @@
 		fmt.Fprintf(errs, "unknown policy %q\n", getenv(policyVar))
 		return exitBadInput
 	}
-	cfg.Filesystem = testbed.Disk(getenv)
+	cfg.Filesystem = testbed.NodeFileSystem(getenv)
 	if path := getenv(profileVar); path != "" {
 		f, err := os.Create(path)
 		if err == nil {
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -110,19 +110,19 @@
 	s.runs++
 	s.requests += r.Requests
 	s.answers += r.Answers
-	s.fastCGICrossings += r.FastCGICrossings
-	if r.IdleCrossings > 0 && (s.crossings == 0 || r.ShortestIdle < s.shortestIdle) {
+	s.fastCGICrossings += r.FastCGICloseRaces
+	if r.IdleCloseRaces > 0 && (s.crossings == 0 || r.ShortestIdle < s.shortestIdle) {
 		s.shortestIdle = r.ShortestIdle
 	}
-	s.crossings += r.IdleCrossings
-	for rule, n := range r.Broken {
+	s.crossings += r.IdleCloseRaces
+	for rule, n := range r.Violations {
 		s.broken[rule] += n
 	}
-	if !r.IsBroken() {
+	if !r.HasViolations() {
 		return
 	}
 	s.brokenRuns++
-	fmt.Fprintf(s.out, "seed %d: rule broken, node ended %s after the stop: %s\n", r.Plan.Seed, r.Took.Round(time.Millisecond), r.Plan.String())
+	fmt.Fprintf(s.out, "seed %d: rule broken, node ended %s after the stop: %s\n", r.Plan.Seed, r.StopDuration.Round(time.Millisecond), r.Plan.String())
 	for _, detail := range r.Details {
 		fmt.Fprintf(s.out, "  %s\n", detail)
 	}
--- a/cmd/testbed/steps.go
+++ b/cmd/testbed/steps.go
@@ -77,11 +77,11 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Nodes.Count, s.Load.Rate, s.Length = 6, 150, scenario.Span(9*time.Second)
-	s.Faults = []scenario.Fault{{Kind: faultKind, At: scenario.Span(500 * time.Millisecond), For: scenario.Span(400 * time.Millisecond), Nodes: []int{1}, When: step, Nth: nth}}
+	s.Nodes.Count, s.Load.Rate, s.Length = 6, 150, scenario.Duration(9*time.Second)
+	s.Faults = []scenario.Fault{{Kind: faultKind, At: scenario.Duration(500 * time.Millisecond), For: scenario.Duration(400 * time.Millisecond), Nodes: []int{1}, When: step, Nth: nth}}
 	if isRepairing {
-		lost := scenario.Fault{Kind: "lose-machines", At: scenario.Span(time.Second), For: scenario.Span(6 * time.Second), Nodes: []int{0}}
-		s.Faults[0].At = scenario.Span(4 * time.Second)
+		lost := scenario.Fault{Kind: "lose-machines", At: scenario.Duration(time.Second), For: scenario.Duration(6 * time.Second), Nodes: []int{0}}
+		s.Faults[0].At = scenario.Duration(4 * time.Second)
 		s.Faults = append(s.Faults, lost)
 	}
 	return s, nil
--- a/cmd/testbed/tools.go
+++ b/cmd/testbed/tools.go
@@ -28,7 +28,7 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(t, "%s\t%s\t%d nodes, %d servers\t%s\n", name, s.Length.Std(), s.Nodes.Count, len(s.ServerNames()), s.About)
+				fmt.Fprintf(t, "%s\t%s\t%d nodes, %d servers\t%s\n", name, s.Length.Std(), s.Nodes.Count, len(s.ServerNames()), s.Description)
 			}
 			return t.Flush()
 		}}
@@ -143,8 +143,8 @@
 	if changed("path") {
 		kind := s.Types[0]
 		kind.Name, kind.Path, kind.Share = l.path, l.path, 1
-		if kind.Repeat = "retriable"; l.method == "POST" {
-			kind.Repeat = "binding"
+		if kind.Idempotency = "retriable"; l.method == "POST" {
+			kind.Idempotency = "binding"
 		}
 		s.Types, s.Name = []scenario.Type{kind}, "load"
 	}
@@ -152,7 +152,7 @@
 		s.Load.Rate = l.rate
 	}
 	if changed("for") {
-		s.Length, s.Faults = scenario.Span(l.length), nil
+		s.Length, s.Faults = scenario.Duration(l.length), nil
 	}
 	if changed("shape") {
 		s.Load.Shape = l.shape
--- a/internal/cluster/mtls/config.go
+++ b/internal/cluster/mtls/config.go
@@ -23,13 +23,13 @@
 		{"ca", files.CA},
 	} {
 		if file.path == "" {
-			f.Wrong(file.key, "%s not set: expected cert, key and ca, or plaintext = true on loopback addresses", file.key)
+			f.AddFault(file.key, "%s not set: expected cert, key and ca, or plaintext = true on loopback addresses", file.key)
 			return nil
 		}
 	}
 	keys, err := LoadKeys(files)
 	if err != nil {
-		f.Wrong("cert", "%v", err)
+		f.AddFault("cert", "%v", err)
 		return nil
 	}
 	return keys
@@ -38,10 +38,10 @@
 func checkPlaintext(f *tomlfile.File, files Files, addresses []netip.AddrPort) {
 	for _, address := range addresses {
 		if err := CheckLoopback(address); address.IsValid() && err != nil {
-			f.Wrong("plaintext", "%s: %v", address, err)
+			f.AddFault("plaintext", "%s: %v", address, err)
 		}
 	}
 	if files != (Files{}) {
-		f.Wrong("plaintext", "plaintext excludes cert, key and ca")
+		f.AddFault("plaintext", "plaintext excludes cert, key and ca")
 	}
 }
--- a/internal/cluster/peer/clusterstate.go
+++ b/internal/cluster/peer/clusterstate.go
@@ -10,7 +10,7 @@
 // HasEnoughAnswers reports whether the responding nodes together store every committed record. That is the case if at
 // most as many machines are missing as the largest Replicas among the responses, and all responding nodes have loaded
 // their replicas. It assumes that all nodes are configured with the same number of replicas.
-func (c *Client) HasEnoughAnswers() bool {
+func (c *Client) HasEnoughResponses() bool {
 	if len(c.Answered) == 0 {
 		return false
 	}
--- a/internal/cluster/peer/config.go
+++ b/internal/cluster/peer/config.go
@@ -92,11 +92,11 @@
 // Advertise, then the peers.
 func (c *Config) checkAddresses(f *tomlfile.File) []netip.AddrPort {
 	if c.Name != "" && !nodeNames.MatchString(c.Name) {
-		f.Wrong("name", "name %q: expected "+nodeNameRule, c.Name)
+		f.AddFault("name", "name %q: expected "+nodeNameRule, c.Name)
 	}
 	var err error
 	if c.ListenAddress, err = netip.ParseAddrPort(c.Listen); err != nil {
-		f.Wrong("listen", "listen %q: expected address and port", c.Listen)
+		f.AddFault("listen", "listen %q: expected address and port", c.Listen)
 	}
 	if c.Advertise == "" {
 		c.Advertise = c.Listen
@@ -105,19 +105,19 @@
 	check := func(key, what, text string) {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
-			f.Wrong(key, "%s %q: expected address and port", what, text)
+			f.AddFault(key, "%s %q: expected address and port", what, text)
 		}
 		addresses = append(addresses, a)
 	}
 	check("advertise", "advertise", c.Advertise)
 	if len(c.Peers) > maxSeedAddresses {
-		f.Wrong("peers", "%d peers: expected at most %d, gossip discovers further nodes", len(c.Peers), maxSeedAddresses)
+		f.AddFault("peers", "%d peers: expected at most %d, gossip discovers further nodes", len(c.Peers), maxSeedAddresses)
 	}
 	for i, p := range c.Peers {
 		check("peers."+strconv.Itoa(i), "peer", p)
 	}
 	if c.Deployment == "" {
-		f.Wrong("deployment", "deployment not set: nodes of one cluster need the same deployment name")
+		f.AddFault("deployment", "deployment not set: nodes of one cluster need the same deployment name")
 	}
 	if advertised := addresses[1]; c.Machine == "" && advertised.IsValid() {
 		c.Machine = advertised.Addr().String()
@@ -127,28 +127,28 @@
 
 func (c *Config) checkBounds(f *tomlfile.File) {
 	if c.Replicas < 1 || c.Replicas > maxReplicas {
-		f.Wrong("replicas", "replicas %d: expected 1 to %d", c.Replicas, maxReplicas)
+		f.AddFault("replicas", "replicas %d: expected 1 to %d", c.Replicas, maxReplicas)
 	}
 	if st, err := os.Stat(c.ReplicaDir); c.ReplicaDir == "" || err != nil || !st.IsDir() {
-		f.Wrong("held", "held %q is not an existing directory", c.ReplicaDir)
+		f.AddFault("held", "held %q is not an existing directory", c.ReplicaDir)
 	}
 	if c.MaxReplicaBytes < minReplicaBytes {
-		f.Wrong("held_bytes", "held_bytes %d: expected at least %d", c.MaxReplicaBytes, minReplicaBytes)
+		f.AddFault("held_bytes", "held_bytes %d: expected at least %d", c.MaxReplicaBytes, minReplicaBytes)
 	}
 	if c.RepairBytesPerSecond < minRepairBytesPerSecond {
-		f.Wrong("repair_bytes", "repair_bytes %d: expected at least %d bytes per second", c.RepairBytesPerSecond, minRepairBytesPerSecond)
+		f.AddFault("repair_bytes", "repair_bytes %d: expected at least %d bytes per second", c.RepairBytesPerSecond, minRepairBytesPerSecond)
 	}
 	if c.SlowAfter.Std() < minSlowAfter || c.SlowAfter.Std() > maxSlowAfter {
-		f.Wrong("slow_after", "slow_after %s: expected 5ms to 5s", c.SlowAfter.Std())
+		f.AddFault("slow_after", "slow_after %s: expected 5ms to 5s", c.SlowAfter.Std())
 	}
 	if c.ReconcileAfter.Std() < minReconcileAfter {
-		f.Wrong("gone_after", "gone_after %s: expected at least 5s, a node that is down for less may be restarting", c.ReconcileAfter.Std())
+		f.AddFault("gone_after", "gone_after %s: expected at least 5s, a node that is down for less may be restarting", c.ReconcileAfter.Std())
 	}
 }
 
 func (c *Config) loadKeys(f *tomlfile.File, addresses []netip.AddrPort) {
 	if !c.Plaintext && c.TLSName == "" {
-		f.Wrong("tls_name", "tls_name not set: expected the server name in the nodes' certificates")
+		f.AddFault("tls_name", "tls_name not set: expected the server name in the nodes' certificates")
 	}
 	c.Keys = mtls.KeysFromConfig(f, mtls.Files{Cert: c.Cert, Key: c.Key, CA: c.CA}, c.Plaintext, addresses)
 }
--- a/internal/cluster/peer/helpers_test.go
+++ b/internal/cluster/peer/helpers_test.go
@@ -161,5 +161,5 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	return ids, client.HasEnoughAnswers()
+	return ids, client.HasEnoughResponses()
 }
--- a/internal/cluster/replicastore/store_test.go
+++ b/internal/cluster/replicastore/store_test.go
@@ -15,7 +15,7 @@
 // recorded.
 func TestSlowDisk(t *testing.T) {
 	dir := t.TempDir()
-	slow := memdisk.SlowFiles{Takes: func() time.Duration { return 30 * time.Millisecond }, Full: func() bool { return false }}
+	slow := memdisk.SlowFiles{WriteDelay: func() time.Duration { return 30 * time.Millisecond }, Full: func() bool { return false }}
 	s := Open(dir, slow, 1<<20)
 	stream := replication.Stream{Name: "n0", Incarnation: 7}
 	next := uint64(1)
--- a/internal/config/settings/placement.go
+++ b/internal/config/settings/placement.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("traffic type %d: dcsOnly %w", i, err)
 	}
-	kinds, err := decodeIndexes(t.AllowedOn, &s.Kinds)
+	kinds, err := decodeIndexes(t.AllowedOn, &s.MachineKinds)
 	if err != nil {
 		return 0, fmt.Errorf("traffic type %d: allowedOn %w", i, err)
 	}
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -14,12 +14,12 @@
 // Settings are the settings of the policy and those that only a node needs that serves connections.
 type Settings struct {
 	policy.Settings
-	TypeNames   []string
-	TenantNames []string
-	Zones       []string      // names by index: zones of the settings, then further zones that placements name
-	Kinds       []string      // names by index: machine kinds of the settings, then further kinds that placements name
-	ConnIdle    time.Duration // maximum time that a connection stays idle before it is closed
-	DrainGrace  time.Duration // time after a drain notice in which attempts that were decided before it may still be sent; below 0: not set
+	TypeNames    []string
+	TenantNames  []string
+	Zones        []string      // names by index: zones of the settings, then further zones that placements name
+	MachineKinds []string      // names by index: machine kinds of the settings, then further kinds that placements name
+	ConnIdle     time.Duration // maximum time that a connection stays idle before it is closed
+	DrainGrace   time.Duration // time after a drain notice in which attempts that were decided before it may still be sent; below 0: not set
 }
 
 // CheckCompatible returns an error if other cannot be used as shadow settings of these settings. Both must define the same
@@ -32,9 +32,9 @@
 	if !slices.Equal(s.TenantNames, other.TenantNames) {
 		return fmt.Errorf("settings define tenants %q, node uses %q: both must be equal", other.TenantNames, s.TenantNames)
 	}
-	if len(other.Placements) > 0 && !(slices.Equal(s.Zones, other.Zones) && slices.Equal(s.Kinds, other.Kinds)) {
+	if len(other.Placements) > 0 && !(slices.Equal(s.Zones, other.Zones) && slices.Equal(s.MachineKinds, other.MachineKinds)) {
 		return fmt.Errorf("settings with placements define zones %q and machine kinds %q, node uses %q and %q: both must be equal",
-			other.Zones, other.Kinds, s.Zones, s.Kinds)
+			other.Zones, other.MachineKinds, s.Zones, s.MachineKinds)
 	}
 	return nil
 }
@@ -50,7 +50,7 @@
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return Settings{}, fmt.Errorf("settings cannot be read: %v", err)
 	}
-	s := Settings{Zones: raw.Dcs, Kinds: raw.Skus, ConnIdle: FromMillis(raw.Limits.ConnIdle), DrainGrace: -1}
+	s := Settings{Zones: raw.Dcs, MachineKinds: raw.Skus, ConnIdle: FromMillis(raw.Limits.ConnIdle), DrainGrace: -1}
 	if raw.Rules.StopSendingWithin != nil {
 		s.DrainGrace = max(FromMillis(*raw.Rules.StopSendingWithin), 0)
 	}
--- a/internal/config/tomlfile/tomlfile.go
+++ b/internal/config/tomlfile/tomlfile.go
@@ -24,16 +24,16 @@
 
 // Fault is one fault of a file.
 type Fault struct {
-	File string
-	Line int // 0: the fault concerns the whole file
-	Why  string
+	File   string
+	Line   int // 0: the fault concerns the whole file
+	Reason string
 }
 
 func (f Fault) Error() string {
 	if f.Line == 0 {
-		return f.File + ": " + f.Why
+		return f.File + ": " + f.Reason
 	}
-	return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Why)
+	return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Reason)
 }
 
 // Faults is the error of an invalid file. It holds all faults in the order of their lines.
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	if info.Size() > maxFileBytes {
-		return nil, Faults{{File: path, Why: fmt.Sprintf("larger than %d bytes", maxFileBytes)}}
+		return nil, Faults{{File: path, Reason: fmt.Sprintf("larger than %d bytes", maxFileBytes)}}
 	}
 	return os.ReadFile(path)
 }
@@ -91,10 +91,10 @@
 func Parse(name string, text []byte, into any) (*File, error) {
 	f := &File{Name: name, lines: map[string]int{}}
 	if len(text) > maxFileBytes {
-		return f, Faults{{File: name, Why: fmt.Sprintf("larger than %d bytes", maxFileBytes)}}
+		return f, Faults{{File: name, Reason: fmt.Sprintf("larger than %d bytes", maxFileBytes)}}
 	}
 	if !utf8.Valid(text) {
-		return f, Faults{{File: name, Line: firstInvalidLine(text), Why: "not UTF-8"}}
+		return f, Faults{{File: name, Line: firstInvalidLine(text), Reason: "not UTF-8"}}
 	}
 	isValid := f.indexLines(text)
 	for range maxFaults {
@@ -122,7 +122,7 @@
 				return f, f.Err()
 			}
 		default:
-			f.faults = append(f.faults, Fault{File: name, Why: err.Error()})
+			f.faults = append(f.faults, Fault{File: name, Reason: err.Error()})
 			return f, f.Err()
 		}
 	}
@@ -234,7 +234,7 @@
 }
 
 // Wrong records a fault at a key.
-func (f *File) Wrong(path, format string, args ...any) {
+func (f *File) AddFault(path, format string, args ...any) {
 	f.faults = append(f.faults, Fault{f.Name, f.Line(path), fmt.Sprintf(format, args...)})
 }
 
--- a/internal/controlplane/distribution/client/config.go
+++ b/internal/controlplane/distribution/client/config.go
@@ -51,30 +51,30 @@
 		return nil, err
 	}
 	if len(c.Services) == 0 || len(c.Services) > maxServices {
-		f.Wrong("services", "%d services: want 1 to %d", len(c.Services), maxServices)
+		f.AddFault("services", "%d services: want 1 to %d", len(c.Services), maxServices)
 	}
 	for i, name := range c.Services {
 		switch {
 		case name == "" || len(name) > distribution.MaxNameBytes:
-			f.Wrong("services."+strconv.Itoa(i), "service %.40q: want a name of 1 to %d bytes", name, distribution.MaxNameBytes)
+			f.AddFault("services."+strconv.Itoa(i), "service %.40q: want a name of 1 to %d bytes", name, distribution.MaxNameBytes)
 		case slices.Contains(c.Services[:i], name):
-			f.Wrong("services."+strconv.Itoa(i), "service %q listed twice", name)
+			f.AddFault("services."+strconv.Itoa(i), "service %q listed twice", name)
 		}
 	}
 	if info, err := os.Stat(c.Directory); c.Directory == "" || err != nil || !info.IsDir() {
-		f.Wrong("directory", "directory %q does not exist or is not a directory", c.Directory)
+		f.AddFault("directory", "directory %q does not exist or is not a directory", c.Directory)
 	}
 	if d := c.StartTimeout.Std(); d < 0 || d > maxStartTimeout {
-		f.Wrong("start_within", "start_within %s: want 0s to %s", d, maxStartTimeout)
+		f.AddFault("start_within", "start_within %s: want 0s to %s", d, maxStartTimeout)
 	}
 	if d := c.FailbackDelay.Std(); d < 0 || d > maxFailbackDelay {
-		f.Wrong("return_after", "return_after %s: want 0s to %s", d, maxFailbackDelay)
+		f.AddFault("return_after", "return_after %s: want 0s to %s", d, maxFailbackDelay)
 	}
 	return c, f.Err()
 }
 
 // LoadAccess reads the file for a command. It validates only the settings for the connection to control processes.
-func LoadAccess(path string) (*Config, error) {
+func LoadForCommand(path string) (*Config, error) {
 	c, f, err := parse(path)
 	if err != nil {
 		return nil, err
@@ -93,17 +93,17 @@
 		return nil, nil, err
 	}
 	if len(c.Control) == 0 || len(c.Control) > maxControlProcesses {
-		f.Wrong("control", "%d control processes: want 1 to %d", len(c.Control), maxControlProcesses)
+		f.AddFault("control", "%d control processes: want 1 to %d", len(c.Control), maxControlProcesses)
 	}
 	for i, address := range c.Control {
 		parsed, err := netip.ParseAddrPort(address)
 		if err != nil || parsed.Port() == 0 {
-			f.Wrong("control."+strconv.Itoa(i), "control process %q: want IP address and port", address)
+			f.AddFault("control."+strconv.Itoa(i), "control process %q: want IP address and port", address)
 		}
 		c.Addresses = append(c.Addresses, parsed)
 	}
 	if !c.Plaintext && c.TLSName == "" {
-		f.Wrong("tls_name", "tls_name is missing: want the name in the control processes' certificates")
+		f.AddFault("tls_name", "tls_name is missing: want the name in the control processes' certificates")
 	}
 	c.Keys = mtls.KeysFromConfig(f, mtls.Files{Cert: c.Cert, Key: c.Key, CA: c.CA}, c.Plaintext, c.Addresses)
 	return c, f, nil
--- a/internal/controlplane/distribution/client/faults_test.go
+++ b/internal/controlplane/distribution/client/faults_test.go
@@ -73,7 +73,7 @@
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "command.toml")
 	writeFile(t, path, fmt.Sprintf("control = [%q]\nplaintext = true\n", at))
-	c, err := LoadAccess(path)
+	c, err := LoadForCommand(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 		"cut both ways": {func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Up, true); proxy.Cut(faultproxy.Down, true) },
 			func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Up, false); proxy.Cut(faultproxy.Down, false) }},
 		"garbled":    {func(proxy *faultproxy.Proxy) { proxy.Garble(faultproxy.Down, 3) }, func(*faultproxy.Proxy) {}},
-		"broken off": {func(proxy *faultproxy.Proxy) { proxy.Break() }, func(*faultproxy.Proxy) {}},
+		"broken off": {func(proxy *faultproxy.Proxy) { proxy.CloseConnections() }, func(*faultproxy.Proxy) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/controlplane/distribution/client/protocol_test.go
+++ b/internal/controlplane/distribution/client/protocol_test.go
@@ -136,7 +136,7 @@
 			path := filepath.Join(t.TempDir(), "f.toml")
 			writeFile(t, path, c.text)
 			_, node := Load(path)
-			_, command := LoadAccess(path)
+			_, command := LoadForCommand(path)
 			for _, v := range []struct {
 				err  error
 				want string
--- a/internal/controlplane/distribution/control/config.go
+++ b/internal/controlplane/distribution/control/config.go
@@ -105,60 +105,60 @@
 
 func (c *Config) checkNames(f *tomlfile.File) {
 	if !namePattern.MatchString(c.Name) {
-		f.Wrong("name", "name %q: must start with a letter or digit, and contain only letters, digits, dots, dashes and underscores, at most 64 characters", c.Name)
+		f.AddFault("name", "name %q: must start with a letter or digit, and contain only letters, digits, dots, dashes and underscores, at most 64 characters", c.Name)
 	}
 	checkOptionalName(f, "region", c.Region)
 	checkOptionalName(f, "zone", c.Zone)
 	if c.Follow != followAll && c.Follow != followOne {
-		f.Wrong("follow", "follow %q: want all (for roots) or one (for relays)", c.Follow)
+		f.AddFault("follow", "follow %q: want all (for roots) or one (for relays)", c.Follow)
 	}
 }
 
 func checkOptionalName(f *tomlfile.File, key, text string) {
 	if text != "" && !namePattern.MatchString(text) {
-		f.Wrong(key, "%s %q: must start with a letter or digit, and contain only letters, digits, dots, dashes and underscores, at most 64 characters", key, text)
+		f.AddFault(key, "%s %q: must start with a letter or digit, and contain only letters, digits, dots, dashes and underscores, at most 64 characters", key, text)
 	}
 }
 
 func (c *Config) checkAddresses(f *tomlfile.File) {
 	var err error
 	if c.ListenAddress, err = netip.ParseAddrPort(c.Listen); err != nil {
-		f.Wrong("listen", "listen %q: want an IP address and a port", c.Listen)
+		f.AddFault("listen", "listen %q: want an IP address and a port", c.Listen)
 	}
 	if len(c.Upstreams) > maxUpstreams {
-		f.Wrong("upstreams", "%d upstreams: at most %d", len(c.Upstreams), maxUpstreams)
+		f.AddFault("upstreams", "%d upstreams: at most %d", len(c.Upstreams), maxUpstreams)
 	}
 	addresses := []netip.AddrPort{c.ListenAddress}
 	for i, text := range c.Upstreams {
 		address, err := netip.ParseAddrPort(text)
 		switch {
 		case err != nil:
-			f.Wrong("upstreams."+strconv.Itoa(i), "upstream %q: want an IP address and a port", text)
+			f.AddFault("upstreams."+strconv.Itoa(i), "upstream %q: want an IP address and a port", text)
 		case address == c.ListenAddress:
-			f.Wrong("upstreams."+strconv.Itoa(i), "upstream %q: address of this process itself", text)
+			f.AddFault("upstreams."+strconv.Itoa(i), "upstream %q: address of this process itself", text)
 		}
 		c.UpstreamAddresses = append(c.UpstreamAddresses, address)
 	}
 	if !c.Plaintext && c.TLSName == "" && len(c.Upstreams) > 0 {
-		f.Wrong("tls_name", "tls_name is required with upstreams: server name in their certificates")
+		f.AddFault("tls_name", "tls_name is required with upstreams: server name in their certificates")
 	}
 	c.Keys = mtls.KeysFromConfig(f, mtls.Files{Cert: c.Cert, Key: c.Key, CA: c.CA}, c.Plaintext, append(addresses, c.UpstreamAddresses...))
 }
 
 func (c *Config) checkDisk(f *tomlfile.File) {
 	if c.Disk == "" {
-		f.Wrong("disk", "disk is required: path of the file that stores the entries")
+		f.AddFault("disk", "disk is required: path of the file that stores the entries")
 	} else if st, err := os.Stat(filepath.Dir(c.Disk)); err != nil || !st.IsDir() {
-		f.Wrong("disk", "disk %q: parent is not an existing directory", c.Disk)
+		f.AddFault("disk", "disk %q: parent is not an existing directory", c.Disk)
 	}
 	if c.DiskBytes != 0 && c.DiskBytes < minDiskBytes {
-		f.Wrong("disk_bytes", "disk_bytes %d: must be at least %d, or 0 for no limit", c.DiskBytes, minDiskBytes)
+		f.AddFault("disk_bytes", "disk_bytes %d: must be at least %d, or 0 for no limit", c.DiskBytes, minDiskBytes)
 	}
 	if d := c.FailbackDelay.Std(); d < 0 || d > maxFailbackDelay {
-		f.Wrong("return_after", "return_after %s: must be from 0s to %s", d, maxFailbackDelay)
+		f.AddFault("return_after", "return_after %s: must be from 0s to %s", d, maxFailbackDelay)
 	}
 	if c.DeletionRetention.Std() < minDeletionRetention {
-		f.Wrong("keep_deleted", "keep_deleted %s: must be at least %s, and exceed the longest disconnection of any process", c.DeletionRetention.Std(), minDeletionRetention)
+		f.AddFault("keep_deleted", "keep_deleted %s: must be at least %s, and exceed the longest disconnection of any process", c.DeletionRetention.Std(), minDeletionRetention)
 	}
 }
 
@@ -167,13 +167,13 @@
 	checkBytesPerSecond(f, "node_bytes", c.NodeBytesPerSecond, minPeerBytesPerSecond)
 	checkBytesPerSecond(f, "control_bytes", c.ControlBytesPerSecond, minPeerBytesPerSecond)
 	if c.MaxConnections < 1 || c.MaxConnections > connectionsLimit {
-		f.Wrong("connections", "connections %d: must be from 1 to %d", c.MaxConnections, connectionsLimit)
+		f.AddFault("connections", "connections %d: must be from 1 to %d", c.MaxConnections, connectionsLimit)
 	}
 }
 
 func checkBytesPerSecond(f *tomlfile.File, key string, bytes, least int) {
 	if bytes < least || bytes > maxBytesPerSecond {
-		f.Wrong(key, "%s %d: must be from %d to %d bytes per second", key, bytes, least, maxBytesPerSecond)
+		f.AddFault(key, "%s %d: must be from %d to %d bytes per second", key, bytes, least, maxBytesPerSecond)
 	}
 }
 
@@ -181,20 +181,20 @@
 	var err error
 	switch {
 	case c.Discovery != "" && c.Registry != "":
-		f.Wrong("registry", "either discovery or registry may be set, not both")
+		f.AddFault("registry", "either discovery or registry may be set, not both")
 	case c.Registry != "":
 		if c.Ensemble, err = zookeeper.Load(c.Registry); err != nil {
-			f.Wrong("registry", "%v", err)
+			f.AddFault("registry", "%v", err)
 		}
 	case c.Discovery != "":
 		if c.DiscoveryAddress, err = netip.ParseAddrPort(c.Discovery); err != nil {
-			f.Wrong("discovery", "discovery %q: want an IP address and a port", c.Discovery)
+			f.AddFault("discovery", "discovery %q: want an IP address and a port", c.Discovery)
 		}
 	case c.Service != "":
-		f.Wrong("service", "service requires discovery or registry")
+		f.AddFault("service", "service requires discovery or registry")
 	}
 	if c.hasSource() && (c.Service == "" || len(c.Service) > distribution.MaxNameBytes) {
-		f.Wrong("service", "service %q: required with discovery or registry, at most %d bytes", c.Service, distribution.MaxNameBytes)
+		f.AddFault("service", "service %q: required with discovery or registry, at most %d bytes", c.Service, distribution.MaxNameBytes)
 	}
 }
 
--- a/internal/controlplane/distribution/control/faults_test.go
+++ b/internal/controlplane/distribution/control/faults_test.go
@@ -232,7 +232,7 @@
 	}
 	f.a.start(t)
 	for _, name := range alone {
-		f.proxies[name].Break() // data in flight is lost with the process
+		f.proxies[name].CloseConnections() // data in flight is lost with the process
 		f.proxies[name].Cut(faultproxy.Up, false)
 		f.proxies[name].Cut(faultproxy.Down, false)
 	}
--- a/internal/controlplane/distribution/control/source.go
+++ b/internal/controlplane/distribution/control/source.go
@@ -51,7 +51,7 @@
 			for _, err := range list.Skipped {
 				s.log.Warn().Err(err).Msg("list entry skipped")
 			}
-			servers.update(watch.EntriesFromList(list), list.Complete)
+			servers.update(watch.EntriesFromList(list), list.IsComplete)
 		},
 	})
 }
--- a/internal/controlplane/distribution/control/source_test.go
+++ b/internal/controlplane/distribution/control/source_test.go
@@ -20,7 +20,7 @@
 // startListed starts a discovery service with two servers, and a control process that writes them.
 func startListed(t *testing.T) (*discovery.Service, *member) {
 	t.Helper()
-	list := discovery.New(discovery.Settings{LinesPerS: 1e6, Timeout: time.Second}, 1, ignoredAnnouncements{})
+	list := discovery.New(discovery.Settings{LinesPerSecond: 1e6, Timeout: time.Second}, 1, ignoredAnnouncements{})
 	t.Cleanup(list.Close)
 	at := address.Free(t)
 	if err := list.Serve(0, 0, at); err != nil {
@@ -74,8 +74,8 @@
 	set("s2", discovery.Serving)
 	wait(t, "the return of the deleted server", hasCondition("s2", incarnation.Up, true))
 	_, stored := m.server(t, "s2")
-	list.Down(true)
-	list.Down(false)
+	list.SetDown(true)
+	list.SetDown(false)
 	set("s3", discovery.Serving)
 	wait(t, "a new server", hasCondition("s3", incarnation.Up, false))
 	if _, again := m.server(t, "s2"); again.Clock != stored.Clock {
@@ -96,7 +96,7 @@
 	_, before := m.server(t, "s2")
 	config := *m.config
 	m.stop(t)
-	rest := discovery.New(discovery.Settings{LinesPerS: 1e6, Timeout: time.Second}, 1, ignoredAnnouncements{})
+	rest := discovery.New(discovery.Settings{LinesPerSecond: 1e6, Timeout: time.Second}, 1, ignoredAnnouncements{})
 	defer rest.Close()
 	at := address.Free(t)
 	if err := rest.Serve(0, 0, at); err != nil {
--- a/internal/controlplane/distribution/tree/entry.go
+++ b/internal/controlplane/distribution/tree/entry.go
@@ -31,12 +31,12 @@
 		return nil, err
 	}
 	if f.Has("id") && s.ID != key.Name {
-		f.Wrong("id", "file defines server %q, want %q", s.ID, key.Name)
+		f.AddFault("id", "file defines server %q, want %q", s.ID, key.Name)
 	}
 	s.ID = key.Name
 	v, err := s.encode(true)
 	if err != nil {
-		f.Wrong("", "%v", err)
+		f.AddFault("", "%v", err)
 	}
 	return v, f.Err()
 }
@@ -48,11 +48,11 @@
 		return nil, err
 	}
 	if !f.Has("allowance") {
-		f.Wrong("", "allowance is missing")
+		f.AddFault("", "allowance is missing")
 	}
 	v, err := value.EncodeTenant(value.Tenant{Allowance: t.Allowance})
 	if err != nil {
-		f.Wrong("allowance", "%v", err)
+		f.AddFault("allowance", "%v", err)
 	}
 	return v, f.Err()
 }
--- a/internal/controlplane/distribution/tree/fileentries.go
+++ b/internal/controlplane/distribution/tree/fileentries.go
@@ -21,7 +21,7 @@
 		Routes []map[string]any `toml:"routes"`
 	}
 	if err := toml.Unmarshal(text, &raw); err != nil {
-		return tomlfile.Faults{{File: f.Name, Why: err.Error()}}
+		return tomlfile.Faults{{File: f.Name, Reason: err.Error()}}
 	}
 	add := func(keyPath string, kind distribution.Kind, name string, value []byte, err error) {
 		t.addEntry(f, keyPath, distribution.Change{Key: distribution.Key{Service: service, Kind: kind, Name: name}, Value: value}, err)
@@ -57,11 +57,11 @@
 	_, isDuplicate := t.Values[change.Key]
 	switch {
 	case err != nil:
-		f.Wrong(keyPath, "%v", err)
+		f.AddFault(keyPath, "%v", err)
 	case isDuplicate:
-		f.Wrong(keyPath, "duplicate %s %q", change.Key.Kind, change.Key.Name)
+		f.AddFault(keyPath, "duplicate %s %q", change.Key.Kind, change.Key.Name)
 	case change.Validate() != nil:
-		f.Wrong(keyPath, "%v", change.Validate())
+		f.AddFault(keyPath, "%v", change.Validate())
 	default:
 		t.Values[change.Key] = change.Value
 	}
--- a/internal/controlplane/distribution/tree/tree.go
+++ b/internal/controlplane/distribution/tree/tree.go
@@ -106,7 +106,7 @@
 		service = strings.TrimSuffix(filepath.Base(path), fileSuffix)
 	}
 	if slices.Contains(t.Services, service) {
-		f.Wrong("service", "service %q also defined in another file", service)
+		f.AddFault("service", "service %q also defined in another file", service)
 	}
 	t.Services = append(t.Services, service)
 	t.HasServers = t.HasServers || f.Has("servers.0")
--- a/internal/controlplane/planconfig/config.go
+++ b/internal/controlplane/planconfig/config.go
@@ -30,7 +30,7 @@
 // Forwarder is the configuration file of a forwarder.
 type Forwarder struct {
 	Planners []string `toml:"planners"` // planner addresses, in the same order at all forwarders
-	Name     string   `toml:"name"`     // expected name in the planners' certificates, not the name of the forwarder
+	TLSName  string   `toml:"name"`     // expected name in the planners' certificates, not the name of the forwarder
 	TLS
 
 	Addresses []netip.AddrPort `toml:"-"`
@@ -64,17 +64,17 @@
 		return nil, err
 	}
 	if len(c.Planners) == 0 || len(c.Planners) > maxPlanners {
-		f.Wrong("planners", "got %d planners, want 1 to %d", len(c.Planners), maxPlanners)
+		f.AddFault("planners", "got %d planners, want 1 to %d", len(c.Planners), maxPlanners)
 	}
 	for i, p := range c.Planners {
 		address, err := netip.ParseAddrPort(p)
 		if err != nil {
-			f.Wrong("planners."+strconv.Itoa(i), "planner %q is invalid, want IP address and port", p)
+			f.AddFault("planners."+strconv.Itoa(i), "planner %q is invalid, want IP address and port", p)
 		}
 		c.Addresses = append(c.Addresses, address)
 	}
-	if !c.Plaintext && c.Name == "" {
-		f.Wrong("name", "name missing, want name in the planners' certificates")
+	if !c.Plaintext && c.TLSName == "" {
+		f.AddFault("name", "name missing, want name in the planners' certificates")
 	}
 	c.Keys = c.keys(f, c.Addresses)
 	return c, f.Err()
@@ -92,22 +92,22 @@
 		return nil, err
 	}
 	if c.Name == "" {
-		f.Wrong("name", "name missing, want name of this planner")
+		f.AddFault("name", "name missing, want name of this planner")
 	}
 	if c.ListenAddress, err = netip.ParseAddrPort(c.Listen); err != nil {
-		f.Wrong("listen", "listen %q is invalid, want IP address and port", c.Listen)
+		f.AddFault("listen", "listen %q is invalid, want IP address and port", c.Listen)
 	}
 	if c.Registry != "" && c.Discovery != "" {
-		f.Wrong("registry", "discovery and registry are both set, want only one")
+		f.AddFault("registry", "discovery and registry are both set, want only one")
 	} else if c.Registry != "" {
 		if c.Ensemble, err = zookeeper.Load(c.Registry); err != nil {
-			f.Wrong("registry", "%v", err)
+			f.AddFault("registry", "%v", err)
 		}
 	} else if c.DiscoveryAddress, err = netip.ParseAddrPort(c.Discovery); err != nil {
-		f.Wrong("discovery", "discovery %q is invalid, want IP address and port", c.Discovery)
+		f.AddFault("discovery", "discovery %q is invalid, want IP address and port", c.Discovery)
 	}
 	if c.Interval.Std() < minInterval || c.Interval.Std() > maxInterval {
-		f.Wrong("every", "every %s is out of range, want %s to %s", c.Interval.Std(), minInterval, maxInterval)
+		f.AddFault("every", "every %s is out of range, want %s to %s", c.Interval.Std(), minInterval, maxInterval)
 	}
 	c.Keys = c.keys(f, []netip.AddrPort{c.ListenAddress})
 	return c, f.Err()
--- a/internal/controlplane/planner/discovery.go
+++ b/internal/controlplane/planner/discovery.go
@@ -39,14 +39,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	entries := watch.EntriesFromList(list)
-	if list.Complete {
+	if list.IsComplete {
 		clear(s.discovered)
 	}
 	for _, e := range entries {
 		s.discovered[e.ID] = e
 	}
-	s.planner.EndpointsUpdated(s.now(), entries, list.Complete)
-	s.hasServers = s.hasServers || list.Complete
+	s.planner.EndpointsUpdated(s.now(), entries, list.IsComplete)
+	s.hasServers = s.hasServers || list.IsComplete
 }
 
 // registryChanged applies changed servers from the registry.
--- a/internal/controlplane/planner/server_test.go
+++ b/internal/controlplane/planner/server_test.go
@@ -34,7 +34,7 @@
 // startPlanner starts a planner with its own stand-in discovery. It returns the planner's address and the discovery.
 func startPlanner(t *testing.T, keys *mtls.Keys) (address string, list *discovery.Service) {
 	t.Helper()
-	list = discovery.New(discovery.Settings{LinesPerS: 1e6, Timeout: time.Second}, 1, noObserver{})
+	list = discovery.New(discovery.Settings{LinesPerSecond: 1e6, Timeout: time.Second}, 1, noObserver{})
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -166,8 +166,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	session := registry.Own(time.Hour, map[string][]byte{"/hire/a": []byte("127.0.0.1:1")})
-	registry.Own(time.Hour, map[string][]byte{"/hire/b": []byte("127.0.0.1:2")})
+	session := registry.OpenSession(time.Hour, map[string][]byte{"/hire/a": []byte("127.0.0.1:1")})
+	registry.OpenSession(time.Hour, map[string][]byte{"/hire/b": []byte("127.0.0.1:2")})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/endpoints/bench_test.go
+++ b/internal/discovery/endpoints/bench_test.go
@@ -43,7 +43,7 @@
 			list := announcedUp(servers, servers+1)
 			for b.Loop() {
 				view.Apply(0, SourceDiscovery, list, false)
-				view.Forget(list[0].ID)
+				view.Remove(list[0].ID)
 			}
 		})
 	}
--- a/internal/discovery/endpoints/view.go
+++ b/internal/discovery/endpoints/view.go
@@ -171,7 +171,7 @@
 }
 
 // Forget removes the record of a server. The caller must have no requests in flight to it.
-func (v *View) Forget(id string) {
+func (v *View) Remove(id string) {
 	if record := v.records[id]; record != nil {
 		v.removeAddress(id, record.Address)
 		delete(v.records, id)
--- a/internal/discovery/endpoints/view_test.go
+++ b/internal/discovery/endpoints/view_test.go
@@ -172,7 +172,7 @@
 		id, port := fmt.Sprint(i*7%13), uint16(i*11%9)
 		v.Apply(time.Duration(i), SourceDiscovery, []Endpoint{announced(id, port, incarnation.Condition(i*5%3))}, i%17 == 0)
 		if i%5 == 0 {
-			v.Forget(fmt.Sprint(i % 13))
+			v.Remove(fmt.Sprint(i % 13))
 		}
 		seen := map[string]bool{}
 		for at, ids := range v.byAddress {
--- a/internal/discovery/snapshot/config.go
+++ b/internal/discovery/snapshot/config.go
@@ -32,19 +32,19 @@
 		return nil, err
 	}
 	if st, err := os.Stat(c.Dir); c.Dir == "" || err != nil || !st.IsDir() {
-		f.Wrong("dir", "dir %q is not an existing directory", c.Dir)
+		f.AddFault("dir", "dir %q is not an existing directory", c.Dir)
 	}
 	if c.Deployment == "" {
-		f.Wrong("deployment", "deployment is empty: the name prevents the use of a list that was written for another deployment")
+		f.AddFault("deployment", "deployment is empty: the name prevents the use of a list that was written for another deployment")
 	}
 	if c.WriteInterval.Std() < 100*time.Millisecond || c.WriteInterval.Std() > time.Hour {
-		f.Wrong("every", "every %s is out of range: want 100ms to 1h", c.WriteInterval.Std())
+		f.AddFault("every", "every %s is out of range: want 100ms to 1h", c.WriteInterval.Std())
 	}
 	if c.MaxGenerations < 2 || c.MaxGenerations > 100 {
-		f.Wrong("keep", "keep %d is out of range: want 2 to 100 generations, so that another remains if one is corrupt", c.MaxGenerations)
+		f.AddFault("keep", "keep %d is out of range: want 2 to 100 generations, so that another remains if one is corrupt", c.MaxGenerations)
 	}
 	if c.MaxAge.Std() < time.Minute {
-		f.Wrong("oldest", "oldest %s is too short: want at least 1m", c.MaxAge.Std())
+		f.AddFault("oldest", "oldest %s is too short: want at least 1m", c.MaxAge.Std())
 	}
 	return c, f.Err()
 }
--- a/internal/discovery/snapshot/snapshot_test.go
+++ b/internal/discovery/snapshot/snapshot_test.go
@@ -73,7 +73,7 @@
 // this one or the previous one, and later writes succeed.
 func TestCrashAtEachStep(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	for _, fault := range []memdisk.Fault{memdisk.Dead, memdisk.Short, memdisk.Full, memdisk.Lying} {
+	for _, fault := range []memdisk.Fault{memdisk.MachineCrash, memdisk.Short, memdisk.Full, memdisk.WrittenButFailed} {
 		for step := 1; step <= 12; step++ {
 			name := fmt.Sprintf("fault %d at step %d", fault, step)
 			disk := memdisk.New()
@@ -87,7 +87,7 @@
 				}
 			}
 			from := disk.Operations()
-			disk.Meet = func(n int) memdisk.Fault {
+			disk.FaultOf = func(n int) memdisk.Fault {
 				if n == from+step {
 					return fault
 				}
@@ -97,12 +97,12 @@
 			for i := int64(4); i <= 6; i++ { // two complete writes take more than twelve steps
 				if s.Write(newSnapshot(i)) == nil {
 					last = i
-				} else if fault == memdisk.Dead {
+				} else if fault == memdisk.MachineCrash {
 					break
 				}
 			}
-			disk.Meet = func(int) memdisk.Fault { return memdisk.None }
-			if fault == memdisk.Dead {
+			disk.FaultOf = func(int) memdisk.Fault { return memdisk.None }
+			if fault == memdisk.MachineCrash {
 				disk.Crash(random)
 			}
 			reopened, err := Open("dir", 2, disk)
--- a/internal/discovery/watch/entries.go
+++ b/internal/discovery/watch/entries.go
@@ -22,17 +22,17 @@
 
 // EntriesFromList converts an endpoint list of discovery into incarnation entries.
 func EntriesFromList(list http1.EndpointList) []incarnation.Entry {
-	entries := make([]incarnation.Entry, 0, len(list.Hosts))
-	for _, host := range list.Hosts {
+	entries := make([]incarnation.Entry, 0, len(list.Endpoints))
+	for _, host := range list.Endpoints {
 		entry := incarnation.Entry{
 			ID:            host.ID,
-			StartedUnixMS: host.UpSinceMS,
-			Condition:     entryConditions[host.Phase],
+			StartedUnixMS: host.StartedUnixMS,
+			Condition:     entryConditions[host.Condition],
 			Revision:      list.Revision,
 			Zone:          host.Zone,
-			MachineKind:   host.Flavor,
+			MachineKind:   host.MachineKind,
 			Cell:          host.Cell,
-			Weight:        host.Size,
+			Weight:        host.Weight,
 		}
 		if host.Address.IsValid() {
 			entry.Address = host.Address.String()
@@ -53,7 +53,7 @@
 			continue
 		}
 		list.Revision = max(list.Revision, entry.Revision)
-		list.Hosts = append(list.Hosts, host)
+		list.Endpoints = append(list.Endpoints, host)
 	}
 	return list
 }
@@ -63,17 +63,17 @@
 		return http1.Endpoint{}, fmt.Errorf("server %.40q: ID is empty or condition %d is unknown", entry.ID, entry.Condition)
 	}
 	host := http1.Endpoint{
-		ID:        entry.ID,
-		Zone:      entry.Zone,
-		Flavor:    entry.MachineKind,
-		Cell:      entry.Cell,
-		Size:      entry.Weight,
-		UpSinceMS: entry.StartedUnixMS,
-		Phase:     http1Conditions[entry.Condition],
+		ID:            entry.ID,
+		Zone:          entry.Zone,
+		MachineKind:   entry.MachineKind,
+		Cell:          entry.Cell,
+		Weight:        entry.Weight,
+		StartedUnixMS: entry.StartedUnixMS,
+		Condition:     http1Conditions[entry.Condition],
 	}
 	var err error
 	host.Address, err = netip.ParseAddrPort(entry.Address)
-	if err != nil && host.Phase == http1.Serving {
+	if err != nil && host.Condition == http1.Serving {
 		return host, fmt.Errorf("server %.40q: address is missing or invalid", entry.ID)
 	}
 	return host, nil
--- a/internal/discovery/watch/follow.go
+++ b/internal/discovery/watch/follow.go
@@ -42,7 +42,7 @@
 			continue
 		}
 		delay = initialRetryDelay
-		if !list.Complete && list.Revision < w.Revision { // discovery has reset its revisions
+		if !list.IsComplete && list.Revision < w.Revision { // discovery has reset its revisions
 			w.WantsFullList = true
 			continue
 		}
--- a/internal/discovery/watch/format_test.go
+++ b/internal/discovery/watch/format_test.go
@@ -80,10 +80,10 @@
 
 // TestEntriesOfAList converts a list with every field into entries and back.
 func TestEntriesOfAList(t *testing.T) {
-	list := http1.EndpointList{Revision: 9, Hosts: []http1.Endpoint{
-		{ID: "a", Address: netip.MustParseAddrPort("127.0.0.1:80"), Zone: "north", Flavor: "large", Cell: 3, Size: 2.5, UpSinceMS: 7, Phase: http1.Serving},
-		{ID: "b", Address: netip.MustParseAddrPort("127.0.0.1:81"), Phase: http1.Draining},
-		{ID: "c", Phase: http1.Deleted},
+	list := http1.EndpointList{Revision: 9, Endpoints: []http1.Endpoint{
+		{ID: "a", Address: netip.MustParseAddrPort("127.0.0.1:80"), Zone: "north", MachineKind: "large", Cell: 3, Weight: 2.5, StartedUnixMS: 7, Condition: http1.Serving},
+		{ID: "b", Address: netip.MustParseAddrPort("127.0.0.1:81"), Condition: http1.Draining},
+		{ID: "c", Condition: http1.Deleted},
 	}}
 	want := []incarnation.Entry{
 		{ID: "a", StartedUnixMS: 7, Condition: incarnation.Up, Revision: 9, Address: "127.0.0.1:80", Zone: "north", MachineKind: "large", Cell: 3, Weight: 2.5},
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -22,7 +22,7 @@
 	}{
 		"continued watch": {Watcher{conn: &http1.Conn{}}, 4 * time.Second},
 		"new connection":  {Watcher{}, 4500 * time.Millisecond},
-		"new connection to an agent without a queue": {Watcher{IsPushed: true}, 2 * time.Second},
+		"new connection to an agent without a queue": {Watcher{HasNoQueue: true}, 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if wait, slack := c.w.timeouts(); wait <= 0 || slack <= 0 || wait+slack > c.maxTotal {
@@ -48,8 +48,8 @@
 		requestWithin time.Duration
 		w             Watcher
 	}{
-		"pushed":                      {false, 0, Watcher{IsPushed: true}},
-		"pushed, with a request time": {false, time.Minute, Watcher{IsPushed: true}},
+		"pushed":                      {false, 0, Watcher{HasNoQueue: true}},
+		"pushed, with a request time": {false, time.Minute, Watcher{HasNoQueue: true}},
 		"requested within 2 s":        {true, 2 * time.Second, Watcher{}},
 		"requested within 10 s":       {true, 10 * time.Second, Watcher{}},
 		"requested within 1 h":        {true, time.Hour, Watcher{}},
--- a/internal/discovery/watch/watcher.go
+++ b/internal/discovery/watch/watcher.go
@@ -51,9 +51,9 @@
 // Watcher polls one target. The caller sets its fields between polls; their zero values request the changes after revision 0.
 type Watcher struct {
 	Target        *Target
-	HasMoved      bool   // used by the caller only: the target was replaced and the new one has not responded yet
+	HasNewTarget  bool   // used by the caller only: the target was replaced and the new one has not responded yet
 	WantsFullList bool   // request the full list instead of the changes after Revision
-	IsPushed      bool   // discovery is an agent without a queue, which responds to a first call immediately
+	HasNoQueue    bool   // discovery is an agent without a queue, which responds to a first call immediately
 	Revision      uint64 // revision of the last received list
 	conn          *http1.Conn
 }
@@ -71,7 +71,7 @@
 	switch {
 	case w.conn != nil:
 		return pollWait, responseSlack
-	case w.IsPushed:
+	case w.HasNoQueue:
 		return firstPollWait, responseSlack
 	}
 	return firstPollWait, queuedResponseSlack
@@ -95,7 +95,7 @@
 	conn.SetDeadline(deadline)
 	defer context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })()
 	defer context.AfterFunc(w.Target.Replaced, func() { conn.SetDeadline(time.Now().Add(replacedSlack)) })()
-	call := http1.EndpointListCall{Whole: w.WantsFullList, After: w.Revision, Wait: wait}
+	call := http1.EndpointListRequest{WantsFullList: w.WantsFullList, After: w.Revision, Wait: wait}
 	list, isReusable, err := exchange(conn, w.Target.Address.String(), call)
 	if err != nil || !isReusable {
 		w.Close()
@@ -117,10 +117,10 @@
 }
 
 // exchange makes one call; isReusable reports whether the connection can be used for another call.
-func exchange(conn *http1.Conn, host string, call http1.EndpointListCall) (
+func exchange(conn *http1.Conn, host string, call http1.EndpointListRequest) (
 	list http1.EndpointList, isReusable bool, err error,
 ) {
-	if _, err = conn.Send(http1.AppendEndpointListCall(conn.Scratch(), host, call)); err != nil {
+	if _, err = conn.Send(http1.AppendEndpointListRequest(conn.Scratch(), host, call)); err != nil {
 		return list, false, err
 	}
 	var response http1.Response
--- a/internal/discovery/zookeeper/config.go
+++ b/internal/discovery/zookeeper/config.go
@@ -33,11 +33,11 @@
 		return nil, err
 	}
 	if len(c.Servers) == 0 || len(c.Servers) > 16 {
-		f.Wrong("servers", "%d registry servers configured: want 1 to 16", len(c.Servers))
+		f.AddFault("servers", "%d registry servers configured: want 1 to 16", len(c.Servers))
 	}
 	for i, s := range c.Servers {
 		if _, err := netip.ParseAddrPort(s); err != nil {
-			f.Wrong("servers."+strconv.Itoa(i), "server %q is not an IP address with a port", s)
+			f.AddFault("servers."+strconv.Itoa(i), "server %q is not an IP address with a port", s)
 		}
 	}
 	for key, p := range map[string]string{"path": c.Path, "chroot": c.Chroot} {
@@ -45,16 +45,16 @@
 			continue
 		}
 		if !strings.HasPrefix(p, "/") || path.Clean(p) != p {
-			f.Wrong(key, "%s %q is not an absolute path in canonical form such as /services/hire", key, p)
+			f.AddFault(key, "%s %q is not an absolute path in canonical form such as /services/hire", key, p)
 		}
 	}
 	if c.SessionTimeout.Std() < 500*time.Millisecond || c.SessionTimeout.Std() > 40*time.Second {
-		f.Wrong("session", "session %s is out of range: want 500ms to 40s", c.SessionTimeout.Std())
+		f.AddFault("session", "session %s is out of range: want 500ms to 40s", c.SessionTimeout.Std())
 	}
 	if c.AuthFile != "" {
 		secret, err := os.ReadFile(c.AuthFile)
 		if c.Credentials = strings.TrimSpace(string(secret)); err != nil || !strings.Contains(c.Credentials, ":") {
-			f.Wrong("auth_file", "%s is unreadable or does not contain user:password", c.AuthFile)
+			f.AddFault("auth_file", "%s is unreadable or does not contain user:password", c.AuthFile)
 		}
 	}
 	return c, f.Err()
--- a/internal/discovery/zookeeper/format_test.go
+++ b/internal/discovery/zookeeper/format_test.go
@@ -160,7 +160,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			registry.Own(time.Hour, map[string][]byte{"/services/hire/a": data(1)})
+			registry.OpenSession(time.Hour, map[string][]byte{"/services/hire/a": data(1)})
 			sent, address := relay(t, server.Address())
 			cfg := &Config{Servers: []string{address}, Path: "/hire", Chroot: "/services", SessionTimeout: tomlfile.Duration(40 * time.Second), Credentials: c.auth}
 			conn, err := Dial(cfg)
--- a/internal/discovery/zookeeper/herd_test.go
+++ b/internal/discovery/zookeeper/herd_test.go
@@ -29,9 +29,9 @@
 		}
 		addresses = append(addresses, s.Address())
 	}
-	var owned []*standin.Owned
-	addEntry := func(i int) *standin.Owned {
-		return registry.Own(time.Hour, map[string][]byte{fmt.Sprintf("/hire/b%d", i): data(i + 1)})
+	var owned []*standin.OwnedSession
+	addEntry := func(i int) *standin.OwnedSession {
+		return registry.OpenSession(time.Hour, map[string][]byte{fmt.Sprintf("/hire/b%d", i): data(i + 1)})
 	}
 	for i := range 50 {
 		owned = append(owned, addEntry(i))
--- a/internal/discovery/zookeeper/reader_test.go
+++ b/internal/discovery/zookeeper/reader_test.go
@@ -71,7 +71,7 @@
 		}
 		e.servers, addresses = append(e.servers, s), append(addresses, s.Address())
 	}
-	e.registry.Own(time.Hour, map[string][]byte{"/services/hire/.keep": []byte("127.0.0.1:1")})
+	e.registry.OpenSession(time.Hour, map[string][]byte{"/services/hire/.keep": []byte("127.0.0.1:1")})
 	cfg := &Config{Servers: addresses, Path: "/hire", Chroot: "/services", SessionTimeout: tomlfile.Duration(session)}
 	conn, err := Dial(cfg)
 	if err != nil {
@@ -126,35 +126,35 @@
 func TestReader(t *testing.T) {
 	t.Parallel()
 	e := startEnsemble(t, time.Second)
-	a := e.registry.Own(time.Hour, map[string][]byte{"/services/hire/a": data(1)})
-	b := e.registry.Own(time.Hour, map[string][]byte{"/services/hire/b": data(2)})
+	a := e.registry.OpenSession(time.Hour, map[string][]byte{"/services/hire/a": data(1)})
+	b := e.registry.OpenSession(time.Hour, map[string][]byte{"/services/hire/b": data(2)})
 	e.waitFor("a", "b")
 	b.Set("/services/hire/b", []byte(`{"address":"127.0.0.1","port":2,"status":"DRAINING"}`))
 	e.waitFor("a", "b draining")
-	e.registry.Own(time.Hour, map[string][]byte{"/services/hire/bad": []byte("nowhere")})
+	e.registry.OpenSession(time.Hour, map[string][]byte{"/services/hire/bad": []byte("nowhere")})
 	b.End()
 	e.waitFor("a")
 	// Events in flight are lost with the connections, but the changes are detected after the reconnect.
 	for _, s := range e.servers {
-		s.Set(0, 300*time.Millisecond, false)
+		s.SetFaults(0, 300*time.Millisecond, false)
 	}
-	c := e.registry.Own(time.Hour, map[string][]byte{"/services/hire/c": data(3)})
+	c := e.registry.OpenSession(time.Hour, map[string][]byte{"/services/hire/c": data(3)})
 	for _, s := range e.servers {
-		s.Break()
-		s.Set(0, 0, false)
+		s.CloseConnections()
+		s.SetFaults(0, 0, false)
 	}
 	e.waitFor("a", "c")
 	// The ensemble is unreachable for longer than the session timeout.
 	e.registry.Refuse(true)
 	for _, s := range e.servers {
-		s.Break()
+		s.CloseConnections()
 	}
 	a.End()
 	c.Set("/services/hire/c", []byte(`{"address":"127.0.0.1","port":3,"status":"STOPPING"}`))
 	time.Sleep(1500 * time.Millisecond) // the session expires
 	e.registry.Refuse(false)
 	e.waitFor("c draining")
-	e.registry.Own(time.Hour, map[string][]byte{"/services/hire/d": data(4)})
+	e.registry.OpenSession(time.Hour, map[string][]byte{"/services/hire/d": data(4)})
 	e.waitFor("c draining", "d")
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -167,16 +167,16 @@
 func TestExpiry(t *testing.T) {
 	t.Parallel()
 	e := startEnsemble(t, time.Second)
-	a := e.registry.Own(300*time.Millisecond, map[string][]byte{"/services/hire/a": data(1)})
-	b := e.registry.Own(300*time.Millisecond, map[string][]byte{"/services/hire/b": data(2)})
+	a := e.registry.OpenSession(300*time.Millisecond, map[string][]byte{"/services/hire/a": data(1)})
+	b := e.registry.OpenSession(300*time.Millisecond, map[string][]byte{"/services/hire/b": data(2)})
 	e.waitFor("a", "b")
-	a.Silence()
+	a.StopHeartbeats()
 	e.waitFor("b")
-	e.registry.Late(time.Hour)
-	b.Silence()
+	e.registry.DelayExpiry(time.Hour)
+	b.StopHeartbeats()
 	time.Sleep(600 * time.Millisecond)
 	e.waitFor("b")
-	e.registry.Late(0)
+	e.registry.DelayExpiry(0)
 	e.waitFor()
 }
 
@@ -193,7 +193,7 @@
 	for range readers {
 		e := startEnsemble(t, 500*time.Millisecond)
 		e.waitFor()
-		e.registry.Own(time.Hour, map[string][]byte{"/services/hire/bad": []byte("nowhere")})
+		e.registry.OpenSession(time.Hour, map[string][]byte{"/services/hire/bad": []byte("nowhere")})
 		ensembles = append(ensembles, e)
 	}
 	var all sync.WaitGroup
@@ -201,13 +201,13 @@
 		all.Go(func() {
 			for i := range losses {
 				if i%2 == 0 {
-					e.registry.Lose()
+					e.registry.ExpireConnected()
 				} else {
 					for _, s := range e.servers {
-						s.Break()
+						s.CloseConnections()
 					}
 				}
-				owned := e.registry.Own(time.Hour, map[string][]byte{"/services/hire/x": data(i + 1)})
+				owned := e.registry.OpenSession(time.Hour, map[string][]byte{"/services/hire/x": data(i + 1)})
 				if !e.lists("x") {
 					return
 				}
--- a/internal/journal/intent/entry.go
+++ b/internal/journal/intent/entry.go
@@ -47,13 +47,13 @@
 	// Attempts are indexed by attempt number. An attempt without records is zero.
 	Attempts []Attempt
 
-	ClientOutcome      string // outcome reported to the client; "" if unknown
-	NotifiedAtUnixNano int64
-	Conflicts          int  // number of records that contradict earlier ones
-	MayLackRecords     bool // unreadable records may contain further attempts
-	TooFewNodesAsked   bool // not enough of the nodes that may have records were queried
-	attemptsAtOutcome  int  // number of attempts when the client was notified
-	isUnsent           bool // an Unsent record was added
+	ClientOutcome        string // outcome reported to the client; "" if unknown
+	NotifiedAtUnixNano   int64
+	Conflicts            int  // number of records that contradict earlier ones
+	MayLackRecords       bool // unreadable records may contain further attempts
+	TooFewNodesResponded bool // not enough of the nodes that may have records were queried
+	attemptsAtOutcome    int  // number of attempts when the client was notified
+	isUnsent             bool // an Unsent record was added
 }
 
 // State returns the strongest statement about the request that the records prove.
@@ -70,7 +70,7 @@
 			s = PossiblySent
 		}
 	}
-	if s == NotSent && e.TooFewNodesAsked {
+	if s == NotSent && e.TooFewNodesResponded {
 		return Unknown
 	}
 	return s
--- a/internal/journal/wal/chunk_test.go
+++ b/internal/journal/wal/chunk_test.go
@@ -15,11 +15,11 @@
 // Appends numbered records to a disk that fails once, at each of its operations in turn. Sequence numbers must have no
 // gaps, chunks passed to OnChunk must be stored unchanged, and committed records must be readable.
 func TestNumberedRecordsUnderFaults(t *testing.T) {
-	for _, fault := range []memdisk.Fault{memdisk.None, memdisk.Short, memdisk.Full, memdisk.Lying} {
+	for _, fault := range []memdisk.Fault{memdisk.None, memdisk.Short, memdisk.Full, memdisk.WrittenButFailed} {
 		for at := range 12 {
 			t.Run(fmt.Sprintf("%d at %d", fault, at), func(t *testing.T) {
 				disk := memdisk.New()
-				disk.Meet = func(n int) memdisk.Fault {
+				disk.FaultOf = func(n int) memdisk.Fault {
 					if n == at {
 						return fault
 					}
--- a/internal/journal/wal/config.go
+++ b/internal/journal/wal/config.go
@@ -9,11 +9,11 @@
 
 // Durability levels of a stored intent (values of Config.Promise).
 const (
-	promiseProcess = "process" // survives a crash of the process
-	promiseMachine = "machine" // survives a crash of the machine
+	durabilityProcess = "process" // survives a crash of the process
+	durabilityMachine = "machine" // survives a crash of the machine
 	// PromiseMachines makes an intent survive the loss of as many machines with their disks as there are replicas. It
 	// requires other nodes as replica holders (package peer).
-	PromiseMachines = "machines"
+	DurabilityMachines = "machines"
 )
 
 // Policies for requests that the journal cannot store (values of Config.WhenFailing).
@@ -33,7 +33,7 @@
 // Config contains the journal's settings from a TOML file.
 type Config struct {
 	Dir            string            `toml:"dir"`
-	Promise        string            `toml:"promise"`       // process, machine or machines
+	Durability     string            `toml:"promise"`       // process, machine or machines
 	WhenFailing    string            `toml:"when_failing"`  // deny or serve
 	MaxWait        tomlfile.Duration `toml:"wait_most"`     // maximum wait for an intent to be durable
 	IncludesKeyed  bool              `toml:"fingerprinted"` // also record requests with an idempotency key
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	c := &Config{
-		Promise:        promiseProcess,
+		Durability:     durabilityProcess,
 		MaxWait:        tomlfile.Duration(200 * time.Millisecond),
 		SegmentBytes:   16 << 20,
 		RetentionAge:   tomlfile.Duration(30 * 24 * time.Hour),
@@ -65,22 +65,22 @@
 		return nil, err
 	}
 	if info, err := os.Stat(c.Dir); c.Dir == "" || err != nil || !info.IsDir() {
-		f.Wrong("dir", "dir %q is not an existing directory", c.Dir)
+		f.AddFault("dir", "dir %q is not an existing directory", c.Dir)
 	}
-	if c.Promise != promiseProcess && c.Promise != promiseMachine && c.Promise != PromiseMachines {
-		f.Wrong("promise", "promise %q must be process, machine or machines", c.Promise)
+	if c.Durability != durabilityProcess && c.Durability != durabilityMachine && c.Durability != DurabilityMachines {
+		f.AddFault("promise", "promise %q must be process, machine or machines", c.Durability)
 	}
 	if c.WhenFailing != whenFailingReject && c.WhenFailing != whenFailingServe {
-		f.Wrong("when_failing", "when_failing %q must be deny (reject non-idempotent requests while the journal is not writable) or serve (serve them and record a gap)", c.WhenFailing)
+		f.AddFault("when_failing", "when_failing %q must be deny (reject non-idempotent requests while the journal is not writable) or serve (serve them and record a gap)", c.WhenFailing)
 	}
 	if c.MaxWait.Std() < minWait || c.MaxWait.Std() > maxWait {
-		f.Wrong("wait_most", "wait_most %s must be from 1ms to 10s", c.MaxWait.Std())
+		f.AddFault("wait_most", "wait_most %s must be from 1ms to 10s", c.MaxWait.Std())
 	}
 	if c.SegmentBytes < minSegmentBytes || c.SegmentBytes > maxSegmentBytes {
-		f.Wrong("segment_bytes", "segment_bytes %d must be from 4096 to 1073741824", c.SegmentBytes)
+		f.AddFault("segment_bytes", "segment_bytes %d must be from 4096 to 1073741824", c.SegmentBytes)
 	}
 	if c.RetentionBytes > 0 && c.RetentionBytes < 2*c.SegmentBytes {
-		f.Wrong("keep_bytes", "keep_bytes %d is less than two segments of segment_bytes", c.RetentionBytes)
+		f.AddFault("keep_bytes", "keep_bytes %d is less than two segments of segment_bytes", c.RetentionBytes)
 	}
 	return c, f.Err()
 }
--- a/internal/journal/wal/format_test.go
+++ b/internal/journal/wal/format_test.go
@@ -121,7 +121,7 @@
 			t.Errorf("state: want name %q, got %q", name, s)
 		}
 	}
-	if MaxChunkRecords != 1024 || PromiseMachines != "machines" {
-		t.Errorf("got MaxChunkRecords %d and promise %q, want 1024 and \"machines\"", MaxChunkRecords, PromiseMachines)
+	if MaxChunkRecords != 1024 || DurabilityMachines != "machines" {
+		t.Errorf("got MaxChunkRecords %d and promise %q, want 1024 and \"machines\"", MaxChunkRecords, DurabilityMachines)
 	}
 }
--- a/internal/journal/wal/gap_test.go
+++ b/internal/journal/wal/gap_test.go
@@ -32,7 +32,7 @@
 	var isFull, missesMore atomic.Bool
 	var missedDuringWrite atomic.Int32
 	d := memdisk.New()
-	d.Meet = func(int) memdisk.Fault {
+	d.FaultOf = func(int) memdisk.Fault {
 		if isFull.Load() {
 			return memdisk.Full
 		}
--- a/internal/journal/wal/log_test.go
+++ b/internal/journal/wal/log_test.go
@@ -29,12 +29,12 @@
 	}
 	cases := 0
 	for n := 1; n <= plain.Operations(); n++ {
-		for _, fault := range []memdisk.Fault{memdisk.Short, memdisk.Full, memdisk.Lying, memdisk.Dead} {
+		for _, fault := range []memdisk.Fault{memdisk.Short, memdisk.Full, memdisk.WrittenButFailed, memdisk.MachineCrash} {
 			for _, duration := range []int{1, 3, 1 << 30} {
 				cases++
 				what := fmt.Sprintf("fault %d at %d for %d", fault, n, duration)
 				d := memdisk.New()
-				d.Meet = func(operation int) memdisk.Fault {
+				d.FaultOf = func(operation int) memdisk.Fault {
 					if operation >= n && operation < n+duration {
 						return fault
 					}
@@ -55,7 +55,7 @@
 				if report.CorruptCount() > 0 && fault != memdisk.Short {
 					t.Fatalf("%s: got unreadable ranges %v, want none but torn ends", what, report.Unreadable)
 				}
-				d.Meet = func(int) memdisk.Fault { return memdisk.None }
+				d.FaultOf = func(int) memdisk.Fault { return memdisk.None }
 				if second := openLog(t, d, 600); second == nil { // the journal must be writable again
 					t.Fatalf("%s: reopen journal on a disk without faults: got an error, want none", what)
 				} else {
--- a/internal/protocol/fastcgi/fastcgi_test.go
+++ b/internal/protocol/fastcgi/fastcgi_test.go
@@ -246,7 +246,7 @@
 					break
 				}
 				if req.Malformed != nil {
-					requests = append(requests, fmt.Sprint(req.ID, ":", req.Malformed.Why))
+					requests = append(requests, fmt.Sprint(req.ID, ":", req.Malformed.Reason))
 				} else {
 					requests = append(requests, fmt.Sprint(req.ID, ":", string(req.Request.Body)))
 				}
--- a/internal/protocol/http1/aliases.go
+++ b/internal/protocol/http1/aliases.go
@@ -18,7 +18,7 @@
 type RequestInfo = message.RequestInfo
 
 // Malformed is the error of a request that cannot be served.
-type Malformed = message.RequestError
+type RequestError = message.RequestError
 
 // BufferBudget bounds the memory that connections use for large messages.
 type BufferBudget = message.BufferBudget
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -65,7 +65,7 @@
 
 // NewPooled returns a Conn for a connection from which nothing has been read and whose large buffers are reserved from a
 // budget.
-func NewPooled(c net.Conn, p *BufferBudget) *Conn { return &Conn{Conn: c, budget: p} }
+func NewConnWithBudget(c net.Conn, p *BufferBudget) *Conn { return &Conn{Conn: c, budget: p} }
 
 // ReleaseBuffers frees a buffer that has grown for a large message. Messages that were read are invalid afterwards.
 func (c *Conn) ReleaseBuffers() {
--- a/internal/protocol/http1/endpointlist.go
+++ b/internal/protocol/http1/endpointlist.go
@@ -23,22 +23,22 @@
 
 // Endpoint is an entry of the endpoint list.
 type Endpoint struct {
-	ID        string
-	Address   netip.AddrPort
-	Zone      string
-	Flavor    string // machine kind
-	Cell      int    // failure domain inside the zone
-	Phase     Condition
-	Size      float64
-	UpSinceMS int64 // start time as Unix time in ms; 0: not recent
+	ID            string
+	Address       netip.AddrPort
+	Zone          string
+	MachineKind   string // machine kind
+	Cell          int    // failure domain inside the zone
+	Condition     Condition
+	Weight        float64
+	StartedUnixMS int64 // start time as Unix time in ms; 0: not recent
 }
 
 // EndpointList is an endpoint list, or the changes of one, as returned by discovery.
 type EndpointList struct {
-	Revision uint64
-	Complete bool // full list, not changes
-	Hosts    []Endpoint
-	Skipped  []error // errors of the entries that were skipped
+	Revision   uint64
+	IsComplete bool // full list, not changes
+	Endpoints  []Endpoint
+	Skipped    []error // errors of the entries that were skipped
 }
 
 // ParseEndpointList decodes the JSON of an endpoint list. An invalid entry is skipped, and its error is added to Skipped.
@@ -55,14 +55,14 @@
 	if raw.Revision == nil {
 		return EndpointList{}, errors.New("decode endpoint list: no revision")
 	}
-	list := EndpointList{Revision: *raw.Revision, Complete: raw.Complete}
+	list := EndpointList{Revision: *raw.Revision, IsComplete: raw.Complete}
 	for i, member := range raw.Members {
 		endpoint, err := parseEndpoint(member)
 		if err != nil {
 			list.Skipped = append(list.Skipped, fmt.Errorf("entry %d: %w", i, err))
 			continue
 		}
-		list.Hosts = append(list.Hosts, endpoint)
+		list.Endpoints = append(list.Endpoints, endpoint)
 	}
 	return list, nil
 }
@@ -81,21 +81,21 @@
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return Endpoint{}, err
 	}
-	endpoint := Endpoint{ID: raw.ID, Zone: raw.Locality, Flavor: raw.Flavor, Cell: raw.Cell, Size: raw.Size, UpSinceMS: int64(raw.UpSinceMS)}
+	endpoint := Endpoint{ID: raw.ID, Zone: raw.Locality, MachineKind: raw.Flavor, Cell: raw.Cell, Weight: raw.Size, StartedUnixMS: int64(raw.UpSinceMS)}
 	if endpoint.ID == "" {
 		return endpoint, errors.New("server without an id")
 	}
 	switch raw.Phase {
 	case "SERVING":
 	case "DRAINING":
-		endpoint.Phase = Draining
+		endpoint.Condition = Draining
 	case "DELETED":
-		endpoint.Phase = Deleted
+		endpoint.Condition = Deleted
 	default:
 		return endpoint, fmt.Errorf("server %.40q: unknown phase %.40q", endpoint.ID, raw.Phase)
 	}
 	var err error
-	if endpoint.Address, err = netip.ParseAddrPort(raw.HostPort); err != nil && endpoint.Phase == Serving {
+	if endpoint.Address, err = netip.ParseAddrPort(raw.HostPort); err != nil && endpoint.Condition == Serving {
 		return endpoint, fmt.Errorf("server %.40q: invalid host_port", endpoint.ID)
 	}
 	return endpoint, nil
@@ -103,16 +103,16 @@
 
 // EndpointListCall is a request to discovery, either for the full list or for the changes after a revision. Discovery waits
 // for changes until Wait has passed.
-type EndpointListCall struct {
-	Whole bool          // request the full list; After and Wait are ignored
-	After uint64        // revision
-	Wait  time.Duration // sent in ms
+type EndpointListRequest struct {
+	WantsFullList bool          // request the full list; After and Wait are ignored
+	After         uint64        // revision
+	Wait          time.Duration // sent in ms
 }
 
 // AppendEndpointListCall appends the HTTP request of a call.
-func AppendEndpointListCall(b []byte, host string, call EndpointListCall) []byte {
+func AppendEndpointListRequest(b []byte, host string, call EndpointListRequest) []byte {
 	b = append(b, "GET "+listPath...)
-	if !call.Whole {
+	if !call.WantsFullList {
 		b = strconv.AppendUint(append(b, "?index="...), call.After, 10)
 		b = strconv.AppendInt(append(b, "&wait="...), call.Wait.Milliseconds(), 10)
 	}
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -92,7 +92,7 @@
 				conn := NewConn(s)
 				var r Request
 				err := conn.ReadRequest(&r)
-				var bad *Malformed
+				var bad *RequestError
 				if c.status != 0 && (!errors.As(err, &bad) || bad.Status != c.status) || c.err != nil && err != c.err || whole && err != nil {
 					t.Fatalf("step %d: got error %v", step, err)
 				}
@@ -130,19 +130,19 @@
 		"truncated chunk":           {in: ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nhel", err: io.ErrUnexpectedEOF},
 		"truncated after a chunk":   {in: ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", err: io.ErrUnexpectedEOF},
 		"no response":               {err: io.EOF},
-		"no HTTP":                   {in: "SSH-2.0-x\r\n\r\n", err: ErrGarbled},
-		"no status":                 {in: "HTTP/1.1 abc\r\n\r\n", err: ErrGarbled},
-		"noise":                     {in: "\x01\x02\x03", err: ErrGarbled},
+		"no HTTP":                   {in: "SSH-2.0-x\r\n\r\n", err: ErrMalformedResponse},
+		"no status":                 {in: "HTTP/1.1 abc\r\n\r\n", err: ErrMalformedResponse},
+		"noise":                     {in: "\x01\x02\x03", err: ErrMalformedResponse},
 		"invalid field value":       {in: ok + "Load: \x01\x02\r\nContent-Length: 2\r\n\r\nok", body: "ok"},
-		"invalid length":            {in: ok + "Content-Length: 2\x01\r\n\r\nok", err: ErrGarbled},
-		"length hidden in a field":  {in: ok + "Load: x\nContent-Length: 2\r\n\r\nok", err: ErrGarbled},
-		"endless interim responses": {in: strings.Repeat("HTTP/1.1 100 Go on\r\n\r\n", 99), err: ErrGarbled},
-		"a bad field":               {in: ok + "what is this\r\n\r\n", err: ErrGarbled},
-		"a bad chunk":               {in: ok + "Transfer-Encoding: chunked\r\n\r\n\x00\x00\r\n", err: ErrGarbled},
-		"too long":                  {in: ok + fmt.Sprintf("Content-Length: %d\r\n\r\n", MaxBody+1), err: ErrGarbled},
-		"far too long":              {in: ok + "\r\n" + strings.Repeat("x", 2*MaxBody), err: ErrGarbled},
-		"a head too large":          {in: ok + "A: " + strings.Repeat("x", MaxHead), err: ErrGarbled},
-		"another protocol":          {in: "HTTP/1.1 101 Switching\r\n\r\n", err: ErrGarbled},
+		"invalid length":            {in: ok + "Content-Length: 2\x01\r\n\r\nok", err: ErrMalformedResponse},
+		"length hidden in a field":  {in: ok + "Load: x\nContent-Length: 2\r\n\r\nok", err: ErrMalformedResponse},
+		"endless interim responses": {in: strings.Repeat("HTTP/1.1 100 Go on\r\n\r\n", 99), err: ErrMalformedResponse},
+		"a bad field":               {in: ok + "what is this\r\n\r\n", err: ErrMalformedResponse},
+		"a bad chunk":               {in: ok + "Transfer-Encoding: chunked\r\n\r\n\x00\x00\r\n", err: ErrMalformedResponse},
+		"too long":                  {in: ok + fmt.Sprintf("Content-Length: %d\r\n\r\n", MaxBody+1), err: ErrMalformedResponse},
+		"far too long":              {in: ok + "\r\n" + strings.Repeat("x", 2*MaxBody), err: ErrMalformedResponse},
+		"a head too large":          {in: ok + "A: " + strings.Repeat("x", MaxHead), err: ErrMalformedResponse},
+		"another protocol":          {in: "HTTP/1.1 101 Switching\r\n\r\n", err: ErrMalformedResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, step := range steps {
@@ -253,8 +253,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := ParseEndpointList([]byte(c.in))
-			if (err == nil) != c.ok || len(l.Hosts) != c.hosts || len(l.Skipped) != c.skipped {
-				t.Errorf("got %d endpoints, %d skipped, error %v", len(l.Hosts), len(l.Skipped), err)
+			if (err == nil) != c.ok || len(l.Endpoints) != c.hosts || len(l.Skipped) != c.skipped {
+				t.Errorf("got %d endpoints, %d skipped, error %v", len(l.Endpoints), len(l.Skipped), err)
 			}
 		})
 	}
@@ -330,7 +330,7 @@
 	in := fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("b", size))
 	p := NewBufferBudget(48 << 10)
 	read := func() (*Conn, error) {
-		c := NewPooled(&script{in: in, step: 1 << 20, end: io.EOF}, p)
+		c := NewConnWithBudget(&script{in: in, step: 1 << 20, end: io.EOF}, p)
 		return c, c.ReadRequest(&Request{})
 	}
 	first, err := read()
@@ -338,7 +338,7 @@
 		t.Fatal(err)
 	}
 	second, err := read()
-	var bad *Malformed
+	var bad *RequestError
 	if !errors.As(err, &bad) || bad.Status != 503 {
 		t.Errorf("second message: got error %v, want status 503", err)
 	}
--- a/internal/protocol/http1/response.go
+++ b/internal/protocol/http1/response.go
@@ -10,7 +10,7 @@
 )
 
 // ErrGarbled is the error of a response that cannot be parsed or that exceeds a size limit.
-var ErrGarbled = message.ErrMalformedResponse
+var ErrMalformedResponse = message.ErrMalformedResponse
 
 // ReadResponse reads a complete response with a body of at most maxBody bytes, and skips interim responses (1xx). The error
 // is ErrGarbled if the response cannot be parsed or is too large, io.EOF if the server closed the connection before the
@@ -19,7 +19,7 @@
 	for interim := 0; ; interim++ {
 		head, err := c.readHead("HTTP/1.")
 		if err == errTooLarge || err == errNoHead || interim > maxInterimResponses {
-			return ErrGarbled
+			return ErrMalformedResponse
 		}
 		if err != nil {
 			return err
@@ -30,18 +30,18 @@
 		status, err := strconv.ParseUint(string(code), 10, 16)
 		isHTTP10 := string(version) == "HTTP/1.0"
 		if err != nil || len(code) != 3 || status < 100 || !isHTTP10 && string(version) != "HTTP/1.1" {
-			return ErrGarbled
+			return ErrMalformedResponse
 		}
 		*r = Response{Status: int(status), Fields: r.Fields[:0]}
 		if r.Fields, err = parseFields(lines, r.Fields, true); err != nil || status == 101 {
-			return ErrGarbled
+			return ErrMalformedResponse
 		}
 		if status < 200 {
 			continue
 		}
 		length, err := bodyLength(r.Fields)
 		if err != nil {
-			return ErrGarbled
+			return ErrMalformedResponse
 		}
 		if length == noLength {
 			length = untilClose
@@ -53,7 +53,7 @@
 		r.Close = length == untilClose || isHTTP10 || message.HasToken(r.Fields, "Connection", "close") || c.readPos < c.fillPos
 		switch {
 		case err == errTooLarge, err == errChunk:
-			return ErrGarbled
+			return ErrMalformedResponse
 		case err == io.EOF:
 			return io.ErrUnexpectedEOF
 		}
--- a/internal/protocol/message/message.go
+++ b/internal/protocol/message/message.go
@@ -109,15 +109,15 @@
 // RequestError is the error of a request that cannot be served, with the status of the response.
 type RequestError struct {
 	Status int
-	Why    string
+	Reason string
 }
 
 // NewRequestError returns a RequestError. why is logged and sent to the client.
 func NewRequestError(status int, why string) *RequestError {
-	return &RequestError{Status: status, Why: why}
+	return &RequestError{Status: status, Reason: why}
 }
 
-func (e *RequestError) Error() string { return e.Why }
+func (e *RequestError) Error() string { return e.Reason }
 
 // Request is a complete request. Its byte slices point into the buffer of its connection.
 type Request struct {
--- a/internal/proxy/announceclose_test.go
+++ b/internal/proxy/announceclose_test.go
@@ -61,7 +61,7 @@
 // answer was encoded.
 func TestStopDuringAnswerKeepsConnection(t *testing.T) {
 	t.Parallel()
-	cfg := config(http1.Endpoint{ID: "s", Address: largeBodyServer(t), Size: 1})
+	cfg := config(http1.Endpoint{ID: "s", Address: largeBodyServer(t), Weight: 1})
 	for i := range cfg.Settings.TrafficTypes {
 		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
 	}
@@ -120,7 +120,7 @@
 // cause a reset, and a slow client loses the rest of the answer.
 func TestAnnouncedCloseLingers(t *testing.T) {
 	t.Parallel()
-	cfg := config(http1.Endpoint{ID: "s", Address: largeBodyServer(t), Size: 1})
+	cfg := config(http1.Endpoint{ID: "s", Address: largeBodyServer(t), Weight: 1})
 	cfg.shutdownDelays = shutdownDelays{extraLinger: time.Minute}
 	s := newTestServer(t, cfg)
 	near, client := smallBufferConn(t)
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -67,7 +67,7 @@
 		c.ReadRequest(&http1.Request{})
 		disconnected <- c.WaitDisconnected()
 	})
-	at, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: server, Size: 1}))
+	at, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: server, Weight: 1}))
 	if r := get(t, dial(t, at), "/book/1"); r.Status != 504 {
 		t.Errorf("got status %d, want 504", r.Status)
 	}
@@ -82,7 +82,7 @@
 	hosts, received := servers(t, 1, okResponse)
 	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	t.Cleanup(s.dispatcher.Stop)
-	s.dispatcher.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
+	s.dispatcher.ApplyList(http1.EndpointList{Endpoints: hosts}, endpoints.SourceConfig)
 	for _, phase := range []http1.Condition{http1.Draining, http1.Deleted} {
 		request := submitNonIdempotent(s.dispatcher)
 		d := request.NextDecision(func() {})
@@ -90,8 +90,8 @@
 			t.Fatalf("got action %d, want SendAttempt", d.Action)
 		}
 		removed := hosts[0]
-		removed.Phase = phase
-		s.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{removed}}, endpoints.SourceDiscovery)
+		removed.Condition = phase
+		s.dispatcher.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{removed}}, endpoints.SourceDiscovery)
 		for !s.dispatcher.IsTooLateToWrite(removed.ID) {
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -101,7 +101,7 @@
 			t.Errorf("got result %v, %d attempts sent; want ExpiredUnsent, none sent", result, received.Load())
 		}
 		request.AttemptEnded(d.Attempt, result, nil)
-		s.dispatcher.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceDiscovery)
+		s.dispatcher.ApplyList(http1.EndpointList{Endpoints: hosts}, endpoints.SourceDiscovery)
 	}
 }
 
@@ -113,7 +113,7 @@
 	cfg.Settings.ConnectTimeout = time.Minute // longer than a connect takes on a busy machine
 	s := &Server{cfg: cfg, dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.dispatcher.Stop()
-	s.dispatcher.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
+	s.dispatcher.ApplyList(http1.EndpointList{Endpoints: hosts}, endpoints.SourceConfig)
 	req := &http1.Request{Method: []byte("GET"), Target: []byte("/book/1")}
 	for name, c := range map[string]struct {
 		isDisconnected, isUnnotified bool // isUnnotified: only a direct check of the connection detects the disconnect
@@ -142,7 +142,7 @@
 	hosts, _ := servers(t, 1, okResponse)
 	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.dispatcher.Stop()
-	s.dispatcher.ApplyList(http1.EndpointList{Hosts: hosts}, endpoints.SourceConfig)
+	s.dispatcher.ApplyList(http1.EndpointList{Endpoints: hosts}, endpoints.SourceConfig)
 	accepted := make(chan net.Conn, 1)
 	reused := dial(t, standIn(t, func(c net.Conn) { accepted <- c }).String())
 	reused.Conn.(*net.TCPConn).CloseWrite()
@@ -192,7 +192,7 @@
 					nc.(*net.TCPConn).SetLinger(0)
 				}
 			}
-			at, _ := startNode(t, config(http1.Endpoint{ID: "a", Address: standIn(t, serve), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, serve), Size: 1}))
+			at, _ := startNode(t, config(http1.Endpoint{ID: "a", Address: standIn(t, serve), Weight: 1}, http1.Endpoint{ID: "b", Address: standIn(t, serve), Weight: 1}))
 			if r := get(t, dial(t, at), "/book/1"); r.Status != 502 && r.Status != 504 || received.Load() != 1 {
 				t.Errorf("got status %d after %d attempts, want 502 or 504 after 1", r.Status, received.Load())
 			}
@@ -224,7 +224,7 @@
 					io.WriteString(nc, okResponse)
 				}
 			}
-			cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, serve), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, serve), Size: 1})
+			cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, serve), Weight: 1}, http1.Endpoint{ID: "b", Address: standIn(t, serve), Weight: 1})
 			trafficType := &cfg.Settings.TrafficTypes[0]
 			trafficType.Idempotency, trafficType.KeyScope, trafficType.KeyRetention = policy.IdempotentWithKey, policy.KeyScopeAll, c.window
 			trafficType.LatencyObjective, trafficType.ClientTimeout = time.Minute, time.Minute
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -61,7 +61,7 @@
 				if back == "cgi" {
 					at = cgiServer.Addr()
 				}
-				cfg := config(http1.Endpoint{ID: "s", Size: 1, Flavor: back, Address: at.(*net.TCPAddr).AddrPort()})
+				cfg := config(http1.Endpoint{ID: "s", Weight: 1, MachineKind: back, Address: at.(*net.TCPAddr).AddrPort()})
 				text := fmt.Sprintf("[fastcgi]\nlisten = %q\nflavors = [\"cgi\"]", free.Addr())
 				free.Close()
 				cfg.Routes = routes(b, &cfg, text)
--- a/internal/proxy/descriptors_test.go
+++ b/internal/proxy/descriptors_test.go
@@ -37,7 +37,7 @@
 			io.WriteString(nc, okResponse)
 		}
 	})
-	cfg := config(http1.Endpoint{ID: "a", Address: server, Size: 1}, http1.Endpoint{ID: "b", Address: server, Size: 1})
+	cfg := config(http1.Endpoint{ID: "a", Address: server, Weight: 1}, http1.Endpoint{ID: "b", Address: server, Weight: 1})
 	cfg.Limits.Sockets = 1
 	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = time.Minute, time.Minute
 	at, _ := startNode(t, cfg)
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -96,7 +96,7 @@
 						<-responded
 					}
 				}
-				cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, serve), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, serve), Size: 1})
+				cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, serve), Weight: 1}, http1.Endpoint{ID: "b", Address: standIn(t, serve), Weight: 1})
 				for i := range cfg.Settings.TrafficTypes {
 					cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
 				}
@@ -143,7 +143,7 @@
 			near := dial(t, at.String())
 			s := &Server{dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 			defer s.dispatcher.Stop()
-			s.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "s", Address: at, Size: 1}}}, endpoints.SourceConfig)
+			s.dispatcher.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{{ID: "s", Address: at, Weight: 1}}}, endpoints.SourceConfig)
 			request := submitNonIdempotent(s.dispatcher)
 			if d := request.NextDecision(func() {}); d.Action != dispatch.SendAttempt {
 				t.Fatalf("got action %d, want SendAttempt", d.Action)
@@ -198,7 +198,7 @@
 	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.dispatcher.Stop()
 	for name, listed := range map[string][]http1.Endpoint{"rejected": nil, "handled": hosts} {
-		s.dispatcher.ApplyList(http1.EndpointList{Hosts: listed}, endpoints.SourceConfig)
+		s.dispatcher.ApplyList(http1.EndpointList{Endpoints: listed}, endpoints.SourceConfig)
 		req := &http1.Request{Method: []byte("GET"), Target: []byte("/check/1"), Fields: []http1.Field{{Name: []byte("Request-Id"), Value: []byte(name)}}}
 		w := &watchedConn{isWatchedWhenSent: true}
 		if err := s.serveRequest(w, req, time.Now()); err != nil || w.isWatchedWhenSent {
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -22,7 +22,7 @@
 // continues until a poll fails, and then waits again. While planners or control processes supply the list, it waits until discovery is
 // needed as their fallback.
 func (s *Server) followDiscovery(ctx context.Context) error {
-	w := &watch.Watcher{Target: s.discoveryTarget.Load(), Revision: s.cfg.SavedList.Revision, IsPushed: !s.cfg.Settings.MustRequestEndpoints}
+	w := &watch.Watcher{Target: s.discoveryTarget.Load(), Revision: s.cfg.SavedList.Revision, HasNoQueue: !s.cfg.Settings.MustRequestEndpoints}
 	defer w.Close()
 	for {
 		select {
@@ -44,7 +44,7 @@
 func (s *Server) pollDiscovery(ctx context.Context, w *watch.Watcher) bool {
 	if w.Target.Replaced.Err() != nil {
 		w.Close()
-		w.Target, w.HasMoved = s.discoveryTarget.Load(), true
+		w.Target, w.HasNewTarget = s.discoveryTarget.Load(), true
 	}
 	if !s.awaitDiscoveryNeeded(ctx, w) {
 		return false
@@ -60,11 +60,11 @@
 		s.logger.Warn().Err(err).Msg("discovery failed")
 		s.dispatcher.DiscoveryFailed()
 		return false
-	case w.HasMoved && !list.Complete && list.Revision < w.Revision: // revisions of the new address are counted independently
+	case w.HasNewTarget && !list.IsComplete && list.Revision < w.Revision: // revisions of the new address are counted independently
 		w.WantsFullList = true
 		return true
 	}
-	w.HasMoved, w.WantsFullList, w.Revision = false, false, list.Revision
+	w.HasNewTarget, w.WantsFullList, w.Revision = false, false, list.Revision
 	if !s.applyDiscoveryList(list) {
 		w.WantsFullList = true
 		select {
@@ -73,8 +73,8 @@
 		}
 		return true
 	}
-	if len(list.Hosts) > 0 {
-		s.logger.Info().Uint64("revision", list.Revision).Bool("whole", list.Complete).Int("entries", len(list.Hosts)).Msg("endpoint list updated")
+	if len(list.Endpoints) > 0 {
+		s.logger.Info().Uint64("revision", list.Revision).Bool("whole", list.IsComplete).Int("entries", len(list.Endpoints)).Msg("endpoint list updated")
 	}
 	if early := watch.MinPollInterval - time.Since(startedAt); early > 0 {
 		time.Sleep(early)
--- a/internal/proxy/dispatch/clients_test.go
+++ b/internal/proxy/dispatch/clients_test.go
@@ -130,7 +130,7 @@
 		t.Run(name, func(t *testing.T) {
 			d := newTestDispatcher(t, policy.Idempotent, limits)
 			near, far := connpair.TCP(t)
-			c := http1.NewPooled(near, d.MessageBudget())
+			c := http1.NewConnWithBudget(near, d.MessageBudget())
 			client := d.AddClient(c)
 			c.ObserveReads(client)
 			client.ReadBlocked(false) // idle for a long time
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -88,7 +88,7 @@
 			trafficTypes: indexByName(s.TypeNames),
 			tenants:      indexByName(s.TenantNames),
 			zones:        indexByName(s.Zones),
-			machineKinds: indexByName(s.Kinds),
+			machineKinds: indexByName(s.MachineKinds),
 		},
 		view:      endpoints.NewView(),
 		servers:   newServerTable(),
--- a/internal/proxy/dispatch/effects.go
+++ b/internal/proxy/dispatch/effects.go
@@ -72,8 +72,8 @@
 }
 
 // Forget deletes the state of a removed server that no request in flight refers to.
-func (h *effectHandler) Forget(server string) {
+func (h *effectHandler) ReleaseServer(server string) {
 	h.CloseIdle(server)
 	delete(h.servers.byID, server)
-	h.view.Forget(server)
+	h.view.Remove(server)
 }
--- a/internal/proxy/dispatch/endpoints.go
+++ b/internal/proxy/dispatch/endpoints.go
@@ -67,22 +67,22 @@
 
 // ApplyList applies an endpoint list, full or incremental, from a source.
 func (d *Dispatcher) ApplyList(list http1.EndpointList, source endpoints.Source) {
-	announced := make([]endpoints.Endpoint, 0, len(list.Hosts))
-	for _, h := range list.Hosts {
+	announced := make([]endpoints.Endpoint, 0, len(list.Endpoints))
+	for _, h := range list.Endpoints {
 		announced = append(announced, endpoints.Endpoint{
 			ID:            h.ID,
 			Address:       h.Address,
 			Zone:          h.Zone,
-			MachineKind:   h.Flavor,
+			MachineKind:   h.MachineKind,
 			Cell:          h.Cell,
-			Weight:        h.Size,
-			StartedUnixMS: h.UpSinceMS,
-			Condition:     incarnationConditions[h.Phase],
+			Weight:        h.Weight,
+			StartedUnixMS: h.StartedUnixMS,
+			Condition:     incarnationConditions[h.Condition],
 		})
 	}
 	d.mu.Lock()
 	defer d.unlock()
-	d.applyEndpoints(announced, source, list.Complete)
+	d.applyEndpoints(announced, source, list.IsComplete)
 }
 
 // applyEndpoints merges the endpoints that a source announced into the view and passes the resulting changes to the
--- a/internal/proxy/dispatch/endpoints_test.go
+++ b/internal/proxy/dispatch/endpoints_test.go
@@ -28,10 +28,10 @@
 // queued request, a retry or a hedged attempt.
 func TestNoNewAttemptsToServersThatLeft(t *testing.T) {
 	removed, draining := host("a", 1), host("a", 1)
-	removed.Phase, draining.Phase = http1.Deleted, http1.Draining
+	removed.Condition, draining.Condition = http1.Deleted, http1.Draining
 	for name, l := range map[string]http1.EndpointList{
-		"removed": {Hosts: []http1.Endpoint{removed}}, "draining": {Hosts: []http1.Endpoint{draining}}, "omitted from a full list": fullList(host("b", 2)),
-		"another server at its address": {Hosts: []http1.Endpoint{host("c", 1)}},
+		"removed": {Endpoints: []http1.Endpoint{removed}}, "draining": {Endpoints: []http1.Endpoint{draining}}, "omitted from a full list": fullList(host("b", 2)),
+		"another server at its address": {Endpoints: []http1.Endpoint{host("c", 1)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, Settings: policy.Settings{NodeCount: 1, MaxAttempts: 4, HedgingAllowed: true,
@@ -125,10 +125,10 @@
 		want  []uint16 // ports that attempts are sent to
 	}{
 		"both":            {[]http1.EndpointList{fullList(one, two)}, []uint16{1, 2}},
-		"one is draining": {[]http1.EndpointList{fullList(one, two), {Hosts: []http1.Endpoint{with(one, func(h *http1.Endpoint) { h.Phase = http1.Draining })}}}, []uint16{2}},
-		"one is removed":  {[]http1.EndpointList{fullList(one, two), {Hosts: []http1.Endpoint{{ID: one.ID, Phase: http1.Deleted}}}}, []uint16{2}},
+		"one is draining": {[]http1.EndpointList{fullList(one, two), {Endpoints: []http1.Endpoint{with(one, func(h *http1.Endpoint) { h.Condition = http1.Draining })}}}, []uint16{2}},
+		"one is removed":  {[]http1.EndpointList{fullList(one, two), {Endpoints: []http1.Endpoint{{ID: one.ID, Condition: http1.Deleted}}}}, []uint16{2}},
 		"one is omitted":  {[]http1.EndpointList{fullList(one, two), fullList(two)}, []uint16{2}},
-		"one has moved":   {[]http1.EndpointList{fullList(one, two), {Hosts: []http1.Endpoint{with(one, func(h *http1.Endpoint) { h.Address = host("", 9).Address })}}}, []uint16{2, 9}},
+		"one has moved":   {[]http1.EndpointList{fullList(one, two), {Endpoints: []http1.Endpoint{with(one, func(h *http1.Endpoint) { h.Address = host("", 9).Address })}}}, []uint16{2, 9}},
 		"no changes":      {[]http1.EndpointList{fullList(one, two), {}}, []uint16{1, 2}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -191,7 +191,7 @@
 		}
 		d.AcquireServerDescriptor()
 		d.PutIdle(previous, false, http1.NewConn(&closer{name: previous, closed: closed}))
-		d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{host(id, 1)}}, endpoints.SourceDiscovery)
+		d.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{host(id, 1)}}, endpoints.SourceDiscovery)
 		if got := <-closed; got != previous || d.TakeIdle(previous) != nil {
 			t.Fatalf("got idle connection to %s closed, want %s", got, previous)
 		}
@@ -202,8 +202,8 @@
 		request.AttemptEnded(0, Succeeded, nil)
 		request.NextDecision(nil)
 		removed := host(previous, 1)
-		removed.Phase = http1.Deleted
-		d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{removed}}, endpoints.SourceDiscovery)
+		removed.Condition = http1.Deleted
+		d.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{removed}}, endpoints.SourceDiscovery)
 	}
 	if len(d.servers.byID) != 1 {
 		t.Errorf("got %d known servers, want 1", len(d.servers.byID))
--- a/internal/proxy/dispatch/hedge_test.go
+++ b/internal/proxy/dispatch/hedge_test.go
@@ -28,7 +28,7 @@
 			}
 		}
 	case policy.AttemptEnded:
-		if decider.inFlight[in.Request][in.Attempt] = false; !in.ClientAnswered && !slices.Contains(decider.inFlight[in.Request], true) {
+		if decider.inFlight[in.Request][in.Attempt] = false; !in.IsSettled && !slices.Contains(decider.inFlight[in.Request], true) {
 			return append(e, policy.Effect{Kind: policy.Fail, Request: in.Request})
 		}
 	case policy.ClientLeft:
@@ -93,8 +93,8 @@
 				}
 			}
 			last := request.NextDecision(func() {})
-			if last.Action != c.want || string(last.Answer) != c.wantResponse || canceled != c.wantCanceled {
-				t.Errorf("got action %d, response %q and canceled attempts %v", last.Action, last.Answer, canceled)
+			if last.Action != c.want || string(last.Response) != c.wantResponse || canceled != c.wantCanceled {
+				t.Errorf("got action %d, response %q and canceled attempts %v", last.Action, last.Response, canceled)
 			}
 			n := d.Counts()
 			if n.Responded+n.Failed+n.Disconnected != 1 || n.Hedges != 1 || n.OpenRequests != 0 || len(d.requests.openClientIDs) != 0 {
--- a/internal/proxy/dispatch/helpers_test.go
+++ b/internal/proxy/dispatch/helpers_test.go
@@ -18,12 +18,12 @@
 
 // fullList returns a full endpoint list.
 func fullList(hosts ...http1.Endpoint) http1.EndpointList {
-	return http1.EndpointList{Complete: true, Hosts: hosts}
+	return http1.EndpointList{IsComplete: true, Endpoints: hosts}
 }
 
 // host returns an endpoint on the loopback address.
 func host(id string, port uint16) http1.Endpoint {
-	return http1.Endpoint{ID: id, Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port), Size: 1}
+	return http1.Endpoint{ID: id, Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port), Weight: 1}
 }
 
 // newTestDispatcher returns a Dispatcher with one traffic type of the given idempotency and a configured endpoint list.
--- a/internal/proxy/dispatch/idle.go
+++ b/internal/proxy/dispatch/idle.go
@@ -54,7 +54,7 @@
 	defer d.unlock()
 	record, _ := d.view.Get(id)
 	s := d.servers.byID[id]
-	if s == nil || s.isFastCGI != isFastCGI || !d.retention.MayIdle(record.IsUsable) {
+	if s == nil || s.isFastCGI != isFastCGI || !d.retention.KeepsIdle(record.IsUsable) {
 		d.closeIdleConn(idleConn{conn: conn})
 		return
 	}
--- a/internal/proxy/dispatch/idle_test.go
+++ b/internal/proxy/dispatch/idle_test.go
@@ -26,10 +26,10 @@
 		"expired, and the timer fires":  {0, (*Dispatcher).onTimer, false},
 		"closed by the decision module": {time.Hour, func(d *Dispatcher) { (*effectHandler)(d).CloseIdle("a") }, false},
 		"server drains": {time.Hour, func(d *Dispatcher) {
-			d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "a", Phase: http1.Draining}}}, endpoints.SourceDiscovery)
+			d.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{{ID: "a", Condition: http1.Draining}}}, endpoints.SourceDiscovery)
 		}, false},
 		"server address changes": {time.Hour, func(d *Dispatcher) {
-			d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{host("a", 7)}}, endpoints.SourceDiscovery)
+			d.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{host("a", 7)}}, endpoints.SourceDiscovery)
 		}, false},
 		"same list again": {time.Hour, func(d *Dispatcher) { d.ApplyList(fullList(host("a", 1)), endpoints.SourceDiscovery) }, true},
 	} {
@@ -79,7 +79,7 @@
 // closed, and that one in use is closed when it becomes idle.
 func TestIdleConnectionsCloseOnDrain(t *testing.T) {
 	drain := func(d *Dispatcher) {
-		d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "a", Phase: http1.Draining}}}, endpoints.SourceDiscovery)
+		d.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{{ID: "a", Condition: http1.Draining}}}, endpoints.SourceDiscovery)
 	}
 	for name, c := range map[string]struct {
 		steps      func(d *Dispatcher, c ServerConn)
@@ -101,7 +101,7 @@
 		"in use while it drains, not yet idle": {func(d *Dispatcher, c ServerConn) { d.PutIdle("a", false, c); d.TakeIdle("a"); drain(d) }, false},
 		"another server drains": {func(d *Dispatcher, c ServerConn) {
 			d.PutIdle("a", false, c)
-			d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "b", Phase: http1.Draining}}}, endpoints.SourceDiscovery)
+			d.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{{ID: "b", Condition: http1.Draining}}}, endpoints.SourceDiscovery)
 		}, false},
 		"server becomes usable again": {func(d *Dispatcher, c ServerConn) {
 			drain(d)
--- a/internal/proxy/dispatch/placement_test.go
+++ b/internal/proxy/dispatch/placement_test.go
@@ -13,7 +13,7 @@
 // placedHost returns a server in a zone, with a machine kind.
 func placedHost(id string, port uint16, zone, kind string) http1.Endpoint {
 	h := host(id, port)
-	h.Zone, h.Flavor, h.UpSinceMS = zone, kind, 1 // past slow start
+	h.Zone, h.MachineKind, h.StartedUnixMS = zone, kind, 1 // past slow start
 	return h
 }
 
@@ -77,7 +77,7 @@
 			t.Cleanup(d.Stop)
 			d.ApplyList(fullList(hosts...), endpoints.SourceConfig)
 			if len(c.changes) > 0 {
-				d.ApplyList(http1.EndpointList{Hosts: c.changes}, endpoints.SourceDiscovery)
+				d.ApplyList(http1.EndpointList{Endpoints: c.changes}, endpoints.SourceDiscovery)
 			}
 			if got := ports(d, 16); !slices.Equal(got, c.want) {
 				t.Errorf("got attempts at ports %v, want %v", got, c.want)
--- a/internal/proxy/dispatch/request.go
+++ b/internal/proxy/dispatch/request.go
@@ -35,7 +35,7 @@
 	// Duration is the timeout of the attempt (SendAttempt), or the delay after which the client may retry (Reject).
 	Duration time.Duration
 	// Answer is the response to the client (Respond), or a server's response that reports a fault of the request (Fail).
-	Answer []byte
+	Response []byte
 }
 
 // Request is an accepted request. One goroutine alternates between NextDecision and AttemptEnded. ClientDisconnected may be
@@ -157,19 +157,19 @@
 	switch {
 	case r.isSettled:
 	case result == Succeeded:
-		r.settle(Decision{Action: Respond, Answer: response})
+		r.settle(Decision{Action: Respond, Response: response})
 	case result == RequestFault: // a retry at another server would have the same result
-		r.settle(Decision{Action: Fail, Answer: response})
+		r.settle(Decision{Action: Fail, Response: response})
 	}
 	now := d.now()
 	elapsed := now - ended.sentAt
 	d.observe(ended.server, result)
 	d.report.recordAttempt(ended.server, r.trafficType, result, elapsed)
 	d.engine.AttemptEnded(now, r.id, ended.server, policy.Input{
-		Attempt:        index,
-		Outcome:        result.Outcome(),
-		Elapsed:        elapsed,
-		ClientAnswered: r.isSettled,
+		Attempt:   index,
+		Outcome:   result.Outcome(),
+		Elapsed:   elapsed,
+		IsSettled: r.isSettled,
 	}, d.effects())
 }
 
--- a/internal/proxy/dispatch/retention.go
+++ b/internal/proxy/dispatch/retention.go
@@ -4,7 +4,7 @@
 // deliberately broken rule, with which it verifies that its checks detect the violation.
 type IdleRetention interface {
 	// MayIdle reports whether a connection that becomes idle is kept. isServerUsable states whether its server is usable.
-	MayIdle(isServerUsable bool) bool
+	KeepsIdle(isServerUsable bool) bool
 	// ClosesOnChange reports whether the idle connections to a server are closed when the server starts draining, is removed,
 	// moves to another address or changes its protocol.
 	ClosesOnChange() bool
@@ -13,6 +13,6 @@
 // closeUnusable keeps only idle connections to usable servers.
 type closeUnusable struct{}
 
-func (closeUnusable) MayIdle(isServerUsable bool) bool { return isServerUsable }
+func (closeUnusable) KeepsIdle(isServerUsable bool) bool { return isServerUsable }
 
 func (closeUnusable) ClosesOnChange() bool { return true }
--- a/internal/proxy/dispatch/retention_test.go
+++ b/internal/proxy/dispatch/retention_test.go
@@ -14,7 +14,7 @@
 // keepAll is an IdleRetention that keeps every connection.
 type keepAll struct{}
 
-func (keepAll) MayIdle(bool) bool { return true }
+func (keepAll) KeepsIdle(bool) bool { return true }
 
 func (keepAll) ClosesOnChange() bool { return false }
 
@@ -40,7 +40,7 @@
 				d.PutIdle("a", false, http1.NewConn(&closer{name: name, closed: closed}))
 			}
 			put("idle before")
-			d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "a", Phase: http1.Draining}}}, endpoints.SourceDiscovery)
+			d.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{{ID: "a", Condition: http1.Draining}}}, endpoints.SourceDiscovery)
 			put("idle after")
 			if isKept := d.TakeIdle("a") != nil; isKept != c.isKept || (len(closed) == 0) != c.isKept {
 				t.Errorf("got connection kept %v and %d connections closed", isKept, len(closed))
--- a/internal/proxy/dispatch/routes.go
+++ b/internal/proxy/dispatch/routes.go
@@ -22,9 +22,9 @@
 	update := d.routes.Replace(now, table)
 	d.activeRoutes.Store(table)
 	d.engine.TrafficTypesChanged(now, policy.Input{
-		TrafficTypes: d.cautiousTypes(update.TrafficTypes),
-		LearnFrom:    update.LearnFrom,
-		RouteLimits:  update.RouteLimits,
+		TrafficTypes:   d.cautiousTypes(update.TrafficTypes),
+		LatencySources: update.LatencySources,
+		RouteLimits:    update.RouteLimits,
 	}, d.effects())
 	if update.SelectionChanged {
 		d.refreshLabels()
@@ -52,7 +52,7 @@
 
 // updateProtocol sets the protocol of a server from the routes, and closes the server's idle connections if it changes.
 func (d *Dispatcher) updateProtocol(s *server, endpoint endpoints.Endpoint) {
-	isFastCGI := d.routes.Table().SpeaksFastCGI(endpoint.ID, endpoint.Zone, endpoint.MachineKind)
+	isFastCGI := d.routes.Table().UsesFastCGI(endpoint.ID, endpoint.Zone, endpoint.MachineKind)
 	if isFastCGI != s.isFastCGI {
 		d.closeIdleConns(s)
 		s.isFastCGI = isFastCGI
--- a/internal/proxy/dispatch/scale_test.go
+++ b/internal/proxy/dispatch/scale_test.go
@@ -16,7 +16,7 @@
 	d := newTestDispatcher(t, 0, limits)
 	list := fullList()
 	for i := range servers {
-		list.Hosts = append(list.Hosts, host(fmt.Sprint("server-", i), uint16(1+i)))
+		list.Endpoints = append(list.Endpoints, host(fmt.Sprint("server-", i), uint16(1+i)))
 	}
 	d.ApplyList(list, endpoints.SourceDiscovery)
 	ticks := func() int { // with the lock held, so that the timer does not interfere
@@ -48,7 +48,7 @@
 	if got := ticks(); got != 10 {
 		t.Errorf("one idle connection and ten ticks: got %d server visits, want 10", got)
 	}
-	d.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "server-7", Phase: http1.Deleted}}}, endpoints.SourceDiscovery)
+	d.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{{ID: "server-7", Condition: http1.Deleted}}}, endpoints.SourceDiscovery)
 	if got := ticks(); got != 0 || len(d.servers.withIdle) != 0 {
 		t.Errorf("after the server's removal: got %d server visits and %d servers with idle connections, want 0", got, len(d.servers.withIdle))
 	}
--- a/internal/proxy/distributedservers.go
+++ b/internal/proxy/distributedservers.go
@@ -37,7 +37,7 @@
 		return rejected
 	}
 	l := watch.ListFromEntries(updates)
-	l.Complete = isComplete
+	l.IsComplete = isComplete
 	for _, err := range l.Skipped {
 		a.logger.Warn().Err(err).Msg("endpoint list entry skipped")
 	}
--- a/internal/proxy/distribution_test.go
+++ b/internal/proxy/distribution_test.go
@@ -98,7 +98,7 @@
 // The first complete list removes the servers of earlier sources, and a list of discovery has no effect after it.
 func TestDistributedServersComplete(t *testing.T) {
 	applier := newTestApplier(t)
-	applier.dispatcher.ApplyList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "old", Address: netip.MustParseAddrPort("127.0.0.1:9"), Size: 1}}, Complete: true}, endpoints.SourceConfig)
+	applier.dispatcher.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{{ID: "old", Address: netip.MustParseAddrPort("127.0.0.1:9"), Weight: 1}}, IsComplete: true}, endpoints.SourceConfig)
 	applier.ApplyServers([]distribution.Entry{serverEntry(t, 1, incarnation.Entry{ID: "s", Address: "127.0.0.1:80", Weight: 1})}, true)
 	records, _, _, _ := applier.dispatcher.Endpoints()
 	for _, record := range records {
@@ -106,7 +106,7 @@
 			t.Errorf("got %+v, want only server s usable", record)
 		}
 	}
-	applier.applyDiscoveryList(http1.EndpointList{Hosts: []http1.Endpoint{{ID: "late", Address: netip.MustParseAddrPort("127.0.0.1:10"), Size: 1}}})
+	applier.applyDiscoveryList(http1.EndpointList{Endpoints: []http1.Endpoint{{ID: "late", Address: netip.MustParseAddrPort("127.0.0.1:10"), Weight: 1}}})
 	if records, from, _, _ := applier.dispatcher.Endpoints(); from != endpoints.SourceDistribution || len(records) > 2 {
 		t.Errorf("list of discovery was applied: got %+v from %v", records, from)
 	}
--- a/internal/proxy/endpointcache_test.go
+++ b/internal/proxy/endpointcache_test.go
@@ -155,7 +155,7 @@
 			cfg := config()
 			cfg.Snapshot = cachedList(t, c.change, server.server("s", incarnation.Up))
 			if c.configured > 0 {
-				cfg.SavedList = http1.EndpointList{Revision: c.configured, Hosts: []http1.Endpoint{{ID: "gone", Phase: http1.Deleted}}}
+				cfg.SavedList = http1.EndpointList{Revision: c.configured, Endpoints: []http1.Endpoint{{ID: "gone", Condition: http1.Deleted}}}
 			}
 			at, _ := startNode(t, cfg)
 			if status := get(t, dial(t, at), "/check/1").Status; (status == 200) != c.used {
--- a/internal/proxy/endpointcacheconfirm.go
+++ b/internal/proxy/endpointcacheconfirm.go
@@ -24,15 +24,15 @@
 	if c.evaluator == nil {
 		return l, true
 	}
-	if l.Complete && c.lacksProvenServers(l) {
+	if l.IsComplete && c.lacksProvenServers(l) {
 		return l, false
 	}
-	if !l.Complete && source == endpoints.SourceDiscovery {
-		hosts := make([]http1.Endpoint, 0, len(c.endpoints)+len(l.Hosts))
+	if !l.IsComplete && source == endpoints.SourceDiscovery {
+		hosts := make([]http1.Endpoint, 0, len(c.endpoints)+len(l.Endpoints))
 		for _, e := range c.endpoints {
 			hosts = append(hosts, listedEndpoint(e))
 		}
-		l.Hosts = append(hosts, l.Hosts...)
+		l.Endpoints = append(hosts, l.Endpoints...)
 	}
 	c.evaluator, c.endpoints = nil, nil
 	c.dispatcher.LeaveCautiousMode()
@@ -44,7 +44,7 @@
 // start that they serve: a source that has restarted may announce no servers at first. After incompleteListDuration such a list is applied.
 func (c *endpointCache) lacksProvenServers(l http1.EndpointList) bool {
 	isListed := map[string]bool{} // also those that are draining
-	for _, h := range l.Hosts {
+	for _, h := range l.Endpoints {
 		isListed[h.ID] = true
 	}
 	proven, missing := 0, 0
--- a/internal/proxy/endpointcacheload.go
+++ b/internal/proxy/endpointcacheload.go
@@ -57,7 +57,7 @@
 		return fmt.Errorf("list of node %.60q, expected %q", snap.Node, c.nodeName)
 	case age > c.cfg.MaxAge.Std():
 		return fmt.Errorf("maximum age exceeded: list was confirmed %s ago", age.Round(time.Minute))
-	case len(configured.Hosts) > 0 && configured.Revision >= snap.Revision:
+	case len(configured.Endpoints) > 0 && configured.Revision >= snap.Revision:
 		return errors.New("list in the configuration is as new or newer")
 	}
 	return nil
@@ -79,7 +79,7 @@
 		}
 		c.endpoints[s.ID] = e
 		servers = append(servers, staleness.Server{ID: s.ID, IsUp: e.Condition == incarnation.Up, HasExecuted: s.ExecutedUnixMS > 0})
-		l.Hosts = append(l.Hosts, listedEndpoint(e))
+		l.Endpoints = append(l.Endpoints, listedEndpoint(e))
 	}
 	return l, servers
 }
@@ -103,6 +103,6 @@
 
 // listedEndpoint converts an endpoint to the form of a discovery list.
 func listedEndpoint(e endpoints.Endpoint) http1.Endpoint {
-	return http1.Endpoint{ID: e.ID, Address: e.Address, Zone: e.Zone, Flavor: e.MachineKind, Cell: e.Cell, Size: e.Weight, UpSinceMS: e.StartedUnixMS,
-		Phase: listedCondition[e.Condition]}
+	return http1.Endpoint{ID: e.ID, Address: e.Address, Zone: e.Zone, MachineKind: e.MachineKind, Cell: e.Cell, Weight: e.Weight, StartedUnixMS: e.StartedUnixMS,
+		Condition: listedCondition[e.Condition]}
 }
--- a/internal/proxy/engine/effects.go
+++ b/internal/proxy/engine/effects.go
@@ -22,7 +22,7 @@
 	CloseIdle(server S)
 	// Forget reports that a server has been removed and that no open request refers to it. It is called when the server's
 	// index is released, which may be later than the effect policy.Forget or the endpoint list that removed the server.
-	Forget(server S)
+	ReleaseServer(server S)
 }
 
 // apply passes an input to the decider and the resulting effects to the handler.
@@ -35,7 +35,7 @@
 		switch effect.Kind {
 		case policy.Reject, policy.Fail:
 			e.releaseRequest(effect.Request, handler)
-		case policy.Forget:
+		case policy.RemoveServer:
 			e.releaseServer(effect.Server, handler)
 		}
 	}
@@ -62,7 +62,7 @@
 		handler.Subscribe()
 	case policy.CloseIdle:
 		handler.CloseIdle(e.serverIDs[effect.Server])
-	case policy.Retain, policy.Forget:
-		e.removed.Put(effect.Server, effect.Kind == policy.Forget)
+	case policy.RetainServer, policy.RemoveServer:
+		e.removed.Put(effect.Server, effect.Kind == policy.RemoveServer)
 	}
 }
--- a/internal/proxy/engine/engine.go
+++ b/internal/proxy/engine/engine.go
@@ -108,7 +108,7 @@
 		return false
 	}
 	e.requests[index].inFlight--
-	e.requests[index].isSettled = e.requests[index].isSettled || in.ClientAnswered
+	e.requests[index].isSettled = e.requests[index].isSettled || in.IsSettled
 	in.Kind, in.Request, in.Server = policy.AttemptEnded, index, s
 	e.apply(now, in, handler)
 	e.releaseRequest(index, handler)
@@ -192,6 +192,6 @@
 		e.removed.Remove(s)
 		delete(e.serverIndex, id)
 		e.freeServers = append(e.freeServers, s)
-		handler.Forget(id)
+		handler.ReleaseServer(id)
 	}
 }
--- a/internal/proxy/engine/engine_test.go
+++ b/internal/proxy/engine/engine_test.go
@@ -18,7 +18,7 @@
 func (r *effectCounter) Fail(uint64)                               { r.finalResponses++ }
 func (r *effectCounter) SetTimer(time.Duration)                    {}
 func (r *effectCounter) CloseIdle(uint32)                          {}
-func (r *effectCounter) Forget(s uint32)                           { r.forgotten = append(r.forgotten, s) }
+func (r *effectCounter) ReleaseServer(s uint32)                    { r.forgotten = append(r.forgotten, s) }
 func (r *effectCounter) Subscribe()                                {}
 
 // TestIndicesAreReleased checks that a request's index is freed when the request is settled and has no attempt in flight.
@@ -30,15 +30,15 @@
 		wantInUse int
 	}{
 		"responded": {func(e *Engine[uint32], r *effectCounter) {
-			e.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.Success, ClientAnswered: true}, r)
+			e.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.Success, IsSettled: true}, r)
 		}, 0},
 		"client left, attempt in flight": {func(e *Engine[uint32], r *effectCounter) { e.ClientLeft(0, 7, r) }, 1},
 		"client left, then the attempt ends": {func(e *Engine[uint32], r *effectCounter) {
 			e.ClientLeft(0, 7, r)
-			e.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.TimedOut, ClientAnswered: true}, r)
+			e.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.TimedOut, IsSettled: true}, r)
 		}, 0},
 		"attempt at an unknown server is ignored": {func(e *Engine[uint32], r *effectCounter) {
-			if e.AttemptEnded(0, 7, 6, policy.Input{Outcome: policy.Success, ClientAnswered: true}, r) {
+			if e.AttemptEnded(0, 7, 6, policy.Input{Outcome: policy.Success, IsSettled: true}, r) {
 				t.Error("AttemptEnded returned true for an unknown server")
 			}
 		}, 1},
@@ -79,7 +79,7 @@
 	if len(r.forgotten) > 0 || len(e.serverIDs) != 2 {
 		t.Fatalf("with an attempt in flight: got forgotten servers %v and %d indices, want none and 2 indices", r.forgotten, len(e.serverIDs))
 	}
-	e.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.Success, ClientAnswered: true}, r)
+	e.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.Success, IsSettled: true}, r)
 	if len(r.forgotten) != 1 || r.forgotten[0] != 5 {
 		t.Fatalf("after the attempt: got forgotten servers %v, want [5]", r.forgotten)
 	}
--- a/internal/proxy/engine/golden_test.go
+++ b/internal/proxy/engine/golden_test.go
@@ -108,7 +108,7 @@
 func (h *history) SetTimer(after time.Duration)           { h.timerAt = h.now + after }
 func (h *history) Subscribe()                             { fmt.Fprintln(h.hash, "listen") }
 func (h *history) CloseIdle(server uint32)                { fmt.Fprintln(h.hash, "release", server) }
-func (h *history) Forget(server uint32)                   { fmt.Fprintln(h.hash, "forget", server) }
+func (h *history) ReleaseServer(server uint32)            { fmt.Fprintln(h.hash, "forget", server) }
 
 func newHistory(seed uint64) *history {
 	r := rand.New(rand.NewPCG(seed, 47))
@@ -256,7 +256,7 @@
 		types = append(types, h.trafficType(len(types)))
 	}
 	h.settings.TrafficTypes, h.routeLimits = types, 1
-	h.engine.TrafficTypesChanged(h.now, policy.Input{TrafficTypes: types, LearnFrom: latencySources, RouteLimits: []int{0, 5 + h.rand.IntN(30)}}, h)
+	h.engine.TrafficTypesChanged(h.now, policy.Input{TrafficTypes: types, LatencySources: latencySources, RouteLimits: []int{0, 5 + h.rand.IntN(30)}}, h)
 }
 
 // endAttempt ends an attempt with an outcome that depends on whether its server is currently faulty.
@@ -270,7 +270,7 @@
 	} else if h.rand.IntN(40) == 0 {
 		outcome = policy.Outcome(h.rand.IntN(9))
 	}
-	h.engine.AttemptEnded(h.now, a.request, a.server, policy.Input{Attempt: a.index, Outcome: outcome, ClientAnswered: outcome == policy.Success}, h)
+	h.engine.AttemptEnded(h.now, a.request, a.server, policy.Input{Attempt: a.index, Outcome: outcome, IsSettled: outcome == policy.Success}, h)
 }
 
 func (h *history) step() {
--- a/internal/proxy/fastcgi_test.go
+++ b/internal/proxy/fastcgi_test.go
@@ -110,7 +110,7 @@
 				}
 				var hosts []http1.Endpoint
 				for i := range 2 {
-					h := http1.Endpoint{ID: fmt.Sprint("s", i), Size: 1, Flavor: back}
+					h := http1.Endpoint{ID: fmt.Sprint("s", i), Weight: 1, MachineKind: back}
 					if back == "cgi" {
 						h.Address = responder(t, counted)
 					} else {
@@ -169,7 +169,7 @@
 		}
 		return echoed(r)
 	})
-	_, cgi, stop := startFastCGINode(t, http1.Endpoint{ID: "s", Size: 1, Flavor: "cgi", Address: at})
+	_, cgi, stop := startFastCGINode(t, http1.Endpoint{ID: "s", Weight: 1, MachineKind: "cgi", Address: at})
 	nc := dial(t, cgi).Conn
 	nc.SetDeadline(time.Now().Add(10 * time.Second))
 	const n = 100
--- a/internal/proxy/fastcgirequest.go
+++ b/internal/proxy/fastcgirequest.go
@@ -38,8 +38,8 @@
 }
 
 func (s *Server) rejectFastCGI(conn fastcgiRequestConn, rejection *message.RequestError) {
-	s.logger.Warn().Str("client", conn.ClientAddress()).Int("status", rejection.Status).Str("why", rejection.Why).Msg("request rejected")
-	sendAnswer(conn, message.Answer{Status: rejection.Status, Body: []byte(rejection.Why + "\n")})
+	s.logger.Warn().Str("client", conn.ClientAddress()).Int("status", rejection.Status).Str("why", rejection.Reason).Msg("request rejected")
+	sendAnswer(conn, message.Answer{Status: rejection.Status, Body: []byte(rejection.Reason + "\n")})
 }
 
 // fastcgiRequestConn is the clientConn of one request on a FastCGI connection.
--- a/internal/proxy/fastcgishutdown_test.go
+++ b/internal/proxy/fastcgishutdown_test.go
@@ -34,7 +34,7 @@
 	})
 	var hosts []http1.Endpoint // one server under many IDs, so that many attempts may be in flight
 	for i := range 100 {
-		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("s", i), Size: 1, Address: at})
+		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("s", i), Weight: 1, Address: at})
 	}
 	http, cgi, stop = startFastCGINodeWith(t, delays, hosts...)
 	return http, cgi, stop, begun, release
@@ -185,7 +185,7 @@
 	t.Parallel()
 	body := strings.Repeat("x", 60<<10)
 	at := responder(t, func(*message.Request) *message.Answer { return &message.Answer{Status: 200, Body: []byte(body)} })
-	http, cgi, _ := startFastCGINode(t, http1.Endpoint{ID: "s", Size: 1, Flavor: "cgi", Address: at})
+	http, cgi, _ := startFastCGINode(t, http1.Endpoint{ID: "s", Weight: 1, MachineKind: "cgi", Address: at})
 	dialer := net.Dialer{Control: func(_, _ string, rc syscall.RawConn) error { // most of the answer stays in the node's buffers
 		return rc.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 	}}
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -65,7 +65,7 @@
 				}
 			}
 		})
-		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("s-", i), Address: at, Size: 1})
+		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("s-", i), Address: at, Weight: 1})
 	}
 	return hosts, received
 }
@@ -75,7 +75,7 @@
 	binding := kind
 	binding.Idempotency = policy.NonIdempotent
 	return Config{Name: "n", Limits: dispatch.Limits{MemoryMB: 192, Sockets: 1024},
-		Discovery: netip.MustParseAddrPort("127.0.0.1:1"), SavedList: http1.EndpointList{Complete: true, Hosts: hosts},
+		Discovery: netip.MustParseAddrPort("127.0.0.1:1"), SavedList: http1.EndpointList{IsComplete: true, Endpoints: hosts},
 		Settings: settings.Settings{ConnIdle: time.Second, TypeNames: []string{"check", "book"}, Settings: policy.Settings{
 			NodeCount: 1, MaxAttempts: 4, ConnectTimeout: 100 * time.Millisecond, TrafficTypes: []policy.TrafficType{kind, binding}}}}
 }
@@ -142,7 +142,7 @@
 			io.WriteString(nc, okResponse)
 		}
 	})
-	return http1.Endpoint{ID: "s", Address: at, Size: 1}, begun, func() { close(released) }
+	return http1.Endpoint{ID: "s", Address: at, Weight: 1}, begun, func() { close(released) }
 }
 
 func await(t *testing.T, what string, condition func() bool) {
--- a/internal/proxy/httpclient.go
+++ b/internal/proxy/httpclient.go
@@ -29,7 +29,7 @@
 // observes the reads of the connection and may close it to free its descriptor, but not while a complete request is unanswered, nor after the
 // first request while part of a request has been read.
 func (s *Server) serveHTTPConn(tcp *net.TCPConn) {
-	c := http1.NewPooled(tcp, s.dispatcher.MessageBudget())
+	c := http1.NewConnWithBudget(tcp, s.dispatcher.MessageBudget())
 	var req message.Request
 	conn := &httpRequestConn{&httpClientConn{s, c}, &req}
 	defer c.ReleaseBuffers()
@@ -112,14 +112,14 @@
 func (s *Server) rejectHTTP(conn *httpRequestConn, err error) {
 	var rejection *message.RequestError
 	if errors.Is(err, http1.ErrTimeout) && !errors.Is(err, errAnswerUnsent) {
-		rejection = &message.RequestError{Status: 408, Why: "the request did not come to its end"}
+		rejection = &message.RequestError{Status: 408, Reason: "the request did not come to its end"}
 	}
 	if rejection == nil && !errors.As(err, &rejection) {
 		return
 	}
-	s.logger.Warn().Str("client", conn.conn.RemoteAddr().String()).Int("status", rejection.Status).Str("why", rejection.Why).Msg("request rejected")
+	s.logger.Warn().Str("client", conn.conn.RemoteAddr().String()).Int("status", rejection.Status).Str("why", rejection.Reason).Msg("request rejected")
 	conn.request.Close = true
-	sendAnswer(conn, message.Answer{Status: rejection.Status, Body: []byte(rejection.Why + "\n")})
+	sendAnswer(conn, message.Answer{Status: rejection.Status, Body: []byte(rejection.Reason + "\n")})
 	s.discardUnread(conn.conn.Conn)
 }
 
--- a/internal/proxy/httpclient_test.go
+++ b/internal/proxy/httpclient_test.go
@@ -128,7 +128,7 @@
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size))
 		}
 	})
-	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
+	cfg := config(http1.Endpoint{ID: "s", Address: at, Weight: 1})
 	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = time.Minute, time.Minute
 	cfg.shutdownDelays.extraLinger = time.Minute
 	node := newTestServer(t, cfg)
--- a/internal/proxy/intentjournal.go
+++ b/internal/proxy/intentjournal.go
@@ -51,10 +51,10 @@
 	if err != nil {
 		return nil, err
 	}
-	o := wal.Options{Dir: cfg.Journal.Dir, FileSystem: j.filesystem, Fsync: cfg.Journal.Promise != "process", MaxSegmentBytes: cfg.Journal.SegmentBytes,
+	o := wal.Options{Dir: cfg.Journal.Dir, FileSystem: j.filesystem, Fsync: cfg.Journal.Durability != "process", MaxSegmentBytes: cfg.Journal.SegmentBytes,
 		RetentionAge: cfg.Journal.RetentionAge.Std(), RetentionBytes: cfg.Journal.RetentionBytes, OnHealthChange: j.logHealth}
 	if peers != nil {
-		isReplicated := cfg.Journal.Promise == wal.PromiseMachines
+		isReplicated := cfg.Journal.Durability == wal.DurabilityMachines
 		j.incarnation = uint64(peers.Join(context.Background(), clusterJoinTimeout))
 		peers.StartJournal(cfg.Journal.Dir, isReplicated)
 		if isReplicated {
--- a/internal/proxy/intentjournal_test.go
+++ b/internal/proxy/intentjournal_test.go
@@ -63,7 +63,7 @@
 			hosts, _ := servers(t, 3, c.script...)
 			cfg := config(hosts...)
 			disk := memdisk.New()
-			cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
+			cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Durability: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
 			at, stop := startNode(t, cfg)
 			book(t, at, "Client-Retry: 1\r\nRepeats: 77\r\n")
 			get(t, dial(t, at), "/check/1") // idempotent: not recorded
@@ -95,8 +95,8 @@
 			io.WriteString(nc, okResponse)
 		}
 	})
-	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
-	cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20}
+	cfg := config(http1.Endpoint{ID: "s", Address: at, Weight: 1})
+	cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Durability: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20}
 	node, _ := startNode(t, cfg)
 	if got := book(t, node, ""); got != 200 || withoutIntent.Load() > 0 {
 		t.Errorf("got status %d, want 200; %d attempts without a durable intent, want none", got, withoutIntent.Load())
@@ -113,7 +113,7 @@
 			disk := memdisk.New()
 			hosts, received := servers(t, 3, okResponse)
 			cfg := config(hosts...)
-			cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: choice, MaxWait: tomlfile.Duration(100 * time.Millisecond), SegmentBytes: 1 << 20}
+			cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Durability: "machine", WhenFailing: choice, MaxWait: tomlfile.Duration(100 * time.Millisecond), SegmentBytes: 1 << 20}
 			at, stop := startNode(t, cfg)
 			if got := book(t, at, ""); got != 200 {
 				t.Fatalf("got status %d, want 200", got)
@@ -152,8 +152,8 @@
 func TestIntentWaitTimesOut(t *testing.T) {
 	t.Parallel()
 	cfg := config()
-	cfg.Filesystem = memdisk.SlowFiles{Full: func() bool { return false }, Takes: func() time.Duration { return 20 * time.Millisecond }}
-	cfg.Journal = &wal.Config{Dir: t.TempDir(), Promise: "process", WhenFailing: "deny", SegmentBytes: 1 << 20}
+	cfg.Filesystem = memdisk.SlowFiles{Full: func() bool { return false }, WriteDelay: func() time.Duration { return 20 * time.Millisecond }}
+	cfg.Journal = &wal.Config{Dir: t.TempDir(), Durability: "process", WhenFailing: "deny", SegmentBytes: 1 << 20}
 	j, err := openJournal(cfg, zerolog.Nop(), nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/loadconfig.go
+++ b/internal/proxy/loadconfig.go
@@ -43,7 +43,7 @@
 	load("PROXY_SNAPSHOT", func(path string) (err error) { c.Snapshot, err = snapshot.Load(path); return err })
 	load("PROXY_BINDINGS", func(path string) (err error) { c.Journal, err = wal.LoadConfig(path); return err })
 	load("PROXY_PEERS", c.loadPeers)
-	if err == nil && c.Journal != nil && c.Journal.Promise == wal.PromiseMachines && c.Peers == nil {
+	if err == nil && c.Journal != nil && c.Journal.Durability == wal.DurabilityMachines && c.Peers == nil {
 		err = errors.New("journal promise \"machines\" requires other nodes as replica holders: name them with --peers FILE")
 	}
 	load("PROXY_DISTRIBUTION", c.loadDistribution)
--- a/internal/proxy/oneconnection_test.go
+++ b/internal/proxy/oneconnection_test.go
@@ -39,7 +39,7 @@
 			io.WriteString(nc, okResponse)
 		}
 	}()
-	cfg := config(http1.Endpoint{ID: "s", Address: ln.Addr().(*net.TCPAddr).AddrPort(), Size: 1})
+	cfg := config(http1.Endpoint{ID: "s", Address: ln.Addr().(*net.TCPAddr).AddrPort(), Weight: 1})
 	for i := range cfg.Settings.TrafficTypes {
 		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Hour
 	}
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -107,8 +107,8 @@
 					io.WriteString(nc, okResponse)
 				}
 			})
-			cfg := config(http1.Endpoint{ID: "s", Address: server, Size: 1})
-			cfg.Journal = &wal.Config{Dir: t.TempDir(), Promise: wal.PromiseMachines, WhenFailing: choice, MaxWait: tomlfile.Duration(400 * time.Millisecond), SegmentBytes: 1 << 20}
+			cfg := config(http1.Endpoint{ID: "s", Address: server, Weight: 1})
+			cfg.Journal = &wal.Config{Dir: t.TempDir(), Durability: wal.DurabilityMachines, WhenFailing: choice, MaxWait: tomlfile.Duration(400 * time.Millisecond), SegmentBytes: 1 << 20}
 			cfg.Peers = clusterConfig(t, "n", a.Listen, b.Listen)
 			at, _ := startNode(t, cfg)
 			await(t, "recorded request", func() bool { return book(t, at, "") == 200 })
--- a/internal/proxy/plannerconn.go
+++ b/internal/proxy/plannerconn.go
@@ -56,7 +56,7 @@
 	}
 	defer nc.Close()
 	if p.cfg.Keys != nil {
-		nc = p.cfg.Keys.ClientConn(nc, p.cfg.Name)
+		nc = p.cfg.Keys.ClientConn(nc, p.cfg.TLSName)
 		if err := p.cfg.Keys.ReloadError(); err != nil {
 			p.logger.Error().Err(err).Msg("planner keys not reloaded")
 		}
--- a/internal/proxy/plannerendpoints.go
+++ b/internal/proxy/plannerendpoints.go
@@ -49,7 +49,7 @@
 func (p *plannerClient) applyDiscoveryList(l http1.EndpointList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.applyIncarnations(p.incarnations.ApplyDiscovery(p.dispatcher.Now(), watch.EntriesFromList(l), l.Complete))
+	p.applyIncarnations(p.incarnations.ApplyDiscovery(p.dispatcher.Now(), watch.EntriesFromList(l), l.IsComplete))
 }
 
 // applySavedList adds the initial list to the known incarnations. From a suspect list it adds only servers that are draining or gone: an
@@ -59,7 +59,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.isListSuspect = isSuspect; isSuspect {
-		l.Hosts = slices.DeleteFunc(slices.Clone(l.Hosts), func(e http1.Endpoint) bool { return e.Phase == http1.Serving })
+		l.Endpoints = slices.DeleteFunc(slices.Clone(l.Endpoints), func(e http1.Endpoint) bool { return e.Condition == http1.Serving })
 	}
 	p.incarnations.ApplyDiscovery(p.dispatcher.Now(), watch.EntriesFromList(l), false)
 }
--- a/internal/proxy/readiness_test.go
+++ b/internal/proxy/readiness_test.go
@@ -16,7 +16,7 @@
 	hosts, _ := servers(t, 1, okResponse)
 	busy := "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
 	draining := hosts[0]
-	draining.Phase = http1.Draining
+	draining.Condition = http1.Draining
 	for name, c := range map[string]struct {
 		saved            []http1.Endpoint
 		script           []string // responses of discovery, none after the last
--- a/internal/proxy/registry.go
+++ b/internal/proxy/registry.go
@@ -29,7 +29,7 @@
 // it lacks were removed while the node did not run.
 func (s *Server) applyRegistryChange(changed []incarnation.Entry, isFirst bool) {
 	l := watch.ListFromEntries(changed)
-	l.Complete = isFirst
+	l.IsComplete = isFirst
 	s.logSkippedEntries(l)
 	if s.endpointCache != nil {
 		l, _ = s.endpointCache.confirm(l, endpoints.SourceRegistry) // the registry's endpoint set withholds lists that lack most servers
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -58,7 +58,7 @@
 	case errors.Is(err, errJournalUnavailable), errors.Is(err, dispatch.ErrRouteLimit):
 		return sendAnswer(conn, message.Answer{Status: 503})
 	case errors.Is(err, dispatch.ErrDuplicateID):
-		return &message.RequestError{Status: 409, Why: err.Error()}
+		return &message.RequestError{Status: 409, Reason: err.Error()}
 	}
 	return err
 }
@@ -69,14 +69,14 @@
 	outcome := outcomeResponded
 	switch d.Action {
 	case dispatch.Respond:
-		err = conn.SendAnswer(d.Answer)
+		err = conn.SendAnswer(d.Response)
 	case dispatch.Reject:
 		outcome = outcomeRejected
 		err = sendAnswer(conn, message.Answer{Status: 503, RetryAfter: d.Duration})
 	case dispatch.Fail:
 		outcome = outcomeFailed
-		if d.Answer != nil { // a server's response that reports a fault of the request
-			err = conn.SendAnswer(d.Answer)
+		if d.Response != nil { // a server's response that reports a fault of the request
+			err = conn.SendAnswer(d.Response)
 		} else {
 			err = sendAnswer(conn, message.Answer{Status: failureStatus(last)})
 		}
--- a/internal/proxy/route_test.go
+++ b/internal/proxy/route_test.go
@@ -86,7 +86,7 @@
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s%s", len(r.Target)+len(r.Body), r.Target, r.Body)
 		}
 	}
-	cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, serve), Size: 1}, http1.Endpoint{ID: "b", Address: standIn(t, serve), Size: 1})
+	cfg := config(http1.Endpoint{ID: "a", Address: standIn(t, serve), Weight: 1}, http1.Endpoint{ID: "b", Address: standIn(t, serve), Weight: 1})
 	cfg.Settings.HedgingAllowed = true
 	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = 20*time.Second, 30*time.Second
 	cfg.Routes = routes(t, &cfg, checks+"copy_after = \"60ms\"\ncopy_share = 1.0")
@@ -119,7 +119,7 @@
 			io.WriteString(nc, okResponse)
 		}
 	})
-	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
+	cfg := config(http1.Endpoint{ID: "s", Address: at, Weight: 1})
 	for i := range cfg.Settings.TrafficTypes {
 		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = 20*time.Second, 30*time.Second
 	}
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -176,7 +176,7 @@
 		startComponent("endpoint cache writer", s.endpointCache.writePeriodically)
 	}
 	s.logger.Info().Str("node", s.cfg.Name).Stringer("listen", s.cfg.Listen).Int("connections", s.cfg.Limits.MaxConnections()).
-		Int("servers", len(s.cfg.SavedList.Hosts)).Msg("serving")
+		Int("servers", len(s.cfg.SavedList.Endpoints)).Msg("serving")
 	startComponent("counts", s.logCounts)
 	startComponent("reload", func(ctx context.Context) error { return s.reloadOnSignal(ctx, signals.Reload) })
 	g.Go(func() error {
--- a/internal/proxy/shadow/module_test.go
+++ b/internal/proxy/shadow/module_test.go
@@ -38,7 +38,7 @@
 		handle(now, policy.Input{Kind: policy.RequestArrived, Request: i, TrafficType: i % 2, Key: uint32(1 + i%5), Timeout: time.Second})
 		handle(now+20*ms, policy.Input{Kind: policy.TimerFired})
 		if outcome := outcomes[i%len(outcomes)]; i%7 > 0 {
-			handle(now+30*ms, policy.Input{Kind: policy.AttemptEnded, Request: i, Outcome: outcome, ClientAnswered: outcome == policy.Success})
+			handle(now+30*ms, policy.Input{Kind: policy.AttemptEnded, Request: i, Outcome: outcome, IsSettled: outcome == policy.Success})
 		}
 	}
 	return all
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -23,7 +23,7 @@
 			io.WriteString(nc, okResponse)
 		}
 	})
-	cfg := config(http1.Endpoint{ID: "s", Address: server, Size: 1})
+	cfg := config(http1.Endpoint{ID: "s", Address: server, Weight: 1})
 	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = time.Minute, time.Minute
 	arrivalsEnd := make(chan struct{})
 	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() { <-arrivalsEnd }, extraTime: time.Minute}
@@ -123,7 +123,7 @@
 			})
 			arrivalsEnd := make(chan struct{})
 			delays := shutdownDelays{awaitArrivals: func() { <-arrivalsEnd }, extraTime: time.Minute}
-			http, cgi, stop := startFastCGINodeWith(t, delays, http1.Endpoint{ID: "s", Size: 1, Address: at})
+			http, cgi, stop := startFastCGINodeWith(t, delays, http1.Endpoint{ID: "s", Weight: 1, Address: at})
 			done := make(chan error, 1)
 			if c.isDraining {
 				go func() { done <- stop() }()
@@ -175,7 +175,7 @@
 			io.WriteString(nc, okResponse)
 		}
 	})
-	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
+	cfg := config(http1.Endpoint{ID: "s", Address: at, Weight: 1})
 	for i := range cfg.Settings.TrafficTypes {
 		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
 	}
--- a/internal/proxy/storedformat_test.go
+++ b/internal/proxy/storedformat_test.go
@@ -66,7 +66,7 @@
 	cfg := config()
 	disk := memdisk.New()
 	cfg.Filesystem = disk
-	cfg.Journal = &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Minute), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
+	cfg.Journal = &wal.Config{Dir: "j", Durability: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Minute), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
 	j, err := openJournal(cfg, zerolog.Nop(), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +116,7 @@
 	if want := "node-1 127.0.0.1:8080 127.0.0.1:9090 2363233923 1.5 {MemoryMB:64 Sockets:256} <nil>"; got != want {
 		t.Errorf("unexpected configuration %s", got)
 	}
-	if n := len(cfg.SavedList.Hosts); cfg.SavedList.Revision != 12 || !cfg.SavedList.Complete || n != 1 || cfg.SavedList.Hosts[0].ID != "s-1" {
+	if n := len(cfg.SavedList.Endpoints); cfg.SavedList.Revision != 12 || !cfg.SavedList.IsComplete || n != 1 || cfg.SavedList.Endpoints[0].ID != "s-1" {
 		t.Errorf("unexpected saved list %+v", cfg.SavedList)
 	}
 	if s := cfg.Settings; s.MaxAttempts != 2 || len(s.TypeNames) != 1 || s.TypeNames[0] != "check" {
--- a/internal/proxy/submit.go
+++ b/internal/proxy/submit.go
@@ -35,7 +35,7 @@
 		}
 		if a.RouteIndex >= 0 {
 			if len(req.Body) > a.Routes.MaxBodyBytes(a.RouteIndex, a.TrafficType, message.MaxBody) {
-				return nil, nil, &message.RequestError{Status: 413, Why: "the body is larger than its route takes"}
+				return nil, nil, &message.RequestError{Status: 413, Reason: "the body is larger than its route takes"}
 			}
 			if a.Routes.AllowsHedging(a.RouteIndex, a.TrafficType) {
 				a.StartHedge = s.startHedge(conn, req, entry)
@@ -45,7 +45,7 @@
 			a.Timeout = s.dispatcher.DefaultTimeout(a.TrafficType)
 		}
 		if a.Timeout -= time.Since(receivedAt); a.Timeout <= 0 {
-			return nil, nil, &message.RequestError{Status: 408, Why: "the request took all of its time to come"}
+			return nil, nil, &message.RequestError{Status: 408, Reason: "the request took all of its time to come"}
 		}
 		if s.isDraining.Load() {
 			a.Timeout = max(min(a.Timeout, time.Until(s.answerDeadline)), time.Millisecond)
--- a/internal/proxy/unrecordable_test.go
+++ b/internal/proxy/unrecordable_test.go
@@ -29,7 +29,7 @@
 			hosts, received := servers(t, 1, okResponse)
 			disk := memdisk.New()
 			cfg := config(hosts...)
-			cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
+			cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Durability: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
 			at, stop := startNode(t, cfg)
 			c := dial(t, at)
 			fmt.Fprintf(c, "POST /book/1 HTTP/1.1\r\nHost: h\r\n"+fields+"Content-Length: 0\r\n\r\n", ids.Add(1))
@@ -57,7 +57,7 @@
 	t.Parallel()
 	hosts, received := servers(t, 1, okResponse)
 	cfg := config(hosts...)
-	cfg.Filesystem, cfg.Journal = memdisk.New(), &wal.Config{Dir: "j", Promise: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20}
+	cfg.Filesystem, cfg.Journal = memdisk.New(), &wal.Config{Dir: "j", Durability: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20}
 	cgi := address.Free(t)
 	cfg.Routes = routes(t, &cfg, fmt.Sprintf("[fastcgi]\nlisten = %q\nflavors = [\"cgi\"]", cgi))
 	at, _ := startNode(t, cfg)
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -66,7 +66,7 @@
 		return nil, connectResult(err, dialDeadline.Equal(deadline))
 	}
 	if !d.IsFastCGI {
-		return http1.NewPooled(nc, s.dispatcher.MessageBudget()), dispatch.Succeeded
+		return http1.NewConnWithBudget(nc, s.dispatcher.MessageBudget()), dispatch.Succeeded
 	}
 	return fastcgi.NewServerConn(nc, s.dispatcher.MessageBudget(), func(text []byte) {
 		s.logger.Warn().Str("server", d.Server).Bytes("stderr", text[:min(len(text), maxLoggedTextBytes)]).Msg("FastCGI server wrote to standard error")
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -41,7 +41,7 @@
 func TestUnreachableServer(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
-	hosts = append(hosts, http1.Endpoint{ID: "closed", Address: netip.MustParseAddrPort("127.0.0.1:1"), Size: 1})
+	hosts = append(hosts, http1.Endpoint{ID: "closed", Address: netip.MustParseAddrPort("127.0.0.1:1"), Weight: 1})
 	at, _ := startNode(t, config(hosts...))
 	for range 4 {
 		if r := get(t, dial(t, at), "/book/1"); r.Status != 200 {
@@ -62,7 +62,7 @@
 			closed <- struct{}{}
 		}
 	})
-	node, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: at, Size: 1}))
+	node, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: at, Weight: 1}))
 	for range 3 {
 		if r := get(t, dial(t, node), "/book/1"); r.Status != 200 {
 			t.Errorf("got status %d, want 200", r.Status)
@@ -105,7 +105,7 @@
 					close(sent)
 				}
 			})
-			node, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: at, Size: 1}))
+			node, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: at, Weight: 1}))
 			client := dial(t, node)
 			if r := get(t, client, "/book/1"); r.Status != 200 || string(r.Body) != "ok" {
 				t.Errorf("got status %d, body %q, want 200 \"ok\"", r.Status, r.Body)
--- a/internal/route/check.go
+++ b/internal/route/check.go
@@ -65,9 +65,9 @@
 }
 
 // Wrong records a fault of the selected fragment, or of the operator's file if no fragment is selected.
-func (c *checker) Wrong(path, format string, args ...any) {
+func (c *checker) AddFault(path, format string, args ...any) {
 	if !c.fragments.record(format, args...) {
-		c.File.Wrong(path, format, args...)
+		c.File.AddFault(path, format, args...)
 	}
 }
 
@@ -95,34 +95,34 @@
 	if at := c.file.FastCGI.Listen; at != "" {
 		var err error
 		if table.Listen, err = netip.ParseAddrPort(at); err != nil {
-			c.Wrong("fastcgi.listen", "listen address %q is invalid: host:port expected", at)
+			c.AddFault("fastcgi.listen", "listen address %q is invalid: host:port expected", at)
 		}
 	}
 	for _, site := range c.file.FastCGI.Sites {
 		if !slices.Contains(c.settings.Zones, site) {
-			c.Wrong("fastcgi.sites", "unknown site %q: known sites are %s", site, strings.Join(c.settings.Zones, ", "))
+			c.AddFault("fastcgi.sites", "unknown site %q: known sites are %s", site, strings.Join(c.settings.Zones, ", "))
 		}
 	}
 	for name := range c.file.Class {
 		if _, ok := table.types[name]; !ok {
-			c.Wrong("class."+name, "no traffic type %q: there are %s", name, strings.Join(c.settings.TypeNames, ", "))
+			c.AddFault("class."+name, "no traffic type %q: there are %s", name, strings.Join(c.settings.TypeNames, ", "))
 		}
 	}
 	if len(c.file.Routes) > maxRoutes {
-		c.Wrong("routes."+strconv.Itoa(maxRoutes), "%d routes, at most %d allowed", len(c.file.Routes), maxRoutes)
+		c.AddFault("routes."+strconv.Itoa(maxRoutes), "%d routes, at most %d allowed", len(c.file.Routes), maxRoutes)
 		return table
 	}
 	for i := range c.file.Routes {
 		c.fragments.selectRoute(i)
 		route := &c.file.Routes[i]
 		if _, duplicate := c.routes[route.Name]; route.Name == "" {
-			c.Wrong(at(i, "name"), "route has no name")
+			c.AddFault(at(i, "name"), "route has no name")
 		} else if duplicate {
 			first := ""
 			if line := c.Line(at(c.routes[route.Name], "name")); line > 0 {
 				first = fmt.Sprintf(", first defined in line %d", line)
 			}
-			c.Wrong(at(i, "name"), "duplicate route %q%s", route.Name, first)
+			c.AddFault(at(i, "name"), "duplicate route %q%s", route.Name, first)
 		} else {
 			c.routes[route.Name] = i
 		}
@@ -134,7 +134,7 @@
 	c.checkFallbacks(table)
 	c.fragments.selectOperatorFile()
 	if n := len(table.Profiles); n > maxProfiles {
-		c.Wrong("routes", "%d distinct sets of limits, at most %d allowed; routes with equal limits share one", n, maxProfiles)
+		c.AddFault("routes", "%d distinct sets of limits, at most %d allowed; routes with equal limits share one", n, maxProfiles)
 	}
 	return table
 }
@@ -149,18 +149,18 @@
 		c.fragments.selectPool(i)
 		key := "pools." + strconv.Itoa(i)
 		if _, duplicate := c.pools[pool.Name]; pool.Name == "" || duplicate {
-			c.Wrong(key+".name", "pool name is missing or already in use")
+			c.AddFault(key+".name", "pool name is missing or already in use")
 		}
 		if i >= maxPools {
-			c.Wrong(key, "%d pools, at most %d allowed", len(c.file.Pools), maxPools)
+			c.AddFault(key, "%d pools, at most %d allowed", len(c.file.Pools), maxPools)
 			return
 		}
 		if len(pool.Sites)+len(pool.Flavors)+len(pool.Servers) == 0 {
-			c.Wrong(key, "pool %q sets none of sites, flavors and servers", pool.Name)
+			c.AddFault(key, "pool %q sets none of sites, flavors and servers", pool.Name)
 		}
 		for _, site := range pool.Sites {
 			if !slices.Contains(c.settings.Zones, site) {
-				c.Wrong(key+".sites", "unknown site %q: known sites are %s", site, strings.Join(c.settings.Zones, ", "))
+				c.AddFault(key+".sites", "unknown site %q: known sites are %s", site, strings.Join(c.settings.Zones, ", "))
 			}
 		}
 		c.pools[pool.Name] = 1 << i
@@ -174,20 +174,20 @@
 	path, ok := c.checkPath(r, i)
 	for _, method := range r.Methods {
 		if method == "" || strings.ToUpper(method) != method || strings.ContainsAny(method, " \t\r\n/") {
-			c.Wrong(at(i, "methods"), "invalid method %q: name in upper case expected", method)
+			c.AddFault(at(i, "methods"), "invalid method %q: name in upper case expected", method)
 		}
 	}
 	for _, tenant := range r.Tenants {
 		if _, known := table.tenants[tenant]; !known {
-			c.Wrong(at(i, "tenants"), "unknown tenant %q: known tenants are %s", tenant, strings.Join(c.settings.TenantNames, ", "))
+			c.AddFault(at(i, "tenants"), "unknown tenant %q: known tenants are %s", tenant, strings.Join(c.settings.TenantNames, ", "))
 		}
 	}
 	if len(r.Headers) > maxHeaders {
-		c.Wrong(at(i, "headers"), "%d headers, at most %d allowed", len(r.Headers), maxHeaders)
+		c.AddFault(at(i, "headers"), "%d headers, at most %d allowed", len(r.Headers), maxHeaders)
 	}
 	for name := range r.Headers {
 		if name == "" || strings.ContainsAny(name, " \t\r\n:") {
-			c.Wrong(at(i, "headers"), "invalid header name %q", name)
+			c.AddFault(at(i, "headers"), "invalid header name %q", name)
 		}
 	}
 	var trafficTypes []int
@@ -206,7 +206,7 @@
 	}
 	if ok {
 		if clash := table.tree.add(path, r, i); clash >= 0 {
-			c.Wrong("routes."+strconv.Itoa(i), "route %q and route %q%s match the same requests, and neither is more specific", r.Name,
+			c.AddFault("routes."+strconv.Itoa(i), "route %q and route %q%s match the same requests, and neither is more specific", r.Name,
 				c.file.Routes[clash].Name, c.otherLine(clash))
 		}
 	}
@@ -222,7 +222,7 @@
 	}
 	segments := pathSegments(r.Path)
 	wrong := func(format string, args ...any) ([]string, bool) {
-		c.Wrong(at(i, "path"), format, args...)
+		c.AddFault(at(i, "path"), format, args...)
 		return nil, false
 	}
 	switch {
@@ -265,7 +265,7 @@
 		if trafficType, ok := table.types[name]; ok {
 			return []int{trafficType}
 		}
-		c.Wrong(at(i, key), "no traffic type %q: there are %s", name, strings.Join(c.settings.TypeNames, ", "))
+		c.AddFault(at(i, key), "no traffic type %q: there are %s", name, strings.Join(c.settings.TypeNames, ", "))
 		return nil
 	}
 	switch {
--- a/internal/route/check_fallbacks.go
+++ b/internal/route/check_fallbacks.go
@@ -17,13 +17,13 @@
 		}
 		target, ok := c.routes[name]
 		if !ok {
-			c.Wrong(c.fallbackKey(i), "route %q falls back to %q, which does not exist", table.Routes[i].Name, name)
+			c.AddFault(c.fallbackKey(i), "route %q falls back to %q, which does not exist", table.Routes[i].Name, name)
 			continue
 		}
 		table.Routes[i].fallback = target
 		for trafficType, profile := range table.Routes[i].profileByType {
 			if profile >= 0 && target != i && table.Routes[target].profileByType[trafficType] < 0 {
-				c.Wrong(c.fallbackKey(i), "route %q falls back to %q, which does not serve type %s", table.Routes[i].Name, name, c.settings.TypeNames[trafficType])
+				c.AddFault(c.fallbackKey(i), "route %q falls back to %q, which does not serve type %s", table.Routes[i].Name, name, c.settings.TypeNames[trafficType])
 				break
 			}
 		}
@@ -34,7 +34,7 @@
 		for next := table.Routes[i].fallback; next >= 0; next = table.Routes[next].fallback {
 			seen = append(seen, table.Routes[next].Name)
 			if next == i {
-				c.Wrong(c.fallbackKey(i), "fallbacks form a cycle: %s", strings.Join(seen, ", "))
+				c.AddFault(c.fallbackKey(i), "fallbacks form a cycle: %s", strings.Join(seen, ", "))
 				break
 			}
 			if len(seen) > len(table.Routes) { // the route leads into a cycle without being part of it
--- a/internal/route/check_limits.go
+++ b/internal/route/check_limits.go
@@ -67,7 +67,7 @@
 
 // wrong records a fault at a key, with the names of the route and of the traffic type.
 func (l *limitsChecker) wrong(key, format string, args ...any) {
-	l.Wrong(l.keyPath(key), "route %q, type %s: "+format, append([]any{l.route.Name, l.name}, args...)...)
+	l.AddFault(l.keyPath(key), "route %q, type %s: "+format, append([]any{l.route.Name, l.name}, args...)...)
 }
 
 // times checks the latency objective and the timeout of an attempt.
--- a/internal/route/fragment.go
+++ b/internal/route/fragment.go
@@ -40,7 +40,7 @@
 			return Fragment{}, err
 		}
 		if len(file.Routes) != 1 {
-			return Fragment{}, tomlfile.Faults{{File: label, Why: fmt.Sprintf("got %d routes, want 1", len(file.Routes))}}
+			return Fragment{}, tomlfile.Faults{{File: label, Reason: fmt.Sprintf("got %d routes, want 1", len(file.Routes))}}
 		}
 		route = file.Routes[0]
 	}
@@ -67,7 +67,7 @@
 			return Fragment{}, err
 		}
 		if len(file.Pools) != 1 {
-			return Fragment{}, tomlfile.Faults{{File: label, Why: fmt.Sprintf("got %d pools, want 1", len(file.Pools))}}
+			return Fragment{}, tomlfile.Faults{{File: label, Reason: fmt.Sprintf("got %d pools, want 1", len(file.Pools))}}
 		}
 		pool = file.Pools[0]
 	}
@@ -101,9 +101,9 @@
 func checkName(label, name, nameInText string) error {
 	switch {
 	case name == "":
-		return tomlfile.Faults{{File: label, Why: "fragment has no name"}}
+		return tomlfile.Faults{{File: label, Reason: "fragment has no name"}}
 	case nameInText != "" && nameInText != name:
-		return tomlfile.Faults{{File: label, Why: fmt.Sprintf("text defines name %q, want name of entry", nameInText)}}
+		return tomlfile.Faults{{File: label, Reason: fmt.Sprintf("text defines name %q, want name of entry", nameInText)}}
 	}
 	return nil
 }
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -12,7 +12,7 @@
 // Update describes the effect of Router.Replace for the policy and the dispatcher.
 type Update struct {
 	TrafficTypes     []policy.TrafficType // all traffic types of the policy
-	LearnFrom        []int                // by traffic type: its own index if unchanged, else the type whose latencies it starts with
+	LatencySources   []int                // by traffic type: its own index if unchanged, else the type whose latencies it starts with
 	RouteLimits      []int                // requests with an attempt in flight, by route limit; 0: unlimited
 	SelectionChanged bool                 // labels or protocols of servers may have changed
 }
@@ -97,7 +97,7 @@
 		r.typeOfProfile[i] = index
 	}
 	r.assignLimiters(now, table)
-	update := Update{LearnFrom: learnFrom, SelectionChanged: !slices.Equal(oldBitOfPool, r.bitOfPool) || !sameSelection(old, table)}
+	update := Update{LatencySources: learnFrom, SelectionChanged: !slices.Equal(oldBitOfPool, r.bitOfPool) || !sameSelection(old, table)}
 	for i := range r.types {
 		r.types[i].isFree = !r.types[i].isUsed && r.types[i].admitted == 0
 		trafficType := r.types[i].profile.Type
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -76,7 +76,7 @@
 
 	// An unchanged file keeps indexes and counts.
 	update := r.Replace(0, parse(t, fileText("hops = 2\nat_once = 500\nwaiting = 10")))
-	if admitted := admit(r, 0, "/check/x", 0, 99); len(admitted) != 10 || admitted[0].Type != open[0].Type || update.LearnFrom[open[0].Type] != open[0].Type {
+	if admitted := admit(r, 0, "/check/x", 0, 99); len(admitted) != 10 || admitted[0].Type != open[0].Type || update.LatencySources[open[0].Type] != open[0].Type {
 		t.Errorf("after an unchanged file: got %d admitted of traffic type %d, want 10 of type %d", len(admitted), admitted[0].Type, open[0].Type)
 	}
 
@@ -87,12 +87,12 @@
 		t.Error("got requests admitted above the new limit, want none")
 	}
 	oldType := open[0].Type
-	if update.TrafficTypes[oldType].MaxAttempts != 2 || update.LearnFrom[oldType] != oldType {
+	if update.TrafficTypes[oldType].MaxAttempts != 2 || update.LatencySources[oldType] != oldType {
 		t.Error("traffic type of open requests has changed")
 	}
 	newType := len(update.TrafficTypes) - 1
-	if update.TrafficTypes[newType].MaxAttempts != 3 || update.LearnFrom[newType] != oldType || update.RouteLimits[open[0].LimitIndex] != 100 {
-		t.Errorf("new traffic type: got %+v learning from %d, route limits %v, want 3 attempts, the old type and a limit of 100", update.TrafficTypes[newType], update.LearnFrom[newType], update.RouteLimits)
+	if update.TrafficTypes[newType].MaxAttempts != 3 || update.LatencySources[newType] != oldType || update.RouteLimits[open[0].LimitIndex] != 100 {
+		t.Errorf("new traffic type: got %+v learning from %d, route limits %v, want 3 attempts, the old type and a limit of 100", update.TrafficTypes[newType], update.LatencySources[newType], update.RouteLimits)
 	}
 
 	// The route is removed while its requests are open: they keep their index, and their releases are counted.
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -90,7 +90,7 @@
 }
 
 // Forget writes nothing, because the simulator does not reuse server IDs.
-func (w *Writer) Forget(uint32) {}
+func (w *Writer) ReleaseServer(uint32) {}
 
 // Broken reports that an instance could not be started, with the reason.
 func (w *Writer) Broken(reason string) {
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -243,7 +243,7 @@
 	if mayHaveRun && r.possiblyRanAt < 0 {
 		r.possiblyRanAt, r.firstRunAt = in.Server, d.now-in.Elapsed
 	}
-	if !r.isOpen || in.Outcome == policy.Success || in.ClientAnswered {
+	if !r.isOpen || in.Outcome == policy.Success || in.IsSettled {
 		r.isOpen = false
 		return
 	}
--- a/internal/testbed/baseline/retention.go
+++ b/internal/testbed/baseline/retention.go
@@ -14,6 +14,6 @@
 // retainAll keeps each idle connection open until its idle timeout expires.
 type retainAll struct{}
 
-func (retainAll) MayIdle(bool) bool { return true }
+func (retainAll) KeepsIdle(bool) bool { return true }
 
 func (retainAll) ClosesOnChange() bool { return false }
--- a/internal/testbed/bench.go
+++ b/internal/testbed/bench.go
@@ -60,7 +60,7 @@
 	}
 	s.Nodes.Count, s.Sites = 1, []string{"one"}
 	for i := range s.Types { // long enough that no timeout limits the load
-		s.Types[i].LatencyObjective, s.Types[i].AbandonTime = scenario.Span(2*time.Second), scenario.Span(3*time.Second)
+		s.Types[i].LatencyObjective, s.Types[i].AbandonTime = scenario.Duration(2*time.Second), scenario.Duration(3*time.Second)
 	}
 	env := &environment{Options: Options{Scenario: s}, processes: newProcessManager()}
 	defer close(env.processes.commands)
@@ -87,7 +87,7 @@
 	balancer := connbalancer.New(1, []connbalancer.Node{{Address: address}})
 	ready, cancel := context.WithTimeout(ctx, maxStartTime)
 	defer cancel()
-	if err := balancer.Started(ready, 0); err != nil {
+	if err := balancer.NodeStarted(ready, 0); err != nil {
 		return nil, err
 	}
 	if rows, err = measureAll(ctx, o, p, address, addresses); err != nil {
--- a/internal/testbed/build.go
+++ b/internal/testbed/build.go
@@ -27,7 +27,7 @@
 	}
 	s := env.Scenario
 	env.observer = newObserver(s, env.Requests, env.start)
-	env.discovery = discovery.New(discovery.Settings{LinesPerS: s.Discovery.LinesPerS, CallLines: s.Discovery.CallLines,
+	env.discovery = discovery.New(discovery.Settings{LinesPerSecond: s.Discovery.LinesPerS, CallLines: s.Discovery.CallLines,
 		Timeout: s.Discovery.Timeout.Std(), Spread: s.Discovery.Spread.Std()}, s.Seed, discoveryObserver{env.observer})
 	for i := range s.Servers {
 		for n := range s.Servers[i].Count {
@@ -127,12 +127,12 @@
 	}
 	id := server.Identity{Number: n, Name: name, Site: site, Cell: cell}
 	standin, err := server.NewServer(id, server.Settings{Cores: spec.Cores, Speed: spec.Speed, Queue: spec.Queue, ColdShare: spec.SlowStartCapacity, ColdFor: spec.SlowStartDuration.Std(),
-		KeyGain: spec.CacheGain, KeyFor: spec.CacheDuration.Std(), Keys: spec.CacheSize, Drops: spec.RejectsExpired, OverloadFactor: s.Rules.OverloadFactor,
+		KeyGain: spec.CacheGain, KeyFor: spec.CacheDuration.Std(), Keys: spec.CacheSize, DropsExpired: spec.RejectsExpired, OverloadFactor: s.Rules.OverloadFactor,
 		OverloadWindow: s.Rules.OverloadWindow.Std(), Handshake: spec.Handshake.Std(), Connections: spec.Connections, FastCGI: spec.FastCGI}, env.start, addresses, latency, env.observer)
 	if err != nil {
 		return nil, err
 	}
-	standin.Set(func(f *server.Faults) { f.Err = spec.ErrorRate })
+	standin.ChangeFaults(func(f *server.Faults) { f.ErrorResponse = spec.ErrorRate })
 	m := &standinServer{Server: standin, spec: spec}
 	env.servers = append(env.servers, m)
 	env.observer.record(func(a *audit.Audit, _ time.Duration) {
@@ -201,11 +201,11 @@
 		cancel(fmt.Errorf("node %d has ended: %s", n, reason))
 		env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, reason) })
 		env.observer.nodeDown(n, true)
-		env.balancer.Ended(n, env.Scenario.Nodes.CrashNotice.Std())
+		env.balancer.NodeEnded(n, env.Scenario.Nodes.CrashNotice.Std())
 	})
 	if err != nil {
 		return err
 	}
 	env.observer.nodeUp(n)
-	return env.balancer.Started(ctx, n)
+	return env.balancer.NodeStarted(ctx, n)
 }
--- a/internal/testbed/capacity/target.go
+++ b/internal/testbed/capacity/target.go
@@ -50,24 +50,24 @@
 		return nil, err
 	}
 	if len(t.Figures) == 0 {
-		f.Wrong("figures", "no figures: want at least one")
+		f.AddFault("figures", "no figures: want at least one")
 	}
 	for i := range t.Figures {
 		g := &t.Figures[i]
 		at := func(key string) string { return fmt.Sprintf("figures.%d.%s", i, key) }
 		for _, v := range []struct{ key, value string }{{"role", g.Role}, {"what", g.What}, {"source", g.Source}, {"carries", g.Carries}} {
 			if v.value == "" {
-				f.Wrong(at(v.key), "figure without %s", v.key)
+				f.AddFault(at(v.key), "figure without %s", v.key)
 			}
 		}
 		if !kinds[g.Kind] {
-			f.Wrong(at("kind"), "kind %q: want state, messages, CPU, memory or time", g.Kind)
+			f.AddFault(at("kind"), "kind %q: want state, messages, CPU, memory or time", g.Kind)
 		}
 		if g.Budget < 0 || g.Times < 0 {
-			f.Wrong(at("budget"), "negative budget or times: want at least 0")
+			f.AddFault(at("budget"), "negative budget or times: want at least 0")
 		}
 		if g.Budget > 0 && g.BudgetIs == "" {
-			f.Wrong(at("budget_is"), "budget without budget_is")
+			f.AddFault(at("budget_is"), "budget without budget_is")
 		}
 		if g.Times == 0 {
 			g.Times = 1
--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -132,18 +132,18 @@
 func (env *environment) killNode(n int) {
 	env.observer.nodeDown(n, true)
 	env.nodes[n].stop(syscall.SIGKILL)
-	env.balancer.Ended(n, env.Scenario.Nodes.CrashNotice.Std())
+	env.balancer.NodeEnded(n, env.Scenario.Nodes.CrashNotice.Std())
 	env.writeNodeConfig(n)
 }
 
 // pauseNode stops a node's process with SIGSTOP and resumes it after duration.
 func (env *environment) pauseNode(ctx context.Context, n int, duration time.Duration) {
 	env.observer.nodePaused(n)
-	env.balancer.Ended(n, env.Scenario.Nodes.CrashNotice.Std())
+	env.balancer.NodeEnded(n, env.Scenario.Nodes.CrashNotice.Std())
 	env.nodes[n].signal(syscall.SIGSTOP)
 	env.after(duration, func() {
 		env.nodes[n].signal(syscall.SIGCONT)
 		env.observer.nodeResumed(n)
-		env.balancer.Started(ctx, n)
+		env.balancer.NodeStarted(ctx, n)
 	})
 }
--- a/internal/testbed/cold_test.go
+++ b/internal/testbed/cold_test.go
@@ -105,10 +105,10 @@
 	n.attempts[request]++
 	c, sentAt := f.servers[server], f.now
 	c.freeAt = max(c.freeAt, f.now) + time.Duration(float64(f.work)/f.capacity(c)*f.rng.ExpFloat64())
-	in := policy.Input{Attempt: attempt, Outcome: policy.Success, ClientAnswered: true}
+	in := policy.Input{Attempt: attempt, Outcome: policy.Success, IsSettled: true}
 	duration := c.freeAt - f.now
 	if duration > timeout {
-		duration, in.Outcome, in.ClientAnswered = timeout, policy.TimedOut, false
+		duration, in.Outcome, in.IsSettled = timeout, policy.TimedOut, false
 	}
 	f.after(duration, func() {
 		in.Elapsed = f.now - sentAt
@@ -120,7 +120,7 @@
 func (n *coldNode) Fail(uint64)                  {}
 func (n *coldNode) Subscribe()                   {}
 func (n *coldNode) CloseIdle(int)                {}
-func (n *coldNode) Forget(int)                   {}
+func (n *coldNode) ReleaseServer(int)            {}
 
 func (n *coldNode) SetTimer(after time.Duration) {
 	n.timerGeneration++
--- a/internal/testbed/distribution.go
+++ b/internal/testbed/distribution.go
@@ -282,7 +282,7 @@
 	go func() { done <- control.Run(ctx, c.config, zerolog.Nop()) }()
 	c.stop = sync.OnceValue(func() error {
 		cancel()
-		c.link.Break()
+		c.link.CloseConnections()
 		return <-done
 	})
 	return nil
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -103,7 +103,7 @@
 	*server.Server
 	spec      *scenario.Servers
 	mu        sync.Mutex // guards the fields below
-	session   *zookeeper.Owned
+	session   *zookeeper.OwnedSession
 	startedAt time.Time // for the registry; zero: initialUptime before the run
 	isLeaving bool      // the server is draining or has drained
 	changes   int       // announcements scheduled; only the last one takes effect
@@ -202,7 +202,7 @@
 		Progress:  env.Progress,
 	}
 	env.scheduleFaults(ctx, shift)
-	if s := env.Scenario.Peers; s.Before > 0 && s.Replicas > 0 {
+	if s := env.Scenario.Peers; s.EarlierEntries > 0 && s.Replicas > 0 {
 		env.waitReplicated(ctx, &env.losses.replicationSeconds)
 	}
 	lateness := g.Run(ctx, env.start, env.balancer, env.observer)
@@ -232,7 +232,7 @@
 		return nil, err
 	}
 	out.PlannerUsage, out.PlanBytes = env.stopPlanners()
-	out.DiscoveryCalls, out.DiscoveryLines, out.RejectedCalls = env.discovery.Use()
+	out.DiscoveryCalls, out.DiscoveryLines, out.RejectedCalls = env.discovery.Usage()
 	env.observer.record(func(a *audit.Audit, _ time.Duration) { out.Rules, out.Seconds = a.Verdict(), a.Seconds() })
 	beforeLoad := min(int(shift/time.Second), len(out.Seconds))
 	out.Seconds = out.Seconds[beforeLoad:]
--- a/internal/testbed/faultdiscovery.go
+++ b/internal/testbed/faultdiscovery.go
@@ -13,8 +13,8 @@
 // discoveryFaults are the faults of discovery and the registry, by name.
 var discoveryFaults = map[string]faultFunc{
 	"discovery-down": func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
-		env.discovery.Down(true)
-		env.after(f.For.Std(), func() { env.discovery.Down(false) })
+		env.discovery.SetDown(true)
+		env.after(f.For.Std(), func() { env.discovery.SetDown(false) })
 	},
 	"discovery-move": func(env *environment, _ context.Context, _ *scenario.Fault, _ *rand.Rand) {
 		env.mu.Lock()
@@ -38,23 +38,26 @@
 		env.flapSessions(&sized, rng)
 	},
 	"registry-lag": ensembleFault(
-		func(_ *environment, f *scenario.Fault, s *zookeeper.Server) { s.Set(seconds(f), 0, false) },
-		func(_ *environment, _ *scenario.Fault, s *zookeeper.Server) { s.Set(0, 0, false) }),
+		func(_ *environment, f *scenario.Fault, s *zookeeper.Server) { s.SetFaults(seconds(f), 0, false) },
+		func(_ *environment, _ *scenario.Fault, s *zookeeper.Server) { s.SetFaults(0, 0, false) }),
 	"registry-slow-events": ensembleFault(
-		func(_ *environment, f *scenario.Fault, s *zookeeper.Server) { s.Set(0, seconds(f), false) },
-		func(_ *environment, _ *scenario.Fault, s *zookeeper.Server) { s.Set(0, 0, false) }),
+		func(_ *environment, f *scenario.Fault, s *zookeeper.Server) { s.SetFaults(0, seconds(f), false) },
+		func(_ *environment, _ *scenario.Fault, s *zookeeper.Server) { s.SetFaults(0, 0, false) }),
 	"registry-break": ensembleFault(
-		func(env *environment, _ *scenario.Fault, s *zookeeper.Server) { env.registry.Refuse(true); s.Break() },
+		func(env *environment, _ *scenario.Fault, s *zookeeper.Server) {
+			env.registry.Refuse(true)
+			s.CloseConnections()
+		},
 		func(env *environment, _ *scenario.Fault, _ *zookeeper.Server) { env.registry.Refuse(false) }),
 	"registry-silent": ensembleFault(
-		func(_ *environment, _ *scenario.Fault, s *zookeeper.Server) { s.Set(0, 0, true) },
-		func(_ *environment, _ *scenario.Fault, s *zookeeper.Server) { s.Set(0, 0, false) }),
+		func(_ *environment, _ *scenario.Fault, s *zookeeper.Server) { s.SetFaults(0, 0, true) },
+		func(_ *environment, _ *scenario.Fault, s *zookeeper.Server) { s.SetFaults(0, 0, false) }),
 	"registry-garbled": ensembleFault(
 		func(_ *environment, f *scenario.Fault, s *zookeeper.Server) { s.Garble(max(int(1/f.Size), 1)) },
 		func(_ *environment, _ *scenario.Fault, s *zookeeper.Server) { s.Garble(0) }),
 	"registry-records": func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) { env.addBadRecords(f) },
 	"registry-late": func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
-		env.registry.Late(seconds(f))
-		env.after(f.For.Std(), func() { env.registry.Late(0) })
+		env.registry.DelayExpiry(seconds(f))
+		env.after(f.For.Std(), func() { env.registry.DelayExpiry(0) })
 	},
 }
--- a/internal/testbed/faultlinks.go
+++ b/internal/testbed/faultlinks.go
@@ -16,9 +16,9 @@
 	"cut-links-out": linkFault(true, false, func(link *mesh.Direction, _ float64) { link.Cut = true }),
 	"cut-links-in":  linkFault(false, true, func(link *mesh.Direction, _ float64) { link.Cut = true }),
 	"late-links":    linkFault(true, true, func(link *mesh.Direction, size float64) { link.Delay = time.Duration(size * float64(time.Second)) }),
-	"narrow-links":  linkFault(true, true, func(link *mesh.Direction, size float64) { link.PerS = size * 1000 }),
+	"narrow-links":  linkFault(true, true, func(link *mesh.Direction, size float64) { link.BytesPerSecond = size * 1000 }),
 	"garbled-links": linkFault(true, true, func(link *mesh.Direction, size float64) { link.Garble = size }),
-	"lossy-links":   linkFault(true, true, func(link *mesh.Direction, size float64) { link.Lose, link.Twice, link.Reorder = size, size, size }),
+	"lossy-links":   linkFault(true, true, func(link *mesh.Direction, size float64) { link.Loss, link.Duplication, link.Reorder = size, size, size }),
 	"split-site": func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		var nodes []int
 		for n := range env.nodes {
--- a/internal/testbed/faultnodes.go
+++ b/internal/testbed/faultnodes.go
@@ -21,7 +21,7 @@
 	},
 	"restart-nodes": func(env *environment, ctx context.Context, f *scenario.Fault, rng *rand.Rand) {
 		for _, n := range env.chosenNodes(f, rng) {
-			env.balancer.Ended(n, plannedStopDelay)
+			env.balancer.NodeEnded(n, plannedStopDelay)
 			env.wg.Go(func() {
 				if err := env.nodes[n].stop(syscall.SIGTERM); err != nil {
 					env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, err.Error()) })
--- a/internal/testbed/faultservers.go
+++ b/internal/testbed/faultservers.go
@@ -30,8 +30,8 @@
 		})
 	}),
 	"pause": eachServer(func(env *environment, f *scenario.Fault, m *standinServer) {
-		m.Stop(true)
-		env.after(f.For.Std(), func() { m.Stop(false) })
+		m.SetPaused(true)
+		env.after(f.For.Std(), func() { m.SetPaused(false) })
 	}),
 	"crash": eachServer(func(env *environment, f *scenario.Fault, m *standinServer) {
 		m.Crash()
@@ -40,9 +40,9 @@
 	"cut-before": requestShare(func(faults *server.Faults, share float64) { faults.CutBefore = share }),
 	"cut-within": requestShare(func(faults *server.Faults, share float64) { faults.CutWithin = share }),
 	"cut-after":  requestShare(func(faults *server.Faults, share float64) { faults.CutAfter = share }),
-	"refuse":     requestShare(func(faults *server.Faults, share float64) { faults.Refuse = share }),
-	"error":      requestShare(func(faults *server.Faults, share float64) { faults.Err = share }),
-	"spoil":      requestShare(func(faults *server.Faults, share float64) { faults.Spoil = share }),
+	"refuse":     requestShare(func(faults *server.Faults, share float64) { faults.Reject = share }),
+	"error":      requestShare(func(faults *server.Faults, share float64) { faults.ErrorResponse = share }),
+	"spoil":      requestShare(func(faults *server.Faults, share float64) { faults.GarbleResponse = share }),
 	"cut-site": func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		cut := slices.Index(env.Scenario.Sites, f.Site)
 		servers := slices.Clone(env.servers)
@@ -55,8 +55,8 @@
 				}
 			}
 		}
-		eachCutLink(func(m *standinServer, site int) { m.Hush(site) })
-		env.after(f.For.Std(), func() { eachCutLink(func(m *standinServer, site int) { m.Speak(site) }) })
+		eachCutLink(func(m *standinServer, site int) { m.CutOff(site) })
+		env.after(f.For.Std(), func() { eachCutLink(func(m *standinServer, site int) { m.EndCutOff(site) }) })
 	},
 	"lose-site": func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		for _, m := range env.servers {
@@ -105,8 +105,8 @@
 			if len(f.Servers) > 0 && !slices.Contains(f.Servers, m.Name) {
 				continue
 			}
-			m.Set(func(faults *server.Faults) { set(faults, f.Share) })
-			env.after(f.For.Std(), func() { m.Set(func(faults *server.Faults) { set(faults, 0) }) })
+			m.ChangeFaults(func(faults *server.Faults) { set(faults, f.Share) })
+			env.after(f.For.Std(), func() { m.ChangeFaults(func(faults *server.Faults) { set(faults, 0) }) })
 		}
 	}
 }
@@ -133,7 +133,7 @@
 func (env *environment) serverCrashed(m *standinServer, downtime time.Duration) {
 	if env.registry != nil { // without heartbeats the session expires
 		m.mu.Lock()
-		m.session.Silence()
+		m.session.StopHeartbeats()
 		m.mu.Unlock()
 	}
 	env.announce(m, discovery.Deleted, env.Scenario.Discovery.SilentNotice.Std(), time.Time{})
@@ -159,7 +159,7 @@
 	m.isLeaving = true
 	m.mu.Unlock()
 	env.announce(m, discovery.Draining, notice, time.Time{})
-	env.after(notice+drainDelay, func() { m.Drain(true) })
+	env.after(notice+drainDelay, func() { m.SetDraining(true) })
 	env.after(notice+drainDelay+exitDelay, func() {
 		m.Crash()
 		env.announce(m, discovery.Deleted, notice, time.Time{})
--- a/internal/testbed/journal.go
+++ b/internal/testbed/journal.go
@@ -26,7 +26,7 @@
 // Disk returns the file system for the data of a testbed node. It is slow or full as specified in the node's disk file,
 // which is read again while the node runs. Disk returns nil if the environment specifies no disk file. The node's
 // command calls it before it starts the node.
-func Disk(getenv func(string) string) wal.FileSystem {
+func NodeFileSystem(getenv func(string) string) wal.FileSystem {
 	path := getenv(diskVar)
 	if path == "" {
 		return nil
@@ -45,7 +45,7 @@
 		}
 	}
 	return memdisk.SlowFiles{
-		Takes: func() time.Duration {
+		WriteDelay: func() time.Duration {
 			refresh()
 			return time.Duration(delay.Load())
 		},
@@ -92,7 +92,7 @@
 
 // writeEarlierJournal writes the scenario's number of entries of an earlier run to the first node's journal.
 func (env *environment) writeEarlierJournal() error {
-	count := env.Scenario.Peers.Before
+	count := env.Scenario.Peers.EarlierEntries
 	if count == 0 {
 		return nil
 	}
@@ -277,7 +277,7 @@
 // wrong in the journals to the audit, and returns the entries that ran.
 func (env *environment) compareWithRun(a *audit.Audit, all map[entryKey]*intent.Entry, gaps map[int]bool, records map[string]*intent.ExecutionRecord, sum *Journal) map[entryKey]bool {
 	ran := map[entryKey]bool{}
-	a.EachExecution(func(typeIndex int) bool { return env.Scenario.Types[typeIndex].Repeat == "binding" }, func(id uint64, node, server int) {
+	a.EachExecution(func(typeIndex int) bool { return env.Scenario.Types[typeIndex].Idempotency == "binding" }, func(id uint64, node, server int) {
 		sum.Ran++
 		key := entryKey{node, id}
 		ran[key] = true
--- a/internal/testbed/load/client.go
+++ b/internal/testbed/load/client.go
@@ -42,7 +42,7 @@
 	scheduled := &g.Requests[index]
 	requestType := &s.Types[scheduled.Type]
 	r := &clientRequest{
-		method:  methods[requestType.Repeat],
+		method:  methods[requestType.Idempotency],
 		path:    requestType.Path,
 		key:     scheduled.Key,
 		timeout: time.Duration(s.Clients.TimeoutShare * float64(requestType.AbandonTime)),
@@ -111,7 +111,7 @@
 
 // mayRetry reports whether a client may retry a request after a try that was not handled.
 func mayRetry(requestType *scenario.Type, t *Try) bool {
-	return t.isRejected() || t.End == Unsent || requestType.Repeat != "binding"
+	return t.isRejected() || t.End == Unsent || requestType.Idempotency != "binding"
 }
 
 // sendTry sends a try and waits until it ends. It waits for an answer for slack beyond the client's timeout, to
--- a/internal/testbed/load/load_test.go
+++ b/internal/testbed/load/load_test.go
@@ -287,7 +287,7 @@
 // time left to send the request again.
 func TestCloseOfIdleConnectionAfterDeadline(t *testing.T) {
 	s := parseScenario(t, "length=\"1s\"")
-	s.Clients.Retries, s.Rules.Slack = 0, scenario.Span(10*time.Second)
+	s.Clients.Retries, s.Rules.Slack = 0, scenario.Duration(10*time.Second)
 	at := startServer(t, func(c net.Conn, r *http1.Request, n int) bool {
 		writeResponse(c, 200, string(r.Get(http1.RequestID)))
 		c.Read(make([]byte, 1))
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -197,7 +197,7 @@
 }
 
 // ms converts a duration to milliseconds, the unit of durations in node settings.
-func ms(d scenario.Span) float64 { return float64(d.Std()) / float64(time.Millisecond) }
+func ms(d scenario.Duration) float64 { return float64(d.Std()) / float64(time.Millisecond) }
 
 // object is a JSON object.
 type object = map[string]any
@@ -208,7 +208,7 @@
 	for _, t := range s.Types {
 		trafficType := object{"name": t.Name, "targetTime": ms(t.LatencyObjective), "abandonTime": ms(t.AbandonTime),
 			"window": ms(t.KeyRetention), "revenue": t.Revenue, "keyScope": t.KeyScope,
-			"idempotency": map[string]string{"retriable": "safe", "fingerprinted": "keyed", "binding": "unsafe"}[t.Repeat]}
+			"idempotency": map[string]string{"retriable": "safe", "fingerprinted": "keyed", "binding": "unsafe"}[t.Idempotency]}
 		if t.OnlySites != nil {
 			trafficType["dcsOnly"] = t.OnlySites
 		}
@@ -220,7 +220,7 @@
 	for _, t := range s.Tenants {
 		tenants = append(tenants, object{"name": t.Name, "allowancePerS": t.Allowance})
 	}
-	startCapacity, slowStart := 1.0, scenario.Span(0)
+	startCapacity, slowStart := 1.0, scenario.Duration(0)
 	for _, server := range s.Servers {
 		startCapacity = min(startCapacity, server.SlowStartCapacity)
 		slowStart = max(slowStart, server.SlowStartDuration)
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -70,7 +70,7 @@
 		}
 		settings.Types = append(settings.Types, audit.Type{
 			Name:         t.Name,
-			Idempotency:  idempotencies[t.Repeat],
+			Idempotency:  idempotencies[t.Idempotency],
 			KeyScope:     keyScopes[t.KeyScope],
 			KeyRetention: t.KeyRetention.Std(),
 			Sites:        sites,
--- a/internal/testbed/registry.go
+++ b/internal/testbed/registry.go
@@ -83,7 +83,7 @@
 	for site := range env.Scenario.Sites {
 		nodes[path.Join(env.registryPath(site), m.Name)] = env.registryRecord(m, site, "ALIVE")
 	}
-	m.session = env.registry.Own(env.Scenario.Registry.Session.Std(), nodes)
+	m.session = env.registry.OpenSession(env.Scenario.Registry.Session.Std(), nodes)
 }
 
 // updateRegistry updates the registry for a server's new phase. The caller holds the server's lock.
@@ -184,7 +184,7 @@
 			nodes[path.Join(env.registryPath(site), name)] = data
 		}
 	}
-	session := env.registry.Own(env.Scenario.Registry.Session.Std(), nodes)
+	session := env.registry.OpenSession(env.Scenario.Registry.Session.Std(), nodes)
 	env.after(f.For.Std(), session.End)
 }
 
--- a/internal/testbed/scale/change_test.go
+++ b/internal/testbed/scale/change_test.go
@@ -42,8 +42,8 @@
 	w := watch.Watcher{Target: watch.NewTarget(mustParseAddress(l.discoveryAddress(discoveryPort))), WantsFullList: true}
 	defer w.Close()
 	list, err := w.Poll(ctx)
-	if err != nil || len(list.Hosts) != servers {
-		t.Fatalf("full list: got %d servers, error %v", len(list.Hosts), err)
+	if err != nil || len(list.Endpoints) != servers {
+		t.Fatalf("full list: got %d servers, error %v", len(list.Endpoints), err)
 	}
 	w.WantsFullList, w.Revision = false, list.Revision
 	m := newMeter(l.Network)
@@ -58,7 +58,7 @@
 	if err := errors.Join(err, m.read(noProcesses)); err != nil {
 		t.Fatal(err)
 	}
-	return m.flows()[roleNodes].minus(before).BytesIn, len(list.Hosts)
+	return m.flows()[roleNodes].minus(before).BytesIn, len(list.Endpoints)
 }
 
 // TestBytesOfAChange checks that the bytes that a node receives for one change do not grow with the number of servers.
@@ -79,18 +79,18 @@
 		s := settings.Settings{Settings: policy.Settings{NodeCount: 1, MaxAttempts: 1, TrafficTypes: []policy.TrafficType{{LatencyObjective: time.Second, ClientTimeout: time.Second}}}, TypeNames: []string{"a"}}
 		f := dispatch.New(s, 1, dispatch.Limits{MemoryMB: 128, Sockets: 256}, r.observe(0, engine.NewPolicy))
 		defer f.Stop()
-		all := http1.EndpointList{Revision: 1, Complete: true}
+		all := http1.EndpointList{Revision: 1, IsComplete: true}
 		for i := range servers {
-			all.Hosts = append(all.Hosts, http1.Endpoint{ID: serverID(1, i), Address: mustParseAddress(l.address(0, 1, 1024+i)), Size: 1})
+			all.Endpoints = append(all.Endpoints, http1.Endpoint{ID: serverID(1, i), Address: mustParseAddress(l.address(0, 1, 1024+i)), Weight: 1})
 		}
 		f.ApplyList(all, endpoints.SourceDiscovery)
 		records, before := r.take()
 		if before.Elements != servers || len(records) == 0 || records[0].Kind != completeApplied {
 			t.Fatalf("%d servers: full list: got counts %+v, want each server once and the record of completion", servers, before)
 		}
-		drained := all.Hosts[0]
-		drained.Phase = http1.Draining
-		f.ApplyList(http1.EndpointList{Revision: 2, Hosts: []http1.Endpoint{drained}}, endpoints.SourceDiscovery)
+		drained := all.Endpoints[0]
+		drained.Condition = http1.Draining
+		f.ApplyList(http1.EndpointList{Revision: 2, Endpoints: []http1.Endpoint{drained}}, endpoints.SourceDiscovery)
 		records, after := r.take()
 		if n := after.Elements - before.Elements; n != 1 {
 			t.Errorf("%d servers: one change: got %d endpoints, want 1", servers, n)
--- a/internal/testbed/scale/component/lists.go
+++ b/internal/testbed/scale/component/lists.go
@@ -33,7 +33,7 @@
 
 // encodedList returns discovery's full list with a given number of servers, as on the wire.
 func encodedList(servers int) []byte {
-	s := discovery.New(discovery.Settings{LinesPerS: 1e12, Timeout: time.Minute}, 1, discardWatcher{})
+	s := discovery.New(discovery.Settings{LinesPerSecond: 1e12, Timeout: time.Minute}, 1, discardWatcher{})
 	for i := range servers {
 		s.Set(entry(i, discovery.Serving))
 	}
@@ -95,11 +95,11 @@
 				return 0, err
 			}
 			defer f.Stop()
-			one := http1.EndpointList{Revision: l.Revision + 1, Hosts: append([]http1.Endpoint(nil), l.Hosts[0])}
+			one := http1.EndpointList{Revision: l.Revision + 1, Endpoints: append([]http1.Endpoint(nil), l.Endpoints[0])}
 			const rounds = 500
 			return minCPUTime(3, func() {
 				for i := range rounds {
-					one.Hosts[0].Phase = http1.Condition(i % 2)
+					one.Endpoints[0].Condition = http1.Condition(i % 2)
 					f.ApplyList(one, endpoints.SourceDiscovery)
 				}
 			}) / rounds, nil
@@ -120,9 +120,9 @@
 		{Series{Name: "snapshot-bytes", About: "a node's snapshot of the endpoint list on disk", By: "servers", Unit: "B", Exact: true}, doublingSizes(64, 8192),
 			func(n int) (float64, error) {
 				s := &snapshot.Snapshot{Node: "n", Deployment: "d"}
-				for _, h := range parsedList(n).Hosts {
-					s.Servers = append(s.Servers, snapshot.Server{ID: h.ID, StartedUnixMS: h.UpSinceMS, Address: h.Address.String(), Zone: h.Zone, MachineKind: h.Flavor,
-						Cell: h.Cell, Weight: h.Size, AnnouncedUnixMS: startedUnixMS})
+				for _, h := range parsedList(n).Endpoints {
+					s.Servers = append(s.Servers, snapshot.Server{ID: h.ID, StartedUnixMS: h.StartedUnixMS, Address: h.Address.String(), Zone: h.Zone, MachineKind: h.MachineKind,
+						Cell: h.Cell, Weight: h.Weight, AnnouncedUnixMS: startedUnixMS})
 				}
 				b, err := snapshot.Encode(s)
 				return float64(len(b)), err
--- a/internal/testbed/scale/component/parts_test.go
+++ b/internal/testbed/scale/component/parts_test.go
@@ -90,9 +90,9 @@
 		return 0, err
 	}
 	defer f.Stop()
-	one, i := http1.EndpointList{Revision: l.Revision + 1, Hosts: l.Hosts[:1:1]}, 0
+	one, i := http1.EndpointList{Revision: l.Revision + 1, Endpoints: l.Endpoints[:1:1]}, 0
 	return testing.AllocsPerRun(100, func() {
-		one.Hosts[0].Phase = http1.Condition(i % 2)
+		one.Endpoints[0].Condition = http1.Condition(i % 2)
 		i++
 		f.ApplyList(one, endpoints.SourceDiscovery)
 	}), nil
--- a/internal/testbed/scale/standin.go
+++ b/internal/testbed/scale/standin.go
@@ -21,7 +21,7 @@
 func (discardWatcher) Announced(int, string, string, int64, time.Time) {}
 
 func newStandin(l *Layout) (Source, error) {
-	s := &standin{layout: l, service: discovery.New(discovery.Settings{LinesPerS: listsPerS, Timeout: time.Minute}, l.Size.Seed, discardWatcher{})}
+	s := &standin{layout: l, service: discovery.New(discovery.Settings{LinesPerSecond: listsPerS, Timeout: time.Minute}, l.Size.Seed, discardWatcher{})}
 	for i := range l.Size.Servers {
 		s.service.Set(s.entry(i, discovery.Serving))
 	}
@@ -51,7 +51,7 @@
 }
 
 func (s *standin) SetDown(isDown bool) error {
-	s.service.Down(isDown)
+	s.service.SetDown(isDown)
 	return nil
 }
 
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -29,21 +29,21 @@
 // inRange checks that a value is between least and most, inclusive.
 func (c checker) inRange(key string, v, least, most float64) {
 	if !(v >= least && v <= most) {
-		c.Wrong(key, "%s is %v, want %v to %v", lastName(key), v, least, most)
+		c.AddFault(key, "%s is %v, want %v to %v", lastName(key), v, least, most)
 	}
 }
 
 // oneOf checks that a value is one of the allowed values.
 func (c checker) oneOf(key, v string, allowed ...string) {
 	if !slices.Contains(allowed, v) {
-		c.Wrong(key, "%q is not one of %s", v, strings.Join(allowed, ", "))
+		c.AddFault(key, "%q is not one of %s", v, strings.Join(allowed, ", "))
 	}
 }
 
 // positive checks that a duration is greater than 0.
-func (c checker) positive(key string, d Span) {
+func (c checker) positive(key string, d Duration) {
 	if d <= 0 {
-		c.Wrong(key, "%s must be greater than 0", lastName(key))
+		c.AddFault(key, "%s must be greater than 0", lastName(key))
 	}
 }
 
@@ -52,13 +52,13 @@
 	s.setDefaults()
 	c := checker{f}
 	if s.Name == "" {
-		c.Wrong("name", "scenario has no name")
+		c.AddFault("name", "scenario has no name")
 	}
 	c.inRange("length", s.Length.Std().Seconds(), 0.1, maxLength.Seconds())
 	s.checkNodes(c)
 	s.checkLoad(c)
 	if len(s.Sites) == 0 || len(s.Sites) > 16 {
-		c.Wrong("sites", "number of sites out of range, want 1 to 16")
+		c.AddFault("sites", "number of sites out of range, want 1 to 16")
 	}
 	s.checkServers(c)
 	s.checkTypes(c)
@@ -78,7 +78,7 @@
 	c.inRange("registry.addresses", float64(s.Registry.Addresses), 0, 5)
 	c.inRange("planners.count", float64(s.Planners.Count), 0, maxPlanners)
 	if n := len(s.Sites); n > s.Nodes.Count {
-		c.Wrong("nodes.count", "%d sites, but %d nodes: each site needs at least one node", n, s.Nodes.Count)
+		c.AddFault("nodes.count", "%d sites, but %d nodes: each site needs at least one node", n, s.Nodes.Count)
 	}
 }
 
@@ -99,7 +99,7 @@
 func (s *Scenario) checkTypes(c checker) {
 	shares := 0.0
 	if len(s.Types) == 0 {
-		c.Wrong("types", "scenario has no traffic types")
+		c.AddFault("types", "scenario has no traffic types")
 	}
 	for i := range s.Types {
 		t, key := &s.Types[i], "types."+strconv.Itoa(i)
@@ -108,25 +108,25 @@
 		c.positive(key+".work", t.Work)
 		c.positive(key+".target", t.LatencyObjective)
 		if t.AbandonTime < t.LatencyObjective {
-			c.Wrong(key+".abandon", "abandon time of type %s is shorter than its target time", t.Name)
+			c.AddFault(key+".abandon", "abandon time of type %s is shorter than its target time", t.Name)
 		}
 		c.oneOf(key+".dist", t.WorkDistribution, "constant", "exp", "lognormal")
-		c.oneOf(key+".repeat", t.Repeat, "retriable", "fingerprinted", "binding")
+		c.oneOf(key+".repeat", t.Idempotency, "retriable", "fingerprinted", "binding")
 		c.oneOf(key+".group", t.KeyScope, "all", "zone", "cell")
 		for _, site := range t.OnlySites {
 			c.oneOf(key+".only_sites", site, s.Sites...)
 		}
 		for _, kind := range t.OnlyKinds {
 			if !slices.ContainsFunc(s.Servers, func(group Servers) bool { return group.Kind == kind }) {
-				c.Wrong(key+".only_kinds", "no boxes of kind %q", kind)
+				c.AddFault(key+".only_kinds", "no boxes of kind %q", kind)
 			}
 		}
 		if slices.ContainsFunc(s.Types[:i], func(earlier Type) bool { return earlier.Name == t.Name }) {
-			c.Wrong(key+".name", "duplicate type %q", t.Name)
+			c.AddFault(key+".name", "duplicate type %q", t.Name)
 		}
 	}
 	if len(s.Types) > 0 && math.Abs(shares-1) > shareTolerance {
-		c.Wrong("types.0.share", "shares of types add up to %.3f, want 1", shares)
+		c.AddFault("types.0.share", "shares of types add up to %.3f, want 1", shares)
 	}
 }
 
@@ -137,7 +137,7 @@
 		c.inRange("tenants."+strconv.Itoa(i)+".share", t.Share, 0, 1)
 	}
 	if len(s.Tenants) > 0 && math.Abs(shares-1) > shareTolerance {
-		c.Wrong("tenants.0.share", "shares of tenants add up to %.3f, want 1", shares)
+		c.AddFault("tenants.0.share", "shares of tenants add up to %.3f, want 1", shares)
 	}
 }
 
@@ -153,14 +153,14 @@
 		c.inRange(key+".key_gain", group.CacheGain, 0, 0.95)
 		c.inRange(key+".error_rate", group.ErrorRate, 0, 1)
 		if group.PauseEvery > 0 && group.PauseFor >= group.PauseEvery {
-			c.Wrong(key+".pause_for", "pause of %s every %s leaves no time to work", group.PauseFor.Std(), group.PauseEvery.Std())
+			c.AddFault(key+".pause_for", "pause of %s every %s leaves no time to work", group.PauseFor.Std(), group.PauseEvery.Std())
 		}
 		if group.Kind == "" || slices.ContainsFunc(s.Servers[:i], func(earlier Servers) bool { return earlier.Kind == group.Kind }) {
-			c.Wrong(key+".kind", "kind of boxes is empty or used twice")
+			c.AddFault(key+".kind", "kind of boxes is empty or used twice")
 		}
 	}
 	if len(s.Servers) == 0 || total > maxServers {
-		c.Wrong("boxes", "%d boxes in total, want 1 to %d", total, maxServers)
+		c.AddFault("boxes", "%d boxes in total, want 1 to %d", total, maxServers)
 	}
 }
 
--- a/internal/testbed/scenario/faults.go
+++ b/internal/testbed/scenario/faults.go
@@ -100,35 +100,35 @@
 	key := "faults." + strconv.Itoa(i)
 	kind, ok := KindOf(f.Kind)
 	if !ok {
-		c.Wrong(key+".kind", "unknown fault kind %q; `testbed faults` lists all kinds", f.Kind)
+		c.AddFault(key+".kind", "unknown fault kind %q; `testbed faults` lists all kinds", f.Kind)
 		return
 	}
 	if f.At < 0 || f.At >= s.Length {
-		c.Wrong(key+".at", "fault starts at %s, but the scenario lasts %s", f.At.Std(), s.Length.Std())
+		c.AddFault(key+".at", "fault starts at %s, but the scenario lasts %s", f.At.Std(), s.Length.Std())
 	}
 	if kind.hasDuration && f.For <= 0 {
-		c.Wrong(key+".for", "fault %q needs a duration greater than 0", f.Kind)
+		c.AddFault(key+".for", "fault %q needs a duration greater than 0", f.Kind)
 	}
 	if f.Kind == "reload" && len(s.Operators) < 2 {
-		c.Wrong(key, "reload needs at least two operators")
+		c.AddFault(key, "reload needs at least two operators")
 	}
 	if kind.sizeUnit != "" {
 		c.inRange(key+".size", f.Size, 0.01, 10_000)
 		if kind.sizeUnit == "share" && f.Size > 1 {
-			c.Wrong(key+".size", "size is a share, want 1 at most")
+			c.AddFault(key+".size", "size is a share, want 1 at most")
 		}
 	}
 	c.inRange(key+".share", f.Share, 0, 1)
 	if kind.share != "" && f.Share == 0 {
-		c.Wrong(key+".share", "share %s must be greater than 0", kind.share)
+		c.AddFault(key+".share", "share %s must be greater than 0", kind.share)
 	}
 	if f.When != "" {
 		if !slices.Contains(FrameKinds, f.When) || f.Nth < 1 || len(f.Nodes) == 0 {
-			c.Wrong(key+".when", "invalid frame trigger (when %q, nth %d, nodes %v): want when one of %s, nth 1 or more, and at least one node", f.When, f.Nth, f.Nodes, strings.Join(FrameKinds, ", "))
+			c.AddFault(key+".when", "invalid frame trigger (when %q, nth %d, nodes %v): want when one of %s, nth 1 or more, and at least one node", f.When, f.Nth, f.Nodes, strings.Join(FrameKinds, ", "))
 		}
 	}
 	if s.Peers.Replicas == 0 && (kind.target == links || kind.target == siteLinks || f.When != "") {
-		c.Wrong(key, "fault %q needs links between nodes, but there are no replicas", f.Kind)
+		c.AddFault(key, "fault %q needs links between nodes, but there are no replicas", f.Kind)
 	}
 	s.checkTarget(c, key, f, kind)
 }
@@ -139,40 +139,40 @@
 	case servers:
 		for _, name := range f.Servers {
 			if !slices.Contains(s.ServerNames(), name) {
-				c.Wrong(key+".boxes", "unknown box %q", name)
+				c.AddFault(key+".boxes", "unknown box %q", name)
 			}
 		}
 		if len(f.Servers) == 0 && f.Share == 0 && kind.share == "" {
-			c.Wrong(key, "fault specifies neither boxes nor share")
+			c.AddFault(key, "fault specifies neither boxes nor share")
 		}
 	case nodes, anyNodes, links:
 		for _, n := range f.Nodes {
 			if n < 0 || n >= s.Nodes.Count {
-				c.Wrong(key+".nodes", "unknown node %d", n)
+				c.AddFault(key+".nodes", "unknown node %d", n)
 			}
 		}
 		if len(f.Nodes) == 0 && f.Share == 0 && kind.target != anyNodes {
-			c.Wrong(key, "fault specifies neither nodes nor share")
+			c.AddFault(key, "fault specifies neither nodes nor share")
 		}
 	case planners:
 		for _, n := range f.Planners {
 			if n < 0 || n >= s.Planners.Count {
-				c.Wrong(key+".planners", "unknown planner %d", n)
+				c.AddFault(key+".planners", "unknown planner %d", n)
 			}
 		}
 		if s.Planners.Count == 0 {
-			c.Wrong(key, "fault %q needs planners, but there are none", f.Kind)
+			c.AddFault(key, "fault %q needs planners, but there are none", f.Kind)
 		}
 		if f.Half < 0 || f.Half > 1 {
-			c.Wrong(key+".half", "half is %d, want 0 or 1", f.Half)
+			c.AddFault(key+".half", "half is %d, want 0 or 1", f.Half)
 		}
 	case registry:
 		if s.Registry.Addresses == 0 {
-			c.Wrong(key, "fault %q needs a registry, but there is none", f.Kind)
+			c.AddFault(key, "fault %q needs a registry, but there is none", f.Kind)
 		}
 	case site, siteLinks:
 		if !slices.Contains(s.Sites, f.Site) {
-			c.Wrong(key+".site", "unknown site %q", f.Site)
+			c.AddFault(key+".site", "unknown site %q", f.Site)
 		}
 	}
 }
--- a/internal/testbed/scenario/load.go
+++ b/internal/testbed/scenario/load.go
@@ -52,7 +52,7 @@
 	var header struct{ Base string }
 	if toml.Unmarshal(text, &header) == nil && header.Base != "" {
 		if !slices.Contains(Names(), header.Base) || header.Base+".toml" == name {
-			return nil, tomlfile.Faults{{File: name, Line: 1, Why: fmt.Sprintf("unknown base %q: want one of %s", header.Base, strings.Join(Names(), ", "))}}
+			return nil, tomlfile.Faults{{File: name, Line: 1, Reason: fmt.Sprintf("unknown base %q: want one of %s", header.Base, strings.Join(Names(), ", "))}}
 		}
 		base, err := Load(header.Base)
 		if err != nil {
@@ -60,7 +60,7 @@
 		}
 		s = base
 		s.Name = ""
-		s.About = ""
+		s.Description = ""
 		s.Faults = nil
 	}
 	f, err := tomlfile.Parse(name, text, s)
--- a/internal/testbed/soak/audit.go
+++ b/internal/testbed/soak/audit.go
@@ -185,10 +185,10 @@
 // Counts are the counts of one or more runs.
 type Counts struct {
 	Requests, Answers int
-	Broken            map[Rule]int
-	IdleCrossings     int           // HTTP connections that the node closed while idle, as a request was sent
+	Violations        map[Rule]int
+	IdleCloseRaces    int           // HTTP connections that the node closed while idle, as a request was sent
 	ShortestIdle      time.Duration // shortest idle time of these connections
-	FastCGICrossings  int           // FastCGI connections that the node closed as a request was sent
+	FastCGICloseRaces int           // FastCGI connections that the node closed as a request was sent
 	Details           []string
 }
 
@@ -196,7 +196,7 @@
 func (a *Audit) Counts() Counts {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	c := Counts{Requests: len(a.requests), Answers: a.answers, Broken: a.violations, IdleCrossings: len(a.closeRaces), FastCGICrossings: a.fastCGICloseRaces,
+	c := Counts{Requests: len(a.requests), Answers: a.answers, Violations: a.violations, IdleCloseRaces: len(a.closeRaces), FastCGICloseRaces: a.fastCGICloseRaces,
 		Details: slices.Sorted(slices.Values(a.details))}
 	if len(a.closeRaces) > 0 {
 		c.ShortestIdle = slices.Min(a.closeRaces)
@@ -205,4 +205,4 @@
 }
 
 // IsBroken reports whether any rule was violated.
-func (c *Counts) IsBroken() bool { return len(c.Broken) > 0 }
+func (c *Counts) HasViolations() bool { return len(c.Violations) > 0 }
--- a/internal/testbed/soak/node.go
+++ b/internal/testbed/soak/node.go
@@ -151,7 +151,7 @@
 
 // newDiscovery returns a discovery stand-in with entries for the servers.
 func newDiscovery(p *Plan, addresses []string) *discovery.Service {
-	d := discovery.New(discovery.Settings{LinesPerS: 1e5, CallLines: 1, Timeout: time.Second}, p.Seed, nopWatcher{})
+	d := discovery.New(discovery.Settings{LinesPerSecond: 1e5, CallLines: 1, Timeout: time.Second}, p.Seed, nopWatcher{})
 	for i, address := range addresses {
 		d.Set(discovery.Entry{ID: serverName(i), Site: "a", MachineKind: "m", Phase: discovery.Serving, Addresses: []string{address}})
 	}
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -32,7 +32,7 @@
 type Result struct {
 	Plan Plan
 	Counts
-	Took time.Duration // from the stop until the node had exited
+	StopDuration time.Duration // from the stop until the node had exited
 }
 
 // run holds the stand-ins, the node process and the state of one run.
@@ -80,7 +80,7 @@
 	if err != nil {
 		return result, err
 	}
-	return Result{Plan: r.plan, Counts: r.audit.Counts(), Took: took}, nil
+	return Result{Plan: r.plan, Counts: r.audit.Counts(), StopDuration: took}, nil
 }
 
 func (r *run) httpAddress() string    { return r.network.Address(0, 1, httpPort) }
@@ -198,7 +198,7 @@
 		r.discovery.Set(discovery.Entry{ID: serverName(0), Site: "a", MachineKind: "m", Phase: discovery.Draining, Addresses: []string{r.servers[0].listener.Address()}})
 	}
 	if r.plan.DiscoveryDown {
-		r.discovery.Down(true)
+		r.discovery.SetDown(true)
 	}
 }
 
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -45,8 +45,8 @@
 			if err != nil {
 				t.Errorf("seed %d: %v", seed, err)
 			}
-			if result.IsBroken() {
-				t.Errorf("seed %d, node exited %s after the stop: %s\n%v", seed, result.Took, result.Plan.String(), result.Details)
+			if result.HasViolations() {
+				t.Errorf("seed %d, node exited %s after the stop: %s\n%v", seed, result.StopDuration, result.Plan.String(), result.Details)
 			}
 			return nil
 		})
@@ -75,8 +75,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if rule == "" && result.IsBroken() || rule != "" && result.Broken[rule] == 0 {
-				t.Errorf("got violations %v, want %q: %v", result.Broken, rule, result.Details)
+			if rule == "" && result.HasViolations() || rule != "" && result.Violations[rule] == 0 {
+				t.Errorf("got violations %v, want %q: %v", result.Violations, rule, result.Details)
 			}
 			if result.Answers == 0 && fault != isSilent && fault != cutsAnswers {
 				t.Error("got no answers")
--- a/internal/testbed/standin/connbalancer/balancer.go
+++ b/internal/testbed/standin/connbalancer/balancer.go
@@ -55,7 +55,7 @@
 }
 
 // Started probes a node that was started until it serves, and assigns connections to it from then on.
-func (b *Balancer) Started(ctx context.Context, n int) error {
+func (b *Balancer) NodeStarted(ctx context.Context, n int) error {
 	b.mu.Lock()
 	b.generation[n]++
 	generation := b.generation[n]
@@ -79,7 +79,7 @@
 
 // Ended reports that a node has ended or is about to end. After the notice, no connections are assigned to it until it is
 // started again.
-func (b *Balancer) Ended(n int, notice time.Duration) {
+func (b *Balancer) NodeEnded(n int, notice time.Duration) {
 	b.mu.Lock()
 	generation := b.generation[n]
 	b.mu.Unlock()
--- a/internal/testbed/standin/discovery/discovery.go
+++ b/internal/testbed/standin/discovery/discovery.go
@@ -44,10 +44,10 @@
 
 // Settings are the settings of the service.
 type Settings struct {
-	LinesPerS float64
-	CallLines float64 // cost of a call in addition to its entries, in lines
-	Timeout   time.Duration
-	Spread    time.Duration // interval over which the notifications of a change are spread at random
+	LinesPerSecond float64
+	CallLines      float64 // cost of a call in addition to its entries, in lines
+	Timeout        time.Duration
+	Spread         time.Duration // interval over which the notifications of a change are spread at random
 }
 
 // Watcher is notified of each entry that was written to a node, from many goroutines.
@@ -140,7 +140,7 @@
 }
 
 // Down makes the service unreachable, which ends all connections, or reachable again.
-func (s *Service) Down(isDown bool) {
+func (s *Service) SetDown(isDown bool) {
 	s.mu.Lock()
 	s.isDown = isDown
 	endpoints := append([]*endpoint(nil), s.endpoints...)
@@ -155,7 +155,7 @@
 }
 
 // Use returns the number of calls, their cost in lines, and the number of rejected calls.
-func (s *Service) Use() (calls int, lines float64, rejected int) {
+func (s *Service) Usage() (calls int, lines float64, rejected int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls, s.lines, s.rejected
@@ -299,7 +299,7 @@
 	if s.busyUntil.Before(now) {
 		s.busyUntil = now
 	}
-	done := s.busyUntil.Add(time.Duration(cost / s.settings.LinesPerS * float64(time.Second)))
+	done := s.busyUntil.Add(time.Duration(cost / s.settings.LinesPerSecond * float64(time.Second)))
 	s.calls++
 	isRejected := s.isDown || p.isRetired && !continues || done.Sub(now) > s.settings.Timeout
 	if isRejected {
--- a/internal/testbed/standin/discovery/discovery_test.go
+++ b/internal/testbed/standin/discovery/discovery_test.go
@@ -65,7 +65,7 @@
 
 // TestCalls makes consecutive calls on one connection, with changes between them, and checks each list.
 func TestCalls(t *testing.T) {
-	s, w, c := start(t, Settings{LinesPerS: 1e6, Timeout: time.Second})
+	s, w, c := start(t, Settings{LinesPerSecond: 1e6, Timeout: time.Second})
 	s.Set(entry("a", Serving))
 	s.Set(entry("b", Serving))
 	for _, step := range []struct {
@@ -85,11 +85,11 @@
 		}
 		l, status, err := call(c, step.query)
 		got := fmt.Sprint(l.Revision)
-		if l.Complete {
+		if l.IsComplete {
 			got += " complete"
 		}
-		for _, h := range l.Hosts {
-			got += fmt.Sprintf(" %s%d", h.ID, h.Phase)
+		for _, h := range l.Endpoints {
+			got += fmt.Sprintf(" %s%d", h.ID, h.Condition)
 		}
 		if err != nil || status != 200 || got != step.want {
 			t.Errorf("call %q: got status %d, list %q, error %v", step.query, status, got, err)
@@ -110,8 +110,8 @@
 		status    int  // 0: the connection ends
 		isRefused bool // of new connections
 	}{
-		"over its capacity": {Settings{LinesPerS: 10, CallLines: 30, Timeout: time.Second}, func(*Service) {}, 503, false},
-		"down":              {Settings{LinesPerS: 1e6, Timeout: time.Second}, func(s *Service) { s.Down(true) }, 0, true},
+		"over its capacity": {Settings{LinesPerSecond: 10, CallLines: 30, Timeout: time.Second}, func(*Service) {}, 503, false},
+		"down":              {Settings{LinesPerSecond: 1e6, Timeout: time.Second}, func(s *Service) { s.SetDown(true) }, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, _, conn := start(t, c.settings)
@@ -130,8 +130,8 @@
 				fresh.Close()
 			}
 			if c.isRefused {
-				s.Down(false)
-				if l, status, err := call(dial(t, s), ""); err != nil || status != 200 || len(l.Hosts) != 1 {
+				s.SetDown(false)
+				if l, status, err := call(dial(t, s), ""); err != nil || status != 200 || len(l.Endpoints) != 1 {
 					t.Errorf("after the failure: got status %d, error %v", status, err)
 				}
 			}
--- a/internal/testbed/standin/faultproxy/proxy.go
+++ b/internal/testbed/standin/faultproxy/proxy.go
@@ -69,7 +69,7 @@
 	p.mu.Lock()
 	p.isClosed = true
 	p.mu.Unlock()
-	p.Break()
+	p.CloseConnections()
 	p.Cut(Up, false)
 	p.Cut(Down, false)
 	p.running.Wait()
@@ -106,7 +106,7 @@
 }
 
 // Break closes all connections; new ones are forwarded as before.
-func (p *Proxy) Break() {
+func (p *Proxy) CloseConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for conn := range p.conns {
--- a/internal/testbed/standin/faultproxy/proxy_test.go
+++ b/internal/testbed/standin/faultproxy/proxy_test.go
@@ -81,7 +81,7 @@
 			if got, err := ask(10 * time.Second); err != nil || got != test.want {
 				t.Errorf("after the fault: got %q, error %v", got, err)
 			}
-			c.Break()
+			c.CloseConnections()
 			if _, err := ask(10 * time.Second); err == nil || os.IsTimeout(err) {
 				t.Errorf("after Break: got error %v, want a closed connection", err)
 			}
