--- a/internal/testbed/standin/memdisk/memdisk.go
+++ b/internal/testbed/standin/memdisk/memdisk.go
@@ -23,11 +23,11 @@
 
 // Faults of operations.
 const (
-	None  Fault = iota // no fault
-	Short              // half of the data is written, and the count says so
-	Full               // nothing is written, and an error is returned
-	Lying              // the data is written, and an error is returned
-	Dead               // the machine crashes: this and all later operations fail until Crash
+	None             Fault = iota // no fault
+	Short                         // half of the data is written, and the count says so
+	Full                          // nothing is written, and an error is returned
+	WrittenButFailed              // the data is written, and an error is returned
+	MachineCrash                  // the machine crashes: this and all later operations fail until Crash
 )
 
 // ErrDisk is the error of a failed operation.
@@ -40,7 +40,7 @@
 	operations int // writes, syncs, renames and creations so far
 	isCrashed  bool
 	// Meet returns the fault of the n-th operation, from 1. It is called under the disk's lock.
-	Meet func(n int) Fault
+	FaultOf func(n int) Fault
 }
 
 // file is a file with the state that survives a crash.
@@ -54,7 +54,7 @@
 
 // New returns an empty disk without faults.
 func New() *Disk {
-	return &Disk{files: map[string]*file{}, Meet: func(int) Fault { return None }}
+	return &Disk{files: map[string]*file{}, FaultOf: func(int) Fault { return None }}
 }
 
 // Operations returns the number of writes, syncs, renames and creations so far.
@@ -68,7 +68,7 @@
 func (d *Disk) Fill(isFull bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.Meet = func(int) Fault {
+	d.FaultOf = func(int) Fault {
 		if isFull {
 			return Full
 		}
@@ -79,10 +79,10 @@
 // nextFault counts an operation and returns its fault.
 func (d *Disk) nextFault() Fault {
 	d.operations++
-	fault := d.Meet(d.operations)
-	d.isCrashed = d.isCrashed || fault == Dead
+	fault := d.FaultOf(d.operations)
+	d.isCrashed = d.isCrashed || fault == MachineCrash
 	if d.isCrashed {
-		return Dead
+		return MachineCrash
 	}
 	return fault
 }
@@ -173,10 +173,10 @@
 	case Short:
 		f.content = append(f.content, b[:len(b)/2]...)
 		return len(b) / 2, ErrDisk
-	case Lying:
+	case WrittenButFailed:
 		f.content = append(f.content, b...)
 		return 0, ErrDisk
-	case Full, Dead:
+	case Full, MachineCrash:
 		return 0, ErrDisk
 	}
 	f.content = append(f.content, b...)
@@ -238,8 +238,8 @@
 // SlowFiles is the real file system with slow or failing writes.
 type SlowFiles struct {
 	wal.OSFileSystem
-	Takes func() time.Duration // delay of a write; called before each
-	Full  func() bool          // whether writes fail; called before each
+	WriteDelay func() time.Duration // delay of a write; called before each
+	Full       func() bool          // whether writes fail; called before each
 }
 
 // Create creates a file with slow writes.
@@ -262,6 +262,6 @@
 	if s.files.Full() {
 		return 0, ErrDisk
 	}
-	time.Sleep(s.files.Takes())
+	time.Sleep(s.files.WriteDelay())
 	return s.File.Write(b)
 }
--- a/internal/testbed/standin/mesh/mesh.go
+++ b/internal/testbed/standin/mesh/mesh.go
@@ -14,13 +14,13 @@
 
 // Direction holds the faults of one direction between two processes. Its zero value has none.
 type Direction struct {
-	Cut     bool          // nothing is forwarded; connections stay open, datagrams are lost
-	Delay   time.Duration // of each piece
-	PerS    float64       // limit of bytes per second; 0: none
-	Garble  float64       // share of pieces with one corrupted byte
-	Lose    float64       // share of datagrams that are lost
-	Twice   float64       // share of datagrams that are duplicated
-	Reorder float64       // share of datagrams that are reordered
+	Cut            bool          // nothing is forwarded; connections stay open, datagrams are lost
+	Delay          time.Duration // of each piece
+	BytesPerSecond float64       // limit of bytes per second; 0: none
+	Garble         float64       // share of pieces with one corrupted byte
+	Loss           float64       // share of datagrams that are lost
+	Duplication    float64       // share of datagrams that are duplicated
+	Reorder        float64       // share of datagrams that are reordered
 }
 
 const (
@@ -139,11 +139,11 @@
 	m.mu.Lock()
 	out := m.sockets[sender]
 	m.mu.Unlock()
-	if out == nil || d.Cut || rand.Float64() < d.Lose {
+	if out == nil || d.Cut || rand.Float64() < d.Loss {
 		return
 	}
 	times, wait := 1, d.Delay
-	if rand.Float64() < d.Twice {
+	if rand.Float64() < d.Duplication {
 		times = 2
 	}
 	if rand.Float64() < d.Reorder {
@@ -239,8 +239,8 @@
 				time.Sleep(pollInterval)
 			}
 			d := m.direction(from, to)
-			if d.PerS > 0 {
-				time.Sleep(time.Duration(float64(len(p.text)) / d.PerS * float64(time.Second)))
+			if d.BytesPerSecond > 0 {
+				time.Sleep(time.Duration(float64(len(p.text)) / d.BytesPerSecond * float64(time.Second)))
 			}
 			if rand.Float64() < d.Garble {
 				p.text[rand.IntN(len(p.text))] ^= byte(1 + rand.IntN(255))
--- a/internal/testbed/standin/mesh/mesh_test.go
+++ b/internal/testbed/standin/mesh/mesh_test.go
@@ -66,7 +66,7 @@
 		"cut forward":           {0, 1, Direction{Cut: true}, false, false, 0},
 		"cut back":              {1, 0, Direction{Cut: true}, false, false, 0},
 		"delayed":               {0, 1, Direction{Delay: 60 * time.Millisecond}, true, true, 60 * time.Millisecond},
-		"limited":               {1, 0, Direction{PerS: 10_000}, true, true, 90 * time.Millisecond},
+		"limited":               {1, 0, Direction{BytesPerSecond: 10_000}, true, true, 90 * time.Millisecond},
 		"garbled":               {0, 1, Direction{Garble: 1}, true, false, 0},
 		"other sender's faults": {2, 1, Direction{Cut: true}, true, true, 0},
 	} {
@@ -103,9 +103,9 @@
 		least, most int // of 200
 	}{
 		"no fault":  {Direction{}, 200, 200},
-		"lost":      {Direction{Lose: 1}, 0, 0},
-		"twice":     {Direction{Twice: 1}, 400, 400},
-		"half lost": {Direction{Lose: 0.5}, 40, 160},
+		"lost":      {Direction{Loss: 1}, 0, 0},
+		"twice":     {Direction{Duplication: 1}, 400, 400},
+		"half lost": {Direction{Loss: 0.5}, 40, 160},
 		"cut":       {Direction{Cut: true}, 0, 0},
 		"reordered": {Direction{Reorder: 0.3}, 200, 200},
 		"delayed":   {Direction{Delay: 10 * time.Millisecond}, 200, 200},
--- a/internal/testbed/standin/server/model.go
+++ b/internal/testbed/standin/server/model.go
@@ -19,7 +19,7 @@
 	KeyGain        float64 // share of work that is saved for a cached key
 	KeyFor         time.Duration
 	Keys           int // maximum number of cached keys
-	Drops          bool
+	DropsExpired   bool
 	OverloadFactor float64 // multiple of its present capacity that overloads a cold server; 0: no load does
 	OverloadWindow time.Duration
 	Handshake      time.Duration // additional work of the first request on a connection
@@ -191,7 +191,7 @@
 	for !m.isPaused && len(m.cores) < m.settings.Cores && len(m.queue) > 0 {
 		j := m.queue[0]
 		m.queue = m.queue[:copy(m.queue, m.queue[1:])]
-		if m.settings.Drops && now >= j.Deadline {
+		if m.settings.DropsExpired && now >= j.Deadline {
 			report(Event{j.ID, Expired, now})
 			continue
 		}
--- a/internal/testbed/standin/server/model_test.go
+++ b/internal/testbed/standin/server/model_test.go
@@ -113,7 +113,7 @@
 			m.Advance(time.Second, report)
 			return v
 		}, []Admission{Admitted, Admitted, Full}, []reported{{0, Began, 0}, {0, Done, 10 * ms}, {1, Began, 10 * ms}, {1, Done, 20 * ms}}},
-		"deadline passes in the queue": {Settings{Cores: 1, Speed: 1, Queue: 9, Drops: true}, func(m *Model, report func(Event)) []Admission {
+		"deadline passes in the queue": {Settings{Cores: 1, Speed: 1, Queue: 9, DropsExpired: true}, func(m *Model, report func(Event)) []Admission {
 			m.Offer(0, Work{ID: 1, Work: 20 * ms, Deadline: time.Second}, report)
 			m.Offer(0, Work{ID: 2, Work: 20 * ms, Deadline: 15 * ms}, report)
 			m.Advance(time.Second, report)
--- a/internal/testbed/standin/server/request.go
+++ b/internal/testbed/standin/server/request.go
@@ -41,7 +41,7 @@
 		}
 		first := nc.Received().Sub(s.start) // bytes that waited for the end of a silence arrived before it
 		if err := c.ReadRequest(&req); err != nil {
-			if bad, ok := err.(*http1.Malformed); ok {
+			if bad, ok := err.(*http1.RequestError); ok {
 				c.Send(http1.AppendAnswer(nil, http1.Answer{Status: bad.Status, Close: true}))
 			}
 			return
@@ -91,7 +91,7 @@
 		p.reset()
 		return false
 	}
-	if full || draining || isHit(id, "refuse", faults.Refuse) {
+	if full || draining || isHit(id, "refuse", faults.Reject) {
 		return s.reject(p, id, 503)
 	}
 	left, err := strconv.ParseFloat(string(req.Get(http1.RequestTimeout)), 64)
@@ -194,7 +194,7 @@
 
 // reply responds to an executed request. The body begins with the request ID.
 func (s *Server) reply(p peer, id uint64, text string, f Faults) bool {
-	if isHit(id, "error", f.Err) {
+	if isHit(id, "error", f.ErrorResponse) {
 		return p.answer(message.Answer{Status: 500, Body: []byte("it failed")})
 	}
 	a := message.Answer{Status: 200, Body: fmt.Appendf(nil, "%s %s\n%s\n", text, s.Name, filler)}
@@ -203,7 +203,7 @@
 		encoded := p.encode(a)
 		p.raw(encoded[:len(encoded)/2])
 		return false
-	case isHit(id, "spoil", f.Spoil):
+	case isHit(id, "spoil", f.GarbleResponse):
 		p.raw(p.garbled(id, a))
 		p.peek(time.Now().Add(maxIdle)) // the connection stays open but is not used again
 		p.disconnected()
--- a/internal/testbed/standin/server/server.go
+++ b/internal/testbed/standin/server/server.go
@@ -47,12 +47,12 @@
 
 // Faults are the shares of requests that faults hit. The request ID decides which ones.
 type Faults struct {
-	CutBefore float64
-	CutWithin float64
-	CutAfter  float64
-	Refuse    float64
-	Err       float64
-	Spoil     float64
+	CutBefore      float64
+	CutWithin      float64
+	CutAfter       float64
+	Reject         float64
+	ErrorResponse  float64
+	GarbleResponse float64
 }
 
 // Server responds to requests by its Model. It has a listener for each site of callers, so that sites can be cut off. Its
@@ -154,10 +154,14 @@
 }
 
 // Set changes the faults of later requests.
-func (s *Server) Set(change func(*Faults)) { s.withLock(func(time.Duration) { change(&s.faults) }) }
+func (s *Server) ChangeFaults(change func(*Faults)) {
+	s.withLock(func(time.Duration) { change(&s.faults) })
+}
 
 // Drain makes the server reject new requests, or accept them again.
-func (s *Server) Drain(isDraining bool) { s.withLock(func(time.Duration) { s.draining = isDraining }) }
+func (s *Server) SetDraining(isDraining bool) {
+	s.withLock(func(time.Duration) { s.draining = isDraining })
+}
 
 // Crash ends the process: connections are reset and new ones refused.
 func (s *Server) Crash() {
@@ -194,13 +198,13 @@
 }
 
 // Hush cuts the server off from the callers of a site.
-func (s *Server) Hush(site int) { s.listeners[site].Silence() }
+func (s *Server) CutOff(site int) { s.listeners[site].Silence() }
 
 // Speak ends the cut that Hush began.
-func (s *Server) Speak(site int) { s.listeners[site].EndSilence() }
+func (s *Server) EndCutOff(site int) { s.listeners[site].EndSilence() }
 
 // Stop pauses the whole process, whose connections stay open and send nothing, or resumes it.
-func (s *Server) Stop(isPaused bool) {
+func (s *Server) SetPaused(isPaused bool) {
 	s.Model(func(m *Model, now time.Duration, report func(Event)) {
 		if isPaused {
 			m.Pause(now, report)
--- a/internal/testbed/standin/server/server_test.go
+++ b/internal/testbed/standin/server/server_test.go
@@ -84,7 +84,7 @@
 	ends := func(want error) func(*http1.Response, error) bool {
 		return func(_ *http1.Response, err error) bool { return errors.Is(err, want) }
 	}
-	set := func(f func(*Faults)) func(*Server) { return func(s *Server) { s.Set(f) } }
+	set := func(f func(*Faults)) func(*Server) { return func(s *Server) { s.ChangeFaults(f) } }
 	for name, c := range map[string]struct {
 		before func(*Server)
 		id     string
@@ -95,13 +95,13 @@
 		"no id":            {nil, "", status(404, ""), ""},
 		"unknown id":       {nil, "0000000000000bad", status(400, ""), "attempt"},
 		"malformed id":     {nil, "soon", status(400, ""), "attempt"},
-		"draining":         {func(s *Server) { s.Drain(true) }, good, status(503, ""), "attempt ended:true"},
-		"rejected":         {set(func(f *Faults) { f.Refuse = 1 }), good, status(503, ""), "attempt ended:true"},
-		"error":            {set(func(f *Faults) { f.Err = 1 }), good, status(500, ""), "attempt ran ended:false"},
+		"draining":         {func(s *Server) { s.SetDraining(true) }, good, status(503, ""), "attempt ended:true"},
+		"rejected":         {set(func(f *Faults) { f.Reject = 1 }), good, status(503, ""), "attempt ended:true"},
+		"error":            {set(func(f *Faults) { f.ErrorResponse = 1 }), good, status(500, ""), "attempt ran ended:false"},
 		"cut before":       {set(func(f *Faults) { f.CutBefore = 1 }), good, ends(syscall.ECONNRESET), "attempt ended:false"},
 		"cut within":       {set(func(f *Faults) { f.CutWithin = 1 }), good, ends(io.ErrUnexpectedEOF), "attempt ran ended:false"},
-		"garbled response": {set(func(f *Faults) { f.Spoil = 1 }), "0000000000000000", ends(http1.ErrGarbled), "attempt ran ended:false"},
-		"wrong length":     {set(func(f *Faults) { f.Spoil = 1 }), "0000000000000300", ends(http1.ErrGarbled), "attempt ran ended:false"},
+		"garbled response": {set(func(f *Faults) { f.GarbleResponse = 1 }), "0000000000000000", ends(http1.ErrMalformedResponse), "attempt ran ended:false"},
+		"wrong length":     {set(func(f *Faults) { f.GarbleResponse = 1 }), "0000000000000300", ends(http1.ErrMalformedResponse), "attempt ran ended:false"},
 		"full":             {func(s *Server) { s.mu.Lock(); defer s.mu.Unlock(); s.conns = 5 }, good, status(503, ""), "attempt ended:true"},
 		"crashed":          {func(s *Server) { time.AfterFunc(5*ms, s.Crash) }, good, ends(syscall.ECONNRESET), "attempt ran ended:false"},
 		"overloaded while cold": {func(s *Server) {
@@ -183,7 +183,7 @@
 		send(conn, good)
 		return conn.ReadResponse(&http1.Response{}, 1<<20)
 	}
-	s.Hush(1)
+	s.CutOff(1)
 	if err := request(0); err != nil {
 		t.Errorf("site not cut off: got error %v", err)
 	}
@@ -191,7 +191,7 @@
 	if err := request(1); !errors.As(err, &late) || !late.Timeout() {
 		t.Errorf("site cut off: got error %v, want a timeout", err)
 	}
-	s.Speak(1)
+	s.EndCutOff(1)
 	if err := request(1); err != nil {
 		t.Errorf("after the cut: got error %v", err)
 	}
--- a/internal/testbed/standin/zookeeper/ensemble.go
+++ b/internal/testbed/standin/zookeeper/ensemble.go
@@ -130,14 +130,14 @@
 func (s *Server) Address() string { return s.ln.Addr().String() }
 
 // Set changes the server's faults: its lag behind commits, the delay of watch events, and whether it sends nothing.
-func (s *Server) Set(lag, delay time.Duration, silent bool) {
+func (s *Server) SetFaults(lag, delay time.Duration, silent bool) {
 	s.registry.mu.Lock()
 	defer s.registry.mu.Unlock()
 	s.lag, s.delay, s.isSilent = lag, delay, silent
 }
 
 // Break closes all connections to the server. Delayed events are lost.
-func (s *Server) Break() {
+func (s *Server) CloseConnections() {
 	s.registry.mu.Lock()
 	defer s.registry.mu.Unlock()
 	for c := range s.conns {
@@ -146,7 +146,7 @@
 }
 
 // Late delays the expiry of sessions by d.
-func (r *Registry) Late(d time.Duration) {
+func (r *Registry) DelayExpiry(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expiryDelay = d
@@ -173,7 +173,7 @@
 }
 
 // Lose ends the sessions of all connected clients, as if they had timed out.
-func (r *Registry) Lose() {
+func (r *Registry) ExpireConnected() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.sessions {
--- a/internal/testbed/standin/zookeeper/owned.go
+++ b/internal/testbed/standin/zookeeper/owned.go
@@ -8,13 +8,13 @@
 )
 
 // Owned is a session of this process with its ephemeral nodes, such as that of a server that registers itself.
-type Owned struct {
+type OwnedSession struct {
 	registry *Registry
 	session  *session
 }
 
 // Own opens a session with ephemeral nodes, by path, and creates missing parents. The session lasts until Silence or End.
-func (r *Registry) Own(timeout time.Duration, nodes map[string][]byte) *Owned {
+func (r *Registry) OpenSession(timeout time.Duration, nodes map[string][]byte) *OwnedSession {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastID++
@@ -28,7 +28,7 @@
 		r.commit(change{op: created, path: p, data: nodes[p], owner: s.id, at: time.Now()})
 		s.ephemerals[p] = true
 	}
-	return &Owned{r, s}
+	return &OwnedSession{r, s}
 }
 
 // createParents creates the missing parents of a path.
@@ -42,7 +42,7 @@
 }
 
 // Set changes the data of one of the nodes.
-func (o *Owned) Set(path string, data []byte) {
+func (o *OwnedSession) Set(path string, data []byte) {
 	o.registry.mu.Lock()
 	defer o.registry.mu.Unlock()
 	if n := o.registry.head.nodes[path]; n != nil && n.owner == o.session.id {
@@ -51,14 +51,14 @@
 }
 
 // Silence stops the session's heartbeats: it expires after its timeout.
-func (o *Owned) Silence() {
+func (o *OwnedSession) StopHeartbeats() {
 	o.registry.mu.Lock()
 	defer o.registry.mu.Unlock()
 	o.session.lastHeard = time.Now()
 }
 
 // End closes the session.
-func (o *Owned) End() {
+func (o *OwnedSession) End() {
 	o.registry.mu.Lock()
 	defer o.registry.mu.Unlock()
 	if o.registry.sessions[o.session.id] == o.session {
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -38,7 +38,7 @@
 		if err != nil {
 			os.Exit(2)
 		}
-		cfg.Filesystem = Disk(os.Getenv)
+		cfg.Filesystem = NodeFileSystem(os.Getenv)
 		Configure(&cfg, os.Getenv(policyVar))
 		os.Exit(proxy.RunProcess(cfg, os.Stderr, zerolog.InfoLevel))
 	}
@@ -67,8 +67,8 @@
 				t.Fatal(err)
 			}
 			s.Scale(0.4)
-			s.Rules.Slack = scenario.Span(2 * time.Second) // allows for scheduling delays on a busy machine
-			if s.Pairings {                                // FastCGI at both ends; the command runs the other combinations
+			s.Rules.Slack = scenario.Duration(2 * time.Second) // allows for scheduling delays on a busy machine
+			if s.Pairings {                                    // FastCGI at both ends; the command runs the other combinations
 				s = s.WithFastCGI(true, true)
 			}
 			out := runScenario(t, s, "")
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -79,7 +79,7 @@
 	h := newRouteHarness(t, 6, 0, func(*TrafficType) {})
 	types := h.settings.TrafficTypes
 	limit := func(n int) {
-		h.at(h.now, Input{Kind: TrafficTypesChanged, TrafficTypes: types, LearnFrom: []int{0, 1, 2, 3}, RouteLimits: []int{0, n}})
+		h.at(h.now, Input{Kind: TrafficTypesChanged, TrafficTypes: types, LatencySources: []int{0, 1, 2, 3}, RouteLimits: []int{0, n}})
 	}
 	arrive := func() []EffectKind {
 		h.arrivals++
--- a/policy/cost_test.go
+++ b/policy/cost_test.go
@@ -160,7 +160,7 @@
 	}
 	for i := range inUse {
 		p.Handle(now, &Input{Kind: RequestArrived, Request: i, TrafficType: i * 1_000, Tenant: i * 100_000, Timeout: time.Second}, nil)
-		p.Handle(now+5*ms, &Input{Kind: AttemptEnded, Request: i, Outcome: Success, ClientAnswered: true}, nil)
+		p.Handle(now+5*ms, &Input{Kind: AttemptEnded, Request: i, Outcome: Success, IsSettled: true}, nil)
 	}
 	if got := tick(1); got == 0 || got > 4*inUse { // tenants and servers once, types twice
 		t.Errorf("tick: got %d visits for %d active elements of each table, want at least one, and at most 4 per element", got, inUse)
--- a/policy/effect.go
+++ b/policy/effect.go
@@ -21,10 +21,10 @@
 	// CloseIdle closes idle connections to the server.
 	CloseIdle
 	// Retain reports that the server stays in use although the list omits it.
-	Retain
+	RetainServer
 	// Forget reports that the server is removed permanently unless it is listed again. Package engine releases the
 	// index, and forwards the effect, only once no open request has or had an attempt at the server.
-	Forget
+	RemoveServer
 )
 
 // Effect is one action that the caller must carry out. The caller carries out effects in the order given.
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -63,7 +63,7 @@
 
 // end ends an attempt of a request.
 func (h *harness) end(now time.Duration, id, number int, outcome Outcome) []Effect {
-	return h.at(now, Input{Kind: AttemptEnded, Request: id, Attempt: number, Server: 0, Outcome: outcome, ClientAnswered: outcome == Success})
+	return h.at(now, Input{Kind: AttemptEnded, Request: id, Attempt: number, Server: 0, Outcome: outcome, IsSettled: outcome == Success})
 }
 
 // effectKinds returns the kinds of effects other than SetTimer and Subscribe.
--- a/policy/input.go
+++ b/policy/input.go
@@ -107,16 +107,16 @@
 	IsClientRetry bool          // the client marked the request as a retry
 	Timeout       time.Duration // time until the client gives up
 
-	Outcome        Outcome
-	Elapsed        time.Duration // since the attempt was sent; Policy measures this time itself
-	ClientAnswered bool          // no response is needed after this attempt: the final one is decided, or the client has disconnected
+	Outcome   Outcome
+	Elapsed   time.Duration // since the attempt was sent; Policy measures this time itself
+	IsSettled bool          // no response is needed after this attempt: the final one is decided, or the client has disconnected
 
 	Scope     UpdateScope
 	Endpoints []Endpoint
 
-	TrafficTypes []TrafficType // all types; a type with open requests keeps its index
-	LearnFrom    []int         // by traffic type: its own index if unchanged, else the type whose latencies it copies, or -1
-	RouteLimits  []int         // requests that may be in flight at a time; 0: unlimited
+	TrafficTypes   []TrafficType // all types; a type with open requests keeps its index
+	LatencySources []int         // by traffic type: its own index if unchanged, else the type whose latencies it copies, or -1
+	RouteLimits    []int         // requests that may be in flight at a time; 0: unlimited
 
 	Assignments       []Assignment
 	NodeCount         int
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -30,7 +30,7 @@
 	case r.state == stateDone:
 	case in.Outcome == Success:
 		p.advance(in.Request, onSuccess)
-	case in.ClientAnswered:
+	case in.IsSettled:
 		p.advance(in.Request, onResponseNotNeeded)
 	default:
 		p.advance(in.Request, onFailure)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -54,7 +54,7 @@
 	p.poll.backoff = initialPollBackoff
 	p.attribution.keys = make([]decay.FailureRate, keyRecordCount)
 	noSources := slices.Repeat([]int{-1}, len(s.TrafficTypes))
-	p.updateTrafficTypes(&Input{TrafficTypes: s.TrafficTypes, LearnFrom: noSources, RouteLimits: []int{0}})
+	p.updateTrafficTypes(&Input{TrafficTypes: s.TrafficTypes, LatencySources: noSources, RouteLimits: []int{0}})
 	return p
 }
 
--- a/policy/suspicion.go
+++ b/policy/suspicion.go
@@ -50,7 +50,7 @@
 		p.suspicion.raise(s)
 		p.suspicion.lastSeenAt[s] = p.now
 	}
-	p.emit(Effect{Kind: Retain, Server: s})
+	p.emit(Effect{Kind: RetainServer, Server: s})
 }
 
 // removeSilentServer removes the unlisted server with the longest time since its last success, if that time exceeds
@@ -74,5 +74,5 @@
 	if i := slices.Index(p.subset.members, oldest); i >= 0 {
 		p.removeFromSubset(i)
 	}
-	p.emit(Effect{Kind: Forget, Server: oldest})
+	p.emit(Effect{Kind: RemoveServer, Server: oldest})
 }
--- a/policy/traffictype.go
+++ b/policy/traffictype.go
@@ -11,7 +11,7 @@
 	p.settings.TrafficTypes = in.TrafficTypes
 	p.routes.update(in.RouteLimits)
 	p.latency.hasResponses = false
-	for trafficType, from := range in.LearnFrom {
+	for trafficType, from := range in.LatencySources {
 		p.latency.hasResponses = p.latency.hasResponses || from >= 0 && p.latency.responseCounts[from] > 0
 		if from != trafficType {
 			p.addType(trafficType, from)
--- a/policy/traffictype_test.go
+++ b/policy/traffictype_test.go
@@ -21,7 +21,7 @@
 	short.MaxAttempts = 1
 	types = append(types, short)
 	typical := h.latency.typical[0]
-	h.at(h.now, Input{Kind: TrafficTypesChanged, TrafficTypes: types, LearnFrom: []int{0, 1, 2, 3, 0}, RouteLimits: []int{0}})
+	h.at(h.now, Input{Kind: TrafficTypesChanged, TrafficTypes: types, LatencySources: []int{0, 1, 2, 3, 0}, RouteLimits: []int{0}})
 	if h.latency.typical[0] != typical || h.latency.typical[4] != typical || h.latency.responseCounts[4] != h.latency.responseCounts[0] || len(h.admission.classes) != 10 {
 		t.Errorf("typical latency: was %s, got %s for the unchanged and %s for the new type; classes %v, want 10 of them", typical, h.latency.typical[0], h.latency.typical[4], h.admission.classes)
 	}
--- a/policy/whatif_test.go
+++ b/policy/whatif_test.go
@@ -30,7 +30,7 @@
 		all = append(all, handle(now, Input{Kind: TimerFired})...)
 		if i%3 > 0 {
 			outcome := Outcome(i % 8)
-			all = append(all, handle(now+5*ms, Input{Kind: AttemptEnded, Request: id, Outcome: outcome, ClientAnswered: outcome == Success})...)
+			all = append(all, handle(now+5*ms, Input{Kind: AttemptEnded, Request: id, Outcome: outcome, IsSettled: outcome == Success})...)
 		}
 	}
 	return all, differ
@@ -119,6 +119,6 @@
 		h.arriveAt(0, 0, time.Hour)
 	}
 	for b.Loop() {
-		h.WhatIf(&h.settings, time.Second, &Input{Kind: AttemptEnded, Outcome: Success, ClientAnswered: true}, nil)
+		h.WhatIf(&h.settings, time.Second, &Input{Kind: AttemptEnded, Outcome: Success, IsSettled: true}, nil)
 	}
 }
