--- a/cmd/fernvane/serve.go
+++ b/cmd/fernvane/serve.go
@@ -19,7 +19,7 @@
 	operator     string
 	planners     string
 	bindings     string
-	registries   string
+	registry     string
 	snapshot     string
 	peers        string
 	distribution string
@@ -34,10 +34,10 @@
 		help   string
 	}{
 		{&f.config, "config", "PROXY_CONFIG", "read the platform's configuration from this JSON `file`"},
-		{&f.operator, "operator", "PROXY_OPERATOR", "read the limits of routes from this TOML `file`"},
+		{&f.operator, "operator", "PROXY_OPERATOR", "read routes and their limits from this TOML `file`"},
 		{&f.planners, "planners", "PROXY_PLANNERS", "follow the planners that this TOML `file` names"},
 		{&f.bindings, "bindings", "PROXY_BINDINGS", "write a journal of bindings as this TOML `file` configures"},
-		{&f.registries, "registry", "PROXY_REGISTRY", "read servers from the registry of ephemeral nodes that this TOML `file` names"},
+		{&f.registry, "registry", "PROXY_REGISTRY", "read servers from the registry of ephemeral nodes that this TOML `file` names"},
 		{&f.snapshot, "snapshot", "PROXY_SNAPSHOT", "store the server list on disk for the next start as this TOML `file` configures"},
 		{&f.peers, "peers", "PROXY_PEERS", "join the other nodes of the tier and store replicas for them as this TOML `file` configures"},
 		{&f.distribution, "distribution", "PROXY_DISTRIBUTION", "receive servers, routes and tenants from the control processes that this TOML `file` names"},
@@ -57,7 +57,7 @@
 		case "PROXY_BINDINGS":
 			return f.bindings
 		case "PROXY_REGISTRY":
-			return f.registries
+			return f.registry
 		case "PROXY_SNAPSHOT":
 			return f.snapshot
 		case "PROXY_PEERS":
@@ -100,7 +100,7 @@
 			return exitWith(proxy.RunProcess(cfg, stderr, level))
 		}}
 	f.flags(c.Flags())
-	c.Flags().BoolVar(&verbose, "verbose", false, "log each attempt that does not end with a complete response")
+	c.Flags().BoolVar(&verbose, "verbose", false, "also log debug lines, such as each sent attempt that ends without a complete response or that its server did not start")
 	return c
 }
 
--- a/internal/cluster/peer/clusterstate.go
+++ b/internal/cluster/peer/clusterstate.go
@@ -10,7 +10,7 @@
 // HasEnoughAnswers reports whether the responding nodes together store every committed record. That is the case if at
 // most as many machines are missing as the largest Replicas among the responses, and all responding nodes have loaded
 // their replicas. It assumes that all nodes are configured with the same number of replicas.
-func (c *Client) HasEnoughAnswers() bool {
+func (c *Client) HasEnoughResponses() bool {
 	if len(c.Answered) == 0 {
 		return false
 	}
@@ -76,18 +76,18 @@
 // are then unknown.
 func (c *Client) SurvivesLoss(name string, lost []string) bool {
 	isLost := func(name string) bool { return slices.Contains(lost, name) }
-	own := c.Answered[name]
-	if own == nil {
+	status := c.Answered[name]
+	if status == nil {
 		return false
 	}
-	keepsJournal := own.Stream.Incarnation != 0
-	if keepsJournal && isLost(name) && !slices.ContainsFunc(own.Holders, func(h replication.Holder) bool {
+	hasJournal := status.Stream.Incarnation != 0
+	if hasJournal && isLost(name) && !slices.ContainsFunc(status.Holders, func(h replication.Holder) bool {
 		return hasAllRecords(h) && !isLost(h.Name)
 	}) {
 		return false
 	}
 	for stream, holders := range c.completeHolders() {
-		isEarlier := stream.Name == name && stream != own.Stream
+		isEarlier := stream.Name == name && stream != status.Stream
 		if isEarlier && !slices.ContainsFunc(holders, func(h string) bool { return !isLost(h) }) {
 			return false
 		}
--- a/internal/cluster/replicastore/store_test.go
+++ b/internal/cluster/replicastore/store_test.go
@@ -15,7 +15,7 @@
 // recorded.
 func TestSlowDisk(t *testing.T) {
 	dir := t.TempDir()
-	slow := memdisk.SlowFiles{Takes: func() time.Duration { return 30 * time.Millisecond }, Full: func() bool { return false }}
+	slow := memdisk.SlowFiles{WriteDelay: func() time.Duration { return 30 * time.Millisecond }, Full: func() bool { return false }}
 	s := Open(dir, slow, 1<<20)
 	stream := replication.Stream{Name: "n0", Incarnation: 7}
 	next := uint64(1)
@@ -56,7 +56,7 @@
 		return nil
 	}, nil)
 	if streams, err := s.Streams(); gaps > 0 || err != nil || len(streams) != 1 || streams[0] != stream {
-		t.Errorf("got %d gaps, want 0; streams %v, error %v", gaps, streams, err)
+		t.Errorf("got %d gaps, want 0; got streams %v, error %v, want one stream", gaps, streams, err)
 	}
 	if err := s.TrimBefore(stream, next); err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/distribution/client/faults_test.go
+++ b/internal/controlplane/distribution/client/faults_test.go
@@ -73,7 +73,7 @@
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "command.toml")
 	writeFile(t, path, fmt.Sprintf("control = [%q]\nplaintext = true\n", at))
-	c, err := LoadAccess(path)
+	c, err := LoadForCommand(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,12 +91,12 @@
 // the network to the one that it follows, and a change written after the fault.
 func TestFaultsOfControlProcessAndNetwork(t *testing.T) {
 	for name, c := range map[string]struct{ fault, repair func(*faultproxy.Proxy) }{
-		"cut towards the node": {func(w *faultproxy.Proxy) { w.Cut(faultproxy.Down, true) }, func(w *faultproxy.Proxy) { w.Cut(faultproxy.Down, false) }},
-		"cut towards control":  {func(w *faultproxy.Proxy) { w.Cut(faultproxy.Up, true) }, func(w *faultproxy.Proxy) { w.Cut(faultproxy.Up, false) }},
-		"cut both ways": {func(w *faultproxy.Proxy) { w.Cut(faultproxy.Up, true); w.Cut(faultproxy.Down, true) },
-			func(w *faultproxy.Proxy) { w.Cut(faultproxy.Up, false); w.Cut(faultproxy.Down, false) }},
-		"garbled":    {func(w *faultproxy.Proxy) { w.Garble(faultproxy.Down, 3) }, func(*faultproxy.Proxy) {}},
-		"broken off": {func(w *faultproxy.Proxy) { w.Break() }, func(*faultproxy.Proxy) {}},
+		"cut towards the node": {func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Down, true) }, func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Down, false) }},
+		"cut towards control":  {func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Up, true) }, func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Up, false) }},
+		"cut both ways": {func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Up, true); proxy.Cut(faultproxy.Down, true) },
+			func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Up, false); proxy.Cut(faultproxy.Down, false) }},
+		"garbled":    {func(proxy *faultproxy.Proxy) { proxy.Garble(faultproxy.Down, 3) }, func(*faultproxy.Proxy) {}},
+		"broken off": {func(proxy *faultproxy.Proxy) { proxy.CloseConnections() }, func(*faultproxy.Proxy) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -155,7 +155,7 @@
 	for _, m := range []*testNode{n, other} {
 		waitUntil(t, func() bool { return m.value(key("hire", distribution.KindServer, "s")) == "v2" }, "the next change is applied")
 		if m.size() != 2 {
-			t.Errorf("applied: %v", m.all())
+			t.Errorf("got applied %v, want 2 entries", m.all())
 		}
 	}
 }
--- a/internal/controlplane/planner/server_test.go
+++ b/internal/controlplane/planner/server_test.go
@@ -34,7 +34,7 @@
 // startPlanner starts a planner with its own stand-in discovery. It returns the planner's address and the discovery.
 func startPlanner(t *testing.T, keys *mtls.Keys) (address string, list *discovery.Service) {
 	t.Helper()
-	list = discovery.New(discovery.Settings{LinesPerS: 1e6, Timeout: time.Second}, 1, noObserver{})
+	list = discovery.New(discovery.Settings{LinesPerSecond: 1e6, Timeout: time.Second}, 1, noObserver{})
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -166,8 +166,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	session := registry.Own(time.Hour, map[string][]byte{"/hire/a": []byte("127.0.0.1:1")})
-	registry.Own(time.Hour, map[string][]byte{"/hire/b": []byte("127.0.0.1:2")})
+	session := registry.OpenSession(time.Hour, map[string][]byte{"/hire/a": []byte("127.0.0.1:1")})
+	registry.OpenSession(time.Hour, map[string][]byte{"/hire/b": []byte("127.0.0.1:2")})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -212,13 +212,13 @@
 				if k == planwire.RejectionKind {
 					var r planwire.Rejection
 					if planwire.Decode(body, &r); !strings.Contains(r.Reason, c.reason) {
-						t.Errorf("unexpected rejection reason %q", r.Reason)
+						t.Errorf("got rejection reason %q, want the one of the case", r.Reason)
 					}
 					return
 				}
 				if err != nil {
 					if c.reason != "" || strings.Contains(err.Error(), "timeout") {
-						t.Errorf("connection ended without the expected rejection: %v", err)
+						t.Errorf("got end of connection %v, want a rejection, or a close for an oversized frame", err)
 					}
 					return
 				}
@@ -284,7 +284,7 @@
 			nc.SetDeadline(time.Now().Add(5 * time.Second))
 			peer, err := planwire.NewConn(nc).Handshake("n", time.Now().Add(5*time.Second))
 			if (err == nil && peer == "p") != c.isAccepted {
-				t.Errorf("handshake got planner name %q, error %v", peer, err)
+				t.Errorf("got planner name %q, error %v, want a handshake only with keys of the same authority", peer, err)
 			}
 		})
 	}
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -22,11 +22,11 @@
 	}{
 		"continued watch": {Watcher{conn: &http1.Conn{}}, 4 * time.Second},
 		"new connection":  {Watcher{}, 4500 * time.Millisecond},
-		"new connection to an agent without a queue": {Watcher{IsPushed: true}, 2 * time.Second},
+		"new connection to an agent without a queue": {Watcher{HasNoQueue: true}, 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if wait, slack := c.w.timeouts(); wait <= 0 || slack <= 0 || wait+slack > c.maxTotal {
-				t.Errorf("got wait %v and slack %v", wait, slack)
+				t.Errorf("got wait %v and slack %v, want positive ones with at most maxTotal in sum", wait, slack)
 			}
 		})
 	}
@@ -48,8 +48,8 @@
 		requestWithin time.Duration
 		w             Watcher
 	}{
-		"pushed":                      {false, 0, Watcher{IsPushed: true}},
-		"pushed, with a request time": {false, time.Minute, Watcher{IsPushed: true}},
+		"pushed":                      {false, 0, Watcher{HasNoQueue: true}},
+		"pushed, with a request time": {false, time.Minute, Watcher{HasNoQueue: true}},
 		"requested within 2 s":        {true, 2 * time.Second, Watcher{}},
 		"requested within 10 s":       {true, 10 * time.Second, Watcher{}},
 		"requested within 1 h":        {true, time.Hour, Watcher{}},
@@ -78,7 +78,7 @@
 			}
 			wait, slack := c.w.timeouts()
 			if sum := wait + slack + longestPause + responseTime; sum > announcedWithin {
-				t.Errorf("got a total of %v: %v without a response, a pause of %v, %v for the response", sum, wait+slack, longestPause, responseTime)
+				t.Errorf("got a total of %v, want at most announcedWithin: %v without a response, a pause of %v, %v for the response", sum, wait+slack, longestPause, responseTime)
 			}
 		})
 	}
--- a/internal/journal/intent/entry.go
+++ b/internal/journal/intent/entry.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// maxAttempts limits the attempts of an entry, so that a corrupt attempt number does not exhaust memory. Records with a
-// higher attempt number are ignored.
+// maxAttempts limits the attempts of an entry, so that a corrupt attempt number does not exhaust memory. Attempts with the
+// number maxAttempts or a higher one are ignored.
 const maxAttempts = 64
 
 // State is what is known about the execution of a request.
@@ -47,13 +47,13 @@
 	// Attempts are indexed by attempt number. An attempt without records is zero.
 	Attempts []Attempt
 
-	ClientOutcome      string // outcome reported to the client; "" if unknown
-	NotifiedAtUnixNano int64
-	Conflicts          int  // number of records that contradict earlier ones
-	MayLackRecords     bool // unreadable records may contain further attempts
-	TooFewNodesAsked   bool // not enough of the nodes that may have records were queried
-	attemptsAtOutcome  int  // number of attempts when the client was notified
-	isUnsent           bool // an Unsent record was added
+	ClientOutcome        string // outcome reported to the client; "" if unknown
+	NotifiedAtUnixNano   int64
+	Conflicts            int  // number of records that contradict earlier ones
+	MayLackRecords       bool // unreadable records may contain further attempts
+	TooFewNodesResponded bool // not enough of the nodes that may have records were queried
+	attemptsAtOutcome    int  // number of attempts when the client was notified
+	isUnsent             bool // an Unsent record was added
 }
 
 // State returns the strongest statement about the request that the records prove.
@@ -70,13 +70,14 @@
 			s = PossiblySent
 		}
 	}
-	if s == NotSent && e.TooFewNodesAsked {
+	if s == NotSent && e.TooFewNodesResponded {
 		return Unknown
 	}
 	return s
 }
 
-// lacksAttempts reports whether there were, or may have been, attempts without any record.
+// lacksAttempts reports whether there were, or may have been, attempts of which no record was added: the client was
+// notified after more attempts than were found, or neither an attempt nor an outcome nor an Unsent record was found.
 func (e *Entry) lacksAttempts() bool {
 	return len(e.Attempts) < e.attemptsAtOutcome || len(e.Attempts) == 0 && e.ClientOutcome == "" && !e.isUnsent
 }
--- a/internal/journal/wal/format_test.go
+++ b/internal/journal/wal/format_test.go
@@ -37,7 +37,7 @@
 		return nil
 	}, nil)
 	if err != nil || report.Segments != 1 || len(report.Unreadable) > 0 {
-		t.Fatalf("scan: got report %+v, error %v", report, err)
+		t.Fatalf("scan: got report %+v, error %v, want one undamaged segment", report, err)
 	}
 	if want := storedRecords(); !reflect.DeepEqual(got, want) {
 		t.Errorf("got records\n%+v, want\n%+v", got, want)
@@ -121,7 +121,7 @@
 			t.Errorf("state: want name %q, got %q", name, s)
 		}
 	}
-	if MaxChunkRecords != 1024 || PromiseMachines != "machines" {
-		t.Errorf("got MaxChunkRecords %d and promise %q, want 1024 and \"machines\"", MaxChunkRecords, PromiseMachines)
+	if MaxChunkRecords != 1024 || DurabilityMachines != "machines" {
+		t.Errorf("got MaxChunkRecords %d and promise %q, want 1024 and \"machines\"", MaxChunkRecords, DurabilityMachines)
 	}
 }
--- a/internal/proxy/fastcgishutdown_test.go
+++ b/internal/proxy/fastcgishutdown_test.go
@@ -34,7 +34,7 @@
 	})
 	var hosts []http1.Endpoint // one server under many IDs, so that many attempts may be in flight
 	for i := range 100 {
-		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("s", i), Size: 1, Address: at})
+		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("s", i), Weight: 1, Address: at})
 	}
 	http, cgi, stop = startFastCGINodeWith(t, delays, hosts...)
 	return http, cgi, stop, begun, release
@@ -86,7 +86,7 @@
 			return
 		}
 		if err != nil || r.Status != 0 {
-			t.Errorf("got answer to request %d with status %d, error %v, want the end of the connection", id, r.Status, err)
+			t.Errorf("got response to request %d with status %d, error %v, want status 0 or the end of the connection", id, r.Status, err)
 			return
 		}
 	}
@@ -113,7 +113,7 @@
 			<-begun
 			if c.notified > 0 {
 				if id, r, err := nc.Next(); id != c.notified || r.Status != 0 || err != nil {
-					t.Errorf("got notice for request %d with status %d, error %v, want status 0", id, r.Status, err)
+					t.Errorf("got response to request %d with status %d, error %v, want the notice that the stalled request was not executed", id, r.Status, err)
 				}
 			}
 			close(release)
@@ -150,7 +150,7 @@
 	<-begun
 	done := make(chan error)
 	go func() { done <- stop() }()
-	for kept := dial(t, http); !get(t, kept, "/up").Close; {
+	for keepAlive := dial(t, http); !get(t, keepAlive, "/up").Close; {
 	}
 	nc.Write(encodeRequest(readinessID, readinessRequest))
 	if status := nc.answer(t, readinessID, checkRejected); status != 200 {
@@ -185,14 +185,14 @@
 	t.Parallel()
 	body := strings.Repeat("x", 60<<10)
 	at := responder(t, func(*message.Request) *message.Answer { return &message.Answer{Status: 200, Body: []byte(body)} })
-	http, cgi, _ := startFastCGINode(t, http1.Endpoint{ID: "s", Size: 1, Flavor: "cgi", Address: at})
+	http, cgi, _ := startFastCGINode(t, http1.Endpoint{ID: "s", Weight: 1, MachineKind: "cgi", Address: at})
 	dialer := net.Dialer{Control: func(_, _ string, rc syscall.RawConn) error { // most of the answer stays in the node's buffers
 		return rc.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 	}}
 	for name, c := range map[string]struct {
-		at   string
-		ask  []byte
-		read func(net.Conn) (n int, err error)
+		at      string
+		request []byte
+		read    func(net.Conn) (n int, err error)
 	}{
 		"HTTP": {http, []byte("GET /check/1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\nRequest-Id: reset-1\r\n\r\n" +
 			strings.Repeat("GET /check/2 HTTP/1.1\r\nHost: h\r\nRequest-Id: reset-2\r\n\r\n", 500)),
@@ -215,7 +215,7 @@
 			}
 			defer nc.Close()
 			nc.SetDeadline(time.Now().Add(time.Minute))
-			nc.Write(c.ask)
+			nc.Write(c.request)
 			if n, err := c.read(nc); n != len(body) || err != nil {
 				t.Errorf("got a body of %d bytes, want %d, error %v", n, len(body), err)
 			}
--- a/internal/proxy/httpclient_test.go
+++ b/internal/proxy/httpclient_test.go
@@ -48,7 +48,7 @@
 		})
 	}
 	if received.Load() != 0 {
-		t.Error("server got a request, want none")
+		t.Error("server received a request, want none")
 	}
 }
 
@@ -128,7 +128,7 @@
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size))
 		}
 	})
-	cfg := config(http1.Endpoint{ID: "s", Address: at, Size: 1})
+	cfg := config(http1.Endpoint{ID: "s", Address: at, Weight: 1})
 	cfg.Settings.TrafficTypes[0].LatencyObjective, cfg.Settings.TrafficTypes[0].ClientTimeout = time.Minute, time.Minute
 	cfg.shutdownDelays.extraLinger = time.Minute
 	node := newTestServer(t, cfg)
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -35,7 +35,8 @@
 	IsReusable(r *message.Response) bool
 }
 
-// connect takes an idle connection to a server or opens a new one. If conn is nil, result is the result of the attempt.
+// connect takes an idle connection to a server or opens a new one. It closes idle connections that the server has closed or has sent
+// unsolicited bytes on. If conn is nil, result is the result of the attempt.
 func (s *Server) connect(ctx context.Context, d dispatch.Decision, deadline time.Time) (conn upstreamConn, isReused bool, result dispatch.AttemptResult) {
 	for idle := s.dispatcher.TakeIdle(d.Server); idle != nil; idle = s.dispatcher.TakeIdle(d.Server) {
 		if conn := idle.(upstreamConn); conn.IsIdle() {
@@ -65,7 +66,7 @@
 		return nil, connectResult(err, dialDeadline.Equal(deadline))
 	}
 	if !d.IsFastCGI {
-		return http1.NewPooled(nc, s.dispatcher.MessageBudget()), dispatch.Succeeded
+		return http1.NewConnWithBudget(nc, s.dispatcher.MessageBudget()), dispatch.Succeeded
 	}
 	return fastcgi.NewServerConn(nc, s.dispatcher.MessageBudget(), func(text []byte) {
 		s.logger.Warn().Str("server", d.Server).Bytes("stderr", text[:min(len(text), maxLoggedTextBytes)]).Msg("FastCGI server wrote to standard error")
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -17,9 +17,9 @@
 
 func TestConnectResult(t *testing.T) {
 	for name, c := range map[string]struct {
-		err    error
-		timeUp bool
-		want   dispatch.AttemptResult
+		err               error
+		isAttemptDeadline bool
+		want              dispatch.AttemptResult
 	}{
 		"refused":          {&net.OpError{Err: syscall.ECONNREFUSED}, false, dispatch.ConnectRefused},
 		"host unreachable": {&net.OpError{Err: syscall.EHOSTUNREACH}, false, dispatch.ConnectRefused},
@@ -31,7 +31,7 @@
 		"invalid address":  {&net.AddrError{Err: "missing port"}, false, dispatch.ConnectRefused},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := connectResult(c.err, c.timeUp); got != c.want {
+			if got := connectResult(c.err, c.isAttemptDeadline); got != c.want {
 				t.Errorf("unexpected result %s", got)
 			}
 		})
@@ -41,7 +41,7 @@
 func TestUnreachableServer(t *testing.T) {
 	t.Parallel()
 	hosts, _ := servers(t, 1, okResponse)
-	hosts = append(hosts, http1.Endpoint{ID: "closed", Address: netip.MustParseAddrPort("127.0.0.1:1"), Size: 1})
+	hosts = append(hosts, http1.Endpoint{ID: "closed", Address: netip.MustParseAddrPort("127.0.0.1:1"), Weight: 1})
 	at, _ := startNode(t, config(hosts...))
 	for range 4 {
 		if r := get(t, dial(t, at), "/book/1"); r.Status != 200 {
@@ -62,7 +62,7 @@
 			closed <- struct{}{}
 		}
 	})
-	node, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: at, Size: 1}))
+	node, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: at, Weight: 1}))
 	for range 3 {
 		if r := get(t, dial(t, node), "/book/1"); r.Status != 200 {
 			t.Errorf("got status %d, want 200", r.Status)
@@ -77,7 +77,7 @@
 	const half = "HTTP/1.1 2"
 	for name, c := range map[string]struct {
 		with, behind string // sent with the first response, and after it was passed on
-		ended        bool
+		isClosed     bool   // the server closes the connection after that
 	}{
 		"with the response":         {half, "", false},
 		"after it":                  {"", half, false},
@@ -99,13 +99,13 @@
 					io.WriteString(nc, okResponse+c.with)
 					<-passed
 					io.WriteString(nc, c.behind)
-					if c.ended {
+					if c.isClosed {
 						nc.Close()
 					}
 					close(sent)
 				}
 			})
-			node, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: at, Size: 1}))
+			node, _ := startNode(t, config(http1.Endpoint{ID: "s", Address: at, Weight: 1}))
 			client := dial(t, node)
 			if r := get(t, client, "/book/1"); r.Status != 200 || string(r.Body) != "ok" {
 				t.Errorf("got status %d, body %q, want 200 \"ok\"", r.Status, r.Body)
--- a/internal/route/assemble_test.go
+++ b/internal/route/assemble_test.go
@@ -33,8 +33,8 @@
 		"keys alone":                {false, "type = \"check\"\nhops = 2", ""},
 		"with its header":           {false, "# a comment\n[[routes]]\nname = \"a\"\ntype = \"check\"", ""},
 		"name equals its key":       {false, "name = \"a\"\ntype = \"check\"", ""},
-		"name differs from its key": {false, "name = \"b\"\ntype = \"check\"", "route s/a: its text names it \"b\""},
-		"two routes":                {false, "[[routes]]\ntype = \"check\"\n[[routes]]\ntype = \"book\"", "route s/a: 2 routes, exactly one expected"},
+		"name differs from its key": {false, "name = \"b\"\ntype = \"check\"", "route s/a: text defines name \"b\", want name of entry"},
+		"two routes":                {false, "[[routes]]\ntype = \"check\"\n[[routes]]\ntype = \"book\"", "route s/a: got 2 routes, want 1"},
 		"an unknown key":            {false, "type = \"check\"\nhop = 2", "route s/a:2: unknown key \"hop\""},
 		"defaults in addition":      {false, "[defaults]\nhops = 2\n[[routes]]\ntype = \"check\"", "unknown key \"defaults\""},
 		"invalid TOML":              {false, "type = ", "route s/a:1: "},
@@ -80,7 +80,7 @@
 			"", map[int]string{0: "9 attempts, but the settings allow 4"}},
 		"later of two equal routes is left out": {"", []fragment{{"route", "s", "a", "type = \"check\"", ""}, {"route", "t", "b", "type = \"check\"", ""}},
 			"s/a 0 -", map[int]string{1: "route \"t/b\" and route \"s/a\" match the same requests"}},
-		"route of the file is kept": {operatorFile, []fragment{{"route", "s", "a", "path = \"/check/own\"", ""}},
+		"route of the file stays in effect": {operatorFile, []fragment{{"route", "s", "a", "path = \"/check/own\"", ""}},
 			"own 3 -", map[int]string{0: "route \"s/a\" and route \"own\" (line 8) match the same requests"}},
 		"name of a route of the file": {operatorFile, []fragment{{"route", "", "own", "type = \"check\"", ""}},
 			"own 3 -", map[int]string{0: "duplicate route \"own\", first defined in line 9"}},
@@ -130,7 +130,7 @@
 				t.Errorf("got routes %q, want %q", got, c.routes)
 			}
 			if len(assembled.Unusable) != len(c.unusable) {
-				t.Errorf("got unusable fragments %v", assembled.Unusable)
+				t.Errorf("got unusable fragments %v, want those of the case", assembled.Unusable)
 			}
 			for i, want := range c.unusable {
 				if assembled.Unusable[i] == nil || !strings.Contains(assembled.Unusable[i].Error(), want) {
@@ -184,10 +184,10 @@
 	}
 	settingsTypes := len(testSettings().TrafficTypes)
 	if len(assembled.Table.Pools) != maxPools || len(assembled.Table.Profiles) != maxProfiles || len(assembled.Table.Routes) != maxProfiles-settingsTypes {
-		t.Errorf("got %d pools, %d profiles, %d routes", len(assembled.Table.Pools), len(assembled.Table.Profiles), len(assembled.Table.Routes))
+		t.Errorf("got %d pools, %d profiles, %d routes, want maxPools, maxProfiles and maxProfiles less the types of the settings", len(assembled.Table.Pools), len(assembled.Table.Profiles), len(assembled.Table.Routes))
 	}
 	if len(assembled.Unusable) != 2+5+settingsTypes {
-		t.Errorf("got %d unusable fragments", len(assembled.Unusable))
+		t.Errorf("got %d unusable fragments, want 7 and one for each type of the settings", len(assembled.Unusable))
 	}
 }
 
--- a/internal/route/check_limits.go
+++ b/internal/route/check_limits.go
@@ -67,7 +67,7 @@
 
 // wrong records a fault at a key, with the names of the route and of the traffic type.
 func (l *limitsChecker) wrong(key, format string, args ...any) {
-	l.Wrong(l.keyPath(key), "route %q, type %s: "+format, append([]any{l.route.Name, l.name}, args...)...)
+	l.AddFault(l.keyPath(key), "route %q, type %s: "+format, append([]any{l.route.Name, l.name}, args...)...)
 }
 
 // times checks the latency objective and the timeout of an attempt.
@@ -144,7 +144,7 @@
 	} else if t.MaxQueueTime+t.AttemptTimeout > l.base.ClientTimeout {
 		l.wrong("wait", "wait of %s plus hop_time of %s exceeds the client timeout of %s", t.MaxQueueTime, t.AttemptTimeout, l.base.ClientTimeout)
 	}
-	t.MaxQueueTime = max(t.MaxQueueTime, time.Nanosecond) // 0 would mean the default of the policy
+	t.MaxQueueTime = max(t.MaxQueueTime, time.Nanosecond) // effectively no queue; 0 would mean the default of the policy
 }
 
 // rates checks the rate limit and the maximum size of a request body.
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -101,7 +101,7 @@
 func matches(sites, flavors, servers []string, id, site, flavor string) bool {
 	return (len(sites) == 0 || slices.Contains(sites, site)) && (len(flavors) == 0 || slices.Contains(flavors, flavor)) &&
 		(len(servers) == 0 || slices.ContainsFunc(servers, func(pattern string) bool {
-			if prefix, open := strings.CutSuffix(pattern, "*"); open {
+			if prefix, isPrefix := strings.CutSuffix(pattern, "*"); isPrefix {
 				return strings.HasPrefix(id, prefix)
 			}
 			return id == pattern
@@ -119,7 +119,7 @@
 }
 
 // SpeaksFastCGI reports whether a server uses FastCGI. Servers that the file does not select use HTTP.
-func (t *Table) SpeaksFastCGI(id, site, flavor string) bool {
+func (t *Table) UsesFastCGI(id, site, flavor string) bool {
 	if t == nil {
 		return false
 	}
