--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -92,7 +92,7 @@
 		in := policy.Input{TrafficType: e.TrafficType, Tenant: e.Tenant, Key: e.Key, IsClientRetry: e.IsClientRetry, Timeout: e.Timeout}
 		return instance.RequestArrived(now, e.Request, in, s.out)
 	case simwire.AttemptEnded:
-		in := policy.Input{Attempt: e.Attempt, Outcome: e.Outcome, Elapsed: e.Elapsed, IsSettled: e.ClientAnswered}
+		in := policy.Input{Attempt: e.Attempt, Outcome: e.Outcome, Elapsed: e.Elapsed, IsSettled: e.IsSettled}
 		return instance.AttemptEnded(now, e.Request, e.Server, in, s.out)
 	case simwire.ClientLeft:
 		instance.ClientLeft(now, e.Request, s.out)
--- a/internal/protocol/connclose/lifecycle.go
+++ b/internal/protocol/connclose/lifecycle.go
@@ -121,7 +121,7 @@
 
 // Handle applies an event and returns its effect. The effect is CloseWrite if a closing connection has no open request left.
 func (l *Lifecycle) Handle(input Input) Effect {
-	if input == IdleTimeout && l.receiving+l.inFlight > 0 { // a request started when the timer fired
+	if input == IdleTimeout && l.receiving+l.inFlight > 0 { // a request started just before the timer fired
 		return NoEffect
 	}
 	t := table[l.state][input]
--- a/internal/protocol/connclose/lifecycle_test.go
+++ b/internal/protocol/connclose/lifecycle_test.go
@@ -73,9 +73,9 @@
 	return ""
 }
 
-// TestAllOrders runs all orders of events with up to four open requests, by the states of the model that they reach. It checks
-// that no response to an admitted request is lost, that no request is admitted after IntakeStopped, and that each connection
-// that must close does so.
+// TestAllOrders runs the events of a connection with up to four open requests in all orders. A breadth-first search reaches
+// each state of the model once, by a shortest path. The test checks that no response to an admitted request is lost, that no
+// request is admitted after IntakeStopped, and that each connection that must close does so.
 func TestAllOrders(t *testing.T) {
 	seen := map[model]bool{}
 	type node struct {
--- a/internal/protocol/fastcgi/client.go
+++ b/internal/protocol/fastcgi/client.go
@@ -6,7 +6,8 @@
 	"fernvane/internal/protocol/message"
 )
 
-// AppendRequest appends a request with an ID as a client sends it. Requests with different IDs can share a connection.
+// AppendRequest appends a request as a client sends it, with timeLeft in seconds. Requests with different IDs can share a
+// connection.
 func AppendRequest(b []byte, id uint16, r *message.Request, timeLeft, clientAddress string) []byte {
 	b = appendBegin(b, id, flagKeep)
 	b = appendStream(b, typeParams, id, appendParams(nil, r, timeLeft, clientAddress))
--- a/internal/protocol/fastcgi/clientconn.go
+++ b/internal/protocol/fastcgi/clientconn.go
@@ -68,16 +68,17 @@
 	hasParams      bool // the params are complete
 	params         []byte
 	body           []byte
-	borrowed       int                   // bytes reserved from the budget
+	reservedBytes  int                   // from the budget
 	readError      *message.RequestError // why the rest of the request is dropped: too large or no memory; nil: it is not dropped
 }
 
 // Disconnected returns a channel that is closed when the client aborts the request or its connection ends.
 func (r *Request) Disconnected() <-chan struct{} { return r.disconnected }
 
-// NewClientConn returns a ClientConn for a connection from which nothing has been read.
-func NewClientConn(c net.Conn, p *message.BufferBudget) *ClientConn {
-	clientConn := &ClientConn{Conn: c, budget: p, open: map[uint16]*Request{}}
+// NewClientConn returns a ClientConn for a connection from which nothing has been read. The params and bodies of its requests
+// are reserved from the budget until the requests end.
+func NewClientConn(c net.Conn, budget *message.BufferBudget) *ClientConn {
+	clientConn := &ClientConn{Conn: c, budget: budget, open: map[uint16]*Request{}}
 	clientConn.records = newReader(source{clientConn})
 	return clientConn
 }
@@ -124,8 +125,9 @@
 	return oldest
 }
 
-// NextRequest returns the next complete request. It processes all other records itself: management records, rejected
-// requests and aborts. A nil handler admits every request. The error is ErrProtocol, that of the handler or that of reading.
+// NextRequest returns the next request that is complete, in the order in which requests become complete. It processes all
+// other records itself: management records, rejected requests and aborts. A nil handler admits up to maxRequests open
+// requests. The error is ErrProtocol, that of the handler, or that of reading or writing.
 func (c *ClientConn) NextRequest(handler Handler) (*Request, error) {
 	c.handler = handler
 	for {
@@ -136,7 +138,7 @@
 			}
 			return nil, err
 		}
-		c.bytesParsed = c.bytesRead - c.records.r.Buffered()
+		c.bytesParsed = c.bytesRead - c.records.in.Buffered()
 		r, err := c.handleRecord(rec)
 		if r != nil || err != nil {
 			return r, err
@@ -156,7 +158,7 @@
 	case typeBegin:
 		switch {
 		case r != nil || len(rec.content) != 8:
-			return nil, ErrProtocol // the ID is in use
+			return nil, ErrProtocol // the ID is in use, or the record is malformed
 		case rec.content[0] != 0 || rec.content[1] != responder:
 			return nil, c.write(appendEnd(nil, rec.id, 0, statusUnknownRole))
 		case openCount >= maxRequests:
@@ -193,7 +195,7 @@
 		return nil, nil
 	case typeParams, typeStdin, typeData:
 		if r == nil || r.isComplete {
-			return nil, nil // the request has ended
+			return nil, nil // the request has ended or was rejected; the client may still have been sending it
 		}
 		return c.addToStream(r, rec)
 	}
@@ -232,27 +234,28 @@
 	return nil, nil
 }
 
-// appendBounded appends to a stream, within its size limit and the budget. The error is to be sent to the client.
-func (c *ClientConn) appendBounded(r *Request, to *[]byte, content []byte, most, status int, reason string) *message.RequestError {
+// appendBounded appends to a stream of a request, up to maxBytes and within the budget. On an error, which is sent to the client
+// when the request is complete, it drops both streams.
+func (c *ClientConn) appendBounded(r *Request, to *[]byte, content []byte, maxBytes, status int, reason string) *message.RequestError {
 	switch {
 	case r.readError != nil:
 		return r.readError
-	case len(*to)+len(content) > most:
+	case len(*to)+len(content) > maxBytes:
 		c.releaseBuffers(r)
 		return message.NewRequestError(status, reason)
 	case !c.budget.Reserve(len(content)):
 		c.releaseBuffers(r)
 		return message.NewRequestError(503, "no memory for so large a message now")
 	}
-	r.borrowed += len(content)
+	r.reservedBytes += len(content)
 	*to = append(*to, content...)
 	return nil
 }
 
 // releaseBuffers drops the streams of a request and returns their memory to the budget.
 func (c *ClientConn) releaseBuffers(r *Request) {
-	c.budget.Release(r.borrowed)
-	r.params, r.body, r.borrowed = nil, nil, 0
+	c.budget.Release(r.reservedBytes)
+	r.params, r.body, r.reservedBytes = nil, nil, 0
 }
 
 // handleManagement responds to a management record, which belongs to the connection and not to a request.
@@ -381,7 +384,7 @@
 	return c.write(appendEnd(nil, r.ID, 0, statusComplete))
 }
 
-// write writes complete records. Concurrent calls are serialized.
+// write writes complete records within writeTimeout. Concurrent calls are serialized. It closes the connection on an error.
 func (c *ClientConn) write(b []byte) error {
 	c.writing.Lock()
 	defer c.writing.Unlock()
--- a/internal/protocol/fastcgi/fastcgi_test.go
+++ b/internal/protocol/fastcgi/fastcgi_test.go
@@ -145,11 +145,11 @@
 		"an unknown record":            {appendRecord(nil, 77, 1, nil), 0, "", message.ErrMalformedResponse, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewServerConn(&script{in: iotest.OneByteReader(bytes.NewReader(c.output))}, nil, nil)
+			serverConn := NewServerConn(&script{in: iotest.OneByteReader(bytes.NewReader(c.output))}, nil, nil)
 			var r message.Response
-			err := b.ReceiveResponse(&r)
-			if !errors.Is(err, c.err) || err == nil && (r.Status != c.status || string(r.Body) != c.body || r.NotStarted() != c.notStarted) || b.IsReusable(&r) != c.reusable {
-				t.Errorf("got status %d, body %q, not started %v, reusable %v, error %v", r.Status, r.Body, r.NotStarted(), b.IsReusable(&r), err)
+			err := serverConn.ReceiveResponse(&r)
+			if !errors.Is(err, c.err) || err == nil && (r.Status != c.status || string(r.Body) != c.body || r.NotStarted() != c.notStarted) || serverConn.IsReusable(&r) != c.reusable {
+				t.Errorf("got status %d, body %q, not started %v, reusable %v, error %v", r.Status, r.Body, r.NotStarted(), serverConn.IsReusable(&r), err)
 			}
 		})
 	}
@@ -237,12 +237,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn := &script{in: iotest.OneByteReader(bytes.NewReader(c.sends))}
-			f := NewClientConn(conn, message.NewBufferBudget(1<<20))
+			clientConn := NewClientConn(conn, message.NewBufferBudget(1<<20))
 			var requests []string
 			var err error
 			for {
 				var req *Request
-				if req, err = f.NextRequest(nil); err != nil {
+				if req, err = clientConn.NextRequest(nil); err != nil {
 					break
 				}
 				if req.Malformed != nil {
@@ -250,7 +250,7 @@
 				} else {
 					requests = append(requests, fmt.Sprint(req.ID, ":", string(req.Request.Body)))
 				}
-				f.freeID(req)
+				clientConn.freeID(req)
 			}
 			var written []string
 			for r := newReader(&conn.out); ; {
--- a/internal/protocol/fastcgi/params.go
+++ b/internal/protocol/fastcgi/params.go
@@ -8,7 +8,8 @@
 	"fernvane/internal/protocol/message"
 )
 
-// Params of an HTTP request. The field X-Y is mapped to HTTP_X_Y. Fields with an underscore in their name are dropped,
+// Params of an HTTP request. A request without REQUEST_URI gets its target from SCRIPT_NAME, PATH_INFO and QUERY_STRING. The
+// field X-Y is mapped to HTTP_X_Y. Fields with an underscore in their name are dropped,
 // because X_Y and X-Y would become the same param and a client could forge one with the other. HTTP_PROXY is dropped in both
 // directions, because programs interpret it as a proxy setting. Content-Type and Content-Length have params of their own,
 // and hop-by-hop fields are not forwarded.
@@ -188,7 +189,7 @@
 			}
 			r.Status = int(number)
 		case f.Is("Location") && r.Status == 200:
-			r.Status = 302
+			r.Status = 302 // CGI: a redirect
 			r.Fields = append(r.Fields, f)
 		case f.Is("Content-Length"):
 			number, err := strconv.ParseUint(string(value), 10, 31)
--- a/internal/protocol/fastcgi/record.go
+++ b/internal/protocol/fastcgi/record.go
@@ -32,8 +32,8 @@
 	maxContentBytes = 65535   // in one record
 	responder       = 1       // the only supported role
 	flagKeep        = 1       // keep the connection open after the request
-	shortName       = 127     // maximum length of a name or value whose length is encoded in one byte
-	longLength      = 1 << 31 // set in a length that is encoded in four bytes
+	maxShortLength  = 127     // maximum length of a name or value whose length is encoded in one byte
+	longLengthFlag  = 1 << 31 // set in a length that is encoded in four bytes
 )
 
 // Protocol statuses of END_REQUEST.
@@ -57,16 +57,16 @@
 
 // reader reads records from a stream. All records share one buffer.
 type reader struct {
-	r       *bufio.Reader
+	in      *bufio.Reader
 	header  [headerLen]byte
 	content []byte
 }
 
-func newReader(r io.Reader) reader { return reader{r: bufio.NewReaderSize(r, readBufferBytes)} }
+func newReader(r io.Reader) reader { return reader{in: bufio.NewReaderSize(r, readBufferBytes)} }
 
 // next reads a record and its padding. The error is io.EOF only if the stream ends between records.
 func (r *reader) next() (record, error) {
-	if _, err := io.ReadFull(r.r, r.header[:]); err != nil {
+	if _, err := io.ReadFull(r.in, r.header[:]); err != nil {
 		return record{}, err
 	}
 	if r.header[0] != version {
@@ -77,7 +77,7 @@
 		r.content = make([]byte, 0, max(length+padding, 1024))
 	}
 	contentAndPadding := r.content[:length+padding]
-	if _, err := io.ReadFull(r.r, contentAndPadding); err != nil {
+	if _, err := io.ReadFull(r.in, contentAndPadding); err != nil {
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
 		}
@@ -109,10 +109,10 @@
 
 // appendLength appends the length of a name or value in one byte or four.
 func appendLength(b []byte, n int) []byte {
-	if n <= shortName {
+	if n <= maxShortLength {
 		return append(b, byte(n))
 	}
-	return binary.BigEndian.AppendUint32(b, uint32(n)|longLength)
+	return binary.BigEndian.AppendUint32(b, uint32(n)|longLengthFlag)
 }
 
 func appendPair(b []byte, name, value string) []byte {
@@ -125,12 +125,12 @@
 	switch {
 	case len(b) == 0:
 		return 0, nil, false
-	case b[0] <= shortName:
+	case b[0] <= maxShortLength:
 		return int(b[0]), b[1:], true
 	case len(b) < 4:
 		return 0, nil, false
 	}
-	return int(binary.BigEndian.Uint32(b) &^ longLength), b[4:], true
+	return int(binary.BigEndian.Uint32(b) &^ longLengthFlag), b[4:], true
 }
 
 // parsePairs parses a complete stream of pairs.
--- a/internal/protocol/fastcgi/serverconn.go
+++ b/internal/protocol/fastcgi/serverconn.go
@@ -13,7 +13,7 @@
 
 const (
 	requestID           = 1                    // ID of the only request that is open on a connection
-	retainedBufferBytes = 8 << 10              // retained between requests; larger buffers are reserved from the budget
+	retainedBufferBytes = 8 << 10              // retained between requests; output beyond it is reserved from the budget
 	abortTimeout        = 5 * time.Millisecond // for writing an ABORT_REQUEST record of eight bytes
 	maxStderrBytes      = 64 << 10             // for one request; more is a malformed response
 )
@@ -21,33 +21,33 @@
 // ServerConn is a connection to a responder with one request at a time. It belongs to the goroutine of that request.
 type ServerConn struct {
 	net.Conn
-	records  reader
-	out      []byte
-	reusable bool
-	budget   *message.BufferBudget
-	borrowed int
-	stderr   func(text []byte)
+	records       reader
+	out           []byte
+	reusable      bool
+	budget        *message.BufferBudget
+	reservedBytes int
+	stderr        func(text []byte)
 }
 
 // NewServerConn returns a ServerConn for a connection from which nothing has been read. If stderr is not nil, it is called
-// with the text that the responder writes to STDERR.
-func NewServerConn(c net.Conn, p *message.BufferBudget, stderr func(text []byte)) *ServerConn {
-	return &ServerConn{Conn: c, records: newReader(c), budget: p, stderr: stderr}
+// with the text that the responder writes to STDERR, which is valid only during the call.
+func NewServerConn(c net.Conn, budget *message.BufferBudget, stderr func(text []byte)) *ServerConn {
+	return &ServerConn{Conn: c, records: newReader(c), budget: budget, stderr: stderr}
 }
 
 // IsIdle reports whether the connection is open and has no unread bytes.
-func (c *ServerConn) IsIdle() bool { return c.records.r.Buffered() == 0 && sockpeek.IsIdle(c.Conn) }
+func (c *ServerConn) IsIdle() bool { return c.records.in.Buffered() == 0 && sockpeek.IsIdle(c.Conn) }
 
 // HasUnread reports whether the socket has unread bytes.
 func (c *ServerConn) HasUnread() bool { return sockpeek.HasUnread(c.Conn) }
 
 // HasMore reports whether bytes have arrived behind the response that was read last.
-func (c *ServerConn) HasMore() bool { return c.records.r.Buffered() > 0 || c.HasUnread() }
+func (c *ServerConn) HasMore() bool { return c.records.in.Buffered() > 0 || c.HasUnread() }
 
 // IsReusable reports whether another request may be sent. This requires a complete END_REQUEST of the last request.
 func (c *ServerConn) IsReusable(*message.Response) bool { return c.reusable }
 
-// ReleaseBuffers frees buffers that have grown for a large message.
+// ReleaseBuffers frees buffers that have grown for a large message, and returns their memory to the budget.
 func (c *ServerConn) ReleaseBuffers() {
 	if cap(c.out) > retainedBufferBytes {
 		c.out = nil
@@ -55,8 +55,8 @@
 	if cap(c.records.content) > retainedBufferBytes {
 		c.records.content = nil
 	}
-	c.budget.Release(c.borrowed)
-	c.borrowed = 0
+	c.budget.Release(c.reservedBytes)
+	c.reservedBytes = 0
 }
 
 // SendRequest writes a request. complete reports whether its last byte, that of the empty STDIN record, was written.
@@ -125,11 +125,11 @@
 	if len(c.out)+len(content) > message.MaxHead+message.MaxAnswer {
 		return message.ErrMalformedResponse
 	}
-	if more := len(c.out) + len(content) - retainedBufferBytes - c.borrowed; more > 0 {
+	if more := len(c.out) + len(content) - retainedBufferBytes - c.reservedBytes; more > 0 {
 		if !c.budget.Reserve(more) {
 			return message.ErrMalformedResponse // budget exhausted; the request may have run
 		}
-		c.borrowed += more
+		c.reservedBytes += more
 	}
 	c.out = append(c.out, content...)
 	return nil
--- a/internal/protocol/http1/aliases.go
+++ b/internal/protocol/http1/aliases.go
@@ -14,10 +14,10 @@
 // Answer is the response that the node sends to a client.
 type Answer = message.Answer
 
-// RequestInfo holds the values of a request on which decisions depend.
+// RequestInfo holds what decisions need of a request.
 type RequestInfo = message.RequestInfo
 
-// Malformed is the error of a request that cannot be served.
+// RequestError is the error of a request that cannot be served.
 type RequestError = message.RequestError
 
 // BufferBudget bounds the memory that connections use for large messages.
--- a/internal/protocol/http1/body.go
+++ b/internal/protocol/http1/body.go
@@ -39,7 +39,7 @@
 	return c.buf[start:c.readPos], nil
 }
 
-// fillTo reads until the buffer is filled up to the offset to.
+// fillTo reads until the buffer is filled up to the offset to. The buffer grows up to limit bytes, or up to the offset.
 func (c *Conn) fillTo(to, limit int) error {
 	for c.fillPos < to {
 		if err := c.fill(max(limit, to)); err != nil {
--- a/internal/protocol/http1/conn.go
+++ b/internal/protocol/http1/conn.go
@@ -1,5 +1,6 @@
-// Package http1 reads and writes HTTP/1.1 messages on plain connections, and decodes the endpoint list of discovery
-// (endpointlist.go), whose field names no other package uses. It makes no decisions and never re-sends a message.
+// Package http1 reads HTTP/1.0 and HTTP/1.1 messages and writes HTTP/1.1 messages on plain connections, and decodes the
+// endpoint list of discovery (endpointlist.go), whose field names no other package uses. It makes no decisions and never
+// re-sends a message.
 //
 // A Conn belongs to the goroutine that serves its connection. While that goroutine does not read, another goroutine may wait
 // in WaitDisconnected. HasUnread and PeekDisconnected may be called from any goroutine at any time.
@@ -18,7 +19,7 @@
 // Limits of the buffer of a connection, in bytes, and of the messages that it reads.
 const (
 	initialBufferBytes  = 2 << 10 // enough for most messages
-	KeptBuffer          = 8 << 10 // retained between messages; larger buffers are reserved from the budget
+	RetainedBufferBytes = 8 << 10 // retained between messages; the part of a buffer beyond it is reserved from the budget
 	maxEmptyLines       = 8       // before a message
 	maxInterimResponses = 8       // 1xx responses before the final response
 	maxChunkLineBytes   = 256     // size line of a chunk
@@ -35,24 +36,24 @@
 // is read from or written to the connection.
 type Conn struct {
 	net.Conn
-	buf      []byte
-	readPos  int // unread bytes are buf[readPos:fillPos]
-	fillPos  int
-	budget   *BufferBudget
-	borrowed int
-	ahead    readAhead
-	observer ReadObserver // nil: none
+	buf           []byte
+	readPos       int // unread bytes are buf[readPos:fillPos]
+	fillPos       int
+	budget        *BufferBudget
+	reservedBytes int // from the budget
+	ahead         readAhead
+	observer      ReadObserver // nil: none
 }
 
-// ReadObserver is notified before and after the reader of a connection blocks, as described for sockpeek.ReadObserver. half
-// reports whether a message has been read in part.
+// ReadObserver is notified before and after the reader of a connection blocks, as described for sockpeek.ReadObserver.
+// isPartial reports whether a message has been read in part.
 type ReadObserver interface {
-	ReadBlocked(half bool)
+	ReadBlocked(isPartial bool)
 	ReadReady() bool
 }
 
 // ObserveReads sets the observer of the connection's reads.
-func (c *Conn) ObserveReads(r ReadObserver) { c.observer = r }
+func (c *Conn) ObserveReads(observer ReadObserver) { c.observer = observer }
 
 // ReadBlocked implements sockpeek.ReadObserver.
 func (c *Conn) ReadBlocked() { c.observer.ReadBlocked(c.fillPos > 0) }
@@ -63,16 +64,17 @@
 // NewConn returns a Conn for a connection from which nothing has been read.
 func NewConn(c net.Conn) *Conn { return &Conn{Conn: c} }
 
-// NewPooled returns a Conn for a connection from which nothing has been read and whose large buffers are reserved from a
-// budget.
-func NewConnWithBudget(c net.Conn, p *BufferBudget) *Conn { return &Conn{Conn: c, budget: p} }
+// NewConnWithBudget returns a Conn for a connection from which nothing has been read. The part of its buffer beyond
+// RetainedBufferBytes is reserved from the budget.
+func NewConnWithBudget(c net.Conn, budget *BufferBudget) *Conn { return &Conn{Conn: c, budget: budget} }
 
-// ReleaseBuffers frees a buffer that has grown for a large message. Messages that were read are invalid afterwards.
+// ReleaseBuffers frees a buffer that has grown for a large message, with any unread bytes in it. Messages that were read are
+// invalid afterwards.
 func (c *Conn) ReleaseBuffers() {
-	if len(c.buf) > KeptBuffer {
+	if len(c.buf) > RetainedBufferBytes {
 		c.buf, c.readPos, c.fillPos = nil, 0, 0
-		c.budget.Release(c.borrowed)
-		c.borrowed = 0
+		c.budget.Release(c.reservedBytes)
+		c.reservedBytes = 0
 	}
 }
 
@@ -105,11 +107,11 @@
 			return errTooLarge
 		}
 		size := min(max(2*len(c.buf), initialBufferBytes), limit)
-		if more := size - KeptBuffer - c.borrowed; more > 0 {
+		if more := size - RetainedBufferBytes - c.reservedBytes; more > 0 {
 			if !c.budget.Reserve(more) {
 				return errNoMemory
 			}
-			c.borrowed += more
+			c.reservedBytes += more
 		}
 		grown := make([]byte, size)
 		copy(grown, c.buf[:c.fillPos])
@@ -135,8 +137,8 @@
 	return err
 }
 
-// readHead reads a message head up to its empty line and returns the head without that line. It fails immediately if the
-// first bytes differ from prefix.
+// readHead reads a message head up to its empty line and returns the head without that line. It skips up to maxEmptyLines
+// empty lines before the message, and fails immediately if the first bytes after them differ from prefix.
 func (c *Conn) readHead(prefix string) ([]byte, error) {
 	c.begin()
 	for searchFrom, emptyLines := 0, 0; ; {
@@ -180,7 +182,8 @@
 	return c.buf[:0]
 }
 
-// IsIdle reports whether the connection is open and has no unread bytes.
+// IsIdle reports whether the connection is open and neither the socket nor the message buffer has unread bytes. It ignores the
+// read-ahead buffer, which is used only while a request is open (see WaitDisconnected).
 func (c *Conn) IsIdle() bool {
 	_, err := sockpeek.Peek(c.Conn, false)
 	return err == syscall.EAGAIN && c.readPos == c.fillPos
--- a/internal/protocol/http1/disconnect.go
+++ b/internal/protocol/http1/disconnect.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	maxReadAheadBytes = KeptBuffer // buffered bytes, enough for some small requests
-	maxOverflowBytes  = 1 << 20    // further bytes that are dropped before the peer is treated as disconnected
+	maxReadAheadBytes = RetainedBufferBytes // buffered bytes, enough for some small requests
+	maxOverflowBytes  = 1 << 20             // further bytes that are dropped before the peer is treated as disconnected
 )
 
 // readAhead holds the bytes that arrived behind a request while the request was open. They must be read to detect a
@@ -21,9 +21,10 @@
 	overflow      int          // dropped bytes; if any, the following messages cannot be parsed
 }
 
-// WaitDisconnected waits until the peer has closed the connection or the connection is broken, and returns true. Bytes that
-// the peer sent before are buffered. It returns false when the read deadline passes, or if the type of the connection does
-// not support peeking.
+// WaitDisconnected waits until the peer has closed the connection or the connection is broken, and returns true. It buffers
+// bytes that the peer sent before, up to maxReadAheadBytes, and drops further ones; it also returns true if more than
+// maxOverflowBytes were dropped. It returns false when the read deadline passes, or if the type of the connection does not
+// support peeking.
 func (c *Conn) WaitDisconnected() bool { return c.disconnected(true) }
 
 // Disconnected is like WaitDisconnected but does not wait. The two must not be called concurrently.
@@ -51,7 +52,8 @@
 	}
 }
 
-// fillAhead reads the bytes that have arrived. The next peek reports an end of the stream again.
+// fillAhead reads once, into the read-ahead buffer or, if that is full, into memory that is dropped. The next peek reports an
+// end of the stream again.
 func (c *Conn) fillAhead() error {
 	a := &c.ahead
 	if room := maxReadAheadBytes - len(a.buffered); room > 0 && a.overflow == 0 {
--- a/internal/protocol/http1/endpointlist.go
+++ b/internal/protocol/http1/endpointlist.go
@@ -26,8 +26,8 @@
 	ID            string
 	Address       netip.AddrPort
 	Zone          string
-	MachineKind   string // machine kind
-	Cell          int    // failure domain inside the zone
+	MachineKind   string
+	Cell          int // failure domain inside the zone
 	Condition     Condition
 	Weight        float64
 	StartedUnixMS int64 // start time as Unix time in ms; 0: not recent
@@ -67,6 +67,7 @@
 	return list, nil
 }
 
+// parseEndpoint decodes an entry. An address is required only of a serving server, because requests are sent to no other.
 func parseEndpoint(text []byte) (Endpoint, error) {
 	var raw struct {
 		ID        string
@@ -101,20 +102,20 @@
 	return endpoint, nil
 }
 
-// EndpointListCall is a request to discovery, either for the full list or for the changes after a revision. Discovery waits
-// for changes until Wait has passed.
+// EndpointListRequest is a request to discovery, either for the full list or for the changes after a revision. Discovery
+// responds when there are changes, or without any when Wait has passed.
 type EndpointListRequest struct {
 	WantsFullList bool          // request the full list; After and Wait are ignored
-	After         uint64        // revision
+	After         uint64        // revision of the list that the node has
 	Wait          time.Duration // sent in ms
 }
 
-// AppendEndpointListCall appends the HTTP request of a call.
-func AppendEndpointListRequest(b []byte, host string, call EndpointListRequest) []byte {
+// AppendEndpointListRequest appends an endpoint list request in the form of an HTTP request to host.
+func AppendEndpointListRequest(b []byte, host string, request EndpointListRequest) []byte {
 	b = append(b, "GET "+listPath...)
-	if !call.WantsFullList {
-		b = strconv.AppendUint(append(b, "?index="...), call.After, 10)
-		b = strconv.AppendInt(append(b, "&wait="...), call.Wait.Milliseconds(), 10)
+	if !request.WantsFullList {
+		b = strconv.AppendUint(append(b, "?index="...), request.After, 10)
+		b = strconv.AppendInt(append(b, "&wait="...), request.Wait.Milliseconds(), 10)
 	}
 	b = append(b, " HTTP/1.1\r\n"...)
 	return append(appendField(b, "Host", host), "\r\n"...)
--- a/internal/protocol/http1/header.go
+++ b/internal/protocol/http1/header.go
@@ -21,7 +21,8 @@
 )
 
 // parseFields parses the field lines of a head and appends them to into. If lenient is set, a field whose value has control
-// characters is skipped, unless the field determines where the message ends.
+// characters is skipped. It is still an error if the field determines where the message ends, or if the value contains NUL, CR
+// or LF, behind which another field could be hidden.
 func parseFields(lines []byte, into []Field, lenient bool) ([]Field, error) {
 	for len(lines) > 0 {
 		line, rest, _ := bytes.Cut(lines, []byte("\r\n"))
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -85,18 +85,18 @@
 				// A second request behind the first must be read from its first byte.
 				next := "GET /next HTTP/1.1\r\nHost: h\r\n\r\n"
 				s := &script{in: c.in, step: step, end: io.EOF}
-				whole := c.status == 0 && c.err == nil
-				if whole {
+				isValid := c.status == 0 && c.err == nil
+				if isValid {
 					s.in += next
 				}
 				conn := NewConn(s)
 				var r Request
 				err := conn.ReadRequest(&r)
-				var bad *RequestError
-				if c.status != 0 && (!errors.As(err, &bad) || bad.Status != c.status) || c.err != nil && err != c.err || whole && err != nil {
+				var requestError *RequestError
+				if c.status != 0 && (!errors.As(err, &requestError) || requestError.Status != c.status) || c.err != nil && err != c.err || isValid && err != nil {
 					t.Fatalf("step %d: got error %v", step, err)
 				}
-				if !whole {
+				if !isValid {
 					continue
 				}
 				if string(r.Body) != c.body || r.Close != c.close {
@@ -233,20 +233,20 @@
 }
 
 func TestParseEndpointList(t *testing.T) {
-	const good = `{"id":"s-1","host_port":"127.0.0.1:80","locality":"a","cell":3,"phase":"SERVING","size":1.5,"up_since_ms":7}`
+	const valid = `{"id":"s-1","host_port":"127.0.0.1:80","locality":"a","cell":3,"phase":"SERVING","size":1.5,"up_since_ms":7}`
 	for name, c := range map[string]struct {
 		in             string
 		hosts, skipped int
 		ok             bool
 	}{
-		"complete":                {`{"revision":4,"complete":true,"members":[` + good + `]}`, 1, 0, true},
+		"complete":                {`{"revision":4,"complete":true,"members":[` + valid + `]}`, 1, 0, true},
 		"no changes":              {`{"revision":4,"complete":false,"members":[]}`, 0, 0, true},
 		"deleted, no address":     {`{"revision":4,"members":[{"id":"s-2","phase":"DELETED"}]}`, 1, 0, true},
-		"one without address":     {`{"revision":4,"members":[{"id":"s-2","phase":"SERVING"},` + good + `]}`, 1, 1, true},
-		"one without id":          {`{"revision":4,"members":[{"phase":"DELETED"},` + good + `]}`, 1, 1, true},
-		"an unknown phase":        {`{"revision":4,"members":[{"id":"s-2","host_port":"127.0.0.1:80","phase":"NEW"},` + good + `]}`, 1, 1, true},
-		"entries of another type": {`{"revision":4,"members":[7,null,"x",` + good + `]}`, 1, 3, true},
-		"truncated":               {`{"revision":4,"members":[` + good, 0, 0, false},
+		"one without address":     {`{"revision":4,"members":[{"id":"s-2","phase":"SERVING"},` + valid + `]}`, 1, 1, true},
+		"one without id":          {`{"revision":4,"members":[{"phase":"DELETED"},` + valid + `]}`, 1, 1, true},
+		"an unknown phase":        {`{"revision":4,"members":[{"id":"s-2","host_port":"127.0.0.1:80","phase":"NEW"},` + valid + `]}`, 1, 1, true},
+		"entries of another type": {`{"revision":4,"members":[7,null,"x",` + valid + `]}`, 1, 3, true},
+		"truncated":               {`{"revision":4,"members":[` + valid, 0, 0, false},
 		"no revision":             {`{"members":[]}`, 0, 0, false},
 		"no list":                 {`oops`, 0, 0, false},
 		"nothing":                 {``, 0, 0, false},
@@ -323,14 +323,14 @@
 	})
 }
 
-// TestBufferBudget checks that large messages share the budget, that a message above it is rejected, and that released
-// memory can be reserved again.
+// TestBufferBudget checks that large messages share the budget, that a message is rejected if too little of it is left, and that
+// released memory can be reserved again.
 func TestBufferBudget(t *testing.T) {
 	const size = 40 << 10
 	in := fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("b", size))
-	p := NewBufferBudget(48 << 10)
+	budget := NewBufferBudget(48 << 10)
 	read := func() (*Conn, error) {
-		c := NewConnWithBudget(&script{in: in, step: 1 << 20, end: io.EOF}, p)
+		c := NewConnWithBudget(&script{in: in, step: 1 << 20, end: io.EOF}, budget)
 		return c, c.ReadRequest(&Request{})
 	}
 	first, err := read()
@@ -338,13 +338,13 @@
 		t.Fatal(err)
 	}
 	second, err := read()
-	var bad *RequestError
-	if !errors.As(err, &bad) || bad.Status != 503 {
+	var requestError *RequestError
+	if !errors.As(err, &requestError) || requestError.Status != 503 {
 		t.Errorf("second message: got error %v, want status 503", err)
 	}
 	first.ReleaseBuffers()
 	second.ReleaseBuffers()
-	if free := p.Available(); free != 48<<10 {
+	if free := budget.Available(); free != 48<<10 {
 		t.Errorf("got %d bytes available", free)
 	}
 	if _, err := read(); err != nil {
--- a/internal/protocol/http1/request.go
+++ b/internal/protocol/http1/request.go
@@ -8,8 +8,9 @@
 	"fernvane/internal/protocol/message"
 )
 
-// ReadRequest reads a complete request. The error is io.EOF if the client has closed the connection between requests, and a
-// *message.RequestError if the request must be answered with an error status.
+// ReadRequest reads a complete request. It first writes 100 Continue to a client that waits for that before it sends the body.
+// The error is io.EOF if the client has closed the connection between requests, a *message.RequestError if the request must be
+// answered with an error status, or another error of the connection.
 func (c *Conn) ReadRequest(r *Request) error {
 	head, err := c.readHead("")
 	switch err {
--- a/internal/protocol/http1/response.go
+++ b/internal/protocol/http1/response.go
@@ -9,12 +9,12 @@
 	"fernvane/internal/protocol/message"
 )
 
-// ErrGarbled is the error of a response that cannot be parsed or that exceeds a size limit.
+// ErrMalformedResponse is the error of a response that cannot be parsed or that exceeds a size limit.
 var ErrMalformedResponse = message.ErrMalformedResponse
 
 // ReadResponse reads a complete response with a body of at most maxBody bytes, and skips interim responses (1xx). The error
-// is ErrGarbled if the response cannot be parsed or is too large, io.EOF if the server closed the connection before the
-// head, io.ErrUnexpectedEOF if it closed the connection later, or that of reading.
+// is ErrMalformedResponse if the response cannot be parsed or is too large, io.EOF if the server closed the connection before
+// the head, io.ErrUnexpectedEOF if it closed the connection later, errNoMemory if the budget is exhausted, or that of reading.
 func (c *Conn) ReadResponse(r *Response, maxBody int) error {
 	for interim := 0; ; interim++ {
 		head, err := c.readHead("HTTP/1.")
--- a/internal/protocol/http1/write.go
+++ b/internal/protocol/http1/write.go
@@ -9,7 +9,8 @@
 	"fernvane/internal/protocol/message"
 )
 
-// reasons holds the reason phrase of each status that the node sends.
+// reasons holds the reason phrase of each status that the node sends on its own. A status that is forwarded from a server and
+// is not listed has an empty phrase.
 var reasons = [...]struct {
 	status int
 	phrase string
@@ -25,7 +26,7 @@
 	return append(append(b, value...), "\r\n"...)
 }
 
-// appendSeconds appends a duration in seconds with three decimals.
+// appendSeconds appends a duration in seconds with three decimals, truncated to milliseconds.
 func appendSeconds(b []byte, d time.Duration) []byte {
 	return strconv.AppendFloat(b, float64(d/time.Millisecond)/1000, 'f', 3, 64)
 }
--- a/internal/protocol/message/message.go
+++ b/internal/protocol/message/message.go
@@ -1,6 +1,6 @@
 // Package message defines what all protocols share: requests, responses, header fields, the platform's field names, and
-// size limits. The byte slices of a message that was read point into the buffer of its connection. They are valid until the
-// next message is read from or written to the connection; Request.Clone copies them.
+// size limits. The byte slices of a message that was read may point into the buffer of its connection. They are valid only
+// until the next message is read from or written to the connection; Request.Clone copies them.
 package message
 
 import (
@@ -94,8 +94,9 @@
 	return false
 }
 
-// IsEndToEnd reports whether a field is forwarded. The other fields (hop-by-hop) apply only to the connection on which
-// they were received.
+// IsEndToEnd reports whether a field of a message with the fields all is forwarded. The hop-by-hop fields, which include those
+// that a Connection field names, and Expect apply only to the connection on which they were received. Content-Length is written
+// anew for each message.
 func IsEndToEnd(f Field, all []Field) bool {
 	for _, name := range []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 		"Proxy-Authorization", "TE", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"} {
@@ -112,14 +113,14 @@
 	Reason string
 }
 
-// NewRequestError returns a RequestError. why is logged and sent to the client.
-func NewRequestError(status int, why string) *RequestError {
-	return &RequestError{Status: status, Reason: why}
+// NewRequestError returns a RequestError. The reason is logged and sent to the client.
+func NewRequestError(status int, reason string) *RequestError {
+	return &RequestError{Status: status, Reason: reason}
 }
 
 func (e *RequestError) Error() string { return e.Reason }
 
-// Request is a complete request. Its byte slices point into the buffer of its connection.
+// Request is a complete request. Its byte slices may point into the buffer of its connection.
 type Request struct {
 	Method []byte
 	Target []byte
@@ -171,10 +172,10 @@
 	readyPath      = "/up"
 )
 
-// RequestInfo holds the values of the fields and of the path of a request on which decisions depend.
+// RequestInfo holds what decisions need of a request, taken from its fields and its path.
 type RequestInfo struct {
 	ID      []byte
-	Type    []byte
+	Type    []byte // first segment of the path
 	Tenant  []byte
 	Timeout time.Duration // since the client sent the request; below 0: not set
 }
@@ -216,7 +217,7 @@
 // ErrMalformedResponse is the error of a response that cannot be parsed or that exceeds a size limit.
 var ErrMalformedResponse = errors.New("response is malformed or exceeds a size limit")
 
-// Response is a complete response of a server. Its byte slices point into the buffer of its connection.
+// Response is a complete response of a server. Its byte slices may point into the buffer of its connection.
 type Response struct {
 	Status int
 	Fields []Field
--- a/internal/protocol/sockpeek/peek.go
+++ b/internal/protocol/sockpeek/peek.go
@@ -1,6 +1,6 @@
 // Package sockpeek accesses sockets below the level of package net: it peeks at received bytes without reading them, reads
-// in a way that another goroutine can interrupt by a close only while nothing has arrived, and accepts the connections in
-// the queue of a listener.
+// such that another goroutine can close the connection while the reader waits without losing bytes that were read, and accepts
+// the connections in the queue of a listener.
 package sockpeek
 
 import (
--- a/internal/protocol/sockpeek/read.go
+++ b/internal/protocol/sockpeek/read.go
@@ -18,7 +18,8 @@
 }
 
 // Read reads from a connection and notifies the observer when it blocks. If the connection was closed during a wait, Read
-// reads nothing and returns net.ErrClosed.
+// reads nothing and returns net.ErrClosed. If the type of the connection
+// gives no access to its socket, the observer is not notified.
 func Read(c net.Conn, b []byte, observer ReadObserver) (n int, err error) {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -51,17 +51,17 @@
 	Kind     Kind
 	Instance int
 
-	Request        uint64
-	TrafficType    int
-	Tenant         int
-	Key            uint32
-	IsClientRetry  bool
-	Timeout        time.Duration
-	Attempt        int
-	Server         uint32
-	Outcome        policy.Outcome
-	Elapsed        time.Duration
-	ClientAnswered bool
+	Request       uint64
+	TrafficType   int
+	Tenant        int
+	Key           uint32
+	IsClientRetry bool
+	Timeout       time.Duration
+	Attempt       int
+	Server        uint32
+	Outcome       policy.Outcome
+	Elapsed       time.Duration
+	IsSettled     bool
 
 	Scope     policy.UpdateScope
 	Endpoints []Endpoint
@@ -132,5 +132,5 @@
 	e.Kind, e.Request, e.Server, e.Attempt = AttemptEnded, p.requestID(), p.server(), p.int("n", false)
 	e.Outcome, e.Elapsed = p.outcome(), p.duration("spent", false)
 	final, _ := p.find("final")
-	e.ClientAnswered = string(final) == "1"
+	e.IsSettled = string(final) == "1"
 }
