--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,6 @@
 // Command adapter runs instances of the dispatch engine for the operators' simulator, over standard input and output. It
-// reports invalid input lines to standard error and continues.
+// reports to standard error and drops invalid input lines and events that an instance cannot use, and continues. Only input
+// that ends inside a batch, or an error of reading or writing, ends it with status 1.
 package main
 
 import (
@@ -21,7 +22,7 @@
 	}
 }
 
-// run replies to batches until the input ends between two of them.
+// run replies to batches until the input ends between two of them. Input that ends inside a batch is an error.
 func run(in io.Reader, out, stderr io.Writer) error {
 	warn := func(message string) { fmt.Fprintln(stderr, "adapter:", message) }
 	reader, writer := simwire.NewReader(in, warn), simwire.NewWriter(out)
@@ -53,7 +54,8 @@
 	warn      func(string)
 }
 
-// handle starts or stops an instance, or delivers an event to it.
+// handle starts or stops an instance, or delivers an event to it. An instance with invalid settings is reported to the simulator
+// as broken and does not run. An event that cannot be delivered is reported and dropped.
 func (s *instances) handle(now time.Duration, e *simwire.Event) {
 	switch e.Kind {
 	case simwire.InstanceStarted:
@@ -74,12 +76,13 @@
 		return
 	}
 	if !s.deliver(now, instance, e) {
-		s.warn(fmt.Sprintf("event of instance %d dropped: unknown request or server", e.Instance))
+		s.warn(fmt.Sprintf("event of instance %d dropped: unknown request or server, request already open, or no attempt in flight", e.Instance))
 	}
 }
 
-// deliver passes an event to its instance. It returns false if the event names a request or a server that the instance does
-// not know.
+// deliver passes an event to its instance. It returns false if the instance rejects the event: the arrival of a request that is
+// already open, or the end of an attempt of an unknown request, at an unknown server, or without an attempt in flight.
+// ClientLeft for an unknown request has no effect and is not reported.
 func (s *instances) deliver(now time.Duration, instance *engine.Engine[uint32], e *simwire.Event) bool {
 	switch e.Kind {
 	case simwire.EndpointsUpdated:
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -69,7 +69,7 @@
 			err := run(strings.NewReader(c.in), &out, &stderr)
 			if c.wantFailure != "" {
 				if err == nil || !strings.Contains(err.Error(), c.wantFailure) {
-					t.Errorf("error %v, want %q", err, c.wantFailure)
+					t.Errorf("got error %v, want %q in it", err, c.wantFailure)
 				}
 				return
 			}
@@ -77,13 +77,13 @@
 				t.Fatal(err)
 			}
 			if !strings.Contains(out.String(), c.want) || !strings.HasSuffix(out.String(), "eor\n") {
-				t.Errorf("replied %q, want %q in it", out.String(), c.want)
+				t.Errorf("got reply %q, want %q in it, and eor as its last line", out.String(), c.want)
 			}
 			if c.unwanted != "" && strings.Contains(out.String(), c.unwanted) {
-				t.Errorf("replied %q, want no %q in it", out.String(), c.unwanted)
+				t.Errorf("got reply %q, want no %q in it", out.String(), c.unwanted)
 			}
 			if c.wantErr == "" && stderr.Len() > 0 || !strings.Contains(stderr.String(), c.wantErr) {
-				t.Errorf("warned %q, want %q", stderr.String(), c.wantErr)
+				t.Errorf("got warnings %q, want %q in them, or none if empty", stderr.String(), c.wantErr)
 			}
 		})
 	}
--- a/internal/collections/columns/columns.go
+++ b/internal/collections/columns/columns.go
@@ -6,7 +6,7 @@
 
 // Put sets an element of each column and extends the columns as needed. i should be at most the column's length:
 // above it, the first element of the gap also gets the value, and the others get the previous contents of the slice's
-// memory, usually zero. A column that has to grow doubles, since a list adds many elements in one update.
+// memory, usually zero. A column that has to grow doubles, since an endpoint list adds many elements in one update.
 func Put[T any](i int, value T, columns ...*[]T) {
 	for _, column := range columns {
 		if i >= cap(*column) {
--- a/internal/collections/decay/decay_test.go
+++ b/internal/collections/decay/decay_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestDecayClearsBelowTheLeast(t *testing.T) {
+func TestDecayClearsBelowMinCount(t *testing.T) {
 	r := FailureRate{Failed: 1, Total: 8, LastSource: 3}
 	r.Decay(0.5, 1)
 	if want := (FailureRate{Failed: 0, Total: 4, LastSource: 3}); r != want {
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestTableDecaysWhatIsActive checks that Decay visits only observed failure rates, until they are 0.
-func TestTableDecaysWhatIsActive(t *testing.T) {
+// TestTableDecaysActiveRates checks that Decay visits only observed failure rates, until they are 0.
+func TestTableDecaysActiveRates(t *testing.T) {
 	var table Table
 	for i := range 1_000 {
 		table.Reset(i)
--- a/internal/config/settings/placement.go
+++ b/internal/config/settings/placement.go
@@ -50,11 +50,11 @@
 	return 1 << index, nil
 }
 
-var errIndexList = errors.New("must be a list of indexes from 0, or of names")
+var errIndexList = errors.New("must be a list of names and of indexes from 0 to 2147483647")
 
-// decodeIndexes decodes a list of zones or machine kinds, each an index into names or a name. A name that is not in names
-// is added, because a server that is listed later may have it. The result is nil for an absent list, but not for an empty
-// list.
+// decodeIndexes decodes a list of zones or machine kinds, each an index into names or a name, to sorted indexes without
+// duplicates. A name that is not in names is added, because a server that is listed later may have it. The result is nil for an
+// absent list, which allows all values, but not for an empty list, which allows none.
 func decodeIndexes(raw json.RawMessage, names *[]string) ([]int, error) {
 	if raw == nil {
 		return nil, nil
--- a/internal/config/settings/placement_test.go
+++ b/internal/config/settings/placement_test.go
@@ -9,18 +9,18 @@
 	"fernvane/policy"
 )
 
-// with returns the plain settings with zones, machine kinds, further keys of the traffic type, and rules.
-func with(kind, rules string) string {
-	text := strings.Replace(plain, `"revenue":2`, `"revenue":2`+kind, 1)
+// settingsWith returns the plain settings with zones, machine kinds, further keys of the traffic type, and rules.
+func settingsWith(typeKeys, rules string) string {
+	text := strings.Replace(plain, `"revenue":2`, `"revenue":2`+typeKeys, 1)
 	return strings.Replace(text, `"groupSize"`, `"dcs":["north","south"],"skus":["small","large"],"rules":{`+rules+`},"groupSize"`, 1)
 }
 
 func TestPlacement(t *testing.T) {
 	for name, c := range map[string]struct {
-		kind  string
-		bit   uint64
-		want  []policy.Placement
-		zones []string
+		typeKeys string
+		bit      uint64
+		want     []policy.Placement
+		zones    []string
 	}{
 		"absent, any server":      {"", 0, nil, []string{"north", "south"}},
 		"zones by index":          {`,"dcsOnly":[1,0,1]`, 1, []policy.Placement{{Zones: []int{0, 1}}}, []string{"north", "south"}},
@@ -32,7 +32,7 @@
 		"empty list":              {`,"dcsOnly":[]`, 1, []policy.Placement{{Zones: []int{}}}, []string{"north", "south"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, err := Decode([]byte(with(c.kind, "")))
+			s, err := Decode([]byte(settingsWith(c.typeKeys, "")))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -78,7 +78,7 @@
 		"other rules": {`"stopSendingWithin":100`, false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, err := Decode([]byte(with("", c.rules)))
+			s, err := Decode([]byte(settingsWith("", c.rules)))
 			if err != nil || s.CloseOnDrain != c.closes || s.DrainCloseTimeout != c.within {
 				t.Errorf("got %v, %s, error %v", s.CloseOnDrain, s.DrainCloseTimeout, err)
 			}
@@ -87,7 +87,7 @@
 }
 
 func TestInvalidPlacement(t *testing.T) {
-	for name, c := range map[string]struct{ kind, rules, want string }{
+	for name, c := range map[string]struct{ typeKeys, rules, want string }{
 		"zones as a string":     {`,"dcsOnly":"north"`, "", "traffic type 0: dcsOnly"},
 		"zones as a number":     {`,"dcsOnly":1`, "", "traffic type 0: dcsOnly"},
 		"zones as null":         {`,"dcsOnly":null`, "", "traffic type 0: dcsOnly"},
@@ -108,7 +108,7 @@
 		"a time out of range":   {"", `"drainClose":1e999`, "rules.drainClose is"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Decode([]byte(with(c.kind, c.rules)))
+			_, err := Decode([]byte(settingsWith(c.typeKeys, c.rules)))
 			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("got error %v", err)
 			}
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -11,7 +11,7 @@
 	"fernvane/policy"
 )
 
-// Settings are the settings of the policy and those that only a node needs that serves connections.
+// Settings are the settings of the policy, and further settings that only a node uses because it serves connections.
 type Settings struct {
 	policy.Settings
 	TypeNames    []string
--- a/internal/config/settings/settings_test.go
+++ b/internal/config/settings/settings_test.go
@@ -51,7 +51,7 @@
 }
 
 func TestCheckCompatible(t *testing.T) {
-	own := Settings{TypeNames: []string{"a"}, TenantNames: []string{"t"}}
+	nodeSettings := Settings{TypeNames: []string{"a"}, TenantNames: []string{"t"}}
 	for name, c := range map[string]struct {
 		types, tenants []string
 		isCompatible   bool
@@ -63,7 +63,7 @@
 		"no tenants":         {[]string{"a"}, nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if err := own.CheckCompatible(&Settings{TypeNames: c.types, TenantNames: c.tenants}); (err == nil) != c.isCompatible {
+			if err := nodeSettings.CheckCompatible(&Settings{TypeNames: c.types, TenantNames: c.tenants}); (err == nil) != c.isCompatible {
 				t.Errorf("got error %v", err)
 			}
 		})
@@ -72,7 +72,7 @@
 
 // TestCheckCompatiblePlacements checks that settings with placements must define the same zones and machine kinds.
 func TestCheckCompatiblePlacements(t *testing.T) {
-	own, err := Decode([]byte(with("", "")))
+	nodeSettings, err := Decode([]byte(settingsWith("", "")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,19 +80,19 @@
 		text         string
 		isCompatible bool
 	}{
-		"bound to a known zone":    {with(`,"dcsOnly":["south"]`, ""), true},
-		"bound to a kind by index": {with(`,"allowedOn":[1]`, ""), true},
-		"bound to an unknown zone": {with(`,"dcsOnly":["west"]`, ""), false},
-		"bound to an unknown kind": {with(`,"allowedOn":["huge"]`, ""), false},
-		"zones in another order":   {strings.Replace(with(`,"dcsOnly":[0]`, ""), `"north","south"`, `"south","north"`, 1), false},
-		"the same, but not bound":  {strings.Replace(with("", ""), `"north","south"`, `"south","north"`, 1), true},
+		"bound to a known zone":    {settingsWith(`,"dcsOnly":["south"]`, ""), true},
+		"bound to a kind by index": {settingsWith(`,"allowedOn":[1]`, ""), true},
+		"bound to an unknown zone": {settingsWith(`,"dcsOnly":["west"]`, ""), false},
+		"bound to an unknown kind": {settingsWith(`,"allowedOn":["huge"]`, ""), false},
+		"zones in another order":   {strings.Replace(settingsWith(`,"dcsOnly":[0]`, ""), `"north","south"`, `"south","north"`, 1), false},
+		"the same, but not bound":  {strings.Replace(settingsWith("", ""), `"north","south"`, `"south","north"`, 1), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			other, err := Decode([]byte(c.text))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := own.CheckCompatible(&other); (err == nil) != c.isCompatible || err != nil && strings.Contains(err.Error(), "\n") {
+			if err := nodeSettings.CheckCompatible(&other); (err == nil) != c.isCompatible || err != nil && strings.Contains(err.Error(), "\n") {
 				t.Errorf("got error %v", err)
 			}
 		})
--- a/internal/config/tomlfile/tomlfile.go
+++ b/internal/config/tomlfile/tomlfile.go
@@ -86,8 +86,8 @@
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
 // Parse decodes a text into the struct that into points to. Unknown keys and values of the wrong type are recorded with
-// their lines, and the rest is decoded, so that the caller can check the rest and record further faults with Wrong before
-// it calls Err. A non-nil error, of type Faults, means that the rest of the text could not be decoded.
+// their lines, and the rest is decoded, so that the caller can check the rest and record further faults with AddFault
+// before it calls Err. A non-nil error, of type Faults, means that the rest of the text could not be decoded.
 func Parse(name string, text []byte, into any) (*File, error) {
 	f := &File{Name: name, lines: map[string]int{}}
 	if len(text) > maxFileBytes {
@@ -233,7 +233,7 @@
 	return 0
 }
 
-// Wrong records a fault at a key.
+// AddFault records a fault at a key, with the line that Line returns for it.
 func (f *File) AddFault(path, format string, args ...any) {
 	f.faults = append(f.faults, Fault{f.Name, f.Line(path), fmt.Sprintf(format, args...)})
 }
--- a/internal/protocol/connclose/lifecycle.go
+++ b/internal/protocol/connclose/lifecycle.go
@@ -24,14 +24,15 @@
 	RequestStarted Input = iota
 	// RequestReceived means that a request was read completely.
 	RequestReceived
-	// RequestAborted means that a started request will not be completed and that its client was notified.
+	// RequestAborted means that the client has aborted a request before it was read completely, and was notified of its end.
 	RequestAborted
 	// RequestAnswered means that an admitted request was answered.
 	RequestAnswered
-	// CloseRequested means that the client requested the close of the connection, or that the node shuts down.
+	// CloseRequested means that the client requested the close of the connection after its open requests, or that the node
+	// shuts down.
 	CloseRequested
-	// IntakeStopped means that no new request is read, because shutdown is near or a request stalls or cannot be parsed.
-	// The clients of all incomplete requests were notified that these never ran.
+	// IntakeStopped means that no further request is admitted, because shutdown is near or a request stalls or cannot be
+	// parsed. All incomplete requests were rejected, and the client was notified that these never ran.
 	IntakeStopped
 	// IdleTimeout means that the time in which the next request must start has passed.
 	IdleTimeout
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -235,9 +235,9 @@
 func TestParseEndpointList(t *testing.T) {
 	const valid = `{"id":"s-1","host_port":"127.0.0.1:80","locality":"a","cell":3,"phase":"SERVING","size":1.5,"up_since_ms":7}`
 	for name, c := range map[string]struct {
-		in             string
-		hosts, skipped int
-		ok             bool
+		in                 string
+		endpoints, skipped int
+		ok                 bool
 	}{
 		"complete":                {`{"revision":4,"complete":true,"members":[` + valid + `]}`, 1, 0, true},
 		"no changes":              {`{"revision":4,"complete":false,"members":[]}`, 0, 0, true},
@@ -253,7 +253,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := ParseEndpointList([]byte(c.in))
-			if (err == nil) != c.ok || len(l.Endpoints) != c.hosts || len(l.Skipped) != c.skipped {
+			if (err == nil) != c.ok || len(l.Endpoints) != c.endpoints || len(l.Skipped) != c.skipped {
 				t.Errorf("got %d endpoints, %d skipped, error %v", len(l.Endpoints), len(l.Skipped), err)
 			}
 		})
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -2,7 +2,7 @@
 // policy. It makes no decisions. Only command adapter uses it.
 //
 // The simulator writes batches, each terminated by the line eof_batch, and waits for the reply to each. Invalid lines are reported
-// and ignored.
+// and dropped; the rest of their batch is still used.
 package simwire
 
 import (
@@ -16,21 +16,21 @@
 type Kind uint8
 
 const (
-	// InstanceStarted starts an instance. It has Seed and Settings, or Err.
+	// InstanceStarted starts an instance. It has Seed and Settings, or Err if the settings are invalid.
 	InstanceStarted Kind = iota
 	// InstanceKilled stops an instance immediately.
 	InstanceKilled
-	// EndpointsUpdated is an endpoint list or a change of it. It has Scope and Endpoints.
+	// EndpointsUpdated is an endpoint list or a change of it. It has Scope and, unless no list is available, Endpoints.
 	EndpointsUpdated
 	// RequestArrived has Request, TrafficType, Tenant, Key, IsClientRetry and Timeout.
 	RequestArrived
-	// AttemptEnded has Request, Attempt, Server, Outcome, Elapsed and ClientAnswered.
+	// AttemptEnded has Request, Attempt, Server, Outcome, Elapsed and IsSettled.
 	AttemptEnded
 	// ClientLeft reports that Request needs no response any more.
 	ClientLeft
 	// TimerFired reports the end of the duration passed to Writer.SetTimer.
 	TimerFired
-	// Ignored marks valid events that the policy does not use.
+	// Ignored marks valid events that have no effect, because the policy does not use them.
 	Ignored
 )
 
@@ -46,7 +46,7 @@
 	HasStartTime bool
 }
 
-// Event is one event of a batch. Its kind determines which fields are set.
+// Event is one event of a batch. Its kind determines which fields are set. Fields with a name of policy.Input have its meaning.
 type Event struct {
 	Kind     Kind
 	Instance int
--- a/internal/simwire/parser.go
+++ b/internal/simwire/parser.go
@@ -65,7 +65,7 @@
 func (p *parser) parseDuration(name string, v []byte) time.Duration {
 	x, err := strconv.ParseFloat(string(v), 64)
 	if err != nil || math.IsNaN(x) || math.Abs(x) > 1e12 {
-		p.fail(name + ": expected a time in ms, at most 1e12")
+		p.fail(name + ": expected a time in ms from -1e12 to 1e12")
 		return 0
 	}
 	return settings.FromMillis(x)
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -80,8 +80,8 @@
 	missing     int // entries of that list still to be read
 }
 
-// Read returns the next batch, io.EOF between two batches, or ErrTruncated inside one. The batch is valid until the
-// next call.
+// Read returns the next batch, which is valid until the next call. If the input ends, the error is io.EOF between two batches and
+// ErrTruncated inside one.
 func (r *Reader) Read() (*Batch, error) {
 	r.batch.Events = r.batch.Events[:0]
 	state := batchState{list: -1}
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -10,10 +10,10 @@
 
 const hexDigits = "0123456789abcdef"
 
-// Writer encodes the reply to one batch. It is the engine.EffectHandler of all instances.
+// Writer encodes the replies to batches, one after another. It is the engine.EffectHandler of all instances.
 type Writer struct {
 	out      *bufio.Writer
-	instance int // instance of the last lines, or -1
+	instance int // instance of the last lines of the reply, or -1
 	buf      []byte
 }
 
@@ -89,7 +89,7 @@
 	w.end()
 }
 
-// Forget writes nothing, because the simulator does not reuse server IDs.
+// ReleaseServer writes nothing, because the simulator does not reuse server IDs.
 func (w *Writer) ReleaseServer(uint32) {}
 
 // Broken reports that an instance could not be started, with the reason.
--- a/internal/tools/codetable/codetable_test.go
+++ b/internal/tools/codetable/codetable_test.go
@@ -28,7 +28,8 @@
 const glossary = "# Words\n\n| word | standard term | where |\n| --- | --- | --- |\n| `hop`, `hops` | attempt | here |\n| `box` | server | there |\n" +
 	"\n| where | words |\n| --- | --- |\n| `internal/shop` (its lines) | `cart` | |\n| `internal/shop` | `cart` | |\n\n`hop` in a line of its own is no row.\n"
 
-// tree writes a module with one fault of each kind, each beside what is just allowed.
+// sourceTree writes a module with one finding of each kind, each next to a case that is just within the limit, and returns its
+// folder.
 func sourceTree(t *testing.T) string {
 	t.Helper()
 	root := t.TempDir()
--- a/internal/tools/codetable/count.go
+++ b/internal/tools/codetable/count.go
@@ -165,7 +165,8 @@
 	}
 }
 
-// spec records exported types, constants and variables without a doc comment. A comment of the group counts as a doc comment.
+// spec records exported types, constants and variables without a doc comment. A comment of the group counts as a doc comment, and
+// so does a comment at the end of the line of a constant or variable.
 func (c *count) spec(fileSet *token.FileSet, relative string, group *ast.GenDecl, spec ast.Spec) {
 	line := fileSet.Position(spec.Pos()).Line
 	switch s := spec.(type) {
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -42,9 +42,9 @@
 }
 
 const (
-	bad  = "a TestBad | go test -run TestBad ./a | seed none | a fault | issue 1\n"
-	part = "a TestPart/bad | go test -run TestPart ./a | seed 7 | a fault of a part | issue 2\n"
-	good = "a TestGood | go test -run TestGood ./a | seed none | was at fault | issue 3\n"
+	badEntry  = "a TestBad | go test -run TestBad ./a | seed none | a fault | issue 1\n"
+	partEntry = "a TestPart/bad | go test -run TestPart ./a | seed 7 | a fault of a part | issue 2\n"
+	goodEntry = "a TestGood | go test -run TestGood ./a | seed none | was at fault | issue 3\n"
 
 	malformed = "not 'package Test | command | seed N | what was seen | issue N'"
 )
@@ -56,23 +56,23 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		name   string
-		list   string // content of KNOWN-RED.txt; empty for no file
-		with   string // additional file of scratchModule, besides those of a and b
-		env    string
-		passes bool
-		wanted []string // parts of the output
-		last   string   // prefix of the last line of standard output
+		name      string
+		list      string // content of KNOWN-RED.txt; empty for no file
+		extraFile string // additional file of scratchModule, besides those of a and b
+		env       string
+		passes    bool
+		wanted    []string // parts of the output
+		last      string   // prefix of the last line of standard output
 	}{
 		{name: "no file", last: "FAIL"},
-		{name: "all failing tests listed", list: bad + part, passes: true, last: "ok",
+		{name: "all failing tests listed", list: badEntry + partEntry, passes: true, last: "ok",
 			wanted: []string{"known red: ./a TestBad fails", "known red: |     a_test.go:6: a fault", "known red: ./a TestPart/bad fails"}},
-		{name: "a failing test not listed", list: bad, last: "FAIL", wanted: []string{"a fault of a part"}},
-		{name: "a listed test passes", list: bad + part + good, passes: true, last: "ok",
+		{name: "a failing test not listed", list: badEntry, last: "FAIL", wanted: []string{"a fault of a part"}},
+		{name: "a listed test passes", list: badEntry + partEntry + goodEntry, passes: true, last: "ok",
 			wanted: []string{"known red: ./a TestGood passes: take it out of KNOWN-RED.txt"}},
-		{name: "a test of the same name in another package fails", list: bad + part, env: "SCRATCH_B_FAILS=1", last: "FAIL",
+		{name: "a test of the same name in another package fails", list: badEntry + partEntry, env: "SCRATCH_B_FAILS=1", last: "FAIL",
 			wanted: []string{"a fault of b"}},
-		{name: "four lines", list: bad + part + good + bad, wanted: []string{"KNOWN-RED.txt: 4 lines, 3 at most"}},
+		{name: "four lines", list: badEntry + partEntry + goodEntry + badEntry, wanted: []string{"KNOWN-RED.txt: 4 lines, 3 at most"}},
 		{name: "no issue", list: "a TestBad | go test ./a | seed none | a fault\n", wanted: []string{malformed}},
 		{name: "issue without a number", list: "a TestBad | go test ./a | seed none | a fault | issue\n", wanted: []string{malformed}},
 		{name: "no observation", list: "a TestBad | go test ./a | seed none |  | issue 1\n", wanted: []string{malformed}},
@@ -82,14 +82,14 @@
 		{name: "a pattern", list: "a Test.* | go test ./a | seed none | everything | issue 1\n", wanted: []string{malformed}},
 		{name: "no such test", list: "a TestNone | go test ./a | seed none | gone | issue 1\n", wanted: []string{"./a has no test TestNone that runs"}},
 		{name: "no such subtest", list: "a TestPart/none | go test ./a | seed none | gone | issue 1\n", wanted: []string{"./a has no test TestPart/none that runs"}},
-		{name: "a package that does not build", list: "c TestBroken | go test ./c | seed none | does not build | issue 1\n", with: "c/c_test.go",
+		{name: "a package that does not build", list: "c TestBroken | go test ./c | seed none | does not build | issue 1\n", extraFile: "c/c_test.go",
 			wanted: []string{"./c TestBroken did not run"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
 			for name, text := range scratchModule {
-				if !strings.HasPrefix(name, "c/") || name == c.with {
+				if !strings.HasPrefix(name, "c/") || name == c.extraFile {
 					write(t, filepath.Join(dir, name), text)
 				}
 			}
