--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -69,7 +69,7 @@
 		return s, errors.New("settings name no traffic types")
 	}
 	if s.MaxAttempts < 1 {
-		return s, errors.New("settings allow no attempt")
+		return s, errors.New("settings allow no attempt: limits.mostHops must be 1 or more")
 	}
 	for _, t := range raw.Tenants {
 		s.TenantNames = append(s.TenantNames, t.Name)
