--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -26,7 +26,7 @@
 	activityTimes map[[2]int][]time.Duration // cached results of activity, by node and server; nil until computed
 }
 
-// New returns an Audit without events. It checks the limits in settings.
+// New returns an Audit without events. Its rules use the traffic types and limits in settings.
 func New(settings Settings) *Audit {
 	return &Audit{
 		settings:      settings,
@@ -56,8 +56,9 @@
 	}
 }
 
-// Verdict returns, for each rule, the number of violations and the first violation in order of request IDs. Call it after
-// the last event.
+// Verdict returns, for each rule, the number of violations and a description of the first one. A request counts as one
+// violation of a rule at most. Requests are checked in order of their IDs; violations that the observer reported directly
+// follow in order of report. Call it after the last event.
 func (a *Audit) Verdict() []Rule {
 	ids := make([]uint64, 0, len(a.requests))
 	for id, r := range a.requests {
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -22,7 +22,7 @@
 		a.AttemptRan(1, server, at)
 		a.AttemptEnded(1, server, at+10*ms, false)
 	}
-	disconnected := func(a *Audit, server int, at time.Duration) { // the server received the request completely, then the connection broke
+	cutOff := func(a *Audit, server int, at time.Duration) { // the server received the request completely, then the connection broke
 		a.AttemptReceived(1, server, at, at)
 		a.AttemptEnded(1, server, at+10*ms, false)
 	}
@@ -95,7 +95,7 @@
 			attempt(a, 1, 380*ms)
 		}, "answered leavers"},
 		"non-idempotent executed twice":                    {func(a *Audit) { send(a, book); attempt(a, 0, 0); attempt(a, 1, 20*ms) }, "no-second-effect"},
-		"non-idempotent retried after a broken connection": {func(a *Audit) { send(a, book); disconnected(a, 0, 0); attempt(a, 1, 20*ms) }, "no-second-effect"},
+		"non-idempotent retried after a broken connection": {func(a *Audit) { send(a, book); cutOff(a, 0, 0); attempt(a, 1, 20*ms) }, "no-second-effect"},
 		"non-idempotent retried after a rejection":         {func(a *Audit) { send(a, book); rejected(a, 0, 0); attempt(a, 1, 20*ms) }, ""},
 		"idempotent executed twice":                        {func(a *Audit) { send(a, check); attempt(a, 0, 0); attempt(a, 1, 20*ms) }, ""},
 		"key repeated within its retention":                {func(a *Audit) { send(a, zoned); attempt(a, 0, 0); attempt(a, 2, 900*ms) }, ""},
--- a/internal/testbed/audit/events.go
+++ b/internal/testbed/audit/events.go
@@ -45,7 +45,7 @@
 	isReset   bool  // the node lost or must ignore earlier notifications; only at is set
 }
 
-// outage is a period in which a node was stopped or paused.
+// outage is a period in which a node was down after a kill or a crash, or paused.
 type outage struct {
 	from    time.Duration
 	to      time.Duration
@@ -68,7 +68,7 @@
 	return r
 }
 
-// lastAttempt returns the latest attempt of r at a server, or an unused attempt if there is none.
+// lastAttempt returns the latest attempt of r at a server. If there is none, it returns an attempt that is not recorded.
 func (r *request) lastAttempt(server int) *attempt {
 	for i := len(r.attempts) - 1; i >= 0; i-- {
 		if r.attempts[i].server == server {
@@ -151,8 +151,8 @@
 	a.notifications[key] = append(a.notifications[key], notification{at: at, isReset: true})
 }
 
-// NodeDown reports that a node was stopped on purpose. Requests in flight at it are exempt from the rule that each request
-// is answered.
+// NodeDown reports that a node's process was killed or crashed. Requests in flight at it are exempt from the rule that each
+// request is answered. It is not called for a graceful shutdown, in which the node must answer its requests.
 func (a *Audit) NodeDown(node int, at time.Duration) {
 	a.outages[node] = append(a.outages[node], outage{from: at, to: ongoing})
 }
@@ -200,7 +200,8 @@
 	}
 }
 
-// Crashed reports that a node's process exited without being stopped.
+// Crashed reports that a node's or planner's process exited without being stopped, or did not shut down gracefully. The
+// testbed also reports its own failures as crashes of node -1.
 func (a *Audit) Crashed(node int, reason string) {
 	a.crashed = append(a.crashed, fmt.Sprintf("node %d: %s", node, reason))
 }
@@ -210,7 +211,8 @@
 	a.badClients = append(a.badClients, description)
 }
 
-// JournalError reports that an execution is missing in a node's journal of non-idempotent requests, or contradicts it.
+// JournalError reports that an execution is missing in a node's journal of non-idempotent requests, or contradicts it, or
+// that entries were not replicated in time.
 func (a *Audit) JournalError(description string) {
 	a.journalErrors = append(a.journalErrors, description)
 }
--- a/internal/testbed/audit/rules.go
+++ b/internal/testbed/audit/rules.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// disconnectGrace is the time after a client's disconnect within which attempts of its request may still begin.
+// disconnectGrace is the time after a client's disconnect, also one at the end of its timeout, within which attempts of its
+// request may still begin.
 const disconnectGrace = 100 * time.Millisecond
 
 // oneAnswer is the rule that unsolicited responses violate, too.
@@ -33,8 +34,8 @@
 	{"closing", "idle connections to a draining server are closed in time", (*Audit).idleTooLong},
 }
 
-// isExempt reports whether a request needs no answer: its node was stopped while the request was in flight, or the
-// client's timeout expired while the node was paused.
+// isExempt reports whether a request needs no answer, because its node was killed, crashed or was paused while the request
+// was in flight. A pause does not exempt a request whose connection was closed: a paused node closes no connections.
 func (a *Audit) isExempt(r *request) bool {
 	for _, outage := range a.outages[r.node] {
 		overlaps := r.sent <= outage.to && r.ended >= outage.from
@@ -98,8 +99,8 @@
 	return ""
 }
 
-// sentAfterDisconnect reports an attempt that began after the client disconnected or its timeout expired. This applies to
-// requests in every state, and also if the client had pipelined bytes after the request.
+// sentAfterDisconnect reports an attempt that began after the client disconnected or its timeout expired. The rule applies
+// whether the request is queued, waits for a retry or is in flight, and also if the client pipelined bytes after it.
 func (a *Audit) sentAfterDisconnect(r *request) string {
 	if r.end != Disconnected && r.end != Unanswered || r.ended < 0 {
 		return ""
@@ -146,9 +147,9 @@
 			case t.Idempotency == NonIdempotent:
 				return fmt.Sprintf("sent to %s though it may have run at %s", to, from)
 			case !a.sameGroup(t, earlier.server, attempt.server):
-				return fmt.Sprintf("sent to %s though it may have run outside its key scope, at %s", to, from)
+				return fmt.Sprintf("sent to %s, which is outside the key scope of %s, where it may have run", to, from)
 			case attempt.first > earlier.last+t.KeyRetention:
-				return fmt.Sprintf("sent to %s %s after %s, where keys expire after %s", to,
+				return fmt.Sprintf("sent to %s %s after the attempt at %s, where keys expire after %s", to,
 					(attempt.first - earlier.last).Round(time.Millisecond), from, t.KeyRetention)
 			}
 		}
@@ -196,8 +197,8 @@
 }
 
 // sentToDraining reports an attempt at a draining or removed server that began more than the drain grace after the node was
-// notified of that condition. A notification that the server is serving ends the condition only if its start time is
-// later: a planner that was unreachable may send an outdated notification.
+// notified of that condition. A notification that the server is serving ends the condition only if its start time is later
+// than the known one: a planner that was unreachable may send an outdated notification.
 func (a *Audit) sentToDraining(r *request) string {
 	for _, attempt := range r.attempts {
 		since, _ := a.drainingSince(r.node, attempt.server, attempt.first)
@@ -246,7 +247,8 @@
 }
 
 // idleTooLong reports a connection to a draining server that stayed open and unused for longer than DrainClose. This time
-// counts from the notification of the drain or, if later, from the start or end of the node's last attempt at the server.
+// counts from the latest of these: the notification of the drain, the start of the idle period, and the start or end of the
+// node's last attempt at the server. Servers that were removed without a drain are exempt.
 func (a *Audit) idleTooLong(r *request) string {
 	if !a.settings.ClosesOnDrain {
 		return ""
--- a/internal/testbed/audit/seconds.go
+++ b/internal/testbed/audit/seconds.go
@@ -14,9 +14,9 @@
 	Retries    int `json:"Further"` // later attempts of tries, in the second in which a server received the first byte
 	Ran        int // attempts that servers began to execute
 	Wasted     int `json:"Vain"` // executions whose answer the client did not get
-	Handled    int // tries that ended with status 200
-	Rejected   int // tries that ended with status 429 or 503
-	Failed     int `json:"WrittenOff"` // tries that ended with another status
+	Handled    int // tries answered in time with status 200
+	Rejected   int // tries answered in time with status 429 or 503
+	Failed     int `json:"WrittenOff"` // tries answered in time with another status
 	Unanswered int `json:"Lost"`       // tries that ended without a complete response in time
 	Busiest    int // attempts of the node with the most attempts
 }
@@ -93,7 +93,7 @@
 func (s *seconds) countAttempts(r *request) {
 	attempts := slices.Clone(r.attempts)
 	slices.SortFunc(attempts, func(a, b attempt) int { return cmp.Compare(a.first, b.first) })
-	answered := -1 // index of the attempt whose answer the client got: the last one that ended before the try
+	answered := -1 // index of the attempt whose answer the client got: the last executed one that ended before the try, or else the first executed one
 	for i, attempt := range attempts {
 		if r.handled() && attempt.ran >= 0 && attempt.ended >= 0 && (answered < 0 || attempt.ended <= r.ended) {
 			answered = i
--- a/internal/testbed/audit/types.go
+++ b/internal/testbed/audit/types.go
@@ -44,9 +44,9 @@
 type Settings struct {
 	Types         []Type
 	DrainGrace    time.Duration
-	Slack         time.Duration // added to each limit to allow for scheduling delays
+	Slack         time.Duration // added to each time limit but Type.KeyRetention, to allow for scheduling delays
 	MaxAttempts   int
-	AllowsHedging bool // concurrent attempts of a request are allowed
+	AllowsHedging bool // hedged requests, and so concurrent attempts of a request, are allowed
 	ClosesOnDrain bool // idle connections to a draining server must be closed within DrainClose
 	DrainClose    time.Duration
 }
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -17,8 +17,8 @@
 const (
 	sweepInterval       = 20 * time.Millisecond  // between checks of open requests
 	resubscribeDelay    = time.Second            // after discovery became unavailable
-	sendBeforeTimeout   = 100 * time.Millisecond // time before the client's timeout at which "deaf" sends
-	lateDelay           = 400 * time.Millisecond // time after the client's timeout, beyond any slack, at which "late" answers
+	sendBeforeTimeout   = 100 * time.Millisecond // "deaf" sends this long before sweep would answer the request
+	lateDelay           = 400 * time.Millisecond // time after the client's timeout, beyond the slack of scenario "proof", at which "late" answers
 	answerBeforeTimeout = 5 * time.Millisecond   // time before the client's timeout by which each request must be answered
 )
 
@@ -61,11 +61,11 @@
 	isOpen        bool
 	isInFlight    bool
 	typeIndex     int
-	limit         time.Duration // the client's timeout
-	target        time.Duration
-	attempts      []int
-	possiblyRanAt int // server of the first attempt that may have run; -1: none
-	firstRunAt    time.Duration
+	limit         time.Duration // time at which the client's timeout expires
+	target        time.Duration // end of the latency objective, at which attempts time out
+	attempts      []int         // servers, in the order of the attempts
+	possiblyRanAt int           // server of the first attempt that may have run; -1: none
+	firstRunAt    time.Duration // start of that attempt
 }
 
 // decider is a baseline or broken policy.
@@ -80,13 +80,13 @@
 	effects  []policy.Effect
 	requests []request
 
-	ready        []bool
+	ready        []bool // this and the following slices are indexed by server
 	zone         []int
 	cell         []int
 	machine      []int // machine kind
 	started      []time.Duration
 	inFlight     []int
-	next         int
+	next         int // lowest server that round-robin selects next
 	isSubscribed bool
 	subscribeAt  time.Duration
 }
