--- a/internal/testbed/load/client.go
+++ b/internal/testbed/load/client.go
@@ -80,7 +80,7 @@
 }
 
 // runRequest sends tries of a request until it is handled, its retries are exhausted, or the outcome of a non-idempotent
-// request does not allow a retry.
+// request does not allow a retry. Clients that disconnect do not retry.
 func (g *Generator) runRequest(ctx context.Context, index int) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
--- a/internal/testbed/load/generator.go
+++ b/internal/testbed/load/generator.go
@@ -19,7 +19,7 @@
 	FastCGI   bool                                          // clients speak FastCGI instead of HTTP
 	ChecksIDs bool                                          // an answer whose body does not begin with the ID of its try is reported as foreign
 	Stall     func(at time.Duration) time.Duration          // delays the generator in tests; see pace
-	Progress  func(at time.Duration, started, inFlight int) // called every progressInterval; may be nil
+	Progress  func(at time.Duration, started, inFlight int) // called every progressInterval with the number of requests whose first try has ended; may be nil
 
 	picker   Picker
 	watcher  Watcher
@@ -30,7 +30,8 @@
 }
 
 // Run sends the schedule and returns when the last request has ended. Request.At counts from start. After ctx is cancelled,
-// Run starts no more requests and no more tries of requests in flight.
+// Run starts no more requests, and each request in flight ends with its current try, or with one more if it waits for its
+// backoff.
 func (g *Generator) Run(ctx context.Context, start time.Time, picker Picker, watcher Watcher) Lateness {
 	g.start = start
 	g.picker = picker
--- a/internal/testbed/load/load_test.go
+++ b/internal/testbed/load/load_test.go
@@ -62,19 +62,19 @@
 	s := parseScenario(t, "length=\"20s\"\n[load]\nrate=2000\nkeys=100\nzipf=1.0\nskew=0.2\n[[faults]]\nkind=\"hot-key\"\nat=\"10s\"\nfor=\"10s\"\nshare=0.25")
 	requests := Plan(s)
 	n := float64(len(requests))
-	var check, first, dairy, top, hot, late, work float64
+	var firstType, firstSite, firstTenant, firstKey, hotKey, duringFault, work float64
 	for _, r := range requests {
 		add := func(sum *float64, isCounted bool) {
 			if isCounted {
 				*sum++
 			}
 		}
-		add(&check, r.Type == 0)
-		add(&first, r.Site == 0)
-		add(&dairy, r.Tenant == 0)
-		add(&top, r.Key == 1 && r.At < 10*time.Second)
-		add(&hot, r.Key == 101)
-		add(&late, r.At >= 10*time.Second)
+		add(&firstType, r.Type == 0)
+		add(&firstSite, r.Site == 0)
+		add(&firstTenant, r.Tenant == 0)
+		add(&firstKey, r.Key == 1 && r.At < 10*time.Second)
+		add(&hotKey, r.Key == 101)
+		add(&duringFault, r.At >= 10*time.Second)
 		if r.Type == 1 {
 			work += r.Work.Seconds()
 		}
@@ -84,12 +84,12 @@
 		harmonic += 1 / float64(k)
 	}
 	for name, c := range map[string]struct{ got, want float64 }{
-		"type":   {check / n, 0.67},
-		"site":   {first / n, 0.4}, // a skew of 0.2 and a quarter of the rest
-		"tenant": {dairy / n, 0.48},
-		"key":    {top / (n - late), 1 / harmonic},
-		"hot":    {hot / late, 0.25},
-		"work":   {work / (n - check), 0.066},
+		"type":   {firstType / n, 0.67},
+		"site":   {firstSite / n, 0.4}, // a skew of 0.2 and a quarter of the rest
+		"tenant": {firstTenant / n, 0.48},
+		"key":    {firstKey / (n - duringFault), 1 / harmonic},
+		"hot":    {hotKey / duringFault, 0.25},
+		"work":   {work / (n - firstType), 0.066},
 	} {
 		if math.Abs(c.got-c.want) > 0.03*c.want+0.004 {
 			t.Errorf("%s: got %.4f, want %.4f", name, c.got, c.want)
--- a/internal/testbed/load/pool.go
+++ b/internal/testbed/load/pool.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxIdleTime    = 30 * time.Second       // after which a client closes an idle connection
+	maxIdleTime    = 30 * time.Second       // idle time of the oldest connection above which put closes it
 	maxIdleConns   = 512                    // per site
 	newConnTimeout = 100 * time.Millisecond // after which nodes may close a new connection without a request (docs/design.md)
 )
--- a/internal/testbed/load/result.go
+++ b/internal/testbed/load/result.go
@@ -46,7 +46,7 @@
 	mu       sync.Mutex // guards all but scenario and shift during the run
 	scenario *scenario.Scenario
 	shift    time.Duration
-	started  int // requests with at least one try
+	started  int // requests whose first try has ended
 
 	Outcomes       [outcomes]int
 	Tries          int
@@ -86,7 +86,7 @@
 	return r
 }
 
-// startedCount returns the number of requests with at least one try.
+// startedCount returns the number of requests whose first try has ended.
 func (r *Result) startedCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/load/trace.go
+++ b/internal/testbed/load/trace.go
@@ -127,14 +127,14 @@
 }
 
 type (
-	// eachLine is called for each record. An error stops reading.
+	// eachLine processes the record in a line. An error stops reading.
 	eachLine func(line int, r record) error
-	// badLine adds the position to a parse error of a line.
-	badLine func(line int, err error) error
+	// lineError adds the position of a line to its error.
+	lineError func(line int, err error) error
 )
 
 // readCSV reads a CSV trace and calls each for each record.
-func readCSV(r io.Reader, each eachLine, bad badLine) error {
+func readCSV(r io.Reader, each eachLine, atLine lineError) error {
 	c := csv.NewReader(r)
 	c.FieldsPerRecord = len(header)
 	for first := true; ; first = false {
@@ -144,7 +144,7 @@
 		}
 		var parseError *csv.ParseError
 		if errors.As(err, &parseError) {
-			return bad(parseError.Line, parseError.Err)
+			return atLine(parseError.Line, parseError.Err)
 		}
 		if err != nil {
 			return err
@@ -153,14 +153,14 @@
 		if first && slices.Equal(fields, header) {
 			continue
 		} else if first {
-			return bad(line, fmt.Errorf("invalid header, want %s", strings.Join(header, ",")))
+			return atLine(line, fmt.Errorf("invalid header, want %s", strings.Join(header, ",")))
 		}
 		var rec record
 		at, atErr := strconv.ParseFloat(fields[0], 64)
 		key, keyErr := strconv.Atoi(fields[4])
 		work, workErr := strconv.ParseFloat(fields[5], 64)
 		if err := errors.Join(atErr, keyErr, workErr); err != nil {
-			return bad(line, errors.New(strings.SplitN(err.Error(), "\n", 2)[0]))
+			return atLine(line, errors.New(strings.SplitN(err.Error(), "\n", 2)[0]))
 		}
 		rec = record{AtMS: &at, Type: fields[1], Tenant: fields[2], Site: fields[3], Key: key, WorkMS: work}
 		if err := each(line, rec); err != nil {
@@ -170,7 +170,7 @@
 }
 
 // readJSON reads a trace of JSON lines and calls each for each record. It skips empty lines.
-func readJSON(r io.Reader, each eachLine, bad badLine) error {
+func readJSON(r io.Reader, each eachLine, atLine lineError) error {
 	lines := bufio.NewScanner(r)
 	for n := 1; lines.Scan(); n++ {
 		text := bytes.TrimSpace(lines.Bytes())
@@ -181,7 +181,7 @@
 		decoder := json.NewDecoder(bytes.NewReader(text))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(&rec); err != nil {
-			return bad(n, err)
+			return atLine(n, err)
 		}
 		if err := each(n, rec); err != nil {
 			return err
--- a/internal/testbed/soak/audit.go
+++ b/internal/testbed/soak/audit.go
@@ -52,7 +52,7 @@
 // Audit collects the events of clients and servers, and checks the rules. It is safe for concurrent use. Times count from the start of
 // the run.
 type Audit struct {
-	minIdle time.Duration // minIdleTime, or minIdleTimeUnderShortage
+	minIdle time.Duration // minIdleTime or minIdleTimeUnderShortage
 
 	mu                sync.Mutex
 	requests          map[string]*request
@@ -113,8 +113,9 @@
 	a.requests[id].isBehindLastAnswer = true
 }
 
-// Closed reports that the node closed a connection between two requests. isRace: a request was sent on it at the same time. description
-// identifies the connection in violations.
+// Closed reports that the node closed a connection between two requests after an answer that did not announce the close. An HTTP
+// connection must have been idle for a minimum time; FastCGI cannot announce a close, so its connections may be closed at any time.
+// isRace: a request was sent on the connection at the same time. description identifies the connection in violations.
 func (a *Audit) Closed(isFastCGI, isRace bool, idle time.Duration, description string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -144,7 +145,7 @@
 }
 
 // Finish checks the rules that can only be checked after the run. unread are the requests on connections that ended without a byte of an
-// answer: the node must not have read them.
+// answer: the node must not have forwarded them, because it must answer each request that it has read.
 func (a *Audit) Finish(unread []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -204,5 +205,5 @@
 	return c
 }
 
-// IsBroken reports whether any rule was violated.
+// HasViolations reports whether any rule was violated.
 func (c *Counts) HasViolations() bool { return len(c.Violations) > 0 }
--- a/internal/testbed/soak/brokennode_test.go
+++ b/internal/testbed/soak/brokennode_test.go
@@ -57,7 +57,8 @@
 	clients    sync.WaitGroup
 }
 
-// lateDelay is the time after which forwardsLate forwards a request again. A test of it needs a stop that comes later.
+// lateDelay is the time after which forwardsLate forwards a request again. It must be shorter than the load before the stop, otherwise no
+// request arrives at a server after its final answer.
 const lateDelay = sendSlack + 50*time.Millisecond
 
 // runBrokenNode runs a brokenNode with a node's configuration and returns its exit code.
--- a/internal/testbed/soak/client.go
+++ b/internal/testbed/soak/client.go
@@ -116,7 +116,7 @@
 // closedBetweenRequests reports that the node closed the connection between two requests, and closes the client's end. isRace: a request
 // was sent on it at the same time.
 func (c *client) closedBetweenRequests(isRace bool) {
-	description := fmt.Sprintf("client %d, request sent %v, %s after the stop", c.number, isRace, c.run.sinceStop().Round(time.Millisecond))
+	description := fmt.Sprintf("client %d, race with a request %v, %s after the stop", c.number, isRace, c.run.sinceStop().Round(time.Millisecond))
 	c.run.audit.Closed(c.isFastCGI, isRace, time.Since(c.answeredAt), description)
 	c.close()
 }
@@ -170,7 +170,8 @@
 	return message.HasToken(resp.Fields, "Connection", "close"), nil // not resp.Close, which is also set if another answer follows this one
 }
 
-// endedWithoutAnswer reports requests on a connection that ended before the first of them was answered.
+// endedWithoutAnswer reports requests on a connection that ended before the first of them was answered. A node may close an idle
+// connection while a request is sent on it, but it must read the first request on a new one.
 func (c *client) endedWithoutAnswer(ids []string, err error) {
 	isReused := !c.answeredAt.IsZero()
 	since := c.run.sinceStop().Round(time.Millisecond)
--- a/internal/testbed/soak/node.go
+++ b/internal/testbed/soak/node.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	maxStartTime = 20 * time.Second
-	pollInterval = 5 * time.Millisecond
+	maxStartTime = 20 * time.Second     // from the start of the process until it accepts connections
+	pollInterval = 5 * time.Millisecond // between attempts to connect
 )
 
 // node is the node process of a run. Its files are in one directory.
@@ -101,7 +101,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("node did not accept connections: %s", n.log())
+	return fmt.Errorf("start node: connections not accepted at all addresses, node log: %s", n.log())
 }
 
 // accepts reports whether a connection to an address is accepted.
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	killGrace     = 700 * time.Millisecond // time from the first SIGTERM or SIGINT to SIGKILL, in addition to Plan.Deadline
-	connectWindow = 400 * time.Millisecond // time after that signal during which clients open new connections
-	warmUp        = 500 * time.Millisecond // load before the first signals
-	maxSignalLead = 300 * time.Millisecond // maximum time by which a signal precedes the stop
-	maxSignalLag  = 1200 * time.Millisecond
+	killGrace     = 700 * time.Millisecond  // time from the first SIGTERM or SIGINT to SIGKILL, in addition to Plan.Deadline
+	connectWindow = 400 * time.Millisecond  // time after that signal during which clients open new connections
+	warmUp        = 500 * time.Millisecond  // load before the first signals
+	maxSignalLead = 300 * time.Millisecond  // maximum time by which a signal precedes the stop
+	maxSignalLag  = 1200 * time.Millisecond // maximum time by which a signal follows the stop
 
 	scarceSockets   = 200 // descriptors of a node in a run with idle clients
 	idleClientCount = 220 // idle clients in such a run, more than the node has descriptors
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -39,7 +39,7 @@
 type run struct {
 	plan      Plan
 	audit     *Audit
-	start     time.Time
+	start     time.Time // times reported to the audit count from it
 	network   *loopback.Network
 	servers   []*server
 	discovery *discovery.Service
