--- a/internal/testbed/badclients.go
+++ b/internal/testbed/badclients.go
@@ -26,7 +26,7 @@
 	return b.n
 }
 
-// malformed lists the inputs of bad clients. A node may answer them only with a 4xx or 5xx status.
+// malformed lists the inputs of bad clients. A node must answer each with a 4xx or 5xx status, or close the connection.
 var malformed = []struct{ name, text string }{
 	{"not HTTP", "hello\r\n\r\n"},
 	{"random bytes", "\x00\xff\x16\x03\x01\x02\r\n\r\n"},
--- a/internal/testbed/brokennode.go
+++ b/internal/testbed/brokennode.go
@@ -22,7 +22,8 @@
 	return true
 }
 
-// noDrainGuard allows attempts at servers after their drain grace has expired.
+// noDrainGuard allows attempts at servers after their drain grace has expired, so that the policy "ignores-drains" can
+// send them.
 type noDrainGuard struct{}
 
 func (noDrainGuard) IsTooLateToWrite(string) bool { return false }
--- a/internal/testbed/build.go
+++ b/internal/testbed/build.go
@@ -19,7 +19,7 @@
 	"fernvane/internal/testbed/standin/server"
 )
 
-// setUp starts servers, discovery, planners and nodes, and returns when the connection balancer routes to all nodes.
+// setUp starts the stand-ins and planners, then the nodes, and returns when the connection balancer routes to all nodes.
 func (env *environment) setUp(ctx context.Context) error {
 	var err error
 	if env.network, err = loopback.Reserve(); err != nil {
@@ -27,7 +27,7 @@
 	}
 	s := env.Scenario
 	env.observer = newObserver(s, env.Requests, env.start)
-	env.discovery = discovery.New(discovery.Settings{LinesPerSecond: s.Discovery.LinesPerS, CallLines: s.Discovery.CallLines,
+	env.discovery = discovery.New(discovery.Settings{LinesPerSecond: s.Discovery.LinesPerSecond, CallLines: s.Discovery.CallLines,
 		Timeout: s.Discovery.Timeout.Std(), Spread: s.Discovery.Spread.Std()}, s.Seed, discoveryObserver{env.observer})
 	for i := range s.Servers {
 		for n := range s.Servers[i].Count {
@@ -190,7 +190,9 @@
 	return env.nodes[n].writeConfig(env.Scenario, env.nodeAddress(n), env.discoveryAddress(n, env.addresses), seed, endpointList)
 }
 
-// startNode starts a node with its current configuration and waits until the connection balancer routes to it.
+// startNode starts a node with its current configuration and waits until the connection balancer routes to it. If the
+// process exits without being stopped, also after startNode has returned, the audit is notified of a crash and the balancer
+// removes the node.
 func (env *environment) startNode(ctx context.Context, n int) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -198,7 +200,7 @@
 		return err
 	}
 	err := env.nodes[n].start(env.processes, func(reason string) {
-		cancel(fmt.Errorf("node %d has ended: %s", n, reason))
+		cancel(fmt.Errorf("node %d exited: %s", n, reason))
 		env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, reason) })
 		env.observer.nodeDown(n, true)
 		env.balancer.NodeEnded(n, env.Scenario.Nodes.CrashNotice.Std())
--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -26,11 +26,12 @@
 	lastLossBeforeEnd        = 8 * time.Second        // final part of the fault in which no new loss begins
 )
 
-// lossCounts counts machines that were lost with their disks. mu guards the other fields.
+// lossCounts counts machines that were lost with their disks. mu guards replicationSeconds and changes of machines and
+// cycles. The goroutine of a losses-beyond fault changes expectedLost, which is read after the load.
 type lossCounts struct {
 	mu                 sync.Mutex
 	machines           int
-	cycles             int
+	cycles             int          // completed rounds of losses
 	expectedLost       map[int]bool // nodes whose journal and replicas were all on lost machines
 	replicationSeconds float64      // until the entries of an earlier run were replicated; 0: they were not
 }
@@ -136,7 +137,7 @@
 	env.writeNodeConfig(n)
 }
 
-// pauseNode stops a node's process with SIGSTOP and resumes it after duration.
+// pauseNode pauses a node's process with SIGSTOP and resumes it after duration.
 func (env *environment) pauseNode(ctx context.Context, n int, duration time.Duration) {
 	env.observer.nodePaused(n)
 	env.balancer.NodeEnded(n, env.Scenario.Nodes.CrashNotice.Std())
--- a/internal/testbed/distribution.go
+++ b/internal/testbed/distribution.go
@@ -125,14 +125,14 @@
 	} {
 		row, err := d.runFault(ctx, fault.name, fault.begin)
 		if err != nil {
-			return fmt.Errorf("%s: %w", fault.name, err)
+			return fmt.Errorf("measure changes under fault \"%s\": %w", fault.name, err)
 		}
 		report(row)
 		if fault.after == nil {
 			continue
 		}
 		if err := fault.after(); err != nil {
-			return fmt.Errorf("after %s: %w", fault.name, err)
+			return fmt.Errorf("end fault \"%s\": %w", fault.name, err)
 		}
 	}
 	return nil
@@ -166,7 +166,8 @@
 	return row, nil
 }
 
-// measureChange writes a change to the first root and returns the time until all nodes have applied it.
+// measureChange writes a change to the first root and returns the time from the response to the write until all nodes have
+// applied it.
 func (d *Distribution) measureChange(ctx context.Context) (time.Duration, error) {
 	d.lastChange++
 	change := distribution.Change{Key: distribution.Key{Service: distributionService, Kind: distribution.KindRoute, Name: "checks"}, Value: []byte(strconv.Itoa(d.lastChange))}
--- a/internal/testbed/distribution_test.go
+++ b/internal/testbed/distribution_test.go
@@ -12,7 +12,7 @@
 	err := d.Run(t.Context(), func(r DistributionRow) {
 		rows++
 		if r.Rollbacks > 0 || r.Median <= 0 || r.Max < r.Median {
-			t.Errorf("got row %+v", r)
+			t.Errorf("got row %+v, want no rollbacks, a positive median and a maximum not below it", r)
 		}
 	})
 	if err != nil || rows != 8 {
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -253,7 +253,8 @@
 	g.Wait()
 }
 
-// close stops all processes and stand-ins and releases the network.
+// close waits for the steps of faults that are in progress, kills all processes, closes the stand-ins and releases the
+// network.
 func (env *environment) close() {
 	close(env.stopped)
 	env.wg.Wait()
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -8,8 +8,9 @@
 	"fernvane/internal/testbed/scenario"
 )
 
-// faultFunc applies a fault without blocking and schedules later steps, such as the end of the fault, with
-// environment.after. It draws targets that the fault does not name from rng, which is seeded by the scenario.
+// faultFunc applies a fault and schedules later steps, such as the end of the fault, with environment.after. It may wait for
+// the exit of processes that it kills, but not for later steps, because faults are applied one at a time. It draws targets
+// that the fault does not name from rng, which is seeded by the scenario.
 type faultFunc = func(env *environment, ctx context.Context, f *scenario.Fault, rng *rand.Rand)
 
 // faultGroups holds all faults by their names in scenario files.
--- a/internal/testbed/faultservers.go
+++ b/internal/testbed/faultservers.go
@@ -98,7 +98,8 @@
 	}
 }
 
-// requestShare returns a fault that affects a share of the requests at the servers that the scenario names, or at all.
+// requestShare returns a fault that affects a share of the requests at the servers that the fault names, or at all. The end
+// of the fault sets the share to 0.
 func requestShare(set func(*server.Faults, float64)) faultFunc {
 	return func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		for _, m := range env.servers {
--- a/internal/testbed/journal.go
+++ b/internal/testbed/journal.go
@@ -23,9 +23,9 @@
 	fullDiskText     = "full" // content of the disk file that makes every write fail
 )
 
-// Disk returns the file system for the data of a testbed node. It is slow or full as specified in the node's disk file,
-// which is read again while the node runs. Disk returns nil if the environment specifies no disk file. The node's
-// command calls it before it starts the node.
+// NodeFileSystem returns the file system for the data of a testbed node. It is slow or full as specified in the node's disk
+// file, which is read again while the node runs. NodeFileSystem returns nil if the environment specifies no disk file. The
+// node's command calls it before it starts the node.
 func NodeFileSystem(getenv func(string) string) wal.FileSystem {
 	path := getenv(diskVar)
 	if path == "" {
@@ -161,12 +161,12 @@
 // Journal summarizes the nodes' journals after the run, compared with the servers' execution records. Reports store it
 // under the names of its fields and tags.
 type Journal struct {
-	Entries         int // requests with an entry in a journal
-	Ran             int // executions of non-idempotent requests
-	PossiblySent    int `json:"Possibly"` // entries in the state possibly sent after the nodes had stopped
-	Open            int // those of PossiblySent that execution records did not settle
-	Gaps            int // records that were not written, as counted in the journals
-	Bytes           int64
+	Entries         int     // requests with an entry in a journal
+	Ran             int     // executions of non-idempotent requests
+	PossiblySent    int     `json:"Possibly"` // entries in the state possibly sent after the nodes had stopped
+	Open            int     // those of PossiblySent that execution records did not settle
+	Gaps            int     // records that were not written, as counted in the journals
+	Bytes           int64   // size of the journals and their replicas
 	Losses          int     // machines lost with their disks
 	Cycles          int     // rounds of losses; each starts when all entries are replicated
 	AnnouncedLost   int     // journals expected to be lost, because more machines than replicas were lost
@@ -182,7 +182,8 @@
 }
 
 // readJournals compares the nodes' journals with the executions at the servers, reports differences to the audit and
-// reconciles open entries with the servers' execution records.
+// reconciles open entries with the servers' execution records. Entries of the earlier run, which have incarnation 1, need no
+// execution.
 func (env *environment) readJournals() (sum Journal, err error) {
 	if env.Scenario.Journal.Promise == "" {
 		return sum, nil
@@ -235,8 +236,8 @@
 		replicas, _ := os.ReadDir(p.dataDir())
 		for _, dir := range replicas { // the directory name starts with the name of the replicated node
 			name, _, _ := strings.Cut(dir.Name(), "@")
-			if of, err := strconv.Atoi(strings.TrimPrefix(name, "n")); err == nil {
-				dirs[of] = append(dirs[of], filepath.Join(p.dataDir(), dir.Name()))
+			if owner, err := strconv.Atoi(strings.TrimPrefix(name, "n")); err == nil {
+				dirs[owner] = append(dirs[owner], filepath.Join(p.dataDir(), dir.Name()))
 			}
 		}
 	}
@@ -274,7 +275,8 @@
 }
 
 // compareWithRun fills the execution records with the executions at the servers, reports executions that are missing or
-// wrong in the journals to the audit, and returns the entries that ran.
+// wrong in the journals to the audit, and returns the keys of the requests that ran. An execution may be missing if the
+// journal reports gaps, or was expected to be lost.
 func (env *environment) compareWithRun(a *audit.Audit, all map[entryKey]*intent.Entry, gaps map[int]bool, records map[string]*intent.ExecutionRecord, sum *Journal) map[entryKey]bool {
 	ran := map[entryKey]bool{}
 	a.EachExecution(func(typeIndex int) bool { return env.Scenario.Types[typeIndex].Idempotency == "binding" }, func(id uint64, node, server int) {
--- a/internal/testbed/load/load_test.go
+++ b/internal/testbed/load/load_test.go
@@ -279,7 +279,7 @@
 	g := &Generator{Scenario: s, Requests: []Request{{}, {At: 50 * time.Millisecond}}, ChecksIDs: true}
 	g.Run(context.Background(), time.Now(), at, NopWatcher{})
 	if <-closed; g.Outcomes[Handled] != 2 || g.Tries != 2 {
-		t.Errorf("got outcomes %v after %d tries", g.Outcomes, g.Tries)
+		t.Errorf("got outcomes %v after %d tries, want 2 handled requests after 2 tries", g.Outcomes, g.Tries)
 	}
 }
 
@@ -298,7 +298,7 @@
 	g := &Generator{Scenario: s, Requests: []Request{{}, {At: 50 * time.Millisecond}}, ChecksIDs: true}
 	g.Run(context.Background(), time.Now(), at, tries)
 	if last := tries.all[len(tries.all)-1]; len(tries.all) != 2 || last.End != Unsent {
-		t.Errorf("got %d tries, the last one %+v", len(tries.all), last)
+		t.Errorf("got %d tries, the last one %+v, want 2 tries, the last one unsent", len(tries.all), last)
 	}
 }
 
@@ -316,10 +316,10 @@
 	}}
 	late := g.Run(context.Background(), time.Now(), at, NopWatcher{})
 	if !late.IsBehind || late.Max < stall*9/10 || late.LateShare < 0.2 {
-		t.Errorf("got lateness %+v", late)
+		t.Errorf("got lateness %+v, want a generator that is behind, a maximum of at least 270ms and a late share of at least 0.2", late)
 	}
 	if worst := time.Duration(g.ByType[0].Latency.Max()) * time.Microsecond; worst < stall*9/10 {
-		t.Errorf("got maximum latency %s", worst)
+		t.Errorf("got maximum latency %s, want at least 270ms", worst)
 	}
 }
 
@@ -351,7 +351,7 @@
 	for i, n := range started {
 		if n < 1980 || n > 2020 {
 			if behind == 0 {
-				t.Errorf("bin %d: got %d requests, though none was late", i, n)
+				t.Errorf("bin %d: got %d requests, want 1980 to 2020 because none was late", i, n)
 			}
 			t.Logf("bin %d: got %d requests; %d of 20,000 were late by more than 1 ms", i, n, behind)
 		}
--- a/internal/testbed/losses.go
+++ b/internal/testbed/losses.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// backUpDisks copies the disks of the nodes that an old-disk fault affects. restoreDisk restores the copies.
+// backUpDisks copies the disks of the nodes that an old-disk fault names; restoreDisk restores the copies. For a share of
+// the nodes it draws independently of the fault, and nodes without a copy restart with their current disks.
 func (env *environment) backUpDisks(f *scenario.Fault, rng *rand.Rand) {
 	for _, n := range env.chosenNodes(f, rand.New(rand.NewPCG(env.Scenario.Seed, uint64(rng.Uint32())))) {
 		p := env.nodes[n]
@@ -92,9 +93,9 @@
 	}
 }
 
-// loseMachinesRepeatedly loses as many machines at the same time as there are replicas and restarts them with empty
-// disks, again and again; each round starts when all entries are replicated. Meanwhile other nodes are partitioned, paused
-// or get slow disks.
+// loseMachinesRepeatedly loses as many machines at nearly the same time as there are replicas, or one without replicas, and
+// restarts them with empty disks, again and again; each round starts when all entries are replicated. In most rounds with
+// replicas another node is partitioned, paused or gets a slow disk, or two get slow links.
 func (env *environment) loseMachinesRepeatedly(ctx context.Context, f *scenario.Fault, rng *rand.Rand) {
 	until := time.Now().Add(f.For.Std() - lastLossBeforeEnd)
 	env.wg.Go(func() {
@@ -148,8 +149,8 @@
 	})
 }
 
-// loseAllHolders loses a node and all replica holders of its journal at the same time. Before that it records which
-// journals the loss can destroy.
+// loseAllHolders loses a node and all replica holders of its journal at the same time, when all entries are replicated.
+// Before that it records which journals the loss can destroy.
 func (env *environment) loseAllHolders(ctx context.Context, f *scenario.Fault, rng *rand.Rand) {
 	until := time.Now().Add(f.For.Std())
 	env.wg.Go(func() {
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -17,7 +17,7 @@
 
 const (
 	maxStopTime = 5 * time.Second // from the stop signal to SIGKILL
-	tailBytes   = 600             // of a process's log that are reported when it crashes
+	tailBytes   = 600             // of a process's log that are reported when it crashes or does not exit with code 0
 )
 
 // process is a node or planner process and its restarts. mu guards the fields below it; the others are set before the
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// file returns the path of a file or directory of the process.
+// file returns the path of a file or directory of the process, which stays the same over restarts.
 func (p *process) file(name, extension string) string {
 	return filepath.Join(p.dir, fmt.Sprintf("%s%s-%d.%s", p.kind, name, p.number, extension))
 }
@@ -176,7 +176,7 @@
 	case <-time.After(maxStopTime):
 		c.Process.Kill()
 		<-exited
-		return fmt.Errorf("process still running %s after SIGTERM", maxStopTime)
+		return fmt.Errorf("process still running %s after the stop signal", maxStopTime)
 	}
 	if sig == syscall.SIGTERM && c.ProcessState.ExitCode() != 0 {
 		return fmt.Errorf("%s after SIGTERM: %s", c.ProcessState, p.logTail())
@@ -225,7 +225,7 @@
 		startCapacity = min(startCapacity, server.SlowStartCapacity)
 		slowStart = max(slowStart, server.SlowStartDuration)
 	}
-	rules := object{"askWithin": ms(s.Rules.AskWithin), "stopSendingWithin": ms(s.Rules.DrainGrace), "cold": ms(slowStart),
+	rules := object{"askWithin": ms(s.Rules.RequestEndpointsWithin), "stopSendingWithin": ms(s.Rules.DrainGrace), "cold": ms(slowStart),
 		"fallMultiple": s.Rules.OverloadFactor, "startCapacity": startCapacity}
 	if s.Rules.DrainClose > 0 {
 		rules["drainClose"] = ms(s.Rules.DrainClose)
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -118,12 +118,12 @@
 	return o.runningSince[endpoint.Node] <= since
 }
 
-// nodeDown records that a node's process exited. onPurpose exempts the requests that it held from the rule that each
-// request is answered.
-func (o *observer) nodeDown(n int, onPurpose bool) {
+// nodeDown records that a node's process exited or is being killed. exemptsRequests exempts the requests in flight at it
+// from the rule that each request is answered; a graceful shutdown does not.
+func (o *observer) nodeDown(n int, exemptsRequests bool) {
 	o.record(func(a *audit.Audit, now time.Duration) {
 		o.runningSince[n] = never
-		if onPurpose {
+		if exemptsRequests {
 			a.NodeDown(n, now)
 		}
 	})
@@ -182,7 +182,8 @@
 	o.record(func(a *audit.Audit, _ time.Duration) { a.ConnectionIdle(id, serverNumber, from, to) })
 }
 
-var conditions = map[string]audit.Condition{discovery.Serving: audit.Serving, discovery.Draining: audit.Draining, discovery.Deleted: audit.Removed}
+// discoveryConditions maps the phases of the discovery stand-in to conditions.
+var discoveryConditions = map[string]audit.Condition{discovery.Serving: audit.Serving, discovery.Draining: audit.Draining, discovery.Deleted: audit.Removed}
 
 // Announced records that discovery notified a node of a server's phase. Notifications of planners are ignored, because
 // nodes receive them only through the planner.
@@ -192,7 +193,7 @@
 	}
 	o.record(func(a *audit.Audit, _ time.Duration) {
 		if number, ok := o.servers[id]; ok {
-			a.NodeNotified(node, number, conditions[phase], startedAt, at.Sub(o.start))
+			a.NodeNotified(node, number, discoveryConditions[phase], startedAt, at.Sub(o.start))
 		}
 	})
 }
@@ -201,7 +202,8 @@
 // the registry stand-in.
 type discoveryObserver struct{ *observer }
 
-var incarnations = [...]audit.Condition{incarnation.Up: audit.Serving, incarnation.Draining: audit.Draining, incarnation.Gone: audit.Removed}
+// plannerConditions maps the conditions in notifications of planners to conditions of the audit.
+var plannerConditions = [...]audit.Condition{incarnation.Up: audit.Serving, incarnation.Draining: audit.Draining, incarnation.Gone: audit.Removed}
 
 // Planned records that a planner notified a node of servers' conditions.
 func (o *observer) Planned(forwarder string, entries []incarnation.Entry, at time.Time) {
@@ -212,7 +214,7 @@
 	o.record(func(a *audit.Audit, _ time.Duration) {
 		for _, entry := range entries {
 			if number, ok := o.servers[entry.ID]; ok {
-				a.NodeNotified(node, number, incarnations[entry.Condition], entry.StartedUnixMS, at.Sub(o.start))
+				a.NodeNotified(node, number, plannerConditions[entry.Condition], entry.StartedUnixMS, at.Sub(o.start))
 			}
 		}
 	})
--- a/internal/testbed/registry.go
+++ b/internal/testbed/registry.go
@@ -107,11 +107,13 @@
 		for _, c := range children {
 			if server, ok := o.servers[c.Name]; ok {
 				present[server] = true
+				// Each registration has a later creation transaction, which serves as the start time of the server.
 				a.NodeNotified(node, server, audit.Serving, c.Czxid, sentAt.Sub(o.start))
 			}
 		}
-		// If most servers disappear within massRemovalWindow, nodes attribute this to the registry: they keep using their
-		// last list, except for servers that are draining. So the audit discards these removals.
+		// If most servers, and at least 3, disappear within massRemovalWindow, nodes attribute this to the registry: they
+		// keep using their last list, except for servers that are draining. So the audit discards these removals, and
+		// earlier ones of servers that are still missing.
 		at := sentAt.Sub(o.start)
 		missing := o.missing[node]
 		if missing == nil {
@@ -188,8 +190,8 @@
 	env.after(f.For.Std(), session.End)
 }
 
-// flapSessions ends the registry sessions of a share of the servers, and opens new ones after a time. The servers keep
-// running and keep their start times.
+// flapSessions ends the registry sessions of the servers that a fault names or of a share of all, and opens new ones after a
+// time. The servers continue to run and register with the same start times. Servers that are draining are left out.
 func (env *environment) flapSessions(f *scenario.Fault, rng *rand.Rand) {
 	for _, m := range env.chosenServers(f, rng) {
 		unlessLeaving := func(do func()) {
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -170,25 +170,25 @@
 
 // Discovery configures the discovery stand-in.
 type Discovery struct {
-	Notice       Duration `toml:"notice"`        // time in which it detects an announced drain or exit
-	SilentNotice Duration `toml:"silent_notice"` // time in which it detects a crash
-	Add          Duration `toml:"add"`           // time in which it detects a start
-	Spread       Duration `toml:"spread"`        // time over which the notifications of a change are spread
-	LinesPerS    float64  `toml:"lines_per_s"`   // capacity; each entry of a response is one line
-	CallLines    float64  `toml:"call_lines"`    // cost of a call in addition to its entries, in lines
-	Timeout      Duration `toml:"timeout"`       // calls that would take longer are rejected
+	Notice         Duration `toml:"notice"`        // time in which it detects an announced drain or exit
+	SilentNotice   Duration `toml:"silent_notice"` // time in which it detects a crash
+	Add            Duration `toml:"add"`           // time in which it detects a start
+	Spread         Duration `toml:"spread"`        // time over which the notifications of a change are spread
+	LinesPerSecond float64  `toml:"lines_per_s"`   // capacity; each entry of a response is one line
+	CallLines      float64  `toml:"call_lines"`    // cost of a call in addition to its entries, in lines
+	Timeout        Duration `toml:"timeout"`       // calls that would take longer are rejected
 }
 
 // Rules configures the limits that the audit checks and nodes comply with.
 type Rules struct {
-	DrainGrace     Duration `toml:"drain_grace"`   // time after the notification of a drain or removal in which attempts may still be sent
-	DrainClose     Duration `toml:"drain_close"`   // time within which idle connections to a draining server must be closed; 0: no limit
-	OverloadFactor float64  `toml:"fall_multiple"` // multiple of its current capacity at which a server in slow start is overloaded
-	OverloadWindow Duration `toml:"fall_window"`   // over which its load is measured
-	MaxAttempts    int      `toml:"most_hops"`     // of a try of a client
-	AskWithin      Duration `toml:"ask_within"`    // bounds the pause between a node's requests for the endpoint list
-	AllowsHedging  bool     `toml:"copies"`        // hedged requests are allowed
-	Slack          Duration `toml:"slack"`         // added to each time limit but Type.KeyRetention, to allow for scheduling delays
+	DrainGrace             Duration `toml:"drain_grace"`   // time after the notification of a drain or removal in which attempts may still be sent
+	DrainClose             Duration `toml:"drain_close"`   // time within which idle connections to a draining server must be closed; 0: no limit
+	OverloadFactor         float64  `toml:"fall_multiple"` // multiple of its current capacity at which a server in slow start is overloaded
+	OverloadWindow         Duration `toml:"fall_window"`   // over which its load is measured
+	MaxAttempts            int      `toml:"most_hops"`     // of a try of a client
+	RequestEndpointsWithin Duration `toml:"ask_within"`    // bounds the pause between a node's requests for the endpoint list
+	AllowsHedging          bool     `toml:"copies"`        // hedged requests are allowed
+	Slack                  Duration `toml:"slack"`         // added to each time limit but Type.KeyRetention, to allow for scheduling delays
 }
 
 // Fault is a fault that is applied at a given time. FaultKinds defines the meaning of Size and Share for each kind.
