--- a/internal/testbed/audit/events.go
+++ b/internal/testbed/audit/events.go
@@ -27,11 +27,11 @@
 	hasExtra     bool // the client received bytes after the answer
 	isFromClient bool // Sending was reported by a client
 	attempts     []attempt
-	idle         []idle
+	idle         []idlePeriod
 }
 
-// idle is a period in which a connection to a server was unused after a request.
-type idle struct {
+// idlePeriod is a period in which a connection to a server was unused after a request.
+type idlePeriod struct {
 	server int
 	from   time.Duration
 	to     time.Duration
@@ -116,7 +116,7 @@
 // or the next request arrived.
 func (a *Audit) ConnectionIdle(id uint64, server int, from, to time.Duration) {
 	r := a.request(id)
-	r.idle = append(r.idle, idle{server: server, from: from, to: to})
+	r.idle = append(r.idle, idlePeriod{server: server, from: from, to: to})
 }
 
 // UnknownRequest reports that a server received a request that no client sent.
--- a/internal/testbed/badclients.go
+++ b/internal/testbed/badclients.go
@@ -99,7 +99,6 @@
 	}
 }
 
-// isTimeout reports whether an error is a network timeout.
 func isTimeout(err error) bool {
 	netErr, ok := err.(net.Error)
 	return ok && netErr.Timeout()
--- a/internal/testbed/build.go
+++ b/internal/testbed/build.go
@@ -100,7 +100,7 @@
 // serveDiscovery makes discovery listen on its current addresses, one for each node and planner.
 func (env *environment) serveDiscovery() error {
 	for n := range env.Scenario.Nodes.Count + env.Scenario.Planners.Count {
-		if err := env.discovery.Serve(n, n%len(env.Scenario.Sites), env.discoveryAddress(n, env.addresses)); err != nil {
+		if err := env.discovery.Serve(n, n%len(env.Scenario.Sites), env.discoveryAddress(n, env.discoveryMoves)); err != nil {
 			return err
 		}
 	}
@@ -187,7 +187,7 @@
 	if env.Scenario.Lists.Start == "known" {
 		endpointList = env.discovery.List(n % len(env.Scenario.Sites))
 	}
-	return env.nodes[n].writeConfig(env.Scenario, env.nodeAddress(n), env.discoveryAddress(n, env.addresses), seed, endpointList)
+	return env.nodes[n].writeConfig(env.Scenario, env.nodeAddress(n), env.discoveryAddress(n, env.discoveryMoves), seed, endpointList)
 }
 
 // startNode starts a node with its current configuration and waits until the connection balancer routes to it. If the
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -85,8 +85,8 @@
 	planners  []*process
 
 	discovery      *discovery.Service
-	mu             sync.Mutex               // guards addresses and serializes writes of node configurations
-	addresses      int                      // number of moves of discovery to new addresses
+	mu             sync.Mutex               // guards discoveryMoves and serializes writes of node configurations
+	discoveryMoves int                      // number of moves of discovery to new addresses
 	registry       *zookeeper.Registry      // nil: nodes get the endpoint list from discovery
 	ensemble       []*zookeeper.Server      // servers of the registry, one for each address
 	plannerProxies [][2]*plannerproxy.Proxy // by planner and half of the nodes
--- a/internal/testbed/faultdiscovery.go
+++ b/internal/testbed/faultdiscovery.go
@@ -19,7 +19,7 @@
 	"discovery-move": func(env *environment, _ context.Context, _ *scenario.Fault, _ *rand.Rand) {
 		env.mu.Lock()
 		env.discovery.Move()
-		env.addresses++
+		env.discoveryMoves++
 		err := env.serveDiscovery()
 		env.mu.Unlock()
 		for n, p := range env.nodes {
--- a/internal/testbed/load/draw.go
+++ b/internal/testbed/load/draw.go
@@ -42,8 +42,8 @@
 	keys         zipf
 }
 
-// newAttributeDraws returns a drawer for a scenario, at the start of its streams.
-func newAttributeDraws(s *scenario.Scenario) *attributeDrawer {
+// newAttributeDrawer returns a drawer for a scenario, at the start of its streams.
+func newAttributeDrawer(s *scenario.Scenario) *attributeDrawer {
 	return &attributeDrawer{
 		types:        stream(s, typeStream),
 		tenants:      stream(s, tenantStream),
--- a/internal/testbed/load/pool.go
+++ b/internal/testbed/load/pool.go
@@ -110,7 +110,6 @@
 	}
 }
 
-// close closes all idle connections.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/load/result.go
+++ b/internal/testbed/load/result.go
@@ -29,7 +29,7 @@
 	NoAnswer                         // not answered before the client's timeout
 	Unreached                        // not sent, because no node could be reached
 	DisconnectedEarly                // the client disconnected; the request has no revenue
-	outcomes
+	outcomeCount
 )
 
 // Point is one bin of a time series. Requests belong to the bin of their scheduled time.
@@ -48,7 +48,7 @@
 	shift    time.Duration
 	started  int // requests whose first try has ended
 
-	Outcomes       [outcomes]int
+	Outcomes       [outcomeCount]int
 	Tries          int
 	Rejections     int // rejected tries
 	OfferedRevenue float64
--- a/internal/testbed/load/schedule.go
+++ b/internal/testbed/load/schedule.go
@@ -22,7 +22,7 @@
 // Plan draws the schedule of a scenario. It is deterministic: the same scenario always gives the same schedule.
 func Plan(s *scenario.Scenario) []Request {
 	requests := drawArrivals(s)
-	attributes := newAttributeDraws(s)
+	attributes := newAttributeDrawer(s)
 	for i := range requests {
 		attributes.draw(s, &requests[i])
 	}
--- a/internal/testbed/load/trace.go
+++ b/internal/testbed/load/trace.go
@@ -90,7 +90,6 @@
 	return requests, nil
 }
 
-// fromMS converts milliseconds to a duration.
 func fromMS(ms float64) time.Duration {
 	return time.Duration(math.Round(ms * float64(time.Millisecond)))
 }
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -23,11 +23,11 @@
 // process is a node or planner process and its restarts. mu guards the fields below it; the others are set before the
 // first start.
 type process struct {
-	kind    string // prefix of file names; "" for a node
-	number  int
-	command []string
-	env     []string
-	dir     string
+	filePrefix string // of the names of its files; "" for a node
+	number     int
+	command    []string
+	env        []string
+	dir        string
 
 	mu            sync.Mutex
 	cmd           *exec.Cmd
@@ -132,7 +132,7 @@
 
 // file returns the path of a file or directory of the process, which stays the same over restarts.
 func (p *process) file(name, extension string) string {
-	return filepath.Join(p.dir, fmt.Sprintf("%s%s-%d.%s", p.kind, name, p.number, extension))
+	return filepath.Join(p.dir, fmt.Sprintf("%s%s-%d.%s", p.filePrefix, name, p.number, extension))
 }
 
 func (p *process) logPath() string            { return p.file("node", "log") }
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -25,7 +25,7 @@
 	audit        *audit.Audit
 	servers      map[string]int                // server numbers by ID
 	lastListed   map[int]map[int]bool          // by node: servers in the last list that the registry sent to it
-	missing      map[int]map[int]time.Duration // by node: when servers disappeared from that list
+	missingSince map[int]map[int]time.Duration // by node: when servers disappeared from that list
 	drained      map[[2]int]bool               // by node and server: the registry notified the node of a drain
 	runningSince []time.Duration               // by node: time of its last start; never while it is down
 }
@@ -41,7 +41,7 @@
 		audit:        audit.New(auditSettings(s)),
 		servers:      map[string]int{},
 		lastListed:   map[int]map[int]bool{},
-		missing:      map[int]map[int]time.Duration{},
+		missingSince: map[int]map[int]time.Duration{},
 		drained:      map[[2]int]bool{},
 		runningSince: make([]time.Duration, s.Nodes.Count),
 	}
@@ -129,17 +129,14 @@
 	})
 }
 
-// nodePaused records that a node's process was paused.
 func (o *observer) nodePaused(n int) {
 	o.record(func(a *audit.Audit, now time.Duration) { a.NodePaused(n, now) })
 }
 
-// nodeResumed records that a paused node was resumed.
 func (o *observer) nodeResumed(n int) {
 	o.record(func(a *audit.Audit, now time.Duration) { a.NodeUp(n, now) })
 }
 
-// nodeUp records that a node's process was started.
 func (o *observer) nodeUp(n int) {
 	o.record(func(a *audit.Audit, now time.Duration) {
 		o.runningSince[n] = now
--- a/internal/testbed/planner.go
+++ b/internal/testbed/planner.go
@@ -43,7 +43,7 @@
 			addresses[half] = append(addresses[half], fmt.Sprintf("%q", proxy.Address()))
 		}
 		env.plannerProxies = append(env.plannerProxies, halves)
-		p := &process{kind: "planner-", number: n, command: env.Planner, env: env.Env, dir: env.Directory}
+		p := &process{filePrefix: "planner-", number: n, command: env.Planner, env: env.Env, dir: env.Directory}
 		env.planners = append(env.planners, p)
 		text := fmt.Sprintf("name = \"p%d\"\nlisten = %q\ndiscovery = %q\nevery = %q\nplaintext = true\n",
 			n, env.plannerAddress(n), env.discoveryAddress(s.Nodes.Count+n, 0), s.Planners.Interval.Std())
@@ -63,7 +63,6 @@
 	return nil
 }
 
-// startPlanner starts a planner with its configuration.
 func (env *environment) startPlanner(n int) error {
 	return env.planners[n].start(env.processes, func(reason string) {
 		env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, "planner: "+reason) })
@@ -110,7 +109,6 @@
 	}
 }
 
-// killPlanner kills a planner's process.
 func killPlanner(env *environment, _ *scenario.Fault, n int) { env.planners[n].stop(syscall.SIGKILL) }
 
 // restartPlanner starts a planner again after killPlanner.
--- a/internal/testbed/registry.go
+++ b/internal/testbed/registry.go
@@ -115,10 +115,10 @@
 		// keep using their last list, except for servers that are draining. So the audit discards these removals, and
 		// earlier ones of servers that are still missing.
 		at := sentAt.Sub(o.start)
-		missing := o.missing[node]
+		missing := o.missingSince[node]
 		if missing == nil {
 			missing = map[int]time.Duration{}
-			o.missing[node] = missing
+			o.missingSince[node] = missing
 		}
 		for server := range o.lastListed[node] {
 			if !present[server] {
--- a/internal/testbed/soak/node.go
+++ b/internal/testbed/soak/node.go
@@ -122,7 +122,6 @@
 	}
 }
 
-// signal sends a signal to the process.
 func (n *node) signal(s syscall.Signal) { n.cmd.Process.Signal(s) }
 
 // kill kills the process if it is running, and waits until it has exited.
