--- a/internal/testbed/build.go
+++ b/internal/testbed/build.go
@@ -19,7 +19,7 @@
 	"fernvane/internal/testbed/standin/server"
 )
 
-// setUp starts servers, discovery, planners and nodes, and returns when the connection balancer routes to all nodes.
+// setUp starts the stand-ins and planners, then the nodes, and returns when the connection balancer routes to all nodes.
 func (env *environment) setUp(ctx context.Context) error {
 	var err error
 	if env.network, err = loopback.Reserve(); err != nil {
@@ -27,7 +27,7 @@
 	}
 	s := env.Scenario
 	env.observer = newObserver(s, env.Requests, env.start)
-	env.discovery = discovery.New(discovery.Settings{LinesPerSecond: s.Discovery.LinesPerS, CallLines: s.Discovery.CallLines,
+	env.discovery = discovery.New(discovery.Settings{LinesPerSecond: s.Discovery.LinesPerSecond, CallLines: s.Discovery.CallLines,
 		Timeout: s.Discovery.Timeout.Std(), Spread: s.Discovery.Spread.Std()}, s.Seed, discoveryObserver{env.observer})
 	for i := range s.Servers {
 		for n := range s.Servers[i].Count {
@@ -100,7 +100,7 @@
 // serveDiscovery makes discovery listen on its current addresses, one for each node and planner.
 func (env *environment) serveDiscovery() error {
 	for n := range env.Scenario.Nodes.Count + env.Scenario.Planners.Count {
-		if err := env.discovery.Serve(n, n%len(env.Scenario.Sites), env.discoveryAddress(n, env.addresses)); err != nil {
+		if err := env.discovery.Serve(n, n%len(env.Scenario.Sites), env.discoveryAddress(n, env.discoveryMoves)); err != nil {
 			return err
 		}
 	}
@@ -187,10 +187,12 @@
 	if env.Scenario.Lists.Start == "known" {
 		endpointList = env.discovery.List(n % len(env.Scenario.Sites))
 	}
-	return env.nodes[n].writeConfig(env.Scenario, env.nodeAddress(n), env.discoveryAddress(n, env.addresses), seed, endpointList)
+	return env.nodes[n].writeConfig(env.Scenario, env.nodeAddress(n), env.discoveryAddress(n, env.discoveryMoves), seed, endpointList)
 }
 
-// startNode starts a node with its current configuration and waits until the connection balancer routes to it.
+// startNode starts a node with its current configuration and waits until the connection balancer routes to it. If the
+// process exits without being stopped, also after startNode has returned, the audit is notified of a crash and the balancer
+// removes the node.
 func (env *environment) startNode(ctx context.Context, n int) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -198,7 +200,7 @@
 		return err
 	}
 	err := env.nodes[n].start(env.processes, func(reason string) {
-		cancel(fmt.Errorf("node %d has ended: %s", n, reason))
+		cancel(fmt.Errorf("node %d exited: %s", n, reason))
 		env.observer.record(func(a *audit.Audit, _ time.Duration) { a.Crashed(n, reason) })
 		env.observer.nodeDown(n, true)
 		env.balancer.NodeEnded(n, env.Scenario.Nodes.CrashNotice.Std())
--- a/internal/testbed/load/result.go
+++ b/internal/testbed/load/result.go
@@ -29,7 +29,7 @@
 	NoAnswer                         // not answered before the client's timeout
 	Unreached                        // not sent, because no node could be reached
 	DisconnectedEarly                // the client disconnected; the request has no revenue
-	outcomes
+	outcomeCount
 )
 
 // Point is one bin of a time series. Requests belong to the bin of their scheduled time.
@@ -46,9 +46,9 @@
 	mu       sync.Mutex // guards all but scenario and shift during the run
 	scenario *scenario.Scenario
 	shift    time.Duration
-	started  int // requests with at least one try
+	started  int // requests whose first try has ended
 
-	Outcomes       [outcomes]int
+	Outcomes       [outcomeCount]int
 	Tries          int
 	Rejections     int // rejected tries
 	OfferedRevenue float64
@@ -86,7 +86,7 @@
 	return r
 }
 
-// startedCount returns the number of requests with at least one try.
+// startedCount returns the number of requests whose first try has ended.
 func (r *Result) startedCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
