--- a/internal/testbed/standin/connbalancer/balancer.go
+++ b/internal/testbed/standin/connbalancer/balancer.go
@@ -54,7 +54,8 @@
 	return load.Endpoint{}, false
 }
 
-// Started probes a node that was started until it serves, and assigns connections to it from then on.
+// NodeStarted probes a node that was started until it serves, and assigns connections to it from then on. It has no effect if the
+// node is started again meanwhile.
 func (b *Balancer) NodeStarted(ctx context.Context, n int) error {
 	b.mu.Lock()
 	b.generation[n]++
@@ -77,8 +78,8 @@
 	}
 }
 
-// Ended reports that a node has ended or is about to end. After the notice, no connections are assigned to it until it is
-// started again.
+// NodeEnded reports that a node has ended or is about to end. After the notice, a time, no connections are assigned to it until it
+// is started again.
 func (b *Balancer) NodeEnded(n int, notice time.Duration) {
 	b.mu.Lock()
 	generation := b.generation[n]
--- a/internal/testbed/standin/discovery/discovery.go
+++ b/internal/testbed/standin/discovery/discovery.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	watchGap  = 200 * time.Millisecond // maximum time between calls of the same watch
+	watchGap  = 200 * time.Millisecond // a watch call within this time after the previous response continues its watch
 	maxIdle   = 30 * time.Second
 	maxWait   = 60 * time.Second
 	moveGrace = 1500 * time.Millisecond // from a move until the old address closes its connections
 )
 
-// Phase of an entry, as on the wire.
+// Phases of an entry, as on the wire.
 const (
 	Serving  = "SERVING"
 	Draining = "DRAINING"
@@ -44,9 +44,9 @@
 
 // Settings are the settings of the service.
 type Settings struct {
-	LinesPerSecond float64
-	CallLines      float64 // cost of a call in addition to its entries, in lines
-	Timeout        time.Duration
+	LinesPerSecond float64       // capacity; the cost of a call is one line for each of its entries
+	CallLines      float64       // cost of a call in addition to its entries, in lines
+	Timeout        time.Duration // a call that would wait longer for capacity is rejected
 	Spread         time.Duration // interval over which the notifications of a change are spread at random
 }
 
@@ -139,7 +139,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Down makes the service unreachable, which ends all connections, or reachable again.
+// SetDown makes the service unreachable, which ends all connections, or reachable again, except at retired addresses.
 func (s *Service) SetDown(isDown bool) {
 	s.mu.Lock()
 	s.isDown = isDown
@@ -154,7 +154,8 @@
 	}
 }
 
-// Use returns the number of calls, their cost in lines, and the number of rejected calls.
+// Usage returns the number of calls including rejected ones, the cost in lines of those that were not rejected, and the number of
+// rejected calls.
 func (s *Service) Usage() (calls int, lines float64, rejected int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -255,7 +256,7 @@
 }
 
 // await waits for a change after a revision, and then for a random part of Spread, or until the wait is over. It returns false
-// if the connection is closed or has further input.
+// if, at a change, the connection is closed or has further input.
 func (s *Service) await(c *http1.Conn, after uint64, wait time.Duration) bool {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
@@ -283,7 +284,8 @@
 }
 
 // queue delays a call by the service's capacity. It returns false if the call is rejected because it would wait too long or the
-// service is down or has moved.
+// service is down or has moved. continues means that the call continues a watch: it costs only its entries, and a retired address
+// accepts it.
 func (s *Service) queue(p *endpoint, after uint64, isWatch, continues bool) bool {
 	s.mu.Lock()
 	cost := 0.0
--- a/internal/testbed/standin/discovery/discovery_test.go
+++ b/internal/testbed/standin/discovery/discovery_test.go
@@ -92,13 +92,13 @@
 			got += fmt.Sprintf(" %s%d", h.ID, h.Condition)
 		}
 		if err != nil || status != 200 || got != step.want {
-			t.Errorf("call %q: got status %d, list %q, error %v", step.query, status, got, err)
+			t.Errorf("call %q: got status %d, list %q, error %v, want status 200", step.query, status, got, err)
 		}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if got := strings.Join(w.all, " "); !strings.Contains(got, "7aDRAINING 7aDELETED") {
-		t.Errorf("got announcements %s", got)
+		t.Errorf("got announcements %s, want 7aDRAINING 7aDELETED among them", got)
 	}
 }
 
@@ -132,7 +132,7 @@
 			if c.isRefused {
 				s.SetDown(false)
 				if l, status, err := call(dial(t, s), ""); err != nil || status != 200 || len(l.Endpoints) != 1 {
-					t.Errorf("after the failure: got status %d, error %v", status, err)
+					t.Errorf("after the failure: got status %d, error %v, want status 200 and one endpoint", status, err)
 				}
 			}
 		})
--- a/internal/testbed/standin/faultproxy/proxy.go
+++ b/internal/testbed/standin/faultproxy/proxy.go
@@ -105,7 +105,7 @@
 	return p.garble[d] == 0
 }
 
-// Break closes all connections; new ones are forwarded as before.
+// CloseConnections closes all connections; new ones are forwarded as before.
 func (p *Proxy) CloseConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,7 +121,7 @@
 	return p.bytes[d]
 }
 
-// addConn registers a connection for Break and Close; after Close it closes it and returns false.
+// addConn registers a connection for CloseConnections and Close. After Close it closes the connection and returns false.
 func (p *Proxy) addConn(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -181,7 +181,7 @@
 	}
 }
 
-// process counts a piece, corrupts it if asked for, and returns a channel that is closed when the piece may be forwarded.
+// process counts a piece, corrupts one byte of it if Garble asked for that, and returns a channel that is closed when the piece may be forwarded.
 func (p *Proxy) process(d Direction, piece []byte) <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/standin/faultproxy/proxy_test.go
+++ b/internal/testbed/standin/faultproxy/proxy_test.go
@@ -35,7 +35,7 @@
 	return listener.Addr().String()
 }
 
-// TestFaults checks the effect of each fault on a byte, and that Break closes connections.
+// TestFaults checks the effect of each fault on a byte, and that CloseConnections closes connections.
 func TestFaults(t *testing.T) {
 	for name, test := range map[string]struct {
 		begin  func(*Proxy)
@@ -83,7 +83,7 @@
 			}
 			c.CloseConnections()
 			if _, err := ask(10 * time.Second); err == nil || os.IsTimeout(err) {
-				t.Errorf("after Break: got error %v, want a closed connection", err)
+				t.Errorf("after CloseConnections: got error %v, want a closed connection", err)
 			}
 		})
 	}
--- a/internal/testbed/standin/link/link.go
+++ b/internal/testbed/standin/link/link.go
@@ -144,13 +144,13 @@
 	l.silent = make(chan struct{})
 	l.ln.SetDeadline(time.Unix(1, 0))
 	l.backlog(0)
-	for refused := 0; refused < fullAfterFailures && len(l.backlogFillers) < maxFillers; {
+	for failures := 0; failures < fullAfterFailures && len(l.backlogFillers) < maxFillers; {
 		c, err := net.DialTimeout("tcp", l.address, fillTimeout)
 		if err != nil {
-			refused++
+			failures++
 			continue
 		}
-		refused = 0
+		failures = 0
 		l.backlogFillers = append(l.backlogFillers, c)
 	}
 }
--- a/internal/testbed/standin/memdisk/memdisk.go
+++ b/internal/testbed/standin/memdisk/memdisk.go
@@ -18,10 +18,11 @@
 	"fernvane/internal/journal/wal"
 )
 
-// Fault is the fault of one operation on the disk.
+// Fault is the fault of one operation on the disk: a write, sync, rename or creation.
 type Fault uint8
 
-// Faults of operations.
+// Faults of operations. Short and WrittenButFailed differ from Full only for writes: each fault of another operation is an error
+// without effect.
 const (
 	None             Fault = iota // no fault
 	Short                         // half of the data is written, and the count says so
@@ -39,7 +40,7 @@
 	files      map[string]*file
 	operations int // writes, syncs, renames and creations so far
 	isCrashed  bool
-	// Meet returns the fault of the n-th operation, from 1. It is called under the disk's lock.
+	// FaultOf returns the fault of the n-th operation, from 1. It is called under the disk's lock.
 	FaultOf func(n int) Fault
 }
 
@@ -64,7 +65,7 @@
 	return d.operations
 }
 
-// Fill makes all operations fail from now on, or succeed again.
+// Fill makes all operations fail from now on, or succeed again. It replaces FaultOf.
 func (d *Disk) Fill(isFull bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// Rename renames a file. The new name is synced by SyncDir; until then a crash brings the old one back.
+// Rename renames a file. The new name is synced by SyncDir; until then a crash restores the old name if that was synced.
 func (d *Disk) Rename(path, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -199,7 +200,7 @@
 
 // Crash crashes and restarts the machine: a random part of unsynced content is lost, and files whose name was never synced
 // are lost altogether.
-func (d *Disk) Crash(chance *rand.Rand) {
+func (d *Disk) Crash(random *rand.Rand) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.isCrashed = false
@@ -211,13 +212,13 @@
 			}
 			d.files[f.syncedName], f.isNameSynced, f.syncedName = f, true, ""
 		}
-		f.content = f.content[:f.synced+chance.IntN(len(f.content)-f.synced+1)]
+		f.content = f.content[:f.synced+random.IntN(len(f.content)-f.synced+1)]
 		f.synced = len(f.content)
 	}
 }
 
-// Flip flips n random bits.
-func (d *Disk) Flip(chance *rand.Rand, n int) {
+// Flip flips n random bits of the files' contents.
+func (d *Disk) Flip(random *rand.Rand, n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var all []*file
@@ -229,8 +230,8 @@
 	slices.SortFunc(all, func(a, b *file) int { return len(a.content) - len(b.content) })
 	for range n {
 		if len(all) > 0 {
-			f := all[chance.IntN(len(all))]
-			f.content[chance.IntN(len(f.content))] ^= 1 << chance.IntN(8)
+			f := all[random.IntN(len(all))]
+			f.content[random.IntN(len(f.content))] ^= 1 << random.IntN(8)
 		}
 	}
 }
--- a/internal/testbed/standin/plannerproxy/proxy.go
+++ b/internal/testbed/standin/plannerproxy/proxy.go
@@ -17,7 +17,7 @@
 
 // Watcher is notified of entries that planners send to nodes. It is called from many goroutines.
 type Watcher interface {
-	// Planned reports the entries of a change that was written completely to the node of that name.
+	// Planned reports the entries of a change that was written completely to a node, which is given by its name.
 	Planned(node string, entries []incarnation.Entry, at time.Time)
 }
 
@@ -102,7 +102,7 @@
 	return p.bytes
 }
 
-// addConn registers a connection for Close; after Close it closes it and returns false.
+// addConn registers a connection for Close. After Close it closes the connection and returns false.
 func (p *Proxy) addConn(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/standin/server/model.go
+++ b/internal/testbed/standin/server/model.go
@@ -18,8 +18,8 @@
 	ColdFor        time.Duration
 	KeyGain        float64 // share of work that is saved for a cached key
 	KeyFor         time.Duration
-	Keys           int // maximum number of cached keys
-	DropsExpired   bool
+	Keys           int     // maximum number of cached keys
+	DropsExpired   bool    // a request whose deadline passed in the queue is not executed
 	OverloadFactor float64 // multiple of its present capacity that overloads a cold server; 0: no load does
 	OverloadWindow time.Duration
 	Handshake      time.Duration // additional work of the first request on a connection
@@ -30,7 +30,7 @@
 // Work is a request at a server.
 type Work struct {
 	ID       uint64
-	Work     time.Duration
+	Work     time.Duration // on a core of speed 1
 	Key      int           // 0: none
 	Deadline time.Duration // when the sender stops waiting
 }
@@ -106,7 +106,8 @@
 // InFlight returns how many requests wait and run.
 func (m *Model) InFlight() (waiting, working int) { return len(m.queue), len(m.cores) }
 
-// capacity returns the server's present share of its full capacity and ends slow start when it is over.
+// capacity returns the server's present share of its full capacity, which grows linearly during slow start, and ends slow start
+// after ColdFor.
 func (m *Model) capacity(now time.Duration) float64 {
 	if !m.isCold || m.settings.ColdFor <= 0 {
 		return 1
@@ -119,7 +120,7 @@
 	return m.settings.ColdShare + (1-m.settings.ColdShare)*max(age, 0)
 }
 
-// Offer offers a request that was received completely. One that overloads a cold server crashes it.
+// Offer offers a request that was received completely. A request that overloads a cold server crashes it.
 func (m *Model) Offer(now time.Duration, work Work, report func(Event)) Admission {
 	m.Advance(now, report)
 	if !m.isRunning {
--- a/internal/testbed/standin/server/peer.go
+++ b/internal/testbed/standin/server/peer.go
@@ -18,10 +18,10 @@
 	encode(message.Answer) []byte
 	// garbled returns one of several malformed forms of a response, chosen by request ID.
 	garbled(id uint64, a message.Answer) []byte
-	raw([]byte)
-	// disconnected waits until the caller disconnects or aborts and reports whether it did before the time set by peek.
+	writeRaw([]byte)
+	// disconnected waits until the caller disconnects or aborts and reports whether it did before the read deadline.
 	disconnected() bool
-	peek(until time.Time)
+	setReadDeadline(time.Time)
 	reset()
 }
 
@@ -30,11 +30,11 @@
 	c  *http1.Conn
 }
 
-func (p httpPeer) encode(a message.Answer) []byte { return http1.AppendAnswer(nil, a) }
-func (p httpPeer) raw(b []byte)                   { p.c.Write(b) }
-func (p httpPeer) peek(until time.Time)           { p.c.SetReadDeadline(until) }
-func (p httpPeer) disconnected() bool             { return p.c.WaitDisconnected() }
-func (p httpPeer) reset()                         { p.nc.Reset() }
+func (p httpPeer) encode(a message.Answer) []byte  { return http1.AppendAnswer(nil, a) }
+func (p httpPeer) writeRaw(b []byte)               { p.c.Write(b) }
+func (p httpPeer) setReadDeadline(until time.Time) { p.c.SetReadDeadline(until) }
+func (p httpPeer) disconnected() bool              { return p.c.WaitDisconnected() }
+func (p httpPeer) reset()                          { p.nc.Reset() }
 
 func (p httpPeer) answer(a message.Answer) bool {
 	isComplete, _ := p.c.Send(p.encode(a))
@@ -59,11 +59,11 @@
 	c  *fastcgi.Request
 }
 
-func (p fastCGIPeer) encode(a message.Answer) []byte { return p.c.Append(nil, a) }
-func (p fastCGIPeer) raw(b []byte)                   { p.nc.Write(b) }
-func (p fastCGIPeer) peek(until time.Time)           { p.nc.SetReadDeadline(until) }
-func (p fastCGIPeer) reset()                         { p.nc.Reset() }
-func (p fastCGIPeer) answer(a message.Answer) bool   { return p.f.Answer(p.c, p.encode(a)) == nil }
+func (p fastCGIPeer) encode(a message.Answer) []byte  { return p.c.Append(nil, a) }
+func (p fastCGIPeer) writeRaw(b []byte)               { p.nc.Write(b) }
+func (p fastCGIPeer) setReadDeadline(until time.Time) { p.nc.SetReadDeadline(until) }
+func (p fastCGIPeer) reset()                          { p.nc.Reset() }
+func (p fastCGIPeer) answer(a message.Answer) bool    { return p.f.Answer(p.c, p.encode(a)) == nil }
 
 // disconnected treats any further input as the end of the request: an abort or a close.
 func (p fastCGIPeer) disconnected() bool {
@@ -91,8 +91,8 @@
 // fastCGIHandler limits the time to read each part of a request.
 type fastCGIHandler struct{ nc *link.Conn }
 
-func (k fastCGIHandler) AwaitReadable(bool) error {
-	return k.nc.SetReadDeadline(time.Now().Add(maxIdle))
+func (h fastCGIHandler) AwaitReadable(bool) error {
+	return h.nc.SetReadDeadline(time.Now().Add(maxIdle))
 }
 
 func (fastCGIHandler) RequestStarted(bool) connclose.Effect { return connclose.Admit }
@@ -100,7 +100,7 @@
 func (fastCGIHandler) RequestAborted()                      {}
 
 // serveFastCGI serves a FastCGI connection, one request at a time.
-func (s *Server) serveFastCGI(nc *link.Conn, way time.Duration, full bool) {
+func (s *Server) serveFastCGI(nc *link.Conn, latency time.Duration, full bool) {
 	f := fastcgi.NewClientConn(nc, nil)
 	defer f.AbandonRequests()
 	last := uint64(0) // ID of the last request on the connection
@@ -117,8 +117,8 @@
 			return
 		}
 		last = idOf(call.Request)
-		came := nc.Received().Sub(s.start)
-		if !s.serveRequest(p, call.Request, came, came, way, fresh, full) || full {
+		received := nc.Received().Sub(s.start)
+		if !s.serveRequest(p, call.Request, received, received, latency, fresh, full) || full {
 			return
 		}
 	}
--- a/internal/testbed/standin/server/request.go
+++ b/internal/testbed/standin/server/request.go
@@ -23,9 +23,9 @@
 		s.conns--
 		s.mu.Unlock()
 	}()
-	way := s.latency(site)
+	latency := s.latency(site)
 	if s.settings.FastCGI {
-		s.serveFastCGI(nc, way, full)
+		s.serveFastCGI(nc, latency, full)
 		return
 	}
 	c := http1.NewConn(nc)
@@ -41,13 +41,13 @@
 		}
 		first := nc.Received().Sub(s.start) // bytes that waited for the end of a silence arrived before it
 		if err := c.ReadRequest(&req); err != nil {
-			if bad, ok := err.(*http1.RequestError); ok {
-				c.Send(http1.AppendAnswer(nil, http1.Answer{Status: bad.Status, Close: true}))
+			if requestErr, ok := err.(*http1.RequestError); ok {
+				c.Send(http1.AppendAnswer(nil, http1.Answer{Status: requestErr.Status, Close: true}))
 			}
 			return
 		}
 		last = idOf(&req)
-		if !s.serveRequest(httpPeer{nc, c}, &req, first, nc.Received().Sub(s.start), way, fresh, full) || full {
+		if !s.serveRequest(httpPeer{nc, c}, &req, first, nc.Received().Sub(s.start), latency, fresh, full) || full {
 			return
 		}
 	}
@@ -69,9 +69,10 @@
 	}
 }
 
-// serveRequest serves a request and reports whether its connection can be used again. fresh means that the request is the first
-// on its connection, full that the server has too many connections.
-func (s *Server) serveRequest(p peer, req *message.Request, first, last, way time.Duration, fresh, full bool) bool {
+// serveRequest serves a request and reports whether its connection can be used again. first and last are the arrival times of its
+// first and last byte, latency is the one-way latency to the caller. fresh means that the request is the first on its connection,
+// full that the server has too many connections.
+func (s *Server) serveRequest(p peer, req *message.Request, first, last, latency time.Duration, fresh, full bool) bool {
 	text := string(req.Get(http1.RequestID))
 	if text == "" {
 		return p.answer(message.Answer{Status: 404, Body: []byte("no id")})
@@ -82,7 +83,7 @@
 	if err != nil || len(text) != 16 || !isKnown {
 		return p.answer(message.Answer{Status: 400, Body: []byte("nobody has sent this request")})
 	}
-	wait(way)
+	wait(latency)
 	s.mu.Lock()
 	faults, draining := s.faults, s.draining
 	s.mu.Unlock()
@@ -94,16 +95,16 @@
 	if full || draining || isHit(id, "refuse", faults.Reject) {
 		return s.reject(p, id, 503)
 	}
-	left, err := strconv.ParseFloat(string(req.Get(http1.RequestTimeout)), 64)
+	timeout, err := strconv.ParseFloat(string(req.Get(http1.RequestTimeout)), 64)
 	if err != nil {
-		left = 3600
+		timeout = 3600 // s: a caller that states no timeout is assumed to wait
 	}
 	work := info.Work
 	if fresh {
 		work += s.settings.Handshake
 	}
 	current := &attempt{id: id, ended: make(chan Step, 1)}
-	switch s.offer(current, Work{Work: work, Key: info.Key, Deadline: last + time.Duration(left*float64(time.Second))}) {
+	switch s.offer(current, Work{Work: work, Key: info.Key, Deadline: last + time.Duration(timeout*float64(time.Second))}) {
 	case Full:
 		return s.reject(p, id, 503)
 	case Down:
@@ -121,27 +122,28 @@
 		p.reset()
 		return false
 	}
-	wait(way)
+	wait(latency)
 	if !isReported {
 		s.watcher.AttemptEnded(id, s.Number, s.now(), false)
 	}
 	return s.reply(p, id, text, faults)
 }
 
-// offer offers an attempt to the model. If it overloads the server, the listeners stop.
-func (s *Server) offer(a *attempt, work Work) (verdict Admission) {
+// offer offers an attempt to the model. If the process does not run, it reports the end of the attempt; if the attempt overloads
+// the server, it stops the listeners as well.
+func (s *Server) offer(a *attempt, work Work) (admission Admission) {
 	isOverloaded := false
 	s.withLock(func(now time.Duration) {
 		s.lastAttempt++
 		s.attempts[s.lastAttempt] = a
 		work.ID = s.lastAttempt
-		verdict = s.model.Offer(now, work, s.handleEvent)
-		if verdict != Admitted {
+		admission = s.model.Offer(now, work, s.handleEvent)
+		if admission != Admitted {
 			delete(s.attempts, s.lastAttempt)
 		}
-		isOverloaded = verdict == Down && s.model.IsOverloaded()
+		isOverloaded = admission == Down && s.model.IsOverloaded()
 	})
-	if verdict == Down {
+	if admission == Down {
 		s.watcher.AttemptEnded(a.id, s.Number, s.now(), false)
 	}
 	if isOverloaded {
@@ -150,7 +152,7 @@
 			l.Stop()
 		}
 	}
-	return verdict
+	return admission
 }
 
 // work waits until the execution of an attempt ends, even if the caller disconnects. isDisconnected means that the caller did,
@@ -164,7 +166,7 @@
 		}
 	}()
 	last = <-a.ended
-	p.peek(time.Unix(1, 0))
+	p.setReadDeadline(time.Unix(1, 0)) // ends the call of disconnected
 	<-watched
 	return last, isDisconnected
 }
@@ -176,7 +178,8 @@
 	}
 }
 
-// isHit decides by the ID of a request whether a fault hits it, with the same result in each run.
+// isHit decides by the ID of a request whether a fault that hits a given share of requests hits it, with the same result in each
+// run.
 func isHit(id uint64, fault string, share float64) bool {
 	if share <= 0 {
 		return false
@@ -201,11 +204,11 @@
 	switch {
 	case isHit(id, "cut-within", f.CutWithin):
 		encoded := p.encode(a)
-		p.raw(encoded[:len(encoded)/2])
+		p.writeRaw(encoded[:len(encoded)/2])
 		return false
 	case isHit(id, "spoil", f.GarbleResponse):
-		p.raw(p.garbled(id, a))
-		p.peek(time.Now().Add(maxIdle)) // the connection stays open but is not used again
+		p.writeRaw(p.garbled(id, a))
+		p.setReadDeadline(time.Now().Add(maxIdle)) // the connection stays open but is not used again
 		p.disconnected()
 		return false
 	}
--- a/internal/testbed/standin/server/server.go
+++ b/internal/testbed/standin/server/server.go
@@ -15,8 +15,8 @@
 
 // RequestInfo is the part of a request that the message does not carry.
 type RequestInfo struct {
-	Work time.Duration
-	Key  int
+	Work time.Duration // on a core of speed 1
+	Key  int           // whose work is less while the server has it cached; 0: none
 }
 
 // Watcher is notified of requests at servers. Its methods are called from many goroutines; times count from the common start;
@@ -47,12 +47,12 @@
 
 // Faults are the shares of requests that faults hit. The request ID decides which ones.
 type Faults struct {
-	CutBefore      float64
-	CutWithin      float64
-	CutAfter       float64
-	Reject         float64
-	ErrorResponse  float64
-	GarbleResponse float64
+	CutBefore      float64 // connection reset before execution
+	CutWithin      float64 // connection closed in the middle of the response
+	CutAfter       float64 // connection closed after the response
+	Reject         float64 // status 503 before execution
+	ErrorResponse  float64 // status 500 after execution
+	GarbleResponse float64 // malformed response
 }
 
 // Server responds to requests by its Model. It has a listener for each site of callers, so that sites can be cut off. Its
@@ -67,8 +67,8 @@
 
 	mu             sync.Mutex
 	model          *Model
-	attempts       map[uint64]*attempt
-	lastAttempt    uint64
+	attempts       map[uint64]*attempt // by ID at the model
+	lastAttempt    uint64              // ID of the last attempt at the model
 	timer          *time.Timer
 	conns          int
 	faults         Faults
@@ -148,17 +148,17 @@
 	attempt.ended <- e.Step
 }
 
-// Model calls f with the model under the lock.
+// Model calls f with the model under the lock. f passes report to methods of the model.
 func (s *Server) Model(f func(m *Model, now time.Duration, report func(Event))) {
 	s.withLock(func(now time.Duration) { f(s.model, now, s.handleEvent) })
 }
 
-// Set changes the faults of later requests.
+// ChangeFaults changes the faults of later requests.
 func (s *Server) ChangeFaults(change func(*Faults)) {
 	s.withLock(func(time.Duration) { change(&s.faults) })
 }
 
-// Drain makes the server reject new requests, or accept them again.
+// SetDraining makes the server reject new requests, or accept them again.
 func (s *Server) SetDraining(isDraining bool) {
 	s.withLock(func(time.Duration) { s.draining = isDraining })
 }
@@ -179,8 +179,8 @@
 	s.withLock(func(now time.Duration) { s.model.Crash(now, s.handleEvent) })
 }
 
-// Start starts the process again, in slow start, and resets connections from before. ok is false if the model does not
-// start.
+// Start starts the process again, in slow start, and resets connections from before. ok is false if the process runs or was
+// overloaded.
 func (s *Server) Start() (ok bool, err error) {
 	for _, l := range s.listeners {
 		l.Stop()
@@ -197,13 +197,13 @@
 	return true, nil
 }
 
-// Hush cuts the server off from the callers of a site.
+// CutOff cuts the server off from the callers of a site: their connections stay open and carry nothing, and new ones do not open.
 func (s *Server) CutOff(site int) { s.listeners[site].Silence() }
 
-// Speak ends the cut that Hush began.
+// EndCutOff ends the cut that CutOff began.
 func (s *Server) EndCutOff(site int) { s.listeners[site].EndSilence() }
 
-// Stop pauses the whole process, whose connections stay open and send nothing, or resumes it.
+// SetPaused pauses the whole process, whose connections stay open and send nothing, or resumes it.
 func (s *Server) SetPaused(isPaused bool) {
 	s.Model(func(m *Model, now time.Duration, report func(Event)) {
 		if isPaused {
--- a/internal/testbed/standin/server/server_test.go
+++ b/internal/testbed/standin/server/server_test.go
@@ -72,7 +72,7 @@
 	fmt.Fprintf(c, "GET /x HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Timeout: 1.000\r\n\r\n", id)
 }
 
-const good = "0000000000000100"
+const knownID = "0000000000000100"
 
 // TestRequests checks the response of each kind of request and fault, and the reports to the watcher.
 func TestRequests(t *testing.T) {
@@ -91,24 +91,24 @@
 		want   func(*http1.Response, error) bool
 		report string
 	}{
-		"executed":         {nil, good, status(200, good+" b"), "attempt ran ended:false"},
+		"executed":         {nil, knownID, status(200, knownID+" b"), "attempt ran ended:false"},
 		"no id":            {nil, "", status(404, ""), ""},
 		"unknown id":       {nil, "0000000000000bad", status(400, ""), "attempt"},
 		"malformed id":     {nil, "soon", status(400, ""), "attempt"},
-		"draining":         {func(s *Server) { s.SetDraining(true) }, good, status(503, ""), "attempt ended:true"},
-		"rejected":         {set(func(f *Faults) { f.Reject = 1 }), good, status(503, ""), "attempt ended:true"},
-		"error":            {set(func(f *Faults) { f.ErrorResponse = 1 }), good, status(500, ""), "attempt ran ended:false"},
-		"cut before":       {set(func(f *Faults) { f.CutBefore = 1 }), good, ends(syscall.ECONNRESET), "attempt ended:false"},
-		"cut within":       {set(func(f *Faults) { f.CutWithin = 1 }), good, ends(io.ErrUnexpectedEOF), "attempt ran ended:false"},
+		"draining":         {func(s *Server) { s.SetDraining(true) }, knownID, status(503, ""), "attempt ended:true"},
+		"rejected":         {set(func(f *Faults) { f.Reject = 1 }), knownID, status(503, ""), "attempt ended:true"},
+		"error":            {set(func(f *Faults) { f.ErrorResponse = 1 }), knownID, status(500, ""), "attempt ran ended:false"},
+		"cut before":       {set(func(f *Faults) { f.CutBefore = 1 }), knownID, ends(syscall.ECONNRESET), "attempt ended:false"},
+		"cut within":       {set(func(f *Faults) { f.CutWithin = 1 }), knownID, ends(io.ErrUnexpectedEOF), "attempt ran ended:false"},
 		"garbled response": {set(func(f *Faults) { f.GarbleResponse = 1 }), "0000000000000000", ends(http1.ErrMalformedResponse), "attempt ran ended:false"},
 		"wrong length":     {set(func(f *Faults) { f.GarbleResponse = 1 }), "0000000000000300", ends(http1.ErrMalformedResponse), "attempt ran ended:false"},
-		"full":             {func(s *Server) { s.mu.Lock(); defer s.mu.Unlock(); s.conns = 5 }, good, status(503, ""), "attempt ended:true"},
-		"crashed":          {func(s *Server) { time.AfterFunc(5*ms, s.Crash) }, good, ends(syscall.ECONNRESET), "attempt ran ended:false"},
+		"full":             {func(s *Server) { s.mu.Lock(); defer s.mu.Unlock(); s.conns = 5 }, knownID, status(503, ""), "attempt ended:true"},
+		"crashed":          {func(s *Server) { time.AfterFunc(5*ms, s.Crash) }, knownID, ends(syscall.ECONNRESET), "attempt ran ended:false"},
 		"overloaded while cold": {func(s *Server) {
 			s.Crash()
 			s.Start()
 			s.Model(func(m *Model, _ time.Duration, _ func(Event)) { m.settings.OverloadFactor = 1e-9 })
-		}, good, ends(syscall.ECONNRESET), "attempt ended:false overloaded"},
+		}, knownID, ends(syscall.ECONNRESET), "attempt ended:false overloaded"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -146,7 +146,7 @@
 	s, watcher := start(t, Settings{Cores: 1, Speed: 0.02, Queue: 9})
 	first := dial(t, s.Address(0))
 	began := time.Now()
-	send(first, good)
+	send(first, knownID)
 	waitFor := func(word string) {
 		for !strings.Contains(watcher.words(), word) {
 			time.Sleep(ms)
@@ -180,7 +180,7 @@
 		defer c.Close()
 		conn := http1.NewConn(c)
 		c.SetDeadline(time.Now().Add(200 * ms))
-		send(conn, good)
+		send(conn, knownID)
 		return conn.ReadResponse(&http1.Response{}, 1<<20)
 	}
 	s.CutOff(1)
@@ -217,10 +217,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
-	unused := dial(t, s.Address(0)) // carries no request: nothing can be reported of it
+	unused := dial(t, s.Address(0)) // carries no request, so that no request's ID can report it as idle
 	unused.Close()
 	conn := dial(t, s.Address(0))
-	for _, id := range []string{good, "0000000000000200"} {
+	for _, id := range []string{knownID, "0000000000000200"} {
 		send(conn, id)
 		var r http1.Response
 		if err := conn.ReadResponse(&r, 1<<20); err != nil || r.Status != 200 {
--- a/internal/testbed/standin/zookeeper/conn.go
+++ b/internal/testbed/standin/zookeeper/conn.go
@@ -19,34 +19,36 @@
 	writeMu      sync.Mutex
 }
 
-// Garble makes every n-th reply malformed, where n is each; 0: none.
-func (s *Server) Garble(each int) {
+// Garble makes every n-th reply malformed, not counting replies to pings and closes; 0: none.
+func (s *Server) Garble(n int) {
 	s.registry.mu.Lock()
 	defer s.registry.mu.Unlock()
-	s.garbleEvery = each
+	s.garbleEvery = n
 }
 
-// garbled returns one of four malformed forms of a reply: truncated, noise with its ID, lengths of 2 GB, or an unknown ID.
+// garbled returns one of four malformed forms of a reply: truncated to its half, a valid header before noise, lengths of 2 GB, or
+// the ID of no request.
 func garbled(which int, reply []byte) []byte {
-	wrong := bytes.Clone(reply)
+	malformed := bytes.Clone(reply)
 	switch which % 4 {
 	case 0:
-		return wrong[:len(wrong)/2]
+		return malformed[:len(malformed)/2]
 	case 1:
-		for i := 16; i < len(wrong); i++ {
-			wrong[i] = byte(i * 37)
+		for i := 16; i < len(malformed); i++ {
+			malformed[i] = byte(i * 37)
 		}
 	case 2:
-		for i := 16; i < min(len(wrong), 24); i++ {
-			wrong[i] = 0x7f
+		for i := 16; i < min(len(malformed), 24); i++ {
+			malformed[i] = 0x7f
 		}
 	default:
-		wrong[3] ^= 0x55
+		malformed[3] ^= 0x55
 	}
-	return wrong
+	return malformed
 }
 
-// fire sends an event to the connections that watch its path and removes their watches.
+// fire sends an event, after the server's delay, to the connections that watch its path and removes their watches. The caller holds
+// the lock.
 func (s *Server) fire(e event) {
 	for c := range s.conns {
 		var sets []map[string]bool
@@ -60,12 +62,12 @@
 		case children:
 			sets = []map[string]bool{c.childWatches}
 		}
-		hit := false
+		isWatched := false
 		for _, w := range sets {
-			hit = hit || w[e.path]
+			isWatched = isWatched || w[e.path]
 			delete(w, e.path)
 		}
-		if !hit {
+		if !isWatched {
 			continue
 		}
 		var w writer
@@ -126,7 +128,8 @@
 	}
 }
 
-// connect opens a session or resumes one.
+// connect opens a session, or resumes the one whose ID and password the client sends. It returns false if that session has expired
+// or the password is wrong.
 func (s *Server) connect(c *conn, b []byte) bool {
 	q := reader{b: b}
 	q.int()
@@ -159,7 +162,7 @@
 	if old := se.conn; old != nil {
 		old.Close()
 	}
-	se.conn, se.lastHeard, c.session = c, time.Now(), se
+	se.conn, se.lastRequest, c.session = c, time.Now(), se
 	w.int(int32(se.timeout.Milliseconds()))
 	w.long(se.id)
 	w.buffer(se.passwd)
--- a/internal/testbed/standin/zookeeper/ensemble.go
+++ b/internal/testbed/standin/zookeeper/ensemble.go
@@ -26,7 +26,7 @@
 	Data(reader int, path string, data []byte, at time.Time)
 }
 
-// Registry is the ensemble. It is safe for concurrent use.
+// Registry is the ensemble. All its servers share the committed state and the sessions. It is safe for concurrent use.
 type Registry struct {
 	watcher Watcher
 
@@ -45,26 +45,26 @@
 
 // session is a client's session.
 type session struct {
-	id         int64
-	passwd     []byte
-	timeout    time.Duration
-	lastHeard  time.Time
-	ephemerals map[string]bool
-	conn       *conn
+	id          int64
+	passwd      []byte
+	timeout     time.Duration
+	lastRequest time.Time // of the connection's opening or its last request, pings included
+	ephemerals  map[string]bool
+	conn        *conn
 }
 
 // Server is one address of the ensemble.
 type Server struct {
 	registry       *Registry
-	reader         int // the client of this address
+	reader         int // the client of this address, for the Watcher
 	ln             net.Listener
-	tree           *tree
-	nextChange     int // place in the log
-	lag            time.Duration
+	tree           *tree         // the state that reads return
+	nextChange     int           // index in the log of the next change to apply
+	lag            time.Duration // from the commit of a change until this server applies it
 	delay          time.Duration // of watch events
-	isSilent       bool
-	garbleEvery    int // every n-th reply is malformed; 0: none
-	garbledReplies int // replies counted for garbleEvery
+	isSilent       bool          // see SetFaults
+	garbleEvery    int           // every n-th reply is malformed; 0: none
+	garbledReplies int           // replies counted for garbleEvery
 	conns          map[*conn]bool
 }
 
@@ -103,7 +103,7 @@
 	r.wg.Wait()
 }
 
-// Listen adds an address. reader is the client that uses it in reports to the Watcher, -1 for one that is not reported.
+// Listen adds an address that is used by one client. The Watcher receives reader as the client's number.
 func (r *Registry) Listen(address string, reader int) (*Server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -129,14 +129,15 @@
 // Address returns where the server listens.
 func (s *Server) Address() string { return s.ln.Addr().String() }
 
-// Set changes the server's faults: its lag behind commits, the delay of watch events, and whether it sends nothing.
+// SetFaults sets the server's lag behind commits, the delay of its watch events, and whether it is silent. A silent server closes
+// new connections, discards requests and applies no changes.
 func (s *Server) SetFaults(lag, delay time.Duration, silent bool) {
 	s.registry.mu.Lock()
 	defer s.registry.mu.Unlock()
 	s.lag, s.delay, s.isSilent = lag, delay, silent
 }
 
-// Break closes all connections to the server. Delayed events are lost.
+// CloseConnections closes all connections to the server. Delayed events are lost.
 func (s *Server) CloseConnections() {
 	s.registry.mu.Lock()
 	defer s.registry.mu.Unlock()
@@ -145,7 +146,7 @@
 	}
 }
 
-// Late delays the expiry of sessions by d.
+// DelayExpiry delays the expiry of all sessions by d beyond their timeouts.
 func (r *Registry) DelayExpiry(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,7 +173,7 @@
 	}
 }
 
-// Lose ends the sessions of all connected clients, as if they had timed out.
+// ExpireConnected ends the sessions of all connected clients, as if they had timed out.
 func (r *Registry) ExpireConnected() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -203,10 +204,10 @@
 	return r.calls
 }
 
-// expire ends sessions that timed out. The caller holds the lock.
+// expire ends sessions that timed out. The caller holds the lock, as for the functions below.
 func (r *Registry) expire(now time.Time) {
 	for _, s := range r.sessions {
-		if now.Sub(s.lastHeard) > s.timeout+r.expiryDelay {
+		if now.Sub(s.lastRequest) > s.timeout+r.expiryDelay {
 			r.endSession(s, now)
 		}
 	}
--- a/internal/testbed/standin/zookeeper/jute.go
+++ b/internal/testbed/standin/zookeeper/jute.go
@@ -1,5 +1,8 @@
-// Package zookeeper is a stand-in for a ZooKeeper-style registry, written from its published wire protocol: jute records in
-// frames, sessions with timeouts and passwords, ephemeral nodes, watches that fire once, several addresses with lag.
+// Package zookeeper is a stand-in for a ZooKeeper ensemble, written from its published wire protocol: jute records in frames. A
+// Registry implements sessions with timeouts and passwords, nodes that are persistent, ephemeral or sequential, with versions, and
+// watches that fire once. Its operations are create, delete, exists, getData, setData, getChildren in both versions, sync, ping,
+// auth, setWatches and close; others are rejected as not implemented. It ignores ACLs and accepts any credentials. A Server is one
+// address of the ensemble, which can lag behind commits and have faults.
 package zookeeper
 
 import (
--- a/internal/testbed/standin/zookeeper/jute_test.go
+++ b/internal/testbed/standin/zookeeper/jute_test.go
@@ -10,24 +10,25 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// FuzzRequests checks that the ensemble replies to any input or ends the connection, and continues to work.
+// FuzzRequests checks that no request, whatever its bytes, makes the ensemble panic or block, and that it still opens sessions
+// afterwards.
 func FuzzRequests(f *testing.F) {
-	var w writer
-	w.int(1)
-	w.int(opCreate)
-	w.string("/a")
-	w.buffer([]byte("x"))
-	w.int(0)
-	w.int(flagEphemeral)
-	f.Add([]byte(w))
-	var g writer
-	g.int(2)
-	g.int(opWatches)
-	g.long(0)
-	g.strings([]string{"/a"})
-	g.strings(nil)
-	g.strings([]string{"/"})
-	f.Add([]byte(g))
+	var create writer
+	create.int(1)
+	create.int(opCreate)
+	create.string("/a")
+	create.buffer([]byte("x"))
+	create.int(0)
+	create.int(flagEphemeral)
+	f.Add([]byte(create))
+	var rewatch writer
+	rewatch.int(2)
+	rewatch.int(opWatches)
+	rewatch.long(0)
+	rewatch.strings([]string{"/a"})
+	rewatch.strings(nil)
+	rewatch.strings([]string{"/"})
+	f.Add([]byte(rewatch))
 	f.Add([]byte{0, 0, 0, 1, 0, 0, 0, 1, 0x7f, 0xff, 0xff, 0xff})
 	r := New(nil)
 	f.Cleanup(r.Close)
--- a/internal/testbed/standin/zookeeper/owned.go
+++ b/internal/testbed/standin/zookeeper/owned.go
@@ -7,18 +7,21 @@
 	"time"
 )
 
-// Owned is a session of this process with its ephemeral nodes, such as that of a server that registers itself.
+// OwnedSession is a session of this process, without a connection, that has ephemeral nodes. It simulates a server that registers
+// itself.
 type OwnedSession struct {
 	registry *Registry
 	session  *session
 }
 
-// Own opens a session with ephemeral nodes, by path, and creates missing parents. The session lasts until Silence or End.
+// OpenSession opens a session with ephemeral nodes, by path, and creates missing parents. The session lasts until End, or until it
+// expires after StopHeartbeats.
 func (r *Registry) OpenSession(timeout time.Duration, nodes map[string][]byte) *OwnedSession {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastID++
-	s := &session{id: r.lastID, timeout: timeout, lastHeard: time.Now().Add(1000 * time.Hour), ephemerals: map[string]bool{}}
+	// A time in the future stands for the heartbeats of a connection.
+	s := &session{id: r.lastID, timeout: timeout, lastRequest: time.Now().Add(1000 * time.Hour), ephemerals: map[string]bool{}}
 	r.sessions[s.id] = s
 	for _, p := range slices.Sorted(maps.Keys(nodes)) {
 		r.createParents(p)
@@ -35,8 +38,8 @@
 func (r *Registry) createParents(p string) {
 	parts := strings.Split(p, "/")
 	for i := 2; i < len(parts); i++ {
-		if up := strings.Join(parts[:i], "/"); r.head.nodes[up] == nil {
-			r.commit(change{op: created, path: up, at: time.Now()})
+		if parentPath := strings.Join(parts[:i], "/"); r.head.nodes[parentPath] == nil {
+			r.commit(change{op: created, path: parentPath, at: time.Now()})
 		}
 	}
 }
@@ -50,11 +53,11 @@
 	}
 }
 
-// Silence stops the session's heartbeats: it expires after its timeout.
+// StopHeartbeats stops the session's heartbeats: it expires after its timeout.
 func (o *OwnedSession) StopHeartbeats() {
 	o.registry.mu.Lock()
 	defer o.registry.mu.Unlock()
-	o.session.lastHeard = time.Now()
+	o.session.lastRequest = time.Now()
 }
 
 // End closes the session.
--- a/internal/testbed/standin/zookeeper/requests.go
+++ b/internal/testbed/standin/zookeeper/requests.go
@@ -28,7 +28,7 @@
 	notifyWatcher func() // called after the reply was sent; nil: nothing to report
 }
 
-// request processes one request. It returns false if the connection ends.
+// request executes one request and sends its reply. It returns false if the connection ends.
 func (s *Server) request(c *conn, b []byte) bool {
 	q := reader{b: b}
 	xid, op := q.int(), q.int()
@@ -45,7 +45,7 @@
 		r.mu.Unlock()
 		return false
 	}
-	c.session.lastHeard = time.Now()
+	c.session.lastRequest = time.Now()
 	if op != opPing {
 		r.calls++
 	}
@@ -80,7 +80,7 @@
 func (s *Server) answer(c *conn, op int32, q *reader) (a reply) {
 	a.code = ok
 	switch op {
-	case opPing, opAuth:
+	case opPing, opAuth: // any credentials are accepted
 	case opClose:
 		s.registry.endSession(c.session, time.Now())
 	case opSync:
@@ -185,7 +185,7 @@
 
 func (s *Server) create(c *conn, q *reader, body *writer) int32 {
 	p, data := q.string(), slices.Clone(q.buffer())
-	for range q.int() {
+	for range q.int() { // the ACL, which has no effect
 		q.int()
 		q.string()
 		q.string()
@@ -198,13 +198,13 @@
 	if flags&flagSequential != 0 {
 		p = r.head.sequenced(p)
 	}
-	up := r.head.nodes[parent(p)]
+	parentNode := r.head.nodes[parent(p)]
 	switch {
 	case q.isMalformed || !isValidPath(p):
 		return badArgs
-	case up == nil:
+	case parentNode == nil:
 		return noNode
-	case up.owner != 0:
+	case parentNode.owner != 0:
 		return noChildrenForEphemerals
 	case r.head.nodes[p] != nil:
 		return nodeExists
@@ -219,7 +219,8 @@
 	return ok
 }
 
-// setWatches sets a client's watches again on a new connection and immediately sends the events since its last transaction.
+// setWatches sets a client's watches again on a new connection. For each watch whose event has occurred since the last transaction
+// that the client received, it sends the event.
 func (s *Server) setWatches(c *conn, q *reader) {
 	since := q.long()
 	data, exist, child := q.strings(), q.strings(), q.strings()
--- a/internal/testbed/standin/zookeeper/tree.go
+++ b/internal/testbed/standin/zookeeper/tree.go
@@ -33,7 +33,8 @@
 	children = 4
 )
 
-// node is a node of the tree. Its fields have the names of the protocol.
+// node is a node of the tree. Numbers of the protocol's stat record have their names there. owner is the session of an ephemeral
+// node, 0 for other nodes; counter is the number of children created so far.
 type node struct {
 	data     []byte
 	children map[string]bool
@@ -58,7 +59,7 @@
 	owner int64
 }
 
-// tree is the state of one server.
+// tree is the state of one server, or the committed state.
 type tree struct {
 	nodes map[string]*node
 	zxid  int64
@@ -125,8 +126,8 @@
 // sequenced returns the path of the next sequential node with a prefix.
 func (t *tree) sequenced(p string) string {
 	n := int32(0)
-	if up := t.nodes[parent(p)]; up != nil {
-		n = up.counter
+	if parentNode := t.nodes[parent(p)]; parentNode != nil {
+		n = parentNode.counter
 	}
 	return fmt.Sprintf("%s%010d", p, n)
 }
