--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -232,7 +232,7 @@
 // verdict returns the exit code for a report as an error.
 func verdict(r *report.Report, pairings bool) error {
 	switch {
-	case r.Generator.Behind:
+	case r.Generator.IsBehind:
 		return exit(exitInvalid)
 	case r.Broken() > 0:
 		return exit(exitBroken)
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -63,7 +63,7 @@
 func eventHelp() string {
 	var b strings.Builder
 	for _, e := range scale.Events {
-		fmt.Fprintf(&b, "  %-14s %s\n", e.Name, e.About)
+		fmt.Fprintf(&b, "  %-14s %s\n", e.Name, e.Description)
 	}
 	return b.String()
 }
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -99,7 +99,7 @@
 
 	mu                                  sync.Mutex
 	runs, brokenRuns, requests, answers int
-	crossings, fastCGICrossings         int
+	idleCloseRaces, fastCGICloseRaces   int
 	shortestIdle                        time.Duration
 	broken                              map[soak.Rule]int
 }
@@ -110,11 +110,11 @@
 	s.runs++
 	s.requests += r.Requests
 	s.answers += r.Answers
-	s.fastCGICrossings += r.FastCGICloseRaces
-	if r.IdleCloseRaces > 0 && (s.crossings == 0 || r.ShortestIdle < s.shortestIdle) {
+	s.fastCGICloseRaces += r.FastCGICloseRaces
+	if r.IdleCloseRaces > 0 && (s.idleCloseRaces == 0 || r.ShortestIdle < s.shortestIdle) {
 		s.shortestIdle = r.ShortestIdle
 	}
-	s.crossings += r.IdleCloseRaces
+	s.idleCloseRaces += r.IdleCloseRaces
 	for rule, n := range r.Violations {
 		s.broken[rule] += n
 	}
@@ -130,7 +130,7 @@
 
 func (s *soakSum) print(out io.Writer) error {
 	fmt.Fprintf(out, "%d stops, %d with a broken rule; %d requests, %d responses; closes of idle connections that crossed a request: %d HTTP (idle for at least %s), %d FastCGI\n",
-		s.runs, s.brokenRuns, s.requests, s.answers, s.crossings, s.shortestIdle.Round(time.Millisecond), s.fastCGICrossings)
+		s.runs, s.brokenRuns, s.requests, s.answers, s.idleCloseRaces, s.shortestIdle.Round(time.Millisecond), s.fastCGICloseRaces)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, rule := range soak.Rules {
 		fmt.Fprintf(t, "%s\t%d\n", rule, s.broken[rule])
--- a/cmd/testbed/steps.go
+++ b/cmd/testbed/steps.go
@@ -32,7 +32,7 @@
 			var g errgroup.Group
 			g.SetLimit(concurrency)
 			for _, r := range rows {
-				g.Go(func() error { return r.play(c.Context(), command) })
+				g.Go(func() error { return r.run(c.Context(), command) })
 			}
 			if err := g.Wait(); err != nil {
 				return err
@@ -87,7 +87,7 @@
 	return s, nil
 }
 
-func (r *stepRow) play(ctx context.Context, command []string) error {
+func (r *stepRow) run(ctx context.Context, command []string) error {
 	out, err := testbed.Run(ctx, testbed.Options{Scenario: r.scenario, Requests: load.Plan(r.scenario), Command: command})
 	if err != nil {
 		return err
--- a/internal/testbed/capacity/fit.go
+++ b/internal/testbed/capacity/fit.go
@@ -57,9 +57,9 @@
 	minPoints          = 3    // needed to distinguish shapes
 	maxPredictionError = 0.25 // above this share of the value at the largest size, the slope counts as not predicted
 	// A more complex shape must reduce the residual by this factor, because noise alone always favors more complex shapes.
-	minImprovement   = 0.8
-	goodResidual     = 0.03 // residual at or below which no more complex shape is tried
-	constantResidual = 0.1  // the same for the constant shape: a figure that varies by a tenth over all sizes does not grow
+	minImprovement     = 0.8
+	sufficientResidual = 0.03 // residual at or below which no more complex shape is tried
+	constantResidual   = 0.1  // the same for the constant shape: a figure that varies by a tenth over all sizes does not grow
 )
 
 var errFewPoints = errors.New("fit slope: fewer than 3 sizes were measured")
@@ -104,7 +104,7 @@
 		return best
 	}
 	for _, shape := range []Shape{Linear, LogLinear, Square} {
-		if best.Residual <= goodResidual {
+		if best.Residual <= sufficientResidual {
 			break
 		}
 		if s := fitShape(shape, points); s.Residual < minImprovement*best.Residual {
--- a/internal/testbed/capacity/results.go
+++ b/internal/testbed/capacity/results.go
@@ -216,7 +216,7 @@
 		if p.ChangeLatency == nil || p.ChangeLatency.Applied == 0 {
 			return 0, "", false, fmt.Errorf("phase %s has no changes", phase)
 		}
-		v, ok := map[string]int{"elements": p.Handed.Elements, "lists": p.Handed.Lists}[field]
+		v, ok := map[string]int{"elements": p.Deliveries.Elements, "lists": p.Deliveries.Lists}[field]
 		return float64(v) / float64(p.ChangeLatency.Applied), "", true, checkField(ok, field)
 	}
 	o, ok := p.Roles[role]
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -28,7 +28,7 @@
 		x    int
 		y    int
 	}{{"in target", a.AnsweredInTarget, b.AnsweredInTarget}, {"handled", a.Handled, b.Handled}, {"rejected", a.Rejected, b.Rejected},
-		{"failed", a.WrittenOff, b.WrittenOff}, {"unanswered", a.Unanswered, b.Unanswered}, {"unreached", a.Unreached, b.Unreached}, {"tries", a.Tries, b.Tries}} {
+		{"failed", a.Failed, b.Failed}, {"unanswered", a.Unanswered, b.Unanswered}, {"unreached", a.Unreached, b.Unreached}, {"tries", a.Tries, b.Tries}} {
 		row(f.name, float64(f.x), float64(f.y), "%.0f")
 	}
 	for _, name := range sorted(a.Latency) {
@@ -39,11 +39,11 @@
 		row(name+" p99.9 ms", x.P999, y.P999, "%.1f")
 	}
 	row("worst point", a.worst(), b.worst(), "%.4f")
-	row("nodes' CPU s", a.NodeUse.CPUSeconds, b.NodeUse.CPUSeconds, "%.2f")
+	row("nodes' CPU s", a.NodeUsage.CPUSeconds, b.NodeUsage.CPUSeconds, "%.2f")
 	t.Flush()
 	fmt.Fprintf(w, "\nrules broken: A %s, B %s\n", a.brokenNames(), b.brokenNames())
 	for i, r := range []*Report{a, b} {
-		if r.Generator.Behind {
+		if r.Generator.IsBehind {
 			fmt.Fprintf(w, "NOT VALID: generator fell behind in report %c\n", 'A'+i)
 		}
 	}
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -29,7 +29,7 @@
 	AnsweredInTarget  int                `json:"answered_in_target"`
 	Handled           int                `json:"handled"`
 	Rejected          int                `json:"denied"`
-	WrittenOff        int                `json:"written_off"`
+	Failed            int                `json:"written_off"`
 	Unanswered        int                `json:"unanswered"`
 	Unreached         int                `json:"unreached"` // clients reached no node
 	DisconnectedEarly int                `json:"left_early,omitempty"`
@@ -40,8 +40,8 @@
 	BySite            map[string]Part    `json:"by_site"`
 	Generator         Generator          `json:"generator"`
 	Discovery         Discovery          `json:"discovery"`
-	NodeUse           Use                `json:"nodes_use"`
-	PlannerUse        Use                `json:"planners_use"`
+	NodeUsage         Usage              `json:"nodes_use"`
+	PlannerUsage      Usage              `json:"planners_use"`
 	PlanBytes         int                `json:"plan_bytes"` // sent by planners to nodes
 	Journal           *testbed.Journal   `json:"journal,omitempty"`
 	Seconds           []audit.Second     `json:"seconds,omitempty"`
@@ -70,19 +70,19 @@
 type Generator struct {
 	LateMaxMS float64 `json:"late_max_ms"`
 	LateShare float64 `json:"late_share"`
-	Behind    bool    `json:"behind"`
+	IsBehind  bool    `json:"behind"`
 	WorstBin  float64 `json:"worst_bin"` // largest relative error against the schedule in 100 ms
 }
 
 // Discovery is the load of all nodes on discovery.
 type Discovery struct {
-	Calls  int     `json:"calls"`
-	Lines  float64 `json:"lines"`
-	Turned int     `json:"turned_away"`
+	Calls         int     `json:"calls"`
+	Lines         float64 `json:"lines"`
+	RejectedCalls int     `json:"turned_away"`
 }
 
 // Use is the CPU time of a group of processes together and the memory of its largest process.
-type Use struct {
+type Usage struct {
 	CPUSeconds float64 `json:"cpu_s"`
 	RSSMaxMB   float64 `json:"rss_max_mb"`
 }
@@ -117,7 +117,7 @@
 		AnsweredInTarget:  o.Outcomes[load.WithinObjective],
 		Handled:           o.Outcomes[load.Handled],
 		Rejected:          o.Outcomes[load.Rejected],
-		WrittenOff:        o.Outcomes[load.Failed],
+		Failed:            o.Outcomes[load.Failed],
 		Unanswered:        o.Outcomes[load.NoAnswer],
 		Unreached:         o.Outcomes[load.Unreached],
 		DisconnectedEarly: o.Outcomes[load.DisconnectedEarly],
@@ -128,8 +128,8 @@
 		BySite:            map[string]Part{},
 		Generator:         Generator{millis(o.Lateness.Max), round(o.Lateness.LateShare), o.Lateness.IsBehind, round(o.Lateness.MaxBinError)},
 		Discovery:         Discovery{o.DiscoveryCalls, math.Round(o.DiscoveryLines), o.RejectedCalls},
-		NodeUse:           Use{round(o.NodeUsage.CPU.Seconds()), math.Round(o.NodeUsage.RSSMB)},
-		PlannerUse:        Use{round(o.PlannerUsage.CPU.Seconds()), math.Round(o.PlannerUsage.RSSMB)},
+		NodeUsage:         Usage{round(o.NodeUsage.CPU.Seconds()), math.Round(o.NodeUsage.RSSMB)},
+		PlannerUsage:      Usage{round(o.PlannerUsage.CPU.Seconds()), math.Round(o.PlannerUsage.RSSMB)},
 		PlanBytes:         o.PlanBytes,
 		BadClients:        o.BadClients,
 		Faults:            []Fault{},
--- a/internal/testbed/report/text.go
+++ b/internal/testbed/report/text.go
@@ -9,7 +9,7 @@
 
 // Text writes the report as tables and lines for people.
 func (r *Report) Text(w io.Writer) {
-	if r.Generator.Behind {
+	if r.Generator.IsBehind {
 		fmt.Fprintf(w, "NOT VALID: generator fell behind by up to %.0f ms, %.1f%% of the requests started late\n\n",
 			r.Generator.LateMaxMS, 100*r.Generator.LateShare)
 	}
@@ -17,7 +17,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "policy\tservice\tin target\thandled\trejected\tfailed\tunanswered\tunreached\ttries\trules broken\t")
 	for _, x := range append([]Report{*r}, r.Baselines...) {
-		fmt.Fprintf(t, "%s\t%.4f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t\n", x.Policy, x.Service, x.AnsweredInTarget, x.Handled, x.Rejected, x.WrittenOff,
+		fmt.Fprintf(t, "%s\t%.4f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t\n", x.Policy, x.Service, x.AnsweredInTarget, x.Handled, x.Rejected, x.Failed,
 			x.Unanswered, x.Unreached, x.Tries, x.brokenNames())
 	}
 	t.Flush()
@@ -65,10 +65,10 @@
 func (r *Report) writeUsage(w io.Writer) {
 	fmt.Fprintf(w, "\ngenerator: at most %.1f ms late, %.2f%% of the requests late", r.Generator.LateMaxMS, 100*r.Generator.LateShare)
 	fmt.Fprintf(w, "; intervals of 100 ms differ from the schedule by at most %.2f%%", 100*r.Generator.WorstBin)
-	fmt.Fprintf(w, "\ndiscovery: %d calls, %.0f lines, %d rejected", r.Discovery.Calls, r.Discovery.Lines, r.Discovery.Turned)
-	fmt.Fprintf(w, "\nnodes: %.2f s of CPU together, at most %.0f MB each", r.NodeUse.CPUSeconds, r.NodeUse.RSSMaxMB)
-	if r.PlannerUse.CPUSeconds > 0 {
-		fmt.Fprintf(w, "\nplanners: %.2f s of CPU together, at most %.0f MB each, %d bytes sent to nodes", r.PlannerUse.CPUSeconds, r.PlannerUse.RSSMaxMB, r.PlanBytes)
+	fmt.Fprintf(w, "\ndiscovery: %d calls, %.0f lines, %d rejected", r.Discovery.Calls, r.Discovery.Lines, r.Discovery.RejectedCalls)
+	fmt.Fprintf(w, "\nnodes: %.2f s of CPU together, at most %.0f MB each", r.NodeUsage.CPUSeconds, r.NodeUsage.RSSMaxMB)
+	if r.PlannerUsage.CPUSeconds > 0 {
+		fmt.Fprintf(w, "\nplanners: %.2f s of CPU together, at most %.0f MB each, %d bytes sent to nodes", r.PlannerUsage.CPUSeconds, r.PlannerUsage.RSSMaxMB, r.PlanBytes)
 	}
 	if j := r.Journal; j != nil {
 		fmt.Fprintf(w, "\njournals: %d entries, %d executions, %d possibly sent, %d of them not settled by execution records, %d records in gaps", j.Entries, j.Ran,
--- a/internal/testbed/scale/conductor.go
+++ b/internal/testbed/scale/conductor.go
@@ -83,7 +83,7 @@
 	c.ledger = newLedger(o.Size.Nodes, c.layout.isServed)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	defer c.end()
+	defer c.killAll()
 	if err := c.prepare(); err != nil {
 		return nil, err
 	}
@@ -164,7 +164,7 @@
 	}
 }
 
-func (c *conductor) end() {
+func (c *conductor) killAll() {
 	var all sync.WaitGroup
 	for _, p := range c.all() {
 		all.Go(p.kill)
@@ -182,7 +182,7 @@
 			return
 		case <-tick.C:
 		}
-		if err := c.read(); err != nil {
+		if err := c.readTraffic(); err != nil {
 			cancel(err)
 			return
 		}
@@ -200,7 +200,7 @@
 	}
 }
 
-func (c *conductor) read() error {
+func (c *conductor) readTraffic() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.meter.read(c.nonNodeProcesses)
@@ -222,18 +222,18 @@
 
 // reading is the resource usage of all roles since the start of the run.
 type reading struct {
-	at     time.Time
-	flows  map[role]flow
-	use    map[role]usage
-	handed deliveryCounts
+	at         time.Time
+	flows      map[role]flow
+	use        map[role]usage
+	deliveries deliveryCounts
 }
 
 func (c *conductor) reading() (r reading, err error) {
-	if err := c.read(); err != nil {
+	if err := c.readTraffic(); err != nil {
 		return r, err
 	}
 	c.mu.Lock()
-	r = reading{at: time.Now(), flows: c.meter.flows(), use: map[role]usage{}, handed: c.ledger.handed()}
+	r = reading{at: time.Now(), flows: c.meter.flows(), use: map[role]usage{}, deliveries: c.ledger.deliveries()}
 	c.mu.Unlock()
 	for _, p := range c.all() {
 		u, one := r.use[p.task.Role], p.use()
@@ -249,9 +249,9 @@
 // phase returns the result of a phase from the readings before and after it.
 func (c *conductor) phase(name string, from, to reading, latency *ChangeLatency) Phase {
 	seconds := to.at.Sub(from.at).Seconds()
-	p := Phase{Name: name, Seconds: seconds, Roles: map[string]Role{}, ChangeLatency: latency, Handed: deliveryCounts{
-		Lists: to.handed.Lists - from.handed.Lists, Elements: to.handed.Elements - from.handed.Elements,
-		Plans: to.handed.Plans - from.handed.Plans, Reroutes: to.handed.Reroutes - from.handed.Reroutes}}
+	p := Phase{Name: name, Seconds: seconds, Roles: map[string]Role{}, ChangeLatency: latency, Deliveries: deliveryCounts{
+		Lists: to.deliveries.Lists - from.deliveries.Lists, Elements: to.deliveries.Elements - from.deliveries.Elements,
+		Plans: to.deliveries.Plans - from.deliveries.Plans, RouteUpdates: to.deliveries.RouteUpdates - from.deliveries.RouteUpdates}}
 	members := map[role]int{roleNodes: c.Size.Nodes, roleDiscovery: 1, roleTools: 1, roleControl: len(c.controls)}
 	if c.Size.Membership {
 		members[roleMembership] = c.Size.Nodes
--- a/internal/testbed/scale/cut.go
+++ b/internal/testbed/scale/cut.go
@@ -21,7 +21,7 @@
 				continue
 			}
 			to := l.controlAddress(n)
-			listener, err := link.Listen(l.cutAddress(region, n), func(c *link.Conn) { forward(c, to) })
+			listener, err := link.Listen(l.regionLinkAddress(region, n), func(c *link.Conn) { forward(c, to) })
 			if err != nil {
 				return nil, err
 			}
--- a/internal/testbed/scale/events.go
+++ b/internal/testbed/scale/events.go
@@ -19,7 +19,7 @@
 )
 
 // Events lists the events with their descriptions, for the help of the command.
-var Events = []struct{ Name, About string }{
+var Events = []struct{ Name, Description string }{
 	{RestartTenth, "a tenth of the node processes, at least one, are killed and started again"},
 	{Rack, "one node process is killed, and started again after half of the phase"},
 	{Zone, "all node processes of a zone are killed, and started again after half of the phase"},
--- a/internal/testbed/scale/layout.go
+++ b/internal/testbed/scale/layout.go
@@ -12,20 +12,20 @@
 
 // The port of the accepting side identifies the kind of a connection when traffic is counted.
 const (
-	discoveryPort   = 18070 // discovery, for connections of nodes
-	controlPort     = 18071 // control processes
-	memberPort      = 18072 // nodes, for connections of other nodes
-	cutPort         = 18073 // forwarders between regions, whose connections can be cut
-	ownerPort       = 18074 // discovery, for connections of control processes
-	nodePort        = 18080 // nodes, for clients, of which a run has none
-	reservationPort = 18090 // listened on by the tool while it uses the network, so that runs never share one
-	firstNetwork    = 2
-	lastNetwork     = 15 // higher ones are used by package loopback
-	maxMarkers      = 64 // servers that change during a run
-	discoveryHost   = 251
-	controlHost     = 252
-	cutHost         = 253
-	nodesPerSubnet  = 240
+	discoveryPort        = 18070 // discovery, for connections of nodes
+	controlPort          = 18071 // control processes
+	memberPort           = 18072 // nodes, for connections of other nodes
+	regionLinkPort       = 18073 // forwarders between regions, whose connections can be cut
+	discoveryControlPort = 18074 // discovery, for connections of control processes
+	nodePort             = 18080 // nodes, for clients, of which a run has none
+	reservationPort      = 18090 // listened on by the tool while it uses the network, so that runs never share one
+	firstNetwork         = 2
+	lastNetwork          = 15 // higher ones are used by package loopback
+	maxMarkers           = 64 // servers that change during a run
+	discoveryHost        = 251
+	controlHost          = 252
+	regionLinkHost       = 253
+	nodesPerSubnet       = 240
 )
 
 // Layout assigns addresses, services, zones and file names to the parts of a run.
@@ -46,7 +46,9 @@
 func (l *Layout) controlAddress(n int) string      { return l.address(controlHost, 1+n, controlPort) }
 
 // cutAddress returns the forwarder address at which a region reaches a control process of another region.
-func (l *Layout) cutAddress(region, n int) string { return l.address(cutHost, 1+region*64+n, cutPort) }
+func (l *Layout) regionLinkAddress(region, n int) string {
+	return l.address(regionLinkHost, 1+region*64+n, regionLinkPort)
+}
 
 // zone returns the zone of a node process.
 func (l *Layout) zone(worker int) int     { return worker % l.Size.Zones }
@@ -104,7 +106,7 @@
 	if l.controlRegion(n) == region || l.Size.Event != RegionPartition {
 		return l.controlAddress(n)
 	}
-	return l.cutAddress(region, n)
+	return l.regionLinkAddress(region, n)
 }
 
 // controlsFor returns the addresses at which a region reaches the control processes, those of the region itself first.
--- a/internal/testbed/scale/ledger.go
+++ b/internal/testbed/scale/ledger.go
@@ -66,8 +66,8 @@
 func (l *ledger) recordAnnouncement(worker int, a announcement) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if a.Handed != nil {
-		l.counts[worker] = *a.Handed
+	if a.Deliveries != nil {
+		l.counts[worker] = *a.Deliveries
 	}
 	for _, r := range a.Records {
 		switch r.Kind {
@@ -101,7 +101,7 @@
 	defer l.mu.Unlock()
 	h := l.counts[worker]
 	l.endedCounts.Lists, l.endedCounts.Elements = l.endedCounts.Lists+h.Lists, l.endedCounts.Elements+h.Elements
-	l.endedCounts.Plans, l.endedCounts.Reroutes = l.endedCounts.Plans+h.Plans, l.endedCounts.Reroutes+h.Reroutes
+	l.endedCounts.Plans, l.endedCounts.RouteUpdates = l.endedCounts.Plans+h.Plans, l.endedCounts.RouteUpdates+h.RouteUpdates
 	delete(l.counts, worker)
 	for _, n := range nodes {
 		l.completeAt[n], l.isDown[n] = 0, true
@@ -130,13 +130,13 @@
 }
 
 // handed returns the sums over all processes of nodes.
-func (l *ledger) handed() (sum deliveryCounts) {
+func (l *ledger) deliveries() (sum deliveryCounts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sum = l.endedCounts
 	for _, h := range l.counts {
 		sum.Lists, sum.Elements = sum.Lists+h.Lists, sum.Elements+h.Elements
-		sum.Plans, sum.Reroutes = sum.Plans+h.Plans, sum.Reroutes+h.Reroutes
+		sum.Plans, sum.RouteUpdates = sum.Plans+h.Plans, sum.RouteUpdates+h.RouteUpdates
 	}
 	return sum
 }
--- a/internal/testbed/scale/meter.go
+++ b/internal/testbed/scale/meter.go
@@ -38,7 +38,7 @@
 			return
 		}
 		switch s.local {
-		case discoveryPort, controlPort, memberPort, cutPort, ownerPort:
+		case discoveryPort, controlPort, memberPort, regionLinkPort, discoveryControlPort:
 			seen[s.cookie] = s.flow
 			sum := m.sums[s.local]
 			sum.add(s.flow.minus(m.last[s.cookie]))
@@ -91,11 +91,11 @@
 func (m *meter) flows() map[role]flow {
 	nodes := m.sums[discoveryPort].reversed()
 	nodes.add(m.sums[controlPort].reversed().minus(m.nonNode))
-	nodes.add(m.sums[cutPort].reversed())
+	nodes.add(m.sums[regionLinkPort].reversed())
 	control := m.sums[controlPort]
-	control.add(m.sums[ownerPort].reversed())
+	control.add(m.sums[discoveryControlPort].reversed())
 	discovery := m.sums[discoveryPort]
-	discovery.add(m.sums[ownerPort])
+	discovery.add(m.sums[discoveryControlPort])
 	members := m.sums[memberPort]
 	both := members.reversed()
 	both.add(members) // each connection joins two nodes, and both sides count
--- a/internal/testbed/scale/plane.go
+++ b/internal/testbed/scale/plane.go
@@ -85,7 +85,7 @@
 		}
 	}
 	for n := range l.Size.Control {
-		text := fmt.Sprintf("name = \"p%d\"\nlisten = %q\ndiscovery = %q\nplaintext = true\n", n, l.controlAddress(n), l.discoveryAddress(ownerPort))
+		text := fmt.Sprintf("name = \"p%d\"\nlisten = %q\ndiscovery = %q\nplaintext = true\n", n, l.controlAddress(n), l.discoveryAddress(discoveryControlPort))
 		if err := os.WriteFile(l.planPath(n), []byte(text), 0o644); err != nil {
 			return err
 		}
--- a/internal/testbed/scale/records.go
+++ b/internal/testbed/scale/records.go
@@ -41,10 +41,10 @@
 
 // deliveryCounts counts the inputs of policies.
 type deliveryCounts struct {
-	Lists    int `json:"lists"`
-	Elements int `json:"elements"` // endpoints in them
-	Plans    int `json:"plans"`
-	Reroutes int `json:"reroutes"`
+	Lists        int `json:"lists"`
+	Elements     int `json:"elements"` // endpoints in them
+	Plans        int `json:"plans"`
+	RouteUpdates int `json:"reroutes"`
 }
 
 func newRecorder(l *Layout) *recorder {
@@ -98,7 +98,7 @@
 	case policy.PlanChanged:
 		r.counts.Plans++
 	case policy.TrafficTypesChanged:
-		r.counts.Reroutes++
+		r.counts.RouteUpdates++
 		r.records = append(r.records, record{Kind: routesApplied, Node: o.node, At: at})
 	case policy.EndpointsUpdated:
 		o.endpointsUpdated(in, at)
--- a/internal/testbed/scale/result.go
+++ b/internal/testbed/scale/result.go
@@ -31,7 +31,7 @@
 	ChangeLatency *ChangeLatency  `json:"in_force,omitempty"`
 	// RestartLatency is how long killed nodes took from their start until they knew all servers.
 	RestartLatency *ChangeLatency `json:"returned,omitempty"`
-	Handed         deliveryCounts `json:"handed"` // inputs of policies, sum over all nodes
+	Deliveries     deliveryCounts `json:"handed"` // inputs of policies, sum over all nodes
 }
 
 // Role is the resource usage of all members of a role together.
--- a/internal/testbed/scale/standin.go
+++ b/internal/testbed/scale/standin.go
@@ -8,7 +8,7 @@
 )
 
 // listsPerS is far above the need of any size: the capacity of a discovery service is not what a run measures.
-const listsPerS = 1e12
+const linesPerSecond = 1e12
 
 // standin is a Source that changes the entries of a stand-in of discovery.
 type standin struct {
@@ -21,11 +21,11 @@
 func (discardWatcher) Announced(int, string, string, int64, time.Time) {}
 
 func newStandin(l *Layout) (Source, error) {
-	s := &standin{layout: l, service: discovery.New(discovery.Settings{LinesPerSecond: listsPerS, Timeout: time.Minute}, l.Size.Seed, discardWatcher{})}
+	s := &standin{layout: l, service: discovery.New(discovery.Settings{LinesPerSecond: linesPerSecond, Timeout: time.Minute}, l.Size.Seed, discardWatcher{})}
 	for i := range l.Size.Servers {
 		s.service.Set(s.entry(i, discovery.Serving))
 	}
-	for i, port := range []int{discoveryPort, ownerPort} {
+	for i, port := range []int{discoveryPort, discoveryControlPort} {
 		if err := s.service.Serve(i, 0, l.discoveryAddress(port)); err != nil {
 			return nil, err
 		}
--- a/internal/testbed/scale/worker.go
+++ b/internal/testbed/scale/worker.go
@@ -53,12 +53,12 @@
 
 // announcement is a line of a process's standard output.
 type announcement struct {
-	Ready   bool            `json:"ready,omitempty"`
-	Records []record        `json:"records,omitempty"`
-	Handed  *deliveryCounts `json:"handed,omitempty"`
-	Changed int64           `json:"changed,omitempty"` // Unix ns: time of the change that an order asked for
-	Done    bool            `json:"done,omitempty"`    // another order was executed
-	Error   string          `json:"fault,omitempty"`
+	Ready      bool            `json:"ready,omitempty"`
+	Records    []record        `json:"records,omitempty"`
+	Deliveries *deliveryCounts `json:"handed,omitempty"`
+	Changed    int64           `json:"changed,omitempty"` // Unix ns: time of the change that an order asked for
+	Done       bool            `json:"done,omitempty"`    // another order was executed
+	Error      string          `json:"fault,omitempty"`
 }
 
 const flushInterval = 100 * time.Millisecond
@@ -141,7 +141,7 @@
 	go func() {
 		for range time.Tick(flushInterval) {
 			if records, counts := r.take(); len(records) > 0 {
-				w.send(announcement{Records: records, Handed: &counts})
+				w.send(announcement{Records: records, Deliveries: &counts})
 			}
 		}
 	}()
--- a/internal/testbed/standin/server/peer.go
+++ b/internal/testbed/standin/server/peer.go
@@ -21,7 +21,7 @@
 	writeRaw([]byte)
 	// disconnected waits until the caller disconnects or aborts and reports whether it did before the read deadline.
 	disconnected() bool
-	setReadDeadline(time.Time)
+	setReadDeadline(until time.Time)
 	reset()
 }
 
