--- a/internal/testbed/scale/change_test.go
+++ b/internal/testbed/scale/change_test.go
@@ -43,7 +43,7 @@
 	defer w.Close()
 	list, err := w.Poll(ctx)
 	if err != nil || len(list.Endpoints) != servers {
-		t.Fatalf("full list: got %d servers, error %v", len(list.Endpoints), err)
+		t.Fatalf("full list: got %d servers, error %v, want all servers", len(list.Endpoints), err)
 	}
 	w.WantsFullList, w.Revision = false, list.Revision
 	m := newMeter(l.Network)
--- a/internal/testbed/scale/component/files.go
+++ b/internal/testbed/scale/component/files.go
@@ -19,9 +19,9 @@
 	for i := range tenants {
 		all = append(all, object{"name": fmt.Sprintf("tenant-%06d", i), "allowancePerS": 8.5})
 	}
-	for i, repeat := range []string{"safe", "keyed", "unsafe"} {
+	for i, idempotency := range []string{"safe", "keyed", "unsafe"} {
 		types = append(types, object{"name": fmt.Sprintf("svc%04d", i), "targetTime": 200, "abandonTime": 1000, "window": 2000, "revenue": 1,
-			"keyScope": "all", "idempotency": repeat})
+			"keyScope": "all", "idempotency": idempotency})
 	}
 	text, err := json.Marshal(object{"groupSize": 5800, "me": 1, "granularity": 2, "discovery": "on_request", "overageRevenue": 0.3,
 		"dcs": []string{"region-0-zone-0"}, "trafficTypes": types, "tenants": all,
--- a/internal/testbed/scale/component/parts_test.go
+++ b/internal/testbed/scale/component/parts_test.go
@@ -60,7 +60,7 @@
 		"bytes of tenants in the settings":                          {series("tenants-bytes"), full, 0},
 		"bytes of a report, which includes tenants without traffic": {series("report-bytes"), full, 0},
 		"allocations of decoding a full list":                       {counted(parseAllocations), full, 0},
-		"allocations of applying a full list":                       {counted(takeAllocations), full, 0},
+		"allocations of applying a full list":                       {counted(applyAllocations), full, 0},
 		"allocations of decoding the operator's file":               {counted(routeAllocations), full, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -103,7 +103,7 @@
 	return testing.AllocsPerRun(3, func() { http1.ParseEndpointList(b) }), nil
 }
 
-func takeAllocations(servers int) (float64, error) {
+func applyAllocations(servers int) (float64, error) {
 	l := parsedList(servers)
 	f, err := newDispatcher(4)
 	if err != nil {
--- a/internal/testbed/scale/component/plans.go
+++ b/internal/testbed/scale/component/plans.go
@@ -12,7 +12,7 @@
 const (
 	fixedServers       = 192
 	fixedNodes         = 256
-	serversPerReport   = 16 // to which one node reports attempts
+	serversPerReport   = 16 // in the report of one node
 	plannerStartUnixMS = startedUnixMS + 90*24*3600*1000
 )
 
@@ -61,7 +61,8 @@
 		return 0, 0, err
 	}
 	first = float64(len(frame))
-	// The changed server is one that the node has no share of, so that the plan's shares stay as they are.
+	// The node has no share of the changed server, and only the incarnations of the next plan are used, so that the figure
+	// excludes changes of shares.
 	changed := known[len(known)-1]
 	changed.Condition, changed.Revision = incarnation.Draining, uint64(servers)
 	before := p.ComputePlans(1500 * time.Millisecond).ForForwarder(nodeName(0))
--- a/internal/testbed/scale/conductor.go
+++ b/internal/testbed/scale/conductor.go
@@ -16,11 +16,11 @@
 	maxReadyTime          = 60 * time.Second
 	maxCompleteWait       = 60 * time.Second       // until all nodes know all servers
 	maxOrderTime          = 20 * time.Second       // until an order is executed
-	pollInterval          = time.Second            // between reads of connections and processes
+	pollInterval          = time.Second            // between readings of connections and processes
 	conditionPollInterval = 100 * time.Millisecond // of waitUntil
 	settleTime            = 2 * time.Second        // after the start, before the idle phase
 	maxChangeWait         = 15 * time.Second       // after the last change of a phase, until the last node has applied it
-	maxFaults             = 20                     // stored in the result
+	maxFaults             = 20                     // errors of processes that are stored in the result
 	eventDelay            = time.Second            // from the begin of the event's phase to the event
 )
 
@@ -45,15 +45,15 @@
 	workers        []*process
 	controls       []*process
 	discovery      *process
-	regionLinks    *process // nil if the run does not partition regions
-	responses      chan announcement
+	regionLinks    *process          // nil if the run does not partition regions
+	responses      chan announcement // of the discovery process to orders
 	startedAt      time.Time
 	revision       int            // of the operator's file
 	restartLatency *ChangeLatency // of nodes that an event killed
 
 	mu        sync.Mutex
 	faults    []string
-	maxMemory float64 // memory
+	maxMemory float64 // bytes: maximum of the sum over all processes
 }
 
 // Run runs a size and returns the measurements.
@@ -147,7 +147,7 @@
 	return all
 }
 
-// handle processes an announcement.
+// handle processes an announcement. Each result or error of the discovery process counts as its response to an order.
 func (c *conductor) handle(p *process, a announcement) {
 	if a.Error != "" {
 		c.mu.Lock()
@@ -164,6 +164,7 @@
 	}
 }
 
+// killAll kills all processes of the run and waits for their ends.
 func (c *conductor) killAll() {
 	var all sync.WaitGroup
 	for _, p := range c.all() {
@@ -208,11 +209,11 @@
 
 // nonNodeProcesses returns the ids of the processes other than nodes that connect to control processes.
 func (c *conductor) nonNodeProcesses() (pids []int) {
-	others := append([]*process{c.discovery}, c.controls...)
+	processes := append([]*process{c.discovery}, c.controls...)
 	if c.regionLinks != nil {
-		others = append(others, c.regionLinks)
+		processes = append(processes, c.regionLinks)
 	}
-	for _, p := range others {
+	for _, p := range processes {
 		if pid := p.pid(); pid > 0 {
 			pids = append(pids, pid)
 		}
--- a/internal/testbed/scale/distribution.go
+++ b/internal/testbed/scale/distribution.go
@@ -25,7 +25,7 @@
 	maxServicesPerNode  = 1000
 	changesPerWrite     = 1000
 	writeRetryInterval  = 200 * time.Millisecond
-	maxWriteTime        = 15 * time.Second // of a write, over all control processes that are tried
+	maxWriteTime        = 15 * time.Second // of a write, including the attempts at all control processes
 	maxInitialWriteTime = 2 * time.Minute  // until all servers are written at the start
 )
 
@@ -175,8 +175,8 @@
 	return distribution.Change{Key: key, Value: v}, err
 }
 
-// write retries until a control process has acknowledged the changes or the deadline has passed. It returns when the last
-// attempt began.
+// write retries until a control process has acknowledged the changes or the deadline has passed. It returns the time at which
+// the last attempt began.
 func (w *writer) write(changes []distribution.Change, deadline time.Time) (began time.Time, err error) {
 	for {
 		began = time.Now()
--- a/internal/testbed/scale/hollow.go
+++ b/internal/testbed/scale/hollow.go
@@ -29,14 +29,14 @@
 }
 
 const (
-	snapshotInterval = 10 * time.Second // at the usual interval of 2 s, one disk would take the writes of a whole fleet
-	seedMembers      = 3                // addresses in a node's configuration, from which it learns of other members
+	snapshotInterval = 10 * time.Second // the usual interval of 2 s would put the writes of a whole fleet on one disk
+	seedMembers      = 3                // addresses in a node's configuration, from which it receives the other members
 	hollowSockets    = 128
 	hollowThreads    = "2"
 	logLevelOfNodes  = zerolog.ErrorLevel
 )
 
-// hollow is a hollow node.
+// hollow is a running hollow node.
 type hollow struct {
 	number int
 	reload chan os.Signal
--- a/internal/testbed/scale/layout.go
+++ b/internal/testbed/scale/layout.go
@@ -17,11 +17,11 @@
 	memberPort           = 18072 // nodes, for connections of other nodes
 	regionLinkPort       = 18073 // forwarders between regions, whose connections can be cut
 	discoveryControlPort = 18074 // discovery, for connections of control processes
-	nodePort             = 18080 // nodes, for clients, of which a run has none
+	nodePort             = 18080 // nodes, for clients; a run has none
 	reservationPort      = 18090 // listened on by the tool while it uses the network, so that runs never share one
 	firstNetwork         = 2
 	lastNetwork          = 15 // higher ones are used by package loopback
-	maxMarkers           = 64 // servers that change during a run
+	maxMarkers           = 64 // only these servers change during a run, and nodes record changes of only these
 	discoveryHost        = 251
 	controlHost          = 252
 	regionLinkHost       = 253
@@ -50,7 +50,8 @@
 	return l.address(regionLinkHost, 1+region*64+n, regionLinkPort)
 }
 
-// zone returns the zone of a node process.
+// zone returns the zone of a node process. Processes are assigned to zones, zones and control processes to regions, and nodes to
+// processes in rotation.
 func (l *Layout) zone(worker int) int     { return worker % l.Size.Zones }
 func (l *Layout) region(zone int) int     { return zone % l.Size.Regions }
 func (l *Layout) controlRegion(n int) int { return n % l.Size.Regions }
@@ -100,8 +101,8 @@
 // mustParseAddress parses an address of the layout.
 func mustParseAddress(address string) netip.AddrPort { return netip.MustParseAddrPort(address) }
 
-// controlAddressFrom returns the address at which a region reaches a control process: its own, or that of a forwarder if the
-// run partitions regions.
+// controlAddressFrom returns the address at which a region reaches a control process: that of the process, or of a forwarder if the
+// process is in another region and the run partitions regions.
 func (l *Layout) controlAddressFrom(region, n int) string {
 	if l.controlRegion(n) == region || l.Size.Event != RegionPartition {
 		return l.controlAddress(n)
@@ -111,9 +112,9 @@
 
 // controlsFor returns the addresses at which a region reaches the control processes, those of the region itself first.
 func (l *Layout) controlsFor(region int) (addresses []string) {
-	for _, own := range []bool{true, false} {
+	for _, isLocal := range []bool{true, false} {
 		for n := range l.Size.Control {
-			if (l.controlRegion(n) == region) == own {
+			if (l.controlRegion(n) == region) == isLocal {
 				addresses = append(addresses, l.controlAddressFrom(region, n))
 			}
 		}
@@ -121,6 +122,7 @@
 	return addresses
 }
 
+// markers returns the number of servers that change during a run. They have the lowest numbers.
 func (l *Layout) markers() int { return min(maxMarkers, l.Size.Servers) }
 
 func serverID(services, i int) string { return fmt.Sprintf("svc%04d-srv-%06d", i%services, i) }
@@ -130,10 +132,10 @@
 }
 
 // reserveNetwork reserves a loopback network that no other run uses, until the returned listener is closed.
-func reserveNetwork() (netNumber int, held net.Listener, err error) {
+func reserveNetwork() (network int, reservation net.Listener, err error) {
 	for n := firstNetwork; n <= lastNetwork; n++ {
-		if held, err = net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", n, reservationPort)); err == nil {
-			return n, held, nil
+		if reservation, err = net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", n, reservationPort)); err == nil {
+			return n, reservation, nil
 		}
 	}
 	return 0, nil, fmt.Errorf("reserve loopback network: all are in use: %v", err)
@@ -155,11 +157,11 @@
 func (l *Layout) write() error {
 	types := []object{}
 	for _, t := range []struct {
-		name, repeat string
-		target       int
+		name, idempotency string
+		target            int
 	}{{"svc0000", "safe", 200}, {"svc0001", "keyed", 400}, {"svc0002", "unsafe", 800}} {
 		types = append(types, object{"name": t.name, "targetTime": t.target, "abandonTime": 4 * t.target, "window": 2000, "revenue": 1,
-			"keyScope": "all", "idempotency": t.repeat})
+			"keyScope": "all", "idempotency": t.idempotency})
 	}
 	tenants, zones := []object{}, []string{}
 	for i := range l.Size.Tenants {
--- a/internal/testbed/scale/ledger.go
+++ b/internal/testbed/scale/ledger.go
@@ -13,10 +13,10 @@
 	mu               sync.Mutex
 	changes          []*change
 	byMarker         map[int][]*change
-	partitionEndedAt int64   // Unix ns: end of the partition between regions; 0: there was none
-	startedAt        []int64 // by node, Unix ns: last start
-	completeAt       []int64 // by node, Unix ns: when it knew all servers; 0: it does not yet
-	isDown           []bool
+	partitionEndedAt int64                  // Unix ns: end of the partition between regions; 0: there was none
+	startedAt        []int64                // by node, Unix ns: last start
+	completeAt       []int64                // by node, Unix ns: when it knew all servers; 0: it does not yet
+	isDown           []bool                 // by node: it was killed and does not know all servers again yet
 	routesAppliedAt  []int64                // by node, Unix ns: when it last applied routes
 	counts           map[int]deliveryCounts // by process of nodes
 	endedCounts      deliveryCounts         // sum over processes that have ended
@@ -24,13 +24,13 @@
 
 // change is one change of a server.
 type change struct {
-	marker       int
+	marker       int // number of the changed server
 	draining     bool
-	madeAt       int64
-	supersededAt int64 // Unix ns: time of the next change of the same server; 0: none
-	appliedAt    []int64
-	isUnserved   []bool // by node: it does not serve the server's service
-	wasDown      []bool // by node: it was down at some time since the change
+	madeAt       int64   // Unix ns: time from which its latency counts
+	supersededAt int64   // Unix ns: time of the next change of the same server; 0: none
+	appliedAt    []int64 // by node, Unix ns; 0: not applied
+	isUnserved   []bool  // by node: it does not serve the server's service
+	wasDown      []bool  // by node: it was down at some time after the change and before it applied the change
 }
 
 func newLedger(nodes int, served func(node, server int) bool) *ledger {
@@ -38,7 +38,7 @@
 		isDown: make([]bool, nodes), routesAppliedAt: make([]int64, nodes), counts: map[int]deliveryCounts{}}
 }
 
-// addChange adds a change that is about to be made.
+// addChange adds a change that is about to be made. It supersedes the previous change of the same server.
 func (l *ledger) addChange(marker int, draining bool, now time.Time) *change {
 	at := now.UnixNano()
 	l.mu.Lock()
@@ -85,8 +85,8 @@
 	}
 }
 
-// recordMarker records the change that a node's marker record confirms. A record with the state of an earlier change does not confirm a
-// later one.
+// recordMarker records which change a node's marker record confirms: one to the same state, made before the record and not
+// superseded before it. A record with the state of an earlier change does not confirm a later one.
 func (l *ledger) recordMarker(r record) {
 	for _, c := range l.byMarker[r.Marker] {
 		if c.draining == r.Draining && r.At >= c.madeAt && (c.supersededAt == 0 || r.At < c.supersededAt) && c.appliedAt[r.Node] == 0 {
@@ -95,13 +95,14 @@
 	}
 }
 
-// nodesKilled records that a process and its nodes were killed.
+// nodesKilled records that a process and its nodes were killed. It adds the process's counts to those of ended processes, because
+// a process that is started again counts from 0.
 func (l *ledger) nodesKilled(worker int, nodes []int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h := l.counts[worker]
-	l.endedCounts.Lists, l.endedCounts.Elements = l.endedCounts.Lists+h.Lists, l.endedCounts.Elements+h.Elements
-	l.endedCounts.Plans, l.endedCounts.RouteUpdates = l.endedCounts.Plans+h.Plans, l.endedCounts.RouteUpdates+h.RouteUpdates
+	ended := l.counts[worker]
+	l.endedCounts.Lists, l.endedCounts.Elements = l.endedCounts.Lists+ended.Lists, l.endedCounts.Elements+ended.Elements
+	l.endedCounts.Plans, l.endedCounts.RouteUpdates = l.endedCounts.Plans+ended.Plans, l.endedCounts.RouteUpdates+ended.RouteUpdates
 	delete(l.counts, worker)
 	for _, n := range nodes {
 		l.completeAt[n], l.isDown[n] = 0, true
@@ -141,7 +142,7 @@
 	return sum
 }
 
-// startLatency returns how long nodes took from a common start until they knew all servers.
+// startLatency returns how long nodes took from a common time until they knew all servers.
 func (l *ledger) startLatency(since time.Time, nodes []int) *ChangeLatency {
 	return l.completionLatency(nodes, func(int) int64 { return since.UnixNano() })
 }
@@ -167,8 +168,8 @@
 	return newChangeLatency(1, missing, 0, latencies)
 }
 
-// changeLatency returns the latency of the changes since the n-th. A change that was superseded by another one of the same
-// server counts only at nodes that applied it.
+// changeLatency returns the latency of the changes from the given index on. A change that was superseded by another one of the
+// same server counts only at nodes that applied it.
 func (l *ledger) changeLatency(from int) *ChangeLatency {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -212,7 +213,7 @@
 	return len(l.changes)
 }
 
-// reloadLatency returns how long nodes took to apply the operator's file that was written at a given time.
+// reloadLatency returns how long nodes took, from the time of the order to reload, to apply the operator's file.
 func (l *ledger) reloadLatency(since time.Time) *ChangeLatency {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/scale/meter.go
+++ b/internal/testbed/scale/meter.go
@@ -11,9 +11,9 @@
 // owns their dialing socket.
 type meter struct {
 	network   byte
-	sums      map[uint16]flow // by port, from the accepting side
-	nonNode   flow            // from the dialing side: connections of other processes than nodes to control processes
-	last      map[uint64]flow
+	sums      map[uint16]flow // by port, as seen from the accepting side
+	nonNode   flow            // as seen from the dialing side: connections of processes other than nodes to control processes
+	last      map[uint64]flow // by cookie of the socket: its traffic at the last call of read
 	isNonNode map[uint64]bool // by cookie of the dialing socket
 }
 
@@ -97,7 +97,7 @@
 	discovery := m.sums[discoveryPort]
 	discovery.add(m.sums[discoveryControlPort])
 	members := m.sums[memberPort]
-	both := members.reversed()
-	both.add(members) // each connection joins two nodes, and both sides count
-	return map[role]flow{roleNodes: nodes, roleControl: control, roleDiscovery: discovery, roleMembership: both}
+	bothSides := members.reversed()
+	bothSides.add(members) // each connection joins two nodes, and both sides count
+	return map[role]flow{roleNodes: nodes, roleControl: control, roleDiscovery: discovery, roleMembership: bothSides}
 }
--- a/internal/testbed/scale/phases.go
+++ b/internal/testbed/scale/phases.go
@@ -136,7 +136,7 @@
 	return nil, nil
 }
 
-// changesPhase sets servers to draining and serving at a constant rate.
+// changesPhase sets servers to draining and serving for the duration of a phase.
 func (c *conductor) changesPhase(ctx context.Context) (*ChangeLatency, error) {
 	c.logProgress("%g changes per second for %s", c.Size.Churn, c.Size.PhaseDuration)
 	from := c.ledger.count()
@@ -146,7 +146,7 @@
 	return c.awaitChanges(ctx, from), nil
 }
 
-// awaitChanges waits until all nodes have applied the changes since the n-th, or a timeout, and returns their latency.
+// awaitChanges waits until all nodes have applied the changes from the given index on, or a timeout, and returns their latency.
 func (c *conductor) awaitChanges(ctx context.Context, from int) *ChangeLatency {
 	waitUntil(ctx, maxChangeWait, func() bool { return c.ledger.changeLatency(from).Missing == 0 })
 	latency := c.ledger.changeLatency(from)
@@ -154,7 +154,8 @@
 	return latency
 }
 
-// churn makes changes at a constant rate for a given time.
+// churn makes changes for a given time, one after the other. The pause between them is that of the size's rate; the time to make a
+// change adds to it, so that the actual rate is lower.
 func (c *conductor) churn(ctx context.Context, length time.Duration) error {
 	gap := time.Duration(float64(time.Second) / c.Size.Churn)
 	for end := time.Now().Add(length); ctx.Err() == nil && time.Now().Before(end); pause(ctx, gap) {
@@ -165,8 +166,8 @@
 	return nil
 }
 
-// restartsPhase kills node processes one after the other and starts them again immediately, at a constant rate. No servers
-// change meanwhile, so that the difference to the idle phase is the cost of restarts alone.
+// restartsPhase kills node processes one after the other and starts them again immediately, at a constant rate unless a restart
+// takes longer. No servers change meanwhile, so that the difference to the idle phase is the cost of restarts alone.
 func (c *conductor) restartsPhase(ctx context.Context) (*ChangeLatency, error) {
 	c.logProgress("%g node processes per second restart for %s", c.Size.Restarts, c.Size.PhaseDuration)
 	gap := time.Duration(float64(time.Second) / c.Size.Restarts)
@@ -202,7 +203,7 @@
 	return made, nil
 }
 
-// sendAndWait sends an order to the discovery process and waits for its result.
+// sendAndWait sends an order to the discovery process, the only one whose results handle passes on, and waits for its result.
 func (c *conductor) sendAndWait(p *process, o order) (announcement, error) {
 	if err := p.send(o); err != nil {
 		return announcement{}, err
@@ -236,7 +237,8 @@
 	return latency, nil
 }
 
-// eventPhase runs the event while changes continue and waits until all nodes know all servers and have applied all changes.
+// eventPhase runs the event while changes continue, which DiscoveryDown makes impossible, and waits until all nodes know all
+// servers and have applied all changes.
 func (c *conductor) eventPhase(ctx context.Context) (*ChangeLatency, error) {
 	from := c.ledger.count()
 	stop, stopChurn := context.WithCancel(ctx)
@@ -317,7 +319,7 @@
 	}
 }
 
-// discoveryDown makes discovery unreachable for a given time and makes a change meanwhile, which counts from discovery's
+// discoveryDown makes discovery unreachable for a given time and makes a change at the end of it, which counts from discovery's
 // return.
 func (c *conductor) discoveryDown(ctx context.Context, length time.Duration) error {
 	if _, err := c.sendAndWait(c.discovery, order{Do: doSetDown, On: true}); err != nil {
--- a/internal/testbed/scale/plane.go
+++ b/internal/testbed/scale/plane.go
@@ -16,7 +16,7 @@
 // Plane is a mechanism that distributes changes of servers to nodes. Hollow nodes, events and measurements of a run are the
 // same for all planes.
 type Plane interface {
-	// Controls reports whether there are control processes between discovery's side and the nodes.
+	// Controls reports whether there are control processes between the source of changes and the nodes.
 	Controls() bool
 	// Scoped reports whether a node receives only the services that it serves.
 	Scoped() bool
@@ -26,8 +26,8 @@
 	Prepare(l *Layout) error
 	// Control runs the n-th control process until the context ends or the process fails.
 	Control(ctx context.Context, l *Layout, n int) error
-	// Source starts the process's source of changes and returns when it lists all servers. Control processes start
-	// concurrently.
+	// Source starts the source of changes of the discovery process and returns when the source lists all servers. Control
+	// processes start concurrently.
 	Source(l *Layout) (Source, error)
 	// Configure adds the plane's settings to the configuration that a node has loaded.
 	Configure(l *Layout, node int, cfg *proxy.Config) error
@@ -36,7 +36,8 @@
 // Source changes servers. It runs in the discovery process: as the stand-in of discovery, or as a writer at the plane's
 // control processes.
 type Source interface {
-	// Change sets a server to draining or serving and returns the time of the change.
+	// Change sets a server to draining or serving and returns the time from which the change's latency counts: just before
+	// it was made, or before the attempt to write it that succeeded.
 	Change(server int, draining bool) (time.Time, error)
 	// SetDown makes the source unreachable, or reachable again.
 	SetDown(isDown bool) error
--- a/internal/testbed/scale/records.go
+++ b/internal/testbed/scale/records.go
@@ -20,19 +20,20 @@
 	nodeStarted
 )
 
-// record is an event at a node. Its time is when the node's policy has processed the input: each later decision uses it.
+// record is an event at a node. Its time is when the node's policy has processed the input, because each later decision of the
+// policy takes the input into account.
 type record struct {
 	Kind     recordKind
 	Node     int
-	Marker   int  // of markerApplied
-	Draining bool // of markerApplied
-	At       int64
+	Marker   int   // of markerApplied
+	Draining bool  // of markerApplied
+	At       int64 // Unix ns
 }
 
 // recorder collects the records of the nodes of one process and counts the inputs of their policies.
 type recorder struct {
 	layout  *Layout
-	markers map[uint32]int // number of a marker by the rank of its server
+	markers map[uint32]int // number of a marker by its server's rank, the CRC-32 of the server's ID
 
 	mu      sync.Mutex // locked while a dispatcher's lock is held; no other lock is taken under it
 	records []record
@@ -43,8 +44,8 @@
 type deliveryCounts struct {
 	Lists        int `json:"lists"`
 	Elements     int `json:"elements"` // endpoints in them
-	Plans        int `json:"plans"`
-	RouteUpdates int `json:"reroutes"`
+	Plans        int `json:"plans"`    // changes of plans
+	RouteUpdates int `json:"reroutes"` // changes of traffic types, as by a reload of the operator's file
 }
 
 func newRecorder(l *Layout) *recorder {
@@ -75,8 +76,8 @@
 	engine.Decider
 	recorder        *recorder
 	node            int
-	expectedServers int          // of its services
-	known           map[int]bool // servers that were not removed, by index
+	expectedServers int          // number of servers of the node's services
+	known           map[int]bool // servers that the policy received and that were not removed, by the policy's index
 	isComplete      bool
 }
 
--- a/internal/testbed/scale/result.go
+++ b/internal/testbed/scale/result.go
@@ -25,11 +25,13 @@
 
 // Phase is the result of one phase of a run.
 type Phase struct {
-	Name          string          `json:"name"`
-	Seconds       float64         `json:"seconds"`
-	Roles         map[string]Role `json:"roles"`
-	ChangeLatency *ChangeLatency  `json:"in_force,omitempty"`
-	// RestartLatency is how long killed nodes took from their start until they knew all servers.
+	Name    string          `json:"name"`
+	Seconds float64         `json:"seconds"`
+	Roles   map[string]Role `json:"roles"`
+	// ChangeLatency is of the phase's changes; in the phases start and restarts, of nodes from their start until they knew all
+	// servers; in the phase reload, of the operator's file.
+	ChangeLatency *ChangeLatency `json:"in_force,omitempty"`
+	// RestartLatency is how long the nodes that the event killed took from their start until they knew all servers.
 	RestartLatency *ChangeLatency `json:"returned,omitempty"`
 	Deliveries     deliveryCounts `json:"handed"` // inputs of policies, sum over all nodes
 }
@@ -45,15 +47,16 @@
 	Memory      float64 `json:"memory_bytes"`
 }
 
-// ChangeLatency is the distribution of the times from a change until a node applied it.
+// ChangeLatency is the distribution of the times from a change until a node applied it, over pairs of a change and a node. A start
+// of nodes and a reload count as one change.
 type ChangeLatency struct {
 	Changes int     `json:"changes"`
-	Applied int     `json:"taken"` // pairs of a change and a node that applied it
+	Applied int     `json:"taken"` // pairs whose node applied the change
 	P50     float64 `json:"p50_ms"`
 	P99     float64 `json:"p99_ms"`
 	Last    float64 `json:"last_ms"`
-	Missing int     `json:"missing"` // pairs whose node was up throughout the phase and did not apply the change
-	Down    int     `json:"down"`    // pairs whose node was down at some time since the change; not part of the times
+	Missing int     `json:"missing"` // pairs whose node was up and did not apply the change, which no later one superseded
+	Down    int     `json:"down"`    // pairs whose node was down before it applied the change; not part of the times
 }
 
 func newChangeLatency(changes, missing, down int, latencies []time.Duration) *ChangeLatency {
--- a/internal/testbed/scale/size.go
+++ b/internal/testbed/scale/size.go
@@ -26,7 +26,7 @@
 	Regions         int           `json:"regions"`
 	Zones           int           `json:"zones"`              // sum over all regions
 	Control         int           `json:"control"`            // control processes
-	Churn           float64       `json:"churn"`              // changed servers per second
+	Churn           float64       `json:"churn"`              // changed servers per second, at most
 	Restarts        float64       `json:"restarts,omitempty"` // node processes killed and started again per second
 	Plane           string        `json:"plane"`
 	Event           string        `json:"event"`
@@ -61,15 +61,15 @@
 	for _, f := range []struct {
 		name  string
 		value int
-		least int
-		most  int
+		min   int
+		max   int
 	}{
 		{"nodes", s.Nodes, 1, maxNodes}, {"servers", s.Servers, 1, maxServers}, {"services", s.Services, 1, maxServers}, {"serves", s.ServicesPerNode, 0, s.Services},
 		{"routes", s.Routes, 0, 1_000_000}, {"tenants", s.Tenants, 0, 1_000_000}, {"regions", s.Regions, 1, 16},
 		{"zones", s.Zones, s.Regions, 64}, {"control", s.Control, 1, 64},
 	} {
-		if f.value < f.least || f.value > f.most {
-			return fmt.Errorf("--%s %d: want %d to %d", f.name, f.value, f.least, f.most)
+		if f.value < f.min || f.value > f.max {
+			return fmt.Errorf("--%s %d: want %d to %d", f.name, f.value, f.min, f.max)
 		}
 	}
 	if s.Churn < 0 || s.Churn > 1000 {
@@ -125,7 +125,7 @@
 	}
 	if s.controls() {
 		sum += n * (subscriberBytes + servers*serverBytes)
-		connections := n * float64(s.Control)
+		connections := n * float64(s.Control) // each node connects to all control processes
 		if planes[s.Plane].Scoped() {
 			connections = n // each node follows one control process
 		}
--- a/internal/testbed/scale/sockets_test.go
+++ b/internal/testbed/scale/sockets_test.go
@@ -104,7 +104,7 @@
 		}
 		f := m.flows()
 		if f[roleNodes].BytesOut != c.nodes || f[roleControl].BytesIn != sent {
-			t.Errorf("connection %s: got nodes %+v, control %+v", name, f[roleNodes], f[roleControl])
+			t.Errorf("connection %s: got nodes %+v, control %+v, want 500 bytes at control, and at nodes only if a node dialed", name, f[roleNodes], f[roleControl])
 		}
 	}
 }
--- a/internal/testbed/scale/standin.go
+++ b/internal/testbed/scale/standin.go
@@ -7,7 +7,7 @@
 	"fernvane/internal/testbed/standin/discovery"
 )
 
-// listsPerS is far above the need of any size: the capacity of a discovery service is not what a run measures.
+// linesPerSecond is far above the need of any size: the capacity of a discovery service is not what a run measures.
 const linesPerSecond = 1e12
 
 // standin is a Source that changes the entries of a stand-in of discovery.
--- a/internal/testbed/scale/worker.go
+++ b/internal/testbed/scale/worker.go
@@ -41,7 +41,7 @@
 	Do       string `json:"do"`
 	Server   int    `json:"server,omitempty"`
 	Draining bool   `json:"draining,omitempty"`
-	On       bool   `json:"on,omitempty"`
+	On       bool   `json:"on,omitempty"` // of doSetDown and doCutRegions: begin, or end
 }
 
 const (
