--- a/cmd/testbed/distribution.go
+++ b/cmd/testbed/distribution.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	maxDistributionTime  = 6 * time.Second // required time until all nodes have applied a change
+	maxDistributionTime  = 6 * time.Second // within which operators require a change to be applied by all nodes
 	maxDistributionNodes = 500             // nodes in one process
 )
 
@@ -40,7 +40,7 @@
 			})
 			w.Flush()
 			if err == nil && failed {
-				err = errors.New("a change took more than 6 s, or a node reverted to an earlier revision")
+				err = errors.New("change took more than 6 s, or node reverted to earlier revision")
 			}
 			return err
 		}}
--- a/cmd/testbed/journal.go
+++ b/cmd/testbed/journal.go
@@ -37,12 +37,12 @@
 				return err
 			}
 			s.Seed, s.Journal.Promise, s.Faults = seed, promise, nil
-			chance := rand.New(rand.NewPCG(seed, 3))
+			random := rand.New(rand.NewPCG(seed, 3))
 			const down, up = 200 * time.Millisecond, 250 * time.Millisecond // a node runs for up plus a random time between kills
 			at := make([]time.Duration, s.Nodes.Count)
 			for i := range n {
 				node := i % len(at)
-				at[node] += down + up + time.Duration(chance.Int64N(int64(900*time.Millisecond)))
+				at[node] += down + up + time.Duration(random.Int64N(int64(900*time.Millisecond)))
 				s.Faults = append(s.Faults, scenario.Fault{Kind: "kill-nodes", At: scenario.Duration(at[node]), For: scenario.Duration(down), Nodes: []int{node}})
 				s.Length = max(s.Length, scenario.Duration(at[node]+time.Second))
 			}
@@ -123,7 +123,8 @@
 		}}
 }
 
-// repairCommand measures how long it takes until a journal without replicas is replicated.
+// repairCommand measures how long it takes until a journal without replicas is replicated, with no earlier entries and with the
+// number that the flag states.
 func repairCommand() *cobra.Command {
 	var n, rate int
 	var length time.Duration
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,6 @@
 // Command testbed runs scenarios with real node processes on loopback sockets against stand-ins (package testbed) and
-// reports the outcome. It starts itself as node, planner and scale worker, so that no other binary is needed.
+// reports the outcome. It starts itself as node, planner, scale worker and busy process, so that no other binary is
+// needed.
 package main
 
 import (
--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -87,38 +87,38 @@
 
 // TestBadInput checks exit code and message of invalid input.
 func TestBadInput(t *testing.T) {
-	bad := write(t, "bad.toml", "name = \"x\"\nbase = \"calm\"\n[load]\nrate = -1\nshapes = 3\n")
-	good := write(t, "good.toml", small)
+	invalid := write(t, "bad.toml", "name = \"x\"\nbase = \"calm\"\n[load]\nrate = -1\nshapes = 3\n")
+	valid := write(t, "good.toml", small)
 	other := write(t, "other.json", `{"scenario":"x","seed":2}`)
 	trace := write(t, "t.csv", "at_ms,type,tenant,site,key,work_ms\n1,hire-dance,,,0,1\n")
 	for name, c := range map[string]struct {
 		args []string
 		code int
-		says string
+		want string // in the output to standard error
 	}{
-		"bad file":             {[]string{"check", bad}, exitBadInput, "bad.toml:5: unknown key \"load.shapes\""},
-		"run, bad file":        {[]string{"run", bad}, exitBadInput, "bad.toml:5: "},
-		"good file":            {[]string{"check", good}, 0, ""},
+		"bad file":             {[]string{"check", invalid}, exitBadInput, "bad.toml:5: unknown key \"load.shapes\""},
+		"run, bad file":        {[]string{"run", invalid}, exitBadInput, "bad.toml:5: "},
+		"good file":            {[]string{"check", valid}, 0, ""},
 		"no such scenario":     {[]string{"run", "dance"}, exitBadInput, "no scenario \"dance\""},
-		"no such file":         {[]string{"check", bad + "x"}, exitBadInput, "no such file"},
+		"no such file":         {[]string{"check", invalid + "x"}, exitBadInput, "no such file"},
 		"no such baseline":     {[]string{"run", "calm", "--baselines", "magic"}, exitBadInput, "unknown baseline \"magic\""},
 		"no such policy":       {[]string{"run", "calm", "--policy", "magic"}, exitBadInput, "unknown policy \"magic\""},
-		"bad trace":            {[]string{"run", good, "--trace", trace}, exitBadInput, "t.csv:2: no type \"hire-dance\""},
-		"no such node":         {[]string{"run", good, "--node", bad + "x", "--quiet"}, exitBadInput, "node 0 cannot be started"},
-		"node that ends":       {[]string{"run", good, "--node", "/bin/false", "--quiet"}, exitBadInput, "node 0 has ended"},
-		"no report":            {[]string{"compare", good, good}, exitBadInput, "decode report "},
+		"bad trace":            {[]string{"run", valid, "--trace", trace}, exitBadInput, "t.csv:2: no type \"hire-dance\""},
+		"no such node":         {[]string{"run", valid, "--node", invalid + "x", "--quiet"}, exitBadInput, "node 0 cannot be started"},
+		"node that ends":       {[]string{"run", valid, "--node", "/bin/false", "--quiet"}, exitBadInput, "node 0 has ended"},
+		"no report":            {[]string{"compare", valid, valid}, exitBadInput, "decode report "},
 		"different schedules":  {[]string{"compare", other, write(t, "o.json", `{"scenario":"y"}`)}, 0, ""},
 		"unknown flag":         {[]string{"run", "--fast"}, exitBadInput, "unknown flag"},
 		"scale, too large":     {[]string{"scale", "--plane", "discovery", "--nodes", "50000"}, exitBadInput, "processes: at most 200 are allowed"},
 		"scale, no plane":      {[]string{"scale", "--plane", "magic"}, exitBadInput, "--plane magic: want one of discovery"},
-		"capacity, no results": {[]string{"capacity", "--results", filepath.Dir(bad) + "x"}, exitBadInput, "has no .json files"},
+		"capacity, no results": {[]string{"capacity", "--results", filepath.Dir(invalid) + "x"}, exitBadInput, "has no .json files"},
 		"no address":           {[]string{"load"}, exitBadInput, "required flag(s) \"to\""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var out, errs strings.Builder
 			code := run(c.args, &out, &errs)
-			if code != c.code || !strings.Contains(errs.String(), c.says) {
+			if code != c.code || !strings.Contains(errs.String(), c.want) {
 				t.Errorf("got exit code %d with output %q", code, errs.String())
 			}
 		})
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -100,7 +100,7 @@
 	return names, nil
 }
 
-// runScenario runs the node alone and then the baselines concurrently, on the same schedule.
+// runScenario runs the node alone, then its pairings and variants, and then the baselines concurrently, all on the same schedule.
 func runScenario(ctx context.Context, out, errs io.Writer, s *scenario.Scenario, f runFlags) error {
 	others, err := chosenBaselines(f.baselines)
 	if err != nil {
@@ -150,7 +150,7 @@
 	return verdict(&r, s.Pairings)
 }
 
-// options returns the options of the node's own run and its name in the report.
+// options returns the options of the node's run and the node's name in the report.
 func (f *runFlags) options(s *scenario.Scenario) (o testbed.Options, name string, err error) {
 	if _, ok := baseline.Find(f.policy); !ok {
 		return o, "", fmt.Errorf("unknown policy %q", f.policy)
--- a/cmd/testbed/tools.go
+++ b/cmd/testbed/tools.go
@@ -48,18 +48,18 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{Use: "check FILE...", Short: "Print all errors of scenarios", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
-			bad := false
+			hasErrors := false
 			for _, name := range files {
 				s, err := scenario.Load(name)
 				if err != nil {
 					fmt.Fprintln(c.ErrOrStderr(), err)
-					bad = true
+					hasErrors = true
 					continue
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: %s, %d nodes, %d servers, %d requests, %d faults\n", name, s.Length.Std(), s.Nodes.Count,
 					len(s.ServerNames()), len(load.Plan(s)), len(s.Faults))
 			}
-			if bad {
+			if hasErrors {
 				return exit(exitBadInput)
 			}
 			return nil
@@ -236,17 +236,18 @@
 }
 
 func proveCommand() *cobra.Command {
-	return &cobra.Command{Use: "prove", Short: "Check that the audit reports each rule as broken exactly for the policy that breaks it", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "prove", Short: "Check that the audit reports the rule that each faulty policy breaks, and none for correct policies", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			bad, err := prove(c.Context(), func(line string) { fmt.Fprintln(c.OutOrStdout(), line) })
-			if err == nil && bad > 0 {
+			wrong, err := prove(c.Context(), func(line string) { fmt.Fprintln(c.OutOrStdout(), line) })
+			if err == nil && wrong > 0 {
 				return exit(exitBroken)
 			}
 			return err
 		}}
 }
 
-// prove runs the scenario `proof` with each faulty policy and with correct ones, and returns the number of wrong verdicts.
+// prove runs the scenario `proof` with each faulty policy and with correct ones, and returns the number of wrong verdicts. The
+// verdict on a faulty policy is right if its rule is broken, whatever other rules are.
 func prove(ctx context.Context, printLine func(string)) (wrong int, err error) {
 	s, err := scenario.Load("proof")
 	if err != nil {
--- a/internal/testbed/capacity/capacity_test.go
+++ b/internal/testbed/capacity/capacity_test.go
@@ -105,7 +105,7 @@
 			}
 			_, err := LoadTarget(path)
 			if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
-				t.Errorf("error: got %v, want %q", err, c.want)
+				t.Errorf("error: got %v, want text %q", err, c.want)
 			}
 		})
 	}
--- a/internal/testbed/capacity/fit.go
+++ b/internal/testbed/capacity/fit.go
@@ -1,6 +1,7 @@
 // Package capacity extrapolates committed measurements to the resource needs of each role of a deployment at a target size.
 // It prints them with their budgets as the tables of docs/CAPACITY.md. LoadResults and LoadTarget read the input, Fit fits
-// the growth of a figure, and Print writes the tables.
+// the growth of a figure over one dimension, and Print evaluates each fitted slope at the target size of that dimension and writes
+// the tables. All other dimensions stay at their measured sizes.
 package capacity
 
 import (
@@ -47,16 +48,18 @@
 type Slope struct {
 	Shape         Shape
 	Fixed, Factor float64
-	Residual      float64 // root mean square of the relative deviations from the measured values
+	Residual      float64 // root mean square of the deviations, each relative to the measured value
 	Largest       float64 // largest measured size
-	// PredictionError is the relative error at the largest size of the slope that all smaller sizes give.
+	// PredictionError is the relative error, at the largest size, of the slope that is fitted to all smaller sizes. It is positive
+	// if that slope is too high.
 	PredictionError float64
 }
 
 const (
 	minPoints          = 3    // needed to distinguish shapes
 	maxPredictionError = 0.25 // above this share of the value at the largest size, the slope counts as not predicted
-	// A more complex shape must reduce the residual by this factor, because noise alone always favors more complex shapes.
+	// A more complex shape replaces a simpler one only if its residual is below this share of the other's, because noise alone
+	// always favors more complex shapes.
 	minImprovement     = 0.8
 	sufficientResidual = 0.03 // residual at or below which no more complex shape is tried
 	constantResidual   = 0.1  // the same for the constant shape: a figure that varies by a tenth over all sizes does not grow
@@ -67,7 +70,8 @@
 // At returns the value of the slope at a size.
 func (s Slope) At(n float64) float64 { return s.Fixed + s.Factor*s.Shape.growth(n) }
 
-// Unpredicted reports whether the slope of the smaller sizes misses the value at the largest size by more than a quarter.
+// Unpredicted reports whether the slope that is fitted to the smaller sizes misses the value at the largest size by more than a
+// quarter.
 func (s Slope) Unpredicted() bool { return math.Abs(s.PredictionError) > maxPredictionError }
 
 // Fit returns the slope of the simplest shape that describes the points, by least squares of relative deviations. Sizes
@@ -97,7 +101,7 @@
 	return 0
 }
 
-// fit returns the best slope over all shapes, trying the simplest first.
+// fit tries the shapes from the simplest to the most complex, until the residual is small enough, and returns the best slope.
 func fit(points []Point) Slope {
 	best := fitShape(Constant, points)
 	if best.Residual <= constantResidual {
@@ -114,7 +118,8 @@
 	return best
 }
 
-// fitShape fits one shape. Neither part is negative: a figure does not shrink with size, and costs nothing below zero.
+// fitShape fits one shape with both parts, with the fixed part alone and with the growing part alone, and returns the best of these
+// slopes whose parts are not negative: no figure shrinks with the size, and none is below zero.
 func fitShape(shape Shape, points []Point) Slope {
 	best := Slope{Shape: shape, Residual: math.Inf(1)}
 	for _, parts := range [][2]bool{{true, true}, {true, false}, {false, true}} {
@@ -129,34 +134,35 @@
 	return best
 }
 
-// solve solves the weighted normal equations for Fixed and Factor. Either may be left out, and is 0 then.
-func solve(shape Shape, points []Point, fixed, factor bool) Slope {
+// solve solves the normal equations for Fixed and Factor, weighted by the inverse squares of the measured values so that deviations
+// are relative. Either part may be left out, and is 0 then.
+func solve(shape Shape, points []Point, hasFixed, hasFactor bool) Slope {
 	s := Slope{Shape: shape}
-	var ones, cross, squares, value, grown float64
+	var sumWeight, sumGrowth, sumGrowthSquared, sumValue, sumGrowthValue float64 // all weighted
 	for _, p := range points {
 		weight := 1 / math.Pow(max(math.Abs(p.Value), minDivisor), 2)
 		g := shape.growth(p.Size)
-		ones += weight
-		cross += weight * g
-		squares += weight * g * g
-		value += weight * p.Value
-		grown += weight * g * p.Value
+		sumWeight += weight
+		sumGrowth += weight * g
+		sumGrowthSquared += weight * g * g
+		sumValue += weight * p.Value
+		sumGrowthValue += weight * g * p.Value
 	}
-	switch determinant := ones*squares - cross*cross; {
-	case fixed && factor && shape != Constant && determinant != 0:
-		s.Fixed = (value*squares - grown*cross) / determinant
-		s.Factor = (ones*grown - cross*value) / determinant
-	case fixed:
-		s.Fixed = value / ones
-	case squares != 0:
-		s.Factor = grown / squares
+	switch determinant := sumWeight*sumGrowthSquared - sumGrowth*sumGrowth; {
+	case hasFixed && hasFactor && shape != Constant && determinant != 0:
+		s.Fixed = (sumValue*sumGrowthSquared - sumGrowthValue*sumGrowth) / determinant
+		s.Factor = (sumWeight*sumGrowthValue - sumGrowth*sumValue) / determinant
+	case hasFixed:
+		s.Fixed = sumValue / sumWeight
+	case sumGrowthSquared != 0:
+		s.Factor = sumGrowthValue / sumGrowthSquared
 	}
-	sum := 0.0
+	sumSquares := 0.0
 	for _, p := range points {
 		deviation := (s.At(p.Size) - p.Value) / max(math.Abs(p.Value), minDivisor)
-		sum += deviation * deviation
+		sumSquares += deviation * deviation
 	}
-	s.Residual = math.Sqrt(sum / float64(len(points)))
+	s.Residual = math.Sqrt(sumSquares / float64(len(points)))
 	return s
 }
 
--- a/internal/testbed/capacity/page.go
+++ b/internal/testbed/capacity/page.go
@@ -20,9 +20,9 @@
 	*Figure
 	series  *Series
 	slope   Slope
-	target  float64 // target size
-	value   float64 // at the target size
-	command int     // number of the command that measured it
+	target  float64 // size in the source's dimension
+	value   float64 // budgeted figure at the target size
+	command int     // number, in the page's list, of the command that measured it
 }
 
 func (r *row) budgetRatio() float64 {
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// extrapolate adds the row of a figure.
+// extrapolate adds the row of a figure: it fits the source's points and evaluates the slope at the target size, times Times.
 func (p *page) extrapolate(f *Figure) error {
 	s, err := p.Series(f.Source)
 	if err != nil {
@@ -173,7 +173,8 @@
 	return fmt.Sprintf("%s, %s; %s of it", formatAmount(r.Budget, r.Unit), r.BudgetIs, formatNumber(r.budgetRatio()))
 }
 
-// events prints the latency of changes of each run, by plane, event and size.
+// events prints the latency of changes in the phase of each run's event and in all phases of runs that vary nodes, by plane, event
+// and size.
 func (p *page) events(w io.Writer) {
 	table(w, "Changes in force, and events", "plane", "phase", "nodes", "servers", "changes", "p50 ms", "p99 ms", "last node ms", "not taken", "killed nodes back: last ms", "command")
 	for _, run := range p.Runs {
--- a/internal/testbed/capacity/results.go
+++ b/internal/testbed/capacity/results.go
@@ -104,13 +104,14 @@
 	Unit    string
 	Exact   bool
 	Points  []Point
-	Command string
-	Load    float64 // load average of the machine before the run
-	Cores   int
+	Command string  // of the run with the largest size
+	Load    float64 // load average of the machine before the measurement; of several runs, the highest
+	Cores   int     // of the machine of Command
 }
 
 // Series returns the series that the source of a row of the target file names: `parts NAME` or
-// `scale PLANE-DIMENSION PHASE ROLE FIELD`, where ROLE may also be in_force or handed.
+// `scale PLANE-DIMENSION PHASE ROLE FIELD`, where ROLE may also be in_force, the latency of the phase's changes, or handed, the
+// inputs of policies per change that a node applied.
 func (r *Results) Series(source string) (*Series, error) {
 	words := strings.Fields(source)
 	switch {
@@ -198,7 +199,7 @@
 	return strings.Join(words, ", ")
 }
 
-// phaseFigure returns a figure of a run's phase: of a role, the mean of its members.
+// phaseFigure returns a figure of a run's phase. A figure of a role is the mean of its members.
 func phaseFigure(run *Run, phase, role, field string) (value float64, unit string, exact bool, err error) {
 	i := slices.IndexFunc(run.Phases, func(p scale.Phase) bool { return p.Name == phase })
 	if i < 0 {
--- a/internal/testbed/capacity/target.go
+++ b/internal/testbed/capacity/target.go
@@ -10,7 +10,7 @@
 type Target struct {
 	// About are the rows of the page's first table.
 	About []Line `toml:"about"`
-	// Sizes are the target sizes by dimension.
+	// Sizes are the target sizes by dimension. A figure is extrapolated to the size of the dimension that its source varies.
 	Sizes map[string]float64 `toml:"sizes"`
 	// Figures are the rows of the page.
 	Figures []Figure `toml:"figures"`
@@ -28,7 +28,7 @@
 	Kind     string  `toml:"kind"` // state, messages, CPU, memory or time
 	What     string  `toml:"what"`
 	Source   string  `toml:"source"` // argument of Results.Series
-	Times    float64 `toml:"times"`  // factor from the measured figure to the budgeted one; by default 1
+	Times    float64 `toml:"times"`  // factor from the measured figure to the budgeted one, such as how often it occurs in the budget's period; by default 1
 	Unit     string  `toml:"unit"`   // of the budgeted figure; by default the source's
 	Budget   float64 `toml:"budget"` // 0: none
 	BudgetIs string  `toml:"budget_is"`
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// worst returns the lowest mean service over a second.
+// worst returns the lowest mean service over a second, which may begin at each point of the series.
 func (r *Report) worst() float64 {
 	least := 1.0
 	const pointsPerSecond = 4
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -17,7 +17,8 @@
 	"fernvane/internal/testbed/scenario"
 )
 
-// Report is the report of a run. Latencies are in ms, from the scheduled time.
+// Report is the report of a run. Latencies are in ms, from the scheduled time of a request. Service is the earned share of the
+// revenue that the requests offered.
 type Report struct {
 	Scenario          string             `json:"scenario"`
 	Seed              uint64             `json:"seed"`
@@ -51,7 +52,7 @@
 	Baselines         []Report           `json:"baselines"`
 }
 
-// Latency holds quantiles of a traffic type and its share of revenue.
+// Latency holds quantiles in ms of a traffic type and its share of revenue.
 type Latency struct {
 	P50     float64 `json:"p50"`
 	P99     float64 `json:"p99"`
@@ -60,7 +61,7 @@
 	Service float64 `json:"service"`
 }
 
-// Part is the result of a tenant or site.
+// Part is the share of revenue and the latency in ms of a tenant or site.
 type Part struct {
 	Service float64 `json:"service"`
 	P99     float64 `json:"p99"`
@@ -74,14 +75,14 @@
 	WorstBin  float64 `json:"worst_bin"` // largest relative error against the schedule in 100 ms
 }
 
-// Discovery is the load of all nodes on discovery.
+// Discovery is the load of all nodes on discovery. Lines is the cost of calls that were not rejected.
 type Discovery struct {
 	Calls         int     `json:"calls"`
 	Lines         float64 `json:"lines"`
 	RejectedCalls int     `json:"turned_away"`
 }
 
-// Use is the CPU time of a group of processes together and the memory of its largest process.
+// Usage is the CPU time of a group of processes together and the memory of its largest process.
 type Usage struct {
 	CPUSeconds float64 `json:"cpu_s"`
 	RSSMaxMB   float64 `json:"rss_max_mb"`
@@ -97,7 +98,7 @@
 	P99      float64 `json:"p99"`
 }
 
-// Fault is the kind and time of a fault.
+// Fault is the kind of a fault and when it began and ended, since the start of the run.
 type Fault struct {
 	Kind  string  `json:"kind"`
 	FromS float64 `json:"from_s"`
--- a/internal/testbed/scale/conductor.go
+++ b/internal/testbed/scale/conductor.go
@@ -173,8 +173,8 @@
 	all.Wait()
 }
 
-// watch periodically reads the traffic of connections and the memory of processes, and cancels a run that uses too much
-// memory.
+// watch reads the traffic of connections and the memory of processes once per poll interval and cancels a run that uses too
+// much memory. It includes the tool's own memory.
 func (c *conductor) watch(ctx context.Context, cancel context.CancelCauseFunc) {
 	for tick := time.NewTicker(pollInterval); ; {
 		select {
@@ -201,6 +201,7 @@
 	}
 }
 
+// readTraffic updates the sums of the meter.
 func (c *conductor) readTraffic() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -221,7 +222,7 @@
 	return pids
 }
 
-// reading is the resource usage of all roles since the start of the run.
+// reading is the traffic, CPU time and inputs of policies of all roles since the start of the run, and their present memory.
 type reading struct {
 	at         time.Time
 	flows      map[role]flow
--- a/internal/testbed/scale/layout.go
+++ b/internal/testbed/scale/layout.go
@@ -45,7 +45,7 @@
 func (l *Layout) discoveryAddress(port int) string { return l.address(discoveryHost, 1, port) }
 func (l *Layout) controlAddress(n int) string      { return l.address(controlHost, 1+n, controlPort) }
 
-// cutAddress returns the forwarder address at which a region reaches a control process of another region.
+// regionLinkAddress returns the forwarder address at which a region reaches a control process of another region.
 func (l *Layout) regionLinkAddress(region, n int) string {
 	return l.address(regionLinkHost, 1+region*64+n, regionLinkPort)
 }
--- a/internal/testbed/scale/ledger.go
+++ b/internal/testbed/scale/ledger.go
@@ -130,7 +130,7 @@
 	return n
 }
 
-// handed returns the sums over all processes of nodes.
+// deliveries returns the counts of policies' inputs, summed over all processes of nodes, ended ones included.
 func (l *ledger) deliveries() (sum deliveryCounts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/scale/result.go
+++ b/internal/testbed/scale/result.go
@@ -17,7 +17,7 @@
 	Machine   Machine   `json:"machine"`
 	Size      Size      `json:"size"`
 	Processes int       `json:"processes"`
-	Memory    float64   `json:"memory_bytes"` // maximum of the sum over all processes
+	Memory    float64   `json:"memory_bytes"` // maximum of the sum over all processes, read once per second
 	Shared    []string  `json:"shared"`
 	Phases    []Phase   `json:"phases"`
 	Faults    []string  `json:"faults,omitempty"`
@@ -44,7 +44,7 @@
 	MessagesIn  float64 `json:"messages_in_per_s"`
 	MessagesOut float64 `json:"messages_out_per_s"`
 	CPU         float64 `json:"cpu_per_s"`
-	Memory      float64 `json:"memory_bytes"`
+	Memory      float64 `json:"memory_bytes"` // at the end of the phase
 }
 
 // ChangeLatency is the distribution of the times from a change until a node applied it, over pairs of a change and a node. A start
--- a/internal/testbed/standin/certauthority/authority.go
+++ b/internal/testbed/standin/certauthority/authority.go
@@ -34,8 +34,8 @@
 	return &Authority{cert, key, der}, err
 }
 
-// Write writes a certificate for a name, its key and the authority's own certificate into a folder, as NAME.crt, NAME.key
-// and ca.crt, and returns their paths.
+// Write writes a certificate for a name that is valid until a given time, its key and the authority's own certificate into a
+// folder, as NAME.crt, NAME.key and ca.crt, and returns their paths.
 func (a *Authority) Write(dir, name string, until time.Time) (cert, key, ca string, err error) {
 	leafKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
