--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -97,11 +97,11 @@
 type soakSum struct {
 	out io.Writer // receives the details of each run with a broken rule
 
-	mu                                  sync.Mutex
-	runs, brokenRuns, requests, answers int
-	idleCloseRaces, fastCGICloseRaces   int
-	shortestIdle                        time.Duration
-	broken                              map[soak.Rule]int
+	mu                                    sync.Mutex
+	runs, brokenRuns, requests, responses int
+	idleCloseRaces, fastCGICloseRaces     int
+	shortestIdle                          time.Duration
+	broken                                map[soak.Rule]int
 }
 
 func (s *soakSum) add(r soak.Result) {
@@ -109,7 +109,7 @@
 	defer s.mu.Unlock()
 	s.runs++
 	s.requests += r.Requests
-	s.answers += r.Answers
+	s.responses += r.Answers
 	s.fastCGICloseRaces += r.FastCGICloseRaces
 	if r.IdleCloseRaces > 0 && (s.idleCloseRaces == 0 || r.ShortestIdle < s.shortestIdle) {
 		s.shortestIdle = r.ShortestIdle
@@ -130,7 +130,7 @@
 
 func (s *soakSum) print(out io.Writer) error {
 	fmt.Fprintf(out, "%d stops, %d with a broken rule; %d requests, %d responses; closes of idle connections that crossed a request: %d HTTP (idle for at least %s), %d FastCGI\n",
-		s.runs, s.brokenRuns, s.requests, s.answers, s.idleCloseRaces, s.shortestIdle.Round(time.Millisecond), s.fastCGICloseRaces)
+		s.runs, s.brokenRuns, s.requests, s.responses, s.idleCloseRaces, s.shortestIdle.Round(time.Millisecond), s.fastCGICloseRaces)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, rule := range soak.Rules {
 		fmt.Fprintf(t, "%s\t%d\n", rule, s.broken[rule])
--- a/internal/testbed/scale/distribution.go
+++ b/internal/testbed/scale/distribution.go
@@ -21,8 +21,8 @@
 
 const (
 	startTimeout        = 2 * time.Second
-	maxControlAddresses = 8 // in a node's configuration
-	maxServicesPerNode  = 1000
+	maxControlAddresses = 8    // in a node's configuration
+	maxServicesPerNode  = 1000 // limit of the distribution client's configuration
 	changesPerWrite     = 1000
 	writeRetryInterval  = 200 * time.Millisecond
 	maxWriteTime        = 15 * time.Second // of a write, including the attempts at all control processes
@@ -43,7 +43,7 @@
 	case s.Control < s.Regions:
 		return fmt.Errorf("--control %d: each of %d regions needs a root", s.Control, s.Regions)
 	case s.Services > maxServicesPerNode && (s.ServicesPerNode == 0 || s.ServicesPerNode > maxServicesPerNode):
-		return fmt.Errorf("--serves %d: a node serves at most %d services on this plane", s.ServicesPerNode, maxServicesPerNode)
+		return fmt.Errorf("--serves %d: at most %d services per node are allowed on this plane", s.ServicesPerNode, maxServicesPerNode)
 	}
 	return nil
 }
--- a/internal/testbed/scale/ledger.go
+++ b/internal/testbed/scale/ledger.go
@@ -5,7 +5,9 @@
 	"time"
 )
 
-// ledger records changes of servers and when each node applied them. It is safe for concurrent use.
+// ledger records changes of servers and when each node applied them. The latency of a change at a node is the time from the change at
+// its source until the node's policy has processed it. The source and the recorder of the node's process read the same clock, that of
+// the machine. A ledger is safe for concurrent use.
 type ledger struct {
 	nodes    int
 	isServed func(node, server int) bool
@@ -30,7 +32,7 @@
 	supersededAt int64   // Unix ns: time of the next change of the same server; 0: none
 	appliedAt    []int64 // by node, Unix ns; 0: not applied
 	isUnserved   []bool  // by node: it does not serve the server's service
-	wasDown      []bool  // by node: it was down at some time after the change and before it applied the change
+	wasDown      []bool  // by node: it was down when the change was made or later, before it applied the change
 }
 
 func newLedger(nodes int, served func(node, server int) bool) *ledger {
--- a/internal/testbed/scale/ledger_test.go
+++ b/internal/testbed/scale/ledger_test.go
@@ -112,7 +112,7 @@
 		"unknown plane":                 {func(s *Size) { s.Plane = "x" }, 24e9, "--plane x: want one of discovery, distribution, planners"},
 		"unknown event":                 {func(s *Size) { s.Event = "x" }, 24e9, "--event x: want one of restart-tenth, rack, zone, regions-apart, control-killed, discovery-away, start-all"},
 		"region without a root":         {func(s *Size) { s.Plane, s.Control = "distribution", 2 }, 24e9, "--control 2: each of 3 regions needs a root"},
-		"too many services":             {func(s *Size) { s.Plane, s.Services, s.Servers = "distribution", 2000, 2000 }, 24e9, "--serves 0: a node serves at most 1000 services on this plane"},
+		"too many services":             {func(s *Size) { s.Plane, s.Services, s.Servers = "distribution", 2000, 2000 }, 24e9, "--serves 0: at most 1000 services per node are allowed on this plane"},
 		"event needs control processes": {func(s *Size) { s.Plane, s.Event = "discovery", ControlKilled }, 24e9, "--event control-killed: plane discovery has no control processes"},
 		"too many processes":            {func(s *Size) { s.Nodes = 8000 }, 1e12, "size needs 209 processes: at most 200 are allowed"},
 		"too much memory":               {func(s *Size) { s.Servers = 100_000 }, 24e9, "size needs about 20.0 GB of memory: half of this machine's memory is 12.0 GB"},
--- a/internal/testbed/standin/address/address_test.go
+++ b/internal/testbed/standin/address/address_test.go
@@ -9,7 +9,7 @@
 	for range count {
 		address := Free(t)
 		if seen[address] {
-			t.Fatal(address, " was returned twice")
+			t.Fatal(address, " was returned twice, want each address once")
 		}
 		seen[address] = true
 	}
--- a/internal/testbed/standin/faultproxy/proxy.go
+++ b/internal/testbed/standin/faultproxy/proxy.go
@@ -181,7 +181,8 @@
 	}
 }
 
-// process counts a piece, corrupts one byte of it if Garble asked for that, and returns a channel that is closed when the piece may be forwarded.
+// process counts a piece, corrupts one byte of it if Garble asked for that, and returns a channel that is closed when the piece may
+// be forwarded.
 func (p *Proxy) process(d Direction, piece []byte) <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/standin/server/server.go
+++ b/internal/testbed/standin/server/server.go
@@ -26,9 +26,9 @@
 	FindRequest(id uint64) (info RequestInfo, ok bool)
 	// Attempt reports a request that was received completely, with the times of its first and last byte.
 	Attempt(id uint64, server int, first, last time.Duration)
-	// Ran reports that its execution began.
+	// Ran reports that the execution of a request began.
 	Ran(id uint64, server int, at time.Duration)
-	// AttemptEnded reports that the attempt ended: its response is about to be written, or its connection ended. neverRan
+	// AttemptEnded reports that an attempt ended: its response is about to be written, or its connection ended. neverRan
 	// means that the response is a rejection before execution.
 	AttemptEnded(id uint64, server int, at time.Duration, neverRan bool)
 	// Overloaded reports that the server crashed because it was overloaded in slow start.
--- a/internal/testbed/standin/server/server_test.go
+++ b/internal/testbed/standin/server/server_test.go
@@ -162,7 +162,7 @@
 		t.Fatalf("got status %d, error %v, want status 200", r.Status, err)
 	}
 	if took := time.Since(began); took < 1900*ms { // 20 ms of work take 1 s each
-		t.Errorf("both requests took %s, want at least 1.9 s: the first was dropped", took)
+		t.Errorf("both requests took %s, want at least 1.9 s: execution of the first was stopped", took)
 	}
 	if got := watcher.words(); !strings.HasPrefix(got, "attempt ran ended:false attempt ran") {
 		t.Errorf("got reports %q", got)
