--- a/internal/testbed/standin/connbalancer/balancer.go
+++ b/internal/testbed/standin/connbalancer/balancer.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// NodeEnded reports that a node has ended or is about to end. After the notice, a time, no connections are assigned to it until it
-// is started again.
+// NodeEnded reports that a node has ended or is about to end. notice is the time
+// after which no connections are assigned to it until it is started again.
 func (b *Balancer) NodeEnded(n int, notice time.Duration) {
 	b.mu.Lock()
 	generation := b.generation[n]
--- a/internal/testbed/standin/server/request.go
+++ b/internal/testbed/standin/server/request.go
@@ -178,8 +178,8 @@
 	}
 }
 
-// isHit decides by the ID of a request whether a fault that hits a given share of requests hits it, with the same result in each
-// run.
+// isHit decides by the ID of a request whether a fault hits it, with the same result in each run. share is the share of requests
+// that the fault hits.
 func isHit(id uint64, fault string, share float64) bool {
 	if share <= 0 {
 		return false
--- a/internal/testbed/standin/zookeeper/conn.go
+++ b/internal/testbed/standin/zookeeper/conn.go
@@ -27,7 +27,7 @@
 }
 
 // garbled returns one of four malformed forms of a reply: truncated to its half, a valid header before noise, lengths of 2 GB, or
-// the ID of no request.
+// another ID.
 func garbled(which int, reply []byte) []byte {
 	malformed := bytes.Clone(reply)
 	switch which % 4 {
