--- a/internal/testbed/scale/ledger.go
+++ b/internal/testbed/scale/ledger.go
@@ -5,7 +5,9 @@
 	"time"
 )
 
-// ledger records changes of servers and when each node applied them. It is safe for concurrent use.
+// ledger records changes of servers and when each node applied them. The latency of a change at a node is the time from the change at
+// its source until the node's policy has processed it. The source and the recorder of the node's process read the same clock, that of
+// the machine. A ledger is safe for concurrent use.
 type ledger struct {
 	nodes    int
 	isServed func(node, server int) bool
@@ -13,10 +15,10 @@
 	mu               sync.Mutex
 	changes          []*change
 	byMarker         map[int][]*change
-	partitionEndedAt int64   // Unix ns: end of the partition between regions; 0: there was none
-	startedAt        []int64 // by node, Unix ns: last start
-	completeAt       []int64 // by node, Unix ns: when it knew all servers; 0: it does not yet
-	isDown           []bool
+	partitionEndedAt int64                  // Unix ns: end of the partition between regions; 0: there was none
+	startedAt        []int64                // by node, Unix ns: last start
+	completeAt       []int64                // by node, Unix ns: when it knew all servers; 0: it does not yet
+	isDown           []bool                 // by node: it was killed and does not know all servers again yet
 	routesAppliedAt  []int64                // by node, Unix ns: when it last applied routes
 	counts           map[int]deliveryCounts // by process of nodes
 	endedCounts      deliveryCounts         // sum over processes that have ended
@@ -24,13 +26,13 @@
 
 // change is one change of a server.
 type change struct {
-	marker       int
+	marker       int // number of the changed server
 	draining     bool
-	madeAt       int64
-	supersededAt int64 // Unix ns: time of the next change of the same server; 0: none
-	appliedAt    []int64
-	isUnserved   []bool // by node: it does not serve the server's service
-	wasDown      []bool // by node: it was down at some time since the change
+	madeAt       int64   // Unix ns: time from which its latency counts
+	supersededAt int64   // Unix ns: time of the next change of the same server; 0: none
+	appliedAt    []int64 // by node, Unix ns; 0: not applied
+	isUnserved   []bool  // by node: it does not serve the server's service
+	wasDown      []bool  // by node: it was down when the change was made or later, before it applied the change
 }
 
 func newLedger(nodes int, served func(node, server int) bool) *ledger {
@@ -38,7 +40,7 @@
 		isDown: make([]bool, nodes), routesAppliedAt: make([]int64, nodes), counts: map[int]deliveryCounts{}}
 }
 
-// addChange adds a change that is about to be made.
+// addChange adds a change that is about to be made. It supersedes the previous change of the same server.
 func (l *ledger) addChange(marker int, draining bool, now time.Time) *change {
 	at := now.UnixNano()
 	l.mu.Lock()
@@ -66,8 +68,8 @@
 func (l *ledger) recordAnnouncement(worker int, a announcement) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if a.Handed != nil {
-		l.counts[worker] = *a.Handed
+	if a.Deliveries != nil {
+		l.counts[worker] = *a.Deliveries
 	}
 	for _, r := range a.Records {
 		switch r.Kind {
@@ -85,8 +87,8 @@
 	}
 }
 
-// recordMarker records the change that a node's marker record confirms. A record with the state of an earlier change does not confirm a
-// later one.
+// recordMarker records which change a node's marker record confirms: one to the same state, made before the record and not
+// superseded before it. A record with the state of an earlier change does not confirm a later one.
 func (l *ledger) recordMarker(r record) {
 	for _, c := range l.byMarker[r.Marker] {
 		if c.draining == r.Draining && r.At >= c.madeAt && (c.supersededAt == 0 || r.At < c.supersededAt) && c.appliedAt[r.Node] == 0 {
@@ -95,13 +97,14 @@
 	}
 }
 
-// nodesKilled records that a process and its nodes were killed.
+// nodesKilled records that a process and its nodes were killed. It adds the process's counts to those of ended processes, because
+// a process that is started again counts from 0.
 func (l *ledger) nodesKilled(worker int, nodes []int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h := l.counts[worker]
-	l.endedCounts.Lists, l.endedCounts.Elements = l.endedCounts.Lists+h.Lists, l.endedCounts.Elements+h.Elements
-	l.endedCounts.Plans, l.endedCounts.Reroutes = l.endedCounts.Plans+h.Plans, l.endedCounts.Reroutes+h.Reroutes
+	ended := l.counts[worker]
+	l.endedCounts.Lists, l.endedCounts.Elements = l.endedCounts.Lists+ended.Lists, l.endedCounts.Elements+ended.Elements
+	l.endedCounts.Plans, l.endedCounts.RouteUpdates = l.endedCounts.Plans+ended.Plans, l.endedCounts.RouteUpdates+ended.RouteUpdates
 	delete(l.counts, worker)
 	for _, n := range nodes {
 		l.completeAt[n], l.isDown[n] = 0, true
@@ -129,19 +132,19 @@
 	return n
 }
 
-// handed returns the sums over all processes of nodes.
-func (l *ledger) handed() (sum deliveryCounts) {
+// deliveries returns the counts of policies' inputs, summed over all processes of nodes, ended ones included.
+func (l *ledger) deliveries() (sum deliveryCounts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sum = l.endedCounts
 	for _, h := range l.counts {
 		sum.Lists, sum.Elements = sum.Lists+h.Lists, sum.Elements+h.Elements
-		sum.Plans, sum.Reroutes = sum.Plans+h.Plans, sum.Reroutes+h.Reroutes
+		sum.Plans, sum.RouteUpdates = sum.Plans+h.Plans, sum.RouteUpdates+h.RouteUpdates
 	}
 	return sum
 }
 
-// startLatency returns how long nodes took from a common start until they knew all servers.
+// startLatency returns how long nodes took from a common time until they knew all servers.
 func (l *ledger) startLatency(since time.Time, nodes []int) *ChangeLatency {
 	return l.completionLatency(nodes, func(int) int64 { return since.UnixNano() })
 }
@@ -167,8 +170,8 @@
 	return newChangeLatency(1, missing, 0, latencies)
 }
 
-// changeLatency returns the latency of the changes since the n-th. A change that was superseded by another one of the same
-// server counts only at nodes that applied it.
+// changeLatency returns the latency of the changes from the given index on. A change that was superseded by another one of the
+// same server counts only at nodes that applied it.
 func (l *ledger) changeLatency(from int) *ChangeLatency {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -212,7 +215,7 @@
 	return len(l.changes)
 }
 
-// reloadLatency returns how long nodes took to apply the operator's file that was written at a given time.
+// reloadLatency returns how long nodes took, from the time of the order to reload, to apply the operator's file.
 func (l *ledger) reloadLatency(since time.Time) *ChangeLatency {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/scale/meter.go
+++ b/internal/testbed/scale/meter.go
@@ -11,9 +11,9 @@
 // owns their dialing socket.
 type meter struct {
 	network   byte
-	sums      map[uint16]flow // by port, from the accepting side
-	nonNode   flow            // from the dialing side: connections of other processes than nodes to control processes
-	last      map[uint64]flow
+	sums      map[uint16]flow // by port, as seen from the accepting side
+	nonNode   flow            // as seen from the dialing side: connections of processes other than nodes to control processes
+	last      map[uint64]flow // by cookie of the socket: its traffic at the last call of read
 	isNonNode map[uint64]bool // by cookie of the dialing socket
 }
 
@@ -38,7 +38,7 @@
 			return
 		}
 		switch s.local {
-		case discoveryPort, controlPort, memberPort, cutPort, ownerPort:
+		case discoveryPort, controlPort, memberPort, regionLinkPort, discoveryControlPort:
 			seen[s.cookie] = s.flow
 			sum := m.sums[s.local]
 			sum.add(s.flow.minus(m.last[s.cookie]))
@@ -91,13 +91,13 @@
 func (m *meter) flows() map[role]flow {
 	nodes := m.sums[discoveryPort].reversed()
 	nodes.add(m.sums[controlPort].reversed().minus(m.nonNode))
-	nodes.add(m.sums[cutPort].reversed())
+	nodes.add(m.sums[regionLinkPort].reversed())
 	control := m.sums[controlPort]
-	control.add(m.sums[ownerPort].reversed())
+	control.add(m.sums[discoveryControlPort].reversed())
 	discovery := m.sums[discoveryPort]
-	discovery.add(m.sums[ownerPort])
+	discovery.add(m.sums[discoveryControlPort])
 	members := m.sums[memberPort]
-	both := members.reversed()
-	both.add(members) // each connection joins two nodes, and both sides count
-	return map[role]flow{roleNodes: nodes, roleControl: control, roleDiscovery: discovery, roleMembership: both}
+	bothSides := members.reversed()
+	bothSides.add(members) // each connection joins two nodes, and both sides count
+	return map[role]flow{roleNodes: nodes, roleControl: control, roleDiscovery: discovery, roleMembership: bothSides}
 }
