--- a/internal/cluster/peer/clusterstate.go
+++ b/internal/cluster/peer/clusterstate.go
@@ -7,7 +7,7 @@
 	"fernvane/internal/cluster/replication"
 )
 
-// HasEnoughAnswers reports whether the responding nodes together store every committed record. That is the case if at
+// HasEnoughResponses reports whether the responding nodes together store every committed record. That is the case if at
 // most as many machines are missing as the largest Replicas among the responses, and all responding nodes have loaded
 // their replicas. It assumes that all nodes are configured with the same number of replicas.
 func (c *Client) HasEnoughResponses() bool {
--- a/internal/cluster/peer/node_test.go
+++ b/internal/cluster/peer/node_test.go
@@ -56,7 +56,7 @@
 			}
 		}
 		if enough != (missing <= 2) {
-			t.Errorf("HasEnoughAnswers with %d nodes lost: got %v", missing, enough)
+			t.Errorf("HasEnoughResponses with %d nodes lost: got %v", missing, enough)
 		}
 	}
 	checkFound(nodes[0], 0)
@@ -67,7 +67,7 @@
 	nodes[0].crash() // a third loss, after the copies are restored
 	ids, enough := findIDs(t, nodes[1].cfg)
 	if len(ids) != len(want) || enough {
-		t.Errorf("at two of five nodes: got %d records, want %d; HasEnoughAnswers: got %v, want false", len(ids), len(want), enough)
+		t.Errorf("at two of five nodes: got %d records, want %d; HasEnoughResponses: got %v, want false", len(ids), len(want), enough)
 	}
 	// One node restarts with its disk, another without: the copies are restored, and no record is duplicated.
 	back := start(t, "n3", nodes[3].dir, nodes[1].cfg.Listen)
--- a/internal/controlplane/distribution/client/config.go
+++ b/internal/controlplane/distribution/client/config.go
@@ -73,7 +73,7 @@
 	return c, f.Err()
 }
 
-// LoadAccess reads the file for a command. It validates only the settings for the connection to control processes.
+// LoadForCommand reads the file for a command. It validates only the settings for the connection to control processes.
 func LoadForCommand(path string) (*Config, error) {
 	c, f, err := parse(path)
 	if err != nil {
--- a/internal/controlplane/distribution/client/protocol_test.go
+++ b/internal/controlplane/distribution/client/protocol_test.go
@@ -113,7 +113,7 @@
 	next.waitApplied("n")
 }
 
-// TestConfigFaults checks the faults, with their lines, that Load reports for nodes and LoadAccess for commands.
+// TestConfigFaults checks the faults, with their lines, that Load reports for nodes and LoadForCommand for commands.
 func TestConfigFaults(t *testing.T) {
 	dir := t.TempDir()
 	base := "control = [\"127.0.0.1:7560\"]\nservices = [\"hire\"]\ndirectory = \"" + dir + "\"\nplaintext = true\n"
--- a/internal/discovery/endpoints/view.go
+++ b/internal/discovery/endpoints/view.go
@@ -17,7 +17,7 @@
 	listCount       int
 	recordVisits    int // number of records that announcements visited, counted for tests
 
-	// IgnoreRemovals keeps a server usable until Forget is called for it, even if the server is announced as gone or omitted
+	// IgnoreRemovals keeps a server usable until Remove is called for it, even if the server is announced as gone or omitted
 	// from a full list without having drained before. A server that drains or is replaced still becomes unusable.
 	IgnoreRemovals bool
 }
@@ -170,7 +170,7 @@
 	}
 }
 
-// Forget removes the record of a server. The caller must have no requests in flight to it.
+// Remove deletes the record of a server. The caller must have no requests in flight to it.
 func (v *View) Remove(id string) {
 	if record := v.records[id]; record != nil {
 		v.removeAddress(id, record.Address)
--- a/internal/journal/wal/config.go
+++ b/internal/journal/wal/config.go
@@ -7,11 +7,11 @@
 	"fernvane/internal/config/tomlfile"
 )
 
-// Durability levels of a stored intent (values of Config.Promise).
+// Durability levels of a stored intent (values of Config.Durability).
 const (
 	durabilityProcess = "process" // survives a crash of the process
 	durabilityMachine = "machine" // survives a crash of the machine
-	// PromiseMachines makes an intent survive the loss of as many machines with their disks as there are replicas. It
+	// DurabilityMachines makes an intent survive the loss of as many machines with their disks as there are replicas. It
 	// requires other nodes as replica holders (package peer).
 	DurabilityMachines = "machines"
 )
--- a/internal/proxy/dispatch/request.go
+++ b/internal/proxy/dispatch/request.go
@@ -16,9 +16,9 @@
 const (
 	undecided   Action = iota
 	SendAttempt        // send the request to Decision.Server
-	Respond            // send Decision.Answer to the client
+	Respond            // send Decision.Response to the client
 	Reject             // respond that the request was not executed and that the client may retry
-	Fail               // send Decision.Answer, or if it is empty, respond that the outcome is unknown
+	Fail               // send Decision.Response, or if it is empty, respond that the outcome is unknown
 	Drop               // send nothing, because the client has disconnected
 )
 
--- a/internal/proxy/dispatch/retention.go
+++ b/internal/proxy/dispatch/retention.go
@@ -3,7 +3,7 @@
 // IdleRetention is the rule for keeping idle connections to servers. The default is closeUnusable. The testbed has a
 // deliberately broken rule, with which it verifies that its checks detect the violation.
 type IdleRetention interface {
-	// MayIdle reports whether a connection that becomes idle is kept. isServerUsable states whether its server is usable.
+	// KeepsIdle reports whether a connection that becomes idle is kept. isServerUsable states whether its server is usable.
 	KeepsIdle(isServerUsable bool) bool
 	// ClosesOnChange reports whether the idle connections to a server are closed when the server starts draining, is removed,
 	// moves to another address or changes its protocol.
--- a/internal/proxy/engine/effects.go
+++ b/internal/proxy/engine/effects.go
@@ -20,8 +20,8 @@
 	Subscribe()
 	// CloseIdle closes idle connections to a server.
 	CloseIdle(server S)
-	// Forget reports that a server has been removed and that no open request refers to it. It is called when the server's
-	// index is released, which may be later than the effect policy.Forget or the endpoint list that removed the server.
+	// ReleaseServer reports that a server has been removed and that no open request refers to it. It is called when the server's
+	// index is released, which may be later than the effect policy.RemoveServer or the endpoint list that removed the server.
 	ReleaseServer(server S)
 }
 
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -118,7 +118,7 @@
 	return labels
 }
 
-// SpeaksFastCGI reports whether a server uses FastCGI. Servers that the file does not select use HTTP.
+// UsesFastCGI reports whether a server uses FastCGI. Servers that the file does not select use HTTP.
 func (t *Table) UsesFastCGI(id, site, flavor string) bool {
 	if t == nil {
 		return false
--- a/policy/effect.go
+++ b/policy/effect.go
@@ -20,9 +20,9 @@
 	Subscribe
 	// CloseIdle closes idle connections to the server.
 	CloseIdle
-	// Retain reports that the server stays in use although the list omits it.
+	// RetainServer reports that the server stays in use although the list omits it.
 	RetainServer
-	// Forget reports that the server is removed permanently unless it is listed again. Package engine releases the
+	// RemoveServer reports that the server is removed permanently unless it is listed again. Package engine releases the
 	// index, and forwards the effect, only once no open request has or had an attempt at the server.
 	RemoveServer
 )
--- a/policy/input.go
+++ b/policy/input.go
@@ -76,7 +76,7 @@
 	// RequestArrived starts a request. It uses Request, TrafficType, Tenant, RouteLimit, Key, IsClientRetry and
 	// Timeout.
 	RequestArrived InputKind = iota
-	// AttemptEnded ends an attempt. It uses Request, Attempt, Outcome and ClientAnswered. Policy ignores Server and
+	// AttemptEnded ends an attempt. It uses Request, Attempt, Outcome and IsSettled. Policy ignores Server and
 	// Elapsed, which other implementations of engine.Decider use.
 	AttemptEnded
 	// ClientLeft ends a request that no longer needs a response. It uses Request.
@@ -85,7 +85,7 @@
 	EndpointsUpdated
 	// TimerFired follows an earlier SetTimer. The owner sends the first one after New.
 	TimerFired
-	// TrafficTypesChanged replaces the traffic types. It uses TrafficTypes, LearnFrom and RouteLimits.
+	// TrafficTypesChanged replaces the traffic types. It uses TrafficTypes, LatencySources and RouteLimits.
 	TrafficTypesChanged
 	// PlanChanged delivers a planner's plan. It uses Assignments, NodeCount, MaxAdmittedShare and WithinQuotaShares.
 	PlanChanged
--- a/policy/traffictype.go
+++ b/policy/traffictype.go
@@ -6,7 +6,7 @@
 )
 
 // updateTrafficTypes applies traffic types and limits of routes. A new or changed type starts with empty state,
-// except that it copies the latencies of the type in LearnFrom.
+// except that it copies the latencies of the type in LatencySources.
 func (p *Policy) updateTrafficTypes(in *Input) {
 	p.settings.TrafficTypes = in.TrafficTypes
 	p.routes.update(in.RouteLimits)
--- a/policy/traffictype_test.go
+++ b/policy/traffictype_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestTrafficTypesChange checks that unchanged traffic types keep their latencies, and that new types copy those of
-// the type in LearnFrom.
+// the type in LatencySources.
 func TestTrafficTypesChange(t *testing.T) {
 	h := newRouteHarness(t, 6, 0, func(*TrafficType) {})
 	for range 30 {
