--- a/cmd/fernvane/crowded_test.go
+++ b/cmd/fernvane/crowded_test.go
@@ -131,9 +131,9 @@
 				t.Fatal(err)
 			}
 			defer ln.Close()
-			calls := make(chan string, 256)
+			polls := make(chan string, 256)
 			go http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				calls <- r.URL.String()
+				polls <- r.URL.String()
 				if strings.Contains(r.URL.RawQuery, "index=3") { // the watch
 					<-r.Context().Done()
 				}
@@ -141,7 +141,7 @@
 			}))
 			waitFor("listed", func() bool { return get("/a/1") == 200 })
 			for watched := false; !watched; {
-				watched = strings.Contains(<-calls, "index=3")
+				watched = strings.Contains(<-polls, "index=3")
 			}
 			for range 5 {
 				waitFor("served", func() bool { return get("/a/1") == 200 })
--- a/cmd/fernvane/replicas.go
+++ b/cmd/fernvane/replicas.go
@@ -100,11 +100,11 @@
 		m := tier.Members[name]
 		s := tier.Answered[name]
 		if s == nil {
-			why := "not queried"
+			reason := "not queried"
 			if err := tier.Unanswered[name]; err != nil {
-				why = err.Error()
+				reason = err.Error()
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t-\t%s\t-\t-\n", name, m.Condition, m.Site, m.Machine, why)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t-\t%s\t-\t-\n", name, m.Condition, m.Site, m.Machine, reason)
 			continue
 		}
 		var holders []string
@@ -125,8 +125,8 @@
 			fmt.Fprintf(out, "damaged at %s: %s\n", name, f)
 		}
 	}
-	if why := tier.Shortfall(); why != "" {
-		fmt.Fprintln(out, "lacking:", why)
+	if shortfall := tier.Shortfall(); shortfall != "" {
+		fmt.Fprintln(out, "lacking:", shortfall)
 	} else if len(tier.Answered) > 0 {
 		fmt.Fprintln(out, "all records of these nodes have enough replicas")
 	}
--- a/internal/controlplane/distribution/client/faults_test.go
+++ b/internal/controlplane/distribution/client/faults_test.go
@@ -56,9 +56,9 @@
 // write retries a write until the control process accepts it.
 func (r *controlProcess) write(changes ...distribution.Change) {
 	r.t.Helper()
-	access := accessTo(r.t, r.address)
+	config := commandConfig(r.t, r.address)
 	waitUntil(r.t, func() bool {
-		s, err := Open(context.Background(), access)
+		s, err := Open(context.Background(), config)
 		if err != nil {
 			return false
 		}
@@ -68,8 +68,8 @@
 	}, "%s accepts a write", r.address)
 }
 
-// accessTo returns a command's configuration for one control process.
-func accessTo(t *testing.T, at string) *Config {
+// commandConfig returns a command's configuration for one control process.
+func commandConfig(t *testing.T, at string) *Config {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "command.toml")
 	writeFile(t, path, fmt.Sprintf("control = [%q]\nplaintext = true\n", at))
@@ -95,8 +95,8 @@
 		"cut towards control":  {func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Up, true) }, func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Up, false) }},
 		"cut both ways": {func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Up, true); proxy.Cut(faultproxy.Down, true) },
 			func(proxy *faultproxy.Proxy) { proxy.Cut(faultproxy.Up, false); proxy.Cut(faultproxy.Down, false) }},
-		"garbled":    {func(proxy *faultproxy.Proxy) { proxy.Garble(faultproxy.Down, 3) }, func(*faultproxy.Proxy) {}},
-		"broken off": {func(proxy *faultproxy.Proxy) { proxy.CloseConnections() }, func(*faultproxy.Proxy) {}},
+		"garbled":            {func(proxy *faultproxy.Proxy) { proxy.Garble(faultproxy.Down, 3) }, func(*faultproxy.Proxy) {}},
+		"connections closed": {func(proxy *faultproxy.Proxy) { proxy.CloseConnections() }, func(*faultproxy.Proxy) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -169,7 +169,7 @@
 	waitStarted(t, n)
 	for _, r := range []*controlProcess{a, b} {
 		waitUntil(t, func() bool {
-			s, err := Open(context.Background(), accessTo(t, r.address))
+			s, err := Open(context.Background(), commandConfig(t, r.address))
 			if err != nil {
 				return false
 			}
@@ -185,7 +185,7 @@
 	}
 	n.stop()
 	waitUntil(t, func() bool {
-		s, err := Open(context.Background(), accessTo(t, b.address))
+		s, err := Open(context.Background(), commandConfig(t, b.address))
 		if err != nil {
 			return false
 		}
@@ -210,7 +210,7 @@
 	}
 	a.write(changes...)
 	a.write(put("yard", distribution.KindRoute, "r", "x"), distribution.Change{Key: key("hire", distribution.KindRoute, "r7"), Deleted: true})
-	s, err := Open(context.Background(), accessTo(t, a.address))
+	s, err := Open(context.Background(), commandConfig(t, a.address))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/watch/entries.go
+++ b/internal/discovery/watch/entries.go
@@ -23,19 +23,19 @@
 // EntriesFromList converts an endpoint list of discovery into incarnation entries.
 func EntriesFromList(list http1.EndpointList) []incarnation.Entry {
 	entries := make([]incarnation.Entry, 0, len(list.Endpoints))
-	for _, host := range list.Endpoints {
+	for _, endpoint := range list.Endpoints {
 		entry := incarnation.Entry{
-			ID:            host.ID,
-			StartedUnixMS: host.StartedUnixMS,
-			Condition:     entryConditions[host.Condition],
+			ID:            endpoint.ID,
+			StartedUnixMS: endpoint.StartedUnixMS,
+			Condition:     entryConditions[endpoint.Condition],
 			Revision:      list.Revision,
-			Zone:          host.Zone,
-			MachineKind:   host.MachineKind,
-			Cell:          host.Cell,
-			Weight:        host.Weight,
+			Zone:          endpoint.Zone,
+			MachineKind:   endpoint.MachineKind,
+			Cell:          endpoint.Cell,
+			Weight:        endpoint.Weight,
 		}
-		if host.Address.IsValid() {
-			entry.Address = host.Address.String()
+		if endpoint.Address.IsValid() {
+			entry.Address = endpoint.Address.String()
 		}
 		entries = append(entries, entry)
 	}
@@ -47,22 +47,22 @@
 func ListFromEntries(entries []incarnation.Entry) http1.EndpointList {
 	list := http1.EndpointList{}
 	for _, entry := range entries {
-		host, err := hostFromEntry(entry)
+		endpoint, err := endpointFromEntry(entry)
 		if err != nil {
 			list.Skipped = append(list.Skipped, err)
 			continue
 		}
 		list.Revision = max(list.Revision, entry.Revision)
-		list.Endpoints = append(list.Endpoints, host)
+		list.Endpoints = append(list.Endpoints, endpoint)
 	}
 	return list
 }
 
-func hostFromEntry(entry incarnation.Entry) (http1.Endpoint, error) {
+func endpointFromEntry(entry incarnation.Entry) (http1.Endpoint, error) {
 	if entry.Condition > incarnation.Gone || entry.ID == "" {
 		return http1.Endpoint{}, fmt.Errorf("server %.40q: ID is empty or condition %d is unknown", entry.ID, entry.Condition)
 	}
-	host := http1.Endpoint{
+	endpoint := http1.Endpoint{
 		ID:            entry.ID,
 		Zone:          entry.Zone,
 		MachineKind:   entry.MachineKind,
@@ -72,9 +72,9 @@
 		Condition:     http1Conditions[entry.Condition],
 	}
 	var err error
-	host.Address, err = netip.ParseAddrPort(entry.Address)
-	if err != nil && host.Condition == http1.Serving {
-		return host, fmt.Errorf("server %.40q: address is missing or invalid", entry.ID)
+	endpoint.Address, err = netip.ParseAddrPort(entry.Address)
+	if err != nil && endpoint.Condition == http1.Serving {
+		return endpoint, fmt.Errorf("server %.40q: address is missing or invalid", entry.ID)
 	}
-	return host, nil
+	return endpoint, nil
 }
--- a/internal/discovery/watch/format_test.go
+++ b/internal/discovery/watch/format_test.go
@@ -16,17 +16,17 @@
 	"fernvane/internal/protocol/http1"
 )
 
-// TestCallsSent compares the bytes of calls to discovery with those of the first build with this protocol.
-func TestCallsSent(t *testing.T) {
+// TestRequestsSent compares the bytes of requests to discovery with those of the first build with this protocol.
+func TestRequestsSent(t *testing.T) {
 	const response = `{"revision":1099511627776,"complete":true,"members":[]}`
 	for _, c := range []struct {
-		name     string
-		whole    bool
-		revision uint64
-		want     string // second call on a connection, whose wait is longer
-		first    string // first call on a connection
+		name          string
+		wantsFullList bool
+		revision      uint64
+		want          string // second request on a connection, whose wait is longer
+		first         string // first request on a connection
 	}{
-		{"whole list", true, 7, "GET /discovery/hosts HTTP/1.1\r\nHost: %s\r\n\r\n", "GET /discovery/hosts HTTP/1.1\r\nHost: %s\r\n\r\n"},
+		{"full list", true, 7, "GET /discovery/hosts HTTP/1.1\r\nHost: %s\r\n\r\n", "GET /discovery/hosts HTTP/1.1\r\nHost: %s\r\n\r\n"},
 		{"changes after a revision", false, 1 << 40, "GET /discovery/hosts?index=1099511627776&wait=2000 HTTP/1.1\r\nHost: %s\r\n\r\n",
 			"GET /discovery/hosts?index=1099511627776&wait=100 HTTP/1.1\r\nHost: %s\r\n\r\n"},
 	} {
@@ -35,13 +35,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			calls, done := make(chan string, 8), make(chan struct{})
+			requests, done := make(chan string, 8), make(chan struct{})
 			go func() {
 				defer close(done)
-				respondToCalls(listener, response, calls)
+				respondToRequests(listener, response, requests)
 			}()
 			address := netip.MustParseAddrPort(listener.Addr().String())
-			w := Watcher{Target: NewTarget(address), WantsFullList: c.whole, Revision: c.revision}
+			w := Watcher{Target: NewTarget(address), WantsFullList: c.wantsFullList, Revision: c.revision}
 			t.Cleanup(func() {
 				w.Close()
 				listener.Close()
@@ -51,7 +51,7 @@
 				if _, err := w.Poll(context.Background()); err != nil {
 					t.Fatal(err)
 				}
-				if got, want := <-calls, fmt.Sprintf(want, address); got != want {
+				if got, want := <-requests, fmt.Sprintf(want, address); got != want {
 					t.Errorf("got call\n%q, want\n%q", got, want)
 				}
 			}
@@ -59,8 +59,8 @@
 	}
 }
 
-// respondToCalls accepts one connection and sends the same response to each call until the connection is closed.
-func respondToCalls(listener net.Listener, response string, calls chan<- string) {
+// respondToRequests accepts one connection and sends the same response to each request until the connection is closed.
+func respondToRequests(listener net.Listener, response string, requests chan<- string) {
 	conn, err := listener.Accept()
 	if err != nil {
 		return
@@ -72,7 +72,7 @@
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
-		calls <- sent.String()
+		requests <- sent.String()
 		sent.Reset()
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(response), response)
 	}
--- a/internal/discovery/watch/watch_test.go
+++ b/internal/discovery/watch/watch_test.go
@@ -33,9 +33,9 @@
 }
 
 // TestChangesAnnouncedInTimeAfterFailures checks the worst case of the timing described in the package comment: a change
-// counts as announced 6 s after discovery had it and was reachable, regardless of previous failures. Calls are refused until
+// counts as announced 6 s after discovery had it and was reachable, regardless of previous failures. Polls are refused until
 // the pause of the decision module has reached its maximum; the clock is that of a synctest bubble, so the pause is exact.
-// The longest call without a response, the longest pause and the time for the response add up to at most 6 s.
+// The longest poll without a response, the longest pause and the time for the response add up to at most 6 s.
 func TestChangesAnnouncedInTimeAfterFailures(t *testing.T) {
 	const (
 		announcedWithin = 6 * time.Second
@@ -48,12 +48,12 @@
 		requestWithin time.Duration
 		w             Watcher
 	}{
-		"pushed":                      {false, 0, Watcher{HasNoQueue: true}},
-		"pushed, with a request time": {false, time.Minute, Watcher{HasNoQueue: true}},
-		"requested within 2 s":        {true, 2 * time.Second, Watcher{}},
-		"requested within 10 s":       {true, 10 * time.Second, Watcher{}},
-		"requested within 1 h":        {true, time.Hour, Watcher{}},
-		"continued watch":             {true, 10 * time.Second, Watcher{conn: &http1.Conn{}}},
+		"no queue":                      {false, 0, Watcher{HasNoQueue: true}},
+		"no queue, with a request time": {false, time.Minute, Watcher{HasNoQueue: true}},
+		"requested within 2 s":          {true, 2 * time.Second, Watcher{}},
+		"requested within 10 s":         {true, 10 * time.Second, Watcher{}},
+		"requested within 1 h":          {true, time.Hour, Watcher{}},
+		"continued watch":               {true, 10 * time.Second, Watcher{conn: &http1.Conn{}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			longestPause := time.Duration(0)
--- a/internal/discovery/watch/watcher.go
+++ b/internal/discovery/watch/watcher.go
@@ -16,9 +16,9 @@
 	pollWait = 2 * time.Second
 	// responseSlack is the time beyond the wait within which the response to a continued watch must arrive.
 	responseSlack = 1500 * time.Millisecond
-	// firstPollWait replaces pollWait for the first call on a connection.
+	// firstPollWait replaces pollWait for the first poll on a connection.
 	firstPollWait = 100 * time.Millisecond
-	// queuedResponseSlack replaces responseSlack for the first call on a connection, which waits in discovery's queue.
+	// queuedResponseSlack replaces responseSlack for the first poll on a connection, which waits in discovery's queue.
 	queuedResponseSlack = 4 * time.Second
 	// replacedSlack is how long a poll waits for a response after its target has been replaced.
 	replacedSlack = 300 * time.Millisecond
@@ -53,7 +53,7 @@
 	Target        *Target
 	HasNewTarget  bool   // used by the caller only: the target was replaced and the new one has not responded yet
 	WantsFullList bool   // request the full list instead of the changes after Revision
-	HasNoQueue    bool   // discovery is an agent without a queue, which responds to a first call immediately
+	HasNoQueue    bool   // discovery is an agent without a queue, which responds to a first request immediately
 	Revision      uint64 // revision of the last received list
 	conn          *http1.Conn
 }
@@ -95,8 +95,8 @@
 	conn.SetDeadline(deadline)
 	defer context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })()
 	defer context.AfterFunc(w.Target.Replaced, func() { conn.SetDeadline(time.Now().Add(replacedSlack)) })()
-	call := http1.EndpointListRequest{WantsFullList: w.WantsFullList, After: w.Revision, Wait: wait}
-	list, isReusable, err := exchange(conn, w.Target.Address.String(), call)
+	request := http1.EndpointListRequest{WantsFullList: w.WantsFullList, After: w.Revision, Wait: wait}
+	list, isReusable, err := exchange(conn, w.Target.Address.String(), request)
 	if err != nil || !isReusable {
 		w.Close()
 	}
@@ -116,11 +116,11 @@
 	return nil
 }
 
-// exchange makes one call; isReusable reports whether the connection can be used for another call.
-func exchange(conn *http1.Conn, host string, call http1.EndpointListRequest) (
+// exchange sends one request and reads its response. isReusable reports whether the connection can be used for another request.
+func exchange(conn *http1.Conn, host string, request http1.EndpointListRequest) (
 	list http1.EndpointList, isReusable bool, err error,
 ) {
-	if _, err = conn.Send(http1.AppendEndpointListRequest(conn.Scratch(), host, call)); err != nil {
+	if _, err = conn.Send(http1.AppendEndpointListRequest(conn.Scratch(), host, request)); err != nil {
 		return list, false, err
 	}
 	var response http1.Response
--- a/internal/discovery/zookeeper/herd_test.go
+++ b/internal/discovery/zookeeper/herd_test.go
@@ -29,12 +29,12 @@
 		}
 		addresses = append(addresses, s.Address())
 	}
-	var owned []*standin.OwnedSession
+	var sessions []*standin.OwnedSession
 	addEntry := func(i int) *standin.OwnedSession {
 		return registry.OpenSession(time.Hour, map[string][]byte{fmt.Sprintf("/hire/b%d", i): data(i + 1)})
 	}
 	for i := range 50 {
-		owned = append(owned, addEntry(i))
+		sessions = append(sessions, addEntry(i))
 	}
 	config := &Config{Servers: addresses, Path: "/hire", SessionTimeout: tomlfile.Duration(6 * time.Second)}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -53,9 +53,9 @@
 	}
 	startedAt, calls := time.Now(), registry.Calls()
 	for i := range 100 {
-		owned[i%50].End()
+		sessions[i%50].End()
 		time.Sleep(50 * time.Millisecond)
-		owned[i%50] = addEntry(i % 50)
+		sessions[i%50] = addEntry(i % 50)
 		time.Sleep(50 * time.Millisecond)
 	}
 	seconds := time.Since(startedAt).Seconds()
--- a/internal/discovery/zookeeper/reader_test.go
+++ b/internal/discovery/zookeeper/reader_test.go
@@ -207,11 +207,11 @@
 						s.CloseConnections()
 					}
 				}
-				owned := e.registry.OpenSession(time.Hour, map[string][]byte{"/services/hire/x": data(i + 1)})
+				session := e.registry.OpenSession(time.Hour, map[string][]byte{"/services/hire/x": data(i + 1)})
 				if !e.lists("x") {
 					return
 				}
-				if owned.End(); !e.lists() {
+				if session.End(); !e.lists() {
 					return
 				}
 			}
--- a/internal/journal/intent/entry.go
+++ b/internal/journal/intent/entry.go
@@ -51,7 +51,7 @@
 	NotifiedAtUnixNano   int64
 	Conflicts            int  // number of records that contradict earlier ones
 	MayLackRecords       bool // unreadable records may contain further attempts
-	TooFewNodesResponded bool // not enough of the nodes that may have records were queried
+	TooFewNodesResponded bool // too few of the nodes that may have records responded
 	attemptsAtOutcome    int  // number of attempts when the client was notified
 	isUnsent             bool // an Unsent record was added
 }
--- a/internal/journal/wal/config_test.go
+++ b/internal/journal/wal/config_test.go
@@ -12,7 +12,7 @@
 // LoadConfig accepts valid files and names the invalid setting of others.
 func TestConfig(t *testing.T) {
 	dir := t.TempDir()
-	for text, wrong := range map[string]string{
+	for text, wantFault := range map[string]string{
 		"dir = \"DIR\"\nwhen_failing = \"deny\"":                      "",
 		"dir = \"DIR\"":                                               "must be deny (reject non-idempotent",
 		"dir = \"/nowhere\"\nwhen_failing = \"deny\"":                 "f.toml:1: dir",
@@ -24,7 +24,7 @@
 	} {
 		path := filepath.Join(dir, "f.toml")
 		os.WriteFile(path, []byte(strings.Replace(text, "DIR", dir, 1)), 0o600)
-		if _, err := LoadConfig(path); (err == nil) != (wrong == "") || err != nil && !strings.Contains(err.Error(), wrong) {
+		if _, err := LoadConfig(path); (err == nil) != (wantFault == "") || err != nil && !strings.Contains(err.Error(), wantFault) {
 			t.Errorf("load %q: got error %v", text, err)
 		}
 	}
--- a/internal/journal/wal/format_test.go
+++ b/internal/journal/wal/format_test.go
@@ -122,6 +122,6 @@
 		}
 	}
 	if MaxChunkRecords != 1024 || DurabilityMachines != "machines" {
-		t.Errorf("got MaxChunkRecords %d and promise %q, want 1024 and \"machines\"", MaxChunkRecords, DurabilityMachines)
+		t.Errorf("got MaxChunkRecords %d and durability %q, want 1024 and \"machines\"", MaxChunkRecords, DurabilityMachines)
 	}
 }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -79,18 +79,18 @@
 // An attempt that was decided before its server started to drain or was removed is not written after the drain grace.
 func TestNothingSentAfterDrainGrace(t *testing.T) {
 	t.Parallel()
-	hosts, received := servers(t, 1, okResponse)
+	serverEndpoints, received := servers(t, 1, okResponse)
 	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	t.Cleanup(s.dispatcher.Stop)
-	s.dispatcher.ApplyList(http1.EndpointList{Endpoints: hosts}, endpoints.SourceConfig)
-	for _, phase := range []http1.Condition{http1.Draining, http1.Deleted} {
+	s.dispatcher.ApplyList(http1.EndpointList{Endpoints: serverEndpoints}, endpoints.SourceConfig)
+	for _, condition := range []http1.Condition{http1.Draining, http1.Deleted} {
 		request := submitNonIdempotent(s.dispatcher)
 		d := request.NextDecision(func() {})
 		if d.Action != dispatch.SendAttempt {
 			t.Fatalf("got action %d, want SendAttempt", d.Action)
 		}
-		removed := hosts[0]
-		removed.Condition = phase
+		removed := serverEndpoints[0]
+		removed.Condition = condition
 		s.dispatcher.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{removed}}, endpoints.SourceDiscovery)
 		for !s.dispatcher.IsTooLateToWrite(removed.ID) {
 			time.Sleep(10 * time.Millisecond)
@@ -101,19 +101,19 @@
 			t.Errorf("got result %v, %d attempts sent; want ExpiredUnsent, none sent", result, received.Load())
 		}
 		request.AttemptEnded(d.Attempt, result, nil)
-		s.dispatcher.ApplyList(http1.EndpointList{Endpoints: hosts}, endpoints.SourceDiscovery)
+		s.dispatcher.ApplyList(http1.EndpointList{Endpoints: serverEndpoints}, endpoints.SourceDiscovery)
 	}
 }
 
 // When a client disconnects while its attempt connects, its request is not sent.
 func TestNothingSentAfterDisconnect(t *testing.T) {
 	t.Parallel()
-	hosts, received := servers(t, 1, okResponse)
+	serverEndpoints, received := servers(t, 1, okResponse)
 	cfg := config()
 	cfg.Settings.ConnectTimeout = time.Minute // longer than a connect takes on a busy machine
 	s := &Server{cfg: cfg, dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.dispatcher.Stop()
-	s.dispatcher.ApplyList(http1.EndpointList{Endpoints: hosts}, endpoints.SourceConfig)
+	s.dispatcher.ApplyList(http1.EndpointList{Endpoints: serverEndpoints}, endpoints.SourceConfig)
 	req := &http1.Request{Method: []byte("GET"), Target: []byte("/book/1")}
 	for name, c := range map[string]struct {
 		isDisconnected, isUnnotified bool // isUnnotified: only a direct check of the connection detects the disconnect
@@ -139,15 +139,15 @@
 // If a reused connection breaks before the request is written, the connection was stale, which is no failure of the server.
 func TestStaleWrite(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, okResponse)
+	serverEndpoints, _ := servers(t, 1, okResponse)
 	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.dispatcher.Stop()
-	s.dispatcher.ApplyList(http1.EndpointList{Endpoints: hosts}, endpoints.SourceConfig)
+	s.dispatcher.ApplyList(http1.EndpointList{Endpoints: serverEndpoints}, endpoints.SourceConfig)
 	accepted := make(chan net.Conn, 1)
 	reused := dial(t, standIn(t, func(c net.Conn) { accepted <- c }).String())
 	reused.Conn.(*net.TCPConn).CloseWrite()
 	s.dispatcher.AcquireServerDescriptor()
-	s.dispatcher.PutIdle(hosts[0].ID, false, reused)
+	s.dispatcher.PutIdle(serverEndpoints[0].ID, false, reused)
 	req := &http1.Request{Method: []byte("GET"), Target: []byte("/book/1")}
 	request := submitNonIdempotent(s.dispatcher)
 	defer request.Close()
--- a/internal/proxy/descriptors_test.go
+++ b/internal/proxy/descriptors_test.go
@@ -16,8 +16,8 @@
 
 func TestShortOfDescriptors(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, okResponse)
-	cfg := config(hosts...)
+	serverEndpoints, _ := servers(t, 1, okResponse)
+	cfg := config(serverEndpoints...)
 	cfg.Limits.Sockets = 1 // allows the minimum number of connections
 	at, _ := startNode(t, cfg)
 	for i := range 4 * cfg.Limits.MaxConnections() {
@@ -78,8 +78,8 @@
 		malformedClients, correctClients, requestsPerClient = 120, 4, 6
 		maxAttempts                                         = 50
 	)
-	hosts, _ := servers(t, 2, okResponse)
-	cfg := config(hosts...)
+	serverEndpoints, _ := servers(t, 2, okResponse)
+	cfg := config(serverEndpoints...)
 	cfg.Limits.Sockets = 64
 	for i := range cfg.Settings.TrafficTypes {
 		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -194,10 +194,10 @@
 // The watch for a disconnect reads ahead. After the answer the client may send its next request, so the watch ends before the answer is sent.
 func TestDisconnectWatchEndsBeforeAnswer(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, okResponse)
+	serverEndpoints, _ := servers(t, 1, okResponse)
 	s := &Server{cfg: config(), dispatcher: dispatch.New(config().Settings, 1, config().Limits, engine.NewPolicy)}
 	defer s.dispatcher.Stop()
-	for name, listed := range map[string][]http1.Endpoint{"rejected": nil, "handled": hosts} {
+	for name, listed := range map[string][]http1.Endpoint{"rejected": nil, "handled": serverEndpoints} {
 		s.dispatcher.ApplyList(http1.EndpointList{Endpoints: listed}, endpoints.SourceConfig)
 		req := &http1.Request{Method: []byte("GET"), Target: []byte("/check/1"), Fields: []http1.Field{{Name: []byte("Request-Id"), Value: []byte(name)}}}
 		w := &watchedConn{isWatchedWhenSent: true}
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -16,15 +16,15 @@
 const resetMark = "\x01" // at the end of a scripted response of discovery: the connection is reset instead of closed
 
 // scriptedDiscovery starts a stand-in discovery that sends one response of a script per poll, byte by byte if pieces is set, and none after
-// the last. calls receives the query of each poll. An empty response leaves the connection open.
-func scriptedDiscovery(t *testing.T, pieces bool, script ...string) (at netip.AddrPort, calls chan string) {
-	calls = make(chan string, 64)
+// the last. queries receives the query of each poll. An empty response leaves the connection open.
+func scriptedDiscovery(t *testing.T, pieces bool, script ...string) (at netip.AddrPort, queries chan string) {
+	queries = make(chan string, 64)
 	var polls atomic.Int32
 	at = standIn(t, func(nc net.Conn) {
 		defer nc.Close()
 		var r http1.Request
 		for c := http1.NewConn(nc); c.ReadRequest(&r) == nil; {
-			calls <- strings.TrimPrefix(string(r.Target), "/discovery/hosts")
+			queries <- strings.TrimPrefix(string(r.Target), "/discovery/hosts")
 			n := int(polls.Add(1))
 			if n > len(script) {
 				continue // the poll gets no response
@@ -46,7 +46,7 @@
 			}
 		}
 	})
-	return at, calls
+	return at, queries
 }
 
 func listResponse(revision int, isComplete bool, members ...string) string {
@@ -54,16 +54,16 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func listMember(h http1.Endpoint, phase string) string {
-	return fmt.Sprintf(`{"id":"%s","host_port":"%s","phase":"%s","size":1}`, h.ID, h.Address, phase)
+func listMember(h http1.Endpoint, condition string) string {
+	return fmt.Sprintf(`{"id":"%s","host_port":"%s","phase":"%s","size":1}`, h.ID, h.Address, condition)
 }
 
 // A change of the list reaches the node however earlier polls failed. Afterwards no new request is sent to a server that was announced as
 // draining or that a complete list lacks, although the server still responds.
 func TestListUpdateAfterFailedPolls(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, okResponse)
-	remaining := hosts[0]
+	serverEndpoints, _ := servers(t, 1, okResponse)
+	remaining := serverEndpoints[0]
 	remaining.ID = "stays"
 	rejection := func(status int) string {
 		return fmt.Sprintf("HTTP/1.1 %d No\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n", status)
@@ -100,11 +100,11 @@
 			}
 			cfg := config(removed[0], remaining)
 			cfg.SavedList.Revision, cfg.Settings.MustRequestEndpoints = 2, c.mustRequest
-			var calls chan string
-			cfg.Discovery, calls = scriptedDiscovery(t, c.pieces, append(c.before, c.change)...)
+			var queries chan string
+			cfg.Discovery, queries = scriptedDiscovery(t, c.pieces, append(c.before, c.change)...)
 			at, _ := startNode(t, cfg)
-			for call := ""; !strings.HasPrefix(call, "?index=9&"); { // the change was applied
-				call = <-calls
+			for query := ""; !strings.HasPrefix(query, "?index=9&"); { // the change was applied
+				query = <-queries
 			}
 			before := received.Load()
 			client := dial(t, at)
@@ -122,8 +122,8 @@
 
 func TestDiscovery(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, okResponse)
-	line := fmt.Sprintf(`{"id":"s","host_port":"%s","phase":"SERVING","size":1}`, hosts[0].Address)
+	serverEndpoints, _ := servers(t, 1, okResponse)
+	line := fmt.Sprintf(`{"id":"s","host_port":"%s","phase":"SERVING","size":1}`, serverEndpoints[0].Address)
 	list := func(body string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
@@ -140,7 +140,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			calls, next := make(chan string, 16), make(chan string, len(script))
+			polls, next := make(chan string, 16), make(chan string, len(script))
 			for _, s := range script {
 				next <- s
 			}
@@ -150,7 +150,7 @@
 				defer nc.Close()
 				var r http1.Request
 				for c := http1.NewConn(nc); c.ReadRequest(&r) == nil; {
-					calls <- string(r.Target)
+					polls <- string(r.Target)
 					response := <-next
 					io.WriteString(nc, strings.TrimSuffix(response, closeMark))
 					if strings.HasSuffix(response, closeMark) {
@@ -160,13 +160,13 @@
 			})
 			at, _ := startNode(t, cfg)
 			for range script {
-				if call := <-calls; !strings.HasPrefix(call, "/discovery/hosts?index=2&") && !strings.HasPrefix(call, "/discovery/hosts?index=3&") {
-					t.Errorf("got poll %s, want revision 2 or 3", call)
+				if poll := <-polls; !strings.HasPrefix(poll, "/discovery/hosts?index=2&") && !strings.HasPrefix(poll, "/discovery/hosts?index=3&") {
+					t.Errorf("got poll %s, want revision 2 or 3", poll)
 				}
 			}
 			listSentAt := time.Now()
-			if call := <-calls; !strings.HasPrefix(call, "/discovery/hosts?index=9&wait=") || time.Since(listSentAt) > 200*time.Millisecond {
-				t.Errorf("got poll %s after %v, want revision 9 within 200 ms", call, time.Since(listSentAt)) // the watch must continue
+			if poll := <-polls; !strings.HasPrefix(poll, "/discovery/hosts?index=9&wait=") || time.Since(listSentAt) > 200*time.Millisecond {
+				t.Errorf("got poll %s after %v, want revision 9 within 200 ms", poll, time.Since(listSentAt)) // the watch must continue
 			}
 			close(next)
 			if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
--- a/internal/proxy/dispatch/bench_test.go
+++ b/internal/proxy/dispatch/bench_test.go
@@ -22,22 +22,22 @@
 	return d
 }
 
-// benchHosts returns the servers with numbers in [from, to), spread over 18 zones.
-func benchHosts(from, to int) (hosts []http1.Endpoint) {
+// benchEndpoints returns the servers with numbers in [from, to), spread over 18 zones.
+func benchEndpoints(from, to int) (serverEndpoints []http1.Endpoint) {
 	for i := from; i < to; i++ {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)
-		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("server-", i), Address: address, Zone: fmt.Sprint("zone-", i%18), Weight: 1, StartedUnixMS: 1})
+		serverEndpoints = append(serverEndpoints, http1.Endpoint{ID: fmt.Sprint("server-", i), Address: address, Zone: fmt.Sprint("zone-", i%18), Weight: 1, StartedUnixMS: 1})
 	}
-	return hosts
+	return serverEndpoints
 }
 
 // BenchmarkWholeList measures a full list that passes through the view, the engine and the decision module.
 func BenchmarkWholeList(b *testing.B) {
 	for _, servers := range []int{200, 2_000, 20_000, 200_000} {
-		hosts := benchHosts(0, servers)
+		serverEndpoints := benchEndpoints(0, servers)
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			for b.Loop() {
-				newBenchDispatcher(b).ApplyList(http1.EndpointList{IsComplete: true, Endpoints: hosts}, endpoints.SourceDiscovery)
+				newBenchDispatcher(b).ApplyList(http1.EndpointList{IsComplete: true, Endpoints: serverEndpoints}, endpoints.SourceDiscovery)
 			}
 		})
 	}
@@ -47,13 +47,13 @@
 func BenchmarkOneChange(b *testing.B) {
 	for _, servers := range []int{200, 2_000, 20_000, 200_000} {
 		d := newBenchDispatcher(b)
-		d.ApplyList(http1.EndpointList{IsComplete: true, Endpoints: benchHosts(0, servers)}, endpoints.SourceDiscovery)
+		d.ApplyList(http1.EndpointList{IsComplete: true, Endpoints: benchEndpoints(0, servers)}, endpoints.SourceDiscovery)
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			last := servers
 			for b.Loop() {
-				hosts := benchHosts(last-1, last+1)
-				hosts[0].Condition = http1.Deleted
-				d.ApplyList(http1.EndpointList{Endpoints: hosts}, endpoints.SourceDiscovery)
+				serverEndpoints := benchEndpoints(last-1, last+1)
+				serverEndpoints[0].Condition = http1.Deleted
+				d.ApplyList(http1.EndpointList{Endpoints: serverEndpoints}, endpoints.SourceDiscovery)
 				last++
 			}
 		})
--- a/internal/proxy/dispatch/budget_test.go
+++ b/internal/proxy/dispatch/budget_test.go
@@ -28,7 +28,7 @@
 // TestBudgetIsSharedByHalves checks that requests in flight and connections to servers are limited, so that descriptors remain
 // to accept connections and reject requests.
 func TestBudgetIsSharedByHalves(t *testing.T) {
-	d := newTestDispatcher(t, policy.Idempotent, Limits{MemoryMB: 192, Sockets: reservedDescriptors + 10}, host("a", 1))
+	d := newTestDispatcher(t, policy.Idempotent, Limits{MemoryMB: 192, Sockets: reservedDescriptors + 10}, loopbackEndpoint("a", 1))
 	serverConns := 0
 	for d.AcquireServerDescriptor() {
 		serverConns++
--- a/internal/proxy/dispatch/clients_test.go
+++ b/internal/proxy/dispatch/clients_test.go
@@ -23,7 +23,7 @@
 		"no idle client, free server share": {0, 0, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newTestDispatcher(t, policy.Idempotent, l, host("a", 1))
+			d := newTestDispatcher(t, policy.Idempotent, l, loopbackEndpoint("a", 1))
 			closed := make(chan string, minConnections)
 			for i := range c.idleServers {
 				if !d.AcquireServerDescriptor() {
@@ -277,9 +277,9 @@
 	}
 }
 
-// TestNoEvictionRightAfterAnswer checks that a burst of new connections does not evict active clients directly after a response,
+// TestNoEvictionRightAfterResponse checks that a burst of new connections does not evict active clients directly after a response,
 // while their next request is in transit.
-func TestNoEvictionRightAfterAnswer(t *testing.T) {
+func TestNoEvictionRightAfterResponse(t *testing.T) {
 	d := newTestDispatcher(t, policy.Idempotent, limits)
 	closed := make(chan string, 1)
 	client := d.AddClient(http1.NewConn(&closer{closed: closed}))
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// maxPollPause is the longest pause between two failed calls to discovery, before a random spread of one half. It is
+	// maxPollPause is the longest pause between two failed polls of discovery, before a random spread of one half. It is
 	// part of a time budget documented in package watch.
 	maxPollPause = 750 * time.Millisecond
 	// pollPauseDivisor relates the decision module's poll pause to Settings.RequestEndpointsWithin: the pause is at most
@@ -75,7 +75,7 @@
 func New(s settings.Settings, seed uint32, limits Limits, newDecider engine.DeciderFactory, options ...Option) *Dispatcher {
 	if !s.MustRequestEndpoints {
 		// Over sockets a node always polls for the endpoint list. An agent that is configured to push the list responds to a
-		// poll immediately, so a failed call is retried after the decision module's shortest pause, without backoff.
+		// poll immediately, so a failed poll is retried after the decision module's shortest pause, without backoff.
 		s.MustRequestEndpoints, s.RequestEndpointsWithin = true, 0
 	}
 	s.RequestEndpointsWithin = min(s.RequestEndpointsWithin, pollPauseDivisor*maxPollPause)
--- a/internal/proxy/dispatch/endpoints_test.go
+++ b/internal/proxy/dispatch/endpoints_test.go
@@ -27,11 +27,11 @@
 // TestNoNewAttemptsToServersThatLeft checks that a server that has left receives no new attempt through an idle connection, a
 // queued request, a retry or a hedged attempt.
 func TestNoNewAttemptsToServersThatLeft(t *testing.T) {
-	removed, draining := host("a", 1), host("a", 1)
+	removed, draining := loopbackEndpoint("a", 1), loopbackEndpoint("a", 1)
 	removed.Condition, draining.Condition = http1.Deleted, http1.Draining
 	for name, l := range map[string]http1.EndpointList{
-		"removed": {Endpoints: []http1.Endpoint{removed}}, "draining": {Endpoints: []http1.Endpoint{draining}}, "omitted from a full list": fullList(host("b", 2)),
-		"another server at its address": {Endpoints: []http1.Endpoint{host("c", 1)}},
+		"removed": {Endpoints: []http1.Endpoint{removed}}, "draining": {Endpoints: []http1.Endpoint{draining}}, "omitted from a full list": fullList(loopbackEndpoint("b", 2)),
+		"another server at its address": {Endpoints: []http1.Endpoint{loopbackEndpoint("c", 1)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, Settings: policy.Settings{NodeCount: 1, MaxAttempts: 4, HedgingAllowed: true,
@@ -39,7 +39,7 @@
 					HedgeDelay: time.Nanosecond, HedgeRatio: 1}}}}
 			d := New(s, 1, limits, engine.NewPolicy)
 			t.Cleanup(d.Stop)
-			d.ApplyList(fullList(host("a", 1), host("b", 2)), endpoints.SourceConfig)
+			d.ApplyList(fullList(loopbackEndpoint("a", 1), loopbackEndpoint("b", 2)), endpoints.SourceConfig)
 			d.AcquireServerDescriptor()
 			d.PutIdle("a", false, http1.NewConn(&closer{closed: make(chan string, 1)}))
 			var waiting []*Request
@@ -119,7 +119,7 @@
 		return h
 	}
 	// These two IDs have the same checksum, and therefore the same rank.
-	one, two := host("plumless", 1), host("buckeroo", 2)
+	one, two := loopbackEndpoint("plumless", 1), loopbackEndpoint("buckeroo", 2)
 	for name, c := range map[string]struct {
 		lists []http1.EndpointList
 		want  []uint16 // ports that attempts are sent to
@@ -128,7 +128,7 @@
 		"one is draining": {[]http1.EndpointList{fullList(one, two), {Endpoints: []http1.Endpoint{with(one, func(h *http1.Endpoint) { h.Condition = http1.Draining })}}}, []uint16{2}},
 		"one is removed":  {[]http1.EndpointList{fullList(one, two), {Endpoints: []http1.Endpoint{{ID: one.ID, Condition: http1.Deleted}}}}, []uint16{2}},
 		"one is omitted":  {[]http1.EndpointList{fullList(one, two), fullList(two)}, []uint16{2}},
-		"one has moved":   {[]http1.EndpointList{fullList(one, two), {Endpoints: []http1.Endpoint{with(one, func(h *http1.Endpoint) { h.Address = host("", 9).Address })}}}, []uint16{2, 9}},
+		"one has moved":   {[]http1.EndpointList{fullList(one, two), {Endpoints: []http1.Endpoint{with(one, func(h *http1.Endpoint) { h.Address = loopbackEndpoint("", 9).Address })}}}, []uint16{2, 9}},
 		"no changes":      {[]http1.EndpointList{fullList(one, two), {}}, []uint16{1, 2}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -155,26 +155,26 @@
 // TestNodesShareRotation checks that nodes with the same servers, listed in different orders, send requests to them in the same
 // order.
 func TestNodesShareRotation(t *testing.T) {
-	hosts := []http1.Endpoint{host("a", 1), host("b", 2), host("c", 3), host("d", 4), host("e", 5)}
-	order := func(hosts []http1.Endpoint) (ports []uint16) {
-		d := newTestDispatcher(t, policy.Idempotent, limits, hosts...)
-		for range hosts {
+	serverEndpoints := []http1.Endpoint{loopbackEndpoint("a", 1), loopbackEndpoint("b", 2), loopbackEndpoint("c", 3), loopbackEndpoint("d", 4), loopbackEndpoint("e", 5)}
+	order := func(serverEndpoints []http1.Endpoint) (ports []uint16) {
+		d := newTestDispatcher(t, policy.Idempotent, limits, serverEndpoints...)
+		for range serverEndpoints {
 			decision := submit(d).NextDecision(func() {})
 			ports = append(ports, decision.Address.Port())
 		}
 		return ports
 	}
-	one := order(hosts)
-	slices.Reverse(hosts)
-	if other := order(hosts); !slices.Equal(one, other) {
+	one := order(serverEndpoints)
+	slices.Reverse(serverEndpoints)
+	if other := order(serverEndpoints); !slices.Equal(one, other) {
 		t.Errorf("got port orders %v and %v, want the same", one, other)
 	}
 }
 
 // TestPollRequestedAfterFailure checks that polls are requested at the start and after a failed poll.
 func TestPollRequestedAfterFailure(t *testing.T) {
-	d := newTestDispatcher(t, policy.Idempotent, limits, host("a", 1)) // with settings that do not require polls
-	<-d.PollRequested()                                                // at the start
+	d := newTestDispatcher(t, policy.Idempotent, limits, loopbackEndpoint("a", 1)) // with settings that do not require polls
+	<-d.PollRequested()                                                            // at the start
 	d.DiscoveryFailed()
 	<-d.PollRequested() // after a failure, when the decision module requests it
 }
@@ -182,7 +182,7 @@
 // TestReplacedServers checks 100 replacements of a server, each by one at the same address, while the old server is announced as
 // removed only later.
 func TestReplacedServers(t *testing.T) {
-	d := newTestDispatcher(t, policy.Idempotent, limits, host("first", 1))
+	d := newTestDispatcher(t, policy.Idempotent, limits, loopbackEndpoint("first", 1))
 	closed := make(chan string, 100)
 	for i := range 100 {
 		id, previous := fmt.Sprint("next ", i), "first"
@@ -191,7 +191,7 @@
 		}
 		d.AcquireServerDescriptor()
 		d.PutIdle(previous, false, http1.NewConn(&closer{name: previous, closed: closed}))
-		d.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{host(id, 1)}}, endpoints.SourceDiscovery)
+		d.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{loopbackEndpoint(id, 1)}}, endpoints.SourceDiscovery)
 		if got := <-closed; got != previous || d.TakeIdle(previous) != nil {
 			t.Fatalf("got idle connection to %s closed, want %s", got, previous)
 		}
@@ -201,7 +201,7 @@
 		}
 		request.AttemptEnded(0, Succeeded, nil)
 		request.NextDecision(nil)
-		removed := host(previous, 1)
+		removed := loopbackEndpoint(previous, 1)
 		removed.Condition = http1.Deleted
 		d.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{removed}}, endpoints.SourceDiscovery)
 	}
--- a/internal/proxy/dispatch/hedge_test.go
+++ b/internal/proxy/dispatch/hedge_test.go
@@ -66,7 +66,7 @@
 			s := settings.Settings{TypeNames: []string{"check"}, Settings: policy.Settings{TrafficTypes: []policy.TrafficType{{ClientTimeout: time.Hour}}}}
 			d := New(s, 1, Limits{MemoryMB: 64, Sockets: 64}, func(policy.Settings, uint32) engine.Decider { return &hedgingDecider{} })
 			t.Cleanup(d.Stop)
-			d.ApplyList(fullList(host("a", 1), host("b", 2)), endpoints.SourceConfig)
+			d.ApplyList(fullList(loopbackEndpoint("a", 1), loopbackEndpoint("b", 2)), endpoints.SourceConfig)
 			var hedge Decision
 			var canceled [2]bool
 			request, err := d.Submit(Arrival{ID: []byte("x"), RouteIndex: -1, Timeout: time.Hour, StartHedge: func(_ *Request, decision Decision) { hedge = decision }})
@@ -104,13 +104,13 @@
 	}
 }
 
-// TestHedgeAfterFinalAnswer checks that a hedged attempt whose goroutine starts after the final response is canceled before it
+// TestHedgeAfterFinalResponse checks that a hedged attempt whose goroutine starts after the final response is canceled before it
 // is sent.
-func TestHedgeAfterFinalAnswer(t *testing.T) {
+func TestHedgeAfterFinalResponse(t *testing.T) {
 	d := New(settings.Settings{TypeNames: []string{"check"}, Settings: policy.Settings{TrafficTypes: []policy.TrafficType{{}}}}, 1,
 		Limits{MemoryMB: 64, Sockets: 64}, func(policy.Settings, uint32) engine.Decider { return &hedgingDecider{} })
 	t.Cleanup(d.Stop)
-	d.ApplyList(fullList(host("a", 1), host("b", 2)), endpoints.SourceConfig)
+	d.ApplyList(fullList(loopbackEndpoint("a", 1), loopbackEndpoint("b", 2)), endpoints.SourceConfig)
 	var hedge Decision
 	request, _ := d.Submit(Arrival{ID: []byte("x"), RouteIndex: -1, Timeout: time.Hour, StartHedge: func(_ *Request, decision Decision) { hedge = decision }})
 	decision := request.NextDecision(func() {})
--- a/internal/proxy/dispatch/helpers_test.go
+++ b/internal/proxy/dispatch/helpers_test.go
@@ -17,23 +17,23 @@
 var limits = Limits{MemoryMB: 192, Sockets: 1024}
 
 // fullList returns a full endpoint list.
-func fullList(hosts ...http1.Endpoint) http1.EndpointList {
-	return http1.EndpointList{IsComplete: true, Endpoints: hosts}
+func fullList(serverEndpoints ...http1.Endpoint) http1.EndpointList {
+	return http1.EndpointList{IsComplete: true, Endpoints: serverEndpoints}
 }
 
-// host returns an endpoint on the loopback address.
-func host(id string, port uint16) http1.Endpoint {
+// loopbackEndpoint returns an endpoint on the loopback address.
+func loopbackEndpoint(id string, port uint16) http1.Endpoint {
 	return http1.Endpoint{ID: id, Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port), Weight: 1}
 }
 
 // newTestDispatcher returns a Dispatcher with one traffic type of the given idempotency and a configured endpoint list.
-func newTestDispatcher(t *testing.T, idempotency policy.Idempotency, l Limits, hosts ...http1.Endpoint) *Dispatcher {
+func newTestDispatcher(t *testing.T, idempotency policy.Idempotency, l Limits, serverEndpoints ...http1.Endpoint) *Dispatcher {
 	s := settings.Settings{ConnIdle: time.Hour, TypeNames: []string{"check"}, Settings: policy.Settings{NodeCount: 1, MaxAttempts: 4,
 		ConnectTimeout: time.Second, TrafficTypes: []policy.TrafficType{{Idempotency: idempotency, LatencyObjective: time.Minute,
 			ClientTimeout: time.Hour, PriorityWeight: 1}}}}
 	d := New(s, 1, l, engine.NewPolicy)
 	t.Cleanup(d.Stop)
-	d.ApplyList(fullList(hosts...), endpoints.SourceConfig)
+	d.ApplyList(fullList(serverEndpoints...), endpoints.SourceConfig)
 	return d
 }
 
--- a/internal/proxy/dispatch/idle_test.go
+++ b/internal/proxy/dispatch/idle_test.go
@@ -29,12 +29,12 @@
 			d.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{{ID: "a", Condition: http1.Draining}}}, endpoints.SourceDiscovery)
 		}, false},
 		"server address changes": {time.Hour, func(d *Dispatcher) {
-			d.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{host("a", 7)}}, endpoints.SourceDiscovery)
+			d.ApplyList(http1.EndpointList{Endpoints: []http1.Endpoint{loopbackEndpoint("a", 7)}}, endpoints.SourceDiscovery)
 		}, false},
-		"same list again": {time.Hour, func(d *Dispatcher) { d.ApplyList(fullList(host("a", 1)), endpoints.SourceDiscovery) }, true},
+		"same list again": {time.Hour, func(d *Dispatcher) { d.ApplyList(fullList(loopbackEndpoint("a", 1)), endpoints.SourceDiscovery) }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newTestDispatcher(t, policy.Idempotent, limits, host("a", 1))
+			d := newTestDispatcher(t, policy.Idempotent, limits, loopbackEndpoint("a", 1))
 			d.settings.ConnIdle = c.idle
 			free := d.budget.free
 			d.AcquireServerDescriptor()
@@ -62,7 +62,7 @@
 		"only one, inside the window": {[]time.Duration{0}, "0"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newTestDispatcher(t, policy.Idempotent, limits, host("a", 1))
+			d := newTestDispatcher(t, policy.Idempotent, limits, loopbackEndpoint("a", 1))
 			for i, age := range c.ages {
 				d.AcquireServerDescriptor()
 				d.PutIdle("a", false, http1.NewConn(&closer{name: fmt.Sprint(i)}))
@@ -96,7 +96,7 @@
 		"announced as draining twice": {func(d *Dispatcher, c ServerConn) { drain(d); drain(d); d.PutIdle("a", false, c) }, true},
 		"left out of the list": {func(d *Dispatcher, c ServerConn) {
 			d.PutIdle("a", false, c)
-			d.ApplyList(fullList(host("b", 2)), endpoints.SourceDiscovery)
+			d.ApplyList(fullList(loopbackEndpoint("b", 2)), endpoints.SourceDiscovery)
 		}, true},
 		"in use while it drains, not yet idle": {func(d *Dispatcher, c ServerConn) { d.PutIdle("a", false, c); d.TakeIdle("a"); drain(d) }, false},
 		"another server drains": {func(d *Dispatcher, c ServerConn) {
@@ -105,7 +105,7 @@
 		}, false},
 		"server becomes usable again": {func(d *Dispatcher, c ServerConn) {
 			drain(d)
-			d.ApplyList(fullList(host("a", 1), host("b", 2)), endpoints.SourceDiscovery)
+			d.ApplyList(fullList(loopbackEndpoint("a", 1), loopbackEndpoint("b", 2)), endpoints.SourceDiscovery)
 			d.PutIdle("a", false, c)
 		}, false},
 	} {
@@ -115,7 +115,7 @@
 					`"trafficTypes":[{"name":"check","targetTime":60000,"abandonTime":60000,"idempotency":"safe","revenue":1}]}`)
 				d := New(s, 1, limits, engine.NewPolicy)
 				t.Cleanup(d.Stop)
-				d.ApplyList(fullList(host("a", 1), host("b", 2)), endpoints.SourceConfig)
+				d.ApplyList(fullList(loopbackEndpoint("a", 1), loopbackEndpoint("b", 2)), endpoints.SourceConfig)
 				near, far := connpair.TCP(t)
 				d.AcquireServerDescriptor()
 				c.steps(d, http1.NewConn(near))
--- a/internal/proxy/dispatch/placement_test.go
+++ b/internal/proxy/dispatch/placement_test.go
@@ -10,9 +10,9 @@
 	"fernvane/internal/proxy/engine"
 )
 
-// placedHost returns a server in a zone, with a machine kind.
-func placedHost(id string, port uint16, zone, kind string) http1.Endpoint {
-	h := host(id, port)
+// placedEndpoint returns a server in a zone, with a machine kind.
+func placedEndpoint(id string, port uint16, zone, kind string) http1.Endpoint {
+	h := loopbackEndpoint(id, port)
 	h.Zone, h.MachineKind, h.StartedUnixMS = zone, kind, 1 // past slow start
 	return h
 }
@@ -46,9 +46,9 @@
 // TestPlacement checks that requests of a traffic type that the settings bind to zones and machine kinds, by index or by name,
 // are sent to no other servers.
 func TestPlacement(t *testing.T) {
-	hosts := []http1.Endpoint{placedHost("a", 1, "north", "small"), placedHost("b", 2, "south", "small"), placedHost("c", 3, "south", "large"),
-		placedHost("d", 4, "west", "large")}
-	moved := placedHost("a", 1, "south", "small")
+	serverEndpoints := []http1.Endpoint{placedEndpoint("a", 1, "north", "small"), placedEndpoint("b", 2, "south", "small"), placedEndpoint("c", 3, "south", "large"),
+		placedEndpoint("d", 4, "west", "large")}
+	moved := placedEndpoint("a", 1, "south", "small")
 	for name, c := range map[string]struct {
 		binding string
 		changes []http1.Endpoint // incremental list
@@ -63,11 +63,11 @@
 		"an index beyond the list":  {`"dcsOnly":[2,3,4,5,6]`, nil, nil},
 		"a zone that no server has": {`"dcsOnly":["east"]`, nil, nil},
 		"empty list of zones":       {`"dcsOnly":[]`, nil, nil},
-		"an added server":           {`"dcsOnly":["east"]`, []http1.Endpoint{placedHost("e", 5, "east", "large")}, []uint16{5}},
+		"an added server":           {`"dcsOnly":["east"]`, []http1.Endpoint{placedEndpoint("e", 5, "east", "large")}, []uint16{5}},
 		"a server that moves in":    {`"dcsOnly":["south"]`, []http1.Endpoint{moved}, []uint16{1, 2, 3}},
 		"a server that moves out":   {`"dcsOnly":["north"]`, []http1.Endpoint{moved}, nil},
-		"a server of another kind":  {`"allowedOn":["small"]`, []http1.Endpoint{placedHost("a", 1, "north", "large")}, []uint16{2}},
-		"a kind that is not listed": {`"allowedOn":["huge"]`, []http1.Endpoint{placedHost("f", 6, "north", "huge")}, []uint16{6}},
+		"a server of another kind":  {`"allowedOn":["small"]`, []http1.Endpoint{placedEndpoint("a", 1, "north", "large")}, []uint16{2}},
+		"a kind that is not listed": {`"allowedOn":["huge"]`, []http1.Endpoint{placedEndpoint("f", 6, "north", "huge")}, []uint16{6}},
 		"a zone name in other case": {`"dcsOnly":["South"]`, nil, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -75,7 +75,7 @@
 				"trafficTypes":[{"name":"check","targetTime":60000,"abandonTime":60000,"idempotency":"safe","revenue":1,`+c.binding+`}]}`)
 			d := New(s, 1, limits, engine.NewPolicy)
 			t.Cleanup(d.Stop)
-			d.ApplyList(fullList(hosts...), endpoints.SourceConfig)
+			d.ApplyList(fullList(serverEndpoints...), endpoints.SourceConfig)
 			if len(c.changes) > 0 {
 				d.ApplyList(http1.EndpointList{Endpoints: c.changes}, endpoints.SourceDiscovery)
 			}
--- a/internal/proxy/dispatch/quotas_test.go
+++ b/internal/proxy/dispatch/quotas_test.go
@@ -41,7 +41,7 @@
 		return module
 	})
 	t.Cleanup(d.Stop)
-	d.ApplyList(fullList(host("server", 1)), endpoints.SourceConfig)
+	d.ApplyList(fullList(loopbackEndpoint("server", 1)), endpoints.SourceConfig)
 	d.EnableReports()
 	submit := func(tenant string) int {
 		lastRequestID++
--- a/internal/proxy/dispatch/request.go
+++ b/internal/proxy/dispatch/request.go
@@ -34,7 +34,7 @@
 
 	// Duration is the timeout of the attempt (SendAttempt), or the delay after which the client may retry (Reject).
 	Duration time.Duration
-	// Answer is the response to the client (Respond), or a server's response that reports a fault of the request (Fail).
+	// Response is the response to the client (Respond), or a server's response that reports a fault of the request (Fail).
 	Response []byte
 }
 
--- a/internal/proxy/dispatch/request_test.go
+++ b/internal/proxy/dispatch/request_test.go
@@ -31,7 +31,7 @@
 		"not started, no server left":        {policy.NonIdempotent, []int{int(ConnectRefused), int(ConnectRefused), int(ConnectRefused), int(ConnectRefused)}, Reject},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newTestDispatcher(t, c.idempotency, limits, host("a", 1), host("b", 2), host("c", 3), host("d", 4))
+			d := newTestDispatcher(t, c.idempotency, limits, loopbackEndpoint("a", 1), loopbackEndpoint("b", 2), loopbackEndpoint("c", 3), loopbackEndpoint("d", 4))
 			request := submit(d)
 			canceled := false
 			decision := request.NextDecision(func() { canceled = true })
@@ -76,7 +76,7 @@
 // TestDisconnectBeforeFirstAttempt checks that an attempt is not sent if the client disconnects before NextDecision has
 // returned the attempt.
 func TestDisconnectBeforeFirstAttempt(t *testing.T) {
-	d := newTestDispatcher(t, policy.NonIdempotent, limits, host("a", 1))
+	d := newTestDispatcher(t, policy.NonIdempotent, limits, loopbackEndpoint("a", 1))
 	request := submit(d)
 	request.ClientDisconnected()
 	if decision := request.NextDecision(func() {}); decision.Action != Drop || len(request.inFlight) > 0 {
@@ -97,7 +97,7 @@
 		"after a disconnect": func(request *Request) { request.NextDecision(func() {}); request.ClientDisconnected() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newTestDispatcher(t, policy.NonIdempotent, limits, host("a", 1))
+			d := newTestDispatcher(t, policy.NonIdempotent, limits, loopbackEndpoint("a", 1))
 			request := submit(d)
 			steps(request)
 			request.Close()
@@ -114,7 +114,7 @@
 func TestDisconnectCancelsUnwrittenAttempts(t *testing.T) {
 	for name, written := range map[string]bool{"not written": false, "written": true} {
 		t.Run(name, func(t *testing.T) {
-			d := newTestDispatcher(t, policy.NonIdempotent, Limits{}, host("a", 1))
+			d := newTestDispatcher(t, policy.NonIdempotent, Limits{}, loopbackEndpoint("a", 1))
 			canceled := 0
 			var attempts []int
 			var requests []*Request
--- a/internal/proxy/dispatch/retention_test.go
+++ b/internal/proxy/dispatch/retention_test.go
@@ -33,7 +33,7 @@
 				TrafficTypes: []policy.TrafficType{{LatencyObjective: time.Minute, ClientTimeout: time.Hour, PriorityWeight: 1}}}}
 			d := New(s, 1, limits, engine.NewPolicy, WithIdleRetention(c.retention))
 			t.Cleanup(d.Stop)
-			d.ApplyList(fullList(host("a", 1)), endpoints.SourceConfig)
+			d.ApplyList(fullList(loopbackEndpoint("a", 1)), endpoints.SourceConfig)
 			closed := make(chan string, 2)
 			put := func(name string) {
 				d.AcquireServerDescriptor()
--- a/internal/proxy/dispatch/scale_test.go
+++ b/internal/proxy/dispatch/scale_test.go
@@ -16,7 +16,7 @@
 	d := newTestDispatcher(t, 0, limits)
 	list := fullList()
 	for i := range servers {
-		list.Endpoints = append(list.Endpoints, host(fmt.Sprint("server-", i), uint16(1+i)))
+		list.Endpoints = append(list.Endpoints, loopbackEndpoint(fmt.Sprint("server-", i), uint16(1+i)))
 	}
 	d.ApplyList(list, endpoints.SourceDiscovery)
 	ticks := func() int { // with the lock held, so that the timer does not interfere
--- a/internal/proxy/dispatch/submit_test.go
+++ b/internal/proxy/dispatch/submit_test.go
@@ -9,7 +9,7 @@
 
 // TestDuplicateIDs checks that an ID is accepted again once its request is settled, even while an attempt is in flight.
 func TestDuplicateIDs(t *testing.T) {
-	d := newTestDispatcher(t, policy.NonIdempotent, limits, host("a", 1))
+	d := newTestDispatcher(t, policy.NonIdempotent, limits, loopbackEndpoint("a", 1))
 	submitID := func(id string) (*Request, error) {
 		return d.Submit(Arrival{ID: []byte(id), RouteIndex: -1, Timeout: time.Hour})
 	}
--- a/internal/proxy/distribution_test.go
+++ b/internal/proxy/distribution_test.go
@@ -336,15 +336,15 @@
 // A node that has reached no control process since its start polls discovery. Once a control process has announced servers, it uses only these.
 func TestDiscoveryFallback(t *testing.T) {
 	t.Parallel()
-	hosts, used := servers(t, 1, okResponse)
+	serverEndpoints, used := servers(t, 1, okResponse)
 	others, received := servers(t, 1, okResponse)
 	cfg := config()
-	calls := make(chan struct{}, 999)
+	polls := make(chan struct{}, 999)
 	cfg.Discovery = standIn(t, func(nc net.Conn) {
 		defer nc.Close()
 		var r http1.Request
 		for c := http1.NewConn(nc); c.ReadRequest(&r) == nil; time.Sleep(10 * time.Millisecond) {
-			calls <- struct{}{}
+			polls <- struct{}{}
 			body := fmt.Sprintf(`{"revision":7,"complete":true,"members":[{"id":"of-discovery","host_port":"%s","phase":"SERVING","size":1}]}`, others[0].Address)
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		}
@@ -357,7 +357,7 @@
 	listener.Close()
 	cfg.Distribution = &client.Config{Control: []string{at.String()}, Addresses: []netip.AddrPort{at}, Services: []string{"hire"}, Directory: t.TempDir()}
 	node, _ := startNode(t, cfg)
-	<-calls
+	<-polls
 	await(t, "request at the server that discovery names", func() bool { get(t, dial(t, node), "/check/1"); return received.Load() > 0 })
 
 	ctx, cancel := context.WithCancel(context.Background())
@@ -372,7 +372,7 @@
 			t.Error(err)
 		}
 	}()
-	entry := serverEntry(t, 1, incarnation.Entry{ID: hosts[0].ID, Address: hosts[0].Address.String(), Weight: 1})
+	entry := serverEntry(t, 1, incarnation.Entry{ID: serverEndpoints[0].ID, Address: serverEndpoints[0].Address.String(), Weight: 1})
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		s, err := client.Open(ctx, cfg.Distribution)
 		if err == nil {
--- a/internal/proxy/endpointcache_test.go
+++ b/internal/proxy/endpointcache_test.go
@@ -190,8 +190,8 @@
 	t.Parallel()
 	one, two := newCountingServer(t, ""), newCountingServer(t, "")
 	lists := make(chan string, 4)
-	line := func(id string, a *countingServer, phase string) string {
-		return fmt.Sprintf(`{"id":%q,"host_port":%q,"phase":%q,"size":1}`, id, a.at, phase)
+	line := func(id string, a *countingServer, condition string) string {
+		return fmt.Sprintf(`{"id":%q,"host_port":%q,"phase":%q,"size":1}`, id, a.at, condition)
 	}
 	cfg := config()
 	cfg.Snapshot = cachedList(t, func(s *snapshot.Snapshot) { s.ConfirmedUnixMS -= (10 * time.Minute).Milliseconds() },
@@ -247,8 +247,8 @@
 // A node whose disk fails serves requests; only the stored list is missing.
 func TestListNotWritten(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, okResponse)
-	cfg := config(hosts...)
+	serverEndpoints, _ := servers(t, 1, okResponse)
+	cfg := config(serverEndpoints...)
 	cfg.Snapshot = &snapshot.Config{Dir: t.TempDir(), Deployment: "d", WriteInterval: tomlfile.Duration(time.Millisecond), MaxGenerations: 2, MaxAge: tomlfile.Duration(time.Hour)}
 	cfg.Filesystem = failingFilesystem{}
 	at, stop := startNode(t, cfg)
--- a/internal/proxy/endpointcacheconfirm.go
+++ b/internal/proxy/endpointcacheconfirm.go
@@ -28,11 +28,11 @@
 		return l, false
 	}
 	if !l.IsComplete && source == endpoints.SourceDiscovery {
-		hosts := make([]http1.Endpoint, 0, len(c.endpoints)+len(l.Endpoints))
+		merged := make([]http1.Endpoint, 0, len(c.endpoints)+len(l.Endpoints))
 		for _, e := range c.endpoints {
-			hosts = append(hosts, listedEndpoint(e))
+			merged = append(merged, listedEndpoint(e))
 		}
-		l.Endpoints = append(hosts, l.Endpoints...)
+		l.Endpoints = append(merged, l.Endpoints...)
 	}
 	c.evaluator, c.endpoints = nil, nil
 	c.dispatcher.LeaveCautiousMode()
--- a/internal/proxy/engine/engine_test.go
+++ b/internal/proxy/engine/engine_test.go
@@ -7,10 +7,10 @@
 	"fernvane/policy"
 )
 
-// effectCounter is an EffectHandler that counts attempts and final responses and records forgotten servers.
+// effectCounter is an EffectHandler that counts attempts and final responses and records released servers.
 type effectCounter struct {
 	sent, finalResponses int
-	forgotten            []uint32
+	released             []uint32
 }
 
 func (r *effectCounter) SendAttempt(uint64, uint32, time.Duration) { r.sent++ }
@@ -18,7 +18,7 @@
 func (r *effectCounter) Fail(uint64)                               { r.finalResponses++ }
 func (r *effectCounter) SetTimer(time.Duration)                    {}
 func (r *effectCounter) CloseIdle(uint32)                          {}
-func (r *effectCounter) ReleaseServer(s uint32)                    { r.forgotten = append(r.forgotten, s) }
+func (r *effectCounter) ReleaseServer(s uint32)                    { r.released = append(r.released, s) }
 func (r *effectCounter) Subscribe()                                {}
 
 // TestIndicesAreReleased checks that a request's index is freed when the request is settled and has no attempt in flight.
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestServersAreForgotten checks that indices of removed servers are reused, except those that an open request refers to.
-func TestServersAreForgotten(t *testing.T) {
+// TestServersAreReleased checks that indices of removed servers are reused, except those that an open request refers to.
+func TestServersAreReleased(t *testing.T) {
 	r := &effectCounter{}
 	e := New[uint32](0, policy.New(policy.Settings{NodeCount: 1, MaxAttempts: 1, TrafficTypes: []policy.TrafficType{
 		{LatencyObjective: 400 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1}}}, 1), r)
@@ -76,12 +76,12 @@
 	e.RequestArrived(0, 7, policy.Input{Timeout: time.Second}, r) // its attempt is in flight at server 5
 	list(policy.Incremental, 5, policy.Removed)
 	list(policy.Incremental, 6, policy.Up)
-	if len(r.forgotten) > 0 || len(e.serverIDs) != 2 {
-		t.Fatalf("with an attempt in flight: got forgotten servers %v and %d indices, want none and 2 indices", r.forgotten, len(e.serverIDs))
+	if len(r.released) > 0 || len(e.serverIDs) != 2 {
+		t.Fatalf("with an attempt in flight: got released servers %v and %d indices, want none and 2 indices", r.released, len(e.serverIDs))
 	}
 	e.AttemptEnded(0, 7, 5, policy.Input{Outcome: policy.Success, IsSettled: true}, r)
-	if len(r.forgotten) != 1 || r.forgotten[0] != 5 {
-		t.Fatalf("after the attempt: got forgotten servers %v, want [5]", r.forgotten)
+	if len(r.released) != 1 || r.released[0] != 5 {
+		t.Fatalf("after the attempt: got released servers %v, want [5]", r.released)
 	}
 	for id := range uint32(100) {
 		list(policy.Full, 10+id, policy.Up)
--- a/internal/proxy/fastcgi_test.go
+++ b/internal/proxy/fastcgi_test.go
@@ -37,12 +37,12 @@
 	})
 }
 
-// startFastCGINode runs a node that accepts clients in both protocols and uses FastCGI for servers of flavor "cgi".
-func startFastCGINode(t *testing.T, hosts ...http1.Endpoint) (http, cgi string, stop func() error) {
-	return startFastCGINodeWith(t, shutdownDelays{}, hosts...)
+// startFastCGINode runs a node that accepts clients in both protocols and uses FastCGI for servers of machine kind "cgi".
+func startFastCGINode(t *testing.T, serverEndpoints ...http1.Endpoint) (http, cgi string, stop func() error) {
+	return startFastCGINodeWith(t, shutdownDelays{}, serverEndpoints...)
 }
 
-func startFastCGINodeWith(t *testing.T, delays shutdownDelays, hosts ...http1.Endpoint) (http, cgi string, stop func() error) {
+func startFastCGINodeWith(t *testing.T, delays shutdownDelays, serverEndpoints ...http1.Endpoint) (http, cgi string, stop func() error) {
 	t.Helper()
 	// Its own IP address: a free port of 127.0.0.1 may be assigned to any connection before the node listens on it.
 	pid := os.Getpid()
@@ -52,7 +52,7 @@
 	}
 	cgi = ln.Addr().String()
 	ln.Close()
-	cfg := config(hosts...)
+	cfg := config(serverEndpoints...)
 	cfg.shutdownDelays = delays
 	for i := range cfg.Settings.TrafficTypes { // long enough for a busy machine
 		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = 2*time.Second+delays.extraTime, 4*time.Second+delays.extraTime
@@ -108,7 +108,7 @@
 					mu.Unlock()
 					return c.answer(r)
 				}
-				var hosts []http1.Endpoint
+				var serverEndpoints []http1.Endpoint
 				for i := range 2 {
 					h := http1.Endpoint{ID: fmt.Sprint("s", i), Weight: 1, MachineKind: back}
 					if back == "cgi" {
@@ -125,9 +125,9 @@
 							}
 						})
 					}
-					hosts = append(hosts, h)
+					serverEndpoints = append(serverEndpoints, h)
 				}
-				http, cgi, _ := startFastCGINode(t, hosts...)
+				http, cgi, _ := startFastCGINode(t, serverEndpoints...)
 				var client upstreamConn = http1.NewConn(dial(t, http).Conn)
 				if front == "cgi" {
 					client = fastcgi.NewServerConn(dial(t, cgi).Conn, nil, nil)
--- a/internal/proxy/fastcgishutdown_test.go
+++ b/internal/proxy/fastcgishutdown_test.go
@@ -32,11 +32,11 @@
 			c.Send(http1.AppendAnswer(nil, *echoed(&r)))
 		}
 	})
-	var hosts []http1.Endpoint // one server under many IDs, so that many attempts may be in flight
+	var serverEndpoints []http1.Endpoint // one server under many IDs, so that many attempts may be in flight
 	for i := range 100 {
-		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("s", i), Weight: 1, Address: at})
+		serverEndpoints = append(serverEndpoints, http1.Endpoint{ID: fmt.Sprint("s", i), Weight: 1, Address: at})
 	}
-	http, cgi, stop = startFastCGINodeWith(t, delays, hosts...)
+	http, cgi, stop = startFastCGINodeWith(t, delays, serverEndpoints...)
 	return http, cgi, stop, begun, release
 }
 
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -51,7 +51,7 @@
 
 // servers starts n stand-in servers that together send the responses of a script, one per request, and repeat the last one. received counts the
 // requests received.
-func servers(t *testing.T, n int, script ...string) (hosts []http1.Endpoint, received *atomic.Int32) {
+func servers(t *testing.T, n int, script ...string) (serverEndpoints []http1.Endpoint, received *atomic.Int32) {
 	received = new(atomic.Int32)
 	for i := range n {
 		at := standIn(t, func(nc net.Conn) {
@@ -65,17 +65,17 @@
 				}
 			}
 		})
-		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("s-", i), Address: at, Weight: 1})
+		serverEndpoints = append(serverEndpoints, http1.Endpoint{ID: fmt.Sprint("s-", i), Address: at, Weight: 1})
 	}
-	return hosts, received
+	return serverEndpoints, received
 }
 
-func config(hosts ...http1.Endpoint) Config {
+func config(serverEndpoints ...http1.Endpoint) Config {
 	kind := policy.TrafficType{LatencyObjective: 500 * time.Millisecond, ClientTimeout: time.Second, PriorityWeight: 1}
 	binding := kind
 	binding.Idempotency = policy.NonIdempotent
 	return Config{Name: "n", Limits: dispatch.Limits{MemoryMB: 192, Sockets: 1024},
-		Discovery: netip.MustParseAddrPort("127.0.0.1:1"), SavedList: http1.EndpointList{IsComplete: true, Endpoints: hosts},
+		Discovery: netip.MustParseAddrPort("127.0.0.1:1"), SavedList: http1.EndpointList{IsComplete: true, Endpoints: serverEndpoints},
 		Settings: settings.Settings{ConnIdle: time.Second, TypeNames: []string{"check", "book"}, Settings: policy.Settings{
 			NodeCount: 1, MaxAttempts: 4, ConnectTimeout: 100 * time.Millisecond, TrafficTypes: []policy.TrafficType{kind, binding}}}}
 }
--- a/internal/proxy/httpclient_test.go
+++ b/internal/proxy/httpclient_test.go
@@ -16,8 +16,8 @@
 
 func TestMalformedRequests(t *testing.T) {
 	t.Parallel()
-	hosts, received := servers(t, 1, okResponse)
-	at, _ := startNode(t, config(hosts...))
+	serverEndpoints, received := servers(t, 1, okResponse)
+	at, _ := startNode(t, config(serverEndpoints...))
 	const get = "GET /check/1 HTTP/1.1\r\nHost: h\r\n"
 	for name, c := range map[string]struct {
 		in     string
--- a/internal/proxy/intentjournal.go
+++ b/internal/proxy/intentjournal.go
@@ -40,7 +40,7 @@
 }
 
 // openJournal opens a new segment, and reads the segments of earlier runs in the background. A cluster member first joins the cluster,
-// because its incarnation must be later than those that peers know of its name, and replicates the journal if the journal's file promises it.
+// because its incarnation must be later than those that peers know of its name, and replicates the journal if its configured durability requires it.
 func openJournal(cfg Config, log zerolog.Logger, peers *peer.Node) (*intentJournal, error) {
 	startedAt := time.Now()
 	j := &intentJournal{cfg: cfg.Journal, filesystem: cfg.Filesystem, logger: log, incarnation: uint64(startedAt.UnixNano()), journaledTypes: journaledTypes(&cfg)}
@@ -125,7 +125,7 @@
 	return j.wal.StalledFor() > maxStall || j.peers != nil && j.peers.StalledFor() > maxStall
 }
 
-// awaitDurable waits until a record is as durable as the journal's file promises: on the local disk, and at enough replicas, which receive it
+// awaitDurable waits until a record is as durable as configured: on the local disk, and at enough replicas, which receive it
 // at the same time as the disk. It returns errNotDurable if timeout has passed or ctx has ended before.
 func (j *intentJournal) awaitDurable(ctx context.Context, commit *wal.Commit, timeout time.Duration) error {
 	timer := time.NewTimer(timeout)
--- a/internal/proxy/intentjournal_test.go
+++ b/internal/proxy/intentjournal_test.go
@@ -60,8 +60,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			hosts, _ := servers(t, 3, c.script...)
-			cfg := config(hosts...)
+			serverEndpoints, _ := servers(t, 3, c.script...)
+			cfg := config(serverEndpoints...)
 			disk := memdisk.New()
 			cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Durability: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
 			at, stop := startNode(t, cfg)
@@ -111,8 +111,8 @@
 		t.Run(choice, func(t *testing.T) {
 			t.Parallel()
 			disk := memdisk.New()
-			hosts, received := servers(t, 3, okResponse)
-			cfg := config(hosts...)
+			serverEndpoints, received := servers(t, 3, okResponse)
+			cfg := config(serverEndpoints...)
 			cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Durability: "machine", WhenFailing: choice, MaxWait: tomlfile.Duration(100 * time.Millisecond), SegmentBytes: 1 << 20}
 			at, stop := startNode(t, cfg)
 			if got := book(t, at, ""); got != 200 {
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -53,9 +53,9 @@
 // write that the operating system delays would be lost with a reset.
 func TestNoDelay(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, okResponse)
+	serverEndpoints, _ := servers(t, 1, okResponse)
 	for name, closing := range map[string]bool{"while serving": false, "as the listener closes": true} {
-		node := newTestServer(t, config(hosts...))
+		node := newTestServer(t, config(serverEndpoints...))
 		ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
@@ -78,7 +78,7 @@
 		ln.Close()
 		<-done
 	}
-	node := newTestServer(t, config(hosts...))
+	node := newTestServer(t, config(serverEndpoints...))
 	request := submitNonIdempotent(node.dispatcher)
 	defer request.Close()
 	d := request.NextDecision(func() {})
--- a/internal/proxy/partfailure_test.go
+++ b/internal/proxy/partfailure_test.go
@@ -36,8 +36,8 @@
 func TestNodeStopsAfterComponentFailed(t *testing.T) {
 	t.Parallel()
 	const stopTimeout = 10 * time.Second
-	hosts, _ := servers(t, 1, okResponse)
-	cfg := config(hosts...)
+	serverEndpoints, _ := servers(t, 1, okResponse)
+	cfg := config(serverEndpoints...)
 	cfg.Registry = &zookeeper.Config{} // names no server
 	cfg.shutdownDelays = shutdownDelays{awaitArrivals: func() {}}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/proxy/plannerclient_test.go
+++ b/internal/proxy/plannerclient_test.go
@@ -101,15 +101,15 @@
 // When all planners are lost, the forwarder continues to serve and polls discovery for newer revisions.
 func TestPlannerClient(t *testing.T) {
 	t.Parallel()
-	hosts, received := servers(t, 2, okResponse)
-	calls := make(chan string, 99)
+	serverEndpoints, received := servers(t, 2, okResponse)
+	polls := make(chan string, 99)
 	answers := make(chan string, 9)
 	cfg := config()
 	cfg.Discovery = standIn(t, func(nc net.Conn) {
 		defer nc.Close()
 		var r http1.Request
 		for c := http1.NewConn(nc); c.ReadRequest(&r) == nil; {
-			calls <- string(r.Target)
+			polls <- string(r.Target)
 			body, ok := <-answers
 			if !ok {
 				return
@@ -122,11 +122,11 @@
 	at, _ := startNode(t, cfg)
 	<-first.connected
 	<-second.connected
-	a, b := serving(hosts[0].ID, hosts[0].Address), serving(hosts[1].ID, hosts[1].Address)
+	a, b := serving(serverEndpoints[0].ID, serverEndpoints[0].Address), serving(serverEndpoints[1].ID, serverEndpoints[1].Address)
 	first.sendChange(plan.Change{Incarnations: []incarnation.Entry{a, b}, Servers: []plan.ServerShare{{ID: a.ID, Share: 0.5}, {ID: b.ID, Share: 0.5}}})
 	await(t, "an answer", func() bool { return get(t, dial(t, at), "/check/1").Status == 200 })
-	if len(calls) > 0 {
-		t.Errorf("got discovery poll %s, want none", <-calls)
+	if len(polls) > 0 {
+		t.Errorf("got discovery poll %s, want none", <-polls)
 	}
 	drained := a
 	drained.Condition, drained.Revision = incarnation.Draining, 6
@@ -147,13 +147,13 @@
 		t.Errorf("got %d attempts, want 20", got)
 	}
 	second.stop()
-	call := <-calls // polls for revisions that planners have not announced
-	if want := "/discovery/hosts?index=6&wait=100"; call != want {
-		t.Errorf("got poll %s, want %s", call, want)
+	poll := <-polls // polls for revisions that planners have not announced
+	if want := "/discovery/hosts?index=6&wait=100"; poll != want {
+		t.Errorf("got poll %s, want %s", poll, want)
 	}
-	answers <- fmt.Sprintf(`{"revision":7,"members":[{"id":%q,"host_port":"%s","phase":"SERVING","size":1}]}`, a.ID, hosts[0].Address)
-	if call := <-calls; call != "/discovery/hosts?index=7&wait=2000" {
-		t.Errorf("got poll %s, want revision 7", call)
+	answers <- fmt.Sprintf(`{"revision":7,"members":[{"id":%q,"host_port":"%s","phase":"SERVING","size":1}]}`, a.ID, serverEndpoints[0].Address)
+	if poll := <-polls; poll != "/discovery/hosts?index=7&wait=2000" {
+		t.Errorf("got poll %s, want revision 7", poll)
 	}
 	close(answers)
 	if r := get(t, dial(t, at), "/check/1"); r.Status != 200 {
--- a/internal/proxy/readiness_test.go
+++ b/internal/proxy/readiness_test.go
@@ -13,9 +13,9 @@
 // firstListTimeout.
 func TestReadiness(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, okResponse)
+	serverEndpoints, _ := servers(t, 1, okResponse)
 	busy := "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
-	draining := hosts[0]
+	draining := serverEndpoints[0]
 	draining.Condition = http1.Draining
 	for name, c := range map[string]struct {
 		saved            []http1.Endpoint
@@ -25,14 +25,14 @@
 		later            int      // status after the last response
 		discoveryListens bool
 	}{
-		"a list, discovery refuses connections":  {hosts, nil, false, 200, 200, false},
-		"a list, discovery does not respond":     {hosts, nil, false, 200, 200, true},
-		"a list, discovery is busy":              {hosts, []string{busy, busy, ""}, false, 200, 200, true},
+		"a list, discovery refuses connections":  {serverEndpoints, nil, false, 200, 200, false},
+		"a list, discovery does not respond":     {serverEndpoints, nil, false, 200, 200, true},
+		"a list, discovery is busy":              {serverEndpoints, []string{busy, busy, ""}, false, 200, 200, true},
 		"no list, discovery refuses connections": {nil, nil, false, 503, 503, false},
 		"no list, discovery does not respond":    {nil, []string{""}, false, 503, 503, true},
 		"no list within the timeout":             {nil, []string{""}, true, 200, 200, true},
-		"no list, busy, then a list":             {nil, []string{busy, busy, listResponse(9, true, listMember(hosts[0], "SERVING")), ""}, false, 503, 200, true},
-		"only draining servers, then one up":     {[]http1.Endpoint{draining}, []string{listResponse(9, false, listMember(hosts[0], "SERVING")), ""}, false, 503, 200, true},
+		"no list, busy, then a list":             {nil, []string{busy, busy, listResponse(9, true, listMember(serverEndpoints[0], "SERVING")), ""}, false, 503, 200, true},
+		"only draining servers, then one up":     {[]http1.Endpoint{draining}, []string{listResponse(9, false, listMember(serverEndpoints[0], "SERVING")), ""}, false, 503, 200, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -49,16 +49,16 @@
 			if got := up(); got != c.first {
 				t.Errorf("unexpected initial status %d", got)
 			}
-			at, calls := cfg.Discovery, chan string(nil)
+			at, queries := cfg.Discovery, chan string(nil)
 			if c.discoveryListens {
-				at, calls = scriptedDiscovery(t, false, c.script...)
+				at, queries = scriptedDiscovery(t, false, c.script...)
 			}
 			node.discoveryTarget.Store(watch.NewTarget(at))
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan error)
 			go func() { done <- node.followDiscovery(ctx) }()
 			for range c.script {
-				<-calls // the next poll follows when the last list was applied
+				<-queries // the next poll follows when the last list was applied
 			}
 			if got := up(); got != c.later {
 				t.Errorf("unexpected status %d after the script", got)
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -18,38 +18,38 @@
 // A reload applies a changed discovery address of the file immediately, in place of that of the environment. An invalid file changes nothing.
 func TestReload(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, okResponse)
+	serverEndpoints, _ := servers(t, 1, okResponse)
 	list := func(revision int, complete bool) string {
 		body := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[{"id":"s","host_port":"%s","phase":"SERVING","size":1}]}`,
-			revision, complete, hosts[0].Address)
+			revision, complete, serverEndpoints[0].Address)
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
 	for name, c := range map[string]struct {
 		responses []string
-		calls     []string
+		polls     []string
 	}{
 		"same revisions":        {[]string{list(9, false)}, []string{"?index=5&wait=100", "?index=9&wait=2000"}},
 		"independent revisions": {[]string{list(1, false), list(0, true)}, []string{"?index=5&wait=100", "", "?index=0&wait=2000"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			discovery := func(responses []string) (at netip.AddrPort, calls chan string) {
-				calls = make(chan string, 9)
+			discovery := func(responses []string) (at netip.AddrPort, polls chan string) {
+				polls = make(chan string, 9)
 				at = standIn(t, func(nc net.Conn) {
 					defer nc.Close()
 					var r http1.Request
 					for c := http1.NewConn(nc); c.ReadRequest(&r) == nil; {
-						calls <- strings.TrimPrefix(string(r.Target), "/discovery/hosts")
+						polls <- strings.TrimPrefix(string(r.Target), "/discovery/hosts")
 						if len(responses) > 0 {
 							io.WriteString(nc, responses[0])
 							responses = responses[1:]
 						}
 					}
 				})
-				return at, calls
+				return at, polls
 			}
-			before, called := discovery([]string{list(5, true)})
-			after, calledAfter := discovery(c.responses)
+			before, pollsBefore := discovery([]string{list(5, true)})
+			after, pollsAfter := discovery(c.responses)
 			path := filepath.Join(t.TempDir(), "config.json")
 			file := func(text string) {
 				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -71,20 +71,20 @@
 			}
 			hup, stop, done := make(chan os.Signal), make(chan struct{}), make(chan error)
 			go func() { done <- run(Signals{hup, stop}, cfg, zerolog.Nop(), ln.(*net.TCPListener)) }()
-			<-called // the complete list
-			<-called // the next poll, which gets no response
+			<-pollsBefore // the complete list
+			<-pollsBefore // the next poll, which gets no response
 			for _, invalid := range []string{"", fmt.Sprintf(text, "nowhere"), fmt.Sprintf(text, "127.0.0.1:1")} {
 				file(invalid)
 				hup <- nil
 			}
 			file(fmt.Sprintf(text, after))
 			hup <- nil
-			for _, want := range c.calls {
-				if got := <-calledAfter; got != want {
+			for _, want := range c.polls {
+				if got := <-pollsAfter; got != want {
 					t.Errorf("got poll %q, want %q", got, want)
 				}
 			}
-			if len(called) > 0 {
+			if len(pollsBefore) > 0 {
 				t.Error("previous address was polled again")
 			}
 			close(stop)
@@ -99,8 +99,8 @@
 // in effect, even if its first response is a rejection. Servers that its list lacks get no new requests.
 func TestListUpdateAfterReload(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, okResponse)
-	remaining := hosts[0]
+	serverEndpoints, _ := servers(t, 1, okResponse)
+	remaining := serverEndpoints[0]
 	remaining.ID = "stays"
 	for name, c := range map[string]struct {
 		old, next []string
@@ -114,8 +114,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			removed, received := servers(t, 1, okResponse)
-			before, called := scriptedDiscovery(t, false, c.old...)
-			after, calledAfter := scriptedDiscovery(t, false, append(c.next, listResponse(9, true, listMember(remaining, "SERVING")))...)
+			before, pollsBefore := scriptedDiscovery(t, false, c.old...)
+			after, pollsAfter := scriptedDiscovery(t, false, append(c.next, listResponse(9, true, listMember(remaining, "SERVING")))...)
 			path := filepath.Join(t.TempDir(), "config.json")
 			file := func(discovery netip.AddrPort) {
 				text := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"%s","known":{"revision":5,"complete":true,"members":[%s,%s]},
@@ -137,11 +137,11 @@
 			}
 			hup, stop, done := make(chan os.Signal), make(chan struct{}), make(chan error)
 			go func() { done <- run(Signals{hup, stop}, cfg, zerolog.Nop(), ln.(*net.TCPListener)) }()
-			<-called
+			<-pollsBefore
 			file(after)
 			hup <- nil
-			for call := ""; !strings.HasPrefix(call, "?index=9&"); {
-				call = <-calledAfter
+			for poll := ""; !strings.HasPrefix(poll, "?index=9&"); {
+				poll = <-pollsAfter
 			}
 			sent := received.Load()
 			client := dial(t, ln.Addr().String())
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -38,8 +38,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			hosts, received := servers(t, 4, c.script...)
-			at, _ := startNode(t, config(hosts...))
+			serverEndpoints, received := servers(t, 4, c.script...)
+			at, _ := startNode(t, config(serverEndpoints...))
 			conn := dial(t, at)
 			r := get(t, conn, c.path)
 			if r.Status != c.status || received.Load() != c.attempts && (c.attempts >= 0 || received.Load() < -c.attempts || received.Load() > 4) || r.Status == 200 && strings.TrimLeft(string(r.Body), "x") != "ok" {
--- a/internal/proxy/route_test.go
+++ b/internal/proxy/route_test.go
@@ -52,8 +52,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			hosts, _ := servers(t, 3, c.script...)
-			cfg := config(hosts...)
+			serverEndpoints, _ := servers(t, 3, c.script...)
+			cfg := config(serverEndpoints...)
 			cfg.Routes = routes(t, &cfg, c.file)
 			at, _ := startNode(t, cfg)
 			for i, request := range c.requests {
--- a/internal/proxy/shadow_test.go
+++ b/internal/proxy/shadow_test.go
@@ -20,8 +20,8 @@
 	const failed = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 	script := []string{okResponse, failed, okResponse, notStartedResponse, okResponse, closeMark, okResponse, failed, failed, okResponse}
 	run := func(t *testing.T, candidate *shadow.Candidate) (got []int) {
-		hosts, _ := servers(t, 1, slices.Concat(script, script, script)...)
-		cfg := config(hosts...)
+		serverEndpoints, _ := servers(t, 1, slices.Concat(script, script, script)...)
+		cfg := config(serverEndpoints...)
 		cfg.Shadow = candidate
 		at, _ := startNode(t, cfg)
 		for i := range 12 {
--- a/internal/proxy/unrecordable_test.go
+++ b/internal/proxy/unrecordable_test.go
@@ -26,9 +26,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			hosts, received := servers(t, 1, okResponse)
+			serverEndpoints, received := servers(t, 1, okResponse)
 			disk := memdisk.New()
-			cfg := config(hosts...)
+			cfg := config(serverEndpoints...)
 			cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Durability: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
 			at, stop := startNode(t, cfg)
 			c := dial(t, at)
@@ -55,8 +55,8 @@
 // TestUnrecordableFastCGIRequestIsRejected is TestUnrecordableRequestIsRejected for a FastCGI client.
 func TestUnrecordableFastCGIRequestIsRejected(t *testing.T) {
 	t.Parallel()
-	hosts, received := servers(t, 1, okResponse)
-	cfg := config(hosts...)
+	serverEndpoints, received := servers(t, 1, okResponse)
+	cfg := config(serverEndpoints...)
 	cfg.Filesystem, cfg.Journal = memdisk.New(), &wal.Config{Dir: "j", Durability: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20}
 	cgi := address.Free(t)
 	cfg.Routes = routes(t, &cfg, fmt.Sprintf("[fastcgi]\nlisten = %q\nflavors = [\"cgi\"]", cgi))
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -40,9 +40,9 @@
 
 func TestUnreachableServer(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, okResponse)
-	hosts = append(hosts, http1.Endpoint{ID: "closed", Address: netip.MustParseAddrPort("127.0.0.1:1"), Weight: 1})
-	at, _ := startNode(t, config(hosts...))
+	serverEndpoints, _ := servers(t, 1, okResponse)
+	serverEndpoints = append(serverEndpoints, http1.Endpoint{ID: "closed", Address: netip.MustParseAddrPort("127.0.0.1:1"), Weight: 1})
+	at, _ := startNode(t, config(serverEndpoints...))
 	for range 4 {
 		if r := get(t, dial(t, at), "/book/1"); r.Status != 200 {
 			t.Errorf("got status %d, want 200", r.Status)
--- a/internal/route/check.go
+++ b/internal/route/check.go
@@ -64,7 +64,7 @@
 	return checker{File: f, file: file, settings: s, pools: map[string]uint64{}, routes: map[string]int{}}
 }
 
-// Wrong records a fault of the selected fragment, or of the operator's file if no fragment is selected.
+// AddFault records a fault of the selected fragment, or of the operator's file if no fragment is selected.
 func (c *checker) AddFault(path, format string, args ...any) {
 	if !c.fragments.record(format, args...) {
 		c.File.AddFault(path, format, args...)
@@ -221,32 +221,32 @@
 		}
 	}
 	segments := pathSegments(r.Path)
-	wrong := func(format string, args ...any) ([]string, bool) {
+	addFault := func(format string, args ...any) ([]string, bool) {
 		c.AddFault(at(i, "path"), format, args...)
 		return nil, false
 	}
 	switch {
 	case r.Path[0] != '/':
-		return wrong("path %q does not begin with /", r.Path)
+		return addFault("path %q does not begin with /", r.Path)
 	case len(segments) > maxPathSegments:
-		return wrong("path has %d segments, at most %d allowed", len(segments), maxPathSegments)
+		return addFault("path has %d segments, at most %d allowed", len(segments), maxPathSegments)
 	case len(segments) == 0:
-		return wrong("path %q has no segment; /** matches every path", r.Path)
+		return addFault("path %q has no segment; /** matches every path", r.Path)
 	case strings.ContainsAny(r.Path, "?# \t\r\n"):
-		return wrong("path %q contains a space, a line break, ? or #", r.Path)
+		return addFault("path %q contains a space, a line break, ? or #", r.Path)
 	}
 	for position, segment := range segments {
 		switch {
 		case segment == "" && position < len(segments)-1:
-			return wrong("path %q has an empty segment", r.Path)
+			return addFault("path %q has an empty segment", r.Path)
 		case segment == anyRest && position < len(segments)-1:
-			return wrong("path %q: ** is allowed only as the last segment", r.Path)
+			return addFault("path %q: ** is allowed only as the last segment", r.Path)
 		case segment != anySegment && segment != anyRest && strings.Contains(segment, anySegment):
-			return wrong("path %q: * must be a whole segment", r.Path)
+			return addFault("path %q: * must be a whole segment", r.Path)
 		}
 	}
 	if r.Type != "" && segments[0] != r.Type && segments[0] != anySegment && segments[0] != anyRest {
-		return wrong("path %s does not match type %q, which must be the first segment", r.Path, r.Type)
+		return addFault("path %s does not match type %q, which must be the first segment", r.Path, r.Type)
 	}
 	if r.Type != "" && segments[0] != r.Type {
 		if segments[0] == anyRest {
--- a/internal/route/check_limits.go
+++ b/internal/route/check_limits.go
@@ -65,8 +65,8 @@
 	return "routes." + strconv.Itoa(l.index)
 }
 
-// wrong records a fault at a key, with the names of the route and of the traffic type.
-func (l *limitsChecker) wrong(key, format string, args ...any) {
+// addLimitFault records a fault at a key, with the names of the route and of the traffic type.
+func (l *limitsChecker) addLimitFault(key, format string, args ...any) {
 	l.AddFault(l.keyPath(key), "route %q, type %s: "+format, append([]any{l.route.Name, l.name}, args...)...)
 }
 
@@ -75,16 +75,16 @@
 	t := l.result
 	if l.limits.TargetTime != nil {
 		if t.LatencyObjective = l.limits.TargetTime.Std(); t.LatencyObjective <= 0 {
-			l.wrong("target", "target is %s, must be above 0", t.LatencyObjective)
+			l.addLimitFault("target", "target is %s, must be above 0", t.LatencyObjective)
 		} else if t.LatencyObjective > l.base.ClientTimeout {
-			l.wrong("target", "target of %s exceeds the client timeout of %s", t.LatencyObjective, l.base.ClientTimeout)
+			l.addLimitFault("target", "target of %s exceeds the client timeout of %s", t.LatencyObjective, l.base.ClientTimeout)
 		}
 	}
 	if l.limits.AttemptTimeout != nil {
 		if t.AttemptTimeout = l.limits.AttemptTimeout.Std(); t.AttemptTimeout <= 0 {
-			l.wrong("hop_time", "hop_time is %s, must be above 0", t.AttemptTimeout)
+			l.addLimitFault("hop_time", "hop_time is %s, must be above 0", t.AttemptTimeout)
 		} else if t.AttemptTimeout > l.base.ClientTimeout {
-			l.wrong("hop_time", "hop_time of %s exceeds the client timeout of %s", t.AttemptTimeout, l.base.ClientTimeout)
+			l.addLimitFault("hop_time", "hop_time of %s exceeds the client timeout of %s", t.AttemptTimeout, l.base.ClientTimeout)
 		}
 	}
 }
@@ -94,18 +94,18 @@
 	t, allowed := l.result, l.settings.MaxAttempts
 	if l.limits.MaxAttempts != nil {
 		if t.MaxAttempts = *l.limits.MaxAttempts; t.MaxAttempts < 1 {
-			l.wrong("hops", "hops is %d, must be at least 1", t.MaxAttempts)
+			l.addLimitFault("hops", "hops is %d, must be at least 1", t.MaxAttempts)
 		} else if t.MaxAttempts > allowed {
-			l.wrong("hops", "%d attempts, but the settings allow %d", t.MaxAttempts, allowed)
+			l.addLimitFault("hops", "%d attempts, but the settings allow %d", t.MaxAttempts, allowed)
 		}
 	}
 	for _, outcome := range l.limits.RetryOn {
 		bits, ok := outcomes[outcome]
 		switch {
 		case !ok:
-			l.wrong("further", "unknown outcome %q: broken, error, refused, timeout or unreachable expected", outcome)
+			l.addLimitFault("further", "unknown outcome %q: broken, error, refused, timeout or unreachable expected", outcome)
 		case l.base.Idempotency == policy.NonIdempotent && slices.Contains(outcomesThatMayHaveRun, outcome):
-			l.wrong("further", "non-idempotent type cannot be retried after %q: the request may have run", outcome)
+			l.addLimitFault("further", "non-idempotent type cannot be retried after %q: the request may have run", outcome)
 		}
 		t.RetryOn |= bits
 	}
@@ -120,7 +120,7 @@
 	l.inRange("retry_share", share, 0, maxRetryShare, &l.result.RetryRatio)
 	l.inRange("retry_floor", floor, 0, maxRetryFloorPerSecond, &l.result.MinRetriesPerSecond)
 	if floor != nil && share == nil {
-		l.wrong("retry_floor", "retry_floor requires retry_share: without it there is no retry budget")
+		l.addLimitFault("retry_floor", "retry_floor requires retry_share: without it there is no retry budget")
 	}
 	if share != nil && *share == 0 && valueOr(floor, 0) == 0 { // an empty budget: no retries
 		l.result.MaxAttempts = 1
@@ -131,18 +131,18 @@
 func (l *limitsChecker) concurrency() {
 	t, inFlight := l.result, l.limits.MaxInFlight
 	if inFlight != nil && *inFlight < 1 {
-		l.wrong("at_once", "at_once is %d, must be at least 1", *inFlight)
+		l.addLimitFault("at_once", "at_once is %d, must be at least 1", *inFlight)
 	}
 	if n := valueOr(l.limits.MaxQueued, 0); n < 0 || n > 0 && inFlight == nil {
-		l.wrong("waiting", "waiting is %d: must be at least 0, and requires at_once", n)
+		l.addLimitFault("waiting", "waiting is %d: must be at least 0, and requires at_once", n)
 	}
 	if l.limits.MaxQueueTime == nil {
 		return
 	}
 	if t.MaxQueueTime = l.limits.MaxQueueTime.Std(); t.MaxQueueTime < 0 {
-		l.wrong("wait", "wait is below 0")
+		l.addLimitFault("wait", "wait is below 0")
 	} else if t.MaxQueueTime+t.AttemptTimeout > l.base.ClientTimeout {
-		l.wrong("wait", "wait of %s plus hop_time of %s exceeds the client timeout of %s", t.MaxQueueTime, t.AttemptTimeout, l.base.ClientTimeout)
+		l.addLimitFault("wait", "wait of %s plus hop_time of %s exceeds the client timeout of %s", t.MaxQueueTime, t.AttemptTimeout, l.base.ClientTimeout)
 	}
 	t.MaxQueueTime = max(t.MaxQueueTime, time.Nanosecond) // effectively no queue; 0 would mean the default of the policy
 }
@@ -152,13 +152,13 @@
 	rate, burst := l.limits.Rate, l.limits.Burst
 	l.inRange("rate", rate, 0, maxRatePerSecond, nil)
 	if rate != nil && *rate == 0 {
-		l.wrong("rate", "rate is 0, must be above 0")
+		l.addLimitFault("rate", "rate is 0, must be above 0")
 	}
 	if burst != nil && (*burst < 1 || rate == nil) {
-		l.wrong("burst", "burst is %d: must be at least 1, and requires rate", *burst)
+		l.addLimitFault("burst", "burst is %d: must be at least 1, and requires rate", *burst)
 	}
 	if body := l.limits.MaxBodyBytes; body != nil && *body < 0 {
-		l.wrong("body_bytes", "body_bytes is below 0")
+		l.addLimitFault("body_bytes", "body_bytes is below 0")
 	}
 }
 
@@ -167,7 +167,7 @@
 	t := l.result
 	if l.limits.HedgeAfter == nil {
 		if l.limits.HedgeShare != nil {
-			l.wrong("copy_share", "copy_share requires copy_after")
+			l.addLimitFault("copy_share", "copy_share requires copy_after")
 		}
 		return
 	}
@@ -175,17 +175,17 @@
 	l.inRange("copy_share", l.limits.HedgeShare, minHedgeShare, 1, nil)
 	switch {
 	case l.base.Idempotency == policy.NonIdempotent:
-		l.wrong("copy_after", "non-idempotent type cannot be hedged: a request must not run twice")
+		l.addLimitFault("copy_after", "non-idempotent type cannot be hedged: a request must not run twice")
 	case !l.settings.HedgingAllowed:
-		l.wrong("copy_after", "settings do not allow hedged requests")
+		l.addLimitFault("copy_after", "settings do not allow hedged requests")
 	case t.HedgeDelay <= 0:
-		l.wrong("copy_after", "copy_after is %s, must be above 0", t.HedgeDelay)
+		l.addLimitFault("copy_after", "copy_after is %s, must be above 0", t.HedgeDelay)
 	case t.HedgeDelay >= t.LatencyObjective:
-		l.wrong("copy_after", "copy_after of %s is not below the target of %s", t.HedgeDelay, t.LatencyObjective)
+		l.addLimitFault("copy_after", "copy_after of %s is not below the target of %s", t.HedgeDelay, t.LatencyObjective)
 	case t.AttemptTimeout > 0 && t.HedgeDelay >= t.AttemptTimeout:
-		l.wrong("copy_after", "copy_after of %s is not below the hop_time of %s", t.HedgeDelay, t.AttemptTimeout)
+		l.addLimitFault("copy_after", "copy_after of %s is not below the hop_time of %s", t.HedgeDelay, t.AttemptTimeout)
 	case cmp.Or(t.MaxAttempts, l.settings.MaxAttempts) < 2:
-		l.wrong("copy_after", "hedging requires 2 attempts, only 1 is allowed")
+		l.addLimitFault("copy_after", "hedging requires 2 attempts, only 1 is allowed")
 	}
 }
 
@@ -196,7 +196,7 @@
 	}
 	bits, ok := l.pools[*l.limits.Pool]
 	if !ok {
-		l.wrong("pool", "unknown pool %q", *l.limits.Pool)
+		l.addLimitFault("pool", "unknown pool %q", *l.limits.Pool)
 	}
 	l.result.PoolLabels = bits
 }
@@ -216,18 +216,18 @@
 	sum := 0.0
 	for tenant, share := range l.limits.Tenants {
 		if _, ok := l.tenant(tenant); !ok {
-			l.wrong("tenant_shares", "unknown tenant %q: known tenants are %s, and other", tenant, strings.Join(l.settings.TenantNames, ", "))
+			l.addLimitFault("tenant_shares", "unknown tenant %q: known tenants are %s, and other", tenant, strings.Join(l.settings.TenantNames, ", "))
 		}
 		if !(share > 0 && share <= 1) {
-			l.wrong("tenant_shares", "share of %q is %v, must be above 0 and at most 1", tenant, share)
+			l.addLimitFault("tenant_shares", "share of %q is %v, must be above 0 and at most 1", tenant, share)
 		}
 		sum += share
 	}
 	if sum > 1+sumTolerance {
-		l.wrong("tenant_shares", "shares add up to %.3f, at most 1 allowed", sum)
+		l.addLimitFault("tenant_shares", "shares add up to %.3f, at most 1 allowed", sum)
 	}
 	if len(l.limits.Tenants) > 0 && l.limits.Rate == nil && l.limits.MaxInFlight == nil {
-		l.wrong("tenant_shares", "tenant_shares requires rate or at_once")
+		l.addLimitFault("tenant_shares", "tenant_shares requires rate or at_once")
 	}
 }
 
@@ -237,7 +237,7 @@
 		return
 	}
 	if !(*v >= least && *v <= most) || math.IsNaN(*v) {
-		l.wrong(key, "%s is %v, must be from %v to %v", key, *v, least, most)
+		l.addLimitFault(key, "%s is %v, must be from %v to %v", key, *v, least, most)
 		return
 	}
 	if into != nil {
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -68,9 +68,9 @@
 	for i := range r.types {
 		r.types[i].isUsed = i < r.settingsTypes
 	}
-	learnFrom := make([]int, len(r.types))
-	for i := range learnFrom {
-		learnFrom[i] = i
+	latencySources := make([]int, len(r.types))
+	for i := range latencySources {
+		latencySources[i] = i
 	}
 	r.typeOfProfile = make([]int, len(profiles))
 	for i, profile := range profiles {
@@ -85,19 +85,19 @@
 		if index < 0 {
 			if index = slices.IndexFunc(r.types, func(state typeState) bool { return state.isFree }); index < 0 {
 				index = len(r.types)
-				r.types, learnFrom = append(r.types, typeState{}), append(learnFrom, 0)
+				r.types, latencySources = append(r.types, typeState{}), append(latencySources, 0)
 			}
 			r.types[index] = typeState{profile: profile, poolLabels: labels}
-			learnFrom[index] = profile.BaseType
+			latencySources[index] = profile.BaseType
 			if previous := predecessor(old, oldTypeOfProfile, table, i); previous >= 0 && !r.types[previous].isFree && previous != index {
-				learnFrom[index] = previous
+				latencySources[index] = previous
 			}
 		}
 		r.types[index].isUsed = true
 		r.typeOfProfile[i] = index
 	}
 	r.assignLimiters(now, table)
-	update := Update{LatencySources: learnFrom, SelectionChanged: !slices.Equal(oldBitOfPool, r.bitOfPool) || !sameSelection(old, table)}
+	update := Update{LatencySources: latencySources, SelectionChanged: !slices.Equal(oldBitOfPool, r.bitOfPool) || !sameSelection(old, table)}
 	for i := range r.types {
 		r.types[i].isFree = !r.types[i].isUsed && r.types[i].admitted == 0
 		trafficType := r.types[i].profile.Type
@@ -179,9 +179,9 @@
 }
 
 // Labels returns the pools of a server in the form of policy.Endpoint.Labels.
-func (r *Router) Labels(id, site, flavor string) uint64 {
+func (r *Router) Labels(id, site, machineKind string) uint64 {
 	if r.table == nil {
 		return 0
 	}
-	return r.toLabels(r.table.labels(id, site, flavor))
+	return r.toLabels(r.table.labels(id, site, machineKind))
 }
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -92,7 +92,7 @@
 	}
 	newType := len(update.TrafficTypes) - 1
 	if update.TrafficTypes[newType].MaxAttempts != 3 || update.LatencySources[newType] != oldType || update.RouteLimits[open[0].LimitIndex] != 100 {
-		t.Errorf("new traffic type: got %+v learning from %d, route limits %v, want 3 attempts, the old type and a limit of 100", update.TrafficTypes[newType], update.LatencySources[newType], update.RouteLimits)
+		t.Errorf("new traffic type: got %+v with latencies of type %d, route limits %v, want 3 attempts, the old type and a limit of 100", update.TrafficTypes[newType], update.LatencySources[newType], update.RouteLimits)
 	}
 
 	// The route is removed while its requests are open: they keep their index, and their releases are counted.
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -98,8 +98,8 @@
 }
 
 // matches reports whether a server matches a selection. An empty list matches all servers.
-func matches(sites, flavors, servers []string, id, site, flavor string) bool {
-	return (len(sites) == 0 || slices.Contains(sites, site)) && (len(flavors) == 0 || slices.Contains(flavors, flavor)) &&
+func matches(sites, machineKinds, servers []string, id, site, machineKind string) bool {
+	return (len(sites) == 0 || slices.Contains(sites, site)) && (len(machineKinds) == 0 || slices.Contains(machineKinds, machineKind)) &&
 		(len(servers) == 0 || slices.ContainsFunc(servers, func(pattern string) bool {
 			if prefix, isPrefix := strings.CutSuffix(pattern, "*"); isPrefix {
 				return strings.HasPrefix(id, prefix)
@@ -109,9 +109,9 @@
 }
 
 // labels returns the pools of a server, one bit for each pool in the order of the file.
-func (t *Table) labels(id, site, flavor string) (labels uint64) {
+func (t *Table) labels(id, site, machineKind string) (labels uint64) {
 	for i, p := range t.Pools {
-		if matches(p.Sites, p.Flavors, p.Servers, id, site, flavor) {
+		if matches(p.Sites, p.Flavors, p.Servers, id, site, machineKind) {
 			labels |= 1 << i
 		}
 	}
@@ -119,10 +119,10 @@
 }
 
 // UsesFastCGI reports whether a server uses FastCGI. Servers that the file does not select use HTTP.
-func (t *Table) UsesFastCGI(id, site, flavor string) bool {
+func (t *Table) UsesFastCGI(id, site, machineKind string) bool {
 	if t == nil {
 		return false
 	}
 	f := &t.FastCGI
-	return len(f.Sites)+len(f.Flavors)+len(f.Servers) > 0 && matches(f.Sites, f.Flavors, f.Servers, id, site, flavor)
+	return len(f.Sites)+len(f.Flavors)+len(f.Servers) > 0 && matches(f.Sites, f.Flavors, f.Servers, id, site, machineKind)
 }
--- a/policy/input.go
+++ b/policy/input.go
@@ -109,7 +109,7 @@
 
 	Outcome   Outcome
 	Elapsed   time.Duration // since the attempt was sent; Policy measures this time itself
-	IsSettled bool          // no response is needed after this attempt: the final one is decided, or the client has disconnected
+	IsSettled bool          // the request needs no further attempt: its final response is decided, or the client has disconnected
 
 	Scope     UpdateScope
 	Endpoints []Endpoint
