--- a/internal/cluster/peer/clusterstate_test.go
+++ b/internal/cluster/peer/clusterstate_test.go
@@ -29,13 +29,13 @@
 		"the holder was only offered it":             {[]replication.Holder{{Name: "b", State: "offered"}}, nil, nil, []string{"a"}, false},
 		"an earlier incarnation, its holder is lost": {nil, []replication.StoredReplica{stored(before, 9)}, []replication.StoredReplica{stored(before, 3)}, []string{"b"}, false},
 		"an earlier incarnation that another has":    {nil, []replication.StoredReplica{stored(before, 9)}, []replication.StoredReplica{stored(before, 9)}, []string{"b"}, true},
-		"its holders are unknown":                    {nil, nil, nil, []string{"unasked"}, false},
+		"its holders are unknown":                    {nil, nil, nil, []string{"unqueried"}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			answered := map[string]*Status{"a": {Stream: now, Holders: c.holders}, "b": {StoredReplicas: c.b}, "c": {StoredReplicas: c.c}}
 			of := "a"
-			if slices.Contains(c.lost, "unasked") {
-				of = "unasked"
+			if slices.Contains(c.lost, "unqueried") {
+				of = "unqueried"
 			}
 			if got := (&Client{Answered: answered}).SurvivesLoss(of, c.lost); got != c.want {
 				t.Errorf("SurvivesLoss: got %v", got)
--- a/internal/discovery/watch/follow.go
+++ b/internal/discovery/watch/follow.go
@@ -18,8 +18,8 @@
 // Listener receives the results of Follow. Its functions are called sequentially.
 type Listener struct {
 	// OnList receives a full list first and lists of changes afterwards. It receives a full list again if discovery has reset
-	// its revisions. Follow requests the full list but does not verify that the response is one; EndpointList.IsComplete states
-	// it.
+	// its revisions. Follow requests the full list but does not verify that the response is one: the receiver must check
+	// EndpointList.IsComplete.
 	OnList func(http1.EndpointList)
 	// OnError receives the error of a failed poll. Follow retries the poll.
 	OnError func(error)
--- a/internal/discovery/watch/watcher.go
+++ b/internal/discovery/watch/watcher.go
@@ -116,7 +116,8 @@
 	return nil
 }
 
-// exchange sends one request and reads its response. isReusable reports whether the connection can be used for another request.
+// exchange sends one request and reads its response. isReusable reports whether the connection can be used for another
+// request.
 func exchange(conn *http1.Conn, host string, request http1.EndpointListRequest) (
 	list http1.EndpointList, isReusable bool, err error,
 ) {
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -54,8 +54,8 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func listMember(h http1.Endpoint, condition string) string {
-	return fmt.Sprintf(`{"id":"%s","host_port":"%s","phase":"%s","size":1}`, h.ID, h.Address, condition)
+func listMember(e http1.Endpoint, condition string) string {
+	return fmt.Sprintf(`{"id":"%s","host_port":"%s","phase":"%s","size":1}`, e.ID, e.Address, condition)
 }
 
 // A change of the list reaches the node however earlier polls failed. Afterwards no new request is sent to a server that was announced as
--- a/internal/proxy/dispatch/effects.go
+++ b/internal/proxy/dispatch/effects.go
@@ -71,7 +71,7 @@
 	(*Dispatcher)(h).closeIdleConns(h.servers.byID[server])
 }
 
-// ReleaseServer deletes the state of a removed server that no request in flight refers to.
+// ReleaseServer deletes the state of a removed server to which no open request refers.
 func (h *effectHandler) ReleaseServer(server string) {
 	h.CloseIdle(server)
 	delete(h.servers.byID, server)
--- a/internal/proxy/dispatch/endpoints.go
+++ b/internal/proxy/dispatch/endpoints.go
@@ -68,16 +68,16 @@
 // ApplyList applies an endpoint list, full or incremental, from a source.
 func (d *Dispatcher) ApplyList(list http1.EndpointList, source endpoints.Source) {
 	announced := make([]endpoints.Endpoint, 0, len(list.Endpoints))
-	for _, h := range list.Endpoints {
+	for _, listed := range list.Endpoints {
 		announced = append(announced, endpoints.Endpoint{
-			ID:            h.ID,
-			Address:       h.Address,
-			Zone:          h.Zone,
-			MachineKind:   h.MachineKind,
-			Cell:          h.Cell,
-			Weight:        h.Weight,
-			StartedUnixMS: h.StartedUnixMS,
-			Condition:     incarnationConditions[h.Condition],
+			ID:            listed.ID,
+			Address:       listed.Address,
+			Zone:          listed.Zone,
+			MachineKind:   listed.MachineKind,
+			Cell:          listed.Cell,
+			Weight:        listed.Weight,
+			StartedUnixMS: listed.StartedUnixMS,
+			Condition:     incarnationConditions[listed.Condition],
 		})
 	}
 	d.mu.Lock()
--- a/internal/proxy/endpointcacheconfirm.go
+++ b/internal/proxy/endpointcacheconfirm.go
@@ -44,8 +44,8 @@
 // start that they serve: a source that has restarted may announce no servers at first. After incompleteListDuration such a list is applied.
 func (c *endpointCache) lacksProvenServers(l http1.EndpointList) bool {
 	isListed := map[string]bool{} // also those that are draining
-	for _, h := range l.Endpoints {
-		isListed[h.ID] = true
+	for _, e := range l.Endpoints {
+		isListed[e.ID] = true
 	}
 	proven, missing := 0, 0
 	for id := range c.endpoints {
--- a/internal/proxy/engine/effects.go
+++ b/internal/proxy/engine/effects.go
@@ -20,8 +20,9 @@
 	Subscribe()
 	// CloseIdle closes idle connections to a server.
 	CloseIdle(server S)
-	// ReleaseServer reports that a server has been removed and that no open request refers to it. It is called when the server's
-	// index is released, which may be later than the effect policy.RemoveServer or the endpoint list that removed the server.
+	// ReleaseServer releases the handler's state of a removed server to which no open request refers. It is called when the
+	// server's index is released, which may be later than the effect policy.RemoveServer or the endpoint list that removed
+	// the server.
 	ReleaseServer(server S)
 }
 
--- a/internal/proxy/engine/engine.go
+++ b/internal/proxy/engine/engine.go
@@ -98,9 +98,10 @@
 	return true
 }
 
-// AttemptEnded passes on the end of an attempt. in.Attempt is the attempt's number within the request and in.Outcome its
-// outcome. It returns false, and has no effect, if the request or the server is unknown or the request has no attempt in
-// flight. The caller must ensure that in.Attempt is in flight at that server; this is not checked.
+// AttemptEnded passes on the end of an attempt. in.Attempt is the attempt's number within the request, in.Outcome its
+// outcome, and in.IsSettled states that the request needs no further attempt. It returns false, and has no effect, if the
+// request or the server is unknown or the request has no attempt in flight. The caller must ensure that in.Attempt is in
+// flight at that server; this is not checked.
 func (e *Engine[S]) AttemptEnded(now time.Duration, id uint64, server S, in policy.Input, handler EffectHandler[S]) bool {
 	index, ok := e.requestIndex[id]
 	s, isKnown := e.serverIndex[server]
--- a/internal/proxy/intentjournal.go
+++ b/internal/proxy/intentjournal.go
@@ -40,7 +40,8 @@
 }
 
 // openJournal opens a new segment, and reads the segments of earlier runs in the background. A cluster member first joins the cluster,
-// because its incarnation must be later than those that peers know of its name, and replicates the journal if its configured durability requires it.
+// because its incarnation must be later than those that peers know of its name, and replicates the journal if the configured durability
+// requires it.
 func openJournal(cfg Config, log zerolog.Logger, peers *peer.Node) (*intentJournal, error) {
 	startedAt := time.Now()
 	j := &intentJournal{cfg: cfg.Journal, filesystem: cfg.Filesystem, logger: log, incarnation: uint64(startedAt.UnixNano()), journaledTypes: journaledTypes(&cfg)}
