--- a/policy/lifecycle_test.go
+++ b/policy/lifecycle_test.go
@@ -57,11 +57,11 @@
 // TestRetryWithKey checks that retries of a request with an idempotency key stay within its key scope and retention.
 func TestRetryWithKey(t *testing.T) {
 	for name, c := range map[string]struct {
-		scope  KeyScope
-		first  Outcome // of the first attempt, 50 ms after it was sent
-		retain time.Duration
-		want   []EffectKind // after a failure of the second attempt, 40 ms later
-		same   bool         // the second and third attempt must be in one key scope
+		scope     KeyScope
+		first     Outcome // of the first attempt, 50 ms after it was sent
+		retention time.Duration
+		want      []EffectKind // after a failure of the second attempt, 40 ms later
+		same      bool         // the second and third attempt must be in one key scope
 	}{
 		"cell": {KeyScopeCell, Failure, time.Second, []EffectKind{Fail}, true},
 		"zone": {KeyScopeZone, Failure, time.Second, []EffectKind{SendAttempt}, true},
@@ -70,7 +70,7 @@
 		"an attempt that never ran does not count": {KeyScopeAll, Unreachable, 80 * ms, []EffectKind{SendAttempt}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHarness(t, 8, func(s *Settings) { s.TrafficTypes[1].KeyScope, s.TrafficTypes[1].KeyRetention = c.scope, c.retain })
+			h := newHarness(t, 8, func(s *Settings) { s.TrafficTypes[1].KeyScope, s.TrafficTypes[1].KeyRetention = c.scope, c.retention })
 			if c.scope == KeyScopeCell { // two servers per cell: for a third attempt only tried servers remain
 				for s := range h.readiness.Len() {
 					h.readiness.SetReady(s, s < 2)
