--- a/internal/controlplane/planwire/frames_test.go
+++ b/internal/controlplane/planwire/frames_test.go
@@ -32,7 +32,7 @@
 	}{
 		"valid":              {encodeFrame(HelloKind, Hello{Version: Version, Name: "n1"}), ""},
 		"another version":    {encodeFrame(HelloKind, Hello{Version: Version + 1, Name: "n1"}), "version 2 is spoken here, not 3"},
-		"no name":            {encodeFrame(HelloKind, Hello{Version: Version}), "without a name"},
+		"no name":            {encodeFrame(HelloKind, Hello{Version: Version}), "check hello: name missing or longer than the limit"},
 		"a report first":     {encodeFrame(ReportKind, plan.Report{}), "before the greeting"},
 		"refused":            {encodeFrame(RejectionKind, Rejection{Reason: "too many"}), "refused by the peer: too many"},
 		"HTTP":               {[]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"), ErrFrameTooLong.Error()},
