--- a/cmd/fernvane/bindings_json_test.go
+++ b/cmd/fernvane/bindings_json_test.go
@@ -62,7 +62,7 @@
 // TestReplicasPrinted compares the output of `fernvane replicas --json` with a stored file.
 func TestReplicasPrinted(t *testing.T) {
 	member := membership.Member{Name: "n1", Incarnation: 11, Refutations: 7, Condition: membership.Dead, Address: "127.0.0.1:81", Site: "east", Machine: "m-4"}
-	tier := &peer.Client{Answered: map[string]*peer.Status{"n1": {
+	tier := &peer.Client{Responses: map[string]*peer.Status{"n1": {
 		Self: member, Members: []membership.Member{member}, IsReady: true, Replicas: 2,
 		Stream: replication.Stream{Name: "n1", Incarnation: 11}, Next: 31, Committed: 29, Uncommitted: 3,
 		Holders: []replication.Holder{{Name: "n2", State: "late", RejectReason: "no room is left", Acked: 28, MissingRecords: 4}},
--- a/cmd/fernvane/journalsource.go
+++ b/cmd/fernvane/journalsource.go
@@ -166,9 +166,9 @@
 		}
 	}
 	printGaps(stderr, merger.Gaps)
-	fmt.Fprintf(stderr, "%d nodes responded\n", len(tier.Answered))
-	for _, name := range slices.Sorted(maps.Keys(tier.Unanswered)) {
-		fmt.Fprintf(stderr, "no response from %s: %v\n", name, tier.Unanswered[name])
+	fmt.Fprintf(stderr, "%d nodes responded\n", len(tier.Responses))
+	for _, name := range slices.Sorted(maps.Keys(tier.QueryErrors)) {
+		fmt.Fprintf(stderr, "no response from %s: %v\n", name, tier.QueryErrors[name])
 	}
 	if !hasEnough {
 		return errTooFewResponses
--- a/cmd/fernvane/pages_test.go
+++ b/cmd/fernvane/pages_test.go
@@ -84,7 +84,7 @@
 	substitutes["peers.toml"], _ = startPeer(t, "n1", fmt.Sprintf("%q", tier.Listen))
 	isReplicated := func() bool {
 		client := peer.Query(context.Background(), tier, false)
-		return len(client.Answered) == 2 && client.Shortfall() == ""
+		return len(client.Responses) == 2 && client.Shortfall() == ""
 	}
 	for deadline := time.Now().Add(20 * time.Second); !isReplicated() && time.Now().Before(deadline); {
 		time.Sleep(20 * time.Millisecond)
--- a/cmd/fernvane/replicas.go
+++ b/cmd/fernvane/replicas.go
@@ -79,7 +79,7 @@
 
 // replicationError returns errUnderReplicated if records lack replicas or a node did not respond, and nil otherwise.
 func replicationError(tier *peer.Client) error {
-	if tier.Shortfall() != "" || len(tier.Unanswered) > 0 || len(tier.Answered) == 0 {
+	if tier.Shortfall() != "" || len(tier.QueryErrors) > 0 || len(tier.Responses) == 0 {
 		return errUnderReplicated
 	}
 	return nil
@@ -89,8 +89,8 @@
 func printTier(out io.Writer, tier *peer.Client, asJSON bool) {
 	if asJSON {
 		encoder := json.NewEncoder(out)
-		for _, name := range slices.Sorted(maps.Keys(tier.Answered)) {
-			encoder.Encode(tier.Answered[name])
+		for _, name := range slices.Sorted(maps.Keys(tier.Responses)) {
+			encoder.Encode(tier.Responses[name])
 		}
 		return
 	}
@@ -98,10 +98,10 @@
 	fmt.Fprintln(w, "node\tcondition\tsite\tmachine\tkept of its own\theld by\tholds for others\tMB")
 	for _, name := range slices.Sorted(maps.Keys(tier.Members)) {
 		m := tier.Members[name]
-		s := tier.Answered[name]
+		s := tier.Responses[name]
 		if s == nil {
 			reason := "not queried"
-			if err := tier.Unanswered[name]; err != nil {
+			if err := tier.QueryErrors[name]; err != nil {
 				reason = err.Error()
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t-\t%s\t-\t-\n", name, m.Condition, m.Site, m.Machine, reason)
@@ -115,19 +115,19 @@
 			strings.Join(holders, ", "), len(s.StoredReplicas), s.StoredBytes>>20, s.MaxBytes>>20)
 	}
 	w.Flush()
-	for _, name := range slices.Sorted(maps.Keys(tier.Unanswered)) {
+	for _, name := range slices.Sorted(maps.Keys(tier.QueryErrors)) {
 		if _, isMember := tier.Members[name]; !isMember {
-			fmt.Fprintf(out, "no response from %s: %v\n", name, tier.Unanswered[name])
+			fmt.Fprintf(out, "no response from %s: %v\n", name, tier.QueryErrors[name])
 		}
 	}
-	for name, s := range tier.Answered {
+	for name, s := range tier.Responses {
 		for _, f := range s.Damage {
 			fmt.Fprintf(out, "damaged at %s: %s\n", name, f)
 		}
 	}
 	if shortfall := tier.Shortfall(); shortfall != "" {
 		fmt.Fprintln(out, "lacking:", shortfall)
-	} else if len(tier.Answered) > 0 {
+	} else if len(tier.Responses) > 0 {
 		fmt.Fprintln(out, "all records of these nodes have enough replicas")
 	}
 }
--- a/cmd/testbed/journal.go
+++ b/cmd/testbed/journal.go
@@ -36,7 +36,7 @@
 			if err != nil {
 				return err
 			}
-			s.Seed, s.Journal.Promise, s.Faults = seed, promise, nil
+			s.Seed, s.Journal.Durability, s.Faults = seed, promise, nil
 			random := rand.New(rand.NewPCG(seed, 3))
 			const down, up = 200 * time.Millisecond, 250 * time.Millisecond // a node runs for up plus a random time between kills
 			at := make([]time.Duration, s.Nodes.Count)
@@ -86,7 +86,7 @@
 			fmt.Fprintln(t, "promise\tservice\tbook p50 ms\tp99\tp99.9\tcheck p50 ms\tp99\tCPU s\tbytes an entry\tbetween nodes\t")
 			for _, promise := range []string{"", "process", "machine", "machines"} {
 				one := *s
-				if one.Journal.Promise = promise; promise == "machines" {
+				if one.Journal.Durability = promise; promise == "machines" {
 					one.Peers.Replicas = 2
 				}
 				out, err := testbed.Run(c.Context(), testbed.Options{Scenario: &one, Requests: load.Plan(&one), Command: command})
--- a/cmd/testbed/losses.go
+++ b/cmd/testbed/losses.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Seed, s.Journal.Promise = l.seed+l.runs, l.promise
+	s.Seed, s.Journal.Durability = l.seed+l.runs, l.promise
 	s.Length = scenario.Duration(2 * time.Minute)
 	s.Faults[0].For = scenario.Duration(118 * time.Second)
 	if l.promise != "machines" {
--- a/internal/cluster/peer/client.go
+++ b/internal/cluster/peer/client.go
@@ -28,19 +28,19 @@
 	// Members contains the discovered nodes by name.
 	Members map[string]membership.Member
 	// Answered contains the responses by node name.
-	Answered map[string]*Status
+	Responses map[string]*Status
 	// Unanswered contains the error of each node that did not respond, by name or, if the name is unknown, by address.
-	Unanswered map[string]error
+	QueryErrors map[string]error
 }
 
 // Query discovers the nodes of a cluster from the configured addresses and the members that the nodes report, and
 // requests the Status of each node. With verify each node first re-reads all of its stored records.
 func Query(ctx context.Context, cfg *Config, verify bool) *Client {
 	c := &Client{
-		cfg:        cfg,
-		Members:    map[string]membership.Member{},
-		Answered:   map[string]*Status{},
-		Unanswered: map[string]error{},
+		cfg:         cfg,
+		Members:     map[string]membership.Member{},
+		Responses:   map[string]*Status{},
+		QueryErrors: map[string]error{},
 	}
 	queried := map[string]bool{}
 	for addresses := append(slices.Clone(cfg.Peers), cfg.Advertise); len(addresses) > 0; {
@@ -81,10 +81,10 @@
 // addResponse adds one node's response or error.
 func (c *Client) addResponse(address string, s *Status, err error) {
 	if err != nil {
-		c.Unanswered[address] = err
+		c.QueryErrors[address] = err
 		return
 	}
-	c.Answered[s.Self.Name] = s
+	c.Responses[s.Self.Name] = s
 	for _, m := range append(s.Members, s.Self) {
 		if previous, ok := c.Members[m.Name]; !ok || membership.Compare(previous, m) < 0 {
 			c.Members[m.Name] = m
@@ -96,15 +96,15 @@
 func (c *Client) keyUnansweredByName() {
 	unanswered := map[string]error{}
 	for _, m := range c.Members {
-		if err := c.Unanswered[m.Address]; err != nil && c.Answered[m.Name] == nil && m.Condition != membership.Left {
+		if err := c.QueryErrors[m.Address]; err != nil && c.Responses[m.Name] == nil && m.Condition != membership.Left {
 			unanswered[m.Name] = err
-			delete(c.Unanswered, m.Address)
+			delete(c.QueryErrors, m.Address)
 		}
 	}
-	for address, err := range c.Unanswered {
+	for address, err := range c.QueryErrors {
 		unanswered[address] = err
 	}
-	c.Unanswered = unanswered
+	c.QueryErrors = unanswered
 }
 
 func queryStatus(ctx context.Context, cfg *Config, address string, verify bool) (*Status, error) {
@@ -143,7 +143,7 @@
 // of its records moves from Answered to Unanswered. corrupt is the number of unreadable places that the nodes reported.
 // If each returns an error, Records stops and returns it as err.
 func (c *Client) Records(ctx context.Context, since time.Time, id string, each func(*intent.Record) error) (corrupt int, err error) {
-	for name := range c.Answered {
+	for name := range c.Responses {
 		query := recordsQuery{SinceUnixNano: since.UnixNano(), RequestID: id}
 		n, err := c.recordsOf(ctx, c.Members[name].Address, query, each)
 		corrupt += n
@@ -152,11 +152,11 @@
 			return corrupt, callerErr.error
 		}
 		if err != nil {
-			c.Unanswered[name] = err
+			c.QueryErrors[name] = err
 		}
 	}
-	for name := range c.Unanswered {
-		delete(c.Answered, name)
+	for name := range c.QueryErrors {
+		delete(c.Responses, name)
 	}
 	return corrupt, nil
 }
--- a/internal/cluster/peer/clusterstate.go
+++ b/internal/cluster/peer/clusterstate.go
@@ -11,18 +11,18 @@
 // most as many machines are missing as the largest Replicas among the responses, and all responding nodes have loaded
 // their replicas. It assumes that all nodes are configured with the same number of replicas.
 func (c *Client) HasEnoughResponses() bool {
-	if len(c.Answered) == 0 {
+	if len(c.Responses) == 0 {
 		return false
 	}
 	replicas := 0
-	for _, s := range c.Answered {
+	for _, s := range c.Responses {
 		if !s.IsReady {
 			return false
 		}
 		replicas = max(replicas, s.Replicas)
 	}
 	missing := map[string]bool{} // machines
-	for name := range c.Unanswered {
+	for name := range c.QueryErrors {
 		machine := name
 		if m, ok := c.Members[name]; ok {
 			machine = m.Machine
@@ -36,7 +36,7 @@
 // The origin of a running stream counts if it responded.
 func (c *Client) completeHolders() map[replication.Stream][]string {
 	known := map[replication.Stream]replication.Ranges{}
-	for _, s := range c.Answered {
+	for _, s := range c.Responses {
 		for _, r := range s.StoredReplicas {
 			for _, x := range r.Ranges {
 				known[r.Stream] = known[r.Stream].With(x.From, x.To)
@@ -45,7 +45,7 @@
 	}
 	holders := map[replication.Stream][]string{}
 	for stream, all := range known {
-		for name, s := range c.Answered {
+		for name, s := range c.Responses {
 			hasAll := slices.ContainsFunc(s.StoredReplicas, func(r replication.StoredReplica) bool {
 				return r.Stream == stream && len(all.Without(r.Ranges)) == 0
 			})
@@ -63,7 +63,7 @@
 	for stream, names := range c.completeHolders() {
 		machines := map[string]bool{}
 		for _, name := range names {
-			machines[c.Answered[name].Self.Machine] = true
+			machines[c.Responses[name].Self.Machine] = true
 		}
 		counts[stream] = len(machines)
 	}
@@ -76,7 +76,7 @@
 // are then unknown.
 func (c *Client) SurvivesLoss(name string, lost []string) bool {
 	isLost := func(name string) bool { return slices.Contains(lost, name) }
-	status := c.Answered[name]
+	status := c.Responses[name]
 	if status == nil {
 		return false
 	}
@@ -104,7 +104,7 @@
 // on one machine more than the configured replicas; a running one at all of its holders, except for records in flight.
 func (c *Client) Shortfall() string {
 	copies := c.CopyCounts()
-	for name, s := range c.Answered {
+	for name, s := range c.Responses {
 		if !s.IsReady {
 			return name + " is still loading its replicas"
 		}
@@ -130,7 +130,7 @@
 // node itself comes first, the others are sorted by name.
 func (c *Client) HoldersOf(name string) []string {
 	holders := []string{name}
-	for other, s := range c.Answered {
+	for other, s := range c.Responses {
 		hasSome := slices.ContainsFunc(s.StoredReplicas, func(r replication.StoredReplica) bool { return r.Name == name })
 		if hasSome && other != name {
 			holders = append(holders, other)
--- a/internal/cluster/peer/clusterstate_test.go
+++ b/internal/cluster/peer/clusterstate_test.go
@@ -37,7 +37,7 @@
 			if slices.Contains(c.lost, "unqueried") {
 				of = "unqueried"
 			}
-			if got := (&Client{Answered: answered}).SurvivesLoss(of, c.lost); got != c.want {
+			if got := (&Client{Responses: answered}).SurvivesLoss(of, c.lost); got != c.want {
 				t.Errorf("SurvivesLoss: got %v", got)
 			}
 		})
--- a/internal/cluster/peer/node_test.go
+++ b/internal/cluster/peer/node_test.go
@@ -43,7 +43,7 @@
 					n++
 				}
 			}
-			return len(c.Answered) == count && n >= streams
+			return len(c.Responses) == count && n >= streams
 		}
 	}
 	eventually(t, "all streams are on three machines", complete(nodes[0], 5, 5))
--- a/internal/cluster/peer/reconcile_test.go
+++ b/internal/cluster/peer/reconcile_test.go
@@ -47,7 +47,7 @@
 	delete(nodes, "n0")
 	reconcilers := func() (by map[string]uint64) {
 		by = map[string]uint64{}
-		for _, s := range Query(context.Background(), anyNode().cfg, false).Answered {
+		for _, s := range Query(context.Background(), anyNode().cfg, false).Responses {
 			for _, replica := range s.StoredReplicas {
 				if base, reconciler, ok := strings.Cut(replica.Name, "~"); ok && base == "n0" {
 					by[reconciler] = max(by[reconciler], replica.Ranges.Count())
@@ -84,7 +84,7 @@
 	}
 	eventually(t, "the reconciliation is copied", func() bool {
 		c := Query(context.Background(), anyNode().cfg, false)
-		return len(c.Answered) == 5 && c.Shortfall() == ""
+		return len(c.Responses) == 5 && c.Shortfall() == ""
 	})
 	nodes[first].crash()
 	delete(nodes, first)
--- a/internal/cluster/peer/verify_test.go
+++ b/internal/cluster/peer/verify_test.go
@@ -42,8 +42,8 @@
 				t.Fatal(err)
 			}
 			client := Query(context.Background(), nodes[0].cfg, true)
-			if s := client.Answered[node.name]; s == nil || len(s.Damage) == 0 {
-				t.Fatalf("verification: got no damage reported, want some: %+v", client.Answered)
+			if s := client.Responses[node.name]; s == nil || len(s.Damage) == 0 {
+				t.Fatalf("verification: got no damage reported, want some: %+v", client.Responses)
 			}
 			eventually(t, "the stream is complete on three machines again", func() bool {
 				complete := 0
--- a/internal/controlplane/distribution/control/faults_test.go
+++ b/internal/controlplane/distribution/control/faults_test.go
@@ -187,7 +187,9 @@
 		f.proxies[name].Garble(faultproxy.Up, 3)
 		f.proxies[name].Garble(faultproxy.Down, 3)
 	}
-	wait(t, "damaged bytes in both directions", func() bool { return f.proxies["ab"].Garbled(faultproxy.Up) && f.proxies["ab"].Garbled(faultproxy.Down) })
+	wait(t, "damaged bytes in both directions", func() bool {
+		return f.proxies["ab"].IsGarbleDone(faultproxy.Up) && f.proxies["ab"].IsGarbleDone(faultproxy.Down)
+	})
 	for _, c := range f.proxies {
 		c.Garble(faultproxy.Up, 0)
 		c.Garble(faultproxy.Down, 0)
--- a/internal/controlplane/distribution/control/source_test.go
+++ b/internal/controlplane/distribution/control/source_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	for _, id := range []string{"s1", "s2"} {
-		list.Set(discovery.Entry{ID: id, Phase: discovery.Serving, Addresses: []string{"127.0.0.1:1"}})
+		list.Set(discovery.Entry{ID: id, Condition: discovery.Serving, Addresses: []string{"127.0.0.1:1"}})
 	}
 	config := settings(t, "a", address.Free(t), disks(t)("a"))
 	config.DiscoveryAddress, config.Discovery, config.Service = netip.MustParseAddrPort(at), at, "hire"
@@ -63,7 +63,7 @@
 		return hasCondition("s1", incarnation.Up, false)() && hasCondition("s2", incarnation.Up, false)()
 	})
 	set := func(id, phase string) {
-		list.Set(discovery.Entry{ID: id, Phase: phase, Addresses: []string{"127.0.0.1:1"}})
+		list.Set(discovery.Entry{ID: id, Condition: phase, Addresses: []string{"127.0.0.1:1"}})
 	}
 	set("s1", discovery.Draining)
 	wait(t, "a drain", hasCondition("s1", incarnation.Draining, false))
@@ -102,7 +102,7 @@
 	if err := rest.Serve(0, 0, at); err != nil {
 		t.Fatal(err)
 	}
-	rest.Set(discovery.Entry{ID: "s2", Phase: discovery.Serving, Addresses: []string{"127.0.0.1:1"}})
+	rest.Set(discovery.Entry{ID: "s2", Condition: discovery.Serving, Addresses: []string{"127.0.0.1:1"}})
 	config.DiscoveryAddress = netip.MustParseAddrPort(at)
 	m = start(t, &config)
 	wait(t, "the deletion of the unlisted server", func() bool { _, stored := m.server(t, "s1"); return stored.Deleted })
--- a/internal/controlplane/distribution/tree/entry.go
+++ b/internal/controlplane/distribution/tree/entry.go
@@ -25,7 +25,7 @@
 }
 
 func parseServer(path string, text []byte, key distribution.Key) ([]byte, error) {
-	s := Server{Size: 1}
+	s := Server{Weight: 1}
 	f, err := tomlfile.Parse(path, text, &s)
 	if err != nil {
 		return nil, err
--- a/internal/controlplane/distribution/tree/fileentries.go
+++ b/internal/controlplane/distribution/tree/fileentries.go
@@ -69,12 +69,12 @@
 
 // encode returns the server's value. Without hasSize, the size is 1.
 func (s Server) encode(hasSize bool) ([]byte, error) {
-	e := incarnation.Entry{ID: s.ID, Address: s.Address, Zone: s.Zone, MachineKind: s.Flavor, Cell: s.Cell, Weight: s.Size}
+	e := incarnation.Entry{ID: s.ID, Address: s.Address, Zone: s.Zone, MachineKind: s.MachineKind, Cell: s.Cell, Weight: s.Weight}
 	if !hasSize {
 		e.Weight = 1
 	}
-	if !s.Started.IsZero() {
-		e.StartedUnixMS = s.Started.UnixMilli()
+	if !s.StartedAt.IsZero() {
+		e.StartedUnixMS = s.StartedAt.UnixMilli()
 	}
 	if s.Draining {
 		e.Condition = incarnation.Draining
--- a/internal/controlplane/distribution/tree/tree.go
+++ b/internal/controlplane/distribution/tree/tree.go
@@ -19,14 +19,14 @@
 
 // Server is an entry of [[servers]].
 type Server struct {
-	ID       string    `toml:"id"`
-	Address  string    `toml:"address"`
-	Zone     string    `toml:"zone"`
-	Flavor   string    `toml:"flavor"`
-	Cell     int       `toml:"cell"`
-	Size     float64   `toml:"size"`     // relative capacity; 1 by default
-	Started  time.Time `toml:"started"`  // start of the server's process
-	Draining bool      `toml:"draining"` // receives no new requests
+	ID          string    `toml:"id"`
+	Address     string    `toml:"address"`
+	Zone        string    `toml:"zone"`
+	MachineKind string    `toml:"flavor"`
+	Cell        int       `toml:"cell"`
+	Weight      float64   `toml:"size"`     // relative capacity; 1 by default
+	StartedAt   time.Time `toml:"started"`  // start of the server's process
+	Draining    bool      `toml:"draining"` // receives no new requests
 }
 
 // Tenant is the content of a file for a single tenant.
--- a/internal/controlplane/planner/server_test.go
+++ b/internal/controlplane/planner/server_test.go
@@ -62,7 +62,7 @@
 }
 
 func entry(id, phase string) discovery.Entry {
-	return discovery.Entry{ID: id, Phase: phase, Addresses: []string{"127.0.0.1:9"}}
+	return discovery.Entry{ID: id, Condition: phase, Addresses: []string{"127.0.0.1:9"}}
 }
 
 // testForwarder is a forwarder that implements the wire protocol in the test.
--- a/internal/discovery/zookeeper/herd_test.go
+++ b/internal/discovery/zookeeper/herd_test.go
@@ -51,7 +51,7 @@
 	for announced.Load() < 500 {
 		time.Sleep(10 * time.Millisecond)
 	}
-	startedAt, calls := time.Now(), registry.Calls()
+	startedAt, calls := time.Now(), registry.Requests()
 	for i := range 100 {
 		sessions[i%50].End()
 		time.Sleep(50 * time.Millisecond)
@@ -59,7 +59,7 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	seconds := time.Since(startedAt).Seconds()
-	callsPerSecond := float64(registry.Calls()-calls) / seconds
+	callsPerSecond := float64(registry.Requests()-calls) / seconds
 	t.Logf("%.0f calls per second by 500 readers at %.0f changes per second: %.1f per reader", callsPerSecond, 200/seconds, callsPerSecond/500)
 	// Each read of a Reader consists of at most two calls: one for the children and one for an entry.
 	if maxCallsPerSecond := 500 * (1 / minReadInterval.Seconds()) * 2; callsPerSecond > maxCallsPerSecond {
--- a/internal/discovery/zookeeper/reader_test.go
+++ b/internal/discovery/zookeeper/reader_test.go
@@ -145,14 +145,14 @@
 	}
 	e.waitFor("a", "c")
 	// The ensemble is unreachable for longer than the session timeout.
-	e.registry.Refuse(true)
+	e.registry.SetRefusing(true)
 	for _, s := range e.servers {
 		s.CloseConnections()
 	}
 	a.End()
 	c.Set("/services/hire/c", []byte(`{"address":"127.0.0.1","port":3,"status":"STOPPING"}`))
 	time.Sleep(1500 * time.Millisecond) // the session expires
-	e.registry.Refuse(false)
+	e.registry.SetRefusing(false)
 	e.waitFor("c draining")
 	e.registry.OpenSession(time.Hour, map[string][]byte{"/services/hire/d": data(4)})
 	e.waitFor("c draining", "d")
--- a/internal/journal/wal/log_test.go
+++ b/internal/journal/wal/log_test.go
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	d.Fill(true)
+	d.SetFull(true)
 	commit, err := l.Append(true, intent.Record{Kind: intent.Intent, RequestNumber: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -121,7 +121,7 @@
 	if _, err := l.Append(true, intent.Record{Kind: intent.Intent, RequestNumber: 2}); !errors.Is(err, ErrDiskFailing) || l.Failure() == nil {
 		t.Errorf("append while failing: got error %v, want ErrDiskFailing", err)
 	}
-	d.Fill(false)
+	d.SetFull(false)
 	if err := <-health; err != nil || l.Failure() != nil {
 		t.Errorf("after recovery: got health %v, failure %v, want none", err, l.Failure())
 	}
--- a/internal/protocol/fastcgi/clientconn.go
+++ b/internal/protocol/fastcgi/clientconn.go
@@ -56,10 +56,10 @@
 // Request is one request on a connection. ClientConn.mu guards isDisconnected, isComplete and isFreed; the other
 // unexported fields belong to the goroutine that reads, until the request is complete.
 type Request struct {
-	ID        uint16
-	Request   *message.Request
-	Malformed *message.RequestError // why the request cannot be served; nil: it can be served
-	StartedAt time.Time             // when its first record was read
+	ID           uint16
+	Request      *message.Request
+	RequestError *message.RequestError // why the request cannot be served; nil: it can be served
+	StartedAt    time.Time             // when its first record was read
 
 	disconnected   chan struct{}
 	isDisconnected bool
@@ -218,15 +218,15 @@
 	case rec.kind == typeParams:
 		r.readError = c.appendBounded(r, &r.params, rec.content, message.MaxHead, 431, "the params are too large")
 	case len(rec.content) > 0:
-		r.readError = c.appendBounded(r, &r.body, rec.content, message.MaxBody, 413, "the body is too large")
+		r.readError = c.appendBounded(r, &r.body, rec.content, message.MaxRequestBody, 413, "the body is too large")
 	default:
 		c.mu.Lock()
 		r.isComplete = true
 		c.mu.Unlock()
-		if r.Malformed = r.readError; r.Malformed == nil {
+		if r.RequestError = r.readError; r.RequestError == nil {
 			var err error
 			if r.Request, err = request(r.params, r.body); err != nil {
-				errors.As(err, &r.Malformed)
+				errors.As(err, &r.RequestError)
 			}
 		}
 		return r, nil
--- a/internal/protocol/fastcgi/fastcgi_test.go
+++ b/internal/protocol/fastcgi/fastcgi_test.go
@@ -140,7 +140,7 @@
 		"truncated within END_REQUEST": {end(stdout("Status: 200\r\n\r\nx"), 0, 0)[:44], 0, "", io.ErrUnexpectedEOF, false, false},
 		"closed without output":        {nil, 0, "", io.ErrUnexpectedEOF, false, false},
 		"a head without end":           {stdout("X: " + strings.Repeat("x", message.MaxHead+9)), 0, "", io.ErrUnexpectedEOF, false, false},
-		"too large":                    {stdout(strings.Repeat("x", message.MaxHead+message.MaxAnswer+1)), 0, "", message.ErrMalformedResponse, false, false},
+		"too large":                    {stdout(strings.Repeat("x", message.MaxHead+message.MaxResponseBody+1)), 0, "", message.ErrMalformedResponse, false, false},
 		"unknown management record":    {end(append(appendRecord(nil, typeUnknown, 0, make([]byte, 8)), stdout("Status: 200\r\n\r\nx")...), 0, 0), 200, "x", nil, false, true},
 		"an unknown record":            {appendRecord(nil, 77, 1, nil), 0, "", message.ErrMalformedResponse, false, false},
 	} {
@@ -245,8 +245,8 @@
 				if req, err = clientConn.NextRequest(nil); err != nil {
 					break
 				}
-				if req.Malformed != nil {
-					requests = append(requests, fmt.Sprint(req.ID, ":", req.Malformed.Reason))
+				if req.RequestError != nil {
+					requests = append(requests, fmt.Sprint(req.ID, ":", req.RequestError.Reason))
 				} else {
 					requests = append(requests, fmt.Sprint(req.ID, ":", string(req.Request.Body)))
 				}
--- a/internal/protocol/fastcgi/serverconn.go
+++ b/internal/protocol/fastcgi/serverconn.go
@@ -122,7 +122,7 @@
 
 // appendOutput appends to the output of the request, within the size limits and the budget.
 func (c *ServerConn) appendOutput(content []byte) error {
-	if len(c.out)+len(content) > message.MaxHead+message.MaxAnswer {
+	if len(c.out)+len(content) > message.MaxHead+message.MaxResponseBody {
 		return message.ErrMalformedResponse
 	}
 	if more := len(c.out) + len(content) - retainedBufferBytes - c.reservedBytes; more > 0 {
--- a/internal/protocol/http1/aliases.go
+++ b/internal/protocol/http1/aliases.go
@@ -25,11 +25,11 @@
 
 // Limits and field names of package message.
 const (
-	MaxHead        = message.MaxHead
-	MaxBody        = message.MaxBody
-	MaxAnswer      = message.MaxAnswer
-	RequestID      = message.RequestID
-	RequestTimeout = message.RequestTimeout
+	MaxHead         = message.MaxHead
+	MaxRequestBody  = message.MaxRequestBody
+	MaxResponseBody = message.MaxResponseBody
+	RequestID       = message.RequestID
+	RequestTimeout  = message.RequestTimeout
 )
 
 // NewBufferBudget returns a budget of the given number of bytes.
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -53,8 +53,8 @@
 		"chunked":               {in: post + "Transfer-Encoding: Chunked\r\n\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nA: b\r\n\r\n", body: "hello"},
 		"Connection: close":     {in: "GET /a HTTP/1.1\r\nHost: h\r\nConnection: x, Close\r\n\r\n", close: true},
 		"HTTP/1.0":              {in: "GET /a HTTP/1.0\r\n\r\n", close: true},
-		"the largest body":      {in: fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", post, MaxBody, strings.Repeat("b", MaxBody)), body: strings.Repeat("b", MaxBody)},
-		"many small chunks":     {in: post + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\nc\r\n", MaxBody) + "0\r\n\r\n", body: strings.Repeat("c", MaxBody)},
+		"the largest body":      {in: fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", post, MaxRequestBody, strings.Repeat("b", MaxRequestBody)), body: strings.Repeat("b", MaxRequestBody)},
+		"many small chunks":     {in: post + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\nc\r\n", MaxRequestBody) + "0\r\n\r\n", body: strings.Repeat("c", MaxRequestBody)},
 		"two lengths, the same": {in: post + "Content-Length: 1\r\nContent-Length: 1\r\n\r\nx", body: "x"},
 
 		"no input":                   {err: io.EOF},
@@ -75,7 +75,7 @@
 		"chunk without size":         {in: post + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n", status: 400},
 		"chunk longer than its size": {in: post + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", status: 400},
 		"an endless size line":       {in: post + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("0", 4*maxChunkLineBytes), status: 400},
-		"a large body":               {in: fmt.Sprintf("%sContent-Length: %d\r\n\r\n", post, MaxBody+1), status: 413},
+		"a large body":               {in: fmt.Sprintf("%sContent-Length: %d\r\n\r\n", post, MaxRequestBody+1), status: 413},
 		"large chunks":               {in: post + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("8000\r\n"+strings.Repeat("z", 0x8000)+"\r\n", 3), status: 413},
 		"a large head":               {in: "GET /a HTTP/1.1\r\nHost: h\r\nA: " + strings.Repeat("a", MaxHead), status: 431},
 		"too many fields":            {in: "GET /a HTTP/1.1\r\nHost: h\r\n" + strings.Repeat("A: b\r\n", message.MaxFields) + "\r\n", status: 431},
@@ -139,15 +139,15 @@
 		"endless interim responses": {in: strings.Repeat("HTTP/1.1 100 Go on\r\n\r\n", 99), err: ErrMalformedResponse},
 		"a bad field":               {in: ok + "what is this\r\n\r\n", err: ErrMalformedResponse},
 		"a bad chunk":               {in: ok + "Transfer-Encoding: chunked\r\n\r\n\x00\x00\r\n", err: ErrMalformedResponse},
-		"too long":                  {in: ok + fmt.Sprintf("Content-Length: %d\r\n\r\n", MaxBody+1), err: ErrMalformedResponse},
-		"far too long":              {in: ok + "\r\n" + strings.Repeat("x", 2*MaxBody), err: ErrMalformedResponse},
+		"too long":                  {in: ok + fmt.Sprintf("Content-Length: %d\r\n\r\n", MaxRequestBody+1), err: ErrMalformedResponse},
+		"far too long":              {in: ok + "\r\n" + strings.Repeat("x", 2*MaxRequestBody), err: ErrMalformedResponse},
 		"a head too large":          {in: ok + "A: " + strings.Repeat("x", MaxHead), err: ErrMalformedResponse},
 		"another protocol":          {in: "HTTP/1.1 101 Switching\r\n\r\n", err: ErrMalformedResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, step := range steps {
 				var r Response
-				err := NewConn(&script{in: c.in, step: step, end: io.EOF}).ReadResponse(&r, MaxBody)
+				err := NewConn(&script{in: c.in, step: step, end: io.EOF}).ReadResponse(&r, MaxRequestBody)
 				if err != c.err {
 					t.Fatalf("step %d: got error %v", step, err)
 				}
@@ -312,12 +312,12 @@
 			var r Request
 			if NewConn(&script{in: string(in), step: step, end: io.EOF}).ReadRequest(&r) == nil {
 				r.Info()
-				if len(r.Body) > MaxBody {
+				if len(r.Body) > MaxRequestBody {
 					t.Error("got a body above MaxBody")
 				}
 			}
 			var a Response
-			NewConn(&script{in: string(in), step: step, end: io.EOF}).ReadResponse(&a, MaxBody)
+			NewConn(&script{in: string(in), step: step, end: io.EOF}).ReadResponse(&a, MaxRequestBody)
 		}
 		ParseEndpointList(in)
 	})
--- a/internal/protocol/http1/request.go
+++ b/internal/protocol/http1/request.go
@@ -31,7 +31,7 @@
 			return err
 		}
 	}
-	r.Body, err = c.readBody(length, MaxBody)
+	r.Body, err = c.readBody(length, MaxRequestBody)
 	switch {
 	case err == errTooLarge:
 		return message.NewRequestError(413, "the body is too large")
--- a/internal/protocol/http1/response.go
+++ b/internal/protocol/http1/response.go
@@ -68,7 +68,7 @@
 }
 
 // ReceiveResponse reads the response to a request. See ReadResponse for the error.
-func (c *Conn) ReceiveResponse(r *Response) error { return c.ReadResponse(r, MaxAnswer) }
+func (c *Conn) ReceiveResponse(r *Response) error { return c.ReadResponse(r, MaxResponseBody) }
 
 // IsReusable reports whether another request may be sent after this response.
 func (c *Conn) IsReusable(r *Response) bool { return !r.Close }
--- a/internal/protocol/message/message.go
+++ b/internal/protocol/message/message.go
@@ -14,10 +14,10 @@
 
 // Limits of one message.
 const (
-	MaxHead   = 16 << 10 // bytes ahead of the body
-	MaxBody   = 64 << 10 // bytes of a request body
-	MaxAnswer = 1 << 20  // bytes of a response body
-	MaxFields = 100      // header fields
+	MaxHead         = 16 << 10 // bytes ahead of the body
+	MaxRequestBody  = 64 << 10 // bytes of a request body
+	MaxResponseBody = 1 << 20  // bytes of a response body
+	MaxFields       = 100      // header fields
 )
 
 // Field is a header field.
--- a/internal/proxy/descriptors_test.go
+++ b/internal/proxy/descriptors_test.go
@@ -53,7 +53,7 @@
 				}
 				defer nc.Close()
 				fmt.Fprintf(nc, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", ids.Add(1))
-				http1.NewConn(nc).ReadResponse(&r, http1.MaxBody)
+				http1.NewConn(nc).ReadResponse(&r, http1.MaxRequestBody)
 			}
 			answers <- r.Status
 		}()
@@ -162,7 +162,7 @@
 		return 0, err
 	}
 	var r http1.Response
-	err = http1.NewConn(nc).ReadResponse(&r, http1.MaxAnswer)
+	err = http1.NewConn(nc).ReadResponse(&r, http1.MaxResponseBody)
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, syscall.ECONNRESET) {
 		return -1, nil // neither answered nor closed
 	}
--- a/internal/proxy/dispatch/budget.go
+++ b/internal/proxy/dispatch/budget.go
@@ -66,7 +66,7 @@
 func newDescriptorBudget(l Limits) descriptorBudget {
 	total := l.MaxConnections()
 	perSide := (total - max(total/spareDivisor, minSpare)) / 2
-	messageBytes := max(int(messageMemoryShare*l.availableBytes()), message.MaxHead+message.MaxBody)
+	messageBytes := max(int(messageMemoryShare*l.availableBytes()), message.MaxHead+message.MaxRequestBody)
 	return descriptorBudget{
 		total:          total,
 		free:           total,
--- a/internal/proxy/endpointcache_test.go
+++ b/internal/proxy/endpointcache_test.go
@@ -81,7 +81,7 @@
 			}
 			defer nc.Close()
 			fmt.Fprintf(nc, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", ids.Add(1))
-			http1.NewConn(nc).ReadResponse(&http1.Response{}, http1.MaxAnswer)
+			http1.NewConn(nc).ReadResponse(&http1.Response{}, http1.MaxResponseBody)
 		})
 	}
 	all.Wait()
--- a/internal/proxy/fastcgirequest.go
+++ b/internal/proxy/fastcgirequest.go
@@ -18,8 +18,8 @@
 			sendAnswer(conn, message.Answer{Status: 500})
 		}
 	}()
-	if r.Malformed != nil {
-		s.rejectFastCGI(conn, r.Malformed)
+	if r.RequestError != nil {
+		s.rejectFastCGI(conn, r.RequestError)
 		return
 	}
 	var err error
--- a/internal/proxy/fastcgishutdown_test.go
+++ b/internal/proxy/fastcgishutdown_test.go
@@ -198,7 +198,7 @@
 			strings.Repeat("GET /check/2 HTTP/1.1\r\nHost: h\r\nRequest-Id: reset-2\r\n\r\n", 500)),
 			func(nc net.Conn) (int, error) {
 				var r http1.Response
-				err := http1.NewConn(nc).ReadResponse(&r, http1.MaxAnswer)
+				err := http1.NewConn(nc).ReadResponse(&r, http1.MaxResponseBody)
 				return len(r.Body), err
 			}},
 		"FastCGI, malformed": {cgi, append(encodeRequest(1, post("reset-3")), strings.Repeat("no record at all", 2000)...),
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -118,7 +118,7 @@
 func readReply(t *testing.T, c *http1.Conn) (r http1.Response) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
-	if err := c.ReadResponse(&r, http1.MaxAnswer); err != nil {
+	if err := c.ReadResponse(&r, http1.MaxResponseBody); err != nil {
 		t.Fatal(err)
 	}
 	return r
--- a/internal/proxy/httpclient_test.go
+++ b/internal/proxy/httpclient_test.go
@@ -107,7 +107,7 @@
 			}
 			var r http1.Response
 			client.SetReadDeadline(time.Now().Add(10 * time.Second))
-			if err := client.ReadResponse(&r, http1.MaxAnswer); (err == nil && r.Status == 200) != c.next {
+			if err := client.ReadResponse(&r, http1.MaxResponseBody); (err == nil && r.Status == 200) != c.next {
 				t.Errorf("next request: unexpected status %d, error %v", r.Status, err)
 			}
 		})
--- a/internal/proxy/intentjournal_test.go
+++ b/internal/proxy/intentjournal_test.go
@@ -119,7 +119,7 @@
 				t.Fatalf("got status %d, want 200", got)
 			}
 			await(t, "recorded answer to the first request", func() bool { all, _ := entries(t, disk); return len(all) == 1 && all[0].ClientOutcome != "" })
-			disk.Fill(true)
+			disk.SetFull(true)
 			before := received.Load()
 			want := map[string]int{"deny": 503, "serve": 200}[choice]
 			for range 3 {
@@ -133,7 +133,7 @@
 			if got := int(received.Load() - before); got != map[string]int{"deny": 3, "serve": 6}[choice] {
 				t.Errorf("unexpected number of attempts: %d", got)
 			}
-			disk.Fill(false)
+			disk.SetFull(false)
 			await(t, "recorded request after the failure", func() bool { return book(t, at, "") == 200 && gaps(t, disk) > 0 })
 			if err := stop(); err != nil {
 				t.Fatal(err)
--- a/internal/proxy/oneconnection_test.go
+++ b/internal/proxy/oneconnection_test.go
@@ -58,7 +58,7 @@
 		c := request("other")
 		go func() {
 			var r http1.Response
-			if err := c.ReadResponse(&r, http1.MaxAnswer); err != nil {
+			if err := c.ReadResponse(&r, http1.MaxResponseBody); err != nil {
 				t.Error(err)
 			}
 			answers <- r.Status
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -200,7 +200,7 @@
 				}
 				var r http1.Response
 				c.SetReadDeadline(time.Now().Add(time.Minute))
-				if c.ReadResponse(&r, http1.MaxAnswer) != nil {
+				if c.ReadResponse(&r, http1.MaxResponseBody) != nil {
 					return
 				}
 				mu.Lock()
--- a/internal/proxy/submit.go
+++ b/internal/proxy/submit.go
@@ -34,7 +34,7 @@
 			return nil, nil, err
 		}
 		if a.RouteIndex >= 0 {
-			if len(req.Body) > a.Routes.MaxBodyBytes(a.RouteIndex, a.TrafficType, message.MaxBody) {
+			if len(req.Body) > a.Routes.MaxBodyBytes(a.RouteIndex, a.TrafficType, message.MaxRequestBody) {
 				return nil, nil, &message.RequestError{Status: 413, Reason: "the body is larger than its route takes"}
 			}
 			if a.Routes.AllowsHedging(a.RouteIndex, a.TrafficType) {
--- a/internal/route/check.go
+++ b/internal/route/check.go
@@ -155,7 +155,7 @@
 			c.AddFault(key, "%d pools, at most %d allowed", len(c.file.Pools), maxPools)
 			return
 		}
-		if len(pool.Sites)+len(pool.Flavors)+len(pool.Servers) == 0 {
+		if len(pool.Sites)+len(pool.MachineKinds)+len(pool.Servers) == 0 {
 			c.AddFault(key, "pool %q sets none of sites, flavors and servers", pool.Name)
 		}
 		for _, site := range pool.Sites {
--- a/internal/route/file.go
+++ b/internal/route/file.go
@@ -52,19 +52,19 @@
 
 // Pool selects servers. A server belongs to a pool if it matches every key that is set.
 type Pool struct {
-	Name    string   `toml:"name" unit:"name" doc:"name of the pool in routes"`
-	Sites   []string `toml:"sites" unit:"list" doc:"sites of the servers"`
-	Flavors []string `toml:"flavors" unit:"list" doc:"machine kinds of the servers, as reported by discovery"`
-	Servers []string `toml:"servers" unit:"list" doc:"ids of the servers; a * at the end matches any suffix"`
+	Name         string   `toml:"name" unit:"name" doc:"name of the pool in routes"`
+	Sites        []string `toml:"sites" unit:"list" doc:"sites of the servers"`
+	MachineKinds []string `toml:"flavors" unit:"list" doc:"machine kinds of the servers, as reported by discovery"`
+	Servers      []string `toml:"servers" unit:"list" doc:"ids of the servers; a * at the end matches any suffix"`
 }
 
 // FastCGI defines where FastCGI is used: by clients of a separate listener, and by the servers that match every key that
 // is set.
 type FastCGI struct {
-	Listen  string   `toml:"listen" unit:"address" doc:"listen address for FastCGI clients; changes require a restart"`
-	Sites   []string `toml:"sites" unit:"list" doc:"sites of the servers that use FastCGI"`
-	Flavors []string `toml:"flavors" unit:"list" doc:"machine kinds of the servers, as reported by discovery"`
-	Servers []string `toml:"servers" unit:"list" doc:"ids of the servers; a * at the end matches any suffix"`
+	Listen       string   `toml:"listen" unit:"address" doc:"listen address for FastCGI clients; changes require a restart"`
+	Sites        []string `toml:"sites" unit:"list" doc:"sites of the servers that use FastCGI"`
+	MachineKinds []string `toml:"flavors" unit:"list" doc:"machine kinds of the servers, as reported by discovery"`
+	Servers      []string `toml:"servers" unit:"list" doc:"ids of the servers; a * at the end matches any suffix"`
 }
 
 // File is the decoded text of an operator's file, before it is checked.
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -116,9 +116,9 @@
 		return a == b
 	}
 	sameServers := func(p, q Pool) bool {
-		return slices.Equal(p.Sites, q.Sites) && slices.Equal(p.Flavors, q.Flavors) && slices.Equal(p.Servers, q.Servers)
+		return slices.Equal(p.Sites, q.Sites) && slices.Equal(p.MachineKinds, q.MachineKinds) && slices.Equal(p.Servers, q.Servers)
 	}
-	selection := func(f FastCGI) Pool { return Pool{Sites: f.Sites, Flavors: f.Flavors, Servers: f.Servers} }
+	selection := func(f FastCGI) Pool { return Pool{Sites: f.Sites, MachineKinds: f.MachineKinds, Servers: f.Servers} }
 	return slices.EqualFunc(a.Pools, b.Pools, sameServers) && sameServers(selection(a.FastCGI), selection(b.FastCGI))
 }
 
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -111,7 +111,7 @@
 // labels returns the pools of a server, one bit for each pool in the order of the file.
 func (t *Table) labels(id, site, machineKind string) (labels uint64) {
 	for i, p := range t.Pools {
-		if matches(p.Sites, p.Flavors, p.Servers, id, site, machineKind) {
+		if matches(p.Sites, p.MachineKinds, p.Servers, id, site, machineKind) {
 			labels |= 1 << i
 		}
 	}
@@ -124,5 +124,5 @@
 		return false
 	}
 	f := &t.FastCGI
-	return len(f.Sites)+len(f.Flavors)+len(f.Servers) > 0 && matches(f.Sites, f.Flavors, f.Servers, id, site, machineKind)
+	return len(f.Sites)+len(f.MachineKinds)+len(f.Servers) > 0 && matches(f.Sites, f.MachineKinds, f.Servers, id, site, machineKind)
 }
--- a/internal/testbed/bench.go
+++ b/internal/testbed/bench.go
@@ -270,7 +270,7 @@
 		if _, err := conn.Send(append(b, "\r\nRequest-Timeout: 2.000\r\n\r\n"...)); err != nil {
 			return latencies, rejected, err
 		}
-		if err := conn.ReadResponse(&r, http1.MaxAnswer); err != nil {
+		if err := conn.ReadResponse(&r, http1.MaxResponseBody); err != nil {
 			return latencies, rejected, err
 		}
 		if latencies = append(latencies, time.Since(startedAt)); r.Status != 200 {
--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -69,7 +69,7 @@
 		return nil
 	}
 	env.mesh = mesh.New()
-	env.mesh.Frame = env.frameForwarded
+	env.mesh.OnFrame = env.frameForwarded
 	for n, p := range env.nodes {
 		ip, _, _ := net.SplitHostPort(env.peerListen(n))
 		if err := env.mesh.Join(n, ip, env.peerAddress(n), env.peerListen(n)); err != nil {
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -143,8 +143,8 @@
 		Site:        env.Scenario.Sites[m.Site],
 		Cell:        m.Cell,
 		MachineKind: m.spec.Kind,
-		Phase:       phase,
-		UpSince:     startedAt,
+		Condition:   phase,
+		StartedAt:   startedAt,
 	}
 	for site := range env.Scenario.Sites {
 		entry.Addresses = append(entry.Addresses, m.Address(site))
--- a/internal/testbed/faultdiscovery.go
+++ b/internal/testbed/faultdiscovery.go
@@ -45,10 +45,10 @@
 		func(_ *environment, _ *scenario.Fault, s *zookeeper.Server) { s.SetFaults(0, 0, false) }),
 	"registry-break": ensembleFault(
 		func(env *environment, _ *scenario.Fault, s *zookeeper.Server) {
-			env.registry.Refuse(true)
+			env.registry.SetRefusing(true)
 			s.CloseConnections()
 		},
-		func(env *environment, _ *scenario.Fault, _ *zookeeper.Server) { env.registry.Refuse(false) }),
+		func(env *environment, _ *scenario.Fault, _ *zookeeper.Server) { env.registry.SetRefusing(false) }),
 	"registry-silent": ensembleFault(
 		func(_ *environment, _ *scenario.Fault, s *zookeeper.Server) { s.SetFaults(0, 0, true) },
 		func(_ *environment, _ *scenario.Fault, s *zookeeper.Server) { s.SetFaults(0, 0, false) }),
--- a/internal/testbed/faultservers.go
+++ b/internal/testbed/faultservers.go
@@ -18,15 +18,15 @@
 var serverFaults = map[string]faultFunc{
 	"slow": eachServer(func(env *environment, f *scenario.Fault, m *standinServer) {
 		setSlowdown := func(factor float64) {
-			m.Model(func(model *server.Model, _ time.Duration, _ func(server.Event)) { model.Slow(factor) })
+			m.WithModel(func(model *server.Model, _ time.Duration, _ func(server.Event)) { model.SetSlowdown(factor) })
 		}
 		setSlowdown(f.Size)
 		env.after(f.For.Std(), func() { setSlowdown(1) })
 	}),
 	"hang": eachServer(func(env *environment, f *scenario.Fault, m *standinServer) {
-		m.Model(func(model *server.Model, now time.Duration, report func(server.Event)) { model.Pause(now, report) })
+		m.WithModel(func(model *server.Model, now time.Duration, report func(server.Event)) { model.Pause(now, report) })
 		env.after(f.For.Std(), func() {
-			m.Model(func(model *server.Model, now time.Duration, report func(server.Event)) { model.Resume(now, report) })
+			m.WithModel(func(model *server.Model, now time.Duration, report func(server.Event)) { model.Resume(now, report) })
 		})
 	}),
 	"pause": eachServer(func(env *environment, f *scenario.Fault, m *standinServer) {
@@ -61,7 +61,7 @@
 	"lose-site": func(env *environment, _ context.Context, f *scenario.Fault, _ *rand.Rand) {
 		for _, m := range env.servers {
 			if env.Scenario.Sites[m.Site] == f.Site {
-				m.Vanish()
+				m.LosePower()
 				env.serverCrashed(m, f.For.Std())
 			}
 		}
@@ -174,7 +174,7 @@
 		for i, d := range []time.Duration{wait, m.spec.PauseFor.Std()} {
 			select {
 			case <-time.After(d):
-				m.Model(func(model *server.Model, now time.Duration, report func(server.Event)) {
+				m.WithModel(func(model *server.Model, now time.Duration, report func(server.Event)) {
 					if i == 0 {
 						model.Pause(now, report)
 					} else {
--- a/internal/testbed/journal.go
+++ b/internal/testbed/journal.go
@@ -71,7 +71,7 @@
 // setUpJournals configures the nodes' journals, if the scenario enables them.
 func (env *environment) setUpJournals() error {
 	j := env.Scenario.Journal
-	if j.Promise == "" {
+	if j.Durability == "" {
 		return nil
 	}
 	if err := env.writeEarlierJournal(); err != nil {
@@ -82,7 +82,7 @@
 		if err := os.MkdirAll(p.journalDir(), 0o755); err != nil {
 			return err
 		}
-		text := fmt.Sprintf("dir = %q\npromise = %q\nwhen_failing = %q\nwait_most = %q\n", p.journalDir(), j.Promise, j.WhenFailing, j.MaxWait.Std())
+		text := fmt.Sprintf("dir = %q\npromise = %q\nwhen_failing = %q\nwait_most = %q\n", p.journalDir(), j.Durability, j.WhenFailing, j.MaxWait.Std())
 		if err := os.WriteFile(p.bindingsPath(), []byte(text), 0o644); err != nil {
 			return err
 		}
@@ -148,7 +148,7 @@
 				return
 			case <-time.After(replicationPollInterval):
 			}
-			if c := env.queryPeers(ctx); len(c.Answered) == len(env.nodes) && c.Shortfall() == "" {
+			if c := env.queryPeers(ctx); len(c.Responses) == len(env.nodes) && c.Shortfall() == "" {
 				env.losses.mu.Lock()
 				*into = time.Since(startedAt).Seconds()
 				env.losses.mu.Unlock()
@@ -185,7 +185,7 @@
 // reconciles open entries with the servers' execution records. Entries of the earlier run, which have incarnation 1, need no
 // execution.
 func (env *environment) readJournals() (sum Journal, err error) {
-	if env.Scenario.Journal.Promise == "" {
+	if env.Scenario.Journal.Durability == "" {
 		return sum, nil
 	}
 	all := map[entryKey]*intent.Entry{}
--- a/internal/testbed/losses.go
+++ b/internal/testbed/losses.go
@@ -75,8 +75,8 @@
 	for deadline := time.Now().Add(maxReplicationWait); ; {
 		c := env.queryPeers(ctx)
 		shortfall := c.Shortfall()
-		if len(c.Answered) < len(env.nodes) {
-			shortfall = fmt.Sprintf("%d of %d nodes respond", len(c.Answered), len(env.nodes))
+		if len(c.Responses) < len(env.nodes) {
+			shortfall = fmt.Sprintf("%d of %d nodes respond", len(c.Responses), len(env.nodes))
 		}
 		if shortfall == "" || ctx.Err() != nil {
 			return ctx.Err()
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -152,7 +152,7 @@
 	for _, f := range s.Faults {
 		r.Faults = append(r.Faults, Fault{f.Kind, f.At.Std().Seconds(), f.End().Seconds()})
 	}
-	if s.Journal.Promise != "" {
+	if s.Journal.Durability != "" {
 		r.Journal = &o.Journal
 	}
 	r.Seconds = o.Seconds
--- a/internal/testbed/scale/component/plans.go
+++ b/internal/testbed/scale/component/plans.go
@@ -21,7 +21,7 @@
 func incarnations(servers int) (all []incarnation.Entry) {
 	for i := range servers {
 		e := entry(i, "")
-		all = append(all, incarnation.Entry{ID: e.ID, StartedUnixMS: e.UpSince.UnixMilli(), Revision: uint64(i), Address: e.Addresses[0], Zone: e.Site, MachineKind: e.MachineKind,
+		all = append(all, incarnation.Entry{ID: e.ID, StartedUnixMS: e.StartedAt.UnixMilli(), Revision: uint64(i), Address: e.Addresses[0], Zone: e.Site, MachineKind: e.MachineKind,
 			Cell: e.Cell, Weight: 1})
 	}
 	return all
--- a/internal/testbed/scale/distribution.go
+++ b/internal/testbed/scale/distribution.go
@@ -169,7 +169,7 @@
 
 func (w *writer) server(i int, condition incarnation.Condition) (distribution.Change, error) {
 	e := (&standin{layout: w.layout}).entry(i, "")
-	v, err := value.EncodeServer(incarnation.Entry{ID: e.ID, StartedUnixMS: e.UpSince.UnixMilli(), Condition: condition, Address: e.Addresses[0], Zone: e.Site,
+	v, err := value.EncodeServer(incarnation.Entry{ID: e.ID, StartedUnixMS: e.StartedAt.UnixMilli(), Condition: condition, Address: e.Addresses[0], Zone: e.Site,
 		MachineKind: e.MachineKind, Cell: e.Cell, Weight: 1})
 	key := distribution.Key{Service: serviceName(i % w.layout.Size.Services), Kind: distribution.KindServer, Name: e.ID}
 	return distribution.Change{Key: key, Value: v}, err
--- a/internal/testbed/scale/standin.go
+++ b/internal/testbed/scale/standin.go
@@ -36,7 +36,7 @@
 func (s *standin) entry(i int, phase string) discovery.Entry {
 	const longAgo = 90 * 24 * time.Hour
 	return discovery.Entry{ID: serverID(s.layout.Size.Services, i), Site: zoneName(s.layout, i%s.layout.Size.Zones), Cell: i % 40,
-		MachineKind: fmt.Sprintf("svc%04d", i%s.layout.Size.Services), Phase: phase, UpSince: time.Now().Add(-longAgo).Truncate(24 * time.Hour),
+		MachineKind: fmt.Sprintf("svc%04d", i%s.layout.Size.Services), Condition: phase, StartedAt: time.Now().Add(-longAgo).Truncate(24 * time.Hour),
 		Addresses: []string{fmt.Sprintf("127.1.%d.%d:%d", i>>8&255, i&255, 1024+i>>16)}}
 }
 
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -71,7 +71,7 @@
 
 func (s *Scenario) checkNodes(c checker) {
 	c.inRange("nodes.count", float64(s.Nodes.Count), 1, maxNodes)
-	c.oneOf("journal.promise", s.Journal.Promise, "", "process", "machine", "machines")
+	c.oneOf("journal.promise", s.Journal.Durability, "", "process", "machine", "machines")
 	c.inRange("peers.replicas", float64(s.Peers.Replicas), 0, 6)
 	c.oneOf("journal.when_failing", s.Journal.WhenFailing, "deny", "serve")
 	c.oneOf("lists.start", s.Lists.Start, "known", "kept", "none")
--- a/internal/testbed/scenario/defaults.go
+++ b/internal/testbed/scenario/defaults.go
@@ -19,7 +19,7 @@
 	setDefault(&s.Registry.Session, Duration(time.Second))
 	setDefault(&s.Journal.WhenFailing, "deny")
 	setDefault(&s.Lists.Start, "known")
-	if s.Journal.Promise == "machines" {
+	if s.Journal.Durability == "machines" {
 		setDefault(&s.Peers.Replicas, 2)
 	}
 	setDefault(&s.Peers.SlowAfter, Duration(50*time.Millisecond))
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -71,7 +71,7 @@
 
 // Journal configures the nodes' journals of non-idempotent requests. Without a promise there are no journals.
 type Journal struct {
-	Promise     string   `toml:"promise"`      // process, machine or machines
+	Durability  string   `toml:"promise"`      // process, machine or machines
 	WhenFailing string   `toml:"when_failing"` // deny or serve
 	MaxWait     Duration `toml:"wait_most"`    // of a request for its record to be stored
 }
--- a/internal/testbed/soak/node.go
+++ b/internal/testbed/soak/node.go
@@ -152,7 +152,7 @@
 func newDiscovery(p *Plan, addresses []string) *discovery.Service {
 	d := discovery.New(discovery.Settings{LinesPerSecond: 1e5, CallLines: 1, Timeout: time.Second}, p.Seed, nopWatcher{})
 	for i, address := range addresses {
-		d.Set(discovery.Entry{ID: serverName(i), Site: "a", MachineKind: "m", Phase: discovery.Serving, Addresses: []string{address}})
+		d.Set(discovery.Entry{ID: serverName(i), Site: "a", MachineKind: "m", Condition: discovery.Serving, Addresses: []string{address}})
 	}
 	return d
 }
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -195,7 +195,7 @@
 func (r *run) applyFaults() {
 	if r.plan.DrainServer {
 		r.servers[0].isDraining.Store(true)
-		r.discovery.Set(discovery.Entry{ID: serverName(0), Site: "a", MachineKind: "m", Phase: discovery.Draining, Addresses: []string{r.servers[0].listener.Address()}})
+		r.discovery.Set(discovery.Entry{ID: serverName(0), Site: "a", MachineKind: "m", Condition: discovery.Draining, Addresses: []string{r.servers[0].listener.Address()}})
 	}
 	if r.plan.DiscoveryDown {
 		r.discovery.SetDown(true)
--- a/internal/testbed/standin/connbalancer/balancer.go
+++ b/internal/testbed/standin/connbalancer/balancer.go
@@ -105,5 +105,5 @@
 	c := http1.NewConn(nc)
 	var r http1.Response
 	_, err = c.Send([]byte("GET /up HTTP/1.1\r\nHost: origin.svc\r\n\r\n"))
-	return err == nil && c.ReadResponse(&r, http1.MaxBody) == nil && r.Status == 200
+	return err == nil && c.ReadResponse(&r, http1.MaxRequestBody) == nil && r.Status == 200
 }
--- a/internal/testbed/standin/discovery/discovery.go
+++ b/internal/testbed/standin/discovery/discovery.go
@@ -36,8 +36,8 @@
 	Site        string
 	Cell        int
 	MachineKind string
-	Phase       string
-	UpSince     time.Time // zero: not stated
+	Condition   string
+	StartedAt   time.Time // zero: not stated
 	Addresses   []string  // by the caller's site
 	revision    uint64
 }
@@ -183,9 +183,9 @@
 
 // line returns the entry for callers of a site.
 func (e *Entry) line(site int) line {
-	l := line{ID: e.ID, HostPort: e.Addresses[site], Locality: e.Site, Flavor: e.MachineKind, Cell: e.Cell, Phase: e.Phase, Size: 1}
-	if !e.UpSince.IsZero() {
-		l.UpSinceMS = e.UpSince.UnixMilli()
+	l := line{ID: e.ID, HostPort: e.Addresses[site], Locality: e.Site, Flavor: e.MachineKind, Cell: e.Cell, Phase: e.Condition, Size: 1}
+	if !e.StartedAt.IsZero() {
+		l.UpSinceMS = e.StartedAt.UnixMilli()
 	}
 	return l
 }
@@ -203,7 +203,7 @@
 	l := list{Revision: s.revision, Complete: isFull, Members: []line{}}
 	for _, id := range s.order {
 		e := s.entries[id]
-		if isFull && e.Phase != Deleted || !isFull && e.revision > after {
+		if isFull && e.Condition != Deleted || !isFull && e.revision > after {
 			l.Members = append(l.Members, e.line(site))
 		}
 	}
--- a/internal/testbed/standin/discovery/discovery_test.go
+++ b/internal/testbed/standin/discovery/discovery_test.go
@@ -60,7 +60,7 @@
 }
 
 func entry(id, phase string) Entry {
-	return Entry{ID: id, Phase: phase, Addresses: []string{"127.0.0.1:1"}}
+	return Entry{ID: id, Condition: phase, Addresses: []string{"127.0.0.1:1"}}
 }
 
 // TestCalls makes consecutive calls on one connection, with changes between them, and checks each list.
--- a/internal/testbed/standin/faultproxy/proxy.go
+++ b/internal/testbed/standin/faultproxy/proxy.go
@@ -99,7 +99,7 @@
 }
 
 // Garbled reports whether all bytes that Garble asked for are corrupted.
-func (p *Proxy) Garbled(d Direction) bool {
+func (p *Proxy) IsGarbleDone(d Direction) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.garble[d] == 0
--- a/internal/testbed/standin/memdisk/memdisk.go
+++ b/internal/testbed/standin/memdisk/memdisk.go
@@ -66,7 +66,7 @@
 }
 
 // Fill makes all operations fail from now on, or succeed again. It replaces FaultOf.
-func (d *Disk) Fill(isFull bool) {
+func (d *Disk) SetFull(isFull bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.FaultOf = func(int) Fault {
--- a/internal/testbed/standin/mesh/mesh.go
+++ b/internal/testbed/standin/mesh/mesh.go
@@ -44,7 +44,7 @@
 	wg          sync.WaitGroup
 	bytes       int64
 	// Frame is called with the kind of each frame on a connection before the frame is forwarded. nil: frames are not scanned.
-	Frame func(from, to int, kind byte)
+	OnFrame func(from, to int, kind byte)
 }
 
 // New returns a mesh without processes.
@@ -261,8 +261,8 @@
 	for {
 		n, err := a.Read(buffer)
 		if n > 0 {
-			if m.Frame != nil {
-				scanner.scan(buffer[:n], func(kind byte) { m.Frame(from, to, kind) })
+			if m.OnFrame != nil {
+				scanner.scan(buffer[:n], func(kind byte) { m.OnFrame(from, to, kind) })
 			}
 			pieces <- piece{append([]byte(nil), buffer[:n]...), time.Now().Add(m.direction(from, to).Delay)}
 		}
--- a/internal/testbed/standin/server/model.go
+++ b/internal/testbed/standin/server/model.go
@@ -225,7 +225,7 @@
 }
 
 // Slow sets the factor by which work that begins from now on takes longer.
-func (m *Model) Slow(factor float64) { m.slowdown = factor }
+func (m *Model) SetSlowdown(factor float64) { m.slowdown = factor }
 
 // Pause pauses the process.
 func (m *Model) Pause(now time.Duration, report func(Event)) {
--- a/internal/testbed/standin/server/model_test.go
+++ b/internal/testbed/standin/server/model_test.go
@@ -128,7 +128,7 @@
 			return []Admission{v}
 		}, []Admission{Admitted}, []reported{{1, Began, 0}, {1, Done, 110 * ms}, {2, Began, 110 * ms}, {2, Done, 120 * ms}}},
 		"slow": {basic, func(m *Model, report func(Event)) []Admission {
-			m.Slow(5)
+			m.SetSlowdown(5)
 			m.Offer(0, Work{ID: 1, Work: 20 * ms}, report)
 			m.Advance(time.Second, report)
 			return nil
--- a/internal/testbed/standin/server/peer.go
+++ b/internal/testbed/standin/server/peer.go
@@ -112,8 +112,8 @@
 			return
 		}
 		p := fastCGIPeer{nc, f, call}
-		if call.Malformed != nil {
-			p.answer(message.Answer{Status: call.Malformed.Status})
+		if call.RequestError != nil {
+			p.answer(message.Answer{Status: call.RequestError.Status})
 			return
 		}
 		last = idOf(call.Request)
--- a/internal/testbed/standin/server/server.go
+++ b/internal/testbed/standin/server/server.go
@@ -149,7 +149,7 @@
 }
 
 // Model calls f with the model under the lock. f passes report to methods of the model.
-func (s *Server) Model(f func(m *Model, now time.Duration, report func(Event))) {
+func (s *Server) WithModel(f func(m *Model, now time.Duration, report func(Event))) {
 	s.withLock(func(now time.Duration) { f(s.model, now, s.handleEvent) })
 }
 
@@ -172,7 +172,7 @@
 }
 
 // Vanish ends the process without closing its connections, as when the machine loses power.
-func (s *Server) Vanish() {
+func (s *Server) LosePower() {
 	for _, l := range s.listeners {
 		l.Silence()
 	}
@@ -205,7 +205,7 @@
 
 // SetPaused pauses the whole process, whose connections stay open and send nothing, or resumes it.
 func (s *Server) SetPaused(isPaused bool) {
-	s.Model(func(m *Model, now time.Duration, report func(Event)) {
+	s.WithModel(func(m *Model, now time.Duration, report func(Event)) {
 		if isPaused {
 			m.Pause(now, report)
 		} else {
--- a/internal/testbed/standin/server/server_test.go
+++ b/internal/testbed/standin/server/server_test.go
@@ -107,7 +107,7 @@
 		"overloaded while cold": {func(s *Server) {
 			s.Crash()
 			s.Start()
-			s.Model(func(m *Model, _ time.Duration, _ func(Event)) { m.settings.OverloadFactor = 1e-9 })
+			s.WithModel(func(m *Model, _ time.Duration, _ func(Event)) { m.settings.OverloadFactor = 1e-9 })
 		}, knownID, ends(syscall.ECONNRESET), "attempt ended:false overloaded"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/testbed/standin/zookeeper/ensemble.go
+++ b/internal/testbed/standin/zookeeper/ensemble.go
@@ -154,7 +154,7 @@
 }
 
 // Refuse sets whether new connections are closed immediately.
-func (r *Registry) Refuse(is bool) {
+func (r *Registry) SetRefusing(is bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refusesConns = is
@@ -198,7 +198,7 @@
 }
 
 // Calls returns the number of requests, excluding pings.
-func (r *Registry) Calls() int {
+func (r *Registry) Requests() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.calls
