--- a/internal/discovery/zookeeper/herd_test.go
+++ b/internal/discovery/zookeeper/herd_test.go
@@ -29,12 +29,12 @@
 		}
 		addresses = append(addresses, s.Address())
 	}
-	var owned []*standin.OwnedSession
+	var sessions []*standin.OwnedSession
 	addEntry := func(i int) *standin.OwnedSession {
 		return registry.OpenSession(time.Hour, map[string][]byte{fmt.Sprintf("/hire/b%d", i): data(i + 1)})
 	}
 	for i := range 50 {
-		owned = append(owned, addEntry(i))
+		sessions = append(sessions, addEntry(i))
 	}
 	config := &Config{Servers: addresses, Path: "/hire", SessionTimeout: tomlfile.Duration(6 * time.Second)}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -51,15 +51,15 @@
 	for announced.Load() < 500 {
 		time.Sleep(10 * time.Millisecond)
 	}
-	startedAt, calls := time.Now(), registry.Calls()
+	startedAt, calls := time.Now(), registry.Requests()
 	for i := range 100 {
-		owned[i%50].End()
+		sessions[i%50].End()
 		time.Sleep(50 * time.Millisecond)
-		owned[i%50] = addEntry(i % 50)
+		sessions[i%50] = addEntry(i % 50)
 		time.Sleep(50 * time.Millisecond)
 	}
 	seconds := time.Since(startedAt).Seconds()
-	callsPerSecond := float64(registry.Calls()-calls) / seconds
+	callsPerSecond := float64(registry.Requests()-calls) / seconds
 	t.Logf("%.0f calls per second by 500 readers at %.0f changes per second: %.1f per reader", callsPerSecond, 200/seconds, callsPerSecond/500)
 	// Each read of a Reader consists of at most two calls: one for the children and one for an entry.
 	if maxCallsPerSecond := 500 * (1 / minReadInterval.Seconds()) * 2; callsPerSecond > maxCallsPerSecond {
--- a/internal/protocol/fastcgi/fastcgi_test.go
+++ b/internal/protocol/fastcgi/fastcgi_test.go
@@ -140,16 +140,16 @@
 		"truncated within END_REQUEST": {end(stdout("Status: 200\r\n\r\nx"), 0, 0)[:44], 0, "", io.ErrUnexpectedEOF, false, false},
 		"closed without output":        {nil, 0, "", io.ErrUnexpectedEOF, false, false},
 		"a head without end":           {stdout("X: " + strings.Repeat("x", message.MaxHead+9)), 0, "", io.ErrUnexpectedEOF, false, false},
-		"too large":                    {stdout(strings.Repeat("x", message.MaxHead+message.MaxAnswer+1)), 0, "", message.ErrMalformedResponse, false, false},
+		"too large":                    {stdout(strings.Repeat("x", message.MaxHead+message.MaxResponseBody+1)), 0, "", message.ErrMalformedResponse, false, false},
 		"unknown management record":    {end(append(appendRecord(nil, typeUnknown, 0, make([]byte, 8)), stdout("Status: 200\r\n\r\nx")...), 0, 0), 200, "x", nil, false, true},
 		"an unknown record":            {appendRecord(nil, 77, 1, nil), 0, "", message.ErrMalformedResponse, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewServerConn(&script{in: iotest.OneByteReader(bytes.NewReader(c.output))}, nil, nil)
+			serverConn := NewServerConn(&script{in: iotest.OneByteReader(bytes.NewReader(c.output))}, nil, nil)
 			var r message.Response
-			err := b.ReceiveResponse(&r)
-			if !errors.Is(err, c.err) || err == nil && (r.Status != c.status || string(r.Body) != c.body || r.NotStarted() != c.notStarted) || b.IsReusable(&r) != c.reusable {
-				t.Errorf("got status %d, body %q, not started %v, reusable %v, error %v", r.Status, r.Body, r.NotStarted(), b.IsReusable(&r), err)
+			err := serverConn.ReceiveResponse(&r)
+			if !errors.Is(err, c.err) || err == nil && (r.Status != c.status || string(r.Body) != c.body || r.NotStarted() != c.notStarted) || serverConn.IsReusable(&r) != c.reusable {
+				t.Errorf("got status %d, body %q, not started %v, reusable %v, error %v", r.Status, r.Body, r.NotStarted(), serverConn.IsReusable(&r), err)
 			}
 		})
 	}
@@ -237,20 +237,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn := &script{in: iotest.OneByteReader(bytes.NewReader(c.sends))}
-			f := NewClientConn(conn, message.NewBufferBudget(1<<20))
+			clientConn := NewClientConn(conn, message.NewBufferBudget(1<<20))
 			var requests []string
 			var err error
 			for {
 				var req *Request
-				if req, err = f.NextRequest(nil); err != nil {
+				if req, err = clientConn.NextRequest(nil); err != nil {
 					break
 				}
-				if req.Malformed != nil {
-					requests = append(requests, fmt.Sprint(req.ID, ":", req.Malformed.Reason))
+				if req.RequestError != nil {
+					requests = append(requests, fmt.Sprint(req.ID, ":", req.RequestError.Reason))
 				} else {
 					requests = append(requests, fmt.Sprint(req.ID, ":", string(req.Request.Body)))
 				}
-				f.freeID(req)
+				clientConn.freeID(req)
 			}
 			var written []string
 			for r := newReader(&conn.out); ; {
--- a/internal/protocol/http1/aliases.go
+++ b/internal/protocol/http1/aliases.go
@@ -14,10 +14,10 @@
 // Answer is the response that the node sends to a client.
 type Answer = message.Answer
 
-// RequestInfo holds the values of a request on which decisions depend.
+// RequestInfo holds what decisions need of a request.
 type RequestInfo = message.RequestInfo
 
-// Malformed is the error of a request that cannot be served.
+// RequestError is the error of a request that cannot be served.
 type RequestError = message.RequestError
 
 // BufferBudget bounds the memory that connections use for large messages.
@@ -25,11 +25,11 @@
 
 // Limits and field names of package message.
 const (
-	MaxHead        = message.MaxHead
-	MaxBody        = message.MaxBody
-	MaxAnswer      = message.MaxAnswer
-	RequestID      = message.RequestID
-	RequestTimeout = message.RequestTimeout
+	MaxHead         = message.MaxHead
+	MaxRequestBody  = message.MaxRequestBody
+	MaxResponseBody = message.MaxResponseBody
+	RequestID       = message.RequestID
+	RequestTimeout  = message.RequestTimeout
 )
 
 // NewBufferBudget returns a budget of the given number of bytes.
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -53,8 +53,8 @@
 		"chunked":               {in: post + "Transfer-Encoding: Chunked\r\n\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nA: b\r\n\r\n", body: "hello"},
 		"Connection: close":     {in: "GET /a HTTP/1.1\r\nHost: h\r\nConnection: x, Close\r\n\r\n", close: true},
 		"HTTP/1.0":              {in: "GET /a HTTP/1.0\r\n\r\n", close: true},
-		"the largest body":      {in: fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", post, MaxBody, strings.Repeat("b", MaxBody)), body: strings.Repeat("b", MaxBody)},
-		"many small chunks":     {in: post + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\nc\r\n", MaxBody) + "0\r\n\r\n", body: strings.Repeat("c", MaxBody)},
+		"the largest body":      {in: fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", post, MaxRequestBody, strings.Repeat("b", MaxRequestBody)), body: strings.Repeat("b", MaxRequestBody)},
+		"many small chunks":     {in: post + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1\r\nc\r\n", MaxRequestBody) + "0\r\n\r\n", body: strings.Repeat("c", MaxRequestBody)},
 		"two lengths, the same": {in: post + "Content-Length: 1\r\nContent-Length: 1\r\n\r\nx", body: "x"},
 
 		"no input":                   {err: io.EOF},
@@ -75,7 +75,7 @@
 		"chunk without size":         {in: post + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n", status: 400},
 		"chunk longer than its size": {in: post + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", status: 400},
 		"an endless size line":       {in: post + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("0", 4*maxChunkLineBytes), status: 400},
-		"a large body":               {in: fmt.Sprintf("%sContent-Length: %d\r\n\r\n", post, MaxBody+1), status: 413},
+		"a large body":               {in: fmt.Sprintf("%sContent-Length: %d\r\n\r\n", post, MaxRequestBody+1), status: 413},
 		"large chunks":               {in: post + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("8000\r\n"+strings.Repeat("z", 0x8000)+"\r\n", 3), status: 413},
 		"a large head":               {in: "GET /a HTTP/1.1\r\nHost: h\r\nA: " + strings.Repeat("a", MaxHead), status: 431},
 		"too many fields":            {in: "GET /a HTTP/1.1\r\nHost: h\r\n" + strings.Repeat("A: b\r\n", message.MaxFields) + "\r\n", status: 431},
@@ -85,18 +85,18 @@
 				// A second request behind the first must be read from its first byte.
 				next := "GET /next HTTP/1.1\r\nHost: h\r\n\r\n"
 				s := &script{in: c.in, step: step, end: io.EOF}
-				whole := c.status == 0 && c.err == nil
-				if whole {
+				isValid := c.status == 0 && c.err == nil
+				if isValid {
 					s.in += next
 				}
 				conn := NewConn(s)
 				var r Request
 				err := conn.ReadRequest(&r)
-				var bad *RequestError
-				if c.status != 0 && (!errors.As(err, &bad) || bad.Status != c.status) || c.err != nil && err != c.err || whole && err != nil {
+				var requestError *RequestError
+				if c.status != 0 && (!errors.As(err, &requestError) || requestError.Status != c.status) || c.err != nil && err != c.err || isValid && err != nil {
 					t.Fatalf("step %d: got error %v", step, err)
 				}
-				if !whole {
+				if !isValid {
 					continue
 				}
 				if string(r.Body) != c.body || r.Close != c.close {
@@ -139,15 +139,15 @@
 		"endless interim responses": {in: strings.Repeat("HTTP/1.1 100 Go on\r\n\r\n", 99), err: ErrMalformedResponse},
 		"a bad field":               {in: ok + "what is this\r\n\r\n", err: ErrMalformedResponse},
 		"a bad chunk":               {in: ok + "Transfer-Encoding: chunked\r\n\r\n\x00\x00\r\n", err: ErrMalformedResponse},
-		"too long":                  {in: ok + fmt.Sprintf("Content-Length: %d\r\n\r\n", MaxBody+1), err: ErrMalformedResponse},
-		"far too long":              {in: ok + "\r\n" + strings.Repeat("x", 2*MaxBody), err: ErrMalformedResponse},
+		"too long":                  {in: ok + fmt.Sprintf("Content-Length: %d\r\n\r\n", MaxRequestBody+1), err: ErrMalformedResponse},
+		"far too long":              {in: ok + "\r\n" + strings.Repeat("x", 2*MaxRequestBody), err: ErrMalformedResponse},
 		"a head too large":          {in: ok + "A: " + strings.Repeat("x", MaxHead), err: ErrMalformedResponse},
 		"another protocol":          {in: "HTTP/1.1 101 Switching\r\n\r\n", err: ErrMalformedResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, step := range steps {
 				var r Response
-				err := NewConn(&script{in: c.in, step: step, end: io.EOF}).ReadResponse(&r, MaxBody)
+				err := NewConn(&script{in: c.in, step: step, end: io.EOF}).ReadResponse(&r, MaxRequestBody)
 				if err != c.err {
 					t.Fatalf("step %d: got error %v", step, err)
 				}
@@ -233,27 +233,27 @@
 }
 
 func TestParseEndpointList(t *testing.T) {
-	const good = `{"id":"s-1","host_port":"127.0.0.1:80","locality":"a","cell":3,"phase":"SERVING","size":1.5,"up_since_ms":7}`
+	const valid = `{"id":"s-1","host_port":"127.0.0.1:80","locality":"a","cell":3,"phase":"SERVING","size":1.5,"up_since_ms":7}`
 	for name, c := range map[string]struct {
-		in             string
-		hosts, skipped int
-		ok             bool
+		in                 string
+		endpoints, skipped int
+		ok                 bool
 	}{
-		"complete":                {`{"revision":4,"complete":true,"members":[` + good + `]}`, 1, 0, true},
+		"complete":                {`{"revision":4,"complete":true,"members":[` + valid + `]}`, 1, 0, true},
 		"no changes":              {`{"revision":4,"complete":false,"members":[]}`, 0, 0, true},
 		"deleted, no address":     {`{"revision":4,"members":[{"id":"s-2","phase":"DELETED"}]}`, 1, 0, true},
-		"one without address":     {`{"revision":4,"members":[{"id":"s-2","phase":"SERVING"},` + good + `]}`, 1, 1, true},
-		"one without id":          {`{"revision":4,"members":[{"phase":"DELETED"},` + good + `]}`, 1, 1, true},
-		"an unknown phase":        {`{"revision":4,"members":[{"id":"s-2","host_port":"127.0.0.1:80","phase":"NEW"},` + good + `]}`, 1, 1, true},
-		"entries of another type": {`{"revision":4,"members":[7,null,"x",` + good + `]}`, 1, 3, true},
-		"truncated":               {`{"revision":4,"members":[` + good, 0, 0, false},
+		"one without address":     {`{"revision":4,"members":[{"id":"s-2","phase":"SERVING"},` + valid + `]}`, 1, 1, true},
+		"one without id":          {`{"revision":4,"members":[{"phase":"DELETED"},` + valid + `]}`, 1, 1, true},
+		"an unknown phase":        {`{"revision":4,"members":[{"id":"s-2","host_port":"127.0.0.1:80","phase":"NEW"},` + valid + `]}`, 1, 1, true},
+		"entries of another type": {`{"revision":4,"members":[7,null,"x",` + valid + `]}`, 1, 3, true},
+		"truncated":               {`{"revision":4,"members":[` + valid, 0, 0, false},
 		"no revision":             {`{"members":[]}`, 0, 0, false},
 		"no list":                 {`oops`, 0, 0, false},
 		"nothing":                 {``, 0, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := ParseEndpointList([]byte(c.in))
-			if (err == nil) != c.ok || len(l.Endpoints) != c.hosts || len(l.Skipped) != c.skipped {
+			if (err == nil) != c.ok || len(l.Endpoints) != c.endpoints || len(l.Skipped) != c.skipped {
 				t.Errorf("got %d endpoints, %d skipped, error %v", len(l.Endpoints), len(l.Skipped), err)
 			}
 		})
@@ -312,25 +312,25 @@
 			var r Request
 			if NewConn(&script{in: string(in), step: step, end: io.EOF}).ReadRequest(&r) == nil {
 				r.Info()
-				if len(r.Body) > MaxBody {
+				if len(r.Body) > MaxRequestBody {
 					t.Error("got a body above MaxBody")
 				}
 			}
 			var a Response
-			NewConn(&script{in: string(in), step: step, end: io.EOF}).ReadResponse(&a, MaxBody)
+			NewConn(&script{in: string(in), step: step, end: io.EOF}).ReadResponse(&a, MaxRequestBody)
 		}
 		ParseEndpointList(in)
 	})
 }
 
-// TestBufferBudget checks that large messages share the budget, that a message above it is rejected, and that released
-// memory can be reserved again.
+// TestBufferBudget checks that large messages share the budget, that a message is rejected if too little of it is left, and that
+// released memory can be reserved again.
 func TestBufferBudget(t *testing.T) {
 	const size = 40 << 10
 	in := fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("b", size))
-	p := NewBufferBudget(48 << 10)
+	budget := NewBufferBudget(48 << 10)
 	read := func() (*Conn, error) {
-		c := NewConnWithBudget(&script{in: in, step: 1 << 20, end: io.EOF}, p)
+		c := NewConnWithBudget(&script{in: in, step: 1 << 20, end: io.EOF}, budget)
 		return c, c.ReadRequest(&Request{})
 	}
 	first, err := read()
@@ -338,13 +338,13 @@
 		t.Fatal(err)
 	}
 	second, err := read()
-	var bad *RequestError
-	if !errors.As(err, &bad) || bad.Status != 503 {
+	var requestError *RequestError
+	if !errors.As(err, &requestError) || requestError.Status != 503 {
 		t.Errorf("second message: got error %v, want status 503", err)
 	}
 	first.ReleaseBuffers()
 	second.ReleaseBuffers()
-	if free := p.Available(); free != 48<<10 {
+	if free := budget.Available(); free != 48<<10 {
 		t.Errorf("got %d bytes available", free)
 	}
 	if _, err := read(); err != nil {
--- a/internal/proxy/descriptors_test.go
+++ b/internal/proxy/descriptors_test.go
@@ -16,8 +16,8 @@
 
 func TestShortOfDescriptors(t *testing.T) {
 	t.Parallel()
-	hosts, _ := servers(t, 1, okResponse)
-	cfg := config(hosts...)
+	serverEndpoints, _ := servers(t, 1, okResponse)
+	cfg := config(serverEndpoints...)
 	cfg.Limits.Sockets = 1 // allows the minimum number of connections
 	at, _ := startNode(t, cfg)
 	for i := range 4 * cfg.Limits.MaxConnections() {
@@ -53,7 +53,7 @@
 				}
 				defer nc.Close()
 				fmt.Fprintf(nc, "GET /check/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n", ids.Add(1))
-				http1.NewConn(nc).ReadResponse(&r, http1.MaxBody)
+				http1.NewConn(nc).ReadResponse(&r, http1.MaxRequestBody)
 			}
 			answers <- r.Status
 		}()
@@ -78,8 +78,8 @@
 		malformedClients, correctClients, requestsPerClient = 120, 4, 6
 		maxAttempts                                         = 50
 	)
-	hosts, _ := servers(t, 2, okResponse)
-	cfg := config(hosts...)
+	serverEndpoints, _ := servers(t, 2, okResponse)
+	cfg := config(serverEndpoints...)
 	cfg.Limits.Sockets = 64
 	for i := range cfg.Settings.TrafficTypes {
 		cfg.Settings.TrafficTypes[i].LatencyObjective, cfg.Settings.TrafficTypes[i].ClientTimeout = time.Minute, time.Minute
@@ -162,7 +162,7 @@
 		return 0, err
 	}
 	var r http1.Response
-	err = http1.NewConn(nc).ReadResponse(&r, http1.MaxAnswer)
+	err = http1.NewConn(nc).ReadResponse(&r, http1.MaxResponseBody)
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, syscall.ECONNRESET) {
 		return -1, nil // neither answered nor closed
 	}
--- a/internal/proxy/fastcgishutdown_test.go
+++ b/internal/proxy/fastcgishutdown_test.go
@@ -32,11 +32,11 @@
 			c.Send(http1.AppendAnswer(nil, *echoed(&r)))
 		}
 	})
-	var hosts []http1.Endpoint // one server under many IDs, so that many attempts may be in flight
+	var serverEndpoints []http1.Endpoint // one server under many IDs, so that many attempts may be in flight
 	for i := range 100 {
-		hosts = append(hosts, http1.Endpoint{ID: fmt.Sprint("s", i), Weight: 1, Address: at})
+		serverEndpoints = append(serverEndpoints, http1.Endpoint{ID: fmt.Sprint("s", i), Weight: 1, Address: at})
 	}
-	http, cgi, stop = startFastCGINodeWith(t, delays, hosts...)
+	http, cgi, stop = startFastCGINodeWith(t, delays, serverEndpoints...)
 	return http, cgi, stop, begun, release
 }
 
@@ -198,7 +198,7 @@
 			strings.Repeat("GET /check/2 HTTP/1.1\r\nHost: h\r\nRequest-Id: reset-2\r\n\r\n", 500)),
 			func(nc net.Conn) (int, error) {
 				var r http1.Response
-				err := http1.NewConn(nc).ReadResponse(&r, http1.MaxAnswer)
+				err := http1.NewConn(nc).ReadResponse(&r, http1.MaxResponseBody)
 				return len(r.Body), err
 			}},
 		"FastCGI, malformed": {cgi, append(encodeRequest(1, post("reset-3")), strings.Repeat("no record at all", 2000)...),
--- a/internal/proxy/httpclient_test.go
+++ b/internal/proxy/httpclient_test.go
@@ -16,8 +16,8 @@
 
 func TestMalformedRequests(t *testing.T) {
 	t.Parallel()
-	hosts, received := servers(t, 1, okResponse)
-	at, _ := startNode(t, config(hosts...))
+	serverEndpoints, received := servers(t, 1, okResponse)
+	at, _ := startNode(t, config(serverEndpoints...))
 	const get = "GET /check/1 HTTP/1.1\r\nHost: h\r\n"
 	for name, c := range map[string]struct {
 		in     string
@@ -107,7 +107,7 @@
 			}
 			var r http1.Response
 			client.SetReadDeadline(time.Now().Add(10 * time.Second))
-			if err := client.ReadResponse(&r, http1.MaxAnswer); (err == nil && r.Status == 200) != c.next {
+			if err := client.ReadResponse(&r, http1.MaxResponseBody); (err == nil && r.Status == 200) != c.next {
 				t.Errorf("next request: unexpected status %d, error %v", r.Status, err)
 			}
 		})
--- a/internal/proxy/intentjournal_test.go
+++ b/internal/proxy/intentjournal_test.go
@@ -60,8 +60,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			hosts, _ := servers(t, 3, c.script...)
-			cfg := config(hosts...)
+			serverEndpoints, _ := servers(t, 3, c.script...)
+			cfg := config(serverEndpoints...)
 			disk := memdisk.New()
 			cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Durability: "machine", WhenFailing: "deny", MaxWait: tomlfile.Duration(time.Second), SegmentBytes: 1 << 20, RepeatOfField: "Repeats"}
 			at, stop := startNode(t, cfg)
@@ -111,15 +111,15 @@
 		t.Run(choice, func(t *testing.T) {
 			t.Parallel()
 			disk := memdisk.New()
-			hosts, received := servers(t, 3, okResponse)
-			cfg := config(hosts...)
+			serverEndpoints, received := servers(t, 3, okResponse)
+			cfg := config(serverEndpoints...)
 			cfg.Filesystem, cfg.Journal = disk, &wal.Config{Dir: "j", Durability: "machine", WhenFailing: choice, MaxWait: tomlfile.Duration(100 * time.Millisecond), SegmentBytes: 1 << 20}
 			at, stop := startNode(t, cfg)
 			if got := book(t, at, ""); got != 200 {
 				t.Fatalf("got status %d, want 200", got)
 			}
 			await(t, "recorded answer to the first request", func() bool { all, _ := entries(t, disk); return len(all) == 1 && all[0].ClientOutcome != "" })
-			disk.Fill(true)
+			disk.SetFull(true)
 			before := received.Load()
 			want := map[string]int{"deny": 503, "serve": 200}[choice]
 			for range 3 {
@@ -133,7 +133,7 @@
 			if got := int(received.Load() - before); got != map[string]int{"deny": 3, "serve": 6}[choice] {
 				t.Errorf("unexpected number of attempts: %d", got)
 			}
-			disk.Fill(false)
+			disk.SetFull(false)
 			await(t, "recorded request after the failure", func() bool { return book(t, at, "") == 200 && gaps(t, disk) > 0 })
 			if err := stop(); err != nil {
 				t.Fatal(err)
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -85,8 +85,8 @@
 	planners  []*process
 
 	discovery      *discovery.Service
-	mu             sync.Mutex               // guards addresses and serializes writes of node configurations
-	addresses      int                      // number of moves of discovery to new addresses
+	mu             sync.Mutex               // guards discoveryMoves and serializes writes of node configurations
+	discoveryMoves int                      // number of moves of discovery to new addresses
 	registry       *zookeeper.Registry      // nil: nodes get the endpoint list from discovery
 	ensemble       []*zookeeper.Server      // servers of the registry, one for each address
 	plannerProxies [][2]*plannerproxy.Proxy // by planner and half of the nodes
@@ -143,8 +143,8 @@
 		Site:        env.Scenario.Sites[m.Site],
 		Cell:        m.Cell,
 		MachineKind: m.spec.Kind,
-		Phase:       phase,
-		UpSince:     startedAt,
+		Condition:   phase,
+		StartedAt:   startedAt,
 	}
 	for site := range env.Scenario.Sites {
 		entry.Addresses = append(entry.Addresses, m.Address(site))
@@ -253,7 +253,8 @@
 	g.Wait()
 }
 
-// close stops all processes and stand-ins and releases the network.
+// close waits for the steps of faults that are in progress, kills all processes, closes the stand-ins and releases the
+// network.
 func (env *environment) close() {
 	close(env.stopped)
 	env.wg.Wait()
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -25,7 +25,7 @@
 	audit        *audit.Audit
 	servers      map[string]int                // server numbers by ID
 	lastListed   map[int]map[int]bool          // by node: servers in the last list that the registry sent to it
-	missing      map[int]map[int]time.Duration // by node: when servers disappeared from that list
+	missingSince map[int]map[int]time.Duration // by node: when servers disappeared from that list
 	drained      map[[2]int]bool               // by node and server: the registry notified the node of a drain
 	runningSince []time.Duration               // by node: time of its last start; never while it is down
 }
@@ -41,7 +41,7 @@
 		audit:        audit.New(auditSettings(s)),
 		servers:      map[string]int{},
 		lastListed:   map[int]map[int]bool{},
-		missing:      map[int]map[int]time.Duration{},
+		missingSince: map[int]map[int]time.Duration{},
 		drained:      map[[2]int]bool{},
 		runningSince: make([]time.Duration, s.Nodes.Count),
 	}
@@ -118,28 +118,25 @@
 	return o.runningSince[endpoint.Node] <= since
 }
 
-// nodeDown records that a node's process exited. onPurpose exempts the requests that it held from the rule that each
-// request is answered.
-func (o *observer) nodeDown(n int, onPurpose bool) {
+// nodeDown records that a node's process exited or is being killed. exemptsRequests exempts the requests in flight at it
+// from the rule that each request is answered; a graceful shutdown does not.
+func (o *observer) nodeDown(n int, exemptsRequests bool) {
 	o.record(func(a *audit.Audit, now time.Duration) {
 		o.runningSince[n] = never
-		if onPurpose {
+		if exemptsRequests {
 			a.NodeDown(n, now)
 		}
 	})
 }
 
-// nodePaused records that a node's process was paused.
 func (o *observer) nodePaused(n int) {
 	o.record(func(a *audit.Audit, now time.Duration) { a.NodePaused(n, now) })
 }
 
-// nodeResumed records that a paused node was resumed.
 func (o *observer) nodeResumed(n int) {
 	o.record(func(a *audit.Audit, now time.Duration) { a.NodeUp(n, now) })
 }
 
-// nodeUp records that a node's process was started.
 func (o *observer) nodeUp(n int) {
 	o.record(func(a *audit.Audit, now time.Duration) {
 		o.runningSince[n] = now
@@ -182,7 +179,8 @@
 	o.record(func(a *audit.Audit, _ time.Duration) { a.ConnectionIdle(id, serverNumber, from, to) })
 }
 
-var conditions = map[string]audit.Condition{discovery.Serving: audit.Serving, discovery.Draining: audit.Draining, discovery.Deleted: audit.Removed}
+// discoveryConditions maps the phases of the discovery stand-in to conditions.
+var discoveryConditions = map[string]audit.Condition{discovery.Serving: audit.Serving, discovery.Draining: audit.Draining, discovery.Deleted: audit.Removed}
 
 // Announced records that discovery notified a node of a server's phase. Notifications of planners are ignored, because
 // nodes receive them only through the planner.
@@ -192,7 +190,7 @@
 	}
 	o.record(func(a *audit.Audit, _ time.Duration) {
 		if number, ok := o.servers[id]; ok {
-			a.NodeNotified(node, number, conditions[phase], startedAt, at.Sub(o.start))
+			a.NodeNotified(node, number, discoveryConditions[phase], startedAt, at.Sub(o.start))
 		}
 	})
 }
@@ -201,7 +199,8 @@
 // the registry stand-in.
 type discoveryObserver struct{ *observer }
 
-var incarnations = [...]audit.Condition{incarnation.Up: audit.Serving, incarnation.Draining: audit.Draining, incarnation.Gone: audit.Removed}
+// plannerConditions maps the conditions in notifications of planners to conditions of the audit.
+var plannerConditions = [...]audit.Condition{incarnation.Up: audit.Serving, incarnation.Draining: audit.Draining, incarnation.Gone: audit.Removed}
 
 // Planned records that a planner notified a node of servers' conditions.
 func (o *observer) Planned(forwarder string, entries []incarnation.Entry, at time.Time) {
@@ -212,7 +211,7 @@
 	o.record(func(a *audit.Audit, _ time.Duration) {
 		for _, entry := range entries {
 			if number, ok := o.servers[entry.ID]; ok {
-				a.NodeNotified(node, number, incarnations[entry.Condition], entry.StartedUnixMS, at.Sub(o.start))
+				a.NodeNotified(node, number, plannerConditions[entry.Condition], entry.StartedUnixMS, at.Sub(o.start))
 			}
 		}
 	})
--- a/internal/testbed/scale/conductor.go
+++ b/internal/testbed/scale/conductor.go
@@ -16,11 +16,11 @@
 	maxReadyTime          = 60 * time.Second
 	maxCompleteWait       = 60 * time.Second       // until all nodes know all servers
 	maxOrderTime          = 20 * time.Second       // until an order is executed
-	pollInterval          = time.Second            // between reads of connections and processes
+	pollInterval          = time.Second            // between readings of connections and processes
 	conditionPollInterval = 100 * time.Millisecond // of waitUntil
 	settleTime            = 2 * time.Second        // after the start, before the idle phase
 	maxChangeWait         = 15 * time.Second       // after the last change of a phase, until the last node has applied it
-	maxFaults             = 20                     // stored in the result
+	maxFaults             = 20                     // errors of processes that are stored in the result
 	eventDelay            = time.Second            // from the begin of the event's phase to the event
 )
 
@@ -45,15 +45,15 @@
 	workers        []*process
 	controls       []*process
 	discovery      *process
-	regionLinks    *process // nil if the run does not partition regions
-	responses      chan announcement
+	regionLinks    *process          // nil if the run does not partition regions
+	responses      chan announcement // of the discovery process to orders
 	startedAt      time.Time
 	revision       int            // of the operator's file
 	restartLatency *ChangeLatency // of nodes that an event killed
 
 	mu        sync.Mutex
 	faults    []string
-	maxMemory float64 // memory
+	maxMemory float64 // bytes: maximum of the sum over all processes
 }
 
 // Run runs a size and returns the measurements.
@@ -83,7 +83,7 @@
 	c.ledger = newLedger(o.Size.Nodes, c.layout.isServed)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	defer c.end()
+	defer c.killAll()
 	if err := c.prepare(); err != nil {
 		return nil, err
 	}
@@ -147,7 +147,7 @@
 	return all
 }
 
-// handle processes an announcement.
+// handle processes an announcement. Each result or error of the discovery process counts as its response to an order.
 func (c *conductor) handle(p *process, a announcement) {
 	if a.Error != "" {
 		c.mu.Lock()
@@ -164,7 +164,8 @@
 	}
 }
 
-func (c *conductor) end() {
+// killAll kills all processes of the run and waits for their ends.
+func (c *conductor) killAll() {
 	var all sync.WaitGroup
 	for _, p := range c.all() {
 		all.Go(p.kill)
@@ -172,8 +173,8 @@
 	all.Wait()
 }
 
-// watch periodically reads the traffic of connections and the memory of processes, and cancels a run that uses too much
-// memory.
+// watch reads the traffic of connections and the memory of processes once per poll interval and cancels a run that uses too
+// much memory. It includes the tool's own memory.
 func (c *conductor) watch(ctx context.Context, cancel context.CancelCauseFunc) {
 	for tick := time.NewTicker(pollInterval); ; {
 		select {
@@ -182,7 +183,7 @@
 			return
 		case <-tick.C:
 		}
-		if err := c.read(); err != nil {
+		if err := c.readTraffic(); err != nil {
 			cancel(err)
 			return
 		}
@@ -200,7 +201,8 @@
 	}
 }
 
-func (c *conductor) read() error {
+// readTraffic updates the sums of the meter.
+func (c *conductor) readTraffic() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.meter.read(c.nonNodeProcesses)
@@ -208,11 +210,11 @@
 
 // nonNodeProcesses returns the ids of the processes other than nodes that connect to control processes.
 func (c *conductor) nonNodeProcesses() (pids []int) {
-	others := append([]*process{c.discovery}, c.controls...)
+	processes := append([]*process{c.discovery}, c.controls...)
 	if c.regionLinks != nil {
-		others = append(others, c.regionLinks)
+		processes = append(processes, c.regionLinks)
 	}
-	for _, p := range others {
+	for _, p := range processes {
 		if pid := p.pid(); pid > 0 {
 			pids = append(pids, pid)
 		}
@@ -220,20 +222,20 @@
 	return pids
 }
 
-// reading is the resource usage of all roles since the start of the run.
+// reading is the traffic, CPU time and inputs of policies of all roles since the start of the run, and their present memory.
 type reading struct {
-	at     time.Time
-	flows  map[role]flow
-	use    map[role]usage
-	handed deliveryCounts
+	at         time.Time
+	flows      map[role]flow
+	use        map[role]usage
+	deliveries deliveryCounts
 }
 
 func (c *conductor) reading() (r reading, err error) {
-	if err := c.read(); err != nil {
+	if err := c.readTraffic(); err != nil {
 		return r, err
 	}
 	c.mu.Lock()
-	r = reading{at: time.Now(), flows: c.meter.flows(), use: map[role]usage{}, handed: c.ledger.handed()}
+	r = reading{at: time.Now(), flows: c.meter.flows(), use: map[role]usage{}, deliveries: c.ledger.deliveries()}
 	c.mu.Unlock()
 	for _, p := range c.all() {
 		u, one := r.use[p.task.Role], p.use()
@@ -249,9 +251,9 @@
 // phase returns the result of a phase from the readings before and after it.
 func (c *conductor) phase(name string, from, to reading, latency *ChangeLatency) Phase {
 	seconds := to.at.Sub(from.at).Seconds()
-	p := Phase{Name: name, Seconds: seconds, Roles: map[string]Role{}, ChangeLatency: latency, Handed: deliveryCounts{
-		Lists: to.handed.Lists - from.handed.Lists, Elements: to.handed.Elements - from.handed.Elements,
-		Plans: to.handed.Plans - from.handed.Plans, Reroutes: to.handed.Reroutes - from.handed.Reroutes}}
+	p := Phase{Name: name, Seconds: seconds, Roles: map[string]Role{}, ChangeLatency: latency, Deliveries: deliveryCounts{
+		Lists: to.deliveries.Lists - from.deliveries.Lists, Elements: to.deliveries.Elements - from.deliveries.Elements,
+		Plans: to.deliveries.Plans - from.deliveries.Plans, RouteUpdates: to.deliveries.RouteUpdates - from.deliveries.RouteUpdates}}
 	members := map[role]int{roleNodes: c.Size.Nodes, roleDiscovery: 1, roleTools: 1, roleControl: len(c.controls)}
 	if c.Size.Membership {
 		members[roleMembership] = c.Size.Nodes
--- a/internal/testbed/scale/distribution.go
+++ b/internal/testbed/scale/distribution.go
@@ -21,11 +21,11 @@
 
 const (
 	startTimeout        = 2 * time.Second
-	maxControlAddresses = 8 // in a node's configuration
-	maxServicesPerNode  = 1000
+	maxControlAddresses = 8    // in a node's configuration
+	maxServicesPerNode  = 1000 // limit of the distribution client's configuration
 	changesPerWrite     = 1000
 	writeRetryInterval  = 200 * time.Millisecond
-	maxWriteTime        = 15 * time.Second // of a write, over all control processes that are tried
+	maxWriteTime        = 15 * time.Second // of a write, including the attempts at all control processes
 	maxInitialWriteTime = 2 * time.Minute  // until all servers are written at the start
 )
 
@@ -43,7 +43,7 @@
 	case s.Control < s.Regions:
 		return fmt.Errorf("--control %d: each of %d regions needs a root", s.Control, s.Regions)
 	case s.Services > maxServicesPerNode && (s.ServicesPerNode == 0 || s.ServicesPerNode > maxServicesPerNode):
-		return fmt.Errorf("--serves %d: a node serves at most %d services on this plane", s.ServicesPerNode, maxServicesPerNode)
+		return fmt.Errorf("--serves %d: at most %d services per node are allowed on this plane", s.ServicesPerNode, maxServicesPerNode)
 	}
 	return nil
 }
@@ -169,14 +169,14 @@
 
 func (w *writer) server(i int, condition incarnation.Condition) (distribution.Change, error) {
 	e := (&standin{layout: w.layout}).entry(i, "")
-	v, err := value.EncodeServer(incarnation.Entry{ID: e.ID, StartedUnixMS: e.UpSince.UnixMilli(), Condition: condition, Address: e.Addresses[0], Zone: e.Site,
+	v, err := value.EncodeServer(incarnation.Entry{ID: e.ID, StartedUnixMS: e.StartedAt.UnixMilli(), Condition: condition, Address: e.Addresses[0], Zone: e.Site,
 		MachineKind: e.MachineKind, Cell: e.Cell, Weight: 1})
 	key := distribution.Key{Service: serviceName(i % w.layout.Size.Services), Kind: distribution.KindServer, Name: e.ID}
 	return distribution.Change{Key: key, Value: v}, err
 }
 
-// write retries until a control process has acknowledged the changes or the deadline has passed. It returns when the last
-// attempt began.
+// write retries until a control process has acknowledged the changes or the deadline has passed. It returns the time at which
+// the last attempt began.
 func (w *writer) write(changes []distribution.Change, deadline time.Time) (began time.Time, err error) {
 	for {
 		began = time.Now()
--- a/internal/testbed/scale/standin.go
+++ b/internal/testbed/scale/standin.go
@@ -7,8 +7,8 @@
 	"fernvane/internal/testbed/standin/discovery"
 )
 
-// listsPerS is far above the need of any size: the capacity of a discovery service is not what a run measures.
-const listsPerS = 1e12
+// linesPerSecond is far above the need of any size: the capacity of a discovery service is not what a run measures.
+const linesPerSecond = 1e12
 
 // standin is a Source that changes the entries of a stand-in of discovery.
 type standin struct {
@@ -21,11 +21,11 @@
 func (discardWatcher) Announced(int, string, string, int64, time.Time) {}
 
 func newStandin(l *Layout) (Source, error) {
-	s := &standin{layout: l, service: discovery.New(discovery.Settings{LinesPerSecond: listsPerS, Timeout: time.Minute}, l.Size.Seed, discardWatcher{})}
+	s := &standin{layout: l, service: discovery.New(discovery.Settings{LinesPerSecond: linesPerSecond, Timeout: time.Minute}, l.Size.Seed, discardWatcher{})}
 	for i := range l.Size.Servers {
 		s.service.Set(s.entry(i, discovery.Serving))
 	}
-	for i, port := range []int{discoveryPort, ownerPort} {
+	for i, port := range []int{discoveryPort, discoveryControlPort} {
 		if err := s.service.Serve(i, 0, l.discoveryAddress(port)); err != nil {
 			return nil, err
 		}
@@ -36,7 +36,7 @@
 func (s *standin) entry(i int, phase string) discovery.Entry {
 	const longAgo = 90 * 24 * time.Hour
 	return discovery.Entry{ID: serverID(s.layout.Size.Services, i), Site: zoneName(s.layout, i%s.layout.Size.Zones), Cell: i % 40,
-		MachineKind: fmt.Sprintf("svc%04d", i%s.layout.Size.Services), Phase: phase, UpSince: time.Now().Add(-longAgo).Truncate(24 * time.Hour),
+		MachineKind: fmt.Sprintf("svc%04d", i%s.layout.Size.Services), Condition: phase, StartedAt: time.Now().Add(-longAgo).Truncate(24 * time.Hour),
 		Addresses: []string{fmt.Sprintf("127.1.%d.%d:%d", i>>8&255, i&255, 1024+i>>16)}}
 }
 
--- a/internal/testbed/scenario/defaults.go
+++ b/internal/testbed/scenario/defaults.go
@@ -19,7 +19,7 @@
 	setDefault(&s.Registry.Session, Duration(time.Second))
 	setDefault(&s.Journal.WhenFailing, "deny")
 	setDefault(&s.Lists.Start, "known")
-	if s.Journal.Promise == "machines" {
+	if s.Journal.Durability == "machines" {
 		setDefault(&s.Peers.Replicas, 2)
 	}
 	setDefault(&s.Peers.SlowAfter, Duration(50*time.Millisecond))
@@ -56,13 +56,13 @@
 	setDefault(&s.Discovery.SilentNotice, Duration(6*time.Second))
 	setDefault(&s.Discovery.Add, Duration(time.Second))
 	setDefault(&s.Discovery.Spread, Duration(100*time.Millisecond))
-	setDefault(&s.Discovery.LinesPerS, 5000)
+	setDefault(&s.Discovery.LinesPerSecond, 5000)
 	setDefault(&s.Discovery.CallLines, 40)
 	setDefault(&s.Discovery.Timeout, Duration(3*time.Second))
 	setDefault(&s.Rules.DrainGrace, Duration(500*time.Millisecond))
 	setDefault(&s.Rules.OverloadFactor, 2.5)
 	setDefault(&s.Rules.OverloadWindow, Duration(2*time.Second))
 	setDefault(&s.Rules.MaxAttempts, 4)
-	setDefault(&s.Rules.AskWithin, Duration(5*time.Second))
+	setDefault(&s.Rules.RequestEndpointsWithin, Duration(5*time.Second))
 	setDefault(&s.Rules.Slack, Duration(50*time.Millisecond))
 }
