--- a/cmd/testbed/journal.go
+++ b/cmd/testbed/journal.go
@@ -25,7 +25,7 @@
 func killsCommand() *cobra.Command {
 	var n int
 	var seed uint64
-	var promise string
+	var durability string
 	c := &cobra.Command{Use: "kills", Short: "Kill nodes repeatedly and compare their journals with the servers' execution records", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			command, err := self()
@@ -36,7 +36,7 @@
 			if err != nil {
 				return err
 			}
-			s.Seed, s.Journal.Durability, s.Faults = seed, promise, nil
+			s.Seed, s.Journal.Durability, s.Faults = seed, durability, nil
 			random := rand.New(rand.NewPCG(seed, 3))
 			const down, up = 200 * time.Millisecond, 250 * time.Millisecond // a node runs for up plus a random time between kills
 			at := make([]time.Duration, s.Nodes.Count)
@@ -52,7 +52,7 @@
 			}
 			j := out.Journal
 			fmt.Fprintf(c.OutOrStdout(), "%d kills in %s, promise %s: %d entries, %d executions, %d possibly sent, %d of them not settled by execution records, %d records in gaps\n",
-				n, s.Length.Std(), promise, j.Entries, j.Ran, j.PossiblySent, j.Open, j.Gaps)
+				n, s.Length.Std(), durability, j.Entries, j.Ran, j.PossiblySent, j.Open, j.Gaps)
 			for _, r := range out.Rules {
 				if r.Violations > 0 {
 					fmt.Fprintf(c.OutOrStdout(), "rule broken %d times: %s: %s\n", r.Violations, r.Name, r.FirstViolation)
@@ -66,13 +66,13 @@
 		}}
 	c.Flags().IntVarP(&n, "kills", "n", 500, "kill nodes this number of times")
 	c.Flags().Uint64Var(&seed, "seed", 53, "seed the times of kills and the load")
-	c.Flags().StringVar(&promise, "promise", "process", "set the journal's promise: process or machine")
+	c.Flags().StringVar(&durability, "promise", "process", "set the journal's durability: process or machine")
 	return c
 }
 
-// promisesCommand measures what the journal's promises cost a non-idempotent request.
+// promisesCommand measures the cost of each durability of the journal for a non-idempotent request.
 func promisesCommand() *cobra.Command {
-	return &cobra.Command{Use: "promises", Short: "Measure what each of the journal's promises adds to a non-idempotent request", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "promises", Short: "Measure the cost of each durability of the journal for a non-idempotent request", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			command, err := self()
 			if err != nil {
@@ -84,9 +84,9 @@
 			}
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(t, "promise\tservice\tbook p50 ms\tp99\tp99.9\tcheck p50 ms\tp99\tCPU s\tbytes an entry\tbetween nodes\t")
-			for _, promise := range []string{"", "process", "machine", "machines"} {
+			for _, durability := range []string{"", "process", "machine", "machines"} {
 				one := *s
-				if one.Journal.Durability = promise; promise == "machines" {
+				if one.Journal.Durability = durability; durability == "machines" {
 					one.Peers.Replicas = 2
 				}
 				out, err := testbed.Run(c.Context(), testbed.Options{Scenario: &one, Requests: load.Plan(&one), Command: command})
@@ -110,13 +110,13 @@
 				if out.Journal.Entries > 0 {
 					each = float64(out.Journal.Bytes) / float64(out.Journal.Entries)
 				} else {
-					promise = "none"
+					durability = "none"
 				}
 				peerBytes := 0.0
 				if out.Journal.Entries > 0 {
 					peerBytes = float64(out.Journal.PeerBytes) / float64(out.Journal.Entries)
 				}
-				fmt.Fprintf(t, "%s\t%.4f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\t%.0f\t%.0f\t\n", promise, out.ServiceShare(), cells[1][0], cells[1][1], cells[1][2], cells[0][0],
+				fmt.Fprintf(t, "%s\t%.4f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\t%.0f\t%.0f\t\n", durability, out.ServiceShare(), cells[1][0], cells[1][1], cells[1][2], cells[0][0],
 					cells[0][1], out.NodeUsage.CPU.Seconds(), each, peerBytes)
 			}
 			return t.Flush()
--- a/cmd/testbed/losses.go
+++ b/cmd/testbed/losses.go
@@ -19,14 +19,14 @@
 func lossesCommand() *cobra.Command {
 	var n, concurrency int
 	var seed uint64
-	var promise string
+	var durability string
 	c := &cobra.Command{Use: "losses", Short: "Lose machines with their disks repeatedly, and check that each execution is in a remaining journal", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			command, err := self()
 			if err != nil {
 				return err
 			}
-			l := &losses{wanted: n, seed: seed, promise: promise, command: command, progress: c.ErrOrStderr(),
+			l := &losses{wanted: n, seed: seed, durability: durability, command: command, progress: c.ErrOrStderr(),
 				broken: map[string]int{}, firstViolation: map[string]string{}}
 			var g errgroup.Group
 			for range concurrency {
@@ -40,17 +40,17 @@
 	c.Flags().IntVarP(&n, "losses", "n", 1000, "lose at least this number of machines")
 	c.Flags().IntVar(&concurrency, "at-once", 3, "run this number of clusters of 12 nodes concurrently")
 	c.Flags().Uint64Var(&seed, "seed", 6100, "use this seed plus 1 for the first run, plus 2 for the second, and so on")
-	c.Flags().StringVar(&promise, "promise", "machines", "set the journal's promise: process, machine or machines")
+	c.Flags().StringVar(&durability, "promise", "machines", "set the journal's durability: process, machine or machines")
 	return c
 }
 
 // losses repeats runs concurrently until enough machines were lost. It is safe for concurrent use.
 type losses struct {
-	wanted   int
-	seed     uint64
-	promise  string
-	command  []string
-	progress io.Writer
+	wanted     int
+	seed       uint64
+	durability string
+	command    []string
+	progress   io.Writer
 
 	mu             sync.Mutex
 	runs           uint64
@@ -86,10 +86,10 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Seed, s.Journal.Durability = l.seed+l.runs, l.promise
+	s.Seed, s.Journal.Durability = l.seed+l.runs, l.durability
 	s.Length = scenario.Duration(2 * time.Minute)
 	s.Faults[0].For = scenario.Duration(118 * time.Second)
-	if l.promise != "machines" {
+	if l.durability != "machines" {
 		s.Peers.Replicas = 0
 	}
 	return s, nil
@@ -123,7 +123,7 @@
 // print prints the sums and each broken rule. It returns an error if a rule was broken.
 func (l *losses) print(out io.Writer) (err error) {
 	fmt.Fprintf(out, "%d machines lost in %d cycles, promise %s: %d entries, %d executions, %d possibly sent, %d of them not settled by execution records, %d records in gaps\n",
-		l.sum.Losses, l.sum.Cycles, l.promise, l.sum.Entries, l.sum.Ran, l.sum.PossiblySent, l.sum.Open, l.sum.Gaps)
+		l.sum.Losses, l.sum.Cycles, l.durability, l.sum.Entries, l.sum.Ran, l.sum.PossiblySent, l.sum.Open, l.sum.Gaps)
 	for name, n := range l.broken {
 		if n > 0 {
 			fmt.Fprintf(out, "rule broken %d times: %s: %s\n", n, name, l.firstViolation[name])
--- a/internal/cluster/peer/client.go
+++ b/internal/cluster/peer/client.go
@@ -27,9 +27,9 @@
 	cfg *Config
 	// Members contains the discovered nodes by name.
 	Members map[string]membership.Member
-	// Answered contains the responses by node name.
+	// Responses contains the responses by node name.
 	Responses map[string]*Status
-	// Unanswered contains the error of each node that did not respond, by name or, if the name is unknown, by address.
+	// QueryErrors contains the error of each node that did not respond, by name or, if the name is unknown, by address.
 	QueryErrors map[string]error
 }
 
@@ -52,7 +52,7 @@
 			}
 		}
 	}
-	c.keyUnansweredByName()
+	c.keyQueryErrorsByName()
 	return c
 }
 
@@ -92,19 +92,19 @@
 	}
 }
 
-// keyUnansweredByName replaces the addresses in Unanswered by node names where these are known.
-func (c *Client) keyUnansweredByName() {
-	unanswered := map[string]error{}
+// keyQueryErrorsByName replaces the addresses in QueryErrors by node names where these are known.
+func (c *Client) keyQueryErrorsByName() {
+	errorsByName := map[string]error{}
 	for _, m := range c.Members {
 		if err := c.QueryErrors[m.Address]; err != nil && c.Responses[m.Name] == nil && m.Condition != membership.Left {
-			unanswered[m.Name] = err
+			errorsByName[m.Name] = err
 			delete(c.QueryErrors, m.Address)
 		}
 	}
 	for address, err := range c.QueryErrors {
-		unanswered[address] = err
+		errorsByName[address] = err
 	}
-	c.QueryErrors = unanswered
+	c.QueryErrors = errorsByName
 }
 
 func queryStatus(ctx context.Context, cfg *Config, address string, verify bool) (*Status, error) {
@@ -138,9 +138,9 @@
 	return conn, err
 }
 
-// Records requests all records, or those of one request ID, from each node in Answered, and calls each for every record
+// Records requests all records, or those of one request ID, from each node in Responses, and calls each for every record
 // from the calling goroutine. A record that several nodes store is passed several times. A node that does not send all
-// of its records moves from Answered to Unanswered. corrupt is the number of unreadable places that the nodes reported.
+// of its records moves from Responses to QueryErrors. corrupt is the number of unreadable places that the nodes reported.
 // If each returns an error, Records stops and returns it as err.
 func (c *Client) Records(ctx context.Context, since time.Time, id string, each func(*intent.Record) error) (corrupt int, err error) {
 	for name := range c.Responses {
--- a/internal/cluster/peer/clusterstate_test.go
+++ b/internal/cluster/peer/clusterstate_test.go
@@ -32,12 +32,12 @@
 		"its holders are unknown":                    {nil, nil, nil, []string{"unqueried"}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			answered := map[string]*Status{"a": {Stream: now, Holders: c.holders}, "b": {StoredReplicas: c.b}, "c": {StoredReplicas: c.c}}
+			responses := map[string]*Status{"a": {Stream: now, Holders: c.holders}, "b": {StoredReplicas: c.b}, "c": {StoredReplicas: c.c}}
 			of := "a"
 			if slices.Contains(c.lost, "unqueried") {
 				of = "unqueried"
 			}
-			if got := (&Client{Responses: answered}).SurvivesLoss(of, c.lost); got != c.want {
+			if got := (&Client{Responses: responses}).SurvivesLoss(of, c.lost); got != c.want {
 				t.Errorf("SurvivesLoss: got %v", got)
 			}
 		})
--- a/internal/controlplane/distribution/control/source_test.go
+++ b/internal/controlplane/distribution/control/source_test.go
@@ -62,8 +62,8 @@
 	wait(t, "both servers", func() bool {
 		return hasCondition("s1", incarnation.Up, false)() && hasCondition("s2", incarnation.Up, false)()
 	})
-	set := func(id, phase string) {
-		list.Set(discovery.Entry{ID: id, Condition: phase, Addresses: []string{"127.0.0.1:1"}})
+	set := func(id, condition string) {
+		list.Set(discovery.Entry{ID: id, Condition: condition, Addresses: []string{"127.0.0.1:1"}})
 	}
 	set("s1", discovery.Draining)
 	wait(t, "a drain", hasCondition("s1", incarnation.Draining, false))
--- a/internal/controlplane/distribution/tree/fileentries.go
+++ b/internal/controlplane/distribution/tree/fileentries.go
@@ -67,10 +67,10 @@
 	}
 }
 
-// encode returns the server's value. Without hasSize, the size is 1.
-func (s Server) encode(hasSize bool) ([]byte, error) {
+// encode returns the server's value. Without hasWeight, the weight is 1.
+func (s Server) encode(hasWeight bool) ([]byte, error) {
 	e := incarnation.Entry{ID: s.ID, Address: s.Address, Zone: s.Zone, MachineKind: s.MachineKind, Cell: s.Cell, Weight: s.Weight}
-	if !hasSize {
+	if !hasWeight {
 		e.Weight = 1
 	}
 	if !s.StartedAt.IsZero() {
--- a/internal/controlplane/planner/server_test.go
+++ b/internal/controlplane/planner/server_test.go
@@ -61,8 +61,8 @@
 	return ln.Addr().String(), list
 }
 
-func entry(id, phase string) discovery.Entry {
-	return discovery.Entry{ID: id, Condition: phase, Addresses: []string{"127.0.0.1:9"}}
+func entry(id, condition string) discovery.Entry {
+	return discovery.Entry{ID: id, Condition: condition, Addresses: []string{"127.0.0.1:9"}}
 }
 
 // testForwarder is a forwarder that implements the wire protocol in the test.
--- a/internal/discovery/zookeeper/herd_test.go
+++ b/internal/discovery/zookeeper/herd_test.go
@@ -14,7 +14,7 @@
 	standin "fernvane/internal/testbed/standin/zookeeper"
 )
 
-// TestHerd measures the calls that 500 Readers make to an ensemble of three servers while entries are removed and added ten
+// TestHerd measures the requests that 500 Readers make to an ensemble of three servers while entries are removed and added ten
 // times per second. It is long, so it runs only with HERD=1.
 func TestHerd(t *testing.T) {
 	if os.Getenv("HERD") == "" {
@@ -51,7 +51,7 @@
 	for announced.Load() < 500 {
 		time.Sleep(10 * time.Millisecond)
 	}
-	startedAt, calls := time.Now(), registry.Requests()
+	startedAt, requests := time.Now(), registry.Requests()
 	for i := range 100 {
 		sessions[i%50].End()
 		time.Sleep(50 * time.Millisecond)
@@ -59,11 +59,11 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	seconds := time.Since(startedAt).Seconds()
-	callsPerSecond := float64(registry.Requests()-calls) / seconds
-	t.Logf("%.0f calls per second by 500 readers at %.0f changes per second: %.1f per reader", callsPerSecond, 200/seconds, callsPerSecond/500)
-	// Each read of a Reader consists of at most two calls: one for the children and one for an entry.
-	if maxCallsPerSecond := 500 * (1 / minReadInterval.Seconds()) * 2; callsPerSecond > maxCallsPerSecond {
-		t.Errorf("got more calls per second than the limit of %.0f", maxCallsPerSecond)
+	requestsPerSecond := float64(registry.Requests()-requests) / seconds
+	t.Logf("%.0f requests per second by 500 readers at %.0f changes per second: %.1f per reader", requestsPerSecond, 200/seconds, requestsPerSecond/500)
+	// Each read of a Reader consists of at most two requests: one for the children and one for an entry.
+	if maxRequestsPerSecond := 500 * (1 / minReadInterval.Seconds()) * 2; requestsPerSecond > maxRequestsPerSecond {
+		t.Errorf("got more requests per second than the limit of %.0f", maxRequestsPerSecond)
 	}
 	cancel()
 	readers.Wait()
--- a/internal/protocol/http1/http1_test.go
+++ b/internal/protocol/http1/http1_test.go
@@ -313,7 +313,7 @@
 			if NewConn(&script{in: string(in), step: step, end: io.EOF}).ReadRequest(&r) == nil {
 				r.Info()
 				if len(r.Body) > MaxRequestBody {
-					t.Error("got a body above MaxBody")
+					t.Error("got a body longer than MaxRequestBody")
 				}
 			}
 			var a Response
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -131,9 +131,9 @@
 	return env.runLoad(ctx)
 }
 
-// announce sets a server's phase in discovery and the registry after a delay, unless the server is announced again
+// announce sets a server's condition in discovery and the registry after a delay, unless the server is announced again
 // before the delay has passed.
-func (env *environment) announce(m *standinServer, phase string, after time.Duration, startedAt time.Time) {
+func (env *environment) announce(m *standinServer, condition string, after time.Duration, startedAt time.Time) {
 	m.mu.Lock()
 	m.changes++
 	change := m.changes
@@ -143,7 +143,7 @@
 		Site:        env.Scenario.Sites[m.Site],
 		Cell:        m.Cell,
 		MachineKind: m.spec.Kind,
-		Condition:   phase,
+		Condition:   condition,
 		StartedAt:   startedAt,
 	}
 	for site := range env.Scenario.Sites {
@@ -155,7 +155,7 @@
 		if m.changes == change {
 			env.discovery.Set(entry)
 			if env.registry != nil {
-				env.updateRegistry(m, phase, startedAt)
+				env.updateRegistry(m, condition, startedAt)
 			}
 		}
 	})
--- a/internal/testbed/observer.go
+++ b/internal/testbed/observer.go
@@ -179,18 +179,18 @@
 	o.record(func(a *audit.Audit, _ time.Duration) { a.ConnectionIdle(id, serverNumber, from, to) })
 }
 
-// discoveryConditions maps the phases of the discovery stand-in to conditions.
+// discoveryConditions maps the conditions of the discovery stand-in to conditions of the audit.
 var discoveryConditions = map[string]audit.Condition{discovery.Serving: audit.Serving, discovery.Draining: audit.Draining, discovery.Deleted: audit.Removed}
 
-// Announced records that discovery notified a node of a server's phase. Notifications of planners are ignored, because
+// Announced records that discovery notified a node of a server's condition. Notifications of planners are ignored, because
 // nodes receive them only through the planner.
-func (o discoveryObserver) Announced(node int, id, phase string, startedAt int64, at time.Time) {
+func (o discoveryObserver) Announced(node int, id, condition string, startedAt int64, at time.Time) {
 	if node >= o.scenario.Nodes.Count {
 		return
 	}
 	o.record(func(a *audit.Audit, _ time.Duration) {
 		if number, ok := o.servers[id]; ok {
-			a.NodeNotified(node, number, discoveryConditions[phase], startedAt, at.Sub(o.start))
+			a.NodeNotified(node, number, discoveryConditions[condition], startedAt, at.Sub(o.start))
 		}
 	})
 }
--- a/internal/testbed/registry.go
+++ b/internal/testbed/registry.go
@@ -86,9 +86,9 @@
 	m.session = env.registry.OpenSession(env.Scenario.Registry.Session.Std(), nodes)
 }
 
-// updateRegistry updates the registry for a server's new phase. The caller holds the server's lock.
-func (env *environment) updateRegistry(m *standinServer, phase string, startedAt time.Time) {
-	switch phase {
+// updateRegistry updates the registry for a server's new condition. The caller holds the server's lock.
+func (env *environment) updateRegistry(m *standinServer, condition string, startedAt time.Time) {
+	switch condition {
 	case discovery.Serving:
 		env.openSession(m, startedAt)
 	case discovery.Draining:
--- a/internal/testbed/scale/component/lists.go
+++ b/internal/testbed/scale/component/lists.go
@@ -25,9 +25,9 @@
 
 func (discardWatcher) Announced(int, string, string, int64, time.Time) {}
 
-func entry(i int, phase string) discovery.Entry {
+func entry(i int, condition string) discovery.Entry {
 	return discovery.Entry{ID: fmt.Sprintf("svc%04d-srv-%06d", i%services, i), Site: fmt.Sprintf("region-%d-zone-%d", i%regions, i%zones), Cell: i % cells,
-		MachineKind: fmt.Sprintf("svc%04d", i%services), Condition: phase, StartedAt: time.UnixMilli(startedUnixMS + int64(i)),
+		MachineKind: fmt.Sprintf("svc%04d", i%services), Condition: condition, StartedAt: time.UnixMilli(startedUnixMS + int64(i)),
 		Addresses: []string{fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255)}}
 }
 
--- a/internal/testbed/scale/standin.go
+++ b/internal/testbed/scale/standin.go
@@ -33,20 +33,20 @@
 	return s, nil
 }
 
-func (s *standin) entry(i int, phase string) discovery.Entry {
+func (s *standin) entry(i int, condition string) discovery.Entry {
 	const longAgo = 90 * 24 * time.Hour
 	return discovery.Entry{ID: serverID(s.layout.Size.Services, i), Site: zoneName(s.layout, i%s.layout.Size.Zones), Cell: i % 40,
-		MachineKind: fmt.Sprintf("svc%04d", i%s.layout.Size.Services), Condition: phase, StartedAt: time.Now().Add(-longAgo).Truncate(24 * time.Hour),
+		MachineKind: fmt.Sprintf("svc%04d", i%s.layout.Size.Services), Condition: condition, StartedAt: time.Now().Add(-longAgo).Truncate(24 * time.Hour),
 		Addresses: []string{fmt.Sprintf("127.1.%d.%d:%d", i>>8&255, i&255, 1024+i>>16)}}
 }
 
 func (s *standin) Change(server int, draining bool) (time.Time, error) {
-	phase := discovery.Serving
+	condition := discovery.Serving
 	if draining {
-		phase = discovery.Draining
+		condition = discovery.Draining
 	}
 	at := time.Now()
-	s.service.Set(s.entry(server, phase))
+	s.service.Set(s.entry(server, condition))
 	return at, nil
 }
 
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -69,7 +69,7 @@
 	EarlierEntries int      `toml:"before"`       // unreplicated entries of an earlier run in the first node's journal
 }
 
-// Journal configures the nodes' journals of non-idempotent requests. Without a promise there are no journals.
+// Journal configures the nodes' journals of non-idempotent requests. If Durability is empty, nodes have no journals.
 type Journal struct {
 	Durability  string   `toml:"promise"`      // process, machine or machines
 	WhenFailing string   `toml:"when_failing"` // deny or serve
--- a/internal/testbed/standin/discovery/discovery.go
+++ b/internal/testbed/standin/discovery/discovery.go
@@ -23,7 +23,7 @@
 	moveGrace = 1500 * time.Millisecond // from a move until the old address closes its connections
 )
 
-// Phases of an entry, as on the wire.
+// Conditions of an entry, as on the wire.
 const (
 	Serving  = "SERVING"
 	Draining = "DRAINING"
@@ -52,8 +52,9 @@
 
 // Watcher is notified of each entry that was written to a node, from many goroutines.
 type Watcher interface {
-	// Announced reports an entry that a node received. up is the server's start in Unix milliseconds, 0 if not stated.
-	Announced(node int, id, phase string, up int64, at time.Time)
+	// Announced reports an entry that a node received. startedUnixMS is the server's start in Unix milliseconds, 0 if not
+	// stated.
+	Announced(node int, id, condition string, startedUnixMS int64, at time.Time)
 }
 
 // Service is the stand-in.
--- a/internal/testbed/standin/discovery/discovery_test.go
+++ b/internal/testbed/standin/discovery/discovery_test.go
@@ -21,10 +21,10 @@
 	all []string
 }
 
-func (a *announcements) Announced(node int, id, phase string, _ int64, _ time.Time) {
+func (a *announcements) Announced(node int, id, condition string, _ int64, _ time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.all = append(a.all, fmt.Sprint(node, id, phase))
+	a.all = append(a.all, fmt.Sprint(node, id, condition))
 }
 
 const address = "127.0.0.1:0"
@@ -59,8 +59,8 @@
 	return l, r.Status, nil
 }
 
-func entry(id, phase string) Entry {
-	return Entry{ID: id, Condition: phase, Addresses: []string{"127.0.0.1:1"}}
+func entry(id, condition string) Entry {
+	return Entry{ID: id, Condition: condition, Addresses: []string{"127.0.0.1:1"}}
 }
 
 // TestCalls makes consecutive calls on one connection, with changes between them, and checks each list.
--- a/internal/testbed/standin/faultproxy/proxy.go
+++ b/internal/testbed/standin/faultproxy/proxy.go
@@ -98,7 +98,7 @@
 	p.garble[d] = bytes
 }
 
-// Garbled reports whether all bytes that Garble asked for are corrupted.
+// IsGarbleDone reports whether all bytes that the last Garble requested have been corrupted.
 func (p *Proxy) IsGarbleDone(d Direction) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/standin/memdisk/memdisk.go
+++ b/internal/testbed/standin/memdisk/memdisk.go
@@ -65,7 +65,7 @@
 	return d.operations
 }
 
-// Fill makes all operations fail from now on, or succeed again. It replaces FaultOf.
+// SetFull makes all later operations fail with Full, or succeed again. It replaces FaultOf.
 func (d *Disk) SetFull(isFull bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testbed/standin/mesh/mesh.go
+++ b/internal/testbed/standin/mesh/mesh.go
@@ -43,7 +43,7 @@
 	closed      bool
 	wg          sync.WaitGroup
 	bytes       int64
-	// Frame is called with the kind of each frame on a connection before the frame is forwarded. nil: frames are not scanned.
+	// OnFrame is called with the kind of each frame on a connection before the frame is forwarded. nil: frames are not scanned.
 	OnFrame func(from, to int, kind byte)
 }
 
--- a/internal/testbed/standin/server/model.go
+++ b/internal/testbed/standin/server/model.go
@@ -224,7 +224,7 @@
 	return left
 }
 
-// Slow sets the factor by which work that begins from now on takes longer.
+// SetSlowdown sets the factor by which the duration of work that starts later is multiplied.
 func (m *Model) SetSlowdown(factor float64) { m.slowdown = factor }
 
 // Pause pauses the process.
--- a/internal/testbed/standin/server/server.go
+++ b/internal/testbed/standin/server/server.go
@@ -148,7 +148,7 @@
 	attempt.ended <- e.Step
 }
 
-// Model calls f with the model under the lock. f passes report to methods of the model.
+// WithModel calls f with the model under the lock. f passes report to methods of the model.
 func (s *Server) WithModel(f func(m *Model, now time.Duration, report func(Event))) {
 	s.withLock(func(now time.Duration) { f(s.model, now, s.handleEvent) })
 }
@@ -171,7 +171,7 @@
 	}
 }
 
-// Vanish ends the process without closing its connections, as when the machine loses power.
+// LosePower ends the process without closing its connections, as when the machine loses power.
 func (s *Server) LosePower() {
 	for _, l := range s.listeners {
 		l.Silence()
--- a/internal/testbed/standin/zookeeper/conn.go
+++ b/internal/testbed/standin/zookeeper/conn.go
@@ -94,9 +94,9 @@
 	defer nc.Close()
 	r := s.registry
 	r.mu.Lock()
-	refuse := r.refusesConns || s.isSilent
+	isRefused := r.isRefusing || s.isSilent
 	r.mu.Unlock()
-	if refuse {
+	if isRefused {
 		return
 	}
 	c := &conn{Conn: nc, server: s, dataWatches: map[string]bool{}, childWatches: map[string]bool{}, existWatches: map[string]bool{}}
--- a/internal/testbed/standin/zookeeper/ensemble.go
+++ b/internal/testbed/standin/zookeeper/ensemble.go
@@ -30,17 +30,17 @@
 type Registry struct {
 	watcher Watcher
 
-	mu           sync.Mutex
-	head         *tree // the committed state
-	log          []change
-	sessions     map[int64]*session
-	lastID       int64
-	servers      []*Server
-	calls        int
-	expiryDelay  time.Duration // added to each session's timeout
-	refusesConns bool          // new connections are closed immediately
-	done         chan struct{}
-	wg           sync.WaitGroup
+	mu          sync.Mutex
+	head        *tree // the committed state
+	log         []change
+	sessions    map[int64]*session
+	lastID      int64
+	servers     []*Server
+	requests    int
+	expiryDelay time.Duration // added to each session's timeout
+	isRefusing  bool          // new connections are closed immediately
+	done        chan struct{}
+	wg          sync.WaitGroup
 }
 
 // session is a client's session.
@@ -153,11 +153,11 @@
 	r.expiryDelay = d
 }
 
-// Refuse sets whether new connections are closed immediately.
-func (r *Registry) SetRefusing(is bool) {
+// SetRefusing sets whether new connections are closed immediately.
+func (r *Registry) SetRefusing(isRefusing bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.refusesConns = is
+	r.isRefusing = isRefusing
 }
 
 // Expire ends the sessions that own the paths, as if they had timed out.
@@ -197,11 +197,11 @@
 	return n
 }
 
-// Calls returns the number of requests, excluding pings.
+// Requests returns the number of requests, excluding pings.
 func (r *Registry) Requests() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.calls
+	return r.requests
 }
 
 // expire ends sessions that timed out. The caller holds the lock, as for the functions below.
--- a/internal/testbed/standin/zookeeper/requests.go
+++ b/internal/testbed/standin/zookeeper/requests.go
@@ -47,7 +47,7 @@
 	}
 	c.session.lastRequest = time.Now()
 	if op != opPing {
-		r.calls++
+		r.requests++
 	}
 	response := s.answer(c, op, &q)
 	if q.isMalformed {
