--- a/cmd/fernvane/bindings_test.go
+++ b/cmd/fernvane/bindings_test.go
@@ -78,7 +78,7 @@
 	const head = `{"server":"s0","from":"2026-01-31T08:00:00Z","to":"2026-01-31T10:00:00Z"}` + "\n"
 	malformed := filepath.Join(t.TempDir(), "bad")
 	for text, want := range map[string]string{
-		`{"id":"x"}`:                "bad:1: an id before any server",
+		`{"id":"x"}`:                "bad:1: id precedes the first server line",
 		head + `{"id":7}`:           "bad:2:",
 		head + "\n" + `{"who":"x"}`: "bad:3:",
 		`{"server":"s0"}`:           "from and to",
--- a/internal/cluster/framing/conn.go
+++ b/internal/cluster/framing/conn.go
@@ -95,7 +95,7 @@
 func (c *Conn) checkHello(body []byte) (peer string, err error) {
 	var h Hello
 	if err := Decode(body, &h); err != nil {
-		return "", c.Reject(fmt.Errorf("hello cannot be read: %v", err))
+		return "", c.Reject(fmt.Errorf("decode hello: %v", err))
 	}
 	if h.Version != c.protocol.Version {
 		return "", c.Reject(fmt.Errorf("version %d is spoken here, not %d", c.protocol.Version, h.Version))
--- a/internal/controlplane/distribution/control/config.go
+++ b/internal/controlplane/distribution/control/config.go
@@ -126,7 +126,7 @@
 		f.AddFault("listen", "listen %q: want an IP address and a port", c.Listen)
 	}
 	if len(c.Upstreams) > maxUpstreams {
-		f.AddFault("upstreams", "%d upstreams: at most %d", len(c.Upstreams), maxUpstreams)
+		f.AddFault("upstreams", "%d upstreams, want at most %d", len(c.Upstreams), maxUpstreams)
 	}
 	addresses := []netip.AddrPort{c.ListenAddress}
 	for i, text := range c.Upstreams {
--- a/internal/controlplane/distribution/value/value.go
+++ b/internal/controlplane/distribution/value/value.go
@@ -52,7 +52,7 @@
 	}
 	server, err := DecodeServerValue(e.Value)
 	if err == nil && server.ID != e.Key.Name {
-		err = fmt.Errorf("its value is of server %.40q", server.ID)
+		err = fmt.Errorf("value names server %.40q, want the name in its key", server.ID)
 	}
 	server.Revision = e.Clock
 	return server, err
@@ -61,7 +61,7 @@
 // DecodeServerValue decodes and validates a server's value. The revision of the result is 0.
 func DecodeServerValue(v []byte) (server incarnation.Entry, err error) {
 	if err := decoding.Unmarshal(v, &server); err != nil {
-		return server, errors.New("the value of a server cannot be read")
+		return server, errors.New("decode server: value is invalid")
 	}
 	return server, validateServer(server)
 }
@@ -95,14 +95,14 @@
 func DecodeTenant(e distribution.Entry) (Tenant, error) {
 	var t Tenant
 	if err := decoding.Unmarshal(e.Value, &t); err != nil {
-		return t, errors.New("the value of a tenant cannot be read")
+		return t, errors.New("decode tenant: value is invalid")
 	}
 	return t, validateTenant(t)
 }
 
 func validateTenant(t Tenant) error {
 	if math.IsNaN(t.Allowance) || math.IsInf(t.Allowance, 0) || t.Allowance < 0 {
-		return fmt.Errorf("allowance %v: a number of 0 or more is wanted", t.Allowance)
+		return fmt.Errorf("allowance %v: want a finite number of at least 0", t.Allowance)
 	}
 	return nil
 }
--- a/internal/controlplane/planwire/frames_test.go
+++ b/internal/controlplane/planwire/frames_test.go
@@ -38,7 +38,7 @@
 		"HTTP":               {[]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"), ErrFrameTooLong.Error()},
 		"an oversized frame": {append(oversizedLength, byte(HelloKind)), ErrFrameTooLong.Error()},
 		"an unknown kind":    {[]byte{0, 0, 0, 0, 99}, ErrUnknownKind.Error()},
-		"invalid CBOR":       {[]byte{0, 0, 0, 2, byte(HelloKind), 0xff, 0xff}, "cannot be read"},
+		"invalid CBOR":       {[]byte{0, 0, 0, 2, byte(HelloKind), 0xff, 0xff}, "decode hello: "},
 		"a truncated frame":  {encodeFrame(HelloKind, Hello{Version: Version, Name: "n1"})[:7], "EOF"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/journal/execution/execution.go
+++ b/internal/journal/execution/execution.go
@@ -81,7 +81,7 @@
 	case l.ID == "":
 		return nil, errors.New("line has neither server nor id")
 	case len(read) == 0:
-		return nil, errors.New("an id before any server")
+		return nil, errors.New("id precedes the first server line")
 	default:
 		read[len(read)-1].RequestIDs[l.ID] = true
 	}
--- a/internal/proxy/distribution_test.go
+++ b/internal/proxy/distribution_test.go
@@ -131,12 +131,12 @@
 	}{
 		{"servers", func() []distribution.Rejection {
 			return applier.ApplyServers([]distribution.Entry{text(distribution.KindServer, "s", 1, "x"), serverEntry(t, 1, incarnation.Entry{ID: "t", Address: "127.0.0.1:80", Weight: 1})}, true)
-		}, "hire/server/s: the value of a server cannot be read", ""},
+		}, "hire/server/s: decode server: value is invalid", ""},
 		{"a server of another name", func() []distribution.Rejection {
 			e := serverEntry(t, 1, incarnation.Entry{ID: "t", Address: "127.0.0.1:80", Weight: 1})
 			e.Key.Name = "u"
 			return applier.ApplyServers([]distribution.Entry{e}, false)
-		}, "hire/server/u: its value is of server \"t\"", ""},
+		}, "hire/server/u: value names server \"t\", want the name in its key", ""},
 		{"routes", func() []distribution.Rejection {
 			return applier.ApplyRoutes([]distribution.Entry{text(distribution.KindRoute, "a", 1, "type = \"check\"\nhops = 2"), text(distribution.KindRoute, "b", 2, "type = \"dance\""),
 				text(distribution.KindPool, "p", 3, "servers = [\"s*\"]")})
@@ -152,7 +152,7 @@
 		}, "", "hire/b"},
 		{"tenants", func() []distribution.Rejection {
 			return applier.ApplyTenants([]distribution.Entry{tenant("dairy", 1, ten), tenant("orchards", 1, minus), tenant("mill", 1, "x")})
-		}, "hire/tenant/orchards: allowance -10: a number of 0 or more is wanted; hire/tenant/mill: the value of a tenant cannot be read", "hire/b"},
+		}, "hire/tenant/orchards: allowance -10: want a finite number of at least 0; hire/tenant/mill: decode tenant: value is invalid", "hire/b"},
 		{"a tenant's next value", func() []distribution.Rejection {
 			return applier.ApplyTenants([]distribution.Entry{tenant("dairy", 2, minus)})
 		},
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -109,7 +109,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := m.start(c); err != nil {
-		return fmt.Errorf("node %d cannot be started: %w", p.number, err)
+		return fmt.Errorf("start node %d: %w", p.number, err)
 	}
 	p.cmd = c
 	p.exited = exited
--- a/internal/testbed/scenario/faults.go
+++ b/internal/testbed/scenario/faults.go
@@ -115,7 +115,7 @@
 	if kind.sizeUnit != "" {
 		c.inRange(key+".size", f.Size, 0.01, 10_000)
 		if kind.sizeUnit == "share" && f.Size > 1 {
-			c.AddFault(key+".size", "size is a share, want 1 at most")
+			c.AddFault(key+".size", "size exceeds 1, want a share from 0.01 to 1")
 		}
 	}
 	c.inRange(key+".share", f.Share, 0, 1)
