--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -105,7 +105,7 @@
 		"no such policy":       {[]string{"run", "calm", "--policy", "magic"}, exitBadInput, "unknown policy \"magic\""},
 		"bad trace":            {[]string{"run", valid, "--trace", trace}, exitBadInput, "t.csv:2: no type \"hire-dance\""},
 		"no such node":         {[]string{"run", valid, "--node", invalid + "x", "--quiet"}, exitBadInput, "start node 0: "},
-		"node that ends":       {[]string{"run", valid, "--node", "/bin/false", "--quiet"}, exitBadInput, "node 0 has ended"},
+		"node that ends":       {[]string{"run", valid, "--node", "/bin/false", "--quiet"}, exitBadInput, "node 0 exited: exit status 1"},
 		"no report":            {[]string{"compare", valid, valid}, exitBadInput, "decode report "},
 		"different schedules":  {[]string{"compare", other, write(t, "o.json", `{"scenario":"y"}`)}, 0, ""},
 		"unknown flag":         {[]string{"run", "--fast"}, exitBadInput, "unknown flag"},
