--- a/internal/testbed/badclients.go
+++ b/internal/testbed/badclients.go
@@ -29,7 +29,7 @@
 // malformed lists the inputs of bad clients. A node must answer each with a 4xx or 5xx status, or close the connection.
 var malformed = []struct{ name, text string }{
 	{"not HTTP", "hello\r\n\r\n"},
-	{"random bytes", "\x00\xff\x16\x03\x01\x02\r\n\r\n"},
+	{"noise", "\x00\xff\x16\x03\x01\x02\r\n\r\n"},
 	{"unterminated header", "GET /hire-check/1 HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 40<<10)},
 	{"negative content length", "POST /hire-book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nContent-Length: -5\r\n\r\n"},
 	{"huge content length", "POST /hire-book/1 HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nContent-Length: 99999999999\r\n\r\n"},
